--- a/cmd/simhost/serve.go
+++ b/cmd/simhost/serve.go
@@ -175,10 +175,10 @@
 	if err != nil {
 		return err
 	}
-	if m.How == nil || *m.How < 0 || *m.How > 3 {
+	if m.How == nil || *m.How < 0 || *m.How >= len(kinds) {
 		return errors.New("membership: how is missing or unknown")
 	}
-	kind := logic.ListKind(*m.How)
+	kind := kinds[*m.How]
 	if kind == logic.Failed {
 		in.bal.List(s.now, in.host, kind, nil)
 		return nil
--- a/cmd/simhost/wire.go
+++ b/cmd/simhost/wire.go
@@ -91,6 +91,12 @@
 	598: logic.Reset, 499: logic.Cancelled, 410: logic.Moot,
 }
 
+// kinds and states are the wire's numbers.
+var (
+	kinds  = [...]logic.ListKind{logic.Delta, logic.Full, logic.Cached, logic.Failed}
+	states = [...]logic.State{logic.Gone, logic.Ready, logic.Draining}
+)
+
 // servers turns a roster's elements into the library's servers.
 func (l *ledger) servers() ([]logic.Server, error) {
 	out := make([]logic.Server, 0, len(*l.Elements))
@@ -98,11 +104,11 @@
 		if e.Backend == nil || e.State == nil || e.DC == nil {
 			return nil, fmt.Errorf("elements[%d]: backend, dc or state is missing", i)
 		}
-		if *e.State < 0 || *e.State > 2 {
+		if *e.State < 0 || *e.State >= len(states) {
 			return nil, fmt.Errorf("elements[%d].state: unknown state %d", i, *e.State)
 		}
 		s := logic.Server{ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
-			State: logic.State(*e.State), Size: 1, Launched: e.Launched}
+			State: states[*e.State], Size: 1, Launched: e.Launched}
 		if e.Power != nil {
 			s.Size = *e.Power
 		}
--- a/internal/mgmt/zones.go
+++ b/internal/mgmt/zones.go
@@ -27,6 +27,10 @@
 // figure is the name in the form that calls have in their path, and that no "=" ends early.
 func (z *Zone) figure() string { return strings.ReplaceAll(url.PathEscape(z.Name), "=", "%3D") }
 
+// states are the words and numbers by which callers know standings: a word's place is its number.
+var states = [...]string{logic.Healthy: "well", logic.Pressed: "pressed", logic.Leaving: "leaving", logic.Away: "away",
+	logic.Returning: "returning", logic.Drained: "drained"}
+
 func (z *Zone) encode(b *bytes.Buffer) {
 	fmt.Fprintf(b, "app.zone_state.%[1]s=%[2]d\napp.zone_share.%[1]s=%.2[3]f\napp.zone_epoch.%[1]s=%[4]d\n", z.figure(),
 		int(z.Standing), z.Share, z.Epoch)
@@ -36,7 +40,7 @@
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	var b bytes.Buffer
 	for _, z := range s.proxy.Zones() {
-		fmt.Fprintf(&b, "name=%s state=%v share=%.2f epoch=%d since_ms=%d reason=%q\n", z.figure(), z.Standing, z.Share, z.Epoch,
+		fmt.Fprintf(&b, "name=%s state=%v share=%.2f epoch=%d since_ms=%d reason=%q\n", z.figure(), states[z.Standing], z.Share, z.Epoch,
 			z.Since.Milliseconds(), z.Reason)
 	}
 	_, _ = w.Write(b.Bytes())
--- a/internal/proxy/figures.go
+++ b/internal/proxy/figures.go
@@ -12,6 +12,10 @@
 // maxClasses bounds the classes that are counted: classes come and go with the settings.
 const maxClasses = 256
 
+// refusals are the names of the reasons among the counts.
+var refusals = [...]string{logic.OverCount: "over_count", logic.NoTime: "no_time", logic.NoServer: "no_server",
+	logic.NoTurn: "no_turn", logic.NoAttempt: "no_further_attempt"}
+
 // figures owns the counts that on-call staff see. Each request is counted in once, when it has been taken, and
 // out once, by whoever took it.
 type figures struct {
@@ -127,7 +131,7 @@
 	}
 	out.Events = map[string]int64{}
 	for why, n := range f.refused {
-		out.Events["refusals."+why.String()] = n
+		out.Events["refusals."+refusals[why]] = n
 	}
 	return out
 }
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -34,16 +34,22 @@
 
 // legacy is what a successor is told.
 type legacy struct {
-	Spent logic.Spent `json:"spent"` // of the allowance for further attempts
-	Seen  []string    `json:"seen"`  // servers that lists have named
-	Now   int64       `json:"now"`   // by the predecessor's clock, when it told this; 0 from versions that do not
+	Spent spent    `json:"spent"` // of the allowance for further attempts
+	Seen  []string `json:"seen"`  // servers that lists have named
+	Now   int64    `json:"now"`   // by the predecessor's clock, when it told this; 0 from versions that do not
+}
+
+// spent is logic.Spent between processes.
+type spent struct {
+	Taken   []int64 `json:"Taken"`
+	Further []int64 `json:"Further"`
 }
 
 // spentBy is what was spent, on the clock of a successor that shows now: each process's clock begins at the wall clock of
 // its own start, which may have been set in between.
 func (l legacy) spentBy(now int64) logic.Spent {
 	if l.Now == 0 {
-		return l.Spent
+		return logic.Spent{Taken: l.Spent.Taken, Further: l.Spent.Further}
 	}
 	shift := func(times []int64) []int64 {
 		out := make([]int64, len(times))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -164,7 +164,8 @@
 	out := make(chan legacy, 1)
 	p.loop.post(func() {
 		now := p.loop.clock.now()
-		out <- legacy{Spent: p.loop.bal.HandOver(now), Seen: p.loop.seen.All(), Now: now}
+		used := p.loop.bal.HandOver(now)
+		out <- legacy{Spent: spent{used.Taken, used.Further}, Seen: p.loop.seen.All(), Now: now}
 	})
 	select {
 	case l := <-out:
--- a/internal/proxy/zonehands.go
+++ b/internal/proxy/zonehands.go
@@ -104,6 +104,10 @@
 	l.figs.showZones(shown)
 }
 
+// causes are the words of causes in what callers read.
+var causes = [...]string{logic.NoCause: "bad", logic.Failing: "failing", logic.Silent: "silent", logic.Slow: "slow",
+	logic.Crowded: "crowded"}
+
 // zoneReason says why a zone stands as it does.
 func (l *loop) zoneReason(name string, s logic.ZoneState) string {
 	switch {
@@ -114,7 +118,7 @@
 	case s.Calls == 0:
 		return ""
 	}
-	return fmt.Sprintf("%.0f%% of %.0f calls %v, %d of %d copies call it bad", 100*s.Bad, s.Calls, s.Cause, s.SayBad, s.Say)
+	return fmt.Sprintf("%.0f%% of %.0f calls %s, %d of %d copies call it bad", 100*s.Bad, s.Calls, causes[s.Cause], s.SayBad, s.Say)
 }
 
 // zonesShown is how zones stood when the loop last looked.
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -141,24 +142,34 @@
 	return s, nil
 }
 
-// moduleKeys are the settings' keys by the module's words for them, where the two differ.
-var moduleKeys = strings.NewReplacer("logic: Settings.", "", "Classes", "profiles", "Aim", "objective_us", "Deadline", "give_up_us",
-	"LateWorth", "late_share", "Worth", "worth", "Window", "dedup_window_us", "Zones", "failure_domains", "Zone", "my_zone",
-	"Siblings", "siblings", "Ordinal", "ordinal", "Stage", "stage", "MaxAttempts", "limits.try_limit",
-	"MaxRetryAfter", "limits.max_retry_after_us", "OrderSettle", "contract.order_settle_us", "BudgetSpan", "contract.ratio_span_us",
-	"BudgetFree", "contract.spare_attempts", "BudgetShare", "contract.resend_ratio", "DrainGrace", "contract.drain_grace_us",
-	"AskEvery", "contract.ask_every_us", "StartCapacity", "contract.start_capacity", "Cold", "contract.cold_us",
-	"TipMultiple", "contract.tip_multiple", "FallSpan", "contract.fall_us")
+// moduleKeys are the settings' keys by the module's names of fields, where the two differ; those of the fields of one class
+// or tenant are below its list's.
+var moduleKeys = map[string]string{
+	"Classes": "profiles", "Zones": "failure_domains", "Zone": "my_zone",
+	"Siblings": "siblings", "Ordinal": "ordinal", "Stage": "stage",
+	"MaxAttempts": "limits.try_limit", "MaxRetryAfter": "limits.max_retry_after_us",
+	"OrderSettle": "contract.order_settle_us", "BudgetSpan": "contract.ratio_span_us",
+	"BudgetFree": "contract.spare_attempts", "BudgetShare": "contract.resend_ratio",
+	"DrainGrace": "contract.drain_grace_us", "AskEvery": "contract.ask_every_us",
+	"StartCapacity": "contract.start_capacity", "Cold": "contract.cold_us",
+	"TipMultiple": "contract.tip_multiple", "FallSpan": "contract.fall_us",
+
+	"Aim": "objective_us", "Deadline": "give_up_us", "Worth": "worth", "LateWorth": "late_share",
+	"Window": "dedup_window_us",
+}
 
+// moduleFault is an error of the module's about its settings, by the keys that these have in the file.
 func moduleFault(err error) error {
-	if err == nil {
-		return nil
+	var fault *logic.SettingsError
+	if !errors.As(err, &fault) {
+		return err
 	}
-	key, problem, _ := strings.Cut(err.Error(), ": ")
-	if word, rest, ok := strings.Cut(problem, ": "); ok { // "logic: Settings.KEY: PROBLEM"
-		key, problem = key+": "+word, rest
+	key := cmp.Or(moduleKeys[fault.Field], fault.Field)
+	if fault.List != "" {
+		list := cmp.Or(moduleKeys[fault.List], fault.List)
+		key = strings.TrimSuffix(fmt.Sprintf("%s[%d].%s", list, fault.Index, key), ".")
 	}
-	return &Error{moduleKeys.Replace(key), problem}
+	return &Error{key, fault.Problem}
 }
 
 // faultOf names the key at fault, below a section.
--- a/logic/api.go
+++ b/logic/api.go
@@ -9,7 +9,10 @@
 // the same events give the same actions.
 package logic
 
-import "fmt"
+import (
+	"fmt"
+	"strings"
+)
 
 // Repeat tells whether a class of requests may run more than once.
 type Repeat int
@@ -252,10 +255,6 @@
 	refusalReasons
 )
 
-func (r Refusal) String() string {
-	return [refusalReasons]string{"over_count", "no_time", "no_server", "no_turn", "no_further_attempt"}[r]
-}
-
 // Spent is what has been used of the allowance for further attempts: the times of requests and of attempts
 // beyond the first of each.
 type Spent struct {
@@ -276,61 +275,86 @@
 	SetTimer(delay int64, token string)
 	// Watch opens the standing subscription to the list of servers.
 	Watch()
-	// Log shows a line to on-call staff.
-	Log(line string)
+	// Log shows an event to on-call staff.
+	Log(event Event)
 }
 
+// SettingsError is a setting that makes no sense.
+type SettingsError struct {
+	List    string // Classes or Tenants, of a field of one of these; else empty
+	Index   int    // in List
+	Field   string // empty: the list itself
+	Problem string
+}
+
+func (e *SettingsError) Error() string {
+	key := e.Field
+	if e.List != "" {
+		key = strings.TrimSuffix(fmt.Sprintf("%s[%d].%s", e.List, e.Index, e.Field), ".")
+	}
+	return fmt.Sprintf("logic: Settings.%s: %s", key, e.Problem)
+}
+
+// validate returns the first fault as a *SettingsError, nil if there is none.
 func (s Settings) validate() error {
 	for _, c := range []struct {
-		bad   bool
-		field string
+		bad            bool
+		field, problem string
 	}{
-		{len(s.Classes) == 0, "Classes: none given"},
-		{s.Zones < 1, "Zones: fewer than one"},
-		{s.Zone < 0 || s.Zone >= s.Zones, "Zone: out of range"},
-		{s.Siblings < 1, "Siblings: fewer than one"},
-		{s.Ordinal < 0, "Ordinal: negative"},
-		{s.Stage < 0, "Stage: negative"},
-		{s.MaxAttempts < 1, "MaxAttempts: fewer than one"},
-		{s.MaxRetryAfter < 0, "MaxRetryAfter: negative"},
-		{s.OrderSettle < 0, "OrderSettle: negative"},
-		{s.BudgetSpan < 0, "BudgetSpan: negative"},
-		{!(s.BudgetFree >= 0), "BudgetFree: negative"},
-		{!(s.BudgetShare >= 0), "BudgetShare: negative"},
-		{s.DrainGrace < 0, "DrainGrace: negative"},
-		{s.AskEvery < 0 || s.Subscribe && s.AskEvery == 0, "AskEvery: not positive"},
-		{s.EvidenceSpan < 0, "EvidenceSpan: negative"},
-		{!(s.StartCapacity >= 0 && s.StartCapacity <= 1), "StartCapacity: not within 0 and 1"},
-		{s.Cold < 0, "Cold: negative"},
-		{!(s.TipMultiple >= 0), "TipMultiple: negative"},
-		{s.FallSpan < 0 || s.FallSpan == 0 && s.TipMultiple > 0, "FallSpan: not positive"},
+		{len(s.Classes) == 0, "Classes", "none given"},
+		{s.Zones < 1, "Zones", "fewer than one"},
+		{s.Zone < 0 || s.Zone >= s.Zones, "Zone", "out of range"},
+		{s.Siblings < 1, "Siblings", "fewer than one"},
+		{s.Ordinal < 0, "Ordinal", "negative"},
+		{s.Stage < 0, "Stage", "negative"},
+		{s.MaxAttempts < 1, "MaxAttempts", "fewer than one"},
+		{s.MaxRetryAfter < 0, "MaxRetryAfter", "negative"},
+		{s.OrderSettle < 0, "OrderSettle", "negative"},
+		{s.BudgetSpan < 0, "BudgetSpan", "negative"},
+		{!(s.BudgetFree >= 0), "BudgetFree", "negative"},
+		{!(s.BudgetShare >= 0), "BudgetShare", "negative"},
+		{s.DrainGrace < 0, "DrainGrace", "negative"},
+		{s.AskEvery < 0 || s.Subscribe && s.AskEvery == 0, "AskEvery", "not positive"},
+		{s.EvidenceSpan < 0, "EvidenceSpan", "negative"},
+		{!(s.StartCapacity >= 0 && s.StartCapacity <= 1), "StartCapacity", "not within 0 and 1"},
+		{s.Cold < 0, "Cold", "negative"},
+		{!(s.TipMultiple >= 0), "TipMultiple", "negative"},
+		{s.FallSpan < 0 || s.FallSpan == 0 && s.TipMultiple > 0, "FallSpan", "not positive"},
 	} {
 		if c.bad {
-			return fmt.Errorf("logic: Settings.%s", c.field)
+			return &SettingsError{Field: c.field, Problem: c.problem}
 		}
 	}
 	for i, c := range s.Classes {
-		switch {
-		case c.Aim <= 0:
-			return fmt.Errorf("logic: Settings.Classes[%d].Aim: not positive", i)
-		case c.Deadline <= 0:
-			return fmt.Errorf("logic: Settings.Classes[%d].Deadline: not positive", i)
-		case !(c.Worth >= 0):
-			return fmt.Errorf("logic: Settings.Classes[%d].Worth: negative", i)
-		case !(c.LateWorth >= 0):
-			return fmt.Errorf("logic: Settings.Classes[%d].LateWorth: negative", i)
-		case c.Repeat < Safe || c.Repeat > Unsafe:
-			return fmt.Errorf("logic: Settings.Classes[%d].Repeat: unknown", i)
-		case c.Group < GroupAll || c.Group > GroupCell:
-			return fmt.Errorf("logic: Settings.Classes[%d].Group: unknown", i)
-		case c.Window < 0:
-			return fmt.Errorf("logic: Settings.Classes[%d].Window: negative", i)
+		if field, problem := c.fault(); problem != "" {
+			return &SettingsError{List: "Classes", Index: i, Field: field, Problem: problem}
 		}
 	}
 	for i, t := range s.Tenants {
 		if !(t.Portion >= 0) || !(t.Quota >= 0) {
-			return fmt.Errorf("logic: Settings.Tenants[%d]: negative Portion or Quota", i)
+			return &SettingsError{List: "Tenants", Index: i, Problem: "negative Portion or Quota"}
 		}
 	}
 	return nil
 }
+
+// fault is the first field of a class that makes no sense, and why; two empty texts if there is none.
+func (c Class) fault() (field, problem string) {
+	switch {
+	case c.Aim <= 0:
+		return "Aim", "not positive"
+	case c.Deadline <= 0:
+		return "Deadline", "not positive"
+	case !(c.Worth >= 0):
+		return "Worth", "negative"
+	case !(c.LateWorth >= 0):
+		return "LateWorth", "negative"
+	case c.Repeat < Safe || c.Repeat > Unsafe:
+		return "Repeat", "unknown"
+	case c.Group < GroupAll || c.Group > GroupCell:
+		return "Group", "unknown"
+	case c.Window < 0:
+		return "Window", "negative"
+	}
+	return "", ""
+}
