--- /dev/null
+++ b/internal/fleet/view/golden_test.go
@@ -0,0 +1,193 @@
+package view
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"flag"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+var record = flag.Bool("golden.record", false, "write golden files that do not exist yet")
+
+// golden compares data with a golden file. Existing files are never written: later versions must be able to read them.
+func golden(t *testing.T, name string, data []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	want, err := os.ReadFile(path)
+	if os.IsNotExist(err) && *record {
+		if err := os.WriteFile(path, data, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		want = data
+	} else if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(data, want) {
+		t.Errorf("%s: the bytes differ from the golden file\ngot  %q\nwant %q", name, data, want)
+	}
+	return want
+}
+
+// print writes an entry's values without the names of Go fields, so that renames do not move golden files and hashes.
+func print(w io.Writer, label string, entries []Entry) {
+	fmt.Fprintln(w, label, len(entries))
+	for _, e := range entries {
+		fmt.Fprintln(w, uint8(e.Kind), e.Gone, e.Subject, e.Start, e.Observer, e.Zone, e.Incarnation, e.Seq, e.Made, e.Life,
+			e.Body.Cause, e.Body.Of, e.Body.Calls, e.Body.Bad, e.Body.Value)
+	}
+}
+
+// everyKind is one entry of each kind, then withdrawals, an override suspended and resumed, and the edges of the codec.
+func everyKind() []Entry {
+	const started = 1_790_000_000_000
+	var entries []Entry
+	for kind := ServerBad; kind < Hand; kind++ {
+		entries = append(entries,
+			Entry{Kind: kind, Subject: "server-1", Start: started + 5, Observer: "proxy-a", Zone: "zone-1", Incarnation: started,
+				Seq: uint64(kind), Made: at - int64(kind)*milli, Life: kind.Life(),
+				Body: Body{Cause: uint8(kind) % 5, Of: "zone-2", Calls: 100, Bad: 0.25, Value: 1500}},
+			Entry{Kind: kind, Gone: true, Subject: "server-2", Observer: "proxy-a", Zone: "zone-1", Incarnation: started,
+				Seq: 100 + uint64(kind), Made: at - 1, Life: second})
+	}
+	return append(entries,
+		Entry{Kind: Hand, Subject: "server-1", Observer: "proxy-b", Seq: 7, Made: at - 3600*second},
+		Entry{Kind: Hand, Gone: true, Subject: "server-3", Observer: "proxy-b", Seq: 8, Made: at - second, Life: resumedLife},
+		Entry{Kind: ServerBad, Subject: "same-start", Start: started, Observer: "proxy-c", Incarnation: started, Seq: 1 << 40,
+			Made: at, Life: ServerBad.Life(), Body: Body{Cause: 200, Calls: mostNumber, Bad: 1, Value: 0.0625}},
+		Entry{Kind: ServerLoad, Subject: "earlier-start", Start: 1, Observer: "proxy-c", Incarnation: started, Seq: mostStamp,
+			Made: at - 4*second, Life: 4500 * milli})
+}
+
+// TestPacketsMatchGoldenFile holds the bytes of gossip packets: entries of every kind, in packets of 1,400 bytes.
+func TestPacketsMatchGoldenFile(t *testing.T) {
+	data := golden(t, "packets.cbor", bytes.Join(Encode(at, everyKind(), 1400), nil))
+	checkDecoded(t, data, "packets.txt")
+}
+
+// TestFullExchangeMatchesGoldenFile holds the bytes of a full exchange of a view with own, peers' and override entries.
+func TestFullExchangeMatchesGoldenFile(t *testing.T) {
+	v := New(Self{Name: "self", Zone: "zone-1", Start: 1_790_000_000_123}, Limits{})
+	items := []Item{{ServerBad, "s1", 1_790_000_000_000, Body{Cause: 1, Calls: 10, Bad: 0.5}},
+		{ZoneBad, "zone-2", 0, Body{Cause: 2, Of: "zone-3", Calls: 20, Bad: 0.75}}, {ServerLoad, "s2", 7, Body{Calls: 3, Value: 12345}}}
+	v.Say(at-second, items)
+	v.Say(at-second/2, items[1:])
+	v.Merge(at, everyKind())
+	for i, server := range []string{"s1", "s2", "s3"} {
+		if _, err := v.Suspend(at, server); err != nil {
+			t.Fatal(err)
+		}
+		if i == 1 {
+			if _, err := v.Resume(at, server); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	data := golden(t, "exchange.cbor", bytes.Join(Encode(at, v.All(at), MostPacket), nil))
+	checkDecoded(t, data, "exchange.txt")
+}
+
+func checkDecoded(t *testing.T, data []byte, name string) {
+	t.Helper()
+	entries, skipped, err := DecodeAll(at, data)
+	if err != nil || skipped != (Skipped{}) {
+		t.Fatalf("%s: %+v, %v", name, skipped, err)
+	}
+	var text bytes.Buffer
+	print(&text, "entries", entries)
+	golden(t, name, text.Bytes())
+}
+
+// playViews plays a sequence with a fixed seed on four views and gives a hash of all values that came out.
+func playViews(seed uint64) string {
+	random, hash := rand.New(rand.NewPCG(seed, 1)), sha256.New()
+	start := func(i int, at int64) *View {
+		return New(Self{Name: fmt.Sprint("p", i), Zone: fmt.Sprint("z", i%2), Start: at}, Limits{Entries: 40, Observer: 12, Observers: 3, Hands: 4})
+	}
+	views := make([]*View, 4)
+	for i := range views {
+		views[i] = start(i, 1000)
+	}
+	now := int64(at)
+	for step := range 4000 {
+		i := random.IntN(len(views))
+		v := views[i]
+		name := fmt.Sprint("s", random.IntN(6))
+		var out []Entry
+		var err error
+		switch random.IntN(12) {
+		case 0, 1, 2, 3:
+			var items []Item
+			for range 2 + random.IntN(20) {
+				items = append(items, Item{Kind(1 + random.IntN(6)), fmt.Sprint("s", random.IntN(9)), int64(random.IntN(3)), Body{
+					Cause: uint8(random.IntN(3)), Calls: float64(random.IntN(50)), Bad: random.Float64(), Value: float64(random.IntN(3))}})
+			}
+			out = v.Say(now, items)
+		case 4, 5, 6:
+			out = v.All(now)
+		case 7:
+			out, err = v.Suspend(now, name)
+		case 8:
+			out, err = v.Resume(now, name)
+		case 9:
+			hands := v.Hands(now)
+			for _, h := range hands {
+				fmt.Fprintln(hash, "override", h.Subject, h.Suspended, h.Version, h.Actor, h.Age)
+			}
+			if random.IntN(4) == 0 {
+				views[i] = start(i, 990+int64(random.IntN(step/50+20)))
+				fmt.Fprintln(hash, "restored", views[i].Restore(now, hands))
+			}
+		default:
+			now += random.Int64N(600 * milli)
+		}
+		fmt.Fprintln(hash, step, i, now, err != nil)
+		print(hash, "out", out)
+		for _, packet := range Encode(now, out, LeastPacket) {
+			for j, to := range views {
+				if j != i && random.IntN(3) > 0 {
+					in, skipped, err := Decode(now+random.Int64N(20*milli), packet)
+					news := to.Merge(now+20*milli, in)
+					fmt.Fprintln(hash, "merge", j, skipped.Kinds, skipped.Fields, skipped.Bad, skipped.Newer, err != nil)
+					print(hash, "news", news)
+				}
+			}
+		}
+		print(hash, "known", v.Known(now))
+		suspended := v.Hand(now)
+		for s := range 6 {
+			fmt.Fprint(hash, suspended[fmt.Sprint("s", s)], " ")
+		}
+		c := v.Counts()
+		fmt.Fprintln(hash, c.Told, c.Renewed, c.Withdrawn, c.Unsaid, c.New, c.Doubled, c.Late, c.Superseded, c.Foreign, c.Refused,
+			c.Over, c.Crowded, c.Ended, c.Own, c.Entries, c.Observers, c.Suspended, c.Resumed)
+	}
+	return fmt.Sprintf("%x", hash.Sum(nil)[:8])
+}
+
+// TestPlayedSequenceMatchesGoldenHash holds all that views give in a played sequence, and shows that a changed constant
+// is noticed.
+func TestPlayedSequenceMatchesGoldenHash(t *testing.T) {
+	const want = "0003b4fa2114f9a8"
+	if got := playViews(1); got != want {
+		t.Errorf("the played sequence gives %s, want %s", got, want)
+	}
+	for kind, change := range map[Kind]func(*term){
+		ServerBad: func(x *term) { x.pace -= 150 * milli }, ZoneWell: func(x *term) { x.life += 50 * milli }, ServerFlap: func(x *term) { x.most = 3 },
+	} {
+		was := terms[kind]
+		change(&terms[kind])
+		if playViews(1) == want {
+			t.Errorf("a changed %v is not noticed", kind)
+		}
+		terms[kind] = was
+	}
+	if slices.Contains([]string{playViews(2), playViews(3)}, want) {
+		t.Error("another seed gives the same hash")
+	}
+}
