--- /dev/null
+++ b/internal/mgmt/golden_test.go
@@ -0,0 +1,43 @@
+package mgmt
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"fernlanding/logic"
+)
+
+var record = flag.Bool("golden.record", false, "write golden files that do not exist yet")
+
+// TestEndpointTextsMatchGoldenFiles holds the whole text of the metrics and of the zones, by which callers read them.
+func TestEndpointTextsMatchGoldenFiles(t *testing.T) {
+	p := &fakeProxy{figures: Figures{
+		Classes: map[string]Ends{"look": {1, 2, 3}, "buy": {4, 5, 6}}, Outstanding: 7, Forwards: 8, Discovered: 9, Ejected: 10,
+		Applied: 11, Rejected: 12, Rollout: &Rollout{13, 14, 15 * time.Second, 16, 17},
+		List: &List{Age: 18 * time.Millisecond, Stale: true, Failures: 19, Calls: map[string]int64{"ok": 20, "error": 21},
+			Members: &ListMembers{22, 23}},
+		Fleet: &Fleet{true, 24, 25, true, 26, 27, 28 * time.Millisecond, 29, 30, 31, 32, 33, 34, 35, 36, 37,
+			map[string]int64{"label": 38, "kind": 39}},
+		Broken: map[string]int64{"rule_b": 40, "rule_a": 41}, Events: map[string]int64{"refused.no-time": 42, "closed.idle": 43},
+	}}
+	for phase := logic.Healthy; phase <= logic.Drained; phase++ {
+		p.figures.Zones = append(p.figures.Zones, Zone{"zone " + string(rune('a'+phase)), phase, float64(phase) / 5, int(phase),
+			time.Duration(phase) * time.Second, "reason = \"" + string(rune('0'+phase)) + "\""})
+	}
+	for name, path := range map[string]string{"metrics.txt": "/v1/metrics", "zones.txt": "/v1/zones"} {
+		status, text := call(t, start(t, p), request("GET "+path, ""))
+		file := filepath.Join("testdata", name)
+		if _, err := os.Stat(file); os.IsNotExist(err) && *record {
+			if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		want, err := os.ReadFile(file)
+		if err != nil || status != 200 || text != string(want) {
+			t.Errorf("%s: status %d, %v\ngot\n%s\nwant\n%s", path, status, err, text, want)
+		}
+	}
+}
