--- /dev/null
+++ b/internal/proxy/golden_test.go
@@ -0,0 +1,264 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"fernlanding/internal/discovery"
+	"fernlanding/logic"
+)
+
+// The files in testdata were written by an earlier version. What others read of this package (another process of the
+// proxy, clients, the readers of metrics) stays byte for byte the same.
+
+// checkGolden compares a text with a file of testdata.
+func checkGolden(t *testing.T, name, got string) {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatalf("%v; got:\n%s", err, got)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+func TestHandoverLineIsGolden(t *testing.T) {
+	told := legacy{Spent: spent{Taken: []int64{1_000_000, 2_000_000}, Further: []int64{1_500_000}},
+		Seen: []string{"node-1", "node-2"}, Now: 3_000_000}
+	line, err := json.Marshal(told)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "handover.json", string(line)+"\n")
+
+	for _, c := range []struct {
+		file string
+		now  int64
+		want logic.Spent
+	}{
+		{"handover.json", 13_000_000, logic.Spent{Taken: []int64{11_000_000, 12_000_000}, Further: []int64{11_500_000}}},
+		{"handover-without-now.json", 13_000_000, logic.Spent{Taken: []int64{1_000_000, 2_000_000}, Further: []int64{1_500_000}}},
+	} {
+		text, err := os.ReadFile(filepath.Join("testdata", c.file))
+		if err != nil {
+			t.Fatal(err)
+		}
+		var read legacy
+		if err := json.Unmarshal(text, &read); err != nil {
+			t.Fatal(err)
+		}
+		if !slices.Equal(read.Seen, told.Seen) {
+			t.Errorf("%s: names %v", c.file, read.Seen)
+		}
+		if got := read.spentBy(c.now); !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%s: got %v, want %v", c.file, got, c.want)
+		}
+	}
+}
+
+var dateLine = regexp.MustCompile(`Date: [^\r]* GMT`)
+
+// rawExchange sends a text on a connection of its own and returns all bytes up to its end, or up to an answer's.
+func rawExchange(t *testing.T, addr, text string) string {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	_ = c.SetDeadline(time.Now().Add(patience))
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+	var seen strings.Builder
+	resp, err := http.ReadResponse(bufio.NewReaderSize(io.TeeReader(c, &seen), 16), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Fatal(err)
+	}
+	if resp.Close {
+		_, _ = io.Copy(&seen, c)
+	}
+	return dateLine.ReplaceAllString(seen.String(), "Date: D")
+}
+
+// The answers that the proxy makes itself, as they stand on the wire.
+func TestOwnAnswersAreGolden(t *testing.T) {
+	breaks, _ := serving(t, says("", false))
+	full, _ := serving(t, says(served, true))
+	full.front.flight.Store(0)
+	good, _ := serving(t, says(served, true))
+	unlisted := startProxy(t, startDiscovery(t).addr, 200, "")
+	post := func(more string) string {
+		return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n" + more
+	}
+	var out strings.Builder
+	show := func(name, text string) {
+		fmt.Fprintf(&out, "== %s\n%s\n", name, strings.ReplaceAll(text, "\r\n", "\\r\\n\n"))
+	}
+	for _, c := range []struct {
+		name string
+		p    *running
+		text string
+	}{
+		{"health", good, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"},
+		{"health without a list", unlisted, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"},
+		{"served", good, look("1", 4000)},
+		{"rejected for want of room", full, look("1", 4000)},
+		{"failed", breaks, post("Content-Length: 0\r\n\r\n")},
+		{"no class", good, "GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n"},
+		{"other path", good, strings.Replace(look("1", 9), "/look", "/rate", 1)},
+		{"no id", good, strings.Replace(look("1", 9), "Request-Id", "Other", 1)},
+		{"two ids", good, strings.Replace(look("1", 9), "Tenant: acme", "Request-Id: 2", 1)},
+		{"wrong method", good, strings.Replace(look("1", 9), "GET", "PUT", 1)},
+		{"needless key", good, strings.Replace(look("1", 9), "Tenant", "Idempotency-Key", 1)},
+		{"body on a GET", good, strings.Replace(look("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab"},
+		{"too large", good, post(fmt.Sprintf("Content-Length: %d\r\n\r\n", maxBody+1))},
+		{"body broken off", good, post("Transfer-Encoding: chunked\r\n\r\nzz\r\n")},
+		{"body too slow", good, post("Content-Length: 9\r\n\r\nabc")},
+		{"ambiguous framing", good, post("Content-Length: 1\r\nContent-Length: 1\r\n\r\na")},
+		{"head too long", good, "GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*maxHead) + "\r\n\r\n"},
+	} {
+		show(c.name, rawExchange(t, c.p.Addr(), c.text))
+	}
+	show("half a head at the end", busyAnswer)
+
+	// Those that take more to come about: by their answers alone.
+	var next answer
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { good.front.reply(w, next) })}
+	go func() { _ = s.Serve(l) }()
+	t.Cleanup(func() { s.Close() })
+	body := &upload{}
+	faultOf := func(err error) answer {
+		rec := &headerOnly{h: http.Header{}}
+		return body.fault(rec, err)
+	}
+	for _, c := range []struct {
+		name string
+		ans  answer
+	}{
+		{"rejected, come again", answer{status: http.StatusServiceUnavailable, after: 1_234_567}},
+		{"rejected without a time", answer{status: http.StatusServiceUnavailable}},
+		{"failed with a time", answer{status: http.StatusBadGateway, after: 1_234_567}},
+		{"expired", answer{status: http.StatusGatewayTimeout}},
+		{"draining", faultOf(errDraining)},
+		{"short of connections", faultOf(errShort)},
+		{"short of memory", faultOf(errNoMemory)},
+		{"another error", faultOf(errors.New("any"))},
+	} {
+		next = c.ans
+		show(c.name, rawExchange(t, l.Addr().String(), "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
+	}
+	checkGolden(t, "answers.txt", out.String())
+}
+
+// headerOnly is a ResponseWriter for what sets headers.
+type headerOnly struct{ h http.Header }
+
+func (w *headerOnly) Header() http.Header         { return w.h }
+func (w *headerOnly) Write(p []byte) (int, error) { return len(p), nil }
+func (w *headerOnly) WriteHeader(int)             {}
+
+// The names of all counts that the metrics show.
+func TestCountsNamesAreGolden(t *testing.T) {
+	b := startBackend(t, hang(t))
+	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p.breaks = true
+	// A client's connections.
+	gone := connect(t, p)
+	gone.send(t, look("1", 4000))
+	waitUntil(t, func() bool { return b.requests.Load() == 1 })
+	gone.Close()
+	waitUntil(t, func() bool { return p.loop.audit.all()["closes.client.no_answer"] == 1 })
+	cut := connect(t, p)
+	cut.send(t, look("2", 4000))
+	waitUntil(t, func() bool { return b.requests.Load() == 2 })
+	p.front.mu.Lock()
+	for c := range p.front.conns {
+		p.front.cutLocked(c.(*framedConn)) // its body, then it
+		p.front.cutLocked(c.(*framedConn))
+	}
+	p.front.mu.Unlock()
+	half := connect(t, p)
+	half.send(t, "GET")
+	waitUntil(t, func() bool {
+		return p.front.closeIdle(0, 0, true) == 0 && p.loop.audit.all()["closes.client.idle_or_half"] > 0
+	})
+	answered := connect(t, p)
+	answered.send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+	answered.answer(t)
+	waitUntil(t, func() bool { return p.loop.audit.all()["closes.client.answered_or_broken"] > 0 })
+
+	// Connections to backends.
+	good := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
+		_, _ = io.WriteString(w, served)
+		return r.Header.Get("Request-Id") != "close"
+	})
+	pool := poolWith(4, good.addr)
+	pool.audit = p.loop.audit
+	idle := func() *conn {
+		c, err := pool.dial(context.Background(), pool.byName["a"], good.addr, pool.byName["a"].epoch)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	pool.keep(idle())
+	pool.sweep(time.Now().Add(time.Hour))
+	pool.keep(idle())
+	pool.keep(idle())
+	pool.limit(1, 1)
+	pool.limit(4, 1)
+	pool.keep(idle())
+	pool.ban(map[string]bool{"a": true})
+	pool.ban(nil)
+	pool.abandon(idle())
+	closing := startBackend(t, says("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false))
+	pool = poolWith(4, closing.addr)
+	pool.audit = p.loop.audit
+	newAttempt(pool, "a", patience).run()
+
+	// Ends of attempts and reasons of rejections.
+	l := &loop{clock: clock{time.Now()}, audit: newAudit(slog.New(slog.DiscardHandler))}
+	for s := range logic.Status(8) {
+		l.ends(&attempt{req: &request{}}, s)
+	}
+	by := map[logic.Refusal]int64{}
+	for i := range refusals {
+		by[logic.Refusal(i)] = 1
+	}
+	p.figs.refusals(by)
+	names := map[string]bool{}
+	for _, all := range []map[string]int64{p.Figures().Events, l.audit.all()} {
+		for n := range maps.Keys(all) {
+			names["event "+n] = true
+		}
+	}
+	for n := range maps.Keys(p.Figures().Broken) {
+		names["rule "+n] = true
+	}
+	checkGolden(t, "counts.txt", strings.Join(slices.Sorted(maps.Keys(names)), "\n")+"\n")
+}
