--- /dev/null
+++ b/internal/roster/figures/golden_test.go
@@ -0,0 +1,47 @@
+package figures
+
+import (
+	"fmt"
+	"log/slog"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"fernlanding/internal/roster/api"
+)
+
+// The names and types of metrics are those of earlier versions.
+func TestMetricNamesAreAsBefore(t *testing.T) {
+	log := slog.New(slog.DiscardHandler)
+	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", Log: log})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { a.End(time.Second) })
+	s, err := Listen("127.0.0.1:0", a, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.End)
+	all := prometheus.NewRegistry()
+	all.MustRegister(s)
+	families, err := all.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text strings.Builder
+	for _, f := range families {
+		fmt.Fprintln(&text, f.GetName(), strings.ToLower(f.GetType().String()))
+	}
+	const path = "testdata/names.golden"
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text.String() != string(want) {
+		t.Errorf("got\n%s\nnot\n%s", text.String(), want)
+	}
+}
--- /dev/null
+++ b/internal/roster/member/golden_test.go
@@ -0,0 +1,38 @@
+package member
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"testing"
+
+	"fernlanding/internal/roster/state"
+)
+
+// What members and operators read of a member is byte for byte what earlier versions sent.
+func TestAnswersOfAMemberAreAsBefore(t *testing.T) {
+	left := int64(1234)
+	record := state.Record{Instance: "i1", LeaseMs: 5000, Entry: state.Entry{Name: "n1", Address: "10.0.0.1:80", Zone: "a",
+		Type: "web", Group: 2, Status: state.Serving, Weight: 0.5, Since: 1_700_000_000_000}}
+	var text bytes.Buffer
+	out := json.NewEncoder(&text)
+	for _, v := range []any{
+		Proof{}, Proof{Line: "5f0e", Index: 2, Commit: 3, Configs: 4},
+		[]Nodo{{Record: record}, {Record: record, LeftMs: &left}},
+		Status{}, Waiting("r1"),
+		Status{Name: "r1", Role: "leader", Leader: "r1", Term: 2, Line: "5f0e", Index: 3, Nodos: 4, AgeMs: 5, Serving: true,
+			Abstains: true, Empty: true, Configs: true, Overdue: 6, Held: 7, Expired: 8, Configurations: 9},
+	} {
+		if err := out.Encode(v); err != nil {
+			t.Fatal(err)
+		}
+	}
+	const path = "testdata/answers.golden"
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text.Bytes(), want) {
+		t.Errorf("got\n%s\nnot\n%s", text.Bytes(), want)
+	}
+}
--- /dev/null
+++ b/internal/roster/state/golden_test.go
@@ -0,0 +1,218 @@
+package state
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// goldenState is what the results, versions, changes and images of the played log hash to. It is over values as they
+// are on the wire, so that names may change. A change that only moves, renames or shortens code leaves it as it is.
+const goldenState = "ec863e87c09f2ee7"
+
+const playedCommands = 48_000 // more than are kept of changes and of ended instances
+
+// randomCommand is a command of any kind over few names, so that many meet what is there.
+func randomCommand(r *rand.Rand, at int, s *State) Command {
+	name := func() string { return fmt.Sprintf("n%d", r.IntN(40)) }
+	instance := func() string { return fmt.Sprintf("i%d", max(0, at/100-r.IntN(3))) }
+	ref := func() Ref {
+		n := name()
+		if was, ok := s.Get(n); ok && r.IntN(10) > 0 {
+			return Ref{n, was.Instance}
+		}
+		return Ref{n, instance()}
+	}
+	switch k := r.IntN(100); {
+	case k < 40:
+		c := Command{Kind: Register, Record: record(name(), instance(), int64(at/100))}
+		c.Record.Zone, c.Record.Type = string(rune('a'+r.IntN(3))), "web"
+		c.Record.Address = fmt.Sprintf("10.0.0.%d:80", r.IntN(4))
+		c.Record.Group, c.Record.Weight = r.IntN(3), float64(1+r.IntN(5))/2
+		c.Record.LeaseMs = int64(1000 * r.IntN(700)) // some are not allowed
+		return c
+	case k < 50:
+		return Command{Kind: Drain, Refs: []Ref{ref()}}
+	case k < 75:
+		return Command{Kind: Deregister, Refs: []Ref{ref()}}
+	case k < 85:
+		return Command{Kind: Expire, Refs: []Ref{ref(), ref(), ref()}[r.IntN(3):]}
+	case k < 97:
+		service := fmt.Sprintf("s%d", r.IntN(5))
+		was, _ := s.Configuration(service)
+		text := fmt.Sprintf(`{"limits":{"calls":%d}}`, r.IntN(50))
+		if r.IntN(20) == 0 {
+			text = `{ "not": "canonical" }`
+		}
+		return put(service, was.Version-int64(r.IntN(3)/2), text)
+	case k < 98:
+		return Command{Kind: Begin, Line: fmt.Sprintf("l%d", at), Base: int64(at)}
+	case k < 99:
+		return Command{Kind: "of a later version", Refs: []Ref{ref()}}
+	}
+	return Command{Kind: Register}
+}
+
+func hashState(t *testing.T, to hash.Hash, s *State) {
+	t.Helper()
+	image, err := json.Marshal(s.Image())
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(to, "state %s %d %d %d %d %s\n", s.Line(), s.Index(), s.Len(), s.ConfigurationsLen(), s.ConfigsMark(), image)
+	for back := int64(3800); back < 5400; back += 25 {
+		_, kept := s.Changes(s.Index() - back)
+		fmt.Fprint(to, kept)
+	}
+	for _, from := range []int64{s.Index() + 1, s.Index(), s.Index() - 10, s.Index() - 4000, s.Index() - 6000} {
+		changes, kept := s.Changes(from)
+		fmt.Fprintln(to, "changes", from, kept)
+		for _, c := range changes {
+			entries, err := json.Marshal(c.Entries)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(to, "%d %s\n", c.Index, entries)
+		}
+	}
+}
+
+// stateHash plays the log, as members do: each command encoded and decoded. Change may change one.
+func stateHash(t *testing.T, change func(at int, c *Command)) string {
+	t.Helper()
+	sum := sha256.New()
+	r := rand.New(rand.NewPCG(37, 1))
+	s := New()
+	for at := range playedCommands {
+		c := randomCommand(r, at, s)
+		if at == 20 {
+			c = Command{Kind: Begin, Line: "l", Base: 100}
+		}
+		change(at, &c)
+		text := c.Encode()
+		c, err := Decode(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		result := s.Apply(c)
+		fmt.Fprintf(sum, "%d %s %s %d %t\n", at, text, result.End, result.Index, result.Changed)
+		if at%1000 == 999 {
+			hashState(t, sum, s)
+		}
+		if at == playedCommands/2 { // a member that got a snapshot
+			var text bytes.Buffer
+			if err := s.Image().Write(&text); err != nil {
+				t.Fatal(err)
+			}
+			i, err := Read(&text)
+			if err != nil {
+				t.Fatal(err)
+			}
+			i = i.Lift("l2", Base(time.Unix(1_700_000_000, 0), i.Newest()), []Configuration{{Service: "other", Version: 3, Document: []byte(`{}`)}})
+			s = New()
+			if err := s.Load(i); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
+}
+
+func TestStateAfterAPlayedLogIsAsBefore(t *testing.T) {
+	if got := stateHash(t, func(int, *Command) {}); got != goldenState {
+		t.Errorf("the state hashes to %s, not %s", got, goldenState)
+	}
+}
+
+func TestStateHashNoticesOneChangedCommand(t *testing.T) {
+	got := stateHash(t, func(at int, c *Command) {
+		if at > 5000 && at < 5020 && c.Kind == Register && c.Record != nil {
+			c.Record.Weight++
+		}
+	})
+	if got == goldenState {
+		t.Error("the hash is as without the change")
+	}
+}
+
+// golden compares bytes with those that an earlier version wrote.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nnot\n%s", path, got, want)
+	}
+}
+
+func goldenImages() map[string]Image {
+	plain := Image{Line: "5f0e", Index: 1 << 40, Ended: []Ref{{"gone", "i0"}}}
+	for _, name := range []string{"n1", "n2"} {
+		r := *record(name, "i1", 1_700_000_000_000)
+		r.Zone, r.Type, r.Group, r.Weight = "b", "web<&>", 2, 0.5
+		plain.Records = append(plain.Records, r)
+	}
+	plain.Records[1].Status = Draining
+	with := plain
+	with.Configs = []Configuration{
+		{Service: "shop", Version: 7, After: -1, Document: json.RawMessage(`{"a":1}`)},
+		{Service: "site", Version: 9, After: 8, Document: json.RawMessage(`{"a":2}`),
+			Former: &Former{Version: 8, Document: json.RawMessage(`{"a":1}`)}},
+	}
+	return map[string]Image{"snapshot.golden": plain, "snapshot-configs.golden": with, "snapshot-empty.golden": {}}
+}
+
+func TestSnapshotsOfEarlierVersionsAreReadAndWrittenAlike(t *testing.T) {
+	for name, image := range goldenImages() {
+		var text bytes.Buffer
+		if err := image.Write(&text); err != nil {
+			t.Fatal(err)
+		}
+		golden(t, name, text.Bytes())
+		f, err := os.Open(filepath.Join("testdata", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { f.Close() })
+		read, err := Read(f)
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		got, _ := json.Marshal(read)
+		want, _ := json.Marshal(image)
+		if !bytes.Equal(got, want) {
+			t.Errorf("%s: read as %s, not %s", name, got, want)
+		}
+	}
+}
+
+func TestCommandsOfEarlierVersionsAreReadAndWrittenAlike(t *testing.T) {
+	r := *record("n1", "i1", 1_700_000_000_000)
+	r.Zone, r.Type, r.Group, r.Weight = "b", "web", 2, 0.5
+	var text bytes.Buffer
+	for _, c := range []Command{
+		{Kind: Begin, Line: "5f0e", Base: 1 << 40},
+		{Kind: Register, Record: &r},
+		{Kind: Drain, Refs: refs("n1", "i1")},
+		{Kind: Deregister, Refs: refs("n1", "i1")},
+		{Kind: Expire, Refs: []Ref{{"n1", "i1"}, {"n2", "i2"}}},
+		put("shop", 7, `{"a":1}`),
+	} {
+		fmt.Fprintf(&text, "%s\n", c.Encode())
+		again, err := Decode(c.Encode())
+		if err != nil || !bytes.Equal(again.Encode(), c.Encode()) {
+			t.Errorf("%s is read as %s: %v", c.Encode(), again.Encode(), err)
+		}
+	}
+	golden(t, "commands.golden", text.Bytes())
+}
