--- a/internal/fleet/view/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -1,4 +1,4 @@
-package view
+package state
 
 import (
 	"bytes"
@@ -38,8 +38,8 @@
 func print(w io.Writer, label string, entries []Entry) {
 	fmt.Fprintln(w, label, len(entries))
 	for _, e := range entries {
-		fmt.Fprintln(w, uint8(e.Kind), e.Gone, e.Subject, e.Start, e.Observer, e.Zone, e.Incarnation, e.Seq, e.Made, e.Life,
-			e.Body.Cause, e.Body.Of, e.Body.Calls, e.Body.Bad, e.Body.Value)
+		fmt.Fprintln(w, uint8(e.Kind), e.Withdrawn, e.Subject, e.SubjectStartMs, e.Observer, e.ObserverZone, e.Incarnation, e.Seq, e.ObservedAt, e.TTL,
+			e.Body.Fault, e.Body.SubjectZone, e.Body.Calls, e.Body.BadFraction, e.Body.Value)
 	}
 }
 
@@ -47,21 +47,21 @@
 func everyKind() []Entry {
 	const started = 1_790_000_000_000
 	var entries []Entry
-	for kind := ServerBad; kind < Hand; kind++ {
+	for kind := ServerUnhealthy; kind < Override; kind++ {
 		entries = append(entries,
-			Entry{Kind: kind, Subject: "server-1", Start: started + 5, Observer: "proxy-a", Zone: "zone-1", Incarnation: started,
-				Seq: uint64(kind), Made: at - int64(kind)*milli, Life: kind.Life(),
-				Body: Body{Cause: uint8(kind) % 5, Of: "zone-2", Calls: 100, Bad: 0.25, Value: 1500}},
-			Entry{Kind: kind, Gone: true, Subject: "server-2", Observer: "proxy-a", Zone: "zone-1", Incarnation: started,
-				Seq: 100 + uint64(kind), Made: at - 1, Life: second})
+			Entry{Kind: kind, Subject: "server-1", SubjectStartMs: started + 5, Observer: "proxy-a", ObserverZone: "zone-1", Incarnation: started,
+				Seq: uint64(kind), ObservedAt: at - int64(kind)*milli, TTL: kind.TTL(),
+				Body: Body{Fault: uint8(kind) % 5, SubjectZone: "zone-2", Calls: 100, BadFraction: 0.25, Value: 1500}},
+			Entry{Kind: kind, Withdrawn: true, Subject: "server-2", Observer: "proxy-a", ObserverZone: "zone-1", Incarnation: started,
+				Seq: 100 + uint64(kind), ObservedAt: at - 1, TTL: second})
 	}
 	return append(entries,
-		Entry{Kind: Hand, Subject: "server-1", Observer: "proxy-b", Seq: 7, Made: at - 3600*second},
-		Entry{Kind: Hand, Gone: true, Subject: "server-3", Observer: "proxy-b", Seq: 8, Made: at - second, Life: resumedLife},
-		Entry{Kind: ServerBad, Subject: "same-start", Start: started, Observer: "proxy-c", Incarnation: started, Seq: 1 << 40,
-			Made: at, Life: ServerBad.Life(), Body: Body{Cause: 200, Calls: mostNumber, Bad: 1, Value: 0.0625}},
-		Entry{Kind: ServerLoad, Subject: "earlier-start", Start: 1, Observer: "proxy-c", Incarnation: started, Seq: mostStamp,
-			Made: at - 4*second, Life: 4500 * milli})
+		Entry{Kind: Override, Subject: "server-1", Observer: "proxy-b", Seq: 7, ObservedAt: at - 3600*second},
+		Entry{Kind: Override, Withdrawn: true, Subject: "server-3", Observer: "proxy-b", Seq: 8, ObservedAt: at - second, TTL: resumedLife},
+		Entry{Kind: ServerUnhealthy, Subject: "same-start", SubjectStartMs: started, Observer: "proxy-c", Incarnation: started, Seq: 1 << 40,
+			ObservedAt: at, TTL: ServerUnhealthy.TTL(), Body: Body{Fault: 200, Calls: mostNumber, BadFraction: 1, Value: 0.0625}},
+		Entry{Kind: ServerLoad, Subject: "earlier-start", SubjectStartMs: 1, Observer: "proxy-c", Incarnation: started, Seq: mostStamp,
+			ObservedAt: at - 4*second, TTL: 4500 * milli})
 }
 
 // TestPacketsMatchGoldenFile holds the bytes of gossip packets: entries of every kind, in packets of 1,400 bytes.
@@ -72,11 +72,11 @@
 
 // TestFullExchangeMatchesGoldenFile holds the bytes of a full exchange of a view with own, peers' and override entries.
 func TestFullExchangeMatchesGoldenFile(t *testing.T) {
-	v := New(Self{Name: "self", Zone: "zone-1", Start: 1_790_000_000_123}, Limits{})
-	items := []Item{{ServerBad, "s1", 1_790_000_000_000, Body{Cause: 1, Calls: 10, Bad: 0.5}},
-		{ZoneBad, "zone-2", 0, Body{Cause: 2, Of: "zone-3", Calls: 20, Bad: 0.75}}, {ServerLoad, "s2", 7, Body{Calls: 3, Value: 12345}}}
-	v.Say(at-second, items)
-	v.Say(at-second/2, items[1:])
+	v := New(Identity{Name: "self", Zone: "zone-1", StartedAtMs: 1_790_000_000_123}, Limits{})
+	items := []Observation{{ServerUnhealthy, "s1", 1_790_000_000_000, Body{Fault: 1, Calls: 10, BadFraction: 0.5}},
+		{ZoneUnhealthy, "zone-2", 0, Body{Fault: 2, SubjectZone: "zone-3", Calls: 20, BadFraction: 0.75}}, {ServerLoad, "s2", 7, Body{Calls: 3, Value: 12345}}}
+	v.Publish(at-second, items)
+	v.Publish(at-second/2, items[1:])
 	v.Merge(at, everyKind())
 	for i, server := range []string{"s1", "s2", "s3"} {
 		if _, err := v.Suspend(at, server); err != nil {
@@ -88,7 +88,7 @@
 			}
 		}
 	}
-	data := golden(t, "exchange.cbor", bytes.Join(Encode(at, v.All(at), MostPacket), nil))
+	data := golden(t, "exchange.cbor", bytes.Join(Encode(at, v.Entries(at), MaxPacketBytes), nil))
 	checkDecoded(t, data, "exchange.txt")
 }
 
@@ -106,10 +106,10 @@
 // playViews plays a sequence with a fixed seed on four views and gives a hash of all values that came out.
 func playViews(seed uint64) string {
 	random, hash := rand.New(rand.NewPCG(seed, 1)), sha256.New()
-	start := func(i int, at int64) *View {
-		return New(Self{Name: fmt.Sprint("p", i), Zone: fmt.Sprint("z", i%2), Start: at}, Limits{Entries: 40, Observer: 12, Observers: 3, Hands: 4})
+	start := func(i int, at int64) *Store {
+		return New(Identity{Name: fmt.Sprint("p", i), Zone: fmt.Sprint("z", i%2), StartedAtMs: at}, Limits{Entries: 40, EntriesPerObserver: 12, Observers: 3, Overrides: 4})
 	}
-	views := make([]*View, 4)
+	views := make([]*Store, 4)
 	for i := range views {
 		views[i] = start(i, 1000)
 	}
@@ -122,50 +122,50 @@
 		var err error
 		switch random.IntN(12) {
 		case 0, 1, 2, 3:
-			var items []Item
+			var items []Observation
 			for range 2 + random.IntN(20) {
-				items = append(items, Item{Kind(1 + random.IntN(6)), fmt.Sprint("s", random.IntN(9)), int64(random.IntN(3)), Body{
-					Cause: uint8(random.IntN(3)), Calls: float64(random.IntN(50)), Bad: random.Float64(), Value: float64(random.IntN(3))}})
+				items = append(items, Observation{Kind(1 + random.IntN(6)), fmt.Sprint("s", random.IntN(9)), int64(random.IntN(3)), Body{
+					Fault: uint8(random.IntN(3)), Calls: float64(random.IntN(50)), BadFraction: random.Float64(), Value: float64(random.IntN(3))}})
 			}
-			out = v.Say(now, items)
+			out = v.Publish(now, items)
 		case 4, 5, 6:
-			out = v.All(now)
+			out = v.Entries(now)
 		case 7:
 			out, err = v.Suspend(now, name)
 		case 8:
 			out, err = v.Resume(now, name)
 		case 9:
-			hands := v.Hands(now)
+			hands := v.OverrideRecords(now)
 			for _, h := range hands {
 				fmt.Fprintln(hash, "override", h.Subject, h.Suspended, h.Version, h.Actor, h.Age)
 			}
 			if random.IntN(4) == 0 {
 				views[i] = start(i, 990+int64(random.IntN(step/50+20)))
-				fmt.Fprintln(hash, "restored", views[i].Restore(now, hands))
+				fmt.Fprintln(hash, "restored", views[i].RestoreOverrides(now, hands))
 			}
 		default:
 			now += random.Int64N(600 * milli)
 		}
 		fmt.Fprintln(hash, step, i, now, err != nil)
 		print(hash, "out", out)
-		for _, packet := range Encode(now, out, LeastPacket) {
+		for _, packet := range Encode(now, out, MinPacketBytes) {
 			for j, to := range views {
 				if j != i && random.IntN(3) > 0 {
 					in, skipped, err := Decode(now+random.Int64N(20*milli), packet)
 					news := to.Merge(now+20*milli, in)
-					fmt.Fprintln(hash, "merge", j, skipped.Kinds, skipped.Fields, skipped.Bad, skipped.Newer, err != nil)
+					fmt.Fprintln(hash, "merge", j, skipped.UnknownKinds, skipped.UnknownFields, skipped.Malformed, skipped.NewerVersion, err != nil)
 					print(hash, "news", news)
 				}
 			}
 		}
-		print(hash, "known", v.Known(now))
-		suspended := v.Hand(now)
+		print(hash, "known", v.PeerEntries(now))
+		suspended := v.SuspendedServers(now)
 		for s := range 6 {
 			fmt.Fprint(hash, suspended[fmt.Sprint("s", s)], " ")
 		}
 		c := v.Counts()
-		fmt.Fprintln(hash, c.Told, c.Renewed, c.Withdrawn, c.Unsaid, c.New, c.Doubled, c.Late, c.Superseded, c.Foreign, c.Refused,
-			c.Over, c.Crowded, c.Ended, c.Own, c.Entries, c.Observers, c.Suspended, c.Resumed)
+		fmt.Fprintln(hash, c.Advertised, c.Renewed, c.Withdrawn, c.Omitted, c.Accepted, c.Duplicates, c.ExpiredOnArrival, c.Superseded, c.SelfConflicts, c.Invalid,
+			c.DroppedAtLimit, c.Evicted, c.Expired, c.Own, c.Entries, c.Observers, c.Suspended, c.Resumed)
 	}
 	return fmt.Sprintf("%x", hash.Sum(nil)[:8])
 }
@@ -178,7 +178,7 @@
 		t.Errorf("the played sequence gives %s, want %s", got, want)
 	}
 	for kind, change := range map[Kind]func(*term){
-		ServerBad: func(x *term) { x.pace -= 150 * milli }, ZoneWell: func(x *term) { x.life += 50 * milli }, ServerFlap: func(x *term) { x.most = 3 },
+		ServerUnhealthy: func(x *term) { x.pace -= 150 * milli }, ZoneHealthy: func(x *term) { x.life += 50 * milli }, ServerFlap: func(x *term) { x.most = 3 },
 	} {
 		was := terms[kind]
 		change(&terms[kind])
--- a/internal/fleet/link/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/durable"
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/atomicfile"
+	"merlinpick/internal/cluster/state"
 )
 
 var record = flag.Bool("golden.record", false, "write golden files that do not exist yet")
@@ -20,14 +20,14 @@
 // earlier version wrote is read, and the same records are written to the same bytes but for the time of writing.
 func TestOverrideFileMatchesGoldenFile(t *testing.T) {
 	const name, writtenAt = "fleet-hands", 1_790_000_000_000
-	records := []view.HandRecord{{Subject: "server-1", Suspended: true, Version: 7, Actor: "proxy-a", Age: 1500},
+	records := []state.OverrideRecord{{Subject: "server-1", Suspended: true, Version: 7, Actor: "proxy-a", Age: 1500},
 		{Subject: "server-2", Version: 9, Actor: "proxy-b", Age: 0}}
 	path := filepath.Join("testdata", name)
 	body, err := json.Marshal(kept{writtenAt, records})
 	if err != nil {
 		t.Fatal(err)
 	}
-	data := durable.Seal(handsKind, body)
+	data := atomicfile.Seal(handsKind, body)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *record {
 		if err := os.WriteFile(path, data, 0o644); err != nil {
 			t.Fatal(err)
--- a/internal/mgmt/golden_test.go
+++ b/internal/management/golden_test.go
@@ -1,4 +1,4 @@
-package mgmt
+package management
 
 import (
 	"flag"
@@ -7,23 +7,23 @@
 	"testing"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 var record = flag.Bool("golden.record", false, "write golden files that do not exist yet")
 
 // TestEndpointTextsMatchGoldenFiles holds the whole text of the metrics and of the zones, by which callers read them.
 func TestEndpointTextsMatchGoldenFiles(t *testing.T) {
-	p := &fakeProxy{figures: Figures{
-		Classes: map[string]Ends{"look": {1, 2, 3}, "buy": {4, 5, 6}}, Outstanding: 7, Forwards: 8, Discovered: 9, Ejected: 10,
-		Applied: 11, Rejected: 12, Rollout: &Rollout{13, 14, 15 * time.Second, 16, 17},
-		List: &List{Age: 18 * time.Millisecond, Stale: true, Failures: 19, Calls: map[string]int64{"ok": 20, "error": 21},
-			Members: &ListMembers{22, 23}},
-		Fleet: &Fleet{true, 24, 25, true, 26, 27, 28 * time.Millisecond, 29, 30, 31, 32, 33, 34, 35, 36, 37,
+	p := &fakeProxy{figures: Metrics{
+		Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}}, InFlight: 7, Forwarded: 8, ListedServers: 9, EjectedServers: 10,
+		ReloadsApplied: 11, ReloadsRejected: 12, Rollout: &Rollout{13, 14, 15 * time.Second, 16, 17},
+		EndpointList: &EndpointList{Age: 18 * time.Millisecond, Stale: true, Failures: 19, Calls: map[string]int64{"ok": 20, "error": 21},
+			Registry: &RegistryClient{22, 23}},
+		Cluster: &Cluster{true, 24, 25, true, 26, 27, 28 * time.Millisecond, 29, 30, 31, 32, 33, 34, 35, 36, 37,
 			map[string]int64{"label": 38, "kind": 39}},
-		Broken: map[string]int64{"rule_b": 40, "rule_a": 41}, Events: map[string]int64{"refused.no-time": 42, "closed.idle": 43},
+		RuleViolations: map[string]int64{"rule_b": 40, "rule_a": 41}, Events: map[string]int64{"refused.no-time": 42, "closed.idle": 43},
 	}}
-	for phase := logic.Healthy; phase <= logic.Drained; phase++ {
+	for phase := balancer.ZoneHealthy; phase <= balancer.ZoneDrained; phase++ {
 		p.figures.Zones = append(p.figures.Zones, Zone{"zone " + string(rune('a'+phase)), phase, float64(phase) / 5, int(phase),
 			time.Duration(phase) * time.Second, "reason = \"" + string(rune('0'+phase)) + "\""})
 	}
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -20,8 +20,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
 )
 
 // The files in testdata were written by an earlier version. What others read of this package (another process of the
@@ -51,10 +51,10 @@
 	for _, c := range []struct {
 		file string
 		now  int64
-		want logic.Spent
+		want balancer.RetryBudgetUsage
 	}{
-		{"handover.json", 13_000_000, logic.Spent{Taken: []int64{11_000_000, 12_000_000}, Further: []int64{11_500_000}}},
-		{"handover-without-now.json", 13_000_000, logic.Spent{Taken: []int64{1_000_000, 2_000_000}, Further: []int64{1_500_000}}},
+		{"handover.json", 13_000_000, balancer.RetryBudgetUsage{Requests: []int64{11_000_000, 12_000_000}, Retries: []int64{11_500_000}}},
+		{"handover-without-now.json", 13_000_000, balancer.RetryBudgetUsage{Requests: []int64{1_000_000, 2_000_000}, Retries: []int64{1_500_000}}},
 	} {
 		text, err := os.ReadFile(filepath.Join("testdata", c.file))
 		if err != nil {
@@ -185,7 +185,7 @@
 // The names of all counts that the metrics show.
 func TestCountsNamesAreGolden(t *testing.T) {
 	b := startBackend(t, hang(t))
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 	p.breaks = true
 	// A client's connections.
 	gone := connect(t, p)
@@ -243,21 +243,21 @@
 
 	// Ends of attempts and reasons of rejections.
 	l := &loop{clock: clock{time.Now()}, audit: newAudit(slog.New(slog.DiscardHandler))}
-	for s := range logic.Status(8) {
+	for s := range balancer.Status(8) {
 		l.ends(&attempt{req: &request{}}, s)
 	}
-	by := map[logic.Refusal]int64{}
+	by := map[balancer.RejectReason]int64{}
 	for i := range refusals {
-		by[logic.Refusal(i)] = 1
+		by[balancer.RejectReason(i)] = 1
 	}
 	p.figs.refusals(by)
 	names := map[string]bool{}
-	for _, all := range []map[string]int64{p.Figures().Events, l.audit.all()} {
+	for _, all := range []map[string]int64{p.Metrics().Events, l.audit.all()} {
 		for n := range maps.Keys(all) {
 			names["event "+n] = true
 		}
 	}
-	for n := range maps.Keys(p.Figures().Broken) {
+	for n := range maps.Keys(p.Metrics().RuleViolations) {
 		names["rule "+n] = true
 	}
 	checkGolden(t, "counts.txt", strings.Join(slices.Sorted(maps.Keys(names)), "\n")+"\n")
--- a/internal/roster/figures/golden_test.go
+++ b/internal/registry/metrics/golden_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"fmt"
@@ -10,22 +10,22 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"fernlanding/internal/roster/api"
+	"merlinpick/internal/registry/api"
 )
 
 // The names and types of metrics are those of earlier versions.
 func TestMetricNamesAreAsBefore(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
-	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", Log: log})
+	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", Logger: log})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { a.End(time.Second) })
+	t.Cleanup(func() { a.Shutdown(time.Second) })
 	s, err := Listen("127.0.0.1:0", a, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.End)
+	t.Cleanup(s.Close)
 	all := prometheus.NewRegistry()
 	all.MustRegister(s)
 	families, err := all.Gather()
--- a/internal/roster/member/golden_test.go
+++ b/internal/registry/raftnode/golden_test.go
@@ -1,4 +1,4 @@
-package member
+package raftnode
 
 import (
 	"bytes"
@@ -6,21 +6,21 @@
 	"os"
 	"testing"
 
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/state"
 )
 
 // What members and operators read of a member is byte for byte what earlier versions sent.
 func TestAnswersOfAMemberAreAsBefore(t *testing.T) {
 	left := int64(1234)
-	record := state.Record{Instance: "i1", LeaseMs: 5000, Entry: state.Entry{Name: "n1", Address: "10.0.0.1:80", Zone: "a",
-		Type: "web", Group: 2, Status: state.Serving, Weight: 0.5, Since: 1_700_000_000_000}}
+	record := state.Record{Instance: "i1", LeaseMs: 5000, Endpoint: state.Endpoint{Name: "n1", Address: "10.0.0.1:80", Zone: "a",
+		Type: "web", Group: 2, Status: state.StatusServing, Weight: 0.5, Since: 1_700_000_000_000}}
 	var text bytes.Buffer
 	out := json.NewEncoder(&text)
 	for _, v := range []any{
-		Proof{}, Proof{Line: "5f0e", Index: 2, Commit: 3, Configs: 4},
-		[]Nodo{{Record: record}, {Record: record, LeftMs: &left}},
-		Status{}, Waiting("r1"),
-		Status{Name: "r1", Role: "leader", Leader: "r1", Term: 2, Line: "5f0e", Index: 3, Nodos: 4, AgeMs: 5, Serving: true,
+		ReadIndex{}, ReadIndex{Epoch: "5f0e", Version: 2, Commit: 3, Configs: 4},
+		[]EndpointStatus{{Record: record}, {Record: record, LeaseLeftMs: &left}},
+		Status{}, WaitingStatus("r1"),
+		Status{Name: "r1", Role: "leader", Leader: "r1", Term: 2, Epoch: "5f0e", Version: 3, Endpoints: 4, AgeMs: 5, Serving: true,
 			Abstains: true, Empty: true, Configs: true, Overdue: 6, Held: 7, Expired: 8, Configurations: 9},
 	} {
 		if err := out.Encode(v); err != nil {
--- a/internal/roster/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -23,27 +23,27 @@
 func randomCommand(r *rand.Rand, at int, s *State) Command {
 	name := func() string { return fmt.Sprintf("n%d", r.IntN(40)) }
 	instance := func() string { return fmt.Sprintf("i%d", max(0, at/100-r.IntN(3))) }
-	ref := func() Ref {
+	ref := func() InstanceRef {
 		n := name()
 		if was, ok := s.Get(n); ok && r.IntN(10) > 0 {
-			return Ref{n, was.Instance}
+			return InstanceRef{n, was.Instance}
 		}
-		return Ref{n, instance()}
+		return InstanceRef{n, instance()}
 	}
 	switch k := r.IntN(100); {
 	case k < 40:
-		c := Command{Kind: Register, Record: record(name(), instance(), int64(at/100))}
+		c := Command{Kind: CommandRegister, Record: record(name(), instance(), int64(at/100))}
 		c.Record.Zone, c.Record.Type = string(rune('a'+r.IntN(3))), "web"
 		c.Record.Address = fmt.Sprintf("10.0.0.%d:80", r.IntN(4))
 		c.Record.Group, c.Record.Weight = r.IntN(3), float64(1+r.IntN(5))/2
 		c.Record.LeaseMs = int64(1000 * r.IntN(700)) // some are not allowed
 		return c
 	case k < 50:
-		return Command{Kind: Drain, Refs: []Ref{ref()}}
+		return Command{Kind: CommandDrain, Refs: []InstanceRef{ref()}}
 	case k < 75:
-		return Command{Kind: Deregister, Refs: []Ref{ref()}}
+		return Command{Kind: CommandDeregister, Refs: []InstanceRef{ref()}}
 	case k < 85:
-		return Command{Kind: Expire, Refs: []Ref{ref(), ref(), ref()}[r.IntN(3):]}
+		return Command{Kind: CommandExpire, Refs: []InstanceRef{ref(), ref(), ref()}[r.IntN(3):]}
 	case k < 97:
 		service := fmt.Sprintf("s%d", r.IntN(5))
 		was, _ := s.Configuration(service)
@@ -53,25 +53,25 @@
 		}
 		return put(service, was.Version-int64(r.IntN(3)/2), text)
 	case k < 98:
-		return Command{Kind: Begin, Line: fmt.Sprintf("l%d", at), Base: int64(at)}
+		return Command{Kind: CommandBegin, Epoch: fmt.Sprintf("l%d", at), FirstVersion: int64(at)}
 	case k < 99:
-		return Command{Kind: "of a later version", Refs: []Ref{ref()}}
+		return Command{Kind: "of a later version", Refs: []InstanceRef{ref()}}
 	}
-	return Command{Kind: Register}
+	return Command{Kind: CommandRegister}
 }
 
 func hashState(t *testing.T, to hash.Hash, s *State) {
 	t.Helper()
-	image, err := json.Marshal(s.Image())
+	image, err := json.Marshal(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(to, "state %s %d %d %d %d %s\n", s.Line(), s.Index(), s.Len(), s.ConfigurationsLen(), s.ConfigsMark(), image)
+	fmt.Fprintf(to, "state %s %d %d %d %d %s\n", s.Epoch(), s.Version(), s.Len(), s.ConfigurationsLen(), s.ConfigRevision(), image)
 	for back := int64(3800); back < 5400; back += 25 {
-		_, kept := s.Changes(s.Index() - back)
+		_, kept := s.Changes(s.Version() - back)
 		fmt.Fprint(to, kept)
 	}
-	for _, from := range []int64{s.Index() + 1, s.Index(), s.Index() - 10, s.Index() - 4000, s.Index() - 6000} {
+	for _, from := range []int64{s.Version() + 1, s.Version(), s.Version() - 10, s.Version() - 4000, s.Version() - 6000} {
 		changes, kept := s.Changes(from)
 		fmt.Fprintln(to, "changes", from, kept)
 		for _, c := range changes {
@@ -79,7 +79,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(to, "%d %s\n", c.Index, entries)
+			fmt.Fprintf(to, "%d %s\n", c.Version, entries)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	for at := range playedCommands {
 		c := randomCommand(r, at, s)
 		if at == 20 {
-			c = Command{Kind: Begin, Line: "l", Base: 100}
+			c = Command{Kind: CommandBegin, Epoch: "l", FirstVersion: 100}
 		}
 		change(at, &c)
 		text := c.Encode()
@@ -102,20 +102,20 @@
 			t.Fatal(err)
 		}
 		result := s.Apply(c)
-		fmt.Fprintf(sum, "%d %s %s %d %t\n", at, text, result.End, result.Index, result.Changed)
+		fmt.Fprintf(sum, "%d %s %s %d %t\n", at, text, result.Code, result.Version, result.Changed)
 		if at%1000 == 999 {
 			hashState(t, sum, s)
 		}
 		if at == playedCommands/2 { // a member that got a snapshot
 			var text bytes.Buffer
-			if err := s.Image().Write(&text); err != nil {
+			if err := s.Snapshot().Write(&text); err != nil {
 				t.Fatal(err)
 			}
 			i, err := Read(&text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			i = i.Lift("l2", Base(time.Unix(1_700_000_000, 0), i.Newest()), []Configuration{{Service: "other", Version: 3, Document: []byte(`{}`)}})
+			i = i.Rebase("l2", FirstVersion(time.Unix(1_700_000_000, 0), i.Newest()), []Configuration{{Service: "other", Version: 3, Document: []byte(`{}`)}})
 			s = New()
 			if err := s.Load(i); err != nil {
 				t.Fatal(err)
@@ -133,7 +133,7 @@
 
 func TestStateHashNoticesOneChangedCommand(t *testing.T) {
 	got := stateHash(t, func(at int, c *Command) {
-		if at > 5000 && at < 5020 && c.Kind == Register && c.Record != nil {
+		if at > 5000 && at < 5020 && c.Kind == CommandRegister && c.Record != nil {
 			c.Record.Weight++
 		}
 	})
@@ -155,21 +155,21 @@
 	}
 }
 
-func goldenImages() map[string]Image {
-	plain := Image{Line: "5f0e", Index: 1 << 40, Ended: []Ref{{"gone", "i0"}}}
+func goldenImages() map[string]Snapshot {
+	plain := Snapshot{Epoch: "5f0e", Version: 1 << 40, Ended: []InstanceRef{{"gone", "i0"}}}
 	for _, name := range []string{"n1", "n2"} {
 		r := *record(name, "i1", 1_700_000_000_000)
 		r.Zone, r.Type, r.Group, r.Weight = "b", "web<&>", 2, 0.5
 		plain.Records = append(plain.Records, r)
 	}
-	plain.Records[1].Status = Draining
+	plain.Records[1].Status = StatusDraining
 	with := plain
 	with.Configs = []Configuration{
 		{Service: "shop", Version: 7, After: -1, Document: json.RawMessage(`{"a":1}`)},
 		{Service: "site", Version: 9, After: 8, Document: json.RawMessage(`{"a":2}`),
-			Former: &Former{Version: 8, Document: json.RawMessage(`{"a":1}`)}},
+			Previous: &PreviousDocument{Version: 8, Document: json.RawMessage(`{"a":1}`)}},
 	}
-	return map[string]Image{"snapshot.golden": plain, "snapshot-configs.golden": with, "snapshot-empty.golden": {}}
+	return map[string]Snapshot{"snapshot.golden": plain, "snapshot-configs.golden": with, "snapshot-empty.golden": {}}
 }
 
 func TestSnapshotsOfEarlierVersionsAreReadAndWrittenAlike(t *testing.T) {
@@ -201,11 +201,11 @@
 	r.Zone, r.Type, r.Group, r.Weight = "b", "web", 2, 0.5
 	var text bytes.Buffer
 	for _, c := range []Command{
-		{Kind: Begin, Line: "5f0e", Base: 1 << 40},
-		{Kind: Register, Record: &r},
-		{Kind: Drain, Refs: refs("n1", "i1")},
-		{Kind: Deregister, Refs: refs("n1", "i1")},
-		{Kind: Expire, Refs: []Ref{{"n1", "i1"}, {"n2", "i2"}}},
+		{Kind: CommandBegin, Epoch: "5f0e", FirstVersion: 1 << 40},
+		{Kind: CommandRegister, Record: &r},
+		{Kind: CommandDrain, Refs: refs("n1", "i1")},
+		{Kind: CommandDeregister, Refs: refs("n1", "i1")},
+		{Kind: CommandExpire, Refs: []InstanceRef{{"n1", "i1"}, {"n2", "i2"}}},
 		put("shop", 7, `{"a":1}`),
 	} {
 		fmt.Fprintf(&text, "%s\n", c.Encode())
