--- a/internal/cluster/section.go
+++ b/internal/cluster/config.go
@@ -29,7 +29,7 @@
 }
 
 // object is the section as it stands in the file.
-type object struct {
+type section struct {
 	Name      string   `json:"name"`
 	Bind      string   `json:"bind"`
 	Advertise string   `json:"advertise"`
@@ -40,7 +40,7 @@
 }
 
 // read gives the section, and what of a link's configuration is its.
-func read(section json.RawMessage, name string) (c *transport.Config, f object, err error) {
+func read(section json.RawMessage, name string) (c *transport.Config, f section, err error) {
 	if err := json.Unmarshal(section, &f); err != nil {
 		return nil, f, err
 	}
--- a/internal/cluster/queue/queue.go
+++ b/internal/cluster/queue/queue.go
@@ -148,8 +148,8 @@
 }
 
 // Retransmits is how often an entry is sent for each digit of the number of members.
-const Retransmits = 4
+const RetransmitMultiplier = 4
 
 // Transmits is how often an entry is passed on by each member of a fleet of n. Each sending goes to another member, so
 // that 4*log10(n+1) of them by all who hold it leave out less than one in a thousand, at 30 % of packets lost too.
-func TransmitCount(n int) int { return Retransmits * int(math.Ceil(math.Log10(float64(n+1)))) }
+func TransmitCount(n int) int { return RetransmitMultiplier * int(math.Ceil(math.Log10(float64(n+1)))) }
--- a/internal/cluster/state/fleet_test.go
+++ b/internal/cluster/state/cluster_test.go
@@ -12,7 +12,7 @@
 
 // A told is one telling: what may never come back once it is gone.
 type told struct {
-	key
+	entryKey
 	observer string
 }
 
@@ -77,7 +77,7 @@
 			return s.Observer == e.Observer && s.Incarnation == e.Incarnation && s.Seq == e.Seq && s.Kind == e.Kind &&
 				s.Subject == e.Subject
 		})
-		if younger := e.ObservedAt - to.clock - f.sent[i].ObservedAt - (w.now - f.at); younger > 0 || younger <= -milli {
+		if younger := e.ObservedAt - to.clock - f.sent[i].ObservedAt - (w.now - f.at); younger > 0 || younger <= -millisecond {
 			w.Fatalf("%+v came %d us younger than sent %+v", e, younger, f.sent[i])
 		}
 	}
@@ -103,8 +103,8 @@
 func (w *world) check(n *node) {
 	knows := map[told]number2{}
 	for _, e := range n.PeerEntries(w.now + n.clock) {
-		k, nr := told{key{e.Kind, e.Subject}, e.Observer}, number2{e.Incarnation, e.Seq}
-		if e.ExpiresAt() <= w.now+n.clock || e.Withdrawn || e.Observer == n.self.Name {
+		k, nr := told{entryKey{e.Kind, e.Subject}, e.Observer}, number2{e.Incarnation, e.Seq}
+		if e.ExpiresAt() <= w.now+n.clock || e.Withdrawn || e.Observer == n.identity.Name {
 			w.Fatalf("known: %+v at %d", e, w.now+n.clock)
 		}
 		if before := n.known[k]; nr.less(before) {
@@ -148,7 +148,7 @@
 					w.deliver(n, rapid.SampledFrom(w.air).Draw(t, "late"))
 				}
 			case 5, 6:
-				w.now += rapid.SampledFrom([]int64{1, 400 * milli, second, 4 * second, 21 * second}).Draw(t, "wait")
+				w.now += rapid.SampledFrom([]int64{1, 400 * millisecond, second, 4 * second, 21 * second}).Draw(t, "wait")
 			case 7:
 				w.spread(n, n.Store.Entries(w.now+n.clock))
 			case 8:
@@ -192,12 +192,12 @@
 				}
 				var got []Observation
 				for _, e := range n.PeerEntries(w.now + n.clock) {
-					if e.Observer == of.self.Name {
+					if e.Observer == of.identity.Name {
 						got = append(got, Observation{e.Kind, e.Subject, e.SubjectStartMs, e.Body})
 					}
 				}
 				if n != of && !slices.Equal(got, want) {
-					t.Fatalf("%s knows of %s\n%v\nand that says\n%v", n.self.Name, of.self.Name, got, want)
+					t.Fatalf("%s knows of %s\n%v\nand that says\n%v", n.identity.Name, of.identity.Name, got, want)
 				}
 			}
 		}
--- a/internal/cluster/state/entry.go
+++ b/internal/cluster/state/entry.go
@@ -18,45 +18,45 @@
 	ServerFlap // transitions of a server's health
 	ServerLoad // a summary of load and time
 	Override   // a suspension by hand
-	kinds
+	kindCount
 )
 
 // A term is what holds for a kind. Times are in microseconds.
-type term struct {
-	name string
-	life int64 // from Made to the end, at most
-	pace int64 // numbers that moved are told no sooner after what was told before
-	most int   // of one observer
+type kindRules struct {
+	name           string
+	ttl            int64 // from Made to the end, at most
+	updateInterval int64 // numbers that moved are told no sooner after what was told before
+	maxPerObserver int   // of one observer
 }
 
-var terms = [kinds]term{
-	ServerUnhealthy: {"server-bad", 3 * second, 300 * milli, 256},
-	ServerHealthy:   {"server-well", 3 * second, 300 * milli, 256},
-	ZoneUnhealthy:   {"zone-bad", 3 * second, 300 * milli, 32},
+var rulesByKind = [kindCount]kindRules{
+	ServerUnhealthy: {"server-bad", 3 * second, 300 * millisecond, 256},
+	ServerHealthy:   {"server-well", 3 * second, 300 * millisecond, 256},
+	ZoneUnhealthy:   {"zone-bad", 3 * second, 300 * millisecond, 32},
 	ZoneHealthy:     {"zone-well", 3 * second, second, 32}, // all tell it all the time; once bad it is another kind
 	ServerFlap:      {"server-flap", 60 * second, 0, 128},
 	ServerLoad:      {"server-load", 5 * second, 2 * second, 256}, // a round of tuning lasts 3 s
-	Override:        {"hand", resumedLife, 0, 0},
+	Override:        {"hand", resumptionTTL, 0, 0},
 }
 
 const (
-	milli  = 1000 // microseconds
-	second = 1000 * milli
+	millisecond = 1000 // microseconds
+	second      = 1000 * millisecond
 
-	mostAge    = 1 << 43 // ms: 279 years
-	mostStamp  = 1 << 53 // of an Incarnation, a Start, a Seq, and a Hand's version
-	mostNumber = 1 << 40 // of Calls and Value: a power of two, which rounding does not exceed
+	maxAgeMs  = 1 << 43 // ms: 279 years
+	maxStamp  = 1 << 53 // of an Incarnation, a Start, a Seq, and a Hand's version
+	maxNumber = 1 << 40 // of Calls and Value: a power of two, which rounding does not exceed
 )
 
 // Known says whether the kind is one of this version.
-func (k Kind) Known() bool { return k > 0 && k < kinds }
+func (k Kind) Known() bool { return k > 0 && k < kindCount }
 
 // String is the kind's name in figures and logs.
 func (k Kind) String() string {
 	if !k.Known() {
 		return "unknown"
 	}
-	return terms[k].name
+	return rulesByKind[k].name
 }
 
 // Life is the longest life of the kind's entries, in microseconds: for a Hand, of a resumption, since a suspension
@@ -65,7 +65,7 @@
 	if !k.Known() {
 		return 0
 	}
-	return terms[k].life
+	return rulesByKind[k].ttl
 }
 
 // Body is what an entry says of its subject. The numbers keep 11 bits: three bytes on the wire, and a last digit that
@@ -110,12 +110,12 @@
 }
 
 // age is how old an entry is, in milliseconds, rounded up: a relayed one never gets younger.
-func age(now int64, e *Entry) int64 { return max(0, (now-e.ObservedAt+milli-1)/milli) }
+func ageMs(now int64, e *Entry) int64 { return max(0, (now-e.ObservedAt+millisecond-1)/millisecond) }
 
 // compare orders what was told of one key: the greatest wins, of equal copies the oldest. Only one who tells two things
 // under one number, a twin or a forger, gets beyond Seq (a Hand: beyond Observer); the rest of this total order makes
 // even that come out alike everywhere.
-func compare(a, b *Entry) int {
+func compareVersions(a, b *Entry) int {
 	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
 		return c
 	}
@@ -125,7 +125,7 @@
 	if c := cmp.Compare(a.Observer, b.Observer); c != 0 {
 		return c
 	}
-	if !a.same(b) {
+	if !a.sameContent(b) {
 		if a.Withdrawn != b.Withdrawn {
 			if a.Withdrawn {
 				return 1
@@ -141,31 +141,31 @@
 }
 
 // same says whether two tellings of one number say the same.
-func (e *Entry) same(o *Entry) bool {
+func (e *Entry) sameContent(o *Entry) bool {
 	return e.Withdrawn == o.Withdrawn && e.SubjectStartMs == o.SubjectStartMs && e.TTL == o.TTL && e.Body == o.Body && e.ObserverZone == o.ObserverZone
 }
 
 // number keeps 11 significant bits, so that most numbers fit a half float.
-func number(x float64) float64 {
+func roundNumber(x float64) float64 {
 	const drop = 52 - 10
 	return math.Float64frombits((math.Float64bits(x) + 1<<(drop-1)) &^ (1<<drop - 1))
 }
 
-func within(x, most float64) bool { return x >= 0 && x <= most } // no NaN is
+func inRange(x, most float64) bool { return x >= 0 && x <= most } // no NaN is
 
 func (b *Body) valid(name int) bool {
 	return len(b.SubjectZone) <= name && utf8.ValidString(b.SubjectZone) &&
-		within(b.Calls, mostNumber) && within(b.BadFraction, 1) && within(b.Value, mostNumber)
+		inRange(b.Calls, maxNumber) && inRange(b.BadFraction, 1) && inRange(b.Value, maxNumber)
 }
 
 func validName(s string, most int) bool { return s != "" && len(s) <= most && utf8.ValidString(s) }
 
 // valid says whether an entry may be looked at further; its end is not part of that.
 func (e *Entry) valid(now int64, name int) bool {
-	if !e.Kind.Known() || e.ObservedAt > now || e.ObservedAt < now-mostAge*milli ||
+	if !e.Kind.Known() || e.ObservedAt > now || e.ObservedAt < now-maxAgeMs*millisecond ||
 		!validName(e.Subject, name) || !validName(e.Observer, name) || len(e.ObserverZone) > name || !utf8.ValidString(e.ObserverZone) || !e.Body.valid(name) ||
-		e.SubjectStartMs < 0 || e.SubjectStartMs > mostStamp || e.Incarnation < 0 || e.Incarnation > mostStamp ||
-		e.Seq == 0 || e.Seq > mostStamp {
+		e.SubjectStartMs < 0 || e.SubjectStartMs > maxStamp || e.Incarnation < 0 || e.Incarnation > maxStamp ||
+		e.Seq == 0 || e.Seq > maxStamp {
 		return false
 	}
 	if e.Kind == Override && (e.Incarnation != 0 || e.SubjectStartMs != 0) {
@@ -174,5 +174,5 @@
 	if e.Kind == Override && !e.Withdrawn {
 		return e.TTL == 0
 	}
-	return e.TTL > 0 && e.TTL <= terms[e.Kind].life
+	return e.TTL > 0 && e.TTL <= rulesByKind[e.Kind].ttl
 }
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -50,18 +50,18 @@
 	for kind := ServerUnhealthy; kind < Override; kind++ {
 		entries = append(entries,
 			Entry{Kind: kind, Subject: "server-1", SubjectStartMs: started + 5, Observer: "proxy-a", ObserverZone: "zone-1", Incarnation: started,
-				Seq: uint64(kind), ObservedAt: at - int64(kind)*milli, TTL: kind.TTL(),
+				Seq: uint64(kind), ObservedAt: at - int64(kind)*millisecond, TTL: kind.TTL(),
 				Body: Body{Fault: uint8(kind) % 5, SubjectZone: "zone-2", Calls: 100, BadFraction: 0.25, Value: 1500}},
 			Entry{Kind: kind, Withdrawn: true, Subject: "server-2", Observer: "proxy-a", ObserverZone: "zone-1", Incarnation: started,
 				Seq: 100 + uint64(kind), ObservedAt: at - 1, TTL: second})
 	}
 	return append(entries,
 		Entry{Kind: Override, Subject: "server-1", Observer: "proxy-b", Seq: 7, ObservedAt: at - 3600*second},
-		Entry{Kind: Override, Withdrawn: true, Subject: "server-3", Observer: "proxy-b", Seq: 8, ObservedAt: at - second, TTL: resumedLife},
+		Entry{Kind: Override, Withdrawn: true, Subject: "server-3", Observer: "proxy-b", Seq: 8, ObservedAt: at - second, TTL: resumptionTTL},
 		Entry{Kind: ServerUnhealthy, Subject: "same-start", SubjectStartMs: started, Observer: "proxy-c", Incarnation: started, Seq: 1 << 40,
-			ObservedAt: at, TTL: ServerUnhealthy.TTL(), Body: Body{Fault: 200, Calls: mostNumber, BadFraction: 1, Value: 0.0625}},
-		Entry{Kind: ServerLoad, Subject: "earlier-start", SubjectStartMs: 1, Observer: "proxy-c", Incarnation: started, Seq: mostStamp,
-			ObservedAt: at - 4*second, TTL: 4500 * milli})
+			ObservedAt: at, TTL: ServerUnhealthy.TTL(), Body: Body{Fault: 200, Calls: maxNumber, BadFraction: 1, Value: 0.0625}},
+		Entry{Kind: ServerLoad, Subject: "earlier-start", SubjectStartMs: 1, Observer: "proxy-c", Incarnation: started, Seq: maxStamp,
+			ObservedAt: at - 4*second, TTL: 4500 * millisecond})
 }
 
 // TestPacketsMatchGoldenFile holds the bytes of gossip packets: entries of every kind, in packets of 1,400 bytes.
@@ -137,22 +137,22 @@
 		case 9:
 			hands := v.OverrideRecords(now)
 			for _, h := range hands {
-				fmt.Fprintln(hash, "override", h.Subject, h.Suspended, h.Version, h.Actor, h.Age)
+				fmt.Fprintln(hash, "override", h.Subject, h.Suspended, h.Version, h.Actor, h.AgeMs)
 			}
 			if random.IntN(4) == 0 {
 				views[i] = start(i, 990+int64(random.IntN(step/50+20)))
 				fmt.Fprintln(hash, "restored", views[i].RestoreOverrides(now, hands))
 			}
 		default:
-			now += random.Int64N(600 * milli)
+			now += random.Int64N(600 * millisecond)
 		}
 		fmt.Fprintln(hash, step, i, now, err != nil)
 		print(hash, "out", out)
 		for _, packet := range Encode(now, out, MinPacketBytes) {
 			for j, to := range views {
 				if j != i && random.IntN(3) > 0 {
-					in, skipped, err := Decode(now+random.Int64N(20*milli), packet)
-					news := to.Merge(now+20*milli, in)
+					in, skipped, err := Decode(now+random.Int64N(20*millisecond), packet)
+					news := to.Merge(now+20*millisecond, in)
 					fmt.Fprintln(hash, "merge", j, skipped.UnknownKinds, skipped.UnknownFields, skipped.Malformed, skipped.NewerVersion, err != nil)
 					print(hash, "news", news)
 				}
@@ -177,15 +177,15 @@
 	if got := playViews(1); got != want {
 		t.Errorf("the played sequence gives %s, want %s", got, want)
 	}
-	for kind, change := range map[Kind]func(*term){
-		ServerUnhealthy: func(x *term) { x.pace -= 150 * milli }, ZoneHealthy: func(x *term) { x.life += 50 * milli }, ServerFlap: func(x *term) { x.most = 3 },
+	for kind, change := range map[Kind]func(*kindRules){
+		ServerUnhealthy: func(x *kindRules) { x.updateInterval -= 150 * millisecond }, ZoneHealthy: func(x *kindRules) { x.ttl += 50 * millisecond }, ServerFlap: func(x *kindRules) { x.maxPerObserver = 3 },
 	} {
-		was := terms[kind]
-		change(&terms[kind])
+		was := rulesByKind[kind]
+		change(&rulesByKind[kind])
 		if playViews(1) == want {
 			t.Errorf("a changed %v is not noticed", kind)
 		}
-		terms[kind] = was
+		rulesByKind[kind] = was
 	}
 	if slices.Contains([]string{playViews(2), playViews(3)}, want) {
 		t.Error("another seed gives the same hash")
--- a/internal/cluster/state/merge.go
+++ b/internal/cluster/state/merge.go
@@ -9,7 +9,7 @@
 // Merge takes entries of others and gives those that were new, to be spread on. With an entry under this proxy's name
 // that it did not tell, it gives own entries that beat it.
 func (v *Store) Merge(now int64, in []Entry) (news []Entry) {
-	now = v.tick(now)
+	now = v.advance(now)
 	var from *observer
 	swept := false
 	for i := range in {
@@ -21,18 +21,18 @@
 		case e.ExpiresAt() <= now:
 			count = &v.counts.ExpiredOnArrival
 		case e.Kind == Override:
-			count = v.mergeHand(now, e)
-		case e.Observer == v.self.Name:
-			count, news = v.echo(now, e, news)
+			count = v.mergeOverride(now, e)
+		case e.Observer == v.identity.Name:
+			count, news = v.mergeSelfNamed(now, e, news)
 		default:
 			if from == nil || from.name != e.Observer {
-				if from = v.observer(now, e.Observer); from == nil {
+				if from = v.findOrAddObserver(now, e.Observer); from == nil {
 					v.counts.DroppedAtLimit++
 					continue
 				}
 			}
-			if count = v.take(now, from, e, &swept); e.Incarnation < from.incarnation {
-				news = from.answer(now, e, news)
+			if count = v.mergeEntry(now, from, e, &swept); e.Incarnation < from.incarnation {
+				news = from.replyToOldIncarnation(now, e, news)
 			}
 		}
 		*count++
@@ -44,24 +44,24 @@
 }
 
 // take merges a valid entry of an observer, and gives what it is to be counted as.
-func (v *Store) take(now int64, o *observer, e *Entry, swept *bool) *uint64 {
+func (v *Store) mergeEntry(now int64, o *observer, e *Entry, swept *bool) *uint64 {
 	if e.Incarnation < o.incarnation {
 		return &v.counts.Superseded
 	}
-	o.heard = now
+	o.lastHeard = now
 	if e.Incarnation > o.incarnation {
-		v.entries -= len(o.held)
+		v.peerEntryCount -= len(o.entries)
 		o.reset(e.Incarnation)
 	}
 	i, known := o.find(e.Kind, e.Subject)
 	if known {
-		held := o.held[i]
-		newer, other := e.Seq > held.Seq, !e.same(held)
-		wins := compare(e, held) > 0
+		held := o.entries[i]
+		newer, other := e.Seq > held.Seq, !e.sameContent(held)
+		wins := compareVersions(e, held) > 0
 		if wins {
-			o.fill(held, e)
-			o.due = min(o.due, held.kept()) // an older copy
-			v.due = min(v.due, o.due)
+			o.copyInterned(held, e)
+			o.nextSweep = min(o.nextSweep, held.retainedUntil()) // an older copy
+			v.nextSweep = min(v.nextSweep, o.nextSweep)
 		}
 		switch {
 		case newer, wins && other:
@@ -71,15 +71,15 @@
 		}
 		return &v.counts.Duplicates
 	}
-	if e.Seq <= o.floor[e.Kind] {
+	if e.Seq <= o.seqFloor[e.Kind] {
 		return &v.counts.ExpiredOnArrival
 	}
 	kept := new(Entry)
-	o.fill(kept, e)
+	o.copyInterned(kept, e)
 	o.insert(i, kept)
-	v.due = min(v.due, o.due)
-	v.entries++
-	if v.bound(now, o, kept, swept) {
+	v.nextSweep = min(v.nextSweep, o.nextSweep)
+	v.peerEntryCount++
+	if v.enforceLimits(now, o, kept, swept) {
 		return &v.counts.Accepted
 	}
 	return &v.counts.DroppedAtLimit
@@ -87,12 +87,12 @@
 
 // answer tells one who may have begun anew with a start before its former one, by a clock set back, of what stands
 // under its name: it has to outbid that to be heard (echo), and nobody else may hold a thing that has not ended.
-func (o *observer) answer(now int64, e *Entry, news []Entry) []Entry {
-	if now-o.answered < second {
+func (o *observer) replyToOldIncarnation(now int64, e *Entry, news []Entry) []Entry {
+	if now-o.lastReply < second {
 		return news
 	}
-	o.answered = now
-	for _, held := range o.held {
+	o.lastReply = now
+	for _, held := range o.entries {
 		if held.ExpiresAt() > now {
 			return append(news, *held)
 		}
@@ -102,7 +102,7 @@
 }
 
 // fill copies an entry, with strings that are held already where they are the same.
-func (o *observer) fill(to, e *Entry) {
+func (o *observer) copyInterned(to, e *Entry) {
 	subject := to.Subject
 	*to = *e
 	if subject != "" {
@@ -116,120 +116,120 @@
 }
 
 // bound keeps the bounds after an entry was put in, and says whether that one stayed.
-func (v *Store) bound(now int64, o *observer, put *Entry, swept *bool) bool {
+func (v *Store) enforceLimits(now int64, o *observer, put *Entry, swept *bool) bool {
 	stays := true
 	drop := func(from *observer, kind Kind) {
-		v.entries--
+		v.peerEntryCount--
 		if from.evict(kind, nil) == put {
 			stays = false
 		} else {
 			v.counts.Evicted++
 		}
 	}
-	if o.count[put.Kind] > terms[put.Kind].most || len(o.held) > v.limits.EntriesPerObserver {
-		v.sweepOne(now, o)
+	if o.countByKind[put.Kind] > rulesByKind[put.Kind].maxPerObserver || len(o.entries) > v.limits.EntriesPerObserver {
+		v.sweepObserver(now, o)
 	}
-	if o.count[put.Kind] > terms[put.Kind].most {
+	if o.countByKind[put.Kind] > rulesByKind[put.Kind].maxPerObserver {
 		drop(o, put.Kind)
 	}
-	if len(o.held) > v.limits.EntriesPerObserver {
+	if len(o.entries) > v.limits.EntriesPerObserver {
 		drop(o, 0)
 	}
-	if v.entries > v.limits.Entries && !*swept {
+	if v.peerEntryCount > v.limits.Entries && !*swept {
 		*swept = true
-		for _, from := range v.others {
-			v.sweepOne(now, from)
+		for _, from := range v.peers {
+			v.sweepObserver(now, from)
 		}
 	}
-	if v.entries > v.limits.Entries {
-		drop(slices.MaxFunc(v.others, func(a, b *observer) int { return len(a.held) - len(b.held) }), 0)
+	if v.peerEntryCount > v.limits.Entries {
+		drop(slices.MaxFunc(v.peers, func(a, b *observer) int { return len(a.entries) - len(b.entries) }), 0)
 	}
 	return stays
 }
 
 // observer gives an observer by name, a new one if need be; nil if there is no room for it.
-func (v *Store) observer(now int64, name string) *observer {
+func (v *Store) findOrAddObserver(now int64, name string) *observer {
 	find := func() (int, bool) {
-		return slices.BinarySearchFunc(v.others, name, func(o *observer, name string) int { return strings.Compare(o.name, name) })
+		return slices.BinarySearchFunc(v.peers, name, func(o *observer, name string) int { return strings.Compare(o.name, name) })
 	}
 	i, known := find()
 	if known {
-		return v.others[i]
+		return v.peers[i]
 	}
-	if len(v.others) >= v.limits.Observers {
+	if len(v.peers) >= v.limits.Observers {
 		v.sweep(now)
 		longest := -1
-		for j, o := range v.others {
-			if len(o.held) == 0 && (longest < 0 || o.heard < v.others[longest].heard) {
+		for j, o := range v.peers {
+			if len(o.entries) == 0 && (longest < 0 || o.lastHeard < v.peers[longest].lastHeard) {
 				longest = j
 			}
 		}
-		if len(v.others) >= v.limits.Observers {
+		if len(v.peers) >= v.limits.Observers {
 			if longest < 0 {
 				return nil
 			}
-			v.others = slices.Delete(v.others, longest, longest+1)
+			v.peers = slices.Delete(v.peers, longest, longest+1)
 		}
 		i, _ = find()
 	}
-	o := &observer{name: name, heard: now, answered: now - second, due: math.MaxInt64}
-	v.others = slices.Insert(v.others, i, o)
-	v.due = min(v.due, now+remembered+1)
+	o := &observer{name: name, lastHeard: now, lastReply: now - second, nextSweep: math.MaxInt64}
+	v.peers = slices.Insert(v.peers, i, o)
+	v.nextSweep = min(v.nextSweep, now+observerRetention+1)
 	return o
 }
 
-func (v *Store) sweepOne(now int64, o *observer) {
+func (v *Store) sweepObserver(now int64, o *observer) {
 	went, ended := o.sweep(now)
-	v.entries -= went
+	v.peerEntryCount -= went
 	v.counts.Expired += uint64(ended)
 }
 
 // sweep forgets what has been kept for long enough: entries, observers and resumptions by hand. It looks at nothing
 // before one of them may be due: it is called several times a turn.
 func (v *Store) sweep(now int64) {
-	v.hands.sweep(now)
-	if now < v.due {
+	v.overrides.sweep(now)
+	if now < v.nextSweep {
 		return
 	}
-	v.due = math.MaxInt64
-	v.others = slices.DeleteFunc(v.others, func(o *observer) bool {
-		v.sweepOne(now, o)
-		if len(o.held) > 0 {
-			v.due = min(v.due, o.due)
+	v.nextSweep = math.MaxInt64
+	v.peers = slices.DeleteFunc(v.peers, func(o *observer) bool {
+		v.sweepObserver(now, o)
+		if len(o.entries) > 0 {
+			v.nextSweep = min(v.nextSweep, o.nextSweep)
 			return false
 		}
-		v.due = min(v.due, o.heard+remembered+1)
-		return now-o.heard > remembered
+		v.nextSweep = min(v.nextSweep, o.lastHeard+observerRetention+1)
+		return now-o.lastHeard > observerRetention
 	})
 }
 
 // echo takes an entry under this proxy's own name. One that it told is no news. Any other is of a former life of this
 // proxy, or a twin's: own entries of a higher incarnation drive it out wherever they come.
-func (v *Store) echo(now int64, e *Entry, news []Entry) (*uint64, []Entry) {
+func (v *Store) mergeSelfNamed(now int64, e *Entry, news []Entry) (*uint64, []Entry) {
 	o := &v.own
-	if e.Incarnation == o.incarnation && e.Seq <= v.seq {
+	if e.Incarnation == o.incarnation && e.Seq <= v.lastSeq {
 		return &v.counts.Duplicates, news
 	}
 	if e.Incarnation >= o.incarnation {
 		// Two that live under one name would answer each other without end.
-		if now-v.raised < second || e.Incarnation >= mostStamp {
+		if now-v.incarnationRaisedAt < second || e.Incarnation >= maxStamp {
 			return &v.counts.SelfConflicts, news
 		}
-		v.raised = now
-		live := o.held
+		v.incarnationRaisedAt = now
+		live := o.entries
 		o.reset(e.Incarnation + 1)
 		for _, own := range live {
 			if !own.Withdrawn && own.ExpiresAt() > now {
 				v.stamp(now, own)
-				o.insert(len(o.held), own)
+				o.insert(len(o.entries), own)
 				news = append(news, *own)
 			}
 		}
 	}
-	if len(o.held) == 0 {
+	if len(o.entries) == 0 {
 		gone := &Entry{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs, Withdrawn: true}
 		v.stamp(now, gone)
-		gone.TTL = rest(now, e)
+		gone.TTL = withdrawalTTL(now, e)
 		o.insert(0, gone)
 		news = append(news, *gone)
 	}
--- a/internal/cluster/state/hand.go
+++ b/internal/cluster/state/override.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const resumedLife = 24 * 3600 * second
+const resumptionTTL = 24 * 3600 * second
 
 // HandRecord is a server's state by hand, as it is kept over a restart.
 type OverrideRecord struct {
@@ -13,7 +13,7 @@
 	Suspended bool   `json:"suspended"`
 	Version   uint64 `json:"version"`
 	Actor     string `json:"actor"`
-	Age       int64  `json:"age_ms"` // since the change; the caller adds the time that it was down
+	AgeMs     int64  `json:"age_ms"` // since the change; the caller adds the time that it was down
 }
 
 // FullError is a suspension that there is no room for, as all that is kept holds.
@@ -39,45 +39,49 @@
 
 // Suspend suspends a server by hand for the whole fleet, and gives what is to be spread: nothing if it is suspended
 // already. The error is a *NameError or a *FullError.
-func (v *Store) Suspend(now int64, nodo string) ([]Entry, error) { return v.act(now, nodo, true) }
+func (v *Store) Suspend(now int64, nodo string) ([]Entry, error) {
+	return v.setOverride(now, nodo, true)
+}
 
 // Resume ends a suspension. It gives nothing for a server that is not suspended as far as is known here. The error is
 // a *NameError.
-func (v *Store) Resume(now int64, nodo string) ([]Entry, error) { return v.act(now, nodo, false) }
+func (v *Store) Resume(now int64, nodo string) ([]Entry, error) {
+	return v.setOverride(now, nodo, false)
+}
 
-func (v *Store) act(now int64, nodo string, suspend bool) ([]Entry, error) {
-	now = v.tick(now)
+func (v *Store) setOverride(now int64, nodo string, suspend bool) ([]Entry, error) {
+	now = v.advance(now)
 	if !validName(nodo, v.limits.NameBytes) {
 		return nil, &NameError{nodo, v.limits.NameBytes}
 	}
-	if i, known := v.hands.find(Override, nodo); suspend == (known && !v.hands.held[i].Withdrawn) {
+	if i, known := v.overrides.find(Override, nodo); suspend == (known && !v.overrides.entries[i].Withdrawn) {
 		return nil, nil
 	}
-	e := Entry{Kind: Override, Subject: nodo, Withdrawn: !suspend, Observer: v.self.Name, Seq: min(v.version+1, mostStamp), ObservedAt: now}
+	e := Entry{Kind: Override, Subject: nodo, Withdrawn: !suspend, Observer: v.identity.Name, Seq: min(v.overrideVersion+1, maxStamp), ObservedAt: now}
 	if e.Withdrawn {
-		e.TTL = resumedLife
+		e.TTL = resumptionTTL
 	}
-	if v.mergeHand(now, &e) == &v.counts.DroppedAtLimit {
+	if v.mergeOverride(now, &e) == &v.counts.DroppedAtLimit {
 		return nil, &LimitError{nodo, v.limits.Overrides}
 	}
 	return []Entry{e}, nil
 }
 
 // mergeHand merges a valid Hand, and gives what it is to be counted as.
-func (v *Store) mergeHand(now int64, e *Entry) *uint64 {
-	v.version = max(v.version, e.Seq)
-	i, known := v.hands.find(Override, e.Subject)
+func (v *Store) mergeOverride(now int64, e *Entry) *uint64 {
+	v.overrideVersion = max(v.overrideVersion, e.Seq)
+	i, known := v.overrides.find(Override, e.Subject)
 	if known {
-		held := v.hands.held[i]
-		same := e.Seq == held.Seq && e.Observer == held.Observer && e.same(held)
-		switch wins := compare(e, held) > 0; {
+		held := v.overrides.entries[i]
+		same := e.Seq == held.Seq && e.Observer == held.Observer && e.sameContent(held)
+		switch wins := compareVersions(e, held) > 0; {
 		case same && wins:
 			held.ObservedAt = e.ObservedAt
-			v.hands.due = min(v.hands.due, held.kept())
+			v.overrides.nextSweep = min(v.overrides.nextSweep, held.retainedUntil())
 			return &v.counts.Duplicates
 		case wins:
 			*held = *e
-			v.hands.due = min(v.hands.due, held.kept())
+			v.overrides.nextSweep = min(v.overrides.nextSweep, held.retainedUntil())
 			return &v.counts.Accepted
 		case same:
 			return &v.counts.Duplicates
@@ -85,15 +89,15 @@
 		return &v.counts.Superseded
 	}
 	kept := new(*e)
-	v.hands.insert(i, kept)
-	if len(v.hands.held) > v.limits.Overrides {
-		v.hands.sweep(now)
+	v.overrides.insert(i, kept)
+	if len(v.overrides.entries) > v.limits.Overrides {
+		v.overrides.sweep(now)
 	}
-	if len(v.hands.held) > v.limits.Overrides {
-		oldest := v.hands.evict(0, func(e *Entry) bool { return e.Withdrawn })
+	if len(v.overrides.entries) > v.limits.Overrides {
+		oldest := v.overrides.evict(0, func(e *Entry) bool { return e.Withdrawn })
 		if oldest == nil {
-			i, _ = v.hands.find(Override, e.Subject)
-			v.hands.held = slices.Delete(v.hands.held, i, i+1)
+			i, _ = v.overrides.find(Override, e.Subject)
+			v.overrides.entries = slices.Delete(v.overrides.entries, i, i+1)
 		}
 		if oldest == nil || oldest == kept {
 			return &v.counts.DroppedAtLimit
@@ -105,9 +109,9 @@
 
 // Hand gives the servers that are suspended by hand.
 func (v *Store) SuspendedServers(now int64) map[string]bool {
-	v.tick(now)
+	v.advance(now)
 	suspended := make(map[string]bool)
-	for _, e := range v.hands.held {
+	for _, e := range v.overrides.entries {
 		if !e.Withdrawn {
 			suspended[e.Subject] = true
 		}
@@ -117,27 +121,27 @@
 
 // Hands gives all that is known by hand, resumptions included, by subject.
 func (v *Store) OverrideRecords(now int64) []OverrideRecord {
-	now = v.tick(now)
-	v.hands.sweep(now)
-	records := make([]OverrideRecord, 0, len(v.hands.held))
-	for _, e := range v.hands.held {
-		records = append(records, OverrideRecord{e.Subject, !e.Withdrawn, e.Seq, e.Observer, age(now, e)})
+	now = v.advance(now)
+	v.overrides.sweep(now)
+	records := make([]OverrideRecord, 0, len(v.overrides.entries))
+	for _, e := range v.overrides.entries {
+		records = append(records, OverrideRecord{e.Subject, !e.Withdrawn, e.Seq, e.Observer, ageMs(now, e)})
 	}
 	return records
 }
 
 // Restore takes in what Hands gave, and gives how many records were not taken in, as not valid, ended or over the bound.
 func (v *Store) RestoreOverrides(now int64, records []OverrideRecord) (refused int) {
-	now = v.tick(now)
+	now = v.advance(now)
 	for _, r := range records {
 		e := Entry{Kind: Override, Subject: r.Subject, Withdrawn: !r.Suspended, Observer: r.Actor, Seq: r.Version}
 		if e.Withdrawn {
-			e.TTL = resumedLife
+			e.TTL = resumptionTTL
 		}
-		ok := r.Age >= 0 && r.Age <= mostAge
+		ok := r.AgeMs >= 0 && r.AgeMs <= maxAgeMs
 		if ok {
-			e.ObservedAt = now - r.Age*milli
-			ok = e.valid(now, v.limits.NameBytes) && e.ExpiresAt() > now && v.mergeHand(now, &e) != &v.counts.DroppedAtLimit
+			e.ObservedAt = now - r.AgeMs*millisecond
+			ok = e.valid(now, v.limits.NameBytes) && e.ExpiresAt() > now && v.mergeOverride(now, &e) != &v.counts.DroppedAtLimit
 		}
 		if !ok {
 			refused++
--- a/internal/cluster/state/state.go
+++ b/internal/cluster/state/store.go
@@ -68,36 +68,36 @@
 }
 
 // remembered is how long an observer without entries is kept, for its incarnation and its floors.
-const remembered = 600 * second
+const observerRetention = 600 * second
 
 // View is what one proxy knows of the fleet.
 type Store struct {
-	self   Identity
-	limits Limits
-	now    int64 // the latest time given: none before it counts
-	counts Counts
-
-	own    observer
-	seq    uint64        // of the last own entry
-	raised int64         // when a twin last made the own incarnation grow
-	wanted []Observation // room for Say
-
-	others  []*observer // by name
-	entries int         // that others hold
-	due     int64       // nothing of others is to be forgotten sooner
-
-	hands   observer // kind Hand alone
-	version uint64   // the highest of any Hand
+	identity Identity
+	limits   Limits
+	now      int64 // the latest time given: none before it counts
+	counts   Counts
+
+	own                 observer
+	lastSeq             uint64        // of the last own entry
+	incarnationRaisedAt int64         // when a twin last made the own incarnation grow
+	admitted            []Observation // room for Say
+
+	peers          []*observer // by name
+	peerEntryCount int         // that others hold
+	nextSweep      int64       // nothing of others is to be forgotten sooner
+
+	overrides       observer // kind Hand alone
+	overrideVersion uint64   // the highest of any Hand
 }
 
 // New makes an empty view.
 func New(self Identity, limits Limits) *Store {
-	self.StartedAtMs = min(max(self.StartedAtMs, 0), mostStamp-1)
-	return &Store{self: self, limits: limits.orDefault(), raised: math.MinInt64 / 2,
+	self.StartedAtMs = min(max(self.StartedAtMs, 0), maxStamp-1)
+	return &Store{identity: self, limits: limits.withDefaults(), incarnationRaisedAt: math.MinInt64 / 2,
 		own: observer{name: self.Name, zone: self.Zone, incarnation: self.StartedAtMs}}
 }
 
-func (l Limits) orDefault() Limits {
+func (l Limits) withDefaults() Limits {
 	or := func(n *int, value int) {
 		if *n <= 0 {
 			*n = value
@@ -111,7 +111,7 @@
 	return l
 }
 
-func (v *Store) tick(now int64) int64 {
+func (v *Store) advance(now int64) int64 {
 	v.now = max(v.now, now)
 	return v.now
 }
@@ -119,11 +119,11 @@
 // Known gives what others say and has neither ended nor been withdrawn, without suspensions by hand, by observer, kind
 // and subject.
 func (v *Store) PeerEntries(now int64) []Entry {
-	now = v.tick(now)
+	now = v.advance(now)
 	v.sweep(now)
-	known := make([]Entry, 0, v.entries)
-	for _, o := range v.others {
-		for _, e := range o.held {
+	known := make([]Entry, 0, v.peerEntryCount)
+	for _, o := range v.peers {
+		for _, e := range o.entries {
 			if !e.Withdrawn && e.ExpiresAt() > now {
 				known = append(known, *e)
 			}
@@ -134,29 +134,29 @@
 
 // All gives all that has not ended, own, withdrawn and by hand included, for a full exchange.
 func (v *Store) Entries(now int64) []Entry {
-	now = v.tick(now)
+	now = v.advance(now)
 	v.sweep(now)
-	all := make([]Entry, 0, len(v.own.held)+v.entries+len(v.hands.held))
+	all := make([]Entry, 0, len(v.own.entries)+v.peerEntryCount+len(v.overrides.entries))
 	add := func(o *observer) {
-		for _, e := range o.held {
+		for _, e := range o.entries {
 			if e.ExpiresAt() > now {
 				all = append(all, *e)
 			}
 		}
 	}
 	add(&v.own)
-	for _, o := range v.others {
+	for _, o := range v.peers {
 		add(o)
 	}
-	add(&v.hands)
+	add(&v.overrides)
 	return all
 }
 
 // Counts gives totals and what is held.
 func (v *Store) Counts() Counts {
 	c := v.counts
-	c.Own, c.Entries, c.Observers = len(v.own.held), v.entries, len(v.others)
-	for _, e := range v.hands.held {
+	c.Own, c.Entries, c.Observers = len(v.own.entries), v.peerEntryCount, len(v.peers)
+	for _, e := range v.overrides.entries {
 		if e.Withdrawn {
 			c.Resumed++
 		} else {
--- a/internal/cluster/state/state_test.go
+++ b/internal/cluster/state/store_test.go
@@ -28,9 +28,9 @@
 			e.Incarnation = rapid.Int64Range(1, 2).Draw(t, "incarnation")
 		}
 		if e.Kind != Override || e.Withdrawn {
-			e.TTL = rapid.Int64Range(1, e.Kind.TTL()/milli).Draw(t, "life") * milli
+			e.TTL = rapid.Int64Range(1, e.Kind.TTL()/millisecond).Draw(t, "life") * millisecond
 		}
-		e.ObservedAt = at - rapid.Int64Range(0, max(e.TTL, second)/milli).Draw(t, "age")*milli
+		e.ObservedAt = at - rapid.Int64Range(0, max(e.TTL, second)/millisecond).Draw(t, "age")*millisecond
 		return e
 	}), 0, 40)
 }
@@ -84,10 +84,10 @@
 			now += rapid.Int64Range(0, 2*second).Draw(t, "wait")
 			c := v.Counts()
 			sum, own := 0, 0
-			for _, o := range v.others {
-				sum += len(o.held)
-				if len(o.held) > lim.EntriesPerObserver {
-					t.Fatalf("%d entries of one observer", len(o.held))
+			for _, o := range v.peers {
+				sum += len(o.entries)
+				if len(o.entries) > lim.EntriesPerObserver {
+					t.Fatalf("%d entries of one observer", len(o.entries))
 				}
 			}
 			if c.Entries > lim.Entries || c.Own > lim.EntriesPerObserver || c.Observers > lim.Observers || sum != c.Entries ||
@@ -97,7 +97,7 @@
 			if n := c.Accepted + c.Duplicates + c.ExpiredOnArrival + c.Superseded + c.SelfConflicts + c.Invalid + c.DroppedAtLimit; n != merged {
 				t.Fatalf("%d of %d counted: %+v", n, merged, c)
 			}
-			for _, e := range v.own.held {
+			for _, e := range v.own.entries {
 				if !e.Withdrawn {
 					own++
 				}
@@ -107,7 +107,7 @@
 			}
 		}
 		v.Publish(now, nil)
-		now += remembered + 2*60*second
+		now += observerRetention + 2*60*second
 		v.PeerEntries(now)
 		v.Publish(now, nil)
 		if c := v.Counts(); c.Own+c.Entries+c.Observers != 0 {
@@ -144,7 +144,7 @@
 // Of a crowd the entry nearest its end goes, be it the one that comes.
 func TestCrowd(t *testing.T) {
 	v := New(Identity{Name: "self"}, Limits{})
-	most := terms[ZoneUnhealthy].most
+	most := rulesByKind[ZoneUnhealthy].maxPerObserver
 	for i := range most {
 		v.Merge(at, []Entry{tell(ZoneUnhealthy, fmt.Sprint("z", i), uint64(i+2), at, 3*second)})
 	}
@@ -164,7 +164,7 @@
 	good := Entry{Kind: ServerUnhealthy, Subject: "s", Observer: "o", Incarnation: 1, Seq: 1, ObservedAt: at, TTL: 3 * second}
 	long := string(make([]byte, 129))
 	for name, spoil := range map[string]func(*Entry){
-		"kind 0": func(e *Entry) { e.Kind = 0 }, "kind unknown": func(e *Entry) { e.Kind = kinds },
+		"kind 0": func(e *Entry) { e.Kind = 0 }, "kind unknown": func(e *Entry) { e.Kind = kindCount },
 		"age under 0": func(e *Entry) { e.ObservedAt++ }, "age without end": func(e *Entry) { e.ObservedAt = math.MinInt64 },
 		"life over the kind's": func(e *Entry) { e.TTL++ }, "no life": func(e *Entry) { e.TTL = 0 },
 		"no subject": func(e *Entry) { e.Subject = "" }, "long subject": func(e *Entry) { e.Subject = long },
@@ -173,7 +173,7 @@
 		"bad over 1": func(e *Entry) { e.Body.BadFraction = 1.1 }, "NaN": func(e *Entry) { e.Body.Calls = math.NaN() },
 		"infinite": func(e *Entry) { e.Body.Value = math.Inf(1) }, "under 0": func(e *Entry) { e.Body.Calls = -1 },
 		"seq 0": func(e *Entry) { e.Seq = 0 }, "start": func(e *Entry) { e.SubjectStartMs = -1 },
-		"incarnation": func(e *Entry) { e.Incarnation = mostStamp + 1 },
+		"incarnation": func(e *Entry) { e.Incarnation = maxStamp + 1 },
 		"hand with life": func(e *Entry) {
 			*e = Entry{Kind: Override, Subject: "s", Observer: "o", Seq: 1, ObservedAt: at, TTL: 1}
 		},
@@ -199,10 +199,10 @@
 		items []Observation
 		told  int
 	}{
-		{0, []Observation{it}, 1}, {1500 * milli, []Observation{it}, 0}, {1501 * milli, []Observation{it}, 1}, // renewed
-		{1800 * milli, []Observation{moved}, 0}, {1801 * milli, []Observation{near}, 0}, {1801 * milli, []Observation{moved}, 1}, // numbers, at their pace
-		{1802 * milli, []Observation{other}, 1}, {1803 * milli, []Observation{other, load, load}, 1},
-		{1804 * milli, nil, 2}, {1805 * milli, nil, 0}, {1806 * milli, []Observation{other}, 1}, // withdrawn, and said again
+		{0, []Observation{it}, 1}, {1500 * millisecond, []Observation{it}, 0}, {1501 * millisecond, []Observation{it}, 1}, // renewed
+		{1800 * millisecond, []Observation{moved}, 0}, {1801 * millisecond, []Observation{near}, 0}, {1801 * millisecond, []Observation{moved}, 1}, // numbers, at their pace
+		{1802 * millisecond, []Observation{other}, 1}, {1803 * millisecond, []Observation{other, load, load}, 1},
+		{1804 * millisecond, nil, 2}, {1805 * millisecond, nil, 0}, {1806 * millisecond, []Observation{other}, 1}, // withdrawn, and said again
 	} {
 		if n := say(step.now, step.items...); n != step.told {
 			t.Errorf("step %d: %d told, not %d", i, n, step.told)
@@ -241,10 +241,10 @@
 	if n := again.RestoreOverrides(0, append(v.OverrideRecords(6), OverrideRecord{"x", true, 9, "y", 1 << 62}, OverrideRecord{Subject: "z"})); n != 2 {
 		t.Fatalf("%d refused", n)
 	}
-	if hand := again.SuspendedServers(0); len(hand) != 1 || !hand["e"] || again.version != v.version {
-		t.Fatal(hand, again.version)
+	if hand := again.SuspendedServers(0); len(hand) != 1 || !hand["e"] || again.overrideVersion != v.overrideVersion {
+		t.Fatal(hand, again.overrideVersion)
 	}
-	again.OverrideRecords(resumedLife)
+	again.OverrideRecords(resumptionTTL)
 	if c := again.Counts(); c.Suspended != 1 || c.Resumed != 0 {
 		t.Fatalf("a day later %+v", c)
 	}
--- a/internal/cluster/state/codec.go
+++ b/internal/cluster/state/wire.go
@@ -13,10 +13,10 @@
 	MaxSequenceBytes = 4 << 20  // bytes that DecodeAll reads
 	MinPacketBytes   = 1024     // bytes that hold any entry whose names are within the default bound
 
-	version     = 1
-	mostEntries = 1 << 15 // of a sequence
-	mostArray   = 1 << 13 // elements: of a packet's groups and of a group's entries
-	bare        = 7       // bytes of a packet without groups, at most
+	wireVersion        = 1
+	maxSequenceEntries = 1 << 15 // of a sequence
+	maxArrayElements   = 1 << 13 // elements: of a packet's groups and of a group's entries
+	emptyPacketBytes   = 7       // bytes of a packet without groups, at most
 )
 
 // A packet is a map by small integers, so that a later version may add fields; entries share their observer's head.
@@ -33,7 +33,7 @@
 	Entries     []E    `cbor:"4,keyasint"`
 }
 
-type wire struct {
+type wireEntry struct {
 	Kind    uint64  `cbor:"1,keyasint"`
 	Seq     uint64  `cbor:"2,keyasint"`
 	Subject string  `cbor:"3,keyasint"`
@@ -50,20 +50,20 @@
 }
 
 var (
-	encoding      = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.UserBufferEncMode())
-	strict, loose = decoding(cbor.ExtraDecErrorUnknownField), decoding(cbor.ExtraDecErrorNone)
+	encMode                 = mustMode(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.UserBufferEncMode())
+	strictMode, lenientMode = newDecMode(cbor.ExtraDecErrorUnknownField), newDecMode(cbor.ExtraDecErrorNone)
 )
 
-func must[T any](mode T, err error) T {
+func mustMode[T any](mode T, err error) T {
 	if err != nil {
 		panic(err) // the options above are constants
 	}
 	return mode
 }
 
-func decoding(extra cbor.ExtraDecErrorCond) cbor.DecMode {
-	return must(cbor.DecOptions{
-		MaxArrayElements: mostArray, MaxMapPairs: 64, MaxNestedLevels: 16, ExtraReturnErrors: extra,
+func newDecMode(extra cbor.ExtraDecErrorCond) cbor.DecMode {
+	return mustMode(cbor.DecOptions{
+		MaxArrayElements: maxArrayElements, MaxMapPairs: 64, MaxNestedLevels: 16, ExtraReturnErrors: extra,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 	}.DecMode())
 }
@@ -93,43 +93,43 @@
 
 // packer fills one packet after the other.
 type packer struct {
-	most int // bytes of a packet
-	size int // of the present one, at most
-	body []byte
-	one  bytes.Buffer
-	w    wire
-	p    packet[group[cbor.RawMessage]]
+	maxBytes int // bytes of a packet
+	size     int // of the present one, at most
+	body     []byte
+	one      bytes.Buffer
+	w        wireEntry
+	p        packet[group[cbor.RawMessage]]
 }
 
 func newPacker(most int) *packer {
 	most = min(most, MaxPacketBytes)
 	// The body never grows: what lies in it is kept by reference.
-	return &packer{most: most, size: bare, body: make([]byte, 0, max(most, 0)),
-		p: packet[group[cbor.RawMessage]]{Version: version}}
+	return &packer{maxBytes: most, size: emptyPacketBytes, body: make([]byte, 0, max(most, 0)),
+		p: packet[group[cbor.RawMessage]]{Version: wireVersion}}
 }
 
 // fit is what became of an entry.
-type fit int
+type packResult int
 
 const (
-	added fit = iota
-	left      // out: it ends within a millisecond, or is not valid
-	full      // no room in this packet
+	packAdded   packResult = iota
+	packSkipped            // out: it ends within a millisecond, or is not valid
+	packFull               // no room in this packet
 )
 
-func (k *packer) put(now int64, e *Entry) fit {
+func (k *packer) add(now int64, e *Entry) packResult {
 	k.w.from(now, e)
 	k.one.Reset()
-	if !e.valid(now, k.most) || k.w.ended(e) || encoding.MarshalToBuffer(&k.w, &k.one) != nil {
-		return left
+	if !e.valid(now, k.maxBytes) || k.w.ended(e) || encMode.MarshalToBuffer(&k.w, &k.one) != nil {
+		return packSkipped
 	}
 	g := group[cbor.RawMessage]{Observer: e.Observer, Zone: e.ObserverZone, Incarnation: e.Incarnation}
 	head := 0
 	if len(k.p.Groups) == 0 || !g.same(&k.p.Groups[len(k.p.Groups)-1]) {
 		head = g.head()
 	}
-	if k.size+head+k.one.Len() > k.most {
-		return full
+	if k.size+head+k.one.Len() > k.maxBytes {
+		return packFull
 	}
 	if head > 0 {
 		k.p.Groups = append(k.p.Groups, g)
@@ -139,18 +139,18 @@
 	k.body = append(k.body, k.one.Bytes()...)
 	last := &k.p.Groups[len(k.p.Groups)-1]
 	last.Entries = append(last.Entries, k.body[from:len(k.body):len(k.body)])
-	return added
+	return packAdded
 }
 
 // flush gives the packet, nil if nothing is in it, and begins the next.
 func (k *packer) flush() (data []byte) {
 	if len(k.p.Groups) > 0 {
 		var err error
-		if data, err = encoding.Marshal(&k.p); err != nil {
+		if data, err = encMode.Marshal(&k.p); err != nil {
 			data = nil
 		}
 	}
-	k.p.Groups, k.body, k.size = nil, k.body[:0], bare
+	k.p.Groups, k.body, k.size = nil, k.body[:0], emptyPacketBytes
 	return data
 }
 
@@ -166,9 +166,9 @@
 		}
 	}
 	for i := range entries {
-		if k.put(now, &entries[i]) == full {
+		if k.add(now, &entries[i]) == packFull {
 			flush()
-			k.put(now, &entries[i])
+			k.add(now, &entries[i])
 		}
 	}
 	flush()
@@ -180,11 +180,11 @@
 func Pack(now int64, entries []Entry, most int) (data []byte, held []int) {
 	k := newPacker(most)
 	for i := range entries {
-		switch k.put(now, &entries[i]) {
-		case added:
+		switch k.add(now, &entries[i]) {
+		case packAdded:
 			held = append(held, i)
 			continue
-		case left:
+		case packSkipped:
 			continue
 		}
 		if len(held) > 0 { // else it fits no packet
@@ -203,17 +203,17 @@
 
 // head is how many bytes a group without entries takes, at most.
 func (g *group[E]) head() int {
-	data, _ := encoding.Marshal(g)
+	data, _ := encMode.Marshal(g)
 	return len(data) + 2 // a longer array's head
 }
 
-func (w *wire) from(now int64, e *Entry) {
-	*w = wire{
-		Kind: uint64(e.Kind), Seq: e.Seq, Subject: e.Subject, Age: age(now, e), Gone: e.Withdrawn,
+func (w *wireEntry) from(now int64, e *Entry) {
+	*w = wireEntry{
+		Kind: uint64(e.Kind), Seq: e.Seq, Subject: e.Subject, Age: ageMs(now, e), Gone: e.Withdrawn,
 		Cause: e.Body.Fault, Of: e.Body.SubjectZone, Calls: e.Body.Calls, Bad: e.Body.BadFraction, Value: e.Body.Value,
 	}
 	if e.TTL != e.Kind.TTL() {
-		w.Life = e.TTL / milli
+		w.Life = e.TTL / millisecond
 	}
 	switch {
 	case e.SubjectStartMs == 0:
@@ -225,15 +225,15 @@
 }
 
 // ended says whether a reader would find the entry ended.
-func (w *wire) ended(e *Entry) bool {
-	return (e.Kind != Override || e.Withdrawn) && w.Age*milli >= e.TTL
+func (w *wireEntry) ended(e *Entry) bool {
+	return (e.Kind != Override || e.Withdrawn) && w.Age*millisecond >= e.TTL
 }
 
 // entry is what a wire says, if its numbers can be held; whether they are valid is Merge's to say.
-func (w *wire) entry(now int64, observer, zone string, incarnation int64) (Entry, bool) {
+func (w *wireEntry) entry(now int64, observer, zone string, incarnation int64) (Entry, bool) {
 	e := Entry{
-		Kind: Kind(w.Kind), Seq: w.Seq, Subject: w.Subject, ObservedAt: now - w.Age*milli, Withdrawn: w.Gone, SubjectStartMs: w.Start,
-		Observer: observer, ObserverZone: zone, Incarnation: incarnation, TTL: w.Life * milli,
+		Kind: Kind(w.Kind), Seq: w.Seq, Subject: w.Subject, ObservedAt: now - w.Age*millisecond, Withdrawn: w.Gone, SubjectStartMs: w.Start,
+		Observer: observer, ObserverZone: zone, Incarnation: incarnation, TTL: w.Life * millisecond,
 		Body: Body{Fault: w.Cause, SubjectZone: w.Of, Calls: w.Calls, BadFraction: w.Bad, Value: w.Value},
 	}
 	if w.Life == 0 && (e.Kind != Override || e.Withdrawn) {
@@ -242,11 +242,11 @@
 	if w.Since != 0 {
 		e.SubjectStartMs = incarnation + w.Since
 	}
-	return e, w.Age >= 0 && w.Age <= mostAge && w.Life >= 0 && w.Life <= mostAge &&
-		incarnation >= 0 && incarnation <= mostStamp && -mostStamp <= w.Since && w.Since <= mostStamp
+	return e, w.Age >= 0 && w.Age <= maxAgeMs && w.Life >= 0 && w.Life <= maxAgeMs &&
+		incarnation >= 0 && incarnation <= maxStamp && -maxStamp <= w.Since && w.Since <= maxStamp
 }
 
-func known(kind uint64) bool { return kind < uint64(kinds) && Kind(kind).Known() }
+func knownKind(kind uint64) bool { return kind < uint64(kindCount) && Kind(kind).Known() }
 
 // Decode reads one packet of at most MostPacket bytes. Any bytes are safe: for a moment they take at most some 8 MB,
 // and one packet gives at most some 8,000 entries. The error is a *PacketError.
@@ -255,9 +255,9 @@
 	if len(data) > MaxPacketBytes {
 		return nil, s, &PacketError{len(data), fmt.Sprintf("over %d bytes", MaxPacketBytes)}
 	}
-	var p packet[group[wire]]
-	if strict.Unmarshal(data, &p) != nil {
-		return decodeOdd(now, data)
+	var p packet[group[wireEntry]]
+	if strictMode.Unmarshal(data, &p) != nil {
+		return decodeLenient(now, data)
 	}
 	if err := s.version(len(data), p.Version); err != nil {
 		return nil, s, err
@@ -280,14 +280,14 @@
 	if of == 0 {
 		return &PacketError{size, "it names no version"}
 	}
-	if of > version {
+	if of > wireVersion {
 		s.NewerVersion++
 	}
 	return nil
 }
 
-func (s *Skipped) put(to []Entry, now int64, observer, zone string, incarnation int64, w *wire) []Entry {
-	if !known(w.Kind) {
+func (s *Skipped) put(to []Entry, now int64, observer, zone string, incarnation int64, w *wireEntry) []Entry {
+	if !knownKind(w.Kind) {
 		s.UnknownKinds++
 	} else if e, ok := w.entry(now, observer, zone, incarnation); ok {
 		return append(to, e)
@@ -298,7 +298,7 @@
 }
 
 // decodeOdd reads a packet that is not in full of the known shape, part by part.
-func decodeOdd(now int64, data []byte) ([]Entry, Skipped, error) {
+func decodeLenient(now int64, data []byte) ([]Entry, Skipped, error) {
 	var (
 		s       Skipped
 		p       packet[cbor.RawMessage]
@@ -320,11 +320,11 @@
 			var kind struct {
 				Kind uint64 `cbor:"1,keyasint"`
 			}
-			var w wire
+			var w wireEntry
 			switch {
-			case loose.Unmarshal(raw, &kind) != nil:
+			case lenientMode.Unmarshal(raw, &kind) != nil:
 				s.Malformed++
-			case !known(kind.Kind):
+			case !knownKind(kind.Kind):
 				s.UnknownKinds++
 			case s.read(raw, &w) != nil:
 				s.Malformed++
@@ -338,10 +338,10 @@
 
 // read reads into a zero value, and counts it if it has unknown fields.
 func (s *Skipped) read(data []byte, to any) error {
-	err := strict.Unmarshal(data, to)
+	err := strictMode.Unmarshal(data, to)
 	if unknown := (*cbor.UnknownFieldError)(nil); errors.As(err, &unknown) {
 		s.UnknownFields++
-		err = loose.Unmarshal(data, to)
+		err = lenientMode.Unmarshal(data, to)
 	}
 	return err
 }
@@ -358,11 +358,11 @@
 		return nil, s, &PacketError{len(sequence), fmt.Sprintf("over %d bytes", MaxSequenceBytes)}
 	}
 	for rest := sequence; len(rest) > 0; {
-		next, err := loose.UnmarshalFirst(rest, &raw)
+		next, err := lenientMode.UnmarshalFirst(rest, &raw)
 		if err != nil {
 			return all, s, &PacketError{len(rest), err.Error()}
 		}
-		if len(all) > mostEntries {
+		if len(all) > maxSequenceEntries {
 			return all, s, &PacketError{len(rest), fmt.Sprintf("after %d entries", len(all))}
 		}
 		entries, skipped, err := Decode(now, raw)
--- a/internal/cluster/state/codec_test.go
+++ b/internal/cluster/state/wire_test.go
@@ -17,10 +17,10 @@
 		in := entries(4).Draw(t, "in")
 		for i := range in {
 			in[i].Observer += string(bytes.Repeat([]byte("x"), rapid.IntRange(0, 120).Draw(t, "long")))
-			in[i].ObservedAt -= rapid.Int64Range(0, milli-1).Draw(t, "within a millisecond")
+			in[i].ObservedAt -= rapid.Int64Range(0, millisecond-1).Draw(t, "within a millisecond")
 			if e := &in[i]; e.Kind != Override {
-				e.SubjectStartMs = rapid.SampledFrom([]int64{0, e.Incarnation, 7, mostStamp}).Draw(t, "start")
-				e.Body.Value = rapid.Float64Range(0, mostNumber).Draw(t, "value")
+				e.SubjectStartMs = rapid.SampledFrom([]int64{0, e.Incarnation, 7, maxStamp}).Draw(t, "start")
+				e.Body.Value = rapid.Float64Range(0, maxNumber).Draw(t, "value")
 			}
 		}
 		most := rapid.IntRange(MinPacketBytes, 4*MinPacketBytes).Draw(t, "most")
@@ -35,10 +35,10 @@
 			t.Fatal(skipped, err)
 		}
 		want := slices.DeleteFunc(slices.Clone(in), func(e Entry) bool {
-			return e.ExpiresAt() != math.MaxInt64 && at-age(at, &e)*milli+e.TTL <= at
+			return e.ExpiresAt() != math.MaxInt64 && at-ageMs(at, &e)*millisecond+e.TTL <= at
 		})
 		for i := range want {
-			want[i].ObservedAt = at - age(at, &want[i])*milli
+			want[i].ObservedAt = at - ageMs(at, &want[i])*millisecond
 		}
 		if !slices.Equal(got, want) {
 			t.Fatalf("sent\n%v\nand got\n%v", want, got)
--- a/internal/cluster/transport/delegate.go
+++ b/internal/cluster/transport/delegate.go
@@ -13,7 +13,7 @@
 
 func (d delegate) NodeMeta(limit int) []byte {
 	c := &d.l.cfg
-	return meta{Version: protocol, Zone: c.Zone, Tier: c.Tier, Start: c.StartedAtMs}.encode(limit)
+	return memberMeta{Version: metaVersion, Zone: c.Zone, Tier: c.Tier, StartedAtMs: c.StartedAtMs}.encode(limit)
 }
 
 // NotifyMsg takes one packet of entries. The bytes are memberlist's.
@@ -21,7 +21,7 @@
 
 // GetBroadcasts gives what is to go out with the next datagram.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	if p := d.l.out.NextPacket(d.l.cfg.Now(), limit-overhead); p != nil {
+	if p := d.l.outbound.NextPacket(d.l.cfg.Now(), limit-overhead); p != nil {
 		return [][]byte{p}
 	}
 	return nil
@@ -38,7 +38,7 @@
 		said <- pushPullState(now, l.own.view.Entries(now))
 	}
 	select {
-	case l.calls <- ask:
+	case l.ownerCalls <- ask:
 		return <-said
 	case <-l.done:
 	case <-late.C:
@@ -51,7 +51,7 @@
 	packets := state.Encode(now, entries, state.MaxPacketBytes)
 	size := 0
 	for i, p := range packets {
-		if size += len(p); size > stateMost {
+		if size += len(p); size > maxExchangeBytes {
 			packets = packets[:i]
 			break
 		}
@@ -62,27 +62,27 @@
 func (d delegate) MergeRemoteState(b []byte, _ bool) { d.l.come(b, true) }
 
 // come hands what came to the owner, with the time at which it did.
-func (l *Node) come(b []byte, state bool) {
-	now := l.cfg.Now()
+func (n *Node) come(b []byte, state bool) {
+	now := n.cfg.Now()
 	switch {
 	case len(b) == 0:
 		return
-	case len(b) > stateMost:
-		l.refused.add(tooLong)
+	case len(b) > maxExchangeBytes:
+		n.rejected.add(rejectLength)
 		return
-	case l.stalled(now):
-		l.refused.add(tooLate)
+	case n.stalled(now):
+		n.rejected.add(rejectLate)
 		return
 	}
 	select {
-	case l.in <- incoming{now, state, bytes.Clone(b)}:
+	case n.inbound <- incoming{now, state, bytes.Clone(b)}:
 	default:
-		l.drops.Add(1)
+		n.inboundDropped.Add(1)
 	}
 }
 
 // stalled tells whether this process is only just awake after a stop: what memberlist still holds from before it is
 // older than its ages say.
-func (l *Node) stalled(now int64) bool {
-	return now < l.late.Load() || now-l.ticked.Load() > waitMost.Microseconds()
+func (n *Node) stalled(now int64) bool {
+	return now < n.staleUntil.Load() || now-n.lastTick.Load() > maxKernelWait.Microseconds()
 }
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -20,34 +20,34 @@
 // earlier version wrote is read, and the same records are written to the same bytes but for the time of writing.
 func TestOverrideFileMatchesGoldenFile(t *testing.T) {
 	const name, writtenAt = "fleet-hands", 1_790_000_000_000
-	records := []state.OverrideRecord{{Subject: "server-1", Suspended: true, Version: 7, Actor: "proxy-a", Age: 1500},
-		{Subject: "server-2", Version: 9, Actor: "proxy-b", Age: 0}}
+	records := []state.OverrideRecord{{Subject: "server-1", Suspended: true, Version: 7, Actor: "proxy-a", AgeMs: 1500},
+		{Subject: "server-2", Version: 9, Actor: "proxy-b", AgeMs: 0}}
 	path := filepath.Join("testdata", name)
-	body, err := json.Marshal(kept{writtenAt, records})
+	body, err := json.Marshal(overrideFileBody{writtenAt, records})
 	if err != nil {
 		t.Fatal(err)
 	}
-	data := atomicfile.Seal(handsKind, body)
+	data := atomicfile.Seal(overrideFileKind, body)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *record {
 		if err := os.WriteFile(path, data, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 	want, err := os.ReadFile(path)
-	if err != nil || !bytes.Equal(data, want) || handsFile != name {
-		t.Errorf("file %s: %v\ngot  %s\nwant %s", handsFile, err, data, want)
+	if err != nil || !bytes.Equal(data, want) || overrideFileName != name {
+		t.Errorf("file %s: %v\ngot  %s\nwant %s", overrideFileName, err, data, want)
 	}
 	before := time.Now().UnixMilli() - writtenAt
-	got, err := newKeeper(path).read()
+	got, err := newOverrideFile(path).read()
 	after := time.Now().UnixMilli() - writtenAt
 	if err != nil || len(got) != len(records) {
 		t.Fatalf("%v, %v", got, err)
 	}
 	for i := range got {
-		if age := got[i].Age - records[i].Age; age < max(0, before) || age > max(0, after) {
+		if age := got[i].AgeMs - records[i].AgeMs; age < max(0, before) || age > max(0, after) {
 			t.Errorf("%s: aged by %d ms, want %d to %d", got[i].Subject, age, before, after)
 		}
-		got[i].Age = records[i].Age
+		got[i].AgeMs = records[i].AgeMs
 	}
 	if !slices.Equal(got, records) {
 		t.Errorf("read %+v, want %+v", got, records)
--- a/internal/cluster/transport/join.go
+++ b/internal/cluster/transport/join.go
@@ -16,12 +16,12 @@
 
 // join brings this member to its fleet, and split parts of one together again: as long as there is a seed, or a member
 // that died, that is not among the living it is tried now and then. A start never waits for it.
-func (l *Node) join(ctx context.Context) {
+func (n *Node) join(ctx context.Context) {
 	pause := joinFirst
 	var said time.Time
 	for {
-		tried, err := l.tryJoin(ctx)
-		living, _ := l.who.count("")
+		tried, err := n.tryJoin(ctx)
+		living, _ := n.members.count("")
 		switch {
 		case ctx.Err() != nil:
 			return
@@ -34,12 +34,12 @@
 		}
 		if err != nil && living == 1 && time.Since(said) >= joinSay {
 			said = time.Now()
-			l.cfg.Logger.Warn("fleet", "error", &JoinError{tried, err})
+			n.cfg.Logger.Warn("fleet", "error", &JoinError{tried, err})
 		}
 		wait := time.NewTimer(pause/2 + rand.N(pause)) // half to thrice half: 300 members must not come together
 		select {
 		case <-wait.C:
-		case <-l.hurry:
+		case <-n.joinNow:
 			pause = joinFirst
 		case <-ctx.Done():
 		}
@@ -49,19 +49,19 @@
 
 // tryJoin tries some addresses where a member may be that is not known to live; the error is the last one's if all
 // failed.
-func (l *Node) tryJoin(ctx context.Context) (tried []string, err error) {
-	missing := l.who.missing(l.seeds, time.Now())
+func (n *Node) tryJoin(ctx context.Context) (tried []string, err error) {
+	missing := n.members.missing(n.seeds, time.Now())
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	for _, addr := range missing[:min(joinAtMax, len(missing))] {
 		if ctx.Err() != nil {
 			return tried, nil
 		}
-		l.tried.Add(1)
+		n.joinAttempts.Add(1)
 		tried = append(tried, addr)
-		if _, err = l.ml.Join([]string{addr}); err == nil {
+		if _, err = n.memberlist.Join([]string{addr}); err == nil {
 			return tried, nil
 		}
-		l.failed.Add(1)
+		n.joinFailures.Add(1)
 	}
 	return tried, err
 }
--- a/internal/cluster/transport/logs.go
+++ b/internal/cluster/transport/log.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	linesAtOnce = 20 // of memberlist's lines that are passed on at once
-	linesEvery  = 3 * time.Second
+	logBurst    = 20 // of memberlist's lines that are passed on at once
+	logInterval = 3 * time.Second
 )
 
 // budget bounds a log: a burst of linesAtOnce, then one line each linesEvery.
-type budget struct {
-	mu    sync.Mutex
-	room  float64
-	at    time.Time
-	quiet int64 // left out since the last that went out
+type logLimiter struct {
+	mu         sync.Mutex
+	tokens     float64
+	at         time.Time
+	suppressed int64 // left out since the last that went out
 }
 
-func newBudget() *budget { return &budget{room: linesAtOnce, at: time.Now()} }
+func newLogLimiter() *logLimiter { return &logLimiter{tokens: logBurst, at: time.Now()} }
 
 // lines passes memberlist's log on, within a budget: while the fleet is split it writes several lines a second. What the
 // fleet's state is, the link says itself. Lines that are left out are counted and told with the next one.
-type lines struct {
+type logWriter struct {
 	log *slog.Logger
-	*budget
+	*logLimiter
 }
 
 // Write takes one line from package log.
-func (l lines) Write(p []byte) (int, error) {
+func (l logWriter) Write(p []byte) (int, error) {
 	text := strings.TrimSpace(string(p))
 	level := slog.LevelDebug
 	for mark, is := range map[string]slog.Level{"[WARN]": slog.LevelInfo, "[ERR]": slog.LevelInfo, "[ERROR]": slog.LevelInfo} {
@@ -44,7 +44,7 @@
 	if !l.log.Enabled(context.Background(), level) {
 		return len(p), nil
 	}
-	quiet, ok := l.may(time.Now())
+	quiet, ok := l.allow(time.Now())
 	if !ok {
 		return len(p), nil
 	}
@@ -57,16 +57,16 @@
 }
 
 // may tells whether a line goes out, and how many were left out before it.
-func (l *budget) may(now time.Time) (quiet int64, ok bool) {
+func (l *logLimiter) allow(now time.Time) (quiet int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.room = min(linesAtOnce, l.room+float64(now.Sub(l.at))/float64(linesEvery))
+	l.tokens = min(logBurst, l.tokens+float64(now.Sub(l.at))/float64(logInterval))
 	l.at = now
-	if l.room < 1 {
-		l.quiet++
+	if l.tokens < 1 {
+		l.suppressed++
 		return 0, false
 	}
-	l.room--
-	quiet, l.quiet = l.quiet, 0
+	l.tokens--
+	quiet, l.suppressed = l.suppressed, 0
 	return quiet, true
 }
--- a/internal/cluster/transport/members.go
+++ b/internal/cluster/transport/members.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	protocol    = 1
-	membersMost = 1024 // that a link knows of at one time
-	nameMost    = 64   // bytes of a member's name, and of its zone's and tier's
-	lostMost    = 64   // members that died and are tried again
-	lostFor     = 10 * time.Minute
+	metaVersion         = 1
+	maxMembers          = 1024 // that a link knows of at one time
+	maxNameBytes        = 64   // bytes of a member's name, and of its zone's and tier's
+	maxLostMembers      = 64   // members that died and are tried again
+	lostMemberRetention = 10 * time.Minute
 )
 
 // meta is what each member tells of itself with its address.
-type meta struct {
-	Version int    `cbor:"1,keyasint"`
-	Zone    string `cbor:"2,keyasint"`
-	Tier    string `cbor:"3,keyasint"`
-	Start   int64  `cbor:"4,keyasint"` // of its process, Unix milliseconds
+type memberMeta struct {
+	Version     int    `cbor:"1,keyasint"`
+	Zone        string `cbor:"2,keyasint"`
+	Tier        string `cbor:"3,keyasint"`
+	StartedAtMs int64  `cbor:"4,keyasint"` // of its process, Unix milliseconds
 }
 
-func (m meta) encode(limit int) []byte {
+func (m memberMeta) encode(limit int) []byte {
 	b, err := cbor.Marshal(m)
 	if err != nil || len(b) > limit { // names are bounded: it does not happen
 		return nil
@@ -38,12 +38,12 @@
 }
 
 // readMeta reads what a member told of itself; false for what makes no sense. A newer version may tell more.
-func readMeta(b []byte) (meta, bool) {
-	var m meta
+func decodeMeta(b []byte) (memberMeta, bool) {
+	var m memberMeta
 	if len(b) > memberlist.MetaMaxSize || cbor.Unmarshal(b, &m) != nil {
-		return meta{}, false
+		return memberMeta{}, false
 	}
-	return m, m.Version >= protocol && len(m.Zone) <= nameMost && len(m.Tier) <= nameMost
+	return m, m.Version >= metaVersion && len(m.Zone) <= maxNameBytes && len(m.Tier) <= maxNameBytes
 }
 
 // Member is another proxy that is alive, as far as is known.
@@ -53,12 +53,12 @@
 }
 
 // members follows who is alive. Memberlist calls it while it holds a lock of its own, so it calls nobody.
-type members struct {
+type memberList struct {
 	self    string
 	tier    string
-	refused *tally
+	refused *rejections
 	log     *slog.Logger
-	says    *budget
+	says    *logLimiter
 	changed func()
 
 	mu    sync.Mutex
@@ -73,8 +73,8 @@
 	at   time.Time
 }
 
-func newMembers(self, tier string, refused *tally, log *slog.Logger, changed func()) *members {
-	return &members{self: self, tier: tier, refused: refused, log: log, says: newBudget(), changed: changed,
+func newMemberList(self, tier string, refused *rejections, log *slog.Logger, changed func()) *memberList {
+	return &memberList{self: self, tier: tier, refused: refused, log: log, says: newLogLimiter(), changed: changed,
 		alive: map[string]Member{}, lost: map[string]lostMember{}}
 }
 
@@ -85,7 +85,7 @@
 
 // tell gives the entries of members that are alive and say of which zone they are as they do with their address. What a
 // member told before it left or died is not acted on, nor is what a stranger's name is on.
-func (m *members) tell(entries []state.Entry) []state.Entry {
+func (m *memberList) ofLiveMembers(entries []state.Entry) []state.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.DeleteFunc(entries, func(e state.Entry) bool {
@@ -95,34 +95,34 @@
 }
 
 // NotifyAlive implements memberlist.AliveDelegate: an error keeps a node out.
-func (m *members) NotifyAlive(n *memberlist.Node) error {
+func (m *memberList) NotifyAlive(n *memberlist.Node) error {
 	if n.Name == m.self {
 		return nil
 	}
-	told, ok := readMeta(n.Meta)
-	if !ok || n.Name == "" || len(n.Name) > nameMost || told.Tier != m.tier {
+	told, ok := decodeMeta(n.Meta)
+	if !ok || n.Name == "" || len(n.Name) > maxNameBytes || told.Tier != m.tier {
 		m.refused.add("member")
 		return errStranger
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, known := m.alive[n.Name]; !known && len(m.alive) >= membersMost {
-		m.refused.add(tooMany)
+	if _, known := m.alive[n.Name]; !known && len(m.alive) >= maxMembers {
+		m.refused.add(rejectMany)
 		return errCrowd
 	}
 	return nil
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (m *members) NotifyJoin(n *memberlist.Node) {
+func (m *memberList) NotifyJoin(n *memberlist.Node) {
 	if n.Name == m.self {
 		return
 	}
-	told, ok := readMeta(n.Meta)
+	told, ok := decodeMeta(n.Meta)
 	if !ok {
 		return
 	}
-	x := Member{Name: n.Name, Zone: told.Zone, StartedAtMs: told.Start, Addr: n.Address()}
+	x := Member{Name: n.Name, Zone: told.Zone, StartedAtMs: told.StartedAtMs, Addr: n.Address()}
 	m.mu.Lock()
 	m.alive[n.Name] = x
 	delete(m.lost, n.Name)
@@ -134,19 +134,19 @@
 }
 
 // NotifyUpdate implements memberlist.EventDelegate: a member told of itself anew, as after a quick restart.
-func (m *members) NotifyUpdate(n *memberlist.Node) {
-	told, ok := readMeta(n.Meta)
+func (m *memberList) NotifyUpdate(n *memberlist.Node) {
+	told, ok := decodeMeta(n.Meta)
 	if n.Name == m.self || !ok {
 		return
 	}
 	m.mu.Lock()
-	m.alive[n.Name] = Member{Name: n.Name, Zone: told.Zone, StartedAtMs: told.Start, Addr: n.Address()}
+	m.alive[n.Name] = Member{Name: n.Name, Zone: told.Zone, StartedAtMs: told.StartedAtMs, Addr: n.Address()}
 	m.mu.Unlock()
 	m.changed()
 }
 
 // NotifyLeave implements memberlist.EventDelegate: a member left, or is dead.
-func (m *members) NotifyLeave(n *memberlist.Node) {
+func (m *memberList) NotifyLeave(n *memberlist.Node) {
 	if n.Name == m.self {
 		return
 	}
@@ -164,15 +164,15 @@
 	m.changed()
 }
 
-func (m *members) say(text string, args ...any) {
-	if quiet, ok := m.says.may(time.Now()); ok {
+func (m *memberList) say(text string, args ...any) {
+	if quiet, ok := m.says.allow(time.Now()); ok {
 		m.log.Info(text, append(args, "left_out", quiet)...)
 	}
 }
 
 // lose keeps the address of one that died, in the place of the one lost for the longest if there are many.
-func (m *members) lose(x Member) {
-	if len(m.lost) >= lostMost {
+func (m *memberList) lose(x Member) {
+	if len(m.lost) >= maxLostMembers {
 		oldest := ""
 		for name, l := range m.lost {
 			if oldest == "" || l.at.Before(m.lost[oldest].at) {
@@ -185,13 +185,13 @@
 }
 
 // NotifyConflict implements memberlist.ConflictDelegate: two members bear one name.
-func (m *members) NotifyConflict(existing, other *memberlist.Node) {
+func (m *memberList) NotifyConflict(existing, other *memberlist.Node) {
 	m.refused.add("name")
 	m.say("two fleet members of one name", "name", existing.Name, "one", existing.Address(), "other", other.Address())
 }
 
 // count tells how many are alive, and of them in a zone, this one included.
-func (m *members) count(zone string) (living, near int) {
+func (m *memberList) count(zone string) (living, near int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	near = 1
@@ -204,14 +204,14 @@
 }
 
 // living tells how many are alive, this one included.
-func (m *members) living() int {
+func (m *memberList) living() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return 1 + len(m.alive)
 }
 
 // missing are addresses where a member may be that this one does not know to be alive: seeds, and those that died.
-func (m *members) missing(seeds []string, now time.Time) []string {
+func (m *memberList) missing(seeds []string, now time.Time) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := map[string]bool{}
@@ -226,7 +226,7 @@
 	}
 	for name, l := range m.lost {
 		switch {
-		case now.Sub(l.at) > lostFor:
+		case now.Sub(l.at) > lostMemberRetention:
 			delete(m.lost, name)
 		case !known[l.addr] && !slices.Contains(out, l.addr):
 			out = append(out, l.addr)
@@ -237,7 +237,7 @@
 }
 
 // moved tells how often members came and went so far.
-func (m *members) moved() (joins, ends int64) {
+func (m *memberList) moved() (joins, ends int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.joins, m.ends
--- a/internal/cluster/transport/figures.go
+++ b/internal/cluster/transport/metrics.go
@@ -27,19 +27,19 @@
 }
 
 // Figures are as of the last publishEvery.
-func (l *Node) Metrics() Metrics {
-	l.mu.Lock()
-	f := l.figs
-	l.mu.Unlock()
+func (n *Node) Metrics() Metrics {
+	n.mu.Lock()
+	f := n.metrics
+	n.mu.Unlock()
 	var dropped int64
-	f.Queued, f.Sent, dropped = l.out.Counts()
-	f.LiveMembers, f.LiveMembersInZone = l.who.count(l.cfg.Zone)
-	f.BytesIn, f.BytesOut, f.Dropped = l.net.in.Load(), l.net.out.Load(), l.drops.Load()+dropped
-	f.Joined, f.Left = l.who.moved()
-	f.JoinAttempts, f.JoinFailures = l.tried.Load(), l.failed.Load()
-	l.refused.mu.Lock()
-	defer l.refused.mu.Unlock()
-	refused := maps.Clone(l.refused.counts)
+	f.Queued, f.Sent, dropped = n.outbound.Counts()
+	f.LiveMembers, f.LiveMembersInZone = n.members.count(n.cfg.Zone)
+	f.BytesIn, f.BytesOut, f.Dropped = n.network.in.Load(), n.network.out.Load(), n.inboundDropped.Load()+dropped
+	f.Joined, f.Left = n.members.moved()
+	f.JoinAttempts, f.JoinFailures = n.joinAttempts.Load(), n.joinFailures.Load()
+	n.rejected.mu.Lock()
+	defer n.rejected.mu.Unlock()
+	refused := maps.Clone(n.rejected.counts)
 	if refused == nil {
 		refused = map[string]int64{}
 	}
@@ -49,8 +49,8 @@
 }
 
 // note keeps what only the owner knows.
-func (l *Node) note(now int64) {
-	o := &l.own
+func (n *Node) note(now int64) {
+	o := &n.own
 	f := Metrics{Isolated: o.alone, Isolations: o.times, State: o.view.Counts(), Rejected: map[string]int64{
 		"unread": o.unread, "kind": int64(o.skipped.UnknownKinds), "shape": int64(o.skipped.Malformed), "newer": int64(o.skipped.NewerVersion)}}
 	f.SuspendedServers = f.State.Suspended
@@ -60,7 +60,7 @@
 			f.OldestEntry = max(f.OldestEntry, time.Duration(now-e.ObservedAt)*time.Microsecond)
 		}
 	}
-	l.mu.Lock()
-	l.figs = f
-	l.mu.Unlock()
+	n.mu.Lock()
+	n.metrics = f
+	n.mu.Unlock()
 }
--- a/internal/cluster/transport/transport.go
+++ b/internal/cluster/transport/network.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	packetMost  = 1400        // bytes of a datagram, as sent: it passes any common link whole
-	packetRoom  = 2048        // and as read, so that a longer one is known by its length
-	packetQueue = 256         // datagrams that wait for memberlist; 350 KB at most
-	streamsMost = 8           // connections that others opened, at one time
-	headLife    = time.Second // for its label to come
+	maxDatagramBytes  = 1400        // bytes of a datagram, as sent: it passes any common link whole
+	packetRoom        = 2048        // and as read, so that a longer one is known by its length
+	packetQueue       = 256         // datagrams that wait for memberlist; 350 KB at most
+	maxInboundStreams = 8           // connections that others opened, at one time
+	headLife          = time.Second // for its label to come
 	// A datagram or a connection that waited longer in the kernel is not read: the process was stopped or starved, and
 	// what it holds is older than its ages say. The sender's probe is lost by then, and what it told is told again.
-	waitMost = 500 * time.Millisecond
+	maxKernelWait = 500 * time.Millisecond
 	// Descriptors that a link holds at most: two listeners, those that others opened and half as many of its own.
-	MaxDescriptors = 2 + streamsMost + streamsMost/2
+	MaxDescriptors = 2 + maxInboundStreams + maxInboundStreams/2
 )
 
 // Reasons why something that came was not read.
 const (
-	foreignLabel = "label"
-	tooLong      = "length"
-	tooLate      = "late"
-	tooMany      = "many"
+	rejectLabel  = "label"
+	rejectLength = "length"
+	rejectLate   = "late"
+	rejectMany   = "many"
 )
 
 // transport is memberlist's way to the network. In its stead memberlist's own would leave 64 KiB of garbage for each
 // datagram, open connections from any address, and count nothing. Labels are checked here, so that what bears another
 // fleet's is counted and goes no further.
-type transport struct {
+type network struct {
 	label   string
 	bound   *net.TCPAddr
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	refused *tally
+	refused *rejections
 	in, out atomic.Int64
 	heard   func() // something came that bears the fleet's label
 
@@ -62,7 +62,7 @@
 }
 
 // listen opens both sockets on one port, which the kernel chooses where none is given.
-func listen(addr netip.AddrPort, label string, refused *tally, heard func()) (*transport, error) {
+func listen(addr netip.AddrPort, label string, refused *rejections, heard func()) (*network, error) {
 	var last error
 	for range 8 { // a chosen port may be taken for UDP
 		l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addr))
@@ -72,7 +72,7 @@
 		bound := l.Addr().(*net.TCPAddr)
 		u, err := net.ListenUDP("udp", &net.UDPAddr{IP: bound.IP, Port: bound.Port, Zone: bound.Zone})
 		if err == nil {
-			err = stamp(u)
+			err = enableTimestamps(u)
 		}
 		if err != nil {
 			l.Close()
@@ -84,9 +84,9 @@
 			}
 			continue
 		}
-		t := &transport{label: label, bound: bound, udp: u, tcp: l, packets: make(chan *memberlist.Packet, packetQueue),
+		t := &network{label: label, bound: bound, udp: u, tcp: l, packets: make(chan *memberlist.Packet, packetQueue),
 			streams: make(chan net.Conn), refused: refused, heard: heard, stop: make(chan struct{}),
-			slots: make(chan struct{}, streamsMost), conns: map[*stream]bool{}}
+			slots: make(chan struct{}, maxInboundStreams), conns: map[*stream]bool{}}
 		t.tasks.Go(t.readPackets)
 		t.tasks.Go(t.accept)
 		return t, nil
@@ -95,7 +95,7 @@
 }
 
 // stamp has the kernel say when each datagram came.
-func stamp(c *net.UDPConn) error {
+func enableTimestamps(c *net.UDPConn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 
 // waited tells how long a datagram lay in the kernel; 0 where that is not told. A wall clock that was set meanwhile
 // costs the datagrams of that moment at most.
-func waited(oob []byte) time.Duration {
+func kernelWait(oob []byte) time.Duration {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
 		return 0
@@ -126,7 +126,7 @@
 	return 0
 }
 
-func (t *transport) readPackets() {
+func (t *network) readPackets() {
 	buf := make([]byte, packetRoom)
 	oob := make([]byte, 64)
 	for {
@@ -147,14 +147,14 @@
 		t.in.Add(int64(n))
 		body, label, err := memberlist.RemoveLabelHeaderFromPacket(buf[:n])
 		switch {
-		case n > packetMost+len(t.label)+2: // memberlist puts its label's head on a packet that is full already
-			t.refused.add(tooLong)
+		case n > maxDatagramBytes+len(t.label)+2: // memberlist puts its label's head on a packet that is full already
+			t.refused.add(rejectLength)
 			continue
 		case err != nil || label != t.label || len(body) == 0:
-			t.refused.add(foreignLabel)
+			t.refused.add(rejectLabel)
 			continue
-		case waited(oob[:oobn]) > waitMost:
-			t.refused.add(tooLate)
+		case kernelWait(oob[:oobn]) > maxKernelWait:
+			t.refused.add(rejectLate)
 			continue
 		}
 		if !t.own(from) {
@@ -164,25 +164,25 @@
 		select {
 		case t.packets <- p:
 		default:
-			t.refused.add(tooMany)
+			t.refused.add(rejectMany)
 		}
 	}
 }
 
 // own tells whether an address is this link's: a seed may name it.
-func (t *transport) own(from netip.AddrPort) bool {
+func (t *network) own(from netip.AddrPort) bool {
 	return int(from.Port()) == t.bound.Port && t.bound.IP.Equal(from.Addr().Unmap().AsSlice())
 }
 
 // pause is for a socket that fails: it must not take a core.
-func (t *transport) pause() {
+func (t *network) pause() {
 	select {
 	case <-time.After(50 * time.Millisecond):
 	case <-t.stop:
 	}
 }
 
-func (t *transport) accept() {
+func (t *network) accept() {
 	for {
 		c, err := t.tcp.AcceptTCP()
 		if err != nil {
@@ -195,7 +195,7 @@
 		select {
 		case t.slots <- struct{}{}:
 		default:
-			t.refused.add(tooMany)
+			t.refused.add(rejectMany)
 			c.Close()
 			continue
 		}
@@ -208,15 +208,15 @@
 }
 
 // greet hands a connection on once it has shown the fleet's label.
-func (t *transport) greet(c *net.TCPConn, s *stream) {
+func (t *network) greet(c *net.TCPConn, s *stream) {
 	_ = s.Conn.SetDeadline(time.Now().Add(headLife))
 	in, label, err := memberlist.RemoveLabelHeaderFromStream(s)
-	late := idle(c) > waitMost
+	late := idle(c) > maxKernelWait
 	switch {
 	case err != nil || label != t.label:
-		t.refused.add(foreignLabel)
+		t.refused.add(rejectLabel)
 	case late:
-		t.refused.add(tooLate)
+		t.refused.add(rejectLate)
 	default:
 		_ = s.Conn.SetDeadline(s.end)
 		t.heard() // the link does not join itself
@@ -245,7 +245,7 @@
 }
 
 // FinalAdvertiseAddr is the address that others are told, as memberlist was configured with it.
-func (t *transport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
+func (t *network) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	if ip == "" {
 		return t.bound.IP, t.bound.Port, nil
 	}
@@ -259,7 +259,7 @@
 	return a, port, nil
 }
 
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
+func (t *network) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return time.Time{}, err
@@ -269,12 +269,12 @@
 	return time.Now(), err
 }
 
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (t *network) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, a.Addr)
 }
 
 // DialTimeout connects from the address that the link is bound to, so that others see where a connection comes from.
-func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+func (t *network) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	d := net.Dialer{KeepAlive: -1}
@@ -299,15 +299,15 @@
 	return s, nil
 }
 
-func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+func (t *network) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
+func (t *network) PacketCh() <-chan *memberlist.Packet { return t.packets }
+func (t *network) StreamCh() <-chan net.Conn           { return t.streams }
 
 // Shutdown ends the sockets and all connections, and waits for what reads them.
-func (t *transport) Shutdown() error {
+func (t *network) Shutdown() error {
 	t.once.Do(func() {
 		close(t.stop)
 		t.udp.Close()
@@ -328,17 +328,17 @@
 }
 
 // addr is the address the link is bound to.
-func (t *transport) addr() string {
+func (t *network) addr() string {
 	return net.JoinHostPort(t.bound.IP.String(), strconv.Itoa(t.bound.Port))
 }
 
 // tally counts by reason.
-type tally struct {
+type rejections struct {
 	mu     sync.Mutex
 	counts map[string]int64
 }
 
-func (t *tally) add(reason string) {
+func (t *rejections) add(reason string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.counts == nil {
--- a/internal/cluster/transport/node.go
+++ b/internal/cluster/transport/node.go
@@ -49,13 +49,13 @@
 	reclaimAfter  = 5 * time.Second  // a dead member's name may be had from another address
 	handoff       = 256              // messages that wait within memberlist
 
-	publishEvery = 100 * time.Millisecond
-	aloneAfter   = 2 * time.Second // nobody was heard for this long; see readPackets
-	leaveWait    = 500 * time.Millisecond
-	incomingMost = 256 // messages that wait for the owner, of 1.4 KB or, from exchanges, up to stateMost
-	stateMost    = 1 << 20
-	askWait      = 250 * time.Millisecond
-	callWait     = 800 * time.Millisecond
+	snapshotInterval = 100 * time.Millisecond
+	isolationTimeout = 2 * time.Second // nobody was heard for this long; see readPackets
+	leaveWait        = 500 * time.Millisecond
+	maxInbound       = 256 // messages that wait for the owner, of 1.4 KB or, from exchanges, up to stateMost
+	maxExchangeBytes = 1 << 20
+	askWait          = 250 * time.Millisecond
+	callWait         = 800 * time.Millisecond
 )
 
 // Config is what a link is told at its start.
@@ -84,35 +84,35 @@
 
 // Link is one member of a fleet.
 type Node struct {
-	cfg     Config
-	net     *transport
-	ml      *memberlist.Memberlist
-	who     *members
-	out     *queue.Queue
-	refused tally
-	keep    *keeper // nil without a folder
-	seeds   []string
+	cfg          Config
+	network      *network
+	memberlist   *memberlist.Memberlist
+	members      *memberList
+	outbound     *queue.Queue
+	rejected     rejections
+	overrideFile *overrideFile // nil without a folder
+	seeds        []string
 
-	in     chan incoming
-	calls  chan func()
-	wake   chan struct{} // something is to be looked at before the next tick
-	hurry  chan struct{} // seeds are to be tried now
-	peers  chan Snapshot
-	done   chan struct{} // closed when the owner has ended
-	heard  atomic.Int64  // when another was last heard, by Now; 0: never
-	ticked atomic.Int64  // when the owner last looked about
-	late   atomic.Int64  // until then what comes waited while the process was stopped
-	drops  atomic.Int64  // messages for which the owner had no room
-	tried  atomic.Int64
-	failed atomic.Int64
+	inbound        chan incoming
+	ownerCalls     chan func()
+	wake           chan struct{} // something is to be looked at before the next tick
+	joinNow        chan struct{} // seeds are to be tried now
+	snapshots      chan Snapshot
+	done           chan struct{} // closed when the owner has ended
+	lastHeard      atomic.Int64  // when another was last heard, by Now; 0: never
+	lastTick       atomic.Int64  // when the owner last looked about
+	staleUntil     atomic.Int64  // until then what comes waited while the process was stopped
+	inboundDropped atomic.Int64  // messages for which the owner had no room
+	joinAttempts   atomic.Int64
+	joinFailures   atomic.Int64
 
-	mu    sync.Mutex
-	said  []state.Observation
-	fresh bool // said is to be taken
-	figs  Metrics
+	mu             sync.Mutex
+	observations   []state.Observation
+	publishPending bool // said is to be taken
+	metrics        Metrics
 
-	once sync.Once
-	own  owner // the owner's alone
+	closeOnce sync.Once
+	own       ownerState // the owner's alone
 }
 
 // incoming is a message as it came.
@@ -129,42 +129,42 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Node{cfg: cfg, in: make(chan incoming, incomingMost), calls: make(chan func()), wake: make(chan struct{}, 1),
-		hurry: make(chan struct{}, 1), peers: make(chan Snapshot, 1), done: make(chan struct{})}
-	l.own = owner{view: state.New(state.Identity{Name: cfg.Name, Zone: cfg.Zone, StartedAtMs: cfg.StartedAtMs}, state.Limits{})}
+	l := &Node{cfg: cfg, inbound: make(chan incoming, maxInbound), ownerCalls: make(chan func()), wake: make(chan struct{}, 1),
+		joinNow: make(chan struct{}, 1), snapshots: make(chan Snapshot, 1), done: make(chan struct{})}
+	l.own = ownerState{view: state.New(state.Identity{Name: cfg.Name, Zone: cfg.Zone, StartedAtMs: cfg.StartedAtMs}, state.Limits{})}
 	if cfg.StateDir != "" {
-		l.keep = newKeeper(filepath.Join(cfg.StateDir, handsFile))
+		l.overrideFile = newOverrideFile(filepath.Join(cfg.StateDir, overrideFileName))
 		if err := l.restore(); err != nil {
 			return nil, err
 		}
 	}
-	l.who = newMembers(cfg.Name, cfg.Tier, &l.refused, cfg.Logger, l.poke)
-	l.out = queue.New(func() int { return queue.TransmitCount(l.who.living()) })
-	l.ticked.Store(cfg.Now())
-	if l.net, err = listen(bind, cfg.Label, &l.refused, func() { l.heard.Store(cfg.Now()) }); err != nil {
+	l.members = newMemberList(cfg.Name, cfg.Tier, &l.rejected, cfg.Logger, l.poke)
+	l.outbound = queue.New(func() int { return queue.TransmitCount(l.members.living()) })
+	l.lastTick.Store(cfg.Now())
+	if l.network, err = listen(bind, cfg.Label, &l.rejected, func() { l.lastHeard.Store(cfg.Now()) }); err != nil {
 		return nil, err
 	}
 	for _, s := range cfg.Seeds {
-		if s != l.net.addr() && s != cfg.Advertise {
+		if s != l.network.addr() && s != cfg.Advertise {
 			l.seeds = append(l.seeds, s)
 		}
 	}
 	ml := memberlist.DefaultLANConfig()
 	ml.Name, ml.Label, ml.SkipInboundLabelCheck = cfg.Name, cfg.Label, true // the transport checks it
-	ml.Transport, ml.BindAddr, ml.BindPort = l.net, l.net.bound.IP.String(), l.net.bound.Port
+	ml.Transport, ml.BindAddr, ml.BindPort = l.network, l.network.bound.IP.String(), l.network.bound.Port
 	if advertise.IsValid() {
 		ml.AdvertiseAddr, ml.AdvertisePort = advertise.Addr().String(), int(advertise.Port())
 	}
-	ml.Logger = log.New(lines{cfg.Logger, newBudget()}, "", 0)
-	ml.Delegate, ml.Events, ml.Alive, ml.Conflict = delegate{l}, l.who, l.who, l.who
+	ml.Logger = log.New(logWriter{cfg.Logger, newLogLimiter()}, "", 0)
+	ml.Delegate, ml.Events, ml.Alive, ml.Conflict = delegate{l}, l.members, l.members, l.members
 	ml.GossipInterval, ml.GossipNodes, ml.GossipToTheDeadTime = gossipEvery, gossipTo, toTheDead
 	ml.ProbeInterval, ml.ProbeTimeout, ml.AwarenessMaxMultiplier = probeEvery, probeWait, patienceMost
-	ml.SuspicionMult, ml.SuspicionMaxTimeoutMult, ml.RetransmitMult = suspectMult, suspectMost, queue.Retransmits
+	ml.SuspicionMult, ml.SuspicionMaxTimeoutMult, ml.RetransmitMult = suspectMult, suspectMost, queue.RetransmitMultiplier
 	ml.PushPullInterval, ml.TCPTimeout, ml.DeadNodeReclaimTime = exchangeEvery, streamWait, reclaimAfter
-	ml.UDPBufferSize, ml.HandoffQueueDepth = packetMost, handoff
+	ml.UDPBufferSize, ml.HandoffQueueDepth = maxDatagramBytes, handoff
 	ml.EnableCompression = false // it takes more of a core than a loopback's or a rack's bytes are worth
-	if l.ml, err = memberlist.Create(ml); err != nil {
-		_ = l.net.Shutdown()
+	if l.memberlist, err = memberlist.Create(ml); err != nil {
+		_ = l.network.Shutdown()
 		return nil, &OpenError{cfg.Bind, err}
 	}
 	return l, nil
@@ -178,11 +178,11 @@
 
 func (cfg *Config) addresses() (bind, advertise netip.AddrPort, err error) {
 	for _, n := range []struct{ key, name string }{{"name", cfg.Name}, {"label", cfg.Label}} {
-		if n.name == "" || len(n.name) > nameMost {
+		if n.name == "" || len(n.name) > maxNameBytes {
 			return bind, advertise, &ConfigError{n.key, "missing, or over 64 bytes", "give one of 1 to 64 bytes"}
 		}
 	}
-	if len(cfg.Zone) > nameMost || len(cfg.Tier) > nameMost {
+	if len(cfg.Zone) > maxNameBytes || len(cfg.Tier) > maxNameBytes {
 		return bind, advertise, &ConfigError{"zone", "its name is over 64 bytes", "give zones shorter names"}
 	}
 	if bind, err = netip.ParseAddrPort(cfg.Bind); err != nil {
@@ -208,24 +208,24 @@
 }
 
 // Addr is the address the link is bound to.
-func (l *Node) Addr() string { return l.net.addr() }
+func (n *Node) Addr() string { return n.network.addr() }
 
 // Peers gives the newest snapshot, to one reader: at most one each publishEvery, and at once when a suspension by hand
 // comes or goes.
-func (l *Node) Snapshots() <-chan Snapshot { return l.peers }
+func (n *Node) Snapshots() <-chan Snapshot { return n.snapshots }
 
 // Say has this member say these items and no others. It never waits, and of two calls the later holds. The items are
 // the link's from then on.
-func (l *Node) Publish(items []state.Observation) {
-	l.mu.Lock()
-	l.said, l.fresh = items, true
-	l.mu.Unlock()
-	l.poke()
+func (n *Node) Publish(items []state.Observation) {
+	n.mu.Lock()
+	n.observations, n.publishPending = items, true
+	n.mu.Unlock()
+	n.poke()
 }
 
-func (l *Node) poke() {
+func (n *Node) poke() {
 	select {
-	case l.wake <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
@@ -233,18 +233,18 @@
 // Suspend suspends a server by hand at all members. It returns once that would outlive this process, where there is a
 // folder for it: the error is a *KeepError, ErrEnded or the view's, and
 // then the server stays as it was, or a *LateError.
-func (l *Node) Suspend(nodo string) error { return l.hand(nodo, true) }
+func (n *Node) Suspend(nodo string) error { return n.hand(nodo, true) }
 
 // Resume ends a suspension at all members, in the same way.
-func (l *Node) Resume(nodo string) error { return l.hand(nodo, false) }
+func (n *Node) Resume(nodo string) error { return n.hand(nodo, false) }
 
-func (l *Node) hand(nodo string, suspend bool) error {
+func (n *Node) hand(nodo string, suspend bool) error {
 	late := time.NewTimer(callWait)
 	defer late.Stop()
 	said := make(chan error, 1)
 	select {
-	case l.calls <- func() { l.setHand(nodo, suspend, said) }:
-	case <-l.done:
+	case n.ownerCalls <- func() { n.setHand(nodo, suspend, said) }:
+	case <-n.done:
 		return ErrClosed
 	case <-late.C:
 		return &NotConfirmedError{callWait}
@@ -252,7 +252,7 @@
 	select {
 	case err := <-said:
 		return err
-	case <-l.done:
+	case <-n.done:
 		return ErrClosed
 	case <-late.C:
 		return &NotConfirmedError{callWait}
@@ -260,28 +260,28 @@
 }
 
 // Run does the link's work until the context ends, then leaves the fleet.
-func (l *Node) Run(ctx context.Context) {
+func (n *Node) Run(ctx context.Context) {
 	inner, stop := context.WithCancel(ctx)
 	var tasks sync.WaitGroup
-	tasks.Go(func() { l.join(inner) })
-	if l.keep != nil {
-		tasks.Go(func() { l.keep.run(inner) })
+	tasks.Go(func() { n.join(inner) })
+	if n.overrideFile != nil {
+		tasks.Go(func() { n.overrideFile.run(inner) })
 	}
-	l.serve(ctx)
+	n.serve(ctx)
 	stop()
-	close(l.done)
-	l.Close()
+	close(n.done)
+	n.Close()
 	tasks.Wait()
 }
 
 // Close ends a link, also one that was never run.
-func (l *Node) Close() {
-	l.once.Do(func() {
-		if err := l.ml.Leave(leaveWait); err != nil {
-			l.cfg.Logger.Info("fleet: left without a word", "error", err)
+func (n *Node) Close() {
+	n.closeOnce.Do(func() {
+		if err := n.memberlist.Leave(leaveWait); err != nil {
+			n.cfg.Logger.Info("fleet: left without a word", "error", err)
 		}
-		if err := l.ml.Shutdown(); err != nil {
-			l.cfg.Logger.Warn("fleet: shutdown", "error", err)
+		if err := n.memberlist.Shutdown(); err != nil {
+			n.cfg.Logger.Warn("fleet: shutdown", "error", err)
 		}
 	})
 }
--- a/internal/cluster/transport/node_test.go
+++ b/internal/cluster/transport/node_test.go
@@ -156,13 +156,13 @@
 	}
 	eventually(t, "the counts", func() bool {
 		r := a.Metrics().Rejected
-		return r[foreignLabel] > 40 && r[tooLong] > 20 && r["member"] > 0
+		return r[rejectLabel] > 40 && r[rejectLength] > 20 && r["member"] > 0
 	})
 	eventually(t, "a bound on connections that say nothing", func() bool {
 		if conn, err := net.Dial("tcp", a.Addr()); err == nil {
 			t.Cleanup(func() { conn.Close() })
 		}
-		return a.Metrics().Rejected[tooMany] > 0
+		return a.Metrics().Rejected[rejectMany] > 0
 	})
 	if err := a.Suspend("n"); err != nil {
 		t.Fatal(err)
@@ -199,11 +199,11 @@
 	a.last = <-a.Snapshots()
 	a.until(t, "what held before", func(s Snapshot) bool { return s.Overrides["n"] && !s.Overrides["o"] })
 	a.stop()
-	if err := errors.Join(os.MkdirAll(cfg.StateDir, 0o700), os.WriteFile(a.keep.path, []byte("fleet-hands"), 0o600)); err != nil {
+	if err := errors.Join(os.MkdirAll(cfg.StateDir, 0o700), os.WriteFile(a.overrideFile.path, []byte("fleet-hands"), 0o600)); err != nil {
 		t.Fatal(err)
 	}
 	run(t, cfg)
-	if _, err := os.Stat(a.keep.path + ".damaged"); err != nil {
+	if _, err := os.Stat(a.overrideFile.path + ".damaged"); err != nil {
 		t.Errorf("a damaged file: %v", err)
 	}
 }
@@ -243,7 +243,7 @@
 	cfg := config("a")
 	cfg.Bind = "127.0.0.77:0"
 	a := run(t, cfg)
-	conn, err := a.net.DialTimeout(there.Addr().String(), patience)
+	conn, err := a.network.DialTimeout(there.Addr().String(), patience)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -255,10 +255,10 @@
 
 // Only what a living member tells, of the zone that it says it is in, is acted on.
 func TestWhoIsHeard(t *testing.T) {
-	m := newMembers("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
+	m := newMemberList("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
 	m.alive = map[string]Member{"a": {Name: "a", Zone: "north"}}
 	var got []string
-	for _, e := range m.tell([]state.Entry{{Observer: "a", ObserverZone: "north", Subject: "1"}, {Observer: "a", ObserverZone: "south", Subject: "2"},
+	for _, e := range m.ofLiveMembers([]state.Entry{{Observer: "a", ObserverZone: "north", Subject: "1"}, {Observer: "a", ObserverZone: "south", Subject: "2"},
 		{Observer: "left", ObserverZone: "north", Subject: "3"}}) {
 		got = append(got, e.Subject)
 	}
@@ -283,19 +283,19 @@
 		look  bool // the owner gets to its tick before the message
 		taken bool
 	}{
-		{0, false, true}, {publishEvery, true, true}, {waitMost, false, true}, {time.Microsecond, false, false},
-		{time.Minute, true, false}, {publishEvery / 2, true, false}, {publishEvery / 2, true, true},
+		{0, false, true}, {snapshotInterval, true, true}, {maxKernelWait, false, true}, {time.Microsecond, false, false},
+		{time.Minute, true, false}, {snapshotInterval / 2, true, false}, {snapshotInterval / 2, true, true},
 	} {
 		now.Add(step.forth.Microseconds())
 		if step.look {
-			l.look(1)
+			l.tick(1)
 		}
-		before := len(l.in)
-		if (delegate{l}).NotifyMsg([]byte{1}); (len(l.in) > before) != step.taken {
+		before := len(l.inbound)
+		if (delegate{l}).NotifyMsg([]byte{1}); (len(l.inbound) > before) != step.taken {
 			t.Errorf("%+v: taken %v", step, !step.taken)
 		}
 	}
-	if got := l.Metrics().Rejected[tooLate]; got != 3 {
+	if got := l.Metrics().Rejected[rejectLate]; got != 3 {
 		t.Errorf("%d are counted", got)
 	}
 }
@@ -307,7 +307,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := stamp(c); err != nil {
+	if err := enableTimestamps(c); err != nil {
 		t.Fatal(err)
 	}
 	sent := time.Now()
@@ -318,17 +318,17 @@
 	oob := make([]byte, 64)
 	time.Sleep(20 * time.Millisecond)
 	_, n, _, _, err := c.ReadMsgUDPAddrPort(make([]byte, 8), oob)
-	if d := waited(oob[:n]); err != nil || d < 20*time.Millisecond || d > time.Since(sent) {
+	if d := kernelWait(oob[:n]); err != nil || d < 20*time.Millisecond || d > time.Since(sent) {
 		t.Errorf("waited %v of %v, %v", d, time.Since(sent), err)
 	}
 }
 
 // Whatever a member tells of itself is safe to read, and what is read is bounded.
 func FuzzMeta(f *testing.F) {
-	f.Add(meta{protocol, "z", "t", 5}.encode(512))
+	f.Add(memberMeta{metaVersion, "z", "t", 5}.encode(512))
 	f.Add([]byte{0xa1, 0x01, 0x02})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if m, ok := readMeta(b); ok && (m.Version < protocol || len(m.Zone) > nameMost || len(m.Tier) > nameMost) {
+		if m, ok := decodeMeta(b); ok && (m.Version < metaVersion || len(m.Zone) > maxNameBytes || len(m.Tier) > maxNameBytes) {
 			t.Errorf("read %+v", m)
 		}
 	})
--- a/internal/cluster/transport/owner.go
+++ b/internal/cluster/transport/owner.go
@@ -14,7 +14,7 @@
 )
 
 // owner is the state of the one goroutine that owns the view.
-type owner struct {
+type ownerState struct {
 	view      *state.Store
 	skipped   state.Skipped
 	unread    int64 // packets that no entry could be read from
@@ -30,88 +30,88 @@
 }
 
 // serve plays what comes until the context ends.
-func (l *Node) serve(ctx context.Context) {
-	o := &l.own
+func (n *Node) serve(ctx context.Context) {
+	o := &n.own
 	o.alone, o.moved = true, true
-	tick := time.NewTicker(publishEvery)
+	tick := time.NewTicker(snapshotInterval)
 	defer tick.Stop()
-	begun := l.cfg.Now()
-	l.ticked.Store(begun)
+	begun := n.cfg.Now()
+	n.lastTick.Store(begun)
 	for {
 		select {
-		case m := <-l.in:
-			l.merge(m)
+		case m := <-n.inbound:
+			n.merge(m)
 			for range mergeAtMax {
 				select {
-				case m := <-l.in:
-					l.merge(m)
+				case m := <-n.inbound:
+					n.merge(m)
 					continue
 				default:
 				}
 				break
 			}
-		case f := <-l.calls:
+		case f := <-n.ownerCalls:
 			f()
-		case <-l.wake:
+		case <-n.wake:
 		case <-tick.C:
-			l.look(begun)
+			n.tick(begun)
 		case <-ctx.Done():
 			return
 		}
-		l.sayOwn()
-		l.publish()
+		n.sayOwn()
+		n.publish()
 	}
 }
 
 // look is what each tick does.
-func (l *Node) look(begun int64) {
-	o, now := &l.own, l.cfg.Now()
-	if now-l.ticked.Load() > waitMost.Microseconds() { // stopped, or starved: see stalled
-		l.late.Store(now + publishEvery.Microseconds())
+func (n *Node) tick(begun int64) {
+	o, now := &n.own, n.cfg.Now()
+	if now-n.lastTick.Load() > maxKernelWait.Microseconds() { // stopped, or starved: see stalled
+		n.staleUntil.Store(now + snapshotInterval.Microseconds())
 	}
-	l.ticked.Store(now)
-	l.mu.Lock()
-	l.fresh = true // what was said is renewed in time
-	l.mu.Unlock()
-	heard := l.heard.Load()
+	n.lastTick.Store(now)
+	n.mu.Lock()
+	n.publishPending = true // what was said is renewed in time
+	n.mu.Unlock()
+	heard := n.lastHeard.Load()
 	was := o.alone
-	o.alone = heard == 0 || now-heard > aloneAfter.Microseconds()
-	living, _ := l.who.count("")
-	expected := len(l.seeds) > 0 || living > 1 || heard != 0
+	o.alone = heard == 0 || now-heard > isolationTimeout.Microseconds()
+	living, _ := n.members.count("")
+	expected := len(n.seeds) > 0 || living > 1 || heard != 0
 	switch {
-	case o.alone && !o.aloneSaid && expected && now-begun > aloneAfter.Microseconds():
+	case o.alone && !o.aloneSaid && expected && now-begun > isolationTimeout.Microseconds():
 		o.aloneSaid = true
 		o.times++
-		l.cfg.Logger.Warn("fleet: nobody is heard; this proxy decides alone", "for", aloneAfter, "seeds", l.seeds)
+		n.cfg.Logger.Warn("fleet: nobody is heard; this proxy decides alone", "for", isolationTimeout, "seeds", n.seeds)
 		select {
-		case l.hurry <- struct{}{}:
+		case n.joinNow <- struct{}{}:
 		default:
 		}
 	case !o.alone && o.aloneSaid:
 		o.aloneSaid = false
-		l.cfg.Logger.Info("fleet: others are heard again", "living", living)
+		n.cfg.Logger.Info("fleet: others are heard again", "living", living)
 	}
 	if was != o.alone {
 		o.published = 0
 	}
-	l.keepHands(now)
-	l.note(now)
+	n.keepHands(now)
+	n.note(now)
 }
 
 // sayOwn takes what is to be said, if it is new or may need renewal.
-func (l *Node) sayOwn() {
-	l.mu.Lock()
-	items, fresh := l.said, l.fresh
-	l.fresh = false
-	l.mu.Unlock()
+func (n *Node) sayOwn() {
+	n.mu.Lock()
+	items, fresh := n.observations, n.publishPending
+	n.publishPending = false
+	n.mu.Unlock()
 	if fresh {
-		l.out.Add(l.own.view.Publish(l.cfg.Now(), items))
+		n.outbound.Add(n.own.view.Publish(n.cfg.Now(), items))
 	}
 }
 
 // merge takes a message in, as old as it is by now.
-func (l *Node) merge(m incoming) {
-	o := &l.own
+func (n *Node) merge(m incoming) {
+	o := &n.own
 	read := state.Decode
 	if m.state {
 		read = state.DecodeAll
@@ -124,18 +124,18 @@
 	if err != nil {
 		o.unread++
 	}
-	news := o.view.Merge(l.cfg.Now(), entries)
+	news := o.view.Merge(n.cfg.Now(), entries)
 	for i := range news {
 		if news[i].Kind == state.Override {
 			o.moved, o.unkept = true, true
 		}
 	}
-	l.out.Add(news)
+	n.outbound.Add(news)
 }
 
 // publish gives a snapshot, in the place of one that was not taken.
-func (l *Node) publish() {
-	o, now := &l.own, l.cfg.Now()
+func (n *Node) publish() {
+	o, now := &n.own, n.cfg.Now()
 	changed := false
 	if o.moved {
 		hands := map[string]bool{}
@@ -145,16 +145,16 @@
 		changed = o.hands == nil || !maps.Equal(hands, o.hands)
 		o.hands, o.moved = hands, false
 	}
-	if !changed && o.published != 0 && now-o.published < publishEvery.Microseconds() {
+	if !changed && o.published != 0 && now-o.published < snapshotInterval.Microseconds() {
 		return
 	}
 	o.published = now
-	o.others = l.who.tell(o.view.PeerEntries(now))
+	o.others = n.members.ofLiveMembers(o.view.PeerEntries(now))
 	s := Snapshot{Isolated: o.alone, PeerEntries: o.others, Overrides: o.hands}
-	s.LiveMembers, s.LiveMembersInZone = l.who.count(l.cfg.Zone)
+	s.LiveMembers, s.LiveMembersInZone = n.members.count(n.cfg.Zone)
 	select {
-	case <-l.peers:
+	case <-n.snapshots:
 	default:
 	}
-	l.peers <- s // the owner alone puts any in
+	n.snapshots <- s // the owner alone puts any in
 }
--- a/internal/cluster/transport/stream.go
+++ b/internal/cluster/transport/streams.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	streamBytes = 2 << 20          // that one connection may bring
-	streamLife  = 10 * time.Second // of a connection, whatever passes
+	maxStreamBytes = 2 << 20          // that one connection may bring
+	streamLifetime = 10 * time.Second // of a connection, whatever passes
 )
 
 // stream is a connection that is counted, bounded and ended with the link.
 type stream struct {
 	net.Conn
-	of   *transport
+	of   *network
 	left int64     // bytes that it may still bring
 	end  time.Time // no deadline goes beyond it
 	once sync.Once
@@ -23,8 +23,8 @@
 }
 
 // keep has a connection end with the link; nil once the link has ended.
-func (t *transport) keep(c net.Conn, gone func()) *stream {
-	s := &stream{Conn: c, of: t, left: streamBytes, end: time.Now().Add(streamLife), gone: gone}
+func (t *network) keep(c net.Conn, gone func()) *stream {
+	s := &stream{Conn: c, of: t, left: maxStreamBytes, end: time.Now().Add(streamLifetime), gone: gone}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ended {
@@ -38,8 +38,8 @@
 
 func (s *stream) Read(p []byte) (int, error) {
 	if s.left <= 0 {
-		s.of.refused.add(tooLong)
-		return 0, fmt.Errorf("a member sent over %d bytes", streamBytes)
+		s.of.refused.add(rejectLength)
+		return 0, fmt.Errorf("a member sent over %d bytes", maxStreamBytes)
 	}
 	n, err := s.Conn.Read(p[:min(int64(len(p)), s.left)])
 	s.left -= int64(n)
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -16,16 +16,16 @@
 
 const (
 	firstPause = time.Millisecond
-	mostPause  = 20 * time.Millisecond // a client in the system's queue waits no longer for the next call
+	maxBackoff = 20 * time.Millisecond // a client in the system's queue waits no longer for the next call
 	logEvery   = time.Second
 )
 
 // lasting are the errors that say that the listener itself is of no use; no later call succeeds.
-var lasting = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
+var permanentErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
 // Lasts tells whether an error of accept is one that no later call mends.
-func Lasts(err error) bool {
-	for _, l := range lasting {
+func IsPermanent(err error) bool {
+	for _, l := range permanentErrors {
 		if errors.Is(err, l) {
 			return true
 		}
@@ -50,7 +50,7 @@
 // Failed notes a call that failed and waits before the next one, no longer than until stop is closed. It returns nil if there
 // is to be a next one, else the error to give out: net.ErrClosed after stop.
 func (r *Retrier) Failed(err error, stop <-chan struct{}) error {
-	if Lasts(err) {
+	if IsPermanent(err) {
 		return err
 	}
 	r.failed++
@@ -58,7 +58,7 @@
 		r.log.Warn("accept failed, and is tried again", "error", err, "failed", r.failed)
 		r.logged, r.failed = time.Now(), 0
 	}
-	r.pause = min(max(2*r.pause, firstPause), mostPause)
+	r.pause = min(max(2*r.pause, firstPause), maxBackoff)
 	wait := time.NewTimer(r.pause)
 	defer wait.Stop()
 	select {
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -39,14 +39,14 @@
 		if _, err := l.Accept(); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(start); took > 20*mostPause {
+		if took := time.Since(start); took > 20*maxBackoff {
 			t.Errorf("20 failures took %v", took)
 		}
 	})
 }
 
 func TestALastingErrorIsGivenOut(t *testing.T) {
-	for _, want := range lasting {
+	for _, want := range permanentErrors {
 		l := Retry(&scripted{errs: []error{want}}, slog.New(slog.DiscardHandler))
 		if _, err := l.Accept(); !errors.Is(err, want) {
 			t.Errorf("got %v, want %v", err, want)
@@ -63,7 +63,7 @@
 		l := Retry(&scripted{errs: errs}, slog.New(slog.DiscardHandler))
 		ended := make(chan error, 1)
 		go func() { _, err := l.Accept(); ended <- err }()
-		time.Sleep(mostPause)
+		time.Sleep(maxBackoff)
 		l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) {
 			t.Errorf("got %v", err)
--- a/internal/management/management.go
+++ b/internal/management/server.go
@@ -122,8 +122,8 @@
 	listener net.Listener
 	http     *http.Server
 
-	mu    sync.Mutex
-	conns []caller // the oldest first
+	mu      sync.Mutex
+	callers []caller // the oldest first
 }
 
 type caller struct {
@@ -179,14 +179,14 @@
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		if len(s.conns) >= MaxConns {
-			i := max(0, slices.IndexFunc(s.conns, func(c caller) bool { return !c.whole }))
-			s.conns[i].Close()
-			s.conns = slices.Delete(s.conns, i, i+1)
+		if len(s.callers) >= MaxConns {
+			i := max(0, slices.IndexFunc(s.callers, func(c caller) bool { return !c.whole }))
+			s.callers[i].Close()
+			s.callers = slices.Delete(s.callers, i, i+1)
 		}
-		s.conns = append(s.conns, caller{Conn: c})
+		s.callers = append(s.callers, caller{Conn: c})
 	case http.StateClosed, http.StateHijacked:
-		s.conns = slices.DeleteFunc(s.conns, func(x caller) bool { return x.Conn == c })
+		s.callers = slices.DeleteFunc(s.callers, func(x caller) bool { return x.Conn == c })
 	}
 }
 
@@ -209,8 +209,8 @@
 			return
 		}
 		s.mu.Lock()
-		if i := slices.IndexFunc(s.conns, func(c caller) bool { return c.Conn == r.Context().Value(connKey{}) }); i >= 0 {
-			s.conns[i].whole = true
+		if i := slices.IndexFunc(s.callers, func(c caller) bool { return c.Conn == r.Context().Value(connKey{}) }); i >= 0 {
+			s.callers[i].whole = true
 		}
 		s.mu.Unlock()
 		next.ServeHTTP(w, r)
--- a/internal/management/zones.go
+++ b/internal/management/zones.go
@@ -28,7 +28,7 @@
 func (z *Zone) figure() string { return strings.ReplaceAll(url.PathEscape(z.Name), "=", "%3D") }
 
 // states are the words and numbers by which callers know standings: a word's place is its number.
-var states = [...]string{balancer.ZoneHealthy: "well", balancer.ZoneSaturated: "pressed", balancer.ZoneEvacuating: "leaving", balancer.ZoneEvacuated: "away",
+var phaseNames = [...]string{balancer.ZoneHealthy: "well", balancer.ZoneSaturated: "pressed", balancer.ZoneEvacuating: "leaving", balancer.ZoneEvacuated: "away",
 	balancer.ZoneRecovering: "returning", balancer.ZoneDrained: "drained"}
 
 func (z *Zone) encode(b *bytes.Buffer) {
@@ -40,7 +40,7 @@
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	var b bytes.Buffer
 	for _, z := range s.proxy.Zones() {
-		fmt.Fprintf(&b, "name=%s state=%v share=%.2f epoch=%d since_ms=%d reason=%q\n", z.figure(), states[z.Phase], z.WeightFraction, z.Transitions,
+		fmt.Fprintf(&b, "name=%s state=%v share=%.2f epoch=%d since_ms=%d reason=%q\n", z.figure(), phaseNames[z.Phase], z.WeightFraction, z.Transitions,
 			z.Since.Milliseconds(), z.Reason)
 	}
 	_, _ = w.Write(b.Bytes())
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -61,7 +61,7 @@
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	if conf.Service != "" {
-		follow, conf, document = begin(ctx, conf, os.Getenv, told, log)
+		follow, conf, document = startRollout(ctx, conf, os.Getenv, told, log)
 	}
 	cfg := conf.Proxy
 	cfg.Logger = log
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	r := &reloader{p: p, base: base, inForce: conf, document: document, follow: follow, env: os.Getenv, log: log}
+	r := &reloader{proxy: p, file: base, active: conf, document: document, rollout: follow, env: os.Getenv, log: log}
 	go r.run(ctx, hup, told)
 	if follow != nil {
 		var following sync.WaitGroup
@@ -90,7 +90,7 @@
 	if conf.ManagementAddress == "" {
 		return p.Run(ctx)
 	}
-	m, err := management.Listen(conf.ManagementAddress, shown{p, follow}, log)
+	m, err := management.Listen(conf.ManagementAddress, managedProxy{p, follow}, log)
 	if err != nil {
 		return err
 	}
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -37,7 +37,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		r := &reloader{p: p, base: inForce, inForce: inForce, env: env, log: slog.New(slog.DiscardHandler)}
+		r := &reloader{proxy: p, file: inForce, active: inForce, env: env, log: slog.New(slog.DiscardHandler)}
 		r.run(ctx, hup, nil)
 	}()
 	more := strings.Replace(good, `"profiles":[`, `"profiles":[{"give_up_us":8,"name":"buy","objective_us":4,`+
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -14,7 +14,7 @@
 )
 
 // reloads is what another configuration goes to.
-type reloads interface {
+type reloadTarget interface {
 	Reload(cfg proxy.Config) error
 	RecordReload(taken bool)
 }
@@ -23,11 +23,11 @@
 // if that is followed. Each part that is new, by SIGHUP or from afar, goes one way: read whole, short of nothing that is
 // in force, taken by the proxy; with any fault nothing changes. One goroutine, run's, does it.
 type reloader struct {
-	p        reloads
-	base     *config.Config  // the file, as last taken
-	inForce  *config.Config  // with the document above it
+	proxy    reloadTarget
+	file     *config.Config  // the file, as last taken
+	active   *config.Config  // with the document above it
 	document []byte          // nil: none is in force
-	follow   *rollout.Client // nil: none is followed
+	rollout  *rollout.Client // nil: none is followed
 	env      func(string) string
 	log      *slog.Logger
 }
@@ -35,7 +35,7 @@
 // delivery is a document from afar, and where to say what came of it.
 type delivery struct {
 	document []byte
-	taken    chan<- error
+	result   chan<- error
 }
 
 // run takes what comes until the context ends.
@@ -43,9 +43,9 @@
 	for {
 		select {
 		case <-hup:
-			r.file()
+			r.reloadFile()
 		case d := <-told:
-			d.taken <- r.above(d.document)
+			d.result <- r.above(d.document)
 		case <-ctx.Done():
 			return
 		}
@@ -53,74 +53,74 @@
 }
 
 // file reads the configuration file again.
-func (r *reloader) file() {
-	former := r.base.Proxy.Discovery.Members
-	next, err := config.Reload(r.env, r.base)
+func (r *reloader) reloadFile() {
+	former := r.file.Proxy.Discovery.Members
+	next, err := config.Reload(r.env, r.file)
 	if err == nil {
-		err = r.put(next, r.document)
+		err = r.apply(next, r.document)
 	}
-	r.p.RecordReload(err == nil)
+	r.proxy.RecordReload(err == nil)
 	if err != nil {
 		r.log.Error("reload: the configuration stands as it was", "error", err)
 		return
 	}
-	r.log.Info("reload", "discovery", next.Proxy.Discovery, "classes", r.inForce.Proxy.Site.Classes, "document_above", r.document != nil)
-	if r.follow != nil {
-		r.follow.RetryRejected() // a document that was refused may fit the file now
+	r.log.Info("reload", "discovery", next.Proxy.Discovery, "classes", r.active.Proxy.Site.Classes, "document_above", r.document != nil)
+	if r.rollout != nil {
+		r.rollout.RetryRejected() // a document that was refused may fit the file now
 		if to := next.Proxy.Discovery.Members; !slices.Equal(to, former) {
-			r.follow.SetMembers(to)
+			r.rollout.SetMembers(to)
 		}
 	}
 }
 
 // above puts a document above the file.
-func (r *reloader) above(document []byte) error { return r.put(r.base, document) }
+func (r *reloader) above(document []byte) error { return r.apply(r.file, document) }
 
-func (r *reloader) put(base *config.Config, document []byte) error {
+func (r *reloader) apply(base *config.Config, document []byte) error {
 	next, err := base.WithDocument(document, r.env)
 	if err != nil {
 		return err
 	}
-	if fault := next.MissingKey(r.inForce); fault != nil {
+	if fault := next.MissingKey(r.active); fault != nil {
 		return fault
 	}
-	if err := r.p.Reload(next.Proxy); err != nil {
+	if err := r.proxy.Reload(next.Proxy); err != nil {
 		return err
 	}
-	r.base, r.inForce, r.document = base, next, document
+	r.file, r.active, r.document = base, next, document
 	return nil
 }
 
 // applier has the reloader put documents in force.
-type applier struct {
-	ctx  context.Context
-	told chan<- delivery
+type documentApplier struct {
+	ctx        context.Context
+	deliveries chan<- delivery
 }
 
-var errEnds = errors.New("the proxy is at its end")
+var errStopping = errors.New("the proxy is at its end")
 
 // Apply implements rollout.Applier.
-func (a applier) Apply(_ int64, document []byte) error {
+func (a documentApplier) Apply(_ int64, document []byte) error {
 	taken := make(chan error, 1)
 	select {
-	case a.told <- delivery{document, taken}:
+	case a.deliveries <- delivery{document, taken}:
 	case <-a.ctx.Done():
-		return errEnds
+		return errStopping
 	}
 	select {
 	case err := <-taken:
 		return err
 	case <-a.ctx.Done():
-		return errEnds
+		return errStopping
 	}
 }
 
 // begin makes what follows a configuration, and puts what it kept above the file before anything is served. A file that is
 // damaged, or does not fit the configuration file, is told and not used.
-func begin(ctx context.Context, file *config.Config, env func(string) string, told chan<- delivery, log *slog.Logger) (
+func startRollout(ctx context.Context, file *config.Config, env func(string) string, told chan<- delivery, log *slog.Logger) (
 	*rollout.Client, *config.Config, []byte) {
 	c := rollout.New(rollout.Config{Service: file.Service, ProxyName: file.ProxyName, Members: file.Proxy.Discovery.Members,
-		Seed: file.Proxy.Seed, StateDir: file.Proxy.ListCacheDir, Logger: log}, applier{ctx, told})
+		Seed: file.Proxy.Seed, StateDir: file.Proxy.ListCacheDir, Logger: log}, documentApplier{ctx, told})
 	if file.Proxy.ListCacheDir == "" {
 		return c, file, nil
 	}
@@ -147,16 +147,16 @@
 }
 
 // shown is the proxy as its management address shows it.
-type shown struct {
+type managedProxy struct {
 	*proxy.Proxy
-	follow *rollout.Client
+	rollout *rollout.Client
 }
 
 // Figures implements mgmt.Proxy.
-func (s shown) Metrics() management.Metrics {
+func (s managedProxy) Metrics() management.Metrics {
 	f := s.Proxy.Metrics()
-	if s.follow != nil {
-		r := s.follow.Metrics()
+	if s.rollout != nil {
+		r := s.rollout.Metrics()
 		f.Rollout = &management.Rollout{Version: r.Version, RejectedVersion: r.RejectedVersion, Age: r.Age, Applied: r.Applied, Failures: r.Failures}
 	}
 	return f
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -52,10 +52,10 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		r := &reloader{p: p, base: file, inForce: file, env: env, log: slog.New(slog.DiscardHandler)}
+		r := &reloader{proxy: p, file: file, active: file, env: env, log: slog.New(slog.DiscardHandler)}
 		r.run(ctx, hup, told)
 	}()
-	a := applier{ctx, told}
+	a := documentApplier{ctx, told}
 	for i, c := range []struct {
 		document string // from afar, else the file
 		file     string
@@ -104,7 +104,7 @@
 	}
 	stop()
 	<-ended
-	if err := a.Apply(99, []byte(document(5))); !errors.Is(err, errEnds) {
+	if err := a.Apply(99, []byte(document(5))); !errors.Is(err, errStopping) {
 		t.Errorf("at the end: %v", err)
 	}
 }
@@ -144,7 +144,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		follow, inForce, doc := begin(t.Context(), file, env, nil, slog.New(slog.DiscardHandler))
+		follow, inForce, doc := startRollout(t.Context(), file, env, nil, slog.New(slog.DiscardHandler))
 		f := follow.Metrics()
 		if got := inForce.Proxy.Site.Balancer.MaxAttempts; got != c.attempts || f.Version != c.version || f.RejectedVersion != c.refused ||
 			(doc != nil) != (c.version != 0) {
