--- a/.ci/minimalconfig/minimalconfig.go
+++ b/.ci/minimalconfig/minimalconfig.go
@@ -1,4 +1,5 @@
-// Package tiny is the smallest configuration that a proxy starts by, and what the programs beside it ask with.
+// Package minimalconfig has the smallest configuration that a proxy starts with, and the requests that the checks in .ci
+// send to such a proxy.
 package minimalconfig
 
 import (
--- /dev/null
+++ b/docs/architecture_test.go
@@ -0,0 +1,144 @@
+// Package docs has the tests that hold pages to the code.
+package docs
+
+import (
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+const module = "merlinpick/"
+
+// layer is a row of the page's table of imports.
+type layer struct {
+	name      string
+	packages  []string // in order: each may import those before it
+	mayImport []string // names of other layers
+}
+
+// position finds a package in the row; a pattern that ends with /... holds all below it, in no order.
+func (l layer) position(pkg string) (index int, ordered, found bool) {
+	for i, p := range l.packages {
+		if tree, isTree := strings.CutSuffix(p, "/..."); isTree && strings.HasPrefix(pkg, tree+"/") {
+			return i, false, true
+		}
+		if p == pkg {
+			return i, true, true
+		}
+	}
+	return 0, false, false
+}
+
+// readLayers reads the table of ARCHITECTURE.md.
+func readLayers(t *testing.T) (layers []layer) {
+	t.Helper()
+	text, err := os.ReadFile("ARCHITECTURE.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, table, found := strings.Cut(string(text), "| row | packages, in order | may import |\n| --- | --- | --- |\n")
+	if !found {
+		t.Fatal("ARCHITECTURE.md has no table of imports")
+	}
+	quoted := regexp.MustCompile("`([^`]+)`")
+	for line := range strings.Lines(table) {
+		cells := strings.Split(strings.TrimSpace(line), "|")
+		if len(cells) != 5 {
+			break
+		}
+		l := layer{name: strings.TrimSpace(cells[1])}
+		for _, m := range quoted.FindAllStringSubmatch(cells[2], -1) {
+			l.packages = append(l.packages, m[1])
+		}
+		for name := range strings.SplitSeq(cells[3], ",") {
+			if name = strings.TrimSpace(name); name != "" {
+				l.mayImport = append(l.mayImport, name)
+			}
+		}
+		layers = append(layers, l)
+	}
+	return layers
+}
+
+// projectImports are the packages of this module that each of its packages imports, tests apart.
+func projectImports(t *testing.T) map[string][]string {
+	t.Helper()
+	imports := map[string][]string{}
+	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && path != ".." && strings.HasPrefix(entry.Name(), ".") || entry.IsDir() && entry.Name() == "testdata" {
+			return filepath.SkipDir
+		}
+		if entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+		if err != nil {
+			return err
+		}
+		pkg, err := filepath.Rel("..", filepath.Dir(path))
+		if err != nil {
+			return err
+		}
+		pkg = filepath.ToSlash(pkg)
+		if imports[pkg] == nil {
+			imports[pkg] = []string{}
+		}
+		for _, spec := range file.Imports {
+			if imported, ours := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module); ours {
+				imports[pkg] = append(imports[pkg], imported)
+			}
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return imports
+}
+
+// TestImportsFollowThePage holds the imports between packages to the table of ARCHITECTURE.md.
+func TestImportsFollowThePage(t *testing.T) {
+	layers := readLayers(t)
+	find := func(pkg string) int {
+		return slices.IndexFunc(layers, func(l layer) bool { _, _, found := l.position(pkg); return found })
+	}
+	imports := projectImports(t)
+	for pkg, imported := range imports {
+		from := find(pkg)
+		if from < 0 {
+			t.Errorf("%s stands in no row of the table", pkg)
+			continue
+		}
+		for _, other := range imported {
+			to := find(other)
+			switch {
+			case to < 0:
+				t.Errorf("%s imports %s, which stands in no row", pkg, other)
+			case from == to:
+				here, ordered, _ := layers[from].position(pkg)
+				there, _, _ := layers[from].position(other)
+				if there > here || ordered && there == here {
+					t.Errorf("%s imports %s, which stands after it in row %s", pkg, other, layers[from].name)
+				}
+			case !slices.Contains(layers[from].mayImport, layers[to].name):
+				t.Errorf("%s (row %s) imports %s (row %s), which the page does not allow", pkg, layers[from].name, other, layers[to].name)
+			}
+		}
+	}
+	for _, l := range layers {
+		for _, p := range l.packages {
+			if _, isTree := strings.CutSuffix(p, "/..."); !isTree && imports[p] == nil {
+				t.Errorf("row %s names %s, which is not there", l.name, p)
+			}
+		}
+	}
+}
--- a/internal/faultlab/byzantine/byzantine.go
+++ b/internal/faultlab/byzantine/byzantine.go
@@ -1,4 +1,4 @@
-// Package liar is a member of the proxies' gossip that says what is not so: that nodos and zones are bad which are sound.
+// Package byzantine is a member of the proxies' gossip that says what is not so: that nodos and zones are bad which are sound.
 // It joins by the program's own link, so that what it says is well formed and only wrong.
 package byzantine
 
--- a/internal/faultlab/capacity/numbers.go
+++ b/internal/faultlab/capacity/numbers.go
@@ -28,7 +28,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The roles of the page, in its order.
+// Roles are the rows of docs/CAPACITY.md, in its order.
 var Roles = []string{
 	"proxy carrying calls", "proxy following lists", "proxy as a member of a fleet", "nodo keeping its lease",
 	"list member as leader", "list member as follower", "the five machines", "links between regions",
--- a/internal/faultlab/faultdisk/faultdisk.go
+++ b/internal/faultlab/faultdisk/faultdisk.go
@@ -1,8 +1,8 @@
-// Package disk is the files of the lab: a file layer for stand-ins that forgets, at a power loss, what was not synced,
-// and the same done to a real process's files after it was killed.
+// Package faultdisk injects power loss into files: a file layer for stand-ins that loses, at a power loss, what was not
+// synced, and the same done to the files of a real process after it was killed.
 //
-// A disk promises what a sync has confirmed and no more. Of what was written since, any 512-byte block may have got
-// there or not, whatever the order of the writes: a lost block reads as zeros, or is the file's end.
+// Only what a sync confirmed is durable. Of later writes any 512-byte block may be on the disk or not, in any order: a
+// lost block reads as zeros, or is the end of the file.
 package faultdisk
 
 import (
--- a/internal/faultlab/misbehavingclient/misbehavingclient.go
+++ b/internal/faultlab/misbehavingclient/misbehavingclient.go
@@ -1,5 +1,5 @@
-// Package rude is clients that do not keep to the protocol: what they send is no whole request, or none that makes sense.
-// A proxy owes each of them an error or a close within 3 s.
+// Package misbehavingclient has clients that violate the protocol: they send incomplete or malformed requests. A proxy has to
+// answer each with an error, or close its connection, within 3 s.
 package misbehavingclient
 
 import (
--- a/internal/faultlab/sleep/wait.go
+++ b/internal/faultlab/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package wait waits.
+// Package sleep has a sleep that ends early with its context.
 package sleep
 
 import (
--- a/internal/faultlab/stubserver/stubserver.go
+++ b/internal/faultlab/stubserver/stubserver.go
@@ -1,8 +1,8 @@
-// Package nodo is the stand-in nodo: a server with slots, a queue, a limit on connections, a cold start and a load
-// under which it falls over, that speaks the platform's protocol.
+// Package stubserver is a stub of a backend server: it has slots, a queue, a limit on connections, a slow start and an
+// overload threshold, and speaks the platform's protocol.
 //
-// A nodo's work is not done but waited for: a request of w ms of work holds one of its slots for w / speed. Its time is
-// the machine's, so a late lab makes slow nodos; the run's lateness says so.
+// Work is simulated by waiting: a request of w ms of work holds one slot for w / speed, in real time. On a machine that is
+// late the stub is slow, too; the run reports its lateness.
 package stubserver
 
 import (
