--- a/internal/cluster/state/entry.go
+++ b/internal/cluster/state/entry.go
@@ -6,102 +6,47 @@
 	"unicode/utf8"
 )
 
-// Kind is what an entry tells. The zero and the numbers from kinds on are unknown here.
-type Kind uint8
-
-// The numbers are the wire's: they are never given anew.
+// Ranges of numbers that entries carry.
 const (
-	ServerUnhealthy Kind = 1 + iota // the observer's calls to a server fail
-	ServerHealthy                   // its calls to a server that others call bad are answered
-	ZoneUnhealthy                   // as seen from the observer's zone; the subject is the zone that is seen
-	ZoneHealthy
-	ServerFlap // transitions of a server's health
-	ServerLoad // a summary of load and time
-	Override   // a suspension by hand
-	kindCount
+	maxAgeMs  = 1 << 43
+	maxStamp  = 1 << 53 // of an incarnation, a start in milliseconds, a sequence number and a Lamport version
+	maxNumber = 1 << 40 // of Calls and Value; a power of two, which rounding does not exceed
 )
 
-// A term is what holds for a kind. Times are in microseconds.
-type kindRules struct {
-	name           string
-	ttl            int64 // from Made to the end, at most
-	updateInterval int64 // numbers that moved are told no sooner after what was told before
-	maxPerObserver int   // of one observer
-}
-
-var rulesByKind = [kindCount]kindRules{
-	ServerUnhealthy: {"server-bad", 3 * second, 300 * millisecond, 256},
-	ServerHealthy:   {"server-well", 3 * second, 300 * millisecond, 256},
-	ZoneUnhealthy:   {"zone-bad", 3 * second, 300 * millisecond, 32},
-	ZoneHealthy:     {"zone-well", 3 * second, second, 32}, // all tell it all the time; once bad it is another kind
-	ServerFlap:      {"server-flap", 60 * second, 0, 128},
-	ServerLoad:      {"server-load", 5 * second, 2 * second, 256}, // a round of tuning lasts 3 s
-	Override:        {"hand", resumptionTTL, 0, 0},
-}
-
-const (
-	millisecond = 1000 // microseconds
-	second      = 1000 * millisecond
-
-	maxAgeMs  = 1 << 43 // ms: 279 years
-	maxStamp  = 1 << 53 // of an Incarnation, a Start, a Seq, and a Hand's version
-	maxNumber = 1 << 40 // of Calls and Value: a power of two, which rounding does not exceed
-)
-
-// Known says whether the kind is one of this version.
-func (k Kind) Known() bool { return k > 0 && k < kindCount }
-
-// String is the kind's name in figures and logs.
-func (k Kind) String() string {
-	if !k.Known() {
-		return "unknown"
-	}
-	return rulesByKind[k].name
-}
-
-// Life is the longest life of the kind's entries, in microseconds: for a Hand, of a resumption, since a suspension
-// has no end.
-func (k Kind) TTL() int64 {
-	if !k.Known() {
-		return 0
-	}
-	return rulesByKind[k].ttl
-}
-
-// Body is what an entry says of its subject. The numbers keep 11 bits: three bytes on the wire, and a last digit that
-// moves is no news.
+// Body is the content of an entry. Numbers are rounded to 11 bits, which is three bytes on the wire and keeps noise in
+// the last digits from being published as a change.
 type Body struct {
-	Fault       uint8   // as logic counts them; unknown ones are passed on
-	SubjectZone string  // a zone's name, where the kind has a second one; else empty
-	Calls       float64 // evidence: calls in the span that the entry rests on; 0 to 2^40
-	BadFraction float64 // part of them that were bad, 0 to 1
-	Value       float64 // by kind: microseconds, a penalty; 0 to 2^40
+	Fault       uint8   // number on the wire (package adapter); unknown ones are relayed
+	SubjectZone string  // the second zone of a kind that has one; else empty
+	Calls       float64 // calls that the observation rests on, 0 to 2^40
+	BadFraction float64 // of these calls, 0 to 1
+	Value       float64 // by kind: latency in microseconds, or a flap penalty; 0 to 2^40
 }
 
-// Item is what this proxy says now.
+// Observation is what this proxy observes now.
 type Observation struct {
 	Kind           Kind
 	Subject        string // a server's or a zone's name
-	SubjectStartMs int64  // when the subject was launched, ms; 0 where it has none
+	SubjectStartMs int64  // start of the subject's process; 0 if it has none
 	Body           Body
 }
 
-// Entry is an item as one observer told it. Times without a unit are microseconds on the local clock.
+// Entry is an observation as one observer published it.
 type Entry struct {
 	Kind           Kind
-	Withdrawn      bool // withdrawn: it beats what was said before, until that would have ended; of a Hand: resumed
+	Withdrawn      bool // a tombstone of the key's previous entry until that would have expired; of an Override: resumed
 	Subject        string
-	SubjectStartMs int64  // when the subject was launched, ms
-	Observer       string // of a Hand: who acted last
-	ObserverZone   string // the observer's
-	Incarnation    int64  // the observer's start, ms; of a Hand: 0
-	Seq            uint64 // grows with all that the observer tells; of a Hand: its version
-	ObservedAt     int64  // when it was last true; an age on the wire
-	TTL            int64  // it ends at Made+Life; 0, and no end, for a suspension by hand
+	SubjectStartMs int64
+	Observer       string // of an Override: the last actor
+	ObserverZone   string
+	Incarnation    int64  // start of the observer's process in Unix milliseconds, or later; of an Override: 0
+	Seq            uint64 // sequence number in the incarnation; of an Override: the Lamport version
+	ObservedAt     int64  // when it last held, microseconds on the local clock
+	TTL            int64  // microseconds; 0 for a suspension, which does not expire
 	Body           Body
 }
 
-// End is when the entry ends; the end of time for a suspension by hand.
+// ExpiresAt returns when the entry expires in microseconds on the local clock, math.MaxInt64 for a suspension.
 func (e *Entry) ExpiresAt() int64 {
 	if e.Kind == Override && !e.Withdrawn {
 		return math.MaxInt64
@@ -109,70 +54,80 @@
 	return e.ObservedAt + e.TTL
 }
 
-// age is how old an entry is, in milliseconds, rounded up: a relayed one never gets younger.
-func ageMs(now int64, e *Entry) int64 { return max(0, (now-e.ObservedAt+millisecond-1)/millisecond) }
+// ageMs returns the entry's age in milliseconds, rounded up so that a relayed copy never gets younger.
+func ageMs(now int64, e *Entry) int64 {
+	return max(0, (now-e.ObservedAt+millisecond-1)/millisecond)
+}
 
-// compare orders what was told of one key: the greatest wins, of equal copies the oldest. Only one who tells two things
-// under one number, a twin or a forger, gets beyond Seq (a Hand: beyond Observer); the rest of this total order makes
-// even that come out alike everywhere.
+// compareVersions orders entries of one key: the greater one is kept, and of equal copies the oldest. Only entries of two
+// processes under one name, or forged ones, differ in more than (Incarnation, Seq), or for an Override (Seq, Observer);
+// the rest of the order makes all members keep the same one of these too.
 func compareVersions(a, b *Entry) int {
-	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
-		return c
+	version := cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Seq, b.Seq),
+		cmp.Compare(a.Observer, b.Observer))
+	if version != 0 {
+		return version
 	}
-	if c := cmp.Compare(a.Seq, b.Seq); c != 0 {
-		return c
+	if a.sameContent(b) {
+		return cmp.Compare(b.ObservedAt, a.ObservedAt)
 	}
-	if c := cmp.Compare(a.Observer, b.Observer); c != 0 {
-		return c
-	}
-	if !a.sameContent(b) {
-		if a.Withdrawn != b.Withdrawn {
-			if a.Withdrawn {
-				return 1
-			}
-			return -1
+	if a.Withdrawn != b.Withdrawn {
+		if a.Withdrawn {
+			return 1
 		}
-		return cmp.Or(cmp.Compare(a.SubjectStartMs, b.SubjectStartMs), cmp.Compare(a.TTL, b.TTL), cmp.Compare(a.ObserverZone, b.ObserverZone),
-			cmp.Compare(a.Body.Fault, b.Body.Fault), cmp.Compare(a.Body.SubjectZone, b.Body.SubjectZone),
-			cmp.Compare(a.Body.Calls, b.Body.Calls), cmp.Compare(a.Body.BadFraction, b.Body.BadFraction),
-			cmp.Compare(a.Body.Value, b.Body.Value))
+		return -1
 	}
-	return cmp.Compare(b.ObservedAt, a.ObservedAt)
+	return cmp.Or(cmp.Compare(a.SubjectStartMs, b.SubjectStartMs), cmp.Compare(a.TTL, b.TTL),
+		cmp.Compare(a.ObserverZone, b.ObserverZone),
+		cmp.Compare(a.Body.Fault, b.Body.Fault), cmp.Compare(a.Body.SubjectZone, b.Body.SubjectZone),
+		cmp.Compare(a.Body.Calls, b.Body.Calls), cmp.Compare(a.Body.BadFraction, b.Body.BadFraction),
+		cmp.Compare(a.Body.Value, b.Body.Value))
 }
 
-// same says whether two tellings of one number say the same.
-func (e *Entry) sameContent(o *Entry) bool {
-	return e.Withdrawn == o.Withdrawn && e.SubjectStartMs == o.SubjectStartMs && e.TTL == o.TTL && e.Body == o.Body && e.ObserverZone == o.ObserverZone
+// sameContent reports whether two entries of one version say the same.
+func (e *Entry) sameContent(other *Entry) bool {
+	return e.Withdrawn == other.Withdrawn && e.SubjectStartMs == other.SubjectStartMs && e.TTL == other.TTL &&
+		e.Body == other.Body && e.ObserverZone == other.ObserverZone
 }
 
-// number keeps 11 significant bits, so that most numbers fit a half float.
+// roundNumber keeps 11 significant bits, so that most numbers fit a half-precision float.
 func roundNumber(x float64) float64 {
-	const drop = 52 - 10
-	return math.Float64frombits((math.Float64bits(x) + 1<<(drop-1)) &^ (1<<drop - 1))
+	const droppedBits = 52 - 10
+	return math.Float64frombits((math.Float64bits(x) + 1<<(droppedBits-1)) &^ (1<<droppedBits - 1))
 }
 
-func inRange(x, most float64) bool { return x >= 0 && x <= most } // no NaN is
+// inRange is false for NaN too.
+func inRange(x, maximum float64) bool { return x >= 0 && x <= maximum }
 
-func (b *Body) valid(name int) bool {
-	return len(b.SubjectZone) <= name && utf8.ValidString(b.SubjectZone) &&
+func (b *Body) valid(maxNameBytes int) bool {
+	return len(b.SubjectZone) <= maxNameBytes && utf8.ValidString(b.SubjectZone) &&
 		inRange(b.Calls, maxNumber) && inRange(b.BadFraction, 1) && inRange(b.Value, maxNumber)
 }
 
-func validName(s string, most int) bool { return s != "" && len(s) <= most && utf8.ValidString(s) }
+func validName(name string, maxBytes int) bool {
+	return name != "" && len(name) <= maxBytes && utf8.ValidString(name)
+}
 
-// valid says whether an entry may be looked at further; its end is not part of that.
-func (e *Entry) valid(now int64, name int) bool {
-	if !e.Kind.Known() || e.ObservedAt > now || e.ObservedAt < now-maxAgeMs*millisecond ||
-		!validName(e.Subject, name) || !validName(e.Observer, name) || len(e.ObserverZone) > name || !utf8.ValidString(e.ObserverZone) || !e.Body.valid(name) ||
-		e.SubjectStartMs < 0 || e.SubjectStartMs > maxStamp || e.Incarnation < 0 || e.Incarnation > maxStamp ||
-		e.Seq == 0 || e.Seq > maxStamp {
+// valid reports whether all fields are in range; an expired entry may be valid.
+func (e *Entry) valid(now int64, maxNameBytes int) bool {
+	if !e.Kind.Known() || e.ObservedAt > now || e.ObservedAt < now-maxAgeMs*millisecond {
 		return false
 	}
-	if e.Kind == Override && (e.Incarnation != 0 || e.SubjectStartMs != 0) {
+	if !validName(e.Subject, maxNameBytes) || !validName(e.Observer, maxNameBytes) ||
+		len(e.ObserverZone) > maxNameBytes || !utf8.ValidString(e.ObserverZone) || !e.Body.valid(maxNameBytes) {
 		return false
 	}
-	if e.Kind == Override && !e.Withdrawn {
-		return e.TTL == 0
+	if e.SubjectStartMs < 0 || e.SubjectStartMs > maxStamp || e.Incarnation < 0 || e.Incarnation > maxStamp ||
+		e.Seq == 0 || e.Seq > maxStamp {
+		return false
+	}
+	if e.Kind == Override {
+		if e.Incarnation != 0 || e.SubjectStartMs != 0 {
+			return false
+		}
+		if !e.Withdrawn {
+			return e.TTL == 0
+		}
 	}
 	return e.TTL > 0 && e.TTL <= rulesByKind[e.Kind].ttl
 }
--- a/internal/cluster/state/store.go
+++ b/internal/cluster/state/store.go
@@ -1,162 +1,170 @@
-// Package view is what the proxies of a fleet know of each other, as one proxy holds it: pure state, without clock,
-// socket or goroutine. Events go in with the time, entries to spread come out. One goroutine owns a View.
+// Package state is the gossip state of one cluster member: what the proxies of a cluster observed, merged by
+// anti-entropy. It is a pure data structure without clock, socket or goroutine: callers pass the time in and send the
+// entries that come out. It never decides what is done about an observation. One goroutine owns a Store.
 //
-// Each observer tells items (Say). Each view holds, for each (observer, kind, subject), the one with the highest
-// (Incarnation, Seq), and of copies of one telling the oldest. A new incarnation of an observer takes the place of
-// all that the former one told. Each is the greatest in a total order, so merging commutes, associates and is idempotent, and
-// views that heard the same hold the same, in whatever order and however often they heard it.
+// Times are int64 microseconds on the caller's monotonic clock, unless a name ends in Ms (Unix milliseconds).
 //
-// An entry ends at Made+Life on the clock of its reader, whatever is heard after. The wire carries its age, rounded up,
-// so a relayed copy never gets younger, except by the time the packet was under way: a reader takes an entry for as
-// much younger as the sum of its hops took, and holds it for so much longer. What is still true is told anew at half
-// its life: unless packets are lost, what others know is at most half a life older than what this one said last, and
-// nothing outlives its observer by more than a life and the time under way. Numbers that moved are told within the
-// kind's pace.
+// # Merging
 //
-// What ended does not come back. A key's last entry is kept for the kind's whole life, and when it is forgotten its Seq
-// becomes the floor of that observer's kind: as Seq grows with Made, all of that kind at or under the floor was made
-// earlier and has ended too. The floor and the incarnation are kept for ten minutes after the observer's last entry.
+// Each member publishes observations (Publish). For each key of (observer, kind, subject) a Store holds the entry with the
+// highest (Incarnation, Seq), and of equal copies the oldest. A new incarnation of an observer replaces all entries of
+// the previous one. Entries of a key are totally ordered, so Merge is commutative, associative and idempotent, and
+// stores that received the same entries hold the same, whatever the order and number of deliveries.
 //
-// Suspensions by hand are one register for each server, the last writer by (Lamport version, actor): no clock takes
-// part. A suspension has no end; a resumption is kept for 24 hours, and a view that was cut off for longer than that
-// may bring an older suspension back.
+// # Expiry
 //
-// All is bounded (Limits). Over a bound the entry nearest its end goes, of the observer that told the most, so that one
-// who floods crowds out itself; own entries never go. Within the bounds no order of events matters; beyond them what
-// went is told anew at half its life.
+// An entry expires at ObservedAt+TTL on its reader's clock. The wire carries its age, rounded up, so a relayed copy
+// never gets younger except by its time in transit; a reader holds it that much longer. Observations that still hold are
+// renewed at half their TTL; changed numbers are published at most once per update interval of the kind.
+//
+// Expired entries do not come back. The last entry of a key is retained for the kind's full TTL; when it is removed, its
+// Seq becomes the sequence floor of that observer and kind. Seq grows with ObservedAt, so an entry at or below the floor
+// has expired too. Floors and incarnations are retained for ten minutes after an observer's last entry.
+//
+// # Overrides
+//
+// Operators' suspensions are one last-writer-wins register per server, ordered by (Lamport version, actor); no clock
+// takes part. A suspension does not expire. A resumption is a tombstone with a TTL of 24 hours: a member that was
+// partitioned for longer may bring an older suspension back.
+//
+// # Limits
+//
+// All state is bounded (Limits). At a limit the entry nearest its expiry is evicted, of the observer with the most
+// entries, so an observer that floods evicts its own entries; own entries are never evicted. Evicted entries come back
+// with their renewal.
 package state
 
 import "math"
 
-// Self is the proxy that holds the view.
+// Identity is the proxy that holds a Store.
 type Identity struct {
 	Name, Zone  string
-	StartedAtMs int64 // ms; must grow from one start of the process to the next
+	StartedAtMs int64 // the first incarnation; must grow from one start of the process to the next
 }
 
-// Limits bound a view. A zero is the default.
+// Limits bound a Store. Zero values stand for the defaults.
 type Limits struct {
-	Entries            int // of others, in all: 20,000
-	EntriesPerObserver int // entries of one observer, and of this one: 512
-	Observers          int // observers remembered: 1,024
-	NameBytes          int // bytes of a name: 128
-	Overrides          int // servers suspended or resumed by hand: 4,096
+	Entries            int // of all peers together; default 20,000
+	EntriesPerObserver int // of one observer, this proxy included; default 512
+	Observers          int // that are remembered; default 1,024
+	NameBytes          int // of a server, zone or observer; default 128
+	Overrides          int // servers with an override; default 4,096
+}
+
+func (l Limits) withDefaults() Limits {
+	setDefault := func(limit *int, value int) {
+		if *limit <= 0 {
+			*limit = value
+		}
+	}
+	setDefault(&l.Entries, 20_000)
+	setDefault(&l.EntriesPerObserver, 512)
+	setDefault(&l.Observers, 1024)
+	setDefault(&l.NameBytes, 128)
+	setDefault(&l.Overrides, 4096)
+	return l
 }
 
-// Counts are totals since New, and below them what is held. All that comes in by Merge is counted once among New,
-// Doubled, Late, Superseded, Foreign, Refused and Over.
+// Counts are totals since New, followed by the present sizes. Each entry given to Merge counts once among Accepted,
+// Duplicates, ExpiredOnArrival, Superseded, SelfConflicts, Invalid and DroppedAtLimit.
 type Counts struct {
-	Advertised       uint64 // own entries told since they are new or moved
-	Renewed          uint64 // own entries told again at half life
-	Withdrawn        uint64 // own entries taken back
-	Omitted          uint64 // own items not told: over a bound, doubled in one set, or not valid
-	Accepted         uint64 // entries of others that were news
+	Advertised       uint64 // own entries published because they were new or changed
+	Renewed          uint64 // own entries published again at half their TTL
+	Withdrawn        uint64 // own entries withdrawn
+	Omitted          uint64 // own observations not published: over a limit, duplicates in one set, or invalid
+	Accepted         uint64 // entries of peers that changed the state
 	Duplicates       uint64 // known already, own ones included
-	ExpiredOnArrival uint64 // ended when they came
-	Superseded       uint64 // beaten by what was known
-	SelfConflicts    uint64 // under this one's name, and not told by it: of a former life of it, or a twin's
-	Invalid          uint64 // not valid: a name, a number, an age or a life out of bounds, or a kind unknown
-	DroppedAtLimit   uint64 // not taken in, for a bound
-	Evicted          uint64 // had been taken in, and went for a bound
-	Expired          uint64 // of others, ended without having been withdrawn
+	ExpiredOnArrival uint64
+	Superseded       uint64 // older than what is held
+	SelfConflicts    uint64 // with this proxy's name but not published by it: of a previous process, or of a namesake
+	Invalid          uint64 // a name, number, age or TTL out of range, or an unknown kind
+	DroppedAtLimit   uint64 // not stored for lack of room
+	Evicted          uint64 // stored, and removed for lack of room
+	Expired          uint64 // entries of peers that expired without being withdrawn
 
 	Own       int // own entries, withdrawn ones included
-	Entries   int // of others, with those kept after their end
+	Entries   int // of peers, with those retained after their expiry
 	Observers int
-	Suspended int // by hand
-	Resumed   int // by hand, and remembered
+	Suspended int // overrides that suspend a server
+	Resumed   int // tombstones of overrides
 }
 
-// remembered is how long an observer without entries is kept, for its incarnation and its floors.
+// observerRetention is how long an observer without entries is remembered, with its incarnation and sequence floors.
 const observerRetention = 600 * second
 
-// View is what one proxy knows of the fleet.
+// Store holds what one proxy knows of its cluster.
 type Store struct {
 	identity Identity
 	limits   Limits
-	now      int64 // the latest time given: none before it counts
+	now      int64 // the latest time given; earlier ones count as this
 	counts   Counts
 
 	own                 observer
-	lastSeq             uint64        // of the last own entry
-	incarnationRaisedAt int64         // when a twin last made the own incarnation grow
-	admitted            []Observation // room for Say
+	lastSeq             uint64        // of own entries
+	incarnationRaisedAt int64         // when a namesake last made the own incarnation grow
+	admitted            []Observation // buffer of Publish
 
 	peers          []*observer // by name
-	peerEntryCount int         // that others hold
-	nextSweep      int64       // nothing of others is to be forgotten sooner
+	peerEntryCount int
+	nextSweep      int64 // no peer's entry or observer is to be removed earlier
 
-	overrides       observer // kind Hand alone
-	overrideVersion uint64   // the highest of any Hand
+	overrides       observer // entries of kind Override only
+	overrideVersion uint64   // the highest Lamport version seen
 }
 
-// New makes an empty view.
-func New(self Identity, limits Limits) *Store {
-	self.StartedAtMs = min(max(self.StartedAtMs, 0), maxStamp-1)
-	return &Store{identity: self, limits: limits.withDefaults(), incarnationRaisedAt: math.MinInt64 / 2,
-		own: observer{name: self.Name, zone: self.Zone, incarnation: self.StartedAtMs}}
+// New returns an empty Store.
+func New(identity Identity, limits Limits) *Store {
+	identity.StartedAtMs = min(max(identity.StartedAtMs, 0), maxStamp-1)
+	return &Store{identity: identity, limits: limits.withDefaults(), incarnationRaisedAt: math.MinInt64 / 2,
+		own: observer{name: identity.Name, zone: identity.Zone, incarnation: identity.StartedAtMs}}
 }
 
-func (l Limits) withDefaults() Limits {
-	or := func(n *int, value int) {
-		if *n <= 0 {
-			*n = value
-		}
-	}
-	or(&l.Entries, 20_000)
-	or(&l.EntriesPerObserver, 512)
-	or(&l.Observers, 1024)
-	or(&l.NameBytes, 128)
-	or(&l.Overrides, 4096)
-	return l
-}
-
-func (v *Store) advance(now int64) int64 {
-	v.now = max(v.now, now)
-	return v.now
+// advance moves the store's time forward, never back, and returns it.
+func (s *Store) advance(now int64) int64 {
+	s.now = max(s.now, now)
+	return s.now
 }
 
-// Known gives what others say and has neither ended nor been withdrawn, without suspensions by hand, by observer, kind
-// and subject.
-func (v *Store) PeerEntries(now int64) []Entry {
-	now = v.advance(now)
-	v.sweep(now)
-	known := make([]Entry, 0, v.peerEntryCount)
-	for _, o := range v.peers {
-		for _, e := range o.entries {
+// PeerEntries returns the live entries of peers, without withdrawn ones and overrides, by observer, kind and subject.
+func (s *Store) PeerEntries(now int64) []Entry {
+	now = s.advance(now)
+	s.sweep(now)
+	live := make([]Entry, 0, s.peerEntryCount)
+	for _, peer := range s.peers {
+		for _, e := range peer.entries {
 			if !e.Withdrawn && e.ExpiresAt() > now {
-				known = append(known, *e)
+				live = append(live, *e)
 			}
 		}
 	}
-	return known
+	return live
 }
 
-// All gives all that has not ended, own, withdrawn and by hand included, for a full exchange.
-func (v *Store) Entries(now int64) []Entry {
-	now = v.advance(now)
-	v.sweep(now)
-	all := make([]Entry, 0, len(v.own.entries)+v.peerEntryCount+len(v.overrides.entries))
-	add := func(o *observer) {
+// Entries returns all entries that have not expired, with own and withdrawn ones and overrides, for a full exchange.
+func (s *Store) Entries(now int64) []Entry {
+	now = s.advance(now)
+	s.sweep(now)
+	all := make([]Entry, 0, len(s.own.entries)+s.peerEntryCount+len(s.overrides.entries))
+	appendLive := func(o *observer) {
 		for _, e := range o.entries {
 			if e.ExpiresAt() > now {
 				all = append(all, *e)
 			}
 		}
 	}
-	add(&v.own)
-	for _, o := range v.peers {
-		add(o)
+	appendLive(&s.own)
+	for _, peer := range s.peers {
+		appendLive(peer)
 	}
-	add(&v.overrides)
+	appendLive(&s.overrides)
 	return all
 }
 
-// Counts gives totals and what is held.
-func (v *Store) Counts() Counts {
-	c := v.counts
-	c.Own, c.Entries, c.Observers = len(v.own.entries), v.peerEntryCount, len(v.peers)
-	for _, e := range v.overrides.entries {
+// Counts returns the totals since New and the present sizes.
+func (s *Store) Counts() Counts {
+	c := s.counts
+	c.Own, c.Entries, c.Observers = len(s.own.entries), s.peerEntryCount, len(s.peers)
+	for _, e := range s.overrides.entries {
 		if e.Withdrawn {
 			c.Resumed++
 		} else {
