--- a/internal/cluster/state/publish.go
+++ b/internal/cluster/state/publish.go
@@ -6,120 +6,158 @@
 	"strings"
 )
 
-// Say takes the whole set of what this proxy says now and gives what is to be spread: what is new or moved, what is
-// renewed, and what is withdrawn since it is no longer in the set. Of two items for one kind and subject the first
-// counts; over a bound those last by kind and subject are left out.
-func (v *Store) Publish(now int64, items []Observation) []Entry {
-	now = v.advance(now)
-	v.sweep(now)
-	wanted := v.admit(items)
-	var out []Entry
-	was := v.own.entries
-	v.own.entries = make([]*Entry, 0, len(wanted)+8)
-	v.own.countByKind = [kindCount]int{}
-	keep := func(e *Entry) { v.own.insert(len(v.own.entries), e) }
-	for len(was) > 0 || len(wanted) > 0 {
-		c := -1
-		switch {
-		case len(was) == 0:
-			c = 1
-		case len(wanted) > 0:
-			c = compareKey(was[0], entryKey{wanted[0].Kind, wanted[0].Subject})
-		}
-		switch {
-		case c < 0: // no longer said
-			e := was[0]
-			was = was[1:]
-			if e.ExpiresAt() <= now {
-				continue
-			}
-			if !e.Withdrawn {
-				life := withdrawalTTL(now, e)
-				e = &Entry{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs, Withdrawn: true}
-				v.stamp(now, e)
-				e.TTL = life
-				out = append(out, *e)
-				v.counts.Withdrawn++
-			}
-			keep(e)
-		case c > 0: // new
-			e := &Entry{Kind: wanted[0].Kind, Subject: wanted[0].Subject, SubjectStartMs: wanted[0].SubjectStartMs, Body: wanted[0].Body}
+// Publish replaces the set of observations that this proxy advertises and returns the entries to gossip: new and changed
+// ones, those that are due for renewal, and withdrawals of what is no longer in the set. Of two observations of one kind
+// and subject the first counts; beyond a limit the last by kind and subject are omitted.
+func (s *Store) Publish(now int64, observations []Observation) []Entry {
+	now = s.advance(now)
+	s.sweep(now)
+	wanted := s.admit(observations)
+	previous := s.own.entries
+	s.own.entries = make([]*Entry, 0, len(wanted)+8)
+	s.own.countByKind = [kindCount]int{}
+	p := publication{store: s, now: now}
+	for len(previous) > 0 || len(wanted) > 0 {
+		switch order := compareHeads(previous, wanted); {
+		case order < 0:
+			p.withdraw(previous[0])
+			previous = previous[1:]
+		case order > 0:
+			p.advertise(&wanted[0])
 			wanted = wanted[1:]
-			v.stamp(now, e)
-			out = append(out, *e)
-			v.counts.Advertised++
-			keep(e)
 		default:
-			e, it := was[0], &wanted[0]
-			was, wanted = was[1:], wanted[1:]
-			moved, due := e.needsUpdate(now, it), e.ExpiresAt()-now < rulesByKind[e.Kind].ttl/2
-			if moved || due {
-				if moved {
-					v.counts.Advertised++
-				} else {
-					v.counts.Renewed++
-				}
-				e.Withdrawn, e.SubjectStartMs, e.Body = false, it.SubjectStartMs, it.Body
-				v.stamp(now, e)
-				out = append(out, *e)
-			}
-			keep(e)
+			p.update(previous[0], &wanted[0])
+			previous, wanted = previous[1:], wanted[1:]
 		}
 	}
-	for len(v.own.entries) > v.limits.EntriesPerObserver {
-		v.own.evict(0, func(e *Entry) bool { return e.Withdrawn })
+	for len(s.own.entries) > s.limits.EntriesPerObserver {
+		s.own.evict(0, func(e *Entry) bool { return e.Withdrawn })
 	}
-	return out
+	return p.changed
+}
+
+// compareHeads orders the first elements of two lists by kind and subject; an empty list comes last.
+func compareHeads(entries []*Entry, observations []Observation) int {
+	switch {
+	case len(entries) == 0:
+		return 1
+	case len(observations) == 0:
+		return -1
+	}
+	return compareKey(entries[0], entryKey{observations[0].Kind, observations[0].Subject})
+}
+
+// publication is one call of Publish: it rebuilds the own entries in the order of their keys.
+type publication struct {
+	store   *Store
+	now     int64
+	changed []Entry // to gossip
 }
 
-// differs says whether an item is to be told anew before it is due.
-func (e *Entry) needsUpdate(now int64, it *Observation) bool {
-	if e.Withdrawn || e.ExpiresAt() <= now || e.SubjectStartMs != it.SubjectStartMs || e.Body.Fault != it.Body.Fault || e.Body.SubjectZone != it.Body.SubjectZone {
+func (p *publication) keep(e *Entry) { p.store.own.insert(len(p.store.own.entries), e) }
+
+// withdraw replaces an entry that is no longer observed by a tombstone, which is kept until it expires.
+func (p *publication) withdraw(e *Entry) {
+	if e.ExpiresAt() <= p.now {
+		return
+	}
+	if !e.Withdrawn {
+		ttl := withdrawalTTL(p.now, e)
+		e = &Entry{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs, Withdrawn: true}
+		p.store.stamp(p.now, e)
+		e.TTL = ttl
+		p.changed = append(p.changed, *e)
+		p.store.counts.Withdrawn++
+	}
+	p.keep(e)
+}
+
+// advertise adds an observation that was not published before.
+func (p *publication) advertise(o *Observation) {
+	e := &Entry{Kind: o.Kind, Subject: o.Subject, SubjectStartMs: o.SubjectStartMs, Body: o.Body}
+	p.store.stamp(p.now, e)
+	p.changed = append(p.changed, *e)
+	p.store.counts.Advertised++
+	p.keep(e)
+}
+
+// update publishes an observation again if it changed or half of its TTL has passed.
+func (p *publication) update(e *Entry, o *Observation) {
+	changed := e.needsUpdate(p.now, o)
+	due := e.ExpiresAt()-p.now < rulesByKind[e.Kind].ttl/2
+	switch {
+	case changed:
+		p.store.counts.Advertised++
+	case due:
+		p.store.counts.Renewed++
+	}
+	if changed || due {
+		e.Withdrawn, e.SubjectStartMs, e.Body = false, o.SubjectStartMs, o.Body
+		p.store.stamp(p.now, e)
+		p.changed = append(p.changed, *e)
+	}
+	p.keep(e)
+}
+
+// needsUpdate reports whether an observation is to be published before its renewal is due: at once for a change of
+// fault, zone or subject, after the kind's update interval for changed numbers.
+func (e *Entry) needsUpdate(now int64, o *Observation) bool {
+	if e.Withdrawn || e.ExpiresAt() <= now || e.SubjectStartMs != o.SubjectStartMs ||
+		e.Body.Fault != o.Body.Fault || e.Body.SubjectZone != o.Body.SubjectZone {
 		return true
 	}
-	return e.Body != it.Body && now-e.ObservedAt >= rulesByKind[e.Kind].updateInterval
+	return e.Body != o.Body && now-e.ObservedAt >= rulesByKind[e.Kind].updateInterval
 }
 
-// stamp makes an entry this proxy's latest.
-func (v *Store) stamp(now int64, e *Entry) {
-	v.lastSeq++
-	e.Observer, e.ObserverZone, e.Incarnation, e.Seq = v.identity.Name, v.identity.Zone, v.own.incarnation, v.lastSeq
+// stamp makes an entry the latest of this proxy.
+func (s *Store) stamp(now int64, e *Entry) {
+	s.lastSeq++
+	e.Observer, e.ObserverZone = s.identity.Name, s.identity.Zone
+	e.Incarnation, e.Seq = s.own.incarnation, s.lastSeq
 	e.ObservedAt, e.TTL = now, rulesByKind[e.Kind].ttl
 }
 
-// rest is the life of a withdrawal: until what it beats would have ended, in whole milliseconds as the wire has it.
+// withdrawalTTL is the TTL of a tombstone: until the withdrawn entry would have expired, in full milliseconds as the wire
+// carries it.
 func withdrawalTTL(now int64, e *Entry) int64 {
 	return min((e.ExpiresAt()-now+millisecond-1)/millisecond*millisecond, rulesByKind[e.Kind].ttl)
 }
 
-// admit gives the items that may be told, with numbers as the wire has them, by kind and subject.
-func (v *Store) admit(items []Observation) []Observation {
+// admit returns the valid observations within the limits, with rounded numbers, by kind and subject. The slice is
+// reused by the next call.
+func (s *Store) admit(observations []Observation) []Observation {
 	order := func(a, b Observation) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), strings.Compare(a.Subject, b.Subject))
 	}
-	wanted := v.admitted[:0]
-	for _, it := range items {
-		b := &it.Body
-		b.Calls, b.BadFraction, b.Value = roundNumber(b.Calls), roundNumber(b.BadFraction), roundNumber(b.Value)
-		if it.Kind.Known() && it.Kind != Override && validName(it.Subject, v.limits.NameBytes) && b.valid(v.limits.NameBytes) &&
-			it.SubjectStartMs >= 0 && it.SubjectStartMs <= maxStamp {
-			wanted = append(wanted, it)
+	admitted := s.admitted[:0]
+	for _, o := range observations {
+		body := &o.Body
+		body.Calls, body.BadFraction = roundNumber(body.Calls), roundNumber(body.BadFraction)
+		body.Value = roundNumber(body.Value)
+		if o.valid(s.limits.NameBytes) {
+			admitted = append(admitted, o)
 		}
 	}
-	if !slices.IsSortedFunc(wanted, order) {
-		slices.SortStableFunc(wanted, order)
+	if !slices.IsSortedFunc(admitted, order) {
+		slices.SortStableFunc(admitted, order)
 	}
-	v.admitted = wanted
-	var count [kindCount]int
+	s.admitted = admitted
+	var countByKind [kindCount]int
 	n := 0
-	for _, it := range wanted {
-		if n > 0 && order(wanted[n-1], it) == 0 || count[it.Kind] == rulesByKind[it.Kind].maxPerObserver || n == v.limits.EntriesPerObserver {
+	for _, o := range admitted {
+		duplicate := n > 0 && order(admitted[n-1], o) == 0
+		if duplicate || countByKind[o.Kind] == rulesByKind[o.Kind].maxPerObserver || n == s.limits.EntriesPerObserver {
 			continue
 		}
-		count[it.Kind]++
-		wanted[n] = it
+		countByKind[o.Kind]++
+		admitted[n] = o
 		n++
 	}
-	v.counts.Omitted += uint64(len(items) - n)
-	return wanted[:n]
+	s.counts.Omitted += uint64(len(observations) - n)
+	return admitted[:n]
+}
+
+func (o *Observation) valid(maxNameBytes int) bool {
+	return o.Kind.Known() && o.Kind != Override && validName(o.Subject, maxNameBytes) && o.Body.valid(maxNameBytes) &&
+		o.SubjectStartMs >= 0 && o.SubjectStartMs <= maxStamp
 }
