--- /dev/null
+++ b/internal/cluster/state/limits.go
@@ -0,0 +1,99 @@
+package state
+
+import (
+	"math"
+	"slices"
+	"strings"
+)
+
+// enforceLimits evicts entries after one was stored, and reports whether that one was kept.
+func (m *merge) enforceLimits(o *observer, stored *Entry) (kept bool) {
+	s, kept := m.store, true
+	evict := func(from *observer, kind Kind) {
+		s.peerEntryCount--
+		if from.evict(kind, nil) == stored {
+			kept = false
+		} else {
+			s.counts.Evicted++
+		}
+	}
+	maxOfKind := rulesByKind[stored.Kind].maxPerObserver
+	if o.countByKind[stored.Kind] > maxOfKind || len(o.entries) > s.limits.EntriesPerObserver {
+		s.sweepObserver(m.now, o)
+	}
+	if o.countByKind[stored.Kind] > maxOfKind {
+		evict(o, stored.Kind)
+	}
+	if len(o.entries) > s.limits.EntriesPerObserver {
+		evict(o, 0)
+	}
+	if s.peerEntryCount > s.limits.Entries && !m.swept {
+		m.swept = true
+		for _, peer := range s.peers {
+			s.sweepObserver(m.now, peer)
+		}
+	}
+	if s.peerEntryCount > s.limits.Entries {
+		largest := slices.MaxFunc(s.peers, func(a, b *observer) int { return len(a.entries) - len(b.entries) })
+		evict(largest, 0)
+	}
+	return kept
+}
+
+// findOrAddObserver returns a peer by name and adds it if need be; nil if there is no room. An observer without entries
+// that was not heard of for the longest time gives way.
+func (s *Store) findOrAddObserver(now int64, name string) *observer {
+	find := func() (int, bool) {
+		return slices.BinarySearchFunc(s.peers, name,
+			func(o *observer, name string) int { return strings.Compare(o.name, name) })
+	}
+	i, known := find()
+	if known {
+		return s.peers[i]
+	}
+	if len(s.peers) >= s.limits.Observers {
+		s.sweep(now)
+		oldest := -1
+		for j, peer := range s.peers {
+			if len(peer.entries) == 0 && (oldest < 0 || peer.lastHeard < s.peers[oldest].lastHeard) {
+				oldest = j
+			}
+		}
+		if len(s.peers) >= s.limits.Observers {
+			if oldest < 0 {
+				return nil
+			}
+			s.peers = slices.Delete(s.peers, oldest, oldest+1)
+		}
+		i, _ = find()
+	}
+	o := &observer{name: name, lastHeard: now, lastReply: now - second, nextSweep: math.MaxInt64}
+	s.peers = slices.Insert(s.peers, i, o)
+	s.nextSweep = min(s.nextSweep, now+observerRetention+1)
+	return o
+}
+
+func (s *Store) sweepObserver(now int64, o *observer) {
+	removed, expired := o.sweep(now)
+	s.peerEntryCount -= removed
+	s.counts.Expired += uint64(expired)
+}
+
+// sweep removes entries, observers and tombstones of overrides that were retained for long enough. It returns at once
+// while none can be due: it runs several times per publication.
+func (s *Store) sweep(now int64) {
+	s.overrides.sweep(now)
+	if now < s.nextSweep {
+		return
+	}
+	s.nextSweep = math.MaxInt64
+	s.peers = slices.DeleteFunc(s.peers, func(o *observer) bool {
+		s.sweepObserver(now, o)
+		if len(o.entries) > 0 {
+			s.nextSweep = min(s.nextSweep, o.nextSweep)
+			return false
+		}
+		s.nextSweep = min(s.nextSweep, o.lastHeard+observerRetention+1)
+		return now-o.lastHeard > observerRetention
+	})
+}
--- a/internal/cluster/state/merge.go
+++ b/internal/cluster/state/merge.go
@@ -1,237 +1,185 @@
 package state
 
-import (
-	"math"
-	"slices"
-	"strings"
+// mergeResult is what became of an entry that was received.
+type mergeResult int
+
+const (
+	mergeAccepted mergeResult = iota
+	mergeDuplicate
+	mergeExpired
+	mergeSuperseded
+	mergeSelfConflict
+	mergeInvalid
+	mergeDropped
 )
 
-// Merge takes entries of others and gives those that were new, to be spread on. With an entry under this proxy's name
-// that it did not tell, it gives own entries that beat it.
-func (v *Store) Merge(now int64, in []Entry) (news []Entry) {
-	now = v.advance(now)
-	var from *observer
-	swept := false
-	for i := range in {
-		e := &in[i]
-		var count *uint64
-		switch {
-		case !e.valid(now, v.limits.NameBytes):
-			count = &v.counts.Invalid
-		case e.ExpiresAt() <= now:
-			count = &v.counts.ExpiredOnArrival
-		case e.Kind == Override:
-			count = v.mergeOverride(now, e)
-		case e.Observer == v.identity.Name:
-			count, news = v.mergeSelfNamed(now, e, news)
-		default:
-			if from == nil || from.name != e.Observer {
-				if from = v.findOrAddObserver(now, e.Observer); from == nil {
-					v.counts.DroppedAtLimit++
-					continue
-				}
-			}
-			if count = v.mergeEntry(now, from, e, &swept); e.Incarnation < from.incarnation {
-				news = from.replyToOldIncarnation(now, e, news)
-			}
+func (c *Counts) add(result mergeResult) {
+	switch result {
+	case mergeAccepted:
+		c.Accepted++
+	case mergeDuplicate:
+		c.Duplicates++
+	case mergeExpired:
+		c.ExpiredOnArrival++
+	case mergeSuperseded:
+		c.Superseded++
+	case mergeSelfConflict:
+		c.SelfConflicts++
+	case mergeInvalid:
+		c.Invalid++
+	case mergeDropped:
+		c.DroppedAtLimit++
+	}
+}
+
+// Merge merges entries of peers and returns those to gossip on: the ones that changed the state, and replies to members
+// whose own state is out of date (mergeSelfNamed, replyToOldIncarnation).
+func (s *Store) Merge(now int64, entries []Entry) []Entry {
+	m := merge{store: s, now: s.advance(now)}
+	for i := range entries {
+		e := &entries[i]
+		result := m.entry(e)
+		s.counts.add(result)
+		if result == mergeAccepted {
+			m.changed = append(m.changed, *e)
 		}
-		*count++
-		if count == &v.counts.Accepted {
-			news = append(news, *e)
+	}
+	return m.changed
+}
+
+// merge is one call of Merge.
+type merge struct {
+	store   *Store
+	now     int64
+	changed []Entry   // to gossip
+	from    *observer // of the previous entry: packets group entries by observer
+	swept   bool      // all peers were swept to make room
+}
+
+func (m *merge) entry(e *Entry) mergeResult {
+	s := m.store
+	switch {
+	case !e.valid(m.now, s.limits.NameBytes):
+		return mergeInvalid
+	case e.ExpiresAt() <= m.now:
+		return mergeExpired
+	case e.Kind == Override:
+		return s.mergeOverride(m.now, e)
+	case e.Observer == s.identity.Name:
+		return m.selfNamed(e)
+	}
+	if m.from == nil || m.from.name != e.Observer {
+		if m.from = s.findOrAddObserver(m.now, e.Observer); m.from == nil {
+			return mergeDropped
 		}
 	}
-	return news
+	result := m.peerEntry(m.from, e)
+	if e.Incarnation < m.from.incarnation {
+		m.replyToOldIncarnation(m.from, e)
+	}
+	return result
 }
 
-// take merges a valid entry of an observer, and gives what it is to be counted as.
-func (v *Store) mergeEntry(now int64, o *observer, e *Entry, swept *bool) *uint64 {
+// peerEntry merges a valid entry of a peer.
+func (m *merge) peerEntry(o *observer, e *Entry) mergeResult {
+	s := m.store
 	if e.Incarnation < o.incarnation {
-		return &v.counts.Superseded
+		return mergeSuperseded
 	}
-	o.lastHeard = now
+	o.lastHeard = m.now
 	if e.Incarnation > o.incarnation {
-		v.peerEntryCount -= len(o.entries)
+		s.peerEntryCount -= len(o.entries)
 		o.reset(e.Incarnation)
 	}
 	i, known := o.find(e.Kind, e.Subject)
 	if known {
-		held := o.entries[i]
-		newer, other := e.Seq > held.Seq, !e.sameContent(held)
-		wins := compareVersions(e, held) > 0
-		if wins {
-			o.copyInterned(held, e)
-			o.nextSweep = min(o.nextSweep, held.retainedUntil()) // an older copy
-			v.nextSweep = min(v.nextSweep, o.nextSweep)
-		}
-		switch {
-		case newer, wins && other:
-			return &v.counts.Accepted
-		case e.Seq < held.Seq:
-			return &v.counts.Superseded
-		}
-		return &v.counts.Duplicates
+		return m.existing(o, o.entries[i], e)
 	}
 	if e.Seq <= o.seqFloor[e.Kind] {
-		return &v.counts.ExpiredOnArrival
+		return mergeExpired
 	}
-	kept := new(Entry)
-	o.copyInterned(kept, e)
-	o.insert(i, kept)
-	v.nextSweep = min(v.nextSweep, o.nextSweep)
-	v.peerEntryCount++
-	if v.enforceLimits(now, o, kept, swept) {
-		return &v.counts.Accepted
-	}
-	return &v.counts.DroppedAtLimit
-}
-
-// answer tells one who may have begun anew with a start before its former one, by a clock set back, of what stands
-// under its name: it has to outbid that to be heard (echo), and nobody else may hold a thing that has not ended.
-func (o *observer) replyToOldIncarnation(now int64, e *Entry, news []Entry) []Entry {
-	if now-o.lastReply < second {
-		return news
-	}
-	o.lastReply = now
-	for _, held := range o.entries {
-		if held.ExpiresAt() > now {
-			return append(news, *held)
-		}
+	stored := new(Entry)
+	o.copyInterned(stored, e)
+	o.insert(i, stored)
+	s.nextSweep = min(s.nextSweep, o.nextSweep)
+	s.peerEntryCount++
+	if m.enforceLimits(o, stored) {
+		return mergeAccepted
 	}
-	return append(news, Entry{Kind: e.Kind, Withdrawn: true, Subject: e.Subject, Observer: o.name, ObserverZone: e.ObserverZone,
-		Incarnation: o.incarnation, Seq: 1, ObservedAt: now, TTL: e.Kind.TTL()})
+	return mergeDropped
 }
 
-// fill copies an entry, with strings that are held already where they are the same.
-func (o *observer) copyInterned(to, e *Entry) {
-	subject := to.Subject
-	*to = *e
-	if subject != "" {
-		to.Subject = subject
-	}
-	to.Observer = o.name
-	if o.zone != e.ObserverZone {
-		o.zone = e.ObserverZone
-	}
-	to.ObserverZone = o.zone
+// existing merges an entry whose key is held. An older copy of the same version changes the expiry only.
+func (m *merge) existing(o *observer, held, e *Entry) mergeResult {
+	previousSeq, differs := held.Seq, !e.sameContent(held)
+	wins := compareVersions(e, held) > 0
+	if wins {
+		o.copyInterned(held, e)
+		o.nextSweep = min(o.nextSweep, held.retainedUntil())
+		m.store.nextSweep = min(m.store.nextSweep, o.nextSweep)
+	}
+	switch {
+	case e.Seq > previousSeq, wins && differs:
+		return mergeAccepted
+	case e.Seq < previousSeq:
+		return mergeSuperseded
+	}
+	return mergeDuplicate
 }
 
-// bound keeps the bounds after an entry was put in, and says whether that one stayed.
-func (v *Store) enforceLimits(now int64, o *observer, put *Entry, swept *bool) bool {
-	stays := true
-	drop := func(from *observer, kind Kind) {
-		v.peerEntryCount--
-		if from.evict(kind, nil) == put {
-			stays = false
-		} else {
-			v.counts.Evicted++
-		}
-	}
-	if o.countByKind[put.Kind] > rulesByKind[put.Kind].maxPerObserver || len(o.entries) > v.limits.EntriesPerObserver {
-		v.sweepObserver(now, o)
-	}
-	if o.countByKind[put.Kind] > rulesByKind[put.Kind].maxPerObserver {
-		drop(o, put.Kind)
-	}
-	if len(o.entries) > v.limits.EntriesPerObserver {
-		drop(o, 0)
+// replyToOldIncarnation gossips an entry of an observer's held incarnation, at most once a second. A member that
+// restarted with its clock set back learns from it which incarnation it has to exceed; nothing else would tell it once
+// its previous entries have expired.
+func (m *merge) replyToOldIncarnation(o *observer, e *Entry) {
+	if m.now-o.lastReply < second {
+		return
 	}
-	if v.peerEntryCount > v.limits.Entries && !*swept {
-		*swept = true
-		for _, from := range v.peers {
-			v.sweepObserver(now, from)
+	o.lastReply = m.now
+	for _, held := range o.entries {
+		if held.ExpiresAt() > m.now {
+			m.changed = append(m.changed, *held)
+			return
 		}
 	}
-	if v.peerEntryCount > v.limits.Entries {
-		drop(slices.MaxFunc(v.peers, func(a, b *observer) int { return len(a.entries) - len(b.entries) }), 0)
-	}
-	return stays
+	m.changed = append(m.changed, Entry{Kind: e.Kind, Withdrawn: true, Subject: e.Subject, Observer: o.name,
+		ObserverZone: e.ObserverZone, Incarnation: o.incarnation, Seq: 1, ObservedAt: m.now, TTL: e.Kind.TTL()})
 }
 
-// observer gives an observer by name, a new one if need be; nil if there is no room for it.
-func (v *Store) findOrAddObserver(now int64, name string) *observer {
-	find := func() (int, bool) {
-		return slices.BinarySearchFunc(v.peers, name, func(o *observer, name string) int { return strings.Compare(o.name, name) })
-	}
-	i, known := find()
-	if known {
-		return v.peers[i]
-	}
-	if len(v.peers) >= v.limits.Observers {
-		v.sweep(now)
-		longest := -1
-		for j, o := range v.peers {
-			if len(o.entries) == 0 && (longest < 0 || o.lastHeard < v.peers[longest].lastHeard) {
-				longest = j
-			}
+// selfNamed handles an entry under this proxy's own name. One that it did not publish comes from a previous process or
+// from a namesake: own entries of a higher incarnation replace it at all members.
+func (m *merge) selfNamed(e *Entry) mergeResult {
+	s, own := m.store, &m.store.own
+	if e.Incarnation == own.incarnation && e.Seq <= s.lastSeq {
+		return mergeDuplicate
+	}
+	if e.Incarnation >= own.incarnation {
+		// Limited in rate: two namesakes would outbid each other without end.
+		if m.now-s.incarnationRaisedAt < second || e.Incarnation >= maxStamp {
+			return mergeSelfConflict
 		}
-		if len(v.peers) >= v.limits.Observers {
-			if longest < 0 {
-				return nil
-			}
-			v.peers = slices.Delete(v.peers, longest, longest+1)
-		}
-		i, _ = find()
+		m.raiseIncarnation(e.Incarnation + 1)
 	}
-	o := &observer{name: name, lastHeard: now, lastReply: now - second, nextSweep: math.MaxInt64}
-	v.peers = slices.Insert(v.peers, i, o)
-	v.nextSweep = min(v.nextSweep, now+observerRetention+1)
-	return o
-}
-
-func (v *Store) sweepObserver(now int64, o *observer) {
-	went, ended := o.sweep(now)
-	v.peerEntryCount -= went
-	v.counts.Expired += uint64(ended)
-}
-
-// sweep forgets what has been kept for long enough: entries, observers and resumptions by hand. It looks at nothing
-// before one of them may be due: it is called several times a turn.
-func (v *Store) sweep(now int64) {
-	v.overrides.sweep(now)
-	if now < v.nextSweep {
-		return
+	if len(own.entries) == 0 {
+		tombstone := &Entry{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs, Withdrawn: true}
+		s.stamp(m.now, tombstone)
+		tombstone.TTL = withdrawalTTL(m.now, e)
+		own.insert(0, tombstone)
+		m.changed = append(m.changed, *tombstone)
 	}
-	v.nextSweep = math.MaxInt64
-	v.peers = slices.DeleteFunc(v.peers, func(o *observer) bool {
-		v.sweepObserver(now, o)
-		if len(o.entries) > 0 {
-			v.nextSweep = min(v.nextSweep, o.nextSweep)
-			return false
-		}
-		v.nextSweep = min(v.nextSweep, o.lastHeard+observerRetention+1)
-		return now-o.lastHeard > observerRetention
-	})
+	return mergeSelfConflict
 }
 
-// echo takes an entry under this proxy's own name. One that it told is no news. Any other is of a former life of this
-// proxy, or a twin's: own entries of a higher incarnation drive it out wherever they come.
-func (v *Store) mergeSelfNamed(now int64, e *Entry, news []Entry) (*uint64, []Entry) {
-	o := &v.own
-	if e.Incarnation == o.incarnation && e.Seq <= v.lastSeq {
-		return &v.counts.Duplicates, news
-	}
-	if e.Incarnation >= o.incarnation {
-		// Two that live under one name would answer each other without end.
-		if now-v.incarnationRaisedAt < second || e.Incarnation >= maxStamp {
-			return &v.counts.SelfConflicts, news
+// raiseIncarnation publishes all live own entries under a new incarnation.
+func (m *merge) raiseIncarnation(incarnation int64) {
+	s, own := m.store, &m.store.own
+	s.incarnationRaisedAt = m.now
+	previous := own.entries
+	own.reset(incarnation)
+	for _, e := range previous {
+		if !e.Withdrawn && e.ExpiresAt() > m.now {
+			s.stamp(m.now, e)
+			own.insert(len(own.entries), e)
+			m.changed = append(m.changed, *e)
 		}
-		v.incarnationRaisedAt = now
-		live := o.entries
-		o.reset(e.Incarnation + 1)
-		for _, own := range live {
-			if !own.Withdrawn && own.ExpiresAt() > now {
-				v.stamp(now, own)
-				o.insert(len(o.entries), own)
-				news = append(news, *own)
-			}
-		}
-	}
-	if len(o.entries) == 0 {
-		gone := &Entry{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs, Withdrawn: true}
-		v.stamp(now, gone)
-		gone.TTL = withdrawalTTL(now, e)
-		o.insert(0, gone)
-		news = append(news, *gone)
 	}
-	return &v.counts.SelfConflicts, news
 }
--- a/internal/cluster/state/observer.go
+++ b/internal/cluster/state/observer.go
@@ -7,28 +7,29 @@
 	"strings"
 )
 
-// An observer is what one proxy told.
+// observer holds the entries that one proxy published.
 type observer struct {
 	name, zone  string
 	incarnation int64
-	entries     []*Entry // by kind and subject; kept for the kind's life, whether withdrawn or not
+	entries     []*Entry // by kind and subject; retained for the kind's TTL, withdrawn or not
 	countByKind [kindCount]int
-	seqFloor    [kindCount]uint64 // the highest Seq forgotten: none at or under it is taken in as new
-	nextSweep   int64             // nothing that is held is to be forgotten sooner
+	seqFloor    [kindCount]uint64 // the highest Seq removed: entries at or below it are not stored
+	nextSweep   int64             // no entry is to be removed earlier
 	lastHeard   int64
-	lastReply   int64 // when last by answer
+	lastReply   int64 // see replyToOldIncarnation
 }
 
+// entryKey identifies an entry of one observer.
 type entryKey struct {
 	kind    Kind
 	subject string
 }
 
-func compareKey(e *Entry, k entryKey) int {
-	if e.Kind != k.kind {
-		return cmp.Compare(e.Kind, k.kind)
+func compareKey(e *Entry, key entryKey) int {
+	if e.Kind != key.kind {
+		return cmp.Compare(e.Kind, key.kind)
 	}
-	return strings.Compare(e.Subject, k.subject)
+	return strings.Compare(e.Subject, key.subject)
 }
 
 func (o *observer) find(kind Kind, subject string) (int, bool) {
@@ -41,7 +42,7 @@
 	o.nextSweep = min(o.nextSweep, e.retainedUntil())
 }
 
-// kept is until when an entry is kept: all that its observer told of the kind before it has ended by then.
+// retainedUntil returns when an entry may be removed: all earlier entries of its observer and kind have expired by then.
 func (e *Entry) retainedUntil() int64 {
 	if e.Kind == Override {
 		return e.ExpiresAt()
@@ -49,26 +50,41 @@
 	return e.ObservedAt + rulesByKind[e.Kind].ttl
 }
 
+// recordRemoval updates counts and the sequence floor for an entry that is removed.
 func (o *observer) recordRemoval(e *Entry) {
 	o.countByKind[e.Kind]--
 	o.seqFloor[e.Kind] = max(o.seqFloor[e.Kind], e.Seq)
 }
 
-// sweep forgets what has been kept for long enough, and gives how many went and how many of these were not withdrawn. It
-// looks at the entries only if one may be due.
-func (o *observer) sweep(now int64) (went, ended int) {
+// copyInterned copies an entry and shares strings that are stored already, to save memory.
+func (o *observer) copyInterned(to, e *Entry) {
+	subject := to.Subject
+	*to = *e
+	if subject != "" {
+		to.Subject = subject
+	}
+	to.Observer = o.name
+	if o.zone != e.ObserverZone {
+		o.zone = e.ObserverZone
+	}
+	to.ObserverZone = o.zone
+}
+
+// sweep removes entries past their retention, and returns how many were removed and how many of these were not
+// withdrawn. It returns at once while none can be due.
+func (o *observer) sweep(now int64) (removed, expired int) {
 	if now < o.nextSweep {
 		return 0, 0
 	}
-	n := len(o.entries)
+	before := len(o.entries)
 	o.nextSweep = math.MaxInt64
 	o.entries = slices.DeleteFunc(o.entries, func(e *Entry) bool {
-		if kept := e.retainedUntil(); kept > now {
-			o.nextSweep = min(o.nextSweep, kept)
+		if until := e.retainedUntil(); until > now {
+			o.nextSweep = min(o.nextSweep, until)
 			return false
 		}
 		if !e.Withdrawn {
-			ended++
+			expired++
 		}
 		o.recordRemoval(e)
 		return true
@@ -76,31 +92,32 @@
 	if len(o.entries) == 0 {
 		o.entries = nil
 	}
-	return n - len(o.entries), ended
+	return before - len(o.entries), expired
 }
 
-// evict forgets the entry nearest its end, of a kind or (0) of any, and of those that pass, and gives it; nil if there
-// is none.
-func (o *observer) evict(kind Kind, pass func(*Entry) bool) *Entry {
-	at := -1
+// evict removes and returns the entry that is nearest the end of its retention, among those of a kind (0: any) that
+// match (nil: all); nil if there is none.
+func (o *observer) evict(kind Kind, match func(*Entry) bool) *Entry {
+	victim := -1
 	for i, e := range o.entries {
-		if (kind != 0 && e.Kind != kind) || (pass != nil && !pass(e)) {
+		if (kind != 0 && e.Kind != kind) || (match != nil && !match(e)) {
 			continue
 		}
-		if at < 0 || cmp.Or(cmp.Compare(e.retainedUntil(), o.entries[at].retainedUntil()), cmp.Compare(e.Seq, o.entries[at].Seq)) < 0 {
-			at = i
+		if victim < 0 || cmp.Or(cmp.Compare(e.retainedUntil(), o.entries[victim].retainedUntil()),
+			cmp.Compare(e.Seq, o.entries[victim].Seq)) < 0 {
+			victim = i
 		}
 	}
-	if at < 0 {
+	if victim < 0 {
 		return nil
 	}
-	e := o.entries[at]
-	o.entries = slices.Delete(o.entries, at, at+1)
+	e := o.entries[victim]
+	o.entries = slices.Delete(o.entries, victim, victim+1)
 	o.recordRemoval(e)
 	return e
 }
 
-// reset forgets all that a former incarnation told.
+// reset removes all entries and sequence floors of a previous incarnation.
 func (o *observer) reset(incarnation int64) {
 	*o = observer{name: o.name, zone: o.zone, incarnation: incarnation, lastHeard: o.lastHeard, lastReply: o.lastReply,
 		nextSweep: math.MaxInt64}
--- a/internal/cluster/state/override.go
+++ b/internal/cluster/state/override.go
@@ -7,111 +7,129 @@
 
 const resumptionTTL = 24 * 3600 * second
 
-// HandRecord is a server's state by hand, as it is kept over a restart.
+// OverrideRecord is an operator's override as it is stored over a restart.
 type OverrideRecord struct {
 	Subject   string `json:"subject"`
 	Suspended bool   `json:"suspended"`
-	Version   uint64 `json:"version"`
-	Actor     string `json:"actor"`
-	AgeMs     int64  `json:"age_ms"` // since the change; the caller adds the time that it was down
+	Version   uint64 `json:"version"` // Lamport version
+	Actor     string `json:"actor"`   // the member that set it
+	AgeMs     int64  `json:"age_ms"`  // since it was set; the caller adds the time that the process was down
 }
 
-// FullError is a suspension that there is no room for, as all that is kept holds.
+// LimitError reports a suspension that was rejected because all overrides that are stored are suspensions.
 type LimitError struct {
 	Subject string
-	Max     int
+	Max     int // servers
 }
 
+// Error implements error.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("suspend %q: %d servers are suspended by hand, and no more are kept: resume some first",
-		e.Subject, e.Max)
+	return fmt.Sprintf("suspend %q: the limit of %d suspended servers is reached: resume some first", e.Subject, e.Max)
 }
 
-// NameError is a name that no entry may carry.
+// NameError reports a name that no entry can carry.
 type NameError struct {
 	Name     string
 	MaxBytes int
 }
 
+// Error implements error.
 func (e *NameError) Error() string {
-	return fmt.Sprintf("name %.40q: give one of 1 to %d bytes in UTF-8", e.Name, e.MaxBytes)
+	return fmt.Sprintf("name %.40q: use 1 to %d bytes of UTF-8", e.Name, e.MaxBytes)
 }
 
-// Suspend suspends a server by hand for the whole fleet, and gives what is to be spread: nothing if it is suspended
-// already. The error is a *NameError or a *FullError.
-func (v *Store) Suspend(now int64, nodo string) ([]Entry, error) {
-	return v.setOverride(now, nodo, true)
+// Suspend suspends a server for the whole cluster and returns the entries to gossip, none if it is suspended already. The
+// error is a *NameError or a *LimitError.
+func (s *Store) Suspend(now int64, server string) ([]Entry, error) {
+	return s.setOverride(now, server, true)
 }
 
-// Resume ends a suspension. It gives nothing for a server that is not suspended as far as is known here. The error is
-// a *NameError.
-func (v *Store) Resume(now int64, nodo string) ([]Entry, error) {
-	return v.setOverride(now, nodo, false)
+// Resume ends a suspension and returns the entries to gossip, none if the server is not suspended. The error is a
+// *NameError.
+func (s *Store) Resume(now int64, server string) ([]Entry, error) {
+	return s.setOverride(now, server, false)
 }
 
-func (v *Store) setOverride(now int64, nodo string, suspend bool) ([]Entry, error) {
-	now = v.advance(now)
-	if !validName(nodo, v.limits.NameBytes) {
-		return nil, &NameError{nodo, v.limits.NameBytes}
+func (s *Store) setOverride(now int64, server string, suspend bool) ([]Entry, error) {
+	now = s.advance(now)
+	if !validName(server, s.limits.NameBytes) {
+		return nil, &NameError{server, s.limits.NameBytes}
 	}
-	if i, known := v.overrides.find(Override, nodo); suspend == (known && !v.overrides.entries[i].Withdrawn) {
+	if i, known := s.overrides.find(Override, server); suspend == (known && !s.overrides.entries[i].Withdrawn) {
 		return nil, nil
 	}
-	e := Entry{Kind: Override, Subject: nodo, Withdrawn: !suspend, Observer: v.identity.Name, Seq: min(v.overrideVersion+1, maxStamp), ObservedAt: now}
+	e := newOverride(server, suspend)
+	e.Observer, e.Seq, e.ObservedAt = s.identity.Name, min(s.overrideVersion+1, maxStamp), now
+	if s.mergeOverride(now, &e) == mergeDropped {
+		return nil, &LimitError{server, s.limits.Overrides}
+	}
+	return []Entry{e}, nil
+}
+
+func newOverride(server string, suspend bool) Entry {
+	e := Entry{Kind: Override, Subject: server, Withdrawn: !suspend}
 	if e.Withdrawn {
 		e.TTL = resumptionTTL
 	}
-	if v.mergeOverride(now, &e) == &v.counts.DroppedAtLimit {
-		return nil, &LimitError{nodo, v.limits.Overrides}
+	return e
+}
+
+// mergeOverride merges a valid override: the register's last writer wins.
+func (s *Store) mergeOverride(now int64, e *Entry) mergeResult {
+	s.overrideVersion = max(s.overrideVersion, e.Seq)
+	i, known := s.overrides.find(Override, e.Subject)
+	if !known {
+		return s.addOverride(now, i, e)
 	}
-	return []Entry{e}, nil
+	held := s.overrides.entries[i]
+	same := e.Seq == held.Seq && e.Observer == held.Observer && e.sameContent(held)
+	wins := compareVersions(e, held) > 0
+	switch {
+	case same && wins: // an older copy
+		held.ObservedAt = e.ObservedAt
+	case wins:
+		*held = *e
+	}
+	if wins {
+		s.overrides.nextSweep = min(s.overrides.nextSweep, held.retainedUntil())
+	}
+	switch {
+	case same:
+		return mergeDuplicate
+	case wins:
+		return mergeAccepted
+	}
+	return mergeSuperseded
 }
 
-// mergeHand merges a valid Hand, and gives what it is to be counted as.
-func (v *Store) mergeOverride(now int64, e *Entry) *uint64 {
-	v.overrideVersion = max(v.overrideVersion, e.Seq)
-	i, known := v.overrides.find(Override, e.Subject)
-	if known {
-		held := v.overrides.entries[i]
-		same := e.Seq == held.Seq && e.Observer == held.Observer && e.sameContent(held)
-		switch wins := compareVersions(e, held) > 0; {
-		case same && wins:
-			held.ObservedAt = e.ObservedAt
-			v.overrides.nextSweep = min(v.overrides.nextSweep, held.retainedUntil())
-			return &v.counts.Duplicates
-		case wins:
-			*held = *e
-			v.overrides.nextSweep = min(v.overrides.nextSweep, held.retainedUntil())
-			return &v.counts.Accepted
-		case same:
-			return &v.counts.Duplicates
-		}
-		return &v.counts.Superseded
-	}
-	kept := new(*e)
-	v.overrides.insert(i, kept)
-	if len(v.overrides.entries) > v.limits.Overrides {
-		v.overrides.sweep(now)
-	}
-	if len(v.overrides.entries) > v.limits.Overrides {
-		oldest := v.overrides.evict(0, func(e *Entry) bool { return e.Withdrawn })
-		if oldest == nil {
-			i, _ = v.overrides.find(Override, e.Subject)
-			v.overrides.entries = slices.Delete(v.overrides.entries, i, i+1)
-		}
-		if oldest == nil || oldest == kept {
-			return &v.counts.DroppedAtLimit
-		}
-		v.counts.Evicted++
+// addOverride inserts an override of a server that had none. At the limit the oldest tombstone is evicted; suspensions
+// never are.
+func (s *Store) addOverride(now int64, at int, e *Entry) mergeResult {
+	stored := new(*e)
+	s.overrides.insert(at, stored)
+	if len(s.overrides.entries) > s.limits.Overrides {
+		s.overrides.sweep(now)
+	}
+	if len(s.overrides.entries) <= s.limits.Overrides {
+		return mergeAccepted
+	}
+	oldest := s.overrides.evict(0, func(e *Entry) bool { return e.Withdrawn })
+	if oldest == nil {
+		at, _ = s.overrides.find(Override, e.Subject)
+		s.overrides.entries = slices.Delete(s.overrides.entries, at, at+1)
+	}
+	if oldest == nil || oldest == stored {
+		return mergeDropped
 	}
-	return &v.counts.Accepted
+	s.counts.Evicted++
+	return mergeAccepted
 }
 
-// Hand gives the servers that are suspended by hand.
-func (v *Store) SuspendedServers(now int64) map[string]bool {
-	v.advance(now)
+// SuspendedServers returns the servers that are suspended by an override.
+func (s *Store) SuspendedServers(now int64) map[string]bool {
+	s.advance(now)
 	suspended := make(map[string]bool)
-	for _, e := range v.overrides.entries {
+	for _, e := range s.overrides.entries {
 		if !e.Withdrawn {
 			suspended[e.Subject] = true
 		}
@@ -119,33 +137,33 @@
 	return suspended
 }
 
-// Hands gives all that is known by hand, resumptions included, by subject.
-func (v *Store) OverrideRecords(now int64) []OverrideRecord {
-	now = v.advance(now)
-	v.overrides.sweep(now)
-	records := make([]OverrideRecord, 0, len(v.overrides.entries))
-	for _, e := range v.overrides.entries {
+// OverrideRecords returns all overrides, tombstones included, by server.
+func (s *Store) OverrideRecords(now int64) []OverrideRecord {
+	now = s.advance(now)
+	s.overrides.sweep(now)
+	records := make([]OverrideRecord, 0, len(s.overrides.entries))
+	for _, e := range s.overrides.entries {
 		records = append(records, OverrideRecord{e.Subject, !e.Withdrawn, e.Seq, e.Observer, ageMs(now, e)})
 	}
 	return records
 }
 
-// Restore takes in what Hands gave, and gives how many records were not taken in, as not valid, ended or over the bound.
-func (v *Store) RestoreOverrides(now int64, records []OverrideRecord) (refused int) {
-	now = v.advance(now)
+// RestoreOverrides merges stored records and returns how many were rejected: invalid, expired or over the limit.
+func (s *Store) RestoreOverrides(now int64, records []OverrideRecord) (rejected int) {
+	now = s.advance(now)
 	for _, r := range records {
-		e := Entry{Kind: Override, Subject: r.Subject, Withdrawn: !r.Suspended, Observer: r.Actor, Seq: r.Version}
-		if e.Withdrawn {
-			e.TTL = resumptionTTL
-		}
-		ok := r.AgeMs >= 0 && r.AgeMs <= maxAgeMs
-		if ok {
-			e.ObservedAt = now - r.AgeMs*millisecond
-			ok = e.valid(now, v.limits.NameBytes) && e.ExpiresAt() > now && v.mergeOverride(now, &e) != &v.counts.DroppedAtLimit
-		}
-		if !ok {
-			refused++
+		if !s.restoreOverride(now, &r) {
+			rejected++
 		}
 	}
-	return refused
+	return rejected
+}
+
+func (s *Store) restoreOverride(now int64, r *OverrideRecord) bool {
+	if r.AgeMs < 0 || r.AgeMs > maxAgeMs {
+		return false
+	}
+	e := newOverride(r.Subject, r.Suspended)
+	e.Observer, e.Seq, e.ObservedAt = r.Actor, r.Version, now-r.AgeMs*millisecond
+	return e.valid(now, s.limits.NameBytes) && e.ExpiresAt() > now && s.mergeOverride(now, &e) != mergeDropped
 }
