--- a/internal/cluster/queue/queue.go
+++ b/internal/cluster/queue/queue.go
@@ -1,4 +1,5 @@
-// Package queue holds what a member of a fleet passes on, in the order in which it goes out.
+// Package queue orders the entries that a cluster member gossips: which go into the next datagram, and how often each is
+// sent. It never changes an entry and opens no socket.
 package queue
 
 import (
@@ -12,68 +13,83 @@
 )
 
 const (
-	MaxEntries = 1024 // entries that wait to be passed on
-	eachTime   = 64   // that are looked at for one datagram: more than fit
-	degree     = 32   // of the tree
+	// MaxEntries is how many entries may wait.
+	MaxEntries = 1024
+	// RetransmitMultiplier is how often an entry is sent per digit of the number of members.
+	RetransmitMultiplier = 4
+
+	maxPerPacket = 64 // entries considered for one datagram: more than fit
+	btreeDegree  = 32
 )
 
-// Queue holds the entries that are to be passed on, each a number of times that grows with the logarithm of the fleet.
-// Memberlist's own queue holds bytes; here an entry is encoded as it is sent, so that its age is right however long
-// it waited, and one that has ended or was overtaken meanwhile is not sent.
-//
-// Datagrams go out 30 times a second and more, so what waits is kept in order: sorting it anew for each took six
-// times as long at the bound (BenchmarkFull).
+// TransmitCount returns how often a member gossips an entry in a cluster of that size. Each transmission goes to another
+// member, so that 4*log10(members+1) by all who hold the entry miss fewer than one member in a thousand, at 30 % packet
+// loss too.
+func TransmitCount(members int) int {
+	return RetransmitMultiplier * int(math.Ceil(math.Log10(float64(members+1))))
+}
+
+// Queue holds the entries that wait to be gossiped. Unlike memberlist's own queue it holds entries and not bytes: they
+// are encoded when they are sent, so that their ages are right however long they waited, and expired or replaced ones are
+// not sent. Entries are kept sorted, as datagrams go out some 30 times a second. It is safe for concurrent use.
 type Queue struct {
-	times func() int // that each is sent
+	transmitCount func() int // transmissions of each entry
 
 	mu      sync.Mutex
-	waiting map[key]*queued
-	order   *btree.BTreeG[*queued] // the same, by who goes first
-	turn    uint64
+	byKey   map[entryKey]*queuedEntry
+	ordered *btree.BTreeG[*queuedEntry] // the same, by compareTurns
+	added   uint64                      // entries ever added
 	dropped int64
 	sent    int64
 }
 
-type key struct {
+type entryKey struct {
 	kind              state.Kind
 	subject, observer string
 }
 
-type queued struct {
-	entry state.Entry
-	sent  int
-	turn  uint64
+type queuedEntry struct {
+	entry         state.Entry
+	transmissions int
+	addedAs       uint64 // grows with each entry that is added
 }
 
-// New makes an empty queue of entries that are sent so many times each.
-func New(times func() int) *Queue {
-	return &Queue{times: times, waiting: map[key]*queued{},
-		order: btree.NewG(degree, func(a, b *queued) bool { return first(a, b) < 0 })}
+// New returns an empty queue. It asks transmitCount, with each packet, how often an entry is to be sent.
+func New(transmitCount func() int) *Queue {
+	return &Queue{transmitCount: transmitCount, byKey: map[entryKey]*queuedEntry{},
+		ordered: btree.NewG(btreeDegree, func(a, b *queuedEntry) bool { return compareTurns(a, b) < 0 })}
 }
 
-func keyOf(e *state.Entry) key {
-	if e.Kind == state.Override { // one register a subject, whoever acted
-		return key{e.Kind, e.Subject, ""}
+func keyOf(e *state.Entry) entryKey {
+	if e.Kind == state.Override { // one register per server, whoever set it
+		return entryKey{e.Kind, e.Subject, ""}
 	}
-	return key{e.Kind, e.Subject, e.Observer}
+	return entryKey{e.Kind, e.Subject, e.Observer}
 }
 
-// ahead is how often an entry of a less urgent kind has to wait for one that was sent already: in a large fleet what all
-// find well would fill the datagrams by itself.
-const ahead = 3
-
-// urgency is 0 for what people asked for, 1 for what is bad or changed, 2 for what is well, 3 for summaries.
-var urgency = [...]int{state.ServerUnhealthy: 1, state.ZoneUnhealthy: 1, state.ServerFlap: 1, state.ServerHealthy: 2, state.ZoneHealthy: 2,
-	state.ServerLoad: 3, state.Override: 0}
+// priorityStep is how many transmissions a kind of one priority is ahead of the next. Without it, health reports that
+// all members send all the time would fill the datagrams of a large cluster.
+const priorityStep = 3
+
+// priorities order the kinds: operators' overrides, faults and changes, health, load; 0 goes first.
+var priorities = [...]int{
+	state.Override:        0,
+	state.ServerUnhealthy: 1,
+	state.ZoneUnhealthy:   1,
+	state.ServerFlap:      1,
+	state.ServerHealthy:   2,
+	state.ZoneHealthy:     2,
+	state.ServerLoad:      3,
+}
 
-// first orders by who goes first: the least sent, with the urgent ahead, and of these the newest.
-func first(a, b *queued) int {
-	return cmp.Or(cmp.Compare(a.rank(), b.rank()), cmp.Compare(b.turn, a.turn))
+// compareTurns orders entries by who goes first: the fewest transmissions, adjusted by priority; of these the newest.
+func compareTurns(a, b *queuedEntry) int {
+	return cmp.Or(cmp.Compare(a.rank(), b.rank()), cmp.Compare(b.addedAs, a.addedAs))
 }
 
-func (q *queued) rank() int { return q.sent + ahead*urgency[q.entry.Kind] }
+func (q *queuedEntry) rank() int { return q.transmissions + priorityStep*priorities[q.entry.Kind] }
 
-// Add puts entries in, in the place of what was told of the same before. Over the bound the one goes that was sent most.
+// Add adds entries; each replaces one of the same key. At MaxEntries the last in order are dropped.
 func (q *Queue) Add(entries []state.Entry) {
 	if len(entries) == 0 {
 		return
@@ -81,75 +97,68 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i := range entries {
-		k := keyOf(&entries[i])
-		if old := q.waiting[k]; old != nil {
-			q.order.Delete(old)
+		key := keyOf(&entries[i])
+		if replaced := q.byKey[key]; replaced != nil {
+			q.ordered.Delete(replaced)
 		}
-		q.turn++
-		x := &queued{entry: entries[i], turn: q.turn}
-		q.waiting[k] = x
-		q.order.ReplaceOrInsert(x)
+		q.added++
+		queued := &queuedEntry{entry: entries[i], addedAs: q.added}
+		q.byKey[key] = queued
+		q.ordered.ReplaceOrInsert(queued)
 	}
-	for len(q.waiting) > MaxEntries {
-		if last, ok := q.order.DeleteMax(); ok {
-			delete(q.waiting, keyOf(&last.entry))
+	for len(q.byKey) > MaxEntries {
+		if last, ok := q.ordered.DeleteMax(); ok {
+			delete(q.byKey, keyOf(&last.entry))
 			q.dropped++
 		}
 	}
 }
 
-// Take gives one packet of at most so many bytes, of the entries whose turn it is; nil if there are none. What has ended
-// goes unsent as its turn comes.
-func (q *Queue) NextPacket(now int64, most int) []byte {
+// NextPacket returns one packet of at most maxBytes with the entries that go first, nil if there are none. Expired
+// entries that are reached are removed.
+func (q *Queue) NextPacket(now int64, maxBytes int) []byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiting) == 0 || most < state.MinPacketBytes {
+	if len(q.byKey) == 0 || maxBytes < state.MinPacketBytes {
 		return nil
 	}
-	var ended []*queued
-	ready := make([]*queued, 0, eachTime)
-	entries := make([]state.Entry, 0, eachTime)
-	q.order.Ascend(func(x *queued) bool {
-		if x.entry.ExpiresAt() <= now {
-			ended = append(ended, x)
+	var expired []*queuedEntry
+	candidates := make([]*queuedEntry, 0, maxPerPacket)
+	entries := make([]state.Entry, 0, maxPerPacket)
+	q.ordered.Ascend(func(queued *queuedEntry) bool {
+		if queued.entry.ExpiresAt() <= now {
+			expired = append(expired, queued)
 		} else {
-			ready, entries = append(ready, x), append(entries, x.entry)
+			candidates, entries = append(candidates, queued), append(entries, queued.entry)
 		}
-		return len(ready) < eachTime
+		return len(candidates) < maxPerPacket
 	})
-	for _, x := range ended {
-		q.drop(x)
+	for _, queued := range expired {
+		q.remove(queued)
 	}
-	packet, held := state.Pack(now, entries, most)
-	times := q.times()
-	for _, i := range held {
-		x := ready[i]
-		q.order.Delete(x)
-		if x.sent++; x.sent >= times {
-			delete(q.waiting, keyOf(&x.entry))
+	packet, packed := state.Pack(now, entries, maxBytes)
+	transmitCount := q.transmitCount()
+	for _, i := range packed {
+		queued := candidates[i]
+		q.ordered.Delete(queued)
+		if queued.transmissions++; queued.transmissions >= transmitCount {
+			delete(q.byKey, keyOf(&queued.entry))
 		} else {
-			q.order.ReplaceOrInsert(x)
+			q.ordered.ReplaceOrInsert(queued)
 		}
 	}
-	q.sent += int64(len(held))
+	q.sent += int64(len(packed))
 	return packet
 }
 
-func (q *Queue) drop(x *queued) {
-	q.order.Delete(x)
-	delete(q.waiting, keyOf(&x.entry))
+func (q *Queue) remove(queued *queuedEntry) {
+	q.ordered.Delete(queued)
+	delete(q.byKey, keyOf(&queued.entry))
 }
 
-// Counts tells how many entries wait, were sent, and went unsent for the bound.
+// Counts returns how many entries wait, and how many transmissions and drops for lack of room there were so far.
 func (q *Queue) Counts() (waiting int, sent, dropped int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.waiting), q.sent, q.dropped
+	return len(q.byKey), q.sent, q.dropped
 }
-
-// Retransmits is how often an entry is sent for each digit of the number of members.
-const RetransmitMultiplier = 4
-
-// Transmits is how often an entry is passed on by each member of a fleet of n. Each sending goes to another member, so
-// that 4*log10(n+1) of them by all who hold it leave out less than one in a thousand, at 30 % of packets lost too.
-func TransmitCount(n int) int { return RetransmitMultiplier * int(math.Ceil(math.Log10(float64(n+1)))) }
