--- a/internal/cluster/transport/delegate.go
+++ b/internal/cluster/transport/delegate.go
@@ -7,51 +7,57 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// delegate is what memberlist calls to carry entries. It calls from goroutines of its own, some of them the ones that
-// read the network, so nothing here waits for long.
-type delegate struct{ l *Node }
+const (
+	maxExchangeBytes    = 1 << 20                // of a full exchange, each way
+	stateRequestTimeout = 250 * time.Millisecond // a busy owner: a later exchange makes up for it
+)
+
+// delegate implements memberlist.Delegate. Memberlist calls it from goroutines that read the network, so its methods
+// never block for long.
+type delegate struct{ node *Node }
 
+// NodeMeta returns this member's metadata.
 func (d delegate) NodeMeta(limit int) []byte {
-	c := &d.l.cfg
+	c := &d.node.cfg
 	return memberMeta{Version: metaVersion, Zone: c.Zone, Tier: c.Tier, StartedAtMs: c.StartedAtMs}.encode(limit)
 }
 
-// NotifyMsg takes one packet of entries. The bytes are memberlist's.
-func (d delegate) NotifyMsg(b []byte) { d.l.come(b, false) }
+// NotifyMsg receives a gossip packet. Memberlist owns the bytes.
+func (d delegate) NotifyMsg(packet []byte) { d.node.receive(packet, false) }
 
-// GetBroadcasts gives what is to go out with the next datagram.
+// GetBroadcasts returns the packet to send with the next datagram.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	if p := d.l.outbound.NextPacket(d.l.cfg.Now(), limit-overhead); p != nil {
-		return [][]byte{p}
+	if packet := d.node.outbound.NextPacket(d.node.cfg.Now(), limit-overhead); packet != nil {
+		return [][]byte{packet}
 	}
 	return nil
 }
 
-// LocalState gives all that the view holds, or nothing if the owner has no time: a later exchange makes up for it.
+// LocalState returns all entries for a full exchange, nil if the owner has no time.
 func (d delegate) LocalState(bool) []byte {
-	l := d.l
-	late := time.NewTimer(askWait)
-	defer late.Stop()
-	said := make(chan []byte, 1)
-	ask := func() {
-		now := l.cfg.Now()
-		said <- pushPullState(now, l.own.view.Entries(now))
+	n := d.node
+	timeout := time.NewTimer(stateRequestTimeout)
+	defer timeout.Stop()
+	result := make(chan []byte, 1)
+	encode := func() {
+		now := n.cfg.Now()
+		result <- encodeExchange(now, n.own.store.Entries(now))
 	}
 	select {
-	case l.ownerCalls <- ask:
-		return <-said
-	case <-l.done:
-	case <-late.C:
+	case n.ownerCalls <- encode:
+		return <-result
+	case <-n.done:
+	case <-timeout.C:
 	}
 	return nil
 }
 
-// state lays packets end to end, up to stateMost bytes of them.
-func pushPullState(now int64, entries []state.Entry) []byte {
+// encodeExchange concatenates packets, up to maxExchangeBytes.
+func encodeExchange(now int64, entries []state.Entry) []byte {
 	packets := state.Encode(now, entries, state.MaxPacketBytes)
 	size := 0
-	for i, p := range packets {
-		if size += len(p); size > maxExchangeBytes {
+	for i, packet := range packets {
+		if size += len(packet); size > maxExchangeBytes {
 			packets = packets[:i]
 			break
 		}
@@ -59,30 +65,31 @@
 	return bytes.Join(packets, nil)
 }
 
-func (d delegate) MergeRemoteState(b []byte, _ bool) { d.l.come(b, true) }
+// MergeRemoteState receives the entries of a full exchange.
+func (d delegate) MergeRemoteState(packets []byte, _ bool) { d.node.receive(packets, true) }
 
-// come hands what came to the owner, with the time at which it did.
-func (n *Node) come(b []byte, state bool) {
+// receive passes a message and the time of its arrival to the owner goroutine.
+func (n *Node) receive(payload []byte, fullExchange bool) {
 	now := n.cfg.Now()
 	switch {
-	case len(b) == 0:
+	case len(payload) == 0:
 		return
-	case len(b) > maxExchangeBytes:
+	case len(payload) > maxExchangeBytes:
 		n.rejected.add(rejectLength)
 		return
-	case n.stalled(now):
+	case n.receivedLate(now):
 		n.rejected.add(rejectLate)
 		return
 	}
 	select {
-	case n.inbound <- incoming{now, state, bytes.Clone(b)}:
+	case n.inbound <- message{now, fullExchange, bytes.Clone(payload)}:
 	default:
 		n.inboundDropped.Add(1)
 	}
 }
 
-// stalled tells whether this process is only just awake after a stop: what memberlist still holds from before it is
-// older than its ages say.
-func (n *Node) stalled(now int64) bool {
+// receivedLate reports whether this process was stopped until just now: what memberlist still holds from before is older
+// than its ages say.
+func (n *Node) receivedLate(now int64) bool {
 	return now < n.staleUntil.Load() || now-n.lastTick.Load() > maxKernelWait.Microseconds()
 }
--- a/internal/cluster/transport/join.go
+++ b/internal/cluster/transport/join.go
@@ -7,61 +7,61 @@
 )
 
 const (
-	joinFirst = 250 * time.Millisecond // between tries, while nobody is known; doubled from there
-	joinMost  = 5 * time.Second
-	joinLater = 15 * time.Second // while others are known and some seed or lost member is not
-	joinAtMax = 3                // addresses that are tried at a time
-	joinSay   = time.Minute      // a failure that lasts is said again
+	firstJoinInterval = 250 * time.Millisecond // while no other member is known; doubled with each attempt
+	maxJoinInterval   = 5 * time.Second
+	rejoinInterval    = 15 * time.Second // while others are known, but not all seeds and lost members
+	joinFanout        = 3                // addresses per attempt
+	joinLogInterval   = time.Minute      // between log lines about one lasting failure
 )
 
-// join brings this member to its fleet, and split parts of one together again: as long as there is a seed, or a member
-// that died, that is not among the living it is tried now and then. A start never waits for it.
-func (n *Node) join(ctx context.Context) {
-	pause := joinFirst
-	var said time.Time
+// joinLoop joins this member to its cluster, and repairs partitions: as long as a seed or a lost member is not live, its
+// address is tried now and then.
+func (n *Node) joinLoop(ctx context.Context) {
+	interval := firstJoinInterval
+	var lastLogged time.Time
 	for {
-		tried, err := n.tryJoin(ctx)
-		living, _ := n.members.count("")
+		attempted, err := n.tryJoin(ctx)
+		liveMembers, _ := n.members.count("")
 		switch {
 		case ctx.Err() != nil:
 			return
-		case living > 1:
-			pause, said = joinLater, time.Time{}
-		case pause == joinLater: // the last of the others has gone
-			pause = joinFirst
+		case liveMembers > 1:
+			interval, lastLogged = rejoinInterval, time.Time{}
+		case interval == rejoinInterval: // the last of the others has gone
+			interval = firstJoinInterval
 		default:
-			pause = min(2*pause, joinMost)
+			interval = min(2*interval, maxJoinInterval)
 		}
-		if err != nil && living == 1 && time.Since(said) >= joinSay {
-			said = time.Now()
-			n.cfg.Logger.Warn("fleet", "error", &JoinError{tried, err})
+		if err != nil && liveMembers == 1 && time.Since(lastLogged) >= joinLogInterval {
+			lastLogged = time.Now()
+			n.cfg.Logger.Warn("cluster join failed", "error", &JoinError{attempted, err})
 		}
-		wait := time.NewTimer(pause/2 + rand.N(pause)) // half to thrice half: 300 members must not come together
+		wait := time.NewTimer(interval/2 + rand.N(interval)) // spread: 300 members must not join at once
 		select {
 		case <-wait.C:
 		case <-n.joinNow:
-			pause = joinFirst
+			interval = firstJoinInterval
 		case <-ctx.Done():
 		}
 		wait.Stop()
 	}
 }
 
-// tryJoin tries some addresses where a member may be that is not known to live; the error is the last one's if all
-// failed.
-func (n *Node) tryJoin(ctx context.Context) (tried []string, err error) {
+// tryJoin tries up to joinFanout addresses of members that are not known to be live, until one answers. The error is that
+// of the last address.
+func (n *Node) tryJoin(ctx context.Context) (attempted []string, err error) {
 	missing := n.members.missing(n.seeds, time.Now())
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
-	for _, addr := range missing[:min(joinAtMax, len(missing))] {
+	for _, address := range missing[:min(joinFanout, len(missing))] {
 		if ctx.Err() != nil {
-			return tried, nil
+			return attempted, nil
 		}
 		n.joinAttempts.Add(1)
-		tried = append(tried, addr)
-		if _, err = n.memberlist.Join([]string{addr}); err == nil {
-			return tried, nil
+		attempted = append(attempted, address)
+		if _, err = n.memberlist.Join([]string{address}); err == nil {
+			return attempted, nil
 		}
 		n.joinFailures.Add(1)
 	}
-	return tried, err
+	return attempted, err
 }
--- a/internal/cluster/transport/log.go
+++ b/internal/cluster/transport/log.go
@@ -9,64 +9,64 @@
 )
 
 const (
-	logBurst    = 20 // of memberlist's lines that are passed on at once
+	logBurst    = 20 // lines at once, then one per logInterval
 	logInterval = 3 * time.Second
 )
 
-// budget bounds a log: a burst of linesAtOnce, then one line each linesEvery.
+// logLimiter is a token bucket for log lines.
 type logLimiter struct {
 	mu         sync.Mutex
 	tokens     float64
-	at         time.Time
-	suppressed int64 // left out since the last that went out
+	updatedAt  time.Time
+	suppressed int64 // lines since the last one that was allowed
 }
 
-func newLogLimiter() *logLimiter { return &logLimiter{tokens: logBurst, at: time.Now()} }
+func newLogLimiter() *logLimiter { return &logLimiter{tokens: logBurst, updatedAt: time.Now()} }
 
-// lines passes memberlist's log on, within a budget: while the fleet is split it writes several lines a second. What the
-// fleet's state is, the link says itself. Lines that are left out are counted and told with the next one.
+// allow reports whether a line may be written, and how many were suppressed before it.
+func (l *logLimiter) allow(now time.Time) (suppressed int64, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.tokens = min(logBurst, l.tokens+float64(now.Sub(l.updatedAt))/float64(logInterval))
+	l.updatedAt = now
+	if l.tokens < 1 {
+		l.suppressed++
+		return 0, false
+	}
+	l.tokens--
+	suppressed, l.suppressed = l.suppressed, 0
+	return suppressed, true
+}
+
+// logWriter passes memberlist's log lines to a slog.Logger, within a limit: during a partition memberlist writes several
+// lines a second.
 type logWriter struct {
 	log *slog.Logger
 	*logLimiter
 }
 
 // Write takes one line from package log.
-func (l logWriter) Write(p []byte) (int, error) {
-	text := strings.TrimSpace(string(p))
+func (w logWriter) Write(line []byte) (int, error) {
+	text := strings.TrimSpace(string(line))
 	level := slog.LevelDebug
-	for mark, is := range map[string]slog.Level{"[WARN]": slog.LevelInfo, "[ERR]": slog.LevelInfo, "[ERROR]": slog.LevelInfo} {
-		if _, rest, ok := strings.Cut(text, mark); ok {
-			text, level = strings.TrimSpace(rest), is
+	for _, prefix := range []string{"[WARN]", "[ERR]", "[ERROR]"} {
+		if _, rest, ok := strings.Cut(text, prefix); ok {
+			text, level = strings.TrimSpace(rest), slog.LevelInfo
 		}
 	}
 	text = strings.TrimPrefix(strings.TrimPrefix(text, "[DEBUG] "), "[INFO] ")
 	text = strings.TrimPrefix(text, "memberlist: ")
-	if !l.log.Enabled(context.Background(), level) {
-		return len(p), nil
+	if !w.log.Enabled(context.Background(), level) {
+		return len(line), nil
 	}
-	quiet, ok := l.allow(time.Now())
+	suppressed, ok := w.allow(time.Now())
 	if !ok {
-		return len(p), nil
+		return len(line), nil
 	}
 	args := []any{"text", text}
-	if quiet > 0 {
-		args = append(args, "left_out", quiet)
+	if suppressed > 0 {
+		args = append(args, "suppressed", suppressed)
 	}
-	l.log.Log(context.Background(), level, "fleet membership", args...)
-	return len(p), nil
-}
-
-// may tells whether a line goes out, and how many were left out before it.
-func (l *logLimiter) allow(now time.Time) (quiet int64, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.tokens = min(logBurst, l.tokens+float64(now.Sub(l.at))/float64(logInterval))
-	l.at = now
-	if l.tokens < 1 {
-		l.suppressed++
-		return 0, false
-	}
-	l.tokens--
-	quiet, l.suppressed = l.suppressed, 0
-	return quiet, true
+	w.log.Log(context.Background(), level, "memberlist", args...)
+	return len(line), nil
 }
--- a/internal/cluster/transport/members.go
+++ b/internal/cluster/transport/members.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"errors"
 	"log/slog"
 	"slices"
 	"sync"
@@ -15,13 +14,13 @@
 
 const (
 	metaVersion         = 1
-	maxMembers          = 1024 // that a link knows of at one time
-	maxNameBytes        = 64   // bytes of a member's name, and of its zone's and tier's
-	maxLostMembers      = 64   // members that died and are tried again
+	maxMembers          = 1024 // live at one time
+	maxNameBytes        = 64   // of a member, its zone and its tier
+	maxLostMembers      = 64   // that died and are tried again
 	lostMemberRetention = 10 * time.Minute
 )
 
-// meta is what each member tells of itself with its address.
+// memberMeta is the metadata that each member announces with its address.
 type memberMeta struct {
 	Version     int    `cbor:"1,keyasint"`
 	Zone        string `cbor:"2,keyasint"`
@@ -30,215 +29,215 @@
 }
 
 func (m memberMeta) encode(limit int) []byte {
-	b, err := cbor.Marshal(m)
-	if err != nil || len(b) > limit { // names are bounded: it does not happen
+	data, err := cbor.Marshal(m)
+	if err != nil || len(data) > limit { // cannot happen: names are bounded
 		return nil
 	}
-	return b
+	return data
 }
 
-// readMeta reads what a member told of itself; false for what makes no sense. A newer version may tell more.
-func decodeMeta(b []byte) (memberMeta, bool) {
-	var m memberMeta
-	if len(b) > memberlist.MetaMaxSize || cbor.Unmarshal(b, &m) != nil {
+// decodeMeta reads a member's metadata; ok is false if it is invalid. A newer version may have more fields.
+func decodeMeta(data []byte) (m memberMeta, ok bool) {
+	if len(data) > memberlist.MetaMaxSize || cbor.Unmarshal(data, &m) != nil {
 		return memberMeta{}, false
 	}
 	return m, m.Version >= metaVersion && len(m.Zone) <= maxNameBytes && len(m.Tier) <= maxNameBytes
 }
 
-// Member is another proxy that is alive, as far as is known.
+// Member is another live proxy.
 type Member struct {
 	Name, Zone, Addr string
 	StartedAtMs      int64 // of its process, Unix milliseconds
 }
 
-// members follows who is alive. Memberlist calls it while it holds a lock of its own, so it calls nobody.
+// memberList tracks live members. Memberlist calls it with a lock held, so it calls nothing of memberlist.
 type memberList struct {
-	self    string
-	tier    string
-	refused *rejections
-	log     *slog.Logger
-	says    *logLimiter
-	changed func()
+	self     string
+	tier     string
+	rejected *rejections
+	log      *slog.Logger
+	limiter  *logLimiter
+	changed  func()
 
 	mu    sync.Mutex
 	alive map[string]Member
-	lost  map[string]lostMember // died without a word
+	lost  map[string]lostMember // died without leaving
 	joins int64
-	ends  int64
+	ends  int64 // left or died
 }
 
 type lostMember struct {
-	addr string
-	at   time.Time
+	address string
+	lostAt  time.Time
 }
 
-func newMemberList(self, tier string, refused *rejections, log *slog.Logger, changed func()) *memberList {
-	return &memberList{self: self, tier: tier, refused: refused, log: log, says: newLogLimiter(), changed: changed,
+func newMemberList(self, tier string, rejected *rejections, log *slog.Logger, changed func()) *memberList {
+	return &memberList{self: self, tier: tier, rejected: rejected, log: log, limiter: newLogLimiter(), changed: changed,
 		alive: map[string]Member{}, lost: map[string]lostMember{}}
 }
 
-var (
-	errStranger = errors.New("it is no member of this tier's fleet, or tells of itself what makes no sense")
-	errCrowd    = errors.New("the fleet has as many members as are followed")
-)
-
-// tell gives the entries of members that are alive and say of which zone they are as they do with their address. What a
-// member told before it left or died is not acted on, nor is what a stranger's name is on.
-func (m *memberList) ofLiveMembers(entries []state.Entry) []state.Entry {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// ofLiveMembers returns the entries whose observer is live and in the zone that it announced. It reuses the slice.
+func (l *memberList) ofLiveMembers(entries []state.Entry) []state.Entry {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	return slices.DeleteFunc(entries, func(e state.Entry) bool {
-		x, alive := m.alive[e.Observer]
-		return !alive || x.Zone != e.ObserverZone
+		member, live := l.alive[e.Observer]
+		return !live || member.Zone != e.ObserverZone
 	})
 }
 
 // NotifyAlive implements memberlist.AliveDelegate: an error keeps a node out.
-func (m *memberList) NotifyAlive(n *memberlist.Node) error {
-	if n.Name == m.self {
+func (l *memberList) NotifyAlive(node *memberlist.Node) error {
+	if node.Name == l.self {
 		return nil
 	}
-	told, ok := decodeMeta(n.Meta)
-	if !ok || n.Name == "" || len(n.Name) > maxNameBytes || told.Tier != m.tier {
-		m.refused.add("member")
-		return errStranger
+	meta, ok := decodeMeta(node.Meta)
+	if !ok || node.Name == "" || len(node.Name) > maxNameBytes || meta.Tier != l.tier {
+		l.rejected.add(rejectMember)
+		return errForeignMember
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if _, known := m.alive[n.Name]; !known && len(m.alive) >= maxMembers {
-		m.refused.add(rejectMany)
-		return errCrowd
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if _, known := l.alive[node.Name]; !known && len(l.alive) >= maxMembers {
+		l.rejected.add(rejectMany)
+		return errTooManyMembers
 	}
 	return nil
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (m *memberList) NotifyJoin(n *memberlist.Node) {
-	if n.Name == m.self {
-		return
-	}
-	told, ok := decodeMeta(n.Meta)
-	if !ok {
+func (l *memberList) NotifyJoin(node *memberlist.Node) {
+	meta, ok := decodeMeta(node.Meta)
+	if node.Name == l.self || !ok {
 		return
 	}
-	x := Member{Name: n.Name, Zone: told.Zone, StartedAtMs: told.StartedAtMs, Addr: n.Address()}
-	m.mu.Lock()
-	m.alive[n.Name] = x
-	delete(m.lost, n.Name)
-	m.joins++
-	living := 1 + len(m.alive)
-	m.mu.Unlock()
-	m.say("fleet member joined", "member", x.Name, "zone", x.Zone, "address", x.Addr, "living", living)
-	m.changed()
-}
-
-// NotifyUpdate implements memberlist.EventDelegate: a member told of itself anew, as after a quick restart.
-func (m *memberList) NotifyUpdate(n *memberlist.Node) {
-	told, ok := decodeMeta(n.Meta)
-	if n.Name == m.self || !ok {
+	member := newMember(node, meta)
+	l.mu.Lock()
+	l.alive[node.Name] = member
+	delete(l.lost, node.Name)
+	l.joins++
+	liveMembers := 1 + len(l.alive)
+	l.mu.Unlock()
+	l.logLimited("member joined", "member", member.Name, "zone", member.Zone, "address", member.Addr,
+		"live_members", liveMembers)
+	l.changed()
+}
+
+func newMember(node *memberlist.Node, meta memberMeta) Member {
+	return Member{Name: node.Name, Zone: meta.Zone, Addr: node.Address(), StartedAtMs: meta.StartedAtMs}
+}
+
+// NotifyUpdate implements memberlist.EventDelegate: a member announced other metadata, as after a quick restart.
+func (l *memberList) NotifyUpdate(node *memberlist.Node) {
+	meta, ok := decodeMeta(node.Meta)
+	if node.Name == l.self || !ok {
 		return
 	}
-	m.mu.Lock()
-	m.alive[n.Name] = Member{Name: n.Name, Zone: told.Zone, StartedAtMs: told.StartedAtMs, Addr: n.Address()}
-	m.mu.Unlock()
-	m.changed()
+	l.mu.Lock()
+	l.alive[node.Name] = newMember(node, meta)
+	l.mu.Unlock()
+	l.changed()
 }
 
 // NotifyLeave implements memberlist.EventDelegate: a member left, or is dead.
-func (m *memberList) NotifyLeave(n *memberlist.Node) {
-	if n.Name == m.self {
+func (l *memberList) NotifyLeave(node *memberlist.Node) {
+	if node.Name == l.self {
 		return
 	}
-	left := n.State == memberlist.StateLeft
-	m.mu.Lock()
-	x, known := m.alive[n.Name]
-	delete(m.alive, n.Name)
+	left := node.State == memberlist.StateLeft
+	l.mu.Lock()
+	member, known := l.alive[node.Name]
+	delete(l.alive, node.Name)
 	if known && !left {
-		m.lose(x)
+		l.addLost(member)
+	}
+	l.ends++
+	liveMembers := 1 + len(l.alive)
+	l.mu.Unlock()
+	event := "member died"
+	if left {
+		event = "member left"
 	}
-	m.ends++
-	living := 1 + len(m.alive)
-	m.mu.Unlock()
-	m.say("fleet member gone", "member", n.Name, "left", left, "living", living)
-	m.changed()
+	l.logLimited(event, "member", node.Name, "live_members", liveMembers)
+	l.changed()
+}
+
+// NotifyConflict implements memberlist.ConflictDelegate: two members have one name.
+func (l *memberList) NotifyConflict(existing, other *memberlist.Node) {
+	l.rejected.add(rejectName)
+	l.logLimited("member name conflict", "member", existing.Name, "address", existing.Address(),
+		"other_address", other.Address())
 }
 
-func (m *memberList) say(text string, args ...any) {
-	if quiet, ok := m.says.allow(time.Now()); ok {
-		m.log.Info(text, append(args, "left_out", quiet)...)
+func (l *memberList) logLimited(event string, args ...any) {
+	if suppressed, ok := l.limiter.allow(time.Now()); ok {
+		l.log.Info(event, append(args, "suppressed", suppressed)...)
 	}
 }
 
-// lose keeps the address of one that died, in the place of the one lost for the longest if there are many.
-func (m *memberList) lose(x Member) {
-	if len(m.lost) >= maxLostMembers {
+// addLost remembers the address of a member that died. At the limit it replaces the one that was lost first.
+func (l *memberList) addLost(member Member) {
+	if len(l.lost) >= maxLostMembers {
 		oldest := ""
-		for name, l := range m.lost {
-			if oldest == "" || l.at.Before(m.lost[oldest].at) {
+		for name, lost := range l.lost {
+			if oldest == "" || lost.lostAt.Before(l.lost[oldest].lostAt) {
 				oldest = name
 			}
 		}
-		delete(m.lost, oldest)
+		delete(l.lost, oldest)
 	}
-	m.lost[x.Name] = lostMember{x.Addr, time.Now()}
-}
-
-// NotifyConflict implements memberlist.ConflictDelegate: two members bear one name.
-func (m *memberList) NotifyConflict(existing, other *memberlist.Node) {
-	m.refused.add("name")
-	m.say("two fleet members of one name", "name", existing.Name, "one", existing.Address(), "other", other.Address())
+	l.lost[member.Name] = lostMember{member.Addr, time.Now()}
 }
 
-// count tells how many are alive, and of them in a zone, this one included.
-func (m *memberList) count(zone string) (living, near int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	near = 1
-	for _, x := range m.alive {
-		if x.Zone == zone {
-			near++
+// count returns how many members are live, and how many of them are in a zone, this one included in both.
+func (l *memberList) count(zone string) (live, inZone int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	inZone = 1
+	for _, member := range l.alive {
+		if member.Zone == zone {
+			inZone++
 		}
 	}
-	return 1 + len(m.alive), near
+	return 1 + len(l.alive), inZone
 }
 
-// living tells how many are alive, this one included.
-func (m *memberList) living() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return 1 + len(m.alive)
+// live returns how many members are live, this one included.
+func (l *memberList) live() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return 1 + len(l.alive)
 }
 
-// missing are addresses where a member may be that this one does not know to be alive: seeds, and those that died.
-func (m *memberList) missing(seeds []string, now time.Time) []string {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// missing returns the sorted addresses of seeds and lost members that are not known to be live.
+func (l *memberList) missing(seeds []string, now time.Time) []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	known := map[string]bool{}
-	for _, x := range m.alive {
-		known[x.Addr] = true
+	for _, member := range l.alive {
+		known[member.Addr] = true
 	}
-	var out []string
-	for _, s := range seeds {
-		if !known[s] {
-			out = append(out, s)
+	var addresses []string
+	for _, seed := range seeds {
+		if !known[seed] {
+			addresses = append(addresses, seed)
 		}
 	}
-	for name, l := range m.lost {
+	for name, lost := range l.lost {
 		switch {
-		case now.Sub(l.at) > lostMemberRetention:
-			delete(m.lost, name)
-		case !known[l.addr] && !slices.Contains(out, l.addr):
-			out = append(out, l.addr)
+		case now.Sub(lost.lostAt) > lostMemberRetention:
+			delete(l.lost, name)
+		case !known[lost.address] && !slices.Contains(addresses, lost.address):
+			addresses = append(addresses, lost.address)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(addresses)
+	return addresses
 }
 
-// moved tells how often members came and went so far.
-func (m *memberList) moved() (joins, ends int64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.joins, m.ends
+// changes returns how many members joined, and how many left or died, since the start.
+func (l *memberList) changes() (joins, ends int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.joins, l.ends
 }
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -2,65 +2,102 @@
 
 import (
 	"maps"
+	"sync"
 	"time"
 
 	"merlinpick/internal/cluster/state"
 )
 
-// Figures are how a member stands with its fleet. Counts are totals since the start.
+// Metrics are a member's figures. Counts are totals since the start.
 type Metrics struct {
-	LiveMembers, LiveMembersInZone int           // members alive, this one included, and of them in its zone
-	Isolated                       bool          // nobody is heard
-	Isolations                     int64         // that this was said
-	Entries                        int           // of others, acted on now
-	OldestEntry                    time.Duration // age of the oldest of them
-	SuspendedServers               int           // servers, by hand
-	Queued                         int           // entries that are to be passed on
-	Sent                           int64         // entries passed on, each time
-	BytesIn, BytesOut              int64         // bytes, membership included
-	Dropped                        int64         // messages and entries for which there was no room
-	Joined, Left                   int64         // members that came, and that left or died
-	JoinAttempts                   int64         // calls to seeds and lost members
-	JoinFailures                   int64         // of them, without an answer
-	Rejected                       map[string]int64
-	State                          state.Counts
+	LiveMembers       int              // this one included
+	LiveMembersInZone int              // of them, in this one's zone
+	Isolated          bool             // no other member is heard
+	Isolations        int64            // times that this was so
+	Entries           int              // live entries of peers
+	OldestEntry       time.Duration    // greatest age of these
+	SuspendedServers  int              // by an operator's override
+	Queued            int              // entries that wait to be gossiped
+	Sent              int64            // entries gossiped, each transmission
+	BytesIn, BytesOut int64            // membership traffic included
+	Dropped           int64            // messages and entries for which there was no room
+	Joined, Left      int64            // members that joined, and that left or died
+	JoinAttempts      int64            // calls to seeds and lost members
+	JoinFailures      int64            // of them
+	Rejected          map[string]int64 // messages that were not processed, by reason
+	State             state.Counts
 }
 
-// Figures are as of the last publishEvery.
+// Reasons for rejecting what was received; they are names of metrics.
+const (
+	rejectLabel        = "label"
+	rejectLength       = "length"
+	rejectLate         = "late"
+	rejectMany         = "many"
+	rejectMember       = "member"
+	rejectName         = "name"
+	rejectUnreadable   = "unread"
+	rejectUnknownKind  = "kind"
+	rejectMalformed    = "shape"
+	rejectNewerVersion = "newer"
+)
+
+// rejections counts by reason.
+type rejections struct {
+	mu     sync.Mutex
+	counts map[string]int64
+}
+
+func (r *rejections) add(reason string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.counts == nil {
+		r.counts = map[string]int64{}
+	}
+	r.counts[reason]++
+}
+
+func (r *rejections) addTo(counts map[string]int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	maps.Copy(counts, r.counts)
+}
+
+// Metrics returns the present figures; those of the Store are at most snapshotInterval old.
 func (n *Node) Metrics() Metrics {
 	n.mu.Lock()
-	f := n.metrics
+	m := n.metrics
 	n.mu.Unlock()
 	var dropped int64
-	f.Queued, f.Sent, dropped = n.outbound.Counts()
-	f.LiveMembers, f.LiveMembersInZone = n.members.count(n.cfg.Zone)
-	f.BytesIn, f.BytesOut, f.Dropped = n.network.in.Load(), n.network.out.Load(), n.inboundDropped.Load()+dropped
-	f.Joined, f.Left = n.members.moved()
-	f.JoinAttempts, f.JoinFailures = n.joinAttempts.Load(), n.joinFailures.Load()
-	n.rejected.mu.Lock()
-	defer n.rejected.mu.Unlock()
-	refused := maps.Clone(n.rejected.counts)
-	if refused == nil {
-		refused = map[string]int64{}
+	m.Queued, m.Sent, dropped = n.outbound.Counts()
+	m.LiveMembers, m.LiveMembersInZone = n.members.count(n.cfg.Zone)
+	m.BytesIn, m.BytesOut = n.network.bytesIn.Load(), n.network.bytesOut.Load()
+	m.Dropped = n.inboundDropped.Load() + dropped
+	m.Joined, m.Left = n.members.changes()
+	m.JoinAttempts, m.JoinFailures = n.joinAttempts.Load(), n.joinFailures.Load()
+	rejected := maps.Clone(m.Rejected)
+	if rejected == nil {
+		rejected = map[string]int64{}
 	}
-	maps.Copy(refused, f.Rejected)
-	f.Rejected = refused
-	return f
+	n.rejected.addTo(rejected)
+	m.Rejected = rejected
+	return m
 }
 
-// note keeps what only the owner knows.
-func (n *Node) note(now int64) {
-	o := &n.own
-	f := Metrics{Isolated: o.alone, Isolations: o.times, State: o.view.Counts(), Rejected: map[string]int64{
-		"unread": o.unread, "kind": int64(o.skipped.UnknownKinds), "shape": int64(o.skipped.Malformed), "newer": int64(o.skipped.NewerVersion)}}
-	f.SuspendedServers = f.State.Suspended
-	for i := range o.others {
-		if e := &o.others[i]; e.ExpiresAt() > now {
-			f.Entries++
-			f.OldestEntry = max(f.OldestEntry, time.Duration(now-e.ObservedAt)*time.Microsecond)
+// updateMetrics stores the figures that only the owner goroutine knows.
+func (n *Node) updateMetrics(now int64) {
+	own := &n.own
+	m := Metrics{Isolated: own.isolated, Isolations: own.isolations, State: own.store.Counts(), Rejected: map[string]int64{
+		rejectUnreadable: own.unreadable, rejectUnknownKind: int64(own.skipped.UnknownKinds),
+		rejectMalformed: int64(own.skipped.Malformed), rejectNewerVersion: int64(own.skipped.NewerVersion)}}
+	m.SuspendedServers = m.State.Suspended
+	for i := range own.peerEntries {
+		if e := &own.peerEntries[i]; e.ExpiresAt() > now {
+			m.Entries++
+			m.OldestEntry = max(m.OldestEntry, time.Duration(now-e.ObservedAt)*time.Microsecond)
 		}
 	}
 	n.mu.Lock()
-	n.metrics = f
+	n.metrics = m
 	n.mu.Unlock()
 }
--- a/internal/cluster/transport/owner.go
+++ b/internal/cluster/transport/owner.go
@@ -9,152 +9,161 @@
 )
 
 const (
-	keepEvery  = time.Second // what others suspend by hand is put on disk at most this often
-	mergeAtMax = 64          // messages that are merged before anything else is looked at
+	snapshotInterval     = 100 * time.Millisecond
+	isolationTimeout     = 2 * time.Second
+	overrideSaveInterval = time.Second // between two writes of overrides that others set, at least
+	maxInbound           = 256         // messages that wait for the owner, of 1.4 KB or, from exchanges, maxExchangeBytes
+	maxMergeBatch        = 64          // messages that are merged before anything else is done
 )
 
-// owner is the state of the one goroutine that owns the view.
+// ownerState is the state of the owner goroutine, the only one that uses the Store. Times are on Config.Now's clock.
 type ownerState struct {
-	view      *state.Store
-	skipped   state.Skipped
-	unread    int64 // packets that no entry could be read from
-	moved     bool  // hands may have changed since the last snapshot
-	hands     map[string]bool
-	unkept    bool          // and some of them are not on disk
-	keepAt    int64         // the next time to put them there
-	others    []state.Entry // of the last snapshot
-	published int64
-	alone     bool
-	aloneSaid bool
-	times     int64 // that it was alone
+	store      *state.Store
+	skipped    state.Skipped
+	unreadable int64 // packets that no entry could be read from
+
+	peerEntries      []state.Entry // of the last snapshot
+	lastSnapshot     int64         // 0: the next one is due now
+	overrides        map[string]bool
+	overridesChanged bool // they may have changed since the last snapshot
+	overridesUnsaved bool // some of them are not on disk
+	nextOverrideSave int64
+
+	isolated        bool
+	isolationLogged bool
+	isolations      int64
 }
 
-// serve plays what comes until the context ends.
-func (n *Node) serve(ctx context.Context) {
-	o := &n.own
-	o.alone, o.moved = true, true
-	tick := time.NewTicker(snapshotInterval)
-	defer tick.Stop()
-	begun := n.cfg.Now()
-	n.lastTick.Store(begun)
+// ownerLoop handles messages, calls and ticks until the context ends.
+func (n *Node) ownerLoop(ctx context.Context) {
+	n.own.isolated, n.own.overridesChanged = true, true
+	ticker := time.NewTicker(snapshotInterval)
+	defer ticker.Stop()
+	started := n.cfg.Now()
+	n.lastTick.Store(started)
 	for {
 		select {
 		case m := <-n.inbound:
 			n.merge(m)
-			for range mergeAtMax {
-				select {
-				case m := <-n.inbound:
-					n.merge(m)
-					continue
-				default:
-				}
-				break
-			}
-		case f := <-n.ownerCalls:
-			f()
+			n.mergeWaiting()
+		case call := <-n.ownerCalls:
+			call()
 		case <-n.wake:
-		case <-tick.C:
-			n.tick(begun)
+		case <-ticker.C:
+			n.tick(started)
 		case <-ctx.Done():
 			return
 		}
-		n.sayOwn()
-		n.publish()
+		n.publishOwn()
+		n.publishSnapshot()
 	}
 }
 
-// look is what each tick does.
-func (n *Node) tick(begun int64) {
-	o, now := &n.own, n.cfg.Now()
-	if now-n.lastTick.Load() > maxKernelWait.Microseconds() { // stopped, or starved: see stalled
+// mergeWaiting merges messages that wait, up to maxMergeBatch.
+func (n *Node) mergeWaiting() {
+	for range maxMergeBatch {
+		select {
+		case m := <-n.inbound:
+			n.merge(m)
+		default:
+			return
+		}
+	}
+}
+
+func (n *Node) tick(started int64) {
+	now := n.cfg.Now()
+	if now-n.lastTick.Load() > maxKernelWait.Microseconds() { // the process was stopped or starved, see receivedLate
 		n.staleUntil.Store(now + snapshotInterval.Microseconds())
 	}
 	n.lastTick.Store(now)
 	n.mu.Lock()
-	n.publishPending = true // what was said is renewed in time
+	n.publishPending = true // for renewals
 	n.mu.Unlock()
-	heard := n.lastHeard.Load()
-	was := o.alone
-	o.alone = heard == 0 || now-heard > isolationTimeout.Microseconds()
-	living, _ := n.members.count("")
-	expected := len(n.seeds) > 0 || living > 1 || heard != 0
+	n.updateIsolation(started, now)
+	n.saveOverrides(now)
+	n.updateMetrics(now)
+}
+
+// updateIsolation determines whether any other member is heard. It logs only where others are expected.
+func (n *Node) updateIsolation(started, now int64) {
+	own := &n.own
+	lastHeard := n.lastHeard.Load()
+	wasIsolated := own.isolated
+	own.isolated = lastHeard == 0 || now-lastHeard > isolationTimeout.Microseconds()
+	liveMembers, _ := n.members.count("")
+	othersExpected := len(n.seeds) > 0 || liveMembers > 1 || lastHeard != 0
 	switch {
-	case o.alone && !o.aloneSaid && expected && now-begun > isolationTimeout.Microseconds():
-		o.aloneSaid = true
-		o.times++
-		n.cfg.Logger.Warn("fleet: nobody is heard; this proxy decides alone", "for", isolationTimeout, "seeds", n.seeds)
+	case own.isolated && !own.isolationLogged && othersExpected && now-started > isolationTimeout.Microseconds():
+		own.isolationLogged = true
+		own.isolations++
+		n.cfg.Logger.Warn("cluster isolated", "duration", isolationTimeout, "seeds", n.seeds)
 		select {
 		case n.joinNow <- struct{}{}:
 		default:
 		}
-	case !o.alone && o.aloneSaid:
-		o.aloneSaid = false
-		n.cfg.Logger.Info("fleet: others are heard again", "living", living)
+	case !own.isolated && own.isolationLogged:
+		own.isolationLogged = false
+		n.cfg.Logger.Info("cluster isolation ended", "live_members", liveMembers)
 	}
-	if was != o.alone {
-		o.published = 0
+	if wasIsolated != own.isolated {
+		own.lastSnapshot = 0
 	}
-	n.keepHands(now)
-	n.note(now)
 }
 
-// sayOwn takes what is to be said, if it is new or may need renewal.
-func (n *Node) sayOwn() {
+// publishOwn publishes this member's observations if they are new or may be due for renewal.
+func (n *Node) publishOwn() {
 	n.mu.Lock()
-	items, fresh := n.observations, n.publishPending
+	observations, pending := n.observations, n.publishPending
 	n.publishPending = false
 	n.mu.Unlock()
-	if fresh {
-		n.outbound.Add(n.own.view.Publish(n.cfg.Now(), items))
+	if pending {
+		n.outbound.Add(n.own.store.Publish(n.cfg.Now(), observations))
 	}
 }
 
-// merge takes a message in, as old as it is by now.
-func (n *Node) merge(m incoming) {
-	o := &n.own
-	read := state.Decode
-	if m.state {
-		read = state.DecodeAll
+// merge decodes a message with the ages that its entries had when it was received, and gossips what is new.
+func (n *Node) merge(m message) {
+	decode := state.Decode
+	if m.fullExchange {
+		decode = state.DecodeAll
 	}
-	entries, skipped, err := read(m.at, m.bytes)
-	o.skipped.UnknownKinds += skipped.UnknownKinds
-	o.skipped.UnknownFields += skipped.UnknownFields
-	o.skipped.Malformed += skipped.Malformed
-	o.skipped.NewerVersion += skipped.NewerVersion
+	entries, skipped, err := decode(m.receivedAt, m.payload)
+	n.own.skipped.Add(skipped)
 	if err != nil {
-		o.unread++
+		n.own.unreadable++
 	}
-	news := o.view.Merge(n.cfg.Now(), entries)
-	for i := range news {
-		if news[i].Kind == state.Override {
-			o.moved, o.unkept = true, true
+	changed := n.own.store.Merge(n.cfg.Now(), entries)
+	for i := range changed {
+		if changed[i].Kind == state.Override {
+			n.own.overridesChanged, n.own.overridesUnsaved = true, true
 		}
 	}
-	n.outbound.Add(news)
+	n.outbound.Add(changed)
 }
 
-// publish gives a snapshot, in the place of one that was not taken.
-func (n *Node) publish() {
-	o, now := &n.own, n.cfg.Now()
+// publishSnapshot sends a snapshot when one is due or an override changed. It replaces one that was not read.
+func (n *Node) publishSnapshot() {
+	own, now := &n.own, n.cfg.Now()
 	changed := false
-	if o.moved {
-		hands := map[string]bool{}
-		for _, h := range o.view.OverrideRecords(now) {
-			hands[h.Subject] = h.Suspended
+	if own.overridesChanged {
+		overrides := map[string]bool{}
+		for _, record := range own.store.OverrideRecords(now) {
+			overrides[record.Subject] = record.Suspended
 		}
-		changed = o.hands == nil || !maps.Equal(hands, o.hands)
-		o.hands, o.moved = hands, false
+		changed = own.overrides == nil || !maps.Equal(overrides, own.overrides)
+		own.overrides, own.overridesChanged = overrides, false
 	}
-	if !changed && o.published != 0 && now-o.published < snapshotInterval.Microseconds() {
+	if !changed && own.lastSnapshot != 0 && now-own.lastSnapshot < snapshotInterval.Microseconds() {
 		return
 	}
-	o.published = now
-	o.others = n.members.ofLiveMembers(o.view.PeerEntries(now))
-	s := Snapshot{Isolated: o.alone, PeerEntries: o.others, Overrides: o.hands}
-	s.LiveMembers, s.LiveMembersInZone = n.members.count(n.cfg.Zone)
+	own.lastSnapshot = now
+	own.peerEntries = n.members.ofLiveMembers(own.store.PeerEntries(now))
+	snapshot := Snapshot{Isolated: own.isolated, PeerEntries: own.peerEntries, Overrides: own.overrides}
+	snapshot.LiveMembers, snapshot.LiveMembersInZone = n.members.count(n.cfg.Zone)
 	select {
 	case <-n.snapshots:
 	default:
 	}
-	n.snapshots <- s // the owner alone puts any in
+	n.snapshots <- snapshot // does not block: no other goroutine sends
 }
--- a/internal/cluster/transport/streams.go
+++ b/internal/cluster/transport/streams.go
@@ -1,77 +1,151 @@
 package transport
 
 import (
-	"fmt"
+	"errors"
 	"net"
 	"sync"
 	"time"
+
+	"github.com/hashicorp/memberlist"
+	"golang.org/x/sys/unix"
 )
 
 const (
-	maxStreamBytes = 2 << 20          // that one connection may bring
-	streamLifetime = 10 * time.Second // of a connection, whatever passes
+	maxStreamBytes = 2 << 20 // that one connection may bring
+	streamLifetime = 10 * time.Second
 )
 
-// stream is a connection that is counted, bounded and ended with the link.
+func (t *network) acceptStreams() {
+	for {
+		conn, err := t.tcp.AcceptTCP()
+		if err != nil {
+			if errors.Is(err, net.ErrClosed) {
+				return
+			}
+			t.pause()
+			continue
+		}
+		select {
+		case t.slots <- struct{}{}:
+		default:
+			t.rejected.add(rejectMany)
+			conn.Close()
+			continue
+		}
+		s := t.track(conn, func() { <-t.slots })
+		if s == nil {
+			return
+		}
+		t.tasks.Go(func() { t.checkStream(conn, s) })
+	}
+}
+
+// checkStream passes a connection to memberlist once it has shown the cluster's label.
+func (t *network) checkStream(conn *net.TCPConn, s *stream) {
+	_ = s.Conn.SetDeadline(time.Now().Add(labelTimeout))
+	labelled, label, err := memberlist.RemoveLabelHeaderFromStream(s)
+	late := sinceLastReceive(conn) > maxKernelWait
+	switch {
+	case err != nil || label != t.label:
+		t.rejected.add(rejectLabel)
+	case late:
+		t.rejected.add(rejectLate)
+	default:
+		_ = s.Conn.SetDeadline(s.deadline)
+		t.onReceive() // a node does not connect to itself
+		select {
+		case t.streams <- labelled:
+			return
+		case <-t.stop:
+		}
+	}
+	s.Close()
+}
+
+// sinceLastReceive returns how long ago the last bytes of a connection arrived in the kernel; 0 if it does not say.
+func sinceLastReceive(conn *net.TCPConn) time.Duration {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	var since time.Duration
+	_ = raw.Control(func(fd uintptr) {
+		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			since = time.Duration(info.Last_data_recv) * time.Millisecond
+		}
+	})
+	return since
+}
+
+// stream is a connection with a bounded lifetime and size, which is closed with its network.
 type stream struct {
 	net.Conn
-	of   *network
-	left int64     // bytes that it may still bring
-	end  time.Time // no deadline goes beyond it
-	once sync.Once
-	gone func()
+	network   *network
+	bytesLeft int64     // that it may still bring
+	deadline  time.Time // no other deadline exceeds it
+	closeOnce sync.Once
+	onClose   func() // may be nil
 }
 
-// keep has a connection end with the link; nil once the link has ended.
-func (t *network) keep(c net.Conn, gone func()) *stream {
-	s := &stream{Conn: c, of: t, left: maxStreamBytes, end: time.Now().Add(streamLifetime), gone: gone}
+// track wraps a connection and registers it for Shutdown; nil, with the connection closed, after Shutdown.
+func (t *network) track(conn net.Conn, onClose func()) *stream {
+	s := &stream{Conn: conn, network: t, bytesLeft: maxStreamBytes, deadline: time.Now().Add(streamLifetime),
+		onClose: onClose}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ended {
-		c.Close()
+	if t.closed {
+		conn.Close()
 		return nil
 	}
-	t.conns[s] = true
-	_ = c.SetDeadline(s.end)
+	t.open[s] = true
+	_ = conn.SetDeadline(s.deadline)
 	return s
 }
 
+// Read implements net.Conn; it fails after maxStreamBytes.
 func (s *stream) Read(p []byte) (int, error) {
-	if s.left <= 0 {
-		s.of.refused.add(rejectLength)
-		return 0, fmt.Errorf("a member sent over %d bytes", maxStreamBytes)
+	if s.bytesLeft <= 0 {
+		s.network.rejected.add(rejectLength)
+		return 0, errStreamTooLong
 	}
-	n, err := s.Conn.Read(p[:min(int64(len(p)), s.left)])
-	s.left -= int64(n)
-	s.of.in.Add(int64(n))
+	n, err := s.Conn.Read(p[:min(int64(len(p)), s.bytesLeft)])
+	s.bytesLeft -= int64(n)
+	s.network.bytesIn.Add(int64(n))
 	return n, err
 }
 
+// Write implements net.Conn.
 func (s *stream) Write(p []byte) (int, error) {
 	n, err := s.Conn.Write(p)
-	s.of.out.Add(int64(n))
+	s.network.bytesOut.Add(int64(n))
 	return n, err
 }
 
-func (s *stream) capped(t time.Time) time.Time {
-	if t.IsZero() || t.After(s.end) {
-		return s.end
+func (s *stream) cap(deadline time.Time) time.Time {
+	if deadline.IsZero() || deadline.After(s.deadline) {
+		return s.deadline
 	}
-	return t
+	return deadline
 }
 
-func (s *stream) SetDeadline(t time.Time) error      { return s.Conn.SetDeadline(s.capped(t)) }
-func (s *stream) SetReadDeadline(t time.Time) error  { return s.Conn.SetReadDeadline(s.capped(t)) }
-func (s *stream) SetWriteDeadline(t time.Time) error { return s.Conn.SetWriteDeadline(s.capped(t)) }
+// SetDeadline implements net.Conn.
+func (s *stream) SetDeadline(t time.Time) error { return s.Conn.SetDeadline(s.cap(t)) }
+
+// SetReadDeadline implements net.Conn.
+func (s *stream) SetReadDeadline(t time.Time) error { return s.Conn.SetReadDeadline(s.cap(t)) }
+
+// SetWriteDeadline implements net.Conn.
+func (s *stream) SetWriteDeadline(t time.Time) error { return s.Conn.SetWriteDeadline(s.cap(t)) }
 
+// Close implements net.Conn.
 func (s *stream) Close() error {
 	err := s.Conn.Close()
-	s.once.Do(func() {
-		s.of.mu.Lock()
-		delete(s.of.conns, s)
-		s.of.mu.Unlock()
-		if s.gone != nil {
-			s.gone()
+	s.closeOnce.Do(func() {
+		s.network.mu.Lock()
+		delete(s.network.open, s)
+		s.network.mu.Unlock()
+		if s.onClose != nil {
+			s.onClose()
 		}
 	})
 	return err
