--- a/internal/cluster/adapter/adapter.go
+++ b/internal/cluster/adapter/adapter.go
@@ -1,5 +1,6 @@
-// Package words puts what the module saw in the fleet's words, and what others said in the module's. They are the same,
-// but for zones, which bear numbers there and names here, and for times in microseconds there and milliseconds here.
+// Package adapter converts between the reports of package balancer and the observations of package state. It is the one
+// place that knows the numbers of kinds and faults on the wire, and it translates zone numbers of this proxy to zone
+// names, and microseconds to the milliseconds of process starts. It never drops a report for its content.
 package adapter
 
 import (
@@ -7,73 +8,116 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// kinds are the fleet's kinds, in the order of the module's.
-var kinds = [...]state.Kind{balancer.ReportServerUnhealthy: state.ServerUnhealthy, balancer.ReportServerHealthy: state.ServerHealthy, balancer.ReportZoneUnhealthy: state.ZoneUnhealthy,
-	balancer.ReportZoneHealthy: state.ZoneHealthy, balancer.ReportServerFlap: state.ServerFlap, balancer.ReportServerLoad: state.ServerLoad}
+// stateKinds maps the balancer's kinds to those on the wire.
+var stateKinds = [...]state.Kind{
+	balancer.ReportServerUnhealthy: state.ServerUnhealthy,
+	balancer.ReportServerHealthy:   state.ServerHealthy,
+	balancer.ReportZoneUnhealthy:   state.ZoneUnhealthy,
+	balancer.ReportZoneHealthy:     state.ZoneHealthy,
+	balancer.ReportServerFlap:      state.ServerFlap,
+	balancer.ReportServerLoad:      state.ServerLoad,
+}
+
+var reportKinds = func() map[state.Kind]balancer.ReportKind {
+	kinds := make(map[state.Kind]balancer.ReportKind, len(stateKinds))
+	for kind, stateKind := range stateKinds {
+		kinds[stateKind] = balancer.ReportKind(kind)
+	}
+	return kinds
+}()
 
-func ofZone(k balancer.ReportKind) bool {
-	return k == balancer.ReportZoneUnhealthy || k == balancer.ReportZoneHealthy
+// wireFaults are the numbers of faults on the wire. They are never reused.
+var wireFaults = [...]uint8{
+	balancer.NoFault:           0,
+	balancer.FaultErrors:       1,
+	balancer.FaultUnresponsive: 2,
+	balancer.FaultSlow:         3,
+	balancer.FaultSaturated:    4,
 }
 
-// names are the zones' names by number.
-func names(zones map[string]int) []string {
-	out := make([]string, len(zones))
-	for name, n := range zones {
-		out[n] = name
+// StateKind returns the kind on the wire of a report.
+func StateKind(kind balancer.ReportKind) state.Kind { return stateKinds[kind] }
+
+// ReportKind returns the balancer's kind of an entry; ok is false for an override and for kinds of newer versions.
+func ReportKind(kind state.Kind) (reportKind balancer.ReportKind, ok bool) {
+	reportKind, ok = reportKinds[kind]
+	return reportKind, ok
+}
+
+// WireFault returns the number of a fault on the wire.
+func WireFault(fault balancer.Fault) uint8 { return wireFaults[fault] }
+
+// Fault returns the fault of a number on the wire; numbers of newer versions count as FaultErrors.
+func Fault(number uint8) balancer.Fault {
+	for fault, known := range wireFaults {
+		if known == number {
+			return balancer.Fault(fault)
+		}
 	}
-	return out
+	return balancer.FaultErrors
+}
+
+// IsZoneReport reports whether a kind's subject is a zone.
+func IsZoneReport(kind balancer.ReportKind) bool {
+	return kind == balancer.ReportZoneUnhealthy || kind == balancer.ReportZoneHealthy
 }
 
-// Items are what the module saw. Zones are numbered from 0 without a gap.
-func ToObservations(seen []balancer.Report, zones map[string]int) []state.Observation {
-	names := names(zones)
-	out := make([]state.Observation, 0, len(seen))
-	for _, n := range seen {
-		i := state.Observation{Kind: kinds[n.Kind], Subject: n.Server, SubjectStartMs: max(0, n.StartTime/1000),
-			Body: state.Body{Fault: uint8(n.Fault), Calls: n.Calls, BadFraction: n.BadFraction, Value: n.Value}}
-		if ofZone(n.Kind) {
-			if n.SubjectZone >= len(names) {
+const microsecondsPerMillisecond = 1000
+
+// ToObservations converts this proxy's reports. zones maps the names of its zones to their numbers, 0 to len(zones)-1;
+// reports on other zone numbers are left out.
+func ToObservations(reports []balancer.Report, zones map[string]int) []state.Observation {
+	zoneNames := make([]string, len(zones))
+	for name, number := range zones {
+		zoneNames[number] = name
+	}
+	observations := make([]state.Observation, 0, len(reports))
+	for i := range reports {
+		r := &reports[i]
+		o := state.Observation{Kind: StateKind(r.Kind), Subject: r.Server,
+			SubjectStartMs: max(0, r.StartTime/microsecondsPerMillisecond),
+			Body:           state.Body{Fault: WireFault(r.Fault), Calls: r.Calls, BadFraction: r.BadFraction, Value: r.Value}}
+		if IsZoneReport(r.Kind) {
+			if r.SubjectZone >= len(zoneNames) {
 				continue
 			}
-			i.Subject, i.SubjectStartMs = names[n.SubjectZone], 0
+			o.Subject, o.SubjectStartMs = zoneNames[r.SubjectZone], 0
 		}
-		out = append(out, i)
+		observations = append(observations, o)
 	}
-	return out
+	return observations
 }
 
-// Notices are what others say and has not ended, in the module's words. What tells of a zone that this proxy does not
-// know, or comes from one, is left out and counted: its list names zones, others do not.
-func ToReports(now int64, entries []state.Entry, zones map[string]int) (out []balancer.Report, lost int64) {
-	kind := map[state.Kind]balancer.ReportKind{}
-	for k, v := range kinds {
-		kind[v] = balancer.ReportKind(k)
-	}
-	out = make([]balancer.Report, 0, len(entries))
+// ToReports converts the live entries of other members. Entries of unknown kinds are skipped; those about or from a zone
+// that this proxy's endpoint list does not name are skipped and counted in unknownZone. now is in microseconds.
+func ToReports(now int64, entries []state.Entry, zones map[string]int) (reports []balancer.Report, unknownZone int64) {
+	reports = make([]balancer.Report, 0, len(entries))
 	for i := range entries {
 		e := &entries[i]
-		k, known := kind[e.Kind]
+		kind, known := ReportKind(e.Kind)
 		if !known || e.Withdrawn || e.ExpiresAt() <= now {
 			continue
 		}
-		from, ok := zones[e.ObserverZone]
-		n := balancer.Report{Kind: k, Fault: balancer.Fault(e.Body.Fault), Observer: e.Observer, ObserverZone: from, Calls: e.Body.Calls,
-			BadFraction: e.Body.BadFraction, Value: e.Body.Value, LastObserved: e.ObservedAt}
-		if n.Fault > balancer.FaultSaturated { // of a newer version
-			n.Fault = balancer.FaultErrors
-		}
-		if ofZone(k) {
-			var of bool
-			n.SubjectZone, of = zones[e.Subject]
-			ok = ok && of
-		} else {
-			n.Server, n.StartTime = e.Subject, e.SubjectStartMs*1000
-		}
+		report, ok := ToReport(kind, e, zones)
 		if !ok {
-			lost++
+			unknownZone++
 			continue
 		}
-		out = append(out, n)
+		reports = append(reports, report)
+	}
+	return reports, unknownZone
+}
+
+// ToReport converts an entry, whose kind ReportKind gave; ok is false if zones lacks its subject or its observer's zone.
+func ToReport(kind balancer.ReportKind, e *state.Entry, zones map[string]int) (r balancer.Report, ok bool) {
+	observerZone, ok := zones[e.ObserverZone]
+	r = balancer.Report{Kind: kind, Fault: Fault(e.Body.Fault), Observer: e.Observer, ObserverZone: observerZone,
+		Calls: e.Body.Calls, BadFraction: e.Body.BadFraction, Value: e.Body.Value, LastObserved: e.ObservedAt}
+	if !IsZoneReport(kind) {
+		r.Server, r.StartTime = e.Subject, e.SubjectStartMs*microsecondsPerMillisecond
+		return r, ok
 	}
-	return out, lost
+	subjectZone, known := zones[e.Subject]
+	r.SubjectZone = subjectZone
+	return r, ok && known
 }
