--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -12,44 +12,51 @@
 
 const defaultBind = "127.0.0.1:7946" // memberlist's port
 
-// Read is a config.FleetReader.
-func ReadConfig(section json.RawMessage, name string) (*proxy.ClusterPlan, error) {
-	c, f, err := read(section, name)
+// ReadConfig reads the configuration's section "fleet"; proxyName is the member's name if the section has none. It is a
+// config.ClusterReader. The error is a *config.ConfigError, or one of package json.
+func ReadConfig(text json.RawMessage, proxyName string) (*proxy.ClusterPlan, error) {
+	cfg, parsed, err := read(text, proxyName)
 	if err != nil {
 		return nil, err
 	}
-	off := func(part *bool) bool { return part != nil && !*part }
-	return &proxy.ClusterPlan{Descriptors: transport.MaxDescriptors, DisableFlapDamping: off(f.Damping), DisableWeightTuning: off(f.Tuning), Open: func(self proxy.ClusterIdentity) (proxy.Cluster, error) {
-		f, err := open(*c, self)
-		if err != nil {
-			return nil, err
-		}
-		return f, nil
-	}}, nil
+	return &proxy.ClusterPlan{
+		Descriptors:         transport.MaxDescriptors,
+		DisableFlapDamping:  disabled(parsed.Damping),
+		DisableWeightTuning: disabled(parsed.Tuning),
+		Open: func(identity proxy.ClusterIdentity) (proxy.Cluster, error) {
+			m, err := newMember(*cfg, identity)
+			if err != nil {
+				return nil, err // not a *member that is nil
+			}
+			return m, nil
+		},
+	}, nil
 }
 
-// object is the section as it stands in the file.
+// section is the section as it stands in the file.
 type section struct {
 	Name      string   `json:"name"`
 	Bind      string   `json:"bind"`
 	Advertise string   `json:"advertise"`
 	Label     string   `json:"label"`
 	Seeds     []string `json:"seeds"`
-	Damping   *bool    `json:"damping"` // on unless it says false
+	Damping   *bool    `json:"damping"` // on unless it is false
 	Tuning    *bool    `json:"tuning"`
 }
 
-// read gives the section, and what of a link's configuration is its.
-func read(section json.RawMessage, name string) (c *transport.Config, f section, err error) {
-	if err := json.Unmarshal(section, &f); err != nil {
-		return nil, f, err
+func disabled(enabled *bool) bool { return enabled != nil && !*enabled }
+
+// read parses the section and checks what it gives of a transport.Config.
+func read(text json.RawMessage, proxyName string) (cfg *transport.Config, parsed section, err error) {
+	if err := json.Unmarshal(text, &parsed); err != nil {
+		return nil, parsed, err
 	}
-	c = &transport.Config{Name: cmp.Or(f.Name, name), Bind: cmp.Or(f.Bind, defaultBind), Advertise: f.Advertise, Label: f.Label,
-		Seeds: f.Seeds}
-	err = c.Check()
-	var fault *transport.ConfigError
-	if errors.As(err, &fault) {
-		return nil, f, &config.ConfigError{Key: "fleet." + fault.Key, Problem: fault.Problem, Remedy: fault.Remedy}
+	cfg = &transport.Config{Name: cmp.Or(parsed.Name, proxyName), Bind: cmp.Or(parsed.Bind, defaultBind),
+		Advertise: parsed.Advertise, Label: parsed.Label, Seeds: parsed.Seeds}
+	err = cfg.Check()
+	var invalid *transport.ConfigError
+	if errors.As(err, &invalid) {
+		return nil, parsed, &config.ConfigError{Key: "fleet." + invalid.Key, Problem: invalid.Problem, Remedy: invalid.Remedy}
 	}
-	return c, f, err
+	return cfg, parsed, err
 }
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -1,5 +1,6 @@
-// Package fleet makes a proxy a member of a fleet: it reads the configuration's section, and joins package link with the
-// proxy's module and bans. Only a program that is to have it imports it.
+// Package cluster makes a proxy a member of a cluster of proxies: it reads the configuration's section "fleet" and
+// connects package transport with the proxy's balancer and its operators' overrides. It decides nothing itself. Only
+// programs that can join a cluster import it.
 package cluster
 
 import (
@@ -21,86 +22,87 @@
 )
 
 const (
-	deafAfter = time.Second            // without word from the link the module is told that it is alone
-	bindEvery = 200 * time.Millisecond // the address is tried while another process has it: a predecessor, mostly
-	bindSay   = time.Minute            // and it is said again
+	maxSnapshotAge  = time.Second            // beyond this the balancer is told that it is isolated
+	bindInterval    = 200 * time.Millisecond // between attempts while another process, mostly a predecessor, has the address
+	bindLogInterval = time.Minute
 )
 
-// part is a proxy's part in its fleet.
-type part struct {
-	cfg  transport.Config
-	bans *override.Overrides // nil unless watched
-	link atomic.Pointer[transport.Node]
-	last atomic.Pointer[word]
-	lost atomic.Int64 // notices of zones that this proxy does not know
+// member implements proxy.Cluster.
+type member struct {
+	cfg         transport.Config
+	overrides   *override.Overrides // nil without a state directory
+	node        atomic.Pointer[transport.Node]
+	latest      atomic.Pointer[timedSnapshot]
+	unknownZone atomic.Int64 // entries about or from zones that this proxy does not know
 
-	mu    sync.Mutex
-	hands map[string]bool // as the link last told, or a call here changed it
+	mu              sync.Mutex
+	remoteOverrides map[string]bool // by server: suspended; as of the last snapshot or a later call of NotifyOverride
 }
 
-// word is what the link told, and when.
-type word struct {
+type timedSnapshot struct {
 	transport.Snapshot
-	at int64
+	receivedAt int64 // microseconds
 }
 
-// open binds the fleet's address. One that another process has is tried again in Run: a start waits neither for the
-// fleet nor for a predecessor.
-func open(c transport.Config, self proxy.ClusterIdentity) (*part, error) {
-	c.Zone, c.Tier, c.StartedAtMs, c.StateDir = self.Zone, strconv.Itoa(self.Tier), self.StartedAtMs, self.StateDir
-	c.Now, c.Logger = self.Now, self.Logger
-	f := &part{cfg: c, bans: self.Overrides}
-	if err := f.open(); err != nil && !errors.Is(err, syscall.EADDRINUSE) {
+// newMember binds the cluster address. If another process has it, Run tries again: the start of a proxy waits neither for
+// its cluster nor for a predecessor. Other errors are those of transport.Open.
+func newMember(cfg transport.Config, identity proxy.ClusterIdentity) (*member, error) {
+	cfg.Zone, cfg.Tier = identity.Zone, strconv.Itoa(identity.Tier)
+	cfg.StartedAtMs, cfg.StateDir = identity.StartedAtMs, identity.StateDir
+	cfg.Now, cfg.Logger = identity.Now, identity.Logger
+	m := &member{cfg: cfg, overrides: identity.Overrides}
+	if err := m.open(); err != nil && !errors.Is(err, syscall.EADDRINUSE) {
 		return nil, err
 	}
-	return f, nil
+	return m, nil
 }
 
-func (f *part) open() error {
-	k, err := transport.Open(f.cfg)
+func (m *member) open() error {
+	node, err := transport.Open(m.cfg)
 	if err == nil {
-		f.link.Store(k)
+		m.node.Store(node)
 	}
 	return err
 }
 
-// Run takes part until the context ends.
-func (f *part) Run(ctx context.Context) {
-	if !f.bind(ctx) {
+// Run takes part in the cluster until the context ends.
+func (m *member) Run(ctx context.Context) {
+	if !m.bind(ctx) {
 		return
 	}
-	k := f.link.Load()
+	node := m.node.Load()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		k.Run(ctx)
+		node.Run(ctx)
 	}()
 	for {
 		select {
-		case s := <-k.Snapshots():
-			f.last.Store(&word{s, f.cfg.Now()})
-			f.suspended(s.Overrides)
+		case snapshot := <-node.Snapshots():
+			m.latest.Store(&timedSnapshot{snapshot, m.cfg.Now()})
+			m.applyOverrides(snapshot.Overrides)
 		case <-ended:
 			return
 		}
 	}
 }
 
-// bind waits until the address is this process's.
-func (f *part) bind(ctx context.Context) bool {
-	tick := time.NewTicker(bindEvery)
-	defer tick.Stop()
-	for said := (time.Time{}); f.link.Load() == nil; {
-		err := f.open()
+// bind tries to open the address until it succeeds; false if the context ended before.
+func (m *member) bind(ctx context.Context) bool {
+	ticker := time.NewTicker(bindInterval)
+	defer ticker.Stop()
+	var lastLogged time.Time
+	for m.node.Load() == nil {
+		err := m.open()
 		if err == nil {
 			break
 		}
-		if time.Since(said) >= bindSay {
-			said = time.Now()
-			f.cfg.Logger.Warn("this proxy decides alone, and tries again", "error", err)
+		if time.Since(lastLogged) >= bindLogInterval {
+			lastLogged = time.Now()
+			m.cfg.Logger.Warn("cluster address not open, retrying", "error", err)
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return false
 		}
@@ -108,79 +110,100 @@
 	return true
 }
 
-// suspended has the servers out that the fleet has suspended. What is kept here of one that was resumed goes.
-func (f *part) suspended(hands map[string]bool) {
-	if f.bans == nil {
+// applyOverrides passes the cluster's overrides to the proxy, and removes the proxy's own suspension of a server that the
+// cluster resumed.
+func (m *member) applyOverrides(overrides map[string]bool) {
+	if m.overrides == nil {
 		return
 	}
-	f.mu.Lock()
-	before := f.hands
-	if maps.Equal(before, hands) {
-		f.mu.Unlock()
+	m.mu.Lock()
+	previous := m.remoteOverrides
+	if maps.Equal(previous, overrides) {
+		m.mu.Unlock()
 		return
 	}
-	f.hands = hands
-	f.bans.SetRemote(hands)
-	f.mu.Unlock()
-	for nodo, is := range hands {
-		if !is && before[nodo] {
-			if err := f.bans.ClearLocal(nodo); err != nil {
-				f.cfg.Logger.Error("a server that the fleet resumed is still out here; resume it here", "nodo", nodo, "error", err)
-			}
+	m.remoteOverrides = overrides
+	m.overrides.SetRemote(overrides)
+	m.mu.Unlock()
+	for server, suspended := range overrides {
+		if suspended || !previous[server] {
+			continue
+		}
+		if err := m.overrides.ClearLocal(server); err != nil {
+			m.cfg.Logger.Error("resumed server still suspended by this proxy", "endpoint", server, "error", err)
 		}
 	}
 }
 
-// Told passes a call by hand on to the whole fleet.
-func (f *part) NotifyOverride(nodo string, suspended bool) error {
-	k := f.link.Load()
-	if k == nil {
+// NotifyOverride passes an operator's call on to all members. The error is one of transport.Node.Suspend.
+func (m *member) NotifyOverride(server string, suspended bool) error {
+	node := m.node.Load()
+	if node == nil {
 		return transport.ErrClosed
 	}
-	do := k.Resume
+	set := node.Resume
 	if suspended {
-		do = k.Suspend
+		set = node.Suspend
 	}
-	if err := do(nodo); err != nil {
+	if err := set(server); err != nil {
 		return err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	hands := maps.Clone(f.hands)
-	if hands == nil {
-		hands = map[string]bool{}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	overrides := maps.Clone(m.remoteOverrides)
+	if overrides == nil {
+		overrides = map[string]bool{}
 	}
-	hands[nodo] = suspended
-	f.hands = hands
-	f.bans.SetRemote(hands)
+	overrides[server] = suspended
+	m.remoteOverrides = overrides
+	m.overrides.SetRemote(overrides)
 	return nil
 }
 
-// Figures are nothing but that it is not open until the address is bound.
-func (f *part) Metrics() *management.Cluster {
-	k := f.link.Load()
-	if k == nil {
+// Metrics returns the member's figures; until the address is open, only that it is isolated.
+func (m *member) Metrics() *management.Cluster {
+	node := m.node.Load()
+	if node == nil {
 		return &management.Cluster{LiveMembers: 1, LiveMembersInZone: 1, Isolated: true}
 	}
-	x := k.Metrics()
-	x.Rejected["zone"] = f.lost.Load()
-	return &management.Cluster{Open: true, LiveMembers: x.LiveMembers, LiveMembersInZone: x.LiveMembersInZone, Isolated: x.Isolated, Isolations: x.Isolations, Entries: x.Entries,
-		OldestEntry: x.OldestEntry, SuspendedServers: x.SuspendedServers, BytesIn: x.BytesIn, BytesOut: x.BytesOut, Sent: x.Sent, Dropped: x.Dropped, Joined: x.Joined,
-		Left: x.Left, JoinAttempts: x.JoinAttempts, JoinFailures: x.JoinFailures, Rejected: x.Rejected}
+	metrics := node.Metrics()
+	metrics.Rejected["zone"] = m.unknownZone.Load()
+	return &management.Cluster{
+		Open:              true,
+		LiveMembers:       metrics.LiveMembers,
+		LiveMembersInZone: metrics.LiveMembersInZone,
+		Isolated:          metrics.Isolated,
+		Isolations:        metrics.Isolations,
+		Entries:           metrics.Entries,
+		OldestEntry:       metrics.OldestEntry,
+		SuspendedServers:  metrics.SuspendedServers,
+		BytesIn:           metrics.BytesIn,
+		BytesOut:          metrics.BytesOut,
+		Sent:              metrics.Sent,
+		Dropped:           metrics.Dropped,
+		Joined:            metrics.Joined,
+		Left:              metrics.Left,
+		JoinAttempts:      metrics.JoinAttempts,
+		JoinFailures:      metrics.JoinFailures,
+		Rejected:          metrics.Rejected,
+	}
 }
 
-// Meet leaves the module alone until the address is bound: so long it decides as if there were no fleet.
-func (f *part) ExchangeReports(now int64, seen func(int64) []balancer.Report, zones map[string]int) (balancer.PeerReports, bool) {
-	k := f.link.Load()
-	if k == nil {
+// ExchangeReports publishes this proxy's reports and returns those of live members. ok is false until the address is open:
+// the balancer then decides as if there were no cluster. now is in microseconds.
+func (m *member) ExchangeReports(now int64, reports func(int64) []balancer.Report, zones map[string]int) (
+	peers balancer.PeerReports, ok bool) {
+	node := m.node.Load()
+	if node == nil {
 		return balancer.PeerReports{}, false
 	}
-	k.Publish(adapter.ToObservations(seen(now), zones))
-	w := f.last.Load()
-	if w == nil || now-w.at > deafAfter.Microseconds() {
+	node.Publish(adapter.ToObservations(reports(now), zones))
+	snapshot := m.latest.Load()
+	if snapshot == nil || now-snapshot.receivedAt > maxSnapshotAge.Microseconds() {
 		return balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true}, true
 	}
-	notices, lost := adapter.ToReports(now, w.PeerEntries, zones)
-	f.lost.Add(lost)
-	return balancer.PeerReports{LiveReplicas: w.LiveMembers, LiveReplicasInZone: w.LiveMembersInZone, Isolated: w.Isolated, Reports: notices}, true
+	peerReports, unknownZone := adapter.ToReports(now, snapshot.PeerEntries, zones)
+	m.unknownZone.Add(unknownZone)
+	return balancer.PeerReports{LiveReplicas: snapshot.LiveMembers, LiveReplicasInZone: snapshot.LiveMembersInZone,
+		Isolated: snapshot.Isolated, Reports: peerReports}, true
 }
