--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,8 +1,9 @@
-// Package accept keeps a listener going through errors of accept that are of the moment or of one connection.
+// Package listener wraps a net.Listener so that Accept survives temporary errors. It never closes a listener by itself
+// and knows nothing of what is served.
 //
-// accept(2) hands on network errors that are already pending on the new connection, and asks for them to be treated as
-// EAGAIN. A shortage of descriptors or memory passes, too. net/http's server retries only some of these, with pauses that
-// grow to a second, and ends at the others.
+// accept(2) returns network errors that are pending on the new connection and asks callers to treat them like EAGAIN; a
+// shortage of descriptors or memory passes too. net/http's server retries only some of these, with pauses of up to a
+// second, and ends at the others.
 package listener
 
 import (
@@ -15,51 +16,51 @@
 )
 
 const (
-	firstPause = time.Millisecond
-	maxBackoff = 20 * time.Millisecond // a client in the system's queue waits no longer for the next call
-	logEvery   = time.Second
+	minBackoff  = time.Millisecond
+	maxBackoff  = 20 * time.Millisecond // a client in the accept queue waits no longer for the next attempt
+	logInterval = time.Second
 )
 
-// lasting are the errors that say that the listener itself is of no use; no later call succeeds.
+// permanentErrors are those of a listener that is closed or invalid: no later call succeeds.
 var permanentErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
-// Lasts tells whether an error of accept is one that no later call mends.
+// IsPermanent reports whether no later call of Accept can succeed after an error.
 func IsPermanent(err error) bool {
-	for _, l := range permanentErrors {
-		if errors.Is(err, l) {
+	for _, permanent := range permanentErrors {
+		if errors.Is(err, permanent) {
 			return true
 		}
 	}
 	return false
 }
 
-// Retrier paces the calls after failed ones. One goroutine uses it.
+// Retrier computes the backoff after failed calls of Accept. It is not safe for concurrent use.
 type Retrier struct {
-	log    *slog.Logger
-	pause  time.Duration
-	failed int // since the log last said so
-	logged time.Time
+	log      *slog.Logger
+	backoff  time.Duration
+	failures int // since the last log line
+	loggedAt time.Time
 }
 
-// NewRetrier logs failed calls to log, now and then.
+// NewRetrier returns a Retrier that logs failed calls at most once per second.
 func NewRetrier(log *slog.Logger) *Retrier { return &Retrier{log: log} }
 
-// Succeeded notes a call that gave a connection.
-func (r *Retrier) Succeeded() { r.pause = 0 }
+// Succeeded resets the backoff.
+func (r *Retrier) Succeeded() { r.backoff = 0 }
 
-// Failed notes a call that failed and waits before the next one, no longer than until stop is closed. It returns nil if there
-// is to be a next one, else the error to give out: net.ErrClosed after stop.
+// Failed waits before the next attempt, until stop is closed at the latest. It returns nil if Accept is to be called
+// again, err if that is permanent, and net.ErrClosed after stop.
 func (r *Retrier) Failed(err error, stop <-chan struct{}) error {
 	if IsPermanent(err) {
 		return err
 	}
-	r.failed++
-	if time.Since(r.logged) >= logEvery {
-		r.log.Warn("accept failed, and is tried again", "error", err, "failed", r.failed)
-		r.logged, r.failed = time.Now(), 0
+	r.failures++
+	if time.Since(r.loggedAt) >= logInterval {
+		r.log.Warn("accept failed, retrying", "error", err, "failures", r.failures)
+		r.loggedAt, r.failures = time.Now(), 0
 	}
-	r.pause = min(max(2*r.pause, firstPause), maxBackoff)
-	wait := time.NewTimer(r.pause)
+	r.backoff = min(max(2*r.backoff, minBackoff), maxBackoff)
+	wait := time.NewTimer(r.backoff)
 	defer wait.Stop()
 	select {
 	case <-wait.C:
@@ -69,13 +70,13 @@
 	}
 }
 
-// Listener is a listener whose Accept fails only when no later call could succeed.
+// Listener is a net.Listener whose Accept returns permanent errors only.
 type Listener struct {
 	net.Listener
-	stop chan struct{}
-	once sync.Once
+	stop     chan struct{}
+	stopOnce sync.Once
 
-	mu      sync.Mutex // of one call at a time
+	mu      sync.Mutex // held by one call of Accept at a time
 	retrier *Retrier
 }
 
@@ -84,15 +85,15 @@
 	return &Listener{Listener: l, stop: make(chan struct{}), retrier: NewRetrier(log)}
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection. The error is permanent (IsPermanent).
 func (l *Listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil {
 			l.retrier.Succeeded()
-			return c, nil
+			return conn, nil
 		}
 		if err := l.retrier.Failed(err, l.stop); err != nil {
 			return nil, err
@@ -100,8 +101,8 @@
 	}
 }
 
-// Close ends the listener, and a call of Accept that waits.
+// Close closes the listener and ends a call of Accept that waits.
 func (l *Listener) Close() error {
-	l.once.Do(func() { close(l.stop) })
+	l.stopOnce.Do(func() { close(l.stop) })
 	return l.Listener.Close()
 }
