--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,288 @@
+package discovery
+
+import (
+	"bytes"
+	"context"
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// What the calls of clients on a played clock hash to: method, URL and virtual time of each call, when each list was handed
+// on and what it held, and the counts at the end. A client that waits, asks or believes otherwise has another hash.
+const (
+	goldenPlatformCalls = "3f8945cf735b85df"
+	goldenMemberCalls   = "40b3f716a41ef52e"
+)
+
+// transcript notes what a client does, in the order of the played clock.
+type transcript struct {
+	mu    sync.Mutex
+	start time.Time
+	calls []string
+	lists []string
+}
+
+func (s *transcript) call(r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.calls = append(s.calls, fmt.Sprintf("%d %s %s", time.Since(s.start), r.Method, r.URL))
+}
+
+func (s *transcript) list(l *List) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	line := fmt.Sprintf("%d %d %t", time.Since(s.start), l.Index, l.Full)
+	for _, e := range l.Endpoints {
+		line += fmt.Sprintf(" %s/%s/%s", e.Name, e.Address, e.Status)
+	}
+	s.lists = append(s.lists, line)
+}
+
+// play runs a client against a scripted server for some virtual time and returns what it did. At moveAt it is moved.
+func play(t *testing.T, cfg Config, known *List, answer func(age time.Duration, r *http.Request) (*http.Response, error),
+	length, moveAt time.Duration, moveTo Source) (calls, lists []string, counts string) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		notes := &transcript{start: time.Now()}
+		cfg.Log = slog.New(slog.DiscardHandler)
+		c := New(cfg)
+		transport := roundTrip(func(r *http.Request) (*http.Response, error) {
+			notes.call(r)
+			return answer(time.Since(notes.start), r)
+		})
+		c.connect = func(Source) *http.Client { return &http.Client{Transport: transport} }
+		c.http = c.connect(Source{})
+		if known != nil {
+			c.Known(known)
+		}
+		ctx, stop := context.WithCancel(t.Context())
+		ended := make(chan struct{})
+		go func() { defer close(ended); c.Run(ctx) }()
+		go func() {
+			for {
+				select {
+				case n := <-c.News():
+					notes.list(n.List)
+				case <-ctx.Done():
+					return
+				}
+			}
+		}()
+		time.Sleep(moveAt)
+		c.Move(moveTo)
+		time.Sleep(length - moveAt)
+		f := c.Figures()
+		stop()
+		<-ended
+		calls, lists = notes.calls, notes.lists
+		counts = fmt.Sprint(f.Members, f.Age, f.Moves, f.Failures, f.Kept, f.Calls)
+	})
+	return calls, lists, counts
+}
+
+// pausing answers after some time, or fails with the call's context.
+func pausing(r *http.Request, d time.Duration, answer func() (*http.Response, error)) (*http.Response, error) {
+	select {
+	case <-time.After(d):
+		return answer()
+	case <-r.Context().Done():
+		return nil, r.Context().Err()
+	}
+}
+
+func unavailable() (*http.Response, error) {
+	return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
+}
+
+// holdOf is how long a call may be held, and the version that it names.
+func holdOf(r *http.Request) (hold time.Duration, from string) {
+	hold, _ = time.ParseDuration(r.URL.Query().Get("hold_ms") + "ms")
+	return hold, r.URL.Query().Get("from")
+}
+
+// platformAnswer is the platform's discovery: a change each 1.7 s, and a fault of its own in each phase.
+func platformAnswer(age time.Duration, r *http.Request) (*http.Response, error) {
+	hold, from := holdOf(r)
+	list := func() (*http.Response, error) {
+		version := int64(age / (1700 * time.Millisecond))
+		return answer(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[{"name":"e%d","address":"127.0.0.1:%d","status":"SERVING"}]}`,
+			version, from == "", version%7, 1+version)), nil
+	}
+	well := func() (*http.Response, error) {
+		return pausing(r, min(hold, 1700*time.Millisecond-age%(1700*time.Millisecond)), list)
+	}
+	phases := []struct {
+		until  time.Duration
+		answer func() (*http.Response, error)
+	}{
+		{10 * time.Second, well},
+		{13 * time.Second, func() (*http.Response, error) { return pausing(r, time.Hour, list) }}, // never answered
+		{20 * time.Second, well},
+		{27 * time.Second, func() (*http.Response, error) { return nil, errors.New("connection reset") }},
+		{34 * time.Second, well},
+		{45 * time.Second, func() (*http.Response, error) { return pausing(r, 30*time.Millisecond, unavailable) }},
+		{52 * time.Second, well},
+		{110 * time.Second, func() (*http.Response, error) { return pausing(r, 2*time.Second, unavailable) }},
+		{120 * time.Second, well},
+		{125 * time.Second, func() (*http.Response, error) {
+			return pausing(r, 10*time.Millisecond, func() (*http.Response, error) { return answer(`{"index":9,"endpoints":[{}]}`), nil })
+		}},
+		{132 * time.Second, well},
+		{133 * time.Second, func() (*http.Response, error) {
+			return pausing(r, max(hold/2, 20*time.Millisecond), func() (*http.Response, error) {
+				return answer(`{"index":2,"snapshot":false,"endpoints":[]}`), nil
+			})
+		}},
+		{140 * time.Second, well},
+		{147 * time.Second, func() (*http.Response, error) {
+			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&drip{r.Context()})}, nil
+		}},
+		{155 * time.Second, well},
+		{170 * time.Second, func() (*http.Response, error) { return pausing(r, 300*time.Millisecond, unavailable) }},
+		{time.Hour, well},
+	}
+	for _, p := range phases {
+		if age < p.until {
+			return p.answer()
+		}
+	}
+	panic("after the last phase")
+}
+
+// memberAnswer is the project's own list service: three members, each with faults of its own, and another epoch of
+// versions later.
+func memberAnswer(age time.Duration, r *http.Request) (*http.Response, error) {
+	hold, from := holdOf(r)
+	line, version := "one", 100+int64(age/(2300*time.Millisecond))
+	if age > 60*time.Second {
+		line = "two"
+	}
+	if age > 95*time.Second {
+		line, version = "three", int64(age/(2300*time.Millisecond))
+	}
+	names := []string{"a", "b", "c", "d"}[:2+version%3]
+	if line == "two" {
+		names = []string{"a", "e"}
+	}
+	list := func(version int64, whole bool) func() (*http.Response, error) {
+		return func() (*http.Response, error) {
+			var entries []string
+			for _, n := range names {
+				entries = append(entries, fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":"z","status":"SERVING","weight":1,"since_ms":5}`, n))
+			}
+			return answer(fmt.Sprintf(`{"index":%d,"snapshot":%t,"line":%q,"endpoints":[%s]}`, version, whole, line, strings.Join(entries, ","))), nil
+		}
+	}
+	faulty := fmt.Sprintf("m%d", 1+age/(6*time.Second)%3)
+	if age > 130*time.Second && age < 150*time.Second || r.URL.Hostname() == faulty {
+		switch age / (18 * time.Second) % 5 {
+		case 0:
+			return nil, errors.New("connection refused")
+		case 1:
+			return pausing(r, time.Hour, unavailable)
+		case 2:
+			return unavailable()
+		case 3:
+			return answer(`{"index":9`), nil
+		case 4:
+			return pausing(r, 10*time.Millisecond, list(version-4, false))
+		}
+	}
+	whole := from == "" || r.URL.Query().Get("line") != line
+	if whole {
+		hold = 0
+	}
+	return pausing(r, min(hold, 900*time.Millisecond), list(version, whole))
+}
+
+func hashOf(lines ...[]string) string {
+	sum := sha256.New()
+	for _, l := range lines {
+		fmt.Fprintln(sum, strings.Join(l, "\n"))
+	}
+	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
+}
+
+func TestGoldenPlatformCalls(t *testing.T) {
+	var all []string
+	for seed := range uint64(4) {
+		for _, cfg := range []Config{{Callers: 0}, {Callers: 12}, {Callers: 300}, {Pushed: true}} {
+			cfg.Seed, cfg.Source = seed, Source{Address: "127.0.0.1:1"}
+			var known *List
+			if seed%2 == 1 {
+				known = &List{Index: 0, Full: true}
+			}
+			calls, lists, counts := play(t, cfg, known, platformAnswer, 5*time.Minute, 180*time.Second, Source{Address: "127.0.0.1:2"})
+			if len(calls) < 100 || len(lists) < 50 {
+				t.Errorf("seed %d: %d calls and %d lists say little", seed, len(calls), len(lists))
+			}
+			all = append(all, hashOf(calls, lists, []string{counts}))
+		}
+	}
+	if got := hashOf(all); got != goldenPlatformCalls {
+		t.Errorf("the calls hash to %s, not %s", got, goldenPlatformCalls)
+	}
+}
+
+func TestGoldenMemberCalls(t *testing.T) {
+	var all []string
+	for seed := range uint64(6) {
+		cfg := Config{Source: Source{Members: []string{"m1:1", "m2:1", "m3:1"}}, Seed: seed}
+		var known *List
+		if seed%2 == 1 {
+			known = &List{Index: 90, Full: true, Line: "one", Endpoints: []Endpoint{{Name: "old", Address: "127.0.0.1:9", Status: Serving}}}
+		}
+		calls, lists, counts := play(t, cfg, known, memberAnswer, 4*time.Minute, 200*time.Second, Source{Members: []string{"m3:1", "m2:1"}})
+		if len(calls) < 60 || len(lists) < 30 {
+			t.Errorf("seed %d: %d calls and %d lists say little", seed, len(calls), len(lists))
+		}
+		all = append(all, hashOf(calls, lists, []string{counts}))
+	}
+	if got := hashOf(all); got != goldenMemberCalls {
+		t.Errorf("the calls hash to %s, not %s", got, goldenMemberCalls)
+	}
+}
+
+// A list that an earlier version kept is read as it was.
+func TestGoldenKeptList(t *testing.T) {
+	l, err := Kept(filepath.Join("testdata", "kept"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := goldenList(); !reflect.DeepEqual(l, want) {
+		t.Errorf("got %+v, want %+v", l, want)
+	}
+	dir := t.TempDir()
+	keep := newKeeper(dir, slog.New(slog.DiscardHandler))
+	ctx, stop := context.WithCancel(t.Context())
+	ended := keep.Run(ctx)
+	keep.Put(goldenList().encode)
+	stop()
+	ended()
+	before, err := os.ReadFile(filepath.Join("testdata", "kept", "list"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if now, err := os.ReadFile(filepath.Join(dir, "list")); err != nil || !bytes.Equal(now, before) {
+		t.Errorf("written %q, %v, want %q", now, err, before)
+	}
+}
+
+func goldenList() *List {
+	weight := 1.5
+	return &List{Index: 4711, Full: true, Line: "8f3a", Endpoints: []Endpoint{
+		{Name: "a-1", Address: "10.0.0.1:80", Zone: "north", Group: 2, Status: Serving, Weight: &weight, SinceMs: 1700000000123},
+		{Name: "b \"2\"", Address: "[::1]:8080", Zone: "süd", Status: Draining}}}
+}
