--- /dev/null
+++ b/internal/bans/golden_test.go
@@ -0,0 +1,42 @@
+package bans
+
+import (
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+// A folder that an earlier version wrote is read as it was, and written with the same names of files.
+func TestGoldenFolder(t *testing.T) {
+	ids := []string{"a", "a b", "a/b", "ü%2F", "10.0.0.1:80", OfZone("north"), OfZone("a/b ü")}
+	kept := filepath.Join("testdata", "kept")
+	b, err := Open(Config{Dir: kept})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := slices.Sorted(maps.Keys(b.Present())); !slices.Equal(got, slices.Sorted(slices.Values(ids))) {
+		t.Errorf("read %q", got)
+	}
+	s := store{dir: t.TempDir()}
+	for _, id := range ids {
+		must(t, s.add(id))
+	}
+	files := func(dir string) (names []string) {
+		entries, err := os.ReadDir(dir)
+		must(t, err)
+		for _, e := range entries {
+			info, err := e.Info()
+			must(t, err)
+			if info.Size() != 0 {
+				t.Errorf("%s has %d bytes", e.Name(), info.Size())
+			}
+			names = append(names, e.Name())
+		}
+		return names
+	}
+	if now, before := files(s.dir), files(kept); !slices.Equal(now, before) {
+		t.Errorf("written %q, want %q", now, before)
+	}
+}
--- /dev/null
+++ b/internal/rollout/golden_test.go
@@ -0,0 +1,38 @@
+package rollout
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+// A configuration that an earlier version kept is read as it was, and written in the same bytes.
+func TestGoldenKeptConfiguration(t *testing.T) {
+	want := &Kept{Service: "tarifas", Line: "8f3a", Version: 4711, Document: json.RawMessage(`{"settings":{"x":[1,"ü"]}}`)}
+	got, err := Read(filepath.Join("testdata", "kept"), "tarifas")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+	dir := t.TempDir()
+	keep := newKeeper(dir, slog.New(slog.DiscardHandler))
+	ctx, stop := context.WithCancel(t.Context())
+	ended := keep.Run(ctx)
+	keep.Put(want.encode)
+	stop()
+	ended()
+	before, err := os.ReadFile(filepath.Join("testdata", "kept", "config"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if now, err := os.ReadFile(filepath.Join(dir, "config")); err != nil || !bytes.Equal(now, before) {
+		t.Errorf("written %q, %v, want %q", now, err, before)
+	}
+}
