--- /dev/null
+++ b/cmd/simhost/golden_test.go
@@ -0,0 +1,32 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// A recorded dialogue of several instances (retries, rejections, timers, lists that change, withdrawn requests) is answered
+// in the same bytes. Only the words of log lines are free; TestActionsOnTheWire holds the form of such a line.
+func TestGoldenTranscript(t *testing.T) {
+	input, err := os.ReadFile(filepath.Join("testdata", "transcript.in.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	output, err := os.ReadFile(filepath.Join("testdata", "transcript.out.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	words := regexp.MustCompile(`^(\{"emit":\{"who":"[^"]*","line":").*("\}\})$`)
+	got, want := mustRun(t, string(input)), strings.Split(strings.TrimSuffix(string(output), "\n"), "\n")
+	for i := range max(len(got), len(want)) {
+		if i >= len(got) || i >= len(want) {
+			t.Fatalf("%d lines, want %d", len(got), len(want))
+		}
+		if g, w := words.ReplaceAllString(got[i], "$1$2"), words.ReplaceAllString(want[i], "$1$2"); g != w {
+			t.Fatalf("line %d: got %s, want %s", i+1, g, w)
+		}
+	}
+}
