--- a/.ci/cost/main.go
+++ b/.ci/cost/main.go
@@ -21,7 +21,7 @@
 	"strings"
 	"time"
 
-	"fernlanding/.ci/tiny"
+	"merlinpick/.ci/minimalconfig"
 )
 
 const (
@@ -86,12 +86,12 @@
 
 // one is the life of one proxy.
 func one(path, dir string, stay time.Duration) (ms, mb float64, err error) {
-	listen, err := tiny.Free()
+	listen, err := minimalconfig.Free()
 	if err != nil {
 		return 0, 0, err
 	}
 	conf := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(conf, tiny.Config(listen, ""), 0o600); err != nil {
+	if err := os.WriteFile(conf, minimalconfig.Config(listen, ""), 0o600); err != nil {
 		return 0, 0, err
 	}
 	var said bytes.Buffer
@@ -115,7 +115,7 @@
 
 // life follows a proxy until it has been healthy for stay.
 func life(pid int, began time.Time, listen string, ended chan error, stay time.Duration) (ms, mb float64, err error) {
-	for tiny.Status("GET", listen+"/_health") != http.StatusOK {
+	for minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
 		select {
 		case err := <-ended:
 			ended <- err
--- a/.ci/tiny/tiny.go
+++ b/.ci/minimalconfig/minimalconfig.go
@@ -1,5 +1,5 @@
 // Package tiny is the smallest configuration that a proxy starts by, and what the programs beside it ask with.
-package tiny
+package minimalconfig
 
 import (
 	"fmt"
--- a/.ci/start/main.go
+++ b/.ci/start/main.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"fernlanding/.ci/tiny"
+	"merlinpick/.ci/minimalconfig"
 )
 
 const patience = 30 * time.Second
@@ -38,7 +38,7 @@
 	if err := life(dir, ""); err != nil {
 		return fmt.Errorf("without a management address: %w", err)
 	}
-	mgmt, err := tiny.Free()
+	mgmt, err := minimalconfig.Free()
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 
 // start starts run with a configuration, and waits until that is healthy by the address and path given.
 func start(dir, path, listen, mgmt, health string) (*proxy, error) {
-	if err := os.WriteFile(path, tiny.Config(listen, mgmt), 0o600); err != nil {
+	if err := os.WriteFile(path, minimalconfig.Config(listen, mgmt), 0o600); err != nil {
 		return nil, err
 	}
 	cmd := exec.Command("/bin/sh", "-c", os.Getenv("CI_RUN"))
@@ -67,7 +67,7 @@
 	}
 	p := &proxy{cmd, make(chan error, 1)}
 	go func() { p.ended <- cmd.Wait() }()
-	for end := time.Now().Add(patience); tiny.Status("GET", health) != http.StatusOK; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(patience); minimalconfig.Status("GET", health) != http.StatusOK; time.Sleep(20 * time.Millisecond) {
 		select {
 		case err := <-p.ended:
 			return nil, fmt.Errorf("it ended early: %v", err)
@@ -98,7 +98,7 @@
 
 // life plays a proxy's life: start, SIGHUP, with a management address a ban and an upgrade too, and the end.
 func life(dir, mgmt string) error {
-	listen, err := tiny.Free()
+	listen, err := minimalconfig.Free()
 	if err != nil {
 		return err
 	}
@@ -115,18 +115,18 @@
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
-	if tiny.Status("GET", listen+"/_health") != http.StatusOK {
+	if minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
 		return fmt.Errorf("not healthy after SIGHUP")
 	}
 	if mgmt == "" {
 		return p.stop()
 	}
 	for call, want := range map[string]int{"/v1/nodos/a/suspend": 200, "/v1/nodos/b/suspend": 404} {
-		if got := tiny.Status("POST", mgmt+call); got != want {
+		if got := minimalconfig.Status("POST", mgmt+call); got != want {
 			return fmt.Errorf("%s: got %d, want %d", call, got, want)
 		}
 	}
-	second, err := tiny.Free()
+	second, err := minimalconfig.Free()
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 	if text := body(second + "/v1/metrics"); !strings.Contains(text, "\napp.ejected=1\n") {
 		return fmt.Errorf("the ban did not outlast the upgrade:\n%s", text)
 	}
-	if tiny.Status("GET", listen+"/_health") != http.StatusOK {
+	if minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
 		return fmt.Errorf("not healthy after the upgrade")
 	}
 	return next.stop()
--- a/logic/attempts.go
+++ b/balancer/attempts.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // What becomes of a request: sent, refused, sent again, answered. Rules 1, 2, 5 and 6 are kept here.
 
@@ -19,13 +19,13 @@
 )
 
 // Timer takes a timer that was asked for.
-func (b *Balancer) Timer(now int64, h Host, token string) {
+func (b *Balancer) HandleTimer(now int64, h Host, token string) {
 	if token == watchToken && !b.asked {
 		b.asked = true
 		h.Watch()
 	} else if id, ok := strings.CutPrefix(token, heldToken); ok {
 		if q := b.reqs[id]; q != nil && !q.over && len(q.attempts) == 0 {
-			b.refuse(now, h, q, NoTurn)
+			b.refuse(now, h, q, RejectQueueTimeout)
 		}
 	} else if key, ok := strings.CutPrefix(token, turnToken); ok && b.turns[key] != nil {
 		b.next(now, h, b.turns[key])
@@ -33,11 +33,11 @@
 }
 
 // Request takes a request and sends or refuses it at once, unless it must wait for its key's turn (rule 5).
-func (b *Balancer) Request(now int64, h Host, r Request) {
+func (b *Balancer) HandleRequest(now int64, h Host, r Request) {
 	if b.reqs[r.ID] != nil {
 		return
 	}
-	under := cmp.Or(r.Under, b.s)
+	under := cmp.Or(r.Settings, b.s)
 	if r.Class < 0 || r.Class >= len(under.Classes) {
 		h.Fail(r.ID)
 		return
@@ -45,7 +45,7 @@
 	b.watch(now)
 	q := &request{Request: r, s: under, came: now}
 	b.arrived(now, q)
-	if r.Key == "" || !under.Classes[r.Class].ByArrival {
+	if r.Key == "" || !under.Classes[r.Class].Ordered {
 		b.start(now, h, q)
 		return
 	}
@@ -55,7 +55,7 @@
 	}
 	last := float64(b.deadline(q)-now) - leastMeans*b.classes[r.Class].mean
 	if float64(len(q.turn.line)-1)*b.classes[r.Class].mean > last { // this also bounds the line
-		b.refuse(now, h, q, NoTurn)
+		b.refuse(now, h, q, RejectQueueTimeout)
 		return
 	}
 	h.SetTimer(max(int64(last), 0), heldToken+q.ID)
@@ -65,11 +65,11 @@
 func (b *Balancer) start(now int64, h Host, q *request) {
 	switch {
 	case !b.canPass(now, q):
-		b.refuse(now, h, q, OverCount)
+		b.refuse(now, h, q, RejectOverLimit)
 	case !b.inTime(now, q):
-		b.refuse(now, h, q, NoTime)
+		b.refuse(now, h, q, RejectNoTimeLeft)
 	case !b.send(now, h, q):
-		b.refuse(now, h, q, NoServer)
+		b.refuse(now, h, q, RejectNoServer)
 	default:
 		if t := b.origin(q); t != nil {
 			t.pass.add(now)
@@ -86,22 +86,22 @@
 }
 
 // refuse gives a hint spread so that clients don't return together, nor too late for an answer in their aim.
-func (b *Balancer) refuse(now int64, h Host, q *request, why Refusal) {
+func (b *Balancer) refuse(now int64, h Host, q *request, why RejectReason) {
 	b.refusals[why]++
-	most := min(q.s.MaxRetryAfter, int64(hintPart*float64(q.s.Classes[q.Class].Aim)))
-	h.Refuse(q.ID, most/2+b.rnd.Int64N(most/2+1))
+	most := min(q.s.MaxRetryAfter, int64(hintPart*float64(q.s.Classes[q.Class].LatencyObjective)))
+	h.Reject(q.ID, most/2+b.rnd.Int64N(most/2+1))
 	b.finish(now, h, q)
 }
 
 // deadline is when an answer stops being worth anything.
 func (b *Balancer) deadline(q *request) int64 {
 	switch k := q.s.Classes[q.Class]; {
-	case q.Uploading:
+	case q.BodyPending:
 		return math.MaxInt64 / 2
-	case b.s.Stage == 0 && k.LateWorth == 0:
-		return min(q.GiveUp, q.came+k.Aim)
+	case b.s.Tier == 0 && k.LateWeight == 0:
+		return min(q.Deadline, q.came+k.LatencyObjective)
 	}
-	return q.GiveUp
+	return q.Deadline
 }
 
 // inTime tells whether a request can still be answered while that is worth something.
@@ -120,7 +120,7 @@
 	q.attempts = append(q.attempts, a)
 	q.out++
 	b.tier.pass.add(now)
-	if !q.Uploading {
+	if !q.BodyPending {
 		b.count(q, a)
 	}
 	h.Send(q.ID, s.ID, within, b.timeout(now, q))
@@ -130,11 +130,11 @@
 // timeout gives an attempt up when its answer would be worth nothing, and before that where another may
 // follow, so that a hung server frees its slot.
 func (b *Balancer) timeout(now int64, q *request) int64 {
-	if q.Uploading {
+	if q.BodyPending {
 		return 0
 	}
 	left := b.deadline(q) - now
-	if q.s.Classes[q.Class].Repeat != Unsafe && len(q.attempts) < q.s.MaxAttempts {
+	if q.s.Classes[q.Class].Idempotency != NonIdempotent && len(q.attempts) < q.s.MaxAttempts {
 		left = min(left, int64(hangMeans*b.classes[q.Class].mean))
 	}
 	return max(left, 1)
@@ -145,14 +145,14 @@
 func (b *Balancer) within(now int64, q *request, s *server) (left int64) {
 	k := q.s.Classes[q.Class]
 	for _, a := range q.attempts {
-		if !a.mayRun || k.Repeat == Safe {
+		if !a.mayRun || k.Idempotency == Idempotent {
 			continue
 		}
-		if k.Repeat == Unsafe || now-a.sent >= k.Window ||
-			k.Group == GroupZone && a.zone != s.Zone || k.Group == GroupCell && a.cell != s.Cell {
+		if k.Idempotency == NonIdempotent || now-a.sent >= k.DedupWindow ||
+			k.DedupScope == DedupScopeZone && a.zone != s.Zone || k.DedupScope == DedupScopeCell && a.cell != s.Cell {
 			return -1
 		}
-		left = cmp.Or(left, a.sent+k.Window-now) // the first one's ends first
+		left = cmp.Or(left, a.sent+k.DedupWindow-now) // the first one's ends first
 	}
 	return left
 }
@@ -160,12 +160,12 @@
 // mayRefuse keeps rule 2 for a refusal, which tells the client that trying again is harmless.
 func (b *Balancer) mayRefuse(q *request) bool {
 	k := q.s.Classes[q.Class]
-	return k.Repeat == Safe || k.Repeat == Keyed && k.Group == GroupAll ||
+	return k.Idempotency == Idempotent || k.Idempotency == IdempotentWithKey && k.DedupScope == DedupScopeAll ||
 		!slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.mayRun })
 }
 
 // Started takes the news that a streamed answer has begun and learns from it: the rest is at a client's pace.
-func (b *Balancer) Started(now int64, id string) {
+func (b *Balancer) HandleResponseStarted(now int64, id string) {
 	q := b.reqs[id]
 	if q == nil || q.over {
 		return
@@ -175,18 +175,18 @@
 		if a.out {
 			a.started = true
 			b.leave(q, a)
-			b.learn(now, q, a, Outcome{Status: OK, Took: now - a.sent})
+			b.learn(now, q, a, Outcome{Status: StatusOK, Latency: now - a.sent})
 		}
 	}
 }
 
 // Uploaded takes the news that a request's body has come: its time begins. It returns its attempt's time-out.
-func (b *Balancer) Uploaded(now int64, id string, giveUp int64) (timeout int64) {
+func (b *Balancer) HandleBodyReceived(now int64, id string, giveUp int64) (timeout int64) {
 	q := b.reqs[id]
 	if q == nil || q.over {
 		return 0
 	}
-	q.Uploading, q.GiveUp, q.came = false, giveUp, now
+	q.BodyPending, q.Deadline, q.came = false, giveUp, now
 	for _, a := range q.attempts {
 		if a.out {
 			a.sent = now
@@ -197,15 +197,15 @@
 }
 
 // Withdrawn takes the news that nobody waits for a request any more.
-func (b *Balancer) Withdrawn(now int64, h Host, id string) {
+func (b *Balancer) HandleClientGone(now int64, h Host, id string) {
 	if q := b.reqs[id]; q != nil {
 		b.finish(now, h, q)
 	}
 }
 
 // Outcome takes the end of an attempt; a request that is owed an answer gets it or a further attempt at once.
-func (b *Balancer) Outcome(now int64, h Host, o Outcome) {
-	q := b.reqs[o.ID]
+func (b *Balancer) HandleOutcome(now int64, h Host, o Outcome) {
+	q := b.reqs[o.RequestID]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].out {
 		return
 	}
@@ -213,26 +213,26 @@
 	a := q.attempts[o.Attempt]
 	a.out = false
 	if q.out--; a.started { // learned from already, but for an answer that breaks off
-		if o.Status != OK && o.Status != Cancelled {
+		if o.Status != StatusOK && o.Status != StatusCancelled {
 			b.judge(a.srv, q.Class, o.Status)
 		}
 		b.finish(now, h, q)
 		return
 	}
-	a.mayRun = o.Status != ConnectFailed && o.Status != Moot && (o.Status != FullUp || q.s.FullMayRun)
+	a.mayRun = o.Status != StatusConnectFailed && o.Status != StatusNotSent && (o.Status != StatusRejected || q.s.RejectedMayHaveExecuted)
 	b.leave(q, a)
 	b.learn(now, q, a, o)
 	b.report(now, h)
-	if q.turn != nil && slices.Contains([]Status{TimedOut, Reset, Cancelled}, o.Status) { // it may still run
-		q.turn.rest = now + q.s.OrderSettle
-		h.SetTimer(q.s.OrderSettle, turnToken+q.Key)
+	if q.turn != nil && slices.Contains([]Status{StatusTimedOut, StatusReset, StatusCancelled}, o.Status) { // it may still run
+		q.turn.rest = now + q.s.OrderingCooldown
+		h.SetTimer(q.s.OrderingCooldown, turnToken+q.Key)
 	}
-	if o.Closed || q.over {
+	if o.RequestDone || q.over {
 		b.finish(now, h, q)
-	} else if q.out > 0 || !o.Spent && b.again(now, h, q) {
+	} else if q.out > 0 || !o.NotReplayable && b.again(now, h, q) {
 		return
 	} else if b.mayRefuse(q) {
-		b.refuse(now, h, q, NoAttempt)
+		b.refuse(now, h, q, RejectRetriesExhausted)
 	} else {
 		h.Fail(q.ID)
 		b.finish(now, h, q)
@@ -240,19 +240,19 @@
 }
 
 // unspent is from when on no window holds what was spent of the budget until now, here or elsewhere.
-func (b *Balancer) unspent(now int64) int64 { return now + b.s.BudgetSpan }
+func (b *Balancer) unspent(now int64) int64 { return now + b.s.RetryBudgetWindow }
 
 // again makes a further attempt, where time, rules, rule 2 and the budget (rule 6) allow one. The budget's
 // window ends now: an attempt at its far edge counts, a request taken there does not.
 func (b *Balancer) again(now int64, h Host, q *request) bool {
-	u, rule, from, free := b.rnd.Float64(), &b.classes[q.Class].rule, now-b.s.BudgetSpan, b.s.BudgetFree
+	u, rule, from, free := b.rnd.Float64(), &b.classes[q.Class].rule, now-b.s.RetryBudgetWindow, b.s.RetryBudgetMin
 	if now < b.free {
 		free = 0
 	}
 	if len(q.attempts) >= q.s.MaxAttempts || !b.inTime(now, q) || !b.tier.canPass(u) || !rule.canPass(u) ||
-		b.further.since(from)+1 > free+b.s.BudgetShare*b.taken.since(from+1) || !b.send(now, h, q) {
+		b.further.since(from)+1 > free+b.s.RetryBudgetRatio*b.taken.since(from+1) || !b.send(now, h, q) {
 		return false
 	}
-	b.further.add(now, b.s.BudgetSpan)
+	b.further.add(now, b.s.RetryBudgetWindow)
 	return true
 }
--- a/logic/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -13,9 +13,9 @@
 	s.MaxRetryAfter = 2 * second
 	b, h := with(t, s, 0) // no server: all is refused
 	for i := range 100 {
-		b.Request(start, h, Request{ID: fmt.Sprint(i), GiveUp: start + second})
+		b.HandleRequest(start, h, Request{ID: fmt.Sprint(i), Deadline: start + second})
 	}
-	most := s.Classes[0].Aim / 2
+	most := s.Classes[0].LatencyObjective / 2
 	if len(h.hints) != 100 || slices.Min(h.hints) < most/2 || slices.Max(h.hints) > most {
 		t.Errorf("hints %v, want %d to %d", h.hints, most/2, most)
 	}
@@ -24,24 +24,24 @@
 // A client that reads its answer slowly says nothing of the server: the call is counted out and judged when the
 // answer begins, and again only if that breaks off.
 func TestAnAnswerThatHasBegunIsTheClients(t *testing.T) {
-	for _, end := range []Status{OK, Cancelled, Reset} {
+	for _, end := range []Status{StatusOK, StatusCancelled, StatusReset} {
 		b, h := with(t, testSettings(), 1)
 		ask(b, h, start, "r", 0)
-		b.Started(start+1000, "r")
+		b.HandleResponseStarted(start+1000, "r")
 		s := b.byID["s0"]
 		if s.inflight != 0 || b.tier.threads != 0 || b.classes[0].seen != 1 {
 			t.Errorf("begun: %d held, %d in all, %v seen", s.inflight, b.tier.threads, b.classes[0].seen)
 		}
 		ask(b, h, start+20*second, "other", 0) // would count what is slow
-		b.Outcome(start+20*second, h, Outcome{ID: "other", Status: OK, Took: 1000, Closed: true})
+		b.HandleOutcome(start+20*second, h, Outcome{RequestID: "other", Status: StatusOK, Latency: 1000, RequestDone: true})
 		if b.share < shareStart {
 			t.Errorf("a slow client presses the shares to %v", b.share)
 		}
-		b.Outcome(start+30*second, h, Outcome{ID: "r", Status: end, Took: 30 * second, Closed: true})
+		b.HandleOutcome(start+30*second, h, Outcome{RequestID: "r", Status: end, Latency: 30 * second, RequestDone: true})
 		if s.inflight != 0 || b.tier.threads != 0 || len(b.reqs) != 0 {
 			t.Errorf("%v: %d held, %d in all, %d requests", end, s.inflight, b.tier.threads, len(b.reqs))
 		}
-		if blamed := s.whole.left < 1; blamed != (end == Reset) {
+		if blamed := s.whole.left < 1; blamed != (end == StatusReset) {
 			t.Errorf("%v: blamed %v", end, blamed)
 		}
 	}
@@ -51,9 +51,9 @@
 // sent again.
 func TestTheTimeOfAnUploadBeginsWithItsLastByte(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].LateWorth = 0
+	s.Classes[0].LateWeight = 0
 	b, h := with(t, s, 4)
-	b.Request(start, h, Request{ID: "r", Uploading: true})
+	b.HandleRequest(start, h, Request{ID: "r", BodyPending: true})
 	if len(h.sends) != 1 || h.sends[0].timeout != 0 {
 		t.Fatalf("got %q", h.lines)
 	}
@@ -62,25 +62,25 @@
 		t.Error("a body on its way counts as a call in flight")
 	}
 	ask(b, h, late, "other", 0) // would count what is slow
-	b.Outcome(late, h, Outcome{ID: "other", Status: OK, Took: 1000, Closed: true})
-	if got := b.Uploaded(late, "r", late+1_000_000); got != s.Classes[0].Aim {
+	b.HandleOutcome(late, h, Outcome{RequestID: "other", Status: StatusOK, Latency: 1000, RequestDone: true})
+	if got := b.HandleBodyReceived(late, "r", late+1_000_000); got != s.Classes[0].LatencyObjective {
 		t.Errorf("%d left for the answer", got)
 	}
 	if b.tier.threads != 1 || b.byID[h.sends[0].server].inflight != 1 {
 		t.Error("a call whose body has come is not counted in flight")
 	}
-	b.Outcome(late+1000, h, Outcome{ID: "r", Status: OK, Took: 1000, Closed: true})
+	b.HandleOutcome(late+1000, h, Outcome{RequestID: "r", Status: StatusOK, Latency: 1000, RequestDone: true})
 	if b.share < shareStart || b.tier.ev.bad != 0 || len(b.reqs) != 0 {
 		t.Errorf("a slow client counts against the tier: share %v, %d bad, %d requests", b.share, b.tier.ev.bad, len(b.reqs))
 	}
 	for _, spent := range []bool{false, true} {
 		n := len(h.sends)
-		b.Request(late, h, Request{ID: "q", Uploading: true})
-		b.Outcome(late, h, Outcome{ID: "q", Status: ConnectFailed, Spent: spent})
+		b.HandleRequest(late, h, Request{ID: "q", BodyPending: true})
+		b.HandleOutcome(late, h, Outcome{RequestID: "q", Status: StatusConnectFailed, NotReplayable: spent})
 		if again := len(h.sends) == n+2; again == spent {
 			t.Errorf("spent %v, sent again %v", spent, again)
 		}
-		b.Withdrawn(late, h, "q")
-		b.Outcome(late, h, Outcome{ID: "q", Attempt: 1, Status: Cancelled, Closed: true})
+		b.HandleClientGone(late, h, "q")
+		b.HandleOutcome(late, h, Outcome{RequestID: "q", Attempt: 1, Status: StatusCancelled, RequestDone: true})
 	}
 }
--- a/logic/logic.go
+++ b/balancer/balancer.go
@@ -2,7 +2,7 @@
 // as Sentinel's FlowSlot does: the tier's (thread grade, cluster node), the tenant's (QPS grade, origin
 // node), the class's (thread grade, default node). A call over a count fails fast, unsent. Counts start high,
 // rise after timely rounds, are cut after bad ones. What passes goes to a server by a weighted random draw.
-package logic
+package balancer
 
 import "math/rand/v2"
 
@@ -18,7 +18,7 @@
 		reqs: map[string]*request{}, turns: map[string]*turn{}, backoff: watchFirst,
 		tenants: make([]originRule, len(s.Tenants)), classes: make([]classState, len(s.Classes))}
 	b.share, b.shareMost, b.shareBad, b.spill = shareStart, shareStart, sharePress, spillStart
-	if s.Stage > 0 {
+	if s.Tier > 0 {
 		b.share, b.shareMost, b.shareBad, b.spill = shareDeep, shareDeep, shareDeep, spillLow
 	}
 	for i, c := range s.Classes {
@@ -31,17 +31,17 @@
 
 // derive takes what follows from the settings in force.
 func (b *Balancer) derive() {
-	if b.s.BudgetSpan == 0 {
-		b.s.BudgetSpan, b.s.BudgetFree, b.s.BudgetShare = ownSpan, ownFree, ownShare
+	if b.s.RetryBudgetWindow == 0 {
+		b.s.RetryBudgetWindow, b.s.RetryBudgetMin, b.s.RetryBudgetRatio = ownSpan, ownFree, ownShare
 	}
 	b.fair = 0
 	for _, t := range b.s.Tenants { // a copy that carries more than its part learns a higher multiple
-		b.fair += t.Quota / float64(b.s.Siblings)
+		b.fair += t.Quota / float64(b.s.Replicas)
 	}
 	span := int64(0)
 	for i, c := range b.s.Classes {
 		if !b.classes[i].retired {
-			span = max(span, roundSpan*c.Aim)
+			span = max(span, roundSpan*c.LatencyObjective)
 		}
 	}
 	b.shareEv.allowed, b.shareEv.span = slowMuch, span
--- a/logic/logic_test.go
+++ b/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -27,7 +27,7 @@
 	r.note("send %s %s %d", id, server, timeout)
 	r.sends = append(r.sends, sent{id, server, timeout})
 }
-func (r *recorder) Refuse(id string, after int64) {
+func (r *recorder) Reject(id string, after int64) {
 	r.note("refuse %s", id)
 	r.hints = append(r.hints, after)
 }
@@ -51,15 +51,15 @@
 
 // testSettings has a class of every repeat kind: 0 safe, 1 keyed by cell, 2 unsafe, 3 keyed by all, 4 keyed by zone.
 func testSettings() Settings {
-	class := Class{Aim: 500_000, Deadline: 1_500_000, Worth: 1, LateWorth: 0.3}
-	s := Settings{Siblings: 1, Zones: 2, MaxAttempts: 4, DrainGrace: 500_000,
-		StartCapacity: 0.2, Cold: 20_000_000}
+	class := Class{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LateWeight: 0.3}
+	s := Settings{Replicas: 1, ZoneCount: 2, MaxAttempts: 4, DrainGrace: 500_000,
+		SlowStartMinCapacity: 0.2, SlowStartDuration: 20_000_000}
 	for _, c := range []Class{
-		{Repeat: Safe}, {Repeat: Keyed, Group: GroupCell, Window: 300_000}, {Repeat: Unsafe, Window: 300_000},
-		{Repeat: Keyed, Group: GroupAll, Window: 300_000}, {Repeat: Keyed, Group: GroupZone, Window: 300_000},
+		{Idempotency: Idempotent}, {Idempotency: IdempotentWithKey, DedupScope: DedupScopeCell, DedupWindow: 300_000}, {Idempotency: NonIdempotent, DedupWindow: 300_000},
+		{Idempotency: IdempotentWithKey, DedupScope: DedupScopeAll, DedupWindow: 300_000}, {Idempotency: IdempotentWithKey, DedupScope: DedupScopeZone, DedupWindow: 300_000},
 	} {
 		k := class
-		k.Repeat, k.Group, k.Window = c.Repeat, c.Group, c.Window
+		k.Idempotency, k.DedupScope, k.DedupWindow = c.Idempotency, c.DedupScope, c.DedupWindow
 		s.Classes = append(s.Classes, k)
 	}
 	return s
@@ -77,7 +77,7 @@
 func fleet(n int) []Server {
 	var out []Server
 	for i := range n {
-		out = append(out, Server{ID: fmt.Sprintf("s%d", i), Zone: i / 2 % 2, Cell: i / 2, State: Ready, Size: 1})
+		out = append(out, Server{ID: fmt.Sprintf("s%d", i), Zone: i / 2 % 2, Cell: i / 2, State: ServerReady, CapacityHint: 1})
 	}
 	return out
 }
@@ -85,33 +85,33 @@
 // with returns a balancer that knows n servers, and its host.
 func with(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
 	b, h := mustNew(t, s), &recorder{}
-	b.List(start, h, Full, fleet(n))
+	b.UpdateEndpoints(start, h, UpdateSnapshot, fleet(n))
 	return b, h
 }
 func ask(b *Balancer, h Host, now int64, id string, class int) {
-	b.Request(now, h, Request{ID: id, Class: class, GiveUp: now + 1_000_000})
+	b.HandleRequest(now, h, Request{ID: id, Class: class, Deadline: now + 1_000_000})
 }
 func TestSettingsThatCannotWork(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"Classes":              func(s *Settings) { s.Classes = nil },
 		"Zone":                 func(s *Settings) { s.Zone = 2 },
-		"Zones":                func(s *Settings) { s.Zones = 0 },
-		"Stage":                func(s *Settings) { s.Stage = -1 },
+		"Zones":                func(s *Settings) { s.ZoneCount = 0 },
+		"Stage":                func(s *Settings) { s.Tier = -1 },
 		"DrainGrace":           func(s *Settings) { s.DrainGrace = -1 },
-		"BudgetSpan":           func(s *Settings) { s.BudgetSpan = -1 },
-		"BudgetFree":           func(s *Settings) { s.BudgetFree = math.NaN() },
-		"BudgetShare":          func(s *Settings) { s.BudgetShare = -1 },
-		"AskEvery":             func(s *Settings) { s.Subscribe = true },
-		"EvidenceSpan":         func(s *Settings) { s.EvidenceSpan = -1 },
-		"TipMultiple":          func(s *Settings) { s.TipMultiple = -1 },
-		"FallSpan":             func(s *Settings) { s.TipMultiple = 3 },
-		"StartCapacity":        func(s *Settings) { s.StartCapacity = math.NaN() },
-		"Classes[1].Aim":       func(s *Settings) { s.Classes[1].Aim = -5 },
+		"BudgetSpan":           func(s *Settings) { s.RetryBudgetWindow = -1 },
+		"BudgetFree":           func(s *Settings) { s.RetryBudgetMin = math.NaN() },
+		"BudgetShare":          func(s *Settings) { s.RetryBudgetRatio = -1 },
+		"AskEvery":             func(s *Settings) { s.WatchEndpoints = true },
+		"EvidenceSpan":         func(s *Settings) { s.MembershipEvidenceTTL = -1 },
+		"TipMultiple":          func(s *Settings) { s.OverloadMultiple = -1 },
+		"FallSpan":             func(s *Settings) { s.OverloadMultiple = 3 },
+		"StartCapacity":        func(s *Settings) { s.SlowStartMinCapacity = math.NaN() },
+		"Classes[1].Aim":       func(s *Settings) { s.Classes[1].LatencyObjective = -5 },
 		"Classes[2].Deadline":  func(s *Settings) { s.Classes[2].Deadline = 0 },
-		"Classes[0].Repeat":    func(s *Settings) { s.Classes[0].Repeat = 9 },
-		"Classes[0].Group":     func(s *Settings) { s.Classes[0].Group = -1 },
-		"Classes[4].Window":    func(s *Settings) { s.Classes[4].Window = -1 },
-		"Classes[4].LateWorth": func(s *Settings) { s.Classes[4].LateWorth = -1 },
+		"Classes[0].Repeat":    func(s *Settings) { s.Classes[0].Idempotency = 9 },
+		"Classes[0].Group":     func(s *Settings) { s.Classes[0].DedupScope = -1 },
+		"Classes[4].Window":    func(s *Settings) { s.Classes[4].DedupWindow = -1 },
+		"Classes[4].LateWorth": func(s *Settings) { s.Classes[4].LateWeight = -1 },
 	} {
 		s := testSettings()
 		spoil(&s)
--- a/logic/ban_test.go
+++ b/balancer/ban_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 
 func bannedAndBack(t *testing.T, tip float64) {
 	set := testSettings()
-	set.TipMultiple, set.FallSpan = tip, 2*second
+	set.OverloadMultiple, set.OverloadWindow = tip, 2*second
 	b, h := with(t, set, 4) // s2 and s3 are in the other zone
 	now, n := start, 0
 	next := func() string {
@@ -25,31 +25,31 @@
 		if len(h.sends) == sends {
 			return ""
 		}
-		b.Outcome(now, h, Outcome{ID: fmt.Sprint(n), Status: OK, Took: 1000, Closed: true})
+		b.HandleOutcome(now, h, Outcome{RequestID: fmt.Sprint(n), Status: StatusOK, Latency: 1000, RequestDone: true})
 		return h.sends[sends].server
 	}
-	b.Ban(map[string]bool{"s0": true, "s3": true, "left long ago": true})
+	b.SetSuspendedServers(map[string]bool{"s0": true, "s3": true, "left long ago": true})
 	list := fleet(4)
-	list[0].Launched, list[3].Launched = start, start // restarted meanwhile
-	b.List(start, h, Full, list)
+	list[0].StartTime, list[3].StartTime = start, start // restarted meanwhile
+	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 	for range 300 {
 		if got := next(); got != "s1" && got != "s2" {
 			t.Fatalf("a call went to %q", got)
 		}
 	}
-	if listed, avoided := b.Servers(); listed != 4 || avoided != 2 {
+	if listed, avoided := b.ServerCounts(); listed != 4 || avoided != 2 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
-	b.Ban(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
+	b.SetSuspendedServers(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
 	if got := next(); got != "" {
 		t.Errorf("with all banned a call went to %q", got)
 	}
-	b.Ban(map[string]bool{"s0": true, "s1": true, "s2": true})
+	b.SetSuspendedServers(map[string]bool{"s0": true, "s1": true, "s2": true})
 	if got := next(); got != "s3" {
 		t.Errorf("the one that is back: a call went to %q", got)
 	}
-	b.Ban(map[string]bool{"s0": true})
-	b.Ban(nil)
+	b.SetSuspendedServers(map[string]bool{"s0": true})
+	b.SetSuspendedServers(nil)
 	first := map[string]bool{next(): true, next(): true, next(): true}
 	if !first["s0"] || !first["s1"] || !first["s2"] {
 		t.Errorf("the first calls went to %v", first)
@@ -64,8 +64,8 @@
 	if h.sends[0].server == "s0" {
 		other = "s1"
 	}
-	b.Ban(map[string]bool{other: true})
-	b.Outcome(start+1000, h, Outcome{ID: "1", Status: Error, Took: 1000})
+	b.SetSuspendedServers(map[string]bool{other: true})
+	b.HandleOutcome(start+1000, h, Outcome{RequestID: "1", Status: StatusError, Latency: 1000})
 	for _, s := range h.sends {
 		if s.server == other {
 			t.Errorf("sent to the banned %s", other)
--- a/logic/bench_test.go
+++ b/balancer/bench_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -13,28 +13,28 @@
 		for _, how := range []string{"off", "on", "away", "cold"} {
 			b.Run(fmt.Sprintf("zones=%d/%s", zones, how), func(b *testing.B) {
 				set := testSettings()
-				set.Zones, set.TipMultiple, set.FallSpan = zones, 3, 2*second
+				set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = zones, 3, 2*second
 				bal, err := New(set, 1)
 				if err != nil {
 					b.Fatal(err)
 				}
 				var list []Server
 				for i := range 1000 {
-					list = append(list, Server{ID: fmt.Sprint("s", i), Zone: i % zones, State: Ready, Size: 1})
+					list = append(list, Server{ID: fmt.Sprint("s", i), Zone: i % zones, State: ServerReady, CapacityHint: 1})
 					if how == "cold" && i%3 == 0 {
-						list[i].Launched = start
+						list[i].StartTime = start
 					}
 				}
 				h := &recorder{}
-				bal.List(start, h, Full, list)
+				bal.UpdateEndpoints(start, h, UpdateSnapshot, list)
 				for i := range 8 * 100 { // 100 requests a second
 					bal.tier.pass.add(start + int64(i)*second/100)
 				}
 				if how == "on" || how == "away" {
 					bal.open()
 					bal.zones[0].fresh = evidence{calls: 6, last: start + 8*second}
-					bal.Seen(start + 8*second)
-					bal.Peers(start+8*second, h, Peers{Living: 30, Near: 10})
+					bal.Reports(start + 8*second)
+					bal.HandlePeerReports(start+8*second, h, PeerReports{LiveReplicas: 30, LiveReplicasInZone: 10})
 				}
 				if how == "away" {
 					bal.leaveZone(start+8*second, h, &bal.zones[0])
@@ -102,7 +102,7 @@
 func listedCopy(b *testing.B, n, zones, classes int) *Balancer {
 	b.Helper()
 	set := testSettings()
-	set.Stage, set.Zones, set.TipMultiple, set.FallSpan = 1, zones, 3, 2*second
+	set.Tier, set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = 1, zones, 3, 2*second
 	one := set.Classes[0]
 	set.Classes = nil
 	for range classes {
@@ -114,8 +114,8 @@
 	}
 	var list []Server
 	for i := range n {
-		list = append(list, Server{ID: fmt.Sprintf("nodo-%05d", i), Zone: i % zones, Cell: i / 8, State: Ready, Size: 1})
+		list = append(list, Server{ID: fmt.Sprintf("nodo-%05d", i), Zone: i % zones, Cell: i / 8, State: ServerReady, CapacityHint: 1})
 	}
-	bal.List(start, &recorder{}, Full, list)
+	bal.UpdateEndpoints(start, &recorder{}, UpdateSnapshot, list)
 	return bal
 }
--- a/logic/books.go
+++ b/balancer/books.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"cmp"
@@ -15,16 +15,16 @@
 type evidence struct {
 	calls, bad float64 // as of last
 	last       int64
-	cause      Cause // of the latest that was bad
+	cause      Fault // of the latest that was bad
 	badAt      int64 // when that was
 }
 
 // add takes the end of a call: NoCause for one that was answered.
-func (e *evidence) add(now, span int64, most float64, cause Cause) {
+func (e *evidence) add(now, span int64, most float64, cause Fault) {
 	keep := math.Exp(-float64(now-e.last) / float64(span))
 	keep *= min(1, (most-1)/max(keep*e.calls, 1))
 	e.calls, e.bad, e.last = e.calls*keep+1, e.bad*keep, now
-	if cause != NoCause {
+	if cause != NoFault {
 		e.bad, e.cause, e.badAt = e.bad+1, cause, now
 	}
 }
@@ -59,26 +59,26 @@
 
 // open opens the books that are needed to tell others and to hear them.
 func (b *Balancer) open() {
-	if len(b.zones) == b.s.Zones {
+	if len(b.zones) == b.s.ZoneCount {
 		return
 	}
-	b.zones = make([]zone, b.s.Zones)
+	b.zones = make([]zone, b.s.ZoneCount)
 	for i := range b.zones {
-		b.zones[i].ZoneState = ZoneState{Zone: i, Share: 1}
+		b.zones[i].ZoneState = ZoneState{Zone: i, WeightFraction: 1}
 		if b.drained[i] {
-			b.zones[i].Standing, b.zones[i].Share = Drained, 0
+			b.zones[i].Phase, b.zones[i].WeightFraction = ZoneDrained, 0
 		}
 	}
 	b.relist()
 }
 
 // note takes the end of an attempt as evidence on its server and zone.
-func (b *Balancer) note(now int64, a *attempt, cause Cause) {
+func (b *Balancer) note(now int64, a *attempt, cause Fault) {
 	z := cmp.Or(b.zone(a.zone), &zone{})
-	if cause == NoCause {
+	if cause == NoFault {
 		a.srv.okAt = now
 	}
-	if a.quiet && cause == NoCause {
+	if a.quiet && cause == NoFault {
 		a.srv.seen.amend()
 		z.fresh.amend()
 		z.long.amend()
@@ -96,7 +96,7 @@
 	for _, q := range b.reqs {
 		for _, a := range q.attempts {
 			if a.out && a.counted && !a.started && !a.quiet && b.quiet(now, q.Class, a) {
-				b.note(now, a, Silent)
+				b.note(now, a, FaultUnresponsive)
 				a.quiet = true
 			}
 		}
@@ -108,14 +108,14 @@
 
 // Seen is what this copy tells others now; what is not said again is taken back. It is also what this copy
 // itself goes by, as the others do.
-func (b *Balancer) Seen(now int64) []Notice {
+func (b *Balancer) Reports(now int64) []Report {
 	b.open()
 	b.listen(now)
 	b.tells = nil
 	var sum tried
 	of := map[int]tried{}
 	for _, s := range b.all {
-		if s.State != Ready || !s.seen.since(now, serverFresh) {
+		if s.State != ServerReady || !s.seen.since(now, serverFresh) {
 			continue
 		}
 		t := of[s.Zone]
@@ -123,19 +123,19 @@
 		late := int(partOf(s.seen.since(now, span)))
 		t.all, t.late = t.all+1, t.late+late
 		b.detectFlap(now, s)
-		n := Notice{Zone: b.s.Zone, Server: s.ID, Launched: s.Launched, Calls: s.seen.calls,
-			Bad: s.seen.part()}
+		n := Report{ObserverZone: b.s.Zone, Server: s.ID, StartTime: s.StartTime, Calls: s.seen.calls,
+			BadFraction: s.seen.part()}
 		says := false
-		if n.Kind, n.Cause, n.At, says = s.says(now); says {
+		if n.Kind, n.Fault, n.LastObserved, says = s.says(now); says {
 			b.tells = append(b.tells, n)
 		}
-		if n.Kind == ServerBad {
+		if n.Kind == ReportServerUnhealthy {
 			t.bad, t.lateBad = t.bad+1, t.lateBad+late
 		}
 		of[s.Zone] = t
 	}
 	for i := range b.zones {
-		if n, ok := b.tellZone(now, &b.zones[i], of[i]); ok || b.zones[i].Epoch > 0 {
+		if n, ok := b.tellZone(now, &b.zones[i], of[i]); ok || b.zones[i].Transitions > 0 {
 			b.tells = append(b.tells, n)
 		}
 	}
@@ -150,21 +150,21 @@
 }
 
 // tellZone is what this copy tells of a zone, and whether it has evidence on it.
-func (b *Balancer) tellZone(now int64, z *zone, t tried) (n Notice, ok bool) {
+func (b *Balancer) tellZone(now int64, z *zone, t tried) (n Report, ok bool) {
 	e, ok, _ := z.lately(now)
-	n = Notice{Zone: b.s.Zone, Of: z.Zone, At: now}
+	n = Report{ObserverZone: b.s.Zone, SubjectZone: z.Zone, LastObserved: now}
 	if ok {
-		n.Calls, n.Bad, n.At = e.calls, e.part(), e.last
+		n.Calls, n.BadFraction, n.LastObserved = e.calls, e.part(), e.last
 	}
 	b.sayOf(z, &n, e, ok, t)
 	return n, ok
 }
 
 // Peers takes what others tell now.
-func (b *Balancer) Peers(now int64, h Host, p Peers) {
+func (b *Balancer) HandlePeerReports(now int64, h Host, p PeerReports) {
 	b.open()
-	if p.Near = max(p.Near, 1); p.Alone {
-		p.Notices, p.Near = nil, max(p.Near, b.peers.Near)
+	if p.LiveReplicasInZone = max(p.LiveReplicasInZone, 1); p.Isolated {
+		p.Reports, p.LiveReplicasInZone = nil, max(p.LiveReplicasInZone, b.peers.LiveReplicasInZone)
 	}
 	b.peers = p
 	b.condemn(now)
@@ -174,9 +174,9 @@
 	changed := false
 	for i := range b.zones {
 		z := &b.zones[i]
-		was := z.Standing
+		was := z.Phase
 		b.lookAt(now, h, z)
-		changed = changed || (was == Away) != (z.Standing == Away)
+		changed = changed || (was == ZoneEvacuated) != (z.Phase == ZoneEvacuated)
 	}
 	if changed {
 		b.relist()
@@ -185,7 +185,7 @@
 
 // Drain has these zones and no others suspended by hand: their servers get nothing, not even trials. One that
 // is restored is returned to by steps.
-func (b *Balancer) Drain(now int64, h Host, zones map[int]bool) {
+func (b *Balancer) SetDrainedZones(now int64, h Host, zones map[int]bool) {
 	was := b.drained
 	if len(zones) > 0 || len(was) > 0 {
 		b.open() // before they are out, so that going out is a change
@@ -194,7 +194,7 @@
 	b.relist()
 	for i := range b.zones {
 		if z := &b.zones[i]; zones[i] && !was[i] {
-			b.stand(now, h, z, Drained, 0)
+			b.stand(now, h, z, ZoneDrained, 0)
 		} else if was[i] && !zones[i] {
 			b.returnTo(now, h, z, 0)
 		}
@@ -243,18 +243,18 @@
 
 // stand puts a zone in a standing and tells on-call staff: of those that last a second or more each time, of
 // the others at most once a second.
-func (b *Balancer) stand(now int64, h Host, z *zone, to Standing, share float64) {
-	from := z.Standing
-	z.Standing, z.Share, z.Since, z.Cause = to, share, now, z.sum.cause
+func (b *Balancer) stand(now int64, h Host, z *zone, to ZonePhase, share float64) {
+	from := z.Phase
+	z.Phase, z.WeightFraction, z.ChangedAt, z.Fault = to, share, now, z.sum.cause
 	if from == to {
 		return
 	}
-	z.Epoch++
-	if from < Away && to < Away && now-z.said < second && z.said != 0 || to == Leaving {
+	z.Transitions++
+	if from < ZoneEvacuated && to < ZoneEvacuated && now-z.said < second && z.said != 0 || to == ZoneEvacuating {
 		return
 	}
 	z.said = now
-	h.Log(ZoneChanged{Home: b.s.Zone, State: z.state(), From: from})
+	h.Log(ZonePhaseChanged{ObserverZone: b.s.Zone, State: z.state(), Previous: from})
 }
 
 // ZoneStates tells how each zone stands, in the order of their numbers; nothing before others were told or
@@ -270,12 +270,12 @@
 // state is the state of a zone with the evidence of all copies as of now.
 func (z *zone) state() ZoneState {
 	s := z.ZoneState
-	s.Calls, s.Bad, s.Say, s.SayBad = z.sum.calls, z.sum.part(), z.sum.say, z.sum.against
+	s.Calls, s.BadFraction, s.ReportingReplicas, s.UnhealthyVotes = z.sum.calls, z.sum.part(), z.sum.say, z.sum.against
 	return s
 }
 
 // Condemned are the ready servers that get trials at most by the word of others.
-func (b *Balancer) Condemned() (ids []string) {
+func (b *Balancer) EjectedServers() (ids []string) {
 	for _, s := range b.ready {
 		if s.told < healthyPart {
 			ids = append(ids, s.ID)
@@ -285,7 +285,7 @@
 }
 
 // String names a standing for log lines and figures, by the words of docs/fleet.md.
-func (s Standing) String() string {
+func (s ZonePhase) String() string {
 	names := []string{"well", "pressed", "leaving", "away", "returning", "drained"}
 	if s < 0 || int(s) >= len(names) {
 		return fmt.Sprintf("standing %d", int(s))
@@ -294,7 +294,7 @@
 }
 
 // String names a cause for log lines and figures.
-func (c Cause) String() string {
+func (c Fault) String() string {
 	names := []string{"bad", "failing", "silent", "slow", "crowded"}
 	if c < 0 || int(c) >= len(names) {
 		return fmt.Sprintf("cause %d", int(c))
--- a/logic/checker_test.go
+++ b/balancer/checker_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import "fmt"
 
@@ -70,8 +70,8 @@
 	limit := int64(0)
 	for _, t := range k.tries {
 		c.checkRepeat(k, t, s)
-		if class := c.set.Classes[k.r.Class]; t.ran && class.Repeat == Keyed && limit == 0 {
-			limit = t.sent + class.Window - c.now
+		if class := c.set.Classes[k.r.Class]; t.ran && class.Idempotency == IdempotentWithKey && limit == 0 {
+			limit = t.sent + class.DedupWindow - c.now
 		}
 	}
 	if within != limit {
@@ -81,11 +81,11 @@
 		c.checkBudget(id)
 	}
 	c.checkOrder(k)
-	if timeout < 0 || c.now+timeout > k.r.GiveUp {
-		c.fault("rule 1: %s may run %d us past its time", id, c.now+timeout-k.r.GiveUp)
+	if timeout < 0 || c.now+timeout > k.r.Deadline {
+		c.fault("rule 1: %s may run %d us past its time", id, c.now+timeout-k.r.Deadline)
 	}
 	if timeout == 0 {
-		timeout = k.r.GiveUp - c.now
+		timeout = k.r.Deadline - c.now
 	}
 	k.pending = append(k.pending, len(k.tries))
 	k.tries = append(k.tries, &try{server: s, sent: c.now, timeout: timeout, ran: true})
@@ -94,18 +94,18 @@
 	c.further = append(c.further, c.now)
 	within := func(times []int64) (n float64) {
 		for _, at := range times {
-			if at > c.now-c.set.BudgetSpan {
+			if at > c.now-c.set.RetryBudgetWindow {
 				n++
 			}
 		}
 		return n
 	}
-	if c.set.BudgetSpan > 0 && within(c.further) > c.set.BudgetFree+c.set.BudgetShare*within(c.taken) {
+	if c.set.RetryBudgetWindow > 0 && within(c.further) > c.set.RetryBudgetMin+c.set.RetryBudgetRatio*within(c.taken) {
 		c.fault("rule 6: %s sent beyond the budget", id)
 	}
 }
 func (c *checker) checkOrder(k *book) {
-	if !c.set.Classes[k.r.Class].ByArrival || k.r.Key == "" {
+	if !c.set.Classes[k.r.Class].Ordered || k.r.Key == "" {
 		return
 	}
 	for _, earlier := range c.queues[k.r.Key] {
@@ -125,16 +125,16 @@
 	if !earlier.done {
 		c.fault("%s has two attempts out", k.r.ID)
 	}
-	if !earlier.ran || class.Repeat == Safe {
+	if !earlier.ran || class.Idempotency == Idempotent {
 		return
 	}
-	sameGroup := class.Group == GroupAll || class.Group == GroupZone && earlier.server.Zone == to.Zone ||
-		class.Group == GroupCell && earlier.server.Cell == to.Cell
-	if class.Repeat == Unsafe || !sameGroup || c.now-earlier.sent > class.Window {
+	sameGroup := class.DedupScope == DedupScopeAll || class.DedupScope == DedupScopeZone && earlier.server.Zone == to.Zone ||
+		class.DedupScope == DedupScopeCell && earlier.server.Cell == to.Cell
+	if class.Idempotency == NonIdempotent || !sameGroup || c.now-earlier.sent > class.DedupWindow {
 		c.fault("rule 2: %s of class %d sent again after it may have run", k.r.ID, k.r.Class)
 	}
 }
-func (c *checker) Refuse(id string, after int64) {
+func (c *checker) Reject(id string, after int64) {
 	c.lines = append(c.lines, fmt.Sprintf("%d refuse %s", c.now, id))
 	k := c.close(id)
 	if k == nil {
@@ -142,7 +142,7 @@
 	}
 	class := c.set.Classes[k.r.Class]
 	for _, t := range k.tries {
-		if t.ran && class.Repeat != Safe && !(class.Repeat == Keyed && class.Group == GroupAll) {
+		if t.ran && class.Idempotency != Idempotent && !(class.Idempotency == IdempotentWithKey && class.DedupScope == DedupScopeAll) {
 			c.fault("rule 2: %s refused after it may have run", id)
 		}
 	}
@@ -157,8 +157,8 @@
 		c.fault("rule 1: %s answered twice", id)
 		return nil
 	}
-	if c.now > k.r.GiveUp {
-		c.fault("rule 1: %s answered %d us late", id, c.now-k.r.GiveUp)
+	if c.now > k.r.Deadline {
+		c.fault("rule 1: %s answered %d us late", id, c.now-k.r.Deadline)
 	}
 	k.closed = true
 	return k
@@ -170,18 +170,18 @@
 func (c *checker) Watch()    { c.watches++ }
 
 // list records what a list says, as the wire's page words it.
-func (c *checker) list(kind ListKind, entries []Server) {
+func (c *checker) list(kind UpdateKind, entries []Server) {
 	listed := map[string]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
 		c.told[e.ID] = e
-		if e.State == Ready {
+		if e.State == ServerReady {
 			delete(c.leftAt, e.ID)
 		} else if _, ok := c.leftAt[e.ID]; !ok {
 			c.leftAt[e.ID] = c.now
 		}
 	}
-	if kind == Delta {
+	if kind == UpdateDelta {
 		return
 	}
 	for id := range c.told {
--- a/logic/counts.go
+++ b/balancer/counts.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import "math"
 
--- a/logic/damping.go
+++ b/balancer/damping.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import "slices"
 
@@ -57,18 +57,18 @@
 	for _, c := range s.classes {
 		left = min(left, s.whole.left*c.left)
 	}
-	if s.callsBad() && s.seen.cause != Crowded && (left <= flapDown || left < healthyPart && s.told < 1) {
+	if s.callsBad() && s.seen.cause != FaultSaturated && (left <= flapDown || left < healthyPart && s.told < 1) {
 		b.flapped(now, s, true, s.seen.cause)
 	} else if s.seen.part() <= flapHealthy && s.whole.left >= healthyPart && s.told == 1 {
-		b.flapped(now, s, false, NoCause)
+		b.flapped(now, s, false, NoFault)
 	}
 }
 
 // leases has a server that the list has no longer fall: one that comes back with the same start flaps.
 func (b *Balancer) leases(now int64) {
 	for _, s := range b.all {
-		if f := b.flaps[s.ID]; b.zones != nil && (s.State == Gone || f.down && f.cause == leaseEnded) {
-			b.flapped(now, s, s.State == Gone, leaseEnded)
+		if f := b.flaps[s.ID]; b.zones != nil && (s.State == ServerRemoved || f.down && f.cause == leaseEnded) {
+			b.flapped(now, s, s.State == ServerRemoved, leaseEnded)
 		}
 	}
 }
@@ -76,14 +76,14 @@
 // damp damps servers by the flaps that copies tell of, the longest damped first, within the budget for
 // removals, alone this zone's part of it; it returns what is left and each zone's use. No ban is overruled.
 func (b *Balancer) damp(now int64) (left int, out map[int]int) {
-	need := enough(b.peers.Near)
+	need := enough(b.peers.LiveReplicasInZone)
 	for n := range b.notices {
-		if n.Kind == ServerFlap && !b.s.Undamped && (n.Cause != Silent || n.Zone == b.s.Zone) {
-			b.damper.saw(now, n.Server, n.Launched, n.Bad >= badServer, n.Observer, n.At, need)
+		if n.Kind == ReportServerFlap && !b.s.DisableFlapDamping && (n.Fault != FaultUnresponsive || n.ObserverZone == b.s.Zone) {
+			b.damper.saw(now, n.Server, n.StartTime, n.BadFraction >= badServer, n.Observer, n.LastObserved, need)
 		}
 	}
-	if left, out = budget(len(b.ready)), map[int]int{}; b.peers.Alone {
-		left = left * b.peers.Near / max(b.peers.Living, b.peers.Near)
+	if left, out = budget(len(b.ready)), map[int]int{}; b.peers.Isolated {
+		left = left * b.peers.LiveReplicasInZone / max(b.peers.LiveReplicas, b.peers.LiveReplicasInZone)
 	}
 	flapping, in := b.flapping(now)
 	for _, s := range flapping {
--- a/logic/damping_test.go
+++ b/balancer/damping_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -158,19 +158,19 @@
 	}{
 		{"fails, alone", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
-				return Error, 5_000
+				return StatusError, 5_000
 			}
 			return w.well(nil, s)
 		}, false, false, false, 0.05},
 		{"fails", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
-				return Error, 5_000
+				return StatusError, 5_000
 			}
 			return w.well(nil, s)
 		}, false, true, true, 0.02},
 		{"silent", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
-				return TimedOut, 1_600_000
+				return StatusTimedOut, 1_600_000
 			}
 			return w.well(nil, s)
 		}, false, true, true, 0.02},
@@ -178,13 +178,13 @@
 		{"well", func(w *world, s Server) (Status, int64) { return w.well(nil, s) }, false, true, false, 0.12},
 		{"no room", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
-				return FullUp, 2_000
+				return StatusRejected, 2_000
 			}
 			return w.well(nil, s)
 		}, false, true, false, 0.12},
 		{"times with a long tail", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && w.rnd.IntN(4) == 0 {
-				return OK, 450_000
+				return StatusOK, 450_000
 			}
 			return w.well(nil, s)
 		}, false, true, false, 0.12},
@@ -196,17 +196,17 @@
 			w.run(at)
 			if c.lease && at%(5*second) == 0 {
 				s := w.servers[0]
-				if s.State = Ready; flapping(w) {
-					s.State = Gone
+				if s.State = ServerReady; flapping(w) {
+					s.State = ServerRemoved
 				}
 				for _, x := range w.copies {
-					x.b.List(w.now, x, Delta, []Server{s})
+					x.b.UpdateEndpoints(w.now, x, UpdateDelta, []Server{s})
 				}
 			}
 			for _, x := range w.copies {
 				if at > 30*second && (!c.lease || !flapping(w)) {
 					looks++
-					damped += len(x.b.Damped(w.now))
+					damped += len(x.b.DampedServers(w.now))
 				}
 			}
 		}
@@ -233,9 +233,9 @@
 		dead := false
 		w.fate = func(_ *copyOf, s Server) (Status, int64) {
 			if s.ID == "s0" && dead {
-				return ConnectFailed, 500
+				return StatusConnectFailed, 500
 			} else if s.ID == "s0" && damped && (w.now-start)/(5*second)%2 == 1 {
-				return Error, 5_000
+				return StatusError, 5_000
 			}
 			return w.well(nil, s)
 		}
@@ -244,8 +244,8 @@
 		before := make([]int, len(w.copies))
 		for i, c := range w.copies {
 			before[i] = len(c.sends)
-			if (len(c.b.Damped(w.now)) == 1) != damped {
-				t.Fatalf("%s: damped %v, not %v", c.name, c.b.Damped(w.now), damped)
+			if (len(c.b.DampedServers(w.now)) == 1) != damped {
+				t.Fatalf("%s: damped %v, not %v", c.name, c.b.DampedServers(w.now), damped)
 			}
 		}
 		w.run(50 * second)
@@ -256,8 +256,8 @@
 			}
 		}
 		for _, c := range w.copies {
-			c.b.List(w.now, c, Delta, []Server{{ID: "s0", State: Draining}})
-			if n := len(c.sends); n > 0 && len(c.b.Damped(w.now)) != 0 {
+			c.b.UpdateEndpoints(w.now, c, UpdateDelta, []Server{{ID: "s0", State: ServerDraining}})
+			if n := len(c.sends); n > 0 && len(c.b.DampedServers(w.now)) != 0 {
 				t.Errorf("%s: one that drains is damped", c.name)
 			}
 		}
@@ -285,28 +285,28 @@
 		var list []Server
 		in := map[int]int{}
 		for i := range n {
-			s := Server{ID: fmt.Sprint("s", i), Zone: rapid.IntRange(0, 2).Draw(t, "zone"), State: Ready}
+			s := Server{ID: fmt.Sprint("s", i), Zone: rapid.IntRange(0, 2).Draw(t, "zone"), State: ServerReady}
 			in[s.Zone]++
 			list = append(list, s)
 		}
-		b.List(start, h, Full, list)
+		b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 		living := rapid.IntRange(1, 30).Draw(t, "living")
 		near := rapid.IntRange(1, living).Draw(t, "near")
 		alone := rapid.Bool().Draw(t, "alone")
 		now := start
 		for i := range 6 {
 			now += 3 * second
-			p := Peers{Living: living, Near: near}
+			p := PeerReports{LiveReplicas: living, LiveReplicasInZone: near}
 			for _, s := range list {
 				for _, who := range []string{"a", "b", "c"} {
-					p.Notices = append(p.Notices, Notice{Kind: ServerFlap, Observer: who, Server: s.ID, Bad: partOf(i%2 == 0), At: now})
+					p.Reports = append(p.Reports, Report{Kind: ReportServerFlap, Observer: who, Server: s.ID, BadFraction: partOf(i%2 == 0), LastObserved: now})
 				}
 			}
-			b.Peers(now, h, p)
+			b.HandlePeerReports(now, h, p)
 		}
-		b.Peers(now, h, Peers{Living: living, Near: near, Alone: alone})
+		b.HandlePeerReports(now, h, PeerReports{LiveReplicas: living, LiveReplicasInZone: near, Isolated: alone})
 		out := map[int]int{}
-		for _, d := range b.Damped(now) {
+		for _, d := range b.DampedServers(now) {
 			out[b.byID[d.Server].Zone]++
 		}
 		all := out[0] + out[1] + out[2]
@@ -327,7 +327,7 @@
 
 func mustNewFor(t *rapid.T, zones int) *Balancer {
 	s := testSettings()
-	s.Zones = zones
+	s.ZoneCount = zones
 	b, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
--- a/logic/draw.go
+++ b/balancer/draw.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // Which server a call goes to.
 
@@ -33,7 +33,7 @@
 	}
 	b.drawn, b.weights = b.drawn[:0], b.weights[:0]
 	total, best, room := 0.0, 0.0, b.subset(now)
-	beyond, spread, cold := max(1, room*b.beyond()), min(room, float64(len(b.ready)/b.s.Zones)), false
+	beyond, spread, cold := max(1, room*b.beyond()), min(room, float64(len(b.ready)/b.s.ZoneCount)), false
 	for i := 0; i < len(b.ready); i++ {
 		if i < b.near && room <= 0 && total > 0 {
 			i = b.near
@@ -51,7 +51,7 @@
 		}
 		s := b.ready[i]
 		warmth := b.warmth(now, s)
-		room, cold = room-s.healthFor(q.Class)*warmth, cold || warmth < 1 && b.s.TipMultiple > 0
+		room, cold = room-s.healthFor(q.Class)*warmth, cold || warmth < 1 && b.s.OverloadMultiple > 0
 		w := 0.0
 		if b.within(now, q, s) >= 0 {
 			w = b.weigh(now, s, q.Class)
@@ -70,7 +70,7 @@
 	}
 	// One that fails fast holds few calls, so it would draw the most: its trials are a part of the best.
 	for i, s := range b.drawn {
-		part, unsafe := s.healthFor(q.Class), q.s.Classes[q.Class].Repeat == Unsafe
+		part, unsafe := s.healthFor(q.Class), q.s.Classes[q.Class].Idempotency == NonIdempotent
 		if unsafe && (s.damped || s.whole.left*s.told < healthyPart) {
 			part *= riskPart
 		}
@@ -95,7 +95,7 @@
 		able = max(able, s.healthFor(class)*partOf(s.grown == 1 && b.weights[i] > 0))
 	}
 	usual, present := b.rush(now)
-	most := total * tipPart * b.s.TipMultiple * min(1, (usual+1)/present) / max(all, spread)
+	most := total * tipPart * b.s.OverloadMultiple * min(1, (usual+1)/present) / max(all, spread)
 	takes := func(s *server) bool { return s.grown == 1 && s.healthFor(class) >= min(able, healthyPart) }
 	for i, s := range b.drawn {
 		if over := b.weights[i] - most*b.reach(s)*s.grown; s.grown < 1 && over > 0 {
@@ -116,8 +116,8 @@
 // stands tells whether one back from a ban may get a call: by chance, if this copy's part of it is under one.
 func (b *Balancer) stands(now int64, s *server) bool {
 	usual, present := b.rush(now)
-	part := usual * tipPart * b.s.TipMultiple * b.grown(now, s) / float64(len(b.ready))
-	return b.grown(now, s) == 1 || b.s.TipMultiple == 0 || part >= 1 || b.rnd.Float64() < part/present
+	part := usual * tipPart * b.s.OverloadMultiple * b.grown(now, s) / float64(len(b.ready))
+	return b.grown(now, s) == 1 || b.s.OverloadMultiple == 0 || part >= 1 || b.rnd.Float64() < part/present
 }
 
 // healthFor is a server's for a class; that of a damped one is steady, or less if it refuses connections.
@@ -132,8 +132,8 @@
 // reach is how far calls go to a server for its size and zone alone.
 func (b *Balancer) reach(s *server) float64 {
 	w := 1.0
-	if b.s.SizeHints && s.Size > 0 {
-		w = s.Size
+	if b.s.CapacityHints && s.CapacityHint > 0 {
+		w = s.CapacityHint
 	}
 	if s.Zone != b.s.Zone { // calls stay at home while home copes
 		w *= b.beyond()
@@ -145,8 +145,8 @@
 func (b *Balancer) weigh(now int64, s *server, class int) float64 {
 	w := max(healthFloor, s.healthFor(class)) / (s.slowness * s.slowness) * b.warmth(now, s)
 	w *= b.reach(s) * s.tuned / math.Pow(float64(1+s.inflight), heldPower)
-	if z := b.zone(s.Zone); z != nil && z.Standing != Away { // one that is away comes last anyway
-		w *= z.Share
+	if z := b.zone(s.Zone); z != nil && z.Phase != ZoneEvacuated { // one that is away comes last anyway
+		w *= z.WeightFraction
 	}
 	return w
 }
@@ -165,12 +165,12 @@
 
 // grown is the least part of its capacity that a server of its age has.
 func (b *Balancer) grown(now int64, s *server) float64 {
-	started := cmp.Or(s.Started, s.Launched)
+	started := cmp.Or(s.LocalStartTime, s.StartTime)
 	age := now - started
-	if started == 0 || age >= b.s.Cold {
+	if started == 0 || age >= b.s.SlowStartDuration {
 		return 1
 	}
-	return b.s.StartCapacity + (1-b.s.StartCapacity)*float64(max(age, 0))/float64(b.s.Cold)
+	return b.s.SlowStartMinCapacity + (1-b.s.SlowStartMinCapacity)*float64(max(age, 0))/float64(b.s.SlowStartDuration)
 }
 
 // rush is how many requests usually come to this copy in Settings.FallSpan, and how many draws it has made in
@@ -178,7 +178,7 @@
 // others send; docs/policy.md says what is taken for granted. Each draw has a chance, not each copy a number
 // of calls, so that the sum of all copies is as chance has it by Poisson, be they few or many.
 func (b *Balancer) rush(now int64) (usual, present float64) {
-	span := min(b.s.FallSpan, windowWhole)
+	span := min(b.s.OverloadWindow, windowWhole)
 	seen := -math.Expm1(-float64(max(now-b.born, span)) / float64(tallySpan)) // of what a tally comes to hold
 	return b.came.at(now) * float64(span) / (float64(tallySpan) * seen), max(1, b.draws.sum(now, span))
 }
--- a/logic/flaps.go
+++ b/balancer/flaps.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"cmp"
@@ -85,16 +85,16 @@
 type flap struct {
 	launched int64
 	down     bool
-	cause    Cause // of the latest fall
+	cause    Fault // of the latest fall
 	at       int64
 	times    float64
 }
 
 // flapped notes that a server is bad or healthy, if that is another than before.
-func (b *Balancer) flapped(now int64, s *server, down bool, cause Cause) {
+func (b *Balancer) flapped(now int64, s *server, down bool, cause Fault) {
 	f := b.flaps[s.ID]
-	if f.launched != s.Launched {
-		f = flap{launched: s.Launched}
+	if f.launched != s.StartTime {
+		f = flap{launched: s.StartTime}
 	}
 	if f.down == down {
 		return
@@ -109,17 +109,17 @@
 }
 
 // leaseEnded is a cause that only this copy's books have: it is told as none.
-const leaseEnded Cause = -1
+const leaseEnded Fault = -1
 
 // tellFlaps is what this copy tells of flaps.
-func (b *Balancer) tellFlaps(now int64) (out []Notice) {
+func (b *Balancer) tellFlaps(now int64) (out []Report) {
 	for _, id := range slices.Sorted(maps.Keys(b.flaps)) {
 		f := b.flaps[id]
 		if now-f.at > flapKept {
 			delete(b.flaps, id)
 		} else if now-f.at <= flapTold {
-			n := Notice{Kind: ServerFlap, Cause: max(f.cause, NoCause), Zone: b.s.Zone, Server: id,
-				Launched: f.launched, Calls: f.times, Bad: partOf(f.down), At: f.at}
+			n := Report{Kind: ReportServerFlap, Fault: max(f.cause, NoFault), ObserverZone: b.s.Zone, Server: id,
+				StartTime: f.launched, Calls: f.times, BadFraction: partOf(f.down), LastObserved: f.at}
 			if r := b.damper.records[id]; r != nil {
 				n.Value = r.left(now)
 			}
@@ -135,7 +135,7 @@
 	in = map[int]int{}
 	for _, s := range b.ready {
 		in[s.Zone]++
-		if s.since, s.damped = b.damper.damped(now, s.ID, s.Launched); s.damped {
+		if s.since, s.damped = b.damper.damped(now, s.ID, s.StartTime); s.damped {
 			flapping = append(flapping, s)
 		}
 	}
@@ -144,21 +144,21 @@
 }
 
 // DampedState tells on-call staff and figures of a server whose removals and returns are not acted on.
-type DampedState struct {
-	Server  string
-	Penalty float64
-	Since   int64
+type DampedServer struct {
+	Server      string
+	Penalty     float64
+	DampedSince int64
 }
 
 // Damped are the servers that get their steady small share now, the longest so first.
-func (b *Balancer) Damped(now int64) (out []DampedState) {
+func (b *Balancer) DampedServers(now int64) (out []DampedServer) {
 	for _, s := range b.ready {
 		if s.damped {
-			out = append(out, DampedState{s.ID, b.damper.records[s.ID].left(now), s.since})
+			out = append(out, DampedServer{s.ID, b.damper.records[s.ID].left(now), s.since})
 		}
 	}
-	slices.SortFunc(out, func(x, y DampedState) int {
-		return cmp.Or(cmp.Compare(x.Since, y.Since), cmp.Compare(x.Server, y.Server))
+	slices.SortFunc(out, func(x, y DampedServer) int {
+		return cmp.Or(cmp.Compare(x.DampedSince, y.DampedSince), cmp.Compare(x.Server, y.Server))
 	})
 	return out
 }
@@ -166,7 +166,7 @@
 // reportDamped tells on-call staff which servers are damped when that has changed, once a second at most.
 func (b *Balancer) reportDamped(now int64, h Host) {
 	var names []string
-	for _, d := range b.Damped(now) {
+	for _, d := range b.DampedServers(now) {
 		names = append(names, d.Server)
 	}
 	all := strings.Join(names, " ")
@@ -174,5 +174,5 @@
 		return
 	}
 	b.dampedSaid, b.dampedAt = all, now
-	h.Log(DampedChanged{Servers: names, Share: dampedPart})
+	h.Log(DampedServersChanged{Servers: names, WeightFraction: dampedPart})
 }
--- a/logic/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"container/heap"
@@ -18,10 +18,10 @@
 	servers []Server
 	fate    func(c *copyOf, s Server) (Status, int64) // how and when an attempt ends
 	hear    func(from, to *copyOf) bool               // whether what one tells reaches the other; nil: always
-	lie     func(c *copyOf, tells []Notice) []Notice
+	lie     func(c *copyOf, tells []Report) []Report
 	on      bool // they hear each other
-	said    map[*copyOf][]Notice
-	heard   map[[2]*copyOf][]Notice // what each last heard of each
+	said    map[*copyOf][]Report
+	heard   map[[2]*copyOf][]Report // what each last heard of each
 }
 
 // copyOf is one Balancer and what it did.
@@ -41,7 +41,7 @@
 	at     int64
 	server string
 	zone   int
-	repeat Repeat
+	repeat Idempotency
 }
 
 // seen is an event that a copy told on-call staff of, and when.
@@ -83,24 +83,24 @@
 	w, s := c.w, c.b.byID[server].Server
 	q := c.b.reqs[id]
 	k := q.s.Classes[q.Class]
-	c.sends = append(c.sends, sendTo{w.now, server, s.Zone, k.Repeat})
+	c.sends = append(c.sends, sendTo{w.now, server, s.Zone, k.Idempotency})
 	status, took := w.fate(c, s)
 	if took > timeout {
-		status, took = TimedOut, timeout
+		status, took = StatusTimedOut, timeout
 	}
 	try := *c.reqs[id]
 	*c.reqs[id]++
 	w.after(took, func() {
-		if status == OK {
+		if status == StatusOK {
 			c.done++
 		}
-		c.b.Outcome(w.now, c, Outcome{ID: id, Attempt: try, Status: status, Took: took, Closed: status == OK})
+		c.b.HandleOutcome(w.now, c, Outcome{RequestID: id, Attempt: try, Status: status, Latency: took, RequestDone: status == StatusOK})
 	})
 }
-func (c *copyOf) Refuse(string, int64) { c.lost++ }
+func (c *copyOf) Reject(string, int64) { c.lost++ }
 func (c *copyOf) Fail(string)          { c.lost++ }
 func (c *copyOf) SetTimer(d int64, token string) {
-	c.w.after(d, func() { c.b.Timer(c.w.now, c, token) })
+	c.w.after(d, func() { c.b.HandleTimer(c.w.now, c, token) })
 }
 func (c *copyOf) Watch()      {}
 func (c *copyOf) Log(e Event) { c.events = append(c.events, seen{c.w.now, e}) }
@@ -109,26 +109,26 @@
 // not run twice, a quarter only in their zone.
 func laid(t testing.TB, zones, copies, servers int, rate float64, on bool) *world {
 	w := &world{t: t, rnd: rand.New(rand.NewPCG(5, uint64(zones*1000+copies*10+servers))), now: start, on: on,
-		said: map[*copyOf][]Notice{}, heard: map[[2]*copyOf][]Notice{}}
-	set := Settings{Siblings: zones * copies, Zones: zones, MaxAttempts: 3, DrainGrace: second, StartCapacity: 0.3,
-		Cold: 8 * second, MaxRetryAfter: second, Classes: []Class{
-			{Aim: 600_000, Deadline: 1_600_000, Worth: 10, Repeat: Unsafe},
-			{Aim: 800_000, Deadline: 2_000_000, Worth: 3, Repeat: Keyed, Group: GroupZone, Window: 3 * second},
-			{Aim: 900_000, Deadline: 2_500_000, Worth: 1, Repeat: Safe},
+		said: map[*copyOf][]Report{}, heard: map[[2]*copyOf][]Report{}}
+	set := Settings{Replicas: zones * copies, ZoneCount: zones, MaxAttempts: 3, DrainGrace: second, SlowStartMinCapacity: 0.3,
+		SlowStartDuration: 8 * second, MaxRetryAfter: second, Classes: []Class{
+			{LatencyObjective: 600_000, Deadline: 1_600_000, PriorityWeight: 10, Idempotency: NonIdempotent},
+			{LatencyObjective: 800_000, Deadline: 2_000_000, PriorityWeight: 3, Idempotency: IdempotentWithKey, DedupScope: DedupScopeZone, DedupWindow: 3 * second},
+			{LatencyObjective: 900_000, Deadline: 2_500_000, PriorityWeight: 1, Idempotency: Idempotent},
 		}}
 	for i := range zones * servers {
-		w.servers = append(w.servers, Server{ID: fmt.Sprint("s", i), Zone: i % zones, State: Ready, Size: 1})
+		w.servers = append(w.servers, Server{ID: fmt.Sprint("s", i), Zone: i % zones, State: ServerReady, CapacityHint: 1})
 	}
 	w.fate = w.well
 	for i := range zones * copies {
-		set.Ordinal, set.Zone = i, i%zones
+		set.ReplicaIndex, set.Zone = i, i%zones
 		b, err := New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c := &copyOf{w: w, n: i, b: b, name: fmt.Sprint("p", i), reqs: map[string]*int{}}
 		w.copies = append(w.copies, c)
-		b.List(start, c, Full, w.servers)
+		b.UpdateEndpoints(start, c, UpdateSnapshot, w.servers)
 		w.after(w.rnd.Int64N(second/10), c.tell)
 		w.after(int64(float64(w.rnd.Int64N(second))/rate), func() { c.ask(rate, 0) })
 	}
@@ -136,13 +136,13 @@
 }
 
 // well answers in 30 to 90 ms.
-func (w *world) well(*copyOf, Server) (Status, int64) { return OK, 30_000 + w.rnd.Int64N(60_000) }
+func (w *world) well(*copyOf, Server) (Status, int64) { return StatusOK, 30_000 + w.rnd.Int64N(60_000) }
 
 func (c *copyOf) ask(rate float64, n int) {
 	id := fmt.Sprint(n)
 	class := []int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[c.w.rnd.IntN(10)]
 	c.reqs[id] = new(int)
-	c.b.Request(c.w.now, c, Request{ID: id, Class: class, GiveUp: c.w.now + c.b.s.Classes[class].Deadline})
+	c.b.HandleRequest(c.w.now, c, Request{ID: id, Class: class, Deadline: c.w.now + c.b.s.Classes[class].Deadline})
 	c.w.after(int64(c.w.rnd.ExpFloat64()*1e6/rate), func() { c.ask(rate, n+1) })
 }
 
@@ -153,15 +153,15 @@
 	if !w.on {
 		return
 	}
-	tells := c.b.Seen(w.now)
+	tells := c.b.Reports(w.now)
 	if w.lie != nil {
 		tells = w.lie(c, tells)
 	}
 	w.said[c] = tells
-	p := Peers{Living: len(w.copies), Alone: c.deaf}
+	p := PeerReports{LiveReplicas: len(w.copies), Isolated: c.deaf}
 	for _, o := range w.copies {
 		if o.b.s.Zone == c.b.s.Zone {
-			p.Near++
+			p.LiveReplicasInZone++
 		}
 		if o == c || c.deaf {
 			continue
@@ -171,10 +171,10 @@
 		}
 		for _, n := range w.heard[[2]*copyOf{o, c}] {
 			n.Observer = o.name
-			p.Notices = append(p.Notices, n)
+			p.Reports = append(p.Reports, n)
 		}
 	}
-	c.b.Peers(w.now, c, p)
+	c.b.HandlePeerReports(w.now, c, p)
 }
 
 // part is the part of the attempts from some copies' zone within a span that went to a zone; to -1: across zones.
--- a/logic/golden_test.go
+++ b/balancer/golden_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"crypto/sha256"
@@ -43,7 +43,7 @@
 		"share of tenants":      func(b *Balancer) { b.share = 0.5 },
 		"slowness of a server":  func(b *Balancer) { b.byID["s3"].slowness *= 1.05 },
 		"count of the tier":     func(b *Balancer) { b.tier.count = 1 },
-		"part of a zone":        func(b *Balancer) { b.zones[1].Share = 0.9 },
+		"part of a zone":        func(b *Balancer) { b.zones[1].WeightFraction = 0.9 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -55,22 +55,22 @@
 }
 
 // noticeValues, zoneValues and eventValues are fields as plain numbers and texts.
-func noticeValues(n Notice) []any {
-	return []any{int(n.Kind), int(n.Cause), n.Observer, n.Zone, n.Server, n.Launched, n.Of, n.Calls, n.Bad, n.Value, n.At}
+func noticeValues(n Report) []any {
+	return []any{int(n.Kind), int(n.Fault), n.Observer, n.ObserverZone, n.Server, n.StartTime, n.SubjectZone, n.Calls, n.BadFraction, n.Value, n.LastObserved}
 }
 
 func zoneValues(s ZoneState) []any {
-	return []any{s.Zone, int(s.Standing), s.Share, s.Epoch, s.Since, int(s.Cause), s.Calls, s.Bad, s.Say, s.SayBad}
+	return []any{s.Zone, int(s.Phase), s.WeightFraction, s.Transitions, s.ChangedAt, int(s.Fault), s.Calls, s.BadFraction, s.ReportingReplicas, s.UnhealthyVotes}
 }
 
 func eventValues(e Event) []any {
 	switch e := e.(type) {
-	case ZoneChanged:
-		return append(zoneValues(e.State), "zone", e.Home, int(e.From))
-	case SharesHeld:
-		return []any{"shares", e.Stage, e.Share, e.Calls, e.Failed, e.Spill}
-	case DampedChanged:
-		return []any{"damped", e.Servers, e.Share}
+	case ZonePhaseChanged:
+		return append(zoneValues(e.State), "zone", e.ObserverZone, int(e.Previous))
+	case TenantsThrottled:
+		return []any{"shares", e.Tier, e.QuotaMultiple, e.InFlight, e.FailureRate, e.SpilloverWeight}
+	case DampedServersChanged:
+		return []any{"damped", e.Servers, e.WeightFraction}
 	}
 	panic(fmt.Sprintf("an event of the unknown type %T", e))
 }
@@ -86,13 +86,13 @@
 		fmt.Sscanf(s.ID, "s%d", &i)
 		switch status, took := w.well(c, s); {
 		case i == 0 && at/5%2 == 1:
-			return Error, 5_000
+			return StatusError, 5_000
 		case i == 5 && at/7%2 == 1:
-			return TimedOut, 1_600_000
+			return StatusTimedOut, 1_600_000
 		case i == 7 && w.rnd.IntN(3) == 0:
-			return FullUp, 2_000
+			return StatusRejected, 2_000
 		case s.Zone == 1 && at >= 30 && at < 36:
-			return ConnectFailed, 1_000
+			return StatusConnectFailed, 1_000
 		case s.Zone == 2 && at >= 50 && at < 53:
 			return status, 9 * took
 		case i%4 == 2:
@@ -102,15 +102,15 @@
 		}
 	}
 	w.hear = func(_, _ *copyOf) bool { return w.rnd.IntN(5) > 0 }
-	w.lie = func(c *copyOf, tells []Notice) []Notice {
+	w.lie = func(c *copyOf, tells []Report) []Report {
 		for _, n := range tells {
 			fmt.Fprintln(sum, c.name, noticeValues(n))
 		}
 		return tells
 	}
 	for _, c := range w.copies {
-		c.b.s.TipMultiple, c.b.s.FallSpan = 2, 2*second
-		c.b.s.Tenants = []Tenant{{Name: "a", Portion: 1, Quota: 240}}
+		c.b.s.OverloadMultiple, c.b.s.OverloadWindow = 2, 2*second
+		c.b.s.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 240}}
 		c.b.tenants = make([]originRule, 1)
 		c.b.derive()
 	}
@@ -120,45 +120,45 @@
 			change(w.copies[0].b)
 		}
 		s := &w.servers[4] // its lease ends now and then
-		if s.State = Ready; at/second%12 == 3 {
-			s.State = Gone
+		if s.State = ServerReady; at/second%12 == 3 {
+			s.State = ServerRemoved
 		}
 		cold := &w.servers[int(at/second)%len(w.servers)]
 		if at/second%9 == 0 {
-			cold.Launched = w.now
+			cold.StartTime = w.now
 		}
 		for i, c := range w.copies {
 			c.deaf = i == 1 && at > 20*second && at < 40*second
-			c.b.List(w.now, c, Delta, []Server{*s, *cold})
+			c.b.UpdateEndpoints(w.now, c, UpdateDelta, []Server{*s, *cold})
 			switch at {
 			case 60 * second:
-				c.b.Drain(w.now, c, map[int]bool{0: i%3 > 0})
+				c.b.SetDrainedZones(w.now, c, map[int]bool{0: i%3 > 0})
 			case 70 * second:
-				c.b.Drain(w.now, c, nil)
+				c.b.SetDrainedZones(w.now, c, nil)
 			case 75 * second:
-				c.b.HandOver(w.now)
+				c.b.ExportRetryBudget(w.now)
 			case 80 * second:
-				c.b.Alone(w.now)
+				c.b.HandleOtherProcessExit(w.now)
 			case 85 * second:
 				other := *c.b.s
-				other.BudgetSpan, other.BudgetFree, other.BudgetShare = 15*second, 2, 0.05
+				other.RetryBudgetWindow, other.RetryBudgetMin, other.RetryBudgetRatio = 15*second, 2, 0.05
 				other.Classes = slices.Clone(other.Classes)
-				other.Classes[2].Aim /= 2
+				other.Classes[2].LatencyObjective /= 2
 				if _, err := c.b.Reconfigure(w.now, other, nil); err != nil {
 					t.Fatal(err)
 				}
 			case 90 * second:
-				c.b.Ban(map[string]bool{"s8": true})
+				c.b.SetSuspendedServers(map[string]bool{"s8": true})
 			case 93 * second:
-				c.b.Ban(nil)
+				c.b.SetSuspendedServers(nil)
 			}
-			listed, avoided := c.b.Servers()
-			fmt.Fprintln(sum, listed, avoided, c.b.Condemned())
+			listed, avoided := c.b.ServerCounts()
+			fmt.Fprintln(sum, listed, avoided, c.b.EjectedServers())
 			for _, z := range c.b.ZoneStates(w.now) {
 				fmt.Fprintln(sum, zoneValues(z))
 			}
-			for _, d := range c.b.Damped(w.now) {
-				fmt.Fprintln(sum, d.Server, d.Penalty, d.Since)
+			for _, d := range c.b.DampedServers(w.now) {
+				fmt.Fprintln(sum, d.Server, d.Penalty, d.DampedSince)
 			}
 		}
 	}
--- a/logic/handover_test.go
+++ b/balancer/handover_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 // Two Balancers that are one proxy keep the allowance for further attempts between them, in every window.
 func TestTheAllowanceIsOneForBothProcesses(t *testing.T) {
 	s := testSettings()
-	s.BudgetSpan, s.BudgetFree, s.BudgetShare, s.MaxAttempts = 10*second, 5, 0.1, 3
+	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio, s.MaxAttempts = 10*second, 5, 0.1, 3
 	old, h := with(t, s, 4)
 	var taken, further []int64
 	fail := func(b *Balancer, now int64, id string) {
@@ -19,7 +19,7 @@
 			if i > 0 {
 				further = append(further, now)
 			}
-			b.Outcome(now, h, Outcome{ID: id, Attempt: i, Status: FullUp, Took: 1})
+			b.HandleOutcome(now, h, Outcome{RequestID: id, Attempt: i, Status: StatusRejected, Latency: 1})
 		}
 	}
 	now := start
@@ -28,8 +28,8 @@
 		fail(old, now, fmt.Sprint("o", i))
 	}
 	next := mustNew(t, s)
-	next.Inherit(old.HandOver(now))
-	next.List(now, h, Full, fleet(4))
+	next.ImportRetryBudget(old.ExportRetryBudget(now))
+	next.UpdateEndpoints(now, h, UpdateSnapshot, fleet(4))
 	for i := range 400 {
 		now += second / 20
 		b := next
@@ -37,7 +37,7 @@
 			b = old
 		}
 		if i == 300 {
-			old.Alone(now) // the successor has died; the free part is not there at once
+			old.HandleOtherProcessExit(now) // the successor has died; the free part is not there at once
 		}
 		if i >= 300 {
 			b = old
@@ -45,15 +45,15 @@
 		fail(b, now, fmt.Sprint(i))
 	}
 	for _, end := range further {
-		n, allowed := 0.0, s.BudgetFree
+		n, allowed := 0.0, s.RetryBudgetMin
 		for _, at := range further {
-			if at <= end && at >= end-s.BudgetSpan {
+			if at <= end && at >= end-s.RetryBudgetWindow {
 				n++
 			}
 		}
 		for _, at := range taken {
-			if at <= end && at > end-s.BudgetSpan {
-				allowed += s.BudgetShare
+			if at <= end && at > end-s.RetryBudgetWindow {
+				allowed += s.RetryBudgetRatio
 			}
 		}
 		if n > allowed+1e-9 {
@@ -67,13 +67,13 @@
 
 func TestAColdServerGetsHalfFromEachOfTwo(t *testing.T) {
 	b, _ := with(t, testSettings(), 1)
-	cold := &server{Server: Server{Launched: start}}
+	cold := &server{Server: Server{StartTime: start}}
 	whole := b.warmth(start+second, cold)
-	b.Inherit(Spent{})
+	b.ImportRetryBudget(RetryBudgetUsage{})
 	if got := b.warmth(start+second, cold); got != whole/2 {
 		t.Errorf("beside another process %v, alone %v", got, whole)
 	}
-	b.Alone(start)
+	b.HandleOtherProcessExit(start)
 	if got := b.warmth(start+second, cold); got != whole {
 		t.Errorf("alone again %v, before %v", got, whole)
 	}
--- a/logic/learning.go
+++ b/balancer/learning.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 const (
 	lateBar    = 0.8 // of the aim: slower finishes count against the tier and the class
@@ -26,22 +26,22 @@
 
 // learn takes what an attempt's end tells of the server, the counts, the shares and the zones.
 func (b *Balancer) learn(now int64, q *request, a *attempt, o Outcome) {
-	if o.Status == Cancelled || o.Status == Moot {
+	if o.Status == StatusCancelled || o.Status == StatusNotSent {
 		return
 	}
 	b.prove(a.srv, a.sent, o.Status)
-	c, k, failed := &b.classes[q.Class], q.s.Classes[q.Class], o.Status != OK
+	c, k, failed := &b.classes[q.Class], q.s.Classes[q.Class], o.Status != StatusOK
 	blame := b.judge(a.srv, q.Class, o.Status)
-	a.srv.refused = o.Status == ConnectFailed || failed && a.srv.refused
+	a.srv.refused = o.Status == StatusConnectFailed || failed && a.srv.refused
 	if b.zones != nil {
 		b.note(now, a, causeOf[o.Status])
 		b.measure(now, a.srv, q.Class, o)
 	}
 	if !failed {
-		b.reward(c, a.srv, float64(o.Took))
+		b.reward(c, a.srv, float64(o.Latency))
 	}
 	spent := float64(now - a.sent)
-	late := failed && !blame || !failed && spent > lateBar*float64(k.Aim)
+	late := failed && !blame || !failed && spent > lateBar*float64(k.LatencyObjective)
 	slow := late || !failed && spent > b.slowBar(q.Class)
 	b.tier.learn(&b.tier.ev, now, a.sent, late)
 	c.rule.learn(&c.rule.ev, now, a.sent, late)
@@ -53,8 +53,8 @@
 // slowBar is the time at which a call counts as slow: well before its aim, and clearly over the time of calls
 // when little waits, since servers that hold too many turn slower for long.
 func (b *Balancer) slowBar(class int) float64 {
-	bar := slowBar * float64(b.s.Classes[class].Aim)
-	if b.s.Stage > 0 || b.share <= crowdLow {
+	bar := slowBar * float64(b.s.Classes[class].LatencyObjective)
+	if b.s.Tier > 0 || b.share <= crowdLow {
 		return bar
 	}
 	return min(bar, crowdBar*b.classes[class].base)
@@ -103,15 +103,15 @@
 // a deeper tier's and held against the counts; a refused connection never is, lest a lost zone be one. An
 // error concerns its class only, lest servers that fail one class be lost to all; silence the whole server.
 func (b *Balancer) judge(s *server, class int, status Status) (blame bool) {
-	c, x := &b.classes[class], partOf(status != OK)
+	c, x := &b.classes[class], partOf(status != StatusOK)
 	b.errs += (x - b.errs) * meanGain
 	c.errs += (x - c.errs) * meanGain
-	if status == ConnectFailed {
+	if status == StatusConnectFailed {
 		blame = s.whole.judge(x, 0)
-	} else if status != Error {
+	} else if status != StatusError {
 		blame = s.whole.judge(x, usual(b.errs))
 	}
-	if status == Error || status == FullUp || status == OK {
+	if status == StatusError || status == StatusRejected || status == StatusOK {
 		blame = s.classes[class].judge(x, usual(c.errs)) || blame
 	}
 	return blame
--- a/logic/learning_test.go
+++ b/balancer/learning_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import "testing"
 
@@ -14,12 +14,12 @@
 		t.Errorf("weights %v and %v", b.weigh(start, fast, 0), b.weigh(start, slow, 0))
 	}
 	before := b.weigh(start, fast, 0)
-	b.judge(fast, 0, Error)
+	b.judge(fast, 0, StatusError)
 	if b.weigh(start, fast, 0) > before/2 {
 		t.Error("a failure that its peer does not show left the weight")
 	}
 	for range 100 {
-		b.judge(fast, 0, Error)
+		b.judge(fast, 0, StatusError)
 	}
 	if b.weigh(start, fast, 0) <= 0 {
 		t.Error("no floor keeps trials going")
@@ -31,8 +31,8 @@
 	b, _ := with(t, testSettings(), 4)
 	ill, well := b.byID["s0"], b.byID["s1"]
 	for range 5 {
-		b.judge(ill, 0, Error)
-		b.judge(well, 0, OK)
+		b.judge(ill, 0, StatusError)
+		b.judge(well, 0, StatusOK)
 	}
 	if w := b.weigh(start, ill, 0); w > b.weigh(start, well, 0)/5 {
 		t.Errorf("a server that fails the class keeps weight %v", w)
@@ -41,9 +41,9 @@
 		t.Error("errors of one class cost a server the others")
 	}
 	for range 5 {
-		b.judge(ill, 0, TimedOut)
+		b.judge(ill, 0, StatusTimedOut)
 		for range 3 {
-			b.judge(well, 0, OK)
+			b.judge(well, 0, StatusOK)
 		}
 	}
 	if w := b.weigh(start, ill, 2); w > b.weigh(start, well, 2)/5 {
@@ -56,11 +56,11 @@
 	b, _ := with(t, testSettings(), 4)
 	ill, well := b.byID["s0"], b.byID["s1"]
 	for range 5 {
-		b.judge(ill, 0, FullUp)
+		b.judge(ill, 0, StatusRejected)
 		for range 3 {
-			b.judge(ill, 2, OK)
-			b.judge(well, 0, OK)
-			b.judge(well, 2, OK)
+			b.judge(ill, 2, StatusOK)
+			b.judge(well, 0, StatusOK)
+			b.judge(well, 2, StatusOK)
 		}
 	}
 	if w := b.weigh(start, ill, 0); w > b.weigh(start, well, 0)/5 {
@@ -75,9 +75,9 @@
 func TestAServerThatFailsFastGetsNoMoreThanTrials(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
 	for range 50 {
-		b.judge(b.byID["s0"], 0, Error)
+		b.judge(b.byID["s0"], 0, StatusError)
 		for _, id := range []string{"s1", "s2", "s3"} {
-			b.judge(b.byID[id], 0, OK)
+			b.judge(b.byID[id], 0, StatusOK)
 		}
 	}
 	for _, id := range []string{"s1", "s2", "s3"} {
@@ -99,20 +99,20 @@
 	set := testSettings()
 	b, _ := with(t, set, 4)
 	for range 50 {
-		b.judge(b.byID["s0"], 0, TimedOut)
+		b.judge(b.byID["s0"], 0, StatusTimedOut)
 		for range 3 {
-			b.judge(b.byID["s1"], 0, OK)
+			b.judge(b.byID["s1"], 0, StatusOK)
 		}
 	}
-	drawn := map[Repeat]int{}
+	drawn := map[Idempotency]int{}
 	for class, c := range set.Classes {
 		for range 4000 {
 			if b.draw(start, &request{s: b.s, Request: Request{Class: class}}).ID == "s0" {
-				drawn[c.Repeat]++
+				drawn[c.Idempotency]++
 			}
 		}
 	}
-	if drawn[Unsafe] == 0 || drawn[Unsafe] > drawn[Safe]/2 {
+	if drawn[NonIdempotent] == 0 || drawn[NonIdempotent] > drawn[Idempotent]/2 {
 		t.Errorf("drawn for a trial %v times", drawn)
 	}
 }
@@ -121,17 +121,17 @@
 func TestTwoServersThatFailAllAreBlamedAmongFour(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
 	for range 50 {
-		b.judge(b.byID["s0"], 0, FullUp)
-		b.judge(b.byID["s1"], 0, FullUp)
-		b.judge(b.byID["s2"], 0, OK)
-		b.judge(b.byID["s3"], 0, OK)
+		b.judge(b.byID["s0"], 0, StatusRejected)
+		b.judge(b.byID["s1"], 0, StatusRejected)
+		b.judge(b.byID["s2"], 0, StatusOK)
+		b.judge(b.byID["s3"], 0, StatusOK)
 	}
 	for _, id := range []string{"s0", "s1"} {
-		if !b.judge(b.byID[id], 0, FullUp) {
+		if !b.judge(b.byID[id], 0, StatusRejected) {
 			t.Errorf("%s is not blamed", id)
 		}
 	}
-	if b.judge(b.byID["s2"], 0, FullUp) {
+	if b.judge(b.byID["s2"], 0, StatusRejected) {
 		t.Error("a single failure of a server that is well is blamed")
 	}
 }
@@ -141,11 +141,11 @@
 	b, _ := with(t, testSettings(), 4)
 	for range 100 {
 		for _, s := range b.all {
-			b.judge(s, 0, Error)
+			b.judge(s, 0, StatusError)
 		}
 	}
 	for _, s := range b.all {
-		if b.judge(s, 0, Error) {
+		if b.judge(s, 0, StatusError) {
 			t.Errorf("%s is blamed for what its peers show", s.ID)
 		}
 	}
@@ -156,7 +156,7 @@
 	b, _ := with(t, testSettings(), 8)
 	for range 5 {
 		for _, s := range b.all {
-			if !b.judge(s, 0, ConnectFailed) {
+			if !b.judge(s, 0, StatusConnectFailed) {
 				t.Fatalf("%s is not blamed for a refused connection", s.ID)
 			}
 		}
--- a/logic/loads.go
+++ b/balancer/loads.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"cmp"
@@ -32,15 +32,15 @@
 // measure takes the end of an attempt. Times are those of a call of a middling class: otherwise a server
 // would be fast for the classes that it happened to get.
 func (b *Balancer) measure(now int64, s *server, class int, o Outcome) {
-	c, worth := &b.classes[class], b.s.Classes[class].Worth
+	c, worth := &b.classes[class], b.s.Classes[class].PriorityWeight
 	s.load.fade(now)
-	if s.load.calls++; o.Status != OK {
+	if s.load.calls++; o.Status != StatusOK {
 		s.load.bad++
 		return
 	}
 	b.middle += (c.base - b.middle) * gainAfter(b.measured, baseGain)
 	b.measured++
-	took := float64(o.Took) / max(c.base, 1)
+	took := float64(o.Latency) / max(c.base, 1)
 	s.load.worth += worth
 	s.load.time += worth * took * b.middle
 	b.tail.Add(took, worth)
@@ -48,8 +48,8 @@
 }
 
 // tellLoads is what this copy tells of loads; it stands for a while, since what changes has to be sent.
-func (b *Balancer) tellLoads(now int64) []Notice {
-	if b.s.Untuned || now-b.loadAt < loadEvery && b.loadAt != 0 {
+func (b *Balancer) tellLoads(now int64) []Report {
+	if b.s.DisableWeightTuning || now-b.loadAt < loadEvery && b.loadAt != 0 {
 		return b.loads
 	}
 	b.loadAt, b.loads = now, nil
@@ -58,8 +58,8 @@
 			continue
 		}
 		s.load.fade(now)
-		n := Notice{Kind: ServerLoad, Zone: b.s.Zone, Server: s.ID, Launched: s.Launched, Calls: s.load.calls,
-			Bad: s.load.bad / s.load.calls, At: now}
+		n := Report{Kind: ReportServerLoad, ObserverZone: b.s.Zone, Server: s.ID, StartTime: s.StartTime, Calls: s.load.calls,
+			BadFraction: s.load.bad / s.load.calls, LastObserved: now}
 		if s.load.worth > 0 {
 			n.Value = s.load.time / s.load.worth
 		}
@@ -71,12 +71,12 @@
 // sumLoads adds up what all copies tell, and returns how many copies that is. What is no number or out of all
 // proportion is bounded.
 func (b *Balancer) sumLoads(now int64) (copies int) {
-	var told []Notice
+	var told []Report
 	var times, calls []float64
 	of := map[string]float64{}
 	for n := range b.notices {
-		if n.Kind == ServerLoad && n.At <= now && n.At >= now-loadFresh && n.Calls > 0 &&
-			n.Bad >= 0 && n.Bad <= 1 && n.Value >= 0 {
+		if n.Kind == ReportServerLoad && n.LastObserved <= now && n.LastObserved >= now-loadFresh && n.Calls > 0 &&
+			n.BadFraction >= 0 && n.BadFraction <= 1 && n.Value >= 0 {
 			told = append(told, n)
 			of[n.Observer] += min(n.Calls, 1e9)
 			if n.Value > 0 {
@@ -104,13 +104,13 @@
 		part := min(1, most/of[n.Observer])
 		got := part * min(n.Calls, 1e9)
 		s.sum.calls += got
-		s.sum.bad += got * n.Bad
+		s.sum.bad += got * n.BadFraction
 		if n.Value > 0 {
-			s.sum.rate += got * (1 - n.Bad) // for now: the weight of time
-			s.sum.time += got * (1 - n.Bad) * min(max(n.Value, time/loadOdd), time*loadOdd)
+			s.sum.rate += got * (1 - n.BadFraction) // for now: the weight of time
+			s.sum.time += got * (1 - n.BadFraction) * min(max(n.Value, time/loadOdd), time*loadOdd)
 		}
 	}
-	all := float64(max(b.peers.Living, len(of))) / float64(len(of)) // those that are not heard call, too
+	all := float64(max(b.peers.LiveReplicas, len(of))) / float64(len(of)) // those that are not heard call, too
 	for _, s := range b.all {
 		s.sum.time /= cmp.Or(s.sum.rate, 1)
 		s.sum.bad /= cmp.Or(s.sum.calls, 1)
--- a/logic/members.go
+++ b/balancer/members.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // Which servers there are, and which of them this copy sends to.
 
@@ -18,19 +18,19 @@
 )
 
 // List takes a list of servers or its changes.
-func (b *Balancer) List(now int64, h Host, kind ListKind, entries []Server) {
-	if kind == Failed {
+func (b *Balancer) UpdateEndpoints(now int64, h Host, kind UpdateKind, entries []Server) {
+	if kind == UpdateFailed {
 		if b.asked { // many copies keep the list busy: back off, one ask at a time
 			h.SetTimer(b.backoff+b.rnd.Int64N(b.backoff), watchToken)
-			b.backoff = max(watchFirst, min(2*b.backoff, watchMost, b.s.AskEvery/watchPart))
+			b.backoff = max(watchFirst, min(2*b.backoff, watchMost, b.s.PollInterval/watchPart))
 		}
 		b.asked = false
 		return
 	}
 	b.confirm(now, kind)
-	if kind != Delta {
+	if kind != UpdateDelta {
 		for _, s := range b.all {
-			s.State = Gone // unless listed below
+			s.State = ServerRemoved // unless listed below
 		}
 	}
 	for _, e := range entries {
@@ -40,7 +40,7 @@
 	if b.relist(); b.zones != nil {
 		b.condemn(now) // one whose lease has come back may be damped
 	}
-	if b.s.Subscribe && !b.asked {
+	if b.s.WatchEndpoints && !b.asked {
 		b.asked = true
 		h.Watch()
 	}
@@ -53,14 +53,14 @@
 	if s == nil {
 		s = b.place(e.ID)
 	}
-	if s.Launched != e.Launched {
+	if s.StartTime != e.StartTime {
 		s.forget(len(b.classes))
 	}
 	s.Server = e
 }
 
 // Ban has these servers and no others left out by hand, if need be all. One that comes back starts afresh.
-func (b *Balancer) Ban(ids map[string]bool) {
+func (b *Balancer) SetSuspendedServers(ids map[string]bool) {
 	was := b.banned
 	b.banned = ids
 	for _, s := range b.all {
@@ -75,15 +75,15 @@
 // relist forgets gone servers and gathers the ready: one that drains or is banned is out at once (rule 3).
 func (b *Balancer) relist() {
 	b.all = slices.DeleteFunc(b.all, func(s *server) bool {
-		if s.State == Gone {
+		if s.State == ServerRemoved {
 			delete(b.byID, s.ID)
 		}
-		return s.State == Gone
+		return s.State == ServerRemoved
 	})
 	b.gather()
 	b.ready = b.ready[:0]
 	for _, s := range b.ring {
-		if s.State == Ready && !b.banned[s.ID] && !b.drained[s.Zone] {
+		if s.State == ServerReady && !b.banned[s.ID] && !b.drained[s.Zone] {
 			b.ready = append(b.ready, s)
 		}
 	}
@@ -93,7 +93,7 @@
 // rotate puts this copy's subset first: copies start spread over a ring of servers by their hashes. Otherwise
 // each held a connection of every copy, which costs it capacity, and a copy saw too few calls to judge it.
 func (b *Balancer) rotate() {
-	_, start := math.Modf(float64(b.s.Ordinal) * golden)
+	_, start := math.Modf(float64(b.s.ReplicaIndex) * golden)
 	first := int(start * float64(len(b.ready)))
 	b.ready = slices.Concat(b.ready[first:], b.ready[:first])
 	b.near, b.far = len(b.ready), len(b.ready)
@@ -110,7 +110,7 @@
 // rank puts servers at home first, as a small subset of the ring may be mostly far, and zones left last.
 func (b *Balancer) rank(s *server) int {
 	z := b.zone(s.Zone)
-	return 2*int(partOf(z != nil && z.Standing == Away)) + int(partOf(s.Zone != b.s.Zone))
+	return 2*int(partOf(z != nil && z.Phase == ZoneEvacuated)) + int(partOf(s.Zone != b.s.Zone))
 }
 
 // subset is how many warm and healthy servers this copy's calls are spread over.
--- a/logic/members_test.go
+++ b/balancer/members_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -16,8 +16,8 @@
 		t.Errorf("with no list: %q", h.last())
 	}
 	list := fleet(1)
-	list[0].State = Draining
-	b.List(start, h, Full, list)
+	list[0].State = ServerDraining
+	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 	ask(b, h, start, "b", 0)
 	if h.last() != "refuse b" {
 		t.Errorf("with all draining: %q", h.last())
@@ -30,13 +30,13 @@
 	users := map[string]int{}
 	for i := range copies {
 		s := testSettings()
-		s.Siblings, s.Ordinal = copies, i
+		s.Replicas, s.ReplicaIndex = copies, i
 		b, h := with(t, s, servers)
 		met := map[string]bool{}
 		for k := range 400 {
 			now := start + int64(k)*50_000 // 20 a second
 			ask(b, h, now, fmt.Sprint(k), 0)
-			b.Outcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Took: 1000, Closed: true})
+			b.HandleOutcome(now, h, Outcome{RequestID: fmt.Sprint(k), Status: StatusOK, Latency: 1000, RequestDone: true})
 		}
 		for _, s := range h.sends {
 			met[s.server] = true
@@ -61,7 +61,7 @@
 	for k := range 240 {
 		now := start + int64(k)*second/3 // 3 a second
 		ask(b, h, now, fmt.Sprint(k), 0)
-		b.Outcome(now, h, Outcome{ID: fmt.Sprint(k), Status: OK, Took: 300_000, Closed: true})
+		b.HandleOutcome(now, h, Outcome{RequestID: fmt.Sprint(k), Status: StatusOK, Latency: 300_000, RequestDone: true})
 	}
 	for _, s := range h.sends {
 		met[s.server]++
@@ -72,21 +72,21 @@
 }
 func TestWatchIsAskedForAgainAfterAFailure(t *testing.T) {
 	s := testSettings()
-	s.Subscribe, s.AskEvery = true, 10*second
+	s.WatchEndpoints, s.PollInterval = true, 10*second
 	b, h := with(t, s, 2)
 	if h.watch != 1 {
 		t.Fatalf("watched %d times after the first list", h.watch)
 	}
-	b.List(start, h, Failed, nil)
+	b.UpdateEndpoints(start, h, UpdateFailed, nil)
 	if len(h.timer) != 1 {
 		t.Fatalf("%d timers after a failure", len(h.timer))
 	}
-	b.List(start, h, Failed, nil) // the broken subscription and the failed call are told one by one
+	b.UpdateEndpoints(start, h, UpdateFailed, nil) // the broken subscription and the failed call are told one by one
 	if len(h.timer) != 1 {
 		t.Errorf("%d timers after the same failure was told twice", len(h.timer))
 	}
-	b.Timer(start+second, h, h.timer[0])
-	b.Timer(start+second, h, h.timer[0])
+	b.HandleTimer(start+second, h, h.timer[0])
+	b.HandleTimer(start+second, h, h.timer[0])
 	if h.watch != 2 {
 		t.Errorf("watched %d times after the timer", h.watch)
 	}
@@ -116,7 +116,7 @@
 func TestRingHoldsWhatIsListed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
-		set.Ordinal = rapid.IntRange(0, 5).Draw(t, "ordinal")
+		set.ReplicaIndex = rapid.IntRange(0, 5).Draw(t, "ordinal")
 		b, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -131,20 +131,20 @@
 				for _, id := range ids {
 					out[id] = true
 				}
-				b.Ban(out)
+				b.SetSuspendedServers(out)
 			} else {
 				var entries []Server
 				for _, id := range ids {
-					entries = append(entries, Server{ID: id, State: rapid.SampledFrom([]State{Gone, Ready, Ready, Draining}).Draw(t, "state")})
+					entries = append(entries, Server{ID: id, State: rapid.SampledFrom([]ServerState{ServerRemoved, ServerReady, ServerReady, ServerDraining}).Draw(t, "state")})
 				}
-				b.List(start, &recorder{}, rapid.SampledFrom([]ListKind{Delta, Full, Cached}).Draw(t, "kind"), entries)
+				b.UpdateEndpoints(start, &recorder{}, rapid.SampledFrom([]UpdateKind{UpdateDelta, UpdateSnapshot, UpdateCached}).Draw(t, "kind"), entries)
 			}
 			sorted := slices.SortedFunc(slices.Values(b.all), onRing)
 			if !slices.Equal(b.ring, sorted) {
 				t.Fatalf("the ring holds %d servers, or in another order than the %d listed", len(b.ring), len(b.all))
 			}
-			ready := slices.DeleteFunc(sorted, func(s *server) bool { return s.State != Ready || b.banned[s.ID] })
-			_, from := math.Modf(float64(set.Ordinal) * golden)
+			ready := slices.DeleteFunc(sorted, func(s *server) bool { return s.State != ServerReady || b.banned[s.ID] })
+			_, from := math.Modf(float64(set.ReplicaIndex) * golden)
 			if first := int(from * float64(len(ready))); !slices.Equal(b.ready, slices.Concat(ready[first:], ready[:first])) {
 				t.Fatalf("%d servers are ready, or in another order than %d", len(b.ready), len(ready))
 			}
--- a/logic/policy_test.go
+++ b/balancer/policy_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"go/ast"
@@ -54,7 +54,7 @@
 	for _, m := range regexp.MustCompile(`(?m)^\| (\w+\.go) \| ([\w.]+) \| [^|]+ \| [^|]+ \|$`).FindAllStringSubmatch(read("../docs/policy.md"), -1) {
 		rows[m[1]+" "+m[2]]++
 	}
-	for _, dir := range []string{"../logic", "../internal/tail"} {
+	for _, dir := range []string{"../balancer", "../internal/tailweights"} {
 		paths, _ := filepath.Glob(dir + "/*.go")
 		for _, path := range paths {
 			if strings.HasSuffix(path, "_test.go") {
--- a/logic/protocol_test.go
+++ b/balancer/protocol_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 		now, attempt := start, 0
 		for len(h.sends) == attempt+1 { // answer every attempt with a time-out until the request is over
 			now += h.sends[attempt].timeout
-			b.Outcome(now, h, Outcome{ID: "r", Attempt: attempt, Status: TimedOut, Took: h.sends[attempt].timeout})
+			b.HandleOutcome(now, h, Outcome{RequestID: "r", Attempt: attempt, Status: StatusTimedOut, Latency: h.sends[attempt].timeout})
 			attempt++
 		}
 		if l := h.last(); l != "fail r" && l != "refuse r" {
@@ -26,15 +26,17 @@
 }
 func TestRuleOneNothingAfterTheEnd(t *testing.T) {
 	for _, end := range []func(b *Balancer, h Host){
-		func(b *Balancer, h Host) { b.Withdrawn(start+1000, h, "r") },
-		func(b *Balancer, h Host) { b.Started(start+1000, "r") },
-		func(b *Balancer, h Host) { b.Outcome(start+1000, h, Outcome{ID: "r", Status: FullUp, Closed: true}) },
+		func(b *Balancer, h Host) { b.HandleClientGone(start+1000, h, "r") },
+		func(b *Balancer, h Host) { b.HandleResponseStarted(start+1000, "r") },
+		func(b *Balancer, h Host) {
+			b.HandleOutcome(start+1000, h, Outcome{RequestID: "r", Status: StatusRejected, RequestDone: true})
+		},
 	} {
 		b, h := with(t, testSettings(), 4)
 		ask(b, h, start, "r", 0)
 		before := len(h.lines)
 		end(b, h)
-		b.Outcome(start+2000, h, Outcome{ID: "r", Status: FullUp})
+		b.HandleOutcome(start+2000, h, Outcome{RequestID: "r", Status: StatusRejected})
 		if len(h.lines) != before {
 			t.Errorf("an ended request brought %q", h.lines[before:])
 		}
@@ -50,21 +52,21 @@
 		after  int64
 		want   string // of: send anywhere, send to the same cell or zone, fail, refuse
 	}{
-		{0, Error, 1000, "send"},
-		{0, Reset, 1000, "send"},
-		{0, FullUp, 1000, "send"},
-		{1, FullUp, 1000, "send"},
-		{1, Error, 1000, "cell"},
-		{1, Error, 300_000, "fail"}, // the group has forgotten it
-		{2, FullUp, 1000, "send"},
-		{2, ConnectFailed, 1000, "send"},
-		{2, Error, 1000, "fail"},
-		{2, TimedOut, 1000, "fail"},
-		{2, Reset, 1000, "fail"},
-		{3, Error, 1000, "send"},
-		{3, Error, 300_000, "refuse"},
-		{4, Error, 1000, "zone"},
-		{4, Error, 300_000, "fail"},
+		{0, StatusError, 1000, "send"},
+		{0, StatusReset, 1000, "send"},
+		{0, StatusRejected, 1000, "send"},
+		{1, StatusRejected, 1000, "send"},
+		{1, StatusError, 1000, "cell"},
+		{1, StatusError, 300_000, "fail"}, // the group has forgotten it
+		{2, StatusRejected, 1000, "send"},
+		{2, StatusConnectFailed, 1000, "send"},
+		{2, StatusError, 1000, "fail"},
+		{2, StatusTimedOut, 1000, "fail"},
+		{2, StatusReset, 1000, "fail"},
+		{3, StatusError, 1000, "send"},
+		{3, StatusError, 300_000, "refuse"},
+		{4, StatusError, 1000, "zone"},
+		{4, StatusError, 300_000, "fail"},
 	} {
 		b, h := with(t, testSettings(), 8)
 		where := map[string]Server{}
@@ -72,7 +74,7 @@
 			where[s.ID] = s
 		}
 		ask(b, h, start, "r", c.class)
-		b.Outcome(start+c.after, h, Outcome{ID: "r", Status: c.status, Took: c.after})
+		b.HandleOutcome(start+c.after, h, Outcome{RequestID: "r", Status: c.status, Latency: c.after})
 		name := fmt.Sprintf("class %d after status %d at %d", c.class, c.status, c.after)
 		switch c.want {
 		case "fail", "refuse":
@@ -95,28 +97,28 @@
 // Some fleets turn away work that they had begun: there, 'full' must bring neither a repeat nor a refusal.
 func TestFullIsNoProofWhereSettingsSaySo(t *testing.T) {
 	s := testSettings()
-	s.FullMayRun = true
+	s.RejectedMayHaveExecuted = true
 	b, h := with(t, s, 8)
 	ask(b, h, start, "unsafe", 2)
-	b.Outcome(start+1000, h, Outcome{ID: "unsafe", Status: FullUp, Took: 1000})
+	b.HandleOutcome(start+1000, h, Outcome{RequestID: "unsafe", Status: StatusRejected, Latency: 1000})
 	if len(h.sends) != 1 || h.last() != "fail unsafe" {
 		t.Errorf("an unsafe request that was turned away: %q", h.lines)
 	}
 	ask(b, h, start+2000, "keyed", 1)
-	b.Outcome(start+3000, h, Outcome{ID: "keyed", Status: FullUp, Took: 1000})
+	b.HandleOutcome(start+3000, h, Outcome{RequestID: "keyed", Status: StatusRejected, Latency: 1000})
 	if len(h.sends) != 3 || b.byID[h.sends[1].server].Cell != b.byID[h.sends[2].server].Cell {
 		t.Errorf("a keyed request that was turned away left its group: %q", h.lines)
 	}
 }
 func TestRuleThreeDrainingAndGoneGetNothing(t *testing.T) {
-	for _, state := range []State{Draining, Gone} {
+	for _, state := range []ServerState{ServerDraining, ServerRemoved} {
 		b, h := with(t, testSettings(), 4)
 		list := fleet(4)
 		list[0].State, list[1].State = state, state
-		b.List(start, h, Delta, list[:2])
+		b.UpdateEndpoints(start, h, UpdateDelta, list[:2])
 		for i := range 300 {
 			ask(b, h, start+int64(i), fmt.Sprint(i), 0)
-			b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Took: 1000, Closed: true})
+			b.HandleOutcome(start+int64(i), h, Outcome{RequestID: fmt.Sprint(i), Status: StatusOK, Latency: 1000, RequestDone: true})
 		}
 		for _, s := range h.sends {
 			if s.server == "s0" || s.server == "s1" {
@@ -130,10 +132,10 @@
 }
 func TestRuleThreeAServerMissingFromAWholeListIsGone(t *testing.T) {
 	b, h := with(t, testSettings(), 2)
-	b.List(start, h, Full, fleet(1))
+	b.UpdateEndpoints(start, h, UpdateSnapshot, fleet(1))
 	for i := range 50 {
 		ask(b, h, start+int64(i), fmt.Sprint(i), 0)
-		b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Took: 1000, Closed: true})
+		b.HandleOutcome(start+int64(i), h, Outcome{RequestID: fmt.Sprint(i), Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	for _, s := range h.sends {
 		if s.server != "s0" {
@@ -147,13 +149,13 @@
 	s := testSettings()
 	b, h := mustNew(t, s), &recorder{}
 	list := fleet(2)
-	list[1].Launched = start - 1
-	b.List(start, h, Full, list)
+	list[1].StartTime = start - 1
+	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 	got := 0
 	const n = 4000
 	for i := range n {
 		ask(b, h, start+int64(i), fmt.Sprint(i), 0)
-		b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Took: 1000, Closed: true})
+		b.HandleOutcome(start+int64(i), h, Outcome{RequestID: fmt.Sprint(i), Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	for _, s := range h.sends {
 		if s.server == "s1" {
@@ -161,10 +163,10 @@
 		}
 	}
 	part := float64(got) / float64(len(h.sends)-got)
-	if part > s.StartCapacity || part == 0 {
-		t.Errorf("a cold server got %.3f of a warm one's calls, capacity is %.3f", part, s.StartCapacity)
+	if part > s.SlowStartMinCapacity || part == 0 {
+		t.Errorf("a cold server got %.3f of a warm one's calls, capacity is %.3f", part, s.SlowStartMinCapacity)
 	}
-	if w := b.warmth(start+s.Cold, b.byID["s1"]); w != 1 {
+	if w := b.warmth(start+s.SlowStartDuration, b.byID["s1"]); w != 1 {
 		t.Errorf("a server past its warming time has warmth %v", w)
 	}
 }
@@ -172,10 +174,10 @@
 // Requests of one key once overtook one another: an earlier one was still out at a slow server.
 func TestAKeyKeepsItsOrder(t *testing.T) {
 	s := testSettings()
-	s.Classes[2].ByArrival, s.OrderSettle = true, 100_000
+	s.Classes[2].Ordered, s.OrderingCooldown = true, 100_000
 	b, h := with(t, s, 4)
 	take := func(now int64, id, key string) {
-		b.Request(now, h, Request{ID: id, Class: 2, Key: key, GiveUp: now + second})
+		b.HandleRequest(now, h, Request{ID: id, Class: 2, Key: key, Deadline: now + second})
 	}
 	sends := func() (ids []string) {
 		for _, s := range h.sends {
@@ -191,25 +193,25 @@
 	if got := sends(); !slices.Equal(got, []string{"a", "other", "free"}) {
 		t.Fatalf("sent %v", got)
 	}
-	b.Withdrawn(start+5, h, "b")
-	b.Withdrawn(start+6, h, "a") // over, but its attempt is still out
+	b.HandleClientGone(start+5, h, "b")
+	b.HandleClientGone(start+6, h, "a") // over, but its attempt is still out
 	if got := sends(); len(got) != 3 {
 		t.Fatalf("sent %v while an attempt of the key was out", got)
 	}
-	b.Outcome(start+1000, h, Outcome{ID: "a", Status: Reset, Took: 1000, Closed: true})
+	b.HandleOutcome(start+1000, h, Outcome{RequestID: "a", Status: StatusReset, Latency: 1000, RequestDone: true})
 	if got := sends(); len(got) != 3 {
 		t.Fatalf("sent %v while the key rests", got)
 	}
-	b.Timer(start+101_000, h, "turn k")
+	b.HandleTimer(start+101_000, h, "turn k")
 	if got := sends(); !slices.Equal(got, []string{"a", "other", "free", "c"}) {
 		t.Fatalf("sent %v after the rest", got)
 	}
 	take(start+102_000, "d", "k")
-	b.Timer(start+102_000+second-1000, h, "held d")
+	b.HandleTimer(start+102_000+second-1000, h, "held d")
 	if h.last() != "refuse d" {
 		t.Errorf("a held request's time ends with %q", h.last())
 	}
-	b.Outcome(start+102_000, h, Outcome{ID: "c", Status: OK, Took: 1000, Closed: true})
+	b.HandleOutcome(start+102_000, h, Outcome{RequestID: "c", Status: StatusOK, Latency: 1000, RequestDone: true})
 	if len(b.turns) != 1 || len(b.reqs) != 2 { // "other" and its key
 		t.Errorf("%d keys and %d requests are kept", len(b.turns), len(b.reqs))
 	}
@@ -221,7 +223,7 @@
 	for i := range int64(1000) {
 		now, id := start+i*second, fmt.Sprint(i)
 		ask(b, h, now, id, 0)
-		b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 1000, Closed: true})
+		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	if most := int(ownSpan/second) + 1; len(b.taken) > most {
 		t.Errorf("%d times of requests are kept, %d are needed", len(b.taken), most)
@@ -231,7 +233,7 @@
 // A saved-up allowance once let a burst of retries through after a calm time, over the stated budget.
 func TestTheBudgetHoldsInAnyWindow(t *testing.T) {
 	s := testSettings()
-	s.BudgetSpan, s.BudgetFree, s.BudgetShare = 5*second, 3, 0.05
+	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
 	b, h := with(t, s, 8)
 	var taken, further timeline
 	for i := range int64(2000) {
@@ -239,15 +241,15 @@
 		before := len(h.sends)
 		ask(b, h, now, id, 0)
 		taken = append(taken, now)
-		status := OK // a long calm, then everything fails
+		status := StatusOK // a long calm, then everything fails
 		if i > 1000 {
-			status = Error
+			status = StatusError
 		}
 		for k := 0; len(h.sends) > before+k; k++ {
 			if k > 0 {
 				further = append(further, now)
 			}
-			b.Outcome(now, h, Outcome{ID: id, Attempt: k, Status: status, Took: 1000, Closed: status == OK})
+			b.HandleOutcome(now, h, Outcome{RequestID: id, Attempt: k, Status: status, Latency: 1000, RequestDone: status == StatusOK})
 		}
 		if n, m := further.since(now-5*second), taken.since(now-5*second+1); n > 3+0.05*m {
 			t.Fatalf("at %d: %v further attempts where %v requests were taken", now-start, n, m)
@@ -267,7 +269,7 @@
 		before := len(h.sends)
 		ask(b, h, now, id, 0)
 		for k := 0; len(h.sends) > before+k; k++ {
-			b.Outcome(now, h, Outcome{ID: id, Attempt: k, Status: Error, Took: 1000})
+			b.HandleOutcome(now, h, Outcome{RequestID: id, Attempt: k, Status: StatusError, Latency: 1000})
 		}
 	}
 	firsts := 0
--- a/logic/ramp_ill_test.go
+++ b/balancer/ramp_ill_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -20,19 +20,19 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			set := testSettings()
-			set.Zones, set.TipMultiple, set.FallSpan = 1, 3, 2*second
+			set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = 1, 3, 2*second
 			list := fleet(6)
 			for i := range list {
 				if list[i].Zone = 0; i < k.cold {
-					list[i].Launched = start
+					list[i].StartTime = start
 				}
 			}
 			b, h := mustNew(t, set), &recorder{}
-			b.List(start, h, Full, list)
+			b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 			ill := b.byID[list[5].ID]
 			ill.whole.left = healthFloor
 			for _, s := range b.ready {
-				if s.Launched == 0 && s != ill {
+				if s.StartTime == 0 && s != ill {
 					s.inflight = k.held
 				}
 			}
--- a/logic/ramp_test.go
+++ b/balancer/ramp_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -24,17 +24,17 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			set := testSettings()
-			set.Zones, set.TipMultiple, set.FallSpan = 1, 3, 2*second
+			set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = 1, 3, 2*second
 			list := fleet(4)
 			for i := range list {
 				if list[i].Zone = 0; i < k.cold {
-					list[i].Launched = start
+					list[i].StartTime = start
 				}
 			}
 			b, h := mustNew(t, set), &recorder{}
-			b.List(start, h, Full, list)
+			b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 			for _, s := range b.ready {
-				if s.Launched == 0 {
+				if s.StartTime == 0 {
 					k.spoil(s)
 				}
 			}
@@ -50,7 +50,7 @@
 					got["none"] += 1.0 / n
 				}
 			}
-			most := tipPart * set.TipMultiple * set.StartCapacity / 4
+			most := tipPart * set.OverloadMultiple * set.SlowStartMinCapacity / 4
 			for i := range k.cold {
 				if got[list[i].ID] > 1.1*most || got[list[i].ID] == 0 {
 					t.Errorf("%s got %.3f of the draws, may get %.3f", list[i].ID, got[list[i].ID], most)
@@ -66,20 +66,20 @@
 // What comes beyond the usual, as from clients that were refused and come again, is no reason to send a cold server more.
 func TestARushIsNoReasonToSendAColdServerMore(t *testing.T) {
 	set := testSettings()
-	set.Zones, set.TipMultiple, set.FallSpan = 1, 3, 2*second
+	set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = 1, 3, 2*second
 	list := fleet(4)
 	for i := range list {
 		list[i].Zone = 0
 	}
 	b, h := mustNew(t, set), &recorder{}
-	b.List(start, h, Full, list)
+	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 	n, now := 0, start
 	play := func(span, gap int64) (cold float64) {
 		for end := now + span; now < end; now += gap {
 			n++
 			q := &request{s: b.s, Request: Request{ID: fmt.Sprint(n), Class: 2}}
 			b.arrived(now, q)
-			if s := b.draw(now, q); s != nil && s.Launched > 0 {
+			if s := b.draw(now, q); s != nil && s.StartTime > 0 {
 				cold++
 			}
 		}
@@ -87,12 +87,12 @@
 	}
 	play(30*second, 20_000) // 50 a second
 	for i := range list {
-		list[i].Launched = now
+		list[i].StartTime = now
 	}
-	b.List(now, h, Full, list)
-	play(2*second, 2_000)                                              // 500 a second
-	got := play(2*second, 2_000)                                       // by now the usual is up by two thirds
-	most := 100 * tipPart * set.TipMultiple * b.grown(now, b.ready[0]) // of the usual, by all four
+	b.UpdateEndpoints(now, h, UpdateSnapshot, list)
+	play(2*second, 2_000)                                                   // 500 a second
+	got := play(2*second, 2_000)                                            // by now the usual is up by two thirds
+	most := 100 * tipPart * set.OverloadMultiple * b.grown(now, b.ready[0]) // of the usual, by all four
 	if got > 2.5*most {
 		t.Errorf("cold servers got %v calls in a span, %v of the usual", got, most)
 	}
--- a/logic/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	if s.Stage != b.s.Stage || s.Subscribe != b.s.Subscribe {
+	if s.Tier != b.s.Tier || s.WatchEndpoints != b.s.WatchEndpoints {
 		return nil, errors.New("logic: Settings.Stage and Subscribe cannot change under way")
 	}
 	old, classes, was := b.s, s.Classes, map[string]int{}
@@ -49,7 +49,7 @@
 	}
 	b.tenants = tenants
 	b.derive()
-	if b.s.BudgetSpan > old.BudgetSpan { // what was spent before the former span is forgotten
+	if b.s.RetryBudgetWindow > old.RetryBudgetWindow { // what was spent before the former span is forgotten
 		b.free = max(b.free, b.unspent(now))
 	}
 	b.relist()
--- a/logic/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -16,14 +16,14 @@
 // What comes is under the new settings, what is open under those that it began with.
 func TestOpenRequestsKeepTheirRules(t *testing.T) {
 	s := named()
-	s.BudgetSpan, s.BudgetFree = second, 100
+	s.RetryBudgetWindow, s.RetryBudgetMin = second, 100
 	b, h := with(t, s, 4)
-	first := b.Rules()
+	first := b.Settings()
 	ask(b, h, start, "open", 0) // safe, may be tried 4 times
 	next := named()
-	next.BudgetSpan, next.BudgetFree, next.MaxAttempts = second, 100, 1
+	next.RetryBudgetWindow, next.RetryBudgetMin, next.MaxAttempts = second, 100, 1
 	next.Classes = next.Classes[:3]
-	next.Classes[0].Repeat = Unsafe
+	next.Classes[0].Idempotency = NonIdempotent
 	numbers, err := b.Reconfigure(start, next, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -32,8 +32,8 @@
 		t.Errorf("numbers %v: only the class whose rules differ gets a new one", numbers)
 	}
 	// One that was read before and comes only now, of a class that is dropped.
-	b.Request(start, h, Request{ID: "on its way", Class: 3, GiveUp: start + 1_000_000, Under: first})
-	b.Request(start, h, Request{ID: "new", Class: numbers[0], GiveUp: start + 1_000_000})
+	b.HandleRequest(start, h, Request{ID: "on its way", Class: 3, Deadline: start + 1_000_000, Settings: first})
+	b.HandleRequest(start, h, Request{ID: "new", Class: numbers[0], Deadline: start + 1_000_000})
 	for _, c := range []struct {
 		id   string
 		more int // attempts after an error
@@ -41,7 +41,7 @@
 		more := 0
 		for n := 0; ; n++ {
 			sends := len(h.sends)
-			b.Outcome(start+1000, h, Outcome{ID: c.id, Attempt: n, Status: Error, Took: 1000})
+			b.HandleOutcome(start+1000, h, Outcome{RequestID: c.id, Attempt: n, Status: StatusError, Latency: 1000})
 			if len(h.sends) == sends {
 				break
 			}
@@ -62,7 +62,7 @@
 	b, h := with(t, s, 4)
 	for i := range 40 {
 		ask(b, h, start+int64(i), fmt.Sprint(i), 0)
-		b.Outcome(start+int64(i), h, Outcome{ID: fmt.Sprint(i), Status: OK, Took: 77_000, Closed: true})
+		b.HandleOutcome(start+int64(i), h, Outcome{RequestID: fmt.Sprint(i), Status: StatusOK, Latency: 77_000, RequestDone: true})
 	}
 	mean, seen := b.classes[0].mean, b.classes[0].seen
 	last := 0
@@ -77,7 +77,7 @@
 			t.Fatalf("after %d: %+v", i, c)
 		}
 		ask(b, h, start, fmt.Sprint("x", i), last)
-		b.Outcome(start, h, Outcome{ID: fmt.Sprint("x", i), Status: Moot, Closed: true})
+		b.HandleOutcome(start, h, Outcome{RequestID: fmt.Sprint("x", i), Status: StatusNotSent, RequestDone: true})
 	}
 	if n := len(b.classes); n > len(s.Classes)+3 {
 		t.Errorf("%d numbers for %d classes", n, len(s.Classes))
@@ -87,22 +87,22 @@
 			t.Errorf("%s has %d of %d classes", srv.ID, len(srv.classes), len(b.classes))
 		}
 	}
-	b.List(start, h, Delta, []Server{{ID: "late", State: Ready}})
+	b.UpdateEndpoints(start, h, UpdateDelta, []Server{{ID: "late", State: ServerReady}})
 	ask(b, h, start, "to the new server", last)
 }
 
 func TestSettingsThatCannotTakeThePlaceChangeNothing(t *testing.T) {
 	b, _ := with(t, named(), 4)
-	was := b.Rules()
+	was := b.Settings()
 	for name, spoil := range map[string]func(*Settings){
 		"no attempts":      func(s *Settings) { s.MaxAttempts = 0 },
 		"a deadline of 0":  func(s *Settings) { s.Classes[1].Deadline = 0 },
-		"another tier":     func(s *Settings) { s.Stage = 1 },
-		"no subscriptions": func(s *Settings) { s.Subscribe, s.AskEvery = true, second },
+		"another tier":     func(s *Settings) { s.Tier = 1 },
+		"no subscriptions": func(s *Settings) { s.WatchEndpoints, s.PollInterval = true, second },
 	} {
 		next := named()
 		spoil(&next)
-		if _, err := b.Reconfigure(start, next, nil); err == nil || b.Rules() != was {
+		if _, err := b.Reconfigure(start, next, nil); err == nil || b.Settings() != was {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -111,16 +111,16 @@
 // Tenants are known by their names, wherever they stand.
 func TestTenantsKeepTheirCountsWhereverTheyStand(t *testing.T) {
 	s := named()
-	s.Tenants = []Tenant{{Name: "a", Portion: 0.5, Quota: 10}, {Name: "b", Portion: 0.5, Quota: 10}}
+	s.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 10}, {Name: "b", Share: 0.5, Quota: 10}}
 	b, h := with(t, s, 4)
-	first := b.Rules()
-	b.Request(start, h, Request{ID: "1", Tenant: 1, GiveUp: start + 1_000_000})
-	s.Tenants = []Tenant{{Name: "b", Portion: 1, Quota: 30}}
+	first := b.Settings()
+	b.HandleRequest(start, h, Request{ID: "1", Tenant: 1, Deadline: start + 1_000_000})
+	s.Tenants = []Tenant{{Name: "b", Share: 1, Quota: 30}}
 	if _, err := b.Reconfigure(start, s, nil); err != nil {
 		t.Fatal(err)
 	}
-	b.Request(start, h, Request{ID: "2", Tenant: 1, GiveUp: start + 1_000_000, Under: first}) // b
-	b.Request(start, h, Request{ID: "3", Tenant: 0, GiveUp: start + 1_000_000, Under: first}) // a, which is no more
+	b.HandleRequest(start, h, Request{ID: "2", Tenant: 1, Deadline: start + 1_000_000, Settings: first}) // b
+	b.HandleRequest(start, h, Request{ID: "3", Tenant: 0, Deadline: start + 1_000_000, Settings: first}) // a, which is no more
 	if n := b.tenants[0].pass.sum(start, second); n != 2 || len(h.sends) != 3 {
 		t.Errorf("%v passed for b, %d sent", n, len(h.sends))
 	}
@@ -132,17 +132,17 @@
 // A class that nobody uses yet is not held to its least because a worthier one is slow.
 func TestAnUnusedClassKeepsItsCount(t *testing.T) {
 	s := named()
-	s.Classes[0].Worth, s.Classes[1].Worth = 10, 1
+	s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight = 10, 1
 	b, h := with(t, s, 4)
 	for i := range 100 {
 		id, now := fmt.Sprint(i), start+int64(i)*1000
 		ask(b, h, now, id, 0)
-		b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 1000, Closed: true})
+		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	for i := range 100 { // worthy calls turn slow
 		id, now := fmt.Sprint("slow", i), start+int64(i+1)*second
 		ask(b, h, now, id, 0)
-		b.Outcome(now+s.Classes[0].Aim, h, Outcome{ID: id, Status: OK, Took: s.Classes[0].Aim, Closed: true})
+		b.HandleOutcome(now+s.Classes[0].LatencyObjective, h, Outcome{RequestID: id, Status: StatusOK, Latency: s.Classes[0].LatencyObjective, RequestDone: true})
 	}
 	if got := b.classes[1].rule.count; got != startCount {
 		t.Errorf("before its first call a class may have %v out", got)
--- a/logic/rules.go
+++ b/balancer/rules.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // The rules that are checked before each send, and how their counts are learned.
 
@@ -93,7 +93,7 @@
 	if b.share >= 1 {
 		part = max(part, b.came.at(now))
 	}
-	part *= b.s.Tenants[tenant].Portion
+	part *= b.s.Tenants[tenant].Share
 	if b.tenants[tenant].came.at(now) > part+chanceRoom*math.Sqrt(part)+1 {
 		return 0
 	}
@@ -102,14 +102,14 @@
 
 func (b *Balancer) freshRule(span int64) threadRule {
 	allowed, least := badPart, minCount
-	if b.s.Stage > 0 {
+	if b.s.Tier > 0 {
 		allowed, least = hopeless, deepCount
 	}
 	return threadRule{count: startCount, least: least, ev: round{allowed: allowed, span: span}}
 }
 
 func (b *Balancer) freshClass(c Class) classState {
-	first, span := firstMean*float64(c.Aim), roundSpan*c.Aim
+	first, span := firstMean*float64(c.LatencyObjective), roundSpan*c.LatencyObjective
 	return classState{rule: b.freshRule(span), mean: first, base: first,
 		yield: round{allowed: slowMuch, span: span}}
 }
@@ -117,15 +117,15 @@
 func (b *Balancer) canPass(now int64, q *request) bool {
 	i := b.tenant(q)
 	return b.tier.canPass(b.rnd.Float64()) &&
-		(i < 0 || b.tenants[i].canPass(now, b.born, b.share*b.fair*b.s.Tenants[i].Portion, b.room(now, i),
+		(i < 0 || b.tenants[i].canPass(now, b.born, b.share*b.fair*b.s.Tenants[i].Share, b.room(now, i),
 			b.rnd.Float64())) &&
 		b.classes[q.Class].rule.canPass(b.rnd.Float64())
 }
 
 // value is a class's worth for each unit of work, by the time that its calls take when little waits.
 func (b *Balancer) value(class int) float64 {
-	if b.s.ByWork {
-		return b.s.Classes[class].Worth
+	if b.s.WeightPerWork {
+		return b.s.Classes[class].PriorityWeight
 	}
-	return b.s.Classes[class].Worth / b.classes[class].base
+	return b.s.Classes[class].PriorityWeight / b.classes[class].base
 }
--- a/logic/rules_test.go
+++ b/balancer/rules_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -29,7 +29,7 @@
 	for ; n < 200; n++ { // one call out at a time
 		now += second / 4
 		ask(b, h, now, fmt.Sprint(n), 0)
-		b.Outcome(now+100_000, h, Outcome{ID: fmt.Sprint(n), Status: OK, Took: 100_000, Closed: true})
+		b.HandleOutcome(now+100_000, h, Outcome{RequestID: fmt.Sprint(n), Status: StatusOK, Latency: 100_000, RequestDone: true})
 	}
 	before := len(h.sends)
 	for range 50 {
@@ -154,14 +154,14 @@
 // chance let all of it through.
 func TestRoomForChanceGivesWayWhenCallsAreSlow(t *testing.T) {
 	s := testSettings()
-	s.Siblings, s.Tenants = 100, []Tenant{{Portion: 0.5, Quota: 30}, {Portion: 0.5, Quota: 30}}
+	s.Replicas, s.Tenants = 100, []Tenant{{Share: 0.5, Quota: 30}, {Share: 0.5, Quota: 30}}
 	sent := func(share float64) int {
 		b, h := with(t, s, 4)
 		for i := range 100 {
 			now, id := start+int64(i)*4*second, fmt.Sprint(i)
 			b.share, b.tenants[0].came, b.came = share, tally{}, tally{}
-			b.Request(now, h, Request{ID: id, GiveUp: now + second})
-			b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 1000, Closed: true})
+			b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
+			b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 		}
 		return len(h.sends)
 	}
@@ -177,9 +177,9 @@
 // on a calm fleet. A tenant that goes on sending more than its part must be held all the same.
 func TestChanceIsNotTakenForAnOverfullShare(t *testing.T) {
 	s := testSettings()
-	s.Siblings = 100
+	s.Replicas = 100
 	for range 4 {
-		s.Tenants = append(s.Tenants, Tenant{Portion: 0.25, Quota: 30})
+		s.Tenants = append(s.Tenants, Tenant{Share: 0.25, Quota: 30})
 	}
 	for _, c := range []struct {
 		perSecond, most, least float64 // of tenant 0; the others send 0.25 a second each; parts of it refused
@@ -187,7 +187,7 @@
 		rnd := rand.New(rand.NewPCG(3, 3))
 		sent, asked := 0.0, 0.0
 		for copies := range 20 {
-			s.Ordinal = copies
+			s.ReplicaIndex = copies
 			b, h := with(t, s, 4)
 			for now := start; now < start+40*second; now += second / 100 {
 				for tenant, rate := range []float64{c.perSecond, 0.25, 0.25, 0.25} {
@@ -196,12 +196,12 @@
 					}
 					id := fmt.Sprint(now, tenant)
 					before := len(h.sends)
-					b.Request(now, h, Request{ID: id, Tenant: tenant, GiveUp: now + second})
+					b.HandleRequest(now, h, Request{ID: id, Tenant: tenant, Deadline: now + second})
 					if tenant == 0 {
 						asked++
 						sent += float64(len(h.sends) - before)
 					}
-					b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 300_000, Closed: true})
+					b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 300_000, RequestDone: true})
 				}
 			}
 		}
@@ -212,7 +212,7 @@
 }
 func TestTenantOverItsShareIsShed(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Portion: 0.5, Quota: 20}, {Portion: 0.5, Quota: 20}}
+	s.Tenants = []Tenant{{Share: 0.5, Quota: 20}, {Share: 0.5, Quota: 20}}
 	b, h := with(t, s, 4)
 	sent := map[int]int{}
 	n := 0
@@ -223,10 +223,10 @@
 		}
 		before := len(h.sends)
 		id := fmt.Sprint(n)
-		b.Request(now, h, Request{ID: id, Class: 0, Tenant: tenant, GiveUp: now + second})
+		b.HandleRequest(now, h, Request{ID: id, Class: 0, Tenant: tenant, Deadline: now + second})
 		if len(h.sends) > before {
 			sent[tenant]++
-			b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 400_000, Closed: true})
+			b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 400_000, RequestDone: true})
 		}
 	}
 	if sent[1] != 40 {
@@ -240,7 +240,7 @@
 // On a day of pamoja-dar calls worth twelve times as much came late behind long cheap ones.
 func TestACheapClassYieldsToAWorthierOne(t *testing.T) {
 	s := testSettings()
-	s.Classes[1].Worth = 40
+	s.Classes[1].PriorityWeight = 40
 	b, _ := with(t, s, 4)
 	cheap, dear := &b.classes[0].rule, &b.classes[1].rule
 	for range 10 {
@@ -282,12 +282,12 @@
 // day of half a minute most refusals at the front were these. The first bad round takes all of the room back.
 func TestAFreshCopyDoesNotHoldTenantsToTheirSharesUntilCallsAreSlow(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Portion: 1, Quota: 20}}
+	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
 	b, h := with(t, s, 8)
 	for i := range 32 { // a second's traffic at 1.6 times the share
 		now, id := start+int64(i)*second/32, fmt.Sprint(i)
-		b.Request(now, h, Request{ID: id, GiveUp: now + second})
-		b.Outcome(now, h, Outcome{ID: id, Status: OK, Took: 1000, Closed: true})
+		b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
+		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	if n := len(h.sends); n != 32 {
 		t.Errorf("%d of 32 pass at a fresh copy", n)
@@ -307,7 +307,7 @@
 // One bad round held a tenant to its share for the rest of a short day, though calls were timely again.
 func TestTheRoomThatABadRoundTookComesBackWithinADozenRounds(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Portion: 1, Quota: 20}}
+	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
 	b, _ := with(t, s, 8)
 	b.share = sharePress
 	for i := range 12 * roundSize {
--- a/logic/staleness.go
+++ b/balancer/staleness.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 // Routing by a list that may be out of date. While the list is confirmed nothing here has a say. Once it
 // was not for Settings.EvidenceSpan, what shows that a server is still listed is that it goes on taking
@@ -15,15 +15,15 @@
 const unprovenPart = 1e-5
 
 // confirm takes it that the list is the newest there is. One that a copy starts with is the best it has.
-func (b *Balancer) confirm(now int64, kind ListKind) {
-	if kind != Cached || b.confirmed == 0 {
-		b.confirmed, b.heard = now, b.heard || kind != Cached
+func (b *Balancer) confirm(now int64, kind UpdateKind) {
+	if kind != UpdateCached || b.confirmed == 0 {
+		b.confirmed, b.heard = now, b.heard || kind != UpdateCached
 	}
 }
 
 // stale tells whether the list was not confirmed for so long that it alone shows nothing.
 func (b *Balancer) stale(now int64) bool {
-	return b.s.EvidenceSpan > 0 && now-b.confirmed > b.s.EvidenceSpan
+	return b.s.MembershipEvidenceTTL > 0 && now-b.confirmed > b.s.MembershipEvidenceTTL
 }
 
 // listedPart is the weight left to a server by what shows it to be listed, or not to be.
@@ -41,14 +41,14 @@
 // shows it on; after a gap nothing does but the list. A call that was not taken ends what was shown,
 // unless it was sent before one that was.
 func (b *Balancer) prove(s *server, sent int64, status Status) {
-	if b.s.EvidenceSpan == 0 || status == Cancelled || status == Moot {
+	if b.s.MembershipEvidenceTTL == 0 || status == StatusCancelled || status == StatusNotSent {
 		return
 	}
-	taken := status == OK || status == Error
+	taken := status == StatusOK || status == StatusError
 	switch {
 	case taken && (sent <= b.shownBy() || sent < s.provenUntil):
-		s.provenUntil, s.disprovenAt = max(s.provenUntil, sent+b.s.EvidenceSpan), 0
-	case !taken && sent >= s.provenUntil-b.s.EvidenceSpan:
+		s.provenUntil, s.disprovenAt = max(s.provenUntil, sent+b.s.MembershipEvidenceTTL), 0
+	case !taken && sent >= s.provenUntil-b.s.MembershipEvidenceTTL:
 		s.provenUntil, s.disprovenAt = 0, sent
 	}
 }
@@ -57,7 +57,7 @@
 // shows it for the first calls of the copy: what took these was there then.
 func (b *Balancer) shownBy() int64 {
 	if !b.heard {
-		return max(b.confirmed, b.born) + b.s.EvidenceSpan
+		return max(b.confirmed, b.born) + b.s.MembershipEvidenceTTL
 	}
-	return b.confirmed + b.s.EvidenceSpan
+	return b.confirmed + b.s.MembershipEvidenceTTL
 }
--- a/logic/staleness_test.go
+++ b/balancer/staleness_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"cmp"
@@ -58,9 +58,9 @@
 	since := f.now - f.changedAt
 	switch c := f.changes[server]; {
 	case c == drains && since >= 0:
-		due.status, took = FullUp, 2_000
+		due.status, took = StatusRejected, 2_000
 	case (c == dies || c == returns && since < changedFor) && since >= 0:
-		due.status, took = ConnectFailed, 250_000
+		due.status, took = StatusConnectFailed, 250_000
 	}
 	told := int64(1 << 60) // of its return
 	if f.changes[server] == returns {
@@ -72,7 +72,7 @@
 	due.at = f.now + took
 	f.out = append(f.out, due)
 }
-func (f *staleFleet) Refuse(string, int64)   { f.refused++ }
+func (f *staleFleet) Reject(string, int64)   { f.refused++ }
 func (f *staleFleet) Fail(string)            {}
 func (f *staleFleet) SetTimer(int64, string) {}
 func (f *staleFleet) Log(Event)              {}
@@ -82,14 +82,14 @@
 func (f *staleFleet) play(rate int64) {
 	f.changedAt, f.heardUntil = changedAt, heardUntil
 	f.until = changedAt + countsAsTold + f.b.s.DrainGrace + socketSlack
-	f.b.List(start, f, Full, fleet(len(f.changes)))
+	f.b.UpdateEndpoints(start, f, UpdateSnapshot, fleet(len(f.changes)))
 	f.run(rate)
 }
 
 // unheard runs it with the list that it starts with alone: all has changed before.
 func (f *staleFleet) unheard(rate, learned int64) {
 	f.changedAt, f.heardUntil, f.until = start-second, start, start+learned
-	f.b.List(start, f, Cached, fleet(len(f.changes)))
+	f.b.UpdateEndpoints(start, f, UpdateCached, fleet(len(f.changes)))
 	f.run(rate)
 }
 
@@ -107,17 +107,17 @@
 		}
 		switch f.now = next; {
 		case confirm < f.heardUntil && next == confirm:
-			f.b.List(f.now, f, Delta, nil)
+			f.b.UpdateEndpoints(f.now, f, UpdateDelta, nil)
 			confirm += confirmEvery
 		case len(f.out) > 0 && next == f.out[0].at:
 			due := f.out[0]
 			f.out = f.out[1:]
 			number := attempts[due.id]
 			attempts[due.id]++
-			f.b.Outcome(f.now, f, Outcome{ID: due.id, Attempt: number, Status: due.status, Took: f.now - due.sent, Closed: due.status == OK})
+			f.b.HandleOutcome(f.now, f, Outcome{RequestID: due.id, Attempt: number, Status: due.status, Latency: f.now - due.sent, RequestDone: due.status == StatusOK})
 		default:
 			n++
-			f.b.Request(f.now, f, Request{ID: fmt.Sprint(n), GiveUp: f.now + 1_000_000})
+			f.b.HandleRequest(f.now, f, Request{ID: fmt.Sprint(n), Deadline: f.now + 1_000_000})
 			request += second/rate/2 + f.rnd.Int64N(second/rate)
 		}
 	}
@@ -130,7 +130,7 @@
 		t.Run(fmt.Sprint(rate, " a second"), func(t *testing.T) {
 			for seed := range uint64(20) {
 				s := testSettings()
-				s.DrainGrace, s.EvidenceSpan = second, 3*second
+				s.DrainGrace, s.MembershipEvidenceTTL = second, 3*second
 				f := &staleFleet{b: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]change{}}
 				for i := range 24 {
 					f.changes[fmt.Sprint("s", i)] = []change{stays, drains, stays, dies, stays, returns}[(i+int(seed))%6]
@@ -153,7 +153,7 @@
 	const learned = 4 * second
 	for seed := range uint64(20) {
 		s := testSettings()
-		s.DrainGrace, s.EvidenceSpan = second, 3*second
+		s.DrainGrace, s.MembershipEvidenceTTL = second, 3*second
 		f := &staleFleet{b: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]change{}}
 		for i := range 24 {
 			f.changes[fmt.Sprint("s", i)] = []change{stays, drains, stays, stays, dies, stays}[(i+int(seed))%6]
--- a/logic/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"fernlanding/internal/tail"
+	"merlinpick/internal/tailweights"
 )
 
 // The data that decisions read. What here decides, or why it does not: docs/policy.md.
@@ -50,7 +50,7 @@
 	since    int64   // since then
 	load     load
 	sum      loadSum // as of the last round of tuning
-	fit      tail.Fit
+	fit      tailweights.Fit
 	tune     float64 // logarithm of the factor that its weight is tuned by
 	tuneWas  float64 // before the last step
 	tuned    float64 // the factor
@@ -67,7 +67,7 @@
 	s.slowness, s.whole, s.classes = 1, health{left: 1}, make([]health, classes)
 	s.seen, s.okAt, s.told, s.verdict = evidence{}, 0, 1, verdict{}
 	s.damped, s.refused, s.provenUntil, s.disprovenAt = false, false, 0, 0
-	s.load, s.sum, s.fit, s.tune, s.tuneWas, s.tuned = load{}, loadSum{}, tail.Fit{}, 0, 0, 1
+	s.load, s.sum, s.fit, s.tune, s.tuneWas, s.tuned = load{}, loadSum{}, tailweights.Fit{}, 0, 0, 1
 	for i := range s.classes {
 		s.classes[i].left = 1
 	}
@@ -86,8 +86,8 @@
 // gather has the ring hold the servers that are listed now: those that are new take their places, those that are gone
 // leave theirs.
 func (b *Balancer) gather() {
-	b.ring = slices.DeleteFunc(b.ring, func(s *server) bool { return s.State == Gone })
-	fresh := slices.DeleteFunc(b.fresh, func(s *server) bool { return s.State == Gone })
+	b.ring = slices.DeleteFunc(b.ring, func(s *server) bool { return s.State == ServerRemoved })
+	fresh := slices.DeleteFunc(b.fresh, func(s *server) bool { return s.State == ServerRemoved })
 	if b.fresh = nil; len(fresh) == 0 {
 		return
 	}
@@ -219,24 +219,24 @@
 	shareEv   round
 	spill     float64 // weight of servers in other zones
 	spillEv   round
-	errs      float64   // running part of failed calls over all servers
-	taken     timeline  // requests
-	came      tally     // requests, over a longer time
-	further   timeline  // attempts beyond each request's first
-	draws     window    // whether a server was found or none
-	free      int64     // the free part of the allowance for further attempts is this Balancer's from then on
-	shared    bool      // another process of this proxy sends too
-	born      int64     // when the first request came
-	confirmed int64     // when the list was last confirmed, or came to a fresh copy
-	heard     bool      // the list was confirmed at all
-	backoff   int64     // before the next try at a subscription
-	asked     bool      // a subscription was asked for
-	weights   []float64 // of drawn
-	drawn     []*server // those that the present draw is among
-	near, far int       // ready[:near] are at home, ready[far:] in zones that are away
-	zones     []zone    // nil until others are to be told or heard
-	peers     Peers     // what others told last
-	tells     []Notice  // what this copy told last
+	errs      float64     // running part of failed calls over all servers
+	taken     timeline    // requests
+	came      tally       // requests, over a longer time
+	further   timeline    // attempts beyond each request's first
+	draws     window      // whether a server was found or none
+	free      int64       // the free part of the allowance for further attempts is this Balancer's from then on
+	shared    bool        // another process of this proxy sends too
+	born      int64       // when the first request came
+	confirmed int64       // when the list was last confirmed, or came to a fresh copy
+	heard     bool        // the list was confirmed at all
+	backoff   int64       // before the next try at a subscription
+	asked     bool        // a subscription was asked for
+	weights   []float64   // of drawn
+	drawn     []*server   // those that the present draw is among
+	near, far int         // ready[:near] are at home, ready[far:] in zones that are away
+	zones     []zone      // nil until others are to be told or heard
+	peers     PeerReports // what others told last
+	tells     []Report    // what this copy told last
 	drained   map[int]bool
 	flaps     map[string]flap // by server
 	damper    damper
@@ -244,18 +244,18 @@
 
 	dampedSaid string
 
-	loads     []Notice // what this copy told last of loads
+	loads     []Report // what this copy told last of loads
 	loadAt    int64
-	middle    float64   // mean time under little load over the classes
-	measured  float64   // calls
-	tail      tail.Norm // of the times of this copy's answered calls in this round, as multiples of their class's
+	middle    float64          // mean time under little load over the classes
+	measured  float64          // calls
+	tail      tailweights.Norm // of the times of this copy's answered calls in this round, as multiples of their class's
 	tailCalls float64
 	tailWas   float64 // in the last round
 	tuneAt    int64   // when the next round is due
 	step      float64
-	solver    tail.Solver
+	solver    tailweights.Solver
 	reported  int64 // when the last log line was written
-	refusals  [refusalReasons]int64
+	refusals  [rejectReasonCount]int64
 }
 
 // enter counts a call in.
@@ -271,7 +271,7 @@
 	a.srv.inflight++
 	b.tier.enter()
 	b.classes[q.Class].rule.enter()
-	if b.s.Stage == 0 {
+	if b.s.Tier == 0 {
 		b.classes[q.Class].waiting = append(b.classes[q.Class].waiting, a)
 	}
 }
@@ -292,7 +292,7 @@
 // arrived notes a request that this copy has taken.
 func (b *Balancer) arrived(now int64, q *request) {
 	b.born = cmp.Or(b.born, now)
-	b.taken.add(now, b.s.BudgetSpan)
+	b.taken.add(now, b.s.RetryBudgetWindow)
 	b.came.add(now)
 	if t := b.origin(q); t != nil {
 		t.came.add(now)
@@ -324,7 +324,7 @@
 }
 
 // Rules are the settings in force, with the classes by the numbers that requests have for them.
-func (b *Balancer) Rules() *Settings { return b.s }
+func (b *Balancer) Settings() *Settings { return b.s }
 
 // origin is the node of the request's tenant; without one the tenant rule is skipped.
 func (b *Balancer) origin(q *request) *originRule {
@@ -350,9 +350,9 @@
 
 // Servers tells how many servers are listed, and how many of these are avoided: they are banned or, for their
 // failures, get trials at most.
-func (b *Balancer) Servers() (listed, avoided int) {
+func (b *Balancer) ServerCounts() (listed, avoided int) {
 	for _, s := range b.all {
-		if b.banned[s.ID] || s.State == Ready && (s.damped || s.whole.left < healthyPart) {
+		if b.banned[s.ID] || s.State == ServerReady && (s.damped || s.whole.left < healthyPart) {
 			avoided++
 		}
 	}
@@ -360,10 +360,10 @@
 }
 
 // Refusals are how many requests were refused for each reason.
-func (b *Balancer) Refusals() map[Refusal]int64 {
-	out := map[Refusal]int64{}
+func (b *Balancer) Rejections() map[RejectReason]int64 {
+	out := map[RejectReason]int64{}
 	for why, n := range b.refusals {
-		out[Refusal(why)] = n
+		out[RejectReason(why)] = n
 	}
 	return out
 }
@@ -374,5 +374,5 @@
 		return
 	}
 	b.reported = now
-	h.Log(SharesHeld{Stage: b.s.Stage, Share: b.share, Calls: b.tier.threads, Failed: b.errs, Spill: b.spill})
+	h.Log(TenantsThrottled{Tier: b.s.Tier, QuotaMultiple: b.share, InFlight: b.tier.threads, FailureRate: b.errs, SpilloverWeight: b.spill})
 }
--- a/logic/sums.go
+++ b/balancer/sums.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import "slices"
 
@@ -17,15 +17,15 @@
 	calls, bad float64
 	say, against,
 	slow int // copies with evidence, those of them that call it bad, and those that find it slow
-	cause   Cause
+	cause   Fault
 	servers int       // ready servers of it that a copy of this zone calls bad
 	ready   int       // its ready servers
 	shares  []float64 // what each of the other copies gives it
 }
 
 // notices are those of others and this copy's own, that those that hear each other decide by the same.
-func (b *Balancer) notices(yield func(Notice) bool) {
-	for _, list := range [][]Notice{b.tells, b.peers.Notices} {
+func (b *Balancer) notices(yield func(Report) bool) {
+	for _, list := range [][]Report{b.tells, b.peers.Reports} {
 		for _, n := range list {
 			if !yield(n) {
 				return
@@ -35,24 +35,24 @@
 }
 
 // sumServers gathers the verdicts of all copies on each server.
-func (b *Balancer) sumServers(now int64, counts func(Notice) bool, most float64) {
+func (b *Balancer) sumServers(now int64, counts func(Report) bool, most float64) {
 	for _, s := range b.all {
 		s.verdict = verdict{}
 	}
 	for n := range b.notices {
 		s := b.byID[n.Server]
-		if n.Kind != ServerBad && n.Kind != ServerHealthy || s == nil || !sameStart(s, n) || !counts(n) {
+		if n.Kind != ReportServerUnhealthy && n.Kind != ReportServerHealthy || s == nil || !sameStart(s, n) || !counts(n) {
 			continue
 		}
 		v := &s.verdict
-		if n.Kind == ServerHealthy {
+		if n.Kind == ReportServerHealthy {
 			v.healthy++
 			continue
 		}
 		v.bad++
 		v.others += int(partOf(n.Observer != ""))
-		v.calls += within(n.Calls, most) * within(n.Bad, 1)
-		v.at = max(v.at, min(n.At, now))
+		v.calls += within(n.Calls, most) * within(n.BadFraction, 1)
+		v.at = max(v.at, min(n.LastObserved, now))
 	}
 }
 
@@ -68,17 +68,17 @@
 		}
 	}
 	for n := range b.notices {
-		if n.Zone != b.s.Zone {
+		if n.ObserverZone != b.s.Zone {
 			continue
 		}
-		if s := b.byID[n.Server]; n.Kind == ServerBad && s != nil && s.State == Ready && sameStart(s, n) {
+		if s := b.byID[n.Server]; n.Kind == ReportServerUnhealthy && s != nil && s.State == ServerReady && sameStart(s, n) {
 			if z := b.zone(s.Zone); z != nil && !bad[n.Server] {
 				bad[n.Server] = true
 				z.sum.servers++
 			}
 		}
-		of := b.zone(n.Of)
-		if n.Kind != ZoneBad && n.Kind != ZoneHealthy || of == nil {
+		of := b.zone(n.SubjectZone)
+		if n.Kind != ReportZoneUnhealthy && n.Kind != ReportZoneHealthy || of == nil {
 			continue
 		}
 		z := &of.sum
@@ -89,11 +89,11 @@
 		if calls < least {
 			continue
 		}
-		z.calls, z.bad, z.say = z.calls+calls, z.bad+calls*within(n.Bad, 1), z.say+1
-		if n.Kind == ZoneBad {
+		z.calls, z.bad, z.say = z.calls+calls, z.bad+calls*within(n.BadFraction, 1), z.say+1
+		if n.Kind == ReportZoneUnhealthy {
 			z.against++
-			z.cause = max(z.cause, n.Cause)
-		} else if n.Cause == Slow {
+			z.cause = max(z.cause, n.Fault)
+		} else if n.Fault == FaultSlow {
 			z.slow++
 		}
 	}
--- a/logic/tuning.go
+++ b/balancer/tuning.go
@@ -1,9 +1,9 @@
-package logic
+package balancer
 
 import (
 	"math"
 
-	"fernlanding/internal/tail"
+	"merlinpick/internal/tailweights"
 )
 
 // Weights tuned for the tail: by what all copies tell, each round moves them a step towards the loads of the
@@ -22,7 +22,7 @@
 	loadMost, loadOdd = 2.0, 4.0 // a copy counts as so many median ones at most, its times within this factor
 )
 
-var tuneLearning = tail.Learning{Use: 0.5, Spread: 0.3, Fade: 0.9, Miss: 1.6, Bend: 8, Floor: 0.2}
+var tuneLearning = tailweights.Learning{Use: 0.5, Spread: 0.3, Fade: 0.9, Miss: 1.6, Bend: 8, Floor: 0.2}
 
 // tune is one round, when it is due.
 func (b *Balancer) tune(now int64) {
@@ -33,9 +33,9 @@
 	b.tuneAt = now + tuneEvery + b.rnd.Int64N(tuneEvery/2)
 	was, is := b.tailWas, b.tail.Root()
 	worse := was > 0 && is > was*(1+tuneWorse/math.Sqrt(b.tailCalls))
-	b.tailWas, b.tail, b.tailCalls = is, tail.Norm{}, 0
+	b.tailWas, b.tail, b.tailCalls = is, tailweights.Norm{}, 0
 	b.step = min(max(1.25*b.step, tuneStep/4), tuneStep)
-	fresh := b.sumLoads(now) > 1 && !b.peers.Alone && !b.s.Untuned
+	fresh := b.sumLoads(now) > 1 && !b.peers.Isolated && !b.s.DisableWeightTuning
 	if fresh && worse {
 		b.step /= 4
 		for _, s := range b.ready {
@@ -64,10 +64,10 @@
 
 // tuneGroup steps weights towards the loads of the least tail. One that fails counts as slower than it seems.
 func (b *Balancer) tuneGroup(group []*server) {
-	seen, mean := make([]tail.Seen, len(group)), 0.0
+	seen, mean := make([]tailweights.Seen, len(group)), 0.0
 	for i, s := range group {
 		time := s.sum.time / math.Pow(max(1-s.sum.bad, healthFloor), tuneFailed)
-		seen[i] = tail.Seen{Load: s.sum.rate, Time: time, Weight: s.sum.calls, Fit: &s.fit}
+		seen[i] = tailweights.Seen{Load: s.sum.rate, Time: time, Weight: s.sum.calls, Fit: &s.fit}
 	}
 	ways := b.solver.Aim(tuneLearning, seen)
 	for i, s := range group {
--- a/logic/tuning_test.go
+++ b/balancer/tuning_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -41,20 +41,20 @@
 		p.queues = append(p.queues, &queue{slots: make([]int64, 2), mean: 55_000})
 	}
 	for _, c := range p.copies {
-		c.b.s.Untuned = !on
+		c.b.s.DisableWeightTuning = !on
 	}
 	p.fate = func(c *copyOf, s Server) (Status, int64) {
 		var i int
 		fmt.Sscanf(s.ID, "s%d", &i)
 		q := p.queues[i]
 		if p.rnd.Float64() < q.fails {
-			return Error, 2_000
+			return StatusError, 2_000
 		}
 		took := q.done(p.world, p.now) - p.now + p.far*int64(c.n%2)
 		if p.now > start+tuningFrom {
 			p.times = append(p.times, took)
 		}
-		return OK, took
+		return StatusOK, took
 	}
 	return p
 }
@@ -125,9 +125,9 @@
 			p.after(40*second, func() { p.hear = func(from, to *copyOf) bool { return false } })
 		}, 0, func(f [12]float64, _ float64) bool { return f == [12]float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1} }},
 		{"a third lies", 30, func(p *tuning) {
-			p.lie = func(c *copyOf, tells []Notice) []Notice {
+			p.lie = func(c *copyOf, tells []Report) []Report {
 				for i := range tells {
-					if n := &tells[i]; n.Kind == ServerLoad && c.n%3 == 0 {
+					if n := &tells[i]; n.Kind == ReportServerLoad && c.n%3 == 0 {
 						n.Calls, n.Value = []float64{1e300, math.NaN(), 50}[i%3], []float64{1, 1e300, math.Inf(1)}[i%3]
 					}
 				}
@@ -179,39 +179,39 @@
 			b.tail.Add(2, 1)
 			b.tailCalls++
 		}, 0.3, func(was, is float64) bool { return is != 0.2 && is < was }},
-		{"nobody heard", func(b *Balancer, s *server) { b.peers.Alone = true }, 0.3,
+		{"nobody heard", func(b *Balancer, s *server) { b.peers.Isolated = true }, 0.3,
 			func(was, is float64) bool { return math.Abs(is-(was-tuneStep)) < 1e-9 }},
 		{"one heard", func(b *Balancer, s *server) {
-			for i := range b.peers.Notices {
-				b.peers.Notices[i].Observer = "a"
+			for i := range b.peers.Reports {
+				b.peers.Reports[i].Observer = "a"
 			}
 		}, 0.3, func(was, is float64) bool { return math.Abs(is-(was-tuneStep)) < 1e-9 }},
-		{"switched off", func(b *Balancer, s *server) { b.s.Untuned = true }, 0.05, func(_, is float64) bool { return is == 0 }},
+		{"switched off", func(b *Balancer, s *server) { b.s.DisableWeightTuning = true }, 0.05, func(_, is float64) bool { return is == 0 }},
 		{"cold", func(b *Balancer, s *server) {
-			s.Launched = start - second
-			for i := range b.peers.Notices {
-				b.peers.Notices[i].Launched = s.Launched
+			s.StartTime = start - second
+			for i := range b.peers.Reports {
+				b.peers.Reports[i].StartTime = s.StartTime
 			}
 		}, 0.05, func(_, is float64) bool { return is == 0 }},
 		{"damped", func(b *Balancer, s *server) { s.damped = true }, 0.05, func(_, is float64) bool { return is == 0 }},
 		{"bad", func(b *Balancer, s *server) { s.whole.left = 0.1 }, 0.05, func(_, is float64) bool { return is == 0 }},
 		{"failing, and fast by it", func(b *Balancer, s *server) {
-			for i := range b.peers.Notices {
-				if n := &b.peers.Notices[i]; n.Server == "s0" {
-					n.Value, n.Bad = 20_000, 0.4
+			for i := range b.peers.Reports {
+				if n := &b.peers.Reports[i]; n.Server == "s0" {
+					n.Value, n.BadFraction = 20_000, 0.4
 				}
 			}
 		}, 0, func(_, is float64) bool { return is <= 0 }},
 	} {
 		b, h := with(t, testSettings(), 12)
-		b.Peers(start, h, Peers{Living: 3, Near: 3})
+		b.HandlePeerReports(start, h, PeerReports{LiveReplicas: 3, LiveReplicasInZone: 3})
 		for _, s := range b.ready {
 			for _, who := range []string{"a", "b"} {
-				n := Notice{Kind: ServerLoad, Observer: who, Server: s.ID, Calls: 200, Value: 40_000, At: start}
+				n := Report{Kind: ReportServerLoad, Observer: who, Server: s.ID, Calls: 200, Value: 40_000, LastObserved: start}
 				if s.ID == "s0" {
 					n.Value = 100_000
 				}
-				b.peers.Notices = append(b.peers.Notices, n)
+				b.peers.Reports = append(b.peers.Reports, n)
 			}
 		}
 		s := b.byID["s0"]
--- a/logic/verdicts.go
+++ b/balancer/verdicts.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"cmp"
@@ -27,11 +27,11 @@
 )
 
 // causeOf is how an attempt that ended so counts as evidence on its server.
-var causeOf = [...]Cause{OK: NoCause, Error: Failing, FullUp: Crowded, TimedOut: Silent,
-	ConnectFailed: Silent, Reset: Silent, Cancelled: Silent, Moot: Silent}
+var causeOf = [...]Fault{StatusOK: NoFault, StatusError: FaultErrors, StatusRejected: FaultSaturated, StatusTimedOut: FaultUnresponsive,
+	StatusConnectFailed: FaultUnresponsive, StatusReset: FaultUnresponsive, StatusCancelled: FaultUnresponsive, StatusNotSent: FaultUnresponsive}
 
 // zoneCause is how a cause counts for the zone: a server that turned a call away is there, and has no room.
-var zoneCause = [...]Cause{Failing: Failing, Silent: Silent, Slow: Slow, Crowded: NoCause}
+var zoneCause = [...]Fault{FaultErrors: FaultErrors, FaultUnresponsive: FaultUnresponsive, FaultSlow: FaultSlow, FaultSaturated: NoFault}
 
 // quiet tells whether a call is out for far longer than calls take. A time-out may come seconds later.
 func (b *Balancer) quiet(now int64, class int, a *attempt) bool {
@@ -43,29 +43,29 @@
 }
 
 // says is what this copy says of a server, if anything: that it is bad, or healthy where others call it bad.
-func (s *server) says(now int64) (kind NoticeKind, cause Cause, at int64, ok bool) {
+func (s *server) says(now int64) (kind ReportKind, cause Fault, at int64, ok bool) {
 	if s.callsBad() {
-		return ServerBad, s.seen.cause, s.seen.badAt, true
+		return ReportServerUnhealthy, s.seen.cause, s.seen.badAt, true
 	}
-	return ServerHealthy, NoCause, s.okAt, s.verdict.others > 0 && now-s.okAt <= serverFresh
+	return ReportServerHealthy, NoFault, s.okAt, s.verdict.others > 0 && now-s.okAt <= serverFresh
 }
 
 // lately is what this copy has lately seen of a zone, if anything, and for how long a server counts as tried.
 func (z *zone) lately(now int64) (e evidence, ok bool, tried int64) {
 	e, span, tried := z.fresh, zoneFresh, zoneFresh/2
-	if z.Standing == Away {
+	if z.Phase == ZoneEvacuated {
 		e, span, tried = z.long, trialFresh, trialFresh
 	}
 	return e, e.since(now, span), tried
 }
 
 // sayOf says of a zone that it is bad if most calls are, at half of its servers. Leaving is not yet left.
-func (b *Balancer) sayOf(z *zone, n *Notice, e evidence, ok bool, t tried) {
-	n.Kind, n.Value = ZoneHealthy, max(z.Share, partOf(z.Standing == Leaving))
+func (b *Balancer) sayOf(z *zone, n *Report, e evidence, ok bool, t tried) {
+	n.Kind, n.Value = ReportZoneHealthy, max(z.WeightFraction, partOf(z.Phase == ZoneEvacuating))
 	if ok && e.part() >= zoneBad && t.lateBad > 0 && 2*t.lateBad >= t.late {
-		n.Kind, n.Cause = ZoneBad, e.cause
+		n.Kind, n.Fault = ReportZoneUnhealthy, e.cause
 	} else if z.Zone == b.s.Zone && b.spill > pressBar {
-		n.Cause = Slow
+		n.Fault = FaultSlow
 	}
 }
 
@@ -80,21 +80,21 @@
 }
 
 // sameStart tells whether a notice is of the server's present process; its start is by another's clock.
-func sameStart(s *server, n Notice) bool { return sameTime(s.Launched, n.Launched) }
+func sameStart(s *server, n Report) bool { return sameTime(s.StartTime, n.StartTime) }
 
 func sameTime(x, y int64) bool { return max(x-y, y-x) < second }
 
 // condemn leaves trials at most to servers that enough copies call bad, the worst first, within the budget.
 // What this copy was answered since tells more. Silence is told of a way: only that of its own zone counts.
 func (b *Balancer) condemn(now int64) {
-	b.sumServers(now, func(n Notice) bool { return n.Cause != Silent || n.Zone == b.s.Zone }, verdictMost)
+	b.sumServers(now, func(n Report) bool { return n.Fault != FaultUnresponsive || n.ObserverZone == b.s.Zone }, verdictMost)
 	var bad []*server
 	in := map[int]int{}
 	for _, s := range b.ready {
 		v := &s.verdict
 		s.told = 1
 		in[s.Zone]++
-		if v.others > 0 && v.bad >= min(verdictOthers, b.peers.Living-1) && v.bad > v.healthy &&
+		if v.others > 0 && v.bad >= min(verdictOthers, b.peers.LiveReplicas-1) && v.bad > v.healthy &&
 			v.calls >= verdictCalls && s.okAt <= v.at {
 			bad = append(bad, s)
 		}
--- a/logic/verdicts_test.go
+++ b/balancer/verdicts_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -10,17 +10,17 @@
 func TestALyingThirdMovesNothing(t *testing.T) {
 	for _, liars := range []bool{false, true} {
 		w := laid(t, 3, 6, 6, 15, true)
-		w.lie = func(c *copyOf, tells []Notice) []Notice {
+		w.lie = func(c *copyOf, tells []Report) []Report {
 			if !liars || c.n%9 > 2 { // two of the six of each zone
 				return tells
 			}
 			tells = nil
 			for _, s := range w.servers {
-				tells = append(tells, Notice{Kind: ServerBad, Cause: Failing, Zone: c.b.s.Zone, Server: s.ID, Calls: 1e9, Bad: 7,
-					At: w.now + 1e9})
+				tells = append(tells, Report{Kind: ReportServerUnhealthy, Fault: FaultErrors, ObserverZone: c.b.s.Zone, Server: s.ID, Calls: 1e9, BadFraction: 7,
+					LastObserved: w.now + 1e9})
 			}
 			for z := range 3 {
-				tells = append(tells, Notice{Kind: ZoneBad, Cause: Silent, Zone: c.b.s.Zone, Of: z, Calls: 1e9, Bad: 1, At: w.now})
+				tells = append(tells, Report{Kind: ReportZoneUnhealthy, Fault: FaultUnresponsive, ObserverZone: c.b.s.Zone, SubjectZone: z, Calls: 1e9, BadFraction: 1, LastObserved: w.now})
 			}
 			return tells
 		}
@@ -73,16 +73,16 @@
 		for _, s := range b.all {
 			for range 3 {
 				if slices.Contains(c.well, s.Zone) {
-					b.note(start, &attempt{srv: s, zone: s.Zone}, NoCause)
+					b.note(start, &attempt{srv: s, zone: s.Zone}, NoFault)
 				} else if slices.Contains(c.bad, s.Zone) {
-					b.note(start, &attempt{srv: s, zone: s.Zone}, Silent)
+					b.note(start, &attempt{srv: s, zone: s.Zone}, FaultUnresponsive)
 				}
 			}
 		}
 		got, zones := 0, 0
-		for _, n := range b.Seen(start + 1) {
-			got += int(partOf(n.Kind == ServerBad))
-			zones += int(partOf(n.Kind == ZoneBad))
+		for _, n := range b.Reports(start + 1) {
+			got += int(partOf(n.Kind == ReportServerUnhealthy))
+			zones += int(partOf(n.Kind == ReportZoneUnhealthy))
 		}
 		if got != c.want || zones != c.want/4 {
 			t.Errorf("%s: %d servers and %d zones are called bad", c.name, got, zones)
@@ -93,40 +93,40 @@
 // A server that others call bad gets trials only, until it answers this copy; restarted it begins anew.
 func TestAVerdictOfOthersIsAPrior(t *testing.T) {
 	set := testSettings()
-	says := func(n int, kind NoticeKind, cause Cause, zone int) (out []Notice) {
+	says := func(n int, kind ReportKind, cause Fault, zone int) (out []Report) {
 		for i := range n {
-			out = append(out, Notice{Kind: kind, Cause: cause, Observer: fmt.Sprint(kind, "p", i), Zone: zone, Server: "s1",
-				Calls: 5, Bad: 1 - float64(kind), At: start})
+			out = append(out, Report{Kind: kind, Fault: cause, Observer: fmt.Sprint(kind, "p", i), ObserverZone: zone, Server: "s1",
+				Calls: 5, BadFraction: 1 - float64(kind), LastObserved: start})
 		}
 		return out
 	}
 	for _, c := range []struct {
 		name string
-		say  []Notice
+		say  []Report
 		do   func(b *Balancer, h Host)
 		want float64
 	}{
-		{"two say so", says(2, ServerBad, Failing, 0), nil, healthFloor},
-		{"one says so", says(1, ServerBad, Failing, 0), nil, 1},
-		{"as many say well", slices.Concat(says(2, ServerBad, Failing, 0), says(2, ServerHealthy, NoCause, 0)), nil, 1},
-		{"silent to another zone", says(3, ServerBad, Silent, 1), nil, 1},
-		{"silent to this zone", says(3, ServerBad, Silent, 0), nil, healthFloor},
-		{"it has answered since", says(3, ServerBad, Failing, 0), func(b *Balancer, h Host) {
-			b.note(start+1, &attempt{srv: b.byID["s1"]}, NoCause)
+		{"two say so", says(2, ReportServerUnhealthy, FaultErrors, 0), nil, healthFloor},
+		{"one says so", says(1, ReportServerUnhealthy, FaultErrors, 0), nil, 1},
+		{"as many say well", slices.Concat(says(2, ReportServerUnhealthy, FaultErrors, 0), says(2, ReportServerHealthy, NoFault, 0)), nil, 1},
+		{"silent to another zone", says(3, ReportServerUnhealthy, FaultUnresponsive, 1), nil, 1},
+		{"silent to this zone", says(3, ReportServerUnhealthy, FaultUnresponsive, 0), nil, healthFloor},
+		{"it has answered since", says(3, ReportServerUnhealthy, FaultErrors, 0), func(b *Balancer, h Host) {
+			b.note(start+1, &attempt{srv: b.byID["s1"]}, NoFault)
 		}, 1},
-		{"it has restarted since", says(3, ServerBad, Failing, 0), func(b *Balancer, h Host) {
-			b.List(start, h, Delta, []Server{{ID: "s1", State: Ready, Size: 1, Launched: start - 1}})
+		{"it has restarted since", says(3, ReportServerUnhealthy, FaultErrors, 0), func(b *Balancer, h Host) {
+			b.UpdateEndpoints(start, h, UpdateDelta, []Server{{ID: "s1", State: ServerReady, CapacityHint: 1, StartTime: start - 1}})
 		}, 1},
 	} {
 		b, h := with(t, set, 8)
-		if b.Seen(start); c.do != nil {
+		if b.Reports(start); c.do != nil {
 			c.do(b, h)
 		}
-		b.Peers(start+2, h, Peers{Living: 8, Near: 4, Notices: c.say})
+		b.HandlePeerReports(start+2, h, PeerReports{LiveReplicas: 8, LiveReplicasInZone: 4, Reports: c.say})
 		if got := b.byID["s1"].told; got != c.want {
 			t.Errorf("%s: left %v of its weight, not %v", c.name, got, c.want)
 		}
-		b.Peers(start+3, h, Peers{Living: 8, Near: 4, Alone: true, Notices: c.say})
+		b.HandlePeerReports(start+3, h, PeerReports{LiveReplicas: 8, LiveReplicasInZone: 4, Isolated: true, Reports: c.say})
 		if got := b.byID["s1"].told; got != 1 {
 			t.Errorf("%s, then alone: left %v of its weight", c.name, got)
 		}
--- a/logic/watch_test.go
+++ b/balancer/watch_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import "testing"
 
@@ -6,12 +6,12 @@
 func TestAFailedSubscriptionIsAskedForAgainSoon(t *testing.T) {
 	for _, every := range []int64{1, second / 2, 10 * second, 600 * second} {
 		s := testSettings()
-		s.Subscribe, s.AskEvery = true, every
+		s.WatchEndpoints, s.PollInterval = true, every
 		b, h := with(t, s, 2)
 		w := &waits{recorder: h}
 		for range 40 {
-			b.List(start, w, Failed, nil)
-			b.Timer(start, w, watchToken)
+			b.UpdateEndpoints(start, w, UpdateFailed, nil)
+			b.HandleTimer(start, w, watchToken)
 		}
 		if len(w.waits) != 40 {
 			t.Fatalf("%d waits", len(w.waits))
--- a/logic/zones.go
+++ b/balancer/zones.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import "slices"
 
@@ -38,35 +38,35 @@
 
 // lookAt moves a zone to where the evidence of all copies of this zone puts it. One that is drained stays so.
 func (b *Balancer) lookAt(now int64, h Host, z *zone) {
-	lost, age, others := b.lost(z), now-z.Since, b.othersGive(z)
+	lost, age, others := b.lost(z), now-z.ChangedAt, b.othersGive(z)
 	answers := z.sum.calls >= zoneCalls && z.sum.part() <= trialBad // nobody is followed out of such a zone
 	slow := z.Zone == b.s.Zone && 2*z.sum.slow > z.sum.say          // most copies find home so
-	switch z.Standing {
-	case Healthy, Pressed:
+	switch z.Phase {
+	case ZoneHealthy, ZoneSaturated:
 		if lost {
-			b.stand(now, h, z, Leaving, leaveShare)
+			b.stand(now, h, z, ZoneEvacuating, leaveShare)
 		} else if others < 1 && age >= settle && (others > 0 || !answers) {
 			b.follow(now, h, z, others)
-		} else if slow != (z.Standing == Pressed) && age >= settle {
-			b.stand(now, h, z, Pressed-z.Standing, 1)
+		} else if slow != (z.Phase == ZoneSaturated) && age >= settle {
+			b.stand(now, h, z, ZoneSaturated-z.Phase, 1)
 		}
-	case Leaving:
+	case ZoneEvacuating:
 		if !lost {
-			b.stand(now, h, z, Healthy, 1)
+			b.stand(now, h, z, ZoneHealthy, 1)
 		} else if age >= leaveHold {
 			b.leaveZone(now, h, z)
 		}
-	case Away:
+	case ZoneEvacuated:
 		good := z.sum.part() <= trialBad && (z.sum.calls-z.sum.bad >= trialGood ||
-			age >= blindWait || b.peers.Alone && z.sum.calls >= trialAlone)
+			age >= blindWait || b.peers.Isolated && z.sum.calls >= trialAlone)
 		if age >= min(awayMost, awayLeast<<min(z.flaps-1, 10)) && good || !b.openBeside(z) {
 			b.returnTo(now, h, z, 0)
 		} else if others > 0 && age >= awayLeast {
 			b.follow(now, h, z, others)
 		}
-	case Returning:
-		span := max(stepLeast, int64(stepPart*float64(b.s.Cold)))
-		if b.peers.Alone {
+	case ZoneRecovering:
+		span := max(stepLeast, int64(stepPart*float64(b.s.SlowStartDuration)))
+		if b.peers.Isolated {
 			span *= aloneTimes
 		}
 		if lost {
@@ -82,26 +82,28 @@
 // clearly better. A copy that hears nobody cannot tell a lost zone from a bad link of its own.
 func (b *Balancer) lost(z *zone) bool {
 	s, need, servers := &z.sum, zoneCalls, min(2, z.sum.ready)
-	if z.Standing == Returning {
+	if z.Phase == ZoneRecovering {
 		need, servers = zoneAgain, 0
 	}
-	known := s.against >= min(2, b.peers.Near) && 2*s.against > s.say && 3*s.against > b.peers.Near
-	return !b.peers.Alone && known && s.ready > 0 && s.calls >= need && s.part() >= zoneBad &&
+	known := s.against >= min(2, b.peers.LiveReplicasInZone) && 2*s.against > s.say && 3*s.against > b.peers.LiveReplicasInZone
+	return !b.peers.Isolated && known && s.ready > 0 && s.calls >= need && s.part() >= zoneBad &&
 		s.servers >= servers && b.openBeside(z) && b.badBeside(z) <= betterPart*s.part()
 }
 
-func (z *zone) open() bool { return z.Standing != Leaving && z.Share > 0 && z.sum.ready > 0 }
+func (z *zone) open() bool {
+	return z.Phase != ZoneEvacuating && z.WeightFraction > 0 && z.sum.ready > 0
+}
 
 // othersGive is the part that most other copies of this zone give a zone, where known to differ from its own.
 func (b *Balancer) othersGive(z *zone) float64 {
-	if b.peers.Alone || b.peers.Near < 3 {
-		return z.Share
+	if b.peers.Isolated || b.peers.LiveReplicasInZone < 3 {
+		return z.WeightFraction
 	}
-	shares, untold := z.sum.shares, max(0, b.peers.Near-1-len(z.sum.shares)) // these may give nothing or all
+	shares, untold := z.sum.shares, max(0, b.peers.LiveReplicasInZone-1-len(z.sum.shares)) // these may give nothing or all
 	n := len(shares) + untold
 	least := slices.Concat(make([]float64, untold), shares)[(n-1)/2]
 	most := slices.Concat(shares, slices.Repeat([]float64{1}, untold))[n/2]
-	return min(max(z.Share, least), most)
+	return min(max(z.WeightFraction, least), most)
 }
 
 // follow puts a zone where most other copies have it.
@@ -120,12 +122,12 @@
 	}
 	z.flaps, z.left, z.long = z.flaps+1, now, evidence{}
 	z.trial = now + b.rnd.Int64N(b.trialGap())
-	b.stand(now, h, z, Away, 0)
+	b.stand(now, h, z, ZoneEvacuated, 0)
 }
 
 // returnTo takes a zone to a step of its return. What its servers were blamed for went with it.
 func (b *Balancer) returnTo(now int64, h Host, z *zone, step int) {
-	if z.Standing != Returning {
+	if z.Phase != ZoneRecovering {
 		z.fresh = evidence{}
 		if z.Zone == b.s.Zone { // and so did what was learned of how home copes
 			b.spill = min(b.spill, spillStart)
@@ -135,25 +137,25 @@
 		}
 	}
 	if z.step = step; step < len(returnSteps)-1 {
-		b.stand(now, h, z, Returning, returnSteps[step])
+		b.stand(now, h, z, ZoneRecovering, returnSteps[step])
 	} else {
-		b.stand(now, h, z, Healthy, 1)
+		b.stand(now, h, z, ZoneHealthy, 1)
 	}
 }
 
 // trialGap is the time between this copy's trials: its part of those of all copies.
 func (b *Balancer) trialGap() int64 {
-	return int64(float64(max(b.peers.Near, 1)) / trialRate * float64(second))
+	return int64(float64(max(b.peers.LiveReplicasInZone, 1)) / trialRate * float64(second))
 }
 
 // trial is a server of a zone that is away and due for a try, if the request may then be sent elsewhere.
 func (b *Balancer) trial(now int64, q *request) *server {
 	k := q.s.Classes[q.Class]
-	if len(q.attempts) > 0 || k.Repeat == Unsafe || k.Repeat == Keyed && k.Group != GroupAll {
+	if len(q.attempts) > 0 || k.Idempotency == NonIdempotent || k.Idempotency == IdempotentWithKey && k.DedupScope != DedupScopeAll {
 		return nil
 	}
 	for i := range b.zones {
-		if z := &b.zones[i]; z.Standing == Away && now >= z.trial {
+		if z := &b.zones[i]; z.Phase == ZoneEvacuated && now >= z.trial {
 			z.trial = now + b.trialGap()/2 + b.rnd.Int64N(b.trialGap())
 			if of := b.readyIn(z); len(of) > 0 {
 				return of[b.rnd.IntN(len(of))]
@@ -168,17 +170,17 @@
 	home, spill := b.zone(b.s.Zone), b.spill
 	if home == nil {
 		return spill
-	} else if home.Standing == Pressed {
+	} else if home.Phase == ZoneSaturated {
 		spill = max(spill, pressSpill)
 	} else if b.homeCopes() {
 		spill = min(spill, spillHealthy)
 	}
-	return max(spill, 1-home.Share)
+	return max(spill, 1-home.WeightFraction)
 }
 
 // homeCopes tells whether no copy of this zone, of those with evidence, finds home slow or bad.
 func (b *Balancer) homeCopes() bool {
 	home := b.zone(b.s.Zone)
-	return home != nil && home.Standing == Healthy && b.spill <= pressBar && home.sum.calls >= zoneCalls &&
+	return home != nil && home.Phase == ZoneHealthy && b.spill <= pressBar && home.sum.calls >= zoneCalls &&
 		home.sum.against == 0 && home.sum.slow == 0 && home.fresh.part() <= trialBad
 }
--- a/logic/zones_test.go
+++ b/balancer/zones_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 // away are the zones that a copy has left.
 func (c *copyOf) away() (out []int) {
 	for _, z := range c.b.ZoneStates(c.w.now) {
-		if z.Standing == Away {
+		if z.Phase == ZoneEvacuated {
 			out = append(out, z.Zone)
 		}
 	}
@@ -23,7 +23,7 @@
 	lost := func(zones ...int) fate {
 		return func(w *world, c *copyOf, s Server) (Status, int64) {
 			if slices.Contains(zones, s.Zone) {
-				return OK, 1e12
+				return StatusOK, 1e12
 			}
 			return w.well(c, s)
 		}
@@ -40,31 +40,31 @@
 		{"two of three lost", lost(0, 1), -1, [3][]int{{0}, {1}, nil}, []int{0, 1}},
 		{"a zone that answers but fails", func(w *world, c *copyOf, s Server) (Status, int64) {
 			if s.Zone == 0 {
-				return Error, 5_000
+				return StatusError, 5_000
 			}
 			return w.well(c, s)
 		}, -1, [3][]int{0: {0}}, []int{0}},
 		{"answers lost between zones", func(w *world, c *copyOf, s Server) (Status, int64) {
 			if s.Zone == 0 && c.b.s.Zone != 0 {
-				return OK, 1e12
+				return StatusOK, 1e12
 			}
 			return w.well(c, s)
 		}, 1, [3][]int{1: {0}}, nil},
 		{"one bad server", func(w *world, c *copyOf, s Server) (Status, int64) {
 			if s.ID == "s0" {
-				return OK, 1e12
+				return StatusOK, 1e12
 			}
 			return w.well(c, s)
 		}, -1, [3][]int{}, nil},
 		{"a copy's own link", func(w *world, c *copyOf, s Server) (Status, int64) {
 			if c.n < 3 {
-				return OK, 1e12
+				return StatusOK, 1e12
 			}
 			return w.well(c, s)
 		}, -1, [3][]int{}, nil},
 		{"slow everywhere", func(w *world, c *copyOf, s Server) (Status, int64) {
 			_, took := w.well(c, s)
-			return OK, 20 * took
+			return StatusOK, 20 * took
 		}, -1, [3][]int{}, nil},
 		{"lost everywhere", lost(0, 1, 2), -1, [3][]int{}, nil},
 		{"a slow zone", func(w *world, c *copyOf, s Server) (Status, int64) {
@@ -76,7 +76,7 @@
 		}, -1, [3][]int{}, nil},
 		{"a zone that is full", func(w *world, c *copyOf, s Server) (Status, int64) {
 			if s.Zone == 0 {
-				return FullUp, 1000
+				return StatusRejected, 1000
 			}
 			return w.well(c, s)
 		}, -1, [3][]int{}, nil},
@@ -87,11 +87,11 @@
 				list := slices.Clone(w.servers)
 				for i := range list {
 					if list[i].Zone == c.noHome {
-						list[i].State = Draining
+						list[i].State = ServerDraining
 					}
 				}
 				for _, p := range w.copies {
-					p.b.List(start, p, Full, list)
+					p.b.UpdateEndpoints(start, p, UpdateSnapshot, list)
 				}
 			}
 			w.run(10 * second)
@@ -110,7 +110,7 @@
 			w.run(60 * second)
 			for _, p := range w.copies {
 				for _, z := range p.b.ZoneStates(w.now) {
-					if z.Standing > Pressed {
+					if z.Phase > ZoneSaturated {
 						t.Errorf("%s: %+v long after", p.name, z)
 					}
 				}
@@ -120,9 +120,9 @@
 }
 
 // stood are the times at which a copy put a zone in a standing.
-func (c *copyOf) stood(zone int, standing Standing) (at []int64) {
+func (c *copyOf) stood(zone int, standing ZonePhase) (at []int64) {
 	for _, s := range c.events {
-		if e, ok := s.event.(ZoneChanged); ok && e.State.Zone == zone && e.Home == c.b.s.Zone && e.State.Standing == standing {
+		if e, ok := s.event.(ZonePhaseChanged); ok && e.State.Zone == zone && e.ObserverZone == c.b.s.Zone && e.State.Phase == standing {
 			at = append(at, s.at-start)
 		}
 	}
@@ -147,7 +147,7 @@
 				w.run(20 * second)
 				w.fate = func(p *copyOf, s Server) (Status, int64) {
 					if s.Zone == 0 {
-						return OK, 1e12
+						return StatusOK, 1e12
 					}
 					return w.well(p, s)
 				}
@@ -163,7 +163,7 @@
 				}
 				first, last := int64(math.MaxInt64), int64(0)
 				for _, p := range w.copies {
-					if away := p.stood(0, Away); p.b.s.Zone == 0 && len(away) != 1 {
+					if away := p.stood(0, ZoneEvacuated); p.b.s.Zone == 0 && len(away) != 1 {
 						t.Errorf("%s left zone 0 at %v", p.name, away)
 					} else if p.b.s.Zone == 0 {
 						first, last = min(first, away[0]), max(last, away[0])
@@ -175,7 +175,7 @@
 				if part := w.part(-1, -1, 5*second, 20*second); part > 0.15 {
 					t.Errorf("%.2f of attempts go across zones while nothing is wrong", part)
 				}
-				cold := w.copies[0].b.s.Cold
+				cold := w.copies[0].b.s.SlowStartDuration
 				if back := w.part(0, 0, 35*second+cold*3/2, 55*second); back < 0.9 {
 					t.Errorf("%.2f are back", back)
 				}
@@ -184,7 +184,7 @@
 				}
 				for _, p := range w.copies {
 					for _, s := range p.sends {
-						if at := s.at - start; s.zone == 0 && p.b.s.Zone == 0 && at > 25*second && at < 35*second && s.repeat != Safe {
+						if at := s.at - start; s.zone == 0 && p.b.s.Zone == 0 && at > 25*second && at < 35*second && s.repeat != Idempotent {
 							t.Fatalf("%s tried zone 0 at %d with a call that is not safe to repeat", p.name, at)
 						}
 					}
@@ -202,19 +202,19 @@
 	w := laid(t, 3, 3, 4, 10, true)
 	w.fate = func(c *copyOf, s Server) (Status, int64) {
 		if s.Zone == 0 && (w.now-start)/(5*second)%2 == 1 {
-			return OK, 1e12
+			return StatusOK, 1e12
 		}
 		return w.well(c, s)
 	}
 	w.run(120 * second)
-	before := w.copies[0].b.ZoneStates(w.now)[0].Epoch
+	before := w.copies[0].b.ZoneStates(w.now)[0].Transitions
 	w.run(240 * second)
-	if n := w.copies[0].b.ZoneStates(w.now)[0].Epoch - before; n > 2*2 {
+	if n := w.copies[0].b.ZoneStates(w.now)[0].Transitions - before; n > 2*2 {
 		t.Errorf("%d changes in two minutes", n)
 	}
 	w.fate = w.well
 	w.run(320 * second)
-	if z := w.copies[0].b.ZoneStates(w.now)[0]; z.Share < 1 {
+	if z := w.copies[0].b.ZoneStates(w.now)[0]; z.WeightFraction < 1 {
 		t.Errorf("not returned to: %+v", z)
 	}
 }
@@ -225,7 +225,7 @@
 	w.run(10 * second)
 	w.fate = func(p *copyOf, s Server) (Status, int64) {
 		if s.Zone == 0 {
-			return OK, 1e12
+			return StatusOK, 1e12
 		}
 		return w.well(p, s)
 	}
@@ -234,16 +234,16 @@
 	c.deaf = true
 	w.fate = w.well
 	w.run(22 * second)
-	if mine, theirs := c.b.ZoneStates(w.now)[0], w.copies[3].b.ZoneStates(w.now)[0]; mine.Share >= theirs.Share || mine.Share > 0.2 {
+	if mine, theirs := c.b.ZoneStates(w.now)[0], w.copies[3].b.ZoneStates(w.now)[0]; mine.WeightFraction >= theirs.WeightFraction || mine.WeightFraction > 0.2 {
 		t.Errorf("cut off: %+v; the others: %+v", mine, theirs)
 	}
 	w.run(80 * second)
-	if mine := c.b.ZoneStates(w.now)[0]; mine.Share < 1 {
+	if mine := c.b.ZoneStates(w.now)[0]; mine.WeightFraction < 1 {
 		t.Errorf("cut off, much later: %+v", mine)
 	}
 	w.fate = func(p *copyOf, s Server) (Status, int64) {
 		if s.Zone == 0 {
-			return OK, 1e12
+			return StatusOK, 1e12
 		}
 		return w.well(p, s)
 	}
@@ -263,26 +263,26 @@
 	w := laid(t, 3, 2, 3, 20, true)
 	w.run(5 * second)
 	for _, c := range w.copies {
-		c.b.Drain(w.now, c, map[int]bool{0: true})
+		c.b.SetDrainedZones(w.now, c, map[int]bool{0: true})
 	}
 	w.run(15 * second)
 	if part := w.part(-1, 0, 5*second, 15*second); part > 0 {
 		t.Errorf("%v of attempts went to a zone that is drained", part)
 	}
 	sends := len(w.copies[0].sends)
-	w.copies[0].b.Drain(w.now, w.copies[0], map[int]bool{0: true, 1: true, 2: true})
-	w.copies[0].b.Ban(map[string]bool{"s0": true})
-	w.copies[0].b.Ban(nil) // back from a ban, it would get the next call
+	w.copies[0].b.SetDrainedZones(w.now, w.copies[0], map[int]bool{0: true, 1: true, 2: true})
+	w.copies[0].b.SetSuspendedServers(map[string]bool{"s0": true})
+	w.copies[0].b.SetSuspendedServers(nil) // back from a ban, it would get the next call
 	w.run(16 * second)
 	if n := len(w.copies[0].sends) - sends; n > 0 {
 		t.Errorf("%d attempts with all zones drained", n)
 	}
 	for _, c := range w.copies {
-		c.b.Drain(w.now, c, nil)
-		c.b.Drain(w.now, c, nil)
+		c.b.SetDrainedZones(w.now, c, nil)
+		c.b.SetDrainedZones(w.now, c, nil)
 	}
 	w.run(17 * second)
-	if z := w.copies[0].b.ZoneStates(w.now)[0]; z.Standing != Returning {
+	if z := w.copies[0].b.ZoneStates(w.now)[0]; z.Phase != ZoneRecovering {
 		t.Errorf("restored: %+v", z)
 	}
 	w.run(40 * second)
@@ -300,34 +300,34 @@
 		bad       float64
 		servers   int
 		elsewhere float64 // bad part in the other zone
-		want      Standing
+		want      ZonePhase
 	}{
-		{"enough", 3, 5, 0.9, 2, 0.1, Away},
-		{"too few copies", 1, 5, 0.9, 2, 0.1, Healthy},
-		{"too few calls", 3, 0.5, 0.9, 2, 0.1, Healthy},
-		{"too few bad", 3, 5, 0.5, 2, 0.1, Healthy},
-		{"one server", 3, 5, 0.9, 1, 0.1, Healthy},
-		{"the others no better", 3, 5, 0.9, 2, 0.55, Healthy},
+		{"enough", 3, 5, 0.9, 2, 0.1, ZoneEvacuated},
+		{"too few copies", 1, 5, 0.9, 2, 0.1, ZoneHealthy},
+		{"too few calls", 3, 0.5, 0.9, 2, 0.1, ZoneHealthy},
+		{"too few bad", 3, 5, 0.5, 2, 0.1, ZoneHealthy},
+		{"one server", 3, 5, 0.9, 1, 0.1, ZoneHealthy},
+		{"the others no better", 3, 5, 0.9, 2, 0.55, ZoneHealthy},
 	} {
 		b, h := with(t, testSettings(), 8)
-		var p Peers
+		var p PeerReports
 		for now := start; now < start+second; now += second / 10 {
-			p = Peers{Living: 8, Near: 5}
+			p = PeerReports{LiveReplicas: 8, LiveReplicasInZone: 5}
 			for i := range 4 {
-				n := Notice{Kind: ZoneBad, Cause: Silent, Observer: fmt.Sprint("p", i), Of: 1, Calls: c.calls, Bad: c.bad, Value: 1, At: now}
+				n := Report{Kind: ReportZoneUnhealthy, Fault: FaultUnresponsive, Observer: fmt.Sprint("p", i), SubjectZone: 1, Calls: c.calls, BadFraction: c.bad, Value: 1, LastObserved: now}
 				if i >= c.say {
-					n.Kind, n.Bad = ZoneHealthy, 0
+					n.Kind, n.BadFraction = ReportZoneHealthy, 0
 				}
-				other := Notice{Kind: ZoneHealthy, Observer: n.Observer, Calls: 5, Bad: c.elsewhere, Value: 1, At: now}
-				p.Notices = append(p.Notices, n, other)
+				other := Report{Kind: ReportZoneHealthy, Observer: n.Observer, Calls: 5, BadFraction: c.elsewhere, Value: 1, LastObserved: now}
+				p.Reports = append(p.Reports, n, other)
 				for s := range c.servers {
-					p.Notices = append(p.Notices, Notice{Kind: ServerBad, Observer: n.Observer, Server: []string{"s2", "s3"}[s], Calls: 5, Bad: 1})
+					p.Reports = append(p.Reports, Report{Kind: ReportServerUnhealthy, Observer: n.Observer, Server: []string{"s2", "s3"}[s], Calls: 5, BadFraction: 1})
 				}
 			}
-			b.Seen(now)
-			b.Peers(now, h, p)
+			b.Reports(now)
+			b.HandlePeerReports(now, h, p)
 		}
-		if got := b.ZoneStates(start + second)[1].Standing; got != c.want {
+		if got := b.ZoneStates(start + second)[1].Phase; got != c.want {
 			t.Errorf("%s: %v, not %v", c.name, got, c.want)
 		}
 	}
@@ -335,13 +335,13 @@
 
 // The first drain of all is a change of state like any other: counted, and said in the log.
 func TestTheFirstDrainIsSaid(t *testing.T) {
-	b, err := New(Settings{Zones: 2, Siblings: 1, MaxAttempts: 1, Classes: []Class{{Aim: second, Deadline: second}}}, 1)
+	b, err := New(Settings{ZoneCount: 2, Replicas: 1, MaxAttempts: 1, Classes: []Class{{LatencyObjective: second, Deadline: second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &recorder{}
-	b.Drain(start, r, map[int]bool{1: true})
-	if z := b.ZoneStates(start)[1]; z.Standing != Drained || z.Epoch != 1 || len(r.lines) != 1 {
+	b.SetDrainedZones(start, r, map[int]bool{1: true})
+	if z := b.ZoneStates(start)[1]; z.Phase != ZoneDrained || z.Transitions != 1 || len(r.lines) != 1 {
 		t.Errorf("got %+v, said %q", z, r.lines)
 	}
 }
--- a/cmd/fernlanding-fleet/fleet_test.go
+++ b/cmd/merlinpick-cluster-proxy/fleet_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/process"
+	"merlinpick/internal/faultlab/process"
 )
 
 // The test binary is also the program, so that it runs as the real one does.
--- a/cmd/fernlanding-fleet/fleetzones_test.go
+++ b/cmd/merlinpick-cluster-proxy/fleetzones_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"fernlanding/internal/lab/process"
+	"merlinpick/internal/faultlab/process"
 )
 
 // A zone that is drained at one member is out at all, and outlives the one that was called, disk and all.
--- a/cmd/fleetlab/main.go
+++ b/cmd/merlinpick-faultlab/main.go
@@ -1,4 +1,4 @@
-// Command fleetlab plays experiments: whole fleets of real proxies, faults between them, and a verdict. docs/lab.md
+// Command merlinpick-faultlab plays experiments: whole fleets of real proxies, faults between them, and a verdict. docs/lab.md
 // says how to rehearse a failure with it.
 //
 // Exit status: 0, every expectation held; 1, one did not; 2, bad usage, a bad file, or a machine on which the run could
@@ -19,11 +19,11 @@
 
 	"github.com/alecthomas/kong"
 
-	"fernlanding/experiments"
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/hollow"
-	"fernlanding/internal/lab/report"
-	"fernlanding/internal/lab/result"
+	"merlinpick/experiments"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/hollow"
+	"merlinpick/internal/faultlab/report"
+	"merlinpick/internal/faultlab/result"
 )
 
 const (
@@ -78,11 +78,11 @@
 
 func realMain(args []string) int {
 	var a arguments
-	parser := kong.Must(&a, kong.Name("fleetlab"), kong.Description(
+	parser := kong.Must(&a, kong.Name("merlinpick-faultlab"), kong.Description(
 		"Plays fleets of real proxies through failures, and judges what came of it."), kong.UsageOnError())
 	cmd, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "fleetlab: %v\n", err)
+		fmt.Fprintf(os.Stderr, "merlinpick-faultlab: %v\n", err)
 		return exitUnable
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -96,7 +96,7 @@
 	case errors.As(err, &s):
 		return int(s)
 	}
-	fmt.Fprintf(os.Stderr, "fleetlab: %v\n", err)
+	fmt.Fprintf(os.Stderr, "merlinpick-faultlab: %v\n", err)
 	return exitUnable
 }
 
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/merlinpick-faultlab/main_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/experiments"
-	"fernlanding/internal/lab/report"
-	"fernlanding/internal/lab/result"
+	"merlinpick/experiments"
+	"merlinpick/internal/faultlab/report"
+	"merlinpick/internal/faultlab/result"
 )
 
 // The test binary is also the program.
@@ -44,7 +44,7 @@
 func build(t *testing.T, dir, name string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
-	if out, err := exec.Command("go", "build", "-o", path, "fernlanding/cmd/"+name).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", path, "merlinpick/cmd/"+name).CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	return path
@@ -53,9 +53,9 @@
 // The present program, small: it keeps the rules, and a run leaves its files.
 func TestSmallRuns(t *testing.T) {
 	bin := t.TempDir()
-	program, roster := build(t, bin, "fernlanding"), build(t, bin, "roster")
-	build(t, bin, "fernlanding-fleet")
-	lab := filepath.Join(bin, "fleetlab")
+	program, roster := build(t, bin, "merlinpick-proxy"), build(t, bin, "merlinpick-registry")
+	build(t, bin, "merlinpick-cluster-proxy")
+	lab := filepath.Join(bin, "merlinpick-faultlab")
 	if text, err := os.ReadFile(os.Args[0]); err != nil || os.WriteFile(lab, text, 0o700) != nil {
 		t.Fatal("no copy of this program: ", err)
 	}
--- a/cmd/fleetlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -12,11 +12,11 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/report"
-	"fernlanding/internal/lab/result"
-	"fernlanding/internal/lab/run"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/report"
+	"merlinpick/internal/faultlab/result"
+	"merlinpick/internal/faultlab/run"
 )
 
 type runCommand struct {
@@ -24,7 +24,7 @@
 	Out    string  `help:"Directory for result.json, report.html and logs. Default: found/NAME-TIME." type:"path"`
 	Seed   *uint64 `help:"In place of the file's."`
 	Repeat int     `help:"Plays, in place of the file's."`
-	Proxy  string  `help:"Program to run as the proxy, with arguments. Default: beside this one, fernlanding, or fernlanding-fleet with the fleet on." default:""`
+	Proxy  string  `help:"Program to run as the proxy, with arguments. Default: beside this one, merlinpick-proxy, or merlinpick-cluster-proxy with the fleet on." default:""`
 	Roster string  `help:"Program to run as a member of the list service." default:""`
 	Hollow string  `help:"Program to run as a process of hollow proxies or nodos, which gets its file." hidden:"" default:""`
 	Tries  int     `help:"How often a void play is played again." default:"1"`
@@ -64,9 +64,9 @@
 		out = []side{{dir: "off", exp: &off}, {dir: "on", exp: &on}}
 	}
 	for i := range out {
-		name := "fernlanding"
+		name := "merlinpick-proxy"
 		if out[i].exp.Fleet.On {
-			name = "fernlanding-fleet"
+			name = "merlinpick-cluster-proxy"
 		}
 		var err error
 		if out[i].command, err = program(c.Proxy, "--proxy", name); err != nil {
@@ -87,7 +87,7 @@
 		return err
 	}
 	if e.List.Members > 0 {
-		if o.Roster, err = program(c.Roster, "--roster", "roster"); err != nil {
+		if o.Roster, err = program(c.Roster, "--roster", "merlinpick-registry"); err != nil {
 			return err
 		}
 	}
--- a/cmd/fleetlab/soak.go
+++ b/cmd/merlinpick-faultlab/soak.go
@@ -9,22 +9,22 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/run"
-	"fernlanding/internal/lab/soak"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/run"
+	"merlinpick/internal/faultlab/soak"
 )
 
 type soakCommand struct {
 	From  uint64 `help:"The first seed." default:"1"`
 	Seeds int    `help:"How many, one after another." default:"10"`
 	Out   string `help:"Directory for the experiments and logs of seeds at which something was found. Default: found/soak-TIME." type:"path"`
-	Proxy string `help:"Program to run as the proxy, with arguments. Default: beside this one, fernlanding." default:""`
+	Proxy string `help:"Program to run as the proxy, with arguments. Default: beside this one, merlinpick-proxy." default:""`
 	Keep  bool   `help:"Keep the logs of the other seeds too."`
 }
 
 // Run plays the seeds. The exit status is 1 if a rule was broken or a proxy crashed at any of them.
 func (c *soakCommand) Run(ctx context.Context, log *slog.Logger) error {
-	command, err := program(c.Proxy, "--proxy", "fernlanding")
+	command, err := program(c.Proxy, "--proxy", "merlinpick-proxy")
 	if err != nil {
 		return err
 	}
--- a/cmd/roster/apart_test.go
+++ b/cmd/merlinpick-registry/apart_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/roster/config"
+	"merlinpick/internal/registry/config"
 )
 
 // gate passes connections on between a member and the others, unless it is shut: then all break, and none come up.
--- a/cmd/roster/bench_test.go
+++ b/cmd/merlinpick-registry/bench_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/roster/registrar"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/registry/registrar"
+	"merlinpick/internal/registry/state"
 )
 
 // BenchmarkLeaderDeath is the time from a leader's death to the next write that is confirmed.
@@ -53,7 +53,7 @@
 // BenchmarkStart is the time from a member's start to its serving 10,000 nodos from disk.
 func BenchmarkStart(b *testing.B) {
 	s := startService(b, 1)
-	i := state.Image{Line: "l", Index: 1}
+	i := state.Snapshot{Epoch: "l", Version: 1}
 	for n := range 10_000 {
 		r := record(fmt.Sprintf("s-%08x", n), 1)
 		i.Records = append(i.Records, r)
@@ -110,7 +110,7 @@
 			return err
 		},
 		"renew": func(_ int, i int64) error {
-			_, err := c.Renew(context.Background(), state.Ref{Name: fmt.Sprint("n", i%100), Instance: "i1"})
+			_, err := c.Renew(context.Background(), state.InstanceRef{Name: fmt.Sprint("n", i%100), Instance: "i1"})
 			return err
 		},
 		"register": func(w int, _ int64) error {
@@ -190,12 +190,12 @@
 	confirmed, heard := map[string]time.Time{}, make([]map[string]time.Time, clients)
 	for i := range clients {
 		heard[i] = map[string]time.Time{}
-		d := discovery.New(discovery.Config{Source: discovery.Source{Members: s.addrs}, Seed: uint64(i + 1), Log: slog.New(slog.DiscardHandler)})
+		d := discovery.New(discovery.Config{Source: discovery.Source{Members: s.addrs}, Seed: uint64(i + 1), Logger: slog.New(slog.DiscardHandler)})
 		all.Go(func() { d.Run(ctx) })
 		all.Go(func() {
 			for {
 				select {
-				case n := <-d.News():
+				case n := <-d.Updates():
 					mu.Lock()
 					for _, e := range n.List.Endpoints {
 						if key := fmt.Sprint(e.Name, e.Status); heard[i][key].IsZero() {
@@ -230,9 +230,9 @@
 			}
 			old, next := fmt.Sprint("n", i), fmt.Sprint("n", i, "-r")
 			_, err := c.Register(ctx, record(next, 2))
-			note(next, state.Serving, err)
-			_, err = c.Deregister(ctx, state.Ref{Name: old, Instance: "i1"})
-			note(old, state.Deleted, err)
+			note(next, state.StatusServing, err)
+			_, err = c.Deregister(ctx, state.InstanceRef{Name: old, Instance: "i1"})
+			note(old, state.StatusDeleted, err)
 		}
 		time.Sleep(8 * time.Second)
 	}
@@ -243,7 +243,7 @@
 	for key, at := range confirmed {
 		for i := range heard {
 			t, ok := heard[i][key]
-			if !ok && strings.HasSuffix(key, state.Serving) {
+			if !ok && strings.HasSuffix(key, state.StatusServing) {
 				missed++ // one that goes may be missing from a whole list instead
 			}
 			if ok {
--- a/cmd/roster/calls.go
+++ b/cmd/merlinpick-registry/calls.go
@@ -15,12 +15,12 @@
 	"text/tabwriter"
 	"time"
 
-	"fernlanding/internal/durable"
-	"fernlanding/internal/roster/api"
-	"fernlanding/internal/roster/fanout"
-	"fernlanding/internal/roster/member"
-	"fernlanding/internal/roster/registrar"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/atomicfile"
+	"merlinpick/internal/registry/api"
+	"merlinpick/internal/registry/raftnode"
+	"merlinpick/internal/registry/registrar"
+	"merlinpick/internal/registry/state"
+	"merlinpick/internal/registry/watch"
 )
 
 const (
@@ -48,12 +48,12 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, state.FileMost))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, state.MaxSnapshotBytes))
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%s: %w: %s", req.URL.Host, errNo, api.FaultOf(resp, text).Error)
+		return nil, fmt.Errorf("%s: %w: %s", req.URL.Host, errNo, api.ReadError(resp, text).Error)
 	}
 	return text, nil
 }
@@ -84,7 +84,7 @@
 		fmt.Fprintln(w, "ADDRESS\tNAME\tROLE\tLEADER\tSERVES\tAGE\tINDEX\tNODOS\tHELD")
 	}
 	for _, at := range c.addrs() {
-		var s member.Status
+		var s raftnode.Status
 		text, err := get(ctx, callWait, "http://"+at+"/v1/member")
 		if err == nil {
 			err = json.Unmarshal(text, &s)
@@ -102,7 +102,7 @@
 			fmt.Fprintf(w, "%s\t-\tno answer: %v\n", at, err)
 		default:
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%v\t%d\t%d\t%d\n", at, s.Name, s.Role, s.Leader, s.Serving,
-				time.Duration(s.AgeMs)*time.Millisecond, s.Index, s.Nodos, s.Overdue)
+				time.Duration(s.AgeMs)*time.Millisecond, s.Version, s.Endpoints, s.Overdue)
 		}
 	}
 	w.Flush()
@@ -141,8 +141,8 @@
 			continue
 		}
 		left := "-"
-		if n.LeftMs != nil {
-			left = (time.Duration(*n.LeftMs) * time.Millisecond).String()
+		if n.LeaseLeftMs != nil {
+			left = (time.Duration(*n.LeaseLeftMs) * time.Millisecond).String()
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%g\t%s\t%s\n", n.Name, n.Address, n.Zone, n.Type, n.Group, n.Status, n.Weight,
 			n.Instance, left)
@@ -150,7 +150,7 @@
 	return w.Flush()
 }
 
-func (s service) nodos(ctx context.Context) (all []member.Nodo, err error) {
+func (s service) nodos(ctx context.Context) (all []raftnode.EndpointStatus, err error) {
 	text, err := s.any(ctx, "/v1/nodos")
 	if err == nil {
 		err = json.Unmarshal(text, &all)
@@ -182,11 +182,11 @@
 	if c.Since == 0 {
 		c.Since = time.Now().UnixMilli()
 	}
-	r := state.Record{Entry: state.Entry{Name: c.Name, Address: c.Address, Zone: c.Zone, Type: c.Type, Group: c.Group,
-		Status: state.Serving, Weight: c.Weight, Since: c.Since}, Instance: c.Instance, LeaseMs: c.Lease.Milliseconds()}
+	r := state.Record{Endpoint: state.Endpoint{Name: c.Name, Address: c.Address, Zone: c.Zone, Type: c.Type, Group: c.Group,
+		Status: state.StatusServing, Weight: c.Weight, Since: c.Since}, Instance: c.Instance, LeaseMs: c.Lease.Milliseconds()}
 	client := registrar.New(c.addrs())
-	tell := func(t api.Taken) {
-		fmt.Printf("%s is in the list from version %d on, instance %s, for %v\n", c.Name, t.Index, c.Instance, c.Lease)
+	tell := func(t api.Accepted) {
+		fmt.Printf("%s is in the list from version %d on, instance %s, for %v\n", c.Name, t.Version, c.Instance, c.Lease)
 	}
 	if !c.Keep {
 		once, cancel := context.WithTimeout(ctx, callWait)
@@ -197,12 +197,12 @@
 		}
 		return err
 	}
-	if err := client.Keep(ctx, r, tell); !errors.Is(err, context.Canceled) {
+	if err := client.KeepRegistered(ctx, r, tell); !errors.Is(err, context.Canceled) {
 		return err
 	}
 	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), callWait)
 	defer cancel()
-	_, err := client.Deregister(last, state.Ref{Name: c.Name, Instance: c.Instance})
+	_, err := client.Deregister(last, state.InstanceRef{Name: c.Name, Instance: c.Instance})
 	return err
 }
 
@@ -213,8 +213,8 @@
 	Instance string `help:"Default: the one that is in the list now."`
 }
 
-func (c *one) ref(ctx context.Context) (state.Ref, error) {
-	ref := state.Ref{Name: c.Name, Instance: c.Instance}
+func (c *one) ref(ctx context.Context) (state.InstanceRef, error) {
+	ref := state.InstanceRef{Name: c.Name, Instance: c.Instance}
 	if ref.Instance != "" {
 		return ref, nil
 	}
@@ -231,7 +231,7 @@
 	return ref, fmt.Errorf("%w: %s is not in the list", errNo, c.Name)
 }
 
-func (c *one) say(ctx context.Context, call func(*registrar.Client, context.Context, state.Ref) (api.Taken, error)) error {
+func (c *one) say(ctx context.Context, call func(*registrar.Client, context.Context, state.InstanceRef) (api.Accepted, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, callWait)
 	defer cancel()
 	ref, err := c.ref(ctx)
@@ -240,7 +240,7 @@
 	}
 	t, err := call(registrar.New(c.addrs()), ctx, ref)
 	if err == nil {
-		fmt.Printf("%s is %s from version %d on\n", c.Name, t.Status, t.Index)
+		fmt.Printf("%s is %s from version %d on\n", c.Name, t.Status, t.Version)
 	}
 	return err
 }
@@ -270,7 +270,7 @@
 	for ctx.Err() == nil && (c.Count == 0 || seen < c.Count) {
 		addrs := c.addrs()
 		text, err := get(ctx, watchHold+callWait, "http://"+addrs[at%len(addrs)]+"/catalog/members"+query)
-		var head fanout.Answer
+		var head watch.Response
 		if err == nil {
 			err = json.Unmarshal(text, &head)
 		}
@@ -278,7 +278,7 @@
 			if ctx.Err() != nil {
 				break
 			}
-			fmt.Fprintf(os.Stderr, "roster: %v\n", err)
+			fmt.Fprintf(os.Stderr, "merlinpick-registry: %v\n", err)
 			at++
 			select {
 			case <-time.After(againWait):
@@ -286,7 +286,7 @@
 			}
 			continue
 		}
-		query = fmt.Sprintf("?from=%d&line=%s&hold_ms=%d", head.Index, head.Line, watchHold.Milliseconds())
+		query = fmt.Sprintf("?from=%d&line=%s&hold_ms=%d", head.Version, head.Epoch, watchHold.Milliseconds())
 		if head.Snapshot || len(head.Endpoints) > 0 {
 			fmt.Print(string(text))
 			seen++
@@ -316,17 +316,17 @@
 	if err != nil {
 		return err
 	}
-	if err := durable.WriteFile(c.File, text); err != nil {
+	if err := atomicfile.WriteFile(c.File, text); err != nil {
 		return fmt.Errorf("save %s: %w", c.File, err)
 	}
-	fmt.Printf("%s: version %d of line %s, %d nodos\n", c.File, i.Index, i.Line, len(i.Records))
+	fmt.Printf("%s: version %d of line %s, %d nodos\n", c.File, i.Version, i.Epoch, len(i.Records))
 	return nil
 }
 
-func readSnapshot(path string) ([]byte, state.Image, error) {
+func readSnapshot(path string) ([]byte, state.Snapshot, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, state.Image{}, err
+		return nil, state.Snapshot{}, err
 	}
 	i, err := state.Read(bytes.NewReader(text))
 	if err != nil {
@@ -350,7 +350,7 @@
 	for _, r := range i.Records {
 		zones[r.Zone]++
 	}
-	fmt.Printf("%s: whole; version %d of line %s, %d nodos, by zone %v, %d ended instances\n", c.File, i.Index, i.Line,
+	fmt.Printf("%s: whole; version %d of line %s, %d nodos, by zone %v, %d ended instances\n", c.File, i.Version, i.Epoch,
 		len(i.Records), zones, len(i.Ended))
 	if c.Nodos {
 		for _, r := range i.Records {
@@ -392,8 +392,8 @@
 			if err := json.Unmarshal(answer, &r); err != nil {
 				return err
 			}
-			fmt.Printf("restored: %d nodos, version %d of the new line %s; each nodo's lease runs afresh\n", r.Nodos, r.Index,
-				r.Line)
+			fmt.Printf("restored: %d nodos, version %d of the new line %s; each nodo's lease runs afresh\n", r.Endpoints, r.Version,
+				r.Epoch)
 			return nil
 		}
 		errs = append(errs, err)
--- a/cmd/roster/main.go
+++ b/cmd/merlinpick-registry/main.go
@@ -1,4 +1,4 @@
-// Command roster is the list service: a member of it, and the calls that operators make. docs/discovery.md says how it is
+// Command merlinpick-registry is the list service: a member of it, and the calls that operators make. docs/discovery.md says how it is
 // run.
 //
 // Exit status: 0, done; 1, the service said no, or something checked is at fault; 2, bad usage or configuration, or a
@@ -17,7 +17,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"fernlanding/internal/roster/registrar"
+	"merlinpick/internal/registry/registrar"
 )
 
 const (
@@ -49,26 +49,26 @@
 
 func realMain(args []string) int {
 	var a arguments
-	parser := kong.Must(&a, kong.Name("roster"), kong.Description("The list of nodos, kept by several members."),
+	parser := kong.Must(&a, kong.Name("merlinpick-registry"), kong.Description("The list of nodos, kept by several members."),
 		kong.UsageOnError())
 	cmd, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "roster: %v\n", err)
+		fmt.Fprintf(os.Stderr, "merlinpick-registry: %v\n", err)
 		return exitUnable
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	cmd.BindTo(ctx, (*context.Context)(nil))
 	err = cmd.Run(newLog(a))
-	var no *registrar.Refused
+	var no *registrar.RejectedError
 	switch {
 	case err == nil:
 		return exitDone
 	case errors.As(err, &no), errors.Is(err, errNo):
-		fmt.Fprintf(os.Stderr, "roster: %v\n", err)
+		fmt.Fprintf(os.Stderr, "merlinpick-registry: %v\n", err)
 		return exitNo
 	}
-	fmt.Fprintf(os.Stderr, "roster: %v\n", err)
+	fmt.Fprintf(os.Stderr, "merlinpick-registry: %v\n", err)
 	return exitUnable
 }
 
--- a/cmd/roster/main_test.go
+++ b/cmd/merlinpick-registry/main_test.go
@@ -22,12 +22,12 @@
 
 	"github.com/BurntSushi/toml"
 
-	"fernlanding/internal/lab/linear"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/roster/config"
-	"fernlanding/internal/roster/member"
-	"fernlanding/internal/roster/registrar"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/faultlab/linear"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/registry/config"
+	"merlinpick/internal/registry/raftnode"
+	"merlinpick/internal/registry/registrar"
+	"merlinpick/internal/registry/state"
 )
 
 const patience = 30 * time.Second
@@ -43,8 +43,8 @@
 	}
 	defer os.RemoveAll(dir)
 	program = filepath.Join(dir, "roster")
-	proxyProgram = filepath.Join(dir, "fernlanding")
-	for path, of := range map[string]string{program: ".", proxyProgram: "../fernlanding"} {
+	proxyProgram = filepath.Join(dir, "merlinpick-proxy")
+	for path, of := range map[string]string{program: ".", proxyProgram: "../merlinpick-proxy"} {
 		if out, err := exec.Command("go", "build", "-o", path, of).CombinedOutput(); err != nil {
 			panic(string(out))
 		}
@@ -141,7 +141,7 @@
 	s.procs[i] = p
 }
 
-func (s *cluster) status(i int) (st member.Status, err error) {
+func (s *cluster) status(i int) (st raftnode.Status, err error) {
 	text, err := get(s.t.Context(), time.Second, "http://"+s.addrs[i]+"/v1/member")
 	if err == nil {
 		err = json.Unmarshal(text, &st)
@@ -182,8 +182,8 @@
 }
 
 func record(name string, since int64) state.Record {
-	return state.Record{Entry: state.Entry{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: state.Serving, Weight: 1, Since: since},
-		Instance: fmt.Sprint("i", since), LeaseMs: state.LeaseMost.Milliseconds()}
+	return state.Record{Endpoint: state.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: state.StatusServing, Weight: 1, Since: since},
+		Instance: fmt.Sprint("i", since), LeaseMs: state.MaxLease.Milliseconds()}
 }
 
 // list is a current list, of one member.
@@ -195,7 +195,7 @@
 	var l struct {
 		Line      string
 		Index     int64
-		Endpoints []state.Entry
+		Endpoints []state.Endpoint
 	}
 	if err := json.Unmarshal(text, &l); err != nil {
 		return "", 0, nil, err
@@ -290,13 +290,13 @@
 			}
 			for since := int64(1); ctx.Err() == nil; since++ {
 				rec := record(fmt.Sprintf("w%d-%d", w, r.IntN(3)), since)
-				ref := state.Ref{Name: rec.Name, Instance: rec.Instance}
-				ok := say(linear.Register, rec, linear.Value(state.Serving, rec.Instance), func(ctx context.Context) error {
+				ref := state.InstanceRef{Name: rec.Name, Instance: rec.Instance}
+				ok := say(linear.Register, rec, linear.Value(state.StatusServing, rec.Instance), func(ctx context.Context) error {
 					_, err := c.Register(ctx, rec)
 					return err
 				})
 				if ok && r.IntN(2) == 0 {
-					ok = say(linear.Drain, rec, linear.Value(state.Draining, rec.Instance), func(ctx context.Context) error {
+					ok = say(linear.Drain, rec, linear.Value(state.StatusDraining, rec.Instance), func(ctx context.Context) error {
 						_, err := c.Drain(ctx, ref)
 						return err
 					})
@@ -383,7 +383,7 @@
 	full(true)
 	short, stop := context.WithTimeout(ctx, 3*time.Second)
 	defer stop()
-	var no *registrar.Refused
+	var no *registrar.RejectedError
 	if _, err := c.Register(short, record("during", 2)); err == nil || errors.As(err, &no) {
 		t.Errorf("registered on full disks: %v", err)
 	}
--- a/cmd/roster/rollout_test.go
+++ b/cmd/merlinpick-registry/rollout_test.go
@@ -19,9 +19,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/rollout"
-	"fernlanding/internal/roster/api"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/registry/api"
+	"merlinpick/internal/rollout"
 )
 
 // inForceWithin is what the operators ask for.
@@ -311,7 +311,7 @@
 		all = rest
 		until(t, "the stopped one to be unknown or behind", func() bool {
 			st := s.configStatus(t, s.awaitLeader(t))
-			return st.Counts[api.InForce] == len(all)-1 && st.Counts[api.Behind]+st.Counts[api.Unheard] == 1
+			return st.Counts[api.StateApplied] == len(all)-1 && st.Counts[api.StateBehind]+st.Counts[api.StateUnknown] == 1
 		})
 		if err := p.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
@@ -333,11 +333,11 @@
 		until(t, "all to refuse it", func() bool {
 			st := s.configStatus(t, 0)
 			for _, p := range st.Proxies {
-				if p.State == api.Refused && (p.InForce != version || !strings.Contains(p.Why, "settings.profiles[0].worth: is missing")) {
+				if p.State == api.StateRejected && (p.AppliedVersion != version || !strings.Contains(p.RejectReason, "settings.profiles[0].worth: is missing")) {
 					t.Errorf("%+v", p)
 				}
 			}
-			return st.Counts[api.Refused] == len(all) && st.Lowest == version && st.Highest == version
+			return st.Counts[api.StateRejected] == len(all) && st.Lowest == version && st.Highest == version
 		})
 		for _, f := range all {
 			if figs := f.figures(); !f.has(version, before) || figs["config_refused"] != next {
@@ -381,7 +381,7 @@
 	t.Run("all members and a proxy are killed", func(t *testing.T) {
 		p := all[0]
 		until(t, "what is in force to be kept", func() bool {
-			k, err := rollout.Read(filepath.Join(p.dir, "state"), "tarifas")
+			k, err := rollout.LoadCached(filepath.Join(p.dir, "state"), "tarifas")
 			return err == nil && k != nil && k.Version == version
 		})
 		for i := range s.procs {
@@ -415,7 +415,7 @@
 		i := (l + 1) % 3
 		until(t, "all to be in force", func() bool {
 			st := s.configStatus(t, l)
-			return st.Counts[api.InForce] == len(all) && !st.Partial && len(st.Silent) == 0 && st.Version == version
+			return st.Counts[api.StateApplied] == len(all) && !st.Partial && len(st.Silent) == 0 && st.Version == version
 		})
 		stop(t, s.procs[i])
 		begun := time.Now()
--- a/cmd/roster/rolloutbench_test.go
+++ b/cmd/merlinpick-registry/rolloutbench_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/rollout"
+	"merlinpick/internal/rollout"
 )
 
 // noted notes when a document came.
@@ -58,8 +58,8 @@
 			version, _ := put(0, "first")
 			for i := range all {
 				all[i] = &noted{}
-				c := rollout.New(rollout.Config{Service: service, Name: fmt.Sprint("p", i), Members: s.addrs, Seed: uint64(i),
-					Log: slog.New(slog.DiscardHandler)}, all[i])
+				c := rollout.New(rollout.Config{Service: service, ProxyName: fmt.Sprint("p", i), Members: s.addrs, Seed: uint64(i),
+					Logger: slog.New(slog.DiscardHandler)}, all[i])
 				clients.Go(func() { c.Run(ctx) })
 			}
 			await := func(times int) (at []time.Time) {
--- a/cmd/roster/serve.go
+++ b/cmd/merlinpick-registry/serve.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/roster/api"
-	"fernlanding/internal/roster/config"
-	"fernlanding/internal/roster/figures"
-	"fernlanding/internal/roster/member"
+	"merlinpick/internal/registry/api"
+	"merlinpick/internal/registry/config"
+	"merlinpick/internal/registry/metrics"
+	"merlinpick/internal/registry/raftnode"
 )
 
 const endWait = 2 * time.Second // for those who watch to be told to go elsewhere
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := api.Listen(api.Config{Listen: f.Listen, Name: f.Name, Watchers: f.Watchers, Log: log})
+	a, err := api.Listen(api.Config{Listen: f.Listen, Name: f.Name, Watchers: f.Watchers, Logger: log})
 	if err != nil {
 		return err
 	}
@@ -34,35 +34,35 @@
 	defer stop(nil)
 	var parts sync.WaitGroup
 	defer parts.Wait()
-	defer a.End(endWait)
+	defer a.Shutdown(endWait)
 	parts.Go(func() { stop(a.Serve()) })
-	var figs *figures.Server
+	var figs *metrics.Server
 	if f.Figures != "" {
-		if figs, err = figures.Listen(f.Figures, a, log); err != nil {
+		if figs, err = metrics.Listen(f.Figures, a, log); err != nil {
 			return err
 		}
-		defer figs.End()
+		defer figs.Close()
 		parts.Go(func() { stop(figs.Serve()) })
 	}
 	cfg := f.Member()
-	cfg.Log = log
-	m, err := member.Open(ctx, cfg)
+	cfg.Logger = log
+	m, err := raftnode.Open(ctx, cfg)
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	a.Open(m)
+	a.SetNode(m)
 	if figs != nil {
-		figs.Open(m)
+		figs.SetNode(m)
 		log.Info("a member of the list service", "name", f.Name, "list", a.Addr(), "figures", figs.Addr(), "dir", f.Dir)
 	} else {
 		log.Info("a member of the list service", "name", f.Name, "list", a.Addr(), "dir", f.Dir)
 	}
 	<-ctx.Done()
 	cause := context.Cause(ctx)
-	a.End(endWait)
+	a.Shutdown(endWait)
 	if err := m.Close(); err != nil {
 		log.Warn("the member did not end cleanly", "error", err)
 	}
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	empty, err := member.Check(f.Dir, f.Name, log)
+	empty, err := raftnode.Check(f.Dir, f.Name, log)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errNo, err)
 	}
