--- a/cmd/roster/slope_callers_test.go
+++ b/cmd/merlinpick-registry/slope_callers_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/lab/capacity"
-	"fernlanding/internal/roster/registrar"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/faultlab/capacity"
+	"merlinpick/internal/registry/registrar"
+	"merlinpick/internal/registry/state"
 )
 
 // BenchmarkSlopeFollowing is a proxy's control bytes, in and out, by changes of the list: the client that proxies have.
@@ -28,12 +28,12 @@
 			addr, count := relay(b, s.addrs[0])
 			ctx, end := context.WithCancel(b.Context())
 			var all sync.WaitGroup
-			d := discovery.New(discovery.Config{Source: discovery.Source{Members: []string{addr}}, Seed: uint64(r), Log: slog.New(slog.DiscardHandler)})
+			d := discovery.New(discovery.Config{Source: discovery.Source{Members: []string{addr}}, Seed: uint64(r), Logger: slog.New(slog.DiscardHandler)})
 			all.Go(func() { d.Run(ctx) })
 			all.Go(func() {
 				for {
 					select {
-					case <-d.News():
+					case <-d.Updates():
 					case <-ctx.Done():
 						return
 					}
@@ -88,7 +88,7 @@
 					defer c.Close()
 					n := listed(r*len(leases) + i)
 					n.LeaseMs = int64(lease * 1000)
-					if err := c.Keep(ctx, n, nil); err != nil && ctx.Err() == nil {
+					if err := c.KeepRegistered(ctx, n, nil); err != nil && ctx.Err() == nil {
 						b.Error(err)
 					}
 				})
@@ -138,7 +138,7 @@
 			for _, rate := range rates {
 				ctx, stop := context.WithCancel(b.Context())
 				all := pace(ctx, rate, 1, func(int, int) {
-					if _, err := c.Renew(ctx, state.Ref{Name: n.Name, Instance: n.Instance}); err != nil && ctx.Err() == nil {
+					if _, err := c.Renew(ctx, state.InstanceRef{Name: n.Name, Instance: n.Instance}); err != nil && ctx.Err() == nil {
 						b.Error(err)
 					}
 				})
--- a/cmd/roster/slope_test.go
+++ b/cmd/merlinpick-registry/slope_test.go
@@ -18,10 +18,10 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/lab/capacity"
-	"fernlanding/internal/roster/registrar"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/faultlab/capacity"
+	"merlinpick/internal/registry/registrar"
+	"merlinpick/internal/registry/state"
 )
 
 var (
@@ -46,7 +46,7 @@
 		return // a void run is no figure
 	}
 	s.Commit, s.Machine = *slopesCommit, *slopesOn
-	s.Command = "go test -run xxx -bench " + strings.ReplaceAll(b.Name(), "Benchmark", "") + "$ -benchtime 1x ./cmd/roster"
+	s.Command = "go test -run xxx -bench " + strings.ReplaceAll(b.Name(), "Benchmark", "") + "$ -benchtime 1x ./cmd/merlinpick-registry"
 	s.Note = strings.Trim(s.Note+"; "+*slopesNote, "; ")
 	if err := s.Record(*slopesTo, sizes, runs); err != nil {
 		b.Error(err)
@@ -100,7 +100,7 @@
 func listed(i int) state.Record {
 	r := record(fmt.Sprintf("s-%08x", i), 1_790_000_000_000)
 	r.Address, r.Zone, r.Type = fmt.Sprintf("10.%d.%d.18:8443", i/250, i%250), fmt.Sprintf("zone-%d", i%9), "m2"
-	r.LeaseMs = state.LeaseMost.Milliseconds()
+	r.LeaseMs = state.MaxLease.Milliseconds()
 	return r
 }
 
@@ -163,7 +163,7 @@
 			l, f := load(b, s, rates, func(ctx context.Context, rate float64) *sync.WaitGroup {
 				return pace(ctx, rate, len(clients), func(c, i int) {
 					n := listed(i % planned)
-					if _, err := clients[c].Renew(ctx, state.Ref{Name: n.Name, Instance: n.Instance}); err != nil && ctx.Err() == nil {
+					if _, err := clients[c].Renew(ctx, state.InstanceRef{Name: n.Name, Instance: n.Instance}); err != nil && ctx.Err() == nil {
 						b.Error(err)
 					}
 				})
@@ -204,7 +204,7 @@
 		if err != nil {
 			return err
 		}
-		from = l.Index
+		from = l.Version
 	}
 }
 
--- a/cmd/simhost/serve.go
+++ b/cmd/merlinpick-simadapter/serve.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"io"
 
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/settings"
 )
 
 const (
@@ -19,7 +19,7 @@
 
 // instance is one proxy's balancer with the host that carries out its decisions.
 type instance struct {
-	bal  *logic.Balancer
+	bal  *balancer.Balancer
 	host *host
 }
 
@@ -28,7 +28,7 @@
 	now       int64
 	inBatch   bool
 	instances map[string]*instance
-	rosters   [rosters][]logic.Server
+	rosters   [rosters][]balancer.Server
 	listed    [rosters]bool
 	out       *bufio.Writer
 	enc       *json.Encoder
@@ -162,7 +162,7 @@
 	if err != nil {
 		return fmt.Errorf("new_instance: options.%w", err)
 	}
-	bal, err := logic.New(site.Logic, *n.Salt)
+	bal, err := balancer.New(site.Balancer, *n.Salt)
 	if err != nil {
 		return fmt.Errorf("new_instance: %w", err)
 	}
@@ -179,14 +179,14 @@
 		return errors.New("membership: how is missing or unknown")
 	}
 	kind := kinds[*m.How]
-	if kind == logic.Failed {
-		in.bal.List(s.now, in.host, kind, nil)
+	if kind == balancer.UpdateFailed {
+		in.bal.UpdateEndpoints(s.now, in.host, kind, nil)
 		return nil
 	}
 	if m.Roster == nil || *m.Roster < 0 || *m.Roster >= rosters || !s.listed[*m.Roster] {
 		return errors.New("membership: roster_id is missing or unknown")
 	}
-	in.bal.List(s.now, in.host, kind, s.rosters[*m.Roster])
+	in.bal.UpdateEndpoints(s.now, in.host, kind, s.rosters[*m.Roster])
 	return nil
 }
 
@@ -198,8 +198,8 @@
 	if j.Ticket == nil || j.Band == nil || j.GiveUp == nil {
 		return errors.New("job_in: ticket, band or give_up_at_us is missing")
 	}
-	in.bal.Request(s.now, in.host, logic.Request{ID: *j.Ticket, Class: *j.Band, Tenant: j.Owner, Key: j.Key,
-		GiveUp: *j.GiveUp})
+	in.bal.HandleRequest(s.now, in.host, balancer.Request{ID: *j.Ticket, Class: *j.Band, Tenant: j.Owner, Key: j.Key,
+		Deadline: *j.GiveUp})
 	return nil
 }
 
@@ -215,8 +215,8 @@
 	if !ok {
 		return fmt.Errorf("completed: unknown verdict %d", *c.Verdict)
 	}
-	in.bal.Outcome(s.now, in.host, logic.Outcome{ID: *c.Ticket, Attempt: *c.Go, Status: status,
-		Took: c.Took, Closed: c.Terminal})
+	in.bal.HandleOutcome(s.now, in.host, balancer.Outcome{RequestID: *c.Ticket, Attempt: *c.Go, Status: status,
+		Latency: c.Took, RequestDone: c.Terminal})
 	return nil
 }
 
@@ -228,7 +228,7 @@
 	if t.Ticket == nil {
 		return errors.New("withdrawn: ticket is missing")
 	}
-	in.bal.Withdrawn(s.now, in.host, *t.Ticket)
+	in.bal.HandleClientGone(s.now, in.host, *t.Ticket)
 	return nil
 }
 
@@ -240,7 +240,7 @@
 	if c.Ticket == nil {
 		return errors.New("established: ticket is missing")
 	}
-	in.bal.Started(s.now, *c.Ticket)
+	in.bal.HandleResponseStarted(s.now, *c.Ticket)
 	return nil
 }
 
@@ -252,6 +252,6 @@
 	if t.Nonce == nil {
 		return errors.New("tick_due: nonce is missing")
 	}
-	in.bal.Timer(s.now, in.host, *t.Nonce)
+	in.bal.HandleTimer(s.now, in.host, *t.Nonce)
 	return nil
 }
--- a/cmd/simhost/serve_test.go
+++ b/cmd/merlinpick-simadapter/serve_test.go
@@ -164,7 +164,7 @@
 	enc.SetEscapeHTML(false)
 	h := &host{who: "proxy_1", out: enc}
 	h.Send("aa", "backend-x", 0, 7)
-	h.Refuse("aa", 250000)
+	h.Reject("aa", 250000)
 	h.Fail("aa")
 	h.SetTimer(500000, "sweep")
 	h.Watch()
--- a/cmd/simhost/wire.go
+++ b/cmd/merlinpick-simadapter/wire.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // event is one line of input: an object with a single key, the event's name.
@@ -86,20 +86,20 @@
 	Nonce *string `json:"nonce"`
 }
 
-var statuses = map[int]logic.Status{
-	200: logic.OK, 500: logic.Error, 503: logic.FullUp, 504: logic.TimedOut, 502: logic.ConnectFailed,
-	598: logic.Reset, 499: logic.Cancelled, 410: logic.Moot,
+var statuses = map[int]balancer.Status{
+	200: balancer.StatusOK, 500: balancer.StatusError, 503: balancer.StatusRejected, 504: balancer.StatusTimedOut, 502: balancer.StatusConnectFailed,
+	598: balancer.StatusReset, 499: balancer.StatusCancelled, 410: balancer.StatusNotSent,
 }
 
 // kinds and states are the wire's numbers.
 var (
-	kinds  = [...]logic.ListKind{logic.Delta, logic.Full, logic.Cached, logic.Failed}
-	states = [...]logic.State{logic.Gone, logic.Ready, logic.Draining}
+	kinds  = [...]balancer.UpdateKind{balancer.UpdateDelta, balancer.UpdateSnapshot, balancer.UpdateCached, balancer.UpdateFailed}
+	states = [...]balancer.ServerState{balancer.ServerRemoved, balancer.ServerReady, balancer.ServerDraining}
 )
 
 // servers turns a roster's elements into the library's servers.
-func (l *ledger) servers() ([]logic.Server, error) {
-	out := make([]logic.Server, 0, len(*l.Elements))
+func (l *ledger) servers() ([]balancer.Server, error) {
+	out := make([]balancer.Server, 0, len(*l.Elements))
 	for i, e := range *l.Elements {
 		if e.Backend == nil || e.State == nil || e.DC == nil {
 			return nil, fmt.Errorf("elements[%d]: backend, dc or state is missing", i)
@@ -107,10 +107,10 @@
 		if *e.State < 0 || *e.State >= len(states) {
 			return nil, fmt.Errorf("elements[%d].state: unknown state %d", i, *e.State)
 		}
-		s := logic.Server{ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
-			State: states[*e.State], Size: 1, Launched: e.Launched}
+		s := balancer.Server{ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
+			State: states[*e.State], CapacityHint: 1, StartTime: e.Launched}
 		if e.Power != nil {
-			s.Size = *e.Power
+			s.CapacityHint = *e.Power
 		}
 		out = append(out, s)
 	}
@@ -173,7 +173,7 @@
 	h.write(action{Place: &place{h.who, id, timeout, server}})
 }
 
-func (h *host) Refuse(id string, after int64) {
+func (h *host) Reject(id string, after int64) {
 	h.write(action{OverloadReply: &overloadReply{h.who, id, after}})
 }
 
@@ -185,4 +185,4 @@
 
 func (h *host) Watch() { h.write(action{Subscribe: &subscribe{h.who, true}}) }
 
-func (h *host) Log(event logic.Event) { h.write(action{Emit: &emit{h.who, event.String()}}) }
+func (h *host) Log(event balancer.Event) { h.write(action{Emit: &emit{h.who, event.String()}}) }
--- a/internal/durable/durable.go
+++ b/internal/atomicfile/atomicfile.go
@@ -8,7 +8,7 @@
 //
 // Each of its bytes is covered by the length, by the checksum or by the head's exact form, so that nothing that is cut,
 // spoilt or grown passes.
-package durable
+package atomicfile
 
 import (
 	"bytes"
--- a/internal/durable/keeper.go
+++ b/internal/atomicfile/keeper.go
@@ -1,4 +1,4 @@
-package durable
+package atomicfile
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 // Keeper writes the newest of something down, in a goroutine of its own, and again while the disk does not take it. A disk
 // that takes none, or is slow, is said once and harms nothing else: the file is of use to the next start only.
-type Keeper struct {
+type Writer struct {
 	dir, file, kind, what string
 	log                   *slog.Logger
 	next                  chan func() []byte // the newest only
@@ -21,12 +21,12 @@
 }
 
 // NewKeeper keeps a sealed text of a kind in a folder's file; what names it in the log.
-func NewKeeper(dir, file, kind, what string, log *slog.Logger) *Keeper {
-	return &Keeper{dir: dir, file: file, kind: kind, what: what, log: log, next: make(chan func() []byte, 1)}
+func NewWriter(dir, file, kind, what string, log *slog.Logger) *Writer {
+	return &Writer{dir: dir, file: file, kind: kind, what: what, log: log, next: make(chan func() []byte, 1)}
 }
 
 // Put has a text written soon; it is made then. Only one goroutine calls it.
-func (k *Keeper) Put(text func() []byte) {
+func (k *Writer) Put(text func() []byte) {
 	select {
 	case <-k.next:
 	default:
@@ -35,7 +35,7 @@
 }
 
 // Run writes until the context ends; what it gives waits for its end.
-func (k *Keeper) Run(ctx context.Context) (ended func()) {
+func (k *Writer) Run(ctx context.Context) (ended func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -74,7 +74,7 @@
 }
 
 // write tells whether the disk has taken a text.
-func (k *Keeper) write(text []byte) bool {
+func (k *Writer) write(text []byte) bool {
 	err := os.MkdirAll(k.dir, 0o700)
 	if err == nil {
 		err = WriteFile(filepath.Join(k.dir, k.file), Seal(k.kind, text))
--- a/internal/durable/keeper_test.go
+++ b/internal/atomicfile/keeper_test.go
@@ -1,4 +1,4 @@
-package durable
+package atomicfile
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 		if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file where the folder is to be
 			t.Fatal(err)
 		}
-		k := NewKeeper(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
+		k := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
 		ctx, stop := context.WithCancel(t.Context())
 		ended := k.Run(ctx)
 		k.Put(func() []byte { return []byte("newest") })
@@ -41,7 +41,7 @@
 		if err := os.WriteFile(dir, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		k := NewKeeper(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
+		k := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
 		ctx, stop := context.WithCancel(t.Context())
 		ended := k.Run(ctx)
 		k.Put(func() []byte { return []byte("older") })
@@ -69,7 +69,7 @@
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	ended := NewKeeper(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler)).Run(ctx)
+	ended := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler)).Run(ctx)
 	stop()
 	ended()
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
--- a/internal/fleet/part.go
+++ b/internal/cluster/part.go
@@ -1,6 +1,6 @@
 // Package fleet makes a proxy a member of a fleet: it reads the configuration's section, and joins package link with the
 // proxy's module and bans. Only a program that is to have it imports it.
-package fleet
+package cluster
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/bans"
-	"fernlanding/internal/fleet/link"
-	"fernlanding/internal/fleet/words"
-	"fernlanding/internal/mgmt"
-	"fernlanding/internal/proxy"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/cluster/adapter"
+	"merlinpick/internal/cluster/transport"
+	"merlinpick/internal/management"
+	"merlinpick/internal/override"
+	"merlinpick/internal/proxy"
 )
 
 const (
@@ -28,9 +28,9 @@
 
 // part is a proxy's part in its fleet.
 type part struct {
-	cfg  link.Config
-	bans *bans.Bans // nil unless watched
-	link atomic.Pointer[link.Link]
+	cfg  transport.Config
+	bans *override.Overrides // nil unless watched
+	link atomic.Pointer[transport.Node]
 	last atomic.Pointer[word]
 	lost atomic.Int64 // notices of zones that this proxy does not know
 
@@ -40,16 +40,16 @@
 
 // word is what the link told, and when.
 type word struct {
-	link.Snapshot
+	transport.Snapshot
 	at int64
 }
 
 // open binds the fleet's address. One that another process has is tried again in Run: a start waits neither for the
 // fleet nor for a predecessor.
-func open(c link.Config, self proxy.FleetSelf) (*part, error) {
-	c.Zone, c.Tier, c.Start, c.State = self.Zone, strconv.Itoa(self.Tier), self.Start, self.State
-	c.Now, c.Log = self.Now, self.Log
-	f := &part{cfg: c, bans: self.Bans}
+func open(c transport.Config, self proxy.ClusterIdentity) (*part, error) {
+	c.Zone, c.Tier, c.StartedAtMs, c.StateDir = self.Zone, strconv.Itoa(self.Tier), self.StartedAtMs, self.StateDir
+	c.Now, c.Logger = self.Now, self.Logger
+	f := &part{cfg: c, bans: self.Overrides}
 	if err := f.open(); err != nil && !errors.Is(err, syscall.EADDRINUSE) {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 }
 
 func (f *part) open() error {
-	k, err := link.Open(f.cfg)
+	k, err := transport.Open(f.cfg)
 	if err == nil {
 		f.link.Store(k)
 	}
@@ -77,9 +77,9 @@
 	}()
 	for {
 		select {
-		case s := <-k.Peers():
+		case s := <-k.Snapshots():
 			f.last.Store(&word{s, f.cfg.Now()})
-			f.suspended(s.Hands)
+			f.suspended(s.Overrides)
 		case <-ended:
 			return
 		}
@@ -97,7 +97,7 @@
 		}
 		if time.Since(said) >= bindSay {
 			said = time.Now()
-			f.cfg.Log.Warn("this proxy decides alone, and tries again", "error", err)
+			f.cfg.Logger.Warn("this proxy decides alone, and tries again", "error", err)
 		}
 		select {
 		case <-tick.C:
@@ -120,22 +120,22 @@
 		return
 	}
 	f.hands = hands
-	f.bans.Outside(hands)
+	f.bans.SetRemote(hands)
 	f.mu.Unlock()
 	for nodo, is := range hands {
 		if !is && before[nodo] {
-			if err := f.bans.Lift(nodo); err != nil {
-				f.cfg.Log.Error("a server that the fleet resumed is still out here; resume it here", "nodo", nodo, "error", err)
+			if err := f.bans.ClearLocal(nodo); err != nil {
+				f.cfg.Logger.Error("a server that the fleet resumed is still out here; resume it here", "nodo", nodo, "error", err)
 			}
 		}
 	}
 }
 
 // Told passes a call by hand on to the whole fleet.
-func (f *part) Told(nodo string, suspended bool) error {
+func (f *part) NotifyOverride(nodo string, suspended bool) error {
 	k := f.link.Load()
 	if k == nil {
-		return link.ErrEnded
+		return transport.ErrClosed
 	}
 	do := k.Resume
 	if suspended {
@@ -152,35 +152,35 @@
 	}
 	hands[nodo] = suspended
 	f.hands = hands
-	f.bans.Outside(hands)
+	f.bans.SetRemote(hands)
 	return nil
 }
 
 // Figures are nothing but that it is not open until the address is bound.
-func (f *part) Figures() *mgmt.Fleet {
+func (f *part) Metrics() *management.Cluster {
 	k := f.link.Load()
 	if k == nil {
-		return &mgmt.Fleet{Living: 1, Near: 1, Alone: true}
+		return &management.Cluster{LiveMembers: 1, LiveMembersInZone: 1, Isolated: true}
 	}
-	x := k.Figures()
-	x.Refused["zone"] = f.lost.Load()
-	return &mgmt.Fleet{Open: true, Living: x.Living, Near: x.Near, Alone: x.Alone, TimesAlone: x.TimesAlone, Entries: x.Entries,
-		Oldest: x.Oldest, Suspended: x.Suspended, In: x.In, Out: x.Out, Sent: x.Sent, Dropped: x.Dropped, Joined: x.Joined,
-		Gone: x.Gone, Tried: x.Tried, Failed: x.Failed, Refused: x.Refused}
+	x := k.Metrics()
+	x.Rejected["zone"] = f.lost.Load()
+	return &management.Cluster{Open: true, LiveMembers: x.LiveMembers, LiveMembersInZone: x.LiveMembersInZone, Isolated: x.Isolated, Isolations: x.Isolations, Entries: x.Entries,
+		OldestEntry: x.OldestEntry, SuspendedServers: x.SuspendedServers, BytesIn: x.BytesIn, BytesOut: x.BytesOut, Sent: x.Sent, Dropped: x.Dropped, Joined: x.Joined,
+		Left: x.Left, JoinAttempts: x.JoinAttempts, JoinFailures: x.JoinFailures, Rejected: x.Rejected}
 }
 
 // Meet leaves the module alone until the address is bound: so long it decides as if there were no fleet.
-func (f *part) Meet(now int64, seen func(int64) []logic.Notice, zones map[string]int) (logic.Peers, bool) {
+func (f *part) ExchangeReports(now int64, seen func(int64) []balancer.Report, zones map[string]int) (balancer.PeerReports, bool) {
 	k := f.link.Load()
 	if k == nil {
-		return logic.Peers{}, false
+		return balancer.PeerReports{}, false
 	}
-	k.Say(words.Items(seen(now), zones))
+	k.Publish(adapter.ToObservations(seen(now), zones))
 	w := f.last.Load()
 	if w == nil || now-w.at > deafAfter.Microseconds() {
-		return logic.Peers{Living: 1, Near: 1, Alone: true}, true
+		return balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true}, true
 	}
-	notices, lost := words.Notices(now, w.Others, zones)
+	notices, lost := adapter.ToReports(now, w.PeerEntries, zones)
 	f.lost.Add(lost)
-	return logic.Peers{Living: w.Living, Near: w.Near, Alone: w.Alone, Notices: notices}, true
+	return balancer.PeerReports{LiveReplicas: w.LiveMembers, LiveReplicasInZone: w.LiveMembersInZone, Isolated: w.Isolated, Reports: notices}, true
 }
--- a/internal/fleet/queue/queue.go
+++ b/internal/cluster/queue/queue.go
@@ -8,13 +8,13 @@
 
 	"github.com/google/btree"
 
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
 )
 
 const (
-	Most     = 1024 // entries that wait to be passed on
-	eachTime = 64   // that are looked at for one datagram: more than fit
-	degree   = 32   // of the tree
+	MaxEntries = 1024 // entries that wait to be passed on
+	eachTime   = 64   // that are looked at for one datagram: more than fit
+	degree     = 32   // of the tree
 )
 
 // Queue holds the entries that are to be passed on, each a number of times that grows with the logarithm of the fleet.
@@ -35,12 +35,12 @@
 }
 
 type key struct {
-	kind              view.Kind
+	kind              state.Kind
 	subject, observer string
 }
 
 type queued struct {
-	entry view.Entry
+	entry state.Entry
 	sent  int
 	turn  uint64
 }
@@ -51,8 +51,8 @@
 		order: btree.NewG(degree, func(a, b *queued) bool { return first(a, b) < 0 })}
 }
 
-func keyOf(e *view.Entry) key {
-	if e.Kind == view.Hand { // one register a subject, whoever acted
+func keyOf(e *state.Entry) key {
+	if e.Kind == state.Override { // one register a subject, whoever acted
 		return key{e.Kind, e.Subject, ""}
 	}
 	return key{e.Kind, e.Subject, e.Observer}
@@ -63,8 +63,8 @@
 const ahead = 3
 
 // urgency is 0 for what people asked for, 1 for what is bad or changed, 2 for what is well, 3 for summaries.
-var urgency = [...]int{view.ServerBad: 1, view.ZoneBad: 1, view.ServerFlap: 1, view.ServerWell: 2, view.ZoneWell: 2,
-	view.ServerLoad: 3, view.Hand: 0}
+var urgency = [...]int{state.ServerUnhealthy: 1, state.ZoneUnhealthy: 1, state.ServerFlap: 1, state.ServerHealthy: 2, state.ZoneHealthy: 2,
+	state.ServerLoad: 3, state.Override: 0}
 
 // first orders by who goes first: the least sent, with the urgent ahead, and of these the newest.
 func first(a, b *queued) int {
@@ -74,7 +74,7 @@
 func (q *queued) rank() int { return q.sent + ahead*urgency[q.entry.Kind] }
 
 // Add puts entries in, in the place of what was told of the same before. Over the bound the one goes that was sent most.
-func (q *Queue) Add(entries []view.Entry) {
+func (q *Queue) Add(entries []state.Entry) {
 	if len(entries) == 0 {
 		return
 	}
@@ -90,7 +90,7 @@
 		q.waiting[k] = x
 		q.order.ReplaceOrInsert(x)
 	}
-	for len(q.waiting) > Most {
+	for len(q.waiting) > MaxEntries {
 		if last, ok := q.order.DeleteMax(); ok {
 			delete(q.waiting, keyOf(&last.entry))
 			q.dropped++
@@ -100,17 +100,17 @@
 
 // Take gives one packet of at most so many bytes, of the entries whose turn it is; nil if there are none. What has ended
 // goes unsent as its turn comes.
-func (q *Queue) Take(now int64, most int) []byte {
+func (q *Queue) NextPacket(now int64, most int) []byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.waiting) == 0 || most < view.LeastPacket {
+	if len(q.waiting) == 0 || most < state.MinPacketBytes {
 		return nil
 	}
 	var ended []*queued
 	ready := make([]*queued, 0, eachTime)
-	entries := make([]view.Entry, 0, eachTime)
+	entries := make([]state.Entry, 0, eachTime)
 	q.order.Ascend(func(x *queued) bool {
-		if x.entry.End() <= now {
+		if x.entry.ExpiresAt() <= now {
 			ended = append(ended, x)
 		} else {
 			ready, entries = append(ready, x), append(entries, x.entry)
@@ -120,7 +120,7 @@
 	for _, x := range ended {
 		q.drop(x)
 	}
-	packet, held := view.Pack(now, entries, most)
+	packet, held := state.Pack(now, entries, most)
 	times := q.times()
 	for _, i := range held {
 		x := ready[i]
@@ -152,4 +152,4 @@
 
 // Transmits is how often an entry is passed on by each member of a fleet of n. Each sending goes to another member, so
 // that 4*log10(n+1) of them by all who hold it leave out less than one in a thousand, at 30 % of packets lost too.
-func Transmits(n int) int { return Retransmits * int(math.Ceil(math.Log10(float64(n+1)))) }
+func TransmitCount(n int) int { return Retransmits * int(math.Ceil(math.Log10(float64(n+1)))) }
--- a/internal/fleet/queue/queue_test.go
+++ b/internal/cluster/queue/queue_test.go
@@ -4,17 +4,17 @@
 	"fmt"
 	"testing"
 
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
 )
 
 const packetMost = 1400
 
 // What is passed on is sent so many times, is as old as it is when it goes, and is not sent once it has ended.
 func TestQueue(t *testing.T) {
-	made := func(n int) (out []view.Entry) {
+	made := func(n int) (out []state.Entry) {
 		for i := range n {
-			out = append(out, view.Entry{Kind: view.ServerFlap, Subject: fmt.Sprint("s", i), Observer: "a", Incarnation: 1,
-				Seq: uint64(i + 1), Made: 1000, Life: view.ServerFlap.Life()})
+			out = append(out, state.Entry{Kind: state.ServerFlap, Subject: fmt.Sprint("s", i), Observer: "a", Incarnation: 1,
+				Seq: uint64(i + 1), ObservedAt: 1000, TTL: state.ServerFlap.TTL()})
 		}
 		return out
 	}
@@ -24,14 +24,14 @@
 	q.Add(entries) // the same again takes no more room
 	sent := map[string]int{}
 	now := int64(1000)
-	for p := q.Take(now, packetMost); p != nil; p = q.Take(now, packetMost) {
+	for p := q.NextPacket(now, packetMost); p != nil; p = q.NextPacket(now, packetMost) {
 		if now += 5000; len(p) > packetMost {
 			t.Fatalf("a packet of %d bytes", len(p))
 		}
-		in, _, err := view.Decode(now, p)
+		in, _, err := state.Decode(now, p)
 		for _, e := range in {
-			if sent[e.Subject]++; e.Made > 1000+5000 || err != nil {
-				t.Fatalf("at %d: made at %d: %v", now, e.Made, err)
+			if sent[e.Subject]++; e.ObservedAt > 1000+5000 || err != nil {
+				t.Fatalf("at %d: made at %d: %v", now, e.ObservedAt, err)
 			}
 		}
 	}
@@ -44,12 +44,12 @@
 		}
 	}
 	q.Add(entries)
-	p := q.Take(entries[0].End(), packetMost)
+	p := q.NextPacket(entries[0].ExpiresAt(), packetMost)
 	if n, _, _ := q.Counts(); p != nil || n != 0 {
 		t.Errorf("%d entries that have ended wait, %d bytes were sent", n, len(p))
 	}
-	q.Add(made(Most + 100))
-	if n, _, dropped := q.Counts(); n != Most || dropped != 100 {
+	q.Add(made(MaxEntries + 100))
+	if n, _, dropped := q.Counts(); n != MaxEntries || dropped != 100 {
 		t.Errorf("%d wait, %d were dropped", n, dropped)
 	}
 }
@@ -57,20 +57,20 @@
 // What is bad goes before what is well, also where that fills the datagrams; what is well still goes in the end.
 func TestUrgentEntriesGoFirst(t *testing.T) {
 	q := New(func() int { return 4 })
-	made := func(kind view.Kind, n int) {
+	made := func(kind state.Kind, n int) {
 		for i := range n {
-			q.Add([]view.Entry{{Kind: kind, Subject: fmt.Sprint(kind, i), Observer: "a", Incarnation: 1, Seq: uint64(i + 1),
-				Made: 1000, Life: kind.Life()}})
+			q.Add([]state.Entry{{Kind: kind, Subject: fmt.Sprint(kind, i), Observer: "a", Incarnation: 1, Seq: uint64(i + 1),
+				ObservedAt: 1000, TTL: kind.TTL()}})
 		}
 	}
-	made(view.ServerBad, 3)
-	made(view.ZoneWell, 500)
+	made(state.ServerUnhealthy, 3)
+	made(state.ZoneHealthy, 500)
 	bad := 0
 	for n := 1; n <= 8; n++ {
-		in, _, _ := view.Decode(1000, q.Take(1000, packetMost))
+		in, _, _ := state.Decode(1000, q.NextPacket(1000, packetMost))
 		well := 0
 		for _, e := range in {
-			if e.Kind == view.ZoneWell {
+			if e.Kind == state.ZoneHealthy {
 				well++
 			} else if n == 1 {
 				bad++
@@ -87,17 +87,17 @@
 
 // A full queue in a large fleet: each datagram takes what it holds, and as many come in.
 func BenchmarkFull(b *testing.B) {
-	q := New(func() int { return Transmits(1300) })
-	entries := make([]view.Entry, 1<<16)
+	q := New(func() int { return TransmitCount(1300) })
+	entries := make([]state.Entry, 1<<16)
 	for i := range entries {
-		entries[i] = view.Entry{Kind: view.ServerLoad, Subject: fmt.Sprintf("nodo-%04d", i%2600),
-			Observer: fmt.Sprintf("proxy-%04d", i%1300), Zone: "z1", Incarnation: 1_790_000_000_000, Seq: uint64(i + 1),
-			Start: 1_790_000_000_000, Made: 1000, Life: view.ServerLoad.Life(), Body: view.Body{Calls: 100, Value: 1500}}
+		entries[i] = state.Entry{Kind: state.ServerLoad, Subject: fmt.Sprintf("nodo-%04d", i%2600),
+			Observer: fmt.Sprintf("proxy-%04d", i%1300), ObserverZone: "z1", Incarnation: 1_790_000_000_000, Seq: uint64(i + 1),
+			SubjectStartMs: 1_790_000_000_000, ObservedAt: 1000, TTL: state.ServerLoad.TTL(), Body: state.Body{Calls: 100, Value: 1500}}
 	}
-	q.Add(entries[:Most])
+	q.Add(entries[:MaxEntries])
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i = (i + 32) % len(entries) {
-		if q.Take(1000, packetMost) == nil {
+		if q.NextPacket(1000, packetMost) == nil {
 			b.Fatal("nothing to send")
 		}
 		q.Add(entries[i : i+32])
--- a/internal/fleet/section.go
+++ b/internal/cluster/section.go
@@ -1,25 +1,25 @@
-package fleet
+package cluster
 
 import (
 	"cmp"
 	"encoding/json"
 	"errors"
 
-	"fernlanding/internal/config"
-	"fernlanding/internal/fleet/link"
-	"fernlanding/internal/proxy"
+	"merlinpick/internal/cluster/transport"
+	"merlinpick/internal/config"
+	"merlinpick/internal/proxy"
 )
 
 const defaultBind = "127.0.0.1:7946" // memberlist's port
 
 // Read is a config.FleetReader.
-func Read(section json.RawMessage, name string) (*proxy.FleetPlan, error) {
+func ReadConfig(section json.RawMessage, name string) (*proxy.ClusterPlan, error) {
 	c, f, err := read(section, name)
 	if err != nil {
 		return nil, err
 	}
 	off := func(part *bool) bool { return part != nil && !*part }
-	return &proxy.FleetPlan{Descriptors: link.Descriptors, Undamped: off(f.Damping), Untuned: off(f.Tuning), Open: func(self proxy.FleetSelf) (proxy.Fleet, error) {
+	return &proxy.ClusterPlan{Descriptors: transport.MaxDescriptors, DisableFlapDamping: off(f.Damping), DisableWeightTuning: off(f.Tuning), Open: func(self proxy.ClusterIdentity) (proxy.Cluster, error) {
 		f, err := open(*c, self)
 		if err != nil {
 			return nil, err
@@ -40,16 +40,16 @@
 }
 
 // read gives the section, and what of a link's configuration is its.
-func read(section json.RawMessage, name string) (c *link.Config, f object, err error) {
+func read(section json.RawMessage, name string) (c *transport.Config, f object, err error) {
 	if err := json.Unmarshal(section, &f); err != nil {
 		return nil, f, err
 	}
-	c = &link.Config{Name: cmp.Or(f.Name, name), Bind: cmp.Or(f.Bind, defaultBind), Advertise: f.Advertise, Label: f.Label,
+	c = &transport.Config{Name: cmp.Or(f.Name, name), Bind: cmp.Or(f.Bind, defaultBind), Advertise: f.Advertise, Label: f.Label,
 		Seeds: f.Seeds}
 	err = c.Check()
-	var fault *link.ConfigError
+	var fault *transport.ConfigError
 	if errors.As(err, &fault) {
-		return nil, f, &config.ConfigError{Key: "fleet." + fault.Key, Problem: fault.Cause, Remedy: fault.Remedy}
+		return nil, f, &config.ConfigError{Key: "fleet." + fault.Key, Problem: fault.Problem, Remedy: fault.Remedy}
 	}
 	return c, f, err
 }
--- a/internal/fleet/section_test.go
+++ b/internal/cluster/section_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"fernlanding/internal/config"
+	"merlinpick/internal/config"
 )
 
 const whole = `{"name":%q,"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"contract":{},` +
@@ -32,18 +32,18 @@
 func TestPartsAreStopped(t *testing.T) {
 	for section, want := range map[string][2]bool{`{"label":"x"}`: {false, false}, `{"label":"x","damping":false}`: {true, false},
 		`{"label":"x","damping":true,"tuning":false}`: {false, true}} {
-		c, _, err := load(t, "n", section, "", Read)
+		c, _, err := load(t, "n", section, "", ReadConfig)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := c.Proxy.Site.Logic; s.Undamped != want[0] || s.Untuned != want[1] {
-			t.Errorf("%s: undamped %t, untuned %t", section, s.Undamped, s.Untuned)
+		if s := c.Proxy.Site.Balancer; s.DisableFlapDamping != want[0] || s.DisableWeightTuning != want[1] {
+			t.Errorf("%s: undamped %t, untuned %t", section, s.DisableFlapDamping, s.DisableWeightTuning)
 		}
 	}
 }
 
 // load reads a whole configuration with this section.
-func load(t *testing.T, name, section, env string, reader config.FleetReader) (*config.Config, string, error) {
+func load(t *testing.T, name, section, env string, reader config.ClusterReader) (*config.Config, string, error) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, fmt.Appendf(nil, whole, name, section), 0o600); err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 		{"n", "", `{}`, "fleet.label", "missing"},
 		{"", "", `{"label":"x"}`, "fleet.name", "missing"},
 	} {
-		_, path, err := load(t, c.name, c.section, c.env, Read)
+		_, path, err := load(t, c.name, c.section, c.env, ReadConfig)
 		var fault *config.ConfigError
 		if !errors.As(err, &fault) || fault.File != path || fault.Key != c.key || !strings.Contains(fault.Problem, c.problem) ||
 			fault.Remedy == "" || strings.Contains(err.Error(), "\n") {
@@ -71,8 +71,8 @@
 		}
 	}
 	for _, c := range []struct{ name, env, section string }{{"n", "", `{"label":"x"}`}, {"", "m", `{"label":"x"}`}} {
-		got, _, err := load(t, c.name, c.section, c.env, Read)
-		if err != nil || got.Proxy.Fleet == nil || got.Proxy.Fleet.Descriptors == 0 {
+		got, _, err := load(t, c.name, c.section, c.env, ReadConfig)
+		if err != nil || got.Proxy.Cluster == nil || got.Proxy.Cluster.Descriptors == 0 {
 			t.Errorf("%+v: %+v, %v", c, got, err)
 		}
 	}
--- a/internal/fleet/view/bench_test.go
+++ b/internal/cluster/state/bench_test.go
@@ -1,4 +1,4 @@
-package view
+package state
 
 import (
 	"bytes"
@@ -9,13 +9,13 @@
 // crowd is what many proxies tell of some of 200 servers each, as All gives it.
 func crowd(proxies, each int) (all []Entry) {
 	for p := range proxies {
-		v := New(Self{fmt.Sprintf("proxy-%03d", p), fmt.Sprint("zone", p%3), 1_790_000_000_000 + int64(p)}, Limits{})
-		var items []Item
+		v := New(Identity{fmt.Sprintf("proxy-%03d", p), fmt.Sprint("zone", p%3), 1_790_000_000_000 + int64(p)}, Limits{})
+		var items []Observation
 		for i := range each {
-			items = append(items, Item{ServerBad, fmt.Sprintf("nodo-%03d", (p+7*i)%200), 1_790_000_100_000,
-				Body{Cause: 1, Calls: float64(10 + i), Bad: 0.7}})
+			items = append(items, Observation{ServerUnhealthy, fmt.Sprintf("nodo-%03d", (p+7*i)%200), 1_790_000_100_000,
+				Body{Fault: 1, Calls: float64(10 + i), BadFraction: 0.7}})
 		}
-		all = append(all, v.Say(0, items)...)
+		all = append(all, v.Publish(0, items)...)
 	}
 	return all
 }
@@ -28,12 +28,12 @@
 	in := crowd(100, 10)
 	for _, of := range []string{"known", "renewed", "new"} {
 		b.Run(of, func(b *testing.B) {
-			v := New(Self{Name: "self"}, Limits{})
+			v := New(Identity{Name: "self"}, Limits{})
 			v.Merge(0, in)
 			b.ReportAllocs()
 			for b.Loop() {
 				if of == "new" {
-					v = New(Self{Name: "self"}, Limits{})
+					v = New(Identity{Name: "self"}, Limits{})
 				}
 				if of == "renewed" {
 					for i := range in {
@@ -50,7 +50,7 @@
 // Each entry is new, and one of as many has to go for it.
 func BenchmarkMergeCrowded(b *testing.B) {
 	in := crowd(300, 10)
-	v := New(Self{Name: "self"}, Limits{Entries: 1500})
+	v := New(Identity{Name: "self"}, Limits{Entries: 1500})
 	b.ReportAllocs()
 	for b.Loop() {
 		v.Merge(0, in)
@@ -62,31 +62,31 @@
 }
 
 func BenchmarkKnown3000(b *testing.B) {
-	v := New(Self{Name: "self"}, Limits{})
+	v := New(Identity{Name: "self"}, Limits{})
 	v.Merge(0, crowd(300, 10))
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(v.Known(1)) != 3000 {
+		if len(v.PeerEntries(1)) != 3000 {
 			b.Fatal("not all known")
 		}
 	}
 }
 
 func BenchmarkSay200(b *testing.B) {
-	v := New(Self{Name: "self"}, Limits{})
-	var items []Item
+	v := New(Identity{Name: "self"}, Limits{})
+	var items []Observation
 	for i := range 200 {
-		items = append(items, Item{ServerLoad, fmt.Sprintf("nodo-%03d", i), 1, Body{Value: 1}})
+		items = append(items, Observation{ServerLoad, fmt.Sprintf("nodo-%03d", i), 1, Body{Value: 1}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		v.Say(1, items)
+		v.Publish(1, items)
 	}
 }
 
 func BenchmarkEncode(b *testing.B) {
 	in := crowd(100, 10)
-	for _, most := range []int{1400, MostPacket} {
+	for _, most := range []int{1400, MaxPacketBytes} {
 		b.Run(fmt.Sprint(most), func(b *testing.B) {
 			var packets [][]byte
 			b.ReportAllocs()
--- a/internal/fleet/view/codec.go
+++ b/internal/cluster/state/codec.go
@@ -1,4 +1,4 @@
-package view
+package state
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 )
 
 const (
-	MostPacket   = 64 << 10 // bytes that Decode reads
-	MostSequence = 4 << 20  // bytes that DecodeAll reads
-	LeastPacket  = 1024     // bytes that hold any entry whose names are within the default bound
+	MaxPacketBytes   = 64 << 10 // bytes that Decode reads
+	MaxSequenceBytes = 4 << 20  // bytes that DecodeAll reads
+	MinPacketBytes   = 1024     // bytes that hold any entry whose names are within the default bound
 
 	version     = 1
 	mostEntries = 1 << 15 // of a sequence
@@ -70,25 +70,25 @@
 
 // Skipped counts what Decode left out of a packet that it could read.
 type Skipped struct {
-	Kinds  int // entries of an unknown kind
-	Fields int // packets, groups and entries with unknown fields, that were read as far as known
-	Bad    int // groups and entries that are not of the known shape, or over the bound
-	Newer  int // packets of a newer version, that were read as far as known
+	UnknownKinds  int // entries of an unknown kind
+	UnknownFields int // packets, groups and entries with unknown fields, that were read as far as known
+	Malformed     int // groups and entries that are not of the known shape, or over the bound
+	NewerVersion  int // packets of a newer version, that were read as far as known
 }
 
 func (s *Skipped) add(o Skipped) {
-	s.Kinds, s.Fields, s.Bad, s.Newer = s.Kinds+o.Kinds, s.Fields+o.Fields, s.Bad+o.Bad, s.Newer+o.Newer
+	s.UnknownKinds, s.UnknownFields, s.Malformed, s.NewerVersion = s.UnknownKinds+o.UnknownKinds, s.UnknownFields+o.UnknownFields, s.Malformed+o.Malformed, s.NewerVersion+o.NewerVersion
 }
 
 // PacketError is a packet that was not read at all.
 type PacketError struct {
-	Size  int
-	Cause string
+	Size   int
+	Reason string
 }
 
 func (e *PacketError) Error() string {
 	return fmt.Sprintf("packet of %d bytes: %s: it was left out; see that all proxies with this label are this program",
-		e.Size, e.Cause)
+		e.Size, e.Reason)
 }
 
 // packer fills one packet after the other.
@@ -102,7 +102,7 @@
 }
 
 func newPacker(most int) *packer {
-	most = min(most, MostPacket)
+	most = min(most, MaxPacketBytes)
 	// The body never grows: what lies in it is kept by reference.
 	return &packer{most: most, size: bare, body: make([]byte, 0, max(most, 0)),
 		p: packet[group[cbor.RawMessage]]{Version: version}}
@@ -123,7 +123,7 @@
 	if !e.valid(now, k.most) || k.w.ended(e) || encoding.MarshalToBuffer(&k.w, &k.one) != nil {
 		return left
 	}
-	g := group[cbor.RawMessage]{Observer: e.Observer, Zone: e.Zone, Incarnation: e.Incarnation}
+	g := group[cbor.RawMessage]{Observer: e.Observer, Zone: e.ObserverZone, Incarnation: e.Incarnation}
 	head := 0
 	if len(k.p.Groups) == 0 || !g.same(&k.p.Groups[len(k.p.Groups)-1]) {
 		head = g.head()
@@ -209,36 +209,38 @@
 
 func (w *wire) from(now int64, e *Entry) {
 	*w = wire{
-		Kind: uint64(e.Kind), Seq: e.Seq, Subject: e.Subject, Age: age(now, e), Gone: e.Gone,
-		Cause: e.Body.Cause, Of: e.Body.Of, Calls: e.Body.Calls, Bad: e.Body.Bad, Value: e.Body.Value,
+		Kind: uint64(e.Kind), Seq: e.Seq, Subject: e.Subject, Age: age(now, e), Gone: e.Withdrawn,
+		Cause: e.Body.Fault, Of: e.Body.SubjectZone, Calls: e.Body.Calls, Bad: e.Body.BadFraction, Value: e.Body.Value,
 	}
-	if e.Life != e.Kind.Life() {
-		w.Life = e.Life / milli
+	if e.TTL != e.Kind.TTL() {
+		w.Life = e.TTL / milli
 	}
 	switch {
-	case e.Start == 0:
-	case e.Start == e.Incarnation:
-		w.Start = e.Start
+	case e.SubjectStartMs == 0:
+	case e.SubjectStartMs == e.Incarnation:
+		w.Start = e.SubjectStartMs
 	default:
-		w.Since = e.Start - e.Incarnation
+		w.Since = e.SubjectStartMs - e.Incarnation
 	}
 }
 
 // ended says whether a reader would find the entry ended.
-func (w *wire) ended(e *Entry) bool { return (e.Kind != Hand || e.Gone) && w.Age*milli >= e.Life }
+func (w *wire) ended(e *Entry) bool {
+	return (e.Kind != Override || e.Withdrawn) && w.Age*milli >= e.TTL
+}
 
 // entry is what a wire says, if its numbers can be held; whether they are valid is Merge's to say.
 func (w *wire) entry(now int64, observer, zone string, incarnation int64) (Entry, bool) {
 	e := Entry{
-		Kind: Kind(w.Kind), Seq: w.Seq, Subject: w.Subject, Made: now - w.Age*milli, Gone: w.Gone, Start: w.Start,
-		Observer: observer, Zone: zone, Incarnation: incarnation, Life: w.Life * milli,
-		Body: Body{Cause: w.Cause, Of: w.Of, Calls: w.Calls, Bad: w.Bad, Value: w.Value},
+		Kind: Kind(w.Kind), Seq: w.Seq, Subject: w.Subject, ObservedAt: now - w.Age*milli, Withdrawn: w.Gone, SubjectStartMs: w.Start,
+		Observer: observer, ObserverZone: zone, Incarnation: incarnation, TTL: w.Life * milli,
+		Body: Body{Fault: w.Cause, SubjectZone: w.Of, Calls: w.Calls, BadFraction: w.Bad, Value: w.Value},
 	}
-	if w.Life == 0 && (e.Kind != Hand || e.Gone) {
-		e.Life = e.Kind.Life()
+	if w.Life == 0 && (e.Kind != Override || e.Withdrawn) {
+		e.TTL = e.Kind.TTL()
 	}
 	if w.Since != 0 {
-		e.Start = incarnation + w.Since
+		e.SubjectStartMs = incarnation + w.Since
 	}
 	return e, w.Age >= 0 && w.Age <= mostAge && w.Life >= 0 && w.Life <= mostAge &&
 		incarnation >= 0 && incarnation <= mostStamp && -mostStamp <= w.Since && w.Since <= mostStamp
@@ -250,8 +252,8 @@
 // and one packet gives at most some 8,000 entries. The error is a *PacketError.
 func Decode(now int64, data []byte) ([]Entry, Skipped, error) {
 	var s Skipped
-	if len(data) > MostPacket {
-		return nil, s, &PacketError{len(data), fmt.Sprintf("over %d bytes", MostPacket)}
+	if len(data) > MaxPacketBytes {
+		return nil, s, &PacketError{len(data), fmt.Sprintf("over %d bytes", MaxPacketBytes)}
 	}
 	var p packet[group[wire]]
 	if strict.Unmarshal(data, &p) != nil {
@@ -279,18 +281,18 @@
 		return &PacketError{size, "it names no version"}
 	}
 	if of > version {
-		s.Newer++
+		s.NewerVersion++
 	}
 	return nil
 }
 
 func (s *Skipped) put(to []Entry, now int64, observer, zone string, incarnation int64, w *wire) []Entry {
 	if !known(w.Kind) {
-		s.Kinds++
+		s.UnknownKinds++
 	} else if e, ok := w.entry(now, observer, zone, incarnation); ok {
 		return append(to, e)
 	} else {
-		s.Bad++
+		s.Malformed++
 	}
 	return to
 }
@@ -311,7 +313,7 @@
 	for _, raw := range p.Groups {
 		var g group[cbor.RawMessage]
 		if s.read(raw, &g) != nil {
-			s.Bad++
+			s.Malformed++
 			continue
 		}
 		for _, raw := range g.Entries {
@@ -321,11 +323,11 @@
 			var w wire
 			switch {
 			case loose.Unmarshal(raw, &kind) != nil:
-				s.Bad++
+				s.Malformed++
 			case !known(kind.Kind):
-				s.Kinds++
+				s.UnknownKinds++
 			case s.read(raw, &w) != nil:
-				s.Bad++
+				s.Malformed++
 			default:
 				entries = s.put(entries, now, g.Observer, g.Zone, g.Incarnation, &w)
 			}
@@ -338,7 +340,7 @@
 func (s *Skipped) read(data []byte, to any) error {
 	err := strict.Unmarshal(data, to)
 	if unknown := (*cbor.UnknownFieldError)(nil); errors.As(err, &unknown) {
-		s.Fields++
+		s.UnknownFields++
 		err = loose.Unmarshal(data, to)
 	}
 	return err
@@ -352,8 +354,8 @@
 		all []Entry
 		raw cbor.RawMessage
 	)
-	if len(sequence) > MostSequence {
-		return nil, s, &PacketError{len(sequence), fmt.Sprintf("over %d bytes", MostSequence)}
+	if len(sequence) > MaxSequenceBytes {
+		return nil, s, &PacketError{len(sequence), fmt.Sprintf("over %d bytes", MaxSequenceBytes)}
 	}
 	for rest := sequence; len(rest) > 0; {
 		next, err := loose.UnmarshalFirst(rest, &raw)
--- a/internal/fleet/view/codec_test.go
+++ b/internal/cluster/state/codec_test.go
@@ -1,4 +1,4 @@
-package view
+package state
 
 import (
 	"bytes"
@@ -17,13 +17,13 @@
 		in := entries(4).Draw(t, "in")
 		for i := range in {
 			in[i].Observer += string(bytes.Repeat([]byte("x"), rapid.IntRange(0, 120).Draw(t, "long")))
-			in[i].Made -= rapid.Int64Range(0, milli-1).Draw(t, "within a millisecond")
-			if e := &in[i]; e.Kind != Hand {
-				e.Start = rapid.SampledFrom([]int64{0, e.Incarnation, 7, mostStamp}).Draw(t, "start")
+			in[i].ObservedAt -= rapid.Int64Range(0, milli-1).Draw(t, "within a millisecond")
+			if e := &in[i]; e.Kind != Override {
+				e.SubjectStartMs = rapid.SampledFrom([]int64{0, e.Incarnation, 7, mostStamp}).Draw(t, "start")
 				e.Body.Value = rapid.Float64Range(0, mostNumber).Draw(t, "value")
 			}
 		}
-		most := rapid.IntRange(LeastPacket, 4*LeastPacket).Draw(t, "most")
+		most := rapid.IntRange(MinPacketBytes, 4*MinPacketBytes).Draw(t, "most")
 		packets := Encode(at, in, most)
 		for _, p := range packets {
 			if len(p) > most {
@@ -35,10 +35,10 @@
 			t.Fatal(skipped, err)
 		}
 		want := slices.DeleteFunc(slices.Clone(in), func(e Entry) bool {
-			return e.End() != math.MaxInt64 && at-age(at, &e)*milli+e.Life <= at
+			return e.ExpiresAt() != math.MaxInt64 && at-age(at, &e)*milli+e.TTL <= at
 		})
 		for i := range want {
-			want[i].Made = at - age(at, &want[i])*milli
+			want[i].ObservedAt = at - age(at, &want[i])*milli
 		}
 		if !slices.Equal(got, want) {
 			t.Fatalf("sent\n%v\nand got\n%v", want, got)
@@ -50,7 +50,7 @@
 
 // What a newer or a broken program may send, beside one good entry.
 func TestOddPackets(t *testing.T) {
-	good := fields{1: ServerBad, 2: 1, 3: "s"}
+	good := fields{1: ServerUnhealthy, 2: 1, 3: "s"}
 	packet := func(version int, entries ...any) fields {
 		return fields{1: version, 2: []any{fields{1: "o", 3: 5, 4: append(entries, good)}}}
 	}
@@ -59,35 +59,35 @@
 		want Skipped
 	}{
 		"plain":              {packet(1), Skipped{}},
-		"newer":              {packet(9), Skipped{Newer: 1}},
-		"unknown kind":       {packet(1, fields{1: 200, 2: "not a number", 99: fields{1: 2}}), Skipped{Kinds: 1}},
-		"kind over a byte":   {packet(1, fields{1: 1 << 40, 2: 1, 3: "s"}), Skipped{Kinds: 1}},
-		"field in entry":     {packet(1, fields{1: ServerWell, 2: 1, 3: "s", 99: []any{"x", nil, 1.5}}), Skipped{Fields: 1}},
-		"named field":        {packet(1, map[any]any{1: ServerWell, 2: 1, 3: "s", "new": 1}), Skipped{Fields: 1}},
-		"field in group":     {fields{1: 1, 2: []any{fields{1: "o", 3: 5, 4: []any{good}, 99: true}}}, Skipped{Fields: 1}},
-		"field in packet":    {fields{1: 1, 2: []any{fields{1: "o", 3: 5, 4: []any{good}}}, 99: "x"}, Skipped{Fields: 1}},
-		"entry of no map":    {packet(1, 7), Skipped{Bad: 1}},
-		"empty entry":        {packet(1, fields{}), Skipped{Kinds: 1}},
-		"age under 0":        {packet(1, fields{1: ServerBad, 2: 1, 3: "s", 4: -1}), Skipped{Bad: 1}},
-		"age over all":       {packet(1, fields{1: ServerBad, 2: 1, 3: "s", 4: int64(1) << 62}), Skipped{Bad: 1}},
-		"life over all":      {packet(1, fields{1: ServerBad, 2: 1, 3: "s", 5: int64(1) << 62}), Skipped{Bad: 1}},
-		"start over all":     {packet(1, fields{1: ServerBad, 2: 1, 3: "s", 7: int64(1) << 62}), Skipped{Bad: 1}},
-		"a text for a count": {packet(1, fields{1: ServerBad, 2: "1", 3: "s"}), Skipped{Bad: 1}},
-		"group of no map":    {fields{1: 1, 2: []any{3, fields{1: "o", 3: 5, 4: []any{good}}}}, Skipped{Bad: 1}},
+		"newer":              {packet(9), Skipped{NewerVersion: 1}},
+		"unknown kind":       {packet(1, fields{1: 200, 2: "not a number", 99: fields{1: 2}}), Skipped{UnknownKinds: 1}},
+		"kind over a byte":   {packet(1, fields{1: 1 << 40, 2: 1, 3: "s"}), Skipped{UnknownKinds: 1}},
+		"field in entry":     {packet(1, fields{1: ServerHealthy, 2: 1, 3: "s", 99: []any{"x", nil, 1.5}}), Skipped{UnknownFields: 1}},
+		"named field":        {packet(1, map[any]any{1: ServerHealthy, 2: 1, 3: "s", "new": 1}), Skipped{UnknownFields: 1}},
+		"field in group":     {fields{1: 1, 2: []any{fields{1: "o", 3: 5, 4: []any{good}, 99: true}}}, Skipped{UnknownFields: 1}},
+		"field in packet":    {fields{1: 1, 2: []any{fields{1: "o", 3: 5, 4: []any{good}}}, 99: "x"}, Skipped{UnknownFields: 1}},
+		"entry of no map":    {packet(1, 7), Skipped{Malformed: 1}},
+		"empty entry":        {packet(1, fields{}), Skipped{UnknownKinds: 1}},
+		"age under 0":        {packet(1, fields{1: ServerUnhealthy, 2: 1, 3: "s", 4: -1}), Skipped{Malformed: 1}},
+		"age over all":       {packet(1, fields{1: ServerUnhealthy, 2: 1, 3: "s", 4: int64(1) << 62}), Skipped{Malformed: 1}},
+		"life over all":      {packet(1, fields{1: ServerUnhealthy, 2: 1, 3: "s", 5: int64(1) << 62}), Skipped{Malformed: 1}},
+		"start over all":     {packet(1, fields{1: ServerUnhealthy, 2: 1, 3: "s", 7: int64(1) << 62}), Skipped{Malformed: 1}},
+		"a text for a count": {packet(1, fields{1: ServerUnhealthy, 2: "1", 3: "s"}), Skipped{Malformed: 1}},
+		"group of no map":    {fields{1: 1, 2: []any{3, fields{1: "o", 3: 5, 4: []any{good}}}}, Skipped{Malformed: 1}},
 	} {
 		data, err := cbor.Marshal(c.data)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, skipped, err := Decode(at, data)
-		news := New(Self{Name: "self"}, Limits{}).Merge(at, got)
+		news := New(Identity{Name: "self"}, Limits{}).Merge(at, got)
 		if err != nil || skipped != c.want || len(news) == 0 || news[len(news)-1].Subject != "s" ||
 			news[len(news)-1].Incarnation != 5 {
 			t.Errorf("%s: %v, %+v, %v", name, got, skipped, err)
 		}
 	}
 	data, _ := cbor.Marshal(packet(1))
-	long, _ := cbor.Marshal(fields{1: 1, 99: make([]byte, MostPacket)})
+	long, _ := cbor.Marshal(fields{1: 1, 99: make([]byte, MaxPacketBytes)})
 	deep := bytes.Repeat([]byte{0x81}, 1000)
 	for name, data := range map[string][]byte{
 		"nothing": {}, "cut": data[:len(data)-1], "more": append(slices.Clone(data), 0), "no version": {0xa0},
@@ -103,16 +103,16 @@
 	if got, _, err := DecodeAll(at, append(slices.Clone(data), 0xff)); len(got) != 1 || !errors.As(err, &bad) {
 		t.Errorf("%v %v", got, err)
 	}
-	if _, _, err := DecodeAll(at, make([]byte, MostSequence+1)); !errors.As(err, &bad) {
+	if _, _, err := DecodeAll(at, make([]byte, MaxSequenceBytes+1)); !errors.As(err, &bad) {
 		t.Error(err)
 	}
 }
 
 func seeds(f *testing.F) {
-	v := New(Self{Name: "p", Zone: "z", Start: 1e12}, Limits{})
-	v.Say(at, []Item{{ServerBad, "s", 2e12, Body{1, "", 10, 0.5, 0}}, {Kind: ZoneBad, Subject: "z", Body: Body{Of: "y"}}})
+	v := New(Identity{Name: "p", Zone: "z", StartedAtMs: 1e12}, Limits{})
+	v.Publish(at, []Observation{{ServerUnhealthy, "s", 2e12, Body{1, "", 10, 0.5, 0}}, {Kind: ZoneUnhealthy, Subject: "z", Body: Body{SubjectZone: "y"}}})
 	v.Suspend(at, "s")
-	for _, data := range Encode(at, v.All(at), LeastPacket) {
+	for _, data := range Encode(at, v.Entries(at), MinPacketBytes) {
 		f.Add(data)
 	}
 	odd, _ := cbor.Marshal(fields{1: 2, 2: []any{fields{1: "o", 3: 5, 9: 9, 4: []any{fields{1: 99}, fields{1: 1, 2: 1, 3: "s", 99: 9}, 3}}}})
@@ -124,14 +124,14 @@
 	seeds(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		got, skipped, err := Decode(at, data)
-		if (err != nil && got != nil) || len(got) > MostPacket/8 || skipped.Bad+skipped.Kinds > MostPacket {
+		if (err != nil && got != nil) || len(got) > MaxPacketBytes/8 || skipped.Malformed+skipped.UnknownKinds > MaxPacketBytes {
 			t.Fatal(len(got), skipped, err)
 		}
-		again, skipped, err := DecodeAll(at, bytes.Join(Encode(at, got, MostPacket), nil))
+		again, skipped, err := DecodeAll(at, bytes.Join(Encode(at, got, MaxPacketBytes), nil))
 		if err != nil || skipped != (Skipped{}) {
 			t.Fatal(skipped, err)
 		}
-		got = slices.DeleteFunc(got, func(e Entry) bool { return !e.valid(at, MostPacket) || e.End() <= at })
+		got = slices.DeleteFunc(got, func(e Entry) bool { return !e.valid(at, MaxPacketBytes) || e.ExpiresAt() <= at })
 		if !slices.Equal(again, got) {
 			t.Fatalf("%v\n%v", got, again)
 		}
@@ -140,18 +140,18 @@
 
 // Two packets of any bytes leave a view within its bounds, and the same in either order.
 func FuzzMerge(f *testing.F) {
-	v := New(Self{Name: "p", Start: 1}, Limits{})
-	items := func(n int) (items []Item) {
+	v := New(Identity{Name: "p", StartedAtMs: 1}, Limits{})
+	items := func(n int) (items []Observation) {
 		for i := range n {
-			items = append(items, Item{Kind: ServerBad, Subject: fmt.Sprint(i)})
+			items = append(items, Observation{Kind: ServerUnhealthy, Subject: fmt.Sprint(i)})
 		}
 		return items
 	}
 	for n := 1; n < 4; n++ {
-		f.Add(Encode(at, v.Say(at, items(n)), 1500)[0], Encode(at, v.All(at), 1500)[0])
+		f.Add(Encode(at, v.Publish(at, items(n)), 1500)[0], Encode(at, v.Entries(at), 1500)[0])
 	}
 	f.Fuzz(func(t *testing.T, a, b []byte) {
-		one, two := New(Self{Name: "self", Start: 5}, Limits{}), New(Self{Name: "self", Start: 5}, Limits{})
+		one, two := New(Identity{Name: "self", StartedAtMs: 5}, Limits{}), New(Identity{Name: "self", StartedAtMs: 5}, Limits{})
 		first, _, _ := Decode(at, a)
 		second, _, _ := Decode(at, b)
 		one.Merge(at, first)
@@ -162,7 +162,7 @@
 		if c.Entries > 20_000 || c.Own > 512 || c.Observers > 1024 || c.Suspended+c.Resumed > 4096 {
 			t.Fatalf("%+v", c)
 		}
-		if x, y := one.Known(at), two.Known(at); c.Over+c.Crowded+two.Counts().Over+two.Counts().Crowded == 0 && !slices.Equal(x, y) {
+		if x, y := one.PeerEntries(at), two.PeerEntries(at); c.DroppedAtLimit+c.Evicted+two.Counts().DroppedAtLimit+two.Counts().Evicted == 0 && !slices.Equal(x, y) {
 			t.Fatalf("%v\n%v", x, y)
 		}
 	})
--- a/internal/fleet/view/fleet_test.go
+++ b/internal/cluster/state/fleet_test.go
@@ -1,4 +1,4 @@
-package view
+package state
 
 import (
 	"cmp"
@@ -23,9 +23,9 @@
 
 // A node is one proxy: its view, on a clock of its own, what it said last, and what it was seen to know.
 type node struct {
-	*View
+	*Store
 	clock int64 // ahead of the world's
-	said  []Item
+	said  []Observation
 	known map[told]number2
 	gone  map[told]number2 // no longer known: none up to it may be again
 }
@@ -45,17 +45,17 @@
 }
 
 func (w *world) start(i int, start int64) {
-	w.nodes[i] = &node{View: New(Self{fmt.Sprint("p", i), fmt.Sprint("z", i%2), start}, Limits{}),
+	w.nodes[i] = &node{Store: New(Identity{fmt.Sprint("p", i), fmt.Sprint("z", i%2), start}, Limits{}),
 		clock: rapid.Int64Range(0, 1e12).Draw(w.T, "clock"), known: map[told]number2{}, gone: map[told]number2{}}
 }
 
 func (w *world) spread(from *node, entries []Entry) {
 	at := w.now + from.clock
-	for _, data := range Encode(at, entries, LeastPacket) {
+	for _, data := range Encode(at, entries, MinPacketBytes) {
 		f := flight{data: data, at: w.now}
 		f.sent = slices.Clone(entries)
 		for i := range f.sent {
-			f.sent[i].Made -= from.clock
+			f.sent[i].ObservedAt -= from.clock
 		}
 		w.air = append(w.air, f)
 		for _, to := range w.nodes {
@@ -77,7 +77,7 @@
 			return s.Observer == e.Observer && s.Incarnation == e.Incarnation && s.Seq == e.Seq && s.Kind == e.Kind &&
 				s.Subject == e.Subject
 		})
-		if younger := e.Made - to.clock - f.sent[i].Made - (w.now - f.at); younger > 0 || younger <= -milli {
+		if younger := e.ObservedAt - to.clock - f.sent[i].ObservedAt - (w.now - f.at); younger > 0 || younger <= -milli {
 			w.Fatalf("%+v came %d us younger than sent %+v", e, younger, f.sent[i])
 		}
 	}
@@ -88,23 +88,23 @@
 
 func (w *world) say(n *node) {
 	n.said = nil
-	for _, kind := range []Kind{ServerBad, ZoneWell, ServerFlap, ServerLoad} {
+	for _, kind := range []Kind{ServerUnhealthy, ZoneHealthy, ServerFlap, ServerLoad} {
 		for subject := range 3 {
 			if rapid.Bool().Draw(w.T, "said") {
-				n.said = append(n.said, Item{kind, fmt.Sprint("s", subject), int64(subject), Body{
-					Cause: rapid.Uint8Range(0, 2).Draw(w.T, "cause"), Bad: rapid.Float64Range(0, 1).Draw(w.T, "bad")}})
+				n.said = append(n.said, Observation{kind, fmt.Sprint("s", subject), int64(subject), Body{
+					Fault: rapid.Uint8Range(0, 2).Draw(w.T, "cause"), BadFraction: rapid.Float64Range(0, 1).Draw(w.T, "bad")}})
 			}
 		}
 	}
-	w.spread(n, n.View.Say(w.now+n.clock, n.said))
+	w.spread(n, n.Store.Publish(w.now+n.clock, n.said))
 }
 
 // check holds what a node knows to what it has known: nothing ended, nothing that was gone, nothing superseded.
 func (w *world) check(n *node) {
 	knows := map[told]number2{}
-	for _, e := range n.Known(w.now + n.clock) {
+	for _, e := range n.PeerEntries(w.now + n.clock) {
 		k, nr := told{key{e.Kind, e.Subject}, e.Observer}, number2{e.Incarnation, e.Seq}
-		if e.End() <= w.now+n.clock || e.Gone || e.Observer == n.self.Name {
+		if e.ExpiresAt() <= w.now+n.clock || e.Withdrawn || e.Observer == n.self.Name {
 			w.Fatalf("known: %+v at %d", e, w.now+n.clock)
 		}
 		if before := n.known[k]; nr.less(before) {
@@ -150,21 +150,21 @@
 			case 5, 6:
 				w.now += rapid.SampledFrom([]int64{1, 400 * milli, second, 4 * second, 21 * second}).Draw(t, "wait")
 			case 7:
-				w.spread(n, n.View.All(w.now+n.clock))
+				w.spread(n, n.Store.Entries(w.now+n.clock))
 			case 8:
-				act, suspend := n.View.Resume, rapid.Bool().Draw(t, "suspend")
+				act, suspend := n.Store.Resume, rapid.Bool().Draw(t, "suspend")
 				if suspend {
-					act = n.View.Suspend
+					act = n.Store.Suspend
 				}
 				entries, err := act(w.now+n.clock, nodo)
-				if err != nil || n.Hand(w.now + n.clock)[nodo] != suspend {
-					t.Fatal(suspend, err, n.Hands(w.now+n.clock))
+				if err != nil || n.SuspendedServers(w.now + n.clock)[nodo] != suspend {
+					t.Fatal(suspend, err, n.OverrideRecords(w.now+n.clock))
 				}
 				w.spread(n, entries)
 			case 9:
-				hands := n.Hands(w.now + n.clock)
+				hands := n.OverrideRecords(w.now + n.clock)
 				w.start(i, rapid.Int64Range(900, 1100).Draw(t, "start"))
-				if w.nodes[i].Restore(w.now+w.nodes[i].clock, hands) != 0 {
+				if w.nodes[i].RestoreOverrides(w.now+w.nodes[i].clock, hands) != 0 {
 					t.Fatal("not all restored")
 				}
 			}
@@ -179,21 +179,21 @@
 		for range 4 { // until all of former lives has ended
 			w.now += 21 * second
 			for _, n := range w.nodes {
-				w.spread(n, n.View.Say(w.now+n.clock, n.said))
-				w.spread(n, n.View.All(w.now+n.clock))
+				w.spread(n, n.Store.Publish(w.now+n.clock, n.said))
+				w.spread(n, n.Store.Entries(w.now+n.clock))
 				w.check(n)
 			}
 		}
 		for _, of := range w.nodes {
 			want := of.admit(of.said)
 			for _, n := range w.nodes {
-				if !maps.Equal(n.Hand(w.now+n.clock), of.Hand(w.now+of.clock)) {
-					t.Fatalf("by hand: %v and %v", n.Hand(w.now+n.clock), of.Hand(w.now+of.clock))
+				if !maps.Equal(n.SuspendedServers(w.now+n.clock), of.SuspendedServers(w.now+of.clock)) {
+					t.Fatalf("by hand: %v and %v", n.SuspendedServers(w.now+n.clock), of.SuspendedServers(w.now+of.clock))
 				}
-				var got []Item
-				for _, e := range n.Known(w.now + n.clock) {
+				var got []Observation
+				for _, e := range n.PeerEntries(w.now + n.clock) {
 					if e.Observer == of.self.Name {
-						got = append(got, Item{e.Kind, e.Subject, e.Start, e.Body})
+						got = append(got, Observation{e.Kind, e.Subject, e.SubjectStartMs, e.Body})
 					}
 				}
 				if n != of && !slices.Equal(got, want) {
--- a/internal/fleet/view/hand.go
+++ b/internal/cluster/state/hand.go
@@ -1,4 +1,4 @@
-package view
+package state
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 const resumedLife = 24 * 3600 * second
 
 // HandRecord is a server's state by hand, as it is kept over a restart.
-type HandRecord struct {
+type OverrideRecord struct {
 	Subject   string `json:"subject"`
 	Suspended bool   `json:"suspended"`
 	Version   uint64 `json:"version"`
@@ -17,98 +17,98 @@
 }
 
 // FullError is a suspension that there is no room for, as all that is kept holds.
-type FullError struct {
+type LimitError struct {
 	Subject string
-	Most    int
+	Max     int
 }
 
-func (e *FullError) Error() string {
+func (e *LimitError) Error() string {
 	return fmt.Sprintf("suspend %q: %d servers are suspended by hand, and no more are kept: resume some first",
-		e.Subject, e.Most)
+		e.Subject, e.Max)
 }
 
 // NameError is a name that no entry may carry.
 type NameError struct {
-	Name string
-	Most int
+	Name     string
+	MaxBytes int
 }
 
 func (e *NameError) Error() string {
-	return fmt.Sprintf("name %.40q: give one of 1 to %d bytes in UTF-8", e.Name, e.Most)
+	return fmt.Sprintf("name %.40q: give one of 1 to %d bytes in UTF-8", e.Name, e.MaxBytes)
 }
 
 // Suspend suspends a server by hand for the whole fleet, and gives what is to be spread: nothing if it is suspended
 // already. The error is a *NameError or a *FullError.
-func (v *View) Suspend(now int64, nodo string) ([]Entry, error) { return v.act(now, nodo, true) }
+func (v *Store) Suspend(now int64, nodo string) ([]Entry, error) { return v.act(now, nodo, true) }
 
 // Resume ends a suspension. It gives nothing for a server that is not suspended as far as is known here. The error is
 // a *NameError.
-func (v *View) Resume(now int64, nodo string) ([]Entry, error) { return v.act(now, nodo, false) }
+func (v *Store) Resume(now int64, nodo string) ([]Entry, error) { return v.act(now, nodo, false) }
 
-func (v *View) act(now int64, nodo string, suspend bool) ([]Entry, error) {
+func (v *Store) act(now int64, nodo string, suspend bool) ([]Entry, error) {
 	now = v.tick(now)
-	if !validName(nodo, v.limits.Name) {
-		return nil, &NameError{nodo, v.limits.Name}
+	if !validName(nodo, v.limits.NameBytes) {
+		return nil, &NameError{nodo, v.limits.NameBytes}
 	}
-	if i, known := v.hands.find(Hand, nodo); suspend == (known && !v.hands.held[i].Gone) {
+	if i, known := v.hands.find(Override, nodo); suspend == (known && !v.hands.held[i].Withdrawn) {
 		return nil, nil
 	}
-	e := Entry{Kind: Hand, Subject: nodo, Gone: !suspend, Observer: v.self.Name, Seq: min(v.version+1, mostStamp), Made: now}
-	if e.Gone {
-		e.Life = resumedLife
+	e := Entry{Kind: Override, Subject: nodo, Withdrawn: !suspend, Observer: v.self.Name, Seq: min(v.version+1, mostStamp), ObservedAt: now}
+	if e.Withdrawn {
+		e.TTL = resumedLife
 	}
-	if v.mergeHand(now, &e) == &v.counts.Over {
-		return nil, &FullError{nodo, v.limits.Hands}
+	if v.mergeHand(now, &e) == &v.counts.DroppedAtLimit {
+		return nil, &LimitError{nodo, v.limits.Overrides}
 	}
 	return []Entry{e}, nil
 }
 
 // mergeHand merges a valid Hand, and gives what it is to be counted as.
-func (v *View) mergeHand(now int64, e *Entry) *uint64 {
+func (v *Store) mergeHand(now int64, e *Entry) *uint64 {
 	v.version = max(v.version, e.Seq)
-	i, known := v.hands.find(Hand, e.Subject)
+	i, known := v.hands.find(Override, e.Subject)
 	if known {
 		held := v.hands.held[i]
 		same := e.Seq == held.Seq && e.Observer == held.Observer && e.same(held)
 		switch wins := compare(e, held) > 0; {
 		case same && wins:
-			held.Made = e.Made
+			held.ObservedAt = e.ObservedAt
 			v.hands.due = min(v.hands.due, held.kept())
-			return &v.counts.Doubled
+			return &v.counts.Duplicates
 		case wins:
 			*held = *e
 			v.hands.due = min(v.hands.due, held.kept())
-			return &v.counts.New
+			return &v.counts.Accepted
 		case same:
-			return &v.counts.Doubled
+			return &v.counts.Duplicates
 		}
 		return &v.counts.Superseded
 	}
 	kept := new(*e)
 	v.hands.insert(i, kept)
-	if len(v.hands.held) > v.limits.Hands {
+	if len(v.hands.held) > v.limits.Overrides {
 		v.hands.sweep(now)
 	}
-	if len(v.hands.held) > v.limits.Hands {
-		oldest := v.hands.evict(0, func(e *Entry) bool { return e.Gone })
+	if len(v.hands.held) > v.limits.Overrides {
+		oldest := v.hands.evict(0, func(e *Entry) bool { return e.Withdrawn })
 		if oldest == nil {
-			i, _ = v.hands.find(Hand, e.Subject)
+			i, _ = v.hands.find(Override, e.Subject)
 			v.hands.held = slices.Delete(v.hands.held, i, i+1)
 		}
 		if oldest == nil || oldest == kept {
-			return &v.counts.Over
+			return &v.counts.DroppedAtLimit
 		}
-		v.counts.Crowded++
+		v.counts.Evicted++
 	}
-	return &v.counts.New
+	return &v.counts.Accepted
 }
 
 // Hand gives the servers that are suspended by hand.
-func (v *View) Hand(now int64) map[string]bool {
+func (v *Store) SuspendedServers(now int64) map[string]bool {
 	v.tick(now)
 	suspended := make(map[string]bool)
 	for _, e := range v.hands.held {
-		if !e.Gone {
+		if !e.Withdrawn {
 			suspended[e.Subject] = true
 		}
 	}
@@ -116,28 +116,28 @@
 }
 
 // Hands gives all that is known by hand, resumptions included, by subject.
-func (v *View) Hands(now int64) []HandRecord {
+func (v *Store) OverrideRecords(now int64) []OverrideRecord {
 	now = v.tick(now)
 	v.hands.sweep(now)
-	records := make([]HandRecord, 0, len(v.hands.held))
+	records := make([]OverrideRecord, 0, len(v.hands.held))
 	for _, e := range v.hands.held {
-		records = append(records, HandRecord{e.Subject, !e.Gone, e.Seq, e.Observer, age(now, e)})
+		records = append(records, OverrideRecord{e.Subject, !e.Withdrawn, e.Seq, e.Observer, age(now, e)})
 	}
 	return records
 }
 
 // Restore takes in what Hands gave, and gives how many records were not taken in, as not valid, ended or over the bound.
-func (v *View) Restore(now int64, records []HandRecord) (refused int) {
+func (v *Store) RestoreOverrides(now int64, records []OverrideRecord) (refused int) {
 	now = v.tick(now)
 	for _, r := range records {
-		e := Entry{Kind: Hand, Subject: r.Subject, Gone: !r.Suspended, Observer: r.Actor, Seq: r.Version}
-		if e.Gone {
-			e.Life = resumedLife
+		e := Entry{Kind: Override, Subject: r.Subject, Withdrawn: !r.Suspended, Observer: r.Actor, Seq: r.Version}
+		if e.Withdrawn {
+			e.TTL = resumedLife
 		}
 		ok := r.Age >= 0 && r.Age <= mostAge
 		if ok {
-			e.Made = now - r.Age*milli
-			ok = e.valid(now, v.limits.Name) && e.End() > now && v.mergeHand(now, &e) != &v.counts.Over
+			e.ObservedAt = now - r.Age*milli
+			ok = e.valid(now, v.limits.NameBytes) && e.ExpiresAt() > now && v.mergeHand(now, &e) != &v.counts.DroppedAtLimit
 		}
 		if !ok {
 			refused++
--- a/internal/fleet/view/members_test.go
+++ b/internal/cluster/state/members_test.go
@@ -1,4 +1,4 @@
-package view
+package state
 
 import (
 	"bytes"
@@ -11,14 +11,14 @@
 // A fleet as one member sees it: each other member tells of some nodos' loads and of the zones.
 func fleetOf(members, summaries, zones int, seq uint64) (all []Entry) {
 	for p := range members {
-		e := Entry{Observer: fmt.Sprintf("proxy-%04d", p), Zone: fmt.Sprint("z", p%zones), Incarnation: 1_790_000_000_000, Made: second}
+		e := Entry{Observer: fmt.Sprintf("proxy-%04d", p), ObserverZone: fmt.Sprint("z", p%zones), Incarnation: 1_790_000_000_000, ObservedAt: second}
 		for z := range zones {
-			e.Seq, e.Kind, e.Subject, e.Life, e.Body = seq+uint64(z), ZoneWell, fmt.Sprint("z", z), ZoneWell.Life(), Body{Calls: 100}
+			e.Seq, e.Kind, e.Subject, e.TTL, e.Body = seq+uint64(z), ZoneHealthy, fmt.Sprint("z", z), ZoneHealthy.TTL(), Body{Calls: 100}
 			all = append(all, e)
 		}
 		for i := range summaries {
 			e.Seq, e.Kind, e.Subject = seq+uint64(zones+i), ServerLoad, fmt.Sprintf("nodo-%04d", (2*p+i)%(2*members))
-			e.Start, e.Life, e.Body = 1_790_000_000_000, ServerLoad.Life(), Body{Calls: 10, Value: 50_000}
+			e.SubjectStartMs, e.TTL, e.Body = 1_790_000_000_000, ServerLoad.TTL(), Body{Calls: 10, Value: 50_000}
 			all = append(all, e)
 		}
 	}
@@ -33,8 +33,8 @@
 		for _, of := range []struct{ summaries, zones int }{{1, 3}, {1, 9}, {10, 9}} {
 			name := fmt.Sprintf("members=%d/summaries=%d/zones=%d", members, of.summaries, of.zones)
 			limits := Limits{Observers: 4096} // the default has room for 1,024
-			full := func() *View {
-				v := New(Self{Name: "self", Zone: "z0"}, limits)
+			full := func() *Store {
+				v := New(Identity{Name: "self", Zone: "z0"}, limits)
 				v.Merge(second, fleetOf(members, of.summaries, of.zones, 1))
 				return v
 			}
@@ -72,13 +72,13 @@
 			})
 			b.Run("turn/"+name, func(b *testing.B) {
 				v := full()
-				var items []Item
+				var items []Observation
 				for z := range of.zones {
-					items = append(items, Item{Kind: ZoneWell, Subject: fmt.Sprint("z", z)})
+					items = append(items, Observation{Kind: ZoneHealthy, Subject: fmt.Sprint("z", z)})
 				}
 				for b.Loop() {
-					v.Say(second, items)
-					if len(v.Known(second)) == 0 {
+					v.Publish(second, items)
+					if len(v.PeerEntries(second)) == 0 {
 						b.Fatal("nothing known")
 					}
 				}
@@ -90,17 +90,17 @@
 // An older copy of what is held moves its end forward: the sweep has to come for it then, not when the younger one would
 // have been forgotten.
 func TestOlderCopyIsForgottenInTime(t *testing.T) {
-	v := New(Self{Name: "self"}, Limits{})
-	e := Entry{Kind: ServerBad, Subject: "s", Observer: "a", Incarnation: 1, Seq: 1, Made: 2 * second, Life: ServerBad.Life()}
+	v := New(Identity{Name: "self"}, Limits{})
+	e := Entry{Kind: ServerUnhealthy, Subject: "s", Observer: "a", Incarnation: 1, Seq: 1, ObservedAt: 2 * second, TTL: ServerUnhealthy.TTL()}
 	v.Merge(2*second, []Entry{e})
-	v.Known(2 * second)
-	e.Made = second
+	v.PeerEntries(2 * second)
+	e.ObservedAt = second
 	v.Merge(2*second, []Entry{e})
 	for _, at := range []struct {
 		now  int64
 		held int
 	}{{4*second - 1, 1}, {4 * second, 0}} {
-		v.Known(at.now)
+		v.PeerEntries(at.now)
 		if n := v.Counts().Entries; n != at.held {
 			t.Errorf("at %d: %d entries are held, want %d", at.now, n, at.held)
 		}
@@ -110,7 +110,7 @@
 // Pack gives what Encode gives first, and names the entries that are in it.
 func TestPackIsTheFirstOfEncode(t *testing.T) {
 	all := fleetOf(40, 2, 3, 1)
-	all[3].Subject, all[7].Life = "", 0 // not valid
+	all[3].Subject, all[7].TTL = "", 0 // not valid
 	for from := 0; from < len(all); from += 5 {
 		want := Encode(second, all[from:], 1400)[0]
 		got, held := Pack(second, all[from:], 1400)
--- a/internal/fleet/view/merge.go
+++ b/internal/cluster/state/merge.go
@@ -1,4 +1,4 @@
-package view
+package state
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 // Merge takes entries of others and gives those that were new, to be spread on. With an entry under this proxy's name
 // that it did not tell, it gives own entries that beat it.
-func (v *View) Merge(now int64, in []Entry) (news []Entry) {
+func (v *Store) Merge(now int64, in []Entry) (news []Entry) {
 	now = v.tick(now)
 	var from *observer
 	swept := false
@@ -16,18 +16,18 @@
 		e := &in[i]
 		var count *uint64
 		switch {
-		case !e.valid(now, v.limits.Name):
-			count = &v.counts.Refused
-		case e.End() <= now:
-			count = &v.counts.Late
-		case e.Kind == Hand:
+		case !e.valid(now, v.limits.NameBytes):
+			count = &v.counts.Invalid
+		case e.ExpiresAt() <= now:
+			count = &v.counts.ExpiredOnArrival
+		case e.Kind == Override:
 			count = v.mergeHand(now, e)
 		case e.Observer == v.self.Name:
 			count, news = v.echo(now, e, news)
 		default:
 			if from == nil || from.name != e.Observer {
 				if from = v.observer(now, e.Observer); from == nil {
-					v.counts.Over++
+					v.counts.DroppedAtLimit++
 					continue
 				}
 			}
@@ -36,7 +36,7 @@
 			}
 		}
 		*count++
-		if count == &v.counts.New {
+		if count == &v.counts.Accepted {
 			news = append(news, *e)
 		}
 	}
@@ -44,7 +44,7 @@
 }
 
 // take merges a valid entry of an observer, and gives what it is to be counted as.
-func (v *View) take(now int64, o *observer, e *Entry, swept *bool) *uint64 {
+func (v *Store) take(now int64, o *observer, e *Entry, swept *bool) *uint64 {
 	if e.Incarnation < o.incarnation {
 		return &v.counts.Superseded
 	}
@@ -65,14 +65,14 @@
 		}
 		switch {
 		case newer, wins && other:
-			return &v.counts.New
+			return &v.counts.Accepted
 		case e.Seq < held.Seq:
 			return &v.counts.Superseded
 		}
-		return &v.counts.Doubled
+		return &v.counts.Duplicates
 	}
 	if e.Seq <= o.floor[e.Kind] {
-		return &v.counts.Late
+		return &v.counts.ExpiredOnArrival
 	}
 	kept := new(Entry)
 	o.fill(kept, e)
@@ -80,9 +80,9 @@
 	v.due = min(v.due, o.due)
 	v.entries++
 	if v.bound(now, o, kept, swept) {
-		return &v.counts.New
+		return &v.counts.Accepted
 	}
-	return &v.counts.Over
+	return &v.counts.DroppedAtLimit
 }
 
 // answer tells one who may have begun anew with a start before its former one, by a clock set back, of what stands
@@ -93,12 +93,12 @@
 	}
 	o.answered = now
 	for _, held := range o.held {
-		if held.End() > now {
+		if held.ExpiresAt() > now {
 			return append(news, *held)
 		}
 	}
-	return append(news, Entry{Kind: e.Kind, Gone: true, Subject: e.Subject, Observer: o.name, Zone: e.Zone,
-		Incarnation: o.incarnation, Seq: 1, Made: now, Life: e.Kind.Life()})
+	return append(news, Entry{Kind: e.Kind, Withdrawn: true, Subject: e.Subject, Observer: o.name, ObserverZone: e.ObserverZone,
+		Incarnation: o.incarnation, Seq: 1, ObservedAt: now, TTL: e.Kind.TTL()})
 }
 
 // fill copies an entry, with strings that are held already where they are the same.
@@ -109,30 +109,30 @@
 		to.Subject = subject
 	}
 	to.Observer = o.name
-	if o.zone != e.Zone {
-		o.zone = e.Zone
+	if o.zone != e.ObserverZone {
+		o.zone = e.ObserverZone
 	}
-	to.Zone = o.zone
+	to.ObserverZone = o.zone
 }
 
 // bound keeps the bounds after an entry was put in, and says whether that one stayed.
-func (v *View) bound(now int64, o *observer, put *Entry, swept *bool) bool {
+func (v *Store) bound(now int64, o *observer, put *Entry, swept *bool) bool {
 	stays := true
 	drop := func(from *observer, kind Kind) {
 		v.entries--
 		if from.evict(kind, nil) == put {
 			stays = false
 		} else {
-			v.counts.Crowded++
+			v.counts.Evicted++
 		}
 	}
-	if o.count[put.Kind] > terms[put.Kind].most || len(o.held) > v.limits.Observer {
+	if o.count[put.Kind] > terms[put.Kind].most || len(o.held) > v.limits.EntriesPerObserver {
 		v.sweepOne(now, o)
 	}
 	if o.count[put.Kind] > terms[put.Kind].most {
 		drop(o, put.Kind)
 	}
-	if len(o.held) > v.limits.Observer {
+	if len(o.held) > v.limits.EntriesPerObserver {
 		drop(o, 0)
 	}
 	if v.entries > v.limits.Entries && !*swept {
@@ -148,7 +148,7 @@
 }
 
 // observer gives an observer by name, a new one if need be; nil if there is no room for it.
-func (v *View) observer(now int64, name string) *observer {
+func (v *Store) observer(now int64, name string) *observer {
 	find := func() (int, bool) {
 		return slices.BinarySearchFunc(v.others, name, func(o *observer, name string) int { return strings.Compare(o.name, name) })
 	}
@@ -178,15 +178,15 @@
 	return o
 }
 
-func (v *View) sweepOne(now int64, o *observer) {
+func (v *Store) sweepOne(now int64, o *observer) {
 	went, ended := o.sweep(now)
 	v.entries -= went
-	v.counts.Ended += uint64(ended)
+	v.counts.Expired += uint64(ended)
 }
 
 // sweep forgets what has been kept for long enough: entries, observers and resumptions by hand. It looks at nothing
 // before one of them may be due: it is called several times a turn.
-func (v *View) sweep(now int64) {
+func (v *Store) sweep(now int64) {
 	v.hands.sweep(now)
 	if now < v.due {
 		return
@@ -205,21 +205,21 @@
 
 // echo takes an entry under this proxy's own name. One that it told is no news. Any other is of a former life of this
 // proxy, or a twin's: own entries of a higher incarnation drive it out wherever they come.
-func (v *View) echo(now int64, e *Entry, news []Entry) (*uint64, []Entry) {
+func (v *Store) echo(now int64, e *Entry, news []Entry) (*uint64, []Entry) {
 	o := &v.own
 	if e.Incarnation == o.incarnation && e.Seq <= v.seq {
-		return &v.counts.Doubled, news
+		return &v.counts.Duplicates, news
 	}
 	if e.Incarnation >= o.incarnation {
 		// Two that live under one name would answer each other without end.
 		if now-v.raised < second || e.Incarnation >= mostStamp {
-			return &v.counts.Foreign, news
+			return &v.counts.SelfConflicts, news
 		}
 		v.raised = now
 		live := o.held
 		o.reset(e.Incarnation + 1)
 		for _, own := range live {
-			if !own.Gone && own.End() > now {
+			if !own.Withdrawn && own.ExpiresAt() > now {
 				v.stamp(now, own)
 				o.insert(len(o.held), own)
 				news = append(news, *own)
@@ -227,11 +227,11 @@
 		}
 	}
 	if len(o.held) == 0 {
-		gone := &Entry{Kind: e.Kind, Subject: e.Subject, Start: e.Start, Gone: true}
+		gone := &Entry{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs, Withdrawn: true}
 		v.stamp(now, gone)
-		gone.Life = rest(now, e)
+		gone.TTL = rest(now, e)
 		o.insert(0, gone)
 		news = append(news, *gone)
 	}
-	return &v.counts.Foreign, news
+	return &v.counts.SelfConflicts, news
 }
--- a/internal/fleet/view/observer.go
+++ b/internal/cluster/state/observer.go
@@ -1,4 +1,4 @@
-package view
+package state
 
 import (
 	"cmp"
@@ -43,10 +43,10 @@
 
 // kept is until when an entry is kept: all that its observer told of the kind before it has ended by then.
 func (e *Entry) kept() int64 {
-	if e.Kind == Hand {
-		return e.End()
+	if e.Kind == Override {
+		return e.ExpiresAt()
 	}
-	return e.Made + terms[e.Kind].life
+	return e.ObservedAt + terms[e.Kind].life
 }
 
 func (o *observer) forget(e *Entry) {
@@ -67,7 +67,7 @@
 			o.due = min(o.due, kept)
 			return false
 		}
-		if !e.Gone {
+		if !e.Withdrawn {
 			ended++
 		}
 		o.forget(e)
--- a/internal/fleet/view/view.go
+++ b/internal/cluster/state/state.go
@@ -24,41 +24,41 @@
 // All is bounded (Limits). Over a bound the entry nearest its end goes, of the observer that told the most, so that one
 // who floods crowds out itself; own entries never go. Within the bounds no order of events matters; beyond them what
 // went is told anew at half its life.
-package view
+package state
 
 import "math"
 
 // Self is the proxy that holds the view.
-type Self struct {
-	Name, Zone string
-	Start      int64 // ms; must grow from one start of the process to the next
+type Identity struct {
+	Name, Zone  string
+	StartedAtMs int64 // ms; must grow from one start of the process to the next
 }
 
 // Limits bound a view. A zero is the default.
 type Limits struct {
-	Entries   int // of others, in all: 20,000
-	Observer  int // entries of one observer, and of this one: 512
-	Observers int // observers remembered: 1,024
-	Name      int // bytes of a name: 128
-	Hands     int // servers suspended or resumed by hand: 4,096
+	Entries            int // of others, in all: 20,000
+	EntriesPerObserver int // entries of one observer, and of this one: 512
+	Observers          int // observers remembered: 1,024
+	NameBytes          int // bytes of a name: 128
+	Overrides          int // servers suspended or resumed by hand: 4,096
 }
 
 // Counts are totals since New, and below them what is held. All that comes in by Merge is counted once among New,
 // Doubled, Late, Superseded, Foreign, Refused and Over.
 type Counts struct {
-	Told       uint64 // own entries told since they are new or moved
-	Renewed    uint64 // own entries told again at half life
-	Withdrawn  uint64 // own entries taken back
-	Unsaid     uint64 // own items not told: over a bound, doubled in one set, or not valid
-	New        uint64 // entries of others that were news
-	Doubled    uint64 // known already, own ones included
-	Late       uint64 // ended when they came
-	Superseded uint64 // beaten by what was known
-	Foreign    uint64 // under this one's name, and not told by it: of a former life of it, or a twin's
-	Refused    uint64 // not valid: a name, a number, an age or a life out of bounds, or a kind unknown
-	Over       uint64 // not taken in, for a bound
-	Crowded    uint64 // had been taken in, and went for a bound
-	Ended      uint64 // of others, ended without having been withdrawn
+	Advertised       uint64 // own entries told since they are new or moved
+	Renewed          uint64 // own entries told again at half life
+	Withdrawn        uint64 // own entries taken back
+	Omitted          uint64 // own items not told: over a bound, doubled in one set, or not valid
+	Accepted         uint64 // entries of others that were news
+	Duplicates       uint64 // known already, own ones included
+	ExpiredOnArrival uint64 // ended when they came
+	Superseded       uint64 // beaten by what was known
+	SelfConflicts    uint64 // under this one's name, and not told by it: of a former life of it, or a twin's
+	Invalid          uint64 // not valid: a name, a number, an age or a life out of bounds, or a kind unknown
+	DroppedAtLimit   uint64 // not taken in, for a bound
+	Evicted          uint64 // had been taken in, and went for a bound
+	Expired          uint64 // of others, ended without having been withdrawn
 
 	Own       int // own entries, withdrawn ones included
 	Entries   int // of others, with those kept after their end
@@ -71,16 +71,16 @@
 const remembered = 600 * second
 
 // View is what one proxy knows of the fleet.
-type View struct {
-	self   Self
+type Store struct {
+	self   Identity
 	limits Limits
 	now    int64 // the latest time given: none before it counts
 	counts Counts
 
 	own    observer
-	seq    uint64 // of the last own entry
-	raised int64  // when a twin last made the own incarnation grow
-	wanted []Item // room for Say
+	seq    uint64        // of the last own entry
+	raised int64         // when a twin last made the own incarnation grow
+	wanted []Observation // room for Say
 
 	others  []*observer // by name
 	entries int         // that others hold
@@ -91,10 +91,10 @@
 }
 
 // New makes an empty view.
-func New(self Self, limits Limits) *View {
-	self.Start = min(max(self.Start, 0), mostStamp-1)
-	return &View{self: self, limits: limits.orDefault(), raised: math.MinInt64 / 2,
-		own: observer{name: self.Name, zone: self.Zone, incarnation: self.Start}}
+func New(self Identity, limits Limits) *Store {
+	self.StartedAtMs = min(max(self.StartedAtMs, 0), mostStamp-1)
+	return &Store{self: self, limits: limits.orDefault(), raised: math.MinInt64 / 2,
+		own: observer{name: self.Name, zone: self.Zone, incarnation: self.StartedAtMs}}
 }
 
 func (l Limits) orDefault() Limits {
@@ -104,27 +104,27 @@
 		}
 	}
 	or(&l.Entries, 20_000)
-	or(&l.Observer, 512)
+	or(&l.EntriesPerObserver, 512)
 	or(&l.Observers, 1024)
-	or(&l.Name, 128)
-	or(&l.Hands, 4096)
+	or(&l.NameBytes, 128)
+	or(&l.Overrides, 4096)
 	return l
 }
 
-func (v *View) tick(now int64) int64 {
+func (v *Store) tick(now int64) int64 {
 	v.now = max(v.now, now)
 	return v.now
 }
 
 // Known gives what others say and has neither ended nor been withdrawn, without suspensions by hand, by observer, kind
 // and subject.
-func (v *View) Known(now int64) []Entry {
+func (v *Store) PeerEntries(now int64) []Entry {
 	now = v.tick(now)
 	v.sweep(now)
 	known := make([]Entry, 0, v.entries)
 	for _, o := range v.others {
 		for _, e := range o.held {
-			if !e.Gone && e.End() > now {
+			if !e.Withdrawn && e.ExpiresAt() > now {
 				known = append(known, *e)
 			}
 		}
@@ -133,13 +133,13 @@
 }
 
 // All gives all that has not ended, own, withdrawn and by hand included, for a full exchange.
-func (v *View) All(now int64) []Entry {
+func (v *Store) Entries(now int64) []Entry {
 	now = v.tick(now)
 	v.sweep(now)
 	all := make([]Entry, 0, len(v.own.held)+v.entries+len(v.hands.held))
 	add := func(o *observer) {
 		for _, e := range o.held {
-			if e.End() > now {
+			if e.ExpiresAt() > now {
 				all = append(all, *e)
 			}
 		}
@@ -153,11 +153,11 @@
 }
 
 // Counts gives totals and what is held.
-func (v *View) Counts() Counts {
+func (v *Store) Counts() Counts {
 	c := v.counts
 	c.Own, c.Entries, c.Observers = len(v.own.held), v.entries, len(v.others)
 	for _, e := range v.hands.held {
-		if e.Gone {
+		if e.Withdrawn {
 			c.Resumed++
 		} else {
 			c.Suspended++
--- a/internal/fleet/link/delegate.go
+++ b/internal/cluster/transport/delegate.go
@@ -1,19 +1,19 @@
-package link
+package transport
 
 import (
 	"bytes"
 	"time"
 
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
 )
 
 // delegate is what memberlist calls to carry entries. It calls from goroutines of its own, some of them the ones that
 // read the network, so nothing here waits for long.
-type delegate struct{ l *Link }
+type delegate struct{ l *Node }
 
 func (d delegate) NodeMeta(limit int) []byte {
 	c := &d.l.cfg
-	return meta{Version: protocol, Zone: c.Zone, Tier: c.Tier, Start: c.Start}.encode(limit)
+	return meta{Version: protocol, Zone: c.Zone, Tier: c.Tier, Start: c.StartedAtMs}.encode(limit)
 }
 
 // NotifyMsg takes one packet of entries. The bytes are memberlist's.
@@ -21,7 +21,7 @@
 
 // GetBroadcasts gives what is to go out with the next datagram.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	if p := d.l.out.Take(d.l.cfg.Now(), limit-overhead); p != nil {
+	if p := d.l.out.NextPacket(d.l.cfg.Now(), limit-overhead); p != nil {
 		return [][]byte{p}
 	}
 	return nil
@@ -35,7 +35,7 @@
 	said := make(chan []byte, 1)
 	ask := func() {
 		now := l.cfg.Now()
-		said <- state(now, l.own.view.All(now))
+		said <- pushPullState(now, l.own.view.Entries(now))
 	}
 	select {
 	case l.calls <- ask:
@@ -47,8 +47,8 @@
 }
 
 // state lays packets end to end, up to stateMost bytes of them.
-func state(now int64, entries []view.Entry) []byte {
-	packets := view.Encode(now, entries, view.MostPacket)
+func pushPullState(now int64, entries []state.Entry) []byte {
+	packets := state.Encode(now, entries, state.MaxPacketBytes)
 	size := 0
 	for i, p := range packets {
 		if size += len(p); size > stateMost {
@@ -62,7 +62,7 @@
 func (d delegate) MergeRemoteState(b []byte, _ bool) { d.l.come(b, true) }
 
 // come hands what came to the owner, with the time at which it did.
-func (l *Link) come(b []byte, state bool) {
+func (l *Node) come(b []byte, state bool) {
 	now := l.cfg.Now()
 	switch {
 	case len(b) == 0:
@@ -83,6 +83,6 @@
 
 // stalled tells whether this process is only just awake after a stop: what memberlist still holds from before it is
 // older than its ages say.
-func (l *Link) stalled(now int64) bool {
+func (l *Node) stalled(now int64) bool {
 	return now < l.late.Load() || now-l.ticked.Load() > waitMost.Microseconds()
 }
--- a/internal/fleet/link/errors.go
+++ b/internal/cluster/transport/errors.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"errors"
@@ -36,32 +36,32 @@
 func (e *JoinError) Unwrap() error { return e.Err }
 
 // KeepError tells that what must outlive the process could not be put on disk or read from it.
-type KeepError struct {
+type StoreError struct {
 	Path string
 	Err  error
 }
 
-func (e *KeepError) Error() string {
+func (e *StoreError) Error() string {
 	return fmt.Sprintf("%s, the fleet's suspensions by hand: %v; see that the disk has room and the folder can be written, "+
 		"and give the call again", e.Path, e.Err)
 }
 
-func (e *KeepError) Unwrap() error { return e.Err }
+func (e *StoreError) Unwrap() error { return e.Err }
 
 // ConfigError tells which part of a Config cannot be used.
-type ConfigError struct{ Key, Cause, Remedy string }
+type ConfigError struct{ Key, Problem, Remedy string }
 
 func (e *ConfigError) Error() string {
-	return fmt.Sprintf("fleet.%s: %s; %s", e.Key, e.Cause, e.Remedy)
+	return fmt.Sprintf("fleet.%s: %s; %s", e.Key, e.Problem, e.Remedy)
 }
 
 // LateError is the answer to a call that was not confirmed in time, as on a slow disk. It may still be carried out.
-type LateError struct{ After time.Duration }
+type NotConfirmedError struct{ After time.Duration }
 
-func (e *LateError) Error() string {
+func (e *NotConfirmedError) Error() string {
 	return fmt.Sprintf("the fleet did not confirm the call within %v, as on a slow disk; it may hold all the same: give it again",
 		e.After)
 }
 
 // ErrEnded is the answer to a call on a link that is not open, or has ended.
-var ErrEnded = errors.New("the fleet's address is not open: its members were not told; give the call again at one that is")
+var ErrClosed = errors.New("the fleet's address is not open: its members were not told; give the call again at one that is")
--- a/internal/fleet/link/hands.go
+++ b/internal/cluster/transport/hands.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"fernlanding/internal/durable"
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/atomicfile"
+	"merlinpick/internal/cluster/state"
 )
 
 const (
@@ -21,8 +21,8 @@
 // kept is the file's body. At is the wall clock's, since no other outlives a reboot: a clock that was set changes how
 // long a resumption is remembered and nothing else.
 type kept struct {
-	At    int64             `json:"at_ms"`
-	Hands []view.HandRecord `json:"hands"`
+	At    int64                  `json:"at_ms"`
+	Hands []state.OverrideRecord `json:"hands"`
 }
 
 // keeper puts what is suspended by hand on disk, in its own goroutine: a disk that hangs must not stop the owner.
@@ -32,7 +32,7 @@
 }
 
 type keepTask struct {
-	hands []view.HandRecord
+	hands []state.OverrideRecord
 	then  func(error)
 }
 
@@ -61,34 +61,34 @@
 	}
 }
 
-func (k *keeper) write(hands []view.HandRecord) error {
+func (k *keeper) write(hands []state.OverrideRecord) error {
 	body, err := json.Marshal(kept{time.Now().UnixMilli(), hands})
 	if err == nil {
-		err = durable.WriteFile(k.path, durable.Seal(handsKind, body))
+		err = atomicfile.WriteFile(k.path, atomicfile.Seal(handsKind, body))
 	}
 	if err != nil {
-		return &KeepError{k.path, err}
+		return &StoreError{k.path, err}
 	}
 	return nil
 }
 
 // read gives what was kept, aged by the time since; nothing where there is no file.
-func (k *keeper) read() ([]view.HandRecord, error) {
+func (k *keeper) read() ([]state.OverrideRecord, error) {
 	f, err := os.Open(k.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, &KeepError{k.path, err}
+		return nil, &StoreError{k.path, err}
 	}
 	defer f.Close()
-	body, err := durable.Unseal(handsKind, f, handsMost)
+	body, err := atomicfile.Unseal(handsKind, f, handsMost)
 	if err != nil {
-		return nil, &KeepError{k.path, err}
+		return nil, &StoreError{k.path, err}
 	}
 	var was kept
 	if err := json.Unmarshal(body, &was); err != nil {
-		return nil, &KeepError{k.path, err}
+		return nil, &StoreError{k.path, err}
 	}
 	down := max(0, time.Now().UnixMilli()-was.At)
 	for i := range was.Hands {
@@ -98,28 +98,28 @@
 }
 
 // restore takes in what the last process kept. A file that is damaged is put aside: the others know what it said.
-func (l *Link) restore() error {
+func (l *Node) restore() error {
 	hands, err := l.keep.read()
-	if errors.Is(err, durable.ErrDamaged) {
+	if errors.Is(err, atomicfile.ErrDamaged) {
 		aside := l.keep.path + ".damaged"
-		l.cfg.Log.Error("fleet: a damaged file is put aside, the other members tell what is suspended", "error", err, "as", aside)
+		l.cfg.Logger.Error("fleet: a damaged file is put aside, the other members tell what is suspended", "error", err, "as", aside)
 		if err := os.Rename(l.keep.path, aside); err != nil {
-			return &KeepError{l.keep.path, err}
+			return &StoreError{l.keep.path, err}
 		}
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if n := l.own.view.Restore(l.cfg.Now(), hands); n > 0 {
-		l.cfg.Log.Warn("fleet: suspensions by hand that are not taken up", "records", n, "file", l.keep.path)
+	if n := l.own.view.RestoreOverrides(l.cfg.Now(), hands); n > 0 {
+		l.cfg.Logger.Warn("fleet: suspensions by hand that are not taken up", "records", n, "file", l.keep.path)
 	}
 	return nil
 }
 
 // setHand carries a call out. It is the owner's. What it changes is spread once it is on disk, and taken back if it
 // cannot be put there.
-func (l *Link) setHand(nodo string, suspend bool, said chan<- error) {
+func (l *Node) setHand(nodo string, suspend bool, said chan<- error) {
 	now := l.cfg.Now()
 	do, undo := l.own.view.Suspend, l.own.view.Resume
 	if !suspend {
@@ -133,7 +133,7 @@
 	finish := func(err error) {
 		l.own.moved = true
 		if err != nil {
-			l.cfg.Log.Error("fleet: a call by hand is not carried out", "nodo", nodo, "error", err)
+			l.cfg.Logger.Error("fleet: a call by hand is not carried out", "nodo", nodo, "error", err)
 			if len(news) > 0 { // it was as the call would have it before
 				if back, undone := undo(l.cfg.Now(), nodo); undone == nil {
 					l.out.Add(back)
@@ -151,13 +151,13 @@
 		return
 	}
 	then := func(err error) { l.later(func() { finish(err) }) }
-	if !l.keep.add(keepTask{l.own.view.Hands(now), then}) {
-		finish(&KeepError{l.keep.path, errBehind})
+	if !l.keep.add(keepTask{l.own.view.OverrideRecords(now), then}) {
+		finish(&StoreError{l.keep.path, errBehind})
 	}
 }
 
 // later has the owner do something, unless it has ended.
-func (l *Link) later(f func()) {
+func (l *Node) later(f func()) {
 	select {
 	case l.calls <- f:
 	case <-l.done:
@@ -165,7 +165,7 @@
 }
 
 // keepHands puts on disk what others told.
-func (l *Link) keepHands(now int64) {
+func (l *Node) keepHands(now int64) {
 	if l.keep == nil || !l.own.unkept || now < l.own.keepAt {
 		return
 	}
@@ -174,13 +174,13 @@
 		if err != nil {
 			l.later(func() {
 				if !l.own.unkept {
-					l.cfg.Log.Error("fleet: suspensions by hand that others told of are not kept", "error", err)
+					l.cfg.Logger.Error("fleet: suspensions by hand that others told of are not kept", "error", err)
 				}
 				l.own.unkept = true
 			})
 		}
 	}
-	if l.keep.add(keepTask{l.own.view.Hands(now), then}) {
+	if l.keep.add(keepTask{l.own.view.OverrideRecords(now), then}) {
 		l.own.unkept = false
 	}
 }
--- a/internal/fleet/link/join.go
+++ b/internal/cluster/transport/join.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 
 // join brings this member to its fleet, and split parts of one together again: as long as there is a seed, or a member
 // that died, that is not among the living it is tried now and then. A start never waits for it.
-func (l *Link) join(ctx context.Context) {
+func (l *Node) join(ctx context.Context) {
 	pause := joinFirst
 	var said time.Time
 	for {
@@ -34,7 +34,7 @@
 		}
 		if err != nil && living == 1 && time.Since(said) >= joinSay {
 			said = time.Now()
-			l.cfg.Log.Warn("fleet", "error", &JoinError{tried, err})
+			l.cfg.Logger.Warn("fleet", "error", &JoinError{tried, err})
 		}
 		wait := time.NewTimer(pause/2 + rand.N(pause)) // half to thrice half: 300 members must not come together
 		select {
@@ -49,7 +49,7 @@
 
 // tryJoin tries some addresses where a member may be that is not known to live; the error is the last one's if all
 // failed.
-func (l *Link) tryJoin(ctx context.Context) (tried []string, err error) {
+func (l *Node) tryJoin(ctx context.Context) (tried []string, err error) {
 	missing := l.who.missing(l.seeds, time.Now())
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	for _, addr := range missing[:min(joinAtMax, len(missing))] {
--- a/internal/fleet/link/members.go
+++ b/internal/cluster/transport/members.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
 )
 
 const (
@@ -49,7 +49,7 @@
 // Member is another proxy that is alive, as far as is known.
 type Member struct {
 	Name, Zone, Addr string
-	Start            int64 // of its process, Unix milliseconds
+	StartedAtMs      int64 // of its process, Unix milliseconds
 }
 
 // members follows who is alive. Memberlist calls it while it holds a lock of its own, so it calls nobody.
@@ -85,12 +85,12 @@
 
 // tell gives the entries of members that are alive and say of which zone they are as they do with their address. What a
 // member told before it left or died is not acted on, nor is what a stranger's name is on.
-func (m *members) tell(entries []view.Entry) []view.Entry {
+func (m *members) tell(entries []state.Entry) []state.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.DeleteFunc(entries, func(e view.Entry) bool {
+	return slices.DeleteFunc(entries, func(e state.Entry) bool {
 		x, alive := m.alive[e.Observer]
-		return !alive || x.Zone != e.Zone
+		return !alive || x.Zone != e.ObserverZone
 	})
 }
 
@@ -122,7 +122,7 @@
 	if !ok {
 		return
 	}
-	x := Member{Name: n.Name, Zone: told.Zone, Start: told.Start, Addr: n.Address()}
+	x := Member{Name: n.Name, Zone: told.Zone, StartedAtMs: told.Start, Addr: n.Address()}
 	m.mu.Lock()
 	m.alive[n.Name] = x
 	delete(m.lost, n.Name)
@@ -140,7 +140,7 @@
 		return
 	}
 	m.mu.Lock()
-	m.alive[n.Name] = Member{Name: n.Name, Zone: told.Zone, Start: told.Start, Addr: n.Address()}
+	m.alive[n.Name] = Member{Name: n.Name, Zone: told.Zone, StartedAtMs: told.Start, Addr: n.Address()}
 	m.mu.Unlock()
 	m.changed()
 }
--- a/internal/fleet/link/link.go
+++ b/internal/cluster/transport/node.go
@@ -6,7 +6,7 @@
 // each 5 s makes up for what was lost. Its age grows by what it waits in this process; a datagram that waited in the
 // kernel for over 500 ms, since the process was stopped, is not read. A full exchange may be under way for as long as
 // streamWait, and what it brings is taken for so much younger than it is, at most.
-package link
+package transport
 
 import (
 	"context"
@@ -21,8 +21,8 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"fernlanding/internal/fleet/queue"
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/queue"
+	"merlinpick/internal/cluster/state"
 )
 
 const (
@@ -60,30 +60,30 @@
 
 // Config is what a link is told at its start.
 type Config struct {
-	Name      string   // of this proxy; no two members may have the same
-	Zone      string   // by name; may be empty
-	Tier      string   // members of another are no members
-	Bind      string   // IP and port, for UDP and TCP; port 0: any
-	Advertise string   // IP and port under which others reach it; empty: as bound
-	Label     string   // of the fleet: what bears another is refused
-	Seeds     []string // members' addresses; this one's own may be among them
-	Start     int64    // of this process, Unix milliseconds
-	State     string   // folder of what outlives the process; empty: none
-	Now       func() int64
-	Log       *slog.Logger
+	Name        string   // of this proxy; no two members may have the same
+	Zone        string   // by name; may be empty
+	Tier        string   // members of another are no members
+	Bind        string   // IP and port, for UDP and TCP; port 0: any
+	Advertise   string   // IP and port under which others reach it; empty: as bound
+	Label       string   // of the fleet: what bears another is refused
+	Seeds       []string // members' addresses; this one's own may be among them
+	StartedAtMs int64    // of this process, Unix milliseconds
+	StateDir    string   // folder of what outlives the process; empty: none
+	Now         func() int64
+	Logger      *slog.Logger
 }
 
 // Snapshot is what is known of the fleet at one moment.
 type Snapshot struct {
-	Living int             // members that are alive, this one included
-	Near   int             // of them in this one's zone
-	Alone  bool            // nobody was heard for aloneAfter, or ever
-	Others []view.Entry    // what others say and has not ended
-	Hands  map[string]bool // by server: suspended by hand, or resumed not long ago; not to be changed
+	LiveMembers       int             // members that are alive, this one included
+	LiveMembersInZone int             // of them in this one's zone
+	Isolated          bool            // nobody was heard for aloneAfter, or ever
+	PeerEntries       []state.Entry   // what others say and has not ended
+	Overrides         map[string]bool // by server: suspended by hand, or resumed not long ago; not to be changed
 }
 
 // Link is one member of a fleet.
-type Link struct {
+type Node struct {
 	cfg     Config
 	net     *transport
 	ml      *memberlist.Memberlist
@@ -107,9 +107,9 @@
 	failed atomic.Int64
 
 	mu    sync.Mutex
-	said  []view.Item
+	said  []state.Observation
 	fresh bool // said is to be taken
-	figs  Figures
+	figs  Metrics
 
 	once sync.Once
 	own  owner // the owner's alone
@@ -124,22 +124,22 @@
 
 // Open binds the link's address and reads what the last process kept. Others may hear of this member from then on; the
 // link does its work in Run. The error is an *OpenError, a *ConfigError or a *KeepError.
-func Open(cfg Config) (*Link, error) {
+func Open(cfg Config) (*Node, error) {
 	bind, advertise, err := cfg.addresses()
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{cfg: cfg, in: make(chan incoming, incomingMost), calls: make(chan func()), wake: make(chan struct{}, 1),
+	l := &Node{cfg: cfg, in: make(chan incoming, incomingMost), calls: make(chan func()), wake: make(chan struct{}, 1),
 		hurry: make(chan struct{}, 1), peers: make(chan Snapshot, 1), done: make(chan struct{})}
-	l.own = owner{view: view.New(view.Self{Name: cfg.Name, Zone: cfg.Zone, Start: cfg.Start}, view.Limits{})}
-	if cfg.State != "" {
-		l.keep = newKeeper(filepath.Join(cfg.State, handsFile))
+	l.own = owner{view: state.New(state.Identity{Name: cfg.Name, Zone: cfg.Zone, StartedAtMs: cfg.StartedAtMs}, state.Limits{})}
+	if cfg.StateDir != "" {
+		l.keep = newKeeper(filepath.Join(cfg.StateDir, handsFile))
 		if err := l.restore(); err != nil {
 			return nil, err
 		}
 	}
-	l.who = newMembers(cfg.Name, cfg.Tier, &l.refused, cfg.Log, l.poke)
-	l.out = queue.New(func() int { return queue.Transmits(l.who.living()) })
+	l.who = newMembers(cfg.Name, cfg.Tier, &l.refused, cfg.Logger, l.poke)
+	l.out = queue.New(func() int { return queue.TransmitCount(l.who.living()) })
 	l.ticked.Store(cfg.Now())
 	if l.net, err = listen(bind, cfg.Label, &l.refused, func() { l.heard.Store(cfg.Now()) }); err != nil {
 		return nil, err
@@ -155,7 +155,7 @@
 	if advertise.IsValid() {
 		ml.AdvertiseAddr, ml.AdvertisePort = advertise.Addr().String(), int(advertise.Port())
 	}
-	ml.Logger = log.New(lines{cfg.Log, newBudget()}, "", 0)
+	ml.Logger = log.New(lines{cfg.Logger, newBudget()}, "", 0)
 	ml.Delegate, ml.Events, ml.Alive, ml.Conflict = delegate{l}, l.who, l.who, l.who
 	ml.GossipInterval, ml.GossipNodes, ml.GossipToTheDeadTime = gossipEvery, gossipTo, toTheDead
 	ml.ProbeInterval, ml.ProbeTimeout, ml.AwarenessMaxMultiplier = probeEvery, probeWait, patienceMost
@@ -208,22 +208,22 @@
 }
 
 // Addr is the address the link is bound to.
-func (l *Link) Addr() string { return l.net.addr() }
+func (l *Node) Addr() string { return l.net.addr() }
 
 // Peers gives the newest snapshot, to one reader: at most one each publishEvery, and at once when a suspension by hand
 // comes or goes.
-func (l *Link) Peers() <-chan Snapshot { return l.peers }
+func (l *Node) Snapshots() <-chan Snapshot { return l.peers }
 
 // Say has this member say these items and no others. It never waits, and of two calls the later holds. The items are
 // the link's from then on.
-func (l *Link) Say(items []view.Item) {
+func (l *Node) Publish(items []state.Observation) {
 	l.mu.Lock()
 	l.said, l.fresh = items, true
 	l.mu.Unlock()
 	l.poke()
 }
 
-func (l *Link) poke() {
+func (l *Node) poke() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -233,34 +233,34 @@
 // Suspend suspends a server by hand at all members. It returns once that would outlive this process, where there is a
 // folder for it: the error is a *KeepError, ErrEnded or the view's, and
 // then the server stays as it was, or a *LateError.
-func (l *Link) Suspend(nodo string) error { return l.hand(nodo, true) }
+func (l *Node) Suspend(nodo string) error { return l.hand(nodo, true) }
 
 // Resume ends a suspension at all members, in the same way.
-func (l *Link) Resume(nodo string) error { return l.hand(nodo, false) }
+func (l *Node) Resume(nodo string) error { return l.hand(nodo, false) }
 
-func (l *Link) hand(nodo string, suspend bool) error {
+func (l *Node) hand(nodo string, suspend bool) error {
 	late := time.NewTimer(callWait)
 	defer late.Stop()
 	said := make(chan error, 1)
 	select {
 	case l.calls <- func() { l.setHand(nodo, suspend, said) }:
 	case <-l.done:
-		return ErrEnded
+		return ErrClosed
 	case <-late.C:
-		return &LateError{callWait}
+		return &NotConfirmedError{callWait}
 	}
 	select {
 	case err := <-said:
 		return err
 	case <-l.done:
-		return ErrEnded
+		return ErrClosed
 	case <-late.C:
-		return &LateError{callWait}
+		return &NotConfirmedError{callWait}
 	}
 }
 
 // Run does the link's work until the context ends, then leaves the fleet.
-func (l *Link) Run(ctx context.Context) {
+func (l *Node) Run(ctx context.Context) {
 	inner, stop := context.WithCancel(ctx)
 	var tasks sync.WaitGroup
 	tasks.Go(func() { l.join(inner) })
@@ -275,13 +275,13 @@
 }
 
 // Close ends a link, also one that was never run.
-func (l *Link) Close() {
+func (l *Node) Close() {
 	l.once.Do(func() {
 		if err := l.ml.Leave(leaveWait); err != nil {
-			l.cfg.Log.Info("fleet: left without a word", "error", err)
+			l.cfg.Logger.Info("fleet: left without a word", "error", err)
 		}
 		if err := l.ml.Shutdown(); err != nil {
-			l.cfg.Log.Warn("fleet: shutdown", "error", err)
+			l.cfg.Logger.Warn("fleet: shutdown", "error", err)
 		}
 	})
 }
--- a/internal/fleet/link/link_test.go
+++ b/internal/cluster/transport/node_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"go.uber.org/goleak"
 
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -27,14 +27,14 @@
 
 // member is a link that runs.
 type member struct {
-	*Link
+	*Node
 	stop func() // and wait for its end
 	last Snapshot
 }
 
 func config(name string, seeds ...string) Config {
 	return Config{Name: name, Zone: "z-" + name, Tier: "0", Bind: "127.0.0.1:0", Label: "test", Seeds: seeds,
-		Start: time.Now().UnixMilli(), Now: micros, Log: slog.New(slog.DiscardHandler)}
+		StartedAtMs: time.Now().UnixMilli(), Now: micros, Logger: slog.New(slog.DiscardHandler)}
 }
 
 func run(t *testing.T, cfg Config) *member {
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); l.Run(ctx) }()
-	m := &member{Link: l, stop: func() { cancel(); <-ended }}
+	m := &member{Node: l, stop: func() { cancel(); <-ended }}
 	t.Cleanup(m.stop)
 	return m
 }
@@ -57,9 +57,9 @@
 	late := time.After(patience)
 	for !holds(m.last) {
 		select {
-		case m.last = <-m.Peers():
+		case m.last = <-m.Snapshots():
 		case <-late:
-			t.Fatalf("%s: waited in vain for %s: %+v, %+v", m.cfg.Name, what, m.last, m.Figures())
+			t.Fatalf("%s: waited in vain for %s: %+v, %+v", m.cfg.Name, what, m.last, m.Metrics())
 		}
 	}
 }
@@ -74,7 +74,7 @@
 }
 
 func says(s Snapshot, observer, subject string) bool {
-	return slices.ContainsFunc(s.Others, func(e view.Entry) bool { return e.Observer == observer && e.Subject == subject })
+	return slices.ContainsFunc(s.PeerEntries, func(e state.Entry) bool { return e.Observer == observer && e.Subject == subject })
 }
 
 // Three find each other from one seed, which starts last, hear what each says, and notice who leaves.
@@ -86,39 +86,39 @@
 	seed := probe.Addr().String()
 	probe.Close()
 	all := []*member{run(t, config("b", seed)), run(t, config("c", seed))}
-	all[0].until(t, "a word that it is alone", func(s Snapshot) bool { return s.Alone && all[0].Figures().TimesAlone == 1 })
+	all[0].until(t, "a word that it is alone", func(s Snapshot) bool { return s.Isolated && all[0].Metrics().Isolations == 1 })
 	first := config("a", seed)
 	first.Bind = seed
 	all = append(all, run(t, first))
 	for _, m := range all {
-		m.Say([]view.Item{{Kind: view.ServerBad, Subject: "s", Start: 1, Body: view.Body{Cause: 1, Calls: 9, Bad: 1}}})
-		m.until(t, "all three", func(s Snapshot) bool { return s.Living == 3 && s.Near == 1 && !s.Alone })
+		m.Publish([]state.Observation{{Kind: state.ServerUnhealthy, Subject: "s", SubjectStartMs: 1, Body: state.Body{Fault: 1, Calls: 9, BadFraction: 1}}})
+		m.until(t, "all three", func(s Snapshot) bool { return s.LiveMembers == 3 && s.LiveMembersInZone == 1 && !s.Isolated })
 	}
 	for _, m := range all {
-		m.until(t, "what the two others say", func(s Snapshot) bool { return len(s.Others) == 2 })
+		m.until(t, "what the two others say", func(s Snapshot) bool { return len(s.PeerEntries) == 2 })
 	}
-	all[0].Say(nil)
+	all[0].Publish(nil)
 	all[1].until(t, "what b said to be taken back", func(s Snapshot) bool { return !says(s, "b", "s") && says(s, "a", "s") })
 	if err := all[1].Suspend("n/1"); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range all {
-		m.until(t, "the suspension", func(s Snapshot) bool { return s.Hands["n/1"] })
+		m.until(t, "the suspension", func(s Snapshot) bool { return s.Overrides["n/1"] })
 	}
 	if err := all[2].Resume("n/1"); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range all {
-		m.until(t, "its end", func(s Snapshot) bool { on, known := s.Hands["n/1"]; return known && !on })
+		m.until(t, "its end", func(s Snapshot) bool { on, known := s.Overrides["n/1"]; return known && !on })
 	}
 	all[2].stop()
 	for _, m := range all[:2] {
-		m.until(t, "two living", func(s Snapshot) bool { return s.Living == 2 && !says(s, "a", "s") })
+		m.until(t, "two living", func(s Snapshot) bool { return s.LiveMembers == 2 && !says(s, "a", "s") })
 	}
-	if err := all[2].Suspend("n/1"); !errors.Is(err, ErrEnded) {
+	if err := all[2].Suspend("n/1"); !errors.Is(err, ErrClosed) {
 		t.Errorf("a call after the end: %v", err)
 	}
-	if f := all[0].Figures(); f.Alone || f.In == 0 || f.Out == 0 || f.Joined < 2 || f.Gone != 1 || f.Failed == 0 {
+	if f := all[0].Metrics(); f.Isolated || f.BytesIn == 0 || f.BytesOut == 0 || f.Joined < 2 || f.Left != 1 || f.JoinFailures == 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -127,11 +127,11 @@
 func TestStrangersAreRefused(t *testing.T) {
 	a := run(t, config("a"))
 	b := run(t, config("b", a.Addr()))
-	b.until(t, "a", func(s Snapshot) bool { return s.Living == 2 })
+	b.until(t, "a", func(s Snapshot) bool { return s.LiveMembers == 2 })
 	foreign, other := config("c", a.Addr()), config("d", a.Addr())
 	foreign.Label, other.Tier = "foreign", "1"
 	c, _ := run(t, foreign), run(t, other)
-	eventually(t, "a refusal", func() bool { return c.Figures().Failed > 0 })
+	eventually(t, "a refusal", func() bool { return c.Metrics().JoinFailures > 0 })
 	seed := uint64(1)
 	random := rand.New(rand.NewPCG(seed, seed))
 	for i := range 200 {
@@ -155,20 +155,20 @@
 		}
 	}
 	eventually(t, "the counts", func() bool {
-		r := a.Figures().Refused
+		r := a.Metrics().Rejected
 		return r[foreignLabel] > 40 && r[tooLong] > 20 && r["member"] > 0
 	})
 	eventually(t, "a bound on connections that say nothing", func() bool {
 		if conn, err := net.Dial("tcp", a.Addr()); err == nil {
 			t.Cleanup(func() { conn.Close() })
 		}
-		return a.Figures().Refused[tooMany] > 0
+		return a.Metrics().Rejected[tooMany] > 0
 	})
 	if err := a.Suspend("n"); err != nil {
 		t.Fatal(err)
 	}
-	b.until(t, "the suspension", func(s Snapshot) bool { return s.Hands["n"] && s.Living == 2 })
-	if s := c.Figures(); s.Living != 1 || s.Suspended != 0 {
+	b.until(t, "the suspension", func(s Snapshot) bool { return s.Overrides["n"] && s.LiveMembers == 2 })
+	if s := c.Metrics(); s.LiveMembers != 1 || s.SuspendedServers != 0 {
 		t.Errorf("the foreign one knows %+v", s)
 	}
 }
@@ -176,30 +176,30 @@
 // A suspension outlives its process; one that cannot be kept is a no and does not hold.
 func TestHandsAreKept(t *testing.T) {
 	cfg := config("a")
-	cfg.State = t.TempDir()
+	cfg.StateDir = t.TempDir()
 	a := run(t, cfg)
 	if err := errors.Join(a.Suspend("n"), a.Suspend("m"), a.Suspend("n"), a.Resume("m")); err != nil {
 		t.Fatal(err)
 	}
 	a.stop()
-	cfg.Start++
+	cfg.StartedAtMs++
 	a = run(t, cfg)
-	a.until(t, "what was kept", func(s Snapshot) bool { m, known := s.Hands["m"]; return s.Hands["n"] && known && !m })
-	if err := os.RemoveAll(cfg.State); err != nil {
+	a.until(t, "what was kept", func(s Snapshot) bool { m, known := s.Overrides["m"]; return s.Overrides["n"] && known && !m })
+	if err := os.RemoveAll(cfg.StateDir); err != nil {
 		t.Fatal(err)
 	}
-	var keep *KeepError
+	var keep *StoreError
 	if err := a.Suspend("o"); !errors.As(err, &keep) {
 		t.Errorf("a suspension without a folder: %v", err)
 	}
 	if err := a.Resume("n"); !errors.As(err, &keep) {
 		t.Errorf("an end without a folder: %v", err)
 	}
-	<-a.Peers() // from before, perhaps
-	a.last = <-a.Peers()
-	a.until(t, "what held before", func(s Snapshot) bool { return s.Hands["n"] && !s.Hands["o"] })
+	<-a.Snapshots() // from before, perhaps
+	a.last = <-a.Snapshots()
+	a.until(t, "what held before", func(s Snapshot) bool { return s.Overrides["n"] && !s.Overrides["o"] })
 	a.stop()
-	if err := errors.Join(os.MkdirAll(cfg.State, 0o700), os.WriteFile(a.keep.path, []byte("fleet-hands"), 0o600)); err != nil {
+	if err := errors.Join(os.MkdirAll(cfg.StateDir, 0o700), os.WriteFile(a.keep.path, []byte("fleet-hands"), 0o600)); err != nil {
 		t.Fatal(err)
 	}
 	run(t, cfg)
@@ -258,8 +258,8 @@
 	m := newMembers("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
 	m.alive = map[string]Member{"a": {Name: "a", Zone: "north"}}
 	var got []string
-	for _, e := range m.tell([]view.Entry{{Observer: "a", Zone: "north", Subject: "1"}, {Observer: "a", Zone: "south", Subject: "2"},
-		{Observer: "left", Zone: "north", Subject: "3"}}) {
+	for _, e := range m.tell([]state.Entry{{Observer: "a", ObserverZone: "north", Subject: "1"}, {Observer: "a", ObserverZone: "south", Subject: "2"},
+		{Observer: "left", ObserverZone: "north", Subject: "3"}}) {
 		got = append(got, e.Subject)
 	}
 	if !slices.Equal(got, []string{"1"}) {
@@ -295,7 +295,7 @@
 			t.Errorf("%+v: taken %v", step, !step.taken)
 		}
 	}
-	if got := l.Figures().Refused[tooLate]; got != 3 {
+	if got := l.Metrics().Rejected[tooLate]; got != 3 {
 		t.Errorf("%d are counted", got)
 	}
 }
--- a/internal/fleet/link/owner.go
+++ b/internal/cluster/transport/owner.go
@@ -1,11 +1,11 @@
-package link
+package transport
 
 import (
 	"context"
 	"maps"
 	"time"
 
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
 )
 
 const (
@@ -15,14 +15,14 @@
 
 // owner is the state of the one goroutine that owns the view.
 type owner struct {
-	view      *view.View
-	skipped   view.Skipped
+	view      *state.Store
+	skipped   state.Skipped
 	unread    int64 // packets that no entry could be read from
 	moved     bool  // hands may have changed since the last snapshot
 	hands     map[string]bool
-	unkept    bool         // and some of them are not on disk
-	keepAt    int64        // the next time to put them there
-	others    []view.Entry // of the last snapshot
+	unkept    bool          // and some of them are not on disk
+	keepAt    int64         // the next time to put them there
+	others    []state.Entry // of the last snapshot
 	published int64
 	alone     bool
 	aloneSaid bool
@@ -30,7 +30,7 @@
 }
 
 // serve plays what comes until the context ends.
-func (l *Link) serve(ctx context.Context) {
+func (l *Node) serve(ctx context.Context) {
 	o := &l.own
 	o.alone, o.moved = true, true
 	tick := time.NewTicker(publishEvery)
@@ -64,7 +64,7 @@
 }
 
 // look is what each tick does.
-func (l *Link) look(begun int64) {
+func (l *Node) look(begun int64) {
 	o, now := &l.own, l.cfg.Now()
 	if now-l.ticked.Load() > waitMost.Microseconds() { // stopped, or starved: see stalled
 		l.late.Store(now + publishEvery.Microseconds())
@@ -82,14 +82,14 @@
 	case o.alone && !o.aloneSaid && expected && now-begun > aloneAfter.Microseconds():
 		o.aloneSaid = true
 		o.times++
-		l.cfg.Log.Warn("fleet: nobody is heard; this proxy decides alone", "for", aloneAfter, "seeds", l.seeds)
+		l.cfg.Logger.Warn("fleet: nobody is heard; this proxy decides alone", "for", aloneAfter, "seeds", l.seeds)
 		select {
 		case l.hurry <- struct{}{}:
 		default:
 		}
 	case !o.alone && o.aloneSaid:
 		o.aloneSaid = false
-		l.cfg.Log.Info("fleet: others are heard again", "living", living)
+		l.cfg.Logger.Info("fleet: others are heard again", "living", living)
 	}
 	if was != o.alone {
 		o.published = 0
@@ -99,34 +99,34 @@
 }
 
 // sayOwn takes what is to be said, if it is new or may need renewal.
-func (l *Link) sayOwn() {
+func (l *Node) sayOwn() {
 	l.mu.Lock()
 	items, fresh := l.said, l.fresh
 	l.fresh = false
 	l.mu.Unlock()
 	if fresh {
-		l.out.Add(l.own.view.Say(l.cfg.Now(), items))
+		l.out.Add(l.own.view.Publish(l.cfg.Now(), items))
 	}
 }
 
 // merge takes a message in, as old as it is by now.
-func (l *Link) merge(m incoming) {
+func (l *Node) merge(m incoming) {
 	o := &l.own
-	read := view.Decode
+	read := state.Decode
 	if m.state {
-		read = view.DecodeAll
+		read = state.DecodeAll
 	}
 	entries, skipped, err := read(m.at, m.bytes)
-	o.skipped.Kinds += skipped.Kinds
-	o.skipped.Fields += skipped.Fields
-	o.skipped.Bad += skipped.Bad
-	o.skipped.Newer += skipped.Newer
+	o.skipped.UnknownKinds += skipped.UnknownKinds
+	o.skipped.UnknownFields += skipped.UnknownFields
+	o.skipped.Malformed += skipped.Malformed
+	o.skipped.NewerVersion += skipped.NewerVersion
 	if err != nil {
 		o.unread++
 	}
 	news := o.view.Merge(l.cfg.Now(), entries)
 	for i := range news {
-		if news[i].Kind == view.Hand {
+		if news[i].Kind == state.Override {
 			o.moved, o.unkept = true, true
 		}
 	}
@@ -134,12 +134,12 @@
 }
 
 // publish gives a snapshot, in the place of one that was not taken.
-func (l *Link) publish() {
+func (l *Node) publish() {
 	o, now := &l.own, l.cfg.Now()
 	changed := false
 	if o.moved {
 		hands := map[string]bool{}
-		for _, h := range o.view.Hands(now) {
+		for _, h := range o.view.OverrideRecords(now) {
 			hands[h.Subject] = h.Suspended
 		}
 		changed = o.hands == nil || !maps.Equal(hands, o.hands)
@@ -149,9 +149,9 @@
 		return
 	}
 	o.published = now
-	o.others = l.who.tell(o.view.Known(now))
-	s := Snapshot{Alone: o.alone, Others: o.others, Hands: o.hands}
-	s.Living, s.Near = l.who.count(l.cfg.Zone)
+	o.others = l.who.tell(o.view.PeerEntries(now))
+	s := Snapshot{Isolated: o.alone, PeerEntries: o.others, Overrides: o.hands}
+	s.LiveMembers, s.LiveMembersInZone = l.who.count(l.cfg.Zone)
 	select {
 	case <-l.peers:
 	default:
--- a/internal/fleet/link/stream.go
+++ b/internal/cluster/transport/stream.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"fmt"
--- a/internal/fleet/link/transport.go
+++ b/internal/cluster/transport/transport.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 	// what it holds is older than its ages say. The sender's probe is lost by then, and what it told is told again.
 	waitMost = 500 * time.Millisecond
 	// Descriptors that a link holds at most: two listeners, those that others opened and half as many of its own.
-	Descriptors = 2 + streamsMost + streamsMost/2
+	MaxDescriptors = 2 + streamsMost + streamsMost/2
 )
 
 // Reasons why something that came was not read.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,9 +14,9 @@
 	"path/filepath"
 	"strconv"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/proxy"
-	"fernlanding/internal/settings"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy"
+	"merlinpick/internal/settings"
 )
 
 // defaultSockets is what a proxy may hold where limits.sockets does not tell: the system's usual bound for a process
@@ -28,15 +28,15 @@
 
 // Config is what the file says.
 type Config struct {
-	Proxy    proxy.Config // without Log, Memory and Hold
-	Mgmt     string       // the management address; empty: none
-	Cores    float64      // 0: not told
-	MemoryMB float64      // likewise
-	Service  string       // whose configuration is followed at the list service; empty: none
-	Name     string       // of this proxy there
+	Proxy             proxy.Config // without Log, Memory and Hold
+	ManagementAddress string       // the management address; empty: none
+	Cores             float64      // 0: not told
+	MemoryMB          float64      // likewise
+	Service           string       // whose configuration is followed at the list service; empty: none
+	ProxyName         string       // of this proxy there
 
 	text  []byte // of the whole file
-	fleet FleetReader
+	fleet ClusterReader
 }
 
 // file is the configuration as it stands on disk.
@@ -64,11 +64,11 @@
 
 // FleetReader reads the section fleet; name is the proxy's where the section gives none. Its errors are a *ConfigError,
 // or what encoding/json says of the section.
-type FleetReader func(section json.RawMessage, name string) (*proxy.FleetPlan, error)
+type ClusterReader func(section json.RawMessage, name string) (*proxy.ClusterPlan, error)
 
 // Load reads the file that LB_CONFIG names; LB_LISTEN, LB_DISCOVERY and LB_MGMT stand in for what it lacks. A nil fleet
 // is that of a program without fleets: a section fleet is a fault.
-func Load(env func(string) string, fleet FleetReader) (*Config, error) {
+func Load(env func(string) string, fleet ClusterReader) (*Config, error) {
 	path := env("LB_CONFIG")
 	if path == "" {
 		return nil, &ConfigError{Key: "LB_CONFIG", Problem: "is not set", Remedy: "have it name the configuration file"}
@@ -96,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if fault := c.Lacks(former); fault != nil {
+	if fault := c.MissingKey(former); fault != nil {
 		fault.File = env("LB_CONFIG")
 		return nil, fault
 	}
@@ -104,11 +104,11 @@
 }
 
 // Lacks tells of a key that a former configuration has and this one lacks; nil: of none.
-func (c *Config) Lacks(former *Config) *ConfigError { return lacks(former.text, c.text) }
+func (c *Config) MissingKey(former *Config) *ConfigError { return lacks(former.text, c.text) }
 
 // Above is this configuration with a document of its service above its settings; no document: as it is. Its errors are
 // each a *ConfigError.
-func (c *Config) Above(document []byte, env func(string) string) (*Config, error) {
+func (c *Config) WithDocument(document []byte, env func(string) string) (*Config, error) {
 	if document == nil {
 		return c, nil
 	}
@@ -116,7 +116,7 @@
 	if err := json.Unmarshal(c.text, &f); err != nil {
 		return nil, unreadable("", err)
 	}
-	rules, err := settings.Above(f["settings"], document)
+	rules, err := settings.MergeDocument(f["settings"], document)
 	if err != nil {
 		return nil, unreadable("", err)
 	}
@@ -129,24 +129,24 @@
 }
 
 // parse reads a configuration's text; its errors name no file yet.
-func parse(text []byte, env func(string) string, fleet FleetReader) (*Config, error) {
+func parse(text []byte, env func(string) string, fleet ClusterReader) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, unreadable("", err)
 	}
-	c := &Config{Mgmt: cmp.Or(f.Mgmt, env("LB_MGMT")), Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, text: text, fleet: fleet}
+	c := &Config{ManagementAddress: cmp.Or(f.Mgmt, env("LB_MGMT")), Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, text: text, fleet: fleet}
 	p := &c.Proxy
 	p.Listen = cmp.Or(f.Listen, env("LB_LISTEN"))
 	p.Discovery = discovery.Source{Address: cmp.Or(f.Discovery, env("LB_DISCOVERY")), Members: f.Members}
-	p.Kept, p.Watched = f.Kept, c.Mgmt != ""
+	p.ListCacheDir, p.Managed = f.Kept, c.ManagementAddress != ""
 	// Where the folder is not the proxy's own, as it is on the platform, its address tells it from others.
-	p.State = filepath.Join(cmp.Or(env("TMPDIR"), os.TempDir()), "fernlanding-"+url.PathEscape(p.Listen))
-	p.Sockets = cmp.Or(f.Limits.Sockets, defaultSockets)
+	p.StateDir = filepath.Join(cmp.Or(env("TMPDIR"), os.TempDir()), "fernlanding-"+url.PathEscape(p.Listen))
+	p.MaxDescriptors = cmp.Or(f.Limits.Sockets, defaultSockets)
 	if err := f.addresses(p); err != nil {
 		return nil, err
 	}
-	if c.Service, c.Name = f.Service, cmp.Or(env("LB_NAME"), f.Name); f.Service != "" {
-		if err := f.service(c.Name); err != nil {
+	if c.Service, c.ProxyName = f.Service, cmp.Or(env("LB_NAME"), f.Name); f.Service != "" {
+		if err := f.service(c.ProxyName); err != nil {
 			return nil, err
 		}
 	}
@@ -166,24 +166,24 @@
 		return nil, err
 	}
 	if given(f.Known) {
-		if p.Known, err = discovery.Parse(f.Known); err != nil {
+		if p.InitialList, err = discovery.Parse(f.Known); err != nil {
 			return nil, unreadable("known", err)
 		}
 	}
 	if given(f.Fleet) {
-		if p.Fleet, err = c.plan(f.Fleet, cmp.Or(env("LB_NAME"), f.Name)); err != nil {
+		if p.Cluster, err = c.plan(f.Fleet, cmp.Or(env("LB_NAME"), f.Name)); err != nil {
 			return nil, err
 		}
-		p.Site.Logic.Undamped, p.Site.Logic.Untuned = p.Fleet.Undamped, p.Fleet.Untuned
+		p.Site.Balancer.DisableFlapDamping, p.Site.Balancer.DisableWeightTuning = p.Cluster.DisableFlapDamping, p.Cluster.DisableWeightTuning
 	}
 	return c, nil
 }
 
 // plan reads the section fleet.
-func (c *Config) plan(section json.RawMessage, name string) (*proxy.FleetPlan, error) {
+func (c *Config) plan(section json.RawMessage, name string) (*proxy.ClusterPlan, error) {
 	if c.fleet == nil {
 		return nil, &ConfigError{Key: "fleet", Problem: "this program is built without it",
-			Remedy: "run bin/fernlanding-fleet, or leave the section out"}
+			Remedy: "run bin/merlinpick-cluster-proxy, or leave the section out"}
 	}
 	plan, err := c.fleet(section, name)
 	var fault *ConfigError
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,8 +45,8 @@
 		if err != nil {
 			t.Fatalf("%+v: %v", c, err)
 		}
-		if p := got.Proxy; p.Listen != c.listen || p.Discovery.Address != c.discovery || got.Mgmt != c.mgmt ||
-			p.Watched != (c.mgmt != "") || p.Sockets != 512 || got.MemoryMB != 192 || p.Known.Index != 4 || p.Fleet != nil {
+		if p := got.Proxy; p.Listen != c.listen || p.Discovery.Address != c.discovery || got.ManagementAddress != c.mgmt ||
+			p.Managed != (c.mgmt != "") || p.MaxDescriptors != 512 || got.MemoryMB != 192 || p.InitialList.Version != 4 || p.Cluster != nil {
 			t.Errorf("%+v: got %+v", c, got)
 		}
 	}
@@ -118,7 +118,7 @@
 		c, err := parse(text, func(string) string { return "" }, nil)
 		var fault *ConfigError
 		switch {
-		case err == nil && (c == nil || c.Proxy.Fleet != nil):
+		case err == nil && (c == nil || c.Proxy.Cluster != nil):
 			t.Errorf("read as %+v", c)
 		case err != nil && (!errors.As(err, &fault) || c != nil || fault.Problem == "" || fault.Remedy == ""):
 			t.Errorf("got %+v, %v", c, err)
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,7 +5,7 @@
 	"errors"
 	"strings"
 
-	"fernlanding/internal/settings"
+	"merlinpick/internal/settings"
 )
 
 // ConfigError is a fault of the configuration.
--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -12,12 +12,12 @@
 // What counts as told to a client of the platform's list, whether it heard of it or not.
 const (
 	// ToldWithin is how long after discovery had a change, and could be reached, the change counts as told.
-	ToldWithin = 6 * time.Second
+	NotifyDeadline = 6 * time.Second
 	// PushedWithin is the same of an agent that has the list pushed to it: what it has counts as told at once, so a client that
 	// has heard nothing for longer than its watches take does not know how things stand.
-	PushedWithin = 1500 * time.Millisecond
+	PushNotifyDeadline = 1500 * time.Millisecond
 	// MovedWithin is how long after the operator named another address what that one has counts as told.
-	MovedWithin = 4 * time.Second
+	SourceChangeDeadline = 4 * time.Second
 )
 
 // evidenceMost bounds EvidenceSpan: a server that went and came back within it may be taken for one that stayed.
@@ -25,8 +25,8 @@
 
 // EvidenceSpan is how long an answer of the list, or a call that a server took, shows that the server is listed: what has
 // changed since does not count as told, or is within the grace for sends to it.
-func EvidenceSpan(pushed bool, grace time.Duration) time.Duration {
-	counts := ToldWithin
+func EvidenceTTL(pushed bool, grace time.Duration) time.Duration {
+	counts := NotifyDeadline
 	if pushed {
 		counts = 0
 	}
@@ -98,7 +98,7 @@
 	}
 	more := []any{"url", url, "took", time.Since(start), "end", string(end)}
 	if list != nil {
-		more = append(more, "index", list.Index, "full", list.Full, "entries", len(list.Endpoints))
+		more = append(more, "index", list.Version, "full", list.Full, "entries", len(list.Endpoints))
 	}
 	c.log.Debug("discovery call", more...)
 	return list, err
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,8 +23,8 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/durable"
-	"fernlanding/internal/failover"
+	"merlinpick/internal/atomicfile"
+	"merlinpick/internal/failover"
 )
 
 const maxList = 4 << 20
@@ -53,15 +53,15 @@
 type Config struct {
 	Source Source
 	// Callers is about how many clients the platform's discovery has; 0: not known.
-	Callers int
-	Pushed  bool   // the platform's list comes from an agent that has no other callers
-	Seed    uint64 // of the order of members, and of pauses
-	State   string // folder in which the last list is kept, with Members; empty: none
-	Log     *slog.Logger
+	Callers  int
+	Pushed   bool   // the platform's list comes from an agent that has no other callers
+	Seed     uint64 // of the order of members, and of pauses
+	StateDir string // folder in which the last list is kept, with Members; empty: none
+	Logger   *slog.Logger
 }
 
 // News is what discovery answered.
-type News struct{ List *List }
+type Update struct{ List *List }
 
 // Client follows the list.
 type Client struct {
@@ -69,13 +69,13 @@
 	log     *slog.Logger
 	http    *http.Client
 	connect func(Source) *http.Client // newHTTP, but for tests
-	news    chan News
+	news    chan Update
 	ended   <-chan struct{} // closed when Run is to end
 	lost    chan struct{}   // closed at the first call that showed that discovery cannot be reached
 	moved   chan Source     // the newest only
 	at      Source
 	rng     *rand.Rand
-	keep    *durable.Keeper // nil without a folder
+	keep    *atomicfile.Writer // nil without a folder
 
 	followed // with Members
 	watched  // without
@@ -89,10 +89,10 @@
 
 // New is a client; Run has it follow.
 func New(cfg Config) *Client {
-	c := &Client{cfg: cfg, log: cfg.Log, at: cfg.Source, news: make(chan News), lost: make(chan struct{}), moved: make(chan Source, 1),
+	c := &Client{cfg: cfg, log: cfg.Logger, at: cfg.Source, news: make(chan Update), lost: make(chan struct{}), moved: make(chan Source, 1),
 		rng: rand.New(rand.NewPCG(cfg.Seed, 23)), start: time.Now(), http: newHTTP(cfg.Source), connect: newHTTP, watched: watched{version: -1}}
-	if cfg.State != "" && len(cfg.Source.Members) > 0 {
-		c.keep = newKeeper(cfg.State, cfg.Log)
+	if cfg.StateDir != "" && len(cfg.Source.Members) > 0 {
+		c.keep = newKeeper(cfg.StateDir, cfg.Logger)
 	}
 	c.fromMembers.Store(len(cfg.Source.Members) > 0)
 	return c
@@ -102,14 +102,14 @@
 // hold one of the two places.
 func newHTTP(at Source) *http.Client {
 	if len(at.Members) > 0 {
-		return failover.Client()
+		return failover.NewHTTPClient()
 	}
 	return &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: 2 * firstBeat}).DialContext}}
 }
 
 // News is what is new. Its reader must not wait long: the next watch begins after it has read.
-func (c *Client) News() <-chan News { return c.news }
+func (c *Client) Updates() <-chan Update { return c.news }
 
 // Unreachable is closed once a call has shown that the platform's discovery is out of reach: its connection was refused or broke,
 // or it was turned away at once.
@@ -129,7 +129,7 @@
 }
 
 // Move has the list come from elsewhere from now on. What is known stands until that has answered.
-func (c *Client) Move(to Source) {
+func (c *Client) SetSource(to Source) {
 	for {
 		select {
 		case c.moved <- to:
@@ -140,20 +140,20 @@
 }
 
 // Figures are the client's counts.
-type Figures struct {
-	Members  bool          // the list is that of members: Moves and Kept are told
-	Age      time.Duration // since discovery or a member last answered with a list; negative: none has
-	Moves    int64         // from one member to another
-	Failures int64         // calls that failed
-	Kept     int64         // entries that a new line of versions lacks, and that stand for a while
-
-	Calls map[string]int64 // of the platform's list, by how they ended
+type Metrics struct {
+	FromRegistry      bool          // the list is that of members: Moves and Kept are told
+	Age               time.Duration // since discovery or a member last answered with a list; negative: none has
+	Failovers         int64         // from one member to another
+	Failures          int64         // calls that failed
+	RetainedEndpoints int64         // entries that a new line of versions lacks, and that stand for a while
+
+	CallResults map[string]int64 // of the platform's list, by how they ended
 }
 
 // Figures are the counts so far.
-func (c *Client) Figures() Figures {
-	f := Figures{Members: c.fromMembers.Load(), Age: -1, Moves: c.moves.Load(), Failures: c.failures.Load(), Kept: c.kept.Load(),
-		Calls: c.calls.all()}
+func (c *Client) Metrics() Metrics {
+	f := Metrics{FromRegistry: c.fromMembers.Load(), Age: -1, Failovers: c.moves.Load(), Failures: c.failures.Load(), RetainedEndpoints: c.kept.Load(),
+		CallResults: c.calls.all()}
 	if at := c.answered.Load(); at != 0 {
 		f.Age = time.Since(c.start) - time.Duration(at)
 	}
@@ -207,7 +207,7 @@
 }
 
 // tell hands news over. A move waits for it: the version that is held counts it in, and the next call goes on from there.
-func (c *Client) tell(n News) {
+func (c *Client) tell(n Update) {
 	select {
 	case c.news <- n:
 	case <-c.ended:
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -24,7 +24,7 @@
 		defer l.mu.Unlock()
 		for _, c := range l.callers {
 			c.last = time.Time{} // there it is a new watch
-			c.client.Move(Source{Address: "127.0.0.1:2"})
+			c.client.SetSource(Source{Address: "127.0.0.1:2"})
 		}
 	}
 	const two, both, pushed, fleet = 1, 2, 3, 4 // longest wait of 2 s, or also of 3 s; or none; or 300 clients
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -43,7 +43,7 @@
 func (s *transcript) list(l *List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	line := fmt.Sprintf("%d %d %t", time.Since(s.start), l.Index, l.Full)
+	line := fmt.Sprintf("%d %d %t", time.Since(s.start), l.Version, l.Full)
 	for _, e := range l.Endpoints {
 		line += fmt.Sprintf(" %s/%s/%s", e.Name, e.Address, e.Status)
 	}
@@ -56,7 +56,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		notes := &transcript{start: time.Now()}
-		cfg.Log = slog.New(slog.DiscardHandler)
+		cfg.Logger = slog.New(slog.DiscardHandler)
 		c := New(cfg)
 		transport := roundTrip(func(r *http.Request) (*http.Response, error) {
 			notes.call(r)
@@ -65,7 +65,7 @@
 		c.connect = func(Source) *http.Client { return &http.Client{Transport: transport} }
 		c.http = c.connect(Source{})
 		if known != nil {
-			c.Known(known)
+			c.SetInitialList(known)
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
@@ -73,7 +73,7 @@
 		go func() {
 			for {
 				select {
-				case n := <-c.News():
+				case n := <-c.Updates():
 					notes.list(n.List)
 				case <-ctx.Done():
 					return
@@ -81,13 +81,13 @@
 			}
 		}()
 		time.Sleep(moveAt)
-		c.Move(moveTo)
+		c.SetSource(moveTo)
 		time.Sleep(length - moveAt)
-		f := c.Figures()
+		f := c.Metrics()
 		stop()
 		<-ended
 		calls, lists = notes.calls, notes.lists
-		counts = fmt.Sprint(f.Members, f.Age, f.Moves, f.Failures, f.Kept, f.Calls)
+		counts = fmt.Sprint(f.FromRegistry, f.Age, f.Failovers, f.Failures, f.RetainedEndpoints, f.CallResults)
 	})
 	return calls, lists, counts
 }
@@ -222,7 +222,7 @@
 			cfg.Seed, cfg.Source = seed, Source{Address: "127.0.0.1:1"}
 			var known *List
 			if seed%2 == 1 {
-				known = &List{Index: 0, Full: true}
+				known = &List{Version: 0, Full: true}
 			}
 			calls, lists, counts := play(t, cfg, known, platformAnswer, 5*time.Minute, 180*time.Second, Source{Address: "127.0.0.1:2"})
 			if len(calls) < 100 || len(lists) < 50 {
@@ -242,7 +242,7 @@
 		cfg := Config{Source: Source{Members: []string{"m1:1", "m2:1", "m3:1"}}, Seed: seed}
 		var known *List
 		if seed%2 == 1 {
-			known = &List{Index: 90, Full: true, Line: "one", Endpoints: []Endpoint{{Name: "old", Address: "127.0.0.1:9", Status: Serving}}}
+			known = &List{Version: 90, Full: true, Epoch: "one", Endpoints: []Endpoint{{Name: "old", Address: "127.0.0.1:9", Status: StatusServing}}}
 		}
 		calls, lists, counts := play(t, cfg, known, memberAnswer, 4*time.Minute, 200*time.Second, Source{Members: []string{"m3:1", "m2:1"}})
 		if len(calls) < 60 || len(lists) < 30 {
@@ -257,7 +257,7 @@
 
 // A list that an earlier version kept is read as it was.
 func TestGoldenKeptList(t *testing.T) {
-	l, err := Kept(filepath.Join("testdata", "kept"))
+	l, err := LoadCachedList(filepath.Join("testdata", "kept"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -282,7 +282,7 @@
 
 func goldenList() *List {
 	weight := 1.5
-	return &List{Index: 4711, Full: true, Line: "8f3a", Endpoints: []Endpoint{
-		{Name: "a-1", Address: "10.0.0.1:80", Zone: "north", Group: 2, Status: Serving, Weight: &weight, SinceMs: 1700000000123},
-		{Name: "b \"2\"", Address: "[::1]:8080", Zone: "süd", Status: Draining}}}
+	return &List{Version: 4711, Full: true, Epoch: "8f3a", Endpoints: []Endpoint{
+		{Name: "a-1", Address: "10.0.0.1:80", Zone: "north", Cell: 2, Status: StatusServing, Weight: &weight, StartedAtMs: 1700000000123},
+		{Name: "b \"2\"", Address: "[::1]:8080", Zone: "süd", Status: StatusDraining}}}
 }
--- a/internal/discovery/keep.go
+++ b/internal/discovery/keep.go
@@ -7,7 +7,7 @@
 	"log/slog"
 	"path/filepath"
 
-	"fernlanding/internal/durable"
+	"merlinpick/internal/atomicfile"
 )
 
 const (
@@ -16,14 +16,14 @@
 	keptMost = maxList + 1<<10
 )
 
-func newKeeper(dir string, log *slog.Logger) *durable.Keeper {
-	return durable.NewKeeper(dir, keptFile, keptKind, "discovery: the last list", log)
+func newKeeper(dir string, log *slog.Logger) *atomicfile.Writer {
+	return atomicfile.NewWriter(dir, keptFile, keptKind, "discovery: the last list", log)
 }
 
 // Kept is the list that was kept in a folder; nil if none was. One that is damaged is an error, and left as it is.
-func Kept(dir string) (*List, error) {
+func LoadCachedList(dir string) (*List, error) {
 	path := filepath.Join(dir, keptFile)
-	body, err := durable.ReadFile(path, keptKind, keptMost)
+	body, err := atomicfile.ReadFile(path, keptKind, keptMost)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -32,7 +32,7 @@
 	}
 	l, err := Parse(body)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w: %w", path, durable.ErrDamaged, err)
+		return nil, fmt.Errorf("%s: %w: %w", path, atomicfile.ErrDamaged, err)
 	}
 	return l, nil
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -9,27 +9,27 @@
 
 // The words of an entry's status.
 const (
-	Serving  = "SERVING"
-	Draining = "DRAINING"
-	Deleted  = "DELETED" // among changes only
+	StatusServing  = "SERVING"
+	StatusDraining = "DRAINING"
+	StatusDeleted  = "DELETED" // among changes only
 )
 
 // Endpoint is an entry of the list as discovery words it.
 type Endpoint struct {
-	Name    string   `json:"name"`
-	Address string   `json:"address"`
-	Zone    string   `json:"zone"`
-	Group   int      `json:"group"`
-	Status  string   `json:"status"`
-	Weight  *float64 `json:"weight"`
-	SinceMs int64    `json:"since_ms"`
+	Name        string   `json:"name"`
+	Address     string   `json:"address"`
+	Zone        string   `json:"zone"`
+	Cell        int      `json:"group"`
+	Status      string   `json:"status"`
+	Weight      *float64 `json:"weight"`
+	StartedAtMs int64    `json:"since_ms"`
 }
 
 // List is the list of backends, or what has changed in it.
 type List struct {
-	Index     int64
+	Version   int64
 	Full      bool
-	Line      string // of versions; the platform's list names none
+	Epoch     string // of versions; the platform's list names none
 	Endpoints []Endpoint
 }
 
@@ -52,11 +52,11 @@
 			return nil, fmt.Errorf("endpoints[%d]: name is missing", i)
 		}
 		switch e.Status {
-		case Serving, Draining:
+		case StatusServing, StatusDraining:
 			if _, _, err := net.SplitHostPort(e.Address); err != nil {
 				return nil, fmt.Errorf("endpoints[%d]: %w", i, err)
 			}
-		case Deleted:
+		case StatusDeleted:
 		default:
 			return nil, fmt.Errorf("endpoints[%d]: unknown status %q", i, e.Status)
 		}
@@ -75,7 +75,7 @@
 		Snapshot  bool       `json:"snapshot"`
 		Line      string     `json:"line,omitempty"`
 		Endpoints []Endpoint `json:"endpoints"`
-	}{l.Index, true, l.Line, entries})
+	}{l.Version, true, l.Epoch, entries})
 	if err != nil {
 		panic(err) // words, and numbers that were read as JSON
 	}
--- a/internal/discovery/members_test.go
+++ b/internal/discovery/members_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/durable"
+	"merlinpick/internal/atomicfile"
 )
 
 func TestMembers(t *testing.T) {
@@ -30,11 +30,11 @@
 				}
 			})
 			news := d.now().news
-			sleep(Hold + callSlack + 2*Spread)
+			sleep(LongPollTimeout + callSlack + 2*FailoverJitter)
 			at := time.Since(s.start)
 			s.set(func(_ string, m *fake) { m.index++; m.names = []string{"a", "b", fmt.Sprint("c", i)} })
-			sleep(Spread + time.Millisecond)
-			if d.now().index != 11+int64(i) || d.now().at-at > Spread || d.now().news != news+1 {
+			sleep(FailoverJitter + time.Millisecond)
+			if d.now().index != 11+int64(i) || d.now().at-at > FailoverJitter || d.now().news != news+1 {
 				t.Errorf("%s: version %d after %v, %d news", state, d.now().index, d.now().at-at, d.now().news-news)
 			}
 		}
@@ -61,8 +61,8 @@
 		sleep(time.Second)
 		s.set(func(_ string, m *fake) { m.line, m.index, m.kept, m.names = "two", 1000, 1000, nil })
 		sleep(time.Second)
-		if d.now().list != "a b c" || d.now().index != 1000 || c.Figures().Kept != 3 {
-			t.Errorf("told %q, version %d, %+v", d.now().list, d.now().index, c.Figures())
+		if d.now().list != "a b c" || d.now().index != 1000 || c.Metrics().RetainedEndpoints != 3 {
+			t.Errorf("told %q, version %d, %+v", d.now().list, d.now().index, c.Metrics())
 		}
 		s.set(func(_ string, m *fake) { m.index, m.names = 1001, []string{"b"} }) // b registers again
 		sleep(time.Second)
@@ -73,9 +73,9 @@
 		if d.now().list != "a b c" {
 			t.Errorf("told %q before %v", d.now().list, missingWait)
 		}
-		sleep(8*time.Second + 2*Hold)
-		if d.now().list != "b" || c.Figures().Kept != 0 {
-			t.Errorf("told %q after %v, %+v", d.now().list, missingWait, c.Figures())
+		sleep(8*time.Second + 2*LongPollTimeout)
+		if d.now().list != "b" || c.Metrics().RetainedEndpoints != 0 {
+			t.Errorf("told %q after %v, %+v", d.now().list, missingWait, c.Metrics())
 		}
 	})
 	bubble(t, "a line below is taken when nobody answers for the one before", func(t *testing.T) {
@@ -100,18 +100,18 @@
 		sleep(time.Minute)
 		before := len(s.made())
 		sleep(time.Hour)
-		if n := len(s.made()) - before; d.now().list != "a b" || n < 700 || n > 1500 || c.Figures().Age < time.Hour {
-			t.Errorf("told %q, %d calls in an hour, %+v", d.now().list, n, c.Figures())
+		if n := len(s.made()) - before; d.now().list != "a b" || n < 700 || n > 1500 || c.Metrics().Age < time.Hour {
+			t.Errorf("told %q, %d calls in an hour, %+v", d.now().list, n, c.Metrics())
 		}
 		s.set(func(_ string, m *fake) { m.state, m.index, m.names = "", 11, []string{"a", "b", "c"} })
 		sleep(pauseMost + time.Millisecond)
-		if d.now().index != 11 || c.Figures().Age > pauseMost {
-			t.Errorf("version %d, %+v", d.now().index, c.Figures())
+		if d.now().index != 11 || c.Metrics().Age > pauseMost {
+			t.Errorf("version %d, %+v", d.now().index, c.Metrics())
 		}
 	})
 	bubble(t, "a client that has kept a list goes on from there", func(t *testing.T) {
 		s := newService(line, 10, "a")
-		_, d := s.client(t, 1, &List{Index: 12, Full: true, Line: line})
+		_, d := s.client(t, 1, &List{Version: 12, Full: true, Epoch: line})
 		sleep(time.Second)
 		if d.now().news != 0 {
 			t.Errorf("told %q, which is older than what was kept", d.now().list)
@@ -149,7 +149,7 @@
 		sleep(10 * time.Second)
 		after := peak(s.made()[before:])
 		s.set(func(_ string, m *fake) { m.index++ })
-		sleep(Spread)
+		sleep(FailoverJitter)
 		for i, d := range all {
 			if d.now().index != 11 {
 				t.Fatalf("client %d is at version %d, %v after the death", i, d.now().index, time.Since(s.start)-died)
@@ -178,18 +178,18 @@
 // What is kept is read again as it was, and nothing else is.
 func TestTheKeptList(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	if l, err := Kept(dir); l != nil || err != nil {
+	if l, err := LoadCachedList(dir); l != nil || err != nil {
 		t.Errorf("of nothing came %+v, %v", l, err)
 	}
 	k := newKeeper(dir, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := k.Run(ctx)
-	k.Put((&List{Index: 7, Line: "l", Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.1:1", Status: Serving}}}).encode)
-	k.Put((&List{Index: 8, Line: "l", Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: Draining, SinceMs: 5}}}).encode)
+	k.Put((&List{Version: 7, Epoch: "l", Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.1:1", Status: StatusServing}}}).encode)
+	k.Put((&List{Version: 8, Epoch: "l", Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: StatusDraining, StartedAtMs: 5}}}).encode)
 	stop()
 	ended() // what was put last is written first
-	l, err := Kept(dir)
-	if err != nil || l == nil || l.Index != 8 || l.Line != "l" || !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].SinceMs != 5 {
+	l, err := LoadCachedList(dir)
+	if err != nil || l == nil || l.Version != 8 || l.Epoch != "l" || !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].StartedAtMs != 5 {
 		t.Fatalf("got %+v, %v", l, err)
 	}
 	path := filepath.Join(dir, keptFile)
@@ -201,13 +201,13 @@
 		if err := os.WriteFile(path, text[:at], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l, err := Kept(dir); l != nil || !errors.Is(err, durable.ErrDamaged) {
+		if l, err := LoadCachedList(dir); l != nil || !errors.Is(err, atomicfile.ErrDamaged) {
 			t.Fatalf("cut at %d: %+v, %v", at, l, err)
 		}
 	}
 }
 func FuzzKept(f *testing.F) {
-	f.Add((&List{Index: 8, Line: "l", Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: Draining}}}).encode())
+	f.Add((&List{Version: 8, Epoch: "l", Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: StatusDraining}}}).encode())
 	f.Add([]byte(`{"index":1,"snapshot":false,"endpoints":[{"name":"n","status":"DELETED"}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		l, err := Parse(data)
@@ -215,14 +215,14 @@
 			return
 		}
 		again, err := Parse(l.encode())
-		if err != nil || len(again.Endpoints) != len(l.Endpoints) || again.Index != l.Index || again.Line != l.Line {
+		if err != nil || len(again.Endpoints) != len(l.Endpoints) || again.Version != l.Version || again.Epoch != l.Epoch {
 			t.Fatalf("%s was read as %+v, and that again as %+v, %v", data, l, again, err)
 		}
-		sealed := durable.Seal(keptKind, data)
-		if body, err := durable.Unseal(keptKind, bytes.NewReader(sealed), keptMost); err != nil || !bytes.Equal(body, data) {
+		sealed := atomicfile.Seal(keptKind, data)
+		if body, err := atomicfile.Unseal(keptKind, bytes.NewReader(sealed), keptMost); err != nil || !bytes.Equal(body, data) {
 			t.Fatalf("sealed %q, unsealed %q, %v", data, body, err)
 		}
-		if _, err := durable.Unseal(keptKind, bytes.NewReader(data), keptMost); err == nil && !bytes.HasPrefix(data, []byte(keptKind)) {
+		if _, err := atomicfile.Unseal(keptKind, bytes.NewReader(data), keptMost); err == nil && !bytes.HasPrefix(data, []byte(keptKind)) {
 			t.Fatalf("%q passed unsealed", data)
 		}
 	})
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -276,21 +276,21 @@
 
 // join starts a client that knows the list as it was at a version.
 func (l *turns) join(ctx context.Context, pushed bool, seed uint64, version int64) {
-	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: l.clients, Seed: seed, Log: slog.New(slog.DiscardHandler)})
+	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: l.clients, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	l.mu.Lock()
 	who := &caller{list: l, n: len(l.callers), client: client, joined: time.Now()}
 	l.callers = append(l.callers, who)
 	l.mu.Unlock()
 	client.connect = func(Source) *http.Client { return &http.Client{Transport: who} }
 	client.http = client.connect(Source{})
-	client.Known(&List{Index: version, Full: true})
+	client.SetInitialList(&List{Version: version, Full: true})
 	who.hears(version)
 	go client.Run(ctx)
 	go func() {
 		for {
 			select {
-			case n := <-client.News():
-				who.hears(n.List.Index)
+			case n := <-client.Updates():
+				who.hears(n.List.Version)
 			case <-ctx.Done():
 				return
 			}
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -39,7 +39,7 @@
 
 	turnPeriod  = 3500 * time.Millisecond // of a fleet whose turns take little more
 	waitPart    = 1900 * time.Millisecond // of turns may wait at the end of a period
-	plainMost   = ToldWithin
+	plainMost   = NotifyDeadline
 	periodLeast = 2500 * time.Millisecond // of discoveries with long waits: with the wait it is periodBoth at most
 	periodBoth  = 5500 * time.Millisecond
 	settleLeast = 2 * time.Second
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -148,14 +148,14 @@
 		} else if whole && !c.check.IsZero() {
 			c.checkLater()
 		}
-		if err == nil && !list.Full && list.Index < c.version {
-			err = &versionError{c.version, list.Index}
+		if err == nil && !list.Full && list.Version < c.version {
+			err = &versionError{c.version, list.Version}
 		}
 		if c.going = err == nil; c.going {
 			c.heard = true
 			c.answered.Store(int64(max(1, time.Since(c.start))))
-			c.version, c.busy, c.polls, c.vain, failed = list.Index, false, 0, 0, 0
-			c.tell(News{list})
+			c.version, c.busy, c.polls, c.vain, failed = list.Version, false, 0, 0, 0
+			c.tell(Update{list})
 			continue
 		}
 		c.failures.Add(1)
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -20,8 +20,8 @@
 // A watch that fell silent is given up while its news does not count as told, and the next one goes on from its version.
 func TestASilentWatchIsTakenUpAgainFromItsVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Log: slog.New(slog.DiscardHandler)})
-		c.Known(&List{Index: 5, Full: true})
+		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
+		c.SetInitialList(&List{Version: 5, Full: true})
 		var calls []string
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			calls = append(calls, r.URL.Query().Get("from"))
@@ -33,9 +33,9 @@
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
-		<-c.News()
+		<-c.Updates()
 		start := time.Now()
-		if n := <-c.News(); n.List == nil {
+		if n := <-c.Updates(); n.List == nil {
 			t.Error("the module was told of a failure")
 		}
 		if took := time.Since(start); took <= holdLeast || took >= 6*time.Second-time.Second {
@@ -53,8 +53,8 @@
 // versions may answer from it too.
 func TestAMoveIsCheckedLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Log: slog.New(slog.DiscardHandler)})
-		c.Known(&List{Index: 5, Full: true})
+		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
+		c.SetInitialList(&List{Version: 5, Full: true})
 		c.checkLater()
 		start, whole := time.Now(), []time.Duration(nil)
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
@@ -76,7 +76,7 @@
 		go func() {
 			for {
 				select {
-				case <-c.News():
+				case <-c.Updates():
 				case <-ctx.Done():
 					return
 				}
@@ -114,17 +114,17 @@
 	}
 	first, calls := at(5)
 	second, _ := at(3)
-	c := New(Config{Source: Source{Address: first}, Log: slog.New(slog.DiscardHandler)})
+	c := New(Config{Source: Source{Address: first}, Logger: slog.New(slog.DiscardHandler)})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
-	if n := <-c.News(); n.List == nil || n.List.Index != 5 {
+	if n := <-c.Updates(); n.List == nil || n.List.Version != 5 {
 		t.Errorf("got %+v", n.List)
 	}
 	<-calls
 	<-calls // the watch is held
-	c.Move(Source{Address: second})
-	if n := <-c.News(); n.List == nil || n.List.Index != 3 || !n.List.Full {
+	c.SetSource(Source{Address: second})
+	if n := <-c.Updates(); n.List == nil || n.List.Version != 3 || !n.List.Full {
 		t.Errorf("got %+v", n.List)
 	}
 	stop()
@@ -134,8 +134,8 @@
 // A move that comes while the loop is busy with something else loses no change: the next call goes on from after it.
 func TestAMoveLosesNoChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Log: slog.New(slog.DiscardHandler)})
-		c.Known(&List{Index: 5, Full: true})
+		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
+		c.SetInitialList(&List{Version: 5, Full: true})
 		calls := 0
 		transport := roundTrip(func(r *http.Request) (*http.Response, error) {
 			if calls++; calls == 1 {
@@ -149,12 +149,12 @@
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		synctest.Wait() // the change has come, and nobody has read it
-		c.Move(Source{Address: "127.0.0.1:2"})
+		c.SetSource(Source{Address: "127.0.0.1:2"})
 		synctest.Wait()
 		select {
-		case n := <-c.News():
-			if n.List.Index != 6 {
-				t.Errorf("version %d", n.List.Index)
+		case n := <-c.Updates():
+			if n.List.Version != 6 {
+				t.Errorf("version %d", n.List.Version)
 			}
 		case <-time.After(time.Minute):
 			t.Error("the change never came")
@@ -181,12 +181,12 @@
 		}
 	}))
 	defer s.Close()
-	c := New(Config{Source: Source{Address: strings.TrimPrefix(s.URL, "http://")}, Log: slog.New(slog.DiscardHandler)})
-	c.Known(&List{Index: 5, Full: true})
+	c := New(Config{Source: Source{Address: strings.TrimPrefix(s.URL, "http://")}, Logger: slog.New(slog.DiscardHandler)})
+	c.SetInitialList(&List{Version: 5, Full: true})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
-	<-c.News()
+	<-c.Updates()
 	for range 3 {
 		<-asked
 	}
--- a/internal/discovery/polls_test.go
+++ b/internal/discovery/polls_test.go
@@ -25,7 +25,7 @@
 			l.mu.Lock()
 			for _, c := range l.callers {
 				c.fates = []fate{broken}
-				c.client.Move(Source{Address: "127.0.0.1:2"})
+				c.client.SetSource(Source{Address: "127.0.0.1:2"})
 			}
 			l.mu.Unlock()
 		}},
--- a/internal/discovery/pushed_test.go
+++ b/internal/discovery/pushed_test.go
@@ -18,8 +18,8 @@
 		8 * time.Second, 21 * time.Second} {
 		t.Run(fmt.Sprint(deaf), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Log: slog.New(slog.DiscardHandler)})
-				c.Known(&List{Index: 5, Full: true})
+				c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
+				c.SetInitialList(&List{Version: 5, Full: true})
 				began := time.Now()
 				c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 					if at := time.Since(began); at > 2*time.Second && at < 2*time.Second+deaf {
@@ -32,7 +32,7 @@
 				go c.Run(ctx)
 				var heard time.Duration
 				for back := 2*time.Second + deaf; heard < back; {
-					<-c.News()
+					<-c.Updates()
 					time.Sleep(20 * time.Millisecond) // of a watch that is answered at once
 					heard = time.Since(began)
 				}
@@ -49,8 +49,8 @@
 // An agent that takes long for an answer is waited for all the same.
 func TestASlowAgentIsHeardOf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Log: slog.New(slog.DiscardHandler)})
-		c.Known(&List{Index: 5, Full: true})
+		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
+		c.SetInitialList(&List{Version: 5, Full: true})
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			select {
 			case <-time.After(3 * time.Second):
@@ -62,7 +62,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		start := time.Now()
-		<-c.News()
+		<-c.Updates()
 		if took := time.Since(start); took > 4*time.Second {
 			t.Errorf("heard of after %v", took)
 		}
--- a/internal/discovery/service_test.go
+++ b/internal/discovery/service_test.go
@@ -143,10 +143,10 @@
 
 // client runs a client of the service in the test's bubble.
 func (s *service) client(t *testing.T, seed uint64, known *List) (*Client, *told) {
-	c := New(Config{Source: Source{Members: []string{"m1", "m2", "m3"}}, Seed: seed, Log: slog.New(slog.DiscardHandler)})
+	c := New(Config{Source: Source{Members: []string{"m1", "m2", "m3"}}, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	c.http.Transport = s
 	if known != nil {
-		c.Known(known)
+		c.SetInitialList(known)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -157,18 +157,18 @@
 		defer close(read)
 		for {
 			select {
-			case n := <-c.News():
+			case n := <-c.Updates():
 				d.mu.Lock()
 				if n.List.Full {
 					clear(d.names)
 				}
 				for _, e := range n.List.Endpoints {
 					d.names[e.Name] = true
-					if e.Status == Deleted {
+					if e.Status == StatusDeleted {
 						delete(d.names, e.Name)
 					}
 				}
-				d.index, d.at = n.List.Index, time.Since(s.start)
+				d.index, d.at = n.List.Version, time.Since(s.start)
 				d.news++
 				d.mu.Unlock()
 			case <-ctx.Done():
--- a/internal/discovery/slope_test.go
+++ b/internal/discovery/slope_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/capacity"
+	"merlinpick/internal/faultlab/capacity"
 )
 
 var (
@@ -26,11 +26,11 @@
 	sizes := []float64{15, 150, 1300, 2600}
 	times, memory := make([][]float64, repeats), make([][]float64, repeats)
 	text := func(n int) []byte {
-		l := List{Line: "3f2a9c77", Index: 1 << 51}
+		l := List{Epoch: "3f2a9c77", Version: 1 << 51}
 		for i := range n {
 			w := 1.
 			l.Endpoints = append(l.Endpoints, Endpoint{Name: fmt.Sprintf("s-%08x", i), Address: fmt.Sprintf("10.%d.%d.18:8443", i/250, i%250),
-				Zone: fmt.Sprintf("zone-%d", i%9), Group: 3, Status: Serving, Weight: &w, SinceMs: 1_790_000_000_000})
+				Zone: fmt.Sprintf("zone-%d", i%9), Cell: 3, Status: StatusServing, Weight: &w, StartedAtMs: 1_790_000_000_000})
 		}
 		return l.encode()
 	}
@@ -46,7 +46,7 @@
 			for _, n := range sizes {
 				data := text(int(n))
 				ctx, end := context.WithCancel(b.Context())
-				c := New(Config{Source: Source{Members: []string{"127.0.0.1:1"}}, Log: slog.New(slog.DiscardHandler)})
+				c := New(Config{Source: Source{Members: []string{"127.0.0.1:1"}}, Logger: slog.New(slog.DiscardHandler)})
 				c.ended = ctx.Done()
 				go func() {
 					for {
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -23,21 +23,21 @@
 
 const (
 	// Spread is over how long the callers of a member that dies come to the others.
-	Spread = 600 * time.Millisecond
+	Jitter = 600 * time.Millisecond
 	// LineWait is without an answer for a line, until one that lies below it is taken.
-	LineWait = 10 * time.Second
+	EpochWait = 10 * time.Second
 
 	dialWait = time.Second
 )
 
 // Client makes calls of members. A connection that does not come up is a failure of a member long before its call is one.
-func Client() *http.Client {
+func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: dialWait}).DialContext}}
 }
 
 // Wait waits, or until the context ends.
-func Wait(ctx context.Context, d time.Duration) {
+func Sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
@@ -53,71 +53,71 @@
 }
 
 // New is a ring, with pauses of at most so long while all members fail.
-func New(members []string, rng *rand.Rand, most time.Duration) *Ring {
+func NewRing(members []string, rng *rand.Rand, most time.Duration) *Ring {
 	r := &Ring{members: slices.Clone(members), rng: rng, most: most}
 	rng.Shuffle(len(r.members), func(i, j int) { r.members[i], r.members[j] = r.members[j], r.members[i] })
 	return r
 }
 
 // Member is the one to ask.
-func (r *Ring) Member() string { return r.members[r.at] }
+func (r *Ring) Current() string { return r.members[r.at] }
 
 // Answered notes that it has answered.
-func (r *Ring) Answered() { r.failed = 0 }
+func (r *Ring) RecordSuccess() { r.failed = 0 }
 
 // Failure is what follows a call that failed.
 type Failure struct {
-	Next  string // to ask
-	Moved bool   // it is another one
-	InRow int    // failures
-	Told  bool   // this one is worth a line in the log: the first, and one each round
-	Pause time.Duration
+	Next        string // to ask
+	FailedOver  bool   // it is another one
+	Consecutive int    // failures
+	ShouldLog   bool   // this one is worth a line in the log: the first, and one each round
+	Backoff     time.Duration
 }
 
 // Failed moves on to the next member.
-func (r *Ring) Failed() Failure {
+func (r *Ring) RecordFailure() Failure {
 	r.failed++
 	next := (r.at + 1) % len(r.members)
-	f := Failure{Next: r.members[next], Moved: next != r.at, InRow: r.failed, Told: r.failed == 1 || r.failed%len(r.members) == 0}
+	f := Failure{Next: r.members[next], FailedOver: next != r.at, Consecutive: r.failed, ShouldLog: r.failed == 1 || r.failed%len(r.members) == 0}
 	r.at = next
-	f.Pause = r.pause()
+	f.Backoff = r.pause()
 	return f
 }
 
 // pause is how long to wait after so many failures in a row.
 func (r *Ring) pause() time.Duration {
 	if r.failed < len(r.members) {
-		return r.Draw(Spread)
+		return r.RandomDelay(Jitter)
 	}
-	p := min(Spread<<min(r.failed/len(r.members), 8), r.most)
-	return p/2 + r.Draw(p/2)
+	p := min(Jitter<<min(r.failed/len(r.members), 8), r.most)
+	return p/2 + r.RandomDelay(p/2)
 }
 
 // Draw is a time below another.
-func (r *Ring) Draw(below time.Duration) time.Duration {
+func (r *Ring) RandomDelay(below time.Duration) time.Duration {
 	return time.Duration(r.rng.Int64N(int64(below)))
 }
 
 // ErrBehind is an answer that lies below what was taken.
-var ErrBehind = errors.New("a member is behind what another has told")
+var ErrStaleVersion = errors.New("a member is behind what another has told")
 
 // Lineage is what was taken last.
-type Lineage struct {
-	Line    string
-	Version int64
-	Told    time.Time // when a member last answered for the line
+type AcceptedVersion struct {
+	Epoch       string
+	Version     int64
+	ConfirmedAt time.Time // when a member last answered for the line
 }
 
 // Check tells why an answer is not to be taken.
-func (l Lineage) Check(line string, version int64, now time.Time) error {
+func (l AcceptedVersion) Check(line string, version int64, now time.Time) error {
 	switch {
 	case version >= l.Version:
 		return nil
-	case line == l.Line:
-		return fmt.Errorf("%w: version %d after %d", ErrBehind, version, l.Version)
-	case now.Sub(l.Told) < LineWait:
-		return fmt.Errorf("%w: line %q at version %d is below line %q at %d, which was told %v ago", ErrBehind, line,
-			version, l.Line, l.Version, now.Sub(l.Told).Round(time.Millisecond))
+	case line == l.Epoch:
+		return fmt.Errorf("%w: version %d after %d", ErrStaleVersion, version, l.Version)
+	case now.Sub(l.ConfirmedAt) < EpochWait:
+		return fmt.Errorf("%w: line %q at version %d is below line %q at %d, which was told %v ago", ErrStaleVersion, line,
+			version, l.Epoch, l.Version, now.Sub(l.ConfirmedAt).Round(time.Millisecond))
 	}
 	return nil
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -14,25 +14,25 @@
 	const most = 2 * time.Second
 	first := map[string]int{}
 	for seed := range uint64(300) {
-		r := New(members, rand.New(rand.NewPCG(seed, 1)), most)
-		first[r.Member()]++
+		r := NewRing(members, rand.New(rand.NewPCG(seed, 1)), most)
+		first[r.Current()]++
 		for i := 1; i <= 40; i++ {
-			before := r.Member()
-			f := r.Failed()
-			least, high := time.Duration(0), Spread
+			before := r.Current()
+			f := r.RecordFailure()
+			least, high := time.Duration(0), Jitter
 			if round := i / len(members); round > 0 {
-				high = min(Spread<<min(round, 8), most)
+				high = min(Jitter<<min(round, 8), most)
 				least = high / 2
 			}
-			if f.Pause < least || f.Pause >= high {
-				t.Fatalf("seed %d, failure %d: %v, not from %v to %v", seed, i, f.Pause, least, high)
+			if f.Backoff < least || f.Backoff >= high {
+				t.Fatalf("seed %d, failure %d: %v, not from %v to %v", seed, i, f.Backoff, least, high)
 			}
-			if !f.Moved || f.Next == before || f.Next != r.Member() || f.InRow != i || f.Told != (i == 1 || i%3 == 0) {
+			if !f.FailedOver || f.Next == before || f.Next != r.Current() || f.Consecutive != i || f.ShouldLog != (i == 1 || i%3 == 0) {
 				t.Fatalf("seed %d, failure %d: %+v after %s", seed, i, f, before)
 			}
 		}
-		r.Answered()
-		if f := r.Failed(); f.InRow != 1 || f.Pause >= Spread {
+		r.RecordSuccess()
+		if f := r.RecordFailure(); f.Consecutive != 1 || f.Backoff >= Jitter {
 			t.Fatalf("seed %d, after an answer: %+v", seed, f)
 		}
 	}
@@ -41,8 +41,8 @@
 			t.Errorf("%s is the first of %d of 300", m, n)
 		}
 	}
-	one := New(members[:1], rand.New(rand.NewPCG(1, 1)), most)
-	if f := one.Failed(); f.Moved || f.Next != "a" {
+	one := NewRing(members[:1], rand.New(rand.NewPCG(1, 1)), most)
+	if f := one.RecordFailure(); f.FailedOver || f.Next != "a" {
 		t.Errorf("an only member: %+v", f)
 	}
 }
@@ -57,14 +57,14 @@
 		taken   bool
 	}{
 		{"one", 10, 0, true}, {"one", 11, 0, true}, {"one", 9, 0, false}, {"one", 9, time.Hour, false},
-		{"two", 11, 0, true}, {"two", 9, 0, false}, {"two", 9, LineWait - 1, false}, {"two", 9, LineWait, true},
+		{"two", 11, 0, true}, {"two", 9, 0, false}, {"two", 9, EpochWait - 1, false}, {"two", 9, EpochWait, true},
 	} {
-		l := Lineage{Line: "one", Version: 10, Told: now.Add(-c.silent)}
-		if err := l.Check(c.line, c.version, now); (err == nil) != c.taken || err != nil && !errors.Is(err, ErrBehind) {
+		l := AcceptedVersion{Epoch: "one", Version: 10, ConfirmedAt: now.Add(-c.silent)}
+		if err := l.Check(c.line, c.version, now); (err == nil) != c.taken || err != nil && !errors.Is(err, ErrStaleVersion) {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
-	if err := (Lineage{}).Check("one", 0, now); err != nil {
+	if err := (AcceptedVersion{}).Check("one", 0, now); err != nil {
 		t.Errorf("the first: %v", err)
 	}
 }
--- a/internal/lab/liar/liar.go
+++ b/internal/faultlab/byzantine/byzantine.go
@@ -1,6 +1,6 @@
 // Package liar is a member of the proxies' gossip that says what is not so: that nodos and zones are bad which are sound.
 // It joins by the program's own link, so that what it says is well formed and only wrong.
-package liar
+package byzantine
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/fleet/link"
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
+	"merlinpick/internal/cluster/transport"
 )
 
 const (
@@ -35,7 +35,7 @@
 
 // Liar is a lying member.
 type Liar struct {
-	link *link.Link
+	link *transport.Node
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
@@ -43,9 +43,9 @@
 // Join has a liar join, and say of all victims and of all zones but its own that they fail, until Leave.
 func Join(cfg Config, victims func() []Victim, zones []string) (*Liar, error) {
 	begun := time.Now()
-	l, err := link.Open(link.Config{Name: cfg.Name, Zone: cfg.Zone, Tier: cfg.Tier, Bind: cfg.Bind, Advertise: cfg.Advertise,
-		Label: cfg.Label, Seeds: cfg.Seeds, Start: begun.UnixMilli(), Now: func() int64 { return time.Since(begun).Microseconds() },
-		Log: cfg.Log})
+	l, err := transport.Open(transport.Config{Name: cfg.Name, Zone: cfg.Zone, Tier: cfg.Tier, Bind: cfg.Bind, Advertise: cfg.Advertise,
+		Label: cfg.Label, Seeds: cfg.Seeds, StartedAtMs: begun.UnixMilli(), Now: func() int64 { return time.Since(begun).Microseconds() },
+		Logger: cfg.Log})
 	if err != nil {
 		return nil, fmt.Errorf("liar %s: %w", cfg.Name, err)
 	}
@@ -54,7 +54,7 @@
 	out.done.Go(func() { l.Run(ctx) })
 	out.done.Go(func() {
 		for again := time.NewTicker(sayEvery); ; {
-			l.Say(Lies(cfg.Zone, victims(), zones))
+			l.Publish(Lies(cfg.Zone, victims(), zones))
 			select {
 			case <-again.C:
 			case <-ctx.Done():
@@ -73,14 +73,14 @@
 }
 
 // Lies are what a liar in a zone says, with all the evidence that one could have.
-func Lies(zone string, victims []Victim, zones []string) (out []view.Item) {
-	body := view.Body{Cause: failing, Calls: evidence, Bad: 1}
+func Lies(zone string, victims []Victim, zones []string) (out []state.Observation) {
+	body := state.Body{Fault: failing, Calls: evidence, BadFraction: 1}
 	for _, v := range victims {
-		out = append(out, view.Item{Kind: view.ServerBad, Subject: v.Name, Start: v.Launched, Body: body})
+		out = append(out, state.Observation{Kind: state.ServerUnhealthy, Subject: v.Name, SubjectStartMs: v.Launched, Body: body})
 	}
 	for _, z := range zones {
 		if z != zone {
-			out = append(out, view.Item{Kind: view.ZoneBad, Subject: z, Body: body})
+			out = append(out, state.Observation{Kind: state.ZoneUnhealthy, Subject: z, Body: body})
 		}
 	}
 	return out
--- a/internal/lab/liar/liar_test.go
+++ b/internal/faultlab/byzantine/byzantine_test.go
@@ -1,4 +1,4 @@
-package liar
+package byzantine
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"go.uber.org/goleak"
 
-	"fernlanding/internal/fleet/link"
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
+	"merlinpick/internal/cluster/transport"
 )
 
 // nothingLeft checks that no goroutine outlives the test. A probe of memberlist ends by itself a probe interval after the member
@@ -34,8 +34,8 @@
 func TestHonestMemberHears(t *testing.T) {
 	defer nothingLeft(t)
 	log, begun := slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now()
-	honest, err := link.Open(link.Config{Name: "honest", Zone: "a", Bind: "127.0.0.1:0", Label: "t", Log: log,
-		Start: begun.UnixMilli(), Now: func() int64 { return time.Since(begun).Microseconds() }})
+	honest, err := transport.Open(transport.Config{Name: "honest", Zone: "a", Bind: "127.0.0.1:0", Label: "t", Logger: log,
+		StartedAtMs: begun.UnixMilli(), Now: func() int64 { return time.Since(begun).Microseconds() }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,23 +48,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []view.Item{{Kind: view.ServerBad, Subject: "a-s1", Start: 7}, {Kind: view.ServerBad, Subject: "b-s1"},
-		{Kind: view.ZoneBad, Subject: "a"}, {Kind: view.ZoneBad, Subject: "c"}}
-	await := func(want []view.Item) {
+	want := []state.Observation{{Kind: state.ServerUnhealthy, Subject: "a-s1", SubjectStartMs: 7}, {Kind: state.ServerUnhealthy, Subject: "b-s1"},
+		{Kind: state.ZoneUnhealthy, Subject: "a"}, {Kind: state.ZoneUnhealthy, Subject: "c"}}
+	await := func(want []state.Observation) {
 		t.Helper()
-		var got []view.Item
+		var got []state.Observation
 		for late := time.After(30 * time.Second); ; {
 			select {
-			case s := <-honest.Peers():
+			case s := <-honest.Snapshots():
 				got = nil
-				for _, e := range s.Others {
-					got = append(got, view.Item{Kind: e.Kind, Subject: e.Subject, Start: e.Start})
-					if e.Body.Cause != failing || e.Body.Bad != 1 || e.Observer != "liar" || e.Zone != "b" {
+				for _, e := range s.PeerEntries {
+					got = append(got, state.Observation{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs})
+					if e.Body.Fault != failing || e.Body.BadFraction != 1 || e.Observer != "liar" || e.ObserverZone != "b" {
 						t.Fatalf("heard %+v", e)
 					}
 				}
-				slices.SortFunc(got, func(a, b view.Item) int { return slices.Compare([]byte(a.Subject), []byte(b.Subject)) })
-				if slices.EqualFunc(got, want, func(a, b view.Item) bool { return a == b }) {
+				slices.SortFunc(got, func(a, b state.Observation) int { return slices.Compare([]byte(a.Subject), []byte(b.Subject)) })
+				if slices.EqualFunc(got, want, func(a, b state.Observation) bool { return a == b }) {
 					return
 				}
 			case <-late:
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	slices.SortFunc(want, func(a, b view.Item) int { return slices.Compare([]byte(a.Subject), []byte(b.Subject)) })
+	slices.SortFunc(want, func(a, b state.Observation) int { return slices.Compare([]byte(a.Subject), []byte(b.Subject)) })
 	await(want)
 	l.Leave()
 	await(nil)
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -11,12 +11,12 @@
 	"testing"
 	"testing/fstest"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/roster/config"
-	"fernlanding/internal/roster/fanout"
-	"fernlanding/internal/roster/member"
-	"fernlanding/internal/roster/state"
-	"fernlanding/internal/settings"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/registry/config"
+	"merlinpick/internal/registry/raftnode"
+	"merlinpick/internal/registry/state"
+	"merlinpick/internal/registry/watch"
+	"merlinpick/internal/settings"
 )
 
 var update = flag.Bool("update", false, "write the tables of docs/CAPACITY.md anew")
@@ -88,7 +88,7 @@
 		return
 	}
 	if at := parts(t, os.DirFS(folder), string(text)); at != "" {
-		t.Errorf("docs/CAPACITY.md parts from docs/capacity at %s\n(go test ./internal/lab/capacity -update writes its tables anew)", at)
+		t.Errorf("docs/CAPACITY.md parts from docs/capacity at %s\n(go test ./internal/faultlab/capacity -update writes its tables anew)", at)
 	}
 }
 
@@ -261,17 +261,17 @@
 // The program's constants are as the arithmetic has them. Those that no package tells are compared in its source.
 func TestConstants(t *testing.T) {
 	c := config.Default()
-	for key, is := range map[string]float64{"hold_s": discovery.Hold.Seconds(), "spread_s": discovery.Spread.Seconds(),
-		"poll_s": member.Poll.Seconds(), "settle_s": fanout.Settle.Seconds(), "stale_s": float64(c.StaleMs) / 1000,
-		"lease_part": c.Lease.Part, "lease_pace": c.Lease.Pace, "changes_kept": state.ChangesMost, "document_most": settings.DocumentMost} {
+	for key, is := range map[string]float64{"hold_s": discovery.LongPollTimeout.Seconds(), "spread_s": discovery.FailoverJitter.Seconds(),
+		"poll_s": raftnode.FreshnessInterval.Seconds(), "settle_s": watch.CoalesceInterval.Seconds(), "stale_s": float64(c.StaleMs) / 1000,
+		"lease_part": c.Lease.Part, "lease_pace": c.Lease.Pace, "changes_kept": state.MaxRetainedChanges, "document_most": settings.MaxDocumentBytes} {
 		if constants[key] != is {
 			t.Errorf("%s: %v here, %v in the program", key, constants[key], is)
 		}
 	}
 	for file, lines := range map[string][]string{
-		"internal/discovery/members.go":          {"pauseMost = 5 * time.Second"},
-		"internal/roster/member/member.go":       {"tick = 100 * time.Millisecond"},
-		"internal/roster/registrar/registrar.go": {"pauseFirst = 50 * time.Millisecond", "pauseMost = 400 * time.Millisecond", "renewPart = 3 "},
+		"internal/discovery/members.go":            {"pauseMost = 5 * time.Second"},
+		"internal/registry/raftnode/node.go":       {"tick = 100 * time.Millisecond"},
+		"internal/registry/registrar/registrar.go": {"pauseFirst = 50 * time.Millisecond", "pauseMost = 400 * time.Millisecond", "renewPart = 3 "},
 	} {
 		text, err := os.ReadFile("../../../" + file)
 		if err != nil {
--- a/internal/lab/capacity/duty.go
+++ b/internal/faultlab/capacity/duty.go
@@ -156,16 +156,16 @@
 	"hold_s":         4,     // a watch waits for news: internal/discovery
 	"spread_s":       0.6,   // before another member is asked: internal/discovery
 	"pause_most_s":   5,     // between calls when no member answers: internal/discovery
-	"settle_s":       0.05,  // between two wake-ups: internal/roster/fanout
-	"poll_s":         0.25,  // between two proofs of freshness: internal/roster/member
-	"tick_s":         0.1,   // between two looks at the leases: internal/roster/member
-	"stale_s":        2,     // internal/roster/config
-	"lease_part":     0.25,  // internal/roster/lease
-	"lease_pace":     0.1,   // internal/roster/lease
-	"changes_kept":   4096,  // internal/roster/state
+	"settle_s":       0.05,  // between two wake-ups: internal/registry/watch
+	"poll_s":         0.25,  // between two proofs of freshness: internal/registry/raftnode
+	"tick_s":         0.1,   // between two looks at the leases: internal/registry/raftnode
+	"stale_s":        2,     // internal/registry/config
+	"lease_part":     0.25,  // internal/registry/lease
+	"lease_pace":     0.1,   // internal/registry/lease
+	"changes_kept":   4096,  // internal/registry/state
 	"document_most":  65536, // internal/settings
-	"retry_least_ms": 25,    // half of the least pause: internal/roster/registrar
-	"retry_most_ms":  600,   // once and a half the longest: internal/roster/registrar
+	"retry_least_ms": 25,    // half of the least pause: internal/registry/registrar
+	"retry_most_ms":  600,   // once and a half the longest: internal/registry/registrar
 }
 
 // expand fills a text of duties.toml in.
--- a/internal/lab/capacity/numbers.go
+++ b/internal/faultlab/capacity/numbers.go
@@ -186,7 +186,7 @@
 
 const (
 	daySeconds  = 24 * 60 * 60
-	renewals    = 3 // in a lease: internal/roster/registrar
+	renewals    = 3 // in a lease: internal/registry/registrar
 	minutesADay = daySeconds / 60
 )
 
--- a/internal/lab/capacity/refused_test.go
+++ b/internal/faultlab/capacity/refused_test.go
@@ -19,7 +19,7 @@
 points = [[100, 210.0, 205.0, 215.0], [200, 410.0, 400.0, 420.0], [300, 610.0, 595.0, 625.0]]
 commit = "abcdef1"
 machine = "8 cores, 24 GB"
-command = "bin/fleetlab run scale-30"
+command = "bin/merlinpick-faultlab run scale-30"
 note = ""
 `
 
@@ -34,8 +34,8 @@
 	}
 	for name, c := range map[string]struct{ was, is, says string }{
 		"unknown key":             {`note = ""`, `remark = ""`, "slope.remark: no such key"},
-		"no command":              {`command = "bin/fleetlab run scale-30"`, ``, "command is missing"},
-		"empty command":           {`"bin/fleetlab run scale-30"`, `" "`, "command: a word"},
+		"no command":              {`command = "bin/merlinpick-faultlab run scale-30"`, ``, "command is missing"},
+		"empty command":           {`"bin/merlinpick-faultlab run scale-30"`, `" "`, "command: a word"},
 		"no commit":               {`commit = "abcdef1"`, ``, "commit is missing"},
 		"no commit's name":        {`"abcdef1"`, `"newest"`, "commit: "},
 		"no machine":              {`machine = "8 cores, 24 GB"`, ``, "machine is missing"},
--- a/internal/lab/capacity/slope.go
+++ b/internal/faultlab/capacity/slope.go
@@ -108,7 +108,7 @@
 		return fmt.Errorf("role: %q is none of %q", s.Role, Roles)
 	}
 	if _, ok := units[s.Unit]; !ok {
-		return fmt.Errorf("unit: %q is not known; add it to internal/lab/capacity/unit.go", s.Unit)
+		return fmt.Errorf("unit: %q is not known; add it to internal/faultlab/capacity/unit.go", s.Unit)
 	}
 	if _, ok := dimensions[s.Of]; !ok {
 		return fmt.Errorf("of: %q is none of %q", s.Of, known())
--- a/internal/lab/catalog/answer.go
+++ b/internal/faultlab/catalog/answer.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/lab/referee"
+	"merlinpick/internal/faultlab/referee"
 )
 
 // line is an entry on the wire.
--- a/internal/lab/catalog/catalog.go
+++ b/internal/faultlab/catalog/catalog.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/disk"
-	"fernlanding/internal/lab/referee"
+	"merlinpick/internal/faultlab/faultdisk"
+	"merlinpick/internal/faultlab/referee"
 )
 
 // Entry is a nodo as the list has it; its address is each proxy's own.
@@ -63,7 +63,7 @@
 	done chan struct{}
 
 	// What follows is run's alone.
-	file     *disk.File
+	file     *faultdisk.File
 	index    int64
 	answered int64 // calls
 	entries  map[string]Entry
@@ -91,7 +91,7 @@
 
 // New is a service that holds these entries as versions of long ago.
 func New(cfg Config, ref *referee.Referee, entries []Entry) *Catalog {
-	c := &Catalog{cfg: cfg, ref: ref, do: make(chan func()), done: make(chan struct{}), file: &disk.File{},
+	c := &Catalog{cfg: cfg, ref: ref, do: make(chan func()), done: make(chan struct{}), file: &faultdisk.File{},
 		entries: map[string]Entry{}, slow: 1, ended: map[string]time.Time{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), held: map[string]int64{}}
 	for _, e := range entries {
 		c.tell(e)
--- a/internal/lab/catalog/catalog_test.go
+++ b/internal/faultlab/catalog/catalog_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"fernlanding/internal/lab/referee"
+	"merlinpick/internal/faultlab/referee"
 )
 
 func newCatalog(n int, seed uint64) *Catalog {
--- a/internal/lab/chain/chain.go
+++ b/internal/faultlab/chain/chain.go
@@ -11,7 +11,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 const (
@@ -44,7 +44,7 @@
 	Last    Last
 
 	// Settings are those of all proxies but for their tier.
-	Settings logic.Settings
+	Settings balancer.Settings
 }
 
 // Result is what came of it.
@@ -166,14 +166,14 @@
 // what the one before was sent.
 func (w *world) bound() {
 	s := w.cfg.Settings
-	spans := float64((w.now-second)/s.BudgetSpan + 1)
+	spans := float64((w.now-second)/s.RetryBudgetWindow + 1)
 	most := float64(w.res.Came)
 	for range w.cfg.Tiers {
-		most = (1+s.BudgetShare)*most + float64(w.cfg.Width)*s.BudgetFree*spans
+		most = (1+s.RetryBudgetRatio)*most + float64(w.cfg.Width)*s.RetryBudgetMin*spans
 		w.res.Bound = append(w.res.Bound, most)
 	}
 	for _, p := range w.all {
-		if most := s.BudgetFree*spans + s.BudgetShare*float64(p.taken); float64(p.further) > most {
+		if most := s.RetryBudgetMin*spans + s.RetryBudgetRatio*float64(p.taken); float64(p.further) > most {
 			w.res.Over = append(w.res.Over, fmt.Sprintf("proxy %d before tier %d: %d further attempts for %d calls in %.0f spans, %.1f allowed",
 				p.number, p.tier, p.further, p.taken, spans, most))
 		}
--- a/internal/lab/chain/chain_test.go
+++ b/internal/faultlab/chain/chain_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 var table = flag.Bool("chain.table", false, "print attempts by tier for more rates, seeds and tries")
@@ -13,9 +13,9 @@
 // config is a chain of 12 with the allowance that holds where the settings state none.
 func config(rate float64, seconds int64, tries int) Config {
 	return Config{Tiers: 12, Width: 4, Rate: rate, Seconds: seconds, Slots: 4, Work: 2 * milli, GiveUp: 2 * second, Seed: 1,
-		Settings: logic.Settings{Zones: 1, MaxAttempts: tries, DrainGrace: second, StartCapacity: 0.32, Cold: 8_800 * milli,
-			TipMultiple: 3, FallSpan: 2 * second, MaxRetryAfter: 2 * second, BudgetSpan: 10 * second, BudgetFree: 5, BudgetShare: 0.1,
-			Classes: []logic.Class{{Name: "read", Aim: 400 * milli, Deadline: 2 * second, Worth: 1}}}}
+		Settings: balancer.Settings{ZoneCount: 1, MaxAttempts: tries, DrainGrace: second, SlowStartMinCapacity: 0.32, SlowStartDuration: 8_800 * milli,
+			OverloadMultiple: 3, OverloadWindow: 2 * second, MaxRetryAfter: 2 * second, RetryBudgetWindow: 10 * second, RetryBudgetMin: 5, RetryBudgetRatio: 0.1,
+			Classes: []balancer.Class{{Name: "read", LatencyObjective: 400 * milli, Deadline: 2 * second, PriorityWeight: 1}}}}
 }
 
 var troubles = []struct {
@@ -67,12 +67,12 @@
 func TestWithoutAnAllowanceAChainGoesOver(t *testing.T) {
 	cfg := config(20, 12, 3)
 	cfg.Last = Last{Errors: 1, From: 3 * second}
-	cfg.Settings.BudgetFree = 1e9
+	cfg.Settings.RetryBudgetMin = 1e9
 	free, err := Play(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Settings.BudgetFree = 5
+	cfg.Settings.RetryBudgetMin = 5
 	held, err := Play(cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/chain/nodo.go
+++ b/internal/faultlab/chain/nodo.go
@@ -1,6 +1,6 @@
 package chain
 
-import "fernlanding/logic"
+import "merlinpick/balancer"
 
 // nodo works on calls in its slots; what waits for the next tier holds none.
 type nodo struct {
@@ -37,7 +37,7 @@
 	} else if len(n.queue) < queues*n.w.cfg.Slots {
 		n.queue = append(n.queue, j)
 	} else {
-		j.answer(logic.FullUp)
+		j.answer(balancer.StatusRejected)
 	}
 }
 
@@ -59,16 +59,16 @@
 		switch {
 		case j.gone && !n.w.cfg.Keeps:
 		case n.own == nil && bad:
-			j.answer(logic.Error)
+			j.answer(balancer.StatusError)
 		case n.own == nil:
-			j.answer(logic.OK)
+			j.answer(balancer.StatusOK)
 		case j.until <= n.w.now:
-			j.answer(logic.Error)
+			j.answer(balancer.StatusError)
 		default:
 			j.leave = n.own.take(j.until-n.w.now, func(what answer) {
-				status := logic.Error
+				status := balancer.StatusError
 				if what == ok {
-					status = logic.OK
+					status = balancer.StatusOK
 				}
 				j.answer(status)
 			})
@@ -94,6 +94,6 @@
 	}
 }
 
-func (j *job) answer(status logic.Status) {
+func (j *job) answer(status balancer.Status) {
 	j.n.w.after(network, func() { j.a.p.outcome(j.a, status) })
 }
--- a/internal/lab/chain/proxy.go
+++ b/internal/faultlab/chain/proxy.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 type answer int
@@ -18,7 +18,7 @@
 type proxy struct {
 	w              *world
 	tier, number   int
-	bal            *logic.Balancer
+	bal            *balancer.Balancer
 	calls          map[string]*call
 	next           int
 	taken, further int
@@ -44,17 +44,17 @@
 
 func (w *world) newProxy(tier, number int) (*proxy, error) {
 	s := w.cfg.Settings
-	s.Stage, s.Siblings, s.Ordinal = tier, w.cfg.Width, number
-	bal, err := logic.New(s, w.cfg.Seed<<16+uint64(tier<<8+number))
+	s.Tier, s.Replicas, s.ReplicaIndex = tier, w.cfg.Width, number
+	bal, err := balancer.New(s, w.cfg.Seed<<16+uint64(tier<<8+number))
 	if err != nil {
 		return nil, err
 	}
 	p := &proxy{w: w, tier: tier, number: number, bal: bal, calls: map[string]*call{}}
-	var list []logic.Server
+	var list []balancer.Server
 	for i := range w.cfg.Width {
-		list = append(list, logic.Server{ID: fmt.Sprint(i), State: logic.Ready, Size: 1})
+		list = append(list, balancer.Server{ID: fmt.Sprint(i), State: balancer.ServerReady, CapacityHint: 1})
 	}
-	bal.List(w.now, p, logic.Full, list)
+	bal.UpdateEndpoints(w.now, p, balancer.UpdateSnapshot, list)
 	w.all = append(w.all, p)
 	return p, nil
 }
@@ -66,7 +66,7 @@
 	c := &call{id: fmt.Sprint(p.next), giveUp: p.w.now + wait, reply: reply}
 	p.calls[c.id] = c
 	p.w.after(wait, func() { p.leave(c) })
-	p.bal.Request(p.w.now, p, logic.Request{ID: c.id, Tenant: -1, GiveUp: c.giveUp})
+	p.bal.HandleRequest(p.w.now, p, balancer.Request{ID: c.id, Tenant: -1, Deadline: c.giveUp})
 	return func() { p.leave(c) }
 }
 
@@ -76,9 +76,9 @@
 		return
 	}
 	p.end(c, failed)
-	p.bal.Withdrawn(p.w.now, p, c.id)
+	p.bal.HandleClientGone(p.w.now, p, c.id)
 	for _, a := range c.attempts {
-		p.outcome(a, logic.Cancelled)
+		p.outcome(a, balancer.StatusCancelled)
 	}
 }
 
@@ -108,28 +108,28 @@
 	n := p.w.tiers[p.tier][i]
 	p.w.after(network, func() { n.come(a, until) })
 	if until < c.giveUp {
-		p.w.after(until-p.w.now, func() { p.outcome(a, logic.TimedOut) })
+		p.w.after(until-p.w.now, func() { p.outcome(a, balancer.StatusTimedOut) })
 	}
 }
 
 // outcome ends an attempt once.
-func (p *proxy) outcome(a *attempt, status logic.Status) {
+func (p *proxy) outcome(a *attempt, status balancer.Status) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	if status == logic.OK {
+	if status == balancer.StatusOK {
 		p.end(a.call, ok)
 	}
-	if (status == logic.TimedOut || status == logic.Cancelled) && a.job != nil {
+	if (status == balancer.StatusTimedOut || status == balancer.StatusCancelled) && a.job != nil {
 		p.w.after(network, a.job.left)
 	}
-	p.bal.Outcome(p.w.now, p, logic.Outcome{ID: a.call.id, Attempt: a.number, Status: status, Took: p.w.now - a.sent,
-		Closed: a.call.over})
+	p.bal.HandleOutcome(p.w.now, p, balancer.Outcome{RequestID: a.call.id, Attempt: a.number, Status: status, Latency: p.w.now - a.sent,
+		RequestDone: a.call.over})
 }
 
 // Refuse implements logic.Host.
-func (p *proxy) Refuse(id string, _ int64) {
+func (p *proxy) Reject(id string, _ int64) {
 	if c := p.calls[id]; c != nil {
 		p.w.res.Declined[p.tier]++
 		p.end(c, refused)
@@ -145,11 +145,11 @@
 
 // SetTimer implements logic.Host.
 func (p *proxy) SetTimer(delay int64, token string) {
-	p.w.after(delay, func() { p.bal.Timer(p.w.now, p, token) })
+	p.w.after(delay, func() { p.bal.HandleTimer(p.w.now, p, token) })
 }
 
 // Watch implements logic.Host.
 func (p *proxy) Watch() {}
 
 // Log implements logic.Host.
-func (p *proxy) Log(logic.Event) {}
+func (p *proxy) Log(balancer.Event) {}
--- a/internal/lab/disk/disk.go
+++ b/internal/faultlab/faultdisk/faultdisk.go
@@ -3,7 +3,7 @@
 //
 // A disk promises what a sync has confirmed and no more. Of what was written since, any 512-byte block may have got
 // there or not, whatever the order of the writes: a lost block reads as zeros, or is the file's end.
-package disk
+package faultdisk
 
 import (
 	"errors"
--- a/internal/lab/hollow/calibrate_test.go
+++ b/internal/faultlab/hollow/calibrate_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/hollow"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/result"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/hollow"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/result"
 )
 
 // free is ports that nobody has, on all loopback addresses as far as is known.
--- a/internal/lab/hollow/configs_test.go
+++ b/internal/faultlab/hollow/configs_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/hollow"
-	"fernlanding/internal/lab/result"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/hollow"
+	"merlinpick/internal/faultlab/result"
 )
 
 // The figures of configurations hold hollow proxies that have them in force, and fail those that hear of them alone.
--- a/internal/lab/hollow/decide.go
+++ b/internal/faultlab/hollow/decide.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/settings"
 )
 
 const (
@@ -22,7 +22,7 @@
 // decider is the decision module with calls that are drawn: nobody sends them and nobody answers, but the module takes each,
 // picks a server, and hears what came of it. It is its own host. All but the counts is the proxy's loop's.
 type decider struct {
-	bal     *logic.Balancer
+	bal     *balancer.Balancer
 	zones   map[string]int
 	classes []int // the module's numbers of the classes that calls have now
 	rate    float64
@@ -43,13 +43,13 @@
 	for i, z := range site.Zones {
 		d.zones[z] = i
 	}
-	for i := range site.Logic.Classes {
+	for i := range site.Balancer.Classes {
 		d.classes = append(d.classes, i)
 	}
-	s := site.Logic
-	s.Ordinal, s.Zone = p.Ordinal, d.number(p.Zone)
+	s := site.Balancer
+	s.ReplicaIndex, s.Zone = p.Ordinal, d.number(p.Zone)
 	var err error
-	d.bal, err = logic.New(s, p.Seed)
+	d.bal, err = balancer.New(s, p.Seed)
 	return d, err
 }
 
@@ -66,25 +66,25 @@
 
 // list tells the module what is listed, as a real proxy does.
 func (d *decider) list(l *discovery.List) {
-	kind := logic.Delta
+	kind := balancer.UpdateDelta
 	if l.Full {
-		kind = logic.Full
+		kind = balancer.UpdateSnapshot
 	}
-	out := make([]logic.Server, 0, len(l.Endpoints))
+	out := make([]balancer.Server, 0, len(l.Endpoints))
 	for _, e := range l.Endpoints {
-		s := logic.Server{ID: e.Name, Zone: d.number(e.Zone), Cell: e.Group, Size: 1, Launched: e.SinceMs * 1000}
+		s := balancer.Server{ID: e.Name, Zone: d.number(e.Zone), Cell: e.Cell, CapacityHint: 1, StartTime: e.StartedAtMs * 1000}
 		switch e.Status {
-		case discovery.Serving:
-			s.State = logic.Ready
-		case discovery.Draining:
-			s.State = logic.Draining
+		case discovery.StatusServing:
+			s.State = balancer.ServerReady
+		case discovery.StatusDraining:
+			s.State = balancer.ServerDraining
 		}
 		if e.Weight != nil {
-			s.Size = *e.Weight
+			s.CapacityHint = *e.Weight
 		}
 		out = append(out, s)
 	}
-	d.bal.List(now(), d, kind, out)
+	d.bal.UpdateEndpoints(now(), d, kind, out)
 }
 
 // pause is until the next call: drawn, and an hour if there are none.
@@ -103,7 +103,7 @@
 	d.taken.Add(1)
 	class := d.classes[r.IntN(len(d.classes))]
 	d.sends[id], d.open[id] = 0, class
-	d.bal.Request(now(), d, logic.Request{ID: id, Class: class, GiveUp: now() + time.Second.Microseconds()})
+	d.bal.HandleRequest(now(), d, balancer.Request{ID: id, Class: class, Deadline: now() + time.Second.Microseconds()})
 }
 
 // after has the proxy's loop do something later; not once the proxy has ended.
@@ -122,14 +122,14 @@
 	n := d.sends[id]
 	d.sends[id] = n + 1
 	d.sent.Add(1)
-	status, took := logic.OK, tookLeast+time.Duration(d.rnd.Int64N(int64(tookMost-tookLeast)))
+	status, took := balancer.StatusOK, tookLeast+time.Duration(d.rnd.Int64N(int64(tookMost-tookLeast)))
 	if d.rnd.Float64() < d.bad {
-		status = logic.Reset
+		status = balancer.StatusReset
 	}
 	d.after(took, func() {
 		_, open := d.sends[id]
-		closed := status == logic.OK || !open
-		d.bal.Outcome(now(), d, logic.Outcome{ID: id, Attempt: n, Status: status, Closed: closed, Took: took.Microseconds()})
+		closed := status == balancer.StatusOK || !open
+		d.bal.HandleOutcome(now(), d, balancer.Outcome{RequestID: id, Attempt: n, Status: status, RequestDone: closed, Latency: took.Microseconds()})
 		if closed {
 			d.end(id)
 		}
@@ -143,11 +143,11 @@
 
 // reconfigure has other settings in force, as a real proxy does; its own zone and number stay.
 func (d *decider) reconfigure(site *settings.Site, p Proxy) error {
-	s := site.Logic
+	s := site.Balancer
 	for _, z := range site.Zones {
 		d.number(z)
 	}
-	s.Ordinal, s.Zone, s.Zones = p.Ordinal, d.number(p.Zone), len(d.zones)
+	s.ReplicaIndex, s.Zone, s.ZoneCount = p.Ordinal, d.number(p.Zone), len(d.zones)
 	held := map[int]bool{}
 	for _, class := range d.open {
 		held[class] = true
@@ -160,7 +160,7 @@
 }
 
 // Refuse ends a call.
-func (d *decider) Refuse(id string, _ int64) {
+func (d *decider) Reject(id string, _ int64) {
 	d.refused.Add(1)
 	d.end(id)
 }
@@ -173,14 +173,14 @@
 
 // SetTimer asks for a timer's event.
 func (d *decider) SetTimer(delay int64, token string) {
-	d.after(time.Duration(delay)*time.Microsecond, func() { d.bal.Timer(now(), d, token) })
+	d.after(time.Duration(delay)*time.Microsecond, func() { d.bal.HandleTimer(now(), d, token) })
 }
 
 // Watch is nothing: the list is followed in any case.
 func (d *decider) Watch() {}
 
 // Log is nothing: calls that are drawn are no news.
-func (d *decider) Log(logic.Event) {}
+func (d *decider) Log(balancer.Event) {}
 
 func (d *decider) counted() DecidedFigures {
 	return DecidedFigures{d.taken.Load(), d.sent.Load(), d.refused.Load(), d.failed.Load()}
--- a/internal/lab/hollow/figures.go
+++ b/internal/faultlab/hollow/figures.go
@@ -1,7 +1,7 @@
 package hollow
 
 import (
-	"fernlanding/internal/fleet/link"
+	"merlinpick/internal/cluster/transport"
 )
 
 // Step is a version of the list, and when it was there: nanoseconds of the machine's clock.
@@ -94,7 +94,7 @@
 	Living  int      `json:"living"`
 }
 
-func fleetFigures(f link.Figures, ages []float64) *FleetFigures {
-	return &FleetFigures{Living: f.Living, Entries: f.Entries, Oldest: float64(f.Oldest.Microseconds()) / 1000, Waiting: f.Waiting,
-		Sent: f.Sent, In: f.In, Out: f.Out, Dropped: f.Dropped, Refused: f.Refused, Ages: ages}
+func fleetFigures(f transport.Metrics, ages []float64) *FleetFigures {
+	return &FleetFigures{Living: f.LiveMembers, Entries: f.Entries, Oldest: float64(f.OldestEntry.Microseconds()) / 1000, Waiting: f.Queued,
+		Sent: f.Sent, In: f.BytesIn, Out: f.BytesOut, Dropped: f.Dropped, Refused: f.Rejected, Ages: ages}
 }
--- a/internal/lab/hollow/fleet.go
+++ b/internal/faultlab/hollow/fleet.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/fleet/link"
-	"fernlanding/internal/fleet/words"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/cluster/adapter"
+	"merlinpick/internal/cluster/transport"
 )
 
 const (
@@ -19,13 +19,13 @@
 
 // peersWord is what the link told, and when.
 type peersWord struct {
-	link.Snapshot
+	transport.Snapshot
 	at int64
 }
 
-// fleetPart is a proxy's part in its fleet, as internal/fleet has it.
+// fleetPart is a proxy's part in its fleet, as internal/cluster has it.
 type fleetPart struct {
-	link  *link.Link
+	link  *transport.Node
 	words chan peersWord // the newest
 	last  peersWord      // the loop's
 
@@ -34,8 +34,8 @@
 }
 
 func join(f *Fleet, p Proxy, log *slog.Logger) (*fleetPart, error) {
-	k, err := link.Open(link.Config{Name: p.Name, Zone: p.Zone, Tier: tier, Bind: p.Bind, Advertise: p.Advertise, Label: f.Label, Seeds: p.Seeds,
-		Start: time.Now().UnixMilli(), Now: now, Log: log})
+	k, err := transport.Open(transport.Config{Name: p.Name, Zone: p.Zone, Tier: tier, Bind: p.Bind, Advertise: p.Advertise, Label: f.Label, Seeds: p.Seeds,
+		StartedAtMs: time.Now().UnixMilli(), Now: now, Logger: log})
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 	}()
 	for {
 		select {
-		case s := <-m.link.Peers():
+		case s := <-m.link.Snapshots():
 			select {
 			case <-m.words:
 			default:
@@ -65,27 +65,27 @@
 // meet has the fleet and the module hear of each other.
 func (m *fleetPart) meet(d *decider) {
 	at := now()
-	m.link.Say(words.Items(d.bal.Seen(at), d.zones))
-	peers := logic.Peers{Living: 1, Near: 1, Alone: true}
+	m.link.Publish(adapter.ToObservations(d.bal.Reports(at), d.zones))
+	peers := balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true}
 	if w := &m.last; w.at != 0 && at-w.at <= deafAfter.Microseconds() {
-		notices, _ := words.Notices(at, w.Others, d.zones)
-		peers = logic.Peers{Living: w.Living, Near: w.Near, Alone: w.Alone, Notices: notices}
-		ages := make([]float64, 0, len(w.Others))
-		for i := range w.Others {
-			if e := &w.Others[i]; !e.Gone && e.End() > at {
-				ages = append(ages, float64(at-e.Made)/1000)
+		notices, _ := adapter.ToReports(at, w.PeerEntries, d.zones)
+		peers = balancer.PeerReports{LiveReplicas: w.LiveMembers, LiveReplicasInZone: w.LiveMembersInZone, Isolated: w.Isolated, Reports: notices}
+		ages := make([]float64, 0, len(w.PeerEntries))
+		for i := range w.PeerEntries {
+			if e := &w.PeerEntries[i]; !e.Withdrawn && e.ExpiresAt() > at {
+				ages = append(ages, float64(at-e.ObservedAt)/1000)
 			}
 		}
 		m.mu.Lock()
 		m.ages = ages
 		m.mu.Unlock()
 	}
-	d.bal.Peers(at, d, peers)
+	d.bal.HandlePeerReports(at, d, peers)
 }
 
 func (m *fleetPart) figures() *FleetFigures {
 	m.mu.Lock()
 	ages := m.ages
 	m.mu.Unlock()
-	return fleetFigures(m.link.Figures(), ages)
+	return fleetFigures(m.link.Metrics(), ages)
 }
--- a/internal/lab/hollow/hollow.go
+++ b/internal/faultlab/hollow/hollow.go
@@ -15,7 +15,7 @@
 	"os"
 	"time"
 
-	"fernlanding/internal/durable"
+	"merlinpick/internal/atomicfile"
 )
 
 // Config is what a process is told.
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	return durable.WriteFile(path, text)
+	return atomicfile.WriteFile(path, text)
 }
 
 // Failure is what a process that has ended left: a *FailedError, or another error if it left nothing that can be read.
