--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/faultlab/hollow/hollow_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/roster/api"
-	"fernlanding/internal/roster/lease"
-	"fernlanding/internal/roster/member"
+	"merlinpick/internal/registry/api"
+	"merlinpick/internal/registry/lease"
+	"merlinpick/internal/registry/raftnode"
 )
 
 const patience = 30 * time.Second // for what takes a second or two
@@ -21,22 +21,22 @@
 var quiet = slog.New(slog.DiscardHandler)
 
 // service is an only member of the list service, in this process.
-func service(t *testing.T) (addr string, m *member.Member, a *api.Server) {
+func service(t *testing.T) (addr string, m *raftnode.Node, a *api.Server) {
 	t.Helper()
-	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", Watchers: 100, Log: quiet})
+	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", Watchers: 100, Logger: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err = member.Open(t.Context(), member.Config{Name: "r1", Dir: t.TempDir(), Election: 100 * time.Millisecond,
-		Stale: time.Minute, Lease: lease.Defaults(), Log: quiet})
+	m, err = raftnode.Open(t.Context(), raftnode.Config{Name: "r1", Dir: t.TempDir(), ElectionTimeout: 100 * time.Millisecond,
+		MaxListAge: time.Minute, Lease: lease.DefaultConfig(), Logger: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Open(m)
+	a.SetNode(m)
 	served := make(chan error, 1)
 	go func() { served <- a.Serve() }()
 	t.Cleanup(func() {
-		a.End(time.Second)
+		a.Shutdown(time.Second)
 		if err := errors.Join(<-served, m.Close()); err != nil {
 			t.Error(err)
 		}
--- a/internal/lab/hollow/nodo.go
+++ b/internal/faultlab/hollow/nodo.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/roster/api"
-	"fernlanding/internal/roster/registrar"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/api"
+	"merlinpick/internal/registry/registrar"
+	"merlinpick/internal/registry/state"
 )
 
 const drainTime = 2 * time.Second // from a nodo's draining to its end
@@ -54,16 +54,16 @@
 	if n.life > 1 {
 		since = asked.UnixMilli()
 	}
-	n.rec = state.Record{Entry: state.Entry{Name: n.Name, Address: n.Address, Zone: n.Zone, Type: "hollow", Status: state.Serving,
+	n.rec = state.Record{Endpoint: state.Endpoint{Name: n.Name, Address: n.Address, Zone: n.Zone, Type: "hollow", Status: state.StatusServing,
 		Weight: 1, Since: since}, Instance: fmt.Sprint(asked.UnixNano(), "-", n.life), LeaseMs: n.lease}
 	here, die := context.WithCancel(ctx)
 	n.die = die
 	n.lives.Store(true)
 	rec, begun := n.rec, asked.UnixNano()
 	n.all.Go(func() {
-		err := n.client.Keep(here, rec, func(t api.Taken) {
+		err := n.client.KeepRegistered(here, rec, func(t api.Accepted) {
 			if begun != 0 { // a later one is the service's doing, or the network's
-				n.note(Change{t.Index, begun, nanos()})
+				n.note(Change{t.Version, begun, nanos()})
 			}
 			begun = 0
 			n.first.Do(func() { close(n.known) })
@@ -96,7 +96,7 @@
 	if n.die == nil {
 		return nil
 	}
-	ref := state.Ref{Name: n.rec.Name, Instance: n.rec.Instance}
+	ref := state.InstanceRef{Name: n.rec.Name, Instance: n.rec.Instance}
 	if err := n.say(ctx, ref, n.client.Drain); err != nil {
 		return err
 	}
@@ -114,14 +114,14 @@
 }
 
 // say makes a call until it is answered. That the service knows the process no more is an answer too: its lease has ended.
-func (n *nodo) say(ctx context.Context, ref state.Ref, call func(context.Context, state.Ref) (api.Taken, error)) error {
+func (n *nodo) say(ctx context.Context, ref state.InstanceRef, call func(context.Context, state.InstanceRef) (api.Accepted, error)) error {
 	asked := nanos()
 	t, err := call(ctx, ref)
-	var no *registrar.Refused
+	var no *registrar.RejectedError
 	switch {
 	case err == nil:
-		n.note(Change{t.Index, asked, nanos()})
-	case errors.As(err, &no) && (no.End == state.Unknown || no.End == state.Ended), ctx.Err() != nil:
+		n.note(Change{t.Version, asked, nanos()})
+	case errors.As(err, &no) && (no.Code == state.ResultUnknown || no.Code == state.ResultEnded), ctx.Err() != nil:
 	default:
 		return err
 	}
--- a/internal/lab/hollow/process.go
+++ b/internal/faultlab/hollow/process.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 const (
@@ -100,13 +100,13 @@
 	var all sync.WaitGroup
 	for i, h := range p.proxies {
 		all.Go(func() {
-			wait.For(p.ctx, time.Duration(i)*proxyGap)
+			sleep.For(p.ctx, time.Duration(i)*proxyGap)
 			p.guard(h.Name, func() { h.run(p.ctx, p.seeded) })
 		})
 	}
 	all.Go(func() {
 		for _, n := range p.nodos {
-			if wait.For(p.ctx, nodoGap) {
+			if sleep.For(p.ctx, nodoGap) {
 				n.start(p.ctx)
 			}
 		}
@@ -143,7 +143,7 @@
 func (p *Process) canary() {
 	for {
 		at := time.Now()
-		if !wait.For(p.ctx, canaryEvery) {
+		if !sleep.For(p.ctx, canaryEvery) {
 			return
 		}
 		late := time.Since(at) - canaryEvery
@@ -166,7 +166,7 @@
 	if o.Act == "lose" {
 		end, err := p.lose(o.Part)
 		p.acts.Go(func() {
-			wait.For(p.ctx, time.Duration(o.ForMs)*time.Millisecond)
+			sleep.For(p.ctx, time.Duration(o.ForMs)*time.Millisecond)
 			if err := end(); err != nil {
 				p.fail("relays", err)
 			}
@@ -176,7 +176,7 @@
 	for _, t := range o.Turns {
 		n := p.nodos[t.Name]
 		p.acts.Go(func() {
-			if !wait.For(p.ctx, time.Duration(t.InMs)*time.Millisecond) {
+			if !sleep.For(p.ctx, time.Duration(t.InMs)*time.Millisecond) {
 				return
 			}
 			if o.Act == "replace" {
@@ -189,7 +189,7 @@
 			p.deaths = append(p.deaths, Death{n.Name, nanos()})
 			p.mu.Unlock()
 			n.dead()
-			if o.ForMs > 0 && wait.For(p.ctx, time.Duration(o.ForMs)*time.Millisecond) {
+			if o.ForMs > 0 && sleep.For(p.ctx, time.Duration(o.ForMs)*time.Millisecond) {
 				n.start(p.ctx)
 			}
 		})
--- a/internal/lab/hollow/proxy.go
+++ b/internal/faultlab/hollow/proxy.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/settings"
 )
 
 // proxy is a hollow proxy: parts that each follow something, and one loop that owns the decision module. Its figures are read
@@ -42,7 +42,7 @@
 	steps   []Step
 	servers map[string]string // their status
 	lost    []Death
-	before  discovery.Figures // when the figures began
+	before  discovery.Metrics // when the figures began
 }
 
 func newProxy(c *Config, p Proxy, log *slog.Logger, fault seeded) (*proxy, error) {
@@ -52,7 +52,7 @@
 	}
 	h := &proxy{Proxy: p, cfg: c, log: log.With("proxy", p.Name)}
 	h.list = &followed{servers: map[string]string{}, client: discovery.New(discovery.Config{
-		Source: discovery.Source{Members: p.Lists}, Seed: p.Seed, Log: h.log})}
+		Source: discovery.Source{Members: p.Lists}, Seed: p.Seed, Logger: h.log})}
 	if h.decide, err = newDecider(c, p, site); err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 	defer calls.Stop()
 	for {
 		select {
-		case n := <-p.list.client.News():
+		case n := <-p.list.client.Updates():
 			p.list.took(n.List)
 			p.decide.list(n.List)
 			if fault == skipsWatch {
@@ -117,15 +117,15 @@
 func (f *followed) took(l *discovery.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := len(f.steps); n == 0 || l.Index > f.steps[n-1].Index {
-		f.steps = append(f.steps, Step{l.Index, nanos()})
+	if n := len(f.steps); n == 0 || l.Version > f.steps[n-1].Index {
+		f.steps = append(f.steps, Step{l.Version, nanos()})
 	}
 	before := f.servers
 	if l.Full {
 		f.servers = map[string]string{}
 	}
 	for _, e := range l.Endpoints {
-		if e.Status != discovery.Deleted {
+		if e.Status != discovery.StatusDeleted {
 			f.servers[e.Name] = e.Status
 			continue
 		}
@@ -142,7 +142,7 @@
 }
 
 func (f *followed) gone(name, status string) {
-	if status == discovery.Serving {
+	if status == discovery.StatusServing {
 		f.lost = append(f.lost, Death{name, nanos()})
 	}
 }
@@ -151,17 +151,17 @@
 func (f *followed) begin() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.before, f.lost = f.client.Figures(), nil
+	f.before, f.lost = f.client.Metrics(), nil
 	if n := len(f.steps); n > 0 {
 		f.steps = append([]Step(nil), f.steps[n-1])
 	}
 }
 
 func (f *followed) figures(steps bool) ListFigures {
-	x := f.client.Figures()
+	x := f.client.Metrics()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := ListFigures{Servers: len(f.servers), Moves: x.Moves - f.before.Moves, Failures: x.Failures - f.before.Failures,
+	out := ListFigures{Servers: len(f.servers), Moves: x.Failovers - f.before.Failovers, Failures: x.Failures - f.before.Failures,
 		AgeMs: -1}
 	if steps {
 		out.Steps, out.Lost = append(out.Steps, f.steps...), append(out.Lost, f.lost...)
@@ -174,10 +174,10 @@
 
 // missing says what a proxy still lacks before a play can begin; empty: nothing.
 func (p *proxy) missing() string {
-	if p.list.client.Figures().Age < 0 {
+	if p.list.client.Metrics().Age < 0 {
 		return p.Name + " has no list"
 	}
-	if p.fleet != nil && p.fleet.link.Figures().Living < 2 && len(p.Seeds) > 0 {
+	if p.fleet != nil && p.fleet.link.Metrics().LiveMembers < 2 && len(p.Seeds) > 0 {
 		return p.Name + " has found nobody of its fleet"
 	}
 	return ""
--- a/internal/lab/hollow/relay.go
+++ b/internal/faultlab/hollow/relay.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"fernlanding/internal/lab/link"
+	"merlinpick/internal/faultlab/link"
 )
 
 // Relays stand before a process's members of the fleet, for losses and delays between members: each has one, by which all
--- a/internal/lab/hollow/rules.go
+++ b/internal/faultlab/hollow/rules.go
@@ -4,8 +4,8 @@
 	"context"
 	"sync"
 
-	"fernlanding/internal/rollout"
-	"fernlanding/internal/settings"
+	"merlinpick/internal/rollout"
+	"merlinpick/internal/settings"
 )
 
 // ruled is the configuration that a proxy follows: the program's own client, whose documents go to the proxy's module.
@@ -22,7 +22,7 @@
 
 func newRuled(p *proxy) *ruled {
 	r := &ruled{proxy: p}
-	r.client = rollout.New(rollout.Config{Service: p.Service, Name: p.Name, Members: p.Lists, Seed: p.Seed, Log: p.log}, r)
+	r.client = rollout.New(rollout.Config{Service: p.Service, ProxyName: p.Name, Members: p.Lists, Seed: p.Seed, Logger: p.log}, r)
 	return r
 }
 
@@ -36,7 +36,7 @@
 	if r.idle {
 		return nil
 	}
-	rules, err := settings.Above(r.proxy.cfg.Settings, document)
+	rules, err := settings.MergeDocument(r.proxy.cfg.Settings, document)
 	if err != nil {
 		return err
 	}
@@ -67,17 +67,17 @@
 func (r *ruled) begin() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failures = r.client.Figures().Failures
+	r.failures = r.client.Metrics().Failures
 	if n := len(r.steps); n > 0 {
 		r.steps = append([]Step(nil), r.steps[n-1])
 	}
 }
 
 func (r *ruled) figures(steps bool) *ConfigFigures {
-	x := r.client.Figures()
+	x := r.client.Metrics()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := &ConfigFigures{Service: r.proxy.Service, Version: x.Version, Refused: x.Refused, Failures: x.Failures - r.failures, AgeMs: -1}
+	out := &ConfigFigures{Service: r.proxy.Service, Version: x.Version, Refused: x.RejectedVersion, Failures: x.Failures - r.failures, AgeMs: -1}
 	if steps {
 		out.Steps = append(out.Steps, r.steps...)
 	}
--- a/internal/lab/link/link.go
+++ b/internal/faultlab/link/link.go
@@ -23,7 +23,7 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 // Ends tells a link's place. From is the side that dials.
@@ -163,7 +163,7 @@
 		}
 		break
 	}
-	if !wait.For(ctx, 2*(d.link.delay+d.link.now.Load().Delay)) {
+	if !sleep.For(ctx, 2*(d.link.delay+d.link.now.Load().Delay)) {
 		return nil, ctx.Err()
 	}
 	var nd net.Dialer
--- a/internal/lab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -19,13 +19,13 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/nodo"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/wait"
-	"fernlanding/internal/lab/wire"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/sleep"
+	"merlinpick/internal/faultlab/stubserver"
+	"merlinpick/internal/faultlab/wire"
 )
 
 const (
@@ -45,7 +45,7 @@
 	pools map[string]*pool
 
 	mu   sync.Mutex
-	jobs map[string]nodo.Job // by the id of a try that is out
+	jobs map[string]stubserver.Job // by the id of a try that is out
 	rng  *rand.Rand
 	late []time.Duration // of each arrival
 	open sync.WaitGroup
@@ -53,7 +53,7 @@
 
 // New is the clients of a run.
 func New(e *experiment.Experiment, p *plan.Plan, f *Front, ref *referee.Referee) *Client {
-	c := &Client{exp: e, plan: p, front: f, ref: ref, pools: map[string]*pool{}, jobs: map[string]nodo.Job{},
+	c := &Client{exp: e, plan: p, front: f, ref: ref, pools: map[string]*pool{}, jobs: map[string]stubserver.Job{},
 		rng: p.Source("clients")}
 	for _, z := range e.Zones {
 		c.pools[z.Name] = &pool{}
@@ -62,7 +62,7 @@
 }
 
 // Job tells nodos what a request costs.
-func (c *Client) Job(id string) (nodo.Job, bool) {
+func (c *Client) Job(id string) (stubserver.Job, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j, ok := c.jobs[id]
@@ -87,7 +87,7 @@
 	swept, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		for wait.For(swept, sweepEvery) {
+		for sleep.For(swept, sweepEvery) {
 			for _, p := range c.pools {
 				p.sweep(c.ref)
 			}
@@ -95,7 +95,7 @@
 	}()
 	for i := range c.plan.Arrivals {
 		a := &c.plan.Arrivals[i]
-		if !wait.For(ctx, time.Until(start.Add(a.At))) {
+		if !sleep.For(ctx, time.Until(start.Add(a.At))) {
 			break
 		}
 		late := time.Since(start.Add(a.At))
@@ -149,7 +149,7 @@
 		case !harmless || !firstRun.IsZero():
 			return
 		}
-		if !wait.For(ctx, max(out.after, experiment.Millis(c.exp.Clients.WaitMs))) {
+		if !sleep.For(ctx, max(out.after, experiment.Millis(c.exp.Clients.WaitMs))) {
 			return
 		}
 	}
@@ -181,7 +181,7 @@
 	}
 	ended := make(chan outcome, 1)
 	c.open.Go(func() {
-		ended <- c.exchange(ctx, t, append([]byte(head+"\r\n"), body...), nodo.Job{Work: a.Work, Answer: a.Answer})
+		ended <- c.exchange(ctx, t, append([]byte(head+"\r\n"), body...), stubserver.Job{Work: a.Work, Answer: a.Answer})
 		c.mu.Lock()
 		delete(c.jobs, t.ID)
 		c.mu.Unlock()
@@ -198,7 +198,7 @@
 
 // exchange sends a request and waits for its answer. A connection that was closed between requests, or crossed this
 // one on its way, is followed by a new one.
-func (c *Client) exchange(ctx context.Context, t *referee.Try, request []byte, job nodo.Job) outcome {
+func (c *Client) exchange(ctx context.Context, t *referee.Try, request []byte, job stubserver.Job) outcome {
 	k := c.pools[t.Zone].take(c.intn, c.ref)
 	fresh := k == nil
 	for {
@@ -235,7 +235,7 @@
 
 // on sends a request on a connection. Again asks for it to be sent on a new one: this one had ended before the proxy
 // could read it.
-func (c *Client) on(ctx context.Context, k *kept, t *referee.Try, request []byte, job nodo.Job, fresh bool) (out outcome,
+func (c *Client) on(ctx context.Context, k *kept, t *referee.Try, request []byte, job stubserver.Job, fresh bool) (out outcome,
 	again bool) {
 	job.Proxy = k.door.Name
 	c.mu.Lock()
--- a/internal/lab/load/front.go
+++ b/internal/faultlab/load/front.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 const (
@@ -73,7 +73,7 @@
 		asked.Go(func() {
 			// Spread, so that 100 proxies are not asked in one instant.
 			first := time.Duration(i) * healthEvery / time.Duration(len(f.order))
-			for next := first; wait.For(ctx, next); next = healthEvery {
+			for next := first; sleep.For(ctx, next); next = healthEvery {
 				f.note(d, healthy(ctx, d))
 			}
 		})
--- a/internal/lab/rude/rude.go
+++ b/internal/faultlab/misbehavingclient/misbehavingclient.go
@@ -1,6 +1,6 @@
 // Package rude is clients that do not keep to the protocol: what they send is no whole request, or none that makes sense.
 // A proxy owes each of them an error or a close within 3 s.
-package rude
+package misbehavingclient
 
 import (
 	"bufio"
--- a/internal/lab/rude/rude_test.go
+++ b/internal/faultlab/misbehavingclient/misbehavingclient_test.go
@@ -1,4 +1,4 @@
-package rude
+package misbehavingclient
 
 import (
 	"errors"
--- a/internal/lab/model/book.go
+++ b/internal/faultlab/model/book.go
@@ -1,6 +1,6 @@
 package model
 
-import "fernlanding/internal/fleet/view"
+import "merlinpick/internal/cluster/state"
 
 // book knows, in virtual time, when each entry was told: what views believe of their ages is held against it.
 type book struct {
@@ -20,11 +20,11 @@
 func (b *book) begin() { b.at = map[mark]int64{} }
 
 // told notes what a proxy has just said.
-func (b *book) told(p *proxy, entries []view.Entry) {
+func (b *book) told(p *proxy, entries []state.Entry) {
 	w := p.w
 	for i := range entries {
 		e := &entries[i]
-		b.at[mark{e.Observer, e.Incarnation, e.Seq}] = w.now - (p.clock() - e.Made)
+		b.at[mark{e.Observer, e.Incarnation, e.Seq}] = w.now - (p.clock() - e.ObservedAt)
 		w.note(evNews, p.id, int64(e.Seq))
 	}
 	if w.now-b.swept > bookKeeps {
@@ -38,11 +38,11 @@
 }
 
 // came notes how long what was news to a proxy has been under way.
-func (b *book) came(p *proxy, news []view.Entry) {
+func (b *book) came(p *proxy, news []state.Entry) {
 	for i := range news {
 		e := &news[i]
 		if at, ok := b.at[mark{e.Observer, e.Incarnation, e.Seq}]; ok {
-			if e.Kind == view.ServerLoad {
+			if e.Kind == state.ServerLoad {
 				p.w.res.LoadsBy.add(p.w.now - at)
 			} else {
 				p.w.res.Spread.add(p.w.now - at)
@@ -53,7 +53,7 @@
 }
 
 // age is the true age of an entry; -1 where it is not known.
-func (b *book) age(now int64, e *view.Entry) int64 {
+func (b *book) age(now int64, e *state.Entry) int64 {
 	at, ok := b.at[mark{e.Observer, e.Incarnation, e.Seq}]
 	if !ok {
 		return -1
--- a/internal/lab/model/check.go
+++ b/internal/faultlab/model/check.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // Rule is something that must hold after every event of every run.
@@ -97,7 +97,7 @@
 	if q.closed {
 		c.fault(ruleRequest, "%s sends %s after its end", p.name, q.id)
 	}
-	if p.told[a.to.id].State == logic.Gone {
+	if p.told[a.to.id].State == balancer.ServerRemoved {
 		c.fault(ruleRequest, "%s sends %s to %s, which its list does not have", p.name, q.id, a.to.name)
 	}
 	k := &c.w.cfg.Classes[q.class]
@@ -105,12 +105,12 @@
 		if !e.ended {
 			c.fault(ruleRequest, "%s has two attempts of %s out", p.name, q.id)
 		}
-		if !e.mayRun || k.Repeat == logic.Safe {
+		if !e.mayRun || k.Idempotency == balancer.Idempotent {
 			continue
 		}
-		same := k.Group == logic.GroupAll || k.Group == logic.GroupZone && e.zone == a.zone ||
-			k.Group == logic.GroupCell && e.to == a.to
-		if k.Repeat == logic.Unsafe || !same || c.w.now-e.sent > k.Window+keyedSlack {
+		same := k.DedupScope == balancer.DedupScopeAll || k.DedupScope == balancer.DedupScopeZone && e.zone == a.zone ||
+			k.DedupScope == balancer.DedupScopeCell && e.to == a.to
+		if k.Idempotency == balancer.NonIdempotent || !same || c.w.now-e.sent > k.DedupWindow+keyedSlack {
 			c.fault(ruleRequest, "%s sends %s of class %s again after it may have run", p.name, q.id, k.Name)
 		}
 	}
--- a/internal/lab/model/check_fleet.go
+++ b/internal/faultlab/model/check_fleet.go
@@ -1,8 +1,8 @@
 package model
 
 import (
-	"fernlanding/internal/fleet/view"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/cluster/state"
 )
 
 // What must hold of what proxies share, looked at each time that a proxy hands it to its Balancer.
@@ -46,13 +46,13 @@
 }
 
 // used judges an entry that is handed to a Balancer, by its end on the proxy's clock and by its true age.
-func (c *checker) used(p *proxy, now int64, e *view.Entry) {
-	if now >= e.End() {
-		c.fault(ruleEnds, "%s uses what %s said of %s %d us after its end", p.name, e.Observer, e.Subject, now-e.End())
+func (c *checker) used(p *proxy, now int64, e *state.Entry) {
+	if now >= e.ExpiresAt() {
+		c.fault(ruleEnds, "%s uses what %s said of %s %d us after its end", p.name, e.Observer, e.Subject, now-e.ExpiresAt())
 	}
 	w := c.w
-	if e.Kind == view.ServerBad {
-		if n := w.nodoNamed(e.Subject); e.Start == p.told[n.id].Launched/ms {
+	if e.Kind == state.ServerUnhealthy {
+		if n := w.nodoNamed(e.Subject); e.SubjectStartMs == p.told[n.id].StartTime/ms {
 			p.fleet.bad[n.id] = true
 		}
 	}
@@ -63,16 +63,16 @@
 	if age < 0 {
 		return
 	}
-	if w.now/sec != p.fleet.aged && e.Kind == view.ServerLoad {
+	if w.now/sec != p.fleet.aged && e.Kind == state.ServerLoad {
 		w.res.Loads.add(age)
 	} else if w.now/sec != p.fleet.aged {
 		w.res.Ages.add(age)
 	}
-	over := age - e.Life
+	over := age - e.TTL
 	w.res.Overrun = max(w.res.Overrun, over)
-	if over > hopsMost*(aheadMost+c.fleet.late)+int64(2*w.cfg.ClockDrift*float64(e.Life))+stallMost {
+	if over > hopsMost*(aheadMost+c.fleet.late)+int64(2*w.cfg.ClockDrift*float64(e.TTL))+stallMost {
 		c.fault(ruleEnds, "%s uses what %s said of %s %.2f s ago, for a life of %.2f s", p.name, e.Observer, e.Subject,
-			float64(age)/float64(sec), float64(e.Life)/float64(sec))
+			float64(age)/float64(sec), float64(e.TTL)/float64(sec))
 	}
 }
 
@@ -83,7 +83,7 @@
 	c.removed(p)
 	away, all := uint64(0), true
 	for _, z := range p.b.ZoneStates(now) {
-		out := z.Standing == logic.Away || w.cfg.seeded == seedAllAway
+		out := z.Phase == balancer.ZoneEvacuated || w.cfg.seeded == seedAllAway
 		if all = all && out; out {
 			away |= 1 << z.Zone
 		}
@@ -142,14 +142,14 @@
 
 // removed judges how much of the tier, and of each zone, is out by the word of others.
 func (c *checker) removed(p *proxy) {
-	gone := p.b.Condemned()
+	gone := p.b.EjectedServers()
 	if len(gone) == 0 {
 		return
 	}
 	w := c.w
 	ready, out := make([]int, w.cfg.Zones+1), make([]int, w.cfg.Zones+1) // the last is the tier
 	for i := range p.told {
-		if p.told[i].State == logic.Ready {
+		if p.told[i].State == balancer.ServerReady {
 			ready[p.told[i].Zone]++
 			ready[w.cfg.Zones]++
 		}
--- a/internal/lab/model/client.go
+++ b/internal/faultlab/model/client.go
@@ -56,7 +56,7 @@
 	k := &w.cfg.Classes[class]
 	q := &request{id: strconv.Itoa(c.n), class: class, came: w.now, giveUp: w.now + k.Deadline,
 		work: k.WorkMin + int64(part*float64(k.WorkMax-k.WorkMin))}
-	w.res.take(w.now, k.Worth)
+	w.res.take(w.now, k.PriorityWeight)
 	p := c.front(w, w.proxies[at])
 	if p == nil || !p.up {
 		w.res.count(w, q, unreached)
--- a/internal/lab/model/config.go
+++ b/internal/faultlab/model/config.go
@@ -2,7 +2,7 @@
 // send to, clients, the list, and the gossip between proxies. There are no sockets, no goroutines and no clock of the
 // machine; all chance comes from one seed, so the same Config gives the same run, event for event (Result.Sum).
 //
-// It stands beside the fault lab (cmd/fleetlab), which plays few real processes at the pace of the machine: the model
+// It stands beside the fault lab (cmd/merlinpick-faultlab), which plays few real processes at the pace of the machine: the model
 // plays hundreds of proxies through thousands of schedules of faults, and checks after each event what must always
 // hold (check.go). What it leaves out: connections and their handshakes, bodies, bytes on the wire, the machine's own
 // load. All times are microseconds of the virtual clock, which begins at 0.
@@ -11,7 +11,7 @@
 import (
 	"fmt"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // Class is a class of requests as clients send it.
 type Class struct {
-	logic.Class
+	balancer.Class
 	Share   float64 // of all requests, in proportion to the other classes'
 	WorkMin int64   // on a slot of speed 1; drawn evenly between the two
 	WorkMax int64
@@ -70,11 +70,11 @@
 func Default() Config {
 	return Config{Seed: 1, Span: 20 * sec, Zones: 3, Regions: 1, Proxies: 12, Nodos: 18, Rate: 400, Skew: 0.5,
 		Classes: []Class{
-			{logic.Class{Name: "once", Aim: 600 * ms, Deadline: 1600 * ms, Worth: 10, Repeat: logic.Unsafe},
+			{balancer.Class{Name: "once", LatencyObjective: 600 * ms, Deadline: 1600 * ms, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
 				0.6, 40 * ms, 80 * ms},
-			{logic.Class{Name: "keyed", Aim: 800 * ms, Deadline: 2000 * ms, Worth: 3, Repeat: logic.Keyed,
-				Group: logic.GroupZone, Window: 3 * sec}, 0.25, 50 * ms, 90 * ms},
-			{logic.Class{Name: "safe", Aim: 400 * ms, Deadline: 1200 * ms, Worth: 1}, 0.15, 10 * ms, 30 * ms},
+			{balancer.Class{Name: "keyed", LatencyObjective: 800 * ms, Deadline: 2000 * ms, PriorityWeight: 3, Idempotency: balancer.IdempotentWithKey,
+				DedupScope: balancer.DedupScopeZone, DedupWindow: 3 * sec}, 0.25, 50 * ms, 90 * ms},
+			{balancer.Class{Name: "safe", LatencyObjective: 400 * ms, Deadline: 1200 * ms, PriorityWeight: 1}, 0.15, 10 * ms, 30 * ms},
 		},
 		Slots: 2, Queue: 12, Speed: 1, StartCapacity: 0.2, Cold: 10 * sec, TipMultiple: 3, Fall: 2 * sec,
 		ListCome: 200 * ms, ListGone: 3 * sec, Dial: 300 * ms, ClockOff: 100 * ms, ClockDrift: 0.01, Peers: true}
@@ -118,10 +118,10 @@
 func (e *ConfigError) Error() string { return "model: Config." + e.Field + ": out of range" }
 
 // settings is what a proxy is told.
-func (c *Config) settings(ordinal, zone int) logic.Settings {
-	s := logic.Settings{Siblings: c.Proxies, Ordinal: ordinal, Zone: zone, Zones: c.Zones, MaxAttempts: 3,
-		DrainGrace: 500 * ms, StartCapacity: c.StartCapacity, Cold: c.Cold,
-		TipMultiple: c.TipMultiple, FallSpan: c.Fall}
+func (c *Config) settings(ordinal, zone int) balancer.Settings {
+	s := balancer.Settings{Replicas: c.Proxies, ReplicaIndex: ordinal, Zone: zone, ZoneCount: c.Zones, MaxAttempts: 3,
+		DrainGrace: 500 * ms, SlowStartMinCapacity: c.StartCapacity, SlowStartDuration: c.Cold,
+		OverloadMultiple: c.TipMultiple, OverloadWindow: c.Fall}
 	for _, k := range c.Classes {
 		s.Classes = append(s.Classes, k.Class)
 	}
--- a/internal/lab/model/fleet.go
+++ b/internal/faultlab/model/fleet.go
@@ -3,13 +3,13 @@
 import (
 	"strconv"
 
-	"fernlanding/internal/fleet/view"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/cluster/state"
 )
 
 // fleet is a proxy's part in what the proxies share.
 type fleet struct {
-	view   *view.View
+	view   *state.Store
 	spread spread
 	heard  int64 // when anybody was, virtual time
 	probed int64
@@ -40,7 +40,7 @@
 	}
 	w, now := p.w, p.clock()
 	p.fleet = &fleet{heard: w.now, ticked: now, lies: lies,
-		view:   view.New(view.Self{Name: p.name, Zone: zoneName(p.zone), Start: now / ms}, view.Limits{}),
+		view:   state.New(state.Identity{Name: p.name, Zone: zoneName(p.zone), StartedAtMs: now / ms}, state.Limits{}),
 		spread: newSpread(w.gossip.times)}
 	life := p.life
 	w.after(w.gossip.rnd.Int64N(gossipEvery), evGossip, p.id, func() { p.deliver(life, func() { p.gossip(life) }) })
@@ -72,34 +72,34 @@
 		f.deaf = now + stallDeaf
 	}
 	f.ticked = now
-	items := p.items(p.b.Seen(now))
+	items := p.items(p.b.Reports(now))
 	if w.cfg.Chatter > 0 {
 		items = append(items, p.chatter()...)
 	}
-	told := f.view.Say(now, append(items, p.falsehoods()...))
+	told := f.view.Publish(now, append(items, p.falsehoods()...))
 	w.gossip.book.told(p, told)
 	f.spread.add(told)
-	p.b.Peers(now, p, p.peers(now))
+	p.b.HandlePeerReports(now, p, p.peers(now))
 	w.check.polled(p, now)
 }
 
 // peers is what the view knows, as the Balancer takes it.
-func (p *proxy) peers(now int64) logic.Peers {
+func (p *proxy) peers(now int64) balancer.PeerReports {
 	w := p.w
-	known := p.fleet.view.Known(now)
-	h := logic.Peers{Alone: w.now-p.fleet.heard >= aloneAfter, Notices: make([]logic.Notice, 0, len(known))}
-	h.Living, h.Near = w.gossip.count(w, p)
+	known := p.fleet.view.PeerEntries(now)
+	h := balancer.PeerReports{Isolated: w.now-p.fleet.heard >= aloneAfter, Reports: make([]balancer.Report, 0, len(known))}
+	h.LiveReplicas, h.LiveReplicasInZone = w.gossip.count(w, p)
 	if p.id == 0 && w.cfg.seeded == seedDeaf {
 		return h
 	}
 	p.fleet.bad = make([]bool, len(w.nodos))
 	for i := range known {
 		if w.cfg.seeded == seedAfterEnd {
-			known[i].Made -= known[i].Life
+			known[i].ObservedAt -= known[i].TTL
 		}
 		w.check.used(p, now, &known[i])
 		if n, ok := p.notice(&known[i]); ok {
-			h.Notices = append(h.Notices, n)
+			h.Reports = append(h.Reports, n)
 		}
 	}
 	return h
@@ -126,16 +126,18 @@
 	return n
 }
 
-func ofZone(k logic.NoticeKind) bool { return k == logic.ZoneBad || k == logic.ZoneHealthy }
+func ofZone(k balancer.ReportKind) bool {
+	return k == balancer.ReportZoneUnhealthy || k == balancer.ReportZoneHealthy
+}
 
 // items are a Balancer's notices in the view's terms.
-func (p *proxy) items(notices []logic.Notice) []view.Item {
-	out := make([]view.Item, 0, len(notices))
+func (p *proxy) items(notices []balancer.Report) []state.Observation {
+	out := make([]state.Observation, 0, len(notices))
 	for _, n := range notices {
-		i := view.Item{Kind: view.Kind(n.Kind) + view.ServerBad, Subject: n.Server, Start: n.Launched / ms,
-			Body: view.Body{Cause: uint8(n.Cause), Calls: n.Calls, Bad: n.Bad, Value: n.Value}}
+		i := state.Observation{Kind: state.Kind(n.Kind) + state.ServerUnhealthy, Subject: n.Server, SubjectStartMs: n.StartTime / ms,
+			Body: state.Body{Fault: uint8(n.Fault), Calls: n.Calls, BadFraction: n.BadFraction, Value: n.Value}}
 		if ofZone(n.Kind) {
-			i.Subject = zoneName(n.Of)
+			i.Subject = zoneName(n.SubjectZone)
 		}
 		out = append(out, i)
 	}
@@ -143,17 +145,17 @@
 }
 
 // notice is an entry in the Balancer's terms.
-func (p *proxy) notice(e *view.Entry) (logic.Notice, bool) {
-	n := logic.Notice{Kind: logic.NoticeKind(e.Kind - view.ServerBad), Cause: logic.Cause(e.Body.Cause), Observer: e.Observer,
-		Zone: p.w.zone(e.Zone), Server: e.Subject, Launched: e.Start * ms, Calls: e.Body.Calls, Bad: e.Body.Bad,
-		Value: e.Body.Value, At: e.Made}
+func (p *proxy) notice(e *state.Entry) (balancer.Report, bool) {
+	n := balancer.Report{Kind: balancer.ReportKind(e.Kind - state.ServerUnhealthy), Fault: balancer.Fault(e.Body.Fault), Observer: e.Observer,
+		ObserverZone: p.w.zone(e.ObserverZone), Server: e.Subject, StartTime: e.SubjectStartMs * ms, Calls: e.Body.Calls, BadFraction: e.Body.BadFraction,
+		Value: e.Body.Value, LastObserved: e.ObservedAt}
 	if ofZone(n.Kind) {
-		n.Server, n.Of = "", p.w.zone(e.Subject)
+		n.Server, n.SubjectZone = "", p.w.zone(e.Subject)
 	}
-	if n.Kind == logic.ServerBad && p.w.cfg.seeded == seedFormer {
-		n.Launched = p.told[p.w.nodoNamed(n.Server).id].Launched
+	if n.Kind == balancer.ReportServerUnhealthy && p.w.cfg.seeded == seedFormer {
+		n.StartTime = p.told[p.w.nodoNamed(n.Server).id].StartTime
 	}
-	return n, n.Zone >= 0 && n.Of >= 0
+	return n, n.ObserverZone >= 0 && n.SubjectZone >= 0
 }
 
 // lie has a proxy say that all nodos of a zone are bad, or end that.
@@ -174,13 +176,13 @@
 }
 
 // falsehoods are what a liar says. Say takes the first of two items on one subject.
-func (p *proxy) falsehoods() (out []view.Item) {
+func (p *proxy) falsehoods() (out []state.Observation) {
 	for _, z := range p.fleet.lies {
-		body := view.Body{Cause: uint8(logic.Silent), Calls: 1000, Bad: 1}
-		out = append(out, view.Item{Kind: view.ZoneBad, Subject: zoneName(z), Body: body})
+		body := state.Body{Fault: uint8(balancer.FaultUnresponsive), Calls: 1000, BadFraction: 1}
+		out = append(out, state.Observation{Kind: state.ZoneUnhealthy, Subject: zoneName(z), Body: body})
 		for _, n := range p.w.nodos {
 			if n.zone == z {
-				out = append(out, view.Item{Kind: view.ServerBad, Subject: n.name, Start: p.told[n.id].Launched / ms, Body: body})
+				out = append(out, state.Observation{Kind: state.ServerUnhealthy, Subject: n.name, SubjectStartMs: p.told[n.id].StartTime / ms, Body: body})
 			}
 		}
 	}
@@ -188,11 +190,11 @@
 }
 
 // chatter is what a proxy tells where only the spreading is looked at: so many summaries of nodos, which all move.
-func (p *proxy) chatter() (out []view.Item) {
+func (p *proxy) chatter() (out []state.Observation) {
 	for i := range min(p.w.cfg.Chatter, len(p.w.nodos)) {
 		n := p.w.nodos[(p.id+i)%len(p.w.nodos)]
-		out = append(out, view.Item{Kind: view.ServerLoad, Subject: n.name,
-			Body: view.Body{Calls: 100, Value: 1000 + 1000*p.w.gossip.rnd.Float64()}})
+		out = append(out, state.Observation{Kind: state.ServerLoad, Subject: n.name,
+			Body: state.Body{Calls: 100, Value: 1000 + 1000*p.w.gossip.rnd.Float64()}})
 	}
 	return out
 }
--- a/internal/lab/model/gossip.go
+++ b/internal/faultlab/model/gossip.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
 )
 
 // How entries spread. It follows memberlist: each proxy sends what it has to tell to a few others so many times, and
@@ -114,14 +114,14 @@
 
 // key is what an entry takes the place of another by.
 type key struct {
-	kind     view.Kind
+	kind     state.Kind
 	subject  string
 	observer string
 }
 
 // telling is an entry that is being spread.
 type telling struct {
-	entry view.Entry
+	entry state.Entry
 	times int
 	stale bool // a later one has taken its place
 }
@@ -137,7 +137,7 @@
 	return spread{make([][]*telling, times), make([]int, times), map[key]*telling{}}
 }
 
-func (s *spread) add(entries []view.Entry) {
+func (s *spread) add(entries []state.Entry) {
 	for _, e := range entries {
 		k := key{e.Kind, e.Subject, e.Observer}
 		if old := s.latest[k]; old != nil {
@@ -161,9 +161,9 @@
 }
 
 // take gives up to most entries, each counted as told once more.
-func (s *spread) take(most int) (out []view.Entry) {
+func (s *spread) take(most int) (out []state.Entry) {
 	taken := make([]*telling, 0, most)
-	out = make([]view.Entry, 0, most)
+	out = make([]state.Entry, 0, most)
 	for i, line := range s.byTimes {
 		n := len(line)
 		for n > 0 && len(out) < most {
@@ -189,36 +189,36 @@
 
 // packet is what goes from proxy to proxy: entries with their ages, or the same encoded.
 type packet struct {
-	entries []view.Entry
+	entries []state.Entry
 	ages    []int64
 	bytes   [][]byte
 }
 
-func (p *proxy) pack(entries []view.Entry, most int) packet {
+func (p *proxy) pack(entries []state.Entry, most int) packet {
 	now := p.clock()
 	if p.w.cfg.Encoded {
-		return packet{bytes: view.Encode(now, entries, most)}
+		return packet{bytes: state.Encode(now, entries, most)}
 	}
 	k := packet{entries: entries, ages: make([]int64, len(entries))}
 	for i := range entries {
-		k.ages[i] = now - entries[i].Made
+		k.ages[i] = now - entries[i].ObservedAt
 	}
 	return k
 }
 
 // unpack has the times on the reader's clock.
-func (p *proxy) unpack(k packet) []view.Entry {
+func (p *proxy) unpack(k packet) []state.Entry {
 	now := p.clock()
-	var out []view.Entry
+	var out []state.Entry
 	for _, b := range k.bytes {
-		entries, _, err := view.Decode(now, b)
+		entries, _, err := state.Decode(now, b)
 		if err != nil {
 			p.w.check.fault(ruleEnds, "a packet of a proxy's is not read by another: %v", err)
 		}
 		out = append(out, entries...)
 	}
 	for i := range k.entries { // the packet is this reader's alone
-		k.entries[i].Made = now - k.ages[i]
+		k.entries[i].ObservedAt = now - k.ages[i]
 	}
 	if out == nil {
 		return k.entries
@@ -247,10 +247,10 @@
 	w := p.w
 	if o := p.peer(); o != nil && w.net.spoken(p.zone, o.zone) && w.net.spoken(o.zone, p.zone) && o.up && !o.stopped {
 		there, back := w.net.delay(p.zone, o.zone), w.net.delay(o.zone, p.zone)
-		mine, other := p.pack(p.fleet.view.All(p.clock()), 32<<10), o.life
+		mine, other := p.pack(p.fleet.view.Entries(p.clock()), 32<<10), o.life
 		w.after(2*there+back, evPacket, o.id, func() {
 			o.deliver(other, func() {
-				theirs := o.pack(o.fleet.view.All(o.clock()), 32<<10)
+				theirs := o.pack(o.fleet.view.Entries(o.clock()), 32<<10)
 				o.hear(mine)
 				w.after(back, evPacket, p.id, func() { p.deliver(life, func() { p.hear(theirs) }) })
 			})
--- a/internal/lab/model/members.go
+++ b/internal/faultlab/model/members.go
@@ -10,8 +10,8 @@
 	"sync"
 	"sync/atomic"
 
-	"fernlanding/internal/fleet/queue"
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/queue"
+	"merlinpick/internal/cluster/state"
 )
 
 // Members plays the gossip of a whole fleet and nothing else, for sizes that a run with Balancers does not end at: the
@@ -30,13 +30,13 @@
 // MembersResult is what they came to. Bytes are of all members and the whole run.
 type MembersResult struct {
 	Datagrams, Bytes int64
-	Exchanged        int64                // bytes of full exchanges
-	Verdicts, Loads  ages                 // true ages of what members know of others, once a second
-	Entries, Sizes   [view.Hand + 1]int64 // by kind, and their bytes in the datagrams looked at
-	Known            ages                 // entries of others that a member knows, as counts
-	Heard            ages                 // members of which it knows anything, as counts
-	Over             uint64               // entries for which there was no room in a view
-	Dropped          int64                // entries that went unsent for the bound of a queue
+	Exchanged        int64                     // bytes of full exchanges
+	Verdicts, Loads  ages                      // true ages of what members know of others, once a second
+	Entries, Sizes   [state.Override + 1]int64 // by kind, and their bytes in the datagrams looked at
+	Known            ages                      // entries of others that a member knows, as counts
+	Heard            ages                      // members of which it knows anything, as counts
+	Over             uint64                    // entries for which there was no room in a view
+	Dropped          int64                     // entries that went unsent for the bound of a queue
 	lock             sync.Mutex
 }
 
@@ -55,9 +55,9 @@
 	id       int
 	zone     int
 	rnd      *rand.Rand
-	view     *view.View
+	view     *state.Store
 	queue    *queue.Queue
-	items    []view.Item
+	items    []state.Observation
 	moveAt   int64
 	sayAt    int64
 	gossipAt int64
@@ -68,8 +68,8 @@
 	sent     int64
 	bytes    int64
 	full     int64
-	entries  [view.Hand + 1]int64
-	sizes    [view.Hand + 1]int64
+	entries  [state.Override + 1]int64
+	sizes    [state.Override + 1]int64
 }
 
 // message is a datagram, or one side of a full exchange.
@@ -105,8 +105,8 @@
 	}
 	for i := range c.Count {
 		m := &member{f: f, id: i, zone: i * c.Zones / c.Count, rnd: source(c.Seed, chanceProxies+uint64(i))}
-		m.view = view.New(view.Self{Name: memberName(i), Zone: zoneName(m.zone), Start: epoch / ms}, view.Limits{})
-		m.queue = queue.New(func() int { return queue.Transmits(c.Count) })
+		m.view = state.New(state.Identity{Name: memberName(i), Zone: zoneName(m.zone), StartedAtMs: epoch / ms}, state.Limits{})
+		m.queue = queue.New(func() int { return queue.TransmitCount(c.Count) })
 		m.sayAt, m.gossipAt, m.fullAt = m.rnd.Int64N(tickEvery), m.rnd.Int64N(gossipEvery), m.rnd.Int64N(f.each)
 		m.moveAt = m.rnd.Int64N(moveEvery)
 		f.all = append(f.all, m)
@@ -132,7 +132,7 @@
 		}
 		_, _, dropped := m.queue.Counts()
 		f.res.Dropped += dropped
-		f.res.Over += m.view.Counts().Over
+		f.res.Over += m.view.Counts().DroppedAtLimit
 	}
 	return &f.res
 }
@@ -165,7 +165,7 @@
 	m.hear(now)
 	if now >= m.sayAt {
 		m.sayAt += tickEvery
-		told := m.view.Say(epoch+now, m.plan(now))
+		told := m.view.Publish(epoch+now, m.plan(now))
 		for range told {
 			m.made = append(m.made, now)
 		}
@@ -199,7 +199,7 @@
 			m.exchange(now, k.from, false)
 		}
 		for _, data := range k.data {
-			in, _, err := view.Decode(epoch+now, data)
+			in, _, err := state.Decode(epoch+now, data)
 			if err != nil {
 				panic(err) // a member's own packet
 			}
@@ -209,7 +209,7 @@
 }
 
 // plan is what it says: that zones are well, the loads of its nodos, and that one of them fails.
-func (m *member) plan(now int64) []view.Item {
+func (m *member) plan(now int64) []state.Observation {
 	c := &m.f.c
 	if now < m.moveAt {
 		return m.items
@@ -217,17 +217,17 @@
 	m.moveAt = now + moveEvery
 	m.items = m.items[:0]
 	for z := range c.Zones {
-		m.items = append(m.items, view.Item{Kind: view.ZoneWell, Subject: zoneName(z), Body: view.Body{Calls: 50 + 50*m.rnd.Float64()}})
+		m.items = append(m.items, state.Observation{Kind: state.ZoneHealthy, Subject: zoneName(z), Body: state.Body{Calls: 50 + 50*m.rnd.Float64()}})
 	}
 	nodos := 2 * c.Count
 	for i := range c.Summaries {
 		n := (2*m.id + i) % nodos
 		name := "nodo-" + strconv.Itoa(10000 + n)[1:]
-		m.items = append(m.items, view.Item{Kind: view.ServerLoad, Subject: name, Start: epoch/ms - 1000,
-			Body: view.Body{Calls: 10 + 10*m.rnd.Float64(), Value: 50_000 + 20_000*m.rnd.Float64()}})
+		m.items = append(m.items, state.Observation{Kind: state.ServerLoad, Subject: name, SubjectStartMs: epoch/ms - 1000,
+			Body: state.Body{Calls: 10 + 10*m.rnd.Float64(), Value: 50_000 + 20_000*m.rnd.Float64()}})
 		if n == m.f.bad && now > c.Span/5 && now < c.Span*3/5 {
-			m.items = append(m.items, view.Item{Kind: view.ServerBad, Subject: name, Start: epoch/ms - 1000,
-				Body: view.Body{Cause: 1, Calls: 20, Bad: 0.8 + 0.2*m.rnd.Float64()}})
+			m.items = append(m.items, state.Observation{Kind: state.ServerUnhealthy, Subject: name, SubjectStartMs: epoch/ms - 1000,
+				Body: state.Body{Fault: 1, Calls: 20, BadFraction: 0.8 + 0.2*m.rnd.Float64()}})
 		}
 	}
 	return m.items
@@ -243,15 +243,15 @@
 
 // tell sends one datagram.
 func (m *member) tell(now int64) {
-	data := m.queue.Take(epoch+now, packetBytes)
+	data := m.queue.NextPacket(epoch+now, packetBytes)
 	if data == nil {
 		return
 	}
 	m.bytes += int64(len(data))
 	if m.sent++; m.sent%lookSizes == 0 {
-		in, _, _ := view.Decode(epoch+now, data)
+		in, _, _ := state.Decode(epoch+now, data)
 		for i := range in {
-			one, _ := view.Pack(epoch+now, in[i:i+1], packetBytes)
+			one, _ := state.Pack(epoch+now, in[i:i+1], packetBytes)
 			m.entries[in[i].Kind]++
 			m.sizes[in[i].Kind] += int64(len(one))
 		}
@@ -264,7 +264,7 @@
 
 // exchange sends all, over a connection.
 func (m *member) exchange(now int64, to int, answer bool) {
-	data, size := view.Encode(epoch+now, m.view.All(epoch+now), view.MostPacket), 0
+	data, size := state.Encode(epoch+now, m.view.Entries(epoch+now), state.MaxPacketBytes), 0
 	for i, p := range data {
 		if size += len(p); size > exchangeMost {
 			data = data[:i]
@@ -293,7 +293,7 @@
 	if every := max(1, c.Count/lookAges); (int64(m.id)+second)%int64(every) != 0 || second < 5 {
 		return
 	}
-	known := m.view.Known(epoch + m.f.now)
+	known := m.view.PeerEntries(epoch + m.f.now)
 	heard, last := 0, ""
 	res := &m.f.res
 	res.lock.Lock()
@@ -305,7 +305,7 @@
 		}
 		of, _ := strconv.Atoi(e.Observer[len("proxy-"):])
 		age := m.f.now - m.f.all[of].made[e.Seq-1]
-		if e.Kind == view.ServerLoad {
+		if e.Kind == state.ServerLoad {
 			res.Loads.add(age)
 		} else {
 			res.Verdicts.add(age)
--- a/internal/lab/model/members_test.go
+++ b/internal/faultlab/model/members_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/fleet/view"
+	"merlinpick/internal/cluster/state"
 )
 
 var (
@@ -79,7 +79,7 @@
 	}
 	for k, n := range r.Entries {
 		if n > 0 {
-			kinds = append(kinds, fmt.Sprintf("%s %.0f %% (%d B)", view.Kind(k), 100*float64(r.Sizes[k])/float64(all), r.Sizes[k]/n))
+			kinds = append(kinds, fmt.Sprintf("%s %.0f %% (%d B)", state.Kind(k), 100*float64(r.Sizes[k])/float64(all), r.Sizes[k]/n))
 		}
 	}
 	return fmt.Sprintf("%d members, %d summaries, %.0f %% lost | verdicts %s | summaries %s | %.1f KB/s datagrams, %.1f exchanges | "+
--- a/internal/lab/model/nodo.go
+++ b/internal/faultlab/model/nodo.go
@@ -6,11 +6,11 @@
 	"slices"
 	"strconv"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // nodo is a server: slots, a queue, a cold start, and a load at which it falls over while cold. Its rules are those of
-// the lab's stand-in (internal/lab/nodo), without connections.
+// the lab's stand-in (internal/faultlab/stubserver), without connections.
 type nodo struct {
 	w       *world
 	id      int
@@ -57,8 +57,8 @@
 	return epoch + n.since/ms*ms
 }
 
-func (n *nodo) entry(state logic.State) logic.Server {
-	return logic.Server{ID: n.name, Zone: n.zone, Cell: n.id, Size: 1, State: state, Launched: n.launched()}
+func (n *nodo) entry(state balancer.ServerState) balancer.Server {
+	return balancer.Server{ID: n.name, Zone: n.zone, Cell: n.id, CapacityHint: 1, State: state, StartTime: n.launched()}
 }
 
 // start brings it up, cold, and has the list say so.
@@ -68,7 +68,7 @@
 	}
 	n.up, n.cold, n.since, n.came = true, true, n.w.now, nil
 	n.starts++
-	n.w.list(n, logic.Ready, n.w.cfg.ListCome)
+	n.w.list(n, balancer.ServerReady, n.w.cfg.ListCome)
 }
 
 // end stops the process: its callers' connections are reset, unless its whole zone went dark.
@@ -82,13 +82,13 @@
 		n.reset(a)
 	}
 	n.busy, n.queue = 0, nil
-	n.w.list(n, logic.Gone, n.w.cfg.ListGone)
+	n.w.list(n, balancer.ServerRemoved, n.w.cfg.ListGone)
 }
 
 func (n *nodo) reset(a *attempt) {
 	a.place = nowhere
 	if n.dark == 0 {
-		n.answer(a, logic.Reset)
+		n.answer(a, balancer.StatusReset)
 	}
 }
 
@@ -132,13 +132,13 @@
 	switch {
 	case n.dark > 0: // nobody answers
 	case !n.up:
-		n.answer(a, logic.ConnectFailed)
+		n.answer(a, balancer.StatusConnectFailed)
 	case n.silent():
 		a.place = held
 	case n.tips(a):
 		n.w.res.Tips++
 		n.end()
-		n.answer(a, logic.Reset)
+		n.answer(a, balancer.StatusReset)
 		n.w.after(n.w.cfg.Cold/2, evFault, n.id, n.start)
 	case n.busy < n.w.cfg.Slots:
 		n.busy++
@@ -147,7 +147,7 @@
 		a.place = queued
 		n.queue = append(n.queue, a)
 	default:
-		n.answer(a, logic.FullUp)
+		n.answer(a, balancer.StatusRejected)
 	}
 }
 
@@ -166,7 +166,7 @@
 		n.came = nil
 		return false
 	}
-	n.came = append(n.came, arrival{now, a.q.work, a.p.told[n.id].Launched == n.launched()})
+	n.came = append(n.came, arrival{now, a.q.work, a.p.told[n.id].StartTime == n.launched()})
 	from := now - c.Fall
 	for n.came[0].at < from {
 		n.came = n.came[1:]
@@ -213,9 +213,9 @@
 	switch {
 	case n.silent():
 	case n.rnd.Float64() < n.fails():
-		n.answer(a, logic.Error)
+		n.answer(a, balancer.StatusError)
 	default:
-		n.answer(a, logic.OK)
+		n.answer(a, balancer.StatusOK)
 	}
 }
 
@@ -228,7 +228,7 @@
 }
 
 // answer sends an end back to the proxy, where the way is open.
-func (n *nodo) answer(a *attempt, s logic.Status) {
+func (n *nodo) answer(a *attempt, s balancer.Status) {
 	if n.w.net.heard(n.zone, a.p.zone) {
 		n.w.after(n.w.net.delay(n.zone, a.p.zone), evOutcome, a.p.id, func() { a.p.deliver(a.life, func() { a.p.outcome(a, s) }) })
 	}
--- a/internal/lab/model/proxy.go
+++ b/internal/faultlab/model/proxy.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // epoch is Unix time at the beginning of every run, in microseconds.
@@ -29,12 +29,12 @@
 	downAt  int64 // when it last ended or was stopped
 	contAt  int64 // when it was last continued
 	life    int
-	b       *logic.Balancer
+	b       *balancer.Balancer
 	reqs    map[string]*request
-	told    []logic.Server // by nodo, as its list has it
-	inbox   []func()       // what came while it was stopped
-	waits   int            // of it, gossip packets
-	fleet   *fleet         // its part in the gossip; nil without peers
+	told    []balancer.Server // by nodo, as its list has it
+	inbox   []func()          // what came while it was stopped
+	waits   int               // of it, gossip packets
+	fleet   *fleet            // its part in the gossip; nil without peers
 }
 
 // request is one that a client has handed to a proxy.
@@ -90,7 +90,7 @@
 		return nil
 	}
 	seed := source(p.w.cfg.Seed, chanceProxies+uint64(p.id)<<32+uint64(p.life)<<8)
-	b, err := logic.New(p.w.cfg.settings(p.id, p.zone), seed.Uint64())
+	b, err := balancer.New(p.w.cfg.settings(p.id, p.zone), seed.Uint64())
 	if err != nil {
 		return err
 	}
@@ -98,17 +98,17 @@
 	p.b, p.up, p.stopped, p.since = b, true, false, p.w.now
 	p.w.gossip.stir(p.w)
 	p.reqs, p.inbox, p.waits = map[string]*request{}, nil, 0
-	p.told = make([]logic.Server, len(p.w.nodos))
-	var list []logic.Server
+	p.told = make([]balancer.Server, len(p.w.nodos))
+	var list []balancer.Server
 	for i, n := range p.w.nodos {
-		state := logic.Gone
+		state := balancer.ServerRemoved
 		if n.up {
-			state = logic.Ready
+			state = balancer.ServerReady
 			list = append(list, n.entry(state))
 		}
 		p.told[i] = n.entry(state)
 	}
-	p.b.List(p.clock(), p, logic.Full, list)
+	p.b.UpdateEndpoints(p.clock(), p, balancer.UpdateSnapshot, list)
 	p.join()
 	life := p.life
 	p.w.after(seed.Int64N(tickEvery), evTick, p.id, func() { p.deliver(life, func() { p.tick(life) }) })
@@ -181,7 +181,7 @@
 }
 
 // list brings a change of the list to every proxy.
-func (w *world) list(n *nodo, state logic.State, delay int64) {
+func (w *world) list(n *nodo, state balancer.ServerState, delay int64) {
 	e, starts := n.entry(state), n.starts
 	for _, p := range w.proxies {
 		w.after(delay+w.net.delay(0, p.zone), evList, p.id, func() {
@@ -192,9 +192,9 @@
 				p.told[n.id] = e
 				said := e
 				if w.cfg.seeded == seedStartUntold {
-					said.Launched = 0
+					said.StartTime = 0
 				}
-				p.b.List(p.clock(), p, logic.Delta, []logic.Server{said})
+				p.b.UpdateEndpoints(p.clock(), p, balancer.UpdateDelta, []balancer.Server{said})
 			})
 		})
 	}
@@ -204,7 +204,7 @@
 func (p *proxy) take(q *request) {
 	p.reqs[q.id] = q
 	left := int64(float64(q.giveUp-p.w.now) * p.pace)
-	p.b.Request(p.clock(), p, logic.Request{ID: q.id, Class: q.class, GiveUp: p.clock() + left})
+	p.b.HandleRequest(p.clock(), p, balancer.Request{ID: q.id, Class: q.class, Deadline: p.clock() + left})
 }
 
 // Send, Refuse, Fail, SetTimer, Watch and Log make a proxy its Balancer's host.
@@ -223,9 +223,9 @@
 	if timeout == 0 {
 		timeout = int64(float64(q.giveUp-w.now) * p.pace)
 	}
-	w.after(p.lasts(timeout), evTimeout, p.id, func() { p.deliver(a.life, func() { p.outcome(a, logic.TimedOut) }) })
+	w.after(p.lasts(timeout), evTimeout, p.id, func() { p.deliver(a.life, func() { p.outcome(a, balancer.StatusTimedOut) }) })
 	if n.dark > 0 || !w.net.open(p.zone, n.zone) {
-		w.after(p.lasts(w.cfg.Dial), evOutcome, p.id, func() { p.deliver(a.life, func() { p.outcome(a, logic.ConnectFailed) }) })
+		w.after(p.lasts(w.cfg.Dial), evOutcome, p.id, func() { p.deliver(a.life, func() { p.outcome(a, balancer.StatusConnectFailed) }) })
 		return
 	}
 	w.after(w.net.delay(p.zone, n.zone), evAttempt, n.id, func() {
@@ -236,21 +236,21 @@
 }
 
 // outcome brings the end of an attempt to the Balancer.
-func (p *proxy) outcome(a *attempt, s logic.Status) {
+func (p *proxy) outcome(a *attempt, s balancer.Status) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	a.mayRun = s != logic.FullUp && s != logic.ConnectFailed
-	if p.w.cfg.seeded == seedResend && s == logic.Reset {
-		s = logic.ConnectFailed
+	a.mayRun = s != balancer.StatusRejected && s != balancer.StatusConnectFailed
+	if p.w.cfg.seeded == seedResend && s == balancer.StatusReset {
+		s = balancer.StatusConnectFailed
 	}
 	p.w.leave(a)
-	if s == logic.OK && !a.q.closed {
+	if s == balancer.StatusOK && !a.q.closed {
 		p.close(a.q, served)
 	}
-	p.b.Outcome(p.clock(), p, logic.Outcome{ID: a.q.id, Attempt: a.n, Status: s, Closed: a.q.closed,
-		Took: int64(float64(p.w.now-a.sent) * p.pace)})
+	p.b.HandleOutcome(p.clock(), p, balancer.Outcome{RequestID: a.q.id, Attempt: a.n, Status: s, RequestDone: a.q.closed,
+		Latency: int64(float64(p.w.now-a.sent) * p.pace)})
 	if a.q.closed {
 		p.forget(a.q)
 	}
@@ -286,7 +286,7 @@
 	delete(p.reqs, q.id)
 }
 
-func (p *proxy) Refuse(id string, after int64) { p.final(id, evRefuse, refused) }
+func (p *proxy) Reject(id string, after int64) { p.final(id, evRefuse, refused) }
 func (p *proxy) Fail(id string)                { p.final(id, evFail, failed) }
 
 func (p *proxy) final(id string, k kind, e end) {
@@ -303,12 +303,12 @@
 func (p *proxy) SetTimer(delay int64, token string) {
 	life := p.life
 	p.w.after(p.lasts(delay), evTimer, p.id, func() {
-		p.deliver(life, func() { p.b.Timer(p.clock(), p, token) })
+		p.deliver(life, func() { p.b.HandleTimer(p.clock(), p, token) })
 	})
 }
 
 func (p *proxy) Watch() {}
-func (p *proxy) Log(event logic.Event) {
+func (p *proxy) Log(event balancer.Event) {
 	if p.w.cfg.log != nil {
 		p.w.cfg.log(p.w.now, p.name, event.String())
 	}
@@ -322,10 +322,10 @@
 	p.w.check.unanswered(p, q)
 	q.closed = true
 	p.w.res.count(p.w, q, unanswered)
-	p.b.Withdrawn(p.clock(), p, q.id)
+	p.b.HandleClientGone(p.clock(), p, q.id)
 	for _, a := range q.tries {
 		if !a.ended {
-			p.outcome(a, logic.Cancelled)
+			p.outcome(a, balancer.StatusCancelled)
 		}
 	}
 	p.forget(q)
--- a/internal/lab/model/result.go
+++ b/internal/faultlab/model/result.go
@@ -97,9 +97,9 @@
 func (r *Result) count(w *world, q *request, e end) {
 	k := &w.cfg.Classes[q.class]
 	r.Ends[e]++
-	if e == served && w.now-q.came <= k.Aim {
-		r.Worth += k.Worth
-		r.at(q.came).worth += k.Worth
+	if e == served && w.now-q.came <= k.LatencyObjective {
+		r.Worth += k.PriorityWeight
+		r.at(q.came).worth += k.PriorityWeight
 	}
 }
 
--- a/internal/lab/path/path_test.go
+++ b/internal/faultlab/path/path_test.go
@@ -13,7 +13,7 @@
 
 var (
 	full    = flag.Bool("path.full", false, "measure a real proxy; see docs/lab.md")
-	program = flag.String("path.proxy", "../../../bin/fernlanding", "the proxy that is measured")
+	program = flag.String("path.proxy", "../../../bin/merlinpick-proxy", "the proxy that is measured")
 	rate    = flag.Float64("path.rate", 66, "calls a second through the proxy; as many go directly")
 	listed  = flag.Int("path.nodos", 1300, "listed nodos, in 9 zones")
 	long    = flag.Duration("path.long", 10*time.Second, "of each phase")
--- a/internal/lab/path/proxy.go
+++ b/internal/faultlab/path/proxy.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"fernlanding/internal/lab/process"
+	"merlinpick/internal/faultlab/process"
 )
 
 // Limits are what a proxy is told of the machine: those that the lab has by default.
--- a/internal/lab/plan/plan.go
+++ b/internal/faultlab/plan/plan.go
@@ -15,7 +15,7 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
+	"merlinpick/internal/faultlab/experiment"
 )
 
 // Arrival is a client's first try, with what its retries keep.
--- a/internal/lab/plan/plan_test.go
+++ b/internal/faultlab/plan/plan_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"fernlanding/internal/lab/experiment"
+	"merlinpick/internal/faultlab/experiment"
 )
 
 func drawExperiment(t *rapid.T) *experiment.Experiment {
--- a/internal/lab/ramp/proxy.go
+++ b/internal/faultlab/ramp/proxy.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // proxy is one process: a Balancer, what it knows, and its clients.
@@ -12,14 +12,14 @@
 	id    int
 	zone  int
 	rate  float64
-	b     *logic.Balancer
+	b     *balancer.Balancer
 	life  int
 	known map[string]int64 // starts that it was told of
 	reqs  map[string]*request
 }
 
 type request struct {
-	logic.Request
+	balancer.Request
 	tries int // of the client
 	sends int
 	done  bool
@@ -35,41 +35,41 @@
 	ended bool
 }
 
-func (w *world) classes() []logic.Class {
+func (w *world) classes() []balancer.Class {
 	aim := max(500*ms, int64(12*w.work))
-	return []logic.Class{
-		{Name: "once", Aim: aim, Deadline: 3 * aim, Worth: 10, Repeat: logic.Unsafe},
-		{Name: "keyed", Aim: aim, Deadline: 3 * aim, Worth: 3, LateWorth: 0.3, Repeat: logic.Keyed, Group: logic.GroupZone, Window: 5 * sec},
-		{Name: "safe", Aim: aim, Deadline: 3 * aim, Worth: 1, LateWorth: 0.3, Repeat: logic.Safe},
+	return []balancer.Class{
+		{Name: "once", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
+		{Name: "keyed", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 3, LateWeight: 0.3, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupScopeZone, DedupWindow: 5 * sec},
+		{Name: "safe", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 1, LateWeight: 0.3, Idempotency: balancer.Idempotent},
 	}
 }
 
 // boot starts the process, which knows nothing but the settings and the list.
 func (p *proxy) boot() {
 	w := p.w
-	b, err := logic.New(w.settings(p), w.Seed*1000+uint64(p.id)+uint64(p.life)<<40)
+	b, err := balancer.New(w.settings(p), w.Seed*1000+uint64(p.id)+uint64(p.life)<<40)
 	if err != nil {
 		panic(err)
 	}
 	p.b, p.known, p.reqs = b, map[string]int64{}, map[string]*request{}
 	p.life++
-	var list []logic.Server
+	var list []balancer.Server
 	for _, s := range w.servers {
-		if s.state != logic.Gone {
+		if s.state != balancer.ServerRemoved {
 			list = append(list, s.entry())
 			p.known[s.id] = s.launched
 		}
 	}
-	b.List(w.now, p, logic.Full, list)
+	b.UpdateEndpoints(w.now, p, balancer.UpdateSnapshot, list)
 }
 
 // tell has the list's entry reach the process.
-func (p *proxy) tell(e logic.Server, after int64) {
+func (p *proxy) tell(e balancer.Server, after int64) {
 	life := p.life
 	p.w.after(after, func() {
 		if p.life == life {
-			p.known[e.ID] = e.Launched
-			p.b.List(p.w.now, p, logic.Delta, []logic.Server{e})
+			p.known[e.ID] = e.StartTime
+			p.b.UpdateEndpoints(p.w.now, p, balancer.UpdateDelta, []balancer.Server{e})
 		}
 	})
 }
@@ -82,13 +82,13 @@
 func (p *proxy) ask(class, tries int) {
 	w := p.w
 	w.ids++
-	q := &request{Request: logic.Request{ID: fmt.Sprint(w.ids), Class: class, Tenant: -1}, tries: tries}
-	q.GiveUp = w.now + w.classes()[class].Deadline
+	q := &request{Request: balancer.Request{ID: fmt.Sprint(w.ids), Class: class, Tenant: -1}, tries: tries}
+	q.Deadline = w.now + w.classes()[class].Deadline
 	p.reqs[q.ID] = q
 	if w.now >= 1000*sec+turnAt {
 		w.cold.asked++
 	}
-	p.b.Request(w.now, p, q.Request)
+	p.b.HandleRequest(w.now, p, q.Request)
 }
 
 // Send, Refuse, Fail, SetTimer, Watch and Log make it the Balancer's host.
@@ -102,12 +102,12 @@
 	}
 	p.w.after(way, func() { s.take(a) })
 	if timeout == 0 {
-		timeout = q.GiveUp - p.w.now
+		timeout = q.Deadline - p.w.now
 	}
-	p.w.after(timeout, func() { a.end(logic.TimedOut, 0) })
+	p.w.after(timeout, func() { a.end(balancer.StatusTimedOut, 0) })
 }
 
-func (p *proxy) Refuse(id string, after int64) {
+func (p *proxy) Reject(id string, after int64) {
 	q := p.reqs[id]
 	if q.sends == 0 && p.w.now >= 1000*sec+turnAt {
 		p.w.cold.unsent++
@@ -137,34 +137,34 @@
 	life := p.life
 	p.w.after(delay, func() {
 		if p.life == life {
-			p.b.Timer(p.w.now, p, token)
+			p.b.HandleTimer(p.w.now, p, token)
 		}
 	})
 }
-func (p *proxy) Watch()          {}
-func (p *proxy) Log(logic.Event) {}
+func (p *proxy) Watch()             {}
+func (p *proxy) Log(balancer.Event) {}
 
 // end gives an attempt's outcome to its process after some time on the way.
-func (a *attempt) end(status logic.Status, way int64) {
+func (a *attempt) end(status balancer.Status, way int64) {
 	p := a.p
 	p.w.after(way, func() {
 		if a.ended || a.life != p.life {
 			return
 		}
 		a.ended = true
-		closed := a.q.done || status == logic.OK
-		if status == logic.OK && !a.q.done {
+		closed := a.q.done || status == balancer.StatusOK
+		if status == balancer.StatusOK && !a.q.done {
 			a.q.done = true
 			if p.w.now >= 1000*sec+turnAt {
 				p.w.cold.served++
 			}
 		}
-		p.b.Outcome(p.w.now, p, logic.Outcome{ID: a.q.ID, Attempt: a.n, Status: status, Took: p.w.now - a.sent, Closed: closed})
+		p.b.HandleOutcome(p.w.now, p, balancer.Outcome{RequestID: a.q.ID, Attempt: a.n, Status: status, Latency: p.w.now - a.sent, RequestDone: closed})
 	})
 }
 
 // settings is what the configuration says to a process.
-func (w *world) settings(p *proxy) logic.Settings {
-	return logic.Settings{Siblings: w.Proxies, Ordinal: p.id, Zone: p.zone, Zones: w.Zones, MaxAttempts: 3,
-		DrainGrace: 500 * ms, StartCapacity: w.Start, Cold: w.Cold, TipMultiple: w.Tip, FallSpan: w.Fall, Classes: w.classes()}
+func (w *world) settings(p *proxy) balancer.Settings {
+	return balancer.Settings{Replicas: w.Proxies, ReplicaIndex: p.id, Zone: p.zone, ZoneCount: w.Zones, MaxAttempts: 3,
+		DrainGrace: 500 * ms, SlowStartMinCapacity: w.Start, SlowStartDuration: w.Cold, OverloadMultiple: w.Tip, OverloadWindow: w.Fall, Classes: w.classes()}
 }
--- a/internal/lab/ramp/ramp.go
+++ b/internal/faultlab/ramp/ramp.go
@@ -1,6 +1,6 @@
 // Package ramp measures what cold servers get from a whole fleet: many logic.Balancers that share nothing, on one
 // virtual clock, send to servers that start cold, and each window of every server is held against its budget. All
-// chance comes from one seed. The model of the fleet (internal/lab/model) plays faults and gossip in full; this one is
+// chance comes from one seed. The model of the fleet (internal/faultlab/model) plays faults and gossip in full; this one is
 // light enough to play 300 processes a thousand times. Left out: connections, bodies, the proxies' own time.
 // Times are microseconds.
 package ramp
@@ -11,7 +11,7 @@
 	"math"
 	"math/rand/v2"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 const (
@@ -169,22 +169,22 @@
 }
 
 func (w *world) gossip() {
-	var all []logic.Notice
+	var all []balancer.Report
 	for _, p := range w.copies {
-		for _, n := range p.b.Seen(w.now) {
+		for _, n := range p.b.Reports(w.now) {
 			n.Observer = fmt.Sprint(p.id)
 			all = append(all, n)
 		}
 	}
 	for _, p := range w.copies {
-		of := make([]logic.Notice, 0, len(all))
+		of := make([]balancer.Report, 0, len(all))
 		me := fmt.Sprint(p.id)
 		for _, n := range all {
 			if n.Observer != me {
 				of = append(of, n)
 			}
 		}
-		p.b.Peers(w.now, p, logic.Peers{Living: w.Proxies, Near: w.Proxies / w.Zones, Notices: of})
+		p.b.HandlePeerReports(w.now, p, balancer.PeerReports{LiveReplicas: w.Proxies, LiveReplicasInZone: w.Proxies / w.Zones, Reports: of})
 	}
 	w.after(sec/2, w.gossip)
 }
--- a/internal/lab/ramp/scene.go
+++ b/internal/faultlab/ramp/scene.go
@@ -1,6 +1,6 @@
 package ramp
 
-import "fernlanding/logic"
+import "merlinpick/balancer"
 
 // play begins the scene's event.
 func (w *world) play() {
@@ -18,7 +18,7 @@
 	case "replaced": // half drain, and as many new ones come, in two steps
 		for i, s := range some(0.5) {
 			w.after(int64(i%2)*sec, func() {
-				s.state = logic.Draining
+				s.state = balancer.ServerDraining
 				s.list()
 				w.add(s.zone, w.now).list()
 			})
@@ -55,7 +55,7 @@
 	case "home": // a zone has only one server, and that restarts
 		for _, s := range w.servers {
 			if s.zone == 0 && s != w.servers[0] {
-				s.state = logic.Draining
+				s.state = balancer.ServerDraining
 				s.list()
 			}
 		}
@@ -84,8 +84,8 @@
 
 func (w *world) suspend(s *server) {
 	for _, p := range w.copies {
-		w.after(w.rnd.Int64N(sec/10), func() { p.b.Ban(map[string]bool{s.id: true}) })
-		w.after(3*sec+w.rnd.Int64N(sec/10), func() { p.b.Ban(nil) })
+		w.after(w.rnd.Int64N(sec/10), func() { p.b.SetSuspendedServers(map[string]bool{s.id: true}) })
+		w.after(3*sec+w.rnd.Int64N(sec/10), func() { p.b.SetSuspendedServers(nil) })
 	}
 	w.after(sec, s.restart)
 }
--- a/internal/lab/ramp/server.go
+++ b/internal/faultlab/ramp/server.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 const (
@@ -22,7 +22,7 @@
 	id       string
 	zone     int
 	launched int64
-	state    logic.State
+	state    balancer.ServerState
 	up       bool    // it answers; otherwise connections are refused
 	hangs    bool    // takes and never answers
 	fails    bool    // answers an error at once
@@ -44,14 +44,14 @@
 
 // add has a server start; launched is 0 for long ago.
 func (w *world) add(zone int, launched int64) *server {
-	s := &server{w: w, id: fmt.Sprint("s", len(w.servers)), zone: zone, launched: launched, state: logic.Ready,
+	s := &server{w: w, id: fmt.Sprint("s", len(w.servers)), zone: zone, launched: launched, state: balancer.ServerReady,
 		up: true, slow: 1, speed: kinds[len(w.servers)/w.Zones%len(kinds)]}
 	w.servers, w.byID[s.id] = append(w.servers, s), s
 	return s
 }
 
-func (s *server) entry() logic.Server {
-	return logic.Server{ID: s.id, Zone: s.zone, Cell: s.zone, State: s.state, Size: 1, Launched: s.launched}
+func (s *server) entry() balancer.Server {
+	return balancer.Server{ID: s.id, Zone: s.zone, Cell: s.zone, State: s.state, CapacityHint: 1, StartTime: s.launched}
 }
 
 // list has the present entry go out to all processes, each in its own time.
@@ -67,7 +67,7 @@
 	s.up = false
 	s.life++
 	for _, a := range s.queue {
-		a.end(logic.Reset, 0)
+		a.end(balancer.StatusReset, 0)
 	}
 	s.queue, s.busy = nil, 0
 }
@@ -75,7 +75,7 @@
 // restart starts it cold.
 func (s *server) restart() {
 	s.stop()
-	s.up, s.dark, s.hangs, s.fails, s.slow, s.state = true, false, false, false, 1, logic.Ready
+	s.up, s.dark, s.hangs, s.fails, s.slow, s.state = true, false, false, false, 1, balancer.ServerReady
 	s.launched, s.came, s.got = s.w.now, nil, 0
 	s.list()
 }
@@ -92,18 +92,18 @@
 	s.count(a)
 	switch {
 	case s.dark:
-		s.w.after(250*ms, func() { a.end(logic.ConnectFailed, 0) })
+		s.w.after(250*ms, func() { a.end(balancer.StatusConnectFailed, 0) })
 	case !s.up:
-		a.end(logic.ConnectFailed, ms)
+		a.end(balancer.StatusConnectFailed, ms)
 	case s.hangs:
 	case s.fails:
-		a.end(logic.Error, ms)
+		a.end(balancer.StatusError, ms)
 	case s.busy < int(slots):
 		s.begin(a)
 	case len(s.queue) < queueMost:
 		s.queue = append(s.queue, a)
 	default:
-		a.end(logic.FullUp, ms)
+		a.end(balancer.StatusRejected, ms)
 	}
 }
 
@@ -112,7 +112,7 @@
 	life := s.life
 	s.w.after(int64(a.work*s.w.work*s.slow/s.speed/s.share(s.w.now)), func() {
 		if s.life != life {
-			a.end(logic.Reset, 0)
+			a.end(balancer.StatusReset, 0)
 			return
 		}
 		if s.busy--; len(s.queue) > 0 {
@@ -121,7 +121,7 @@
 			s.begin(next)
 		}
 		if !s.hangs {
-			a.end(logic.OK, ms)
+			a.end(balancer.StatusOK, ms)
 		}
 	})
 }
--- a/internal/lab/report/control.go
+++ b/internal/faultlab/report/control.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"fernlanding/internal/lab/result"
+	"merlinpick/internal/faultlab/result"
 )
 
 var spentFigures = []string{"in_b_s", "out_b_s", "calls_s", "cpu_pct", "memory_mb"}
--- a/internal/lab/report/html.go
+++ b/internal/faultlab/report/html.go
@@ -10,8 +10,8 @@
 	"slices"
 	"strings"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/result"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/result"
 )
 
 // FileName is the page in a run's directory.
--- a/internal/lab/report/picture.go
+++ b/internal/faultlab/report/picture.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"fernlanding/internal/lab/result"
+	"merlinpick/internal/faultlab/result"
 )
 
 const (
--- a/internal/lab/report/text.go
+++ b/internal/faultlab/report/text.go
@@ -10,8 +10,8 @@
 	"strings"
 	"text/tabwriter"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/result"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/result"
 )
 
 const violationsShown = 10
--- a/internal/lab/result/aim.go
+++ b/internal/faultlab/result/aim.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/plan"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/plan"
 )
 
 // aim is which calls a fault meets: those that a fleet does well to avoid while it holds.
--- a/internal/lab/result/avoid_test.go
+++ b/internal/faultlab/result/avoid_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/referee"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/referee"
 )
 
 // caller is a proxy that makes so many calls a second, every second one to zone z, until some second of a fault that
--- a/internal/lab/result/configs.go
+++ b/internal/faultlab/result/configs.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/lab/hollow"
+	"merlinpick/internal/faultlab/hollow"
 )
 
 // Put is a configuration that was put at the list service's members.
--- a/internal/lab/result/configs_test.go
+++ b/internal/faultlab/result/configs_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/hollow"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/hollow"
 )
 
 // A change of configuration counts at those that follow its service, from its being confirmed; one that 9 s were left for and
--- a/internal/lab/result/control.go
+++ b/internal/faultlab/result/control.go
@@ -7,8 +7,8 @@
 	"sort"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/hollow"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/hollow"
 )
 
 // Spent is what a role has spent so far: all that bear it together.
--- a/internal/lab/result/control_test.go
+++ b/internal/faultlab/result/control_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/hollow"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/hollow"
 )
 
 // A change is known from the first version on that holds it, counts 0 if it was told before it was confirmed, and is unknown
--- a/internal/lab/result/figures.go
+++ b/internal/faultlab/result/figures.go
@@ -10,9 +10,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/referee"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/referee"
 )
 
 const (
--- a/internal/lab/result/result.go
+++ b/internal/faultlab/result/result.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/referee"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/referee"
 )
 
 // FileName is the file of a run's directory that holds its Result.
--- a/internal/lab/result/result_test.go
+++ b/internal/faultlab/result/result_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/referee"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/referee"
 )
 
 // fill plays ten requests a second for 20 s, whose answers are late from some second on until another.
--- a/internal/lab/result/room.go
+++ b/internal/faultlab/result/room.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/referee"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/referee"
 )
 
 const (
--- a/internal/lab/run/config.go
+++ b/internal/faultlab/run/config.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"maps"
 
-	"fernlanding/internal/lab/experiment"
+	"merlinpick/internal/faultlab/experiment"
 )
 
 const stage = 0 // of the one tier
--- a/internal/lab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -12,14 +12,14 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/catalog"
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/load"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/service"
+	"merlinpick/internal/faultlab/catalog"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/load"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/service"
 )
 
 const (
--- a/internal/lab/run/gossip.go
+++ b/internal/faultlab/run/gossip.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/result"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/result"
 )
 
 // buildGossip puts a relay before each proxy, by which the others find it.
--- a/internal/lab/run/gossip_test.go
+++ b/internal/faultlab/run/gossip_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/link"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/link"
 )
 
 // What a fault takes from what one proxy sends to another: its datagrams, and its half of connections that either of
--- a/internal/lab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -15,12 +15,12 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/hollow"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/hollow"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 const (
@@ -186,7 +186,7 @@
 		}
 		for _, p := range some {
 			missing := "no answer yet"
-			for missing != "" && wait.For(patience, hollowPoll) {
+			for missing != "" && sleep.For(patience, hollowPoll) {
 				if text, err := p.call(ctx, http.MethodGet, "/ready", nil); err == nil {
 					missing = string(text)
 				}
--- a/internal/lab/run/knocks.go
+++ b/internal/faultlab/run/knocks.go
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 // dialsEvery is how often the kernel is asked which connections wait to come up: a dial that is given up sooner may be
@@ -32,7 +32,7 @@
 // them, and tells of them only in its table of connections, which is read while there is such a link.
 func (f *fleet) watchDials(ctx context.Context) {
 	seen := map[dial]bool{}
-	for wait.For(ctx, dialsEvery) {
+	for sleep.For(ctx, dialsEvery) {
 		barred := f.net.Barred()
 		if len(barred) == 0 {
 			continue
--- a/internal/lab/run/knocks_test.go
+++ b/internal/faultlab/run/knocks_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/link"
+	"merlinpick/internal/faultlab/link"
 )
 
 // A dial over a link on which none comes up stands in the kernel's table under the address that the link is known by,
--- a/internal/lab/run/lies.go
+++ b/internal/faultlab/run/lies.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"strconv"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/liar"
-	"fernlanding/internal/lab/plan"
+	"merlinpick/internal/faultlab/byzantine"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/plan"
 )
 
 const firstLiar = 400 // of the ordinals: above those of proxies
@@ -19,11 +19,11 @@
 		return nil
 	}
 	zones := t.exp.ZoneNames()
-	victims := func() (out []liar.Victim) {
+	victims := func() (out []byzantine.Victim) {
 		for _, turn := range s.Turns {
 			srv := t.server(turn.Target)
 			srv.mu.Lock()
-			out = append(out, liar.Victim{Name: srv.entry.Name, Launched: srv.entry.Since})
+			out = append(out, byzantine.Victim{Name: srv.entry.Name, Launched: srv.entry.Since})
 			srv.mu.Unlock()
 		}
 		return out
@@ -45,7 +45,7 @@
 }
 
 // join has one liar join, behind a relay of its own.
-func (t *timeline) join(node experiment.Node, victims func() []liar.Victim) (*liar.Liar, error) {
+func (t *timeline) join(node experiment.Node, victims func() []byzantine.Victim) (*byzantine.Liar, error) {
 	t.mu.Lock()
 	n := firstLiar + t.liars
 	t.liars++
@@ -58,6 +58,6 @@
 	if err := r.To(bind); err != nil {
 		return nil, err
 	}
-	return liar.Join(liar.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage), Bind: bind, Advertise: r.Addr(),
+	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage), Bind: bind, Advertise: r.Addr(),
 		Label: t.exp.Fleet.Label, Seeds: t.seeds(node), Log: t.log}, victims, t.exp.ZoneNames())
 }
--- a/internal/lab/run/lists.go
+++ b/internal/faultlab/run/lists.go
@@ -10,11 +10,11 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/lab/catalog"
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/result"
-	"fernlanding/internal/lab/service"
+	"merlinpick/internal/faultlab/catalog"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/result"
+	"merlinpick/internal/faultlab/service"
 )
 
 // buildService makes the list service's members and links.
--- a/internal/lab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -10,13 +10,13 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/hollow"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/result"
-	"fernlanding/internal/lab/service"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/hollow"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/result"
+	"merlinpick/internal/faultlab/service"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 const meterEvery = 500 * time.Millisecond
@@ -51,7 +51,7 @@
 
 // run looks until the context ends.
 func (m *meter) run(ctx context.Context) {
-	for wait.For(ctx, meterEvery) {
+	for sleep.For(ctx, meterEvery) {
 		m.look()
 	}
 }
@@ -205,7 +205,7 @@
 	for i, p := range m.exp.Phases {
 		all.Go(func() {
 			for j, at := range []float64{p.From, p.To} {
-				if !wait.For(ctx, time.Until(start.Add(experiment.Seconds(at)))) {
+				if !sleep.For(ctx, time.Until(start.Add(experiment.Seconds(at)))) {
 					return
 				}
 				r := m.read(ctx)
--- a/internal/lab/run/need.go
+++ b/internal/faultlab/run/need.go
@@ -7,7 +7,7 @@
 	"strings"
 	"syscall"
 
-	"fernlanding/internal/lab/experiment"
+	"merlinpick/internal/faultlab/experiment"
 )
 
 // What an experiment needs, at the most: measured with scale-30 to scale-1300 and rounded up.
--- a/internal/lab/run/need_test.go
+++ b/internal/faultlab/run/need_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"fernlanding/experiments"
-	"fernlanding/internal/lab/experiment"
+	"merlinpick/experiments"
+	"merlinpick/internal/faultlab/experiment"
 )
 
 // A size that a machine can't bear is refused with the need and what there is; the sizes that come with the lab are borne by
--- a/internal/lab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -18,12 +18,12 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/hollow"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/result"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/hollow"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/result"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 // Options are what a run needs beside its experiment.
@@ -169,7 +169,7 @@
 func (f *fleet) startProxies(ctx context.Context) error {
 	r := f.plan.Source("starts")
 	for _, m := range f.order {
-		if !wait.For(ctx, time.Duration(r.Float64()*float64(experiment.Seconds(f.exp.Lab.StartGap)))) {
+		if !sleep.For(ctx, time.Duration(r.Float64()*float64(experiment.Seconds(f.exp.Lab.StartGap)))) {
 			return ctx.Err()
 		}
 		m.mu.Lock()
@@ -215,7 +215,7 @@
 func watchStalls(ctx context.Context) (most time.Duration) {
 	for {
 		at := time.Now()
-		if !wait.For(ctx, canaryEvery) {
+		if !sleep.For(ctx, canaryEvery) {
 			return most
 		}
 		most = max(most, time.Since(at)-canaryEvery)
@@ -224,7 +224,7 @@
 
 func (f *fleet) progress(ctx context.Context, start time.Time, tell func(at, of time.Duration, p Progress)) {
 	of := experiment.Seconds(f.exp.Seconds)
-	for wait.For(ctx, progressEvery) {
+	for sleep.For(ctx, progressEvery) {
 		late := f.client.Late()
 		p := Progress{Arrived: len(late)}
 		if len(late) > 0 {
--- a/internal/lab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -13,12 +13,12 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/disk"
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/faultdisk"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 // member is a proxy of the fleet, over all its processes.
@@ -179,7 +179,7 @@
 		f.log.Warn("a proxy did not end by itself after SIGTERM", "proxy", m.node.Name, "error", old.Err())
 	}
 	defer f.front.Expect(m.node.Name)
-	if !wait.For(ctx, away) {
+	if !sleep.For(ctx, away) {
 		return nil
 	}
 	return f.start(m, keep)
@@ -206,7 +206,7 @@
 
 func (f *fleet) awaitYes(ctx context.Context, m *member, patience time.Duration) bool {
 	client := http.Client{Timeout: callPatience, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(patience); time.Now().Before(end) && wait.For(ctx, readyzPoll); {
+	for end := time.Now().Add(patience); time.Now().Before(end) && sleep.For(ctx, readyzPoll); {
 		resp, err := client.Get("http://" + m.mgmt + "/v1/readyz")
 		if err != nil {
 			continue
@@ -227,7 +227,7 @@
 	f.mu.Lock()
 	r := rand.New(rand.NewPCG(f.plan.Seed, f.rng.Uint64()))
 	f.mu.Unlock()
-	torn, err := disk.Tear(filepath.Join(m.dir, "tmp"), time.Now().Add(-tornBefore), r)
+	torn, err := faultdisk.Tear(filepath.Join(m.dir, "tmp"), time.Now().Add(-tornBefore), r)
 	f.log.Info("power lost", "proxy", m.node.Name, "files", len(torn))
 	return err
 }
--- a/internal/lab/run/run_test.go
+++ b/internal/faultlab/run/run_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/result"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/result"
 )
 
 // One zone, a nodo that drains and one that returns cold: what a plain proxy serves without breaking a rule.
--- a/internal/lab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -8,15 +8,15 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/catalog"
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/nodo"
+	"merlinpick/internal/faultlab/catalog"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/stubserver"
 )
 
 // server is a nodo of the fleet, with what the list says of it.
 type server struct {
-	*nodo.Nodo
+	*stubserver.Nodo
 	mu     sync.Mutex
 	node   experiment.Node
 	cell   int
@@ -33,7 +33,7 @@
 }
 
 // Job and Fell make the fleet the nodos' world.
-func (f *fleet) Job(id string) (nodo.Job, bool) { return f.client.Job(id) }
+func (f *fleet) Job(id string) (stubserver.Job, bool) { return f.client.Job(id) }
 
 // Fell takes a nodo down for good.
 func (f *fleet) Fell(name string) {
@@ -73,7 +73,7 @@
 	}
 	c, number := f.exp.Nodos, cell
 	cell = cellOf(slices.Index(f.exp.ZoneNames(), n.Zone), number)
-	s := &server{node: n, cell: cell, Nodo: nodo.New(nodo.Spec{Name: n.Name, Zone: n.Zone, Cell: cell,
+	s := &server{node: n, cell: cell, Nodo: stubserver.New(stubserver.Spec{Name: n.Name, Zone: n.Zone, Cell: cell,
 		Speed: n.Group.Speed, Slots: n.Group.Slots, Queue: n.Group.Queue, MaxConns: c.MaxConns,
 		ConnectDelay: experiment.Millis(c.ConnectMs), ConnectWork: experiment.Millis(c.ConnectWork),
 		IdleClose: experiment.Millis(f.exp.Proxy.IdleMs), StartCapacity: c.StartCapacity, Cold: experiment.Millis(c.ColdMs),
--- a/internal/lab/run/standin_test.go
+++ b/internal/faultlab/run/standin_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/wire"
+	"merlinpick/internal/faultlab/wire"
 )
 
 // The test binary is its own stand-in proxy: `standin FAULT` is a plain proxy that keeps all rules, or all but one.
--- a/internal/lab/run/strike.go
+++ b/internal/faultlab/run/strike.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/result"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/result"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 // timeline carries a plan's faults out, each at its time and for its time, however others stand. It returns when all
@@ -60,7 +60,7 @@
 
 // until waits for a moment of the load.
 func (t *timeline) until(ctx context.Context, at time.Duration) bool {
-	return wait.For(ctx, time.Until(t.start.Add(at)))
+	return sleep.For(ctx, time.Until(t.start.Add(at)))
 }
 
 // hold keeps a fault up for its time: to the end of the load if it names none.
--- a/internal/lab/run/strike_configs.go
+++ b/internal/faultlab/run/strike_configs.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/result"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/result"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 const (
@@ -121,7 +121,7 @@
 				return
 			}
 		}
-		wait.For(ctx, putPause)
+		sleep.For(ctx, putPause)
 	}
 }
 
--- a/internal/lab/run/strike_links.go
+++ b/internal/faultlab/run/strike_links.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/plan"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/plan"
 )
 
 // between matches the links that lead out of a zone or into it.
--- a/internal/lab/run/strike_lists.go
+++ b/internal/faultlab/run/strike_lists.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/service"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/service"
 )
 
 // listService carries out the faults of the list service's members.
--- a/internal/lab/run/strike_nodos.go
+++ b/internal/faultlab/run/strike_nodos.go
@@ -5,16 +5,16 @@
 	"fmt"
 	"time"
 
-	"fernlanding/internal/lab/catalog"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/nodo"
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/catalog"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/sleep"
+	"merlinpick/internal/faultlab/stubserver"
 )
 
 func (t *timeline) nodo(ctx context.Context, s plan.Strike, turn plan.Turn) error {
 	srv, f := t.server(turn.Target), s.Fault
-	hamper := func(h nodo.Hamper) error {
+	hamper := func(h stubserver.Hamper) error {
 		end := srv.Hamper(h)
 		t.hold(ctx, s, turn.At)
 		end()
@@ -35,13 +35,13 @@
 		t.net.Reset(to(turn.Target))
 		return end()
 	case "nodo_hang":
-		return hamper(nodo.Hamper{Hang: true})
+		return hamper(stubserver.Hamper{Hang: true})
 	case "nodo_slow":
-		return hamper(nodo.Hamper{Slow: f.Factor})
+		return hamper(stubserver.Hamper{Slow: f.Factor})
 	case "nodo_errors":
-		return hamper(nodo.Hamper{Errors: f.Part})
+		return hamper(stubserver.Hamper{Errors: f.Part})
 	case "nodo_garble":
-		return hamper(nodo.Hamper{Garble: f.Part})
+		return hamper(stubserver.Hamper{Garble: f.Part})
 	case "nodo_drain", "nodo_replace":
 		return t.drain(ctx, s, turn, srv)
 	}
@@ -64,7 +64,7 @@
 	}
 	srv.Drain(true)
 	t.tell(srv, catalog.Draining)
-	wait.For(ctx, drainTime)
+	sleep.For(ctx, drainTime)
 	if err := t.down(srv); err != nil || s.Fault.Kind == "nodo_replace" || s.For <= 0 || !t.until(ctx, turn.At+s.For) {
 		return err
 	}
--- a/internal/lab/run/strike_proxies.go
+++ b/internal/faultlab/run/strike_proxies.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/process"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/process"
 )
 
 func (t *timeline) proxies(ctx context.Context, s plan.Strike) error {
--- a/internal/lab/run/strike_reload.go
+++ b/internal/faultlab/run/strike_reload.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/rude"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/misbehavingclient"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 const (
@@ -31,7 +31,7 @@
 		m.mu.Lock()
 		err := t.reloadOnce(m, r)
 		m.mu.Unlock()
-		if err != nil || !wait.For(ctx, time.Duration(r.Int64N(int64(2*reloadGap)))) {
+		if err != nil || !sleep.For(ctx, time.Duration(r.Int64N(int64(2*reloadGap)))) {
 			return err
 		}
 	}
@@ -71,8 +71,8 @@
 		if err := t.stopped(m, 1); err != nil {
 			return err
 		}
-		wait.For(ctx, time.Duration(r.Int64N(int64(heldUp))))
-		if err := t.stopped(m, -1); err != nil || !wait.For(ctx, time.Duration(r.Int64N(int64(2*heldPause)))) {
+		sleep.For(ctx, time.Duration(r.Int64N(int64(heldUp))))
+		if err := t.stopped(m, -1); err != nil || !sleep.For(ctx, time.Duration(r.Int64N(int64(2*heldPause)))) {
 			return err
 		}
 	}
@@ -90,12 +90,12 @@
 	}
 	visiting, stop := context.WithDeadline(ctx, t.start.Add(at+s.For))
 	defer stop()
-	for wait.For(visiting, time.Duration(r.Int64N(int64(2*rudePause)))) {
-		v := rude.Draw(r, class)
+	for sleep.For(visiting, time.Duration(r.Int64N(int64(2*rudePause)))) {
+		v := misbehavingclient.Draw(r, class)
 		t.all.Go(func() {
 			begun := time.Now()
 			err := v.Make(ctx, m.listen)
-			if errors.Is(err, rude.ErrUnanswered) {
+			if errors.Is(err, misbehavingclient.ErrUnanswered) {
 				t.ref.Rude(m.node.Name, begun, time.Now(), err.Error())
 			}
 		})
--- a/internal/lab/run/strike_series.go
+++ b/internal/faultlab/run/strike_series.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/lab/plan"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/wait"
+	"merlinpick/internal/faultlab/plan"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/sleep"
 )
 
 const (
@@ -61,7 +61,7 @@
 	defer stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	for i := 0; i < s.Fault.Clients && wait.For(holding, crowdGap); i++ {
+	for i := 0; i < s.Fault.Clients && sleep.For(holding, crowdGap); i++ {
 		c, err := (&net.Dialer{Timeout: crowdDial}).DialContext(holding, "tcp", m.listen)
 		if err != nil {
 			continue // the proxy is down, or has no room
--- a/internal/lab/service/nodos.go
+++ b/internal/faultlab/service/nodos.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/linear"
-	"fernlanding/internal/lab/wait"
-	"fernlanding/internal/roster/fanout"
-	"fernlanding/internal/roster/registrar"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/faultlab/linear"
+	"merlinpick/internal/faultlab/sleep"
+	"merlinpick/internal/registry/registrar"
+	"merlinpick/internal/registry/state"
+	"merlinpick/internal/registry/watch"
 )
 
 const (
@@ -40,7 +40,7 @@
 
 // life is one process of a nodo.
 type life struct {
-	ref   state.Ref
+	ref   state.InstanceRef
 	rec   state.Record
 	n     int
 	words chan string // what it has to say: Draining, Deleted
@@ -75,9 +75,9 @@
 	n.next++
 	ctx, die := context.WithCancel(n.ctx)
 	// Each proxy has an address of its own for it (see readdress); this one is nobody's.
-	rec := state.Record{Entry: state.Entry{Name: e.Name, Address: "nodo.invalid:1", Zone: e.Zone, Type: e.Type, Group: e.Group,
-		Status: state.Serving, Weight: 1, Since: e.Since}, Instance: fmt.Sprint(e.Since, "-", n.next), LeaseMs: s.cfg.Lease.Milliseconds()}
-	l := &life{ref: state.Ref{Name: e.Name, Instance: rec.Instance}, rec: rec, n: n.next, words: make(chan string, 2), die: die}
+	rec := state.Record{Endpoint: state.Endpoint{Name: e.Name, Address: "nodo.invalid:1", Zone: e.Zone, Type: e.Type, Group: e.Group,
+		Status: state.StatusServing, Weight: 1, Since: e.Since}, Instance: fmt.Sprint(e.Since, "-", n.next), LeaseMs: s.cfg.Lease.Milliseconds()}
+	l := &life{ref: state.InstanceRef{Name: e.Name, Instance: rec.Instance}, rec: rec, n: n.next, words: make(chan string, 2), die: die}
 	n.alive[e.Name], n.names[e.Name] = l, true
 	first := make(chan struct{})
 	n.all.Go(func() { s.live(ctx, l, sync.OnceFunc(func() { close(first) })) })
@@ -92,17 +92,17 @@
 }
 
 // Drain has a nodo say that it drains; Die ends its process: one that has drained says that it goes, another is silent.
-func (s *Service) Drain(name string) { s.say(name, state.Draining) }
+func (s *Service) Drain(name string) { s.say(name, state.StatusDraining) }
 
 // Die ends a nodo's process.
-func (s *Service) Die(name string) { s.say(name, state.Deleted) }
+func (s *Service) Die(name string) { s.say(name, state.StatusDeleted) }
 
 func (s *Service) say(name, word string) {
 	n := s.nodos
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.alive[name]; l != nil {
-		if word == state.Deleted {
+		if word == state.StatusDeleted {
 			delete(n.alive, name)
 		}
 		l.known = false
@@ -154,12 +154,12 @@
 		select {
 		case word := <-l.words:
 			switch {
-			case word == state.Draining:
+			case word == state.StatusDraining:
 				drains = true
-				s.write(ctx, linear.Drain, l, func(ctx context.Context) error { _, err := client.Drain(ctx, l.ref); return err }, state.Draining)
+				s.write(ctx, linear.Drain, l, func(ctx context.Context) error { _, err := client.Drain(ctx, l.ref); return err }, state.StatusDraining)
 				continue
 			case drains:
-				s.write(ctx, linear.Gone, l, func(ctx context.Context) error { _, err := client.Deregister(ctx, l.ref); return err }, state.Deleted)
+				s.write(ctx, linear.Gone, l, func(ctx context.Context) error { _, err := client.Deregister(ctx, l.ref); return err }, state.StatusDeleted)
 			}
 			return
 		case <-time.After(pause):
@@ -168,13 +168,13 @@
 		}
 		begun := s.history.Begin(linear.Gone, l.ref.Name, l.value(), l.n)
 		_, err := client.Renew(ctx, l.ref)
-		var no *registrar.Refused
+		var no *registrar.RejectedError
 		switch {
 		case err == nil:
 			mayEnd(false, true) // it did not
 			mayEnd, pause = begun, s.cfg.Lease/renewPart
 			continue
-		case errors.As(err, &no) && no.End == state.Unknown:
+		case errors.As(err, &no) && no.Code == state.ResultUnknown:
 			if drains || !s.register(ctx, client, l) {
 				return
 			}
@@ -193,14 +193,14 @@
 func (l *life) value() string { return fmt.Sprint(l.rec.Since) }
 
 func (s *Service) register(ctx context.Context, client *registrar.Client, l *life) bool {
-	return s.write(ctx, linear.Register, l, func(ctx context.Context) error { _, err := client.Register(ctx, l.rec); return err }, state.Serving)
+	return s.write(ctx, linear.Register, l, func(ctx context.Context) error { _, err := client.Register(ctx, l.rec); return err }, state.StatusServing)
 }
 
 // write makes a call that is repeated until it is answered, and notes it.
 func (s *Service) write(ctx context.Context, kind linear.Kind, l *life, call func(context.Context) error, status string) bool {
 	end := s.history.Begin(kind, l.ref.Name, l.value(), l.n)
 	err := call(ctx)
-	var no *registrar.Refused
+	var no *registrar.RejectedError
 	end(err == nil, errors.As(err, &no))
 	if err == nil {
 		s.delays.confirm(l.ref.Name, status, l.rec.Since, time.Now())
@@ -214,7 +214,7 @@
 	if s.cfg.Hollow != nil {
 		every = hollowReads
 	}
-	for n := 0; wait.For(ctx, every); n++ {
+	for n := 0; sleep.For(ctx, every); n++ {
 		m := s.members[n%len(s.members)]
 		// Names that are not in the list count too: those that were there before the call.
 		s.nodos.mu.Lock()
@@ -225,7 +225,7 @@
 		s.nodos.mu.Unlock()
 		living := s.nodos.living()
 		begun := time.Now()
-		var l fanout.Answer
+		var l watch.Response
 		if s.get(m, "/catalog/members?consistent=1", readWait, &l) != nil {
 			continue
 		}
--- a/internal/lab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/wire"
-	"fernlanding/internal/roster/fanout"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/wire"
+	"merlinpick/internal/registry/state"
+	"merlinpick/internal/registry/watch"
 )
 
 const (
@@ -70,16 +70,16 @@
 }
 
 // forward makes a call of a member, until the caller has gone; status 0 is a call that failed.
-func (s *Service) forward(client *http.Client, c *link.Conn, url string) (status int, body []byte, l *fanout.Answer) {
+func (s *Service) forward(client *http.Client, c *link.Conn, url string) (status int, body []byte, l *watch.Response) {
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := make(chan struct{})
-	var watch sync.WaitGroup
-	watch.Go(func() {
+	var watchers sync.WaitGroup
+	watchers.Go(func() {
 		if c.AwaitEnd(stop) {
 			cancel()
 		}
 	})
-	defer watch.Wait()
+	defer watchers.Wait()
 	defer close(stop)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -97,26 +97,26 @@
 	if resp.StatusCode != http.StatusOK {
 		return resp.StatusCode, body, nil
 	}
-	l = &fanout.Answer{}
+	l = &watch.Response{}
 	if err := json.Unmarshal(body, l); err != nil {
 		return 0, nil, nil
 	}
 	return resp.StatusCode, body, l
 }
 
-func entries(l *fanout.Answer) (out []referee.Entry) {
+func entries(l *watch.Response) (out []referee.Entry) {
 	for _, e := range l.Endpoints {
-		out = append(out, referee.Entry{Nodo: e.Name, Serving: e.Status == state.Serving, Since: e.Since})
+		out = append(out, referee.Entry{Nodo: e.Name, Serving: e.Status == state.StatusServing, Since: e.Since})
 	}
 	return out
 }
 
 // readdress has a list say where a proxy finds the nodos.
-func (s *Service) readdress(proxy string, l *fanout.Answer) {
+func (s *Service) readdress(proxy string, l *watch.Response) {
 	for i, e := range l.Endpoints {
 		if s.hollow(e.Name) {
-			if e.Status == state.Serving {
-				l.Endpoints[i].Status = state.Draining // nobody would answer there
+			if e.Status == state.StatusServing {
+				l.Endpoints[i].Status = state.StatusDraining // nobody would answer there
 			}
 			continue
 		}
@@ -129,11 +129,11 @@
 // Snapshot is the list as a proxy is told it at its start, with what the referee notes of it.
 func (s *Service) Snapshot(proxy string, keep func() bool) (text json.RawMessage, told []referee.Entry) {
 	for _, m := range s.members {
-		var l fanout.Answer
+		var l watch.Response
 		if s.get(m, "/catalog/members", callWait, &l) != nil {
 			continue
 		}
-		l.Endpoints = slices.DeleteFunc(l.Endpoints, func(state.Entry) bool { return !keep() })
+		l.Endpoints = slices.DeleteFunc(l.Endpoints, func(state.Endpoint) bool { return !keep() })
 		s.readdress(proxy, &l)
 		return l.Encode(), entries(&l)
 	}
@@ -179,7 +179,7 @@
 	}
 }
 
-func (d *delays) told(proxy string, l *fanout.Answer, at time.Time, hollow func(string) bool) {
+func (d *delays) told(proxy string, l *watch.Response, at time.Time, hollow func(string) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	of := d.heard[proxy]
@@ -187,8 +187,8 @@
 		of = map[string]time.Time{}
 		d.heard[proxy], d.since[proxy] = of, at
 	}
-	if steps := d.steps[proxy]; len(steps) == 0 || l.Index > steps[len(steps)-1].Index {
-		d.steps[proxy] = append(steps, Step{l.Index, at})
+	if steps := d.steps[proxy]; len(steps) == 0 || l.Version > steps[len(steps)-1].Index {
+		d.steps[proxy] = append(steps, Step{l.Version, at})
 	}
 	for _, e := range l.Endpoints {
 		if hollow(e.Name) {
--- a/internal/lab/service/report.go
+++ b/internal/faultlab/service/report.go
@@ -4,8 +4,8 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/lab/linear"
-	"fernlanding/internal/lab/process"
+	"merlinpick/internal/faultlab/linear"
+	"merlinpick/internal/faultlab/process"
 )
 
 // Report is what a play leaves of the service.
--- a/internal/lab/service/service.go
+++ b/internal/faultlab/service/service.go
@@ -26,14 +26,14 @@
 
 	"github.com/BurntSushi/toml"
 
-	"fernlanding/internal/lab/linear"
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/process"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/wait"
-	"fernlanding/internal/roster/config"
-	"fernlanding/internal/roster/member"
-	"fernlanding/internal/roster/registrar"
+	"merlinpick/internal/faultlab/linear"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/process"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/sleep"
+	"merlinpick/internal/registry/config"
+	"merlinpick/internal/registry/raftnode"
+	"merlinpick/internal/registry/registrar"
 )
 
 const (
@@ -205,7 +205,7 @@
 			return err
 		}
 	}
-	for end := time.Now().Add(readyWait); time.Now().Before(end) && wait.For(ctx, readyPoll); {
+	for end := time.Now().Add(readyWait); time.Now().Before(end) && sleep.For(ctx, readyPoll); {
 		n := 0
 		for _, m := range s.members {
 			if st, err := s.status(m); err == nil && st.Serving {
@@ -243,7 +243,7 @@
 	return nil
 }
 
-func (s *Service) status(m *Member) (st member.Status, err error) {
+func (s *Service) status(m *Member) (st raftnode.Status, err error) {
 	err = s.get(m, "/v1/member", callWait, &st)
 	return st, err
 }
--- a/internal/lab/service/watch.go
+++ b/internal/faultlab/service/watch.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"fernlanding/internal/lab/process"
+	"merlinpick/internal/faultlab/process"
 )
 
 // Standing is how a member stands, by its own figures and the kernel's.
--- a/internal/lab/wait/wait.go
+++ b/internal/faultlab/sleep/wait.go
@@ -1,5 +1,5 @@
 // Package wait waits.
-package wait
+package sleep
 
 import (
 	"context"
--- a/internal/lab/soak/soak.go
+++ b/internal/faultlab/soak/soak.go
@@ -11,9 +11,9 @@
 	"path/filepath"
 	"strings"
 
-	"fernlanding/experiments"
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/result"
+	"merlinpick/experiments"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/result"
 )
 
 const (
--- a/internal/lab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	"fernlanding/internal/lab/experiment"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/result"
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/result"
 )
 
 // Each seed gives a whole experiment, the same each time, in which troubles overlap.
--- a/internal/lab/nodo/serve.go
+++ b/internal/faultlab/stubserver/serve.go
@@ -1,4 +1,4 @@
-package nodo
+package stubserver
 
 import (
 	"bufio"
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/wire"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/wire"
 )
 
 // Serve serves one connection until it ends.
--- a/internal/lab/nodo/slots.go
+++ b/internal/faultlab/stubserver/slots.go
@@ -1,4 +1,4 @@
-package nodo
+package stubserver
 
 import (
 	"time"
--- a/internal/lab/nodo/nodo.go
+++ b/internal/faultlab/stubserver/stubserver.go
@@ -3,14 +3,14 @@
 //
 // A nodo's work is not done but waited for: a request of w ms of work holds one of its slots for w / speed. Its time is
 // the machine's, so a late lab makes slow nodos; the run's lateness says so.
-package nodo
+package stubserver
 
 import (
 	"math/rand/v2"
 	"sync"
 	"time"
 
-	"fernlanding/internal/lab/referee"
+	"merlinpick/internal/faultlab/referee"
 )
 
 // Spec is what a nodo is.
--- a/internal/lab/nodo/nodo_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -1,4 +1,4 @@
-package nodo
+package stubserver
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/lab/link"
-	"fernlanding/internal/lab/referee"
-	"fernlanding/internal/lab/wire"
+	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/referee"
+	"merlinpick/internal/faultlab/wire"
 )
 
 // world gives every request the same work.
--- a/internal/keepalive/keepalive.go
+++ b/internal/idletimeout/idletimeout.go
@@ -8,7 +8,7 @@
 // A process that dies breaks its connections too, whatever they stood idle, and says nothing of other backends'. It is
 // known by the next connect to it, which is refused, or by a list that has it gone or started anew: what broke there
 // shortly before is then taken back.
-package keepalive
+package idletimeout
 
 import (
 	"math"
@@ -21,16 +21,16 @@
 const (
 	// Least is how long a kept connection is trusted whatever was seen: longer than word of a close is under way
 	// between two zones, and so short that a run of breaks can't have every request dial anew.
-	Least = 20 * time.Millisecond
+	MinIdleTimeout = 20 * time.Millisecond
 	// Double is in what time the trusted time doubles without a further break: a break in most costs a new connection now
 	// and then, at any rate of requests.
-	Double = 10 * time.Second
+	RecoveryTime = 10 * time.Second
 
 	// Rest is how long a connection stands quiet after an answer before it is used again. A faulty server may send a
 	// second answer some milliseconds behind the first (2 to 4 were seen). One that comes while the connection rests
 	// is seen there; one that comes after the next request was written cannot be told from that one's own answer, and
 	// no figure in it names the request. A call that finds only resting connections waits for one: the only price.
-	Rest = 10 * time.Millisecond
+	ReuseDelay = 10 * time.Millisecond
 
 	// diedWithin is how long after a break word of a death explains it. A refused connect tells at the next attempt and a
 	// list some seconds late. Where lists are later still the break counts as staleness, which Double forgets.
@@ -44,7 +44,7 @@
 }
 
 // Trust is of all kept connections of a process. It is not safe for concurrent use.
-type Trust struct {
+type Tracker struct {
 	now limit
 
 	// The latest breaks at one backend, and the limit before the first of them.
@@ -55,10 +55,10 @@
 
 // Span is how long a connection may have been idle now, never more than most. A request that must not run twice gets
 // half of it, so that those which can be repeated meet the edge first.
-func (t *Trust) Span(now time.Time, most time.Duration, unsafe bool) time.Duration {
+func (t *Tracker) MaxIdle(now time.Time, most time.Duration, unsafe bool) time.Duration {
 	span := most
 	if t.now.span > 0 {
-		grown := float64(t.now.span) * math.Exp2(now.Sub(t.now.since).Seconds()/Double.Seconds())
+		grown := float64(t.now.span) * math.Exp2(now.Sub(t.now.since).Seconds()/RecoveryTime.Seconds())
 		if grown >= float64(2*most) {
 			t.now.span = 0
 			return most
@@ -72,23 +72,23 @@
 }
 
 // Broke notes that a connection to a backend which had been idle so long broke under its next request.
-func (t *Trust) Broke(now time.Time, backend string, idle, most time.Duration) {
-	if idle < Least || idle > most {
+func (t *Tracker) RecordBrokenReuse(now time.Time, backend string, idle, most time.Duration) {
+	if idle < MinIdleTimeout || idle > most {
 		return // no staleness, or one that Span already guards from
 	}
 	if t.at != backend || now.Sub(t.broke) > diedWithin {
 		t.at, t.before = backend, t.now
 	}
 	t.broke = now
-	span := max(idle/2, Least)
+	span := max(idle/2, MinIdleTimeout)
 	if t.now.span > 0 {
-		span = min(span, max(t.Span(now, most, false)/2, Least))
+		span = min(span, max(t.MaxIdle(now, most, false)/2, MinIdleTimeout))
 	}
 	t.now = limit{span, now}
 }
 
 // Died notes word that a backend's process has ended.
-func (t *Trust) Died(now time.Time, backend string) {
+func (t *Tracker) RecordBackendExit(now time.Time, backend string) {
 	if t.at == backend && now.Sub(t.broke) <= diedWithin {
 		t.now, t.at = t.before, ""
 	}
--- a/internal/proxy/accept/accept.go
+++ b/internal/listener/listener.go
@@ -3,7 +3,7 @@
 // accept(2) hands on network errors that are already pending on the new connection, and asks for them to be treated as
 // EAGAIN. A shortage of descriptors or memory passes, too. net/http's server retries only some of these, with pauses that
 // grow to a second, and ends at the others.
-package accept
+package listener
 
 import (
 	"errors"
--- a/internal/proxy/accept/accept_test.go
+++ b/internal/listener/listener_test.go
@@ -1,4 +1,4 @@
-package accept
+package listener
 
 import (
 	"errors"
--- a/internal/mgmt/mgmt.go
+++ b/internal/management/management.go
@@ -1,7 +1,7 @@
 // Package mgmt is the proxy's second address: calls of on-call staff and of what watches the proxy. It has its
 // own listener and connections, and what it answers with is at hand, so that no call waits for traffic or for
 // another caller.
-package mgmt
+package management
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/bans"
-	"fernlanding/internal/proxy/accept"
+	"merlinpick/internal/listener"
+	"merlinpick/internal/override"
 )
 
 // These bound calls of staff and of what watches the proxy, which carry no traffic: no settings say anything of them.
@@ -34,45 +34,45 @@
 )
 
 // Ends counts the requests of a class by how they ended.
-type Ends struct {
-	Succeeded, Declined, Aborted int64 // served, refused, failed
+type RequestCounts struct {
+	Succeeded, Rejected, Failed int64 // served, refused, failed
 }
 
 // Figures is what metrics shows.
-type Figures struct {
-	Classes     map[string]Ends
-	Outstanding int64    // requests taken and not ended
-	Forwards    int64    // attempts written whole to nodos
-	Discovered  int      // nodos in the list
-	Ejected     int      // listed nodos that get nothing, or only trials
-	Applied     int64    // configurations taken at SIGHUP
-	Rejected    int64    // and turned down
-	Rollout     *Rollout // of one that follows its service's configuration; else nil
-	List        *List
-	Fleet       *Fleet // of a proxy that is one of a fleet; else nil
-	Zones       []Zone // of one in a fleet, or with a zone drained; else none
+type Metrics struct {
+	Classes         map[string]RequestCounts
+	InFlight        int64    // requests taken and not ended
+	Forwarded       int64    // attempts written whole to nodos
+	ListedServers   int      // nodos in the list
+	EjectedServers  int      // listed nodos that get nothing, or only trials
+	ReloadsApplied  int64    // configurations taken at SIGHUP
+	ReloadsRejected int64    // and turned down
+	Rollout         *Rollout // of one that follows its service's configuration; else nil
+	EndpointList    *EndpointList
+	Cluster         *Cluster // of a proxy that is one of a fleet; else nil
+	Zones           []Zone   // of one in a fleet, or with a zone drained; else none
 
-	Broken map[string]int64 // violations of the rules that the proxy saw itself commit, by rule
-	Events map[string]int64 // closes, refusals and ends of attempts, by reason
+	RuleViolations map[string]int64 // violations of the rules that the proxy saw itself commit, by rule
+	Events         map[string]int64 // closes, refusals and ends of attempts, by reason
 }
 
 // List is how a proxy stands with its list of servers.
-type List struct {
+type EndpointList struct {
 	Age      time.Duration    // since discovery, or a member, last answered with a list; negative: none has
 	Stale    bool             // changes may count as told that it has not heard of
 	Failures int64            // calls that failed
 	Calls    map[string]int64 // of the platform's list, by how they ended
 
-	Members *ListMembers // of a list that several members keep; else nil
+	Registry *RegistryClient // of a list that several members keep; else nil
 }
 
 // ListMembers is how a proxy stands with the members of the list service.
-type ListMembers struct {
-	Moves int64 // from one to another
-	Kept  int64 // nodos that a new line of versions lacks and that stand for a while
+type RegistryClient struct {
+	Failovers         int64 // from one to another
+	RetainedEndpoints int64 // nodos that a new line of versions lacks and that stand for a while
 }
 
-func (l *List) encode(b *bytes.Buffer) {
+func (l *EndpointList) encode(b *bytes.Buffer) {
 	if l == nil {
 		return
 	}
@@ -87,31 +87,31 @@
 	for _, end := range slices.Sorted(maps.Keys(l.Calls)) {
 		fmt.Fprintf(b, "app.list_calls.%s=%d\n", end, l.Calls[end])
 	}
-	if m := l.Members; m != nil {
-		fmt.Fprintf(b, "app.list_moves=%d\napp.list_kept=%d\n", m.Moves, m.Kept)
+	if m := l.Registry; m != nil {
+		fmt.Fprintf(b, "app.list_moves=%d\napp.list_kept=%d\n", m.Failovers, m.RetainedEndpoints)
 	}
 }
 
 // Rollout is how a proxy stands with its service's configuration.
 type Rollout struct {
-	Version  int64         // in force; 0: what the file says
-	Refused  int64         // newer version that could not be put in force; 0: none
-	Age      time.Duration // since a member last answered; negative: none has
-	Applied  int64         // documents put in force
-	Failures int64         // calls that failed
+	Version         int64         // in force; 0: what the file says
+	RejectedVersion int64         // newer version that could not be put in force; 0: none
+	Age             time.Duration // since a member last answered; negative: none has
+	Applied         int64         // documents put in force
+	Failures        int64         // calls that failed
 }
 
 // Proxy is what the calls are about. Its methods are called from many goroutines and return soon.
 type Proxy interface {
-	Missing() string // what it lacks to serve requests that come now; empty: it is ready
-	Figures() Figures
+	NotReadyReason() string // what it lacks to serve requests that come now; empty: it is ready
+	Metrics() Metrics
 	// Suspend and Resume return once the proxy acts on it and the ban outlives the process. A *bans.UnknownError is a
 	// no for good; after others the call may be repeated.
-	Suspend(nodo string) error
-	Resume(nodo string) error
+	SuspendServer(nodo string) error
+	ResumeServer(nodo string) error
 	// Drain and Restore do the same to a zone, with a *bans.UnknownZoneError or *bans.LastZoneError.
-	Drain(zone string) error
-	Restore(zone string) error
+	DrainZone(zone string) error
+	RestoreZone(zone string) error
 	Zones() []Zone // in a stable order
 }
 
@@ -141,15 +141,15 @@
 }
 
 func newServer(l net.Listener, p Proxy, log *slog.Logger) *Server {
-	s := &Server{proxy: p, log: log, listener: accept.Retry(l, log)}
+	s := &Server{proxy: p, log: log, listener: listener.Retry(l, log)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readyz", s.readyz)
 	mux.HandleFunc("GET /v1/metrics", s.metrics)
-	mux.HandleFunc("POST /v1/nodos/{id}/suspend", s.nodo("suspend", p.Suspend))
-	mux.HandleFunc("POST /v1/nodos/{id}/resume", s.nodo("resume", p.Resume))
+	mux.HandleFunc("POST /v1/nodos/{id}/suspend", s.nodo("suspend", p.SuspendServer))
+	mux.HandleFunc("POST /v1/nodos/{id}/resume", s.nodo("resume", p.ResumeServer))
 	mux.HandleFunc("GET /v1/zones", s.zones)
-	mux.HandleFunc("POST /v1/zones/{name}/drain", s.zone("drain", p.Drain))
-	mux.HandleFunc("POST /v1/zones/{name}/restore", s.zone("restore", p.Restore))
+	mux.HandleFunc("POST /v1/zones/{name}/drain", s.zone("drain", p.DrainZone))
+	mux.HandleFunc("POST /v1/zones/{name}/restore", s.zone("restore", p.RestoreZone))
 	s.http = &http.Server{Handler: s.whole(mux), ReadTimeout: callPatience, WriteTimeout: callPatience + writePatience,
 		MaxHeaderBytes: maxHead, ConnState: s.connState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
@@ -218,7 +218,7 @@
 }
 
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
-	if missing := s.proxy.Missing(); missing != "" {
+	if missing := s.proxy.NotReadyReason(); missing != "" {
 		http.Error(w, "not ready: "+missing, http.StatusServiceUnavailable)
 		return
 	}
@@ -227,36 +227,36 @@
 
 func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = w.Write(s.proxy.Figures().encode())
+	_, _ = w.Write(s.proxy.Metrics().encode())
 }
 
 // encode writes one figure a line, in an order that stays.
-func (f Figures) encode() []byte {
+func (f Metrics) encode() []byte {
 	var b bytes.Buffer
 	for _, class := range slices.Sorted(maps.Keys(f.Classes)) {
 		e := f.Classes[class]
 		fmt.Fprintf(&b, "app.succeeded.%s=%d\napp.declined.%s=%d\napp.aborted.%s=%d\n",
-			class, e.Succeeded, class, e.Declined, class, e.Aborted)
+			class, e.Succeeded, class, e.Rejected, class, e.Failed)
 	}
 	fmt.Fprintf(&b, "app.outstanding=%d\napp.forwards=%d\napp.discovered=%d\napp.ejected=%d\n"+
 		"app.sighup_applied=%d\napp.sighup_rejected=%d\n",
-		f.Outstanding, f.Forwards, f.Discovered, f.Ejected, f.Applied, f.Rejected)
-	for _, rule := range slices.Sorted(maps.Keys(f.Broken)) {
-		fmt.Fprintf(&b, "app.broken.%s=%d\n", rule, f.Broken[rule])
+		f.InFlight, f.Forwarded, f.ListedServers, f.EjectedServers, f.ReloadsApplied, f.ReloadsRejected)
+	for _, rule := range slices.Sorted(maps.Keys(f.RuleViolations)) {
+		fmt.Fprintf(&b, "app.broken.%s=%d\n", rule, f.RuleViolations[rule])
 	}
 	for _, event := range slices.Sorted(maps.Keys(f.Events)) {
 		fmt.Fprintf(&b, "app.%s=%d\n", event, f.Events[event])
 	}
-	f.List.encode(&b)
+	f.EndpointList.encode(&b)
 	if r := f.Rollout; r != nil {
 		age := int64(-1)
 		if r.Age >= 0 {
 			age = r.Age.Milliseconds()
 		}
 		fmt.Fprintf(&b, "app.config_version=%d\napp.config_refused=%d\napp.config_age_ms=%d\napp.config_applied=%d\n"+
-			"app.config_failures=%d\n", r.Version, r.Refused, age, r.Applied, r.Failures)
+			"app.config_failures=%d\n", r.Version, r.RejectedVersion, age, r.Applied, r.Failures)
 	}
-	f.Fleet.encode(&b)
+	f.Cluster.encode(&b)
 	for _, z := range f.Zones {
 		z.encode(&b)
 	}
@@ -268,7 +268,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
 		err := do(id)
-		var unknown *bans.UnknownError
+		var unknown *override.UnknownServerError
 		switch {
 		case errors.As(err, &unknown):
 			http.Error(w, err.Error(), http.StatusNotFound)
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/management/management_test.go
@@ -1,4 +1,4 @@
-package mgmt
+package management
 
 import (
 	"bufio"
@@ -11,35 +11,35 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/bans"
+	"merlinpick/internal/override"
 )
 
 const patience = 20 * time.Second // for what has to come; only a failing test waits so long
 
 type fakeProxy struct {
 	missing string
-	figures Figures
+	figures Metrics
 	did     string
 }
 
-func (p *fakeProxy) Missing() string  { return p.missing }
-func (p *fakeProxy) Figures() Figures { return p.figures }
+func (p *fakeProxy) NotReadyReason() string { return p.missing }
+func (p *fakeProxy) Metrics() Metrics       { return p.figures }
 
-func (p *fakeProxy) Suspend(nodo string) error { return p.do("suspend", nodo) }
-func (p *fakeProxy) Resume(nodo string) error  { return p.do("resume", nodo) }
+func (p *fakeProxy) SuspendServer(nodo string) error { return p.do("suspend", nodo) }
+func (p *fakeProxy) ResumeServer(nodo string) error  { return p.do("resume", nodo) }
 
-func (p *fakeProxy) Drain(zone string) error   { return p.do("drain", zone) }
-func (p *fakeProxy) Restore(zone string) error { return p.do("restore", zone) }
-func (p *fakeProxy) Zones() []Zone             { return p.figures.Zones }
+func (p *fakeProxy) DrainZone(zone string) error   { return p.do("drain", zone) }
+func (p *fakeProxy) RestoreZone(zone string) error { return p.do("restore", zone) }
+func (p *fakeProxy) Zones() []Zone                 { return p.figures.Zones }
 
 func (p *fakeProxy) do(verb, nodo string) error {
 	switch nodo {
 	case "nowhere":
-		return &bans.UnknownZoneError{Zone: nodo}
+		return &override.UnknownZoneError{Zone: nodo}
 	case "last":
-		return &bans.LastZoneError{Zone: nodo, Out: []string{"other"}}
+		return &override.LastZoneError{Zone: nodo, Drained: []string{"other"}}
 	case "stranger":
-		return &bans.UnknownError{Nodo: nodo}
+		return &override.UnknownServerError{Server: nodo}
 	case "stuck":
 		return errors.New("no room")
 	}
@@ -99,8 +99,8 @@
 func request(line, more string) string { return line + " HTTP/1.1\r\nHost: proxy\r\n" + more + "\r\n" }
 
 func TestCallsAreAnswered(t *testing.T) {
-	p := &fakeProxy{figures: Figures{Classes: map[string]Ends{"look": {1, 2, 3}, "buy": {4, 5, 6}},
-		Outstanding: 7, Forwards: 8, Discovered: 9, Ejected: 10, Applied: 11, Rejected: 12}}
+	p := &fakeProxy{figures: Metrics{Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}},
+		InFlight: 7, Forwarded: 8, ListedServers: 9, EjectedServers: 10, ReloadsApplied: 11, ReloadsRejected: 12}}
 	s := start(t, p)
 	if status, _ := call(t, s, request("GET /v1/readyz", "")); status != 200 {
 		t.Errorf("ready: %d", status)
@@ -119,11 +119,11 @@
 }
 
 func TestFiguresOfAFleetComeWithOneOnly(t *testing.T) {
-	if text := string((&Figures{}).encode()); strings.Contains(text, "fleet") {
+	if text := string((&Metrics{}).encode()); strings.Contains(text, "fleet") {
 		t.Errorf("on its own: %s", text)
 	}
-	text := string((&Figures{Fleet: &Fleet{Open: true, Living: 3, Near: 2, Alone: true, Oldest: 1500 * time.Millisecond,
-		Refused: map[string]int64{"late": 5, "label": 4}}}).encode())
+	text := string((&Metrics{Cluster: &Cluster{Open: true, LiveMembers: 3, LiveMembersInZone: 2, Isolated: true, OldestEntry: 1500 * time.Millisecond,
+		Rejected: map[string]int64{"late": 5, "label": 4}}}).encode())
 	for _, want := range []string{"app.fleet_open=1\n", "app.fleet_living=3\n", "app.fleet_near=2\n", "app.fleet_alone=1\n",
 		"app.fleet_oldest_ms=1500\n", "app.fleet_refused.label=4\napp.fleet_refused.late=5\n"} {
 		if !strings.Contains(text, want) {
--- a/internal/mgmt/zones_test.go
+++ b/internal/management/zones_test.go
@@ -1,11 +1,11 @@
-package mgmt
+package management
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 func TestZonesAreCalledByTheirName(t *testing.T) {
@@ -39,7 +39,7 @@
 	if strings.Contains(before, "zone") {
 		t.Errorf("without zones to show: %s", before)
 	}
-	p.figures.Zones = []Zone{{Name: "a b=c", Share: 1}, {Name: "b", Standing: logic.Drained, Epoch: 3, Since: 1200 * time.Millisecond,
+	p.figures.Zones = []Zone{{Name: "a b=c", WeightFraction: 1}, {Name: "b", Phase: balancer.ZoneDrained, Transitions: 3, Since: 1200 * time.Millisecond,
 		Reason: `by "hand"`}}
 	want := "name=a%20b%3Dc state=well share=1.00 epoch=0 since_ms=0 reason=\"\"\n" +
 		"name=b state=drained share=0.00 epoch=3 since_ms=1200 reason=\"by \\\"hand\\\"\"\n"
--- a/internal/bans/errors.go
+++ b/internal/override/errors.go
@@ -1,4 +1,4 @@
-package bans
+package override
 
 import (
 	"fmt"
@@ -6,25 +6,25 @@
 )
 
 // UnknownError is the answer to a call on a server that no list has named and that is not out.
-type UnknownError struct{ Nodo string }
+type UnknownServerError struct{ Server string }
 
-func (e *UnknownError) Error() string {
-	return fmt.Sprintf("no list has named this nodo: %q; look for its id in discovery's list", e.Nodo)
+func (e *UnknownServerError) Error() string {
+	return fmt.Sprintf("no list has named this nodo: %q; look for its id in discovery's list", e.Server)
 }
 
 // Op is what was to be done with the store.
-type Op string
+type StoreOp string
 
 // What a StoreError may be about.
 const (
-	Keep Op = "keep the ban"
-	Drop Op = "drop the ban"
-	Read Op = "read the bans"
+	StoreOpAdd    StoreOp = "keep the ban"
+	StoreOpRemove StoreOp = "drop the ban"
+	StoreOpRead   StoreOp = "read the bans"
 )
 
 // StoreError tells that the folder of the bans could not be read or changed.
 type StoreError struct {
-	Op   Op
+	Op   StoreOp
 	Path string // of the ban's file, or of the folder
 	Err  error
 }
@@ -36,7 +36,7 @@
 func (e *StoreError) Unwrap() error { return e.Err }
 
 // failed is a *StoreError, or nil without err.
-func failed(op Op, path string, err error) error {
+func failed(op StoreOp, path string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -44,15 +44,15 @@
 }
 
 // SlowError tells that the disk was still busy with the change when the answer was due. It may hold, or not yet.
-type SlowError struct{ After time.Duration }
+type StoreTimeoutError struct{ After time.Duration }
 
-func (e *SlowError) Error() string {
+func (e *StoreTimeoutError) Error() string {
 	return fmt.Sprintf("the disk had not kept the change after %v; repeat the call to learn when it has", e.After)
 }
 
 // LateError tells that what a call says is kept and will hold, but does not yet.
-type LateError struct{ After time.Duration }
+type NotAppliedError struct{ After time.Duration }
 
-func (e *LateError) Error() string {
+func (e *NotAppliedError) Error() string {
 	return fmt.Sprintf("the proxy did not act on the call within %v; repeat it to learn when it does", e.After)
 }
--- a/internal/bans/golden_test.go
+++ b/internal/override/golden_test.go
@@ -1,4 +1,4 @@
-package bans
+package override
 
 import (
 	"maps"
@@ -10,13 +10,13 @@
 
 // A folder that an earlier version wrote is read as it was, and written with the same names of files.
 func TestGoldenFolder(t *testing.T) {
-	ids := []string{"a", "a b", "a/b", "ü%2F", "10.0.0.1:80", OfZone("north"), OfZone("a/b ü")}
+	ids := []string{"a", "a b", "a/b", "ü%2F", "10.0.0.1:80", ZoneKey("north"), ZoneKey("a/b ü")}
 	kept := filepath.Join("testdata", "kept")
 	b, err := Open(Config{Dir: kept})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := slices.Sorted(maps.Keys(b.Present())); !slices.Equal(got, slices.Sorted(slices.Values(ids))) {
+	if got := slices.Sorted(maps.Keys(b.Current())); !slices.Equal(got, slices.Sorted(slices.Values(ids))) {
 		t.Errorf("read %q", got)
 	}
 	s := store{dir: t.TempDir()}
--- a/internal/bans/names.go
+++ b/internal/override/names.go
@@ -1,4 +1,4 @@
-package bans
+package override
 
 import (
 	"maps"
@@ -10,17 +10,17 @@
 const maxNames = 4096
 
 // Names are the servers that some list has named. It may be used from many goroutines.
-type Names struct {
+type NameSet struct {
 	mu    sync.Mutex
 	at    map[string]int // when it was last named, in lists
 	lists int
 }
 
 // NewNames has no names yet.
-func NewNames() *Names { return &Names{at: map[string]int{}} }
+func NewNameSet() *NameSet { return &NameSet{at: map[string]int{}} }
 
 // Add notes the servers of a list. Where there are too many the ones not named for the longest go.
-func (s *Names) Add(ids ...string) {
+func (s *NameSet) Add(ids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists++
@@ -41,7 +41,7 @@
 }
 
 // Has tells whether a server is among them.
-func (s *Names) Has(id string) bool {
+func (s *NameSet) Has(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ok := s.at[id]
@@ -49,7 +49,7 @@
 }
 
 // All are the names, in no order.
-func (s *Names) All() []string {
+func (s *NameSet) All() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Collect(maps.Keys(s.at))
--- a/internal/bans/bans.go
+++ b/internal/override/override.go
@@ -1,7 +1,7 @@
 // Package bans keeps the servers that on-call staff has taken out by hand, and says which are out now: those in the
 // proxy's own folder and those that others have told of. It has one goroutine, Run, which its caller starts; calls
 // come from any. Who sends nothing to those servers takes each whole set from Sets and confirms it.
-package bans
+package override
 
 import (
 	"context"
@@ -23,19 +23,19 @@
 
 // Config is what Bans are told at the start.
 type Config struct {
-	Dir   string          // folder of the bans; it exists
-	Names *Names          // servers that there may be calls on
-	Zones *Names          // zones that there may be calls on; nil for none
-	Ended <-chan struct{} // closed once no set is taken any more, since nothing is sent: calls then hold
-	Log   *slog.Logger
+	Dir          string          // folder of the bans; it exists
+	KnownServers *NameSet        // servers that there may be calls on
+	KnownZones   *NameSet        // zones that there may be calls on; nil for none
+	Stopped      <-chan struct{} // closed once no set is taken any more, since nothing is sent: calls then hold
+	Logger       *slog.Logger
 
 	// Serving gives the zones that have servers to send to; with Zones. It is called from many goroutines, and the
 	// result is not changed.
-	Serving func() map[string]bool
+	ServingZones func() map[string]bool
 
 	// Told hears of each call here that was kept, before it holds, of zones by OfZone; nil for nobody. It may set Outside,
 	// and the call then holds with that. An error of it is the call's. It is called from many goroutines.
-	Told func(id string, suspended bool) error
+	Notify func(id string, suspended bool) error
 }
 
 // Set is the whole set of servers and, by OfZone, of zones that are out. Its reader must not change it.
@@ -45,10 +45,10 @@
 }
 
 // Holds confirms that the set, and no other, is acted on; once for each.
-func (s Set) Holds() { close(s.done) }
+func (s Set) Acknowledge() { close(s.done) }
 
 // Bans are the servers that are out.
-type Bans struct {
+type Overrides struct {
 	cfg     Config
 	store   store
 	sets    chan Set
@@ -65,8 +65,8 @@
 }
 
 // Open reads what is kept. Present is to hold before anything is sent; Run follows it.
-func Open(cfg Config) (*Bans, error) {
-	b := &Bans{cfg: cfg, store: store{dir: cfg.Dir}, sets: make(chan Set), wake: make(chan struct{}, 1),
+func Open(cfg Config) (*Overrides, error) {
+	b := &Overrides{cfg: cfg, store: store{dir: cfg.Dir}, sets: make(chan Set), wake: make(chan struct{}, 1),
 		changes: make(chan struct{}, changesMost)}
 	var err error
 	if b.kept, err = b.store.load(); err != nil {
@@ -76,17 +76,17 @@
 }
 
 // Sets gives the whole set each time that it may have changed.
-func (b *Bans) Sets() <-chan Set { return b.sets }
+func (b *Overrides) Sets() <-chan Set { return b.sets }
 
 // Present is the set that is to hold now. It waits for a set that is on its way, so it is not for the reader of Sets.
-func (b *Bans) Present() map[string]bool {
+func (b *Overrides) Current() map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.with(b.kept)
 }
 
 // with is the union of what is kept and what comes from outside.
-func (b *Bans) with(kept map[string]bool) map[string]bool {
+func (b *Overrides) with(kept map[string]bool) map[string]bool {
 	ids := maps.Clone(kept)
 	b.outsideMu.Lock()
 	defer b.outsideMu.Unlock()
@@ -96,7 +96,7 @@
 
 // Outside has these servers out beside those that are kept here, in place of the former such set. It does not wait,
 // so that even the reader of Sets may call it: Run hands the union on.
-func (b *Bans) Outside(ids map[string]bool) {
+func (b *Overrides) SetRemote(ids map[string]bool) {
 	out := maps.Clone(ids)
 	maps.DeleteFunc(out, func(_ string, is bool) bool { return !is })
 	b.outsideMu.Lock()
@@ -114,7 +114,7 @@
 
 // Run follows the store and what comes from outside until the context ends: another process of this proxy may
 // change the store.
-func (b *Bans) Run(ctx context.Context) {
+func (b *Overrides) Run(ctx context.Context) {
 	tick := time.NewTicker(pollEvery)
 	defer tick.Stop()
 	for failed := false; ; {
@@ -126,14 +126,14 @@
 		}
 		err := b.apply()
 		if err != nil && !failed { // once, not five times a second
-			b.cfg.Log.Error("bans stand as they were", "error", err)
+			b.cfg.Logger.Error("bans stand as they were", "error", err)
 		}
 		failed = err != nil
 	}
 }
 
 // apply reads the store and returns once the union holds. Where the store cannot be read its part stands as it was.
-func (b *Bans) apply() error {
+func (b *Overrides) apply() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	kept, err := b.store.load()
@@ -144,37 +144,37 @@
 }
 
 // hand gives a set to its reader and returns once it holds, or a *LateError.
-func (b *Bans) hand(ids map[string]bool) error {
+func (b *Overrides) hand(ids map[string]bool) error {
 	s := Set{ids, make(chan struct{})}
 	late := time.NewTimer(actWithin)
 	defer late.Stop()
 	select {
 	case b.sets <- s:
-	case <-b.cfg.Ended:
+	case <-b.cfg.Stopped:
 		return nil
 	case <-late.C:
-		return &LateError{actWithin}
+		return &NotAppliedError{actWithin}
 	}
 	select {
 	case <-s.done:
 		return nil
-	case <-b.cfg.Ended:
+	case <-b.cfg.Stopped:
 		return nil
 	case <-late.C:
-		return &LateError{actWithin}
+		return &NotAppliedError{actWithin}
 	}
 }
 
 // Suspend takes a server out until Resume, here or at another process with this folder. It returns once that is
 // kept and holds. Its errors are *UnknownError, *StoreError, *SlowError, *LateError and those of Config.Told; after each of the
 // others than the first the call may be repeated.
-func (b *Bans) Suspend(nodo string) error { return b.callNodo(nodo, true) }
+func (b *Overrides) SuspendServer(nodo string) error { return b.callNodo(nodo, true) }
 
 // Resume ends that, with the same errors. What comes from outside stands until Outside says otherwise.
-func (b *Bans) Resume(nodo string) error { return b.callNodo(nodo, false) }
+func (b *Overrides) ResumeServer(nodo string) error { return b.callNodo(nodo, false) }
 
 // Lift ends what is kept here of a suspension that all the others ended, without a word to them.
-func (b *Bans) Lift(nodo string) error {
+func (b *Overrides) ClearLocal(nodo string) error {
 	if !b.store.has(nodo) {
 		return nil
 	}
@@ -185,14 +185,14 @@
 }
 
 // callNodo lets a call on a server through that a list has named, or that is out.
-func (b *Bans) callNodo(nodo string, suspended bool) error {
-	if _, zone := zoneOf(nodo); zone || !b.cfg.Names.Has(nodo) && !b.out(nodo) {
-		return &UnknownError{nodo}
+func (b *Overrides) callNodo(nodo string, suspended bool) error {
+	if _, zone := zoneOf(nodo); zone || !b.cfg.KnownServers.Has(nodo) && !b.out(nodo) {
+		return &UnknownServerError{nodo}
 	}
 	return b.call(nodo, suspended)
 }
 
-func (b *Bans) call(id string, suspended bool) error {
+func (b *Overrides) call(id string, suspended bool) error {
 	keep := b.store.remove
 	if suspended {
 		keep = b.store.add
@@ -201,19 +201,19 @@
 		return err
 	}
 	var untold error
-	if b.cfg.Told != nil {
-		untold = b.cfg.Told(id, suspended)
+	if b.cfg.Notify != nil {
+		untold = b.cfg.Notify(id, suspended)
 	}
 	return errors.Join(untold, b.apply()) // it is kept: it holds here even if others were not told
 }
 
 // inTime changes the store, and waits for that no longer than the call's answer may take. A change that the disk is still
 // busy with goes on: what it makes of the folder is seen by Run.
-func (b *Bans) inTime(id string, change func(string) error) error {
+func (b *Overrides) inTime(id string, change func(string) error) error {
 	select {
 	case b.changes <- struct{}{}:
 	default:
-		return &SlowError{keepWithin}
+		return &StoreTimeoutError{keepWithin}
 	}
 	done := make(chan error, 1)
 	go func() {
@@ -226,12 +226,12 @@
 	case err := <-done:
 		return err
 	case <-late.C:
-		return &SlowError{keepWithin}
+		return &StoreTimeoutError{keepWithin}
 	}
 }
 
 // out tells whether a server, or a zone, is out here or by others.
-func (b *Bans) out(id string) bool {
+func (b *Overrides) out(id string) bool {
 	if b.store.has(id) {
 		return true
 	}
--- a/internal/bans/bans_test.go
+++ b/internal/override/override_test.go
@@ -1,4 +1,4 @@
-package bans
+package override
 
 import (
 	"context"
@@ -28,19 +28,19 @@
 }
 
 // acting opens Bans in a bubble, follows them and acts on their sets, all until the test ends.
-func acting(t *testing.T, cfg Config) (*Bans, *held) {
+func acting(t *testing.T, cfg Config) (*Overrides, *held) {
 	t.Helper()
 	ended := make(chan struct{})
-	cfg.Ended, cfg.Log = ended, slog.New(slog.DiscardHandler)
-	if cfg.Names == nil {
-		cfg.Names = NewNames()
-		cfg.Names.Add("a", "b", "c")
+	cfg.Stopped, cfg.Logger = ended, slog.New(slog.DiscardHandler)
+	if cfg.KnownServers == nil {
+		cfg.KnownServers = NewNameSet()
+		cfg.KnownServers.Add("a", "b", "c")
 	}
 	b, err := Open(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &held{ids: b.Present()}
+	h := &held{ids: b.Current()}
 	ctx, stop := context.WithCancel(t.Context())
 	var parts sync.WaitGroup
 	parts.Go(func() { b.Run(ctx) })
@@ -52,7 +52,7 @@
 				h.mu.Lock()
 				h.ids = s.IDs
 				h.mu.Unlock()
-				s.Holds()
+				s.Acknowledge()
 			case <-ctx.Done():
 				return
 			}
@@ -75,7 +75,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b, here := acting(t, Config{Dir: dir})
 		other, there := acting(t, Config{Dir: dir})
-		must(t, b.Suspend("a"))
+		must(t, b.SuspendServer("a"))
 		if !here.is("a") {
 			t.Errorf("after the answer: %v", here.ids)
 		}
@@ -84,24 +84,24 @@
 		if !there.is("a") {
 			t.Errorf("at the other process: %v", there.ids)
 		}
-		b.Outside(map[string]bool{"a": true, "x": true, "c": false})
+		b.SetRemote(map[string]bool{"a": true, "x": true, "c": false})
 		synctest.Wait() // without a poll
 		if !here.is("a", "x") || !there.is("a") {
 			t.Errorf("with x from outside: %v, at the other process %v", here.ids, there.ids)
 		}
-		must(t, other.Resume("a"))
-		must(t, b.Resume("x")) // it is out, and so no stranger; to end that is the others' part
+		must(t, other.ResumeServer("a"))
+		must(t, b.ResumeServer("x")) // it is out, and so no stranger; to end that is the others' part
 		if !here.is("a", "x") {
 			t.Errorf("a resumed here but out by others: %v", here.ids)
 		}
-		b.Outside(nil)
+		b.SetRemote(nil)
 		synctest.Wait()
 		if !here.is() || !there.is() {
 			t.Errorf("all resumed: %v and %v", here.ids, there.ids)
 		}
 		again, err := Open(Config{Dir: dir})
-		if err != nil || len(again.Present()) != 0 {
-			t.Errorf("kept: %v, %v", again.Present(), err)
+		if err != nil || len(again.Current()) != 0 {
+			t.Errorf("kept: %v, %v", again.Current(), err)
 		}
 	})
 }
@@ -111,33 +111,33 @@
 func TestCallsAreTold(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		var b *Bans
+		var b *Overrides
 		var here *held
 		var calls []string
 		deaf := errors.New("deaf")
-		b, here = acting(t, Config{Dir: dir, Told: func(nodo string, suspended bool) error {
+		b, here = acting(t, Config{Dir: dir, Notify: func(nodo string, suspended bool) error {
 			calls = append(calls, nodo+" "+strconv.FormatBool(suspended))
 			if nodo == "c" {
 				return deaf
 			}
-			b.Outside(map[string]bool{"y": suspended})
+			b.SetRemote(map[string]bool{"y": suspended})
 			return nil
 		}})
-		must(t, b.Suspend("a"))
+		must(t, b.SuspendServer("a"))
 		if !here.is("a", "y") {
 			t.Errorf("suspended: %v", here.ids)
 		}
-		must(t, b.Resume("a"))
+		must(t, b.ResumeServer("a"))
 		if !here.is() {
 			t.Errorf("resumed: %v", here.ids)
 		}
-		if err := b.Suspend("c"); !errors.Is(err, deaf) || !here.is("c") {
+		if err := b.SuspendServer("c"); !errors.Is(err, deaf) || !here.is("c") {
 			t.Errorf("untold: %v with %v", here.ids, err)
 		}
-		if must(t, b.Lift("c")); here.is("c") || len(calls) != 3 { // the others ended it: none is told
+		if must(t, b.ClearLocal("c")); here.is("c") || len(calls) != 3 { // the others ended it: none is told
 			t.Errorf("lifted: %v, told of %v", here.ids, calls)
 		}
-		if err := b.Suspend("stranger"); err == nil {
+		if err := b.SuspendServer("stranger"); err == nil {
 			t.Error("no error on a stranger")
 		}
 		if want := []string{"a true", "a false", "c true"}; !slices.Equal(calls, want) {
@@ -151,23 +151,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		must(t, os.Mkdir(dir, 0o700))
 		b, here := acting(t, Config{Dir: dir})
-		must(t, b.Suspend("b"))
+		must(t, b.SuspendServer("b"))
 		must(t, os.RemoveAll(dir))
-		b.Outside(map[string]bool{"x": true})
+		b.SetRemote(map[string]bool{"x": true})
 		synctest.Wait()
 		if !here.is("b", "x") {
 			t.Errorf("with the folder gone: %v", here.ids)
 		}
 		var lost *StoreError
-		if err := b.Suspend("a"); !errors.As(err, &lost) || lost.Op != Keep || lost.Path != filepath.Join(dir, "ban-a") ||
+		if err := b.SuspendServer("a"); !errors.As(err, &lost) || lost.Op != StoreOpAdd || lost.Path != filepath.Join(dir, "ban-a") ||
 			!errors.Is(err, os.ErrNotExist) {
 			t.Errorf("suspend: %v", err)
 		}
-		var unknown *UnknownError
-		if err := b.Resume("stranger"); !errors.As(err, &unknown) || unknown.Nodo != "stranger" {
+		var unknown *UnknownServerError
+		if err := b.ResumeServer("stranger"); !errors.As(err, &unknown) || unknown.Server != "stranger" {
 			t.Errorf("a stranger: %v", err)
 		}
-		if _, err := Open(Config{Dir: dir}); !errors.As(err, &lost) || lost.Op != Read || lost.Path != dir {
+		if _, err := Open(Config{Dir: dir}); !errors.As(err, &lost) || lost.Op != StoreOpRead || lost.Path != dir {
 			t.Errorf("open: %v", err)
 		}
 	})
@@ -177,16 +177,16 @@
 func TestACallThatNobodyActsOnIsANo(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		names, ended := NewNames(), make(chan struct{})
+		names, ended := NewNameSet(), make(chan struct{})
 		names.Add("a")
-		b, err := Open(Config{Dir: dir, Names: names, Ended: ended})
+		b, err := Open(Config{Dir: dir, KnownServers: names, Stopped: ended})
 		must(t, err)
-		var late *LateError
-		if err := b.Suspend("a"); !errors.As(err, &late) || late.After >= time.Second || !b.Present()["a"] {
+		var late *NotAppliedError
+		if err := b.SuspendServer("a"); !errors.As(err, &late) || late.After >= time.Second || !b.Current()["a"] {
 			t.Errorf("got %v", err)
 		}
 		close(ended)
-		must(t, b.Suspend("a"))
+		must(t, b.SuspendServer("a"))
 	})
 }
 
@@ -214,7 +214,7 @@
 }
 
 func TestNamesOfServersThatLeftAreBounded(t *testing.T) {
-	s := NewNames()
+	s := NewNameSet()
 	for i := range 2 * maxNames {
 		s.Add("stays", strconv.Itoa(i))
 	}
--- a/internal/bans/slow_test.go
+++ b/internal/override/slow_test.go
@@ -1,4 +1,4 @@
-package bans
+package override
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 // A ban holds, and its call is answered, within a second though the disk takes longer to keep it: the answer is then a no,
 // and the call may be repeated. What the disk has taken by then stands.
 func TestABanHoldsThoughTheDiskIsSlow(t *testing.T) {
-	names := NewNames()
+	names := NewNameSet()
 	names.Add("a", "b")
-	b, err := Open(Config{Dir: t.TempDir(), Names: names, Ended: make(chan struct{}), Log: slog.New(slog.DiscardHandler)})
+	b, err := Open(Config{Dir: t.TempDir(), KnownServers: names, Stopped: make(chan struct{}), Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 			select {
 			case s := <-b.Sets():
 				held <- s.IDs
-				s.Holds()
+				s.Acknowledge()
 			case <-ctx.Done():
 				return
 			}
@@ -35,7 +35,7 @@
 	go b.Run(ctx)
 	began := time.Now()
 	answered := make(chan error, 1)
-	go func() { answered <- b.Suspend("a") }()
+	go func() { answered <- b.SuspendServer("a") }()
 	for !(<-held)["a"] {
 		if time.Since(began) > time.Second {
 			t.Fatal("the ban does not hold after 1 s")
@@ -62,10 +62,10 @@
 	for !b.store.has("a") {
 		time.Sleep(time.Millisecond)
 	}
-	if err := b.Suspend("a"); err != nil {
+	if err := b.SuspendServer("a"); err != nil {
 		t.Errorf("the call repeated: %v", err)
 	}
-	if err := b.Resume("a"); err != nil || b.Present()["a"] {
-		t.Errorf("resumed: %v, %v", err, b.Present())
+	if err := b.ResumeServer("a"); err != nil || b.Current()["a"] {
+		t.Errorf("resumed: %v, %v", err, b.Current())
 	}
 }
--- a/internal/bans/store.go
+++ b/internal/override/store.go
@@ -1,4 +1,4 @@
-package bans
+package override
 
 import (
 	"errors"
@@ -35,7 +35,7 @@
 	if err == nil {
 		err = errors.Join(f.Sync(), f.Close(), s.sync())
 	}
-	return failed(Keep, s.path(nodo), err)
+	return failed(StoreOpAdd, s.path(nodo), err)
 }
 
 func (s store) remove(nodo string) error {
@@ -43,7 +43,7 @@
 	if err == nil || errors.Is(err, fs.ErrNotExist) {
 		err = s.sync()
 	}
-	return failed(Drop, s.path(nodo), err)
+	return failed(StoreOpRemove, s.path(nodo), err)
 }
 
 // sync makes a change of the folder durable.
@@ -66,7 +66,7 @@
 func (s store) load() (map[string]bool, error) {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
-		return nil, failed(Read, s.dir, err)
+		return nil, failed(StoreOpRead, s.dir, err)
 	}
 	ids := map[string]bool{}
 	for _, e := range entries {
@@ -77,7 +77,7 @@
 			}
 		} else if name, ok := strings.CutPrefix(e.Name(), zonePrefix); ok {
 			if zone, err := url.PathUnescape(name); err == nil {
-				ids[OfZone(zone)] = true
+				ids[ZoneKey(zone)] = true
 			}
 		}
 	}
--- a/internal/bans/zones.go
+++ b/internal/override/zones.go
@@ -1,4 +1,4 @@
-package bans
+package override
 
 import (
 	"fmt"
@@ -12,13 +12,13 @@
 const zoneMark = "\x00zone/"
 
 // OfZone is the name under which a zone is in sets.
-func OfZone(zone string) string { return zoneMark + zone }
+func ZoneKey(zone string) string { return zoneMark + zone }
 
 // zoneOf is the zone that a name stands for, if any.
 func zoneOf(id string) (zone string, ok bool) { return strings.CutPrefix(id, zoneMark) }
 
 // Split parts a set into servers and zones.
-func Split(ids map[string]bool) (nodos, zones map[string]bool) {
+func SplitZones(ids map[string]bool) (nodos, zones map[string]bool) {
 	nodos, zones = map[string]bool{}, map[string]bool{}
 	for id, is := range ids {
 		if zone, ok := zoneOf(id); ok {
@@ -39,18 +39,18 @@
 
 // LastZoneError is the answer to a call that would leave no zone with servers.
 type LastZoneError struct {
-	Zone string
-	Out  []string // drained already
+	Zone    string
+	Drained []string // drained already
 }
 
 func (e *LastZoneError) Error() string {
 	return fmt.Sprintf("drain zone %q: of those left no other has nodos that serve (drained now: %q); restore one first, or "+
-		"suspend nodos one by one", e.Zone, e.Out)
+		"suspend nodos one by one", e.Zone, e.Drained)
 }
 
 // Drain takes a zone out until Restore, as Suspend does a server. Its errors are *UnknownZoneError, *LastZoneError, and
 // those of Suspend.
-func (b *Bans) Drain(zone string) error {
+func (b *Overrides) DrainZone(zone string) error {
 	b.drainMu.Lock() // two calls must not leave one zone each
 	defer b.drainMu.Unlock()
 	if !b.knownZone(zone) {
@@ -60,25 +60,25 @@
 	if err != nil {
 		return err
 	}
-	_, out := Split(b.with(kept))
-	if !out[zone] && len(b.cfg.Serving()) > 0 {
-		left := maps.Clone(b.cfg.Serving())
+	_, out := SplitZones(b.with(kept))
+	if !out[zone] && len(b.cfg.ServingZones()) > 0 {
+		left := maps.Clone(b.cfg.ServingZones())
 		maps.DeleteFunc(left, func(z string, _ bool) bool { return z == zone || out[z] })
 		if len(left) == 0 {
 			return &LastZoneError{zone, slices.Sorted(maps.Keys(out))}
 		}
 	}
-	return b.call(OfZone(zone), true)
+	return b.call(ZoneKey(zone), true)
 }
 
 // Restore ends that. Its errors are *UnknownZoneError and those of Resume.
-func (b *Bans) Restore(zone string) error {
+func (b *Overrides) RestoreZone(zone string) error {
 	if !b.knownZone(zone) {
 		return &UnknownZoneError{zone}
 	}
-	return b.call(OfZone(zone), false)
+	return b.call(ZoneKey(zone), false)
 }
 
-func (b *Bans) knownZone(zone string) bool {
-	return zone != "" && (b.cfg.Zones != nil && b.cfg.Zones.Has(zone) || b.out(OfZone(zone)))
+func (b *Overrides) knownZone(zone string) bool {
+	return zone != "" && (b.cfg.KnownZones != nil && b.cfg.KnownZones.Has(zone) || b.out(ZoneKey(zone)))
 }
--- a/internal/bans/zones_test.go
+++ b/internal/override/zones_test.go
@@ -1,4 +1,4 @@
-package bans
+package override
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 func (h *held) zonesOut() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, zones := Split(h.ids)
+	_, zones := SplitZones(h.ids)
 	return slices.Sorted(maps.Keys(zones))
 }
 
@@ -44,18 +44,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			synctest.Test(t, func(t *testing.T) {
-				cfg := Config{Dir: dir, Zones: NewNames(), Serving: func() map[string]bool { return map[string]bool{"a": true, "b/c": true} }}
-				cfg.Zones.Add("a", "b/c", "empty")
+				cfg := Config{Dir: dir, KnownZones: NewNameSet(), ServingZones: func() map[string]bool { return map[string]bool{"a": true, "b/c": true} }}
+				cfg.KnownZones.Add("a", "b/c", "empty")
 				b, here := acting(t, cfg)
 				for _, call := range c.calls {
 					var err error
 					switch call.do {
 					case "d":
-						err = b.Drain(call.zone)
+						err = b.DrainZone(call.zone)
 					case "r":
-						err = b.Restore(call.zone)
+						err = b.RestoreZone(call.zone)
 					case "o":
-						b.Outside(map[string]bool{OfZone(call.zone): true})
+						b.SetRemote(map[string]bool{ZoneKey(call.zone): true})
 						synctest.Wait()
 					case "s":
 						b, here = acting(t, cfg)
@@ -69,7 +69,7 @@
 						ok = errors.As(err, &e) && e.Zone == call.zone
 					default:
 						var e *LastZoneError
-						ok = errors.As(err, &e) && e.Zone == call.zone && len(e.Out) > 0
+						ok = errors.As(err, &e) && e.Zone == call.zone && len(e.Drained) > 0
 					}
 					if !ok {
 						t.Errorf("%s %q: %v", call.do, call.zone, err)
@@ -86,22 +86,22 @@
 // A zone is kept where former versions do not look, and none goes for a server, whatever their names.
 func TestZonesAndServersAreKeptApart(t *testing.T) {
 	s := store{dir: t.TempDir()}
-	must(t, errors.Join(s.add("a"), s.add(OfZone("a/b"))))
+	must(t, errors.Join(s.add("a"), s.add(ZoneKey("a/b"))))
 	if _, err := os.Stat(filepath.Join(s.dir, "zone-a%2Fb")); err != nil {
 		t.Error(err)
 	}
 	must(t, os.WriteFile(filepath.Join(s.dir, "ban-%00zone%2Fc"), nil, 0o600)) // nobody's
 	got, err := s.load()
-	nodos, zones := Split(got)
+	nodos, zones := SplitZones(got)
 	if err != nil || !maps.Equal(nodos, map[string]bool{"a": true}) || !maps.Equal(zones, map[string]bool{"a/b": true}) {
 		t.Errorf("%v %v %v", nodos, zones, err)
 	}
-	names := NewNames()
-	names.Add(OfZone("c"))
-	b, err := Open(Config{Dir: s.dir, Names: names})
+	names := NewNameSet()
+	names.Add(ZoneKey("c"))
+	b, err := Open(Config{Dir: s.dir, KnownServers: names})
 	must(t, err)
-	var unknown *UnknownError
-	if err := b.Suspend(OfZone("c")); !errors.As(err, &unknown) {
+	var unknown *UnknownServerError
+	if err := b.SuspendServer(ZoneKey("c")); !errors.As(err, &unknown) {
 		t.Errorf("a server with a zone's mark: %v", err)
 	}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -14,10 +14,10 @@
 	"sync"
 	"syscall"
 
-	"fernlanding/internal/config"
-	"fernlanding/internal/mgmt"
-	"fernlanding/internal/proxy"
-	"fernlanding/internal/rollout"
+	"merlinpick/internal/config"
+	"merlinpick/internal/management"
+	"merlinpick/internal/proxy"
+	"merlinpick/internal/rollout"
 )
 
 // Parts of limits.memory_mb, whatever that is; a limit under 20 MB is below what the runtime and the program need.
@@ -35,14 +35,14 @@
 }
 
 // Main is a command's main; fleet reads the section fleet, and is nil in a program without.
-func Main(fleet config.FleetReader) {
+func Main(fleet config.ClusterReader) {
 	if err := run(fleet); err != nil {
-		fmt.Fprintf(os.Stderr, "fernlanding: %v\n", err)
+		fmt.Fprintf(os.Stderr, "merlinpick-proxy: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-func run(fleet config.FleetReader) error {
+func run(fleet config.ClusterReader) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel(os.Getenv("LB_LOG_LEVEL"))}))
 	hup := make(chan os.Signal, 1) // from the first moment: unheeded, it would end the process
 	signal.Notify(hup, syscall.SIGHUP)
@@ -64,13 +64,13 @@
 		follow, conf, document = begin(ctx, conf, os.Getenv, told, log)
 	}
 	cfg := conf.Proxy
-	cfg.Log = log
+	cfg.Logger = log
 	if conf.MemoryMB > 0 {
-		cfg.Memory = func(part float64) {
+		cfg.OnMemoryShare = func(part float64) {
 			debug.SetMemoryLimit(max(memoryLeast, int64(conf.MemoryMB*part*memoryPart*(1<<20))))
 		}
-		cfg.Memory(1)
-		cfg.Hold = int(conf.MemoryMB * holdPart * (1 << 20))
+		cfg.OnMemoryShare(1)
+		cfg.BodyMemory = int(conf.MemoryMB * holdPart * (1 << 20))
 	}
 	if conf.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(conf.Cores)))
@@ -87,10 +87,10 @@
 		defer following.Wait()
 		defer end()
 	}
-	if conf.Mgmt == "" {
+	if conf.ManagementAddress == "" {
 		return p.Run(ctx)
 	}
-	m, err := mgmt.Listen(conf.Mgmt, shown{p, follow}, log)
+	m, err := management.Listen(conf.ManagementAddress, shown{p, follow}, log)
 	if err != nil {
 		return err
 	}
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -9,9 +9,9 @@
 	"syscall"
 	"testing"
 
-	"fernlanding/internal/config"
-	"fernlanding/internal/proxy"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/config"
+	"merlinpick/internal/proxy"
 )
 
 const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
@@ -90,11 +90,11 @@
 }
 
 func (p fakeProxy) Reload(cfg proxy.Config) error {
-	_, err := logic.New(cfg.Site.Logic, 1) // as the module would judge them
+	_, err := balancer.New(cfg.Site.Balancer, 1) // as the module would judge them
 	if err == nil {
 		p.loaded <- cfg
 	}
 	return err
 }
 
-func (p fakeProxy) Reloaded(taken bool) { p.reloaded <- taken }
+func (p fakeProxy) RecordReload(taken bool) { p.reloaded <- taken }
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -7,16 +7,16 @@
 	"os"
 	"slices"
 
-	"fernlanding/internal/config"
-	"fernlanding/internal/mgmt"
-	"fernlanding/internal/proxy"
-	"fernlanding/internal/rollout"
+	"merlinpick/internal/config"
+	"merlinpick/internal/management"
+	"merlinpick/internal/proxy"
+	"merlinpick/internal/rollout"
 )
 
 // reloads is what another configuration goes to.
 type reloads interface {
 	Reload(cfg proxy.Config) error
-	Reloaded(taken bool)
+	RecordReload(taken bool)
 }
 
 // reloader owns which configuration is in force: the file's, and above its settings the document of the proxy's service,
@@ -59,16 +59,16 @@
 	if err == nil {
 		err = r.put(next, r.document)
 	}
-	r.p.Reloaded(err == nil)
+	r.p.RecordReload(err == nil)
 	if err != nil {
 		r.log.Error("reload: the configuration stands as it was", "error", err)
 		return
 	}
 	r.log.Info("reload", "discovery", next.Proxy.Discovery, "classes", r.inForce.Proxy.Site.Classes, "document_above", r.document != nil)
 	if r.follow != nil {
-		r.follow.Again() // a document that was refused may fit the file now
+		r.follow.RetryRejected() // a document that was refused may fit the file now
 		if to := next.Proxy.Discovery.Members; !slices.Equal(to, former) {
-			r.follow.Move(to)
+			r.follow.SetMembers(to)
 		}
 	}
 }
@@ -77,11 +77,11 @@
 func (r *reloader) above(document []byte) error { return r.put(r.base, document) }
 
 func (r *reloader) put(base *config.Config, document []byte) error {
-	next, err := base.Above(document, r.env)
+	next, err := base.WithDocument(document, r.env)
 	if err != nil {
 		return err
 	}
-	if fault := next.Lacks(r.inForce); fault != nil {
+	if fault := next.MissingKey(r.inForce); fault != nil {
 		return fault
 	}
 	if err := r.p.Reload(next.Proxy); err != nil {
@@ -119,25 +119,25 @@
 // damaged, or does not fit the configuration file, is told and not used.
 func begin(ctx context.Context, file *config.Config, env func(string) string, told chan<- delivery, log *slog.Logger) (
 	*rollout.Client, *config.Config, []byte) {
-	c := rollout.New(rollout.Config{Service: file.Service, Name: file.Name, Members: file.Proxy.Discovery.Members,
-		Seed: file.Proxy.Seed, State: file.Proxy.Kept, Log: log}, applier{ctx, told})
-	if file.Proxy.Kept == "" {
+	c := rollout.New(rollout.Config{Service: file.Service, ProxyName: file.ProxyName, Members: file.Proxy.Discovery.Members,
+		Seed: file.Proxy.Seed, StateDir: file.Proxy.ListCacheDir, Logger: log}, applier{ctx, told})
+	if file.Proxy.ListCacheDir == "" {
 		return c, file, nil
 	}
-	kept, err := rollout.Read(file.Proxy.Kept, file.Service)
+	kept, err := rollout.LoadCached(file.Proxy.ListCacheDir, file.Service)
 	if err != nil {
 		log.Error("rollout: the configuration of the last run is not used: the file's counts until a member answers", "error", err)
 	}
 	if kept == nil {
 		return c, file, nil
 	}
-	next, err := file.Above(kept.Document, env)
+	next, err := file.WithDocument(kept.Document, env)
 	if err == nil {
-		if fault := next.Lacks(file); fault != nil {
+		if fault := next.MissingKey(file); fault != nil {
 			err = fault
 		}
 	}
-	c.Known(kept, err)
+	c.SetInitial(kept, err)
 	if err != nil {
 		log.Error("rollout: the configuration of the last run is refused: the file's counts", "version", kept.Version, "error", err)
 		return c, file, nil
@@ -153,11 +153,11 @@
 }
 
 // Figures implements mgmt.Proxy.
-func (s shown) Figures() mgmt.Figures {
-	f := s.Proxy.Figures()
+func (s shown) Metrics() management.Metrics {
+	f := s.Proxy.Metrics()
 	if s.follow != nil {
-		r := s.follow.Figures()
-		f.Rollout = &mgmt.Rollout{Version: r.Version, Refused: r.Refused, Age: r.Age, Applied: r.Applied, Failures: r.Failures}
+		r := s.follow.Metrics()
+		f.Rollout = &management.Rollout{Version: r.Version, RejectedVersion: r.RejectedVersion, Age: r.Age, Applied: r.Applied, Failures: r.Failures}
 	}
 	return f
 }
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"testing"
 
-	"fernlanding/internal/config"
-	"fernlanding/internal/durable"
-	"fernlanding/internal/proxy"
+	"merlinpick/internal/atomicfile"
+	"merlinpick/internal/config"
+	"merlinpick/internal/proxy"
 )
 
 // followed is good, with a configuration that is followed and a zone of its own.
@@ -92,7 +92,7 @@
 		}
 		select {
 		case cfg := <-p.loaded:
-			l := cfg.Site.Logic
+			l := cfg.Site.Balancer
 			if l.MaxAttempts != c.attempts || cfg.Site.Zones[l.Zone] != "b" {
 				t.Errorf("%d: %d attempts in zone %s", i, l.MaxAttempts, cfg.Site.Zones[l.Zone])
 			}
@@ -127,7 +127,7 @@
 	} {
 		dir := t.TempDir()
 		if c.kept != "" {
-			text := durable.Seal("proxy-config", []byte(c.kept))
+			text := atomicfile.Seal("proxy-config", []byte(c.kept))
 			if c.kept == "x" {
 				text = text[:len(text)-1]
 			}
@@ -145,8 +145,8 @@
 			t.Fatal(err)
 		}
 		follow, inForce, doc := begin(t.Context(), file, env, nil, slog.New(slog.DiscardHandler))
-		f := follow.Figures()
-		if got := inForce.Proxy.Site.Logic.MaxAttempts; got != c.attempts || f.Version != c.version || f.Refused != c.refused ||
+		f := follow.Metrics()
+		if got := inForce.Proxy.Site.Balancer.MaxAttempts; got != c.attempts || f.Version != c.version || f.RejectedVersion != c.refused ||
 			(doc != nil) != (c.version != 0) {
 			t.Errorf("%s: %d attempts, %+v", name, got, f)
 		}
--- a/internal/proxy/abandon_test.go
+++ b/internal/proxy/abandon_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // A request that was written but not yet delivered when its attempt was given up is never delivered: a server that stood
@@ -37,7 +37,7 @@
 	}()
 	a := newAttempt(p, "a", time.Second)
 	a.req.method, a.req.body = http.MethodPost, bytes.Repeat([]byte("x"), 2<<20)
-	if res := a.run(); res.status != logic.TimedOut {
+	if res := a.run(); res.status != balancer.StatusTimedOut {
 		t.Fatalf("got %v, want it written whole and then timed out", res.status)
 	}
 	c := wait(t, "connection", taken)
--- a/internal/proxy/answer_test.go
+++ b/internal/proxy/answer_test.go
@@ -8,23 +8,23 @@
 	"testing"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // An answer that can't be read as HTTP has it is none, however it breaks the rules.
 func TestAnswersThatLieAreNone(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
-		want logic.Status
+		want balancer.Status
 	}{
-		"some early words":      {strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", mostEarly) + served, logic.OK},
-		"no end of early words": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", mostEarly+1) + served, logic.Reset},
-		"an early word's body":  {"HTTP/1.1 100 Continue\r\nContent-Length: 2\r\n\r\nno" + served, logic.Reset},
-		"chunks without a body": {"HTTP/1.1 204 No Content\r\nTransfer-Encoding: chunked\r\n\r\n", logic.Reset},
-		"longer than it says":   {served + "ay, and more", logic.OK},
-		"a second answer":       {served + "HTTP/1.1 200 OK\r\n", logic.OK},
-		"a line's end too many": {served + "\r\n", logic.OK},
-		"nothing to say":        {"HTTP/1.1 204 No Content\r\n\r\n", logic.Error},
+		"some early words":      {strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", mostEarly) + served, balancer.StatusOK},
+		"no end of early words": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", mostEarly+1) + served, balancer.StatusReset},
+		"an early word's body":  {"HTTP/1.1 100 Continue\r\nContent-Length: 2\r\n\r\nno" + served, balancer.StatusReset},
+		"chunks without a body": {"HTTP/1.1 204 No Content\r\nTransfer-Encoding: chunked\r\n\r\n", balancer.StatusReset},
+		"longer than it says":   {served + "ay, and more", balancer.StatusOK},
+		"a second answer":       {served + "HTTP/1.1 200 OK\r\n", balancer.StatusOK},
+		"a line's end too many": {served + "\r\n", balancer.StatusOK},
+		"nothing to say":        {"HTTP/1.1 204 No Content\r\n\r\n", balancer.StatusError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, says(c.text, true))
@@ -111,7 +111,7 @@
 		})
 		return true
 	}
-	if res := a.run(); res.status != logic.OK {
+	if res := a.run(); res.status != balancer.StatusOK {
 		t.Errorf("got %v", res.status)
 	}
 	if n := wait(t, "end of the answer", got); n != 2*wholeMost {
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"merlinpick/internal/discovery"
 )
 
 // stuckBackend takes connections and reads nothing; the proxy's writes to it fill small buffers and then wait.
@@ -55,7 +55,7 @@
 		{"in chunks", timeout + "Transfer-Encoding: chunked", "\r\n0\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", stuckBackend(t), discovery.Serving)))
+			p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", stuckBackend(t), discovery.StatusServing)))
 			narrow(p)
 			cl := connect(t, p)
 			cl.send(t, post("1", c.head))
@@ -68,7 +68,7 @@
 			if took := time.Since(sent); took > left+lateMost {
 				t.Errorf("%s after %v, of %v that the client waits", resp.Status, took, left)
 			}
-			waitUntil(t, func() bool { return p.Figures().Outstanding == 0 })
+			waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 		})
 	}
 }
@@ -83,7 +83,7 @@
 		_, _ = io.WriteString(w, served)
 		return true
 	})
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 	pool := p.loop.pool
 	pool.mu.Lock()
 	dial := pool.dialer
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // staleWithin is how soon a request on a kept connection that was closed breaks.
@@ -43,7 +43,7 @@
 
 // result is how an attempt ended.
 type result struct {
-	status  logic.Status
+	status  balancer.Status
 	body    []byte // of a backend's 200
 	content string // and its Content-Type
 }
@@ -56,27 +56,27 @@
 	}
 	if c == nil {
 		if a.req.left() {
-			return result{status: logic.Moot} // a connection costs the backend work
+			return result{status: balancer.StatusNotSent} // a connection costs the backend work
 		}
 		var err error
 		if c, err = a.dial(); err != nil {
 			if a.ctx.Err() != nil || a.barred() || ownFault(err) || errors.Is(err, errTurned) {
-				return result{status: logic.Moot} // nothing was sent, by no fault of the backend's
+				return result{status: balancer.StatusNotSent} // nothing was sent, by no fault of the backend's
 			}
-			return result{status: logic.ConnectFailed}
+			return result{status: balancer.StatusConnectFailed}
 		}
 	}
 	// A dial takes time, and so did the way here. What has ended, drained or gone meanwhile gets nothing new, nor does
 	// a client that has left, which the context may hear of only later.
 	if a.ctx.Err() != nil || a.late() || !a.pool.current(a.backend, a.epoch) || a.req.left() {
 		a.pool.keep(c)
-		return result{status: logic.Moot}
+		return result{status: balancer.StatusNotSent}
 	}
 	res, keep := a.exchange(c)
 	switch {
 	case keep:
 		a.pool.keep(c)
-	case res.status == logic.OK, res.status == logic.Error, res.status == logic.FullUp:
+	case res.status == balancer.StatusOK, res.status == balancer.StatusError, res.status == balancer.StatusRejected:
 		a.pool.audit.count("closes.server.answered")
 		a.pool.drop(c)
 	default:
@@ -120,15 +120,15 @@
 	}()
 	_ = c.SetDeadline(a.deadline)
 	if a.ctx.Err() != nil { // stopped while the deadline was set
-		return result{status: logic.Moot}, false
+		return result{status: balancer.StatusNotSent}, false
 	}
 	if a.barred() {
-		return result{status: logic.Moot}, true
+		return result{status: balancer.StatusNotSent}, true
 	}
 	if !a.until.IsZero() && a.until.Before(a.deadline) {
 		_ = c.SetWriteDeadline(a.until)
 		if a.ctx.Err() != nil {
-			return result{status: logic.Moot}, false
+			return result{status: balancer.StatusNotSent}, false
 		}
 	}
 	if a.whole != nil {
@@ -138,15 +138,15 @@
 	} else {
 		head, err := a.encode()
 		if err != nil {
-			return result{status: logic.Moot}, true
+			return result{status: balancer.StatusNotSent}, true
 		}
 		a.firstByte(time.Now())
 		if _, err := c.Write(head); err != nil {
 			// The last byte was not written, so the backend cannot have begun.
 			if a.ctx.Err() != nil {
-				return result{status: logic.Moot}, false // its connection was not at fault
+				return result{status: balancer.StatusNotSent}, false // its connection was not at fault
 			}
-			return result{status: logic.ConnectFailed}, false
+			return result{status: balancer.StatusConnectFailed}, false
 		}
 	}
 	wrote := time.Now()
@@ -157,15 +157,15 @@
 	case err == nil:
 		return res, keep
 	case a.late():
-		return result{status: logic.TimedOut}, false
+		return result{status: balancer.StatusTimedOut}, false
 	case a.ctx.Err() != nil:
-		return result{status: logic.Cancelled}, false
+		return result{status: balancer.StatusCancelled}, false
 	}
 	a.pool.broken(a.backend, err)
 	if !c.came && time.Since(wrote) < staleWithin {
 		a.pool.stale(c)
 	}
-	return result{status: logic.Reset}, false
+	return result{status: balancer.StatusReset}, false
 }
 
 // encode writes the whole request into one buffer, so that one write tells whether its last byte went out.
@@ -205,7 +205,7 @@
 		if _, err = io.ReadFull(resp.Body, body); err != nil {
 			return res, false, fmt.Errorf("read body: %w", err)
 		}
-		return result{status: logic.OK, body: body, content: content}, clean(), nil
+		return result{status: balancer.StatusOK, body: body, content: content}, clean(), nil
 	}
 	ahead := newPrefetch(patientReader{resp.Body, c, a.ctx}, int(a.pool.whole.Load()))
 	defer ahead.close()
@@ -223,7 +223,7 @@
 	case err != nil:
 		return res, false, fmt.Errorf("read body: %w", err)
 	}
-	return result{status: logic.OK, body: body, content: content}, clean(), nil
+	return result{status: balancer.StatusOK, body: body, content: content}, clean(), nil
 }
 
 // begun waits until a long answer's body has begun: for its first kilobyte, or wholeWait and whatever has come by then.
@@ -263,13 +263,13 @@
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, wholeMost+1))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) && a.ctx.Err() == nil && !a.late():
-		return result{status: logic.Error}, false, nil
+		return result{status: balancer.StatusError}, false, nil
 	case err != nil:
 		return result{}, false, fmt.Errorf("read body: %w", err)
 	case proof:
-		return result{status: logic.FullUp}, n <= wholeMost && clean(), nil
+		return result{status: balancer.StatusRejected}, n <= wholeMost && clean(), nil
 	}
-	return result{status: logic.Error}, n <= wholeMost && clean(), nil // it may have run
+	return result{status: balancer.StatusError}, n <= wholeMost && clean(), nil // it may have run
 }
 
 // passOn has the client's side read the answer, and waits until it has.
@@ -279,7 +279,7 @@
 	}
 	d := &download{length: length, body: body, ended: make(chan error, 1), stop: a.stop}
 	if !a.stream(answer{status: http.StatusOK, content: content, stream: d}) {
-		return result{status: logic.Cancelled}, false, nil
+		return result{status: balancer.StatusCancelled}, false, nil
 	}
 	overdue := time.NewTimer(time.Until(d.due.Add(lateMost - wholeWait)))
 	defer overdue.Stop()
@@ -288,12 +288,12 @@
 		case err := <-d.ended:
 			switch {
 			case err == nil:
-				return result{status: logic.OK}, clean(), nil
+				return result{status: balancer.StatusOK}, clean(), nil
 			case errors.Is(err, errClientGone):
-				return result{status: logic.Cancelled}, false, nil
+				return result{status: balancer.StatusCancelled}, false, nil
 			}
 			a.pool.broken(a.backend, err)
-			return result{status: logic.Reset}, false, nil
+			return result{status: balancer.StatusReset}, false, nil
 		case <-overdue.C:
 			if length > wholeMost {
 				continue // it takes as long as it takes
@@ -303,9 +303,9 @@
 				continue
 			}
 			a.stop()
-			return result{status: logic.TimedOut}, false, nil
+			return result{status: balancer.StatusTimedOut}, false, nil
 		case <-a.ctx.Done():
-			return result{status: logic.Cancelled}, false, nil
+			return result{status: balancer.StatusCancelled}, false, nil
 		}
 	}
 }
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/proxy/guard"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/proxy/guard"
 )
 
 // defaultGrace stands in for settings that state none: no deployment known has a longer one.
@@ -73,22 +73,22 @@
 
 // terms are the rules that a request was read by.
 func terms(r *request) guard.Terms {
-	if r.Under == nil || r.Class >= len(r.Under.Classes) {
+	if r.Settings == nil || r.Class >= len(r.Settings.Classes) {
 		return guard.Terms{MaxAttempts: 1 << 30} // a test's request, with no rules
 	}
-	k := r.Under.Classes[r.Class]
-	return guard.Terms{Repeat: guard.Repeat(k.Repeat), Scope: guard.Scope(k.Group),
-		Window: time.Duration(k.Window) * time.Microsecond, MaxAttempts: r.Under.MaxAttempts, FullMayRun: r.Under.FullMayRun}
+	k := r.Settings.Classes[r.Class]
+	return guard.Terms{Repeat: guard.Repeat(k.Idempotency), Scope: guard.Scope(k.DedupScope),
+		Window: time.Duration(k.DedupWindow) * time.Microsecond, MaxAttempts: r.Settings.MaxAttempts, FullMayRun: r.Settings.RejectedMayHaveExecuted}
 }
 
 // taken has the guard watch a request from now on.
 func (l *loop) taken(r *request) {
 	due := time.Time{}
-	if !r.Uploading {
-		due = l.clock.time(r.GiveUp)
+	if !r.BodyPending {
+		due = l.clock.time(r.Deadline)
 	}
 	r.watched = guard.Take(r.ID, terms(r), due)
-	l.audit.step(r.ID, "taken", "class", r.class, "uploading", r.Uploading)
+	l.audit.step(r.ID, "taken", "class", r.class, "uploading", r.BodyPending)
 }
 
 // sends notes that an attempt begins.
@@ -102,14 +102,14 @@
 }
 
 // ends notes how an attempt ended.
-func (l *loop) ends(a *attempt, status logic.Status) {
+func (l *loop) ends(a *attempt, status balancer.Status) {
 	l.audit.count("attempts." + statusNames[status])
 	l.audit.step(a.req.ID, "ended", "attempt", a.number, "status", statusNames[status])
 	if a.backend == nil || a.req.watched == nil || a.ctx == nil { // it never began
 		return
 	}
-	proof := status == logic.ConnectFailed || status == logic.Moot ||
-		status == logic.FullUp && (a.req.Under == nil || !a.req.Under.FullMayRun)
+	proof := status == balancer.StatusConnectFailed || status == balancer.StatusNotSent ||
+		status == balancer.StatusRejected && (a.req.Settings == nil || !a.req.Settings.RejectedMayHaveExecuted)
 	a.req.watched.Ended(a.record, !proof)
 }
 
@@ -126,8 +126,8 @@
 	}
 }
 
-var statusNames = map[logic.Status]string{logic.OK: "ok", logic.Error: "error", logic.FullUp: "full", logic.TimedOut: "timed_out",
-	logic.ConnectFailed: "connect_failed", logic.Reset: "reset", logic.Cancelled: "cancelled", logic.Moot: "not_sent"}
+var statusNames = map[balancer.Status]string{balancer.StatusOK: "ok", balancer.StatusError: "error", balancer.StatusRejected: "full", balancer.StatusTimedOut: "timed_out",
+	balancer.StatusConnectFailed: "connect_failed", balancer.StatusReset: "reset", balancer.StatusCancelled: "cancelled", balancer.StatusNotSent: "not_sent"}
 
 // firstByte checks the moment in which an attempt's first byte goes out.
 func (a *attempt) firstByte(at time.Time) {
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/proxy/guard"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/guard"
 )
 
 // A decision that breaks a rule is carried out all the same, and counted and logged: the audit sees what the module and the
@@ -17,8 +17,8 @@
 func TestTheAuditSeesABrokenRule(t *testing.T) {
 	var log bytes.Buffer
 	l := &loop{clock: clock{start: time.Now()}, reqs: map[string]*request{}, audit: newAudit(slog.New(slog.NewTextHandler(&log, nil)))}
-	rules := &logic.Settings{MaxAttempts: 2, Classes: []logic.Class{{Name: "post", Repeat: logic.Unsafe}}}
-	r := &request{Request: logic.Request{ID: "r1", GiveUp: l.clock.now() + 1e6, Under: rules}, answer: make(chan answer, 2)}
+	rules := &balancer.Settings{MaxAttempts: 2, Classes: []balancer.Class{{Name: "post", Idempotency: balancer.NonIdempotent}}}
+	r := &request{Request: balancer.Request{ID: "r1", Deadline: l.clock.now() + 1e6, Settings: rules}, answer: make(chan answer, 2)}
 	l.taken(r)
 	begin := func() *attempt {
 		a := &attempt{req: r, backend: &backend{name: "a"}, ctx: t.Context()}
@@ -26,7 +26,7 @@
 		return a
 	}
 	a := begin()
-	l.ends(a, logic.TimedOut)
+	l.ends(a, balancer.StatusTimedOut)
 	begin() // it may have run
 	l.answers(r, answer{status: 503})
 	l.answers(r, answer{status: 502})
@@ -45,17 +45,17 @@
 // rests is not.
 func TestTheAuditSeesAConnectionClosedOnARequest(t *testing.T) {
 	b := startBackend(t, hang(t))
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 	p.breaks = true
 	cl := connect(t, p)
 	cl.send(t, look("1", 4000))
-	waitUntil(t, func() bool { return p.Figures().Outstanding == 1 && b.requests.Load() == 1 })
+	waitUntil(t, func() bool { return p.Metrics().InFlight == 1 && b.requests.Load() == 1 })
 	p.front.mu.Lock()
 	for c := range p.front.conns {
 		c.Close() // a seeded fault
 	}
 	p.front.mu.Unlock()
-	waitUntil(t, func() bool { return p.Figures().Broken["closed_unanswered"] == 1 })
+	waitUntil(t, func() bool { return p.Metrics().RuleViolations["closed_unanswered"] == 1 })
 }
 
 // What is served and refused in the ordinary way breaks no rule, and shows in the figures.
@@ -67,8 +67,8 @@
 		cl.answer(t)
 		cl.Close()
 	}
-	waitUntil(t, func() bool { return p.Figures().Events["attempts.ok"] == 3 && p.front.open() == 0 })
-	for rule, n := range p.Figures().Broken {
+	waitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.front.open() == 0 })
+	for rule, n := range p.Metrics().RuleViolations {
 		if n != 0 {
 			t.Errorf("%s: %d", rule, n)
 		}
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/keepalive"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/idletimeout"
 )
 
 // backends holds the connections to all backends of the list. It stands in for http.Transport, which by
@@ -32,7 +32,7 @@
 	banned map[string]bool
 	outs   map[string]bool // zones that get nothing
 	open   int
-	trust  keepalive.Trust
+	trust  idletimeout.Tracker
 	rest   time.Duration // a connection is not used again sooner: see keepalive.Rest
 
 	figs  *figures
@@ -63,7 +63,7 @@
 }
 
 func newBackends(dialTimeout, idleClose time.Duration, most int, figs *figures) *backends {
-	p := &backends{most: most, figs: figs, grace: defaultGrace, rest: keepalive.Rest, byName: map[string]*backend{}}
+	p := &backends{most: most, figs: figs, grace: defaultGrace, rest: idletimeout.ReuseDelay, byName: map[string]*backend{}}
 	p.whole.Store(wholeMost)
 	p.retime(dialTimeout, idleClose)
 	return p
@@ -91,17 +91,17 @@
 			p.byName[e.Name] = b
 		}
 		b.listed = p.lists
-		if b.started != e.SinceMs {
-			p.trust.Died(now, e.Name)
+		if b.started != e.StartedAtMs {
+			p.trust.RecordBackendExit(now, e.Name)
 		}
-		ready := e.Status == discovery.Serving && !p.banned[e.Name] && !p.outs[e.Zone]
-		if b.addr != e.Address || b.started != e.SinceMs || b.ready != ready {
-			b.addr, b.started, b.ready = e.Address, e.SinceMs, ready
+		ready := e.Status == discovery.StatusServing && !p.banned[e.Name] && !p.outs[e.Zone]
+		if b.addr != e.Address || b.started != e.StartedAtMs || b.ready != ready {
+			b.addr, b.started, b.ready = e.Address, e.StartedAtMs, ready
 			p.turn(b)
 		}
-		b.zone, b.cell, b.serving = e.Zone, e.Group, e.Status == discovery.Serving
-		if e.Status == discovery.Deleted {
-			p.trust.Died(now, e.Name)
+		b.zone, b.cell, b.serving = e.Zone, e.Cell, e.Status == discovery.StatusServing
+		if e.Status == discovery.StatusDeleted {
+			p.trust.RecordBackendExit(now, e.Name)
 			delete(p.byName, e.Name)
 		}
 	}
@@ -111,7 +111,7 @@
 	for name, b := range p.byName {
 		if b.listed != p.lists {
 			b.serving, b.ready = false, false
-			p.trust.Died(now, name)
+			p.trust.RecordBackendExit(now, name)
 			p.turn(b)
 			delete(p.byName, name)
 		}
@@ -175,7 +175,7 @@
 		return nil
 	}
 	now := time.Now()
-	span := p.trust.Span(now, p.idleFor, unsafe)
+	span := p.trust.MaxIdle(now, p.idleFor, unsafe)
 	for i := len(b.idle) - 1; i >= 0; i-- {
 		c := b.idle[i]
 		if c.idle = now.Sub(c.since); c.idle < p.rest {
@@ -247,7 +247,7 @@
 	if err != nil {
 		p.open--
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.trust.Died(time.Now(), b.name)
+			p.trust.RecordBackendExit(time.Now(), b.name)
 		}
 		if b.epoch != epoch {
 			err = errTurned
@@ -313,7 +313,7 @@
 func (p *backends) stale(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trust.Broke(time.Now(), c.of.name, c.idle, p.idleFor)
+	p.trust.RecordBrokenReuse(time.Now(), c.of.name, c.idle, p.idleFor)
 }
 
 // broken tells the log, now and then, of an answer that could not be read.
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
 )
 
 const patience = 20 * time.Second // for what must happen
@@ -109,14 +109,14 @@
 	p := newBackends(5*time.Second, 40*time.Second, most, newFigures(nil))
 	var list []discovery.Endpoint
 	for i, a := range addrs {
-		list = append(list, entry(string(rune('a'+i)), a, discovery.Serving))
+		list = append(list, entry(string(rune('a'+i)), a, discovery.StatusServing))
 	}
 	p.apply(true, list)
 	return p
 }
 
 func newAttempt(p *backends, name string, left time.Duration) *attempt {
-	a := &attempt{pool: p, deadline: time.Now().Add(left), req: &request{Request: logic.Request{ID: "1"},
+	a := &attempt{pool: p, deadline: time.Now().Add(left), req: &request{Request: balancer.Request{ID: "1"},
 		method: http.MethodGet, uri: "/look/k%2f1?x=%20y", host: "backend.local",
 		header: http.Header{"Request-Id": {"1"}, "User-Agent": {""}}}}
 	p.find(a, name)
@@ -128,39 +128,39 @@
 func TestOutcomeTable(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		want       logic.Status
+		want       balancer.Status
 	}{
-		{"served", served, logic.OK},
-		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", logic.OK},
-		{"early word first", "HTTP/1.1 100 Continue\r\n\r\n" + served, logic.OK},
-		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"an error is never full", "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"not found", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"full", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.FullUp},
-		{"over already", "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", logic.FullUp},
-		{"503 without the proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"504 without the proof", "HTTP/1.1 504 No\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n", logic.Error},
-		{"closed", "", logic.Reset},
-		{"half a head", "HTTP/1.1 200 OK\r\nContent-", logic.Reset},
-		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", logic.Reset},
-		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", logic.Reset},
-		{"ended by the close", "HTTP/1.1 200 OK\r\n\r\nok", logic.OK},
-		{"chunks and a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n1\r\no\r\n1;a=b\r\nk\r\n0\r\nX: y\r\n\r\n", logic.OK},
-		{"a long error", "HTTP/1.1 500 Oops\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", wholeMost+1), logic.Error},
-		{"no HTTP", "SSH-2.0-x\r\n\r\n", logic.Reset},
-		{"chunks and a length", "HTTP/1.1 200 OK\r\nContent-Length: 12\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", logic.Reset},
-		{"length twice", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", logic.Reset},
-		{"chunks in HTTP/1.0", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", logic.Reset},
-		{"a folded line", "HTTP/1.1 200 OK\r\nX: y\r\n z\r\nContent-Length: 2\r\n\r\nok", logic.Reset},
-		{"a bare LF", "HTTP/1.1 200 OK\r\nX: y\nContent-Length: 2\r\n\r\nok", logic.Reset},
-		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*answerHead) + "\r\n\r\n", logic.Reset},
-		{"long head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: " + strings.Repeat("x", 8<<10) + "\r\n\r\nok", logic.OK},
+		{"served", served, balancer.StatusOK},
+		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusOK},
+		{"early word first", "HTTP/1.1 100 Continue\r\n\r\n" + served, balancer.StatusOK},
+		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"an error is never full", "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"not found", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"full", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.StatusRejected},
+		{"over already", "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.StatusRejected},
+		{"503 without the proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"504 without the proof", "HTTP/1.1 504 No\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"closed", "", balancer.StatusReset},
+		{"half a head", "HTTP/1.1 200 OK\r\nContent-", balancer.StatusReset},
+		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.StatusReset},
+		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", balancer.StatusReset},
+		{"ended by the close", "HTTP/1.1 200 OK\r\n\r\nok", balancer.StatusOK},
+		{"chunks and a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n1\r\no\r\n1;a=b\r\nk\r\n0\r\nX: y\r\n\r\n", balancer.StatusOK},
+		{"a long error", "HTTP/1.1 500 Oops\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", wholeMost+1), balancer.StatusError},
+		{"no HTTP", "SSH-2.0-x\r\n\r\n", balancer.StatusReset},
+		{"chunks and a length", "HTTP/1.1 200 OK\r\nContent-Length: 12\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusReset},
+		{"length twice", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.StatusReset},
+		{"chunks in HTTP/1.0", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusReset},
+		{"a folded line", "HTTP/1.1 200 OK\r\nX: y\r\n z\r\nContent-Length: 2\r\n\r\nok", balancer.StatusReset},
+		{"a bare LF", "HTTP/1.1 200 OK\r\nX: y\nContent-Length: 2\r\n\r\nok", balancer.StatusReset},
+		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*answerHead) + "\r\n\r\n", balancer.StatusReset},
+		{"long head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: " + strings.Repeat("x", 8<<10) + "\r\n\r\nok", balancer.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := startBackend(t, says(c.text, false))
 			p := poolWith(4, b.addr)
 			res := newAttempt(p, "a", patience).run()
-			if res.status != c.want || c.want == logic.OK && string(res.body) != "ok" {
+			if res.status != c.want || c.want == balancer.StatusOK && string(res.body) != "ok" {
 				t.Errorf("got %v %q, want %v", res.status, res.body, c.want)
 			}
 			if n := b.requests.Load(); n != 1 {
@@ -177,7 +177,7 @@
 	}
 	l.Close()
 	p := poolWith(4, l.Addr().String())
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.ConnectFailed {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
 	if p.open != 0 {
@@ -188,7 +188,7 @@
 func TestAHungBackendTimesOutAndLosesItsConnection(t *testing.T) {
 	b := startBackend(t, hang(t))
 	p := poolWith(4, b.addr)
-	if res := newAttempt(p, "a", 50*time.Millisecond).run(); res.status != logic.TimedOut {
+	if res := newAttempt(p, "a", 50*time.Millisecond).run(); res.status != balancer.StatusTimedOut {
 		t.Errorf("got %v", res.status)
 	}
 	if p.open != 0 || len(p.byName["a"].idle) != 0 {
@@ -211,7 +211,7 @@
 	go func() { results <- a.run() }()
 	wait(t, "request", came)
 	a.stop()
-	if res := wait(t, "result", results); res.status != logic.Cancelled {
+	if res := wait(t, "result", results); res.status != balancer.StatusCancelled {
 		t.Errorf("got %v", res.status)
 	}
 	if err := wait(t, "end of the connection", gone); err == nil {
@@ -232,12 +232,12 @@
 func TestNothingIsSentAfterADialThatTookTooLong(t *testing.T) {
 	for name, meanwhile := range map[string]func(p *backends, a *attempt){
 		"drained": func(p *backends, a *attempt) {
-			p.apply(false, []discovery.Endpoint{entry("a", a.addr, discovery.Draining)})
+			p.apply(false, []discovery.Endpoint{entry("a", a.addr, discovery.StatusDraining)})
 		},
 		"gone": func(p *backends, a *attempt) { p.apply(true, nil) },
 		"restarted": func(p *backends, a *attempt) {
-			e := entry("a", a.addr, discovery.Serving)
-			e.SinceMs = 7
+			e := entry("a", a.addr, discovery.StatusServing)
+			e.StartedAtMs = 7
 			p.apply(false, []discovery.Endpoint{e})
 		},
 		"stopped": func(_ *backends, a *attempt) { a.stop() },
@@ -253,7 +253,7 @@
 				meanwhile(p, a)
 				return c, err
 			}
-			if res := a.run(); res.status != logic.Moot {
+			if res := a.run(); res.status != balancer.StatusNotSent {
 				t.Errorf("got %v", res.status)
 			}
 			p.apply(true, nil) // closes what is idle
@@ -273,7 +273,7 @@
 		go func() { _, _ = io.ReadFull(far, make([]byte, 5)); far.Close() }()
 		return near, nil
 	}
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.ConnectFailed {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
 }
--- a/internal/proxy/bans_test.go
+++ b/internal/proxy/bans_test.go
@@ -6,15 +6,15 @@
 	"strconv"
 	"testing"
 
-	"fernlanding/internal/bans"
-	"fernlanding/internal/discovery"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/override"
 )
 
 // A ban keeps a server out at both processes of a proxy, through lists and restarts, until one call back.
 func TestABanHoldsAtEveryProcessUntilOneCallBack(t *testing.T) {
 	b := startBackend(t, says(served, true))
 	d := startDiscovery(t)
-	known := listText(1, true, listed("a/1", b.addr, discovery.Serving))
+	known := listText(1, true, listed("a/1", b.addr, discovery.StatusServing))
 	first := startProxy(t, d.addr, 200, known)
 	asks := func(p *running, id string) int {
 		c := connect(t, p)
@@ -26,21 +26,21 @@
 		t.Fatalf("before the ban: %d", got)
 	}
 	for range 3 { // calls may be repeated
-		if err := first.Suspend("a/1"); err != nil {
+		if err := first.SuspendServer("a/1"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if got := asks(first, "2"); got != 503 {
 		t.Errorf("the last server left, banned: %d", got)
 	}
-	second := startProxyAt(t, d.addr, 200, known, first.cfg.State)
-	waitUntil(t, func() bool { return second.Figures().Ejected == 1 })
+	second := startProxyAt(t, d.addr, 200, known, first.cfg.StateDir)
+	waitUntil(t, func() bool { return second.Metrics().EjectedServers == 1 })
 	if got := asks(second, "3"); got != 503 {
 		t.Errorf("beside the next process: %d", got)
 	}
 	d.say <- listText(2, true) // it leaves the list, and one that is banned can still be called back
-	waitUntil(t, func() bool { return first.Figures().Discovered == 0 || second.Figures().Discovered == 0 })
-	if err := second.Resume("a/1"); err != nil {
+	waitUntil(t, func() bool { return first.Metrics().ListedServers == 0 || second.Metrics().ListedServers == 0 })
+	if err := second.ResumeServer("a/1"); err != nil {
 		t.Fatal(err)
 	}
 	d.say <- listText(3, false, `{"name":"a/1","address":"`+b.addr+`","zone":"a","status":"SERVING","since_ms":5}`)
@@ -50,22 +50,22 @@
 		waitUntil(t, func() bool { id++; return asks(p, strconv.Itoa(id)) == 200 })
 	}
 	for _, p := range []*running{first, second} { // whichever was asked above
-		waitUntil(t, func() bool { return p.Figures().Ejected == 0 })
+		waitUntil(t, func() bool { return p.Metrics().EjectedServers == 0 })
 	}
 }
 
 func TestAServerThatNoListNamedIsUnknown(t *testing.T) {
 	p, _ := serving(t, says(served, true))
-	for _, do := range []func(string) error{p.Suspend, p.Resume} {
-		var unknown *bans.UnknownError
+	for _, do := range []func(string) error{p.SuspendServer, p.ResumeServer} {
+		var unknown *override.UnknownServerError
 		if err := do("stranger"); !errors.As(err, &unknown) {
 			t.Errorf("got %v", err)
 		}
 	}
-	if err := p.Resume("a"); err != nil { // nothing to end, and no harm
+	if err := p.ResumeServer("a"); err != nil { // nothing to end, and no harm
 		t.Error(err)
 	}
-	if left := p.bans.Present(); len(left) != 0 {
+	if left := p.bans.Current(); len(left) != 0 {
 		t.Errorf("left behind: %v", left)
 	}
 }
@@ -73,11 +73,11 @@
 // A ban that cannot be kept is no ban: the answer must not be yes.
 func TestABanThatCannotBeKeptIsANo(t *testing.T) {
 	p, _ := serving(t, says(served, true))
-	if err := os.RemoveAll(p.cfg.State); err != nil {
+	if err := os.RemoveAll(p.cfg.StateDir); err != nil {
 		t.Fatal(err)
 	}
-	var lost *bans.StoreError
-	if err := p.Suspend("a"); !errors.As(err, &lost) {
+	var lost *override.StoreError
+	if err := p.SuspendServer("a"); !errors.As(err, &lost) {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/proxy/burst_test.go
+++ b/internal/proxy/burst_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"merlinpick/internal/discovery"
 )
 
 func (h *holds) held() int {
@@ -27,7 +27,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, says(served, true))
-			p := startProxy(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", b.addr, discovery.Serving)))
+			p := startProxy(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 			p.front.firsts.limit(room)
 			answers := make(chan int, peers)
 			var all []*client
@@ -78,7 +78,7 @@
 		}
 	}
 	waitUntil(t, func() bool { return p.front.open() >= most })
-	d.say <- listText(1, true, listed("a", b.addr, discovery.Serving)) // it is back
+	d.say <- listText(1, true, listed("a", b.addr, discovery.StatusServing)) // it is back
 	waitUntil(t, p.Ready)
 	for i, want := range []string{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", look("1", 4000), "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"} {
 		start := time.Now()
@@ -98,7 +98,7 @@
 	for sockets := 128; sockets <= 1024; sockets++ {
 		for _, watched := range []bool{false, true} {
 			for _, shared := range []bool{false, true} {
-				cfg := Config{Sockets: sockets, Watched: watched}
+				cfg := Config{MaxDescriptors: sockets, Managed: watched}
 				clients, backends, over := cfg.parts(shared)
 				clients, backends = max(clients, leastEach), max(backends, leastEach)
 				have, own := sockets, ownSockets
--- a/internal/proxy/download_test.go
+++ b/internal/proxy/download_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // A large answer is passed on as it comes, in every framing, and whole.
@@ -65,7 +65,7 @@
 			if resp.Header.Get("Content-Type") != "a/b" {
 				t.Errorf("header %v", resp.Header)
 			}
-			waitUntil(t, func() bool { f := p.Figures(); return f.Classes["look"].Succeeded == 1 && f.Outstanding == 0 })
+			waitUntil(t, func() bool { f := p.Metrics(); return f.Classes["look"].Succeeded == 1 && f.InFlight == 0 })
 		})
 	}
 }
@@ -145,7 +145,7 @@
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
 				t.Errorf("%d bytes looked like a whole answer", n)
 			}
-			waitUntil(t, func() bool { f := p.Figures(); return f.Classes["look"].Aborted == 1 && f.Outstanding == 0 })
+			waitUntil(t, func() bool { f := p.Metrics(); return f.Classes["look"].Failed == 1 && f.InFlight == 0 })
 		})
 	}
 }
@@ -186,7 +186,7 @@
 		t.Error("all was taken for a client that had gone")
 	}
 	wait(t, "the backend's connection", b.closed)
-	waitUntil(t, func() bool { return p.Figures().Outstanding == 0 })
+	waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 }
 
 // A long answer that is still being given when the cutoff comes goes on to its end.
@@ -199,7 +199,9 @@
 		_, _ = io.WriteString(w, part)
 		return true
 	})
-	p.times = func([]logic.Class) (stay, left time.Duration) { return 50 * time.Millisecond, 100 * time.Millisecond }
+	p.times = func([]balancer.Class) (stay, left time.Duration) {
+		return 50 * time.Millisecond, 100 * time.Millisecond
+	}
 	cl := connect(t, p)
 	cl.send(t, look("1", 4000))
 	resp, err := http.ReadResponse(cl.r, nil)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // held has requests wait before they are answered; it returns what lets them go on.
@@ -91,8 +91,8 @@
 		250 * time.Millisecond, time.Second, 2999 * time.Millisecond, 3 * time.Second, 8 * time.Second, time.Minute} {
 		for _, part := range []float64{0, 0.01, 0.3, 0.7, 1} {
 			aim := time.Duration(part * float64(deadline))
-			stay, left := drainTimes([]logic.Class{{Deadline: deadline.Microseconds(), Aim: aim.Microseconds()},
-				{Deadline: 1, Aim: 1}})
+			stay, left := drainTimes([]balancer.Class{{Deadline: deadline.Microseconds(), LatencyObjective: aim.Microseconds()},
+				{Deadline: 1, LatencyObjective: 1}})
 			kill := min(deadline, 3*time.Second) + 700*time.Millisecond
 			if stay < 400*time.Millisecond || stay > left-killMargin || left+endMargin+2*drainStep > kill {
 				t.Errorf("deadline %v, aim %v: doors close after %v, cutoff after %v, SIGKILL after %v", deadline, aim, stay, left, kill)
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -16,9 +16,9 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/settings"
 )
 
 // hooks stop a client's connection where an order is to be forced.
@@ -323,8 +323,10 @@
 // shows that it was not.
 func TestClientsThatSendUpToTheEndLoseNothing(t *testing.T) {
 	b := startBackend(t, says(served, true))
-	p := startProxy(t, startDiscovery(t).addr, 300, listText(1, true, listed("a", b.addr, discovery.Serving)))
-	p.times = func([]logic.Class) (stay, left time.Duration) { return 100 * time.Millisecond, 600 * time.Millisecond }
+	p := startProxy(t, startDiscovery(t).addr, 300, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+	p.times = func([]balancer.Class) (stay, left time.Duration) {
+		return 100 * time.Millisecond, 600 * time.Millisecond
+	}
 	const clients = 16
 	var answers atomic.Int64
 	ends, started := make(chan error, clients), make(chan struct{}, clients)
@@ -383,8 +385,8 @@
 	if err := wait(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
-	f := p.Figures()
-	if ends := f.Classes["look"]; ends.Succeeded+ends.Declined != answers.Load() || ends.Aborted != 0 || f.Outstanding != 0 {
+	f := p.Metrics()
+	if ends := f.Classes["look"]; ends.Succeeded+ends.Rejected != answers.Load() || ends.Failed != 0 || f.InFlight != 0 {
 		t.Errorf("%d answers, figures %+v", answers.Load(), f)
 	}
 }
