--- a/internal/proxy/figures.go
+++ b/internal/proxy/figures.go
@@ -5,29 +5,29 @@
 	"net/http"
 	"sync"
 
-	"fernlanding/internal/mgmt"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/management"
 )
 
 // maxClasses bounds the classes that are counted: classes come and go with the settings.
 const maxClasses = 256
 
 // refusals are the names of the reasons among the counts.
-var refusals = [...]string{logic.OverCount: "over_count", logic.NoTime: "no_time", logic.NoServer: "no_server",
-	logic.NoTurn: "no_turn", logic.NoAttempt: "no_further_attempt"}
+var refusals = [...]string{balancer.RejectOverLimit: "over_count", balancer.RejectNoTimeLeft: "no_time", balancer.RejectNoServer: "no_server",
+	balancer.RejectQueueTimeout: "no_turn", balancer.RejectRetriesExhausted: "no_further_attempt"}
 
 // figures owns the counts that on-call staff see. Each request is counted in once, when it has been taken, and
 // out once, by whoever took it.
 type figures struct {
 	mu      sync.Mutex
-	classes map[string]*mgmt.Ends
-	counts  mgmt.Figures // all but Classes and Zones
+	classes map[string]*management.RequestCounts
+	counts  management.Metrics // all but Classes and Zones
 	zones   zonesShown
-	refused map[logic.Refusal]int64
+	refused map[balancer.RejectReason]int64
 }
 
 func newFigures(classes []string) *figures {
-	f := &figures{classes: map[string]*mgmt.Ends{}}
+	f := &figures{classes: map[string]*management.RequestCounts{}}
 	f.name(classes)
 	return f
 }
@@ -44,10 +44,10 @@
 	}
 }
 
-func (f *figures) of(class string) *mgmt.Ends {
+func (f *figures) of(class string) *management.RequestCounts {
 	e := f.classes[class]
 	if e == nil {
-		e = &mgmt.Ends{}
+		e = &management.RequestCounts{}
 		f.classes[class] = e
 	}
 	return e
@@ -63,7 +63,7 @@
 func (f *figures) take(class string) *taken {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.counts.Outstanding++
+	f.counts.InFlight++
 	return &taken{of: f, class: class}
 }
 
@@ -75,14 +75,14 @@
 	t.ended = true
 	t.of.mu.Lock()
 	defer t.of.mu.Unlock()
-	t.of.counts.Outstanding--
+	t.of.counts.InFlight--
 	switch e := t.of.of(t.class); status {
 	case http.StatusOK:
 		e.Succeeded++
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		e.Declined++
+		e.Rejected++
 	default:
-		e.Aborted++
+		e.Failed++
 	}
 }
 
@@ -90,18 +90,18 @@
 func (f *figures) forward() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.counts.Forwards++
+	f.counts.Forwarded++
 }
 
 // servers notes how many servers are listed, and how many of these get nothing or only trials.
 func (f *figures) servers(listed, avoided int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.counts.Discovered, f.counts.Ejected = listed, avoided
+	f.counts.ListedServers, f.counts.EjectedServers = listed, avoided
 }
 
 // refusals notes how many requests the module has refused for each reason.
-func (f *figures) refusals(by map[logic.Refusal]int64) {
+func (f *figures) refusals(by map[balancer.RejectReason]int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refused = by
@@ -112,17 +112,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if taken {
-		f.counts.Applied++
+		f.counts.ReloadsApplied++
 	} else {
-		f.counts.Rejected++
+		f.counts.ReloadsRejected++
 	}
 }
 
-func (f *figures) snapshot() mgmt.Figures {
+func (f *figures) snapshot() management.Metrics {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.counts
-	out.Classes = map[string]mgmt.Ends{}
+	out.Classes = map[string]management.RequestCounts{}
 	for c, e := range maps.All(f.classes) {
 		out.Classes[c] = *e
 	}
--- a/internal/proxy/figures_test.go
+++ b/internal/proxy/figures_test.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"testing"
 
-	"fernlanding/internal/mgmt"
+	"merlinpick/internal/management"
 )
 
 // Each request that was taken ends once, whichever way it leaves: taken = ended + outstanding throughout.
@@ -25,10 +25,10 @@
 		reached <- struct{}{}
 		return stuck(w, r, n)
 	})
-	ends := func() (n int64, f mgmt.Figures) {
-		f = p.Figures()
+	ends := func() (n int64, f management.Metrics) {
+		f = p.Metrics()
 		for _, e := range f.Classes {
-			n += e.Succeeded + e.Declined + e.Aborted
+			n += e.Succeeded + e.Rejected + e.Failed
 		}
 		return n, f
 	}
@@ -47,14 +47,14 @@
 	goes := connect(t, p)
 	goes.send(t, post("4"))
 	wait(t, "the request at the backend", reached)
-	waitUntil(t, func() bool { return p.Figures().Forwards == 4 }) // it may be there before it is counted
-	if n, f := ends(); n != 3 || f.Outstanding != 1 {
+	waitUntil(t, func() bool { return p.Metrics().Forwarded == 4 }) // it may be there before it is counted
+	if n, f := ends(); n != 3 || f.InFlight != 1 {
 		t.Errorf("while one is out: %d ended, %+v", n, f)
 	}
 	goes.Close()
 	waitUntil(t, func() bool { n, _ := ends(); return n == 4 })
 	_, f := ends()
-	if e := f.Classes["post"]; f.Outstanding != 0 || e.Succeeded != 2 || e.Aborted != 2 || f.Discovered != 1 {
+	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded != 2 || e.Failed != 2 || f.ListedServers != 1 {
 		t.Errorf("at the end: %+v", f)
 	}
 }
@@ -65,11 +65,11 @@
 	one.end(http.StatusServiceUnavailable)
 	one.end(0)
 	got := f.snapshot()
-	if got.Classes["a"] != (mgmt.Ends{Declined: 1}) || got.Outstanding != 1 {
+	if got.Classes["a"] != (management.RequestCounts{Rejected: 1}) || got.InFlight != 1 {
 		t.Errorf("got %+v", got)
 	}
 	two.end(0)
-	if got = f.snapshot(); got.Classes["b"] != (mgmt.Ends{Aborted: 1}) || got.Outstanding != 0 {
+	if got = f.snapshot(); got.Classes["b"] != (management.RequestCounts{Failed: 1}) || got.InFlight != 0 {
 		t.Errorf("got %+v", got)
 	}
 	for range 3 * maxClasses {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/settings"
+	"merlinpick/internal/settings"
 )
 
 const (
@@ -90,7 +90,7 @@
 
 // full is the answer to a request for which there is no room.
 func full(req *request) answer {
-	return answer{status: http.StatusServiceUnavailable, after: req.Under.MaxRetryAfter}
+	return answer{status: http.StatusServiceUnavailable, after: req.Settings.MaxRetryAfter}
 }
 
 // ServeHTTP answers health checks and takes requests.
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/settings"
+	"merlinpick/internal/settings"
 )
 
 // pipeListener hands out the far ends of pipes, so that the client side runs on a test's own clock.
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
 )
 
 // The ways in which a client goes; each with what it has sent behind its request.
@@ -62,7 +62,7 @@
 		holds := p.front.holds
 		holds.mu.Lock()
 		defer holds.mu.Unlock()
-		return left == 0 && pool.open == idle && p.Figures().Outstanding == 0 && holds.used == 0
+		return left == 0 && pool.open == idle && p.Metrics().InFlight == 0 && holds.used == 0
 	})
 }
 
@@ -117,7 +117,7 @@
 				p, b := serving(t, says(served, true))
 				cl := connect(t, p)
 				if draining {
-					p.times = func([]logic.Class) (stay, left time.Duration) { return 4 * time.Second, 5 * time.Second }
+					p.times = func([]balancer.Class) (stay, left time.Duration) { return 4 * time.Second, 5 * time.Second }
 					p.stop()
 					waitUntil(t, p.front.draining.Load)
 				}
@@ -146,7 +146,7 @@
 			leaves(t, p, func() { close(fail) }, func() { d.leave(cl) })
 			nothingSent(t, p, b, 1)
 			spent := make(chan int, 1)
-			p.loop.post(func() { spent <- len(p.loop.bal.HandOver(p.loop.clock.now()).Further) })
+			p.loop.post(func() { spent <- len(p.loop.bal.ExportRetryBudget(p.loop.clock.now()).Retries) })
 			if n := <-spent; n != 0 {
 				t.Errorf("%d of the allowance for further attempts is taken", n)
 			}
@@ -169,12 +169,12 @@
 				}
 				return says(served, true)(w, nil, n)
 			})
-			p := startSite(t, text, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)), t.TempDir())
+			p := startSite(t, text, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)), t.TempDir())
 			first, cl, third := connect(t, p), connect(t, p), connect(t, p)
 			first.send(t, rate("1"))
 			waitUntil(t, func() bool { return b.requests.Load() == 1 })
 			cl.send(t, rate("2")+d.behind)
-			waitUntil(t, func() bool { return p.Figures().Outstanding == 2 })
+			waitUntil(t, func() bool { return p.Metrics().InFlight == 2 })
 			leaves(t, p, func() { close(turn) }, func() { d.leave(cl) })
 			third.send(t, rate("3")) // its turn comes
 			for _, c := range []*client{first, third} {
@@ -258,11 +258,11 @@
 			d.leave(cl)
 			close(over)
 			busy.answer(t)
-			waitUntil(t, func() bool { return p.Figures().Outstanding == 0 }) // its own may stand in the figures for a moment
+			waitUntil(t, func() bool { return p.Metrics().InFlight == 0 }) // its own may stand in the figures for a moment
 			p.front.listener.limit(50)
 			waitUntil(t, func() bool { return p.front.open() <= 1 && len(p.front.listener.freed) == 0 })
 			// It has been accepted, read and closed: before that it may hold the backend's connection, unsent.
-			waitUntil(t, func() bool { return p.Figures().Events["closes.client.answered_or_broken"] >= 1 })
+			waitUntil(t, func() bool { return p.Metrics().Events["closes.client.answered_or_broken"] >= 1 })
 			nothingSent(t, p, b, 1)
 		})
 	}
@@ -278,7 +278,7 @@
 			}
 			t.Run(text[:5]+d.name, func(t *testing.T) {
 				b := startBackend(t, hang(t))
-				p := startSite(t, long, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)), t.TempDir())
+				p := startSite(t, long, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)), t.TempDir())
 				cl := connect(t, p)
 				cl.send(t, text+d.behind)
 				waitUntil(t, func() bool { return b.requests.Load() == 1 })
@@ -308,7 +308,7 @@
 		_, err = c.Read(make([]byte, 1)) // the proxy's side of it
 		closed <- err
 	}()
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", l.Addr().String(), discovery.Serving)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", l.Addr().String(), discovery.StatusServing)))
 	cl := connect(t, p)
 	cl.send(t, post("1", "Content-Length: 0"))
 	if resp, _ := cl.answer(t); resp.StatusCode != http.StatusBadGateway { // it may have run
@@ -351,7 +351,7 @@
 // An answer that comes before all of the body has cuts the rest off, which ends the request's context like a departure:
 // the client, which is there, gets it each time.
 func TestAnAnswerBeforeTheBodyIsNoDeparture(t *testing.T) {
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", "127.0.0.1:1", discovery.Draining)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", "127.0.0.1:1", discovery.StatusDraining)))
 	for i := range 20 {
 		cl := connect(t, p)
 		stands, goOn := stall(t, p)
@@ -379,7 +379,7 @@
 	writes := make(chan struct{})
 	c := &conn{Conn: writeSeen{near, writes}, of: &backend{}}
 	go func() { <-writes; stop() }()
-	if res, keep := a.exchange(c); res.status != logic.Moot || keep {
+	if res, keep := a.exchange(c); res.status != balancer.StatusNotSent || keep {
 		t.Errorf("got %v, keep %v", res.status, keep)
 	}
 }
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/proxy/accept"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/listener"
 )
 
 // While a proxy serves, the platform may start its successor beside it. The two share one listening socket, so that
@@ -47,9 +47,9 @@
 
 // spentBy is what was spent, on the clock of a successor that shows now: each process's clock begins at the wall clock of
 // its own start, which may have been set in between.
-func (l legacy) spentBy(now int64) logic.Spent {
+func (l legacy) spentBy(now int64) balancer.RetryBudgetUsage {
 	if l.Now == 0 {
-		return logic.Spent{Taken: l.Spent.Taken, Further: l.Spent.Further}
+		return balancer.RetryBudgetUsage{Requests: l.Spent.Taken, Retries: l.Spent.Further}
 	}
 	shift := func(times []int64) []int64 {
 		out := make([]int64, len(times))
@@ -58,7 +58,7 @@
 		}
 		return out
 	}
-	return logic.Spent{Taken: shift(l.Spent.Taken), Further: shift(l.Spent.Further)}
+	return balancer.RetryBudgetUsage{Requests: shift(l.Spent.Taken), Retries: shift(l.Spent.Further)}
 }
 
 // predecessor is the process of this proxy that served before and still lives.
@@ -179,7 +179,7 @@
 
 // serve takes successors until close.
 func (s *successors) serve() {
-	retrier := accept.NewRetrier(s.log)
+	retrier := listener.NewRetrier(s.log)
 	for {
 		conn, err := s.listener.AcceptUnix()
 		if err != nil {
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/mgmt"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/management"
 )
 
 // A successor takes over while clients come on new and kept connections: none is turned back, the predecessor's
@@ -19,7 +19,7 @@
 func TestASuccessorTakesOverUnnoticed(t *testing.T) {
 	b := startBackend(t, says(served, true))
 	d := startDiscovery(t)
-	known := listText(1, true, listed("a", b.addr, discovery.Serving))
+	known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
 	state := t.TempDir()
 	first := startProxyAt(t, d.addr, 400, known, state)
 	waitUntil(t, func() bool { return first.successors.Load() != nil })
@@ -51,8 +51,8 @@
 			}
 		})
 	}
-	d.say <- listText(2, true, listed("a", b.addr, discovery.Serving)) // whoever asks: the successor too
-	d.say <- listText(2, true, listed("a", b.addr, discovery.Serving))
+	d.say <- listText(2, true, listed("a", b.addr, discovery.StatusServing)) // whoever asks: the successor too
+	d.say <- listText(2, true, listed("a", b.addr, discovery.StatusServing))
 	second := startProxyAt(t, d.addr, 400, known, state)
 	if second.Addr() != first.Addr() {
 		t.Fatalf("the successor listens at %s and not %s", second.Addr(), first.Addr())
@@ -109,12 +109,12 @@
 func TestTwoProcessesShareTheLimits(t *testing.T) {
 	b := startBackend(t, says(served, true))
 	d := startDiscovery(t)
-	known := listText(1, true, listed("a", b.addr, discovery.Serving))
+	known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
 	state := t.TempDir()
 	first := startProxyAt(t, d.addr, 400, known, state)
 	waitUntil(t, func() bool { return first.successors.Load() != nil })
 	half, backends, over := first.cfg.parts(true)
-	if all := 2 * (half + backends + over + ownShared + mgmt.MaxConns + 1); all > 400 {
+	if all := 2 * (half + backends + over + ownShared + management.MaxConns + 1); all > 400 {
 		t.Errorf("two processes may hold %d descriptors", all)
 	}
 	second := startProxyAt(t, d.addr, 400, known, state)
@@ -157,7 +157,7 @@
 			state := t.TempDir()
 			leave(t, filepath.Join(state, handoverName))
 			b := startBackend(t, says(served, true))
-			p := startProxyAt(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", b.addr, discovery.Serving)), state)
+			p := startProxyAt(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", b.addr, discovery.StatusServing)), state)
 			if p.predecessor != nil {
 				t.Error("it takes itself for a successor")
 			}
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // outcome tells the module how an attempt ended; a served request has its answer first.
@@ -16,15 +16,15 @@
 	if r.current == a {
 		r.current = nil
 	}
-	if res.status == logic.OK {
+	if res.status == balancer.StatusOK {
 		l.end(r, answer{status: http.StatusOK, body: res.body, content: res.content})
 	}
-	if res.status != logic.OK && !r.over && r.left() {
+	if res.status != balancer.StatusOK && !r.over && r.left() {
 		l.gone(r) // or a further attempt might follow
 	}
 	now := l.clock.now()
-	l.bal.Outcome(now, l, logic.Outcome{ID: r.ID, Attempt: a.number, Status: res.status, Took: now - a.sent,
-		Closed: r.over, Spent: r.spent})
+	l.bal.HandleOutcome(now, l, balancer.Outcome{RequestID: r.ID, Attempt: a.number, Status: res.status, Latency: now - a.sent,
+		RequestDone: r.over, NotReplayable: r.spent})
 	l.forget(r)
 }
 
@@ -37,8 +37,8 @@
 			begun <- false
 			return
 		}
-		ans.stream.due = l.clock.time(a.req.GiveUp)
-		l.bal.Started(l.clock.now(), a.req.ID)
+		ans.stream.due = l.clock.time(a.req.Deadline)
+		l.bal.HandleResponseStarted(l.clock.now(), a.req.ID)
 		l.end(a.req, ans)
 		begun <- true
 	})
@@ -58,8 +58,8 @@
 		return
 	}
 	now := l.clock.now()
-	until := r.GiveUp
-	if r.Uploading {
+	until := r.Deadline
+	if r.BodyPending {
 		until = now + uploadMost.Microseconds()
 	} else if timeout != 0 {
 		until = min(until, now+timeout)
@@ -69,7 +69,7 @@
 		a.until = l.clock.time(now + within)
 	}
 	r.sends++
-	if r.Uploading {
+	if r.BodyPending {
 		a.whole = make(chan time.Time, 1)
 	}
 	ok := l.pool.find(a, server)
@@ -92,7 +92,7 @@
 }
 
 // Refuse implements logic.Host.
-func (l *loop) Refuse(id string, after int64) {
+func (l *loop) Reject(id string, after int64) {
 	if r := l.reqs[id]; r != nil {
 		l.end(r, answer{status: http.StatusServiceUnavailable, after: after})
 	}
@@ -114,4 +114,4 @@
 func (l *loop) Watch() {}
 
 // Log implements logic.Host.
-func (l *loop) Log(event logic.Event) { l.log.Info(event.String()) }
+func (l *loop) Log(event balancer.Event) { l.log.Info(event.String()) }
--- a/internal/proxy/leave_stress_test.go
+++ b/internal/proxy/leave_stress_test.go
@@ -42,5 +42,5 @@
 		})
 	}
 	all.Wait()
-	waitUntil(t, func() bool { return p.Figures().Outstanding == 0 })
+	waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 }
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/settings"
 )
 
 // A proxy whose discovery moves leaves the old one at once, in mid-watch, goes on from its version at the new one, and takes
@@ -27,20 +27,20 @@
 		}
 	}
 	query(first, "")
-	first.say <- listText(5, true, listed("a", a.addr, discovery.Serving))
+	first.say <- listText(5, true, listed("a", a.addr, discovery.StatusServing))
 	query(first, "from=5")
-	p.lists.Move(discovery.Source{Address: second.addr})
+	p.lists.SetSource(discovery.Source{Address: second.addr})
 	query(second, "from=5")
 	second.say <- listText(3, false) // another count of versions
 	query(second, "")
-	second.say <- listText(3, true, listed("b", b.addr, discovery.Serving))
+	second.say <- listText(3, true, listed("b", b.addr, discovery.StatusServing))
 	query(second, "from=3")
 	c := connect(t, p)
 	c.send(t, look("1", 4000))
 	if resp, _ := c.answer(t); resp.StatusCode != 200 || a.requests.Load() != 0 || b.requests.Load() != 1 {
 		t.Errorf("got %s, %d and %d requests", resp.Status, a.requests.Load(), b.requests.Load())
 	}
-	p.lists.Move(discovery.Source{Address: third.addr}) // and again
+	p.lists.SetSource(discovery.Source{Address: third.addr}) // and again
 	query(third, "from=3")
 	if n := len(first.calls); n != 0 {
 		t.Errorf("%d more calls at the first address", n)
@@ -58,8 +58,8 @@
 		_, _ = io.WriteString(w, served)
 		return true
 	})
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)))
-	p.times = func([]logic.Class) (stay, left time.Duration) { // long enough for what is to be served on
+	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+	p.times = func([]balancer.Class) (stay, left time.Duration) { // long enough for what is to be served on
 		return 2 * time.Second, 3500 * time.Millisecond
 	}
 	idle := connect(t, p)
@@ -112,8 +112,8 @@
 		{8 * time.Second, 4 * time.Second, acceptAfter, 3500 * time.Millisecond},
 		{time.Second, 400 * time.Millisecond, 1100 * time.Millisecond, 1500 * time.Millisecond},
 	} {
-		stay, left := drainTimes([]logic.Class{{Deadline: c.deadline.Microseconds(), Aim: c.aim.Microseconds()},
-			{Deadline: 1, Aim: 1}})
+		stay, left := drainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.aim.Microseconds()},
+			{Deadline: 1, LatencyObjective: 1}})
 		if stay != c.stay || left != c.left {
 			t.Errorf("deadline %v, aim %v: %v and %v, want %v and %v", c.deadline, c.aim, stay, left, c.stay, c.left)
 		}
@@ -179,13 +179,13 @@
 			t.Errorf("%q: %s", text, resp.Status)
 		}
 	}
-	waitUntil(t, func() bool { return p.Figures().Outstanding == 0 })
-	f := p.Figures()
+	waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
+	f := p.Metrics()
 	if f.Classes["look"].Succeeded != 1 || f.Classes["peek"].Succeeded != 1 || f.Classes["post"].Succeeded != 1 {
 		t.Errorf("figures %+v", f.Classes)
 	}
 	bad := *site
-	bad.Logic.MaxAttempts = 0
+	bad.Balancer.MaxAttempts = 0
 	cfg.Site = &bad
 	if err := p.Reload(cfg); err == nil {
 		t.Error("settings that cannot work were taken")
--- a/internal/proxy/list_bench_test.go
+++ b/internal/proxy/list_bench_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/settings"
 )
 
 // endpoints are n endpoints, spread evenly over zones.
@@ -18,7 +18,7 @@
 	weight := 1.0
 	for i := range n {
 		out = append(out, discovery.Endpoint{Name: fmt.Sprintf("nodo-%05d", i), Address: fmt.Sprintf("10.1.%d.%d:8443", i/250, i%250),
-			Zone: fmt.Sprint("z", i%zones), Group: i / 8, Status: discovery.Serving, Weight: &weight, SinceMs: int64(i + 1)})
+			Zone: fmt.Sprint("z", i%zones), Cell: i / 8, Status: discovery.StatusServing, Weight: &weight, StartedAtMs: int64(i + 1)})
 	}
 	return out
 }
@@ -27,13 +27,13 @@
 func listLoop(b testing.TB, zones int) *loop {
 	b.Helper()
 	site := &settings.Site{DialTimeout: time.Second, IdleClose: 5 * time.Second, Classes: []string{"read"},
-		Logic: logic.Settings{Stage: 1, Siblings: 1, Zones: zones, MaxAttempts: 3, DrainGrace: 1_000_000, StartCapacity: 0.3,
-			Cold: 8_800_000, TipMultiple: 3, FallSpan: 2_000_000,
-			Classes: []logic.Class{{Name: "read", Aim: 400_000, Deadline: 2_000_000, Worth: 1}}}}
+		Balancer: balancer.Settings{Tier: 1, Replicas: 1, ZoneCount: zones, MaxAttempts: 3, DrainGrace: 1_000_000, SlowStartMinCapacity: 0.3,
+			SlowStartDuration: 8_800_000, OverloadMultiple: 3, OverloadWindow: 2_000_000,
+			Classes: []balancer.Class{{Name: "read", LatencyObjective: 400_000, Deadline: 2_000_000, PriorityWeight: 1}}}}
 	for z := range zones {
 		site.Zones = append(site.Zones, fmt.Sprint("z", z))
 	}
-	bal, err := logic.New(site.Logic, 1)
+	bal, err := balancer.New(site.Balancer, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -53,26 +53,26 @@
 		}
 		gone := make([]discovery.Endpoint, len(zone))
 		for i, e := range zone {
-			e.Status = discovery.Deleted
+			e.Status = discovery.StatusDeleted
 			gone[i] = e
 		}
 		for _, what := range []struct {
 			name string
-			news func(i int) discovery.News
+			news func(i int) discovery.Update
 		}{
-			{"whole", func(int) discovery.News { return discovery.News{List: &discovery.List{Full: true, Endpoints: all}} }},
-			{"change", func(i int) discovery.News {
+			{"whole", func(int) discovery.Update { return discovery.Update{List: &discovery.List{Full: true, Endpoints: all}} }},
+			{"change", func(i int) discovery.Update {
 				e := all[i%n]
-				e.SinceMs += int64(i)
-				return discovery.News{List: &discovery.List{Endpoints: []discovery.Endpoint{e}}}
+				e.StartedAtMs += int64(i)
+				return discovery.Update{List: &discovery.List{Endpoints: []discovery.Endpoint{e}}}
 			}},
-			{"zone", func(i int) discovery.News {
-				return discovery.News{List: &discovery.List{Endpoints: [][]discovery.Endpoint{gone, zone}[i%2]}}
+			{"zone", func(i int) discovery.Update {
+				return discovery.Update{List: &discovery.List{Endpoints: [][]discovery.Endpoint{gone, zone}[i%2]}}
 			}},
 		} {
 			b.Run(fmt.Sprintf("%s/nodos=%d", what.name, n), func(b *testing.B) {
 				l := listLoop(b, 9)
-				l.news(discovery.News{List: &discovery.List{Full: true, Endpoints: all}})
+				l.news(discovery.Update{List: &discovery.List{Full: true, Endpoints: all}})
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					l.news(what.news(i))
@@ -91,7 +91,7 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				l := listLoop(b, 9)
-				l.news(discovery.News{List: &discovery.List{Full: true, Endpoints: endpoints(n, 9)}})
+				l.news(discovery.Update{List: &discovery.List{Full: true, Endpoints: endpoints(n, 9)}})
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "B-held")
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/proxy/accept"
+	"merlinpick/internal/listener"
 )
 
 // cappedListener accepts no more connections than there are slots; those beyond wait in the kernel, and
@@ -16,7 +16,7 @@
 type cappedListener struct {
 	net.Listener
 	shed    func()
-	retrier *accept.Retrier
+	retrier *listener.Retrier
 	audit   *audit // nil in a test
 	lingers lingers
 	firsts  *holds        // for heads
@@ -29,7 +29,7 @@
 }
 
 func newCappedListener(l net.Listener, shed func(), log *slog.Logger) *cappedListener {
-	return &cappedListener{Listener: l, shed: shed, retrier: accept.NewRetrier(log), freed: make(chan struct{}, 1),
+	return &cappedListener{Listener: l, shed: shed, retrier: listener.NewRetrier(log), freed: make(chan struct{}, 1),
 		closed: make(chan struct{})}
 }
 
--- a/internal/proxy/liststate.go
+++ b/internal/proxy/liststate.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"merlinpick/internal/discovery"
 )
 
 // listState is how old the list is that requests are routed by. The loop owns it; isStale may be called from anywhere.
@@ -34,24 +34,24 @@
 
 // known notes the list of the configuration.
 func (s *listState) known(list *discovery.List) {
-	s.index = list.Index
-	s.log.Info("list known at the start", "index", list.Index, "entries", len(list.Endpoints))
+	s.index = list.Version
+	s.log.Info("list known at the start", "index", list.Version, "entries", len(list.Endpoints))
 }
 
 // sync notes an answer of discovery.
 func (s *listState) sync(now time.Time, list *discovery.List) {
 	first := s.synced.IsZero()
 	if first || s.stale.Load() {
-		s.log.Info("list synced", "index", list.Index, "former_index", s.index, "entries", len(list.Endpoints), "full", list.Full,
+		s.log.Info("list synced", "index", list.Version, "former_index", s.index, "entries", len(list.Endpoints), "full", list.Full,
 			"first", first, "after_start", now.Sub(s.started), "stale_for", s.staleFor(now))
 	}
-	s.synced, s.until, s.index = now, now.Add(s.bound), list.Index
+	s.synced, s.until, s.index = now, now.Add(s.bound), list.Version
 	s.stale.Store(false)
 }
 
 // moved notes that the operator has named another address, whose changes count as told soon.
 func (s *listState) moved(now time.Time) {
-	if by := now.Add(discovery.MovedWithin); by.Before(s.until) {
+	if by := now.Add(discovery.SourceChangeDeadline); by.Before(s.until) {
 		s.until = by
 	}
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/bans"
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/override"
+	"merlinpick/internal/settings"
 )
 
 const (
@@ -23,7 +23,7 @@
 // loop owns the Balancer and the table of requests. All that happens comes to it through channels and is
 // told to the module in that order; it carries the module's decisions out as its logic.Host.
 type loop struct {
-	bal    *logic.Balancer
+	bal    *balancer.Balancer
 	clock  clock
 	pool   *backends
 	zones  zones
@@ -32,11 +32,11 @@
 	audit  *audit
 	log    *slog.Logger
 	events chan func()
-	lists  <-chan discovery.News
+	lists  <-chan discovery.Update
 	list   *listState
-	bans   <-chan bans.Set // whole sets; nil: none come
-	seen   *bans.Names
-	fleet  Fleet         // nil on its own
+	bans   <-chan override.Set // whole sets; nil: none come
+	seen   *override.NameSet
+	fleet  Cluster       // nil on its own
 	listed chan struct{} // closed when there is a list
 	fresh  chan struct{} // closed when there is one from discovery
 
@@ -54,10 +54,10 @@
 	leave    context.CancelFunc // ends that
 }
 
-func newLoop(bal *logic.Balancer, c clock, pool *backends, z zones, figs *figures, log *slog.Logger) *loop {
+func newLoop(bal *balancer.Balancer, c clock, pool *backends, z zones, figs *figures, log *slog.Logger) *loop {
 	ended, leave := context.WithCancel(context.Background())
 	return &loop{ended: ended, leave: leave, list: newListState(0, log), bal: bal, clock: c, pool: pool, zones: z, starts: starts{}, figs: figs, audit: newAudit(log), log: log,
-		events: make(chan func(), 256), seen: bans.NewNames(), hands: newZoneHands(z), listed: make(chan struct{}), fresh: make(chan struct{}),
+		events: make(chan func(), 256), seen: override.NewNameSet(), hands: newZoneHands(z), listed: make(chan struct{}), fresh: make(chan struct{}),
 		reqs: map[string]*request{}, done: make(chan struct{})}
 }
 
@@ -94,7 +94,7 @@
 			continue
 		case n := <-l.bans:
 			l.ban(n.IDs)
-			n.Holds()
+			n.Acknowledge()
 			continue
 		default:
 		}
@@ -103,7 +103,7 @@
 			l.news(n)
 		case n := <-l.bans:
 			l.ban(n.IDs)
-			n.Holds()
+			n.Acknowledge()
 		case f := <-l.events:
 			f()
 		case <-alarm.C:
@@ -113,8 +113,8 @@
 		case <-meet:
 			l.meet()
 		case <-look:
-			l.figs.servers(l.bal.Servers())
-			l.figs.refusals(l.bal.Refusals())
+			l.figs.servers(l.bal.ServerCounts())
+			l.figs.refusals(l.bal.Rejections())
 			l.lookZones()
 		case <-ctx.Done():
 			return
@@ -141,7 +141,7 @@
 	for len(l.unsent) > 0 {
 		a := l.unsent[0]
 		l.unsent = l.unsent[1:]
-		l.outcome(a, result{status: logic.Moot})
+		l.outcome(a, result{status: balancer.StatusNotSent})
 	}
 }
 
@@ -150,7 +150,7 @@
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].at <= now; {
 		t := heap.Pop(&l.timers).(timer)
 		if t.req == nil {
-			l.bal.Timer(now, l, t.token)
+			l.bal.HandleTimer(now, l, t.token)
 		} else {
 			l.expire(t.req)
 		}
@@ -159,11 +159,11 @@
 }
 
 // news applies what discovery said, to the connections first and then to the module.
-func (l *loop) news(n discovery.News) {
+func (l *loop) news(n discovery.Update) {
 	l.list.sync(time.Now(), n.List)
-	kind := logic.Delta
+	kind := balancer.UpdateDelta
 	if n.List.Full {
-		kind = logic.Full
+		kind = balancer.UpdateSnapshot
 	}
 	l.apply(kind, n.List)
 	l.settle()
@@ -174,68 +174,68 @@
 	}
 }
 
-func (l *loop) apply(kind logic.ListKind, list *discovery.List) {
+func (l *loop) apply(kind balancer.UpdateKind, list *discovery.List) {
 	names := make([]string, 0, len(list.Endpoints))
 	for _, e := range list.Endpoints {
 		names = append(names, e.Name)
 	}
 	l.seen.Add(names...)
-	l.pool.apply(kind != logic.Delta, list.Endpoints)
+	l.pool.apply(kind != balancer.UpdateDelta, list.Endpoints)
 	l.drain() // before the module hears of what is there now
 	now, wall := l.clock.now(), time.Now()
 	started := func(e discovery.Endpoint) int64 {
 		at := l.starts.of(e, now, wall)
-		if e.Status == discovery.Deleted {
+		if e.Status == discovery.StatusDeleted {
 			delete(l.starts, e.Name)
 		}
 		return at
 	}
-	l.bal.List(now, l, kind, l.zones.servers(list.Endpoints, started))
-	if kind != logic.Delta {
+	l.bal.UpdateEndpoints(now, l, kind, l.zones.servers(list.Endpoints, started))
+	if kind != balancer.UpdateDelta {
 		l.starts.keep(list.Endpoints)
 	}
 	l.nameZones()
-	l.figs.servers(l.bal.Servers())
+	l.figs.servers(l.bal.ServerCounts())
 	select {
 	case <-l.listed:
 	default:
-		if kind == logic.Full || len(list.Endpoints) > 0 {
+		if kind == balancer.UpdateSnapshot || len(list.Endpoints) > 0 {
 			close(l.listed)
 		}
 	}
 }
 
 // rules are the module's settings at the start.
-func (l *loop) rules(site *settings.Site) *logic.Settings {
+func (l *loop) rules(site *settings.Site) *balancer.Settings {
 	if l.bal == nil {
-		return &site.Logic // a test without the module
+		return &site.Balancer // a test without the module
 	}
-	return l.bal.Rules()
+	return l.bal.Settings()
 }
 
 // reconfigure puts other settings in force for the requests that come from now on.
-func (l *loop) reconfigure(site *settings.Site, next logic.Settings, f *frontend) error {
+func (l *loop) reconfigure(site *settings.Site, next balancer.Settings, f *frontend) error {
 	if next.Zone < len(site.Zones) { // zones keep the numbers that they have
 		next.Zone = l.zones.number(site.Zones[next.Zone])
 		for _, name := range site.Zones {
 			l.zones.number(name)
 		}
-		next.Zones = len(l.zones)
+		next.ZoneCount = len(l.zones)
 	}
 	numbers, err := l.bal.Reconfigure(l.clock.now(), next, f.held())
 	if err != nil {
 		return err
 	}
 	l.nameZones()
-	f.turn(newView(site, l.bal.Rules(), numbers))
+	f.turn(newView(site, l.bal.Settings(), numbers))
 	l.pool.retime(site.DialTimeout, site.IdleClose)
-	l.pool.setGrace(site.Logic.DrainGrace)
+	l.pool.setGrace(site.Balancer.DrainGrace)
 	return nil
 }
 
 // ban has these backends and zones and no others out.
 func (l *loop) ban(ids map[string]bool) {
-	ids, zones := bans.Split(ids)
+	ids, zones := override.SplitZones(ids)
 	if !maps.Equal(zones, l.hands.asked) {
 		l.hands.asked = zones
 		l.drain()
@@ -247,6 +247,6 @@
 	l.log.Info("bans", "backends", slices.Sorted(maps.Keys(ids)))
 	l.banned = ids
 	l.pool.ban(ids)
-	l.bal.Ban(ids)
-	l.figs.servers(l.bal.Servers())
+	l.bal.SetSuspendedServers(ids)
+	l.figs.servers(l.bal.ServerCounts())
 }
--- a/internal/proxy/parse.go
+++ b/internal/proxy/parse.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 const (
@@ -43,14 +43,14 @@
 		return bad(http.StatusBadRequest, "no Request-Id")
 	}
 	k, method := v.rules.Classes[class], http.MethodPost
-	if k.Repeat == logic.Safe {
+	if k.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
 		return bad(http.StatusMethodNotAllowed, "wrong method for the class")
 	}
-	if keyed := r.Header.Get("Idempotency-Key") != ""; keyed != (k.Repeat == logic.Keyed) {
+	if keyed := r.Header.Get("Idempotency-Key") != ""; keyed != (k.Idempotency == balancer.IdempotentWithKey) {
 		return bad(http.StatusBadRequest, "Idempotency-Key does not fit the class")
 	}
 	// Without a time-out that makes sense the client is taken to wait as long as its class does.
@@ -64,11 +64,11 @@
 	}
 	wait -= min(answerMargin, wait/marginPart)
 	return &request{
-		Request: logic.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
-			Under: v.rules},
+		Request: balancer.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
+			Settings: v.rules},
 		class:  name,
 		method: method, uri: r.RequestURI, host: r.Host, header: passOn(r.Header), wait: wait,
-		unsafe: k.Repeat == logic.Unsafe,
+		unsafe: k.Idempotency == balancer.NonIdempotent,
 		answer: make(chan answer, 1),
 	}, answer{}
 }
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/settings"
 )
 
 // A new connection whose request lay in the kernel, its reader not having had its turn, was closed to make room for another:
@@ -91,12 +91,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known, err := discovery.Parse([]byte(listText(1, true, listed("a", b.addr, discovery.Serving))))
+	known, err := discovery.Parse([]byte(listText(1, true, listed("a", b.addr, discovery.StatusServing))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	proxy, err := New(Config{Listen: "127.0.0.1:0", Discovery: discovery.Source{Address: startDiscovery(t).addr}, Seed: 7, Sockets: 200,
-		Site: site, Watched: true, State: t.TempDir(), Known: known, Log: slog.New(slog.DiscardHandler)})
+	proxy, err := New(Config{Listen: "127.0.0.1:0", Discovery: discovery.Source{Address: startDiscovery(t).addr}, Seed: 7, MaxDescriptors: 200,
+		Site: site, Managed: true, StateDir: t.TempDir(), InitialList: known, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // The peer closes a kept connection; a request that ran into it was sent a second time by http.Transport.
@@ -18,7 +18,7 @@
 	b := startBackend(t, says(served, false)) // promises to stay, then closes
 	p := poolWith(4, b.addr)
 	for n := range 3 {
-		if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
 			t.Fatalf("attempt %d: got %v", n, res.status)
 		}
 		wait(t, "close", b.closed)
@@ -47,10 +47,10 @@
 	})
 	p := poolWith(4, b.addr)
 	unrested(p)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.Reset {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusReset {
 		t.Errorf("got %v", res.status)
 	}
 	if b.requests.Load() != 2 || b.conns.Load() != 1 {
@@ -86,7 +86,7 @@
 func TestAtTheSocketLimitAnIdleConnectionMakesRoomOrNoneIsOpened(t *testing.T) {
 	quick, slow := startBackend(t, says(served, true)), startBackend(t, hang(t))
 	p := poolWith(1, quick.addr, slow.addr)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
 	held := newAttempt(p, "b", patience)
@@ -94,12 +94,12 @@
 	go func() { results <- held.run() }()
 	wait(t, "close of the idle connection", quick.closed)
 	waitUntil(t, func() bool { return slow.requests.Load() == 1 })
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.Moot { // the limit is the proxy's own, and no backend's fault
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusNotSent { // the limit is the proxy's own, and no backend's fault
 		t.Errorf("over the limit: got %v", res.status)
 	}
 	held.stop()
 	wait(t, "result", results)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
 		t.Errorf("with room again: got %v", res.status)
 	}
 }
@@ -107,7 +107,7 @@
 func TestADialErrorThatIsNoRefusalIsAConnectFailureToo(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	p.dialer = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("too many open files") }
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.ConnectFailed || p.open != 0 {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed || p.open != 0 {
 		t.Errorf("got %v with %d open", res.status, p.open)
 	}
 }
@@ -122,21 +122,21 @@
 		return true
 	})
 	p := poolWith(10, b.addr)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.OK {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
 	p.byName["a"].idle[0].since = time.Now().Add(-time.Second)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.Reset {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusReset {
 		t.Fatalf("got %v, want a reset", res.status)
 	}
-	if span := p.trust.Span(time.Now(), p.idleFor, false); span > 600*time.Millisecond {
+	if span := p.trust.MaxIdle(time.Now(), p.idleFor, false); span > 600*time.Millisecond {
 		t.Fatalf("trusted for %v after a break at 1 s", span)
 	}
 	p.dialer = func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.ConnectFailed {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed {
 		t.Fatalf("got %v, want a refused connection", res.status)
 	}
-	if span := p.trust.Span(time.Now(), p.idleFor, false); span != p.idleFor {
+	if span := p.trust.MaxIdle(time.Now(), p.idleFor, false); span != p.idleFor {
 		t.Errorf("trusted for %v though the backend had died, want %v", span, p.idleFor)
 	}
 }
@@ -153,7 +153,7 @@
 	})
 	p := poolWith(10, b.addr)
 	unrested(p)
-	do := func(idle time.Duration, unsafe bool) logic.Status {
+	do := func(idle time.Duration, unsafe bool) balancer.Status {
 		t.Helper()
 		p.mu.Lock()
 		for _, c := range p.byName["a"].idle {
@@ -167,14 +167,14 @@
 	for i, step := range []struct {
 		idle   time.Duration
 		unsafe bool
-		want   logic.Status
+		want   balancer.Status
 		conns  int32
 	}{
-		{0, true, logic.OK, 1},
-		{time.Second, true, logic.Reset, 1}, // trusted until now
-		{0, true, logic.OK, 2},
-		{600 * time.Millisecond, true, logic.OK, 3},
-		{5 * time.Millisecond, true, logic.OK, 3}, // fresh enough
+		{0, true, balancer.StatusOK, 1},
+		{time.Second, true, balancer.StatusReset, 1}, // trusted until now
+		{0, true, balancer.StatusOK, 2},
+		{600 * time.Millisecond, true, balancer.StatusOK, 3},
+		{5 * time.Millisecond, true, balancer.StatusOK, 3}, // fresh enough
 	} {
 		if got := do(step.idle, step.unsafe); got != step.want || b.conns.Load() != step.conns {
 			t.Errorf("step %d: %v on %d connections, want %v on %d", i, got, b.conns.Load(), step.want, step.conns)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -15,11 +15,11 @@
 	"syscall"
 	"time"
 
-	"fernlanding/internal/bans"
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/mgmt"
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/management"
+	"merlinpick/internal/override"
+	"merlinpick/internal/settings"
 )
 
 const (
@@ -31,23 +31,23 @@
 
 // Config is what a proxy is told at its start.
 type Config struct {
-	Listen    string
-	Discovery discovery.Source
-	Seed      uint64
-	Sockets   int             // descriptors that the process may hold
-	Known     *discovery.List // the list as last known; may be nil
-	Kept      string          // folder of the last list, for a Discovery with members; empty: none
-	State     string          // folder of what outlives the process; with Watched
-	Watched   bool            // there is a management address: figures are kept up and descriptors reserved for its callers
-	Site      *settings.Site
-	Log       *slog.Logger
+	Listen         string
+	Discovery      discovery.Source
+	Seed           uint64
+	MaxDescriptors int             // descriptors that the process may hold
+	InitialList    *discovery.List // the list as last known; may be nil
+	ListCacheDir   string          // folder of the last list, for a Discovery with members; empty: none
+	StateDir       string          // folder of what outlives the process; with Watched
+	Managed        bool            // there is a management address: figures are kept up and descriptors reserved for its callers
+	Site           *settings.Site
+	Logger         *slog.Logger
 
-	Fleet *FleetPlan // has the proxy be one of a fleet; nil: it is on its own
+	Cluster *ClusterPlan // has the proxy be one of a fleet; nil: it is on its own
 
-	Hold int // bytes of memory for bodies that are held; 0 for a default
+	BodyMemory int // bytes of memory for bodies that are held; 0 for a default
 
 	// Memory is told what part of the memory limit is this process's; may be nil.
-	Memory func(part float64)
+	OnMemoryShare func(part float64)
 }
 
 // Proxy is one proxy with its listener open.
@@ -57,32 +57,32 @@
 	front       *frontend
 	figs        *figures
 	lists       *discovery.Client
-	bans        *bans.Bans                                     // nil unless watched
-	fleet       Fleet                                          // nil on its own
-	predecessor *predecessor                                   // the one that lives, or nil
-	successors  atomic.Pointer[successors]                     // once this process serves, if watched
-	others      atomic.Int32                                   // processes of this proxy that live beside this one
-	times       func([]logic.Class) (stay, left time.Duration) // of a drain
+	bans        *override.Overrides                               // nil unless watched
+	fleet       Cluster                                           // nil on its own
+	predecessor *predecessor                                      // the one that lives, or nil
+	successors  atomic.Pointer[successors]                        // once this process serves, if watched
+	others      atomic.Int32                                      // processes of this proxy that live beside this one
+	times       func([]balancer.Class) (stay, left time.Duration) // of a drain
 
 	syncPatience time.Duration // for discovery to confirm the list, before this process is ready without
 }
 
 // New opens the listener; clients are served from Run on.
 func New(cfg Config) (*Proxy, error) {
-	bal, err := logic.New(cfg.rules(), cfg.Seed)
+	bal, err := balancer.New(cfg.rules(), cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	clients, backends, _ := cfg.parts(false)
 	if min(clients, backends) < leastEach {
-		return nil, fmt.Errorf("%d sockets are too few", cfg.Sockets)
+		return nil, fmt.Errorf("%d sockets are too few", cfg.MaxDescriptors)
 	}
 	var before *predecessor
-	if cfg.Watched {
-		if err := os.MkdirAll(cfg.State, 0o700); err != nil {
+	if cfg.Managed {
+		if err := os.MkdirAll(cfg.StateDir, 0o700); err != nil {
 			return nil, fmt.Errorf("state: %w", err)
 		}
-		before = findPredecessor(cfg.State, cfg.Log)
+		before = findPredecessor(cfg.StateDir, cfg.Logger)
 	}
 	listener, err := cfg.listen(before)
 	if err != nil {
@@ -90,43 +90,43 @@
 	}
 	figs := newFigures(cfg.Site.Classes)
 	pool := newBackends(cfg.Site.DialTimeout, cfg.Site.IdleClose, backends, figs)
-	pool.log = cfg.Log
-	l := newLoop(bal, clock{time.Now()}, pool, newZones(cfg.Site.Zones), figs, cfg.Log)
-	l.watched = cfg.Watched
+	pool.log = cfg.Logger
+	l := newLoop(bal, clock{time.Now()}, pool, newZones(cfg.Site.Zones), figs, cfg.Logger)
+	l.watched = cfg.Managed
 	l.list.bound = cfg.listBound()
 	pool.audit = l.audit
-	pool.setGrace(cfg.Site.Logic.DrainGrace)
+	pool.setGrace(cfg.Site.Balancer.DrainGrace)
 	p := &Proxy{cfg: cfg, loop: l, figs: figs, predecessor: before, times: drainTimes, syncPatience: cfg.syncPatience()}
 	p.follow()
-	p.front = newFrontend(cfg.Site, l, listener, cfg.Log)
+	p.front = newFrontend(cfg.Site, l, listener, cfg.Logger)
 	p.share(false)
 	if before != nil {
 		p.syncPatience = min(p.syncPatience, freshPatience)
-		bal.Inherit(before.legacy.spentBy(l.clock.now()))
+		bal.ImportRetryBudget(before.legacy.spentBy(l.clock.now()))
 		l.seen.Add(before.legacy.Seen...)
 		p.join(1)
 	}
 	if known := p.known(); known != nil {
 		l.list.known(known)
-		l.apply(logic.Cached, known)
+		l.apply(balancer.UpdateCached, known)
 	}
 	l.list.look(time.Now())
-	if cfg.Watched {
-		of := bans.Config{Dir: cfg.State, Names: l.seen, Zones: l.hands.named, Serving: l.pool.servingZones,
-			Ended: l.done, Log: cfg.Log}
-		if cfg.Fleet != nil {
-			of.Told = func(nodo string, suspended bool) error { return p.fleet.Told(nodo, suspended) }
+	if cfg.Managed {
+		of := override.Config{Dir: cfg.StateDir, KnownServers: l.seen, KnownZones: l.hands.named, ServingZones: l.pool.servingZones,
+			Stopped: l.done, Logger: cfg.Logger}
+		if cfg.Cluster != nil {
+			of.Notify = func(nodo string, suspended bool) error { return p.fleet.NotifyOverride(nodo, suspended) }
 		}
-		p.bans, err = bans.Open(of)
+		p.bans, err = override.Open(of)
 		if err != nil {
 			listener.Close()
 			return nil, err
 		}
 		l.bans = p.bans.Sets()
-		l.ban(p.bans.Present())
+		l.ban(p.bans.Current())
 	}
-	if cfg.Fleet != nil {
-		if p.fleet, err = cfg.Fleet.Open(p.self()); err != nil {
+	if cfg.Cluster != nil {
+		if p.fleet, err = cfg.Cluster.Open(p.self()); err != nil {
 			listener.Close()
 			return nil, err
 		}
@@ -142,7 +142,7 @@
 		return before.listener, nil
 	}
 	var lc net.ListenConfig
-	if cfg.Watched {
+	if cfg.Managed {
 		lc.Control = func(_, _ string, c syscall.RawConn) error {
 			var set error
 			if err := c.Control(func(fd uintptr) {
@@ -164,8 +164,8 @@
 	out := make(chan legacy, 1)
 	p.loop.post(func() {
 		now := p.loop.clock.now()
-		used := p.loop.bal.HandOver(now)
-		out <- legacy{Spent: spent{used.Taken, used.Further}, Seen: p.loop.seen.All(), Now: now}
+		used := p.loop.bal.ExportRetryBudget(now)
+		out <- legacy{Spent: spent{used.Requests, used.Retries}, Seen: p.loop.seen.All(), Now: now}
 	})
 	select {
 	case l := <-out:
@@ -185,22 +185,22 @@
 		select {
 		case <-p.loop.fresh:
 		case <-late.C:
-			p.cfg.Log.Warn("no list from discovery yet, serving by the one last known")
+			p.cfg.Logger.Warn("no list from discovery yet, serving by the one last known")
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	if p.cfg.Watched {
+	if p.cfg.Managed {
 		if err := p.openSuccessors(); err != nil { // not worth an end: a successor then shares the address, at some cost
-			p.cfg.Log.Error("no successor can take over", "error", err)
+			p.cfg.Logger.Error("no successor can take over", "error", err)
 		}
 	}
 	if !p.front.healthy() {
-		p.cfg.Log.Info("not ready yet", "missing", p.Missing())
+		p.cfg.Logger.Info("not ready yet", "missing", p.NotReadyReason())
 	}
 	if p.predecessor != nil {
 		if err := p.predecessor.serving(); err != nil {
-			p.cfg.Log.Warn("the predecessor has ended", "error", err)
+			p.cfg.Logger.Warn("the predecessor has ended", "error", err)
 		}
 	}
 	return p.front.serve()
@@ -221,42 +221,42 @@
 	}
 	p.figs.name(cfg.Site.Classes)
 	p.loop.post(func() { p.loop.list.moved(time.Now()) })
-	p.lists.Move(cfg.Discovery)
+	p.lists.SetSource(cfg.Discovery)
 	return nil
 }
 
 // follow has the loop hear of the list.
 func (p *Proxy) follow() {
 	site := p.cfg.Site
-	p.lists = discovery.New(discovery.Config{Source: p.cfg.Discovery, Pushed: !site.Logic.Subscribe, Seed: p.cfg.Seed,
-		Callers: discovery.Callers(discovery.Fleet{Stage: site.Logic.Stage, Tiers: site.Tiers, Siblings: site.Logic.Siblings}), State: p.cfg.Kept, Log: p.cfg.Log})
-	p.loop.lists = p.lists.News()
+	p.lists = discovery.New(discovery.Config{Source: p.cfg.Discovery, Pushed: !site.Balancer.WatchEndpoints, Seed: p.cfg.Seed,
+		Callers: discovery.EstimateCallers(discovery.Topology{Tier: site.Balancer.Tier, TierCount: site.Tiers, Replicas: site.Balancer.Replicas}), StateDir: p.cfg.ListCacheDir, Logger: p.cfg.Logger})
+	p.loop.lists = p.lists.Updates()
 }
 
 // known is the newest list that the proxy can begin with: what it kept itself, or what its configuration says.
 func (p *Proxy) known() *discovery.List {
-	if p.cfg.Kept == "" {
-		if p.cfg.Known != nil && len(p.cfg.Discovery.Members) == 0 {
-			p.lists.Known(p.cfg.Known)
+	if p.cfg.ListCacheDir == "" {
+		if p.cfg.InitialList != nil && len(p.cfg.Discovery.Members) == 0 {
+			p.lists.SetInitialList(p.cfg.InitialList)
 		}
-		return p.cfg.Known
+		return p.cfg.InitialList
 	}
-	kept, err := discovery.Kept(p.cfg.Kept)
+	kept, err := discovery.LoadCachedList(p.cfg.ListCacheDir)
 	if err != nil { // it is of use, not needed: the members tell all
-		p.cfg.Log.Error("the list of the last run is not used", "error", err)
+		p.cfg.Logger.Error("the list of the last run is not used", "error", err)
 	}
-	if kept == nil || p.cfg.Known != nil && p.cfg.Known.Index > kept.Index {
-		return p.cfg.Known
+	if kept == nil || p.cfg.InitialList != nil && p.cfg.InitialList.Version > kept.Version {
+		return p.cfg.InitialList
 	}
-	p.lists.Known(kept)
+	p.lists.SetInitialList(kept)
 	return kept
 }
 
 // Ready tells whether requests that come now are served: clients can connect and there is a list of servers.
-func (p *Proxy) Ready() bool { return p.Missing() == "" }
+func (p *Proxy) Ready() bool { return p.NotReadyReason() == "" }
 
 // Missing is what this proxy lacks to be ready, for on-call staff; nothing if it is.
-func (p *Proxy) Missing() string {
+func (p *Proxy) NotReadyReason() string {
 	if p.front.draining.Load() {
 		return "it drains"
 	}
@@ -278,29 +278,29 @@
 // Suspend has a server get nothing new, whatever the list says, until Resume. Any process of this proxy may be
 // told. The answer comes once this one acts on it; its errors are those of
 // bans.Bans.Suspend.
-func (p *Proxy) Suspend(server string) error { return p.bans.Suspend(server) }
+func (p *Proxy) SuspendServer(server string) error { return p.bans.SuspendServer(server) }
 
 // Resume ends the ban of a server.
-func (p *Proxy) Resume(server string) error { return p.bans.Resume(server) }
+func (p *Proxy) ResumeServer(server string) error { return p.bans.ResumeServer(server) }
 
 // Figures are the counts so far.
-func (p *Proxy) Figures() mgmt.Figures {
+func (p *Proxy) Metrics() management.Metrics {
 	f := p.figs.snapshot()
-	f.Broken = p.loop.audit.counts.All()
+	f.RuleViolations = p.loop.audit.counts.All()
 	maps.Copy(f.Events, p.loop.audit.all())
-	l := p.lists.Figures()
-	f.List = &mgmt.List{Age: l.Age, Failures: l.Failures, Calls: l.Calls, Stale: p.loop.list.isStale()}
-	if l.Members {
-		f.List.Members = &mgmt.ListMembers{Moves: l.Moves, Kept: l.Kept}
+	l := p.lists.Metrics()
+	f.EndpointList = &management.EndpointList{Age: l.Age, Failures: l.Failures, Calls: l.CallResults, Stale: p.loop.list.isStale()}
+	if l.FromRegistry {
+		f.EndpointList.Registry = &management.RegistryClient{Failovers: l.Failovers, RetainedEndpoints: l.RetainedEndpoints}
 	}
 	if p.fleet != nil {
-		f.Fleet = p.fleet.Figures()
+		f.Cluster = p.fleet.Metrics()
 	}
 	return f
 }
 
 // Reloaded counts a configuration that came with SIGHUP.
-func (p *Proxy) Reloaded(taken bool) { p.figs.reloaded(taken) }
+func (p *Proxy) RecordReload(taken bool) { p.figs.reloaded(taken) }
 
 // Addr is where clients connect.
 func (p *Proxy) Addr() string { return p.front.listener.Addr().String() }
@@ -356,7 +356,7 @@
 	if !ok {
 		return errors.New("the listener has no descriptor")
 	}
-	s, err := openSuccessors(p.cfg.State, shared, p.cfg.Log)
+	s, err := openSuccessors(p.cfg.StateDir, shared, p.cfg.Logger)
 	if err != nil {
 		return err
 	}
@@ -368,10 +368,10 @@
 
 // drainTimes tells how long after SIGTERM clients are served on, and when all must have ended. The last that
 // come in still have as long as the longest aim.
-func drainTimes(classes []logic.Class) (stay, left time.Duration) {
+func drainTimes(classes []balancer.Class) (stay, left time.Duration) {
 	deadline, aim := int64(0), int64(0)
 	for _, c := range classes {
-		deadline, aim = max(deadline, c.Deadline), max(aim, c.Aim)
+		deadline, aim = max(deadline, c.Deadline), max(aim, c.LatencyObjective)
 	}
 	left = min(time.Duration(deadline)*time.Microsecond, killAfter) + killLeeway
 	stay = max(acceptAfter, left-time.Duration(aim)*time.Microsecond)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/settings"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/settings"
 )
 
 const siteText = `{"contract":{"cold_us":1000000,"start_capacity":0.3},"failure_domains":["a"],"limits":{` +
@@ -100,10 +100,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Listen: "127.0.0.1:0", Discovery: discovery.Source{Address: list}, Seed: 7, Sockets: sockets, Site: site,
-		Watched: true, State: state, Log: slog.New(slog.DiscardHandler)}
+	cfg := Config{Listen: "127.0.0.1:0", Discovery: discovery.Source{Address: list}, Seed: 7, MaxDescriptors: sockets, Site: site,
+		Managed: true, StateDir: state, Logger: slog.New(slog.DiscardHandler)}
 	if known != "" {
-		if cfg.Known, err = discovery.Parse([]byte(known)); err != nil {
+		if cfg.InitialList, err = discovery.Parse([]byte(known)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -119,7 +119,7 @@
 	t.Cleanup(func() {
 		stop()
 		wait(t, "end of the proxy", ended)
-		for rule, n := range p.Figures().Broken { // whatever the test is about
+		for rule, n := range p.Metrics().RuleViolations { // whatever the test is about
 			if n > 0 && !r.breaks {
 				t.Errorf("the proxy broke the rule %s, %d times", rule, n)
 			}
@@ -132,7 +132,7 @@
 func serving(t *testing.T, reply func(io.Writer, *http.Request, int) bool) (*running, *fakeBackend) {
 	t.Helper()
 	b := startBackend(t, reply)
-	return startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving))), b
+	return startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing))), b
 }
 
 // client is one connection of a client.
@@ -315,14 +315,14 @@
 		return says(served, true)(w, r, n)
 	})
 	d := startDiscovery(t)
-	p := startProxy(t, d.addr, 120, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p := startProxy(t, d.addr, 120, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 	most := int(p.front.flight.Load())
 	var conns []*client
 	for i := range most {
 		conns = append(conns, connect(t, p))
 		conns[i].send(t, look(fmt.Sprint("f", i), 8000))
 	}
-	waitUntil(t, func() bool { return p.Figures().Outstanding == int64(most) })
+	waitUntil(t, func() bool { return p.Metrics().InFlight == int64(most) })
 	over := connect(t, p)
 	over.send(t, look("1", 4000))
 	resp, _ := over.answer(t)
@@ -345,7 +345,7 @@
 // Connections that carry no request are no reason to refuse one.
 func TestIdleConnectionsAreNoReasonToRefuse(t *testing.T) {
 	b := startBackend(t, says(served, true))
-	p := startProxy(t, startDiscovery(t).addr, 120, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p := startProxy(t, startDiscovery(t).addr, 120, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 	for range p.front.most.Load() + 2 {
 		connect(t, p)
 	}
@@ -383,12 +383,12 @@
 	if got := health(); got != 503 {
 		t.Errorf("healthy without a list: %d", got)
 	}
-	d.say <- listText(5, true, listed("a", a.addr, discovery.Serving))
+	d.say <- listText(5, true, listed("a", a.addr, discovery.StatusServing))
 	query("from=5")
 	if got := health(); got != 200 {
 		t.Errorf("not healthy with a list: %d", got)
 	}
-	for _, nonsense := range []string{`{"index":6,"snap`, listText(6, false, listed("a", "nowhere", discovery.Serving)),
+	for _, nonsense := range []string{`{"index":6,"snap`, listText(6, false, listed("a", "nowhere", discovery.StatusServing)),
 		listText(6, false, listed("a", a.addr, "RESTING")), ""} {
 		d.say <- nonsense
 		if nonsense == "" {
@@ -396,13 +396,13 @@
 		} else {
 			query("")
 		}
-		d.say <- listText(5, true, listed("a", a.addr, discovery.Serving))
+		d.say <- listText(5, true, listed("a", a.addr, discovery.StatusServing))
 		query("from=5")
 		if got := ask("x"); got != 200 {
 			t.Errorf("after %q: %d", nonsense, got)
 		}
 	}
-	d.say <- listText(7, false, listed("a", a.addr, discovery.Draining), listed("b", b.addr, discovery.Serving))
+	d.say <- listText(7, false, listed("a", a.addr, discovery.StatusDraining), listed("b", b.addr, discovery.StatusServing))
 	query("from=7")
 	served := a.requests.Load()
 	for i := range 20 {
--- a/internal/proxy/ready_test.go
+++ b/internal/proxy/ready_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"merlinpick/internal/discovery"
 )
 
 // asking is a site whose list is asked for, with an asking time of minutes.
@@ -35,7 +35,7 @@
 			return
 		}
 		if !r.URL.Query().Has("from") {
-			_, _ = io.WriteString(w, listText(1, true, listed("a", b.addr, discovery.Serving)))
+			_, _ = io.WriteString(w, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 			return
 		}
 		<-r.Context().Done()
@@ -46,7 +46,7 @@
 	t.Cleanup(s.Close)
 	p := startSite(t, asking, place.Addr().String(), 200, "", t.TempDir())
 	waitUntil(t, func() bool { return p.front.serving.Load() && calls.Load() >= 4 })
-	if missing := p.Missing(); p.Ready() || !strings.Contains(missing, "no list") ||
+	if missing := p.NotReadyReason(); p.Ready() || !strings.Contains(missing, "no list") ||
 		!strings.Contains(missing, place.Addr().String()) {
 		t.Errorf("ready %v, missing %q", p.Ready(), missing)
 	}
@@ -57,7 +57,7 @@
 		t.Errorf("ready %v after discovery was back", took)
 	}
 	p.stop()
-	waitUntil(t, func() bool { return p.Missing() == "it drains" })
+	waitUntil(t, func() bool { return p.NotReadyReason() == "it drains" })
 }
 
 // While discovery is down, deaf, or answers nonsense, the servers that were last known are used, for as long as it takes;
@@ -75,13 +75,13 @@
 				case "503":
 					w.WriteHeader(http.StatusServiceUnavailable)
 				case "nonsense":
-					_, _ = io.WriteString(w, listText(9, true, listed("a", "nowhere", discovery.Serving)))
+					_, _ = io.WriteString(w, listText(9, true, listed("a", "nowhere", discovery.StatusServing)))
 				default:
 					<-r.Context().Done()
 				}
 			}))
 			t.Cleanup(s.Close)
-			known := listText(1, true, listed("a", b.addr, discovery.Serving))
+			known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
 			p := startSite(t, asking, strings.TrimPrefix(s.URL, "http://"), 200, known, t.TempDir())
 			waitUntil(t, p.Ready)
 			lost := 4
@@ -97,7 +97,7 @@
 				}
 			}
 			if !p.Ready() {
-				t.Error(p.Missing())
+				t.Error(p.NotReadyReason())
 			}
 		})
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/proxy/guard"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/proxy/guard"
 )
 
 const (
@@ -23,7 +23,7 @@
 // request is one request that a client has handed over. The fields above answer are set before the loop
 // gets it; those below belong to the loop.
 type request struct {
-	logic.Request
+	balancer.Request
 	class  string // its name
 	method string
 	uri    string // path and query as they came
@@ -73,10 +73,10 @@
 	}
 	l.reqs[r.ID] = r
 	l.taken(r)
-	if !r.Uploading {
+	if !r.BodyPending {
 		l.limit(r)
 	}
-	l.bal.Request(l.clock.now(), l, r.Request)
+	l.bal.HandleRequest(l.clock.now(), l, r.Request)
 }
 
 // turnAway ends a request that the loop does not take: neither its table nor the module has it.
@@ -91,15 +91,15 @@
 // limit has a request end when its client gives up, at the latest.
 func (l *loop) limit(r *request) {
 	if l.cutoff > 0 {
-		r.GiveUp = min(r.GiveUp, l.cutoff)
+		r.Deadline = min(r.Deadline, l.cutoff)
 	}
-	heap.Push(&l.timers, timer{at: r.GiveUp + expireAfter.Microseconds(), req: r})
+	heap.Push(&l.timers, timer{at: r.Deadline + expireAfter.Microseconds(), req: r})
 }
 
 // arrived notes when the last byte of a body came that is still being passed on: the client's time runs from then on,
 // however long the backend takes for what is left.
 func (l *loop) arrived(r *request, at time.Time) {
-	if r.over || !r.Uploading {
+	if r.over || !r.BodyPending {
 		return
 	}
 	due := at.Add(r.wait)
@@ -107,7 +107,7 @@
 	if r.watched != nil {
 		r.watched.Due(due)
 	}
-	r.GiveUp = l.clock.at(due)
+	r.Deadline = l.clock.at(due)
 	l.limit(r)
 }
 
@@ -119,16 +119,16 @@
 	if due := r.due.Load(); due != nil {
 		giveUp = min(giveUp, l.clock.at(*due))
 	}
-	r.Uploading, r.GiveUp = false, giveUp
+	r.BodyPending, r.Deadline = false, giveUp
 	if r.watched != nil {
 		r.watched.Due(l.clock.time(giveUp))
 	}
 	l.limit(r)
 	now := l.clock.now()
-	timeout := l.bal.Uploaded(now, r.ID, r.GiveUp)
+	timeout := l.bal.HandleBodyReceived(now, r.ID, r.Deadline)
 	if a := r.current; a != nil && a.whole != nil {
 		a.sent = now
-		a.whole <- l.clock.time(min(r.GiveUp, now+timeout))
+		a.whole <- l.clock.time(min(r.Deadline, now+timeout))
 	}
 }
 
@@ -159,7 +159,7 @@
 		return
 	}
 	l.end(r, ans)
-	l.bal.Withdrawn(l.clock.now(), l, r.ID)
+	l.bal.HandleClientGone(l.clock.now(), l, r.ID)
 	if r.current != nil {
 		r.current.stop()
 	}
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // An answer without a length ends with the connection's end; a reset is none.
@@ -17,10 +17,10 @@
 			return n == 1 && resets(w)
 		})
 		p := poolWith(4, b.addr)
-		if res := newAttempt(p, "a", patience).run(); res.status != logic.Reset {
+		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusReset {
 			t.Errorf("%s, reset: got %v %q", name, res.status, res.body)
 		}
-		if res := newAttempt(p, "a", patience).run(); res.status != logic.OK || string(res.body) != "ok" {
+		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
 			t.Errorf("%s, ended: got %v %q", name, res.status, res.body)
 		}
 	}
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/keepalive"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/idletimeout"
 )
 
 // unrested has a pool use connections again at once.
@@ -38,7 +38,7 @@
 		return true
 	})
 	p := poolWith(4, b.addr)
-	if p.rest != keepalive.Rest {
+	if p.rest != idletimeout.ReuseDelay {
 		t.Errorf("connections rest for %v", p.rest)
 	}
 	p.rest = time.Second // for a machine that stands still now and then
@@ -46,7 +46,7 @@
 		if n == 1 {
 			close(next)
 		}
-		if res := newAttempt(p, "a", patience).run(); res.status != logic.OK || string(res.body) != "ok" {
+		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
 			t.Fatalf("request %d: got %v %q", n+1, res.status, res.body)
 		}
 	}
@@ -62,7 +62,7 @@
 	p.rest = 200 * time.Millisecond
 	for n := range 3 {
 		began := time.Now()
-		if res := newAttempt(p, "a", patience).run(); res.status != logic.OK || b.conns.Load() != 1 {
+		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || b.conns.Load() != 1 {
 			t.Fatalf("request %d: got %v on %d connections", n+1, res.status, b.conns.Load())
 		}
 		if took := time.Since(began); n > 0 && took < p.rest/2 {
@@ -74,11 +74,11 @@
 	results := make(chan result, 1)
 	go func() { results <- first.run() }()
 	waitUntil(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(first.backend.idle) == 0 })
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.OK || b.conns.Load() != 2 {
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || b.conns.Load() != 2 {
 		t.Errorf("beside one that waits: got %v on %d connections", res.status, b.conns.Load())
 	}
 	first.stop()
-	if res := wait(t, "result", results); res.status != logic.Moot || b.requests.Load() != 4 {
+	if res := wait(t, "result", results); res.status != balancer.StatusNotSent || b.requests.Load() != 4 {
 		t.Errorf("stopped in the rest: got %v after %d requests", res.status, b.requests.Load())
 	}
 }
--- a/internal/proxy/shares.go
+++ b/internal/proxy/shares.go
@@ -3,7 +3,7 @@
 import (
 	"cmp"
 
-	"fernlanding/internal/mgmt"
+	"merlinpick/internal/management"
 )
 
 const (
@@ -24,15 +24,15 @@
 // parts tells how many connections there may be of clients and to backends, and how many more of clients to refuse
 // on. While two processes are one proxy each has half of all.
 func (cfg Config) parts(shared bool) (clients, backends, over int) {
-	sockets, own := cfg.Sockets, ownSockets
+	sockets, own := cfg.MaxDescriptors, ownSockets
 	if shared {
 		sockets, own = sockets/2, ownShared
 	}
-	if cfg.Watched {
-		own += mgmt.MaxConns + 1
+	if cfg.Managed {
+		own += management.MaxConns + 1
 	}
-	if cfg.Fleet != nil {
-		own += cfg.Fleet.Descriptors
+	if cfg.Cluster != nil {
+		own += cfg.Cluster.Descriptors
 	}
 	over = min(overCap, max(overLeast, sockets/overPart))
 	rest := sockets - own - over
@@ -44,15 +44,15 @@
 func (p *Proxy) share(with bool) {
 	clients, backends, over := p.cfg.parts(with)
 	p.front.limit(max(clients, leastEach), max(backends, leastEach), over)
-	part, hold := 1.0, cmp.Or(p.cfg.Hold, defaultHold)
+	part, hold := 1.0, cmp.Or(p.cfg.BodyMemory, defaultHold)
 	if with {
 		part, hold = 0.5, hold/2
 	}
 	p.front.holds.limit(hold)
 	p.front.firsts.limit(hold)
 	p.loop.pool.limit(max(backends, leastEach), hold)
-	if p.cfg.Memory != nil {
-		p.cfg.Memory(part)
+	if p.cfg.OnMemoryShare != nil {
+		p.cfg.OnMemoryShare(part)
 	}
 }
 
@@ -61,6 +61,6 @@
 	others := p.others.Add(n)
 	p.share(others > 0)
 	if others == 0 {
-		p.loop.post(func() { p.loop.bal.Alone(p.loop.clock.now()) })
+		p.loop.post(func() { p.loop.bal.HandleOtherProcessExit(p.loop.clock.now()) })
 	}
 }
--- a/internal/proxy/shortage_test.go
+++ b/internal/proxy/shortage_test.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"testing"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // A connect that fails for what this machine is short of says nothing of the backend: nothing went out, and nobody is to
@@ -15,12 +15,12 @@
 func TestAShortageOfTheProxysOwnBlamesNoBackend(t *testing.T) {
 	for _, c := range []struct {
 		errno error
-		want  logic.Status
+		want  balancer.Status
 	}{
-		{syscall.EADDRNOTAVAIL, logic.Moot}, {syscall.ENOBUFS, logic.Moot}, {syscall.ENOMEM, logic.Moot},
-		{syscall.EMFILE, logic.Moot}, {syscall.ENFILE, logic.Moot}, {syscall.EAGAIN, logic.Moot},
-		{syscall.ECONNREFUSED, logic.ConnectFailed}, {syscall.EHOSTUNREACH, logic.ConnectFailed},
-		{syscall.ETIMEDOUT, logic.ConnectFailed}, {os.ErrDeadlineExceeded, logic.ConnectFailed},
+		{syscall.EADDRNOTAVAIL, balancer.StatusNotSent}, {syscall.ENOBUFS, balancer.StatusNotSent}, {syscall.ENOMEM, balancer.StatusNotSent},
+		{syscall.EMFILE, balancer.StatusNotSent}, {syscall.ENFILE, balancer.StatusNotSent}, {syscall.EAGAIN, balancer.StatusNotSent},
+		{syscall.ECONNREFUSED, balancer.StatusConnectFailed}, {syscall.EHOSTUNREACH, balancer.StatusConnectFailed},
+		{syscall.ETIMEDOUT, balancer.StatusConnectFailed}, {os.ErrDeadlineExceeded, balancer.StatusConnectFailed},
 	} {
 		p := poolWith(4, "127.0.0.1:1")
 		p.dialer = func(context.Context, string, string) (net.Conn, error) {
--- a/internal/proxy/starts.go
+++ b/internal/proxy/starts.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"fernlanding/internal/discovery"
+	"merlinpick/internal/discovery"
 )
 
 // starts are the servers' last starts on the clock of events, by name. The list gives them as Unix times, which are
@@ -18,14 +18,14 @@
 
 // of gives the start of an entry, at a moment of the clock of events and the wall clock; 0 is long ago.
 func (s starts) of(e discovery.Endpoint, now int64, wall time.Time) int64 {
-	if e.SinceMs == 0 {
+	if e.StartedAtMs == 0 {
 		delete(s, e.Name)
 		return 0
 	}
 	known, ok := s[e.Name]
-	if !ok || known.sinceMs != e.SinceMs {
-		age := max(0, wall.UnixMicro()-e.SinceMs*1000)
-		known = start{e.SinceMs, now - age}
+	if !ok || known.sinceMs != e.StartedAtMs {
+		age := max(0, wall.UnixMicro()-e.StartedAtMs*1000)
+		known = start{e.StartedAtMs, now - age}
 		s[e.Name] = known
 	}
 	return known.at
--- a/internal/proxy/starts_test.go
+++ b/internal/proxy/starts_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"merlinpick/internal/discovery"
 )
 
 // The age of a server's process is taken by the wall clock of the moment in which the list tells of its start: a step of
@@ -14,7 +14,7 @@
 		c := clock{start: time.Now()}
 		starts, now := starts{}, c.now()
 		wall := time.Now().Add(step)
-		e := discovery.Endpoint{Name: "a", SinceMs: wall.Add(-2 * time.Second).UnixMilli()}
+		e := discovery.Endpoint{Name: "a", StartedAtMs: wall.Add(-2 * time.Second).UnixMilli()}
 		age := func(at int64, wall time.Time) time.Duration {
 			return time.Duration(at-starts.of(e, at, wall)) * time.Microsecond
 		}
@@ -25,11 +25,11 @@
 		if got := age(later, wall.Add(3*time.Second-time.Minute)); got < 4900*time.Millisecond || got > 5100*time.Millisecond {
 			t.Errorf("step %v: listed again after a step of a minute it is %v old, want 5 s", step, got)
 		}
-		e.SinceMs = wall.Add(time.Hour).UnixMilli()
+		e.StartedAtMs = wall.Add(time.Hour).UnixMilli()
 		if got := age(now, wall); got != 0 {
 			t.Errorf("step %v: a start to come is %v old", step, got)
 		}
-		e.SinceMs = 0
+		e.StartedAtMs = 0
 		if got := starts.of(e, now, wall); got != 0 {
 			t.Errorf("a start of long ago is at %v", got)
 		}
@@ -44,12 +44,12 @@
 	before.Spent.Taken = []int64{before.Now - 2e6, before.Now - 1e6}
 	before.Spent.Further = []int64{before.Now - 1e6}
 	got := before.spentBy(now)
-	if got.Taken[0] != now-2e6 || got.Taken[1] != now-1e6 || got.Further[0] != now-1e6 {
+	if got.Requests[0] != now-2e6 || got.Requests[1] != now-1e6 || got.Retries[0] != now-1e6 {
 		t.Errorf("got %+v", got)
 	}
 	former := legacy{} // of a version that says no time
 	former.Spent.Taken = []int64{7}
-	if got := former.spentBy(now); got.Taken[0] != 7 {
+	if got := former.spentBy(now); got.Requests[0] != 7 {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/internal/proxy/stopped_test.go
+++ b/internal/proxy/stopped_test.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"testing"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // A request that is stopped while it is written has not run, and that is no fault of its server.
@@ -22,7 +22,7 @@
 		_, _ = io.ReadFull(far, make([]byte, 1<<10))
 		a.stop()
 	}()
-	if res := a.run(); res.status != logic.Moot || p.open != 0 {
+	if res := a.run(); res.status != balancer.StatusNotSent || p.open != 0 {
 		t.Errorf("got %v with %d open", res.status, p.open)
 	}
 }
--- a/internal/proxy/sync.go
+++ b/internal/proxy/sync.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
 )
 
 // How old the list may be that a proxy starts with and routes by.
@@ -19,17 +19,17 @@
 	switch {
 	case len(cfg.Discovery.Members) > 0:
 		return 0
-	case !cfg.Site.Logic.Subscribe:
-		return discovery.PushedWithin
+	case !cfg.Site.Balancer.WatchEndpoints:
+		return discovery.PushNotifyDeadline
 	}
-	return discovery.ToldWithin - syncMargin
+	return discovery.NotifyDeadline - syncMargin
 }
 
 // rules are the module's settings. The members' list shows what is listed for as long as no other comes.
-func (cfg Config) rules() logic.Settings {
-	rules := cfg.Site.Logic
+func (cfg Config) rules() balancer.Settings {
+	rules := cfg.Site.Balancer
 	if len(cfg.Discovery.Members) == 0 {
-		rules.EvidenceSpan = discovery.EvidenceSpan(!rules.Subscribe, time.Duration(rules.DrainGrace)*time.Microsecond).Microseconds()
+		rules.MembershipEvidenceTTL = discovery.EvidenceTTL(!rules.WatchEndpoints, time.Duration(rules.DrainGrace)*time.Microsecond).Microseconds()
 	}
 	return rules
 }
@@ -40,10 +40,10 @@
 	switch {
 	case len(cfg.Discovery.Members) > 0:
 		return 0
-	case !cfg.Site.Logic.Subscribe:
-		return discovery.PushedWithin
+	case !cfg.Site.Balancer.WatchEndpoints:
+		return discovery.PushNotifyDeadline
 	}
-	return discovery.ToldWithin
+	return discovery.NotifyDeadline
 }
 
 // awaitSync has this process be ready once discovery has confirmed the list, is out of reach, so that nothing counts as told,
@@ -55,9 +55,9 @@
 	select {
 	case <-p.loop.fresh:
 	case <-p.lists.Unreachable():
-		p.cfg.Log.Warn("ready by the configuration's list: discovery is out of reach", "discovery", p.cfg.Discovery)
+		p.cfg.Logger.Warn("ready by the configuration's list: discovery is out of reach", "discovery", p.cfg.Discovery)
 	case <-patience.C:
-		p.cfg.Log.Warn("ready by the configuration's list: discovery has not confirmed it", "waited", p.syncPatience)
+		p.cfg.Logger.Warn("ready by the configuration's list: discovery has not confirmed it", "waited", p.syncPatience)
 	case <-ctx.Done():
 	}
 }
--- a/internal/proxy/sync_test.go
+++ b/internal/proxy/sync_test.go
@@ -8,14 +8,14 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
+	"merlinpick/internal/discovery"
 )
 
 // A new process has a list of any age from its configuration. It is not ready before discovery has confirmed one, lest it send
 // to what is long gone; but it does not wait where discovery is out of reach, nor for longer than its bound.
 func TestANewProcessWaitsForItsList(t *testing.T) {
 	b := startBackend(t, says(served, true))
-	known := listText(1, true, listed("a", b.addr, discovery.Serving))
+	known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
 	start := func(t *testing.T, handler http.HandlerFunc, patience time.Duration) (*running, chan struct{}) {
 		t.Helper()
 		called := make(chan struct{}, 1)
@@ -41,7 +41,7 @@
 			case <-r.Context().Done():
 			}
 		}, time.Minute)
-		if missing := p.Missing(); !strings.Contains(missing, "not confirmed") {
+		if missing := p.NotReadyReason(); !strings.Contains(missing, "not confirmed") {
 			t.Errorf("missing %q before discovery has answered", missing)
 		}
 		answer <- struct{}{} // and the watch that follows is held
--- a/internal/proxy/turned_test.go
+++ b/internal/proxy/turned_test.go
@@ -8,17 +8,19 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
 )
 
 // A request that waits for a connection to a backend which drains, goes or restarts meanwhile does not wait for it to come
 // up: nothing could be sent on it. Nor is one begun that nothing could be sent on.
 func TestADialEndsWithItsBackendsEpoch(t *testing.T) {
-	restarted := entry("a", "127.0.0.1:1", discovery.Serving)
-	restarted.SinceMs = 7
+	restarted := entry("a", "127.0.0.1:1", discovery.StatusServing)
+	restarted.StartedAtMs = 7
 	for name, turn := range map[string]func(p *backends){
-		"drained":   func(p *backends) { p.apply(false, []discovery.Endpoint{entry("a", "127.0.0.1:1", discovery.Draining)}) },
+		"drained": func(p *backends) {
+			p.apply(false, []discovery.Endpoint{entry("a", "127.0.0.1:1", discovery.StatusDraining)})
+		},
 		"gone":      func(p *backends) { p.apply(true, nil) },
 		"restarted": func(p *backends) { p.apply(false, []discovery.Endpoint{restarted}) },
 		"banned":    func(p *backends) { p.ban(map[string]bool{"a": true}) },
@@ -36,11 +38,11 @@
 			go func() { results <- a.run() }()
 			wait(t, "dial", dials)
 			turn(p)
-			if res := wait(t, "result", results); res.status != logic.Moot || a.ctx.Err() != nil {
+			if res := wait(t, "result", results); res.status != balancer.StatusNotSent || a.ctx.Err() != nil {
 				t.Errorf("got %v", res.status)
 			}
 			began := time.Now()
-			if res := late.run(); res.status != logic.Moot || len(dials) != 0 {
+			if res := late.run(); res.status != balancer.StatusNotSent || len(dials) != 0 {
 				t.Errorf("after the turn: got %v after %v, with %d dials", res.status, time.Since(began), len(dials))
 			}
 			if p.open != 0 || len(a.backend.dials) != 0 {
@@ -63,11 +65,11 @@
 	results := make(chan result, 1)
 	go func() { results <- newAttempt(p, "a", patience).run() }()
 	wait(t, "request", came)
-	p.apply(false, []discovery.Endpoint{entry("a", b.addr, discovery.Draining)})
+	p.apply(false, []discovery.Endpoint{entry("a", b.addr, discovery.StatusDraining)})
 	p.sweep(time.Now().Add(p.idleFor))
 	p.limit(1, 1)
 	close(goOn)
-	if res := wait(t, "result", results); res.status != logic.OK || string(res.body) != "ok" || p.open != 0 {
+	if res := wait(t, "result", results); res.status != balancer.StatusOK || string(res.body) != "ok" || p.open != 0 {
 		t.Errorf("got %v %q with %d open", res.status, res.body, p.open)
 	}
 	wait(t, "close", b.closed)
@@ -79,16 +81,16 @@
 	p := poolWith(1, b.addr)
 	unrested(p)
 	a := newAttempt(p, "a", patience)
-	if res := a.run(); res.status != logic.OK {
+	if res := a.run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
 	c := p.reuse(a.backend, a.epoch, false)
 	p.sweep(time.Now().Add(2 * p.idleFor))
 	p.limit(1, 1)
-	if res := newAttempt(p, "a", patience).run(); res.status != logic.Moot { // no room, and none is made of this one
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusNotSent { // no room, and none is made of this one
 		t.Errorf("a second one: got %v", res.status)
 	}
-	if res, keep := a.exchange(c); res.status != logic.OK || !keep || b.conns.Load() != 1 {
+	if res, keep := a.exchange(c); res.status != balancer.StatusOK || !keep || b.conns.Load() != 1 {
 		t.Errorf("got %v, kept %v, on %d connections", res.status, keep, b.conns.Load())
 	}
 }
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 const (
@@ -280,7 +280,7 @@
 
 // passOnBody writes a request whose body is still coming. It ends when all has been written, and the time for the
 // answer has been told.
-func (a *attempt) passOnBody(c *conn) (status logic.Status, ok bool) {
+func (a *attempt) passOnBody(c *conn) (status balancer.Status, ok bool) {
 	more := &rest{Reader: a.req.rest, req: a.req}
 	left := a.req.wait
 	if due := a.req.due.Load(); due != nil {
@@ -297,20 +297,20 @@
 	}
 	switch {
 	case a.ctx.Err() != nil, more.err != nil:
-		return logic.Cancelled, false
+		return balancer.StatusCancelled, false
 	case err != nil: // the last byte was not written
-		return logic.ConnectFailed, false
+		return balancer.StatusConnectFailed, false
 	}
 	select {
 	case a.deadline = <-a.whole:
 	case <-a.ctx.Done():
-		return logic.Cancelled, false
+		return balancer.StatusCancelled, false
 	}
 	_ = c.SetDeadline(a.deadline)
 	if a.ctx.Err() != nil {
-		return logic.Cancelled, false
+		return balancer.StatusCancelled, false
 	}
-	return logic.OK, true
+	return balancer.StatusOK, true
 }
 
 // outgoing is the head of the request as it goes on, for an answer that is waited for so long.
@@ -361,7 +361,7 @@
 	if whole {
 		u.finish()
 		own := f.cameWhole(w, r, req)
-		req.GiveUp = f.giveUp(req)
+		req.Deadline = f.giveUp(req)
 		if f.over() {
 			req.answer <- full(req)
 		} else {
@@ -372,7 +372,7 @@
 	// The answer may come before the rest of the body has.
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	from, to := io.Pipe()
-	req.rest, req.length, req.Uploading = from, u.length, true
+	req.rest, req.length, req.BodyPending = from, u.length, true
 	req.stopBody = func() { u.stop(); from.CloseWithError(errRequestOver) }
 	unhook := context.AfterFunc(f.loop.ended, req.stopBody)
 	defer unhook()
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -11,8 +11,8 @@
 	"testing/synctest"
 	"time"
 
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
 )
 
 func post(id, framing string) string {
@@ -36,7 +36,7 @@
 			var got bytes.Buffer
 			b.body = &got
 			b.begun = make(chan struct{})
-			p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)))
+			p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 			cl := connect(t, p)
 			cl.send(t, post("1", c.framing))
 			if strings.Contains(c.framing, "Expect") {
@@ -71,7 +71,7 @@
 					t.Errorf("then got %s", resp.Status)
 				}
 			}
-			waitUntil(t, func() bool { f := p.Figures(); return f.Outstanding == 0 && f.Classes["post"].Succeeded == 1 })
+			waitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Succeeded == 1 })
 			if p.front.holds.used != 0 {
 				t.Errorf("%d bytes still held", p.front.holds.used)
 			}
@@ -83,7 +83,7 @@
 func TestABackendThatBreaksUnderABodyIsAnsweredAtOnce(t *testing.T) {
 	b := startBackend(t, says(served, true))
 	b.breaks = true
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 	cl := connect(t, p)
 	cl.send(t, post("1", fmt.Sprintf("Content-Length: %d", 20<<20)))
 	piece := strings.Repeat("x", 64<<10)
@@ -104,8 +104,8 @@
 	if got := wait(t, "the answer", answered); got != 503 { // the last byte was never written: it has not run
 		t.Errorf("got %d", got)
 	}
-	waitUntil(t, func() bool { f := p.Figures(); return f.Outstanding == 0 && f.Classes["post"].Declined == 1 })
-	if n := p.Figures().Forwards; n != 0 {
+	waitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Rejected == 1 })
+	if n := p.Metrics().Forwarded; n != 0 {
 		t.Errorf("%d attempts count as written", n)
 	}
 }
@@ -114,15 +114,15 @@
 func TestAClientThatGoesInItsBodyLeavesNothing(t *testing.T) {
 	b := startBackend(t, says(served, true))
 	b.begun = make(chan struct{})
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.Serving)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 	cl := connect(t, p)
 	cl.send(t, post("1", "Content-Length: 1000000")+strings.Repeat("x", holdMost+1))
 	wait(t, "the head at the backend", b.begun)
 	cl.Close()
 	wait(t, "the backend's connection", b.closed)
 	waitUntil(t, func() bool { return p.front.open() == 0 })
-	f := p.Figures()
-	if e := f.Classes["post"]; f.Outstanding != 0 || e.Succeeded+e.Declined+e.Aborted != 0 || f.Forwards != 0 {
+	f := p.Metrics()
+	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded+e.Rejected+e.Failed != 0 || f.Forwarded != 0 {
 		t.Errorf("got %+v", f)
 	}
 }
@@ -209,7 +209,9 @@
 // A body that cannot come whole before the cutoff is turned away with word that it may come again, not dropped.
 func TestABodyThatSIGTERMOvertakesIsTurnedAway(t *testing.T) {
 	p, _ := serving(t, says(served, true))
-	p.times = func([]logic.Class) (stay, left time.Duration) { return 100 * time.Millisecond, 600 * time.Millisecond }
+	p.times = func([]balancer.Class) (stay, left time.Duration) {
+		return 100 * time.Millisecond, 600 * time.Millisecond
+	}
 	for _, size := range []int{1000, 4 * holdMost} { // held, and passed on as it comes
 		cl := connect(t, p)
 		cl.send(t, post(fmt.Sprint(size), fmt.Sprintf("Content-Length: %d", size))+strings.Repeat("x", size-500))
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -3,20 +3,20 @@
 import (
 	"slices"
 
-	"fernlanding/internal/settings"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/settings"
 )
 
 // view is what the settings in force tell of requests. It does not change: others take its place, and each request
 // keeps the one that it was read by.
 type view struct {
-	rules   *logic.Settings // with classes by the module's numbers
-	classes map[string]int  // those numbers
+	rules   *balancer.Settings // with classes by the module's numbers
+	classes map[string]int     // those numbers
 	tenants map[string]int
 	readers int // requests that it is read by; guarded by the frontend's mu
 }
 
-func newView(site *settings.Site, rules *logic.Settings, numbers []int) *view {
+func newView(site *settings.Site, rules *balancer.Settings, numbers []int) *view {
 	v := &view{rules: rules, classes: map[string]int{}, tenants: map[string]int{}}
 	for i, name := range site.Classes {
 		v.classes[name] = numbers[i]
@@ -42,10 +42,10 @@
 }
 
 // classes are those in force.
-func (f *frontend) classes() []logic.Class {
+func (f *frontend) classes() []balancer.Class {
 	v := f.read()
 	defer f.done(v)
-	var all []logic.Class
+	var all []balancer.Class
 	for _, n := range v.classes {
 		all = append(all, v.rules.Classes[n])
 	}
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/logic"
+	"merlinpick/balancer"
 )
 
 // A further attempt is decided inside the window for repeats, and its connection may come up when that is over. Nobody
@@ -65,7 +65,7 @@
 		if uploading {
 			a.whole, a.req.rest = make(chan time.Time, 1), strings.NewReader("")
 		}
-		if res := a.run(); res.status != logic.ConnectFailed || time.Since(a.until) > streamPatience/2 {
+		if res := a.run(); res.status != balancer.StatusConnectFailed || time.Since(a.until) > streamPatience/2 {
 			t.Errorf("uploading %v: got %v", uploading, res.status)
 		}
 	}
--- a/internal/proxy/zonehands.go
+++ b/internal/proxy/zonehands.go
@@ -7,22 +7,22 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/bans"
-	"fernlanding/internal/mgmt"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/management"
+	"merlinpick/internal/override"
 )
 
 // zoneHands is what on-call staff did to zones, by name. All but named is the loop's.
 type zoneHands struct {
-	named   *bans.Names     // those of the settings and of lists
-	count   int             // of zones when they were last named
-	asked   map[string]bool // to be out: the union of this proxy's own and the fleet's
-	drained map[string]bool // those that are out: all of these, unless that left no zone with backends
-	kept    string          // the one that is not, then
+	named   *override.NameSet // those of the settings and of lists
+	count   int               // of zones when they were last named
+	asked   map[string]bool   // to be out: the union of this proxy's own and the fleet's
+	drained map[string]bool   // those that are out: all of these, unless that left no zone with backends
+	kept    string            // the one that is not, then
 }
 
 func newZoneHands(z zones) zoneHands {
-	h := zoneHands{named: bans.NewNames(), count: len(z)}
+	h := zoneHands{named: override.NewNameSet(), count: len(z)}
 	h.named.Add(slices.Collect(maps.Keys(z))...)
 	return h
 }
@@ -62,17 +62,17 @@
 		numbers[l.zones.number(zone)] = true
 	}
 	l.pool.drain(out)
-	l.bal.Drain(l.clock.now(), l, numbers)
-	l.figs.servers(l.bal.Servers())
+	l.bal.SetDrainedZones(l.clock.now(), l, numbers)
+	l.figs.servers(l.bal.ServerCounts())
 }
 
 // lookZones shows how zones stand, and has those that were restored come back where nobody else moves them: without a
 // fleet, or until its address is open.
 func (l *loop) lookZones() {
 	now := l.clock.now()
-	returning := func(z logic.ZoneState) bool { return z.Standing == logic.Returning }
-	if slices.ContainsFunc(l.bal.ZoneStates(now), returning) && (l.fleet == nil || !l.fleet.Figures().Open) {
-		l.bal.Peers(now, l, logic.Peers{Living: 1, Near: 1, Alone: true})
+	returning := func(z balancer.ZoneState) bool { return z.Phase == balancer.ZoneRecovering }
+	if slices.ContainsFunc(l.bal.ZoneStates(now), returning) && (l.fleet == nil || !l.fleet.Metrics().Open) {
+		l.bal.HandlePeerReports(now, l, balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true})
 	}
 	l.showZones()
 }
@@ -81,7 +81,7 @@
 	if !l.watched {
 		return
 	}
-	states := map[int]logic.ZoneState{}
+	states := map[int]balancer.ZoneState{}
 	for _, z := range l.bal.ZoneStates(l.clock.now()) {
 		states[z.Zone] = z
 	}
@@ -92,24 +92,24 @@
 		}
 		s, ok := states[n]
 		if !ok {
-			s.Share = 1
+			s.WeightFraction = 1
 		}
 		if l.hands.drained[name] { // those that the settings do not have are no zones to the module
-			s.Standing, s.Share = logic.Drained, 0
+			s.Phase, s.WeightFraction = balancer.ZoneDrained, 0
 		}
-		z := mgmt.Zone{Name: name, Standing: s.Standing, Share: s.Share, Epoch: s.Epoch, Reason: l.zoneReason(name, s)}
-		shown.zones = append(shown.zones, shownZone{z, l.clock.time(s.Since), s.Since != 0})
+		z := management.Zone{Name: name, Phase: s.Phase, WeightFraction: s.WeightFraction, Transitions: s.Transitions, Reason: l.zoneReason(name, s)}
+		shown.zones = append(shown.zones, shownZone{z, l.clock.time(s.ChangedAt), s.ChangedAt != 0})
 	}
 	slices.SortFunc(shown.zones, func(x, y shownZone) int { return cmp.Compare(x.Name, y.Name) })
 	l.figs.showZones(shown)
 }
 
 // causes are the words of causes in what callers read.
-var causes = [...]string{logic.NoCause: "bad", logic.Failing: "failing", logic.Silent: "silent", logic.Slow: "slow",
-	logic.Crowded: "crowded"}
+var causes = [...]string{balancer.NoFault: "bad", balancer.FaultErrors: "failing", balancer.FaultUnresponsive: "silent", balancer.FaultSlow: "slow",
+	balancer.FaultSaturated: "crowded"}
 
 // zoneReason says why a zone stands as it does.
-func (l *loop) zoneReason(name string, s logic.ZoneState) string {
+func (l *loop) zoneReason(name string, s balancer.ZoneState) string {
 	switch {
 	case l.hands.drained[name]:
 		return "drained by hand"
@@ -118,7 +118,7 @@
 	case s.Calls == 0:
 		return ""
 	}
-	return fmt.Sprintf("%.0f%% of %.0f calls %s, %d of %d copies call it bad", 100*s.Bad, s.Calls, causes[s.Cause], s.SayBad, s.Say)
+	return fmt.Sprintf("%.0f%% of %.0f calls %s, %d of %d copies call it bad", 100*s.BadFraction, s.Calls, causes[s.Fault], s.UnhealthyVotes, s.ReportingReplicas)
 }
 
 // zonesShown is how zones stood when the loop last looked.
@@ -129,13 +129,13 @@
 }
 
 type shownZone struct {
-	mgmt.Zone
+	management.Zone
 	since   time.Time
 	changed bool
 }
 
-func (s *zonesShown) now() []mgmt.Zone {
-	out := make([]mgmt.Zone, 0, len(s.zones))
+func (s *zonesShown) now() []management.Zone {
+	out := make([]management.Zone, 0, len(s.zones))
 	for _, z := range s.zones {
 		if !z.changed {
 			z.since = s.start
@@ -153,17 +153,17 @@
 }
 
 // Zones tells how each zone stands, by name.
-func (p *Proxy) Zones() []mgmt.Zone {
+func (p *Proxy) Zones() []management.Zone {
 	p.figs.mu.Lock()
 	defer p.figs.mu.Unlock()
 	return p.figs.zones.now()
 }
 
 // Drain has a zone get nothing new until Restore, as Suspend does a server. Its errors are those of bans.Bans.Drain.
-func (p *Proxy) Drain(zone string) error { return p.bans.Drain(zone) }
+func (p *Proxy) DrainZone(zone string) error { return p.bans.DrainZone(zone) }
 
 // Restore has a zone come back by steps.
-func (p *Proxy) Restore(zone string) error { return p.bans.Restore(zone) }
+func (p *Proxy) RestoreZone(zone string) error { return p.bans.RestoreZone(zone) }
 
 // drain has these zones and no others get nothing: idle connections there are closed.
 func (p *backends) drain(zones map[string]bool) {
--- a/internal/proxy/zonehands_test.go
+++ b/internal/proxy/zonehands_test.go
@@ -7,14 +7,14 @@
 	"strings"
 	"testing"
 
-	"fernlanding/internal/bans"
-	"fernlanding/internal/discovery"
-	"fernlanding/internal/mgmt"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/management"
+	"merlinpick/internal/override"
 )
 
 // stands is how a proxy shows a zone.
-func stands(t *testing.T, p *running, name string) mgmt.Zone {
+func stands(t *testing.T, p *running, name string) management.Zone {
 	t.Helper()
 	for _, z := range p.Zones() {
 		if z.Name == name {
@@ -22,7 +22,7 @@
 		}
 	}
 	t.Fatalf("zone %s is not shown: %+v", name, p.Zones())
-	return mgmt.Zone{}
+	return management.Zone{}
 }
 
 // A zone that is drained gets nothing at any process of a proxy, whatever lists say, and comes back by steps.
@@ -31,7 +31,7 @@
 	in := func(zone, text string) string {
 		return strings.Replace(text, `"zone":"a"`, fmt.Sprintf(`"zone":%q`, zone), 1)
 	}
-	known := listText(1, true, listed("a/1", a.addr, discovery.Serving), in("b", listed("b/1", b.addr, discovery.Serving)))
+	known := listText(1, true, listed("a/1", a.addr, discovery.StatusServing), in("b", listed("b/1", b.addr, discovery.StatusServing)))
 	d := startDiscovery(t)
 	text := strings.Replace(siteText, `"failure_domains":["a"]`, `"failure_domains":["a","b"]`, 1)
 	first := startSite(t, text, d.addr, 200, known, t.TempDir())
@@ -47,67 +47,67 @@
 		}
 	}
 	asks(first, 50)
-	if z := stands(t, first, "a"); a.requests.Load() == 0 || z.Standing != logic.Healthy || z.Share != 1 || first.Figures().Zones != nil {
-		t.Fatalf("before: %d at a, %+v, figures %+v", a.requests.Load(), z, first.Figures().Zones)
+	if z := stands(t, first, "a"); a.requests.Load() == 0 || z.Phase != balancer.ZoneHealthy || z.WeightFraction != 1 || first.Metrics().Zones != nil {
+		t.Fatalf("before: %d at a, %+v, figures %+v", a.requests.Load(), z, first.Metrics().Zones)
 	}
 	for range 2 { // calls may be repeated
-		if err := first.Drain("a"); err != nil {
+		if err := first.DrainZone("a"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	before := a.requests.Load()
-	var last *bans.LastZoneError
-	if err := first.Drain("b"); !errors.As(err, &last) {
+	var last *override.LastZoneError
+	if err := first.DrainZone("b"); !errors.As(err, &last) {
 		t.Errorf("the last zone: %v", err)
 	}
-	var unknown *bans.UnknownZoneError
-	if err := first.Drain("c"); !errors.As(err, &unknown) {
+	var unknown *override.UnknownZoneError
+	if err := first.DrainZone("c"); !errors.As(err, &unknown) {
 		t.Errorf("a stranger: %v", err)
 	}
-	second := startSite(t, text, d.addr, 200, known, first.cfg.State)
-	more := []string{listed("a/2", a.addr, discovery.Serving), in("c", listed("c/1", b.addr, discovery.Serving))}
+	second := startSite(t, text, d.addr, 200, known, first.cfg.StateDir)
+	more := []string{listed("a/2", a.addr, discovery.StatusServing), in("c", listed("c/1", b.addr, discovery.StatusServing))}
 	for _, p := range []*running{first, second} {
 		waitUntil(t, func() bool { // either may take what is said
 			select {
 			case d.say <- listText(2, false, more...):
 			default:
 			}
-			return p.Figures().Discovered == 4
+			return p.Metrics().ListedServers == 4
 		})
-		if z := stands(t, p, "a"); z.Standing != logic.Drained || z.Share != 0 || len(p.Figures().Zones) != 3 {
-			t.Errorf("drained: %+v, figures %+v", z, p.Figures().Zones)
+		if z := stands(t, p, "a"); z.Phase != balancer.ZoneDrained || z.WeightFraction != 0 || len(p.Metrics().Zones) != 3 {
+			t.Errorf("drained: %+v, figures %+v", z, p.Metrics().Zones)
 		}
 		asks(p, 50)
 	}
 	if n := a.requests.Load() - before; n > 0 {
 		t.Errorf("%d requests went to a zone that is drained", n)
 	}
-	if err := second.Restore("a"); err != nil {
+	if err := second.RestoreZone("a"); err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range []*running{second, first} {
-		waitUntil(t, func() bool { return stands(t, p, "a").Standing == logic.Returning })
+		waitUntil(t, func() bool { return stands(t, p, "a").Phase == balancer.ZoneRecovering })
 		before = a.requests.Load()
 		waitUntil(t, func() bool { asks(p, 1); return a.requests.Load() > before })
-		if p.Figures().Zones != nil {
+		if p.Metrics().Zones != nil {
 			t.Error("restored, it still shows figures of zones")
 		}
 	}
-	waitUntil(t, func() bool { return stands(t, first, "a").Share > 0.1 }) // without a fleet that moves it
+	waitUntil(t, func() bool { return stands(t, first, "a").WeightFraction > 0.1 }) // without a fleet that moves it
 }
 
 // Drains by calls at two proxies leave a zone, the same one at each.
 func TestDrainsThatMeetLeaveOneZone(t *testing.T) {
 	a, b := startBackend(t, says(served, true)), startBackend(t, says(served, true))
-	known := listText(1, true, listed("a/1", a.addr, discovery.Serving),
-		strings.Replace(listed("b/1", b.addr, discovery.Serving), `"zone":"a"`, `"zone":"b"`, 1))
+	known := listText(1, true, listed("a/1", a.addr, discovery.StatusServing),
+		strings.Replace(listed("b/1", b.addr, discovery.StatusServing), `"zone":"a"`, `"zone":"b"`, 1))
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 200, known)
-	p.bans.Outside(map[string]bool{bans.OfZone("a"): true, bans.OfZone("b"): true})
-	waitUntil(t, func() bool { return stands(t, p, "b").Standing == logic.Drained })
-	if z := stands(t, p, "a"); z.Standing != logic.Healthy || z.Reason == "" {
+	p.bans.SetRemote(map[string]bool{override.ZoneKey("a"): true, override.ZoneKey("b"): true})
+	waitUntil(t, func() bool { return stands(t, p, "b").Phase == balancer.ZoneDrained })
+	if z := stands(t, p, "a"); z.Phase != balancer.ZoneHealthy || z.Reason == "" {
 		t.Errorf("the first by name: %+v", z)
 	}
-	d.say <- listText(2, false, strings.Replace(listed("c/1", b.addr, discovery.Serving), `"zone":"a"`, `"zone":"c"`, 1))
-	waitUntil(t, func() bool { return stands(t, p, "a").Standing == logic.Drained }) // there is another now
+	d.say <- listText(2, false, strings.Replace(listed("c/1", b.addr, discovery.StatusServing), `"zone":"a"`, `"zone":"c"`, 1))
+	waitUntil(t, func() bool { return stands(t, p, "a").Phase == balancer.ZoneDrained }) // there is another now
 }
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -1,8 +1,8 @@
 package proxy
 
 import (
-	"fernlanding/internal/discovery"
-	"fernlanding/logic"
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
 )
 
 // zones numbers zones by name: first the settings' own, then others as they turn up.
@@ -26,19 +26,19 @@
 }
 
 // servers turns entries into the module's. The starts that they tell are Unix times; see starts for the module's clock.
-func (z zones) servers(entries []discovery.Endpoint, started func(discovery.Endpoint) int64) []logic.Server {
-	out := make([]logic.Server, 0, len(entries))
+func (z zones) servers(entries []discovery.Endpoint, started func(discovery.Endpoint) int64) []balancer.Server {
+	out := make([]balancer.Server, 0, len(entries))
 	for _, e := range entries {
-		s := logic.Server{ID: e.Name, Zone: z.number(e.Zone), Cell: e.Group, Size: 1, Launched: e.SinceMs * 1000,
-			Started: started(e)}
+		s := balancer.Server{ID: e.Name, Zone: z.number(e.Zone), Cell: e.Cell, CapacityHint: 1, StartTime: e.StartedAtMs * 1000,
+			LocalStartTime: started(e)}
 		switch e.Status {
-		case discovery.Serving:
-			s.State = logic.Ready
-		case discovery.Draining:
-			s.State = logic.Draining
+		case discovery.StatusServing:
+			s.State = balancer.ServerReady
+		case discovery.StatusDraining:
+			s.State = balancer.ServerDraining
 		}
 		if e.Weight != nil {
-			s.Size = *e.Weight
+			s.CapacityHint = *e.Weight
 		}
 		out = append(out, s)
 	}
--- a/internal/roster/api/api.go
+++ b/internal/registry/api/api.go
@@ -35,10 +35,10 @@
 	"sync/atomic"
 	"time"
 
-	"fernlanding/internal/proxy/accept"
-	"fernlanding/internal/roster/inforce"
-	"fernlanding/internal/roster/member"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/listener"
+	"merlinpick/internal/registry/raftnode"
+	"merlinpick/internal/registry/rollout"
+	"merlinpick/internal/registry/state"
 )
 
 const (
@@ -57,7 +57,7 @@
 	Listen   string
 	Name     string // of the member
 	Watchers int    // watches that are held at once; more are answered 503
-	Log      *slog.Logger
+	Logger   *slog.Logger
 }
 
 // Server answers the calls.
@@ -65,27 +65,27 @@
 	cfg      Config
 	http     *http.Server
 	listener net.Listener
-	member   atomic.Pointer[member.Member]
+	member   atomic.Pointer[raftnode.Node]
 	pass     *http.Client
 	ending   chan struct{} // closed when watches have to end
 	once     sync.Once
-	words    inforce.Table // what proxies have told this member
+	words    rollout.Table // what proxies have told this member
 
 	// Counts, for Figures.
 	watching, calls, turned, lists, deltas, passedOn, wordsDropped atomic.Int64
 }
 
 // Figures are the counts so far.
-type Figures struct {
-	Watching int64 // held now
-	Calls    int64
-	Turned   int64 // answered 503
-	Whole    int64 // answers with the whole list
-	Changes  int64 // and with changes, perhaps none
-	Passed   int64 // calls passed on to the leader
+type Metrics struct {
+	Watches   int64 // held now
+	Calls     int64
+	Rejected  int64 // answered 503
+	Snapshots int64 // answers with the whole list
+	Changes   int64 // and with changes, perhaps none
+	Forwarded int64 // calls passed on to the leader
 
-	Words        int64 // proxies that have told what they have in force
-	WordsDropped int64 // words for which there was no room
+	ProxyReports        int64 // proxies that have told what they have in force
+	ProxyReportsDropped int64 // words for which there was no room
 }
 
 // Listen opens the address; Serve answers there, and until Open all but a word on itself is 503.
@@ -94,10 +94,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	s := &Server{cfg: cfg, listener: accept.Retry(l, cfg.Log), ending: make(chan struct{}), pass: &http.Client{Timeout: passWait,
+	s := &Server{cfg: cfg, listener: listener.Retry(l, cfg.Logger), ending: make(chan struct{}), pass: &http.Client{Timeout: passWait,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 8, MaxConnsPerHost: 64, IdleConnTimeout: idleWait, DisableCompression: true}}}
 	s.http = &http.Server{Handler: s.handler(), ReadHeaderTimeout: headWait, IdleTimeout: idleWait,
-		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(cfg.Log.Handler(), slog.LevelDebug)}
+		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(cfg.Logger.Handler(), slog.LevelDebug)}
 	return s, nil
 }
 
@@ -105,7 +105,7 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Open has it answer for a member.
-func (s *Server) Open(m *member.Member) { s.member.Store(m) }
+func (s *Server) SetNode(m *raftnode.Node) { s.member.Store(m) }
 
 // Serve answers until End.
 func (s *Server) Serve() error {
@@ -116,7 +116,7 @@
 }
 
 // End tells those who watch to go elsewhere, and ends when they have been told, or patience has.
-func (s *Server) End(patience time.Duration) {
+func (s *Server) Shutdown(patience time.Duration) {
 	s.once.Do(func() { close(s.ending) })
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -126,14 +126,14 @@
 }
 
 // Figures are the counts so far.
-func (s *Server) Figures() Figures {
-	return Figures{s.watching.Load(), s.calls.Load(), s.turned.Load(), s.lists.Load(), s.deltas.Load(), s.passedOn.Load(),
+func (s *Server) Metrics() Metrics {
+	return Metrics{s.watching.Load(), s.calls.Load(), s.turned.Load(), s.lists.Load(), s.deltas.Load(), s.passedOn.Load(),
 		int64(s.words.Len()), s.wordsDropped.Load()}
 }
 
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	with := func(do func(http.ResponseWriter, *http.Request, *member.Member)) http.HandlerFunc {
+	with := func(do func(http.ResponseWriter, *http.Request, *raftnode.Node)) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			s.calls.Add(1)
 			m := s.member.Load()
@@ -147,8 +147,8 @@
 	mux.HandleFunc("GET /catalog/members", with(s.list))
 	mux.HandleFunc("PUT /catalog/members/{name}", with(s.register))
 	mux.HandleFunc("POST /catalog/members/{name}/renew", with(s.renew))
-	mux.HandleFunc("POST /catalog/members/{name}/drain", with(s.take(state.Drain)))
-	mux.HandleFunc("DELETE /catalog/members/{name}", with(s.take(state.Deregister)))
+	mux.HandleFunc("POST /catalog/members/{name}/drain", with(s.take(state.CommandDrain)))
+	mux.HandleFunc("DELETE /catalog/members/{name}", with(s.take(state.CommandDeregister)))
 	mux.HandleFunc("GET /config/{service}", with(s.config))
 	mux.HandleFunc("PUT /config/{service}", with(s.putConfig))
 	mux.HandleFunc("GET /config/{service}/status", with(s.configStatus))
@@ -158,25 +158,25 @@
 			answer(w, http.StatusOK, m.Status())
 			return
 		}
-		answer(w, http.StatusOK, member.Waiting(s.cfg.Name))
+		answer(w, http.StatusOK, raftnode.WaitingStatus(s.cfg.Name))
 	})
-	mux.HandleFunc("GET /v1/proof", with(func(w http.ResponseWriter, r *http.Request, m *member.Member) {
-		p, err := m.Proof()
+	mux.HandleFunc("GET /v1/proof", with(func(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
+		p, err := m.ReadIndex()
 		if err != nil {
 			s.turn(w, err)
 			return
 		}
 		answer(w, http.StatusOK, p)
 	}))
-	mux.HandleFunc("GET /v1/nodos", with(func(w http.ResponseWriter, r *http.Request, m *member.Member) {
+	mux.HandleFunc("GET /v1/nodos", with(func(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 		if s.toLeader(w, r, m, nil) {
 			return
 		}
-		if err := m.AwaitFresh(r.Context()); err != nil {
+		if err := m.WaitLinearizable(r.Context()); err != nil {
 			s.turn(w, err)
 			return
 		}
-		answer(w, http.StatusOK, m.Nodos())
+		answer(w, http.StatusOK, m.Endpoints())
 	}))
 	mux.HandleFunc("GET /v1/snapshot", with(s.snapshot))
 	mux.HandleFunc("POST /v1/restore", with(s.restore))
@@ -202,13 +202,13 @@
 }
 
 // Fault is the body of an answer that is no yes.
-type Fault struct {
+type ErrorBody struct {
 	Error string `json:"error"`
-	End   string `json:"end,omitempty"` // of a command, by package state
+	Code  string `json:"end,omitempty"` // of a command, by package state
 }
 
 // FaultOf reads the body of an answer that is no yes; one that is none of the service's says as much as its status does.
-func FaultOf(resp *http.Response, body []byte) (f Fault) {
+func ReadError(resp *http.Response, body []byte) (f ErrorBody) {
 	if json.Unmarshal(body, &f) != nil || f.Error == "" {
 		f.Error = resp.Status
 	}
@@ -216,7 +216,7 @@
 }
 
 func fail(w http.ResponseWriter, status int, format string, args ...any) {
-	answer(w, status, Fault{Error: fmt.Sprintf(format, args...)})
+	answer(w, status, ErrorBody{Error: fmt.Sprintf(format, args...)})
 }
 
 // turn answers that trying again does no harm.
@@ -227,21 +227,21 @@
 }
 
 // list answers with the whole list, or a watch.
-func (s *Server) list(w http.ResponseWriter, r *http.Request, m *member.Member) {
+func (s *Server) list(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 	q := r.URL.Query()
 	if !q.Has("from") {
 		if q.Get("consistent") == "1" {
-			if err := m.AwaitFresh(r.Context()); err != nil {
+			if err := m.WaitLinearizable(r.Context()); err != nil {
 				s.turn(w, err)
 				return
 			}
 		}
 		if !m.Serving() {
-			s.turn(w, member.ErrStale)
+			s.turn(w, raftnode.ErrStale)
 			return
 		}
 		s.lists.Add(1)
-		send(w, http.StatusOK, m.Hub().Whole())
+		send(w, http.StatusOK, m.Hub().Snapshot())
 		return
 	}
 	from, until, release, ok := s.hold(w, r)
@@ -289,36 +289,36 @@
 // A version that this member has not reached is of a member that is ahead of it (then it waits), or of a line that was
 // lost (then the whole list tells). Which of the two, the caller's line says; one that names no line waits until this
 // member has proved itself current since the call came.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, m *member.Member, from int64, line string, until time.Time) {
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, m *raftnode.Node, from int64, line string, until time.Time) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	over := false
 	for {
-		changed := m.Hub().Await()
+		changed := m.Hub().Wait()
 		if !m.Serving() {
-			s.turn(w, member.ErrStale)
+			s.turn(w, raftnode.ErrStale)
 			return
 		}
 		own, index := m.Version()
 		switch {
 		case line != "" && line != own:
 			s.lists.Add(1)
-			send(w, http.StatusOK, m.Hub().Whole())
+			send(w, http.StatusOK, m.Hub().Snapshot())
 			return
 		case from > index && line == "":
-			if err := m.AwaitFresh(r.Context()); err != nil {
+			if err := m.WaitLinearizable(r.Context()); err != nil {
 				s.turn(w, err)
 				return
 			}
 			if _, index = m.Version(); from > index {
 				s.lists.Add(1)
-				send(w, http.StatusOK, m.Hub().Whole())
+				send(w, http.StatusOK, m.Hub().Snapshot())
 				return
 			}
 			continue
 		case from < index, over && from == index:
 			s.deltas.Add(1)
-			send(w, http.StatusOK, m.Hub().Since(from))
+			send(w, http.StatusOK, m.Hub().ChangesSince(from))
 			return
 		case over:
 			s.turn(w, errors.New("this member has not come up to that version yet"))
@@ -338,13 +338,13 @@
 }
 
 // toLeader passes a call on if this member does not lead; true: it is answered.
-func (s *Server) toLeader(w http.ResponseWriter, r *http.Request, m *member.Member, body []byte) bool {
+func (s *Server) toLeader(w http.ResponseWriter, r *http.Request, m *raftnode.Node, body []byte) bool {
 	leader, ok := m.Leader()
 	if ok && leader.Name == s.cfg.Name {
 		return false // whether it really leads is seen when it does what was asked
 	}
 	if !ok || leader.API == "" || r.Header.Get(passed) != "" {
-		s.turn(w, member.ErrNoLeader)
+		s.turn(w, raftnode.ErrNoLeader)
 		return true
 	}
 	s.passedOn.Add(1)
@@ -356,13 +356,13 @@
 	req.Header.Set(passed, s.cfg.Name)
 	resp, err := s.pass.Do(req)
 	if err != nil {
-		s.turn(w, fmt.Errorf("%w (the leader, %s: %w)", member.ErrUnsure, leader.Name, err))
+		s.turn(w, fmt.Errorf("%w (the leader, %s: %w)", raftnode.ErrUncertain, leader.Name, err))
 		return true
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, state.FileMost))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, state.MaxSnapshotBytes))
 	if err != nil {
-		s.turn(w, fmt.Errorf("%w (the leader, %s: %w)", member.ErrUnsure, leader.Name, err))
+		s.turn(w, fmt.Errorf("%w (the leader, %s: %w)", raftnode.ErrUncertain, leader.Name, err))
 		return true
 	}
 	if after := resp.Header.Get("Retry-After"); after != "" {
--- a/internal/roster/api/api_test.go
+++ b/internal/registry/api/api_test.go
@@ -12,29 +12,29 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/roster/lease"
-	"fernlanding/internal/roster/member"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/lease"
+	"merlinpick/internal/registry/raftnode"
+	"merlinpick/internal/registry/state"
 )
 
 // open is an only member behind its address.
-func open(b testing.TB, watchers int) (*member.Member, *Server) {
+func open(b testing.TB, watchers int) (*raftnode.Node, *Server) {
 	b.Helper()
 	log := slog.New(slog.DiscardHandler)
-	s, err := Listen(Config{Listen: "127.0.0.1:0", Name: "r1", Watchers: watchers, Log: log})
+	s, err := Listen(Config{Listen: "127.0.0.1:0", Name: "r1", Watchers: watchers, Logger: log})
 	if err != nil {
 		b.Fatal(err)
 	}
-	m, err := member.Open(b.Context(), member.Config{Name: "r1", Dir: b.TempDir(), Election: 100 * time.Millisecond,
-		Stale: time.Minute, Lease: lease.Defaults(), Log: log})
+	m, err := raftnode.Open(b.Context(), raftnode.Config{Name: "r1", Dir: b.TempDir(), ElectionTimeout: 100 * time.Millisecond,
+		MaxListAge: time.Minute, Lease: lease.DefaultConfig(), Logger: log})
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.Open(m)
+	s.SetNode(m)
 	served := make(chan error, 1)
 	go func() { served <- s.Serve() }()
 	b.Cleanup(func() {
-		s.End(time.Second)
+		s.Shutdown(time.Second)
 		if err := <-served; err != nil {
 			b.Error(err)
 		}
@@ -130,7 +130,7 @@
 		var l struct {
 			Index     *int64
 			Snapshot  *bool
-			Endpoints []state.Entry
+			Endpoints []state.Endpoint
 		}
 		if status != c.taken {
 			t.Errorf("%s: %d %s", c.query, status, text)
@@ -152,7 +152,7 @@
 	for _, c := range held {
 		c.ask(index)
 	}
-	for s.Figures().Watching < 2 {
+	for s.Metrics().Watches < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	if status, after, _ := call(t, s, "GET", fmt.Sprint("/catalog/members?hold_ms=60000&from=", index), ""); status != 503 || after == "" {
@@ -169,10 +169,10 @@
 // A caller that does not read what it asked for delays nobody.
 func TestASlowReader(t *testing.T) {
 	m, s := open(t, 10)
-	i := m.Image()
+	i := m.StateSnapshot()
 	for k := range 5000 {
-		i.Records = append(i.Records, state.Record{Entry: state.Entry{Name: fmt.Sprintf("s-%08x", k), Address: "10.1.0.18:8443", Zone: "a",
-			Status: state.Serving, Weight: 1}, Instance: "1", LeaseMs: 60_000})
+		i.Records = append(i.Records, state.Record{Endpoint: state.Endpoint{Name: fmt.Sprintf("s-%08x", k), Address: "10.1.0.18:8443", Zone: "a",
+			Status: state.StatusServing, Weight: 1}, Instance: "1", LeaseMs: 60_000})
 	}
 	if _, _, err := m.Restore(i); err != nil {
 		t.Fatal(err)
@@ -203,7 +203,7 @@
 		if w.Code != 200 && w.Code != 400 && w.Code != 409 {
 			t.Errorf("%q: %d %s", data, w.Code, w.Body)
 		}
-		i := m.Image()
+		i := m.StateSnapshot()
 		if err := i.Check(); err != nil {
 			t.Errorf("%q left %v", data, err)
 		}
--- a/internal/roster/api/bench_test.go
+++ b/internal/registry/api/bench_test.go
@@ -13,24 +13,24 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/roster/fanout"
-	"fernlanding/internal/roster/member"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/raftnode"
+	"merlinpick/internal/registry/state"
+	"merlinpick/internal/registry/watch"
 )
 
-func register(b testing.TB, m *member.Member, name string, since int64) int64 {
+func register(b testing.TB, m *raftnode.Node, name string, since int64) int64 {
 	b.Helper()
-	r, err := m.Do(state.Command{Kind: state.Register, Record: &state.Record{Entry: state.Entry{Name: name, Address: "127.0.0.1:1",
-		Zone: "a", Type: "t", Status: state.Serving, Weight: 1, Since: since}, Instance: fmt.Sprint(since),
-		LeaseMs: state.LeaseMost.Milliseconds()}})
-	if err != nil || r.End != state.Done {
+	r, err := m.Propose(state.Command{Kind: state.CommandRegister, Record: &state.Record{Endpoint: state.Endpoint{Name: name, Address: "127.0.0.1:1",
+		Zone: "a", Type: "t", Status: state.StatusServing, Weight: 1, Since: since}, Instance: fmt.Sprint(since),
+		LeaseMs: state.MaxLease.Milliseconds()}})
+	if err != nil || r.Code != state.ResultDone {
 		b.Fatal(r, err)
 	}
-	return r.Index
+	return r.Version
 }
 
 // naive is the service without shared answers: each caller that is woken encodes its own.
-func naive(b *testing.B, m *member.Member) string {
+func naive(b *testing.B, m *raftnode.Node) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,7 +39,7 @@
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 		for {
-			changed := m.Hub().Await()
+			changed := m.Hub().Wait()
 			if _, index := m.Version(); index > from {
 				break
 			}
@@ -51,11 +51,11 @@
 		}
 		line, index, changes, kept := m.Changes(from)
 		if kept {
-			send(w, http.StatusOK, fanout.Answer{Index: index, Line: line, Endpoints: fanout.Merge(changes)}.Encode())
+			send(w, http.StatusOK, watch.Response{Version: index, Epoch: line, Endpoints: watch.MergeChanges(changes)}.Encode())
 			return
 		}
-		line, index, all := m.Whole()
-		send(w, http.StatusOK, fanout.Answer{Index: index, Snapshot: true, Line: line, Endpoints: all}.Encode())
+		line, index, all := m.Snapshot()
+		send(w, http.StatusOK, watch.Response{Version: index, Snapshot: true, Epoch: line, Endpoints: all}.Encode())
 	})}
 	go func() { _ = s.Serve(l) }()
 	b.Cleanup(func() { s.Close() })
@@ -161,10 +161,10 @@
 				if form == "naive" {
 					addr = naive(b, m)
 				}
-				i := m.Image()
+				i := m.StateSnapshot()
 				for k := range 1000 {
-					i.Records = append(i.Records, state.Record{Entry: state.Entry{Name: fmt.Sprintf("s-%08x", k), Address: "10.1.0.18:8443",
-						Zone: "a", Type: "m2", Group: 3, Status: state.Serving, Weight: 1}, Instance: "1", LeaseMs: state.LeaseMost.Milliseconds()})
+					i.Records = append(i.Records, state.Record{Endpoint: state.Endpoint{Name: fmt.Sprintf("s-%08x", k), Address: "10.1.0.18:8443",
+						Zone: "a", Type: "m2", Group: 3, Status: state.StatusServing, Weight: 1}, Instance: "1", LeaseMs: state.MaxLease.Milliseconds()})
 				}
 				if _, _, err := m.Restore(i); err != nil {
 					b.Fatal(err)
--- a/internal/roster/api/configs.go
+++ b/internal/registry/api/configs.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/roster/inforce"
-	"fernlanding/internal/roster/member"
-	"fernlanding/internal/roster/state"
-	"fernlanding/internal/settings"
+	"merlinpick/internal/registry/raftnode"
+	"merlinpick/internal/registry/rollout"
+	"merlinpick/internal/registry/state"
+	"merlinpick/internal/settings"
 )
 
 // Configurations of services. docs/rollout.md says what is promised.
@@ -40,15 +40,15 @@
 // ServiceConfig is the answer to a GET of a configuration. A watch that has no news has no document.
 type ServiceConfig struct {
 	Service  string          `json:"service"`
-	Line     string          `json:"line"`
+	Epoch    string          `json:"line"`
 	Version  int64           `json:"version"` // 0: there is none
-	Former   int64           `json:"former,omitempty"`
+	Previous int64           `json:"former,omitempty"`
 	Document json.RawMessage `json:"document,omitempty"`
 }
 
 // ConfigFault is the answer to a put that was not taken.
-type ConfigFault struct {
-	Fault
+type ConfigErrorBody struct {
+	ErrorBody
 	Key     string `json:"key,omitempty"`    // of the document
 	Remedy  string `json:"remedy,omitempty"` // what to do
 	Version int64  `json:"version"`          // the newest, where it is known
@@ -64,14 +64,14 @@
 }
 
 func sendConfig(w http.ResponseWriter, line string, c state.Configuration) {
-	out := ServiceConfig{Service: c.Service, Line: line, Version: c.Version, Document: c.Document}
-	if c.Former != nil {
-		out.Former = c.Former.Version
+	out := ServiceConfig{Service: c.Service, Epoch: line, Version: c.Version, Document: c.Document}
+	if c.Previous != nil {
+		out.Previous = c.Previous.Version
 	}
 	answer(w, http.StatusOK, out)
 }
 
-func (s *Server) config(w http.ResponseWriter, r *http.Request, m *member.Member) {
+func (s *Server) config(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 	name, ok := service(w, r)
 	if !ok {
 		return
@@ -82,49 +82,49 @@
 		return
 	}
 	if q.Get("consistent") == "1" {
-		if err := m.AwaitFresh(r.Context()); err != nil {
+		if err := m.WaitLinearizable(r.Context()); err != nil {
 			s.turn(w, err)
 			return
 		}
 	}
 	if !m.Serving() {
-		s.turn(w, member.ErrStale)
+		s.turn(w, raftnode.ErrStale)
 		return
 	}
 	line, c, ok := m.Configuration(name)
 	switch {
-	case !ok, q.Get("former") == "1" && c.Former == nil:
-		answer(w, http.StatusNotFound, Fault{Error: name + " has no such configuration", End: state.Unknown})
+	case !ok, q.Get("former") == "1" && c.Previous == nil:
+		answer(w, http.StatusNotFound, ErrorBody{Error: name + " has no such configuration", Code: state.ResultUnknown})
 	case q.Get("former") == "1":
-		sendConfig(w, line, state.Configuration{Service: name, Version: c.Former.Version, Document: c.Former.Document})
+		sendConfig(w, line, state.Configuration{Service: name, Version: c.Previous.Version, Document: c.Previous.Document})
 	default:
 		sendConfig(w, line, c)
 	}
 }
 
 // word reads what a proxy says that it has in force; no name: nothing.
-func word(w http.ResponseWriter, r *http.Request) (out inforce.Word, ok bool) {
+func word(w http.ResponseWriter, r *http.Request) (out rollout.ProxyReport, ok bool) {
 	q := r.URL.Query()
 	if out.Name = q.Get("name"); out.Name == "" {
 		return out, true
 	}
-	if len(out.Name) > inforce.NameMost {
-		fail(w, http.StatusBadRequest, "name: at most %d bytes", inforce.NameMost)
+	if len(out.Name) > rollout.MaxNameBytes {
+		fail(w, http.StatusBadRequest, "name: at most %d bytes", rollout.MaxNameBytes)
 		return out, false
 	}
-	if out.InForce, ok = number(w, r, "in_force", "a version is"); !ok {
+	if out.AppliedVersion, ok = number(w, r, "in_force", "a version is"); !ok {
 		return out, false
 	}
-	if out.Refused, ok = number(w, r, "refused", "a version is"); !ok {
+	if out.RejectedVersion, ok = number(w, r, "refused", "a version is"); !ok {
 		return out, false
 	}
-	out.Why = q.Get("why")
-	out.Why = out.Why[:min(len(out.Why), inforce.WhyMost)]
+	out.RejectReason = q.Get("why")
+	out.RejectReason = out.RejectReason[:min(len(out.RejectReason), rollout.MaxReasonBytes)]
 	return out, true
 }
 
 // watchConfig answers when there is something newer than from, or its time is over, by the rules of Server.watch.
-func (s *Server) watchConfig(w http.ResponseWriter, r *http.Request, m *member.Member, name string) {
+func (s *Server) watchConfig(w http.ResponseWriter, r *http.Request, m *raftnode.Node, name string) {
 	said, ok := word(w, r)
 	if !ok {
 		return
@@ -134,7 +134,7 @@
 		return
 	}
 	defer release()
-	if said.Name != "" && !s.words.Say(name, said, time.Now()) {
+	if said.Name != "" && !s.words.Record(name, said, time.Now()) {
 		s.wordsDropped.Add(1)
 	}
 	line := r.URL.Query().Get("line")
@@ -142,9 +142,9 @@
 	defer timer.Stop()
 	over := false
 	for {
-		changed := m.Hub().Await()
+		changed := m.Hub().Wait()
 		if !m.Serving() {
-			s.turn(w, member.ErrStale)
+			s.turn(w, raftnode.ErrStale)
 			return
 		}
 		own, c, _ := m.Configuration(name)
@@ -154,7 +154,7 @@
 			sendConfig(w, own, c)
 			return
 		case c.Version < from && line == "":
-			if err := m.AwaitFresh(r.Context()); err != nil {
+			if err := m.WaitLinearizable(r.Context()); err != nil {
 				s.turn(w, err)
 				return
 			}
@@ -165,7 +165,7 @@
 			}
 			continue
 		case over && c.Version == from:
-			answer(w, http.StatusOK, ServiceConfig{Service: name, Line: own, Version: from})
+			answer(w, http.StatusOK, ServiceConfig{Service: name, Epoch: own, Version: from})
 			return
 		case over:
 			s.turn(w, errors.New("this member has not come up to that version yet"))
@@ -185,10 +185,10 @@
 }
 
 func refuse(w http.ResponseWriter, status int, end, key, problem, remedy string, newest int64) {
-	answer(w, status, ConfigFault{Fault{Error: problem, End: end}, key, remedy, newest})
+	answer(w, status, ConfigErrorBody{ErrorBody{Error: problem, Code: end}, key, remedy, newest})
 }
 
-func (s *Server) putConfig(w http.ResponseWriter, r *http.Request, m *member.Member) {
+func (s *Server) putConfig(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 	name, ok := service(w, r)
 	if !ok {
 		return
@@ -201,7 +201,7 @@
 	if !ok {
 		return
 	}
-	body, ok := whole(w, r, 2*settings.DocumentMost) // with spaces, which are not kept
+	body, ok := whole(w, r, 2*settings.MaxDocumentBytes) // with spaces, which are not kept
 	if !ok {
 		return
 	}
@@ -219,8 +219,8 @@
 	}
 	// A leader of an older build would answer as if there were no such call.
 	if leader, ok := m.Leader(); ok && leader.Name != s.cfg.Name && r.Header.Get(passed) == "" {
-		var fault *member.BuildError
-		if err := m.Knows(r.Context(), leader); errors.As(err, &fault) && fault.Cause == nil {
+		var fault *raftnode.IncompatibleMemberError
+		if err := m.SupportsConfigs(r.Context(), leader); errors.As(err, &fault) && fault.Cause == nil {
 			s.turnOldBuild(w, err)
 			return
 		}
@@ -229,56 +229,56 @@
 		return
 	}
 	res, err := m.Configure(r.Context(), name, after, document)
-	var old *member.BuildError
+	var old *raftnode.IncompatibleMemberError
 	switch {
 	case errors.As(err, &old):
 		s.turnOldBuild(w, err)
 	case err != nil:
 		s.turn(w, err)
-	case res.End == state.Done:
+	case res.Code == state.ResultDone:
 		line, _ := m.Version()
-		answer(w, http.StatusOK, ServiceConfig{Service: name, Line: line, Version: res.Index})
-	case res.End == state.Conflict:
-		refuse(w, http.StatusConflict, res.End, "", fmt.Sprintf("%s is at version %d, not %d", name, res.Index, after),
-			"look at it, and put yours after that one", res.Index)
-	case res.End == state.NoRoom:
-		refuse(w, http.StatusInsufficientStorage, res.End, "", fmt.Sprintf("%d services with %d bytes of documents may be held",
-			state.ServicesMost, state.DocumentsMost), "put shorter documents", res.Index)
+		answer(w, http.StatusOK, ServiceConfig{Service: name, Epoch: line, Version: res.Version})
+	case res.Code == state.ResultConflict:
+		refuse(w, http.StatusConflict, res.Code, "", fmt.Sprintf("%s is at version %d, not %d", name, res.Version, after),
+			"look at it, and put yours after that one", res.Version)
+	case res.Code == state.ResultNoRoom:
+		refuse(w, http.StatusInsufficientStorage, res.Code, "", fmt.Sprintf("%d services with %d bytes of documents may be held",
+			state.MaxServices, state.MaxDocumentBytes), "put shorter documents", res.Version)
 	default:
-		refuse(w, http.StatusConflict, res.End, "", "the leader's program did not take it", "", res.Index)
+		refuse(w, http.StatusConflict, res.Code, "", "the leader's program did not take it", "", res.Version)
 	}
 }
 
 func (s *Server) turnOldBuild(w http.ResponseWriter, err error) {
 	s.turned.Add(1)
 	w.Header().Set("Retry-After", "5")
-	answer(w, http.StatusServiceUnavailable, Fault{Error: err.Error(), End: endOldBuild})
+	answer(w, http.StatusServiceUnavailable, ErrorBody{Error: err.Error(), Code: endOldBuild})
 }
 
-func (s *Server) ownWords(w http.ResponseWriter, r *http.Request, _ *member.Member) {
+func (s *Server) ownWords(w http.ResponseWriter, r *http.Request, _ *raftnode.Node) {
 	if name, ok := service(w, r); ok {
-		answer(w, http.StatusOK, s.words.Of(name, time.Now()))
+		answer(w, http.StatusOK, s.words.Reports(name, time.Now()))
 	}
 }
 
 // The states of a proxy in a ConfigStatus.
 const (
-	InForce = "in_force" // the newest
-	Behind  = "behind"   // another version, or its file's
-	Refused = "refused"  // it refused the newest: Why has the key
-	Unheard = "unknown"  // it has said nothing for 15 s
+	StateApplied  = "in_force" // the newest
+	StateBehind   = "behind"   // another version, or its file's
+	StateRejected = "refused"  // it refused the newest: Why has the key
+	StateUnknown  = "unknown"  // it has said nothing for 15 s
 )
 
 // ProxyStatus is one proxy in a ConfigStatus.
 type ProxyStatus struct {
 	State string `json:"state"`
-	inforce.Word
+	rollout.ProxyReport
 }
 
 // ConfigStatus tells where a configuration is in force, by what proxies have told any member.
 type ConfigStatus struct {
 	Service string         `json:"service"`
-	Line    string         `json:"line"`
+	Epoch   string         `json:"line"`
 	Version int64          `json:"version"`
 	Partial bool           `json:"partial"` // not all members have answered: those that watch there may be missing or old
 	Silent  []string       `json:"silent"`  // these
@@ -288,33 +288,33 @@
 	Proxies []ProxyStatus  `json:"proxies"` // those that are not in force, or all
 }
 
-func (s *Server) configStatus(w http.ResponseWriter, r *http.Request, m *member.Member) {
+func (s *Server) configStatus(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 	name, ok := service(w, r)
 	if !ok {
 		return
 	}
 	if !m.Serving() {
-		s.turn(w, member.ErrStale)
+		s.turn(w, raftnode.ErrStale)
 		return
 	}
 	heard, silent := s.askWords(r.Context(), m, name)
 	line, c, _ := m.Configuration(name) // after the words: none is of a version that is not known here yet
-	st := ConfigStatus{Service: name, Line: line, Version: c.Version, Partial: len(silent) > 0, Silent: silent}
-	st.fill(inforce.Merge(heard...), r.URL.Query().Get("all") == "1")
+	st := ConfigStatus{Service: name, Epoch: line, Version: c.Version, Partial: len(silent) > 0, Silent: silent}
+	st.fill(rollout.Merge(heard...), r.URL.Query().Get("all") == "1")
 	answer(w, http.StatusOK, st)
 }
 
 // askWords asks all members for what they have heard.
-func (s *Server) askWords(ctx context.Context, m *member.Member, name string) (heard [][]inforce.Word, silent []string) {
+func (s *Server) askWords(ctx context.Context, m *raftnode.Node, name string) (heard [][]rollout.ProxyReport, silent []string) {
 	ctx, cancel := context.WithTimeout(ctx, wordsWait)
 	defer cancel()
-	others := m.Others()
-	heard, silent = make([][]inforce.Word, len(others)+1), []string{}
-	heard[len(others)] = s.words.Of(name, time.Now())
+	others := m.Peers()
+	heard, silent = make([][]rollout.ProxyReport, len(others)+1), []string{}
+	heard[len(others)] = s.words.Reports(name, time.Now())
 	faults := make([]error, len(others))
 	var asked sync.WaitGroup
 	for i, p := range others {
-		asked.Go(func() { faults[i] = m.Ask(ctx, p, "/v1/inforce/"+name, wordsMost, &heard[i]) })
+		asked.Go(func() { faults[i] = m.CallPeer(ctx, p, "/v1/inforce/"+name, wordsMost, &heard[i]) })
 	}
 	asked.Wait()
 	for i, err := range faults {
@@ -326,27 +326,27 @@
 	return heard, silent
 }
 
-func (st *ConfigStatus) fill(words []inforce.Word, all bool) {
-	st.Counts, st.Proxies = map[string]int{InForce: 0, Behind: 0, Refused: 0, Unheard: 0}, []ProxyStatus{}
+func (st *ConfigStatus) fill(words []rollout.ProxyReport, all bool) {
+	st.Counts, st.Proxies = map[string]int{StateApplied: 0, StateBehind: 0, StateRejected: 0, StateUnknown: 0}, []ProxyStatus{}
 	first := true
 	for _, w := range words {
-		p := ProxyStatus{Behind, w}
+		p := ProxyStatus{StateBehind, w}
 		switch {
 		case w.AgeMs >= silent.Milliseconds():
-			p.State = Unheard
-		case w.InForce == st.Version:
-			p.State = InForce
-		case w.Refused != 0 && w.Refused == st.Version:
-			p.State = Refused
+			p.State = StateUnknown
+		case w.AppliedVersion == st.Version:
+			p.State = StateApplied
+		case w.RejectedVersion != 0 && w.RejectedVersion == st.Version:
+			p.State = StateRejected
 		}
 		st.Counts[p.State]++
-		if p.State != Unheard {
-			if first || w.InForce < st.Lowest {
-				st.Lowest = w.InForce
+		if p.State != StateUnknown {
+			if first || w.AppliedVersion < st.Lowest {
+				st.Lowest = w.AppliedVersion
 			}
-			st.Highest, first = max(st.Highest, w.InForce), false
+			st.Highest, first = max(st.Highest, w.AppliedVersion), false
 		}
-		if all || p.State != InForce {
+		if all || p.State != StateApplied {
 			st.Proxies = append(st.Proxies, p)
 		}
 	}
--- a/internal/roster/api/configs_test.go
+++ b/internal/registry/api/configs_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/roster/inforce"
-	"fernlanding/internal/settings"
+	"merlinpick/internal/registry/rollout"
+	"merlinpick/internal/settings"
 )
 
 // document is one that is taken, told apart by n.
@@ -25,7 +25,7 @@
 	t.Helper()
 	status, _, text := call(t, s, "PUT", fmt.Sprintf("/config/%s?from=%d", service, after), document(n))
 	var c ServiceConfig
-	if err := json.Unmarshal([]byte(text), &c); status != 200 || err != nil || c.Version <= after || c.Service != service || c.Line == "" {
+	if err := json.Unmarshal([]byte(text), &c); status != 200 || err != nil || c.Version <= after || c.Service != service || c.Epoch == "" {
 		t.Fatalf("%d %s (%v)", status, text, err)
 	}
 	return c.Version
@@ -36,7 +36,7 @@
 	m, s := open(t, 10)
 	first := putDocument(t, s, "tarifas", 0, 1)
 	at := fmt.Sprint("/config/tarifas?from=", first)
-	long := strings.Replace(document(1), `"siblings"`, `"x":"`+strings.Repeat("x", settings.DocumentMost)+`","siblings"`, 1)
+	long := strings.Replace(document(1), `"siblings"`, `"x":"`+strings.Repeat("x", settings.MaxDocumentBytes)+`","siblings"`, 1)
 	for _, c := range []struct {
 		path, body string
 		want       int
@@ -53,15 +53,15 @@
 		{at, strings.Replace(document(1), `{"settings"`, `{"discovery":"x","settings"`, 1), 400, "discovery", "under way"},
 		{at, strings.Replace(document(1), `"give_up_us":8`, `"give_up_us":"8"`, 1), 400, "settings.profiles.give_up_us", "JSON string"},
 		{at, long, 400, "", "bytes"},
-		{at, long + strings.Repeat(" ", settings.DocumentMost), 400, "", "too large"},
+		{at, long + strings.Repeat(" ", settings.MaxDocumentBytes), 400, "", "too large"},
 		{"/config/tarifas?from=0", document(2), 409, "", "not 0"},
 		{fmt.Sprint("/config/tarifas?from=", first+1), document(2), 409, "", fmt.Sprint("at version ", first)},
 		{"/config/tarifas?from=0", document(1), 200, "", ""},       // repeated
 		{"/config/tarifas?from=0", " " + document(1), 200, "", ""}, // and with spaces
 	} {
 		status, _, text := call(t, s, "PUT", c.path, c.body)
-		var fault ConfigFault
-		if err := json.Unmarshal([]byte(text), &fault); status != c.want || err != nil || fault.Key != c.key || !strings.Contains(fault.Fault.Error, c.says) {
+		var fault ConfigErrorBody
+		if err := json.Unmarshal([]byte(text), &fault); status != c.want || err != nil || fault.Key != c.key || !strings.Contains(fault.ErrorBody.Error, c.says) {
 			t.Errorf("%s %.60s: %d %.200s, wanted %d, %q and %q", c.path, c.body, status, text, c.want, c.key, c.says)
 		}
 		if status == 409 && fault.Version != first || status == 400 && c.key != "" && fault.Remedy == "" {
@@ -80,7 +80,7 @@
 		status, _, text := call(t, s, "GET", path, "")
 		var got ServiceConfig
 		err := json.Unmarshal([]byte(text), &got)
-		if want.Line = got.Line; status != 200 || err != nil || !reflect.DeepEqual(got, want) {
+		if want.Epoch = got.Epoch; status != 200 || err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %d %s (%v)", path, status, text, err)
 		}
 	}
@@ -112,7 +112,7 @@
 		{"none", fmt.Sprint("from=", first, "&hold_ms=60000&line=other"), 0, false, 200}, // in another line neither
 		{"a", "from=x", 0, false, 400}, {"a", "from=1&hold_ms=-1", 0, false, 400},        //
 		{"a", "from=0&name=p&in_force=x", 0, false, 400}, {"a b", "from=0", 0, false, 400}, //
-		{"a", "from=0&name=" + strings.Repeat("p", inforce.NameMost+1), 0, false, 400}, {"a", "from=0&name=p&refused=-1", 0, false, 400},
+		{"a", "from=0&name=" + strings.Repeat("p", rollout.MaxNameBytes+1), 0, false, 400}, {"a", "from=0&name=p&refused=-1", 0, false, 400},
 	} {
 		status, after, text := call(t, s, "GET", "/config/"+url.PathEscape(c.service)+"?"+c.query, "")
 		var got ServiceConfig
@@ -133,7 +133,7 @@
 			ended <- end{status, text}
 		}()
 	}
-	for s.Figures().Watching < 2 {
+	for s.Metrics().Watches < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	if status, after, _ := call(t, s, "GET", fmt.Sprint("/config/a?hold_ms=60000&from=", first), ""); status != 503 || after == "" {
@@ -165,7 +165,7 @@
 			t.Fatalf("%s: %d %s", w, status, text)
 		}
 	}
-	s.words.Say("a", inforce.Word{Name: "p5", InForce: second}, time.Now().Add(-silent))
+	s.words.Record("a", rollout.ProxyReport{Name: "p5", AppliedVersion: second}, time.Now().Add(-silent))
 	ask := func(query string) (st ConfigStatus) {
 		t.Helper()
 		status, _, text := call(t, s, "GET", "/config/a/status"+query, "")
@@ -178,17 +178,17 @@
 		return st
 	}
 	st := ask("")
-	want := ConfigStatus{"a", st.Line, second, false, []string{}, map[string]int{InForce: 1, Behind: 2, Refused: 1, Unheard: 1}, 0, second,
-		[]ProxyStatus{{Behind, inforce.Word{Name: "p2", InForce: first}},
-			{Refused, inforce.Word{Name: "p3", InForce: first, Refused: second, Why: "settings.profiles[0].worth: is missing"}},
-			{Behind, inforce.Word{Name: "p4", Refused: first}}, {Unheard, inforce.Word{Name: "p5", InForce: second}}}}
+	want := ConfigStatus{"a", st.Epoch, second, false, []string{}, map[string]int{StateApplied: 1, StateBehind: 2, StateRejected: 1, StateUnknown: 1}, 0, second,
+		[]ProxyStatus{{StateBehind, rollout.ProxyReport{Name: "p2", AppliedVersion: first}},
+			{StateRejected, rollout.ProxyReport{Name: "p3", AppliedVersion: first, RejectedVersion: second, RejectReason: "settings.profiles[0].worth: is missing"}},
+			{StateBehind, rollout.ProxyReport{Name: "p4", RejectedVersion: first}}, {StateUnknown, rollout.ProxyReport{Name: "p5", AppliedVersion: second}}}}
 	if !reflect.DeepEqual(st, want) {
 		t.Errorf("got  %+v\nwant %+v", st, want)
 	}
-	if all := ask("?all=1"); len(all.Proxies) != 5 || all.Proxies[0].State != InForce {
+	if all := ask("?all=1"); len(all.Proxies) != 5 || all.Proxies[0].State != StateApplied {
 		t.Errorf("all: %+v", all)
 	}
-	if s.Figures().Words != 5 {
-		t.Errorf("%d words", s.Figures().Words)
+	if s.Metrics().ProxyReports != 5 {
+		t.Errorf("%d words", s.Metrics().ProxyReports)
 	}
 }
--- a/internal/roster/api/nodos.go
+++ b/internal/registry/api/nodos.go
@@ -9,8 +9,8 @@
 	"net/http"
 	"time"
 
-	"fernlanding/internal/roster/member"
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/raftnode"
+	"merlinpick/internal/registry/state"
 )
 
 func readerOf(body []byte) io.Reader {
@@ -21,8 +21,8 @@
 }
 
 // Taken is the answer to a registration, renewal, drain or deregistration.
-type Taken struct {
-	Index   int64  `json:"index"` // the version in which it is to be seen
+type Accepted struct {
+	Version int64  `json:"index"` // the version in which it is to be seen
 	Status  string `json:"status"`
 	LeaseMs int64  `json:"lease_ms,omitempty"`
 }
@@ -64,22 +64,22 @@
 func ended(w http.ResponseWriter, end, name string) {
 	status, text := http.StatusConflict, ""
 	switch end {
-	case state.Unknown:
+	case state.ResultUnknown:
 		status, text = http.StatusNotFound, "is not in the list: register it"
-	case state.Ended:
+	case state.ResultEnded:
 		status, text = http.StatusGone, "was deregistered under that instance; a new start has a new one"
-	case state.Replaced:
+	case state.ResultReplaced:
 		text = "belongs to another instance, started later"
-	case state.Full:
-		status, text = http.StatusInsufficientStorage, fmt.Sprintf("has no room: the list has %d nodos", state.NodosMost)
+	case state.ResultFull:
+		status, text = http.StatusInsufficientStorage, fmt.Sprintf("has no room: the list has %d nodos", state.MaxEndpoints)
 	default:
 		text = "was not taken: the leader's program does not know that command"
 	}
-	answer(w, status, Fault{Error: name + " " + text, End: end})
+	answer(w, status, ErrorBody{Error: name + " " + text, Code: end})
 }
 
-func (s *Server) register(w http.ResponseWriter, r *http.Request, m *member.Member) {
-	rec := state.Record{Entry: state.Entry{Weight: 1, Status: state.Serving}}
+func (s *Server) register(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
+	rec := state.Record{Endpoint: state.Endpoint{Weight: 1, Status: state.StatusServing}}
 	body, ok := read(w, r, &rec)
 	if !ok {
 		return
@@ -99,19 +99,19 @@
 	if s.toLeader(w, r, m, body) {
 		return
 	}
-	res, err := m.Do(state.Command{Kind: state.Register, Record: &rec})
+	res, err := m.Propose(state.Command{Kind: state.CommandRegister, Record: &rec})
 	switch {
 	case err != nil:
 		s.turn(w, err)
-	case res.End != state.Done:
-		ended(w, res.End, name)
+	case res.Code != state.ResultDone:
+		ended(w, res.Code, name)
 	default:
-		answer(w, http.StatusOK, Taken{res.Index, state.Serving, rec.LeaseMs})
+		answer(w, http.StatusOK, Accepted{res.Version, state.StatusServing, rec.LeaseMs})
 	}
 }
 
 // instance reads which process of a nodo a call speaks for.
-func instance(w http.ResponseWriter, r *http.Request) (ref state.Ref, body []byte, ok bool) {
+func instance(w http.ResponseWriter, r *http.Request) (ref state.InstanceRef, body []byte, ok bool) {
 	ref.Name = r.PathValue("name")
 	if r.Method == http.MethodDelete {
 		ref.Instance = r.URL.Query().Get("instance")
@@ -131,7 +131,7 @@
 	return ref, body, true
 }
 
-func (s *Server) renew(w http.ResponseWriter, r *http.Request, m *member.Member) {
+func (s *Server) renew(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 	ref, body, ok := instance(w, r)
 	if !ok || s.toLeader(w, r, m, body) {
 		return
@@ -140,40 +140,40 @@
 	switch {
 	case err != nil:
 		s.turn(w, err)
-	case end != state.Done:
+	case end != state.ResultDone:
 		ended(w, end, ref.Name)
 	default:
-		answer(w, http.StatusOK, Taken{index, rec.Status, rec.LeaseMs})
+		answer(w, http.StatusOK, Accepted{index, rec.Status, rec.LeaseMs})
 	}
 }
 
-func (s *Server) take(kind string) func(http.ResponseWriter, *http.Request, *member.Member) {
-	return func(w http.ResponseWriter, r *http.Request, m *member.Member) {
+func (s *Server) take(kind string) func(http.ResponseWriter, *http.Request, *raftnode.Node) {
+	return func(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 		ref, body, ok := instance(w, r)
 		if !ok || s.toLeader(w, r, m, body) {
 			return
 		}
-		res, err := m.Do(state.Command{Kind: kind, Refs: []state.Ref{ref}})
+		res, err := m.Propose(state.Command{Kind: kind, Refs: []state.InstanceRef{ref}})
 		switch {
 		case err != nil:
 			s.turn(w, err)
-		case res.End != state.Done:
-			ended(w, res.End, ref.Name)
-		case kind == state.Drain:
-			answer(w, http.StatusOK, Taken{Index: res.Index, Status: state.Draining})
+		case res.Code != state.ResultDone:
+			ended(w, res.Code, ref.Name)
+		case kind == state.CommandDrain:
+			answer(w, http.StatusOK, Accepted{Version: res.Version, Status: state.StatusDraining})
 		default:
-			answer(w, http.StatusOK, Taken{Index: res.Index, Status: state.Deleted})
+			answer(w, http.StatusOK, Accepted{Version: res.Version, Status: state.StatusDeleted})
 		}
 	}
 }
 
-func (s *Server) snapshot(w http.ResponseWriter, r *http.Request, m *member.Member) {
-	if err := m.AwaitFresh(r.Context()); err != nil {
+func (s *Server) snapshot(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
+	if err := m.WaitLinearizable(r.Context()); err != nil {
 		s.turn(w, err)
 		return
 	}
 	var text bytes.Buffer
-	if err := m.Image().Write(&text); err != nil {
+	if err := m.StateSnapshot().Write(&text); err != nil {
 		fail(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
@@ -182,13 +182,13 @@
 
 // Restored is the answer to a restore.
 type Restored struct {
-	Line  string `json:"line"`
-	Index int64  `json:"index"`
-	Nodos int    `json:"nodos"`
+	Epoch     string `json:"line"`
+	Version   int64  `json:"index"`
+	Endpoints int    `json:"nodos"`
 }
 
-func (s *Server) restore(w http.ResponseWriter, r *http.Request, m *member.Member) {
-	body, ok := whole(w, r, state.FileMost)
+func (s *Server) restore(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
+	body, ok := whole(w, r, state.MaxSnapshotBytes)
 	if !ok {
 		return
 	}
@@ -201,11 +201,11 @@
 		return
 	}
 	line, index, err := m.Restore(image)
-	var old *member.BuildError
+	var old *raftnode.IncompatibleMemberError
 	switch {
 	case errors.As(err, &old):
 		s.turnOldBuild(w, err)
-	case errors.Is(err, member.ErrNotLeading), errors.Is(err, member.ErrUnsure):
+	case errors.Is(err, raftnode.ErrNotLeader), errors.Is(err, raftnode.ErrUncertain):
 		s.turn(w, err)
 	case err != nil:
 		fail(w, http.StatusInternalServerError, "%v", err)
--- a/internal/roster/config/config.go
+++ b/internal/registry/config/config.go
@@ -12,8 +12,8 @@
 
 	"github.com/BurntSushi/toml"
 
-	"fernlanding/internal/roster/lease"
-	"fernlanding/internal/roster/member"
+	"merlinpick/internal/registry/lease"
+	"merlinpick/internal/registry/raftnode"
 )
 
 // File is a configuration as it is written. Times end in _ms and are milliseconds.
@@ -45,9 +45,9 @@
 
 // Default is an only member on this machine.
 func Default() File {
-	l := lease.Defaults()
+	l := lease.DefaultConfig()
 	return File{Name: "roster", Dir: "roster-data", Listen: "127.0.0.1:8500", Figures: "127.0.0.1:9500", ElectionMs: 500,
-		StaleMs: 2000, Watchers: 6000, Lease: Lease{l.Part, l.Pace}}
+		StaleMs: 2000, Watchers: 6000, Lease: Lease{l.HoldThreshold, l.ReleaseRate}}
 }
 
 // Read reads a file; an empty path is Default. A relative dir is below the file's own folder. The error joins all faults.
@@ -116,9 +116,9 @@
 	if f.ElectionMs < electionLeast {
 		fault("election_ms", "at least %d, not %d", electionLeast, f.ElectionMs)
 	}
-	if least := time.Duration(f.ElectionMs)*time.Millisecond + member.Poll; f.StaleMs < int(least.Milliseconds()) {
+	if least := time.Duration(f.ElectionMs)*time.Millisecond + raftnode.FreshnessInterval; f.StaleMs < int(least.Milliseconds()) {
 		fault("stale_ms", "%d: at least election_ms and %v, %d, or each election has the list go silent", f.StaleMs,
-			member.Poll, least.Milliseconds())
+			raftnode.FreshnessInterval, least.Milliseconds())
 	}
 	if f.Watchers < 1 || f.Watchers > watchersMost {
 		fault("watchers", "from 1 to %d, not %d", watchersMost, f.Watchers)
@@ -149,12 +149,12 @@
 }
 
 // Member is the configuration of the member itself.
-func (f File) Member() member.Config {
-	c := member.Config{Name: f.Name, Dir: f.Dir, Listen: f.RaftListen, Election: time.Duration(f.ElectionMs) * time.Millisecond,
-		Stale: time.Duration(f.StaleMs) * time.Millisecond, Lease: lease.Defaults()}
-	c.Lease.Part, c.Lease.Pace = f.Lease.Part, f.Lease.Pace
+func (f File) Member() raftnode.Config {
+	c := raftnode.Config{Name: f.Name, Dir: f.Dir, Listen: f.RaftListen, ElectionTimeout: time.Duration(f.ElectionMs) * time.Millisecond,
+		MaxListAge: time.Duration(f.StaleMs) * time.Millisecond, Lease: lease.DefaultConfig()}
+	c.Lease.HoldThreshold, c.Lease.ReleaseRate = f.Lease.Part, f.Lease.Pace
 	for _, m := range f.Members {
-		c.Peers = append(c.Peers, member.Peer{Name: m.Name, Raft: m.Raft, API: m.List})
+		c.Peers = append(c.Peers, raftnode.Peer{Name: m.Name, Raft: m.Raft, API: m.List})
 	}
 	return c
 }
--- a/internal/roster/lease/lease.go
+++ b/internal/registry/lease/lease.go
@@ -20,21 +20,23 @@
 	"slices"
 	"time"
 
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/state"
 )
 
 // Config is what a table goes by.
 type Config struct {
-	Part  float64       // of a zone's leases that may end within one lease time and go at once; one always may
-	Pace  float64       // of a held zone, in one lease time, that are let go
-	Stall time.Duration // a gap between two looks over this is time that did not count
+	HoldThreshold float64       // of a zone's leases that may end within one lease time and go at once; one always may
+	ReleaseRate   float64       // of a held zone, in one lease time, that are let go
+	MaxSweepGap   time.Duration // a gap between two looks over this is time that did not count
 }
 
 // Defaults are the stated figures.
-func Defaults() Config { return Config{Part: 0.25, Pace: 0.1, Stall: time.Second} }
+func DefaultConfig() Config {
+	return Config{HoldThreshold: 0.25, ReleaseRate: 0.1, MaxSweepGap: time.Second}
+}
 
 type term struct {
-	ref   state.Ref
+	ref   state.InstanceRef
 	zone  string
 	lease time.Duration
 	until time.Time
@@ -73,11 +75,11 @@
 // Put begins a lease, or another in its place.
 func (t *Table) Put(now time.Time, r state.Record) {
 	lease := time.Duration(r.LeaseMs) * time.Millisecond
-	t.terms[r.Name] = &term{state.Ref{Name: r.Name, Instance: r.Instance}, r.Zone, lease, now.Add(lease)}
+	t.terms[r.Name] = &term{state.InstanceRef{Name: r.Name, Instance: r.Instance}, r.Zone, lease, now.Add(lease)}
 }
 
 // Renew has a lease last from now on; false if there is none.
-func (t *Table) Renew(now time.Time, ref state.Ref) bool {
+func (t *Table) Renew(now time.Time, ref state.InstanceRef) bool {
 	l := t.terms[ref.Name]
 	if l == nil || l.ref != ref {
 		return false
@@ -90,7 +92,7 @@
 func (t *Table) Remove(name string) { delete(t.terms, name) }
 
 // Left tells how long a lease lasts; negative if it is over and its nodo is held.
-func (t *Table) Left(now time.Time, name string) (time.Duration, bool) {
+func (t *Table) Remaining(now time.Time, name string) (time.Duration, bool) {
 	l := t.terms[name]
 	if l == nil {
 		return 0, false
@@ -99,19 +101,19 @@
 }
 
 // Look is what a look at the table came to.
-type Look struct {
-	Gone    []state.Ref   // to be let go now
-	Begun   []string      // zones that are held from now on
-	Ended   []string      // and that no longer are
-	Overdue int           // leases that are over and held
-	Held    int           // zones held
-	Stalled time.Duration // that did not count
+type Sweep struct {
+	Expired      []state.InstanceRef // to be let go now
+	HoldsStarted []string            // zones that are held from now on
+	HoldsEnded   []string            // and that no longer are
+	Overdue      int                 // leases that are over and held
+	HeldZones    int                 // zones held
+	Paused       time.Duration       // that did not count
 }
 
 // Look tells which nodos have to go. Their leases are no more: where one could not be let go after all, Put begins another.
-func (t *Table) Look(now time.Time) (out Look) {
-	if gap := now.Sub(t.last); !t.last.IsZero() && gap > t.cfg.Stall {
-		out.Stalled = gap
+func (t *Table) Sweep(now time.Time) (out Sweep) {
+	if gap := now.Sub(t.last); !t.last.IsZero() && gap > t.cfg.MaxSweepGap {
+		out.Paused = gap
 		for _, l := range t.terms {
 			l.until = l.until.Add(gap)
 		}
@@ -144,7 +146,7 @@
 	for name, z := range t.zones {
 		if zones[name] == nil { // its last lease has gone
 			if z.held {
-				out.Ended = append(out.Ended, name)
+				out.HoldsEnded = append(out.HoldsEnded, name)
 			}
 			delete(t.zones, name)
 		}
@@ -162,7 +164,7 @@
 		switch {
 		case len(in.over) == 0:
 			if z.held {
-				out.Ended = append(out.Ended, name)
+				out.HoldsEnded = append(out.HoldsEnded, name)
 			}
 			z.held = false
 			if len(z.let) == 0 {
@@ -176,12 +178,12 @@
 		if !z.held {
 			z.size = in.size
 		}
-		pause := time.Duration(float64(in.longest) / (t.cfg.Pace * float64(z.size)))
+		pause := time.Duration(float64(in.longest) / (t.cfg.ReleaseRate * float64(z.size)))
 		if !z.held {
 			z.held, z.next = true, now.Add(pause)
-			out.Begun = append(out.Begun, name)
+			out.HoldsStarted = append(out.HoldsStarted, name)
 		}
-		out.Held++
+		out.HeldZones++
 		out.Overdue += len(in.over)
 		if !now.Before(z.next) {
 			z.next = now.Add(pause)
@@ -191,17 +193,17 @@
 			t.let(&out, z, now, in.over[:1])
 		}
 	}
-	slices.Sort(out.Begun)
-	slices.Sort(out.Ended)
+	slices.Sort(out.HoldsStarted)
+	slices.Sort(out.HoldsEnded)
 	return out
 }
 
-func (t *Table) allowed(size int) int { return max(1, int(t.cfg.Part*float64(size))) }
+func (t *Table) allowed(size int) int { return max(1, int(t.cfg.HoldThreshold*float64(size))) }
 
-func (t *Table) let(out *Look, z *zone, now time.Time, over []*term) {
+func (t *Table) let(out *Sweep, z *zone, now time.Time, over []*term) {
 	for _, l := range over {
 		delete(t.terms, l.ref.Name)
-		out.Gone = append(out.Gone, l.ref)
+		out.Expired = append(out.Expired, l.ref)
 		z.let = append(z.let, now)
 	}
 }
--- a/internal/roster/lease/lease_test.go
+++ b/internal/registry/lease/lease_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/state"
 )
 
 const second = time.Second
@@ -14,7 +14,7 @@
 func fleet(t *Table, now time.Time, zones string, n int) {
 	for _, z := range zones {
 		for i := range n {
-			t.Put(now, state.Record{Entry: state.Entry{Name: fmt.Sprintf("%c%d", z, i), Zone: string(z)}, Instance: "1", LeaseMs: 10_000})
+			t.Put(now, state.Record{Endpoint: state.Endpoint{Name: fmt.Sprintf("%c%d", z, i), Zone: string(z)}, Instance: "1", LeaseMs: 10_000})
 		}
 	}
 }
@@ -37,12 +37,12 @@
 					}
 				}
 			}
-			look := t.Look(from.Add(at))
-			for _, ref := range look.Gone {
+			look := t.Sweep(from.Add(at))
+			for _, ref := range look.Expired {
 				r.count[ref.Name[:1]]++
 				r.gone[ref.Name[:1]] = at
 			}
-			for _, z := range look.Begun {
+			for _, z := range look.HoldsStarted {
 				r.held[z] = true
 			}
 		}
@@ -51,7 +51,7 @@
 	never := func(string, time.Duration) bool { return false }
 
 	t.Run("one that is silent goes when its lease ends", func(t *testing.T) {
-		table := New(Defaults())
+		table := New(DefaultConfig())
 		fleet(table, begin, "a", 10)
 		r := play(table, begin, 30*second, func(n string, _ time.Duration) bool { return n != "a3" })
 		if r.count["a"] != 1 || r.gone["a"] != 10*second || len(r.held) != 0 {
@@ -59,7 +59,7 @@
 		}
 	})
 	t.Run("a quarter may go together", func(t *testing.T) {
-		table := New(Defaults())
+		table := New(DefaultConfig())
 		fleet(table, begin, "a", 20)
 		r := play(table, begin, 30*second, func(n string, _ time.Duration) bool { return len(n) > 2 || n > "a4" }) // a0 to a4
 		if r.count["a"] != 5 || r.gone["a"] != 10*second || len(r.held) != 0 {
@@ -67,7 +67,7 @@
 		}
 	})
 	t.Run("a zone that falls silent is kept and let go slowly, and others are not", func(t *testing.T) {
-		table := New(Defaults())
+		table := New(DefaultConfig())
 		fleet(table, begin, "ab", 20)
 		r := play(table, begin, 40*second, func(n string, _ time.Duration) bool { return n[0] == 'b' && n != "b1" })
 		if !r.held["a"] || r.held["b"] || r.count["b"] != 1 {
@@ -79,7 +79,7 @@
 	})
 	t.Run("a small zone is not let go faster", func(t *testing.T) {
 		for lasts, gone := range map[time.Duration]int{40 * second: 0, 50 * second: 1, 109 * second: 2, 111 * second: 3} {
-			table := New(Defaults())
+			table := New(DefaultConfig())
 			fleet(table, begin, "a", 3)
 			if r := play(table, begin, lasts, never); r.count["a"] != gone || !r.held["a"] {
 				t.Errorf("after %v: %+v, wanted %d gone", lasts, r, gone)
@@ -87,7 +87,7 @@
 		}
 	})
 	t.Run("contact that comes back ends the hold", func(t *testing.T) {
-		table := New(Defaults())
+		table := New(DefaultConfig())
 		fleet(table, begin, "a", 20)
 		r := play(table, begin, 60*second, func(_ string, at time.Duration) bool { return at > 13*second })
 		if !r.held["a"] || r.count["a"] > 1 || len(table.terms) != 20-r.count["a"] || len(table.zones) != 0 {
@@ -95,14 +95,14 @@
 		}
 	})
 	t.Run("a zone that is gone for good goes", func(t *testing.T) {
-		table := New(Defaults())
+		table := New(DefaultConfig())
 		fleet(table, begin, "a", 20)
 		if r := play(table, begin, 400*second, never); r.count["a"] != 20 || len(table.zones) != 0 {
 			t.Errorf("%+v, %d zones kept", r, len(table.zones))
 		}
 	})
 	t.Run("time in which the process stood still does not count", func(t *testing.T) {
-		table := New(Defaults())
+		table := New(DefaultConfig())
 		fleet(table, begin, "a", 20)
 		play(table, begin, 5*second, never)
 		r := play(table, begin.Add(35*second), 4*second, never)
@@ -111,11 +111,11 @@
 		}
 	})
 	t.Run("a new leader counts afresh", func(t *testing.T) {
-		table := New(Defaults())
+		table := New(DefaultConfig())
 		fleet(table, begin, "a", 20)
 		var records []state.Record
 		for _, l := range table.terms {
-			records = append(records, state.Record{Entry: state.Entry{Name: l.ref.Name, Zone: l.zone}, Instance: "1", LeaseMs: 10_000})
+			records = append(records, state.Record{Endpoint: state.Endpoint{Name: l.ref.Name, Zone: l.zone}, Instance: "1", LeaseMs: 10_000})
 		}
 		table.Reset(begin.Add(time.Hour), records)
 		if r := play(table, begin.Add(time.Hour), 9*second, never); len(r.count) != 0 {
@@ -123,9 +123,9 @@
 		}
 	})
 	t.Run("a renewal by another instance is none", func(t *testing.T) {
-		table := New(Defaults())
+		table := New(DefaultConfig())
 		fleet(table, begin, "a", 1)
-		if table.Renew(begin, state.Ref{Name: "a0", Instance: "2"}) || table.Renew(begin, state.Ref{Name: "a1", Instance: "1"}) {
+		if table.Renew(begin, state.InstanceRef{Name: "a0", Instance: "2"}) || table.Renew(begin, state.InstanceRef{Name: "a1", Instance: "1"}) {
 			t.Error("renewed")
 		}
 	})
--- a/internal/roster/figures/figures.go
+++ b/internal/registry/metrics/metrics.go
@@ -1,5 +1,5 @@
 // Package figures is the address of a member's figures, for Prometheus, and of its readiness.
-package figures
+package metrics
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"fernlanding/internal/proxy/accept"
-	"fernlanding/internal/roster/api"
-	"fernlanding/internal/roster/member"
+	"merlinpick/internal/listener"
+	"merlinpick/internal/registry/api"
+	"merlinpick/internal/registry/raftnode"
 )
 
 const headWait = 5 * time.Second
@@ -26,7 +26,7 @@
 type Server struct {
 	listener net.Listener
 	http     *http.Server
-	member   atomic.Pointer[member.Member]
+	member   atomic.Pointer[raftnode.Node]
 	api      *api.Server
 }
 
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for figures: %w", err)
 	}
-	s := &Server{listener: accept.Retry(l, log), api: a}
+	s := &Server{listener: listener.Retry(l, log), api: a}
 	all := prometheus.NewRegistry()
 	all.MustRegister(s, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
@@ -57,7 +57,7 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Open has it show a member.
-func (s *Server) Open(m *member.Member) { s.member.Store(m) }
+func (s *Server) SetNode(m *raftnode.Node) { s.member.Store(m) }
 
 // Serve answers until End.
 func (s *Server) Serve() error {
@@ -68,7 +68,7 @@
 }
 
 // End ends it.
-func (s *Server) End() { _ = s.http.Shutdown(context.Background()) }
+func (s *Server) Close() { _ = s.http.Shutdown(context.Background()) }
 
 func desc(name, help string) *prometheus.Desc {
 	return prometheus.NewDesc("roster_"+name, help, nil, nil)
@@ -112,16 +112,16 @@
 		}
 		return 0
 	}
-	var st member.Status
+	var st raftnode.Status
 	if m := s.member.Load(); m != nil {
 		st = m.Status()
 		count(encoded, m.Hub().Encoded())
 	} else {
-		st = member.Waiting("")
+		st = raftnode.WaitingStatus("")
 		count(encoded, 0)
 	}
-	gauge(index, float64(st.Index))
-	gauge(nodos, float64(st.Nodos))
+	gauge(index, float64(st.Version))
+	gauge(nodos, float64(st.Endpoints))
 	gauge(leads, is(st.Role == "leader"))
 	gauge(serving, is(st.Serving))
 	if st.AgeMs < 0 {
@@ -134,14 +134,14 @@
 	gauge(overdue, float64(st.Overdue))
 	gauge(held, float64(st.Held))
 	count(expired, st.Expired)
-	f := s.api.Figures()
-	gauge(watching, float64(f.Watching))
+	f := s.api.Metrics()
+	gauge(watching, float64(f.Watches))
 	count(calls, f.Calls)
-	count(turned, f.Turned)
-	count(whole, f.Whole)
+	count(turned, f.Rejected)
+	count(whole, f.Snapshots)
 	count(changes, f.Changes)
-	count(passed, f.Passed)
+	count(passed, f.Forwarded)
 	gauge(configs, float64(st.Configurations))
-	gauge(words, float64(f.Words))
-	count(mute, f.WordsDropped)
+	gauge(words, float64(f.ProxyReports))
+	count(mute, f.ProxyReportsDropped)
 }
--- a/internal/roster/member/configs.go
+++ b/internal/registry/raftnode/configs.go
@@ -1,4 +1,4 @@
-package member
+package raftnode
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/state"
 )
 
 // Builds side by side. A build from before configurations passes over the command that puts one, as it does over all that
@@ -21,12 +21,12 @@
 const buildWait = 500 * time.Millisecond
 
 // BuildError is a member that keeps the service from taking configurations.
-type BuildError struct {
+type IncompatibleMemberError struct {
 	Member string
 	Cause  error // it did not answer; nil: its build does not know configurations
 }
 
-func (e *BuildError) Error() string {
+func (e *IncompatibleMemberError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("member %s has not told whether its build knows configurations, and the first one needs all: start it, "+
 			"and put it again (%v)", e.Member, e.Cause)
@@ -34,13 +34,13 @@
 	return fmt.Sprintf("member %s runs a build without configurations: replace it, and put it again", e.Member)
 }
 
-func (e *BuildError) Unwrap() error { return e.Cause }
+func (e *IncompatibleMemberError) Unwrap() error { return e.Cause }
 
 // errNoText is a document that cannot be: its caller has not put it into the form that is kept.
 var errNoText = errors.New("a document that is no JSON")
 
 // Knows tells whether a member's build knows configurations. This one's does.
-func (m *Member) Knows(ctx context.Context, p Peer) error {
+func (m *Node) SupportsConfigs(ctx context.Context, p Peer) error {
 	if p.Name == m.cfg.Name {
 		return nil
 	}
@@ -48,24 +48,24 @@
 	defer cancel()
 	switch s, err := m.peers.status(ctx, p); {
 	case err != nil:
-		return &BuildError{p.Name, err}
+		return &IncompatibleMemberError{p.Name, err}
 	case !s.Configs:
-		return &BuildError{p.Name, nil}
+		return &IncompatibleMemberError{p.Name, nil}
 	}
 	return nil
 }
 
 // allKnow asks all members.
-func (m *Member) allKnow(ctx context.Context) error {
+func (m *Node) allKnow(ctx context.Context) error {
 	_, _, any := m.configurations()
 	faults := make([]error, len(m.cfg.Peers))
 	var asked sync.WaitGroup
 	for i, p := range m.cfg.Peers {
-		asked.Go(func() { faults[i] = m.Knows(ctx, p) })
+		asked.Go(func() { faults[i] = m.SupportsConfigs(ctx, p) })
 	}
 	asked.Wait()
 	for _, err := range faults {
-		var fault *BuildError
+		var fault *IncompatibleMemberError
 		if errors.As(err, &fault) && (fault.Cause == nil || !any) {
 			return fault
 		}
@@ -74,38 +74,38 @@
 }
 
 // Configure puts a service's document after a version. Only the leader can. With ErrUnsure it may happen yet.
-func (m *Member) Configure(ctx context.Context, service string, after int64, document json.RawMessage) (state.Result, error) {
+func (m *Node) Configure(ctx context.Context, service string, after int64, document json.RawMessage) (state.Result, error) {
 	if !json.Valid(document) {
 		return state.Result{}, errNoText
 	}
 	if !m.isLeading() {
-		return state.Result{}, ErrNotLeading
+		return state.Result{}, ErrNotLeader
 	}
 	if err := m.allKnow(ctx); err != nil {
 		return state.Result{}, err
 	}
 	m.puts.RLock()
 	defer m.puts.RUnlock()
-	return m.Do(state.Command{Kind: state.Configure, Service: service, After: after, Document: document})
+	return m.Propose(state.Command{Kind: state.CommandConfigure, Service: service, After: after, Document: document})
 }
 
 // Configuration is a service's configuration on this member, and the line that its version is of.
-func (m *Member) Configuration(service string) (line string, c state.Configuration, ok bool) {
+func (m *Node) Configuration(service string) (line string, c state.Configuration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c, ok = m.state.Configuration(service)
-	return m.state.Line(), c, ok
+	return m.state.Epoch(), c, ok
 }
 
-func (m *Member) configurations() (all []state.Configuration, newest int64, any bool) {
+func (m *Node) configurations() (all []state.Configuration, newest int64, any bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	i := state.Image{Index: m.state.Index(), Configs: m.state.Configurations()}
+	i := state.Snapshot{Version: m.state.Version(), Configs: m.state.Configurations()}
 	return i.Configs, i.Newest(), len(i.Configs) > 0
 }
 
 // Others are the members but for this one.
-func (m *Member) Others() []Peer {
+func (m *Node) Peers() []Peer {
 	var out []Peer
 	for _, p := range m.cfg.Peers {
 		if p.Name != m.cfg.Name {
@@ -116,6 +116,6 @@
 }
 
 // Ask has another member answer a call of its address with JSON, of at most so many bytes.
-func (m *Member) Ask(ctx context.Context, of Peer, path string, most int64, out any) error {
+func (m *Node) CallPeer(ctx context.Context, of Peer, path string, most int64, out any) error {
 	return m.peers.get(ctx, of, path, most, out)
 }
--- a/internal/roster/member/fresh.go
+++ b/internal/registry/raftnode/fresh.go
@@ -1,4 +1,4 @@
-package member
+package raftnode
 
 import (
 	"context"
@@ -9,22 +9,22 @@
 
 // Proof is what this leader's list is now: it has made sure with a majority that it leads. All that was acknowledged
 // before the call is in it, since a command is acknowledged once the leader's list has it.
-func (m *Member) Proof() (Proof, error) {
+func (m *Node) ReadIndex() (ReadIndex, error) {
 	if !m.isLeading() {
-		return Proof{}, ErrNotLeading
+		return ReadIndex{}, ErrNotLeader
 	}
-	p := Proof{Commit: m.raft.CommitIndex()}
+	p := ReadIndex{Commit: m.raft.CommitIndex()}
 	m.mu.Lock()
-	p.Line, p.Index, p.Configs = m.state.Line(), m.state.Index(), m.state.ConfigsMark()
+	p.Epoch, p.Version, p.Configs = m.state.Epoch(), m.state.Version(), m.state.ConfigRevision()
 	m.mu.Unlock()
 	if err := m.raft.VerifyLeader().Error(); err != nil {
-		return Proof{}, fmt.Errorf("%w (%w)", ErrNotLeading, err)
+		return ReadIndex{}, fmt.Errorf("%w (%w)", ErrNotLeader, err)
 	}
 	return p, nil
 }
 
 // Age is the time since the list was last proved current.
-func (m *Member) Age() time.Duration {
+func (m *Node) Age() time.Duration {
 	if at := m.fresh.Load(); at != nil {
 		return time.Since(*at)
 	}
@@ -32,19 +32,19 @@
 }
 
 // Serving tells whether the list is told: it has begun and is not older than it may be.
-func (m *Member) Serving() bool {
+func (m *Node) Serving() bool {
 	line, _ := m.Version()
-	return line != "" && m.Age() <= m.cfg.Stale
+	return line != "" && m.Age() <= m.cfg.MaxListAge
 }
 
 // AwaitFresh waits until the list has been proved current at a moment after this call began.
-func (m *Member) AwaitFresh(ctx context.Context) error {
+func (m *Node) WaitLinearizable(ctx context.Context) error {
 	begun := time.Now()
 	select {
 	case m.newer <- struct{}{}: // not at the next poll but now
 	default:
 	}
-	patience := time.NewTimer(m.cfg.Stale)
+	patience := time.NewTimer(m.cfg.MaxListAge)
 	defer patience.Stop()
 	for {
 		m.waitMu.Lock()
@@ -66,8 +66,8 @@
 }
 
 // keepFresh owns the member's freshness.
-func (m *Member) keepFresh() {
-	polls := time.NewTicker(Poll)
+func (m *Node) keepFresh() {
+	polls := time.NewTicker(FreshnessInterval)
 	defer polls.Stop()
 	serves := false
 	for {
@@ -77,9 +77,9 @@
 			if serves = now; now {
 				m.log.Info("the list is served")
 			} else {
-				m.log.Error("the list is not served: the leader is lost", "age", m.Age(), "bound", m.cfg.Stale, "error", err)
+				m.log.Error("the list is not served: the leader is lost", "age", m.Age(), "bound", m.cfg.MaxListAge, "error", err)
 			}
-			m.hub.Changed() // those who wait are told
+			m.hub.NotifyChange() // those who wait are told
 		}
 		select {
 		case <-polls.C:
@@ -91,8 +91,8 @@
 }
 
 // prove gets one proof that the list was current at a moment.
-func (m *Member) prove(at time.Time) error {
-	ctx, cancel := context.WithTimeout(m.ctx, m.cfg.Stale)
+func (m *Node) prove(at time.Time) error {
+	ctx, cancel := context.WithTimeout(m.ctx, m.cfg.MaxListAge)
 	defer cancel()
 	p, err := m.proof(ctx)
 	if err != nil {
@@ -126,13 +126,13 @@
 	return nil
 }
 
-func (m *Member) proof(ctx context.Context) (Proof, error) {
+func (m *Node) proof(ctx context.Context) (ReadIndex, error) {
 	if m.isLeading() {
-		return m.Proof()
+		return m.ReadIndex()
 	}
 	p, ok := m.Leader()
 	if !ok || p.Name == m.cfg.Name {
-		return Proof{}, ErrNoLeader
+		return ReadIndex{}, ErrNoLeader
 	}
 	return m.peers.proof(ctx, p)
 }
--- a/internal/roster/member/fresh_test.go
+++ b/internal/registry/raftnode/fresh_test.go
@@ -1,27 +1,27 @@
-package member
+package raftnode
 
 import (
 	"encoding/json"
 	"testing"
 
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/state"
 )
 
 // A member whose list is current and that lacks a put of a configuration is not current: puts make no version of the list.
 func TestAProofIsOfConfigurationsToo(t *testing.T) {
 	begun := func(puts ...string) *state.State {
 		s := state.New()
-		s.Apply(state.Command{Kind: state.Begin, Line: "l", Base: 100})
+		s.Apply(state.Command{Kind: state.CommandBegin, Epoch: "l", FirstVersion: 100})
 		for _, service := range puts {
 			was, _ := s.Configuration(service)
-			if r := s.Apply(state.Command{Kind: state.Configure, Service: service, After: was.Version, Document: json.RawMessage(`{}`)}); r.End != state.Done {
+			if r := s.Apply(state.Command{Kind: state.CommandConfigure, Service: service, After: was.Version, Document: json.RawMessage(`{}`)}); r.Code != state.ResultDone {
 				t.Fatal(r)
 			}
 		}
 		return s
 	}
 	leader := begun("a", "b", "a")
-	p := Proof{Line: leader.Line(), Index: leader.Index(), Configs: leader.ConfigsMark()}
+	p := ReadIndex{Epoch: leader.Epoch(), Version: leader.Version(), Configs: leader.ConfigRevision()}
 	for _, c := range []struct {
 		puts  []string
 		holds bool
@@ -30,7 +30,7 @@
 			t.Errorf("after %v: %v", c.puts, !c.holds)
 		}
 	}
-	if !(Proof{Line: "l", Index: 100}).holds(begun()) || (Proof{Line: "m", Index: 100}).holds(begun()) || (Proof{Line: "l", Index: 101}).holds(begun()) {
+	if !(ReadIndex{Epoch: "l", Version: 100}).holds(begun()) || (ReadIndex{Epoch: "m", Version: 100}).holds(begun()) || (ReadIndex{Epoch: "l", Version: 101}).holds(begun()) {
 		t.Error("the list's part of a proof")
 	}
 }
--- a/internal/roster/member/lead.go
+++ b/internal/registry/raftnode/lead.go
@@ -1,4 +1,4 @@
-package member
+package raftnode
 
 import (
 	"errors"
@@ -6,12 +6,12 @@
 
 	"github.com/hashicorp/raft"
 
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/state"
 )
 
 // lead owns what the leader does beside the log: it notes when this member begins and ceases to lead, begins the first
 // line, and lets leases end.
-func (m *Member) lead() {
+func (m *Node) lead() {
 	looks := time.NewTicker(tick)
 	defer looks.Stop()
 	for {
@@ -36,7 +36,7 @@
 	}
 }
 
-func (m *Member) cease() {
+func (m *Node) cease() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.leading {
@@ -45,14 +45,14 @@
 	m.leading = false
 }
 
-func (m *Member) begin() {
+func (m *Node) begin() {
 	if err := m.raft.Barrier(10 * applyWait).Error(); err != nil {
 		m.log.Warn("the lead was lost before it began", "error", err)
 		return
 	}
 	line, former := m.Version()
 	if line == "" {
-		first := state.Command{Kind: state.Begin, Line: newLine(), Base: state.Base(time.Now(), former)}
+		first := state.Command{Kind: state.CommandBegin, Epoch: newLine(), FirstVersion: state.FirstVersion(time.Now(), former)}
 		if _, err := m.apply(first); err != nil {
 			m.log.Warn("the list could not be begun", "error", err)
 			return
@@ -62,13 +62,13 @@
 	defer m.mu.Unlock()
 	m.leases.Reset(time.Now(), m.state.Records())
 	m.leading, m.expired = true, 0
-	m.log.Info("this member leads", "term", m.raft.CurrentTerm(), "index", m.state.Index(), "nodos", m.state.Len())
+	m.log.Info("this member leads", "term", m.raft.CurrentTerm(), "index", m.state.Version(), "nodos", m.state.Len())
 }
 
 // lookOver has the leases that have ended end. A leader that cannot tell whether it leads ends none: it may be the one
 // that the renewals do not reach.
-func (m *Member) lookOver() {
-	stale := m.Age() > m.cfg.Stale
+func (m *Node) lookOver() {
+	stale := m.Age() > m.cfg.MaxListAge
 	m.mu.Lock()
 	now := time.Now()
 	if stale {
@@ -77,36 +77,36 @@
 		m.mu.Unlock()
 		return
 	}
-	l := m.leases.Look(now)
+	l := m.leases.Sweep(now)
 	m.look = l
 	m.mu.Unlock()
-	if l.Stalled > 0 {
-		m.log.Warn("this process stood still: no lease ran meanwhile", "for", l.Stalled)
+	if l.Paused > 0 {
+		m.log.Warn("this process stood still: no lease ran meanwhile", "for", l.Paused)
 	}
-	for _, z := range l.Begun {
+	for _, z := range l.HoldsStarted {
 		m.log.Error("too many leases of a zone ended together: its nodos are kept, and let go slowly", "zone", z,
-			"overdue", l.Overdue, "part", m.cfg.Lease.Part, "pace", m.cfg.Lease.Pace)
+			"overdue", l.Overdue, "part", m.cfg.Lease.HoldThreshold, "pace", m.cfg.Lease.ReleaseRate)
 	}
-	for _, z := range l.Ended {
+	for _, z := range l.HoldsEnded {
 		m.log.Info("a zone's nodos are no longer held", "zone", z)
 	}
-	if len(l.Gone) == 0 {
+	if len(l.Expired) == 0 {
 		return
 	}
-	_, err := m.apply(state.Command{Kind: state.Expire, Refs: l.Gone})
+	_, err := m.apply(state.Command{Kind: state.CommandExpire, Refs: l.Expired})
 	if err == nil {
-		m.log.Info("leases ended", "nodos", l.Gone)
+		m.log.Info("leases ended", "nodos", l.Expired)
 		m.mu.Lock()
-		m.expired += int64(len(l.Gone))
+		m.expired += int64(len(l.Expired))
 		m.mu.Unlock()
 		return
 	}
-	if !errors.Is(err, ErrNotLeading) {
-		m.log.Warn("leases that ended stand for another time", "nodos", len(l.Gone), "error", err)
+	if !errors.Is(err, ErrNotLeader) {
+		m.log.Warn("leases that ended stand for another time", "nodos", len(l.Expired), "error", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, ref := range l.Gone {
+	for _, ref := range l.Expired {
 		if r, ok := m.state.Get(ref.Name); ok && r.Instance == ref.Instance {
 			m.leases.Put(now, r)
 		}
--- a/internal/roster/member/log.go
+++ b/internal/registry/raftnode/log.go
@@ -1,4 +1,4 @@
-package member
+package raftnode
 
 import (
 	"bytes"
--- a/internal/roster/member/machine.go
+++ b/internal/registry/raftnode/machine.go
@@ -1,4 +1,4 @@
-package member
+package raftnode
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 
 	"github.com/hashicorp/raft"
 
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/state"
 )
 
 // machine is the member as consensus feeds it.
-type machine Member
+type machine Node
 
 // Apply implements raft.FSM.
 func (f *machine) Apply(l *raft.Log) any {
@@ -24,11 +24,11 @@
 		return err
 	}
 	r := f.state.Apply(c)
-	if f.leading && r.End == state.Done {
+	if f.leading && r.Code == state.ResultDone {
 		f.lease(c)
 	}
-	if r.Changed || c.Kind == state.Begin {
-		f.hub.Changed()
+	if r.Changed || c.Kind == state.CommandBegin {
+		f.hub.NotifyChange()
 	}
 	return r
 }
@@ -36,11 +36,11 @@
 // lease has the leases follow a command.
 func (f *machine) lease(c state.Command) {
 	switch c.Kind {
-	case state.Register:
+	case state.CommandRegister:
 		if r, ok := f.state.Get(c.Record.Name); ok {
 			f.leases.Put(time.Now(), r)
 		}
-	case state.Deregister, state.Expire:
+	case state.CommandDeregister, state.CommandExpire:
 		for _, ref := range c.Refs {
 			if _, ok := f.state.Get(ref.Name); !ok {
 				f.leases.Remove(ref.Name)
@@ -59,7 +59,7 @@
 func (f *machine) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return image(f.state.Image()), nil
+	return image(f.state.Snapshot()), nil
 }
 
 // Restore implements raft.FSM.
@@ -75,15 +75,15 @@
 		return fmt.Errorf("%w: %w", state.ErrDamaged, err)
 	}
 	f.move()
-	f.hub.Changed()
+	f.hub.NotifyChange()
 	return nil
 }
 
-type image state.Image
+type image state.Snapshot
 
 // Persist implements raft.FSMSnapshot.
 func (i image) Persist(sink raft.SnapshotSink) error {
-	if err := state.Image(i).Write(sink); err != nil {
+	if err := state.Snapshot(i).Write(sink); err != nil {
 		_ = sink.Cancel()
 		return err
 	}
--- a/internal/roster/member/member.go
+++ b/internal/registry/raftnode/node.go
@@ -20,7 +20,7 @@
 //
 // Rejected: trust in raft's LastContact for freshness (a member that is catching up hears from the leader all the time);
 // renewals in the log (a write and a sync for each nodo every few seconds, to keep what a new leader counts afresh anyway).
-package member
+package raftnode
 
 import (
 	"context"
@@ -42,16 +42,16 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"fernlanding/internal/roster/fanout"
-	"fernlanding/internal/roster/lease"
-	"fernlanding/internal/roster/state"
-	"fernlanding/internal/roster/store"
+	"merlinpick/internal/registry/lease"
+	"merlinpick/internal/registry/state"
+	"merlinpick/internal/registry/store"
+	"merlinpick/internal/registry/watch"
 )
 
 const (
 	// Poll is between two proofs of freshness.
-	Poll = 250 * time.Millisecond
-	tick = 100 * time.Millisecond // between two looks at the leases
+	FreshnessInterval = 250 * time.Millisecond
+	tick              = 100 * time.Millisecond // between two looks at the leases
 
 	applyWait     = 2 * time.Second // for a command to be committed
 	snapshotEvery = 2048            // entries
@@ -72,33 +72,33 @@
 
 // Config is what a member is told.
 type Config struct {
-	Name     string
-	Dir      string
-	Listen   string        // of the consensus; empty: the peer's own address
-	Peers    []Peer        // all members, this one too; empty: it is the only one
-	Election time.Duration // without a word from the leader
-	Stale    time.Duration // a list that is older is not told
-	Lease    lease.Config
-	Log      *slog.Logger
+	Name            string
+	Dir             string
+	Listen          string        // of the consensus; empty: the peer's own address
+	Peers           []Peer        // all members, this one too; empty: it is the only one
+	ElectionTimeout time.Duration // without a word from the leader
+	MaxListAge      time.Duration // a list that is older is not told
+	Lease           lease.Config
+	Logger          *slog.Logger
 }
 
 // The ways in which a call can fail. The caller repeats it, elsewhere or later.
 var (
-	ErrNotLeading = errors.New("this member does not lead")
-	ErrNoLeader   = errors.New("no leader is known")
-	ErrStale      = errors.New("this member has lost the leader: its list may be old")
-	ErrUnsure     = errors.New("not confirmed in time; it may have happened: repeat it")
+	ErrNotLeader = errors.New("this member does not lead")
+	ErrNoLeader  = errors.New("no leader is known")
+	ErrStale     = errors.New("this member has lost the leader: its list may be old")
+	ErrUncertain = errors.New("not confirmed in time; it may have happened: repeat it")
 )
 
 // Member is one member.
-type Member struct {
+type Node struct {
 	cfg    Config
 	log    *slog.Logger
 	store  *store.Store
 	raft   *raft.Raft
 	trans  raft.Transport
 	voice  *voice // nil for an only member
-	hub    *fanout.Hub
+	hub    *watch.Hub
 	peers  *peers
 	puts   sync.RWMutex // a restore waits for the puts that are under way, and they for it
 	ctx    context.Context
@@ -113,25 +113,25 @@
 	state   *state.State
 	leases  *lease.Table
 	leading bool
-	look    lease.Look // the last one's figures
+	look    lease.Sweep // the last one's figures
 	expired int64
 	moved   chan struct{} // closed when the state has moved
 }
 
 // Open opens a member's directory and joins the others. One whose directory is empty waits for them, for as long as the
 // context lasts; meanwhile its caller has to answer them with Waiting.
-func Open(ctx context.Context, cfg Config) (*Member, error) {
-	snaps, newest, err := snapshots(cfg.Dir, newLogger(cfg.Log))
+func Open(ctx context.Context, cfg Config) (*Node, error) {
+	snaps, newest, err := snapshots(cfg.Dir, newLogger(cfg.Logger))
 	if err != nil {
 		return nil, err
 	}
-	st, fresh, err := store.Open(cfg.Dir, cfg.Name, newest, cfg.Log)
+	st, fresh, err := store.Open(cfg.Dir, cfg.Name, newest, cfg.Logger)
 	if err != nil {
 		return nil, err
 	}
-	m := &Member{cfg: cfg, log: cfg.Log, store: st, state: state.New(), leases: lease.New(cfg.Lease),
+	m := &Node{cfg: cfg, log: cfg.Logger, store: st, state: state.New(), leases: lease.New(cfg.Lease),
 		newer: make(chan struct{}, 1), waiter: make(chan struct{}), moved: make(chan struct{})}
-	m.hub = fanout.New(m)
+	m.hub = watch.New(m)
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	m.peers = newPeers(cfg)
 	if err := m.join(ctx, snaps, fresh); err != nil {
@@ -145,14 +145,14 @@
 	return m, nil
 }
 
-func (m *Member) join(ctx context.Context, snaps raft.SnapshotStore, fresh bool) error {
+func (m *Node) join(ctx context.Context, snaps raft.SnapshotStore, fresh bool) error {
 	cfg := m.cfg
-	logger := newLogger(cfg.Log)
+	logger := newLogger(cfg.Logger)
 	var err error
 	rc := raft.DefaultConfig()
 	rc.LocalID = raft.ServerID(cfg.Name)
 	rc.Logger = logger
-	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = cfg.Election, cfg.Election, cfg.Election/2
+	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = cfg.ElectionTimeout, cfg.ElectionTimeout, cfg.ElectionTimeout/2
 	rc.SnapshotThreshold, rc.TrailingLogs = snapshotEvery, trailing
 	rc.SnapshotInterval = 30 * time.Second
 	servers := []raft.Server{{ID: rc.LocalID, Address: raft.ServerAddress(cfg.Name)}}
@@ -221,7 +221,7 @@
 }
 
 // Close leaves the others: one that leads hands over first.
-func (m *Member) Close() error {
+func (m *Node) Close() error {
 	if m.raft.State() == raft.Leader && len(m.cfg.Peers) > 1 {
 		if err := m.raft.LeadershipTransfer().Error(); err != nil {
 			m.log.Warn("the lead could not be handed over", "error", err)
@@ -243,44 +243,44 @@
 }
 
 // Hub tells callers of changes.
-func (m *Member) Hub() *fanout.Hub { return m.hub }
+func (m *Node) Hub() *watch.Hub { return m.hub }
 
 // Version implements fanout.Source.
-func (m *Member) Version() (string, int64) {
+func (m *Node) Version() (string, int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.state.Line(), m.state.Index()
+	return m.state.Epoch(), m.state.Version()
 }
 
 // Whole implements fanout.Source.
-func (m *Member) Whole() (string, int64, []state.Entry) {
+func (m *Node) Snapshot() (string, int64, []state.Endpoint) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	records := m.state.Records()
-	out := make([]state.Entry, len(records))
+	out := make([]state.Endpoint, len(records))
 	for i, r := range records {
-		out[i] = r.Entry
+		out[i] = r.Endpoint
 	}
-	return m.state.Line(), m.state.Index(), out
+	return m.state.Epoch(), m.state.Version(), out
 }
 
 // Changes implements fanout.Source.
-func (m *Member) Changes(from int64) (string, int64, []state.Change, bool) {
+func (m *Node) Changes(from int64) (string, int64, []state.Change, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	changes, kept := m.state.Changes(from)
-	return m.state.Line(), m.state.Index(), changes, kept
+	return m.state.Epoch(), m.state.Version(), changes, kept
 }
 
 // Do has the members agree on a command. Only the leader can. With ErrUnsure it may happen yet.
-func (m *Member) Do(c state.Command) (state.Result, error) {
+func (m *Node) Propose(c state.Command) (state.Result, error) {
 	if !m.isLeading() {
-		return state.Result{}, ErrNotLeading
+		return state.Result{}, ErrNotLeader
 	}
 	return m.apply(c)
 }
 
-func (m *Member) apply(c state.Command) (state.Result, error) {
+func (m *Node) apply(c state.Command) (state.Result, error) {
 	f := m.raft.Apply(c.Encode(), applyWait)
 	done := make(chan error, 1)
 	go func() { done <- f.Error() }()
@@ -288,12 +288,12 @@
 	case err := <-done:
 		switch {
 		case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-			return state.Result{}, ErrNotLeading
+			return state.Result{}, ErrNotLeader
 		case err != nil:
-			return state.Result{}, fmt.Errorf("%w (%w)", ErrUnsure, err)
+			return state.Result{}, fmt.Errorf("%w (%w)", ErrUncertain, err)
 		}
 	case <-time.After(applyWait):
-		return state.Result{}, ErrUnsure
+		return state.Result{}, ErrUncertain
 	}
 	r, ok := f.Response().(state.Result)
 	if !ok {
@@ -302,7 +302,7 @@
 	return r, nil
 }
 
-func (m *Member) isLeading() bool {
+func (m *Node) isLeading() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leading
@@ -310,57 +310,57 @@
 
 // Renew has a nodo's lease last on, and tells its record and the newest version. ErrStale: a leader that cannot tell
 // whether it still leads takes no renewal, since the next one would not know of it.
-func (m *Member) Renew(ref state.Ref) (r state.Record, index int64, end string, err error) {
-	if m.Age() > m.cfg.Stale {
+func (m *Node) Renew(ref state.InstanceRef) (r state.Record, index int64, end string, err error) {
+	if m.Age() > m.cfg.MaxListAge {
 		return r, 0, "", ErrStale
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.leading {
-		return r, 0, "", ErrNotLeading
+		return r, 0, "", ErrNotLeader
 	}
 	r, ok := m.state.Get(ref.Name)
 	switch {
 	case !ok && m.state.IsEnded(ref):
-		return r, m.state.Index(), state.Ended, nil
+		return r, m.state.Version(), state.ResultEnded, nil
 	case !ok:
-		return r, m.state.Index(), state.Unknown, nil
+		return r, m.state.Version(), state.ResultUnknown, nil
 	case r.Instance != ref.Instance:
-		return r, m.state.Index(), state.Replaced, nil
+		return r, m.state.Version(), state.ResultReplaced, nil
 	case !m.leases.Renew(time.Now(), ref): // it is being let go: the registration that follows comes after that
-		return r, m.state.Index(), state.Unknown, nil
+		return r, m.state.Version(), state.ResultUnknown, nil
 	}
-	return r, m.state.Index(), state.Done, nil
+	return r, m.state.Version(), state.ResultDone, nil
 }
 
 // Nodo is a record with what its lease has left, which only the leader knows.
-type Nodo struct {
+type EndpointStatus struct {
 	state.Record
-	LeftMs *int64 `json:"lease_left_ms,omitempty"`
+	LeaseLeftMs *int64 `json:"lease_left_ms,omitempty"`
 }
 
 // Nodos are all records.
-func (m *Member) Nodos() []Nodo {
+func (m *Node) Endpoints() []EndpointStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	records := m.state.Records()
-	out := make([]Nodo, len(records))
+	out := make([]EndpointStatus, len(records))
 	for i, r := range records {
 		out[i].Record = r
-		if left, ok := m.leases.Left(now, r.Name); ok && m.leading {
+		if left, ok := m.leases.Remaining(now, r.Name); ok && m.leading {
 			ms := left.Milliseconds()
-			out[i].LeftMs = &ms
+			out[i].LeaseLeftMs = &ms
 		}
 	}
 	return out
 }
 
 // Image copies the state.
-func (m *Member) Image() state.Image {
+func (m *Node) StateSnapshot() state.Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.state.Image()
+	return m.state.Snapshot()
 }
 
 func newLine() string {
@@ -370,7 +370,7 @@
 }
 
 // Leader is the member that leads, as far as this one knows.
-func (m *Member) Leader() (Peer, bool) {
+func (m *Node) Leader() (Peer, bool) {
 	_, id := m.raft.LeaderWithID()
 	if id == "" {
 		return Peer{}, false
@@ -385,27 +385,27 @@
 
 // Status is a member as operators see it.
 type Status struct {
-	Name     string `json:"name"`
-	Role     string `json:"role"`
-	Leader   string `json:"leader"`
-	Term     uint64 `json:"term"`
-	Line     string `json:"line"`
-	Index    int64  `json:"index"`
-	Nodos    int    `json:"nodos"`
-	AgeMs    int64  `json:"age_ms"` // since its list was last proved current; -1: never
-	Serving  bool   `json:"serving"`
-	Abstains bool   `json:"abstains"` // it has lost its directory and is catching up: it does not vote
-	Empty    bool   `json:"empty"`    // it holds nothing yet
-	Configs  bool   `json:"configs"`  // its build knows configurations; one that does not say so has none
-	Overdue  int    `json:"overdue"`  // leases that are over and held, on the leader
-	Held     int    `json:"held_zones"`
-	Expired  int64  `json:"expired"` // leases that this leader has let end
+	Name      string `json:"name"`
+	Role      string `json:"role"`
+	Leader    string `json:"leader"`
+	Term      uint64 `json:"term"`
+	Epoch     string `json:"line"`
+	Version   int64  `json:"index"`
+	Endpoints int    `json:"nodos"`
+	AgeMs     int64  `json:"age_ms"` // since its list was last proved current; -1: never
+	Serving   bool   `json:"serving"`
+	Abstains  bool   `json:"abstains"` // it has lost its directory and is catching up: it does not vote
+	Empty     bool   `json:"empty"`    // it holds nothing yet
+	Configs   bool   `json:"configs"`  // its build knows configurations; one that does not say so has none
+	Overdue   int    `json:"overdue"`  // leases that are over and held, on the leader
+	Held      int    `json:"held_zones"`
+	Expired   int64  `json:"expired"` // leases that this leader has let end
 
 	Configurations int `json:"configurations"` // that are kept
 }
 
 // Status tells how the member is.
-func (m *Member) Status() Status {
+func (m *Node) Status() Status {
 	s := Status{Name: m.cfg.Name, Configs: true, Role: strings.ToLower(m.raft.State().String()), Term: m.raft.CurrentTerm(), AgeMs: -1,
 		Empty: m.raft.LastIndex() <= bootEntries, Abstains: m.voice != nil && m.voice.abstains.Load()}
 	if p, ok := m.Leader(); ok {
@@ -417,10 +417,10 @@
 	s.Serving = m.Serving()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.Line, s.Index, s.Nodos = m.state.Line(), m.state.Index(), m.state.Len()
+	s.Epoch, s.Version, s.Endpoints = m.state.Epoch(), m.state.Version(), m.state.Len()
 	s.Configurations = m.state.ConfigurationsLen()
 	if m.leading {
-		s.Overdue, s.Held, s.Expired = m.look.Overdue, m.look.Held, m.expired
+		s.Overdue, s.Held, s.Expired = m.look.Overdue, m.look.HeldZones, m.expired
 	}
 	return s
 }
--- a/internal/roster/member/peers.go
+++ b/internal/registry/raftnode/peers.go
@@ -1,4 +1,4 @@
-package member
+package raftnode
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/state"
 )
 
 const (
@@ -17,10 +17,10 @@
 )
 
 // Proof is a leader's word on what its list was when a majority confirmed that it leads.
-type Proof struct {
-	Line   string `json:"line"`
-	Index  int64  `json:"index"`
-	Commit uint64 `json:"commit"` // the consensus's index
+type ReadIndex struct {
+	Epoch   string `json:"line"`
+	Version int64  `json:"index"`
+	Commit  uint64 `json:"commit"` // the consensus's index
 
 	// Configs is the state's ConfigsMark: a put of a configuration makes no version of the list. A leader of a build
 	// without configurations has 0, and none.
@@ -28,8 +28,8 @@
 }
 
 // holds tells whether a state has all that a proof is of.
-func (p Proof) holds(s *state.State) bool {
-	return s.Line() == p.Line && s.Index() >= p.Index && s.ConfigsMark() >= p.Configs
+func (p ReadIndex) holds(s *state.State) bool {
+	return s.Epoch() == p.Epoch && s.Version() >= p.Version && s.ConfigRevision() >= p.Configs
 }
 
 // peers asks the other members, over the address of the list.
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (p *peers) proof(ctx context.Context, leader Peer) (out Proof, err error) {
+func (p *peers) proof(ctx context.Context, leader Peer) (out ReadIndex, err error) {
 	err = p.get(ctx, leader, "/v1/proof", answerMost, &out)
 	return out, err
 }
--- a/internal/roster/member/restore.go
+++ b/internal/registry/raftnode/restore.go
@@ -1,4 +1,4 @@
-package member
+package raftnode
 
 import (
 	"fmt"
@@ -7,19 +7,19 @@
 
 	"github.com/hashicorp/raft"
 
-	"fernlanding/internal/roster/state"
+	"merlinpick/internal/registry/state"
 )
 
 // Restore has all members hold an image in place of their list, as a new line of versions above all before it. A
 // configuration that the image lacks stays.
-func (m *Member) Restore(i state.Image) (line string, index int64, err error) {
+func (m *Node) Restore(i state.Snapshot) (line string, index int64, err error) {
 	if !m.isLeading() {
-		return "", 0, ErrNotLeading
+		return "", 0, ErrNotLeader
 	}
 	m.puts.Lock() // a put that was confirmed is in what stays
 	defer m.puts.Unlock()
 	configs, newest, _ := m.configurations()
-	i = i.Lift(newLine(), state.Base(time.Now(), max(i.Newest(), newest)), configs)
+	i = i.Rebase(newLine(), state.FirstVersion(time.Now(), max(i.Newest(), newest)), configs)
 	if len(i.Configs) > 0 {
 		if err := m.allKnow(m.ctx); err != nil {
 			return "", 0, err
@@ -34,12 +34,12 @@
 	}
 	meta := raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(text.Len())}
 	if err := m.raft.Restore(&meta, strings.NewReader(text.String()), 10*applyWait); err != nil {
-		return "", 0, fmt.Errorf("%w (%w)", ErrUnsure, err)
+		return "", 0, fmt.Errorf("%w (%w)", ErrUncertain, err)
 	}
 	m.mu.Lock()
 	m.leases.Reset(time.Now(), m.state.Records())
 	m.mu.Unlock()
-	m.log.Warn("the list was restored from a snapshot", "line", i.Line, "index", i.Index, "nodos", len(i.Records),
+	m.log.Warn("the list was restored from a snapshot", "line", i.Epoch, "index", i.Version, "nodos", len(i.Records),
 		"configurations", len(i.Configs))
-	return i.Line, i.Index, nil
+	return i.Epoch, i.Version, nil
 }
--- a/internal/roster/member/voice.go
+++ b/internal/registry/raftnode/voice.go
@@ -1,4 +1,4 @@
-package member
+package raftnode
 
 import (
 	"context"
@@ -79,7 +79,7 @@
 
 // abstains tells whether this member has to abstain from elections. One with an empty directory waits until all others
 // have told what they hold, since one that is not asked may be the one that knows.
-func (m *Member) abstains(ctx context.Context, fresh bool) (bool, error) {
+func (m *Node) abstains(ctx context.Context, fresh bool) (bool, error) {
 	if !fresh {
 		v, err := m.store.Get(abstainKey)
 		return err == nil && len(v) == 1 && v[0] == 1, nil // never set: it never had to
@@ -128,6 +128,6 @@
 }
 
 // Waiting is the status of a member that has not opened yet.
-func Waiting(name string) Status {
+func WaitingStatus(name string) Status {
 	return Status{Name: name, Role: "joining", AgeMs: -1, Empty: true, Configs: true}
 }
