--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	form     = 1
-	headMost = 64
+	formatVersion  = 1
+	maxHeaderBytes = 64
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -30,12 +30,12 @@
 // ErrDamaged is a text that is not what was sealed.
 var ErrDamaged = errors.New("damaged")
 
-func head(kind string, body []byte) []byte {
-	return fmt.Appendf(nil, "%s %d %d %08x\n", kind, form, len(body), crc32.Checksum(body, castagnoli))
+func header(kind string, body []byte) []byte {
+	return fmt.Appendf(nil, "%s %d %d %08x\n", kind, formatVersion, len(body), crc32.Checksum(body, castagnoli))
 }
 
 // Seal puts a head before a body. The kind is a word without spaces.
-func Seal(kind string, body []byte) []byte { return append(head(kind, body), body...) }
+func Seal(kind string, body []byte) []byte { return append(header(kind, body), body...) }
 
 // Unseal reads a sealed text of a kind, of at most so many bytes, and gives its body.
 func Unseal(kind string, r io.Reader, most int64) ([]byte, error) {
@@ -47,24 +47,24 @@
 		return nil, fmt.Errorf("%w: over %d bytes", ErrDamaged, most)
 	}
 	first, body, ok := bytes.Cut(text, []byte("\n"))
-	if !ok || len(first) > headMost || !bytes.HasPrefix(first, []byte(kind+" ")) {
+	if !ok || len(first) > maxHeaderBytes || !bytes.HasPrefix(first, []byte(kind+" ")) {
 		return nil, fmt.Errorf("%w: it does not begin as a %s does", ErrDamaged, kind)
 	}
-	if !bytes.HasPrefix(first, fmt.Appendf(nil, "%s %d ", kind, form)) {
+	if !bytes.HasPrefix(first, fmt.Appendf(nil, "%s %d ", kind, formatVersion)) {
 		return nil, fmt.Errorf("%w: %q is of a form that this program does not read", ErrDamaged, first)
 	}
-	if want := bytes.TrimSuffix(head(kind, body), []byte("\n")); !bytes.Equal(first, want) {
+	if want := bytes.TrimSuffix(header(kind, body), []byte("\n")); !bytes.Equal(first, want) {
 		return nil, fmt.Errorf("%w: what is there is %q, and the head says %q", ErrDamaged, want, first)
 	}
 	return body, nil
 }
 
 // temporary is the pattern of the names under which WriteFile writes a file before it renames it.
-func temporary(name string) string { return name + ".*.new" }
+func temporaryName(name string) string { return name + ".*.new" }
 
 // sweep removes what processes that died in WriteFile left of a file.
-func sweep(path string) error {
-	left, err := filepath.Glob(temporary(path))
+func removeLeftovers(path string) error {
+	left, err := filepath.Glob(temporaryName(path))
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 
 // WriteFile puts a file in the place of another as one step that a power loss cannot split, and confirms it.
 func WriteFile(path string, data []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), temporary(filepath.Base(path)))
+	f, err := os.CreateTemp(filepath.Dir(path), temporaryName(filepath.Base(path)))
 	if err != nil {
 		return err
 	}
--- a/internal/atomicfile/keeper.go
+++ b/internal/atomicfile/keeper.go
@@ -9,29 +9,29 @@
 )
 
 // keepWait is between two writes, at least.
-const keepWait = time.Second
+const writeInterval = time.Second
 
 // Keeper writes the newest of something down, in a goroutine of its own, and again while the disk does not take it. A disk
 // that takes none, or is slow, is said once and harms nothing else: the file is of use to the next start only.
 type Writer struct {
-	dir, file, kind, what string
-	log                   *slog.Logger
-	next                  chan func() []byte // the newest only
-	bad                   bool
+	dir, file, kind, description string
+	log                          *slog.Logger
+	pending                      chan func() []byte // the newest only
+	failing                      bool
 }
 
 // NewKeeper keeps a sealed text of a kind in a folder's file; what names it in the log.
 func NewWriter(dir, file, kind, what string, log *slog.Logger) *Writer {
-	return &Writer{dir: dir, file: file, kind: kind, what: what, log: log, next: make(chan func() []byte, 1)}
+	return &Writer{dir: dir, file: file, kind: kind, description: what, log: log, pending: make(chan func() []byte, 1)}
 }
 
 // Put has a text written soon; it is made then. Only one goroutine calls it.
 func (k *Writer) Put(text func() []byte) {
 	select {
-	case <-k.next:
+	case <-k.pending:
 	default:
 	}
-	k.next <- text
+	k.pending <- text
 }
 
 // Run writes until the context ends; what it gives waits for its end.
@@ -39,21 +39,21 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := sweep(filepath.Join(k.dir, k.file)); err != nil {
-			k.log.Warn(k.what+": leftovers of a former process stay", "dir", k.dir, "error", err)
+		if err := removeLeftovers(filepath.Join(k.dir, k.file)); err != nil {
+			k.log.Warn(k.description+": leftovers of a former process stay", "dir", k.dir, "error", err)
 		}
 		var unwritten func() []byte // what the disk has not taken
 		for {
 			var again <-chan time.Time
 			if unwritten != nil {
-				again = time.After(keepWait)
+				again = time.After(writeInterval)
 			}
 			select {
-			case unwritten = <-k.next:
+			case unwritten = <-k.pending:
 			case <-again:
 			case <-ctx.Done():
 				select {
-				case unwritten = <-k.next:
+				case unwritten = <-k.pending:
 				default:
 				}
 				if unwritten != nil {
@@ -65,7 +65,7 @@
 				unwritten = nil
 			}
 			select {
-			case <-time.After(keepWait):
+			case <-time.After(writeInterval):
 			case <-ctx.Done():
 			}
 		}
@@ -80,12 +80,12 @@
 		err = WriteFile(filepath.Join(k.dir, k.file), Seal(k.kind, text))
 	}
 	switch {
-	case err != nil && !k.bad:
-		k.log.Error(k.what+" cannot be kept: a start would have an older one", "dir", k.dir, "error", err)
-	case err == nil && k.bad:
-		k.log.Info(k.what+" is kept again", "dir", k.dir)
+	case err != nil && !k.failing:
+		k.log.Error(k.description+" cannot be kept: a start would have an older one", "dir", k.dir, "error", err)
+	case err == nil && k.failing:
+		k.log.Info(k.description+" is kept again", "dir", k.dir)
 	}
-	k.bad = err != nil
+	k.failing = err != nil
 	return err == nil
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,10 +21,10 @@
 
 // defaultSockets is what a proxy may hold where limits.sockets does not tell: the system's usual bound for a process
 // that asked for no more.
-const defaultSockets = 1024
+const defaultDescriptors = 1024
 
 // nameMost bounds a proxy's name at the list service, in bytes.
-const nameMost = 100
+const maxNameBytes = 100
 
 // Config is what the file says.
 type Config struct {
@@ -45,7 +45,7 @@
 	Listen    string   `json:"listen"`
 	Discovery string   `json:"discovery"`
 	Members   []string `json:"discovery_members"` // of the project's list service, in place of discovery
-	Kept      string   `json:"discovery_state"`   // folder of the last list; with members
+	StateDir  string   `json:"discovery_state"`   // folder of the last list; with members
 	Service   string   `json:"config_service"`    // whose configuration the members tell; see docs/rollout.md
 	Mgmt      string   `json:"mgmt"`
 	Seed      string   `json:"seed"`
@@ -60,7 +60,7 @@
 }
 
 // given tells whether there is a section; null is none.
-func given(section json.RawMessage) bool { return len(section) > 0 && string(section) != "null" }
+func isGiven(section json.RawMessage) bool { return len(section) > 0 && string(section) != "null" }
 
 // FleetReader reads the section fleet; name is the proxy's where the section gives none. Its errors are a *ConfigError,
 // or what encoding/json says of the section.
@@ -104,7 +104,7 @@
 }
 
 // Lacks tells of a key that a former configuration has and this one lacks; nil: of none.
-func (c *Config) MissingKey(former *Config) *ConfigError { return lacks(former.text, c.text) }
+func (c *Config) MissingKey(former *Config) *ConfigError { return missingKey(former.text, c.text) }
 
 // Above is this configuration with a document of its service above its settings; no document: as it is. Its errors are
 // each a *ConfigError.
@@ -114,16 +114,16 @@
 	}
 	var f map[string]json.RawMessage
 	if err := json.Unmarshal(c.text, &f); err != nil {
-		return nil, unreadable("", err)
+		return nil, decodeError("", err)
 	}
 	rules, err := settings.MergeDocument(f["settings"], document)
 	if err != nil {
-		return nil, unreadable("", err)
+		return nil, decodeError("", err)
 	}
 	f["settings"] = rules
 	text, err := json.Marshal(f)
 	if err != nil {
-		return nil, unreadable("", err)
+		return nil, decodeError("", err)
 	}
 	return parse(text, env, c.fleet)
 }
@@ -132,16 +132,16 @@
 func parse(text []byte, env func(string) string, fleet ClusterReader) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, unreadable("", err)
+		return nil, decodeError("", err)
 	}
 	c := &Config{ManagementAddress: cmp.Or(f.Mgmt, env("LB_MGMT")), Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, text: text, fleet: fleet}
 	p := &c.Proxy
 	p.Listen = cmp.Or(f.Listen, env("LB_LISTEN"))
 	p.Discovery = discovery.Source{Address: cmp.Or(f.Discovery, env("LB_DISCOVERY")), Members: f.Members}
-	p.ListCacheDir, p.Managed = f.Kept, c.ManagementAddress != ""
+	p.ListCacheDir, p.Managed = f.StateDir, c.ManagementAddress != ""
 	// Where the folder is not the proxy's own, as it is on the platform, its address tells it from others.
 	p.StateDir = filepath.Join(cmp.Or(env("TMPDIR"), os.TempDir()), "fernlanding-"+url.PathEscape(p.Listen))
-	p.MaxDescriptors = cmp.Or(f.Limits.Sockets, defaultSockets)
+	p.MaxDescriptors = cmp.Or(f.Limits.Sockets, defaultDescriptors)
 	if err := f.addresses(p); err != nil {
 		return nil, err
 	}
@@ -162,15 +162,15 @@
 			return nil, &ConfigError{Key: "limits." + l.key, Problem: "negative", Remedy: "give a limit, or leave it out"}
 		}
 	}
-	if p.Site, err = site(f.Settings); err != nil {
+	if p.Site, err = decodeSettings(f.Settings); err != nil {
 		return nil, err
 	}
-	if given(f.Known) {
+	if isGiven(f.Known) {
 		if p.InitialList, err = discovery.Parse(f.Known); err != nil {
-			return nil, unreadable("known", err)
+			return nil, decodeError("known", err)
 		}
 	}
-	if given(f.Fleet) {
+	if isGiven(f.Fleet) {
 		if p.Cluster, err = c.plan(f.Fleet, cmp.Or(env("LB_NAME"), f.Name)); err != nil {
 			return nil, err
 		}
@@ -188,7 +188,7 @@
 	plan, err := c.fleet(section, name)
 	var fault *ConfigError
 	if err != nil && !errors.As(err, &fault) {
-		err = unreadable("fleet", err)
+		err = decodeError("fleet", err)
 	}
 	return plan, err
 }
@@ -207,7 +207,7 @@
 			return &ConfigError{Key: fmt.Sprintf("discovery_members[%d]", i), Problem: err.Error(), Remedy: "give HOST:PORT"}
 		}
 	}
-	if f.Kept != "" && len(f.Members) == 0 {
+	if f.StateDir != "" && len(f.Members) == 0 {
 		return &ConfigError{Key: "discovery_state", Problem: "needs discovery_members; the platform's list is not kept",
 			Remedy: "give the members, or leave it out"}
 	}
@@ -227,21 +227,21 @@
 		return &ConfigError{Key: "name", Problem: "is missing, and config_service needs it to tell proxies apart",
 			Remedy: "give one there or in LB_NAME"}
 	}
-	if len(name) > nameMost {
-		return &ConfigError{Key: "name", Problem: fmt.Sprintf("has %d bytes, and config_service allows %d", len(name), nameMost),
+	if len(name) > maxNameBytes {
+		return &ConfigError{Key: "name", Problem: fmt.Sprintf("has %d bytes, and config_service allows %d", len(name), maxNameBytes),
 			Remedy: "give a shorter one there or in LB_NAME"}
 	}
 	return nil
 }
 
 // site reads the section settings.
-func site(section json.RawMessage) (*settings.Site, error) {
-	if !given(section) {
+func decodeSettings(section json.RawMessage) (*settings.Site, error) {
+	if !isGiven(section) {
 		return nil, &ConfigError{Key: "settings", Problem: "is missing", Remedy: "give the rules of the tier"}
 	}
 	s, err := settings.Read(section)
 	if err != nil {
-		return nil, unreadable("settings", err)
+		return nil, decodeError("settings", err)
 	}
 	return s, nil
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -27,18 +27,18 @@
 }
 
 // under puts a key that is told within a section behind the section's.
-func under(section, key string) string { return strings.Trim(section+"."+key, ".") }
+func joinKey(section, key string) string { return strings.Trim(section+"."+key, ".") }
 
 // unreadable is the fault of a section that could not be read, by the key that the error tells of.
-func unreadable(section string, err error) *ConfigError {
+func decodeError(section string, err error) *ConfigError {
 	fault := &ConfigError{Key: section, Problem: err.Error(), Remedy: "correct it; nothing of the file is in force"}
 	var kind *json.UnmarshalTypeError
 	var rule *settings.Error
 	switch {
 	case errors.As(err, &kind):
-		fault.Key, fault.Problem = under(section, kind.Field), "is a JSON "+kind.Value+", not "+kind.Type.String()
+		fault.Key, fault.Problem = joinKey(section, kind.Field), "is a JSON "+kind.Value+", not "+kind.Type.String()
 	case errors.As(err, &rule):
-		fault.Key, fault.Problem = under(section, rule.Key), rule.Problem
+		fault.Key, fault.Problem = joinKey(section, rule.Key), rule.Problem
 	}
 	return fault
 }
--- a/internal/config/lacks.go
+++ b/internal/config/lacks.go
@@ -12,39 +12,39 @@
 // lacks tells of the first key that a former configuration has and the next one lacks: what a file that was cut
 // short, or saved in the middle, may show and still make sense. Entries of a list are compared by the keys that all
 // of them have. What the list of servers holds is discovery's and not compared.
-func lacks(former, next []byte) *ConfigError {
+func missingKey(former, next []byte) *ConfigError {
 	var a, b map[string]any
 	if err := errors.Join(json.Unmarshal(former, &a), json.Unmarshal(next, &b)); err != nil {
-		return unreadable("", err)
+		return decodeError("", err)
 	}
 	delete(a, "known")
-	return lacksAt("", a, b)
+	return missingBelow("", a, b)
 }
 
-func lacksAt(at string, former, next any) *ConfigError {
+func missingBelow(at string, former, next any) *ConfigError {
 	switch a := former.(type) {
 	case map[string]any:
 		b, ok := next.(map[string]any)
 		if !ok {
-			return short(at, "no object")
+			return missingKeyError(at, "no object")
 		}
 		for _, key := range slices.Sorted(maps.Keys(a)) {
 			v, ok := b[key]
 			if !ok {
-				return short(at+"."+key, "is missing")
+				return missingKeyError(at+"."+key, "is missing")
 			}
-			if err := lacksAt(at+"."+key, a[key], v); err != nil {
+			if err := missingBelow(at+"."+key, a[key], v); err != nil {
 				return err
 			}
 		}
 	case []any:
 		b, ok := next.([]any)
 		if !ok {
-			return short(at, "no list")
+			return missingKeyError(at, "no list")
 		}
 		common := commonKeys(a)
 		for i, entry := range b {
-			if err := lacksAt(fmt.Sprintf("%s[%d]", at, i), common, entry); len(common) > 0 && err != nil {
+			if err := missingBelow(fmt.Sprintf("%s[%d]", at, i), common, entry); len(common) > 0 && err != nil {
 				return err
 			}
 		}
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func short(at, problem string) *ConfigError {
+func missingKeyError(at, problem string) *ConfigError {
 	return &ConfigError{Key: strings.TrimPrefix(at, "."), Problem: problem,
 		Remedy: "give it as the file in force does; to do without it, restart"}
 }
--- a/internal/discovery/callers.go
+++ b/internal/discovery/callers.go
@@ -8,7 +8,7 @@
 }
 
 // frontPart is how many proxies the first stage has for each of the next, of which a proxy of a later stage is told nothing.
-const frontPart = 0.25
+const firstTierRatio = 0.25
 
 // Callers is about how many proxies a proxy shares discovery's turns with. One of the first stage carries far more calls than one
 // of the next, and there are few of them: they reckon with as many for each tier as there are in their own, and so call
@@ -17,5 +17,5 @@
 	if f.Tier == 0 {
 		return f.Replicas * max(1, f.TierCount)
 	}
-	return f.Replicas*max(1, f.TierCount-1) + int(frontPart*float64(f.Replicas))
+	return f.Replicas*max(1, f.TierCount-1) + int(firstTierRatio*float64(f.Replicas))
 }
--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -21,7 +21,7 @@
 )
 
 // evidenceMost bounds EvidenceSpan: a server that went and came back within it may be taken for one that stayed.
-const evidenceMost = 2 * time.Second
+const maxEvidenceTTL = 2 * time.Second
 
 // EvidenceSpan is how long an answer of the list, or a call that a server took, shows that the server is listed: what has
 // changed since does not count as told, or is within the grace for sends to it.
@@ -30,69 +30,69 @@
 	if pushed {
 		counts = 0
 	}
-	return min(counts+grace, evidenceMost)
+	return min(counts+grace, maxEvidenceTTL)
 }
 
 // levelTrace is the level at which each call is logged.
 const levelTrace = slog.LevelDebug
 
 // callEnd is how a call of the platform's list ended.
-type callEnd string
+type callResult string
 
 // The ends of a call.
 const (
-	callAnswered callEnd = "answered"
-	callBusy     callEnd = "busy" // 503: its turn did not come in time, or discovery is down
-	callGarbled  callEnd = "garbled"
-	callTimedOut callEnd = "timed_out"
-	callStopped  callEnd = "stopped" // another call was answered first, or the client ends
-	callBroke    callEnd = "broke"   // refused, reset or cut off
+	callSucceeded        callResult = "answered"
+	callUnavailable      callResult = "busy" // 503: its turn did not come in time, or discovery is down
+	callMalformed        callResult = "garbled"
+	callTimedOut         callResult = "timed_out"
+	callCanceled         callResult = "stopped" // another call was answered first, or the client ends
+	callConnectionFailed callResult = "broke"   // refused, reset or cut off
 )
 
-func endOf(ctx context.Context, err error) callEnd {
-	var garbled *garbledError
+func resultOf(ctx context.Context, err error) callResult {
+	var garbled *malformedListError
 	switch {
 	case err == nil:
-		return callAnswered
-	case errors.Is(err, errBusy):
-		return callBusy
+		return callSucceeded
+	case errors.Is(err, errUnavailable):
+		return callUnavailable
 	case errors.As(err, &garbled):
-		return callGarbled
+		return callMalformed
 	case errors.Is(err, context.DeadlineExceeded):
 		return callTimedOut
 	case ctx.Err() != nil:
-		return callStopped
+		return callCanceled
 	}
-	return callBroke
+	return callConnectionFailed
 }
 
 // callCounts counts calls by their ends. Any goroutine may use it.
-type callCounts struct {
-	mu sync.Mutex
-	by map[string]int64
+type callCounter struct {
+	mu     sync.Mutex
+	counts map[string]int64
 }
 
-func (c *callCounts) add(end callEnd) {
+func (c *callCounter) add(end callResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.by == nil {
-		c.by = map[string]int64{}
+	if c.counts == nil {
+		c.counts = map[string]int64{}
 	}
-	c.by[string(end)]++
+	c.counts[string(end)]++
 }
 
-func (c *callCounts) all() map[string]int64 {
+func (c *callCounter) snapshot() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.by)
+	return maps.Clone(c.counts)
 }
 
 // traced makes a call, counts how it ended and logs it at the level for tracing.
-func (c *Client) traced(ctx context.Context, url string, call func() (*List, error)) (*List, error) {
+func (c *Client) countedCall(ctx context.Context, url string, call func() (*List, error)) (*List, error) {
 	start := time.Now()
 	list, err := call()
-	end := endOf(ctx, err)
-	c.calls.add(end)
+	end := resultOf(ctx, err)
+	c.callCounts.add(end)
 	if !c.log.Enabled(ctx, levelTrace) {
 		return list, err
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -27,7 +27,7 @@
 	"merlinpick/internal/failover"
 )
 
-const maxList = 4 << 20
+const maxListBytes = 4 << 20
 
 // Source is where the list comes from: the members if there are any, else the address.
 type Source struct {
@@ -65,66 +65,66 @@
 
 // Client follows the list.
 type Client struct {
-	cfg     Config
-	log     *slog.Logger
-	http    *http.Client
-	connect func(Source) *http.Client // newHTTP, but for tests
-	news    chan Update
-	ended   <-chan struct{} // closed when Run is to end
-	lost    chan struct{}   // closed at the first call that showed that discovery cannot be reached
-	moved   chan Source     // the newest only
-	at      Source
-	rng     *rand.Rand
-	keep    *atomicfile.Writer // nil without a folder
-
-	followed // with Members
-	watched  // without
-
-	calls                 callCounts // of the platform's list
-	start                 time.Time
-	answered              atomic.Int64 // ns after start; 0: never
-	moves, failures, kept atomic.Int64
-	fromMembers           atomic.Bool
+	cfg           Config
+	log           *slog.Logger
+	http          *http.Client
+	connect       func(Source) *http.Client // newHTTP, but for tests
+	updates       chan Update
+	done          <-chan struct{} // closed when Run is to end
+	unreachable   chan struct{}   // closed at the first call that showed that discovery cannot be reached
+	sourceChanges chan Source     // the newest only
+	source        Source
+	rng           *rand.Rand
+	cache         *atomicfile.Writer // nil without a folder
+
+	registryState // with Members
+	platformState // without
+
+	callCounts                    callCounter // of the platform's list
+	startedAt                     time.Time
+	lastSuccess                   atomic.Int64 // ns after start; 0: never
+	failovers, failures, retained atomic.Int64
+	fromRegistry                  atomic.Bool
 }
 
 // New is a client; Run has it follow.
 func New(cfg Config) *Client {
-	c := &Client{cfg: cfg, log: cfg.Logger, at: cfg.Source, news: make(chan Update), lost: make(chan struct{}), moved: make(chan Source, 1),
-		rng: rand.New(rand.NewPCG(cfg.Seed, 23)), start: time.Now(), http: newHTTP(cfg.Source), connect: newHTTP, watched: watched{version: -1}}
+	c := &Client{cfg: cfg, log: cfg.Logger, source: cfg.Source, updates: make(chan Update), unreachable: make(chan struct{}), sourceChanges: make(chan Source, 1),
+		rng: rand.New(rand.NewPCG(cfg.Seed, 23)), startedAt: time.Now(), http: newHTTPClient(cfg.Source), connect: newHTTPClient, platformState: platformState{version: -1}}
 	if cfg.StateDir != "" && len(cfg.Source.Members) > 0 {
-		c.keep = newKeeper(cfg.StateDir, cfg.Logger)
+		c.cache = newCacheWriter(cfg.StateDir, cfg.Logger)
 	}
-	c.fromMembers.Store(len(cfg.Source.Members) > 0)
+	c.fromRegistry.Store(len(cfg.Source.Members) > 0)
 	return c
 }
 
 // newHTTP makes calls. Of the platform's discovery its call ends the wait; a dial that nobody waits for must not go on to
 // hold one of the two places.
-func newHTTP(at Source) *http.Client {
+func newHTTPClient(at Source) *http.Client {
 	if len(at.Members) > 0 {
 		return failover.NewHTTPClient()
 	}
 	return &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, DisableCompression: true,
-		DialContext: (&net.Dialer{Timeout: 2 * firstBeat}).DialContext}}
+		DialContext: (&net.Dialer{Timeout: 2 * hedgeDelayMin}).DialContext}}
 }
 
 // News is what is new. Its reader must not wait long: the next watch begins after it has read.
-func (c *Client) Updates() <-chan Update { return c.news }
+func (c *Client) Updates() <-chan Update { return c.updates }
 
 // Unreachable is closed once a call has shown that the platform's discovery is out of reach: its connection was refused or broke,
 // or it was turned away at once.
-func (c *Client) Unreachable() <-chan struct{} { return c.lost }
+func (c *Client) Unreachable() <-chan struct{} { return c.unreachable }
 
 // noteLoss closes lost at the first call that failed so.
-func (c *Client) noteLoss(err error) {
-	var garbled *garbledError
-	if errors.As(err, &garbled) || errors.Is(err, context.DeadlineExceeded) || c.turnedAway >= someWait {
+func (c *Client) noteUnreachable(err error) {
+	var garbled *malformedListError
+	if errors.As(err, &garbled) || errors.Is(err, context.DeadlineExceeded) || c.rejectedAfter >= shortQueueWait {
 		return
 	}
 	select {
-	case <-c.lost:
+	case <-c.unreachable:
 	default:
-		close(c.lost)
+		close(c.unreachable)
 	}
 }
 
@@ -132,9 +132,9 @@
 func (c *Client) SetSource(to Source) {
 	for {
 		select {
-		case c.moved <- to:
+		case c.sourceChanges <- to:
 			return
-		case <-c.moved: // an older one that was not taken yet
+		case <-c.sourceChanges: // an older one that was not taken yet
 		}
 	}
 }
@@ -152,10 +152,10 @@
 
 // Figures are the counts so far.
 func (c *Client) Metrics() Metrics {
-	f := Metrics{FromRegistry: c.fromMembers.Load(), Age: -1, Failovers: c.moves.Load(), Failures: c.failures.Load(), RetainedEndpoints: c.kept.Load(),
-		CallResults: c.calls.all()}
-	if at := c.answered.Load(); at != 0 {
-		f.Age = time.Since(c.start) - time.Duration(at)
+	f := Metrics{FromRegistry: c.fromRegistry.Load(), Age: -1, Failovers: c.failovers.Load(), Failures: c.failures.Load(), RetainedEndpoints: c.retained.Load(),
+		CallResults: c.callCounts.snapshot()}
+	if at := c.lastSuccess.Load(); at != 0 {
+		f.Age = time.Since(c.startedAt) - time.Duration(at)
 	}
 	return f
 }
@@ -164,9 +164,9 @@
 // old one, and the new one is asked at once, from the version held: what it has to tell counts as told soon.
 func (c *Client) Run(ctx context.Context) {
 	defer func() { c.http.CloseIdleConnections() }()
-	c.ended = ctx.Done()
-	if c.keep != nil {
-		defer c.keep.Run(ctx)()
+	c.done = ctx.Done()
+	if c.cache != nil {
+		defer c.cache.Run(ctx)()
 	}
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
@@ -175,8 +175,8 @@
 			defer close(next)
 			for {
 				select {
-				case to := <-c.moved:
-					if to.equal(c.at) {
+				case to := <-c.sourceChanges:
+					if to.equal(c.source) {
 						continue // the watch there goes on
 					}
 					next <- to
@@ -186,20 +186,20 @@
 				return
 			}
 		}()
-		if len(c.at.Members) > 0 {
-			c.follow(here)
+		if len(c.source.Members) > 0 {
+			c.followRegistry(here)
 		} else {
-			c.watch(here)
+			c.followPlatform(here)
 		}
 		leave()
 		if to, ok := <-next; ok {
-			c.log.Info("discovery moved", "from", c.at, "to", to)
-			c.at = to
-			c.fromMembers.Store(len(to.Members) > 0)
-			c.elsewhere = true
-			c.going = false
-			c.forgetQueue() // it was another's
-			c.checkLater()  // another service's versions may say something else
+			c.log.Info("discovery moved", "from", c.source, "to", to)
+			c.source = to
+			c.fromRegistry.Store(len(to.Members) > 0)
+			c.sourceChanged = true
+			c.watching = false
+			c.resetQueueEstimate() // it was another's
+			c.scheduleResync()     // another service's versions may say something else
 			c.http.CloseIdleConnections()
 			c.http = c.connect(to)
 		}
@@ -207,23 +207,23 @@
 }
 
 // tell hands news over. A move waits for it: the version that is held counts it in, and the next call goes on from there.
-func (c *Client) tell(n Update) {
+func (c *Client) publish(n Update) {
 	select {
-	case c.news <- n:
-	case <-c.ended:
+	case c.updates <- n:
+	case <-c.done:
 	}
 }
 
-var errBusy = errors.New("discovery is busy or down")
+var errUnavailable = errors.New("discovery is busy or down")
 
 // A garbledError is an answer that is no list, or none that is known here.
-type garbledError struct{ err error }
+type malformedListError struct{ err error }
 
-func (e *garbledError) Error() string { return "garbled list: " + e.err.Error() }
-func (e *garbledError) Unwrap() error { return e.err }
+func (e *malformedListError) Error() string { return "garbled list: " + e.err.Error() }
+func (e *malformedListError) Unwrap() error { return e.err }
 
 // get makes one call and reads the list that it is answered with.
-func (c *Client) get(ctx context.Context, url string, patience time.Duration) (*List, error) {
+func (c *Client) fetch(ctx context.Context, url string, patience time.Duration) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -236,18 +236,18 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		return nil, errBusy
+		return nil, errUnavailable
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, &garbledError{fmt.Errorf("status %s", resp.Status)}
+		return nil, &malformedListError{fmt.Errorf("status %s", resp.Status)}
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, fmt.Errorf("read the list: %w", err)
 	}
 	list, err := Parse(data)
 	if err != nil {
-		return nil, &garbledError{err}
+		return nil, &malformedListError{err}
 	}
 	return list, nil
 }
--- a/internal/discovery/collapse_test.go
+++ b/internal/discovery/collapse_test.go
@@ -15,53 +15,53 @@
 	const (
 		turn  = 18 * time.Millisecond
 		w     = 2 * time.Second
-		calm  = settle + pollsPlain*turnPeriod                           // until the period doubles
-		soon  = periodLeast + w + turnPeriod - w + 1500*time.Millisecond // a poll, in vain; another; and the turns of those
-		third = calm + turnPeriod*3/2*(2+4+8)                            // until each has polled in the longest period
+		calm  = maxQueueDrain + timeoutsUntilBackoff*maxSmallFleetPeriod            // until the period doubles
+		soon  = minPollPeriod + w + maxSmallFleetPeriod - w + 1500*time.Millisecond // a poll, in vain; another; and the turns of those
+		third = calm + maxSmallFleetPeriod*3/2*(2+4+8)                              // until each has polled in the longest period
 	)
 	tests := []struct {
 		name    string
 		clients int
 		turn    time.Duration
-		fault   fate // for 8 s; answered: they begin together in its place
+		fault   callFault // for 8 s; answered: they begin together in its place
 		within  time.Duration
 		vain    int // turns of calls that were not answered, for each client at most
 		fails   int // each so many-th turn ends in a 503
 	}{
-		{"none waits in vain", 300, turn, vainly, 300*turn + 550*time.Millisecond, 0, 0},
-		{"after refusals", 300, turn, refused, soon, 1, 0},
-		{"after resets", 300, turn, broken, soon, 1, 0},
-		{"as they begin", 300, turn, answered, w + calm + w, 2, 0},
-		{"slow turns", 300, 25 * time.Millisecond, vainly, calm + turnPeriod*3/2*(2+4) + w, 2, 0},
-		{"one in four turns fails", 300, turn, vainly, calm + w, 1, 4},
-		{"one in four turns of few fails", 12, turn, vainly, 6 * time.Second, 0, 4},
-		{"1,300", 1300, turn, vainly, third + w, 3, 0},
-		{"1,300 as they begin", 1300, turn, answered, w + third + w, 3, 0},
+		{"none waits in vain", 300, turn, rejectedAfterWait, 300*turn + 550*time.Millisecond, 0, 0},
+		{"after refusals", 300, turn, rejected, soon, 1, 0},
+		{"after resets", 300, turn, connectionReset, soon, 1, 0},
+		{"as they begin", 300, turn, noFault, w + calm + w, 2, 0},
+		{"slow turns", 300, 25 * time.Millisecond, rejectedAfterWait, calm + maxSmallFleetPeriod*3/2*(2+4) + w, 2, 0},
+		{"one in four turns fails", 300, turn, rejectedAfterWait, calm + w, 1, 4},
+		{"one in four turns of few fails", 12, turn, rejectedAfterWait, 6 * time.Second, 0, 4},
+		{"1,300", 1300, turn, rejectedAfterWait, third + w, 3, 0},
+		{"1,300 as they begin", 1300, turn, noFault, w + third + w, 3, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				l := &turns{wait: w, room: 5 * time.Second, slow: tt.turn, fails: tt.fails, clients: tt.clients, ctx: ctx, moved: make(chan struct{})}
-				if tt.fault != answered {
-					l.slow = time.Millisecond // all are answered before the trouble
+				l := &serverModel{maxWait: w, queueLimit: 5 * time.Second, serviceTime: tt.turn, failEvery: tt.fails, callersTold: tt.clients, ctx: ctx, changed: make(chan struct{})}
+				if tt.fault != noFault {
+					l.serviceTime = time.Millisecond // all are answered before the trouble
 				}
 				for i := range tt.clients {
 					l.join(ctx, false, uint64(i+1), 0)
 				}
-				if tt.fault != answered {
+				if tt.fault != noFault {
 					time.Sleep(3 * time.Second)
 					l.mu.Lock()
-					l.slow = tt.turn
+					l.serviceTime = tt.turn
 					l.mu.Unlock()
-					l.trouble(tt.fault, reset, 8*time.Second)
+					l.outage(tt.fault, resetWatch, 8*time.Second)
 				}
 				l.mu.Lock()
-				l.up, l.taken, l.vain = time.Now(), 0, 0
+				l.availableSince, l.served, l.wasted = time.Now(), 0, 0
 				l.mu.Unlock()
-				l.change()
+				l.publishVersion()
 				for range 120 {
-					if time.Sleep(time.Second); l.allHeard() {
+					if time.Sleep(time.Second); l.allUpdated() {
 						break
 					}
 				}
@@ -71,14 +71,14 @@
 				defer l.mu.Unlock()
 				never, worst := 0, time.Duration(0)
 				for _, c := range l.callers {
-					if len(c.heard) == 0 {
+					if len(c.heardAt) == 0 {
 						never++
 					} else {
-						worst = max(worst, c.heard[0].Sub(l.up))
+						worst = max(worst, c.heardAt[0].Sub(l.availableSince))
 					}
 				}
-				told := fmt.Sprintf("%d of %d never heard, the last after %v; %d turns, %d in vain", never, tt.clients, worst, l.taken, l.vain)
-				if t.Log(told); never > 0 || worst > tt.within || l.vain > tt.vain*tt.clients {
+				told := fmt.Sprintf("%d of %d never heard, the last after %v; %d turns, %d in vain", never, tt.clients, worst, l.served, l.wasted)
+				if t.Log(told); never > 0 || worst > tt.within || l.wasted > tt.vain*tt.clients {
 					t.Errorf("want all within %v and at most %d turns in vain", tt.within, tt.vain*tt.clients)
 				}
 			})
@@ -87,8 +87,8 @@
 }
 
 // allHeard tells whether each caller has heard of a version.
-func (l *turns) allHeard() bool {
+func (l *serverModel) allUpdated() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !slices.ContainsFunc(l.callers, func(c *caller) bool { return len(c.heard) == 0 })
+	return !slices.ContainsFunc(l.callers, func(c *modelClient) bool { return len(c.heardAt) == 0 })
 }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -13,68 +13,68 @@
 // calls than the faults need. Those that befall a fleet at once befall 300, whose own turns are what has to be waited for.
 func TestAChangeIsThereInTime(t *testing.T) {
 	const told = 6 * time.Second
-	struck := func(what func(*held), next ...fate) func(*turns) {
-		return func(l *turns) { l.strike(what, next...) }
+	struck := func(what func(*heldWatch), next ...callFault) func(*serverModel) {
+		return func(l *serverModel) { l.inject(what, next...) }
 	}
-	trouble := func(f fate, what func(*held), d time.Duration) func(*turns) {
-		return func(l *turns) { l.trouble(f, what, d) }
+	trouble := func(f callFault, what func(*heldWatch), d time.Duration) func(*serverModel) {
+		return func(l *serverModel) { l.outage(f, what, d) }
 	}
-	move := func(l *turns) {
+	move := func(l *serverModel) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for _, c := range l.callers {
-			c.last = time.Time{} // there it is a new watch
+			c.lastAnswer = time.Time{} // there it is a new watch
 			c.client.SetSource(Source{Address: "127.0.0.1:2"})
 		}
 	}
 	const two, both, pushed, fleet = 1, 2, 3, 4 // longest wait of 2 s, or also of 3 s; or none; or 300 clients
 	tests := []struct {
 		name  string
-		fault func(l *turns) // 10 s into the run
+		fault func(l *serverModel) // 10 s into the run
 		in    int
 		calls int // of one client on average, beyond the first
 	}{
-		{"nothing", func(*turns) {}, both, 0},
-		{"silent", struck(silence), both, 2},
-		{"silent from the first byte", struck(spare, mute), both, 2},
-		{"byte by byte", struck(spare, dripping), both, 2},
-		{"garbled", struck(spare, garbled), both, 2},
-		{"reset", struck(reset), both, 2},
-		{"silent, 503", struck(silence, refused), both, 3},
-		{"silent, 503, 503, 503", struck(silence, refused, refused, refused), both, 5},
-		{"reset, 503, 503, 503", struck(reset, refused, refused, refused), both, 5},
-		{"silent, reset", struck(silence, broken), both, 3},
-		{"silent, never answered", struck(silence, mute), two, 3},
-		{"silent, byte by byte", struck(silence, dripping), two, 3},
-		{"silent, garbled", struck(silence, garbled), two, 3},
-		{"never answered, and again", struck(spare, mute, mute), two, 3},
-		{"503 for 20 s", trouble(refused, reset, 20*time.Second), both, 40},
-		{"503 after waits for 10 s", trouble(vainly, reset, 10*time.Second), two, 6},
-		{"resets for 20 s", trouble(broken, reset, 20*time.Second), both, 40},
-		{"never answered for 20 s", trouble(mute, silence, 20*time.Second), both, 14},
-		{"byte by byte for 20 s", trouble(dripping, silence, 20*time.Second), both, 14},
-		{"garbled for 20 s", trouble(garbled, silence, 20*time.Second), two, 14},
+		{"nothing", func(*serverModel) {}, both, 0},
+		{"silent", struck(silenceWatch), both, 2},
+		{"silent from the first byte", struck(keepWatch, neverAnswered), both, 2},
+		{"byte by byte", struck(keepWatch, endlessBody), both, 2},
+		{"garbled", struck(keepWatch, malformed), both, 2},
+		{"reset", struck(resetWatch), both, 2},
+		{"silent, 503", struck(silenceWatch, rejected), both, 3},
+		{"silent, 503, 503, 503", struck(silenceWatch, rejected, rejected, rejected), both, 5},
+		{"reset, 503, 503, 503", struck(resetWatch, rejected, rejected, rejected), both, 5},
+		{"silent, reset", struck(silenceWatch, connectionReset), both, 3},
+		{"silent, never answered", struck(silenceWatch, neverAnswered), two, 3},
+		{"silent, byte by byte", struck(silenceWatch, endlessBody), two, 3},
+		{"silent, garbled", struck(silenceWatch, malformed), two, 3},
+		{"never answered, and again", struck(keepWatch, neverAnswered, neverAnswered), two, 3},
+		{"503 for 20 s", trouble(rejected, resetWatch, 20*time.Second), both, 40},
+		{"503 after waits for 10 s", trouble(rejectedAfterWait, resetWatch, 10*time.Second), two, 6},
+		{"resets for 20 s", trouble(connectionReset, resetWatch, 20*time.Second), both, 40},
+		{"never answered for 20 s", trouble(neverAnswered, silenceWatch, 20*time.Second), both, 14},
+		{"byte by byte for 20 s", trouble(endlessBody, silenceWatch, 20*time.Second), both, 14},
+		{"garbled for 20 s", trouble(malformed, silenceWatch, 20*time.Second), two, 14},
 		{"moved with a call out", move, both, 2},
-		{"pushed, silent", struck(silence), pushed, 2},
-		{"pushed, silent, never answered", struck(silence, mute), pushed, 3},
-		{"pushed, deaf for 8 s", trouble(mute, silence, 8*time.Second), pushed, 26},
-		{"pushed, down for 8 s", trouble(broken, reset, 8*time.Second), pushed, 60},
-		{"all silent", struck(silence), fleet, 4},
-		{"down for 8 s, and all ask", trouble(broken, reset, 8*time.Second), fleet, 18},
-		{"deaf for 8 s, and all ask", trouble(mute, silence, 8*time.Second), fleet, 7},
-		{"a tenth silent as 130 start", func(l *turns) {
+		{"pushed, silent", struck(silenceWatch), pushed, 2},
+		{"pushed, silent, never answered", struck(silenceWatch, neverAnswered), pushed, 3},
+		{"pushed, deaf for 8 s", trouble(neverAnswered, silenceWatch, 8*time.Second), pushed, 26},
+		{"pushed, down for 8 s", trouble(connectionReset, resetWatch, 8*time.Second), pushed, 60},
+		{"all silent", struck(silenceWatch), fleet, 4},
+		{"down for 8 s, and all ask", trouble(connectionReset, resetWatch, 8*time.Second), fleet, 18},
+		{"deaf for 8 s, and all ask", trouble(neverAnswered, silenceWatch, 8*time.Second), fleet, 7},
+		{"a tenth silent as 130 start", func(l *serverModel) {
 			for i := range 130 {
 				l.join(l.ctx, false, uint64(1000+i), 0)
 			}
 			time.Sleep(500 * time.Millisecond)
-			l.spared = 30
-			l.strike(silence)
+			l.faultsBelow = 30
+			l.inject(silenceWatch)
 		}, fleet, 2},
-		{"a tenth silent as turns are slow", func(l *turns) {
+		{"a tenth silent as turns are slow", func(l *serverModel) {
 			l.mu.Lock()
-			l.slow, l.spared = 3*l.slow, 30
+			l.serviceTime, l.faultsBelow = 3*l.serviceTime, 30
 			l.mu.Unlock()
-			l.strike(silence)
+			l.inject(silenceWatch)
 		}, fleet, 1},
 		{"all moved with a call out", move, fleet, 5},
 	}
@@ -85,17 +85,17 @@
 			}
 			t.Run(fmt.Sprint(tt.name, ", turns of ", wait), func(t *testing.T) {
 				clients, margin := 60, 400*time.Millisecond
-				l := &turns{wait: wait, slow: time.Millisecond, others: wait - 100*time.Millisecond}
+				l := &serverModel{maxWait: wait, serviceTime: time.Millisecond, otherLoad: wait - 100*time.Millisecond}
 				switch tt.in {
 				case pushed:
-					l.slow, l.others = 0, 0
+					l.serviceTime, l.otherLoad = 0, 0
 				case fleet:
-					clients, margin, l.slow, l.others = 300, 50*time.Millisecond, 18*time.Millisecond, 0
+					clients, margin, l.serviceTime, l.otherLoad = 300, 50*time.Millisecond, 18*time.Millisecond, 0
 				}
-				l.clients = clients
+				l.callersTold = clients
 				synctest.Test(t, func(t *testing.T) {
 					ctx, stop := context.WithCancel(t.Context())
-					l.moved, l.ctx = make(chan struct{}), ctx
+					l.changed, l.ctx = make(chan struct{}), ctx
 					for i := range clients {
 						l.join(ctx, tt.in == pushed, uint64(i+1), 0)
 					}
@@ -105,7 +105,7 @@
 					l.mu.Unlock()
 					go func() { // a release; its first change comes with the fault
 						for range 30 {
-							l.change()
+							l.publishVersion()
 							time.Sleep(700 * time.Millisecond)
 						}
 					}()
@@ -113,7 +113,7 @@
 					time.Sleep(25 * time.Second)
 					stop()
 					synctest.Wait()
-					age := l.age(t)
+					age := l.worstAge(t)
 					most := told - margin
 					if tt.in == pushed { // what an agent has counts as told at once; silence is found within a watch's time
 						most = 1200 * time.Millisecond
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -147,7 +147,7 @@
 		}},
 		{140 * time.Second, well},
 		{147 * time.Second, func() (*http.Response, error) {
-			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&drip{r.Context()})}, nil
+			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&slowBody{r.Context()})}, nil
 		}},
 		{155 * time.Second, well},
 		{170 * time.Second, func() (*http.Response, error) { return pausing(r, 300*time.Millisecond, unavailable) }},
@@ -265,7 +265,7 @@
 		t.Errorf("got %+v, want %+v", l, want)
 	}
 	dir := t.TempDir()
-	keep := newKeeper(dir, slog.New(slog.DiscardHandler))
+	keep := newCacheWriter(dir, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := keep.Run(ctx)
 	keep.Put(goldenList().encode)
--- a/internal/discovery/keep.go
+++ b/internal/discovery/keep.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	keptFile = "list"
-	keptKind = "proxy-list"
-	keptMost = maxList + 1<<10
+	cacheFile     = "list"
+	cacheKind     = "proxy-list"
+	maxCacheBytes = maxListBytes + 1<<10
 )
 
-func newKeeper(dir string, log *slog.Logger) *atomicfile.Writer {
-	return atomicfile.NewWriter(dir, keptFile, keptKind, "discovery: the last list", log)
+func newCacheWriter(dir string, log *slog.Logger) *atomicfile.Writer {
+	return atomicfile.NewWriter(dir, cacheFile, cacheKind, "discovery: the last list", log)
 }
 
 // Kept is the list that was kept in a folder; nil if none was. One that is damaged is an error, and left as it is.
 func LoadCachedList(dir string) (*List, error) {
-	path := filepath.Join(dir, keptFile)
-	body, err := atomicfile.ReadFile(path, keptKind, keptMost)
+	path := filepath.Join(dir, cacheFile)
+	body, err := atomicfile.ReadFile(path, cacheKind, maxCacheBytes)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
--- a/internal/discovery/members.go
+++ b/internal/discovery/members.go
@@ -24,137 +24,137 @@
 //   - While no member answers, the last list stands without limit.
 const (
 	// Hold is how long a watch waits for news.
-	LongPollTimeout = 4 * time.Second
-	callSlack       = 1500 * time.Millisecond
+	LongPollTimeout    = 4 * time.Second
+	registryWatchSlack = 1500 * time.Millisecond
 	// Spread is over how long the callers of a member that dies come to the others.
-	FailoverJitter = failover.Jitter
-	pauseMost      = 5 * time.Second
-	lineWait       = failover.EpochWait
-	missingWait    = 30 * time.Second
+	FailoverJitter     = failover.Jitter
+	maxRegistryBackoff = 5 * time.Second
+	epochWait          = failover.EpochWait
+	missingRetention   = 30 * time.Second
 )
 
 // followed is what a client of several members knows. It is Run's alone.
-type followed struct {
-	seen      failover.AcceptedVersion
-	list      map[string]Endpoint // by name; nil before the first
-	missing   map[string]time.Time
-	elsewhere bool // the operator has moved it: whatever line is there is taken
+type registryState struct {
+	accepted      failover.AcceptedVersion
+	endpoints     map[string]Endpoint // by name; nil before the first
+	missingSince  map[string]time.Time
+	sourceChanged bool // the operator has moved it: whatever line is there is taken
 }
 
 // Known has the client begin with a whole list that it did not hear itself: with Members one that it kept, else the one
 // that the configuration came with, which the first call then goes on from. To be called before Run.
 func (c *Client) SetInitialList(l *List) {
-	if len(c.at.Members) > 0 {
-		c.begin(l)
+	if len(c.source.Members) > 0 {
+		c.replaceEndpoints(l)
 	} else if l.Full {
 		c.version = l.Version
 	}
 }
 
-func (c *Client) begin(l *List) {
-	c.seen, c.list = failover.AcceptedVersion{Epoch: l.Epoch, Version: l.Version, ConfirmedAt: time.Now()}, map[string]Endpoint{}
+func (c *Client) replaceEndpoints(l *List) {
+	c.accepted, c.endpoints = failover.AcceptedVersion{Epoch: l.Epoch, Version: l.Version, ConfirmedAt: time.Now()}, map[string]Endpoint{}
 	for _, e := range l.Endpoints {
-		c.list[e.Name] = e
+		c.endpoints[e.Name] = e
 	}
 }
 
 // follow follows the members until the context ends.
-func (c *Client) follow(ctx context.Context) {
-	members := failover.NewRing(c.at.Members, c.rng, pauseMost)
+func (c *Client) followRegistry(ctx context.Context) {
+	members := failover.NewRing(c.source.Members, c.rng, maxRegistryBackoff)
 	whole := true
 	for ctx.Err() == nil {
-		asked, before := time.Now(), c.seen.Version
-		list, err := c.ask(ctx, members.Current(), whole)
+		asked, before := time.Now(), c.accepted.Version
+		list, err := c.callMember(ctx, members.Current(), whole)
 		if ctx.Err() != nil {
 			return
 		}
 		now := time.Now()
 		if err == nil {
-			err = c.take(list, now)
+			err = c.accept(list, now)
 		}
 		if err == nil {
-			c.answered.Store(int64(max(1, time.Since(c.start))))
-			c.drop(now)
+			c.lastSuccess.Store(int64(max(1, time.Since(c.startedAt))))
+			c.expireMissing(now)
 			// A member that holds no watch must not have this client ask without a pause.
-			if !whole && c.seen.Version == before && now.Sub(asked) < LongPollTimeout/2 {
-				c.wait(ctx, c.draw(FailoverJitter))
+			if !whole && c.accepted.Version == before && now.Sub(asked) < LongPollTimeout/2 {
+				c.sleep(ctx, c.randomDelay(FailoverJitter))
 			}
 			members.RecordSuccess()
 			whole = false
 			continue
 		}
 		c.failures.Add(1)
-		whole = whole || !errors.Is(err, errBusy) && !errors.Is(err, failover.ErrStaleVersion) && list != nil
+		whole = whole || !errors.Is(err, errUnavailable) && !errors.Is(err, failover.ErrStaleVersion) && list != nil
 		member := members.Current()
 		f := members.RecordFailure()
 		if f.ShouldLog {
 			c.log.Warn("discovery: a member failed", "member", member, "next", f.Next, "in_a_row", f.Consecutive, "error", err)
 		}
 		if f.FailedOver {
-			c.moves.Add(1)
+			c.failovers.Add(1)
 		}
-		c.drop(now)
-		c.wait(ctx, f.Backoff)
+		c.expireMissing(now)
+		c.sleep(ctx, f.Backoff)
 	}
 }
 
-func (c *Client) wait(ctx context.Context, d time.Duration) { failover.Sleep(ctx, d) }
+func (c *Client) sleep(ctx context.Context, d time.Duration) { failover.Sleep(ctx, d) }
 
-func (c *Client) draw(below time.Duration) time.Duration {
+func (c *Client) randomDelay(below time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(below)))
 }
 
 // ask makes a call of one member: a watch, or with whole for the whole list.
-func (c *Client) ask(ctx context.Context, addr string, whole bool) (*List, error) {
-	u, patience := "http://"+addr+"/catalog/members", listPatience
-	if !whole && c.list != nil {
-		u += "?from=" + strconv.FormatInt(c.seen.Version, 10) + "&hold_ms=" + strconv.FormatInt(LongPollTimeout.Milliseconds(), 10) + "&line=" +
-			url.QueryEscape(c.seen.Epoch)
-		patience = LongPollTimeout + callSlack
-	}
-	return c.get(ctx, u, patience)
+func (c *Client) callMember(ctx context.Context, addr string, whole bool) (*List, error) {
+	u, patience := "http://"+addr+"/catalog/members", registryCallTimeout
+	if !whole && c.endpoints != nil {
+		u += "?from=" + strconv.FormatInt(c.accepted.Version, 10) + "&hold_ms=" + strconv.FormatInt(LongPollTimeout.Milliseconds(), 10) + "&line=" +
+			url.QueryEscape(c.accepted.Epoch)
+		patience = LongPollTimeout + registryWatchSlack
+	}
+	return c.fetch(ctx, u, patience)
 }
 
 // take believes an answer, or says why not, and tells what is new in it.
-func (c *Client) take(l *List, now time.Time) error {
-	first := c.list == nil
-	same := l.Epoch == c.seen.Epoch && !first
+func (c *Client) accept(l *List, now time.Time) error {
+	first := c.endpoints == nil
+	same := l.Epoch == c.accepted.Epoch && !first
 	if !same && !l.Full {
-		return fmt.Errorf("changes of line %q, and the list is of %q", l.Epoch, c.seen.Epoch)
+		return fmt.Errorf("changes of line %q, and the list is of %q", l.Epoch, c.accepted.Epoch)
 	}
-	if !c.elsewhere {
-		if err := c.seen.Check(l.Epoch, l.Version, now); err != nil {
+	if !c.sourceChanged {
+		if err := c.accepted.Check(l.Epoch, l.Version, now); err != nil {
 			return err
 		}
 	}
 	if same {
-		c.seen.ConfirmedAt = now
+		c.accepted.ConfirmedAt = now
 	}
 	if !l.Full {
-		c.changes(l)
+		c.applyChanges(l)
 		return nil
 	}
 	told := *l
-	told.Endpoints = c.withMissing(l, now, !first && (l.Epoch != c.seen.Epoch || c.elsewhere))
-	c.elsewhere = false
-	c.begin(&told)
-	c.kept.Store(int64(len(c.missing)))
-	c.save()
-	c.tell(Update{&told})
+	told.Endpoints = c.retainMissing(l, now, !first && (l.Epoch != c.accepted.Epoch || c.sourceChanged))
+	c.sourceChanged = false
+	c.replaceEndpoints(&told)
+	c.retained.Store(int64(len(c.missingSince)))
+	c.saveCache()
+	c.publish(Update{&told})
 	return nil
 }
 
 // withMissing is a whole list, and after it what it lacks that stands for a while: all that another line lacks, and what
 // one before it has lacked.
-func (c *Client) withMissing(l *List, now time.Time, another bool) []Endpoint {
+func (c *Client) retainMissing(l *List, now time.Time, another bool) []Endpoint {
 	out := slices.Clone(l.Endpoints)
 	has := map[string]bool{}
 	for _, e := range out {
 		has[e.Name] = true
 	}
 	missing := map[string]time.Time{}
-	for _, name := range slices.Sorted(maps.Keys(c.list)) {
-		since, before := c.missing[name]
+	for _, name := range slices.Sorted(maps.Keys(c.endpoints)) {
+		since, before := c.missingSince[name]
 		if has[name] || !another && !before {
 			continue
 		}
@@ -162,56 +162,56 @@
 			since = now
 		}
 		missing[name] = since
-		out = append(out, c.list[name])
+		out = append(out, c.endpoints[name])
 	}
 	if another {
-		c.log.Warn("discovery: another line of versions", "line", l.Epoch, "index", l.Version, "former", c.seen.Epoch,
-			"former_index", c.seen.Version, "nodos", len(l.Endpoints), "missing", len(missing), "kept_for", missingWait)
+		c.log.Warn("discovery: another line of versions", "line", l.Epoch, "index", l.Version, "former", c.accepted.Epoch,
+			"former_index", c.accepted.Version, "nodos", len(l.Endpoints), "missing", len(missing), "kept_for", missingRetention)
 	}
-	c.missing = missing
+	c.missingSince = missing
 	return out
 }
 
 // changes takes what has changed.
-func (c *Client) changes(l *List) {
-	c.seen.Version = l.Version
+func (c *Client) applyChanges(l *List) {
+	c.accepted.Version = l.Version
 	if len(l.Endpoints) == 0 {
 		return
 	}
 	for _, e := range l.Endpoints {
-		delete(c.missing, e.Name)
+		delete(c.missingSince, e.Name)
 		if e.Status == StatusDeleted {
-			delete(c.list, e.Name)
+			delete(c.endpoints, e.Name)
 		} else {
-			c.list[e.Name] = e
+			c.endpoints[e.Name] = e
 		}
 	}
-	c.kept.Store(int64(len(c.missing)))
-	c.save()
-	c.tell(Update{l})
+	c.retained.Store(int64(len(c.missingSince)))
+	c.saveCache()
+	c.publish(Update{l})
 }
 
 // drop tells that what a line has lacked for long is gone.
-func (c *Client) drop(now time.Time) {
+func (c *Client) expireMissing(now time.Time) {
 	var gone []Endpoint
-	for _, name := range slices.Sorted(maps.Keys(c.missing)) {
-		if now.Sub(c.missing[name]) >= missingWait {
+	for _, name := range slices.Sorted(maps.Keys(c.missingSince)) {
+		if now.Sub(c.missingSince[name]) >= missingRetention {
 			gone = append(gone, Endpoint{Name: name, Status: StatusDeleted})
 		}
 	}
 	if len(gone) > 0 {
 		c.log.Warn("discovery: what the new line lacks is gone", "nodos", len(gone))
-		c.changes(&List{Version: c.seen.Version, Epoch: c.seen.Epoch, Endpoints: gone})
+		c.applyChanges(&List{Version: c.accepted.Version, Epoch: c.accepted.Epoch, Endpoints: gone})
 	}
 }
 
-func (c *Client) save() {
-	if c.keep == nil {
+func (c *Client) saveCache() {
+	if c.cache == nil {
 		return
 	}
-	l := &List{Version: c.seen.Version, Epoch: c.seen.Epoch}
-	for _, name := range slices.Sorted(maps.Keys(c.list)) {
-		l.Endpoints = append(l.Endpoints, c.list[name])
+	l := &List{Version: c.accepted.Version, Epoch: c.accepted.Epoch}
+	for _, name := range slices.Sorted(maps.Keys(c.endpoints)) {
+		l.Endpoints = append(l.Endpoints, c.endpoints[name])
 	}
-	c.keep.Put(l.encode)
+	c.cache.Put(l.encode)
 }
--- a/internal/discovery/members_test.go
+++ b/internal/discovery/members_test.go
@@ -30,7 +30,7 @@
 				}
 			})
 			news := d.now().news
-			sleep(LongPollTimeout + callSlack + 2*FailoverJitter)
+			sleep(LongPollTimeout + registryWatchSlack + 2*FailoverJitter)
 			at := time.Since(s.start)
 			s.set(func(_ string, m *fake) { m.index++; m.names = []string{"a", "b", fmt.Sprint("c", i)} })
 			sleep(FailoverJitter + time.Millisecond)
@@ -69,13 +69,13 @@
 		s.set(func(_ string, m *fake) { m.index, m.kept, m.state = 1002, 1002, "dead" })
 		sleep(time.Second)
 		s.set(func(_ string, m *fake) { m.state = "" }) // and a whole list of the same line comes between
-		sleep(missingWait - 8*time.Second)
+		sleep(missingRetention - 8*time.Second)
 		if d.now().list != "a b c" {
-			t.Errorf("told %q before %v", d.now().list, missingWait)
+			t.Errorf("told %q before %v", d.now().list, missingRetention)
 		}
 		sleep(8*time.Second + 2*LongPollTimeout)
 		if d.now().list != "b" || c.Metrics().RetainedEndpoints != 0 {
-			t.Errorf("told %q after %v, %+v", d.now().list, missingWait, c.Metrics())
+			t.Errorf("told %q after %v, %+v", d.now().list, missingRetention, c.Metrics())
 		}
 	})
 	bubble(t, "a line below is taken when nobody answers for the one before", func(t *testing.T) {
@@ -83,11 +83,11 @@
 		_, d := s.client(t, 1, nil)
 		sleep(time.Second)
 		s.set(func(name string, m *fake) { m.line, m.index, m.kept, m.names = "zero", 5, 5, []string{"a", "z"} })
-		sleep(lineWait - 2*time.Second)
+		sleep(epochWait - 2*time.Second)
 		if d.now().index != 1000 {
-			t.Errorf("version %d of another line after %v", d.now().index, lineWait-2*time.Second)
+			t.Errorf("version %d of another line after %v", d.now().index, epochWait-2*time.Second)
 		}
-		sleep(2*time.Second + 2*pauseMost)
+		sleep(2*time.Second + 2*maxRegistryBackoff)
 		if d.now().index != 5 || d.now().list != "a z" {
 			t.Errorf("version %d, %q", d.now().index, d.now().list)
 		}
@@ -104,8 +104,8 @@
 			t.Errorf("told %q, %d calls in an hour, %+v", d.now().list, n, c.Metrics())
 		}
 		s.set(func(_ string, m *fake) { m.state, m.index, m.names = "", 11, []string{"a", "b", "c"} })
-		sleep(pauseMost + time.Millisecond)
-		if d.now().index != 11 || c.Metrics().Age > pauseMost {
+		sleep(maxRegistryBackoff + time.Millisecond)
+		if d.now().index != 11 || c.Metrics().Age > maxRegistryBackoff {
 			t.Errorf("version %d, %+v", d.now().index, c.Metrics())
 		}
 	})
@@ -117,7 +117,7 @@
 			t.Errorf("told %q, which is older than what was kept", d.now().list)
 		}
 		s.set(func(_ string, m *fake) { m.index = 13 })
-		sleep(2 * pauseMost)
+		sleep(2 * maxRegistryBackoff)
 		if d.now().index != 13 {
 			t.Errorf("version %d", d.now().index)
 		}
@@ -181,7 +181,7 @@
 	if l, err := LoadCachedList(dir); l != nil || err != nil {
 		t.Errorf("of nothing came %+v, %v", l, err)
 	}
-	k := newKeeper(dir, slog.New(slog.DiscardHandler))
+	k := newCacheWriter(dir, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := k.Run(ctx)
 	k.Put((&List{Version: 7, Epoch: "l", Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.1:1", Status: StatusServing}}}).encode)
@@ -192,7 +192,7 @@
 	if err != nil || l == nil || l.Version != 8 || l.Epoch != "l" || !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].StartedAtMs != 5 {
 		t.Fatalf("got %+v, %v", l, err)
 	}
-	path := filepath.Join(dir, keptFile)
+	path := filepath.Join(dir, cacheFile)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -218,11 +218,11 @@
 		if err != nil || len(again.Endpoints) != len(l.Endpoints) || again.Version != l.Version || again.Epoch != l.Epoch {
 			t.Fatalf("%s was read as %+v, and that again as %+v, %v", data, l, again, err)
 		}
-		sealed := atomicfile.Seal(keptKind, data)
-		if body, err := atomicfile.Unseal(keptKind, bytes.NewReader(sealed), keptMost); err != nil || !bytes.Equal(body, data) {
+		sealed := atomicfile.Seal(cacheKind, data)
+		if body, err := atomicfile.Unseal(cacheKind, bytes.NewReader(sealed), maxCacheBytes); err != nil || !bytes.Equal(body, data) {
 			t.Fatalf("sealed %q, unsealed %q, %v", data, body, err)
 		}
-		if _, err := atomicfile.Unseal(keptKind, bytes.NewReader(data), keptMost); err == nil && !bytes.HasPrefix(data, []byte(keptKind)) {
+		if _, err := atomicfile.Unseal(cacheKind, bytes.NewReader(data), maxCacheBytes); err == nil && !bytes.HasPrefix(data, []byte(cacheKind)) {
 			t.Fatalf("%q passed unsealed", data)
 		}
 	})
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -17,69 +17,69 @@
 
 // turns is a platform's list on a virtual clock: it answers calls in turn, turns away what would wait too long, and lets
 // watches that go on pass. Server i changes with version i. It keeps the ages of what its callers hear.
-type turns struct {
-	mu      sync.Mutex
-	ctx     context.Context // of the clients
-	version int64
-	made    []time.Time   // of each version, from 1
-	moved   chan struct{} // closed at the next version
-	free    time.Time     // when the call after those that wait has its turn
-	fault   fate          // of every call
-	up      time.Time     // since when every call is answered in its turn or turned away
-	slow    time.Duration // a turn
-	others  time.Duration // the turns of others, before each call's
-	wait    time.Duration // what waits longer for its turn fails then, and yet takes the turn
-	room    time.Duration // of turns that may wait; what comes beyond is turned away at once; 0: as wait
-	lines   int
-	clients int // that each is told of
-	entries int // changed by each version, which cost as much as those of a whole list; 0: none
-	calls   int // that took a turn or were turned away
-	taken   int // turns
-	fails   int // each so many-th turn ends in a 503, if not 0
-	vain    int // turns of calls that were given up or had waited too long
-	callers []*caller
-	spared  int // strikes miss the callers of these numbers and above, if not 0
+type serverModel struct {
+	mu                sync.Mutex
+	ctx               context.Context // of the clients
+	version           int64
+	changedAt         []time.Time   // of each version, from 1
+	changed           chan struct{} // closed at the next version
+	queueFreeAt       time.Time     // when the call after those that wait has its turn
+	fault             callFault     // of every call
+	availableSince    time.Time     // since when every call is answered in its turn or turned away
+	serviceTime       time.Duration // a turn
+	otherLoad         time.Duration // the turns of others, before each call's
+	maxWait           time.Duration // what waits longer for its turn fails then, and yet takes the turn
+	queueLimit        time.Duration // of turns that may wait; what comes beyond is turned away at once; 0: as wait
+	lines             int
+	callersTold       int // that each is told of
+	entriesPerVersion int // changed by each version, which cost as much as those of a whole list; 0: none
+	calls             int // that took a turn or were turned away
+	served            int // turns
+	failEvery         int // each so many-th turn ends in a 503, if not 0
+	wasted            int // turns of calls that were given up or had waited too long
+	callers           []*modelClient
+	faultsBelow       int // strikes miss the callers of these numbers and above, if not 0
 }
 
 // A fate is what becomes of a call.
-type fate int
+type callFault int
 
 const (
-	answered fate = iota
-	refused       // 503
-	vainly        // 503 after the longest wait
-	broken        // reset
-	mute          // accepted and never answered
-	dripping      // answered byte by byte, without end
-	garbled
+	noFault           callFault = iota
+	rejected                    // 503
+	rejectedAfterWait           // 503 after the longest wait
+	connectionReset             // reset
+	neverAnswered               // accepted and never answered
+	endlessBody                 // answered byte by byte, without end
+	malformed
 )
 
 // caller is one client's part of it.
-type caller struct {
-	list   *turns
-	n      int
-	client *Client
-	joined time.Time
-	last   time.Time // of the last answer; a watch goes on from it for 200 ms
-	open   *held     // the watch that is held
-	fates  []fate    // of its next calls
-	knows  int64
-	heard  []time.Time // of each version
+type modelClient struct {
+	server     *serverModel
+	number     int
+	client     *Client
+	joinedAt   time.Time
+	lastAnswer time.Time   // of the last answer; a watch goes on from it for 200 ms
+	openWatch  *heldWatch  // the watch that is held
+	nextFaults []callFault // of its next calls
+	version    int64
+	heardAt    []time.Time // of each version
 }
 
 // held is a watch that waits for news.
-type held struct {
-	deaf bool
-	cut  chan struct{}
+type heldWatch struct {
+	silenced bool
+	closed   chan struct{}
 }
 
 const (
 	modelServers = 200
-	perTurn      = 38 // lines that cost as much as a call
+	linesPerCall = 38 // lines that cost as much as a call
 )
 
-func (c *caller) RoundTrip(r *http.Request) (*http.Response, error) {
-	l := c.list
+func (c *modelClient) RoundTrip(r *http.Request) (*http.Response, error) {
+	l := c.server
 	from, hold := int64(-1), time.Duration(0)
 	if q := r.URL.Query(); q.Has("from") {
 		from, _ = strconv.ParseInt(q.Get("from"), 10, 64)
@@ -89,74 +89,74 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	goes := from >= 0 && now.Sub(c.last) < 200*time.Millisecond
-	c.open = nil
+	goes := from >= 0 && now.Sub(c.lastAnswer) < 200*time.Millisecond
+	c.openWatch = nil
 	if !goes {
 		l.calls++
 	}
 	fate := l.fault
-	if fate == answered && len(c.fates) > 0 {
-		fate, c.fates = c.fates[0], c.fates[1:]
+	if fate == noFault && len(c.nextFaults) > 0 {
+		fate, c.nextFaults = c.nextFaults[0], c.nextFaults[1:]
 	}
-	if !goes && fate == answered || fate == garbled {
-		start := l.free
+	if !goes && fate == noFault || fate == malformed {
+		start := l.queueFreeAt
 		if start.Before(now) {
 			start = now
 		}
-		if start.Sub(now)+l.others > max(l.wait, l.room) {
-			fate = refused
+		if start.Sub(now)+l.otherLoad > max(l.maxWait, l.queueLimit) {
+			fate = rejected
 		} else {
-			cost := l.slow
+			cost := l.serviceTime
 			if from < 0 {
-				cost += l.slow * modelServers / perTurn
+				cost += l.serviceTime * modelServers / linesPerCall
 			} else {
-				cost += l.slow * time.Duration(min(int(l.version-from)*l.entries, modelServers)) / perTurn
+				cost += l.serviceTime * time.Duration(min(int(l.version-from)*l.entriesPerVersion, modelServers)) / linesPerCall
 			}
-			l.free = start.Add(cost)
-			if l.taken++; l.room > 0 && l.free.Sub(now)+l.others > l.wait { // seen in the bench: issue 24
-				l.vain++
-				l.pause(r, l.wait, nil)
+			l.queueFreeAt = start.Add(cost)
+			if l.served++; l.queueLimit > 0 && l.queueFreeAt.Sub(now)+l.otherLoad > l.maxWait { // seen in the bench: issue 24
+				l.wasted++
+				l.pause(r, l.maxWait, nil)
 				return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 			}
-			if l.fails > 0 && l.taken%l.fails == 0 {
-				l.pause(r, l.free.Sub(now)+l.others+300*time.Millisecond, nil)
+			if l.failEvery > 0 && l.served%l.failEvery == 0 {
+				l.pause(r, l.queueFreeAt.Sub(now)+l.otherLoad+300*time.Millisecond, nil)
 				return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 			}
-			if !l.pause(r, l.free.Sub(now)+l.others, nil) {
-				l.vain++
+			if !l.pause(r, l.queueFreeAt.Sub(now)+l.otherLoad, nil) {
+				l.wasted++
 				return nil, r.Context().Err()
 			}
 		}
 	}
 	switch fate {
-	case refused:
+	case rejected:
 		l.pause(r, 30*time.Millisecond, nil)
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
-	case vainly:
-		l.pause(r, l.wait, nil)
+	case rejectedAfterWait:
+		l.pause(r, l.maxWait, nil)
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
-	case broken:
+	case connectionReset:
 		return nil, errors.New("connection reset")
-	case mute:
+	case neverAnswered:
 		l.pause(r, time.Hour, nil)
 		return nil, r.Context().Err()
-	case dripping:
-		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&drip{r.Context()})}, nil
-	case garbled:
-		c.last = time.Now()
+	case endlessBody:
+		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&slowBody{r.Context()})}, nil
+	case malformed:
+		c.lastAnswer = time.Now()
 		return answer(`{"index":9,"endpoints":[{}]}`), nil
 	}
-	end, own := time.Now().Add(hold), &held{cut: make(chan struct{})}
-	c.open = own
-	for from >= 0 && (l.version <= from || own.deaf) && (time.Now().Before(end) || own.deaf) {
+	end, own := time.Now().Add(hold), &heldWatch{closed: make(chan struct{})}
+	c.openWatch = own
+	for from >= 0 && (l.version <= from || own.silenced) && (time.Now().Before(end) || own.silenced) {
 		if !l.pause(r, time.Until(end), own) {
 			return nil, cmp.Or(r.Context().Err(), errors.New("connection reset"))
 		}
 	}
-	if c.open == own {
-		c.open = nil
+	if c.openWatch == own {
+		c.openWatch = nil
 	}
-	c.last = time.Now()
+	c.lastAnswer = time.Now()
 	n := l.version - from
 	if from < 0 {
 		n = modelServers
@@ -166,11 +166,11 @@
 }
 
 // pause waits without the lock; a watch that is held ends with the next version too. It tells whether the call goes on.
-func (l *turns) pause(r *http.Request, d time.Duration, own *held) bool {
+func (l *serverModel) pause(r *http.Request, d time.Duration, own *heldWatch) bool {
 	var moved, cut chan struct{}
 	if own != nil {
-		moved, cut = l.moved, own.cut
-		if own.deaf {
+		moved, cut = l.changed, own.closed
+		if own.silenced {
 			d = time.Hour
 		}
 	}
@@ -189,9 +189,9 @@
 }
 
 // drip is a body that comes slowly and never ends.
-type drip struct{ ctx context.Context }
+type slowBody struct{ ctx context.Context }
 
-func (d *drip) Read(p []byte) (int, error) {
+func (d *slowBody) Read(p []byte) (int, error) {
 	select {
 	case <-time.After(300 * time.Millisecond):
 		p[0] = ' '
@@ -206,91 +206,91 @@
 }
 
 // change makes a version.
-func (l *turns) change() {
+func (l *serverModel) publishVersion() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version++
-	l.made = append(l.made, time.Now())
-	close(l.moved)
-	l.moved = make(chan struct{})
+	l.changedAt = append(l.changedAt, time.Now())
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 // strike does something to the open watches, and gives the next calls of each caller their fates.
-func (l *turns) strike(what func(*held), next ...fate) {
+func (l *serverModel) inject(what func(*heldWatch), next ...callFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.callers {
-		if l.spared > 0 && c.n >= l.spared {
+		if l.faultsBelow > 0 && c.number >= l.faultsBelow {
 			continue
 		}
-		if c.open != nil {
-			what(c.open)
+		if c.openWatch != nil {
+			what(c.openWatch)
 		}
-		c.fates = next
+		c.nextFaults = next
 	}
 }
 
-func silence(h *held) { h.deaf = true }
-func reset(h *held)   { close(h.cut) }
-func spare(*held)     {}
+func silenceWatch(h *heldWatch) { h.silenced = true }
+func resetWatch(h *heldWatch)   { close(h.closed) }
+func keepWatch(*heldWatch)      {}
 
 // trouble has calls meet a fate for some time, after which each is answered in its turn.
-func (l *turns) trouble(f fate, what func(*held), d time.Duration) {
-	l.strike(what)
+func (l *serverModel) outage(f callFault, what func(*heldWatch), d time.Duration) {
+	l.inject(what)
 	l.mu.Lock()
 	l.fault = f
 	l.mu.Unlock()
 	time.Sleep(d)
 	l.mu.Lock()
-	l.fault, l.up = answered, time.Now()
+	l.fault, l.availableSince = noFault, time.Now()
 	l.mu.Unlock()
 }
 
-func (c *caller) hears(version int64) {
-	c.list.mu.Lock()
-	defer c.list.mu.Unlock()
-	for ; c.knows < version; c.knows++ {
-		c.heard = append(c.heard, time.Now())
+func (c *modelClient) recordVersion(version int64) {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	for ; c.version < version; c.version++ {
+		c.heardAt = append(c.heardAt, time.Now())
 	}
 }
 
 // age is the longest time from a version's making, or from the discovery's return if that is later, until a caller had it.
-func (l *turns) age(t *testing.T) (worst time.Duration) {
+func (l *serverModel) worstAge(t *testing.T) (worst time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.callers {
-		if len(c.heard) < len(l.made) {
-			t.Fatalf("client %d heard of %d versions of %d", c.n, len(c.heard), len(l.made))
+		if len(c.heardAt) < len(l.changedAt) {
+			t.Fatalf("client %d heard of %d versions of %d", c.number, len(c.heardAt), len(l.changedAt))
 		}
-		for v, made := range l.made {
-			for _, since := range []time.Time{l.up, c.joined} {
+		for v, made := range l.changedAt {
+			for _, since := range []time.Time{l.availableSince, c.joinedAt} {
 				if made.Before(since) {
 					made = since
 				}
 			}
-			worst = max(worst, c.heard[v].Sub(made))
+			worst = max(worst, c.heardAt[v].Sub(made))
 		}
 	}
 	return worst
 }
 
 // join starts a client that knows the list as it was at a version.
-func (l *turns) join(ctx context.Context, pushed bool, seed uint64, version int64) {
-	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: l.clients, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
+func (l *serverModel) join(ctx context.Context, pushed bool, seed uint64, version int64) {
+	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: l.callersTold, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	l.mu.Lock()
-	who := &caller{list: l, n: len(l.callers), client: client, joined: time.Now()}
+	who := &modelClient{server: l, number: len(l.callers), client: client, joinedAt: time.Now()}
 	l.callers = append(l.callers, who)
 	l.mu.Unlock()
 	client.connect = func(Source) *http.Client { return &http.Client{Transport: who} }
 	client.http = client.connect(Source{})
 	client.SetInitialList(&List{Version: version, Full: true})
-	who.hears(version)
+	who.recordVersion(version)
 	go client.Run(ctx)
 	go func() {
 		for {
 			select {
 			case n := <-client.Updates():
-				who.hears(n.List.Version)
+				who.recordVersion(n.List.Version)
 			case <-ctx.Done():
 				return
 			}
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -25,107 +25,107 @@
 const (
 	// Pauses after calls that failed, one after another, double; half of each is drawn. An agent that pushes the list has one
 	// caller, and what it has counts as told at once.
-	retryFirst  = 100 * time.Millisecond
-	retryMost   = 800 * time.Millisecond
-	retryPushed = 200 * time.Millisecond
+	initialBackoff  = 100 * time.Millisecond
+	maxBackoff      = 800 * time.Millisecond
+	maxAgentBackoff = 200 * time.Millisecond
 
-	busyFirst = 6                      // failures in a row after which a queue is taken for long
-	longWait  = time.Second            // from here on a 503 is of a call that waited
-	someWait  = 100 * time.Millisecond // the same, of the fourth and later in a row
+	failuresUntilOverload = 6                      // failures in a row after which a queue is taken for long
+	longQueueWait         = time.Second            // from here on a 503 is of a call that waited
+	shortQueueWait        = 100 * time.Millisecond // the same, of the fourth and later in a row
 
-	turnUsual = 22 * time.Millisecond // that one call costs discovery
-	turnEarly = 35 * time.Millisecond // the same, as a client takes it that was never answered
-	turnMost  = 40 * time.Millisecond // the same, with the changes of a release in its answer
+	serviceTime          = 22 * time.Millisecond // that one call costs discovery
+	serviceTimeAtStart   = 35 * time.Millisecond // the same, as a client takes it that was never answered
+	serviceTimeInRelease = 40 * time.Millisecond // the same, with the changes of a release in its answer
 
-	turnPeriod  = 3500 * time.Millisecond // of a fleet whose turns take little more
-	waitPart    = 1900 * time.Millisecond // of turns may wait at the end of a period
-	plainMost   = NotifyDeadline
-	periodLeast = 2500 * time.Millisecond // of discoveries with long waits: with the wait it is periodBoth at most
-	periodBoth  = 5500 * time.Millisecond
-	settleLeast = 2 * time.Second
-	settle      = 3 * time.Second // more, before the first poll: turns of calls that waited in vain too
-	pollsPlain  = 4
-	pollsNew    = 1 // of a client that was never answered
-	pollsDown   = 2 // those that nobody answered count for no more
-	doublings   = 3
+	maxSmallFleetPeriod          = 3500 * time.Millisecond // of a fleet whose turns take little more
+	queueAtPeriodEnd             = 1900 * time.Millisecond // of turns may wait at the end of a period
+	maxUnsyncedBasePeriod        = NotifyDeadline
+	minPollPeriod                = 2500 * time.Millisecond // of discoveries with long waits: with the wait it is periodBoth at most
+	maxWaitPlusPeriod            = 5500 * time.Millisecond
+	minQueueDrain                = 2 * time.Second
+	maxQueueDrain                = 3 * time.Second // more, before the first poll: turns of calls that waited in vain too
+	timeoutsUntilBackoff         = 4
+	timeoutsUntilBackoffUnsynced = 1 // of a client that was never answered
+	maxPollsCountedDown          = 2 // those that nobody answered count for no more
+	maxPeriodDoublings           = 3
 
-	callersUnknown = 700
+	defaultCallers = 700
 )
 
 // share is the time that a turn of each caller takes.
-func (c *Client) share(turn time.Duration) time.Duration {
+func (c *Client) queueTime(turn time.Duration) time.Duration {
 	callers := c.cfg.Callers
 	if callers == 0 {
-		callers = callersUnknown
+		callers = defaultCallers
 	}
 	return time.Duration(callers) * turn
 }
 
 // forgetQueue is for another discovery: what was seen of the former one's queue says nothing of it.
-func (c *Client) forgetQueue() {
-	c.busy, c.answeredBusy, c.fell, c.heard = false, false, false, false
-	c.polls, c.vain, c.longest, c.turnedAway = 0, 0, 0, 0
+func (c *Client) resetQueueEstimate() {
+	c.rejectedSinceSuccess, c.lastRejected, c.watchTimedOut, c.synced = false, false, false, false
+	c.failedPolls, c.queueTimeouts, c.longestRejection, c.rejectedAfter = 0, 0, 0, 0
 }
 
 // queueIsLong tells whether the last call was turned away by a queue that is longer than a call may wait, or calls fail so
 // long that the queue will be as soon as they do not.
-func (c *Client) queueIsLong(err error, failed int) bool {
-	var garbled *garbledError
+func (c *Client) queueIsOverloaded(err error, failed int) bool {
+	var garbled *malformedListError
 	if c.cfg.Pushed || errors.As(err, &garbled) || errors.Is(err, context.DeadlineExceeded) {
 		return false
 	}
-	if c.turnedAway >= longWait || c.turnedAway >= someWait && failed >= busyFirst-1 {
-		c.longest = max(c.longest, c.turnedAway)
+	if c.rejectedAfter >= longQueueWait || c.rejectedAfter >= shortQueueWait && failed >= failuresUntilOverload-1 {
+		c.longestRejection = max(c.longestRejection, c.rejectedAfter)
 		return true
 	}
-	return c.polls > 0 || failed >= busyFirst
+	return c.failedPolls > 0 || failed >= failuresUntilOverload
 }
 
 // untilNextPoll is the pause after a call that was turned away by a long queue, or failed at once as others before it.
-func (c *Client) untilNextPoll() time.Duration {
-	c.polls++
-	atOnce := c.turnedAway < someWait
-	if atOnce && !c.answeredBusy { // nobody is there to keep a queue
-		c.polls, c.vain = min(c.polls, pollsDown), 0
+func (c *Client) nextPollDelay() time.Duration {
+	c.failedPolls++
+	atOnce := c.rejectedAfter < shortQueueWait
+	if atOnce && !c.lastRejected { // nobody is there to keep a queue
+		c.failedPolls, c.queueTimeouts = min(c.failedPolls, maxPollsCountedDown), 0
 	}
-	if atOnce && c.vain == 0 { // discovery may be down, and no turn was taken
-		if c.polls == 1 {
-			return c.draw(periodLeast)
+	if atOnce && c.queueTimeouts == 0 { // discovery may be down, and no turn was taken
+		if c.failedPolls == 1 {
+			return c.randomDelay(minPollPeriod)
 		}
-		return periodLeast - c.turnedAway
+		return minPollPeriod - c.rejectedAfter
 	}
-	if c.polls > 1 && c.turnedAway >= someWait && c.turnedAway < longWait {
-		c.polls, c.vain = 1, 0 // its turn came, and failed: the queue is short, and a longer period would be for nothing
-		return c.draw(periodLeast)
+	if c.failedPolls > 1 && c.rejectedAfter >= shortQueueWait && c.rejectedAfter < longQueueWait {
+		c.failedPolls, c.queueTimeouts = 1, 0 // its turn came, and failed: the queue is short, and a longer period would be for nothing
+		return c.randomDelay(minPollPeriod)
 	}
-	first := c.vain == 0
-	if c.vain++; first {
-		c.vain = c.polls // those that were turned away at once too
+	first := c.queueTimeouts == 0
+	if c.queueTimeouts++; first {
+		c.queueTimeouts = c.failedPolls // those that were turned away at once too
 	}
-	period := c.plainPeriod()
-	longer := c.longerPeriod(period)
+	period := c.basePollPeriod()
+	longer := c.backedOffPeriod(period)
 	switch {
-	case c.polls == 1: // all polled at once
-		return c.settling() + c.draw(period)
+	case c.failedPolls == 1: // all polled at once
+		return c.queueDrainTime() + c.randomDelay(period)
 	case first: // they polled spread over a period, and few too many: the queue is soon short
-		return c.draw(max(period-c.turnedAway, 0))
+		return c.randomDelay(max(period-c.rejectedAfter, 0))
 	case longer > period:
-		return longer*3/4 + c.draw(longer/2) - c.turnedAway // drawn anew, lest the polls of a longer period bunch in a part of it
+		return longer*3/4 + c.randomDelay(longer/2) - c.rejectedAfter // drawn anew, lest the polls of a longer period bunch in a part of it
 	}
-	return max(period-c.turnedAway, 0)
+	return max(period-c.rejectedAfter, 0)
 }
 
 // settling is the time before the first poll in which turns of calls that waited in vain are taken: less where they are few.
-func (c *Client) settling() time.Duration {
-	return min(settle, max(settleLeast, c.share(turnUsual)))
+func (c *Client) queueDrainTime() time.Duration {
+	return min(maxQueueDrain, max(minQueueDrain, c.queueTime(serviceTime)))
 }
 
 // plainPeriod is the period in which each caller polls once, so that all are answered, the last after W.
-func (c *Client) plainPeriod() time.Duration {
-	small := min(max(periodBoth-c.longest, periodLeast), turnPeriod)
-	all := c.share(turnUsual) - waitPart
-	if !c.heard {
-		all = min(all, plainMost) // its period grows soon
+func (c *Client) basePollPeriod() time.Duration {
+	small := min(max(maxWaitPlusPeriod-c.longestRejection, minPollPeriod), maxSmallFleetPeriod)
+	all := c.queueTime(serviceTime) - queueAtPeriodEnd
+	if !c.synced {
+		all = min(all, maxUnsyncedBasePeriod) // its period grows soon
 	}
 	return max(small, all)
 }
@@ -134,24 +134,24 @@
 // before it, which it makes longer each time, so its period grows soon; one whose watch ended may have an outage before it, and
 // is to hear soon after that. It is at most the share: few callers, which can fill no queue, never wait for longer, since what
 // keeps these from an answer is an outage, however long.
-func (c *Client) longerPeriod(period time.Duration) time.Duration {
-	more, turn := c.vain-pollsPlain, turnMost
-	if !c.heard {
-		more = 2 * (c.vain - pollsNew)
-		if c.vain <= pollsPlain {
-			turn = turnEarly
+func (c *Client) backedOffPeriod(period time.Duration) time.Duration {
+	more, turn := c.queueTimeouts-timeoutsUntilBackoff, serviceTimeInRelease
+	if !c.synced {
+		more = 2 * (c.queueTimeouts - timeoutsUntilBackoffUnsynced)
+		if c.queueTimeouts <= timeoutsUntilBackoff {
+			turn = serviceTimeAtStart
 		}
 	}
-	longer := period << max(0, min(more, doublings))
-	return max(period, min(longer, c.share(turn)))
+	longer := period << max(0, min(more, maxPeriodDoublings))
+	return max(period, min(longer, c.queueTime(turn)))
 }
 
 // retry is the pause after so many calls in a row that failed.
-func (c *Client) retry(failed int) time.Duration {
-	most := retryMost
+func (c *Client) retryBackoff(failed int) time.Duration {
+	most := maxBackoff
 	if c.cfg.Pushed {
-		most = retryPushed
+		most = maxAgentBackoff
 	}
-	p := min(retryFirst<<min(failed-1, 8), most)
-	return p/2 + c.draw(p/2)
+	p := min(initialBackoff<<min(failed-1, 8), most)
+	return p/2 + c.randomDelay(p/2)
 }
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -70,102 +70,102 @@
 // version that went back. Another address may be another service whose versions say something else: one that is behind
 // shows at its first answer, the rest within checkSpread of checkLeast, when the whole list is asked for once.
 const (
-	holdLeast  = 500 * time.Millisecond // a watch that goes on may wait for news at least so long, and
-	holdSpread = 300 * time.Millisecond // up to this much more, so that a fleet's watches neither begin nor end together
-	watchSlack = 400 * time.Millisecond // beyond that, until a watch is taken for silent
+	watchHoldMin    = 500 * time.Millisecond // a watch that goes on may wait for news at least so long, and
+	watchHoldJitter = 300 * time.Millisecond // up to this much more, so that a fleet's watches neither begin nor end together
+	watchSlack      = 400 * time.Millisecond // beyond that, until a watch is taken for silent
 
 	// A new call waits for its turn. After a beat it gets another beside it, since it may be lost; two are out at most, so
 	// one may wait twice as long. Once discovery has turned a call away its queue is long: with a shorter beat a fleet would
 	// stand in it twice, and need 7 s where 5.5 do. Beats differ so that calls that were lost together do not leave
 	// discovery idle together.
-	firstHold  = 100 * time.Millisecond // after its turn, for news
-	firstBeat  = 1750 * time.Millisecond
-	beatSpread = 500 * time.Millisecond
-	beatLeast  = 2020 * time.Millisecond // the first of a call: over the W of 2 s, at the end of which it may fail by itself
-	beatMost   = firstBeat + beatSpread
-	busyBeat   = 2600 * time.Millisecond // from the first 503 on until an answer
+	pollHold           = 100 * time.Millisecond // after its turn, for news
+	hedgeDelayMin      = 1750 * time.Millisecond
+	hedgeDelayJitter   = 500 * time.Millisecond
+	firstHedgeDelayMin = 2020 * time.Millisecond // the first of a call: over the W of 2 s, at the end of which it may fail by itself
+	hedgeDelayMax      = hedgeDelayMin + hedgeDelayJitter
+	busyHedgeDelayMin  = 2600 * time.Millisecond // from the first 503 on until an answer
 
 	// An agent that the list is pushed to has one caller and no queue, and may be deaf for a while to all that came meanwhile.
 	// One call waits for its answer as long as others do; beside it another is made anew each beat.
-	pushedBeat   = 300 * time.Millisecond
-	pushedSpread = 100 * time.Millisecond
-	pushedHold   = 400 * time.Millisecond // of its watches, in place of holdLeast, pushedSpread and watchSlack
-	pushedSlack  = 250 * time.Millisecond
+	agentHedgeDelayMin = 300 * time.Millisecond
+	agentJitter        = 100 * time.Millisecond
+	agentWatchHold     = 400 * time.Millisecond // of its watches, in place of holdLeast, pushedSpread and watchSlack
+	agentWatchSlack    = 250 * time.Millisecond
 
-	listPatience = 3 * time.Second  // for an answer of a member that need not wait
-	checkLeast   = 30 * time.Second // after a move
-	checkSpread  = 90 * time.Second // and up to this much more, so that a fleet does not ask together
+	registryCallTimeout = 3 * time.Second  // for an answer of a member that need not wait
+	resyncDelayMin      = 30 * time.Second // after a move
+	resyncDelayJitter   = 90 * time.Second // and up to this much more, so that a fleet does not ask together
 )
 
 // A silentError is a watch that gave no whole answer by the end of its wait and watchSlack more.
-type silentError struct {
+type watchTimeoutError struct {
 	hold time.Duration
 	err  error
 }
 
-func (e *silentError) Error() string {
+func (e *watchTimeoutError) Error() string {
 	return fmt.Sprintf("a watch that may wait %v fell silent; it is opened anew: %v", e.hold, e.err)
 }
-func (e *silentError) Unwrap() error { return e.err }
+func (e *watchTimeoutError) Unwrap() error { return e.err }
 
 // A versionError is an answer that does not follow on the version that is held. Nothing of it is taken.
-type versionError struct{ from, to int64 }
+type versionRegressedError struct{ held, received int64 }
 
-func (e *versionError) Error() string {
-	return fmt.Sprintf("version went back from %d to %d; the whole list is asked for", e.from, e.to)
+func (e *versionRegressedError) Error() string {
+	return fmt.Sprintf("version went back from %d to %d; the whole list is asked for", e.held, e.received)
 }
 
 // watched is what a client of one address knows. It is Run's alone.
-type watched struct {
-	version int64     // that is held; negative: none
-	going   bool      // the last call was answered: a watch now goes on from it
-	busy    bool      // a call was turned away since one was answered
-	fell    bool      // the last call was a watch that fell silent
-	check   time.Time // the whole list is asked for then; zero: not
+type platformState struct {
+	version              int64     // that is held; negative: none
+	watching             bool      // the last call was answered: a watch now goes on from it
+	rejectedSinceSuccess bool      // a call was turned away since one was answered
+	watchTimedOut        bool      // the last call was a watch that fell silent
+	resyncAt             time.Time // the whole list is asked for then; zero: not
 
-	turnedAway time.Duration // that the last 503 took to come
-	longest    time.Duration // that a call waited in vain
-	polls      int           // failed in a row, from the first on that shows that the queue is long
-	vain       int           // of these, that waited in vain
+	rejectedAfter    time.Duration // that the last 503 took to come
+	longestRejection time.Duration // that a call waited in vain
+	failedPolls      int           // failed in a row, from the first on that shows that the queue is long
+	queueTimeouts    int           // of these, that waited in vain
 
-	answeredBusy bool // the last call was answered, with a 503
-	heard        bool // discovery has answered a call with a list
+	lastRejected bool // the last call was answered, with a 503
+	synced       bool // discovery has answered a call with a list
 }
 
 // watch watches at one address until the context ends. The next watch follows an answer at once, lest changes in between
 // count as told late; so does a new one after a watch that fell silent, and the first call after one that was garbled.
-func (c *Client) watch(ctx context.Context) {
+func (c *Client) followPlatform(ctx context.Context) {
 	for failed, nonsense := 0, false; ctx.Err() == nil; {
-		whole := c.version < 0 || nonsense || c.going && !c.check.IsZero() && !time.Now().Before(c.check)
-		going := c.going && !whole
-		list, err := c.call(ctx, going, whole)
+		whole := c.version < 0 || nonsense || c.watching && !c.resyncAt.IsZero() && !time.Now().Before(c.resyncAt)
+		going := c.watching && !whole
+		list, err := c.callPlatform(ctx, going, whole)
 		if ctx.Err() != nil {
 			return
 		}
-		nonsense, c.fell = false, false
+		nonsense, c.watchTimedOut = false, false
 		if whole && err == nil {
-			c.check = time.Time{}
-		} else if whole && !c.check.IsZero() {
-			c.checkLater()
+			c.resyncAt = time.Time{}
+		} else if whole && !c.resyncAt.IsZero() {
+			c.scheduleResync()
 		}
 		if err == nil && !list.Full && list.Version < c.version {
-			err = &versionError{c.version, list.Version}
+			err = &versionRegressedError{c.version, list.Version}
 		}
-		if c.going = err == nil; c.going {
-			c.heard = true
-			c.answered.Store(int64(max(1, time.Since(c.start))))
-			c.version, c.busy, c.polls, c.vain, failed = list.Version, false, 0, 0, 0
-			c.tell(Update{list})
+		if c.watching = err == nil; c.watching {
+			c.synced = true
+			c.lastSuccess.Store(int64(max(1, time.Since(c.startedAt))))
+			c.version, c.rejectedSinceSuccess, c.failedPolls, c.queueTimeouts, failed = list.Version, false, 0, 0, 0
+			c.publish(Update{list})
 			continue
 		}
 		c.failures.Add(1)
-		c.log.Warn("discovery", "address", c.at, "failed_in_a_row", failed+1, "error", err)
-		var fell *silentError
-		var garbled *garbledError
-		var back *versionError
+		c.log.Warn("discovery", "address", c.source, "failed_in_a_row", failed+1, "error", err)
+		var fell *watchTimeoutError
+		var garbled *malformedListError
+		var back *versionRegressedError
 		switch {
 		case errors.As(err, &fell): // only one that goes on: no sign yet that discovery is busy
-			c.fell = true
+			c.watchTimedOut = true
 			continue
 		case errors.As(err, &back): // it answers, and has another line of versions
 			c.version = -1
@@ -177,54 +177,56 @@
 			}
 		}
 		failed++
-		c.noteLoss(err)
-		c.answeredBusy = errors.Is(err, errBusy)
-		if c.queueIsLong(err, failed) {
-			c.wait(ctx, c.untilNextPoll())
+		c.noteUnreachable(err)
+		c.lastRejected = errors.Is(err, errUnavailable)
+		if c.queueIsOverloaded(err, failed) {
+			c.sleep(ctx, c.nextPollDelay())
 			continue
 		}
-		c.wait(ctx, c.retry(failed))
+		c.sleep(ctx, c.retryBackoff(failed))
 	}
 }
 
 // checkLater has the whole list asked for when that hurts nobody.
-func (c *Client) checkLater() { c.check = time.Now().Add(checkLeast + c.draw(checkSpread)) }
+func (c *Client) scheduleResync() {
+	c.resyncAt = time.Now().Add(resyncDelayMin + c.randomDelay(resyncDelayJitter))
+}
 
 // call asks for what is newer than the version that is held, or for the whole list.
-func (c *Client) call(ctx context.Context, going, whole bool) (*List, error) {
-	u := "http://" + c.at.Address + "/catalog/members"
+func (c *Client) callPlatform(ctx context.Context, going, whole bool) (*List, error) {
+	u := "http://" + c.source.Address + "/catalog/members"
 	if whole {
-		return c.first(ctx, u)
+		return c.hedgedCall(ctx, u)
 	}
-	hold, slack := firstHold, watchSlack
+	hold, slack := pollHold, watchSlack
 	switch {
 	case going && c.cfg.Pushed:
-		hold, slack = pushedHold+c.draw(pushedSpread), pushedSlack
+		hold, slack = agentWatchHold+c.randomDelay(agentJitter), agentWatchSlack
 	case going:
-		hold = holdLeast + c.draw(holdSpread)
+		hold = watchHoldMin + c.randomDelay(watchHoldJitter)
 	}
 	u += "?from=" + strconv.FormatInt(c.version, 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	if !going {
-		return c.first(ctx, u)
+		return c.hedgedCall(ctx, u)
 	}
-	c.turnedAway = 0 // it waits for news, not for its turn
-	list, err := c.getOnce(ctx, u, hold+slack)
+	c.rejectedAfter = 0 // it waits for news, not for its turn
+	list, err := c.fetchOnce(ctx, u, hold+slack)
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = &silentError{hold, err}
+		err = &watchTimeoutError{hold, err}
 	}
 	return list, err
 }
 
 // first makes a call that waits for its turn, and each beat another beside it while none is answered. The oldest is given
 // up after two beats. The first answer counts; it fails when all that are out have.
-func (c *Client) first(ctx context.Context, url string) (*List, error) {
+func (c *Client) hedgedCall(ctx context.Context, url string) (*List, error) {
 	type reply struct {
 		list    *List
 		err     error
 		took    time.Duration
 		patient bool
 	}
-	c.turnedAway = 0
+	c.rejectedAfter = 0
 	ctx, stop := context.WithCancel(ctx)
 	replies := make(chan reply)
 	var calls sync.WaitGroup
@@ -232,7 +234,7 @@
 	defer stop()
 	waiting := false // a call that waits for as long as it takes is out
 	for out := 0; ; {
-		length, patience := c.beat(out == 0)
+		length, patience := c.hedgeTiming(out == 0)
 		patient := !c.cfg.Pushed || !waiting
 		if !patient {
 			patience = length
@@ -242,7 +244,7 @@
 		out++
 		calls.Go(func() {
 			start := time.Now()
-			list, err := c.getOnce(ctx, url, patience)
+			list, err := c.fetchOnce(ctx, url, patience)
 			select {
 			case replies <- reply{list, err, time.Since(start), patient}:
 			case <-ctx.Done():
@@ -251,14 +253,14 @@
 		for late := false; !late; {
 			select {
 			case r := <-replies:
-				if errors.Is(r.err, errBusy) {
-					c.busy, c.turnedAway = true, r.took
+				if errors.Is(r.err, errUnavailable) {
+					c.rejectedSinceSuccess, c.rejectedAfter = true, r.took
 				}
 				waiting = waiting && !r.patient
 				if out--; r.err == nil || out == 0 && (patient || !errors.Is(r.err, context.DeadlineExceeded)) {
 					return r.list, r.err
 				}
-				c.log.Warn("discovery", "address", c.at, "error", r.err)
+				c.log.Warn("discovery", "address", c.source, "error", r.err)
 			case <-beat:
 				late = true
 			case <-ctx.Done():
@@ -270,37 +272,37 @@
 
 // beat is how long after a call another is made beside it, and how long a call is waited for: two beats, so that two are out at
 // most.
-func (c *Client) beat(first bool) (length, patience time.Duration) {
+func (c *Client) hedgeTiming(first bool) (length, patience time.Duration) {
 	switch {
 	case c.cfg.Pushed:
-		return pushedBeat + c.draw(pushedSpread), 2 * beatMost
-	case c.busy:
-		length = busyBeat + c.draw(beatSpread)
-	case first && !c.fell:
-		length = beatLeast + c.draw(beatMost-beatLeast)
+		return agentHedgeDelayMin + c.randomDelay(agentJitter), 2 * hedgeDelayMax
+	case c.rejectedSinceSuccess:
+		length = busyHedgeDelayMin + c.randomDelay(hedgeDelayJitter)
+	case first && !c.watchTimedOut:
+		length = firstHedgeDelayMin + c.randomDelay(hedgeDelayMax-firstHedgeDelayMin)
 	default:
-		length = firstBeat + c.draw(beatSpread)
+		length = hedgeDelayMin + c.randomDelay(hedgeDelayJitter)
 	}
 	return length, 2 * length
 }
 
 // getOnce is get without net/http's own second try after a kept connection broke: that would be a new call, which waits for
 // its turn, with a watch's patience.
-func (c *Client) getOnce(ctx context.Context, url string, patience time.Duration) (*List, error) {
+func (c *Client) fetchOnce(ctx context.Context, url string, patience time.Duration) (*List, error) {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	conns := 0
-	return c.traced(ctx, url, func() (*List, error) {
-		list, err := c.get(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
+	return c.countedCall(ctx, url, func() (*List, error) {
+		list, err := c.fetch(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 			if conns++; conns > 1 {
-				stop(errBroke)
+				stop(errConnectionLost)
 			}
 		}}), url, patience)
-		if err != nil && context.Cause(ctx) == errBroke {
-			err = errBroke
+		if err != nil && context.Cause(ctx) == errConnectionLost {
+			err = errConnectionLost
 		}
 		return list, err
 	})
 }
 
-var errBroke = errors.New("the connection to discovery broke under a call; it is made anew")
+var errConnectionLost = errors.New("the connection to discovery broke under a call; it is made anew")
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -38,7 +38,7 @@
 		if n := <-c.Updates(); n.List == nil {
 			t.Error("the module was told of a failure")
 		}
-		if took := time.Since(start); took <= holdLeast || took >= 6*time.Second-time.Second {
+		if took := time.Since(start); took <= watchHoldMin || took >= 6*time.Second-time.Second {
 			t.Errorf("heard again after %v; it counts as told after 6 s", took)
 		}
 		stop()
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
 		c.SetInitialList(&List{Version: 5, Full: true})
-		c.checkLater()
+		c.scheduleResync()
 		start, whole := time.Now(), []time.Duration(nil)
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			if hold, _ := time.ParseDuration(r.URL.Query().Get("hold_ms") + "ms"); hold > 0 {
@@ -85,8 +85,8 @@
 		time.Sleep(10 * time.Minute)
 		stop()
 		synctest.Wait()
-		if len(whole) != 2 || whole[0] < checkLeast || whole[0] > checkLeast+checkSpread+5*time.Second ||
-			whole[1]-whole[0] < checkLeast {
+		if len(whole) != 2 || whole[0] < resyncDelayMin || whole[0] > resyncDelayMin+resyncDelayJitter+5*time.Second ||
+			whole[1]-whole[0] < resyncDelayMin {
 			t.Errorf("the whole list was asked for at %v", whole)
 		}
 	})
@@ -192,7 +192,7 @@
 	}
 	stop()
 	<-ended
-	if first := fmt.Sprint(firstHold.Milliseconds()); held[0] != first || held[1] == first || held[2] != first {
+	if first := fmt.Sprint(pollHold.Milliseconds()); held[0] != first || held[1] == first || held[2] != first {
 		t.Errorf("holds of %v ms", held)
 	}
 }
--- a/internal/discovery/polls_test.go
+++ b/internal/discovery/polls_test.go
@@ -14,38 +14,38 @@
 	for _, tt := range []struct {
 		name    string
 		clients int
-		trouble func(l *turns) // from 10 s on; it ends with calls that are answered in their turns
+		trouble func(l *serverModel) // from 10 s on; it ends with calls that are answered in their turns
 	}{
-		{"by an outage after it", 300, func(l *turns) {
-			l.trouble(vainly, reset, 25*time.Second)
-			l.trouble(broken, spare, 15*time.Second)
+		{"by an outage after it", 300, func(l *serverModel) {
+			l.outage(rejectedAfterWait, resetWatch, 25*time.Second)
+			l.outage(connectionReset, keepWatch, 15*time.Second)
 		}},
-		{"at another address", 300, func(l *turns) {
-			l.trouble(vainly, reset, 25*time.Second)
+		{"at another address", 300, func(l *serverModel) {
+			l.outage(rejectedAfterWait, resetWatch, 25*time.Second)
 			l.mu.Lock()
 			for _, c := range l.callers {
-				c.fates = []fate{broken}
+				c.nextFaults = []callFault{connectionReset}
 				c.client.SetSource(Source{Address: "127.0.0.1:2"})
 			}
 			l.mu.Unlock()
 		}},
-		{"where few call", 12, func(l *turns) { l.trouble(vainly, reset, 40*time.Second) }},
+		{"where few call", 12, func(l *serverModel) { l.outage(rejectedAfterWait, resetWatch, 40*time.Second) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				l := &turns{wait: 2 * time.Second, room: 5 * time.Second, slow: time.Millisecond, clients: tt.clients, ctx: ctx,
-					moved: make(chan struct{})}
+				l := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second, serviceTime: time.Millisecond, callersTold: tt.clients, ctx: ctx,
+					changed: make(chan struct{})}
 				for i := range tt.clients {
 					l.join(ctx, false, uint64(i+1), 0)
 				}
 				time.Sleep(10 * time.Second)
 				tt.trouble(l)
-				l.change()
+				l.publishVersion()
 				time.Sleep(2 * time.Minute)
 				stop()
 				synctest.Wait()
-				if age := l.age(t); age > told {
+				if age := l.worstAge(t); age > told {
 					t.Errorf("the change was heard of %v after it could be had, want %v", age, told)
 				}
 			})
--- a/internal/discovery/release_test.go
+++ b/internal/discovery/release_test.go
@@ -20,7 +20,7 @@
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
-			l := &turns{wait: 2 * time.Second, room: 5 * time.Second, slow: turn, entries: 6, clients: 282, ctx: ctx, moved: make(chan struct{})}
+			l := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second, serviceTime: turn, entriesPerVersion: 6, callersTold: 282, ctx: ctx, changed: make(chan struct{})}
 			n := seed * 10000
 			join := func(clients int) {
 				for range clients {
@@ -30,14 +30,14 @@
 			}
 			join(273)
 			time.Sleep(2500 * time.Millisecond)
-			l.trouble(vainly, reset, 7500*time.Millisecond)
+			l.outage(rejectedAfterWait, resetWatch, 7500*time.Millisecond)
 			for _, step := range []struct {
 				after time.Duration
 				joins int
 			}{{400, 33}, {1800, 33}, {100, 33}, {800, 0}, {2700, 33}, {900, 0}, {900, 11}} {
 				time.Sleep(step.after * time.Millisecond)
 				join(step.joins)
-				l.change()
+				l.publishVersion()
 			}
 			time.Sleep(2 * time.Minute)
 			stop()
@@ -46,26 +46,26 @@
 			defer l.mu.Unlock()
 			late, never, worst := 0, 0, time.Duration(0)
 			for _, c := range l.callers {
-				if len(c.heard) < steps {
+				if len(c.heardAt) < steps {
 					never++
 					continue
 				}
 				own := time.Duration(0)
-				for v, made := range l.made {
-					for _, since := range []time.Time{l.up, c.joined} {
+				for v, made := range l.changedAt {
+					for _, since := range []time.Time{l.availableSince, c.joinedAt} {
 						if made.Before(since) {
 							made = since
 						}
 					}
-					own = max(own, c.heard[v].Sub(made))
+					own = max(own, c.heardAt[v].Sub(made))
 				}
 				if worst = max(worst, own); own > most {
 					late++
 				}
 			}
 			t.Logf("seed %d: of %d clients %d never heard, %d late, the worst %v; %d turns, %d in vain", seed, len(l.callers),
-				never, late, worst, l.taken, l.vain)
-			if never > 0 || worst > within || l.vain > vain {
+				never, late, worst, l.served, l.wasted)
+			if never > 0 || worst > within || l.wasted > vain {
 				t.Errorf("want all within %v and at most %d turns in vain", within, vain)
 			}
 		})
--- a/internal/discovery/slope_test.go
+++ b/internal/discovery/slope_test.go
@@ -47,11 +47,11 @@
 				data := text(int(n))
 				ctx, end := context.WithCancel(b.Context())
 				c := New(Config{Source: Source{Members: []string{"127.0.0.1:1"}}, Logger: slog.New(slog.DiscardHandler)})
-				c.ended = ctx.Done()
+				c.done = ctx.Done()
 				go func() {
 					for {
 						select {
-						case <-c.news:
+						case <-c.updates:
 						case <-ctx.Done():
 							return
 						}
@@ -62,7 +62,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					if err := c.take(l, time.Now()); err != nil {
+					if err := c.accept(l, time.Now()); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -27,13 +27,13 @@
 	// LineWait is without an answer for a line, until one that lies below it is taken.
 	EpochWait = 10 * time.Second
 
-	dialWait = time.Second
+	dialTimeout = time.Second
 )
 
 // Client makes calls of members. A connection that does not come up is a failure of a member long before its call is one.
 func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, DisableCompression: true,
-		DialContext: (&net.Dialer{Timeout: dialWait}).DialContext}}
+		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
 }
 
 // Wait waits, or until the context ends.
@@ -46,24 +46,24 @@
 
 // Ring is the members in a caller's own order. One goroutine has it.
 type Ring struct {
-	members    []string
-	at, failed int
-	rng        *rand.Rand
-	most       time.Duration
+	members           []string
+	current, failures int
+	rng               *rand.Rand
+	maxBackoff        time.Duration
 }
 
 // New is a ring, with pauses of at most so long while all members fail.
-func NewRing(members []string, rng *rand.Rand, most time.Duration) *Ring {
-	r := &Ring{members: slices.Clone(members), rng: rng, most: most}
+func NewRing(members []string, rng *rand.Rand, maxBackoff time.Duration) *Ring {
+	r := &Ring{members: slices.Clone(members), rng: rng, maxBackoff: maxBackoff}
 	rng.Shuffle(len(r.members), func(i, j int) { r.members[i], r.members[j] = r.members[j], r.members[i] })
 	return r
 }
 
 // Member is the one to ask.
-func (r *Ring) Current() string { return r.members[r.at] }
+func (r *Ring) Current() string { return r.members[r.current] }
 
 // Answered notes that it has answered.
-func (r *Ring) RecordSuccess() { r.failed = 0 }
+func (r *Ring) RecordSuccess() { r.failures = 0 }
 
 // Failure is what follows a call that failed.
 type Failure struct {
@@ -76,26 +76,26 @@
 
 // Failed moves on to the next member.
 func (r *Ring) RecordFailure() Failure {
-	r.failed++
-	next := (r.at + 1) % len(r.members)
-	f := Failure{Next: r.members[next], FailedOver: next != r.at, Consecutive: r.failed, ShouldLog: r.failed == 1 || r.failed%len(r.members) == 0}
-	r.at = next
-	f.Backoff = r.pause()
+	r.failures++
+	next := (r.current + 1) % len(r.members)
+	f := Failure{Next: r.members[next], FailedOver: next != r.current, Consecutive: r.failures, ShouldLog: r.failures == 1 || r.failures%len(r.members) == 0}
+	r.current = next
+	f.Backoff = r.nextBackoff()
 	return f
 }
 
 // pause is how long to wait after so many failures in a row.
-func (r *Ring) pause() time.Duration {
-	if r.failed < len(r.members) {
+func (r *Ring) nextBackoff() time.Duration {
+	if r.failures < len(r.members) {
 		return r.RandomDelay(Jitter)
 	}
-	p := min(Jitter<<min(r.failed/len(r.members), 8), r.most)
+	p := min(Jitter<<min(r.failures/len(r.members), 8), r.maxBackoff)
 	return p/2 + r.RandomDelay(p/2)
 }
 
 // Draw is a time below another.
-func (r *Ring) RandomDelay(below time.Duration) time.Duration {
-	return time.Duration(r.rng.Int64N(int64(below)))
+func (r *Ring) RandomDelay(max time.Duration) time.Duration {
+	return time.Duration(r.rng.Int64N(int64(max)))
 }
 
 // ErrBehind is an answer that lies below what was taken.
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -34,33 +34,33 @@
 
 	// diedWithin is how long after a break word of a death explains it. A refused connect tells at the next attempt and a
 	// list some seconds late. Where lists are later still the break counts as staleness, which Double forgets.
-	diedWithin = 10 * time.Second
+	exitAttributionWindow = 10 * time.Second
 )
 
 // limit is a bound on the trusted time, as of a moment; 0 is none.
-type limit struct {
-	span  time.Duration
-	since time.Time
+type idleLimit struct {
+	maxIdle time.Duration
+	since   time.Time
 }
 
 // Trust is of all kept connections of a process. It is not safe for concurrent use.
 type Tracker struct {
-	now limit
+	current idleLimit
 
 	// The latest breaks at one backend, and the limit before the first of them.
-	at     string
-	broke  time.Time
-	before limit
+	brokenBackend string
+	brokenAt      time.Time
+	beforeBreaks  idleLimit
 }
 
 // Span is how long a connection may have been idle now, never more than most. A request that must not run twice gets
 // half of it, so that those which can be repeated meet the edge first.
 func (t *Tracker) MaxIdle(now time.Time, most time.Duration, unsafe bool) time.Duration {
 	span := most
-	if t.now.span > 0 {
-		grown := float64(t.now.span) * math.Exp2(now.Sub(t.now.since).Seconds()/RecoveryTime.Seconds())
+	if t.current.maxIdle > 0 {
+		grown := float64(t.current.maxIdle) * math.Exp2(now.Sub(t.current.since).Seconds()/RecoveryTime.Seconds())
 		if grown >= float64(2*most) {
-			t.now.span = 0
+			t.current.maxIdle = 0
 			return most
 		}
 		span = time.Duration(grown)
@@ -76,20 +76,20 @@
 	if idle < MinIdleTimeout || idle > most {
 		return // no staleness, or one that Span already guards from
 	}
-	if t.at != backend || now.Sub(t.broke) > diedWithin {
-		t.at, t.before = backend, t.now
+	if t.brokenBackend != backend || now.Sub(t.brokenAt) > exitAttributionWindow {
+		t.brokenBackend, t.beforeBreaks = backend, t.current
 	}
-	t.broke = now
+	t.brokenAt = now
 	span := max(idle/2, MinIdleTimeout)
-	if t.now.span > 0 {
+	if t.current.maxIdle > 0 {
 		span = min(span, max(t.MaxIdle(now, most, false)/2, MinIdleTimeout))
 	}
-	t.now = limit{span, now}
+	t.current = idleLimit{span, now}
 }
 
 // Died notes word that a backend's process has ended.
 func (t *Tracker) RecordBackendExit(now time.Time, backend string) {
-	if t.at == backend && now.Sub(t.broke) <= diedWithin {
-		t.now, t.at = t.before, ""
+	if t.brokenBackend == backend && now.Sub(t.brokenAt) <= exitAttributionWindow {
+		t.current, t.brokenBackend = t.beforeBreaks, ""
 	}
 }
--- a/internal/override/errors.go
+++ b/internal/override/errors.go
@@ -36,7 +36,7 @@
 func (e *StoreError) Unwrap() error { return e.Err }
 
 // failed is a *StoreError, or nil without err.
-func failed(op StoreOp, path string, err error) error {
+func storeError(op StoreOp, path string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/override/golden_test.go
+++ b/internal/override/golden_test.go
@@ -21,14 +21,14 @@
 	}
 	s := store{dir: t.TempDir()}
 	for _, id := range ids {
-		must(t, s.add(id))
+		mustSucceed(t, s.add(id))
 	}
 	files := func(dir string) (names []string) {
 		entries, err := os.ReadDir(dir)
-		must(t, err)
+		mustSucceed(t, err)
 		for _, e := range entries {
 			info, err := e.Info()
-			must(t, err)
+			mustSucceed(t, err)
 			if info.Size() != 0 {
 				t.Errorf("%s has %d bytes", e.Name(), info.Size())
 			}
--- a/internal/override/names.go
+++ b/internal/override/names.go
@@ -7,17 +7,17 @@
 )
 
 // maxNames bounds the names that are kept of servers that have left the list.
-const maxNames = 4096
+const maxRememberedNames = 4096
 
 // Names are the servers that some list has named. It may be used from many goroutines.
 type NameSet struct {
-	mu    sync.Mutex
-	at    map[string]int // when it was last named, in lists
-	lists int
+	mu       sync.Mutex
+	lastSeen map[string]int // when it was last named, in lists
+	lists    int
 }
 
 // NewNames has no names yet.
-func NewNameSet() *NameSet { return &NameSet{at: map[string]int{}} }
+func NewNameSet() *NameSet { return &NameSet{lastSeen: map[string]int{}} }
 
 // Add notes the servers of a list. Where there are too many the ones not named for the longest go.
 func (s *NameSet) Add(ids ...string) {
@@ -25,16 +25,16 @@
 	defer s.mu.Unlock()
 	s.lists++
 	for _, id := range ids {
-		s.at[id] = s.lists
+		s.lastSeen[id] = s.lists
 	}
-	for len(s.at) > max(maxNames, len(ids)) {
+	for len(s.lastSeen) > max(maxRememberedNames, len(ids)) {
 		oldest := s.lists
-		for _, n := range s.at {
+		for _, n := range s.lastSeen {
 			oldest = min(oldest, n)
 		}
-		for id, n := range s.at {
+		for id, n := range s.lastSeen {
 			if n == oldest {
-				delete(s.at, id)
+				delete(s.lastSeen, id)
 			}
 		}
 	}
@@ -44,7 +44,7 @@
 func (s *NameSet) Has(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.at[id]
+	_, ok := s.lastSeen[id]
 	return ok
 }
 
@@ -52,5 +52,5 @@
 func (s *NameSet) All() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Collect(maps.Keys(s.at))
+	return slices.Collect(maps.Keys(s.lastSeen))
 }
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -16,19 +16,19 @@
 )
 
 // held notes the sets that a reader of Bans acts on.
-type held struct {
+type appliedSet struct {
 	mu  sync.Mutex
 	ids map[string]bool
 }
 
-func (h *held) is(ids ...string) bool {
+func (h *appliedSet) is(ids ...string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Equal(slices.Sorted(maps.Keys(h.ids)), ids)
 }
 
 // acting opens Bans in a bubble, follows them and acts on their sets, all until the test ends.
-func acting(t *testing.T, cfg Config) (*Overrides, *held) {
+func startOverrides(t *testing.T, cfg Config) (*Overrides, *appliedSet) {
 	t.Helper()
 	ended := make(chan struct{})
 	cfg.Stopped, cfg.Logger = ended, slog.New(slog.DiscardHandler)
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &held{ids: b.Current()}
+	h := &appliedSet{ids: b.Current()}
 	ctx, stop := context.WithCancel(t.Context())
 	var parts sync.WaitGroup
 	parts.Go(func() { b.Run(ctx) })
@@ -62,7 +62,7 @@
 	return b, h
 }
 
-func must(t *testing.T, err error) {
+func mustSucceed(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -73,13 +73,13 @@
 func TestTheUnionHolds(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		b, here := acting(t, Config{Dir: dir})
-		other, there := acting(t, Config{Dir: dir})
-		must(t, b.SuspendServer("a"))
+		b, here := startOverrides(t, Config{Dir: dir})
+		other, there := startOverrides(t, Config{Dir: dir})
+		mustSucceed(t, b.SuspendServer("a"))
 		if !here.is("a") {
 			t.Errorf("after the answer: %v", here.ids)
 		}
-		time.Sleep(pollEvery + 1)
+		time.Sleep(pollInterval + 1)
 		synctest.Wait()
 		if !there.is("a") {
 			t.Errorf("at the other process: %v", there.ids)
@@ -89,8 +89,8 @@
 		if !here.is("a", "x") || !there.is("a") {
 			t.Errorf("with x from outside: %v, at the other process %v", here.ids, there.ids)
 		}
-		must(t, other.ResumeServer("a"))
-		must(t, b.ResumeServer("x")) // it is out, and so no stranger; to end that is the others' part
+		mustSucceed(t, other.ResumeServer("a"))
+		mustSucceed(t, b.ResumeServer("x")) // it is out, and so no stranger; to end that is the others' part
 		if !here.is("a", "x") {
 			t.Errorf("a resumed here but out by others: %v", here.ids)
 		}
@@ -112,10 +112,10 @@
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		var b *Overrides
-		var here *held
+		var here *appliedSet
 		var calls []string
 		deaf := errors.New("deaf")
-		b, here = acting(t, Config{Dir: dir, Notify: func(nodo string, suspended bool) error {
+		b, here = startOverrides(t, Config{Dir: dir, Notify: func(nodo string, suspended bool) error {
 			calls = append(calls, nodo+" "+strconv.FormatBool(suspended))
 			if nodo == "c" {
 				return deaf
@@ -123,18 +123,18 @@
 			b.SetRemote(map[string]bool{"y": suspended})
 			return nil
 		}})
-		must(t, b.SuspendServer("a"))
+		mustSucceed(t, b.SuspendServer("a"))
 		if !here.is("a", "y") {
 			t.Errorf("suspended: %v", here.ids)
 		}
-		must(t, b.ResumeServer("a"))
+		mustSucceed(t, b.ResumeServer("a"))
 		if !here.is() {
 			t.Errorf("resumed: %v", here.ids)
 		}
 		if err := b.SuspendServer("c"); !errors.Is(err, deaf) || !here.is("c") {
 			t.Errorf("untold: %v with %v", here.ids, err)
 		}
-		if must(t, b.ClearLocal("c")); here.is("c") || len(calls) != 3 { // the others ended it: none is told
+		if mustSucceed(t, b.ClearLocal("c")); here.is("c") || len(calls) != 3 { // the others ended it: none is told
 			t.Errorf("lifted: %v, told of %v", here.ids, calls)
 		}
 		if err := b.SuspendServer("stranger"); err == nil {
@@ -149,10 +149,10 @@
 func TestErrorsNameWhatIsWrong(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gone")
 	synctest.Test(t, func(t *testing.T) {
-		must(t, os.Mkdir(dir, 0o700))
-		b, here := acting(t, Config{Dir: dir})
-		must(t, b.SuspendServer("b"))
-		must(t, os.RemoveAll(dir))
+		mustSucceed(t, os.Mkdir(dir, 0o700))
+		b, here := startOverrides(t, Config{Dir: dir})
+		mustSucceed(t, b.SuspendServer("b"))
+		mustSucceed(t, os.RemoveAll(dir))
 		b.SetRemote(map[string]bool{"x": true})
 		synctest.Wait()
 		if !here.is("b", "x") {
@@ -180,13 +180,13 @@
 		names, ended := NewNameSet(), make(chan struct{})
 		names.Add("a")
 		b, err := Open(Config{Dir: dir, KnownServers: names, Stopped: ended})
-		must(t, err)
+		mustSucceed(t, err)
 		var late *NotAppliedError
 		if err := b.SuspendServer("a"); !errors.As(err, &late) || late.After >= time.Second || !b.Current()["a"] {
 			t.Errorf("got %v", err)
 		}
 		close(ended)
-		must(t, b.SuspendServer("a"))
+		mustSucceed(t, b.SuspendServer("a"))
 	})
 }
 
@@ -195,18 +195,18 @@
 	s := store{dir: t.TempDir()}
 	files := map[string]string{"..": "ban-..", "a": "ban-a", "a b": "ban-a%20b", "a/b": "ban-a%2Fb", "ü%2F": "ban-%C3%BC%252F"}
 	for id, file := range files {
-		must(t, s.add(id))
+		mustSucceed(t, s.add(id))
 		if info, err := os.Stat(filepath.Join(s.dir, file)); err != nil || info.Size() != 0 {
 			t.Errorf("%q: %v", id, err)
 		}
 	}
-	must(t, os.WriteFile(filepath.Join(s.dir, "ban-%zz"), nil, 0o600)) // nobody's
+	mustSucceed(t, os.WriteFile(filepath.Join(s.dir, "ban-%zz"), nil, 0o600)) // nobody's
 	got, err := s.load()
 	if err != nil || !maps.EqualFunc(got, files, func(is bool, _ string) bool { return is }) {
 		t.Fatalf("got %v, %v", got, err)
 	}
 	for id := range files {
-		must(t, errors.Join(s.remove(id), s.remove(id)))
+		mustSucceed(t, errors.Join(s.remove(id), s.remove(id)))
 		if s.has(id) {
 			t.Errorf("%q stays", id)
 		}
@@ -215,11 +215,11 @@
 
 func TestNamesOfServersThatLeftAreBounded(t *testing.T) {
 	s := NewNameSet()
-	for i := range 2 * maxNames {
+	for i := range 2 * maxRememberedNames {
 		s.Add("stays", strconv.Itoa(i))
 	}
 	ids := s.All()
-	if len(ids) > maxNames || !slices.Contains(ids, "stays") || s.Has("0") {
+	if len(ids) > maxRememberedNames || !slices.Contains(ids, "stays") || s.Has("0") {
 		t.Errorf("%d names kept", len(ids))
 	}
 }
--- a/internal/override/slow_test.go
+++ b/internal/override/slow_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	disk := make(chan struct{})
-	b.store.slow = func() { <-disk }
+	b.store.delay = func() { <-disk }
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	held := make(chan map[string]bool, 100)
@@ -55,7 +55,7 @@
 			if !ids["a"] {
 				t.Fatal("the ban was lifted")
 			}
-		case <-time.After(2 * pollEvery):
+		case <-time.After(2 * pollInterval):
 		}
 	}
 	close(disk)
--- a/internal/override/zones.go
+++ b/internal/override/zones.go
@@ -9,19 +9,19 @@
 
 // zoneMark begins the name under which a zone is out. No server is let out by such a name, so that zones go the way
 // of servers: one folder, one word to others, one set that holds.
-const zoneMark = "\x00zone/"
+const zoneKeyPrefix = "\x00zone/"
 
 // OfZone is the name under which a zone is in sets.
-func ZoneKey(zone string) string { return zoneMark + zone }
+func ZoneKey(zone string) string { return zoneKeyPrefix + zone }
 
 // zoneOf is the zone that a name stands for, if any.
-func zoneOf(id string) (zone string, ok bool) { return strings.CutPrefix(id, zoneMark) }
+func zoneOfKey(id string) (zone string, ok bool) { return strings.CutPrefix(id, zoneKeyPrefix) }
 
 // Split parts a set into servers and zones.
 func SplitZones(ids map[string]bool) (nodos, zones map[string]bool) {
 	nodos, zones = map[string]bool{}, map[string]bool{}
 	for id, is := range ids {
-		if zone, ok := zoneOf(id); ok {
+		if zone, ok := zoneOfKey(id); ok {
 			zones[zone] = is
 		} else {
 			nodos[id] = is
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	_, out := SplitZones(b.with(kept))
+	_, out := SplitZones(b.withRemote(kept))
 	if !out[zone] && len(b.cfg.ServingZones()) > 0 {
 		left := maps.Clone(b.cfg.ServingZones())
 		maps.DeleteFunc(left, func(z string, _ bool) bool { return z == zone || out[z] })
@@ -68,7 +68,7 @@
 			return &LastZoneError{zone, slices.Sorted(maps.Keys(out))}
 		}
 	}
-	return b.call(ZoneKey(zone), true)
+	return b.change(ZoneKey(zone), true)
 }
 
 // Restore ends that. Its errors are *UnknownZoneError and those of Resume.
@@ -76,9 +76,9 @@
 	if !b.knownZone(zone) {
 		return &UnknownZoneError{zone}
 	}
-	return b.call(ZoneKey(zone), false)
+	return b.change(ZoneKey(zone), false)
 }
 
 func (b *Overrides) knownZone(zone string) bool {
-	return zone != "" && (b.cfg.KnownZones != nil && b.cfg.KnownZones.Has(zone) || b.out(ZoneKey(zone)))
+	return zone != "" && (b.cfg.KnownZones != nil && b.cfg.KnownZones.Has(zone) || b.isSet(ZoneKey(zone)))
 }
--- a/internal/override/zones_test.go
+++ b/internal/override/zones_test.go
@@ -11,7 +11,7 @@
 )
 
 // zonesOut are the zones that the reader of Bans has out.
-func (h *held) zonesOut() []string {
+func (h *appliedSet) zonesOut() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, zones := SplitZones(h.ids)
@@ -46,7 +46,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				cfg := Config{Dir: dir, KnownZones: NewNameSet(), ServingZones: func() map[string]bool { return map[string]bool{"a": true, "b/c": true} }}
 				cfg.KnownZones.Add("a", "b/c", "empty")
-				b, here := acting(t, cfg)
+				b, here := startOverrides(t, cfg)
 				for _, call := range c.calls {
 					var err error
 					switch call.do {
@@ -58,7 +58,7 @@
 						b.SetRemote(map[string]bool{ZoneKey(call.zone): true})
 						synctest.Wait()
 					case "s":
-						b, here = acting(t, cfg)
+						b, here = startOverrides(t, cfg)
 					}
 					var ok bool
 					switch call.err {
@@ -86,11 +86,11 @@
 // A zone is kept where former versions do not look, and none goes for a server, whatever their names.
 func TestZonesAndServersAreKeptApart(t *testing.T) {
 	s := store{dir: t.TempDir()}
-	must(t, errors.Join(s.add("a"), s.add(ZoneKey("a/b"))))
+	mustSucceed(t, errors.Join(s.add("a"), s.add(ZoneKey("a/b"))))
 	if _, err := os.Stat(filepath.Join(s.dir, "zone-a%2Fb")); err != nil {
 		t.Error(err)
 	}
-	must(t, os.WriteFile(filepath.Join(s.dir, "ban-%00zone%2Fc"), nil, 0o600)) // nobody's
+	mustSucceed(t, os.WriteFile(filepath.Join(s.dir, "ban-%00zone%2Fc"), nil, 0o600)) // nobody's
 	got, err := s.load()
 	nodos, zones := SplitZones(got)
 	if err != nil || !maps.Equal(nodos, map[string]bool{"a": true}) || !maps.Equal(zones, map[string]bool{"a/b": true}) {
@@ -99,7 +99,7 @@
 	names := NewNameSet()
 	names.Add(ZoneKey("c"))
 	b, err := Open(Config{Dir: s.dir, KnownServers: names})
-	must(t, err)
+	mustSucceed(t, err)
 	var unknown *UnknownServerError
 	if err := b.SuspendServer(ZoneKey("c")); !errors.As(err, &unknown) {
 		t.Errorf("a server with a zone's mark: %v", err)
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -22,7 +22,7 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	dir := t.TempDir()
-	keep := newKeeper(dir, slog.New(slog.DiscardHandler))
+	keep := newCacheWriter(dir, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := keep.Run(ctx)
 	keep.Put(want.encode)
--- a/internal/rollout/keep.go
+++ b/internal/rollout/keep.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	keptFile = "config"
-	keptKind = "proxy-config"
-	keptMost = answer + 1<<10
-	aside    = ".damaged" // after the name of a file that was set aside
+	cacheFile     = "config"
+	cacheKind     = "proxy-config"
+	maxCacheBytes = maxResponseBytes + 1<<10
+	damagedSuffix = ".damaged" // after the name of a file that was set aside
 )
 
 // Kept is what was in force when a process ended.
@@ -35,14 +35,14 @@
 	return text
 }
 
-func newKeeper(dir string, log *slog.Logger) *atomicfile.Writer {
-	return atomicfile.NewWriter(dir, keptFile, keptKind, "rollout: the configuration in force", log)
+func newCacheWriter(dir string, log *slog.Logger) *atomicfile.Writer {
+	return atomicfile.NewWriter(dir, cacheFile, cacheKind, "rollout: the configuration in force", log)
 }
 
 // Read is what was kept of a service in a folder; nil if nothing was. A damaged file is set aside and is an error.
 func LoadCached(dir, service string) (*CachedConfig, error) {
-	path := filepath.Join(dir, keptFile)
-	body, err := atomicfile.ReadFile(path, keptKind, keptMost)
+	path := filepath.Join(dir, cacheFile)
+	body, err := atomicfile.ReadFile(path, cacheKind, maxCacheBytes)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -53,7 +53,7 @@
 		}
 	}
 	if errors.Is(err, atomicfile.ErrDamaged) {
-		err = errors.Join(fmt.Errorf("%s: %w; it is set aside as %s", path, err, filepath.Base(path)+aside), os.Rename(path, path+aside))
+		err = errors.Join(fmt.Errorf("%s: %w; it is set aside as %s", path, err, filepath.Base(path)+damagedSuffix), os.Rename(path, path+damagedSuffix))
 	}
 	if err != nil {
 		return nil, err
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -57,13 +57,13 @@
 	// Hold is how long a watch waits for news at most; holdSpread less, at least, so that the watches of a fleet do not
 	// begin and end together for ever.
 	LongPollTimeout = 3 * time.Second
-	holdSpread      = time.Second
-	slack           = time.Second // after it, until the member is silent
+	holdJitter      = time.Second
+	watchSlack      = time.Second // after it, until the member is silent
 	// callWait is for a call that need not wait; twice that once all members have failed, when they are likely to be busy.
-	callWait  = time.Second
-	pauseMost = 2 * time.Second
-	answer    = 256 << 10 // bytes of an answer, at most
-	whyMost   = 200       // bytes of a reason
+	callTimeout      = time.Second
+	maxBackoff       = 2 * time.Second
+	maxResponseBytes = 256 << 10 // bytes of an answer, at most
+	maxReasonBytes   = 200       // bytes of a reason
 )
 
 // Applier puts a version in force, or says why not and has changed nothing. It is in force once Apply has returned.
@@ -92,62 +92,62 @@
 
 // Client follows a configuration.
 type Client struct {
-	cfg   Config
-	apply Applier
-	http  *http.Client
-	rng   *rand.Rand
-	keep  *atomicfile.Writer // nil without a folder
-	start time.Time
+	cfg       Config
+	applier   Applier
+	http      *http.Client
+	rng       *rand.Rand
+	cache     *atomicfile.Writer // nil without a folder
+	startedAt time.Time
 
 	// Run's alone.
-	seen    failover.AcceptedVersion
-	text    []byte // in force
-	pending []byte // refused
+	accepted         failover.AcceptedVersion
+	appliedDocument  []byte // in force
+	rejectedDocument []byte // refused
 
-	mu      sync.Mutex // of what follows
-	figures Metrics
-	why     string   // of Refused
-	members []string // new ones; nil: those there are
-	again   bool
+	mu            sync.Mutex // of what follows
+	metrics       Metrics
+	rejectReason  string   // of Refused
+	newMembers    []string // new ones; nil: those there are
+	retryRejected bool
 
-	answered atomic.Int64 // ns after start; 0: never
+	lastSuccess atomic.Int64 // ns after start; 0: never
 }
 
 // New is a client; Run has it follow.
 func New(cfg Config, apply Applier) *Client {
-	c := &Client{cfg: cfg, apply: apply, http: failover.NewHTTPClient(), rng: rand.New(rand.NewPCG(cfg.Seed, 29)), start: time.Now()}
+	c := &Client{cfg: cfg, applier: apply, http: failover.NewHTTPClient(), rng: rand.New(rand.NewPCG(cfg.Seed, 29)), startedAt: time.Now()}
 	if cfg.StateDir != "" {
-		c.keep = newKeeper(cfg.StateDir, cfg.Logger)
+		c.cache = newCacheWriter(cfg.StateDir, cfg.Logger)
 	}
 	return c
 }
 
 // Known has the client begin with what was kept. An error is why it is not in force. To be called before Run.
 func (c *Client) SetInitial(k *CachedConfig, err error) {
-	c.seen = failover.AcceptedVersion{Epoch: k.Epoch, Version: k.Version, ConfirmedAt: time.Now()}
-	c.settle(k.Version, k.Document, err)
+	c.accepted = failover.AcceptedVersion{Epoch: k.Epoch, Version: k.Version, ConfirmedAt: time.Now()}
+	c.recordResult(k.Version, k.Document, err)
 }
 
 // settle notes what came of a document.
-func (c *Client) settle(version int64, text []byte, err error) {
+func (c *Client) recordResult(version int64, text []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.figures.RejectedVersion, c.why, c.pending = version, err.Error(), text
-		c.why = c.why[:min(len(c.why), whyMost)]
+		c.metrics.RejectedVersion, c.rejectReason, c.rejectedDocument = version, err.Error(), text
+		c.rejectReason = c.rejectReason[:min(len(c.rejectReason), maxReasonBytes)]
 		return
 	}
-	c.figures.Version, c.figures.RejectedVersion, c.why, c.pending, c.text = version, 0, "", nil, text
+	c.metrics.Version, c.metrics.RejectedVersion, c.rejectReason, c.rejectedDocument, c.appliedDocument = version, 0, "", nil, text
 }
 
 // Figures are the counts so far.
 func (c *Client) Metrics() Metrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.figures
+	f := c.metrics
 	f.Age = -1
-	if at := c.answered.Load(); at != 0 {
-		f.Age = time.Since(c.start) - time.Duration(at)
+	if at := c.lastSuccess.Load(); at != 0 {
+		f.Age = time.Since(c.startedAt) - time.Duration(at)
 	}
 	return f
 }
@@ -156,61 +156,61 @@
 func (c *Client) SetMembers(members []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.members = members
+	c.newMembers = members
 }
 
 // Again has a refused document tried once more, with the next call: what it is put above has changed.
 func (c *Client) RetryRejected() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.again = true
+	c.retryRejected = true
 }
 
 // told takes what Move and Again have left.
-func (c *Client) told() (members []string, again bool) {
+func (c *Client) takeRequests() (members []string, again bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	members, again = c.members, c.again
-	c.members, c.again = nil, false
+	members, again = c.newMembers, c.retryRejected
+	c.newMembers, c.retryRejected = nil, false
 	return members, again
 }
 
 // Run follows the configuration until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
-	if c.keep != nil {
-		defer c.keep.Run(ctx)()
+	if c.cache != nil {
+		defer c.cache.Run(ctx)()
 	}
-	members := failover.NewRing(c.cfg.Members, c.rng, pauseMost)
+	members := failover.NewRing(c.cfg.Members, c.rng, maxBackoff)
 	watch, failed := false, 0
 	for ctx.Err() == nil {
-		other, again := c.told()
+		other, again := c.takeRequests()
 		if len(other) > 0 {
-			members = failover.NewRing(other, c.rng, pauseMost)
+			members = failover.NewRing(other, c.rng, maxBackoff)
 			watch = false
 		}
-		if again && c.pending != nil {
-			c.put(ctx, c.figures.RejectedVersion, c.pending)
+		if again && c.rejectedDocument != nil {
+			c.applyDocument(ctx, c.metrics.RejectedVersion, c.rejectedDocument)
 		}
-		asked, before := time.Now(), c.seen
-		patience := callWait << min(failed/len(c.cfg.Members), 1)
+		asked, before := time.Now(), c.accepted
+		patience := callTimeout << min(failed/len(c.cfg.Members), 1)
 		hold := time.Duration(0)
 		if watch {
-			hold = LongPollTimeout - members.RandomDelay(holdSpread)
-			patience = hold + slack
+			hold = LongPollTimeout - members.RandomDelay(holdJitter)
+			patience = hold + watchSlack
 		}
-		a, err := c.ask(ctx, members.Current(), hold, patience)
+		a, err := c.call(ctx, members.Current(), hold, patience)
 		if ctx.Err() != nil {
 			return
 		}
 		now := time.Now()
 		if err == nil {
-			err = c.take(ctx, a, now)
+			err = c.accept(ctx, a, now)
 		}
 		if err == nil {
-			c.answered.Store(int64(max(1, time.Since(c.start))))
+			c.lastSuccess.Store(int64(max(1, time.Since(c.startedAt))))
 			// A member that holds no watch must not have this client ask without a pause.
-			if watch && c.seen.Version == before.Version && now.Sub(asked) < hold/2 {
+			if watch && c.accepted.Version == before.Version && now.Sub(asked) < hold/2 {
 				failover.Sleep(ctx, members.RandomDelay(failover.Jitter))
 			}
 			members.RecordSuccess()
@@ -220,7 +220,7 @@
 		watch = false
 		failed++
 		c.mu.Lock()
-		c.figures.Failures++
+		c.metrics.Failures++
 		c.mu.Unlock()
 		member := members.Current()
 		f := members.RecordFailure()
@@ -232,7 +232,7 @@
 }
 
 // reply is an answer.
-type reply struct {
+type response struct {
 	Service  string          `json:"service"`
 	Line     string          `json:"line"`
 	Version  *int64          `json:"version"`
@@ -240,18 +240,18 @@
 }
 
 // ask watches for what is newer, or asks for it at once, and says what is in force.
-func (c *Client) ask(ctx context.Context, member string, hold, patience time.Duration) (*reply, error) {
-	q := url.Values{"from": {strconv.FormatInt(c.seen.Version, 10)}, "hold_ms": {strconv.FormatInt(hold.Milliseconds(), 10)}}
-	if c.seen.Epoch != "" {
-		q.Set("line", c.seen.Epoch)
+func (c *Client) call(ctx context.Context, member string, hold, patience time.Duration) (*response, error) {
+	q := url.Values{"from": {strconv.FormatInt(c.accepted.Version, 10)}, "hold_ms": {strconv.FormatInt(hold.Milliseconds(), 10)}}
+	if c.accepted.Epoch != "" {
+		q.Set("line", c.accepted.Epoch)
 	}
 	c.mu.Lock()
 	if c.cfg.ProxyName != "" {
 		q.Set("name", c.cfg.ProxyName)
-		q.Set("in_force", strconv.FormatInt(c.figures.Version, 10))
-		if c.figures.RejectedVersion != 0 {
-			q.Set("refused", strconv.FormatInt(c.figures.RejectedVersion, 10))
-			q.Set("why", c.why)
+		q.Set("in_force", strconv.FormatInt(c.metrics.Version, 10))
+		if c.metrics.RejectedVersion != 0 {
+			q.Set("refused", strconv.FormatInt(c.metrics.RejectedVersion, 10))
+			q.Set("why", c.rejectReason)
 		}
 	}
 	c.mu.Unlock()
@@ -266,14 +266,14 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, answer+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s: %.200s", resp.Status, text)
 	}
-	var a reply
+	var a response
 	if err := json.Unmarshal(text, &a); err != nil {
 		return nil, fmt.Errorf("garbled answer: %w", err)
 	}
@@ -284,49 +284,49 @@
 }
 
 // take believes an answer, or says why not, and has what is new in it put in force.
-func (c *Client) take(ctx context.Context, a *reply, now time.Time) error {
-	if err := c.seen.Check(a.Line, *a.Version, now); err != nil {
+func (c *Client) accept(ctx context.Context, a *response, now time.Time) error {
+	if err := c.accepted.Check(a.Line, *a.Version, now); err != nil {
 		return err
 	}
-	if a.Line == c.seen.Epoch && *a.Version == c.seen.Version {
-		c.seen.ConfirmedAt = now
+	if a.Line == c.accepted.Epoch && *a.Version == c.accepted.Version {
+		c.accepted.ConfirmedAt = now
 		return nil
 	}
 	if *a.Version > 0 && len(a.Document) == 0 {
 		return errors.New("garbled answer: a new version without a document")
 	}
-	if c.seen.Epoch != "" && a.Line != c.seen.Epoch {
-		c.cfg.Logger.Warn("rollout: another line of versions", "line", a.Line, "version", *a.Version, "former", c.seen.Epoch,
-			"former_version", c.seen.Version)
+	if c.accepted.Epoch != "" && a.Line != c.accepted.Epoch {
+		c.cfg.Logger.Warn("rollout: another line of versions", "line", a.Line, "version", *a.Version, "former", c.accepted.Epoch,
+			"former_version", c.accepted.Version)
 	}
-	c.seen = failover.AcceptedVersion{Epoch: a.Line, Version: *a.Version, ConfirmedAt: now}
+	c.accepted = failover.AcceptedVersion{Epoch: a.Line, Version: *a.Version, ConfirmedAt: now}
 	if *a.Version > 0 {
-		c.put(ctx, *a.Version, a.Document)
+		c.applyDocument(ctx, *a.Version, a.Document)
 	}
 	return nil
 }
 
 // put has a document put in force, and kept.
-func (c *Client) put(ctx context.Context, version int64, text []byte) {
+func (c *Client) applyDocument(ctx context.Context, version int64, text []byte) {
 	var err error
-	if c.text == nil || !bytes.Equal(text, c.text) { // a restored one may be what is in force
-		err = c.apply.Apply(version, text)
+	if c.appliedDocument == nil || !bytes.Equal(text, c.appliedDocument) { // a restored one may be what is in force
+		err = c.applier.Apply(version, text)
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	c.settle(version, text, err)
+	c.recordResult(version, text, err)
 	if err != nil {
 		c.cfg.Logger.Error("rollout: a configuration is refused: what was in force stays", "service", c.cfg.Service, "version", version,
 			"in_force", c.Metrics().Version, "error", err)
 		return
 	}
 	c.mu.Lock()
-	c.figures.Applied++
+	c.metrics.Applied++
 	c.mu.Unlock()
 	c.cfg.Logger.Info("rollout: a configuration is in force", "service", c.cfg.Service, "version", version)
-	if c.keep != nil {
-		k := &CachedConfig{c.cfg.Service, c.seen.Epoch, version, text}
-		c.keep.Put(k.encode)
+	if c.cache != nil {
+		k := &CachedConfig{c.cfg.Service, c.accepted.Epoch, version, text}
+		c.cache.Put(k.encode)
 	}
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -22,7 +22,7 @@
 // ServiceMost bounds a service's name, in bytes.
 const MaxServiceNameBytes = 100
 
-const section = "settings"
+const settingsKey = "settings"
 
 // CheckService tells what is wrong with a service's name.
 func CheckService(name string) error {
@@ -35,7 +35,7 @@
 }
 
 // own are the keys of the settings that each proxy's file alone says.
-var own = []string{"my_zone", "ordinal"}
+var perProxyKeys = []string{"my_zone", "ordinal"}
 
 // Canonical is a document's text in the one form in which it is kept, compared and sent on: without spaces, and as
 // encoding/json would write it again. It is an error if it is no JSON object or too long.
@@ -57,38 +57,38 @@
 // CheckDocument reads a document as a proxy will, as far as that can be told without the proxy's own file. Its errors are
 // each an *Error.
 func CheckDocument(text []byte) error {
-	rules, err := rulesOf(text)
+	rules, err := documentSettings(text)
 	if err != nil {
 		return err
 	}
 	if _, err = Read(rules); err != nil {
-		return faultOf(section, err)
+		return errorBelow(settingsKey, err)
 	}
 	return nil
 }
 
 // rulesOf is a document's settings, and no more is in it.
-func rulesOf(text []byte) (json.RawMessage, error) {
+func documentSettings(text []byte) (json.RawMessage, error) {
 	var doc map[string]json.RawMessage
 	if err := json.Unmarshal(text, &doc); err != nil {
-		return nil, faultOf("", err)
+		return nil, errorBelow("", err)
 	}
 	for _, key := range slices.Sorted(maps.Keys(doc)) {
-		if key != section {
+		if key != settingsKey {
 			return nil, &Error{key, "cannot be changed under way; a document holds settings alone"}
 		}
 	}
-	rules := doc[section]
+	rules := doc[settingsKey]
 	if len(rules) == 0 || string(rules) == "null" {
-		return nil, &Error{section, "is missing"}
+		return nil, &Error{settingsKey, "is missing"}
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(rules, &keys); err != nil {
-		return nil, faultOf(section, err)
+		return nil, errorBelow(settingsKey, err)
 	}
-	for _, key := range own {
+	for _, key := range perProxyKeys {
 		if _, has := keys[key]; has {
-			return nil, &Error{section + "." + key, "is each proxy's own: its file says it"}
+			return nil, &Error{settingsKey + "." + key, "is each proxy's own: its file says it"}
 		}
 	}
 	return rules, nil
@@ -97,7 +97,7 @@
 // Above puts a document above the settings of a proxy's file, which keep what is the proxy's own. The zone is the one of
 // the same name, wherever the document has it in its list.
 func MergeDocument(base json.RawMessage, document []byte) (json.RawMessage, error) {
-	rules, err := rulesOf(document)
+	rules, err := documentSettings(document)
 	if err != nil {
 		return nil, err
 	}
@@ -108,9 +108,9 @@
 	}
 	if err := errors.Join(json.Unmarshal(rules, &out), json.Unmarshal(base, &file), json.Unmarshal(base, &before),
 		json.Unmarshal(rules, &after)); err != nil {
-		return nil, faultOf(section, err)
+		return nil, errorBelow(settingsKey, err)
 	}
-	for _, key := range own {
+	for _, key := range perProxyKeys {
 		if v, has := file[key]; has {
 			out[key] = v
 		}
@@ -119,7 +119,7 @@
 		name := before.Zones[before.Zone]
 		at := slices.Index(after.Zones, name)
 		if at < 0 {
-			return nil, &Error{section + ".failure_domains", fmt.Sprintf("lacks %q, this proxy's own zone", name)}
+			return nil, &Error{settingsKey + ".failure_domains", fmt.Sprintf("lacks %q, this proxy's own zone", name)}
 		}
 		out["my_zone"] = fmt.Append(nil, at)
 	}
@@ -134,7 +134,7 @@
 	}
 	if err == nil {
 		_, unfit := balancer.New(s.Balancer, 0)
-		err = moduleFault(unfit)
+		err = balancerError(unfit)
 	}
 	if err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 
 // moduleKeys are the settings' keys by the module's names of fields, where the two differ; those of the fields of one class
 // or tenant are below its list's.
-var moduleKeys = map[string]string{
+var settingsKeys = map[string]string{
 	"Classes": "profiles", "Zones": "failure_domains", "Zone": "my_zone",
 	"Siblings": "siblings", "Ordinal": "ordinal", "Stage": "stage",
 	"MaxAttempts": "limits.try_limit", "MaxRetryAfter": "limits.max_retry_after_us",
@@ -159,21 +159,21 @@
 }
 
 // moduleFault is an error of the module's about its settings, by the keys that these have in the file.
-func moduleFault(err error) error {
+func balancerError(err error) error {
 	var fault *balancer.SettingsError
 	if !errors.As(err, &fault) {
 		return err
 	}
-	key := cmp.Or(moduleKeys[fault.Field], fault.Field)
+	key := cmp.Or(settingsKeys[fault.Field], fault.Field)
 	if fault.List != "" {
-		list := cmp.Or(moduleKeys[fault.List], fault.List)
+		list := cmp.Or(settingsKeys[fault.List], fault.List)
 		key = strings.TrimSuffix(fmt.Sprintf("%s[%d].%s", list, fault.Index, key), ".")
 	}
 	return &Error{key, fault.Problem}
 }
 
 // faultOf names the key at fault, below a section.
-func faultOf(section string, err error) error {
+func errorBelow(section string, err error) error {
 	var kind *json.UnmarshalTypeError
 	var rule *Error
 	under := func(key string) string { return strings.Trim(section+"."+key, ".") }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -30,7 +30,7 @@
 
 func (e *Error) Error() string { return e.Key + ": " + e.Problem }
 
-func unknown(key, word string) error { return &Error{key, fmt.Sprintf("unknown word %q", word)} }
+func unknownWord(key, word string) error { return &Error{key, fmt.Sprintf("unknown word %q", word)} }
 
 // object is the settings object as it stands on the wire.
 type object struct {
@@ -113,13 +113,13 @@
 	if s.IdleClose <= 0 {
 		return &Error{"limits.idle_close_us", "not positive"}
 	}
-	if err := distinct("profiles", s.Classes); err != nil {
+	if err := checkDistinct("profiles", s.Classes); err != nil {
 		return err
 	}
-	return distinct("tenants", s.Tenants)
+	return checkDistinct("tenants", s.Tenants)
 }
 
-func distinct(list string, names []string) error {
+func checkDistinct(list string, names []string) error {
 	seen := map[string]bool{}
 	for i, n := range names {
 		if n == "" || seen[n] {
@@ -150,7 +150,7 @@
 		WeightPerWork: o.CountedBy == "work",
 	}
 	if o.Membership != "automatic" && o.Membership != "subscribe" {
-		return s, unknown("membership_mode", o.Membership)
+		return s, unknownWord("membership_mode", o.Membership)
 	}
 	if o.Limits.RetryAfter {
 		s.MaxRetryAfter = o.Limits.MaxRetryAfter
@@ -158,11 +158,11 @@
 	for i, p := range o.Profiles {
 		repeat, ok := repeats[p.Repeat]
 		if !ok {
-			return s, unknown(fmt.Sprintf("profiles[%d].repeat", i), p.Repeat)
+			return s, unknownWord(fmt.Sprintf("profiles[%d].repeat", i), p.Repeat)
 		}
 		group, ok := groups[p.Scope]
 		if !ok {
-			return s, unknown(fmt.Sprintf("profiles[%d].dedup_scope", i), p.Scope)
+			return s, unknownWord(fmt.Sprintf("profiles[%d].dedup_scope", i), p.Scope)
 		}
 		s.Classes = append(s.Classes, balancer.Class{Name: p.Name, LatencyObjective: p.Objective, Deadline: p.GiveUp, PriorityWeight: p.Worth,
 			LateWeight: p.LateShare, Idempotency: repeat, DedupScope: group, DedupWindow: p.Window,
