--- a/cmd/merlinpick-registry/calls.go
+++ b/cmd/merlinpick-registry/calls.go
@@ -102,7 +102,7 @@
 			fmt.Fprintf(w, "%s\t-\tno answer: %v\n", at, err)
 		default:
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%v\t%d\t%d\t%d\n", at, s.Name, s.Role, s.Leader, s.Serving,
-				time.Duration(s.AgeMs)*time.Millisecond, s.Version, s.Endpoints, s.Overdue)
+				time.Duration(s.AgeMs)*time.Millisecond, s.Version, s.Endpoints, s.HeldLeases)
 		}
 	}
 	w.Flush()
@@ -144,7 +144,7 @@
 		if n.LeaseLeftMs != nil {
 			left = (time.Duration(*n.LeaseLeftMs) * time.Millisecond).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%g\t%s\t%s\n", n.Name, n.Address, n.Zone, n.Type, n.Group, n.Status, n.Weight,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%g\t%s\t%s\n", n.Name, n.Address, n.Zone, n.Type, n.Cell, n.Status, n.Weight,
 			n.Instance, left)
 	}
 	return w.Flush()
@@ -182,8 +182,8 @@
 	if c.Since == 0 {
 		c.Since = time.Now().UnixMilli()
 	}
-	r := state.Record{Endpoint: state.Endpoint{Name: c.Name, Address: c.Address, Zone: c.Zone, Type: c.Type, Group: c.Group,
-		Status: state.StatusServing, Weight: c.Weight, Since: c.Since}, Instance: c.Instance, LeaseMs: c.Lease.Milliseconds()}
+	r := state.Record{Endpoint: state.Endpoint{Name: c.Name, Address: c.Address, Zone: c.Zone, Type: c.Type, Cell: c.Group,
+		Status: state.StatusServing, Weight: c.Weight, StartedAtMs: c.Since}, Instance: c.Instance, LeaseMs: c.Lease.Milliseconds()}
 	client := registrar.New(c.addrs())
 	tell := func(t api.Accepted) {
 		fmt.Printf("%s is in the list from version %d on, instance %s, for %v\n", c.Name, t.Version, c.Instance, c.Lease)
@@ -312,7 +312,7 @@
 	if err != nil {
 		return err
 	}
-	i, err := state.Read(bytes.NewReader(text))
+	i, err := state.ReadSnapshot(bytes.NewReader(text))
 	if err != nil {
 		return err
 	}
@@ -328,7 +328,7 @@
 	if err != nil {
 		return nil, state.Snapshot{}, err
 	}
-	i, err := state.Read(bytes.NewReader(text))
+	i, err := state.ReadSnapshot(bytes.NewReader(text))
 	if err != nil {
 		return nil, i, fmt.Errorf("%w: %s: %w", errNo, path, err)
 	}
@@ -351,7 +351,7 @@
 		zones[r.Zone]++
 	}
 	fmt.Printf("%s: whole; version %d of line %s, %d nodos, by zone %v, %d ended instances\n", c.File, i.Version, i.Epoch,
-		len(i.Records), zones, len(i.Ended))
+		len(i.Records), zones, len(i.EndedInstances))
 	if c.Nodos {
 		for _, r := range i.Records {
 			line, _ := json.Marshal(r)
--- a/cmd/merlinpick-registry/main_test.go
+++ b/cmd/merlinpick-registry/main_test.go
@@ -90,7 +90,7 @@
 	}
 	for i := range members {
 		f := config.Default()
-		f.Name, f.Dir, f.Listen, f.Figures = fmt.Sprintf("r%d", i+1), s.path(i, ""), s.addrs[i], at(i, 9500)
+		f.Name, f.Dir, f.Listen, f.MetricsAddress = fmt.Sprintf("r%d", i+1), s.path(i, ""), s.addrs[i], at(i, 9500)
 		for j := range members {
 			if members > 1 {
 				f.Members = append(f.Members, config.Member{Name: fmt.Sprintf("r%d", j+1), Raft: at(j, 8600), List: s.addrs[j]})
@@ -182,7 +182,7 @@
 }
 
 func record(name string, since int64) state.Record {
-	return state.Record{Endpoint: state.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: state.StatusServing, Weight: 1, Since: since},
+	return state.Record{Endpoint: state.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: state.StatusServing, Weight: 1, StartedAtMs: since},
 		Instance: fmt.Sprint("i", since), LeaseMs: state.MaxLease.Milliseconds()}
 }
 
@@ -202,7 +202,7 @@
 	}
 	values = map[string]string{}
 	for _, e := range l.Endpoints {
-		values[e.Name] = linear.Value(e.Status, fmt.Sprint("i", e.Since))
+		values[e.Name] = linear.Value(e.Status, fmt.Sprint("i", e.StartedAtMs))
 	}
 	return l.Line, l.Index, values, nil
 }
--- a/cmd/merlinpick-registry/serve.go
+++ b/cmd/merlinpick-registry/serve.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := api.Listen(api.Config{Listen: f.Listen, Name: f.Name, Watchers: f.Watchers, Logger: log})
+	a, err := api.Listen(api.Config{Listen: f.Listen, Name: f.Name, MaxWatches: f.MaxWatches, Logger: log})
 	if err != nil {
 		return err
 	}
@@ -37,14 +37,14 @@
 	defer a.Shutdown(endWait)
 	parts.Go(func() { stop(a.Serve()) })
 	var figs *metrics.Server
-	if f.Figures != "" {
-		if figs, err = metrics.Listen(f.Figures, a, log); err != nil {
+	if f.MetricsAddress != "" {
+		if figs, err = metrics.Listen(f.MetricsAddress, a, log); err != nil {
 			return err
 		}
 		defer figs.Close()
 		parts.Go(func() { stop(figs.Serve()) })
 	}
-	cfg := f.Member()
+	cfg := f.Node()
 	cfg.Logger = log
 	m, err := raftnode.Open(ctx, cfg)
 	if errors.Is(err, context.Canceled) {
--- a/cmd/merlinpick-registry/slope_callers_test.go
+++ b/cmd/merlinpick-registry/slope_callers_test.go
@@ -47,8 +47,8 @@
 				paced, stop := context.WithCancel(ctx)
 				busy := pace(paced, rate/60, 4, func(_, i int) {
 					n := listed(i % planned)
-					n.Since = since.Add(1)
-					n.Instance = fmt.Sprint("i", n.Since)
+					n.StartedAtMs = since.Add(1)
+					n.Instance = fmt.Sprint("i", n.StartedAtMs)
 					if _, err := c.Register(paced, n); err != nil && paced.Err() == nil {
 						b.Error(err)
 					}
--- a/cmd/merlinpick-registry/slope_test.go
+++ b/cmd/merlinpick-registry/slope_test.go
@@ -242,8 +242,8 @@
 				})
 				return pace(ctx, rate/60, 16, func(_, i int) {
 					n := listed(i % planned)
-					n.Since = since.Add(1)
-					n.Instance = fmt.Sprint("i", n.Since)
+					n.StartedAtMs = since.Add(1)
+					n.Instance = fmt.Sprint("i", n.StartedAtMs)
 					if _, err := c.Register(ctx, n); err == nil {
 						made.Add(1)
 					} else if ctx.Err() == nil {
--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -262,16 +262,16 @@
 func TestConstants(t *testing.T) {
 	c := config.Default()
 	for key, is := range map[string]float64{"hold_s": discovery.LongPollTimeout.Seconds(), "spread_s": discovery.FailoverJitter.Seconds(),
-		"poll_s": raftnode.FreshnessInterval.Seconds(), "settle_s": watch.CoalesceInterval.Seconds(), "stale_s": float64(c.StaleMs) / 1000,
-		"lease_part": c.Lease.Part, "lease_pace": c.Lease.Pace, "changes_kept": state.MaxRetainedChanges, "document_most": settings.MaxDocumentBytes} {
+		"poll_s": raftnode.FreshnessInterval.Seconds(), "settle_s": watch.CoalesceInterval.Seconds(), "stale_s": float64(c.MaxListAgeMs) / 1000,
+		"lease_part": c.Lease.HoldThreshold, "lease_pace": c.Lease.ReleaseRate, "changes_kept": state.MaxRetainedChanges, "document_most": settings.MaxDocumentBytes} {
 		if constants[key] != is {
 			t.Errorf("%s: %v here, %v in the program", key, constants[key], is)
 		}
 	}
 	for file, lines := range map[string][]string{
 		"internal/discovery/members.go":            {"pauseMost = 5 * time.Second"},
-		"internal/registry/raftnode/node.go":       {"tick = 100 * time.Millisecond"},
-		"internal/registry/registrar/registrar.go": {"pauseFirst = 50 * time.Millisecond", "pauseMost = 400 * time.Millisecond", "renewPart = 3 "},
+		"internal/registry/raftnode/node.go":       {"leaseSweepInterval = 100 * time.Millisecond"},
+		"internal/registry/registrar/registrar.go": {"initialBackoff = 50 * time.Millisecond", "maxBackoff = 400 * time.Millisecond", "renewalsPerLease = 3 "},
 	} {
 		text, err := os.ReadFile("../../../" + file)
 		if err != nil {
--- a/internal/faultlab/hollow/hollow_test.go
+++ b/internal/faultlab/hollow/hollow_test.go
@@ -23,7 +23,7 @@
 // service is an only member of the list service, in this process.
 func service(t *testing.T) (addr string, m *raftnode.Node, a *api.Server) {
 	t.Helper()
-	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", Watchers: 100, Logger: quiet})
+	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", MaxWatches: 100, Logger: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultlab/hollow/nodo.go
+++ b/internal/faultlab/hollow/nodo.go
@@ -55,7 +55,7 @@
 		since = asked.UnixMilli()
 	}
 	n.rec = state.Record{Endpoint: state.Endpoint{Name: n.Name, Address: n.Address, Zone: n.Zone, Type: "hollow", Status: state.StatusServing,
-		Weight: 1, Since: since}, Instance: fmt.Sprint(asked.UnixNano(), "-", n.life), LeaseMs: n.lease}
+		Weight: 1, StartedAtMs: since}, Instance: fmt.Sprint(asked.UnixNano(), "-", n.life), LeaseMs: n.lease}
 	here, die := context.WithCancel(ctx)
 	n.die = die
 	n.lives.Store(true)
--- a/internal/faultlab/service/nodos.go
+++ b/internal/faultlab/service/nodos.go
@@ -75,8 +75,8 @@
 	n.next++
 	ctx, die := context.WithCancel(n.ctx)
 	// Each proxy has an address of its own for it (see readdress); this one is nobody's.
-	rec := state.Record{Endpoint: state.Endpoint{Name: e.Name, Address: "nodo.invalid:1", Zone: e.Zone, Type: e.Type, Group: e.Group,
-		Status: state.StatusServing, Weight: 1, Since: e.Since}, Instance: fmt.Sprint(e.Since, "-", n.next), LeaseMs: s.cfg.Lease.Milliseconds()}
+	rec := state.Record{Endpoint: state.Endpoint{Name: e.Name, Address: "nodo.invalid:1", Zone: e.Zone, Type: e.Type, Cell: e.Group,
+		Status: state.StatusServing, Weight: 1, StartedAtMs: e.Since}, Instance: fmt.Sprint(e.Since, "-", n.next), LeaseMs: s.cfg.Lease.Milliseconds()}
 	l := &life{ref: state.InstanceRef{Name: e.Name, Instance: rec.Instance}, rec: rec, n: n.next, words: make(chan string, 2), die: die}
 	n.alive[e.Name], n.names[e.Name] = l, true
 	first := make(chan struct{})
@@ -190,7 +190,7 @@
 }
 
 // value names the process in the history: the published list tells its start, not its instance.
-func (l *life) value() string { return fmt.Sprint(l.rec.Since) }
+func (l *life) value() string { return fmt.Sprint(l.rec.StartedAtMs) }
 
 func (s *Service) register(ctx context.Context, client *registrar.Client, l *life) bool {
 	return s.write(ctx, linear.Register, l, func(ctx context.Context) error { _, err := client.Register(ctx, l.rec); return err }, state.StatusServing)
@@ -203,7 +203,7 @@
 	var no *registrar.RejectedError
 	end(err == nil, errors.As(err, &no))
 	if err == nil {
-		s.delays.confirm(l.ref.Name, status, l.rec.Since, time.Now())
+		s.delays.confirm(l.ref.Name, status, l.rec.StartedAtMs, time.Now())
 	}
 	return err == nil
 }
@@ -231,7 +231,7 @@
 		}
 		for _, e := range l.Endpoints {
 			if !s.hollow(e.Name) { // those are in no history
-				values[e.Name] = linear.Value(e.Status, fmt.Sprint(e.Since))
+				values[e.Name] = linear.Value(e.Status, fmt.Sprint(e.StartedAtMs))
 			}
 		}
 		s.nodos.lack(living, values)
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -106,7 +106,7 @@
 
 func entries(l *watch.Response) (out []referee.Entry) {
 	for _, e := range l.Endpoints {
-		out = append(out, referee.Entry{Nodo: e.Name, Serving: e.Status == state.StatusServing, Since: e.Since})
+		out = append(out, referee.Entry{Nodo: e.Name, Serving: e.Status == state.StatusServing, Since: e.StartedAtMs})
 	}
 	return out
 }
@@ -194,7 +194,7 @@
 		if hollow(e.Name) {
 			continue
 		}
-		if key := change(e.Name, e.Status, e.Since); of[key].IsZero() {
+		if key := change(e.Name, e.Status, e.StartedAtMs); of[key].IsZero() {
 			of[key] = at
 		}
 	}
--- a/internal/faultlab/service/service.go
+++ b/internal/faultlab/service/service.go
@@ -170,11 +170,11 @@
 // configure writes a member's configuration.
 func (s *Service) configure(m *Member) error {
 	f := config.Default()
-	f.Name, f.Dir, f.Listen, f.Figures = m.Name, m.dir, s.cfg.Own(m.n, listPort), ""
+	f.Name, f.Dir, f.Listen, f.MetricsAddress = m.Name, m.dir, s.cfg.Own(m.n, listPort), ""
 	if s.cfg.Hollow != nil {
-		f.Figures = s.cfg.Own(m.n, figuresPort)
+		f.MetricsAddress = s.cfg.Own(m.n, figuresPort)
 	}
-	f.ElectionMs, f.StaleMs = int(s.cfg.Election.Milliseconds()), int(s.cfg.Stale.Milliseconds())
+	f.ElectionTimeoutMs, f.MaxListAgeMs = int(s.cfg.Election.Milliseconds()), int(s.cfg.Stale.Milliseconds())
 	for _, o := range s.members {
 		at := func(port int) string {
 			if o == m {
--- a/internal/registry/api/api_test.go
+++ b/internal/registry/api/api_test.go
@@ -21,7 +21,7 @@
 func open(b testing.TB, watchers int) (*raftnode.Node, *Server) {
 	b.Helper()
 	log := slog.New(slog.DiscardHandler)
-	s, err := Listen(Config{Listen: "127.0.0.1:0", Name: "r1", Watchers: watchers, Logger: log})
+	s, err := Listen(Config{Listen: "127.0.0.1:0", Name: "r1", MaxWatches: watchers, Logger: log})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 		{"PUT", "/catalog/members/n", strings.Replace(body, "60000", "9223372036854775807", 1), 400, "lease_ms"},
 		{"PUT", "/catalog/members/n", strings.Replace(body, "{", `{"name":"m",`, 1), 400, "name"},
 		{"PUT", "/catalog/members/a%20b", body, 400, "name"},
-		{"PUT", "/catalog/members/n", strings.Replace(body, `"i"`, `"`+strings.Repeat("i", bodyMost)+`"`, 1), 400, "too large"},
+		{"PUT", "/catalog/members/n", strings.Replace(body, `"i"`, `"`+strings.Repeat("i", maxBodyBytes)+`"`, 1), 400, "too large"},
 		{"POST", "/catalog/members/n/renew", `{"instance":"i"}`, 404, "register it"},
 		{"POST", "/catalog/members/n/drain", `{}`, 400, "instance is missing"},
 		{"DELETE", "/catalog/members/n", "", 400, "instance is missing"},
--- a/internal/registry/api/bench_test.go
+++ b/internal/registry/api/bench_test.go
@@ -21,7 +21,7 @@
 func register(b testing.TB, m *raftnode.Node, name string, since int64) int64 {
 	b.Helper()
 	r, err := m.Propose(state.Command{Kind: state.CommandRegister, Record: &state.Record{Endpoint: state.Endpoint{Name: name, Address: "127.0.0.1:1",
-		Zone: "a", Type: "t", Status: state.StatusServing, Weight: 1, Since: since}, Instance: fmt.Sprint(since),
+		Zone: "a", Type: "t", Status: state.StatusServing, Weight: 1, StartedAtMs: since}, Instance: fmt.Sprint(since),
 		LeaseMs: state.MaxLease.Milliseconds()}})
 	if err != nil || r.Code != state.ResultDone {
 		b.Fatal(r, err)
@@ -39,7 +39,7 @@
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 		for {
-			changed := m.Hub().Wait()
+			changed := m.Watches().Wait()
 			if _, index := m.Version(); index > from {
 				break
 			}
@@ -51,11 +51,11 @@
 		}
 		line, index, changes, kept := m.Changes(from)
 		if kept {
-			send(w, http.StatusOK, watch.Response{Version: index, Epoch: line, Endpoints: watch.MergeChanges(changes)}.Encode())
+			writeBody(w, http.StatusOK, watch.Response{Version: index, Epoch: line, Endpoints: watch.MergeChanges(changes)}.Encode())
 			return
 		}
 		line, index, all := m.Snapshot()
-		send(w, http.StatusOK, watch.Response{Version: index, Snapshot: true, Epoch: line, Endpoints: all}.Encode())
+		writeBody(w, http.StatusOK, watch.Response{Version: index, Snapshot: true, Epoch: line, Endpoints: all}.Encode())
 	})}
 	go func() { _ = s.Serve(l) }()
 	b.Cleanup(func() { s.Close() })
@@ -164,7 +164,7 @@
 				i := m.StateSnapshot()
 				for k := range 1000 {
 					i.Records = append(i.Records, state.Record{Endpoint: state.Endpoint{Name: fmt.Sprintf("s-%08x", k), Address: "10.1.0.18:8443",
-						Zone: "a", Type: "m2", Group: 3, Status: state.StatusServing, Weight: 1}, Instance: "1", LeaseMs: state.MaxLease.Milliseconds()})
+						Zone: "a", Type: "m2", Cell: 3, Status: state.StatusServing, Weight: 1}, Instance: "1", LeaseMs: state.MaxLease.Milliseconds()})
 				}
 				if _, _, err := m.Restore(i); err != nil {
 					b.Fatal(err)
--- a/internal/registry/api/configs.go
+++ b/internal/registry/api/configs.go
@@ -25,16 +25,16 @@
 //	GET /v1/inforce/SERVICE                    what this member alone has heard of that
 
 const (
-	wordsWait = time.Second // for the other members' part of a status
-	wordsMost = 8 << 20     // bytes of one
+	reportsTimeout  = time.Second // for the other members' part of a status
+	maxReportsBytes = 8 << 20     // bytes of one
 	// silent is without a word from a proxy, until what it has in force is unknown: it says it every rollout.Hold.
-	silent = 15 * time.Second
+	reportSilence = 15 * time.Second
 )
 
 // ends of puts beside those of package state.
 const (
-	endOldBuild = "old_build" // a member's build does not know configurations
-	endFaulty   = "faulty"    // the document makes no sense
+	codeOldBuild        = "old_build" // a member's build does not know configurations
+	codeInvalidDocument = "faulty"    // the document makes no sense
 )
 
 // ServiceConfig is the answer to a GET of a configuration. A watch that has no news has no document.
@@ -54,25 +54,25 @@
 	Version int64  `json:"version"`          // the newest, where it is known
 }
 
-func service(w http.ResponseWriter, r *http.Request) (string, bool) {
+func readService(w http.ResponseWriter, r *http.Request) (string, bool) {
 	name := r.PathValue("service")
 	if err := settings.CheckService(name); err != nil {
-		fail(w, http.StatusBadRequest, "%v", err)
+		writeError(w, http.StatusBadRequest, "%v", err)
 		return "", false
 	}
 	return name, true
 }
 
-func sendConfig(w http.ResponseWriter, line string, c state.Configuration) {
+func writeConfig(w http.ResponseWriter, line string, c state.Configuration) {
 	out := ServiceConfig{Service: c.Service, Epoch: line, Version: c.Version, Document: c.Document}
 	if c.Previous != nil {
 		out.Previous = c.Previous.Version
 	}
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
 
 func (s *Server) config(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	name, ok := service(w, r)
+	name, ok := readService(w, r)
 	if !ok {
 		return
 	}
@@ -83,39 +83,39 @@
 	}
 	if q.Get("consistent") == "1" {
 		if err := m.WaitLinearizable(r.Context()); err != nil {
-			s.turn(w, err)
+			s.rejectRetryable(w, err)
 			return
 		}
 	}
 	if !m.Serving() {
-		s.turn(w, raftnode.ErrStale)
+		s.rejectRetryable(w, raftnode.ErrStale)
 		return
 	}
 	line, c, ok := m.Configuration(name)
 	switch {
 	case !ok, q.Get("former") == "1" && c.Previous == nil:
-		answer(w, http.StatusNotFound, ErrorBody{Error: name + " has no such configuration", Code: state.ResultUnknown})
+		writeJSON(w, http.StatusNotFound, ErrorBody{Error: name + " has no such configuration", Code: state.ResultUnknown})
 	case q.Get("former") == "1":
-		sendConfig(w, line, state.Configuration{Service: name, Version: c.Previous.Version, Document: c.Previous.Document})
+		writeConfig(w, line, state.Configuration{Service: name, Version: c.Previous.Version, Document: c.Previous.Document})
 	default:
-		sendConfig(w, line, c)
+		writeConfig(w, line, c)
 	}
 }
 
 // word reads what a proxy says that it has in force; no name: nothing.
-func word(w http.ResponseWriter, r *http.Request) (out rollout.ProxyReport, ok bool) {
+func readReport(w http.ResponseWriter, r *http.Request) (out rollout.ProxyReport, ok bool) {
 	q := r.URL.Query()
 	if out.Name = q.Get("name"); out.Name == "" {
 		return out, true
 	}
 	if len(out.Name) > rollout.MaxNameBytes {
-		fail(w, http.StatusBadRequest, "name: at most %d bytes", rollout.MaxNameBytes)
+		writeError(w, http.StatusBadRequest, "name: at most %d bytes", rollout.MaxNameBytes)
 		return out, false
 	}
-	if out.AppliedVersion, ok = number(w, r, "in_force", "a version is"); !ok {
+	if out.AppliedVersion, ok = queryNumber(w, r, "in_force", "a version is"); !ok {
 		return out, false
 	}
-	if out.RejectedVersion, ok = number(w, r, "refused", "a version is"); !ok {
+	if out.RejectedVersion, ok = queryNumber(w, r, "refused", "a version is"); !ok {
 		return out, false
 	}
 	out.RejectReason = q.Get("why")
@@ -125,7 +125,7 @@
 
 // watchConfig answers when there is something newer than from, or its time is over, by the rules of Server.watch.
 func (s *Server) watchConfig(w http.ResponseWriter, r *http.Request, m *raftnode.Node, name string) {
-	said, ok := word(w, r)
+	said, ok := readReport(w, r)
 	if !ok {
 		return
 	}
@@ -134,49 +134,49 @@
 		return
 	}
 	defer release()
-	if said.Name != "" && !s.words.Record(name, said, time.Now()) {
-		s.wordsDropped.Add(1)
+	if said.Name != "" && !s.reports.Record(name, said, time.Now()) {
+		s.reportsDropped.Add(1)
 	}
 	line := r.URL.Query().Get("line")
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	over := false
 	for {
-		changed := m.Hub().Wait()
+		changed := m.Watches().Wait()
 		if !m.Serving() {
-			s.turn(w, raftnode.ErrStale)
+			s.rejectRetryable(w, raftnode.ErrStale)
 			return
 		}
 		own, c, _ := m.Configuration(name)
 		c.Service = name
 		switch {
 		case line != "" && line != own, c.Version > from:
-			sendConfig(w, own, c)
+			writeConfig(w, own, c)
 			return
 		case c.Version < from && line == "":
 			if err := m.WaitLinearizable(r.Context()); err != nil {
-				s.turn(w, err)
+				s.rejectRetryable(w, err)
 				return
 			}
 			if own, c, _ = m.Configuration(name); c.Version < from {
 				c.Service = name
-				sendConfig(w, own, c)
+				writeConfig(w, own, c)
 				return
 			}
 			continue
 		case over && c.Version == from:
-			answer(w, http.StatusOK, ServiceConfig{Service: name, Epoch: own, Version: from})
+			writeJSON(w, http.StatusOK, ServiceConfig{Service: name, Epoch: own, Version: from})
 			return
 		case over:
-			s.turn(w, errors.New("this member has not come up to that version yet"))
+			s.rejectRetryable(w, errors.New("this member has not come up to that version yet"))
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
 			over = true
-		case <-s.ending:
-			s.turn(w, errors.New("this member ends"))
+		case <-s.stopping:
+			s.rejectRetryable(w, errors.New("this member ends"))
 			return
 		case <-r.Context().Done():
 			return
@@ -184,24 +184,24 @@
 	}
 }
 
-func refuse(w http.ResponseWriter, status int, end, key, problem, remedy string, newest int64) {
-	answer(w, status, ConfigErrorBody{ErrorBody{Error: problem, Code: end}, key, remedy, newest})
+func rejectConfig(w http.ResponseWriter, status int, end, key, problem, remedy string, newest int64) {
+	writeJSON(w, status, ConfigErrorBody{ErrorBody{Error: problem, Code: end}, key, remedy, newest})
 }
 
 func (s *Server) putConfig(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	name, ok := service(w, r)
+	name, ok := readService(w, r)
 	if !ok {
 		return
 	}
 	if !r.URL.Query().Has("from") {
-		fail(w, http.StatusBadRequest, "from: the version that you have seen is needed, 0 for the first")
+		writeError(w, http.StatusBadRequest, "from: the version that you have seen is needed, 0 for the first")
 		return
 	}
-	after, ok := number(w, r, "from", "a version is")
+	after, ok := queryNumber(w, r, "from", "a version is")
 	if !ok {
 		return
 	}
-	body, ok := whole(w, r, 2*settings.MaxDocumentBytes) // with spaces, which are not kept
+	body, ok := readBody(w, r, 2*settings.MaxDocumentBytes) // with spaces, which are not kept
 	if !ok {
 		return
 	}
@@ -214,50 +214,50 @@
 		if fault := (*settings.Error)(nil); errors.As(err, &fault) {
 			key = fault.Key
 		}
-		refuse(w, http.StatusBadRequest, endFaulty, key, "the document: "+err.Error(), "correct it; nothing was changed", 0)
+		rejectConfig(w, http.StatusBadRequest, codeInvalidDocument, key, "the document: "+err.Error(), "correct it; nothing was changed", 0)
 		return
 	}
 	// A leader of an older build would answer as if there were no such call.
-	if leader, ok := m.Leader(); ok && leader.Name != s.cfg.Name && r.Header.Get(passed) == "" {
+	if leader, ok := m.Leader(); ok && leader.Name != s.cfg.Name && r.Header.Get(forwardedHeader) == "" {
 		var fault *raftnode.IncompatibleMemberError
 		if err := m.SupportsConfigs(r.Context(), leader); errors.As(err, &fault) && fault.Cause == nil {
-			s.turnOldBuild(w, err)
+			s.rejectOldBuild(w, err)
 			return
 		}
 	}
-	if s.toLeader(w, r, m, body) {
+	if s.forwardToLeader(w, r, m, body) {
 		return
 	}
 	res, err := m.Configure(r.Context(), name, after, document)
 	var old *raftnode.IncompatibleMemberError
 	switch {
 	case errors.As(err, &old):
-		s.turnOldBuild(w, err)
+		s.rejectOldBuild(w, err)
 	case err != nil:
-		s.turn(w, err)
+		s.rejectRetryable(w, err)
 	case res.Code == state.ResultDone:
 		line, _ := m.Version()
-		answer(w, http.StatusOK, ServiceConfig{Service: name, Epoch: line, Version: res.Version})
+		writeJSON(w, http.StatusOK, ServiceConfig{Service: name, Epoch: line, Version: res.Version})
 	case res.Code == state.ResultConflict:
-		refuse(w, http.StatusConflict, res.Code, "", fmt.Sprintf("%s is at version %d, not %d", name, res.Version, after),
+		rejectConfig(w, http.StatusConflict, res.Code, "", fmt.Sprintf("%s is at version %d, not %d", name, res.Version, after),
 			"look at it, and put yours after that one", res.Version)
 	case res.Code == state.ResultNoRoom:
-		refuse(w, http.StatusInsufficientStorage, res.Code, "", fmt.Sprintf("%d services with %d bytes of documents may be held",
+		rejectConfig(w, http.StatusInsufficientStorage, res.Code, "", fmt.Sprintf("%d services with %d bytes of documents may be held",
 			state.MaxServices, state.MaxDocumentBytes), "put shorter documents", res.Version)
 	default:
-		refuse(w, http.StatusConflict, res.Code, "", "the leader's program did not take it", "", res.Version)
+		rejectConfig(w, http.StatusConflict, res.Code, "", "the leader's program did not take it", "", res.Version)
 	}
 }
 
-func (s *Server) turnOldBuild(w http.ResponseWriter, err error) {
-	s.turned.Add(1)
+func (s *Server) rejectOldBuild(w http.ResponseWriter, err error) {
+	s.rejected.Add(1)
 	w.Header().Set("Retry-After", "5")
-	answer(w, http.StatusServiceUnavailable, ErrorBody{Error: err.Error(), Code: endOldBuild})
+	writeJSON(w, http.StatusServiceUnavailable, ErrorBody{Error: err.Error(), Code: codeOldBuild})
 }
 
-func (s *Server) ownWords(w http.ResponseWriter, r *http.Request, _ *raftnode.Node) {
-	if name, ok := service(w, r); ok {
-		answer(w, http.StatusOK, s.words.Reports(name, time.Now()))
+func (s *Server) localReports(w http.ResponseWriter, r *http.Request, _ *raftnode.Node) {
+	if name, ok := readService(w, r); ok {
+		writeJSON(w, http.StatusOK, s.reports.Reports(name, time.Now()))
 	}
 }
 
@@ -289,32 +289,32 @@
 }
 
 func (s *Server) configStatus(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	name, ok := service(w, r)
+	name, ok := readService(w, r)
 	if !ok {
 		return
 	}
 	if !m.Serving() {
-		s.turn(w, raftnode.ErrStale)
+		s.rejectRetryable(w, raftnode.ErrStale)
 		return
 	}
-	heard, silent := s.askWords(r.Context(), m, name)
+	heard, silent := s.collectReports(r.Context(), m, name)
 	line, c, _ := m.Configuration(name) // after the words: none is of a version that is not known here yet
 	st := ConfigStatus{Service: name, Epoch: line, Version: c.Version, Partial: len(silent) > 0, Silent: silent}
-	st.fill(rollout.Merge(heard...), r.URL.Query().Get("all") == "1")
-	answer(w, http.StatusOK, st)
+	st.fill(rollout.MergeReports(heard...), r.URL.Query().Get("all") == "1")
+	writeJSON(w, http.StatusOK, st)
 }
 
 // askWords asks all members for what they have heard.
-func (s *Server) askWords(ctx context.Context, m *raftnode.Node, name string) (heard [][]rollout.ProxyReport, silent []string) {
-	ctx, cancel := context.WithTimeout(ctx, wordsWait)
+func (s *Server) collectReports(ctx context.Context, m *raftnode.Node, name string) (heard [][]rollout.ProxyReport, silent []string) {
+	ctx, cancel := context.WithTimeout(ctx, reportsTimeout)
 	defer cancel()
 	others := m.Peers()
 	heard, silent = make([][]rollout.ProxyReport, len(others)+1), []string{}
-	heard[len(others)] = s.words.Reports(name, time.Now())
+	heard[len(others)] = s.reports.Reports(name, time.Now())
 	faults := make([]error, len(others))
 	var asked sync.WaitGroup
 	for i, p := range others {
-		asked.Go(func() { faults[i] = m.CallPeer(ctx, p, "/v1/inforce/"+name, wordsMost, &heard[i]) })
+		asked.Go(func() { faults[i] = m.CallPeer(ctx, p, "/v1/inforce/"+name, maxReportsBytes, &heard[i]) })
 	}
 	asked.Wait()
 	for i, err := range faults {
@@ -332,7 +332,7 @@
 	for _, w := range words {
 		p := ProxyStatus{StateBehind, w}
 		switch {
-		case w.AgeMs >= silent.Milliseconds():
+		case w.AgeMs >= reportSilence.Milliseconds():
 			p.State = StateUnknown
 		case w.AppliedVersion == st.Version:
 			p.State = StateApplied
--- a/internal/registry/api/configs_test.go
+++ b/internal/registry/api/configs_test.go
@@ -165,7 +165,7 @@
 			t.Fatalf("%s: %d %s", w, status, text)
 		}
 	}
-	s.words.Record("a", rollout.ProxyReport{Name: "p5", AppliedVersion: second}, time.Now().Add(-silent))
+	s.reports.Record("a", rollout.ProxyReport{Name: "p5", AppliedVersion: second}, time.Now().Add(-reportSilence))
 	ask := func(query string) (st ConfigStatus) {
 		t.Helper()
 		status, _, text := call(t, s, "GET", "/config/a/status"+query, "")
--- a/internal/registry/api/nodos.go
+++ b/internal/registry/api/endpoints.go
@@ -13,7 +13,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-func readerOf(body []byte) io.Reader {
+func bodyReader(body []byte) io.Reader {
 	if body == nil {
 		return nil
 	}
@@ -29,39 +29,39 @@
 
 // whole reads a call's body, for which there is some time. The limit is off again afterwards: a server-wide one would
 // end watches too.
-func whole(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
+func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
 	c := http.NewResponseController(w)
-	_ = c.SetReadDeadline(time.Now().Add(bodyWait))
+	_ = c.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
 	_ = c.SetReadDeadline(time.Time{})
 	if err != nil {
-		fail(w, http.StatusBadRequest, "the body: %v", err)
+		writeError(w, http.StatusBadRequest, "the body: %v", err)
 		return nil, false
 	}
 	return body, true
 }
 
 // read reads a call's body as JSON that has no other keys.
-func read(w http.ResponseWriter, r *http.Request, into any) ([]byte, bool) {
-	body, ok := whole(w, r, bodyMost)
+func readJSON(w http.ResponseWriter, r *http.Request, into any) ([]byte, bool) {
+	body, ok := readBody(w, r, maxBodyBytes)
 	if !ok {
 		return nil, false
 	}
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		fail(w, http.StatusBadRequest, "the body: %v", err)
+		writeError(w, http.StatusBadRequest, "the body: %v", err)
 		return nil, false
 	}
 	if d.More() {
-		fail(w, http.StatusBadRequest, "the body: more than one value")
+		writeError(w, http.StatusBadRequest, "the body: more than one value")
 		return nil, false
 	}
 	return body, true
 }
 
 // ended answers what a command came to, where it is no yes.
-func ended(w http.ResponseWriter, end, name string) {
+func writeRejected(w http.ResponseWriter, end, name string) {
 	status, text := http.StatusConflict, ""
 	switch end {
 	case state.ResultUnknown:
@@ -75,12 +75,12 @@
 	default:
 		text = "was not taken: the leader's program does not know that command"
 	}
-	answer(w, status, ErrorBody{Error: name + " " + text, Code: end})
+	writeJSON(w, status, ErrorBody{Error: name + " " + text, Code: end})
 }
 
 func (s *Server) register(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 	rec := state.Record{Endpoint: state.Endpoint{Weight: 1, Status: state.StatusServing}}
-	body, ok := read(w, r, &rec)
+	body, ok := readJSON(w, r, &rec)
 	if !ok {
 		return
 	}
@@ -89,29 +89,29 @@
 		rec.Name = name
 	}
 	if rec.Name != name {
-		fail(w, http.StatusBadRequest, "name: %q in the body, %q in the path", rec.Name, name)
+		writeError(w, http.StatusBadRequest, "name: %q in the body, %q in the path", rec.Name, name)
 		return
 	}
 	if err := rec.Check(); err != nil {
-		fail(w, http.StatusBadRequest, "%v", err)
+		writeError(w, http.StatusBadRequest, "%v", err)
 		return
 	}
-	if s.toLeader(w, r, m, body) {
+	if s.forwardToLeader(w, r, m, body) {
 		return
 	}
 	res, err := m.Propose(state.Command{Kind: state.CommandRegister, Record: &rec})
 	switch {
 	case err != nil:
-		s.turn(w, err)
+		s.rejectRetryable(w, err)
 	case res.Code != state.ResultDone:
-		ended(w, res.Code, name)
+		writeRejected(w, res.Code, name)
 	default:
-		answer(w, http.StatusOK, Accepted{res.Version, state.StatusServing, rec.LeaseMs})
+		writeJSON(w, http.StatusOK, Accepted{res.Version, state.StatusServing, rec.LeaseMs})
 	}
 }
 
 // instance reads which process of a nodo a call speaks for.
-func instance(w http.ResponseWriter, r *http.Request) (ref state.InstanceRef, body []byte, ok bool) {
+func readInstanceRef(w http.ResponseWriter, r *http.Request) (ref state.InstanceRef, body []byte, ok bool) {
 	ref.Name = r.PathValue("name")
 	if r.Method == http.MethodDelete {
 		ref.Instance = r.URL.Query().Get("instance")
@@ -119,65 +119,65 @@
 		var in struct {
 			Instance string `json:"instance"`
 		}
-		if body, ok = read(w, r, &in); !ok {
+		if body, ok = readJSON(w, r, &in); !ok {
 			return ref, nil, false
 		}
 		ref.Instance = in.Instance
 	}
 	if ref.Instance == "" {
-		fail(w, http.StatusBadRequest, "instance is missing")
+		writeError(w, http.StatusBadRequest, "instance is missing")
 		return ref, nil, false
 	}
 	return ref, body, true
 }
 
 func (s *Server) renew(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	ref, body, ok := instance(w, r)
-	if !ok || s.toLeader(w, r, m, body) {
+	ref, body, ok := readInstanceRef(w, r)
+	if !ok || s.forwardToLeader(w, r, m, body) {
 		return
 	}
 	rec, index, end, err := m.Renew(ref)
 	switch {
 	case err != nil:
-		s.turn(w, err)
+		s.rejectRetryable(w, err)
 	case end != state.ResultDone:
-		ended(w, end, ref.Name)
+		writeRejected(w, end, ref.Name)
 	default:
-		answer(w, http.StatusOK, Accepted{index, rec.Status, rec.LeaseMs})
+		writeJSON(w, http.StatusOK, Accepted{index, rec.Status, rec.LeaseMs})
 	}
 }
 
-func (s *Server) take(kind string) func(http.ResponseWriter, *http.Request, *raftnode.Node) {
+func (s *Server) drainOrDeregister(kind string) func(http.ResponseWriter, *http.Request, *raftnode.Node) {
 	return func(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-		ref, body, ok := instance(w, r)
-		if !ok || s.toLeader(w, r, m, body) {
+		ref, body, ok := readInstanceRef(w, r)
+		if !ok || s.forwardToLeader(w, r, m, body) {
 			return
 		}
 		res, err := m.Propose(state.Command{Kind: kind, Refs: []state.InstanceRef{ref}})
 		switch {
 		case err != nil:
-			s.turn(w, err)
+			s.rejectRetryable(w, err)
 		case res.Code != state.ResultDone:
-			ended(w, res.Code, ref.Name)
+			writeRejected(w, res.Code, ref.Name)
 		case kind == state.CommandDrain:
-			answer(w, http.StatusOK, Accepted{Version: res.Version, Status: state.StatusDraining})
+			writeJSON(w, http.StatusOK, Accepted{Version: res.Version, Status: state.StatusDraining})
 		default:
-			answer(w, http.StatusOK, Accepted{Version: res.Version, Status: state.StatusDeleted})
+			writeJSON(w, http.StatusOK, Accepted{Version: res.Version, Status: state.StatusDeleted})
 		}
 	}
 }
 
 func (s *Server) snapshot(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 	if err := m.WaitLinearizable(r.Context()); err != nil {
-		s.turn(w, err)
+		s.rejectRetryable(w, err)
 		return
 	}
 	var text bytes.Buffer
 	if err := m.StateSnapshot().Write(&text); err != nil {
-		fail(w, http.StatusInternalServerError, "%v", err)
+		writeError(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
-	send(w, http.StatusOK, text.Bytes())
+	writeBody(w, http.StatusOK, text.Bytes())
 }
 
 // Restored is the answer to a restore.
@@ -188,28 +188,28 @@
 }
 
 func (s *Server) restore(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	body, ok := whole(w, r, state.MaxSnapshotBytes)
+	body, ok := readBody(w, r, state.MaxSnapshotBytes)
 	if !ok {
 		return
 	}
-	image, err := state.Read(bytes.NewReader(body))
+	image, err := state.ReadSnapshot(bytes.NewReader(body))
 	if err != nil {
-		fail(w, http.StatusBadRequest, "%v", err)
+		writeError(w, http.StatusBadRequest, "%v", err)
 		return
 	}
-	if s.toLeader(w, r, m, body) {
+	if s.forwardToLeader(w, r, m, body) {
 		return
 	}
 	line, index, err := m.Restore(image)
 	var old *raftnode.IncompatibleMemberError
 	switch {
 	case errors.As(err, &old):
-		s.turnOldBuild(w, err)
+		s.rejectOldBuild(w, err)
 	case errors.Is(err, raftnode.ErrNotLeader), errors.Is(err, raftnode.ErrUncertain):
-		s.turn(w, err)
+		s.rejectRetryable(w, err)
 	case err != nil:
-		fail(w, http.StatusInternalServerError, "%v", err)
+		writeError(w, http.StatusInternalServerError, "%v", err)
 	default:
-		answer(w, http.StatusOK, Restored{line, index, len(image.Records)})
+		writeJSON(w, http.StatusOK, Restored{line, index, len(image.Records)})
 	}
 }
--- a/internal/registry/api/api.go
+++ b/internal/registry/api/server.go
@@ -42,37 +42,37 @@
 )
 
 const (
-	holdMost  = 60 * time.Second
-	bodyMost  = 64 << 10
-	writeWait = 5 * time.Second // for a caller to take an answer
-	headWait  = 5 * time.Second
-	bodyWait  = 10 * time.Second
-	idleWait  = 2 * time.Minute
-	passWait  = 4 * time.Second // for the leader's answer
-	passed    = "Roster-Passed" // header of a call that a member has passed on
+	maxLongPoll     = 60 * time.Second
+	maxBodyBytes    = 64 << 10
+	writeTimeout    = 5 * time.Second // for a caller to take an answer
+	headerTimeout   = 5 * time.Second
+	bodyTimeout     = 10 * time.Second
+	idleTimeout     = 2 * time.Minute
+	forwardTimeout  = 4 * time.Second // for the leader's answer
+	forwardedHeader = "Roster-Passed" // header of a call that a member has passed on
 )
 
 // Config is what the address is.
 type Config struct {
-	Listen   string
-	Name     string // of the member
-	Watchers int    // watches that are held at once; more are answered 503
-	Logger   *slog.Logger
+	Listen     string
+	Name       string // of the member
+	MaxWatches int    // watches that are held at once; more are answered 503
+	Logger     *slog.Logger
 }
 
 // Server answers the calls.
 type Server struct {
-	cfg      Config
-	http     *http.Server
-	listener net.Listener
-	member   atomic.Pointer[raftnode.Node]
-	pass     *http.Client
-	ending   chan struct{} // closed when watches have to end
-	once     sync.Once
-	words    rollout.Table // what proxies have told this member
+	cfg           Config
+	http          *http.Server
+	listener      net.Listener
+	node          atomic.Pointer[raftnode.Node]
+	forwardClient *http.Client
+	stopping      chan struct{} // closed when watches have to end
+	stopOnce      sync.Once
+	reports       rollout.Table // what proxies have told this member
 
 	// Counts, for Figures.
-	watching, calls, turned, lists, deltas, passedOn, wordsDropped atomic.Int64
+	watching, calls, rejected, snapshots, changes, forwarded, reportsDropped atomic.Int64
 }
 
 // Figures are the counts so far.
@@ -94,9 +94,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	s := &Server{cfg: cfg, listener: listener.Retry(l, cfg.Logger), ending: make(chan struct{}), pass: &http.Client{Timeout: passWait,
-		Transport: &http.Transport{MaxIdleConnsPerHost: 8, MaxConnsPerHost: 64, IdleConnTimeout: idleWait, DisableCompression: true}}}
-	s.http = &http.Server{Handler: s.handler(), ReadHeaderTimeout: headWait, IdleTimeout: idleWait,
+	s := &Server{cfg: cfg, listener: listener.Retry(l, cfg.Logger), stopping: make(chan struct{}), forwardClient: &http.Client{Timeout: forwardTimeout,
+		Transport: &http.Transport{MaxIdleConnsPerHost: 8, MaxConnsPerHost: 64, IdleConnTimeout: idleTimeout, DisableCompression: true}}}
+	s.http = &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(cfg.Logger.Handler(), slog.LevelDebug)}
 	return s, nil
 }
@@ -105,7 +105,7 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Open has it answer for a member.
-func (s *Server) SetNode(m *raftnode.Node) { s.member.Store(m) }
+func (s *Server) SetNode(m *raftnode.Node) { s.node.Store(m) }
 
 // Serve answers until End.
 func (s *Server) Serve() error {
@@ -117,7 +117,7 @@
 
 // End tells those who watch to go elsewhere, and ends when they have been told, or patience has.
 func (s *Server) Shutdown(patience time.Duration) {
-	s.once.Do(func() { close(s.ending) })
+	s.stopOnce.Do(func() { close(s.stopping) })
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	if s.http.Shutdown(ctx) != nil {
@@ -127,8 +127,8 @@
 
 // Figures are the counts so far.
 func (s *Server) Metrics() Metrics {
-	return Metrics{s.watching.Load(), s.calls.Load(), s.turned.Load(), s.lists.Load(), s.deltas.Load(), s.passedOn.Load(),
-		int64(s.words.Len()), s.wordsDropped.Load()}
+	return Metrics{s.watching.Load(), s.calls.Load(), s.rejected.Load(), s.snapshots.Load(), s.changes.Load(), s.forwarded.Load(),
+		int64(s.reports.Len()), s.reportsDropped.Load()}
 }
 
 func (s *Server) handler() http.Handler {
@@ -136,9 +136,9 @@
 	with := func(do func(http.ResponseWriter, *http.Request, *raftnode.Node)) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			s.calls.Add(1)
-			m := s.member.Load()
+			m := s.node.Load()
 			if m == nil {
-				s.turn(w, errors.New("this member waits for the others"))
+				s.rejectRetryable(w, errors.New("this member waits for the others"))
 				return
 			}
 			do(w, r, m)
@@ -147,53 +147,53 @@
 	mux.HandleFunc("GET /catalog/members", with(s.list))
 	mux.HandleFunc("PUT /catalog/members/{name}", with(s.register))
 	mux.HandleFunc("POST /catalog/members/{name}/renew", with(s.renew))
-	mux.HandleFunc("POST /catalog/members/{name}/drain", with(s.take(state.CommandDrain)))
-	mux.HandleFunc("DELETE /catalog/members/{name}", with(s.take(state.CommandDeregister)))
+	mux.HandleFunc("POST /catalog/members/{name}/drain", with(s.drainOrDeregister(state.CommandDrain)))
+	mux.HandleFunc("DELETE /catalog/members/{name}", with(s.drainOrDeregister(state.CommandDeregister)))
 	mux.HandleFunc("GET /config/{service}", with(s.config))
 	mux.HandleFunc("PUT /config/{service}", with(s.putConfig))
 	mux.HandleFunc("GET /config/{service}/status", with(s.configStatus))
-	mux.HandleFunc("GET /v1/inforce/{service}", with(s.ownWords))
+	mux.HandleFunc("GET /v1/inforce/{service}", with(s.localReports))
 	mux.HandleFunc("GET /v1/member", func(w http.ResponseWriter, r *http.Request) {
-		if m := s.member.Load(); m != nil {
-			answer(w, http.StatusOK, m.Status())
+		if m := s.node.Load(); m != nil {
+			writeJSON(w, http.StatusOK, m.Status())
 			return
 		}
-		answer(w, http.StatusOK, raftnode.WaitingStatus(s.cfg.Name))
+		writeJSON(w, http.StatusOK, raftnode.WaitingStatus(s.cfg.Name))
 	})
 	mux.HandleFunc("GET /v1/proof", with(func(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
 		p, err := m.ReadIndex()
 		if err != nil {
-			s.turn(w, err)
+			s.rejectRetryable(w, err)
 			return
 		}
-		answer(w, http.StatusOK, p)
+		writeJSON(w, http.StatusOK, p)
 	}))
 	mux.HandleFunc("GET /v1/nodos", with(func(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-		if s.toLeader(w, r, m, nil) {
+		if s.forwardToLeader(w, r, m, nil) {
 			return
 		}
 		if err := m.WaitLinearizable(r.Context()); err != nil {
-			s.turn(w, err)
+			s.rejectRetryable(w, err)
 			return
 		}
-		answer(w, http.StatusOK, m.Endpoints())
+		writeJSON(w, http.StatusOK, m.Endpoints())
 	}))
 	mux.HandleFunc("GET /v1/snapshot", with(s.snapshot))
 	mux.HandleFunc("POST /v1/restore", with(s.restore))
 	return mux
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // structs of words and numbers
 	}
-	send(w, status, append(text, '\n'))
+	writeBody(w, status, append(text, '\n'))
 }
 
 // send writes an answer that is whole already. A caller that does not take it is left after a while.
-func send(w http.ResponseWriter, status int, body []byte) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWait))
+func writeBody(w http.ResponseWriter, status int, body []byte) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
@@ -215,15 +215,15 @@
 	return f
 }
 
-func fail(w http.ResponseWriter, status int, format string, args ...any) {
-	answer(w, status, ErrorBody{Error: fmt.Sprintf(format, args...)})
+func writeError(w http.ResponseWriter, status int, format string, args ...any) {
+	writeJSON(w, status, ErrorBody{Error: fmt.Sprintf(format, args...)})
 }
 
 // turn answers that trying again does no harm.
-func (s *Server) turn(w http.ResponseWriter, err error) {
-	s.turned.Add(1)
+func (s *Server) rejectRetryable(w http.ResponseWriter, err error) {
+	s.rejected.Add(1)
 	w.Header().Set("Retry-After", "1")
-	fail(w, http.StatusServiceUnavailable, "%v", err)
+	writeError(w, http.StatusServiceUnavailable, "%v", err)
 }
 
 // list answers with the whole list, or a watch.
@@ -232,16 +232,16 @@
 	if !q.Has("from") {
 		if q.Get("consistent") == "1" {
 			if err := m.WaitLinearizable(r.Context()); err != nil {
-				s.turn(w, err)
+				s.rejectRetryable(w, err)
 				return
 			}
 		}
 		if !m.Serving() {
-			s.turn(w, raftnode.ErrStale)
+			s.rejectRetryable(w, raftnode.ErrStale)
 			return
 		}
-		s.lists.Add(1)
-		send(w, http.StatusOK, m.Hub().Snapshot())
+		s.snapshots.Add(1)
+		writeBody(w, http.StatusOK, m.Watches().Snapshot())
 		return
 	}
 	from, until, release, ok := s.hold(w, r)
@@ -253,14 +253,14 @@
 }
 
 // number reads a number of a call, 0 or more; 0 if it is not there.
-func number(w http.ResponseWriter, r *http.Request, key, what string) (n int64, ok bool) {
+func queryNumber(w http.ResponseWriter, r *http.Request, key, what string) (n int64, ok bool) {
 	word := r.URL.Query().Get(key)
 	if word == "" && !r.URL.Query().Has(key) {
 		return 0, true
 	}
 	n, err := strconv.ParseInt(word, 10, 64)
 	if err != nil || n < 0 {
-		fail(w, http.StatusBadRequest, "%s=%q: %s needed, 0 or more", key, word, what)
+		writeError(w, http.StatusBadRequest, "%s=%q: %s needed, 0 or more", key, word, what)
 		return 0, false
 	}
 	return n, true
@@ -268,19 +268,19 @@
 
 // hold reads what a watch waits for and until when, and counts it among those that are held until its release.
 func (s *Server) hold(w http.ResponseWriter, r *http.Request) (from int64, until time.Time, release func(), ok bool) {
-	if from, ok = number(w, r, "from", "a version is"); !ok {
+	if from, ok = queryNumber(w, r, "from", "a version is"); !ok {
 		return 0, until, nil, false
 	}
-	ms, ok := number(w, r, "hold_ms", "milliseconds are")
+	ms, ok := queryNumber(w, r, "hold_ms", "milliseconds are")
 	if !ok {
 		return 0, until, nil, false
 	}
-	if n := s.watching.Add(1); n > int64(s.cfg.Watchers) {
+	if n := s.watching.Add(1); n > int64(s.cfg.MaxWatches) {
 		s.watching.Add(-1)
-		s.turn(w, fmt.Errorf("%d watches are held, as many as there may be", n-1))
+		s.rejectRetryable(w, fmt.Errorf("%d watches are held, as many as there may be", n-1))
 		return 0, until, nil, false
 	}
-	until = time.Now().Add(time.Duration(min(ms, holdMost.Milliseconds())) * time.Millisecond)
+	until = time.Now().Add(time.Duration(min(ms, maxLongPoll.Milliseconds())) * time.Millisecond)
 	return from, until, func() { s.watching.Add(-1) }, true
 }
 
@@ -294,42 +294,42 @@
 	defer timer.Stop()
 	over := false
 	for {
-		changed := m.Hub().Wait()
+		changed := m.Watches().Wait()
 		if !m.Serving() {
-			s.turn(w, raftnode.ErrStale)
+			s.rejectRetryable(w, raftnode.ErrStale)
 			return
 		}
 		own, index := m.Version()
 		switch {
 		case line != "" && line != own:
-			s.lists.Add(1)
-			send(w, http.StatusOK, m.Hub().Snapshot())
+			s.snapshots.Add(1)
+			writeBody(w, http.StatusOK, m.Watches().Snapshot())
 			return
 		case from > index && line == "":
 			if err := m.WaitLinearizable(r.Context()); err != nil {
-				s.turn(w, err)
+				s.rejectRetryable(w, err)
 				return
 			}
 			if _, index = m.Version(); from > index {
-				s.lists.Add(1)
-				send(w, http.StatusOK, m.Hub().Snapshot())
+				s.snapshots.Add(1)
+				writeBody(w, http.StatusOK, m.Watches().Snapshot())
 				return
 			}
 			continue
 		case from < index, over && from == index:
-			s.deltas.Add(1)
-			send(w, http.StatusOK, m.Hub().ChangesSince(from))
+			s.changes.Add(1)
+			writeBody(w, http.StatusOK, m.Watches().ChangesSince(from))
 			return
 		case over:
-			s.turn(w, errors.New("this member has not come up to that version yet"))
+			s.rejectRetryable(w, errors.New("this member has not come up to that version yet"))
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
 			over = true
-		case <-s.ending:
-			s.turn(w, errors.New("this member ends"))
+		case <-s.stopping:
+			s.rejectRetryable(w, errors.New("this member ends"))
 			return
 		case <-r.Context().Done():
 			return
@@ -338,36 +338,36 @@
 }
 
 // toLeader passes a call on if this member does not lead; true: it is answered.
-func (s *Server) toLeader(w http.ResponseWriter, r *http.Request, m *raftnode.Node, body []byte) bool {
+func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request, m *raftnode.Node, body []byte) bool {
 	leader, ok := m.Leader()
 	if ok && leader.Name == s.cfg.Name {
 		return false // whether it really leads is seen when it does what was asked
 	}
-	if !ok || leader.API == "" || r.Header.Get(passed) != "" {
-		s.turn(w, raftnode.ErrNoLeader)
+	if !ok || leader.API == "" || r.Header.Get(forwardedHeader) != "" {
+		s.rejectRetryable(w, raftnode.ErrNoLeader)
 		return true
 	}
-	s.passedOn.Add(1)
-	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+leader.API+r.URL.RequestURI(), readerOf(body))
+	s.forwarded.Add(1)
+	req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+leader.API+r.URL.RequestURI(), bodyReader(body))
 	if err != nil {
-		fail(w, http.StatusBadRequest, "%v", err)
+		writeError(w, http.StatusBadRequest, "%v", err)
 		return true
 	}
-	req.Header.Set(passed, s.cfg.Name)
-	resp, err := s.pass.Do(req)
+	req.Header.Set(forwardedHeader, s.cfg.Name)
+	resp, err := s.forwardClient.Do(req)
 	if err != nil {
-		s.turn(w, fmt.Errorf("%w (the leader, %s: %w)", raftnode.ErrUncertain, leader.Name, err))
+		s.rejectRetryable(w, fmt.Errorf("%w (the leader, %s: %w)", raftnode.ErrUncertain, leader.Name, err))
 		return true
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, state.MaxSnapshotBytes))
 	if err != nil {
-		s.turn(w, fmt.Errorf("%w (the leader, %s: %w)", raftnode.ErrUncertain, leader.Name, err))
+		s.rejectRetryable(w, fmt.Errorf("%w (the leader, %s: %w)", raftnode.ErrUncertain, leader.Name, err))
 		return true
 	}
 	if after := resp.Header.Get("Retry-After"); after != "" {
 		w.Header().Set("Retry-After", after)
 	}
-	send(w, resp.StatusCode, text)
+	writeBody(w, resp.StatusCode, text)
 	return true
 }
--- a/internal/registry/config/config.go
+++ b/internal/registry/config/config.go
@@ -18,22 +18,22 @@
 
 // File is a configuration as it is written. Times end in _ms and are milliseconds.
 type File struct {
-	Name       string   `toml:"name"`
-	Dir        string   `toml:"dir"`         // what outlives the process
-	Listen     string   `toml:"listen"`      // the list's address
-	Figures    string   `toml:"figures"`     // figures and readiness; empty: none
-	RaftListen string   `toml:"raft_listen"` // of the consensus, if not the address by which the others find it
-	ElectionMs int      `toml:"election_ms"` // without a word from the leader, until another is elected
-	StaleMs    int      `toml:"stale_ms"`    // a list that is older is not told
-	Watchers   int      `toml:"watchers"`    // watches held at once
-	Lease      Lease    `toml:"lease"`
-	Members    []Member `toml:"member"` // all of them, this one too; none: it is the only one
+	Name              string   `toml:"name"`
+	Dir               string   `toml:"dir"`         // what outlives the process
+	Listen            string   `toml:"listen"`      // the list's address
+	MetricsAddress    string   `toml:"figures"`     // figures and readiness; empty: none
+	RaftListen        string   `toml:"raft_listen"` // of the consensus, if not the address by which the others find it
+	ElectionTimeoutMs int      `toml:"election_ms"` // without a word from the leader, until another is elected
+	MaxListAgeMs      int      `toml:"stale_ms"`    // a list that is older is not told
+	MaxWatches        int      `toml:"watchers"`    // watches held at once
+	Lease             Lease    `toml:"lease"`
+	Members           []Member `toml:"member"` // all of them, this one too; none: it is the only one
 }
 
 // Lease is what leases go by: package lease has the meaning.
 type Lease struct {
-	Part float64 `toml:"part"`
-	Pace float64 `toml:"pace"`
+	HoldThreshold float64 `toml:"part"`
+	ReleaseRate   float64 `toml:"pace"`
 }
 
 // Member is a member as this one finds it.
@@ -46,8 +46,8 @@
 // Default is an only member on this machine.
 func Default() File {
 	l := lease.DefaultConfig()
-	return File{Name: "roster", Dir: "roster-data", Listen: "127.0.0.1:8500", Figures: "127.0.0.1:9500", ElectionMs: 500,
-		StaleMs: 2000, Watchers: 6000, Lease: Lease{l.HoldThreshold, l.ReleaseRate}}
+	return File{Name: "roster", Dir: "roster-data", Listen: "127.0.0.1:8500", MetricsAddress: "127.0.0.1:9500", ElectionTimeoutMs: 500,
+		MaxListAgeMs: 2000, MaxWatches: 6000, Lease: Lease{l.HoldThreshold, l.ReleaseRate}}
 }
 
 // Read reads a file; an empty path is Default. A relative dir is below the file's own folder. The error joins all faults.
@@ -90,8 +90,8 @@
 }
 
 const (
-	electionLeast = 100 // ms
-	watchersMost  = 100_000
+	minElectionMs = 100 // ms
+	maxWatches    = 100_000
 )
 
 func (f *File) check(fault func(key, format string, args ...any)) {
@@ -107,27 +107,27 @@
 		fault("dir", "is missing: the folder of what outlives the process")
 	}
 	address("listen", f.Listen)
-	if f.Figures != "" {
-		address("figures", f.Figures)
+	if f.MetricsAddress != "" {
+		address("figures", f.MetricsAddress)
 	}
 	if f.RaftListen != "" {
 		address("raft_listen", f.RaftListen)
 	}
-	if f.ElectionMs < electionLeast {
-		fault("election_ms", "at least %d, not %d", electionLeast, f.ElectionMs)
+	if f.ElectionTimeoutMs < minElectionMs {
+		fault("election_ms", "at least %d, not %d", minElectionMs, f.ElectionTimeoutMs)
 	}
-	if least := time.Duration(f.ElectionMs)*time.Millisecond + raftnode.FreshnessInterval; f.StaleMs < int(least.Milliseconds()) {
-		fault("stale_ms", "%d: at least election_ms and %v, %d, or each election has the list go silent", f.StaleMs,
+	if least := time.Duration(f.ElectionTimeoutMs)*time.Millisecond + raftnode.FreshnessInterval; f.MaxListAgeMs < int(least.Milliseconds()) {
+		fault("stale_ms", "%d: at least election_ms and %v, %d, or each election has the list go silent", f.MaxListAgeMs,
 			raftnode.FreshnessInterval, least.Milliseconds())
 	}
-	if f.Watchers < 1 || f.Watchers > watchersMost {
-		fault("watchers", "from 1 to %d, not %d", watchersMost, f.Watchers)
+	if f.MaxWatches < 1 || f.MaxWatches > maxWatches {
+		fault("watchers", "from 1 to %d, not %d", maxWatches, f.MaxWatches)
 	}
-	if !(f.Lease.Part >= 0 && f.Lease.Part <= 1) {
-		fault("lease.part", "is a part, from 0 to 1, not %v", f.Lease.Part)
+	if !(f.Lease.HoldThreshold >= 0 && f.Lease.HoldThreshold <= 1) {
+		fault("lease.part", "is a part, from 0 to 1, not %v", f.Lease.HoldThreshold)
 	}
-	if !(f.Lease.Pace > 0 && f.Lease.Pace <= 1) {
-		fault("lease.pace", "is a part, over 0 and at most 1, not %v", f.Lease.Pace)
+	if !(f.Lease.ReleaseRate > 0 && f.Lease.ReleaseRate <= 1) {
+		fault("lease.pace", "is a part, over 0 and at most 1, not %v", f.Lease.ReleaseRate)
 	}
 	if n := len(f.Members); n > 0 && n%2 == 0 {
 		fault("member", "there are %d: an odd number outlives as many losses with one member less", n)
@@ -149,10 +149,10 @@
 }
 
 // Member is the configuration of the member itself.
-func (f File) Member() raftnode.Config {
-	c := raftnode.Config{Name: f.Name, Dir: f.Dir, Listen: f.RaftListen, ElectionTimeout: time.Duration(f.ElectionMs) * time.Millisecond,
-		MaxListAge: time.Duration(f.StaleMs) * time.Millisecond, Lease: lease.DefaultConfig()}
-	c.Lease.HoldThreshold, c.Lease.ReleaseRate = f.Lease.Part, f.Lease.Pace
+func (f File) Node() raftnode.Config {
+	c := raftnode.Config{Name: f.Name, Dir: f.Dir, Listen: f.RaftListen, ElectionTimeout: time.Duration(f.ElectionTimeoutMs) * time.Millisecond,
+		MaxListAge: time.Duration(f.MaxListAgeMs) * time.Millisecond, Lease: lease.DefaultConfig()}
+	c.Lease.HoldThreshold, c.Lease.ReleaseRate = f.Lease.HoldThreshold, f.Lease.ReleaseRate
 	for _, m := range f.Members {
 		c.Peers = append(c.Peers, raftnode.Peer{Name: m.Name, Raft: m.Raft, API: m.List})
 	}
--- a/internal/registry/lease/lease.go
+++ b/internal/registry/lease/lease.go
@@ -35,38 +35,38 @@
 	return Config{HoldThreshold: 0.25, ReleaseRate: 0.1, MaxSweepGap: time.Second}
 }
 
-type term struct {
-	ref   state.InstanceRef
-	zone  string
-	lease time.Duration
-	until time.Time
+type entry struct {
+	ref       state.InstanceRef
+	zone      string
+	duration  time.Duration
+	expiresAt time.Time
 }
 
 type zone struct {
-	let  []time.Time // when leases ended, of the last lease time
-	held bool
-	size int       // when the hold began
-	next time.Time // when a held one is let go
+	recentExpiries []time.Time // when leases ended, of the last lease time
+	held           bool
+	sizeAtHold     int       // when the hold began
+	nextRelease    time.Time // when a held one is let go
 }
 
 // Table is the leases. Its owner allows no two calls at once.
 type Table struct {
-	cfg   Config
-	terms map[string]*term // by name
-	zones map[string]*zone
-	last  time.Time // of the last look
+	cfg       Config
+	leases    map[string]*entry // by name
+	zones     map[string]*zone
+	lastSweep time.Time // of the last look
 }
 
 // New is a table without leases.
 func New(cfg Config) *Table {
-	return &Table{cfg: cfg, terms: map[string]*term{}, zones: map[string]*zone{}}
+	return &Table{cfg: cfg, leases: map[string]*entry{}, zones: map[string]*zone{}}
 }
 
 // Reset has the table hold these, each with its whole lease from now on.
 func (t *Table) Reset(now time.Time, records []state.Record) {
-	clear(t.terms)
+	clear(t.leases)
 	clear(t.zones)
-	t.last = now
+	t.lastSweep = now
 	for _, r := range records {
 		t.Put(now, r)
 	}
@@ -75,29 +75,29 @@
 // Put begins a lease, or another in its place.
 func (t *Table) Put(now time.Time, r state.Record) {
 	lease := time.Duration(r.LeaseMs) * time.Millisecond
-	t.terms[r.Name] = &term{state.InstanceRef{Name: r.Name, Instance: r.Instance}, r.Zone, lease, now.Add(lease)}
+	t.leases[r.Name] = &entry{state.InstanceRef{Name: r.Name, Instance: r.Instance}, r.Zone, lease, now.Add(lease)}
 }
 
 // Renew has a lease last from now on; false if there is none.
 func (t *Table) Renew(now time.Time, ref state.InstanceRef) bool {
-	l := t.terms[ref.Name]
+	l := t.leases[ref.Name]
 	if l == nil || l.ref != ref {
 		return false
 	}
-	l.until = now.Add(l.lease)
+	l.expiresAt = now.Add(l.duration)
 	return true
 }
 
 // Remove ends a lease whose nodo has gone from the list.
-func (t *Table) Remove(name string) { delete(t.terms, name) }
+func (t *Table) Remove(name string) { delete(t.leases, name) }
 
 // Left tells how long a lease lasts; negative if it is over and its nodo is held.
 func (t *Table) Remaining(now time.Time, name string) (time.Duration, bool) {
-	l := t.terms[name]
+	l := t.leases[name]
 	if l == nil {
 		return 0, false
 	}
-	return l.until.Sub(now), true
+	return l.expiresAt.Sub(now), true
 }
 
 // Look is what a look at the table came to.
@@ -105,41 +105,41 @@
 	Expired      []state.InstanceRef // to be let go now
 	HoldsStarted []string            // zones that are held from now on
 	HoldsEnded   []string            // and that no longer are
-	Overdue      int                 // leases that are over and held
+	HeldLeases   int                 // leases that are over and held
 	HeldZones    int                 // zones held
 	Paused       time.Duration       // that did not count
 }
 
 // Look tells which nodos have to go. Their leases are no more: where one could not be let go after all, Put begins another.
 func (t *Table) Sweep(now time.Time) (out Sweep) {
-	if gap := now.Sub(t.last); !t.last.IsZero() && gap > t.cfg.MaxSweepGap {
+	if gap := now.Sub(t.lastSweep); !t.lastSweep.IsZero() && gap > t.cfg.MaxSweepGap {
 		out.Paused = gap
-		for _, l := range t.terms {
-			l.until = l.until.Add(gap)
+		for _, l := range t.leases {
+			l.expiresAt = l.expiresAt.Add(gap)
 		}
 		for _, z := range t.zones {
-			z.next = z.next.Add(gap)
-			for i := range z.let {
-				z.let[i] = z.let[i].Add(gap)
+			z.nextRelease = z.nextRelease.Add(gap)
+			for i := range z.recentExpiries {
+				z.recentExpiries[i] = z.recentExpiries[i].Add(gap)
 			}
 		}
 	}
-	t.last = now
+	t.lastSweep = now
 	type tally struct {
-		over    []*term
+		over    []*entry
 		size    int
 		longest time.Duration
 	}
 	zones := map[string]*tally{}
-	for _, l := range t.terms {
+	for _, l := range t.leases {
 		z := zones[l.zone]
 		if z == nil {
 			z = &tally{}
 			zones[l.zone] = z
 		}
 		z.size++
-		z.longest = max(z.longest, l.lease)
-		if !now.Before(l.until) {
+		z.longest = max(z.longest, l.duration)
+		if !now.Before(l.expiresAt) {
 			z.over = append(z.over, l)
 		}
 	}
@@ -160,37 +160,37 @@
 			z = &zone{}
 			t.zones[name] = z
 		}
-		z.let = slices.DeleteFunc(z.let, func(at time.Time) bool { return now.Sub(at) >= in.longest })
+		z.recentExpiries = slices.DeleteFunc(z.recentExpiries, func(at time.Time) bool { return now.Sub(at) >= in.longest })
 		switch {
 		case len(in.over) == 0:
 			if z.held {
 				out.HoldsEnded = append(out.HoldsEnded, name)
 			}
 			z.held = false
-			if len(z.let) == 0 {
+			if len(z.recentExpiries) == 0 {
 				delete(t.zones, name)
 			}
 			continue
-		case !z.held && len(z.let)+len(in.over) <= t.allowed(in.size+len(z.let)):
-			t.let(&out, z, now, in.over)
+		case !z.held && len(z.recentExpiries)+len(in.over) <= t.maxExpiriesAtOnce(in.size+len(z.recentExpiries)):
+			t.expire(&out, z, now, in.over)
 			continue
 		}
 		if !z.held {
-			z.size = in.size
+			z.sizeAtHold = in.size
 		}
-		pause := time.Duration(float64(in.longest) / (t.cfg.ReleaseRate * float64(z.size)))
+		pause := time.Duration(float64(in.longest) / (t.cfg.ReleaseRate * float64(z.sizeAtHold)))
 		if !z.held {
-			z.held, z.next = true, now.Add(pause)
+			z.held, z.nextRelease = true, now.Add(pause)
 			out.HoldsStarted = append(out.HoldsStarted, name)
 		}
 		out.HeldZones++
-		out.Overdue += len(in.over)
-		if !now.Before(z.next) {
-			z.next = now.Add(pause)
-			slices.SortFunc(in.over, func(a, b *term) int {
-				return cmp.Or(a.until.Compare(b.until), cmp.Compare(a.ref.Name, b.ref.Name))
+		out.HeldLeases += len(in.over)
+		if !now.Before(z.nextRelease) {
+			z.nextRelease = now.Add(pause)
+			slices.SortFunc(in.over, func(a, b *entry) int {
+				return cmp.Or(a.expiresAt.Compare(b.expiresAt), cmp.Compare(a.ref.Name, b.ref.Name))
 			})
-			t.let(&out, z, now, in.over[:1])
+			t.expire(&out, z, now, in.over[:1])
 		}
 	}
 	slices.Sort(out.HoldsStarted)
@@ -198,12 +198,14 @@
 	return out
 }
 
-func (t *Table) allowed(size int) int { return max(1, int(t.cfg.HoldThreshold*float64(size))) }
+func (t *Table) maxExpiriesAtOnce(size int) int {
+	return max(1, int(t.cfg.HoldThreshold*float64(size)))
+}
 
-func (t *Table) let(out *Sweep, z *zone, now time.Time, over []*term) {
+func (t *Table) expire(out *Sweep, z *zone, now time.Time, over []*entry) {
 	for _, l := range over {
-		delete(t.terms, l.ref.Name)
+		delete(t.leases, l.ref.Name)
 		out.Expired = append(out.Expired, l.ref)
-		z.let = append(z.let, now)
+		z.recentExpiries = append(z.recentExpiries, now)
 	}
 }
--- a/internal/registry/lease/lease_test.go
+++ b/internal/registry/lease/lease_test.go
@@ -31,7 +31,7 @@
 		r := result{map[string]time.Duration{}, map[string]int{}, map[string]bool{}}
 		for at := time.Duration(0); at <= lasts; at += 100 * time.Millisecond {
 			if at%second == 0 {
-				for name, l := range t.terms {
+				for name, l := range t.leases {
 					if renews(name, at) {
 						t.Renew(from.Add(at), l.ref)
 					}
@@ -90,7 +90,7 @@
 		table := New(DefaultConfig())
 		fleet(table, begin, "a", 20)
 		r := play(table, begin, 60*second, func(_ string, at time.Duration) bool { return at > 13*second })
-		if !r.held["a"] || r.count["a"] > 1 || len(table.terms) != 20-r.count["a"] || len(table.zones) != 0 {
+		if !r.held["a"] || r.count["a"] > 1 || len(table.leases) != 20-r.count["a"] || len(table.zones) != 0 {
 			t.Errorf("%+v, %d zones kept", r, len(table.zones))
 		}
 	})
@@ -114,7 +114,7 @@
 		table := New(DefaultConfig())
 		fleet(table, begin, "a", 20)
 		var records []state.Record
-		for _, l := range table.terms {
+		for _, l := range table.leases {
 			records = append(records, state.Record{Endpoint: state.Endpoint{Name: l.ref.Name, Zone: l.zone}, Instance: "1", LeaseMs: 10_000})
 		}
 		table.Reset(begin.Add(time.Hour), records)
--- a/internal/registry/metrics/metrics.go
+++ b/internal/registry/metrics/metrics.go
@@ -20,13 +20,13 @@
 	"merlinpick/internal/registry/raftnode"
 )
 
-const headWait = 5 * time.Second
+const headerTimeout = 5 * time.Second
 
 // Server answers GET /metrics, /readyz (the list is served) and /livez.
 type Server struct {
 	listener net.Listener
 	http     *http.Server
-	member   atomic.Pointer[raftnode.Node]
+	node     atomic.Pointer[raftnode.Node]
 	api      *api.Server
 }
 
@@ -43,13 +43,13 @@
 	mux.Handle("GET /metrics", promhttp.HandlerFor(all, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "yes") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if m := s.member.Load(); m != nil && m.Serving() {
+		if m := s.node.Load(); m != nil && m.Serving() {
 			fmt.Fprintln(w, "yes")
 			return
 		}
 		http.Error(w, "the list is not served: this member has no leader, or waits for the others", http.StatusServiceUnavailable)
 	})
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headWait, WriteTimeout: 2 * headWait}
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, WriteTimeout: 2 * headerTimeout}
 	return s, nil
 }
 
@@ -57,7 +57,7 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Open has it show a member.
-func (s *Server) SetNode(m *raftnode.Node) { s.member.Store(m) }
+func (s *Server) SetNode(m *raftnode.Node) { s.node.Store(m) }
 
 // Serve answers until End.
 func (s *Server) Serve() error {
@@ -75,26 +75,26 @@
 }
 
 var (
-	index    = desc("index", "Newest version of the list on this member.")
-	nodos    = desc("nodos", "Nodos in the list.")
-	leads    = desc("leads", "1 if this member leads.")
-	serving  = desc("serving", "1 if the list is told: it was proved current lately enough.")
-	age      = desc("age_seconds", "Since the list was last proved current; -1 if never.")
-	term     = desc("term", "The consensus's term.")
-	abstains = desc("abstains", "1 if this member lost its directory and does not vote until it has caught up.")
-	overdue  = desc("leases_overdue", "Leases that are over and whose nodos are held, on the leader.")
-	held     = desc("zones_held", "Zones in which too many leases ended together, on the leader.")
-	expired  = desc("leases_ended_total", "Leases that ended since this member leads.")
-	watching = desc("watches", "Watches that are held.")
-	calls    = desc("calls_total", "Calls.")
-	turned   = desc("calls_turned_total", "Calls answered 503.")
-	whole    = desc("answers_whole_total", "Answers with the whole list.")
-	changes  = desc("answers_changes_total", "Answers with changes, perhaps none.")
-	passed   = desc("calls_passed_total", "Calls passed on to the leader.")
-	configs  = desc("configurations", "Configurations of services that are kept.")
-	words    = desc("config_words", "Proxies that have told this member what they have in force.")
-	mute     = desc("config_words_dropped_total", "Words for which there was no room.")
-	encoded  = desc("encoded_total", "Answers encoded: callers at one version share one.")
+	listVersion         = desc("index", "Newest version of the list on this member.")
+	endpoints           = desc("nodos", "Nodos in the list.")
+	isLeader            = desc("leads", "1 if this member leads.")
+	serving             = desc("serving", "1 if the list is told: it was proved current lately enough.")
+	listAge             = desc("age_seconds", "Since the list was last proved current; -1 if never.")
+	term                = desc("term", "The consensus's term.")
+	abstains            = desc("abstains", "1 if this member lost its directory and does not vote until it has caught up.")
+	heldLeases          = desc("leases_overdue", "Leases that are over and whose nodos are held, on the leader.")
+	heldZones           = desc("zones_held", "Zones in which too many leases ended together, on the leader.")
+	expiredLeases       = desc("leases_ended_total", "Leases that ended since this member leads.")
+	watches             = desc("watches", "Watches that are held.")
+	calls               = desc("calls_total", "Calls.")
+	callsRejected       = desc("calls_turned_total", "Calls answered 503.")
+	snapshotResponses   = desc("answers_whole_total", "Answers with the whole list.")
+	changeResponses     = desc("answers_changes_total", "Answers with changes, perhaps none.")
+	callsForwarded      = desc("calls_passed_total", "Calls passed on to the leader.")
+	configurations      = desc("configurations", "Configurations of services that are kept.")
+	proxyReports        = desc("config_words", "Proxies that have told this member what they have in force.")
+	proxyReportsDropped = desc("config_words_dropped_total", "Words for which there was no room.")
+	responsesEncoded    = desc("encoded_total", "Answers encoded: callers at one version share one.")
 )
 
 // Describe implements prometheus.Collector.
@@ -113,35 +113,35 @@
 		return 0
 	}
 	var st raftnode.Status
-	if m := s.member.Load(); m != nil {
+	if m := s.node.Load(); m != nil {
 		st = m.Status()
-		count(encoded, m.Hub().Encoded())
+		count(responsesEncoded, m.Watches().Encoded())
 	} else {
 		st = raftnode.WaitingStatus("")
-		count(encoded, 0)
+		count(responsesEncoded, 0)
 	}
-	gauge(index, float64(st.Version))
-	gauge(nodos, float64(st.Endpoints))
-	gauge(leads, is(st.Role == "leader"))
+	gauge(listVersion, float64(st.Version))
+	gauge(endpoints, float64(st.Endpoints))
+	gauge(isLeader, is(st.Role == "leader"))
 	gauge(serving, is(st.Serving))
 	if st.AgeMs < 0 {
-		gauge(age, -1)
+		gauge(listAge, -1)
 	} else {
-		gauge(age, float64(st.AgeMs)/1000)
+		gauge(listAge, float64(st.AgeMs)/1000)
 	}
 	gauge(term, float64(st.Term))
 	gauge(abstains, is(st.Abstains))
-	gauge(overdue, float64(st.Overdue))
-	gauge(held, float64(st.Held))
-	count(expired, st.Expired)
+	gauge(heldLeases, float64(st.HeldLeases))
+	gauge(heldZones, float64(st.HeldZones))
+	count(expiredLeases, st.ExpiredLeases)
 	f := s.api.Metrics()
-	gauge(watching, float64(f.Watches))
+	gauge(watches, float64(f.Watches))
 	count(calls, f.Calls)
-	count(turned, f.Rejected)
-	count(whole, f.Snapshots)
-	count(changes, f.Changes)
-	count(passed, f.Forwarded)
-	gauge(configs, float64(st.Configurations))
-	gauge(words, float64(f.ProxyReports))
-	count(mute, f.ProxyReportsDropped)
+	count(callsRejected, f.Rejected)
+	count(snapshotResponses, f.Snapshots)
+	count(changeResponses, f.Changes)
+	count(callsForwarded, f.Forwarded)
+	gauge(configurations, float64(st.Configurations))
+	gauge(proxyReports, float64(f.ProxyReports))
+	count(proxyReportsDropped, f.ProxyReportsDropped)
 }
--- a/internal/registry/raftnode/configs.go
+++ b/internal/registry/raftnode/configs.go
@@ -18,7 +18,7 @@
 // later is found at the next put, and does not read the others' snapshots (state.Read): it says so and ends.
 
 // buildWait is how long a put waits to hear what the other members run: one that is stopped delays each put by so much.
-const buildWait = 500 * time.Millisecond
+const capabilityTimeout = 500 * time.Millisecond
 
 // BuildError is a member that keeps the service from taking configurations.
 type IncompatibleMemberError struct {
@@ -37,26 +37,26 @@
 func (e *IncompatibleMemberError) Unwrap() error { return e.Cause }
 
 // errNoText is a document that cannot be: its caller has not put it into the form that is kept.
-var errNoText = errors.New("a document that is no JSON")
+var errInvalidJSON = errors.New("a document that is no JSON")
 
 // Knows tells whether a member's build knows configurations. This one's does.
 func (m *Node) SupportsConfigs(ctx context.Context, p Peer) error {
 	if p.Name == m.cfg.Name {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, buildWait)
+	ctx, cancel := context.WithTimeout(ctx, capabilityTimeout)
 	defer cancel()
 	switch s, err := m.peers.status(ctx, p); {
 	case err != nil:
 		return &IncompatibleMemberError{p.Name, err}
-	case !s.Configs:
+	case !s.SupportsConfigs:
 		return &IncompatibleMemberError{p.Name, nil}
 	}
 	return nil
 }
 
 // allKnow asks all members.
-func (m *Node) allKnow(ctx context.Context) error {
+func (m *Node) checkAllSupportConfigs(ctx context.Context) error {
 	_, _, any := m.configurations()
 	faults := make([]error, len(m.cfg.Peers))
 	var asked sync.WaitGroup
@@ -76,16 +76,16 @@
 // Configure puts a service's document after a version. Only the leader can. With ErrUnsure it may happen yet.
 func (m *Node) Configure(ctx context.Context, service string, after int64, document json.RawMessage) (state.Result, error) {
 	if !json.Valid(document) {
-		return state.Result{}, errNoText
+		return state.Result{}, errInvalidJSON
 	}
-	if !m.isLeading() {
+	if !m.isLeader() {
 		return state.Result{}, ErrNotLeader
 	}
-	if err := m.allKnow(ctx); err != nil {
+	if err := m.checkAllSupportConfigs(ctx); err != nil {
 		return state.Result{}, err
 	}
-	m.puts.RLock()
-	defer m.puts.RUnlock()
+	m.configWrites.RLock()
+	defer m.configWrites.RUnlock()
 	return m.Propose(state.Command{Kind: state.CommandConfigure, Service: service, After: after, Document: document})
 }
 
@@ -101,7 +101,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	i := state.Snapshot{Version: m.state.Version(), Configs: m.state.Configurations()}
-	return i.Configs, i.Newest(), len(i.Configs) > 0
+	return i.Configs, i.NewestVersion(), len(i.Configs) > 0
 }
 
 // Others are the members but for this one.
--- a/internal/registry/raftnode/fresh.go
+++ b/internal/registry/raftnode/freshness.go
@@ -10,7 +10,7 @@
 // Proof is what this leader's list is now: it has made sure with a majority that it leads. All that was acknowledged
 // before the call is in it, since a command is acknowledged once the leader's list has it.
 func (m *Node) ReadIndex() (ReadIndex, error) {
-	if !m.isLeading() {
+	if !m.isLeader() {
 		return ReadIndex{}, ErrNotLeader
 	}
 	p := ReadIndex{Commit: m.raft.CommitIndex()}
@@ -25,7 +25,7 @@
 
 // Age is the time since the list was last proved current.
 func (m *Node) Age() time.Duration {
-	if at := m.fresh.Load(); at != nil {
+	if at := m.confirmedAt.Load(); at != nil {
 		return time.Since(*at)
 	}
 	return math.MaxInt64
@@ -41,16 +41,16 @@
 func (m *Node) WaitLinearizable(ctx context.Context) error {
 	begun := time.Now()
 	select {
-	case m.newer <- struct{}{}: // not at the next poll but now
+	case m.confirmNow <- struct{}{}: // not at the next poll but now
 	default:
 	}
 	patience := time.NewTimer(m.cfg.MaxListAge)
 	defer patience.Stop()
 	for {
-		m.waitMu.Lock()
-		next := m.waiter
-		m.waitMu.Unlock()
-		if at := m.fresh.Load(); at != nil && at.After(begun) {
+		m.confirmedMu.Lock()
+		next := m.confirmed
+		m.confirmedMu.Unlock()
+		if at := m.confirmedAt.Load(); at != nil && at.After(begun) {
 			return nil
 		}
 		select {
@@ -59,48 +59,48 @@
 			return ErrStale
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-m.ctx.Done():
+		case <-m.lifetime.Done():
 			return ErrStale
 		}
 	}
 }
 
 // keepFresh owns the member's freshness.
-func (m *Node) keepFresh() {
+func (m *Node) runFreshness() {
 	polls := time.NewTicker(FreshnessInterval)
 	defer polls.Stop()
 	serves := false
 	for {
 		at := time.Now()
-		err := m.prove(at)
+		err := m.confirmUpToDate(at)
 		if now := m.Serving(); now != serves {
 			if serves = now; now {
-				m.log.Info("the list is served")
+				m.logger.Info("the list is served")
 			} else {
-				m.log.Error("the list is not served: the leader is lost", "age", m.Age(), "bound", m.cfg.MaxListAge, "error", err)
+				m.logger.Error("the list is not served: the leader is lost", "age", m.Age(), "bound", m.cfg.MaxListAge, "error", err)
 			}
-			m.hub.NotifyChange() // those who wait are told
+			m.watches.NotifyChange() // those who wait are told
 		}
 		select {
 		case <-polls.C:
-		case <-m.newer:
-		case <-m.ctx.Done():
+		case <-m.confirmNow:
+		case <-m.lifetime.Done():
 			return
 		}
 	}
 }
 
 // prove gets one proof that the list was current at a moment.
-func (m *Node) prove(at time.Time) error {
-	ctx, cancel := context.WithTimeout(m.ctx, m.cfg.MaxListAge)
+func (m *Node) confirmUpToDate(at time.Time) error {
+	ctx, cancel := context.WithTimeout(m.lifetime, m.cfg.MaxListAge)
 	defer cancel()
-	p, err := m.proof(ctx)
+	p, err := m.requestReadIndex(ctx)
 	if err != nil {
 		return err
 	}
 	for {
 		m.mu.Lock()
-		has, next := p.holds(m.state), m.moved
+		has, next := p.coveredBy(m.state), m.stateChanged
 		m.mu.Unlock()
 		if has {
 			break
@@ -111,28 +111,28 @@
 			return ErrStale
 		}
 	}
-	m.fresh.Store(&at)
-	m.waitMu.Lock()
-	close(m.waiter)
-	m.waiter = make(chan struct{})
-	m.waitMu.Unlock()
-	if m.voice != nil && m.voice.abstains.Load() && m.raft.AppliedIndex() >= p.Commit {
+	m.confirmedAt.Store(&at)
+	m.confirmedMu.Lock()
+	close(m.confirmed)
+	m.confirmed = make(chan struct{})
+	m.confirmedMu.Unlock()
+	if m.voting != nil && m.voting.abstains.Load() && m.raft.AppliedIndex() >= p.Commit {
 		if err := m.store.Set(abstainKey, []byte{0}); err != nil {
 			return err
 		}
-		m.voice.abstains.Store(false)
-		m.log.Info("this member holds all that is confirmed: it votes from now on")
+		m.voting.abstains.Store(false)
+		m.logger.Info("this member holds all that is confirmed: it votes from now on")
 	}
 	return nil
 }
 
-func (m *Node) proof(ctx context.Context) (ReadIndex, error) {
-	if m.isLeading() {
+func (m *Node) requestReadIndex(ctx context.Context) (ReadIndex, error) {
+	if m.isLeader() {
 		return m.ReadIndex()
 	}
 	p, ok := m.Leader()
 	if !ok || p.Name == m.cfg.Name {
 		return ReadIndex{}, ErrNoLeader
 	}
-	return m.peers.proof(ctx, p)
+	return m.peers.readIndex(ctx, p)
 }
--- a/internal/registry/raftnode/fresh_test.go
+++ b/internal/registry/raftnode/freshness_test.go
@@ -26,11 +26,11 @@
 		puts  []string
 		holds bool
 	}{{nil, false}, {[]string{"a"}, false}, {[]string{"a", "b"}, false}, {[]string{"a", "b", "a"}, true}, {[]string{"a", "b", "a", "b"}, true}} {
-		if s := begun(c.puts...); p.holds(s) != c.holds {
+		if s := begun(c.puts...); p.coveredBy(s) != c.holds {
 			t.Errorf("after %v: %v", c.puts, !c.holds)
 		}
 	}
-	if !(ReadIndex{Epoch: "l", Version: 100}).holds(begun()) || (ReadIndex{Epoch: "m", Version: 100}).holds(begun()) || (ReadIndex{Epoch: "l", Version: 101}).holds(begun()) {
+	if !(ReadIndex{Epoch: "l", Version: 100}).coveredBy(begun()) || (ReadIndex{Epoch: "m", Version: 100}).coveredBy(begun()) || (ReadIndex{Epoch: "l", Version: 101}).coveredBy(begun()) {
 		t.Error("the list's part of a proof")
 	}
 }
--- a/internal/registry/raftnode/machine.go
+++ b/internal/registry/raftnode/fsm.go
@@ -11,30 +11,30 @@
 )
 
 // machine is the member as consensus feeds it.
-type machine Node
+type fsm Node
 
 // Apply implements raft.FSM.
-func (f *machine) Apply(l *raft.Log) any {
+func (f *fsm) Apply(l *raft.Log) any {
 	c, err := state.Decode(l.Data)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	defer f.move()
+	defer f.notifyStateChanged()
 	if err != nil { // the checksum held, so another version wrote it: all members pass over it alike
-		f.log.Error("a command of the log is passed over", "index", l.Index, "error", err)
+		f.logger.Error("a command of the log is passed over", "index", l.Index, "error", err)
 		return err
 	}
 	r := f.state.Apply(c)
-	if f.leading && r.Code == state.ResultDone {
-		f.lease(c)
+	if f.leaderReady && r.Code == state.ResultDone {
+		f.updateLeases(c)
 	}
 	if r.Changed || c.Kind == state.CommandBegin {
-		f.hub.NotifyChange()
+		f.watches.NotifyChange()
 	}
 	return r
 }
 
 // lease has the leases follow a command.
-func (f *machine) lease(c state.Command) {
+func (f *fsm) updateLeases(c state.Command) {
 	switch c.Kind {
 	case state.CommandRegister:
 		if r, ok := f.state.Get(c.Record.Name); ok {
@@ -50,22 +50,22 @@
 }
 
 // move wakes those who wait for the state to move.
-func (f *machine) move() {
-	close(f.moved)
-	f.moved = make(chan struct{})
+func (f *fsm) notifyStateChanged() {
+	close(f.stateChanged)
+	f.stateChanged = make(chan struct{})
 }
 
 // Snapshot implements raft.FSM.
-func (f *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return image(f.state.Snapshot()), nil
+	return fsmSnapshot(f.state.Snapshot()), nil
 }
 
 // Restore implements raft.FSM.
-func (f *machine) Restore(r io.ReadCloser) error {
+func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	i, err := state.Read(r)
+	i, err := state.ReadSnapshot(r)
 	if err != nil {
 		return err
 	}
@@ -74,15 +74,15 @@
 	if err := f.state.Load(i); err != nil {
 		return fmt.Errorf("%w: %w", state.ErrDamaged, err)
 	}
-	f.move()
-	f.hub.NotifyChange()
+	f.notifyStateChanged()
+	f.watches.NotifyChange()
 	return nil
 }
 
-type image state.Snapshot
+type fsmSnapshot state.Snapshot
 
 // Persist implements raft.FSMSnapshot.
-func (i image) Persist(sink raft.SnapshotSink) error {
+func (i fsmSnapshot) Persist(sink raft.SnapshotSink) error {
 	if err := state.Snapshot(i).Write(sink); err != nil {
 		_ = sink.Cancel()
 		return err
@@ -91,4 +91,4 @@
 }
 
 // Release implements raft.FSMSnapshot.
-func (image) Release() {}
+func (fsmSnapshot) Release() {}
--- a/internal/registry/raftnode/golden_test.go
+++ b/internal/registry/raftnode/golden_test.go
@@ -13,7 +13,7 @@
 func TestAnswersOfAMemberAreAsBefore(t *testing.T) {
 	left := int64(1234)
 	record := state.Record{Instance: "i1", LeaseMs: 5000, Endpoint: state.Endpoint{Name: "n1", Address: "10.0.0.1:80", Zone: "a",
-		Type: "web", Group: 2, Status: state.StatusServing, Weight: 0.5, Since: 1_700_000_000_000}}
+		Type: "web", Cell: 2, Status: state.StatusServing, Weight: 0.5, StartedAtMs: 1_700_000_000_000}}
 	var text bytes.Buffer
 	out := json.NewEncoder(&text)
 	for _, v := range []any{
@@ -21,7 +21,7 @@
 		[]EndpointStatus{{Record: record}, {Record: record, LeaseLeftMs: &left}},
 		Status{}, WaitingStatus("r1"),
 		Status{Name: "r1", Role: "leader", Leader: "r1", Term: 2, Epoch: "5f0e", Version: 3, Endpoints: 4, AgeMs: 5, Serving: true,
-			Abstains: true, Empty: true, Configs: true, Overdue: 6, Held: 7, Expired: 8, Configurations: 9},
+			Abstains: true, Empty: true, SupportsConfigs: true, HeldLeases: 6, HeldZones: 7, ExpiredLeases: 8, Configurations: 9},
 	} {
 		if err := out.Encode(v); err != nil {
 			t.Fatal(err)
--- a/internal/registry/raftnode/lead.go
+++ b/internal/registry/raftnode/leadership.go
@@ -11,63 +11,63 @@
 
 // lead owns what the leader does beside the log: it notes when this member begins and ceases to lead, begins the first
 // line, and lets leases end.
-func (m *Node) lead() {
-	looks := time.NewTicker(tick)
+func (m *Node) runLeadership() {
+	looks := time.NewTicker(leaseSweepInterval)
 	defer looks.Stop()
 	for {
 		select {
 		case leads := <-m.raft.LeaderCh():
 			if !leads {
-				m.cease()
+				m.stopLeading()
 				continue
 			}
-			m.begin()
+			m.startLeading()
 		case <-looks.C:
 			switch {
-			case m.isLeading():
-				m.lookOver()
+			case m.isLeader():
+				m.sweepLeases()
 			case m.raft.State() == raft.Leader: // what had to be confirmed first was not, in its time
-				m.begin()
+				m.startLeading()
 			}
-		case <-m.ctx.Done():
-			m.cease()
+		case <-m.lifetime.Done():
+			m.stopLeading()
 			return
 		}
 	}
 }
 
-func (m *Node) cease() {
+func (m *Node) stopLeading() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.leading {
-		m.log.Info("this member leads no more")
+	if m.leaderReady {
+		m.logger.Info("this member leads no more")
 	}
-	m.leading = false
+	m.leaderReady = false
 }
 
-func (m *Node) begin() {
-	if err := m.raft.Barrier(10 * applyWait).Error(); err != nil {
-		m.log.Warn("the lead was lost before it began", "error", err)
+func (m *Node) startLeading() {
+	if err := m.raft.Barrier(10 * applyTimeout).Error(); err != nil {
+		m.logger.Warn("the lead was lost before it began", "error", err)
 		return
 	}
 	line, former := m.Version()
 	if line == "" {
-		first := state.Command{Kind: state.CommandBegin, Epoch: newLine(), FirstVersion: state.FirstVersion(time.Now(), former)}
+		first := state.Command{Kind: state.CommandBegin, Epoch: newEpoch(), FirstVersion: state.FirstVersion(time.Now(), former)}
 		if _, err := m.apply(first); err != nil {
-			m.log.Warn("the list could not be begun", "error", err)
+			m.logger.Warn("the list could not be begun", "error", err)
 			return
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leases.Reset(time.Now(), m.state.Records())
-	m.leading, m.expired = true, 0
-	m.log.Info("this member leads", "term", m.raft.CurrentTerm(), "index", m.state.Version(), "nodos", m.state.Len())
+	m.leaderReady, m.expiredLeases = true, 0
+	m.logger.Info("this member leads", "term", m.raft.CurrentTerm(), "index", m.state.Version(), "nodos", m.state.Len())
 }
 
 // lookOver has the leases that have ended end. A leader that cannot tell whether it leads ends none: it may be the one
 // that the renewals do not reach.
-func (m *Node) lookOver() {
+func (m *Node) sweepLeases() {
 	stale := m.Age() > m.cfg.MaxListAge
 	m.mu.Lock()
 	now := time.Now()
@@ -78,31 +78,31 @@
 		return
 	}
 	l := m.leases.Sweep(now)
-	m.look = l
+	m.lastSweep = l
 	m.mu.Unlock()
 	if l.Paused > 0 {
-		m.log.Warn("this process stood still: no lease ran meanwhile", "for", l.Paused)
+		m.logger.Warn("this process stood still: no lease ran meanwhile", "for", l.Paused)
 	}
 	for _, z := range l.HoldsStarted {
-		m.log.Error("too many leases of a zone ended together: its nodos are kept, and let go slowly", "zone", z,
-			"overdue", l.Overdue, "part", m.cfg.Lease.HoldThreshold, "pace", m.cfg.Lease.ReleaseRate)
+		m.logger.Error("too many leases of a zone ended together: its nodos are kept, and let go slowly", "zone", z,
+			"overdue", l.HeldLeases, "part", m.cfg.Lease.HoldThreshold, "pace", m.cfg.Lease.ReleaseRate)
 	}
 	for _, z := range l.HoldsEnded {
-		m.log.Info("a zone's nodos are no longer held", "zone", z)
+		m.logger.Info("a zone's nodos are no longer held", "zone", z)
 	}
 	if len(l.Expired) == 0 {
 		return
 	}
 	_, err := m.apply(state.Command{Kind: state.CommandExpire, Refs: l.Expired})
 	if err == nil {
-		m.log.Info("leases ended", "nodos", l.Expired)
+		m.logger.Info("leases ended", "nodos", l.Expired)
 		m.mu.Lock()
-		m.expired += int64(len(l.Expired))
+		m.expiredLeases += int64(len(l.Expired))
 		m.mu.Unlock()
 		return
 	}
 	if !errors.Is(err, ErrNotLeader) {
-		m.log.Warn("leases that ended stand for another time", "nodos", len(l.Expired), "error", err)
+		m.logger.Warn("leases that ended stand for another time", "nodos", len(l.Expired), "error", err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/registry/raftnode/log.go
+++ b/internal/registry/raftnode/logging.go
@@ -12,13 +12,13 @@
 // newLogger has the consensus's lines go where the program's go.
 func newLogger(log *slog.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Name: "consensus", Level: hclog.Info, JSONFormat: true, DisableTime: true,
-		Output: (*lines)(log)})
+		Output: (*logWriter)(log)})
 }
 
-type lines slog.Logger
+type logWriter slog.Logger
 
 // Write implements io.Writer: one line a call.
-func (l *lines) Write(text []byte) (int, error) {
+func (l *logWriter) Write(text []byte) (int, error) {
 	var line map[string]any
 	log := (*slog.Logger)(l)
 	if json.Unmarshal(bytes.TrimSpace(text), &line) != nil {
--- a/internal/registry/raftnode/node.go
+++ b/internal/registry/raftnode/node.go
@@ -50,17 +50,17 @@
 
 const (
 	// Poll is between two proofs of freshness.
-	FreshnessInterval = 250 * time.Millisecond
-	tick              = 100 * time.Millisecond // between two looks at the leases
-
-	applyWait     = 2 * time.Second // for a command to be committed
-	snapshotEvery = 2048            // entries
-	trailing      = 2048            // and are kept after it, for members that are behind
-	snapshotsKept = 2
-	poolSize      = 3
-	ioWait        = 5 * time.Second
-	shutdownWait  = 3 * time.Second
-	bootEntries   = 1 // of the log, that a member begins with: nothing was promised in them
+	FreshnessInterval  = 250 * time.Millisecond
+	leaseSweepInterval = 100 * time.Millisecond // between two looks at the leases
+
+	applyTimeout         = 2 * time.Second // for a command to be committed
+	snapshotThreshold    = 2048            // entries
+	trailingLogs         = 2048            // and are kept after it, for members that are behind
+	retainedSnapshots    = 2
+	maxPooledConnections = 3
+	ioTimeout            = 5 * time.Second
+	shutdownTimeout      = 3 * time.Second
+	bootstrapEntries     = 1 // of the log, that a member begins with: nothing was promised in them
 )
 
 // Peer is a member as others find it.
@@ -92,36 +92,36 @@
 
 // Member is one member.
 type Node struct {
-	cfg    Config
-	log    *slog.Logger
-	store  *store.Store
-	raft   *raft.Raft
-	trans  raft.Transport
-	voice  *voice // nil for an only member
-	hub    *watch.Hub
-	peers  *peers
-	puts   sync.RWMutex // a restore waits for the puts that are under way, and they for it
-	ctx    context.Context
-	stop   context.CancelFunc
-	all    sync.WaitGroup
-	fresh  atomic.Pointer[time.Time]
-	newer  chan struct{} // asks for a proof now, not at the next poll
-	waitMu sync.Mutex
-	waiter chan struct{} // closed at the next proof
-
-	mu      sync.Mutex // of what follows
-	state   *state.State
-	leases  *lease.Table
-	leading bool
-	look    lease.Sweep // the last one's figures
-	expired int64
-	moved   chan struct{} // closed when the state has moved
+	cfg          Config
+	logger       *slog.Logger
+	store        *store.Store
+	raft         *raft.Raft
+	transport    raft.Transport
+	voting       *votingTransport // nil for an only member
+	watches      *watch.Hub
+	peers        *peerClient
+	configWrites sync.RWMutex // a restore waits for the puts that are under way, and they for it
+	lifetime     context.Context
+	stop         context.CancelFunc
+	background   sync.WaitGroup
+	confirmedAt  atomic.Pointer[time.Time]
+	confirmNow   chan struct{} // asks for a proof now, not at the next poll
+	confirmedMu  sync.Mutex
+	confirmed    chan struct{} // closed at the next proof
+
+	mu            sync.Mutex // of what follows
+	state         *state.State
+	leases        *lease.Table
+	leaderReady   bool
+	lastSweep     lease.Sweep // the last one's figures
+	expiredLeases int64
+	stateChanged  chan struct{} // closed when the state has moved
 }
 
 // Open opens a member's directory and joins the others. One whose directory is empty waits for them, for as long as the
 // context lasts; meanwhile its caller has to answer them with Waiting.
 func Open(ctx context.Context, cfg Config) (*Node, error) {
-	snaps, newest, err := snapshots(cfg.Dir, newLogger(cfg.Logger))
+	snaps, newest, err := openSnapshots(cfg.Dir, newLogger(cfg.Logger))
 	if err != nil {
 		return nil, err
 	}
@@ -129,23 +129,23 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &Node{cfg: cfg, log: cfg.Logger, store: st, state: state.New(), leases: lease.New(cfg.Lease),
-		newer: make(chan struct{}, 1), waiter: make(chan struct{}), moved: make(chan struct{})}
-	m.hub = watch.New(m)
-	m.ctx, m.stop = context.WithCancel(context.Background())
-	m.peers = newPeers(cfg)
-	if err := m.join(ctx, snaps, fresh); err != nil {
+	m := &Node{cfg: cfg, logger: cfg.Logger, store: st, state: state.New(), leases: lease.New(cfg.Lease),
+		confirmNow: make(chan struct{}, 1), confirmed: make(chan struct{}), stateChanged: make(chan struct{})}
+	m.watches = watch.New(m)
+	m.lifetime, m.stop = context.WithCancel(context.Background())
+	m.peers = newPeerClient(cfg)
+	if err := m.startRaft(ctx, snaps, fresh); err != nil {
 		m.stop()
 		st.Close()
 		return nil, err
 	}
-	m.all.Go(func() { m.hub.Run(m.ctx) })
-	m.all.Go(m.keepFresh)
-	m.all.Go(m.lead)
+	m.background.Go(func() { m.watches.Run(m.lifetime) })
+	m.background.Go(m.runFreshness)
+	m.background.Go(m.runLeadership)
 	return m, nil
 }
 
-func (m *Node) join(ctx context.Context, snaps raft.SnapshotStore, fresh bool) error {
+func (m *Node) startRaft(ctx context.Context, snaps raft.SnapshotStore, fresh bool) error {
 	cfg := m.cfg
 	logger := newLogger(cfg.Logger)
 	var err error
@@ -153,34 +153,34 @@
 	rc.LocalID = raft.ServerID(cfg.Name)
 	rc.Logger = logger
 	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = cfg.ElectionTimeout, cfg.ElectionTimeout, cfg.ElectionTimeout/2
-	rc.SnapshotThreshold, rc.TrailingLogs = snapshotEvery, trailing
+	rc.SnapshotThreshold, rc.TrailingLogs = snapshotThreshold, trailingLogs
 	rc.SnapshotInterval = 30 * time.Second
 	servers := []raft.Server{{ID: rc.LocalID, Address: raft.ServerAddress(cfg.Name)}}
 	abstain := false
 	if len(cfg.Peers) == 0 {
-		_, m.trans = raft.NewInmemTransport(raft.ServerAddress(cfg.Name))
+		_, m.transport = raft.NewInmemTransport(raft.ServerAddress(cfg.Name))
 	} else {
 		servers = nil
 		for _, p := range cfg.Peers {
 			servers = append(servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Name)})
 		}
-		if abstain, err = m.abstains(ctx, fresh); err != nil {
+		if abstain, err = m.mustAbstain(ctx, fresh); err != nil {
 			return err
 		}
 		layer, err := listen(cfg)
 		if err != nil {
 			return err
 		}
-		m.voice = newVoice(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, MaxPool: poolSize,
-			Timeout: ioWait, Logger: logger, ServerAddressProvider: addresses(cfg.Peers)}), abstain)
-		m.trans = m.voice
+		m.voting = newVotingTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, MaxPool: maxPooledConnections,
+			Timeout: ioTimeout, Logger: logger, ServerAddressProvider: peerAddresses(cfg.Peers)}), abstain)
+		m.transport = m.voting
 	}
 	if fresh && !abstain {
-		if err := raft.BootstrapCluster(rc, m.store, m.store, snaps, m.trans, raft.Configuration{Servers: servers}); err != nil {
+		if err := raft.BootstrapCluster(rc, m.store, m.store, snaps, m.transport, raft.Configuration{Servers: servers}); err != nil {
 			return fmt.Errorf("begin the service: %w", err)
 		}
 	}
-	if m.raft, err = raft.NewRaft(rc, (*machine)(m), m.store, m.store, snaps, m.trans); err != nil {
+	if m.raft, err = raft.NewRaft(rc, (*fsm)(m), m.store, m.store, snaps, m.transport); err != nil {
 		return fmt.Errorf("start from %s: %w", cfg.Dir, err)
 	}
 	return nil
@@ -188,8 +188,8 @@
 
 // snapshots opens the consensus's own snapshots, and reads each: the consensus would pass over a damaged one, and begin
 // with an older one and a gap. Newest is the index that the newest one reaches.
-func snapshots(dir string, logger hclog.Logger) (s *raft.FileSnapshotStore, newest uint64, err error) {
-	if s, err = raft.NewFileSnapshotStoreWithLogger(dir, snapshotsKept, logger); err != nil {
+func openSnapshots(dir string, logger hclog.Logger) (s *raft.FileSnapshotStore, newest uint64, err error) {
+	if s, err = raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, logger); err != nil {
 		return nil, 0, fmt.Errorf("snapshots: %w", err)
 	}
 	below, err := os.ReadDir(filepath.Join(dir, "snapshots"))
@@ -200,7 +200,7 @@
 		if !d.IsDir() || strings.HasSuffix(d.Name(), ".tmp") { // one that was being written when the process ended
 			continue
 		}
-		index, err := readable(s, d.Name())
+		index, err := verifySnapshot(s, d.Name())
 		if err != nil {
 			return nil, 0, fmt.Errorf("%s: %w: %w; nothing was changed. If the other members serve, move the member's "+
 				"directory away and start it empty", filepath.Join(dir, "snapshots", d.Name()), store.ErrDamaged, err)
@@ -210,13 +210,13 @@
 	return s, newest, nil
 }
 
-func readable(s *raft.FileSnapshotStore, id string) (index uint64, err error) {
+func verifySnapshot(s *raft.FileSnapshotStore, id string) (index uint64, err error) {
 	meta, r, err := s.Open(id)
 	if err != nil {
 		return 0, err
 	}
 	defer r.Close()
-	_, err = state.Read(r)
+	_, err = state.ReadSnapshot(r)
 	return meta.Index, err
 }
 
@@ -224,26 +224,26 @@
 func (m *Node) Close() error {
 	if m.raft.State() == raft.Leader && len(m.cfg.Peers) > 1 {
 		if err := m.raft.LeadershipTransfer().Error(); err != nil {
-			m.log.Warn("the lead could not be handed over", "error", err)
+			m.logger.Warn("the lead could not be handed over", "error", err)
 		}
 	}
 	m.stop()
-	m.all.Wait()
+	m.background.Wait()
 	done := make(chan error, 1)
 	go func() { done <- m.raft.Shutdown().Error() }()
 	select {
 	case err := <-done:
-		if c, ok := m.trans.(io.Closer); ok {
+		if c, ok := m.transport.(io.Closer); ok {
 			err = errors.Join(err, c.Close())
 		}
 		return errors.Join(err, m.store.Close())
-	case <-time.After(shutdownWait):
+	case <-time.After(shutdownTimeout):
 		return errors.New("the consensus did not end in time; its directory is as after a kill, which does no harm")
 	}
 }
 
 // Hub tells callers of changes.
-func (m *Node) Hub() *watch.Hub { return m.hub }
+func (m *Node) Watches() *watch.Hub { return m.watches }
 
 // Version implements fanout.Source.
 func (m *Node) Version() (string, int64) {
@@ -274,14 +274,14 @@
 
 // Do has the members agree on a command. Only the leader can. With ErrUnsure it may happen yet.
 func (m *Node) Propose(c state.Command) (state.Result, error) {
-	if !m.isLeading() {
+	if !m.isLeader() {
 		return state.Result{}, ErrNotLeader
 	}
 	return m.apply(c)
 }
 
 func (m *Node) apply(c state.Command) (state.Result, error) {
-	f := m.raft.Apply(c.Encode(), applyWait)
+	f := m.raft.Apply(c.Encode(), applyTimeout)
 	done := make(chan error, 1)
 	go func() { done <- f.Error() }()
 	select {
@@ -292,7 +292,7 @@
 		case err != nil:
 			return state.Result{}, fmt.Errorf("%w (%w)", ErrUncertain, err)
 		}
-	case <-time.After(applyWait):
+	case <-time.After(applyTimeout):
 		return state.Result{}, ErrUncertain
 	}
 	r, ok := f.Response().(state.Result)
@@ -302,10 +302,10 @@
 	return r, nil
 }
 
-func (m *Node) isLeading() bool {
+func (m *Node) isLeader() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.leading
+	return m.leaderReady
 }
 
 // Renew has a nodo's lease last on, and tells its record and the newest version. ErrStale: a leader that cannot tell
@@ -316,7 +316,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.leading {
+	if !m.leaderReady {
 		return r, 0, "", ErrNotLeader
 	}
 	r, ok := m.state.Get(ref.Name)
@@ -348,7 +348,7 @@
 	out := make([]EndpointStatus, len(records))
 	for i, r := range records {
 		out[i].Record = r
-		if left, ok := m.leases.Remaining(now, r.Name); ok && m.leading {
+		if left, ok := m.leases.Remaining(now, r.Name); ok && m.leaderReady {
 			ms := left.Milliseconds()
 			out[i].LeaseLeftMs = &ms
 		}
@@ -363,7 +363,7 @@
 	return m.state.Snapshot()
 }
 
-func newLine() string {
+func newEpoch() string {
 	b := make([]byte, 8)
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
@@ -385,33 +385,33 @@
 
 // Status is a member as operators see it.
 type Status struct {
-	Name      string `json:"name"`
-	Role      string `json:"role"`
-	Leader    string `json:"leader"`
-	Term      uint64 `json:"term"`
-	Epoch     string `json:"line"`
-	Version   int64  `json:"index"`
-	Endpoints int    `json:"nodos"`
-	AgeMs     int64  `json:"age_ms"` // since its list was last proved current; -1: never
-	Serving   bool   `json:"serving"`
-	Abstains  bool   `json:"abstains"` // it has lost its directory and is catching up: it does not vote
-	Empty     bool   `json:"empty"`    // it holds nothing yet
-	Configs   bool   `json:"configs"`  // its build knows configurations; one that does not say so has none
-	Overdue   int    `json:"overdue"`  // leases that are over and held, on the leader
-	Held      int    `json:"held_zones"`
-	Expired   int64  `json:"expired"` // leases that this leader has let end
+	Name            string `json:"name"`
+	Role            string `json:"role"`
+	Leader          string `json:"leader"`
+	Term            uint64 `json:"term"`
+	Epoch           string `json:"line"`
+	Version         int64  `json:"index"`
+	Endpoints       int    `json:"nodos"`
+	AgeMs           int64  `json:"age_ms"` // since its list was last proved current; -1: never
+	Serving         bool   `json:"serving"`
+	Abstains        bool   `json:"abstains"` // it has lost its directory and is catching up: it does not vote
+	Empty           bool   `json:"empty"`    // it holds nothing yet
+	SupportsConfigs bool   `json:"configs"`  // its build knows configurations; one that does not say so has none
+	HeldLeases      int    `json:"overdue"`  // leases that are over and held, on the leader
+	HeldZones       int    `json:"held_zones"`
+	ExpiredLeases   int64  `json:"expired"` // leases that this leader has let end
 
 	Configurations int `json:"configurations"` // that are kept
 }
 
 // Status tells how the member is.
 func (m *Node) Status() Status {
-	s := Status{Name: m.cfg.Name, Configs: true, Role: strings.ToLower(m.raft.State().String()), Term: m.raft.CurrentTerm(), AgeMs: -1,
-		Empty: m.raft.LastIndex() <= bootEntries, Abstains: m.voice != nil && m.voice.abstains.Load()}
+	s := Status{Name: m.cfg.Name, SupportsConfigs: true, Role: strings.ToLower(m.raft.State().String()), Term: m.raft.CurrentTerm(), AgeMs: -1,
+		Empty: m.raft.LastIndex() <= bootstrapEntries, Abstains: m.voting != nil && m.voting.abstains.Load()}
 	if p, ok := m.Leader(); ok {
 		s.Leader = p.Name
 	}
-	if m.fresh.Load() != nil {
+	if m.confirmedAt.Load() != nil {
 		s.AgeMs = m.Age().Milliseconds()
 	}
 	s.Serving = m.Serving()
@@ -419,16 +419,16 @@
 	defer m.mu.Unlock()
 	s.Epoch, s.Version, s.Endpoints = m.state.Epoch(), m.state.Version(), m.state.Len()
 	s.Configurations = m.state.ConfigurationsLen()
-	if m.leading {
-		s.Overdue, s.Held, s.Expired = m.look.Overdue, m.look.HeldZones, m.expired
+	if m.leaderReady {
+		s.HeldLeases, s.HeldZones, s.ExpiredLeases = m.lastSweep.HeldLeases, m.lastSweep.HeldZones, m.expiredLeases
 	}
 	return s
 }
 
 // addresses finds members by name, each where this member's configuration has it.
-type addresses []Peer
+type peerAddresses []Peer
 
-func (a addresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
+func (a peerAddresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	for _, p := range a {
 		if p.Name == string(id) {
 			return raft.ServerAddress(p.Raft), nil
@@ -438,13 +438,13 @@
 }
 
 // stream is the consensus's connections: plain TCP.
-type stream struct{ net.Listener }
+type streamLayer struct{ net.Listener }
 
-func (stream) Dial(a raft.ServerAddress, patience time.Duration) (net.Conn, error) {
+func (streamLayer) Dial(a raft.ServerAddress, patience time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", string(a), patience)
 }
 
-func listen(cfg Config) (stream, error) {
+func listen(cfg Config) (streamLayer, error) {
 	at := cfg.Listen
 	for _, p := range cfg.Peers {
 		if p.Name == cfg.Name && at == "" {
@@ -453,9 +453,9 @@
 	}
 	l, err := net.Listen("tcp", at)
 	if err != nil {
-		return stream{}, fmt.Errorf("listen for the other members: %w", err)
+		return streamLayer{}, fmt.Errorf("listen for the other members: %w", err)
 	}
-	return stream{l}, nil
+	return streamLayer{l}, nil
 }
 
 // Check reads all that a member's directory holds, and changes nothing in it. Empty tells that it holds nothing.
@@ -463,7 +463,7 @@
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 		return true, nil
 	}
-	_, newest, err := snapshots(dir, newLogger(log))
+	_, newest, err := openSnapshots(dir, newLogger(log))
 	if err != nil {
 		return false, err
 	}
--- a/internal/registry/raftnode/peers.go
+++ b/internal/registry/raftnode/peers.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	peerWait   = time.Second
-	answerMost = 64 << 10
+	peerTimeout      = time.Second
+	maxResponseBytes = 64 << 10
 )
 
 // Proof is a leader's word on what its list was when a majority confirmed that it leads.
@@ -28,19 +28,19 @@
 }
 
 // holds tells whether a state has all that a proof is of.
-func (p ReadIndex) holds(s *state.State) bool {
+func (p ReadIndex) coveredBy(s *state.State) bool {
 	return s.Epoch() == p.Epoch && s.Version() >= p.Version && s.ConfigRevision() >= p.Configs
 }
 
 // peers asks the other members, over the address of the list.
-type peers struct{ client *http.Client }
+type peerClient struct{ client *http.Client }
 
-func newPeers(cfg Config) *peers {
-	return &peers{&http.Client{Timeout: peerWait, Transport: &http.Transport{MaxConnsPerHost: 4, MaxIdleConnsPerHost: 2,
+func newPeerClient(cfg Config) *peerClient {
+	return &peerClient{&http.Client{Timeout: peerTimeout, Transport: &http.Transport{MaxConnsPerHost: 4, MaxIdleConnsPerHost: 2,
 		IdleConnTimeout: time.Minute, DisableCompression: true}}}
 }
 
-func (p *peers) get(ctx context.Context, from Peer, path string, most int64, out any) error {
+func (p *peerClient) get(ctx context.Context, from Peer, path string, most int64, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+from.API+path, nil)
 	if err != nil {
 		return err
@@ -63,13 +63,13 @@
 	return nil
 }
 
-func (p *peers) proof(ctx context.Context, leader Peer) (out ReadIndex, err error) {
-	err = p.get(ctx, leader, "/v1/proof", answerMost, &out)
+func (p *peerClient) readIndex(ctx context.Context, leader Peer) (out ReadIndex, err error) {
+	err = p.get(ctx, leader, "/v1/proof", maxResponseBytes, &out)
 	return out, err
 }
 
-func (p *peers) status(ctx context.Context, of Peer) (out Status, err error) {
-	err = p.get(ctx, of, "/v1/member", answerMost, &out)
+func (p *peerClient) status(ctx context.Context, of Peer) (out Status, err error) {
+	err = p.get(ctx, of, "/v1/member", maxResponseBytes, &out)
 	if err == nil && out.Name != of.Name {
 		err = fmt.Errorf("%s answers as %q: the addresses of the configuration are mixed up", of.Name, out.Name)
 	}
--- a/internal/registry/raftnode/restore.go
+++ b/internal/registry/raftnode/restore.go
@@ -13,15 +13,15 @@
 // Restore has all members hold an image in place of their list, as a new line of versions above all before it. A
 // configuration that the image lacks stays.
 func (m *Node) Restore(i state.Snapshot) (line string, index int64, err error) {
-	if !m.isLeading() {
+	if !m.isLeader() {
 		return "", 0, ErrNotLeader
 	}
-	m.puts.Lock() // a put that was confirmed is in what stays
-	defer m.puts.Unlock()
+	m.configWrites.Lock() // a put that was confirmed is in what stays
+	defer m.configWrites.Unlock()
 	configs, newest, _ := m.configurations()
-	i = i.Rebase(newLine(), state.FirstVersion(time.Now(), max(i.Newest(), newest)), configs)
+	i = i.Rebase(newEpoch(), state.FirstVersion(time.Now(), max(i.NewestVersion(), newest)), configs)
 	if len(i.Configs) > 0 {
-		if err := m.allKnow(m.ctx); err != nil {
+		if err := m.checkAllSupportConfigs(m.lifetime); err != nil {
 			return "", 0, err
 		}
 	}
@@ -33,13 +33,13 @@
 		return "", 0, err
 	}
 	meta := raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(text.Len())}
-	if err := m.raft.Restore(&meta, strings.NewReader(text.String()), 10*applyWait); err != nil {
+	if err := m.raft.Restore(&meta, strings.NewReader(text.String()), 10*applyTimeout); err != nil {
 		return "", 0, fmt.Errorf("%w (%w)", ErrUncertain, err)
 	}
 	m.mu.Lock()
 	m.leases.Reset(time.Now(), m.state.Records())
 	m.mu.Unlock()
-	m.log.Warn("the list was restored from a snapshot", "line", i.Epoch, "index", i.Version, "nodos", len(i.Records),
+	m.logger.Warn("the list was restored from a snapshot", "line", i.Epoch, "index", i.Version, "nodos", len(i.Records),
 		"configurations", len(i.Configs))
 	return i.Epoch, i.Version, nil
 }
--- a/internal/registry/raftnode/voice.go
+++ b/internal/registry/raftnode/voting.go
@@ -15,32 +15,32 @@
 var abstainKey = []byte("Abstains")
 
 const (
-	askAgain  = 200 * time.Millisecond
-	tellAgain = 5 * time.Second
+	peerPollInterval = 200 * time.Millisecond
+	waitLogInterval  = 5 * time.Second
 )
 
-var errAbstains = errors.New("this member has lost its directory and does not vote yet")
+var errAbstaining = errors.New("this member has lost its directory and does not vote yet")
 
 // voice is the transport of a member that may have to abstain: it answers no candidate then.
-type voice struct {
+type votingTransport struct {
 	*raft.NetworkTransport
 	abstains atomic.Bool
-	calls    chan raft.RPC
+	requests chan raft.RPC
 	done     chan struct{}
 }
 
-func newVoice(t *raft.NetworkTransport, abstain bool) *voice {
-	v := &voice{NetworkTransport: t, calls: make(chan raft.RPC), done: make(chan struct{})}
+func newVotingTransport(t *raft.NetworkTransport, abstain bool) *votingTransport {
+	v := &votingTransport{NetworkTransport: t, requests: make(chan raft.RPC), done: make(chan struct{})}
 	v.abstains.Store(abstain)
-	go v.pass()
+	go v.filter()
 	return v
 }
 
 // Consumer implements raft.Transport.
-func (v *voice) Consumer() <-chan raft.RPC { return v.calls }
+func (v *votingTransport) Consumer() <-chan raft.RPC { return v.requests }
 
 // Close implements raft.WithClose.
-func (v *voice) Close() error {
+func (v *votingTransport) Close() error {
 	err := v.NetworkTransport.Close()
 	select {
 	case <-v.done:
@@ -50,16 +50,16 @@
 	return err
 }
 
-func (v *voice) pass() {
+func (v *votingTransport) filter() {
 	for {
 		select {
 		case call := <-v.NetworkTransport.Consumer():
-			if v.abstains.Load() && isCandidates(call.Command) {
-				call.Respond(nil, errAbstains)
+			if v.abstains.Load() && isElectionRequest(call.Command) {
+				call.Respond(nil, errAbstaining)
 				continue
 			}
 			select {
-			case v.calls <- call:
+			case v.requests <- call:
 			case <-v.done:
 				return
 			}
@@ -69,7 +69,7 @@
 	}
 }
 
-func isCandidates(command any) bool {
+func isElectionRequest(command any) bool {
 	switch command.(type) {
 	case *raft.RequestVoteRequest, *raft.RequestPreVoteRequest, *raft.TimeoutNowRequest:
 		return true
@@ -79,7 +79,7 @@
 
 // abstains tells whether this member has to abstain from elections. One with an empty directory waits until all others
 // have told what they hold, since one that is not asked may be the one that knows.
-func (m *Node) abstains(ctx context.Context, fresh bool) (bool, error) {
+func (m *Node) mustAbstain(ctx context.Context, fresh bool) (bool, error) {
 	if !fresh {
 		v, err := m.store.Get(abstainKey)
 		return err == nil && len(v) == 1 && v[0] == 1, nil // never set: it never had to
@@ -97,7 +97,7 @@
 				continue
 			}
 			if !s.Empty {
-				m.log.Warn("this member's directory is empty and the service is not: it abstains until it has caught up",
+				m.logger.Warn("this member's directory is empty and the service is not: it abstains until it has caught up",
 					"other", p.Name)
 				if err := m.store.Set(abstainKey, []byte{1}); err != nil {
 					return false, fmt.Errorf("note that it abstains: %w", err)
@@ -109,7 +109,7 @@
 		if len(empty) == len(m.cfg.Peers)-1 {
 			return false, nil
 		}
-		if time.Since(told) > tellAgain {
+		if time.Since(told) > waitLogInterval {
 			told = time.Now()
 			var missing []string
 			for _, p := range m.cfg.Peers {
@@ -117,10 +117,10 @@
 					missing = append(missing, p.Name+" at "+p.API)
 				}
 			}
-			m.log.Warn("a new service begins when all its members are there", "missing", strings.Join(missing, ", "))
+			m.logger.Warn("a new service begins when all its members are there", "missing", strings.Join(missing, ", "))
 		}
 		select {
-		case <-time.After(askAgain):
+		case <-time.After(peerPollInterval):
 		case <-ctx.Done():
 			return false, ctx.Err()
 		}
@@ -129,5 +129,5 @@
 
 // Waiting is the status of a member that has not opened yet.
 func WaitingStatus(name string) Status {
-	return Status{Name: name, Role: "joining", AgeMs: -1, Empty: true, Configs: true}
+	return Status{Name: name, Role: "joining", AgeMs: -1, Empty: true, SupportsConfigs: true}
 }
--- a/internal/registry/registrar/registrar.go
+++ b/internal/registry/registrar/registrar.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	callWait   = 2 * time.Second
-	pauseFirst = 50 * time.Millisecond
-	pauseMost  = 400 * time.Millisecond
-	answerMost = 64 << 10
-	renewPart  = 3 // of a lease passes between two renewals
+	callTimeout      = 2 * time.Second
+	initialBackoff   = 50 * time.Millisecond
+	maxBackoff       = 400 * time.Millisecond
+	maxResponseBytes = 64 << 10
+	renewalsPerLease = 3 // of a lease passes between two renewals
 )
 
 // Client calls the service.
 type Client struct {
-	addrs []string
-	http  *http.Client
-	next  atomic.Uint32 // the member that answered last
+	addresses []string
+	http      *http.Client
+	current   atomic.Uint32 // the member that answered last
 }
 
 // New is a client of the service at these addresses.
 func New(addrs []string) *Client {
-	c := &Client{addrs: addrs, http: &http.Client{Timeout: callWait, Transport: &http.Transport{MaxIdleConnsPerHost: 16,
+	c := &Client{addresses: addrs, http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16,
 		IdleConnTimeout: time.Minute, DisableCompression: true}}}
-	c.next.Store(rand.Uint32N(uint32(len(addrs))))
+	c.current.Store(rand.Uint32N(uint32(len(addrs))))
 	return c
 }
 
@@ -58,11 +58,11 @@
 // Call makes one call of one member, and moves on to the next if it does not answer. An error that is no Refused
 // leaves open whether it happened.
 func (c *Client) Call(ctx context.Context, method, path string, body, out any) error {
-	at := c.next.Load()
-	err := c.call(ctx, c.addrs[int(at)%len(c.addrs)], method, path, body, out)
+	at := c.current.Load()
+	err := c.call(ctx, c.addresses[int(at)%len(c.addresses)], method, path, body, out)
 	var no *RejectedError
 	if err != nil && !errors.As(err, &no) && ctx.Err() == nil {
-		c.next.CompareAndSwap(at, (at+1)%uint32(len(c.addrs)))
+		c.current.CompareAndSwap(at, (at+1)%uint32(len(c.addresses)))
 	}
 	return err
 }
@@ -85,7 +85,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 
 // Until repeats a call until it is answered yes or no.
 func (c *Client) CallUntilDecided(ctx context.Context, method, path string, body, out any) error {
-	for pause := pauseFirst; ; pause = min(2*pause, pauseMost) {
+	for pause := initialBackoff; ; pause = min(2*pause, maxBackoff) {
 		err := c.Call(ctx, method, path, body, out)
 		var no *RejectedError
 		if err == nil || errors.As(err, &no) {
@@ -123,7 +123,7 @@
 	return p
 }
 
-type instance struct {
+type instanceBody struct {
 	Instance string `json:"instance"`
 }
 
@@ -135,13 +135,13 @@
 
 // Renew has its lease last on.
 func (c *Client) Renew(ctx context.Context, r state.InstanceRef) (out api.Accepted, err error) {
-	err = c.Call(ctx, http.MethodPost, path(r.Name, "renew"), instance{r.Instance}, &out)
+	err = c.Call(ctx, http.MethodPost, path(r.Name, "renew"), instanceBody{r.Instance}, &out)
 	return out, err
 }
 
 // Drain has it get nothing new.
 func (c *Client) Drain(ctx context.Context, r state.InstanceRef) (out api.Accepted, err error) {
-	err = c.CallUntilDecided(ctx, http.MethodPost, path(r.Name, "drain"), instance{r.Instance}, &out)
+	err = c.CallUntilDecided(ctx, http.MethodPost, path(r.Name, "drain"), instanceBody{r.Instance}, &out)
 	return out, err
 }
 
@@ -163,16 +163,16 @@
 		if registered != nil {
 			registered(t)
 		}
-		if err := c.renewals(ctx, r, lease); err != nil {
+		if err := c.renewUntilUnknown(ctx, r, lease); err != nil {
 			return err
 		}
 	}
 }
 
 // renewals renews until the service does not know the nodo.
-func (c *Client) renewals(ctx context.Context, r state.Record, lease time.Duration) error {
-	wait := lease / renewPart
-	for pause := pauseFirst; ; {
+func (c *Client) renewUntilUnknown(ctx context.Context, r state.Record, lease time.Duration) error {
+	wait := lease / renewalsPerLease
+	for pause := initialBackoff; ; {
 		select {
 		case <-time.After(wait - wait/8 + rand.N(wait/4+1)):
 		case <-ctx.Done():
@@ -182,13 +182,13 @@
 		var no *RejectedError
 		switch {
 		case err == nil:
-			wait, pause = lease/renewPart, pauseFirst
+			wait, pause = lease/renewalsPerLease, initialBackoff
 		case errors.As(err, &no) && no.Code == state.ResultUnknown:
 			return nil
 		case errors.As(err, &no):
 			return err
 		default:
-			wait, pause = pause, min(2*pause, lease/renewPart)
+			wait, pause = pause, min(2*pause, lease/renewalsPerLease)
 		}
 	}
 }
--- a/internal/registry/rollout/rollout.go
+++ b/internal/registry/rollout/reports.go
@@ -20,7 +20,7 @@
 	// Kept is how long a word stands that is not said again.
 	ReportTTL = 10 * time.Minute
 
-	sweepEvery = time.Minute
+	sweepInterval = time.Minute
 )
 
 // Word is what a proxy said of itself.
@@ -32,60 +32,60 @@
 	AgeMs           int64  `json:"age_ms"`            // since it was said
 }
 
-type said struct {
+type timedReport struct {
 	ProxyReport
-	at time.Time
+	receivedAt time.Time
 }
 
 // Table is the words. Its zero value has none.
 type Table struct {
-	mu    sync.Mutex
-	of    map[string]map[string]said // by service and name
-	n     int
-	swept time.Time
+	mu        sync.Mutex
+	reports   map[string]map[string]timedReport // by service and name
+	count     int
+	lastSweep time.Time
 }
 
 // Say notes a word; false: there is no room.
 func (t *Table) Record(service string, w ProxyReport, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.swept) >= sweepEvery {
+	if now.Sub(t.lastSweep) >= sweepInterval {
 		t.sweep(now)
 	}
-	words := t.of[service]
+	words := t.reports[service]
 	_, had := words[w.Name]
-	if !had && t.n >= MaxReports {
-		if t.sweep(now); t.n >= MaxReports {
+	if !had && t.count >= MaxReports {
+		if t.sweep(now); t.count >= MaxReports {
 			return false
 		}
-		words = t.of[service]
+		words = t.reports[service]
 	}
 	if words == nil {
-		if t.of == nil {
-			t.of = map[string]map[string]said{}
+		if t.reports == nil {
+			t.reports = map[string]map[string]timedReport{}
 		}
-		words = map[string]said{}
-		t.of[service] = words
+		words = map[string]timedReport{}
+		t.reports[service] = words
 	}
 	if !had {
-		t.n++
+		t.count++
 	}
-	words[w.Name] = said{w, now}
+	words[w.Name] = timedReport{w, now}
 	return true
 }
 
 // sweep forgets what is old.
 func (t *Table) sweep(now time.Time) {
-	t.swept = now
-	for service, words := range t.of {
+	t.lastSweep = now
+	for service, words := range t.reports {
 		for name, w := range words {
-			if now.Sub(w.at) >= ReportTTL {
+			if now.Sub(w.receivedAt) >= ReportTTL {
 				delete(words, name)
-				t.n--
+				t.count--
 			}
 		}
 		if len(words) == 0 {
-			delete(t.of, service)
+			delete(t.reports, service)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.n
+	return t.count
 }
 
 // Of is what was said of a service, by name.
@@ -102,9 +102,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
-	out := make([]ProxyReport, 0, len(t.of[service]))
-	for _, w := range t.of[service] {
-		w.AgeMs = now.Sub(w.at).Milliseconds()
+	out := make([]ProxyReport, 0, len(t.reports[service]))
+	for _, w := range t.reports[service] {
+		w.AgeMs = now.Sub(w.receivedAt).Milliseconds()
 		out = append(out, w.ProxyReport)
 	}
 	slices.SortFunc(out, func(a, b ProxyReport) int { return cmp.Compare(a.Name, b.Name) })
@@ -112,7 +112,7 @@
 }
 
 // Merge is the youngest word on each proxy of what several members have heard, by name.
-func Merge(heard ...[]ProxyReport) []ProxyReport {
+func MergeReports(heard ...[]ProxyReport) []ProxyReport {
 	youngest := map[string]ProxyReport{}
 	for _, words := range heard {
 		for _, w := range words {
--- a/internal/registry/rollout/rollout_test.go
+++ b/internal/registry/rollout/reports_test.go
@@ -29,14 +29,14 @@
 	if got := table.Reports("a", late); !reflect.DeepEqual(got, []ProxyReport{{Name: "p1", AppliedVersion: 7, AgeMs: (ReportTTL - time.Second).Milliseconds()}}) {
 		t.Errorf("got %+.200v", got)
 	}
-	if table.Reports("a", late.Add(ReportTTL)); table.Len() != 0 || len(table.of) != 0 {
-		t.Errorf("%d words of %d services are left", table.Len(), len(table.of))
+	if table.Reports("a", late.Add(ReportTTL)); table.Len() != 0 || len(table.reports) != 0 {
+		t.Errorf("%d words of %d services are left", table.Len(), len(table.reports))
 	}
 }
 
 // Of several members' words the youngest counts, not the highest version: a proxy may have started anew.
 func TestTheYoungestWordCounts(t *testing.T) {
-	got := Merge([]ProxyReport{{Name: "a", AppliedVersion: 9, AgeMs: 40}, {Name: "b", AppliedVersion: 1, AgeMs: 5}},
+	got := MergeReports([]ProxyReport{{Name: "a", AppliedVersion: 9, AgeMs: 40}, {Name: "b", AppliedVersion: 1, AgeMs: 5}},
 		[]ProxyReport{{Name: "a", AppliedVersion: 3, AgeMs: 10, RejectedVersion: 4, RejectReason: "x"}}, nil, []ProxyReport{{Name: "a", AppliedVersion: 5, AgeMs: 30}})
 	want := []ProxyReport{{Name: "a", AppliedVersion: 3, AgeMs: 10, RejectedVersion: 4, RejectReason: "x"}, {Name: "b", AppliedVersion: 1, AgeMs: 5}}
 	if !reflect.DeepEqual(got, want) {
--- a/internal/registry/state/configs.go
+++ b/internal/registry/state/configs.go
@@ -76,7 +76,7 @@
 	if err := settings.CheckService(c.Service); err != nil {
 		return err
 	}
-	if c.Version <= 0 || c.Version >= versionMost || c.After < -1 || c.After >= c.Version {
+	if c.Version <= 0 || c.Version >= maxVersion || c.After < -1 || c.After >= c.Version {
 		return fmt.Errorf("%s: version %d after %d makes no sense", c.Service, c.Version, c.After)
 	}
 	if err := checkDocument(c.Document); err != nil {
@@ -131,15 +131,15 @@
 	if had {
 		next.Previous = &PreviousDocument{was.Version, was.Document}
 	} else {
-		next.Version = s.index + 1
+		next.Version = s.version + 1
 	}
-	if s.line == "" || next.check() != nil {
+	if s.epoch == "" || next.check() != nil {
 		return Result{Code: ResultIgnored, Version: was.Version}
 	}
-	if total := s.documents - was.size() + next.size(); total > MaxDocumentBytes || !had && len(s.configs) >= MaxServices {
+	if total := s.documentBytes - was.size() + next.size(); total > MaxDocumentBytes || !had && len(s.configs) >= MaxServices {
 		return Result{Code: ResultNoRoom, Version: was.Version}
 	}
-	s.documents += next.size() - was.size()
+	s.documentBytes += next.size() - was.size()
 	s.configs[c.Service] = next
 	return Result{Code: ResultDone, Version: next.Version, Changed: true}
 }
@@ -163,7 +163,7 @@
 }
 
 // Newest is the highest version of the list and of all configurations.
-func (i *Snapshot) Newest() int64 {
+func (i *Snapshot) NewestVersion() int64 {
 	v := i.Version
 	for _, c := range i.Configs {
 		v = max(v, c.Version)
--- a/internal/registry/state/configs_test.go
+++ b/internal/registry/state/configs_test.go
@@ -141,7 +141,7 @@
 	if _, err := atomicfile.Unseal("roster-snapshot", bytes.NewReader(whole), MaxSnapshotBytes); !errors.Is(err, atomicfile.ErrDamaged) {
 		t.Errorf("a build before them reads it: %v", err)
 	}
-	i, err := Read(bytes.NewReader(whole))
+	i, err := ReadSnapshot(bytes.NewReader(whole))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 		spoilt := bytes.Clone(whole)
 		spoilt[at] ^= 0x20
 		for what, b := range map[string][]byte{"cut": whole[:at], "spoilt": spoilt} {
-			if _, err := Read(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
+			if _, err := ReadSnapshot(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
 				t.Fatalf("%s at byte %d: %v", what, at, err)
 			}
 		}
@@ -164,7 +164,7 @@
 	// The kind and what is in it go together.
 	bare := Snapshot{Epoch: "l", Version: 1}
 	body, _ := json.Marshal(bare)
-	if _, err := Read(bytes.NewReader(atomicfile.Seal("roster-snapshot-configs", body))); !errors.Is(err, ErrDamaged) {
+	if _, err := ReadSnapshot(bytes.NewReader(atomicfile.Seal("roster-snapshot-configs", body))); !errors.Is(err, ErrDamaged) {
 		t.Errorf("none in a snapshot of some: %v", err)
 	}
 }
@@ -177,14 +177,14 @@
 	s.Apply(put("a", 101, `{"n":2}`))
 	s.Apply(put("b", 0, `{"n":3}`))
 	now := s.Snapshot()
-	lifted := saved.Rebase("m", now.Newest()+50, now.Configs)
+	lifted := saved.Rebase("m", now.NewestVersion()+50, now.Configs)
 	again := New()
 	if err := again.Load(lifted); err != nil {
 		t.Fatal(err)
 	}
 	a, _ := again.Configuration("a")
 	b, _ := again.Configuration("b")
-	if string(a.Document) != `{"n":1}` || string(b.Document) != `{"n":3}` || a.Version <= now.Newest() || b.Version <= now.Newest() {
+	if string(a.Document) != `{"n":1}` || string(b.Document) != `{"n":3}` || a.Version <= now.NewestVersion() || b.Version <= now.NewestVersion() {
 		t.Errorf("a %+v, b %+v", a, b)
 	}
 	if r := again.Apply(put("a", 101, `{"n":2}`)); r.Code != ResultConflict {
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -35,7 +35,7 @@
 		c := Command{Kind: CommandRegister, Record: record(name(), instance(), int64(at/100))}
 		c.Record.Zone, c.Record.Type = string(rune('a'+r.IntN(3))), "web"
 		c.Record.Address = fmt.Sprintf("10.0.0.%d:80", r.IntN(4))
-		c.Record.Group, c.Record.Weight = r.IntN(3), float64(1+r.IntN(5))/2
+		c.Record.Cell, c.Record.Weight = r.IntN(3), float64(1+r.IntN(5))/2
 		c.Record.LeaseMs = int64(1000 * r.IntN(700)) // some are not allowed
 		return c
 	case k < 50:
@@ -75,7 +75,7 @@
 		changes, kept := s.Changes(from)
 		fmt.Fprintln(to, "changes", from, kept)
 		for _, c := range changes {
-			entries, err := json.Marshal(c.Entries)
+			entries, err := json.Marshal(c.Endpoints)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -111,11 +111,11 @@
 			if err := s.Snapshot().Write(&text); err != nil {
 				t.Fatal(err)
 			}
-			i, err := Read(&text)
+			i, err := ReadSnapshot(&text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			i = i.Rebase("l2", FirstVersion(time.Unix(1_700_000_000, 0), i.Newest()), []Configuration{{Service: "other", Version: 3, Document: []byte(`{}`)}})
+			i = i.Rebase("l2", FirstVersion(time.Unix(1_700_000_000, 0), i.NewestVersion()), []Configuration{{Service: "other", Version: 3, Document: []byte(`{}`)}})
 			s = New()
 			if err := s.Load(i); err != nil {
 				t.Fatal(err)
@@ -156,10 +156,10 @@
 }
 
 func goldenImages() map[string]Snapshot {
-	plain := Snapshot{Epoch: "5f0e", Version: 1 << 40, Ended: []InstanceRef{{"gone", "i0"}}}
+	plain := Snapshot{Epoch: "5f0e", Version: 1 << 40, EndedInstances: []InstanceRef{{"gone", "i0"}}}
 	for _, name := range []string{"n1", "n2"} {
 		r := *record(name, "i1", 1_700_000_000_000)
-		r.Zone, r.Type, r.Group, r.Weight = "b", "web<&>", 2, 0.5
+		r.Zone, r.Type, r.Cell, r.Weight = "b", "web<&>", 2, 0.5
 		plain.Records = append(plain.Records, r)
 	}
 	plain.Records[1].Status = StatusDraining
@@ -184,7 +184,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { f.Close() })
-		read, err := Read(f)
+		read, err := ReadSnapshot(f)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -198,7 +198,7 @@
 
 func TestCommandsOfEarlierVersionsAreReadAndWrittenAlike(t *testing.T) {
 	r := *record("n1", "i1", 1_700_000_000_000)
-	r.Zone, r.Type, r.Group, r.Weight = "b", "web", 2, 0.5
+	r.Zone, r.Type, r.Cell, r.Weight = "b", "web", 2, 0.5
 	var text bytes.Buffer
 	for _, c := range []Command{
 		{Kind: CommandBegin, Epoch: "5f0e", FirstVersion: 1 << 40},
--- a/internal/registry/state/file.go
+++ b/internal/registry/state/snapshotfile.go
@@ -15,8 +15,8 @@
 // One without configurations is byte for byte what builds before them write. One with some is of another kind, so that
 // such a build refuses it by name instead of losing them.
 const (
-	fileKind    = "roster-snapshot"
-	configsKind = "roster-snapshot-configs"
+	snapshotKind            = "roster-snapshot"
+	snapshotKindWithConfigs = "roster-snapshot-configs"
 )
 
 // FileMost bounds what is read of a snapshot, in bytes.
@@ -39,16 +39,16 @@
 
 func (i *Snapshot) kind() string {
 	if len(i.Configs) > 0 {
-		return configsKind
+		return snapshotKindWithConfigs
 	}
-	return fileKind
+	return snapshotKind
 }
 
 // Read reads a snapshot whole, or says what is wrong with it.
-func Read(r io.Reader) (i Snapshot, err error) {
-	kind, in := fileKind, bufio.NewReader(r)
-	if head, _ := in.Peek(len(configsKind)); string(head) == configsKind {
-		kind = configsKind
+func ReadSnapshot(r io.Reader) (i Snapshot, err error) {
+	kind, in := snapshotKind, bufio.NewReader(r)
+	if head, _ := in.Peek(len(snapshotKindWithConfigs)); string(head) == snapshotKindWithConfigs {
+		kind = snapshotKindWithConfigs
 	}
 	body, err := atomicfile.Unseal(kind, in, MaxSnapshotBytes)
 	if err != nil {
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -41,24 +41,24 @@
 	// ChangesMost is how many versions are kept for watches; a caller that is further behind gets the whole list.
 	MaxRetainedChanges = 4096
 
-	nameMost    = 64
-	wordMost    = 128
-	MinLease    = time.Second
-	MaxLease    = 10 * time.Minute
-	baseShift   = 21 // versions a second that a line may make on average before the next line's first
-	versionMost = 1 << 53
+	maxNameBytes           = 64
+	maxFieldBytes          = 128
+	MinLease               = time.Second
+	MaxLease               = 10 * time.Minute
+	versionsPerSecondShift = 21 // versions a second that a line may make on average before the next line's first
+	maxVersion             = 1 << 53
 )
 
 // Entry is a nodo in the published form.
 type Endpoint struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"`
-	Weight  float64 `json:"weight"`
-	Since   int64   `json:"since_ms"` // the last start, Unix time in ms; 0 is long ago
+	Name        string  `json:"name"`
+	Address     string  `json:"address"`
+	Zone        string  `json:"zone"`
+	Type        string  `json:"type"`
+	Cell        int     `json:"group"`
+	Status      string  `json:"status"`
+	Weight      float64 `json:"weight"`
+	StartedAtMs int64   `json:"since_ms"` // the last start, Unix time in ms; 0 is long ago
 }
 
 // Record is an entry with what the service keeps beside it.
@@ -70,15 +70,15 @@
 
 // Check tells what of a record cannot be taken, naming the key.
 func (r *Record) Check() error {
-	if r.Name == "" || len(r.Name) > nameMost || strings.ContainsAny(r.Name, "/ ?#%\r\n\t") {
-		return fmt.Errorf("name %q: 1 to %d characters without spaces, slashes, ?, # and %% are needed", r.Name, nameMost)
+	if r.Name == "" || len(r.Name) > maxNameBytes || strings.ContainsAny(r.Name, "/ ?#%\r\n\t") {
+		return fmt.Errorf("name %q: 1 to %d characters without spaces, slashes, ?, # and %% are needed", r.Name, maxNameBytes)
 	}
-	if _, _, err := net.SplitHostPort(r.Address); err != nil || len(r.Address) > wordMost {
-		return fmt.Errorf("address %q: HOST:PORT is needed, at most %d characters", r.Address, wordMost)
+	if _, _, err := net.SplitHostPort(r.Address); err != nil || len(r.Address) > maxFieldBytes {
+		return fmt.Errorf("address %q: HOST:PORT is needed, at most %d characters", r.Address, maxFieldBytes)
 	}
 	for key, word := range map[string]string{"zone": r.Zone, "type": r.Type, "instance": r.Instance} {
-		if len(word) > wordMost {
-			return fmt.Errorf("%s: at most %d characters", key, wordMost)
+		if len(word) > maxFieldBytes {
+			return fmt.Errorf("%s: at most %d characters", key, maxFieldBytes)
 		}
 	}
 	if r.Instance == "" {
@@ -87,7 +87,7 @@
 	if !(r.Weight > 0 && r.Weight <= 1e6) {
 		return fmt.Errorf("weight %v: over 0 and at most 1e6 is needed", r.Weight)
 	}
-	if r.Since < 0 || r.Group < 0 {
+	if r.StartedAtMs < 0 || r.Cell < 0 {
 		return fmt.Errorf("since_ms and group: 0 or more is needed")
 	}
 	if l := time.Duration(r.LeaseMs) * time.Millisecond; r.LeaseMs > MaxLease.Milliseconds() || l < MinLease {
@@ -148,21 +148,21 @@
 
 // Change is one version: the entries that it changed, in the published form, DELETED ones included.
 type Change struct {
-	Version int64
-	Entries []Endpoint
+	Version   int64
+	Endpoints []Endpoint
 }
 
 // State is the machine. Its owner allows no two calls at once.
 type State struct {
-	line    string
-	index   int64
-	records map[string]Record
-	ended   []InstanceRef // the oldest first
-	isEnded map[InstanceRef]bool
-	changes []Change // the last ones, not part of what is agreed on: a restored member has none
-
-	configs   map[string]Configuration // by service
-	documents int                      // their bytes
+	epoch          string
+	version        int64
+	records        map[string]Record
+	endedInstances []InstanceRef // the oldest first
+	isEnded        map[InstanceRef]bool
+	changes        []Change // the last ones, not part of what is agreed on: a restored member has none
+
+	configs       map[string]Configuration // by service
+	documentBytes int                      // their bytes
 }
 
 // New is a machine before its first line.
@@ -174,14 +174,14 @@
 // service makes far fewer than 2^21 versions a second, so that the clock alone keeps lines apart even where what came
 // before was lost; former keeps them so where it is known and the clock is wrong.
 func FirstVersion(at time.Time, former int64) int64 {
-	return max(at.Unix()<<baseShift, (former>>baseShift+1)<<baseShift)
+	return max(at.Unix()<<versionsPerSecondShift, (former>>versionsPerSecondShift+1)<<versionsPerSecondShift)
 }
 
 // Line is the name of the line; empty before the first.
-func (s *State) Epoch() string { return s.line }
+func (s *State) Epoch() string { return s.epoch }
 
 // Index is the newest version.
-func (s *State) Version() int64 { return s.index }
+func (s *State) Version() int64 { return s.version }
 
 // Len is how many nodos the list has.
 func (s *State) Len() int { return len(s.records) }
@@ -204,10 +204,10 @@
 
 // Changes are the versions after from; false if they are not all kept.
 func (s *State) Changes(from int64) ([]Change, bool) {
-	if from > s.index {
+	if from > s.version {
 		return nil, false
 	}
-	if from == s.index {
+	if from == s.version {
 		return nil, true
 	}
 	if len(s.changes) == 0 || s.changes[0].Version > from+1 {
@@ -224,20 +224,20 @@
 	}
 	end, changed := s.apply(c)
 	if len(changed) > 0 {
-		s.index++
-		s.changes = append(s.changes, Change{s.index, changed})
+		s.version++
+		s.changes = append(s.changes, Change{s.version, changed})
 		if over := len(s.changes) - MaxRetainedChanges; over > MaxRetainedChanges/4 {
 			s.changes = slices.Clone(s.changes[over:])
 		}
 	}
-	return Result{Code: end, Version: s.index, Changed: len(changed) > 0}
+	return Result{Code: end, Version: s.version, Changed: len(changed) > 0}
 }
 
 func (s *State) apply(c Command) (end string, changed []Endpoint) {
 	switch c.Kind {
 	case CommandBegin:
-		if s.line == "" {
-			s.line, s.index = c.Epoch, max(c.FirstVersion, s.index)
+		if s.epoch == "" {
+			s.epoch, s.version = c.Epoch, max(c.FirstVersion, s.version)
 		}
 		return ResultDone, nil
 	case CommandRegister:
@@ -269,7 +269,7 @@
 	switch {
 	case !ok && len(s.records) >= MaxEndpoints:
 		return ResultFull, nil
-	case ok && was.Instance != r.Instance && was.Since > r.Since:
+	case ok && was.Instance != r.Instance && was.StartedAtMs > r.StartedAtMs:
 		return ResultReplaced, nil
 	case ok && was.Instance == r.Instance:
 		r.Status = was.Status // one that drains goes on draining, however often it repeats that it began
@@ -306,12 +306,12 @@
 	delete(s.records, ref.Name)
 	if kind == CommandDeregister { // one whose lease ended may come back: contact was lost, not the nodo
 		s.isEnded[ref] = true
-		s.ended = append(s.ended, ref)
-		if over := len(s.ended) - MaxEndedInstances; over > 0 {
-			for _, old := range s.ended[:over] {
+		s.endedInstances = append(s.endedInstances, ref)
+		if over := len(s.endedInstances) - MaxEndedInstances; over > 0 {
+			for _, old := range s.endedInstances[:over] {
 				delete(s.isEnded, old)
 			}
-			s.ended = slices.Clone(s.ended[over:])
+			s.endedInstances = slices.Clone(s.endedInstances[over:])
 		}
 	}
 	was.Status = StatusDeleted
@@ -320,26 +320,26 @@
 
 // Image is all of a state that is agreed on, for snapshots.
 type Snapshot struct {
-	Epoch   string        `json:"line"`
-	Version int64         `json:"index"`
-	Records []Record      `json:"nodos"`
-	Ended   []InstanceRef `json:"ended"`
+	Epoch          string        `json:"line"`
+	Version        int64         `json:"index"`
+	Records        []Record      `json:"nodos"`
+	EndedInstances []InstanceRef `json:"ended"`
 
 	Configs []Configuration `json:"configurations,omitempty"`
 }
 
 // Image copies the state.
 func (s *State) Snapshot() Snapshot {
-	return Snapshot{s.line, s.index, s.Records(), slices.Clone(s.ended), s.Configurations()}
+	return Snapshot{s.epoch, s.version, s.Records(), slices.Clone(s.endedInstances), s.Configurations()}
 }
 
 // Check tells what is wrong with an image.
 func (i *Snapshot) Check() error {
-	if i.Version < 0 || i.Version >= versionMost || (i.Epoch == "") != (i.Version == 0) {
+	if i.Version < 0 || i.Version >= maxVersion || (i.Epoch == "") != (i.Version == 0) {
 		return fmt.Errorf("index %d of line %q makes no sense", i.Version, i.Epoch)
 	}
-	if len(i.Records) > MaxEndpoints || len(i.Ended) > MaxEndedInstances {
-		return fmt.Errorf("%d nodos and %d ended instances are more than a list holds", len(i.Records), len(i.Ended))
+	if len(i.Records) > MaxEndpoints || len(i.EndedInstances) > MaxEndedInstances {
+		return fmt.Errorf("%d nodos and %d ended instances are more than a list holds", len(i.Records), len(i.EndedInstances))
 	}
 	seen := map[string]bool{}
 	for n, r := range i.Records {
@@ -363,17 +363,17 @@
 		return err
 	}
 	*s = *New()
-	s.line, s.index = i.Epoch, i.Version
+	s.epoch, s.version = i.Epoch, i.Version
 	for _, r := range i.Records {
 		s.records[r.Name] = r
 	}
-	s.ended = slices.Clone(i.Ended)
-	for _, r := range i.Ended {
+	s.endedInstances = slices.Clone(i.EndedInstances)
+	for _, r := range i.EndedInstances {
 		s.isEnded[r] = true
 	}
 	for _, c := range i.Configs {
 		s.configs[c.Service] = c
-		s.documents += c.size()
+		s.documentBytes += c.size()
 	}
 	return nil
 }
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -8,7 +8,7 @@
 )
 
 func record(name, instance string, since int64) *Record {
-	return &Record{Endpoint: Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: StatusServing, Weight: 1, Since: since},
+	return &Record{Endpoint: Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: StatusServing, Weight: 1, StartedAtMs: since},
 		Instance: instance, LeaseMs: 5000}
 }
 
@@ -63,13 +63,13 @@
 func TestLinesOnlyRise(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	first := FirstVersion(now, 0)
-	if next := FirstVersion(now.Add(time.Second), 0); next < first+1<<baseShift {
+	if next := FirstVersion(now.Add(time.Second), 0); next < first+1<<versionsPerSecondShift {
 		t.Errorf("%d follows %d", next, first)
 	}
 	if next := FirstVersion(now.Add(-time.Hour), first+5); next <= first+5 {
 		t.Errorf("with the clock set back %d follows %d", next, first+5)
 	}
-	if first >= versionMost {
+	if first >= maxVersion {
 		t.Errorf("%d is not exact in all readers of JSON", first)
 	}
 }
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	whole := text.Bytes()
-	i, err := Read(bytes.NewReader(whole))
+	i, err := ReadSnapshot(bytes.NewReader(whole))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 		spoilt := bytes.Clone(whole)
 		spoilt[at] ^= 0x20
 		for what, b := range map[string][]byte{"cut": whole[:at], "spoilt": spoilt, "grown": append(bytes.Clone(whole[:at+1]), whole[at:]...)} {
-			if _, err := Read(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
+			if _, err := ReadSnapshot(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
 				t.Fatalf("%s at byte %d: %v", what, at, err)
 			}
 		}
@@ -116,7 +116,7 @@
 	f.Add(text.Bytes())
 	f.Add([]byte("roster-snapshot 1 2 00000000\n{}"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		i, err := Read(bytes.NewReader(data))
+		i, err := ReadSnapshot(bytes.NewReader(data))
 		if err != nil {
 			return
 		}
--- a/internal/registry/store/golden_test.go
+++ b/internal/registry/store/golden_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := identity("r1"); !bytes.Equal(got, want) {
+	if got := encodeIdentity("r1"); !bytes.Equal(got, want) {
 		t.Errorf("identity is %q, not %q", got, want)
 	}
 	s, fresh, err := Open(dir, "r1", 0, quiet)
@@ -80,7 +80,7 @@
 func TestRecordsInTheFileAreAsBefore(t *testing.T) {
 	const want = `398da6ff{"t":1}`
 	sealed := seal(indexKey(1), []byte(`{"t":1}`))
-	if got := fmt.Sprintf("%x%s", sealed[:sumSize], sealed[sumSize:]); got != want {
+	if got := fmt.Sprintf("%x%s", sealed[:checksumBytes], sealed[checksumBytes:]); got != want {
 		t.Errorf("got %s", got)
 	}
 }
--- a/internal/registry/store/store.go
+++ b/internal/registry/store/store.go
@@ -38,11 +38,11 @@
 )
 
 const (
-	logFile      = "log.db"
-	identityFile = "identity.json"
-	lockWait     = 2 * time.Second
-	sumSize      = 4
-	fullPause    = 200 * time.Millisecond
+	logFile               = "log.db"
+	identityFile          = "identity.json"
+	lockTimeout           = 2 * time.Second
+	checksumBytes         = 4
+	diskFullRetryInterval = 200 * time.Millisecond
 )
 
 // ErrDamaged is a directory that does not hold what was written to it.
@@ -51,26 +51,26 @@
 // ErrForeign is a directory of another member.
 var ErrWrongMember = errors.New("another member's directory")
 
-const remedy = "; nothing was changed. If the other members serve, move the directory away and start this member " +
+const recoveryHint = "; nothing was changed. If the other members serve, move the directory away and start this member " +
 	"empty: they send it the list. If none does, start all empty and restore a snapshot"
 
 var (
-	logBucket  = []byte("log")
-	wordBucket = []byte("words")
-	castagnoli = crc32.MakeTable(crc32.Castagnoli)
+	logBucket    = []byte("log")
+	stableBucket = []byte("words")
+	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // Identity says whose a directory is.
 type Identity struct {
-	Member string `json:"member"`
-	Sum    uint32 `json:"sum"` // CRC-32C of the member's name
+	Member   string `json:"member"`
+	Checksum uint32 `json:"sum"` // CRC-32C of the member's name
 }
 
 // Store implements raft.LogStore and raft.StableStore.
 type Store struct {
-	db   *bolt.DB
-	path string
-	log  *slog.Logger
+	db     *bolt.DB
+	path   string
+	logger *slog.Logger
 }
 
 // Open opens a member's directory, or makes it. Snapshot is the consensus's index of its newest snapshot, from which on
@@ -79,21 +79,21 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, false, fmt.Errorf("directory of the member: %w", err)
 	}
-	known, empty, err := look(dir, member, snapshot, log)
+	known, empty, err := verifyDir(dir, member, snapshot, log)
 	if err != nil {
 		return nil, false, err
 	}
 	path := filepath.Join(dir, logFile)
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockWait, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
 	if errors.Is(err, berrors.ErrTimeout) {
 		return nil, false, fmt.Errorf("%s is in use by another process; give this member a directory of its own", path)
 	}
 	if err != nil {
 		return nil, false, fmt.Errorf("open %s: %w", path, err)
 	}
-	s = &Store{db: db, path: path, log: log}
+	s = &Store{db: db, path: path, logger: log}
 	err = db.Update(func(tx *bolt.Tx) error {
-		for _, name := range [][]byte{logBucket, wordBucket} {
+		for _, name := range [][]byte{logBucket, stableBucket} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
@@ -101,7 +101,7 @@
 		return nil
 	})
 	if err == nil && !known {
-		err = atomicfile.WriteFile(filepath.Join(dir, identityFile), identity(member))
+		err = atomicfile.WriteFile(filepath.Join(dir, identityFile), encodeIdentity(member))
 	}
 	if err != nil {
 		db.Close()
@@ -112,26 +112,26 @@
 
 // Check looks a member's directory over and changes nothing. Empty tells that it holds nothing yet.
 func Check(dir, member string, snapshot uint64, log *slog.Logger) (empty bool, err error) {
-	_, empty, err = look(dir, member, snapshot, log)
+	_, empty, err = verifyDir(dir, member, snapshot, log)
 	return empty, err
 }
 
-func look(dir, member string, snapshot uint64, log *slog.Logger) (known, empty bool, err error) {
-	if known, err = identify(dir, member); err != nil {
+func verifyDir(dir, member string, snapshot uint64, log *slog.Logger) (known, empty bool, err error) {
+	if known, err = readIdentity(dir, member); err != nil {
 		return false, false, err
 	}
 	path := filepath.Join(dir, logFile)
-	if empty, err = inspect(path, known, snapshot, log); err != nil {
+	if empty, err = verifyLog(path, known, snapshot, log); err != nil {
 		return false, false, err
 	}
 	if !known && !empty {
 		return false, false, fmt.Errorf("%s: %w: the log holds something, and %s is missing%s", path, ErrDamaged,
-			identityFile, remedy)
+			identityFile, recoveryHint)
 	}
 	return known, empty, nil
 }
 
-func identity(member string) []byte {
+func encodeIdentity(member string) []byte {
 	text, err := json.Marshal(Identity{member, crc32.Checksum([]byte(member), castagnoli)})
 	if err != nil {
 		panic(err) // a string and a number
@@ -140,7 +140,7 @@
 }
 
 // identify reads whose the directory is; false if nobody's yet.
-func identify(dir, member string) (bool, error) {
+func readIdentity(dir, member string) (bool, error) {
 	path := filepath.Join(dir, identityFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -150,8 +150,8 @@
 		return false, fmt.Errorf("whose the directory is: %w", err)
 	}
 	var id Identity
-	if err := json.Unmarshal(text, &id); err != nil || id.Sum != crc32.Checksum([]byte(id.Member), castagnoli) {
-		return false, fmt.Errorf("%s: %w%s", path, ErrDamaged, remedy)
+	if err := json.Unmarshal(text, &id); err != nil || id.Checksum != crc32.Checksum([]byte(id.Member), castagnoli) {
+		return false, fmt.Errorf("%s: %w%s", path, ErrDamaged, recoveryHint)
 	}
 	if id.Member != member {
 		return false, fmt.Errorf("%s: %w: %q's, and this is %q; set name or dir", path, ErrWrongMember, id.Member, member)
@@ -161,9 +161,9 @@
 
 // inspect looks a log over without changing it: that the file is as long as its newest meta page says, that its pages
 // hang together, and that each record is what was written. Empty tells that nothing was promised in it.
-func inspect(path string, known bool, snapshot uint64, log *slog.Logger) (empty bool, err error) {
+func verifyLog(path string, known bool, snapshot uint64, log *slog.Logger) (empty bool, err error) {
 	damaged := func(format string, args ...any) error {
-		return fmt.Errorf("%s: %w: %s%s", path, ErrDamaged, fmt.Sprintf(format, args...), remedy)
+		return fmt.Errorf("%s: %w: %s%s", path, ErrDamaged, fmt.Sprintf(format, args...), recoveryHint)
 	}
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) || err == nil && info.Size() == 0 {
@@ -175,7 +175,7 @@
 	if err != nil {
 		return false, fmt.Errorf("look at the log: %w", err)
 	}
-	if err := checkMeta(path, info.Size(), log); err != nil {
+	if err := verifyMetaPages(path, info.Size(), log); err != nil {
 		if !known { // a start that was cut off before anything was promised
 			return false, fmt.Errorf("%s: a first start was cut off: %w; remove the file", path, err)
 		}
@@ -188,7 +188,7 @@
 			err = damaged("a page makes no sense: %v", r)
 		}
 	}()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockWait, ReadOnly: true, PreLoadFreelist: false})
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: true, PreLoadFreelist: false})
 	if errors.Is(err, berrors.ErrTimeout) {
 		return false, fmt.Errorf("%s is in use by another process; give this member a directory of its own", path)
 	}
@@ -198,7 +198,7 @@
 	defer db.Close()
 	empty = true
 	err = db.View(func(tx *bolt.Tx) error {
-		for _, name := range [][]byte{logBucket, wordBucket} {
+		for _, name := range [][]byte{logBucket, stableBucket} {
 			b := tx.Bucket(name)
 			if b == nil {
 				if known {
@@ -209,7 +209,7 @@
 			last := snapshot
 			if err := b.ForEach(func(k, v []byte) error {
 				empty = false
-				if _, err := open(k, v); err != nil {
+				if _, err := unseal(k, v); err != nil {
 					return err
 				}
 				if string(name) != string(logBucket) {
@@ -238,17 +238,17 @@
 
 // The meta pages, by bbolt's file format 2.
 const (
-	metaMagic   = 0xED0CDAED
-	metaHead    = 16 // of a page
-	metaSize    = 64
-	metaSummed  = 56
-	pageMost    = 1 << 16
-	pageLeast   = 512
-	metaVersion = 2
+	metaMagic            = 0xED0CDAED
+	pageHeaderBytes      = 16 // of a page
+	metaBytes            = 64
+	metaChecksummedBytes = 56
+	maxPageBytes         = 1 << 16
+	minPageBytes         = 512
+	metaVersion          = 2
 )
 
 // checkMeta finds the newest meta page that is whole, and has the file be as long as that says.
-func checkMeta(path string, size int64, log *slog.Logger) error {
+func verifyMetaPages(path string, size int64, log *slog.Logger) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -256,15 +256,15 @@
 	defer f.Close()
 	type meta struct{ pageSize, pages, tx uint64 }
 	read := func(at int64) (m meta, ok bool) {
-		b := make([]byte, metaHead+metaSize)
+		b := make([]byte, pageHeaderBytes+metaBytes)
 		if _, err := io.ReadFull(io.NewSectionReader(f, at, int64(len(b))), b); err != nil {
 			return m, false
 		}
-		b = b[metaHead:]
+		b = b[pageHeaderBytes:]
 		sum := fnv.New64a()
-		_, _ = sum.Write(b[:metaSummed])
+		_, _ = sum.Write(b[:metaChecksummedBytes])
 		le := binary.LittleEndian
-		if le.Uint32(b) != metaMagic || le.Uint32(b[4:]) != metaVersion || le.Uint64(b[metaSummed:]) != sum.Sum64() {
+		if le.Uint32(b) != metaMagic || le.Uint32(b[4:]) != metaVersion || le.Uint64(b[metaChecksummedBytes:]) != sum.Sum64() {
 			return m, false
 		}
 		return meta{uint64(le.Uint32(b[8:])), le.Uint64(b[40:]), le.Uint64(b[48:])}, true
@@ -274,7 +274,7 @@
 	if ok {
 		second, okay = read(int64(first.pageSize))
 	} else {
-		for at := int64(pageLeast); at <= pageMost && !okay; at *= 2 {
+		for at := int64(minPageBytes); at <= maxPageBytes && !okay; at *= 2 {
 			second, okay = read(at)
 		}
 	}
@@ -295,7 +295,7 @@
 
 // seal puts a record's checksum before it. The key is in it: a record that turns up elsewhere is damage too.
 func seal(key, value []byte) []byte {
-	out := make([]byte, sumSize, sumSize+len(value))
+	out := make([]byte, checksumBytes, checksumBytes+len(value))
 	binary.BigEndian.PutUint32(out, checksum(key, value))
 	return append(out, value...)
 }
@@ -304,11 +304,11 @@
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
 
-func open(key, sealed []byte) ([]byte, error) {
-	if len(sealed) < sumSize || binary.BigEndian.Uint32(sealed) != checksum(key, sealed[sumSize:]) {
+func unseal(key, sealed []byte) ([]byte, error) {
+	if len(sealed) < checksumBytes || binary.BigEndian.Uint32(sealed) != checksum(key, sealed[checksumBytes:]) {
 		return nil, fmt.Errorf("record %x: %w: its checksum is wrong", key, ErrDamaged)
 	}
-	return sealed[sumSize:], nil
+	return sealed[checksumBytes:], nil
 }
 
 // Close closes the file.
@@ -317,12 +317,12 @@
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
 // FirstIndex implements raft.LogStore.
-func (s *Store) FirstIndex() (uint64, error) { return s.edge((*bolt.Cursor).First) }
+func (s *Store) FirstIndex() (uint64, error) { return s.boundaryIndex((*bolt.Cursor).First) }
 
 // LastIndex implements raft.LogStore.
-func (s *Store) LastIndex() (uint64, error) { return s.edge((*bolt.Cursor).Last) }
+func (s *Store) LastIndex() (uint64, error) { return s.boundaryIndex((*bolt.Cursor).Last) }
 
-func (s *Store) edge(end func(*bolt.Cursor) (k, v []byte)) (i uint64, err error) {
+func (s *Store) boundaryIndex(end func(*bolt.Cursor) (k, v []byte)) (i uint64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		if k, _ := end(tx.Bucket(logBucket).Cursor()); k != nil {
 			i = binary.BigEndian.Uint64(k)
@@ -333,12 +333,12 @@
 }
 
 // record is a log entry as the file has it.
-type record struct {
-	Term     uint64       `json:"t"`
-	Type     raft.LogType `json:"y"`
-	Data     []byte       `json:"d,omitempty"`
-	Ext      []byte       `json:"x,omitempty"`
-	Appended int64        `json:"a,omitempty"` // Unix ns
+type logRecord struct {
+	Term         uint64       `json:"t"`
+	Type         raft.LogType `json:"y"`
+	Data         []byte       `json:"d,omitempty"`
+	Extensions   []byte       `json:"x,omitempty"`
+	AppendedAtNs int64        `json:"a,omitempty"` // Unix ns
 }
 
 // GetLog implements raft.LogStore.
@@ -349,17 +349,17 @@
 		if sealed == nil {
 			return raft.ErrLogNotFound
 		}
-		text, err := open(key, sealed)
+		text, err := unseal(key, sealed)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.path, err)
 		}
-		var r record
+		var r logRecord
 		if err := json.Unmarshal(text, &r); err != nil {
 			return fmt.Errorf("%s: record %d: %w: %w", s.path, index, ErrDamaged, err)
 		}
-		*out = raft.Log{Index: index, Term: r.Term, Type: r.Type, Data: r.Data, Extensions: r.Ext}
-		if r.Appended != 0 {
-			out.AppendedAt = time.Unix(0, r.Appended)
+		*out = raft.Log{Index: index, Term: r.Term, Type: r.Type, Data: r.Data, Extensions: r.Extensions}
+		if r.AppendedAtNs != 0 {
+			out.AppendedAt = time.Unix(0, r.AppendedAtNs)
 		}
 		return nil
 	})
@@ -374,9 +374,9 @@
 		b := tx.Bucket(logBucket)
 		b.FillPercent = 1 // keys only grow
 		for _, l := range logs {
-			r := record{Term: l.Term, Type: l.Type, Data: l.Data, Ext: l.Extensions}
+			r := logRecord{Term: l.Term, Type: l.Type, Data: l.Data, Extensions: l.Extensions}
 			if !l.AppendedAt.IsZero() {
-				r.Appended = l.AppendedAt.UnixNano()
+				r.AppendedAtNs = l.AppendedAt.UnixNano()
 			}
 			text, err := json.Marshal(r)
 			if err != nil {
@@ -412,29 +412,29 @@
 // and the member is mute meanwhile.
 func (s *Store) Set(key, value []byte) error {
 	for told := false; ; {
-		err := s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(wordBucket).Put(key, seal(key, value)) })
+		err := s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(stableBucket).Put(key, seal(key, value)) })
 		if err == nil || !errors.Is(err, syscall.ENOSPC) && !errors.Is(err, syscall.EFBIG) && !errors.Is(err, syscall.EDQUOT) {
 			if told {
-				s.log.Info("the disk takes writes again", "file", s.path, "error", err)
+				s.logger.Info("the disk takes writes again", "file", s.path, "error", err)
 			}
 			return err
 		}
 		if !told {
 			told = true
-			s.log.Error("the disk is full: this member votes for nobody until there is room", "file", s.path, "error", err)
+			s.logger.Error("the disk is full: this member votes for nobody until there is room", "file", s.path, "error", err)
 		}
-		time.Sleep(fullPause)
+		time.Sleep(diskFullRetryInterval)
 	}
 }
 
 // Get implements raft.StableStore.
 func (s *Store) Get(key []byte) (value []byte, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
-		sealed := tx.Bucket(wordBucket).Get(key)
+		sealed := tx.Bucket(stableBucket).Get(key)
 		if sealed == nil {
 			return errNotFound
 		}
-		text, err := open(key, sealed)
+		text, err := unseal(key, sealed)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.path, err)
 		}
--- a/internal/registry/watch/golden_test.go
+++ b/internal/registry/watch/golden_test.go
@@ -23,8 +23,8 @@
 	text.Write(hub.Snapshot())
 	for _, name := range []string{"n1", "n2", "n3"} {
 		apply(state.Command{Kind: state.CommandRegister, Record: &state.Record{Instance: "i1", LeaseMs: 5000, Endpoint: state.Endpoint{
-			Name: name, Address: "10.0.0.1:80", Zone: "a<&>", Type: "web", Group: 2, Status: state.StatusServing, Weight: 0.5,
-			Since: 1_700_000_000_000}}})
+			Name: name, Address: "10.0.0.1:80", Zone: "a<&>", Type: "web", Cell: 2, Status: state.StatusServing, Weight: 0.5,
+			StartedAtMs: 1_700_000_000_000}}})
 	}
 	apply(state.Command{Kind: state.CommandDrain, Refs: []state.InstanceRef{{Name: "n2", Instance: "i1"}}})
 	apply(state.Command{Kind: state.CommandDeregister, Refs: []state.InstanceRef{{Name: "n3", Instance: "i1"}}})
--- a/internal/registry/watch/watch.go
+++ b/internal/registry/watch/hub.go
@@ -20,7 +20,7 @@
 const CoalesceInterval = 50 * time.Millisecond
 
 // bodiesMost bounds the answers that are kept: callers at so many different versions share theirs.
-const bodiesMost = 64
+const maxCachedResponses = 64
 
 // Source is the list. Each call sees one version whole.
 type Source interface {
@@ -32,27 +32,27 @@
 
 // Hub tells callers.
 type Hub struct {
-	src   Source
-	dirty chan struct{}
-
-	mu      sync.Mutex
-	changed chan struct{} // closed at the next wake-up
-	line    string        // of the kept answers
-	index   int64
-	whole   []byte
-	bodies  map[int64][]byte
-	encoded int64
+	source  Source
+	pending chan struct{}
+
+	mu           sync.Mutex
+	changed      chan struct{} // closed at the next wake-up
+	epoch        string        // of the kept answers
+	version      int64
+	snapshot     []byte
+	changesSince map[int64][]byte
+	encoded      int64
 }
 
 // New is a hub; its Run wakes callers.
 func New(src Source) *Hub {
-	return &Hub{src: src, dirty: make(chan struct{}, 1), changed: make(chan struct{}), bodies: map[int64][]byte{}}
+	return &Hub{source: src, pending: make(chan struct{}, 1), changed: make(chan struct{}), changesSince: map[int64][]byte{}}
 }
 
 // Changed has callers be woken. It never waits.
 func (h *Hub) NotifyChange() {
 	select {
-	case h.dirty <- struct{}{}:
+	case h.pending <- struct{}{}:
 	default:
 	}
 }
@@ -61,7 +61,7 @@
 func (h *Hub) Run(ctx context.Context) {
 	for {
 		select {
-		case <-h.dirty:
+		case <-h.pending:
 		case <-ctx.Done():
 			h.wake()
 			return
@@ -101,46 +101,46 @@
 func (h *Hub) Snapshot() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	line, index := h.src.Version()
-	h.at(line, index)
-	if h.whole == nil {
-		line, index, entries := h.src.Snapshot()
-		h.at(line, index)
-		h.whole = Response{index, true, line, entries}.Encode()
+	line, index := h.source.Version()
+	h.invalidate(line, index)
+	if h.snapshot == nil {
+		line, index, entries := h.source.Snapshot()
+		h.invalidate(line, index)
+		h.snapshot = Response{index, true, line, entries}.Encode()
 		h.encoded++
 	}
-	return h.whole
+	return h.snapshot
 }
 
 // Since is what has changed after from, or the whole list where that is no longer known.
 func (h *Hub) ChangesSince(from int64) []byte {
 	h.mu.Lock()
-	line, index := h.src.Version()
-	h.at(line, index)
-	if body := h.bodies[from]; body != nil {
+	line, index := h.source.Version()
+	h.invalidate(line, index)
+	if body := h.changesSince[from]; body != nil {
 		h.mu.Unlock()
 		return body
 	}
-	line, index, changes, kept := h.src.Changes(from)
+	line, index, changes, kept := h.source.Changes(from)
 	if !kept {
 		h.mu.Unlock()
 		return h.Snapshot()
 	}
 	defer h.mu.Unlock()
-	h.at(line, index)
+	h.invalidate(line, index)
 	body := Response{index, false, line, MergeChanges(changes)}.Encode()
 	h.encoded++
-	if len(h.bodies) < bodiesMost {
-		h.bodies[from] = body
+	if len(h.changesSince) < maxCachedResponses {
+		h.changesSince[from] = body
 	}
 	return body
 }
 
 // at forgets the answers of another version.
-func (h *Hub) at(line string, index int64) {
-	if line != h.line || index != h.index {
-		h.line, h.index, h.whole = line, index, nil
-		clear(h.bodies)
+func (h *Hub) invalidate(line string, index int64) {
+	if line != h.epoch || index != h.version {
+		h.epoch, h.version, h.snapshot = line, index, nil
+		clear(h.changesSince)
 	}
 }
 
@@ -149,7 +149,7 @@
 	last := map[string]int{}
 	n := 0
 	for _, c := range changes {
-		for _, e := range c.Entries {
+		for _, e := range c.Endpoints {
 			last[e.Name] = n
 			n++
 		}
@@ -157,7 +157,7 @@
 	out := make([]state.Endpoint, 0, len(last))
 	n = 0
 	for _, c := range changes {
-		for _, e := range c.Entries {
+		for _, e := range c.Endpoints {
 			if last[e.Name] == n {
 				out = append(out, e)
 			}
--- a/internal/registry/watch/model_test.go
+++ b/internal/registry/watch/hub_test.go
@@ -91,7 +91,7 @@
 				starts++
 				n := names.Draw(t, "name")
 				r := state.Record{Endpoint: state.Endpoint{Name: n, Address: "127.0.0.1:1", Zone: "z", Status: state.StatusServing, Weight: 1,
-					Since: starts}, Instance: fmt.Sprint(starts), LeaseMs: 1000}
+					StartedAtMs: starts}, Instance: fmt.Sprint(starts), LeaseMs: 1000}
 				c := state.Command{Kind: state.CommandRegister, Record: &r}
 				src.Apply(c)
 				if rapid.Bool().Draw(t, "again") && src.Apply(c).Changed {
