--- a/internal/registry/raftnode/configs.go
+++ b/internal/registry/raftnode/configs.go
@@ -11,21 +11,21 @@
 	"merlinpick/internal/registry/state"
 )
 
-// Builds side by side. A build from before configurations passes over the command that puts one, as it does over all that
-// it does not know, and would come to hold another state than the others. So a put is taken only where no member runs
-// such a build: before each, the leader asks all. One that does not answer passes if there is a configuration already,
-// since all knew them when the first came; for the first, all have to answer. A member that is set back to such a build
-// later is found at the next put, and does not read the others' snapshots (state.Read): it says so and ends.
+// Mixed builds. A build without configurations skips the command that writes one and would diverge from the others. So
+// the leader asks all members before each write. A member that does not answer is let pass if there is a configuration
+// already, since all members supported them when the first was written; the first needs an answer from all. A member that
+// is later downgraded to such a build is found at the next write, and refuses the snapshots of the others.
 
-// buildWait is how long a put waits to hear what the other members run: one that is stopped delays each put by so much.
+// capabilityTimeout bounds how long a write waits for a member that does not answer.
 const capabilityTimeout = 500 * time.Millisecond
 
-// BuildError is a member that keeps the service from taking configurations.
+// IncompatibleMemberError is a member that keeps the cluster from writing configurations.
 type IncompatibleMemberError struct {
 	Member string
-	Cause  error // it did not answer; nil: its build does not know configurations
+	Cause  error // why it did not answer; nil: its build has no configurations
 }
 
+// Error names the member and the remedy.
 func (e *IncompatibleMemberError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("member %s has not told whether its build knows configurations, and the first one needs all: start it, "+
@@ -34,88 +34,73 @@
 	return fmt.Sprintf("member %s runs a build without configurations: replace it, and put it again", e.Member)
 }
 
+// Unwrap returns the cause.
 func (e *IncompatibleMemberError) Unwrap() error { return e.Cause }
 
-// errNoText is a document that cannot be: its caller has not put it into the form that is kept.
-var errInvalidJSON = errors.New("a document that is no JSON")
+// errInvalidJSON is a document that the caller has not brought into canonical form (settings.Canonical).
+var errInvalidJSON = errors.New("the document is no JSON")
 
-// Knows tells whether a member's build knows configurations. This one's does.
-func (m *Node) SupportsConfigs(ctx context.Context, p Peer) error {
-	if p.Name == m.cfg.Name {
+// SupportsConfigs returns an *IncompatibleMemberError unless the peer answers that its build has configurations.
+func (n *Node) SupportsConfigs(ctx context.Context, p Peer) error {
+	if p.Name == n.cfg.Name {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, capabilityTimeout)
 	defer cancel()
-	switch s, err := m.peers.status(ctx, p); {
+	switch status, err := n.peers.status(ctx, p); {
 	case err != nil:
 		return &IncompatibleMemberError{p.Name, err}
-	case !s.SupportsConfigs:
+	case !status.SupportsConfigs:
 		return &IncompatibleMemberError{p.Name, nil}
 	}
 	return nil
 }
 
-// allKnow asks all members.
-func (m *Node) checkAllSupportConfigs(ctx context.Context) error {
-	_, _, any := m.configurations()
-	faults := make([]error, len(m.cfg.Peers))
-	var asked sync.WaitGroup
-	for i, p := range m.cfg.Peers {
-		asked.Go(func() { faults[i] = m.SupportsConfigs(ctx, p) })
+func (n *Node) checkAllSupportConfigs(ctx context.Context) error {
+	haveConfigs := len(n.configSnapshot().Configs) > 0
+	errs := make([]error, len(n.cfg.Peers))
+	var asking sync.WaitGroup
+	for i, p := range n.cfg.Peers {
+		asking.Go(func() { errs[i] = n.SupportsConfigs(ctx, p) })
 	}
-	asked.Wait()
-	for _, err := range faults {
-		var fault *IncompatibleMemberError
-		if errors.As(err, &fault) && (fault.Cause == nil || !any) {
-			return fault
+	asking.Wait()
+	for _, err := range errs {
+		var incompatible *IncompatibleMemberError
+		if errors.As(err, &incompatible) && (incompatible.Cause == nil || !haveConfigs) {
+			return incompatible
 		}
 	}
 	return nil
 }
 
-// Configure puts a service's document after a version. Only the leader can. With ErrUnsure it may happen yet.
-func (m *Node) Configure(ctx context.Context, service string, after int64, document json.RawMessage) (state.Result, error) {
+// Configure writes a service's document if the service's newest version is after; otherwise the result is
+// state.ResultConflict. The errors are those of Propose, and *IncompatibleMemberError.
+func (n *Node) Configure(ctx context.Context, service string, after int64, document json.RawMessage) (state.Result, error) {
 	if !json.Valid(document) {
 		return state.Result{}, errInvalidJSON
 	}
-	if !m.isLeader() {
+	if !n.isLeader() {
 		return state.Result{}, ErrNotLeader
 	}
-	if err := m.checkAllSupportConfigs(ctx); err != nil {
+	if err := n.checkAllSupportConfigs(ctx); err != nil {
 		return state.Result{}, err
 	}
-	m.configWrites.RLock()
-	defer m.configWrites.RUnlock()
-	return m.Propose(state.Command{Kind: state.CommandConfigure, Service: service, After: after, Document: document})
+	n.configWrites.RLock()
+	defer n.configWrites.RUnlock()
+	return n.Propose(state.Command{Kind: state.CommandConfigure, Service: service, After: after, Document: document})
 }
 
-// Configuration is a service's configuration on this member, and the line that its version is of.
-func (m *Node) Configuration(service string) (line string, c state.Configuration, ok bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	c, ok = m.state.Configuration(service)
-	return m.state.Epoch(), c, ok
+// Configuration returns a service's configuration as this node has it, and the epoch of its version.
+func (n *Node) Configuration(service string) (epoch string, c state.Configuration, ok bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	c, ok = n.state.Configuration(service)
+	return n.state.Epoch(), c, ok
 }
 
-func (m *Node) configurations() (all []state.Configuration, newest int64, any bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	i := state.Snapshot{Version: m.state.Version(), Configs: m.state.Configurations()}
-	return i.Configs, i.NewestVersion(), len(i.Configs) > 0
-}
-
-// Others are the members but for this one.
-func (m *Node) Peers() []Peer {
-	var out []Peer
-	for _, p := range m.cfg.Peers {
-		if p.Name != m.cfg.Name {
-			out = append(out, p)
-		}
-	}
-	return out
-}
-
-// Ask has another member answer a call of its address with JSON, of at most so many bytes.
-func (m *Node) CallPeer(ctx context.Context, of Peer, path string, most int64, out any) error {
-	return m.peers.get(ctx, of, path, most, out)
+// configSnapshot is the configurations and the list's version alone.
+func (n *Node) configSnapshot() state.Snapshot {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return state.Snapshot{Version: n.state.Version(), Configs: n.state.Configurations()}
 }
--- a/internal/registry/raftnode/freshness.go
+++ b/internal/registry/raftnode/freshness.go
@@ -5,134 +5,167 @@
 	"fmt"
 	"math"
 	"time"
+
+	"merlinpick/internal/registry/state"
 )
 
-// Proof is what this leader's list is now: it has made sure with a majority that it leads. All that was acknowledged
-// before the call is in it, since a command is acknowledged once the leader's list has it.
-func (m *Node) ReadIndex() (ReadIndex, error) {
-	if !m.isLeader() {
+// ReadIndex is the leader's state at a moment at which a quorum confirmed its leadership. A member that has applied it has
+// all that was acknowledged before that moment.
+type ReadIndex struct {
+	Epoch   string `json:"line"`
+	Version int64  `json:"index"`
+	Commit  uint64 `json:"commit"` // raft's commit index
+
+	// Configs is the leader's State.ConfigRevision: a new configuration makes no version of the list. It is 0 from a
+	// leader whose build has no configurations.
+	Configs uint64 `json:"configs"`
+}
+
+// coveredBy reports whether a state holds all that the index covers.
+func (r ReadIndex) coveredBy(s *state.State) bool {
+	return s.Epoch() == r.Epoch && s.Version() >= r.Version && s.ConfigRevision() >= r.Configs
+}
+
+// ReadIndex returns the leader's state after confirming its leadership with a quorum. All that was acknowledged before the
+// call is in it, since a command is acknowledged after the leader has applied it. It fails with ErrNotLeader.
+func (n *Node) ReadIndex() (ReadIndex, error) {
+	if !n.isLeader() {
 		return ReadIndex{}, ErrNotLeader
 	}
-	p := ReadIndex{Commit: m.raft.CommitIndex()}
-	m.mu.Lock()
-	p.Epoch, p.Version, p.Configs = m.state.Epoch(), m.state.Version(), m.state.ConfigRevision()
-	m.mu.Unlock()
-	if err := m.raft.VerifyLeader().Error(); err != nil {
+	index := ReadIndex{Commit: n.raft.CommitIndex()}
+	n.mu.Lock()
+	index.Epoch, index.Version, index.Configs = n.state.Epoch(), n.state.Version(), n.state.ConfigRevision()
+	n.mu.Unlock()
+	if err := n.raft.VerifyLeader().Error(); err != nil {
 		return ReadIndex{}, fmt.Errorf("%w (%w)", ErrNotLeader, err)
 	}
-	return p, nil
+	return index, nil
 }
 
-// Age is the time since the list was last proved current.
-func (m *Node) Age() time.Duration {
-	if at := m.confirmedAt.Load(); at != nil {
+// Age is the time since the list was last known to be up to date; the longest duration if it never was.
+func (n *Node) Age() time.Duration {
+	if at := n.confirmedAt.Load(); at != nil {
 		return time.Since(*at)
 	}
 	return math.MaxInt64
 }
 
-// Serving tells whether the list is told: it has begun and is not older than it may be.
-func (m *Node) Serving() bool {
-	line, _ := m.Version()
-	return line != "" && m.Age() <= m.cfg.MaxListAge
+// Serving reports whether the list may be served: it has an epoch and is at most Config.MaxListAge old.
+func (n *Node) Serving() bool {
+	epoch, _ := n.Version()
+	return epoch != "" && n.Age() <= n.cfg.MaxListAge
 }
 
-// AwaitFresh waits until the list has been proved current at a moment after this call began.
-func (m *Node) WaitLinearizable(ctx context.Context) error {
+// WaitLinearizable waits until the list was confirmed up to date at a moment after the call began. It fails with ErrStale
+// after Config.MaxListAge.
+func (n *Node) WaitLinearizable(ctx context.Context) error {
 	begun := time.Now()
 	select {
-	case m.confirmNow <- struct{}{}: // not at the next poll but now
-	default:
+	case n.confirmNow <- struct{}{}:
+	default: // a confirmation is asked for already
 	}
-	patience := time.NewTimer(m.cfg.MaxListAge)
-	defer patience.Stop()
+	timeout := time.NewTimer(n.cfg.MaxListAge)
+	defer timeout.Stop()
 	for {
-		m.confirmedMu.Lock()
-		next := m.confirmed
-		m.confirmedMu.Unlock()
-		if at := m.confirmedAt.Load(); at != nil && at.After(begun) {
+		n.confirmedMu.Lock()
+		next := n.confirmed
+		n.confirmedMu.Unlock()
+		if at := n.confirmedAt.Load(); at != nil && at.After(begun) {
 			return nil
 		}
 		select {
 		case <-next:
-		case <-patience.C:
+		case <-timeout.C:
 			return ErrStale
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-m.lifetime.Done():
+		case <-n.lifetime.Done():
 			return ErrStale
 		}
 	}
 }
 
-// keepFresh owns the member's freshness.
-func (m *Node) runFreshness() {
-	polls := time.NewTicker(FreshnessInterval)
-	defer polls.Stop()
-	serves := false
+// runFreshness confirms the list every FreshnessInterval, and on demand, until Close.
+func (n *Node) runFreshness() {
+	interval := time.NewTicker(FreshnessInterval)
+	defer interval.Stop()
+	wasServing := false
 	for {
-		at := time.Now()
-		err := m.confirmUpToDate(at)
-		if now := m.Serving(); now != serves {
-			if serves = now; now {
-				m.logger.Info("the list is served")
+		err := n.confirm(time.Now())
+		if serving := n.Serving(); serving != wasServing {
+			wasServing = serving
+			if serving {
+				n.logger.Info("serving the list")
 			} else {
-				m.logger.Error("the list is not served: the leader is lost", "age", m.Age(), "bound", m.cfg.MaxListAge, "error", err)
+				n.logger.Error("registry lost quorum: list not served", "age", n.Age(), "limit", n.cfg.MaxListAge, "error", err)
 			}
-			m.watches.NotifyChange() // those who wait are told
+			n.watches.NotifyChange() // watches answer 503 or go on
 		}
 		select {
-		case <-polls.C:
-		case <-m.confirmNow:
-		case <-m.lifetime.Done():
+		case <-interval.C:
+		case <-n.confirmNow:
+		case <-n.lifetime.Done():
 			return
 		}
 	}
 }
 
-// prove gets one proof that the list was current at a moment.
-func (m *Node) confirmUpToDate(at time.Time) error {
-	ctx, cancel := context.WithTimeout(m.lifetime, m.cfg.MaxListAge)
+// confirm waits until this node has applied the leader's read index, and records that the list was up to date at a moment
+// before the index was asked for.
+func (n *Node) confirm(at time.Time) error {
+	ctx, cancel := context.WithTimeout(n.lifetime, n.cfg.MaxListAge)
 	defer cancel()
-	p, err := m.requestReadIndex(ctx)
+	index, err := n.requestReadIndex(ctx)
 	if err != nil {
 		return err
 	}
+	if err := n.waitApplied(ctx, index); err != nil {
+		return err
+	}
+	n.confirmedAt.Store(&at)
+	n.confirmedMu.Lock()
+	close(n.confirmed)
+	n.confirmed = make(chan struct{})
+	n.confirmedMu.Unlock()
+	return n.resumeVoting(index)
+}
+
+func (n *Node) requestReadIndex(ctx context.Context) (ReadIndex, error) {
+	if n.isLeader() {
+		return n.ReadIndex()
+	}
+	leader, ok := n.Leader()
+	if !ok || leader.Name == n.cfg.Name {
+		return ReadIndex{}, ErrNoLeader
+	}
+	return n.peers.readIndex(ctx, leader)
+}
+
+func (n *Node) waitApplied(ctx context.Context, index ReadIndex) error {
 	for {
-		m.mu.Lock()
-		has, next := p.coveredBy(m.state), m.stateChanged
-		m.mu.Unlock()
-		if has {
-			break
+		n.mu.Lock()
+		covered, changed := index.coveredBy(n.state), n.stateChanged
+		n.mu.Unlock()
+		if covered {
+			return nil
 		}
 		select {
-		case <-next:
+		case <-changed:
 		case <-ctx.Done():
 			return ErrStale
 		}
 	}
-	m.confirmedAt.Store(&at)
-	m.confirmedMu.Lock()
-	close(m.confirmed)
-	m.confirmed = make(chan struct{})
-	m.confirmedMu.Unlock()
-	if m.voting != nil && m.voting.abstains.Load() && m.raft.AppliedIndex() >= p.Commit {
-		if err := m.store.Set(abstainKey, []byte{0}); err != nil {
-			return err
-		}
-		m.voting.abstains.Store(false)
-		m.logger.Info("this member holds all that is confirmed: it votes from now on")
-	}
-	return nil
 }
 
-func (m *Node) requestReadIndex(ctx context.Context) (ReadIndex, error) {
-	if m.isLeader() {
-		return m.ReadIndex()
+// resumeVoting ends the abstention of a node that has applied all that the leader had committed.
+func (n *Node) resumeVoting(index ReadIndex) error {
+	if n.voting == nil || !n.voting.abstains.Load() || n.raft.AppliedIndex() < index.Commit {
+		return nil
 	}
-	p, ok := m.Leader()
-	if !ok || p.Name == m.cfg.Name {
-		return ReadIndex{}, ErrNoLeader
+	if err := n.store.Set(abstainKey, []byte{0}); err != nil {
+		return err
 	}
-	return m.peers.readIndex(ctx, p)
+	n.voting.abstains.Store(false)
+	n.logger.Info("caught up: voting in elections")
+	return nil
 }
--- a/internal/registry/raftnode/freshness_test.go
+++ b/internal/registry/raftnode/freshness_test.go
@@ -7,30 +7,36 @@
 	"merlinpick/internal/registry/state"
 )
 
-// A member whose list is current and that lacks a put of a configuration is not current: puts make no version of the list.
-func TestAProofIsOfConfigurationsToo(t *testing.T) {
-	begun := func(puts ...string) *state.State {
+// A member that lacks a write of a configuration is not up to date: such a write makes no version of the list.
+func TestReadIndexCoversConfigurations(t *testing.T) {
+	stateAfter := func(services ...string) *state.State {
 		s := state.New()
 		s.Apply(state.Command{Kind: state.CommandBegin, Epoch: "l", FirstVersion: 100})
-		for _, service := range puts {
-			was, _ := s.Configuration(service)
-			if r := s.Apply(state.Command{Kind: state.CommandConfigure, Service: service, After: was.Version, Document: json.RawMessage(`{}`)}); r.Code != state.ResultDone {
+		for _, service := range services {
+			current, _ := s.Configuration(service)
+			configure := state.Command{Kind: state.CommandConfigure, Service: service, After: current.Version, Document: json.RawMessage(`{}`)}
+			if r := s.Apply(configure); r.Code != state.ResultDone {
 				t.Fatal(r)
 			}
 		}
 		return s
 	}
-	leader := begun("a", "b", "a")
-	p := ReadIndex{Epoch: leader.Epoch(), Version: leader.Version(), Configs: leader.ConfigRevision()}
+	leader := stateAfter("a", "b", "a")
+	index := ReadIndex{Epoch: leader.Epoch(), Version: leader.Version(), Configs: leader.ConfigRevision()}
 	for _, c := range []struct {
-		puts  []string
-		holds bool
+		services []string
+		covered  bool
 	}{{nil, false}, {[]string{"a"}, false}, {[]string{"a", "b"}, false}, {[]string{"a", "b", "a"}, true}, {[]string{"a", "b", "a", "b"}, true}} {
-		if s := begun(c.puts...); p.coveredBy(s) != c.holds {
-			t.Errorf("after %v: %v", c.puts, !c.holds)
+		if s := stateAfter(c.services...); index.coveredBy(s) != c.covered {
+			t.Errorf("after writes of %v: covered is %v", c.services, !c.covered)
 		}
 	}
-	if !(ReadIndex{Epoch: "l", Version: 100}).coveredBy(begun()) || (ReadIndex{Epoch: "m", Version: 100}).coveredBy(begun()) || (ReadIndex{Epoch: "l", Version: 101}).coveredBy(begun()) {
-		t.Error("the list's part of a proof")
+	for _, c := range []struct {
+		index   ReadIndex
+		covered bool
+	}{{ReadIndex{Epoch: "l", Version: 100}, true}, {ReadIndex{Epoch: "m", Version: 100}, false}, {ReadIndex{Epoch: "l", Version: 101}, false}} {
+		if c.index.coveredBy(stateAfter()) != c.covered {
+			t.Errorf("%+v: covered is %v", c.index, !c.covered)
+		}
 	}
 }
--- a/internal/registry/raftnode/fsm.go
+++ b/internal/registry/raftnode/fsm.go
@@ -10,30 +10,29 @@
 	"merlinpick/internal/registry/state"
 )
 
-// machine is the member as consensus feeds it.
+// fsm is the node as raft's state machine.
 type fsm Node
 
-// Apply implements raft.FSM.
-func (f *fsm) Apply(l *raft.Log) any {
-	c, err := state.Decode(l.Data)
+// Apply implements raft.FSM. It returns a state.Result, or an error for a command that cannot be decoded.
+func (f *fsm) Apply(entry *raft.Log) any {
+	command, err := state.Decode(entry.Data)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	defer f.notifyStateChanged()
-	if err != nil { // the checksum held, so another version wrote it: all members pass over it alike
-		f.logger.Error("a command of the log is passed over", "index", l.Index, "error", err)
+	if err != nil { // its checksum is right, so another build wrote it; all members of this build skip it alike
+		f.logger.Error("unreadable command skipped", "index", entry.Index, "error", err)
 		return err
 	}
-	r := f.state.Apply(c)
-	if f.leaderReady && r.Code == state.ResultDone {
-		f.updateLeases(c)
+	result := f.state.Apply(command)
+	if f.leaderReady && result.Code == state.ResultDone {
+		f.updateLeases(command)
 	}
-	if r.Changed || c.Kind == state.CommandBegin {
+	if result.Changed || command.Kind == state.CommandBegin {
 		f.watches.NotifyChange()
 	}
-	return r
+	return result
 }
 
-// lease has the leases follow a command.
 func (f *fsm) updateLeases(c state.Command) {
 	switch c.Kind {
 	case state.CommandRegister:
@@ -49,7 +48,6 @@
 	}
 }
 
-// move wakes those who wait for the state to move.
 func (f *fsm) notifyStateChanged() {
 	close(f.stateChanged)
 	f.stateChanged = make(chan struct{})
@@ -65,13 +63,13 @@
 // Restore implements raft.FSM.
 func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	i, err := state.ReadSnapshot(r)
+	snapshot, err := state.ReadSnapshot(r)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.state.Load(i); err != nil {
+	if err := f.state.Load(snapshot); err != nil {
 		return fmt.Errorf("%w: %w", state.ErrDamaged, err)
 	}
 	f.notifyStateChanged()
@@ -82,8 +80,8 @@
 type fsmSnapshot state.Snapshot
 
 // Persist implements raft.FSMSnapshot.
-func (i fsmSnapshot) Persist(sink raft.SnapshotSink) error {
-	if err := state.Snapshot(i).Write(sink); err != nil {
+func (s fsmSnapshot) Persist(sink raft.SnapshotSink) error {
+	if err := state.Snapshot(s).Write(sink); err != nil {
 		_ = sink.Cancel()
 		return err
 	}
--- a/internal/registry/raftnode/golden_test.go
+++ b/internal/registry/raftnode/golden_test.go
@@ -9,8 +9,8 @@
 	"merlinpick/internal/registry/state"
 )
 
-// What members and operators read of a member is byte for byte what earlier versions sent.
-func TestAnswersOfAMemberAreAsBefore(t *testing.T) {
+// The answers about a member are byte for byte those of earlier versions.
+func TestMemberAnswersMatchGolden(t *testing.T) {
 	left := int64(1234)
 	record := state.Record{Instance: "i1", LeaseMs: 5000, Endpoint: state.Endpoint{Name: "n1", Address: "10.0.0.1:80", Zone: "a",
 		Type: "web", Cell: 2, Status: state.StatusServing, Weight: 0.5, StartedAtMs: 1_700_000_000_000}}
--- a/internal/registry/raftnode/leadership.go
+++ b/internal/registry/raftnode/leadership.go
@@ -1,114 +1,131 @@
 package raftnode
 
 import (
+	"crypto/rand"
+	"encoding/hex"
 	"errors"
 	"time"
 
 	"github.com/hashicorp/raft"
 
+	"merlinpick/internal/registry/lease"
 	"merlinpick/internal/registry/state"
 )
 
-// lead owns what the leader does beside the log: it notes when this member begins and ceases to lead, begins the first
-// line, and lets leases end.
-func (m *Node) runLeadership() {
-	looks := time.NewTicker(leaseSweepInterval)
-	defer looks.Stop()
+// runLeadership follows whether this node leads, and sweeps the leases while it does, until Close.
+func (n *Node) runLeadership() {
+	sweeps := time.NewTicker(leaseSweepInterval)
+	defer sweeps.Stop()
 	for {
 		select {
-		case leads := <-m.raft.LeaderCh():
-			if !leads {
-				m.stopLeading()
-				continue
+		case leads := <-n.raft.LeaderCh():
+			if leads {
+				n.startLeading()
+			} else {
+				n.stopLeading()
 			}
-			m.startLeading()
-		case <-looks.C:
+		case <-sweeps.C:
 			switch {
-			case m.isLeader():
-				m.sweepLeases()
-			case m.raft.State() == raft.Leader: // what had to be confirmed first was not, in its time
-				m.startLeading()
+			case n.isLeader():
+				n.sweepLeases()
+			case n.raft.State() == raft.Leader: // its first commands were not committed in time: again
+				n.startLeading()
 			}
-		case <-m.lifetime.Done():
-			m.stopLeading()
+		case <-n.lifetime.Done():
+			n.stopLeading()
 			return
 		}
 	}
 }
 
-func (m *Node) stopLeading() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.leaderReady {
-		m.logger.Info("this member leads no more")
+func (n *Node) stopLeading() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.leaderReady {
+		n.logger.Info("leadership lost")
 	}
-	m.leaderReady = false
+	n.leaderReady = false
 }
 
-func (m *Node) startLeading() {
-	if err := m.raft.Barrier(10 * applyTimeout).Error(); err != nil {
-		m.logger.Warn("the lead was lost before it began", "error", err)
+// startLeading applies all that was committed before this node's term, begins the first epoch of a new service, and
+// restarts every lease.
+func (n *Node) startLeading() {
+	if err := n.raft.Barrier(barrierTimeout).Error(); err != nil {
+		n.logger.Warn("leadership lost before it was usable", "error", err)
 		return
 	}
-	line, former := m.Version()
-	if line == "" {
-		first := state.Command{Kind: state.CommandBegin, Epoch: newEpoch(), FirstVersion: state.FirstVersion(time.Now(), former)}
-		if _, err := m.apply(first); err != nil {
-			m.logger.Warn("the list could not be begun", "error", err)
+	epoch, version := n.Version()
+	if epoch == "" {
+		begin := state.Command{Kind: state.CommandBegin, Epoch: newEpoch(), FirstVersion: state.FirstVersion(time.Now(), version)}
+		if _, err := n.apply(begin); err != nil {
+			n.logger.Warn("first epoch not begun", "error", err)
 			return
 		}
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.leases.Reset(time.Now(), m.state.Records())
-	m.leaderReady, m.expiredLeases = true, 0
-	m.logger.Info("this member leads", "term", m.raft.CurrentTerm(), "index", m.state.Version(), "nodos", m.state.Len())
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.leases.Reset(time.Now(), n.state.Records())
+	n.leaderReady, n.expiredLeases = true, 0
+	n.logger.Info("leadership gained", "term", n.raft.CurrentTerm(), "version", n.state.Version(), "endpoints", n.state.Len())
 }
 
-// lookOver has the leases that have ended end. A leader that cannot tell whether it leads ends none: it may be the one
-// that the renewals do not reach.
-func (m *Node) sweepLeases() {
-	stale := m.Age() > m.cfg.MaxListAge
-	m.mu.Lock()
+func newEpoch() string {
+	name := make([]byte, 8)
+	_, _ = rand.Read(name) // it never fails
+	return hex.EncodeToString(name)
+}
+
+// sweepLeases expires leases that are over. A leader that cannot confirm its leadership expires none, and restarts them
+// all: it may be the one that renewals do not reach.
+func (n *Node) sweepLeases() {
+	stale := n.Age() > n.cfg.MaxListAge
+	n.mu.Lock()
 	now := time.Now()
 	if stale {
-		// All begin again when it is sure.
-		m.leases.Reset(now, m.state.Records())
-		m.mu.Unlock()
+		n.leases.Reset(now, n.state.Records())
+		n.mu.Unlock()
 		return
 	}
-	l := m.leases.Sweep(now)
-	m.lastSweep = l
-	m.mu.Unlock()
-	if l.Paused > 0 {
-		m.logger.Warn("this process stood still: no lease ran meanwhile", "for", l.Paused)
+	sweep := n.leases.Sweep(now)
+	n.lastSweep = sweep
+	n.mu.Unlock()
+	n.logSweep(sweep)
+	if len(sweep.Expired) > 0 {
+		n.expire(now, sweep.Expired)
 	}
-	for _, z := range l.HoldsStarted {
-		m.logger.Error("too many leases of a zone ended together: its nodos are kept, and let go slowly", "zone", z,
-			"overdue", l.HeldLeases, "part", m.cfg.Lease.HoldThreshold, "pace", m.cfg.Lease.ReleaseRate)
+}
+
+func (n *Node) logSweep(sweep lease.Sweep) {
+	if sweep.Paused > 0 {
+		n.logger.Warn("lease timers paused", "reason", "process suspended", "duration", sweep.Paused)
 	}
-	for _, z := range l.HoldsEnded {
-		m.logger.Info("a zone's nodos are no longer held", "zone", z)
+	for _, zone := range sweep.HoldsStarted {
+		n.logger.Error("zone held: too many leases expired together", "zone", zone, "leases", sweep.HeldLeases,
+			"threshold", n.cfg.Lease.HoldThreshold, "release_rate", n.cfg.Lease.ReleaseRate)
 	}
-	if len(l.Expired) == 0 {
-		return
+	for _, zone := range sweep.HoldsEnded {
+		n.logger.Info("zone no longer held", "zone", zone)
 	}
-	_, err := m.apply(state.Command{Kind: state.CommandExpire, Refs: l.Expired})
+}
+
+// expire has the cluster remove endpoints whose leases are over. Where that fails, their leases start again.
+func (n *Node) expire(now time.Time, expired []state.InstanceRef) {
+	_, err := n.apply(state.Command{Kind: state.CommandExpire, Refs: expired})
 	if err == nil {
-		m.logger.Info("leases ended", "nodos", l.Expired)
-		m.mu.Lock()
-		m.expiredLeases += int64(len(l.Expired))
-		m.mu.Unlock()
+		n.logger.Info("leases expired", "endpoints", expired)
+		n.mu.Lock()
+		n.expiredLeases += int64(len(expired))
+		n.mu.Unlock()
 		return
 	}
 	if !errors.Is(err, ErrNotLeader) {
-		m.logger.Warn("leases that ended stand for another time", "nodos", len(l.Expired), "error", err)
+		n.logger.Warn("lease expiry not committed: leases restarted", "endpoints", len(expired), "error", err)
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, ref := range l.Expired {
-		if r, ok := m.state.Get(ref.Name); ok && r.Instance == ref.Instance {
-			m.leases.Put(now, r)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, ref := range expired {
+		if r, ok := n.state.Get(ref.Name); ok && r.Instance == ref.Instance {
+			n.leases.Put(now, r)
 		}
 	}
 }
--- a/internal/registry/raftnode/logging.go
+++ b/internal/registry/raftnode/logging.go
@@ -9,23 +9,25 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// newLogger has the consensus's lines go where the program's go.
-func newLogger(log *slog.Logger) hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "consensus", Level: hclog.Info, JSONFormat: true, DisableTime: true,
-		Output: (*logWriter)(log)})
+// newLogger sends raft's log lines to the program's log.
+func newLogger(logger *slog.Logger) hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Info, JSONFormat: true, DisableTime: true,
+		Output: (*logWriter)(logger)})
 }
 
+// logWriter turns raft's JSON lines into records of a slog.Logger, one level lower: what raft does by itself is rarely of
+// use to on-call staff.
 type logWriter slog.Logger
 
-// Write implements io.Writer: one line a call.
-func (l *logWriter) Write(text []byte) (int, error) {
+// Write implements io.Writer. Each call has one line.
+func (w *logWriter) Write(text []byte) (int, error) {
 	var line map[string]any
-	log := (*slog.Logger)(l)
+	logger := (*slog.Logger)(w)
 	if json.Unmarshal(bytes.TrimSpace(text), &line) != nil {
-		log.Info(string(bytes.TrimSpace(text)))
+		logger.Info(string(bytes.TrimSpace(text)))
 		return len(text), nil
 	}
-	level := slog.LevelDebug // what it does by itself is of little interest to those on call
+	level := slog.LevelDebug
 	switch line["@level"] {
 	case "warn":
 		level = slog.LevelInfo
@@ -33,12 +35,12 @@
 		level = slog.LevelWarn
 	}
 	message, _ := line["@message"].(string)
-	args := []any{"part", "consensus"}
+	args := []any{"part", "raft"}
 	for key, v := range line {
 		if key[0] != '@' {
 			args = append(args, key, v)
 		}
 	}
-	log.Log(context.Background(), level, message, args...)
+	logger.Log(context.Background(), level, message, args...)
 	return len(text), nil
 }
--- a/internal/registry/raftnode/node.go
+++ b/internal/registry/raftnode/node.go
@@ -1,45 +1,35 @@
-// Package member is one member of the list service: the state that consensus feeds, the leases while it leads, and what
-// it knows of how fresh its list is.
+// Package raftnode runs one member of the registry: the replicated state machine, the leases while this member leads, and
+// the proof that its copy of the list is up to date. Consensus is hashicorp/raft. The package serves no requests of clients
+// (package api does) and decides nothing about a list's content (package state does).
 //
-// Consensus is hashicorp/raft. What is decided here:
+// List age. The age of a member's list counts from the latest moment of its own clock at which the list was known to be
+// current: the member asked the leader for its read index, the leader confirmed its leadership with a quorum, and this
+// member has applied everything up to that index. Each member does this every FreshnessInterval. A member whose list is
+// older than Config.MaxListAge serves no reads; the API answers 503. That one rule covers members that are partitioned,
+// suspended or catching up, and compares no clocks of different machines. A linearizable read waits for a confirmation
+// that began after the read did.
 //
-// Freshness. A member's list was current at some moment of its own clock, and Age counts from the latest such moment: it
-// asked the leader for its version, the leader made sure with a majority that it still leads, and this member has come
-// up to there since. Each member asks every Poll; one that is older than Config.Stale answers nobody (the API
-// turns that into 503). So a member cut off, one on a minority's side, one that was stopped and one that is still
-// catching up all fall silent by one rule, and none needs a clock that agrees with another's. A read that must be
-// linearizable waits for a moment after its own beginning.
+// Leadership. A leader renews and expires leases only after a barrier has shown it everything committed before its term,
+// and while its own list is up to date: before that, it cannot tell an unknown endpoint from one that it has not applied.
 //
-// Leading. A leader takes renewals and lets leases end only once a barrier has shown it all that was committed before
-// it, and while it is fresh itself: until then it cannot tell an unknown nodo from one it has not read of yet.
+// Bootstrap. A member with an empty directory may have voted and acknowledged entries before it lost its disk. It starts
+// a new service only if it reaches all other members and all are empty too. Otherwise it abstains from elections, across
+// restarts, until it has applied all that the leader has committed.
 //
-// Beginning. A member with an empty directory must not vote as if nothing had been: it may have voted, and have
-// acknowledged entries, before its disk was lost, and a majority that counts on it could then forget what was confirmed.
-// It starts a service only if it reaches all other members and all are as empty. If any has something, it abstains from
-// elections, over restarts too, until it holds all that the leader has committed.
-//
-// Rejected: trust in raft's LastContact for freshness (a member that is catching up hears from the leader all the time);
-// renewals in the log (a write and a sync for each nodo every few seconds, to keep what a new leader counts afresh anyway).
+// raft's LastContact does not bound the age of the list, since a member that is catching up hears from the leader all the
+// time. Renewals are not in the log: a new leader restarts every lease in any case.
 package raftnode
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
 	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"log/slog"
-	"net"
-	"os"
-	"path/filepath"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
 	"merlinpick/internal/registry/lease"
@@ -49,40 +39,37 @@
 )
 
 const (
-	// Poll is between two proofs of freshness.
-	FreshnessInterval  = 250 * time.Millisecond
-	leaseSweepInterval = 100 * time.Millisecond // between two looks at the leases
+	// FreshnessInterval is the time between two confirmations that the list is up to date.
+	FreshnessInterval = 250 * time.Millisecond
+
+	leaseSweepInterval = 100 * time.Millisecond
 
-	applyTimeout         = 2 * time.Second // for a command to be committed
-	snapshotThreshold    = 2048            // entries
-	trailingLogs         = 2048            // and are kept after it, for members that are behind
-	retainedSnapshots    = 2
-	maxPooledConnections = 3
-	ioTimeout            = 5 * time.Second
-	shutdownTimeout      = 3 * time.Second
-	bootstrapEntries     = 1 // of the log, that a member begins with: nothing was promised in them
+	applyTimeout    = 2 * time.Second // for a command to be committed and applied
+	barrierTimeout  = 10 * applyTimeout
+	restoreTimeout  = 10 * applyTimeout
+	shutdownTimeout = 3 * time.Second
 )
 
-// Peer is a member as others find it.
+// Peer is a member of the cluster and its addresses, HOST:PORT.
 type Peer struct {
 	Name string
-	Raft string // address of the consensus
-	API  string // address of the list
+	Raft string // for raft's traffic
+	API  string // for the HTTP API
 }
 
-// Config is what a member is told.
+// Config configures a node.
 type Config struct {
 	Name            string
 	Dir             string
-	Listen          string        // of the consensus; empty: the peer's own address
-	Peers           []Peer        // all members, this one too; empty: it is the only one
-	ElectionTimeout time.Duration // without a word from the leader
-	MaxListAge      time.Duration // a list that is older is not told
+	Listen          string        // address for raft's traffic; empty: the node's own address in Peers
+	Peers           []Peer        // all members with this one; empty: a cluster of one
+	ElectionTimeout time.Duration // without a heartbeat from the leader
+	MaxListAge      time.Duration // an older list is not served
 	Lease           lease.Config
 	Logger          *slog.Logger
 }
 
-// The ways in which a call can fail. The caller repeats it, elsewhere or later.
+// Errors of calls that may be retried, here or on another member. After ErrUncertain the command may still take effect.
 var (
 	ErrNotLeader = errors.New("this member does not lead")
 	ErrNoLeader  = errors.New("no leader is known")
@@ -90,200 +77,109 @@
 	ErrUncertain = errors.New("not confirmed in time; it may have happened: repeat it")
 )
 
-// Member is one member.
-type Node struct {
-	cfg          Config
-	logger       *slog.Logger
-	store        *store.Store
-	raft         *raft.Raft
-	transport    raft.Transport
-	voting       *votingTransport // nil for an only member
-	watches      *watch.Hub
-	peers        *peerClient
-	configWrites sync.RWMutex // a restore waits for the puts that are under way, and they for it
-	lifetime     context.Context
-	stop         context.CancelFunc
-	background   sync.WaitGroup
-	confirmedAt  atomic.Pointer[time.Time]
-	confirmNow   chan struct{} // asks for a proof now, not at the next poll
-	confirmedMu  sync.Mutex
-	confirmed    chan struct{} // closed at the next proof
+// errShutdownTimeout is harmless: the log recovers as after a kill.
+var errShutdownTimeout = fmt.Errorf("raft did not shut down within %v; the next start recovers its directory as after a kill",
+	shutdownTimeout)
+
+// unreadableCommandError is a committed command that this build cannot decode.
+type unreadableCommandError struct{ response any }
+
+func (e *unreadableCommandError) Error() string {
+	return fmt.Sprintf("a command of the log cannot be read: %v", e.response)
+}
 
-	mu            sync.Mutex // of what follows
+// Node is one member of the cluster. Its methods may be called concurrently.
+type Node struct {
+	cfg       Config
+	logger    *slog.Logger
+	store     *store.Store
+	raft      *raft.Raft
+	transport raft.Transport
+	voting    *votingTransport // nil in a cluster of one
+	peers     *peerClient
+	watches   *watch.Hub
+
+	lifetime   context.Context // until Close
+	stop       context.CancelFunc
+	background sync.WaitGroup
+
+	configWrites sync.RWMutex // read-locked by writes of configurations, locked by a restore
+
+	confirmedAt atomic.Pointer[time.Time] // latest moment at which the list was known to be up to date
+	confirmNow  chan struct{}             // asks for a confirmation before the next interval
+	confirmedMu sync.Mutex
+	confirmed   chan struct{} // closed at the next confirmation
+
+	mu            sync.Mutex // guards the fields below
 	state         *state.State
+	stateChanged  chan struct{} // closed when the state changes
 	leases        *lease.Table
-	leaderReady   bool
-	lastSweep     lease.Sweep // the last one's figures
-	expiredLeases int64
-	stateChanged  chan struct{} // closed when the state has moved
+	leaderReady   bool // this node leads and has applied all that was committed before its term
+	lastSweep     lease.Sweep
+	expiredLeases int64 // since this node leads
 }
 
-// Open opens a member's directory and joins the others. One whose directory is empty waits for them, for as long as the
-// context lasts; meanwhile its caller has to answer them with Waiting.
+// Open opens the node's directory and joins the cluster. A node whose directory is empty waits for all its peers until ctx
+// ends; meanwhile the caller has to answer their requests with WaitingStatus.
 func Open(ctx context.Context, cfg Config) (*Node, error) {
-	snaps, newest, err := openSnapshots(cfg.Dir, newLogger(cfg.Logger))
+	snapshots, newest, err := openSnapshots(cfg.Dir, newLogger(cfg.Logger))
 	if err != nil {
 		return nil, err
 	}
-	st, fresh, err := store.Open(cfg.Dir, cfg.Name, newest, cfg.Logger)
+	disk, empty, err := store.Open(cfg.Dir, cfg.Name, newest, cfg.Logger)
 	if err != nil {
 		return nil, err
 	}
-	m := &Node{cfg: cfg, logger: cfg.Logger, store: st, state: state.New(), leases: lease.New(cfg.Lease),
+	n := &Node{cfg: cfg, logger: cfg.Logger, store: disk, state: state.New(), leases: lease.New(cfg.Lease),
 		confirmNow: make(chan struct{}, 1), confirmed: make(chan struct{}), stateChanged: make(chan struct{})}
-	m.watches = watch.New(m)
-	m.lifetime, m.stop = context.WithCancel(context.Background())
-	m.peers = newPeerClient(cfg)
-	if err := m.startRaft(ctx, snaps, fresh); err != nil {
-		m.stop()
-		st.Close()
-		return nil, err
-	}
-	m.background.Go(func() { m.watches.Run(m.lifetime) })
-	m.background.Go(m.runFreshness)
-	m.background.Go(m.runLeadership)
-	return m, nil
-}
-
-func (m *Node) startRaft(ctx context.Context, snaps raft.SnapshotStore, fresh bool) error {
-	cfg := m.cfg
-	logger := newLogger(cfg.Logger)
-	var err error
-	rc := raft.DefaultConfig()
-	rc.LocalID = raft.ServerID(cfg.Name)
-	rc.Logger = logger
-	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = cfg.ElectionTimeout, cfg.ElectionTimeout, cfg.ElectionTimeout/2
-	rc.SnapshotThreshold, rc.TrailingLogs = snapshotThreshold, trailingLogs
-	rc.SnapshotInterval = 30 * time.Second
-	servers := []raft.Server{{ID: rc.LocalID, Address: raft.ServerAddress(cfg.Name)}}
-	abstain := false
-	if len(cfg.Peers) == 0 {
-		_, m.transport = raft.NewInmemTransport(raft.ServerAddress(cfg.Name))
-	} else {
-		servers = nil
-		for _, p := range cfg.Peers {
-			servers = append(servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Name)})
-		}
-		if abstain, err = m.mustAbstain(ctx, fresh); err != nil {
-			return err
-		}
-		layer, err := listen(cfg)
-		if err != nil {
-			return err
-		}
-		m.voting = newVotingTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, MaxPool: maxPooledConnections,
-			Timeout: ioTimeout, Logger: logger, ServerAddressProvider: peerAddresses(cfg.Peers)}), abstain)
-		m.transport = m.voting
-	}
-	if fresh && !abstain {
-		if err := raft.BootstrapCluster(rc, m.store, m.store, snaps, m.transport, raft.Configuration{Servers: servers}); err != nil {
-			return fmt.Errorf("begin the service: %w", err)
-		}
-	}
-	if m.raft, err = raft.NewRaft(rc, (*fsm)(m), m.store, m.store, snaps, m.transport); err != nil {
-		return fmt.Errorf("start from %s: %w", cfg.Dir, err)
-	}
-	return nil
-}
-
-// snapshots opens the consensus's own snapshots, and reads each: the consensus would pass over a damaged one, and begin
-// with an older one and a gap. Newest is the index that the newest one reaches.
-func openSnapshots(dir string, logger hclog.Logger) (s *raft.FileSnapshotStore, newest uint64, err error) {
-	if s, err = raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, logger); err != nil {
-		return nil, 0, fmt.Errorf("snapshots: %w", err)
-	}
-	below, err := os.ReadDir(filepath.Join(dir, "snapshots"))
-	if err != nil {
-		return nil, 0, fmt.Errorf("snapshots: %w", err)
-	}
-	for _, d := range below {
-		if !d.IsDir() || strings.HasSuffix(d.Name(), ".tmp") { // one that was being written when the process ended
-			continue
-		}
-		index, err := verifySnapshot(s, d.Name())
-		if err != nil {
-			return nil, 0, fmt.Errorf("%s: %w: %w; nothing was changed. If the other members serve, move the member's "+
-				"directory away and start it empty", filepath.Join(dir, "snapshots", d.Name()), store.ErrDamaged, err)
-		}
-		newest = max(newest, index)
-	}
-	return s, newest, nil
-}
-
-func verifySnapshot(s *raft.FileSnapshotStore, id string) (index uint64, err error) {
-	meta, r, err := s.Open(id)
-	if err != nil {
-		return 0, err
-	}
-	defer r.Close()
-	_, err = state.ReadSnapshot(r)
-	return meta.Index, err
-}
-
-// Close leaves the others: one that leads hands over first.
-func (m *Node) Close() error {
-	if m.raft.State() == raft.Leader && len(m.cfg.Peers) > 1 {
-		if err := m.raft.LeadershipTransfer().Error(); err != nil {
-			m.logger.Warn("the lead could not be handed over", "error", err)
+	n.watches = watch.New(n)
+	n.lifetime, n.stop = context.WithCancel(context.Background())
+	n.peers = newPeerClient()
+	if err := n.startRaft(ctx, snapshots, empty); err != nil {
+		n.stop()
+		return nil, errors.Join(err, disk.Close())
+	}
+	n.background.Go(func() { n.watches.Run(n.lifetime) })
+	n.background.Go(n.runFreshness)
+	n.background.Go(n.runLeadership)
+	return n, nil
+}
+
+// Close leaves the cluster. A leader transfers its leadership first.
+func (n *Node) Close() error {
+	if n.raft.State() == raft.Leader && len(n.cfg.Peers) > 1 {
+		if err := n.raft.LeadershipTransfer().Error(); err != nil {
+			n.logger.Warn("leadership transfer failed", "error", err)
 		}
 	}
-	m.stop()
-	m.background.Wait()
+	n.stop()
+	n.background.Wait()
 	done := make(chan error, 1)
-	go func() { done <- m.raft.Shutdown().Error() }()
+	go func() { done <- n.raft.Shutdown().Error() }()
 	select {
 	case err := <-done:
-		if c, ok := m.transport.(io.Closer); ok {
+		if c, ok := n.transport.(io.Closer); ok {
 			err = errors.Join(err, c.Close())
 		}
-		return errors.Join(err, m.store.Close())
+		return errors.Join(err, n.store.Close())
 	case <-time.After(shutdownTimeout):
-		return errors.New("the consensus did not end in time; its directory is as after a kill, which does no harm")
+		return errShutdownTimeout
 	}
 }
 
-// Hub tells callers of changes.
-func (m *Node) Watches() *watch.Hub { return m.watches }
-
-// Version implements fanout.Source.
-func (m *Node) Version() (string, int64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.state.Epoch(), m.state.Version()
-}
-
-// Whole implements fanout.Source.
-func (m *Node) Snapshot() (string, int64, []state.Endpoint) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	records := m.state.Records()
-	out := make([]state.Endpoint, len(records))
-	for i, r := range records {
-		out[i] = r.Endpoint
-	}
-	return m.state.Epoch(), m.state.Version(), out
-}
-
-// Changes implements fanout.Source.
-func (m *Node) Changes(from int64) (string, int64, []state.Change, bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	changes, kept := m.state.Changes(from)
-	return m.state.Epoch(), m.state.Version(), changes, kept
-}
-
-// Do has the members agree on a command. Only the leader can. With ErrUnsure it may happen yet.
-func (m *Node) Propose(c state.Command) (state.Result, error) {
-	if !m.isLeader() {
+// Propose has the cluster commit a command and returns its result. It fails with ErrNotLeader on other members. After
+// ErrUncertain the command may still take effect.
+func (n *Node) Propose(c state.Command) (state.Result, error) {
+	if !n.isLeader() {
 		return state.Result{}, ErrNotLeader
 	}
-	return m.apply(c)
+	return n.apply(c)
 }
 
-func (m *Node) apply(c state.Command) (state.Result, error) {
-	f := m.raft.Apply(c.Encode(), applyTimeout)
+func (n *Node) apply(c state.Command) (state.Result, error) {
+	future := n.raft.Apply(c.Encode(), applyTimeout)
 	done := make(chan error, 1)
-	go func() { done <- f.Error() }()
+	go func() { done <- future.Error() }()
 	select {
 	case err := <-done:
 		switch {
@@ -295,177 +191,44 @@
 	case <-time.After(applyTimeout):
 		return state.Result{}, ErrUncertain
 	}
-	r, ok := f.Response().(state.Result)
+	result, ok := future.Response().(state.Result)
 	if !ok {
-		return state.Result{}, fmt.Errorf("a command of the log cannot be read: %v", f.Response())
+		return state.Result{}, &unreadableCommandError{future.Response()}
 	}
-	return r, nil
+	return result, nil
 }
 
-func (m *Node) isLeader() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.leaderReady
+func (n *Node) isLeader() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.leaderReady
 }
 
-// Renew has a nodo's lease last on, and tells its record and the newest version. ErrStale: a leader that cannot tell
-// whether it still leads takes no renewal, since the next one would not know of it.
-func (m *Node) Renew(ref state.InstanceRef) (r state.Record, index int64, end string, err error) {
-	if m.Age() > m.cfg.MaxListAge {
-		return r, 0, "", ErrStale
+// Renew extends an endpoint's lease. It returns the endpoint's record, the newest version, and a result code of package
+// state. It fails with ErrNotLeader, or with ErrStale on a leader that cannot confirm its leadership: the next leader would
+// not know of the renewal.
+func (n *Node) Renew(ref state.InstanceRef) (record state.Record, version int64, code string, err error) {
+	if n.Age() > n.cfg.MaxListAge {
+		return record, 0, "", ErrStale
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if !m.leaderReady {
-		return r, 0, "", ErrNotLeader
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if !n.leaderReady {
+		return record, 0, "", ErrNotLeader
 	}
-	r, ok := m.state.Get(ref.Name)
+	version = n.state.Version()
+	record, ok := n.state.Get(ref.Name)
 	switch {
-	case !ok && m.state.IsEnded(ref):
-		return r, m.state.Version(), state.ResultEnded, nil
+	case !ok && n.state.IsEnded(ref):
+		code = state.ResultEnded
 	case !ok:
-		return r, m.state.Version(), state.ResultUnknown, nil
-	case r.Instance != ref.Instance:
-		return r, m.state.Version(), state.ResultReplaced, nil
-	case !m.leases.Renew(time.Now(), ref): // it is being let go: the registration that follows comes after that
-		return r, m.state.Version(), state.ResultUnknown, nil
-	}
-	return r, m.state.Version(), state.ResultDone, nil
-}
-
-// Nodo is a record with what its lease has left, which only the leader knows.
-type EndpointStatus struct {
-	state.Record
-	LeaseLeftMs *int64 `json:"lease_left_ms,omitempty"`
-}
-
-// Nodos are all records.
-func (m *Node) Endpoints() []EndpointStatus {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	now := time.Now()
-	records := m.state.Records()
-	out := make([]EndpointStatus, len(records))
-	for i, r := range records {
-		out[i].Record = r
-		if left, ok := m.leases.Remaining(now, r.Name); ok && m.leaderReady {
-			ms := left.Milliseconds()
-			out[i].LeaseLeftMs = &ms
-		}
-	}
-	return out
-}
-
-// Image copies the state.
-func (m *Node) StateSnapshot() state.Snapshot {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.state.Snapshot()
-}
-
-func newEpoch() string {
-	b := make([]byte, 8)
-	_, _ = rand.Read(b)
-	return hex.EncodeToString(b)
-}
-
-// Leader is the member that leads, as far as this one knows.
-func (m *Node) Leader() (Peer, bool) {
-	_, id := m.raft.LeaderWithID()
-	if id == "" {
-		return Peer{}, false
-	}
-	for _, p := range m.cfg.Peers {
-		if p.Name == string(id) {
-			return p, true
-		}
-	}
-	return Peer{Name: string(id)}, true
-}
-
-// Status is a member as operators see it.
-type Status struct {
-	Name            string `json:"name"`
-	Role            string `json:"role"`
-	Leader          string `json:"leader"`
-	Term            uint64 `json:"term"`
-	Epoch           string `json:"line"`
-	Version         int64  `json:"index"`
-	Endpoints       int    `json:"nodos"`
-	AgeMs           int64  `json:"age_ms"` // since its list was last proved current; -1: never
-	Serving         bool   `json:"serving"`
-	Abstains        bool   `json:"abstains"` // it has lost its directory and is catching up: it does not vote
-	Empty           bool   `json:"empty"`    // it holds nothing yet
-	SupportsConfigs bool   `json:"configs"`  // its build knows configurations; one that does not say so has none
-	HeldLeases      int    `json:"overdue"`  // leases that are over and held, on the leader
-	HeldZones       int    `json:"held_zones"`
-	ExpiredLeases   int64  `json:"expired"` // leases that this leader has let end
-
-	Configurations int `json:"configurations"` // that are kept
-}
-
-// Status tells how the member is.
-func (m *Node) Status() Status {
-	s := Status{Name: m.cfg.Name, SupportsConfigs: true, Role: strings.ToLower(m.raft.State().String()), Term: m.raft.CurrentTerm(), AgeMs: -1,
-		Empty: m.raft.LastIndex() <= bootstrapEntries, Abstains: m.voting != nil && m.voting.abstains.Load()}
-	if p, ok := m.Leader(); ok {
-		s.Leader = p.Name
-	}
-	if m.confirmedAt.Load() != nil {
-		s.AgeMs = m.Age().Milliseconds()
-	}
-	s.Serving = m.Serving()
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	s.Epoch, s.Version, s.Endpoints = m.state.Epoch(), m.state.Version(), m.state.Len()
-	s.Configurations = m.state.ConfigurationsLen()
-	if m.leaderReady {
-		s.HeldLeases, s.HeldZones, s.ExpiredLeases = m.lastSweep.HeldLeases, m.lastSweep.HeldZones, m.expiredLeases
-	}
-	return s
-}
-
-// addresses finds members by name, each where this member's configuration has it.
-type peerAddresses []Peer
-
-func (a peerAddresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	for _, p := range a {
-		if p.Name == string(id) {
-			return raft.ServerAddress(p.Raft), nil
-		}
-	}
-	return "", fmt.Errorf("member %q is not in the configuration", id)
-}
-
-// stream is the consensus's connections: plain TCP.
-type streamLayer struct{ net.Listener }
-
-func (streamLayer) Dial(a raft.ServerAddress, patience time.Duration) (net.Conn, error) {
-	return net.DialTimeout("tcp", string(a), patience)
-}
-
-func listen(cfg Config) (streamLayer, error) {
-	at := cfg.Listen
-	for _, p := range cfg.Peers {
-		if p.Name == cfg.Name && at == "" {
-			at = p.Raft
-		}
-	}
-	l, err := net.Listen("tcp", at)
-	if err != nil {
-		return streamLayer{}, fmt.Errorf("listen for the other members: %w", err)
-	}
-	return streamLayer{l}, nil
-}
-
-// Check reads all that a member's directory holds, and changes nothing in it. Empty tells that it holds nothing.
-func Check(dir, name string, log *slog.Logger) (empty bool, err error) {
-	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
-		return true, nil
-	}
-	_, newest, err := openSnapshots(dir, newLogger(log))
-	if err != nil {
-		return false, err
-	}
-	return store.Check(dir, name, newest, log)
+		code = state.ResultUnknown
+	case record.Instance != ref.Instance:
+		code = state.ResultReplaced
+	case !n.leases.Renew(time.Now(), ref): // it is expiring: a registration now is ordered after the expiry
+		code = state.ResultUnknown
+	default:
+		code = state.ResultDone
+	}
+	return record, version, code, nil
 }
--- a/internal/registry/raftnode/peers.go
+++ b/internal/registry/raftnode/peers.go
@@ -7,8 +7,6 @@
 	"io"
 	"net/http"
 	"time"
-
-	"merlinpick/internal/registry/state"
 )
 
 const (
@@ -16,62 +14,71 @@
 	maxResponseBytes = 64 << 10
 )
 
-// Proof is a leader's word on what its list was when a majority confirmed that it leads.
-type ReadIndex struct {
-	Epoch   string `json:"line"`
-	Version int64  `json:"index"`
-	Commit  uint64 `json:"commit"` // the consensus's index
+// peerClient calls the HTTP API of the other members.
+type peerClient struct{ http *http.Client }
 
-	// Configs is the state's ConfigsMark: a put of a configuration makes no version of the list. A leader of a build
-	// without configurations has 0, and none.
-	Configs uint64 `json:"configs"`
+func newPeerClient() *peerClient {
+	return &peerClient{&http.Client{Timeout: peerTimeout, Transport: &http.Transport{MaxConnsPerHost: 4, MaxIdleConnsPerHost: 2,
+		IdleConnTimeout: time.Minute, DisableCompression: true}}}
 }
 
-// holds tells whether a state has all that a proof is of.
-func (p ReadIndex) coveredBy(s *state.State) bool {
-	return s.Epoch() == p.Epoch && s.Version() >= p.Version && s.ConfigRevision() >= p.Configs
+// PeerStatusError is a peer's answer other than 200.
+type PeerStatusError struct {
+	Member string
+	Status string // such as "503 Service Unavailable"
 }
 
-// peers asks the other members, over the address of the list.
-type peerClient struct{ client *http.Client }
+// Error names the member and its answer.
+func (e *PeerStatusError) Error() string {
+	return fmt.Sprintf("call member %s: %s", e.Member, e.Status)
+}
 
-func newPeerClient(cfg Config) *peerClient {
-	return &peerClient{&http.Client{Timeout: peerTimeout, Transport: &http.Transport{MaxConnsPerHost: 4, MaxIdleConnsPerHost: 2,
-		IdleConnTimeout: time.Minute, DisableCompression: true}}}
+// WrongPeerError is a peer that answers under another name.
+type WrongPeerError struct{ Member, Answered string }
+
+// Error names both members and the remedy.
+func (e *WrongPeerError) Error() string {
+	return fmt.Sprintf("%s answers as %q: the addresses of the configuration are mixed up", e.Member, e.Answered)
 }
 
-func (p *peerClient) get(ctx context.Context, from Peer, path string, most int64, out any) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+from.API+path, nil)
+// get decodes a peer's JSON answer of at most maxBytes.
+func (c *peerClient) get(ctx context.Context, peer Peer, path string, maxBytes int64, out any) error {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer.API+path, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := p.client.Do(req)
+	response, err := c.http.Do(request)
 	if err != nil {
-		return fmt.Errorf("ask %s: %w", from.Name, err)
+		return fmt.Errorf("call member %s: %w", peer.Name, err)
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, most))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxBytes))
 	if err != nil {
-		return fmt.Errorf("ask %s: %w", from.Name, err)
+		return fmt.Errorf("call member %s: %w", peer.Name, err)
 	}
-	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("ask %s: %s", from.Name, resp.Status)
+	if response.StatusCode != http.StatusOK {
+		return &PeerStatusError{peer.Name, response.Status}
 	}
 	if err := json.Unmarshal(text, out); err != nil {
-		return fmt.Errorf("ask %s: %w", from.Name, err)
+		return fmt.Errorf("call member %s: %w", peer.Name, err)
 	}
 	return nil
 }
 
-func (p *peerClient) readIndex(ctx context.Context, leader Peer) (out ReadIndex, err error) {
-	err = p.get(ctx, leader, "/v1/proof", maxResponseBytes, &out)
-	return out, err
+func (c *peerClient) readIndex(ctx context.Context, leader Peer) (index ReadIndex, err error) {
+	err = c.get(ctx, leader, "/v1/proof", maxResponseBytes, &index)
+	return index, err
 }
 
-func (p *peerClient) status(ctx context.Context, of Peer) (out Status, err error) {
-	err = p.get(ctx, of, "/v1/member", maxResponseBytes, &out)
-	if err == nil && out.Name != of.Name {
-		err = fmt.Errorf("%s answers as %q: the addresses of the configuration are mixed up", of.Name, out.Name)
+func (c *peerClient) status(ctx context.Context, peer Peer) (status Status, err error) {
+	err = c.get(ctx, peer, "/v1/member", maxResponseBytes, &status)
+	if err == nil && status.Name != peer.Name {
+		err = &WrongPeerError{peer.Name, status.Name}
 	}
-	return out, err
+	return status, err
+}
+
+// CallPeer decodes another member's JSON answer to a GET of its HTTP API, of at most maxBytes.
+func (n *Node) CallPeer(ctx context.Context, peer Peer, path string, maxBytes int64, out any) error {
+	return n.peers.get(ctx, peer, path, maxBytes, out)
 }
--- a/internal/registry/raftnode/restore.go
+++ b/internal/registry/raftnode/restore.go
@@ -1,8 +1,8 @@
 package raftnode
 
 import (
+	"bytes"
 	"fmt"
-	"strings"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -10,36 +10,37 @@
 	"merlinpick/internal/registry/state"
 )
 
-// Restore has all members hold an image in place of their list, as a new line of versions above all before it. A
-// configuration that the image lacks stays.
-func (m *Node) Restore(i state.Snapshot) (line string, index int64, err error) {
-	if !m.isLeader() {
+// Restore replaces the state of all members by a snapshot, as a new epoch whose versions are above all earlier ones.
+// Configurations that the snapshot lacks are kept. The errors are those of Propose, and *IncompatibleMemberError.
+func (n *Node) Restore(snapshot state.Snapshot) (epoch string, version int64, err error) {
+	if !n.isLeader() {
 		return "", 0, ErrNotLeader
 	}
-	m.configWrites.Lock() // a put that was confirmed is in what stays
-	defer m.configWrites.Unlock()
-	configs, newest, _ := m.configurations()
-	i = i.Rebase(newEpoch(), state.FirstVersion(time.Now(), max(i.NewestVersion(), newest)), configs)
-	if len(i.Configs) > 0 {
-		if err := m.checkAllSupportConfigs(m.lifetime); err != nil {
+	n.configWrites.Lock() // all acknowledged writes are among the configurations that are kept
+	defer n.configWrites.Unlock()
+	current := n.configSnapshot()
+	first := state.FirstVersion(time.Now(), max(snapshot.NewestVersion(), current.NewestVersion()))
+	snapshot = snapshot.Rebase(newEpoch(), first, current.Configs)
+	if len(snapshot.Configs) > 0 {
+		if err := n.checkAllSupportConfigs(n.lifetime); err != nil {
 			return "", 0, err
 		}
 	}
-	if err := i.Check(); err != nil {
+	if err := snapshot.Check(); err != nil {
 		return "", 0, fmt.Errorf("with the configurations that it lacks: %w", err)
 	}
-	text := &strings.Builder{}
-	if err := i.Write(text); err != nil {
+	var text bytes.Buffer
+	if err := snapshot.Write(&text); err != nil {
 		return "", 0, err
 	}
 	meta := raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(text.Len())}
-	if err := m.raft.Restore(&meta, strings.NewReader(text.String()), 10*applyTimeout); err != nil {
+	if err := n.raft.Restore(&meta, &text, restoreTimeout); err != nil {
 		return "", 0, fmt.Errorf("%w (%w)", ErrUncertain, err)
 	}
-	m.mu.Lock()
-	m.leases.Reset(time.Now(), m.state.Records())
-	m.mu.Unlock()
-	m.logger.Warn("the list was restored from a snapshot", "line", i.Epoch, "index", i.Version, "nodos", len(i.Records),
-		"configurations", len(i.Configs))
-	return i.Epoch, i.Version, nil
+	n.mu.Lock()
+	n.leases.Reset(time.Now(), n.state.Records())
+	n.mu.Unlock()
+	n.logger.Warn("state restored from a snapshot", "epoch", snapshot.Epoch, "version", snapshot.Version,
+		"endpoints", len(snapshot.Records), "configurations", len(snapshot.Configs))
+	return snapshot.Epoch, snapshot.Version, nil
 }
--- a/internal/registry/store/store.go
+++ b/internal/registry/store/store.go
@@ -282,7 +282,7 @@
 		return errors.New("neither of its two meta pages is whole")
 	}
 	if !ok || !okay {
-		log.Warn("the last write to the log was cut off, and is taken back: it was never confirmed", "file", path)
+		log.Warn("unconfirmed last write to the log discarded", "file", path)
 	}
 	if okay && (!ok || second.tx > first.tx) {
 		first = second
@@ -415,13 +415,13 @@
 		err := s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(stableBucket).Put(key, seal(key, value)) })
 		if err == nil || !errors.Is(err, syscall.ENOSPC) && !errors.Is(err, syscall.EFBIG) && !errors.Is(err, syscall.EDQUOT) {
 			if told {
-				s.logger.Info("the disk takes writes again", "file", s.path, "error", err)
+				s.logger.Info("disk accepts writes again", "file", s.path, "error", err)
 			}
 			return err
 		}
 		if !told {
 			told = true
-			s.logger.Error("the disk is full: this member votes for nobody until there is room", "file", s.path, "error", err)
+			s.logger.Error("disk full: abstaining from elections", "file", s.path, "error", err)
 		}
 		time.Sleep(diskFullRetryInterval)
 	}
