--- a/internal/proxy/abandon_test.go
+++ b/internal/proxy/abandon_test.go
@@ -21,8 +21,8 @@
 	}
 	defer l.Close()
 	p := poolWith(4, l.Addr().String())
-	dial := p.dialer
-	p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := p.dialContext
+	p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err == nil {
 			err = c.(*net.TCPConn).SetWriteBuffer(4 << 20) // holds all that the server has not taken
@@ -36,7 +36,7 @@
 		}
 	}()
 	a := newAttempt(p, "a", time.Second)
-	a.req.method, a.req.body = http.MethodPost, bytes.Repeat([]byte("x"), 2<<20)
+	a.request.method, a.request.bufferedBody = http.MethodPost, bytes.Repeat([]byte("x"), 2<<20)
 	if res := a.run(); res.status != balancer.StatusTimedOut {
 		t.Fatalf("got %v, want it written whole and then timed out", res.status)
 	}
--- a/internal/proxy/answer_test.go
+++ b/internal/proxy/answer_test.go
@@ -17,8 +17,8 @@
 		text string
 		want balancer.Status
 	}{
-		"some early words":      {strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", mostEarly) + served, balancer.StatusOK},
-		"no end of early words": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", mostEarly+1) + served, balancer.StatusReset},
+		"some early words":      {strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", maxInformational) + served, balancer.StatusOK},
+		"no end of early words": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInformational+1) + served, balancer.StatusReset},
 		"an early word's body":  {"HTTP/1.1 100 Continue\r\nContent-Length: 2\r\n\r\nno" + served, balancer.StatusReset},
 		"chunks without a body": {"HTTP/1.1 204 No Content\r\nTransfer-Encoding: chunked\r\n\r\n", balancer.StatusReset},
 		"longer than it says":   {served + "ay, and more", balancer.StatusOK},
@@ -62,7 +62,7 @@
 		name  string
 		size  int
 		whole bool
-	}{{"small", 100, false}, {"large", wholeMost + 1, true}} {
+	}{{"small", 100, false}, {"large", maxBufferedResponse + 1, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			goOn := make(chan struct{})
 			p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -85,7 +85,7 @@
 			if n, err := io.Copy(io.Discard, resp.Body); (err == nil) != c.whole || n != int64(c.size) {
 				t.Errorf("%d bytes came, %v", n, err)
 			}
-			if took := time.Since(began); took > streamPatience/2 {
+			if took := time.Since(began); took > streamStallTimeout/2 {
 				t.Errorf("it took %v", took)
 			}
 		})
@@ -95,18 +95,18 @@
 // A client that is slow to take a large answer of untold length has it whole, though little of it had gone by its time.
 func TestASlowClientsTimeDoesNotEndItsAnswer(t *testing.T) {
 	b := startBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
-		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*wholeMost))
+		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*maxBufferedResponse))
 		return false
 	})
 	p := poolWith(4, b.addr)
-	p.whole.Store(wholeLeast) // no more is read ahead
+	p.maxBuffered.Store(minBufferedResponse) // no more is read ahead
 	a := newAttempt(p, "a", patience)
 	got := make(chan int64, 1)
-	a.stream = func(ans answer) bool {
-		ans.stream.due = time.Now().Add(-lateMost) // over now
-		time.AfterFunc(2*wholeWait, func() {
-			n, err := io.Copy(io.Discard, ans.stream.body)
-			ans.stream.end(err)
+	a.startStream = func(ans response) bool {
+		ans.stream.clientDeadline = time.Now().Add(-maxStreamOverrun) // over now
+		time.AfterFunc(2*responseBufferWait, func() {
+			n, err := io.Copy(io.Discard, ans.stream.source)
+			ans.stream.finish(err)
 			got <- n
 		})
 		return true
@@ -114,7 +114,7 @@
 	if res := a.run(); res.status != balancer.StatusOK {
 		t.Errorf("got %v", res.status)
 	}
-	if n := wait(t, "end of the answer", got); n != 2*wholeMost {
+	if n := wait(t, "end of the answer", got); n != 2*maxBufferedResponse {
 		t.Errorf("%d bytes came", n)
 	}
 }
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -34,8 +34,8 @@
 	pool := p.loop.pool
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	dial := pool.dialer
-	pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := pool.dialContext
+	pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err == nil {
 			_ = c.(*net.TCPConn).SetWriteBuffer(4 << 10)
@@ -47,7 +47,7 @@
 // A client's time begins with the last byte that it sent, also where the proxy has not read that byte since the backend
 // takes nothing: the answer must not wait for the backend.
 func TestABodyThatItsBackendHoldsBackIsAnsweredInTime(t *testing.T) {
-	const size, left = holdMost + 32<<10, 500 * time.Millisecond
+	const size, left = maxBufferedBody + 32<<10, 500 * time.Millisecond
 	body := bytes.Repeat([]byte("x"), size)
 	timeout := fmt.Sprintf("Request-Timeout-Ms: %d\r\n", left.Milliseconds())
 	for _, c := range []struct{ name, head, tail string }{
@@ -65,7 +65,7 @@
 			cl.send(t, string(body)+c.tail)
 			sent := time.Now() // all is in the system's hands
 			resp, _ := cl.answer(t)
-			if took := time.Since(sent); took > left+lateMost {
+			if took := time.Since(sent); took > left+maxStreamOverrun {
 				t.Errorf("%s after %v, of %v that the client waits", resp.Status, took, left)
 			}
 			waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
@@ -76,7 +76,7 @@
 // What a backend is told of the client's time has begun to run with the last byte that the client sent, though the
 // connection to the backend came up later than that.
 func TestALateConnectionForABodyIsToldWhatIsLeft(t *testing.T) {
-	const size, wait, late = holdMost + 32<<10, 4 * time.Second, time.Second
+	const size, wait, late = maxBufferedBody + 32<<10, 4 * time.Second, time.Second
 	told := make(chan string, 1)
 	b := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		told <- r.Header.Get("Request-Timeout-Ms")
@@ -86,8 +86,8 @@
 	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 	pool := p.loop.pool
 	pool.mu.Lock()
-	dial := pool.dialer
-	pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := pool.dialContext
+	pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		select {
 		case <-time.After(late):
 		case <-ctx.Done():
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -16,28 +16,28 @@
 // loop do, not what they mean to do.
 func TestTheAuditSeesABrokenRule(t *testing.T) {
 	var log bytes.Buffer
-	l := &loop{clock: clock{start: time.Now()}, reqs: map[string]*request{}, audit: newAudit(slog.New(slog.NewTextHandler(&log, nil)))}
+	l := &eventLoop{clock: clock{start: time.Now()}, requests: map[string]*request{}, audit: newAudit(slog.New(slog.NewTextHandler(&log, nil)))}
 	rules := &balancer.Settings{MaxAttempts: 2, Classes: []balancer.Class{{Name: "post", Idempotency: balancer.NonIdempotent}}}
-	r := &request{Request: balancer.Request{ID: "r1", Deadline: l.clock.now() + 1e6, Settings: rules}, answer: make(chan answer, 2)}
-	l.taken(r)
+	r := &request{Request: balancer.Request{ID: "r1", Deadline: l.clock.now() + 1e6, Settings: rules}, responses: make(chan response, 2)}
+	l.auditRequest(r)
 	begin := func() *attempt {
-		a := &attempt{req: r, backend: &backend{name: "a"}, ctx: t.Context()}
-		l.sends(a)
+		a := &attempt{request: r, backend: &backend{name: "a"}, ctx: t.Context()}
+		l.auditAttemptStart(a)
 		return a
 	}
 	a := begin()
-	l.ends(a, balancer.StatusTimedOut)
+	l.auditAttemptEnd(a, balancer.StatusTimedOut)
 	begin() // it may have run
-	l.answers(r, answer{status: 503})
-	l.answers(r, answer{status: 502})
-	got := l.audit.counts.All()
-	for _, rule := range []guard.Kind{guard.RepeatedUnsafe, guard.RefusedAfterRun, guard.AnsweredTwice} {
+	l.auditResponse(r, response{status: 503})
+	l.auditResponse(r, response{status: 502})
+	got := l.audit.counts.Snapshot()
+	for _, rule := range []guard.Rule{guard.RetriedNonIdempotent, guard.RejectedAfterExecution, guard.RespondedTwice} {
 		if got[rule.String()] != 1 || !strings.Contains(log.String(), "rule="+rule.String()+" request=r1") {
 			t.Errorf("%v counted %d times; the log:\n%s", rule, got[rule.String()], log.String())
 		}
 	}
-	if l.audit.all()["attempts.timed_out"] != 1 {
-		t.Errorf("events %v", l.audit.all())
+	if l.audit.eventCounts()["attempts.timed_out"] != 1 {
+		t.Errorf("events %v", l.audit.eventCounts())
 	}
 }
 
@@ -50,11 +50,11 @@
 	cl := connect(t, p)
 	cl.send(t, look("1", 4000))
 	waitUntil(t, func() bool { return p.Metrics().InFlight == 1 && b.requests.Load() == 1 })
-	p.front.mu.Lock()
-	for c := range p.front.conns {
+	p.frontend.mu.Lock()
+	for c := range p.frontend.conns {
 		c.Close() // a seeded fault
 	}
-	p.front.mu.Unlock()
+	p.frontend.mu.Unlock()
 	waitUntil(t, func() bool { return p.Metrics().RuleViolations["closed_unanswered"] == 1 })
 }
 
@@ -67,7 +67,7 @@
 		cl.answer(t)
 		cl.Close()
 	}
-	waitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.front.open() == 0 })
+	waitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.frontend.openConns() == 0 })
 	for rule, n := range p.Metrics().RuleViolations {
 		if n != 0 {
 			t.Errorf("%s: %d", rule, n)
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -105,22 +105,22 @@
 	return discovery.Endpoint{Name: name, Address: addr, Zone: "a", Status: status}
 }
 
-func poolWith(most int, addrs ...string) *backends {
-	p := newBackends(5*time.Second, 40*time.Second, most, newFigures(nil))
+func poolWith(most int, addrs ...string) *backendPool {
+	p := newBackendPool(5*time.Second, 40*time.Second, most, newMetrics(nil))
 	var list []discovery.Endpoint
 	for i, a := range addrs {
 		list = append(list, entry(string(rune('a'+i)), a, discovery.StatusServing))
 	}
-	p.apply(true, list)
+	p.updateEndpoints(true, list)
 	return p
 }
 
-func newAttempt(p *backends, name string, left time.Duration) *attempt {
-	a := &attempt{pool: p, deadline: time.Now().Add(left), req: &request{Request: balancer.Request{ID: "1"},
+func newAttempt(p *backendPool, name string, left time.Duration) *attempt {
+	a := &attempt{pool: p, deadline: time.Now().Add(left), request: &request{Request: balancer.Request{ID: "1"},
 		method: http.MethodGet, uri: "/look/k%2f1?x=%20y", host: "backend.local",
 		header: http.Header{"Request-Id": {"1"}, "User-Agent": {""}}}}
-	p.find(a, name)
-	a.ctx, a.stop = context.WithCancel(context.Background())
+	p.assign(a, name)
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
 
@@ -146,14 +146,14 @@
 		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", balancer.StatusReset},
 		{"ended by the close", "HTTP/1.1 200 OK\r\n\r\nok", balancer.StatusOK},
 		{"chunks and a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n1\r\no\r\n1;a=b\r\nk\r\n0\r\nX: y\r\n\r\n", balancer.StatusOK},
-		{"a long error", "HTTP/1.1 500 Oops\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", wholeMost+1), balancer.StatusError},
+		{"a long error", "HTTP/1.1 500 Oops\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", maxBufferedResponse+1), balancer.StatusError},
 		{"no HTTP", "SSH-2.0-x\r\n\r\n", balancer.StatusReset},
 		{"chunks and a length", "HTTP/1.1 200 OK\r\nContent-Length: 12\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusReset},
 		{"length twice", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.StatusReset},
 		{"chunks in HTTP/1.0", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusReset},
 		{"a folded line", "HTTP/1.1 200 OK\r\nX: y\r\n z\r\nContent-Length: 2\r\n\r\nok", balancer.StatusReset},
 		{"a bare LF", "HTTP/1.1 200 OK\r\nX: y\nContent-Length: 2\r\n\r\nok", balancer.StatusReset},
-		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*answerHead) + "\r\n\r\n", balancer.StatusReset},
+		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxResponseHeadBytes) + "\r\n\r\n", balancer.StatusReset},
 		{"long head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: " + strings.Repeat("x", 8<<10) + "\r\n\r\nok", balancer.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -180,8 +180,8 @@
 	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
-	if p.open != 0 {
-		t.Errorf("%d connections still counted", p.open)
+	if p.openConns != 0 {
+		t.Errorf("%d connections still counted", p.openConns)
 	}
 }
 
@@ -191,7 +191,7 @@
 	if res := newAttempt(p, "a", 50*time.Millisecond).run(); res.status != balancer.StatusTimedOut {
 		t.Errorf("got %v", res.status)
 	}
-	if p.open != 0 || len(p.byName["a"].idle) != 0 {
+	if p.openConns != 0 || len(p.byName["a"].idleConns) != 0 {
 		t.Error("the connection is kept")
 	}
 }
@@ -210,7 +210,7 @@
 	results := make(chan result, 1)
 	go func() { results <- a.run() }()
 	wait(t, "request", came)
-	a.stop()
+	a.cancel()
 	if res := wait(t, "result", results); res.status != balancer.StatusCancelled {
 		t.Errorf("got %v", res.status)
 	}
@@ -230,25 +230,25 @@
 
 // A dial takes time. In it the backend may drain, or the request's time may run out; nothing is sent then.
 func TestNothingIsSentAfterADialThatTookTooLong(t *testing.T) {
-	for name, meanwhile := range map[string]func(p *backends, a *attempt){
-		"drained": func(p *backends, a *attempt) {
-			p.apply(false, []discovery.Endpoint{entry("a", a.addr, discovery.StatusDraining)})
+	for name, meanwhile := range map[string]func(p *backendPool, a *attempt){
+		"drained": func(p *backendPool, a *attempt) {
+			p.updateEndpoints(false, []discovery.Endpoint{entry("a", a.address, discovery.StatusDraining)})
 		},
-		"gone": func(p *backends, a *attempt) { p.apply(true, nil) },
-		"restarted": func(p *backends, a *attempt) {
-			e := entry("a", a.addr, discovery.StatusServing)
+		"gone": func(p *backendPool, a *attempt) { p.updateEndpoints(true, nil) },
+		"restarted": func(p *backendPool, a *attempt) {
+			e := entry("a", a.address, discovery.StatusServing)
 			e.StartedAtMs = 7
-			p.apply(false, []discovery.Endpoint{e})
+			p.updateEndpoints(false, []discovery.Endpoint{e})
 		},
-		"stopped": func(_ *backends, a *attempt) { a.stop() },
-		"late":    func(_ *backends, a *attempt) { a.deadline = time.Now() },
+		"stopped": func(_ *backendPool, a *attempt) { a.cancel() },
+		"late":    func(_ *backendPool, a *attempt) { a.deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, says(served, true))
 			p := poolWith(4, b.addr)
 			a := newAttempt(p, "a", patience)
-			dial := p.dialer
-			p.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
+			dial := p.dialContext
+			p.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(context.Background(), network, addr)
 				meanwhile(p, a)
 				return c, err
@@ -256,10 +256,10 @@
 			if res := a.run(); res.status != balancer.StatusNotSent {
 				t.Errorf("got %v", res.status)
 			}
-			p.apply(true, nil) // closes what is idle
+			p.updateEndpoints(true, nil) // closes what is idle
 			wait(t, "close", b.closed)
-			if b.requests.Load() != 0 || p.open != 0 {
-				t.Errorf("%d requests came, %d connections open", b.requests.Load(), p.open)
+			if b.requests.Load() != 0 || p.openConns != 0 {
+				t.Errorf("%d requests came, %d connections open", b.requests.Load(), p.openConns)
 			}
 		})
 	}
@@ -268,7 +268,7 @@
 // A write that breaks off before the last byte proves that the call never ran; one that ended does not.
 func TestARequestThatWasNotWrittenWholeNeverRan(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
-	p.dialer = func(context.Context, string, string) (net.Conn, error) {
+	p.dialContext = func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() { _, _ = io.ReadFull(far, make([]byte, 5)); far.Close() }()
 		return near, nil
--- a/internal/proxy/bans_test.go
+++ b/internal/proxy/bans_test.go
@@ -33,7 +33,7 @@
 	if got := asks(first, "2"); got != 503 {
 		t.Errorf("the last server left, banned: %d", got)
 	}
-	second := startProxyAt(t, d.addr, 200, known, first.cfg.StateDir)
+	second := startProxyAt(t, d.addr, 200, known, first.config.StateDir)
 	waitUntil(t, func() bool { return second.Metrics().EjectedServers == 1 })
 	if got := asks(second, "3"); got != 503 {
 		t.Errorf("beside the next process: %d", got)
@@ -65,7 +65,7 @@
 	if err := p.ResumeServer("a"); err != nil { // nothing to end, and no harm
 		t.Error(err)
 	}
-	if left := p.bans.Current(); len(left) != 0 {
+	if left := p.overrides.Current(); len(left) != 0 {
 		t.Errorf("left behind: %v", left)
 	}
 }
@@ -73,7 +73,7 @@
 // A ban that cannot be kept is no ban: the answer must not be yes.
 func TestABanThatCannotBeKeptIsANo(t *testing.T) {
 	p, _ := serving(t, says(served, true))
-	if err := os.RemoveAll(p.cfg.StateDir); err != nil {
+	if err := os.RemoveAll(p.config.StateDir); err != nil {
 		t.Fatal(err)
 	}
 	var lost *override.StoreError
--- a/internal/proxy/burst_test.go
+++ b/internal/proxy/burst_test.go
@@ -11,7 +11,7 @@
 	"merlinpick/internal/discovery"
 )
 
-func (h *holds) held() int {
+func (h *memoryBudget) held() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.used
@@ -22,13 +22,13 @@
 func TestWhatPeersSendIsBoundedOverAllConnections(t *testing.T) {
 	const peers, room = 40, 200 << 10
 	for name, text := range map[string]string{
-		"heads":  "GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", maxHead-1000),
+		"heads":  "GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", maxRequestHeadBytes-1000),
 		"bodies": post("%d", "Content-Length: 60000") + strings.Repeat("x", 31<<10),
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := startBackend(t, says(served, true))
 			p := startProxy(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
-			p.front.firsts.limit(room)
+			p.frontend.headMemory.setMax(room)
 			answers := make(chan int, peers)
 			var all []*client
 			for i := range peers {
@@ -46,20 +46,20 @@
 					t.Errorf("got %d", got)
 				}
 			}
-			if n := p.front.firsts.held(); n > room || n == 0 {
+			if n := p.frontend.headMemory.held(); n > room || n == 0 {
 				t.Errorf("%d bytes are held", n)
 			}
 			for _, c := range all {
 				c.Close()
 			}
-			waitUntil(t, func() bool { return p.front.firsts.held() == 0 })
+			waitUntil(t, func() bool { return p.frontend.headMemory.held() == 0 })
 			c := connect(t, p)
 			c.send(t, strings.Replace(post("n", "Content-Length: 31744"), "Host: h", "Host: h\r\nX: "+strings.Repeat("x", 8<<10), 1)+
 				strings.Repeat("x", 31744))
 			if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
 				t.Errorf("then got %s", resp.Status)
 			}
-			waitUntil(t, func() bool { return p.front.firsts.held() == 0 })
+			waitUntil(t, func() bool { return p.frontend.headMemory.held() == 0 })
 		})
 	}
 }
@@ -70,14 +70,14 @@
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 120, "")
 	d.say <- "" // a call that breaks
-	most := int(p.front.most.Load())
+	most := int(p.frontend.maxConns.Load())
 	for i := range 2 * most {
 		c := connect(t, p)
 		if i%2 == 0 { // the others never say a word
 			go func() { _, _ = io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n") }()
 		}
 	}
-	waitUntil(t, func() bool { return p.front.open() >= most })
+	waitUntil(t, func() bool { return p.frontend.openConns() >= most })
 	d.say <- listText(1, true, listed("a", b.addr, discovery.StatusServing)) // it is back
 	waitUntil(t, p.Ready)
 	for i, want := range []string{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", look("1", 4000), "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"} {
@@ -87,7 +87,7 @@
 		if resp, _ := c.answer(t); resp.StatusCode != 200 {
 			t.Errorf("call %d: %s", i, resp.Status)
 		}
-		if took := time.Since(start); took > idleLeast+time.Second {
+		if took := time.Since(start); took > minKeepAlive+time.Second {
 			t.Errorf("call %d waited %v", i, took)
 		}
 	}
@@ -99,16 +99,16 @@
 		for _, watched := range []bool{false, true} {
 			for _, shared := range []bool{false, true} {
 				cfg := Config{MaxDescriptors: sockets, Managed: watched}
-				clients, backends, over := cfg.parts(shared)
-				clients, backends = max(clients, leastEach), max(backends, leastEach)
-				have, own := sockets, ownSockets
+				clients, backends, over := cfg.connLimits(shared)
+				clients, backends = max(clients, minConns), max(backends, minConns)
+				have, own := sockets, reservedDescriptors
 				if shared {
-					have, own = sockets/2, ownShared
+					have, own = sockets/2, reservedDescriptorsShared
 				}
 				if watched {
 					own += 17 // callers of the management address, and its listener
 				}
-				if clients+backends+over+own > have || over < overLeast {
+				if clients+backends+over+own > have || over < minRejectConns {
 					t.Errorf("%d sockets, watched %v, shared %v: %d+%d+%d+%d", sockets, watched, shared, clients, backends, over, own)
 				}
 			}
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -18,99 +18,99 @@
 //
 // What comes is read and noted in one step, and so is a look at what has come and a shutdown: a request is either read
 // before the shutdown, and answered, or never passed on. See linger.go for how a connection ends.
-type framedConn struct {
+type clientConn struct {
 	net.Conn
-	raw syscall.RawConn // nil if there is no descriptor
-	of  *cappedListener
+	rawConn  syscall.RawConn // nil if there is no descriptor
+	listener *limitedListener
 
-	buf  []byte // read and not passed yet
-	pass int64  // bytes that may pass before the next head is looked at; negative: all
-	over bool   // after these comes nothing more
+	buffered      []byte // read and not passed yet
+	passable      int64  // bytes that may pass before the next head is looked at; negative: all
+	endsAfterPass bool   // after these comes nothing more
 
-	served bool         // a head has passed
-	rests  bool         // net/http waits for a next request, with a long patience
-	began  atomic.Int64 // when the present request did, or the connection for its first; in Unix nanoseconds
-	moved  atomic.Int64 // when something last came, or the connection did
+	hadRequest     bool         // a head has passed
+	awaitsNext     bool         // net/http waits for a next request, with a long patience
+	requestStarted atomic.Int64 // when the present request did, or the connection for its first; in Unix nanoseconds
+	lastReceived   atomic.Int64 // when something last came, or the connection did
 
-	owed atomic.Pointer[string] // the request that has been taken and has no answer yet
+	unanswered atomic.Pointer[string] // the request that has been taken and has no answer yet
 
-	mu      sync.Mutex
-	phase   phase
-	retired bool // whatever comes now is dropped
-	closed  bool // the descriptor is
-	charged int  // of the memory for heads
+	mu            sync.Mutex
+	phase         requestPhase
+	discarding    bool // whatever comes now is dropped
+	closed        bool // the descriptor is
+	memoryCharged int  // of the memory for heads
 }
 
 // phase is how far the request on a client's connection has come.
-type phase int
+type requestPhase int
 
 const (
-	resting phase = iota // nothing of one has been read
-	heading              // a part of its head has
-	passed               // its head has been passed on, and it has no answer yet
+	phaseIdle        requestPhase = iota // nothing of one has been read
+	phaseReadingHead                     // a part of its head has
+	phaseInFlight                        // its head has been passed on, and it has no answer yet
 )
 
 // flaw stands in for a head whose framing is in doubt: net/http answers it 400 and closes. It comes as
 // something to read, since an error would also take away the answer to a request that is still in flight.
-const flaw = "ambiguous\r\n\r\n"
+const malformedHead = "ambiguous\r\n\r\n"
 
 // aheadMost is held of what a client sends behind a request that waits for its answer.
-const aheadMost = 4 << 10
+const maxPipelinedBytes = 4 << 10
 
 // newFramedConn wraps a connection that has just come.
-func newFramedConn(c net.Conn, of *cappedListener) *framedConn {
-	f := &framedConn{Conn: c, of: of}
+func newClientConn(c net.Conn, of *limitedListener) *clientConn {
+	f := &clientConn{Conn: c, listener: of}
 	if sc, ok := c.(syscall.Conn); ok {
-		f.raw, _ = sc.SyscallConn()
+		f.rawConn, _ = sc.SyscallConn()
 	}
 	now := time.Now().UnixNano()
-	f.began.Store(now)
-	f.moved.Store(now)
+	f.requestStarted.Store(now)
+	f.lastReceived.Store(now)
 	return f
 }
 
-func (c *framedConn) Read(p []byte) (int, error) {
-	if len(p) == 1 && (c.pass == 0 && !c.over || c.pass < 0) && c.at() == passed {
-		if err := c.ahead(); err != nil {
+func (c *clientConn) Read(p []byte) (int, error) {
+	if len(p) == 1 && (c.passable == 0 && !c.endsAfterPass || c.passable < 0) && c.currentPhase() == phaseInFlight {
+		if err := c.bufferPipelined(); err != nil {
 			return 0, err
 		}
 	}
-	if c.pass == 0 && !c.over {
-		if err := c.head(); err != nil {
+	if c.passable == 0 && !c.endsAfterPass {
+		if err := c.readHead(); err != nil {
 			return 0, err
 		}
 	}
-	if c.pass == 0 {
+	if c.passable == 0 {
 		return 0, io.EOF
 	}
-	if c.pass > 0 {
-		p = p[:min(int64(len(p)), c.pass)]
+	if c.passable > 0 {
+		p = p[:min(int64(len(p)), c.passable)]
 	}
 	var n int
 	var err error
-	if len(c.buf) > 0 {
-		n = copy(p, c.buf)
-		if c.buf = c.buf[n:]; len(c.buf) == 0 {
-			c.buf = nil
-			c.discharge()
+	if len(c.buffered) > 0 {
+		n = copy(p, c.buffered)
+		if c.buffered = c.buffered[n:]; len(c.buffered) == 0 {
+			c.buffered = nil
+			c.releaseMemory()
 		}
 	} else {
 		n, err = c.receive(p)
 	}
-	if c.pass > 0 {
-		c.pass -= int64(n)
+	if c.passable > 0 {
+		c.passable -= int64(n)
 	}
 	return n, err
 }
 
 // receive reads what has come, and notes it before anybody can take the connection for one that rests. From a
 // connection that has been retired it gives nothing but the end, once that has come.
-func (c *framedConn) receive(p []byte) (n int, err error) {
+func (c *clientConn) receive(p []byte) (n int, err error) {
 	for {
-		if c.raw == nil {
+		if c.rawConn == nil {
 			n, err = c.Conn.Read(p)
 			c.mu.Lock()
-		} else if rawErr := c.raw.Read(func(fd uintptr) bool {
+		} else if rawErr := c.rawConn.Read(func(fd uintptr) bool {
 			c.mu.Lock()
 			for {
 				if n, err = syscall.Read(int(fd), p); err != syscall.EINTR {
@@ -122,19 +122,19 @@
 			}
 			return err != syscall.EAGAIN // else with the lock
 		}); rawErr != nil {
-			return 0, readError(rawErr)
+			return 0, asReadError(rawErr)
 		} else if err != nil {
-			n, err = 0, readError(os.NewSyscallError("read", err))
+			n, err = 0, asReadError(os.NewSyscallError("read", err))
 		} else if n == 0 {
 			err = io.EOF
 		}
-		if n > 0 && !c.retired {
-			c.moved.Store(time.Now().UnixNano())
-			if c.phase == resting {
-				c.phase = heading
+		if n > 0 && !c.discarding {
+			c.lastReceived.Store(time.Now().UnixNano())
+			if c.phase == phaseIdle {
+				c.phase = phaseReadingHead
 			}
 		}
-		retired := c.retired
+		retired := c.discarding
 		c.mu.Unlock()
 		switch {
 		case !retired:
@@ -146,7 +146,7 @@
 }
 
 // readError is an error as net.Conn.Read gives it: net/http knows a broken connection by that.
-func readError(err error) error {
+func asReadError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) {
 		err = op.Err
@@ -155,72 +155,74 @@
 }
 
 // answered notes that the present request has its answer. It comes from the goroutine that reads.
-func (c *framedConn) answered() {
-	c.rests = true
+func (c *clientConn) responseSent() {
+	c.awaitsNext = true
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.pass != 0 || c.over: // the next one came meanwhile
-		c.phase = passed
-	case len(c.buf) > 0:
-		c.phase = heading
+	case c.passable != 0 || c.endsAfterPass: // the next one came meanwhile
+		c.phase = phaseInFlight
+	case len(c.buffered) > 0:
+		c.phase = phaseReadingHead
 	default:
-		c.phase = resting
+		c.phase = phaseIdle
 	}
 }
 
 // at tells how far the present request has come.
-func (c *framedConn) at() phase {
+func (c *clientConn) currentPhase() requestPhase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase
 }
 
 // silent is how long nothing has come.
-func (c *framedConn) silent() time.Duration { return time.Since(time.Unix(0, c.moved.Load())) }
+func (c *clientConn) sinceLastReceived() time.Duration {
+	return time.Since(time.Unix(0, c.lastReceived.Load()))
+}
 
 // begin is for the first bytes of a request on a kept connection: net/http waits for those with another patience.
-func (c *framedConn) begin() {
+func (c *clientConn) startRequestTimer() {
 	now := time.Now()
-	c.began.Store(now.UnixNano())
-	if c.rests {
-		c.rests = false
-		_ = c.SetReadDeadline(now.Add(requestPatience))
+	c.requestStarted.Store(now.UnixNano())
+	if c.awaitsNext {
+		c.awaitsNext = false
+		_ = c.SetReadDeadline(now.Add(requestReadTimeout))
 	}
 }
 
 // head reads until a whole head is there and sets what may pass.
-func (c *framedConn) head() error {
-	if c.served && len(c.buf) > 0 {
-		c.begin()
+func (c *clientConn) readHead() error {
+	if c.hadRequest && len(c.buffered) > 0 {
+		c.startRequestTimer()
 	}
 	for from := 0; ; {
-		if len(c.buf) > from {
-			for len(c.buf) > 1 && c.buf[0] == '\r' && c.buf[1] == '\n' { // empty lines before a request
-				c.buf, from = c.buf[2:], 0
+		if len(c.buffered) > from {
+			for len(c.buffered) > 1 && c.buffered[0] == '\r' && c.buffered[1] == '\n' { // empty lines before a request
+				c.buffered, from = c.buffered[2:], 0
 			}
-			end := bytes.Index(c.buf[from:], []byte("\r\n\r\n"))
+			end := bytes.Index(c.buffered[from:], []byte("\r\n\r\n"))
 			if end >= 0 {
 				end += from + len("\r\n\r\n")
-				return c.let(func() { c.judge(end) })
+				return c.passHead(func() { c.frameRequestLocked(end) })
 			}
-			if bareLF(c.buf[from:]) {
-				return c.let(c.reject)
+			if hasBareLF(c.buffered[from:]) {
+				return c.passHead(c.passMalformedLocked)
 			}
-			if len(c.buf) > maxHead+headSlack {
-				return c.let(func() { c.pass, c.over = -1, true }) // net/http answers 431 and closes
+			if len(c.buffered) > maxRequestHeadBytes+headReadSlack {
+				return c.passHead(func() { c.passable, c.endsAfterPass = -1, true }) // net/http answers 431 and closes
 			}
-			from = max(0, len(c.buf)-len("\r\n\r")) // what may begin the end of the head
+			from = max(0, len(c.buffered)-len("\r\n\r")) // what may begin the end of the head
 		}
-		if len(c.buf) > holdFirst && !c.charge() && c.retire(true) {
+		if len(c.buffered) > unmeteredBuffer && !c.chargeMemory() && c.closeUnused(true) {
 			return io.EOF
 		}
-		c.buf = slices.Grow(c.buf, 1<<10)
-		n, err := c.receive(c.buf[len(c.buf):cap(c.buf)])
-		if c.served && len(c.buf) == 0 && n > 0 {
-			c.begin()
+		c.buffered = slices.Grow(c.buffered, 1<<10)
+		n, err := c.receive(c.buffered[len(c.buffered):cap(c.buffered)])
+		if c.hadRequest && len(c.buffered) == 0 && n > 0 {
+			c.startRequestTimer()
 		}
-		c.buf = c.buf[:len(c.buf)+n]
+		c.buffered = c.buffered[:len(c.buffered)+n]
 		if n == 0 && err != nil {
 			return err
 		}
@@ -230,11 +232,11 @@
 // ahead reads on while a request waits for its answer. Past a request's end net/http reads one byte, to notice a client
 // that goes; given the next request's first it would look no further. So it gets none until the answer has gone out
 // (its read is then broken off by a deadline), or until more has come than is worth holding.
-func (c *framedConn) ahead() error {
-	for len(c.buf) < aheadMost {
-		c.buf = slices.Grow(c.buf, 1<<10)
-		n, err := c.receive(c.buf[len(c.buf):min(cap(c.buf), aheadMost)])
-		c.buf = c.buf[:len(c.buf)+n]
+func (c *clientConn) bufferPipelined() error {
+	for len(c.buffered) < maxPipelinedBytes {
+		c.buffered = slices.Grow(c.buffered, 1<<10)
+		n, err := c.receive(c.buffered[len(c.buffered):min(cap(c.buffered), maxPipelinedBytes)])
+		c.buffered = c.buffered[:len(c.buffered)+n]
 		if n == 0 && err != nil {
 			return err
 		}
@@ -243,56 +245,56 @@
 }
 
 // charge takes the memory of the longest head, once; false if there is none.
-func (c *framedConn) charge() bool {
+func (c *clientConn) chargeMemory() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.charged == 0 && !c.closed && c.of.firsts.take(maxHead+headSlack) {
-		c.charged = maxHead + headSlack
+	if c.memoryCharged == 0 && !c.closed && c.listener.headMemory.reserve(maxRequestHeadBytes+headReadSlack) {
+		c.memoryCharged = maxRequestHeadBytes + headReadSlack
 	}
-	return c.charged > 0
+	return c.memoryCharged > 0
 }
 
-func (c *framedConn) discharge() {
+func (c *clientConn) releaseMemory() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.charged > 0 {
-		c.of.firsts.free(c.charged)
-		c.charged = 0
+	if c.memoryCharged > 0 {
+		c.listener.headMemory.release(c.memoryCharged)
+		c.memoryCharged = 0
 	}
 }
 
 // let passes a head on, unless the connection has been retired over it.
-func (c *framedConn) let(judge func()) error {
+func (c *clientConn) passHead(judge func()) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.retired {
+	if c.discarding {
 		return io.EOF
 	}
-	c.phase = passed
+	c.phase = phaseInFlight
 	judge()
 	return nil
 }
 
-func (c *framedConn) judge(end int) {
-	c.served = true
-	length, chunked, err := framing(c.buf[:end])
+func (c *clientConn) frameRequestLocked(end int) {
+	c.hadRequest = true
+	length, chunked, err := parseFraming(c.buffered[:end])
 	switch {
 	case err != nil:
-		c.reject()
+		c.passMalformedLocked()
 	case chunked:
-		c.pass, c.over = -1, true
+		c.passable, c.endsAfterPass = -1, true
 	default:
-		c.pass = int64(end) + max(length, 0)
-		c.over = c.pass < 0 // so long that the sum does not fit
+		c.passable = int64(end) + max(length, 0)
+		c.endsAfterPass = c.passable < 0 // so long that the sum does not fit
 	}
 }
 
-func (c *framedConn) reject() {
-	c.buf, c.pass, c.over = []byte(flaw), int64(len(flaw)), true
+func (c *clientConn) passMalformedLocked() {
+	c.buffered, c.passable, c.endsAfterPass = []byte(malformedHead), int64(len(malformedHead)), true
 }
 
 // bareLF tells whether a line ends without a CR. The first byte's predecessor is not known, so it is let off.
-func bareLF(b []byte) bool {
+func hasBareLF(b []byte) bool {
 	for i := 1; i < len(b); i++ {
 		if b[i] == '\n' && b[i-1] != '\r' {
 			return true
@@ -302,7 +304,7 @@
 }
 
 // SyscallConn is for quiet.
-func (c *framedConn) SyscallConn() (syscall.RawConn, error) {
+func (c *clientConn) SyscallConn() (syscall.RawConn, error) {
 	if sc, ok := c.Conn.(syscall.Conn); ok {
 		return sc.SyscallConn()
 	}
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -14,9 +14,9 @@
 
 // timer is an entry of the loop's timers: a token of the module's, or a request's time.
 type timer struct {
-	at    int64
-	token string
-	req   *request
+	at      int64
+	token   string
+	request *request
 }
 
 type timerHeap []timer
--- a/internal/proxy/download_test.go
+++ b/internal/proxy/download_test.go
@@ -17,7 +17,7 @@
 
 // A large answer is passed on as it comes, in every framing, and whole.
 func TestLargeAnswersArePassedOnAsTheyCome(t *testing.T) {
-	part := bytes.Repeat([]byte("0123456789abcdef"), wholeMost/16)
+	part := bytes.Repeat([]byte("0123456789abcdef"), maxBufferedResponse/16)
 	for _, c := range []struct {
 		name, head string
 		chunked    bool
@@ -128,12 +128,12 @@
 // A client can tell an answer that broke off on its way, and it counts as failed.
 func TestAnAnswerThatBreaksOffShows(t *testing.T) {
 	for name, head := range map[string]string{
-		"of a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 9*wholeMost),
-		"in chunks":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 9*wholeMost),
+		"of a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 9*maxBufferedResponse),
+		"in chunks":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 9*maxBufferedResponse),
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
-				_, _ = io.WriteString(w, head+strings.Repeat("x", 3*wholeMost))
+				_, _ = io.WriteString(w, head+strings.Repeat("x", 3*maxBufferedResponse))
 				return false
 			})
 			cl := connect(t, p)
@@ -192,14 +192,14 @@
 // A long answer that is still being given when the cutoff comes goes on to its end.
 func TestSIGTERMDoesNotCutALongAnswerOff(t *testing.T) {
 	goOn := make(chan struct{})
-	part := strings.Repeat("x", 2*wholeMost)
+	part := strings.Repeat("x", 2*maxBufferedResponse)
 	p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(part), part)
 		wait(t, "the cutoff", goOn)
 		_, _ = io.WriteString(w, part)
 		return true
 	})
-	p.times = func([]balancer.Class) (stay, left time.Duration) {
+	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 50 * time.Millisecond, 100 * time.Millisecond
 	}
 	cl := connect(t, p)
@@ -212,7 +212,7 @@
 		t.Fatal(err)
 	}
 	p.stop()
-	waitUntil(t, p.front.closing.Load)
+	waitUntil(t, p.frontend.closing.Load)
 	time.Sleep(200 * time.Millisecond) // past the cutoff, whatever this machine is at
 	close(goOn)
 	if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != int64(2*len(part)-10) {
@@ -241,19 +241,19 @@
 	const size = 1 << 10
 	synctest.Test(t, func(t *testing.T) {
 		source := make(pieces)
-		p := newPrefetch(source, size)
+		p := newReadAhead(source, size)
 		source <- make([]byte, size)
 		synctest.Wait() // it is full: the source is not asked
-		p.still(wholeMost)
-		time.Sleep(wholeWait)
+		p.isStalled(maxBufferedResponse)
+		time.Sleep(responseBufferWait)
 		if n, err := p.Read(make([]byte, size)); n != size || err != nil {
 			t.Fatalf("%d bytes, %v", n, err)
 		}
-		if p.still(wholeMost) {
+		if p.isStalled(maxBufferedResponse) {
 			t.Error("it stands still though it was not asked")
 		}
-		time.Sleep(2 * wholeWait)
-		if !p.still(wholeMost) {
+		time.Sleep(2 * responseBufferWait)
+		if !p.isStalled(maxBufferedResponse) {
 			t.Error("it does not stand still though it was asked and gave nothing")
 		}
 		close(source)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -39,7 +39,7 @@
 		waitUntil(t, func() bool { return int(requests.Load()) == min(i+1, 2) })
 	}
 	ended := begin(t, f, patience)
-	time.Sleep(5 * drainStep) // for a listener that closes too soon
+	time.Sleep(5 * drainPollInterval) // for a listener that closes too soon
 	release()
 	for i, c := range all {
 		if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
@@ -60,7 +60,7 @@
 	select {
 	case <-ended:
 		t.Error("the drain ended over a request")
-	case <-time.After(endMargin / 2):
+	case <-time.After(responseFlushMargin / 2):
 	}
 	release()
 	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
@@ -78,8 +78,8 @@
 	c.send(t, look("1", 4000))
 	waitUntil(t, func() bool { return requests.Load() == 1 })
 	start := time.Now()
-	wait(t, "end of the drain", begin(t, f, 2*killMargin))
-	if took := time.Since(start); took > 2*killMargin+endMargin+patience/10 {
+	wait(t, "end of the drain", begin(t, f, 2*cutoffMargin))
+	if took := time.Since(start); took > 2*cutoffMargin+responseFlushMargin+patience/10 {
 		t.Errorf("it took %v", took)
 	}
 }
@@ -94,7 +94,7 @@
 			stay, left := drainTimes([]balancer.Class{{Deadline: deadline.Microseconds(), LatencyObjective: aim.Microseconds()},
 				{Deadline: 1, LatencyObjective: 1}})
 			kill := min(deadline, 3*time.Second) + 700*time.Millisecond
-			if stay < 400*time.Millisecond || stay > left-killMargin || left+endMargin+2*drainStep > kill {
+			if stay < 400*time.Millisecond || stay > left-cutoffMargin || left+responseFlushMargin+2*drainPollInterval > kill {
 				t.Errorf("deadline %v, aim %v: doors close after %v, cutoff after %v, SIGKILL after %v", deadline, aim, stay, left, kill)
 			}
 		}
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -97,20 +97,20 @@
 		t.Fatal(err)
 	}
 	h, requests = &hooks{}, &atomic.Int32{}
-	l := &loop{figs: newFigures(nil)}
+	l := &eventLoop{metrics: newMetrics(nil)}
 	f = newFrontend(site, l, hookedListener{tcp.(*net.TCPListener), h}, slog.New(slog.DiscardHandler))
 	f.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
 		if at := h.request.Load(); at != nil {
 			(*at)()
 		}
-		f.reply(w, answer{status: 200, body: []byte(body)})
+		f.writeResponse(w, response{status: 200, body: []byte(body)})
 	})
-	f.limit(most, most, 0)
+	f.setLimits(most, most, 0)
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = f.serve() }()
 	t.Cleanup(func() { f.server.Close(); wait(t, "end of the frontend", ended) })
-	return f, h, requests, &running{Proxy: &Proxy{front: f}}
+	return f, h, requests, &running{Proxy: &Proxy{frontend: f}}
 }
 
 // once is a hook that does something the first time only.
@@ -131,7 +131,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, s := range f.conns {
-		if s.state == http.StateIdle && c.(*framedConn).at() == resting {
+		if s.state == http.StateIdle && c.(*clientConn).currentPhase() == phaseIdle {
 			n++
 		}
 	}
@@ -149,7 +149,7 @@
 				f.conns[c] = s
 			}
 			f.mu.Unlock()
-			f.shed()
+			f.makeRoom()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -191,7 +191,7 @@
 		t.Errorf("got %q and %v, want an end", rest, err)
 	}
 	c.Close()
-	waitUntil(t, func() bool { return f.open() == 0 && f.listener.lingers.open() == 0 })
+	waitUntil(t, func() bool { return f.openConns() == 0 && f.listener.lingering.count() == 0 })
 	if n := requests.Load(); n != 1 {
 		t.Errorf("%d requests were taken, want the first alone", n)
 	}
@@ -216,7 +216,7 @@
 	if _, err := c.r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, func() bool { return f.open() == 0 }) // the server is through with it
+	waitUntil(t, func() bool { return f.openConns() == 0 }) // the server is through with it
 	if resp, body := c.answer(t); resp.StatusCode != 200 || body != large {
 		t.Errorf("got %s and %d bytes", resp.Status, len(body))
 	}
@@ -230,7 +230,7 @@
 		c.send(t, "GET /no HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		start := time.Now()
 		c.answer(t)
-		if took := time.Since(start); took > lingerMost/2 {
+		if took := time.Since(start); took > lingerTimeout/2 {
 			t.Errorf("waited %v for a slot", took)
 		}
 		if open := f.descriptors(); open > 2 {
@@ -242,16 +242,16 @@
 // descriptors counts the connections that are not closed. One that has just begun to linger is among those of the server
 // too, and one that has just been closed may still be.
 func (f *frontend) descriptors() int {
-	all := map[*framedConn]bool{}
+	all := map[*clientConn]bool{}
 	f.mu.Lock()
-	f.listener.lingers.mu.Lock()
+	f.listener.lingering.mu.Lock()
 	for c := range f.conns {
-		all[c.(*framedConn)] = true
+		all[c.(*clientConn)] = true
 	}
-	for c := range f.listener.lingers.since {
+	for c := range f.listener.lingering.since {
 		all[c] = true
 	}
-	f.listener.lingers.mu.Unlock()
+	f.listener.lingering.mu.Unlock()
 	f.mu.Unlock()
 	for c := range all { // its lock comes before that of those that linger
 		c.mu.Lock()
@@ -277,7 +277,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for c := range f.conns {
-				if c.(*framedConn).at() == heading {
+				if c.(*clientConn).currentPhase() == phaseReadingHead {
 					return true
 				}
 			}
@@ -324,7 +324,7 @@
 func TestClientsThatSendUpToTheEndLoseNothing(t *testing.T) {
 	b := startBackend(t, says(served, true))
 	p := startProxy(t, startDiscovery(t).addr, 300, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
-	p.times = func([]balancer.Class) (stay, left time.Duration) {
+	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
 	const clients = 16
--- a/internal/proxy/endings_test.go
+++ b/internal/proxy/endings_test.go
@@ -35,7 +35,7 @@
 						return true
 					}
 					_, _ = io.WriteString(w, head)
-					time.Sleep(3 * wholeWait / 2) // past the time for which a whole answer is waited for
+					time.Sleep(3 * responseBufferWait / 2) // past the time for which a whole answer is waited for
 					return c.then(w)
 				})
 				cl := connect(t, p)
--- a/internal/proxy/figures_test.go
+++ b/internal/proxy/figures_test.go
@@ -60,20 +60,20 @@
 }
 
 func TestAnEndCountsOnce(t *testing.T) {
-	f := newFigures([]string{"a"})
-	one, two := f.take("a"), f.take("b")
-	one.end(http.StatusServiceUnavailable)
-	one.end(0)
+	f := newMetrics([]string{"a"})
+	one, two := f.requestStarted("a"), f.requestStarted("b")
+	one.finish(http.StatusServiceUnavailable)
+	one.finish(0)
 	got := f.snapshot()
 	if got.Classes["a"] != (management.RequestCounts{Rejected: 1}) || got.InFlight != 1 {
 		t.Errorf("got %+v", got)
 	}
-	two.end(0)
+	two.finish(0)
 	if got = f.snapshot(); got.Classes["b"] != (management.RequestCounts{Failed: 1}) || got.InFlight != 0 {
 		t.Errorf("got %+v", got)
 	}
 	for range 3 * maxClasses {
-		f.name([]string{string(bytes.Repeat([]byte("x"), len(f.classes)+1))})
+		f.setClasses([]string{string(bytes.Repeat([]byte("x"), len(f.classes)+1))})
 	}
 	if len(f.classes) > maxClasses {
 		t.Errorf("%d classes are kept", len(f.classes))
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -10,7 +10,7 @@
 	"merlinpick/internal/override"
 )
 
-const meetEvery = 100 * time.Millisecond // the module says what it saw, and hears what others did
+const reportExchangeInterval = 100 * time.Millisecond // the module says what it saw, and hears what others did
 
 // Fleet is a proxy's part in its fleet. All but Run may be called before Run and from any goroutine.
 type Cluster interface {
@@ -45,22 +45,22 @@
 }
 
 // self is what this proxy tells of itself.
-func (p *Proxy) self() ClusterIdentity {
-	site, c := p.cfg.Site, p.loop.clock
-	s := ClusterIdentity{Tier: site.Balancer.Tier, StartedAtMs: c.start.UnixMilli(), Now: c.now, Overrides: p.bans, Logger: p.cfg.Logger}
+func (p *Proxy) clusterIdentity() ClusterIdentity {
+	site, c := p.config.Site, p.loop.clock
+	s := ClusterIdentity{Tier: site.Balancer.Tier, StartedAtMs: c.start.UnixMilli(), Now: c.now, Overrides: p.overrides, Logger: p.config.Logger}
 	if site.Balancer.Zone < len(site.Zones) {
 		s.Zone = site.Zones[site.Balancer.Zone]
 	}
-	if p.cfg.Managed {
-		s.StateDir = p.cfg.StateDir
+	if p.config.Managed {
+		s.StateDir = p.config.StateDir
 	}
 	return s
 }
 
 // meet has the fleet and the module hear of each other.
-func (l *loop) meet() {
+func (l *eventLoop) exchangeReports() {
 	now := l.clock.now()
-	if peers, ok := l.fleet.ExchangeReports(now, l.bal.Reports, l.zones); ok {
-		l.bal.HandlePeerReports(now, l, peers)
+	if peers, ok := l.cluster.ExchangeReports(now, l.balancer.Reports, l.zoneNumbers); ok {
+		l.balancer.HandlePeerReports(now, l, peers)
 	}
 }
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -108,7 +108,7 @@
 		"byte by byte": iotest.OneByteReader(strings.NewReader(text)),
 		"in halves":    iotest.HalfReader(strings.NewReader(text)),
 	} {
-		got, err := io.ReadAll(&framedConn{Conn: readConn{r: r}})
+		got, err := io.ReadAll(&clientConn{Conn: readConn{r: r}})
 		if err != nil || string(got) != text {
 			t.Errorf("%s: %v, %q", name, err, got)
 		}
@@ -123,11 +123,11 @@
 	f.Add("GET / HTTP/1.1\n\n")
 	f.Add("\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		got, err := io.ReadAll(&framedConn{Conn: readConn{r: iotest.HalfReader(strings.NewReader(text))}})
+		got, err := io.ReadAll(&clientConn{Conn: readConn{r: iotest.HalfReader(strings.NewReader(text))}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		passed := strings.TrimSuffix(string(got), flaw)
+		passed := strings.TrimSuffix(string(got), malformedHead)
 		for _, part := range strings.Split(passed, "\r\n") {
 			if !strings.Contains(text, part) {
 				t.Errorf("%q was not in %q", part, text)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -17,56 +17,56 @@
 )
 
 const (
-	maxHead      = 16 << 10        // of a request, before its body
-	idlePatience = 2 * time.Minute // for the next request on a connection
+	maxRequestHeadBytes = 16 << 10        // of a request, before its body
+	keepAliveTimeout    = 2 * time.Minute // for the next request on a connection
 
 	// The head of a request is to be here so long after its first byte, and on a new connection after the
 	// connect: a peer that sends nothing, or too little, is owed a close within 3 s. For its body see upload.
-	requestPatience = 2500 * time.Millisecond
+	requestReadTimeout = 2500 * time.Millisecond
 )
 
 // frontend takes requests from clients and hands them to the loop.
 type frontend struct {
-	loop     *loop
-	server   *http.Server
-	listener *cappedListener
-	holds    *holds
-	firsts   *holds
-	log      *slog.Logger
-	most     atomic.Int64 // connections of clients, and some more to refuse on
-	flight   atomic.Int64 // requests in flight, each of which may need a connection to a backend; more are refused
-	serving  atomic.Bool  // connections are accepted
-	draining atomic.Bool  // SIGTERM has come: health checks hear it
-	closing  atomic.Bool  // and clients are to leave
-	waits    atomic.Bool  // for discovery to confirm the list: health checks hear it
-	streams  atomic.Int64 // answers that are being passed on
-
-	mu      sync.Mutex
-	view    *view   // in force
-	views   []*view // those that requests still read by, the one in force last
-	conns   map[net.Conn]connState
-	uploads map[*upload]bool
-	shedded int       // since the log last said so
-	refused int       // likewise
-	said    time.Time // when it did
+	loop          *eventLoop
+	server        *http.Server
+	listener      *limitedListener
+	bodyMemory    *memoryBudget
+	headMemory    *memoryBudget
+	logger        *slog.Logger
+	maxConns      atomic.Int64 // connections of clients, and some more to refuse on
+	maxInFlight   atomic.Int64 // requests in flight, each of which may need a connection to a backend; more are refused
+	serving       atomic.Bool  // connections are accepted
+	draining      atomic.Bool  // SIGTERM has come: health checks hear it
+	closing       atomic.Bool  // and clients are to leave
+	awaitingSync  atomic.Bool  // for discovery to confirm the list: health checks hear it
+	activeStreams atomic.Int64 // answers that are being passed on
+
+	mu            sync.Mutex
+	settings      *settingsSnapshot   // in force
+	settingsInUse []*settingsSnapshot // those that requests still read by, the one in force last
+	conns         map[net.Conn]clientConnState
+	uploads       map[*upload]bool
+	evicted       int       // since the log last said so
+	rejected      int       // likewise
+	lastLogged    time.Time // when it did
 }
 
 // connKey finds a request's connection in its context.
 type connKey struct{}
 
-func newFrontend(site *settings.Site, l *loop, listener net.Listener, log *slog.Logger) *frontend {
-	f := &frontend{loop: l, log: log, holds: &holds{}, firsts: &holds{most: defaultHold}, conns: map[net.Conn]connState{},
+func newFrontend(site *settings.Site, l *eventLoop, listener net.Listener, log *slog.Logger) *frontend {
+	f := &frontend{loop: l, logger: log, bodyMemory: &memoryBudget{}, headMemory: &memoryBudget{max: defaultBodyMemory}, conns: map[net.Conn]clientConnState{},
 		uploads: map[*upload]bool{}}
 	first := make([]int, len(site.Classes))
 	for i := range first {
 		first[i] = i
 	}
-	f.turn(newView(site, l.rules(site), first))
-	f.listener = newCappedListener(listener, f.shed, log)
-	f.listener.firsts, f.listener.audit = f.firsts, l.audit
+	f.setSettings(newSettingsSnapshot(site, l.balancerSettings(site), first))
+	f.listener = newLimitedListener(listener, f.makeRoom, log)
+	f.listener.headMemory, f.listener.audit = f.headMemory, l.audit
 	f.server = &http.Server{
-		Handler: f, ReadHeaderTimeout: requestPatience, IdleTimeout: idlePatience, MaxHeaderBytes: maxHead,
-		ConnState: f.connState, ErrorLog: quietLog(log),
+		Handler: f, ReadHeaderTimeout: requestReadTimeout, IdleTimeout: keepAliveTimeout, MaxHeaderBytes: maxRequestHeadBytes,
+		ConnState: f.trackConn, ErrorLog: quietLog(log),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
 	return f
@@ -86,83 +86,85 @@
 }
 
 // giveUp is when the client of a request that has now come whole gives up.
-func (f *frontend) giveUp(req *request) int64 { return f.loop.clock.at(time.Now().Add(req.wait)) }
+func (f *frontend) clientDeadline(req *request) int64 {
+	return f.loop.clock.at(time.Now().Add(req.timeout))
+}
 
 // full is the answer to a request for which there is no room.
-func full(req *request) answer {
-	return answer{status: http.StatusServiceUnavailable, after: req.Settings.MaxRetryAfter}
+func rejectedResponse(req *request) response {
+	return response{status: http.StatusServiceUnavailable, retryAfter: req.Settings.MaxRetryAfter}
 }
 
 // ServeHTTP answers health checks and takes requests.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// Until a body is read for what it is: net/http may read what is left of it before it answers.
 	began := time.Now()
-	if c, ok := r.Context().Value(connKey{}).(*framedConn); ok {
-		began = time.Unix(0, c.began.Load())
+	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
+		began = time.Unix(0, c.requestStarted.Load())
 	}
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(began.Add(requestPatience))
+	_ = rc.SetReadDeadline(began.Add(requestReadTimeout))
 	_ = rc.SetWriteDeadline(time.Time{}) // the last answer's would keep a 100 Continue back
 	if len(r.TransferEncoding) > 0 {     // see framedConn
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == "/_health" {
-		f.health(w)
+		f.serveHealth(w)
 		return
 	}
-	v := f.read()
-	defer f.done(v)
-	req, bad := v.parse(w, r)
+	v := f.acquireSettings()
+	defer f.releaseSettings(v)
+	req, bad := v.parseRequest(w, r)
 	if bad.status != 0 {
-		f.reply(w, bad)
+		f.writeResponse(w, bad)
 		return
 	}
-	req.client = r.Context()
-	req.peer, _ = r.Context().Value(connKey{}).(net.Conn)
+	req.clientContext = r.Context()
+	req.clientConn, _ = r.Context().Value(connKey{}).(net.Conn)
 	body := f.newUpload(w, r, began)
-	defer f.endUpload(body)
-	own, bad := f.receive(w, r, req, body)
+	defer f.releaseUpload(body)
+	own, bad := f.receiveBody(w, r, req, body)
 	if bad.status != 0 {
-		f.reply(w, bad)
+		f.writeResponse(w, bad)
 		return
 	}
-	defer own.end(0) // however else this returns
-	fc, _ := req.peer.(*framedConn)
+	defer own.finish(0) // however else this returns
+	fc, _ := req.clientConn.(*clientConn)
 	if fc != nil {
-		fc.owe(req.ID)
+		fc.markUnanswered(req.ID)
 	}
-	ans := f.await(req)
-	if fc != nil && ans.status == 0 && req.left() {
-		fc.paid() // nobody waits for it
+	ans := f.awaitResponse(req)
+	if fc != nil && ans.status == 0 && req.clientGone() {
+		fc.markAnswered() // nobody waits for it
 	}
 	if ans.status == 0 {
-		f.loop.audit.count("closes.client.no_answer")
+		f.loop.audit.countEvent("closes.client.no_answer")
 		panic(http.ErrAbortHandler) // a return would answer 200
 	}
 	if ans.stream != nil {
-		f.streams.Add(1)
-		defer f.streams.Add(-1)
+		f.activeStreams.Add(1)
+		defer f.activeStreams.Add(-1)
 	}
 	if fc != nil {
-		fc.paid() // net/http closes where a write fails, since the client has gone; what has begun and breaks off shows
+		fc.markAnswered() // net/http closes where a write fails, since the client has gone; what has begun and breaks off shows
 	}
-	f.reply(w, ans)
+	f.writeResponse(w, ans)
 	if ans.stream != nil {
-		ans.stream.passOn(w, r)
+		ans.stream.forwardTo(w, r)
 	}
-	own.end(ans.status)
+	own.finish(ans.status)
 }
 
 // await returns a request's answer, with no status if its client has gone or the loop has ended.
-func (f *frontend) await(req *request) (ans answer) {
+func (f *frontend) awaitResponse(req *request) (ans response) {
 	l := f.loop
 	select {
-	case ans = <-req.answer:
-	case <-req.client.Done():
+	case ans = <-req.responses:
+	case <-req.clientContext.Done():
 		select {
-		case ans = <-req.answer: // one that came before all of the body cut that off, which ends the context, too
+		case ans = <-req.responses: // one that came before all of the body cut that off, which ends the context, too
 		default: // the client has gone
-			l.post(func() { l.gone(req) })
+			l.post(func() { l.handleClientGone(req) })
 		}
 	case <-l.done:
 	}
@@ -171,9 +173,9 @@
 
 // health answers a check. Its connection is closed each time: kept ones, of however many checkers, would take
 // the slots that clients need.
-func (f *frontend) health(w http.ResponseWriter) {
+func (f *frontend) serveHealth(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
-	if f.healthy() {
+	if f.isHealthy() {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
@@ -181,35 +183,35 @@
 }
 
 // healthy tells whether there is a list to serve by and more clients may come.
-func (f *frontend) healthy() bool {
+func (f *frontend) isHealthy() bool {
 	select {
-	case <-f.loop.listed:
-		return !f.waits.Load() && !f.draining.Load()
+	case <-f.loop.listAvailable:
+		return !f.awaitingSync.Load() && !f.draining.Load()
 	default:
 		return false
 	}
 }
 
-func (f *frontend) reply(w http.ResponseWriter, ans answer) {
+func (f *frontend) writeResponse(w http.ResponseWriter, ans response) {
 	h := w.Header()
-	if f.closing.Load() || f.short(f.open()) { // a closed connection makes room for another
+	if f.closing.Load() || f.isShort(f.openConns()) { // a closed connection makes room for another
 		h.Set("Connection", "close")
 	}
-	if ans.content != "" {
-		h.Set("Content-Type", ans.content)
+	if ans.contentType != "" {
+		h.Set("Content-Type", ans.contentType)
 	} else {
 		h["Content-Type"] = nil // not to be guessed
 	}
 	switch {
 	case ans.stream == nil:
 		h.Set("Content-Length", strconv.Itoa(len(ans.body)))
-	case ans.stream.length >= 0:
-		h.Set("Content-Length", strconv.FormatInt(ans.stream.length, 10))
+	case ans.stream.contentLength >= 0:
+		h.Set("Content-Length", strconv.FormatInt(ans.stream.contentLength, 10))
 	}
-	if ans.status == http.StatusServiceUnavailable && ans.after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(float64(ans.after)/1e6, 'f', 3, 64))
+	if ans.status == http.StatusServiceUnavailable && ans.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(float64(ans.retryAfter)/1e6, 'f', 3, 64))
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(streamPatience))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(streamStallTimeout))
 	w.WriteHeader(ans.status)
 	_, _ = w.Write(ans.body) // a client that has gone is no fault
 }
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -60,12 +60,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &loop{clock: clock{time.Now()}, events: make(chan func(), 256), listed: make(chan struct{}),
-		done: make(chan struct{}), reqs: map[string]*request{}, figs: newFigures(nil), ended: context.Background()}
-	close(l.listed)
+	l := &eventLoop{clock: clock{time.Now()}, events: make(chan func(), 256), listAvailable: make(chan struct{}),
+		done: make(chan struct{}), requests: map[string]*request{}, metrics: newMetrics(nil), stopped: context.Background()}
+	close(l.listAvailable)
 	p := &pipedFrontend{pipes: newPipeListener()}
 	p.frontend = newFrontend(site, l, p.pipes, slog.New(slog.DiscardHandler))
-	p.limit(most, most, overCap)
+	p.setLimits(most, most, maxRejectConns)
 	go func() { _ = p.serve() }()
 	return p
 }
@@ -128,7 +128,7 @@
 					t.Errorf("got %q and the end after %v", text, after)
 				}
 				synctest.Wait()
-				if n := p.open(); n != 0 {
+				if n := p.openConns(); n != 0 {
 					t.Errorf("%d connections are left", n)
 				}
 			})
@@ -175,9 +175,9 @@
 			default:
 				t.Fatal("the request did not reach the loop")
 			}
-			time.Sleep(4 * requestPatience)
+			time.Sleep(4 * requestReadTimeout)
 			synctest.Wait()
-			if n := p.open(); n != 1 {
+			if n := p.openConns(); n != 1 {
 				t.Errorf("%d connections while the answer is awaited", n)
 			}
 			select {
@@ -203,7 +203,7 @@
 				const most = 4
 				p := startPiped(t, most)
 				defer p.stop()
-				for range most + overCap {
+				for range most + maxRejectConns {
 					peer := p.connect()
 					defer peer.Close()
 					if _, err := io.WriteString(peer, text); err != nil {
@@ -213,7 +213,7 @@
 				start := time.Now()
 				c := p.connect()
 				defer c.Close()
-				if took := time.Since(start); took > pauseLeast+2*shedEvery {
+				if took := time.Since(start); took > minBodyStall+2*makeRoomInterval {
 					t.Errorf("a client waited %v for a slot", took)
 				}
 				go func() { _, _ = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n") }()
@@ -293,7 +293,7 @@
 			t.Errorf("got %q and the end after %v", text, after)
 		}
 		synctest.Wait()
-		if n := p.open(); n != 0 {
+		if n := p.openConns(); n != 0 {
 			t.Errorf("%d connections are left", n)
 		}
 	})
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -40,8 +40,8 @@
 }
 
 func TestHandoverLineIsGolden(t *testing.T) {
-	told := legacy{Spent: spent{Taken: []int64{1_000_000, 2_000_000}, Further: []int64{1_500_000}},
-		Seen: []string{"node-1", "node-2"}, Now: 3_000_000}
+	told := handoverState{RetryBudget: retryBudgetUsage{Requests: []int64{1_000_000, 2_000_000}, Retries: []int64{1_500_000}},
+		KnownServers: []string{"node-1", "node-2"}, Now: 3_000_000}
 	line, err := json.Marshal(told)
 	if err != nil {
 		t.Fatal(err)
@@ -60,14 +60,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var read legacy
+		var read handoverState
 		if err := json.Unmarshal(text, &read); err != nil {
 			t.Fatal(err)
 		}
-		if !slices.Equal(read.Seen, told.Seen) {
-			t.Errorf("%s: names %v", c.file, read.Seen)
+		if !slices.Equal(read.KnownServers, told.KnownServers) {
+			t.Errorf("%s: names %v", c.file, read.KnownServers)
 		}
-		if got := read.spentBy(c.now); !reflect.DeepEqual(got, c.want) {
+		if got := read.retryBudgetAt(c.now); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.file, got, c.want)
 		}
 	}
@@ -105,7 +105,7 @@
 func TestOwnAnswersAreGolden(t *testing.T) {
 	breaks, _ := serving(t, says("", false))
 	full, _ := serving(t, says(served, true))
-	full.front.flight.Store(0)
+	full.frontend.maxInFlight.Store(0)
 	good, _ := serving(t, says(served, true))
 	unlisted := startProxy(t, startDiscovery(t).addr, 200, "")
 	post := func(more string) string {
@@ -132,41 +132,41 @@
 		{"wrong method", good, strings.Replace(look("1", 9), "GET", "PUT", 1)},
 		{"needless key", good, strings.Replace(look("1", 9), "Tenant", "Idempotency-Key", 1)},
 		{"body on a GET", good, strings.Replace(look("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab"},
-		{"too large", good, post(fmt.Sprintf("Content-Length: %d\r\n\r\n", maxBody+1))},
+		{"too large", good, post(fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBodyBytes+1))},
 		{"body broken off", good, post("Transfer-Encoding: chunked\r\n\r\nzz\r\n")},
 		{"body too slow", good, post("Content-Length: 9\r\n\r\nabc")},
 		{"ambiguous framing", good, post("Content-Length: 1\r\nContent-Length: 1\r\n\r\na")},
-		{"head too long", good, "GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*maxHead) + "\r\n\r\n"},
+		{"head too long", good, "GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*maxRequestHeadBytes) + "\r\n\r\n"},
 	} {
 		show(c.name, rawExchange(t, c.p.Addr(), c.text))
 	}
-	show("half a head at the end", busyAnswer)
+	show("half a head at the end", rejectionText)
 
 	// Those that take more to come about: by their answers alone.
-	var next answer
+	var next response
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { good.front.reply(w, next) })}
+	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { good.frontend.writeResponse(w, next) })}
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { s.Close() })
 	body := &upload{}
-	faultOf := func(err error) answer {
+	faultOf := func(err error) response {
 		rec := &headerOnly{h: http.Header{}}
-		return body.fault(rec, err)
+		return body.errorResponse(rec, err)
 	}
 	for _, c := range []struct {
 		name string
-		ans  answer
+		ans  response
 	}{
-		{"rejected, come again", answer{status: http.StatusServiceUnavailable, after: 1_234_567}},
-		{"rejected without a time", answer{status: http.StatusServiceUnavailable}},
-		{"failed with a time", answer{status: http.StatusBadGateway, after: 1_234_567}},
-		{"expired", answer{status: http.StatusGatewayTimeout}},
+		{"rejected, come again", response{status: http.StatusServiceUnavailable, retryAfter: 1_234_567}},
+		{"rejected without a time", response{status: http.StatusServiceUnavailable}},
+		{"failed with a time", response{status: http.StatusBadGateway, retryAfter: 1_234_567}},
+		{"expired", response{status: http.StatusGatewayTimeout}},
 		{"draining", faultOf(errDraining)},
-		{"short of connections", faultOf(errShort)},
-		{"short of memory", faultOf(errNoMemory)},
+		{"short of connections", faultOf(errConnShortage)},
+		{"short of memory", faultOf(errBodyMemory)},
 		{"another error", faultOf(errors.New("any"))},
 	} {
 		next = c.ans
@@ -192,25 +192,25 @@
 	gone.send(t, look("1", 4000))
 	waitUntil(t, func() bool { return b.requests.Load() == 1 })
 	gone.Close()
-	waitUntil(t, func() bool { return p.loop.audit.all()["closes.client.no_answer"] == 1 })
+	waitUntil(t, func() bool { return p.loop.audit.eventCounts()["closes.client.no_answer"] == 1 })
 	cut := connect(t, p)
 	cut.send(t, look("2", 4000))
 	waitUntil(t, func() bool { return b.requests.Load() == 2 })
-	p.front.mu.Lock()
-	for c := range p.front.conns {
-		p.front.cutLocked(c.(*framedConn)) // its body, then it
-		p.front.cutLocked(c.(*framedConn))
+	p.frontend.mu.Lock()
+	for c := range p.frontend.conns {
+		p.frontend.evictLocked(c.(*clientConn)) // its body, then it
+		p.frontend.evictLocked(c.(*clientConn))
 	}
-	p.front.mu.Unlock()
+	p.frontend.mu.Unlock()
 	half := connect(t, p)
 	half.send(t, "GET")
 	waitUntil(t, func() bool {
-		return p.front.closeIdle(0, 0, true) == 0 && p.loop.audit.all()["closes.client.idle_or_half"] > 0
+		return p.frontend.closeIdle(0, 0, true) == 0 && p.loop.audit.eventCounts()["closes.client.idle_or_half"] > 0
 	})
 	answered := connect(t, p)
 	answered.send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
 	answered.answer(t)
-	waitUntil(t, func() bool { return p.loop.audit.all()["closes.client.answered_or_broken"] > 0 })
+	waitUntil(t, func() bool { return p.loop.audit.eventCounts()["closes.client.answered_or_broken"] > 0 })
 
 	// Connections to backends.
 	good := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
@@ -219,40 +219,40 @@
 	})
 	pool := poolWith(4, good.addr)
 	pool.audit = p.loop.audit
-	idle := func() *conn {
-		c, err := pool.dial(context.Background(), pool.byName["a"], good.addr, pool.byName["a"].epoch)
+	idle := func() *backendConn {
+		c, err := pool.dial(context.Background(), pool.byName["a"], good.addr, pool.byName["a"].generation)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c
 	}
-	pool.keep(idle())
-	pool.sweep(time.Now().Add(time.Hour))
-	pool.keep(idle())
-	pool.keep(idle())
-	pool.limit(1, 1)
-	pool.limit(4, 1)
-	pool.keep(idle())
-	pool.ban(map[string]bool{"a": true})
-	pool.ban(nil)
-	pool.abandon(idle())
+	pool.putIdle(idle())
+	pool.sweepIdle(time.Now().Add(time.Hour))
+	pool.putIdle(idle())
+	pool.putIdle(idle())
+	pool.setLimits(1, 1)
+	pool.setLimits(4, 1)
+	pool.putIdle(idle())
+	pool.setSuspended(map[string]bool{"a": true})
+	pool.setSuspended(nil)
+	pool.resetAndClose(idle())
 	closing := startBackend(t, says("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false))
 	pool = poolWith(4, closing.addr)
 	pool.audit = p.loop.audit
 	newAttempt(pool, "a", patience).run()
 
 	// Ends of attempts and reasons of rejections.
-	l := &loop{clock: clock{time.Now()}, audit: newAudit(slog.New(slog.DiscardHandler))}
+	l := &eventLoop{clock: clock{time.Now()}, audit: newAudit(slog.New(slog.DiscardHandler))}
 	for s := range balancer.Status(8) {
-		l.ends(&attempt{req: &request{}}, s)
+		l.auditAttemptEnd(&attempt{request: &request{}}, s)
 	}
 	by := map[balancer.RejectReason]int64{}
-	for i := range refusals {
+	for i := range rejectReasonNames {
 		by[balancer.RejectReason(i)] = 1
 	}
-	p.figs.refusals(by)
+	p.metrics.setRejections(by)
 	names := map[string]bool{}
-	for _, all := range []map[string]int64{p.Metrics().Events, l.audit.all()} {
+	for _, all := range []map[string]int64{p.Metrics().Events, l.audit.eventCounts()} {
 		for n := range maps.Keys(all) {
 			names["event "+n] = true
 		}
--- a/internal/proxy/gone.go
+++ b/internal/proxy/gone.go
@@ -9,8 +9,8 @@
 
 // left tells whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
 // context; what it cannot have seen yet, or never will, shows at the socket.
-func (r *request) left() bool {
-	return r.client != nil && (r.client.Err() != nil || departed(r.peer))
+func (r *request) clientGone() bool {
+	return r.clientContext != nil && (r.clientContext.Err() != nil || peerClosed(r.clientConn))
 }
 
 // departed tells whether the peer of a connection has closed it, or has ended its sending, which looks the same from
@@ -18,12 +18,12 @@
 // has begun, may come after what the handler has begun in turn, and stops at the first byte behind the request. So the
 // socket itself is asked, for one system call, and for two where bytes are unread. A connection that has no socket, or
 // whose system does not tell, counts as there.
-func departed(c net.Conn) bool {
+func peerClosed(c net.Conn) bool {
 	gone := false
-	ok, err := peek(c, func(fd uintptr, n int, err error) {
+	ok, err := peekSocket(c, func(fd uintptr, n int, err error) {
 		switch {
 		case err == nil && n > 0:
-			gone = hungUp(fd)
+			gone = hasHangup(fd)
 		case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
 		default:
 			gone = true
@@ -39,7 +39,7 @@
 )
 
 // hungUp tells whether an end stands behind bytes that nobody has read yet.
-func hungUp(fd uintptr) bool {
+func hasHangup(fd uintptr) bool {
 	p := struct {
 		fd              int32
 		events, revents int16
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -27,7 +27,7 @@
 	{"closes behind a request", look("next", 4000), (*client).fin},
 	{"resets behind a request", look("next", 4000), (*client).reset},
 	{"closes behind half a request", look("next", 4000)[:20], (*client).fin},
-	{"ends its sending behind much", strings.Repeat("x", 2*aheadMost), (*client).half},
+	{"ends its sending behind much", strings.Repeat("x", 2*maxPipelinedBytes), (*client).half},
 }
 
 func (c *client) tcp() *net.TCPConn { return c.Conn.(*net.TCPConn) }
@@ -50,19 +50,19 @@
 	t.Helper()
 	waitUntil(t, func() bool {
 		reqs := make(chan int, 1)
-		p.loop.post(func() { reqs <- len(p.loop.reqs) })
+		p.loop.post(func() { reqs <- len(p.loop.requests) })
 		left := <-reqs
 		pool := p.loop.pool
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
 		idle := 0
 		for _, b := range pool.byName {
-			idle += len(b.idle)
+			idle += len(b.idleConns)
 		}
-		holds := p.front.holds
+		holds := p.frontend.bodyMemory
 		holds.mu.Lock()
 		defer holds.mu.Unlock()
-		return left == 0 && pool.open == idle && p.Metrics().InFlight == 0 && holds.used == 0
+		return left == 0 && pool.openConns == idle && p.Metrics().InFlight == 0 && holds.used == 0
 	})
 }
 
@@ -101,7 +101,7 @@
 func attemptsEnd(t *testing.T, p *running) {
 	t.Helper()
 	ended := make(chan struct{})
-	go func() { p.loop.attempts.Wait(); close(ended) }()
+	go func() { p.loop.attemptGoroutines.Wait(); close(ended) }()
 	wait(t, "end of the attempts", ended)
 }
 
@@ -117,9 +117,9 @@
 				p, b := serving(t, says(served, true))
 				cl := connect(t, p)
 				if draining {
-					p.times = func([]balancer.Class) (stay, left time.Duration) { return 4 * time.Second, 5 * time.Second }
+					p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { return 4 * time.Second, 5 * time.Second }
 					p.stop()
-					waitUntil(t, p.front.draining.Load)
+					waitUntil(t, p.frontend.draining.Load)
 				}
 				leaves(t, p, func() { cl.send(t, look("1", 4000)+d.behind) }, func() { d.leave(cl) })
 				nothingSent(t, p, b, 0)
@@ -146,7 +146,7 @@
 			leaves(t, p, func() { close(fail) }, func() { d.leave(cl) })
 			nothingSent(t, p, b, 1)
 			spent := make(chan int, 1)
-			p.loop.post(func() { spent <- len(p.loop.bal.ExportRetryBudget(p.loop.clock.now()).Retries) })
+			p.loop.post(func() { spent <- len(p.loop.balancer.ExportRetryBudget(p.loop.clock.now()).Retries) })
 			if n := <-spent; n != 0 {
 				t.Errorf("%d of the allowance for further attempts is taken", n)
 			}
@@ -189,19 +189,19 @@
 
 // anyDeparted tells whether the end of a client's connection has come to the proxy's socket.
 func anyDeparted(p *running) bool {
-	p.front.mu.Lock()
-	defer p.front.mu.Unlock()
-	for c := range p.front.conns {
-		if departed(c) {
+	p.frontend.mu.Lock()
+	defer p.frontend.mu.Unlock()
+	for c := range p.frontend.conns {
+		if peerClosed(c) {
 			return true
 		}
 	}
-	return len(p.front.conns) == 0
+	return len(p.frontend.conns) == 0
 }
 
 // The client goes while a connection to the backend comes up; the loop, which would stop the attempt, is busy.
 func TestNothingIsSentOnALateConnectionForAClientThatLeft(t *testing.T) {
-	for _, text := range []string{look("1", 4000), post("1", "Content-Length: 1000000") + strings.Repeat("x", holdMost+1),
+	for _, text := range []string{look("1", 4000), post("1", "Content-Length: 1000000") + strings.Repeat("x", maxBufferedBody+1),
 		post("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
 			if strings.Contains(text, "1000000") && d.behind != "" {
@@ -214,8 +214,8 @@
 				dialing, up := make(chan struct{}, 1), make(chan struct{})
 				pool := p.loop.pool
 				pool.mu.Lock()
-				dial := pool.dialer
-				pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				dial := pool.dialContext
+				pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					dialing <- struct{}{}
 					<-up
 					return dial(context.WithoutCancel(ctx), network, addr)
@@ -249,7 +249,7 @@
 				return says(served, true)(w, nil, n)
 			})
 			unrested(p.loop.pool)
-			p.front.listener.limit(1)
+			p.frontend.listener.setLimit(1)
 			busy := connect(t, p)
 			busy.send(t, look("1", 4000))
 			waitUntil(t, func() bool { return b.requests.Load() == 1 })
@@ -259,8 +259,8 @@
 			close(over)
 			busy.answer(t)
 			waitUntil(t, func() bool { return p.Metrics().InFlight == 0 }) // its own may stand in the figures for a moment
-			p.front.listener.limit(50)
-			waitUntil(t, func() bool { return p.front.open() <= 1 && len(p.front.listener.freed) == 0 })
+			p.frontend.listener.setLimit(50)
+			waitUntil(t, func() bool { return p.frontend.openConns() <= 1 && len(p.frontend.listener.slotFreed) == 0 })
 			// It has been accepted, read and closed: before that it may hold the backend's connection, unsent.
 			waitUntil(t, func() bool { return p.Metrics().Events["closes.client.answered_or_broken"] >= 1 })
 			nothingSent(t, p, b, 1)
@@ -273,7 +273,7 @@
 	long := strings.NewReplacer("4000000", "60000000", "8000000", "90000000").Replace(siteText) // no attempt ends by itself
 	for _, text := range []string{look("1", 60_000), post("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
-			if len(d.behind) > aheadMost {
+			if len(d.behind) > maxPipelinedBytes {
 				continue // not noticed: its attempt ends in its own time, and no other follows
 			}
 			t.Run(text[:5]+d.name, func(t *testing.T) {
@@ -340,7 +340,7 @@
 	two.Close()
 	waitUntil(t, func() bool { return len(p.loop.events) == 2 })
 	goOn()
-	waitUntil(t, func() bool { return p.front.open() == 1 })
+	waitUntil(t, func() bool { return p.frontend.openConns() == 1 })
 	close(fail)
 	if resp, _ := one.answer(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
@@ -356,7 +356,7 @@
 		cl := connect(t, p)
 		stands, goOn := stall(t, p)
 		wait(t, "stand of the loop", stands)
-		cl.send(t, post(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", holdMost)) // and a read waits for more
+		cl.send(t, post(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody)) // and a read waits for more
 		waitUntil(t, func() bool { return len(p.loop.events) == 1 })
 		goOn()
 		if resp, _ := cl.answer(t); resp.StatusCode != http.StatusServiceUnavailable {
@@ -372,12 +372,12 @@
 	near, far := net.Pipe() // takes nothing until it is read from
 	defer far.Close()
 	pool := poolWith(5)
-	pool.open = 1
+	pool.openConns = 1
 	ctx, stop := context.WithCancel(context.Background())
-	a := &attempt{req: &request{method: "GET", uri: "/", header: http.Header{}}, deadline: time.Now().Add(patience),
-		pool: pool, ctx: ctx, stop: stop}
+	a := &attempt{request: &request{method: "GET", uri: "/", header: http.Header{}}, deadline: time.Now().Add(patience),
+		pool: pool, ctx: ctx, cancel: stop}
 	writes := make(chan struct{})
-	c := &conn{Conn: writeSeen{near, writes}, of: &backend{}}
+	c := &backendConn{Conn: writeSeen{near, writes}, backend: &backend{}}
 	go func() { <-writes; stop() }()
 	if res, keep := a.exchange(c); res.status != balancer.StatusNotSent || keep {
 		t.Errorf("got %v, keep %v", res.status, keep)
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -26,30 +26,30 @@
 // other lives. It ends with the process that holds it, however that ends.
 
 const (
-	handoverName     = "handover.sock"
-	handoverPatience = 2 * time.Second // for the predecessor's word; it may have little of a core
-	freshPatience    = 3 * time.Second // for a list from discovery; the successor has 6 s to be ready in all
-	maxHandover      = 1 << 20
+	handoverSocketName = "handover.sock"
+	handoverTimeout    = 2 * time.Second // for the predecessor's word; it may have little of a core
+	listSyncTimeout    = 3 * time.Second // for a list from discovery; the successor has 6 s to be ready in all
+	maxHandoverBytes   = 1 << 20
 )
 
 // legacy is what a successor is told.
-type legacy struct {
-	Spent spent    `json:"spent"` // of the allowance for further attempts
-	Seen  []string `json:"seen"`  // servers that lists have named
-	Now   int64    `json:"now"`   // by the predecessor's clock, when it told this; 0 from versions that do not
+type handoverState struct {
+	RetryBudget  retryBudgetUsage `json:"spent"` // of the allowance for further attempts
+	KnownServers []string         `json:"seen"`  // servers that lists have named
+	Now          int64            `json:"now"`   // by the predecessor's clock, when it told this; 0 from versions that do not
 }
 
 // spent is logic.Spent between processes.
-type spent struct {
-	Taken   []int64 `json:"Taken"`
-	Further []int64 `json:"Further"`
+type retryBudgetUsage struct {
+	Requests []int64 `json:"Taken"`
+	Retries  []int64 `json:"Further"`
 }
 
 // spentBy is what was spent, on the clock of a successor that shows now: each process's clock begins at the wall clock of
 // its own start, which may have been set in between.
-func (l legacy) spentBy(now int64) balancer.RetryBudgetUsage {
+func (l handoverState) retryBudgetAt(now int64) balancer.RetryBudgetUsage {
 	if l.Now == 0 {
-		return balancer.RetryBudgetUsage{Requests: l.Spent.Taken, Retries: l.Spent.Further}
+		return balancer.RetryBudgetUsage{Requests: l.RetryBudget.Requests, Retries: l.RetryBudget.Retries}
 	}
 	shift := func(times []int64) []int64 {
 		out := make([]int64, len(times))
@@ -58,20 +58,20 @@
 		}
 		return out
 	}
-	return balancer.RetryBudgetUsage{Requests: shift(l.Spent.Taken), Retries: shift(l.Spent.Further)}
+	return balancer.RetryBudgetUsage{Requests: shift(l.RetryBudget.Requests), Retries: shift(l.RetryBudget.Retries)}
 }
 
 // predecessor is the process of this proxy that served before and still lives.
 type predecessor struct {
 	conn     *net.UnixConn
 	listener net.Listener
-	legacy   legacy
+	state    handoverState
 }
 
 // findPredecessor asks a predecessor for its socket. There is none where nobody answers: a dead one's leftovers, or one
 // that does not speak in time, must not keep this process from starting.
-func findPredecessor(dir string, log *slog.Logger) *predecessor {
-	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Net: "unix", Name: filepath.Join(dir, handoverName)})
+func connectPredecessor(dir string, log *slog.Logger) *predecessor {
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Net: "unix", Name: filepath.Join(dir, handoverSocketName)})
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			log.Info("no predecessor", "error", err)
@@ -89,7 +89,7 @@
 }
 
 func (p *predecessor) receive() error {
-	_ = p.conn.SetDeadline(time.Now().Add(handoverPatience))
+	_ = p.conn.SetDeadline(time.Now().Add(handoverTimeout))
 	oob := make([]byte, syscall.CmsgSpace(4))
 	var mark [1]byte
 	n, oobn, _, _, err := p.conn.ReadMsgUnix(mark[:], oob)
@@ -120,9 +120,9 @@
 	if p.listener == nil {
 		return errors.New("no socket came")
 	}
-	line, err := bufio.NewReader(io.LimitReader(p.conn, maxHandover)).ReadBytes('\n')
+	line, err := bufio.NewReader(io.LimitReader(p.conn, maxHandoverBytes)).ReadBytes('\n')
 	if err == nil {
-		err = json.Unmarshal(line, &p.legacy)
+		err = json.Unmarshal(line, &p.state)
 	}
 	if err != nil {
 		p.listener.Close()
@@ -132,36 +132,36 @@
 }
 
 // serving tells the predecessor that clients are served here too.
-func (p *predecessor) serving() error {
+func (p *predecessor) notifyServing() error {
 	_, err := p.conn.Write([]byte{'s'})
 	return err
 }
 
 // wait returns once the predecessor has ended.
-func (p *predecessor) wait() {
+func (p *predecessor) awaitExit() {
 	_, _ = io.Copy(io.Discard, p.conn)
 	p.conn.Close()
 }
 
 // successors takes successors, one at a time, and hands the listener over to them.
-type successors struct {
-	listener *net.UnixListener
-	shared   syscall.Conn // the clients' listener
-	log      *slog.Logger
-	tell     func() (legacy, error) // called when a successor has come
-	gone     func()                 // and, if that went well, when it has ended
+type handoverServer struct {
+	listener        *net.UnixListener
+	clientListener  syscall.Conn // the clients' listener
+	logger          *slog.Logger
+	exportState     func() (handoverState, error) // called when a successor has come
+	onSuccessorExit func()                        // and, if that went well, when it has ended
 
-	mu      sync.Mutex
-	conn    *net.UnixConn // to the successor
-	serving bool
-	closed  bool
-	ending  chan struct{} // closed by close
-	done    sync.WaitGroup
+	mu               sync.Mutex
+	conn             *net.UnixConn // to the successor
+	successorServing bool
+	closed           bool
+	closing          chan struct{} // closed by close
+	goroutines       sync.WaitGroup
 }
 
 // openSuccessors listens for successors. The name is taken over from a predecessor, dead or alive, in one step.
-func openSuccessors(dir string, shared syscall.Conn, log *slog.Logger) (*successors, error) {
-	path := filepath.Join(dir, handoverName)
+func openHandoverServer(dir string, shared syscall.Conn, log *slog.Logger) (*handoverServer, error) {
+	path := filepath.Join(dir, handoverSocketName)
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
 	_ = os.Remove(own)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Net: "unix", Name: own})
@@ -174,16 +174,16 @@
 		_ = os.Remove(own)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	return &successors{listener: l, shared: shared, log: log, ending: make(chan struct{})}, nil
+	return &handoverServer{listener: l, clientListener: shared, logger: log, closing: make(chan struct{})}, nil
 }
 
 // serve takes successors until close.
-func (s *successors) serve() {
-	retrier := listener.NewRetrier(s.log)
+func (s *handoverServer) serve() {
+	retrier := listener.NewRetrier(s.logger)
 	for {
 		conn, err := s.listener.AcceptUnix()
 		if err != nil {
-			if retrier.Failed(err, s.ending) != nil {
+			if retrier.Failed(err, s.closing) != nil {
 				return
 			}
 			continue
@@ -196,56 +196,56 @@
 		}
 		s.mu.Unlock()
 		if taken { // one that hangs has its connection ended by its end
-			s.log.Warn("a second successor was turned away")
+			s.logger.Warn("a second successor was turned away")
 			conn.Close()
 			continue
 		}
-		s.done.Go(func() { s.attend(conn) })
+		s.goroutines.Go(func() { s.handOverTo(conn) })
 	}
 }
 
 // attend hands over and stays until the successor has ended.
-func (s *successors) attend(conn *net.UnixConn) {
-	s.log.Info("a successor has started")
-	told, err := s.tell()
+func (s *handoverServer) handOverTo(conn *net.UnixConn) {
+	s.logger.Info("a successor has started")
+	told, err := s.exportState()
 	if err == nil {
-		defer s.gone()
-		err = s.send(conn, told)
+		defer s.onSuccessorExit()
+		err = s.sendState(conn, told)
 	}
 	if err != nil {
-		s.log.Warn("handover", "error", err)
+		s.logger.Warn("handover", "error", err)
 	} else {
 		var b [1]byte
 		for {
 			if _, err := conn.Read(b[:]); err != nil {
 				break
 			}
-			s.log.Info("the successor serves")
+			s.logger.Info("the successor serves")
 			s.mu.Lock()
-			s.serving = true
+			s.successorServing = true
 			s.mu.Unlock()
 		}
 	}
 	conn.Close()
 	s.mu.Lock()
-	s.conn, s.serving = nil, false
+	s.conn, s.successorServing = nil, false
 	closed := s.closed
 	s.mu.Unlock()
 	if !closed { // else it is this process that ends
-		s.log.Warn("the successor has ended")
+		s.logger.Warn("the successor has ended")
 	}
 }
 
-func (s *successors) send(conn *net.UnixConn, l legacy) error {
+func (s *handoverServer) sendState(conn *net.UnixConn, l handoverState) error {
 	line, err := json.Marshal(l)
 	if err != nil {
 		return fmt.Errorf("what the rules need: %w", err)
 	}
-	raw, err := s.shared.SyscallConn()
+	raw, err := s.clientListener.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("listener: %w", err)
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(handoverPatience))
+	_ = conn.SetWriteDeadline(time.Now().Add(handoverTimeout))
 	// Through Control, not File: a duplicate's Fd would make the shared socket a blocking one.
 	var sent error
 	if err := raw.Control(func(fd uintptr) {
@@ -258,15 +258,15 @@
 }
 
 // served tells whether there is a successor that serves.
-func (s *successors) served() bool {
+func (s *handoverServer) isSuccessorServing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.serving
+	return s.successorServing
 }
 
 // close ends the listener and the connection to a successor, which then knows that this process has ended.
-func (s *successors) close() {
-	close(s.ending)
+func (s *handoverServer) close() {
+	close(s.closing)
 	s.listener.Close()
 	s.mu.Lock()
 	s.closed = true
@@ -274,5 +274,5 @@
 		s.conn.Close()
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.goroutines.Wait()
 }
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -22,7 +22,7 @@
 	known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
 	state := t.TempDir()
 	first := startProxyAt(t, d.addr, 400, known, state)
-	waitUntil(t, func() bool { return first.successors.Load() != nil })
+	waitUntil(t, func() bool { return first.handover.Load() != nil })
 	kept := connect(t, first)
 	kept.send(t, look("kept", 4000))
 	kept.answer(t)
@@ -58,13 +58,13 @@
 		t.Fatalf("the successor listens at %s and not %s", second.Addr(), first.Addr())
 	}
 	waitUntil(t, second.Ready)
-	waitUntil(t, func() bool { return first.successors.Load().served() })
+	waitUntil(t, func() bool { return first.handover.Load().isSuccessorServing() })
 	kept.send(t, look("kept to the end", 4000))
 	if resp, _ := kept.answer(t); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("before the end: %s, close %v", resp.Status, resp.Close)
 	}
 	first.stop()
-	waitUntil(t, first.front.closing.Load)
+	waitUntil(t, first.frontend.closing.Load)
 	kept.send(t, look("kept on", 4000))
 	if resp, _ := kept.answer(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a kept connection: %s, close %v", resp.Status, resp.Close)
@@ -79,8 +79,8 @@
 	if n := bad.Load(); n > 0 || refused.Load() > id.Load()/2 {
 		t.Errorf("%d of %d requests went wrong, %d were refused", n, id.Load(), refused.Load())
 	}
-	all, _, _ := second.cfg.parts(false)
-	waitUntil(t, func() bool { return int(second.front.most.Load()) == all })
+	all, _, _ := second.config.connLimits(false)
+	waitUntil(t, func() bool { return int(second.frontend.maxConns.Load()) == all })
 	third := startProxyAt(t, d.addr, 400, known, state) // and the successor can be succeeded
 	if third.predecessor == nil {
 		t.Error("the successor hands nothing over")
@@ -112,18 +112,18 @@
 	known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
 	state := t.TempDir()
 	first := startProxyAt(t, d.addr, 400, known, state)
-	waitUntil(t, func() bool { return first.successors.Load() != nil })
-	half, backends, over := first.cfg.parts(true)
-	if all := 2 * (half + backends + over + ownShared + management.MaxConns + 1); all > 400 {
+	waitUntil(t, func() bool { return first.handover.Load() != nil })
+	half, backends, over := first.config.connLimits(true)
+	if all := 2 * (half + backends + over + reservedDescriptorsShared + management.MaxConns + 1); all > 400 {
 		t.Errorf("two processes may hold %d descriptors", all)
 	}
 	second := startProxyAt(t, d.addr, 400, known, state)
 	for _, p := range []*running{first, second} {
-		waitUntil(t, func() bool { return int(p.front.most.Load()) == half })
+		waitUntil(t, func() bool { return int(p.frontend.maxConns.Load()) == half })
 	}
 	second.stop()
-	all, _, _ := first.cfg.parts(false)
-	waitUntil(t, func() bool { return int(first.front.most.Load()) == all })
+	all, _, _ := first.config.connLimits(false)
+	waitUntil(t, func() bool { return int(first.frontend.maxConns.Load()) == all })
 	if status := oneShot(first.Addr(), look("1", 4000)); status != 200 {
 		t.Errorf("after the successor's end: %d", status)
 	}
@@ -155,7 +155,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := t.TempDir()
-			leave(t, filepath.Join(state, handoverName))
+			leave(t, filepath.Join(state, handoverSocketName))
 			b := startBackend(t, says(served, true))
 			p := startProxyAt(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", b.addr, discovery.StatusServing)), state)
 			if p.predecessor != nil {
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -29,7 +29,7 @@
 	query(first, "")
 	first.say <- listText(5, true, listed("a", a.addr, discovery.StatusServing))
 	query(first, "from=5")
-	p.lists.SetSource(discovery.Source{Address: second.addr})
+	p.listClient.SetSource(discovery.Source{Address: second.addr})
 	query(second, "from=5")
 	second.say <- listText(3, false) // another count of versions
 	query(second, "")
@@ -40,7 +40,7 @@
 	if resp, _ := c.answer(t); resp.StatusCode != 200 || a.requests.Load() != 0 || b.requests.Load() != 1 {
 		t.Errorf("got %s, %d and %d requests", resp.Status, a.requests.Load(), b.requests.Load())
 	}
-	p.lists.SetSource(discovery.Source{Address: third.addr}) // and again
+	p.listClient.SetSource(discovery.Source{Address: third.addr}) // and again
 	query(third, "from=3")
 	if n := len(first.calls); n != 0 {
 		t.Errorf("%d more calls at the first address", n)
@@ -59,7 +59,7 @@
 		return true
 	})
 	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
-	p.times = func([]balancer.Class) (stay, left time.Duration) { // long enough for what is to be served on
+	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { // long enough for what is to be served on
 		return 2 * time.Second, 3500 * time.Millisecond
 	}
 	idle := connect(t, p)
@@ -73,7 +73,7 @@
 	waitUntil(t, func() bool { return b.requests.Load() == 11 })
 	unused := connect(t, p)
 	p.stop()
-	waitUntil(t, func() bool { return p.front.draining.Load() })
+	waitUntil(t, func() bool { return p.frontend.draining.Load() })
 	late := connect(t, p)
 	for i, c := range []*client{idle, late, idle, late} {
 		c.send(t, look(fmt.Sprint("n", i), 8000))
@@ -81,7 +81,7 @@
 			t.Errorf("after SIGTERM: got %s, close %v", resp.Status, resp.Close)
 		}
 	}
-	waitUntil(t, func() bool { return p.front.closing.Load() })
+	waitUntil(t, func() bool { return p.frontend.closing.Load() })
 	for _, c := range []*client{idle, late} {
 		if _, err := c.r.ReadByte(); err == nil {
 			t.Error("an idle connection was not closed")
@@ -109,7 +109,7 @@
 func TestClientsAreServedOnWhileTheLastCanStillMakeIt(t *testing.T) {
 	for _, c := range []struct{ deadline, aim, stay, left time.Duration }{
 		{5 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 3500 * time.Millisecond},
-		{8 * time.Second, 4 * time.Second, acceptAfter, 3500 * time.Millisecond},
+		{8 * time.Second, 4 * time.Second, drainAcceptPeriod, 3500 * time.Millisecond},
 		{time.Second, 400 * time.Millisecond, 1100 * time.Millisecond, 1500 * time.Millisecond},
 	} {
 		stay, left := drainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.aim.Microseconds()},
@@ -134,7 +134,7 @@
 	if err := wait(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(start); took > killAfter+5*time.Second {
+	if took := time.Since(start); took > killDelay+5*time.Second {
 		t.Errorf("ended %v after SIGTERM", took)
 	}
 }
@@ -158,7 +158,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := p.cfg
+	cfg := p.config
 	cfg.Site = site
 	if err := p.Reload(cfg); err != nil {
 		t.Fatal(err)
--- a/internal/proxy/linger.go
+++ b/internal/proxy/linger.go
@@ -13,113 +13,113 @@
 // then the descriptor is closed. A request that crosses the shutdown has no answer: its client sends it once more.
 
 const (
-	lingerMost  = 500 * time.Millisecond
-	lingerLeast = 20 * time.Millisecond // even where slots are short
-	lingerBytes = 1 << 20               // a peer that goes on sending has had its close
+	lingerTimeout  = 500 * time.Millisecond
+	minLinger      = 20 * time.Millisecond // even where slots are short
+	maxLingerBytes = 1 << 20               // a peer that goes on sending has had its close
 )
 
 // busyAnswer is for a request that was cut short before it was whole. It has not been sent on and may come again.
-const busyAnswer = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+const rejectionText = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // lingers holds the connections that have been shut down and are not closed yet.
-type lingers struct {
+type lingeringConns struct {
 	mu    sync.Mutex
-	since map[*framedConn]time.Time
+	since map[*clientConn]time.Time
 }
 
-func (l *lingers) add(c *framedConn) {
+func (l *lingeringConns) add(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.since == nil {
-		l.since = map[*framedConn]time.Time{}
+		l.since = map[*clientConn]time.Time{}
 	}
 	l.since[c] = time.Now()
 }
 
-func (l *lingers) remove(c *framedConn) {
+func (l *lingeringConns) remove(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.since, c)
 }
 
-func (l *lingers) open() int {
+func (l *lingeringConns) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.since)
 }
 
 // endOldest closes the one that has lingered longest, if any has for lingerLeast.
-func (l *lingers) endOldest() bool {
+func (l *lingeringConns) closeOldest() bool {
 	l.mu.Lock()
-	var oldest *framedConn
+	var oldest *clientConn
 	for c, t := range l.since {
 		if oldest == nil || t.Before(l.since[oldest]) {
 			oldest = c
 		}
 	}
-	if oldest != nil && time.Since(l.since[oldest]) < lingerLeast {
+	if oldest != nil && time.Since(l.since[oldest]) < minLinger {
 		oldest = nil
 	}
 	l.mu.Unlock()
 	if oldest == nil {
 		return false
 	}
-	oldest.end()
+	oldest.closeNow()
 	return true
 }
 
 // retire ends a connection that has no request on it, or with cut one whose head is not whole: that is refused. False
 // if a request has come, even one that is not read yet.
-func (c *framedConn) retire(cut bool) bool {
+func (c *clientConn) closeUnused(cut bool) bool {
 	c.mu.Lock()
 	switch {
-	case c.retired, c.phase == passed, c.phase == heading && !cut, c.phase == resting && c.raw != nil && !quiet(c.Conn):
+	case c.discarding, c.phase == phaseInFlight, c.phase == phaseReadingHead && !cut, c.phase == phaseIdle && c.rawConn != nil && !openAndQuiet(c.Conn):
 		c.mu.Unlock()
 		return false
-	case c.phase == heading:
-		c.refuseLocked()
+	case c.phase == phaseReadingHead:
+		c.writeRejectionLocked()
 	}
-	c.closes("idle_or_half")
-	lingers := c.shutLocked()
+	c.auditClose("idle_or_half")
+	lingers := c.startLingerLocked()
 	c.mu.Unlock()
 	if !lingers {
-		c.end()
+		c.closeNow()
 	}
 	return true
 }
 
 // refuseLocked answers a request that is not whole, in one write that does not wait: if there is no room for so little,
 // the client takes nothing.
-func (c *framedConn) refuseLocked() {
-	if c.raw != nil {
-		_ = c.raw.Write(func(fd uintptr) bool {
-			_, _ = syscall.Write(int(fd), []byte(busyAnswer))
+func (c *clientConn) writeRejectionLocked() {
+	if c.rawConn != nil {
+		_ = c.rawConn.Write(func(fd uintptr) bool {
+			_, _ = syscall.Write(int(fd), []byte(rejectionText))
 			return true
 		})
 	}
 }
 
 // shutLocked ends the sending side; from here on all that comes is dropped. False if it cannot be shut by itself.
-func (c *framedConn) shutLocked() bool {
-	if c.retired {
+func (c *clientConn) startLingerLocked() bool {
+	if c.discarding {
 		return !c.closed
 	}
-	c.retired = true
+	c.discarding = true
 	cw, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || cw.CloseWrite() != nil {
 		return false
 	}
-	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerMost))
-	c.of.lingers.add(c)
-	go c.drop()
+	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	c.listener.lingering.add(c)
+	go c.discardInput()
 	return true
 }
 
 // drop reads what still comes, beside whoever reads already, until the client or the time ends it.
-func (c *framedConn) drop() {
-	defer c.end()
+func (c *clientConn) discardInput() {
+	defer c.closeNow()
 	buf := make([]byte, 2<<10) // there may be many
-	for left := lingerBytes; left > 0; {
+	for left := maxLingerBytes; left > 0; {
 		n, err := c.Conn.Read(buf)
 		if err != nil {
 			return
@@ -129,55 +129,55 @@
 }
 
 // end closes the descriptor and gives the slot back.
-func (c *framedConn) end() {
+func (c *clientConn) closeNow() {
 	c.mu.Lock()
 	first := !c.closed
-	c.retired, c.closed = true, true
+	c.discarding, c.closed = true, true
 	c.mu.Unlock()
 	if first {
 		_ = c.Conn.Close()
-		c.of.lingers.remove(c)
-		c.discharge()
-		c.of.free() // the slot
+		c.listener.lingering.remove(c)
+		c.releaseMemory()
+		c.listener.releaseSlot() // the slot
 	}
 }
 
 // Close ends the connection as soon as its client has taken what it was sent, or lingerMost later.
-func (c *framedConn) Close() error {
+func (c *clientConn) Close() error {
 	c.mu.Lock()
-	if !c.retired {
-		c.closes("answered_or_broken")
+	if !c.discarding {
+		c.auditClose("answered_or_broken")
 	}
-	lingers := c.shutLocked()
+	lingers := c.startLingerLocked()
 	c.mu.Unlock()
 	if !lingers {
-		c.end()
+		c.closeNow()
 	}
 	return nil
 }
 
 // CloseWrite lets net/http end an answer gently before it closes on a peer that still sends.
-func (c *framedConn) CloseWrite() error {
+func (c *clientConn) CloseWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.shutLocked() {
+	if !c.startLingerLocked() {
 		return net.ErrClosed
 	}
 	return nil
 }
 
 // SetReadDeadline leaves a connection that lingers the time that it has.
-func (c *framedConn) SetReadDeadline(t time.Time) error {
+func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.retired {
+	if c.discarding {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
 // SetDeadline is not to go round SetReadDeadline.
-func (c *framedConn) SetDeadline(t time.Time) error {
+func (c *clientConn) SetDeadline(t time.Time) error {
 	_ = c.Conn.SetWriteDeadline(t)
 	return c.SetReadDeadline(t)
 }
--- a/internal/proxy/list_bench_test.go
+++ b/internal/proxy/list_bench_test.go
@@ -24,7 +24,7 @@
 }
 
 // listLoop is a loop without connections, as a proxy's in a late tier.
-func listLoop(b testing.TB, zones int) *loop {
+func listLoop(b testing.TB, zones int) *eventLoop {
 	b.Helper()
 	site := &settings.Site{DialTimeout: time.Second, IdleClose: 5 * time.Second, Classes: []string{"read"},
 		Balancer: balancer.Settings{Tier: 1, Replicas: 1, ZoneCount: zones, MaxAttempts: 3, DrainGrace: 1_000_000, SlowStartMinCapacity: 0.3,
@@ -37,9 +37,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	figs := newFigures(site.Classes)
-	pool := newBackends(site.DialTimeout, site.IdleClose, 100, figs)
-	return newLoop(bal, clock{time.Now()}, pool, newZones(site.Zones), figs, slog.New(slog.DiscardHandler))
+	figs := newMetrics(site.Classes)
+	pool := newBackendPool(site.DialTimeout, site.IdleClose, 100, figs)
+	return newEventLoop(bal, clock{time.Now()}, pool, newZoneNumbers(site.Zones), figs, slog.New(slog.DiscardHandler))
 }
 
 // BenchmarkList is how long the event loop is held up by what discovery told: the whole list with nothing new in it, one
@@ -72,10 +72,10 @@
 		} {
 			b.Run(fmt.Sprintf("%s/nodos=%d", what.name, n), func(b *testing.B) {
 				l := listLoop(b, 9)
-				l.news(discovery.Update{List: &discovery.List{Full: true, Endpoints: all}})
+				l.handleListUpdate(discovery.Update{List: &discovery.List{Full: true, Endpoints: all}})
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					l.news(what.news(i))
+					l.handleListUpdate(what.news(i))
 				}
 			})
 		}
@@ -91,7 +91,7 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				l := listLoop(b, 9)
-				l.news(discovery.Update{List: &discovery.List{Full: true, Endpoints: endpoints(n, 9)}})
+				l.handleListUpdate(discovery.Update{List: &discovery.List{Full: true, Endpoints: endpoints(n, 9)}})
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "B-held")
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -13,73 +13,73 @@
 
 // cappedListener accepts no more connections than there are slots; those beyond wait in the kernel, and
 // shed is called for as long as they must.
-type cappedListener struct {
+type limitedListener struct {
 	net.Listener
-	shed    func()
-	retrier *listener.Retrier
-	audit   *audit // nil in a test
-	lingers lingers
-	firsts  *holds        // for heads
-	freed   chan struct{} // holds a value after a slot came free
-	closed  chan struct{}
-	once    sync.Once
+	makeRoom   func()
+	retrier    *listener.Retrier
+	audit      *audit // nil in a test
+	lingering  lingeringConns
+	headMemory *memoryBudget // for heads
+	slotFreed  chan struct{} // holds a value after a slot came free
+	closed     chan struct{}
+	closeOnce  sync.Once
 
-	mu         sync.Mutex
-	used, most int
+	mu        sync.Mutex
+	used, max int
 }
 
-func newCappedListener(l net.Listener, shed func(), log *slog.Logger) *cappedListener {
-	return &cappedListener{Listener: l, shed: shed, retrier: listener.NewRetrier(log), freed: make(chan struct{}, 1),
+func newLimitedListener(l net.Listener, shed func(), log *slog.Logger) *limitedListener {
+	return &limitedListener{Listener: l, makeRoom: shed, retrier: listener.NewRetrier(log), slotFreed: make(chan struct{}, 1),
 		closed: make(chan struct{})}
 }
 
 // Accept takes a slot, which the connection gives back when its descriptor is closed. It fails only when the listener is
 // of no more use: an error of the moment would end the server, and with it all requests that are open.
-func (l *cappedListener) Accept() (net.Conn, error) {
-	if !l.slot() {
+func (l *limitedListener) Accept() (net.Conn, error) {
+	if !l.acquireSlot() {
 		return nil, net.ErrClosed
 	}
 	for {
 		c, err := l.Listener.Accept()
 		if err == nil {
 			l.retrier.Succeeded()
-			return newFramedConn(c, l), nil
+			return newClientConn(c, l), nil
 		}
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			l.shed() // an idle connection gives its descriptor up
+			l.makeRoom() // an idle connection gives its descriptor up
 		}
 		if err := l.retrier.Failed(err, l.closed); err != nil {
-			l.free()
+			l.releaseSlot()
 			return nil, err
 		}
 	}
 }
 
 // slot waits for a slot; false if the listener was closed first.
-func (l *cappedListener) slot() bool {
-	if l.take() {
+func (l *limitedListener) acquireSlot() bool {
+	if l.tryAcquireSlot() {
 		return true
 	}
-	again := time.NewTicker(shedEvery)
+	again := time.NewTicker(makeRoomInterval)
 	defer again.Stop()
 	for {
-		l.shed()
+		l.makeRoom()
 		select {
-		case <-l.freed:
+		case <-l.slotFreed:
 		case <-l.closed:
 			return false
 		case <-again.C:
 		}
-		if l.take() {
+		if l.tryAcquireSlot() {
 			return true
 		}
 	}
 }
 
-func (l *cappedListener) take() bool {
+func (l *limitedListener) tryAcquireSlot() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.used >= l.most {
+	if l.used >= l.max {
 		return false
 	}
 	l.used++
@@ -87,31 +87,31 @@
 }
 
 // full tells whether connections may wait in the kernel since there is no slot for them.
-func (l *cappedListener) full() bool {
+func (l *limitedListener) isFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used >= l.most
+	return l.used >= l.max
 }
 
-func (l *cappedListener) free() {
+func (l *limitedListener) releaseSlot() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.used--
 	select {
-	case l.freed <- struct{}{}:
+	case l.slotFreed <- struct{}{}:
 	default:
 	}
 }
 
 // limit sets how many slots there are. Connections that are open stay.
-func (l *cappedListener) limit(most int) {
+func (l *limitedListener) setLimit(most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.most = most
+	l.max = most
 }
 
 // Close ends the listener, and a call of Accept that waits.
-func (l *cappedListener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+func (l *limitedListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/proxy/parse.go
+++ b/internal/proxy/parse.go
@@ -12,18 +12,18 @@
 const (
 	// The answer to a request is to leave this long before its client gives up, so that a busy core does
 	// not make it late, but a request with little time keeps most of it.
-	answerMargin = 30 * time.Millisecond
-	marginPart   = 8
+	responseMargin        = 30 * time.Millisecond
+	responseMarginDivisor = 8
 )
 
 // fault is the answer to a request that makes no sense.
-func fault(status int, why string) answer {
-	return answer{status: status, body: []byte(why + "\n"), content: "text/plain"}
+func errorResponse(status int, why string) response {
+	return response{status: status, body: []byte(why + "\n"), contentType: "text/plain"}
 }
 
 // parse reads a request's head. With an answer returned it makes no sense; nothing of it goes on.
-func (v *view) parse(w http.ResponseWriter, r *http.Request) (*request, answer) {
-	bad := func(status int, why string) (*request, answer) { return nil, fault(status, why) }
+func (v *settingsSnapshot) parseRequest(w http.ResponseWriter, r *http.Request) (*request, response) {
+	bad := func(status int, why string) (*request, response) { return nil, errorResponse(status, why) }
 	for _, name := range []string{"Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key", "Tenant"} {
 		if len(r.Header[name]) > 1 {
 			return bad(http.StatusBadRequest, name+" is given twice")
@@ -42,7 +42,7 @@
 	if id == "" {
 		return bad(http.StatusBadRequest, "no Request-Id")
 	}
-	k, method := v.rules.Classes[class], http.MethodPost
+	k, method := v.balancer.Classes[class], http.MethodPost
 	if k.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
@@ -62,19 +62,19 @@
 	if !ok {
 		tenant = -1 // not told
 	}
-	wait -= min(answerMargin, wait/marginPart)
+	wait -= min(responseMargin, wait/responseMarginDivisor)
 	return &request{
 		Request: balancer.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
-			Settings: v.rules},
-		class:  name,
-		method: method, uri: r.RequestURI, host: r.Host, header: passOn(r.Header), wait: wait,
-		unsafe: k.Idempotency == balancer.NonIdempotent,
-		answer: make(chan answer, 1),
-	}, answer{}
+			Settings: v.balancer},
+		className: name,
+		method:    method, uri: r.RequestURI, host: r.Host, header: forwardedHeader(r.Header), timeout: wait,
+		nonIdempotent: k.Idempotency == balancer.NonIdempotent,
+		responses:     make(chan response, 1),
+	}, response{}
 }
 
 // passOn takes the headers that concern one connection out, and leaves net/http to frame the body.
-func passOn(h http.Header) http.Header {
+func forwardedHeader(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -22,15 +22,15 @@
 	turn := make(chan struct{})
 	once(&h.reading, func() { <-turn })
 	c := connect(t, p)
-	waitUntil(t, func() bool { return f.open() == 1 })
+	waitUntil(t, func() bool { return f.openConns() == 1 })
 	c.send(t, look("1", 4000))
 	f.mu.Lock()
 	for conn := range f.conns {
-		conn.(*framedConn).moved.Store(time.Now().Add(-time.Hour).UnixNano()) // it was accepted long ago
-		waitUntil(t, func() bool { return !quiet(conn) })
+		conn.(*clientConn).lastReceived.Store(time.Now().Add(-time.Hour).UnixNano()) // it was accepted long ago
+		waitUntil(t, func() bool { return !openAndQuiet(conn) })
 	}
 	f.mu.Unlock()
-	f.shed()
+	f.makeRoom()
 	f.closeIdle(0, 0, true)
 	close(turn)
 	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
@@ -40,7 +40,7 @@
 
 // endless gives so many bytes.
 func endless(n int64) io.Reader {
-	return io.LimitReader(readFunc(func(p []byte) (int, error) {
+	return io.LimitReader(readerFunc(func(p []byte) (int, error) {
 		for i := range p {
 			p[i] = 'x'
 		}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -25,15 +25,15 @@
 		waitUntil(t, func() bool { // the news has reached this end
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return !quiet(p.byName["a"].idle[0].Conn)
+			return !openAndQuiet(p.byName["a"].idleConns[0].Conn)
 		})
 	}
 	if b.requests.Load() != 3 || b.conns.Load() != 3 {
 		t.Errorf("%d requests on %d connections", b.requests.Load(), b.conns.Load())
 	}
-	p.sweep(time.Now())
-	if p.open != 0 {
-		t.Errorf("%d connections open after the sweep", p.open)
+	p.sweepIdle(time.Now())
+	if p.openConns != 0 {
+		t.Errorf("%d connections open after the sweep", p.openConns)
 	}
 }
 
@@ -63,23 +63,23 @@
 	p := poolWith(4, b.addr)
 	unrested(p)
 	e := p.byName["a"]
-	var two []*conn
+	var two []*backendConn
 	for range 2 {
-		c, err := p.dial(context.Background(), e, b.addr, e.epoch)
+		c, err := p.dial(context.Background(), e, b.addr, e.generation)
 		if err != nil {
 			t.Fatal(err)
 		}
 		two = append(two, c)
 	}
-	p.keep(two[0])
-	p.keep(two[1])
-	if c := p.reuse(e, e.epoch, false); c != two[1] {
+	p.putIdle(two[0])
+	p.putIdle(two[1])
+	if c := p.takeIdle(e, e.generation, false); c != two[1] {
 		t.Error("not the most recent one")
 	}
-	p.keep(two[1])
-	p.sweep(time.Now().Add(p.idleFor))
-	if len(e.idle) != 0 || p.open != 0 {
-		t.Errorf("%d idle, %d open", len(e.idle), p.open)
+	p.putIdle(two[1])
+	p.sweepIdle(time.Now().Add(p.idleTimeout))
+	if len(e.idleConns) != 0 || p.openConns != 0 {
+		t.Errorf("%d idle, %d open", len(e.idleConns), p.openConns)
 	}
 }
 
@@ -97,7 +97,7 @@
 	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusNotSent { // the limit is the proxy's own, and no backend's fault
 		t.Errorf("over the limit: got %v", res.status)
 	}
-	held.stop()
+	held.cancel()
 	wait(t, "result", results)
 	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
 		t.Errorf("with room again: got %v", res.status)
@@ -106,9 +106,9 @@
 
 func TestADialErrorThatIsNoRefusalIsAConnectFailureToo(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
-	p.dialer = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("too many open files") }
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed || p.open != 0 {
-		t.Errorf("got %v with %d open", res.status, p.open)
+	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("too many open files") }
+	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed || p.openConns != 0 {
+		t.Errorf("got %v with %d open", res.status, p.openConns)
 	}
 }
 
@@ -125,19 +125,19 @@
 	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
-	p.byName["a"].idle[0].since = time.Now().Add(-time.Second)
+	p.byName["a"].idleConns[0].idleSince = time.Now().Add(-time.Second)
 	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusReset {
 		t.Fatalf("got %v, want a reset", res.status)
 	}
-	if span := p.trust.MaxIdle(time.Now(), p.idleFor, false); span > 600*time.Millisecond {
+	if span := p.idleTracker.MaxIdle(time.Now(), p.idleTimeout, false); span > 600*time.Millisecond {
 		t.Fatalf("trusted for %v after a break at 1 s", span)
 	}
-	p.dialer = func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
+	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
 	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed {
 		t.Fatalf("got %v, want a refused connection", res.status)
 	}
-	if span := p.trust.MaxIdle(time.Now(), p.idleFor, false); span != p.idleFor {
-		t.Errorf("trusted for %v though the backend had died, want %v", span, p.idleFor)
+	if span := p.idleTracker.MaxIdle(time.Now(), p.idleTimeout, false); span != p.idleTimeout {
+		t.Errorf("trusted for %v though the backend had died, want %v", span, p.idleTimeout)
 	}
 }
 
@@ -156,12 +156,12 @@
 	do := func(idle time.Duration, unsafe bool) balancer.Status {
 		t.Helper()
 		p.mu.Lock()
-		for _, c := range p.byName["a"].idle {
-			c.since = time.Now().Add(-idle)
+		for _, c := range p.byName["a"].idleConns {
+			c.idleSince = time.Now().Add(-idle)
 		}
 		p.mu.Unlock()
 		a := newAttempt(p, "a", patience)
-		a.req.unsafe = unsafe
+		a.request.nonIdempotent = unsafe
 		return a.run().status
 	}
 	for i, step := range []struct {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	acceptAfter = 550 * time.Millisecond // new connections may still come for this long after SIGTERM
-	killAfter   = 3 * time.Second        // SIGKILL comes the longest deadline, or this, after SIGTERM
-	killLeeway  = 500 * time.Millisecond // and somewhat more
-	drainStep   = 20 * time.Millisecond
+	drainAcceptPeriod = 550 * time.Millisecond // new connections may still come for this long after SIGTERM
+	killDelay         = 3 * time.Second        // SIGKILL comes the longest deadline, or this, after SIGTERM
+	killDelayMargin   = 500 * time.Millisecond // and somewhat more
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // Config is what a proxy is told at its start.
@@ -52,29 +52,29 @@
 
 // Proxy is one proxy with its listener open.
 type Proxy struct {
-	cfg         Config
-	loop        *loop
-	front       *frontend
-	figs        *figures
-	lists       *discovery.Client
-	bans        *override.Overrides                               // nil unless watched
-	fleet       Cluster                                           // nil on its own
-	predecessor *predecessor                                      // the one that lives, or nil
-	successors  atomic.Pointer[successors]                        // once this process serves, if watched
-	others      atomic.Int32                                      // processes of this proxy that live beside this one
-	times       func([]balancer.Class) (stay, left time.Duration) // of a drain
+	config         Config
+	loop           *eventLoop
+	frontend       *frontend
+	metrics        *metrics
+	listClient     *discovery.Client
+	overrides      *override.Overrides                               // nil unless watched
+	cluster        Cluster                                           // nil on its own
+	predecessor    *predecessor                                      // the one that lives, or nil
+	handover       atomic.Pointer[handoverServer]                    // once this process serves, if watched
+	otherProcesses atomic.Int32                                      // processes of this proxy that live beside this one
+	drainTimes     func([]balancer.Class) (stay, left time.Duration) // of a drain
 
-	syncPatience time.Duration // for discovery to confirm the list, before this process is ready without
+	syncTimeout time.Duration // for discovery to confirm the list, before this process is ready without
 }
 
 // New opens the listener; clients are served from Run on.
 func New(cfg Config) (*Proxy, error) {
-	bal, err := balancer.New(cfg.rules(), cfg.Seed)
+	bal, err := balancer.New(cfg.balancerSettings(), cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	clients, backends, _ := cfg.parts(false)
-	if min(clients, backends) < leastEach {
+	clients, backends, _ := cfg.connLimits(false)
+	if min(clients, backends) < minConns {
 		return nil, fmt.Errorf("%d sockets are too few", cfg.MaxDescriptors)
 	}
 	var before *predecessor
@@ -82,55 +82,55 @@
 		if err := os.MkdirAll(cfg.StateDir, 0o700); err != nil {
 			return nil, fmt.Errorf("state: %w", err)
 		}
-		before = findPredecessor(cfg.StateDir, cfg.Logger)
+		before = connectPredecessor(cfg.StateDir, cfg.Logger)
 	}
 	listener, err := cfg.listen(before)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	figs := newFigures(cfg.Site.Classes)
-	pool := newBackends(cfg.Site.DialTimeout, cfg.Site.IdleClose, backends, figs)
-	pool.log = cfg.Logger
-	l := newLoop(bal, clock{time.Now()}, pool, newZones(cfg.Site.Zones), figs, cfg.Logger)
-	l.watched = cfg.Managed
-	l.list.bound = cfg.listBound()
+	figs := newMetrics(cfg.Site.Classes)
+	pool := newBackendPool(cfg.Site.DialTimeout, cfg.Site.IdleClose, backends, figs)
+	pool.logger = cfg.Logger
+	l := newEventLoop(bal, clock{time.Now()}, pool, newZoneNumbers(cfg.Site.Zones), figs, cfg.Logger)
+	l.managed = cfg.Managed
+	l.listStatus.maxAge = cfg.maxListAge()
 	pool.audit = l.audit
-	pool.setGrace(cfg.Site.Balancer.DrainGrace)
-	p := &Proxy{cfg: cfg, loop: l, figs: figs, predecessor: before, times: drainTimes, syncPatience: cfg.syncPatience()}
-	p.follow()
-	p.front = newFrontend(cfg.Site, l, listener, cfg.Logger)
-	p.share(false)
+	pool.setDrainGrace(cfg.Site.Balancer.DrainGrace)
+	p := &Proxy{config: cfg, loop: l, metrics: figs, predecessor: before, drainTimes: drainTimes, syncTimeout: cfg.syncTimeout()}
+	p.openListClient()
+	p.frontend = newFrontend(cfg.Site, l, listener, cfg.Logger)
+	p.applyResourceShare(false)
 	if before != nil {
-		p.syncPatience = min(p.syncPatience, freshPatience)
-		bal.ImportRetryBudget(before.legacy.spentBy(l.clock.now()))
-		l.seen.Add(before.legacy.Seen...)
-		p.join(1)
+		p.syncTimeout = min(p.syncTimeout, listSyncTimeout)
+		bal.ImportRetryBudget(before.state.retryBudgetAt(l.clock.now()))
+		l.knownServers.Add(before.state.KnownServers...)
+		p.addOtherProcesses(1)
 	}
-	if known := p.known(); known != nil {
-		l.list.known(known)
-		l.apply(balancer.UpdateCached, known)
+	if known := p.initialList(); known != nil {
+		l.listStatus.setInitial(known)
+		l.applyList(balancer.UpdateCached, known)
 	}
-	l.list.look(time.Now())
+	l.listStatus.checkStale(time.Now())
 	if cfg.Managed {
-		of := override.Config{Dir: cfg.StateDir, KnownServers: l.seen, KnownZones: l.hands.named, ServingZones: l.pool.servingZones,
+		of := override.Config{Dir: cfg.StateDir, KnownServers: l.knownServers, KnownZones: l.zoneOverrides.knownZones, ServingZones: l.pool.servingZones,
 			Stopped: l.done, Logger: cfg.Logger}
 		if cfg.Cluster != nil {
-			of.Notify = func(nodo string, suspended bool) error { return p.fleet.NotifyOverride(nodo, suspended) }
+			of.Notify = func(nodo string, suspended bool) error { return p.cluster.NotifyOverride(nodo, suspended) }
 		}
-		p.bans, err = override.Open(of)
+		p.overrides, err = override.Open(of)
 		if err != nil {
 			listener.Close()
 			return nil, err
 		}
-		l.bans = p.bans.Sets()
-		l.ban(p.bans.Current())
+		l.overrideUpdates = p.overrides.Sets()
+		l.applyOverrides(p.overrides.Current())
 	}
 	if cfg.Cluster != nil {
-		if p.fleet, err = cfg.Cluster.Open(p.self()); err != nil {
+		if p.cluster, err = cfg.Cluster.Open(p.clusterIdentity()); err != nil {
 			listener.Close()
 			return nil, err
 		}
-		l.fleet = p.fleet
+		l.cluster = p.cluster
 	}
 	return p, nil
 }
@@ -160,19 +160,19 @@
 const soReusePort = 0xf
 
 // handOver tells a successor what it needs to know, and shares with it from then on.
-func (p *Proxy) handOver() (legacy, error) {
-	out := make(chan legacy, 1)
+func (p *Proxy) exportState() (handoverState, error) {
+	out := make(chan handoverState, 1)
 	p.loop.post(func() {
 		now := p.loop.clock.now()
-		used := p.loop.bal.ExportRetryBudget(now)
-		out <- legacy{Spent: spent{used.Requests, used.Retries}, Seen: p.loop.seen.All(), Now: now}
+		used := p.loop.balancer.ExportRetryBudget(now)
+		out <- handoverState{RetryBudget: retryBudgetUsage{used.Requests, used.Retries}, KnownServers: p.loop.knownServers.All(), Now: now}
 	})
 	select {
 	case l := <-out:
-		p.join(1)
+		p.addOtherProcesses(1)
 		return l, nil
 	case <-p.loop.done:
-		return legacy{}, errors.New("this process is at its end")
+		return handoverState{}, errors.New("this process is at its end")
 	}
 }
 
@@ -180,37 +180,37 @@
 // the predecessor takes them all.
 func (p *Proxy) serve(ctx context.Context) error {
 	if p.predecessor != nil {
-		late := time.NewTimer(freshPatience)
+		late := time.NewTimer(listSyncTimeout)
 		defer late.Stop()
 		select {
-		case <-p.loop.fresh:
+		case <-p.loop.listSynced:
 		case <-late.C:
-			p.cfg.Logger.Warn("no list from discovery yet, serving by the one last known")
+			p.config.Logger.Warn("no list from discovery yet, serving by the one last known")
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	if p.cfg.Managed {
-		if err := p.openSuccessors(); err != nil { // not worth an end: a successor then shares the address, at some cost
-			p.cfg.Logger.Error("no successor can take over", "error", err)
+	if p.config.Managed {
+		if err := p.openHandover(); err != nil { // not worth an end: a successor then shares the address, at some cost
+			p.config.Logger.Error("no successor can take over", "error", err)
 		}
 	}
-	if !p.front.healthy() {
-		p.cfg.Logger.Info("not ready yet", "missing", p.NotReadyReason())
+	if !p.frontend.isHealthy() {
+		p.config.Logger.Info("not ready yet", "missing", p.NotReadyReason())
 	}
 	if p.predecessor != nil {
-		if err := p.predecessor.serving(); err != nil {
-			p.cfg.Logger.Warn("the predecessor has ended", "error", err)
+		if err := p.predecessor.notifyServing(); err != nil {
+			p.config.Logger.Warn("the predecessor has ended", "error", err)
 		}
 	}
-	return p.front.serve()
+	return p.frontend.serve()
 }
 
 // Reload puts another configuration in force: its settings for the requests that come from now on, and its
 // address of discovery. The rest of it waits for a restart. With an error nothing has changed.
 func (p *Proxy) Reload(cfg Config) error {
 	failed := make(chan error, 1)
-	p.loop.post(func() { failed <- p.loop.reconfigure(cfg.Site, cfg.rules(), p.front) })
+	p.loop.post(func() { failed <- p.loop.reconfigure(cfg.Site, cfg.balancerSettings(), p.frontend) })
 	select {
 	case err := <-failed:
 		if err != nil {
@@ -219,36 +219,36 @@
 	case <-p.loop.done:
 		return errors.New("the proxy is at its end")
 	}
-	p.figs.name(cfg.Site.Classes)
-	p.loop.post(func() { p.loop.list.moved(time.Now()) })
-	p.lists.SetSource(cfg.Discovery)
+	p.metrics.setClasses(cfg.Site.Classes)
+	p.loop.post(func() { p.loop.listStatus.sourceChanged(time.Now()) })
+	p.listClient.SetSource(cfg.Discovery)
 	return nil
 }
 
 // follow has the loop hear of the list.
-func (p *Proxy) follow() {
-	site := p.cfg.Site
-	p.lists = discovery.New(discovery.Config{Source: p.cfg.Discovery, Pushed: !site.Balancer.WatchEndpoints, Seed: p.cfg.Seed,
-		Callers: discovery.EstimateCallers(discovery.Topology{Tier: site.Balancer.Tier, TierCount: site.Tiers, Replicas: site.Balancer.Replicas}), StateDir: p.cfg.ListCacheDir, Logger: p.cfg.Logger})
-	p.loop.lists = p.lists.Updates()
+func (p *Proxy) openListClient() {
+	site := p.config.Site
+	p.listClient = discovery.New(discovery.Config{Source: p.config.Discovery, Pushed: !site.Balancer.WatchEndpoints, Seed: p.config.Seed,
+		Callers: discovery.EstimateCallers(discovery.Topology{Tier: site.Balancer.Tier, TierCount: site.Tiers, Replicas: site.Balancer.Replicas}), StateDir: p.config.ListCacheDir, Logger: p.config.Logger})
+	p.loop.listUpdates = p.listClient.Updates()
 }
 
 // known is the newest list that the proxy can begin with: what it kept itself, or what its configuration says.
-func (p *Proxy) known() *discovery.List {
-	if p.cfg.ListCacheDir == "" {
-		if p.cfg.InitialList != nil && len(p.cfg.Discovery.Members) == 0 {
-			p.lists.SetInitialList(p.cfg.InitialList)
+func (p *Proxy) initialList() *discovery.List {
+	if p.config.ListCacheDir == "" {
+		if p.config.InitialList != nil && len(p.config.Discovery.Members) == 0 {
+			p.listClient.SetInitialList(p.config.InitialList)
 		}
-		return p.cfg.InitialList
+		return p.config.InitialList
 	}
-	kept, err := discovery.LoadCachedList(p.cfg.ListCacheDir)
+	kept, err := discovery.LoadCachedList(p.config.ListCacheDir)
 	if err != nil { // it is of use, not needed: the members tell all
-		p.cfg.Logger.Error("the list of the last run is not used", "error", err)
+		p.config.Logger.Error("the list of the last run is not used", "error", err)
 	}
-	if kept == nil || p.cfg.InitialList != nil && p.cfg.InitialList.Version > kept.Version {
-		return p.cfg.InitialList
+	if kept == nil || p.config.InitialList != nil && p.config.InitialList.Version > kept.Version {
+		return p.config.InitialList
 	}
-	p.lists.SetInitialList(kept)
+	p.listClient.SetInitialList(kept)
 	return kept
 }
 
@@ -257,20 +257,20 @@
 
 // Missing is what this proxy lacks to be ready, for on-call staff; nothing if it is.
 func (p *Proxy) NotReadyReason() string {
-	if p.front.draining.Load() {
+	if p.frontend.draining.Load() {
 		return "it drains"
 	}
 	select {
-	case <-p.loop.listed:
+	case <-p.loop.listAvailable:
 	default:
 		return fmt.Sprintf("no list of servers: the configuration has none (known), and discovery at %v has not answered yet",
-			p.cfg.Discovery)
+			p.config.Discovery)
 	}
-	if !p.front.serving.Load() {
+	if !p.frontend.serving.Load() {
 		return "clients are not accepted yet"
 	}
-	if p.front.waits.Load() {
-		return fmt.Sprintf("the list of the configuration is not confirmed: discovery at %v has not answered yet", p.cfg.Discovery)
+	if p.frontend.awaitingSync.Load() {
+		return fmt.Sprintf("the list of the configuration is not confirmed: discovery at %v has not answered yet", p.config.Discovery)
 	}
 	return ""
 }
@@ -278,32 +278,32 @@
 // Suspend has a server get nothing new, whatever the list says, until Resume. Any process of this proxy may be
 // told. The answer comes once this one acts on it; its errors are those of
 // bans.Bans.Suspend.
-func (p *Proxy) SuspendServer(server string) error { return p.bans.SuspendServer(server) }
+func (p *Proxy) SuspendServer(server string) error { return p.overrides.SuspendServer(server) }
 
 // Resume ends the ban of a server.
-func (p *Proxy) ResumeServer(server string) error { return p.bans.ResumeServer(server) }
+func (p *Proxy) ResumeServer(server string) error { return p.overrides.ResumeServer(server) }
 
 // Figures are the counts so far.
 func (p *Proxy) Metrics() management.Metrics {
-	f := p.figs.snapshot()
-	f.RuleViolations = p.loop.audit.counts.All()
-	maps.Copy(f.Events, p.loop.audit.all())
-	l := p.lists.Metrics()
-	f.EndpointList = &management.EndpointList{Age: l.Age, Failures: l.Failures, Calls: l.CallResults, Stale: p.loop.list.isStale()}
+	f := p.metrics.snapshot()
+	f.RuleViolations = p.loop.audit.counts.Snapshot()
+	maps.Copy(f.Events, p.loop.audit.eventCounts())
+	l := p.listClient.Metrics()
+	f.EndpointList = &management.EndpointList{Age: l.Age, Failures: l.Failures, Calls: l.CallResults, Stale: p.loop.listStatus.isStale()}
 	if l.FromRegistry {
 		f.EndpointList.Registry = &management.RegistryClient{Failovers: l.Failovers, RetainedEndpoints: l.RetainedEndpoints}
 	}
-	if p.fleet != nil {
-		f.Cluster = p.fleet.Metrics()
+	if p.cluster != nil {
+		f.Cluster = p.cluster.Metrics()
 	}
 	return f
 }
 
 // Reloaded counts a configuration that came with SIGHUP.
-func (p *Proxy) RecordReload(taken bool) { p.figs.reloaded(taken) }
+func (p *Proxy) RecordReload(taken bool) { p.metrics.recordReload(taken) }
 
 // Addr is where clients connect.
-func (p *Proxy) Addr() string { return p.front.listener.Addr().String() }
+func (p *Proxy) Addr() string { return p.frontend.listener.Addr().String() }
 
 // Run serves until the context ends, then finishes what it has taken.
 func (p *Proxy) Run(ctx context.Context) error {
@@ -312,27 +312,27 @@
 	defer parts.Wait()
 	defer stop()
 	parts.Go(func() { p.loop.run(inner) })
-	if p.bans != nil {
-		parts.Go(func() { p.bans.Run(inner) })
+	if p.overrides != nil {
+		parts.Go(func() { p.overrides.Run(inner) })
 	}
-	parts.Go(func() { p.lists.Run(inner) })
-	if p.fleet != nil {
+	parts.Go(func() { p.listClient.Run(inner) })
+	if p.cluster != nil {
 		present, leave := context.WithCancel(ctx) // it leaves as it begins to drain: a successor may want the address
 		defer leave()
-		parts.Go(func() { p.fleet.Run(present) })
+		parts.Go(func() { p.cluster.Run(present) })
 	}
 	if p.predecessor != nil {
-		parts.Go(func() { p.predecessor.wait(); p.join(-1) })
+		parts.Go(func() { p.predecessor.awaitExit(); p.addOtherProcesses(-1) })
 		defer p.predecessor.conn.Close()
 	}
-	if p.syncPatience > 0 {
-		p.front.waits.Store(true)
+	if p.syncTimeout > 0 {
+		p.frontend.awaitingSync.Store(true)
 		parts.Go(func() { p.awaitSync(inner) })
 	}
 	served := make(chan error, 1)
 	parts.Go(func() { served <- p.serve(ctx) })
 	defer func() {
-		if s := p.successors.Load(); s != nil {
+		if s := p.handover.Load(); s != nil {
 			s.close()
 		}
 	}()
@@ -341,28 +341,28 @@
 		return err
 	case <-ctx.Done():
 	}
-	stay, left := p.times(p.front.classes())
+	stay, left := p.drainTimes(p.frontend.currentClasses())
 	cutoff := time.Now().Add(left)
-	p.loop.post(func() { p.loop.hurry(p.loop.clock.at(cutoff)) })
-	p.front.drain(stay, cutoff, func() bool {
-		s := p.successors.Load()
-		return s != nil && s.served()
+	p.loop.post(func() { p.loop.shortenDeadlines(p.loop.clock.at(cutoff)) })
+	p.frontend.drain(stay, cutoff, func() bool {
+		s := p.handover.Load()
+		return s != nil && s.isSuccessorServing()
 	})
 	return <-served
 }
 
-func (p *Proxy) openSuccessors() error {
-	shared, ok := p.front.listener.Listener.(syscall.Conn)
+func (p *Proxy) openHandover() error {
+	shared, ok := p.frontend.listener.Listener.(syscall.Conn)
 	if !ok {
 		return errors.New("the listener has no descriptor")
 	}
-	s, err := openSuccessors(p.cfg.StateDir, shared, p.cfg.Logger)
+	s, err := openHandoverServer(p.config.StateDir, shared, p.config.Logger)
 	if err != nil {
 		return err
 	}
-	s.tell, s.gone = p.handOver, func() { p.join(-1) }
-	s.done.Go(s.serve)
-	p.successors.Store(s)
+	s.exportState, s.onSuccessorExit = p.exportState, func() { p.addOtherProcesses(-1) }
+	s.goroutines.Go(s.serve)
+	p.handover.Store(s)
 	return nil
 }
 
@@ -373,7 +373,7 @@
 	for _, c := range classes {
 		deadline, aim = max(deadline, c.Deadline), max(aim, c.LatencyObjective)
 	}
-	left = min(time.Duration(deadline)*time.Microsecond, killAfter) + killLeeway
-	stay = max(acceptAfter, left-time.Duration(aim)*time.Microsecond)
-	return min(stay, left-killMargin), left // with deadlines of some tens of milliseconds the doors close before the cutoff
+	left = min(time.Duration(deadline)*time.Microsecond, killDelay) + killDelayMargin
+	stay = max(drainAcceptPeriod, left-time.Duration(aim)*time.Microsecond)
+	return min(stay, left-cutoffMargin), left // with deadlines of some tens of milliseconds the doors close before the cutoff
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.syncPatience = patience
+	p.syncTimeout = patience
 	ctx, stop := context.WithCancel(context.Background())
 	r := &running{Proxy: p, stop: stop, done: make(chan error, 1)}
 	ended := make(chan struct{})
@@ -213,9 +213,9 @@
 		"needless key":  {strings.Replace(look("1", 9), "Tenant", "Idempotency-Key", 1), 400, true},
 		"missing key":   {"POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nContent-Length: 0\r\n\r\n", 400, true},
 		"body on a GET": {strings.Replace(look("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab", 400, true},
-		"too large":     {"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: " + strconv.Itoa(maxBody+1) + "\r\n\r\n", 413, false},
+		"too large":     {"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: " + strconv.Itoa(maxRequestBodyBytes+1) + "\r\n\r\n", 413, false},
 		"no HTTP":       {"what is this\r\n\r\n", 400, false},
-		"huge head":     {"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*maxHead) + "\r\n\r\n", 431, false},
+		"huge head":     {"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*maxRequestHeadBytes) + "\r\n\r\n", 431, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cl := connect(t, p)
@@ -278,7 +278,7 @@
 	wait(t, "end of the attempt", gone)
 	waitUntil(t, func() bool { // nothing is left of it
 		left := make(chan int, 1)
-		p.loop.post(func() { left <- len(p.loop.reqs) })
+		p.loop.post(func() { left <- len(p.loop.requests) })
 		return wait(t, "word of the loop", left) == 0
 	})
 }
@@ -287,9 +287,9 @@
 	p, b := serving(t, says(served, true))
 	c := connect(t, p)
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 9\r\n\r\nabc")
-	waitUntil(t, func() bool { return p.front.open() == 1 })
+	waitUntil(t, func() bool { return p.frontend.openConns() == 1 })
 	c.Close()
-	waitUntil(t, func() bool { return p.front.open() == 0 })
+	waitUntil(t, func() bool { return p.frontend.openConns() == 0 })
 	if n := b.requests.Load(); n != 0 {
 		t.Errorf("%d requests went on", n)
 	}
@@ -316,7 +316,7 @@
 	})
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 120, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
-	most := int(p.front.flight.Load())
+	most := int(p.frontend.maxInFlight.Load())
 	var conns []*client
 	for i := range most {
 		conns = append(conns, connect(t, p))
@@ -346,7 +346,7 @@
 func TestIdleConnectionsAreNoReasonToRefuse(t *testing.T) {
 	b := startBackend(t, says(served, true))
 	p := startProxy(t, startDiscovery(t).addr, 120, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
-	for range p.front.most.Load() + 2 {
+	for range p.frontend.maxConns.Load() + 2 {
 		connect(t, p)
 	}
 	c := connect(t, p)
--- a/internal/proxy/ready_test.go
+++ b/internal/proxy/ready_test.go
@@ -45,7 +45,7 @@
 	s.Start()
 	t.Cleanup(s.Close)
 	p := startSite(t, asking, place.Addr().String(), 200, "", t.TempDir())
-	waitUntil(t, func() bool { return p.front.serving.Load() && calls.Load() >= 4 })
+	waitUntil(t, func() bool { return p.frontend.serving.Load() && calls.Load() >= 4 })
 	if missing := p.NotReadyReason(); p.Ready() || !strings.Contains(missing, "no list") ||
 		!strings.Contains(missing, place.Addr().String()) {
 		t.Errorf("ready %v, missing %q", p.Ready(), missing)
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -30,7 +30,7 @@
 func TestAnAnswerThatIsResetOnItsWayShows(t *testing.T) {
 	for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
-			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*wholeMost))
+			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*maxBufferedResponse))
 			return resets(w)
 		})
 		cl := connect(t, p)
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -13,10 +13,10 @@
 )
 
 // unrested has a pool use connections again at once.
-func unrested(p *backends) {
+func unrested(p *backendPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rest = 0
+	p.reuseDelay = 0
 }
 
 // A second answer that comes after the next request is on its way here is not that one's: the connection rests until it has
@@ -38,10 +38,10 @@
 		return true
 	})
 	p := poolWith(4, b.addr)
-	if p.rest != idletimeout.ReuseDelay {
-		t.Errorf("connections rest for %v", p.rest)
+	if p.reuseDelay != idletimeout.ReuseDelay {
+		t.Errorf("connections rest for %v", p.reuseDelay)
 	}
-	p.rest = time.Second // for a machine that stands still now and then
+	p.reuseDelay = time.Second // for a machine that stands still now and then
 	for n := range 2 {
 		if n == 1 {
 			close(next)
@@ -50,8 +50,8 @@
 			t.Fatalf("request %d: got %v %q", n+1, res.status, res.body)
 		}
 	}
-	if b.conns.Load() != 2 || p.open != 1 {
-		t.Errorf("%d connections, %d open", b.conns.Load(), p.open)
+	if b.conns.Load() != 2 || p.openConns != 1 {
+		t.Errorf("%d connections, %d open", b.conns.Load(), p.openConns)
 	}
 }
 
@@ -59,25 +59,25 @@
 func TestACallWaitsForAConnectionThatRests(t *testing.T) {
 	b := startBackend(t, says(served, true))
 	p := poolWith(4, b.addr)
-	p.rest = 200 * time.Millisecond
+	p.reuseDelay = 200 * time.Millisecond
 	for n := range 3 {
 		began := time.Now()
 		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || b.conns.Load() != 1 {
 			t.Fatalf("request %d: got %v on %d connections", n+1, res.status, b.conns.Load())
 		}
-		if took := time.Since(began); n > 0 && took < p.rest/2 {
+		if took := time.Since(began); n > 0 && took < p.reuseDelay/2 {
 			t.Errorf("request %d took %v", n+1, took)
 		}
 	}
-	p.rest = patience
+	p.reuseDelay = patience
 	first := newAttempt(p, "a", 2*patience)
 	results := make(chan result, 1)
 	go func() { results <- first.run() }()
-	waitUntil(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(first.backend.idle) == 0 })
+	waitUntil(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(first.backend.idleConns) == 0 })
 	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || b.conns.Load() != 2 {
 		t.Errorf("beside one that waits: got %v on %d connections", res.status, b.conns.Load())
 	}
-	first.stop()
+	first.cancel()
 	if res := wait(t, "result", results); res.status != balancer.StatusNotSent || b.requests.Load() != 4 {
 		t.Errorf("stopped in the rest: got %v after %d requests", res.status, b.requests.Load())
 	}
@@ -88,21 +88,21 @@
 	b := startBackend(t, says(served, true))
 	p := poolWith(4, b.addr)
 	e := p.byName["a"]
-	var two []*conn
+	var two []*backendConn
 	for range 2 {
-		c, err := p.dial(context.Background(), e, b.addr, e.epoch)
+		c, err := p.dial(context.Background(), e, b.addr, e.generation)
 		if err != nil {
 			t.Fatal(err)
 		}
 		two = append(two, c)
-		p.keep(c)
+		p.putIdle(c)
 	}
-	p.rest = patience
-	two[0].since = two[0].since.Add(-patience)
-	if c := p.reuse(e, e.epoch, false); c != two[0] {
+	p.reuseDelay = patience
+	two[0].idleSince = two[0].idleSince.Add(-patience)
+	if c := p.takeIdle(e, e.generation, false); c != two[0] {
 		t.Error("not the one that has rested")
 	}
-	if c := p.reuse(e, e.epoch, false); c != nil || len(e.idle) != 1 || p.open != 2 {
-		t.Errorf("%d idle and %d open beside one that rests", len(e.idle), p.open)
+	if c := p.takeIdle(e, e.generation, false); c != nil || len(e.idleConns) != 1 || p.openConns != 2 {
+		t.Errorf("%d idle and %d open beside one that rests", len(e.idleConns), p.openConns)
 	}
 }
--- a/internal/proxy/shortage_test.go
+++ b/internal/proxy/shortage_test.go
@@ -23,14 +23,14 @@
 		{syscall.ETIMEDOUT, balancer.StatusConnectFailed}, {os.ErrDeadlineExceeded, balancer.StatusConnectFailed},
 	} {
 		p := poolWith(4, "127.0.0.1:1")
-		p.dialer = func(context.Context, string, string) (net.Conn, error) {
+		p.dialContext = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", c.errno)}
 		}
 		if res := newAttempt(p, "a", patience).run(); res.status != c.want {
 			t.Errorf("%v: got %v, want %v", c.errno, res.status, c.want)
 		}
-		if p.open != 0 {
-			t.Errorf("%v: %d connections are counted as open", c.errno, p.open)
+		if p.openConns != 0 {
+			t.Errorf("%v: %d connections are counted as open", c.errno, p.openConns)
 		}
 	}
 }
--- a/internal/proxy/starts_test.go
+++ b/internal/proxy/starts_test.go
@@ -12,11 +12,11 @@
 func TestAStepOfTheWallClockMovesNoStart(t *testing.T) {
 	for _, step := range []time.Duration{0, -time.Hour, time.Hour, -5 * time.Second} {
 		c := clock{start: time.Now()}
-		starts, now := starts{}, c.now()
+		starts, now := startTimes{}, c.now()
 		wall := time.Now().Add(step)
 		e := discovery.Endpoint{Name: "a", StartedAtMs: wall.Add(-2 * time.Second).UnixMilli()}
 		age := func(at int64, wall time.Time) time.Duration {
-			return time.Duration(at-starts.of(e, at, wall)) * time.Microsecond
+			return time.Duration(at-starts.startOf(e, at, wall)) * time.Microsecond
 		}
 		if got := age(now, wall); got < 1900*time.Millisecond || got > 2100*time.Millisecond {
 			t.Errorf("step %v: it is %v old, want 2 s", step, got)
@@ -30,7 +30,7 @@
 			t.Errorf("step %v: a start to come is %v old", step, got)
 		}
 		e.StartedAtMs = 0
-		if got := starts.of(e, now, wall); got != 0 {
+		if got := starts.startOf(e, now, wall); got != 0 {
 			t.Errorf("a start of long ago is at %v", got)
 		}
 	}
@@ -40,16 +40,16 @@
 // set between their starts.
 func TestALegacyIsReadOnTheSuccessorsClock(t *testing.T) {
 	const now = int64(50e6)
-	before := legacy{Now: now + 3600e6}
-	before.Spent.Taken = []int64{before.Now - 2e6, before.Now - 1e6}
-	before.Spent.Further = []int64{before.Now - 1e6}
-	got := before.spentBy(now)
+	before := handoverState{Now: now + 3600e6}
+	before.RetryBudget.Requests = []int64{before.Now - 2e6, before.Now - 1e6}
+	before.RetryBudget.Retries = []int64{before.Now - 1e6}
+	got := before.retryBudgetAt(now)
 	if got.Requests[0] != now-2e6 || got.Requests[1] != now-1e6 || got.Retries[0] != now-1e6 {
 		t.Errorf("got %+v", got)
 	}
-	former := legacy{} // of a version that says no time
-	former.Spent.Taken = []int64{7}
-	if got := former.spentBy(now); got.Requests[0] != 7 {
+	former := handoverState{} // of a version that says no time
+	former.RetryBudget.Requests = []int64{7}
+	if got := former.retryBudgetAt(now); got.Requests[0] != 7 {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/internal/proxy/stopped_test.go
+++ b/internal/proxy/stopped_test.go
@@ -15,14 +15,14 @@
 func TestAnAttemptStoppedInItsWriteNeverRan(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	near, far := net.Pipe()
-	p.dialer = func(context.Context, string, string) (net.Conn, error) { return near, nil }
+	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return near, nil }
 	a := newAttempt(p, "a", patience)
-	a.req.method, a.req.body = http.MethodPost, bytes.Repeat([]byte("x"), 1<<20)
+	a.request.method, a.request.bufferedBody = http.MethodPost, bytes.Repeat([]byte("x"), 1<<20)
 	go func() {
 		_, _ = io.ReadFull(far, make([]byte, 1<<10))
-		a.stop()
+		a.cancel()
 	}()
-	if res := a.run(); res.status != balancer.StatusNotSent || p.open != 0 {
-		t.Errorf("got %v with %d open", res.status, p.open)
+	if res := a.run(); res.status != balancer.StatusNotSent || p.openConns != 0 {
+		t.Errorf("got %v with %d open", res.status, p.openConns)
 	}
 }
--- a/internal/proxy/sync_test.go
+++ b/internal/proxy/sync_test.go
@@ -29,7 +29,7 @@
 		t.Cleanup(s.Close)
 		p := startSiteWaiting(t, asking, strings.TrimPrefix(s.URL, "http://"), known, patience)
 		wait(t, "a call for the list", called)
-		waitUntil(t, p.front.serving.Load)
+		waitUntil(t, p.frontend.serving.Load)
 		return p, called
 	}
 	t.Run("until it is confirmed", func(t *testing.T) {
--- a/internal/proxy/turned_test.go
+++ b/internal/proxy/turned_test.go
@@ -17,18 +17,18 @@
 func TestADialEndsWithItsBackendsEpoch(t *testing.T) {
 	restarted := entry("a", "127.0.0.1:1", discovery.StatusServing)
 	restarted.StartedAtMs = 7
-	for name, turn := range map[string]func(p *backends){
-		"drained": func(p *backends) {
-			p.apply(false, []discovery.Endpoint{entry("a", "127.0.0.1:1", discovery.StatusDraining)})
+	for name, turn := range map[string]func(p *backendPool){
+		"drained": func(p *backendPool) {
+			p.updateEndpoints(false, []discovery.Endpoint{entry("a", "127.0.0.1:1", discovery.StatusDraining)})
 		},
-		"gone":      func(p *backends) { p.apply(true, nil) },
-		"restarted": func(p *backends) { p.apply(false, []discovery.Endpoint{restarted}) },
-		"banned":    func(p *backends) { p.ban(map[string]bool{"a": true}) },
+		"gone":      func(p *backendPool) { p.updateEndpoints(true, nil) },
+		"restarted": func(p *backendPool) { p.updateEndpoints(false, []discovery.Endpoint{restarted}) },
+		"banned":    func(p *backendPool) { p.setSuspended(map[string]bool{"a": true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := poolWith(4, "127.0.0.1:1")
 			dials := make(chan bool, 9)
-			p.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) { // it never comes up
+			p.dialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { // it never comes up
 				dials <- true
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -45,8 +45,8 @@
 			if res := late.run(); res.status != balancer.StatusNotSent || len(dials) != 0 {
 				t.Errorf("after the turn: got %v after %v, with %d dials", res.status, time.Since(began), len(dials))
 			}
-			if p.open != 0 || len(a.backend.dials) != 0 {
-				t.Errorf("%d connections and %d dials still counted", p.open, len(a.backend.dials))
+			if p.openConns != 0 || len(a.backend.pendingDials) != 0 {
+				t.Errorf("%d connections and %d dials still counted", p.openConns, len(a.backend.pendingDials))
 			}
 		})
 	}
@@ -65,12 +65,12 @@
 	results := make(chan result, 1)
 	go func() { results <- newAttempt(p, "a", patience).run() }()
 	wait(t, "request", came)
-	p.apply(false, []discovery.Endpoint{entry("a", b.addr, discovery.StatusDraining)})
-	p.sweep(time.Now().Add(p.idleFor))
-	p.limit(1, 1)
+	p.updateEndpoints(false, []discovery.Endpoint{entry("a", b.addr, discovery.StatusDraining)})
+	p.sweepIdle(time.Now().Add(p.idleTimeout))
+	p.setLimits(1, 1)
 	close(goOn)
-	if res := wait(t, "result", results); res.status != balancer.StatusOK || string(res.body) != "ok" || p.open != 0 {
-		t.Errorf("got %v %q with %d open", res.status, res.body, p.open)
+	if res := wait(t, "result", results); res.status != balancer.StatusOK || string(res.body) != "ok" || p.openConns != 0 {
+		t.Errorf("got %v %q with %d open", res.status, res.body, p.openConns)
 	}
 	wait(t, "close", b.closed)
 }
@@ -84,9 +84,9 @@
 	if res := a.run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
-	c := p.reuse(a.backend, a.epoch, false)
-	p.sweep(time.Now().Add(2 * p.idleFor))
-	p.limit(1, 1)
+	c := p.takeIdle(a.backend, a.generation, false)
+	p.sweepIdle(time.Now().Add(2 * p.idleTimeout))
+	p.setLimits(1, 1)
 	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusNotSent { // no room, and none is made of this one
 		t.Errorf("a second one: got %v", res.status)
 	}
--- a/internal/proxy/upload_arrival.go
+++ b/internal/proxy/upload_arrival.go
@@ -14,33 +14,33 @@
 // late. The system is asked whether it is there.
 
 const (
-	arrivalEvery = 25 * time.Millisecond
-	readerBuffer = 4 << 10  // of net/http's reader, which may hold as much of a body as the system no longer shows
-	peekMost     = 64 << 10 // of a chunked body whose end is looked for: a larger rest counts as still coming
+	bodyEndPollInterval = 25 * time.Millisecond
+	httpReaderBuffer    = 4 << 10  // of net/http's reader, which may hold as much of a body as the system no longer shows
+	maxPeekBytes        = 64 << 10 // of a chunked body whose end is looked for: a larger rest counts as still coming
 )
 
 // lastChunk ends a chunked body without trailers.
 var lastChunk = []byte("\r\n0\r\n\r\n")
 
 // arrival watches for the end of a body in the buffers of its client's connection.
-type arrival struct {
-	conn    net.Conn
-	missing func() (n int64, known bool) // bytes of the body that have not been read; unknown for a chunked one
-	found   func(at time.Time)           // called once, when the end is there
+type bodyEndWatcher struct {
+	conn      net.Conn
+	remaining func() (n int64, known bool) // bytes of the body that have not been read; unknown for a chunked one
+	onEnd     func(at time.Time)           // called once, when the end is there
 
-	stop chan struct{}
-	done sync.WaitGroup
+	stop      chan struct{}
+	goroutine sync.WaitGroup
 }
 
 // watchArrival looks for the end of a body until it is found or end is called.
-func watchArrival(conn net.Conn, missing func() (int64, bool), found func(time.Time)) *arrival {
-	a := &arrival{conn: conn, missing: missing, found: found, stop: make(chan struct{})}
-	a.done.Go(a.run)
+func watchBodyEnd(conn net.Conn, missing func() (int64, bool), found func(time.Time)) *bodyEndWatcher {
+	a := &bodyEndWatcher{conn: conn, remaining: missing, onEnd: found, stop: make(chan struct{})}
+	a.goroutine.Go(a.run)
 	return a
 }
 
-func (a *arrival) run() {
-	tick := time.NewTicker(arrivalEvery)
+func (a *bodyEndWatcher) run() {
+	tick := time.NewTicker(bodyEndPollInterval)
 	defer tick.Stop()
 	var peeked []byte
 	for {
@@ -49,24 +49,24 @@
 		case <-a.stop:
 			return
 		}
-		missing, known := a.missing()
-		if known && unread(a.conn)+readerBuffer >= missing || !known && endsChunked(a.conn, &peeked) {
-			a.found(time.Now())
+		missing, known := a.remaining()
+		if known && unreadBytes(a.conn)+httpReaderBuffer >= missing || !known && endsChunked(a.conn, &peeked) {
+			a.onEnd(time.Now())
 			return
 		}
 	}
 }
 
 // end stops the watch and waits for it.
-func (a *arrival) end() {
+func (a *bodyEndWatcher) end() {
 	close(a.stop)
-	a.done.Wait()
+	a.goroutine.Wait()
 }
 
 // unread is how many bytes of a connection wait in the system to be read.
-func unread(c net.Conn) int64 {
+func unreadBytes(c net.Conn) int64 {
 	var n int32
-	_, _ = control(c, func(fd uintptr) {
+	_, _ = withDescriptor(c, func(fd uintptr) {
 		const fionread = 0x541b // FIONREAD, which package syscall does not name on Linux
 		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, fd, fionread, uintptr(unsafe.Pointer(&n))); errno != 0 {
 			n = 0
@@ -77,15 +77,15 @@
 
 // endsChunked tells whether what waits to be read is the rest of a chunked body up to its end.
 func endsChunked(c net.Conn, buf *[]byte) bool {
-	waiting := unread(c)
-	if waiting < int64(len(lastChunk)) || waiting > peekMost {
+	waiting := unreadBytes(c)
+	if waiting < int64(len(lastChunk)) || waiting > maxPeekBytes {
 		return false
 	}
 	if *buf == nil {
-		*buf = make([]byte, peekMost)
+		*buf = make([]byte, maxPeekBytes)
 	}
 	n := 0
-	_, _ = control(c, func(fd uintptr) {
+	_, _ = withDescriptor(c, func(fd uintptr) {
 		n, _, _ = syscall.Recvfrom(int(fd), *buf, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return n > 0 && bytes.HasSuffix((*buf)[:n], lastChunk)
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -21,7 +21,7 @@
 
 // A body that is too large to be held reaches the backend whole, in every framing, and passes on while it comes.
 func TestLargeBodiesArePassedOnAsTheyCome(t *testing.T) {
-	const size = 2*holdMost + 5
+	const size = 2*maxBufferedBody + 5
 	body := bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size]
 	for _, c := range []struct {
 		name, framing string
@@ -52,9 +52,9 @@
 					cl.send(t, string(part))
 				}
 			}
-			send(body[:holdMost+1])
+			send(body[:maxBufferedBody+1])
 			wait(t, "the head at the backend", b.begun) // the rest follows only once this has come
-			send(body[holdMost+1 : size-1])
+			send(body[maxBufferedBody+1 : size-1])
 			send(body[size-1:])
 			if c.chunked {
 				cl.send(t, "0\r\n\r\n")
@@ -72,8 +72,8 @@
 				}
 			}
 			waitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Succeeded == 1 })
-			if p.front.holds.used != 0 {
-				t.Errorf("%d bytes still held", p.front.holds.used)
+			if p.frontend.bodyMemory.used != 0 {
+				t.Errorf("%d bytes still held", p.frontend.bodyMemory.used)
 			}
 		})
 	}
@@ -116,11 +116,11 @@
 	b.begun = make(chan struct{})
 	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
 	cl := connect(t, p)
-	cl.send(t, post("1", "Content-Length: 1000000")+strings.Repeat("x", holdMost+1))
+	cl.send(t, post("1", "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody+1))
 	wait(t, "the head at the backend", b.begun)
 	cl.Close()
 	wait(t, "the backend's connection", b.closed)
-	waitUntil(t, func() bool { return p.front.open() == 0 })
+	waitUntil(t, func() bool { return p.frontend.openConns() == 0 })
 	f := p.Metrics()
 	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded+e.Rejected+e.Failed != 0 || f.Forwarded != 0 {
 		t.Errorf("got %+v", f)
@@ -156,9 +156,9 @@
 	}{
 		{"slow and steady", slowReader{piece: 640, pause: 10 * time.Millisecond, left: 200_000}, true, time.Minute},
 		{"slow in large pieces", slowReader{piece: 16_000, pause: 250 * time.Millisecond, left: 200_000}, true, time.Minute},
-		{"nothing", slowReader{}, false, requestPatience},
-		{"a stall after much", slowReader{piece: 1 << 20, left: 150_000}, false, requestPatience},
-		{"dripping", slowReader{piece: 10, pause: 200 * time.Millisecond, left: 200_000}, false, requestPatience + time.Second},
+		{"nothing", slowReader{}, false, requestReadTimeout},
+		{"a stall after much", slowReader{piece: 1 << 20, left: 150_000}, false, requestReadTimeout},
+		{"dripping", slowReader{piece: 10, pause: 200 * time.Millisecond, left: 200_000}, false, requestReadTimeout + time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -166,9 +166,9 @@
 				if c.whole {
 					time.Sleep(2 * time.Second) // the head
 				}
-				u := &upload{body: &c.r, length: 200_000, began: began, last: time.Now(), holds: &holds{most: 1 << 20}, firsts: &holds{most: holdMost},
-					deadline: func(at time.Time) error { c.r.deadline = at; return nil }}
-				_, whole, err := u.hold()
+				u := &upload{source: &c.r, contentLength: 200_000, startedAt: began, lastReceived: time.Now(), bodyMemory: &memoryBudget{max: 1 << 20}, headMemory: &memoryBudget{max: maxBufferedBody},
+					setReadDeadline: func(at time.Time) error { c.r.deadline = at; return nil }}
+				_, whole, err := u.buffer()
 				if whole != c.whole || (err == nil) != c.whole {
 					t.Errorf("whole %v, %v", whole, err)
 				}
@@ -182,24 +182,24 @@
 
 // Bodies are held while there is memory for it, and the least of each in any case.
 func TestHeldBodiesAreBounded(t *testing.T) {
-	h := &holds{most: 3 * holdLeast}
+	h := &memoryBudget{max: 3 * guaranteedBodyBuffer}
 	var all []*upload
 	held := 0
 	for range 10 {
-		u := &upload{body: bytes.NewReader(make([]byte, 2*holdMost)), length: 2 * holdMost, holds: h, firsts: &holds{most: holdMost},
-			deadline: func(time.Time) error { return nil }}
-		body, whole, err := u.hold()
-		if err != nil || whole || len(body) < holdLeast {
+		u := &upload{source: bytes.NewReader(make([]byte, 2*maxBufferedBody)), contentLength: 2 * maxBufferedBody, bodyMemory: h, headMemory: &memoryBudget{max: maxBufferedBody},
+			setReadDeadline: func(time.Time) error { return nil }}
+		body, whole, err := u.buffer()
+		if err != nil || whole || len(body) < guaranteedBodyBuffer {
 			t.Fatalf("%d bytes, whole %v, %v", len(body), whole, err)
 		}
 		held += cap(body)
 		all = append(all, u)
 	}
-	if held > 10*holdLeast+h.most {
+	if held > 10*guaranteedBodyBuffer+h.max {
 		t.Errorf("%d bytes are held", held)
 	}
 	for _, u := range all {
-		h.free(u.taken)
+		h.release(u.bodyReserved)
 	}
 	if h.used != 0 {
 		t.Errorf("%d bytes counted after the end", h.used)
@@ -209,10 +209,10 @@
 // A body that cannot come whole before the cutoff is turned away with word that it may come again, not dropped.
 func TestABodyThatSIGTERMOvertakesIsTurnedAway(t *testing.T) {
 	p, _ := serving(t, says(served, true))
-	p.times = func([]balancer.Class) (stay, left time.Duration) {
+	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
-	for _, size := range []int{1000, 4 * holdMost} { // held, and passed on as it comes
+	for _, size := range []int{1000, 4 * maxBufferedBody} { // held, and passed on as it comes
 		cl := connect(t, p)
 		cl.send(t, post(fmt.Sprint(size), fmt.Sprintf("Content-Length: %d", size))+strings.Repeat("x", size-500))
 		defer func() {
@@ -221,6 +221,6 @@
 			}
 		}()
 	}
-	waitUntil(t, func() bool { return p.front.open() == 2 })
+	waitUntil(t, func() bool { return p.frontend.openConns() == 2 })
 	p.stop()
 }
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -34,8 +34,8 @@
 			p := startSite(t, text, startDiscovery(t).addr, 200, known, t.TempDir())
 			pool, first := p.loop.pool, make(chan time.Time, 9)
 			pool.mu.Lock()
-			dial := pool.dialer
-			pool.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
+			dial := pool.dialContext
+			pool.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 				if first <- time.Now(); c.late && len(first) > 1 {
 					time.Sleep(window) // the first attempt was sent before it dialled
 				}
@@ -60,12 +60,12 @@
 	defer l.Close()
 	for _, uploading := range []bool{false, true} {
 		a := newAttempt(poolWith(4, l.Addr().String()), "a", patience)
-		a.until = time.Now().Add(200 * time.Millisecond)
-		a.req.method, a.req.body, a.req.length = http.MethodPost, make([]byte, 16<<20), 16<<20
+		a.sendDeadline = time.Now().Add(200 * time.Millisecond)
+		a.request.method, a.request.bufferedBody, a.request.contentLength = http.MethodPost, make([]byte, 16<<20), 16<<20
 		if uploading {
-			a.whole, a.req.rest = make(chan time.Time, 1), strings.NewReader("")
+			a.bodyComplete, a.request.bodyRemainder = make(chan time.Time, 1), strings.NewReader("")
 		}
-		if res := a.run(); res.status != balancer.StatusConnectFailed || time.Since(a.until) > streamPatience/2 {
+		if res := a.run(); res.status != balancer.StatusConnectFailed || time.Since(a.sendDeadline) > streamStallTimeout/2 {
 			t.Errorf("uploading %v: got %v", uploading, res.status)
 		}
 	}
--- a/internal/proxy/zonehands.go
+++ b/internal/proxy/zonehands.go
@@ -13,80 +13,80 @@
 )
 
 // zoneHands is what on-call staff did to zones, by name. All but named is the loop's.
-type zoneHands struct {
-	named   *override.NameSet // those of the settings and of lists
-	count   int               // of zones when they were last named
-	asked   map[string]bool   // to be out: the union of this proxy's own and the fleet's
-	drained map[string]bool   // those that are out: all of these, unless that left no zone with backends
-	kept    string            // the one that is not, then
+type zoneOverrides struct {
+	knownZones *override.NameSet // those of the settings and of lists
+	namedCount int               // of zones when they were last named
+	requested  map[string]bool   // to be out: the union of this proxy's own and the fleet's
+	drained    map[string]bool   // those that are out: all of these, unless that left no zone with backends
+	retained   string            // the one that is not, then
 }
 
-func newZoneHands(z zones) zoneHands {
-	h := zoneHands{named: override.NewNameSet(), count: len(z)}
-	h.named.Add(slices.Collect(maps.Keys(z))...)
+func newZoneOverrides(z zoneNumbers) zoneOverrides {
+	h := zoneOverrides{knownZones: override.NewNameSet(), namedCount: len(z)}
+	h.knownZones.Add(slices.Collect(maps.Keys(z))...)
 	return h
 }
 
 // nameZones allows calls on zones that have turned up.
-func (l *loop) nameZones() {
-	if len(l.zones) != l.hands.count {
-		l.hands.count = len(l.zones)
-		l.hands.named.Add(slices.Collect(maps.Keys(l.zones))...)
+func (l *eventLoop) updateZoneNames() {
+	if len(l.zoneNumbers) != l.zoneOverrides.namedCount {
+		l.zoneOverrides.namedCount = len(l.zoneNumbers)
+		l.zoneOverrides.knownZones.Add(slices.Collect(maps.Keys(l.zoneNumbers))...)
 	}
-	l.showZones()
+	l.publishZones()
 }
 
 // drain has those zones out that are to be. A call that would leave no zone with backends is refused; but calls at two
 // proxies, or a list, may lead there. Then the first of them by name stays in, the same at every proxy.
-func (l *loop) drain() {
-	if len(l.hands.asked)+len(l.hands.drained) == 0 {
+func (l *eventLoop) applyZoneDrains() {
+	if len(l.zoneOverrides.requested)+len(l.zoneOverrides.drained) == 0 {
 		return
 	}
-	out, kept := maps.Clone(l.hands.asked), ""
+	out, kept := maps.Clone(l.zoneOverrides.requested), ""
 	serving := slices.Sorted(maps.Keys(l.pool.servingZones()))
 	if len(serving) > 0 && !slices.ContainsFunc(serving, func(z string) bool { return !out[z] }) {
 		kept = serving[0]
 		delete(out, kept)
 	}
-	if kept != l.hands.kept && kept != "" {
-		l.log.Error("a drained zone stays in, as no other has nodos that serve; restore another", "zone", kept)
+	if kept != l.zoneOverrides.retained && kept != "" {
+		l.logger.Error("a drained zone stays in, as no other has nodos that serve; restore another", "zone", kept)
 	}
-	l.hands.kept = kept
-	if maps.Equal(out, l.hands.drained) {
+	l.zoneOverrides.retained = kept
+	if maps.Equal(out, l.zoneOverrides.drained) {
 		return
 	}
-	l.log.Info("zones drained", "zones", slices.Sorted(maps.Keys(out)))
-	l.hands.drained = out
+	l.logger.Info("zones drained", "zones", slices.Sorted(maps.Keys(out)))
+	l.zoneOverrides.drained = out
 	numbers := map[int]bool{}
 	for zone := range out {
-		numbers[l.zones.number(zone)] = true
+		numbers[l.zoneNumbers.number(zone)] = true
 	}
-	l.pool.drain(out)
-	l.bal.SetDrainedZones(l.clock.now(), l, numbers)
-	l.figs.servers(l.bal.ServerCounts())
+	l.pool.setDrainedZones(out)
+	l.balancer.SetDrainedZones(l.clock.now(), l, numbers)
+	l.metrics.setServers(l.balancer.ServerCounts())
 }
 
 // lookZones shows how zones stand, and has those that were restored come back where nobody else moves them: without a
 // fleet, or until its address is open.
-func (l *loop) lookZones() {
+func (l *eventLoop) sampleZones() {
 	now := l.clock.now()
 	returning := func(z balancer.ZoneState) bool { return z.Phase == balancer.ZoneRecovering }
-	if slices.ContainsFunc(l.bal.ZoneStates(now), returning) && (l.fleet == nil || !l.fleet.Metrics().Open) {
-		l.bal.HandlePeerReports(now, l, balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true})
+	if slices.ContainsFunc(l.balancer.ZoneStates(now), returning) && (l.cluster == nil || !l.cluster.Metrics().Open) {
+		l.balancer.HandlePeerReports(now, l, balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true})
 	}
-	l.showZones()
+	l.publishZones()
 }
 
-func (l *loop) showZones() {
-	if !l.watched {
+func (l *eventLoop) publishZones() {
+	if !l.managed {
 		return
 	}
 	states := map[int]balancer.ZoneState{}
-	for _, z := range l.bal.ZoneStates(l.clock.now()) {
+	for _, z := range l.balancer.ZoneStates(l.clock.now()) {
 		states[z.Zone] = z
 	}
-	shown := zonesShown{told: l.fleet != nil || len(l.hands.asked) > 0, start: l.clock.start}
-	for name, n := range l.zones {
+	shown := zoneMetrics{exported: l.cluster != nil || len(l.zoneOverrides.requested) > 0, start: l.clock.start}
+	for name, n := range l.zoneNumbers {
 		if name == "" {
 			continue
 		}
@@ -94,47 +94,47 @@
 		if !ok {
 			s.WeightFraction = 1
 		}
-		if l.hands.drained[name] { // those that the settings do not have are no zones to the module
+		if l.zoneOverrides.drained[name] { // those that the settings do not have are no zones to the module
 			s.Phase, s.WeightFraction = balancer.ZoneDrained, 0
 		}
-		z := management.Zone{Name: name, Phase: s.Phase, WeightFraction: s.WeightFraction, Transitions: s.Transitions, Reason: l.zoneReason(name, s)}
-		shown.zones = append(shown.zones, shownZone{z, l.clock.time(s.ChangedAt), s.ChangedAt != 0})
+		z := management.Zone{Name: name, Phase: s.Phase, WeightFraction: s.WeightFraction, Transitions: s.Transitions, Reason: l.describeZone(name, s)}
+		shown.zones = append(shown.zones, zoneMetric{z, l.clock.time(s.ChangedAt), s.ChangedAt != 0})
 	}
-	slices.SortFunc(shown.zones, func(x, y shownZone) int { return cmp.Compare(x.Name, y.Name) })
-	l.figs.showZones(shown)
+	slices.SortFunc(shown.zones, func(x, y zoneMetric) int { return cmp.Compare(x.Name, y.Name) })
+	l.metrics.setZones(shown)
 }
 
 // causes are the words of causes in what callers read.
-var causes = [...]string{balancer.NoFault: "bad", balancer.FaultErrors: "failing", balancer.FaultUnresponsive: "silent", balancer.FaultSlow: "slow",
+var faultNames = [...]string{balancer.NoFault: "bad", balancer.FaultErrors: "failing", balancer.FaultUnresponsive: "silent", balancer.FaultSlow: "slow",
 	balancer.FaultSaturated: "crowded"}
 
 // zoneReason says why a zone stands as it does.
-func (l *loop) zoneReason(name string, s balancer.ZoneState) string {
+func (l *eventLoop) describeZone(name string, s balancer.ZoneState) string {
 	switch {
-	case l.hands.drained[name]:
+	case l.zoneOverrides.drained[name]:
 		return "drained by hand"
-	case l.hands.kept == name:
+	case l.zoneOverrides.retained == name:
 		return "drained by hand, but no other zone has nodos that serve"
 	case s.Calls == 0:
 		return ""
 	}
-	return fmt.Sprintf("%.0f%% of %.0f calls %s, %d of %d copies call it bad", 100*s.BadFraction, s.Calls, causes[s.Fault], s.UnhealthyVotes, s.ReportingReplicas)
+	return fmt.Sprintf("%.0f%% of %.0f calls %s, %d of %d copies call it bad", 100*s.BadFraction, s.Calls, faultNames[s.Fault], s.UnhealthyVotes, s.ReportingReplicas)
 }
 
 // zonesShown is how zones stood when the loop last looked.
-type zonesShown struct {
-	told  bool // among the figures
-	start time.Time
-	zones []shownZone
+type zoneMetrics struct {
+	exported bool // among the figures
+	start    time.Time
+	zones    []zoneMetric
 }
 
-type shownZone struct {
+type zoneMetric struct {
 	management.Zone
 	since   time.Time
 	changed bool
 }
 
-func (s *zonesShown) now() []management.Zone {
+func (s *zoneMetrics) current() []management.Zone {
 	out := make([]management.Zone, 0, len(s.zones))
 	for _, z := range s.zones {
 		if !z.changed {
@@ -146,7 +146,7 @@
 	return out
 }
 
-func (f *figures) showZones(s zonesShown) {
+func (f *metrics) setZones(s zoneMetrics) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.zones = s
@@ -154,37 +154,37 @@
 
 // Zones tells how each zone stands, by name.
 func (p *Proxy) Zones() []management.Zone {
-	p.figs.mu.Lock()
-	defer p.figs.mu.Unlock()
-	return p.figs.zones.now()
+	p.metrics.mu.Lock()
+	defer p.metrics.mu.Unlock()
+	return p.metrics.zones.current()
 }
 
 // Drain has a zone get nothing new until Restore, as Suspend does a server. Its errors are those of bans.Bans.Drain.
-func (p *Proxy) DrainZone(zone string) error { return p.bans.DrainZone(zone) }
+func (p *Proxy) DrainZone(zone string) error { return p.overrides.DrainZone(zone) }
 
 // Restore has a zone come back by steps.
-func (p *Proxy) RestoreZone(zone string) error { return p.bans.RestoreZone(zone) }
+func (p *Proxy) RestoreZone(zone string) error { return p.overrides.RestoreZone(zone) }
 
 // drain has these zones and no others get nothing: idle connections there are closed.
-func (p *backends) drain(zones map[string]bool) {
+func (p *backendPool) setDrainedZones(zones map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.outs = zones
-	p.sift()
+	p.drainedZones = zones
+	p.refilterLocked()
 }
 
 // sift finds out anew which backends get something. The caller has the lock.
-func (p *backends) sift() {
+func (p *backendPool) refilterLocked() {
 	for name, b := range p.byName {
-		if ready := b.serving && !p.banned[name] && !p.outs[b.zone]; ready != b.ready {
-			b.ready = ready
-			p.turn(b)
+		if ready := b.serving && !p.suspended[name] && !p.drainedZones[b.zone]; ready != b.available {
+			b.available = ready
+			p.advanceGenerationLocked(b)
 		}
 	}
 }
 
 // servingZones are the zones with backends that serve by the list, drained or banned ones too.
-func (p *backends) servingZones() map[string]bool {
+func (p *backendPool) servingZones() map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	zones := map[string]bool{}
--- a/internal/proxy/zonehands_test.go
+++ b/internal/proxy/zonehands_test.go
@@ -64,7 +64,7 @@
 	if err := first.DrainZone("c"); !errors.As(err, &unknown) {
 		t.Errorf("a stranger: %v", err)
 	}
-	second := startSite(t, text, d.addr, 200, known, first.cfg.StateDir)
+	second := startSite(t, text, d.addr, 200, known, first.config.StateDir)
 	more := []string{listed("a/2", a.addr, discovery.StatusServing), in("c", listed("c/1", b.addr, discovery.StatusServing))}
 	for _, p := range []*running{first, second} {
 		waitUntil(t, func() bool { // either may take what is said
@@ -103,7 +103,7 @@
 		strings.Replace(listed("b/1", b.addr, discovery.StatusServing), `"zone":"a"`, `"zone":"b"`, 1))
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 200, known)
-	p.bans.SetRemote(map[string]bool{override.ZoneKey("a"): true, override.ZoneKey("b"): true})
+	p.overrides.SetRemote(map[string]bool{override.ZoneKey("a"): true, override.ZoneKey("b"): true})
 	waitUntil(t, func() bool { return stands(t, p, "b").Phase == balancer.ZoneDrained })
 	if z := stands(t, p, "a"); z.Phase != balancer.ZoneHealthy || z.Reason == "" {
 		t.Errorf("the first by name: %+v", z)
--- a/internal/proxy/zones.go
+++ b/internal/proxy/zones.go
@@ -6,17 +6,17 @@
 )
 
 // zones numbers zones by name: first the settings' own, then others as they turn up.
-type zones map[string]int
+type zoneNumbers map[string]int
 
-func newZones(names []string) zones {
-	z := zones{}
+func newZoneNumbers(names []string) zoneNumbers {
+	z := zoneNumbers{}
 	for i, n := range names {
 		z[n] = i
 	}
 	return z
 }
 
-func (z zones) number(name string) int {
+func (z zoneNumbers) number(name string) int {
 	n, ok := z[name]
 	if !ok {
 		n = len(z)
@@ -26,7 +26,7 @@
 }
 
 // servers turns entries into the module's. The starts that they tell are Unix times; see starts for the module's clock.
-func (z zones) servers(entries []discovery.Endpoint, started func(discovery.Endpoint) int64) []balancer.Server {
+func (z zoneNumbers) toServers(entries []discovery.Endpoint, started func(discovery.Endpoint) int64) []balancer.Server {
 	out := make([]balancer.Server, 0, len(entries))
 	for _, e := range entries {
 		s := balancer.Server{ID: e.Name, Zone: z.number(e.Zone), Cell: e.Cell, CapacityHint: 1, StartTime: e.StartedAtMs * 1000,
