--- a/internal/proxy/abandon_test.go
+++ b/internal/proxy/abandon_test.go
@@ -14,7 +14,7 @@
 
 // A request that was written but not yet delivered when its attempt was given up is never delivered: a server that stood
 // still, or was cut off, ran it after that.
-func TestWhatIsGivenUpIsNotDeliveredLater(t *testing.T) {
+func TestAbandonedRequestIsNotDeliveredLater(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -40,9 +40,9 @@
 	if res := a.run(); res.status != balancer.StatusTimedOut {
 		t.Fatalf("got %v, want it written whole and then timed out", res.status)
 	}
-	c := wait(t, "connection", taken)
+	c := receiveFrom(t, "connection", taken)
 	defer c.Close()
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := io.Copy(io.Discard, c); err == nil {
 		t.Errorf("%d bytes and an end came after the attempt had been given up", n)
 	}
--- a/internal/proxy/answer_test.go
+++ b/internal/proxy/answer_test.go
@@ -12,23 +12,23 @@
 )
 
 // An answer that can't be read as HTTP has it is none, however it breaks the rules.
-func TestAnswersThatLieAreNone(t *testing.T) {
+func TestMalformedResponsesAreResets(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want balancer.Status
 	}{
-		"some early words":      {strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", maxInformational) + served, balancer.StatusOK},
-		"no end of early words": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInformational+1) + served, balancer.StatusReset},
-		"an early word's body":  {"HTTP/1.1 100 Continue\r\nContent-Length: 2\r\n\r\nno" + served, balancer.StatusReset},
+		"some early words":      {strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", maxInformational) + okResponse, balancer.StatusOK},
+		"no end of early words": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInformational+1) + okResponse, balancer.StatusReset},
+		"an early word's body":  {"HTTP/1.1 100 Continue\r\nContent-Length: 2\r\n\r\nno" + okResponse, balancer.StatusReset},
 		"chunks without a body": {"HTTP/1.1 204 No Content\r\nTransfer-Encoding: chunked\r\n\r\n", balancer.StatusReset},
-		"longer than it says":   {served + "ay, and more", balancer.StatusOK},
-		"a second answer":       {served + "HTTP/1.1 200 OK\r\n", balancer.StatusOK},
-		"a line's end too many": {served + "\r\n", balancer.StatusOK},
+		"longer than it says":   {okResponse + "ay, and more", balancer.StatusOK},
+		"a second answer":       {okResponse + "HTTP/1.1 200 OK\r\n", balancer.StatusOK},
+		"a line's end too many": {okResponse + "\r\n", balancer.StatusOK},
 		"nothing to say":        {"HTTP/1.1 204 No Content\r\n\r\n", balancer.StatusError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := startBackend(t, says(c.text, true))
-			if res := newAttempt(poolWith(4, b.addr), "a", patience).run(); res.status != c.want {
+			b := startBackend(t, respondWith(c.text, true))
+			if res := newAttempt(poolWith(4, b.addr), "a", testTimeout).run(); res.status != c.want {
 				t.Errorf("got %v %q, want %v", res.status, res.body, c.want)
 			}
 		})
@@ -36,12 +36,12 @@
 }
 
 // An answer that only says no, and does not end, says so soon: another attempt has the time to serve.
-func TestADeclinedAnswerWithoutAnEndIsNotWaitedFor(t *testing.T) {
+func TestEndlessErrorResponseIsNotAwaited(t *testing.T) {
 	over := make(chan struct{})
 	defer close(over)
-	p, _ := serving(t, func(w io.Writer, _ *http.Request, n int) bool {
+	p, _ := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n > 1 {
-			_, _ = io.WriteString(w, served)
+			_, _ = io.WriteString(w, okResponse)
 			return true
 		}
 		_, _ = io.WriteString(w, "HTTP/1.1 500 Oops\r\nContent-Length: 9\r\n\r\nOo")
@@ -49,15 +49,15 @@
 		return false
 	})
 	cl := connect(t, p)
-	cl.send(t, look("1", 4000))
-	if resp, body := cl.answer(t); resp.StatusCode != 200 || body != "ok" {
+	cl.send(t, lookRequest("1", 4000))
+	if resp, body := cl.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q", resp.Status, body)
 	}
 }
 
 // An answer within the protocol's bound that is passed on as it comes, and does not end, ends for its client soon after
 // its time, and shows that it is not whole. A larger one goes on.
-func TestAnAnswerWithoutAnEndEndsWithItsClientsTime(t *testing.T) {
+func TestEndlessResponseEndsWithClientDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		size  int
@@ -65,14 +65,14 @@
 	}{{"small", 100, false}, {"large", maxBufferedResponse + 1, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			goOn := make(chan struct{})
-			p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+			p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 				fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", c.size, strings.Repeat("x", c.size))
 				<-goOn
 				_, _ = io.WriteString(w, "0\r\n\r\n")
 				return true
 			})
 			cl, began := connect(t, p), time.Now()
-			cl.send(t, look("1", 1000))
+			cl.send(t, lookRequest("1", 1000))
 			resp, err := http.ReadResponse(cl.r, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -93,14 +93,14 @@
 }
 
 // A client that is slow to take a large answer of untold length has it whole, though little of it had gone by its time.
-func TestASlowClientsTimeDoesNotEndItsAnswer(t *testing.T) {
+func TestSlowClientGetsWholeResponsePastDeadline(t *testing.T) {
 	b := startBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*maxBufferedResponse))
 		return false
 	})
 	p := poolWith(4, b.addr)
 	p.maxBuffered.Store(minBufferedResponse) // no more is read ahead
-	a := newAttempt(p, "a", patience)
+	a := newAttempt(p, "a", testTimeout)
 	got := make(chan int64, 1)
 	a.startStream = func(ans response) bool {
 		ans.stream.clientDeadline = time.Now().Add(-maxStreamOverrun) // over now
@@ -114,7 +114,7 @@
 	if res := a.run(); res.status != balancer.StatusOK {
 		t.Errorf("got %v", res.status)
 	}
-	if n := wait(t, "end of the answer", got); n != 2*maxBufferedResponse {
+	if n := receiveFrom(t, "end of the answer", got); n != 2*maxBufferedResponse {
 		t.Errorf("%d bytes came", n)
 	}
 }
--- a/internal/proxy/arrival_test.go
+++ b/internal/proxy/arrival_test.go
@@ -46,7 +46,7 @@
 
 // A client's time begins with the last byte that it sent, also where the proxy has not read that byte since the backend
 // takes nothing: the answer must not wait for the backend.
-func TestABodyThatItsBackendHoldsBackIsAnsweredInTime(t *testing.T) {
+func TestUploadStalledByBackendIsAnsweredInTime(t *testing.T) {
 	const size, left = maxBufferedBody + 32<<10, 500 * time.Millisecond
 	body := bytes.Repeat([]byte("x"), size)
 	timeout := fmt.Sprintf("Request-Timeout-Ms: %d\r\n", left.Milliseconds())
@@ -55,16 +55,16 @@
 		{"in chunks", timeout + "Transfer-Encoding: chunked", "\r\n0\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", stuckBackend(t), discovery.StatusServing)))
+			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", stuckBackend(t), discovery.StatusServing)))
 			narrow(p)
 			cl := connect(t, p)
-			cl.send(t, post("1", c.head))
+			cl.send(t, postRequest("1", c.head))
 			if c.tail != "" {
 				cl.send(t, fmt.Sprintf("%x\r\n", size))
 			}
 			cl.send(t, string(body)+c.tail)
 			sent := time.Now() // all is in the system's hands
-			resp, _ := cl.answer(t)
+			resp, _ := cl.readResponse(t)
 			if took := time.Since(sent); took > left+maxStreamOverrun {
 				t.Errorf("%s after %v, of %v that the client waits", resp.Status, took, left)
 			}
@@ -75,15 +75,15 @@
 
 // What a backend is told of the client's time has begun to run with the last byte that the client sent, though the
 // connection to the backend came up later than that.
-func TestALateConnectionForABodyIsToldWhatIsLeft(t *testing.T) {
+func TestSlowDialForUploadForwardsRemainingTimeout(t *testing.T) {
 	const size, wait, late = maxBufferedBody + 32<<10, 4 * time.Second, time.Second
 	told := make(chan string, 1)
 	b := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		told <- r.Header.Get("Request-Timeout-Ms")
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, okResponse)
 		return true
 	})
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 	pool := p.loop.pool
 	pool.mu.Lock()
 	dial := pool.dialContext
@@ -96,9 +96,9 @@
 	}
 	pool.mu.Unlock()
 	cl := connect(t, p)
-	cl.send(t, post("1", fmt.Sprintf("Request-Timeout-Ms: %d\r\nContent-Length: %d", wait.Milliseconds(), size)))
+	cl.send(t, postRequest("1", fmt.Sprintf("Request-Timeout-Ms: %d\r\nContent-Length: %d", wait.Milliseconds(), size)))
 	cl.send(t, string(bytes.Repeat([]byte("x"), size)))
-	if resp, _ := cl.answer(t); resp.StatusCode != http.StatusOK {
+	if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusOK {
 		t.Fatalf("got %s", resp.Status)
 	}
 	const slack = 150
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -14,7 +14,7 @@
 
 // A decision that breaks a rule is carried out all the same, and counted and logged: the audit sees what the module and the
 // loop do, not what they mean to do.
-func TestTheAuditSeesABrokenRule(t *testing.T) {
+func TestAuditReportsBrokenRule(t *testing.T) {
 	var log bytes.Buffer
 	l := &eventLoop{clock: clock{start: time.Now()}, requests: map[string]*request{}, audit: newAudit(slog.New(slog.NewTextHandler(&log, nil)))}
 	rules := &balancer.Settings{MaxAttempts: 2, Classes: []balancer.Class{{Name: "post", Idempotency: balancer.NonIdempotent}}}
@@ -43,12 +43,12 @@
 
 // A client's connection that the proxy ends under a request that it has taken is a broken rule, by whatever path; one that
 // rests is not.
-func TestTheAuditSeesAConnectionClosedOnARequest(t *testing.T) {
-	b := startBackend(t, hang(t))
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
-	p.breaks = true
+func TestAuditReportsConnectionClosedInFlight(t *testing.T) {
+	b := startBackend(t, neverRespond(t))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	p.breaksRules = true
 	cl := connect(t, p)
-	cl.send(t, look("1", 4000))
+	cl.send(t, lookRequest("1", 4000))
 	waitUntil(t, func() bool { return p.Metrics().InFlight == 1 && b.requests.Load() == 1 })
 	p.frontend.mu.Lock()
 	for c := range p.frontend.conns {
@@ -59,12 +59,12 @@
 }
 
 // What is served and refused in the ordinary way breaks no rule, and shows in the figures.
-func TestTheAuditIsQuietWhereRulesHold(t *testing.T) {
-	p, _ := serving(t, says(served, true))
+func TestAuditReportsNothingWhenRulesHold(t *testing.T) {
+	p, _ := startServing(t, respondWith(okResponse, true))
 	for _, id := range []string{"1", "2", "3"} {
 		cl := connect(t, p)
-		cl.send(t, look(id, 4000))
-		cl.answer(t)
+		cl.send(t, lookRequest(id, 4000))
+		cl.readResponse(t)
 		cl.Close()
 	}
 	waitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.frontend.openConns() == 0 })
--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -16,15 +16,15 @@
 	"merlinpick/internal/discovery"
 )
 
-const patience = 20 * time.Second // for what must happen
+const testTimeout = 20 * time.Second // for what must happen
 
 // wait takes what must come from a channel.
-func wait[T any](t *testing.T, what string, c <-chan T) T {
+func receiveFrom[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
@@ -38,9 +38,9 @@
 	conns    atomic.Int32
 	closed   chan struct{} // one for each connection that has ended
 
-	begun  chan struct{} // closed when the first head has come, if set
-	body   io.Writer     // gets the bodies, if set
-	breaks bool          // the connection ends after a head and some of its body
+	begun         chan struct{} // closed when the first head has come, if set
+	body          io.Writer     // gets the bodies, if set
+	resetsUploads bool          // the connection ends after a head and some of its body
 }
 
 func startBackend(t *testing.T, reply func(w io.Writer, r *http.Request, n int) bool) *fakeBackend {
@@ -68,7 +68,7 @@
 					if b.begun != nil && b.conns.Load() == 1 && b.requests.Load() == 0 {
 						close(b.begun)
 					}
-					if b.breaks {
+					if b.resetsUploads {
 						_, _ = io.CopyN(io.Discard, req.Body, 100_000)
 						return
 					}
@@ -85,23 +85,23 @@
 	return b
 }
 
-func says(text string, keep bool) func(io.Writer, *http.Request, int) bool {
+func respondWith(text string, keep bool) func(io.Writer, *http.Request, int) bool {
 	return func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, text)
 		return keep
 	}
 }
 
-const served = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // hang answers nothing until the test ends.
-func hang(t *testing.T) func(io.Writer, *http.Request, int) bool {
+func neverRespond(t *testing.T) func(io.Writer, *http.Request, int) bool {
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
 	return func(io.Writer, *http.Request, int) bool { <-over; return false }
 }
 
-func entry(name, addr, status string) discovery.Endpoint {
+func endpoint(name, addr, status string) discovery.Endpoint {
 	return discovery.Endpoint{Name: name, Address: addr, Zone: "a", Status: status}
 }
 
@@ -109,7 +109,7 @@
 	p := newBackendPool(5*time.Second, 40*time.Second, most, newMetrics(nil))
 	var list []discovery.Endpoint
 	for i, a := range addrs {
-		list = append(list, entry(string(rune('a'+i)), a, discovery.StatusServing))
+		list = append(list, endpoint(string(rune('a'+i)), a, discovery.StatusServing))
 	}
 	p.updateEndpoints(true, list)
 	return p
@@ -130,9 +130,9 @@
 		name, text string
 		want       balancer.Status
 	}{
-		{"served", served, balancer.StatusOK},
+		{"served", okResponse, balancer.StatusOK},
 		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusOK},
-		{"early word first", "HTTP/1.1 100 Continue\r\n\r\n" + served, balancer.StatusOK},
+		{"early word first", "HTTP/1.1 100 Continue\r\n\r\n" + okResponse, balancer.StatusOK},
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
 		{"an error is never full", "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
 		{"not found", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
@@ -157,9 +157,9 @@
 		{"long head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: " + strings.Repeat("x", 8<<10) + "\r\n\r\nok", balancer.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := startBackend(t, says(c.text, false))
+			b := startBackend(t, respondWith(c.text, false))
 			p := poolWith(4, b.addr)
-			res := newAttempt(p, "a", patience).run()
+			res := newAttempt(p, "a", testTimeout).run()
 			if res.status != c.want || c.want == balancer.StatusOK && string(res.body) != "ok" {
 				t.Errorf("got %v %q, want %v", res.status, res.body, c.want)
 			}
@@ -170,14 +170,14 @@
 	}
 }
 
-func TestARefusedConnectionNeverRan(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
 	p := poolWith(4, l.Addr().String())
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed {
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
 	if p.openConns != 0 {
@@ -185,8 +185,8 @@
 	}
 }
 
-func TestAHungBackendTimesOutAndLosesItsConnection(t *testing.T) {
-	b := startBackend(t, hang(t))
+func TestHungBackendTimesOutAndConnectionIsClosed(t *testing.T) {
+	b := startBackend(t, neverRespond(t))
 	p := poolWith(4, b.addr)
 	if res := newAttempt(p, "a", 50*time.Millisecond).run(); res.status != balancer.StatusTimedOut {
 		t.Errorf("got %v", res.status)
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestAStoppedAttemptClosesItsConnection(t *testing.T) {
+func TestCancelledAttemptClosesItsConnection(t *testing.T) {
 	came := make(chan struct{}, 1)
 	gone := make(chan error, 1)
 	b := startBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -206,22 +206,22 @@
 		return false
 	})
 	p := poolWith(4, b.addr)
-	a := newAttempt(p, "a", patience)
+	a := newAttempt(p, "a", testTimeout)
 	results := make(chan result, 1)
 	go func() { results <- a.run() }()
-	wait(t, "request", came)
+	receiveFrom(t, "request", came)
 	a.cancel()
-	if res := wait(t, "result", results); res.status != balancer.StatusCancelled {
+	if res := receiveFrom(t, "result", results); res.status != balancer.StatusCancelled {
 		t.Errorf("got %v", res.status)
 	}
-	if err := wait(t, "end of the connection", gone); err == nil {
+	if err := receiveFrom(t, "end of the connection", gone); err == nil {
 		t.Error("the connection is still open")
 	}
 }
 
 func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it never came to be")
 		}
@@ -229,14 +229,14 @@
 }
 
 // A dial takes time. In it the backend may drain, or the request's time may run out; nothing is sent then.
-func TestNothingIsSentAfterADialThatTookTooLong(t *testing.T) {
+func TestNothingIsSentAfterSlowDial(t *testing.T) {
 	for name, meanwhile := range map[string]func(p *backendPool, a *attempt){
 		"drained": func(p *backendPool, a *attempt) {
-			p.updateEndpoints(false, []discovery.Endpoint{entry("a", a.address, discovery.StatusDraining)})
+			p.updateEndpoints(false, []discovery.Endpoint{endpoint("a", a.address, discovery.StatusDraining)})
 		},
 		"gone": func(p *backendPool, a *attempt) { p.updateEndpoints(true, nil) },
 		"restarted": func(p *backendPool, a *attempt) {
-			e := entry("a", a.address, discovery.StatusServing)
+			e := endpoint("a", a.address, discovery.StatusServing)
 			e.StartedAtMs = 7
 			p.updateEndpoints(false, []discovery.Endpoint{e})
 		},
@@ -244,9 +244,9 @@
 		"late":    func(_ *backendPool, a *attempt) { a.deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := startBackend(t, says(served, true))
+			b := startBackend(t, respondWith(okResponse, true))
 			p := poolWith(4, b.addr)
-			a := newAttempt(p, "a", patience)
+			a := newAttempt(p, "a", testTimeout)
 			dial := p.dialContext
 			p.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(context.Background(), network, addr)
@@ -257,7 +257,7 @@
 				t.Errorf("got %v", res.status)
 			}
 			p.updateEndpoints(true, nil) // closes what is idle
-			wait(t, "close", b.closed)
+			receiveFrom(t, "close", b.closed)
 			if b.requests.Load() != 0 || p.openConns != 0 {
 				t.Errorf("%d requests came, %d connections open", b.requests.Load(), p.openConns)
 			}
@@ -266,27 +266,27 @@
 }
 
 // A write that breaks off before the last byte proves that the call never ran; one that ended does not.
-func TestARequestThatWasNotWrittenWholeNeverRan(t *testing.T) {
+func TestPartiallyWrittenRequestNeverExecuted(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	p.dialContext = func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		go func() { _, _ = io.ReadFull(far, make([]byte, 5)); far.Close() }()
 		return near, nil
 	}
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed {
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
 }
 
-func TestWhatIsPassedOnIsUnchanged(t *testing.T) {
+func TestForwardedBytesAreUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	b := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		got <- r
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, okResponse)
 		return true
 	})
-	newAttempt(poolWith(4, b.addr), "a", 900*time.Millisecond+patience).run()
-	r := wait(t, "request", got)
+	newAttempt(poolWith(4, b.addr), "a", 900*time.Millisecond+testTimeout).run()
+	r := receiveFrom(t, "request", got)
 	if r.RequestURI != "/look/k%2f1?x=%20y" || r.Host != "backend.local" || r.Header.Get("Request-Id") != "1" {
 		t.Errorf("got %s %s %v", r.RequestURI, r.Host, r.Header)
 	}
--- a/internal/proxy/bans_test.go
+++ b/internal/proxy/bans_test.go
@@ -11,15 +11,15 @@
 )
 
 // A ban keeps a server out at both processes of a proxy, through lists and restarts, until one call back.
-func TestABanHoldsAtEveryProcessUntilOneCallBack(t *testing.T) {
-	b := startBackend(t, says(served, true))
+func TestSuspensionHoldsInEveryProcessUntilResumed(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
 	d := startDiscovery(t)
-	known := listText(1, true, listed("a/1", b.addr, discovery.StatusServing))
+	known := listJSON(1, true, endpointJSON("a/1", b.addr, discovery.StatusServing))
 	first := startProxy(t, d.addr, 200, known)
 	asks := func(p *running, id string) int {
 		c := connect(t, p)
-		c.send(t, look(id, 4000))
-		resp, _ := c.answer(t)
+		c.send(t, lookRequest(id, 4000))
+		resp, _ := c.readResponse(t)
 		return resp.StatusCode
 	}
 	if got := asks(first, "1"); got != 200 {
@@ -38,13 +38,13 @@
 	if got := asks(second, "3"); got != 503 {
 		t.Errorf("beside the next process: %d", got)
 	}
-	d.say <- listText(2, true) // it leaves the list, and one that is banned can still be called back
+	d.responses <- listJSON(2, true) // it leaves the list, and one that is banned can still be called back
 	waitUntil(t, func() bool { return first.Metrics().ListedServers == 0 || second.Metrics().ListedServers == 0 })
 	if err := second.ResumeServer("a/1"); err != nil {
 		t.Fatal(err)
 	}
-	d.say <- listText(3, false, `{"name":"a/1","address":"`+b.addr+`","zone":"a","status":"SERVING","since_ms":5}`)
-	d.say <- listText(3, false, `{"name":"a/1","address":"`+b.addr+`","zone":"a","status":"SERVING","since_ms":5}`)
+	d.responses <- listJSON(3, false, `{"name":"a/1","address":"`+b.addr+`","zone":"a","status":"SERVING","since_ms":5}`)
+	d.responses <- listJSON(3, false, `{"name":"a/1","address":"`+b.addr+`","zone":"a","status":"SERVING","since_ms":5}`)
 	id := 10
 	for _, p := range []*running{first, second} {
 		waitUntil(t, func() bool { id++; return asks(p, strconv.Itoa(id)) == 200 })
@@ -54,8 +54,8 @@
 	}
 }
 
-func TestAServerThatNoListNamedIsUnknown(t *testing.T) {
-	p, _ := serving(t, says(served, true))
+func TestSuspendingUnlistedServerFails(t *testing.T) {
+	p, _ := startServing(t, respondWith(okResponse, true))
 	for _, do := range []func(string) error{p.SuspendServer, p.ResumeServer} {
 		var unknown *override.UnknownServerError
 		if err := do("stranger"); !errors.As(err, &unknown) {
@@ -71,8 +71,8 @@
 }
 
 // A ban that cannot be kept is no ban: the answer must not be yes.
-func TestABanThatCannotBeKeptIsANo(t *testing.T) {
-	p, _ := serving(t, says(served, true))
+func TestSuspensionThatCannotBeStoredFails(t *testing.T) {
+	p, _ := startServing(t, respondWith(okResponse, true))
 	if err := os.RemoveAll(p.config.StateDir); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/burst_test.go
+++ b/internal/proxy/burst_test.go
@@ -19,15 +19,15 @@
 
 // Peers that send much and go, in the head or in the body: each held up to 20 KiB of a head and 32 KiB of a body, without
 // a bound over all. Those beyond it are refused at once, and it is all given back.
-func TestWhatPeersSendIsBoundedOverAllConnections(t *testing.T) {
+func TestUnparsedInputIsBoundedAcrossConnections(t *testing.T) {
 	const peers, room = 40, 200 << 10
 	for name, text := range map[string]string{
 		"heads":  "GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", maxRequestHeadBytes-1000),
-		"bodies": post("%d", "Content-Length: 60000") + strings.Repeat("x", 31<<10),
+		"bodies": postRequest("%d", "Content-Length: 60000") + strings.Repeat("x", 31<<10),
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := startBackend(t, says(served, true))
-			p := startProxy(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+			b := startBackend(t, respondWith(okResponse, true))
+			p := startProxy(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 			p.frontend.headMemory.setMax(room)
 			answers := make(chan int, peers)
 			var all []*client
@@ -42,7 +42,7 @@
 				}()
 			}
 			for range peers - room/(16<<10) { // a peer that is let in takes as much, or more
-				if got := wait(t, "refusal", answers); got != 503 {
+				if got := receiveFrom(t, "refusal", answers); got != 503 {
 					t.Errorf("got %d", got)
 				}
 			}
@@ -54,9 +54,9 @@
 			}
 			waitUntil(t, func() bool { return p.frontend.headMemory.held() == 0 })
 			c := connect(t, p)
-			c.send(t, strings.Replace(post("n", "Content-Length: 31744"), "Host: h", "Host: h\r\nX: "+strings.Repeat("x", 8<<10), 1)+
+			c.send(t, strings.Replace(postRequest("n", "Content-Length: 31744"), "Host: h", "Host: h\r\nX: "+strings.Repeat("x", 8<<10), 1)+
 				strings.Repeat("x", 31744))
-			if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
+			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 				t.Errorf("then got %s", resp.Status)
 			}
 			waitUntil(t, func() bool { return p.frontend.headMemory.held() == 0 })
@@ -65,11 +65,11 @@
 }
 
 // Idle clients in every slot while discovery is down: the calls to it, to backends and for health have their descriptors.
-func TestACrowdLeavesDescriptorsToTheRest(t *testing.T) {
-	b := startBackend(t, says(served, true))
+func TestIdleClientsLeaveDescriptorsForOthers(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 120, "")
-	d.say <- "" // a call that breaks
+	d.responses <- "" // a call that breaks
 	most := int(p.frontend.maxConns.Load())
 	for i := range 2 * most {
 		c := connect(t, p)
@@ -78,13 +78,13 @@
 		}
 	}
 	waitUntil(t, func() bool { return p.frontend.openConns() >= most })
-	d.say <- listText(1, true, listed("a", b.addr, discovery.StatusServing)) // it is back
+	d.responses <- listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)) // it is back
 	waitUntil(t, p.Ready)
-	for i, want := range []string{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", look("1", 4000), "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"} {
+	for i, want := range []string{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", lookRequest("1", 4000), "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"} {
 		start := time.Now()
 		c := connect(t, p)
 		c.send(t, want)
-		if resp, _ := c.answer(t); resp.StatusCode != 200 {
+		if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
 			t.Errorf("call %d: %s", i, resp.Status)
 		}
 		if took := time.Since(start); took > minKeepAlive+time.Second {
@@ -94,7 +94,7 @@
 }
 
 // All parts of the descriptors together are no more than there are, alone and beside another process of the proxy.
-func TestThePartsOfTheDescriptorsAddUp(t *testing.T) {
+func TestDescriptorLimitsAddUp(t *testing.T) {
 	for sockets := 128; sockets <= 1024; sockets++ {
 		for _, watched := range []bool{false, true} {
 			for _, shared := range []bool{false, true} {
--- a/internal/proxy/download_test.go
+++ b/internal/proxy/download_test.go
@@ -16,7 +16,7 @@
 )
 
 // A large answer is passed on as it comes, in every framing, and whole.
-func TestLargeAnswersArePassedOnAsTheyCome(t *testing.T) {
+func TestLargeResponsesAreStreamed(t *testing.T) {
 	part := bytes.Repeat([]byte("0123456789abcdef"), maxBufferedResponse/16)
 	for _, c := range []struct {
 		name, head string
@@ -28,7 +28,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			seen := make(chan struct{})
-			p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+			p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 				write := func(b []byte) {
 					if c.chunked {
 						fmt.Fprintf(w, "%x\r\n%s\r\n", len(b), b)
@@ -39,7 +39,7 @@
 				_, _ = io.WriteString(w, c.head)
 				write(part)
 				write(part[:1])
-				wait(t, "the client's first bytes", seen) // the rest follows only once these have come
+				receiveFrom(t, "the client's first bytes", seen) // the rest follows only once these have come
 				write(part[1:])
 				write(part)
 				if c.chunked {
@@ -48,7 +48,7 @@
 				return !strings.Contains(c.name, "close")
 			})
 			cl := connect(t, p)
-			cl.send(t, look("1", 4000))
+			cl.send(t, lookRequest("1", 4000))
 			resp, err := http.ReadResponse(cl.r, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -71,16 +71,16 @@
 }
 
 // An answer of untold length that comes slowly is not held back until it is large.
-func TestASlowAnswerOfUntoldLengthIsNotHeldBack(t *testing.T) {
+func TestSlowResponseWithoutLengthIsStreamed(t *testing.T) {
 	seen := make(chan struct{})
-	p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
-		wait(t, "the client's first bytes", seen)
+		receiveFrom(t, "the client's first bytes", seen)
 		_, _ = io.WriteString(w, "2\r\ncd\r\n0\r\n\r\n")
 		return true
 	})
 	cl := connect(t, p)
-	cl.send(t, look("1", 4000))
+	cl.send(t, lookRequest("1", 4000))
 	resp, err := http.ReadResponse(cl.r, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -97,23 +97,23 @@
 
 // A long answer that breaks off before its first bytes is none: the next attempt can still serve, and where there is no
 // other the client hears so. It was a connection that ended without a word.
-func TestAnAnswerThatBreaksOffAtItsHeadIsTriedAgain(t *testing.T) {
+func TestResponseTruncatedAfterHeadIsRetried(t *testing.T) {
 	for _, c := range []struct {
 		body string
 		good int // the first attempt that is served
 		want int
 	}{{"", 2, 200}, {"x", 2, 200}, {"", 99, 503}} {
 		tries := 0
-		p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+		p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 			if tries++; tries >= c.good {
-				_, _ = io.WriteString(w, served)
+				_, _ = io.WriteString(w, okResponse)
 				return true
 			}
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+c.body)
 			return false
 		})
 		cl := connect(t, p)
-		cl.send(t, look("1", 4000))
+		cl.send(t, lookRequest("1", 4000))
 		resp, err := http.ReadResponse(cl.r, nil)
 		if err != nil {
 			t.Errorf("after %q: no answer: %v", c.body, err)
@@ -126,18 +126,18 @@
 }
 
 // A client can tell an answer that broke off on its way, and it counts as failed.
-func TestAnAnswerThatBreaksOffShows(t *testing.T) {
+func TestTruncatedResponseIsVisibleToClient(t *testing.T) {
 	for name, head := range map[string]string{
 		"of a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 9*maxBufferedResponse),
 		"in chunks":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", 9*maxBufferedResponse),
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+			p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 				_, _ = io.WriteString(w, head+strings.Repeat("x", 3*maxBufferedResponse))
 				return false
 			})
 			cl := connect(t, p)
-			cl.send(t, look("1", 4000))
+			cl.send(t, lookRequest("1", 4000))
 			resp, err := http.ReadResponse(cl.r, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -151,10 +151,10 @@
 }
 
 // A client that reads slowly holds its backend up and not the proxy's memory; one that goes frees both sides.
-func TestAClientThatDoesNotReadHoldsTheBackendUp(t *testing.T) {
+func TestSlowReaderSlowsItsBackend(t *testing.T) {
 	const size = 64 << 20
 	written := make(chan int, 1)
-	p, b := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	p, b := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
 		n, piece := 0, make([]byte, 64<<10)
 		for n < size {
@@ -170,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(c, look("1", 4000)); err != nil {
+	if _, err := io.WriteString(c, lookRequest("1", 4000)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := bufio.NewReaderSize(c, 16).Peek(16); err != nil {
@@ -182,20 +182,20 @@
 	case <-time.After(100 * time.Millisecond):
 	}
 	c.Close()
-	if n := wait(t, "the backend's end", written); n == size {
+	if n := receiveFrom(t, "the backend's end", written); n == size {
 		t.Error("all was taken for a client that had gone")
 	}
-	wait(t, "the backend's connection", b.closed)
+	receiveFrom(t, "the backend's connection", b.closed)
 	waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 }
 
 // A long answer that is still being given when the cutoff comes goes on to its end.
-func TestSIGTERMDoesNotCutALongAnswerOff(t *testing.T) {
+func TestSIGTERMDoesNotTruncateLongResponse(t *testing.T) {
 	goOn := make(chan struct{})
 	part := strings.Repeat("x", 2*maxBufferedResponse)
-	p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(part), part)
-		wait(t, "the cutoff", goOn)
+		receiveFrom(t, "the cutoff", goOn)
 		_, _ = io.WriteString(w, part)
 		return true
 	})
@@ -203,7 +203,7 @@
 		return 50 * time.Millisecond, 100 * time.Millisecond
 	}
 	cl := connect(t, p)
-	cl.send(t, look("1", 4000))
+	cl.send(t, lookRequest("1", 4000))
 	resp, err := http.ReadResponse(cl.r, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -218,7 +218,7 @@
 	if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != int64(2*len(part)-10) {
 		t.Errorf("%d bytes more came, %v", n, err)
 	}
-	if err := wait(t, "end of Run", p.done); err != nil {
+	if err := receiveFrom(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 	p.done <- nil
@@ -237,7 +237,7 @@
 
 // A source stands still when it was asked for more and gives nothing. One that was not asked, since nobody had taken what
 // came before, does not, though nothing came and all is read now.
-func TestASourceThatWasNotAskedDoesNotStandStill(t *testing.T) {
+func TestUnreadSourceIsNotStalled(t *testing.T) {
 	const size = 1 << 10
 	synctest.Test(t, func(t *testing.T) {
 		source := make(pieces)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -16,7 +16,7 @@
 }
 
 // begin starts a drain of which the doors close at once, and returns when they do.
-func begin(t *testing.T, f *frontend, left time.Duration) (ended chan struct{}) {
+func startDrain(t *testing.T, f *frontend, left time.Duration) (ended chan struct{}) {
 	t.Helper()
 	ended = make(chan struct{})
 	go func() {
@@ -28,58 +28,58 @@
 }
 
 // The listener closed on connections that waited in the kernel for a slot: they were reset unheard.
-func TestConnectionsThatWaitForASlotComeInBeforeTheDoorsClose(t *testing.T) {
+func TestQueuedConnectionsAreAcceptedBeforeListenerCloses(t *testing.T) {
 	f, h, requests, p := startHooked(t, 2, "ok")
 	release := held(h)
 	var all []*client
 	for i := range 6 { // two are served, the others wait
 		c := connect(t, p)
-		c.send(t, look("1", 4000))
+		c.send(t, lookRequest("1", 4000))
 		all = append(all, c)
 		waitUntil(t, func() bool { return int(requests.Load()) == min(i+1, 2) })
 	}
-	ended := begin(t, f, patience)
+	ended := startDrain(t, f, testTimeout)
 	time.Sleep(5 * drainPollInterval) // for a listener that closes too soon
 	release()
 	for i, c := range all {
-		if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
+		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 			t.Errorf("client %d: %s %q, close %v", i, resp.Status, body, resp.Close)
 		}
 	}
-	wait(t, "end of the drain", ended)
+	receiveFrom(t, "end of the drain", ended)
 }
 
 // What the cutoff ended was cut off 20 ms later, written or not.
-func TestAnswersAtTheCutoffAreWritten(t *testing.T) {
+func TestResponsesAtCutoffAreWritten(t *testing.T) {
 	f, h, requests, p := startHooked(t, 2, "ok")
 	release := held(h)
 	c := connect(t, p)
-	c.send(t, look("1", 4000))
+	c.send(t, lookRequest("1", 4000))
 	waitUntil(t, func() bool { return requests.Load() == 1 })
-	ended := begin(t, f, 0)
+	ended := startDrain(t, f, 0)
 	select {
 	case <-ended:
 		t.Error("the drain ended over a request")
 	case <-time.After(responseFlushMargin / 2):
 	}
 	release()
-	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q", resp.Status, body)
 	}
-	wait(t, "end of the drain", ended)
+	receiveFrom(t, "end of the drain", ended)
 }
 
 // A peer that takes nothing and never closes does not keep the process beyond its time.
-func TestADrainEndsInTime(t *testing.T) {
+func TestDrainEndsInTime(t *testing.T) {
 	f, h, requests, p := startHooked(t, 4, "ok")
 	release := held(h)
 	defer release()
 	c := connect(t, p)
-	c.send(t, look("1", 4000))
+	c.send(t, lookRequest("1", 4000))
 	waitUntil(t, func() bool { return requests.Load() == 1 })
 	start := time.Now()
-	wait(t, "end of the drain", begin(t, f, 2*cutoffMargin))
-	if took := time.Since(start); took > 2*cutoffMargin+responseFlushMargin+patience/10 {
+	receiveFrom(t, "end of the drain", startDrain(t, f, 2*cutoffMargin))
+	if took := time.Since(start); took > 2*cutoffMargin+responseFlushMargin+testTimeout/10 {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -109,7 +109,7 @@
 	f.setLimits(most, most, 0)
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = f.serve() }()
-	t.Cleanup(func() { f.server.Close(); wait(t, "end of the frontend", ended) })
+	t.Cleanup(func() { f.server.Close(); receiveFrom(t, "end of the frontend", ended) })
 	return f, h, requests, &running{Proxy: &Proxy{frontend: f}}
 }
 
@@ -117,11 +117,11 @@
 func once[F any](at *atomic.Pointer[F], f F) { at.Store(&f) }
 
 // kept is a connection with an answered request on it.
-func kept(t *testing.T, f *frontend, p *running) *client {
+func keepAliveClient(t *testing.T, f *frontend, p *running) *client {
 	t.Helper()
 	c := connect(t, p)
-	c.send(t, look("1", 4000))
-	c.answer(t)
+	c.send(t, lookRequest("1", 4000))
+	c.readResponse(t)
 	waitUntil(t, func() bool { return f.resting() == 1 })
 	return c
 }
@@ -139,7 +139,7 @@
 }
 
 // A request that had just been read, with nobody told of it, was closed on: its connection showed nothing to read.
-func TestARequestThatIsBeingReadIsNotClosedOn(t *testing.T) {
+func TestConnectionReadingRequestIsNotClosed(t *testing.T) {
 	for name, end := range map[string]func(*frontend){
 		"drain": func(f *frontend) { f.closeIdle(0, 0, false) },
 		"shed": func(f *frontend) {
@@ -154,7 +154,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, h, _, p := startHooked(t, 4, "ok")
-			c := kept(t, f, p)
+			c := keepAliveClient(t, f, p)
 			once(&h.read, func() {
 				h.read.Store(nil)
 				done := make(chan struct{})
@@ -164,8 +164,8 @@
 				case <-time.After(200 * time.Millisecond): // it waits until the read is noted
 				}
 			})
-			c.send(t, look("2", 4000))
-			if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
+			c.send(t, lookRequest("2", 4000))
+			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 				t.Errorf("got %s %q", resp.Status, body)
 			}
 		})
@@ -174,12 +174,12 @@
 
 // A request that came between the look at a connection that rests and its close was read after the close and sent on,
 // or its connection was reset.
-func TestARequestThatCrossesTheCloseIsNeverServed(t *testing.T) {
+func TestRequestCrossingCloseIsNeverServed(t *testing.T) {
 	f, h, requests, p := startHooked(t, 4, "ok")
-	c := kept(t, f, p)
+	c := keepAliveClient(t, f, p)
 	once(&h.control, func(fd uintptr) {
 		h.control.Store(nil)
-		c.send(t, look("2", 4000))
+		c.send(t, lookRequest("2", 4000))
 		var b [1]byte
 		waitUntil(t, func() bool {
 			n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -198,7 +198,7 @@
 }
 
 // A close over bytes that nobody had read reset the connection and took the rest of the answer before along.
-func TestAnAnswerOutlivesWhatIsSentBehindIt(t *testing.T) {
+func TestResponseSurvivesPipelinedBytes(t *testing.T) {
 	large := strings.Repeat("x", 400<<10)
 	f, _, _, p := startHooked(t, 4, large)
 	f.closing.Store(true)
@@ -210,26 +210,26 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	c := &client{conn, bufio.NewReaderSize(conn, 16)}
-	c.send(t, strings.Repeat(look("1", 4000), 100))
+	c.send(t, strings.Repeat(lookRequest("1", 4000), 100))
 	if _, err := c.r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, func() bool { return f.openConns() == 0 }) // the server is through with it
-	if resp, body := c.answer(t); resp.StatusCode != 200 || body != large {
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != large {
 		t.Errorf("got %s and %d bytes", resp.Status, len(body))
 	}
 }
 
 // Peers that do not close after the proxy has keep no slot that another wants.
-func TestPeersThatLingerGiveWay(t *testing.T) {
+func TestLingeringConnectionsGiveWay(t *testing.T) {
 	f, _, _, p := startHooked(t, 2, "ok")
 	for range 8 {
 		c := connect(t, p)
 		c.send(t, "GET /no HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		start := time.Now()
-		c.answer(t)
+		c.readResponse(t)
 		if took := time.Since(start); took > lingerTimeout/2 {
 			t.Errorf("waited %v for a slot", took)
 		}
@@ -264,14 +264,14 @@
 }
 
 // A request whose head was not whole at the end was closed on; its last bytes may have been on their way.
-func TestHalfARequestIsRefusedAtTheEnd(t *testing.T) {
+func TestPartialRequestIsRejectedAtCutoff(t *testing.T) {
 	for _, open := range []func(*frontend, *running) *client{
 		func(_ *frontend, p *running) *client { return connect(t, p) },
-		func(f *frontend, p *running) *client { return kept(t, f, p) },
+		func(f *frontend, p *running) *client { return keepAliveClient(t, f, p) },
 	} {
 		f, _, requests, p := startHooked(t, 4, "ok")
 		c := open(f, p)
-		text := look("2", 4000)
+		text := lookRequest("2", 4000)
 		c.send(t, text[:len(text)/2])
 		waitUntil(t, func() bool {
 			f.mu.Lock()
@@ -286,7 +286,7 @@
 		came := requests.Load()
 		f.closeIdle(time.Hour, time.Hour, true)
 		c.send(t, text[len(text)/2:])
-		if resp, _ := c.answer(t); resp.StatusCode != 503 || !resp.Close {
+		if resp, _ := c.readResponse(t); resp.StatusCode != 503 || !resp.Close {
 			t.Errorf("got %s, close %v", resp.Status, resp.Close)
 		}
 		if _, err := c.r.ReadByte(); err != io.EOF {
@@ -299,7 +299,7 @@
 }
 
 // Half a head on a kept connection had the two minutes of one that rests.
-func TestHalfAHeadOnAKeptConnectionIsClosedInTime(t *testing.T) {
+func TestPartialHeadOnKeepAliveIsClosedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
 		defer p.stop()
@@ -313,7 +313,7 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		time.Sleep(time.Minute)
 		go func() { _, _ = io.WriteString(c, "GET /look") }()
-		if text, after := ends(c); text != "" || after > 3*time.Second {
+		if text, after := readToEnd(c); text != "" || after > 3*time.Second {
 			t.Errorf("got %q and the end after %v", text, after)
 		}
 	})
@@ -321,9 +321,9 @@
 
 // A drain ends while clients send on every connection that is open: what was taken has its answer, the rest an end that
 // shows that it was not.
-func TestClientsThatSendUpToTheEndLoseNothing(t *testing.T) {
-	b := startBackend(t, says(served, true))
-	p := startProxy(t, startDiscovery(t).addr, 300, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+func TestClientsSendingUntilExitLoseNothing(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
+	p := startProxy(t, startDiscovery(t).addr, 300, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
@@ -338,10 +338,10 @@
 				return
 			}
 			defer c.Close()
-			_ = c.SetDeadline(time.Now().Add(patience))
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			r := bufio.NewReader(c)
 			for i := 0; ; i++ {
-				if _, err = io.WriteString(c, look(fmt.Sprint(c.LocalAddr(), "-", i), 4000)); err != nil {
+				if _, err = io.WriteString(c, lookRequest(fmt.Sprint(c.LocalAddr(), "-", i), 4000)); err != nil {
 					break
 				}
 				var resp *http.Response
@@ -378,11 +378,11 @@
 	}
 	p.stop()
 	for range clients {
-		if err := wait(t, "end of a client", ends); err != nil {
+		if err := receiveFrom(t, "end of a client", ends); err != nil {
 			t.Error(err)
 		}
 	}
-	if err := wait(t, "end of Run", p.done); err != nil {
+	if err := receiveFrom(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 	f := p.Metrics()
--- a/internal/proxy/endings_test.go
+++ b/internal/proxy/endings_test.go
@@ -16,7 +16,7 @@
 
 // An answer of untold length that breaks off, or is not gone on with, before its first byte has not begun: another
 // attempt can serve, and else the client hears of it in its time.
-func TestAnAnswerOfUntoldLengthBeginsWithItsFirstByte(t *testing.T) {
+func TestResponseWithoutLengthStartsAtFirstByte(t *testing.T) {
 	for _, head := range []string{"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"} {
 		for _, c := range []struct {
 			name string
@@ -29,9 +29,9 @@
 			{"silent to the end", 99, func(w io.Writer) bool { _, _ = w.(net.Conn).Read(make([]byte, 1)); return false }, 504},
 		} {
 			t.Run(c.name, func(t *testing.T) {
-				p, _ := serving(t, func(w io.Writer, _ *http.Request, n int) bool {
+				p, _ := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 					if n >= c.good {
-						_, _ = io.WriteString(w, served)
+						_, _ = io.WriteString(w, okResponse)
 						return true
 					}
 					_, _ = io.WriteString(w, head)
@@ -39,7 +39,7 @@
 					return c.then(w)
 				})
 				cl := connect(t, p)
-				cl.send(t, look("1", 1500))
+				cl.send(t, lookRequest("1", 1500))
 				resp, err := http.ReadResponse(cl.r, nil)
 				if err != nil {
 					t.Fatalf("no answer: %v", err)
--- a/internal/proxy/figures_test.go
+++ b/internal/proxy/figures_test.go
@@ -11,11 +11,11 @@
 
 // Each request that was taken ends once, whichever way it leaves: taken = ended + outstanding throughout.
 func TestEveryRequestIsCountedOnce(t *testing.T) {
-	served := says("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
-	failed := says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true)
-	stuck := hang(t)
+	served := respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
+	failed := respondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true)
+	stuck := neverRespond(t)
 	reached := make(chan struct{}, 10)
-	p, _ := serving(t, func(w io.Writer, r *http.Request, n int) bool {
+	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
 		switch r.Header.Get("Request-Id") {
 		case "1", "2":
 			return served(w, r, n)
@@ -39,14 +39,14 @@
 	c := connect(t, p)
 	for _, id := range []string{"1", "2", "3"} {
 		c.send(t, post(id))
-		c.answer(t)
+		c.readResponse(t)
 	}
 	c.send(t, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // no request of a class: nothing to count
-	c.answer(t)
+	c.readResponse(t)
 	waitUntil(t, func() bool { n, _ := ends(); return n == 3 })
 	goes := connect(t, p)
 	goes.send(t, post("4"))
-	wait(t, "the request at the backend", reached)
+	receiveFrom(t, "the request at the backend", reached)
 	waitUntil(t, func() bool { return p.Metrics().Forwarded == 4 }) // it may be there before it is counted
 	if n, f := ends(); n != 3 || f.InFlight != 1 {
 		t.Errorf("while one is out: %d ended, %+v", n, f)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestAnEndCountsOnce(t *testing.T) {
+func TestRequestFinishCountsOnce(t *testing.T) {
 	f := newMetrics([]string{"a"})
 	one, two := f.requestStarted("a"), f.requestStarted("b")
 	one.finish(http.StatusServiceUnavailable)
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -12,9 +12,9 @@
 // A request whose end two readers could see in two places was served, and what stood in its body went on to
 // a backend as a request of its own.
 func TestAmbiguousFramingIsNeverServed(t *testing.T) {
-	p, b := serving(t, says(served, true))
+	p, b := startServing(t, respondWith(okResponse, true))
 	const post = "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"
-	inner := look("inner", 4000)
+	inner := lookRequest("inner", 4000)
 	length := "Content-Length: 0\r\n"
 	for name, text := range map[string]string{
 		"length beside chunked":  post + length + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner,
@@ -42,7 +42,7 @@
 			came := b.requests.Load()
 			c := connect(t, p)
 			c.send(t, text)
-			resp, _ := c.answer(t)
+			resp, _ := c.readResponse(t)
 			if resp.StatusCode < 400 || !resp.Close {
 				t.Errorf("got %s, close %v", resp.Status, resp.Close)
 			}
@@ -57,12 +57,12 @@
 }
 
 // Behind a chunked body nothing more is read: bytes there were sent by nobody as a request of their own.
-func TestAChunkedRequestIsTheLastOnItsConnection(t *testing.T) {
-	p, b := serving(t, says(served, true))
+func TestChunkedRequestIsLastOnItsConnection(t *testing.T) {
+	p, b := startServing(t, respondWith(okResponse, true))
 	c := connect(t, p)
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"+
-		"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\n"+look("inner", 4000))
-	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
+		"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\n"+lookRequest("inner", 4000))
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 		t.Errorf("got %s %q, close %v", resp.Status, body, resp.Close)
 	}
 	if rest, _ := io.ReadAll(c.r); len(rest) > 0 || b.requests.Load() != 1 {
@@ -71,21 +71,21 @@
 }
 
 // A flawed head behind a request in flight does not cost that request its answer.
-func TestAFlawBehindARequestIsAnsweredAfterIt(t *testing.T) {
+func TestMalformedPipelinedHeadIsAnsweredInOrder(t *testing.T) {
 	release := make(chan struct{})
-	p, b := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	p, b := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		<-release
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, okResponse)
 		return true
 	})
 	c := connect(t, p)
-	c.send(t, look("1", 8000)+"POST /post/k HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n")
+	c.send(t, lookRequest("1", 8000)+"POST /post/k HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n")
 	waitUntil(t, func() bool { return b.requests.Load() == 1 })
 	close(release)
-	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("first got %s %q", resp.Status, body)
 	}
-	if resp, _ := c.answer(t); resp.StatusCode != 400 || !resp.Close {
+	if resp, _ := c.readResponse(t); resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("then got %s, close %v", resp.Status, resp.Close)
 	}
 }
@@ -100,7 +100,7 @@
 
 // However the bytes arrive, requests of plain framing pass unchanged.
 func TestPlainRequestsPassUnchanged(t *testing.T) {
-	text := look("1", 9) + "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\n\r\na\nb\r\n\r\n" +
+	text := lookRequest("1", 9) + "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\n\r\na\nb\r\n\r\n" +
 		"POST /b HTTP/1.1\r\nHost: h\r\ncontent-length:0\r\n\r\n" +
 		"POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	for name, r := range map[string]io.Reader{
@@ -118,7 +118,7 @@
 // FuzzFraming: no input makes the guard panic, and what it passes is a prefix of the input, but for empty
 // lines before a head and the flaw that stands in for a bad one.
 func FuzzFraming(f *testing.F) {
-	f.Add(look("1", 9) + look("2", 9))
+	f.Add(lookRequest("1", 9) + lookRequest("2", 9))
 	f.Add("\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 9223372036854775807\r\n\r\nx")
 	f.Add("GET / HTTP/1.1\n\n")
 	f.Add("\r\n")
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -87,7 +87,7 @@
 }
 
 // ends reads what comes until the connection is closed, and tells when that was.
-func ends(c net.Conn) (text string, after time.Duration) {
+func readToEnd(c net.Conn) (text string, after time.Duration) {
 	start := time.Now()
 	_ = c.SetReadDeadline(start.Add(time.Hour))
 	data, err := io.ReadAll(c)
@@ -102,7 +102,7 @@
 
 // Peers that sent nothing, or part of a request and then nothing, kept their connection's slot: for 10 s
 // those silent in the head, for ever those silent in a body, until no client could connect.
-func TestAPeerThatStallsIsClosedInTime(t *testing.T) {
+func TestStalledClientIsClosedInTime(t *testing.T) {
 	const post = "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"
 	for name, c := range map[string]struct {
 		text string
@@ -123,7 +123,7 @@
 				peer := p.connect()
 				defer peer.Close()
 				go func() { _, _ = io.WriteString(peer, c.text) }()
-				text, after := ends(peer)
+				text, after := readToEnd(peer)
 				if !strings.HasPrefix(text, c.want) || text != "" && c.want == "" || after > 3*time.Second {
 					t.Errorf("got %q and the end after %v", text, after)
 				}
@@ -137,7 +137,7 @@
 }
 
 // A byte now and then is no sign of life: the whole request has one time.
-func TestAPeerThatDripsIsClosedInTime(t *testing.T) {
+func TestDrippingClientIsClosedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
 		defer p.stop()
@@ -151,18 +151,18 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
-		if text, after := ends(peer); !strings.HasPrefix(text, "HTTP/1.1 408 ") || after > 3*time.Second {
+		if text, after := readToEnd(peer); !strings.HasPrefix(text, "HTTP/1.1 408 ") || after > 3*time.Second {
 			t.Errorf("got %q and the end after %v", text, after)
 		}
 	})
 }
 
 // The time for a request to come in is not the time for its answer.
-func TestASlowAnswerOutlastsTheReadTimeout(t *testing.T) {
+func TestSlowResponseOutlastsReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
 		defer p.stop()
-		for _, text := range []string{look("1", 8000),
+		for _, text := range []string{lookRequest("1", 8000),
 			"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 3\r\n\r\nabc"} {
 			c := p.connect()
 			if _, err := io.WriteString(c, text); err != nil {
@@ -193,7 +193,7 @@
 }
 
 // Peers that stall in every slot, in the head or in the body, give way to a client before their time is up.
-func TestStalledConnectionsGiveWay(t *testing.T) {
+func TestStalledConnectionsAreEvicted(t *testing.T) {
 	for name, text := range map[string]string{
 		"in the head": "",
 		"in the body": "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 9\r\n\r\n",
@@ -228,7 +228,7 @@
 
 // A client that is slow but keeps sending outlasts a crowd of peers that have stopped, on a new connection or on
 // a kept one, and a drain that begins meanwhile.
-func TestASlowClientOutlastsACrowd(t *testing.T) {
+func TestSlowClientSurvivesConnectionShortage(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			p := startPiped(t, 8)
@@ -259,7 +259,7 @@
 					})
 				}
 			})
-			text := strings.Replace(look("1", 8000), "Host: h", "Host: h\r\nLong: "+strings.Repeat("x", 400), 1)
+			text := strings.Replace(lookRequest("1", 8000), "Host: h", "Host: h\r\nLong: "+strings.Repeat("x", 400), 1)
 			for i := 0; i < len(text); i += len(text)/20 + 1 { // 2 s for the head
 				if _, err := io.WriteString(slow, text[i:min(len(text), i+len(text)/20+1)]); err != nil {
 					t.Fatalf("kept %v: cut off after %d bytes of %d: %v", kept, i, len(text), err)
@@ -280,7 +280,7 @@
 }
 
 // Checkers that kept their connections filled every slot with them.
-func TestAHealthCheckKeepsNoConnection(t *testing.T) {
+func TestHealthCheckClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
 		defer p.stop()
@@ -289,7 +289,7 @@
 		if _, err := io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		if text, after := ends(c); !strings.HasPrefix(text, "HTTP/1.1 200 ") || after != 0 {
+		if text, after := readToEnd(c); !strings.HasPrefix(text, "HTTP/1.1 200 ") || after != 0 {
 			t.Errorf("got %q and the end after %v", text, after)
 		}
 		synctest.Wait()
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -103,10 +103,10 @@
 
 // The answers that the proxy makes itself, as they stand on the wire.
 func TestOwnAnswersAreGolden(t *testing.T) {
-	breaks, _ := serving(t, says("", false))
-	full, _ := serving(t, says(served, true))
+	breaks, _ := startServing(t, respondWith("", false))
+	full, _ := startServing(t, respondWith(okResponse, true))
 	full.frontend.maxInFlight.Store(0)
-	good, _ := serving(t, says(served, true))
+	good, _ := startServing(t, respondWith(okResponse, true))
 	unlisted := startProxy(t, startDiscovery(t).addr, 200, "")
 	post := func(more string) string {
 		return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n" + more
@@ -122,16 +122,16 @@
 	}{
 		{"health", good, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"},
 		{"health without a list", unlisted, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"},
-		{"served", good, look("1", 4000)},
-		{"rejected for want of room", full, look("1", 4000)},
+		{"served", good, lookRequest("1", 4000)},
+		{"rejected for want of room", full, lookRequest("1", 4000)},
 		{"failed", breaks, post("Content-Length: 0\r\n\r\n")},
 		{"no class", good, "GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n"},
-		{"other path", good, strings.Replace(look("1", 9), "/look", "/rate", 1)},
-		{"no id", good, strings.Replace(look("1", 9), "Request-Id", "Other", 1)},
-		{"two ids", good, strings.Replace(look("1", 9), "Tenant: acme", "Request-Id: 2", 1)},
-		{"wrong method", good, strings.Replace(look("1", 9), "GET", "PUT", 1)},
-		{"needless key", good, strings.Replace(look("1", 9), "Tenant", "Idempotency-Key", 1)},
-		{"body on a GET", good, strings.Replace(look("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab"},
+		{"other path", good, strings.Replace(lookRequest("1", 9), "/look", "/rate", 1)},
+		{"no id", good, strings.Replace(lookRequest("1", 9), "Request-Id", "Other", 1)},
+		{"two ids", good, strings.Replace(lookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1)},
+		{"wrong method", good, strings.Replace(lookRequest("1", 9), "GET", "PUT", 1)},
+		{"needless key", good, strings.Replace(lookRequest("1", 9), "Tenant", "Idempotency-Key", 1)},
+		{"body on a GET", good, strings.Replace(lookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab"},
 		{"too large", good, post(fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBodyBytes+1))},
 		{"body broken off", good, post("Transfer-Encoding: chunked\r\n\r\nzz\r\n")},
 		{"body too slow", good, post("Content-Length: 9\r\n\r\nabc")},
@@ -184,17 +184,17 @@
 
 // The names of all counts that the metrics show.
 func TestCountsNamesAreGolden(t *testing.T) {
-	b := startBackend(t, hang(t))
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
-	p.breaks = true
+	b := startBackend(t, neverRespond(t))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	p.breaksRules = true
 	// A client's connections.
 	gone := connect(t, p)
-	gone.send(t, look("1", 4000))
+	gone.send(t, lookRequest("1", 4000))
 	waitUntil(t, func() bool { return b.requests.Load() == 1 })
 	gone.Close()
 	waitUntil(t, func() bool { return p.loop.audit.eventCounts()["closes.client.no_answer"] == 1 })
 	cut := connect(t, p)
-	cut.send(t, look("2", 4000))
+	cut.send(t, lookRequest("2", 4000))
 	waitUntil(t, func() bool { return b.requests.Load() == 2 })
 	p.frontend.mu.Lock()
 	for c := range p.frontend.conns {
@@ -209,12 +209,12 @@
 	})
 	answered := connect(t, p)
 	answered.send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
-	answered.answer(t)
+	answered.readResponse(t)
 	waitUntil(t, func() bool { return p.loop.audit.eventCounts()["closes.client.answered_or_broken"] > 0 })
 
 	// Connections to backends.
 	good := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, okResponse)
 		return r.Header.Get("Request-Id") != "close"
 	})
 	pool := poolWith(4, good.addr)
@@ -236,10 +236,10 @@
 	pool.setSuspended(map[string]bool{"a": true})
 	pool.setSuspended(nil)
 	pool.resetAndClose(idle())
-	closing := startBackend(t, says("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false))
+	closing := startBackend(t, respondWith("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false))
 	pool = poolWith(4, closing.addr)
 	pool.audit = p.loop.audit
-	newAttempt(pool, "a", patience).run()
+	newAttempt(pool, "a", testTimeout).run()
 
 	// Ends of attempts and reasons of rejections.
 	l := &eventLoop{clock: clock{time.Now()}, audit: newAudit(slog.New(slog.DiscardHandler))}
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -23,20 +23,20 @@
 }{
 	{"closes", "", (*client).fin},
 	{"resets", "", (*client).reset},
-	{"ends its sending", "", (*client).half},
-	{"closes behind a request", look("next", 4000), (*client).fin},
-	{"resets behind a request", look("next", 4000), (*client).reset},
-	{"closes behind half a request", look("next", 4000)[:20], (*client).fin},
-	{"ends its sending behind much", strings.Repeat("x", 2*maxPipelinedBytes), (*client).half},
+	{"ends its sending", "", (*client).closeWrite},
+	{"closes behind a request", lookRequest("next", 4000), (*client).fin},
+	{"resets behind a request", lookRequest("next", 4000), (*client).reset},
+	{"closes behind half a request", lookRequest("next", 4000)[:20], (*client).fin},
+	{"ends its sending behind much", strings.Repeat("x", 2*maxPipelinedBytes), (*client).closeWrite},
 }
 
 func (c *client) tcp() *net.TCPConn { return c.Conn.(*net.TCPConn) }
 func (c *client) fin()              { c.Close() }
-func (c *client) half()             { _ = c.tcp().CloseWrite() }
+func (c *client) closeWrite()       { _ = c.tcp().CloseWrite() }
 func (c *client) reset()            { _ = c.tcp().SetLinger(0); c.Close() }
 
 // stall has the loop stand still, once it has come to what is in its queue by now, until goOn is called.
-func stall(t *testing.T, p *running) (stands chan struct{}, goOn func()) {
+func blockLoop(t *testing.T, p *running) (stands chan struct{}, goOn func()) {
 	t.Helper()
 	stands, again := make(chan struct{}), make(chan struct{})
 	p.loop.post(func() { close(stands); <-again })
@@ -46,7 +46,7 @@
 }
 
 // nothingLeft checks the books once a client has gone: no request, attempt or connection that is in use.
-func nothingLeft(t *testing.T, p *running) {
+func checkNothingLeft(t *testing.T, p *running) {
 	t.Helper()
 	waitUntil(t, func() bool {
 		reqs := make(chan int, 1)
@@ -67,13 +67,13 @@
 }
 
 // nothingSent checks that so many requests have reached the backend over one connection, and that all goes on.
-func nothingSent(t *testing.T, p *running, b *fakeBackend, before int32) {
+func checkNothingSent(t *testing.T, p *running, b *fakeBackend, before int32) {
 	t.Helper()
-	unrested(p.loop.pool) // what it goes on has just been used
-	nothingLeft(t, p)
+	disableReuseDelay(p.loop.pool) // what it goes on has just been used
+	checkNothingLeft(t, p)
 	cl := connect(t, p)
-	cl.send(t, look("after", 4000))
-	if resp, _ := cl.answer(t); resp.StatusCode != 200 {
+	cl.send(t, lookRequest("after", 4000))
+	if resp, _ := cl.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("then got %s", resp.Status)
 	}
 	if n, conns := b.requests.Load(), b.conns.Load(); n != before+1 || conns != 1 {
@@ -85,66 +85,66 @@
 // follows from that has all its time before the loop hears of the departure.
 func leaves(t *testing.T, p *running, cause, depart func()) {
 	t.Helper()
-	unrested(p.loop.pool) // what it went on may have just been used
-	stands, goOn := stall(t, p)
-	wait(t, "stand of the loop", stands)
+	disableReuseDelay(p.loop.pool) // what it went on may have just been used
+	stands, goOn := blockLoop(t, p)
+	receiveFrom(t, "stand of the loop", stands)
 	cause()
 	waitUntil(t, func() bool { return len(p.loop.events) == 1 })
-	stands, end := stall(t, p)
+	stands, end := blockLoop(t, p)
 	depart()
 	goOn()
-	wait(t, "stand behind the event", stands)
-	attemptsEnd(t, p)
+	receiveFrom(t, "stand behind the event", stands)
+	checkAttemptsEnd(t, p)
 	end()
 }
 
-func attemptsEnd(t *testing.T, p *running) {
+func checkAttemptsEnd(t *testing.T, p *running) {
 	t.Helper()
 	ended := make(chan struct{})
 	go func() { p.loop.attemptGoroutines.Wait(); close(ended) }()
-	wait(t, "end of the attempts", ended)
+	receiveFrom(t, "end of the attempts", ended)
 }
 
 // The client goes while its request stands in the loop's queue.
-func TestNothingIsSentForAClientThatLeftInTheQueue(t *testing.T) {
+func TestNoAttemptForClientGoneInEventQueue(t *testing.T) {
 	for _, d := range departures {
 		for _, draining := range []bool{false, true} {
-			if draining && d.behind != look("next", 4000) {
+			if draining && d.behind != lookRequest("next", 4000) {
 				continue // each takes the time of a drain
 			}
 			t.Run(fmt.Sprintf("%s, draining %v", d.name, draining), func(t *testing.T) {
 				t.Parallel()
-				p, b := serving(t, says(served, true))
+				p, b := startServing(t, respondWith(okResponse, true))
 				cl := connect(t, p)
 				if draining {
 					p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { return 4 * time.Second, 5 * time.Second }
 					p.stop()
 					waitUntil(t, p.frontend.draining.Load)
 				}
-				leaves(t, p, func() { cl.send(t, look("1", 4000)+d.behind) }, func() { d.leave(cl) })
-				nothingSent(t, p, b, 0)
+				leaves(t, p, func() { cl.send(t, lookRequest("1", 4000)+d.behind) }, func() { d.leave(cl) })
+				checkNothingSent(t, p, b, 0)
 			})
 		}
 	}
 }
 
 // The client goes while the first attempt's failure stands in the loop's queue: no further one follows.
-func TestNothingIsSentAgainForAClientThatLeft(t *testing.T) {
+func TestNoRetryForGoneClient(t *testing.T) {
 	for _, d := range departures {
 		t.Run(d.name, func(t *testing.T) {
 			fail := make(chan struct{})
-			p, b := serving(t, func(w io.Writer, _ *http.Request, n int) bool {
+			p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n == 1 {
 					<-fail
-					return says("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
+					return respondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
 				}
-				return says(served, true)(w, nil, n)
+				return respondWith(okResponse, true)(w, nil, n)
 			})
 			cl := connect(t, p)
-			cl.send(t, look("1", 4000)+d.behind)
+			cl.send(t, lookRequest("1", 4000)+d.behind)
 			waitUntil(t, func() bool { return b.requests.Load() == 1 })
 			leaves(t, p, func() { close(fail) }, func() { d.leave(cl) })
-			nothingSent(t, p, b, 1)
+			checkNothingSent(t, p, b, 1)
 			spent := make(chan int, 1)
 			p.loop.post(func() { spent <- len(p.loop.balancer.ExportRetryBudget(p.loop.clock.now()).Retries) })
 			if n := <-spent; n != 0 {
@@ -155,7 +155,7 @@
 }
 
 // The client goes while its request waits for its key's turn, which comes before the departure is heard of.
-func TestNothingIsSentForAClientThatLeftItsTurn(t *testing.T) {
+func TestNoAttemptForClientGoneInKeyQueue(t *testing.T) {
 	rate := func(id string) string {
 		return "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: rate\r\nIdempotency-Key: x\r\nContent-Length: 0\r\n\r\n"
 	}
@@ -167,9 +167,9 @@
 				if n == 1 {
 					<-turn
 				}
-				return says(served, true)(w, nil, n)
+				return respondWith(okResponse, true)(w, nil, n)
 			})
-			p := startSite(t, text, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)), t.TempDir())
+			p := startSite(t, text, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)), t.TempDir())
 			first, cl, third := connect(t, p), connect(t, p), connect(t, p)
 			first.send(t, rate("1"))
 			waitUntil(t, func() bool { return b.requests.Load() == 1 })
@@ -178,17 +178,17 @@
 			leaves(t, p, func() { close(turn) }, func() { d.leave(cl) })
 			third.send(t, rate("3")) // its turn comes
 			for _, c := range []*client{first, third} {
-				if resp, _ := c.answer(t); resp.StatusCode != 200 {
+				if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
 					t.Errorf("got %s", resp.Status)
 				}
 			}
-			nothingSent(t, p, b, 2)
+			checkNothingSent(t, p, b, 2)
 		})
 	}
 }
 
 // anyDeparted tells whether the end of a client's connection has come to the proxy's socket.
-func anyDeparted(p *running) bool {
+func anyPeerClosed(p *running) bool {
 	p.frontend.mu.Lock()
 	defer p.frontend.mu.Unlock()
 	for c := range p.frontend.conns {
@@ -200,9 +200,9 @@
 }
 
 // The client goes while a connection to the backend comes up; the loop, which would stop the attempt, is busy.
-func TestNothingIsSentOnALateConnectionForAClientThatLeft(t *testing.T) {
-	for _, text := range []string{look("1", 4000), post("1", "Content-Length: 1000000") + strings.Repeat("x", maxBufferedBody+1),
-		post("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
+func TestNoSendAfterSlowDialForGoneClient(t *testing.T) {
+	for _, text := range []string{lookRequest("1", 4000), postRequest("1", "Content-Length: 1000000") + strings.Repeat("x", maxBufferedBody+1),
+		postRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
 			if strings.Contains(text, "1000000") && d.behind != "" {
 				// Of the body: more than is read while nobody takes it, and no more than a socket's first window holds,
@@ -210,7 +210,7 @@
 				d.behind = strings.Repeat("x", 50_000)
 			}
 			t.Run(text[:5]+d.name, func(t *testing.T) {
-				p, b := serving(t, says(served, true))
+				p, b := startServing(t, respondWith(okResponse, true))
 				dialing, up := make(chan struct{}, 1), make(chan struct{})
 				pool := p.loop.pool
 				pool.mu.Lock()
@@ -223,74 +223,74 @@
 				pool.mu.Unlock()
 				cl := connect(t, p)
 				cl.send(t, text+d.behind)
-				wait(t, "dial", dialing)
-				stands, end := stall(t, p)
-				wait(t, "stand of the loop", stands)
+				receiveFrom(t, "dial", dialing)
+				stands, end := blockLoop(t, p)
+				receiveFrom(t, "stand of the loop", stands)
 				d.leave(cl)
-				waitUntil(t, func() bool { return anyDeparted(p) }) // its end may come later than this test goes on
+				waitUntil(t, func() bool { return anyPeerClosed(p) }) // its end may come later than this test goes on
 				close(up)
-				attemptsEnd(t, p)
+				checkAttemptsEnd(t, p)
 				end()
-				nothingSent(t, p, b, 0)
+				checkNothingSent(t, p, b, 0)
 			})
 		}
 	}
 }
 
 // The client goes while its connection waits to be accepted, its request in the kernel.
-func TestNothingIsSentForAClientThatLeftUnread(t *testing.T) {
+func TestNoAttemptForClientGoneBeforeRead(t *testing.T) {
 	for _, d := range departures {
 		t.Run(d.name, func(t *testing.T) {
 			over := make(chan struct{})
-			p, b := serving(t, func(w io.Writer, _ *http.Request, n int) bool {
+			p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n == 1 {
 					<-over
 				}
-				return says(served, true)(w, nil, n)
+				return respondWith(okResponse, true)(w, nil, n)
 			})
-			unrested(p.loop.pool)
+			disableReuseDelay(p.loop.pool)
 			p.frontend.listener.setLimit(1)
 			busy := connect(t, p)
-			busy.send(t, look("1", 4000))
+			busy.send(t, lookRequest("1", 4000))
 			waitUntil(t, func() bool { return b.requests.Load() == 1 })
 			cl := connect(t, p)
-			cl.send(t, look("2", 4000)+d.behind)
+			cl.send(t, lookRequest("2", 4000)+d.behind)
 			d.leave(cl)
 			close(over)
-			busy.answer(t)
+			busy.readResponse(t)
 			waitUntil(t, func() bool { return p.Metrics().InFlight == 0 }) // its own may stand in the figures for a moment
 			p.frontend.listener.setLimit(50)
 			waitUntil(t, func() bool { return p.frontend.openConns() <= 1 && len(p.frontend.listener.slotFreed) == 0 })
 			// It has been accepted, read and closed: before that it may hold the backend's connection, unsent.
 			waitUntil(t, func() bool { return p.Metrics().Events["closes.client.answered_or_broken"] >= 1 })
-			nothingSent(t, p, b, 1)
+			checkNothingSent(t, p, b, 1)
 		})
 	}
 }
 
 // A client that goes while its attempt is out takes that along, whatever it has sent behind its request.
-func TestADepartureEndsTheAttemptThatIsOut(t *testing.T) {
+func TestClientGoneCancelsAttemptInFlight(t *testing.T) {
 	long := strings.NewReplacer("4000000", "60000000", "8000000", "90000000").Replace(siteText) // no attempt ends by itself
-	for _, text := range []string{look("1", 60_000), post("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
+	for _, text := range []string{lookRequest("1", 60_000), postRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
 			if len(d.behind) > maxPipelinedBytes {
 				continue // not noticed: its attempt ends in its own time, and no other follows
 			}
 			t.Run(text[:5]+d.name, func(t *testing.T) {
-				b := startBackend(t, hang(t))
-				p := startSite(t, long, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)), t.TempDir())
+				b := startBackend(t, neverRespond(t))
+				p := startSite(t, long, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)), t.TempDir())
 				cl := connect(t, p)
 				cl.send(t, text+d.behind)
 				waitUntil(t, func() bool { return b.requests.Load() == 1 })
 				d.leave(cl)
-				nothingLeft(t, p)
+				checkNothingLeft(t, p)
 			})
 		}
 	}
 }
 
 // A server that ends its sending has given its answer up: the attempt is over, and its connection is closed.
-func TestAServerThatEndsItsSendingIsLeft(t *testing.T) {
+func TestBackendHalfCloseResetsAttempt(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -308,73 +308,73 @@
 		_, err = c.Read(make([]byte, 1)) // the proxy's side of it
 		closed <- err
 	}()
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", l.Addr().String(), discovery.StatusServing)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", l.Addr().String(), discovery.StatusServing)))
 	cl := connect(t, p)
-	cl.send(t, post("1", "Content-Length: 0"))
-	if resp, _ := cl.answer(t); resp.StatusCode != http.StatusBadGateway { // it may have run
+	cl.send(t, postRequest("1", "Content-Length: 0"))
+	if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusBadGateway { // it may have run
 		t.Errorf("got %s", resp.Status)
 	}
-	if err := wait(t, "end of the server's connection", closed); err == nil {
+	if err := receiveFrom(t, "end of the server's connection", closed); err == nil {
 		t.Error("bytes came")
 	}
-	nothingLeft(t, p)
+	checkNothingLeft(t, p)
 }
 
 // Of two requests under one id the later is none: its departure says nothing of the other.
-func TestADepartureUnderATakenIDLeavesTheOther(t *testing.T) {
+func TestClientGoneWithDuplicateIDLeavesFirstRequest(t *testing.T) {
 	fail := make(chan struct{})
-	p, b := serving(t, func(w io.Writer, _ *http.Request, n int) bool {
+	p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
 			<-fail
-			return says("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
+			return respondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
 		}
-		return says(served, true)(w, nil, n)
+		return respondWith(okResponse, true)(w, nil, n)
 	})
 	one, two := connect(t, p), connect(t, p)
-	one.send(t, look("1", 4000))
+	one.send(t, lookRequest("1", 4000))
 	waitUntil(t, func() bool { return b.requests.Load() == 1 })
-	stands, goOn := stall(t, p)
-	wait(t, "stand of the loop", stands)
-	two.send(t, look("1", 4000))
+	stands, goOn := blockLoop(t, p)
+	receiveFrom(t, "stand of the loop", stands)
+	two.send(t, lookRequest("1", 4000))
 	waitUntil(t, func() bool { return len(p.loop.events) == 1 })
 	two.Close()
 	waitUntil(t, func() bool { return len(p.loop.events) == 2 })
 	goOn()
 	waitUntil(t, func() bool { return p.frontend.openConns() == 1 })
 	close(fail)
-	if resp, _ := one.answer(t); resp.StatusCode != 200 {
+	if resp, _ := one.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
 	}
-	nothingLeft(t, p)
+	checkNothingLeft(t, p)
 }
 
 // An answer that comes before all of the body has cuts the rest off, which ends the request's context like a departure:
 // the client, which is there, gets it each time.
-func TestAnAnswerBeforeTheBodyIsNoDeparture(t *testing.T) {
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", "127.0.0.1:1", discovery.StatusDraining)))
+func TestResponseBeforeBodyEndIsNotClientGone(t *testing.T) {
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", "127.0.0.1:1", discovery.StatusDraining)))
 	for i := range 20 {
 		cl := connect(t, p)
-		stands, goOn := stall(t, p)
-		wait(t, "stand of the loop", stands)
-		cl.send(t, post(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody)) // and a read waits for more
+		stands, goOn := blockLoop(t, p)
+		receiveFrom(t, "stand of the loop", stands)
+		cl.send(t, postRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody)) // and a read waits for more
 		waitUntil(t, func() bool { return len(p.loop.events) == 1 })
 		goOn()
-		if resp, _ := cl.answer(t); resp.StatusCode != http.StatusServiceUnavailable {
+		if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("got %s", resp.Status)
 		}
 		cl.Close()
 	}
-	nothingLeft(t, p)
+	checkNothingLeft(t, p)
 }
 
 // An attempt that is stopped before it is written is none: the server is not to blame for it.
-func TestAWriteThatIsStoppedBlamesNobody(t *testing.T) {
+func TestCancelledWriteBlamesNobody(t *testing.T) {
 	near, far := net.Pipe() // takes nothing until it is read from
 	defer far.Close()
 	pool := poolWith(5)
 	pool.openConns = 1
 	ctx, stop := context.WithCancel(context.Background())
-	a := &attempt{request: &request{method: "GET", uri: "/", header: http.Header{}}, deadline: time.Now().Add(patience),
+	a := &attempt{request: &request{method: "GET", uri: "/", header: http.Header{}}, deadline: time.Now().Add(testTimeout),
 		pool: pool, ctx: ctx, cancel: stop}
 	writes := make(chan struct{})
 	c := &backendConn{Conn: writeSeen{near, writes}, backend: &backend{}}
--- a/internal/proxy/guard/guard_test.go
+++ b/internal/proxy/guard/guard_test.go
@@ -12,7 +12,7 @@
 )
 
 // Each rule is shown broken, and kept by what comes nearest to breaking it.
-func TestEachRuleIsSeenBroken(t *testing.T) {
+func TestEveryRuleIsDetected(t *testing.T) {
 	keyed := Policy{Idempotency: IdempotentWithKey, DedupScope: DedupScopeZone, DedupWindow: second, MaxAttempts: 3}
 	cell := Policy{Idempotency: IdempotentWithKey, DedupScope: DedupScopeCell, DedupWindow: second, MaxAttempts: 3}
 	everywhere := Policy{Idempotency: IdempotentWithKey, DedupScope: DedupScopeAll, DedupWindow: second, MaxAttempts: 3}
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -16,16 +16,16 @@
 
 // A successor takes over while clients come on new and kept connections: none is turned back, the predecessor's
 // kept connections are told to close, and it ends.
-func TestASuccessorTakesOverUnnoticed(t *testing.T) {
-	b := startBackend(t, says(served, true))
+func TestSuccessorTakesOverWithoutErrors(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
 	d := startDiscovery(t)
-	known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
+	known := listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))
 	state := t.TempDir()
 	first := startProxyAt(t, d.addr, 400, known, state)
 	waitUntil(t, func() bool { return first.handover.Load() != nil })
 	kept := connect(t, first)
-	kept.send(t, look("kept", 4000))
-	kept.answer(t)
+	kept.send(t, lookRequest("kept", 4000))
+	kept.readResponse(t)
 
 	var id, bad, refused atomic.Int64
 	over := make(chan struct{})
@@ -40,7 +40,7 @@
 					return
 				case <-time.After(10 * time.Millisecond): // within the tenant's share
 				}
-				switch status := oneShot(first.Addr(), look(fmt.Sprint("n", id.Add(1)), 4000)); status {
+				switch status := requestOnce(first.Addr(), lookRequest(fmt.Sprint("n", id.Add(1)), 4000)); status {
 				case 200:
 				case 503: // heard, and refused by the module: a busy machine makes calls slow
 					refused.Add(1)
@@ -51,25 +51,25 @@
 			}
 		})
 	}
-	d.say <- listText(2, true, listed("a", b.addr, discovery.StatusServing)) // whoever asks: the successor too
-	d.say <- listText(2, true, listed("a", b.addr, discovery.StatusServing))
+	d.responses <- listJSON(2, true, endpointJSON("a", b.addr, discovery.StatusServing)) // whoever asks: the successor too
+	d.responses <- listJSON(2, true, endpointJSON("a", b.addr, discovery.StatusServing))
 	second := startProxyAt(t, d.addr, 400, known, state)
 	if second.Addr() != first.Addr() {
 		t.Fatalf("the successor listens at %s and not %s", second.Addr(), first.Addr())
 	}
 	waitUntil(t, second.Ready)
 	waitUntil(t, func() bool { return first.handover.Load().isSuccessorServing() })
-	kept.send(t, look("kept to the end", 4000))
-	if resp, _ := kept.answer(t); resp.StatusCode != 200 || resp.Close {
+	kept.send(t, lookRequest("kept to the end", 4000))
+	if resp, _ := kept.readResponse(t); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("before the end: %s, close %v", resp.Status, resp.Close)
 	}
 	first.stop()
 	waitUntil(t, first.frontend.closing.Load)
-	kept.send(t, look("kept on", 4000))
-	if resp, _ := kept.answer(t); resp.StatusCode != 200 || !resp.Close {
+	kept.send(t, lookRequest("kept on", 4000))
+	if resp, _ := kept.readResponse(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a kept connection: %s, close %v", resp.Status, resp.Close)
 	}
-	if err := wait(t, "end of the predecessor", first.done); err != nil {
+	if err := receiveFrom(t, "end of the predecessor", first.done); err != nil {
 		t.Error(err)
 	}
 	first.done <- nil
@@ -88,13 +88,13 @@
 }
 
 // oneShot sends one request on a connection of its own; 0 is no whole answer.
-func oneShot(addr, text string) int {
+func requestOnce(addr, text string) int {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	var status int
 	if _, err := fmt.Fprint(c, text); err != nil {
 		return 0
@@ -107,9 +107,9 @@
 
 // While both live each keeps to its part; a successor that dies leaves the other with all.
 func TestTwoProcessesShareTheLimits(t *testing.T) {
-	b := startBackend(t, says(served, true))
+	b := startBackend(t, respondWith(okResponse, true))
 	d := startDiscovery(t)
-	known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
+	known := listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))
 	state := t.TempDir()
 	first := startProxyAt(t, d.addr, 400, known, state)
 	waitUntil(t, func() bool { return first.handover.Load() != nil })
@@ -124,13 +124,13 @@
 	second.stop()
 	all, _, _ := first.config.connLimits(false)
 	waitUntil(t, func() bool { return int(first.frontend.maxConns.Load()) == all })
-	if status := oneShot(first.Addr(), look("1", 4000)); status != 200 {
+	if status := requestOnce(first.Addr(), lookRequest("1", 4000)); status != 200 {
 		t.Errorf("after the successor's end: %d", status)
 	}
 }
 
 // What a dead or mute predecessor left behind must not keep a process from its start.
-func TestLeftoversDoNotBlockAStart(t *testing.T) {
+func TestStaleHandoverSocketDoesNotBlockStart(t *testing.T) {
 	for name, leave := range map[string]func(t *testing.T, path string){
 		"a file": func(t *testing.T, path string) {
 			if err := os.WriteFile(path, nil, 0o600); err != nil {
@@ -156,12 +156,12 @@
 		t.Run(name, func(t *testing.T) {
 			state := t.TempDir()
 			leave(t, filepath.Join(state, handoverSocketName))
-			b := startBackend(t, says(served, true))
-			p := startProxyAt(t, startDiscovery(t).addr, 400, listText(1, true, listed("a", b.addr, discovery.StatusServing)), state)
+			b := startBackend(t, respondWith(okResponse, true))
+			p := startProxyAt(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)), state)
 			if p.predecessor != nil {
 				t.Error("it takes itself for a successor")
 			}
-			if status := oneShot(p.Addr(), look("1", 4000)); status != 200 {
+			if status := requestOnce(p.Addr(), lookRequest("1", 4000)); status != 200 {
 				t.Errorf("got %d", status)
 			}
 		})
--- a/internal/proxy/leave_stress_test.go
+++ b/internal/proxy/leave_stress_test.go
@@ -13,9 +13,9 @@
 )
 
 // Clients that leave at any moment of their requests break no rule that the proxy can see, however they leave.
-func TestClientsThatLeaveAtAnyMomentBreakNoRule(t *testing.T) {
+func TestClientsGoneAtAnyMomentBreakNoRule(t *testing.T) {
 	long := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 20<<10, strings.Repeat("x", 20<<10)) // several writes
-	p, _ := serving(t, func(w io.Writer, r *http.Request, n int) bool {
+	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
 		time.Sleep(time.Duration(rand.IntN(4000)) * time.Microsecond)
 		if n%7 == 0 {
 			return false // a reset: another attempt is decided on
@@ -32,7 +32,7 @@
 					t.Error(err)
 					return
 				}
-				_, _ = io.WriteString(c, look(fmt.Sprintf("%d-%d", worker, i), 1000))
+				_, _ = io.WriteString(c, lookRequest(fmt.Sprintf("%d-%d", worker, i), 1000))
 				time.Sleep(time.Duration(rand.IntN(6000)) * time.Microsecond)
 				if i%2 == 0 {
 					_ = c.(*net.TCPConn).SetLinger(0)
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -16,28 +16,28 @@
 
 // A proxy whose discovery moves leaves the old one at once, in mid-watch, goes on from its version at the new one, and takes
 // the whole list of one that is behind it.
-func TestDiscoveryMoves(t *testing.T) {
-	a, b := startBackend(t, says(served, true)), startBackend(t, says(served, true))
+func TestDiscoveryAddressChanges(t *testing.T) {
+	a, b := startBackend(t, respondWith(okResponse, true)), startBackend(t, respondWith(okResponse, true))
 	first, second, third := startDiscovery(t), startDiscovery(t), startDiscovery(t)
 	p := startProxy(t, first.addr, 200, "")
 	query := func(d *fakeDiscovery, want string) {
 		t.Helper()
-		if got, _, _ := strings.Cut(wait(t, "call", d.calls), "&hold_ms="); got != want {
+		if got, _, _ := strings.Cut(receiveFrom(t, "call", d.calls), "&hold_ms="); got != want {
 			t.Errorf("asked %q, want %q", got, want)
 		}
 	}
 	query(first, "")
-	first.say <- listText(5, true, listed("a", a.addr, discovery.StatusServing))
+	first.responses <- listJSON(5, true, endpointJSON("a", a.addr, discovery.StatusServing))
 	query(first, "from=5")
 	p.listClient.SetSource(discovery.Source{Address: second.addr})
 	query(second, "from=5")
-	second.say <- listText(3, false) // another count of versions
+	second.responses <- listJSON(3, false) // another count of versions
 	query(second, "")
-	second.say <- listText(3, true, listed("b", b.addr, discovery.StatusServing))
+	second.responses <- listJSON(3, true, endpointJSON("b", b.addr, discovery.StatusServing))
 	query(second, "from=3")
 	c := connect(t, p)
-	c.send(t, look("1", 4000))
-	if resp, _ := c.answer(t); resp.StatusCode != 200 || a.requests.Load() != 0 || b.requests.Load() != 1 {
+	c.send(t, lookRequest("1", 4000))
+	if resp, _ := c.readResponse(t); resp.StatusCode != 200 || a.requests.Load() != 0 || b.requests.Load() != 1 {
 		t.Errorf("got %s, %d and %d requests", resp.Status, a.requests.Load(), b.requests.Load())
 	}
 	p.listClient.SetSource(discovery.Source{Address: third.addr}) // and again
@@ -55,20 +55,20 @@
 		if r.Header.Get("Request-Id")[0] == 'h' {
 			<-release
 		}
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, okResponse)
 		return true
 	})
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { // long enough for what is to be served on
 		return 2 * time.Second, 3500 * time.Millisecond
 	}
 	idle := connect(t, p)
-	idle.send(t, look("1", 8000))
-	idle.answer(t)
+	idle.send(t, lookRequest("1", 8000))
+	idle.readResponse(t)
 	var held []*client
 	for i := range 10 {
 		held = append(held, connect(t, p))
-		held[i].send(t, look(fmt.Sprint("h", i), 8000))
+		held[i].send(t, lookRequest(fmt.Sprint("h", i), 8000))
 	}
 	waitUntil(t, func() bool { return b.requests.Load() == 11 })
 	unused := connect(t, p)
@@ -76,8 +76,8 @@
 	waitUntil(t, func() bool { return p.frontend.draining.Load() })
 	late := connect(t, p)
 	for i, c := range []*client{idle, late, idle, late} {
-		c.send(t, look(fmt.Sprint("n", i), 8000))
-		if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" || resp.Close {
+		c.send(t, lookRequest(fmt.Sprint("n", i), 8000))
+		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || resp.Close {
 			t.Errorf("after SIGTERM: got %s, close %v", resp.Status, resp.Close)
 		}
 	}
@@ -91,13 +91,13 @@
 	var all sync.WaitGroup
 	for _, c := range held {
 		all.Go(func() {
-			if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
+			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 				t.Errorf("held: got %s, close %v", resp.Status, resp.Close)
 			}
 		})
 	}
 	all.Wait()
-	if err := wait(t, "end of Run", p.done); err != nil {
+	if err := receiveFrom(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 	if _, err := unused.r.ReadByte(); err == nil {
@@ -106,7 +106,7 @@
 }
 
 // The doors closed at once: with the next proxy not yet up, clients that kept a connection had nowhere to go.
-func TestClientsAreServedOnWhileTheLastCanStillMakeIt(t *testing.T) {
+func TestClientsAreServedWhileDraining(t *testing.T) {
 	for _, c := range []struct{ deadline, aim, stay, left time.Duration }{
 		{5 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 3500 * time.Millisecond},
 		{8 * time.Second, 4 * time.Second, drainAcceptPeriod, 3500 * time.Millisecond},
@@ -121,17 +121,17 @@
 }
 
 // SIGKILL follows: what a hung backend holds is failed before it comes.
-func TestSIGTERMEndsWhatHangs(t *testing.T) {
-	p, b := serving(t, hang(t))
+func TestSIGTERMEndsHungRequests(t *testing.T) {
+	p, b := startServing(t, neverRespond(t))
 	c := connect(t, p)
-	c.send(t, look("1", 8000))
+	c.send(t, lookRequest("1", 8000))
 	waitUntil(t, func() bool { return b.requests.Load() == 1 })
 	start := time.Now()
 	p.stop()
-	if resp, _ := c.answer(t); resp.StatusCode == 200 {
+	if resp, _ := c.readResponse(t); resp.StatusCode == 200 {
 		t.Errorf("got %s", resp.Status)
 	}
-	if err := wait(t, "end of Run", p.done); err != nil {
+	if err := receiveFrom(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(start); took > killDelay+5*time.Second {
@@ -141,18 +141,18 @@
 
 // New classes are served under their rules once the settings are in force; one that was dropped is turned away, and
 // what is open is answered by the rules that it began with.
-func TestSettingsChangeUnderWay(t *testing.T) {
+func TestSettingsChangeWithRequestsInFlight(t *testing.T) {
 	reached, goOn := make(chan struct{}, 1), make(chan struct{})
-	p, _ := serving(t, func(w io.Writer, r *http.Request, n int) bool {
+	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
 		if r.Header.Get("Request-Id") == "open" {
 			reached <- struct{}{}
-			wait(t, "the reload", goOn)
+			receiveFrom(t, "the reload", goOn)
 		}
-		return says(served, true)(w, r, n)
+		return respondWith(okResponse, true)(w, r, n)
 	})
 	open := connect(t, p)
-	open.send(t, look("open", 4000))
-	wait(t, "the open request", reached)
+	open.send(t, lookRequest("open", 4000))
+	receiveFrom(t, "the open request", reached)
 	site, err := settings.Decode([]byte(strings.NewReplacer(`"name":"look"`, `"name":"peek"`,
 		`"repeat":"at_most_once"`, `"repeat":"idempotent"`).Replace(siteText)))
 	if err != nil {
@@ -164,18 +164,18 @@
 		t.Fatal(err)
 	}
 	close(goOn)
-	if resp, _ := open.answer(t); resp.StatusCode != 200 {
+	if resp, _ := open.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("the open request: %s", resp.Status)
 	}
 	for text, want := range map[string]int{
-		strings.ReplaceAll(look("1", 4000), "look", "peek"): 200,
-		look("2", 4000): 400,
+		strings.ReplaceAll(lookRequest("1", 4000), "look", "peek"): 200,
+		lookRequest("2", 4000): 400,
 		"GET /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n\r\n": 200,
-		post("4", "Content-Length: 0"): 405,
+		postRequest("4", "Content-Length: 0"):                                             405,
 	} {
 		cl := connect(t, p)
 		cl.send(t, text)
-		if resp, _ := cl.answer(t); resp.StatusCode != want {
+		if resp, _ := cl.readResponse(t); resp.StatusCode != want {
 			t.Errorf("%q: %s", text, resp.Status)
 		}
 	}
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -14,7 +14,7 @@
 	syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR}
 
 // An accept that fails for a moment ends neither the proxy nor the wait of the clients that come next.
-func TestAFailedAcceptEndsNothing(t *testing.T) {
+func TestFailedAcceptEndsNothing(t *testing.T) {
 	for _, failure := range passingAcceptErrors {
 		t.Run(failure.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -17,13 +17,13 @@
 
 // A new connection whose request lay in the kernel, its reader not having had its turn, was closed to make room for another:
 // it had sent nothing that anybody had read.
-func TestANewConnectionWithARequestUnreadIsNotShed(t *testing.T) {
+func TestNewConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	f, h, _, p := startHooked(t, 4, "ok")
 	turn := make(chan struct{})
 	once(&h.reading, func() { <-turn })
 	c := connect(t, p)
 	waitUntil(t, func() bool { return f.openConns() == 1 })
-	c.send(t, look("1", 4000))
+	c.send(t, lookRequest("1", 4000))
 	f.mu.Lock()
 	for conn := range f.conns {
 		conn.(*clientConn).lastReceived.Store(time.Now().Add(-time.Hour).UnixNano()) // it was accepted long ago
@@ -33,7 +33,7 @@
 	f.makeRoom()
 	f.closeIdle(0, 0, true)
 	close(turn)
-	if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
+	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q", resp.Status, body)
 	}
 }
@@ -49,21 +49,21 @@
 }
 
 // Peers with 60 MB to send that is no request have an error or a close in 6 s, whether they read meanwhile or not.
-func TestPeersThatSendMuchHaveTheirEnd(t *testing.T) {
-	p, b := serving(t, says(served, true))
+func TestOversizedInputIsClosedInTime(t *testing.T) {
+	p, b := startServing(t, respondWith(okResponse, true))
 	for name, head := range map[string]string{
 		"no head's end": "GET /look/k HTTP/1.1\r\nHost: h\r\nX: ",
 		"no line":       "",
-		"a body":        post("1", "Content-Length: 60000000"),
-		"on a GET":      strings.Replace(look("2", 4000), "Tenant: acme", "Content-Length: 60000000", 1),
-		"no class":      strings.ReplaceAll(post("3", "Content-Length: 60000000"), "post", "leap"),
+		"a body":        postRequest("1", "Content-Length: 60000000"),
+		"on a GET":      strings.Replace(lookRequest("2", 4000), "Tenant: acme", "Content-Length: 60000000", 1),
+		"no class":      strings.ReplaceAll(postRequest("3", "Content-Length: 60000000"), "post", "leap"),
 		"a bare LF":     "GET /look/k HTTP/1.1\nHost: h\n\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := connect(t, p)
 			start := time.Now()
-			_ = c.SetDeadline(start.Add(patience))
+			_ = c.SetDeadline(start.Add(testTimeout))
 			_, err := io.Copy(struct{ io.Writer }{c}, io.MultiReader(strings.NewReader(head), endless(60e6)))
 			if err == nil {
 				var got bytes.Buffer
@@ -86,12 +86,12 @@
 
 // SIGTERM between New and Run: who has connected by then has an answer, and the process ends.
 func TestSIGTERMBeforeRun(t *testing.T) {
-	b := startBackend(t, says(served, true))
+	b := startBackend(t, respondWith(okResponse, true))
 	site, err := settings.Decode([]byte(siteText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	known, err := discovery.Parse([]byte(listText(1, true, listed("a", b.addr, discovery.StatusServing))))
+	known, err := discovery.Parse([]byte(listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,13 +103,13 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	c := connect(t, &running{Proxy: proxy})
-	c.send(t, look("1", 4000))
+	c.send(t, lookRequest("1", 4000))
 	done := make(chan error, 1)
 	go func() { done <- proxy.Run(ctx) }()
-	if resp, _ := c.answer(t); resp.StatusCode != 200 {
+	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
 	}
-	if err := wait(t, "end of Run", done); err != nil {
+	if err := receiveFrom(t, "end of Run", done); err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", proxy.Addr()); err == nil {
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -14,14 +14,14 @@
 )
 
 // The peer closes a kept connection; a request that ran into it was sent a second time by http.Transport.
-func TestAConnectionThatItsPeerClosedIsNotUsed(t *testing.T) {
-	b := startBackend(t, says(served, false)) // promises to stay, then closes
+func TestConnectionClosedByBackendIsNotReused(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, false)) // promises to stay, then closes
 	p := poolWith(4, b.addr)
 	for n := range 3 {
-		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
+		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
 			t.Fatalf("attempt %d: got %v", n, res.status)
 		}
-		wait(t, "close", b.closed)
+		receiveFrom(t, "close", b.closed)
 		waitUntil(t, func() bool { // the news has reached this end
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -38,19 +38,19 @@
 }
 
 // The close crosses the request: exactly one send, and it may have run.
-func TestACloseThatCrossesTheRequestIsOneReset(t *testing.T) {
+func TestBackendCloseCrossingRequestIsOneReset(t *testing.T) {
 	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
-			_, _ = io.WriteString(w, served)
+			_, _ = io.WriteString(w, okResponse)
 		}
 		return n == 1
 	})
 	p := poolWith(4, b.addr)
-	unrested(p)
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
+	disableReuseDelay(p)
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusReset {
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusReset {
 		t.Errorf("got %v", res.status)
 	}
 	if b.requests.Load() != 2 || b.conns.Load() != 1 {
@@ -58,10 +58,10 @@
 	}
 }
 
-func TestTheMostRecentConnectionIsUsedFirstAndOldOnesAreClosed(t *testing.T) {
-	b := startBackend(t, says(served, true))
+func TestPoolReusesMostRecentAndClosesOld(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
 	p := poolWith(4, b.addr)
-	unrested(p)
+	disableReuseDelay(p)
 	e := p.byName["a"]
 	var two []*backendConn
 	for range 2 {
@@ -83,57 +83,57 @@
 	}
 }
 
-func TestAtTheSocketLimitAnIdleConnectionMakesRoomOrNoneIsOpened(t *testing.T) {
-	quick, slow := startBackend(t, says(served, true)), startBackend(t, hang(t))
+func TestConnLimitClosesIdleOrOpensNone(t *testing.T) {
+	quick, slow := startBackend(t, respondWith(okResponse, true)), startBackend(t, neverRespond(t))
 	p := poolWith(1, quick.addr, slow.addr)
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
-	held := newAttempt(p, "b", patience)
+	held := newAttempt(p, "b", testTimeout)
 	results := make(chan result, 1)
 	go func() { results <- held.run() }()
-	wait(t, "close of the idle connection", quick.closed)
+	receiveFrom(t, "close of the idle connection", quick.closed)
 	waitUntil(t, func() bool { return slow.requests.Load() == 1 })
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusNotSent { // the limit is the proxy's own, and no backend's fault
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusNotSent { // the limit is the proxy's own, and no backend's fault
 		t.Errorf("over the limit: got %v", res.status)
 	}
 	held.cancel()
-	wait(t, "result", results)
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
+	receiveFrom(t, "result", results)
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
 		t.Errorf("with room again: got %v", res.status)
 	}
 }
 
-func TestADialErrorThatIsNoRefusalIsAConnectFailureToo(t *testing.T) {
+func TestAnyDialErrorIsConnectFailed(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("too many open files") }
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed || p.openConns != 0 {
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusConnectFailed || p.openConns != 0 {
 		t.Errorf("got %v with %d open", res.status, p.openConns)
 	}
 }
 
 // A kept connection that broke since its backend died leaves the trust in others as it was.
-func TestAConnectionThatBrokeWithItsProcessCostsNoTrust(t *testing.T) {
+func TestBackendExitDoesNotShortenIdleTimeout(t *testing.T) {
 	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
 			return false
 		}
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, okResponse)
 		return true
 	})
 	p := poolWith(10, b.addr)
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK {
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
 	p.byName["a"].idleConns[0].idleSince = time.Now().Add(-time.Second)
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusReset {
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusReset {
 		t.Fatalf("got %v, want a reset", res.status)
 	}
 	if span := p.idleTracker.MaxIdle(time.Now(), p.idleTimeout, false); span > 600*time.Millisecond {
 		t.Fatalf("trusted for %v after a break at 1 s", span)
 	}
 	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusConnectFailed {
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusConnectFailed {
 		t.Fatalf("got %v, want a refused connection", res.status)
 	}
 	if span := p.idleTracker.MaxIdle(time.Now(), p.idleTimeout, false); span != p.idleTimeout {
@@ -143,16 +143,16 @@
 
 // A kept connection that its backend closes unannounced breaks under its next request: final for one that
 // must not run twice. On a day with such resets the proxy went on trusting every idle connection.
-func TestAKeptConnectionThatBrokeCostsTheNextItsTrust(t *testing.T) {
+func TestStaleReuseShortensIdleTimeout(t *testing.T) {
 	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
 			return false // closed without an answer
 		}
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, okResponse)
 		return true
 	})
 	p := poolWith(10, b.addr)
-	unrested(p)
+	disableReuseDelay(p)
 	do := func(idle time.Duration, unsafe bool) balancer.Status {
 		t.Helper()
 		p.mu.Lock()
@@ -160,7 +160,7 @@
 			c.idleSince = time.Now().Add(-idle)
 		}
 		p.mu.Unlock()
-		a := newAttempt(p, "a", patience)
+		a := newAttempt(p, "a", testTimeout)
 		a.request.nonIdempotent = unsafe
 		return a.run().status
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -28,37 +28,37 @@
 
 // fakeDiscovery answers the calls in the order of its answers and then holds every watch.
 type fakeDiscovery struct {
-	addr  string
-	say   chan string   // the next answers; "" breaks the connection
-	calls chan string   // the queries that came
-	over  chan struct{} // ends the held calls
+	addr      string
+	responses chan string   // the next answers; "" breaks the connection
+	calls     chan string   // the queries that came
+	stop      chan struct{} // ends the held calls
 }
 
 func startDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
-	d := &fakeDiscovery{say: make(chan string, 10), calls: make(chan string, 1000), over: make(chan struct{})}
+	d := &fakeDiscovery{responses: make(chan string, 10), calls: make(chan string, 1000), stop: make(chan struct{})}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls <- r.URL.RawQuery
 		select {
-		case text := <-d.say:
+		case text := <-d.responses:
 			if text == "" {
 				panic(http.ErrAbortHandler)
 			}
 			_, _ = io.WriteString(w, text)
-		case <-d.over:
+		case <-d.stop:
 		case <-r.Context().Done():
 		}
 	}))
 	d.addr = strings.TrimPrefix(s.URL, "http://")
-	t.Cleanup(func() { close(d.over); s.Close() })
+	t.Cleanup(func() { close(d.stop); s.Close() })
 	return d
 }
 
-func listText(index int, full bool, entries ...string) string {
+func listJSON(index int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, full, strings.Join(entries, ","))
 }
 
-func listed(name, addr, status string) string {
+func endpointJSON(name, addr, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":1,"status":%q,"weight":1,"since_ms":0}`,
 		name, addr, status)
 }
@@ -69,7 +69,7 @@
 	stop context.CancelFunc
 	done chan error
 
-	breaks bool // the test has it break a rule
+	breaksRules bool // the test has it break a rule
 }
 
 func startProxy(t *testing.T, list string, sockets int, known string) *running {
@@ -85,16 +85,16 @@
 
 func startSite(t *testing.T, text, list string, sockets int, known, state string) *running {
 	t.Helper()
-	return startPatient(t, text, list, sockets, known, state, 0)
+	return startWithSyncTimeout(t, text, list, sockets, known, state, 0)
 }
 
 // startSiteWaiting starts a proxy that waits so long for discovery to confirm its list.
 func startSiteWaiting(t *testing.T, text, list, known string, patience time.Duration) *running {
 	t.Helper()
-	return startPatient(t, text, list, 200, known, t.TempDir(), patience)
+	return startWithSyncTimeout(t, text, list, 200, known, t.TempDir(), patience)
 }
 
-func startPatient(t *testing.T, text, list string, sockets int, known, state string, patience time.Duration) *running {
+func startWithSyncTimeout(t *testing.T, text, list string, sockets int, known, state string, patience time.Duration) *running {
 	t.Helper()
 	site, err := settings.Decode([]byte(text))
 	if err != nil {
@@ -118,9 +118,9 @@
 	go func() { defer close(ended); r.done <- p.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		wait(t, "end of the proxy", ended)
+		receiveFrom(t, "end of the proxy", ended)
 		for rule, n := range p.Metrics().RuleViolations { // whatever the test is about
-			if n > 0 && !r.breaks {
+			if n > 0 && !r.breaksRules {
 				t.Errorf("the proxy broke the rule %s, %d times", rule, n)
 			}
 		}
@@ -129,10 +129,10 @@
 }
 
 // serving starts a proxy that knows one backend.
-func serving(t *testing.T, reply func(io.Writer, *http.Request, int) bool) (*running, *fakeBackend) {
+func startServing(t *testing.T, reply func(io.Writer, *http.Request, int) bool) (*running, *fakeBackend) {
 	t.Helper()
 	b := startBackend(t, reply)
-	return startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing))), b
+	return startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))), b
 }
 
 // client is one connection of a client.
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{c, bufio.NewReader(c)}
 }
 
@@ -159,7 +159,7 @@
 	}
 }
 
-func (c *client) answer(t *testing.T) (*http.Response, string) {
+func (c *client) readResponse(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -172,21 +172,21 @@
 	return resp, string(body)
 }
 
-func look(id string, ms int) string {
+func lookRequest(id string, ms int) string {
 	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: look\r\nTenant: acme\r\n"+
 		"Request-Timeout-Ms: %d\r\n\r\n", id, ms)
 }
 
 func TestRequestsOfAllClassesAreServed(t *testing.T) {
-	p, b := serving(t, says(served, true))
-	unrested(p.loop.pool)
+	p, b := startServing(t, respondWith(okResponse, true))
+	disableReuseDelay(p.loop.pool)
 	c := connect(t, p)
-	for i, text := range []string{look("1", 4000),
+	for i, text := range []string{lookRequest("1", 4000),
 		"POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nIdempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc",
 		"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
 	} {
 		c.send(t, text)
-		if resp, body := c.answer(t); resp.StatusCode != 200 || body != "ok" {
+		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 			t.Errorf("request %d: got %s %q", i, resp.Status, body)
 		}
 	}
@@ -196,23 +196,23 @@
 }
 
 // What makes no sense is answered, never passed on, and the connection still serves.
-func TestBadRequestsGoNoFurther(t *testing.T) {
-	p, b := serving(t, says(served, true))
+func TestBadRequestsAreNotForwarded(t *testing.T) {
+	p, b := startServing(t, respondWith(okResponse, true))
 	for name, c := range map[string]struct {
 		text string
 		want int
 		keep bool
 	}{
 		"no class":      {"GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n", 400, true},
-		"unknown class": {strings.ReplaceAll(look("1", 9), "look", "leap"), 400, true},
-		"other path":    {strings.Replace(look("1", 9), "/look", "/rate", 1), 400, true},
-		"full address":  {strings.Replace(look("1", 9), "/look", "http://h/look", 1), 400, true},
-		"no id":         {strings.Replace(look("1", 9), "Request-Id", "Other", 1), 400, true},
-		"two ids":       {strings.Replace(look("1", 9), "Tenant: acme", "Request-Id: 2", 1), 400, true},
-		"wrong method":  {strings.Replace(look("1", 9), "GET", "PUT", 1), 405, true},
-		"needless key":  {strings.Replace(look("1", 9), "Tenant", "Idempotency-Key", 1), 400, true},
+		"unknown class": {strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 400, true},
+		"other path":    {strings.Replace(lookRequest("1", 9), "/look", "/rate", 1), 400, true},
+		"full address":  {strings.Replace(lookRequest("1", 9), "/look", "http://h/look", 1), 400, true},
+		"no id":         {strings.Replace(lookRequest("1", 9), "Request-Id", "Other", 1), 400, true},
+		"two ids":       {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1), 400, true},
+		"wrong method":  {strings.Replace(lookRequest("1", 9), "GET", "PUT", 1), 405, true},
+		"needless key":  {strings.Replace(lookRequest("1", 9), "Tenant", "Idempotency-Key", 1), 400, true},
 		"missing key":   {"POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nContent-Length: 0\r\n\r\n", 400, true},
-		"body on a GET": {strings.Replace(look("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab", 400, true},
+		"body on a GET": {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab", 400, true},
 		"too large":     {"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: " + strconv.Itoa(maxRequestBodyBytes+1) + "\r\n\r\n", 413, false},
 		"no HTTP":       {"what is this\r\n\r\n", 400, false},
 		"huge head":     {"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*maxRequestHeadBytes) + "\r\n\r\n", 431, false},
@@ -220,13 +220,13 @@
 		t.Run(name, func(t *testing.T) {
 			cl := connect(t, p)
 			cl.send(t, c.text)
-			if resp, _ := cl.answer(t); resp.StatusCode != c.want {
+			if resp, _ := cl.readResponse(t); resp.StatusCode != c.want {
 				t.Errorf("got %s", resp.Status)
 			}
 			if c.keep {
 				came := b.requests.Load()
-				cl.send(t, look("9", 4000))
-				if resp, body := cl.answer(t); resp.StatusCode != 200 || body != "ok" || b.requests.Load() != came+1 {
+				cl.send(t, lookRequest("9", 4000))
+				if resp, body := cl.readResponse(t); resp.StatusCode != 200 || body != "ok" || b.requests.Load() != came+1 {
 					t.Errorf("then got %s", resp.Status)
 				}
 			}
@@ -235,11 +235,11 @@
 }
 
 // The module's refusal comes at once and says when to come back.
-func TestARefusalIsAnsweredAtOnce(t *testing.T) {
-	p, b := serving(t, says("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
+func TestRejectionIsAnsweredAtOnce(t *testing.T) {
+	p, b := startServing(t, respondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
 	c := connect(t, p)
-	c.send(t, look("1", 8000))
-	resp, _ := c.answer(t)
+	c.send(t, lookRequest("1", 8000))
+	resp, _ := c.readResponse(t)
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("got %s %v", resp.Status, resp.Header)
 	}
@@ -248,12 +248,12 @@
 	}
 }
 
-func TestAHungBackendCostsTheClientNoAnswer(t *testing.T) {
-	p, b := serving(t, hang(t))
+func TestHungBackendStillGivesClientAnAnswer(t *testing.T) {
+	p, b := startServing(t, neverRespond(t))
 	c := connect(t, p)
 	start := time.Now()
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 1000\r\nContent-Length: 0\r\n\r\n")
-	resp, _ := c.answer(t)
+	resp, _ := c.readResponse(t)
 	if resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("got %s after %v", resp.Status, time.Since(start))
 	}
@@ -262,29 +262,29 @@
 	}
 }
 
-func TestAClientThatGoesTakesItsAttemptAlong(t *testing.T) {
+func TestClientGoneCancelsAttempt(t *testing.T) {
 	came := make(chan struct{}, 1)
 	gone := make(chan struct{}, 1)
-	p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		came <- struct{}{}
 		_, _ = w.(net.Conn).Read(make([]byte, 1))
 		gone <- struct{}{}
 		return false
 	})
 	c := connect(t, p)
-	c.send(t, look("1", 8000))
-	wait(t, "request", came)
+	c.send(t, lookRequest("1", 8000))
+	receiveFrom(t, "request", came)
 	c.Close()
-	wait(t, "end of the attempt", gone)
+	receiveFrom(t, "end of the attempt", gone)
 	waitUntil(t, func() bool { // nothing is left of it
 		left := make(chan int, 1)
 		p.loop.post(func() { left <- len(p.loop.requests) })
-		return wait(t, "word of the loop", left) == 0
+		return receiveFrom(t, "word of the loop", left) == 0
 	})
 }
 
-func TestAClientThatGoesInMidRequestLeavesNothing(t *testing.T) {
-	p, b := serving(t, says(served, true))
+func TestClientGoneMidRequestLeavesNothing(t *testing.T) {
+	p, b := startServing(t, respondWith(okResponse, true))
 	c := connect(t, p)
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 9\r\n\r\nabc")
 	waitUntil(t, func() bool { return p.frontend.openConns() == 1 })
@@ -296,86 +296,86 @@
 }
 
 // Two requests under one id could not be told apart; the second was never answered.
-func TestASecondRequestUnderOneIDIsTurnedAway(t *testing.T) {
-	p, b := serving(t, hang(t))
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
+	p, b := startServing(t, neverRespond(t))
 	first, second := connect(t, p), connect(t, p)
-	first.send(t, look("1", 8000))
+	first.send(t, lookRequest("1", 8000))
 	waitUntil(t, func() bool { return b.requests.Load() == 1 })
-	second.send(t, look("1", 8000))
-	if resp, _ := second.answer(t); resp.StatusCode != 400 {
+	second.send(t, lookRequest("1", 8000))
+	if resp, _ := second.readResponse(t); resp.StatusCode != 400 {
 		t.Errorf("got %s", resp.Status)
 	}
 }
 
 // A flood of requests was to end in too many open files; those over the clients' part are refused.
-func TestRequestsOverTheClientsPartAreRefused(t *testing.T) {
+func TestRequestsOverInFlightLimitAreRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := startBackend(t, func(w io.Writer, r *http.Request, n int) bool {
-		wait(t, "the end of the flood", release)
-		return says(served, true)(w, r, n)
+		receiveFrom(t, "the end of the flood", release)
+		return respondWith(okResponse, true)(w, r, n)
 	})
 	d := startDiscovery(t)
-	p := startProxy(t, d.addr, 120, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+	p := startProxy(t, d.addr, 120, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 	most := int(p.frontend.maxInFlight.Load())
 	var conns []*client
 	for i := range most {
 		conns = append(conns, connect(t, p))
-		conns[i].send(t, look(fmt.Sprint("f", i), 8000))
+		conns[i].send(t, lookRequest(fmt.Sprint("f", i), 8000))
 	}
 	waitUntil(t, func() bool { return p.Metrics().InFlight == int64(most) })
 	over := connect(t, p)
-	over.send(t, look("1", 4000))
-	resp, _ := over.answer(t)
+	over.send(t, lookRequest("1", 4000))
+	resp, _ := over.readResponse(t)
 	if resp.StatusCode != 503 || !resp.Close || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("got %s %v", resp.Status, resp.Header)
 	}
 	close(release)
 	for _, c := range conns {
-		if resp, _ := c.answer(t); resp.StatusCode != 200 && resp.StatusCode != 503 {
+		if resp, _ := c.readResponse(t); resp.StatusCode != 200 && resp.StatusCode != 503 {
 			t.Errorf("got %s", resp.Status)
 		}
 	}
 	next := connect(t, p)
-	next.send(t, look("2", 4000))
-	if resp, _ := next.answer(t); resp.StatusCode != 200 {
+	next.send(t, lookRequest("2", 4000))
+	if resp, _ := next.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
 	}
 }
 
 // Connections that carry no request are no reason to refuse one.
-func TestIdleConnectionsAreNoReasonToRefuse(t *testing.T) {
-	b := startBackend(t, says(served, true))
-	p := startProxy(t, startDiscovery(t).addr, 120, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+func TestIdleConnectionsCauseNoRejection(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
+	p := startProxy(t, startDiscovery(t).addr, 120, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 	for range p.frontend.maxConns.Load() + 2 {
 		connect(t, p)
 	}
 	c := connect(t, p)
-	c.send(t, look("1", 4000))
-	if resp, _ := c.answer(t); resp.StatusCode != 200 || !resp.Close { // its connection makes room
+	c.send(t, lookRequest("1", 4000))
+	if resp, _ := c.readResponse(t); resp.StatusCode != 200 || !resp.Close { // its connection makes room
 		t.Errorf("got %s, close %v", resp.Status, resp.Close)
 	}
 }
 
 // Each answer is applied, a garbled or broken one changes nothing and the next call asks for the full list.
-func TestTheWatchGoesOnThroughNonsenseAndBreaks(t *testing.T) {
-	a, b := startBackend(t, says(served, true)), startBackend(t, says(served, true))
+func TestListWatchSurvivesMalformedAndBrokenResponses(t *testing.T) {
+	a, b := startBackend(t, respondWith(okResponse, true)), startBackend(t, respondWith(okResponse, true))
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 200, "")
 	health := func() int {
 		c := connect(t, p)
 		c.send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
-		resp, _ := c.answer(t)
+		resp, _ := c.readResponse(t)
 		return resp.StatusCode
 	}
 	ask := func(id string) int {
 		c := connect(t, p)
-		c.send(t, look(id, 4000))
-		resp, _ := c.answer(t)
+		c.send(t, lookRequest(id, 4000))
+		resp, _ := c.readResponse(t)
 		return resp.StatusCode
 	}
 	query := func(want string) {
 		t.Helper()
-		if got, _, _ := strings.Cut(wait(t, "call", d.calls), "&hold_ms="); got != want {
+		if got, _, _ := strings.Cut(receiveFrom(t, "call", d.calls), "&hold_ms="); got != want {
 			t.Errorf("asked %q, want %q", got, want)
 		}
 	}
@@ -383,26 +383,26 @@
 	if got := health(); got != 503 {
 		t.Errorf("healthy without a list: %d", got)
 	}
-	d.say <- listText(5, true, listed("a", a.addr, discovery.StatusServing))
+	d.responses <- listJSON(5, true, endpointJSON("a", a.addr, discovery.StatusServing))
 	query("from=5")
 	if got := health(); got != 200 {
 		t.Errorf("not healthy with a list: %d", got)
 	}
-	for _, nonsense := range []string{`{"index":6,"snap`, listText(6, false, listed("a", "nowhere", discovery.StatusServing)),
-		listText(6, false, listed("a", a.addr, "RESTING")), ""} {
-		d.say <- nonsense
+	for _, nonsense := range []string{`{"index":6,"snap`, listJSON(6, false, endpointJSON("a", "nowhere", discovery.StatusServing)),
+		listJSON(6, false, endpointJSON("a", a.addr, "RESTING")), ""} {
+		d.responses <- nonsense
 		if nonsense == "" {
 			query("from=5") // net/http asks once more by itself; a question may be put twice
 		} else {
 			query("")
 		}
-		d.say <- listText(5, true, listed("a", a.addr, discovery.StatusServing))
+		d.responses <- listJSON(5, true, endpointJSON("a", a.addr, discovery.StatusServing))
 		query("from=5")
 		if got := ask("x"); got != 200 {
 			t.Errorf("after %q: %d", nonsense, got)
 		}
 	}
-	d.say <- listText(7, false, listed("a", a.addr, discovery.StatusDraining), listed("b", b.addr, discovery.StatusServing))
+	d.responses <- listJSON(7, false, endpointJSON("a", a.addr, discovery.StatusDraining), endpointJSON("b", b.addr, discovery.StatusServing))
 	query("from=7")
 	served := a.requests.Load()
 	for i := range 20 {
--- a/internal/proxy/ready_test.go
+++ b/internal/proxy/ready_test.go
@@ -20,8 +20,8 @@
 
 // A proxy that starts without a list, while discovery is down, says what is missing, and is ready soon after discovery is
 // back, whatever the asking time.
-func TestReadinessSaysWhatIsMissing(t *testing.T) {
-	b := startBackend(t, says(served, true))
+func TestReadinessNamesWhatIsMissing(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
 	place, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 			return
 		}
 		if !r.URL.Query().Has("from") {
-			_, _ = io.WriteString(w, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+			_, _ = io.WriteString(w, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 			return
 		}
 		<-r.Context().Done()
@@ -62,10 +62,10 @@
 
 // While discovery is down, deaf, or answers nonsense, the servers that were last known are used, for as long as it takes;
 // a proxy that has a list from its configuration is ready by it, here without the wait of sync_test.go.
-func TestServersLastKnownStand(t *testing.T) {
+func TestLastKnownServersAreKept(t *testing.T) {
 	for _, how := range []string{"down", "503", "deaf", "nonsense"} {
 		t.Run(how, func(t *testing.T) {
-			b := startBackend(t, says(served, true))
+			b := startBackend(t, respondWith(okResponse, true))
 			var calls atomic.Int32
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
@@ -75,13 +75,13 @@
 				case "503":
 					w.WriteHeader(http.StatusServiceUnavailable)
 				case "nonsense":
-					_, _ = io.WriteString(w, listText(9, true, listed("a", "nowhere", discovery.StatusServing)))
+					_, _ = io.WriteString(w, listJSON(9, true, endpointJSON("a", "nowhere", discovery.StatusServing)))
 				default:
 					<-r.Context().Done()
 				}
 			}))
 			t.Cleanup(s.Close)
-			known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
+			known := listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))
 			p := startSite(t, asking, strings.TrimPrefix(s.URL, "http://"), 200, known, t.TempDir())
 			waitUntil(t, p.Ready)
 			lost := 4
@@ -91,8 +91,8 @@
 			for i := range lost {
 				waitUntil(t, func() bool { return calls.Load() > int32(i+1) })
 				c := connect(t, p)
-				c.send(t, look(fmt.Sprint(i), 4000))
-				if resp, _ := c.answer(t); resp.StatusCode != 200 {
+				c.send(t, lookRequest(fmt.Sprint(i), 4000))
+				if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
 					t.Errorf("request %d after %d calls that failed: %s", i, calls.Load(), resp.Status)
 				}
 			}
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -10,31 +10,31 @@
 )
 
 // An answer without a length ends with the connection's end; a reset is none.
-func TestAResetIsNoEndOfAnAnswer(t *testing.T) {
+func TestResetDoesNotCompleteResponse(t *testing.T) {
 	for name, head := range map[string]string{"HTTP/1.1": "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\n"} {
 		b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 			_, _ = io.WriteString(w, head+"ok")
 			return n == 1 && resets(w)
 		})
 		p := poolWith(4, b.addr)
-		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusReset {
+		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusReset {
 			t.Errorf("%s, reset: got %v %q", name, res.status, res.body)
 		}
-		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
+		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
 			t.Errorf("%s, ended: got %v %q", name, res.status, res.body)
 		}
 	}
 }
 
 // One that is passed on as it comes and then reset is seen not to be whole, by a client of HTTP/1.0 too.
-func TestAnAnswerThatIsResetOnItsWayShows(t *testing.T) {
+func TestResetResponseIsVisibleToClient(t *testing.T) {
 	for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
-		p, _ := serving(t, func(w io.Writer, _ *http.Request, _ int) bool {
+		p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*maxBufferedResponse))
 			return resets(w)
 		})
 		cl := connect(t, p)
-		cl.send(t, strings.Replace(look("1", 4000), "HTTP/1.1", version, 1))
+		cl.send(t, strings.Replace(lookRequest("1", 4000), "HTTP/1.1", version, 1))
 		resp, err := http.ReadResponse(cl.r, nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -13,7 +13,7 @@
 )
 
 // unrested has a pool use connections again at once.
-func unrested(p *backendPool) {
+func disableReuseDelay(p *backendPool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuseDelay = 0
@@ -21,17 +21,17 @@
 
 // A second answer that comes after the next request is on its way here is not that one's: the connection rests until it has
 // come, is found to hold what nobody asked for, and is closed.
-func TestASecondAnswerIsNotTheNextRequests(t *testing.T) {
+func TestExtraResponseIsNotTakenForNextRequest(t *testing.T) {
 	next, spoilt := make(chan struct{}), make(chan struct{})
 	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
-			wait(t, "second answer to the first request", spoilt)
+			receiveFrom(t, "second answer to the first request", spoilt)
 		}
-		_, _ = io.WriteString(w, served)
+		_, _ = io.WriteString(w, okResponse)
 		if n == 1 {
 			go func() {
 				<-next
-				_, _ = io.WriteString(w, strings.Replace(served, "ok", "no", 1))
+				_, _ = io.WriteString(w, strings.Replace(okResponse, "ok", "no", 1))
 				close(spoilt)
 			}()
 		}
@@ -46,7 +46,7 @@
 		if n == 1 {
 			close(next)
 		}
-		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
+		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
 			t.Fatalf("request %d: got %v %q", n+1, res.status, res.body)
 		}
 	}
@@ -56,36 +56,36 @@
 }
 
 // A call that finds only connections that rest waits for the one that has rested longest; only one call does.
-func TestACallWaitsForAConnectionThatRests(t *testing.T) {
-	b := startBackend(t, says(served, true))
+func TestAttemptWaitsOutReuseDelay(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
 	p := poolWith(4, b.addr)
 	p.reuseDelay = 200 * time.Millisecond
 	for n := range 3 {
 		began := time.Now()
-		if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || b.conns.Load() != 1 {
+		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK || b.conns.Load() != 1 {
 			t.Fatalf("request %d: got %v on %d connections", n+1, res.status, b.conns.Load())
 		}
 		if took := time.Since(began); n > 0 && took < p.reuseDelay/2 {
 			t.Errorf("request %d took %v", n+1, took)
 		}
 	}
-	p.reuseDelay = patience
-	first := newAttempt(p, "a", 2*patience)
+	p.reuseDelay = testTimeout
+	first := newAttempt(p, "a", 2*testTimeout)
 	results := make(chan result, 1)
 	go func() { results <- first.run() }()
 	waitUntil(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(first.backend.idleConns) == 0 })
-	if res := newAttempt(p, "a", patience).run(); res.status != balancer.StatusOK || b.conns.Load() != 2 {
+	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK || b.conns.Load() != 2 {
 		t.Errorf("beside one that waits: got %v on %d connections", res.status, b.conns.Load())
 	}
 	first.cancel()
-	if res := wait(t, "result", results); res.status != balancer.StatusNotSent || b.requests.Load() != 4 {
+	if res := receiveFrom(t, "result", results); res.status != balancer.StatusNotSent || b.requests.Load() != 4 {
 		t.Errorf("stopped in the rest: got %v after %d requests", res.status, b.requests.Load())
 	}
 }
 
 // One that has rested is used before a new one is opened, though others are more recent.
-func TestAConnectionThatHasRestedIsFoundBehindThoseThatRest(t *testing.T) {
-	b := startBackend(t, says(served, true))
+func TestReusableConnectionFoundBehindDelayedOnes(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
 	p := poolWith(4, b.addr)
 	e := p.byName["a"]
 	var two []*backendConn
@@ -97,8 +97,8 @@
 		two = append(two, c)
 		p.putIdle(c)
 	}
-	p.reuseDelay = patience
-	two[0].idleSince = two[0].idleSince.Add(-patience)
+	p.reuseDelay = testTimeout
+	two[0].idleSince = two[0].idleSince.Add(-testTimeout)
 	if c := p.takeIdle(e, e.generation, false); c != two[0] {
 		t.Error("not the one that has rested")
 	}
--- a/internal/proxy/shortage_test.go
+++ b/internal/proxy/shortage_test.go
@@ -12,7 +12,7 @@
 
 // A connect that fails for what this machine is short of says nothing of the backend: nothing went out, and nobody is to
 // blame. One that the backend refuses, or that does not reach it, is its own.
-func TestAShortageOfTheProxysOwnBlamesNoBackend(t *testing.T) {
+func TestLocalShortageBlamesNoBackend(t *testing.T) {
 	for _, c := range []struct {
 		errno error
 		want  balancer.Status
@@ -26,7 +26,7 @@
 		p.dialContext = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", c.errno)}
 		}
-		if res := newAttempt(p, "a", patience).run(); res.status != c.want {
+		if res := newAttempt(p, "a", testTimeout).run(); res.status != c.want {
 			t.Errorf("%v: got %v, want %v", c.errno, res.status, c.want)
 		}
 		if p.openConns != 0 {
--- a/internal/proxy/starts_test.go
+++ b/internal/proxy/starts_test.go
@@ -9,7 +9,7 @@
 
 // The age of a server's process is taken by the wall clock of the moment in which the list tells of its start: a step of
 // that clock since this process began makes no server warm or cold.
-func TestAStepOfTheWallClockMovesNoStart(t *testing.T) {
+func TestWallClockStepDoesNotMoveStartTimes(t *testing.T) {
 	for _, step := range []time.Duration{0, -time.Hour, time.Hour, -5 * time.Second} {
 		c := clock{start: time.Now()}
 		starts, now := startTimes{}, c.now()
@@ -38,7 +38,7 @@
 
 // What a predecessor spent of the allowance lies as long ago for its successor as for itself, also where the wall clock was
 // set between their starts.
-func TestALegacyIsReadOnTheSuccessorsClock(t *testing.T) {
+func TestHandoverStateUsesSuccessorsClock(t *testing.T) {
 	const now = int64(50e6)
 	before := handoverState{Now: now + 3600e6}
 	before.RetryBudget.Requests = []int64{before.Now - 2e6, before.Now - 1e6}
--- a/internal/proxy/sync_test.go
+++ b/internal/proxy/sync_test.go
@@ -13,9 +13,9 @@
 
 // A new process has a list of any age from its configuration. It is not ready before discovery has confirmed one, lest it send
 // to what is long gone; but it does not wait where discovery is out of reach, nor for longer than its bound.
-func TestANewProcessWaitsForItsList(t *testing.T) {
-	b := startBackend(t, says(served, true))
-	known := listText(1, true, listed("a", b.addr, discovery.StatusServing))
+func TestSuccessorWaitsForEndpointList(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
+	known := listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))
 	start := func(t *testing.T, handler http.HandlerFunc, patience time.Duration) (*running, chan struct{}) {
 		t.Helper()
 		called := make(chan struct{}, 1)
@@ -28,7 +28,7 @@
 		}))
 		t.Cleanup(s.Close)
 		p := startSiteWaiting(t, asking, strings.TrimPrefix(s.URL, "http://"), known, patience)
-		wait(t, "a call for the list", called)
+		receiveFrom(t, "a call for the list", called)
 		waitUntil(t, p.frontend.serving.Load)
 		return p, called
 	}
@@ -37,7 +37,7 @@
 		p, _ := start(t, func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-answer:
-				_, _ = io.WriteString(w, listText(1, false))
+				_, _ = io.WriteString(w, listJSON(1, false))
 			case <-r.Context().Done():
 			}
 		}, time.Minute)
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -15,12 +15,12 @@
 	"merlinpick/internal/discovery"
 )
 
-func post(id, framing string) string {
+func postRequest(id, framing string) string {
 	return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: post\r\n" + framing + "\r\n\r\n"
 }
 
 // A body that is too large to be held reaches the backend whole, in every framing, and passes on while it comes.
-func TestLargeBodiesArePassedOnAsTheyCome(t *testing.T) {
+func TestLargeBodiesAreStreamed(t *testing.T) {
 	const size = 2*maxBufferedBody + 5
 	body := bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size]
 	for _, c := range []struct {
@@ -32,13 +32,13 @@
 		{"when told to", fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue", size), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool { return says(served, true)(w, r, 0) })
+			b := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool { return respondWith(okResponse, true)(w, r, 0) })
 			var got bytes.Buffer
 			b.body = &got
 			b.begun = make(chan struct{})
-			p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 			cl := connect(t, p)
-			cl.send(t, post("1", c.framing))
+			cl.send(t, postRequest("1", c.framing))
 			if strings.Contains(c.framing, "Expect") {
 				resp, err := http.ReadResponse(cl.r, nil)
 				if err != nil || resp.StatusCode != http.StatusContinue {
@@ -53,21 +53,21 @@
 				}
 			}
 			send(body[:maxBufferedBody+1])
-			wait(t, "the head at the backend", b.begun) // the rest follows only once this has come
+			receiveFrom(t, "the head at the backend", b.begun) // the rest follows only once this has come
 			send(body[maxBufferedBody+1 : size-1])
 			send(body[size-1:])
 			if c.chunked {
 				cl.send(t, "0\r\n\r\n")
 			}
-			if resp, text := cl.answer(t); resp.StatusCode != 200 || text != "ok" {
+			if resp, text := cl.readResponse(t); resp.StatusCode != 200 || text != "ok" {
 				t.Errorf("got %s %q", resp.Status, text)
 			}
 			if !bytes.Equal(got.Bytes(), body) {
 				t.Errorf("%d bytes came of %d", got.Len(), size)
 			}
 			if !c.chunked { // the connection goes on
-				cl.send(t, look("2", 4000))
-				if resp, _ := cl.answer(t); resp.StatusCode != 200 {
+				cl.send(t, lookRequest("2", 4000))
+				if resp, _ := cl.readResponse(t); resp.StatusCode != 200 {
 					t.Errorf("then got %s", resp.Status)
 				}
 			}
@@ -80,12 +80,12 @@
 }
 
 // A request whose body breaks off in the backend's hands has its answer at once, though the rest has not come.
-func TestABackendThatBreaksUnderABodyIsAnsweredAtOnce(t *testing.T) {
-	b := startBackend(t, says(served, true))
-	b.breaks = true
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+func TestBackendResetDuringUploadIsAnsweredAtOnce(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
+	b.resetsUploads = true
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 	cl := connect(t, p)
-	cl.send(t, post("1", fmt.Sprintf("Content-Length: %d", 20<<20)))
+	cl.send(t, postRequest("1", fmt.Sprintf("Content-Length: %d", 20<<20)))
 	piece := strings.Repeat("x", 64<<10)
 	answered := make(chan int, 1)
 	go func() {
@@ -101,7 +101,7 @@
 			break // it has answered and closed
 		}
 	}
-	if got := wait(t, "the answer", answered); got != 503 { // the last byte was never written: it has not run
+	if got := receiveFrom(t, "the answer", answered); got != 503 { // the last byte was never written: it has not run
 		t.Errorf("got %d", got)
 	}
 	waitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Rejected == 1 })
@@ -111,15 +111,15 @@
 }
 
 // A client that goes in the middle of its body takes the attempt along, and the request counts nowhere.
-func TestAClientThatGoesInItsBodyLeavesNothing(t *testing.T) {
-	b := startBackend(t, says(served, true))
+func TestClientGoneDuringUploadLeavesNothing(t *testing.T) {
+	b := startBackend(t, respondWith(okResponse, true))
 	b.begun = make(chan struct{})
-	p := startProxy(t, startDiscovery(t).addr, 200, listText(1, true, listed("a", b.addr, discovery.StatusServing)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
 	cl := connect(t, p)
-	cl.send(t, post("1", "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody+1))
-	wait(t, "the head at the backend", b.begun)
+	cl.send(t, postRequest("1", "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody+1))
+	receiveFrom(t, "the head at the backend", b.begun)
 	cl.Close()
-	wait(t, "the backend's connection", b.closed)
+	receiveFrom(t, "the backend's connection", b.closed)
 	waitUntil(t, func() bool { return p.frontend.openConns() == 0 })
 	f := p.Metrics()
 	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded+e.Rejected+e.Failed != 0 || f.Forwarded != 0 {
@@ -147,7 +147,7 @@
 }
 
 // A client may be as slow as 64 kB a second, after a head that took 2 s; who stalls or drips is cut off in time.
-func TestTheRateOfABody(t *testing.T) {
+func TestMinimumUploadRate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		r     slowReader
@@ -181,7 +181,7 @@
 }
 
 // Bodies are held while there is memory for it, and the least of each in any case.
-func TestHeldBodiesAreBounded(t *testing.T) {
+func TestBufferedBodiesAreBounded(t *testing.T) {
 	h := &memoryBudget{max: 3 * guaranteedBodyBuffer}
 	var all []*upload
 	held := 0
@@ -207,16 +207,16 @@
 }
 
 // A body that cannot come whole before the cutoff is turned away with word that it may come again, not dropped.
-func TestABodyThatSIGTERMOvertakesIsTurnedAway(t *testing.T) {
-	p, _ := serving(t, says(served, true))
+func TestUploadIncompleteAtCutoffIsRejected(t *testing.T) {
+	p, _ := startServing(t, respondWith(okResponse, true))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
 	for _, size := range []int{1000, 4 * maxBufferedBody} { // held, and passed on as it comes
 		cl := connect(t, p)
-		cl.send(t, post(fmt.Sprint(size), fmt.Sprintf("Content-Length: %d", size))+strings.Repeat("x", size-500))
+		cl.send(t, postRequest(fmt.Sprint(size), fmt.Sprintf("Content-Length: %d", size))+strings.Repeat("x", size-500))
 		defer func() {
-			if resp, _ := cl.answer(t); resp.StatusCode < 500 || !resp.Close {
+			if resp, _ := cl.readResponse(t); resp.StatusCode < 500 || !resp.Close {
 				t.Errorf("%d bytes: got %s, close %v", size, resp.Status, resp.Close)
 			}
 		}()
--- a/internal/proxy/window_test.go
+++ b/internal/proxy/window_test.go
@@ -14,7 +14,7 @@
 
 // A further attempt is decided inside the window for repeats, and its connection may come up when that is over. Nobody
 // knows the key any more then: nothing goes out. In time it does.
-func TestAFurtherAttemptKeepsTheWindowThoughItsConnectionIsLate(t *testing.T) {
+func TestRetryKeepsDedupWindowDespiteSlowDial(t *testing.T) {
 	const window = time.Second
 	for _, c := range []struct {
 		name     string
@@ -25,11 +25,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n > 1 {
-					_, _ = io.WriteString(w, served)
+					_, _ = io.WriteString(w, okResponse)
 				}
 				return n > 1 // the first ends without an answer: it may have run
 			})
-			known := listText(1, true, listed("a", b.addr, "SERVING"))
+			known := listJSON(1, true, endpointJSON("a", b.addr, "SERVING"))
 			text := strings.Replace(siteText, `"dedup_window_us":9000000`, `"dedup_window_us":1000000`, 1)
 			p := startSite(t, text, startDiscovery(t).addr, 200, known, t.TempDir())
 			pool, first := p.loop.pool, make(chan time.Time, 9)
@@ -44,7 +44,7 @@
 			pool.mu.Unlock()
 			cl := connect(t, p)
 			cl.send(t, "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nTenant: acme\r\nIdempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc")
-			if resp, _ := cl.answer(t); resp.StatusCode != c.status || b.requests.Load() != c.requests || len(first) != 2 {
+			if resp, _ := cl.readResponse(t); resp.StatusCode != c.status || b.requests.Load() != c.requests || len(first) != 2 {
 				t.Errorf("got %s after %d requests and %d dials, want %d", resp.Status, b.requests.Load(), len(first), c.requests)
 			}
 		})
@@ -52,14 +52,14 @@
 }
 
 // What cannot be written whole inside the window is broken off there, which proves that it never ran.
-func TestAWriteThatOutlivesTheWindowIsBrokenOff(t *testing.T) {
+func TestWritePastSendWindowIsAborted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and reads nothing
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	for _, uploading := range []bool{false, true} {
-		a := newAttempt(poolWith(4, l.Addr().String()), "a", patience)
+		a := newAttempt(poolWith(4, l.Addr().String()), "a", testTimeout)
 		a.sendDeadline = time.Now().Add(200 * time.Millisecond)
 		a.request.method, a.request.bufferedBody, a.request.contentLength = http.MethodPost, make([]byte, 16<<20), 16<<20
 		if uploading {
--- a/internal/proxy/zonehands_test.go
+++ b/internal/proxy/zonehands_test.go
@@ -14,7 +14,7 @@
 )
 
 // stands is how a proxy shows a zone.
-func stands(t *testing.T, p *running, name string) management.Zone {
+func zoneStatus(t *testing.T, p *running, name string) management.Zone {
 	t.Helper()
 	for _, z := range p.Zones() {
 		if z.Name == name {
@@ -26,12 +26,12 @@
 }
 
 // A zone that is drained gets nothing at any process of a proxy, whatever lists say, and comes back by steps.
-func TestADrainedZoneGetsNothingUntilItIsRestored(t *testing.T) {
-	a, b := startBackend(t, says(served, true)), startBackend(t, says(served, true))
+func TestDrainedZoneGetsNothingUntilRestored(t *testing.T) {
+	a, b := startBackend(t, respondWith(okResponse, true)), startBackend(t, respondWith(okResponse, true))
 	in := func(zone, text string) string {
 		return strings.Replace(text, `"zone":"a"`, fmt.Sprintf(`"zone":%q`, zone), 1)
 	}
-	known := listText(1, true, listed("a/1", a.addr, discovery.StatusServing), in("b", listed("b/1", b.addr, discovery.StatusServing)))
+	known := listJSON(1, true, endpointJSON("a/1", a.addr, discovery.StatusServing), in("b", endpointJSON("b/1", b.addr, discovery.StatusServing)))
 	d := startDiscovery(t)
 	text := strings.Replace(siteText, `"failure_domains":["a"]`, `"failure_domains":["a","b"]`, 1)
 	first := startSite(t, text, d.addr, 200, known, t.TempDir())
@@ -40,14 +40,14 @@
 		t.Helper()
 		for c := connect(t, p); times > 0; times-- {
 			id++
-			c.send(t, look(strconv.Itoa(id), 4000))
-			if resp, _ := c.answer(t); resp.StatusCode != 200 {
+			c.send(t, lookRequest(strconv.Itoa(id), 4000))
+			if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
 				t.Fatalf("request %d: %s", id, resp.Status)
 			}
 		}
 	}
 	asks(first, 50)
-	if z := stands(t, first, "a"); a.requests.Load() == 0 || z.Phase != balancer.ZoneHealthy || z.WeightFraction != 1 || first.Metrics().Zones != nil {
+	if z := zoneStatus(t, first, "a"); a.requests.Load() == 0 || z.Phase != balancer.ZoneHealthy || z.WeightFraction != 1 || first.Metrics().Zones != nil {
 		t.Fatalf("before: %d at a, %+v, figures %+v", a.requests.Load(), z, first.Metrics().Zones)
 	}
 	for range 2 { // calls may be repeated
@@ -65,16 +65,16 @@
 		t.Errorf("a stranger: %v", err)
 	}
 	second := startSite(t, text, d.addr, 200, known, first.config.StateDir)
-	more := []string{listed("a/2", a.addr, discovery.StatusServing), in("c", listed("c/1", b.addr, discovery.StatusServing))}
+	more := []string{endpointJSON("a/2", a.addr, discovery.StatusServing), in("c", endpointJSON("c/1", b.addr, discovery.StatusServing))}
 	for _, p := range []*running{first, second} {
 		waitUntil(t, func() bool { // either may take what is said
 			select {
-			case d.say <- listText(2, false, more...):
+			case d.responses <- listJSON(2, false, more...):
 			default:
 			}
 			return p.Metrics().ListedServers == 4
 		})
-		if z := stands(t, p, "a"); z.Phase != balancer.ZoneDrained || z.WeightFraction != 0 || len(p.Metrics().Zones) != 3 {
+		if z := zoneStatus(t, p, "a"); z.Phase != balancer.ZoneDrained || z.WeightFraction != 0 || len(p.Metrics().Zones) != 3 {
 			t.Errorf("drained: %+v, figures %+v", z, p.Metrics().Zones)
 		}
 		asks(p, 50)
@@ -86,28 +86,28 @@
 		t.Fatal(err)
 	}
 	for _, p := range []*running{second, first} {
-		waitUntil(t, func() bool { return stands(t, p, "a").Phase == balancer.ZoneRecovering })
+		waitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneRecovering })
 		before = a.requests.Load()
 		waitUntil(t, func() bool { asks(p, 1); return a.requests.Load() > before })
 		if p.Metrics().Zones != nil {
 			t.Error("restored, it still shows figures of zones")
 		}
 	}
-	waitUntil(t, func() bool { return stands(t, first, "a").WeightFraction > 0.1 }) // without a fleet that moves it
+	waitUntil(t, func() bool { return zoneStatus(t, first, "a").WeightFraction > 0.1 }) // without a fleet that moves it
 }
 
 // Drains by calls at two proxies leave a zone, the same one at each.
-func TestDrainsThatMeetLeaveOneZone(t *testing.T) {
-	a, b := startBackend(t, says(served, true)), startBackend(t, says(served, true))
-	known := listText(1, true, listed("a/1", a.addr, discovery.StatusServing),
-		strings.Replace(listed("b/1", b.addr, discovery.StatusServing), `"zone":"a"`, `"zone":"b"`, 1))
+func TestConcurrentZoneDrainsRetainOneZone(t *testing.T) {
+	a, b := startBackend(t, respondWith(okResponse, true)), startBackend(t, respondWith(okResponse, true))
+	known := listJSON(1, true, endpointJSON("a/1", a.addr, discovery.StatusServing),
+		strings.Replace(endpointJSON("b/1", b.addr, discovery.StatusServing), `"zone":"a"`, `"zone":"b"`, 1))
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 200, known)
 	p.overrides.SetRemote(map[string]bool{override.ZoneKey("a"): true, override.ZoneKey("b"): true})
-	waitUntil(t, func() bool { return stands(t, p, "b").Phase == balancer.ZoneDrained })
-	if z := stands(t, p, "a"); z.Phase != balancer.ZoneHealthy || z.Reason == "" {
+	waitUntil(t, func() bool { return zoneStatus(t, p, "b").Phase == balancer.ZoneDrained })
+	if z := zoneStatus(t, p, "a"); z.Phase != balancer.ZoneHealthy || z.Reason == "" {
 		t.Errorf("the first by name: %+v", z)
 	}
-	d.say <- listText(2, false, strings.Replace(listed("c/1", b.addr, discovery.StatusServing), `"zone":"a"`, `"zone":"c"`, 1))
-	waitUntil(t, func() bool { return stands(t, p, "a").Phase == balancer.ZoneDrained }) // there is another now
+	d.responses <- listJSON(2, false, strings.Replace(endpointJSON("c/1", b.addr, discovery.StatusServing), `"zone":"a"`, `"zone":"c"`, 1))
+	waitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneDrained }) // there is another now
 }
