--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"merlinpick/balancer"
-	"merlinpick/internal/proxy/guard"
+	"merlinpick/internal/proxy/invariant"
 )
 
 // defaultGrace stands in for settings that state none: no deployment known has a longer one.
@@ -20,7 +20,7 @@
 
 // audit tells the guard what becomes of requests, counts what it finds and logs it. It changes nothing.
 type audit struct {
-	counts       guard.Counts
+	counts       invariant.Counts
 	logger       *slog.Logger
 	traceEnabled bool // each step of each request is logged
 
@@ -35,7 +35,7 @@
 }
 
 // found counts and logs violations.
-func (a *audit) recordViolations(broken ...guard.Violation) {
+func (a *audit) recordViolations(broken ...invariant.Violation) {
 	if a == nil || len(broken) == 0 {
 		return
 	}
@@ -72,12 +72,12 @@
 }
 
 // terms are the rules that a request was read by.
-func policyOf(r *request) guard.Policy {
+func policyOf(r *request) invariant.Policy {
 	if r.Settings == nil || r.Class >= len(r.Settings.Classes) {
-		return guard.Policy{MaxAttempts: 1 << 30} // a test's request, with no rules
+		return invariant.Policy{MaxAttempts: 1 << 30} // a test's request, with no rules
 	}
 	k := r.Settings.Classes[r.Class]
-	return guard.Policy{Idempotency: guard.Idempotency(k.Idempotency), DedupScope: guard.DedupScope(k.DedupScope),
+	return invariant.Policy{Idempotency: invariant.Idempotency(k.Idempotency), DedupScope: invariant.DedupScope(k.DedupScope),
 		DedupWindow: time.Duration(k.DedupWindow) * time.Microsecond, MaxAttempts: r.Settings.MaxAttempts, RejectedMayHaveExecuted: r.Settings.RejectedMayHaveExecuted}
 }
 
@@ -87,14 +87,14 @@
 	if !r.BodyPending {
 		due = l.clock.time(r.Deadline)
 	}
-	r.rules = guard.NewRequest(r.ID, policyOf(r), due)
+	r.rules = invariant.NewRequest(r.ID, policyOf(r), due)
 	l.audit.trace(r.ID, "taken", "class", r.className, "uploading", r.BodyPending)
 }
 
 // sends notes that an attempt begins.
 func (l *eventLoop) auditAttemptStart(a *attempt) {
 	if a.request.rules != nil {
-		l.audit.recordViolations(a.request.rules.AttemptStarted(guard.Server{Name: a.backend.name, Zone: a.zone, Cell: a.cell}, time.Now())...)
+		l.audit.recordViolations(a.request.rules.AttemptStarted(invariant.Server{Name: a.backend.name, Zone: a.zone, Cell: a.cell}, time.Now())...)
 	}
 	a.recordIndex = a.request.recordedAttempts
 	a.request.recordedAttempts++
@@ -135,7 +135,7 @@
 		return
 	}
 	closed, grace := a.pool.unavailableSince(a.backend)
-	a.pool.audit.recordViolations(guard.CheckFirstByte(a.request.ID, a.backend.name, at, a.deadline, closed, grace)...)
+	a.pool.audit.recordViolations(invariant.CheckFirstByte(a.request.ID, a.backend.name, at, a.deadline, closed, grace)...)
 }
 
 // closedAt is when a backend was last closed to new requests, zero if it is open to them, and the grace from then on.
@@ -180,7 +180,7 @@
 	}
 	audit.countEvent("closes.client." + reason)
 	if id := c.unanswered.Load(); id != nil {
-		audit.recordViolations(guard.ConnClosed(*id, reason+" by "+callers()))
+		audit.recordViolations(invariant.ConnClosed(*id, reason+" by "+callers()))
 		c.markAnswered()
 	}
 }
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -9,7 +9,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
-	"merlinpick/internal/proxy/guard"
+	"merlinpick/internal/proxy/invariant"
 )
 
 // A decision that breaks a rule is carried out all the same, and counted and logged: the audit sees what the module and the
@@ -31,7 +31,7 @@
 	l.auditResponse(r, response{status: 503})
 	l.auditResponse(r, response{status: 502})
 	got := l.audit.counts.Snapshot()
-	for _, rule := range []guard.Rule{guard.RetriedNonIdempotent, guard.RejectedAfterExecution, guard.RespondedTwice} {
+	for _, rule := range []invariant.Rule{invariant.RetriedNonIdempotent, invariant.RejectedAfterExecution, invariant.RespondedTwice} {
 		if got[rule.String()] != 1 || !strings.Contains(log.String(), "rule="+rule.String()+" request=r1") {
 			t.Errorf("%v counted %d times; the log:\n%s", rule, got[rule.String()], log.String())
 		}
--- a/internal/proxy/guard/guard.go
+++ b/internal/proxy/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package guard checks, while the proxy runs, that what it does to each request keeps the protocol's rules. It knows
+// Package invariant checks, while the proxy runs, that what it does to each request keeps the protocol's rules. It knows
 // nothing of how decisions come about: it is told what was taken, sent, ended, answered and closed, and reckons the rules
 // from that alone, so that a fault in the decisions or in their carrying out shows as a count that is not zero.
-package guard
+package invariant
 
 import (
 	"fmt"
--- a/internal/proxy/guard/guard_test.go
+++ b/internal/proxy/invariant/invariant_test.go
@@ -1,4 +1,4 @@
-package guard
+package invariant
 
 import (
 	"testing"
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"merlinpick/balancer"
-	"merlinpick/internal/proxy/guard"
+	"merlinpick/internal/proxy/invariant"
 )
 
 const (
@@ -44,8 +44,8 @@
 	bodyConsumed   bool                      // some of the rest is gone: no other attempt can have it
 	clientDeadline atomic.Pointer[time.Time] // when the client gives up, once its last byte is known to have come
 
-	rules            *guard.Request // what the rules know of it; nil in a test that does not take it
-	recordedAttempts int            // attempts that began
+	rules            *invariant.Request // what the rules know of it; nil in a test that does not take it
+	recordedAttempts int                // attempts that began
 
 	ended          bool
 	attemptCount   int
