--- a/internal/proxy/backendconn.go
+++ b/internal/proxy/backendconn.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"net/http"
-	"syscall"
 	"time"
 )
 
@@ -41,45 +40,6 @@
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// quiet tells whether a connection is open with nothing to read: an idle peer that has closed it, or sends
-// what nobody asked for, shows here without a wait.
-func openAndQuiet(c net.Conn) bool {
-	open := false
-	_, err := peekSocket(c, func(_ uintptr, _ int, err error) { open = errors.Is(err, syscall.EAGAIN) })
-	return err == nil && open
-}
-
-// peek looks at what there is to read on a connection, without a wait and without taking it. False if it has no socket
-// to be looked at; an error is one of getting at the socket, look is then not called.
-func peekSocket(c net.Conn, look func(fd uintptr, n int, err error)) (ok bool, err error) {
-	return withDescriptor(c, func(fd uintptr) {
-		var b [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		look(fd, n, err)
-	})
-}
-
-// control calls f with a connection's descriptor. False if it has none; an error is one of getting at it, f is then not
-// called. By Control, not Read: Read waits for any other reader, and the server always has one on its client.
-func withDescriptor(c net.Conn, f func(fd uintptr)) (ok bool, err error) {
-	sc, ok := c.(syscall.Conn)
-	if !ok {
-		return false, nil
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return false, nil
-	}
-	return true, raw.Control(f)
-}
-
-// resetOnClose has a connection's close drop what the system still holds back, and tell the peer that it broke.
-func resetOnClose(c net.Conn) {
-	if l, ok := c.(interface{ SetLinger(sec int) error }); ok {
-		_ = l.SetLinger(0)
-	}
-}
-
 // response reads an answer's head, past those that only say that one is to come. One whose body two readers could see end
 // in two places is no answer: net/http would settle that unseen, and the rest of it would be taken for the next answer.
 func (c *backendConn) readResponse(method string) (*http.Response, error) {
--- a/internal/proxy/backendpool.go
+++ b/internal/proxy/backendpool.go
@@ -15,6 +15,7 @@
 
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/idletimeout"
+	"merlinpick/internal/proxy/socket"
 )
 
 // backends holds the connections to all backends of the list. It stands in for http.Transport, which by
@@ -182,7 +183,7 @@
 			continue
 		}
 		b.idleConns = slices.Delete(b.idleConns, i, i+1)
-		if c.idleFor < span && openAndQuiet(c.Conn) {
+		if c.idleFor < span && socket.Quiet(c.Conn) {
 			return c
 		}
 		p.audit.countEvent("closes.server.idle")
@@ -209,7 +210,7 @@
 	case <-ctx.Done(): // nothing will be sent on it
 		return c
 	}
-	if c.idleFor = time.Since(c.idleSince); openAndQuiet(c.Conn) {
+	if c.idleFor = time.Since(c.idleSince); socket.Quiet(c.Conn) {
 		return c
 	}
 	p.closeConn(c)
@@ -332,7 +333,7 @@
 // is: after a plain close it would go on trying, and a server that was cut off or stood still would run it much later.
 func (p *backendPool) resetAndClose(c *backendConn) {
 	p.audit.countEvent("closes.server.no_answer")
-	resetOnClose(c.Conn)
+	socket.ResetOnClose(c.Conn)
 	p.closeConn(c)
 }
 
@@ -355,7 +356,7 @@
 	for _, b := range p.byName {
 		kept := b.idleConns[:0]
 		for _, c := range b.idleConns {
-			if now.Sub(c.idleSince) < p.idleTimeout && openAndQuiet(c.Conn) {
+			if now.Sub(c.idleSince) < p.idleTimeout && socket.Quiet(c.Conn) {
 				kept = append(kept, c)
 			} else {
 				p.audit.countEvent("closes.server.idle")
--- a/internal/proxy/bodyend.go
+++ b/internal/proxy/bodyend.go
@@ -2,11 +2,10 @@
 
 import (
 	"bytes"
+	"merlinpick/internal/proxy/socket"
 	"net"
 	"sync"
-	"syscall"
 	"time"
-	"unsafe"
 )
 
 // The time of a request counts from the last byte that its client sent. A body that is passed on is read no faster than a
@@ -50,7 +49,7 @@
 			return
 		}
 		missing, known := a.remaining()
-		if known && unreadBytes(a.conn)+httpReaderBuffer >= missing || !known && endsChunked(a.conn, &peeked) {
+		if known && socket.Unread(a.conn)+httpReaderBuffer >= missing || !known && endsChunked(a.conn, &peeked) {
 			a.onEnd(time.Now())
 			return
 		}
@@ -63,30 +62,15 @@
 	a.goroutine.Wait()
 }
 
-// unread is how many bytes of a connection wait in the system to be read.
-func unreadBytes(c net.Conn) int64 {
-	var n int32
-	_, _ = withDescriptor(c, func(fd uintptr) {
-		const fionread = 0x541b // FIONREAD, which package syscall does not name on Linux
-		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, fd, fionread, uintptr(unsafe.Pointer(&n))); errno != 0 {
-			n = 0
-		}
-	})
-	return int64(n)
-}
-
 // endsChunked tells whether what waits to be read is the rest of a chunked body up to its end.
 func endsChunked(c net.Conn, buf *[]byte) bool {
-	waiting := unreadBytes(c)
+	waiting := socket.Unread(c)
 	if waiting < int64(len(lastChunk)) || waiting > maxPeekBytes {
 		return false
 	}
 	if *buf == nil {
 		*buf = make([]byte, maxPeekBytes)
 	}
-	n := 0
-	_, _ = withDescriptor(c, func(fd uintptr) {
-		n, _, _ = syscall.Recvfrom(int(fd), *buf, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	})
+	n := socket.Peek(c, *buf)
 	return n > 0 && bytes.HasSuffix((*buf)[:n], lastChunk)
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -310,3 +310,6 @@
 	}
 	return nil, errors.ErrUnsupported
 }
+
+// headSlack is what net/http reads beyond MaxHeaderBytes before it answers 431.
+const headReadSlack = 4 << 10
--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -14,6 +14,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/socket"
 )
 
 // The ways in which a client goes; each with what it has sent behind its request.
@@ -192,7 +193,7 @@
 	p.frontend.mu.Lock()
 	defer p.frontend.mu.Unlock()
 	for c := range p.frontend.conns {
-		if peerClosed(c) {
+		if socket.PeerClosed(c) {
 			return true
 		}
 	}
--- a/internal/proxy/evict.go
+++ b/internal/proxy/evict.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"merlinpick/internal/proxy/socket"
 	"net"
 	"net/http"
 	"time"
@@ -89,7 +90,7 @@
 	var over time.Duration
 	for c, s := range f.conns {
 		fc := c.(*clientConn)
-		if d := s.evictableFor(fc); d > over && (fc.currentPhase() != phaseIdle || fc.rawConn == nil || openAndQuiet(c)) {
+		if d := s.evictableFor(fc); d > over && (fc.currentPhase() != phaseIdle || fc.rawConn == nil || socket.Quiet(c)) {
 			victim, over = fc, d
 		}
 	}
--- a/internal/proxy/framing.go
+++ b/internal/proxy/framing.go
@@ -6,9 +6,6 @@
 	"strconv"
 )
 
-// headSlack is what net/http reads beyond MaxHeaderBytes before it answers 431.
-const headReadSlack = 4 << 10
-
 var errAmbiguousFraming = errors.New("ambiguous framing")
 
 // framing tells from a raw head how long the body behind it is, -1 if it is not told by a Content-Length.
--- a/internal/proxy/linger.go
+++ b/internal/proxy/linger.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"merlinpick/internal/proxy/socket"
 	"net"
 	"sync"
 	"syscall"
@@ -73,7 +74,7 @@
 func (c *clientConn) closeUnused(cut bool) bool {
 	c.mu.Lock()
 	switch {
-	case c.discarding, c.phase == phaseInFlight, c.phase == phaseReadingHead && !cut, c.phase == phaseIdle && c.rawConn != nil && !openAndQuiet(c.Conn):
+	case c.discarding, c.phase == phaseInFlight, c.phase == phaseReadingHead && !cut, c.phase == phaseIdle && c.rawConn != nil && !socket.Quiet(c.Conn):
 		c.mu.Unlock()
 		return false
 	case c.phase == phaseReadingHead:
--- a/internal/proxy/misbehavingclients_test.go
+++ b/internal/proxy/misbehavingclients_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/socket"
 	"merlinpick/internal/settings"
 )
 
@@ -27,7 +28,7 @@
 	f.mu.Lock()
 	for conn := range f.conns {
 		conn.(*clientConn).lastReceived.Store(time.Now().Add(-time.Hour).UnixNano()) // it was accepted long ago
-		waitUntil(t, func() bool { return !openAndQuiet(conn) })
+		waitUntil(t, func() bool { return !socket.Quiet(conn) })
 	}
 	f.mu.Unlock()
 	f.makeRoom()
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/socket"
 )
 
 // The peer closes a kept connection; a request that ran into it was sent a second time by http.Transport.
@@ -25,7 +26,7 @@
 		waitUntil(t, func() bool { // the news has reached this end
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return !openAndQuiet(p.byName["a"].idleConns[0].Conn)
+			return !socket.Quiet(p.byName["a"].idleConns[0].Conn)
 		})
 	}
 	if b.requests.Load() != 3 || b.conns.Load() != 3 {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -11,6 +11,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/proxy/invariant"
+	"merlinpick/internal/proxy/socket"
 )
 
 const (
@@ -185,3 +186,9 @@
 		heap.Push(&l.timers, timer{at: cutoff, request: r})
 	}
 }
+
+// left tells whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
+// context; what it cannot have seen yet, or never will, shows at the socket.
+func (r *request) clientGone() bool {
+	return r.clientContext != nil && (r.clientContext.Err() != nil || socket.PeerClosed(r.clientConn))
+}
--- a/internal/proxy/responsestream.go
+++ b/internal/proxy/responsestream.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"merlinpick/internal/proxy/socket"
 	"net/http"
 	"sync"
 	"time"
@@ -190,8 +191,8 @@
 	if err := d.copyBody(w); err != nil {
 		d.finish(err)
 		if c, ok := r.Context().Value(connKey{}).(*clientConn); ok && d.contentLength < 0 && !r.ProtoAtLeast(1, 1) {
-			resetOnClose(c.Conn) // without chunks an end is all that such a client has to see the answer's end by
-			c.closeNow()         // with no shutdown first, which is such an end
+			socket.ResetOnClose(c.Conn) // without chunks an end is all that such a client has to see the answer's end by
+			c.closeNow()                // with no shutdown first, which is such an end
 		}
 		panic(http.ErrAbortHandler)
 	}
--- /dev/null
+++ b/internal/proxy/socket/socket.go
@@ -0,0 +1,107 @@
+// Package socket asks the operating system about TCP connections: whether the peer has closed one, and what waits to be
+// read. No call blocks, and none takes bytes from a connection.
+package socket
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"unsafe"
+)
+
+// Quiet tells whether a connection is open with nothing to read. An idle peer that has closed it, or has sent bytes that
+// nobody asked for, makes it false.
+func Quiet(c net.Conn) bool {
+	open := false
+	_, err := peek(c, func(_ uintptr, _ int, err error) { open = errors.Is(err, syscall.EAGAIN) })
+	return err == nil && open
+}
+
+// PeerClosed tells whether the peer of a connection has closed it or has ended its sending, which looks the same from
+// here. It takes one system call, and two where bytes are unread. A connection without a socket, or whose system does
+// not tell, counts as open.
+func PeerClosed(c net.Conn) bool {
+	closed := false
+	ok, err := peek(c, func(fd uintptr, n int, err error) {
+		switch {
+		case err == nil && n > 0:
+			closed = hasHangup(fd)
+		case errors.Is(err, syscall.EAGAIN), errors.Is(err, syscall.EINTR):
+		default:
+			closed = true
+		}
+	})
+	return ok && (err != nil || closed)
+}
+
+// Unread is how many bytes of a connection wait in the system to be read; 0 if that cannot be told.
+func Unread(c net.Conn) int64 {
+	var n int32
+	_, _ = withDescriptor(c, func(fd uintptr) {
+		const fionread = 0x541b // FIONREAD, which package syscall does not name on Linux
+		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, fd, fionread, uintptr(unsafe.Pointer(&n))); errno != 0 {
+			n = 0
+		}
+	})
+	return int64(n)
+}
+
+// Peek copies what waits to be read into a buffer and leaves it unread; 0 if there is nothing, or it cannot be told.
+func Peek(c net.Conn, buf []byte) int {
+	n := 0
+	_, _ = withDescriptor(c, func(fd uintptr) {
+		n, _, _ = syscall.Recvfrom(int(fd), buf, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	return max(0, n)
+}
+
+// ResetOnClose makes a connection's close drop what the system has not delivered yet and reset the peer, in place of
+// an orderly end.
+func ResetOnClose(c net.Conn) {
+	if l, ok := c.(interface{ SetLinger(sec int) error }); ok {
+		_ = l.SetLinger(0)
+	}
+}
+
+// peek calls look with the result of a one-byte peek. ok is false if the connection has no socket; an error is one of
+// getting at the socket. In both cases look is not called.
+func peek(c net.Conn, look func(fd uintptr, n int, err error)) (ok bool, err error) {
+	return withDescriptor(c, func(fd uintptr) {
+		var b [1]byte
+		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		look(fd, n, err)
+	})
+}
+
+// withDescriptor calls f with a connection's descriptor. ok is false if it has none; an error is one of getting at it. In
+// both cases f is not called. It uses Control, not Read: Read waits for any other reader, and net/http always has one on
+// a client's connection.
+func withDescriptor(c net.Conn, f func(fd uintptr)) (ok bool, err error) {
+	sc, ok := c.(syscall.Conn)
+	if !ok {
+		return false, nil
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return false, nil
+	}
+	return true, raw.Control(f)
+}
+
+// Events of ppoll, which package syscall does not name.
+const (
+	pollErr   = 0x8
+	pollHup   = 0x10
+	pollRDHup = 0x2000 // Linux: the peer has ended its sending, whatever is still unread
+)
+
+// hasHangup tells whether the peer's end stands behind bytes that nobody has read yet.
+func hasHangup(fd uintptr) bool {
+	p := struct {
+		fd              int32
+		events, revents int16
+	}{fd: int32(fd), events: pollRDHup}
+	var zeroTimeout syscall.Timespec
+	n, _, errno := syscall.Syscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&p)), 1, uintptr(unsafe.Pointer(&zeroTimeout)), 0, 0, 0)
+	return errno == 0 && n == 1 && p.revents&(pollRDHup|pollHup|pollErr) != 0
+}
