--- a/internal/proxy/backendconn.go
+++ b/internal/proxy/backendconn.go
@@ -8,6 +8,8 @@
 	"net"
 	"net/http"
 	"time"
+
+	"merlinpick/internal/proxy/framing"
 )
 
 const (
@@ -48,7 +50,7 @@
 		if err != nil {
 			return nil, err
 		}
-		length, chunked, err := parseFraming(head)
+		length, chunked, err := framing.Parse(head)
 		if err != nil {
 			return nil, err
 		}
@@ -59,7 +61,7 @@
 		}
 		early := resp.StatusCode < 200
 		if bodiless := early || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified; bodiless && (length > 0 || chunked) {
-			return nil, errAmbiguousFraming
+			return nil, framing.ErrAmbiguous
 		}
 		if !early {
 			return resp, nil
@@ -81,7 +83,7 @@
 		case len(head) > maxResponseHeadBytes:
 			return nil, errors.New("head too long")
 		case err == nil && !bytes.HasSuffix(line, []byte("\r\n")):
-			return nil, errAmbiguousFraming
+			return nil, framing.ErrAmbiguous
 		}
 	}
 	return head, nil
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -11,6 +11,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"merlinpick/internal/proxy/framing"
 )
 
 // framedConn is a client's connection that lets net/http see no more than one request at a time, and only
@@ -277,7 +279,7 @@
 
 func (c *clientConn) frameRequestLocked(end int) {
 	c.hadRequest = true
-	length, chunked, err := parseFraming(c.buffered[:end])
+	length, chunked, err := framing.Parse(c.buffered[:end])
 	switch {
 	case err != nil:
 		c.passMalformedLocked()
--- /dev/null
+++ b/internal/proxy/framing/framing.go
@@ -0,0 +1,48 @@
+// Package framing finds the end of an HTTP/1.1 message's body from its head, and rejects a head that two readers could take
+// in two ways (request smuggling). It reads nothing itself.
+package framing
+
+import (
+	"bytes"
+	"errors"
+	"strconv"
+)
+
+// ErrAmbiguous says that two readers could see a message's end in two places.
+var ErrAmbiguous = errors.New("ambiguous framing")
+
+// Parse returns the length in bytes of the body that follows a raw head, -1 without a Content-Length, and whether it is
+// chunked. It fails with ErrAmbiguous for what net/http would settle silently: a Transfer-Encoding beside a Content-Length,
+// a repeated Content-Length, a Transfer-Encoding in HTTP/1.0, folded lines, a bare CR or LF. Another reader could take a
+// part of such a body for a request of its own.
+func Parse(head []byte) (length int64, chunked bool, err error) {
+	lines := bytes.Split(bytes.TrimSuffix(head, []byte("\r\n\r\n")), []byte("\r\n"))
+	length = -1
+	for i, line := range lines {
+		if bytes.ContainsAny(line, "\r\n\x00") || i > 0 && (len(line) == 0 || line[0] == ' ' || line[0] == '\t') {
+			return 0, false, ErrAmbiguous
+		}
+		if i == 0 {
+			continue
+		}
+		name, value, _ := bytes.Cut(line, []byte(":"))
+		name, value = bytes.TrimSpace(name), bytes.Trim(value, " \t")
+		switch {
+		case bytes.EqualFold(name, []byte("Content-Length")):
+			n, err := strconv.ParseUint(string(value), 10, 63)
+			if err != nil || length >= 0 {
+				return 0, false, ErrAmbiguous
+			}
+			length = int64(n)
+		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
+			if chunked || !bytes.EqualFold(value, []byte("chunked")) {
+				return 0, false, ErrAmbiguous
+			}
+			chunked = true
+		}
+	}
+	if chunked && (length >= 0 || bytes.Contains(lines[0], []byte("HTTP/1.0"))) {
+		return 0, false, ErrAmbiguous
+	}
+	return length, chunked, nil
+}
