--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -13,6 +13,8 @@
 	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/invariant"
 )
 
 // staleWithin is how soon a request on a kept connection that was closed breaks.
@@ -77,7 +79,7 @@
 	case keep:
 		a.pool.putIdle(c)
 	case res.status == balancer.StatusOK, res.status == balancer.StatusError, res.status == balancer.StatusRejected:
-		a.pool.audit.countEvent("closes.server.answered")
+		a.pool.audit.Count(audit.BackendConnDone)
 		a.pool.closeConn(c)
 	default:
 		a.pool.resetAndClose(c)
@@ -311,3 +313,12 @@
 		}
 	}
 }
+
+// checkFirstByte checks the rules at the moment in which the attempt's first byte is sent.
+func (a *attempt) checkFirstByte(moment time.Time) {
+	if a.pool.audit == nil {
+		return
+	}
+	since, grace := a.pool.unavailableSince(a.backend)
+	a.pool.audit.RecordViolations(invariant.CheckFirstByte(a.request.ID, a.backend.name, moment, a.deadline, since, grace)...)
+}
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -9,6 +9,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/proxy/invariant"
 )
 
@@ -16,7 +17,7 @@
 // loop do, not what they mean to do.
 func TestAuditReportsBrokenRule(t *testing.T) {
 	var log bytes.Buffer
-	l := &eventLoop{clock: clock{start: time.Now()}, requests: map[string]*request{}, audit: newAudit(slog.New(slog.NewTextHandler(&log, nil)))}
+	l := &eventLoop{clock: clock{start: time.Now()}, requests: map[string]*request{}, audit: audit.New(slog.New(slog.NewTextHandler(&log, nil)))}
 	rules := &balancer.Settings{MaxAttempts: 2, Classes: []balancer.Class{{Name: "post", Idempotency: balancer.NonIdempotent}}}
 	r := &request{Request: balancer.Request{ID: "r1", Deadline: l.clock.now() + 1e6, Settings: rules}, responses: make(chan response, 2)}
 	l.auditRequest(r)
@@ -30,14 +31,14 @@
 	begin() // it may have run
 	l.auditResponse(r, response{status: 503})
 	l.auditResponse(r, response{status: 502})
-	got := l.audit.counts.Snapshot()
+	got := l.audit.Violations()
 	for _, rule := range []invariant.Rule{invariant.RetriedNonIdempotent, invariant.RejectedAfterExecution, invariant.RespondedTwice} {
 		if got[rule.String()] != 1 || !strings.Contains(log.String(), "rule="+rule.String()+" request=r1") {
 			t.Errorf("%v counted %d times; the log:\n%s", rule, got[rule.String()], log.String())
 		}
 	}
-	if l.audit.eventCounts()["attempts.timed_out"] != 1 {
-		t.Errorf("events %v", l.audit.eventCounts())
+	if l.audit.Events()["attempts.timed_out"] != 1 {
+		t.Errorf("events %v", l.audit.Events())
 	}
 }
 
--- a/internal/proxy/backendpool.go
+++ b/internal/proxy/backendpool.go
@@ -15,6 +15,7 @@
 
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/idletimeout"
+	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/proxy/socket"
 )
 
@@ -37,7 +38,7 @@
 	reuseDelay   time.Duration // a connection is not used again sooner: see keepalive.Rest
 
 	metrics    *metrics
-	audit      *audit
+	audit      *audit.Recorder
 	drainGrace time.Duration // in which sends to a backend have to stop that drains or is gone
 
 	logger     *slog.Logger // of broken answers; nil for none
@@ -138,7 +139,7 @@
 		b.unavailableSince = time.Now()
 	}
 	for range b.idleConns {
-		p.audit.countEvent("closes.server.list")
+		p.audit.Count(audit.BackendConnList)
 	}
 	for stop := range b.pendingDials {
 		(*stop)()
@@ -186,7 +187,7 @@
 		if c.idleFor < span && socket.Quiet(c.Conn) {
 			return c
 		}
-		p.audit.countEvent("closes.server.idle")
+		p.audit.Count(audit.BackendConnIdle)
 		p.closeLocked(c)
 	}
 	return nil
@@ -283,7 +284,7 @@
 	if oldest == nil {
 		return false
 	}
-	p.audit.countEvent("closes.server.room")
+	p.audit.Count(audit.BackendConnNoRoom)
 	p.closeLocked(oldest.idleConns[0])
 	oldest.idleConns = oldest.idleConns[1:]
 	return true
@@ -332,7 +333,7 @@
 // abandon closes a connection whose request has no whole answer. What the system has not delivered of that request never
 // is: after a plain close it would go on trying, and a server that was cut off or stood still would run it much later.
 func (p *backendPool) resetAndClose(c *backendConn) {
-	p.audit.countEvent("closes.server.no_answer")
+	p.audit.Count(audit.BackendConnNoResponse)
 	socket.ResetOnClose(c.Conn)
 	p.closeConn(c)
 }
@@ -359,7 +360,7 @@
 			if now.Sub(c.idleSince) < p.idleTimeout && socket.Quiet(c.Conn) {
 				kept = append(kept, c)
 			} else {
-				p.audit.countEvent("closes.server.idle")
+				p.audit.Count(audit.BackendConnIdle)
 				p.closeLocked(c)
 			}
 		}
@@ -367,3 +368,53 @@
 		b.idleConns = kept
 	}
 }
+
+// unavailableSince is when a backend was last taken out for new requests, zero if it takes them, and the grace from then.
+func (p *backendPool) unavailableSince(b *backend) (time.Time, time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return b.unavailableSince, p.drainGrace
+}
+
+// setDrainGrace sets the grace for sends to backends that drain or are gone, in microseconds; 0 stands for the default.
+func (p *backendPool) setDrainGrace(micros int64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.drainGrace = time.Duration(micros) * time.Microsecond; p.drainGrace <= 0 {
+		p.drainGrace = defaultDrainGrace
+	}
+}
+
+// defaultDrainGrace is for settings that state none: no deployment known has a longer one.
+const defaultDrainGrace = time.Second
+
+// drain has these zones and no others get nothing: idle connections there are closed.
+func (p *backendPool) setDrainedZones(zones map[string]bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.drainedZones = zones
+	p.refilterLocked()
+}
+
+// sift finds out anew which backends get something. The caller has the lock.
+func (p *backendPool) refilterLocked() {
+	for name, b := range p.byName {
+		if ready := b.serving && !p.suspended[name] && !p.drainedZones[b.zone]; ready != b.available {
+			b.available = ready
+			p.advanceGenerationLocked(b)
+		}
+	}
+}
+
+// servingZones are the zones with backends that serve by the list, drained or banned ones too.
+func (p *backendPool) servingZones() map[string]bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	zones := map[string]bool{}
+	for _, b := range p.byName {
+		if b.serving {
+			zones[b.zone] = true
+		}
+	}
+	return zones
+}
--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -102,7 +102,7 @@
 func checkAttemptsEnd(t *testing.T, p *running) {
 	t.Helper()
 	ended := make(chan struct{})
-	go func() { p.loop.attemptGoroutines.Wait(); close(ended) }()
+	go func() { p.loop.attempts.goroutines.Wait(); close(ended) }()
 	receiveFrom(t, "end of the attempts", ended)
 }
 
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -1,66 +1,117 @@
 package proxy
 
-import "time"
+import (
+	"time"
+
+	"merlinpick/balancer"
+)
 
 const (
-	handoverIdleTimeout     = 100 * time.Millisecond // see drain
-	handoverKeepAlivePeriod = 500 * time.Millisecond
-	maxDrainStream          = time.Minute
-	responseFlushMargin     = 150 * time.Millisecond // after the cutoff: SIGKILL comes killLeeway + 200 ms after the longest deadline
+	drainAcceptPeriod = 550 * time.Millisecond // after SIGTERM new connections may still come for so long
+	killDelay         = 3 * time.Second        // SIGKILL comes the longest deadline, or this, after SIGTERM,
+	killDelayMargin   = 500 * time.Millisecond // and this much later
+	drainPollInterval = 20 * time.Millisecond
+
+	handoverIdleTimeout     = 100 * time.Millisecond // for idle connections, once a successor serves
+	handoverKeepAlivePeriod = 500 * time.Millisecond // after it idle ones are closed at once
+	maxDrainStream          = time.Minute            // for responses that are being streamed
+	responseFlushMargin     = 150 * time.Millisecond // after the cutoff: SIGKILL comes killDelayMargin + 200 ms after the longest deadline
+	cutoffMargin            = 100 * time.Millisecond // before the cutoff: a request that is not complete by then is rejected
 )
 
-// drain closes the doors after SIGTERM. Clients still come for a while, and those that keep a connection may
-// have nowhere else to go while the next proxy starts: all are served on for stay. Then the listener closes,
-// and connections as they fall idle, until none is left or the cutoff has come.
+// drain serves on after SIGTERM until what was taken is answered, or must be cut off.
+func (p *Proxy) drain() {
+	stay, left := p.drainTimes(p.frontend.currentClasses())
+	cutoff := time.Now().Add(left)
+	p.loop.post(func() { p.loop.shortenDeadlines(p.loop.clock.at(cutoff)) })
+	p.frontend.drain(stay, cutoff, p.successorServing)
+}
+
+// drainTimes tells how long after SIGTERM clients are served on (stay), and when all requests must have ended (left). The
+// last that come in still have as long as the longest latency objective. With deadlines of some tens of milliseconds the
+// listener closes cutoffMargin before the cutoff.
+func drainTimes(classes []balancer.Class) (stay, left time.Duration) {
+	deadline, objective := int64(0), int64(0)
+	for _, c := range classes {
+		deadline, objective = max(deadline, c.Deadline), max(objective, c.LatencyObjective)
+	}
+	left = min(time.Duration(deadline)*time.Microsecond, killDelay) + killDelayMargin
+	stay = max(drainAcceptPeriod, left-time.Duration(objective)*time.Microsecond)
+	return min(stay, left-cutoffMargin), left
+}
+
+// drain ends the client side after SIGTERM. Clients still come for a while, and those that keep a connection may have
+// nowhere else to go while the next proxy starts: all are served on for stay. Then the listener closes, and connections as
+// they fall idle, until none is left or the cutoff has come.
 //
-// Where a successor serves, new connections are its own at once. Kept ones are told to close by their next answer;
-// those that do not ask for leaveIdle are closed, and soon all that are idle: a request that comes late is one that
-// this process may not live to answer.
-func (f *frontend) drain(stay time.Duration, cutoff time.Time, succeeded func() bool) {
+// Where a successor serves, new connections are its own at once. Kept ones are told to close by their next response; those
+// that send nothing for handoverIdleTimeout are closed, and soon all that are idle: this process may not live to answer a
+// request that comes late.
+func (f *frontend) drain(stay time.Duration, cutoff time.Time, successorServing func() bool) {
 	start := time.Now()
 	f.draining.Store(true)
 	f.logger.Info("draining", "open", f.openConns())
-	for time.Since(start) < stay && !succeeded() {
+	for time.Since(start) < stay && !successorServing() {
 		time.Sleep(drainPollInterval)
 	}
-	idleFor := time.Duration(0)
+	idleTimeout := time.Duration(0)
 	if time.Since(start) < stay {
-		f.logger.Info("leaving to the successor", "open", f.openConns())
-		idleFor = handoverIdleTimeout
+		f.logger.Info("draining to successor", "open", f.openConns())
+		idleTimeout = handoverIdleTimeout
 	}
 	f.closing.Store(true)
-	// Connections that wait for a slot would be reset: they come in as those that are open are told to close.
-	for calm := 0; calm < 2 && !succeeded() && time.Until(cutoff) > cutoffMargin; calm++ {
+	f.acceptQueued(idleTimeout, cutoff, successorServing)
+	f.listener.Close()
+	f.closeAsIdle(idleTimeout, start, cutoff)
+	f.flushResponses(cutoff)
+	f.finishStreams(start)
+	f.logger.Info("drained", "duration", time.Since(start), "open", f.openConns())
+	_ = f.server.Close() // not Shutdown, which drops a request that it has just read
+}
+
+// acceptQueued takes the connections that wait for a slot, which a close of the listener would reset: they come in as those
+// that are open are told to close. It ends once no slot has been short for two polls.
+func (f *frontend) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
+	for unfilled := 0; unfilled < 2 && !successorServing() && time.Until(cutoff) > cutoffMargin; unfilled++ {
 		if f.listener.isFull() {
-			calm = -1
+			unfilled = -1
 		}
-		f.closeIdle(idleFor, drainAcceptPeriod, false)
+		f.closeIdle(idleTimeout, drainAcceptPeriod, false)
 		time.Sleep(drainPollInterval / 2)
 	}
-	f.listener.Close()
-	for f.closeIdle(idleFor, drainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
+}
+
+// closeAsIdle closes connections as they fall idle until all are or the cutoff has come. Shortly before it, requests that
+// are not complete are rejected.
+func (f *frontend) closeAsIdle(idleTimeout time.Duration, start, cutoff time.Time) {
+	for f.closeIdle(idleTimeout, drainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
 		time.Sleep(drainPollInterval)
 		if time.Since(start) > handoverKeepAlivePeriod {
-			idleFor = 0
+			idleTimeout = 0
 		}
 		if time.Until(cutoff) < cutoffMargin {
 			f.rejectUploads()
 		}
 	}
-	// What the cutoff has ended is still being answered, and what was answered being received.
+}
+
+// flushResponses waits, for responseFlushMargin after the cutoff at most, until what the cutoff has ended is answered and
+// what was answered has been received.
+func (f *frontend) flushResponses(cutoff time.Time) {
 	for f.closeIdle(0, 0, true) > int(f.activeStreams.Load()) || f.listener.lingering.count() > 0 {
 		if time.Since(cutoff) > responseFlushMargin {
-			break
+			return
 		}
 		f.rejectUploads()
 		time.Sleep(drainPollInterval)
 	}
-	// A long answer that a backend is still giving is owed to its client: it goes on until it ends or this process is
-	// killed, which is better than to cut it off by ourselves.
+}
+
+// finishStreams goes on with long responses that backends are still giving, until they end or this process is killed: to
+// cut them off here would be no better.
+func (f *frontend) finishStreams(start time.Time) {
 	for f.activeStreams.Load() > 0 && time.Since(start) < maxDrainStream {
 		time.Sleep(drainPollInterval)
 		f.closeIdle(0, 0, true)
 	}
-	f.logger.Info("drained", "after", time.Since(start), "left", f.openConns())
-	_ = f.server.Close() // not Shutdown, which drops a request that it has just read
 }
--- a/internal/proxy/evict.go
+++ b/internal/proxy/evict.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/proxy/socket"
 	"net"
 	"net/http"
@@ -118,7 +119,7 @@
 			}
 		}
 	}
-	c.auditClose("no_room")
+	c.auditClose(audit.ClientConnNoRoom)
 	c.closeNow()
 	return true
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -13,6 +13,7 @@
 	"sync/atomic"
 	"time"
 
+	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/settings"
 )
 
@@ -138,7 +139,7 @@
 		fc.markAnswered() // nobody waits for it
 	}
 	if ans.status == 0 {
-		f.loop.audit.countEvent("closes.client.no_answer")
+		f.loop.audit.Count(audit.ClientConnNoResponse)
 		panic(http.ErrAbortHandler) // a return would answer 200
 	}
 	if ans.stream != nil {
@@ -185,7 +186,7 @@
 // healthy tells whether there is a list to serve by and more clients may come.
 func (f *frontend) isHealthy() bool {
 	select {
-	case <-f.loop.listAvailable:
+	case <-f.loop.list.available:
 		return !f.awaitingSync.Load() && !f.draining.Load()
 	default:
 		return false
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -60,9 +60,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &eventLoop{clock: clock{time.Now()}, events: make(chan func(), 256), listAvailable: make(chan struct{}),
+	l := &eventLoop{clock: clock{time.Now()}, events: make(chan func(), 256), list: endpointList{available: make(chan struct{})},
 		done: make(chan struct{}), requests: map[string]*request{}, metrics: newMetrics(nil), stopped: context.Background()}
-	close(l.listAvailable)
+	close(l.list.available)
 	p := &pipedFrontend{pipes: newPipeListener()}
 	p.frontend = newFrontend(site, l, p.pipes, slog.New(slog.DiscardHandler))
 	p.setLimits(most, most, maxRejectConns)
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -22,6 +22,8 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/handover"
 )
 
 // The files in testdata were written by an earlier version. What others read of this package (another process of the
@@ -40,7 +42,7 @@
 }
 
 func TestHandoverLineIsGolden(t *testing.T) {
-	told := handoverState{RetryBudget: retryBudgetUsage{Requests: []int64{1_000_000, 2_000_000}, Retries: []int64{1_500_000}},
+	told := handover.State{RetryBudget: handover.RetryBudgetUsage{Requests: []int64{1_000_000, 2_000_000}, Retries: []int64{1_500_000}},
 		KnownServers: []string{"node-1", "node-2"}, Now: 3_000_000}
 	line, err := json.Marshal(told)
 	if err != nil {
@@ -60,14 +62,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var read handoverState
+		var read handover.State
 		if err := json.Unmarshal(text, &read); err != nil {
 			t.Fatal(err)
 		}
 		if !slices.Equal(read.KnownServers, told.KnownServers) {
 			t.Errorf("%s: names %v", c.file, read.KnownServers)
 		}
-		if got := read.retryBudgetAt(c.now); !reflect.DeepEqual(got, c.want) {
+		if got := read.RetryBudgetAt(c.now); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.file, got, c.want)
 		}
 	}
@@ -192,7 +194,7 @@
 	gone.send(t, lookRequest("1", 4000))
 	waitUntil(t, func() bool { return b.requests.Load() == 1 })
 	gone.Close()
-	waitUntil(t, func() bool { return p.loop.audit.eventCounts()["closes.client.no_answer"] == 1 })
+	waitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.no_answer"] == 1 })
 	cut := connect(t, p)
 	cut.send(t, lookRequest("2", 4000))
 	waitUntil(t, func() bool { return b.requests.Load() == 2 })
@@ -205,12 +207,12 @@
 	half := connect(t, p)
 	half.send(t, "GET")
 	waitUntil(t, func() bool {
-		return p.frontend.closeIdle(0, 0, true) == 0 && p.loop.audit.eventCounts()["closes.client.idle_or_half"] > 0
+		return p.frontend.closeIdle(0, 0, true) == 0 && p.loop.audit.Events()["closes.client.idle_or_half"] > 0
 	})
 	answered := connect(t, p)
 	answered.send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
 	answered.readResponse(t)
-	waitUntil(t, func() bool { return p.loop.audit.eventCounts()["closes.client.answered_or_broken"] > 0 })
+	waitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.answered_or_broken"] > 0 })
 
 	// Connections to backends.
 	good := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
@@ -242,7 +244,7 @@
 	newAttempt(pool, "a", testTimeout).run()
 
 	// Ends of attempts and reasons of rejections.
-	l := &eventLoop{clock: clock{time.Now()}, audit: newAudit(slog.New(slog.DiscardHandler))}
+	l := &eventLoop{clock: clock{time.Now()}, audit: audit.New(slog.New(slog.DiscardHandler))}
 	for s := range balancer.Status(8) {
 		l.auditAttemptEnd(&attempt{request: &request{}}, s)
 	}
@@ -252,7 +254,7 @@
 	}
 	p.metrics.setRejections(by)
 	names := map[string]bool{}
-	for _, all := range []map[string]int64{p.Metrics().Events, l.audit.eventCounts()} {
+	for _, all := range []map[string]int64{p.Metrics().Events, l.audit.Events()} {
 		for n := range maps.Keys(all) {
 			names["event "+n] = true
 		}
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -58,7 +58,7 @@
 		t.Fatalf("the successor listens at %s and not %s", second.Addr(), first.Addr())
 	}
 	waitUntil(t, second.Ready)
-	waitUntil(t, func() bool { return first.handover.Load().isSuccessorServing() })
+	waitUntil(t, func() bool { return first.handover.Load().SuccessorServing() })
 	kept.send(t, lookRequest("kept to the end", 4000))
 	if resp, _ := kept.readResponse(t); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("before the end: %s, close %v", resp.Status, resp.Close)
@@ -155,7 +155,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := t.TempDir()
-			leave(t, filepath.Join(state, handoverSocketName))
+			leave(t, filepath.Join(state, "handover.sock"))
 			b := startBackend(t, respondWith(okResponse, true))
 			p := startProxyAt(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)), state)
 			if p.predecessor != nil {
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -9,7 +9,61 @@
 	"merlinpick/balancer"
 )
 
-// outcome tells the module how an attempt ended; a served request has its answer first.
+// The loop is the balancer's Host: it carries its decisions out. All of this file runs in the loop's goroutine, but for
+// startStream.
+
+// Send starts an attempt at a server. sendWindow (0: none) is how long its last byte may be sent, timeout (0: the client's
+// deadline) how long its response is awaited, both in microseconds from now.
+func (l *eventLoop) Send(id, server string, sendWindow, timeout int64) {
+	r := l.requests[id]
+	if r == nil {
+		l.logger.Error("attempt for an unknown request", "request", id, "endpoint", server)
+		return
+	}
+	now := l.clock.now()
+	a := &attempt{request: r, number: r.attemptCount, decidedAt: now, deadline: l.clock.time(l.attemptDeadline(r, now, timeout)), pool: l.pool}
+	if sendWindow > 0 {
+		a.sendDeadline = l.clock.time(now + sendWindow)
+	}
+	r.attemptCount++
+	if r.BodyPending {
+		a.bodyComplete = make(chan time.Time, 1)
+	}
+	// Never two attempts of a request at once, and none for a client that has gone.
+	clientGone := r.clientContext != nil && r.clientContext.Err() != nil
+	if !l.pool.assign(a, server) || r.ended || r.currentAttempt != nil || clientGone {
+		l.attempts.unsent = append(l.attempts.unsent, a)
+		return
+	}
+	l.start(a)
+}
+
+// attemptDeadline is when an attempt that begins now is given up, on the loop's clock. While the body is still coming the
+// client's deadline is not known: it is set once the body is complete.
+func (l *eventLoop) attemptDeadline(r *request, now, timeout int64) int64 {
+	switch {
+	case r.BodyPending:
+		return now + maxUploadTime.Microseconds()
+	case timeout != 0:
+		return min(r.Deadline, now+timeout)
+	}
+	return r.Deadline
+}
+
+// start runs an attempt in a goroutine of its own, which posts the result.
+func (l *eventLoop) start(a *attempt) {
+	a.ctx, a.cancel = context.WithCancel(l.attempts.ctx)
+	a.startStream = func(resp response) bool { return l.startStream(a, resp) }
+	a.request.currentAttempt = a
+	l.auditAttemptStart(a)
+	l.attempts.goroutines.Go(func() {
+		res := a.run()
+		a.cancel()
+		l.post(func() { l.handleOutcome(a, res) })
+	})
+}
+
+// handleOutcome tells the balancer how an attempt ended. A request that it has served gets its response first.
 func (l *eventLoop) handleOutcome(a *attempt, res result) {
 	r := a.request
 	l.auditAttemptEnd(a, res.status)
@@ -20,98 +74,57 @@
 		l.respond(r, response{status: http.StatusOK, body: res.body, contentType: res.contentType})
 	}
 	if res.status != balancer.StatusOK && !r.ended && r.clientGone() {
-		l.handleClientGone(r) // or a further attempt might follow
+		l.handleClientGone(r) // otherwise the balancer might decide on a retry
 	}
 	now := l.clock.now()
-	l.balancer.HandleOutcome(now, l, balancer.Outcome{RequestID: r.ID, Attempt: a.number, Status: res.status, Latency: now - a.decidedAt,
-		RequestDone: r.ended, NotReplayable: r.bodyConsumed})
+	l.balancer.HandleOutcome(now, l, balancer.Outcome{RequestID: r.ID, Attempt: a.number, Status: res.status,
+		Latency: now - a.decidedAt, RequestDone: r.ended, NotReplayable: r.bodyConsumed})
 	l.forget(r)
 }
 
-// stream ends a request with an answer that is passed on as it comes; false if it has ended otherwise. The
-// attempt calls it and goes on until the answer has been passed on.
-func (l *eventLoop) startStream(a *attempt, ans response) bool {
-	begun := make(chan bool, 1)
+// startStream gives a request a response that is streamed; false if the request has ended otherwise. The attempt's
+// goroutine calls it, and goes on until the response has been passed on.
+func (l *eventLoop) startStream(a *attempt, resp response) bool {
+	started := make(chan bool, 1)
 	l.post(func() {
 		if a.request.ended {
-			begun <- false
+			started <- false
 			return
 		}
-		ans.stream.clientDeadline = l.clock.time(a.request.Deadline)
+		resp.stream.clientDeadline = l.clock.time(a.request.Deadline)
 		l.balancer.HandleResponseStarted(l.clock.now(), a.request.ID)
-		l.respond(a.request, ans)
-		begun <- true
+		l.respond(a.request, resp)
+		started <- true
 	})
 	select {
-	case ok := <-begun:
+	case ok := <-started:
 		return ok
 	case <-l.done:
 		return false
 	}
 }
 
-// Send implements logic.Host.
-func (l *eventLoop) Send(id, server string, within, timeout int64) {
-	r := l.requests[id]
-	if r == nil {
-		l.logger.Error("send for an unknown request", "id", id)
-		return
-	}
-	now := l.clock.now()
-	until := r.Deadline
-	if r.BodyPending {
-		until = now + maxUploadTime.Microseconds()
-	} else if timeout != 0 {
-		until = min(until, now+timeout)
-	}
-	a := &attempt{request: r, number: r.attemptCount, decidedAt: now, deadline: l.clock.time(until), pool: l.pool}
-	if within > 0 {
-		a.sendDeadline = l.clock.time(now + within)
-	}
-	r.attemptCount++
-	if r.BodyPending {
-		a.bodyComplete = make(chan time.Time, 1)
-	}
-	ok := l.pool.assign(a, server)
-	// Never two attempts of a request at once, and none for a client that has gone.
-	if !ok || r.ended || r.currentAttempt != nil || r.clientContext != nil && r.clientContext.Err() != nil {
-		l.unsentAttempts = append(l.unsentAttempts, a)
-		return
-	}
-	a.ctx, a.cancel = context.WithCancel(l.attemptContext)
-	a.startStream = func(ans response) bool { return l.startStream(a, ans) }
-	r.currentAttempt = a
-	l.auditAttemptStart(a)
-	l.attemptGoroutines.Add(1)
-	go func() {
-		defer l.attemptGoroutines.Done()
-		res := a.run()
-		a.cancel()
-		l.post(func() { l.handleOutcome(a, res) })
-	}()
-}
-
-// Refuse implements logic.Host.
-func (l *eventLoop) Reject(id string, after int64) {
+// Reject gives a request a 503 that tells its client to come again after so many microseconds; 0: without a time.
+func (l *eventLoop) Reject(id string, retryAfter int64) {
 	if r := l.requests[id]; r != nil {
-		l.respond(r, response{status: http.StatusServiceUnavailable, retryAfter: after})
+		l.respond(r, response{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
 	}
 }
 
-// Fail implements logic.Host.
+// Fail gives a request a 502.
 func (l *eventLoop) Fail(id string) {
 	if r := l.requests[id]; r != nil {
 		l.respond(r, response{status: http.StatusBadGateway})
 	}
 }
 
-// SetTimer implements logic.Host.
+// SetTimer has HandleTimer called with a token after a delay in microseconds.
 func (l *eventLoop) SetTimer(delay int64, token string) {
-	heap.Push(&l.timers, timer{at: l.clock.now() + delay, token: token})
+	heap.Push(&l.timers, timer{moment: l.clock.now() + delay, token: token})
 }
 
-// Watch implements logic.Host. The client of the list watches from its start, and knows itself when to try again.
+// Watch does nothing: discovery's client watches from the start and retries by itself.
 func (l *eventLoop) Watch() {}
 
-// Log implements logic.Host.
+// Log logs an event of the balancer's.
 func (l *eventLoop) Log(event balancer.Event) { l.logger.Info(event.String()) }
--- a/internal/proxy/limitedlistener.go
+++ b/internal/proxy/limitedlistener.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"merlinpick/internal/listener"
+	"merlinpick/internal/proxy/audit"
 )
 
 // cappedListener accepts no more connections than there are slots; those beyond wait in the kernel, and
@@ -17,7 +18,7 @@
 	net.Listener
 	makeRoom   func()
 	retrier    *listener.Retrier
-	audit      *audit // nil in a test
+	audit      *audit.Recorder // nil in a test
 	lingering  lingeringConns
 	headMemory *memoryBudget // for heads
 	slotFreed  chan struct{} // holds a value after a slot came free
--- a/internal/proxy/linger.go
+++ b/internal/proxy/linger.go
@@ -1,6 +1,8 @@
 package proxy
 
 import (
+	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/invariant"
 	"merlinpick/internal/proxy/socket"
 	"net"
 	"sync"
@@ -80,7 +82,7 @@
 	case c.phase == phaseReadingHead:
 		c.writeRejectionLocked()
 	}
-	c.auditClose("idle_or_half")
+	c.auditClose(audit.ClientConnUnused)
 	lingers := c.startLingerLocked()
 	c.mu.Unlock()
 	if !lingers {
@@ -147,7 +149,7 @@
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	if !c.discarding {
-		c.auditClose("answered_or_broken")
+		c.auditClose(audit.ClientConnDone)
 	}
 	lingers := c.startLingerLocked()
 	c.mu.Unlock()
@@ -182,3 +184,21 @@
 	_ = c.Conn.SetWriteDeadline(t)
 	return c.SetReadDeadline(t)
 }
+
+// markUnanswered notes that a request has been taken on the connection; markAnswered, that it has its response or that
+// nobody waits for one.
+func (c *clientConn) markUnanswered(id string) { c.unanswered.Store(&id) }
+func (c *clientConn) markAnswered()            { c.unanswered.Store(nil) }
+
+// auditClose notes that the proxy closes the connection, and why. Under an unanswered request that breaks a rule.
+func (c *clientConn) auditClose(reason audit.Event) {
+	recorder := c.listener.audit
+	if recorder == nil {
+		return
+	}
+	recorder.Count(reason)
+	if id := c.unanswered.Load(); id != nil {
+		recorder.RecordViolations(invariant.ConnClosed(*id, string(reason)+" by "+audit.Callers()))
+		c.markAnswered()
+	}
+}
--- a/internal/proxy/list_bench_test.go
+++ b/internal/proxy/list_bench_test.go
@@ -39,7 +39,8 @@
 	}
 	figs := newMetrics(site.Classes)
 	pool := newBackendPool(site.DialTimeout, site.IdleClose, 100, figs)
-	return newEventLoop(bal, clock{time.Now()}, pool, newZoneNumbers(site.Zones), figs, slog.New(slog.DiscardHandler))
+	return newEventLoop(loopConfig{balancer: bal, clock: clock{time.Now()}, pool: pool, zoneNumbers: newZoneNumbers(site.Zones),
+		metrics: figs, logger: slog.New(slog.DiscardHandler)})
 }
 
 // BenchmarkList is how long the event loop is held up by what discovery told: the whole list with nothing new in it, one
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -4,150 +4,203 @@
 	"container/heap"
 	"context"
 	"log/slog"
-	"maps"
-	"slices"
 	"sync"
 	"time"
 
 	"merlinpick/balancer"
-	"merlinpick/internal/discovery"
 	"merlinpick/internal/override"
+	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/settings"
 )
 
 const (
-	idleSweepInterval = time.Second            // idle connections to backends are looked over
-	sampleInterval    = 200 * time.Millisecond // the figures on servers are taken again
+	idleSweepInterval = time.Second            // between two sweeps of idle connections to backends
+	sampleInterval    = 200 * time.Millisecond // between two samples of the balancer's state for the metrics
+
+	eventQueueLength = 256 // beyond it, who posts an event waits
 )
 
-// loop owns the Balancer and the table of requests. All that happens comes to it through channels and is
-// told to the module in that order; it carries the module's decisions out as its logic.Host.
+// eventLoop owns the balancer, the table of requests and the endpoint list. Its goroutine alone (run) uses them: whatever
+// happens elsewhere comes to it through channels and is given to the balancer in that order. As the balancer's Host it
+// carries out the balancer's decisions.
 type eventLoop struct {
-	balancer        *balancer.Balancer
-	clock           clock
-	pool            *backendPool
-	zoneNumbers     zoneNumbers
-	startTimes      startTimes
-	metrics         *metrics
-	audit           *audit
-	logger          *slog.Logger
-	events          chan func()
-	listUpdates     <-chan discovery.Update
-	listStatus      *listStatus
-	overrideUpdates <-chan override.Set // whole sets; nil: none come
-	knownServers    *override.NameSet
-	cluster         Cluster       // nil on its own
-	listAvailable   chan struct{} // closed when there is a list
-	listSynced      chan struct{} // closed when there is one from discovery
-
-	requests          map[string]*request // until answered and no attempt is out
-	suspended         map[string]bool
-	zoneOverrides     zoneOverrides
-	timers            timerHeap
-	unsentAttempts    []*attempt // Sends that cannot be carried out; their outcomes follow the present event
-	attemptGoroutines sync.WaitGroup
-	attemptContext    context.Context    // of all attempts
-	managed           bool               // somebody may ask for the figures
-	drainDeadline     int64              // after SIGTERM: nothing waits beyond this; else 0
-	done              chan struct{}      // closed when the loop has ended
-	stopped           context.Context    // done when the loop has ended, for AfterFunc
-	markStopped       context.CancelFunc // ends that
-}
-
-func newEventLoop(bal *balancer.Balancer, c clock, pool *backendPool, z zoneNumbers, figs *metrics, log *slog.Logger) *eventLoop {
-	ended, leave := context.WithCancel(context.Background())
-	return &eventLoop{stopped: ended, markStopped: leave, listStatus: newListStatus(0, log), balancer: bal, clock: c, pool: pool, zoneNumbers: z, startTimes: startTimes{}, metrics: figs, audit: newAudit(log), logger: log,
-		events: make(chan func(), 256), knownServers: override.NewNameSet(), zoneOverrides: newZoneOverrides(z), listAvailable: make(chan struct{}), listSynced: make(chan struct{}),
-		requests: map[string]*request{}, done: make(chan struct{})}
-}
-
-// run plays events until the context ends, and then until every attempt has.
+	balancer    *balancer.Balancer
+	clock       clock
+	pool        *backendPool
+	zoneNumbers zoneNumbers
+	cluster     Cluster // nil for a proxy on its own
+
+	metrics *metrics
+	audit   *audit.Recorder
+	logger  *slog.Logger
+	managed bool // there is a management address, which shows the metrics
+
+	events    chan func()
+	timers    timerHeap
+	requests  map[string]*request // by ID, until answered with no attempt in flight
+	attempts  attemptTable
+	list      endpointList
+	overrides overrideState
+
+	drainDeadline int64 // after SIGTERM every request ends by this moment of clock; 0 before
+
+	done        chan struct{}   // closed when the loop has ended
+	stopped     context.Context // done when the loop has ended, for context.AfterFunc
+	markStopped context.CancelFunc
+}
+
+// attemptTable is the loop's part of the attempts: each runs in a goroutine of its own and posts its result.
+type attemptTable struct {
+	ctx        context.Context // of all attempts; its end cancels them
+	goroutines sync.WaitGroup
+	unsent     []*attempt // could not be started; reported to the balancer after the present event
+}
+
+// loopConfig is what an eventLoop starts with.
+type loopConfig struct {
+	balancer    *balancer.Balancer
+	clock       clock
+	pool        *backendPool
+	zoneNumbers zoneNumbers
+	metrics     *metrics
+	logger      *slog.Logger
+	managed     bool
+	maxListAge  time.Duration // 0: the list is never stale
+}
+
+func newEventLoop(cfg loopConfig) *eventLoop {
+	stopped, markStopped := context.WithCancel(context.Background())
+	return &eventLoop{
+		balancer: cfg.balancer, clock: cfg.clock, pool: cfg.pool, zoneNumbers: cfg.zoneNumbers,
+		metrics: cfg.metrics, audit: audit.New(cfg.logger), logger: cfg.logger, managed: cfg.managed,
+		events:   make(chan func(), eventQueueLength),
+		requests: map[string]*request{},
+		list: endpointList{
+			status: newListStatus(cfg.maxListAge, cfg.logger), startTimes: startTimes{}, knownServers: override.NewNameSet(),
+			available: make(chan struct{}), synced: make(chan struct{}),
+		},
+		overrides: overrideState{zones: newZoneOverrides(cfg.zoneNumbers)},
+		done:      make(chan struct{}), stopped: stopped, markStopped: markStopped,
+	}
+}
+
+// run handles events until the context ends, then cancels the attempts and waits for them.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.done)
 	defer l.markStopped()
-	attempts, stop := context.WithCancel(ctx)
-	defer l.attemptGoroutines.Wait()
-	defer stop()
-	l.attemptContext = attempts
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
-	sweep := time.NewTicker(idleSweepInterval)
-	defer sweep.Stop()
-	var look <-chan time.Time
+	attempts, cancelAttempts := context.WithCancel(ctx)
+	defer l.attempts.goroutines.Wait()
+	defer cancelAttempts()
+	l.attempts.ctx = attempts
+	timers := l.startTimers()
+	defer timers.stop()
+	for l.iterate(ctx, timers) {
+	}
+}
+
+// iterate handles one event and what is due; false once the context has ended.
+func (l *eventLoop) iterate(ctx context.Context, timers *loopTimers) bool {
+	if l.handleUrgent() {
+		return true
+	}
+	select {
+	case update := <-l.list.updates:
+		l.handleListUpdate(update)
+	case set := <-l.overrides.updates:
+		l.handleOverrides(set)
+	case event := <-l.events:
+		event()
+	case <-timers.alarm.C:
+	case now := <-timers.sweep.C:
+		l.pool.sweepIdle(now)
+		l.list.status.checkStale(now)
+	case <-timers.exchange:
+		l.exchangeReports()
+	case <-timers.sample:
+		l.metrics.setServers(l.balancer.ServerCounts())
+		l.metrics.setRejections(l.balancer.Rejections())
+		l.sampleZones()
+	case <-ctx.Done():
+		return false
+	}
+	l.reportUnsent()
+	l.fireTimers()
+	if len(l.timers) > 0 {
+		timers.alarm.Reset(time.Until(l.clock.time(l.timers[0].moment)))
+	}
+	return true
+}
+
+// handleUrgent handles what comes before all else: nothing may go to a server that is known to drain, or is suspended.
+// False if there is nothing of it.
+func (l *eventLoop) handleUrgent() bool {
+	select {
+	case update := <-l.list.updates:
+		l.handleListUpdate(update)
+	case set := <-l.overrides.updates:
+		l.handleOverrides(set)
+	default:
+		return false
+	}
+	return true
+}
+
+// loopTimers are what the loop waits for beside events.
+type loopTimers struct {
+	alarm    *time.Timer // the first of eventLoop.timers
+	sweep    *time.Ticker
+	sample   <-chan time.Time // nil without a management address
+	exchange <-chan time.Time // nil without a cluster
+	tickers  []*time.Ticker
+}
+
+func (l *eventLoop) startTimers() *loopTimers {
+	t := &loopTimers{alarm: time.NewTimer(0), sweep: time.NewTicker(idleSweepInterval)}
 	if l.managed {
-		tick := time.NewTicker(sampleInterval)
-		defer tick.Stop()
-		look = tick.C
+		t.sample = t.tick(sampleInterval)
 	}
-	var meet <-chan time.Time
 	if l.cluster != nil {
-		tick := time.NewTicker(reportExchangeInterval)
-		defer tick.Stop()
-		meet = tick.C
+		t.exchange = t.tick(reportExchangeInterval)
 	}
-	for {
-		// What discovery and on-call staff told comes before all else: nothing may go to a backend known to
-		// drain, or banned.
-		select {
-		case n := <-l.listUpdates:
-			l.handleListUpdate(n)
-			continue
-		case n := <-l.overrideUpdates:
-			l.applyOverrides(n.IDs)
-			n.Acknowledge()
-			continue
-		default:
-		}
-		select {
-		case n := <-l.listUpdates:
-			l.handleListUpdate(n)
-		case n := <-l.overrideUpdates:
-			l.applyOverrides(n.IDs)
-			n.Acknowledge()
-		case f := <-l.events:
-			f()
-		case <-alarm.C:
-		case now := <-sweep.C:
-			l.pool.sweepIdle(now)
-			l.listStatus.checkStale(now)
-		case <-meet:
-			l.exchangeReports()
-		case <-look:
-			l.metrics.setServers(l.balancer.ServerCounts())
-			l.metrics.setRejections(l.balancer.Rejections())
-			l.sampleZones()
-		case <-ctx.Done():
-			return
-		}
-		l.reportUnsent()
-		l.fireTimers()
-		if len(l.timers) > 0 {
-			alarm.Reset(time.Until(l.clock.time(l.timers[0].at)))
-		}
+	return t
+}
+
+func (t *loopTimers) tick(interval time.Duration) <-chan time.Time {
+	ticker := time.NewTicker(interval)
+	t.tickers = append(t.tickers, ticker)
+	return ticker.C
+}
+
+func (t *loopTimers) stop() {
+	t.alarm.Stop()
+	t.sweep.Stop()
+	for _, ticker := range t.tickers {
+		ticker.Stop()
 	}
 }
 
-// post hands an event to the loop; it is dropped when the loop has ended.
-func (l *eventLoop) post(f func()) {
+// post hands an event to the loop, from any goroutine. It waits while the queue is full; after the loop's end the event
+// is dropped.
+func (l *eventLoop) post(event func()) {
 	select {
-	case l.events <- f:
+	case l.events <- event:
 	case <-l.done:
 	}
 }
 
-// settle tells the module of the Sends that could not be carried out. It may send again, so this goes on
+// reportUnsent tells the balancer of the attempts that could not be started. It may start others in turn, so this goes on
 // until none is left.
 func (l *eventLoop) reportUnsent() {
-	for len(l.unsentAttempts) > 0 {
-		a := l.unsentAttempts[0]
-		l.unsentAttempts = l.unsentAttempts[1:]
+	for len(l.attempts.unsent) > 0 {
+		a := l.attempts.unsent[0]
+		l.attempts.unsent = l.attempts.unsent[1:]
 		l.handleOutcome(a, result{status: balancer.StatusNotSent})
 	}
 }
 
-// fire plays the timers that are due.
+// fireTimers runs the timers that are due.
 func (l *eventLoop) fireTimers() {
-	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].at <= now; {
+	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].moment <= now; {
 		t := heap.Pop(&l.timers).(timer)
 		if t.request == nil {
 			l.balancer.HandleTimer(now, l, t.token)
@@ -158,62 +211,15 @@
 	}
 }
 
-// news applies what discovery said, to the connections first and then to the module.
-func (l *eventLoop) handleListUpdate(n discovery.Update) {
-	l.listStatus.markSynced(time.Now(), n.List)
-	kind := balancer.UpdateDelta
-	if n.List.Full {
-		kind = balancer.UpdateSnapshot
-	}
-	l.applyList(kind, n.List)
-	l.reportUnsent()
-	select {
-	case <-l.listSynced:
-	default:
-		close(l.listSynced)
-	}
-}
-
-func (l *eventLoop) applyList(kind balancer.UpdateKind, list *discovery.List) {
-	names := make([]string, 0, len(list.Endpoints))
-	for _, e := range list.Endpoints {
-		names = append(names, e.Name)
-	}
-	l.knownServers.Add(names...)
-	l.pool.updateEndpoints(kind != balancer.UpdateDelta, list.Endpoints)
-	l.applyZoneDrains() // before the module hears of what is there now
-	now, wall := l.clock.now(), time.Now()
-	started := func(e discovery.Endpoint) int64 {
-		at := l.startTimes.startOf(e, now, wall)
-		if e.Status == discovery.StatusDeleted {
-			delete(l.startTimes, e.Name)
-		}
-		return at
-	}
-	l.balancer.UpdateEndpoints(now, l, kind, l.zoneNumbers.toServers(list.Endpoints, started))
-	if kind != balancer.UpdateDelta {
-		l.startTimes.retainListed(list.Endpoints)
-	}
-	l.updateZoneNames()
-	l.metrics.setServers(l.balancer.ServerCounts())
-	select {
-	case <-l.listAvailable:
-	default:
-		if kind == balancer.UpdateSnapshot || len(list.Endpoints) > 0 {
-			close(l.listAvailable)
-		}
-	}
-}
-
-// rules are the module's settings at the start.
+// balancerSettings are the settings in force.
 func (l *eventLoop) balancerSettings(site *settings.Site) *balancer.Settings {
 	if l.balancer == nil {
-		return &site.Balancer // a test without the module
+		return &site.Balancer // a test without a balancer
 	}
 	return l.balancer.Settings()
 }
 
-// reconfigure puts other settings in force for the requests that come from now on.
+// reconfigure puts other settings in force for the requests that come from now on. With an error nothing has changed.
 func (l *eventLoop) reconfigure(site *settings.Site, next balancer.Settings, f *frontend) error {
 	if next.Zone < len(site.Zones) { // zones keep the numbers that they have
 		next.Zone = l.zoneNumbers.number(site.Zones[next.Zone])
@@ -222,31 +228,13 @@
 		}
 		next.ZoneCount = len(l.zoneNumbers)
 	}
-	numbers, err := l.balancer.Reconfigure(l.clock.now(), next, f.classesInUse())
+	classNumbers, err := l.balancer.Reconfigure(l.clock.now(), next, f.classesInUse())
 	if err != nil {
 		return err
 	}
 	l.updateZoneNames()
-	f.setSettings(newSettingsSnapshot(site, l.balancer.Settings(), numbers))
+	f.setSettings(newSettingsSnapshot(site, l.balancer.Settings(), classNumbers))
 	l.pool.setTimeouts(site.DialTimeout, site.IdleClose)
 	l.pool.setDrainGrace(site.Balancer.DrainGrace)
 	return nil
 }
-
-// ban has these backends and zones and no others out.
-func (l *eventLoop) applyOverrides(ids map[string]bool) {
-	ids, zones := override.SplitZones(ids)
-	if !maps.Equal(zones, l.zoneOverrides.requested) {
-		l.zoneOverrides.requested = zones
-		l.applyZoneDrains()
-		l.publishZones()
-	}
-	if maps.Equal(ids, l.suspended) {
-		return
-	}
-	l.logger.Info("bans", "backends", slices.Sorted(maps.Keys(ids)))
-	l.suspended = ids
-	l.pool.setSuspended(ids)
-	l.balancer.SetSuspendedServers(ids)
-	l.metrics.setServers(l.balancer.ServerCounts())
-}
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -12,126 +12,134 @@
 // maxClasses bounds the classes that are counted: classes come and go with the settings.
 const maxClasses = 256
 
-// refusals are the names of the reasons among the counts.
-var rejectReasonNames = [...]string{balancer.RejectOverLimit: "over_count", balancer.RejectNoTimeLeft: "no_time", balancer.RejectNoServer: "no_server",
-	balancer.RejectQueueTimeout: "no_turn", balancer.RejectRetriesExhausted: "no_further_attempt"}
+// rejectReasonNames are the reasons' names in the metrics.
+var rejectReasonNames = [...]string{balancer.RejectOverLimit: "over_count", balancer.RejectNoTimeLeft: "no_time",
+	balancer.RejectNoServer: "no_server", balancer.RejectQueueTimeout: "no_turn",
+	balancer.RejectRetriesExhausted: "no_further_attempt"}
 
-// figures owns the counts that on-call staff see. Each request is counted in once, when it has been taken, and
-// out once, by whoever took it.
+// metrics holds the counts that the management address shows; it may be used from any goroutine. Each request is counted in
+// when it has been taken and out when it ends, both by the client's goroutine.
 type metrics struct {
 	mu         sync.Mutex
 	classes    map[string]*management.RequestCounts
-	counts     management.Metrics // all but Classes and Zones
+	counts     management.Metrics // all but Classes, Events and Zones
 	zones      zoneMetrics
 	rejections map[balancer.RejectReason]int64
 }
 
 func newMetrics(classes []string) *metrics {
-	f := &metrics{classes: map[string]*management.RequestCounts{}}
-	f.setClasses(classes)
-	return f
+	m := &metrics{classes: map[string]*management.RequestCounts{}}
+	m.setClasses(classes)
+	return m
 }
 
-// name shows the classes from now on, with zeros too; of others those that were counted stay while there is room.
-func (f *metrics) setClasses(classes []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.classes)+len(classes) > maxClasses {
-		clear(f.classes)
+// setClasses has these classes shown, with zeros too. Others that have counts stay while there is room.
+func (m *metrics) setClasses(classes []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.classes)+len(classes) > maxClasses {
+		clear(m.classes)
 	}
-	for _, c := range classes {
-		f.classCounts(c)
+	for _, class := range classes {
+		m.classCountsLocked(class)
 	}
 }
 
-func (f *metrics) classCounts(class string) *management.RequestCounts {
-	e := f.classes[class]
-	if e == nil {
-		e = &management.RequestCounts{}
-		f.classes[class] = e
+func (m *metrics) classCountsLocked(class string) *management.RequestCounts {
+	counts := m.classes[class]
+	if counts == nil {
+		counts = &management.RequestCounts{}
+		m.classes[class] = counts
 	}
-	return e
+	return counts
 }
 
-// taken is one request that has been taken and not ended; its owner ends it.
+// inFlightRequest is one request that has been taken and not ended. The goroutine that took it ends it.
 type inFlightRequest struct {
 	metrics *metrics
 	class   string
 	ended   bool
 }
 
-func (f *metrics) requestStarted(class string) *inFlightRequest {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.counts.InFlight++
-	return &inFlightRequest{metrics: f, class: class}
+func (m *metrics) requestStarted(class string) *inFlightRequest {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.counts.InFlight++
+	return &inFlightRequest{metrics: m, class: class}
 }
 
-// end counts the request by its answer's status, 0 if it had none. Only the first call counts.
-func (t *inFlightRequest) finish(status int) {
-	if t.ended {
+// finish counts the request by its response's status, 0 if it had none. Only the first call counts.
+func (r *inFlightRequest) finish(status int) {
+	if r.ended {
 		return
 	}
-	t.ended = true
-	t.metrics.mu.Lock()
-	defer t.metrics.mu.Unlock()
-	t.metrics.counts.InFlight--
-	switch e := t.metrics.classCounts(t.class); status {
+	r.ended = true
+	r.metrics.mu.Lock()
+	defer r.metrics.mu.Unlock()
+	r.metrics.counts.InFlight--
+	switch counts := r.metrics.classCountsLocked(r.class); status {
 	case http.StatusOK:
-		e.Succeeded++
+		counts.Succeeded++
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		e.Rejected++
+		counts.Rejected++
 	default:
-		e.Failed++
+		counts.Failed++
 	}
 }
 
-// forward counts an attempt that was written whole.
-func (f *metrics) attemptForwarded() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.counts.Forwarded++
+// attemptForwarded counts an attempt whose request was written whole.
+func (m *metrics) attemptForwarded() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.counts.Forwarded++
 }
 
-// servers notes how many servers are listed, and how many of these get nothing or only trials.
-func (f *metrics) setServers(listed, avoided int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.counts.ListedServers, f.counts.EjectedServers = listed, avoided
+// setServers sets how many servers are listed, and how many of these get nothing or only trials.
+func (m *metrics) setServers(listed, ejected int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.counts.ListedServers, m.counts.EjectedServers = listed, ejected
 }
 
-// refusals notes how many requests the module has refused for each reason.
-func (f *metrics) setRejections(by map[balancer.RejectReason]int64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.rejections = by
+// setRejections sets how many requests the balancer has rejected so far, by reason.
+func (m *metrics) setRejections(byReason map[balancer.RejectReason]int64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.rejections = byReason
 }
 
-// reloaded counts a configuration that came with SIGHUP.
-func (f *metrics) recordReload(taken bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if taken {
-		f.counts.ReloadsApplied++
+// setZones sets how the zones stand.
+func (m *metrics) setZones(zones zoneMetrics) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.zones = zones
+}
+
+// recordReload counts a reload by whether its configuration was applied.
+func (m *metrics) recordReload(applied bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if applied {
+		m.counts.ReloadsApplied++
 	} else {
-		f.counts.ReloadsRejected++
+		m.counts.ReloadsRejected++
 	}
 }
 
-func (f *metrics) snapshot() management.Metrics {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out := f.counts
-	out.Classes = map[string]management.RequestCounts{}
-	for c, e := range maps.All(f.classes) {
-		out.Classes[c] = *e
+func (m *metrics) snapshot() management.Metrics {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	all := m.counts
+	all.Classes = map[string]management.RequestCounts{}
+	for class, counts := range maps.All(m.classes) {
+		all.Classes[class] = *counts
 	}
-	if f.zones.exported {
-		out.Zones = f.zones.current()
+	if m.zones.exported {
+		all.Zones = m.zones.current()
 	}
-	out.Events = map[string]int64{}
-	for why, n := range f.rejections {
-		out.Events["refusals."+rejectReasonNames[why]] = n
+	all.Events = map[string]int64{}
+	for reason, n := range m.rejections {
+		all.Events["refusals."+rejectReasonNames[reason]] = n
 	}
-	return out
+	return all
 }
--- /dev/null
+++ b/internal/proxy/readiness.go
@@ -0,0 +1,75 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"merlinpick/internal/discovery"
+)
+
+// syncMargin: a process is ready so long before discovery.NotifyDeadline after its start.
+const syncMargin = 250 * time.Millisecond
+
+// syncTimeout is how long a process that starts waits for discovery to confirm its list: until changes from before its
+// start count as notified at the latest. A registry's list is cached by the proxy itself and used at once.
+func (cfg Config) syncTimeout() time.Duration {
+	switch {
+	case len(cfg.Discovery.Members) > 0:
+		return 0
+	case !cfg.Site.Balancer.WatchEndpoints:
+		return discovery.PushNotifyDeadline
+	}
+	return discovery.NotifyDeadline - syncMargin
+}
+
+// maxListAge is how long after it was last synced a list is stale; 0: never, for a registry's list, whose age nothing
+// bounds. An agent that has the list pushed to it has passed it on within the deadline, or hears nothing.
+func (cfg Config) maxListAge() time.Duration {
+	switch {
+	case len(cfg.Discovery.Members) > 0:
+		return 0
+	case !cfg.Site.Balancer.WatchEndpoints:
+		return discovery.PushNotifyDeadline
+	}
+	return discovery.NotifyDeadline
+}
+
+// awaitSync has this process be ready once discovery has confirmed the list, is unreachable, so that no change counts as
+// notified, or has taken syncTimeout.
+func (p *Proxy) awaitSync(ctx context.Context) {
+	timeout := time.NewTimer(p.syncTimeout)
+	defer timeout.Stop()
+	defer p.frontend.awaitingSync.Store(false)
+	select {
+	case <-p.loop.list.synced:
+	case <-p.listClient.Unreachable():
+		p.config.Logger.Warn("ready with the configuration's endpoint list", "reason", "discovery unreachable", "address", p.config.Discovery)
+	case <-timeout.C:
+		p.config.Logger.Warn("ready with the configuration's endpoint list", "reason", "discovery has not confirmed it", "duration", p.syncTimeout)
+	case <-ctx.Done():
+	}
+}
+
+// Ready tells whether requests that come now are served: clients can connect and there is an endpoint list.
+func (p *Proxy) Ready() bool { return p.NotReadyReason() == "" }
+
+// NotReadyReason is what this proxy lacks to be ready, as /readyz shows it; empty if it is.
+func (p *Proxy) NotReadyReason() string {
+	if p.frontend.draining.Load() {
+		return "it drains"
+	}
+	select {
+	case <-p.loop.list.available:
+	default:
+		return fmt.Sprintf("no list of servers: the configuration has none (known), and discovery at %v has not answered yet",
+			p.config.Discovery)
+	}
+	if !p.frontend.serving.Load() {
+		return "clients are not accepted yet"
+	}
+	if p.frontend.awaitingSync.Load() {
+		return fmt.Sprintf("the list of the configuration is not confirmed: discovery at %v has not answered yet", p.config.Discovery)
+	}
+	return ""
+}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -94,7 +94,7 @@
 	if l.drainDeadline > 0 {
 		r.Deadline = min(r.Deadline, l.drainDeadline)
 	}
-	heap.Push(&l.timers, timer{at: r.Deadline + expiryGrace.Microseconds(), request: r})
+	heap.Push(&l.timers, timer{moment: r.Deadline + expiryGrace.Microseconds(), request: r})
 }
 
 // arrived notes when the last byte of a body came that is still being passed on: the client's time runs from then on,
@@ -183,7 +183,7 @@
 func (l *eventLoop) shortenDeadlines(cutoff int64) {
 	l.drainDeadline = cutoff
 	for _, r := range l.requests {
-		heap.Push(&l.timers, timer{at: cutoff, request: r})
+		heap.Push(&l.timers, timer{moment: cutoff, request: r})
 	}
 }
 
--- a/internal/proxy/starttimes.go
+++ b/internal/proxy/starttimes.go
@@ -6,39 +6,39 @@
 	"merlinpick/internal/discovery"
 )
 
-// starts are the servers' last starts on the clock of events, by name. The list gives them as Unix times, which are
-// compared with the wall clock once, when a start is first told: how old it is then does not change with a later step of
-// that clock.
+// startTimes are the servers' last starts by name, on the loop's clock. The list gives them as Unix times. Each is compared
+// with the wall clock once, when it is first listed: a later step of that clock does not change how old a server is.
 type startTimes map[string]startTime
 
 type startTime struct {
-	sinceMs int64 // as the list tells it
-	at      int64 // on the clock of events
+	unixMs int64 // as listed
+	moment int64 // of the loop's clock
 }
 
-// of gives the start of an entry, at a moment of the clock of events and the wall clock; 0 is long ago.
+// startOf is when an entry's server started, on the loop's clock in microseconds; 0 is long ago. now and wall are the same
+// moment by both clocks.
 func (s startTimes) startOf(e discovery.Endpoint, now int64, wall time.Time) int64 {
 	if e.StartedAtMs == 0 {
 		delete(s, e.Name)
 		return 0
 	}
 	known, ok := s[e.Name]
-	if !ok || known.sinceMs != e.StartedAtMs {
+	if !ok || known.unixMs != e.StartedAtMs {
 		age := max(0, wall.UnixMicro()-e.StartedAtMs*1000)
 		known = startTime{e.StartedAtMs, now - age}
 		s[e.Name] = known
 	}
-	return known.at
+	return known.moment
 }
 
-// keep forgets the servers that a whole list does not name.
+// retainListed forgets the servers that a whole list does not name.
 func (s startTimes) retainListed(entries []discovery.Endpoint) {
-	named := make(map[string]bool, len(entries))
+	listed := make(map[string]bool, len(entries))
 	for _, e := range entries {
-		named[e.Name] = true
+		listed[e.Name] = true
 	}
 	for name := range s {
-		if !named[name] {
+		if !listed[name] {
 			delete(s, name)
 		}
 	}
--- a/internal/proxy/starttimes_test.go
+++ b/internal/proxy/starttimes_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/handover"
 )
 
 // The age of a server's process is taken by the wall clock of the moment in which the list tells of its start: a step of
@@ -40,16 +41,16 @@
 // set between their starts.
 func TestHandoverStateUsesSuccessorsClock(t *testing.T) {
 	const now = int64(50e6)
-	before := handoverState{Now: now + 3600e6}
+	before := handover.State{Now: now + 3600e6}
 	before.RetryBudget.Requests = []int64{before.Now - 2e6, before.Now - 1e6}
 	before.RetryBudget.Retries = []int64{before.Now - 1e6}
-	got := before.retryBudgetAt(now)
+	got := before.RetryBudgetAt(now)
 	if got.Requests[0] != now-2e6 || got.Requests[1] != now-1e6 || got.Retries[0] != now-1e6 {
 		t.Errorf("got %+v", got)
 	}
-	former := handoverState{} // of a version that says no time
+	former := handover.State{} // of a version that says no time
 	former.RetryBudget.Requests = []int64{7}
-	if got := former.retryBudgetAt(now); got.Requests[0] != 7 {
+	if got := former.RetryBudgetAt(now); got.Requests[0] != 7 {
 		t.Errorf("got %+v", got)
 	}
 }
--- /dev/null
+++ b/internal/proxy/succession.go
@@ -0,0 +1,122 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"syscall"
+	"time"
+
+	"merlinpick/internal/proxy/handover"
+)
+
+// listSyncTimeout is how long a successor waits for discovery before it serves by the list that it has. It has 6 s to be
+// ready in all.
+const listSyncTimeout = 3 * time.Second
+
+var errNoDescriptor = errors.New("the listener has no descriptor to share")
+
+// inherit takes over what a predecessor knows, and shares the limits with it from now on.
+func (p *Proxy) inherit() {
+	if p.predecessor == nil {
+		return
+	}
+	state := p.predecessor.State
+	p.syncTimeout = min(p.syncTimeout, listSyncTimeout)
+	p.loop.balancer.ImportRetryBudget(state.RetryBudgetAt(p.loop.clock.now()))
+	p.loop.list.knownServers.Add(state.KnownServers...)
+	p.addOtherProcesses(1)
+}
+
+// exportState gives a successor its state, and shares the limits with it from now on.
+func (p *Proxy) exportState() (handover.State, error) {
+	exported := make(chan handover.State, 1)
+	p.loop.post(func() {
+		now := p.loop.clock.now()
+		used := p.loop.balancer.ExportRetryBudget(now)
+		exported <- handover.State{
+			RetryBudget:  handover.RetryBudgetUsage{Requests: used.Requests, Retries: used.Retries},
+			KnownServers: p.loop.list.knownServers.All(), Now: now,
+		}
+	})
+	select {
+	case state := <-exported:
+		p.addOtherProcesses(1)
+		return state, nil
+	case <-p.loop.done:
+		return handover.State{}, ErrStopped
+	}
+}
+
+// serve accepts clients until the listener is closed. With a predecessor alive it first waits for a list from discovery, or
+// for listSyncTimeout: until then the predecessor takes all of them.
+func (p *Proxy) serve(ctx context.Context) error {
+	if p.predecessor != nil && !p.awaitList(ctx) {
+		return nil
+	}
+	if p.config.Managed {
+		if err := p.startHandover(); err != nil { // a successor then shares the address, and some connections are reset
+			p.config.Logger.Error("handover not available", "error", err)
+		}
+	}
+	if !p.frontend.isHealthy() {
+		p.config.Logger.Info("not ready", "reason", p.NotReadyReason())
+	}
+	if p.predecessor != nil {
+		if err := p.predecessor.NotifyServing(); err != nil {
+			p.config.Logger.Warn("predecessor exited", "error", err)
+		}
+	}
+	return p.frontend.serve()
+}
+
+// awaitList waits for a list from discovery, for listSyncTimeout at most; false if the context ended before.
+func (p *Proxy) awaitList(ctx context.Context) bool {
+	timeout := time.NewTimer(listSyncTimeout)
+	defer timeout.Stop()
+	select {
+	case <-p.loop.list.synced:
+	case <-timeout.C:
+		p.config.Logger.Warn("endpoint list not synced, serving by the last known one", "duration", listSyncTimeout)
+	case <-ctx.Done():
+		return false
+	}
+	return true
+}
+
+// startHandover lets a successor take over from this process.
+func (p *Proxy) startHandover() error {
+	clientListener, ok := p.frontend.listener.Listener.(syscall.Conn)
+	if !ok {
+		return errNoDescriptor
+	}
+	hooks := handover.Hooks{ExportState: p.exportState, SuccessorExited: func() { p.addOtherProcesses(-1) }}
+	s, err := handover.Start(p.config.StateDir, clientListener, hooks, p.config.Logger)
+	if err != nil {
+		return err
+	}
+	p.handover.Store(s)
+	return nil
+}
+
+// closeHandover tells a successor that this process has ended.
+func (p *Proxy) closeHandover() {
+	if s := p.handover.Load(); s != nil {
+		s.Close()
+	}
+}
+
+// successorServing tells whether another process accepts new clients.
+func (p *Proxy) successorServing() bool {
+	s := p.handover.Load()
+	return s != nil && s.SuccessorServing()
+}
+
+// addOtherProcesses counts the processes of this proxy that run beside this one: a predecessor, a successor. Each has half
+// of the limits then.
+func (p *Proxy) addOtherProcesses(n int32) {
+	others := p.otherProcesses.Add(n)
+	p.applyResourceShare(others > 0)
+	if others == 0 {
+		p.loop.post(func() { p.loop.balancer.HandleOtherProcessExit(p.loop.clock.now()) })
+	}
+}
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -31,8 +31,6 @@
 	// stillPatience. Slow clients send 64 kB a second.
 	minUploadRate      = 32 << 10
 	uploadStallTimeout = 1500 * time.Millisecond
-
-	cutoffMargin = 100 * time.Millisecond // before all is cut off: what has not come whole is turned away
 )
 
 var (
