--- a/internal/proxy/abandon_test.go
+++ b/internal/proxy/pool_abandon_test.go
@@ -14,15 +14,15 @@
 
 // A request that was written but not yet delivered when its attempt was given up is never delivered: a server that stood
 // still, or was cut off, ran it after that.
-func TestWhatIsGivenUpIsNotDeliveredLater(t *testing.T) {
+func TestAbandonedRequestIsNotDeliveredLater(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	p := poolWith(4, l.Addr().String())
-	dial := p.dialer
-	p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := p.dialContext
+	p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err == nil {
 			err = c.(*net.TCPConn).SetWriteBuffer(4 << 20) // holds all that the server has not taken
@@ -36,13 +36,13 @@
 		}
 	}()
 	a := newAttempt(p, "a", time.Second)
-	a.req.method, a.req.body = http.MethodPost, bytes.Repeat([]byte("x"), 2<<20)
+	a.request.method, a.request.bufferedBody = http.MethodPost, bytes.Repeat([]byte("x"), 2<<20)
 	if res := a.run(); res.status != balancer.StatusTimedOut {
 		t.Fatalf("got %v, want it written whole and then timed out", res.status)
 	}
-	c := wait(t, "connection", taken)
+	c := receiveFrom(t, "connection", taken)
 	defer c.Close()
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := io.Copy(io.Discard, c); err == nil {
 		t.Errorf("%d bytes and an end came after the attempt had been given up", n)
 	}
