--- a/balancer/anynotice_test.go
+++ b/balancer/anynotice_test.go
@@ -52,8 +52,8 @@
 			}
 			for i := range near {
 				for z, bad := range bad {
-					out = append(out, Report{Kind: ReportZoneHealthy - ReportKind(partOf(bad)), Observer: fmt.Sprint("p", i), SubjectZone: z, Calls: 5,
-						BadFraction: partOf(bad), Value: 1 - partOf(bad), LastObserved: now})
+					out = append(out, Report{Kind: ReportZoneHealthy - ReportKind(indicator(bad)), Observer: fmt.Sprint("p", i), SubjectZone: z, Calls: 5,
+						BadFraction: indicator(bad), Value: 1 - indicator(bad), LastObserved: now})
 				}
 				for _, s := range servers {
 					if bad[s.Zone] {
@@ -83,7 +83,7 @@
 				hear(p)
 				open := 0
 				for _, z := range two[0].zones {
-					open += int(partOf(z.open()))
+					open += int(indicator(z.acceptsTraffic()))
 				}
 				if open == 0 && len(two[0].ready) > 0 {
 					t.Fatalf("no zone is open: %+v", two[0].ZoneStates(now))
@@ -100,7 +100,7 @@
 				well.Reports = append(well.Reports, Report{Kind: ReportZoneHealthy, Observer: fmt.Sprint("p", i), SubjectZone: z, Calls: 5, Value: 1, LastObserved: now})
 			}
 		}
-		for range 10 * (awayMost + 8*set.SlowStartDuration) / second {
+		for range 10 * (maxEvacuation + 8*set.SlowStartDuration) / second {
 			hear(well)
 		}
 		for _, z := range two[0].ZoneStates(now) {
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	hintPart = 0.5 // of the aim: the longest hint
+	retryAfterFraction = 0.5 // of the aim: the longest hint
 
-	hangMeans  = 12.0 // an attempt is given up after this many mean times
-	leastMeans = 0.5  // a request with less time left than this many mean times cannot make it
+	attemptTimeoutMeans = 12.0 // an attempt is given up after this many mean times
+	minRemainingMeans   = 0.5  // a request with less time left than this many mean times cannot make it
 
-	heldToken, turnToken = "held ", "turn " // and a request, and a key
+	queueTimeoutTimer, cooldownTimer = "held ", "turn " // and a request, and a key
 )
 
 // Timer takes a timer that was asked for.
 func (b *Balancer) HandleTimer(now int64, h Host, token string) {
-	if token == watchToken && !b.asked {
+	if token == watchTimer && !b.asked {
 		b.asked = true
 		h.Watch()
-	} else if id, ok := strings.CutPrefix(token, heldToken); ok {
-		if q := b.reqs[id]; q != nil && !q.over && len(q.attempts) == 0 {
+	} else if id, ok := strings.CutPrefix(token, queueTimeoutTimer); ok {
+		if q := b.reqs[id]; q != nil && !q.done && len(q.attempts) == 0 {
 			b.refuse(now, h, q, RejectQueueTimeout)
 		}
-	} else if key, ok := strings.CutPrefix(token, turnToken); ok && b.turns[key] != nil {
+	} else if key, ok := strings.CutPrefix(token, cooldownTimer); ok && b.turns[key] != nil {
 		b.next(now, h, b.turns[key])
 	}
 }
@@ -43,22 +43,22 @@
 		return
 	}
 	b.watch(now)
-	q := &request{Request: r, s: under, came: now}
+	q := &request{Request: r, Settings: under, receivedAt: now}
 	b.arrived(now, q)
 	if r.Key == "" || !under.Classes[r.Class].Ordered {
 		b.start(now, h, q)
 		return
 	}
 	b.join(q)
-	if b.next(now, h, q.turn); len(q.attempts) > 0 || q.over {
+	if b.next(now, h, q.queue); len(q.attempts) > 0 || q.done {
 		return
 	}
-	last := float64(b.deadline(q)-now) - leastMeans*b.classes[r.Class].mean
-	if float64(len(q.turn.line)-1)*b.classes[r.Class].mean > last { // this also bounds the line
+	last := float64(b.deadline(q)-now) - minRemainingMeans*b.classes[r.Class].mean
+	if float64(len(q.queue.waiting)-1)*b.classes[r.Class].mean > last { // this also bounds the line
 		b.refuse(now, h, q, RejectQueueTimeout)
 		return
 	}
-	h.SetTimer(max(int64(last), 0), heldToken+q.ID)
+	h.SetTimer(max(int64(last), 0), queueTimeoutTimer+q.ID)
 }
 
 // start checks the rules and sends a request's first attempt, or refuses it.
@@ -72,15 +72,15 @@
 		b.refuse(now, h, q, RejectNoServer)
 	default:
 		if t := b.origin(q); t != nil {
-			t.pass.add(now)
+			t.admitted.add(now)
 		}
 	}
 }
 
 // next starts the request whose turn it is, unless its key rests: an attempt may then still be running.
-func (b *Balancer) next(now int64, h Host, t *turn) {
-	for len(t.line) > 0 && len(t.line[0].attempts) == 0 && now >= t.rest {
-		b.start(now, h, t.line[0])
+func (b *Balancer) next(now int64, h Host, t *keyQueue) {
+	for len(t.waiting) > 0 && len(t.waiting[0].attempts) == 0 && now >= t.restUntil {
+		b.start(now, h, t.waiting[0])
 	}
 	b.tidy(now, t)
 }
@@ -88,25 +88,25 @@
 // refuse gives a hint spread so that clients don't return together, nor too late for an answer in their aim.
 func (b *Balancer) refuse(now int64, h Host, q *request, why RejectReason) {
 	b.refusals[why]++
-	most := min(q.s.MaxRetryAfter, int64(hintPart*float64(q.s.Classes[q.Class].LatencyObjective)))
+	most := min(q.Settings.MaxRetryAfter, int64(retryAfterFraction*float64(q.Settings.Classes[q.Class].LatencyObjective)))
 	h.Reject(q.ID, most/2+b.rnd.Int64N(most/2+1))
 	b.finish(now, h, q)
 }
 
 // deadline is when an answer stops being worth anything.
 func (b *Balancer) deadline(q *request) int64 {
-	switch k := q.s.Classes[q.Class]; {
+	switch k := q.Settings.Classes[q.Class]; {
 	case q.BodyPending:
 		return math.MaxInt64 / 2
 	case b.s.Tier == 0 && k.LateWeight == 0:
-		return min(q.Deadline, q.came+k.LatencyObjective)
+		return min(q.Deadline, q.receivedAt+k.LatencyObjective)
 	}
 	return q.Deadline
 }
 
 // inTime tells whether a request can still be answered while that is worth something.
 func (b *Balancer) inTime(now int64, q *request) bool {
-	return float64(b.deadline(q)-now) > leastMeans*b.classes[q.Class].mean
+	return float64(b.deadline(q)-now) > minRemainingMeans*b.classes[q.Class].mean
 }
 
 // send draws a server and sends an attempt there; false if there is none to send to.
@@ -116,10 +116,10 @@
 		return false
 	}
 	within := b.within(now, q, s)
-	a := &attempt{srv: s, sent: now, zone: s.Zone, cell: s.Cell, mayRun: true, out: true}
+	a := &attempt{server: s, sentAt: now, zone: s.Zone, cell: s.Cell, mayHaveExecuted: true, pending: true}
 	q.attempts = append(q.attempts, a)
-	q.out++
-	b.tier.pass.add(now)
+	q.pending++
+	b.tier.admitted.add(now)
 	if !q.BodyPending {
 		b.count(q, a)
 	}
@@ -134,8 +134,8 @@
 		return 0
 	}
 	left := b.deadline(q) - now
-	if q.s.Classes[q.Class].Idempotency != NonIdempotent && len(q.attempts) < q.s.MaxAttempts {
-		left = min(left, int64(hangMeans*b.classes[q.Class].mean))
+	if q.Settings.Classes[q.Class].Idempotency != NonIdempotent && len(q.attempts) < q.Settings.MaxAttempts {
+		left = min(left, int64(attemptTimeoutMeans*b.classes[q.Class].mean))
 	}
 	return max(left, 1)
 }
@@ -143,39 +143,39 @@
 // within keeps rule 2 for a further attempt: once one may have run, an unsafe request goes nowhere (-1), a
 // keyed one only to the group that drops its repeats, while that remembers it: for so long; 0 for no limit.
 func (b *Balancer) within(now int64, q *request, s *server) (left int64) {
-	k := q.s.Classes[q.Class]
+	k := q.Settings.Classes[q.Class]
 	for _, a := range q.attempts {
-		if !a.mayRun || k.Idempotency == Idempotent {
+		if !a.mayHaveExecuted || k.Idempotency == Idempotent {
 			continue
 		}
-		if k.Idempotency == NonIdempotent || now-a.sent >= k.DedupWindow ||
+		if k.Idempotency == NonIdempotent || now-a.sentAt >= k.DedupWindow ||
 			k.DedupScope == DedupScopeZone && a.zone != s.Zone || k.DedupScope == DedupScopeCell && a.cell != s.Cell {
 			return -1
 		}
-		left = cmp.Or(left, a.sent+k.DedupWindow-now) // the first one's ends first
+		left = cmp.Or(left, a.sentAt+k.DedupWindow-now) // the first one's ends first
 	}
 	return left
 }
 
 // mayRefuse keeps rule 2 for a refusal, which tells the client that trying again is harmless.
 func (b *Balancer) mayRefuse(q *request) bool {
-	k := q.s.Classes[q.Class]
+	k := q.Settings.Classes[q.Class]
 	return k.Idempotency == Idempotent || k.Idempotency == IdempotentWithKey && k.DedupScope == DedupScopeAll ||
-		!slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.mayRun })
+		!slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.mayHaveExecuted })
 }
 
 // Started takes the news that a streamed answer has begun and learns from it: the rest is at a client's pace.
 func (b *Balancer) HandleResponseStarted(now int64, id string) {
 	q := b.reqs[id]
-	if q == nil || q.over {
+	if q == nil || q.done {
 		return
 	}
-	q.over = true
+	q.done = true
 	for _, a := range q.attempts {
-		if a.out {
-			a.started = true
+		if a.pending {
+			a.responseStarted = true
 			b.leave(q, a)
-			b.learn(now, q, a, Outcome{Status: StatusOK, Latency: now - a.sent})
+			b.learn(now, q, a, Outcome{Status: StatusOK, Latency: now - a.sentAt})
 		}
 	}
 }
@@ -183,13 +183,13 @@
 // Uploaded takes the news that a request's body has come: its time begins. It returns its attempt's time-out.
 func (b *Balancer) HandleBodyReceived(now int64, id string, giveUp int64) (timeout int64) {
 	q := b.reqs[id]
-	if q == nil || q.over {
+	if q == nil || q.done {
 		return 0
 	}
-	q.BodyPending, q.Deadline, q.came = false, giveUp, now
+	q.BodyPending, q.Deadline, q.receivedAt = false, giveUp, now
 	for _, a := range q.attempts {
-		if a.out {
-			a.sent = now
+		if a.pending {
+			a.sentAt = now
 			b.count(q, a)
 		}
 	}
@@ -206,30 +206,30 @@
 // Outcome takes the end of an attempt; a request that is owed an answer gets it or a further attempt at once.
 func (b *Balancer) HandleOutcome(now int64, h Host, o Outcome) {
 	q := b.reqs[o.RequestID]
-	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].out {
+	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].pending {
 		return
 	}
 	b.watch(now)
 	a := q.attempts[o.Attempt]
-	a.out = false
-	if q.out--; a.started { // learned from already, but for an answer that breaks off
+	a.pending = false
+	if q.pending--; a.responseStarted { // learned from already, but for an answer that breaks off
 		if o.Status != StatusOK && o.Status != StatusCancelled {
-			b.judge(a.srv, q.Class, o.Status)
+			b.judge(a.server, q.Class, o.Status)
 		}
 		b.finish(now, h, q)
 		return
 	}
-	a.mayRun = o.Status != StatusConnectFailed && o.Status != StatusNotSent && (o.Status != StatusRejected || q.s.RejectedMayHaveExecuted)
+	a.mayHaveExecuted = o.Status != StatusConnectFailed && o.Status != StatusNotSent && (o.Status != StatusRejected || q.Settings.RejectedMayHaveExecuted)
 	b.leave(q, a)
 	b.learn(now, q, a, o)
 	b.report(now, h)
-	if q.turn != nil && slices.Contains([]Status{StatusTimedOut, StatusReset, StatusCancelled}, o.Status) { // it may still run
-		q.turn.rest = now + q.s.OrderingCooldown
-		h.SetTimer(q.s.OrderingCooldown, turnToken+q.Key)
+	if q.queue != nil && slices.Contains([]Status{StatusTimedOut, StatusReset, StatusCancelled}, o.Status) { // it may still run
+		q.queue.restUntil = now + q.Settings.OrderingCooldown
+		h.SetTimer(q.Settings.OrderingCooldown, cooldownTimer+q.Key)
 	}
-	if o.RequestDone || q.over {
+	if o.RequestDone || q.done {
 		b.finish(now, h, q)
-	} else if q.out > 0 || !o.NotReplayable && b.again(now, h, q) {
+	} else if q.pending > 0 || !o.NotReplayable && b.again(now, h, q) {
 		return
 	} else if b.mayRefuse(q) {
 		b.refuse(now, h, q, RejectRetriesExhausted)
@@ -249,8 +249,8 @@
 	if now < b.free {
 		free = 0
 	}
-	if len(q.attempts) >= q.s.MaxAttempts || !b.inTime(now, q) || !b.tier.canPass(u) || !rule.canPass(u) ||
-		b.further.since(from)+1 > free+b.s.RetryBudgetRatio*b.taken.since(from+1) || !b.send(now, h, q) {
+	if len(q.attempts) >= q.Settings.MaxAttempts || !b.inTime(now, q) || !b.tier.admits(u) || !rule.admits(u) ||
+		b.further.countSince(from)+1 > free+b.s.RetryBudgetRatio*b.taken.countSince(from+1) || !b.send(now, h, q) {
 		return false
 	}
 	b.further.add(now, b.s.RetryBudgetWindow)
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -29,19 +29,19 @@
 		ask(b, h, start, "r", 0)
 		b.HandleResponseStarted(start+1000, "r")
 		s := b.byID["s0"]
-		if s.inflight != 0 || b.tier.threads != 0 || b.classes[0].seen != 1 {
-			t.Errorf("begun: %d held, %d in all, %v seen", s.inflight, b.tier.threads, b.classes[0].seen)
+		if s.inFlight != 0 || b.tier.inFlight != 0 || b.classes[0].seen != 1 {
+			t.Errorf("begun: %d held, %d in all, %v seen", s.inFlight, b.tier.inFlight, b.classes[0].seen)
 		}
 		ask(b, h, start+20*second, "other", 0) // would count what is slow
 		b.HandleOutcome(start+20*second, h, Outcome{RequestID: "other", Status: StatusOK, Latency: 1000, RequestDone: true})
-		if b.share < shareStart {
+		if b.share < maxQuotaMultiple {
 			t.Errorf("a slow client presses the shares to %v", b.share)
 		}
 		b.HandleOutcome(start+30*second, h, Outcome{RequestID: "r", Status: end, Latency: 30 * second, RequestDone: true})
-		if s.inflight != 0 || b.tier.threads != 0 || len(b.reqs) != 0 {
-			t.Errorf("%v: %d held, %d in all, %d requests", end, s.inflight, b.tier.threads, len(b.reqs))
+		if s.inFlight != 0 || b.tier.inFlight != 0 || len(b.reqs) != 0 {
+			t.Errorf("%v: %d held, %d in all, %d requests", end, s.inFlight, b.tier.inFlight, len(b.reqs))
 		}
-		if blamed := s.whole.left < 1; blamed != (end == StatusReset) {
+		if blamed := s.whole.score < 1; blamed != (end == StatusReset) {
 			t.Errorf("%v: blamed %v", end, blamed)
 		}
 	}
@@ -58,7 +58,7 @@
 		t.Fatalf("got %q", h.lines)
 	}
 	late := start + 60*second
-	if b.tier.threads != 0 || b.byID[h.sends[0].server].inflight != 0 {
+	if b.tier.inFlight != 0 || b.byID[h.sends[0].server].inFlight != 0 {
 		t.Error("a body on its way counts as a call in flight")
 	}
 	ask(b, h, late, "other", 0) // would count what is slow
@@ -66,12 +66,12 @@
 	if got := b.HandleBodyReceived(late, "r", late+1_000_000); got != s.Classes[0].LatencyObjective {
 		t.Errorf("%d left for the answer", got)
 	}
-	if b.tier.threads != 1 || b.byID[h.sends[0].server].inflight != 1 {
+	if b.tier.inFlight != 1 || b.byID[h.sends[0].server].inFlight != 1 {
 		t.Error("a call whose body has come is not counted in flight")
 	}
 	b.HandleOutcome(late+1000, h, Outcome{RequestID: "r", Status: StatusOK, Latency: 1000, RequestDone: true})
-	if b.share < shareStart || b.tier.ev.bad != 0 || len(b.reqs) != 0 {
-		t.Errorf("a slow client counts against the tier: share %v, %d bad, %d requests", b.share, b.tier.ev.bad, len(b.reqs))
+	if b.share < maxQuotaMultiple || b.tier.feedback.bad != 0 || len(b.reqs) != 0 {
+		t.Errorf("a slow client counts against the tier: share %v, %d bad, %d requests", b.share, b.tier.feedback.bad, len(b.reqs))
 	}
 	for _, spent := range []bool{false, true} {
 		n := len(h.sends)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -7,7 +7,7 @@
 import "math/rand/v2"
 
 // Without a stated budget: its span, the further attempts in it, and those for each request taken.
-const ownSpan, ownFree, ownShare = 10 * second, 5.0, 0.1
+const defaultBudgetWindow, defaultBudgetMin, defaultBudgetRatio = 10 * second, 5.0, 0.1
 
 // New returns a Balancer for the settings; all its random draws come from the seed.
 func New(s Settings, seed uint64) (*Balancer, error) {
@@ -15,24 +15,24 @@
 		return nil, err
 	}
 	b := &Balancer{s: &s, rnd: rand.New(rand.NewPCG(seed, seed)), byID: map[string]*server{},
-		reqs: map[string]*request{}, turns: map[string]*turn{}, backoff: watchFirst,
-		tenants: make([]originRule, len(s.Tenants)), classes: make([]classState, len(s.Classes))}
-	b.share, b.shareMost, b.shareBad, b.spill = shareStart, shareStart, sharePress, spillStart
+		reqs: map[string]*request{}, turns: map[string]*keyQueue{}, backoff: minWatchBackoff,
+		tenants: make([]tenantQuota, len(s.Tenants)), classes: make([]classState, len(s.Classes))}
+	b.share, b.shareMost, b.shareBad, b.spill = maxQuotaMultiple, maxQuotaMultiple, overloadQuotaMultiple, startSpillover
 	if s.Tier > 0 {
-		b.share, b.shareMost, b.shareBad, b.spill = shareDeep, shareDeep, shareDeep, spillLow
+		b.share, b.shareMost, b.shareBad, b.spill = innerTierQuotaMultiple, innerTierQuotaMultiple, innerTierQuotaMultiple, minSpillover
 	}
 	for i, c := range s.Classes {
 		b.classes[i] = b.freshClass(c)
 	}
 	b.derive()
-	b.tier = b.freshRule(b.shareEv.span)
+	b.tier = b.freshRule(b.shareEv.maxDuration)
 	return b, nil
 }
 
 // derive takes what follows from the settings in force.
 func (b *Balancer) derive() {
 	if b.s.RetryBudgetWindow == 0 {
-		b.s.RetryBudgetWindow, b.s.RetryBudgetMin, b.s.RetryBudgetRatio = ownSpan, ownFree, ownShare
+		b.s.RetryBudgetWindow, b.s.RetryBudgetMin, b.s.RetryBudgetRatio = defaultBudgetWindow, defaultBudgetMin, defaultBudgetRatio
 	}
 	b.fair = 0
 	for _, t := range b.s.Tenants { // a copy that carries more than its part learns a higher multiple
@@ -41,10 +41,10 @@
 	span := int64(0)
 	for i, c := range b.s.Classes {
 		if !b.classes[i].retired {
-			span = max(span, roundSpan*c.LatencyObjective)
+			span = max(span, feedbackRoundObjectives*c.LatencyObjective)
 		}
 	}
-	b.shareEv.allowed, b.shareEv.span = slowMuch, span
-	b.spillEv.allowed, b.spillEv.span = slowMuch, span
-	b.tier.ev.span = span
+	b.shareEv.maxBadFraction, b.shareEv.maxDuration = maxSlowFraction, span
+	b.spillEv.maxBadFraction, b.spillEv.maxDuration = maxSlowFraction, span
+	b.tier.feedback.maxDuration = span
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -28,11 +28,11 @@
 				h := &recorder{}
 				bal.UpdateEndpoints(start, h, UpdateSnapshot, list)
 				for i := range 8 * 100 { // 100 requests a second
-					bal.tier.pass.add(start + int64(i)*second/100)
+					bal.tier.admitted.add(start + int64(i)*second/100)
 				}
 				if how == "on" || how == "away" {
 					bal.open()
-					bal.zones[0].fresh = evidence{calls: 6, last: start + 8*second}
+					bal.zones[0].fresh = callStats{calls: 6, lastAt: start + 8*second}
 					bal.Reports(start + 8*second)
 					bal.HandlePeerReports(start+8*second, h, PeerReports{LiveReplicas: 30, LiveReplicasInZone: 10})
 				}
@@ -40,7 +40,7 @@
 					bal.leaveZone(start+8*second, h, &bal.zones[0])
 					bal.relist()
 				}
-				q := &request{s: bal.s, Request: Request{Class: 2}}
+				q := &request{Settings: bal.s, Request: Request{Class: 2}}
 				for b.Loop() {
 					if bal.draw(start+8*second, q) == nil {
 						b.Fatal("nothing drawn")
@@ -60,9 +60,9 @@
 				b.Run(fmt.Sprintf("rate=%d/zones=%d/nodos=%d", rate, zones, n), func(b *testing.B) {
 					bal := listedCopy(b, n, zones, 4)
 					for i := range 8 * rate {
-						bal.tier.pass.add(start + int64(i)*second/int64(rate))
+						bal.tier.admitted.add(start + int64(i)*second/int64(rate))
 					}
-					q := &request{s: bal.s}
+					q := &request{Settings: bal.s}
 					b.ReportAllocs()
 					for b.Loop() {
 						if bal.draw(start+8*second, q) == nil {
--- a/balancer/books.go
+++ b/balancer/books.go
@@ -12,41 +12,41 @@
 
 // evidence counts calls and how many of them were bad. Both fade, with time and with each further call, so
 // that the part is that of the latest: it must also tell of a zone that calls have begun to avoid.
-type evidence struct {
+type callStats struct {
 	calls, bad float64 // as of last
-	last       int64
-	cause      Fault // of the latest that was bad
-	badAt      int64 // when that was
+	lastAt     int64
+	fault      Fault // of the latest that was bad
+	lastBadAt  int64 // when that was
 }
 
 // add takes the end of a call: NoCause for one that was answered.
-func (e *evidence) add(now, span int64, most float64, cause Fault) {
-	keep := math.Exp(-float64(now-e.last) / float64(span))
+func (e *callStats) record(now, span int64, most float64, cause Fault) {
+	keep := math.Exp(-float64(now-e.lastAt) / float64(span))
 	keep *= min(1, (most-1)/max(keep*e.calls, 1))
-	e.calls, e.bad, e.last = e.calls*keep+1, e.bad*keep, now
+	e.calls, e.bad, e.lastAt = e.calls*keep+1, e.bad*keep, now
 	if cause != NoFault {
-		e.bad, e.cause, e.badAt = e.bad+1, cause, now
+		e.bad, e.fault, e.lastBadAt = e.bad+1, cause, now
 	}
 }
 
 // amend takes back that a call was bad: it was answered after all.
-func (e *evidence) amend() { e.bad = max(0, e.bad-1) }
+func (e *callStats) retractBad() { e.bad = max(0, e.bad-1) }
 
 // since tells whether the latest call was no longer ago than span.
-func (e *evidence) since(now, span int64) bool { return e.last != 0 && now-e.last <= span }
+func (e *callStats) seenWithin(now, span int64) bool { return e.lastAt != 0 && now-e.lastAt <= span }
 
-func (e *evidence) part() float64 { return e.bad / max(e.calls, 1e-9) }
+func (e *callStats) badFraction() float64 { return e.bad / max(e.calls, 1e-9) }
 
 // zone is how another zone, or home, stands as seen from home.
 type zone struct {
 	ZoneState
-	fresh, long evidence // this copy's own
-	step        int      // of Returning
-	flaps       int      // times that it was left lately
-	left        int64    // when it was last left
-	trial       int64    // when this copy may next try it
-	said        int64    // when its last log line was written
-	sum         zoneSum
+	fresh, long callStats // this copy's own
+	step        int       // of Returning
+	flaps       int       // times that it was left lately
+	left        int64     // when it was last left
+	trial       int64     // when this copy may next try it
+	loggedAt    int64     // when its last log line was written
+	reports     zoneReports
 }
 
 // zone is the state of a zone, nil of one that the settings have not or before others were told or heard.
@@ -76,26 +76,26 @@
 func (b *Balancer) note(now int64, a *attempt, cause Fault) {
 	z := cmp.Or(b.zone(a.zone), &zone{})
 	if cause == NoFault {
-		a.srv.okAt = now
+		a.server.okAt = now
 	}
 	if a.quiet && cause == NoFault {
-		a.srv.seen.amend()
-		z.fresh.amend()
-		z.long.amend()
+		a.server.seen.retractBad()
+		z.fresh.retractBad()
+		z.long.retractBad()
 	}
 	if a.quiet {
 		return
 	}
-	a.srv.seen.add(now, freshSpan, serverCalls, cause)
-	z.fresh.add(now, freshSpan, zoneMost, zoneCause[cause])
-	z.long.add(now, trialSpan, zoneMost, zoneCause[cause])
+	a.server.seen.record(now, recentDecay, maxServerCalls, cause)
+	z.fresh.record(now, recentDecay, maxZoneCalls, faultForZone[cause])
+	z.long.record(now, longTermDecay, maxZoneCalls, faultForZone[cause])
 }
 
 // listen notes calls that are out for too long.
 func (b *Balancer) listen(now int64) {
 	for _, q := range b.reqs {
 		for _, a := range q.attempts {
-			if a.out && a.counted && !a.started && !a.quiet && b.quiet(now, q.Class, a) {
+			if a.pending && a.counted && !a.responseStarted && !a.quiet && b.quiet(now, q.Class, a) {
 				b.note(now, a, FaultUnresponsive)
 				a.quiet = true
 			}
@@ -104,7 +104,7 @@
 }
 
 // tried counts the servers that this copy tried, and those of them that it tried very lately.
-type tried struct{ all, bad, badZones, late, lateBad int }
+type zoneSample struct{ servers, unhealthy, unhealthyZones, recent, recentUnhealthy int }
 
 // Seen is what this copy tells others now; what is not said again is taken back. It is also what this copy
 // itself goes by, as the others do.
@@ -112,25 +112,25 @@
 	b.open()
 	b.listen(now)
 	b.tells = nil
-	var sum tried
-	of := map[int]tried{}
+	var sum zoneSample
+	of := map[int]zoneSample{}
 	for _, s := range b.all {
-		if s.State != ServerReady || !s.seen.since(now, serverFresh) {
+		if s.State != ServerReady || !s.seen.seenWithin(now, serverReportTTL) {
 			continue
 		}
 		t := of[s.Zone]
-		_, _, span := cmp.Or(b.zone(s.Zone), &zone{}).lately(now)
-		late := int(partOf(s.seen.since(now, span)))
-		t.all, t.late = t.all+1, t.late+late
+		_, _, span := cmp.Or(b.zone(s.Zone), &zone{}).recentStats(now)
+		late := int(indicator(s.seen.seenWithin(now, span)))
+		t.servers, t.recent = t.servers+1, t.recent+late
 		b.detectFlap(now, s)
 		n := Report{ObserverZone: b.s.Zone, Server: s.ID, StartTime: s.StartTime, Calls: s.seen.calls,
-			BadFraction: s.seen.part()}
+			BadFraction: s.seen.badFraction()}
 		says := false
-		if n.Kind, n.Fault, n.LastObserved, says = s.says(now); says {
+		if n.Kind, n.Fault, n.LastObserved, says = s.healthReport(now); says {
 			b.tells = append(b.tells, n)
 		}
 		if n.Kind == ReportServerUnhealthy {
-			t.bad, t.lateBad = t.bad+1, t.lateBad+late
+			t.unhealthy, t.recentUnhealthy = t.unhealthy+1, t.recentUnhealthy+late
 		}
 		of[s.Zone] = t
 	}
@@ -140,7 +140,7 @@
 		}
 	}
 	for _, t := range of {
-		sum.all, sum.bad, sum.badZones = sum.all+t.all, sum.bad+t.bad, sum.badZones+int(partOf(t.bad > 0))
+		sum.servers, sum.unhealthy, sum.unhealthyZones = sum.servers+t.servers, sum.unhealthy+t.unhealthy, sum.unhealthyZones+int(indicator(t.unhealthy > 0))
 	}
 	b.tells = append(append(b.tells, b.tellFlaps(now)...), b.tellLoads(now)...)
 	if b.ownLink(now, sum) {
@@ -150,11 +150,11 @@
 }
 
 // tellZone is what this copy tells of a zone, and whether it has evidence on it.
-func (b *Balancer) tellZone(now int64, z *zone, t tried) (n Report, ok bool) {
-	e, ok, _ := z.lately(now)
+func (b *Balancer) tellZone(now int64, z *zone, t zoneSample) (n Report, ok bool) {
+	e, ok, _ := z.recentStats(now)
 	n = Report{ObserverZone: b.s.Zone, SubjectZone: z.Zone, LastObserved: now}
 	if ok {
-		n.Calls, n.BadFraction, n.LastObserved = e.calls, e.part(), e.last
+		n.Calls, n.BadFraction, n.LastObserved = e.calls, e.badFraction(), e.lastAt
 	}
 	b.sayOf(z, &n, e, ok, t)
 	return n, ok
@@ -170,7 +170,7 @@
 	b.condemn(now)
 	b.reportDamped(now, h)
 	b.tune(now)
-	b.sumZones(zoneLeast, zoneMost)
+	b.sumZones(minZoneCalls, maxZoneCalls)
 	changed := false
 	for i := range b.zones {
 		z := &b.zones[i]
@@ -207,8 +207,8 @@
 	slices.SortStableFunc(b.ready, func(x, y *server) int { return b.rank(x) - b.rank(y) })
 	b.near, b.far = 0, 0
 	for _, s := range b.ready {
-		b.near += int(partOf(b.rank(s) == 0))
-		b.far += int(partOf(b.rank(s) < 2))
+		b.near += int(indicator(b.rank(s) == 0))
+		b.far += int(indicator(b.rank(s) < 2))
 	}
 }
 
@@ -225,35 +225,35 @@
 // openBeside tells whether there is a zone to go to instead of another.
 func (b *Balancer) openBeside(z *zone) (open bool) {
 	for i := range b.zones {
-		open = open || &b.zones[i] != z && b.zones[i].open()
+		open = open || &b.zones[i] != z && b.zones[i].acceptsTraffic()
 	}
 	return open
 }
 
 // badBeside is the part of bad calls in the zones that could be gone to instead; 0 if nobody calls them.
 func (b *Balancer) badBeside(z *zone) float64 {
-	var sum zoneSum
+	var sum zoneReports
 	for i := range b.zones {
-		if o := &b.zones[i]; o != z && o.open() {
-			sum.calls, sum.bad = sum.calls+o.sum.calls, sum.bad+o.sum.bad
+		if o := &b.zones[i]; o != z && o.acceptsTraffic() {
+			sum.calls, sum.bad = sum.calls+o.reports.calls, sum.bad+o.reports.bad
 		}
 	}
-	return sum.part()
+	return sum.badFraction()
 }
 
 // stand puts a zone in a standing and tells on-call staff: of those that last a second or more each time, of
 // the others at most once a second.
 func (b *Balancer) stand(now int64, h Host, z *zone, to ZonePhase, share float64) {
 	from := z.Phase
-	z.Phase, z.WeightFraction, z.ChangedAt, z.Fault = to, share, now, z.sum.cause
+	z.Phase, z.WeightFraction, z.ChangedAt, z.Fault = to, share, now, z.reports.fault
 	if from == to {
 		return
 	}
 	z.Transitions++
-	if from < ZoneEvacuated && to < ZoneEvacuated && now-z.said < second && z.said != 0 || to == ZoneEvacuating {
+	if from < ZoneEvacuated && to < ZoneEvacuated && now-z.loggedAt < second && z.loggedAt != 0 || to == ZoneEvacuating {
 		return
 	}
-	z.said = now
+	z.loggedAt = now
 	h.Log(ZonePhaseChanged{ObserverZone: b.s.Zone, State: z.state(), Previous: from})
 }
 
@@ -270,14 +270,14 @@
 // state is the state of a zone with the evidence of all copies as of now.
 func (z *zone) state() ZoneState {
 	s := z.ZoneState
-	s.Calls, s.BadFraction, s.ReportingReplicas, s.UnhealthyVotes = z.sum.calls, z.sum.part(), z.sum.say, z.sum.against
+	s.Calls, s.BadFraction, s.ReportingReplicas, s.UnhealthyVotes = z.reports.calls, z.reports.badFraction(), z.reports.replicas, z.reports.unhealthyVotes
 	return s
 }
 
 // Condemned are the ready servers that get trials at most by the word of others.
 func (b *Balancer) EjectedServers() (ids []string) {
 	for _, s := range b.ready {
-		if s.told < healthyPart {
+		if s.told < healthyScore {
 			ids = append(ids, s.ID)
 		}
 	}
--- a/balancer/counts.go
+++ b/balancer/counts.go
@@ -5,67 +5,67 @@
 // Counts of events by time.
 
 const (
-	second       = int64(1_000_000) // all times are microseconds
-	windowTicks  = 64               // buckets of the sliding window
-	windowBucket = second / 8
-	windowWhole  = windowTicks * windowBucket
+	second         = int64(1_000_000) // all times are microseconds
+	windowBuckets  = 64               // buckets of the sliding window
+	bucketDuration = second / 8
+	maxWindow      = windowBuckets * bucketDuration
 )
 
 // window counts events over a sliding time of up to windowTicks buckets.
 type window struct {
-	n    [windowTicks]int32
-	last int64
+	buckets    [windowBuckets]int32
+	lastBucket int64
 }
 
 func (w *window) add(now int64) {
 	w.advance(now)
-	w.n[w.last%windowTicks]++
+	w.buckets[w.lastBucket%windowBuckets]++
 }
 
 func (w *window) advance(now int64) {
-	b := now / windowBucket
-	for i := max(w.last+1, b-windowTicks+1); i <= b; i++ {
-		w.n[i%windowTicks] = 0
+	b := now / bucketDuration
+	for i := max(w.lastBucket+1, b-windowBuckets+1); i <= b; i++ {
+		w.buckets[i%windowBuckets] = 0
 	}
-	w.last = max(w.last, b)
+	w.lastBucket = max(w.lastBucket, b)
 }
 
-func (w *window) sum(now, span int64) float64 {
+func (w *window) count(now, span int64) float64 {
 	w.advance(now)
 	total := int32(0)
-	for i := int64(0); i < span/windowBucket; i++ {
-		if w.last-i >= 0 {
-			total += w.n[(w.last-i)%windowTicks]
+	for i := int64(0); i < span/bucketDuration; i++ {
+		if w.lastBucket-i >= 0 {
+			total += w.buckets[(w.lastBucket-i)%windowBuckets]
 		}
 	}
 	return float64(total)
 }
 
 // tally counts events and forgets them over about tallySpan.
-type tally struct {
-	n    float64
-	last int64
+type decayingCount struct {
+	count  float64
+	lastAt int64
 }
 
-func (t *tally) at(now int64) float64 {
-	t.n *= math.Exp(-float64(now-t.last) / float64(tallySpan))
-	t.last = now
-	return t.n
+func (t *decayingCount) at(now int64) float64 {
+	t.count *= math.Exp(-float64(now-t.lastAt) / float64(arrivalDecay))
+	t.lastAt = now
+	return t.count
 }
 
-func (t *tally) add(now int64) { t.n = t.at(now) + 1 }
+func (t *decayingCount) add(now int64) { t.count = t.at(now) + 1 }
 
 // timeline holds the times of events, oldest first.
-type timeline []int64
+type eventTimes []int64
 
 // add takes an event and forgets those that are older than span.
-func (l *timeline) add(now, span int64) {
+func (l *eventTimes) add(now, span int64) {
 	*l = append(*l, now)
-	l.since(now - span)
+	l.countSince(now - span)
 }
 
 // since forgets the events before from and counts the rest.
-func (l *timeline) since(from int64) float64 {
+func (l *eventTimes) countSince(from int64) float64 {
 	n := 0
 	for n < len(*l) && (*l)[n] < from {
 		n++
--- a/balancer/damping_test.go
+++ b/balancer/damping_test.go
@@ -24,19 +24,19 @@
 		{"one fall and return", 3 * second, 7 * second, 2, 0, 0, 0},
 		{"every two minutes", 120 * second, 600 * second, 1, 2, 0, 0},
 	} {
-		var d damper
+		var d flapDamper
 		var changes []int64
 		down, state, damped := false, 0, 0.0
 		for now := int64(0); now < 600*second; now += second / 10 {
 			if now > 0 && now%c.every == 0 && now < c.until {
 				down = !down
 				for i := range int64(3) {
-					d.saw(now+i, "s", 1, down, fmt.Sprint(i), now+i, 3)
+					d.recordFlap(now+i, "s", 1, down, fmt.Sprint(i), now+i, 3)
 				}
 			}
-			_, is := d.damped(now+3, "s", 1)
-			damped += partOf(is) / 6000
-			is2 := int(partOf(down))
+			_, is := d.dampedSince(now+3, "s", 1)
+			damped += indicator(is) / 6000
+			is2 := int(indicator(down))
 			if is {
 				is2 = 2
 			}
@@ -48,9 +48,9 @@
 		for i, at := range changes {
 			n := 0
 			for _, x := range changes[i:] {
-				n += int(partOf(x < at+60*second))
+				n += int(indicator(x < at+60*second))
 			}
-			if first += int(partOf(at <= 60*second)); at > 60*second {
+			if first += int(indicator(at <= 60*second)); at > 60*second {
 				later = max(later, n)
 			}
 		}
@@ -83,17 +83,17 @@
 		{"a return without a fall", []say{{1, 1, false, "a"}, {2, 1, false, "b"}}, 0},
 		{"from times to come", []say{{1, 1, true, "a"}, {math.MaxInt64, 1, true, "b"}}, 0},
 	} {
-		var d damper
+		var d flapDamper
 		now := int64(0)
 		for _, s := range c.says {
 			if now = max(now, s.at); s.at == math.MaxInt64 {
 				now = 1
 			}
-			d.saw(now, "s", s.start, s.down, s.who, s.at, 2)
+			d.recordFlap(now, "s", s.start, s.down, s.who, s.at, 2)
 		}
 		got := 0.0
 		if r := d.records["s"]; r != nil {
-			got = r.left(now)
+			got = r.currentPenalty(now)
 		}
 		if math.Abs(got-c.want) > 1e-3 {
 			t.Errorf("%s: penalty %g, want %g", c.name, got, c.want)
@@ -105,7 +105,7 @@
 // time, each flap counts once, and records stay few and go once they rest.
 func TestDamperAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var d damper
+		var d flapDamper
 		now, counted, since := int64(0), map[string]int64{}, map[string]int64{}
 		state := map[string]bool{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -114,7 +114,7 @@
 			down := rapid.Bool().Draw(t, "down")
 			at := now - rapid.Int64Range(-second, 3*second).Draw(t, "age")
 			known := d.records[key] != nil
-			if d.saw(now, key, 1, down, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), at, 2) {
+			if d.recordFlap(now, key, 1, down, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), at, 2) {
 				if known && state[key] == down || at <= counted[key] && counted[key] != 0 || at > now {
 					t.Fatalf("at %d a flap of %s to %v seen at %d counts again", now, key, down, at)
 				}
@@ -126,20 +126,20 @@
 					since[key] = 0
 					continue
 				}
-				if p := r.left(now); !(p >= 0 && p <= flapMost) {
+				if p := r.currentPenalty(now); !(p >= 0 && p <= maxPenalty) {
 					t.Fatalf("a penalty of %g", p)
 				}
-				from, is := d.damped(now, key, 1)
-				if is && since[key] == 0 && r.left(now) <= flapSuppress || is && (now-from >= flapLong || r.left(now) < flapReuse) {
-					t.Fatalf("at %d damped since %d at a penalty of %g", now, from, r.left(now))
+				from, is := d.dampedSince(now, key, 1)
+				if is && since[key] == 0 && r.currentPenalty(now) <= dampingThreshold || is && (now-from >= maxDamping || r.currentPenalty(now) < reuseThreshold) {
+					t.Fatalf("at %d damped since %d at a penalty of %g", now, from, r.currentPenalty(now))
 				}
-				if !is && since[key] != 0 && now-since[key] < flapLong && r.left(now) >= flapReuse {
-					t.Fatalf("at %d no longer damped at a penalty of %g", now, r.left(now))
+				if !is && since[key] != 0 && now-since[key] < maxDamping && r.currentPenalty(now) >= reuseThreshold {
+					t.Fatalf("at %d no longer damped at a penalty of %g", now, r.currentPenalty(now))
 				}
 				since[key] = from
 			}
 		}
-		if d.tidy(now + 200*second); len(d.records) != 0 {
+		if d.removeRested(now + 200*second); len(d.records) != 0 {
 			t.Fatalf("%d records are kept of what rests", len(d.records))
 		}
 	})
@@ -215,7 +215,7 @@
 			for _, s := range x.sends {
 				if s.at > start+30*second {
 					of++
-					calls += partOf(s.server == "s0")
+					calls += indicator(s.server == "s0")
 				}
 			}
 		}
@@ -251,8 +251,8 @@
 		w.run(50 * second)
 		for i, c := range w.copies {
 			for _, s := range c.sends[before[i]:] {
-				trials[damped] += int(partOf(s.server == "s0"))
-				later[damped] += int(partOf(s.server == "s0" && s.at > start+31*second))
+				trials[damped] += int(indicator(s.server == "s0"))
+				later[damped] += int(indicator(s.server == "s0" && s.at > start+31*second))
 			}
 		}
 		for _, c := range w.copies {
@@ -299,7 +299,7 @@
 			p := PeerReports{LiveReplicas: living, LiveReplicasInZone: near}
 			for _, s := range list {
 				for _, who := range []string{"a", "b", "c"} {
-					p.Reports = append(p.Reports, Report{Kind: ReportServerFlap, Observer: who, Server: s.ID, BadFraction: partOf(i%2 == 0), LastObserved: now})
+					p.Reports = append(p.Reports, Report{Kind: ReportServerFlap, Observer: who, Server: s.ID, BadFraction: indicator(i%2 == 0), LastObserved: now})
 				}
 			}
 			b.HandlePeerReports(now, h, p)
--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	heldPower   = 8.0  // how sharply a weight falls with the calls of this copy that its server holds
-	triedPart   = 1e-6 // weight left to a server that the request has tried, for when there is no other
-	riskPart    = 0.2  // of the trials of a silent server go on with calls that cannot be made again
-	healthyPart = 0.5  // of its health left: a server below it only gets trials
-	coldMargin  = 0.6  // part of its least capacity that a cold server is given
-	tipPart     = 0.65 // of what tips a cold server over is the most that all copies may send it
+	inFlightExponent         = 8.0  // how sharply a weight falls with the calls of this copy that its server holds
+	triedWeightFactor        = 1e-6 // weight left to a server that the request has tried, for when there is no other
+	nonIdempotentTrialFactor = 0.2  // of the trials of a silent server go on with calls that cannot be made again
+	healthyScore             = 0.5  // of its health left: a server below it only gets trials
+	warmupMargin             = 0.6  // part of its least capacity that a cold server is given
+	overloadMargin           = 0.65 // of what tips a cold server over is the most that all copies may send it
 )
 
 // draw picks a ready server of this copy's subset at random by weight; those tried before come last. The
@@ -22,8 +22,8 @@
 func (b *Balancer) draw(now int64, q *request) *server {
 	b.draws.add(now)
 	for _, s := range b.ready {
-		if s.owed && b.within(now, q, s) >= 0 && b.stands(now, s) {
-			s.owed = false
+		if s.probePending && b.within(now, q, s) >= 0 && b.stands(now, s) {
+			s.probePending = false
 			return s
 		}
 	}
@@ -51,30 +51,30 @@
 		}
 		s := b.ready[i]
 		warmth := b.warmth(now, s)
-		room, cold = room-s.healthFor(q.Class)*warmth, cold || warmth < 1 && b.s.OverloadMultiple > 0
+		room, cold = room-s.healthScore(q.Class)*warmth, cold || warmth < 1 && b.s.OverloadMultiple > 0
 		w := 0.0
 		if b.within(now, q, s) >= 0 {
 			w = b.weigh(now, s, q.Class)
 		}
-		if q.tried(s) {
-			w *= triedPart
+		if q.triedOn(s) {
+			w *= triedWeightFactor
 		}
 		if stale {
 			w *= b.listedPart(now, s)
 		}
 		total += w
-		if s.healthFor(q.Class) >= healthyPart {
+		if s.healthScore(q.Class) >= healthyScore {
 			best = max(best, w)
 		}
 		b.drawn, b.weights = append(b.drawn, s), append(b.weights, w)
 	}
 	// One that fails fast holds few calls, so it would draw the most: its trials are a part of the best.
 	for i, s := range b.drawn {
-		part, unsafe := s.healthFor(q.Class), q.s.Classes[q.Class].Idempotency == NonIdempotent
-		if unsafe && (s.damped || s.whole.left*s.told < healthyPart) {
-			part *= riskPart
+		part, unsafe := s.healthScore(q.Class), q.Settings.Classes[q.Class].Idempotency == NonIdempotent
+		if unsafe && (s.damped || s.whole.score*s.told < healthyScore) {
+			part *= nonIdempotentTrialFactor
 		}
-		if over := b.weights[i] - part*best; best > 0 && part < healthyPart && over > 0 {
+		if over := b.weights[i] - part*best; best > 0 && part < healthyScore && over > 0 {
 			total, b.weights[i] = total-over, part*best
 		}
 	}
@@ -91,20 +91,20 @@
 func (b *Balancer) ration(now int64, class int, total, spread float64) (refused float64) {
 	all, warm, able := 0.0, 0.0, 0.0
 	for i, s := range b.drawn {
-		s.grown, all = b.grown(now, s), all+b.reach(s)
-		able = max(able, s.healthFor(class)*partOf(s.grown == 1 && b.weights[i] > 0))
+		s.warmFraction, all = b.grown(now, s), all+b.reach(s)
+		able = max(able, s.healthScore(class)*indicator(s.warmFraction == 1 && b.weights[i] > 0))
 	}
 	usual, present := b.rush(now)
-	most := total * tipPart * b.s.OverloadMultiple * min(1, (usual+1)/present) / max(all, spread)
-	takes := func(s *server) bool { return s.grown == 1 && s.healthFor(class) >= min(able, healthyPart) }
+	most := total * overloadMargin * b.s.OverloadMultiple * min(1, (usual+1)/present) / max(all, spread)
+	takes := func(s *server) bool { return s.warmFraction == 1 && s.healthScore(class) >= min(able, healthyScore) }
 	for i, s := range b.drawn {
-		if over := b.weights[i] - most*b.reach(s)*s.grown; s.grown < 1 && over > 0 {
+		if over := b.weights[i] - most*b.reach(s)*s.warmFraction; s.warmFraction < 1 && over > 0 {
 			b.weights[i], refused = b.weights[i]-over, refused+over
 		} else if takes(s) {
 			warm += b.weights[i]
 		}
 	}
-	more := refused * min(1, able/healthyPart) / max(warm, math.SmallestNonzeroFloat64)
+	more := refused * min(1, able/healthyScore) / max(warm, math.SmallestNonzeroFloat64)
 	for i, s := range b.drawn {
 		if takes(s) {
 			b.weights[i] *= 1 + more
@@ -116,15 +116,15 @@
 // stands tells whether one back from a ban may get a call: by chance, if this copy's part of it is under one.
 func (b *Balancer) stands(now int64, s *server) bool {
 	usual, present := b.rush(now)
-	part := usual * tipPart * b.s.OverloadMultiple * b.grown(now, s) / float64(len(b.ready))
+	part := usual * overloadMargin * b.s.OverloadMultiple * b.grown(now, s) / float64(len(b.ready))
 	return b.grown(now, s) == 1 || b.s.OverloadMultiple == 0 || part >= 1 || b.rnd.Float64() < part/present
 }
 
 // healthFor is a server's for a class; that of a damped one is steady, or less if it refuses connections.
-func (s *server) healthFor(class int) float64 {
-	left := s.whole.left * s.classes[class].left * s.told
-	if s.damped && (!s.refused || left > dampedPart) {
-		return dampedPart
+func (s *server) healthScore(class int) float64 {
+	left := s.whole.score * s.classes[class].score * s.told
+	if s.damped && (!s.refused || left > dampedWeight) {
+		return dampedWeight
 	}
 	return left
 }
@@ -143,8 +143,8 @@
 
 // weigh is a server's weight by its size, age and zone, what was learned of it and the calls that it holds.
 func (b *Balancer) weigh(now int64, s *server, class int) float64 {
-	w := max(healthFloor, s.healthFor(class)) / (s.slowness * s.slowness) * b.warmth(now, s)
-	w *= b.reach(s) * s.tuned / math.Pow(float64(1+s.inflight), heldPower)
+	w := max(minHealthScore, s.healthScore(class)) / (s.slowness * s.slowness) * b.warmth(now, s)
+	w *= b.reach(s) * s.tuned / math.Pow(float64(1+s.inFlight), inFlightExponent)
 	if z := b.zone(s.Zone); z != nil && z.Phase != ZoneEvacuated { // one that is away comes last anyway
 		w *= z.WeightFraction
 	}
@@ -160,7 +160,7 @@
 	if b.shared { // the other process sends there too
 		part /= 2
 	}
-	return coldMargin * part
+	return warmupMargin * part
 }
 
 // grown is the least part of its capacity that a server of its age has.
@@ -178,7 +178,7 @@
 // others send; docs/policy.md says what is taken for granted. Each draw has a chance, not each copy a number
 // of calls, so that the sum of all copies is as chance has it by Poisson, be they few or many.
 func (b *Balancer) rush(now int64) (usual, present float64) {
-	span := min(b.s.OverloadWindow, windowWhole)
-	seen := -math.Expm1(-float64(max(now-b.born, span)) / float64(tallySpan)) // of what a tally comes to hold
-	return b.came.at(now) * float64(span) / (float64(tallySpan) * seen), max(1, b.draws.sum(now, span))
+	span := min(b.s.OverloadWindow, maxWindow)
+	seen := -math.Expm1(-float64(max(now-b.born, span)) / float64(arrivalDecay)) // of what a tally comes to hold
+	return b.came.at(now) * float64(span) / (float64(arrivalDecay) * seen), max(1, b.draws.count(now, span))
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -82,7 +82,7 @@
 func (c *copyOf) Send(id, server string, _, timeout int64) {
 	w, s := c.w, c.b.byID[server].Server
 	q := c.b.reqs[id]
-	k := q.s.Classes[q.Class]
+	k := q.Settings.Classes[q.Class]
 	c.sends = append(c.sends, sendTo{w.now, server, s.Zone, k.Idempotency})
 	status, took := w.fate(c, s)
 	if took > timeout {
@@ -184,7 +184,7 @@
 		for _, s := range c.sends {
 			if at := s.at - start; at >= since && at < until && (from < 0 || c.b.s.Zone == from) {
 				of++
-				n += partOf(s.zone == to || to < 0 && s.zone != c.b.s.Zone)
+				n += indicator(s.zone == to || to < 0 && s.zone != c.b.s.Zone)
 			}
 		}
 	}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -42,7 +42,7 @@
 		"weight of other zones": func(b *Balancer) { b.spill = 0.4 },
 		"share of tenants":      func(b *Balancer) { b.share = 0.5 },
 		"slowness of a server":  func(b *Balancer) { b.byID["s3"].slowness *= 1.05 },
-		"count of the tier":     func(b *Balancer) { b.tier.count = 1 },
+		"count of the tier":     func(b *Balancer) { b.tier.max = 1 },
 		"part of a zone":        func(b *Balancer) { b.zones[1].WeightFraction = 0.9 },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 	for _, c := range w.copies {
 		c.b.s.OverloadMultiple, c.b.s.OverloadWindow = 2, 2*second
 		c.b.s.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 240}}
-		c.b.tenants = make([]originRule, 1)
+		c.b.tenants = make([]tenantQuota, 1)
 		c.b.derive()
 	}
 	for at := second; at <= 100*second; at += second {
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -8,8 +8,8 @@
 // allowance for further attempts. The free part of it and what was earned are the successor's then; this one
 // keeps what further requests earn it, so that the two together stay within the rule in every window.
 func (b *Balancer) ExportRetryBudget(now int64) RetryBudgetUsage {
-	b.taken.since(now - b.s.RetryBudgetWindow)
-	b.further.since(now - b.s.RetryBudgetWindow)
+	b.taken.countSince(now - b.s.RetryBudgetWindow)
+	b.further.countSince(now - b.s.RetryBudgetWindow)
 	s := RetryBudgetUsage{Requests: b.taken, Retries: b.further}
 	b.taken, b.further, b.free, b.shared = nil, nil, math.MaxInt64, true
 	return s
--- a/balancer/learning_test.go
+++ b/balancer/learning_test.go
@@ -81,11 +81,11 @@
 		}
 	}
 	for _, id := range []string{"s1", "s2", "s3"} {
-		b.byID[id].inflight = 4
+		b.byID[id].inFlight = 4
 	}
 	drawn := 0
 	for range 1000 {
-		if b.draw(start, &request{s: b.s}).ID == "s0" {
+		if b.draw(start, &request{Settings: b.s}).ID == "s0" {
 			drawn++
 		}
 	}
@@ -107,7 +107,7 @@
 	drawn := map[Idempotency]int{}
 	for class, c := range set.Classes {
 		for range 4000 {
-			if b.draw(start, &request{s: b.s, Request: Request{Class: class}}).ID == "s0" {
+			if b.draw(start, &request{Settings: b.s, Request: Request{Class: class}}).ID == "s0" {
 				drawn[c.Idempotency]++
 			}
 		}
--- a/balancer/members.go
+++ b/balancer/members.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	golden = 0.618034 // steps of this part of a ring spread any number of starts evenly
+	goldenRatioStep = 0.618034 // steps of this part of a ring spread any number of starts evenly
 
-	subsetLeast, subsetRoot = 4.0, 3.0 // servers of a copy: at least, and by the root of its calls a second
+	minSubset, subsetPerRootRate = 4.0, 3.0 // servers of a copy: at least, and by the root of its calls a second
 
-	watchFirst, watchMost = second / 4, second // backoff of a failed subscription doubles up to this
-	watchPart, watchToken = 8, "watch"         // and up to this part of AskEvery if that is less
+	minWatchBackoff, maxWatchBackoff = second / 4, second // backoff of a failed subscription doubles up to this
+	pollIntervalDivisor, watchTimer  = 8, "watch"         // and up to this part of AskEvery if that is less
 )
 
 // List takes a list of servers or its changes.
 func (b *Balancer) UpdateEndpoints(now int64, h Host, kind UpdateKind, entries []Server) {
 	if kind == UpdateFailed {
 		if b.asked { // many copies keep the list busy: back off, one ask at a time
-			h.SetTimer(b.backoff+b.rnd.Int64N(b.backoff), watchToken)
-			b.backoff = max(watchFirst, min(2*b.backoff, watchMost, b.s.PollInterval/watchPart))
+			h.SetTimer(b.backoff+b.rnd.Int64N(b.backoff), watchTimer)
+			b.backoff = max(minWatchBackoff, min(2*b.backoff, maxWatchBackoff, b.s.PollInterval/pollIntervalDivisor))
 		}
 		b.asked = false
 		return
@@ -44,7 +44,7 @@
 		b.asked = true
 		h.Watch()
 	}
-	b.backoff = watchFirst
+	b.backoff = minWatchBackoff
 }
 
 // enter takes one entry of a list. What was learned of a server is dropped when its process restarts.
@@ -54,7 +54,7 @@
 		s = b.place(e.ID)
 	}
 	if s.StartTime != e.StartTime {
-		s.forget(len(b.classes))
+		s.resetLearned(len(b.classes))
 	}
 	s.Server = e
 }
@@ -65,8 +65,8 @@
 	b.banned = ids
 	for _, s := range b.all {
 		if was[s.ID] && !ids[s.ID] {
-			s.forget(len(b.classes))
-			s.owed = true
+			s.resetLearned(len(b.classes))
+			s.probePending = true
 		}
 	}
 	b.relist()
@@ -93,7 +93,7 @@
 // rotate puts this copy's subset first: copies start spread over a ring of servers by their hashes. Otherwise
 // each held a connection of every copy, which costs it capacity, and a copy saw too few calls to judge it.
 func (b *Balancer) rotate() {
-	_, start := math.Modf(float64(b.s.ReplicaIndex) * golden)
+	_, start := math.Modf(float64(b.s.ReplicaIndex) * goldenRatioStep)
 	first := int(start * float64(len(b.ready)))
 	b.ready = slices.Concat(b.ready[first:], b.ready[:first])
 	b.near, b.far = len(b.ready), len(b.ready)
@@ -110,11 +110,11 @@
 // rank puts servers at home first, as a small subset of the ring may be mostly far, and zones left last.
 func (b *Balancer) rank(s *server) int {
 	z := b.zone(s.Zone)
-	return 2*int(partOf(z != nil && z.Phase == ZoneEvacuated)) + int(partOf(s.Zone != b.s.Zone))
+	return 2*int(indicator(z != nil && z.Phase == ZoneEvacuated)) + int(indicator(s.Zone != b.s.Zone))
 }
 
 // subset is how many warm and healthy servers this copy's calls are spread over.
 func (b *Balancer) subset(now int64) float64 {
-	rate := b.tier.pass.sum(now, windowWhole) / float64(windowWhole/second)
-	return max(subsetLeast, subsetRoot*math.Sqrt(rate))
+	rate := b.tier.admitted.count(now, maxWindow) / float64(maxWindow/second)
+	return max(minSubset, subsetPerRootRate*math.Sqrt(rate))
 }
--- a/balancer/members_test.go
+++ b/balancer/members_test.go
@@ -98,14 +98,14 @@
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			b.press(now, 0, &attempt{sent: now, zone: b.s.Zone}, bad, bad)
+			b.press(now, 0, &attempt{sentAt: now, zone: b.s.Zone}, bad, bad)
 		}
 	}
-	feed(60*roundSize, false)
+	feed(60*feedbackRoundCalls, false)
 	if away := b.weigh(start, b.byID["s2"], 0); away > home/10 {
 		t.Errorf("a calm home leaves %.3f of the weight to other zones", away/home)
 	}
-	feed(20*roundSize, true)
+	feed(20*feedbackRoundCalls, true)
 	if away := b.weigh(start, b.byID["s2"], 0); away < home/2 {
 		t.Errorf("a home in trouble leaves %.3f of the weight to other zones", away/home)
 	}
@@ -144,7 +144,7 @@
 				t.Fatalf("the ring holds %d servers, or in another order than the %d listed", len(b.ring), len(b.all))
 			}
 			ready := slices.DeleteFunc(sorted, func(s *server) bool { return s.State != ServerReady || b.banned[s.ID] })
-			_, from := math.Modf(float64(set.ReplicaIndex) * golden)
+			_, from := math.Modf(float64(set.ReplicaIndex) * goldenRatioStep)
 			if first := int(from * float64(len(ready))); !slices.Equal(b.ready, slices.Concat(ready[first:], ready[:first])) {
 				t.Fatalf("%d servers are ready, or in another order than %d", len(b.ready), len(ready))
 			}
--- a/balancer/protocol_test.go
+++ b/balancer/protocol_test.go
@@ -225,7 +225,7 @@
 		ask(b, h, now, id, 0)
 		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
-	if most := int(ownSpan/second) + 1; len(b.taken) > most {
+	if most := int(defaultBudgetWindow/second) + 1; len(b.taken) > most {
 		t.Errorf("%d times of requests are kept, %d are needed", len(b.taken), most)
 	}
 }
@@ -235,7 +235,7 @@
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
 	b, h := with(t, s, 8)
-	var taken, further timeline
+	var taken, further eventTimes
 	for i := range int64(2000) {
 		now, id := start+i*20_000, fmt.Sprint(i)
 		before := len(h.sends)
@@ -251,7 +251,7 @@
 			}
 			b.HandleOutcome(now, h, Outcome{RequestID: id, Attempt: k, Status: status, Latency: 1000, RequestDone: status == StatusOK})
 		}
-		if n, m := further.since(now-5*second), taken.since(now-5*second+1); n > 3+0.05*m {
+		if n, m := further.countSince(now-5*second), taken.countSince(now-5*second+1); n > 3+0.05*m {
 			t.Fatalf("at %d: %v further attempts where %v requests were taken", now-start, n, m)
 		}
 	}
@@ -261,7 +261,7 @@
 }
 func TestFurtherAttemptsAreBudgeted(t *testing.T) {
 	b, h := with(t, testSettings(), 4)
-	b.tier.least, b.tier.count = 1e9, 1e9
+	b.tier.min, b.tier.max = 1e9, 1e9
 	const n = 400
 	for i := range n {
 		id := fmt.Sprint(i)
@@ -280,7 +280,7 @@
 			seen[s.id] = true
 		}
 	}
-	if extra := len(h.sends) - firsts; extra == 0 || float64(extra) > ownFree+ownShare*float64(n) {
+	if extra := len(h.sends) - firsts; extra == 0 || float64(extra) > defaultBudgetMin+defaultBudgetRatio*float64(n) {
 		t.Errorf("%d further attempts on %d first ones", extra, firsts)
 	}
 }
--- a/balancer/ramp_ill_test.go
+++ b/balancer/ramp_ill_test.go
@@ -30,17 +30,17 @@
 			b, h := mustNew(t, set), &recorder{}
 			b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 			ill := b.byID[list[5].ID]
-			ill.whole.left = healthFloor
+			ill.whole.score = minHealthScore
 			for _, s := range b.ready {
 				if s.StartTime == 0 && s != ill {
-					s.inflight = k.held
+					s.inFlight = k.held
 				}
 			}
 			const n = 20000
 			got, none := 0, 0
 			for i := range n {
 				now := start + int64(i) // grown hardly changes meanwhile
-				q := &request{s: b.s, Request: Request{ID: fmt.Sprint(i), Class: 2}}
+				q := &request{Settings: b.s, Request: Request{ID: fmt.Sprint(i), Class: 2}}
 				b.arrived(now, q)
 				switch b.draw(now, q) {
 				case ill:
@@ -50,8 +50,8 @@
 				}
 			}
 			// Of what goes to one that is well it has healthFloor, so of all it has that at most.
-			if float64(got) > 1.1*healthFloor*n {
-				t.Errorf("the failing server got %.3f of the draws, may get %.3f", float64(got)/n, healthFloor)
+			if float64(got) > 1.1*minHealthScore*n {
+				t.Errorf("the failing server got %.3f of the draws, may get %.3f", float64(got)/n, minHealthScore)
 			}
 			if got == 0 || none > 0 {
 				t.Errorf("the failing server got %d of %d draws, %d found no server", got, n, none)
--- a/balancer/ramp_test.go
+++ b/balancer/ramp_test.go
@@ -16,10 +16,10 @@
 		refused float64 // part of the draws that finds no server
 	}{
 		{"all is well", 1, func(s *server) {}, 0},
-		{"the warm ones hold calls", 1, func(s *server) { s.inflight = 2 }, 0},
-		{"the warm ones fail", 1, func(s *server) { s.whole.left = healthFloor }, 0.65},
-		{"the warm ones were tried", 1, func(s *server) { s.tuned = triedPart }, 0},
-		{"one warm one is left", 3, func(s *server) { s.inflight = 2 }, 0},
+		{"the warm ones hold calls", 1, func(s *server) { s.inFlight = 2 }, 0},
+		{"the warm ones fail", 1, func(s *server) { s.whole.score = minHealthScore }, 0.65},
+		{"the warm ones were tried", 1, func(s *server) { s.tuned = triedWeightFactor }, 0},
+		{"one warm one is left", 3, func(s *server) { s.inFlight = 2 }, 0},
 		{"all are cold", 4, func(s *server) {}, 0.6}, // 1 - tipPart x 3 x 0.2 is 0.61
 	} {
 		t.Run(k.name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 			got := map[string]float64{}
 			for i := range n {
 				now := start + int64(i) // grown hardly changes meanwhile
-				q := &request{s: b.s, Request: Request{ID: fmt.Sprint(i), Class: 2}}
+				q := &request{Settings: b.s, Request: Request{ID: fmt.Sprint(i), Class: 2}}
 				b.arrived(now, q)
 				if s := b.draw(now, q); s != nil {
 					got[s.ID] += 1.0 / n
@@ -50,7 +50,7 @@
 					got["none"] += 1.0 / n
 				}
 			}
-			most := tipPart * set.OverloadMultiple * set.SlowStartMinCapacity / 4
+			most := overloadMargin * set.OverloadMultiple * set.SlowStartMinCapacity / 4
 			for i := range k.cold {
 				if got[list[i].ID] > 1.1*most || got[list[i].ID] == 0 {
 					t.Errorf("%s got %.3f of the draws, may get %.3f", list[i].ID, got[list[i].ID], most)
@@ -77,7 +77,7 @@
 	play := func(span, gap int64) (cold float64) {
 		for end := now + span; now < end; now += gap {
 			n++
-			q := &request{s: b.s, Request: Request{ID: fmt.Sprint(n), Class: 2}}
+			q := &request{Settings: b.s, Request: Request{ID: fmt.Sprint(n), Class: 2}}
 			b.arrived(now, q)
 			if s := b.draw(now, q); s != nil && s.StartTime > 0 {
 				cold++
@@ -90,9 +90,9 @@
 		list[i].StartTime = now
 	}
 	b.UpdateEndpoints(now, h, UpdateSnapshot, list)
-	play(2*second, 2_000)                                                   // 500 a second
-	got := play(2*second, 2_000)                                            // by now the usual is up by two thirds
-	most := 100 * tipPart * set.OverloadMultiple * b.grown(now, b.ready[0]) // of the usual, by all four
+	play(2*second, 2_000)                                                          // 500 a second
+	got := play(2*second, 2_000)                                                   // by now the usual is up by two thirds
+	most := 100 * overloadMargin * set.OverloadMultiple * b.grown(now, b.ready[0]) // of the usual, by all four
 	if got > 2.5*most {
 		t.Errorf("cold servers got %v calls in a span, %v of the usual", got, most)
 	}
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -27,7 +27,7 @@
 	for range d.rnd.IntN(12) {
 		p.Reports = append(p.Reports, Report{Kind: ReportKind(d.rnd.IntN(6)), Fault: Fault(d.rnd.IntN(5)),
 			Observer: fmt.Sprint("p", d.rnd.IntN(5)), SubjectZone: d.rnd.IntN(2), Server: fmt.Sprint("s", d.rnd.IntN(testFleet)),
-			Calls: 6 * d.rnd.Float64(), BadFraction: partOf(d.rnd.IntN(3) > 0), Value: d.rnd.Float64(), LastObserved: d.now})
+			Calls: 6 * d.rnd.Float64(), BadFraction: indicator(d.rnd.IntN(3) > 0), Value: d.rnd.Float64(), LastObserved: d.now})
 	}
 	d.b.Reports(d.now)
 	d.b.HandlePeerReports(d.now, d.c, p)
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -41,7 +41,7 @@
 		b.classes[i].retired, held[i] = false, true
 		numbers = append(numbers, i)
 	}
-	tenants := make([]originRule, len(s.Tenants))
+	tenants := make([]tenantQuota, len(s.Tenants))
 	for i, t := range s.Tenants {
 		if j := slices.IndexFunc(old.Tenants, func(o Tenant) bool { return o.Name == t.Name }); j >= 0 {
 			tenants[i] = b.tenants[j]
@@ -66,11 +66,11 @@
 	fresh := b.freshClass(c)
 	if known {
 		f := b.classes[former]
-		fresh.rule.count, fresh.mean, fresh.base, fresh.seen, fresh.errs = f.rule.count, f.mean, f.base, f.seen, f.errs
+		fresh.rule.max, fresh.mean, fresh.base, fresh.seen, fresh.errorRate = f.rule.max, f.mean, f.base, f.seen, f.errorRate
 	}
 	b.classes[i] = fresh
 	for _, s := range b.all {
-		s.classes[i] = health{left: 1}
+		s.classes[i] = health{score: 1}
 		if known {
 			s.classes[i] = s.classes[former]
 		}
@@ -94,7 +94,7 @@
 	}
 	b.classes = append(b.classes, classState{})
 	for _, s := range b.all {
-		s.classes = append(s.classes, health{left: 1})
+		s.classes = append(s.classes, health{score: 1})
 	}
 	return len(b.classes) - 1
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -51,8 +51,8 @@
 			t.Errorf("%s: %d further attempts, want %d", c.id, more, c.more)
 		}
 	}
-	if len(b.reqs) != 0 || b.tier.threads != 0 {
-		t.Errorf("%d requests, %d calls are left", len(b.reqs), b.tier.threads)
+	if len(b.reqs) != 0 || b.tier.inFlight != 0 {
+		t.Errorf("%d requests, %d calls are left", len(b.reqs), b.tier.inFlight)
 	}
 }
 
@@ -121,7 +121,7 @@
 	}
 	b.HandleRequest(start, h, Request{ID: "2", Tenant: 1, Deadline: start + 1_000_000, Settings: first}) // b
 	b.HandleRequest(start, h, Request{ID: "3", Tenant: 0, Deadline: start + 1_000_000, Settings: first}) // a, which is no more
-	if n := b.tenants[0].pass.sum(start, second); n != 2 || len(h.sends) != 3 {
+	if n := b.tenants[0].admitted.count(start, second); n != 2 || len(h.sends) != 3 {
 		t.Errorf("%v passed for b, %d sent", n, len(h.sends))
 	}
 	if b.fair != 30 {
@@ -144,7 +144,7 @@
 		ask(b, h, now, id, 0)
 		b.HandleOutcome(now+s.Classes[0].LatencyObjective, h, Outcome{RequestID: id, Status: StatusOK, Latency: s.Classes[0].LatencyObjective, RequestDone: true})
 	}
-	if got := b.classes[1].rule.count; got != startCount {
+	if got := b.classes[1].rule.max; got != startLimit {
 		t.Errorf("before its first call a class may have %v out", got)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,16 +8,16 @@
 )
 
 func TestCanPassThreadGrade(t *testing.T) {
-	r := threadRule{count: 2.25}
+	r := concurrencyLimit{max: 2.25}
 	for _, c := range []struct {
 		u    float64
 		want bool
 	}{{0, true}, {0, true}, {0.7, false}, {0.8, true}, {0.99, false}} {
-		if r.canPass(c.u) != c.want {
-			t.Fatalf("canPass is %v at %d in flight of 2.25 with %v", !c.want, r.threads, c.u)
+		if r.admits(c.u) != c.want {
+			t.Fatalf("canPass is %v at %d in flight of 2.25 with %v", !c.want, r.inFlight, c.u)
 		}
 		if c.want {
-			r.enter()
+			r.acquire()
 		}
 	}
 }
@@ -42,12 +42,12 @@
 }
 func TestCanPassQPSGradeWithFractions(t *testing.T) {
 	for _, count := range []float64{0.5, 3, 40} {
-		var r originRule
+		var r tenantQuota
 		passed := 0
 		const secs = 40
 		for now := start; now < start+secs*second; now += second / 100 {
-			if r.canPass(now, start, count, 0, 0.5) {
-				r.pass.add(now)
+			if r.admits(now, start, count, 0, 0.5) {
+				r.admitted.add(now)
 				passed++
 			}
 		}
@@ -59,11 +59,11 @@
 
 // A fresh copy with a stretched window once let a long window's worth through at once and choked the front.
 func TestFreshCopyDoesNotPassALongWindowAtOnce(t *testing.T) {
-	var r originRule
+	var r tenantQuota
 	passed := 0
 	for now := start; now < start+second; now += second / 100 {
-		if r.canPass(now, start, 3, 0, 0.5) {
-			r.pass.add(now)
+		if r.admits(now, start, 3, 0, 0.5) {
+			r.admitted.add(now)
 			passed++
 		}
 	}
@@ -72,61 +72,61 @@
 	}
 }
 func TestCountIsLearnedByRounds(t *testing.T) {
-	r := threadRule{count: startCount, least: minCount, ev: round{allowed: badPart, span: second}}
+	r := concurrencyLimit{max: startLimit, min: minLimit, feedback: feedbackRound{maxBadFraction: maxLateFraction, maxDuration: second}}
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			r.learn(&r.ev, now, now, bad)
+			r.learn(&r.feedback, now, now, bad)
 		}
 	}
 	for range 20 {
-		r.enter()
+		r.acquire()
 	}
-	feed(roundSize, false)
-	if want := spareTimes*20 + spareCalls; r.count != want {
-		t.Errorf("after a good round: %v, want %v", r.count, want)
+	feed(feedbackRoundCalls, false)
+	if want := limitHeadroomFactor*20 + limitHeadroomCalls; r.max != want {
+		t.Errorf("after a good round: %v, want %v", r.max, want)
 	}
-	sure := int(math.Floor(badPart*roundSize)) + 1 // bad finishes after which no good ones could save the round
+	sure := int(math.Floor(maxLateFraction*feedbackRoundCalls)) + 1 // bad finishes after which no good ones could save the round
 	feed(sure-1, true)
-	if want := spareTimes*20 + spareCalls; r.count != want {
-		t.Errorf("before its verdict is sure a round changed the count to %v", r.count)
+	if want := limitHeadroomFactor*20 + limitHeadroomCalls; r.max != want {
+		t.Errorf("before its verdict is sure a round changed the count to %v", r.max)
 	}
 	feed(1, true)
-	cut := 20 * (1 - cutDepth*float64(sure)/(roundSize/2))
-	if r.count != cut {
-		t.Errorf("after a bad round: %v, want %v", r.count, cut)
+	cut := 20 * (1 - cutPerBadFraction*float64(sure)/(feedbackRoundCalls/2))
+	if r.max != cut {
+		t.Errorf("after a bad round: %v, want %v", r.max, cut)
 	}
 	sentBefore := now - 1
-	for range 3 * roundSize { // evidence from before the cut must not cut again
-		r.learn(&r.ev, now, sentBefore, true)
+	for range 3 * feedbackRoundCalls { // evidence from before the cut must not cut again
+		r.learn(&r.feedback, now, sentBefore, true)
 	}
-	if r.count != cut {
-		t.Errorf("old evidence changed the count to %v", r.count)
+	if r.max != cut {
+		t.Errorf("old evidence changed the count to %v", r.max)
 	}
-	r.threads, r.peak = 0, 0
+	r.inFlight, r.peakInFlight = 0, 0
 	for range 50 {
-		feed(roundSize, true)
+		feed(feedbackRoundCalls, true)
 	}
-	if r.count != minCount {
-		t.Errorf("the count fell to %v, below its floor %v", r.count, minCount)
+	if r.max != minLimit {
+		t.Errorf("the count fell to %v, below its floor %v", r.max, minLimit)
 	}
 }
 
 // A copy that has cut down to a call in seconds took a minute to fill a round, long after its servers were well.
 func TestSparseRoundsEndByTimeAndOnlyWhenGood(t *testing.T) {
-	ev := round{allowed: badPart, span: 5 * second}
-	if f := ev.add(start, start, true); f != 0 {
+	ev := feedbackRound{maxBadFraction: maxLateFraction, maxDuration: 5 * second}
+	if f := ev.record(start, start, true); f != 0 {
 		t.Errorf("one bad finish is taken for a round: %v", f)
 	}
-	if f := ev.add(start+second, start, false); f != 0 {
+	if f := ev.record(start+second, start, false); f != 0 {
 		t.Errorf("a half bad pair is taken for a round: %v", f)
 	}
-	ev = round{allowed: badPart, span: 5 * second, since: start}
-	if f := ev.add(start+second, start, false); f != 0 {
+	ev = feedbackRound{maxBadFraction: maxLateFraction, maxDuration: 5 * second, startedAt: start}
+	if f := ev.record(start+second, start, false); f != 0 {
 		t.Errorf("quick finishes judge before slow ones can show: %v", f)
 	}
-	if f := ev.add(start+5*second, start+second, false); f != 1 {
+	if f := ev.record(start+5*second, start+second, false); f != 1 {
 		t.Errorf("after its span a good round is not judged: %v", f)
 	}
 }
@@ -137,10 +137,10 @@
 	passed := 0
 	rnd := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		var r originRule
+		var r tenantQuota
 		for now := start; now < start+8*second; now += second {
-			if r.canPass(now, start-100*second, 0.01, 0, rnd.Float64()) {
-				r.pass.add(now)
+			if r.admits(now, start-100*second, 0.01, 0, rnd.Float64()) {
+				r.admitted.add(now)
 				passed++
 			}
 		}
@@ -159,7 +159,7 @@
 		b, h := with(t, s, 4)
 		for i := range 100 {
 			now, id := start+int64(i)*4*second, fmt.Sprint(i)
-			b.share, b.tenants[0].came, b.came = share, tally{}, tally{}
+			b.share, b.tenants[0].requests, b.came = share, decayingCount{}, decayingCount{}
 			b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
 			b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 		}
@@ -244,23 +244,23 @@
 	b, _ := with(t, s, 4)
 	cheap, dear := &b.classes[0].rule, &b.classes[1].rule
 	for range 10 {
-		cheap.enter()
-		dear.enter()
+		cheap.acquire()
+		dear.acquire()
 	}
 	now := start
-	for range 4 * roundSize {
+	for range 4 * feedbackRoundCalls {
 		now++
-		b.press(now, 1, &attempt{sent: now}, true, true)
+		b.press(now, 1, &attempt{sentAt: now}, true, true)
 	}
-	if cheap.count > 10 || dear.count != startCount {
-		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.count, dear.count)
+	if cheap.max > 10 || dear.max != startLimit {
+		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.max, dear.max)
 	}
-	for range 4 * roundSize {
+	for range 4 * feedbackRoundCalls {
 		now++
-		b.press(now, 0, &attempt{sent: now}, true, true)
+		b.press(now, 0, &attempt{sentAt: now}, true, true)
 	}
-	if dear.count != startCount {
-		t.Errorf("slow cheap calls cut the worthier class to %v", dear.count)
+	if dear.max != startLimit {
+		t.Errorf("slow cheap calls cut the worthier class to %v", dear.max)
 	}
 }
 func TestHeldSharesAreReportedRarely(t *testing.T) {
@@ -293,13 +293,13 @@
 		t.Errorf("%d of 32 pass at a fresh copy", n)
 	}
 	for i := 0; b.share > 1; i++ {
-		if i == 10*roundSize {
+		if i == 10*feedbackRoundCalls {
 			t.Fatalf("share still %v", b.share)
 		}
 		now := start + 2*second + int64(i)
-		b.press(now, 0, &attempt{sent: now}, true, true)
+		b.press(now, 0, &attempt{sentAt: now}, true, true)
 	}
-	if b.share < shareLow || b.share >= 1 {
+	if b.share < minQuotaMultiple || b.share >= 1 {
 		t.Errorf("a bad round leaves a share of %v", b.share)
 	}
 }
@@ -309,12 +309,12 @@
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
 	b, _ := with(t, s, 8)
-	b.share = sharePress
-	for i := range 12 * roundSize {
+	b.share = overloadQuotaMultiple
+	for i := range 12 * feedbackRoundCalls {
 		now := start + int64(i)
-		b.press(now, 0, &attempt{sent: now}, false, false)
+		b.press(now, 0, &attempt{sentAt: now}, false, false)
 	}
-	if b.share != shareStart {
+	if b.share != maxQuotaMultiple {
 		t.Errorf("share %v after a dozen good rounds", b.share)
 	}
 }
--- a/balancer/staleness.go
+++ b/balancer/staleness.go
@@ -7,12 +7,12 @@
 
 // disprovenPart is the weight left to a server that took no call when it was last sent one, since the
 // list was confirmed.
-const disprovenPart = unprovenPart * unprovenPart
+const contradictedWeight = unconfirmedWeight * unconfirmedWeight
 
 // unprovenPart is the weight left to a server that nothing shows to be listed, beside those that
 // something does. It is drawn once each of those holds three or four calls, so that a load which they
 // can't carry spreads, or where there is none.
-const unprovenPart = 1e-5
+const unconfirmedWeight = 1e-5
 
 // confirm takes it that the list is the newest there is. One that a copy starts with is the best it has.
 func (b *Balancer) confirm(now int64, kind UpdateKind) {
@@ -32,9 +32,9 @@
 	case now < s.provenUntil:
 		return 1
 	case s.disprovenAt >= b.confirmed:
-		return disprovenPart
+		return contradictedWeight
 	}
-	return unprovenPart
+	return unconfirmedWeight
 }
 
 // prove takes a call's end as evidence. One that was taken, when the server was still shown to be listed,
--- a/balancer/tuning.go
+++ b/balancer/tuning.go
@@ -9,20 +9,20 @@
 // Weights tuned for the tail: by what all copies tell, each round moves them a step towards the loads of the
 // least tail. One that is cold, bad, damped or hardly called is not tuned, and zones keep what they have.
 const (
-	tuneEvery  = 3 * second // a round lasts this long, and up to half of it more: copies do not step together
-	tuneChance = 1.0        // standard deviations of the calls seen by which a load may miss by chance
-	tuneCalls  = 8.0        // lately seen calls of all copies from which a server is tuned
-	tuneWorse  = 4.0        // over the root of this copy's calls: a tail worse by more takes the step back
-	tuneFailed = 2.0        // the power of the answered part by which the time of one that fails counts more
+	tuningInterval       = 3 * second // a round lasts this long, and up to half of it more: copies do not step together
+	loadChanceDeviations = 1.0        // standard deviations of the calls seen by which a load may miss by chance
+	minTunedCalls        = 8.0        // lately seen calls of all copies from which a server is tuned
+	worseTailDeviations  = 4.0        // over the root of this copy's calls: a tail worse by more takes the step back
+	failureExponent      = 2.0        // the power of the answered part by which the time of one that fails counts more
 
-	tuneMost, tuneLeak = 1.0, 0.03 // bound of a weight's logarithm; the part that a round takes back
+	maxLogFactor, logFactorDecay = 1.0, 0.03 // bound of a weight's logarithm; the part that a round takes back
 
-	tuneStep, tuneGain = 0.1, 0.5 // a round moves the logarithm by this at most, and this part of the way
+	maxTuningStep, tuningGain = 0.1, 0.5 // a round moves the logarithm by this at most, and this part of the way
 
-	loadMost, loadOdd = 2.0, 4.0 // a copy counts as so many median ones at most, its times within this factor
+	maxReplicaCallsRatio, maxLatencyDeviation = 2.0, 4.0 // a copy counts as so many median ones at most, its times within this factor
 )
 
-var tuneLearning = tailweights.Learning{Use: 0.5, Spread: 0.3, Fade: 0.9, Miss: 1.6, Bend: 8, Floor: 0.2}
+var curveLearning = tailweights.Learning{Use: 0.5, Spread: 0.3, Fade: 0.9, Miss: 1.6, Bend: 8, Floor: 0.2}
 
 // tune is one round, when it is due.
 func (b *Balancer) tune(now int64) {
@@ -30,11 +30,11 @@
 		return
 	}
 	defer b.factors()
-	b.tuneAt = now + tuneEvery + b.rnd.Int64N(tuneEvery/2)
+	b.tuneAt = now + tuningInterval + b.rnd.Int64N(tuningInterval/2)
 	was, is := b.tailWas, b.tail.Root()
-	worse := was > 0 && is > was*(1+tuneWorse/math.Sqrt(b.tailCalls))
+	worse := was > 0 && is > was*(1+worseTailDeviations/math.Sqrt(b.tailCalls))
 	b.tailWas, b.tail, b.tailCalls = is, tailweights.Norm{}, 0
-	b.step = min(max(1.25*b.step, tuneStep/4), tuneStep)
+	b.step = min(max(1.25*b.step, maxTuningStep/4), maxTuningStep)
 	fresh := b.sumLoads(now) > 1 && !b.peers.Isolated && !b.s.DisableWeightTuning
 	if fresh && worse {
 		b.step /= 4
@@ -46,8 +46,8 @@
 	groups := map[int][]*server{}
 	for _, s := range b.ready {
 		s.tuneWas = s.tune
-		healthy := !s.damped && s.whole.left*s.told >= healthyPart && b.warmth(now, s) == 1
-		if fresh && healthy && s.sum.calls >= tuneCalls && s.sum.time > 0 {
+		healthy := !s.damped && s.whole.score*s.told >= healthyScore && b.warmth(now, s) == 1
+		if fresh && healthy && s.sum.calls >= minTunedCalls && s.sum.meanLatency > 0 {
 			groups[s.Zone] = append(groups[s.Zone], s)
 		} else {
 			s.tune -= clamp(s.tune, b.step)
@@ -66,15 +66,15 @@
 func (b *Balancer) tuneGroup(group []*server) {
 	seen, mean := make([]tailweights.Seen, len(group)), 0.0
 	for i, s := range group {
-		time := s.sum.time / math.Pow(max(1-s.sum.bad, healthFloor), tuneFailed)
-		seen[i] = tailweights.Seen{Load: s.sum.rate, Time: time, Weight: s.sum.calls, Fit: &s.fit}
+		time := s.sum.meanLatency / math.Pow(max(1-s.sum.failedFraction, minHealthScore), failureExponent)
+		seen[i] = tailweights.Seen{Load: s.sum.callsPerSecond, Time: time, Weight: s.sum.calls, Fit: &s.fit}
 	}
-	ways := b.solver.Aim(tuneLearning, seen)
+	ways := b.solver.Aim(curveLearning, seen)
 	for i, s := range group {
-		ways[i] -= clamp(ways[i], tuneChance/math.Sqrt(s.sum.calls))
+		ways[i] -= clamp(ways[i], loadChanceDeviations/math.Sqrt(s.sum.calls))
 		mean += ways[i] / float64(len(group))
 	}
 	for i, s := range group {
-		s.tune = clamp(s.tune*(1-tuneLeak)+clamp(tuneGain*(ways[i]-mean), b.step), tuneMost)
+		s.tune = clamp(s.tune*(1-logFactorDecay)+clamp(tuningGain*(ways[i]-mean), b.step), maxLogFactor)
 	}
 }
--- a/balancer/tuning_test.go
+++ b/balancer/tuning_test.go
@@ -74,7 +74,7 @@
 		for _, s := range c.sends {
 			if s.at > start+tuningEnd-20*second {
 				of++
-				n += partOf(s.server == "s0")
+				n += indicator(s.server == "s0")
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 		from float64 // logarithm of its factor
 		want func(was, is float64) bool
 	}{
-		{"a step", nil, 0.3, func(was, is float64) bool { return is < was && is >= was*(1-tuneLeak)-tuneStep-1e-9 }},
+		{"a step", nil, 0.3, func(was, is float64) bool { return is < was && is >= was*(1-logFactorDecay)-maxTuningStep-1e-9 }},
 		{"worse", func(b *Balancer, s *server) {
 			b.tailWas, s.tuneWas = 1, 0.2
 			for range 1000 {
@@ -180,12 +180,12 @@
 			b.tailCalls++
 		}, 0.3, func(was, is float64) bool { return is != 0.2 && is < was }},
 		{"nobody heard", func(b *Balancer, s *server) { b.peers.Isolated = true }, 0.3,
-			func(was, is float64) bool { return math.Abs(is-(was-tuneStep)) < 1e-9 }},
+			func(was, is float64) bool { return math.Abs(is-(was-maxTuningStep)) < 1e-9 }},
 		{"one heard", func(b *Balancer, s *server) {
 			for i := range b.peers.Reports {
 				b.peers.Reports[i].Observer = "a"
 			}
-		}, 0.3, func(was, is float64) bool { return math.Abs(is-(was-tuneStep)) < 1e-9 }},
+		}, 0.3, func(was, is float64) bool { return math.Abs(is-(was-maxTuningStep)) < 1e-9 }},
 		{"switched off", func(b *Balancer, s *server) { b.s.DisableWeightTuning = true }, 0.05, func(_, is float64) bool { return is == 0 }},
 		{"cold", func(b *Balancer, s *server) {
 			s.StartTime = start - second
@@ -194,7 +194,7 @@
 			}
 		}, 0.05, func(_, is float64) bool { return is == 0 }},
 		{"damped", func(b *Balancer, s *server) { s.damped = true }, 0.05, func(_, is float64) bool { return is == 0 }},
-		{"bad", func(b *Balancer, s *server) { s.whole.left = 0.1 }, 0.05, func(_, is float64) bool { return is == 0 }},
+		{"bad", func(b *Balancer, s *server) { s.whole.score = 0.1 }, 0.05, func(_, is float64) bool { return is == 0 }},
 		{"failing, and fast by it", func(b *Balancer, s *server) {
 			for i := range b.peers.Reports {
 				if n := &b.peers.Reports[i]; n.Server == "s0" {
@@ -215,7 +215,7 @@
 			}
 		}
 		s := b.byID["s0"]
-		b.step, s.tune = tuneStep, c.from
+		b.step, s.tune = maxTuningStep, c.from
 		if c.set != nil {
 			c.set(b, s)
 		}
--- a/balancer/verdicts_test.go
+++ b/balancer/verdicts_test.go
@@ -46,7 +46,7 @@
 	for _, s := range b.ready {
 		for _, z := range []int{s.Zone, -1} {
 			all[z]++
-			out[z] += int(partOf(s.told < 1))
+			out[z] += int(indicator(s.told < 1))
 		}
 	}
 	for z, n := range out {
@@ -73,16 +73,16 @@
 		for _, s := range b.all {
 			for range 3 {
 				if slices.Contains(c.well, s.Zone) {
-					b.note(start, &attempt{srv: s, zone: s.Zone}, NoFault)
+					b.note(start, &attempt{server: s, zone: s.Zone}, NoFault)
 				} else if slices.Contains(c.bad, s.Zone) {
-					b.note(start, &attempt{srv: s, zone: s.Zone}, FaultUnresponsive)
+					b.note(start, &attempt{server: s, zone: s.Zone}, FaultUnresponsive)
 				}
 			}
 		}
 		got, zones := 0, 0
 		for _, n := range b.Reports(start + 1) {
-			got += int(partOf(n.Kind == ReportServerUnhealthy))
-			zones += int(partOf(n.Kind == ReportZoneUnhealthy))
+			got += int(indicator(n.Kind == ReportServerUnhealthy))
+			zones += int(indicator(n.Kind == ReportZoneUnhealthy))
 		}
 		if got != c.want || zones != c.want/4 {
 			t.Errorf("%s: %d servers and %d zones are called bad", c.name, got, zones)
@@ -106,13 +106,13 @@
 		do   func(b *Balancer, h Host)
 		want float64
 	}{
-		{"two say so", says(2, ReportServerUnhealthy, FaultErrors, 0), nil, healthFloor},
+		{"two say so", says(2, ReportServerUnhealthy, FaultErrors, 0), nil, minHealthScore},
 		{"one says so", says(1, ReportServerUnhealthy, FaultErrors, 0), nil, 1},
 		{"as many say well", slices.Concat(says(2, ReportServerUnhealthy, FaultErrors, 0), says(2, ReportServerHealthy, NoFault, 0)), nil, 1},
 		{"silent to another zone", says(3, ReportServerUnhealthy, FaultUnresponsive, 1), nil, 1},
-		{"silent to this zone", says(3, ReportServerUnhealthy, FaultUnresponsive, 0), nil, healthFloor},
+		{"silent to this zone", says(3, ReportServerUnhealthy, FaultUnresponsive, 0), nil, minHealthScore},
 		{"it has answered since", says(3, ReportServerUnhealthy, FaultErrors, 0), func(b *Balancer, h Host) {
-			b.note(start+1, &attempt{srv: b.byID["s1"]}, NoFault)
+			b.note(start+1, &attempt{server: b.byID["s1"]}, NoFault)
 		}, 1},
 		{"it has restarted since", says(3, ReportServerUnhealthy, FaultErrors, 0), func(b *Balancer, h Host) {
 			b.UpdateEndpoints(start, h, UpdateDelta, []Server{{ID: "s1", State: ServerReady, CapacityHint: 1, StartTime: start - 1}})
--- a/balancer/watch_test.go
+++ b/balancer/watch_test.go
@@ -11,7 +11,7 @@
 		w := &waits{recorder: h}
 		for range 40 {
 			b.UpdateEndpoints(start, w, UpdateFailed, nil)
-			b.HandleTimer(start, w, watchToken)
+			b.HandleTimer(start, w, watchTimer)
 		}
 		if len(w.waits) != 40 {
 			t.Fatalf("%d waits", len(w.waits))
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -140,7 +140,7 @@
 	}{{"sparse", 16, 32, 1.5, 0}, {"small", 2, 3, 26, 0}, {"middle", 6, 12, 15, 0}, {"half unheard", 6, 12, 15, 0.5}} {
 		t.Run(c.name, func(t *testing.T) {
 			var avoided [2]int64 // when 95 % of the attempts of a second but for trials went elsewhere: alone, together
-			some := 0.05 + trialRate/(c.rate*float64(c.copies))
+			some := 0.05 + trialsPerSecond/(c.rate*float64(c.copies))
 			for on := range 2 {
 				w := laid(t, 3, c.copies, c.servers, c.rate, on == 1)
 				w.hear = func(*copyOf, *copyOf) bool { return w.rnd.Float64() >= c.unheard }
