--- /dev/null
+++ b/internal/registry/raftnode/leadership.go
@@ -0,0 +1,131 @@
+package raftnode
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"errors"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"merlinpick/internal/registry/lease"
+	"merlinpick/internal/registry/state"
+)
+
+// runLeadership follows whether this node leads, and sweeps the leases while it does, until Close.
+func (n *Node) runLeadership() {
+	sweeps := time.NewTicker(leaseSweepInterval)
+	defer sweeps.Stop()
+	for {
+		select {
+		case leads := <-n.raft.LeaderCh():
+			if leads {
+				n.startLeading()
+			} else {
+				n.stopLeading()
+			}
+		case <-sweeps.C:
+			switch {
+			case n.isLeader():
+				n.sweepLeases()
+			case n.raft.State() == raft.Leader: // its first commands were not committed in time: again
+				n.startLeading()
+			}
+		case <-n.lifetime.Done():
+			n.stopLeading()
+			return
+		}
+	}
+}
+
+func (n *Node) stopLeading() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.leaderReady {
+		n.logger.Info("leadership lost")
+	}
+	n.leaderReady = false
+}
+
+// startLeading applies all that was committed before this node's term, begins the first epoch of a new service, and
+// restarts every lease.
+func (n *Node) startLeading() {
+	if err := n.raft.Barrier(barrierTimeout).Error(); err != nil {
+		n.logger.Warn("leadership lost before it was usable", "error", err)
+		return
+	}
+	epoch, version := n.Version()
+	if epoch == "" {
+		begin := state.Command{Kind: state.CommandBegin, Epoch: newEpoch(), FirstVersion: state.FirstVersion(time.Now(), version)}
+		if _, err := n.apply(begin); err != nil {
+			n.logger.Warn("first epoch not begun", "error", err)
+			return
+		}
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.leases.Reset(time.Now(), n.state.Records())
+	n.leaderReady, n.expiredLeases = true, 0
+	n.logger.Info("leadership gained", "term", n.raft.CurrentTerm(), "version", n.state.Version(), "endpoints", n.state.Len())
+}
+
+func newEpoch() string {
+	name := make([]byte, 8)
+	_, _ = rand.Read(name) // it never fails
+	return hex.EncodeToString(name)
+}
+
+// sweepLeases expires leases that are over. A leader that cannot confirm its leadership expires none, and restarts them
+// all: it may be the one that renewals do not reach.
+func (n *Node) sweepLeases() {
+	stale := n.Age() > n.cfg.MaxListAge
+	n.mu.Lock()
+	now := time.Now()
+	if stale {
+		n.leases.Reset(now, n.state.Records())
+		n.mu.Unlock()
+		return
+	}
+	sweep := n.leases.Sweep(now)
+	n.lastSweep = sweep
+	n.mu.Unlock()
+	n.logSweep(sweep)
+	if len(sweep.Expired) > 0 {
+		n.expire(now, sweep.Expired)
+	}
+}
+
+func (n *Node) logSweep(sweep lease.Sweep) {
+	if sweep.Paused > 0 {
+		n.logger.Warn("lease timers paused", "reason", "process suspended", "duration", sweep.Paused)
+	}
+	for _, zone := range sweep.HoldsStarted {
+		n.logger.Error("zone held: too many leases expired together", "zone", zone, "leases", sweep.HeldLeases,
+			"threshold", n.cfg.Lease.HoldThreshold, "release_rate", n.cfg.Lease.ReleaseRate)
+	}
+	for _, zone := range sweep.HoldsEnded {
+		n.logger.Info("zone no longer held", "zone", zone)
+	}
+}
+
+// expire has the cluster remove endpoints whose leases are over. Where that fails, their leases start again.
+func (n *Node) expire(now time.Time, expired []state.InstanceRef) {
+	_, err := n.apply(state.Command{Kind: state.CommandExpire, Refs: expired})
+	if err == nil {
+		n.logger.Info("leases expired", "endpoints", expired)
+		n.mu.Lock()
+		n.expiredLeases += int64(len(expired))
+		n.mu.Unlock()
+		return
+	}
+	if !errors.Is(err, ErrNotLeader) {
+		n.logger.Warn("lease expiry not committed: leases restarted", "endpoints", len(expired), "error", err)
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, ref := range expired {
+		if r, ok := n.state.Get(ref.Name); ok && r.Instance == ref.Instance {
+			n.leases.Put(now, r)
+		}
+	}
+}
