--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program is the proxy as a process: its configuration, its signals, its management address and its end. The
-// commands differ in what they can read only.
+// Package program runs the proxy as a process: configuration, signals, management address and exit. The commands differ
+// only in whether they can join a cluster. It never decides anything about requests.
 package program
 
 import (
@@ -20,88 +20,100 @@
 	"merlinpick/internal/rollout"
 )
 
-// Parts of limits.memory_mb, whatever that is; a limit under 20 MB is below what the runtime and the program need.
+// Fractions of limits.memory_mb. A limit under 20 MB is less than the runtime and the program need.
 const (
-	memoryPart  = 0.6      // of the limit: the runtime collects harder from there on
-	memoryLeast = 12 << 20 // below this the runtime would do little but collect
-	holdPart    = 0.125    // and of the limit: for requests' and answers' bodies that are held
+	heapFraction   = 0.6      // at which the runtime collects harder
+	minHeapBytes   = 12 << 20 // below this the runtime would do little but collect
+	bodiesFraction = 0.125    // for buffered bodies of requests and responses
+	bytesPerMB     = 1 << 20
 )
 
-// logLevel reads a level's name; DEBUG logs each step of each request. What is no name is INFO.
-func logLevel(name string) slog.Level {
-	var level slog.Level
-	_ = level.UnmarshalText([]byte(name))
-	return level
-}
-
-// Main is a command's main; fleet reads the section fleet, and is nil in a program without.
-func Main(fleet config.ClusterReader) {
-	if err := run(fleet); err != nil {
+// Main is the main function of a command. clusterReader reads the configuration's section "fleet"; nil in a program that
+// cannot join a cluster. It exits with status 1 after an error.
+func Main(clusterReader config.ClusterReader) {
+	if err := run(clusterReader); err != nil {
 		fmt.Fprintf(os.Stderr, "merlinpick-proxy: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-func run(fleet config.ClusterReader) error {
+func run(clusterReader config.ClusterReader) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel(os.Getenv("LB_LOG_LEVEL"))}))
-	hup := make(chan os.Signal, 1) // from the first moment: unheeded, it would end the process
-	signal.Notify(hup, syscall.SIGHUP)
-	// And to the last: SIGHUP is not let go of when this returns. SIGTERM is taken from here on as well, so that one in the
-	// first instant ends a process in one way only; a second one changes nothing.
+	// SIGHUP is taken from the first moment and never given back: unhandled it would end the process.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	// SIGTERM is taken from here on too, so that there is one way to end; a second one changes nothing.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	conf, err := config.Load(os.Getenv, fleet)
+	file, err := config.Load(os.Getenv, clusterReader)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	base := conf
-	var follow *rollout.Client // nil unless a configuration is followed
-	told := make(chan delivery)
-	var document []byte
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	if conf.Service != "" {
-		follow, conf, document = startRollout(ctx, conf, os.Getenv, told, log)
-	}
-	cfg := conf.Proxy
-	cfg.Logger = log
-	if conf.MemoryMB > 0 {
-		cfg.OnMemoryShare = func(part float64) {
-			debug.SetMemoryLimit(max(memoryLeast, int64(conf.MemoryMB*part*memoryPart*(1<<20))))
-		}
-		cfg.OnMemoryShare(1)
-		cfg.BodyMemory = int(conf.MemoryMB * holdPart * (1 << 20))
-	}
-	if conf.Cores > 0 {
-		runtime.GOMAXPROCS(int(math.Ceil(conf.Cores)))
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+
+	reload := &reloader{file: file, active: file, env: os.Getenv, log: log}
+	deliveries := make(chan delivery)
+	if file.Service != "" {
+		reload.rollout, reload.active, reload.document = startRollout(ctx, file, os.Getenv, deliveries, log)
 	}
-	p, err := proxy.New(cfg)
+	active := reload.active // the reloader's from here on
+	p, err := proxy.New(processConfig(active, log))
 	if err != nil {
 		return err
 	}
-	r := &reloader{proxy: p, file: base, active: conf, document: document, rollout: follow, env: os.Getenv, log: log}
-	go r.run(ctx, hup, told)
-	if follow != nil {
+	reload.proxy = p
+	go reload.run(ctx, hangups, deliveries)
+	if reload.rollout != nil {
 		var following sync.WaitGroup
-		following.Go(func() { follow.Run(ctx) })
+		following.Go(func() { reload.rollout.Run(ctx) })
 		defer following.Wait()
-		defer end()
+		defer cancel()
 	}
-	if conf.ManagementAddress == "" {
+	return serve(ctx, p, reload.rollout, active.ManagementAddress, log)
+}
+
+// logLevel parses a level's name; any other text is INFO. DEBUG logs each step of each request.
+func logLevel(name string) slog.Level {
+	var level slog.Level
+	_ = level.UnmarshalText([]byte(name))
+	return level
+}
+
+// processConfig applies the limits of cores and memory to this process, and returns the proxy's configuration.
+func processConfig(active *config.Config, log *slog.Logger) proxy.Config {
+	cfg := active.Proxy
+	cfg.Logger = log
+	if active.MemoryMB > 0 {
+		cfg.OnMemoryShare = func(share float64) {
+			debug.SetMemoryLimit(max(minHeapBytes, int64(active.MemoryMB*share*heapFraction*bytesPerMB)))
+		}
+		cfg.OnMemoryShare(1)
+		cfg.BodyMemory = int(active.MemoryMB * bodiesFraction * bytesPerMB)
+	}
+	if active.Cores > 0 {
+		runtime.GOMAXPROCS(int(math.Ceil(active.Cores)))
+	}
+	return cfg
+}
+
+// serve runs the proxy, and its management address if it has one, until the proxy has drained.
+func serve(ctx context.Context, p *proxy.Proxy, follower *rollout.Client, managementAddress string, log *slog.Logger) error {
+	if managementAddress == "" {
 		return p.Run(ctx)
 	}
-	m, err := management.Listen(conf.ManagementAddress, managedProxy{p, follow}, log)
+	server, err := management.Listen(managementAddress, managedProxy{p, follower}, log)
 	if err != nil {
 		return err
 	}
-	var calls sync.WaitGroup
-	calls.Go(func() {
-		if err := m.Serve(); err != nil {
-			log.Error("management address", "error", err)
+	var serving sync.WaitGroup
+	serving.Go(func() {
+		if err := server.Serve(); err != nil {
+			log.Error("management address failed", "error", err)
 		}
 	})
 	err = p.Run(ctx)
-	m.Close()
-	calls.Wait()
+	server.Close()
+	serving.Wait()
 	return err
 }
