--- a/cmd/merlinpick-cluster-proxy/fleet_test.go
+++ b/cmd/merlinpick-cluster-proxy/cluster_test.go
@@ -161,7 +161,7 @@
 }
 
 // Three processes of the program are one fleet, whatever one of them goes through.
-func TestThreeProcessesAreAFleet(t *testing.T) {
+func TestThreeProcessesFormACluster(t *testing.T) {
 	s := process.NewStarter()
 	defer s.Close()
 	a, b, c := newMember(t, "a"), newMember(t, "b"), newMember(t, "c")
--- a/cmd/merlinpick-cluster-proxy/main.go
+++ b/cmd/merlinpick-cluster-proxy/main.go
@@ -1,5 +1,5 @@
-// Command merlinpick-cluster-proxy is cmd/merlinpick-proxy with one thing more: by the configuration's section fleet it is a member
-// of a fleet. What that needs of libraries costs 3 MB of memory even without the section.
+// Command merlinpick-cluster-proxy is the load balancing proxy of cmd/merlinpick-proxy that can also join a cluster, by
+// the configuration's section "fleet". The libraries for it take 3 MB of memory, also without the section.
 package main
 
 import (
--- a/cmd/merlinpick-cluster-proxy/fleetzones_test.go
+++ b/cmd/merlinpick-cluster-proxy/zonedrain_test.go
@@ -7,7 +7,7 @@
 )
 
 // A zone that is drained at one member is out at all, and outlives the one that was called, disk and all.
-func TestAZoneDrainedAtOneIsOutAtAll(t *testing.T) {
+func TestZoneDrainAppliesToAllMembers(t *testing.T) {
 	s := process.NewStarter()
 	defer s.Close()
 	a, b := newMember(t, "a"), newMember(t, "b")
--- a/cmd/merlinpick-proxy/main.go
+++ b/cmd/merlinpick-proxy/main.go
@@ -1,5 +1,5 @@
-// Command merlinpick-proxy is one real proxy: it balances calls to the backends of a tier. Nothing in it knows of fleets, so
-// that one on its own pays nothing for them; cmd/merlinpick-cluster-proxy does.
+// Command merlinpick-proxy is the load balancing proxy. It cannot join a cluster, so it does not load the libraries
+// that clusters need; cmd/merlinpick-cluster-proxy can.
 package main
 
 import "merlinpick/internal/program"
--- a/internal/cluster/adapter/adapter_test.go
+++ b/internal/cluster/adapter/adapter_test.go
@@ -10,7 +10,7 @@
 )
 
 // What one module saw, another with its zones numbered otherwise reads as it was meant; whatever it cannot read is counted.
-func TestNoticesMeanTheSameElsewhere(t *testing.T) {
+func TestReportsKeepTheirMeaning(t *testing.T) {
 	here, there := map[string]int{"a": 0, "b": 1, "c": 2}, map[string]int{"b": 0, "a": 1}
 	rapid.Check(t, func(t *rapid.T) {
 		n := balancer.Report{Kind: balancer.ReportKind(rapid.IntRange(0, int(balancer.ReportServerLoad)).Draw(t, "kind")),
--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -16,7 +16,7 @@
 	`"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,"try_limit":3},"membership_mode":"automatic",` +
 	`"profiles":[{"give_up_us":8,"name":"look","objective_us":4,"repeat":"idempotent","worth":1}],"siblings":1},"fleet":%s}`
 
-func TestTheSectionIsRead(t *testing.T) {
+func TestReadSection(t *testing.T) {
 	for _, c := range []struct{ more, name, want string }{{"", "n4", "n4"}, {`,"name":"n5"`, "n4", "n5"}} {
 		f, _, err := read([]byte(`{"label":"x","bind":"127.0.0.1:9","seeds":["127.0.0.1:8"]`+c.more+`}`), c.name)
 		if err != nil {
@@ -29,7 +29,7 @@
 }
 
 // Each part of what a fleet does can be stopped by itself.
-func TestPartsAreStopped(t *testing.T) {
+func TestSectionDisablesFeatures(t *testing.T) {
 	for section, want := range map[string][2]bool{`{"label":"x"}`: {false, false}, `{"label":"x","damping":false}`: {true, false},
 		`{"label":"x","damping":true,"tuning":false}`: {false, true}} {
 		c, _, err := load(t, "n", section, "", ReadConfig)
@@ -52,7 +52,7 @@
 	return c, path, err
 }
 
-func TestAFaultOfTheSectionIsOneOfTheConfiguration(t *testing.T) {
+func TestSectionErrorsAreConfigErrors(t *testing.T) {
 	for _, c := range []struct{ name, env, section, key, problem string }{
 		{"n", "", `{"bind":7}`, "fleet.bind", "JSON number"},
 		{"n", "", `7`, "fleet", "JSON number"},
--- a/internal/cluster/queue/queue_test.go
+++ b/internal/cluster/queue/queue_test.go
@@ -10,7 +10,7 @@
 const packetMost = 1400
 
 // What is passed on is sent so many times, is as old as it is when it goes, and is not sent once it has ended.
-func TestQueue(t *testing.T) {
+func TestEntriesAreSentTheirNumberOfTimes(t *testing.T) {
 	made := func(n int) (out []state.Entry) {
 		for i := range n {
 			out = append(out, state.Entry{Kind: state.ServerFlap, Subject: fmt.Sprint("s", i), Observer: "a", Incarnation: 1,
@@ -86,7 +86,7 @@
 }
 
 // A full queue in a large fleet: each datagram takes what it holds, and as many come in.
-func BenchmarkFull(b *testing.B) {
+func BenchmarkNextPacketOfFullQueue(b *testing.B) {
 	q := New(func() int { return TransmitCount(1300) })
 	entries := make([]state.Entry, 1<<16)
 	for i := range entries {
--- a/internal/cluster/state/bench_test.go
+++ b/internal/cluster/state/bench_test.go
@@ -48,7 +48,7 @@
 }
 
 // Each entry is new, and one of as many has to go for it.
-func BenchmarkMergeCrowded(b *testing.B) {
+func BenchmarkMergeAtLimits(b *testing.B) {
 	in := crowd(300, 10)
 	v := New(Identity{Name: "self"}, Limits{Entries: 1500})
 	b.ReportAllocs()
@@ -61,7 +61,7 @@
 	perEntry(b, len(in))
 }
 
-func BenchmarkKnown3000(b *testing.B) {
+func BenchmarkPeerEntries3000(b *testing.B) {
 	v := New(Identity{Name: "self"}, Limits{})
 	v.Merge(0, crowd(300, 10))
 	b.ReportAllocs()
@@ -72,7 +72,7 @@
 	}
 }
 
-func BenchmarkSay200(b *testing.B) {
+func BenchmarkPublish200(b *testing.B) {
 	v := New(Identity{Name: "self"}, Limits{})
 	var items []Observation
 	for i := range 200 {
--- a/internal/cluster/state/cluster_test.go
+++ b/internal/cluster/state/cluster_test.go
@@ -130,7 +130,7 @@
 // Proxies with clocks of their own say, restart, even with a start before the former, suspend and resume, while packets
 // are lost, doubled, late by up to the whole run and out of order. What ended or was withdrawn never comes back. Once
 // packets come and all was exchanged, each knows of each other exactly what that one says, and the same by hand.
-func TestFleet(t *testing.T) {
+func TestStoresConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{T: t, nodes: make([]*node, rapid.IntRange(2, 4).Draw(t, "nodes"))}
 		for i := range w.nodes {
--- a/internal/cluster/state/scale_test.go
+++ b/internal/cluster/state/scale_test.go
@@ -89,7 +89,7 @@
 
 // An older copy of what is held moves its end forward: the sweep has to come for it then, not when the younger one would
 // have been forgotten.
-func TestOlderCopyIsForgottenInTime(t *testing.T) {
+func TestOlderCopyMovesSweepForward(t *testing.T) {
 	v := New(Identity{Name: "self"}, Limits{})
 	e := Entry{Kind: ServerUnhealthy, Subject: "s", Observer: "a", Incarnation: 1, Seq: 1, ObservedAt: 2 * second, TTL: ServerUnhealthy.TTL()}
 	v.Merge(2*second, []Entry{e})
@@ -108,7 +108,7 @@
 }
 
 // Pack gives what Encode gives first, and names the entries that are in it.
-func TestPackIsTheFirstOfEncode(t *testing.T) {
+func TestPackReturnsFirstPacketOfEncode(t *testing.T) {
 	all := fleetOf(40, 2, 3, 1)
 	all[3].Subject, all[7].TTL = "", 0 // not valid
 	for from := 0; from < len(all); from += 5 {
--- a/internal/cluster/state/store_test.go
+++ b/internal/cluster/state/store_test.go
@@ -35,7 +35,7 @@
 	}), 0, 40)
 }
 
-func TestMergeIsAJoin(t *testing.T) {
+func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := entries(2).Draw(t, "in")
 		one, two := New(Identity{Name: "a"}, Limits{}), New(Identity{Name: "b"}, Limits{})
@@ -60,7 +60,7 @@
 }
 
 // Under a flood nothing passes its bound, own entries stay, all is counted, and in the end all is given back.
-func TestBounds(t *testing.T) {
+func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lim := Limits{Entries: 12, EntriesPerObserver: 5, Observers: 4, Overrides: 3}
 		v := New(Identity{Name: "self", StartedAtMs: 1}, lim)
@@ -120,7 +120,7 @@
 	return Entry{Kind: kind, Subject: subject, Observer: "o", Incarnation: 1, Seq: seq, ObservedAt: made, TTL: life}
 }
 
-func TestEnds(t *testing.T) {
+func TestEntriesExpire(t *testing.T) {
 	v := New(Identity{Name: "self"}, Limits{})
 	for _, made := range []int64{at - 1, at - 2, at - 1} { // the oldest copy counts
 		v.Merge(at, []Entry{tell(ServerUnhealthy, "s", 1, made, second)})
@@ -142,7 +142,7 @@
 }
 
 // Of a crowd the entry nearest its end goes, be it the one that comes.
-func TestCrowd(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	v := New(Identity{Name: "self"}, Limits{})
 	most := rulesByKind[ZoneUnhealthy].maxPerObserver
 	for i := range most {
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestNotValid(t *testing.T) {
+func TestInvalidEntriesAreRejected(t *testing.T) {
 	good := Entry{Kind: ServerUnhealthy, Subject: "s", Observer: "o", Incarnation: 1, Seq: 1, ObservedAt: at, TTL: 3 * second}
 	long := string(make([]byte, 129))
 	for name, spoil := range map[string]func(*Entry){
@@ -188,7 +188,7 @@
 }
 
 // What is still true is told again at half its life, numbers that moved within the kind's pace, all else at once.
-func TestWhenToSay(t *testing.T) {
+func TestPublishTiming(t *testing.T) {
 	v := New(Identity{Name: "self"}, Limits{})
 	it := Observation{Kind: ServerUnhealthy, Subject: "s", Body: Body{Fault: 1, BadFraction: 0.5}}
 	say := func(now int64, items ...Observation) int { return len(v.Publish(now, items)) }
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestHandIsBounded(t *testing.T) {
+func TestOverridesAreLimited(t *testing.T) {
 	v := New(Identity{Name: "self"}, Limits{Overrides: 2})
 	for i, nodo := range []string{"a", "b", "c"} { // each resumption makes room for the next
 		v.Suspend(int64(i), nodo)
@@ -252,7 +252,7 @@
 
 // A proxy that starts anew drives out what a former life of it told, and is heard, though its clock was set back and
 // all of the former life has ended.
-func TestRestarted(t *testing.T) {
+func TestRestartReplacesPreviousIncarnation(t *testing.T) {
 	say := []Observation{{Kind: ServerFlap, Subject: "s"}, {Kind: ServerUnhealthy, Subject: "s"}}
 	for _, start := range []int64{1, 9} {
 		old, other, again := New(Identity{Name: "p", StartedAtMs: 5}, Limits{}), New(Identity{Name: "o"}, Limits{}), New(Identity{Name: "p", StartedAtMs: start}, Limits{})
@@ -272,7 +272,7 @@
 }
 
 // Two that live under one name outbid each other once a second, not without end.
-func TestTwins(t *testing.T) {
+func TestNamesakesOutbidAtLimitedRate(t *testing.T) {
 	a, b := New(Identity{Name: "p", StartedAtMs: 5}, Limits{}), New(Identity{Name: "p", StartedAtMs: 5}, Limits{})
 	told := a.Publish(at, []Observation{{Kind: ServerFlap, Subject: "s"}})
 	for turn := 0; len(told) > 0; turn++ {
--- a/internal/cluster/state/wire_test.go
+++ b/internal/cluster/state/wire_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestPackets(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := entries(4).Draw(t, "in")
 		for i := range in {
@@ -49,7 +49,7 @@
 type fields map[int]any
 
 // What a newer or a broken program may send, beside one good entry.
-func TestOddPackets(t *testing.T) {
+func TestDecodeUnknownAndMalformed(t *testing.T) {
 	good := fields{1: ServerUnhealthy, 2: 1, 3: "s"}
 	packet := func(version int, entries ...any) fields {
 		return fields{1: version, 2: []any{fields{1: "o", 3: 5, 4: append(entries, good)}}}
--- a/internal/cluster/transport/node_test.go
+++ b/internal/cluster/transport/node_test.go
@@ -78,7 +78,7 @@
 }
 
 // Three find each other from one seed, which starts last, hear what each says, and notice who leaves.
-func TestThreeBecomeAFleet(t *testing.T) {
+func TestThreeNodesFormACluster(t *testing.T) {
 	probe, err := net.Listen("tcp", "127.0.0.1:0") // an address for the seed
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 }
 
 // Of a foreign fleet, of another tier, or no message at all: it is counted, and the fleet stands.
-func TestStrangersAreRefused(t *testing.T) {
+func TestForeignTrafficIsRejected(t *testing.T) {
 	a := run(t, config("a"))
 	b := run(t, config("b", a.Addr()))
 	b.until(t, "a", func(s Snapshot) bool { return s.LiveMembers == 2 })
@@ -174,7 +174,7 @@
 }
 
 // A suspension outlives its process; one that cannot be kept is a no and does not hold.
-func TestHandsAreKept(t *testing.T) {
+func TestOverridesSurviveRestart(t *testing.T) {
 	cfg := config("a")
 	cfg.StateDir = t.TempDir()
 	a := run(t, cfg)
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestErrorsTellTheKey(t *testing.T) {
+func TestConfigErrorsNameTheKey(t *testing.T) {
 	for key, spoil := range map[string]func(*Config){
 		"name":      func(c *Config) { c.Name = "" },
 		"label":     func(c *Config) { c.Label = "" },
@@ -254,7 +254,7 @@
 }
 
 // Only what a living member tells, of the zone that it says it is in, is acted on.
-func TestWhoIsHeard(t *testing.T) {
+func TestEntriesOfLiveMembersOnly(t *testing.T) {
 	m := newMemberList("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
 	m.alive = map[string]Member{"a": {Name: "a", Zone: "north"}}
 	var got []string
@@ -268,7 +268,7 @@
 }
 
 // After a stop, what memberlist still held is not read for a moment; then all is as before.
-func TestAStopIsNoticed(t *testing.T) {
+func TestMessagesFromBeforeAStopAreRejected(t *testing.T) {
 	cfg := config("a")
 	var now atomic.Int64
 	now.Store(1)
@@ -301,7 +301,7 @@
 }
 
 // A datagram's wait in the kernel is known.
-func TestWaited(t *testing.T) {
+func TestKernelWait(t *testing.T) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/faultlab/byzantine/byzantine_test.go
+++ b/internal/faultlab/byzantine/byzantine_test.go
@@ -31,7 +31,7 @@
 }
 
 // An honest member hears a liar's every lie, well formed, until it has left for as long as what it said lives.
-func TestHonestMemberHears(t *testing.T) {
+func TestHonestMemberReceivesFalseReports(t *testing.T) {
 	defer nothingLeft(t)
 	log, begun := slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now()
 	honest, err := transport.Open(transport.Config{Name: "honest", Zone: "a", Bind: "127.0.0.1:0", Label: "t", Logger: log,
--- a/internal/faultlab/hollow/calibrate_test.go
+++ b/internal/faultlab/hollow/calibrate_test.go
@@ -43,7 +43,7 @@
 }
 
 // The calibration holds proxies that do all to others that do all, and fails those that skip the watch or the gossip.
-func TestCalibrationFindsWhatIsSkipped(t *testing.T) {
+func TestCalibrationDetectsSkippedWork(t *testing.T) {
 	const proxies, nodos = 3, 12
 	within := func(factor string) experiment.Expect {
 		least, most := 0.5, 2.0
--- a/internal/faultlab/hollow/configs_test.go
+++ b/internal/faultlab/hollow/configs_test.go
@@ -14,7 +14,7 @@
 )
 
 // The figures of configurations hold hollow proxies that have them in force, and fail those that hear of them alone.
-func TestConfigurationsThatAreNotAppliedAreFound(t *testing.T) {
+func TestUnappliedConfigurationsAreDetected(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		sound    bool
--- a/internal/faultlab/hollow/hollow_test.go
+++ b/internal/faultlab/hollow/hollow_test.go
@@ -86,7 +86,7 @@
 }
 
 // What nodos do comes to all proxies, under versions that tell how late.
-func TestChangesAreKnown(t *testing.T) {
+func TestProxiesReceiveChanges(t *testing.T) {
 	list, m, _ := service(t)
 	p, _ := start(t, config(list, 3, 4), sound)
 	eventually(t, "all", func() bool { return p.missing() == "" })
@@ -135,7 +135,7 @@
 }
 
 // A proxy that cannot go on ends its process, and is named with the cause: where it is made, where it runs, and on disk.
-func TestAFailureIsNamed(t *testing.T) {
+func TestFailureNamesProxy(t *testing.T) {
 	list, _, _ := service(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -169,7 +169,7 @@
 }
 
 // Relays pass the gossip on, and lose the part that they are told to, until its time is over.
-func TestRelaysLose(t *testing.T) {
+func TestRelaysLoseDatagrams(t *testing.T) {
 	list, _, _ := service(t)
 	c := config(list, 2, 2)
 	c.Fleet = &Fleet{Label: "test"}
@@ -215,7 +215,7 @@
 }
 
 // Orders that make no sense change nothing.
-func TestBadOrders(t *testing.T) {
+func TestInvalidOrders(t *testing.T) {
 	p, err := New(config("127.0.0.1:1", 0, 1), quiet)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/faultlab/hollow/rules_test.go
+++ b/internal/faultlab/hollow/rules_test.go
@@ -12,7 +12,7 @@
 
 // A change of configuration is in force at all hollow proxies that follow it, under its version, while calls go on; one that
 // does not fit is refused at each, and what was in force stays.
-func TestConfigurationsAreInForce(t *testing.T) {
+func TestConfigurationsAreApplied(t *testing.T) {
 	list, _, _ := service(t)
 	c := config(list, 3, 2)
 	for i := range c.Proxies {
--- a/internal/faultlab/model/table_test.go
+++ b/internal/faultlab/model/table_test.go
@@ -25,7 +25,7 @@
 func seconds(x int64) float64 { return float64(x) / float64(sec) }
 
 // TestOffAndOn prints each case without peers and with them, on the same seeds.
-func TestOffAndOn(t *testing.T) {
+func TestWithAndWithoutPeers(t *testing.T) {
 	if !*table {
 		t.Skip("-model.table")
 	}
@@ -119,7 +119,7 @@
 	return c
 }
 
-func BenchmarkBig(b *testing.B) {
+func BenchmarkLargeCluster(b *testing.B) {
 	events := 0
 	for b.Loop() {
 		r, err := Run(big())
--- a/internal/faultlab/ramp/ramp_test.go
+++ b/internal/faultlab/ramp/ramp_test.go
@@ -43,7 +43,7 @@
 }
 
 // What all processes together send a cold server stays within its budget and what chance adds to that, in each window.
-func TestTheRampHoldsForTheFleet(t *testing.T) {
+func TestSlowStartHoldsForAllReplicas(t *testing.T) {
 	play := slices.Clone(broken)
 	for i := range *seeds {
 		if !slices.Contains(play, i+1) {
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -28,7 +28,7 @@
 
 func (s *scripted) Close() error { return nil }
 
-func TestErrorsOfTheMomentAreRetried(t *testing.T) {
+func TestTemporaryErrorsAreRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var errs []error
 		for range 20 {
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestALastingErrorIsGivenOut(t *testing.T) {
+func TestPermanentErrorsAreReturned(t *testing.T) {
 	for _, want := range permanentErrors {
 		l := Retry(&scripted{errs: []error{want}}, slog.New(slog.DiscardHandler))
 		if _, err := l.Accept(); !errors.Is(err, want) {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestCloseEndsTheWaitForARetry(t *testing.T) {
+func TestCloseEndsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errs := make([]error, 1000)
 		for i := range errs {
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -98,7 +98,7 @@
 
 func request(line, more string) string { return line + " HTTP/1.1\r\nHost: proxy\r\n" + more + "\r\n" }
 
-func TestCallsAreAnswered(t *testing.T) {
+func TestReadyAndMetrics(t *testing.T) {
 	p := &fakeProxy{figures: Metrics{Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}},
 		InFlight: 7, Forwarded: 8, ListedServers: 9, EjectedServers: 10, ReloadsApplied: 11, ReloadsRejected: 12}}
 	s := start(t, p)
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestFiguresOfAFleetComeWithOneOnly(t *testing.T) {
+func TestClusterFiguresOnlyInACluster(t *testing.T) {
 	if text := string((&Metrics{}).encode()); strings.Contains(text, "fleet") {
 		t.Errorf("on its own: %s", text)
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestOtherCallsAreANo(t *testing.T) {
+func TestUnknownCallsAreRejected(t *testing.T) {
 	s := start(t, &fakeProxy{})
 	for _, text := range []string{
 		request("GET /", ""), request("GET /v1/ready", ""), request("POST /v1/readyz", "Content-Length: 0\r\n"),
@@ -147,7 +147,7 @@
 }
 
 // Callers that hold a connection with no whole call, however many, take no place from others and are closed.
-func TestHeldConnectionsDelayNobody(t *testing.T) {
+func TestIncompleteCallsDoNotBlockOthers(t *testing.T) {
 	s := start(t, &fakeProxy{})
 	var held []net.Conn
 	for i := range 3 * MaxConns {
@@ -172,7 +172,7 @@
 }
 
 // A call that announces a body must not act before all of it is here.
-func TestHalfACallDoesNothing(t *testing.T) {
+func TestPartialCallHasNoEffect(t *testing.T) {
 	s := start(t, &fakeProxy{})
 	c := dial(t, s)
 	if _, err := io.WriteString(c, request("GET /v1/readyz", "Content-Length: 3\r\n")+"x"); err != nil {
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestNodosAreCalledByTheirName(t *testing.T) {
+func TestServerCalls(t *testing.T) {
 	p := &fakeProxy{}
 	s := start(t, p)
 	post := func(path string) string { return request("POST "+path, "Content-Length: 0\r\n") }
--- a/internal/management/zones_test.go
+++ b/internal/management/zones_test.go
@@ -8,7 +8,7 @@
 	"merlinpick/balancer"
 )
 
-func TestZonesAreCalledByTheirName(t *testing.T) {
+func TestZoneCalls(t *testing.T) {
 	p := &fakeProxy{}
 	s := start(t, p)
 	for _, c := range []struct {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestZonesAreShown(t *testing.T) {
+func TestZonesText(t *testing.T) {
 	p := &fakeProxy{}
 	s := start(t, p)
 	_, before := call(t, s, request("GET /v1/metrics", ""))
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -21,7 +21,7 @@
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
 // SIGHUP puts a whole configuration in force, or nothing of it; each is counted.
-func TestSIGHUPReadsTheConfigurationAgain(t *testing.T) {
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string { return map[string]string{"LB_CONFIG": path}[name] }
 	hup := make(chan os.Signal)
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -30,7 +30,7 @@
 }
 
 // What comes from afar goes SIGHUP's way: whole or not at all, above the file, for as long as there is one.
-func TestDocumentsGoAboveTheFile(t *testing.T) {
+func TestDocumentsAreMergedOverTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string { return map[string]string{"LB_CONFIG": path}[name] }
 	text := followed("")
@@ -110,7 +110,7 @@
 }
 
 // A start has what was in force, before anybody is asked; what is damaged or does not fit leaves the file's.
-func TestAStartHasWhatWasInForce(t *testing.T) {
+func TestStartAppliesCachedDocument(t *testing.T) {
 	for name, c := range map[string]struct {
 		kept     string // empty: none
 		attempts int
--- a/internal/program/signal_test.go
+++ b/internal/program/signal_test.go
@@ -64,7 +64,7 @@
 }
 
 // Signals that come while the process drains, up to its last instant, neither end it early nor make its end a crash.
-func TestSignalsDuringADrain(t *testing.T) {
+func TestSignalsDuringDrain(t *testing.T) {
 	for name, sig := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGHUP": syscall.SIGHUP} {
 		t.Run(name, func(t *testing.T) {
 			cmd, up, log := process(t)
@@ -97,7 +97,7 @@
 }
 
 // SIGTERM at any instant of a start ends the process, and soon.
-func TestSIGTERMDuringAStart(t *testing.T) {
+func TestSIGTERMDuringStart(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
 		cmd, _, log := process(t)
 		time.Sleep(after)
