--- a/internal/cluster/state/bench_test.go
+++ b/internal/cluster/state/bench_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// crowd is what many proxies tell of some of 200 servers each, as All gives it.
-func crowd(proxies, each int) (all []Entry) {
+// crowd returns what many proxies publish of some of 200 servers each.
+func entriesOfProxies(proxies, each int) (all []Entry) {
 	for p := range proxies {
-		v := New(Identity{fmt.Sprintf("proxy-%03d", p), fmt.Sprint("zone", p%3), 1_790_000_000_000 + int64(p)}, Limits{})
+		store := New(Identity{fmt.Sprintf("proxy-%03d", p), fmt.Sprint("zone", p%3), 1_790_000_000_000 + int64(p)}, Limits{})
 		var items []Observation
 		for i := range each {
 			items = append(items, Observation{ServerUnhealthy, fmt.Sprintf("nodo-%03d", (p+7*i)%200), 1_790_000_100_000,
 				Body{Fault: 1, Calls: float64(10 + i), BadFraction: 0.7}})
 		}
-		all = append(all, v.Publish(0, items)...)
+		all = append(all, store.Publish(0, items)...)
 	}
 	return all
 }
@@ -25,35 +25,35 @@
 }
 
 func BenchmarkMerge(b *testing.B) {
-	in := crowd(100, 10)
+	in := entriesOfProxies(100, 10)
 	for _, of := range []string{"known", "renewed", "new"} {
 		b.Run(of, func(b *testing.B) {
-			v := New(Identity{Name: "self"}, Limits{})
-			v.Merge(0, in)
+			store := New(Identity{Name: "self"}, Limits{})
+			store.Merge(0, in)
 			b.ReportAllocs()
 			for b.Loop() {
 				if of == "new" {
-					v = New(Identity{Name: "self"}, Limits{})
+					store = New(Identity{Name: "self"}, Limits{})
 				}
 				if of == "renewed" {
 					for i := range in {
 						in[i].Seq += 1000
 					}
 				}
-				v.Merge(0, in)
+				store.Merge(0, in)
 			}
 			perEntry(b, len(in))
 		})
 	}
 }
 
-// Each entry is new, and one of as many has to go for it.
+// Each entry is new, and another one is evicted for it.
 func BenchmarkMergeAtLimits(b *testing.B) {
-	in := crowd(300, 10)
-	v := New(Identity{Name: "self"}, Limits{Entries: 1500})
+	in := entriesOfProxies(300, 10)
+	store := New(Identity{Name: "self"}, Limits{Entries: 1500})
 	b.ReportAllocs()
 	for b.Loop() {
-		v.Merge(0, in)
+		store.Merge(0, in)
 		for i := range in {
 			in[i].Incarnation++
 		}
@@ -62,30 +62,30 @@
 }
 
 func BenchmarkPeerEntries3000(b *testing.B) {
-	v := New(Identity{Name: "self"}, Limits{})
-	v.Merge(0, crowd(300, 10))
+	store := New(Identity{Name: "self"}, Limits{})
+	store.Merge(0, entriesOfProxies(300, 10))
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(v.PeerEntries(1)) != 3000 {
+		if len(store.PeerEntries(1)) != 3000 {
 			b.Fatal("not all known")
 		}
 	}
 }
 
 func BenchmarkPublish200(b *testing.B) {
-	v := New(Identity{Name: "self"}, Limits{})
+	store := New(Identity{Name: "self"}, Limits{})
 	var items []Observation
 	for i := range 200 {
 		items = append(items, Observation{ServerLoad, fmt.Sprintf("nodo-%03d", i), 1, Body{Value: 1}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		v.Publish(1, items)
+		store.Publish(1, items)
 	}
 }
 
 func BenchmarkEncode(b *testing.B) {
-	in := crowd(100, 10)
+	in := entriesOfProxies(100, 10)
 	for _, most := range []int{1400, MaxPacketBytes} {
 		b.Run(fmt.Sprint(most), func(b *testing.B) {
 			var packets [][]byte
@@ -100,7 +100,7 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	in := crowd(100, 10)
+	in := entriesOfProxies(100, 10)
 	data := bytes.Join(Encode(1, in, 1400), nil)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -35,7 +35,7 @@
 }
 
 // print writes an entry's values without the names of Go fields, so that renames do not move golden files and hashes.
-func print(w io.Writer, label string, entries []Entry) {
+func printEntries(w io.Writer, label string, entries []Entry) {
 	fmt.Fprintln(w, label, len(entries))
 	for _, e := range entries {
 		fmt.Fprintln(w, uint8(e.Kind), e.Withdrawn, e.Subject, e.SubjectStartMs, e.Observer, e.ObserverZone, e.Incarnation, e.Seq, e.ObservedAt, e.TTL,
@@ -50,56 +50,56 @@
 	for kind := ServerUnhealthy; kind < Override; kind++ {
 		entries = append(entries,
 			Entry{Kind: kind, Subject: "server-1", SubjectStartMs: started + 5, Observer: "proxy-a", ObserverZone: "zone-1", Incarnation: started,
-				Seq: uint64(kind), ObservedAt: at - int64(kind)*millisecond, TTL: kind.TTL(),
+				Seq: uint64(kind), ObservedAt: testTime - int64(kind)*millisecond, TTL: kind.TTL(),
 				Body: Body{Fault: uint8(kind) % 5, SubjectZone: "zone-2", Calls: 100, BadFraction: 0.25, Value: 1500}},
 			Entry{Kind: kind, Withdrawn: true, Subject: "server-2", Observer: "proxy-a", ObserverZone: "zone-1", Incarnation: started,
-				Seq: 100 + uint64(kind), ObservedAt: at - 1, TTL: second})
+				Seq: 100 + uint64(kind), ObservedAt: testTime - 1, TTL: second})
 	}
 	return append(entries,
-		Entry{Kind: Override, Subject: "server-1", Observer: "proxy-b", Seq: 7, ObservedAt: at - 3600*second},
-		Entry{Kind: Override, Withdrawn: true, Subject: "server-3", Observer: "proxy-b", Seq: 8, ObservedAt: at - second, TTL: resumptionTTL},
+		Entry{Kind: Override, Subject: "server-1", Observer: "proxy-b", Seq: 7, ObservedAt: testTime - 3600*second},
+		Entry{Kind: Override, Withdrawn: true, Subject: "server-3", Observer: "proxy-b", Seq: 8, ObservedAt: testTime - second, TTL: resumptionTTL},
 		Entry{Kind: ServerUnhealthy, Subject: "same-start", SubjectStartMs: started, Observer: "proxy-c", Incarnation: started, Seq: 1 << 40,
-			ObservedAt: at, TTL: ServerUnhealthy.TTL(), Body: Body{Fault: 200, Calls: maxNumber, BadFraction: 1, Value: 0.0625}},
+			ObservedAt: testTime, TTL: ServerUnhealthy.TTL(), Body: Body{Fault: 200, Calls: maxNumber, BadFraction: 1, Value: 0.0625}},
 		Entry{Kind: ServerLoad, Subject: "earlier-start", SubjectStartMs: 1, Observer: "proxy-c", Incarnation: started, Seq: maxStamp,
-			ObservedAt: at - 4*second, TTL: 4500 * millisecond})
+			ObservedAt: testTime - 4*second, TTL: 4500 * millisecond})
 }
 
 // TestPacketsMatchGoldenFile holds the bytes of gossip packets: entries of every kind, in packets of 1,400 bytes.
 func TestPacketsMatchGoldenFile(t *testing.T) {
-	data := golden(t, "packets.cbor", bytes.Join(Encode(at, everyKind(), 1400), nil))
+	data := golden(t, "packets.cbor", bytes.Join(Encode(testTime, everyKind(), 1400), nil))
 	checkDecoded(t, data, "packets.txt")
 }
 
 // TestFullExchangeMatchesGoldenFile holds the bytes of a full exchange of a view with own, peers' and override entries.
 func TestFullExchangeMatchesGoldenFile(t *testing.T) {
-	v := New(Identity{Name: "self", Zone: "zone-1", StartedAtMs: 1_790_000_000_123}, Limits{})
+	store := New(Identity{Name: "self", Zone: "zone-1", StartedAtMs: 1_790_000_000_123}, Limits{})
 	items := []Observation{{ServerUnhealthy, "s1", 1_790_000_000_000, Body{Fault: 1, Calls: 10, BadFraction: 0.5}},
 		{ZoneUnhealthy, "zone-2", 0, Body{Fault: 2, SubjectZone: "zone-3", Calls: 20, BadFraction: 0.75}}, {ServerLoad, "s2", 7, Body{Calls: 3, Value: 12345}}}
-	v.Publish(at-second, items)
-	v.Publish(at-second/2, items[1:])
-	v.Merge(at, everyKind())
+	store.Publish(testTime-second, items)
+	store.Publish(testTime-second/2, items[1:])
+	store.Merge(testTime, everyKind())
 	for i, server := range []string{"s1", "s2", "s3"} {
-		if _, err := v.Suspend(at, server); err != nil {
+		if _, err := store.Suspend(testTime, server); err != nil {
 			t.Fatal(err)
 		}
 		if i == 1 {
-			if _, err := v.Resume(at, server); err != nil {
+			if _, err := store.Resume(testTime, server); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	data := golden(t, "exchange.cbor", bytes.Join(Encode(at, v.Entries(at), MaxPacketBytes), nil))
+	data := golden(t, "exchange.cbor", bytes.Join(Encode(testTime, store.Entries(testTime), MaxPacketBytes), nil))
 	checkDecoded(t, data, "exchange.txt")
 }
 
 func checkDecoded(t *testing.T, data []byte, name string) {
 	t.Helper()
-	entries, skipped, err := DecodeAll(at, data)
+	entries, skipped, err := DecodeAll(testTime, data)
 	if err != nil || skipped != (Skipped{}) {
 		t.Fatalf("%s: %+v, %v", name, skipped, err)
 	}
 	var text bytes.Buffer
-	print(&text, "entries", entries)
+	printEntries(&text, "entries", entries)
 	golden(t, name, text.Bytes())
 }
 
@@ -113,10 +113,10 @@
 	for i := range views {
 		views[i] = start(i, 1000)
 	}
-	now := int64(at)
+	now := int64(testTime)
 	for step := range 4000 {
 		i := random.IntN(len(views))
-		v := views[i]
+		store := views[i]
 		name := fmt.Sprint("s", random.IntN(6))
 		var out []Entry
 		var err error
@@ -127,15 +127,15 @@
 				items = append(items, Observation{Kind(1 + random.IntN(6)), fmt.Sprint("s", random.IntN(9)), int64(random.IntN(3)), Body{
 					Fault: uint8(random.IntN(3)), Calls: float64(random.IntN(50)), BadFraction: random.Float64(), Value: float64(random.IntN(3))}})
 			}
-			out = v.Publish(now, items)
+			out = store.Publish(now, items)
 		case 4, 5, 6:
-			out = v.Entries(now)
+			out = store.Entries(now)
 		case 7:
-			out, err = v.Suspend(now, name)
+			out, err = store.Suspend(now, name)
 		case 8:
-			out, err = v.Resume(now, name)
+			out, err = store.Resume(now, name)
 		case 9:
-			hands := v.OverrideRecords(now)
+			hands := store.OverrideRecords(now)
 			for _, h := range hands {
 				fmt.Fprintln(hash, "override", h.Subject, h.Suspended, h.Version, h.Actor, h.AgeMs)
 			}
@@ -147,23 +147,23 @@
 			now += random.Int64N(600 * millisecond)
 		}
 		fmt.Fprintln(hash, step, i, now, err != nil)
-		print(hash, "out", out)
+		printEntries(hash, "out", out)
 		for _, packet := range Encode(now, out, MinPacketBytes) {
 			for j, to := range views {
 				if j != i && random.IntN(3) > 0 {
 					in, skipped, err := Decode(now+random.Int64N(20*millisecond), packet)
-					news := to.Merge(now+20*millisecond, in)
+					changed := to.Merge(now+20*millisecond, in)
 					fmt.Fprintln(hash, "merge", j, skipped.UnknownKinds, skipped.UnknownFields, skipped.Malformed, skipped.NewerVersion, err != nil)
-					print(hash, "news", news)
+					printEntries(hash, "news", changed)
 				}
 			}
 		}
-		print(hash, "known", v.PeerEntries(now))
-		suspended := v.SuspendedServers(now)
+		printEntries(hash, "known", store.PeerEntries(now))
+		suspended := store.SuspendedServers(now)
 		for s := range 6 {
 			fmt.Fprint(hash, suspended[fmt.Sprint("s", s)], " ")
 		}
-		c := v.Counts()
+		c := store.Counts()
 		fmt.Fprintln(hash, c.Advertised, c.Renewed, c.Withdrawn, c.Omitted, c.Accepted, c.Duplicates, c.ExpiredOnArrival, c.Superseded, c.SelfConflicts, c.Invalid,
 			c.DroppedAtLimit, c.Evicted, c.Expired, c.Own, c.Entries, c.Observers, c.Suspended, c.Resumed)
 	}
--- a/internal/cluster/state/scale_test.go
+++ b/internal/cluster/state/scale_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// A fleet as one member sees it: each other member tells of some nodos' loads and of the zones.
-func fleetOf(members, summaries, zones int, seq uint64) (all []Entry) {
+// entriesOfCluster is a cluster as one member sees it: each other member publishes the load of some servers and the
+// health of all zones.
+func entriesOfCluster(members, summaries, zones int, seq uint64) (all []Entry) {
 	for p := range members {
 		e := Entry{Observer: fmt.Sprintf("proxy-%04d", p), ObserverZone: fmt.Sprint("z", p%zones), Incarnation: 1_790_000_000_000, ObservedAt: second}
 		for z := range zones {
@@ -22,64 +23,64 @@
 			all = append(all, e)
 		}
 	}
-	rand.New(rand.NewPCG(1, seq)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] }) // as gossip mixes them
+	rand.New(rand.NewPCG(1, seq)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] }) // in the mixed order of gossip
 	return all
 }
 
-// BenchmarkMembers gives what a view costs by members, summaries of nodos that each tells, and zones: bytes held for each
-// member, the time of a datagram of renewed entries (decoded and merged), and of a turn (Say and Known).
+// BenchmarkMembers gives the cost of a store by members, load reports that each publishes, and zones: memory per member,
+// the time of a datagram of renewed entries (Decode and Merge), and of one iteration (Publish and PeerEntries).
 func BenchmarkMembers(b *testing.B) {
 	for _, members := range []int{30, 100, 300, 1300} {
 		for _, of := range []struct{ summaries, zones int }{{1, 3}, {1, 9}, {10, 9}} {
 			name := fmt.Sprintf("members=%d/summaries=%d/zones=%d", members, of.summaries, of.zones)
 			limits := Limits{Observers: 4096} // the default has room for 1,024
 			full := func() *Store {
-				v := New(Identity{Name: "self", Zone: "z0"}, limits)
-				v.Merge(second, fleetOf(members, of.summaries, of.zones, 1))
-				return v
+				store := New(Identity{Name: "self", Zone: "z0"}, limits)
+				store.Merge(second, entriesOfCluster(members, of.summaries, of.zones, 1))
+				return store
 			}
 			b.Run("bytes/"+name, func(b *testing.B) {
-				held := 0.0
+				heapBytes := 0.0
 				for b.Loop() {
 					var before, after runtime.MemStats
 					runtime.GC()
 					runtime.ReadMemStats(&before)
-					v := full()
+					store := full()
 					runtime.GC()
 					runtime.ReadMemStats(&after)
-					held = float64(after.HeapAlloc) - float64(before.HeapAlloc)
-					runtime.KeepAlive(v)
+					heapBytes = float64(after.HeapAlloc) - float64(before.HeapAlloc)
+					runtime.KeepAlive(store)
 				}
-				b.ReportMetric(held/float64(members), "B/member")
+				b.ReportMetric(heapBytes/float64(members), "B/member")
 			})
 			b.Run("datagram/"+name, func(b *testing.B) {
-				v := full()
+				store := full()
 				var packets [][]byte
 				seq := uint64(1)
 				for i := 0; b.Loop(); i++ {
 					if i%max(1, len(packets)) == 0 {
 						b.StopTimer()
 						seq += 1000
-						packets = Encode(second, fleetOf(members, of.summaries, of.zones, seq), 1400)
+						packets = Encode(second, entriesOfCluster(members, of.summaries, of.zones, seq), 1400)
 						b.StartTimer()
 					}
 					in, _, err := Decode(second, packets[i%len(packets)])
 					if err != nil {
 						b.Fatal(err)
 					}
-					v.Merge(second, in)
+					store.Merge(second, in)
 				}
 			})
 			b.Run("turn/"+name, func(b *testing.B) {
-				v := full()
+				store := full()
 				var items []Observation
 				for z := range of.zones {
 					items = append(items, Observation{Kind: ZoneHealthy, Subject: fmt.Sprint("z", z)})
 				}
 				for b.Loop() {
-					v.Publish(second, items)
-					if len(v.PeerEntries(second)) == 0 {
-						b.Fatal("nothing known")
+					store.Publish(second, items)
+					if len(store.PeerEntries(second)) == 0 {
+						b.Fatal("no entries")
 					}
 				}
 			})
@@ -87,44 +88,44 @@
 	}
 }
 
-// An older copy of what is held moves its end forward: the sweep has to come for it then, not when the younger one would
-// have been forgotten.
+// An older copy of an entry makes it expire earlier: the sweep has to remove it then, not when the younger copy would
+// have expired.
 func TestOlderCopyMovesSweepForward(t *testing.T) {
-	v := New(Identity{Name: "self"}, Limits{})
+	store := New(Identity{Name: "self"}, Limits{})
 	e := Entry{Kind: ServerUnhealthy, Subject: "s", Observer: "a", Incarnation: 1, Seq: 1, ObservedAt: 2 * second, TTL: ServerUnhealthy.TTL()}
-	v.Merge(2*second, []Entry{e})
-	v.PeerEntries(2 * second)
+	store.Merge(2*second, []Entry{e})
+	store.PeerEntries(2 * second)
 	e.ObservedAt = second
-	v.Merge(2*second, []Entry{e})
+	store.Merge(2*second, []Entry{e})
 	for _, at := range []struct {
 		now  int64
-		held int
+		entries int
 	}{{4*second - 1, 1}, {4 * second, 0}} {
-		v.PeerEntries(at.now)
-		if n := v.Counts().Entries; n != at.held {
-			t.Errorf("at %d: %d entries are held, want %d", at.now, n, at.held)
+		store.PeerEntries(at.now)
+		if n := store.Counts().Entries; n != at.entries {
+			t.Errorf("at %d: %d entries, want %d", at.now, n, at.entries)
 		}
 	}
 }
 
-// Pack gives what Encode gives first, and names the entries that are in it.
+// Pack returns the first packet of Encode and the indices of the entries in it.
 func TestPackReturnsFirstPacketOfEncode(t *testing.T) {
-	all := fleetOf(40, 2, 3, 1)
-	all[3].Subject, all[7].TTL = "", 0 // not valid
+	all := entriesOfCluster(40, 2, 3, 1)
+	all[3].Subject, all[7].TTL = "", 0 // invalid
 	for from := 0; from < len(all); from += 5 {
 		want := Encode(second, all[from:], 1400)[0]
-		got, held := Pack(second, all[from:], 1400)
+		got, packed := Pack(second, all[from:], 1400)
 		in, _, err := Decode(second, got)
-		if !bytes.Equal(got, want) || err != nil || len(in) != len(held) {
-			t.Fatalf("from %d: %d bytes with %d entries, want %d bytes: %v", from, len(got), len(held), len(want), err)
+		if !bytes.Equal(got, want) || err != nil || len(in) != len(packed) {
+			t.Fatalf("from %d: %d bytes with %d entries, want %d bytes: %v", from, len(got), len(packed), len(want), err)
 		}
-		for i, at := range held {
+		for i, at := range packed {
 			if e := all[from+at]; in[i].Observer != e.Observer || in[i].Seq != e.Seq {
-				t.Errorf("from %d: %+v is said to be %+v", from, in[i], e)
+				t.Errorf("from %d: %+v is indicated as %+v", from, in[i], e)
 			}
 		}
 	}
-	if data, held := Pack(second, nil, 1400); data != nil || held != nil {
+	if data, packed := Pack(second, nil, 1400); data != nil || packed != nil {
 		t.Error("a packet of nothing")
 	}
 }
--- a/internal/cluster/state/wire_test.go
+++ b/internal/cluster/state/wire_test.go
@@ -24,35 +24,35 @@
 			}
 		}
 		most := rapid.IntRange(MinPacketBytes, 4*MinPacketBytes).Draw(t, "most")
-		packets := Encode(at, in, most)
+		packets := Encode(testTime, in, most)
 		for _, p := range packets {
 			if len(p) > most {
 				t.Fatalf("%d bytes of %d", len(p), most)
 			}
 		}
-		got, skipped, err := DecodeAll(at, bytes.Join(packets, nil))
+		got, skipped, err := DecodeAll(testTime, bytes.Join(packets, nil))
 		if err != nil || skipped != (Skipped{}) {
 			t.Fatal(skipped, err)
 		}
 		want := slices.DeleteFunc(slices.Clone(in), func(e Entry) bool {
-			return e.ExpiresAt() != math.MaxInt64 && at-ageMs(at, &e)*millisecond+e.TTL <= at
+			return e.ExpiresAt() != math.MaxInt64 && testTime-ageMs(testTime, &e)*millisecond+e.TTL <= testTime
 		})
 		for i := range want {
-			want[i].ObservedAt = at - ageMs(at, &want[i])*millisecond
+			want[i].ObservedAt = testTime - ageMs(testTime, &want[i])*millisecond
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("sent\n%v\nand got\n%v", want, got)
+			t.Fatalf("sent\n%v\ngot\n%v", want, got)
 		}
 	})
 }
 
-type fields map[int]any
+type cborMap map[int]any
 
-// What a newer or a broken program may send, beside one good entry.
+// What a newer or a broken program may send, followed by one valid entry.
 func TestDecodeUnknownAndMalformed(t *testing.T) {
-	good := fields{1: ServerUnhealthy, 2: 1, 3: "s"}
-	packet := func(version int, entries ...any) fields {
-		return fields{1: version, 2: []any{fields{1: "o", 3: 5, 4: append(entries, good)}}}
+	good := cborMap{1: ServerUnhealthy, 2: 1, 3: "s"}
+	packet := func(version int, entries ...any) cborMap {
+		return cborMap{1: version, 2: []any{cborMap{1: "o", 3: 5, 4: append(entries, good)}}}
 	}
 	for name, c := range map[string]struct {
 		data any
@@ -60,87 +60,87 @@
 	}{
 		"plain":              {packet(1), Skipped{}},
 		"newer":              {packet(9), Skipped{NewerVersion: 1}},
-		"unknown kind":       {packet(1, fields{1: 200, 2: "not a number", 99: fields{1: 2}}), Skipped{UnknownKinds: 1}},
-		"kind over a byte":   {packet(1, fields{1: 1 << 40, 2: 1, 3: "s"}), Skipped{UnknownKinds: 1}},
-		"field in entry":     {packet(1, fields{1: ServerHealthy, 2: 1, 3: "s", 99: []any{"x", nil, 1.5}}), Skipped{UnknownFields: 1}},
+		"unknown kind":       {packet(1, cborMap{1: 200, 2: "not a number", 99: cborMap{1: 2}}), Skipped{UnknownKinds: 1}},
+		"kind beyond a byte": {packet(1, cborMap{1: 1 << 40, 2: 1, 3: "s"}), Skipped{UnknownKinds: 1}},
+		"field in entry":     {packet(1, cborMap{1: ServerHealthy, 2: 1, 3: "s", 99: []any{"x", nil, 1.5}}), Skipped{UnknownFields: 1}},
 		"named field":        {packet(1, map[any]any{1: ServerHealthy, 2: 1, 3: "s", "new": 1}), Skipped{UnknownFields: 1}},
-		"field in group":     {fields{1: 1, 2: []any{fields{1: "o", 3: 5, 4: []any{good}, 99: true}}}, Skipped{UnknownFields: 1}},
-		"field in packet":    {fields{1: 1, 2: []any{fields{1: "o", 3: 5, 4: []any{good}}}, 99: "x"}, Skipped{UnknownFields: 1}},
-		"entry of no map":    {packet(1, 7), Skipped{Malformed: 1}},
-		"empty entry":        {packet(1, fields{}), Skipped{UnknownKinds: 1}},
-		"age under 0":        {packet(1, fields{1: ServerUnhealthy, 2: 1, 3: "s", 4: -1}), Skipped{Malformed: 1}},
-		"age over all":       {packet(1, fields{1: ServerUnhealthy, 2: 1, 3: "s", 4: int64(1) << 62}), Skipped{Malformed: 1}},
-		"life over all":      {packet(1, fields{1: ServerUnhealthy, 2: 1, 3: "s", 5: int64(1) << 62}), Skipped{Malformed: 1}},
-		"start over all":     {packet(1, fields{1: ServerUnhealthy, 2: 1, 3: "s", 7: int64(1) << 62}), Skipped{Malformed: 1}},
-		"a text for a count": {packet(1, fields{1: ServerUnhealthy, 2: "1", 3: "s"}), Skipped{Malformed: 1}},
-		"group of no map":    {fields{1: 1, 2: []any{3, fields{1: "o", 3: 5, 4: []any{good}}}}, Skipped{Malformed: 1}},
+		"field in group":     {cborMap{1: 1, 2: []any{cborMap{1: "o", 3: 5, 4: []any{good}, 99: true}}}, Skipped{UnknownFields: 1}},
+		"field in packet":    {cborMap{1: 1, 2: []any{cborMap{1: "o", 3: 5, 4: []any{good}}}, 99: "x"}, Skipped{UnknownFields: 1}},
+		"entry is not a map": {packet(1, 7), Skipped{Malformed: 1}},
+		"empty entry":        {packet(1, cborMap{}), Skipped{UnknownKinds: 1}},
+		"negative age":       {packet(1, cborMap{1: ServerUnhealthy, 2: 1, 3: "s", 4: -1}), Skipped{Malformed: 1}},
+		"age out of range":   {packet(1, cborMap{1: ServerUnhealthy, 2: 1, 3: "s", 4: int64(1) << 62}), Skipped{Malformed: 1}},
+		"TTL out of range":   {packet(1, cborMap{1: ServerUnhealthy, 2: 1, 3: "s", 5: int64(1) << 62}), Skipped{Malformed: 1}},
+		"start out of range": {packet(1, cborMap{1: ServerUnhealthy, 2: 1, 3: "s", 7: int64(1) << 62}), Skipped{Malformed: 1}},
+		"text for a number":  {packet(1, cborMap{1: ServerUnhealthy, 2: "1", 3: "s"}), Skipped{Malformed: 1}},
+		"group is not a map": {cborMap{1: 1, 2: []any{3, cborMap{1: "o", 3: 5, 4: []any{good}}}}, Skipped{Malformed: 1}},
 	} {
 		data, err := cbor.Marshal(c.data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, skipped, err := Decode(at, data)
-		news := New(Identity{Name: "self"}, Limits{}).Merge(at, got)
-		if err != nil || skipped != c.want || len(news) == 0 || news[len(news)-1].Subject != "s" ||
-			news[len(news)-1].Incarnation != 5 {
+		got, skipped, err := Decode(testTime, data)
+		changed := New(Identity{Name: "self"}, Limits{}).Merge(testTime, got)
+		if err != nil || skipped != c.want || len(changed) == 0 || changed[len(changed)-1].Subject != "s" ||
+			changed[len(changed)-1].Incarnation != 5 {
 			t.Errorf("%s: %v, %+v, %v", name, got, skipped, err)
 		}
 	}
 	data, _ := cbor.Marshal(packet(1))
-	long, _ := cbor.Marshal(fields{1: 1, 99: make([]byte, MaxPacketBytes)})
+	long, _ := cbor.Marshal(cborMap{1: 1, 99: make([]byte, MaxPacketBytes)})
 	deep := bytes.Repeat([]byte{0x81}, 1000)
 	for name, data := range map[string][]byte{
-		"nothing": {}, "cut": data[:len(data)-1], "more": append(slices.Clone(data), 0), "no version": {0xa0},
-		"no map": {0x01}, "long": long, "deep": append(deep, 0x80),
-		"a claim of 2^32 groups": {0xa2, 1, 1, 2, 0x9a, 0xff, 0xff, 0xff, 0xff}, "no end": {0xbf, 1, 1, 0xff}, "tag": {0xc1, 0xa0},
+		"empty": {}, "cut": data[:len(data)-1], "trailing byte": append(slices.Clone(data), 0), "no version": {0xa0},
+		"not a map": {0x01}, "long": long, "deep": append(deep, 0x80),
+		"2^32 groups announced": {0xa2, 1, 1, 2, 0x9a, 0xff, 0xff, 0xff, 0xff}, "indefinite length": {0xbf, 1, 1, 0xff}, "tag": {0xc1, 0xa0},
 	} {
 		var bad *PacketError
-		if got, _, err := Decode(at, data); !errors.As(err, &bad) || bad.Size != len(data) || got != nil {
+		if got, _, err := Decode(testTime, data); !errors.As(err, &bad) || bad.Size != len(data) || got != nil {
 			t.Errorf("%s: %v %v", name, got, err)
 		}
 	}
 	var bad *PacketError
-	if got, _, err := DecodeAll(at, append(slices.Clone(data), 0xff)); len(got) != 1 || !errors.As(err, &bad) {
+	if got, _, err := DecodeAll(testTime, append(slices.Clone(data), 0xff)); len(got) != 1 || !errors.As(err, &bad) {
 		t.Errorf("%v %v", got, err)
 	}
-	if _, _, err := DecodeAll(at, make([]byte, MaxSequenceBytes+1)); !errors.As(err, &bad) {
+	if _, _, err := DecodeAll(testTime, make([]byte, MaxSequenceBytes+1)); !errors.As(err, &bad) {
 		t.Error(err)
 	}
 }
 
 func seeds(f *testing.F) {
-	v := New(Identity{Name: "p", Zone: "z", StartedAtMs: 1e12}, Limits{})
-	v.Publish(at, []Observation{{ServerUnhealthy, "s", 2e12, Body{1, "", 10, 0.5, 0}}, {Kind: ZoneUnhealthy, Subject: "z", Body: Body{SubjectZone: "y"}}})
-	v.Suspend(at, "s")
-	for _, data := range Encode(at, v.Entries(at), MinPacketBytes) {
+	store := New(Identity{Name: "p", Zone: "z", StartedAtMs: 1e12}, Limits{})
+	store.Publish(testTime, []Observation{{ServerUnhealthy, "s", 2e12, Body{1, "", 10, 0.5, 0}}, {Kind: ZoneUnhealthy, Subject: "z", Body: Body{SubjectZone: "y"}}})
+	store.Suspend(testTime, "s")
+	for _, data := range Encode(testTime, store.Entries(testTime), MinPacketBytes) {
 		f.Add(data)
 	}
-	odd, _ := cbor.Marshal(fields{1: 2, 2: []any{fields{1: "o", 3: 5, 9: 9, 4: []any{fields{1: 99}, fields{1: 1, 2: 1, 3: "s", 99: 9}, 3}}}})
+	odd, _ := cbor.Marshal(cborMap{1: 2, 2: []any{cborMap{1: "o", 3: 5, 9: 9, 4: []any{cborMap{1: 99}, cborMap{1: 1, 2: 1, 3: "s", 99: 9}, 3}}}})
 	f.Add(odd)
 }
 
-// Any bytes give bounded entries, and those that a view takes in go out as they are.
+// Any bytes give a bounded number of entries, and valid ones are encoded to the same values.
 func FuzzDecode(f *testing.F) {
 	seeds(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		got, skipped, err := Decode(at, data)
+		got, skipped, err := Decode(testTime, data)
 		if (err != nil && got != nil) || len(got) > MaxPacketBytes/8 || skipped.Malformed+skipped.UnknownKinds > MaxPacketBytes {
 			t.Fatal(len(got), skipped, err)
 		}
-		again, skipped, err := DecodeAll(at, bytes.Join(Encode(at, got, MaxPacketBytes), nil))
+		again, skipped, err := DecodeAll(testTime, bytes.Join(Encode(testTime, got, MaxPacketBytes), nil))
 		if err != nil || skipped != (Skipped{}) {
 			t.Fatal(skipped, err)
 		}
-		got = slices.DeleteFunc(got, func(e Entry) bool { return !e.valid(at, MaxPacketBytes) || e.ExpiresAt() <= at })
+		got = slices.DeleteFunc(got, func(e Entry) bool { return !e.valid(testTime, MaxPacketBytes) || e.ExpiresAt() <= testTime })
 		if !slices.Equal(again, got) {
 			t.Fatalf("%v\n%v", got, again)
 		}
 	})
 }
 
-// Two packets of any bytes leave a view within its bounds, and the same in either order.
+// Two packets of any bytes leave a store within its limits, and the same in either order.
 func FuzzMerge(f *testing.F) {
-	v := New(Identity{Name: "p", StartedAtMs: 1}, Limits{})
+	store := New(Identity{Name: "p", StartedAtMs: 1}, Limits{})
 	items := func(n int) (items []Observation) {
 		for i := range n {
 			items = append(items, Observation{Kind: ServerUnhealthy, Subject: fmt.Sprint(i)})
@@ -148,21 +148,21 @@
 		return items
 	}
 	for n := 1; n < 4; n++ {
-		f.Add(Encode(at, v.Publish(at, items(n)), 1500)[0], Encode(at, v.Entries(at), 1500)[0])
+		f.Add(Encode(testTime, store.Publish(testTime, items(n)), 1500)[0], Encode(testTime, store.Entries(testTime), 1500)[0])
 	}
 	f.Fuzz(func(t *testing.T, a, b []byte) {
 		one, two := New(Identity{Name: "self", StartedAtMs: 5}, Limits{}), New(Identity{Name: "self", StartedAtMs: 5}, Limits{})
-		first, _, _ := Decode(at, a)
-		second, _, _ := Decode(at, b)
-		one.Merge(at, first)
-		one.Merge(at, second)
-		two.Merge(at, second)
-		two.Merge(at, first)
+		first, _, _ := Decode(testTime, a)
+		second, _, _ := Decode(testTime, b)
+		one.Merge(testTime, first)
+		one.Merge(testTime, second)
+		two.Merge(testTime, second)
+		two.Merge(testTime, first)
 		c := one.Counts()
 		if c.Entries > 20_000 || c.Own > 512 || c.Observers > 1024 || c.Suspended+c.Resumed > 4096 {
 			t.Fatalf("%+v", c)
 		}
-		if x, y := one.PeerEntries(at), two.PeerEntries(at); c.DroppedAtLimit+c.Evicted+two.Counts().DroppedAtLimit+two.Counts().Evicted == 0 && !slices.Equal(x, y) {
+		if x, y := one.PeerEntries(testTime), two.PeerEntries(testTime); c.DroppedAtLimit+c.Evicted+two.Counts().DroppedAtLimit+two.Counts().Evicted == 0 && !slices.Equal(x, y) {
 			t.Fatalf("%v\n%v", x, y)
 		}
 	})
