--- a/cmd/merlinpick-cluster-proxy/cluster_test.go
+++ b/cmd/merlinpick-cluster-proxy/cluster_test.go
@@ -29,9 +29,9 @@
 	os.Exit(m.Run())
 }
 
-const patience = 60 * time.Second // for what takes seconds; only a failing test waits so long
+const testTimeout = 60 * time.Second // only a failing test waits so long
 
-const fleetText = `{"name":%q,"listen":%q,"mgmt":%q,"discovery":"127.0.0.1:1","seed":"1",` +
+const configText = `{"name":%q,"listen":%q,"mgmt":%q,"discovery":"127.0.0.1:1","seed":"1",` +
 	`"fleet":{"bind":%q,"label":%q,"seeds":[%q]},"limits":{"cores":1.0,"memory_mb":192,"sockets":512},` +
 	`"known":{"index":4,"snapshot":true,"endpoints":[{"name":"n/1","address":"127.0.0.1:1","zone":"a","status":"SERVING",` +
 	`"since_ms":5},{"name":"n/2","address":"127.0.0.1:1","zone":"b","status":"SERVING","since_ms":5}]},` +
@@ -45,15 +45,15 @@
 	name, listen, mgmt, bind, dir string
 }
 
-// free is an address that nobody listens at now, for UDP and TCP.
-func free(t *testing.T) string {
+// free returns an address on which nothing listens, for UDP and TCP.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 20 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close() // not before the others are chosen
+		defer l.Close() // only after the others were allocated
 		u, err := net.ListenPacket("udp", l.Addr().String())
 		if err == nil {
 			u.Close()
@@ -65,14 +65,14 @@
 }
 
 func newMember(t *testing.T, name string) *member {
-	return &member{name: name, listen: free(t), mgmt: free(t), bind: free(t), dir: t.TempDir()}
+	return &member{name: name, listen: freeAddress(t), mgmt: freeAddress(t), bind: freeAddress(t), dir: t.TempDir()}
 }
 
 // start starts the process, or starts it again.
 func (m *member) start(t *testing.T, s *process.Starter, label, seed string) {
 	t.Helper()
 	path := filepath.Join(m.dir, "config.json")
-	if err := os.WriteFile(path, fmt.Appendf(nil, fleetText, m.name, m.listen, m.mgmt, m.bind, label, seed), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, configText, m.name, m.listen, m.mgmt, m.bind, label, seed), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	log := filepath.Join(m.dir, "log")
@@ -90,8 +90,8 @@
 	})
 }
 
-// figures are what the management address shows; nothing while it does not answer.
-func (m *member) figures() map[string]int {
+// metrics returns the management address's figures; none while it does not answer.
+func (m *member) metrics() map[string]int {
 	out := map[string]int{}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -110,19 +110,19 @@
 
 func (m *member) until(t *testing.T, what string, holds func(f map[string]int) bool) {
 	t.Helper()
-	f := m.figures()
-	for end := time.Now().Add(patience); !holds(f); f = m.figures() {
+	f := m.metrics()
+	for end := time.Now().Add(testTimeout); !holds(f); f = m.metrics() {
 		if time.Now().After(end) {
-			t.Fatalf("%s: waited in vain for %s: %v", m.name, what, f)
+			t.Fatalf("%s: timeout waiting for %s: %v", m.name, what, f)
 		}
-		if f["fleet_oldest_ms"] > 5000 { // the longest life of what they tell here: summaries
-			t.Errorf("%s acts on what is %d ms old", m.name, f["fleet_oldest_ms"])
+		if f["fleet_oldest_ms"] > 5000 { // the longest TTL in this test: load reports
+			t.Errorf("%s uses entries that are %d ms old", m.name, f["fleet_oldest_ms"])
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func is(key string, want int) func(map[string]int) bool {
+func metricIs(key string, want int) func(map[string]int) bool {
 	return func(f map[string]int) bool { n, told := f[key]; return told && n == want }
 }
 
@@ -131,10 +131,10 @@
 	m.post(t, "nodos/"+nodo+"/"+verb)
 }
 
-// post is given until it is confirmed: on a busy disk it may be late, as the answer says.
+// post repeats a call until it is confirmed: a slow disk may delay it.
 func (m *member) post(t *testing.T, path string) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		resp, err := http.Post("http://"+m.mgmt+"/v1/"+path, "", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -151,8 +151,8 @@
 	}
 }
 
-// ask makes a client's call, whatever comes of it.
-func (m *member) ask(id int) {
+// ask sends a client's request and ignores the response.
+func (m *member) request(id int) {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+m.listen+"/look/k", nil)
 	req.Header = http.Header{"Request-Id": {strconv.Itoa(id)}, "Request-Class": {"look"}, "Request-Timeout-Ms": {"800"}}
 	if resp, err := http.DefaultClient.Do(req); err == nil {
@@ -160,7 +160,7 @@
 	}
 }
 
-// Three processes of the program are one fleet, whatever one of them goes through.
+// Three processes form a cluster, through crashes, stops and replacement of single ones.
 func TestThreeProcessesFormACluster(t *testing.T) {
 	s := process.NewStarter()
 	defer s.Close()
@@ -177,39 +177,39 @@
 	for _, m := range all {
 		m.start(t, s, "test", a.bind)
 	}
-	together("three to find each other from one seed", is("fleet_living", 3))
-	together("word that they hear each other", is("fleet_alone", 0))
+	together("three members from one seed", metricIs("fleet_living", 3))
+	together("the end of isolation", metricIs("fleet_alone", 0))
 
 	a.call(t, "suspend", "n%2F1")
-	together("a suspension at one to bind all", is("ejected", 1))
+	together("a suspension at all members", metricIs("ejected", 1))
 	if err := a.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range all[1:] {
-		m.until(t, "the death of the one that was called", is("fleet_living", 2))
-		m.until(t, "its suspension to stand", is("ejected", 1))
+		m.until(t, "the death of the called member", metricIs("fleet_living", 2))
+		m.until(t, "its suspension to stay", metricIs("ejected", 1))
 	}
-	a.dir = t.TempDir() // with its disk gone it learns of it from the others
+	a.dir = t.TempDir() // without its disk it receives the override from the others
 	a.start(t, s, "test", b.bind)
-	together("all to live", is("fleet_living", 3))
-	together("the restarted one to learn", is("ejected", 1))
+	together("three live members", metricIs("fleet_living", 3))
+	together("the suspension at the restarted member", metricIs("ejected", 1))
 	b.call(t, "resume", "n%2F1")
-	together("a resume to end it everywhere", is("ejected", 0))
+	together("the resumption at all members", metricIs("ejected", 0))
 
-	a.call(t, "suspend", "n%2F1") // at two: either keeps it, and the end binds both
+	a.call(t, "suspend", "n%2F1") // at two: each stores it, and the resumption applies to both
 	b.call(t, "suspend", "n%2F1")
-	together("a suspension at two", is("ejected", 1))
+	together("the suspension at two members", metricIs("ejected", 1))
 	c.call(t, "resume", "n%2F1")
-	together("its end", is("ejected", 0))
-	b.until(t, "what it kept to go", func(map[string]int) bool {
+	together("its resumption", metricIs("ejected", 0))
+	b.until(t, "its own file to be removed", func(map[string]int) bool {
 		kept, err := filepath.Glob(filepath.Join(b.dir, "fernlanding-*", "ban-*"))
 		return err == nil && len(kept) == 0
 	})
 
 	stranger := newMember(t, "d")
 	stranger.start(t, s, "other", a.bind)
-	stranger.until(t, "a foreign label to be turned away", func(f map[string]int) bool { return f["fleet_join_failed"] > 0 })
-	before := a.figures()["fleet_refused.label"]
+	stranger.until(t, "a foreign label to be rejected", func(f map[string]int) bool { return f["fleet_join_failed"] > 0 })
+	before := a.metrics()["fleet_refused.label"]
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 100 {
 		junk := make([]byte, 1+random.IntN(1000))
@@ -224,41 +224,41 @@
 		}
 	}
 	a.until(t, "random bytes to be counted", func(f map[string]int) bool { return f["fleet_refused.label"] > before+50 })
-	stranger.until(t, "it to be on its own", is("fleet_living", 1))
+	stranger.until(t, "the foreign member to be alone", metricIs("fleet_living", 1))
 
 	id := 0
-	a.until(t, "what c sees of its nodos", func(f map[string]int) bool {
+	a.until(t, "reports of c", func(f map[string]int) bool {
 		id++
-		c.ask(id)
+		c.request(id)
 		return f["fleet_entries"] > 0
 	})
 	if err := c.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range all[:2] {
-		m.until(t, "the one that is stopped to be missed", is("fleet_living", 2))
-		m.until(t, "what it said to end", is("fleet_entries", 0))
+		m.until(t, "the stopped member to be missing", metricIs("fleet_living", 2))
+		m.until(t, "its entries to expire", metricIs("fleet_entries", 0))
 	}
 	b.call(t, "suspend", "n%2F2")
 	if err := c.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	together("the one that goes on to be back", is("fleet_living", 3))
-	together("it to learn what was done meanwhile", is("fleet_suspended", 1))
-	c.until(t, "what came during the stop to be left unread", func(f map[string]int) bool { return f["fleet_refused.late"] > 0 })
+	together("the continued member to be back", metricIs("fleet_living", 3))
+	together("the override that was set meanwhile", metricIs("fleet_suspended", 1))
+	c.until(t, "messages from the stop to be rejected", func(f map[string]int) bool { return f["fleet_refused.late"] > 0 })
 
-	next := *b // a successor beside it, which the fleet knows once b has left
-	next.mgmt = free(t)
+	next := *b // a successor, which joins once b has left
+	next.mgmt = freeAddress(t)
 	next.start(t, s, "test", a.bind)
-	next.until(t, "a start that waits for nobody", is("fleet_open", 0))
-	if clean, err := b.End(patience); err != nil || !clean {
+	next.until(t, "a start without waiting for the address", metricIs("fleet_open", 0))
+	if clean, err := b.End(testTimeout); err != nil || !clean {
 		t.Errorf("b: clean %v, %v", clean, err)
 	}
 	all[1] = &next
-	together("the successor in its place", func(f map[string]int) bool { return f["fleet_living"] == 3 && f["fleet_suspended"] == 1 })
+	together("the successor in place of b", func(f map[string]int) bool { return f["fleet_living"] == 3 && f["fleet_suspended"] == 1 })
 
 	for _, m := range all {
-		if clean, err := m.End(patience); err != nil || !clean {
+		if clean, err := m.End(testTimeout); err != nil || !clean {
 			t.Errorf("%s: clean %v, %v", m.name, clean, err)
 		}
 	}
--- a/internal/cluster/adapter/adapter_test.go
+++ b/internal/cluster/adapter/adapter_test.go
@@ -9,7 +9,7 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// What one module saw, another with its zones numbered otherwise reads as it was meant; whatever it cannot read is counted.
+// A proxy that numbers zones differently reads reports with the same meaning; those that it cannot read are counted.
 func TestReportsKeepTheirMeaning(t *testing.T) {
 	here, there := map[string]int{"a": 0, "b": 1, "c": 2}, map[string]int{"b": 0, "a": 1}
 	rapid.Check(t, func(t *rapid.T) {
@@ -26,7 +26,7 @@
 		items := ToObservations([]balancer.Report{n}, here)
 		if len(items) != 1 {
 			if !zone || n.SubjectZone < 3 {
-				t.Fatalf("%+v is not told", n)
+				t.Fatalf("%+v is not converted", n)
 			}
 			return
 		}
@@ -50,7 +50,7 @@
 			t.Fatalf("%+v is read as %+v", want, got)
 		}
 		if late, _ := ToReports(150, []state.Entry{e}, there); len(late) != 0 {
-			t.Fatal("an end is not heeded")
+			t.Fatal("an expired entry is read")
 		}
 		e.Body.Fault, e.Kind = 200, state.Override+1
 		if odd, lost := ToReports(149, []state.Entry{e}, there); len(odd) != 0 || lost != 0 {
--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -12,7 +12,7 @@
 	"merlinpick/internal/config"
 )
 
-const whole = `{"name":%q,"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"contract":{},` +
+const configText = `{"name":%q,"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"contract":{},` +
 	`"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,"try_limit":3},"membership_mode":"automatic",` +
 	`"profiles":[{"give_up_us":8,"name":"look","objective_us":4,"repeat":"idempotent","worth":1}],"siblings":1},"fleet":%s}`
 
@@ -28,7 +28,7 @@
 	}
 }
 
-// Each part of what a fleet does can be stopped by itself.
+// Each feature can be disabled by itself.
 func TestSectionDisablesFeatures(t *testing.T) {
 	for section, want := range map[string][2]bool{`{"label":"x"}`: {false, false}, `{"label":"x","damping":false}`: {true, false},
 		`{"label":"x","damping":true,"tuning":false}`: {false, true}} {
@@ -42,10 +42,10 @@
 	}
 }
 
-// load reads a whole configuration with this section.
+// load reads a complete configuration with this section.
 func load(t *testing.T, name, section, env string, reader config.ClusterReader) (*config.Config, string, error) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, fmt.Appendf(nil, whole, name, section), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, configText, name, section), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c, err := config.Load(func(key string) string { return map[string]string{"LB_CONFIG": path, "LB_NAME": env}[key] }, reader)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Whatever the section holds, it is read or its fault has a remedy.
+// Any section is read, or its error names a remedy.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"label":"x","bind":"127.0.0.1:9","seeds":["127.0.0.1:8"]}`))
 	f.Fuzz(func(t *testing.T, section []byte) {
--- a/internal/cluster/queue/queue_test.go
+++ b/internal/cluster/queue/queue_test.go
@@ -7,9 +7,9 @@
 	"merlinpick/internal/cluster/state"
 )
 
-const packetMost = 1400
+const maxPacketBytes = 1400
 
-// What is passed on is sent so many times, is as old as it is when it goes, and is not sent once it has ended.
+// Each entry is sent the given number of times, with its age at that time, and not after its expiry.
 func TestEntriesAreSentTheirNumberOfTimes(t *testing.T) {
 	made := func(n int) (out []state.Entry) {
 		for i := range n {
@@ -21,11 +21,11 @@
 	q := New(func() int { return 3 })
 	entries := made(100)
 	q.Add(entries)
-	q.Add(entries) // the same again takes no more room
+	q.Add(entries) // replaces the same entries
 	sent := map[string]int{}
 	now := int64(1000)
-	for p := q.NextPacket(now, packetMost); p != nil; p = q.NextPacket(now, packetMost) {
-		if now += 5000; len(p) > packetMost {
+	for p := q.NextPacket(now, maxPacketBytes); p != nil; p = q.NextPacket(now, maxPacketBytes) {
+		if now += 5000; len(p) > maxPacketBytes {
 			t.Fatalf("a packet of %d bytes", len(p))
 		}
 		in, _, err := state.Decode(now, p)
@@ -44,9 +44,9 @@
 		}
 	}
 	q.Add(entries)
-	p := q.NextPacket(entries[0].ExpiresAt(), packetMost)
+	p := q.NextPacket(entries[0].ExpiresAt(), maxPacketBytes)
 	if n, _, _ := q.Counts(); p != nil || n != 0 {
-		t.Errorf("%d entries that have ended wait, %d bytes were sent", n, len(p))
+		t.Errorf("%d expired entries wait, %d bytes were sent", n, len(p))
 	}
 	q.Add(made(MaxEntries + 100))
 	if n, _, dropped := q.Counts(); n != MaxEntries || dropped != 100 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// What is bad goes before what is well, also where that fills the datagrams; what is well still goes in the end.
+// Fault reports go before health reports, also where these fill the datagrams; health reports still go in the end.
 func TestUrgentEntriesGoFirst(t *testing.T) {
 	q := New(func() int { return 4 })
 	made := func(kind state.Kind, n int) {
@@ -67,7 +67,7 @@
 	made(state.ZoneHealthy, 500)
 	bad := 0
 	for n := 1; n <= 8; n++ {
-		in, _, _ := state.Decode(1000, q.NextPacket(1000, packetMost))
+		in, _, _ := state.Decode(1000, q.NextPacket(1000, maxPacketBytes))
 		well := 0
 		for _, e := range in {
 			if e.Kind == state.ZoneHealthy {
@@ -77,15 +77,15 @@
 			}
 		}
 		if well == 0 {
-			t.Errorf("nothing of what is well in packet %d", n)
+			t.Errorf("no health report in packet %d", n)
 		}
 	}
 	if bad != 3 {
-		t.Errorf("%d of three verdicts went at once", bad)
+		t.Errorf("%d of three fault reports went at once", bad)
 	}
 }
 
-// A full queue in a large fleet: each datagram takes what it holds, and as many come in.
+// A full queue of a large cluster: each packet takes what fits, and as many entries are added.
 func BenchmarkNextPacketOfFullQueue(b *testing.B) {
 	q := New(func() int { return TransmitCount(1300) })
 	entries := make([]state.Entry, 1<<16)
@@ -97,7 +97,7 @@
 	q.Add(entries[:MaxEntries])
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i = (i + 32) % len(entries) {
-		if q.NextPacket(1000, packetMost) == nil {
+		if q.NextPacket(1000, maxPacketBytes) == nil {
 			b.Fatal("nothing to send")
 		}
 		q.Add(entries[i : i+32])
--- a/internal/cluster/state/scale_test.go
+++ b/internal/cluster/state/scale_test.go
@@ -98,7 +98,7 @@
 	e.ObservedAt = second
 	store.Merge(2*second, []Entry{e})
 	for _, at := range []struct {
-		now  int64
+		now     int64
 		entries int
 	}{{4*second - 1, 1}, {4 * second, 0}} {
 		store.PeerEntries(at.now)
--- a/internal/cluster/transport/node_test.go
+++ b/internal/cluster/transport/node_test.go
@@ -19,25 +19,25 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 30 * time.Second // for what takes a second or two
+const testTimeout = 30 * time.Second // only a failing test waits so long
 
 var start = time.Now()
 
 func micros() int64 { return time.Since(start).Microseconds() + 1 }
 
-// member is a link that runs.
-type member struct {
+// testNode is a node that runs.
+type testNode struct {
 	*Node
-	stop func() // and wait for its end
-	last Snapshot
+	stopAndWait func()
+	snapshot    Snapshot
 }
 
-func config(name string, seeds ...string) Config {
+func testConfig(name string, seeds ...string) Config {
 	return Config{Name: name, Zone: "z-" + name, Tier: "0", Bind: "127.0.0.1:0", Label: "test", Seeds: seeds,
 		StartedAtMs: time.Now().UnixMilli(), Now: micros, Logger: slog.New(slog.DiscardHandler)}
 }
 
-func run(t *testing.T, cfg Config) *member {
+func startNode(t *testing.T, cfg Config) *testNode {
 	t.Helper()
 	l, err := Open(cfg)
 	if err != nil {
@@ -46,59 +46,59 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); l.Run(ctx) }()
-	m := &member{Node: l, stop: func() { cancel(); <-ended }}
-	t.Cleanup(m.stop)
+	m := &testNode{Node: l, stopAndWait: func() { cancel(); <-ended }}
+	t.Cleanup(m.stopAndWait)
 	return m
 }
 
-// until waits for a snapshot that shows what is wanted.
-func (m *member) until(t *testing.T, what string, holds func(Snapshot) bool) {
+// until waits for a snapshot that meets a condition.
+func (m *testNode) until(t *testing.T, what string, holds func(Snapshot) bool) {
 	t.Helper()
-	late := time.After(patience)
-	for !holds(m.last) {
+	late := time.After(testTimeout)
+	for !holds(m.snapshot) {
 		select {
-		case m.last = <-m.Snapshots():
+		case m.snapshot = <-m.Snapshots():
 		case <-late:
-			t.Fatalf("%s: waited in vain for %s: %+v, %+v", m.cfg.Name, what, m.last, m.Metrics())
+			t.Fatalf("%s: timeout waiting for %s: %+v, %+v", m.cfg.Name, what, m.snapshot, m.Metrics())
 		}
 	}
 }
 
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for ", what)
+			t.Fatal("timeout waiting for ", what)
 		}
 	}
 }
 
-func says(s Snapshot, observer, subject string) bool {
+func hasEntry(s Snapshot, observer, subject string) bool {
 	return slices.ContainsFunc(s.PeerEntries, func(e state.Entry) bool { return e.Observer == observer && e.Subject == subject })
 }
 
-// Three find each other from one seed, which starts last, hear what each says, and notice who leaves.
+// Three nodes join through one seed, which starts last, receive each other's entries, and detect who leaves.
 func TestThreeNodesFormACluster(t *testing.T) {
-	probe, err := net.Listen("tcp", "127.0.0.1:0") // an address for the seed
+	probe, err := net.Listen("tcp", "127.0.0.1:0") // reserves an address for the seed
 	if err != nil {
 		t.Fatal(err)
 	}
 	seed := probe.Addr().String()
 	probe.Close()
-	all := []*member{run(t, config("b", seed)), run(t, config("c", seed))}
-	all[0].until(t, "a word that it is alone", func(s Snapshot) bool { return s.Isolated && all[0].Metrics().Isolations == 1 })
-	first := config("a", seed)
+	all := []*testNode{startNode(t, testConfig("b", seed)), startNode(t, testConfig("c", seed))}
+	all[0].until(t, "isolation", func(s Snapshot) bool { return s.Isolated && all[0].Metrics().Isolations == 1 })
+	first := testConfig("a", seed)
 	first.Bind = seed
-	all = append(all, run(t, first))
+	all = append(all, startNode(t, first))
 	for _, m := range all {
 		m.Publish([]state.Observation{{Kind: state.ServerUnhealthy, Subject: "s", SubjectStartMs: 1, Body: state.Body{Fault: 1, Calls: 9, BadFraction: 1}}})
-		m.until(t, "all three", func(s Snapshot) bool { return s.LiveMembers == 3 && s.LiveMembersInZone == 1 && !s.Isolated })
+		m.until(t, "three members", func(s Snapshot) bool { return s.LiveMembers == 3 && s.LiveMembersInZone == 1 && !s.Isolated })
 	}
 	for _, m := range all {
-		m.until(t, "what the two others say", func(s Snapshot) bool { return len(s.PeerEntries) == 2 })
+		m.until(t, "the entries of the two others", func(s Snapshot) bool { return len(s.PeerEntries) == 2 })
 	}
 	all[0].Publish(nil)
-	all[1].until(t, "what b said to be taken back", func(s Snapshot) bool { return !says(s, "b", "s") && says(s, "a", "s") })
+	all[1].until(t, "the withdrawal of b's entry", func(s Snapshot) bool { return !hasEntry(s, "b", "s") && hasEntry(s, "a", "s") })
 	if err := all[1].Suspend("n/1"); err != nil {
 		t.Fatal(err)
 	}
@@ -109,29 +109,29 @@
 		t.Fatal(err)
 	}
 	for _, m := range all {
-		m.until(t, "its end", func(s Snapshot) bool { on, known := s.Overrides["n/1"]; return known && !on })
+		m.until(t, "the resumption", func(s Snapshot) bool { on, known := s.Overrides["n/1"]; return known && !on })
 	}
-	all[2].stop()
+	all[2].stopAndWait()
 	for _, m := range all[:2] {
-		m.until(t, "two living", func(s Snapshot) bool { return s.LiveMembers == 2 && !says(s, "a", "s") })
+		m.until(t, "two members", func(s Snapshot) bool { return s.LiveMembers == 2 && !hasEntry(s, "a", "s") })
 	}
 	if err := all[2].Suspend("n/1"); !errors.Is(err, ErrClosed) {
-		t.Errorf("a call after the end: %v", err)
+		t.Errorf("a call after Close: %v", err)
 	}
 	if f := all[0].Metrics(); f.Isolated || f.BytesIn == 0 || f.BytesOut == 0 || f.Joined < 2 || f.Left != 1 || f.JoinFailures == 0 {
-		t.Errorf("figures %+v", f)
+		t.Errorf("metrics %+v", f)
 	}
 }
 
-// Of a foreign fleet, of another tier, or no message at all: it is counted, and the fleet stands.
+// Traffic of another cluster, another tier, or random bytes is counted and rejected, and the cluster goes on.
 func TestForeignTrafficIsRejected(t *testing.T) {
-	a := run(t, config("a"))
-	b := run(t, config("b", a.Addr()))
+	a := startNode(t, testConfig("a"))
+	b := startNode(t, testConfig("b", a.Addr()))
 	b.until(t, "a", func(s Snapshot) bool { return s.LiveMembers == 2 })
-	foreign, other := config("c", a.Addr()), config("d", a.Addr())
+	foreign, other := testConfig("c", a.Addr()), testConfig("d", a.Addr())
 	foreign.Label, other.Tier = "foreign", "1"
-	c, _ := run(t, foreign), run(t, other)
-	eventually(t, "a refusal", func() bool { return c.Metrics().JoinFailures > 0 })
+	c, _ := startNode(t, foreign), startNode(t, other)
+	eventually(t, "a rejection", func() bool { return c.Metrics().JoinFailures > 0 })
 	seed := uint64(1)
 	random := rand.New(rand.NewPCG(seed, seed))
 	for i := range 200 {
@@ -150,7 +150,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, _ = conn.Write(junk) // the other end may have closed it
+			_, _ = conn.Write(junk) // the peer may have closed it
 			conn.Close()
 		}
 	}
@@ -158,7 +158,7 @@
 		r := a.Metrics().Rejected
 		return r[rejectLabel] > 40 && r[rejectLength] > 20 && r["member"] > 0
 	})
-	eventually(t, "a bound on connections that say nothing", func() bool {
+	eventually(t, "the limit of silent connections", func() bool {
 		if conn, err := net.Dial("tcp", a.Addr()); err == nil {
 			t.Cleanup(func() { conn.Close() })
 		}
@@ -169,40 +169,40 @@
 	}
 	b.until(t, "the suspension", func(s Snapshot) bool { return s.Overrides["n"] && s.LiveMembers == 2 })
 	if s := c.Metrics(); s.LiveMembers != 1 || s.SuspendedServers != 0 {
-		t.Errorf("the foreign one knows %+v", s)
+		t.Errorf("the foreign node has %+v", s)
 	}
 }
 
-// A suspension outlives its process; one that cannot be kept is a no and does not hold.
+// An override outlives its process; one that cannot be stored is rejected and has no effect.
 func TestOverridesSurviveRestart(t *testing.T) {
-	cfg := config("a")
+	cfg := testConfig("a")
 	cfg.StateDir = t.TempDir()
-	a := run(t, cfg)
+	a := startNode(t, cfg)
 	if err := errors.Join(a.Suspend("n"), a.Suspend("m"), a.Suspend("n"), a.Resume("m")); err != nil {
 		t.Fatal(err)
 	}
-	a.stop()
+	a.stopAndWait()
 	cfg.StartedAtMs++
-	a = run(t, cfg)
-	a.until(t, "what was kept", func(s Snapshot) bool { m, known := s.Overrides["m"]; return s.Overrides["n"] && known && !m })
+	a = startNode(t, cfg)
+	a.until(t, "the stored overrides", func(s Snapshot) bool { m, known := s.Overrides["m"]; return s.Overrides["n"] && known && !m })
 	if err := os.RemoveAll(cfg.StateDir); err != nil {
 		t.Fatal(err)
 	}
 	var keep *StoreError
 	if err := a.Suspend("o"); !errors.As(err, &keep) {
-		t.Errorf("a suspension without a folder: %v", err)
+		t.Errorf("a suspension without a directory: %v", err)
 	}
 	if err := a.Resume("n"); !errors.As(err, &keep) {
-		t.Errorf("an end without a folder: %v", err)
+		t.Errorf("a resumption without a directory: %v", err)
 	}
-	<-a.Snapshots() // from before, perhaps
-	a.last = <-a.Snapshots()
-	a.until(t, "what held before", func(s Snapshot) bool { return s.Overrides["n"] && !s.Overrides["o"] })
-	a.stop()
+	<-a.Snapshots() // may be an old one
+	a.snapshot = <-a.Snapshots()
+	a.until(t, "the previous overrides", func(s Snapshot) bool { return s.Overrides["n"] && !s.Overrides["o"] })
+	a.stopAndWait()
 	if err := errors.Join(os.MkdirAll(cfg.StateDir, 0o700), os.WriteFile(a.overrideFile.path, []byte("fleet-hands"), 0o600)); err != nil {
 		t.Fatal(err)
 	}
-	run(t, cfg)
+	startNode(t, cfg)
 	if _, err := os.Stat(a.overrideFile.path + ".damaged"); err != nil {
 		t.Errorf("a damaged file: %v", err)
 	}
@@ -216,7 +216,7 @@
 		"advertise": func(c *Config) { c.Advertise = "here" },
 		"seeds":     func(c *Config) { c.Seeds = []string{"127.0.0.1:1", "127.0.0.1"} },
 	} {
-		cfg := config("a")
+		cfg := testConfig("a")
 		spoil(&cfg)
 		_, err := Open(cfg)
 		var bad *ConfigError
@@ -224,8 +224,8 @@
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	a := run(t, config("a"))
-	cfg := config("b")
+	a := startNode(t, testConfig("a"))
+	cfg := testConfig("b")
 	cfg.Bind = a.Addr()
 	var open *OpenError
 	if _, err := Open(cfg); !errors.As(err, &open) || open.Addr != a.Addr() {
@@ -233,17 +233,17 @@
 	}
 }
 
-// Others can tell by the address where a connection comes from.
+// Other members can identify a connection by its source address.
 func TestConnectionsComeFromTheBoundAddress(t *testing.T) {
 	there, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer there.Close()
-	cfg := config("a")
+	cfg := testConfig("a")
 	cfg.Bind = "127.0.0.77:0"
-	a := run(t, cfg)
-	conn, err := a.network.DialTimeout(there.Addr().String(), patience)
+	a := startNode(t, cfg)
+	conn, err := a.network.DialTimeout(there.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -253,7 +253,7 @@
 	}
 }
 
-// Only what a living member tells, of the zone that it says it is in, is acted on.
+// Only entries of live members are used, and only if they name the zone that the member announced.
 func TestEntriesOfLiveMembersOnly(t *testing.T) {
 	m := newMemberList("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
 	m.alive = map[string]Member{"a": {Name: "a", Zone: "north"}}
@@ -263,13 +263,13 @@
 		got = append(got, e.Subject)
 	}
 	if !slices.Equal(got, []string{"1"}) {
-		t.Errorf("acted on %v", got)
+		t.Errorf("used %v", got)
 	}
 }
 
-// After a stop, what memberlist still held is not read for a moment; then all is as before.
+// After the process was stopped, messages that memberlist still held are rejected for a moment; then they are accepted.
 func TestMessagesFromBeforeAStopAreRejected(t *testing.T) {
-	cfg := config("a")
+	cfg := testConfig("a")
 	var now atomic.Int64
 	now.Store(1)
 	cfg.Now = now.Load
@@ -280,7 +280,7 @@
 	defer l.Close()
 	for _, step := range []struct {
 		forth time.Duration
-		look  bool // the owner gets to its tick before the message
+		look  bool // the owner ticks before the message
 		taken bool
 	}{
 		{0, false, true}, {snapshotInterval, true, true}, {maxKernelWait, false, true}, {time.Microsecond, false, false},
@@ -300,7 +300,7 @@
 	}
 }
 
-// A datagram's wait in the kernel is known.
+// The time that a datagram waited in the kernel is known.
 func TestKernelWait(t *testing.T) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -314,7 +314,7 @@
 	if _, err := c.WriteTo([]byte{1}, c.LocalAddr()); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	oob := make([]byte, 64)
 	time.Sleep(20 * time.Millisecond)
 	_, n, _, _, err := c.ReadMsgUDPAddrPort(make([]byte, 8), oob)
@@ -323,7 +323,7 @@
 	}
 }
 
-// Whatever a member tells of itself is safe to read, and what is read is bounded.
+// Any metadata is safe to read, and what is read is bounded.
 func FuzzMeta(f *testing.F) {
 	f.Add(memberMeta{metaVersion, "z", "t", 5}.encode(512))
 	f.Add([]byte{0xa1, 0x01, 0x02})
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// scripted gives its errors, and then a connection.
+// scripted returns its errors, and then a connection.
 type scripted struct {
 	net.Listener
 	errs []error
--- a/internal/management/golden_test.go
+++ b/internal/management/golden_test.go
@@ -14,7 +14,7 @@
 
 // TestEndpointTextsMatchGoldenFiles holds the whole text of the metrics and of the zones, by which callers read them.
 func TestEndpointTextsMatchGoldenFiles(t *testing.T) {
-	p := &fakeProxy{figures: Metrics{
+	p := &fakeProxy{metrics: Metrics{
 		Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}}, InFlight: 7, Forwarded: 8, ListedServers: 9, EjectedServers: 10,
 		ReloadsApplied: 11, ReloadsRejected: 12, Rollout: &Rollout{13, 14, 15 * time.Second, 16, 17},
 		EndpointList: &EndpointList{Age: 18 * time.Millisecond, Stale: true, Failures: 19, Calls: map[string]int64{"ok": 20, "error": 21},
@@ -24,7 +24,7 @@
 		RuleViolations: map[string]int64{"rule_b": 40, "rule_a": 41}, Events: map[string]int64{"refused.no-time": 42, "closed.idle": 43},
 	}}
 	for phase := balancer.ZoneHealthy; phase <= balancer.ZoneDrained; phase++ {
-		p.figures.Zones = append(p.figures.Zones, Zone{"zone " + string(rune('a'+phase)), phase, float64(phase) / 5, int(phase),
+		p.metrics.Zones = append(p.metrics.Zones, Zone{"zone " + string(rune('a'+phase)), phase, float64(phase) / 5, int(phase),
 			time.Duration(phase) * time.Second, "reason = \"" + string(rune('0'+phase)) + "\""})
 	}
 	for name, path := range map[string]string{"metrics.txt": "/v1/metrics", "zones.txt": "/v1/zones"} {
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -14,23 +14,23 @@
 	"merlinpick/internal/override"
 )
 
-const patience = 20 * time.Second // for what has to come; only a failing test waits so long
+const testTimeout = 20 * time.Second // only a failing test waits so long
 
 type fakeProxy struct {
-	missing string
-	figures Metrics
-	did     string
+	notReadyReason string
+	metrics        Metrics
+	lastCall       string
 }
 
-func (p *fakeProxy) NotReadyReason() string { return p.missing }
-func (p *fakeProxy) Metrics() Metrics       { return p.figures }
+func (p *fakeProxy) NotReadyReason() string { return p.notReadyReason }
+func (p *fakeProxy) Metrics() Metrics       { return p.metrics }
 
 func (p *fakeProxy) SuspendServer(nodo string) error { return p.do("suspend", nodo) }
 func (p *fakeProxy) ResumeServer(nodo string) error  { return p.do("resume", nodo) }
 
 func (p *fakeProxy) DrainZone(zone string) error   { return p.do("drain", zone) }
 func (p *fakeProxy) RestoreZone(zone string) error { return p.do("restore", zone) }
-func (p *fakeProxy) Zones() []Zone                 { return p.figures.Zones }
+func (p *fakeProxy) Zones() []Zone                 { return p.metrics.Zones }
 
 func (p *fakeProxy) do(verb, nodo string) error {
 	switch nodo {
@@ -43,7 +43,7 @@
 	case "stuck":
 		return errors.New("no room")
 	}
-	p.did = verb + " " + nodo
+	p.lastCall = verb + " " + nodo
 	return nil
 }
 
@@ -71,11 +71,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// call makes one call and returns the answer's status and body.
+// call makes one call and returns the response's status and body.
 func call(t *testing.T, s *Server, text string) (int, string) {
 	t.Helper()
 	c := dial(t, s)
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	if !resp.Close {
-		t.Errorf("%q: the connection is kept", text)
+		t.Errorf("%q: the connection stays open", text)
 	}
 	return resp.StatusCode, string(body)
 }
@@ -99,13 +99,13 @@
 func request(line, more string) string { return line + " HTTP/1.1\r\nHost: proxy\r\n" + more + "\r\n" }
 
 func TestReadyAndMetrics(t *testing.T) {
-	p := &fakeProxy{figures: Metrics{Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}},
+	p := &fakeProxy{metrics: Metrics{Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}},
 		InFlight: 7, Forwarded: 8, ListedServers: 9, EjectedServers: 10, ReloadsApplied: 11, ReloadsRejected: 12}}
 	s := start(t, p)
 	if status, _ := call(t, s, request("GET /v1/readyz", "")); status != 200 {
 		t.Errorf("ready: %d", status)
 	}
-	p.missing = "no list"
+	p.notReadyReason = "no list"
 	if status, text := call(t, s, request("GET /v1/readyz", "")); status != 503 || text != "not ready: no list\n" {
 		t.Errorf("not ready: %d %q", status, text)
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-// Callers that hold a connection with no whole call, however many, take no place from others and are closed.
+// Any number of callers that hold a connection without a complete call block no others, and are closed.
 func TestIncompleteCallsDoNotBlockOthers(t *testing.T) {
 	s := start(t, &fakeProxy{})
 	var held []net.Conn
@@ -171,7 +171,7 @@
 	}
 }
 
-// A call that announces a body must not act before all of it is here.
+// A call that announces a body must have no effect before all of it was received.
 func TestPartialCallHasNoEffect(t *testing.T) {
 	s := start(t, &fakeProxy{})
 	c := dial(t, s)
@@ -180,7 +180,7 @@
 	}
 	text, _ := io.ReadAll(c)
 	if strings.Contains(string(text), "200 OK") {
-		t.Errorf("half a call got %q", text)
+		t.Errorf("a partial call got %q", text)
 	}
 }
 
@@ -201,11 +201,11 @@
 		{post("/v1/nodos//suspend"), 404, ""},
 		{post("/v1/nodos/s-1/stop"), 404, ""},
 		{request("GET /v1/nodos/s-1/suspend", ""), 405, ""},
-		{request("POST /v1/nodos/s-1/suspend", ""), 200, "suspend s-1"}, // no body is a whole call too
+		{request("POST /v1/nodos/s-1/suspend", ""), 200, "suspend s-1"}, // complete without a body too
 	} {
-		p.did = ""
-		if status, _ := call(t, s, c.text); status != c.status || p.did != c.did {
-			t.Errorf("%q: %d, did %q", c.text, status, p.did)
+		p.lastCall = ""
+		if status, _ := call(t, s, c.text); status != c.status || p.lastCall != c.did {
+			t.Errorf("%q: %d, did %q", c.text, status, p.lastCall)
 		}
 	}
 }
--- a/internal/management/zones_test.go
+++ b/internal/management/zones_test.go
@@ -25,9 +25,9 @@
 		{"POST /v1/zones/a/stop", "", "", 404},
 		{"GET /v1/zones/a/drain", "", "", 405},
 	} {
-		p.did = ""
-		if status, text := call(t, s, request(c.line, "")); status != c.status || p.did != c.did || !strings.Contains(text, c.says) {
-			t.Errorf("%s: %d %q, did %q", c.line, status, text, p.did)
+		p.lastCall = ""
+		if status, text := call(t, s, request(c.line, "")); status != c.status || p.lastCall != c.did || !strings.Contains(text, c.says) {
+			t.Errorf("%s: %d %q, did %q", c.line, status, text, p.lastCall)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 	if strings.Contains(before, "zone") {
 		t.Errorf("without zones to show: %s", before)
 	}
-	p.figures.Zones = []Zone{{Name: "a b=c", WeightFraction: 1}, {Name: "b", Phase: balancer.ZoneDrained, Transitions: 3, Since: 1200 * time.Millisecond,
+	p.metrics.Zones = []Zone{{Name: "a b=c", WeightFraction: 1}, {Name: "b", Phase: balancer.ZoneDrained, Transitions: 3, Since: 1200 * time.Millisecond,
 		Reason: `by "hand"`}}
 	want := "name=a%20b%3Dc state=well share=1.00 epoch=0 since_ms=0 reason=\"\"\n" +
 		"name=b state=drained share=0.00 epoch=3 since_ms=1200 reason=\"by \\\"hand\\\"\"\n"
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -14,18 +14,18 @@
 	"merlinpick/internal/proxy"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
+const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":4,"snapshot":true,"endpoints":[]},` +
 	`"later":1,"settings":{"contract":{},"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,` +
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,` +
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-// SIGHUP puts a whole configuration in force, or nothing of it; each is counted.
+// SIGHUP applies a complete configuration or nothing of it; each attempt is counted.
 func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string { return map[string]string{"LB_CONFIG": path}[name] }
 	hup := make(chan os.Signal)
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	inForce, err := config.Load(env, nil)
@@ -40,17 +40,17 @@
 		r := &reloader{proxy: p, file: inForce, active: inForce, env: env, log: slog.New(slog.DiscardHandler)}
 		r.run(ctx, hup, nil)
 	}()
-	more := strings.Replace(good, `"profiles":[`, `"profiles":[{"give_up_us":8,"name":"buy","objective_us":4,`+
+	more := strings.Replace(validConfig, `"profiles":[`, `"profiles":[{"give_up_us":8,"name":"buy","objective_us":4,`+
 		`"repeat":"at_most_once","worth":1},`, 1)
 	for _, c := range []struct {
 		name, text string
-		classes    int // 0: turned down
+		classes    int // 0: rejected
 	}{
 		{"empty", "", 0},
-		{"cut off", good[:len(good)/2], 0},
-		{"no JSON", "{", 0},
-		{"the same", good, 1},
-		{"a class more", more, 2},
+		{"truncated", validConfig[:len(validConfig)/2], 0},
+		{"not JSON", "{", 0},
+		{"the same", validConfig, 1},
+		{"one more class", more, 2},
 		{"a deadline of 0", strings.Replace(more, `"give_up_us":8`, `"give_up_us":0`, 1), 0},
 		{"a negative deadline", strings.Replace(more, `"give_up_us":8`, `"give_up_us":-5`, 1), 0},
 		{"no attempts", strings.Replace(more, `"try_limit":3`, `"try_limit":0`, 1), 0},
@@ -58,15 +58,15 @@
 		{"short of worth", strings.Replace(more, `,"worth":1`, ``, 1), 0},
 		{"short of a class's name", strings.Replace(more, `"name":"buy",`, ``, 1), 0},
 		{"short of the list", strings.Replace(more, `"known":{"index":4,"snapshot":true,"endpoints":[]},`, ``, 1), 2},
-		{"no classes", strings.Replace(good, `"profiles":[{`, `"profiles":[],"former":[{`, 1), 0},
-		{"discovery elsewhere", strings.Replace(good, "127.0.0.1:1", "127.0.0.1:2", 1), 1},
+		{"no classes", strings.Replace(validConfig, `"profiles":[{`, `"profiles":[],"former":[{`, 1), 0},
+		{"discovery elsewhere", strings.Replace(validConfig, "127.0.0.1:1", "127.0.0.1:2", 1), 1},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		hup <- syscall.SIGHUP
 		if got := <-p.reloaded; got != (c.classes > 0) {
-			t.Errorf("%s: taken %v", c.name, got)
+			t.Errorf("%s: applied %v", c.name, got)
 		}
 		select {
 		case cfg := <-p.loaded:
@@ -75,7 +75,7 @@
 			}
 		default:
 			if c.classes > 0 {
-				t.Errorf("%s: nothing was put in force", c.name)
+				t.Errorf("%s: nothing was applied", c.name)
 			}
 		}
 	}
@@ -83,14 +83,14 @@
 	<-ended
 }
 
-// fakeProxy notes what a reload does.
+// fakeProxy records what a reload does.
 type fakeProxy struct {
 	loaded   chan proxy.Config
 	reloaded chan bool
 }
 
 func (p fakeProxy) Reload(cfg proxy.Config) error {
-	_, err := balancer.New(cfg.Site.Balancer, 1) // as the module would judge them
+	_, err := balancer.New(cfg.Site.Balancer, 1) // validates the settings as the balancer does
 	if err == nil {
 		p.loaded <- cfg
 	}
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -16,24 +16,24 @@
 	"merlinpick/internal/proxy"
 )
 
-// followed is good, with a configuration that is followed and a zone of its own.
-func followed(dir string) string {
+// followed returns validConfig with a service's document to follow and a zone.
+func configWithService(dir string) string {
 	return strings.NewReplacer(`"seed"`, fmt.Sprintf(`"config_service":"tarifas","discovery_members":["127.0.0.1:1"],"discovery_state":%q,"seed"`, dir),
-		`"failure_domains":["a"]`, `"failure_domains":["a","b"],"my_zone":1`).Replace(good)
+		`"failure_domains":["a"]`, `"failure_domains":["a","b"],"my_zone":1`).Replace(validConfig)
 }
 
 // document is one above followed, of some attempts.
-func document(attempts int) string {
-	rules := strings.TrimSuffix(good[strings.Index(good, `"settings"`):], "}")
+func testDocument(attempts int) string {
+	rules := strings.TrimSuffix(validConfig[strings.Index(validConfig, `"settings"`):], "}")
 	return "{" + strings.NewReplacer(`"try_limit":3`, fmt.Sprint(`"try_limit":`, attempts), `"failure_domains":["a"]`,
 		`"failure_domains":["b","a"]`).Replace(rules) + "}"
 }
 
-// What comes from afar goes SIGHUP's way: whole or not at all, above the file, for as long as there is one.
+// Documents are applied like a reload: completely or not at all, merged over the file that is in force.
 func TestDocumentsAreMergedOverTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string { return map[string]string{"LB_CONFIG": path}[name] }
-	text := followed("")
+	text := configWithService("")
 	text = strings.Replace(text, `"discovery_state":"",`, "", 1)
 	write := func(text string) {
 		t.Helper()
@@ -57,21 +57,21 @@
 	}()
 	a := documentApplier{ctx, told}
 	for i, c := range []struct {
-		document string // from afar, else the file
+		document string // received; empty: the file is reloaded
 		file     string
-		attempts int    // in force then; 0: turned down
-		key      string // of the fault
+		attempts int    // in force then; 0: rejected
+		key      string // of the error
 	}{
-		{document: document(5), attempts: 5},
-		{document: document(0), key: "settings.limits.try_limit"},
+		{document: testDocument(5), attempts: 5},
+		{document: testDocument(0), key: "settings.limits.try_limit"},
 		{document: `{"settings":`, key: ""},
-		{document: strings.Replace(document(6), `,"worth":1`, ``, 1), key: "settings.profiles[0].worth"},
-		{document: strings.Replace(document(6), `["b","a"]`, `["a"]`, 1), key: "settings.failure_domains"},
-		{document: strings.Replace(document(6), `"automatic"`, `"never"`, 1), key: "settings.membership_mode"},
-		{file: strings.Replace(text, `"try_limit":3`, `"try_limit":9`, 1), attempts: 5}, // the document is above it
+		{document: strings.Replace(testDocument(6), `,"worth":1`, ``, 1), key: "settings.profiles[0].worth"},
+		{document: strings.Replace(testDocument(6), `["b","a"]`, `["a"]`, 1), key: "settings.failure_domains"},
+		{document: strings.Replace(testDocument(6), `"automatic"`, `"never"`, 1), key: "settings.membership_mode"},
+		{file: strings.Replace(text, `"try_limit":3`, `"try_limit":9`, 1), attempts: 5}, // the document takes precedence
 		{file: strings.Replace(text, `,"worth":1`, ``, 1)},
-		{file: strings.Replace(text, `"config_service":"tarifas",`, ``, 1)}, // to do without it, restart
-		{document: document(7), attempts: 7},
+		{file: strings.Replace(text, `"config_service":"tarifas",`, ``, 1)}, // needs a restart
+		{document: testDocument(7), attempts: 7},
 	} {
 		var err error
 		taken := false
@@ -84,7 +84,7 @@
 			taken = err == nil
 		}
 		if taken != (c.attempts > 0) {
-			t.Errorf("%d: taken %v, %v", i, taken, err)
+			t.Errorf("%d: applied %v, %v", i, taken, err)
 		}
 		var fault *config.ConfigError
 		if c.file == "" && !taken && (!errors.As(err, &fault) || fault.Key != c.key || !strings.HasPrefix(err.Error(), c.key)) {
@@ -98,30 +98,31 @@
 			}
 		default:
 			if c.attempts > 0 {
-				t.Errorf("%d: nothing was put in force", i)
+				t.Errorf("%d: nothing was applied", i)
 			}
 		}
 	}
 	stop()
 	<-ended
-	if err := a.Apply(99, []byte(document(5))); !errors.Is(err, errStopping) {
-		t.Errorf("at the end: %v", err)
+	if err := a.Apply(99, []byte(testDocument(5))); !errors.Is(err, errStopping) {
+		t.Errorf("after the end: %v", err)
 	}
 }
 
-// A start has what was in force, before anybody is asked; what is damaged or does not fit leaves the file's.
+// A start applies the cached document before any request to the registry; a damaged one, or one that does not fit, is not
+// used.
 func TestStartAppliesCachedDocument(t *testing.T) {
 	for name, c := range map[string]struct {
-		kept     string // empty: none
+		kept     string // empty: no file
 		attempts int
 		version  int64
 		refused  int64
 	}{
 		"none":            {"", 3, 0, 0},
-		"kept":            {`{"service":"tarifas","line":"l","version":7,"document":` + document(5) + `}`, 5, 7, 0},
-		"another service": {`{"service":"other","line":"l","version":7,"document":` + document(5) + `}`, 3, 0, 0},
-		"faulty":          {`{"service":"tarifas","line":"l","version":7,"document":` + document(-1) + `}`, 3, 0, 7},
-		"short of a key": {`{"service":"tarifas","line":"l","version":7,"document":` + strings.Replace(document(5), `,"worth":1`, ``, 1) + `}`,
+		"kept":            {`{"service":"tarifas","line":"l","version":7,"document":` + testDocument(5) + `}`, 5, 7, 0},
+		"another service": {`{"service":"other","line":"l","version":7,"document":` + testDocument(5) + `}`, 3, 0, 0},
+		"faulty":          {`{"service":"tarifas","line":"l","version":7,"document":` + testDocument(-1) + `}`, 3, 0, 7},
+		"short of a key": {`{"service":"tarifas","line":"l","version":7,"document":` + strings.Replace(testDocument(5), `,"worth":1`, ``, 1) + `}`,
 			3, 0, 7},
 		"damaged": {"x", 3, 0, 0},
 	} {
@@ -136,7 +137,7 @@
 			}
 		}
 		path := filepath.Join(dir, "config.json")
-		if err := os.WriteFile(path, []byte(followed(dir)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(configWithService(dir)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		env := func(name string) string { return map[string]string{"LB_CONFIG": path}[name] }
--- a/internal/program/signal_test.go
+++ b/internal/program/signal_test.go
@@ -15,22 +15,22 @@
 	"time"
 )
 
-const asProgram = "FERNLANDING_TEST_AS_PROGRAM"
+const runAsProgram = "FERNLANDING_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgram) != "" {
 		if err := run(nil); err != nil {
 			os.Exit(1)
 		}
-		_ = syscall.Kill(os.Getpid(), syscall.SIGHUP) // between run's end and the process's
+		_ = syscall.Kill(os.Getpid(), syscall.SIGHUP) // after run and before the exit
 		time.Sleep(50 * time.Millisecond)
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// process starts the program on settings whose deadlines are short; up closes when it has its list, of no servers.
-func process(t *testing.T) (cmd *exec.Cmd, up chan struct{}, log *bytes.Buffer) {
+// startProcess starts the program with short deadlines; up is closed once it has its endpoint list, which is empty.
+func startProcess(t *testing.T) (cmd *exec.Cmd, up chan struct{}, log *bytes.Buffer) {
 	t.Helper()
 	up, over := make(chan struct{}), make(chan struct{})
 	var once sync.Once
@@ -48,13 +48,13 @@
 	t.Cleanup(func() { close(over); discovery.Close() })
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := strings.NewReplacer("127.0.0.1:1", strings.TrimPrefix(discovery.URL, "http://"),
-		`"give_up_us":8`, `"give_up_us":80000`, `"objective_us":4`, `"objective_us":40000`).Replace(good)
+		`"give_up_us":8`, `"give_up_us":80000`, `"objective_us":4`, `"objective_us":40000`).Replace(validConfig)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	log = &bytes.Buffer{}
 	cmd = exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+path)
+	cmd.Env = append(os.Environ(), runAsProgram+"=1", "LB_CONFIG="+path)
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -63,13 +63,13 @@
 	return cmd, up, log
 }
 
-// Signals that come while the process drains, up to its last instant, neither end it early nor make its end a crash.
+// Signals during the drain, up to the exit, neither end the process early nor make it exit by a signal.
 func TestSignalsDuringDrain(t *testing.T) {
 	for name, sig := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGHUP": syscall.SIGHUP} {
 		t.Run(name, func(t *testing.T) {
-			cmd, up, log := process(t)
+			cmd, up, log := startProcess(t)
 			select {
-			case <-up: // it has its list
+			case <-up: // it has its endpoint list
 			case <-time.After(20 * time.Second):
 				t.Fatalf("not up: %s", log)
 			}
@@ -96,10 +96,10 @@
 	}
 }
 
-// SIGTERM at any instant of a start ends the process, and soon.
+// SIGTERM at any time during the start ends the process soon.
 func TestSIGTERMDuringStart(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
-		cmd, _, log := process(t)
+		cmd, _, log := startProcess(t)
 		time.Sleep(after)
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 		ended := make(chan error, 1)
@@ -110,7 +110,7 @@
 				t.Errorf("after %v: %v\n%s", after, err, log)
 			}
 		case <-time.After(20 * time.Second):
-			t.Errorf("after %v: it goes on\n%s", after, log)
+			t.Errorf("after %v: still running\n%s", after, log)
 		}
 	}
 }
