--- a/cmd/merlinpick-faultlab/main.go
+++ b/cmd/merlinpick-faultlab/main.go
@@ -131,7 +131,7 @@
 		return err
 	}
 	fmt.Printf("%s: %d proxies, %d nodos, %d faults, %d expectations, %g s\n", e.Title, len(e.ProxyNodes()),
-		len(e.NodoNodes()), len(e.Faults), len(e.Expect), e.Seconds)
+		len(e.ServerNodes()), len(e.Faults), len(e.Expect), e.Seconds)
 	return nil
 }
 
--- a/cmd/merlinpick-faultlab/main_test.go
+++ b/cmd/merlinpick-faultlab/main_test.go
@@ -95,8 +95,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if r.Figures["requests"].Min < 100 || len(r.Expected) < 8 {
-					t.Errorf("%v requests, %d expectations: too little was judged", r.Figures["requests"], len(r.Expected))
+				if r.Metrics["requests"].Min < 100 || len(r.Expected) < 8 {
+					t.Errorf("%v requests, %d expectations: too little was judged", r.Metrics["requests"], len(r.Expected))
 				}
 				cmd, out = fleetlab("compare", dir, dir)
 				if err := cmd.Run(); err != nil || !strings.Contains(out.String(), "same") {
--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -60,12 +60,12 @@
 	out := []side{{exp: e}}
 	if c.Both {
 		off, on := *e, *e
-		off.Fleet.On, on.Fleet.On = false, true
+		off.Cluster.On, on.Cluster.On = false, true
 		out = []side{{dir: "off", exp: &off}, {dir: "on", exp: &on}}
 	}
 	for i := range out {
 		name := "merlinpick-proxy"
-		if out[i].exp.Fleet.On {
+		if out[i].exp.Cluster.On {
 			name = "merlinpick-cluster-proxy"
 		}
 		var err error
@@ -87,7 +87,7 @@
 		return err
 	}
 	if e.List.Members > 0 {
-		if o.Roster, err = program(c.Roster, "--roster", "merlinpick-registry"); err != nil {
+		if o.Registry, err = program(c.Roster, "--roster", "merlinpick-registry"); err != nil {
 			return err
 		}
 	}
@@ -193,7 +193,7 @@
 		if err != nil && ctx.Err() == nil {
 			return err
 		}
-		if p.Figures != nil {
+		if p.Metrics != nil {
 			s.Plays = append(s.Plays, p)
 		}
 		if p.Void == "" || try >= c.Tries || ctx.Err() != nil {
--- a/cmd/merlinpick-faultlab/soak.go
+++ b/cmd/merlinpick-faultlab/soak.go
@@ -80,7 +80,7 @@
 		kinds = append(kinds, f.Kind)
 	}
 	fmt.Printf("seed %d: %d proxies, %s: worth in time %.3f, %d found%s\n", seed, len(e.ProxyNodes()), strings.Join(kinds, " "),
-		p.Figures["worth_in_time"], len(found), voidly(p.Void))
+		p.Metrics["worth_in_time"], len(found), voidly(p.Void))
 	for i, f := range found {
 		if i == 12 {
 			fmt.Printf("  and %d more\n", len(found)-i)
--- a/internal/faultlab/catalog/answer.go
+++ b/internal/faultlab/catalog/answer.go
@@ -29,7 +29,7 @@
 			next = min(next, wait)
 			break
 		}
-		if !c.tell(c.pending[0].entry) {
+		if !c.notify(c.pending[0].entry) {
 			break
 		}
 		c.pending = c.pending[1:]
@@ -49,7 +49,7 @@
 	for _, w := range c.waiting {
 		next = min(next, w.until.Sub(now))
 	}
-	return max(next, leastWait)
+	return max(next, minWait)
 }
 
 // serveLine answers the calls whose turn it is, and returns how long it is until the next one is due. A watch that goes on
@@ -89,9 +89,9 @@
 // answer answers a call and tells how long the service was busy with it.
 func (c *Catalog) answer(q *call, now time.Time) time.Duration {
 	var lines []line
-	q.whole = q.from < 0 || q.from > c.index || c.index > q.from && (len(c.changes) == 0 || c.changes[0].Index > q.from+1)
-	if q.whole {
-		lines, q.lines = c.wholeList(q.proxy, c.entries)
+	q.snapshot = q.from < 0 || q.from > c.index || c.index > q.from && (len(c.changes) == 0 || c.changes[0].Index > q.from+1)
+	if q.snapshot {
+		lines, q.lines = c.snapshot(q.proxy, c.entries)
 	} else {
 		if q.from == c.index && now.Before(q.until) {
 			q.continues = true // it has had its turn
@@ -109,7 +109,7 @@
 	}
 	c.answered++
 	q.order, q.index = c.answered, c.index
-	q.reply <- encode(c.index, q.whole, lines)
+	q.reply <- encode(c.index, q.snapshot, lines)
 	c.ended[q.proxy] = now
 	return c.cost(len(lines))
 }
@@ -117,10 +117,10 @@
 func (c *Catalog) line1(proxy string, e Entry) line { return line{e, c.cfg.Address(proxy, e.Name), 1} }
 
 func noted(e Entry) referee.Entry {
-	return referee.Entry{Nodo: e.Name, Serving: e.Status == Serving, Since: e.Since}
+	return referee.Entry{Server: e.Name, Serving: e.Status == Serving, Since: e.Since}
 }
 
-func (c *Catalog) wholeList(proxy string, entries map[string]Entry) ([]line, []referee.Entry) {
+func (c *Catalog) snapshot(proxy string, entries map[string]Entry) ([]line, []referee.Entry) {
 	var lines []line
 	var told []referee.Entry
 	for _, e := range entries {
--- a/internal/faultlab/catalog/catalog.go
+++ b/internal/faultlab/catalog/catalog.go
@@ -48,8 +48,8 @@
 }
 
 const (
-	holdMost  = 60 * time.Second
-	leastWait = 100 * time.Microsecond
+	maxHold = 60 * time.Second
+	minWait = 100 * time.Microsecond
 
 	registerAgain = 3 * time.Second        // after a loss of versions
 	continueTime  = 200 * time.Millisecond // a watch that comes later than this after the last answer is a new one
@@ -94,7 +94,7 @@
 	c := &Catalog{cfg: cfg, ref: ref, do: make(chan func()), done: make(chan struct{}), file: &faultdisk.File{},
 		entries: map[string]Entry{}, slow: 1, ended: map[string]time.Time{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), held: map[string]int64{}}
 	for _, e := range entries {
-		c.tell(e)
+		c.notify(e)
 	}
 	c.file.Sync()
 	return c
@@ -197,7 +197,7 @@
 		if held, ok := c.lastHeld(proxy); ok && held < c.index {
 			entries, version = c.asOf(held), held
 		}
-		lines, noted := c.wholeList(proxy, entries)
+		lines, noted := c.snapshot(proxy, entries)
 		whole, kept := len(lines), lines[:0]
 		for i, l := range lines {
 			if r.Float64() < part {
--- a/internal/faultlab/catalog/catalog_test.go
+++ b/internal/faultlab/catalog/catalog_test.go
@@ -21,7 +21,7 @@
 		entries = append(entries, Entry{Name: fmt.Sprintf("s%d", i), Status: Serving})
 	}
 	return New(Config{Lag: time.Second, Call: time.Millisecond, Wait: 100 * time.Millisecond, Sync: time.Minute,
-		Retain: 4, Most: 3, Seed: seed, Address: func(_, nodo string) string { return nodo + ":1" }}, referee.New(referee.Terms{Classes: []referee.Class{{}}, TryLimit: 3}), entries)
+		Retain: 4, Most: 3, Seed: seed, Address: func(_, nodo string) string { return nodo + ":1" }}, referee.New(referee.Terms{Classes: []referee.Class{{}}, MaxAttempts: 3}), entries)
 }
 
 // After a power loss the list is what it was at some version not older than the last sync: whole records, in order.
@@ -32,7 +32,7 @@
 		states := map[int64]string{c.index: fmt.Sprint(c.entries)}
 		for range rapid.IntRange(1, 40).Draw(t, "changes") {
 			status := rapid.SampledFrom([]string{Serving, Draining, Deleted}).Draw(t, "status")
-			c.tell(Entry{Name: rapid.SampledFrom([]string{"s0", "s1", "s2"}).Draw(t, "name"), Status: status})
+			c.notify(Entry{Name: rapid.SampledFrom([]string{"s0", "s1", "s2"}).Draw(t, "name"), Status: status})
 			states[c.index] = fmt.Sprint(c.entries)
 			if rapid.IntRange(0, 5).Draw(t, "sync") == 0 {
 				c.file.Sync()
@@ -48,7 +48,7 @@
 		if got := fmt.Sprint(c.entries); got != states[c.index] {
 			t.Fatalf("at version %d: %s, was %s", c.index, got, states[c.index])
 		}
-		c.tell(Entry{Name: "s9", Status: Serving})
+		c.notify(Entry{Name: "s9", Status: Serving})
 		if again := c.read(c.file.Bytes()); len(again) == 0 || again[len(again)-1].Index != c.index {
 			t.Fatal("what is written after a loss cannot be read")
 		}
@@ -133,16 +133,16 @@
 func TestAnAnswerToADeadProcessTellsTheNextNothing(t *testing.T) {
 	for _, dead := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
-		known := []referee.Entry{{Nodo: "s0", Serving: true}}
+		known := []referee.Entry{{Server: "s0", Serving: true}}
 		c.ref.Started("p", known, began)
 		process := c.ref.Process("p")
 		if dead {
 			c.ref.Started("p", known, began.Add(time.Second))
 		}
-		c.told("p", process, &call{lines: []referee.Entry{{Nodo: "s0", Serving: false}}}, began.Add(2*time.Second))
-		try := &referee.Try{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Hour)}
+		c.notified("p", process, &call{lines: []referee.Entry{{Server: "s0", Serving: false}}}, began.Add(2*time.Second))
+		try := &referee.ClientAttempt{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Hour)}
 		c.ref.Send(try, "p")
-		c.ref.Begin(referee.Arrival{Nodo: "s0", ID: "1", Method: "GET", Path: "/", First: began.Add(time.Minute), Last: began.Add(time.Minute)})
+		c.ref.Begin(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", First: began.Add(time.Minute), Last: began.Add(time.Minute)})
 		if broken := c.ref.Close().Broken["drain"]; (broken > 0) == dead {
 			t.Errorf("a dead process %v: drain broken %d times", dead, broken)
 		}
@@ -154,10 +154,10 @@
 func TestAnAnswerThatANewerOneOvertookTellsNothing(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
-		c.ref.Started("p", []referee.Entry{{Nodo: "s0", Serving: true}}, began)
+		c.ref.Started("p", []referee.Entry{{Server: "s0", Serving: true}}, began)
 		process, held := c.ref.Process("p"), c.index
 		ask := func(status string, since int64) *call {
-			c.tell(Entry{Name: "s0", Status: status, Since: since})
+			c.notify(Entry{Name: "s0", Status: status, Since: since})
 			q := &call{proxy: "p", from: held, reply: make(chan []byte, 1)}
 			c.answer(q, began)
 			return q
@@ -168,11 +168,11 @@
 			told = []*call{back, drains}
 		}
 		for i, q := range told {
-			c.told("p", process, q, began.Add(time.Duration(i+1)*time.Second))
+			c.notified("p", process, q, began.Add(time.Duration(i+1)*time.Second))
 		}
-		try := &referee.Try{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Hour)}
+		try := &referee.ClientAttempt{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Hour)}
 		c.ref.Send(try, "p")
-		c.ref.Begin(referee.Arrival{Nodo: "s0", ID: "1", Method: "GET", Path: "/", First: began.Add(time.Minute), Last: began.Add(time.Minute)})
+		c.ref.Begin(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", First: began.Add(time.Minute), Last: began.Add(time.Minute)})
 		if broken := c.ref.Close().Broken["drain"]; broken != 0 {
 			t.Errorf("overtaken %v: drain broken %d times", overtaken, broken)
 		}
--- a/internal/faultlab/catalog/record.go
+++ b/internal/faultlab/catalog/record.go
@@ -29,7 +29,7 @@
 }
 
 // tell makes an entry the next version. A disk that takes no record of it keeps the version from coming about.
-func (c *Catalog) tell(e Entry) bool {
+func (c *Catalog) notify(e Entry) bool {
 	next := change{c.index + 1, e}
 	text, err := json.Marshal(next)
 	if err != nil {
--- a/internal/faultlab/catalog/serve.go
+++ b/internal/faultlab/catalog/serve.go
@@ -14,15 +14,15 @@
 
 // call is a proxy's call.
 type call struct {
-	proxy string
-	from  int64 // -1: the whole list
-	until time.Time
-	since time.Time // that it stands in line
-	reply chan []byte
-	lines []referee.Entry
-	whole bool
-	index int64 // that it was answered with
-	order int64 // in which it was answered
+	proxy    string
+	from     int64 // -1: the whole list
+	until    time.Time
+	since    time.Time // that it stands in line
+	reply    chan []byte
+	lines    []referee.Entry
+	snapshot bool
+	index    int64 // that it was answered with
+	order    int64 // in which it was answered
 
 	continues bool // it goes on from the last answer, and takes no turn
 	failed    bool // it has waited too long
@@ -46,9 +46,9 @@
 		if err != nil {
 			return
 		}
-		c.ref.Asks(proxy)
+		c.ref.RecordPoll(proxy)
 		status, body, q := c.handle(proxy, req, conn)
-		told := func(at time.Time) { c.told(proxy, process, q, at) }
+		told := func(at time.Time) { c.notified(proxy, process, q, at) }
 		if err := conn.NoteThenWrite(wire.JSON(status, body), told); err != nil {
 			c.ref.CallFailed(proxy, time.Now())
 			return
@@ -61,14 +61,14 @@
 
 // told notes an answer that goes to a process of a proxy, nil for the call if it failed. What a cut held back for a process
 // that has been killed since tells the next one nothing.
-func (c *Catalog) told(proxy string, process int, q *call, at time.Time) {
+func (c *Catalog) notified(proxy string, process int, q *call, at time.Time) {
 	switch {
 	case c.ref.Process(proxy) != process:
 	case q == nil:
 		c.ref.CallFailed(proxy, at)
 	default:
 		c.note(proxy, q.index)
-		c.ref.Told(proxy, referee.News{Entries: q.lines, Whole: q.whole, Order: q.order}, at)
+		c.ref.Notified(proxy, referee.ListUpdate{Entries: q.lines, Snapshot: q.snapshot, Order: q.order}, at)
 	}
 }
 
@@ -85,7 +85,7 @@
 		if err != nil || err2 != nil || n < 0 || hold < 0 {
 			return http.StatusBadRequest, nil, nil
 		}
-		q.from, q.until = n, now.Add(min(holdMost, time.Duration(hold)*time.Millisecond))
+		q.from, q.until = n, now.Add(min(maxHold, time.Duration(hold)*time.Millisecond))
 	}
 	taken := false
 	c.on(func() {
--- a/internal/faultlab/chain/chain.go
+++ b/internal/faultlab/chain/chain.go
@@ -49,12 +49,12 @@
 
 // Result is what came of it.
 type Result struct {
-	Came, Served, Refused, Failed int   // at the fronts
-	CameSince, LastSince          int   // calls that came since Last.From, and attempts that reached the last tier since
-	Attempts                      []int // that reached each tier
-	Declined                      []int // calls refused before each tier
-	Bound                         []float64
-	Over                          []string // proxies that went over their allowance; none by the rules
+	Came, Served, Rejected, Failed int   // at the fronts
+	CameSince, LastSince           int   // calls that came since Last.From, and attempts that reached the last tier since
+	Attempts                       []int // that reached each tier
+	Declined                       []int // calls refused before each tier
+	Bound                          []float64
+	Over                           []string // proxies that went over their allowance; none by the rules
 }
 
 // Amplification is attempts at the last tier for each call that came in, since the trouble there began.
@@ -85,7 +85,7 @@
 	rnd    *rand.Rand
 	fronts []*proxy
 	all    []*proxy
-	tiers  [][]*nodo
+	tiers  [][]*server
 	res    Result
 }
 
@@ -114,10 +114,10 @@
 }
 
 func (w *world) build() error {
-	w.tiers = make([][]*nodo, w.cfg.Tiers)
+	w.tiers = make([][]*server, w.cfg.Tiers)
 	for tier := w.cfg.Tiers - 1; tier >= 0; tier-- {
 		for i := range w.cfg.Width {
-			n := &nodo{w: w, tier: tier, number: i}
+			n := &server{w: w, tier: tier, number: i}
 			if tier < w.cfg.Tiers-1 {
 				var err error
 				if n.own, err = w.newProxy(tier+1, i); err != nil {
@@ -151,8 +151,8 @@
 			switch what {
 			case ok:
 				w.res.Served++
-			case refused:
-				w.res.Refused++
+			case rejected:
+				w.res.Rejected++
 			default:
 				w.res.Failed++
 			}
--- a/internal/faultlab/chain/chain_test.go
+++ b/internal/faultlab/chain/chain_test.go
@@ -45,8 +45,8 @@
 				t.Fatal(err)
 			}
 			t.Log(line(r))
-			if r.Came < 500 || r.Served+r.Refused+r.Failed != r.Came {
-				t.Errorf("%d calls came, %d were served, %d refused and %d failed", r.Came, r.Served, r.Refused, r.Failed)
+			if r.Came < 500 || r.Served+r.Rejected+r.Failed != r.Came {
+				t.Errorf("%d calls came, %d were served, %d refused and %d failed", r.Came, r.Served, r.Rejected, r.Failed)
 			}
 			for _, over := range r.Over {
 				t.Error(over)
@@ -86,7 +86,7 @@
 func line(r *Result) string {
 	each := func(tier int) float64 { return float64(r.Attempts[tier-1]) / float64(r.Came) }
 	return fmt.Sprintf("came %d served %d refused %d failed %d; attempts for each call: tier 1 %.2f, 4 %.2f, 8 %.2f, 12 %.2f "+
-		"(since it began %.2f), at most %.2f; refused before tiers %v", r.Came, r.Served, r.Refused, r.Failed, each(1), each(4),
+		"(since it began %.2f), at most %.2f; refused before tiers %v", r.Came, r.Served, r.Rejected, r.Failed, each(1), each(4),
 		each(8), each(12), r.Amplification(), r.Bound[len(r.Bound)-1]/float64(r.Came), r.Declined)
 }
 
--- a/internal/faultlab/chain/nodo.go
+++ b/internal/faultlab/chain/nodo.go
@@ -3,7 +3,7 @@
 import "merlinpick/balancer"
 
 // nodo works on calls in its slots; what waits for the next tier holds none.
-type nodo struct {
+type server struct {
 	w            *world
 	tier, number int
 	own          *proxy // of the next tier; nil of the last
@@ -13,7 +13,7 @@
 
 // job is a call at a nodo.
 type job struct {
-	n     *nodo
+	n     *server
 	a     *attempt
 	until int64 // its proxy waits so long
 	gone  bool  // its caller has left
@@ -23,7 +23,7 @@
 const queues = 10 // times the slots
 
 // come takes an attempt that has reached the nodo.
-func (n *nodo) come(a *attempt, until int64) {
+func (n *server) come(a *attempt, until int64) {
 	if a.ended {
 		return
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-func (n *nodo) begin(j *job) {
+func (n *server) begin(j *job) {
 	n.busy++
 	work, bad := float64(n.w.cfg.Work)*n.w.rnd.ExpFloat64(), false
 	if hit := n.w.cfg.Last; n.own == nil && n.w.now >= hit.From && (hit.Share == 0 || float64(n.number) < hit.Share*float64(n.w.cfg.Width)) {
@@ -77,7 +77,7 @@
 }
 
 // following begins what waited.
-func (n *nodo) following() {
+func (n *server) following() {
 	for len(n.queue) > 0 && n.busy < n.w.cfg.Slots {
 		j := n.queue[0]
 		n.queue = n.queue[1:]
--- a/internal/faultlab/chain/proxy.go
+++ b/internal/faultlab/chain/proxy.go
@@ -11,7 +11,7 @@
 const (
 	failed answer = iota
 	ok
-	refused
+	rejected
 )
 
 // proxy is one copy of the module before a tier, as its host.
@@ -132,7 +132,7 @@
 func (p *proxy) Reject(id string, _ int64) {
 	if c := p.calls[id]; c != nil {
 		p.w.res.Declined[p.tier]++
-		p.end(c, refused)
+		p.end(c, rejected)
 	}
 }
 
--- a/internal/faultlab/experiment/check.go
+++ b/internal/faultlab/experiment/check.go
@@ -35,7 +35,7 @@
 	maxRate     = 20000
 	maxRequests = 1_000_000
 	maxProxies  = 400
-	maxNodos    = 2000
+	maxServers  = 2000
 	maxMembers  = 5
 	maxLiars    = 90 // of one fault
 )
@@ -60,11 +60,11 @@
 	c.oneOf("lab.rules", e.Lab.Rules, "enforce", "report")
 	c.notNegative("network.local_ms", e.Network.LocalMs)
 	c.notNegative("network.cross_ms", e.Network.CrossMs)
-	c.checkFleet()
+	c.checkCluster()
 	c.checkClasses()
 	c.checkLoad()
 	p := e.Proxy
-	for key, v := range map[string]float64{"cores": p.Cores, "memory_mb": float64(p.MemoryMB), "try_limit": float64(p.TryLimit),
+	for key, v := range map[string]float64{"cores": p.Cores, "memory_mb": float64(p.MemoryMB), "try_limit": float64(p.MaxAttempts),
 		"sockets": float64(p.Sockets), "dial_ms": p.DialMs, "idle_ms": p.IdleMs, "drain_grace_ms": p.DrainGraceMs} {
 		c.positive("proxy."+key, v)
 	}
@@ -72,9 +72,9 @@
 	if p.KnownPart != nil {
 		c.part("proxy.known", *p.KnownPart)
 	}
-	c.checkNodos()
+	c.checkServers()
 	c.checkHollow()
-	if c.positive("fleet.seeds", float64(e.Fleet.Seeds)); e.Fleet.Label == "" {
+	if c.positive("fleet.seeds", float64(e.Cluster.Seeds)); e.Cluster.Label == "" {
 		c.problem("fleet.label", "is empty: any fleet would be taken for this one")
 	}
 	for i, f := range e.Faults {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (c *checker) checkFleet() {
+func (c *checker) checkCluster() {
 	if len(c.e.Zones) == 0 {
 		c.problem("zone", "there is none: a fleet has one zone at least")
 	}
@@ -105,7 +105,7 @@
 		if z.Proxies < 0 {
 			c.problem(key+".proxies", "has to be 0 or more")
 		}
-		for j, g := range z.Nodos {
+		for j, g := range z.Servers {
 			at := fmt.Sprintf("%s.nodos[%d]", key, j+1)
 			for name, v := range map[string]float64{"count": float64(g.Count), "speed": g.Speed, "slots": float64(g.Slots)} {
 				c.positive(at+"."+name, v)
@@ -119,8 +119,8 @@
 	if n := len(c.e.ProxyNodes()); n < 1 || n > maxProxies {
 		c.problem("zone", "%d proxies; from 1 to %d can be run", n, maxProxies)
 	}
-	if n := len(c.e.NodoNodes()); n < 1 || n > maxNodos {
-		c.problem("zone", "%d nodos; from 1 to %d can be run", n, maxNodos)
+	if n := len(c.e.ServerNodes()); n < 1 || n > maxServers {
+		c.problem("zone", "%d nodos; from 1 to %d can be run", n, maxServers)
 	}
 	if c.e.List.Zone != "" && !seen[c.e.List.Zone] {
 		c.problem("list.zone", "no zone %q", c.e.List.Zone)
@@ -157,9 +157,9 @@
 				c.span(key+"."+name, len(sizes), 0, 0)
 			}
 		}
-		c.positive(key+".aim_ms", k.AimMs)
+		c.positive(key+".aim_ms", k.ObjectiveMs)
 		c.positive(key+".give_up_ms", k.GiveUpMs)
-		c.notNegative(key+".worth", k.Worth)
+		c.notNegative(key+".worth", k.Weight)
 		c.oneOf(key+".repeat", k.Repeat, "idempotent", "deduplicated", "at_most_once")
 		if k.Repeat == "deduplicated" {
 			c.oneOf(key+".scope", k.Scope, "all", "zone", "cell")
@@ -184,7 +184,7 @@
 	if n := c.e.Load.requests(c.e.Seconds); n > maxRequests {
 		c.problem("load.rate", "%.0f requests in all; at most %d, since the referee keeps each (2 kB)", n, maxRequests)
 	}
-	t := c.e.Clients.TryPart
+	t := c.e.Clients.RetryPart
 	if len(t) != 2 || t[0] <= 0 || t[1] < t[0] || t[1] > 1 {
 		c.problem("clients.try_part", "from and to are needed, over 0 and at most 1")
 	}
@@ -196,13 +196,13 @@
 	c.notNegative("clients.notice_ms", c.e.Clients.NoticeMs)
 }
 
-func (c *checker) checkNodos() {
-	n := c.e.Nodos
+func (c *checker) checkServers() {
+	n := c.e.Servers
 	if !(n.StartCapacity > 0 && n.StartCapacity <= 1) {
 		c.problem("nodos.start_capacity", "is a part, over 0 and at most 1, not %v", n.StartCapacity)
 	}
-	c.notNegative("nodos.cold_ms", n.ColdMs)
-	c.positive("nodos.tip_multiple", n.TipMultiple)
+	c.notNegative("nodos.cold_ms", n.SlowStartMs)
+	c.positive("nodos.tip_multiple", n.OverloadMultiple)
 	c.positive("nodos.fall_ms", n.FallMs)
 	c.positive("nodos.max_conns", float64(n.MaxConns))
 	c.notNegative("nodos.connect_ms", n.ConnectMs)
@@ -215,7 +215,7 @@
 		c.problem("list.members", "1, 3 or 5, or 0 for the stand-in, not %d", l.Members)
 	}
 	for key, v := range map[string]float64{"lease_ms": l.LeaseMs, "election_ms": l.ElectionMs, "stale_ms": l.StaleMs, "wait_ms": l.WaitMs, "sync_ms": l.SyncMs, "retain": float64(l.RetainN),
-		"most": float64(l.MostN)} {
+		"most": float64(l.MaxEntries)} {
 		c.positive("list."+key, v)
 	}
 }
--- a/internal/faultlab/experiment/check_fault.go
+++ b/internal/faultlab/experiment/check_fault.go
@@ -39,13 +39,13 @@
 		c.problem(key+".zone", "%s needs the zone's name", f.Kind)
 	}
 	c.checkNames(key+".proxies", f.Proxies, c.e.ProxyNodes(), kind.Proxies || kind.Links, f.Kind)
-	c.checkNames(key+".nodos", f.Nodos, c.e.NodoNodes(), kind.Nodos || kind.Links, f.Kind)
+	c.checkNames(key+".nodos", f.Servers, c.e.ServerNodes(), kind.Servers || kind.Links, f.Kind)
 	c.checkMembers(key, f, kind)
 	c.checkHollowFault(key, f, kind)
 	if kind.Links {
 		if f.Link != "" {
 			c.oneOf(key+".link", f.Link, "client", "nodo", "list", "lease", "gossip")
-			if f.Link == "gossip" && len(f.Nodos) > 0 {
+			if f.Link == "gossip" && len(f.Servers) > 0 {
 				c.problem(key+".nodos", "gossip runs between proxies")
 			}
 		}
@@ -54,7 +54,7 @@
 		}
 		if c.e.SharedLinks() && (f.Link == "" || f.Link == "nodo") && (len(f.Proxies) > 0 || f.Share > 0) {
 			c.problem(key+".proxies", "over %d pairs of proxy and nodo links are told apart by zone only: use from_zone",
-				PairLinksMost)
+				MaxPairLinks)
 		}
 	} else if f.Link != "" || f.Direction != "" && f.Kind != "member_cut" || f.FromZone != "" || f.ToZone != "" {
 		c.problem(key, "link, direction, from_zone and to_zone are for faults of links; %s is none", f.Kind)
--- a/internal/faultlab/experiment/experiment.go
+++ b/internal/faultlab/experiment/experiment.go
@@ -26,9 +26,9 @@
 	Load    Load     `toml:"load"`
 	Clients Clients  `toml:"clients"`
 	Proxy   Proxy    `toml:"proxy"`
-	Nodos   Nodos    `toml:"nodos"`
+	Servers Servers  `toml:"nodos"`
 	List    List     `toml:"list"`
-	Fleet   Fleet    `toml:"fleet"`
+	Cluster Cluster  `toml:"fleet"`
 	Hollow  Hollow   `toml:"hollow"`
 	Phases  []Phase  `toml:"phase"`
 	Faults  []Fault  `toml:"fault"`
@@ -52,14 +52,14 @@
 
 // Zone is a zone with its proxies and nodos.
 type Zone struct {
-	Name    string      `toml:"name"`
-	Proxies int         `toml:"proxies"`
-	Traffic float64     `toml:"traffic"` // weight among the zones' clients
-	Nodos   []NodoGroup `toml:"nodos"`
+	Name    string        `toml:"name"`
+	Proxies int           `toml:"proxies"`
+	Traffic float64       `toml:"traffic"` // weight among the zones' clients
+	Servers []ServerGroup `toml:"nodos"`
 }
 
 // NodoGroup is some nodos alike.
-type NodoGroup struct {
+type ServerGroup struct {
 	Count int     `toml:"count"`
 	Kind  string  `toml:"kind"`
 	Speed float64 `toml:"speed"` // a slot's, of the yardstick
@@ -68,15 +68,15 @@
 }
 
 // Nodos is what all nodos have in common.
-type Nodos struct {
-	StartCapacity float64 `toml:"start_capacity"` // of the full capacity, at a start
-	ColdMs        float64 `toml:"cold_ms"`        // until it is warm
-	TipMultiple   float64 `toml:"tip_multiple"`   // of the present capacity; sent more it falls over
-	FallMs        float64 `toml:"fall_ms"`        // if it lasts this long
-	MaxConns      int     `toml:"max_conns"`
-	ConnectMs     float64 `toml:"connect_ms"`   // a new connection's first request comes this much later
-	ConnectWork   float64 `toml:"connect_work"` // and costs this much work, in ms
-	Cancelling    bool    `toml:"cancelling"`   // work stops when its caller has gone
+type Servers struct {
+	StartCapacity    float64 `toml:"start_capacity"` // of the full capacity, at a start
+	SlowStartMs      float64 `toml:"cold_ms"`        // until it is warm
+	OverloadMultiple float64 `toml:"tip_multiple"`   // of the present capacity; sent more it falls over
+	FallMs           float64 `toml:"fall_ms"`        // if it lasts this long
+	MaxConns         int     `toml:"max_conns"`
+	ConnectMs        float64 `toml:"connect_ms"`   // a new connection's first request comes this much later
+	ConnectWork      float64 `toml:"connect_work"` // and costs this much work, in ms
+	Cancelling       bool    `toml:"cancelling"`   // work stops when its caller has gone
 }
 
 // Class is a class of requests.
@@ -84,9 +84,9 @@
 	Name        string    `toml:"name"`
 	Share       float64   `toml:"share"`
 	WorkMs      []float64 `toml:"work_ms"` // from, to: drawn evenly
-	AimMs       float64   `toml:"aim_ms"`
+	ObjectiveMs float64   `toml:"aim_ms"`
 	GiveUpMs    float64   `toml:"give_up_ms"` // of all tries together
-	Worth       float64   `toml:"worth"`
+	Weight      float64   `toml:"worth"`
 	Repeat      string    `toml:"repeat"`
 	Scope       string    `toml:"scope"`
 	WindowMs    float64   `toml:"window_ms"`
@@ -132,7 +132,7 @@
 type Clients struct {
 	Retries    int       `toml:"retries"`
 	WaitMs     float64   `toml:"wait_ms"`
-	TryPart    []float64 `toml:"try_part"` // of the class's give-up time that one try is given: from, to
+	RetryPart  []float64 `toml:"try_part"` // of the class's give-up time that one try is given: from, to
 	MarkRetry  bool      `toml:"mark_retry"`
 	LeavePart  float64   `toml:"leave_part"`  // of the tries whose clients close their connection before the answer
 	NoticeMs   float64   `toml:"notice_ms"`   // until the front notices a dead proxy
@@ -141,33 +141,33 @@
 
 // Proxy is what the proxies are told.
 type Proxy struct {
-	Cores        float64        `toml:"cores"`
-	MemoryMB     int            `toml:"memory_mb"`
-	Sockets      int            `toml:"sockets"`
-	TryLimit     int            `toml:"try_limit"`
-	SecondCopies bool           `toml:"second_copies"`
-	DialMs       float64        `toml:"dial_ms"`
-	IdleMs       float64        `toml:"idle_ms"`
-	DrainGraceMs float64        `toml:"drain_grace_ms"`
-	AskEveryMs   float64        `toml:"ask_every_ms"`
-	SlackMs      float64        `toml:"slack_ms"`
-	RetryAfterMs float64        `toml:"retry_after_ms"` // the longest that clients heed; 0: none is sent
-	Membership   string         `toml:"membership"`
-	Settings     map[string]any `toml:"settings"` // laid over the settings object
-	Config       map[string]any `toml:"config"`   // laid over the configuration
-	KnownPart    *float64       `toml:"known"`    // part of the nodos that a starting proxy knows of; all if not given
+	Cores          float64        `toml:"cores"`
+	MemoryMB       int            `toml:"memory_mb"`
+	Sockets        int            `toml:"sockets"`
+	MaxAttempts    int            `toml:"try_limit"`
+	SecondCopies   bool           `toml:"second_copies"`
+	DialMs         float64        `toml:"dial_ms"`
+	IdleMs         float64        `toml:"idle_ms"`
+	DrainGraceMs   float64        `toml:"drain_grace_ms"`
+	PollIntervalMs float64        `toml:"ask_every_ms"`
+	SlackMs        float64        `toml:"slack_ms"`
+	RetryAfterMs   float64        `toml:"retry_after_ms"` // the longest that clients heed; 0: none is sent
+	Membership     string         `toml:"membership"`
+	Settings       map[string]any `toml:"settings"` // laid over the settings object
+	Config         map[string]any `toml:"config"`   // laid over the configuration
+	KnownPart      *float64       `toml:"known"`    // part of the nodos that a starting proxy knows of; all if not given
 }
 
 // List is the stand-in list service.
 type List struct {
-	LagMs   float64 `toml:"lag_ms"`  // from a change to its being told
-	CallMs  float64 `toml:"call_ms"` // of the service for one call; calls are handled in turn
-	LineUs  float64 `toml:"line_us"` // and for one line of an answer
-	WaitMs  float64 `toml:"wait_ms"` // a call that has waited longer in line gets 503
-	SyncMs  float64 `toml:"sync_ms"` // between two syncs of its file
-	RetainN int     `toml:"retain"`  // changes kept for watches; older ones get the whole list
-	MostN   int     `toml:"most"`    // calls that wait; more get 503 at once
-	Zone    string  `toml:"zone"`    // where it stands; empty: beside everybody
+	LagMs      float64 `toml:"lag_ms"`  // from a change to its being told
+	CallMs     float64 `toml:"call_ms"` // of the service for one call; calls are handled in turn
+	LineUs     float64 `toml:"line_us"` // and for one line of an answer
+	WaitMs     float64 `toml:"wait_ms"` // a call that has waited longer in line gets 503
+	SyncMs     float64 `toml:"sync_ms"` // between two syncs of its file
+	RetainN    int     `toml:"retain"`  // changes kept for watches; older ones get the whole list
+	MaxEntries int     `toml:"most"`    // calls that wait; more get 503 at once
+	Zone       string  `toml:"zone"`    // where it stands; empty: beside everybody
 
 	// With members the list is the project's own service, as real processes, and of the above nothing holds.
 	Members    int     `toml:"members"`     // 0: the stand-in
@@ -177,7 +177,7 @@
 }
 
 // Fleet is whether the proxies act as one.
-type Fleet struct {
+type Cluster struct {
 	On    bool   `toml:"on"`
 	Label string `toml:"label"`
 	Seeds int    `toml:"seeds"` // proxies that each is told to join at, spread over the zones
@@ -191,7 +191,7 @@
 
 	Zone    string   `toml:"zone"`
 	Proxies []string `toml:"proxies"` // names; with share or none: drawn among those of the zone, or of all
-	Nodos   []string `toml:"nodos"`
+	Servers []string `toml:"nodos"`
 	Members []string `toml:"members"` // of the list service: r1 and on, leader, follower; none: all
 	Share   float64  `toml:"share"`
 	Spread  float64  `toml:"spread"` // seconds over which the targets' turns are spread
@@ -243,7 +243,7 @@
 type Node struct {
 	Name  string
 	Zone  string
-	Group NodoGroup // of a nodo
+	Group ServerGroup // of a nodo
 }
 
 // ProxyNodes names the proxies: the zone's name and a number from 1.
@@ -258,11 +258,11 @@
 }
 
 // NodoNodes names the nodos likewise, over all groups of a zone.
-func (e *Experiment) NodoNodes() []Node {
+func (e *Experiment) ServerNodes() []Node {
 	var out []Node
 	for _, z := range e.Zones {
 		n := 0
-		for _, g := range z.Nodos {
+		for _, g := range z.Servers {
 			for range g.Count {
 				n++
 				out = append(out, Node{Name: fmt.Sprintf("%s-s%d", z.Name, n), Zone: z.Name, Group: g})
@@ -283,11 +283,11 @@
 
 // PairLinksMost is how many links from proxies to nodos get an address each. A fleet with more shares one address
 // among the proxies of a zone, and its links can be told apart by zone only: descriptors are bounded.
-const PairLinksMost = 6000
+const MaxPairLinks = 6000
 
 // SharedLinks tells whether the proxies of a zone share their links to nodos.
 func (e *Experiment) SharedLinks() bool {
-	return len(e.ProxyNodes())*len(e.NodoNodes()) > PairLinksMost
+	return len(e.ProxyNodes())*len(e.ServerNodes()) > MaxPairLinks
 }
 
 // Kinds of faults, each with what it needs and what it is.
@@ -303,14 +303,14 @@
 	"rude":       {Proxies: true, Lasts: true, Text: "clients come that send no proper request"},
 	"disk_full":  {Proxies: true, Lasts: true, Text: "every write of a byte to a file fails"},
 
-	"nodo_kill":    {Nodos: true, Text: "the process dies; back cold after `for`"},
-	"nodo_silent":  {Nodos: true, Lasts: true, Text: "the machine vanishes: a black hole; connections reset at the end"},
-	"nodo_hang":    {Nodos: true, Lasts: true, Text: "connects and takes requests, never answers"},
-	"nodo_slow":    {Nodos: true, Lasts: true, Needs: []string{"factor"}, Text: "takes `factor` times as long"},
-	"nodo_errors":  {Nodos: true, Lasts: true, Needs: []string{"part"}, Text: "answers 500 to `part` of its requests"},
-	"nodo_garble":  {Nodos: true, Lasts: true, Needs: []string{"part"}, Text: "spoils `part` of its answers"},
-	"nodo_drain":   {Nodos: true, Text: "drains, and is gone from the list 2 s later; back cold after `for`"},
-	"nodo_replace": {Nodos: true, Text: "drains and goes while a cold one under a new name takes its place"},
+	"nodo_kill":    {Servers: true, Text: "the process dies; back cold after `for`"},
+	"nodo_silent":  {Servers: true, Lasts: true, Text: "the machine vanishes: a black hole; connections reset at the end"},
+	"nodo_hang":    {Servers: true, Lasts: true, Text: "connects and takes requests, never answers"},
+	"nodo_slow":    {Servers: true, Lasts: true, Needs: []string{"factor"}, Text: "takes `factor` times as long"},
+	"nodo_errors":  {Servers: true, Lasts: true, Needs: []string{"part"}, Text: "answers 500 to `part` of its requests"},
+	"nodo_garble":  {Servers: true, Lasts: true, Needs: []string{"part"}, Text: "spoils `part` of its answers"},
+	"nodo_drain":   {Servers: true, Text: "drains, and is gone from the list 2 s later; back cold after `for`"},
+	"nodo_replace": {Servers: true, Text: "drains and goes while a cold one under a new name takes its place"},
 
 	"zone_loss": {Zone: true, Lasts: true, Text: "its nodos vanish and its proxies are killed; all back cold"},
 	"zone_cut":  {Zone: true, Lasts: true, Text: "all links between it and other zones are silent"},
@@ -325,7 +325,7 @@
 
 	"config_put": {Configs: true, Text: "`count` configurations are put over `spread`, at services in turn; `faulty`: such as no proxy could use"},
 
-	"gossip_lie": {Nodos: true, Lasts: true, Needs: []string{"liars"}, Text: "so many more members join the fleet and say that the nodos and all other zones fail"},
+	"gossip_lie": {Servers: true, Lasts: true, Needs: []string{"liars"}, Text: "so many more members join the fleet and say that the nodos and all other zones fail"},
 
 	"member_kill":   {Members: true, Text: "members of the list service die in one instant; back after `for` with their directories"},
 	"member_stop":   {Members: true, Lasts: true, Text: "SIGSTOP, and SIGCONT after `for`"},
@@ -342,11 +342,11 @@
 
 // Kind says what a kind of fault needs.
 type Kind struct {
-	Proxies, Nodos, Zone, Links, Members, Hollow bool // what it is aimed at
-	Configs                                      bool // it puts configurations of services
-	Lasts                                        bool // it holds for `for`
-	Needs                                        []string
-	Text                                         string
+	Proxies, Servers, Zone, Links, Members, Hollow bool // what it is aimed at
+	Configs                                        bool // it puts configurations of services
+	Lasts                                          bool // it holds for `for`
+	Needs                                          []string
+	Text                                           string
 }
 
 // KindNames are the kinds in order.
--- a/internal/faultlab/experiment/figures.go
+++ b/internal/faultlab/experiment/figures.go
@@ -25,40 +25,40 @@
 }
 
 // spanFigures can be asked of a span of arrivals, and with `.CLASS` of one class.
-var spanFigures = []string{"worth_in_time", "in_time", "served", "refused", "failed", "unreached"}
+var spanMetrics = []string{"worth_in_time", "in_time", "served", "refused", "failed", "unreached"}
 
-var wholeFigures = []string{"requests", "tries", "attempts", "attempts_per_request", "cross_zone", "cross_zone_share",
+var wholeRunMetrics = []string{"requests", "tries", "attempts", "attempts_per_request", "cross_zone", "cross_zone_share",
 	"handshakes", "handshakes_per_request", "list_calls", "watch_breaks", "late_answers", "turned_back", "resent",
 	"tipped", "crashed", "waste_ms", "p50_ms", "p90_ms", "p99_ms", "max_ms", "overhead_p50_ms",
 	"proxy_memory_mb", "proxy_cpu_s", "broken", "list_checked", "list_told_p50_ms", "list_told_p99_ms", "list_told_max_ms",
 	"list_refused", "list_lacks", "dials_lost", "gossip_packets_s", "gossip_kb_s"}
 
 // faultFigures are of one fault with `.N`, and of all together without.
-var faultFigures = []string{"recovery_s", "left_first_s", "left_last_s", "left_spread_ms", "stayed", "avoid_s", "wasted",
+var faultMetrics = []string{"recovery_s", "left_first_s", "left_last_s", "left_spread_ms", "stayed", "avoid_s", "wasted",
 	"returned_s", "room_worth"}
 
 // SpanFigure tells whether a figure can be asked of a span.
 func SpanFigure(name string) bool {
 	base, _, _ := strings.Cut(name, ".")
-	return slices.Contains(spanFigures, base)
+	return slices.Contains(spanMetrics, base)
 }
 
 // KnownFigure tells whether the report has a figure of that name for an experiment.
 func KnownFigure(name string, e *Experiment) bool {
 	base, rest, dotted := strings.Cut(name, ".")
 	if !dotted {
-		return slices.Contains(spanFigures, name) || slices.Contains(wholeFigures, name) || slices.Contains(faultFigures, name)
+		return slices.Contains(spanMetrics, name) || slices.Contains(wholeRunMetrics, name) || slices.Contains(faultMetrics, name)
 	}
 	switch {
 	case base == "control":
 		return controlFigure(rest, e)
 	case base == "broken":
 		return slices.Contains(Rules, rest)
-	case slices.Contains(faultFigures, base):
+	case slices.Contains(faultMetrics, base):
 		n, err := strconv.Atoi(rest)
 		return err == nil && n >= 1 && n <= len(e.Faults)
 	}
-	return slices.Contains(spanFigures, base) && slices.ContainsFunc(e.Classes, func(k Class) bool { return k.Name == rest })
+	return slices.Contains(spanMetrics, base) && slices.ContainsFunc(e.Classes, func(k Class) bool { return k.Name == rest })
 }
 
 // Held tells whether a figure keeps a bound, and words it if not.
--- a/internal/faultlab/experiment/hollow.go
+++ b/internal/faultlab/experiment/hollow.go
@@ -10,7 +10,7 @@
 // zones in turn, and there in Zones parts, which the list has as zones of their own: a file's zone then is a region.
 type Hollow struct {
 	Proxies   int     `toml:"proxies"`
-	Nodos     int     `toml:"nodos"`
+	Servers   int     `toml:"nodos"`
 	Processes int     `toml:"processes"`       // of proxies; nodos have half as many
 	Zones     int     `toml:"zones"`           // in each of the file's zones
 	Services  int     `toml:"services"`        // that the nodos make up, for faults of one service
@@ -36,16 +36,16 @@
 )
 
 // On tells whether there are any.
-func (h Hollow) On() bool { return h.Proxies+h.Nodos > 0 }
+func (h Hollow) On() bool { return h.Proxies+h.Servers > 0 }
 
 // NodoProcesses is how many processes the nodos share.
-func (h Hollow) NodoProcesses() int { return min(max(1, h.Processes/2), h.Nodos) }
+func (h Hollow) ServerProcesses() int { return min(max(1, h.Processes/2), h.Servers) }
 
 // HollowProxies names the hollow proxies. A Node's zone is a part of the file's zone.
 func (e *Experiment) HollowProxies() []Node { return e.hollow("p", e.Hollow.Proxies) }
 
 // HollowNodos names the hollow nodos.
-func (e *Experiment) HollowNodos() []Node { return e.hollow("s", e.Hollow.Nodos) }
+func (e *Experiment) HollowServers() []Node { return e.hollow("s", e.Hollow.Servers) }
 
 func (e *Experiment) hollow(kind string, n int) (out []Node) {
 	zones := e.ZoneNames()
@@ -90,7 +90,7 @@
 
 func (c *checker) checkHollow() {
 	e, h := c.e, c.e.Hollow
-	for key, n := range map[string]int{"proxies": h.Proxies, "nodos": h.Nodos} {
+	for key, n := range map[string]int{"proxies": h.Proxies, "nodos": h.Servers} {
 		if n < 0 || n > maxHollow {
 			c.problem("hollow."+key, "from 0 to %d, not %d", maxHollow, n)
 		}
@@ -111,7 +111,7 @@
 		if h.Following < 0 || h.Following > maxConfigServices {
 			c.problem("hollow.config_services", "from 0 to %d, not %d", maxConfigServices, h.Following)
 		}
-		if h.Relays && !e.Fleet.On {
+		if h.Relays && !e.Cluster.On {
 			c.problem("hollow.relays", "they stand between members of the fleet: fleet.on is needed")
 		}
 		c.notNegative("hollow.calls", h.Calls)
@@ -148,7 +148,7 @@
 		}
 		return
 	}
-	if c.e.Hollow.Nodos == 0 {
+	if c.e.Hollow.Servers == 0 {
 		c.problem(key+".kind", "%s needs hollow.nodos", f.Kind)
 	}
 	if f.Service < 0 || f.Service > c.e.Hollow.Services {
@@ -181,7 +181,7 @@
 // Roles of which figures of control are told, and the figures of each; and those that have no role.
 var (
 	controlRoles   = []string{"proxy", "real", "nodo", "leader", "follower", "five", "regions"}
-	controlFigures = []string{"in_b_s", "out_b_s", "calls_s", "cpu_pct", "memory_mb"}
+	controlMetrics = []string{"in_b_s", "out_b_s", "calls_s", "cpu_pct", "memory_mb"}
 	controlPhase   = []string{"known_p50_ms", "known_p99_ms", "known_last_ms", "real_known_p50_ms", "real_known_p99_ms",
 		"real_known_last_ms", "confirmed_p50_ms", "confirmed_p99_ms", "confirmed_last_ms", "changes", "unknown", "turned",
 		"watches_most", "deaths", "buried_p50_ms", "buried_p99_ms", "buried_last_ms", "unburied",
@@ -211,5 +211,5 @@
 	case role == "factor":
 		return slices.Contains(controlFactors, figure)
 	}
-	return slices.Contains(controlRoles, role) && slices.Contains(controlFigures, figure)
+	return slices.Contains(controlRoles, role) && slices.Contains(controlMetrics, figure)
 }
--- a/internal/faultlab/link/conn.go
+++ b/internal/faultlab/link/conn.go
@@ -116,7 +116,7 @@
 func (q *queue) full() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.bytes > queueMost
+	return q.bytes > maxQueue
 }
 
 // drain moves what was written to the socket, each piece at its time.
--- a/internal/faultlab/link/link.go
+++ b/internal/faultlab/link/link.go
@@ -51,8 +51,8 @@
 
 const (
 	retransmit     = 200 * time.Millisecond // TCP's least on Linux
-	retransmitMost = 6                      // doublings
-	queueMost      = 1 << 20                // bytes that wait in one direction of one connection
+	maxRetransmits = 6                      // doublings
+	maxQueue       = 1 << 20                // bytes that wait in one direction of one connection
 	acceptAgain    = 5 * time.Millisecond   // out of descriptors: the run says so by its lateness
 )
 
@@ -271,7 +271,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	total, later := time.Duration(0), retransmit
-	for range retransmitMost {
+	for range maxRetransmits {
 		if l.rng.Float64() >= part {
 			break
 		}
--- a/internal/faultlab/link/link_test.go
+++ b/internal/faultlab/link/link_test.go
@@ -207,7 +207,7 @@
 			if err != nil {
 				t.Error(err)
 			}
-			n.Barred()
+			n.Blocked()
 			if err := end(); err != nil {
 				t.Error(err)
 			}
--- a/internal/faultlab/link/relay.go
+++ b/internal/faultlab/link/relay.go
@@ -47,9 +47,9 @@
 }
 
 const (
-	packetsMost   = 4096 // that wait in one relay
+	maxPackets    = 4096 // that wait in one relay
 	packetBytes   = 4 << 20
-	datagramMost  = 64 << 10
+	maxDatagram   = 64 << 10
 	socketBytes   = 1 << 20
 	relayDialWait = time.Second
 )
@@ -154,7 +154,7 @@
 
 // receive queues datagrams, each for its time.
 func (r *Relay) receive() {
-	buf := make([]byte, datagramMost)
+	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := r.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -183,7 +183,7 @@
 		r.counts.Cut++
 	case lost:
 		r.counts.Lost++
-	case len(r.packets) >= packetsMost || r.bytes+len(data) > packetBytes:
+	case len(r.packets) >= maxPackets || r.bytes+len(data) > packetBytes:
 		r.counts.Over++
 	default:
 		r.counts.On++
--- a/internal/faultlab/link/watch.go
+++ b/internal/faultlab/link/watch.go
@@ -21,7 +21,7 @@
 }
 
 // Barred are the links on which no connection comes up now, by the address that is dialled.
-func (n *Net) Barred() map[string]Ends {
+func (n *Net) Blocked() map[string]Ends {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := map[string]Ends{}
--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -32,7 +32,7 @@
 	listenOn = 600 * time.Millisecond // to a connection whose request's time is over: what comes then is late, not lost
 	// Clients that leave do so within this; half of it is before most answers.
 	leaveWithin = 300 * time.Millisecond
-	leastLeft   = 20 * time.Millisecond // a try with less time is not made
+	minTimeLeft = 20 * time.Millisecond // a try with less time is not made
 	maxAnswer   = 64 << 20
 )
 
@@ -131,17 +131,17 @@
 	firstRun := time.Time{} // when a try first may have run
 	for n := 0; n <= c.exp.Clients.Retries; n++ {
 		left := time.Until(giveUp)
-		if left < leastLeft && n > 0 {
+		if left < minTimeLeft && n > 0 {
 			return
 		}
-		out := c.try(ctx, a, class, zone, n, min(a.Try, left))
+		out := c.attempt(ctx, a, class, zone, n, min(a.Try, left))
 		if out.end == referee.Served || ctx.Err() != nil {
 			return
 		}
-		if firstRun.IsZero() && out.end != referee.Refused && out.end != referee.Unreached {
+		if firstRun.IsZero() && out.end != referee.Rejected && out.end != referee.Unreached {
 			firstRun = time.Now()
 		}
-		harmless := out.end == referee.Refused || out.end == referee.Unreached
+		harmless := out.end == referee.Rejected || out.end == referee.Unreached
 		switch {
 		case class.Repeat == "idempotent":
 		case class.Repeat == "deduplicated" && class.Scope == "all" &&
@@ -156,10 +156,10 @@
 }
 
 // try makes one try. It returns at the try's deadline at the latest; its connection is listened to for longer.
-func (c *Client) try(ctx context.Context, a *plan.Arrival, class experiment.Class, zone string, n int,
+func (c *Client) attempt(ctx context.Context, a *plan.Arrival, class experiment.Class, zone string, n int,
 	patience time.Duration) outcome {
 	now := time.Now()
-	t := &referee.Try{ID: c.plan.ID(a, n), Arrival: a.N, N: n, Class: a.Class, Zone: zone, Sent: now,
+	t := &referee.ClientAttempt{ID: c.plan.ID(a, n), Arrival: a.N, N: n, Class: a.Class, Zone: zone, Sent: now,
 		Deadline: now.Add(patience), Path: "/" + class.Name, Method: http.MethodPost, Key: a.Key}
 	var body []byte
 	if class.Repeat == "idempotent" {
@@ -198,7 +198,7 @@
 
 // exchange sends a request and waits for its answer. A connection that was closed between requests, or crossed this
 // one on its way, is followed by a new one.
-func (c *Client) exchange(ctx context.Context, t *referee.Try, request []byte, job stubserver.Job) outcome {
+func (c *Client) exchange(ctx context.Context, t *referee.ClientAttempt, request []byte, job stubserver.Job) outcome {
 	k := c.pools[t.Zone].take(c.intn, c.ref)
 	fresh := k == nil
 	for {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (c *Client) dial(ctx context.Context, t *referee.Try) (*kept, error) {
+func (c *Client) dial(ctx context.Context, t *referee.ClientAttempt) (*kept, error) {
 	d, ok := c.front.choose(t.Zone)
 	if !ok {
 		return nil, errors.New("no proxy is admitted")
@@ -235,7 +235,7 @@
 
 // on sends a request on a connection. Again asks for it to be sent on a new one: this one had ended before the proxy
 // could read it.
-func (c *Client) on(ctx context.Context, k *kept, t *referee.Try, request []byte, job stubserver.Job, fresh bool) (out outcome,
+func (c *Client) on(ctx context.Context, k *kept, t *referee.ClientAttempt, request []byte, job stubserver.Job, fresh bool) (out outcome,
 	again bool) {
 	job.Proxy = k.door.Name
 	c.mu.Lock()
--- a/internal/faultlab/load/front.go
+++ b/internal/faultlab/load/front.go
@@ -30,7 +30,7 @@
 type door struct {
 	Target
 	open    bool      // new connections go there
-	barred  bool      // told to leave it; until it is expected again
+	blocked bool      // told to leave it; until it is expected again
 	lastYes time.Time // of its health page
 	dialers map[string]*link.Dialer
 }
@@ -107,7 +107,7 @@
 	switch {
 	case yes:
 		d.lastYes = now
-		d.open = !d.barred
+		d.open = !d.blocked
 	case d.open && now.Sub(d.lastYes) > f.notice:
 		d.open = false
 	}
@@ -129,14 +129,14 @@
 func (f *Front) Bar(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.doors[name].barred, f.doors[name].open = true, false
+	f.doors[name].blocked, f.doors[name].open = true, false
 }
 
 // Expect lets a proxy that was barred be admitted again.
 func (f *Front) Expect(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.doors[name].barred = false
+	f.doors[name].blocked = false
 }
 
 // choose picks a proxy for a new connection of a zone's client.
@@ -167,7 +167,7 @@
 	*link.Conn
 	r    *bufio.Reader
 	door *door
-	last *referee.Try
+	last *referee.ClientAttempt
 }
 
 // pool is the idle connections of a zone's clients.
--- a/internal/faultlab/path/list.go
+++ b/internal/faultlab/path/list.go
@@ -30,12 +30,12 @@
 	sent  atomic.Int64 // bytes of answers, heads not counted
 	calls atomic.Int64
 
-	mu      sync.Mutex
-	index   int64
-	whole   int64 // a watch from below this version gets the whole list
-	nodos   []entry
-	changed []change
-	next    chan struct{} // closed at the next version
+	mu       sync.Mutex
+	index    int64
+	snapshot int64 // a watch from below this version gets the whole list
+	servers  []entry
+	changed  []change
+	next     chan struct{} // closed at the next version
 }
 
 type change struct {
@@ -46,14 +46,14 @@
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
 
 // ListenList serves the list of these nodos.
-func ListenList(nodos *Nodos) (*List, error) {
+func ListenList(nodos *Servers) (*List, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
 	s := &List{Addr: l.Addr().String(), index: 1, next: make(chan struct{})}
 	for _, n := range nodos.All {
-		s.nodos = append(s.nodos, entry{Name: n.Name, Address: n.Addr, Zone: zoneName(n.Zone), Type: "m2", Group: n.Zone,
+		s.servers = append(s.servers, entry{Name: n.Name, Address: n.Addr, Zone: zoneName(n.Zone), Type: "m2", Group: n.Zone,
 			Status: "SERVING", Weight: 1})
 	}
 	s.http = &http.Server{Handler: s}
@@ -65,13 +65,13 @@
 func (s *List) Close() { s.http.Close() }
 
 // Whole makes a new version that every watch gets as the whole list, though nothing has changed.
-func (s *List) Whole() { s.turn(func() { s.whole = s.index }) }
+func (s *List) Whole() { s.turn(func() { s.snapshot = s.index }) }
 
 // Zone lists the nodos of a zone as there or as gone.
 func (s *List) Zone(zone int, there bool) {
 	s.turn(func() {
-		for i := range s.nodos {
-			if e := &s.nodos[i]; e.Zone == zoneName(zone) {
+		for i := range s.servers {
+			if e := &s.servers[i]; e.Zone == zoneName(zone) {
 				if e.Status = "DELETED"; there {
 					e.Status, e.SinceMs = "SERVING", time.Now().UnixMilli()
 				}
@@ -84,7 +84,7 @@
 // Touch makes a new version in which one nodo's entry is told anew with another start.
 func (s *List) Touch(i int) {
 	s.turn(func() {
-		e := &s.nodos[i%len(s.nodos)]
+		e := &s.servers[i%len(s.servers)]
 		e.SinceMs++
 		s.changed = append(s.changed, change{s.index, *e})
 	})
@@ -133,8 +133,8 @@
 		Index     int64   `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
 		Endpoints []entry `json:"endpoints"`
-	}{s.index, from < s.whole || from < 0, []entry{}}
-	for _, e := range s.nodos {
+	}{s.index, from < s.snapshot || from < 0, []entry{}}
+	for _, e := range s.servers {
 		if out.Snapshot && e.Status != "DELETED" {
 			out.Endpoints = append(out.Endpoints, e)
 		}
--- a/internal/faultlab/path/load.go
+++ b/internal/faultlab/path/load.go
@@ -16,33 +16,33 @@
 
 // Figures are of one stretch of time. Times are counted from the moment before a request is written, in microseconds: no
 // request waits for another, and how late one was issued is told apart.
-type Figures struct {
+type Metrics struct {
 	Direct, Proxied *hdrhistogram.Histogram
 	Late            *hdrhistogram.Histogram // from a request's planned moment to its issue
 	Failed          int                     // proxied calls that were not answered 200
-	Refused         int                     // of these: 429 or 503
+	Rejected        int                     // of these: 429 or 503
 	DirectFailed    int
 }
 
-func newFigures() *Figures {
+func newMetrics() *Metrics {
 	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
-	return &Figures{Direct: h(), Proxied: h(), Late: h()}
+	return &Metrics{Direct: h(), Proxied: h(), Late: h()}
 }
 
 // Added is what the proxy adds at a quantile, in ms: the quantile of proxied calls less that of direct ones. It is no
 // quantile of differences, since no call goes both ways.
-func (f *Figures) Added(quantile float64) float64 {
+func (f *Metrics) Added(quantile float64) float64 {
 	return float64(f.Proxied.ValueAtQuantile(quantile)-f.Direct.ValueAtQuantile(quantile)) / 1000
 }
 
 // String is a line for people.
-func (f *Figures) String() string {
+func (f *Metrics) String() string {
 	at := func(h *hdrhistogram.Histogram) string {
 		return fmt.Sprintf("%.3f/%.3f/%.3f", float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000)
 	}
 	return fmt.Sprintf("added p50 %.3f p90 %.3f p99 %.3f ms; proxied p50/p99/max %s of %d, direct %s of %d, issued late %s; "+
 		"failed %d (refused %d), direct %d", f.Added(50), f.Added(90), f.Added(99), at(f.Proxied), f.Proxied.TotalCount(),
-		at(f.Direct), f.Direct.TotalCount(), at(f.Late), f.Failed, f.Refused, f.DirectFailed)
+		at(f.Direct), f.Direct.TotalCount(), at(f.Late), f.Failed, f.Rejected, f.DirectFailed)
 }
 
 // Caller calls two addresses in turn, open loop: an arrival waits for nothing.
@@ -63,8 +63,8 @@
 }
 
 // Run calls for so long and returns once all calls have ended.
-func (c *Caller) Run(ctx context.Context, long time.Duration) *Figures {
-	f := newFigures()
+func (c *Caller) Run(ctx context.Context, long time.Duration) *Metrics {
+	f := newMetrics()
 	var mu sync.Mutex // guards f
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -105,7 +105,7 @@
 			case err != nil || status != http.StatusOK:
 				f.Failed++
 				if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-					f.Refused++
+					f.Rejected++
 				}
 			default:
 				_ = f.Proxied.RecordValue(took.Microseconds())
--- a/internal/faultlab/path/nodos.go
+++ b/internal/faultlab/path/nodos.go
@@ -12,7 +12,7 @@
 const answer = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
 // Nodo is a stand-in nodo with a listener of its own on loopback.
-type Nodo struct {
+type Server struct {
 	Name string
 	Zone int
 	Addr string
@@ -23,17 +23,17 @@
 }
 
 // Nodos are n of them, spread evenly over zones. They share a process with the callers.
-type Nodos struct {
-	All   []*Nodo
+type Servers struct {
+	All   []*Server
 	Zones int
 	serve sync.WaitGroup
 }
 
 // ListenNodos has n nodos listen, each on a port of 127.0.0.1.
-func ListenNodos(n, zones int) (*Nodos, error) {
-	s := &Nodos{Zones: zones}
+func ListenServers(n, zones int) (*Servers, error) {
+	s := &Servers{Zones: zones}
 	for i := range n {
-		nodo := &Nodo{Name: fmt.Sprintf("s%d", i), Zone: i % zones, Addr: "127.0.0.1:0"}
+		nodo := &Server{Name: fmt.Sprintf("s%d", i), Zone: i % zones, Addr: "127.0.0.1:0"}
 		if err := s.up(nodo); err != nil {
 			s.Close()
 			return nil, err
@@ -43,7 +43,7 @@
 	return s, nil
 }
 
-func (s *Nodos) up(n *Nodo) error {
+func (s *Servers) up(n *Server) error {
 	l, err := net.Listen("tcp", n.Addr)
 	if err != nil {
 		return fmt.Errorf("nodo %s of %d at %s: %w (a nodo takes a port and a descriptor)", n.Name, len(s.All), n.Addr, err)
@@ -74,7 +74,7 @@
 }
 
 // one answers the requests of a connection. They have no body.
-func (n *Nodo) one(c net.Conn) {
+func (n *Server) one(c net.Conn) {
 	defer func() {
 		c.Close()
 		n.mu.Lock()
@@ -102,7 +102,7 @@
 }
 
 // down ends a nodo as a process's death does: connections are reset and new ones refused.
-func (n *Nodo) down() {
+func (n *Server) down() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.l == nil {
@@ -117,7 +117,7 @@
 }
 
 // Lose ends the nodos of a zone.
-func (s *Nodos) Lose(zone int) {
+func (s *Servers) Lose(zone int) {
 	for _, n := range s.All {
 		if n.Zone == zone {
 			n.down()
@@ -126,7 +126,7 @@
 }
 
 // Return has them listen again where they did.
-func (s *Nodos) Return(zone int) error {
+func (s *Servers) Return(zone int) error {
 	for _, n := range s.All {
 		if n.Zone == zone {
 			if err := s.up(n); err != nil {
@@ -138,7 +138,7 @@
 }
 
 // Close ends all and waits for that.
-func (s *Nodos) Close() {
+func (s *Servers) Close() {
 	for _, n := range s.All {
 		n.down()
 	}
--- a/internal/faultlab/path/path.go
+++ b/internal/faultlab/path/path.go
@@ -13,23 +13,23 @@
 )
 
 // Aim is what a proxy may add for 99 calls in 100, in ms.
-const Aim = 0.5
+const Budget = 0.5
 
 // Scene is a proxy with its nodos and its list.
 type Scene struct {
-	Nodos *Nodos
-	List  *List
-	Proxy *Proxy
+	Servers *Servers
+	List    *List
+	Proxy   *Proxy
 }
 
 // Open sets a scene up.
 func Open(program, dir string, nodos, zones int, limits Limits, seed uint64) (*Scene, error) {
 	s := &Scene{}
 	var err error
-	if s.Nodos, err = ListenNodos(nodos, zones); err != nil {
+	if s.Servers, err = ListenServers(nodos, zones); err != nil {
 		return nil, err
 	}
-	if s.List, err = ListenList(s.Nodos); err == nil {
+	if s.List, err = ListenList(s.Servers); err == nil {
 		s.Proxy, err = StartProxy(program, dir, s.List, zones, limits, seed)
 	}
 	if err != nil {
@@ -47,7 +47,7 @@
 	if s.List != nil {
 		s.List.Close()
 	}
-	s.Nodos.Close()
+	s.Servers.Close()
 }
 
 // Phase is something that goes on while calls are made.
@@ -55,24 +55,24 @@
 
 // The phases.
 const (
-	Calm  Phase = "calm"
-	Whole Phase = "whole lists" // wholeEvery
-	Gone  Phase = "a zone goes" // home's nodos die; the list tells it goneTold later
+	Calm     Phase = "calm"
+	Snapshot Phase = "whole lists" // wholeEvery
+	Gone     Phase = "a zone goes" // home's nodos die; the list tells it goneTold later
 )
 
 const (
-	wholeEvery = 250 * time.Millisecond
-	goneTold   = time.Second
+	snapshotInterval = 250 * time.Millisecond
+	removalNotified  = time.Second
 )
 
 // Play makes calls while a phase lasts.
-func (s *Scene) Play(ctx context.Context, c *Caller, phase Phase, long time.Duration) (*Figures, error) {
+func (s *Scene) Play(ctx context.Context, c *Caller, phase Phase, long time.Duration) (*Metrics, error) {
 	ctx, stop := context.WithCancel(ctx)
 	failed := make(chan error, 1)
 	go func() {
 		switch phase {
-		case Whole:
-			tick := time.NewTicker(wholeEvery)
+		case Snapshot:
+			tick := time.NewTicker(snapshotInterval)
 			defer tick.Stop()
 			for ctx.Err() == nil {
 				select {
@@ -83,13 +83,13 @@
 			}
 		case Gone:
 			if wait(ctx, long/4) {
-				s.Nodos.Lose(0)
+				s.Servers.Lose(0)
 			}
-			if wait(ctx, goneTold) {
+			if wait(ctx, removalNotified) {
 				s.List.Zone(0, false)
 			}
 			<-ctx.Done()
-			if err := s.Nodos.Return(0); err != nil {
+			if err := s.Servers.Return(0); err != nil {
 				failed <- err
 				return
 			}
@@ -124,7 +124,7 @@
 }
 
 // Within is nil if what is added at a quantile is within a bound.
-func (f *Figures) Within(phase Phase, quantile, bound float64) error {
+func (f *Metrics) Within(phase Phase, quantile, bound float64) error {
 	if added := f.Added(quantile); added > bound {
 		return &OverError{phase, added, bound, quantile}
 	}
--- a/internal/faultlab/path/path_test.go
+++ b/internal/faultlab/path/path_test.go
@@ -67,7 +67,7 @@
 
 // The harness tells a proxy that adds 2 ms, and how much, from one that adds next to nothing.
 func TestADelayIsTold(t *testing.T) {
-	nodos, err := ListenNodos(18, zones)
+	nodos, err := ListenServers(18, zones)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 
 // What the list tells: the whole of it, nothing, a zone that went, the whole again.
 func TestListTells(t *testing.T) {
-	nodos, err := ListenNodos(18, zones)
+	nodos, err := ListenServers(18, zones)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 	}
 	limits := DeploymentLimits
 	limits.Cores = *cores
-	phases := []Phase{Calm, Whole, Gone}
+	phases := []Phase{Calm, Snapshot, Gone}
 	if *phase != "" {
 		phases = []Phase{Phase(*phase)}
 	}
@@ -152,7 +152,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &Caller{Proxy: s.Proxy.Addr, Direct: s.Nodos.All[1].Addr, Rate: *rate, Seed: *seed + uint64(r)}
+		c := &Caller{Proxy: s.Proxy.Addr, Direct: s.Servers.All[1].Addr, Rate: *rate, Seed: *seed + uint64(r)}
 		c.Run(t.Context(), 3*time.Second) // connections come up, weights settle
 		for _, phase := range phases {
 			before, err := s.Proxy.CPU()
--- a/internal/faultlab/plan/plan.go
+++ b/internal/faultlab/plan/plan.go
@@ -120,7 +120,7 @@
 	a.Zone = weighted(r, len(e.Zones), func(i int) float64 { return e.Zones[i].Traffic })
 	class := e.Classes[a.Class]
 	a.Work = experiment.Millis(between(r, class.WorkMs[0], class.WorkMs[1]))
-	a.Try = experiment.Millis(class.GiveUpMs * between(r, e.Clients.TryPart[0], e.Clients.TryPart[1]))
+	a.Try = experiment.Millis(class.GiveUpMs * between(r, e.Clients.RetryPart[0], e.Clients.RetryPart[1]))
 	a.Answer = size(r, class.AnswerBytes, 200)
 	if class.Repeat != "idempotent" {
 		a.Body = size(r, class.BodyBytes, 100)
@@ -164,8 +164,8 @@
 	switch {
 	case kind.Proxies:
 		all = e.ProxyNodes()
-	case kind.Nodos:
-		all, given = e.NodoNodes(), f.Nodos
+	case kind.Servers:
+		all, given = e.ServerNodes(), f.Servers
 	case kind.Hollow:
 		all, given = hollow(e, f), nil
 	case kind.Configs:
@@ -212,7 +212,7 @@
 
 // hollow is the hollow nodos that a fault may be aimed at: those of its service, if it names one.
 func hollow(e *experiment.Experiment, f experiment.Fault) (out []experiment.Node) {
-	for i, n := range e.HollowNodos() {
+	for i, n := range e.HollowServers() {
 		if f.Service == 0 || e.Hollow.InService(i, f.Service) {
 			out = append(out, n)
 		}
--- a/internal/faultlab/plan/plan_test.go
+++ b/internal/faultlab/plan/plan_test.go
@@ -11,10 +11,10 @@
 
 func drawExperiment(t *rapid.T) *experiment.Experiment {
 	e := &experiment.Experiment{Seconds: rapid.Float64Range(1, 20).Draw(t, "seconds"),
-		Clients: experiment.Clients{TryPart: []float64{0.4, 0.6}}}
+		Clients: experiment.Clients{RetryPart: []float64{0.4, 0.6}}}
 	for i := range rapid.IntRange(1, 3).Draw(t, "zones") {
 		e.Zones = append(e.Zones, experiment.Zone{Name: string(rune('a' + i)), Proxies: rapid.IntRange(1, 12).Draw(t, "proxies"),
-			Traffic: 1, Nodos: []experiment.NodoGroup{{Count: rapid.IntRange(1, 9).Draw(t, "nodos")}}})
+			Traffic: 1, Servers: []experiment.ServerGroup{{Count: rapid.IntRange(1, 9).Draw(t, "nodos")}}})
 	}
 	for _, repeat := range []string{"idempotent", "deduplicated", "at_most_once"} {
 		e.Classes = append(e.Classes, experiment.Class{Name: repeat, Share: 1, Repeat: repeat, GiveUpMs: 100,
@@ -91,9 +91,9 @@
 // Faults of hollow nodos take all of a service, a share of all, or the first so many of a zone.
 func TestHollowTargets(t *testing.T) {
 	e := &experiment.Experiment{Seconds: 10, Zones: []experiment.Zone{{Name: "n"}, {Name: "s"}}}
-	e.Hollow = experiment.Hollow{Nodos: 24, Zones: 3, Services: 8}
+	e.Hollow = experiment.Hollow{Servers: 24, Zones: 3, Services: 8}
 	zone := map[string]string{}
-	for _, n := range e.HollowNodos() {
+	for _, n := range e.HollowServers() {
 		zone[n.Name] = n.Zone
 	}
 	for _, test := range []struct {
--- a/internal/faultlab/referee/excuse.go
+++ b/internal/faultlab/referee/excuse.go
@@ -6,12 +6,12 @@
 )
 
 // excused tells whether the lab itself kept a proxy from answering a try.
-func (r *Referee) excused(t *Try) bool {
+func (r *Referee) excused(t *ClientAttempt) bool {
 	p := r.proxies[t.Proxy]
 	if p == nil {
 		return false
 	}
-	from, to := t.Sent, t.Deadline.Add(lateMost)
+	from, to := t.Sent, t.Deadline.Add(maxLateness)
 	if !t.Ended.IsZero() && t.Ended.After(to) {
 		to = t.Ended
 	}
@@ -54,6 +54,6 @@
 }
 
 // crowded tells whether a try's proxy was full of idle clients at some time of it.
-func (r *Referee) crowded(t *Try) bool {
+func (r *Referee) crowded(t *ClientAttempt) bool {
 	return slices.ContainsFunc(r.proxy(t.Proxy).crowds, func(s span) bool { return s.from.Before(t.Ended) && s.to.After(t.Sent) })
 }
--- a/internal/faultlab/referee/nodos.go
+++ b/internal/faultlab/referee/nodos.go
@@ -9,10 +9,10 @@
 func (r *Referee) State(name, zone string, cell int, serving bool, since int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := r.nodos[name]
+	n := r.servers[name]
 	if n == nil {
-		n = &nodo{}
-		r.nodos[name] = n
+		n = &server{}
+		r.servers[name] = n
 	}
 	n.zone, n.cell, n.serving, n.since, n.changed = zone, cell, serving, since, at
 }
@@ -21,10 +21,10 @@
 func (r *Referee) Listed(name string, serving bool, since int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := r.nodos[name]
+	n := r.servers[name]
 	if n == nil {
-		n = &nodo{}
-		r.nodos[name] = n
+		n = &server{}
+		r.servers[name] = n
 	}
 	n.listed = append(n.listed, listing{serving, since, at})
 }
@@ -33,18 +33,18 @@
 func (r *Referee) Unlisted() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, n := range r.nodos {
+	for _, n := range r.servers {
 		n.listed = nil
 	}
 }
 
 // ListAway opens a time in which a proxy, or with no name every one, cannot reach the list. The function that it returns
 // ends it.
-func (r *Referee) ListAway(proxy string, at time.Time) (end func(time.Time)) {
+func (r *Referee) ListUnavailable(proxy string, at time.Time) (end func(time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := len(r.aways)
-	r.aways = append(r.aways, away{proxy, span{at, at.Add(24 * time.Hour)}})
+	r.aways = append(r.aways, outage{proxy, span{at, at.Add(24 * time.Hour)}})
 	return func(to time.Time) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -54,13 +54,13 @@
 
 // countsAsTold is when a change that the list had at a moment counts as told to a proxy, whether it heard of it or not: once
 // the list has been within its reach for toldWithin.
-func (r *Referee) countsAsTold(proxy string, had time.Time) time.Time {
-	told := had.Add(toldWithin)
+func (r *Referee) countsAsNotified(proxy string, had time.Time) time.Time {
+	told := had.Add(notifiedWithin)
 	for moved := true; moved; {
 		moved = false
 		for _, a := range r.aways {
-			if (a.proxy == "" || a.proxy == proxy) && a.to.After(told.Add(-toldWithin)) && a.from.Before(told) {
-				told, moved = a.to.Add(toldWithin), true
+			if (a.proxy == "" || a.proxy == proxy) && a.to.After(told.Add(-notifiedWithin)) && a.from.Before(told) {
+				told, moved = a.to.Add(notifiedWithin), true
 			}
 		}
 	}
@@ -69,12 +69,12 @@
 
 // overdue is the newest change of a nodo that counts as told to a proxy so long before a moment that sends had to stop by
 // then; false if there is none, or what the proxy knows is newer.
-func (r *Referee) overdue(proxy string, n *nodo, knows, sent time.Time) (newest listing, late time.Duration, ok bool) {
+func (r *Referee) overdue(proxy string, n *server, knows, sent time.Time) (newest listing, late time.Duration, ok bool) {
 	if n == nil {
 		return newest, 0, false
 	}
 	for _, l := range n.listed {
-		over := sent.Sub(r.countsAsTold(proxy, l.at))
+		over := sent.Sub(r.countsAsNotified(proxy, l.at))
 		if over > r.terms.DrainGrace+socketSlack && l.at.After(knows) {
 			newest, late, ok = l, over, true
 		}
@@ -84,7 +84,7 @@
 
 // Entry is one line of a list, as a proxy gets it.
 type Entry struct {
-	Nodo    string
+	Server  string
 	Serving bool
 	Since   int64
 }
@@ -95,16 +95,16 @@
 	defer r.mu.Unlock()
 	p := r.proxy(name)
 	p.starts++
-	p.asked, p.asking, p.failed, p.newest = at, 0, false, 0
-	p.told = map[string]told{}
+	p.polled, p.asking, p.failed, p.newest = at, 0, false, 0
+	p.notified = map[string]notification{}
 	for _, e := range known {
-		p.told[e.Nodo] = told{e.Serving, e.Since, at, r.saidAt(e)}
+		p.notified[e.Server] = notification{e.Serving, e.Since, at, r.announcedAt(e)}
 	}
 }
 
 // saidAt is when the list last said what an entry says; zero if it never did.
-func (r *Referee) saidAt(e Entry) (at time.Time) {
-	if n := r.nodos[e.Nodo]; n != nil {
+func (r *Referee) announcedAt(e Entry) (at time.Time) {
+	if n := r.servers[e.Server]; n != nil {
 		for _, l := range n.listed {
 			if l.serving == e.Serving && l.since == e.Since {
 				at = l.at
@@ -120,8 +120,8 @@
 	defer r.mu.Unlock()
 	p := r.proxy(name)
 	for _, e := range known {
-		if now, ok := p.told[e.Nodo]; !ok || now.serving != e.Serving || now.since != e.Since {
-			p.told[e.Nodo] = told{e.Serving, e.Since, at, r.saidAt(e)}
+		if now, ok := p.notified[e.Server]; !ok || now.serving != e.Serving || now.since != e.Since {
+			p.notified[e.Server] = notification{e.Serving, e.Since, at, r.announcedAt(e)}
 		}
 	}
 }
@@ -134,7 +134,7 @@
 }
 
 // Asks notes a proxy's call to the list; Told and CallFailed note how it ended.
-func (r *Referee) Asks(name string) {
+func (r *Referee) RecordPoll(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tally.ListCalls++
@@ -142,15 +142,15 @@
 }
 
 // News is what an answer of the list tells a proxy.
-type News struct {
-	Entries []Entry
-	Whole   bool  // what is missing is gone
-	Order   int64 // in which the list composed its answers, from 1; 0: not known
+type ListUpdate struct {
+	Entries  []Entry
+	Snapshot bool  // what is missing is gone
+	Order    int64 // in which the list composed its answers, from 1; 0: not known
 }
 
 // Told notes that an answer of the list goes whole to a proxy's socket. One that was composed before another which has been
 // told is not news: the proxy has given that call up.
-func (r *Referee) Told(name string, news News, at time.Time) {
+func (r *Referee) Notified(name string, news ListUpdate, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.proxy(name)
@@ -163,17 +163,17 @@
 	}
 	listed := map[string]bool{}
 	for _, e := range news.Entries {
-		listed[e.Nodo] = true
-		if now, ok := p.told[e.Nodo]; !ok || now.serving != e.Serving || now.since != e.Since {
-			p.told[e.Nodo] = told{e.Serving, e.Since, at, at}
+		listed[e.Server] = true
+		if now, ok := p.notified[e.Server]; !ok || now.serving != e.Serving || now.since != e.Since {
+			p.notified[e.Server] = notification{e.Serving, e.Since, at, at}
 		}
 	}
-	if !news.Whole {
+	if !news.Snapshot {
 		return
 	}
-	for id, now := range p.told {
+	for id, now := range p.notified {
 		if !listed[id] && now.serving {
-			p.told[id] = told{false, now.since, at, at}
+			p.notified[id] = notification{false, now.since, at, at}
 		}
 	}
 }
@@ -186,7 +186,7 @@
 }
 
 func (p *proxy) callEnded(at time.Time, failed bool) {
-	p.asking, p.asked, p.failed = max(0, p.asking-1), at, failed
+	p.asking, p.polled, p.failed = max(0, p.asking-1), at, failed
 }
 
 // Connected notes a connection that a nodo took.
@@ -197,27 +197,27 @@
 }
 
 // Knock is what a proxy sent towards a nodo into silence, so that the nodo saw nothing of it.
-type Knock struct {
+type UnansweredSend struct {
 	At       time.Time
 	Proxy    string // empty where proxies share their links
 	FromZone string
-	Nodo     string
+	Server   string
 	Zone     string
 	Dial     bool // a connection that does not come up; else bytes on one that had
 }
 
 // Knocked notes a knock.
-func (r *Referee) Knocked(k Knock) {
+func (r *Referee) RecordUnansweredSend(k UnansweredSend) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.knocks) < knocksMost {
-		r.knocks = append(r.knocks, k)
+	if len(r.unansweredSends) < maxUnansweredSends {
+		r.unansweredSends = append(r.unansweredSends, k)
 	}
 }
 
 // Arrival is what a nodo sees of a request.
 type Arrival struct {
-	Nodo, ID          string
+	Server, ID        string
 	First, Last       time.Time
 	Method, Path, Key string
 	Body              uint64 // digest
@@ -228,23 +228,23 @@
 func (r *Referee) Begin(a Arrival) *Attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.tries[a.ID]
+	t := r.clientAttempts[a.ID]
 	if t == nil {
-		r.broken(Violation{Rule: "forged", At: a.Last, Nodo: a.Nodo, Try: a.ID, Text: "no client sent this id"})
+		r.broken(Violation{Rule: "forged", At: a.Last, Server: a.Server, Attempt: a.ID, Text: "no client sent this id"})
 		return nil
 	}
 	if a.Method != t.Method || a.Path != t.Path || a.Key != t.Key || a.Body != t.Body {
-		r.broken(Violation{Rule: "garbled", At: a.Last, Proxy: t.Proxy, Nodo: a.Nodo, Try: t.ID,
+		r.broken(Violation{Rule: "garbled", At: a.Last, Proxy: t.Proxy, Server: a.Server, Attempt: t.ID,
 			Text: fmt.Sprintf("the request reached the nodo as %s %s", a.Method, a.Path)})
 	}
-	at := &Attempt{try: t, Nodo: a.Nodo, First: a.First, Last: a.Last}
-	if n := r.nodos[a.Nodo]; n != nil {
+	at := &Attempt{clientAttempt: t, Server: a.Server, First: a.First, Last: a.Last}
+	if n := r.servers[a.Server]; n != nil {
 		at.Zone, at.Cell = n.zone, n.cell
 	}
-	r.judgeRepeat(t, at)
-	r.judgeDrain(t, at)
+	r.checkRepeat(t, at)
+	r.checkDrain(t, at)
 	if late := a.First.Sub(t.Left); !t.Left.IsZero() && late > goneWithin+socketSlack {
-		r.broken(Violation{Rule: "gone", At: a.First, Proxy: t.Proxy, Nodo: a.Nodo, Try: t.ID,
+		r.broken(Violation{Rule: "gone", At: a.First, Proxy: t.Proxy, Server: a.Server, Attempt: t.ID,
 			Text: fmt.Sprintf("sent %v after its client had left", late.Round(time.Millisecond))})
 	}
 	t.attempts = append(t.attempts, at)
@@ -252,19 +252,19 @@
 	return at
 }
 
-func (r *Referee) judgeRepeat(t *Try, next *Attempt) {
+func (r *Referee) checkRepeat(t *ClientAttempt, next *Attempt) {
 	class := r.terms.Classes[t.Class]
 	say := func(format string, args ...any) {
-		r.broken(Violation{Rule: "repeat", At: next.Last, Proxy: t.Proxy, Nodo: next.Nodo, Try: t.ID,
+		r.broken(Violation{Rule: "repeat", At: next.Last, Proxy: t.Proxy, Server: next.Server, Attempt: t.ID,
 			Text: class.Name + ": " + fmt.Sprintf(format, args...)})
 	}
-	if len(t.attempts) >= r.terms.TryLimit {
-		say("attempt %d, of at most %d", len(t.attempts)+1, r.terms.TryLimit)
+	if len(t.attempts) >= r.terms.MaxAttempts {
+		say("attempt %d, of at most %d", len(t.attempts)+1, r.terms.MaxAttempts)
 		return
 	}
 	for _, a := range t.attempts {
 		if !a.ended && !r.terms.SecondCopies {
-			say("a second copy while the one at %s is out", a.Nodo)
+			say("a second copy while the one at %s is out", a.Server)
 			return
 		}
 		if class.Repeat == Safe || !a.mayHaveRun() {
@@ -272,11 +272,11 @@
 		}
 		switch {
 		case class.Repeat == Unsafe:
-			say("sent again though the attempt at %s may have run", a.Nodo)
+			say("sent again though the attempt at %s may have run", a.Server)
 		case class.Scope == "zone" && a.Zone != next.Zone:
 			say("sent again to zone %s though the attempt in zone %s may have run", next.Zone, a.Zone)
 		case class.Scope == "cell" && (a.Zone != next.Zone || a.Cell != next.Cell):
-			say("sent again to another cell though the attempt at %s may have run", a.Nodo)
+			say("sent again to another cell though the attempt at %s may have run", a.Server)
 		case next.First.Sub(a.First) > class.Window+socketSlack:
 			say("sent again %v after an attempt that may have run", next.First.Sub(a.First).Round(time.Millisecond))
 		default:
@@ -286,33 +286,33 @@
 	}
 }
 
-func (r *Referee) judgeDrain(t *Try, a *Attempt) {
-	p, n := r.proxy(t.Proxy), r.nodos[a.Nodo]
-	now, ok := p.told[a.Nodo]
+func (r *Referee) checkDrain(t *ClientAttempt, a *Attempt) {
+	p, n := r.proxy(t.Proxy), r.servers[a.Server]
+	now, ok := p.notified[a.Server]
 	if !ok {
-		r.broken(Violation{Rule: "drain", At: a.First, Proxy: t.Proxy, Nodo: a.Nodo, Try: t.ID,
+		r.broken(Violation{Rule: "drain", At: a.First, Proxy: t.Proxy, Server: a.Server, Attempt: t.ID,
 			Text: "sent to a nodo that no list has named"})
 		return
 	}
 	if late := a.First.Sub(now.at); !now.serving && late > r.terms.DrainGrace+socketSlack {
-		r.broken(Violation{Rule: "drain", At: a.First, Proxy: t.Proxy, Nodo: a.Nodo, Try: t.ID,
+		r.broken(Violation{Rule: "drain", At: a.First, Proxy: t.Proxy, Server: a.Server, Attempt: t.ID,
 			Text: fmt.Sprintf("sent %v after it was told", late.Round(time.Millisecond))})
 		return
 	}
 	if l, late, ok := r.overdue(t.Proxy, n, now.asOf, a.First); ok && !l.serving {
-		r.broken(Violation{Rule: "drain", At: a.First, Proxy: t.Proxy, Nodo: a.Nodo, Try: t.ID,
+		r.broken(Violation{Rule: "drain", At: a.First, Proxy: t.Proxy, Server: a.Server, Attempt: t.ID,
 			Text: fmt.Sprintf("sent %v after it counted as told, which it never was", late.Round(time.Millisecond))})
 		return
 	}
 	// One who does not ask is deemed told of the list as it stood that long ago.
-	unasked := r.terms.AskEvery
+	unasked := r.terms.PollInterval
 	if p.failed {
-		unasked *= failedAsk
+		unasked *= failedPoll
 	}
-	if unasked > 0 && n != nil && now.serving && !n.serving && p.asking == 0 && a.First.Sub(p.asked) > unasked+socketSlack &&
+	if unasked > 0 && n != nil && now.serving && !n.serving && p.asking == 0 && a.First.Sub(p.polled) > unasked+socketSlack &&
 		a.First.Sub(n.changed) > unasked+r.terms.DrainGrace+socketSlack {
-		r.broken(Violation{Rule: "drain", At: a.First, Proxy: t.Proxy, Nodo: a.Nodo, Try: t.ID,
-			Text: fmt.Sprintf("the list was not asked for %v", a.First.Sub(p.asked).Round(time.Millisecond))})
+		r.broken(Violation{Rule: "drain", At: a.First, Proxy: t.Proxy, Server: a.Server, Attempt: t.ID,
+			Text: fmt.Sprintf("the list was not asked for %v", a.First.Sub(p.polled).Round(time.Millisecond))})
 	}
 }
 
@@ -326,7 +326,7 @@
 
 // Err notes that a nodo answered with an error; Turn that it turned the attempt away unbegun; Drop that its caller went.
 func (r *Referee) Err(a *Attempt, spent time.Duration)  { r.end(a, stateError, spent) }
-func (r *Referee) Turn(a *Attempt)                      { r.end(a, stateTurned, 0) }
+func (r *Referee) Turn(a *Attempt)                      { r.end(a, stateRejected, 0) }
 func (r *Referee) Drop(a *Attempt, spent time.Duration) { r.end(a, stateDropped, spent) }
 
 func (r *Referee) end(a *Attempt, s attemptState, spent time.Duration) {
@@ -349,7 +349,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.told, a.ended = true, true
+	a.notified, a.ended = true, true
 }
 
 // Tipped notes that a cold nodo fell over, with the work that came to it in the window, by proxy.
@@ -361,15 +361,15 @@
 	worst, most := "", time.Duration(0)
 	for proxy, w := range work {
 		all += w
-		if known, ok := r.proxy(proxy).told[name]; ok && known.since >= since {
+		if known, ok := r.proxy(proxy).notified[name]; ok && known.since >= since {
 			informed += w
 		}
 		if w > most {
 			worst, most = proxy, w
 		}
 	}
-	if all > 0 && float64(informed) >= tipInformed*float64(all) {
-		r.broken(Violation{Rule: "tip", At: at, Proxy: worst, Nodo: name, Text: fmt.Sprintf(
+	if all > 0 && float64(informed) >= overloadInformedPart*float64(all) {
+		r.broken(Violation{Rule: "tip", At: at, Proxy: worst, Server: name, Text: fmt.Sprintf(
 			"fell over under %v of work in the window, %.0f %% of it from %d proxies that knew of its start",
 			all.Round(time.Millisecond), 100*float64(informed)/float64(all), len(work))})
 	}
--- a/internal/faultlab/referee/referee.go
+++ b/internal/faultlab/referee/referee.go
@@ -32,38 +32,38 @@
 // Terms are the figures of the rules.
 type Terms struct {
 	Classes      []Class
-	TryLimit     int
+	MaxAttempts  int
 	SecondCopies bool
 	DrainGrace   time.Duration
-	AskEvery     time.Duration
+	PollInterval time.Duration
 	Slack        time.Duration // beyond a deadline
 }
 
 const (
-	toldWithin   = 6 * time.Second        // after the list had a change and could be reached, it counts as told
-	socketSlack  = 50 * time.Millisecond  // every time limit is this much longer on sockets
-	lateMost     = 500 * time.Millisecond // an answer after its time is late up to here, and lost beyond
-	crowdAfter   = 500 * time.Millisecond // its clients take so long to leave
-	turnedFree   = 200                    // one request in so many may be turned back unheard
-	failedAsk    = 4                      // after a failed call the list need not be asked for so many times as long
-	goneWithin   = 100 * time.Millisecond // after a client has left attempts may begin for so long
-	tipInformed  = 2.0 / 3                // of the work, from proxies that knew of the start, breaks the rule
-	knocksMost   = 1_000_000              // 100 MB
-	violationTop = 20                     // of each rule are kept in full
+	notifiedWithin       = 6 * time.Second        // after the list had a change and could be reached, it counts as told
+	socketSlack          = 50 * time.Millisecond  // every time limit is this much longer on sockets
+	maxLateness          = 500 * time.Millisecond // an answer after its time is late up to here, and lost beyond
+	crowdAfter           = 500 * time.Millisecond // its clients take so long to leave
+	rejectionsUnpriced   = 200                    // one request in so many may be turned back unheard
+	failedPoll           = 4                      // after a failed call the list need not be asked for so many times as long
+	goneWithin           = 100 * time.Millisecond // after a client has left attempts may begin for so long
+	overloadInformedPart = 2.0 / 3                // of the work, from proxies that knew of the start, breaks the rule
+	maxUnansweredSends   = 1_000_000              // 100 MB
+	violationTop         = 20                     // of each rule are kept in full
 )
 
 // Violation is a broken rule.
 type Violation struct {
-	Rule  string    `json:"rule"`
-	At    time.Time `json:"at"`
-	Proxy string    `json:"proxy,omitempty"`
-	Nodo  string    `json:"nodo,omitempty"`
-	Try   string    `json:"try,omitempty"`
-	Text  string    `json:"text"`
+	Rule    string    `json:"rule"`
+	At      time.Time `json:"at"`
+	Proxy   string    `json:"proxy,omitempty"`
+	Server  string    `json:"nodo,omitempty"`
+	Attempt string    `json:"try,omitempty"`
+	Text    string    `json:"text"`
 }
 
 // told is what a proxy has been told of a nodo.
-type told struct {
+type notification struct {
 	serving bool
 	since   int64 // ms
 	at      time.Time
@@ -72,20 +72,20 @@
 
 // proxy is what the referee knows of one.
 type proxy struct {
-	told    map[string]told
-	asked   time.Time // when its last call to the list ended
-	asking  int       // calls that are out
-	failed  bool      // the last call
-	starts  int       // from nothing
-	newest  int64     // News.Order that it was told
-	excuses []span
-	crowds  []span
+	notified map[string]notification
+	polled   time.Time // when its last call to the list ended
+	asking   int       // calls that are out
+	failed   bool      // the last call
+	starts   int       // from nothing
+	newest   int64     // News.Order that it was told
+	excuses  []span
+	crowds   []span
 }
 
 type span struct{ from, to time.Time }
 
 // nodo is what the referee knows of one.
-type nodo struct {
+type server struct {
 	zone    string
 	cell    int
 	serving bool
@@ -102,7 +102,7 @@
 }
 
 // away is a time in which the list could not be reached.
-type away struct {
+type outage struct {
 	proxy string // empty: by none
 	span
 }
@@ -111,18 +111,18 @@
 type Referee struct {
 	terms Terms
 
-	mu       sync.Mutex
-	tries    map[string]*Try
-	order    []*Try
-	attempts []*Attempt
-	proxies  map[string]*proxy
-	nodos    map[string]*nodo
-	counts   map[string]int
-	connects []time.Time
-	aways    []away
-	knocks   []Knock
-	first    []Violation
-	tally    Tally
+	mu              sync.Mutex
+	clientAttempts  map[string]*ClientAttempt
+	order           []*ClientAttempt
+	attempts        []*Attempt
+	proxies         map[string]*proxy
+	servers         map[string]*server
+	counts          map[string]int
+	connects        []time.Time
+	aways           []outage
+	unansweredSends []UnansweredSend
+	first           []Violation
+	tally           Tally
 }
 
 // Tally is counts beside the rules.
@@ -133,12 +133,12 @@
 	Tipped      int `json:"tipped"`       // nodos that fell over
 	Crashed     int `json:"crashed"`      // proxies that ended without having been told to
 	Late        int `json:"late"`         // answers after their time, up to 500 ms
-	TurnedBack  int `json:"turned_back"`  // requests whose new connection was closed unheard
+	Rejected    int `json:"turned_back"`  // requests whose new connection was closed unheard
 }
 
 // New is a referee for a run.
 func New(t Terms) *Referee {
-	return &Referee{terms: t, tries: map[string]*Try{}, proxies: map[string]*proxy{}, nodos: map[string]*nodo{},
+	return &Referee{terms: t, clientAttempts: map[string]*ClientAttempt{}, proxies: map[string]*proxy{}, servers: map[string]*server{},
 		counts: map[string]int{}}
 }
 
@@ -157,25 +157,25 @@
 }
 
 // Send notes a try that is about to be written to a proxy, or to none; from now on it may reach nodos.
-func (r *Referee) Send(t *Try, proxy string) {
+func (r *Referee) Send(t *ClientAttempt, proxy string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.Proxy = proxy
-	if r.tries[t.ID] == nil {
+	if r.clientAttempts[t.ID] == nil {
 		r.order = append(r.order, t)
 	}
-	r.tries[t.ID] = t
+	r.clientAttempts[t.ID] = t
 }
 
 // Taken notes that a try's last byte was written to the proxy's socket.
-func (r *Referee) Taken(t *Try, at time.Time) {
+func (r *Referee) Taken(t *ClientAttempt, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t.Taken = at
 }
 
 // Answered notes a whole answer; made is the digest of its body.
-func (r *Referee) Answered(t *Try, at time.Time, status int, made uint64) End {
+func (r *Referee) Answered(t *ClientAttempt, at time.Time, status int, made uint64) End {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.End != Pending {
@@ -185,16 +185,16 @@
 	switch status {
 	case 200:
 		t.End = Served
-		r.judgeServed(t, at, made)
+		r.checkServed(t, at, made)
 	case 429, 503:
-		t.End = Refused
-		r.judgeRefused(t, at)
+		t.End = Rejected
+		r.checkRejected(t, at)
 	default:
 		t.End = Failed
 	}
 	over := at.Sub(t.Deadline)
 	switch {
-	case over > lateMost:
+	case over > maxLateness:
 		r.lose(t, at, fmt.Sprintf("answered %v after its time", over.Round(time.Millisecond)))
 	case over > r.terms.Slack+socketSlack:
 		r.tally.Late++
@@ -203,24 +203,24 @@
 }
 
 // judgeServed holds an answer 200 to what nodos made for that request.
-func (r *Referee) judgeServed(t *Try, at time.Time, made uint64) {
+func (r *Referee) checkServed(t *ClientAttempt, at time.Time, made uint64) {
 	for _, a := range t.attempts {
 		if a.state == stateServed && a.Made == made {
 			return
 		}
 	}
-	r.broken(Violation{Rule: "garbled", At: at, Proxy: t.Proxy, Try: t.ID, Text: "the body is what no nodo made for it"})
+	r.broken(Violation{Rule: "garbled", At: at, Proxy: t.Proxy, Attempt: t.ID, Text: "the body is what no nodo made for it"})
 }
 
 // judgeRefused: a refusal says that trying again is harmless.
-func (r *Referee) judgeRefused(t *Try, at time.Time) {
+func (r *Referee) checkRejected(t *ClientAttempt, at time.Time) {
 	class := r.terms.Classes[t.Class]
 	if class.Repeat == Safe || class.Repeat == Keyed && class.Scope == "all" {
 		return
 	}
 	for _, a := range t.attempts {
 		if a.mayHaveRun() {
-			r.broken(Violation{Rule: "repeat", At: at, Proxy: t.Proxy, Nodo: a.Nodo, Try: t.ID,
+			r.broken(Violation{Rule: "repeat", At: at, Proxy: t.Proxy, Server: a.Server, Attempt: t.ID,
 				Text: class.Name + " refused though an attempt may have run"})
 			return
 		}
@@ -229,7 +229,7 @@
 
 // Broke notes that a try's connection ended without an answer: before any of it came (unheard), or in the middle of
 // one. The first request on a connection that is closed unheard has been turned back rather than lost.
-func (r *Referee) Broke(t *Try, at time.Time, inAnswer, firstOn bool) {
+func (r *Referee) Broke(t *ClientAttempt, at time.Time, inAnswer, firstOn bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.End != Pending {
@@ -242,12 +242,12 @@
 	case inAnswer:
 		t.End = Failed
 	default:
-		t.End, t.broken, t.turned = Failed, true, firstOn
+		t.End, t.broken, t.rejected = Failed, true, firstOn
 	}
 }
 
 // Unreachable notes that a try met no proxy.
-func (r *Referee) Unreachable(t *Try, at time.Time) {
+func (r *Referee) Unreachable(t *ClientAttempt, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.End == Pending {
@@ -256,7 +256,7 @@
 }
 
 // Silent notes that nothing has come for a try in its time and the slack.
-func (r *Referee) Silent(t *Try, at time.Time) {
+func (r *Referee) Silent(t *ClientAttempt, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.End == Pending {
@@ -266,7 +266,7 @@
 
 // Leaves notes that a client closes its connection without waiting any longer: no answer is owed from now on. False if the
 // try has ended.
-func (r *Referee) Leaves(t *Try, at time.Time) bool {
+func (r *Referee) Leaves(t *ClientAttempt, at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t.End != Pending {
@@ -277,31 +277,31 @@
 }
 
 // Twice notes that more came on a connection after a whole answer than the next request asked for.
-func (r *Referee) Twice(t *Try, at time.Time) {
+func (r *Referee) Twice(t *ClientAttempt, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken(Violation{Rule: "twice", At: at, Proxy: t.Proxy, Try: t.ID, Text: "bytes came behind its answer"})
+	r.broken(Violation{Rule: "twice", At: at, Proxy: t.Proxy, Attempt: t.ID, Text: "bytes came behind its answer"})
 }
 
-func (r *Referee) lose(t *Try, at time.Time, text string) {
+func (r *Referee) lose(t *ClientAttempt, at time.Time, text string) {
 	if r.excused(t) {
 		return
 	}
-	r.broken(Violation{Rule: "lost", At: at, Proxy: t.Proxy, Try: t.ID, Text: text})
+	r.broken(Violation{Rule: "lost", At: at, Proxy: t.Proxy, Attempt: t.ID, Text: text})
 }
 
 func (r *Referee) proxy(name string) *proxy {
 	p := r.proxies[name]
 	if p == nil {
-		p = &proxy{told: map[string]told{}}
+		p = &proxy{notified: map[string]notification{}}
 		r.proxies[name] = p
 	}
 	return p
 }
 
 // judgeLost judges, at the end of a run, the tries that got no answer.
-func (r *Referee) judgeLost() {
-	var turned []*Try
+func (r *Referee) checkLost() {
+	var turned []*ClientAttempt
 	taken := 0
 	for _, t := range r.order {
 		if t.Taken.IsZero() || !t.Left.IsZero() {
@@ -309,7 +309,7 @@
 		}
 		taken++
 		switch {
-		case t.turned:
+		case t.rejected:
 			if !r.excused(t) && !r.crowded(t) {
 				turned = append(turned, t)
 			}
@@ -319,9 +319,9 @@
 			r.lose(t, t.Ended, "nothing came in its time")
 		}
 	}
-	r.tally.TurnedBack = len(turned)
+	r.tally.Rejected = len(turned)
 	for i, t := range turned {
-		if i >= (taken+turnedFree-1)/turnedFree {
+		if i >= (taken+rejectionsUnpriced-1)/rejectionsUnpriced {
 			r.lose(t, t.Ended, "its new connection was closed unheard, as was one in 200 before")
 		}
 	}
@@ -329,32 +329,32 @@
 
 // Record is all that a run left.
 type Record struct {
-	Tries      []*Try
-	Attempts   []*Attempt
-	Broken     map[string]int
-	Violations []Violation // the first of each rule
-	Connects   []time.Time // of each connection to a nodo
-	Knocks     []Knock
-	Tally      Tally
+	ClientAttempts  []*ClientAttempt
+	Attempts        []*Attempt
+	Broken          map[string]int
+	Violations      []Violation // the first of each rule
+	Connects        []time.Time // of each connection to a nodo
+	UnansweredSends []UnansweredSend
+	Tally           Tally
 }
 
 // Close judges what can be judged only at the end, and gives the record out. Nothing may be noted afterwards.
 func (r *Referee) Close() Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.judgeLost()
-	return Record{r.order, r.attempts, r.counts, r.first, r.connects, r.knocks, r.tally}
+	r.checkLost()
+	return Record{r.order, r.attempts, r.counts, r.first, r.connects, r.unansweredSends, r.tally}
 }
 
 // Rude is the rule that a client which sends no proper request is owed an error or a close.
-const Rude = "rude"
+const Misbehaving = "rude"
 
 // Rude notes a client that got neither in its time.
-func (r *Referee) Rude(proxy string, from, to time.Time, text string) {
+func (r *Referee) Misbehaved(proxy string, from, to time.Time, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.excused(&Try{Proxy: proxy, Sent: from, Deadline: to}) {
+	if r.excused(&ClientAttempt{Proxy: proxy, Sent: from, Deadline: to}) {
 		return
 	}
-	r.broken(Violation{Rule: Rude, At: to, Proxy: proxy, Text: text})
+	r.broken(Violation{Rule: Misbehaving, At: to, Proxy: proxy, Text: text})
 }
--- a/internal/faultlab/referee/try.go
+++ b/internal/faultlab/referee/try.go
@@ -8,7 +8,7 @@
 const (
 	Pending    End = iota
 	Served         // 200 and what a nodo made
-	Refused        // 429 or 503
+	Rejected       // 429 or 503
 	Failed         // any other answer, or one that broke off in the middle
 	Unreached      // no connection, or one that ended before the request was taken
 	Unanswered     // nothing in its time
@@ -19,7 +19,7 @@
 }
 
 // Try is one try of a client.
-type Try struct {
+type ClientAttempt struct {
 	ID       string
 	Arrival  int // of the plan
 	N        int // 0 for the first
@@ -33,31 +33,31 @@
 	Key      string
 	Body     uint64 // digest
 
-	Left   time.Time // when its client closed its connection without waiting any longer; zero: it did not
-	Taken  time.Time // last byte written to the proxy's socket; zero: it was not
-	Ended  time.Time
-	End    End
-	Status int
-	broken bool // its connection ended without an answer, after it was taken
-	turned bool // and it was the first on that connection
+	Left     time.Time // when its client closed its connection without waiting any longer; zero: it did not
+	Taken    time.Time // last byte written to the proxy's socket; zero: it was not
+	Ended    time.Time
+	End      End
+	Status   int
+	broken   bool // its connection ended without an answer, after it was taken
+	rejected bool // and it was the first on that connection
 
 	attempts []*Attempt
 }
 
 // Attempt is a request that reached a nodo whole.
 type Attempt struct {
-	try   *Try
-	Nodo  string
-	Zone  string
-	Cell  int
-	First time.Time // when its first byte left the proxy
-	Last  time.Time // when its last arrived
-	state attemptState
-	told  bool   // its outcome is written to the proxy
-	ended bool   // no longer out: told, or its connection has ended
-	Made  uint64 // digest of the answer's body
-	Work  time.Duration
-	Spent time.Duration // of work that the nodo did for it
+	clientAttempt *ClientAttempt
+	Server        string
+	Zone          string
+	Cell          int
+	First         time.Time // when its first byte left the proxy
+	Last          time.Time // when its last arrived
+	state         attemptState
+	notified      bool   // its outcome is written to the proxy
+	ended         bool   // no longer out: told, or its connection has ended
+	Made          uint64 // digest of the answer's body
+	Work          time.Duration
+	Spent         time.Duration // of work that the nodo did for it
 }
 
 type attemptState int
@@ -66,15 +66,15 @@
 	stateOut attemptState = iota
 	stateServed
 	stateError
-	stateTurned // never ran
+	stateRejected // never ran
 	stateDropped
 )
 
 // mayHaveRun tells whether the proxy cannot know that the attempt never ran.
-func (a *Attempt) mayHaveRun() bool { return a.state != stateTurned || !a.told }
+func (a *Attempt) mayHaveRun() bool { return a.state != stateRejected || !a.notified }
 
 // Of is the try that an attempt belongs to.
-func (a *Attempt) Of() *Try { return a.try }
+func (a *Attempt) Of() *ClientAttempt { return a.clientAttempt }
 
 // Served tells whether the nodo answered it 200.
 func (a *Attempt) Served() bool { return a.state == stateServed }
--- a/internal/faultlab/report/control.go
+++ b/internal/faultlab/report/control.go
@@ -25,7 +25,7 @@
 func control(w io.Writer, r *result.Result) {
 	type row struct{ phase, role string }
 	rows := map[row]map[string]result.Range{}
-	for name, g := range r.Figures {
+	for name, g := range r.Metrics {
 		if phase, role, figure, ok := spentName(name); ok {
 			at := row{phase, role}
 			if rows[at] == nil {
--- a/internal/faultlab/report/html.go
+++ b/internal/faultlab/report/html.go
@@ -73,7 +73,7 @@
 func pageOf(r *result.Result) (*page, error) {
 	p := &page{Result: r, Verdict: verdict(r), Rules: experiment.RuleText}
 	for _, name := range r.Names() {
-		g := r.Figures[name]
+		g := r.Metrics[name]
 		p.Rows = append(p.Rows, row{name, num(g.Median), spread(g)})
 	}
 	for i, one := range r.Plays {
--- a/internal/faultlab/report/picture.go
+++ b/internal/faultlab/report/picture.go
@@ -69,7 +69,7 @@
 	}{
 		{"arrived", blue, func(w result.Window) int { return w.Arrived }},
 		{"served", green, func(w result.Window) int { return w.Served }},
-		{"refused", amber, func(w result.Window) int { return w.Refused }},
+		{"refused", amber, func(w result.Window) int { return w.Rejected }},
 		{"failed", red, func(w result.Window) int { return w.Failed }},
 	}
 	for _, l := range lines {
--- a/internal/faultlab/report/text.go
+++ b/internal/faultlab/report/text.go
@@ -29,7 +29,7 @@
 		if _, _, _, ok := spentName(name); ok {
 			continue
 		}
-		g := r.Figures[name]
+		g := r.Metrics[name]
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", name, num(g.Median), num(g.Min), num(g.Max))
 	}
 	control(t, r)
@@ -51,7 +51,7 @@
 				break
 			}
 			fmt.Fprintf(t, "play %d: BROKEN %s: %s (proxy %s, nodo %s, request %s): %s\n", i+1, v.Rule,
-				v.At.Format("15:04:05.000"), v.Proxy, v.Nodo, v.Try, v.Text)
+				v.At.Format("15:04:05.000"), v.Proxy, v.Server, v.Attempt, v.Text)
 		}
 	}
 	for _, v := range r.Expected {
@@ -108,8 +108,8 @@
 	names := append(a.Names(), b.Names()...)
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
-		x, inA := a.Figures[name]
-		y, inB := b.Figures[name]
+		x, inA := a.Metrics[name]
+		y, inB := b.Metrics[name]
 		if !inA || !inB {
 			fmt.Fprintf(t, "%s\t%s\t\t%s\t\t\tin one only\n", name, maybe(x, inA), maybe(y, inB))
 			continue
--- a/internal/faultlab/result/aim.go
+++ b/internal/faultlab/result/aim.go
@@ -10,7 +10,7 @@
 )
 
 // aim is which calls a fault meets: those that a fleet does well to avoid while it holds.
-type aim struct {
+type objective struct {
 	meets func(call) bool // by proxies that live on
 	part  func(call) bool // all calls of its target, the callers' own zone included where that is lost with it
 }
@@ -18,7 +18,7 @@
 // call is an attempt, or a knock: what a proxy sent towards a nodo.
 type call struct {
 	at              float64 // seconds of the load
-	proxy, nodo     string
+	proxy, server   string
 	from, to        string // zones
 	served, arrived bool
 }
@@ -36,13 +36,13 @@
 	came := map[key]bool{}
 	var out []call
 	for _, a := range in.Record.Attempts {
-		came[key{a.Nodo, a.First}] = true
+		came[key{a.Server, a.First}] = true
 		t := a.Of()
-		out = append(out, call{a.First.Sub(in.Start).Seconds(), t.Proxy, a.Nodo, zoneOf[t.Proxy], a.Zone, a.Served(), true})
+		out = append(out, call{a.First.Sub(in.Start).Seconds(), t.Proxy, a.Server, zoneOf[t.Proxy], a.Zone, a.Served(), true})
 	}
-	for _, k := range in.Record.Knocks {
-		if !came[key{k.Nodo, k.At}] {
-			out = append(out, call{k.At.Sub(in.Start).Seconds(), k.Proxy, k.Nodo, k.FromZone, k.Zone, false, false})
+	for _, k := range in.Record.UnansweredSends {
+		if !came[key{k.Server, k.At}] {
+			out = append(out, call{k.At.Sub(in.Start).Seconds(), k.Proxy, k.Server, k.FromZone, k.Zone, false, false})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b call) int { return cmp.Compare(a.at, b.at) })
@@ -50,34 +50,34 @@
 }
 
 // aimOf tells which calls a strike meets; false if it is no fault that calls could avoid.
-func aimOf(s plan.Strike) (aim, bool) {
+func objectiveOf(s plan.Strike) (objective, bool) {
 	f := s.Fault
 	kind := experiment.Kinds[f.Kind]
 	one := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 	switch {
 	case f.Kind == "zone_loss":
-		return aim{func(c call) bool { return c.to == f.Zone && c.from != f.Zone },
+		return objective{func(c call) bool { return c.to == f.Zone && c.from != f.Zone },
 			func(c call) bool { return c.to == f.Zone }}, true
 	case f.Kind == "zone_cut":
 		meets := func(c call) bool { return (c.to == f.Zone) != (c.from == f.Zone) }
-		return aim{meets, meets}, true
+		return objective{meets, meets}, true
 	case f.Kind == "nodo_drain" || f.Kind == "nodo_replace" || f.Kind == "gossip_lie": // the list tells of these, or nothing is wrong
-		return aim{}, false
-	case kind.Nodos:
+		return objective{}, false
+	case kind.Servers:
 		struck := map[string]bool{}
 		for _, turn := range s.Turns {
 			struck[turn.Target] = true
 		}
-		meets := func(c call) bool { return struck[c.nodo] }
-		return aim{meets, meets}, true
-	case kind.Links && (f.Link == "" || f.Link == "nodo") && (f.ToZone != "" || f.Zone != "" || len(f.Nodos) > 0):
+		meets := func(c call) bool { return struck[c.server] }
+		return objective{meets, meets}, true
+	case kind.Links && (f.Link == "" || f.Link == "nodo") && (f.ToZone != "" || f.Zone != "" || len(f.Servers) > 0):
 		meets := func(c call) bool {
 			return (f.FromZone == "" || c.from == f.FromZone) && (f.ToZone == "" || c.to == f.ToZone) &&
-				(f.Zone == "" || c.from == f.Zone || c.to == f.Zone) && one(f.Proxies, c.proxy) && one(f.Nodos, c.nodo)
+				(f.Zone == "" || c.from == f.Zone || c.to == f.Zone) && one(f.Proxies, c.proxy) && one(f.Servers, c.server)
 		}
-		return aim{meets, meets}, true
+		return objective{meets, meets}, true
 	}
-	return aim{}, false
+	return objective{}, false
 }
 
 // between is the calls from one moment up to another.
--- a/internal/faultlab/result/avoid.go
+++ b/internal/faultlab/result/avoid.go
@@ -15,14 +15,14 @@
 	stayedSpan  = 2.0 // of a fault that lasts so long
 	backWindow  = 2.0
 	backStep    = 0.25
-	backLeast   = 20 // calls in a window that says anything
+	minRecovery = 20 // calls in a window that says anything
 )
 
 // avoidance tells of each fault that calls could avoid how soon they did, and how soon they came back after it.
 func (p *Play) avoidance(in Input, cs []client, f map[string]float64) {
 	calls := in.callsOf()
 	for _, ev := range in.Events {
-		a, ok := aimOf(in.Plan.Strikes[ev.N-1])
+		a, ok := objectiveOf(in.Plan.Strikes[ev.N-1])
 		if !ok {
 			continue
 		}
@@ -52,10 +52,10 @@
 		}
 		set("wasted", float64(wasted), add)
 		set("returned_s", returned(in, calls, a, ev), math.Max)
-		set("room_worth", in.roomWorth(cs, ev), math.Min)
+		set("room_worth", in.headroomWeight(cs, ev), math.Min)
 	}
 	dials := 0
-	for _, k := range in.Record.Knocks {
+	for _, k := range in.Record.UnansweredSends {
 		if k.Dial {
 			dials++
 		}
@@ -73,7 +73,7 @@
 
 // leaving finds when each proxy left: at its last call there that was no trial. Proxies that made none but trials say
 // nothing. Where proxies cannot be told apart nothing is said of them.
-func leaving(during []call, a aim, ev Event) left {
+func leaving(during []call, a objective, ev Event) left {
 	l := left{first: math.NaN(), last: math.NaN(), spread: math.NaN()}
 	by, zones := map[string][]call{}, map[string]string{}
 	concerned := map[string]bool{} // who ever calls there; the others' calls cannot tell
@@ -129,7 +129,7 @@
 	there []int // of the first i
 }
 
-func count(cs []call, a aim) tally {
+func count(cs []call, a objective) tally {
 	t := tally{there: make([]int, len(cs)+1)}
 	for i, c := range cs {
 		t.at = append(t.at, c.at)
@@ -180,7 +180,7 @@
 
 // returned is how long after a fault's end its target first had backPart of the part of the calls that it had in the
 // beforeSpan before the fault, over backWindow; to the next fault, or the end, if it had not by then.
-func returned(in Input, calls []call, a aim, ev Event) float64 {
+func returned(in Input, calls []call, a objective, ev Event) float64 {
 	share := func(from, to float64) (float64, int) {
 		n, there := 0, 0
 		for _, c := range between(calls, from, to) {
@@ -204,7 +204,7 @@
 		return math.NaN()
 	}
 	for at := ev.To; at+backWindow <= until; at += backStep {
-		if now, n := share(at, at+backWindow); n >= backLeast && now >= backPart*before {
+		if now, n := share(at, at+backWindow); n >= minRecovery && now >= backPart*before {
 			return at + backWindow - ev.To
 		}
 	}
--- a/internal/faultlab/result/avoid_test.go
+++ b/internal/faultlab/result/avoid_test.go
@@ -55,7 +55,7 @@
 		{"one that stays", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 10, 0}}, left{0.26, 9.98, 9.72, 10, 1}},
 		{"never there but for a trial", []caller{{"a1", 100, -1, 500}}, left{nan, nan, nan, 0, 0}},
 	} {
-		got := leaving(during(test.callers...), aim{meets: func(c call) bool { return c.to == "z" }}, Event{From: 10, To: 20})
+		got := leaving(during(test.callers...), objective{meets: func(c call) bool { return c.to == "z" }}, Event{From: 10, To: 20})
 		if test.name == "so many trials are" { // of all calls they are 5 %
 			got.all = 0
 		}
@@ -88,7 +88,7 @@
 		calls = append(calls, call{at: at, from: "a", to: to, arrived: true})
 	}
 	in := Input{Exp: &experiment.Experiment{Seconds: 30, Warmup: 2}}
-	a := aim{part: func(c call) bool { return c.to == "z" }}
+	a := objective{part: func(c call) bool { return c.to == "z" }}
 	ev := Event{N: 1, From: 10, To: 12}
 	// The window of 2 s has 95 % of its half once it begins 3.4 s after the end, the last 0.6 s of the rise making up for it.
 	if got := returned(in, calls, a, ev); got < 5 || got > 5.5 {
@@ -103,9 +103,9 @@
 // Two nodos do a second of work a second each. One is gone for the 10 s after second 10, so of 1.5 s of work a second the
 // room left bears two thirds; the requests that earn most for their work go first.
 func TestRoomWorth(t *testing.T) {
-	group := experiment.NodoGroup{Count: 2, Speed: 1, Slots: 1}
-	e := &experiment.Experiment{Seconds: 30, Zones: []experiment.Zone{{Name: "a", Proxies: 1, Nodos: []experiment.NodoGroup{group}}},
-		Classes: []experiment.Class{{Worth: 10}, {Worth: 1}}, Nodos: experiment.Nodos{StartCapacity: 0.5, ColdMs: 4000}}
+	group := experiment.ServerGroup{Count: 2, Speed: 1, Slots: 1}
+	e := &experiment.Experiment{Seconds: 30, Zones: []experiment.Zone{{Name: "a", Proxies: 1, Servers: []experiment.ServerGroup{group}}},
+		Classes: []experiment.Class{{Weight: 10}, {Weight: 1}}, Servers: experiment.Servers{StartCapacity: 0.5, SlowStartMs: 4000}}
 	kill := func(from, lasts time.Duration) plan.Strike {
 		return plan.Strike{N: 1, Fault: experiment.Fault{Kind: "nodo_kill"}, At: from, For: lasts, Turns: []plan.Turn{{At: from, Target: "a-s1"}}}
 	}
@@ -113,7 +113,7 @@
 	for i := range 300 { // each tenth of a second one of 100 ms of each class, and every other one of no class twice
 		at := time.Duration(i) * 100 * time.Millisecond
 		cs = append(cs, client{Arrival: &plan.Arrival{At: at, Class: 0, Work: 50 * time.Millisecond}, end: referee.Served, inTime: true},
-			client{Arrival: &plan.Arrival{At: at, Class: 1, Work: 100 * time.Millisecond}, end: referee.Refused})
+			client{Arrival: &plan.Arrival{At: at, Class: 1, Work: 100 * time.Millisecond}, end: referee.Rejected})
 	}
 	for _, test := range []struct {
 		name   string
@@ -127,17 +127,17 @@
 	} {
 		for i := range cs {
 			if cs[i].Class == 1 {
-				cs[i].end = map[bool]referee.End{false: referee.Refused, true: referee.Unreached}[test.unseen]
+				cs[i].end = map[bool]referee.End{false: referee.Rejected, true: referee.Unreached}[test.unseen]
 			}
 		}
 		in := Input{Exp: e, Plan: &plan.Plan{Strikes: []plan.Strike{test.strike}}}
-		if got := in.roomWorth(cs, Event{N: 1, From: 10, To: 20}); math.Abs(got-test.want) > 1e-3 {
+		if got := in.headroomWeight(cs, Event{N: 1, From: 10, To: 20}); math.Abs(got-test.want) > 1e-3 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
 	in := Input{Exp: e, Plan: &plan.Plan{Strikes: []plan.Strike{kill(10*time.Second, 4*time.Second)}}}
 	// 10 s of the one, 6 s of the other less the 0.25 that it lacks on average over its 4 cold seconds.
-	if got := in.room(10, 20, func(string) bool { return true }); math.Abs(got-15) > 0.01 {
+	if got := in.headroom(10, 20, func(string) bool { return true }); math.Abs(got-15) > 0.01 {
 		t.Errorf("room of %v s, want 15", got)
 	}
 }
@@ -146,12 +146,12 @@
 func TestKnocksCountOnce(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(experiment.Seconds(s)) }
-	r := referee.New(referee.Terms{Classes: []referee.Class{{Name: "c"}}, TryLimit: 3})
-	r.Send(&referee.Try{ID: "x", Sent: at(10)}, "a-p1")
+	r := referee.New(referee.Terms{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 3})
+	r.Send(&referee.ClientAttempt{ID: "x", Sent: at(10)}, "a-p1")
 	r.State("b-s1", "b", 0, true, 0, start)
-	r.Begin(referee.Arrival{Nodo: "b-s1", ID: "x", First: at(10), Last: at(13)})
+	r.Begin(referee.Arrival{Server: "b-s1", ID: "x", First: at(10), Last: at(13)})
 	for _, s := range []float64{10, 11} {
-		r.Knocked(referee.Knock{At: at(s), Proxy: "a-p1", FromZone: "a", Nodo: "b-s1", Zone: "b", Dial: s == 11})
+		r.RecordUnansweredSend(referee.UnansweredSend{At: at(s), Proxy: "a-p1", FromZone: "a", Server: "b-s1", Zone: "b", Dial: s == 11})
 	}
 	e := &experiment.Experiment{Seconds: 20, Zones: []experiment.Zone{{Name: "a", Proxies: 1}, {Name: "b"}}}
 	in := Input{Exp: e, Start: start, Record: r.Close(), Events: []Event{{N: 1, From: 9, To: 12}}, Plan: &plan.Plan{Strikes: []plan.Strike{
--- a/internal/faultlab/result/control.go
+++ b/internal/faultlab/result/control.go
@@ -128,7 +128,7 @@
 // spent are the figures of one phase's two readings.
 func spent(e *experiment.Experiment, phase string, r PhaseReading, put func(string, float64)) {
 	seconds := r.After.At.Sub(r.Before.At).Seconds()
-	borne := map[string]int{"proxy": e.Hollow.Proxies, "real": len(e.ProxyNodes()), "nodo": e.Hollow.Nodos}
+	borne := map[string]int{"proxy": e.Hollow.Proxies, "real": len(e.ProxyNodes()), "nodo": e.Hollow.Servers}
 	for role, after := range r.After.Roles {
 		before := r.Before.Roles[role]
 		each := (after.Each - before.Each).Seconds()
--- a/internal/faultlab/result/figures.go
+++ b/internal/faultlab/result/figures.go
@@ -20,7 +20,7 @@
 	stretch      = 4             // windows over which service is taken to be back or not
 	beforeSpan   = 5.0           // seconds before a fault that say what service was
 	backPart     = 0.95          // of it, to be back
-	latencyMost  = 3_600_000_000 // µs
+	maxLatency   = 3_600_000_000 // µs
 	latencyExact = 3             // figures
 )
 
@@ -58,36 +58,36 @@
 // client is an arrival with what came of all its tries.
 type client struct {
 	*plan.Arrival
-	tries  []*referee.Try
-	end    referee.End   // Served, Refused, Failed, Unreached
-	took   time.Duration // from the planned moment, if served
-	inTime bool
+	attempts []*referee.ClientAttempt
+	end      referee.End   // Served, Refused, Failed, Unreached
+	took     time.Duration // from the planned moment, if served
+	inTime   bool
 }
 
 // clients gathers the tries by arrival; arrivals that were not played are left out.
 func (in *Input) clients() []client {
-	byArrival := make([][]*referee.Try, len(in.Plan.Arrivals))
-	for _, t := range in.Record.Tries {
+	byArrival := make([][]*referee.ClientAttempt, len(in.Plan.Arrivals))
+	for _, t := range in.Record.ClientAttempts {
 		byArrival[t.Arrival] = append(byArrival[t.Arrival], t)
 	}
 	var out []client
 	for i := range in.Plan.Arrivals {
 		a := &in.Plan.Arrivals[i]
-		c := client{Arrival: a, tries: byArrival[i]}
-		if len(c.tries) == 0 {
+		c := client{Arrival: a, attempts: byArrival[i]}
+		if len(c.attempts) == 0 {
 			continue
 		}
 		planned := in.Start.Add(a.At)
-		aim := experiment.Millis(in.Exp.Classes[a.Class].AimMs)
+		aim := experiment.Millis(in.Exp.Classes[a.Class].ObjectiveMs)
 		c.end = referee.Unreached
-		for _, t := range c.tries {
+		for _, t := range c.attempts {
 			switch {
 			case t.End == referee.Served:
 				if took := t.Ended.Sub(planned); c.end != referee.Served || took < c.took {
 					c.end, c.took = referee.Served, took
 				}
 			case c.end == referee.Served:
-			case t.End == referee.Refused, t.End == referee.Unreached:
+			case t.End == referee.Rejected, t.End == referee.Unreached:
 				c.end = t.End
 			default:
 				c.end = referee.Failed
@@ -108,7 +108,7 @@
 		}
 		weight := 1.0
 		if name == "worth_in_time" {
-			weight = e.Classes[c.Class].Worth
+			weight = e.Classes[c.Class].Weight
 		}
 		all += weight
 		switch name {
@@ -121,7 +121,7 @@
 				continue
 			}
 		case "refused":
-			if c.end != referee.Refused {
+			if c.end != referee.Rejected {
 				continue
 			}
 		case "failed":
@@ -165,7 +165,7 @@
 	p.avoidance(in, cs, f)
 	t := in.Record.Tally
 	for name, n := range map[string]int{"handshakes": len(in.Record.Connects), "list_calls": t.ListCalls,
-		"watch_breaks": t.WatchBreaks, "late_answers": t.Late, "turned_back": t.TurnedBack, "resent": t.Resent,
+		"watch_breaks": t.WatchBreaks, "late_answers": t.Late, "turned_back": t.Rejected, "resent": t.Resent,
 		"tipped": t.Tipped, "crashed": t.Crashed} {
 		f[name] = float64(n)
 	}
@@ -192,7 +192,7 @@
 			delete(f, name)
 		}
 	}
-	p.Figures = f
+	p.Metrics = f
 }
 
 func (p *Play) expected(e *experiment.Experiment, cs []client, f map[string]float64, x experiment.Expect) float64 {
@@ -229,7 +229,7 @@
 	}
 	cross, waste := 0, time.Duration(0)
 	var waits []time.Duration
-	first := map[*referee.Try]bool{}
+	first := map[*referee.ClientAttempt]bool{}
 	for _, a := range in.Record.Attempts {
 		from := zoneOf[a.Of().Proxy]
 		if row, to := p.Attempts[from], slices.Index(p.Zones, a.Zone); row != nil && to >= 0 {
@@ -246,7 +246,7 @@
 			waits = append(waits, a.First.Sub(t.Taken))
 		}
 	}
-	f["requests"], f["tries"], f["attempts"] = float64(len(cs)), float64(len(in.Record.Tries)), float64(len(in.Record.Attempts))
+	f["requests"], f["tries"], f["attempts"] = float64(len(cs)), float64(len(in.Record.ClientAttempts)), float64(len(in.Record.Attempts))
 	f["attempts_per_request"] = over(f["attempts"], f["requests"])
 	f["cross_zone"], f["cross_zone_share"] = float64(cross), over(float64(cross), f["attempts"])
 	f["waste_ms"] = float64(waste) / float64(time.Millisecond)
@@ -256,7 +256,7 @@
 // latency is of all that was served, in time or not, from the planned moment of the first try.
 func (p *Play) latency(in Input, cs []client, f map[string]float64) {
 	p.Latency = map[string][]float64{}
-	all := hdrhistogram.New(1, latencyMost, latencyExact)
+	all := hdrhistogram.New(1, maxLatency, latencyExact)
 	of := func(h *hdrhistogram.Histogram) (out []float64) {
 		for _, q := range Percentiles {
 			out = append(out, float64(h.ValueAtQuantile(q))/1000)
@@ -264,10 +264,10 @@
 		return out
 	}
 	for k, class := range in.Exp.Classes {
-		h := hdrhistogram.New(1, latencyMost, latencyExact)
+		h := hdrhistogram.New(1, maxLatency, latencyExact)
 		for _, c := range cs {
 			if c.Class == k && c.end == referee.Served && c.At.Seconds() >= in.Exp.Warmup {
-				_ = h.RecordValue(min(max(c.took.Microseconds(), 1), latencyMost))
+				_ = h.RecordValue(min(max(c.took.Microseconds(), 1), maxLatency))
 			}
 		}
 		if h.TotalCount() > 0 {
@@ -291,14 +291,14 @@
 	}
 	for _, c := range cs {
 		w := &p.Windows[min(int(c.At/windowWidth), n-1)]
-		worth := in.Exp.Classes[c.Class].Worth
+		worth := in.Exp.Classes[c.Class].Weight
 		w.Arrived++
-		w.Worth += worth
+		w.Weight += worth
 		switch c.end {
 		case referee.Served:
 			w.Served++
-		case referee.Refused:
-			w.Refused++
+		case referee.Rejected:
+			w.Rejected++
 		default:
 			w.Failed++
 		}
@@ -318,7 +318,7 @@
 	worth, in := 0.0, 0.0
 	to = min(to, len(p.Windows))
 	for _, w := range p.Windows[min(max(from, 0), to):to] {
-		worth, in = worth+w.Worth, in+w.InTime
+		worth, in = worth+w.Weight, in+w.InTime
 	}
 	return over(in, worth)
 }
--- a/internal/faultlab/result/result.go
+++ b/internal/faultlab/result/result.go
@@ -28,7 +28,7 @@
 	Machine  Machine          `json:"machine"`
 	Partial  string           `json:"partial,omitempty"` // why the run is not whole
 	Plays    []Play           `json:"plays"`
-	Figures  map[string]Range `json:"figures"`
+	Metrics  map[string]Range `json:"figures"`
 	Expected []Verdict        `json:"expected"`
 	Held     bool             `json:"held"` // every expectation of every play; of no meaning for a void run
 }
@@ -48,7 +48,7 @@
 	Partial    bool                 `json:"partial,omitempty"`
 	Late       Lateness             `json:"late"`
 	LabMB      float64              `json:"lab_mb"` // the lab's own peak of resident memory
-	Figures    map[string]float64   `json:"figures"`
+	Metrics    map[string]float64   `json:"figures"`
 	Broken     map[string]int       `json:"broken"`
 	Violations []referee.Violation  `json:"violations,omitempty"`
 	Events     []Event              `json:"events"`
@@ -85,11 +85,11 @@
 // Window is half a second of arrivals.
 type Window struct {
 	At       float64 `json:"at"`
-	Worth    float64 `json:"worth"`
+	Weight   float64 `json:"worth"`
 	InTime   float64 `json:"in_time"` // worth
 	Arrived  int     `json:"arrived"`
 	Served   int     `json:"served"`
-	Refused  int     `json:"refused"`
+	Rejected int     `json:"refused"`
 	Failed   int     `json:"failed"`
 	Connects int     `json:"connects"` // to nodos
 }
@@ -129,7 +129,7 @@
 
 // Conclude sums the plays up and judges what was expected. Void plays count for nothing.
 func (r *Result) Conclude(e *experiment.Experiment) {
-	r.Figures, r.Expected, r.Held = map[string]Range{}, nil, true
+	r.Metrics, r.Expected, r.Held = map[string]Range{}, nil, true
 	var whole []Play
 	for _, p := range r.Plays {
 		if p.Void == "" {
@@ -138,12 +138,12 @@
 	}
 	byName := map[string][]float64{}
 	for _, p := range whole {
-		for name, v := range p.Figures {
+		for name, v := range p.Metrics {
 			byName[name] = append(byName[name], v)
 		}
 	}
 	for name, vs := range byName {
-		r.Figures[name] = rangeOf(vs)
+		r.Metrics[name] = rangeOf(vs)
 	}
 	judge := func(x experiment.Expect, of func(Play) float64) {
 		v := Verdict{Figure: x.Figure, Min: x.Min, Max: x.Max, From: x.From, To: x.To, Held: true}
@@ -162,7 +162,7 @@
 	if e.Lab.Rules == "enforce" {
 		zero := 0.0
 		for _, rule := range append(prefixed(experiment.Rules), "crashed") {
-			judge(experiment.Expect{Figure: rule, Max: &zero}, func(p Play) float64 { return p.Figures[rule] })
+			judge(experiment.Expect{Figure: rule, Max: &zero}, func(p Play) float64 { return p.Metrics[rule] })
 		}
 	}
 	for i, x := range e.Expect {
@@ -192,7 +192,7 @@
 // Names are the figures' names in order: broken rules last.
 func (r *Result) Names() []string {
 	var names []string
-	for name := range r.Figures {
+	for name := range r.Metrics {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, func(a, b string) int {
--- a/internal/faultlab/result/result_test.go
+++ b/internal/faultlab/result/result_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	start := time.Unix(1000, 0)
 	e.Seconds, e.Zones = 20, []experiment.Zone{{Name: "z", Proxies: 1}}
-	e.Classes = []experiment.Class{{Name: "c", AimMs: 100, Worth: 2}}
+	e.Classes = []experiment.Class{{Name: "c", ObjectiveMs: 100, Weight: 2}}
 	in := Input{Exp: e, Plan: &plan.Plan{}, Start: start, Events: events}
 	for _, ev := range events {
 		in.Plan.Strikes = append(in.Plan.Strikes, plan.Strike{N: ev.N})
@@ -27,7 +27,7 @@
 		if s := at.Seconds(); s >= from && s < to {
 			took = 150 * time.Millisecond
 		}
-		in.Record.Tries = append(in.Record.Tries, &referee.Try{Arrival: i, End: referee.Served, Ended: start.Add(at + took)})
+		in.Record.ClientAttempts = append(in.Record.ClientAttempts, &referee.ClientAttempt{Arrival: i, End: referee.Served, Ended: start.Add(at + took)})
 	}
 	var p Play
 	p.Fill(in)
@@ -81,7 +81,7 @@
 	if want := "play 1: in_time is 0, wanted at least 0.9\n"; r.Expected[1].Text != want || r.Held {
 		t.Errorf("got %q, want %q", r.Expected[1].Text, want)
 	}
-	if g := r.Figures["in_time"]; g != (Range{Median: 1, Min: 0.75, Max: 1}) {
+	if g := r.Metrics["in_time"]; g != (Range{Median: 1, Min: 0.75, Max: 1}) {
 		t.Errorf("in_time over the plays: %+v", g)
 	}
 	dir := t.TempDir()
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(again.Plays) != 4 || again.Figures["p50_ms"] != r.Figures["p50_ms"] {
+	if len(again.Plays) != 4 || again.Metrics["p50_ms"] != r.Metrics["p50_ms"] {
 		t.Error("it does not read back what it wrote")
 	}
 }
--- a/internal/faultlab/result/room.go
+++ b/internal/faultlab/result/room.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	roomSpan = 10.0 // seconds after a fault's beginning
-	roomStep = 0.1
+	headroomSpan = 10.0 // seconds after a fault's beginning
+	headroomStep = 0.1
 )
 
 // hit is a span in which a nodo does a part of its work, and how long it is cold afterwards.
 type hit struct {
 	from, to, part float64
-	cold           bool
+	warming        bool
 }
 
 // hits are what the faults of a plan do to each nodo's room.
@@ -36,7 +36,7 @@
 		part, cold := 0.0, false
 		switch f.Kind {
 		case "zone_loss":
-			for _, n := range in.Exp.NodoNodes() {
+			for _, n := range in.Exp.ServerNodes() {
 				if n.Zone == f.Zone {
 					out[n.Name] = append(out[n.Name], hit{s.At.Seconds(), until(s.At), 0, true})
 				}
@@ -60,15 +60,15 @@
 }
 
 // partOf is a nodo's part of its whole room at a moment.
-func partOf(hits []hit, at float64, n experiment.Nodos) float64 {
+func partOf(hits []hit, at float64, n experiment.Servers) float64 {
 	part := 1.0
 	for _, h := range hits {
-		cold := n.ColdMs / 1000
+		cold := n.SlowStartMs / 1000
 		switch {
 		case at < h.from:
 		case at < h.to:
 			part *= h.part
-		case h.cold && at < h.to+cold:
+		case h.warming && at < h.to+cold:
 			part *= n.StartCapacity + (1-n.StartCapacity)*(at-h.to)/cold
 		}
 	}
@@ -76,15 +76,15 @@
 }
 
 // room is the work, in seconds of a slot of speed 1, that the nodos of some zones can do in a span.
-func (in *Input) room(from, to float64, zone func(string) bool) (work float64) {
+func (in *Input) headroom(from, to float64, zone func(string) bool) (work float64) {
 	hits := in.hits()
-	for _, n := range in.Exp.NodoNodes() {
+	for _, n := range in.Exp.ServerNodes() {
 		if !zone(n.Zone) {
 			continue
 		}
-		for at := from; at < to; at += roomStep {
-			width := math.Min(roomStep, to-at)
-			work += n.Group.Speed * float64(n.Group.Slots) * width * partOf(hits[n.Name], at+width/2, in.Exp.Nodos)
+		for at := from; at < to; at += headroomStep {
+			width := math.Min(headroomStep, to-at)
+			work += n.Group.Speed * float64(n.Group.Slots) * width * partOf(hits[n.Name], at+width/2, in.Exp.Servers)
 		}
 	}
 	return work
@@ -93,8 +93,8 @@
 // roomWorth is the worth answered in time in the roomSpan after a fault's beginning, over the most that the room left
 // allows for what came: that of the requests of most worth for their work, until the room is full. What found no proxy is
 // left out of both. A zone that is cut off has its own room for its own callers.
-func (in *Input) roomWorth(cs []client, ev Event) float64 {
-	to := math.Min(ev.From+roomSpan, in.Exp.Seconds)
+func (in *Input) headroomWeight(cs []client, ev Event) float64 {
+	to := math.Min(ev.From+headroomSpan, in.Exp.Seconds)
 	zones := in.Exp.ZoneNames()
 	sides := []func(string) bool{func(string) bool { return true }}
 	if s := in.Plan.Strikes[ev.N-1]; s.Fault.Kind == "zone_cut" {
@@ -110,24 +110,24 @@
 			}
 			came = append(came, c.Arrival)
 			if c.inTime {
-				got += in.Exp.Classes[c.Class].Worth
+				got += in.Exp.Classes[c.Class].Weight
 			}
 		}
-		allowed += best(in.Exp.Classes, came, in.room(ev.From, to, side))
+		allowed += best(in.Exp.Classes, came, in.headroom(ev.From, to, side))
 	}
 	return over(got, allowed)
 }
 
 // best is the most worth that so much work can earn.
 func best(classes []experiment.Class, came []*plan.Arrival, work float64) (worth float64) {
-	dense := func(a *plan.Arrival) float64 { return classes[a.Class].Worth / math.Max(a.Work.Seconds(), 1e-6) }
+	dense := func(a *plan.Arrival) float64 { return classes[a.Class].Weight / math.Max(a.Work.Seconds(), 1e-6) }
 	slices.SortFunc(came, func(a, b *plan.Arrival) int { return cmp.Compare(dense(b), dense(a)) })
 	for _, a := range came {
 		part := math.Min(1, work/math.Max(a.Work.Seconds(), 1e-6))
 		if part <= 0 {
 			break
 		}
-		worth += part * classes[a.Class].Worth
+		worth += part * classes[a.Class].Weight
 		work -= a.Work.Seconds()
 	}
 	return worth
--- a/internal/faultlab/run/block.go
+++ b/internal/faultlab/run/block.go
@@ -26,7 +26,7 @@
 	proxyOctet = 1
 	gossipOct  = 3
 	listOctet  = 5
-	rosterIP   = 8
+	registryIP = 8
 	nodoOctet  = 10
 	hollowOct  = 230 // and up, of hollow proxies in their fleet
 	controlOct = 229
@@ -66,17 +66,17 @@
 const (
 	pairsFrom  = 10 // of the addresses below rosterIP
 	nearFrom   = 60
-	mostOfEach = 8
+	maxPerKind = 8
 )
 
-func (b *block) member(n, port int) string { return b.addr(rosterIP, n, port) }
+func (b *block) member(n, port int) string { return b.addr(registryIP, n, port) }
 
 func (b *block) memberLink(from, to, port int) string {
-	return b.addr(rosterIP, pairsFrom+from*mostOfEach+to, port)
+	return b.addr(registryIP, pairsFrom+from*maxPerKind+to, port)
 }
 
 func (b *block) memberNear(zone, to, port int) string {
-	return b.addr(rosterIP, nearFrom+zone*mostOfEach+to, port)
+	return b.addr(registryIP, nearFrom+zone*maxPerKind+to, port)
 }
 
 func (b *block) listMember(proxy, member int) string {
@@ -86,19 +86,19 @@
 // Where the hollow proxies and nodos of a zone find a member, where a process of them is told what to do, where hollow proxy
 // n speaks to its fleet, and where hollow nodos are said to be.
 func (b *block) hollowList(zone, to int) string {
-	return b.addr(rosterIP, nearFrom+zone*mostOfEach+to, listPort+1)
+	return b.addr(registryIP, nearFrom+zone*maxPerKind+to, listPort+1)
 }
 
 func (b *block) hollowLease(zone, to int) string {
-	return b.addr(rosterIP, nearFrom+zone*mostOfEach+to, listPort+2)
+	return b.addr(registryIP, nearFrom+zone*maxPerKind+to, listPort+2)
 }
 
 func (b *block) hollowControl(n int) string { return b.addr(controlOct, n, mgmtPort) }
 func (b *block) hollowGossip(n int) string  { return b.addr(hollowOct, n, gossipPort) }
 func (b *block) hollowRelay(n int) string   { return b.addr(hollowOct, n, relayPort) }
-func (b *block) hollowNodo() string         { return b.addr(controlOct, perOctet-1, 9) }
+func (b *block) hollowServer() string       { return b.addr(controlOct, perOctet-1, 9) }
 
-func (b *block) nodo(n int) (string, error) {
+func (b *block) server(n int) (string, error) {
 	if nodoOctet+n/perOctet > lastOctet {
 		return "", fmt.Errorf("over %d links from proxies to nodos", n)
 	}
--- a/internal/faultlab/run/config.go
+++ b/internal/faultlab/run/config.go
@@ -16,23 +16,23 @@
 func settings(e *experiment.Experiment, ordinal, zone int) map[string]any {
 	var profiles []any
 	for _, k := range e.Classes {
-		p := map[string]any{"name": k.Name, "objective_us": micros(k.AimMs), "give_up_us": micros(k.GiveUpMs),
-			"worth": k.Worth, "late_share": 0.0, "repeat": k.Repeat, "stream": false, "dedup_scope": "all",
+		p := map[string]any{"name": k.Name, "objective_us": micros(k.ObjectiveMs), "give_up_us": micros(k.GiveUpMs),
+			"worth": k.Weight, "late_share": 0.0, "repeat": k.Repeat, "stream": false, "dedup_scope": "all",
 			"dedup_window_us": 0}
 		if k.Repeat == "deduplicated" {
 			p["dedup_scope"], p["dedup_window_us"] = k.Scope, micros(k.WindowMs)
 		}
 		profiles = append(profiles, p)
 	}
-	n, x := e.Nodos, e.Proxy
+	n, x := e.Servers, e.Proxy
 	s := map[string]any{
-		"contract": map[string]any{"answer_slack_us": micros(x.SlackMs), "ask_every_us": micros(x.AskEveryMs),
-			"cold_us": micros(n.ColdMs), "drain_grace_us": micros(x.DrainGraceMs), "fall_us": micros(n.FallMs),
-			"start_capacity": n.StartCapacity, "tip_multiple": n.TipMultiple},
+		"contract": map[string]any{"answer_slack_us": micros(x.SlackMs), "ask_every_us": micros(x.PollIntervalMs),
+			"cold_us": micros(n.SlowStartMs), "drain_grace_us": micros(x.DrainGraceMs), "fall_us": micros(n.FallMs),
+			"start_capacity": n.StartCapacity, "tip_multiple": n.OverloadMultiple},
 		"counted_by": "request", "failure_domains": e.ZoneNames(), "membership_mode": x.Membership, "my_zone": zone,
 		"limits": map[string]any{"cancelling": n.Cancelling, "dial_timeout_us": micros(x.DialMs),
 			"idle_close_us": micros(x.IdleMs), "max_retry_after_us": micros(x.RetryAfterMs),
-			"retry_after": x.RetryAfterMs > 0, "second_copies": x.SecondCopies, "try_limit": x.TryLimit,
+			"retry_after": x.RetryAfterMs > 0, "second_copies": x.SecondCopies, "try_limit": x.MaxAttempts,
 			"streams_per_conn": 1, "peers": false, "probes": false},
 		"ordinal": ordinal, "siblings": len(e.ProxyNodes()), "profiles": profiles, "tenants": []any{},
 		"tiers": []string{"lab"}, "stage": stage, "weights": "off",
--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -23,36 +23,36 @@
 )
 
 const (
-	stayAfterTerm   = 300 * time.Millisecond // new connections keep coming to a proxy that was told to end
-	killAfter       = 3 * time.Second        // SIGKILL follows SIGTERM by the longest deadline, or this if it is longer
-	killLeeway      = 700 * time.Millisecond
-	successorWait   = 6 * time.Second // for a successor's yes
-	drainTime       = 2 * time.Second // from a nodo's draining to its end
-	tornBefore      = 5 * time.Second // a power loss may take what was written so long before it
-	readyzPoll      = 50 * time.Millisecond
-	reopenPatience  = 20 * time.Second // for a proxy that was started again to be admitted
-	callPatience    = time.Second
-	groupOfZone     = "zone " // a group of proxies that share their links
-	longestNodoName = 64
+	stayAfterTerm  = 300 * time.Millisecond // new connections keep coming to a proxy that was told to end
+	killAfter      = 3 * time.Second        // SIGKILL follows SIGTERM by the longest deadline, or this if it is longer
+	killLeeway     = 700 * time.Millisecond
+	successorWait  = 6 * time.Second // for a successor's yes
+	drainTime      = 2 * time.Second // from a nodo's draining to its end
+	tornBefore     = 5 * time.Second // a power loss may take what was written so long before it
+	readyzPoll     = 50 * time.Millisecond
+	reopenPatience = 20 * time.Second // for a proxy that was started again to be admitted
+	callPatience   = time.Second
+	groupOfZone    = "zone " // a group of proxies that share their links
+	maxServerName  = 64
 )
 
 // fleet is all that a play runs: it owns the processes, nodos, list and links, and carries faults out.
 type fleet struct {
-	exp     *experiment.Experiment
-	plan    *plan.Plan
-	command []string
-	roster  []string // the list service's program
-	log     *slog.Logger
-	block   *block
-	net     *link.Net
-	ref     *referee.Referee
-	list    *catalog.Catalog // the stand-in; nil with a service
-	service *service.Service // nil with the stand-in
-	front   *load.Front
-	client  *load.Client
-	starter *process.Starter
-	work    string // directory of the proxies' own
-	logs    string
+	exp      *experiment.Experiment
+	plan     *plan.Plan
+	command  []string
+	registry []string // the list service's program
+	log      *slog.Logger
+	block    *block
+	net      *link.Net
+	ref      *referee.Referee
+	list     *catalog.Catalog // the stand-in; nil with a service
+	service  *service.Service // nil with the stand-in
+	front    *load.Front
+	client   *load.Client
+	starter  *process.Starter
+	work     string // directory of the proxies' own
+	logs     string
 
 	self     []string         // a hollow process's program
 	hollow   []*hollowProcess // of proxies, then of nodos
@@ -91,7 +91,7 @@
 func (f *fleet) build() error {
 	f.net = link.New(f.plan.Seed)
 	f.ref = referee.New(terms(f.exp))
-	f.net.Watch(func(e link.Ends, at time.Time) { f.knock(e, at, false) })
+	f.net.Watch(func(e link.Ends, at time.Time) { f.recordUnansweredSend(e, at, false) })
 	f.members, f.servers, f.addrs = map[string]*member{}, map[string]*server{}, map[string]string{}
 	f.speakers = map[netip.Addr]experiment.Node{}
 	f.rng = f.plan.Source("fleet")
@@ -111,7 +111,7 @@
 	}
 	f.client = load.New(f.exp, f.plan, f.front, f.ref)
 	var entries []catalog.Entry
-	for i, n := range f.exp.NodoNodes() {
+	for i, n := range f.exp.ServerNodes() {
 		s, err := f.addServer(n, i, time.Time{}, false)
 		if err != nil {
 			return err
@@ -127,7 +127,7 @@
 	}
 	f.list = catalog.New(catalog.Config{Lag: experiment.Millis(l.LagMs), Call: experiment.Millis(l.CallMs),
 		Line: time.Duration(l.LineUs * float64(time.Microsecond)), Wait: experiment.Millis(l.WaitMs),
-		Sync: experiment.Millis(l.SyncMs), Retain: l.RetainN, Most: l.MostN, Seed: f.plan.Seed, Address: f.address,
+		Sync: experiment.Millis(l.SyncMs), Retain: l.RetainN, Most: l.MaxEntries, Seed: f.plan.Seed, Address: f.address,
 	}, f.ref, entries)
 	for _, m := range f.order {
 		ends := link.Ends{Kind: "list", From: m.node.Name, FromZone: m.node.Zone, ToZone: l.Zone}
@@ -141,10 +141,10 @@
 }
 
 func terms(e *experiment.Experiment) referee.Terms {
-	t := referee.Terms{TryLimit: e.Proxy.TryLimit, SecondCopies: e.Proxy.SecondCopies,
+	t := referee.Terms{MaxAttempts: e.Proxy.MaxAttempts, SecondCopies: e.Proxy.SecondCopies,
 		DrainGrace: experiment.Millis(e.Proxy.DrainGraceMs), Slack: experiment.Millis(e.Proxy.SlackMs)}
 	if e.Proxy.Membership == "subscribe" {
-		t.AskEvery = experiment.Millis(e.Proxy.AskEveryMs)
+		t.PollInterval = experiment.Millis(e.Proxy.PollIntervalMs)
 	}
 	repeats := map[string]referee.Repeat{"idempotent": referee.Safe, "deduplicated": referee.Keyed,
 		"at_most_once": referee.Unsafe}
--- a/internal/faultlab/run/gossip.go
+++ b/internal/faultlab/run/gossip.go
@@ -13,7 +13,7 @@
 
 // buildGossip puts a relay before each proxy, by which the others find it.
 func (f *fleet) buildGossip() (err error) {
-	if !f.exp.Fleet.On {
+	if !f.exp.Cluster.On {
 		return nil
 	}
 	for _, m := range f.order {
@@ -41,7 +41,7 @@
 
 // gossipReport is what the relays of proxies passed on. Where one had no room, the lab took part in the loss.
 func (f *fleet) gossipReport() (*result.Gossip, error) {
-	if !f.exp.Fleet.On {
+	if !f.exp.Cluster.On {
 		return nil, nil
 	}
 	var out result.Gossip
@@ -66,7 +66,7 @@
 	if err := m.relay.To(bind); err != nil {
 		return nil, err
 	}
-	return map[string]any{"bind": bind, "advertise": m.relay.Addr(), "label": f.exp.Fleet.Label, "seeds": f.seeds(m.node)}, nil
+	return map[string]any{"bind": bind, "advertise": m.relay.Addr(), "label": f.exp.Cluster.Label, "seeds": f.seeds(m.node)}, nil
 }
 
 // seeds are the proxies that another member is told to join at: the first of each zone, then the second, and so on.
@@ -81,7 +81,7 @@
 	slices.SortStableFunc(order, func(a, b *member) int { return in[a] - in[b] })
 	var out []string
 	for _, o := range order {
-		if o.node.Name != of.Name && len(out) < f.exp.Fleet.Seeds {
+		if o.node.Name != of.Name && len(out) < f.exp.Cluster.Seeds {
 			out = append(out, o.relay.Addr())
 		}
 	}
@@ -92,7 +92,7 @@
 // on some links is what it is answered on others, since either dials. The side is that of from_zone, zone or proxies, and
 // the other one to_zone or all the rest; with no side named it is all of it.
 func gossips(f experiment.Fault) (out, back func(link.Ends) bool) {
-	if f.Link != "" && f.Link != "gossip" || len(f.Nodos) > 0 {
+	if f.Link != "" && f.Link != "gossip" || len(f.Servers) > 0 {
 		none := func(link.Ends) bool { return false }
 		return none, none
 	}
--- a/internal/faultlab/run/gossip_test.go
+++ b/internal/faultlab/run/gossip_test.go
@@ -34,7 +34,7 @@
 		loss     float64
 	}{
 		{"another kind of link", experiment.Fault{Kind: "cut", Link: "nodo"}, "a", "b", true, 0},
-		{"nodos' links of all kinds", experiment.Fault{Kind: "cut", Nodos: []string{"a-s1"}}, "a", "b", true, 0},
+		{"nodos' links of all kinds", experiment.Fault{Kind: "cut", Servers: []string{"a-s1"}}, "a", "b", true, 0},
 		{"all", experiment.Fault{Kind: "cut"}, "a", "b", false, 0},
 		{"out of a zone", experiment.Fault{Kind: "cut", Link: "gossip", Zone: "a", Direction: "out"}, "a", "b", false, 0},
 		{"out of a zone, into it", experiment.Fault{Kind: "cut", Link: "gossip", Zone: "a", Direction: "out"}, "b", "a", true, 0},
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -85,8 +85,8 @@
 		if s := h.ConfigService(i); s > 0 {
 			x.Service = experiment.ServiceName(s)
 		}
-		if f.exp.Fleet.On {
-			p.cfg.Fleet = &hollow.Fleet{Label: f.exp.Fleet.Label}
+		if f.exp.Cluster.On {
+			p.cfg.Fleet = &hollow.Fleet{Label: f.exp.Cluster.Label}
 			x.Bind, x.Seeds = f.block.hollowGossip(i), f.hollowSeeds(i)
 			if h.Relays {
 				x.Advertise = f.block.hollowRelay(i)
@@ -96,18 +96,18 @@
 		}
 		p.cfg.Proxies = append(p.cfg.Proxies, x)
 	}
-	if f.exp.Fleet.On && h.Relays {
+	if f.exp.Cluster.On && h.Relays {
 		relays := f.hollowRelays()
 		for _, p := range proxies {
 			p.cfg.Relays = relays
 		}
 	}
-	nodos := add("hollow-nodos", h.NodoProcesses())
+	nodos := add("hollow-nodos", h.ServerProcesses())
 	f.hollowOf = map[string]*hollowProcess{}
-	for i, n := range f.exp.HollowNodos() {
+	for i, n := range f.exp.HollowServers() {
 		p := nodos[i%len(nodos)]
 		f.hollowOf[n.Name] = p
-		p.cfg.Nodos = append(p.cfg.Nodos, hollow.Nodo{Name: n.Name, Zone: n.Zone, Address: f.block.hollowNodo(),
+		p.cfg.Nodos = append(p.cfg.Nodos, hollow.Nodo{Name: n.Name, Zone: n.Zone, Address: f.block.hollowServer(),
 			Lists: leases[experiment.RegionOf(n.Zone)]})
 	}
 	return nil
@@ -261,7 +261,7 @@
 }
 
 // hollowNodos has hollow nodos do what a fault says, each at its turn.
-func (t *timeline) hollowNodos(ctx context.Context, s plan.Strike) error {
+func (t *timeline) strikeHollowServers(ctx context.Context, s plan.Strike) error {
 	act, _ := strings.CutPrefix(s.Fault.Kind, "hollow_")
 	orders := map[*hollowProcess]*hollow.Order{}
 	last := time.Duration(0)
--- a/internal/faultlab/run/knocks.go
+++ b/internal/faultlab/run/knocks.go
@@ -22,9 +22,9 @@
 const dialsEvery = 25 * time.Millisecond
 
 // knock notes what a proxy sent a nodo into silence.
-func (f *fleet) knock(e link.Ends, at time.Time, dial bool) {
+func (f *fleet) recordUnansweredSend(e link.Ends, at time.Time, dial bool) {
 	if e.Kind == "nodo" {
-		f.ref.Knocked(referee.Knock{At: at, Proxy: e.From, FromZone: e.FromZone, Nodo: e.To, Zone: e.ToZone, Dial: dial})
+		f.ref.RecordUnansweredSend(referee.UnansweredSend{At: at, Proxy: e.From, FromZone: e.FromZone, Server: e.To, Zone: e.ToZone, Dial: dial})
 	}
 }
 
@@ -33,7 +33,7 @@
 func (f *fleet) watchDials(ctx context.Context) {
 	seen := map[dial]bool{}
 	for sleep.For(ctx, dialsEvery) {
-		barred := f.net.Barred()
+		barred := f.net.Blocked()
 		if len(barred) == 0 {
 			continue
 		}
@@ -50,7 +50,7 @@
 			}
 			now[d] = true
 			if !seen[d] {
-				f.knock(e, at, true)
+				f.recordUnansweredSend(e, at, true)
 			}
 		}
 		seen = now
--- a/internal/faultlab/run/knocks_test.go
+++ b/internal/faultlab/run/knocks_test.go
@@ -29,14 +29,14 @@
 		t.Fatal(err)
 	}
 	defer up.Close()
-	if len(n.Barred()) > 0 {
+	if len(n.Blocked()) > 0 {
 		t.Error("barred before a fault")
 	}
 	if _, err := n.Apply(func(link.Ends) bool { return true }, link.Silent); err != nil {
 		t.Fatal(err)
 	}
-	if e := n.Barred()[addr]; e.To != "s" {
-		t.Errorf("barred: %+v", n.Barred())
+	if e := n.Blocked()[addr]; e.To != "s" {
+		t.Errorf("barred: %+v", n.Blocked())
 	}
 	gone := make(chan struct{})
 	go func() {
--- a/internal/faultlab/run/lies.go
+++ b/internal/faultlab/run/lies.go
@@ -11,11 +11,11 @@
 	"merlinpick/internal/faultlab/plan"
 )
 
-const firstLiar = 400 // of the ordinals: above those of proxies
+const firstByzantine = 400 // of the ordinals: above those of proxies
 
 // lie has liars join the gossip for a fault's time, one in each zone in turn.
 func (t *timeline) lie(ctx context.Context, s plan.Strike) error {
-	if !t.exp.Fleet.On {
+	if !t.exp.Cluster.On {
 		return nil
 	}
 	zones := t.exp.ZoneNames()
@@ -47,7 +47,7 @@
 // join has one liar join, behind a relay of its own.
 func (t *timeline) join(node experiment.Node, victims func() []byzantine.Victim) (*byzantine.Liar, error) {
 	t.mu.Lock()
-	n := firstLiar + t.liars
+	n := firstByzantine + t.liars
 	t.liars++
 	t.mu.Unlock()
 	r, err := t.relay(node, n)
@@ -59,5 +59,5 @@
 		return nil, err
 	}
 	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage), Bind: bind, Advertise: r.Addr(),
-		Label: t.exp.Fleet.Label, Seeds: t.seeds(node), Log: t.log}, victims, t.exp.ZoneNames())
+		Label: t.exp.Cluster.Label, Seeds: t.seeds(node), Log: t.log}, victims, t.exp.ZoneNames())
 }
--- a/internal/faultlab/run/lists.go
+++ b/internal/faultlab/run/lists.go
@@ -23,7 +23,7 @@
 	var carriesNone func(string) bool
 	if f.exp.Hollow.On() {
 		names := map[string]bool{}
-		for _, n := range f.exp.HollowNodos() {
+		for _, n := range f.exp.HollowServers() {
 			names[n.Name] = true
 		}
 		carriesNone = func(nodo string) bool { return names[nodo] }
@@ -32,7 +32,7 @@
 	for _, m := range f.order {
 		proxies = append(proxies, service.Proxy{Name: m.node.Name, Zone: m.node.Zone})
 	}
-	f.service, err = service.New(service.Config{Members: l.Members, Zones: f.exp.ZoneNames(), Proxies: proxies, Command: f.roster,
+	f.service, err = service.New(service.Config{Members: l.Members, Zones: f.exp.ZoneNames(), Proxies: proxies, Command: f.registry,
 		Lease: experiment.Millis(l.LeaseMs), Election: experiment.Millis(l.ElectionMs), Stale: experiment.Millis(l.StaleMs),
 		Dir: filepath.Join(f.work, "roster"), Logs: f.logs, Seed: f.plan.Seed, Net: f.net, Ref: f.ref, Starter: f.starter,
 		Log: f.log, Delay: f.delay, Address: f.address, List: f.block.listMember, Own: f.block.member,
@@ -53,7 +53,7 @@
 	f.mu.Unlock()
 	var waits []func(context.Context) error
 	for _, s := range all {
-		waits = append(waits, f.service.Begin(serviceNodo(s.entry)))
+		waits = append(waits, f.service.Begin(registeredServer(s.entry)))
 	}
 	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(f.exp.Lab.ReadyWait))
 	defer cancel()
@@ -65,8 +65,8 @@
 	return nil
 }
 
-func serviceNodo(e catalog.Entry) service.Nodo {
-	return service.Nodo{Name: e.Name, Zone: e.Zone, Type: e.Type, Group: e.Group, Since: e.Since}
+func registeredServer(e catalog.Entry) service.Server {
+	return service.Server{Name: e.Name, Zone: e.Zone, Type: e.Type, Group: e.Group, Since: e.Since}
 }
 
 // change tells the list what a nodo is now. A nodo that dies tells nobody: its lease ends.
@@ -77,7 +77,7 @@
 	}
 	switch e.Status {
 	case catalog.Serving:
-		f.service.Begin(serviceNodo(e))
+		f.service.Begin(registeredServer(e))
 	case catalog.Draining:
 		f.service.Drain(e.Name)
 	default:
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -110,7 +110,7 @@
 		m.seen[x.Name] = now
 		watches += now.Watches
 		if was.PID != now.PID { // another process: all that it has is new
-			was.CPU, was.Turned = 0, 0
+			was.CPU, was.Rejected = 0, 0
 		}
 		if first {
 			continue
@@ -126,7 +126,7 @@
 		spent.Each = 0
 		m.sum.Roles["five"] = m.sum.Roles["five"].Plus(spent)
 		if now.Up {
-			m.sum.Turned += max(0, now.Turned-was.Turned)
+			m.sum.Turned += max(0, now.Rejected-was.Rejected)
 		}
 	}
 	if !first {
@@ -135,7 +135,7 @@
 		m.sum.Roles["five"] = five
 	}
 	m.sum.Watches = max(m.sum.Watches, watches)
-	for role, n := range map[string]int{"proxy": m.exp.Hollow.Proxies, "real": len(m.order), "nodo": m.exp.Hollow.Nodos, "regions": 1} {
+	for role, n := range map[string]int{"proxy": m.exp.Hollow.Proxies, "real": len(m.order), "nodo": m.exp.Hollow.Servers, "regions": 1} {
 		s := m.sum.Roles[role]
 		t := roles[role]
 		s.In, s.Out, s.Calls = t.Sent, t.Answered, t.Pieces
@@ -152,9 +152,9 @@
 	m.look()
 	var fleet []hollow.ProxyFigures
 	var real []*hollow.FleetFigures
-	if m.exp.Fleet.On {
+	if m.exp.Cluster.On {
 		for _, x := range m.order {
-			real = append(real, realFleet(ctx, x.mgmt))
+			real = append(real, realProcesses(ctx, x.mgmt))
 		}
 		for _, p := range m.hollow {
 			f, err := p.figures(ctx, false)
@@ -275,7 +275,7 @@
 }
 
 // realFleet is how a real proxy stands with its fleet, by its management address; nil if it does not answer.
-func realFleet(ctx context.Context, mgmt string) *hollow.FleetFigures {
+func realProcesses(ctx context.Context, mgmt string) *hollow.FleetFigures {
 	ctx, cancel := context.WithTimeout(ctx, callPatience)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+mgmt+"/v1/metrics", nil)
--- a/internal/faultlab/run/need_test.go
+++ b/internal/faultlab/run/need_test.go
@@ -38,7 +38,7 @@
 		{"few descriptors", "scale-1300", machine{memory: 20 << 30, files: 1024, cores: 8}, nil, "descriptors"},
 		{"a fleet of 300", "scale-fleet-300", large, nil, ""},
 		{"a fleet of 1300", "scale-fleet-1300", large, nil, "cores"},
-		{"over half", "scale-1300", large, func(e *experiment.Experiment) { e.Hollow.Proxies, e.Hollow.Nodos = 5000, 5000 }, "MB of memory"},
+		{"over half", "scale-1300", large, func(e *experiment.Experiment) { e.Hollow.Proxies, e.Hollow.Servers = 5000, 5000 }, "MB of memory"},
 		{"many processes", "scale-30", large, func(e *experiment.Experiment) { e.Zones[0].Proxies = 290 }, "processes"},
 	} {
 		e := open(test.of)
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -28,11 +28,11 @@
 
 // Options are what a run needs beside its experiment.
 type Options struct {
-	Command []string // a proxy
-	Hollow  []string // a process of hollow proxies or nodos, but for its file; needed if the experiment has any
-	Roster  []string // a member of the list service; needed if the experiment has any
-	Out     string   // directory for the proxies' logs
-	Log     *slog.Logger
+	Command  []string // a proxy
+	Hollow   []string // a process of hollow proxies or nodos, but for its file; needed if the experiment has any
+	Registry []string // a member of the list service; needed if the experiment has any
+	Out      string   // directory for the proxies' logs
+	Log      *slog.Logger
 	// Progress is told now and then how far the load is; may be nil.
 	Progress func(at, of time.Duration, p Progress)
 }
@@ -64,7 +64,7 @@
 		return result.Play{}, err
 	}
 	out := result.Play{Seed: seed, Plan: sum}
-	f := &fleet{exp: e, plan: p, command: o.Command, roster: o.Roster, self: o.Hollow, log: o.Log, logs: filepath.Join(o.Out, "logs")}
+	f := &fleet{exp: e, plan: p, command: o.Command, registry: o.Registry, self: o.Hollow, log: o.Log, logs: filepath.Join(o.Out, "logs")}
 	if err := os.MkdirAll(f.logs, 0o755); err != nil {
 		return out, fmt.Errorf("logs: %w", err)
 	}
--- a/internal/faultlab/run/run_test.go
+++ b/internal/faultlab/run/run_test.go
@@ -100,10 +100,10 @@
 				broken = slices.DeleteFunc(broken, func(rule string) bool { return rule == "garbled" })
 			}
 			if want := test.rule; want == "" && len(broken) > 0 || want != "" && !slices.Equal(broken, []string{want}) {
-				t.Errorf("broken: %v, want [%s]; of %v requests: %+v", broken, want, p.Figures["requests"], p.Violations)
+				t.Errorf("broken: %v, want [%s]; of %v requests: %+v", broken, want, p.Metrics["requests"], p.Violations)
 			}
-			if p.Figures["served"] < 0.5 {
-				t.Errorf("%v served: the proxy was not put to the test", p.Figures["served"])
+			if p.Metrics["served"] < 0.5 {
+				t.Errorf("%v served: the proxy was not put to the test", p.Metrics["served"])
 			}
 		})
 	}
@@ -187,7 +187,7 @@
 		slices.Sort(want)
 		for name, q := range map[string]float64{"p50_ms": 0.5, "p90_ms": 0.9, "p99_ms": 0.99} {
 			computed := float64(want[int(q*float64(len(want)))]) / float64(time.Millisecond)
-			b.ReportMetric(p.Figures[name]/computed, name+"/computed")
+			b.ReportMetric(p.Metrics[name]/computed, name+"/computed")
 		}
 		b.ReportMetric(p.Late.P99, "late_p99_ms")
 	}
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -16,7 +16,7 @@
 
 // server is a nodo of the fleet, with what the list says of it.
 type server struct {
-	*stubserver.Nodo
+	*stubserver.Server
 	mu     sync.Mutex
 	node   experiment.Node
 	cell   int
@@ -68,16 +68,16 @@
 
 // addServer makes a nodo with a link from each group of proxies, and starts it.
 func (f *fleet) addServer(n experiment.Node, cell int, at time.Time, cold bool) (*server, error) {
-	if len(n.Name) > longestNodoName {
+	if len(n.Name) > maxServerName {
 		return nil, fmt.Errorf("nodo %s: replaced too often", n.Name)
 	}
-	c, number := f.exp.Nodos, cell
+	c, number := f.exp.Servers, cell
 	cell = cellOf(slices.Index(f.exp.ZoneNames(), n.Zone), number)
-	s := &server{node: n, cell: cell, Nodo: stubserver.New(stubserver.Spec{Name: n.Name, Zone: n.Zone, Cell: cell,
+	s := &server{node: n, cell: cell, Server: stubserver.New(stubserver.Spec{Name: n.Name, Zone: n.Zone, Cell: cell,
 		Speed: n.Group.Speed, Slots: n.Group.Slots, Queue: n.Group.Queue, MaxConns: c.MaxConns,
 		ConnectDelay: experiment.Millis(c.ConnectMs), ConnectWork: experiment.Millis(c.ConnectWork),
-		IdleClose: experiment.Millis(f.exp.Proxy.IdleMs), StartCapacity: c.StartCapacity, Cold: experiment.Millis(c.ColdMs),
-		TipMultiple: c.TipMultiple, Fall: experiment.Millis(c.FallMs), Cancelling: c.Cancelling,
+		IdleClose: experiment.Millis(f.exp.Proxy.IdleMs), StartCapacity: c.StartCapacity, SlowStart: experiment.Millis(c.SlowStartMs),
+		OverloadMultiple: c.OverloadMultiple, Fall: experiment.Millis(c.FallMs), Cancelling: c.Cancelling,
 		Seed: f.plan.Seed + uint64(number)}, f, f.ref)}
 	f.begin(s, at, cold)
 	f.mu.Lock()
@@ -91,7 +91,7 @@
 		}
 		seen[group] = true
 		f.mu.Lock()
-		addr, err := f.block.nodo(f.links)
+		addr, err := f.block.server(f.links)
 		f.links++
 		f.addrs[group+"/"+n.Name] = addr
 		f.mu.Unlock()
@@ -124,7 +124,7 @@
 }
 
 // tell tells the list what a nodo is now.
-func (f *fleet) tell(s *server, status string) {
+func (f *fleet) notify(s *server, status string) {
 	s.mu.Lock()
 	s.entry.Status = status
 	e := s.entry
@@ -148,7 +148,7 @@
 	s.mu.Unlock()
 	s.Stop()
 	f.net.Reset(to(s.node.Name))
-	f.tell(s, catalog.Deleted)
+	f.notify(s, catalog.Deleted)
 	return err
 }
 
@@ -158,7 +158,7 @@
 	s.downs++
 	s.mu.Unlock()
 	s.Stop()
-	f.tell(s, catalog.Deleted)
+	f.notify(s, catalog.Deleted)
 }
 
 // up ends one of the faults that keep a nodo down; with the last its process starts again, cold.
@@ -178,6 +178,6 @@
 	if end != nil {
 		err = end()
 	}
-	f.tell(s, catalog.Serving)
+	f.notify(s, catalog.Serving)
 	return err
 }
--- a/internal/faultlab/run/strike.go
+++ b/internal/faultlab/run/strike.go
@@ -81,11 +81,11 @@
 	case s.Fault.Kind == "gossip_lie":
 		return t.lie(ctx, s)
 	case kind.Hollow:
-		return t.hollowNodos(ctx, s)
+		return t.strikeHollowServers(ctx, s)
 	case kind.Configs:
 		return t.putConfigs(ctx, s)
-	case kind.Nodos:
-		return t.each(ctx, s, func(turn plan.Turn) error { return t.nodo(ctx, s, turn) })
+	case kind.Servers:
+		return t.each(ctx, s, func(turn plan.Turn) error { return t.strikeServer(ctx, s, turn) })
 	case kind.Links:
 		return t.links(ctx, s)
 	case kind.Members:
--- a/internal/faultlab/run/strike_configs.go
+++ b/internal/faultlab/run/strike_configs.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	putWait  = 3 * time.Second // for one answer
-	putPause = 100 * time.Millisecond
-	putMost  = 20 * time.Second // for all tries of one put
+	putWait        = 3 * time.Second // for one answer
+	putPause       = 100 * time.Millisecond
+	maxPutDuration = 20 * time.Second // for all tries of one put
 )
 
 // configs is what was put of services' configurations.
@@ -105,7 +105,7 @@
 // putConfig puts one, first at the member whose turn it is, and at the next one while there is no final answer.
 func (t *timeline) putConfig(ctx context.Context, put *result.Put, own *configured, text []byte, first int) {
 	members := len(t.service.Targets(nil))
-	ctx, cancel := context.WithTimeout(ctx, putMost)
+	ctx, cancel := context.WithTimeout(ctx, maxPutDuration)
 	defer cancel()
 	for try := first; ctx.Err() == nil; try++ {
 		status, version, err := t.askPut(ctx, t.block.member(try%members, listPort), put.Service, own.version, text)
--- a/internal/faultlab/run/strike_links.go
+++ b/internal/faultlab/run/strike_links.go
@@ -34,7 +34,7 @@
 	for _, r := range reaches {
 		for _, m := range t.order {
 			if r.match(link.Ends{Kind: "list", From: m.node.Name, FromZone: m.node.Zone, ToZone: t.exp.List.Zone}) {
-				excused = append(excused, t.ref.ListAway(m.node.Name, begun))
+				excused = append(excused, t.ref.ListUnavailable(m.node.Name, begun))
 			}
 			for _, z := range t.exp.ZoneNames() {
 				if r.match(link.Ends{Kind: "client", FromZone: z, To: m.node.Name, ToZone: m.node.Zone}) {
@@ -70,15 +70,15 @@
 		}
 		switch e.Kind {
 		case "client":
-			return len(f.Nodos) == 0 && one(f.Proxies, e.To)
+			return len(f.Servers) == 0 && one(f.Proxies, e.To)
 		case "member", "gossip":
 			return false // member_cut and gossips have these
 		case "lease":
-			return len(f.Nodos) == 0 && len(f.Proxies) == 0
+			return len(f.Servers) == 0 && len(f.Proxies) == 0
 		case "nodo":
-			return one(f.Nodos, e.To) && (shared && len(f.Proxies) == 0 || one(f.Proxies, e.From))
+			return one(f.Servers, e.To) && (shared && len(f.Proxies) == 0 || one(f.Proxies, e.From))
 		}
-		return len(f.Nodos) == 0 && one(f.Proxies, e.From)
+		return len(f.Servers) == 0 && one(f.Proxies, e.From)
 	}
 }
 
--- a/internal/faultlab/run/strike_nodos.go
+++ b/internal/faultlab/run/strike_nodos.go
@@ -12,7 +12,7 @@
 	"merlinpick/internal/faultlab/stubserver"
 )
 
-func (t *timeline) nodo(ctx context.Context, s plan.Strike, turn plan.Turn) error {
+func (t *timeline) strikeServer(ctx context.Context, s plan.Strike, turn plan.Turn) error {
 	srv, f := t.server(turn.Target), s.Fault
 	hamper := func(h stubserver.Hamper) error {
 		end := srv.Hamper(h)
@@ -60,10 +60,10 @@
 		if err != nil {
 			return err
 		}
-		t.tell(fresh, catalog.Serving)
+		t.notify(fresh, catalog.Serving)
 	}
 	srv.Drain(true)
-	t.tell(srv, catalog.Draining)
+	t.notify(srv, catalog.Draining)
 	sleep.For(ctx, drainTime)
 	if err := t.down(srv); err != nil || s.Fault.Kind == "nodo_replace" || s.For <= 0 || !t.until(ctx, turn.At+s.For) {
 		return err
--- a/internal/faultlab/run/strike_proxies.go
+++ b/internal/faultlab/run/strike_proxies.go
@@ -36,7 +36,7 @@
 		return t.each(ctx, s, func(turn plan.Turn) error {
 			m := t.members[turn.Target]
 			excused := t.ref.Excuse(turn.Target, time.Now())
-			away := t.ref.ListAway(turn.Target, time.Now())
+			away := t.ref.ListUnavailable(turn.Target, time.Now())
 			defer func() { excused(time.Now()); away(time.Now()) }()
 			if err := t.stopped(m, 1); err != nil {
 				return err
--- a/internal/faultlab/run/strike_reload.go
+++ b/internal/faultlab/run/strike_reload.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	heldUp    = 150 * time.Millisecond // the longest that a proxy may be held up
-	heldPause = 100 * time.Millisecond // between two
-	rudePause = 40 * time.Millisecond  // between two rude clients of one proxy, on average
-	reloadGap = 150 * time.Millisecond
+	heldUp           = 150 * time.Millisecond // the longest that a proxy may be held up
+	pausedStep       = 100 * time.Millisecond // between two
+	misbehavingPause = 40 * time.Millisecond  // between two rude clients of one proxy, on average
+	reloadGap        = 150 * time.Millisecond
 	// The platform sends no SIGHUP in a program's first second.
 	reloadAfter = time.Second
 	brokenPart  = 0.4 // of the configurations that come with SIGHUP
@@ -72,7 +72,7 @@
 			return err
 		}
 		sleep.For(ctx, time.Duration(r.Int64N(int64(heldUp))))
-		if err := t.stopped(m, -1); err != nil || !sleep.For(ctx, time.Duration(r.Int64N(int64(2*heldPause)))) {
+		if err := t.stopped(m, -1); err != nil || !sleep.For(ctx, time.Duration(r.Int64N(int64(2*pausedStep)))) {
 			return err
 		}
 	}
@@ -90,13 +90,13 @@
 	}
 	visiting, stop := context.WithDeadline(ctx, t.start.Add(at+s.For))
 	defer stop()
-	for sleep.For(visiting, time.Duration(r.Int64N(int64(2*rudePause)))) {
+	for sleep.For(visiting, time.Duration(r.Int64N(int64(2*misbehavingPause)))) {
 		v := misbehavingclient.Draw(r, class)
 		t.all.Go(func() {
 			begun := time.Now()
 			err := v.Make(ctx, m.listen)
 			if errors.Is(err, misbehavingclient.ErrUnanswered) {
-				t.ref.Rude(m.node.Name, begun, time.Now(), err.Error())
+				t.ref.Misbehaved(m.node.Name, begun, time.Now(), err.Error())
 			}
 		})
 	}
--- a/internal/faultlab/service/faults.go
+++ b/internal/faultlab/service/faults.go
@@ -134,7 +134,7 @@
 
 // mend waits for a member's word on its damaged directory.
 func (s *Service) mend(m *Member) {
-	for end := time.Now().Add(refuseWait); time.Now().Before(end); time.Sleep(readyPoll) {
+	for end := time.Now().Add(rejectDelay); time.Now().Before(end); time.Sleep(readyPoll) {
 		m.mu.Lock()
 		proc, dead := m.proc, m.dead
 		m.mu.Unlock()
@@ -144,7 +144,7 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		s.mu.Lock()
-		s.refused++
+		s.rejected++
 		s.mu.Unlock()
 		if err := os.Rename(m.dir, fmt.Sprintf("%s.damaged-%d", m.dir, time.Now().UnixNano())); err != nil {
 			s.log.Error("a damaged directory stays", "member", m.Name, "error", err)
--- a/internal/faultlab/service/nodos.go
+++ b/internal/faultlab/service/nodos.go
@@ -25,7 +25,7 @@
 
 // nodos is the registrations: one goroutine for each process of a nodo, which registers it, renews its lease, and says
 // once that it drains or goes.
-type nodos struct {
+type servers struct {
 	s    *Service
 	ctx  context.Context
 	stop context.CancelFunc
@@ -48,19 +48,19 @@
 	die   context.CancelFunc
 }
 
-func newNodos(s *Service) *nodos {
-	n := &nodos{s: s, alive: map[string]*life{}, names: map[string]bool{}, next: reader}
+func newServers(s *Service) *servers {
+	n := &servers{s: s, alive: map[string]*life{}, names: map[string]bool{}, next: reader}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	return n
 }
 
-func (n *nodos) close() {
+func (n *servers) close() {
 	n.stop()
 	n.all.Wait()
 }
 
 // Nodo is a nodo as the list is to have it.
-type Nodo struct {
+type Server struct {
 	Name, Zone, Type string
 	Group            int
 	Since            int64
@@ -68,8 +68,8 @@
 
 // Begin has a process of a nodo register and renew until it drains and goes, or dies. The call that it gives waits until
 // it is in the list.
-func (s *Service) Begin(e Nodo) (registered func(ctx context.Context) error) {
-	n := s.nodos
+func (s *Service) Begin(e Server) (registered func(ctx context.Context) error) {
+	n := s.servers
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.next++
@@ -98,7 +98,7 @@
 func (s *Service) Die(name string) { s.say(name, state.StatusDeleted) }
 
 func (s *Service) say(name, word string) {
-	n := s.nodos
+	n := s.servers
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.alive[name]; l != nil {
@@ -111,7 +111,7 @@
 }
 
 // living are the nodos that have to be in the list.
-func (n *nodos) living() map[string]*life {
+func (n *servers) living() map[string]*life {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := map[string]*life{}
@@ -124,7 +124,7 @@
 }
 
 // lack notes how many nodos a read lacked that lived before and after it.
-func (n *nodos) lack(before map[string]*life, values map[string]string) {
+func (n *servers) lack(before map[string]*life, values map[string]string) {
 	after, lacks := n.living(), 0
 	for name, l := range before {
 		if after[name] == l && values[name] == linear.Absent {
@@ -143,9 +143,9 @@
 	if !s.register(ctx, client, l) {
 		return
 	}
-	s.nodos.mu.Lock()
+	s.servers.mu.Lock()
 	l.known = len(l.words) == 0
-	s.nodos.mu.Unlock()
+	s.servers.mu.Unlock()
 	registered()
 	drains := false
 	// Its lease may end at any moment after the last renewal that is known to have been taken.
@@ -217,13 +217,13 @@
 	for n := 0; sleep.For(ctx, every); n++ {
 		m := s.members[n%len(s.members)]
 		// Names that are not in the list count too: those that were there before the call.
-		s.nodos.mu.Lock()
+		s.servers.mu.Lock()
 		values := map[string]string{}
-		for name := range s.nodos.names {
+		for name := range s.servers.names {
 			values[name] = linear.Absent
 		}
-		s.nodos.mu.Unlock()
-		living := s.nodos.living()
+		s.servers.mu.Unlock()
+		living := s.servers.living()
 		begun := time.Now()
 		var l watch.Response
 		if s.get(m, "/catalog/members?consistent=1", readWait, &l) != nil {
@@ -234,7 +234,7 @@
 				values[e.Name] = linear.Value(e.Status, fmt.Sprint(e.StartedAtMs))
 			}
 		}
-		s.nodos.lack(living, values)
+		s.servers.lack(living, values)
 		s.history.Seen(reader, begun, values)
 	}
 }
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -42,7 +42,7 @@
 			if err != nil {
 				return
 			}
-			s.cfg.Ref.Asks(proxy)
+			s.cfg.Ref.RecordPoll(proxy)
 			status, body, list := s.forward(client, c, "http://"+to+req.URL.RequestURI())
 			if status == 0 {
 				s.cfg.Ref.CallFailed(proxy, time.Now())
@@ -58,7 +58,7 @@
 					s.cfg.Ref.CallFailed(proxy, at)
 					return
 				}
-				s.cfg.Ref.Told(proxy, referee.News{Entries: entries(list), Whole: list.Snapshot}, at)
+				s.cfg.Ref.Notified(proxy, referee.ListUpdate{Entries: entries(list), Snapshot: list.Snapshot}, at)
 				s.delays.told(proxy, list, at, s.hollow)
 			}
 			if err := c.NoteThenWrite(wire.JSON(status, body), note); err != nil {
@@ -106,7 +106,7 @@
 
 func entries(l *watch.Response) (out []referee.Entry) {
 	for _, e := range l.Endpoints {
-		out = append(out, referee.Entry{Nodo: e.Name, Serving: e.Status == state.StatusServing, Since: e.StartedAtMs})
+		out = append(out, referee.Entry{Server: e.Name, Serving: e.Status == state.StatusServing, Since: e.StartedAtMs})
 	}
 	return out
 }
--- a/internal/faultlab/service/report.go
+++ b/internal/faultlab/service/report.go
@@ -36,13 +36,13 @@
 		c.Close()
 	}
 	s.mu.Lock()
-	r.Refused = s.refused
+	r.Refused = s.rejected
 	s.mu.Unlock()
 	r.History = s.history.Check(checkWait)
 	r.Delays = s.delays.sum()
-	s.nodos.mu.Lock()
-	r.Lacks = s.nodos.lacks
-	s.nodos.mu.Unlock()
+	s.servers.mu.Lock()
+	r.Lacks = s.servers.lacks
+	s.servers.mu.Unlock()
 	return r, err
 }
 
--- a/internal/faultlab/service/service.go
+++ b/internal/faultlab/service/service.go
@@ -37,11 +37,11 @@
 )
 
 const (
-	callWait   = time.Second
-	readyWait  = 20 * time.Second
-	readyPoll  = 50 * time.Millisecond
-	refuseWait = 3 * time.Second // in which a member that is started says that it will not
-	checkWait  = 20 * time.Second
+	callWait    = time.Second
+	readyWait   = 20 * time.Second
+	readyPoll   = 50 * time.Millisecond
+	rejectDelay = 3 * time.Second // in which a member that is started says that it will not
+	checkWait   = 20 * time.Second
 )
 
 // Proxy is a caller of the list.
@@ -81,7 +81,7 @@
 	listPort = 8500
 	raftPort = 8600
 
-	figuresPort = 9500
+	metricsPort = 9500
 )
 
 // Member is a member over all its processes.
@@ -104,19 +104,19 @@
 	http    *http.Client
 	history *linear.History
 	near    map[string]*registrar.Client // of each zone's nodos
-	nodos   *nodos
+	servers *servers
 	delays  *delays
 
-	mu      sync.Mutex
-	refused int // starts that a member refused for its directory
-	rng     *rand.Rand
+	mu       sync.Mutex
+	rejected int // starts that a member refused for its directory
+	rng      *rand.Rand
 }
 
 // New makes all but the processes.
 func New(cfg Config) (*Service, error) {
 	s := &Service{cfg: cfg, log: cfg.Log, http: &http.Client{}, history: linear.New(),
 		near: map[string]*registrar.Client{}, rng: rand.New(rand.NewPCG(cfg.Seed, 31)), delays: newDelays()}
-	s.nodos = newNodos(s)
+	s.servers = newServers(s)
 	for i := range cfg.Members {
 		m := &Member{Name: fmt.Sprintf("r%d", i+1), Zone: cfg.Zones[i%len(cfg.Zones)], n: i,
 			dir: filepath.Join(cfg.Dir, fmt.Sprintf("r%d", i+1))}
@@ -172,7 +172,7 @@
 	f := config.Default()
 	f.Name, f.Dir, f.Listen, f.MetricsAddress = m.Name, m.dir, s.cfg.Own(m.n, listPort), ""
 	if s.cfg.Hollow != nil {
-		f.MetricsAddress = s.cfg.Own(m.n, figuresPort)
+		f.MetricsAddress = s.cfg.Own(m.n, metricsPort)
 	}
 	f.ElectionTimeoutMs, f.MaxListAgeMs = int(s.cfg.Election.Milliseconds()), int(s.cfg.Stale.Milliseconds())
 	for _, o := range s.members {
@@ -222,7 +222,7 @@
 // Run has the reader read until the context ends, and then ends nodos' calls.
 func (s *Service) Run(ctx context.Context) {
 	s.read(ctx)
-	s.nodos.close()
+	s.servers.close()
 }
 
 // Lists are where a proxy finds the members.
--- a/internal/faultlab/service/watch.go
+++ b/internal/faultlab/service/watch.go
@@ -13,14 +13,14 @@
 
 // Standing is how a member stands, by its own figures and the kernel's.
 type Standing struct {
-	PID     int // of the process that it is now
-	CPU     time.Duration
-	Memory  int64 // resident now, bytes
-	Up      bool  // it answered; the rest is told
-	Leads   bool
-	Watches float64 // held
-	Turned  float64 // calls answered 503, of this process
-	Overdue float64 // leases that are over and held
+	PID      int // of the process that it is now
+	CPU      time.Duration
+	Memory   int64 // resident now, bytes
+	Up       bool  // it answered; the rest is told
+	Leads    bool
+	Watches  float64 // held
+	Rejected float64 // calls answered 503, of this process
+	Overdue  float64 // leases that are over and held
 }
 
 // Standing asks a member for its figures.
@@ -34,7 +34,7 @@
 	out.PID, out.CPU, out.Memory = proc.PID(), proc.Usage().CPU, process.Memory(proc.PID())
 	ctx, cancel := context.WithTimeout(context.Background(), callWait)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.cfg.Own(m.n, figuresPort)+"/metrics", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.cfg.Own(m.n, metricsPort)+"/metrics", nil)
 	if err != nil {
 		return out
 	}
@@ -56,7 +56,7 @@
 		case "roster_watches":
 			out.Watches = v
 		case "roster_calls_turned_total":
-			out.Turned = v
+			out.Rejected = v
 		case "roster_leases_overdue":
 			out.Overdue = v
 		}
--- a/internal/faultlab/soak/soak.go
+++ b/internal/faultlab/soak/soak.go
@@ -30,7 +30,7 @@
 )
 
 // trouble is a kind of fault with how its figures are drawn.
-type trouble struct {
+type fault struct {
 	kind  string
 	keys  func(r *rand.Rand) string
 	lasts [2]float64 // seconds, from and to
@@ -63,7 +63,7 @@
 // onceOnly are the troubles that a run has once: two of them on one process would be the lab's own doing.
 var onceOnly = map[string]bool{"kill": true, "restart": true, "upgrade": true, "power_loss": true}
 
-var troubles = []trouble{
+var troubles = []fault{
 	{"kill", share(0.1, 0.4), [2]float64{0.5, 2}},
 	{"restart", series(with("spread", 0, 2, share(0.2, 0.7))), [2]float64{0.2, 1.5}},
 	{"upgrade", with("spread", 0, 2, share(0.2, 0.7)), [2]float64{0, 0}},
@@ -166,9 +166,9 @@
 		}
 	}
 	for _, v := range p.Violations {
-		found = append(found, fmt.Sprintf("%s at %s by %s (nodo %s, try %s): %s", v.Rule, v.At.Format("15:04:05.000"), v.Proxy, v.Nodo, v.Try, v.Text))
+		found = append(found, fmt.Sprintf("%s at %s by %s (nodo %s, try %s): %s", v.Rule, v.At.Format("15:04:05.000"), v.Proxy, v.Server, v.Attempt, v.Text))
 	}
-	if n := p.Figures["crashed"]; n > 0 {
+	if n := p.Metrics["crashed"]; n > 0 {
 		found = append(found, fmt.Sprintf("%v proxies crashed", n))
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "logs", "*.log"))
--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -62,7 +62,7 @@
 		{"nothing", result.Play{Broken: map[string]int{"lost": 0}}, "", nil},
 		{"a rule", result.Play{Broken: map[string]int{"lost": 2}, Violations: []referee.Violation{{Rule: "lost", Proxy: "a-p1", Text: "nothing came"}}}, "",
 			[]string{"lost broken 2 times", "nothing came"}},
-		{"a crash", result.Play{Figures: map[string]float64{"crashed": 1}}, "", []string{"1 proxies crashed"}},
+		{"a crash", result.Play{Metrics: map[string]float64{"crashed": 1}}, "", []string{"1 proxies crashed"}},
 		{"a rule that the proxy saw", result.Play{}, `level=ERROR msg="rule broken" rule=second_copy request=7` + "\n", []string{"rule=second_copy request=7"}},
 		{"a panic", result.Play{}, "panic: runtime error: index out of range\n", []string{"index out of range"}},
 		{"a race", result.Play{}, "WARNING: DATA RACE\n", []string{"DATA RACE"}},
--- a/internal/faultlab/stubserver/serve.go
+++ b/internal/faultlab/stubserver/serve.go
@@ -13,11 +13,11 @@
 )
 
 // Serve serves one connection until it ends.
-func (n *Nodo) Serve(c *link.Conn) {
+func (n *Server) Serve(c *link.Conn) {
 	defer c.Close()
 	n.mu.Lock()
 	n.conns++
-	over, life := n.conns > n.spec.MaxConns, n.life
+	over, life := n.conns > n.spec.MaxConns, n.incarnation
 	n.mu.Unlock()
 	defer n.with(func() { n.conns-- })
 	n.ref.Connected(time.Now())
@@ -28,7 +28,7 @@
 			return
 		}
 		begun := c.ReadAt()
-		_ = c.SetReadDeadline(time.Now().Add(readMost))
+		_ = c.SetReadDeadline(time.Now().Add(maxRead))
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -44,13 +44,13 @@
 	}
 }
 
-const readMost = 30 * time.Second // for a whole request
+const maxRead = 30 * time.Second // for a whole request
 
 // one answers one request; false ends the connection.
-func (n *Nodo) one(c *link.Conn, req *http.Request, body []byte, begun time.Time, first, over bool, life int) bool {
+func (n *Server) one(c *link.Conn, req *http.Request, body []byte, begun time.Time, first, over bool, life int) bool {
 	id := req.Header.Get(wire.RequestID)
 	what, known := n.world.Job(id)
-	at := n.ref.Begin(referee.Arrival{Nodo: n.spec.Name, ID: id, First: begun, Last: time.Now(), Method: req.Method,
+	at := n.ref.Begin(referee.Arrival{Server: n.spec.Name, ID: id, First: begun, Last: time.Now(), Method: req.Method,
 		Path: req.URL.RequestURI(), Key: req.Header.Get(wire.IdempotencyKey), Body: wire.Digest(body)})
 	if at == nil || !known {
 		return n.answer(c, nil, 400, nil, false)
@@ -78,7 +78,7 @@
 	return n.work(c, j, at, id, what, life)
 }
 
-func (n *Nodo) sinceMs() int64 {
+func (n *Server) sinceMs() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.since.UnixMilli()
@@ -94,7 +94,7 @@
 }
 
 // work waits for a job's slot and its time, and answers. What its caller has left is dropped.
-func (n *Nodo) work(c *link.Conn, j *job, at *referee.Attempt, id string, what Job, life int) bool {
+func (n *Server) work(c *link.Conn, j *job, at *referee.Attempt, id string, what Job, life int) bool {
 	stop := make(chan struct{})
 	left := make(chan struct{})
 	watch := make(chan struct{})
@@ -134,7 +134,7 @@
 		n.ref.Turn(at)
 		return n.answer(c, at, 504, nil, true)
 	}
-	done := time.NewTimer(time.Until(j.begun.Add(j.held)))
+	done := time.NewTimer(time.Until(j.begun.Add(j.holdsSlot)))
 	defer done.Stop()
 	gone := left
 	if !n.spec.Cancelling {
@@ -148,29 +148,29 @@
 		n.ref.Drop(at, time.Since(j.begun))
 		return false
 	}
-	n.release(life, j.begun.Add(j.held))
+	n.release(life, j.begun.Add(j.holdsSlot))
 	end()
 	n.mu.Lock()
-	alive := n.life == life && n.up && !n.now.Hang
+	alive := n.incarnation == life && n.up && !n.now.Hang
 	fails, spoils := n.rng.Float64() < n.now.Errors, n.rng.Float64() < n.now.Garble
 	n.mu.Unlock()
 	select {
 	case <-left:
-		n.ref.Drop(at, j.held)
+		n.ref.Drop(at, j.holdsSlot)
 		return false
 	default:
 	}
 	switch {
 	case !alive:
 		c.AwaitEnd(nil)
-		n.ref.Drop(at, j.held)
+		n.ref.Drop(at, j.holdsSlot)
 		return false
 	case fails:
-		n.ref.Err(at, j.held)
+		n.ref.Err(at, j.holdsSlot)
 		return n.answer(c, at, 500, nil, false)
 	}
 	made := wire.Make(id, n.spec.Name, what.Answer)
-	n.ref.Serve(at, wire.Digest(made), j.held)
+	n.ref.Serve(at, wire.Digest(made), j.holdsSlot)
 	if spoils {
 		n.spoil(c, at, made)
 		return false
@@ -178,7 +178,7 @@
 	return n.answer(c, at, 200, made, false)
 }
 
-func (n *Nodo) answer(c *link.Conn, at *referee.Attempt, status int, body []byte, notStarted bool) bool {
+func (n *Server) answer(c *link.Conn, at *referee.Attempt, status int, body []byte, notStarted bool) bool {
 	head := "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\nContent-Length: " +
 		strconv.Itoa(len(body)) + "\r\n"
 	if notStarted {
@@ -188,7 +188,7 @@
 }
 
 // spoil sends an answer that cannot be read as the protocol requires, and closes.
-func (n *Nodo) spoil(c *link.Conn, at *referee.Attempt, body []byte) {
+func (n *Server) spoil(c *link.Conn, at *referee.Attempt, body []byte) {
 	n.mu.Lock()
 	kind := n.rng.IntN(3)
 	n.mu.Unlock()
--- a/internal/faultlab/stubserver/slots.go
+++ b/internal/faultlab/stubserver/slots.go
@@ -11,26 +11,26 @@
 }
 
 type job struct {
-	work  time.Duration
-	came  time.Time
-	start chan bool // true: begins; false: the nodo has ended
-	begun time.Time
-	held  time.Duration // that its slot is held
-	gone  bool          // left the queue
-	until time.Time     // its caller has given up by then
+	work      time.Duration
+	came      time.Time
+	start     chan bool // true: begins; false: the nodo has ended
+	begun     time.Time
+	holdsSlot time.Duration // that its slot is held
+	gone      bool          // left the queue
+	until     time.Time     // its caller has given up by then
 }
 
 // admit gives a request a slot or a place in the queue, or turns it away. A cold nodo that is sent too much falls
 // over: then it tells what came, by proxy.
-func (n *Nodo) admit(work time.Duration, proxy string, over bool, life int, until time.Time) (j *job, turned bool,
+func (n *Server) admit(work time.Duration, proxy string, over bool, life int, until time.Time) (j *job, turned bool,
 	fell map[string]time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.up || n.life != life || n.now.Hang {
+	if !n.up || n.incarnation != life || n.now.Hang {
 		return nil, false, nil
 	}
 	now := time.Now()
-	if fell = n.tip(now, work, proxy); fell != nil {
+	if fell = n.overload(now, work, proxy); fell != nil {
 		return nil, false, fell
 	}
 	if n.draining || over || n.busy >= n.spec.Slots && len(n.queue) >= n.spec.Queue {
@@ -48,8 +48,8 @@
 
 // tip counts work that comes to a cold nodo, and tells whether the last window was more than it can stand: the
 // multiple of what it could have done in that time, with room for one request more than that.
-func (n *Nodo) tip(now time.Time, work time.Duration, proxy string) map[string]time.Duration {
-	if !n.cold || now.Sub(n.since) > n.spec.Cold+n.spec.Fall {
+func (n *Server) overload(now time.Time, work time.Duration, proxy string) map[string]time.Duration {
+	if !n.slowStart || now.Sub(n.since) > n.spec.SlowStart+n.spec.Fall {
 		n.came = nil
 		return nil
 	}
@@ -67,7 +67,7 @@
 	}
 	// The window is never shorter than the stated one: the share of its middle stands for all of it.
 	share := n.share(from.Add(now.Sub(from) / 2))
-	budget := n.spec.TipMultiple * share * n.spec.Speed / n.now.Slow * float64(n.spec.Slots) * float64(n.spec.Fall)
+	budget := n.spec.OverloadMultiple * share * n.spec.Speed / n.now.Slow * float64(n.spec.Slots) * float64(n.spec.Fall)
 	if float64(sum) <= budget+float64(work) {
 		return nil
 	}
@@ -79,19 +79,19 @@
 }
 
 // begin holds a slot for a job, from now on.
-func (n *Nodo) begin(j *job, now time.Time) {
+func (n *Server) begin(j *job, now time.Time) {
 	j.begun = now
-	j.held = time.Duration(float64(j.work) * n.now.Slow / (n.spec.Speed * n.share(now)))
+	j.holdsSlot = time.Duration(float64(j.work) * n.now.Slow / (n.spec.Speed * n.share(now)))
 	j.start <- true
 }
 
 // release gives a slot that was free from a moment on to the next in the queue whose caller still waits. The next one
 // begins at that moment, or when it came, rather than now: timers are up to a millisecond late, and a queue would add
 // that up.
-func (n *Nodo) release(life int, free time.Time) {
+func (n *Server) release(life int, free time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.life != life {
+	if n.incarnation != life {
 		return
 	}
 	for len(n.queue) > 0 {
@@ -110,7 +110,7 @@
 }
 
 // sweep forgets the jobs at the queue's head that have left, so that a queue of them is not a full one.
-func (n *Nodo) sweep() {
+func (n *Server) sweep() {
 	kept := n.queue[:0]
 	for _, j := range n.queue {
 		if !j.gone {
--- a/internal/faultlab/stubserver/stubserver.go
+++ b/internal/faultlab/stubserver/stubserver.go
@@ -22,16 +22,16 @@
 	Slots int
 	Queue int
 
-	MaxConns      int
-	ConnectDelay  time.Duration // before a new connection's first request is seen
-	ConnectWork   time.Duration // that it costs, beside its own work
-	IdleClose     time.Duration
-	StartCapacity float64
-	Cold          time.Duration
-	TipMultiple   float64
-	Fall          time.Duration
-	Cancelling    bool
-	Seed          uint64
+	MaxConns         int
+	ConnectDelay     time.Duration // before a new connection's first request is seen
+	ConnectWork      time.Duration // that it costs, beside its own work
+	IdleClose        time.Duration
+	StartCapacity    float64
+	SlowStart        time.Duration
+	OverloadMultiple float64
+	Fall             time.Duration
+	Cancelling       bool
+	Seed             uint64
 }
 
 // Job is what the lab's plan knows of a request by its id.
@@ -49,46 +49,46 @@
 }
 
 // Nodo is one nodo. Its connections come from links; the lab starts, stops and hampers it.
-type Nodo struct {
+type Server struct {
 	spec  Spec
 	world World
 	ref   *referee.Referee
 
-	mu       sync.Mutex
-	up       bool
-	since    time.Time // of its last start
-	cold     bool      // that start was a cold one
-	life     int       // goes up at each start and end
-	draining bool
-	hampers  map[*Hamper]struct{}
-	now      Hamper // the sum of them
-	conns    int
-	busy     int
-	queue    []*job
-	came     []arrival // work within the last Spec.Fall, while cold
-	rng      *rand.Rand
+	mu          sync.Mutex
+	up          bool
+	since       time.Time // of its last start
+	slowStart   bool      // that start was a cold one
+	incarnation int       // goes up at each start and end
+	draining    bool
+	hampers     map[*Hamper]struct{}
+	now         Hamper // the sum of them
+	conns       int
+	busy        int
+	queue       []*job
+	came        []arrival // work within the last Spec.Fall, while cold
+	rng         *rand.Rand
 }
 
 // New is a nodo that is not up yet.
-func New(spec Spec, world World, ref *referee.Referee) *Nodo {
-	return &Nodo{spec: spec, world: world, ref: ref, now: Hamper{Slow: 1}, hampers: map[*Hamper]struct{}{}, rng: rand.New(rand.NewPCG(spec.Seed, 7))}
+func New(spec Spec, world World, ref *referee.Referee) *Server {
+	return &Server{spec: spec, world: world, ref: ref, now: Hamper{Slow: 1}, hampers: map[*Hamper]struct{}{}, rng: rand.New(rand.NewPCG(spec.Seed, 7))}
 }
 
 // Start brings it up, cold or long warm.
-func (n *Nodo) Start(at time.Time, cold bool) {
+func (n *Server) Start(at time.Time, cold bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.up, n.since, n.cold, n.draining = true, at, cold, false
-	n.life++
+	n.up, n.since, n.slowStart, n.draining = true, at, cold, false
+	n.incarnation++
 	n.busy, n.queue, n.came = 0, nil, nil
 }
 
 // Stop ends the process: what is in work is gone. The lab resets its connections.
-func (n *Nodo) Stop() {
+func (n *Server) Stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.up = false
-	n.life++
+	n.incarnation++
 	for _, j := range n.queue {
 		j.start <- false
 	}
@@ -96,7 +96,7 @@
 }
 
 // Drain has it turn new requests away and finish what it has.
-func (n *Nodo) Drain(on bool) { n.with(func() { n.draining = on }) }
+func (n *Server) Drain(on bool) { n.with(func() { n.draining = on }) }
 
 // Hamper is what can be wrong with a nodo that is up.
 type Hamper struct {
@@ -107,13 +107,13 @@
 }
 
 // Hamper hampers it until end is called. Several add up, and each ends by itself.
-func (n *Nodo) Hamper(h Hamper) (end func()) {
+func (n *Server) Hamper(h Hamper) (end func()) {
 	p := &h
 	n.with(func() { n.hampers[p] = struct{}{}; n.sum() })
 	return func() { n.with(func() { delete(n.hampers, p); n.sum() }) }
 }
 
-func (n *Nodo) sum() {
+func (n *Server) sum() {
 	n.now = Hamper{Slow: 1}
 	for h := range n.hampers {
 		if h.Slow > 0 {
@@ -125,17 +125,17 @@
 	}
 }
 
-func (n *Nodo) with(change func()) {
+func (n *Server) with(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 }
 
 // share is its present part of its capacity: it rises evenly from the start to the end of the cold time.
-func (n *Nodo) share(now time.Time) float64 {
-	if !n.cold || n.spec.Cold <= 0 {
+func (n *Server) share(now time.Time) float64 {
+	if !n.slowStart || n.spec.SlowStart <= 0 {
 		return 1
 	}
-	part := float64(now.Sub(n.since)) / float64(n.spec.Cold)
+	part := float64(now.Sub(n.since)) / float64(n.spec.SlowStart)
 	return min(1, n.spec.StartCapacity+(1-n.spec.StartCapacity)*part)
 }
--- a/internal/faultlab/stubserver/stubserver_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -25,7 +25,7 @@
 func (w world) Fell(name string)       { w.fell <- name }
 
 // newNodo is a nodo behind a link, with its address and the referee of what comes.
-func newNodo(t testing.TB, spec Spec, work time.Duration) (*Nodo, world, *referee.Referee, string) {
+func newNodo(t testing.TB, spec Spec, work time.Duration) (*Server, world, *referee.Referee, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	ref := referee.New(referee.Terms{Classes: []referee.Class{{Name: "c"}}, TryLimit: 9, SecondCopies: true})
+	ref := referee.New(referee.Terms{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 9, SecondCopies: true})
 	w := world{work, make(chan string, 1)}
 	spec.Name, spec.IdleClose = "s", time.Minute
 	if spec.MaxConns == 0 {
@@ -50,7 +50,7 @@
 
 // ask makes one request on a connection of its own and tells its status: 0 is none.
 func ask(ref *referee.Referee, addr, id string, patience time.Duration) (status int, notStarted bool) {
-	ref.Send(&referee.Try{ID: id, Method: "GET", Path: "/c", Body: wire.Digest(nil)}, "p")
+	ref.Send(&referee.ClientAttempt{ID: id, Method: "GET", Path: "/c", Body: wire.Digest(nil)}, "p")
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, false
@@ -74,24 +74,24 @@
 		name       string
 		spec       Spec
 		work       time.Duration
-		before     func(n *Nodo)
+		before     func(n *Server)
 		hold       int // requests that are out already
 		patience   time.Duration
 		status     int
 		notStarted bool
 	}{
 		{name: "serves", spec: one, patience: time.Minute, status: 200},
-		{name: "fails", spec: one, before: func(n *Nodo) { n.Hamper(Hamper{Errors: 1}) }, patience: time.Minute, status: 500},
-		{name: "two hampers, one ended", spec: one, before: func(n *Nodo) { n.Hamper(Hamper{Errors: 1}); n.Hamper(Hamper{Errors: 1})() },
+		{name: "fails", spec: one, before: func(n *Server) { n.Hamper(Hamper{Errors: 1}) }, patience: time.Minute, status: 500},
+		{name: "two hampers, one ended", spec: one, before: func(n *Server) { n.Hamper(Hamper{Errors: 1}); n.Hamper(Hamper{Errors: 1})() },
 			patience: time.Minute, status: 500},
-		{name: "no hamper left", spec: one, before: func(n *Nodo) { n.Hamper(Hamper{Hang: true})() }, patience: time.Minute, status: 200},
-		{name: "hangs", spec: one, before: func(n *Nodo) { n.Hamper(Hamper{Hang: true}) }, patience: 50 * time.Millisecond},
-		{name: "draining", spec: one, before: func(n *Nodo) { n.Drain(true) }, patience: time.Minute, status: 503, notStarted: true},
+		{name: "no hamper left", spec: one, before: func(n *Server) { n.Hamper(Hamper{Hang: true})() }, patience: time.Minute, status: 200},
+		{name: "hangs", spec: one, before: func(n *Server) { n.Hamper(Hamper{Hang: true}) }, patience: 50 * time.Millisecond},
+		{name: "draining", spec: one, before: func(n *Server) { n.Drain(true) }, patience: time.Minute, status: 503, notStarted: true},
 		{name: "queue full", spec: one, work: forever, hold: 2, patience: time.Minute, status: 503, notStarted: true},
 		{name: "waits in the queue", spec: one, work: forever, hold: 1, patience: 50 * time.Millisecond},
 		{name: "too many connections", spec: Spec{Slots: 9, Speed: 1, MaxConns: 1}, work: forever, hold: 1, patience: time.Minute,
 			status: 503, notStarted: true},
-		{name: "dead", spec: one, before: func(n *Nodo) { n.Stop() }, patience: 50 * time.Millisecond},
+		{name: "dead", spec: one, before: func(n *Server) { n.Stop() }, patience: 50 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			n, _, ref, addr := newNodo(t, test.spec, test.work)
@@ -171,12 +171,12 @@
 		{"over, but warmer", true, 8 * time.Second, 5 * time.Second, false},
 		{"warm", false, time.Second, time.Hour, false},
 	} {
-		n := New(Spec{Slots: 1, Speed: 1, StartCapacity: 0.5, Cold: 10 * time.Second, TipMultiple: 3, Fall: 2 * time.Second}, nil, nil)
+		n := New(Spec{Slots: 1, Speed: 1, StartCapacity: 0.5, SlowStart: 10 * time.Second, OverloadMultiple: 3, Fall: 2 * time.Second}, nil, nil)
 		n.Start(now, test.cold)
 		fell := false
 		for i := range 20 {
 			at := now.Add(test.age - time.Second + time.Duration(i)*50*time.Millisecond)
-			fell = n.tip(at, test.work/20, "p") != nil || fell
+			fell = n.overload(at, test.work/20, "p") != nil || fell
 		}
 		if fell != test.fell {
 			t.Errorf("%s: fell %v", test.name, fell)
