--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -13,14 +13,15 @@
 const (
 	cacheFile     = "list"
 	cacheKind     = "proxy-list"
-	maxCacheBytes = maxListBytes + 1<<10
+	maxCacheBytes = maxListBytes + 1<<10 // with the file's header
 )
 
-func newCacheWriter(dir string, log *slog.Logger) *atomicfile.Writer {
-	return atomicfile.NewWriter(dir, cacheFile, cacheKind, "discovery: the last list", log)
+func newCacheWriter(dir string, logger *slog.Logger) *atomicfile.Writer {
+	return atomicfile.NewWriter(dir, cacheFile, cacheKind, "endpoint list", logger)
 }
 
-// Kept is the list that was kept in a folder; nil if none was. One that is damaged is an error, and left as it is.
+// LoadCachedList returns the list that a former process cached in a state directory; nil if there is none. A damaged file
+// is an error that wraps atomicfile.ErrDamaged, and stays as it is.
 func LoadCachedList(dir string) (*List, error) {
 	path := filepath.Join(dir, cacheFile)
 	body, err := atomicfile.ReadFile(path, cacheKind, maxCacheBytes)
@@ -28,11 +29,11 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("cached endpoint list %s: %w", path, err)
 	}
-	l, err := Parse(body)
+	list, err := Parse(body)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w: %w", path, atomicfile.ErrDamaged, err)
+		return nil, fmt.Errorf("cached endpoint list %s: %w: %w", path, atomicfile.ErrDamaged, err)
 	}
-	return l, nil
+	return list, nil
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,22 +1,19 @@
-// Package discovery follows the list of backends and tells what is new. There are two ways of it:
+// Package discovery follows the list of endpoints and publishes each change of it. There are two kinds of source:
 //
-//   - The platform's list, at one address (Source.Address): one watch after another. See platform.go for how long a change
-//     may take whatever fails.
-//   - The project's own list service, at several (Source.Members): one watch at one of them, and at another when that
-//     fails, for as long as it takes. See members.go for what a failure costs and what is believed of whom.
+//   - the platform list, at one address (Source.Address): one watch after another, see platform.go;
+//   - the registry, with several members (Source.Members): a watch at one member, and at another one when that fails, see
+//     registry.go.
 //
-// One goroutine, Run's, owns the calls and ends those that it has others make; a second one, if there is a folder, writes the
-// last list down (keep.go). The rest of the program sees News, Move and Figures.
+// How old a list may be, for each fault, and what follows from that stands in freshness.go.
+//
+// Run's goroutine makes or waits for all calls; a second one, with a state directory, writes the cached list (cache.go).
+// The package never changes the list by itself: without an answer the last list stays in use.
 package discovery
 
 import (
 	"context"
-	"errors"
-	"fmt"
-	"io"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"slices"
 	"strings"
@@ -27,12 +24,10 @@
 	"merlinpick/internal/failover"
 )
 
-const maxListBytes = 4 << 20
-
-// Source is where the list comes from: the members if there are any, else the address.
+// Source is where the list comes from: the registry's members if there are any, else the platform's address.
 type Source struct {
-	Address string
-	Members []string
+	Address string   // HOST:PORT
+	Members []string // HOST:PORT each
 }
 
 func (s Source) String() string {
@@ -49,48 +44,54 @@
 	return s.Address == o.Address
 }
 
-// Config is what a client is told.
+// Config is the configuration of a Client.
 type Config struct {
 	Source Source
-	// Callers is about how many clients the platform's discovery has; 0: not known.
+	// Callers is the approximate number of clients of the platform's discovery (EstimateCallers); 0: not known.
 	Callers  int
-	Pushed   bool   // the platform's list comes from an agent that has no other callers
-	Seed     uint64 // of the order of members, and of pauses
-	StateDir string // folder in which the last list is kept, with Members; empty: none
+	Pushed   bool   // the platform list comes from a local agent that has no other callers
+	Seed     uint64 // of the order of members, and of random delays
+	StateDir string // directory of the cached list, for a registry; empty: it is not cached
 	Logger   *slog.Logger
 }
 
-// News is what discovery answered.
+// Update is an answer of the source: a full list, or the changes since the update before.
 type Update struct{ List *List }
 
-// Client follows the list.
+// Client follows the list of endpoints.
 type Client struct {
-	cfg           Config
-	log           *slog.Logger
-	http          *http.Client
-	connect       func(Source) *http.Client // newHTTP, but for tests
+	cfg        Config
+	log        *slog.Logger
+	http       *http.Client
+	connect    func(Source) *http.Client // newHTTPClient, replaced by tests
+	randomness *rand.Rand
+
 	updates       chan Update
-	done          <-chan struct{} // closed when Run is to end
-	unreachable   chan struct{}   // closed at the first call that showed that discovery cannot be reached
-	sourceChanges chan Source     // the newest only
-	source        Source
-	rng           *rand.Rand
-	cache         *atomicfile.Writer // nil without a folder
-
-	registryState // with Members
-	platformState // without
-
-	callCounts                    callCounter // of the platform's list
-	startedAt                     time.Time
-	lastSuccess                   atomic.Int64 // ns after start; 0: never
+	done          <-chan struct{} // closed when Run has to end
+	unreachable   chan struct{}   // closed at the first call that failed at once
+	sourceChanges chan Source     // the latest only
+
+	source   Source // Run's
+	platform platformState
+	registry registryState
+	cache    *atomicfile.Writer // nil: the list is not cached
+
+	callCounts                    callCounter // of the platform list
+	lastSuccess                   failover.LastSuccess
 	failovers, failures, retained atomic.Int64
 	fromRegistry                  atomic.Bool
 }
 
-// New is a client; Run has it follow.
+// New returns a client. Run has it follow the list.
 func New(cfg Config) *Client {
-	c := &Client{cfg: cfg, log: cfg.Logger, source: cfg.Source, updates: make(chan Update), unreachable: make(chan struct{}), sourceChanges: make(chan Source, 1),
-		rng: rand.New(rand.NewPCG(cfg.Seed, 23)), startedAt: time.Now(), http: newHTTPClient(cfg.Source), connect: newHTTPClient, platformState: platformState{version: -1}}
+	c := &Client{
+		cfg: cfg, log: cfg.Logger, http: newHTTPClient(cfg.Source), connect: newHTTPClient,
+		randomness: rand.New(rand.NewPCG(cfg.Seed, 23)),
+		updates:    make(chan Update), unreachable: make(chan struct{}), sourceChanges: make(chan Source, 1),
+		source: cfg.Source,
+	}
+	c.platform.version = -1
+	c.platform.scheduler = pollScheduler{callers: cfg.Callers, agent: cfg.Pushed, randomDelay: c.randomDelay}
 	if cfg.StateDir != "" && len(cfg.Source.Members) > 0 {
 		c.cache = newCacheWriter(cfg.StateDir, cfg.Logger)
 	}
@@ -98,70 +99,37 @@
 	return c
 }
 
-// newHTTP makes calls. Of the platform's discovery its call ends the wait; a dial that nobody waits for must not go on to
-// hold one of the two places.
-func newHTTPClient(at Source) *http.Client {
-	if len(at.Members) > 0 {
-		return failover.NewHTTPClient()
+// SetInitialList sets the full list that the client starts from: of a registry the cached list, of the platform the list
+// in the proxy's configuration, from whose version the first call then continues. It must be called before Run.
+func (c *Client) SetInitialList(list *List) {
+	if len(c.source.Members) > 0 {
+		c.registry.replaceEndpoints(list)
+	} else if list.Full {
+		c.platform.version = list.Version
 	}
-	return &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, DisableCompression: true,
-		DialContext: (&net.Dialer{Timeout: 2 * hedgeDelayMin}).DialContext}}
 }
 
-// News is what is new. Its reader must not wait long: the next watch begins after it has read.
+// Updates returns the channel of updates. The next watch starts only once an update was received.
 func (c *Client) Updates() <-chan Update { return c.updates }
 
-// Unreachable is closed once a call has shown that the platform's discovery is out of reach: its connection was refused or broke,
-// or it was turned away at once.
+// Unreachable returns a channel that is closed once a call for the platform list has failed at once: its connection was
+// refused or lost, or it was rejected without queueing.
 func (c *Client) Unreachable() <-chan struct{} { return c.unreachable }
 
-// noteLoss closes lost at the first call that failed so.
-func (c *Client) noteUnreachable(err error) {
-	var garbled *malformedListError
-	if errors.As(err, &garbled) || errors.Is(err, context.DeadlineExceeded) || c.rejectedAfter >= shortQueueWait {
-		return
-	}
-	select {
-	case <-c.unreachable:
-	default:
-		close(c.unreachable)
-	}
-}
-
-// Move has the list come from elsewhere from now on. What is known stands until that has answered.
-func (c *Client) SetSource(to Source) {
+// SetSource has the list come from another source from now on. The current list stays in use until that has answered.
+// It may be called from any goroutine.
+func (c *Client) SetSource(source Source) {
 	for {
 		select {
-		case c.sourceChanges <- to:
+		case c.sourceChanges <- source:
 			return
-		case <-c.sourceChanges: // an older one that was not taken yet
+		case <-c.sourceChanges: // replaces an earlier one that was not taken yet
 		}
 	}
 }
 
-// Figures are the client's counts.
-type Metrics struct {
-	FromRegistry      bool          // the list is that of members: Moves and Kept are told
-	Age               time.Duration // since discovery or a member last answered with a list; negative: none has
-	Failovers         int64         // from one member to another
-	Failures          int64         // calls that failed
-	RetainedEndpoints int64         // entries that a new line of versions lacks, and that stand for a while
-
-	CallResults map[string]int64 // of the platform's list, by how they ended
-}
-
-// Figures are the counts so far.
-func (c *Client) Metrics() Metrics {
-	f := Metrics{FromRegistry: c.fromRegistry.Load(), Age: -1, Failovers: c.failovers.Load(), Failures: c.failures.Load(), RetainedEndpoints: c.retained.Load(),
-		CallResults: c.callCounts.snapshot()}
-	if at := c.lastSuccess.Load(); at != 0 {
-		f.Age = time.Since(c.startedAt) - time.Duration(at)
-	}
-	return f
-}
-
-// Run follows the list until the context ends, at one source after another. A move ends the call that is out at the
-// old one, and the new one is asked at once, from the version held: what it has to tell counts as told soon.
+// Run follows the list until the context ends. A change of source cancels the call in flight, and the new source is called
+// at once, from the version held.
 func (c *Client) Run(ctx context.Context) {
 	defer func() { c.http.CloseIdleConnections() }()
 	c.done = ctx.Done()
@@ -169,85 +137,68 @@
 		defer c.cache.Run(ctx)()
 	}
 	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
-		next := make(chan Source, 1)
-		go func() {
-			defer close(next)
-			for {
-				select {
-				case to := <-c.sourceChanges:
-					if to.equal(c.source) {
-						continue // the watch there goes on
-					}
-					next <- to
-					leave()
-				case <-here.Done():
-				}
-				return
-			}
-		}()
+		sourceCtx, cancel := context.WithCancel(ctx)
+		next := c.awaitSourceChange(sourceCtx, cancel)
 		if len(c.source.Members) > 0 {
-			c.followRegistry(here)
+			c.followRegistry(sourceCtx)
 		} else {
-			c.followPlatform(here)
+			c.followPlatform(sourceCtx)
 		}
-		leave()
-		if to, ok := <-next; ok {
-			c.log.Info("discovery moved", "from", c.source, "to", to)
-			c.source = to
-			c.fromRegistry.Store(len(to.Members) > 0)
-			c.sourceChanged = true
-			c.watching = false
-			c.resetQueueEstimate() // it was another's
-			c.scheduleResync()     // another service's versions may say something else
-			c.http.CloseIdleConnections()
-			c.http = c.connect(to)
+		cancel()
+		if source, changed := <-next; changed {
+			c.changeSource(source)
 		}
 	}
 }
 
-// tell hands news over. A move waits for it: the version that is held counts it in, and the next call goes on from there.
-func (c *Client) publish(n Update) {
+// awaitSourceChange cancels the calls to the current source once there is another one, which it sends on the channel
+// returned. The channel is closed when the context has ended.
+func (c *Client) awaitSourceChange(ctx context.Context, cancel context.CancelFunc) <-chan Source {
+	next := make(chan Source, 1)
+	go func() {
+		defer close(next)
+		for {
+			select {
+			case source := <-c.sourceChanges:
+				if source.equal(c.source) {
+					continue
+				}
+				next <- source
+				cancel()
+			case <-ctx.Done():
+			}
+			return
+		}
+	}()
+	return next
+}
+
+// changeSource resets what was known of the former source.
+func (c *Client) changeSource(source Source) {
+	c.log.Info("endpoint list source changed", "from", c.source, "to", source)
+	c.source = source
+	c.fromRegistry.Store(len(source.Members) > 0)
+	c.registry.sourceChanged = true
+	c.platform.watching = false
+	c.platform.rejectedSinceSuccess, c.platform.watchTimedOut = false, false
+	c.platform.scheduler.reset()
+	c.scheduleResync() // the versions of another service may mean something else
+	c.http.CloseIdleConnections()
+	c.http = c.connect(source)
+}
+
+// publish sends an update. A change of source waits for it: the version held includes it, and the next call continues from
+// there.
+func (c *Client) publish(update Update) {
 	select {
-	case c.updates <- n:
+	case c.updates <- update:
 	case <-c.done:
 	}
 }
 
-var errUnavailable = errors.New("discovery is busy or down")
+func (c *Client) sleep(ctx context.Context, d time.Duration) { failover.Sleep(ctx, d) }
 
-// A garbledError is an answer that is no list, or none that is known here.
-type malformedListError struct{ err error }
-
-func (e *malformedListError) Error() string { return "garbled list: " + e.err.Error() }
-func (e *malformedListError) Unwrap() error { return e.err }
-
-// get makes one call and reads the list that it is answered with.
-func (c *Client) fetch(ctx context.Context, url string, patience time.Duration) (*List, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return nil, fmt.Errorf("ask for the list: %w", err)
-	}
-	resp, err := c.http.Do(req)
-	if err != nil {
-		return nil, fmt.Errorf("ask for the list: %w", err)
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode == http.StatusServiceUnavailable {
-		return nil, errUnavailable
-	}
-	if resp.StatusCode != http.StatusOK {
-		return nil, &malformedListError{fmt.Errorf("status %s", resp.Status)}
-	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
-	if err != nil {
-		return nil, fmt.Errorf("read the list: %w", err)
-	}
-	list, err := Parse(data)
-	if err != nil {
-		return nil, &malformedListError{err}
-	}
-	return list, nil
+// randomDelay returns a random duration from 0 to below limit.
+func (c *Client) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(c.randomness.Int64N(int64(limit)))
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -7,77 +7,86 @@
 	"net"
 )
 
-// The words of an entry's status.
+// Values of Endpoint.Status.
 const (
 	StatusServing  = "SERVING"
-	StatusDraining = "DRAINING"
-	StatusDeleted  = "DELETED" // among changes only
+	StatusDraining = "DRAINING" // accepts no new requests
+	StatusDeleted  = "DELETED"  // removed; among changes only
 )
 
-// Endpoint is an entry of the list as discovery words it.
+// Endpoint is an entry of the list. Its tags map the protocol's names.
 type Endpoint struct {
 	Name        string   `json:"name"`
-	Address     string   `json:"address"`
+	Address     string   `json:"address"` // HOST:PORT
 	Zone        string   `json:"zone"`
 	Cell        int      `json:"group"`
 	Status      string   `json:"status"`
-	Weight      *float64 `json:"weight"`
-	StartedAtMs int64    `json:"since_ms"`
+	Weight      *float64 `json:"weight"`   // capacity hint; nil: not given
+	StartedAtMs int64    `json:"since_ms"` // start of the endpoint's process, Unix time in ms; 0: not known
 }
 
-// List is the list of backends, or what has changed in it.
+// List is a full list of endpoints, or changes of one.
 type List struct {
 	Version   int64
-	Full      bool
-	Epoch     string // of versions; the platform's list names none
+	Full      bool   // else Endpoints are the changes
+	Epoch     string // of the versions; the platform list has none
 	Endpoints []Endpoint
 }
 
-// Parse reads a list in discovery's form. A list with an entry that makes no sense is no list.
+// listMessage is a list in the protocol's names.
+type listMessage struct {
+	Version   int64      `json:"index"`
+	Full      bool       `json:"snapshot"`
+	Epoch     string     `json:"line,omitempty"`
+	Endpoints []Endpoint `json:"endpoints"`
+}
+
+// Parse decodes a list in the protocol's form. A list with any malformed entry is an error.
 func Parse(data []byte) (*List, error) {
-	var raw struct {
-		Index     *int64      `json:"index"`
-		Snapshot  *bool       `json:"snapshot"`
-		Line      string      `json:"line"`
+	var message struct {
+		Version   *int64      `json:"index"`
+		Full      *bool       `json:"snapshot"`
+		Epoch     string      `json:"line"`
 		Endpoints *[]Endpoint `json:"endpoints"`
 	}
-	if err := json.Unmarshal(data, &raw); err != nil {
+	if err := json.Unmarshal(data, &message); err != nil {
 		return nil, err
 	}
-	if raw.Index == nil || raw.Snapshot == nil || raw.Endpoints == nil {
+	if message.Version == nil || message.Full == nil || message.Endpoints == nil {
 		return nil, errors.New("index, snapshot or endpoints is missing")
 	}
-	for i, e := range *raw.Endpoints {
-		if e.Name == "" {
-			return nil, fmt.Errorf("endpoints[%d]: name is missing", i)
-		}
-		switch e.Status {
-		case StatusServing, StatusDraining:
-			if _, _, err := net.SplitHostPort(e.Address); err != nil {
-				return nil, fmt.Errorf("endpoints[%d]: %w", i, err)
-			}
-		case StatusDeleted:
-		default:
-			return nil, fmt.Errorf("endpoints[%d]: unknown status %q", i, e.Status)
+	for i, endpoint := range *message.Endpoints {
+		if err := endpoint.validate(); err != nil {
+			return nil, fmt.Errorf("endpoints[%d]: %w", i, err)
 		}
 	}
-	return &List{*raw.Index, *raw.Snapshot, raw.Line, *raw.Endpoints}, nil
+	return &List{*message.Version, *message.Full, message.Epoch, *message.Endpoints}, nil
+}
+
+// validate returns why an endpoint is malformed.
+func (e Endpoint) validate() error {
+	if e.Name == "" {
+		return errors.New("name is missing")
+	}
+	switch e.Status {
+	case StatusServing, StatusDraining:
+		_, _, err := net.SplitHostPort(e.Address)
+		return err
+	case StatusDeleted:
+		return nil
+	}
+	return fmt.Errorf("unknown status %q", e.Status)
 }
 
-// encode is a whole list in discovery's form.
+// encode returns the list as a full one in the protocol's form.
 func (l *List) encode() []byte {
-	entries := l.Endpoints
-	if entries == nil {
-		entries = []Endpoint{}
+	endpoints := l.Endpoints
+	if endpoints == nil {
+		endpoints = []Endpoint{}
 	}
-	text, err := json.Marshal(struct {
-		Index     int64      `json:"index"`
-		Snapshot  bool       `json:"snapshot"`
-		Line      string     `json:"line,omitempty"`
-		Endpoints []Endpoint `json:"endpoints"`
-	}{l.Version, true, l.Epoch, entries})
+	text, err := json.Marshal(listMessage{l.Version, true, l.Epoch, endpoints})
 	if err != nil {
-		panic(err) // words, and numbers that were read as JSON
+		panic(err) // strings, and numbers that were decoded from JSON
 	}
 	return text
 }
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -6,152 +6,182 @@
 	"time"
 )
 
-// When a client of the platform's list makes its next call after one that failed.
-//
-// Discovery answers calls one after another, about turnUsual each, and a call that waits for its turn for W fails then and takes
-// its turn all the same. So a queue that is longer than W answers nobody, and a fleet that polls faster than discovery takes
-// turns keeps it so for ever; one that polls more slowly leaves discovery idle, while processes route by lists of any age. A
-// client that waited in vain, or failed busyFirst times in a row, polls once in a period, at a point of it that it drew.
-//
-//   - The plain period is about the time that a turn of each caller takes (its share), less W of turns that may wait at the end.
-//     300 clients with turns of 18 ms are all answered 5.6 s after an outage. For a client that was never answered it is at most
-//     plainMost.
-//   - It grows with the waits in vain: for a client whose watch ended from the fifth on, twice each time; for one that was
-//     never answered from the second on, four times. It is never over the share, taken with turnEarly or turnMost. The share
-//     bounds what a client sleeps while discovery is idle: waits in vain are alike in an outage and in a full queue, and two
-//     of the first three were an outage's when processes of a fleet of 279 were not heard of for 22 s (idle_test.go).
-//
-// collapse_test.go, release_test.go and idle_test.go assert the sums.
+// After a failed call the pauses double, up to a maximum; half of each is random.
 const (
-	// Pauses after calls that failed, one after another, double; half of each is drawn. An agent that pushes the list has one
-	// caller, and what it has counts as told at once.
 	initialBackoff  = 100 * time.Millisecond
 	maxBackoff      = 800 * time.Millisecond
-	maxAgentBackoff = 200 * time.Millisecond
-
-	failuresUntilOverload = 6                      // failures in a row after which a queue is taken for long
-	longQueueWait         = time.Second            // from here on a 503 is of a call that waited
-	shortQueueWait        = 100 * time.Millisecond // the same, of the fourth and later in a row
-
-	serviceTime          = 22 * time.Millisecond // that one call costs discovery
-	serviceTimeAtStart   = 35 * time.Millisecond // the same, as a client takes it that was never answered
-	serviceTimeInRelease = 40 * time.Millisecond // the same, with the changes of a release in its answer
-
-	maxSmallFleetPeriod          = 3500 * time.Millisecond // of a fleet whose turns take little more
-	queueAtPeriodEnd             = 1900 * time.Millisecond // of turns may wait at the end of a period
-	maxUnsyncedBasePeriod        = NotifyDeadline
-	minPollPeriod                = 2500 * time.Millisecond // of discoveries with long waits: with the wait it is periodBoth at most
-	maxWaitPlusPeriod            = 5500 * time.Millisecond
-	minQueueDrain                = 2 * time.Second
-	maxQueueDrain                = 3 * time.Second // more, before the first poll: turns of calls that waited in vain too
-	timeoutsUntilBackoff         = 4
-	timeoutsUntilBackoffUnsynced = 1 // of a client that was never answered
-	maxPollsCountedDown          = 2 // those that nobody answered count for no more
+	maxAgentBackoff = 200 * time.Millisecond // a local agent has one caller, and its changes count as known at once
+)
+
+// Discovery serves calls one after another, and a call that waits in its queue for longer than W (freshness.go) is
+// rejected with 503 but takes its service time all the same. A queue longer than W therefore answers nobody, and stays that
+// long if the fleet polls faster than discovery serves. So once the queue is overloaded each client polls once in a period,
+// at a random point of it:
+//
+//   - The base period is the time that discovery needs for one call of each caller, less what may be queued at its end.
+//   - After some timeouts in the queue it doubles with each further one, and grows faster for a client without any list yet.
+//     It never exceeds the time for one call of each caller, so that discovery is not idle while clients sleep after an
+//     outage.
+const (
+	failuresUntilOverload = 6                      // consecutive failures after which the queue is taken for overloaded
+	longQueueWait         = time.Second            // a 503 after this was rejected by the queue
+	shortQueueWait        = 100 * time.Millisecond // the same once calls fail repeatedly; a 503 sooner was not queued
+
+	serviceTime          = 22 * time.Millisecond // of one call in discovery
+	serviceTimeAtStart   = 35 * time.Millisecond // as assumed while a fleet starts
+	serviceTimeInRelease = 40 * time.Millisecond // with the changes of a release in the answer
+
+	minPollPeriod         = 2500 * time.Millisecond
+	maxWaitPlusPeriod     = 5500 * time.Millisecond // in a fleet that discovery serves within it
+	maxSmallFleetPeriod   = 3500 * time.Millisecond // the same, whatever the wait
+	maxUnsyncedBasePeriod = NotifyDeadline          // of a client without any list yet
+	queueAtPeriodEnd      = 1900 * time.Millisecond // a little less than W of calls may be queued at the end of a period
+
+	minQueueDrain = 2 * time.Second // before the first poll: discovery serves calls that have timed out too
+	maxQueueDrain = 3 * time.Second
+
+	timeoutsUntilBackoff         = 4 // in the queue, after which the period grows
+	timeoutsUntilBackoffUnsynced = 1 // the same for a client without any list yet
+	maxPollsCountedDown          = 2 // failed connections count as no more polls: there is no queue
 	maxPeriodDoublings           = 3
 
-	defaultCallers = 700
+	defaultCallers = 700 // if Config.Callers is not known
 )
 
-// share is the time that a turn of each caller takes.
-func (c *Client) queueTime(turn time.Duration) time.Duration {
-	callers := c.cfg.Callers
-	if callers == 0 {
-		callers = defaultCallers
-	}
-	return time.Duration(callers) * turn
+// pollScheduler decides when a client of the platform list makes its next call after a failed one. It is not safe for
+// concurrent use.
+type pollScheduler struct {
+	callers     int  // clients that share discovery's queue
+	agent       bool // a local agent, without other callers
+	randomDelay func(limit time.Duration) time.Duration
+
+	rejectedAfter    time.Duration // of the last call: until its 503; 0: none
+	lastRejected     bool          // the last call ended with a 503
+	longestRejection time.Duration // longest time until a 503
+	failedPolls      int           // consecutive, since the queue was taken for overloaded
+	queueTimeouts    int           // of these: rejected after waiting in the queue
+	synced           bool          // discovery has answered with a list before
+}
+
+// recordSuccess ends the polling: the queue is short.
+func (s *pollScheduler) recordSuccess() {
+	s.synced = true
+	s.failedPolls, s.queueTimeouts = 0, 0
 }
 
-// forgetQueue is for another discovery: what was seen of the former one's queue says nothing of it.
-func (c *Client) resetQueueEstimate() {
-	c.rejectedSinceSuccess, c.lastRejected, c.watchTimedOut, c.synced = false, false, false, false
-	c.failedPolls, c.queueTimeouts, c.longestRejection, c.rejectedAfter = 0, 0, 0, 0
+// reset forgets the queue, which was that of another source.
+func (s *pollScheduler) reset() {
+	s.lastRejected, s.synced = false, false
+	s.failedPolls, s.queueTimeouts, s.longestRejection, s.rejectedAfter = 0, 0, 0, 0
 }
 
-// queueIsLong tells whether the last call was turned away by a queue that is longer than a call may wait, or calls fail so
-// long that the queue will be as soon as they do not.
-func (c *Client) queueIsOverloaded(err error, failed int) bool {
-	var garbled *malformedListError
-	if c.cfg.Pushed || errors.As(err, &garbled) || errors.Is(err, context.DeadlineExceeded) {
+// delayAfter returns the pause after a call that failed with err, the last of some consecutive failures.
+func (s *pollScheduler) delayAfter(err error, failures int) time.Duration {
+	s.lastRejected = errors.Is(err, errUnavailable)
+	if s.queueIsOverloaded(err, failures) {
+		return s.nextPollDelay()
+	}
+	return s.retryBackoff(failures)
+}
+
+// queueIsOverloaded reports whether a queue longer than W rejected the last call, or so many calls have failed that the
+// queue will be that long once they do not.
+func (s *pollScheduler) queueIsOverloaded(err error, failures int) bool {
+	var malformed *malformedListError
+	if s.agent || errors.As(err, &malformed) || errors.Is(err, context.DeadlineExceeded) {
 		return false
 	}
-	if c.rejectedAfter >= longQueueWait || c.rejectedAfter >= shortQueueWait && failed >= failuresUntilOverload-1 {
-		c.longestRejection = max(c.longestRejection, c.rejectedAfter)
+	if s.rejectedAfter >= longQueueWait || s.rejectedAfter >= shortQueueWait && failures >= failuresUntilOverload-1 {
+		s.longestRejection = max(s.longestRejection, s.rejectedAfter)
 		return true
 	}
-	return c.failedPolls > 0 || failed >= failuresUntilOverload
+	return s.failedPolls > 0 || failures >= failuresUntilOverload
 }
 
-// untilNextPoll is the pause after a call that was turned away by a long queue, or failed at once as others before it.
-func (c *Client) nextPollDelay() time.Duration {
-	c.failedPolls++
-	atOnce := c.rejectedAfter < shortQueueWait
-	if atOnce && !c.lastRejected { // nobody is there to keep a queue
-		c.failedPolls, c.queueTimeouts = min(c.failedPolls, maxPollsCountedDown), 0
+// nextPollDelay returns the pause until the next poll of an overloaded or unreachable discovery.
+func (s *pollScheduler) nextPollDelay() time.Duration {
+	s.failedPolls++
+	immediate := s.rejectedAfter < shortQueueWait
+	if immediate && !s.lastRejected { // discovery is down: its queue is gone
+		s.failedPolls, s.queueTimeouts = min(s.failedPolls, maxPollsCountedDown), 0
 	}
-	if atOnce && c.queueTimeouts == 0 { // discovery may be down, and no turn was taken
-		if c.failedPolls == 1 {
-			return c.randomDelay(minPollPeriod)
+	if immediate && s.queueTimeouts == 0 { // the call took no service time
+		if s.failedPolls == 1 {
+			return s.randomDelay(minPollPeriod)
 		}
-		return minPollPeriod - c.rejectedAfter
+		return minPollPeriod - s.rejectedAfter
 	}
-	if c.failedPolls > 1 && c.rejectedAfter >= shortQueueWait && c.rejectedAfter < longQueueWait {
-		c.failedPolls, c.queueTimeouts = 1, 0 // its turn came, and failed: the queue is short, and a longer period would be for nothing
-		return c.randomDelay(minPollPeriod)
+	if s.failedPolls > 1 && s.rejectedAfter >= shortQueueWait && s.rejectedAfter < longQueueWait {
+		// It was served in time and failed: the queue is short.
+		s.failedPolls, s.queueTimeouts = 1, 0
+		return s.randomDelay(minPollPeriod)
 	}
-	first := c.queueTimeouts == 0
-	if c.queueTimeouts++; first {
-		c.queueTimeouts = c.failedPolls // those that were turned away at once too
+	return s.delayAfterQueueTimeout()
+}
+
+// delayAfterQueueTimeout returns the pause after a poll that was rejected after waiting in the queue.
+func (s *pollScheduler) delayAfterQueueTimeout() time.Duration {
+	first := s.queueTimeouts == 0
+	if s.queueTimeouts++; first {
+		s.queueTimeouts = s.failedPolls // those that failed immediately count too
 	}
-	period := c.basePollPeriod()
-	longer := c.backedOffPeriod(period)
+	period := s.basePollPeriod()
+	backedOff := s.backedOffPeriod(period)
 	switch {
-	case c.failedPolls == 1: // all polled at once
-		return c.queueDrainTime() + c.randomDelay(period)
-	case first: // they polled spread over a period, and few too many: the queue is soon short
-		return c.randomDelay(max(period-c.rejectedAfter, 0))
-	case longer > period:
-		return longer*3/4 + c.randomDelay(longer/2) - c.rejectedAfter // drawn anew, lest the polls of a longer period bunch in a part of it
+	case s.failedPolls == 1: // the whole fleet polled at once
+		return s.queueDrainTime() + s.randomDelay(period)
+	case first: // polls were spread over a period: the queue drains soon
+		return s.randomDelay(max(period-s.rejectedAfter, 0))
+	case backedOff > period: // a new random point: polls must not gather in a part of the longer period
+		return backedOff*3/4 + s.randomDelay(backedOff/2) - s.rejectedAfter
 	}
-	return max(period-c.rejectedAfter, 0)
+	return max(period-s.rejectedAfter, 0)
 }
 
-// settling is the time before the first poll in which turns of calls that waited in vain are taken: less where they are few.
-func (c *Client) queueDrainTime() time.Duration {
-	return min(maxQueueDrain, max(minQueueDrain, c.queueTime(serviceTime)))
+// queueDrainTime returns the time in which discovery serves the calls that have timed out.
+func (s *pollScheduler) queueDrainTime() time.Duration {
+	return min(maxQueueDrain, max(minQueueDrain, s.queueTime(serviceTime)))
 }
 
-// plainPeriod is the period in which each caller polls once, so that all are answered, the last after W.
-func (c *Client) basePollPeriod() time.Duration {
-	small := min(max(maxWaitPlusPeriod-c.longestRejection, minPollPeriod), maxSmallFleetPeriod)
-	all := c.queueTime(serviceTime) - queueAtPeriodEnd
-	if !c.synced {
-		all = min(all, maxUnsyncedBasePeriod) // its period grows soon
+// basePollPeriod returns the period in which each caller polls once and all are served, the last after W.
+func (s *pollScheduler) basePollPeriod() time.Duration {
+	smallFleet := min(max(maxWaitPlusPeriod-s.longestRejection, minPollPeriod), maxSmallFleetPeriod)
+	wholeFleet := s.queueTime(serviceTime) - queueAtPeriodEnd
+	if !s.synced {
+		wholeFleet = min(wholeFleet, maxUnsyncedBasePeriod) // its period grows soon
 	}
-	return max(small, all)
+	return max(smallFleet, wholeFleet)
 }
 
-// longerPeriod is the period after some waits in vain. A client that discovery has never answered has the queue of a start
-// before it, which it makes longer each time, so its period grows soon; one whose watch ended may have an outage before it, and
-// is to hear soon after that. It is at most the share: few callers, which can fill no queue, never wait for longer, since what
-// keeps these from an answer is an outage, however long.
-func (c *Client) backedOffPeriod(period time.Duration) time.Duration {
-	more, turn := c.queueTimeouts-timeoutsUntilBackoff, serviceTimeInRelease
-	if !c.synced {
-		more = 2 * (c.queueTimeouts - timeoutsUntilBackoffUnsynced)
-		if c.queueTimeouts <= timeoutsUntilBackoff {
-			turn = serviceTimeAtStart
+// backedOffPeriod returns the period after the timeouts so far. A client without any list competes with a starting fleet,
+// so its period grows soon. One whose watch ended may be behind an outage and should be served soon after it.
+func (s *pollScheduler) backedOffPeriod(period time.Duration) time.Duration {
+	doublings, callTime := s.queueTimeouts-timeoutsUntilBackoff, serviceTimeInRelease
+	if !s.synced {
+		doublings = 2 * (s.queueTimeouts - timeoutsUntilBackoffUnsynced)
+		if s.queueTimeouts <= timeoutsUntilBackoff {
+			callTime = serviceTimeAtStart
 		}
 	}
-	longer := period << max(0, min(more, maxPeriodDoublings))
-	return max(period, min(longer, c.queueTime(turn)))
+	longer := period << max(0, min(doublings, maxPeriodDoublings))
+	return max(period, min(longer, s.queueTime(callTime)))
+}
+
+// queueTime returns the time in which discovery serves one call of each caller.
+func (s *pollScheduler) queueTime(callTime time.Duration) time.Duration {
+	callers := s.callers
+	if callers == 0 {
+		callers = defaultCallers
+	}
+	return time.Duration(callers) * callTime
 }
 
-// retry is the pause after so many calls in a row that failed.
-func (c *Client) retryBackoff(failed int) time.Duration {
-	most := maxBackoff
-	if c.cfg.Pushed {
-		most = maxAgentBackoff
+// retryBackoff returns the pause after some consecutive failures, at least one.
+func (s *pollScheduler) retryBackoff(failures int) time.Duration {
+	limit := maxBackoff
+	if s.agent {
+		limit = maxAgentBackoff
 	}
-	p := min(initialBackoff<<min(failed-1, 8), most)
-	return p/2 + c.randomDelay(p/2)
+	backoff := min(initialBackoff<<min(failures-1, 8), limit)
+	return backoff/2 + s.randomDelay(backoff/2)
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -13,58 +13,46 @@
 	"merlinpick/internal/failover"
 )
 
-// What a client of several members believes, and how long it takes. Whom it asks, when, and which versions it takes is
-// package failover's; beyond that:
-//
-//   - A silent member is given up Hold and callSlack after the watch began: a change reaches this client at most Hold +
-//     callSlack + Spread + the service's own bound after it was confirmed, as long as some member answers.
-//   - What another line lacks was not taken out by anybody. Such entries stand as they were for missingWait, in which
-//     nodos that live register again, and are gone after that: a wrong restore takes no backend from the proxy that is
-//     there, and one from another time does not keep dead ones for ever.
-//   - While no member answers, the last list stands without limit.
+// Package failover decides which member is called, when, and which versions are accepted. What a new epoch of versions
+// lacks was not removed by anybody: such endpoints are retained for missingRetention, in which those that live register
+// again. So an older snapshot that was restored by mistake removes no endpoint at once.
 const (
-	// Hold is how long a watch waits for news.
-	LongPollTimeout    = 4 * time.Second
-	registryWatchSlack = 1500 * time.Millisecond
-	// Spread is over how long the callers of a member that dies come to the others.
-	FailoverJitter     = failover.Jitter
-	maxRegistryBackoff = 5 * time.Second
-	epochWait          = failover.EpochWait
-	missingRetention   = 30 * time.Second
+	// LongPollTimeout is how long a member may hold a watch.
+	LongPollTimeout = 4 * time.Second
+	// FailoverJitter is the time over which the callers of a failed member spread their calls to others.
+	FailoverJitter = failover.Jitter
+
+	registryWatchSlack  = 1500 * time.Millisecond // after the hold, until a watch counts as timed out
+	registryCallTimeout = 3 * time.Second         // of a call that need not wait for a change
+	maxRegistryBackoff  = 5 * time.Second
+	epochWait           = failover.EpochWait
+	missingRetention    = 30 * time.Second
 )
 
-// followed is what a client of several members knows. It is Run's alone.
+// registryState is what a client knows of the registry's list. Only Run's goroutine uses it.
 type registryState struct {
 	accepted      failover.AcceptedVersion
-	endpoints     map[string]Endpoint // by name; nil before the first
-	missingSince  map[string]time.Time
-	sourceChanged bool // the operator has moved it: whatever line is there is taken
-}
-
-// Known has the client begin with a whole list that it did not hear itself: with Members one that it kept, else the one
-// that the configuration came with, which the first call then goes on from. To be called before Run.
-func (c *Client) SetInitialList(l *List) {
-	if len(c.source.Members) > 0 {
-		c.replaceEndpoints(l)
-	} else if l.Full {
-		c.version = l.Version
-	}
+	endpoints     map[string]Endpoint  // by name; nil: no list yet
+	missingSince  map[string]time.Time // retained endpoints by name
+	sourceChanged bool                 // since the last full list: any epoch is accepted
 }
 
-func (c *Client) replaceEndpoints(l *List) {
-	c.accepted, c.endpoints = failover.AcceptedVersion{Epoch: l.Epoch, Version: l.Version, ConfirmedAt: time.Now()}, map[string]Endpoint{}
-	for _, e := range l.Endpoints {
-		c.endpoints[e.Name] = e
+// replaceEndpoints replaces the list held by a full one.
+func (s *registryState) replaceEndpoints(list *List) {
+	s.accepted = failover.AcceptedVersion{Epoch: list.Epoch, Version: list.Version, ConfirmedAt: time.Now()}
+	s.endpoints = map[string]Endpoint{}
+	for _, endpoint := range list.Endpoints {
+		s.endpoints[endpoint.Name] = endpoint
 	}
 }
 
-// follow follows the members until the context ends.
+// followRegistry follows the list at the registry's members until the context ends.
 func (c *Client) followRegistry(ctx context.Context) {
-	members := failover.NewRing(c.source.Members, c.rng, maxRegistryBackoff)
-	whole := true
+	ring := failover.NewRing(c.source.Members, c.randomness, maxRegistryBackoff)
+	full := true
 	for ctx.Err() == nil {
-		asked, before := time.Now(), c.accepted.Version
-		list, err := c.callMember(ctx, members.Current(), whole)
+		calledAt, versionBefore := time.Now(), c.registry.accepted.Version
+		list, err := c.callMember(ctx, ring.Current(), full)
 		if ctx.Err() != nil {
 			return
 		}
@@ -73,145 +61,141 @@
 			err = c.accept(list, now)
 		}
 		if err == nil {
-			c.lastSuccess.Store(int64(max(1, time.Since(c.startedAt))))
+			c.lastSuccess.Record()
 			c.expireMissing(now)
-			// A member that holds no watch must not have this client ask without a pause.
-			if !whole && c.accepted.Version == before && now.Sub(asked) < LongPollTimeout/2 {
-				c.sleep(ctx, c.randomDelay(FailoverJitter))
+			if !full && c.registry.accepted.Version == versionBefore {
+				ring.PaceWatch(ctx, now.Sub(calledAt), LongPollTimeout)
 			}
-			members.RecordSuccess()
-			whole = false
+			ring.RecordSuccess()
+			full = false
 			continue
 		}
 		c.failures.Add(1)
-		whole = whole || !errors.Is(err, errUnavailable) && !errors.Is(err, failover.ErrStaleVersion) && list != nil
-		member := members.Current()
-		f := members.RecordFailure()
-		if f.ShouldLog {
-			c.log.Warn("discovery: a member failed", "member", member, "next", f.Next, "in_a_row", f.Consecutive, "error", err)
-		}
-		if f.FailedOver {
+		full = full || list != nil && !errors.Is(err, failover.ErrStaleVersion)
+		failure := ring.LogFailure(c.log, "endpoint list call failed", err)
+		if failure.FailedOver {
 			c.failovers.Add(1)
 		}
 		c.expireMissing(now)
-		c.sleep(ctx, f.Backoff)
+		c.sleep(ctx, failure.Backoff)
 	}
 }
 
-func (c *Client) sleep(ctx context.Context, d time.Duration) { failover.Sleep(ctx, d) }
-
-func (c *Client) randomDelay(below time.Duration) time.Duration {
-	return time.Duration(c.rng.Int64N(int64(below)))
-}
-
-// ask makes a call of one member: a watch, or with whole for the whole list.
-func (c *Client) callMember(ctx context.Context, addr string, whole bool) (*List, error) {
-	u, patience := "http://"+addr+"/catalog/members", registryCallTimeout
-	if !whole && c.endpoints != nil {
-		u += "?from=" + strconv.FormatInt(c.accepted.Version, 10) + "&hold_ms=" + strconv.FormatInt(LongPollTimeout.Milliseconds(), 10) + "&line=" +
-			url.QueryEscape(c.accepted.Epoch)
-		patience = LongPollTimeout + registryWatchSlack
-	}
-	return c.fetch(ctx, u, patience)
+// callMember requests the full list of a member, or watches for changes after the version held.
+func (c *Client) callMember(ctx context.Context, member string, full bool) (*List, error) {
+	target, timeout := "http://"+member+listPath, registryCallTimeout
+	if !full && c.registry.endpoints != nil {
+		target += "?from=" + strconv.FormatInt(c.registry.accepted.Version, 10) +
+			"&hold_ms=" + strconv.FormatInt(LongPollTimeout.Milliseconds(), 10) +
+			"&line=" + url.QueryEscape(c.registry.accepted.Epoch)
+		timeout = LongPollTimeout + registryWatchSlack
+	}
+	return c.fetch(ctx, target, timeout)
 }
 
-// take believes an answer, or says why not, and tells what is new in it.
-func (c *Client) accept(l *List, now time.Time) error {
-	first := c.endpoints == nil
-	same := l.Epoch == c.accepted.Epoch && !first
-	if !same && !l.Full {
-		return fmt.Errorf("changes of line %q, and the list is of %q", l.Epoch, c.accepted.Epoch)
-	}
-	if !c.sourceChanged {
-		if err := c.accepted.Check(l.Epoch, l.Version, now); err != nil {
+// accept publishes what is new in an answer, or returns why the answer is discarded.
+func (c *Client) accept(list *List, now time.Time) error {
+	state := &c.registry
+	first := state.endpoints == nil
+	sameEpoch := list.Epoch == state.accepted.Epoch && !first
+	if !sameEpoch && !list.Full {
+		return fmt.Errorf("changes of epoch %q do not apply to a list of epoch %q", list.Epoch, state.accepted.Epoch)
+	}
+	if !state.sourceChanged {
+		if err := state.accepted.Check(list.Epoch, list.Version, now); err != nil {
 			return err
 		}
 	}
-	if same {
-		c.accepted.ConfirmedAt = now
+	if sameEpoch {
+		state.accepted.ConfirmedAt = now
 	}
-	if !l.Full {
-		c.applyChanges(l)
+	if !list.Full {
+		c.applyChanges(list)
 		return nil
 	}
-	told := *l
-	told.Endpoints = c.retainMissing(l, now, !first && (l.Epoch != c.accepted.Epoch || c.sourceChanged))
-	c.sourceChanged = false
-	c.replaceEndpoints(&told)
-	c.retained.Store(int64(len(c.missingSince)))
+	complete := *list
+	complete.Endpoints = c.retainMissing(list, now, !first && (list.Epoch != state.accepted.Epoch || state.sourceChanged))
+	state.sourceChanged = false
+	state.replaceEndpoints(&complete)
+	c.retained.Store(int64(len(state.missingSince)))
 	c.saveCache()
-	c.publish(Update{&told})
+	c.publish(Update{&complete})
 	return nil
 }
 
-// withMissing is a whole list, and after it what it lacks that stands for a while: all that another line lacks, and what
-// one before it has lacked.
-func (c *Client) retainMissing(l *List, now time.Time, another bool) []Endpoint {
-	out := slices.Clone(l.Endpoints)
-	has := map[string]bool{}
-	for _, e := range out {
-		has[e.Name] = true
+// retainMissing returns the endpoints of a full list, and after them those held that it lacks and that are retained: all of
+// them if the list is of another epoch, else those that were retained before.
+func (c *Client) retainMissing(list *List, now time.Time, otherEpoch bool) []Endpoint {
+	state := &c.registry
+	endpoints := slices.Clone(list.Endpoints)
+	listed := map[string]bool{}
+	for _, endpoint := range endpoints {
+		listed[endpoint.Name] = true
 	}
 	missing := map[string]time.Time{}
-	for _, name := range slices.Sorted(maps.Keys(c.endpoints)) {
-		since, before := c.missingSince[name]
-		if has[name] || !another && !before {
+	for _, name := range slices.Sorted(maps.Keys(state.endpoints)) {
+		since, retained := state.missingSince[name]
+		if listed[name] || !otherEpoch && !retained {
 			continue
 		}
-		if !before { // lines that follow each other do not add up
+		if !retained { // the times of several epochs do not add up
 			since = now
 		}
 		missing[name] = since
-		out = append(out, c.endpoints[name])
+		endpoints = append(endpoints, state.endpoints[name])
 	}
-	if another {
-		c.log.Warn("discovery: another line of versions", "line", l.Epoch, "index", l.Version, "former", c.accepted.Epoch,
-			"former_index", c.accepted.Version, "nodos", len(l.Endpoints), "missing", len(missing), "kept_for", missingRetention)
+	if otherEpoch {
+		c.log.Warn("endpoint list epoch changed", "epoch", list.Epoch, "version", list.Version,
+			"previous_epoch", state.accepted.Epoch, "previous_version", state.accepted.Version,
+			"endpoints", len(list.Endpoints), "retained", len(missing), "duration", missingRetention)
 	}
-	c.missingSince = missing
-	return out
+	state.missingSince = missing
+	return endpoints
 }
 
-// changes takes what has changed.
-func (c *Client) applyChanges(l *List) {
-	c.accepted.Version = l.Version
-	if len(l.Endpoints) == 0 {
+// applyChanges applies and publishes changes of the list held.
+func (c *Client) applyChanges(changes *List) {
+	state := &c.registry
+	state.accepted.Version = changes.Version
+	if len(changes.Endpoints) == 0 {
 		return
 	}
-	for _, e := range l.Endpoints {
-		delete(c.missingSince, e.Name)
-		if e.Status == StatusDeleted {
-			delete(c.endpoints, e.Name)
+	for _, endpoint := range changes.Endpoints {
+		delete(state.missingSince, endpoint.Name)
+		if endpoint.Status == StatusDeleted {
+			delete(state.endpoints, endpoint.Name)
 		} else {
-			c.endpoints[e.Name] = e
+			state.endpoints[endpoint.Name] = endpoint
 		}
 	}
-	c.retained.Store(int64(len(c.missingSince)))
+	c.retained.Store(int64(len(state.missingSince)))
 	c.saveCache()
-	c.publish(Update{l})
+	c.publish(Update{changes})
 }
 
-// drop tells that what a line has lacked for long is gone.
+// expireMissing removes the endpoints that were retained for missingRetention.
 func (c *Client) expireMissing(now time.Time) {
-	var gone []Endpoint
-	for _, name := range slices.Sorted(maps.Keys(c.missingSince)) {
-		if now.Sub(c.missingSince[name]) >= missingRetention {
-			gone = append(gone, Endpoint{Name: name, Status: StatusDeleted})
+	state := &c.registry
+	var expired []Endpoint
+	for _, name := range slices.Sorted(maps.Keys(state.missingSince)) {
+		if now.Sub(state.missingSince[name]) >= missingRetention {
+			expired = append(expired, Endpoint{Name: name, Status: StatusDeleted})
 		}
 	}
-	if len(gone) > 0 {
-		c.log.Warn("discovery: what the new line lacks is gone", "nodos", len(gone))
-		c.applyChanges(&List{Version: c.accepted.Version, Epoch: c.accepted.Epoch, Endpoints: gone})
+	if len(expired) > 0 {
+		c.log.Warn("retained endpoints expired", "endpoints", len(expired), "epoch", state.accepted.Epoch)
+		c.applyChanges(&List{Version: state.accepted.Version, Epoch: state.accepted.Epoch, Endpoints: expired})
 	}
 }
 
+// saveCache has the list held written to the state directory.
 func (c *Client) saveCache() {
 	if c.cache == nil {
 		return
 	}
-	l := &List{Version: c.accepted.Version, Epoch: c.accepted.Epoch}
-	for _, name := range slices.Sorted(maps.Keys(c.endpoints)) {
-		l.Endpoints = append(l.Endpoints, c.endpoints[name])
+	list := &List{Version: c.registry.accepted.Version, Epoch: c.registry.accepted.Epoch}
+	for _, name := range slices.Sorted(maps.Keys(c.registry.endpoints)) {
+		list.Endpoints = append(list.Endpoints, c.registry.endpoints[name])
 	}
-	c.cache.Put(l.encode)
+	c.cache.Put(list.encode)
 }
--- a/internal/discovery/topology.go
+++ b/internal/discovery/topology.go
@@ -1,21 +1,21 @@
 package discovery
 
-// Fleet is what a proxy knows of the others that call the same discovery.
+// Topology is what a proxy knows of the other proxies that call the same discovery.
 type Topology struct {
-	Tier      int // of the tiers: which one this proxy sends to
+	Tier      int // index of the tier that this proxy forwards to
 	TierCount int
-	Replicas  int // proxies of this stage, this one included
+	Replicas  int // proxies of the same tier, this one included
 }
 
-// frontPart is how many proxies the first stage has for each of the next, of which a proxy of a later stage is told nothing.
+// firstTierRatio is the number of first-tier proxies for each proxy of a later tier, whose settings do not give it.
 const firstTierRatio = 0.25
 
-// Callers is about how many proxies a proxy shares discovery's turns with. One of the first stage carries far more calls than one
-// of the next, and there are few of them: they reckon with as many for each tier as there are in their own, and so call
-// sooner. One of a later stage reckons with as many in each of these as in its own, and with some in the first.
-func EstimateCallers(f Topology) int {
-	if f.Tier == 0 {
-		return f.Replicas * max(1, f.TierCount)
+// EstimateCallers returns the approximate number of proxies that share discovery's queue. A first-tier proxy assumes as
+// many in each tier as in its own: there are few of them and each carries many requests, so they may poll sooner. A proxy
+// of a later tier assumes as many in each later tier as in its own, and some in the first.
+func EstimateCallers(t Topology) int {
+	if t.Tier == 0 {
+		return t.Replicas * max(1, t.TierCount)
 	}
-	return f.Replicas*max(1, f.TierCount-1) + int(firstTierRatio*float64(f.Replicas))
+	return t.Replicas*max(1, t.TierCount-1) + int(firstTierRatio*float64(t.Replicas))
 }
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,19 +1,19 @@
-// Package failover is how a caller that follows the list service goes through its members, and whom it believes.
+// Package failover decides which member of the registry a client calls, how long it waits after a failure, and which
+// versions it accepts. It makes no calls itself.
 //
-//   - Each caller goes through the members in an order of its own, so that a fleet spreads over them. A failure (refused,
-//     silent, 503, nonsense) moves it to the next, after a pause drawn from 0 to Spread: the callers of a member that
-//     dies do not arrive at the others together. Once all members have failed in a row the pauses double, each round,
-//     to the caller's most, drawn from half of it to all.
-//   - Within a line of versions nothing older is taken than what was taken before: a member that is behind is left.
-//   - Another line (the service began anew, or was restored) is taken at once if its versions lie above, as the service
-//     sees to. If they lie below, only when no member has answered for the former line for LineWait: two services
-//     that both answer are not to be believed in turn.
+//   - Each client calls the members in a random order of its own, so that a fleet spreads over them. A failed call (refused,
+//     timed out, 503, malformed) moves it to the next member after a random delay below Jitter, so that the clients of a
+//     failed member do not call the others together. Once all members have failed in a row the backoff doubles with each
+//     round, up to the client's maximum; half of it is random.
+//   - Within an epoch of versions nothing older is accepted: a member that is behind is left.
+//   - Another epoch (the registry was restored or replaced) is accepted at once if its versions lie above. If they lie
+//     below it is accepted once no member has confirmed the former epoch for EpochWait, so that a client does not switch
+//     between two registries that both answer.
 package failover
 
 import (
 	"context"
-	"errors"
-	"fmt"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -22,21 +22,22 @@
 )
 
 const (
-	// Spread is over how long the callers of a member that dies come to the others.
+	// Jitter is the time over which the clients of a failed member spread their calls to others.
 	Jitter = 600 * time.Millisecond
-	// LineWait is without an answer for a line, until one that lies below it is taken.
+	// EpochWait is the time without confirmation of an epoch until one with lower versions is accepted.
 	EpochWait = 10 * time.Second
 
-	dialTimeout = time.Second
+	dialTimeout         = time.Second // well below the timeout of a call
+	maxBackoffDoublings = 8
 )
 
-// Client makes calls of members. A connection that does not come up is a failure of a member long before its call is one.
+// NewHTTPClient returns a client for calls to members.
 func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
 }
 
-// Wait waits, or until the context ends.
+// Sleep waits for a duration or until the context ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -44,80 +45,77 @@
 	}
 }
 
-// Ring is the members in a caller's own order. One goroutine has it.
+// Ring is the members in a client's own order. It is not safe for concurrent use.
 type Ring struct {
-	members           []string
-	current, failures int
-	rng               *rand.Rand
-	maxBackoff        time.Duration
+	members    []string
+	current    int
+	failures   int // consecutive
+	randomness *rand.Rand
+	maxBackoff time.Duration
 }
 
-// New is a ring, with pauses of at most so long while all members fail.
-func NewRing(members []string, rng *rand.Rand, maxBackoff time.Duration) *Ring {
-	r := &Ring{members: slices.Clone(members), rng: rng, maxBackoff: maxBackoff}
-	rng.Shuffle(len(r.members), func(i, j int) { r.members[i], r.members[j] = r.members[j], r.members[i] })
+// NewRing returns a ring of at least one member. Backoffs are at most maxBackoff.
+func NewRing(members []string, randomness *rand.Rand, maxBackoff time.Duration) *Ring {
+	r := &Ring{members: slices.Clone(members), randomness: randomness, maxBackoff: maxBackoff}
+	randomness.Shuffle(len(r.members), func(i, j int) { r.members[i], r.members[j] = r.members[j], r.members[i] })
 	return r
 }
 
-// Member is the one to ask.
+// Current returns the address of the member to call.
 func (r *Ring) Current() string { return r.members[r.current] }
 
-// Answered notes that it has answered.
+// RecordSuccess notes that the current member has answered.
 func (r *Ring) RecordSuccess() { r.failures = 0 }
 
-// Failure is what follows a call that failed.
+// Failure is what follows a failed call.
 type Failure struct {
-	Next        string // to ask
-	FailedOver  bool   // it is another one
-	Consecutive int    // failures
-	ShouldLog   bool   // this one is worth a line in the log: the first, and one each round
-	Backoff     time.Duration
+	Next        string        // member to call
+	FailedOver  bool          // it is another one
+	Consecutive int           // failed calls
+	ShouldLog   bool          // the first failure, and one in each round of the members
+	Backoff     time.Duration // until the next call
 }
 
-// Failed moves on to the next member.
+// RecordFailure moves on to the next member.
 func (r *Ring) RecordFailure() Failure {
 	r.failures++
 	next := (r.current + 1) % len(r.members)
-	f := Failure{Next: r.members[next], FailedOver: next != r.current, Consecutive: r.failures, ShouldLog: r.failures == 1 || r.failures%len(r.members) == 0}
+	failure := Failure{Next: r.members[next], FailedOver: next != r.current, Consecutive: r.failures,
+		ShouldLog: r.failures == 1 || r.failures%len(r.members) == 0}
 	r.current = next
-	f.Backoff = r.nextBackoff()
-	return f
+	failure.Backoff = r.nextBackoff()
+	return failure
 }
 
-// pause is how long to wait after so many failures in a row.
+// LogFailure is RecordFailure, and logs the event if it should be.
+func (r *Ring) LogFailure(logger *slog.Logger, event string, err error) Failure {
+	member := r.Current()
+	failure := r.RecordFailure()
+	if failure.ShouldLog {
+		logger.Warn(event, "member", member, "next", failure.Next, "attempt", failure.Consecutive, "error", err)
+	}
+	return failure
+}
+
+// nextBackoff returns the pause after the failures so far.
 func (r *Ring) nextBackoff() time.Duration {
 	if r.failures < len(r.members) {
 		return r.RandomDelay(Jitter)
 	}
-	p := min(Jitter<<min(r.failures/len(r.members), 8), r.maxBackoff)
-	return p/2 + r.RandomDelay(p/2)
-}
-
-// Draw is a time below another.
-func (r *Ring) RandomDelay(max time.Duration) time.Duration {
-	return time.Duration(r.rng.Int64N(int64(max)))
+	rounds := r.failures / len(r.members)
+	backoff := min(Jitter<<min(rounds, maxBackoffDoublings), r.maxBackoff)
+	return backoff/2 + r.RandomDelay(backoff/2)
 }
 
-// ErrBehind is an answer that lies below what was taken.
-var ErrStaleVersion = errors.New("a member is behind what another has told")
-
-// Lineage is what was taken last.
-type AcceptedVersion struct {
-	Epoch       string
-	Version     int64
-	ConfirmedAt time.Time // when a member last answered for the line
+// PaceWatch sleeps for a random time if a watch that may be held for hold was answered early, after elapsed, without
+// news: a member that holds no watches must not be called in a tight loop.
+func (r *Ring) PaceWatch(ctx context.Context, elapsed, hold time.Duration) {
+	if elapsed < hold/2 {
+		Sleep(ctx, r.RandomDelay(Jitter))
+	}
 }
 
-// Check tells why an answer is not to be taken.
-func (l AcceptedVersion) Check(line string, version int64, now time.Time) error {
-	switch {
-	case version >= l.Version:
-		return nil
-	case line == l.Epoch:
-		return fmt.Errorf("%w: version %d after %d", ErrStaleVersion, version, l.Version)
-	case now.Sub(l.ConfirmedAt) < EpochWait:
-		return fmt.Errorf("%w: line %q at version %d is below line %q at %d, which was told %v ago", ErrStaleVersion, line,
-			version, l.Epoch, l.Version, now.Sub(l.ConfirmedAt).Round(time.Millisecond))
-	}
-	return nil
+// RandomDelay returns a random duration from 0 to below limit.
+func (r *Ring) RandomDelay(limit time.Duration) time.Duration {
+	return time.Duration(r.randomness.Int64N(int64(limit)))
 }
--- /dev/null
+++ b/internal/failover/lastsuccess.go
@@ -0,0 +1,24 @@
+package failover
+
+import (
+	"sync/atomic"
+	"time"
+)
+
+// LastSuccess is when a client's call last succeeded. It is safe for concurrent use.
+type LastSuccess struct{ at atomic.Pointer[time.Time] }
+
+// Record notes a success now.
+func (l *LastSuccess) Record() {
+	now := time.Now()
+	l.at.Store(&now)
+}
+
+// Age returns the time since the last success; negative if there was none.
+func (l *LastSuccess) Age() time.Duration {
+	at := l.at.Load()
+	if at == nil {
+		return -1
+	}
+	return time.Since(*at)
+}
--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -269,7 +269,7 @@
 		}
 	}
 	for file, lines := range map[string][]string{
-		"internal/discovery/members.go":            {"pauseMost = 5 * time.Second"},
+		"internal/discovery/registry.go":           {"maxRegistryBackoff = 5 * time.Second"},
 		"internal/registry/raftnode/node.go":       {"tick = 100 * time.Millisecond"},
 		"internal/registry/registrar/registrar.go": {"pauseFirst = 50 * time.Millisecond", "pauseMost = 400 * time.Millisecond", "renewPart = 3 "},
 	} {
--- a/internal/rollout/cache.go
+++ b/internal/rollout/cache.go
@@ -15,11 +15,11 @@
 const (
 	cacheFile     = "config"
 	cacheKind     = "proxy-config"
-	maxCacheBytes = maxResponseBytes + 1<<10
-	damagedSuffix = ".damaged" // after the name of a file that was set aside
+	maxCacheBytes = maxResponseBytes + 1<<10 // with the file's header
+	damagedSuffix = ".damaged"               // of a damaged file that was renamed
 )
 
-// Kept is what was in force when a process ended.
+// CachedConfig is the configuration that was applied when a process ended. Its tags are those of the file.
 type CachedConfig struct {
 	Service  string          `json:"service"`
 	Epoch    string          `json:"line"`
@@ -27,39 +27,51 @@
 	Document json.RawMessage `json:"document"`
 }
 
-func (k *CachedConfig) encode() []byte {
-	text, err := json.Marshal(k)
+func (c *CachedConfig) encode() []byte {
+	text, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // words, and a document that was read as JSON
+		panic(err) // strings, and a document that was decoded from JSON
 	}
 	return text
 }
 
-func newCacheWriter(dir string, log *slog.Logger) *atomicfile.Writer {
-	return atomicfile.NewWriter(dir, cacheFile, cacheKind, "rollout: the configuration in force", log)
+func newCacheWriter(dir string, logger *slog.Logger) *atomicfile.Writer {
+	return atomicfile.NewWriter(dir, cacheFile, cacheKind, "applied configuration", logger)
 }
 
-// Read is what was kept of a service in a folder; nil if nothing was. A damaged file is set aside and is an error.
+// LoadCached returns the configuration of a service that a former process cached in a state directory; nil if there is
+// none. A damaged file is renamed, so that the next start does not read it, and is an error that wraps
+// atomicfile.ErrDamaged.
 func LoadCached(dir, service string) (*CachedConfig, error) {
 	path := filepath.Join(dir, cacheFile)
-	body, err := atomicfile.ReadFile(path, cacheKind, maxCacheBytes)
+	cached, err := readCache(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	var k CachedConfig
-	if err == nil {
-		if bad := json.Unmarshal(body, &k); bad != nil || k.Epoch == "" || k.Version <= 0 || len(k.Document) == 0 {
-			err = fmt.Errorf("%w: no configuration: %v", atomicfile.ErrDamaged, bad)
-		}
-	}
 	if errors.Is(err, atomicfile.ErrDamaged) {
-		err = errors.Join(fmt.Errorf("%s: %w; it is set aside as %s", path, err, filepath.Base(path)+damagedSuffix), os.Rename(path, path+damagedSuffix))
+		err = errors.Join(fmt.Errorf("cached configuration %s: %w; it is renamed to %s", path, err, filepath.Base(path)+damagedSuffix),
+			os.Rename(path, path+damagedSuffix))
 	}
 	if err != nil {
 		return nil, err
 	}
-	if k.Service != service {
+	if cached.Service != service {
 		return nil, nil
 	}
-	return &k, nil
+	return cached, nil
+}
+
+func readCache(path string) (*CachedConfig, error) {
+	body, err := atomicfile.ReadFile(path, cacheKind, maxCacheBytes)
+	if err != nil {
+		return nil, err
+	}
+	var cached CachedConfig
+	if err := json.Unmarshal(body, &cached); err != nil {
+		return nil, fmt.Errorf("%w: %w", atomicfile.ErrDamaged, err)
+	}
+	if cached.Epoch == "" || cached.Version <= 0 || len(cached.Document) == 0 {
+		return nil, fmt.Errorf("%w: epoch, version or document is missing", atomicfile.ErrDamaged)
+	}
+	return &cached, nil
 }
