--- a/internal/override/errors.go
+++ b/internal/override/errors.go
@@ -5,27 +5,47 @@
 	"time"
 )
 
-// UnknownError is the answer to a call on a server that no list has named and that is not out.
+// The texts of these errors are bodies of the management API's answers, in the words of its page.
+
+// UnknownServerError rejects a call for a server that no list has named and that is not suspended.
 type UnknownServerError struct{ Server string }
 
 func (e *UnknownServerError) Error() string {
 	return fmt.Sprintf("no list has named this nodo: %q; look for its id in discovery's list", e.Server)
 }
 
-// Op is what was to be done with the store.
+// UnknownZoneError rejects a call for a zone that neither the settings nor a list have named.
+type UnknownZoneError struct{ Zone string }
+
+func (e *UnknownZoneError) Error() string {
+	return fmt.Sprintf("neither settings nor lists have named this zone: %q; look for its name in GET /v1/zones", e.Zone)
+}
+
+// LastZoneError rejects a call that would leave no zone with servers.
+type LastZoneError struct {
+	Zone    string
+	Drained []string // already
+}
+
+func (e *LastZoneError) Error() string {
+	return fmt.Sprintf("drain zone %q: of those left no other has nodos that serve (drained now: %q); restore one first, or "+
+		"suspend nodos one by one", e.Zone, e.Drained)
+}
+
+// StoreOp is an operation on the directory of overrides.
 type StoreOp string
 
-// What a StoreError may be about.
+// The operations of a StoreError.
 const (
 	StoreOpAdd    StoreOp = "keep the ban"
 	StoreOpRemove StoreOp = "drop the ban"
 	StoreOpRead   StoreOp = "read the bans"
 )
 
-// StoreError tells that the folder of the bans could not be read or changed.
+// StoreError is a failed operation on the directory of overrides.
 type StoreError struct {
 	Op   StoreOp
-	Path string // of the ban's file, or of the folder
+	Path string // of the override's file, or of the directory
 	Err  error
 }
 
@@ -35,7 +55,7 @@
 
 func (e *StoreError) Unwrap() error { return e.Err }
 
-// failed is a *StoreError, or nil without err.
+// storeError returns a *StoreError, or nil without err.
 func storeError(op StoreOp, path string, err error) error {
 	if err == nil {
 		return nil
@@ -43,14 +63,14 @@
 	return &StoreError{op, path, err}
 }
 
-// SlowError tells that the disk was still busy with the change when the answer was due. It may hold, or not yet.
+// StoreTimeoutError is a write that was not finished when the answer was due. It may or may not finish later.
 type StoreTimeoutError struct{ After time.Duration }
 
 func (e *StoreTimeoutError) Error() string {
 	return fmt.Sprintf("the disk had not kept the change after %v; repeat the call to learn when it has", e.After)
 }
 
-// LateError tells that what a call says is kept and will hold, but does not yet.
+// NotAppliedError is an override that is stored and will take effect, but had not when the answer was due.
 type NotAppliedError struct{ After time.Duration }
 
 func (e *NotAppliedError) Error() string {
--- a/internal/override/names.go
+++ b/internal/override/names.go
@@ -6,49 +6,44 @@
 	"sync"
 )
 
-// maxNames bounds the names that are kept of servers that have left the list.
-const maxRememberedNames = 4096
+const maxRememberedNames = 4096 // including servers that have left the list
 
-// Names are the servers that some list has named. It may be used from many goroutines.
+// NameSet is the servers, or zones, that some endpoint list has named. It is safe for concurrent use.
 type NameSet struct {
 	mu       sync.Mutex
-	lastSeen map[string]int // when it was last named, in lists
+	lastSeen map[string]int // number of the list that named it last
 	lists    int
 }
 
-// NewNames has no names yet.
+// NewNameSet returns an empty set.
 func NewNameSet() *NameSet { return &NameSet{lastSeen: map[string]int{}} }
 
-// Add notes the servers of a list. Where there are too many the ones not named for the longest go.
-func (s *NameSet) Add(ids ...string) {
+// Add adds the names of one list. If there are too many, those that no list has named for the longest are removed.
+func (s *NameSet) Add(names ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists++
-	for _, id := range ids {
-		s.lastSeen[id] = s.lists
+	for _, name := range names {
+		s.lastSeen[name] = s.lists
 	}
-	for len(s.lastSeen) > max(maxRememberedNames, len(ids)) {
+	for len(s.lastSeen) > max(maxRememberedNames, len(names)) {
 		oldest := s.lists
-		for _, n := range s.lastSeen {
-			oldest = min(oldest, n)
-		}
-		for id, n := range s.lastSeen {
-			if n == oldest {
-				delete(s.lastSeen, id)
-			}
+		for _, seen := range s.lastSeen {
+			oldest = min(oldest, seen)
 		}
+		maps.DeleteFunc(s.lastSeen, func(_ string, seen int) bool { return seen == oldest })
 	}
 }
 
-// Has tells whether a server is among them.
-func (s *NameSet) Has(id string) bool {
+// Has reports whether a name is in the set.
+func (s *NameSet) Has(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, ok := s.lastSeen[id]
+	_, ok := s.lastSeen[name]
 	return ok
 }
 
-// All are the names, in no order.
+// All returns the names, in no order.
 func (s *NameSet) All() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,6 +1,8 @@
-// Package bans keeps the servers that on-call staff has taken out by hand, and says which are out now: those in the
-// proxy's own folder and those that others have told of. It has one goroutine, Run, which its caller starts; calls
-// come from any. Who sends nothing to those servers takes each whole set from Sets and confirms it.
+// Package override holds the servers and zones that operators have taken out of service: those stored in the proxy's own
+// directory and those that other proxies have announced. It hands each change to the one reader of Sets, which has to stop
+// sending there. It never chooses servers itself, and takes none out without an operator's call.
+//
+// One goroutine, Run, follows the directory; calls may come from any goroutine.
 package override
 
 import (
@@ -12,230 +14,155 @@
 	"time"
 )
 
-// Both follow from the 1 s in which a call on a server is to hold, which is the protocol's for any deployment.
+// An operator's call has to be answered and to take effect within 1 s: the protocol's bound for any deployment.
 const (
-	pollInterval = 200 * time.Millisecond // a call at the other process of an upgrade binds this one within 1 s
-	applyTimeout = 800 * time.Millisecond // for a call to hold; its answer is owed in 1 s
-
-	storeTimeout     = 800 * time.Millisecond // for the disk to keep it
-	maxPendingWrites = 16                     // that the disk may be busy with, as many as there are callers
+	pollInterval     = 200 * time.Millisecond // of the directory, which another process of this proxy may have changed
+	applyTimeout     = 800 * time.Millisecond // for a set to be acknowledged
+	storeTimeout     = 800 * time.Millisecond // for a change to be stored
+	maxPendingWrites = 16                     // that a slow disk may hold up
 )
 
-// Config is what Bans are told at the start.
+// Config is the configuration of Overrides.
 type Config struct {
-	Dir          string          // folder of the bans; it exists
-	KnownServers *NameSet        // servers that there may be calls on
-	KnownZones   *NameSet        // zones that there may be calls on; nil for none
-	Stopped      <-chan struct{} // closed once no set is taken any more, since nothing is sent: calls then hold
+	Dir          string          // where overrides are stored; it has to exist
+	KnownServers *NameSet        // that may be suspended
+	KnownZones   *NameSet        // that may be drained; nil: none
+	Stopped      <-chan struct{} // closed once no set is read any more: calls then take effect at once
 	Logger       *slog.Logger
 
-	// Serving gives the zones that have servers to send to; with Zones. It is called from many goroutines, and the
-	// result is not changed.
+	// ServingZones returns the zones that have servers to send to. It is needed with KnownZones, has to be safe for
+	// concurrent use, and its result is not changed.
 	ServingZones func() map[string]bool
 
-	// Told hears of each call here that was kept, before it holds, of zones by OfZone; nil for nobody. It may set Outside,
-	// and the call then holds with that. An error of it is the call's. It is called from many goroutines.
+	// Notify is called with each override that was stored, before it takes effect; a zone is given by its ZoneKey. It may
+	// call SetRemote, which then takes effect with it. Its error becomes that of the operator's call. It has to be safe for
+	// concurrent use. nil: nobody is notified.
 	Notify func(id string, suspended bool) error
 }
 
-// Set is the whole set of servers and, by OfZone, of zones that are out. Its reader must not change it.
+// Set is a complete set of servers, and zones by ZoneKey, that are out of service. Its reader must not change it.
 type Set struct {
 	IDs          map[string]bool
 	acknowledged chan struct{}
 }
 
-// Holds confirms that the set, and no other, is acted on; once for each.
+// Acknowledge confirms that this set is in effect. It has to be called once for each set.
 func (s Set) Acknowledge() { close(s.acknowledged) }
 
-// Bans are the servers that are out.
+// Overrides are the servers and zones that are out of service.
 type Overrides struct {
 	cfg           Config
 	store         store
 	sets          chan Set
-	pendingWrites chan struct{} // one for each change that the disk is busy with
-	wake          chan struct{} // holds a value when Run is to look before its time
+	pendingWrites chan struct{} // one value for each
+	wake          chan struct{} // holds a value if Run has to read the directory before its interval
 
-	mu     sync.Mutex      // one reading of the store at a time, handed on in order
-	stored map[string]bool // the store's when it was last read
+	mu     sync.Mutex      // one read of the store at a time, delivered in order
+	stored map[string]bool // as read last
 
-	drainMu sync.Mutex // one call at a time that takes a zone out
+	drainMu sync.Mutex // one call of DrainZone at a time
 
 	remoteMu sync.Mutex
 	remote   map[string]bool // replaced, never changed
 }
 
-// Open reads what is kept. Present is to hold before anything is sent; Run follows it.
+// Open reads the stored overrides. Current has to be in effect before anything is sent; Run follows changes.
 func Open(cfg Config) (*Overrides, error) {
-	b := &Overrides{cfg: cfg, store: store{dir: cfg.Dir}, sets: make(chan Set), wake: make(chan struct{}, 1),
+	o := &Overrides{cfg: cfg, store: store{dir: cfg.Dir}, sets: make(chan Set), wake: make(chan struct{}, 1),
 		pendingWrites: make(chan struct{}, maxPendingWrites)}
 	var err error
-	if b.stored, err = b.store.load(); err != nil {
+	if o.stored, err = o.store.load(); err != nil {
 		return nil, err
 	}
-	return b, nil
+	return o, nil
 }
 
-// Sets gives the whole set each time that it may have changed.
-func (b *Overrides) Sets() <-chan Set { return b.sets }
+// Sets returns the channel of complete sets, one for each time that it may have changed.
+func (o *Overrides) Sets() <-chan Set { return o.sets }
 
-// Present is the set that is to hold now. It waits for a set that is on its way, so it is not for the reader of Sets.
-func (b *Overrides) Current() map[string]bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.withRemote(b.stored)
+// Current returns the set that has to be in effect now. It waits for one that is being delivered, so the reader of Sets must
+// not call it.
+func (o *Overrides) Current() map[string]bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.withRemote(o.stored)
 }
 
-// with is the union of what is kept and what comes from outside.
-func (b *Overrides) withRemote(kept map[string]bool) map[string]bool {
-	ids := maps.Clone(kept)
-	b.remoteMu.Lock()
-	defer b.remoteMu.Unlock()
-	maps.Copy(ids, b.remote)
+// withRemote returns the union of stored and remote overrides.
+func (o *Overrides) withRemote(stored map[string]bool) map[string]bool {
+	ids := maps.Clone(stored)
+	o.remoteMu.Lock()
+	defer o.remoteMu.Unlock()
+	maps.Copy(ids, o.remote)
 	return ids
 }
 
-// Outside has these servers out beside those that are kept here, in place of the former such set. It does not wait,
-// so that even the reader of Sets may call it: Run hands the union on.
-func (b *Overrides) SetRemote(ids map[string]bool) {
-	out := maps.Clone(ids)
-	maps.DeleteFunc(out, func(_ string, is bool) bool { return !is })
-	b.remoteMu.Lock()
-	same := maps.Equal(out, b.remote)
-	b.remote = out
-	b.remoteMu.Unlock()
-	if same {
+// SetRemote replaces the overrides that other proxies have announced. It does not wait: Run delivers the union. The reader
+// of Sets may call it.
+func (o *Overrides) SetRemote(ids map[string]bool) {
+	remote := maps.Clone(ids)
+	maps.DeleteFunc(remote, func(_ string, suspended bool) bool { return !suspended })
+	o.remoteMu.Lock()
+	unchanged := maps.Equal(remote, o.remote)
+	o.remote = remote
+	o.remoteMu.Unlock()
+	if unchanged {
 		return
 	}
 	select {
-	case b.wake <- struct{}{}:
+	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run follows the store and what comes from outside until the context ends: another process of this proxy may
-// change the store.
-func (b *Overrides) Run(ctx context.Context) {
-	tick := time.NewTicker(pollInterval)
-	defer tick.Stop()
-	for failed := false; ; {
+// Run delivers changes of the directory and of SetRemote until the context ends.
+func (o *Overrides) Run(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for failing := false; ; {
 		select {
-		case <-tick.C:
-		case <-b.wake:
+		case <-ticker.C:
+		case <-o.wake:
 		case <-ctx.Done():
 			return
 		}
-		err := b.reload()
-		if err != nil && !failed { // once, not five times a second
-			b.cfg.Logger.Error("bans stand as they were", "error", err)
+		err := o.reload()
+		if err != nil && !failing { // once, not at each poll
+			o.cfg.Logger.Error("overrides not updated", "error", err)
 		}
-		failed = err != nil
+		failing = err != nil
 	}
 }
 
-// apply reads the store and returns once the union holds. Where the store cannot be read its part stands as it was.
-func (b *Overrides) reload() error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	kept, err := b.store.load()
+// reload reads the store and returns once the union is in effect. If the store cannot be read its part stays unchanged.
+func (o *Overrides) reload() error {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	stored, err := o.store.load()
 	if err == nil {
-		b.stored = kept
+		o.stored = stored
 	}
-	return errors.Join(err, b.deliver(b.withRemote(b.stored)))
+	return errors.Join(err, o.deliver(o.withRemote(o.stored)))
 }
 
-// hand gives a set to its reader and returns once it holds, or a *LateError.
-func (b *Overrides) deliver(ids map[string]bool) error {
-	s := Set{ids, make(chan struct{})}
-	late := time.NewTimer(applyTimeout)
-	defer late.Stop()
+// deliver sends a set to its reader and returns once it is acknowledged, or a *NotAppliedError.
+func (o *Overrides) deliver(ids map[string]bool) error {
+	set := Set{ids, make(chan struct{})}
+	timeout := time.NewTimer(applyTimeout)
+	defer timeout.Stop()
 	select {
-	case b.sets <- s:
-	case <-b.cfg.Stopped:
+	case o.sets <- set:
+	case <-o.cfg.Stopped:
 		return nil
-	case <-late.C:
+	case <-timeout.C:
 		return &NotAppliedError{applyTimeout}
 	}
 	select {
-	case <-s.acknowledged:
+	case <-set.acknowledged:
 		return nil
-	case <-b.cfg.Stopped:
+	case <-o.cfg.Stopped:
 		return nil
-	case <-late.C:
+	case <-timeout.C:
 		return &NotAppliedError{applyTimeout}
 	}
 }
-
-// Suspend takes a server out until Resume, here or at another process with this folder. It returns once that is
-// kept and holds. Its errors are *UnknownError, *StoreError, *SlowError, *LateError and those of Config.Told; after each of the
-// others than the first the call may be repeated.
-func (b *Overrides) SuspendServer(nodo string) error { return b.changeServer(nodo, true) }
-
-// Resume ends that, with the same errors. What comes from outside stands until Outside says otherwise.
-func (b *Overrides) ResumeServer(nodo string) error { return b.changeServer(nodo, false) }
-
-// Lift ends what is kept here of a suspension that all the others ended, without a word to them.
-func (b *Overrides) ClearLocal(nodo string) error {
-	if !b.store.has(nodo) {
-		return nil
-	}
-	if err := b.store.remove(nodo); err != nil {
-		return err
-	}
-	return b.reload()
-}
-
-// callNodo lets a call on a server through that a list has named, or that is out.
-func (b *Overrides) changeServer(nodo string, suspended bool) error {
-	if _, zone := zoneOfKey(nodo); zone || !b.cfg.KnownServers.Has(nodo) && !b.isSet(nodo) {
-		return &UnknownServerError{nodo}
-	}
-	return b.change(nodo, suspended)
-}
-
-func (b *Overrides) change(id string, suspended bool) error {
-	keep := b.store.remove
-	if suspended {
-		keep = b.store.add
-	}
-	if err := b.storeInTime(id, keep); err != nil {
-		return err
-	}
-	var untold error
-	if b.cfg.Notify != nil {
-		untold = b.cfg.Notify(id, suspended)
-	}
-	return errors.Join(untold, b.reload()) // it is kept: it holds here even if others were not told
-}
-
-// inTime changes the store, and waits for that no longer than the call's answer may take. A change that the disk is still
-// busy with goes on: what it makes of the folder is seen by Run.
-func (b *Overrides) storeInTime(id string, change func(string) error) error {
-	select {
-	case b.pendingWrites <- struct{}{}:
-	default:
-		return &StoreTimeoutError{storeTimeout}
-	}
-	done := make(chan error, 1)
-	go func() {
-		defer func() { <-b.pendingWrites }()
-		done <- change(id)
-	}()
-	late := time.NewTimer(storeTimeout)
-	defer late.Stop()
-	select {
-	case err := <-done:
-		return err
-	case <-late.C:
-		return &StoreTimeoutError{storeTimeout}
-	}
-}
-
-// out tells whether a server, or a zone, is out here or by others.
-func (b *Overrides) isSet(id string) bool {
-	if b.store.has(id) {
-		return true
-	}
-	b.remoteMu.Lock()
-	defer b.remoteMu.Unlock()
-	return b.remote[id]
-}
