--- a/internal/atomicfile/writer.go
+++ b/internal/atomicfile/writer.go
@@ -8,93 +8,91 @@
 	"time"
 )
 
-// keepWait is between two writes, at least.
-const writeInterval = time.Second
+const writeInterval = time.Second // between two writes, at least
 
-// Keeper writes the newest of something down, in a goroutine of its own, and again while the disk does not take it. A disk
-// that takes none, or is slow, is said once and harms nothing else: the file is of use to the next start only.
+// Writer keeps the latest version of a text in a sealed file, from a goroutine of its own. A disk that fails or is slow is
+// logged once, the write is repeated, and the caller is not affected: only the next start reads the file.
 type Writer struct {
-	dir, file, kind, description string
-	log                          *slog.Logger
-	pending                      chan func() []byte // the newest only
-	failing                      bool
+	dir, file, kind string
+	description     string // of the text, in log lines
+	log             *slog.Logger
+	pending         chan func() []byte // the latest only
+	failing         bool               // the last write failed
 }
 
-// NewKeeper keeps a sealed text of a kind in a folder's file; what names it in the log.
-func NewWriter(dir, file, kind, what string, log *slog.Logger) *Writer {
-	return &Writer{dir: dir, file: file, kind: kind, description: what, log: log, pending: make(chan func() []byte, 1)}
+// NewWriter returns a writer of a file in a directory. The kind is that of Seal; the description names the text in the
+// log. Run has it write.
+func NewWriter(dir, file, kind, description string, logger *slog.Logger) *Writer {
+	return &Writer{dir: dir, file: file, kind: kind, description: description, log: logger, pending: make(chan func() []byte, 1)}
 }
 
-// Put has a text written soon; it is made then. Only one goroutine calls it.
-func (k *Writer) Put(text func() []byte) {
+// Put has a text written soon, in place of one that is not written yet. The text is requested when it is written. Only one
+// goroutine may call it.
+func (w *Writer) Put(text func() []byte) {
 	select {
-	case <-k.pending:
+	case <-w.pending:
 	default:
 	}
-	k.pending <- text
+	w.pending <- text
 }
 
-// Run writes until the context ends; what it gives waits for its end.
-func (k *Writer) Run(ctx context.Context) (ended func()) {
+// Run starts the goroutine, which ends with the context, after it has written what is pending. The function returned waits
+// for that.
+func (w *Writer) Run(ctx context.Context) (wait func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := removeLeftovers(filepath.Join(k.dir, k.file)); err != nil {
-			k.log.Warn(k.description+": leftovers of a former process stay", "dir", k.dir, "error", err)
+		if err := removeLeftovers(filepath.Join(w.dir, w.file)); err != nil {
+			w.log.Warn("temporary files not removed", "file", w.file, "dir", w.dir, "error", err)
 		}
-		var unwritten func() []byte // what the disk has not taken
-		for {
-			var again <-chan time.Time
-			if unwritten != nil {
-				again = time.After(writeInterval)
-			}
+		w.writeUntilDone(ctx)
+	}()
+	return func() { <-done }
+}
+
+func (w *Writer) writeUntilDone(ctx context.Context) {
+	var unwritten func() []byte // the last write of it failed
+	for {
+		var retry <-chan time.Time
+		if unwritten != nil {
+			retry = time.After(writeInterval)
+		}
+		select {
+		case unwritten = <-w.pending:
+		case <-retry:
+		case <-ctx.Done():
 			select {
-			case unwritten = <-k.pending:
-			case <-again:
-			case <-ctx.Done():
-				select {
-				case unwritten = <-k.pending:
-				default:
-				}
-				if unwritten != nil {
-					k.write(unwritten())
-				}
-				return
+			case unwritten = <-w.pending:
+			default:
 			}
-			if k.write(unwritten()) {
-				unwritten = nil
-			}
-			select {
-			case <-time.After(writeInterval):
-			case <-ctx.Done():
+			if unwritten != nil {
+				w.write(unwritten())
 			}
+			return
 		}
-	}()
-	return func() { <-done }
+		if w.write(unwritten()) {
+			unwritten = nil
+		}
+		select {
+		case <-time.After(writeInterval):
+		case <-ctx.Done():
+		}
+	}
 }
 
-// write tells whether the disk has taken a text.
-func (k *Writer) write(text []byte) bool {
-	err := os.MkdirAll(k.dir, 0o700)
+// write reports whether a text was written.
+func (w *Writer) write(text []byte) bool {
+	err := os.MkdirAll(w.dir, 0o700)
 	if err == nil {
-		err = WriteFile(filepath.Join(k.dir, k.file), Seal(k.kind, text))
+		err = WriteFile(filepath.Join(w.dir, w.file), Seal(w.kind, text))
 	}
 	switch {
-	case err != nil && !k.failing:
-		k.log.Error(k.description+" cannot be kept: a start would have an older one", "dir", k.dir, "error", err)
-	case err == nil && k.failing:
-		k.log.Info(k.description+" is kept again", "dir", k.dir)
+	case err != nil && !w.failing:
+		w.log.Error("cache write failed; a restart would read an older version", "file", w.file, "content", w.description,
+			"dir", w.dir, "error", err)
+	case err == nil && w.failing:
+		w.log.Info("cache write succeeded again", "file", w.file, "content", w.description, "dir", w.dir)
 	}
-	k.failing = err != nil
+	w.failing = err != nil
 	return err == nil
 }
-
-// ReadFile reads a sealed file of a kind, of at most so many bytes.
-func ReadFile(path, kind string, most int64) ([]byte, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	return Unseal(kind, f, most)
-}
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -1,13 +1,13 @@
-// Package keepalive decides how long a kept connection may have stood idle to be used again.
+// Package idletimeout learns how long a connection to a backend may have been idle to be reused. It opens and closes no
+// connections itself.
 //
-// Backends, and what stands between, close idle connections earlier than the settings say, and word of it can come too
-// late: a request written meanwhile ends as a reset, which is final for one that must not run twice. Where a kept
-// connection breaks that way, connections idle for half as long are the last that are trusted, at any backend; after
-// that, trust comes back.
+// Backends, and proxies in between, may close idle connections earlier than the settings say, and the close may arrive too
+// late: a request written meanwhile ends with a reset, which is final for one that is not idempotent. After such a broken
+// reuse, connections to any backend are reused only up to half of the time that the broken one was idle; that bound then
+// recovers.
 //
-// A process that dies breaks its connections too, whatever they stood idle, and says nothing of other backends'. It is
-// known by the next connect to it, which is refused, or by a list that has it gone or started anew: what broke there
-// shortly before is then taken back.
+// The exit of a backend's process breaks its connections too, and says nothing of other backends. It shows by a refused
+// connection soon after, or by a list without the backend or with a new start of it; the effect of its breaks is then undone.
 package idletimeout
 
 import (
@@ -15,79 +15,75 @@
 	"time"
 )
 
-// The settings give the longest trusted time (most) and nothing of who closes earlier. These hold for any of them: Span
-// is never over most, whatever is learned here, and what is learned is kept as a factor, so that the time back from a break
-// grows with the logarithm of most only.
 const (
-	// Least is how long a kept connection is trusted whatever was seen: longer than word of a close is under way
-	// between two zones, and so short that a run of breaks can't have every request dial anew.
+	// MinIdleTimeout is the idle time up to which a connection is always reused: longer than a close takes between two
+	// zones, and short enough that a series of broken reuses does not make every request open a connection.
 	MinIdleTimeout = 20 * time.Millisecond
-	// Double is in what time the trusted time doubles without a further break: a break in most costs a new connection now
-	// and then, at any rate of requests.
+	// RecoveryTime is the time in which the bound doubles without a further broken reuse.
 	RecoveryTime = 10 * time.Second
 
-	// Rest is how long a connection stands quiet after an answer before it is used again. A faulty server may send a
-	// second answer some milliseconds behind the first (2 to 4 were seen). One that comes while the connection rests
-	// is seen there; one that comes after the next request was written cannot be told from that one's own answer, and
-	// no figure in it names the request. A call that finds only resting connections waits for one: the only price.
+	// ReuseDelay is how long a connection is left unused after a response. A faulty backend may send a second response
+	// some milliseconds after the first: during the delay it is recognized, after the next request it would be taken for
+	// that one's response.
 	ReuseDelay = 10 * time.Millisecond
 
-	// diedWithin is how long after a break word of a death explains it. A refused connect tells at the next attempt and a
-	// list some seconds late. Where lists are later still the break counts as staleness, which Double forgets.
+	// exitAttributionWindow is how long after a broken reuse a backend's exit explains it. A refused connection shows at
+	// the next attempt, a list some seconds late.
 	exitAttributionWindow = 10 * time.Second
 )
 
-// limit is a bound on the trusted time, as of a moment; 0 is none.
+// idleLimit is a bound on the idle time, as learned at a moment. A zero maxIdle is no bound.
 type idleLimit struct {
 	maxIdle time.Duration
 	since   time.Time
 }
 
-// Trust is of all kept connections of a process. It is not safe for concurrent use.
+// Tracker learns the bound for all connections of a process. The zero value has no bound. It is not safe for concurrent
+// use.
 type Tracker struct {
 	current idleLimit
 
-	// The latest breaks at one backend, and the limit before the first of them.
+	// The latest broken reuses at one backend, and the bound before the first of them.
 	brokenBackend string
 	brokenAt      time.Time
 	beforeBreaks  idleLimit
 }
 
-// Span is how long a connection may have been idle now, never more than most. A request that must not run twice gets
-// half of it, so that those which can be repeated meet the edge first.
-func (t *Tracker) MaxIdle(now time.Time, most time.Duration, unsafe bool) time.Duration {
-	span := most
+// MaxIdle returns how long a connection may have been idle to be reused, at most configured. For a request that is not
+// idempotent it is half of the learned bound, so that broken reuses first hit requests that can be retried.
+func (t *Tracker) MaxIdle(now time.Time, configured time.Duration, nonIdempotent bool) time.Duration {
+	maxIdle := configured
 	if t.current.maxIdle > 0 {
-		grown := float64(t.current.maxIdle) * math.Exp2(now.Sub(t.current.since).Seconds()/RecoveryTime.Seconds())
-		if grown >= float64(2*most) {
+		recovered := float64(t.current.maxIdle) * math.Exp2(now.Sub(t.current.since).Seconds()/RecoveryTime.Seconds())
+		if recovered >= float64(2*configured) {
 			t.current.maxIdle = 0
-			return most
+			return configured
 		}
-		span = time.Duration(grown)
-		if unsafe {
-			span /= 2
+		maxIdle = time.Duration(recovered)
+		if nonIdempotent {
+			maxIdle /= 2
 		}
 	}
-	return min(span, most)
+	return min(maxIdle, configured)
 }
 
-// Broke notes that a connection to a backend which had been idle so long broke under its next request.
-func (t *Tracker) RecordBrokenReuse(now time.Time, backend string, idle, most time.Duration) {
-	if idle < MinIdleTimeout || idle > most {
-		return // no staleness, or one that Span already guards from
+// RecordBrokenReuse notes that a connection to a backend broke under a request after it had been idle for some time.
+func (t *Tracker) RecordBrokenReuse(now time.Time, backend string, idle, configured time.Duration) {
+	if idle < MinIdleTimeout || idle > configured {
+		return // not for its idle time, or one that MaxIdle excludes already
 	}
 	if t.brokenBackend != backend || now.Sub(t.brokenAt) > exitAttributionWindow {
 		t.brokenBackend, t.beforeBreaks = backend, t.current
 	}
 	t.brokenAt = now
-	span := max(idle/2, MinIdleTimeout)
+	maxIdle := max(idle/2, MinIdleTimeout)
 	if t.current.maxIdle > 0 {
-		span = min(span, max(t.MaxIdle(now, most, false)/2, MinIdleTimeout))
+		maxIdle = min(maxIdle, max(t.MaxIdle(now, configured, false)/2, MinIdleTimeout))
 	}
-	t.current = idleLimit{span, now}
+	t.current = idleLimit{maxIdle, now}
 }
 
-// Died notes word that a backend's process has ended.
+// RecordBackendExit notes that a backend's process has ended, which explains its latest broken reuses.
 func (t *Tracker) RecordBackendExit(now time.Time, backend string) {
 	if t.brokenBackend == backend && now.Sub(t.brokenAt) <= exitAttributionWindow {
 		t.current, t.brokenBackend = t.beforeBreaks, ""
