--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -9,109 +9,122 @@
 	"merlinpick/balancer"
 )
 
-// outcome tells the module how an attempt ended; a served request has its answer first.
-func (l *loop) outcome(a *attempt, res result) {
-	r := a.req
-	l.ends(a, res.status)
-	if r.current == a {
-		r.current = nil
+// The loop is the balancer's Host: it carries its decisions out. All of this file runs in the loop's goroutine, but for
+// startStream.
+
+// Send starts an attempt at a server. sendWindow (0: none) is how long its last byte may be sent, timeout (0: the client's
+// deadline) how long its response is awaited, both in microseconds from now.
+func (l *eventLoop) Send(id, server string, sendWindow, timeout int64) {
+	r := l.requests[id]
+	if r == nil {
+		l.logger.Error("attempt for an unknown request", "request", id, "endpoint", server)
+		return
+	}
+	now := l.clock.now()
+	a := &attempt{request: r, number: r.attemptCount, decidedAt: now, deadline: l.clock.time(l.attemptDeadline(r, now, timeout)), pool: l.pool}
+	if sendWindow > 0 {
+		a.sendDeadline = l.clock.time(now + sendWindow)
+	}
+	r.attemptCount++
+	if r.BodyPending {
+		a.bodyComplete = make(chan time.Time, 1)
+	}
+	// Never two attempts of a request at once, and none for a client that has gone.
+	clientGone := r.clientContext != nil && r.clientContext.Err() != nil
+	if !l.pool.assign(a, server) || r.ended || r.currentAttempt != nil || clientGone {
+		l.attempts.unsent = append(l.attempts.unsent, a)
+		return
+	}
+	l.start(a)
+}
+
+// attemptDeadline is when an attempt that begins now is given up, on the loop's clock. While the body is still coming the
+// client's deadline is not known: it is set once the body is complete.
+func (l *eventLoop) attemptDeadline(r *request, now, timeout int64) int64 {
+	switch {
+	case r.BodyPending:
+		return now + maxUploadTime.Microseconds()
+	case timeout != 0:
+		return min(r.Deadline, now+timeout)
+	}
+	return r.Deadline
+}
+
+// start runs an attempt in a goroutine of its own, which posts the result.
+func (l *eventLoop) start(a *attempt) {
+	a.ctx, a.cancel = context.WithCancel(l.attempts.ctx)
+	a.startStream = func(resp response) bool { return l.startStream(a, resp) }
+	a.request.currentAttempt = a
+	l.auditAttemptStart(a)
+	l.attempts.goroutines.Go(func() {
+		res := a.run()
+		a.cancel()
+		l.post(func() { l.handleOutcome(a, res) })
+	})
+}
+
+// handleOutcome tells the balancer how an attempt ended. A request that it has served gets its response first.
+func (l *eventLoop) handleOutcome(a *attempt, res result) {
+	r := a.request
+	l.auditAttemptEnd(a, res.status)
+	if r.currentAttempt == a {
+		r.currentAttempt = nil
 	}
 	if res.status == balancer.StatusOK {
-		l.end(r, answer{status: http.StatusOK, body: res.body, content: res.content})
+		l.respond(r, response{status: http.StatusOK, body: res.body, contentType: res.contentType})
 	}
-	if res.status != balancer.StatusOK && !r.over && r.left() {
-		l.gone(r) // or a further attempt might follow
+	if res.status != balancer.StatusOK && !r.ended && r.clientGone() {
+		l.handleClientGone(r) // otherwise the balancer might decide on a retry
 	}
 	now := l.clock.now()
-	l.bal.HandleOutcome(now, l, balancer.Outcome{RequestID: r.ID, Attempt: a.number, Status: res.status, Latency: now - a.sent,
-		RequestDone: r.over, NotReplayable: r.spent})
+	l.balancer.HandleOutcome(now, l, balancer.Outcome{RequestID: r.ID, Attempt: a.number, Status: res.status,
+		Latency: now - a.decidedAt, RequestDone: r.ended, NotReplayable: r.bodyConsumed})
 	l.forget(r)
 }
 
-// stream ends a request with an answer that is passed on as it comes; false if it has ended otherwise. The
-// attempt calls it and goes on until the answer has been passed on.
-func (l *loop) stream(a *attempt, ans answer) bool {
-	begun := make(chan bool, 1)
+// startStream gives a request a response that is streamed; false if the request has ended otherwise. The attempt's
+// goroutine calls it, and goes on until the response has been passed on.
+func (l *eventLoop) startStream(a *attempt, resp response) bool {
+	started := make(chan bool, 1)
 	l.post(func() {
-		if a.req.over {
-			begun <- false
+		if a.request.ended {
+			started <- false
 			return
 		}
-		ans.stream.due = l.clock.time(a.req.Deadline)
-		l.bal.HandleResponseStarted(l.clock.now(), a.req.ID)
-		l.end(a.req, ans)
-		begun <- true
+		resp.stream.clientDeadline = l.clock.time(a.request.Deadline)
+		l.balancer.HandleResponseStarted(l.clock.now(), a.request.ID)
+		l.respond(a.request, resp)
+		started <- true
 	})
 	select {
-	case ok := <-begun:
+	case ok := <-started:
 		return ok
 	case <-l.done:
 		return false
 	}
 }
 
-// Send implements logic.Host.
-func (l *loop) Send(id, server string, within, timeout int64) {
-	r := l.reqs[id]
-	if r == nil {
-		l.log.Error("send for an unknown request", "id", id)
-		return
-	}
-	now := l.clock.now()
-	until := r.Deadline
-	if r.BodyPending {
-		until = now + uploadMost.Microseconds()
-	} else if timeout != 0 {
-		until = min(until, now+timeout)
-	}
-	a := &attempt{req: r, number: r.sends, sent: now, deadline: l.clock.time(until), pool: l.pool}
-	if within > 0 {
-		a.until = l.clock.time(now + within)
-	}
-	r.sends++
-	if r.BodyPending {
-		a.whole = make(chan time.Time, 1)
-	}
-	ok := l.pool.find(a, server)
-	// Never two attempts of a request at once, and none for a client that has gone.
-	if !ok || r.over || r.current != nil || r.client != nil && r.client.Err() != nil {
-		l.unsent = append(l.unsent, a)
-		return
-	}
-	a.ctx, a.stop = context.WithCancel(l.ctx)
-	a.stream = func(ans answer) bool { return l.stream(a, ans) }
-	r.current = a
-	l.sends(a)
-	l.attempts.Add(1)
-	go func() {
-		defer l.attempts.Done()
-		res := a.run()
-		a.stop()
-		l.post(func() { l.outcome(a, res) })
-	}()
-}
-
-// Refuse implements logic.Host.
-func (l *loop) Reject(id string, after int64) {
-	if r := l.reqs[id]; r != nil {
-		l.end(r, answer{status: http.StatusServiceUnavailable, after: after})
+// Reject gives a request a 503 that tells its client to come again after so many microseconds; 0: without a time.
+func (l *eventLoop) Reject(id string, retryAfter int64) {
+	if r := l.requests[id]; r != nil {
+		l.respond(r, response{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
 	}
 }
 
-// Fail implements logic.Host.
-func (l *loop) Fail(id string) {
-	if r := l.reqs[id]; r != nil {
-		l.end(r, answer{status: http.StatusBadGateway})
+// Fail gives a request a 502.
+func (l *eventLoop) Fail(id string) {
+	if r := l.requests[id]; r != nil {
+		l.respond(r, response{status: http.StatusBadGateway})
 	}
 }
 
-// SetTimer implements logic.Host.
-func (l *loop) SetTimer(delay int64, token string) {
-	heap.Push(&l.timers, timer{at: l.clock.now() + delay, token: token})
+// SetTimer has HandleTimer called with a token after a delay in microseconds.
+func (l *eventLoop) SetTimer(delay int64, token string) {
+	heap.Push(&l.timers, timer{moment: l.clock.now() + delay, token: token})
 }
 
-// Watch implements logic.Host. The client of the list watches from its start, and knows itself when to try again.
-func (l *loop) Watch() {}
+// Watch does nothing: discovery's client watches from the start and retries by itself.
+func (l *eventLoop) Watch() {}
 
-// Log implements logic.Host.
-func (l *loop) Log(event balancer.Event) { l.log.Info(event.String()) }
+// Log logs an event of the balancer's.
+func (l *eventLoop) Log(event balancer.Event) { l.logger.Info(event.String()) }
