--- /dev/null
+++ b/internal/registry/state/command.go
@@ -0,0 +1,73 @@
+package state
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+)
+
+// The kinds of commands.
+const (
+	CommandBegin      = "begin" // the first epoch; nothing if there is one
+	CommandRegister   = "register"
+	CommandDrain      = "drain"
+	CommandDeregister = "deregister"
+	CommandExpire     = "expire"    // of leases that are over
+	CommandConfigure  = "configure" // a service's configuration
+)
+
+// Command is one entry of the log. Members of another build may know further kinds: a kind that this build does not know
+// changes nothing.
+type Command struct {
+	Kind         string        `json:"kind"`
+	Epoch        string        `json:"line,omitempty"`   // CommandBegin
+	FirstVersion int64         `json:"base,omitempty"`   // CommandBegin
+	Record       *Record       `json:"record,omitempty"` // CommandRegister
+	Refs         []InstanceRef `json:"refs,omitempty"`   // CommandDrain, CommandDeregister, CommandExpire
+
+	// CommandConfigure.
+	Service  string          `json:"service,omitempty"`
+	After    int64           `json:"after,omitempty"` // the newest version that the writer has seen
+	Document json.RawMessage `json:"document,omitempty"`
+}
+
+// The codes of a Result.
+const (
+	ResultDone     = "done"
+	ResultUnknown  = "unknown"  // the endpoint is not in the list
+	ResultEnded    = "ended"    // the instance was deregistered and cannot return
+	ResultReplaced = "replaced" // an instance that started later has the name
+	ResultFull     = "full"     // the list has MaxEndpoints
+	ResultIgnored  = "ignored"  // unknown kind, or invalid content
+	ResultConflict = "conflict" // a configuration's newest version is not Command.After
+	ResultNoRoom   = "no_room"  // over MaxDocumentBytes or MaxServices
+)
+
+// Result is what a command did.
+type Result struct {
+	Code    string
+	Version int64 // the version in which the effect is visible
+	Changed bool  // whether the state was changed
+}
+
+// Decode reads a command of the log.
+func Decode(data []byte) (Command, error) {
+	var c Command
+	if err := json.Unmarshal(data, &c); err != nil {
+		return c, fmt.Errorf("a command of the log: %w", err)
+	}
+	return c, nil
+}
+
+// Encode returns the command as the log has it. It panics on a record whose weight is no number, which Record.Check
+// excludes.
+func (c Command) Encode() []byte {
+	if r := c.Record; r != nil && (math.IsNaN(r.Weight) || math.IsInf(r.Weight, 0)) {
+		panic("a record that was not checked")
+	}
+	data, err := json.Marshal(c)
+	if err != nil {
+		panic(err) // strings and checked numbers
+	}
+	return data
+}
