--- a/internal/registry/lease/lease.go
+++ b/internal/registry/lease/lease.go
@@ -1,18 +1,16 @@
-// Package lease decides when a nodo that has stopped renewing is gone. It runs on the leader alone and is told the
-// time; what it decides becomes a command like any other, so that a leader that no longer is one decides nothing.
+// Package lease decides when an endpoint that no longer renews is gone. It runs on the leader alone and is given the time.
+// It changes no list: what it decides becomes a command of package state, so that a deposed leader decides nothing.
 //
-// Times are monotonic, and never compared between members: a new leader counts each lease afresh from the moment it
-// leads. The same holds for time in which this process did not run (stopped, starved): renewals could not reach it, and
-// none of it counts.
+// Times are monotonic and never compared between members: a new leader restarts every lease when its leadership begins.
+// Time in which this process did not run (suspended, starved) does not count, since renewals could not reach it.
 //
-// Loss of contact is not loss of nodos. A few leases that end are nodos that died; many of one zone that end together
-// are a network, or this service. Where more than Part of a zone's leases end within the zone's longest lease, the
-// zone is held: its entries stay, and are let go one at a time, Pace of the zone in a lease's time, the longest silent
-// first: a zone of any size that is gone for good is gone after 1/Pace lease times. A renewal takes its entry out of the
-// line. The hold ends when no lease of the zone is over.
+// Loss of contact is not loss of servers. A few expiries are servers that died; many of one zone together are a network or
+// this service. Where more than Config.HoldThreshold of a zone's leases expire within the zone's longest lease, the zone is
+// held: its endpoints stay in the list and are released one at a time, the longest silent first, at Config.ReleaseRate. So
+// a zone that is gone for good is gone after 1/ReleaseRate lease durations, whatever its size. A renewal takes its endpoint
+// out of that order. The hold ends when no lease of the zone is over.
 //
-// Rejected: to hold the whole list rather than a zone (a real loss of one zone's nodos would be hidden by the others'
-// size); to never let go (a zone that is gone for good would stay for ever).
+// A hold covers a zone, not the list: the other zones' size would hide the loss of a zone's servers.
 package lease
 
 import (
@@ -23,14 +21,14 @@
 	"merlinpick/internal/registry/state"
 )
 
-// Config is what a table goes by.
+// Config configures a table.
 type Config struct {
-	HoldThreshold float64       // of a zone's leases that may end within one lease time and go at once; one always may
-	ReleaseRate   float64       // of a held zone, in one lease time, that are let go
-	MaxSweepGap   time.Duration // a gap between two looks over this is time that did not count
+	HoldThreshold float64       // fraction of a zone's leases that may expire at once within a lease duration; one always may
+	ReleaseRate   float64       // fraction of a held zone that is released in one lease duration
+	MaxSweepGap   time.Duration // a longer time between two sweeps does not count
 }
 
-// Defaults are the stated figures.
+// DefaultConfig returns the documented values.
 func DefaultConfig() Config {
 	return Config{HoldThreshold: 0.25, ReleaseRate: 0.1, MaxSweepGap: time.Second}
 }
@@ -42,27 +40,28 @@
 	expiresAt time.Time
 }
 
+// zone is the state of a zone with expiries in its last lease duration.
 type zone struct {
-	recentExpiries []time.Time // when leases ended, of the last lease time
+	recentExpiries []time.Time // within the zone's longest lease duration
 	held           bool
-	sizeAtHold     int       // when the hold began
-	nextRelease    time.Time // when a held one is let go
+	sizeAtHold     int       // leases when the hold began
+	nextRelease    time.Time // while held
 }
 
-// Table is the leases. Its owner allows no two calls at once.
+// Table holds the leases. It is not safe for concurrent use.
 type Table struct {
 	cfg       Config
-	leases    map[string]*entry // by name
+	leases    map[string]*entry // by endpoint name
 	zones     map[string]*zone
-	lastSweep time.Time // of the last look
+	lastSweep time.Time
 }
 
-// New is a table without leases.
+// New returns a table without leases.
 func New(cfg Config) *Table {
 	return &Table{cfg: cfg, leases: map[string]*entry{}, zones: map[string]*zone{}}
 }
 
-// Reset has the table hold these, each with its whole lease from now on.
+// Reset replaces all leases by those of the records, each with its full duration from now on.
 func (t *Table) Reset(now time.Time, records []state.Record) {
 	clear(t.leases)
 	clear(t.zones)
@@ -72,125 +71,67 @@
 	}
 }
 
-// Put begins a lease, or another in its place.
+// Put starts an endpoint's lease, or restarts it.
 func (t *Table) Put(now time.Time, r state.Record) {
-	lease := time.Duration(r.LeaseMs) * time.Millisecond
-	t.leases[r.Name] = &entry{state.InstanceRef{Name: r.Name, Instance: r.Instance}, r.Zone, lease, now.Add(lease)}
+	duration := time.Duration(r.LeaseMs) * time.Millisecond
+	t.leases[r.Name] = &entry{state.InstanceRef{Name: r.Name, Instance: r.Instance}, r.Zone, duration, now.Add(duration)}
 }
 
-// Renew has a lease last from now on; false if there is none.
+// Renew restarts a lease; false if the instance has none.
 func (t *Table) Renew(now time.Time, ref state.InstanceRef) bool {
-	l := t.leases[ref.Name]
-	if l == nil || l.ref != ref {
+	lease := t.leases[ref.Name]
+	if lease == nil || lease.ref != ref {
 		return false
 	}
-	l.expiresAt = now.Add(l.duration)
+	lease.expiresAt = now.Add(lease.duration)
 	return true
 }
 
-// Remove ends a lease whose nodo has gone from the list.
+// Remove drops the lease of an endpoint that is no longer in the list.
 func (t *Table) Remove(name string) { delete(t.leases, name) }
 
-// Left tells how long a lease lasts; negative if it is over and its nodo is held.
+// Remaining returns the time left of a lease; negative if it is over and its endpoint is held.
 func (t *Table) Remaining(now time.Time, name string) (time.Duration, bool) {
-	l := t.leases[name]
-	if l == nil {
+	lease := t.leases[name]
+	if lease == nil {
 		return 0, false
 	}
-	return l.expiresAt.Sub(now), true
+	return lease.expiresAt.Sub(now), true
 }
 
-// Look is what a look at the table came to.
+// Sweep is the result of a sweep over all leases.
 type Sweep struct {
-	Expired      []state.InstanceRef // to be let go now
-	HoldsStarted []string            // zones that are held from now on
-	HoldsEnded   []string            // and that no longer are
-	HeldLeases   int                 // leases that are over and held
-	HeldZones    int                 // zones held
-	Paused       time.Duration       // that did not count
+	Expired      []state.InstanceRef // to be removed from the list now
+	HoldsStarted []string            // zones, ordered
+	HoldsEnded   []string            // zones, ordered
+	HeldLeases   int                 // over, and their endpoints kept in the list
+	HeldZones    int
+	Paused       time.Duration // time since the last sweep that did not count; 0 if it did
 }
 
-// Look tells which nodos have to go. Their leases are no more: where one could not be let go after all, Put begins another.
+// Sweep returns which endpoints have to be removed, and forgets their leases. The caller restarts the lease of one that
+// could not be removed with Put.
 func (t *Table) Sweep(now time.Time) (out Sweep) {
 	if gap := now.Sub(t.lastSweep); !t.lastSweep.IsZero() && gap > t.cfg.MaxSweepGap {
 		out.Paused = gap
-		for _, l := range t.leases {
-			l.expiresAt = l.expiresAt.Add(gap)
-		}
-		for _, z := range t.zones {
-			z.nextRelease = z.nextRelease.Add(gap)
-			for i := range z.recentExpiries {
-				z.recentExpiries[i] = z.recentExpiries[i].Add(gap)
-			}
-		}
+		t.postpone(gap)
 	}
 	t.lastSweep = now
-	type tally struct {
-		over    []*entry
-		size    int
-		longest time.Duration
-	}
-	zones := map[string]*tally{}
-	for _, l := range t.leases {
-		z := zones[l.zone]
-		if z == nil {
-			z = &tally{}
-			zones[l.zone] = z
-		}
-		z.size++
-		z.longest = max(z.longest, l.duration)
-		if !now.Before(l.expiresAt) {
-			z.over = append(z.over, l)
-		}
-	}
+	tallies := t.tallyZones(now)
 	for name, z := range t.zones {
-		if zones[name] == nil { // its last lease has gone
+		if tallies[name] == nil { // its last lease is gone
 			if z.held {
 				out.HoldsEnded = append(out.HoldsEnded, name)
 			}
 			delete(t.zones, name)
 		}
 	}
-	for name, in := range zones {
-		z := t.zones[name]
-		if z == nil {
-			if len(in.over) == 0 {
-				continue
-			}
-			z = &zone{}
-			t.zones[name] = z
+	for name, tally := range tallies {
+		if len(tally.over) > 0 && t.zones[name] == nil {
+			t.zones[name] = &zone{}
 		}
-		z.recentExpiries = slices.DeleteFunc(z.recentExpiries, func(at time.Time) bool { return now.Sub(at) >= in.longest })
-		switch {
-		case len(in.over) == 0:
-			if z.held {
-				out.HoldsEnded = append(out.HoldsEnded, name)
-			}
-			z.held = false
-			if len(z.recentExpiries) == 0 {
-				delete(t.zones, name)
-			}
-			continue
-		case !z.held && len(z.recentExpiries)+len(in.over) <= t.maxExpiriesAtOnce(in.size+len(z.recentExpiries)):
-			t.expire(&out, z, now, in.over)
-			continue
-		}
-		if !z.held {
-			z.sizeAtHold = in.size
-		}
-		pause := time.Duration(float64(in.longest) / (t.cfg.ReleaseRate * float64(z.sizeAtHold)))
-		if !z.held {
-			z.held, z.nextRelease = true, now.Add(pause)
-			out.HoldsStarted = append(out.HoldsStarted, name)
-		}
-		out.HeldZones++
-		out.HeldLeases += len(in.over)
-		if !now.Before(z.nextRelease) {
-			z.nextRelease = now.Add(pause)
-			slices.SortFunc(in.over, func(a, b *entry) int {
-				return cmp.Or(a.expiresAt.Compare(b.expiresAt), cmp.Compare(a.ref.Name, b.ref.Name))
-			})
-			t.expire(&out, z, now, in.over[:1])
+		if t.zones[name] != nil {
+			t.sweepZone(&out, now, name, tally)
 		}
 	}
 	slices.Sort(out.HoldsStarted)
@@ -198,14 +139,96 @@
 	return out
 }
 
+// postpone moves all times by a gap in which the process did not run.
+func (t *Table) postpone(gap time.Duration) {
+	for _, lease := range t.leases {
+		lease.expiresAt = lease.expiresAt.Add(gap)
+	}
+	for _, z := range t.zones {
+		z.nextRelease = z.nextRelease.Add(gap)
+		for i := range z.recentExpiries {
+			z.recentExpiries[i] = z.recentExpiries[i].Add(gap)
+		}
+	}
+}
+
+// zoneTally is a zone's leases at one moment.
+type zoneTally struct {
+	over         []*entry
+	size         int
+	longestLease time.Duration
+}
+
+func (t *Table) tallyZones(now time.Time) map[string]*zoneTally {
+	tallies := map[string]*zoneTally{}
+	for _, lease := range t.leases {
+		tally := tallies[lease.zone]
+		if tally == nil {
+			tally = &zoneTally{}
+			tallies[lease.zone] = tally
+		}
+		tally.size++
+		tally.longestLease = max(tally.longestLease, lease.duration)
+		if !now.Before(lease.expiresAt) {
+			tally.over = append(tally.over, lease)
+		}
+	}
+	return tallies
+}
+
+// sweepZone expires the leases of a zone that are over, or holds the zone and releases its next endpoint.
+func (t *Table) sweepZone(out *Sweep, now time.Time, name string, tally *zoneTally) {
+	z := t.zones[name]
+	z.recentExpiries = slices.DeleteFunc(z.recentExpiries, func(at time.Time) bool { return now.Sub(at) >= tally.longestLease })
+	recent := len(z.recentExpiries)
+	switch {
+	case len(tally.over) == 0:
+		if z.held {
+			out.HoldsEnded = append(out.HoldsEnded, name)
+		}
+		z.held = false
+		if recent == 0 {
+			delete(t.zones, name)
+		}
+	case !z.held && recent+len(tally.over) <= t.maxExpiriesAtOnce(tally.size+recent):
+		t.expire(out, z, now, tally.over)
+	default:
+		t.holdZone(out, now, name, tally)
+	}
+}
+
+// holdZone begins or continues a hold, and releases the longest silent endpoint when it is due.
+func (t *Table) holdZone(out *Sweep, now time.Time, name string, tally *zoneTally) {
+	z := t.zones[name]
+	begins := !z.held
+	if begins {
+		z.held, z.sizeAtHold = true, tally.size
+		out.HoldsStarted = append(out.HoldsStarted, name)
+	}
+	releaseInterval := time.Duration(float64(tally.longestLease) / (t.cfg.ReleaseRate * float64(z.sizeAtHold)))
+	if begins {
+		z.nextRelease = now.Add(releaseInterval)
+	}
+	out.HeldZones++
+	out.HeldLeases += len(tally.over)
+	if !now.Before(z.nextRelease) {
+		z.nextRelease = now.Add(releaseInterval)
+		slices.SortFunc(tally.over, func(a, b *entry) int {
+			return cmp.Or(a.expiresAt.Compare(b.expiresAt), cmp.Compare(a.ref.Name, b.ref.Name))
+		})
+		t.expire(out, z, now, tally.over[:1])
+	}
+}
+
+// maxExpiriesAtOnce is how many of a zone's leases may expire within a lease duration without a hold.
 func (t *Table) maxExpiriesAtOnce(size int) int {
 	return max(1, int(t.cfg.HoldThreshold*float64(size)))
 }
 
 func (t *Table) expire(out *Sweep, z *zone, now time.Time, over []*entry) {
-	for _, l := range over {
-		delete(t.leases, l.ref.Name)
-		out.Expired = append(out.Expired, l.ref)
+	for _, lease := range over {
+		delete(t.leases, lease.ref.Name)
+		out.Expired = append(out.Expired, lease.ref)
 		z.recentExpiries = append(z.recentExpiries, now)
 	}
 }
