--- /dev/null
+++ b/internal/cluster/state/publish.go
@@ -0,0 +1,163 @@
+package state
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+)
+
+// Publish replaces the set of observations that this proxy advertises and returns the entries to gossip: new and changed
+// ones, those that are due for renewal, and withdrawals of what is no longer in the set. Of two observations of one kind
+// and subject the first counts; beyond a limit the last by kind and subject are omitted.
+func (s *Store) Publish(now int64, observations []Observation) []Entry {
+	now = s.advance(now)
+	s.sweep(now)
+	wanted := s.admit(observations)
+	previous := s.own.entries
+	s.own.entries = make([]*Entry, 0, len(wanted)+8)
+	s.own.countByKind = [kindCount]int{}
+	p := publication{store: s, now: now}
+	for len(previous) > 0 || len(wanted) > 0 {
+		switch order := compareHeads(previous, wanted); {
+		case order < 0:
+			p.withdraw(previous[0])
+			previous = previous[1:]
+		case order > 0:
+			p.advertise(&wanted[0])
+			wanted = wanted[1:]
+		default:
+			p.update(previous[0], &wanted[0])
+			previous, wanted = previous[1:], wanted[1:]
+		}
+	}
+	for len(s.own.entries) > s.limits.EntriesPerObserver {
+		s.own.evict(0, func(e *Entry) bool { return e.Withdrawn })
+	}
+	return p.changed
+}
+
+// compareHeads orders the first elements of two lists by kind and subject; an empty list comes last.
+func compareHeads(entries []*Entry, observations []Observation) int {
+	switch {
+	case len(entries) == 0:
+		return 1
+	case len(observations) == 0:
+		return -1
+	}
+	return compareKey(entries[0], entryKey{observations[0].Kind, observations[0].Subject})
+}
+
+// publication is one call of Publish: it rebuilds the own entries in the order of their keys.
+type publication struct {
+	store   *Store
+	now     int64
+	changed []Entry // to gossip
+}
+
+func (p *publication) keep(e *Entry) { p.store.own.insert(len(p.store.own.entries), e) }
+
+// withdraw replaces an entry that is no longer observed by a tombstone, which is kept until it expires.
+func (p *publication) withdraw(e *Entry) {
+	if e.ExpiresAt() <= p.now {
+		return
+	}
+	if !e.Withdrawn {
+		ttl := withdrawalTTL(p.now, e)
+		e = &Entry{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs, Withdrawn: true}
+		p.store.stamp(p.now, e)
+		e.TTL = ttl
+		p.changed = append(p.changed, *e)
+		p.store.counts.Withdrawn++
+	}
+	p.keep(e)
+}
+
+// advertise adds an observation that was not published before.
+func (p *publication) advertise(o *Observation) {
+	e := &Entry{Kind: o.Kind, Subject: o.Subject, SubjectStartMs: o.SubjectStartMs, Body: o.Body}
+	p.store.stamp(p.now, e)
+	p.changed = append(p.changed, *e)
+	p.store.counts.Advertised++
+	p.keep(e)
+}
+
+// update publishes an observation again if it changed or half of its TTL has passed.
+func (p *publication) update(e *Entry, o *Observation) {
+	changed := e.needsUpdate(p.now, o)
+	due := e.ExpiresAt()-p.now < rulesByKind[e.Kind].ttl/2
+	switch {
+	case changed:
+		p.store.counts.Advertised++
+	case due:
+		p.store.counts.Renewed++
+	}
+	if changed || due {
+		e.Withdrawn, e.SubjectStartMs, e.Body = false, o.SubjectStartMs, o.Body
+		p.store.stamp(p.now, e)
+		p.changed = append(p.changed, *e)
+	}
+	p.keep(e)
+}
+
+// needsUpdate reports whether an observation is to be published before its renewal is due: at once for a change of
+// fault, zone or subject, after the kind's update interval for changed numbers.
+func (e *Entry) needsUpdate(now int64, o *Observation) bool {
+	if e.Withdrawn || e.ExpiresAt() <= now || e.SubjectStartMs != o.SubjectStartMs ||
+		e.Body.Fault != o.Body.Fault || e.Body.SubjectZone != o.Body.SubjectZone {
+		return true
+	}
+	return e.Body != o.Body && now-e.ObservedAt >= rulesByKind[e.Kind].updateInterval
+}
+
+// stamp makes an entry the latest of this proxy.
+func (s *Store) stamp(now int64, e *Entry) {
+	s.lastSeq++
+	e.Observer, e.ObserverZone = s.identity.Name, s.identity.Zone
+	e.Incarnation, e.Seq = s.own.incarnation, s.lastSeq
+	e.ObservedAt, e.TTL = now, rulesByKind[e.Kind].ttl
+}
+
+// withdrawalTTL is the TTL of a tombstone: until the withdrawn entry would have expired, in full milliseconds as the wire
+// carries it.
+func withdrawalTTL(now int64, e *Entry) int64 {
+	return min((e.ExpiresAt()-now+millisecond-1)/millisecond*millisecond, rulesByKind[e.Kind].ttl)
+}
+
+// admit returns the valid observations within the limits, with rounded numbers, by kind and subject. The slice is
+// reused by the next call.
+func (s *Store) admit(observations []Observation) []Observation {
+	order := func(a, b Observation) int {
+		return cmp.Or(cmp.Compare(a.Kind, b.Kind), strings.Compare(a.Subject, b.Subject))
+	}
+	admitted := s.admitted[:0]
+	for _, o := range observations {
+		body := &o.Body
+		body.Calls, body.BadFraction = roundNumber(body.Calls), roundNumber(body.BadFraction)
+		body.Value = roundNumber(body.Value)
+		if o.valid(s.limits.NameBytes) {
+			admitted = append(admitted, o)
+		}
+	}
+	if !slices.IsSortedFunc(admitted, order) {
+		slices.SortStableFunc(admitted, order)
+	}
+	s.admitted = admitted
+	var countByKind [kindCount]int
+	n := 0
+	for _, o := range admitted {
+		duplicate := n > 0 && order(admitted[n-1], o) == 0
+		if duplicate || countByKind[o.Kind] == rulesByKind[o.Kind].maxPerObserver || n == s.limits.EntriesPerObserver {
+			continue
+		}
+		countByKind[o.Kind]++
+		admitted[n] = o
+		n++
+	}
+	s.counts.Omitted += uint64(len(observations) - n)
+	return admitted[:n]
+}
+
+func (o *Observation) valid(maxNameBytes int) bool {
+	return o.Kind.Known() && o.Kind != Override && validName(o.Subject, maxNameBytes) && o.Body.valid(maxNameBytes) &&
+		o.SubjectStartMs >= 0 && o.SubjectStartMs <= maxStamp
+}
