--- a/internal/proxy/answer_test.go
+++ b/internal/proxy/answer_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // An answer that can't be read as HTTP has it is none, however it breaks the rules.
@@ -17,18 +18,18 @@
 		text string
 		want balancer.Status
 	}{
-		"some early words":      {strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", maxInformational) + okResponse, balancer.StatusOK},
-		"no end of early words": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInformational+1) + okResponse, balancer.StatusReset},
-		"an early word's body":  {"HTTP/1.1 100 Continue\r\nContent-Length: 2\r\n\r\nno" + okResponse, balancer.StatusReset},
+		"some early words":      {strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", maxInformational) + proxytest.OKResponse, balancer.StatusOK},
+		"no end of early words": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInformational+1) + proxytest.OKResponse, balancer.StatusReset},
+		"an early word's body":  {"HTTP/1.1 100 Continue\r\nContent-Length: 2\r\n\r\nno" + proxytest.OKResponse, balancer.StatusReset},
 		"chunks without a body": {"HTTP/1.1 204 No Content\r\nTransfer-Encoding: chunked\r\n\r\n", balancer.StatusReset},
-		"longer than it says":   {okResponse + "ay, and more", balancer.StatusOK},
-		"a second answer":       {okResponse + "HTTP/1.1 200 OK\r\n", balancer.StatusOK},
-		"a line's end too many": {okResponse + "\r\n", balancer.StatusOK},
+		"longer than it says":   {proxytest.OKResponse + "ay, and more", balancer.StatusOK},
+		"a second answer":       {proxytest.OKResponse + "HTTP/1.1 200 OK\r\n", balancer.StatusOK},
+		"a line's end too many": {proxytest.OKResponse + "\r\n", balancer.StatusOK},
 		"nothing to say":        {"HTTP/1.1 204 No Content\r\n\r\n", balancer.StatusError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := startBackend(t, respondWith(c.text, true))
-			if res := newAttempt(poolWith(4, b.addr), "a", testTimeout).run(); res.status != c.want {
+			b := proxytest.StartBackend(t, proxytest.RespondWith(c.text, true))
+			if res := newAttempt(poolWith(4, b.Addr), "a", proxytest.Timeout).run(); res.status != c.want {
 				t.Errorf("got %v %q, want %v", res.status, res.body, c.want)
 			}
 		})
@@ -41,7 +42,7 @@
 	defer close(over)
 	p, _ := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n > 1 {
-			_, _ = io.WriteString(w, okResponse)
+			_, _ = io.WriteString(w, proxytest.OKResponse)
 			return true
 		}
 		_, _ = io.WriteString(w, "HTTP/1.1 500 Oops\r\nContent-Length: 9\r\n\r\nOo")
@@ -94,13 +95,13 @@
 
 // A client that is slow to take a large answer of untold length has it whole, though little of it had gone by its time.
 func TestSlowClientGetsWholeResponsePastDeadline(t *testing.T) {
-	b := startBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*maxBufferedResponse))
 		return false
 	})
-	p := poolWith(4, b.addr)
+	p := poolWith(4, b.Addr)
 	p.maxBuffered.Store(minBufferedResponse) // no more is read ahead
-	a := newAttempt(p, "a", testTimeout)
+	a := newAttempt(p, "a", proxytest.Timeout)
 	got := make(chan int64, 1)
 	a.startStream = func(ans response) bool {
 		ans.stream.clientDeadline = time.Now().Add(-maxStreamOverrun) // over now
@@ -114,7 +115,7 @@
 	if res := a.run(); res.status != balancer.StatusOK {
 		t.Errorf("got %v", res.status)
 	}
-	if n := receiveFrom(t, "end of the answer", got); n != 2*maxBufferedResponse {
+	if n := proxytest.Receive(t, "end of the answer", got); n != 2*maxBufferedResponse {
 		t.Errorf("%d bytes came", n)
 	}
 }
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -11,6 +11,7 @@
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/proxy/invariant"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A decision that breaks a rule is carried out all the same, and counted and logged: the audit sees what the module and the
@@ -45,30 +46,30 @@
 // A client's connection that the proxy ends under a request that it has taken is a broken rule, by whatever path; one that
 // rests is not.
 func TestAuditReportsConnectionClosedInFlight(t *testing.T) {
-	b := startBackend(t, neverRespond(t))
-	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	p.breaksRules = true
 	cl := connect(t, p)
 	cl.send(t, lookRequest("1", 4000))
-	waitUntil(t, func() bool { return p.Metrics().InFlight == 1 && b.requests.Load() == 1 })
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 1 && b.Requests.Load() == 1 })
 	p.frontend.mu.Lock()
 	for c := range p.frontend.conns {
 		c.Close() // a seeded fault
 	}
 	p.frontend.mu.Unlock()
-	waitUntil(t, func() bool { return p.Metrics().RuleViolations["closed_unanswered"] == 1 })
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().RuleViolations["closed_unanswered"] == 1 })
 }
 
 // What is served and refused in the ordinary way breaks no rule, and shows in the figures.
 func TestAuditReportsNothingWhenRulesHold(t *testing.T) {
-	p, _ := startServing(t, respondWith(okResponse, true))
+	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for _, id := range []string{"1", "2", "3"} {
 		cl := connect(t, p)
 		cl.send(t, lookRequest(id, 4000))
 		cl.readResponse(t)
 		cl.Close()
 	}
-	waitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.frontend.openConns() == 0 })
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.frontend.openConns() == 0 })
 	for rule, n := range p.Metrics().RuleViolations {
 		if n != 0 {
 			t.Errorf("%s: %d", rule, n)
--- a/internal/proxy/backendclosing_test.go
+++ b/internal/proxy/backendclosing_test.go
@@ -6,13 +6,9 @@
 	"net/http"
 	"testing"
 	"time"
-)
 
-// resets ends a connection so that its peer sees a reset, not an end.
-func resets(w io.Writer) bool {
-	_ = w.(*net.TCPConn).SetLinger(0)
-	return false
-}
+	"merlinpick/internal/proxy/proxytest"
+)
 
 // An answer of untold length that breaks off, or is not gone on with, before its first byte has not begun: another
 // attempt can serve, and else the client hears of it in its time.
@@ -24,14 +20,14 @@
 			then func(io.Writer) bool
 			want int
 		}{
-			{"reset, then served", 2, resets, 200},
-			{"reset always", 99, resets, 503},
+			{"reset, then served", 2, proxytest.Reset, 200},
+			{"reset always", 99, proxytest.Reset, 503},
 			{"silent to the end", 99, func(w io.Writer) bool { _, _ = w.(net.Conn).Read(make([]byte, 1)); return false }, 504},
 		} {
 			t.Run(c.name, func(t *testing.T) {
 				p, _ := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 					if n >= c.good {
-						_, _ = io.WriteString(w, okResponse)
+						_, _ = io.WriteString(w, proxytest.OKResponse)
 						return true
 					}
 					_, _ = io.WriteString(w, head)
--- a/internal/proxy/backendpool_test.go
+++ b/internal/proxy/backendpool_test.go
@@ -1,115 +1,24 @@
 package proxy
 
 import (
-	"bufio"
-	"cmp"
 	"context"
 	"io"
 	"net"
 	"net/http"
 	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 )
 
-const testTimeout = 20 * time.Second // for what must happen
-
-// wait takes what must come from a channel.
-func receiveFrom[T any](t *testing.T, what string, c <-chan T) T {
-	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
-		panic("unreachable")
-	}
-}
-
-// fakeBackend is a backend on a loopback socket. For each request that has come whole, reply writes what
-// the backend answers and returns whether the connection stays open.
-type fakeBackend struct {
-	addr     string
-	requests atomic.Int32 // that have come whole
-	conns    atomic.Int32
-	closed   chan struct{} // one for each connection that has ended
-
-	begun         chan struct{} // closed when the first head has come, if set
-	body          io.Writer     // gets the bodies, if set
-	resetsUploads bool          // the connection ends after a head and some of its body
-}
-
-func startBackend(t *testing.T, reply func(w io.Writer, r *http.Request, n int) bool) *fakeBackend {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	b := &fakeBackend{addr: l.Addr().String(), closed: make(chan struct{}, 1000)}
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			b.conns.Add(1)
-			go func() {
-				defer func() { c.Close(); b.closed <- struct{}{} }()
-				for r := bufio.NewReader(c); ; {
-					req, err := http.ReadRequest(r)
-					if err != nil {
-						return
-					}
-					if b.begun != nil && b.conns.Load() == 1 && b.requests.Load() == 0 {
-						close(b.begun)
-					}
-					if b.resetsUploads {
-						_, _ = io.CopyN(io.Discard, req.Body, 100_000)
-						return
-					}
-					if _, err := io.Copy(cmp.Or[io.Writer](b.body, io.Discard), req.Body); err != nil {
-						return
-					}
-					if !reply(c, req, int(b.requests.Add(1))) {
-						return
-					}
-				}
-			}()
-		}
-	}()
-	return b
-}
-
-func respondWith(text string, keep bool) func(io.Writer, *http.Request, int) bool {
-	return func(w io.Writer, _ *http.Request, _ int) bool {
-		_, _ = io.WriteString(w, text)
-		return keep
-	}
-}
-
-const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-
-// hang answers nothing until the test ends.
-func neverRespond(t *testing.T) func(io.Writer, *http.Request, int) bool {
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
-	return func(io.Writer, *http.Request, int) bool { <-over; return false }
-}
-
-func endpoint(name, addr, status string) discovery.Endpoint {
-	return discovery.Endpoint{Name: name, Address: addr, Zone: "a", Status: status}
-}
-
 func poolWith(most int, addrs ...string) *backendPool {
 	p := newBackendPool(5*time.Second, 40*time.Second, most, newMetrics(nil))
 	var list []discovery.Endpoint
 	for i, a := range addrs {
-		list = append(list, endpoint(string(rune('a'+i)), a, discovery.StatusServing))
+		list = append(list, proxytest.Endpoint(string(rune('a'+i)), a, discovery.StatusServing))
 	}
 	p.updateEndpoints(true, list)
 	return p
@@ -130,9 +39,9 @@
 		name, text string
 		want       balancer.Status
 	}{
-		{"served", okResponse, balancer.StatusOK},
+		{"served", proxytest.OKResponse, balancer.StatusOK},
 		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusOK},
-		{"early word first", "HTTP/1.1 100 Continue\r\n\r\n" + okResponse, balancer.StatusOK},
+		{"early word first", "HTTP/1.1 100 Continue\r\n\r\n" + proxytest.OKResponse, balancer.StatusOK},
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
 		{"an error is never full", "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
 		{"not found", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
@@ -157,13 +66,13 @@
 		{"long head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: " + strings.Repeat("x", 8<<10) + "\r\n\r\nok", balancer.StatusOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := startBackend(t, respondWith(c.text, false))
-			p := poolWith(4, b.addr)
-			res := newAttempt(p, "a", testTimeout).run()
+			b := proxytest.StartBackend(t, proxytest.RespondWith(c.text, false))
+			p := poolWith(4, b.Addr)
+			res := newAttempt(p, "a", proxytest.Timeout).run()
 			if res.status != c.want || c.want == balancer.StatusOK && string(res.body) != "ok" {
 				t.Errorf("got %v %q, want %v", res.status, res.body, c.want)
 			}
-			if n := b.requests.Load(); n != 1 {
+			if n := b.Requests.Load(); n != 1 {
 				t.Errorf("%d requests came", n)
 			}
 		})
@@ -177,7 +86,7 @@
 	}
 	l.Close()
 	p := poolWith(4, l.Addr().String())
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusConnectFailed {
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
 	if p.openConns != 0 {
@@ -186,8 +95,8 @@
 }
 
 func TestHungBackendTimesOutAndConnectionIsClosed(t *testing.T) {
-	b := startBackend(t, neverRespond(t))
-	p := poolWith(4, b.addr)
+	b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
+	p := poolWith(4, b.Addr)
 	if res := newAttempt(p, "a", 50*time.Millisecond).run(); res.status != balancer.StatusTimedOut {
 		t.Errorf("got %v", res.status)
 	}
@@ -199,44 +108,35 @@
 func TestCancelledAttemptClosesItsConnection(t *testing.T) {
 	came := make(chan struct{}, 1)
 	gone := make(chan error, 1)
-	b := startBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		came <- struct{}{}
 		_, err := w.(net.Conn).Read(make([]byte, 1))
 		gone <- err
 		return false
 	})
-	p := poolWith(4, b.addr)
-	a := newAttempt(p, "a", testTimeout)
+	p := poolWith(4, b.Addr)
+	a := newAttempt(p, "a", proxytest.Timeout)
 	results := make(chan result, 1)
 	go func() { results <- a.run() }()
-	receiveFrom(t, "request", came)
+	proxytest.Receive(t, "request", came)
 	a.cancel()
-	if res := receiveFrom(t, "result", results); res.status != balancer.StatusCancelled {
+	if res := proxytest.Receive(t, "result", results); res.status != balancer.StatusCancelled {
 		t.Errorf("got %v", res.status)
 	}
-	if err := receiveFrom(t, "end of the connection", gone); err == nil {
+	if err := proxytest.Receive(t, "end of the connection", gone); err == nil {
 		t.Error("the connection is still open")
 	}
 }
 
-func waitUntil(t *testing.T, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("it never came to be")
-		}
-	}
-}
-
 // A dial takes time. In it the backend may drain, or the request's time may run out; nothing is sent then.
 func TestNothingIsSentAfterSlowDial(t *testing.T) {
 	for name, meanwhile := range map[string]func(p *backendPool, a *attempt){
 		"drained": func(p *backendPool, a *attempt) {
-			p.updateEndpoints(false, []discovery.Endpoint{endpoint("a", a.address, discovery.StatusDraining)})
+			p.updateEndpoints(false, []discovery.Endpoint{proxytest.Endpoint("a", a.address, discovery.StatusDraining)})
 		},
 		"gone": func(p *backendPool, a *attempt) { p.updateEndpoints(true, nil) },
 		"restarted": func(p *backendPool, a *attempt) {
-			e := endpoint("a", a.address, discovery.StatusServing)
+			e := proxytest.Endpoint("a", a.address, discovery.StatusServing)
 			e.StartedAtMs = 7
 			p.updateEndpoints(false, []discovery.Endpoint{e})
 		},
@@ -244,9 +144,9 @@
 		"late":    func(_ *backendPool, a *attempt) { a.deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := startBackend(t, respondWith(okResponse, true))
-			p := poolWith(4, b.addr)
-			a := newAttempt(p, "a", testTimeout)
+			b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+			p := poolWith(4, b.Addr)
+			a := newAttempt(p, "a", proxytest.Timeout)
 			dial := p.dialContext
 			p.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(context.Background(), network, addr)
@@ -257,9 +157,9 @@
 				t.Errorf("got %v", res.status)
 			}
 			p.updateEndpoints(true, nil) // closes what is idle
-			receiveFrom(t, "close", b.closed)
-			if b.requests.Load() != 0 || p.openConns != 0 {
-				t.Errorf("%d requests came, %d connections open", b.requests.Load(), p.openConns)
+			proxytest.Receive(t, "close", b.Closed)
+			if b.Requests.Load() != 0 || p.openConns != 0 {
+				t.Errorf("%d requests came, %d connections open", b.Requests.Load(), p.openConns)
 			}
 		})
 	}
@@ -273,20 +173,20 @@
 		go func() { _, _ = io.ReadFull(far, make([]byte, 5)); far.Close() }()
 		return near, nil
 	}
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusConnectFailed {
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusConnectFailed {
 		t.Errorf("got %v", res.status)
 	}
 }
 
 func TestForwardedBytesAreUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	b := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		got <- r
-		_, _ = io.WriteString(w, okResponse)
+		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
 	})
-	newAttempt(poolWith(4, b.addr), "a", 900*time.Millisecond+testTimeout).run()
-	r := receiveFrom(t, "request", got)
+	newAttempt(poolWith(4, b.Addr), "a", 900*time.Millisecond+proxytest.Timeout).run()
+	r := proxytest.Receive(t, "request", got)
 	if r.RequestURI != "/look/k%2f1?x=%20y" || r.Host != "backend.local" || r.Header.Get("Request-Id") != "1" {
 		t.Errorf("got %s %s %v", r.RequestURI, r.Host, r.Header)
 	}
--- a/internal/proxy/bodyend_test.go
+++ b/internal/proxy/bodyend_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // stuckBackend takes connections and reads nothing; the proxy's writes to it fill small buffers and then wait.
@@ -68,7 +69,7 @@
 			if took := time.Since(sent); took > left+maxStreamOverrun {
 				t.Errorf("%s after %v, of %v that the client waits", resp.Status, took, left)
 			}
-			waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
+			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 		})
 	}
 }
@@ -78,12 +79,12 @@
 func TestSlowDialForUploadForwardsRemainingTimeout(t *testing.T) {
 	const size, wait, late = maxBufferedBody + 32<<10, 4 * time.Second, time.Second
 	told := make(chan string, 1)
-	b := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		told <- r.Header.Get("Request-Timeout-Ms")
-		_, _ = io.WriteString(w, okResponse)
+		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
 	})
-	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	pool := p.loop.pool
 	pool.mu.Lock()
 	dial := pool.dialContext
--- a/internal/proxy/clientgone_stress_test.go
+++ b/internal/proxy/clientgone_stress_test.go
@@ -10,6 +10,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // Clients that leave at any moment of their requests break no rule that the proxy can see, however they leave.
@@ -42,5 +44,5 @@
 		})
 	}
 	all.Wait()
-	waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 }
--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -14,6 +14,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/proxy/socket"
 )
 
@@ -49,7 +50,7 @@
 // nothingLeft checks the books once a client has gone: no request, attempt or connection that is in use.
 func checkNothingLeft(t *testing.T, p *running) {
 	t.Helper()
-	waitUntil(t, func() bool {
+	proxytest.WaitUntil(t, func() bool {
 		reqs := make(chan int, 1)
 		p.loop.post(func() { reqs <- len(p.loop.requests) })
 		left := <-reqs
@@ -68,7 +69,7 @@
 }
 
 // nothingSent checks that so many requests have reached the backend over one connection, and that all goes on.
-func checkNothingSent(t *testing.T, p *running, b *fakeBackend, before int32) {
+func checkNothingSent(t *testing.T, p *running, b *proxytest.Backend, before int32) {
 	t.Helper()
 	disableReuseDelay(p.loop.pool) // what it goes on has just been used
 	checkNothingLeft(t, p)
@@ -77,7 +78,7 @@
 	if resp, _ := cl.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("then got %s", resp.Status)
 	}
-	if n, conns := b.requests.Load(), b.conns.Load(); n != before+1 || conns != 1 {
+	if n, conns := b.Requests.Load(), b.Conns.Load(); n != before+1 || conns != 1 {
 		t.Errorf("%d requests reached the backend, want %d; on %d connections", n, before+1, conns)
 	}
 }
@@ -88,13 +89,13 @@
 	t.Helper()
 	disableReuseDelay(p.loop.pool) // what it went on may have just been used
 	stands, goOn := blockLoop(t, p)
-	receiveFrom(t, "stand of the loop", stands)
+	proxytest.Receive(t, "stand of the loop", stands)
 	cause()
-	waitUntil(t, func() bool { return len(p.loop.events) == 1 })
+	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 	stands, end := blockLoop(t, p)
 	depart()
 	goOn()
-	receiveFrom(t, "stand behind the event", stands)
+	proxytest.Receive(t, "stand behind the event", stands)
 	checkAttemptsEnd(t, p)
 	end()
 }
@@ -103,7 +104,7 @@
 	t.Helper()
 	ended := make(chan struct{})
 	go func() { p.loop.attempts.goroutines.Wait(); close(ended) }()
-	receiveFrom(t, "end of the attempts", ended)
+	proxytest.Receive(t, "end of the attempts", ended)
 }
 
 // The client goes while its request stands in the loop's queue.
@@ -115,12 +116,12 @@
 			}
 			t.Run(fmt.Sprintf("%s, draining %v", d.name, draining), func(t *testing.T) {
 				t.Parallel()
-				p, b := startServing(t, respondWith(okResponse, true))
+				p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 				cl := connect(t, p)
 				if draining {
 					p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { return 4 * time.Second, 5 * time.Second }
 					p.stop()
-					waitUntil(t, p.frontend.draining.Load)
+					proxytest.WaitUntil(t, p.frontend.draining.Load)
 				}
 				leaves(t, p, func() { cl.send(t, lookRequest("1", 4000)+d.behind) }, func() { d.leave(cl) })
 				checkNothingSent(t, p, b, 0)
@@ -137,13 +138,13 @@
 			p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n == 1 {
 					<-fail
-					return respondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
+					return proxytest.RespondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
 				}
-				return respondWith(okResponse, true)(w, nil, n)
+				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
 			})
 			cl := connect(t, p)
 			cl.send(t, lookRequest("1", 4000)+d.behind)
-			waitUntil(t, func() bool { return b.requests.Load() == 1 })
+			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 			leaves(t, p, func() { close(fail) }, func() { d.leave(cl) })
 			checkNothingSent(t, p, b, 1)
 			spent := make(chan int, 1)
@@ -164,18 +165,18 @@
 	for _, d := range departures {
 		t.Run(d.name, func(t *testing.T) {
 			turn := make(chan struct{})
-			b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+			b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n == 1 {
 					<-turn
 				}
-				return respondWith(okResponse, true)(w, nil, n)
+				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
 			})
-			p := startSite(t, text, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)), t.TempDir())
+			p := startSite(t, text, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)), t.TempDir())
 			first, cl, third := connect(t, p), connect(t, p), connect(t, p)
 			first.send(t, rate("1"))
-			waitUntil(t, func() bool { return b.requests.Load() == 1 })
+			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 			cl.send(t, rate("2")+d.behind)
-			waitUntil(t, func() bool { return p.Metrics().InFlight == 2 })
+			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 2 })
 			leaves(t, p, func() { close(turn) }, func() { d.leave(cl) })
 			third.send(t, rate("3")) // its turn comes
 			for _, c := range []*client{first, third} {
@@ -211,7 +212,7 @@
 				d.behind = strings.Repeat("x", 50_000)
 			}
 			t.Run(text[:5]+d.name, func(t *testing.T) {
-				p, b := startServing(t, respondWith(okResponse, true))
+				p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 				dialing, up := make(chan struct{}, 1), make(chan struct{})
 				pool := p.loop.pool
 				pool.mu.Lock()
@@ -224,11 +225,11 @@
 				pool.mu.Unlock()
 				cl := connect(t, p)
 				cl.send(t, text+d.behind)
-				receiveFrom(t, "dial", dialing)
+				proxytest.Receive(t, "dial", dialing)
 				stands, end := blockLoop(t, p)
-				receiveFrom(t, "stand of the loop", stands)
+				proxytest.Receive(t, "stand of the loop", stands)
 				d.leave(cl)
-				waitUntil(t, func() bool { return anyPeerClosed(p) }) // its end may come later than this test goes on
+				proxytest.WaitUntil(t, func() bool { return anyPeerClosed(p) }) // its end may come later than this test goes on
 				close(up)
 				checkAttemptsEnd(t, p)
 				end()
@@ -247,23 +248,23 @@
 				if n == 1 {
 					<-over
 				}
-				return respondWith(okResponse, true)(w, nil, n)
+				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
 			})
 			disableReuseDelay(p.loop.pool)
 			p.frontend.listener.setLimit(1)
 			busy := connect(t, p)
 			busy.send(t, lookRequest("1", 4000))
-			waitUntil(t, func() bool { return b.requests.Load() == 1 })
+			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 			cl := connect(t, p)
 			cl.send(t, lookRequest("2", 4000)+d.behind)
 			d.leave(cl)
 			close(over)
 			busy.readResponse(t)
-			waitUntil(t, func() bool { return p.Metrics().InFlight == 0 }) // its own may stand in the figures for a moment
+			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 }) // its own may stand in the figures for a moment
 			p.frontend.listener.setLimit(50)
-			waitUntil(t, func() bool { return p.frontend.openConns() <= 1 && len(p.frontend.listener.slotFreed) == 0 })
+			proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() <= 1 && len(p.frontend.listener.slotFreed) == 0 })
 			// It has been accepted, read and closed: before that it may hold the backend's connection, unsent.
-			waitUntil(t, func() bool { return p.Metrics().Events["closes.client.answered_or_broken"] >= 1 })
+			proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["closes.client.answered_or_broken"] >= 1 })
 			checkNothingSent(t, p, b, 1)
 		})
 	}
@@ -278,11 +279,11 @@
 				continue // not noticed: its attempt ends in its own time, and no other follows
 			}
 			t.Run(text[:5]+d.name, func(t *testing.T) {
-				b := startBackend(t, neverRespond(t))
-				p := startSite(t, long, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)), t.TempDir())
+				b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
+				p := startSite(t, long, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)), t.TempDir())
 				cl := connect(t, p)
 				cl.send(t, text+d.behind)
-				waitUntil(t, func() bool { return b.requests.Load() == 1 })
+				proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 				d.leave(cl)
 				checkNothingLeft(t, p)
 			})
@@ -315,7 +316,7 @@
 	if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusBadGateway { // it may have run
 		t.Errorf("got %s", resp.Status)
 	}
-	if err := receiveFrom(t, "end of the server's connection", closed); err == nil {
+	if err := proxytest.Receive(t, "end of the server's connection", closed); err == nil {
 		t.Error("bytes came")
 	}
 	checkNothingLeft(t, p)
@@ -327,21 +328,21 @@
 	p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
 			<-fail
-			return respondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
+			return proxytest.RespondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
 		}
-		return respondWith(okResponse, true)(w, nil, n)
+		return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
 	})
 	one, two := connect(t, p), connect(t, p)
 	one.send(t, lookRequest("1", 4000))
-	waitUntil(t, func() bool { return b.requests.Load() == 1 })
+	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	stands, goOn := blockLoop(t, p)
-	receiveFrom(t, "stand of the loop", stands)
+	proxytest.Receive(t, "stand of the loop", stands)
 	two.send(t, lookRequest("1", 4000))
-	waitUntil(t, func() bool { return len(p.loop.events) == 1 })
+	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 	two.Close()
-	waitUntil(t, func() bool { return len(p.loop.events) == 2 })
+	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 2 })
 	goOn()
-	waitUntil(t, func() bool { return p.frontend.openConns() == 1 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 1 })
 	close(fail)
 	if resp, _ := one.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
@@ -356,9 +357,9 @@
 	for i := range 20 {
 		cl := connect(t, p)
 		stands, goOn := blockLoop(t, p)
-		receiveFrom(t, "stand of the loop", stands)
+		proxytest.Receive(t, "stand of the loop", stands)
 		cl.send(t, postRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody)) // and a read waits for more
-		waitUntil(t, func() bool { return len(p.loop.events) == 1 })
+		proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 		goOn()
 		if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("got %s", resp.Status)
@@ -375,7 +376,7 @@
 	pool := poolWith(5)
 	pool.openConns = 1
 	ctx, stop := context.WithCancel(context.Background())
-	a := &attempt{request: &request{method: "GET", uri: "/", header: http.Header{}}, deadline: time.Now().Add(testTimeout),
+	a := &attempt{request: &request{method: "GET", uri: "/", header: http.Header{}}, deadline: time.Now().Add(proxytest.Timeout),
 		pool: pool, ctx: ctx, cancel: stop}
 	writes := make(chan struct{})
 	c := &backendConn{Conn: writeSeen{near, writes}, backend: &backend{}}
--- a/internal/proxy/closing_test.go
+++ b/internal/proxy/closing_test.go
@@ -18,6 +18,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/settings"
 )
 
@@ -109,7 +110,7 @@
 	f.setLimits(most, most, 0)
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = f.serve() }()
-	t.Cleanup(func() { f.server.Close(); receiveFrom(t, "end of the frontend", ended) })
+	t.Cleanup(func() { f.server.Close(); proxytest.Receive(t, "end of the frontend", ended) })
 	return f, h, requests, &running{Proxy: &Proxy{frontend: f}}
 }
 
@@ -122,7 +123,7 @@
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 4000))
 	c.readResponse(t)
-	waitUntil(t, func() bool { return f.resting() == 1 })
+	proxytest.WaitUntil(t, func() bool { return f.resting() == 1 })
 	return c
 }
 
@@ -181,7 +182,7 @@
 		h.control.Store(nil)
 		c.send(t, lookRequest("2", 4000))
 		var b [1]byte
-		waitUntil(t, func() bool {
+		proxytest.WaitUntil(t, func() bool {
 			n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n > 0 && err == nil || requests.Load() > 1
 		})
@@ -191,7 +192,7 @@
 		t.Errorf("got %q and %v, want an end", rest, err)
 	}
 	c.Close()
-	waitUntil(t, func() bool { return f.openConns() == 0 && f.listener.lingering.count() == 0 })
+	proxytest.WaitUntil(t, func() bool { return f.openConns() == 0 && f.listener.lingering.count() == 0 })
 	if n := requests.Load(); n != 1 {
 		t.Errorf("%d requests were taken, want the first alone", n)
 	}
@@ -210,13 +211,13 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	_ = conn.SetDeadline(time.Now().Add(proxytest.Timeout))
 	c := &client{conn, bufio.NewReaderSize(conn, 16)}
 	c.send(t, strings.Repeat(lookRequest("1", 4000), 100))
 	if _, err := c.r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, func() bool { return f.openConns() == 0 }) // the server is through with it
+	proxytest.WaitUntil(t, func() bool { return f.openConns() == 0 }) // the server is through with it
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != large {
 		t.Errorf("got %s and %d bytes", resp.Status, len(body))
 	}
@@ -273,7 +274,7 @@
 		c := open(f, p)
 		text := lookRequest("2", 4000)
 		c.send(t, text[:len(text)/2])
-		waitUntil(t, func() bool {
+		proxytest.WaitUntil(t, func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for c := range f.conns {
@@ -322,8 +323,8 @@
 // A drain ends while clients send on every connection that is open: what was taken has its answer, the rest an end that
 // shows that it was not.
 func TestClientsSendingUntilExitLoseNothing(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
-	p := startProxy(t, startDiscovery(t).addr, 300, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	p := startProxy(t, startDiscovery(t).addr, 300, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
@@ -338,7 +339,7 @@
 				return
 			}
 			defer c.Close()
-			_ = c.SetDeadline(time.Now().Add(testTimeout))
+			_ = c.SetDeadline(time.Now().Add(proxytest.Timeout))
 			r := bufio.NewReader(c)
 			for i := 0; ; i++ {
 				if _, err = io.WriteString(c, lookRequest(fmt.Sprint(c.LocalAddr(), "-", i), 4000)); err != nil {
@@ -378,11 +379,11 @@
 	}
 	p.stop()
 	for range clients {
-		if err := receiveFrom(t, "end of a client", ends); err != nil {
+		if err := proxytest.Receive(t, "end of a client", ends); err != nil {
 			t.Error(err)
 		}
 	}
-	if err := receiveFrom(t, "end of Run", p.done); err != nil {
+	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 	f := p.Metrics()
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // held has requests wait before they are answered; it returns what lets them go on.
@@ -23,7 +24,7 @@
 		defer close(ended)
 		f.drain(0, time.Now().Add(left), func() bool { return false })
 	}()
-	waitUntil(t, f.closing.Load)
+	proxytest.WaitUntil(t, f.closing.Load)
 	return ended
 }
 
@@ -36,9 +37,9 @@
 		c := connect(t, p)
 		c.send(t, lookRequest("1", 4000))
 		all = append(all, c)
-		waitUntil(t, func() bool { return int(requests.Load()) == min(i+1, 2) })
+		proxytest.WaitUntil(t, func() bool { return int(requests.Load()) == min(i+1, 2) })
 	}
-	ended := startDrain(t, f, testTimeout)
+	ended := startDrain(t, f, proxytest.Timeout)
 	time.Sleep(5 * drainPollInterval) // for a listener that closes too soon
 	release()
 	for i, c := range all {
@@ -46,7 +47,7 @@
 			t.Errorf("client %d: %s %q, close %v", i, resp.Status, body, resp.Close)
 		}
 	}
-	receiveFrom(t, "end of the drain", ended)
+	proxytest.Receive(t, "end of the drain", ended)
 }
 
 // What the cutoff ended was cut off 20 ms later, written or not.
@@ -55,7 +56,7 @@
 	release := held(h)
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 4000))
-	waitUntil(t, func() bool { return requests.Load() == 1 })
+	proxytest.WaitUntil(t, func() bool { return requests.Load() == 1 })
 	ended := startDrain(t, f, 0)
 	select {
 	case <-ended:
@@ -66,7 +67,7 @@
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q", resp.Status, body)
 	}
-	receiveFrom(t, "end of the drain", ended)
+	proxytest.Receive(t, "end of the drain", ended)
 }
 
 // A peer that takes nothing and never closes does not keep the process beyond its time.
@@ -76,10 +77,10 @@
 	defer release()
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 4000))
-	waitUntil(t, func() bool { return requests.Load() == 1 })
+	proxytest.WaitUntil(t, func() bool { return requests.Load() == 1 })
 	start := time.Now()
-	receiveFrom(t, "end of the drain", startDrain(t, f, 2*cutoffMargin))
-	if took := time.Since(start); took > 2*cutoffMargin+responseFlushMargin+testTimeout/10 {
+	proxytest.Receive(t, "end of the drain", startDrain(t, f, 2*cutoffMargin))
+	if took := time.Since(start); took > 2*cutoffMargin+responseFlushMargin+proxytest.Timeout/10 {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -7,12 +7,14 @@
 	"strings"
 	"testing"
 	"testing/iotest"
+
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A request whose end two readers could see in two places was served, and what stood in its body went on to
 // a backend as a request of its own.
 func TestAmbiguousFramingIsNeverServed(t *testing.T) {
-	p, b := startServing(t, respondWith(okResponse, true))
+	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	const post = "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"
 	inner := lookRequest("inner", 4000)
 	length := "Content-Length: 0\r\n"
@@ -39,7 +41,7 @@
 		"no name":                post + ": x\r\n\r\n" + inner,
 	} {
 		t.Run(name, func(t *testing.T) {
-			came := b.requests.Load()
+			came := b.Requests.Load()
 			c := connect(t, p)
 			c.send(t, text)
 			resp, _ := c.readResponse(t)
@@ -49,7 +51,7 @@
 			if rest, _ := io.ReadAll(c.r); len(rest) > 0 {
 				t.Errorf("then got %q", rest)
 			}
-			if n := b.requests.Load() - came; n > 0 {
+			if n := b.Requests.Load() - came; n > 0 {
 				t.Errorf("%d requests went on", n)
 			}
 		})
@@ -58,15 +60,15 @@
 
 // Behind a chunked body nothing more is read: bytes there were sent by nobody as a request of their own.
 func TestChunkedRequestIsLastOnItsConnection(t *testing.T) {
-	p, b := startServing(t, respondWith(okResponse, true))
+	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	c := connect(t, p)
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"+
 		"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\n"+lookRequest("inner", 4000))
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 		t.Errorf("got %s %q, close %v", resp.Status, body, resp.Close)
 	}
-	if rest, _ := io.ReadAll(c.r); len(rest) > 0 || b.requests.Load() != 1 {
-		t.Errorf("then got %q after %d requests", rest, b.requests.Load())
+	if rest, _ := io.ReadAll(c.r); len(rest) > 0 || b.Requests.Load() != 1 {
+		t.Errorf("then got %q after %d requests", rest, b.Requests.Load())
 	}
 }
 
@@ -75,12 +77,12 @@
 	release := make(chan struct{})
 	p, b := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		<-release
-		_, _ = io.WriteString(w, okResponse)
+		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
 	})
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000)+"POST /post/k HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n")
-	waitUntil(t, func() bool { return b.requests.Load() == 1 })
+	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	close(release)
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("first got %s %q", resp.Status, body)
--- a/internal/proxy/generation_test.go
+++ b/internal/proxy/generation_test.go
@@ -10,16 +10,17 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A request that waits for a connection to a backend which drains, goes or restarts meanwhile does not wait for it to come
 // up: nothing could be sent on it. Nor is one begun that nothing could be sent on.
 func TestDialEndsWithBackendGeneration(t *testing.T) {
-	restarted := endpoint("a", "127.0.0.1:1", discovery.StatusServing)
+	restarted := proxytest.Endpoint("a", "127.0.0.1:1", discovery.StatusServing)
 	restarted.StartedAtMs = 7
 	for name, turn := range map[string]func(p *backendPool){
 		"drained": func(p *backendPool) {
-			p.updateEndpoints(false, []discovery.Endpoint{endpoint("a", "127.0.0.1:1", discovery.StatusDraining)})
+			p.updateEndpoints(false, []discovery.Endpoint{proxytest.Endpoint("a", "127.0.0.1:1", discovery.StatusDraining)})
 		},
 		"gone":      func(p *backendPool) { p.updateEndpoints(true, nil) },
 		"restarted": func(p *backendPool) { p.updateEndpoints(false, []discovery.Endpoint{restarted}) },
@@ -33,12 +34,12 @@
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
-			a, late := newAttempt(p, "a", 2*testTimeout), newAttempt(p, "a", 2*testTimeout)
+			a, late := newAttempt(p, "a", 2*proxytest.Timeout), newAttempt(p, "a", 2*proxytest.Timeout)
 			results := make(chan result, 1)
 			go func() { results <- a.run() }()
-			receiveFrom(t, "dial", dials)
+			proxytest.Receive(t, "dial", dials)
 			turn(p)
-			if res := receiveFrom(t, "result", results); res.status != balancer.StatusNotSent || a.ctx.Err() != nil {
+			if res := proxytest.Receive(t, "result", results); res.status != balancer.StatusNotSent || a.ctx.Err() != nil {
 				t.Errorf("got %v", res.status)
 			}
 			began := time.Now()
@@ -55,42 +56,42 @@
 // An answer that is under way when its backend drains comes to its end; the connection does not outlive it.
 func TestResponseInFlightSurvivesBackendDrain(t *testing.T) {
 	came, goOn := make(chan bool, 1), make(chan bool)
-	b := startBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		came <- true
 		<-goOn
-		_, _ = io.WriteString(w, okResponse)
+		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
 	})
-	p := poolWith(4, b.addr)
+	p := poolWith(4, b.Addr)
 	results := make(chan result, 1)
-	go func() { results <- newAttempt(p, "a", testTimeout).run() }()
-	receiveFrom(t, "request", came)
-	p.updateEndpoints(false, []discovery.Endpoint{endpoint("a", b.addr, discovery.StatusDraining)})
+	go func() { results <- newAttempt(p, "a", proxytest.Timeout).run() }()
+	proxytest.Receive(t, "request", came)
+	p.updateEndpoints(false, []discovery.Endpoint{proxytest.Endpoint("a", b.Addr, discovery.StatusDraining)})
 	p.sweepIdle(time.Now().Add(p.idleTimeout))
 	p.setLimits(1, 1)
 	close(goOn)
-	if res := receiveFrom(t, "result", results); res.status != balancer.StatusOK || string(res.body) != "ok" || p.openConns != 0 {
+	if res := proxytest.Receive(t, "result", results); res.status != balancer.StatusOK || string(res.body) != "ok" || p.openConns != 0 {
 		t.Errorf("got %v %q with %d open", res.status, res.body, p.openConns)
 	}
-	receiveFrom(t, "close", b.closed)
+	proxytest.Receive(t, "close", b.Closed)
 }
 
 // A connection that was taken for a request is beyond the reach of what closes idle ones.
 func TestConnectionInUseIsNotEvicted(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
-	p := poolWith(1, b.addr)
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	p := poolWith(1, b.Addr)
 	disableReuseDelay(p)
-	a := newAttempt(p, "a", testTimeout)
+	a := newAttempt(p, "a", proxytest.Timeout)
 	if res := a.run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
 	c := p.takeIdle(a.backend, a.generation, false)
 	p.sweepIdle(time.Now().Add(2 * p.idleTimeout))
 	p.setLimits(1, 1)
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusNotSent { // no room, and none is made of this one
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusNotSent { // no room, and none is made of this one
 		t.Errorf("a second one: got %v", res.status)
 	}
-	if res, keep := a.exchange(c); res.status != balancer.StatusOK || !keep || b.conns.Load() != 1 {
-		t.Errorf("got %v, kept %v, on %d connections", res.status, keep, b.conns.Load())
+	if res, keep := a.exchange(c); res.status != balancer.StatusOK || !keep || b.Conns.Load() != 1 {
+		t.Errorf("got %v, kept %v, on %d connections", res.status, keep, b.Conns.Load())
 	}
 }
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -24,6 +24,7 @@
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/proxy/handover"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // The files in testdata were written by an earlier version. What others read of this package (another process of the
@@ -85,7 +86,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	_ = c.SetDeadline(time.Now().Add(proxytest.Timeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
@@ -105,10 +106,10 @@
 
 // The answers that the proxy makes itself, as they stand on the wire.
 func TestOwnAnswersAreGolden(t *testing.T) {
-	breaks, _ := startServing(t, respondWith("", false))
-	full, _ := startServing(t, respondWith(okResponse, true))
+	breaks, _ := startServing(t, proxytest.RespondWith("", false))
+	full, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	full.frontend.maxInFlight.Store(0)
-	good, _ := startServing(t, respondWith(okResponse, true))
+	good, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	unlisted := startProxy(t, startDiscovery(t).addr, 200, "")
 	post := func(more string) string {
 		return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n" + more
@@ -186,18 +187,18 @@
 
 // The names of all counts that the metrics show.
 func TestCountsNamesAreGolden(t *testing.T) {
-	b := startBackend(t, neverRespond(t))
-	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	p.breaksRules = true
 	// A client's connections.
 	gone := connect(t, p)
 	gone.send(t, lookRequest("1", 4000))
-	waitUntil(t, func() bool { return b.requests.Load() == 1 })
+	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	gone.Close()
-	waitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.no_answer"] == 1 })
+	proxytest.WaitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.no_answer"] == 1 })
 	cut := connect(t, p)
 	cut.send(t, lookRequest("2", 4000))
-	waitUntil(t, func() bool { return b.requests.Load() == 2 })
+	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 2 })
 	p.frontend.mu.Lock()
 	for c := range p.frontend.conns {
 		p.frontend.evictLocked(c.(*clientConn)) // its body, then it
@@ -206,23 +207,23 @@
 	p.frontend.mu.Unlock()
 	half := connect(t, p)
 	half.send(t, "GET")
-	waitUntil(t, func() bool {
+	proxytest.WaitUntil(t, func() bool {
 		return p.frontend.closeIdle(0, 0, true) == 0 && p.loop.audit.Events()["closes.client.idle_or_half"] > 0
 	})
 	answered := connect(t, p)
 	answered.send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
 	answered.readResponse(t)
-	waitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.answered_or_broken"] > 0 })
+	proxytest.WaitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.answered_or_broken"] > 0 })
 
 	// Connections to backends.
-	good := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
-		_, _ = io.WriteString(w, okResponse)
+	good := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
+		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return r.Header.Get("Request-Id") != "close"
 	})
-	pool := poolWith(4, good.addr)
+	pool := poolWith(4, good.Addr)
 	pool.audit = p.loop.audit
 	idle := func() *backendConn {
-		c, err := pool.dial(context.Background(), pool.byName["a"], good.addr, pool.byName["a"].generation)
+		c, err := pool.dial(context.Background(), pool.byName["a"], good.Addr, pool.byName["a"].generation)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -238,10 +239,10 @@
 	pool.setSuspended(map[string]bool{"a": true})
 	pool.setSuspended(nil)
 	pool.resetAndClose(idle())
-	closing := startBackend(t, respondWith("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false))
-	pool = poolWith(4, closing.addr)
+	closing := proxytest.StartBackend(t, proxytest.RespondWith("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false))
+	pool = poolWith(4, closing.Addr)
 	pool.audit = p.loop.audit
-	newAttempt(pool, "a", testTimeout).run()
+	newAttempt(pool, "a", proxytest.Timeout).run()
 
 	// Ends of attempts and reasons of rejections.
 	l := &eventLoop{clock: clock{time.Now()}, audit: audit.New(slog.New(slog.DiscardHandler))}
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -12,17 +12,18 @@
 
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/management"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A successor takes over while clients come on new and kept connections: none is turned back, the predecessor's
 // kept connections are told to close, and it ends.
 func TestSuccessorTakesOverWithoutErrors(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
-	known := listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))
+	known := listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))
 	state := t.TempDir()
 	first := startProxyAt(t, d.addr, 400, known, state)
-	waitUntil(t, func() bool { return first.handover.Load() != nil })
+	proxytest.WaitUntil(t, func() bool { return first.handover.Load() != nil })
 	kept := connect(t, first)
 	kept.send(t, lookRequest("kept", 4000))
 	kept.readResponse(t)
@@ -51,36 +52,36 @@
 			}
 		})
 	}
-	d.responses <- listJSON(2, true, endpointJSON("a", b.addr, discovery.StatusServing)) // whoever asks: the successor too
-	d.responses <- listJSON(2, true, endpointJSON("a", b.addr, discovery.StatusServing))
+	d.responses <- listJSON(2, true, endpointJSON("a", b.Addr, discovery.StatusServing)) // whoever asks: the successor too
+	d.responses <- listJSON(2, true, endpointJSON("a", b.Addr, discovery.StatusServing))
 	second := startProxyAt(t, d.addr, 400, known, state)
 	if second.Addr() != first.Addr() {
 		t.Fatalf("the successor listens at %s and not %s", second.Addr(), first.Addr())
 	}
-	waitUntil(t, second.Ready)
-	waitUntil(t, func() bool { return first.handover.Load().SuccessorServing() })
+	proxytest.WaitUntil(t, second.Ready)
+	proxytest.WaitUntil(t, func() bool { return first.handover.Load().SuccessorServing() })
 	kept.send(t, lookRequest("kept to the end", 4000))
 	if resp, _ := kept.readResponse(t); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("before the end: %s, close %v", resp.Status, resp.Close)
 	}
 	first.stop()
-	waitUntil(t, first.frontend.closing.Load)
+	proxytest.WaitUntil(t, first.frontend.closing.Load)
 	kept.send(t, lookRequest("kept on", 4000))
 	if resp, _ := kept.readResponse(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a kept connection: %s, close %v", resp.Status, resp.Close)
 	}
-	if err := receiveFrom(t, "end of the predecessor", first.done); err != nil {
+	if err := proxytest.Receive(t, "end of the predecessor", first.done); err != nil {
 		t.Error(err)
 	}
 	first.done <- nil
 	before := id.Load()
-	waitUntil(t, func() bool { return id.Load() > before+50 })
+	proxytest.WaitUntil(t, func() bool { return id.Load() > before+50 })
 	end()
 	if n := bad.Load(); n > 0 || refused.Load() > id.Load()/2 {
 		t.Errorf("%d of %d requests went wrong, %d were refused", n, id.Load(), refused.Load())
 	}
 	all, _, _ := second.config.connLimits(false)
-	waitUntil(t, func() bool { return int(second.frontend.maxConns.Load()) == all })
+	proxytest.WaitUntil(t, func() bool { return int(second.frontend.maxConns.Load()) == all })
 	third := startProxyAt(t, d.addr, 400, known, state) // and the successor can be succeeded
 	if third.predecessor == nil {
 		t.Error("the successor hands nothing over")
@@ -94,7 +95,7 @@
 		return 0
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	_ = c.SetDeadline(time.Now().Add(proxytest.Timeout))
 	var status int
 	if _, err := fmt.Fprint(c, text); err != nil {
 		return 0
@@ -107,23 +108,23 @@
 
 // While both live each keeps to its part; a successor that dies leaves the other with all.
 func TestTwoProcessesShareTheLimits(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
-	known := listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))
+	known := listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))
 	state := t.TempDir()
 	first := startProxyAt(t, d.addr, 400, known, state)
-	waitUntil(t, func() bool { return first.handover.Load() != nil })
+	proxytest.WaitUntil(t, func() bool { return first.handover.Load() != nil })
 	half, backends, over := first.config.connLimits(true)
 	if all := 2 * (half + backends + over + reservedDescriptorsShared + management.MaxConns + 1); all > 400 {
 		t.Errorf("two processes may hold %d descriptors", all)
 	}
 	second := startProxyAt(t, d.addr, 400, known, state)
 	for _, p := range []*running{first, second} {
-		waitUntil(t, func() bool { return int(p.frontend.maxConns.Load()) == half })
+		proxytest.WaitUntil(t, func() bool { return int(p.frontend.maxConns.Load()) == half })
 	}
 	second.stop()
 	all, _, _ := first.config.connLimits(false)
-	waitUntil(t, func() bool { return int(first.frontend.maxConns.Load()) == all })
+	proxytest.WaitUntil(t, func() bool { return int(first.frontend.maxConns.Load()) == all })
 	if status := requestOnce(first.Addr(), lookRequest("1", 4000)); status != 200 {
 		t.Errorf("after the successor's end: %d", status)
 	}
@@ -156,8 +157,8 @@
 		t.Run(name, func(t *testing.T) {
 			state := t.TempDir()
 			leave(t, filepath.Join(state, "handover.sock"))
-			b := startBackend(t, respondWith(okResponse, true))
-			p := startProxyAt(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)), state)
+			b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+			p := startProxyAt(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)), state)
 			if p.predecessor != nil {
 				t.Error("it takes itself for a successor")
 			}
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -11,34 +11,35 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/settings"
 )
 
 // A proxy whose discovery moves leaves the old one at once, in mid-watch, goes on from its version at the new one, and takes
 // the whole list of one that is behind it.
 func TestDiscoveryAddressChanges(t *testing.T) {
-	a, b := startBackend(t, respondWith(okResponse, true)), startBackend(t, respondWith(okResponse, true))
+	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	first, second, third := startDiscovery(t), startDiscovery(t), startDiscovery(t)
 	p := startProxy(t, first.addr, 200, "")
 	query := func(d *fakeDiscovery, want string) {
 		t.Helper()
-		if got, _, _ := strings.Cut(receiveFrom(t, "call", d.calls), "&hold_ms="); got != want {
+		if got, _, _ := strings.Cut(proxytest.Receive(t, "call", d.calls), "&hold_ms="); got != want {
 			t.Errorf("asked %q, want %q", got, want)
 		}
 	}
 	query(first, "")
-	first.responses <- listJSON(5, true, endpointJSON("a", a.addr, discovery.StatusServing))
+	first.responses <- listJSON(5, true, endpointJSON("a", a.Addr, discovery.StatusServing))
 	query(first, "from=5")
 	p.listClient.SetSource(discovery.Source{Address: second.addr})
 	query(second, "from=5")
 	second.responses <- listJSON(3, false) // another count of versions
 	query(second, "")
-	second.responses <- listJSON(3, true, endpointJSON("b", b.addr, discovery.StatusServing))
+	second.responses <- listJSON(3, true, endpointJSON("b", b.Addr, discovery.StatusServing))
 	query(second, "from=3")
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 4000))
-	if resp, _ := c.readResponse(t); resp.StatusCode != 200 || a.requests.Load() != 0 || b.requests.Load() != 1 {
-		t.Errorf("got %s, %d and %d requests", resp.Status, a.requests.Load(), b.requests.Load())
+	if resp, _ := c.readResponse(t); resp.StatusCode != 200 || a.Requests.Load() != 0 || b.Requests.Load() != 1 {
+		t.Errorf("got %s, %d and %d requests", resp.Status, a.Requests.Load(), b.Requests.Load())
 	}
 	p.listClient.SetSource(discovery.Source{Address: third.addr}) // and again
 	query(third, "from=3")
@@ -51,14 +52,14 @@
 // that stay until the doors close, and then a close.
 func TestSIGTERMUnderLoadLosesNothing(t *testing.T) {
 	release := make(chan struct{})
-	b := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		if r.Header.Get("Request-Id")[0] == 'h' {
 			<-release
 		}
-		_, _ = io.WriteString(w, okResponse)
+		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
 	})
-	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { // long enough for what is to be served on
 		return 2 * time.Second, 3500 * time.Millisecond
 	}
@@ -70,10 +71,10 @@
 		held = append(held, connect(t, p))
 		held[i].send(t, lookRequest(fmt.Sprint("h", i), 8000))
 	}
-	waitUntil(t, func() bool { return b.requests.Load() == 11 })
+	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 11 })
 	unused := connect(t, p)
 	p.stop()
-	waitUntil(t, func() bool { return p.frontend.draining.Load() })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.draining.Load() })
 	late := connect(t, p)
 	for i, c := range []*client{idle, late, idle, late} {
 		c.send(t, lookRequest(fmt.Sprint("n", i), 8000))
@@ -81,7 +82,7 @@
 			t.Errorf("after SIGTERM: got %s, close %v", resp.Status, resp.Close)
 		}
 	}
-	waitUntil(t, func() bool { return p.frontend.closing.Load() })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.closing.Load() })
 	for _, c := range []*client{idle, late} {
 		if _, err := c.r.ReadByte(); err == nil {
 			t.Error("an idle connection was not closed")
@@ -97,7 +98,7 @@
 		})
 	}
 	all.Wait()
-	if err := receiveFrom(t, "end of Run", p.done); err != nil {
+	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 	if _, err := unused.r.ReadByte(); err == nil {
@@ -122,16 +123,16 @@
 
 // SIGKILL follows: what a hung backend holds is failed before it comes.
 func TestSIGTERMEndsHungRequests(t *testing.T) {
-	p, b := startServing(t, neverRespond(t))
+	p, b := startServing(t, proxytest.NeverRespond(t))
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
-	waitUntil(t, func() bool { return b.requests.Load() == 1 })
+	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	start := time.Now()
 	p.stop()
 	if resp, _ := c.readResponse(t); resp.StatusCode == 200 {
 		t.Errorf("got %s", resp.Status)
 	}
-	if err := receiveFrom(t, "end of Run", p.done); err != nil {
+	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(start); took > killDelay+5*time.Second {
@@ -146,13 +147,13 @@
 	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
 		if r.Header.Get("Request-Id") == "open" {
 			reached <- struct{}{}
-			receiveFrom(t, "the reload", goOn)
+			proxytest.Receive(t, "the reload", goOn)
 		}
-		return respondWith(okResponse, true)(w, r, n)
+		return proxytest.RespondWith(proxytest.OKResponse, true)(w, r, n)
 	})
 	open := connect(t, p)
 	open.send(t, lookRequest("open", 4000))
-	receiveFrom(t, "the open request", reached)
+	proxytest.Receive(t, "the open request", reached)
 	site, err := settings.Decode([]byte(strings.NewReplacer(`"name":"look"`, `"name":"peek"`,
 		`"repeat":"at_most_once"`, `"repeat":"idempotent"`).Replace(siteText)))
 	if err != nil {
@@ -179,7 +180,7 @@
 			t.Errorf("%q: %s", text, resp.Status)
 		}
 	}
-	waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 	f := p.Metrics()
 	if f.Classes["look"].Succeeded != 1 || f.Classes["peek"].Succeeded != 1 || f.Classes["post"].Succeeded != 1 {
 		t.Errorf("figures %+v", f.Classes)
--- a/internal/proxy/listsync_test.go
+++ b/internal/proxy/listsync_test.go
@@ -9,13 +9,14 @@
 	"time"
 
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A new process has a list of any age from its configuration. It is not ready before discovery has confirmed one, lest it send
 // to what is long gone; but it does not wait where discovery is out of reach, nor for longer than its bound.
 func TestSuccessorWaitsForEndpointList(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
-	known := listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	known := listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))
 	start := func(t *testing.T, handler http.HandlerFunc, patience time.Duration) (*running, chan struct{}) {
 		t.Helper()
 		called := make(chan struct{}, 1)
@@ -28,8 +29,8 @@
 		}))
 		t.Cleanup(s.Close)
 		p := startSiteWaiting(t, asking, strings.TrimPrefix(s.URL, "http://"), known, patience)
-		receiveFrom(t, "a call for the list", called)
-		waitUntil(t, p.frontend.serving.Load)
+		proxytest.Receive(t, "a call for the list", called)
+		proxytest.WaitUntil(t, p.frontend.serving.Load)
 		return p, called
 	}
 	t.Run("until it is confirmed", func(t *testing.T) {
@@ -45,18 +46,18 @@
 			t.Errorf("missing %q before discovery has answered", missing)
 		}
 		answer <- struct{}{} // and the watch that follows is held
-		waitUntil(t, p.Ready)
+		proxytest.WaitUntil(t, p.Ready)
 	})
 	t.Run("not where discovery is out of reach", func(t *testing.T) {
 		p, _ := start(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, time.Minute)
-		waitUntil(t, p.Ready)
+		proxytest.WaitUntil(t, p.Ready)
 	})
 	t.Run("not where it is down", func(t *testing.T) {
 		p, _ := start(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }, time.Minute)
-		waitUntil(t, p.Ready)
+		proxytest.WaitUntil(t, p.Ready)
 	})
 	t.Run("not for longer than its bound", func(t *testing.T) {
 		p, _ := start(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, 100*time.Millisecond)
-		waitUntil(t, p.Ready)
+		proxytest.WaitUntil(t, p.Ready)
 	})
 }
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 func (h *memoryBudget) held() int {
@@ -26,8 +27,8 @@
 		"bodies": postRequest("%d", "Content-Length: 60000") + strings.Repeat("x", 31<<10),
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := startBackend(t, respondWith(okResponse, true))
-			p := startProxy(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+			b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+			p := startProxy(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 			p.frontend.headMemory.setMax(room)
 			answers := make(chan int, peers)
 			var all []*client
@@ -42,7 +43,7 @@
 				}()
 			}
 			for range peers - room/(16<<10) { // a peer that is let in takes as much, or more
-				if got := receiveFrom(t, "refusal", answers); got != 503 {
+				if got := proxytest.Receive(t, "refusal", answers); got != 503 {
 					t.Errorf("got %d", got)
 				}
 			}
@@ -52,21 +53,21 @@
 			for _, c := range all {
 				c.Close()
 			}
-			waitUntil(t, func() bool { return p.frontend.headMemory.held() == 0 })
+			proxytest.WaitUntil(t, func() bool { return p.frontend.headMemory.held() == 0 })
 			c := connect(t, p)
 			c.send(t, strings.Replace(postRequest("n", "Content-Length: 31744"), "Host: h", "Host: h\r\nX: "+strings.Repeat("x", 8<<10), 1)+
 				strings.Repeat("x", 31744))
 			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
 				t.Errorf("then got %s", resp.Status)
 			}
-			waitUntil(t, func() bool { return p.frontend.headMemory.held() == 0 })
+			proxytest.WaitUntil(t, func() bool { return p.frontend.headMemory.held() == 0 })
 		})
 	}
 }
 
 // Idle clients in every slot while discovery is down: the calls to it, to backends and for health have their descriptors.
 func TestIdleClientsLeaveDescriptorsForOthers(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 120, "")
 	d.responses <- "" // a call that breaks
@@ -77,9 +78,9 @@
 			go func() { _, _ = io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n") }()
 		}
 	}
-	waitUntil(t, func() bool { return p.frontend.openConns() >= most })
-	d.responses <- listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)) // it is back
-	waitUntil(t, p.Ready)
+	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() >= most })
+	d.responses <- listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)) // it is back
+	proxytest.WaitUntil(t, p.Ready)
 	for i, want := range []string{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", lookRequest("1", 4000), "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"} {
 		start := time.Now()
 		c := connect(t, p)
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -7,13 +7,14 @@
 	"testing"
 
 	"merlinpick/internal/management"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // Each request that was taken ends once, whichever way it leaves: taken = ended + outstanding throughout.
 func TestEveryRequestIsCountedOnce(t *testing.T) {
-	served := respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
-	failed := respondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true)
-	stuck := neverRespond(t)
+	served := proxytest.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
+	failed := proxytest.RespondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true)
+	stuck := proxytest.NeverRespond(t)
 	reached := make(chan struct{}, 10)
 	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
 		switch r.Header.Get("Request-Id") {
@@ -43,16 +44,16 @@
 	}
 	c.send(t, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // no request of a class: nothing to count
 	c.readResponse(t)
-	waitUntil(t, func() bool { n, _ := ends(); return n == 3 })
+	proxytest.WaitUntil(t, func() bool { n, _ := ends(); return n == 3 })
 	goes := connect(t, p)
 	goes.send(t, post("4"))
-	receiveFrom(t, "the request at the backend", reached)
-	waitUntil(t, func() bool { return p.Metrics().Forwarded == 4 }) // it may be there before it is counted
+	proxytest.Receive(t, "the request at the backend", reached)
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().Forwarded == 4 }) // it may be there before it is counted
 	if n, f := ends(); n != 3 || f.InFlight != 1 {
 		t.Errorf("while one is out: %d ended, %+v", n, f)
 	}
 	goes.Close()
-	waitUntil(t, func() bool { n, _ := ends(); return n == 4 })
+	proxytest.WaitUntil(t, func() bool { n, _ := ends(); return n == 4 })
 	_, f := ends()
 	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded != 2 || e.Failed != 2 || f.ListedServers != 1 {
 		t.Errorf("at the end: %+v", f)
--- a/internal/proxy/misbehavingclients_test.go
+++ b/internal/proxy/misbehavingclients_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/proxy/socket"
 	"merlinpick/internal/settings"
 )
@@ -23,12 +24,12 @@
 	turn := make(chan struct{})
 	once(&h.reading, func() { <-turn })
 	c := connect(t, p)
-	waitUntil(t, func() bool { return f.openConns() == 1 })
+	proxytest.WaitUntil(t, func() bool { return f.openConns() == 1 })
 	c.send(t, lookRequest("1", 4000))
 	f.mu.Lock()
 	for conn := range f.conns {
 		conn.(*clientConn).lastReceived.Store(time.Now().Add(-time.Hour).UnixNano()) // it was accepted long ago
-		waitUntil(t, func() bool { return !socket.Quiet(conn) })
+		proxytest.WaitUntil(t, func() bool { return !socket.Quiet(conn) })
 	}
 	f.mu.Unlock()
 	f.makeRoom()
@@ -51,7 +52,7 @@
 
 // Peers with 60 MB to send that is no request have an error or a close in 6 s, whether they read meanwhile or not.
 func TestOversizedInputIsClosedInTime(t *testing.T) {
-	p, b := startServing(t, respondWith(okResponse, true))
+	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for name, head := range map[string]string{
 		"no head's end": "GET /look/k HTTP/1.1\r\nHost: h\r\nX: ",
 		"no line":       "",
@@ -64,7 +65,7 @@
 			t.Parallel()
 			c := connect(t, p)
 			start := time.Now()
-			_ = c.SetDeadline(start.Add(testTimeout))
+			_ = c.SetDeadline(start.Add(proxytest.Timeout))
 			_, err := io.Copy(struct{ io.Writer }{c}, io.MultiReader(strings.NewReader(head), endless(60e6)))
 			if err == nil {
 				var got bytes.Buffer
@@ -79,7 +80,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if n := b.requests.Load(); n > 0 {
+		if n := b.Requests.Load(); n > 0 {
 			t.Errorf("%d requests went on", n)
 		}
 	})
@@ -87,12 +88,12 @@
 
 // SIGTERM between New and Run: who has connected by then has an answer, and the process ends.
 func TestSIGTERMBeforeRun(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	site, err := settings.Decode([]byte(siteText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	known, err := discovery.Parse([]byte(listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))))
+	known, err := discovery.Parse([]byte(listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +111,7 @@
 	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
 	}
-	if err := receiveFrom(t, "end of Run", done); err != nil {
+	if err := proxytest.Receive(t, "end of Run", done); err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", proxy.Addr()); err == nil {
--- a/internal/proxy/pool_abandon_test.go
+++ b/internal/proxy/pool_abandon_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A request that was written but not yet delivered when its attempt was given up is never delivered: a server that stood
@@ -40,9 +41,9 @@
 	if res := a.run(); res.status != balancer.StatusTimedOut {
 		t.Fatalf("got %v, want it written whole and then timed out", res.status)
 	}
-	c := receiveFrom(t, "connection", taken)
+	c := proxytest.Receive(t, "connection", taken)
 	defer c.Close()
-	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
+	_ = c.SetReadDeadline(time.Now().Add(proxytest.Timeout))
 	if n, err := io.Copy(io.Discard, c); err == nil {
 		t.Errorf("%d bytes and an end came after the attempt had been given up", n)
 	}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -11,26 +11,27 @@
 	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/proxy/socket"
 )
 
 // The peer closes a kept connection; a request that ran into it was sent a second time by http.Transport.
 func TestConnectionClosedByBackendIsNotReused(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, false)) // promises to stay, then closes
-	p := poolWith(4, b.addr)
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, false)) // promises to stay, then closes
+	p := poolWith(4, b.Addr)
 	for n := range 3 {
-		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
+		if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusOK {
 			t.Fatalf("attempt %d: got %v", n, res.status)
 		}
-		receiveFrom(t, "close", b.closed)
-		waitUntil(t, func() bool { // the news has reached this end
+		proxytest.Receive(t, "close", b.Closed)
+		proxytest.WaitUntil(t, func() bool { // the news has reached this end
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return !socket.Quiet(p.byName["a"].idleConns[0].Conn)
 		})
 	}
-	if b.requests.Load() != 3 || b.conns.Load() != 3 {
-		t.Errorf("%d requests on %d connections", b.requests.Load(), b.conns.Load())
+	if b.Requests.Load() != 3 || b.Conns.Load() != 3 {
+		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
 	}
 	p.sweepIdle(time.Now())
 	if p.openConns != 0 {
@@ -40,33 +41,33 @@
 
 // The close crosses the request: exactly one send, and it may have run.
 func TestBackendCloseCrossingRequestIsOneReset(t *testing.T) {
-	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
-			_, _ = io.WriteString(w, okResponse)
+			_, _ = io.WriteString(w, proxytest.OKResponse)
 		}
 		return n == 1
 	})
-	p := poolWith(4, b.addr)
+	p := poolWith(4, b.Addr)
 	disableReuseDelay(p)
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusReset {
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusReset {
 		t.Errorf("got %v", res.status)
 	}
-	if b.requests.Load() != 2 || b.conns.Load() != 1 {
-		t.Errorf("%d requests on %d connections", b.requests.Load(), b.conns.Load())
+	if b.Requests.Load() != 2 || b.Conns.Load() != 1 {
+		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
 	}
 }
 
 func TestPoolReusesMostRecentAndClosesOld(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
-	p := poolWith(4, b.addr)
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	p := poolWith(4, b.Addr)
 	disableReuseDelay(p)
 	e := p.byName["a"]
 	var two []*backendConn
 	for range 2 {
-		c, err := p.dial(context.Background(), e, b.addr, e.generation)
+		c, err := p.dial(context.Background(), e, b.Addr, e.generation)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,22 +86,22 @@
 }
 
 func TestConnLimitClosesIdleOrOpensNone(t *testing.T) {
-	quick, slow := startBackend(t, respondWith(okResponse, true)), startBackend(t, neverRespond(t))
-	p := poolWith(1, quick.addr, slow.addr)
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
+	quick, slow := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.NeverRespond(t))
+	p := poolWith(1, quick.Addr, slow.Addr)
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
-	held := newAttempt(p, "b", testTimeout)
+	held := newAttempt(p, "b", proxytest.Timeout)
 	results := make(chan result, 1)
 	go func() { results <- held.run() }()
-	receiveFrom(t, "close of the idle connection", quick.closed)
-	waitUntil(t, func() bool { return slow.requests.Load() == 1 })
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusNotSent { // the limit is the proxy's own, and no backend's fault
+	proxytest.Receive(t, "close of the idle connection", quick.Closed)
+	proxytest.WaitUntil(t, func() bool { return slow.Requests.Load() == 1 })
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusNotSent { // the limit is the proxy's own, and no backend's fault
 		t.Errorf("over the limit: got %v", res.status)
 	}
 	held.cancel()
-	receiveFrom(t, "result", results)
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
+	proxytest.Receive(t, "result", results)
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusOK {
 		t.Errorf("with room again: got %v", res.status)
 	}
 }
@@ -108,33 +109,33 @@
 func TestAnyDialErrorIsConnectFailed(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("too many open files") }
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusConnectFailed || p.openConns != 0 {
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusConnectFailed || p.openConns != 0 {
 		t.Errorf("got %v with %d open", res.status, p.openConns)
 	}
 }
 
 // A kept connection that broke since its backend died leaves the trust in others as it was.
 func TestBackendExitDoesNotShortenIdleTimeout(t *testing.T) {
-	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
 			return false
 		}
-		_, _ = io.WriteString(w, okResponse)
+		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
 	})
-	p := poolWith(10, b.addr)
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK {
+	p := poolWith(10, b.Addr)
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusOK {
 		t.Fatalf("got %v", res.status)
 	}
 	p.byName["a"].idleConns[0].idleSince = time.Now().Add(-time.Second)
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusReset {
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusReset {
 		t.Fatalf("got %v, want a reset", res.status)
 	}
 	if span := p.idleTracker.MaxIdle(time.Now(), p.idleTimeout, false); span > 600*time.Millisecond {
 		t.Fatalf("trusted for %v after a break at 1 s", span)
 	}
 	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusConnectFailed {
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusConnectFailed {
 		t.Fatalf("got %v, want a refused connection", res.status)
 	}
 	if span := p.idleTracker.MaxIdle(time.Now(), p.idleTimeout, false); span != p.idleTimeout {
@@ -145,14 +146,14 @@
 // A kept connection that its backend closes unannounced breaks under its next request: final for one that
 // must not run twice. On a day with such resets the proxy went on trusting every idle connection.
 func TestStaleReuseShortensIdleTimeout(t *testing.T) {
-	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
 			return false // closed without an answer
 		}
-		_, _ = io.WriteString(w, okResponse)
+		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
 	})
-	p := poolWith(10, b.addr)
+	p := poolWith(10, b.Addr)
 	disableReuseDelay(p)
 	do := func(idle time.Duration, unsafe bool) balancer.Status {
 		t.Helper()
@@ -161,7 +162,7 @@
 			c.idleSince = time.Now().Add(-idle)
 		}
 		p.mu.Unlock()
-		a := newAttempt(p, "a", testTimeout)
+		a := newAttempt(p, "a", proxytest.Timeout)
 		a.request.nonIdempotent = unsafe
 		return a.run().status
 	}
@@ -177,8 +178,8 @@
 		{600 * time.Millisecond, true, balancer.StatusOK, 3},
 		{5 * time.Millisecond, true, balancer.StatusOK, 3}, // fresh enough
 	} {
-		if got := do(step.idle, step.unsafe); got != step.want || b.conns.Load() != step.conns {
-			t.Errorf("step %d: %v on %d connections, want %v on %d", i, got, b.conns.Load(), step.want, step.conns)
+		if got := do(step.idle, step.unsafe); got != step.want || b.Conns.Load() != step.conns {
+			t.Errorf("step %d: %v on %d connections, want %v on %d", i, got, b.Conns.Load(), step.want, step.conns)
 		}
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/settings"
 )
 
@@ -118,7 +119,7 @@
 	go func() { defer close(ended); r.done <- p.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		receiveFrom(t, "end of the proxy", ended)
+		proxytest.Receive(t, "end of the proxy", ended)
 		for rule, n := range p.Metrics().RuleViolations { // whatever the test is about
 			if n > 0 && !r.breaksRules {
 				t.Errorf("the proxy broke the rule %s, %d times", rule, n)
@@ -129,10 +130,10 @@
 }
 
 // serving starts a proxy that knows one backend.
-func startServing(t *testing.T, reply func(io.Writer, *http.Request, int) bool) (*running, *fakeBackend) {
+func startServing(t *testing.T, reply func(io.Writer, *http.Request, int) bool) (*running, *proxytest.Backend) {
 	t.Helper()
-	b := startBackend(t, reply)
-	return startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))), b
+	b := proxytest.StartBackend(t, reply)
+	return startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))), b
 }
 
 // client is one connection of a client.
@@ -148,7 +149,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	_ = c.SetDeadline(time.Now().Add(proxytest.Timeout))
 	return &client{c, bufio.NewReader(c)}
 }
 
@@ -178,7 +179,7 @@
 }
 
 func TestRequestsOfAllClassesAreServed(t *testing.T) {
-	p, b := startServing(t, respondWith(okResponse, true))
+	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	disableReuseDelay(p.loop.pool)
 	c := connect(t, p)
 	for i, text := range []string{lookRequest("1", 4000),
@@ -190,14 +191,14 @@
 			t.Errorf("request %d: got %s %q", i, resp.Status, body)
 		}
 	}
-	if b.requests.Load() != 3 || b.conns.Load() != 1 {
-		t.Errorf("%d requests on %d connections", b.requests.Load(), b.conns.Load())
+	if b.Requests.Load() != 3 || b.Conns.Load() != 1 {
+		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
 	}
 }
 
 // What makes no sense is answered, never passed on, and the connection still serves.
 func TestBadRequestsAreNotForwarded(t *testing.T) {
-	p, b := startServing(t, respondWith(okResponse, true))
+	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for name, c := range map[string]struct {
 		text string
 		want int
@@ -224,9 +225,9 @@
 				t.Errorf("got %s", resp.Status)
 			}
 			if c.keep {
-				came := b.requests.Load()
+				came := b.Requests.Load()
 				cl.send(t, lookRequest("9", 4000))
-				if resp, body := cl.readResponse(t); resp.StatusCode != 200 || body != "ok" || b.requests.Load() != came+1 {
+				if resp, body := cl.readResponse(t); resp.StatusCode != 200 || body != "ok" || b.Requests.Load() != came+1 {
 					t.Errorf("then got %s", resp.Status)
 				}
 			}
@@ -236,20 +237,20 @@
 
 // The module's refusal comes at once and says when to come back.
 func TestRejectionIsAnsweredAtOnce(t *testing.T) {
-	p, b := startServing(t, respondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
+	p, b := startServing(t, proxytest.RespondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
 	resp, _ := c.readResponse(t)
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("got %s %v", resp.Status, resp.Header)
 	}
-	if n := b.requests.Load(); n < 1 || n > 3 {
+	if n := b.Requests.Load(); n < 1 || n > 3 {
 		t.Errorf("%d attempts", n)
 	}
 }
 
 func TestHungBackendStillGivesClientAnAnswer(t *testing.T) {
-	p, b := startServing(t, neverRespond(t))
+	p, b := startServing(t, proxytest.NeverRespond(t))
 	c := connect(t, p)
 	start := time.Now()
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 1000\r\nContent-Length: 0\r\n\r\n")
@@ -257,7 +258,7 @@
 	if resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("got %s after %v", resp.Status, time.Since(start))
 	}
-	if n := b.requests.Load(); n != 1 {
+	if n := b.Requests.Load(); n != 1 {
 		t.Errorf("an unsafe request went out %d times", n)
 	}
 }
@@ -273,34 +274,34 @@
 	})
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 8000))
-	receiveFrom(t, "request", came)
+	proxytest.Receive(t, "request", came)
 	c.Close()
-	receiveFrom(t, "end of the attempt", gone)
-	waitUntil(t, func() bool { // nothing is left of it
+	proxytest.Receive(t, "end of the attempt", gone)
+	proxytest.WaitUntil(t, func() bool { // nothing is left of it
 		left := make(chan int, 1)
 		p.loop.post(func() { left <- len(p.loop.requests) })
-		return receiveFrom(t, "word of the loop", left) == 0
+		return proxytest.Receive(t, "word of the loop", left) == 0
 	})
 }
 
 func TestClientGoneMidRequestLeavesNothing(t *testing.T) {
-	p, b := startServing(t, respondWith(okResponse, true))
+	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	c := connect(t, p)
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 9\r\n\r\nabc")
-	waitUntil(t, func() bool { return p.frontend.openConns() == 1 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 1 })
 	c.Close()
-	waitUntil(t, func() bool { return p.frontend.openConns() == 0 })
-	if n := b.requests.Load(); n != 0 {
+	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 0 })
+	if n := b.Requests.Load(); n != 0 {
 		t.Errorf("%d requests went on", n)
 	}
 }
 
 // Two requests under one id could not be told apart; the second was never answered.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
-	p, b := startServing(t, neverRespond(t))
+	p, b := startServing(t, proxytest.NeverRespond(t))
 	first, second := connect(t, p), connect(t, p)
 	first.send(t, lookRequest("1", 8000))
-	waitUntil(t, func() bool { return b.requests.Load() == 1 })
+	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	second.send(t, lookRequest("1", 8000))
 	if resp, _ := second.readResponse(t); resp.StatusCode != 400 {
 		t.Errorf("got %s", resp.Status)
@@ -310,19 +311,19 @@
 // A flood of requests was to end in too many open files; those over the clients' part are refused.
 func TestRequestsOverInFlightLimitAreRejected(t *testing.T) {
 	release := make(chan struct{})
-	b := startBackend(t, func(w io.Writer, r *http.Request, n int) bool {
-		receiveFrom(t, "the end of the flood", release)
-		return respondWith(okResponse, true)(w, r, n)
+	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, n int) bool {
+		proxytest.Receive(t, "the end of the flood", release)
+		return proxytest.RespondWith(proxytest.OKResponse, true)(w, r, n)
 	})
 	d := startDiscovery(t)
-	p := startProxy(t, d.addr, 120, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	p := startProxy(t, d.addr, 120, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	most := int(p.frontend.maxInFlight.Load())
 	var conns []*client
 	for i := range most {
 		conns = append(conns, connect(t, p))
 		conns[i].send(t, lookRequest(fmt.Sprint("f", i), 8000))
 	}
-	waitUntil(t, func() bool { return p.Metrics().InFlight == int64(most) })
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == int64(most) })
 	over := connect(t, p)
 	over.send(t, lookRequest("1", 4000))
 	resp, _ := over.readResponse(t)
@@ -344,8 +345,8 @@
 
 // Connections that carry no request are no reason to refuse one.
 func TestIdleConnectionsCauseNoRejection(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
-	p := startProxy(t, startDiscovery(t).addr, 120, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	p := startProxy(t, startDiscovery(t).addr, 120, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	for range p.frontend.maxConns.Load() + 2 {
 		connect(t, p)
 	}
@@ -358,7 +359,7 @@
 
 // Each answer is applied, a garbled or broken one changes nothing and the next call asks for the full list.
 func TestListWatchSurvivesMalformedAndBrokenResponses(t *testing.T) {
-	a, b := startBackend(t, respondWith(okResponse, true)), startBackend(t, respondWith(okResponse, true))
+	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 200, "")
 	health := func() int {
@@ -375,7 +376,7 @@
 	}
 	query := func(want string) {
 		t.Helper()
-		if got, _, _ := strings.Cut(receiveFrom(t, "call", d.calls), "&hold_ms="); got != want {
+		if got, _, _ := strings.Cut(proxytest.Receive(t, "call", d.calls), "&hold_ms="); got != want {
 			t.Errorf("asked %q, want %q", got, want)
 		}
 	}
@@ -383,34 +384,34 @@
 	if got := health(); got != 503 {
 		t.Errorf("healthy without a list: %d", got)
 	}
-	d.responses <- listJSON(5, true, endpointJSON("a", a.addr, discovery.StatusServing))
+	d.responses <- listJSON(5, true, endpointJSON("a", a.Addr, discovery.StatusServing))
 	query("from=5")
 	if got := health(); got != 200 {
 		t.Errorf("not healthy with a list: %d", got)
 	}
 	for _, nonsense := range []string{`{"index":6,"snap`, listJSON(6, false, endpointJSON("a", "nowhere", discovery.StatusServing)),
-		listJSON(6, false, endpointJSON("a", a.addr, "RESTING")), ""} {
+		listJSON(6, false, endpointJSON("a", a.Addr, "RESTING")), ""} {
 		d.responses <- nonsense
 		if nonsense == "" {
 			query("from=5") // net/http asks once more by itself; a question may be put twice
 		} else {
 			query("")
 		}
-		d.responses <- listJSON(5, true, endpointJSON("a", a.addr, discovery.StatusServing))
+		d.responses <- listJSON(5, true, endpointJSON("a", a.Addr, discovery.StatusServing))
 		query("from=5")
 		if got := ask("x"); got != 200 {
 			t.Errorf("after %q: %d", nonsense, got)
 		}
 	}
-	d.responses <- listJSON(7, false, endpointJSON("a", a.addr, discovery.StatusDraining), endpointJSON("b", b.addr, discovery.StatusServing))
+	d.responses <- listJSON(7, false, endpointJSON("a", a.Addr, discovery.StatusDraining), endpointJSON("b", b.Addr, discovery.StatusServing))
 	query("from=7")
-	served := a.requests.Load()
+	served := a.Requests.Load()
 	for i := range 20 {
 		if got := ask(fmt.Sprint("y", i)); got != 200 {
 			t.Errorf("after the drain: %d", got)
 		}
 	}
-	if a.requests.Load() != served || b.requests.Load() != 20 {
-		t.Errorf("%d requests to a draining backend", a.requests.Load()-served)
+	if a.Requests.Load() != served || b.Requests.Load() != 20 {
+		t.Errorf("%d requests to a draining backend", a.Requests.Load()-served)
 	}
 }
--- /dev/null
+++ b/internal/proxy/proxytest/proxytest.go
@@ -0,0 +1,124 @@
+// Package proxytest has what the tests of the proxy's packages share: a backend on a loopback socket, and waits that end.
+package proxytest
+
+import (
+	"bufio"
+	"cmp"
+	"io"
+	"merlinpick/internal/discovery"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// Timeout is for what must happen; it ends a test that hangs.
+const Timeout = 20 * time.Second
+
+// Receive returns what comes from a channel, and fails the test if nothing does within Timeout.
+func Receive[T any](t *testing.T, what string, c <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-c:
+		return v
+	case <-time.After(Timeout):
+		t.Fatalf("no %s", what)
+		panic("unreachable")
+	}
+}
+
+// Backend is a backend on a loopback socket.
+type Backend struct {
+	Addr     string
+	Requests atomic.Int32 // that have come complete
+	Conns    atomic.Int32
+	Closed   chan struct{} // one for each connection that has ended
+
+	Begun         chan struct{} // closed when the first head has come, if set
+	Body          io.Writer     // gets the bodies, if set
+	ResetsUploads bool          // the connection ends after a head and some of its body
+}
+
+// StartBackend starts a backend that ends with the test. For the n-th request that has come complete, reply writes the
+// response to w, which is the connection, and returns whether that stays open.
+func StartBackend(t *testing.T, reply func(w io.Writer, r *http.Request, n int) bool) *Backend {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	b := &Backend{Addr: l.Addr().String(), Closed: make(chan struct{}, 1000)}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			b.Conns.Add(1)
+			go func() {
+				defer func() { c.Close(); b.Closed <- struct{}{} }()
+				for r := bufio.NewReader(c); ; {
+					req, err := http.ReadRequest(r)
+					if err != nil {
+						return
+					}
+					if b.Begun != nil && b.Conns.Load() == 1 && b.Requests.Load() == 0 {
+						close(b.Begun)
+					}
+					if b.ResetsUploads {
+						_, _ = io.CopyN(io.Discard, req.Body, 100_000)
+						return
+					}
+					if _, err := io.Copy(cmp.Or[io.Writer](b.Body, io.Discard), req.Body); err != nil {
+						return
+					}
+					if !reply(c, req, int(b.Requests.Add(1))) {
+						return
+					}
+				}
+			}()
+		}
+	}()
+	return b
+}
+
+// RespondWith replies to each request with a text, and keeps the connection or closes it.
+func RespondWith(text string, keep bool) func(io.Writer, *http.Request, int) bool {
+	return func(w io.Writer, _ *http.Request, _ int) bool {
+		_, _ = io.WriteString(w, text)
+		return keep
+	}
+}
+
+// OKResponse is a response with a body of two bytes.
+const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+
+// NeverRespond replies nothing until the test ends.
+func NeverRespond(t *testing.T) func(io.Writer, *http.Request, int) bool {
+	over := make(chan struct{})
+	t.Cleanup(func() { close(over) })
+	return func(io.Writer, *http.Request, int) bool { <-over; return false }
+}
+
+// Endpoint is an entry of an endpoint list, in zone a.
+func Endpoint(name, addr, status string) discovery.Endpoint {
+	return discovery.Endpoint{Name: name, Address: addr, Zone: "a", Status: status}
+}
+
+// WaitUntil polls a condition, and fails the test if it does not hold within Timeout.
+func WaitUntil(t *testing.T, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("the condition did not hold within %v", Timeout)
+		}
+	}
+}
+
+// Reset has the close of a connection reach its peer as a reset. It returns false, for a reply to return.
+func Reset(w io.Writer) bool {
+	_ = w.(*net.TCPConn).SetLinger(0)
+	return false
+}
--- a/internal/proxy/ready_test.go
+++ b/internal/proxy/ready_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // asking is a site whose list is asked for, with an asking time of minutes.
@@ -21,7 +22,7 @@
 // A proxy that starts without a list, while discovery is down, says what is missing, and is ready soon after discovery is
 // back, whatever the asking time.
 func TestReadinessNamesWhatIsMissing(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	place, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +36,7 @@
 			return
 		}
 		if !r.URL.Query().Has("from") {
-			_, _ = io.WriteString(w, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+			_, _ = io.WriteString(w, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 			return
 		}
 		<-r.Context().Done()
@@ -45,19 +46,19 @@
 	s.Start()
 	t.Cleanup(s.Close)
 	p := startSite(t, asking, place.Addr().String(), 200, "", t.TempDir())
-	waitUntil(t, func() bool { return p.frontend.serving.Load() && calls.Load() >= 4 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.serving.Load() && calls.Load() >= 4 })
 	if missing := p.NotReadyReason(); p.Ready() || !strings.Contains(missing, "no list") ||
 		!strings.Contains(missing, place.Addr().String()) {
 		t.Errorf("ready %v, missing %q", p.Ready(), missing)
 	}
 	down.Store(false)
 	back := time.Now()
-	waitUntil(t, p.Ready)
+	proxytest.WaitUntil(t, p.Ready)
 	if took := time.Since(back); took > 5*time.Second {
 		t.Errorf("ready %v after discovery was back", took)
 	}
 	p.stop()
-	waitUntil(t, func() bool { return p.NotReadyReason() == "it drains" })
+	proxytest.WaitUntil(t, func() bool { return p.NotReadyReason() == "it drains" })
 }
 
 // While discovery is down, deaf, or answers nonsense, the servers that were last known are used, for as long as it takes;
@@ -65,7 +66,7 @@
 func TestLastKnownServersAreKept(t *testing.T) {
 	for _, how := range []string{"down", "503", "deaf", "nonsense"} {
 		t.Run(how, func(t *testing.T) {
-			b := startBackend(t, respondWith(okResponse, true))
+			b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 			var calls atomic.Int32
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
@@ -81,15 +82,15 @@
 				}
 			}))
 			t.Cleanup(s.Close)
-			known := listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing))
+			known := listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))
 			p := startSite(t, asking, strings.TrimPrefix(s.URL, "http://"), 200, known, t.TempDir())
-			waitUntil(t, p.Ready)
+			proxytest.WaitUntil(t, p.Ready)
 			lost := 4
 			if how == "deaf" {
 				lost = 1 // each takes two seconds
 			}
 			for i := range lost {
-				waitUntil(t, func() bool { return calls.Load() > int32(i+1) })
+				proxytest.WaitUntil(t, func() bool { return calls.Load() > int32(i+1) })
 				c := connect(t, p)
 				c.send(t, lookRequest(fmt.Sprint(i), 4000))
 				if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -7,20 +7,21 @@
 	"testing"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // An answer without a length ends with the connection's end; a reset is none.
 func TestResetDoesNotCompleteResponse(t *testing.T) {
 	for name, head := range map[string]string{"HTTP/1.1": "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\n"} {
-		b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+		b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 			_, _ = io.WriteString(w, head+"ok")
-			return n == 1 && resets(w)
+			return n == 1 && proxytest.Reset(w)
 		})
-		p := poolWith(4, b.addr)
-		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusReset {
+		p := poolWith(4, b.Addr)
+		if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusReset {
 			t.Errorf("%s, reset: got %v %q", name, res.status, res.body)
 		}
-		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
+		if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
 			t.Errorf("%s, ended: got %v %q", name, res.status, res.body)
 		}
 	}
@@ -31,7 +32,7 @@
 	for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*maxBufferedResponse))
-			return resets(w)
+			return proxytest.Reset(w)
 		})
 		cl := connect(t, p)
 		cl.send(t, strings.Replace(lookRequest("1", 4000), "HTTP/1.1", version, 1))
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A large answer is passed on as it comes, in every framing, and whole.
@@ -39,7 +40,7 @@
 				_, _ = io.WriteString(w, c.head)
 				write(part)
 				write(part[:1])
-				receiveFrom(t, "the client's first bytes", seen) // the rest follows only once these have come
+				proxytest.Receive(t, "the client's first bytes", seen) // the rest follows only once these have come
 				write(part[1:])
 				write(part)
 				if c.chunked {
@@ -65,7 +66,7 @@
 			if resp.Header.Get("Content-Type") != "a/b" {
 				t.Errorf("header %v", resp.Header)
 			}
-			waitUntil(t, func() bool { f := p.Metrics(); return f.Classes["look"].Succeeded == 1 && f.InFlight == 0 })
+			proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.Classes["look"].Succeeded == 1 && f.InFlight == 0 })
 		})
 	}
 }
@@ -75,7 +76,7 @@
 	seen := make(chan struct{})
 	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
-		receiveFrom(t, "the client's first bytes", seen)
+		proxytest.Receive(t, "the client's first bytes", seen)
 		_, _ = io.WriteString(w, "2\r\ncd\r\n0\r\n\r\n")
 		return true
 	})
@@ -106,7 +107,7 @@
 		tries := 0
 		p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 			if tries++; tries >= c.good {
-				_, _ = io.WriteString(w, okResponse)
+				_, _ = io.WriteString(w, proxytest.OKResponse)
 				return true
 			}
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"+c.body)
@@ -145,7 +146,7 @@
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
 				t.Errorf("%d bytes looked like a whole answer", n)
 			}
-			waitUntil(t, func() bool { f := p.Metrics(); return f.Classes["look"].Failed == 1 && f.InFlight == 0 })
+			proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.Classes["look"].Failed == 1 && f.InFlight == 0 })
 		})
 	}
 }
@@ -182,11 +183,11 @@
 	case <-time.After(100 * time.Millisecond):
 	}
 	c.Close()
-	if n := receiveFrom(t, "the backend's end", written); n == size {
+	if n := proxytest.Receive(t, "the backend's end", written); n == size {
 		t.Error("all was taken for a client that had gone")
 	}
-	receiveFrom(t, "the backend's connection", b.closed)
-	waitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
+	proxytest.Receive(t, "the backend's connection", b.Closed)
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 }
 
 // A long answer that is still being given when the cutoff comes goes on to its end.
@@ -195,7 +196,7 @@
 	part := strings.Repeat("x", 2*maxBufferedResponse)
 	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(part), part)
-		receiveFrom(t, "the cutoff", goOn)
+		proxytest.Receive(t, "the cutoff", goOn)
 		_, _ = io.WriteString(w, part)
 		return true
 	})
@@ -212,13 +213,13 @@
 		t.Fatal(err)
 	}
 	p.stop()
-	waitUntil(t, p.frontend.closing.Load)
+	proxytest.WaitUntil(t, p.frontend.closing.Load)
 	time.Sleep(200 * time.Millisecond) // past the cutoff, whatever this machine is at
 	close(goOn)
 	if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != int64(2*len(part)-10) {
 		t.Errorf("%d bytes more came, %v", n, err)
 	}
-	if err := receiveFrom(t, "end of Run", p.done); err != nil {
+	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 	p.done <- nil
--- a/internal/proxy/reusedelay_test.go
+++ b/internal/proxy/reusedelay_test.go
@@ -10,6 +10,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/idletimeout"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // unrested has a pool use connections again at once.
@@ -23,21 +24,21 @@
 // come, is found to hold what nobody asked for, and is closed.
 func TestExtraResponseIsNotTakenForNextRequest(t *testing.T) {
 	next, spoilt := make(chan struct{}), make(chan struct{})
-	b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
-			receiveFrom(t, "second answer to the first request", spoilt)
+			proxytest.Receive(t, "second answer to the first request", spoilt)
 		}
-		_, _ = io.WriteString(w, okResponse)
+		_, _ = io.WriteString(w, proxytest.OKResponse)
 		if n == 1 {
 			go func() {
 				<-next
-				_, _ = io.WriteString(w, strings.Replace(okResponse, "ok", "no", 1))
+				_, _ = io.WriteString(w, strings.Replace(proxytest.OKResponse, "ok", "no", 1))
 				close(spoilt)
 			}()
 		}
 		return true
 	})
-	p := poolWith(4, b.addr)
+	p := poolWith(4, b.Addr)
 	if p.reuseDelay != idletimeout.ReuseDelay {
 		t.Errorf("connections rest for %v", p.reuseDelay)
 	}
@@ -46,59 +47,59 @@
 		if n == 1 {
 			close(next)
 		}
-		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
+		if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusOK || string(res.body) != "ok" {
 			t.Fatalf("request %d: got %v %q", n+1, res.status, res.body)
 		}
 	}
-	if b.conns.Load() != 2 || p.openConns != 1 {
-		t.Errorf("%d connections, %d open", b.conns.Load(), p.openConns)
+	if b.Conns.Load() != 2 || p.openConns != 1 {
+		t.Errorf("%d connections, %d open", b.Conns.Load(), p.openConns)
 	}
 }
 
 // A call that finds only connections that rest waits for the one that has rested longest; only one call does.
 func TestAttemptWaitsOutReuseDelay(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
-	p := poolWith(4, b.addr)
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	p := poolWith(4, b.Addr)
 	p.reuseDelay = 200 * time.Millisecond
 	for n := range 3 {
 		began := time.Now()
-		if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK || b.conns.Load() != 1 {
-			t.Fatalf("request %d: got %v on %d connections", n+1, res.status, b.conns.Load())
+		if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusOK || b.Conns.Load() != 1 {
+			t.Fatalf("request %d: got %v on %d connections", n+1, res.status, b.Conns.Load())
 		}
 		if took := time.Since(began); n > 0 && took < p.reuseDelay/2 {
 			t.Errorf("request %d took %v", n+1, took)
 		}
 	}
-	p.reuseDelay = testTimeout
-	first := newAttempt(p, "a", 2*testTimeout)
+	p.reuseDelay = proxytest.Timeout
+	first := newAttempt(p, "a", 2*proxytest.Timeout)
 	results := make(chan result, 1)
 	go func() { results <- first.run() }()
-	waitUntil(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(first.backend.idleConns) == 0 })
-	if res := newAttempt(p, "a", testTimeout).run(); res.status != balancer.StatusOK || b.conns.Load() != 2 {
-		t.Errorf("beside one that waits: got %v on %d connections", res.status, b.conns.Load())
+	proxytest.WaitUntil(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(first.backend.idleConns) == 0 })
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusOK || b.Conns.Load() != 2 {
+		t.Errorf("beside one that waits: got %v on %d connections", res.status, b.Conns.Load())
 	}
 	first.cancel()
-	if res := receiveFrom(t, "result", results); res.status != balancer.StatusNotSent || b.requests.Load() != 4 {
-		t.Errorf("stopped in the rest: got %v after %d requests", res.status, b.requests.Load())
+	if res := proxytest.Receive(t, "result", results); res.status != balancer.StatusNotSent || b.Requests.Load() != 4 {
+		t.Errorf("stopped in the rest: got %v after %d requests", res.status, b.Requests.Load())
 	}
 }
 
 // One that has rested is used before a new one is opened, though others are more recent.
 func TestReusableConnectionFoundBehindDelayedOnes(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
-	p := poolWith(4, b.addr)
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	p := poolWith(4, b.Addr)
 	e := p.byName["a"]
 	var two []*backendConn
 	for range 2 {
-		c, err := p.dial(context.Background(), e, b.addr, e.generation)
+		c, err := p.dial(context.Background(), e, b.Addr, e.generation)
 		if err != nil {
 			t.Fatal(err)
 		}
 		two = append(two, c)
 		p.putIdle(c)
 	}
-	p.reuseDelay = testTimeout
-	two[0].idleSince = two[0].idleSince.Add(-testTimeout)
+	p.reuseDelay = proxytest.Timeout
+	two[0].idleSince = two[0].idleSince.Add(-proxytest.Timeout)
 	if c := p.takeIdle(e, e.generation, false); c != two[0] {
 		t.Error("not the one that has rested")
 	}
--- a/internal/proxy/sendwindow_test.go
+++ b/internal/proxy/sendwindow_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A further attempt is decided inside the window for repeats, and its connection may come up when that is over. Nobody
@@ -23,13 +24,13 @@
 		status   int
 	}{{"in time", false, 2, 200}, {"late", true, 1, 502}} {
 		t.Run(c.name, func(t *testing.T) {
-			b := startBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+			b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n > 1 {
-					_, _ = io.WriteString(w, okResponse)
+					_, _ = io.WriteString(w, proxytest.OKResponse)
 				}
 				return n > 1 // the first ends without an answer: it may have run
 			})
-			known := listJSON(1, true, endpointJSON("a", b.addr, "SERVING"))
+			known := listJSON(1, true, endpointJSON("a", b.Addr, "SERVING"))
 			text := strings.Replace(siteText, `"dedup_window_us":9000000`, `"dedup_window_us":1000000`, 1)
 			p := startSite(t, text, startDiscovery(t).addr, 200, known, t.TempDir())
 			pool, first := p.loop.pool, make(chan time.Time, 9)
@@ -44,8 +45,8 @@
 			pool.mu.Unlock()
 			cl := connect(t, p)
 			cl.send(t, "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nTenant: acme\r\nIdempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc")
-			if resp, _ := cl.readResponse(t); resp.StatusCode != c.status || b.requests.Load() != c.requests || len(first) != 2 {
-				t.Errorf("got %s after %d requests and %d dials, want %d", resp.Status, b.requests.Load(), len(first), c.requests)
+			if resp, _ := cl.readResponse(t); resp.StatusCode != c.status || b.Requests.Load() != c.requests || len(first) != 2 {
+				t.Errorf("got %s after %d requests and %d dials, want %d", resp.Status, b.Requests.Load(), len(first), c.requests)
 			}
 		})
 	}
@@ -59,7 +60,7 @@
 	}
 	defer l.Close()
 	for _, uploading := range []bool{false, true} {
-		a := newAttempt(poolWith(4, l.Addr().String()), "a", testTimeout)
+		a := newAttempt(poolWith(4, l.Addr().String()), "a", proxytest.Timeout)
 		a.sendDeadline = time.Now().Add(200 * time.Millisecond)
 		a.request.method, a.request.bufferedBody, a.request.contentLength = http.MethodPost, make([]byte, 16<<20), 16<<20
 		if uploading {
--- a/internal/proxy/shortage_test.go
+++ b/internal/proxy/shortage_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A connect that fails for what this machine is short of says nothing of the backend: nothing went out, and nobody is to
@@ -26,7 +27,7 @@
 		p.dialContext = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", c.errno)}
 		}
-		if res := newAttempt(p, "a", testTimeout).run(); res.status != c.want {
+		if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != c.want {
 			t.Errorf("%v: got %v, want %v", c.errno, res.status, c.want)
 		}
 		if p.openConns != 0 {
--- a/internal/proxy/suspension_test.go
+++ b/internal/proxy/suspension_test.go
@@ -8,13 +8,14 @@
 
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/override"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A ban keeps a server out at both processes of a proxy, through lists and restarts, until one call back.
 func TestSuspensionHoldsInEveryProcessUntilResumed(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
-	known := listJSON(1, true, endpointJSON("a/1", b.addr, discovery.StatusServing))
+	known := listJSON(1, true, endpointJSON("a/1", b.Addr, discovery.StatusServing))
 	first := startProxy(t, d.addr, 200, known)
 	asks := func(p *running, id string) int {
 		c := connect(t, p)
@@ -34,28 +35,28 @@
 		t.Errorf("the last server left, banned: %d", got)
 	}
 	second := startProxyAt(t, d.addr, 200, known, first.config.StateDir)
-	waitUntil(t, func() bool { return second.Metrics().EjectedServers == 1 })
+	proxytest.WaitUntil(t, func() bool { return second.Metrics().EjectedServers == 1 })
 	if got := asks(second, "3"); got != 503 {
 		t.Errorf("beside the next process: %d", got)
 	}
 	d.responses <- listJSON(2, true) // it leaves the list, and one that is banned can still be called back
-	waitUntil(t, func() bool { return first.Metrics().ListedServers == 0 || second.Metrics().ListedServers == 0 })
+	proxytest.WaitUntil(t, func() bool { return first.Metrics().ListedServers == 0 || second.Metrics().ListedServers == 0 })
 	if err := second.ResumeServer("a/1"); err != nil {
 		t.Fatal(err)
 	}
-	d.responses <- listJSON(3, false, `{"name":"a/1","address":"`+b.addr+`","zone":"a","status":"SERVING","since_ms":5}`)
-	d.responses <- listJSON(3, false, `{"name":"a/1","address":"`+b.addr+`","zone":"a","status":"SERVING","since_ms":5}`)
+	d.responses <- listJSON(3, false, `{"name":"a/1","address":"`+b.Addr+`","zone":"a","status":"SERVING","since_ms":5}`)
+	d.responses <- listJSON(3, false, `{"name":"a/1","address":"`+b.Addr+`","zone":"a","status":"SERVING","since_ms":5}`)
 	id := 10
 	for _, p := range []*running{first, second} {
-		waitUntil(t, func() bool { id++; return asks(p, strconv.Itoa(id)) == 200 })
+		proxytest.WaitUntil(t, func() bool { id++; return asks(p, strconv.Itoa(id)) == 200 })
 	}
 	for _, p := range []*running{first, second} { // whichever was asked above
-		waitUntil(t, func() bool { return p.Metrics().EjectedServers == 0 })
+		proxytest.WaitUntil(t, func() bool { return p.Metrics().EjectedServers == 0 })
 	}
 }
 
 func TestSuspendingUnlistedServerFails(t *testing.T) {
-	p, _ := startServing(t, respondWith(okResponse, true))
+	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for _, do := range []func(string) error{p.SuspendServer, p.ResumeServer} {
 		var unknown *override.UnknownServerError
 		if err := do("stranger"); !errors.As(err, &unknown) {
@@ -72,7 +73,7 @@
 
 // A ban that cannot be kept is no ban: the answer must not be yes.
 func TestSuspensionThatCannotBeStoredFails(t *testing.T) {
-	p, _ := startServing(t, respondWith(okResponse, true))
+	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	if err := os.RemoveAll(p.config.StateDir); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -13,6 +13,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 func postRequest(id, framing string) string {
@@ -32,11 +33,13 @@
 		{"when told to", fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue", size), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := startBackend(t, func(w io.Writer, r *http.Request, _ int) bool { return respondWith(okResponse, true)(w, r, 0) })
+			b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
+				return proxytest.RespondWith(proxytest.OKResponse, true)(w, r, 0)
+			})
 			var got bytes.Buffer
-			b.body = &got
-			b.begun = make(chan struct{})
-			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+			b.Body = &got
+			b.Begun = make(chan struct{})
+			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 			cl := connect(t, p)
 			cl.send(t, postRequest("1", c.framing))
 			if strings.Contains(c.framing, "Expect") {
@@ -53,7 +56,7 @@
 				}
 			}
 			send(body[:maxBufferedBody+1])
-			receiveFrom(t, "the head at the backend", b.begun) // the rest follows only once this has come
+			proxytest.Receive(t, "the head at the backend", b.Begun) // the rest follows only once this has come
 			send(body[maxBufferedBody+1 : size-1])
 			send(body[size-1:])
 			if c.chunked {
@@ -71,7 +74,7 @@
 					t.Errorf("then got %s", resp.Status)
 				}
 			}
-			waitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Succeeded == 1 })
+			proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Succeeded == 1 })
 			if p.frontend.bodyMemory.used != 0 {
 				t.Errorf("%d bytes still held", p.frontend.bodyMemory.used)
 			}
@@ -81,9 +84,9 @@
 
 // A request whose body breaks off in the backend's hands has its answer at once, though the rest has not come.
 func TestBackendResetDuringUploadIsAnsweredAtOnce(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
-	b.resetsUploads = true
-	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	b.ResetsUploads = true
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	cl := connect(t, p)
 	cl.send(t, postRequest("1", fmt.Sprintf("Content-Length: %d", 20<<20)))
 	piece := strings.Repeat("x", 64<<10)
@@ -101,10 +104,10 @@
 			break // it has answered and closed
 		}
 	}
-	if got := receiveFrom(t, "the answer", answered); got != 503 { // the last byte was never written: it has not run
+	if got := proxytest.Receive(t, "the answer", answered); got != 503 { // the last byte was never written: it has not run
 		t.Errorf("got %d", got)
 	}
-	waitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Rejected == 1 })
+	proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Rejected == 1 })
 	if n := p.Metrics().Forwarded; n != 0 {
 		t.Errorf("%d attempts count as written", n)
 	}
@@ -112,15 +115,15 @@
 
 // A client that goes in the middle of its body takes the attempt along, and the request counts nowhere.
 func TestClientGoneDuringUploadLeavesNothing(t *testing.T) {
-	b := startBackend(t, respondWith(okResponse, true))
-	b.begun = make(chan struct{})
-	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.addr, discovery.StatusServing)))
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	b.Begun = make(chan struct{})
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	cl := connect(t, p)
 	cl.send(t, postRequest("1", "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody+1))
-	receiveFrom(t, "the head at the backend", b.begun)
+	proxytest.Receive(t, "the head at the backend", b.Begun)
 	cl.Close()
-	receiveFrom(t, "the backend's connection", b.closed)
-	waitUntil(t, func() bool { return p.frontend.openConns() == 0 })
+	proxytest.Receive(t, "the backend's connection", b.Closed)
+	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 0 })
 	f := p.Metrics()
 	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded+e.Rejected+e.Failed != 0 || f.Forwarded != 0 {
 		t.Errorf("got %+v", f)
@@ -208,7 +211,7 @@
 
 // A body that cannot come whole before the cutoff is turned away with word that it may come again, not dropped.
 func TestUploadIncompleteAtCutoffIsRejected(t *testing.T) {
-	p, _ := startServing(t, respondWith(okResponse, true))
+	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
@@ -221,6 +224,6 @@
 			}
 		}()
 	}
-	waitUntil(t, func() bool { return p.frontend.openConns() == 2 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 2 })
 	p.stop()
 }
--- a/internal/proxy/zoneoverrides_test.go
+++ b/internal/proxy/zoneoverrides_test.go
@@ -11,6 +11,7 @@
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/management"
 	"merlinpick/internal/override"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // stands is how a proxy shows a zone.
@@ -27,11 +28,11 @@
 
 // A zone that is drained gets nothing at any process of a proxy, whatever lists say, and comes back by steps.
 func TestDrainedZoneGetsNothingUntilRestored(t *testing.T) {
-	a, b := startBackend(t, respondWith(okResponse, true)), startBackend(t, respondWith(okResponse, true))
+	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	in := func(zone, text string) string {
 		return strings.Replace(text, `"zone":"a"`, fmt.Sprintf(`"zone":%q`, zone), 1)
 	}
-	known := listJSON(1, true, endpointJSON("a/1", a.addr, discovery.StatusServing), in("b", endpointJSON("b/1", b.addr, discovery.StatusServing)))
+	known := listJSON(1, true, endpointJSON("a/1", a.Addr, discovery.StatusServing), in("b", endpointJSON("b/1", b.Addr, discovery.StatusServing)))
 	d := startDiscovery(t)
 	text := strings.Replace(siteText, `"failure_domains":["a"]`, `"failure_domains":["a","b"]`, 1)
 	first := startSite(t, text, d.addr, 200, known, t.TempDir())
@@ -47,15 +48,15 @@
 		}
 	}
 	asks(first, 50)
-	if z := zoneStatus(t, first, "a"); a.requests.Load() == 0 || z.Phase != balancer.ZoneHealthy || z.WeightFraction != 1 || first.Metrics().Zones != nil {
-		t.Fatalf("before: %d at a, %+v, figures %+v", a.requests.Load(), z, first.Metrics().Zones)
+	if z := zoneStatus(t, first, "a"); a.Requests.Load() == 0 || z.Phase != balancer.ZoneHealthy || z.WeightFraction != 1 || first.Metrics().Zones != nil {
+		t.Fatalf("before: %d at a, %+v, figures %+v", a.Requests.Load(), z, first.Metrics().Zones)
 	}
 	for range 2 { // calls may be repeated
 		if err := first.DrainZone("a"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	before := a.requests.Load()
+	before := a.Requests.Load()
 	var last *override.LastZoneError
 	if err := first.DrainZone("b"); !errors.As(err, &last) {
 		t.Errorf("the last zone: %v", err)
@@ -65,9 +66,9 @@
 		t.Errorf("a stranger: %v", err)
 	}
 	second := startSite(t, text, d.addr, 200, known, first.config.StateDir)
-	more := []string{endpointJSON("a/2", a.addr, discovery.StatusServing), in("c", endpointJSON("c/1", b.addr, discovery.StatusServing))}
+	more := []string{endpointJSON("a/2", a.Addr, discovery.StatusServing), in("c", endpointJSON("c/1", b.Addr, discovery.StatusServing))}
 	for _, p := range []*running{first, second} {
-		waitUntil(t, func() bool { // either may take what is said
+		proxytest.WaitUntil(t, func() bool { // either may take what is said
 			select {
 			case d.responses <- listJSON(2, false, more...):
 			default:
@@ -79,35 +80,35 @@
 		}
 		asks(p, 50)
 	}
-	if n := a.requests.Load() - before; n > 0 {
+	if n := a.Requests.Load() - before; n > 0 {
 		t.Errorf("%d requests went to a zone that is drained", n)
 	}
 	if err := second.RestoreZone("a"); err != nil {
 		t.Fatal(err)
 	}
 	for _, p := range []*running{second, first} {
-		waitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneRecovering })
-		before = a.requests.Load()
-		waitUntil(t, func() bool { asks(p, 1); return a.requests.Load() > before })
+		proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneRecovering })
+		before = a.Requests.Load()
+		proxytest.WaitUntil(t, func() bool { asks(p, 1); return a.Requests.Load() > before })
 		if p.Metrics().Zones != nil {
 			t.Error("restored, it still shows figures of zones")
 		}
 	}
-	waitUntil(t, func() bool { return zoneStatus(t, first, "a").WeightFraction > 0.1 }) // without a fleet that moves it
+	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, first, "a").WeightFraction > 0.1 }) // without a fleet that moves it
 }
 
 // Drains by calls at two proxies leave a zone, the same one at each.
 func TestConcurrentZoneDrainsRetainOneZone(t *testing.T) {
-	a, b := startBackend(t, respondWith(okResponse, true)), startBackend(t, respondWith(okResponse, true))
-	known := listJSON(1, true, endpointJSON("a/1", a.addr, discovery.StatusServing),
-		strings.Replace(endpointJSON("b/1", b.addr, discovery.StatusServing), `"zone":"a"`, `"zone":"b"`, 1))
+	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	known := listJSON(1, true, endpointJSON("a/1", a.Addr, discovery.StatusServing),
+		strings.Replace(endpointJSON("b/1", b.Addr, discovery.StatusServing), `"zone":"a"`, `"zone":"b"`, 1))
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 200, known)
 	p.overrides.SetRemote(map[string]bool{override.ZoneKey("a"): true, override.ZoneKey("b"): true})
-	waitUntil(t, func() bool { return zoneStatus(t, p, "b").Phase == balancer.ZoneDrained })
+	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "b").Phase == balancer.ZoneDrained })
 	if z := zoneStatus(t, p, "a"); z.Phase != balancer.ZoneHealthy || z.Reason == "" {
 		t.Errorf("the first by name: %+v", z)
 	}
-	d.responses <- listJSON(2, false, strings.Replace(endpointJSON("c/1", b.addr, discovery.StatusServing), `"zone":"a"`, `"zone":"c"`, 1))
-	waitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneDrained }) // there is another now
+	d.responses <- listJSON(2, false, strings.Replace(endpointJSON("c/1", b.Addr, discovery.StatusServing), `"zone":"a"`, `"zone":"c"`, 1))
+	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneDrained }) // there is another now
 }
