--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -364,9 +364,9 @@
 
 	loads     []Report // what this copy told last of loads
 	loadAt    int64
-	middle    float64          // mean time under little load over the classes
-	measured  float64          // calls
-	tail      tailweights.Norm // of the times of this copy's answered calls in this round, as multiples of their class's
+	middle    float64              // mean time under little load over the classes
+	measured  float64              // calls
+	tail      tailweights.TailNorm // of the times of this copy's answered calls in this round, as multiples of their class's
 	tailCalls float64
 	tailWas   float64 // in the last round
 	tuneAt    int64   // when the next round is due
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -34,7 +34,7 @@
 	since        int64         // since then
 	load         loadStats
 	sum          fleetLoad // as of the last round of tuning
-	fit          tailweights.Fit
+	fit          tailweights.CurveFit
 	tune         float64 // logarithm of the factor that its weight is tuned by
 	tuneWas      float64 // before the last step
 	tuned        float64 // the factor
@@ -48,7 +48,7 @@
 	s.slowness, s.whole, s.classes = 1, health{score: 1}, make([]health, classes)
 	s.seen, s.okAt, s.told, s.verdict = callStats{}, 0, 1, serverReports{}
 	s.damped, s.refused, s.provenUntil, s.disprovenAt = false, false, 0, 0
-	s.load, s.sum, s.fit, s.tune, s.tuneWas, s.tuned = loadStats{}, fleetLoad{}, tailweights.Fit{}, 0, 0, 1
+	s.load, s.sum, s.fit, s.tune, s.tuneWas, s.tuned = loadStats{}, fleetLoad{}, tailweights.CurveFit{}, 0, 0, 1
 	for i := range s.classes {
 		s.classes[i].score = 1
 	}
--- a/balancer/weighttuning.go
+++ b/balancer/weighttuning.go
@@ -22,7 +22,7 @@
 	maxReplicaCallsRatio, maxLatencyDeviation = 2.0, 4.0 // a copy counts as so many median ones at most, its times within this factor
 )
 
-var curveLearning = tailweights.Learning{Use: 0.5, Spread: 0.3, Fade: 0.9, Miss: 1.6, Bend: 8, Floor: 0.2}
+var curveLearning = tailweights.CurveLearning{AssumedUtilization: 0.5, InformativeSpread: 0.3, Retention: 0.9, MaxMisfit: 1.6, MaxSlopeFactor: 8, MinLoadFraction: 0.2}
 
 // tune is one round, when it is due.
 func (b *Balancer) tune(now int64) {
@@ -33,7 +33,7 @@
 	b.tuneAt = now + tuningInterval + b.rnd.Int64N(tuningInterval/2)
 	was, is := b.tailWas, b.tail.Root()
 	worse := was > 0 && is > was*(1+worseTailDeviations/math.Sqrt(b.tailCalls))
-	b.tailWas, b.tail, b.tailCalls = is, tailweights.Norm{}, 0
+	b.tailWas, b.tail, b.tailCalls = is, tailweights.TailNorm{}, 0
 	b.step = min(max(1.25*b.step, maxTuningStep/4), maxTuningStep)
 	fresh := b.sumLoads(now) > 1 && !b.peers.Isolated && !b.s.DisableWeightTuning
 	if fresh && worse {
@@ -64,12 +64,12 @@
 
 // tuneGroup steps weights towards the loads of the least tail. One that fails counts as slower than it seems.
 func (b *Balancer) tuneGroup(group []*server) {
-	seen, mean := make([]tailweights.Seen, len(group)), 0.0
+	seen, mean := make([]tailweights.Observation, len(group)), 0.0
 	for i, s := range group {
 		time := s.sum.meanLatency / math.Pow(max(1-s.sum.failedFraction, minHealthScore), failureExponent)
-		seen[i] = tailweights.Seen{Load: s.sum.callsPerSecond, Time: time, Weight: s.sum.calls, Fit: &s.fit}
+		seen[i] = tailweights.Observation{CallsPerSecond: s.sum.callsPerSecond, MeanLatency: time, Weight: s.sum.calls, Curve: &s.fit}
 	}
-	ways := b.solver.Aim(curveLearning, seen)
+	ways := b.solver.Adjust(curveLearning, seen)
 	for i, s := range group {
 		ways[i] -= clamp(ways[i], loadChanceDeviations/math.Sqrt(s.sum.calls))
 		mean += ways[i] / float64(len(group))
