--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -269,7 +269,7 @@
 		}
 	}
 	for file, lines := range map[string][]string{
-		"internal/discovery/members.go":            {"pauseMost = 5 * time.Second"},
+		"internal/discovery/registry.go":           {"maxRegistryBackoff = 5 * time.Second"},
 		"internal/registry/raftnode/node.go":       {"leaseSweepInterval = 100 * time.Millisecond"},
 		"internal/registry/registrar/registrar.go": {"initialBackoff = 50 * time.Millisecond", "maxBackoff = 400 * time.Millisecond", "renewalsPerLease = 3 "},
 	} {
