--- a/internal/faultlab/model/fleet.go
+++ b/internal/faultlab/model/fleet.go
@@ -4,6 +4,7 @@
 	"strconv"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/cluster/adapter"
 	"merlinpick/internal/cluster/state"
 )
 
@@ -72,7 +73,7 @@
 		f.deaf = now + stallDeaf
 	}
 	f.ticked = now
-	items := p.items(p.b.Reports(now))
+	items := adapter.ToObservations(p.b.Reports(now), w.zoneNumbers)
 	if w.cfg.Chatter > 0 {
 		items = append(items, p.chatter()...)
 	}
@@ -98,8 +99,8 @@
 			known[i].ObservedAt -= known[i].TTL
 		}
 		w.check.used(p, now, &known[i])
-		if n, ok := p.notice(&known[i]); ok {
-			h.Reports = append(h.Reports, n)
+		if r, ok := p.report(&known[i]); ok {
+			h.Reports = append(h.Reports, r)
 		}
 	}
 	return h
@@ -114,48 +115,26 @@
 
 func zoneName(z int) string { return "z" + strconv.Itoa(z) }
 
-// zone is the number of a zone's name, -1 for none.
-func (w *world) zone(name string) int {
-	if len(name) < 2 || name[0] != 'z' {
-		return -1
+// zoneNumbers maps the names of zones to their numbers.
+func zoneNumbers(zones int) map[string]int {
+	numbers := make(map[string]int, zones)
+	for zone := range zones {
+		numbers[zoneName(zone)] = zone
 	}
-	n, err := strconv.Atoi(name[1:])
-	if err != nil || n < 0 || n >= w.cfg.Zones {
-		return -1
-	}
-	return n
-}
-
-func ofZone(k balancer.ReportKind) bool {
-	return k == balancer.ReportZoneUnhealthy || k == balancer.ReportZoneHealthy
+	return numbers
 }
 
-// items are a Balancer's notices in the view's terms.
-func (p *proxy) items(notices []balancer.Report) []state.Observation {
-	out := make([]state.Observation, 0, len(notices))
-	for _, n := range notices {
-		i := state.Observation{Kind: state.Kind(n.Kind) + state.ServerUnhealthy, Subject: n.Server, SubjectStartMs: n.StartTime / ms,
-			Body: state.Body{Fault: uint8(n.Fault), Calls: n.Calls, BadFraction: n.BadFraction, Value: n.Value}}
-		if ofZone(n.Kind) {
-			i.Subject = zoneName(n.SubjectZone)
-		}
-		out = append(out, i)
+// report converts an entry to the balancer's terms; false if it is about or from a zone that does not exist.
+func (p *proxy) report(e *state.Entry) (balancer.Report, bool) {
+	kind, known := adapter.ReportKind(e.Kind)
+	if !known {
+		return balancer.Report{}, false
 	}
-	return out
-}
-
-// notice is an entry in the Balancer's terms.
-func (p *proxy) notice(e *state.Entry) (balancer.Report, bool) {
-	n := balancer.Report{Kind: balancer.ReportKind(e.Kind - state.ServerUnhealthy), Fault: balancer.Fault(e.Body.Fault), Observer: e.Observer,
-		ObserverZone: p.w.zone(e.ObserverZone), Server: e.Subject, StartTime: e.SubjectStartMs * ms, Calls: e.Body.Calls, BadFraction: e.Body.BadFraction,
-		Value: e.Body.Value, LastObserved: e.ObservedAt}
-	if ofZone(n.Kind) {
-		n.Server, n.SubjectZone = "", p.w.zone(e.Subject)
-	}
-	if n.Kind == balancer.ReportServerUnhealthy && p.w.cfg.seeded == seedFormer {
-		n.StartTime = p.told[p.w.nodoNamed(n.Server).id].StartTime
-	}
-	return n, n.ObserverZone >= 0 && n.SubjectZone >= 0
+	r, ok := adapter.ToReport(kind, e, p.w.zoneNumbers)
+	if kind == balancer.ReportServerUnhealthy && p.w.cfg.seeded == seedFormer {
+		r.StartTime = p.told[p.w.nodoNamed(r.Server).id].StartTime
+	}
+	return r, ok
 }
 
 // lie has a proxy say that all nodos of a zone are bad, or end that.
@@ -178,7 +157,7 @@
 // falsehoods are what a liar says. Say takes the first of two items on one subject.
 func (p *proxy) falsehoods() (out []state.Observation) {
 	for _, z := range p.fleet.lies {
-		body := state.Body{Fault: uint8(balancer.FaultUnresponsive), Calls: 1000, BadFraction: 1}
+		body := state.Body{Fault: adapter.WireFault(balancer.FaultUnresponsive), Calls: 1000, BadFraction: 1}
 		out = append(out, state.Observation{Kind: state.ZoneUnhealthy, Subject: zoneName(z), Body: body})
 		for _, n := range p.w.nodos {
 			if n.zone == z {
--- a/internal/faultlab/model/world.go
+++ b/internal/faultlab/model/world.go
@@ -97,6 +97,8 @@
 	check   checker
 	res     Result
 	touched *nodo // by this event
+
+	zoneNumbers map[string]int // by name
 }
 
 // source is a source of chance for one concern, so that one more fault does not change the arrivals.
@@ -132,7 +134,7 @@
 	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	w := &world{cfg: &c, log: fnv.New64a()}
+	w := &world{cfg: &c, log: fnv.New64a(), zoneNumbers: zoneNumbers(c.Zones)}
 	w.net = newNetwork(&c)
 	w.res.begin(&c)
 	chance := source(c.Seed, chanceNodos)
