--- a/internal/faultlab/byzantine/byzantine.go
+++ b/internal/faultlab/byzantine/byzantine.go
@@ -1,5 +1,6 @@
-// Package byzantine is a member of the proxies' gossip that says what is not so: that nodos and zones are bad which are sound.
-// It joins by the program's own link, so that what it says is well formed and only wrong.
+// Package byzantine is a cluster member that publishes false reports: that healthy servers and zones are unhealthy. It
+// joins by the program's own transport, so its messages are well formed and only their content is wrong. It never runs in
+// service.
 package byzantine
 
 import (
@@ -9,81 +10,87 @@
 	"sync"
 	"time"
 
+	"merlinpick/balancer"
+	"merlinpick/internal/cluster/adapter"
 	"merlinpick/internal/cluster/state"
 	"merlinpick/internal/cluster/transport"
 )
 
 const (
-	sayEvery = 500 * time.Millisecond // well under the shortest life of what is said
-	evidence = 1000                   // calls that it pretends to have made to each
+	publishInterval = 500 * time.Millisecond // well under the shortest TTL of the reports
+	claimedCalls    = 1000                   // evidence of each report
 )
 
-// Config is what a liar is told.
+// Config configures a Member.
 type Config struct {
 	Name, Zone, Tier string
 	Bind, Advertise  string // IP and port
-	Label            string
+	Label            string // of the cluster
 	Seeds            []string
-	Log              *slog.Logger
+	Logger           *slog.Logger
 }
 
-// Victim is a nodo that a liar speaks ill of.
-type Victim struct {
-	Name     string
-	Launched int64 // ms; as the list has it, or nobody takes it for that nodo
+// Target is a server that is reported as unhealthy.
+type Target struct {
+	Name        string
+	StartedAtMs int64 // as in the endpoint list, else the report does not count for that server
 }
 
-// Liar is a lying member.
-type Liar struct {
-	link *transport.Node
+// Member is a member that publishes false reports.
+type Member struct {
+	node *transport.Node
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-// Join has a liar join, and say of all victims and of all zones but its own that they fail, until Leave.
-func Join(cfg Config, victims func() []Victim, zones []string) (*Liar, error) {
-	begun := time.Now()
-	l, err := transport.Open(transport.Config{Name: cfg.Name, Zone: cfg.Zone, Tier: cfg.Tier, Bind: cfg.Bind, Advertise: cfg.Advertise,
-		Label: cfg.Label, Seeds: cfg.Seeds, StartedAtMs: begun.UnixMilli(), Now: func() int64 { return time.Since(begun).Microseconds() },
-		Logger: cfg.Log})
+// Join joins a cluster and reports, until Leave, that all targets and all zones but its own fail. The error wraps one of
+// transport.Open.
+func Join(cfg Config, targets func() []Target, zones []string) (*Member, error) {
+	started := time.Now()
+	node, err := transport.Open(transport.Config{
+		Name: cfg.Name, Zone: cfg.Zone, Tier: cfg.Tier, Bind: cfg.Bind, Advertise: cfg.Advertise, Label: cfg.Label,
+		Seeds: cfg.Seeds, StartedAtMs: started.UnixMilli(), Logger: cfg.Logger,
+		Now: func() int64 { return time.Since(started).Microseconds() },
+	})
 	if err != nil {
-		return nil, fmt.Errorf("liar %s: %w", cfg.Name, err)
+		return nil, fmt.Errorf("byzantine member %s: %w", cfg.Name, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	out := &Liar{link: l, stop: stop}
-	out.done.Go(func() { l.Run(ctx) })
-	out.done.Go(func() {
-		for again := time.NewTicker(sayEvery); ; {
-			l.Publish(Lies(cfg.Zone, victims(), zones))
+	m := &Member{node: node, stop: stop}
+	m.done.Go(func() { node.Run(ctx) })
+	m.done.Go(func() {
+		ticker := time.NewTicker(publishInterval)
+		defer ticker.Stop()
+		for {
+			node.Publish(FalseReports(cfg.Zone, targets(), zones))
 			select {
-			case <-again.C:
+			case <-ticker.C:
 			case <-ctx.Done():
-				again.Stop()
 				return
 			}
 		}
 	})
-	return out, nil
+	return m, nil
 }
 
-// Leave has it go. What it said ends as it would have.
-func (l *Liar) Leave() {
-	l.stop()
-	l.done.Wait()
+// Leave leaves the cluster. What was published expires by its TTL.
+func (m *Member) Leave() {
+	m.stop()
+	m.done.Wait()
 }
 
-// Lies are what a liar in a zone says, with all the evidence that one could have.
-func Lies(zone string, victims []Victim, zones []string) (out []state.Observation) {
-	body := state.Body{Fault: failing, Calls: evidence, BadFraction: 1}
-	for _, v := range victims {
-		out = append(out, state.Observation{Kind: state.ServerUnhealthy, Subject: v.Name, SubjectStartMs: v.Launched, Body: body})
+// FalseReports returns the reports of a byzantine member in a zone, with the most evidence that a report can have.
+func FalseReports(zone string, targets []Target, zones []string) []state.Observation {
+	body := state.Body{Fault: adapter.WireFault(balancer.FaultErrors), Calls: claimedCalls, BadFraction: 1}
+	var reports []state.Observation
+	for _, target := range targets {
+		reports = append(reports, state.Observation{Kind: state.ServerUnhealthy, Subject: target.Name,
+			SubjectStartMs: target.StartedAtMs, Body: body})
 	}
-	for _, z := range zones {
-		if z != zone {
-			out = append(out, state.Observation{Kind: state.ZoneUnhealthy, Subject: z, Body: body})
+	for _, other := range zones {
+		if other != zone {
+			reports = append(reports, state.Observation{Kind: state.ZoneUnhealthy, Subject: other, Body: body})
 		}
 	}
-	return out
+	return reports
 }
-
-const failing = 1 // as logic counts causes
--- a/internal/faultlab/byzantine/byzantine_test.go
+++ b/internal/faultlab/byzantine/byzantine_test.go
@@ -14,9 +14,9 @@
 	"merlinpick/internal/cluster/transport"
 )
 
-// nothingLeft checks that no goroutine outlives the test. A probe of memberlist ends by itself a probe interval after the member
-// that made it, which is longer than goleak looks.
-func nothingLeft(t *testing.T) {
+// nothingLeft checks that no goroutine outlives the test. A probe of memberlist ends a probe interval after its member, which is
+// longer than goleak waits.
+func checkNoGoroutinesLeft(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; {
 		err := goleak.Find()
@@ -30,9 +30,9 @@
 	}
 }
 
-// An honest member hears a liar's every lie, well formed, until it has left for as long as what it said lives.
+// An honest member receives each false report, until the byzantine member has left and its reports have expired.
 func TestHonestMemberReceivesFalseReports(t *testing.T) {
-	defer nothingLeft(t)
+	defer checkNoGoroutinesLeft(t)
 	log, begun := slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now()
 	honest, err := transport.Open(transport.Config{Name: "honest", Zone: "a", Bind: "127.0.0.1:0", Label: "t", Logger: log,
 		StartedAtMs: begun.UnixMilli(), Now: func() int64 { return time.Since(begun).Microseconds() }})
@@ -43,8 +43,8 @@
 	ended := make(chan struct{})
 	go func() { honest.Run(ctx); close(ended) }()
 	defer func() { stop(); <-ended }()
-	l, err := Join(Config{Name: "liar", Zone: "b", Bind: "127.0.0.1:0", Label: "t", Seeds: []string{honest.Addr()}, Log: log},
-		func() []Victim { return []Victim{{"a-s1", 7}, {"b-s1", 0}} }, []string{"a", "b", "c"})
+	l, err := Join(Config{Name: "liar", Zone: "b", Bind: "127.0.0.1:0", Label: "t", Seeds: []string{honest.Addr()}, Logger: log},
+		func() []Target { return []Target{{"a-s1", 7}, {"b-s1", 0}} }, []string{"a", "b", "c"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,8 +59,8 @@
 				got = nil
 				for _, e := range s.PeerEntries {
 					got = append(got, state.Observation{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs})
-					if e.Body.Fault != failing || e.Body.BadFraction != 1 || e.Observer != "liar" || e.ObserverZone != "b" {
-						t.Fatalf("heard %+v", e)
+					if e.Body.Fault != 1 || e.Body.BadFraction != 1 || e.Observer != "liar" || e.ObserverZone != "b" {
+						t.Fatalf("received %+v", e)
 					}
 				}
 				slices.SortFunc(got, func(a, b state.Observation) int { return slices.Compare([]byte(a.Subject), []byte(b.Subject)) })
@@ -68,7 +68,7 @@
 					return
 				}
 			case <-late:
-				t.Fatalf("heard %+v, want %+v", got, want)
+				t.Fatalf("received %+v, want %+v", got, want)
 			}
 		}
 	}
--- a/internal/faultlab/run/lies.go
+++ b/internal/faultlab/run/lies.go
@@ -19,11 +19,11 @@
 		return nil
 	}
 	zones := t.exp.ZoneNames()
-	victims := func() (out []byzantine.Victim) {
+	victims := func() (out []byzantine.Target) {
 		for _, turn := range s.Turns {
 			srv := t.server(turn.Target)
 			srv.mu.Lock()
-			out = append(out, byzantine.Victim{Name: srv.entry.Name, Launched: srv.entry.Since})
+			out = append(out, byzantine.Target{Name: srv.entry.Name, StartedAtMs: srv.entry.Since})
 			srv.mu.Unlock()
 		}
 		return out
@@ -45,7 +45,7 @@
 }
 
 // join has one liar join, behind a relay of its own.
-func (t *timeline) join(node experiment.Node, victims func() []byzantine.Victim) (*byzantine.Liar, error) {
+func (t *timeline) join(node experiment.Node, victims func() []byzantine.Target) (*byzantine.Member, error) {
 	t.mu.Lock()
 	n := firstByzantine + t.liars
 	t.liars++
@@ -59,5 +59,5 @@
 		return nil, err
 	}
 	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage), Bind: bind, Advertise: r.Addr(),
-		Label: t.exp.Cluster.Label, Seeds: t.seeds(node), Log: t.log}, victims, t.exp.ZoneNames())
+		Label: t.exp.Cluster.Label, Seeds: t.seeds(node), Logger: t.log}, victims, t.exp.ZoneNames())
 }
