--- a/internal/faultlab/model/client.go
+++ b/internal/faultlab/model/client.go
@@ -12,35 +12,35 @@
 
 // The front that leads clients to proxies takes notice of one that has ended or stopped after this long, and leads
 // them to another, of the same zone where there is one.
-const frontNotice = 2 * sec
+const frontDetection = 2 * sec
 
 // clients send requests on an open loop: what the fleet does changes nothing about when they come.
 type clients struct {
-	rnd    *rand.Rand
-	sums   []float64 // of the proxies' parts, running
-	shares []float64 // of the classes', running
-	n      int
+	random      *rand.Rand
+	proxyShares []float64 // of the proxies' parts, running
+	classShares []float64 // of the classes', running
+	arrivals    int
 }
 
-func (c *clients) begin(w *world) {
-	c.rnd = source(w.cfg.Seed, chanceClients)
+func (c *clients) begin(sim *simulation) {
+	c.random = source(sim.cfg.Seed, chanceClients)
 	sum := 0.0
-	for range w.proxies {
-		sum += math.Exp(w.cfg.Skew * c.rnd.NormFloat64())
-		c.sums = append(c.sums, sum)
+	for range sim.proxies {
+		sum += math.Exp(sim.cfg.Skew * c.random.NormFloat64())
+		c.proxyShares = append(c.proxyShares, sum)
 	}
 	sum = 0
-	for _, k := range w.cfg.Classes {
+	for _, k := range sim.cfg.Classes {
 		sum += k.Share
-		c.shares = append(c.shares, sum)
+		c.classShares = append(c.classShares, sum)
 	}
-	c.next(w)
+	c.next(sim)
 }
 
-func (c *clients) next(w *world) {
-	w.after(int64(c.rnd.ExpFloat64()/w.cfg.Rate*float64(sec)), evArrival, c.n, func() {
-		c.arrive(w)
-		c.next(w)
+func (c *clients) next(sim *simulation) {
+	sim.after(int64(c.random.ExpFloat64()/sim.cfg.Rate*float64(sec)), evArrival, c.arrivals, func() {
+		c.arrive(sim)
+		c.next(sim)
 	})
 }
 
@@ -50,48 +50,48 @@
 }
 
 // arrive draws all of a request before it looks at any proxy, so that the arrivals are the same whatever happens.
-func (c *clients) arrive(w *world) {
-	c.n++
-	at, class, part := draw(c.rnd, c.sums), draw(c.rnd, c.shares), c.rnd.Float64()
-	k := &w.cfg.Classes[class]
-	q := &request{id: strconv.Itoa(c.n), class: class, came: w.now, giveUp: w.now + k.Deadline,
+func (c *clients) arrive(sim *simulation) {
+	c.arrivals++
+	at, class, part := draw(c.random, c.proxyShares), draw(c.random, c.classShares), c.random.Float64()
+	k := &sim.cfg.Classes[class]
+	req := &request{id: strconv.Itoa(c.arrivals), class: class, arrivedAt: sim.now, deadline: sim.now + k.Deadline,
 		work: k.WorkMin + int64(part*float64(k.WorkMax-k.WorkMin))}
-	w.res.take(w.now, k.PriorityWeight)
-	p := c.front(w, w.proxies[at])
+	sim.result.take(sim.now, k.PriorityWeight)
+	p := c.front(sim, sim.proxies[at])
 	if p == nil || !p.up {
-		w.res.count(w, q, unreached)
+		sim.result.count(sim, req, endUnreached)
 		return
 	}
-	life := p.life
-	q.excused = p.stopped
+	life := p.incarnation
+	req.excused = p.stopped
 	p.deliver(life, func() {
-		if !q.closed {
-			p.take(q)
+		if !req.closed {
+			p.handle(req)
 		}
 	})
-	w.after(k.Deadline+slack, evGiveUp, p.id, func() {
-		if q.closed {
+	sim.after(k.Deadline+clientTimeoutSlack, evGiveUp, p.id, func() {
+		if req.closed {
 			return
 		}
 		if p.stopped { // nobody is there to be told: the client goes all the same
-			q.closed = true
-			w.res.count(w, q, unanswered)
+			req.closed = true
+			sim.result.count(sim, req, endUnanswered)
 			return
 		}
-		p.deliver(life, func() { p.withdraw(q) })
+		p.deliver(life, func() { p.cancel(req) })
 	})
 }
 
 // front is the proxy that a client of one gets to.
-func (c *clients) front(w *world, p *proxy) *proxy {
-	if p.seemsUp() {
+func (c *clients) front(sim *simulation, p *proxy) *proxy {
+	if p.isUpForFront() {
 		return p
 	}
 	for _, near := range []bool{true, false} {
-		for i := 1; i < len(w.proxies); i++ {
+		for i := 1; i < len(sim.proxies); i++ {
 			// Clients of one proxy spread over the others: the step is the request's own.
-			o := w.proxies[(p.id+1+(c.n+i)%(len(w.proxies)-1))%len(w.proxies)]
-			if (o.zone == p.zone) == near && o.seemsUp() && o.up {
+			o := sim.proxies[(p.id+1+(c.arrivals+i)%(len(sim.proxies)-1))%len(sim.proxies)]
+			if (o.zone == p.zone) == near && o.isUpForFront() && o.up {
 				return o
 			}
 		}
@@ -100,8 +100,8 @@
 }
 
 // seemsUp is what the front believes of a proxy.
-func (p *proxy) seemsUp() bool { return p.up && !p.stopped || p.w.now-p.downAt < frontNotice }
+func (p *proxy) isUpForFront() bool { return p.up && !p.stopped || p.sim.now-p.downAt < frontDetection }
 
 func sortedRequests(m map[string]*request) []*request {
-	return slices.SortedFunc(maps.Values(m), func(a, b *request) int { return cmp.Or(cmp.Compare(a.came, b.came), cmp.Compare(a.id, b.id)) })
+	return slices.SortedFunc(maps.Values(m), func(a, b *request) int { return cmp.Or(cmp.Compare(a.arrivedAt, b.arrivedAt), cmp.Compare(a.id, b.id)) })
 }
--- a/internal/faultlab/model/config.go
+++ b/internal/faultlab/model/config.go
@@ -29,46 +29,46 @@
 
 // Config is all that a run depends on.
 type Config struct {
-	Seed    uint64
-	Span    int64 // the run's length
-	Zones   int
-	Regions int // 1 or 2: the zones' first half is in one, the rest in the other
-	Proxies int // over all zones, spread evenly
-	Nodos   int
+	Seed     uint64
+	Duration int64 // the run's length
+	Zones    int
+	Regions  int // 1 or 2: the zones' first half is in one, the rest in the other
+	Proxies  int // over all zones, spread evenly
+	Servers  int
 
 	Rate    float64 // requests a second over all proxies, Poisson
 	Skew    float64 // standard deviation of the logarithm of a proxy's part of them
 	Classes []Class
 
-	Slots         int
-	Queue         int
-	Speed         float64 // of a slot
-	StartCapacity float64 // as logic.Settings
-	Cold          int64
-	TipMultiple   float64 // of its present capacity: a cold nodo that is sent more for Fall falls over
-	Fall          int64
+	Slots                int
+	Queue                int
+	Speed                float64 // of a slot
+	SlowStartMinCapacity float64 // as logic.Settings
+	SlowStartDuration    int64
+	OverloadMultiple     float64 // of its present capacity: a cold nodo that is sent more for Fall falls over
+	OverloadWindow       int64
 
-	ListCome int64 // until a proxy hears of a nodo that has started
-	ListGone int64 // of one that has ended: its lease has to run out
-	Dial     int64 // until a connection that nobody answers is given up
+	ListAddDelay    int64 // until a proxy hears of a nodo that has started
+	ListRemoveDelay int64 // of one that has ended: its lease has to run out
+	DialTimeout     int64 // until a connection that nobody answers is given up
 
-	ClockOff   int64   // a proxy's clock is off by up to this, either way
-	ClockDrift float64 // and runs fast or slow by up to this part
+	MaxClockOffset int64   // a proxy's clock is off by up to this, either way
+	MaxClockDrift  float64 // and runs fast or slow by up to this part
 
-	Peers   bool    // proxies tell each other what they see
-	Encoded bool    // through the packets of view.Encode and view.Decode, instead of entry by entry
-	Loss    float64 // part of gossip packets that is lost all the time
-	Chatter int     // summaries that each proxy tells beside, anew all the time: what spreads is looked at, not why
+	Cluster          bool    // proxies tell each other what they see
+	Encoded          bool    // through the packets of view.Encode and view.Decode, instead of entry by entry
+	Loss             float64 // part of gossip packets that is lost all the time
+	ExtraLoadReports int     // summaries that each proxy tells beside, anew all the time: what spreads is looked at, not why
 
 	Faults []Fault
 
 	log    func(at int64, proxy, line string) // takes what proxies tell on-call staff; may be nil
-	seeded seeded                             // a fault in the fleet's own rules, which the checks must find; tests only
+	seeded seededFault                        // a fault in the fleet's own rules, which the checks must find; tests only
 }
 
 // Default is a fleet of a moderate size under two thirds of what it can take: classes as in the lab's calm.toml.
 func Default() Config {
-	return Config{Seed: 1, Span: 20 * sec, Zones: 3, Regions: 1, Proxies: 12, Nodos: 18, Rate: 400, Skew: 0.5,
+	return Config{Seed: 1, Duration: 20 * sec, Zones: 3, Regions: 1, Proxies: 12, Servers: 18, Rate: 400, Skew: 0.5,
 		Classes: []Class{
 			{balancer.Class{Name: "once", LatencyObjective: 600 * ms, Deadline: 1600 * ms, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
 				0.6, 40 * ms, 80 * ms},
@@ -76,8 +76,8 @@
 				DedupScope: balancer.DedupScopeZone, DedupWindow: 3 * sec}, 0.25, 50 * ms, 90 * ms},
 			{balancer.Class{Name: "safe", LatencyObjective: 400 * ms, Deadline: 1200 * ms, PriorityWeight: 1}, 0.15, 10 * ms, 30 * ms},
 		},
-		Slots: 2, Queue: 12, Speed: 1, StartCapacity: 0.2, Cold: 10 * sec, TipMultiple: 3, Fall: 2 * sec,
-		ListCome: 200 * ms, ListGone: 3 * sec, Dial: 300 * ms, ClockOff: 100 * ms, ClockDrift: 0.01, Peers: true}
+		Slots: 2, Queue: 12, Speed: 1, SlowStartMinCapacity: 0.2, SlowStartDuration: 10 * sec, OverloadMultiple: 3, OverloadWindow: 2 * sec,
+		ListAddDelay: 200 * ms, ListRemoveDelay: 3 * sec, DialTimeout: 300 * ms, MaxClockOffset: 100 * ms, MaxClockDrift: 0.01, Cluster: true}
 }
 
 // Capacity is what the nodos can take when warm, in requests a second.
@@ -87,7 +87,7 @@
 		work += k.Share * float64(k.WorkMin+k.WorkMax) / 2
 		share += k.Share
 	}
-	return float64(c.Nodos*c.Slots) * c.Speed * float64(sec) / (work / share)
+	return float64(c.Servers*c.Slots) * c.Speed * float64(sec) / (work / share)
 }
 
 func (c *Config) validate() error {
@@ -95,17 +95,17 @@
 		bad   bool
 		field string
 	}{
-		{c.Span <= 0, "Span"}, {c.Zones < 1, "Zones"}, {c.Regions < 1 || c.Regions > 2, "Regions"},
-		{c.Proxies < c.Zones, "Proxies"}, {c.Nodos < c.Zones, "Nodos"}, {c.Rate <= 0, "Rate"},
+		{c.Duration <= 0, "Span"}, {c.Zones < 1, "Zones"}, {c.Regions < 1 || c.Regions > 2, "Regions"},
+		{c.Proxies < c.Zones, "Proxies"}, {c.Servers < c.Zones, "Nodos"}, {c.Rate <= 0, "Rate"},
 		{len(c.Classes) == 0, "Classes"}, {c.Slots < 1, "Slots"}, {c.Speed <= 0, "Speed"},
-		{c.ClockDrift < 0 || c.ClockDrift > 0.1, "ClockDrift"}, {c.Loss < 0 || c.Loss > 1, "Loss"},
+		{c.MaxClockDrift < 0 || c.MaxClockDrift > 0.1, "ClockDrift"}, {c.Loss < 0 || c.Loss > 1, "Loss"},
 	} {
 		if x.bad {
 			return &ConfigError{Field: x.field}
 		}
 	}
 	for i := range c.Faults {
-		if f := &c.Faults[i]; !f.fits(c) {
+		if f := &c.Faults[i]; !f.valid(c) {
 			return &ConfigError{Field: fmt.Sprintf("Faults[%d] (%s)", i, f.Kind)}
 		}
 	}
@@ -120,8 +120,8 @@
 // settings is what a proxy is told.
 func (c *Config) settings(ordinal, zone int) balancer.Settings {
 	s := balancer.Settings{Replicas: c.Proxies, ReplicaIndex: ordinal, Zone: zone, ZoneCount: c.Zones, MaxAttempts: 3,
-		DrainGrace: 500 * ms, SlowStartMinCapacity: c.StartCapacity, SlowStartDuration: c.Cold,
-		OverloadMultiple: c.TipMultiple, OverloadWindow: c.Fall}
+		DrainGrace: 500 * ms, SlowStartMinCapacity: c.SlowStartMinCapacity, SlowStartDuration: c.SlowStartDuration,
+		OverloadMultiple: c.OverloadMultiple, OverloadWindow: c.OverloadWindow}
 	for _, k := range c.Classes {
 		s.Classes = append(s.Classes, k.Class)
 	}
--- a/internal/faultlab/model/digest_test.go
+++ b/internal/faultlab/model/digest_test.go
@@ -11,10 +11,10 @@
 
 // digest is all that a run came to, in a line.
 func digest(r *Result) string {
-	of := func(a ages) string { return fmt.Sprint(a.N(), " ", a.At(0.5), " ", a.At(0.99), " ", a.At(1)) }
+	of := func(a durations) string { return fmt.Sprint(a.N(), " ", a.At(0.5), " ", a.At(0.99), " ", a.At(1)) }
 	return fmt.Sprintf("%016x %d events, %d packets, %d bytes, %d broken, worth %.6f of %.6f, %d sends | %s | %s | %s | %s",
-		r.Sum, r.Events, r.Packets, r.Bytes, r.Broken, r.Worth, r.Offered, r.Sends, of(r.Ages), of(r.Spread), of(r.Loads),
-		of(r.LoadsBy))
+		r.Hash, r.Events, r.Packets, r.Bytes, r.ViolationCount, r.ServedWeight, r.OfferedWeight, r.Sends, of(r.HealthAges), of(r.HealthPropagation), of(r.LoadAges),
+		of(r.LoadPropagation))
 }
 
 // TestDigests prints the lines that a change which is to be speed alone must leave as they are: print them before and
--- a/internal/faultlab/model/members_test.go
+++ b/internal/faultlab/model/gossip_run_test.go
@@ -25,7 +25,7 @@
 
 // called is how many nodos of its own zone, a third of twice as many as members, one calls within the 5 s that a summary
 // lives, at 20 calls a second: what a run with Balancers tells, which send home first.
-func called(members int) int {
+func serversCalled(members int) int {
 	nodos := 2 * float64(members) / 3
 	return int(math.Round(nodos * (1 - math.Exp(-100/nodos))))
 }
@@ -52,47 +52,47 @@
 		for _, tells := range strings.Split(*memberTells, ",") {
 			for _, loss := range parts(t, *memberLoss) {
 				n := int(size)
-				c := Members{Seed: *memberSeed, Span: int64(*memberSpan) * sec, Count: n, Zones: 3, Loss: loss, Summaries: called(n)}
+				c := GossipConfig{Seed: *memberSeed, Duration: int64(*memberSpan) * sec, Size: n, Zones: 3, Loss: loss, LoadReports: serversCalled(n)}
 				if tells != "all" {
-					c.Summaries = int(parts(t, tells)[0])
+					c.LoadReports = int(parts(t, tells)[0])
 				}
 				begun := time.Now()
-				r := PlayMembers(c)
+				r := PlayGossip(c)
 				fmt.Fprintln(os.Stdout, c.line(r), fmt.Sprintf("| %.0f s", time.Since(begun).Seconds()))
 			}
 		}
 	}
 }
 
-func (c *Members) line(r *MembersResult) string {
-	of := func(a ages) string {
+func (c *GossipConfig) line(r *GossipResult) string {
+	of := func(a durations) string {
 		if a.N() == 0 {
 			return "-"
 		}
 		return fmt.Sprintf("%.2f %.2f %.2f", seconds(a.At(0.5)), seconds(a.At(0.99)), seconds(a.At(1)))
 	}
-	each := func(bytes int64) float64 { return float64(bytes) / 1000 / float64(c.Count) / seconds(c.Span) }
+	each := func(bytes int64) float64 { return float64(bytes) / 1000 / float64(c.Size) / seconds(c.Duration) }
 	var kinds []string
 	all := int64(0)
-	for _, n := range r.Sizes {
+	for _, n := range r.EntryBytes {
 		all += n
 	}
 	for k, n := range r.Entries {
 		if n > 0 {
-			kinds = append(kinds, fmt.Sprintf("%s %.0f %% (%d B)", state.Kind(k), 100*float64(r.Sizes[k])/float64(all), r.Sizes[k]/n))
+			kinds = append(kinds, fmt.Sprintf("%s %.0f %% (%d B)", state.Kind(k), 100*float64(r.EntryBytes[k])/float64(all), r.EntryBytes[k]/n))
 		}
 	}
 	return fmt.Sprintf("%d members, %d summaries, %.0f %% lost | verdicts %s | summaries %s | %.1f KB/s datagrams, %.1f exchanges | "+
-		"knows %d entries of %d members | over %d, dropped %d | %s", c.Count, c.Summaries, 100*c.Loss, of(r.Verdicts), of(r.Loads),
-		each(r.Bytes), each(r.Exchanged), r.Known.At(0.5), r.Heard.At(0.5), r.Over, r.Dropped, strings.Join(kinds, ", "))
+		"knows %d entries of %d members | over %d, dropped %d | %s", c.Size, c.LoadReports, 100*c.Loss, of(r.HealthAges), of(r.LoadAges),
+		each(r.Bytes), each(r.ExchangeBytes), r.EntriesHeld.At(0.5), r.MembersKnown.At(0.5), r.DroppedAtLimit, r.Dropped, strings.Join(kinds, ", "))
 }
 
 // The same members give the same, however many cores play them, and another seed another.
 func TestMembersRepeat(t *testing.T) {
 	line := func(seed uint64, cores int) string {
-		c := Members{Seed: seed, Span: 8 * sec, Count: 20, Zones: 3, Loss: 0.3, Summaries: 5}
+		c := GossipConfig{Seed: seed, Duration: 8 * sec, Size: 20, Zones: 3, Loss: 0.3, LoadReports: 5}
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-		return c.line(PlayMembers(c))
+		return c.line(PlayGossip(c))
 	}
 	one := line(1, 1)
 	for _, cores := range []int{2, 8} {
@@ -107,7 +107,7 @@
 
 func TestExchangesAreRarerInLargeFleets(t *testing.T) {
 	for n, each := range map[int]int64{2: 5, 32: 5, 33: 10, 64: 10, 100: 15, 300: 25, 1300: 35} {
-		if got := exchangeEach(n) / sec; got != each {
+		if got := exchangeInterval(n) / sec; got != each {
 			t.Errorf("%d members: %d s, want %d", n, got, each)
 		}
 	}
--- a/internal/faultlab/model/model_test.go
+++ b/internal/faultlab/model/model_test.go
@@ -31,7 +31,7 @@
 				t.Error(v)
 			}
 			if t.Failed() {
-				t.Logf("%d broken in all; faults: %v", r.Broken, c.Faults)
+				t.Logf("%d broken in all; faults: %v", r.ViolationCount, c.Faults)
 			}
 		})
 	}
@@ -55,10 +55,10 @@
 func TestSameSeedSameRun(t *testing.T) {
 	for seed := range uint64(4) {
 		one, two := mustRun(t, scheduled(seed)), mustRun(t, scheduled(seed))
-		if one.Sum != two.Sum || one.Events != two.Events {
+		if one.Hash != two.Hash || one.Events != two.Events {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
-		if other := mustRun(t, scheduled(seed+100)); other.Sum == one.Sum {
+		if other := mustRun(t, scheduled(seed+100)); other.Hash == one.Hash {
 			t.Errorf("seeds %d and %d give one run", seed, seed+100)
 		}
 	}
--- a/internal/faultlab/model/network.go
+++ b/internal/faultlab/model/network.go
@@ -12,20 +12,20 @@
 
 // network knows how long and whether anything gets from zone to zone.
 type network struct {
-	zones   int
-	regions int
-	rnd     *rand.Rand
-	data    []int // cuts in force, by from and to: of connections and requests
-	back    []int // the same, of answers
-	talk    []int // the same, of gossip
-	loss    float64
-	lag     int64 // further delay of gossip packets at most
+	zones        int
+	regions      int
+	random       *rand.Rand
+	cutRequests  []int // cuts in force, by from and to: of connections and requests
+	cutResponses []int // the same, of answers
+	cutGossip    []int // the same, of gossip
+	gossipLoss   float64
+	gossipDelay  int64 // further delay of gossip packets at most
 }
 
 func newNetwork(c *Config) network {
-	return network{zones: c.Zones, regions: c.Regions, rnd: source(c.Seed, chanceLinks), loss: c.Loss,
-		data: make([]int, c.Zones*c.Zones),
-		back: make([]int, c.Zones*c.Zones), talk: make([]int, c.Zones*c.Zones)}
+	return network{zones: c.Zones, regions: c.Regions, random: source(c.Seed, chanceLinks), gossipLoss: c.Loss,
+		cutRequests:  make([]int, c.Zones*c.Zones),
+		cutResponses: make([]int, c.Zones*c.Zones), cutGossip: make([]int, c.Zones*c.Zones)}
 }
 
 func (n *network) region(zone int) int { return zone * n.regions / n.zones }
@@ -38,15 +38,15 @@
 	} else if from != to {
 		d = delayRegion
 	}
-	return d + int64(n.rnd.Float64()*jitter*float64(d))
+	return d + int64(n.random.Float64()*jitter*float64(d))
 }
 
-func (n *network) open(from, to int) bool   { return n.data[from*n.zones+to] == 0 }
-func (n *network) heard(from, to int) bool  { return n.back[from*n.zones+to] == 0 }
-func (n *network) spoken(from, to int) bool { return n.talk[from*n.zones+to] == 0 }
+func (n *network) passesRequests(from, to int) bool  { return n.cutRequests[from*n.zones+to] == 0 }
+func (n *network) passesResponses(from, to int) bool { return n.cutResponses[from*n.zones+to] == 0 }
+func (n *network) passesGossip(from, to int) bool    { return n.cutGossip[from*n.zones+to] == 0 }
 
 // hear tells whether a gossip packet gets through now, and its delay.
-func (n *network) hear(from, to int, chance *rand.Rand) (delay int64, ok bool) {
+func (n *network) gossipDelivery(from, to int, chance *rand.Rand) (delay int64, ok bool) {
 	lost, late := chance.Float64(), chance.Float64()
-	return n.delay(from, to) + int64(late*float64(n.lag)), n.spoken(from, to) && lost >= n.loss
+	return n.delay(from, to) + int64(late*float64(n.gossipDelay)), n.passesGossip(from, to) && lost >= n.gossipLoss
 }
--- a/internal/faultlab/model/proxy.go
+++ b/internal/faultlab/model/proxy.go
@@ -11,160 +11,160 @@
 const epoch = int64(1_800_000_000) * sec
 
 const (
-	tickEvery = 100 * ms // the proxy's loop polls its Balancer so often
-	inboxMost = 128      // gossip packets that wait in a stopped proxy's socket; further ones are dropped
+	loopInterval   = 100 * ms // the proxy's loop polls its Balancer so often
+	maxInboxGossip = 128      // gossip packets that wait in a stopped proxy's socket; further ones are dropped
 )
 
 // proxy is one process of the program: a Balancer, its host, and a clock of its own.
 type proxy struct {
-	w       *world
-	id      int
-	name    string
-	zone    int
-	clockBy int64   // its clock's lead at the run's beginning
-	pace    float64 // of its clock
-	up      bool
-	stopped bool // until it is continued
-	since   int64
-	downAt  int64 // when it last ended or was stopped
-	contAt  int64 // when it was last continued
-	life    int
-	b       *balancer.Balancer
-	reqs    map[string]*request
-	told    []balancer.Server // by nodo, as its list has it
-	inbox   []func()          // what came while it was stopped
-	waits   int               // of it, gossip packets
-	fleet   *fleet            // its part in the gossip; nil without peers
+	sim         *simulation
+	id          int
+	name        string
+	zone        int
+	clockOffset int64   // its clock's lead at the run's beginning
+	clockRate   float64 // of its clock
+	up          bool
+	stopped     bool // until it is continued
+	startedAt   int64
+	downAt      int64 // when it last ended or was stopped
+	resumedAt   int64 // when it was last continued
+	incarnation int
+	balancer    *balancer.Balancer
+	requests    map[string]*request
+	listed      []balancer.Server // by nodo, as its list has it
+	inbox       []func()          // what came while it was stopped
+	inboxGossip int               // of it, gossip packets
+	cluster     *clusterMember    // its part in the gossip; nil without peers
 }
 
 // request is one that a client has handed to a proxy.
 type request struct {
-	id      string
-	class   int
-	work    int64
-	came    int64
-	giveUp  int64
-	closed  bool
-	tries   []*attempt
-	excused bool // its proxy was stopped or ended meanwhile
+	id        string
+	class     int
+	work      int64
+	arrivedAt int64
+	deadline  int64
+	closed    bool
+	attempts  []*attempt
+	excused   bool // its proxy was stopped or ended meanwhile
 }
 
 // place is where an attempt is at its nodo.
-type place uint8
+type attemptPlace uint8
 
 const (
-	nowhere place = iota
-	queued
-	held
+	placeNone attemptPlace = iota
+	placeQueued
+	placeInSlot
 )
 
 // attempt is one send of a request.
 type attempt struct {
-	q      *request
-	n      int
-	p      *proxy
-	life   int // the proxy's
-	to     *nodo
-	zone   int // of the nodo, as listed
-	sent   int64
-	place  place
-	ended  bool // the proxy has its outcome
-	mayRun bool
+	request         *request
+	number          int
+	proxy           *proxy
+	incarnation     int // the proxy's
+	server          *server
+	zone            int // of the nodo, as listed
+	sentAt          int64
+	place           attemptPlace
+	ended           bool // the proxy has its outcome
+	mayHaveExecuted bool
 }
 
-func newProxy(w *world, id int, clocks *rand.Rand) *proxy {
-	return &proxy{w: w, id: id, name: fmt.Sprintf("p%03d", id), zone: id * w.cfg.Zones / w.cfg.Proxies,
-		clockBy: int64((2*clocks.Float64() - 1) * float64(w.cfg.ClockOff)),
-		pace:    1 + (2*clocks.Float64()-1)*w.cfg.ClockDrift}
+func newProxy(sim *simulation, id int, clocks *rand.Rand) *proxy {
+	return &proxy{sim: sim, id: id, name: fmt.Sprintf("p%03d", id), zone: id * sim.cfg.Zones / sim.cfg.Proxies,
+		clockOffset: int64((2*clocks.Float64() - 1) * float64(sim.cfg.MaxClockOffset)),
+		clockRate:   1 + (2*clocks.Float64()-1)*sim.cfg.MaxClockDrift}
 }
 
 // clock is what its clock shows: Unix time, more or less.
-func (p *proxy) clock() int64 { return epoch + p.clockBy + int64(float64(p.w.now)*p.pace) }
+func (p *proxy) clock() int64 { return epoch + p.clockOffset + int64(float64(p.sim.now)*p.clockRate) }
 
 // lasts is how long a time by its clock really is.
-func (p *proxy) lasts(d int64) int64 { return int64(float64(d) / p.pace) }
+func (p *proxy) realDuration(d int64) int64 { return int64(float64(d) / p.clockRate) }
 
 // start begins the process with nothing known but the list.
 func (p *proxy) start() error {
 	if p.up {
 		return nil
 	}
-	seed := source(p.w.cfg.Seed, chanceProxies+uint64(p.id)<<32+uint64(p.life)<<8)
-	b, err := balancer.New(p.w.cfg.settings(p.id, p.zone), seed.Uint64())
+	seed := source(p.sim.cfg.Seed, chanceProxies+uint64(p.id)<<32+uint64(p.incarnation)<<8)
+	b, err := balancer.New(p.sim.cfg.settings(p.id, p.zone), seed.Uint64())
 	if err != nil {
 		return err
 	}
-	p.life++
-	p.b, p.up, p.stopped, p.since = b, true, false, p.w.now
-	p.w.gossip.stir(p.w)
-	p.reqs, p.inbox, p.waits = map[string]*request{}, nil, 0
-	p.told = make([]balancer.Server, len(p.w.nodos))
+	p.incarnation++
+	p.balancer, p.up, p.stopped, p.startedAt = b, true, false, p.sim.now
+	p.sim.gossip.membershipChanged(p.sim)
+	p.requests, p.inbox, p.inboxGossip = map[string]*request{}, nil, 0
+	p.listed = make([]balancer.Server, len(p.sim.servers))
 	var list []balancer.Server
-	for i, n := range p.w.nodos {
+	for i, target := range p.sim.servers {
 		state := balancer.ServerRemoved
-		if n.up {
+		if target.up {
 			state = balancer.ServerReady
-			list = append(list, n.entry(state))
+			list = append(list, target.entry(state))
 		}
-		p.told[i] = n.entry(state)
+		p.listed[i] = target.entry(state)
 	}
-	p.b.UpdateEndpoints(p.clock(), p, balancer.UpdateSnapshot, list)
-	p.join()
-	life := p.life
-	p.w.after(seed.Int64N(tickEvery), evTick, p.id, func() { p.deliver(life, func() { p.tick(life) }) })
+	p.balancer.UpdateEndpoints(p.clock(), p, balancer.UpdateSnapshot, list)
+	p.joinCluster()
+	life := p.incarnation
+	p.sim.after(seed.Int64N(loopInterval), evTick, p.id, func() { p.deliver(life, func() { p.tick(life) }) })
 	return nil
 }
 
 // end kills the process: its clients and nodos see their connections end.
-func (p *proxy) end() {
+func (p *proxy) kill() {
 	if !p.up {
 		return
 	}
-	p.up, p.stopped, p.inbox, p.downAt = false, false, nil, p.w.now
-	p.w.gossip.stir(p.w)
-	p.life++
-	for _, q := range sortedRequests(p.reqs) {
-		for _, a := range q.tries {
-			p.w.leave(a)
+	p.up, p.stopped, p.inbox, p.downAt = false, false, nil, p.sim.now
+	p.sim.gossip.membershipChanged(p.sim)
+	p.incarnation++
+	for _, req := range sortedRequests(p.requests) {
+		for _, a := range req.attempts {
+			p.sim.cancelAttempt(a)
 		}
-		if !q.closed {
-			q.closed = true
-			p.w.res.count(p.w, q, broken)
+		if !req.closed {
+			req.closed = true
+			p.sim.result.count(p.sim, req, endBroken)
 		}
 	}
-	p.reqs = nil
+	p.requests = nil
 }
 
 // stop halts the process as SIGSTOP does, until cont.
-func (p *proxy) stop() {
+func (p *proxy) pause() {
 	if p.up && !p.stopped {
-		p.stopped, p.downAt = true, p.w.now
-		p.w.gossip.stir(p.w)
-		for _, q := range p.reqs {
-			q.excused = true
+		p.stopped, p.downAt = true, p.sim.now
+		p.sim.gossip.membershipChanged(p.sim)
+		for _, req := range p.requests {
+			req.excused = true
 		}
 	}
 }
 
 // cont lets it run again: it finds all that came meanwhile, in order, with its clock far on.
-func (p *proxy) cont() {
+func (p *proxy) resume() {
 	if !p.up || !p.stopped {
 		return
 	}
-	p.stopped, p.contAt = false, p.w.now
-	p.w.gossip.stir(p.w)
+	p.stopped, p.resumedAt = false, p.sim.now
+	p.sim.gossip.membershipChanged(p.sim)
 	for len(p.inbox) > 0 && p.up && !p.stopped {
 		do := p.inbox[0]
 		p.inbox = p.inbox[1:]
 		do()
 	}
-	p.waits = 0
+	p.inboxGossip = 0
 }
 
 // deliver has the process take something, now or when it is continued; never one that began since.
 func (p *proxy) deliver(life int, do func()) {
 	switch {
-	case !p.up || p.life != life:
+	case !p.up || p.incarnation != life:
 	case p.stopped:
 		p.inbox = append(p.inbox, func() { p.deliver(life, do) })
 	default:
@@ -174,63 +174,63 @@
 
 // tick is one turn of the loop that polls the Balancer.
 func (p *proxy) tick(life int) {
-	if p.fleet != nil {
-		p.exchange()
+	if p.cluster != nil {
+		p.exchangeReports()
 	}
-	p.w.after(p.lasts(tickEvery), evTick, p.id, func() { p.deliver(life, func() { p.tick(life) }) })
+	p.sim.after(p.realDuration(loopInterval), evTick, p.id, func() { p.deliver(life, func() { p.tick(life) }) })
 }
 
 // list brings a change of the list to every proxy.
-func (w *world) list(n *nodo, state balancer.ServerState, delay int64) {
-	e, starts := n.entry(state), n.starts
+func (w *simulation) announce(target *server, state balancer.ServerState, delay int64) {
+	e, starts := target.entry(state), target.generation
 	for _, p := range w.proxies {
-		w.after(delay+w.net.delay(0, p.zone), evList, p.id, func() {
-			p.deliver(p.life, func() {
-				if n.starts != starts { // superseded
+		w.after(delay+w.network.delay(0, p.zone), evList, p.id, func() {
+			p.deliver(p.incarnation, func() {
+				if target.generation != starts { // superseded
 					return
 				}
-				p.told[n.id] = e
+				p.listed[target.id] = e
 				said := e
-				if w.cfg.seeded == seedStartUntold {
+				if w.cfg.seeded == seedStartHidden {
 					said.StartTime = 0
 				}
-				p.b.UpdateEndpoints(p.clock(), p, balancer.UpdateDelta, []balancer.Server{said})
+				p.balancer.UpdateEndpoints(p.clock(), p, balancer.UpdateDelta, []balancer.Server{said})
 			})
 		})
 	}
 }
 
 // take hands over a client's request.
-func (p *proxy) take(q *request) {
-	p.reqs[q.id] = q
-	left := int64(float64(q.giveUp-p.w.now) * p.pace)
-	p.b.HandleRequest(p.clock(), p, balancer.Request{ID: q.id, Class: q.class, Deadline: p.clock() + left})
+func (p *proxy) handle(req *request) {
+	p.requests[req.id] = req
+	left := int64(float64(req.deadline-p.sim.now) * p.clockRate)
+	p.balancer.HandleRequest(p.clock(), p, balancer.Request{ID: req.id, Class: req.class, Deadline: p.clock() + left})
 }
 
 // Send, Refuse, Fail, SetTimer, Watch and Log make a proxy its Balancer's host.
 func (p *proxy) Send(id, server string, _, timeout int64) {
-	w, q := p.w, p.reqs[id]
-	if q == nil {
-		w.check.fault(ruleRequest, "%s sent %s, which it does not have", p.name, id)
+	sim, req := p.sim, p.requests[id]
+	if req == nil {
+		sim.check.violated(ruleRequest, "%s sent %s, which it does not have", p.name, id)
 		return
 	}
-	n := w.nodoNamed(server)
-	w.note(evSend, p.id, int64(n.id))
-	a := &attempt{q: q, n: len(q.tries), p: p, life: p.life, to: n, zone: n.zone, sent: w.now, mayRun: true}
-	w.check.sent(p, q, a)
-	q.tries = append(q.tries, a)
-	w.res.sent(w, a)
+	target := sim.serverByName(server)
+	sim.record(evSend, p.id, int64(target.id))
+	a := &attempt{request: req, number: len(req.attempts), proxy: p, incarnation: p.incarnation, server: target, zone: target.zone, sentAt: sim.now, mayHaveExecuted: true}
+	sim.check.checkSend(p, req, a)
+	req.attempts = append(req.attempts, a)
+	sim.result.sent(sim, a)
 	if timeout == 0 {
-		timeout = int64(float64(q.giveUp-w.now) * p.pace)
+		timeout = int64(float64(req.deadline-sim.now) * p.clockRate)
 	}
-	w.after(p.lasts(timeout), evTimeout, p.id, func() { p.deliver(a.life, func() { p.outcome(a, balancer.StatusTimedOut) }) })
-	if n.dark > 0 || !w.net.open(p.zone, n.zone) {
-		w.after(p.lasts(w.cfg.Dial), evOutcome, p.id, func() { p.deliver(a.life, func() { p.outcome(a, balancer.StatusConnectFailed) }) })
+	sim.after(p.realDuration(timeout), evTimeout, p.id, func() { p.deliver(a.incarnation, func() { p.outcome(a, balancer.StatusTimedOut) }) })
+	if target.darkness > 0 || !sim.network.passesRequests(p.zone, target.zone) {
+		sim.after(p.realDuration(sim.cfg.DialTimeout), evOutcome, p.id, func() { p.deliver(a.incarnation, func() { p.outcome(a, balancer.StatusConnectFailed) }) })
 		return
 	}
-	w.after(w.net.delay(p.zone, n.zone), evAttempt, n.id, func() {
+	sim.after(sim.network.delay(p.zone, target.zone), evAttempt, target.id, func() {
 		if !a.ended { // its caller has gone before it came
-			n.take(a)
+			target.accept(a)
 		}
 	})
 }
@@ -241,92 +241,92 @@
 		return
 	}
 	a.ended = true
-	a.mayRun = s != balancer.StatusRejected && s != balancer.StatusConnectFailed
-	if p.w.cfg.seeded == seedResend && s == balancer.StatusReset {
+	a.mayHaveExecuted = s != balancer.StatusRejected && s != balancer.StatusConnectFailed
+	if p.sim.cfg.seeded == seedResend && s == balancer.StatusReset {
 		s = balancer.StatusConnectFailed
 	}
-	p.w.leave(a)
-	if s == balancer.StatusOK && !a.q.closed {
-		p.close(a.q, served)
+	p.sim.cancelAttempt(a)
+	if s == balancer.StatusOK && !a.request.closed {
+		p.closeRequest(a.request, endServed)
 	}
-	p.b.HandleOutcome(p.clock(), p, balancer.Outcome{RequestID: a.q.id, Attempt: a.n, Status: s, RequestDone: a.q.closed,
-		Latency: int64(float64(p.w.now-a.sent) * p.pace)})
-	if a.q.closed {
-		p.forget(a.q)
+	p.balancer.HandleOutcome(p.clock(), p, balancer.Outcome{RequestID: a.request.id, Attempt: a.number, Status: s, RequestDone: a.request.closed,
+		Latency: int64(float64(p.sim.now-a.sentAt) * p.clockRate)})
+	if a.request.closed {
+		p.removeIfDone(a.request)
 	}
 }
 
 // leave tells an attempt's nodo that its caller has gone.
-func (w *world) leave(a *attempt) {
+func (w *simulation) cancelAttempt(a *attempt) {
 	a.ended = true
-	if a.place == queued {
-		w.after(w.net.delay(a.p.zone, a.to.zone), evAttempt, a.to.id, func() { a.to.leave(a) })
+	if a.place == placeQueued {
+		w.after(w.network.delay(a.proxy.zone, a.server.zone), evAttempt, a.server.id, func() { a.server.dropQueued(a) })
 	}
 }
 
 // close ends a request towards its client.
-func (p *proxy) close(q *request, e end) {
-	p.w.check.answered(p, q)
-	if q.closed {
+func (p *proxy) closeRequest(req *request, e requestEnd) {
+	p.sim.check.checkAnswer(p, req)
+	if req.closed {
 		return
 	}
-	q.closed = true
-	p.w.res.count(p.w, q, e)
-	if p.w.cfg.seeded == seedTwoAnswers && e == refused {
-		p.w.check.answered(p, q)
+	req.closed = true
+	p.sim.result.count(p.sim, req, e)
+	if p.sim.cfg.seeded == seedTwoAnswers && e == endRejected {
+		p.sim.check.checkAnswer(p, req)
 	}
 }
 
-func (p *proxy) forget(q *request) {
-	for _, a := range q.tries {
+func (p *proxy) removeIfDone(req *request) {
+	for _, a := range req.attempts {
 		if !a.ended {
 			return
 		}
 	}
-	delete(p.reqs, q.id)
+	delete(p.requests, req.id)
 }
 
-func (p *proxy) Reject(id string, after int64) { p.final(id, evRefuse, refused) }
-func (p *proxy) Fail(id string)                { p.final(id, evFail, failed) }
+func (p *proxy) Reject(id string, after int64) { p.answer(id, evRefuse, endRejected) }
+func (p *proxy) Fail(id string)                { p.answer(id, evFail, endFailed) }
 
-func (p *proxy) final(id string, k kind, e end) {
-	p.w.note(k, p.id, 0)
-	q := p.reqs[id]
-	if q == nil {
-		p.w.check.fault(ruleRequest, "%s answers %s, which it does not have", p.name, id)
+func (p *proxy) answer(id string, k eventKind, e requestEnd) {
+	p.sim.record(k, p.id, 0)
+	req := p.requests[id]
+	if req == nil {
+		p.sim.check.violated(ruleRequest, "%s answers %s, which it does not have", p.name, id)
 		return
 	}
-	p.close(q, e)
-	p.forget(q)
+	p.closeRequest(req, e)
+	p.removeIfDone(req)
 }
 
 func (p *proxy) SetTimer(delay int64, token string) {
-	life := p.life
-	p.w.after(p.lasts(delay), evTimer, p.id, func() {
-		p.deliver(life, func() { p.b.HandleTimer(p.clock(), p, token) })
+	life := p.incarnation
+	p.sim.after(p.realDuration(delay), evTimer, p.id, func() {
+		p.deliver(life, func() { p.balancer.HandleTimer(p.clock(), p, token) })
 	})
 }
 
 func (p *proxy) Watch() {}
 func (p *proxy) Log(event balancer.Event) {
-	if p.w.cfg.log != nil {
-		p.w.cfg.log(p.w.now, p.name, event.String())
+	if p.sim.cfg.log != nil {
+		p.sim.cfg.log(p.sim.now, p.name, event.String())
 	}
 }
 
 // withdraw is the client's going: its time is over.
-func (p *proxy) withdraw(q *request) {
-	if q.closed {
+func (p *proxy) cancel(req *request) {
+	if req.closed {
 		return
 	}
-	p.w.check.unanswered(p, q)
-	q.closed = true
-	p.w.res.count(p.w, q, unanswered)
-	p.b.HandleClientGone(p.clock(), p, q.id)
-	for _, a := range q.tries {
+	p.sim.check.checkUnanswered(p, req)
+	req.closed = true
+	p.sim.result.count(p.sim, req, endUnanswered)
+	p.balancer.HandleClientGone(p.clock(), p, req.id)
+	for _, a := range req.attempts {
 		if !a.ended {
 			p.outcome(a, balancer.StatusCancelled)
 		}
 	}
-	p.forget(q)
+	p.removeIfDone(req)
 }
--- a/internal/faultlab/model/seeded_test.go
+++ b/internal/faultlab/model/seeded_test.go
@@ -15,39 +15,39 @@
 	}
 	for _, k := range []struct {
 		name   string
-		seeded seeded
+		seeded seededFault
 		rule   Rule
 		load   float64 // of the capacity
 		faults []Fault
 	}{
-		{"a queue holds one more", seedOverfull, ruleNodo, 3, nil},
+		{"a queue holds one more", seedOverfull, ruleServerCapacity, 3, nil},
 		{"a refusal is given twice", seedTwoAnswers, ruleRequest, 2, nil},
 		{"a reset counts as never begun", seedResend, ruleRequest, 0.7,
-			[]Fault{{Kind: NodoKilled, At: 5 * sec, For: sec, Who: all(18, 3)}}},
-		{"a start is listed as long ago", seedStartUntold, ruleCold, 0.8,
-			[]Fault{{Kind: NodoKilled, At: 2 * sec, For: 4 * sec, Who: all(18, 9)}}},
-		{"entries are used after their end", seedAfterEnd, ruleEnds, 0.6,
-			[]Fault{{Kind: NodoFails, At: 5 * sec, For: 5 * sec, Who: []int{3}, Value: 1}}},
-		{"what waited for a stopped proxy counts as new", seedStalled, ruleEnds, 0.6, []Fault{
-			{Kind: NodoFails, At: 4 * sec, For: 10 * sec, Who: []int{3, 4}, Value: 1},
-			{Kind: ProxyHalted, At: 5 * sec, For: 12 * sec, Who: []int{1, 5}}}},
-		{"a former start's verdict counts for the present one", seedFormer, ruleEnds, 0.6, []Fault{
-			{Kind: NodoFails, At: 4 * sec, For: 4 * sec, Who: []int{3}, Value: 1},
-			{Kind: NodoKilled, At: 7 * sec, For: 200 * ms, Who: []int{3}}}},
-		{"a proxy takes nothing that it is told", seedDeaf, ruleAgree, 0.6,
-			[]Fault{{Kind: NodoFails, At: 5 * sec, For: 12 * sec, Who: []int{0, 1, 2, 3, 4, 5}, Value: 1}}},
-		{"the budget is a tenth", seedNoBudget, ruleBudget, 0.6,
-			[]Fault{{Kind: NodoFails, At: 5 * sec, For: 8 * sec, Who: []int{3, 9, 15}, Value: 1}}},
-		{"all zones are left", seedAllAway, ruleSomeone, 0.6, nil},
+			[]Fault{{Kind: ServerKilled, At: 5 * sec, Duration: sec, Targets: all(18, 3)}}},
+		{"a start is listed as long ago", seedStartHidden, ruleSlowStart, 0.8,
+			[]Fault{{Kind: ServerKilled, At: 2 * sec, Duration: 4 * sec, Targets: all(18, 9)}}},
+		{"entries are used after their end", seedAfterExpiry, ruleExpiry, 0.6,
+			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 5 * sec, Targets: []int{3}, Value: 1}}},
+		{"what waited for a stopped proxy counts as new", seedStalled, ruleExpiry, 0.6, []Fault{
+			{Kind: ServerErrors, At: 4 * sec, Duration: 10 * sec, Targets: []int{3, 4}, Value: 1},
+			{Kind: ProxyPaused, At: 5 * sec, Duration: 12 * sec, Targets: []int{1, 5}}}},
+		{"a former start's verdict counts for the present one", seedPreviousStart, ruleExpiry, 0.6, []Fault{
+			{Kind: ServerErrors, At: 4 * sec, Duration: 4 * sec, Targets: []int{3}, Value: 1},
+			{Kind: ServerKilled, At: 7 * sec, Duration: 200 * ms, Targets: []int{3}}}},
+		{"a proxy takes nothing that it is told", seedDeaf, ruleAgreement, 0.6,
+			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 12 * sec, Targets: []int{0, 1, 2, 3, 4, 5}, Value: 1}}},
+		{"the budget is a tenth", seedNoBudget, ruleEjectionBudget, 0.6,
+			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 8 * sec, Targets: []int{3, 9, 15}, Value: 1}}},
+		{"all zones are left", seedAllEvacuated, ruleSomeZone, 0.6, nil},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
 			c := Default()
-			if k.rule == ruleCold { // what calls that are out already hold back is enough for other nodos
-				c.Proxies, c.StartCapacity, c.TipMultiple, c.Span = 40, 0.05, 1, 11*sec
+			if k.rule == ruleSlowStart { // what calls that are out already hold back is enough for other nodos
+				c.Proxies, c.SlowStartMinCapacity, c.OverloadMultiple, c.Duration = 40, 0.05, 1, 11*sec
 			}
 			c.Rate, c.Faults = k.load*c.Capacity(), k.faults
-			caught := func(s seeded) bool {
+			caught := func(s seededFault) bool {
 				c.seeded = s
 				r := mustRun(t, c)
 				return slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Rule == k.rule })
--- a/internal/faultlab/model/world.go
+++ b/internal/faultlab/model/simulation.go
@@ -8,10 +8,10 @@
 )
 
 // kind names what an event is, for the run's log.
-type kind uint8
+type eventKind uint8
 
 const (
-	evArrival kind = iota
+	evArrival eventKind = iota
 	evGiveUp
 	evAttempt // reaches its nodo
 	evWork    // of a nodo is done
@@ -31,14 +31,16 @@
 
 // event is something that happens at a time; of two at one time the one that was planned first comes first.
 type event struct {
-	at   int64
-	n    uint64
-	kind kind
-	who  int32
-	do   func()
+	time    int64
+	number  uint64
+	kind    eventKind
+	subject int32
+	run     func()
 }
 
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.n < o.n }
+func (e *event) before(o *event) bool {
+	return e.time < o.time || e.time == o.time && e.number < o.number
+}
 
 // agenda is a binary heap of events. container/heap would box each one.
 type agenda []event
@@ -81,22 +83,22 @@
 }
 
 // world is one run under way.
-type world struct {
-	cfg     *Config
-	now     int64
-	agenda  agenda
-	planned uint64
-	log     hash.Hash64
-	line    [25]byte
-
-	proxies []*proxy
-	nodos   []*nodo
-	net     network
-	clients clients
-	gossip  gossip
-	check   checker
-	res     Result
-	touched *nodo // by this event
+type simulation struct {
+	cfg             *Config
+	now             int64
+	agenda          agenda
+	scheduledEvents uint64
+	log             hash.Hash64
+	logLine         [25]byte
+
+	proxies       []*proxy
+	servers       []*server
+	network       network
+	clients       clients
+	gossip        gossipNetwork
+	check         checker
+	result        Result
+	touchedServer *server // by this event
 
 	zoneNumbers map[string]int // by name
 }
@@ -115,18 +117,18 @@
 )
 
 // after plans an event.
-func (w *world) after(delay int64, k kind, who int, do func()) {
-	w.planned++
-	w.agenda.push(event{w.now + max(delay, 0), w.planned, k, int32(who), do})
+func (w *simulation) after(delay int64, k eventKind, who int, do func()) {
+	w.scheduledEvents++
+	w.agenda.push(event{w.now + max(delay, 0), w.scheduledEvents, k, int32(who), do})
 }
 
 // note adds a line to the log, of which only the sum is kept.
-func (w *world) note(k kind, who int, what int64) {
-	w.line[0] = byte(k)
-	binary.LittleEndian.PutUint64(w.line[1:], uint64(w.now))
-	binary.LittleEndian.PutUint64(w.line[9:], uint64(who))
-	binary.LittleEndian.PutUint64(w.line[17:], uint64(what))
-	w.log.Write(w.line[:]) // never fails
+func (w *simulation) record(k eventKind, who int, what int64) {
+	w.logLine[0] = byte(k)
+	binary.LittleEndian.PutUint64(w.logLine[1:], uint64(w.now))
+	binary.LittleEndian.PutUint64(w.logLine[9:], uint64(who))
+	binary.LittleEndian.PutUint64(w.logLine[17:], uint64(what))
+	w.log.Write(w.logLine[:]) // never fails
 }
 
 // Run plays a configuration to its end. A broken check is in the result and ends nothing.
@@ -134,36 +136,36 @@
 	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	w := &world{cfg: &c, log: fnv.New64a(), zoneNumbers: zoneNumbers(c.Zones)}
-	w.net = newNetwork(&c)
-	w.res.begin(&c)
+	sim := &simulation{cfg: &c, log: fnv.New64a(), zoneNumbers: zoneNumbers(c.Zones)}
+	sim.network = newNetwork(&c)
+	sim.result.begin(&c)
 	chance := source(c.Seed, chanceNodos)
-	for i := range c.Nodos {
-		w.nodos = append(w.nodos, newNodo(w, i, chance))
+	for i := range c.Servers {
+		sim.servers = append(sim.servers, newServer(sim, i, chance))
 	}
 	clocks := source(c.Seed, chanceClocks)
 	for i := range c.Proxies {
-		w.proxies = append(w.proxies, newProxy(w, i, clocks))
+		sim.proxies = append(sim.proxies, newProxy(sim, i, clocks))
 	}
-	w.check.begin(w)
-	w.gossip.begin(w)
-	for _, p := range w.proxies {
+	sim.check.begin(sim)
+	sim.gossip.begin(sim)
+	for _, p := range sim.proxies {
 		if err := p.start(); err != nil {
 			return nil, err
 		}
 	}
-	w.clients.begin(w)
+	sim.clients.begin(sim)
 	for i := range c.Faults {
-		w.plan(&c.Faults[i])
+		sim.schedule(&c.Faults[i])
 	}
-	for len(w.agenda) > 0 && w.agenda[0].at <= c.Span {
-		e := w.agenda.pop()
-		w.now = e.at
-		w.note(e.kind, int(e.who), 0)
-		e.do()
-		w.res.Events++
-		w.check.after(w)
+	for len(sim.agenda) > 0 && sim.agenda[0].time <= c.Duration {
+		e := sim.agenda.pop()
+		sim.now = e.time
+		sim.record(e.kind, int(e.subject), 0)
+		e.run()
+		sim.result.Events++
+		sim.check.afterEvent(sim)
 	}
-	w.res.end(w)
-	return &w.res, nil
+	sim.result.end(sim)
+	return &sim.result, nil
 }
--- a/internal/faultlab/model/table_test.go
+++ b/internal/faultlab/model/table_test.go
@@ -46,11 +46,11 @@
 						return
 					}
 					runs[i] = r
-					after, wasted := r.Avoided(k.At, k.At+k.For, k.Target)
-					figures[i] = [9]float64{r.InTime(k.At, k.At+10*sec), r.InTime(k.At, c.Span),
-						100 * float64(r.Ends[failed]+r.Ends[unanswered]) / float64(r.Taken),
-						100 * (float64(r.Sends)/float64(r.Taken-r.Ends[unreached]) - 1), 100 * float64(r.Across) / float64(r.Sends),
-						float64(after) / float64(sec), float64(wasted), float64(r.Tips), float64(r.Broken)}
+					after, wasted := r.Avoided(k.At, k.At+k.Duration, k.Target)
+					figures[i] = [9]float64{r.InTime(k.At, k.At+10*sec), r.InTime(k.At, c.Duration),
+						100 * float64(r.Ends[endFailed]+r.Ends[endUnanswered]) / float64(r.Requests),
+						100 * (float64(r.Sends)/float64(r.Requests-r.Ends[endUnreached]) - 1), 100 * float64(r.CrossZone) / float64(r.Sends),
+						float64(after) / float64(sec), float64(wasted), float64(r.Overloads), float64(r.ViolationCount)}
 				})
 			}
 			wait.Wait()
@@ -62,9 +62,9 @@
 				}
 				row = append(row, spreadOf(x, format))
 			}
-			left := runs[0].Leaves
+			left := runs[0].EvacuationSpread
 			for _, r := range runs[1:] {
-				left.h.Merge(r.Leaves.h)
+				left.h.Merge(r.EvacuationSpread.h)
 			}
 			fmt.Fprintf(out, "%s\t%.2f %.2f %.2f (%d)\n", strings.Join(row, "\t"), seconds(left.At(0.5)), seconds(left.At(0.99)),
 				seconds(left.At(1)), left.N())
@@ -77,9 +77,9 @@
 // staleness is a fleet of which a nodo fails for a while.
 func staleness(proxies int, loss float64, chatter int, span int64) Config {
 	c := Default()
-	c.Proxies, c.Nodos, c.Rate, c.Span = proxies, 2*proxies, 20*float64(proxies), span
-	c.Loss, c.Chatter, c.Encoded = loss, chatter, true
-	c.Faults = []Fault{{Kind: NodoFails, At: 3 * sec, For: 5 * sec, Who: []int{proxies}, Value: 0.9}}
+	c.Proxies, c.Servers, c.Rate, c.Duration = proxies, 2*proxies, 20*float64(proxies), span
+	c.Loss, c.ExtraLoadReports, c.Encoded = loss, chatter, true
+	c.Faults = []Fault{{Kind: ServerErrors, At: 3 * sec, Duration: 5 * sec, Targets: []int{proxies}, Value: 0.9}}
 	return c
 }
 
@@ -102,27 +102,27 @@
 	for i := range configs { // printed one by one: the last rows take minutes
 		c := &configs[i]
 		r := mustRun(t, *c)
-		of := func(a ages) string {
+		of := func(a durations) string {
 			return fmt.Sprintf("%.2f %.2f %.2f", seconds(a.At(0.5)), seconds(a.At(0.99)), seconds(a.At(1)))
 		}
-		fmt.Printf("%3d proxies, %2.0f %% lost, %d summaries | %s | %s | %s | %s | %.0f\n", c.Proxies, 100*c.Loss, c.Chatter,
-			of(r.Ages), of(r.Spread), of(r.Loads), of(r.LoadsBy), float64(r.Bytes)/float64(c.Proxies)/seconds(c.Span))
+		fmt.Printf("%3d proxies, %2.0f %% lost, %d summaries | %s | %s | %s | %s | %.0f\n", c.Proxies, 100*c.Loss, c.ExtraLoadReports,
+			of(r.HealthAges), of(r.HealthPropagation), of(r.LoadAges), of(r.LoadPropagation), float64(r.Bytes)/float64(c.Proxies)/seconds(c.Duration))
 	}
 }
 
 // big is the size that the model is for: 300 proxies, 600 nodos, nine zones in two regions.
-func big() Config {
+func largeCluster() Config {
 	c := Default()
-	c.Proxies, c.Nodos, c.Zones, c.Regions, c.Span = 300, 600, 9, 2, 10*sec
+	c.Proxies, c.Servers, c.Zones, c.Regions, c.Duration = 300, 600, 9, 2, 10*sec
 	c.Rate = 0.5 * c.Capacity()
-	c.Faults = []Fault{{Kind: ZoneLost, Zone: 4, At: 4 * sec, For: 4 * sec}}
+	c.Faults = []Fault{{Kind: ZoneLost, Zone: 4, At: 4 * sec, Duration: 4 * sec}}
 	return c
 }
 
 func BenchmarkLargeCluster(b *testing.B) {
 	events := 0
 	for b.Loop() {
-		r, err := Run(big())
+		r, err := Run(largeCluster())
 		if err != nil {
 			b.Fatal(err)
 		}
