--- a/internal/faultlab/model/cases.go
+++ b/internal/faultlab/model/cases.go
@@ -1,6 +1,6 @@
 package model
 
-// Case is a fault that is played with peers and without, on the same seeds.
+// Case is a fault that is simulated with and without a cluster, on the same seeds.
 type Case struct {
 	Name     string
 	Target   Target
@@ -9,7 +9,7 @@
 	Set      func(*Config)
 }
 
-// Cases are the comparisons that docs/fleet.md reports: a fleet of 30 proxies and 45 nodos in three zones.
+// Cases returns comparisons on 30 proxies and 45 servers in three zones.
 func Cases() []Case {
 	const at, last = 10 * sec, 15 * sec
 	one := func(f Fault) func(*Config) {
@@ -20,16 +20,17 @@
 	for i := range home {
 		home[i] = 15 + i
 	}
-	zone, nodo, own := Target{Server: -1, Zone: 1}, Target{Server: 20}, Target{Server: -1, Zone: 1, OwnProxies: true}
+	zone, server := Target{Server: -1, Zone: 1}, Target{Server: 20}
+	ownZone := Target{Server: -1, Zone: 1, OwnProxies: true}
 	return []Case{
 		{"calm", zone, at, last, func(*Config) {}},
 		{"zone lost", zone, at, last, one(Fault{Kind: ZoneLost, Zone: 1})},
 		{"one-way cut", zone, at, last, one(Fault{Kind: CutResponses, Zone: 1, To: -1})},
-		{"zone's nodos silent", own, at, last, one(Fault{Kind: ServerUnresponsive, Targets: home})},
-		{"zone's nodos fail", own, at, last, one(Fault{Kind: ServerErrors, Targets: home, Value: 0.9})},
-		{"zone cut off", own, at, last, one(Fault{Kind: CutBoth, Zone: 1, To: -1})},
-		{"nodo silent", nodo, at, last, one(Fault{Kind: ServerUnresponsive, Targets: []int{20}})},
-		{"nodo fails", nodo, at, last, one(Fault{Kind: ServerErrors, Targets: []int{20}, Value: 0.9})},
+		{"zone's servers unresponsive", ownZone, at, last, one(Fault{Kind: ServerUnresponsive, Targets: home})},
+		{"zone's servers fail", ownZone, at, last, one(Fault{Kind: ServerErrors, Targets: home, Value: 0.9})},
+		{"zone cut off", ownZone, at, last, one(Fault{Kind: CutBoth, Zone: 1, To: -1})},
+		{"server unresponsive", server, at, last, one(Fault{Kind: ServerUnresponsive, Targets: []int{20}})},
+		{"server fails", server, at, last, one(Fault{Kind: ServerErrors, Targets: []int{20}, Value: 0.9})},
 		{"third lies", zone, at, last, func(c *Config) {
 			c.Faults = append(c.Faults, Fault{Kind: ByzantineProxies, Zone: 1, Targets: byzantineTargets(c), At: at, Duration: last})
 		}},
@@ -45,7 +46,7 @@
 	}
 }
 
-// Config is the case's for a seed.
+// Config returns the case's configuration for a seed.
 func (k *Case) Config(seed uint64, peers bool) Config {
 	c := Default()
 	c.Seed, c.Cluster, c.Duration = seed, peers, k.At+k.Duration+10*sec
--- a/internal/faultlab/model/check.go
+++ b/internal/faultlab/model/check.go
@@ -6,27 +6,27 @@
 	"merlinpick/balancer"
 )
 
-// Rule is something that must hold after every event of every run.
+// Rule is an invariant that must hold after every event of every run.
 type Rule string
 
 const (
-	ruleExpiry         Rule = "ends"    // nothing is acted on after its end, nor a verdict on a nodo's former start
-	ruleAgreement      Rule = "agree"   // proxies of a zone that hear each other have one view of the zones, but for agreeMost
-	ruleEjectionBudget Rule = "budget"  // what is out by verdict is within its part of the tier
-	ruleSlowStart      Rule = "cold"    // no nodo tips by what proxies send that know of its start
-	ruleSomeZone       Rule = "someone" // not all zones are away at once
-	ruleServerCapacity Rule = "nodo"    // no nodo holds more than its slots and its queue (of the model itself)
-	ruleRequest        Rule = "request" // one answer to each request in its time; none run twice that must not be
+	ruleExpiry         Rule = "expiry"          // no expired entry is used, nor a report on a server's previous start
+	ruleAgreement      Rule = "agreement"       // proxies of a zone that hear each other evacuate the same zones, but for maxDisagreement
+	ruleEjectionBudget Rule = "ejection-budget" // ejections by reports are within their fraction of the tier
+	ruleSlowStart      Rule = "slow-start"      // no server is overloaded by proxies that know of its start
+	ruleSomeZone       Rule = "some-zone"       // not all zones are evacuated at once
+	ruleServerCapacity Rule = "server-capacity" // no server exceeds its slots and queue (checks the model itself)
+	ruleRequest        Rule = "request"         // one answer to each request in time; no forbidden second execution
 )
 
 const (
-	clientTimeoutSlack   = 100 * ms // beyond a client's time, for clocks that run slow
-	minInformedFraction  = 2.0 / 3  // of the work that tips a nodo: from here on it is of those who knew
-	maxViolationsPerRule = 20       // in full
-	dedupWindowSlack     = 50 * ms  // of a class's window
+	clientTimeoutSlack   = 100 * ms // beyond a client's deadline, for slow clocks
+	minInformedFraction  = 2.0 / 3  // of the work that overloads a server: from here on the informed proxies are to blame
+	maxViolationsPerRule = 20       // with details
+	dedupWindowSlack     = 50 * ms
 )
 
-// Violation is a rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	At     int64
 	Rule   Rule
@@ -37,24 +37,24 @@
 	return fmt.Sprintf("%.3f s: %s: %s", float64(v.At)/float64(sec), v.Rule, v.Detail)
 }
 
-// seeded is a fault of the fleet's own, put in by a test to see it caught.
+// seededFault is a fault in the program's own rules, which a test injects to see it detected.
 type seededFault int
 
 const (
 	seedNone          seededFault = iota
-	seedOverfull                  // nodos take one more than their queue holds
-	seedTwoAnswers                // a refusal is answered twice
-	seedResend                    // what may have run is given out as never begun
-	seedStartHidden               // proxies are told of a nodo's start, not that it was just now
-	seedAfterExpiry               // entries are used beyond their end
-	seedPreviousStart             // a verdict on a nodo's former start is given out as on the present one
-	seedDeaf                      // one proxy takes nothing of what it is told
-	seedNoBudget                  // the part that is out is counted as if the tier were a tenth of it
-	seedAllEvacuated              // all zones are given out as away
-	seedStalled                   // a proxy that was stopped takes what waited in its socket as if it had just come
+	seedOverfull                  // servers accept one more than their queue holds
+	seedTwoAnswers                // a rejection is answered twice
+	seedResend                    // an attempt that may have executed is reported as not executed
+	seedStartHidden               // the list does not say that a server has just started
+	seedAfterExpiry               // entries are used after their expiry
+	seedPreviousStart             // a report on a server's previous start is passed on as for the present one
+	seedDeaf                      // one proxy ignores all entries
+	seedNoBudget                  // ejections are compared with a tenth of the budget
+	seedAllEvacuated              // all zones are reported as evacuated
+	seedStalled                   // a paused proxy accepts old gossip as if it had just arrived
 )
 
-// checker keeps the books that the rules are checked by. They share nothing with what they check.
+// checker checks the rules, with state that it shares with nothing that it checks.
 type checker struct {
 	sim        *simulation
 	violations map[Rule]int
@@ -67,63 +67,63 @@
 }
 
 func (c *checker) violated(r Rule, format string, a ...any) {
-	res := &c.sim.result
-	res.ViolationCount++
+	result := &c.sim.result
+	result.ViolationCount++
 	if c.violations[r]++; c.violations[r] <= maxViolationsPerRule {
-		res.Violations = append(res.Violations, Violation{c.sim.now, r, fmt.Sprintf(format, a...)})
+		result.Violations = append(result.Violations, Violation{c.sim.now, r, fmt.Sprintf(format, a...)})
 	}
 }
 
-// after looks at what the event just now may have touched.
+// afterEvent checks the server that the last event touched.
 func (c *checker) afterEvent(sim *simulation) {
 	if target := sim.touchedServer; target != nil {
 		sim.touchedServer = nil
 		if target.inFlight > sim.cfg.Slots || len(target.queue) > sim.cfg.Queue || target.inFlight < 0 {
-			c.violated(ruleServerCapacity, "%s has %d in work and %d waiting", target.name, target.inFlight, len(target.queue))
+			c.violated(ruleServerCapacity, "%s has %d in flight and %d queued", target.name, target.inFlight, len(target.queue))
 		}
 	}
 }
 
-// tipped judges a nodo that fell over by the part of the work that came from proxies that knew of its start.
-func (c *checker) checkOverload(target *server, told float64) {
-	if told >= minInformedFraction {
-		c.violated(ruleSlowStart, "%s fell %.2f s after its start, %.0f %% of the work from proxies that knew of it", target.name,
-			float64(c.sim.now-target.startedAt)/float64(sec), 100*told)
+// checkOverload checks an overloaded server by the fraction of its work that came from proxies that knew of its start.
+func (c *checker) checkOverload(target *server, informed float64) {
+	if informed >= minInformedFraction {
+		c.violated(ruleSlowStart, "%s was overloaded %.2f s after its start, %.0f %% of the work from proxies that knew of it", target.name,
+			float64(c.sim.now-target.startedAt)/float64(sec), 100*informed)
 	}
 }
 
-// sent judges a send by the request's earlier ones.
+// checkSend checks an attempt against the request's earlier ones.
 func (c *checker) checkSend(p *proxy, req *request, a *attempt) {
 	if req.closed {
-		c.violated(ruleRequest, "%s sends %s after its end", p.name, req.id)
+		c.violated(ruleRequest, "%s sends %s after its answer", p.name, req.id)
 	}
 	if p.listed[a.server.id].State == balancer.ServerRemoved {
 		c.violated(ruleRequest, "%s sends %s to %s, which its list does not have", p.name, req.id, a.server.name)
 	}
-	k := &c.sim.cfg.Classes[req.class]
-	for _, e := range req.attempts {
-		if !e.ended {
-			c.violated(ruleRequest, "%s has two attempts of %s out", p.name, req.id)
+	class := &c.sim.cfg.Classes[req.class]
+	for _, earlier := range req.attempts {
+		if !earlier.ended {
+			c.violated(ruleRequest, "%s has two attempts of %s in flight", p.name, req.id)
 		}
-		if !e.mayHaveExecuted || k.Idempotency == balancer.Idempotent {
+		if !earlier.mayHaveExecuted || class.Idempotency == balancer.Idempotent {
 			continue
 		}
-		same := k.DedupScope == balancer.DedupScopeAll || k.DedupScope == balancer.DedupScopeZone && e.zone == a.zone ||
-			k.DedupScope == balancer.DedupScopeCell && e.server == a.server
-		if k.Idempotency == balancer.NonIdempotent || !same || c.sim.now-e.sentAt > k.DedupWindow+dedupWindowSlack {
-			c.violated(ruleRequest, "%s sends %s of class %s again after it may have run", p.name, req.id, k.Name)
+		sameScope := class.DedupScope == balancer.DedupScopeAll || class.DedupScope == balancer.DedupScopeZone && earlier.zone == a.zone ||
+			class.DedupScope == balancer.DedupScopeCell && earlier.server == a.server
+		if class.Idempotency == balancer.NonIdempotent || !sameScope || c.sim.now-earlier.sentAt > class.DedupWindow+dedupWindowSlack {
+			c.violated(ruleRequest, "%s sends %s of class %s again after it may have executed", p.name, req.id, class.Name)
 		}
 	}
 }
 
-// answered judges a final answer as it is given.
+// checkAnswer checks a final answer.
 func (c *checker) checkAnswer(p *proxy, req *request) {
 	if req.closed {
 		c.violated(ruleRequest, "%s answers %s again", p.name, req.id)
 	}
 }
 
-// unanswered judges a request whose client goes without an answer.
+// checkUnanswered checks a request whose client got no answer in time.
 func (c *checker) checkUnanswered(p *proxy, req *request) {
 	if !req.excused {
 		c.violated(ruleRequest, "%s left %s unanswered, with %d sends", p.name, req.id, len(req.attempts))
--- a/internal/faultlab/model/check_cluster.go
+++ b/internal/faultlab/model/check_cluster.go
@@ -5,31 +5,31 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// What must hold of what proxies share, looked at each time that a proxy hands it to its Balancer.
+// Invariants of shared state. They are checked each time that a proxy passes entries to its balancer.
 
 const (
-	maxHops            = 6            // that an entry takes to the last proxy
-	maxHopDelay        = 2 * delayFar // of a hop, without a fault that makes packets late
-	maxDisagreement    = 5 * sec      // proxies of a zone that hear each other differ no longer: one that left alone stays away 3 s
-	calmDuration       = 6 * sec      // they hear each other when gossip is sound, and they run, for so long
-	maxCalmLoss        = 0.35         // gossip that loses more is not sound
-	maxCalmDelay       = 300 * ms     // nor is gossip that is later
-	maxEjectedFraction = 1.0 / 3.0    // of a tier's or a zone's nodos: no more are out by verdict at one proxy
-	minEjectable       = 1            // nodo that may be, where there are two or more
-	maxProxiesInFull   = 50           // up to so many proxies all are looked at in full, beyond that so many in turn
+	maxHops            = 6            // of an entry to the last proxy
+	maxHopDelay        = 2 * delayFar // without a fault that delays packets
+	maxDisagreement    = 5 * sec      // between proxies of a zone that hear each other; one that evacuates alone does so for 3 s
+	calmDuration       = 6 * sec      // proxies hear each other once they ran with sound gossip for this long
+	maxCalmLoss        = 0.35         // gossip with more loss is not sound
+	maxCalmDelay       = 300 * ms     // nor is gossip with more delay
+	maxEjectedFraction = 1.0 / 3.0    // of a tier's or a zone's servers, by reports of others, at one proxy
+	minEjectable       = 1            // server, of two or more
+	maxProxiesInFull   = 50           // beyond this number of proxies, that many are checked in turn
 )
 
-// group is what the proxies of one zone hold of another: agreed or not, and since when.
+// zoneAgreement tracks whether the proxies of one zone agree on evacuating another.
 type zoneAgreement struct {
-	differsSince  int64 // since when they differ; -1 while they do not
-	firstDiffered int64 // when the first of them left the other zone; -1 while none has
+	differsSince  int64 // -1 while they agree
+	firstDiffered int64 // when the first of them evacuated it; -1 while none has
 }
 
-// fleetCheck is what the checker keeps of the fleet.
+// clusterCheck is the checker's state for the cluster.
 type clusterCheck struct {
-	maxGossipDelay int64           // what a packet's way may take at most, in the faults of this run
-	lastDisturbed  []int64         // by zone: when its proxies last heard each other badly
-	agreements     []zoneAgreement // by zone and zone seen
+	maxGossipDelay int64           // by the faults of this run
+	lastDisturbed  []int64         // by zone: when gossip between its proxies was last not sound
+	agreements     []zoneAgreement // by observing and observed zone
 }
 
 func (f *clusterCheck) begin(sim *simulation) {
@@ -45,10 +45,10 @@
 	}
 }
 
-// used judges an entry that is handed to a Balancer, by its end on the proxy's clock and by its true age.
+// checkEntryUse checks an entry that is passed to a balancer: its expiry on the proxy's clock, and its true age.
 func (c *checker) checkEntryUse(p *proxy, now int64, e *state.Entry) {
 	if now >= e.ExpiresAt() {
-		c.violated(ruleExpiry, "%s uses what %s said of %s %d us after its end", p.name, e.Observer, e.Subject, now-e.ExpiresAt())
+		c.violated(ruleExpiry, "%s uses the entry of %s on %s %d us after its expiry", p.name, e.Observer, e.Subject, now-e.ExpiresAt())
 	}
 	sim := c.sim
 	if e.Kind == state.ServerUnhealthy {
@@ -71,28 +71,28 @@
 	over := age - e.TTL
 	sim.result.MaxOverrun = max(sim.result.MaxOverrun, over)
 	if over > maxHops*(maxHopDelay+c.cluster.maxGossipDelay)+int64(2*sim.cfg.MaxClockDrift*float64(e.TTL))+maxLoopGap {
-		c.violated(ruleExpiry, "%s uses what %s said of %s %.2f s ago, for a life of %.2f s", p.name, e.Observer, e.Subject,
+		c.violated(ruleExpiry, "%s uses the entry of %s on %s of %.2f s ago, with a TTL of %.2f s", p.name, e.Observer, e.Subject,
 			float64(age)/float64(sec), float64(e.TTL)/float64(sec))
 	}
 }
 
-// polled judges a Balancer's state after it was told.
+// checkDecisions checks a balancer's state after it received reports.
 func (c *checker) checkDecisions(p *proxy, now int64) {
 	sim := c.sim
 	p.cluster.agesCountedAt = sim.now / sec
 	c.checkEjections(p)
-	away, all := uint64(0), true
+	evacuated, all := uint64(0), true
 	for _, z := range p.balancer.ZoneStates(now) {
 		out := z.Phase == balancer.ZoneEvacuated || sim.cfg.seeded == seedAllEvacuated
 		if all = all && out; out {
-			away |= 1 << z.Zone
+			evacuated |= 1 << z.Zone
 		}
 	}
-	if away != 0 && all {
-		c.violated(ruleSomeZone, "%s has left all zones", p.name)
+	if evacuated != 0 && all {
+		c.violated(ruleSomeZone, "%s has evacuated all zones", p.name)
 	}
-	changed := away != p.cluster.evacuatedZones
-	p.cluster.evacuatedZones = away
+	changed := evacuated != p.cluster.evacuatedZones
+	p.cluster.evacuatedZones = evacuated
 	if sim.network.cutGossip[p.zone*sim.cfg.Zones+p.zone] > 0 || sim.network.gossipLoss > maxCalmLoss || sim.network.gossipDelay > maxCalmDelay {
 		c.cluster.lastDisturbed[p.zone] = sim.now
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-// agree looks whether the proxies of a zone hold the same of all zones.
+// checkAgreement checks whether the proxies of a zone evacuate the same zones.
 func (c *checker) checkAgreement(zone int) {
 	sim := c.sim
 	all, some, n := ^uint64(0), uint64(0), 0
@@ -113,37 +113,37 @@
 	}
 	calm := sim.now-c.cluster.lastDisturbed[zone] >= calmDuration
 	for z := range sim.cfg.Zones {
-		g, bit := &c.cluster.agreements[zone*sim.cfg.Zones+z], uint64(1)<<z
+		agreement, bit := &c.cluster.agreements[zone*sim.cfg.Zones+z], uint64(1)<<z
 		switch {
 		case n < 2 || !calm || all&bit == some&bit:
-			if g.firstDiffered >= 0 && n > 1 && calm {
-				sim.result.Disagreements.add(sim.now - g.firstDiffered)
+			if agreement.firstDiffered >= 0 && n > 1 && calm {
+				sim.result.Disagreements.add(sim.now - agreement.firstDiffered)
 				if all&bit != 0 {
-					sim.result.EvacuationSpread.add(sim.now - g.firstDiffered)
+					sim.result.EvacuationSpread.add(sim.now - agreement.firstDiffered)
 				}
 			}
-			g.differsSince, g.firstDiffered = -1, -1
-		case g.differsSince < 0:
-			g.differsSince, g.firstDiffered = sim.now, sim.now
-		case sim.now-g.differsSince > maxDisagreement:
+			agreement.differsSince, agreement.firstDiffered = -1, -1
+		case agreement.differsSince < 0:
+			agreement.differsSince, agreement.firstDiffered = sim.now, sim.now
+		case sim.now-agreement.differsSince > maxDisagreement:
 			c.violated(ruleAgreement, "proxies of %s differ on %s for %.2f s", zoneName(zone), zoneName(z),
-				float64(sim.now-g.differsSince)/float64(sec))
-			g.differsSince = sim.now
+				float64(sim.now-agreement.differsSince)/float64(sec))
+			agreement.differsSince = sim.now
 		}
 	}
 }
 
-// hears tells whether a proxy has run long enough to hold what the others of its zone do, and tells the truth.
+// isInSync reports whether a proxy has run long enough to hold what the others of its zone do, and is not byzantine.
 func (p *proxy) isInSync() bool {
 	now := p.sim.now
 	return p.cluster != nil && p.up && !p.stopped && len(p.cluster.falseZones) == 0 &&
 		(p.startedAt == 0 || now-p.startedAt > calmDuration) && (p.resumedAt == 0 || now-p.resumedAt > calmDuration)
 }
 
-// removed judges how much of the tier, and of each zone, is out by the word of others.
+// checkEjections checks how much of the tier, and of each zone, is ejected by reports of others.
 func (c *checker) checkEjections(p *proxy) {
-	gone := p.balancer.EjectedServers()
-	if len(gone) == 0 {
+	ejected := p.balancer.EjectedServers()
+	if len(ejected) == 0 {
 		return
 	}
 	sim := c.sim
@@ -154,21 +154,21 @@
 			ready[sim.cfg.Zones]++
 		}
 	}
-	for _, id := range gone {
+	for _, id := range ejected {
 		target := sim.serverByName(id)
 		if !p.cluster.reportedUnhealthy[target.id] {
-			c.violated(ruleExpiry, "%s leaves %s out, which nobody calls bad since its start", p.name, id)
+			c.violated(ruleExpiry, "%s ejects %s, which nobody reported since its start", p.name, id)
 		}
 		out[target.zone]++
 		out[sim.cfg.Zones]++
 	}
 	for i, n := range out {
-		most := max(minEjectable, int(maxEjectedFraction*float64(ready[i])))
+		maximum := max(minEjectable, int(maxEjectedFraction*float64(ready[i])))
 		if sim.cfg.seeded == seedNoBudget {
-			most /= 10
+			maximum /= 10
 		}
-		if n > most {
-			c.violated(ruleEjectionBudget, "%s has %d of %d nodos out by verdict, in %d of %d zones", p.name, n, ready[i], i, sim.cfg.Zones)
+		if n > maximum {
+			c.violated(ruleEjectionBudget, "%s ejects %d of %d servers by reports, in zone %d of %d", p.name, n, ready[i], i, sim.cfg.Zones)
 		}
 	}
 }
--- a/internal/faultlab/model/client.go
+++ b/internal/faultlab/model/client.go
@@ -10,15 +10,15 @@
 	"strconv"
 )
 
-// The front that leads clients to proxies takes notice of one that has ended or stopped after this long, and leads
-// them to another, of the same zone where there is one.
+// frontDetection is how long the clients' front end takes to detect a proxy that ended or was paused. It then leads its
+// clients to another one, of the same zone if there is one.
 const frontDetection = 2 * sec
 
-// clients send requests on an open loop: what the fleet does changes nothing about when they come.
+// clients send requests in an open loop: arrivals do not depend on the cluster's behaviour.
 type clients struct {
 	random      *rand.Rand
-	proxyShares []float64 // of the proxies' parts, running
-	classShares []float64 // of the classes', running
+	proxyShares []float64 // cumulative
+	classShares []float64 // cumulative
 	arrivals    int
 }
 
@@ -44,12 +44,12 @@
 	})
 }
 
-// draw draws an index by running sums.
+// draw draws an index by cumulative weights.
 func draw(r *rand.Rand, sums []float64) int {
 	return min(sort.SearchFloat64s(sums, r.Float64()*sums[len(sums)-1]), len(sums)-1)
 }
 
-// arrive draws all of a request before it looks at any proxy, so that the arrivals are the same whatever happens.
+// arrive draws a request completely before it looks at any proxy, so that arrivals are the same whatever happens.
 func (c *clients) arrive(sim *simulation) {
 	c.arrivals++
 	at, class, part := draw(c.random, c.proxyShares), draw(c.random, c.classShares), c.random.Float64()
@@ -62,9 +62,9 @@
 		sim.result.count(sim, req, endUnreached)
 		return
 	}
-	life := p.incarnation
+	incarnation := p.incarnation
 	req.excused = p.stopped
-	p.deliver(life, func() {
+	p.deliver(incarnation, func() {
 		if !req.closed {
 			p.handle(req)
 		}
@@ -73,33 +73,33 @@
 		if req.closed {
 			return
 		}
-		if p.stopped { // nobody is there to be told: the client goes all the same
+		if p.stopped { // the proxy cannot notice
 			req.closed = true
 			sim.result.count(sim, req, endUnanswered)
 			return
 		}
-		p.deliver(life, func() { p.cancel(req) })
+		p.deliver(incarnation, func() { p.cancel(req) })
 	})
 }
 
-// front is the proxy that a client of one gets to.
+// front returns the proxy that serves a client of p; nil for none.
 func (c *clients) front(sim *simulation, p *proxy) *proxy {
 	if p.isUpForFront() {
 		return p
 	}
 	for _, near := range []bool{true, false} {
 		for i := 1; i < len(sim.proxies); i++ {
-			// Clients of one proxy spread over the others: the step is the request's own.
-			o := sim.proxies[(p.id+1+(c.arrivals+i)%(len(sim.proxies)-1))%len(sim.proxies)]
-			if (o.zone == p.zone) == near && o.isUpForFront() && o.up {
-				return o
+			// The start differs by request, so that clients spread over the others.
+			peer := sim.proxies[(p.id+1+(c.arrivals+i)%(len(sim.proxies)-1))%len(sim.proxies)]
+			if (peer.zone == p.zone) == near && peer.isUpForFront() && peer.up {
+				return peer
 			}
 		}
 	}
 	return nil
 }
 
-// seemsUp is what the front believes of a proxy.
+// isUpForFront reports whether the front end considers a proxy up.
 func (p *proxy) isUpForFront() bool { return p.up && !p.stopped || p.sim.now-p.downAt < frontDetection }
 
 func sortedRequests(m map[string]*request) []*request {
--- a/internal/faultlab/model/cluster.go
+++ b/internal/faultlab/model/cluster.go
@@ -8,106 +8,107 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// fleet is a proxy's part in what the proxies share.
+// clusterMember is a proxy's cluster state. Times of the proxy's loop are on its own clock, others on the virtual clock.
 type clusterMember struct {
 	store              *state.Store
 	outbound           transmitQueue
-	lastHeard          int64 // when anybody was, virtual time
+	lastHeard          int64 // any other member
 	lastProbe          int64
-	deafUntil          int64  // until then it leaves out what it hears, on its own clock
-	lastTick           int64  // when its loop ran last, on its own clock
-	falseZones         []int  // of zones
-	agesCountedAt      int64  // the second in which ages were last counted
-	reportedUnhealthy  []bool // by nodo: others call it bad, and mean its present start
-	evacuatedZones     uint64 // zones that its Balancer has left, as of its last turn
-	agreementCheckedAt int64  // when that was last held against the others of its zone
+	deafUntil          int64  // on its own clock: until then it drops gossip
+	lastTick           int64  // on its own clock
+	falseZones         []int  // zones that it falsely reports as unhealthy
+	agesCountedAt      int64  // the second of the run in which ages were last recorded
+	reportedUnhealthy  []bool // by server: others report it, and mean its present start
+	evacuatedZones     uint64 // bit set, as of the last iteration
+	agreementCheckedAt int64
 }
 
-// What waits in a socket grows older than it says. So a proxy whose loop stood for longer than stallMost leaves out
-// what it hears until stallDeaf later, when all that waited has been read.
+// Entries that wait in a socket are older than their ages say. A proxy whose loop was paused for longer than maxLoopGap
+// therefore drops gossip until deafAfterGap later, when all that waited has been read.
 const (
 	maxLoopGap   = sec
 	deafAfterGap = 300 * ms
 )
 
-// join begins a proxy's part with an empty view.
+// joinCluster starts a proxy's membership with an empty store.
 func (p *proxy) joinCluster() {
 	if !p.sim.cfg.Cluster {
 		return
 	}
-	var lies []int
+	var falseZones []int
 	if p.cluster != nil {
-		lies = p.cluster.falseZones
+		falseZones = p.cluster.falseZones
 	}
 	sim, now := p.sim, p.clock()
-	p.cluster = &clusterMember{lastHeard: sim.now, lastTick: now, falseZones: lies,
+	p.cluster = &clusterMember{lastHeard: sim.now, lastTick: now, falseZones: falseZones,
 		store:    state.New(state.Identity{Name: p.name, Zone: zoneName(p.zone), StartedAtMs: now / ms}, state.Limits{}),
 		outbound: newTransmitQueue(sim.gossip.transmitCount)}
-	life := p.incarnation
-	sim.after(sim.gossip.random.Int64N(gossipInterval), evGossip, p.id, func() { p.deliver(life, func() { p.gossip(life) }) })
+	incarnation := p.incarnation
+	sim.after(sim.gossip.random.Int64N(gossipInterval), evGossip, p.id, func() { p.deliver(incarnation, func() { p.gossip(incarnation) }) })
 	first := sim.gossip.random.Int64N(fullExchangeInterval)
-	if sim.now > 0 { // one that joins a fleet exchanges all with one that it knows, at once
+	if sim.now > 0 { // one that joins a running cluster makes a full exchange at once
 		first = 0
 	}
-	sim.after(first, evGossip, p.id, func() { p.deliver(life, func() { p.fullExchange(life) }) })
+	sim.after(first, evGossip, p.id, func() { p.deliver(incarnation, func() { p.fullExchange(incarnation) }) })
 }
 
-// hear takes a packet in.
-func (p *proxy) receive(k gossipPacket) {
+// receive merges a packet and queues what is new.
+func (p *proxy) receive(packet gossipPacket) {
 	now := p.clock()
 	if (now-p.cluster.lastTick > maxLoopGap || now < p.cluster.deafUntil) && p.sim.cfg.seeded != seedStalled {
 		p.sim.result.DroppedAfterPause++
 		return
 	}
 	p.cluster.lastHeard = p.sim.now
-	in := p.unpack(k)
-	news := p.cluster.store.Merge(now, in)
-	p.sim.gossip.publications.recordReceived(p, news)
-	p.cluster.outbound.add(news)
+	entries := p.unpack(packet)
+	changed := p.cluster.store.Merge(now, entries)
+	p.sim.gossip.publications.recordReceived(p, changed)
+	p.cluster.outbound.add(changed)
 }
 
-// exchange is the part of the loop's turn that tells and hears.
+// exchangeReports is the part of the loop's iteration that publishes reports and passes those of others on.
 func (p *proxy) exchangeReports() {
-	f, sim, now := p.cluster, p.sim, p.clock()
-	if now-f.lastTick > maxLoopGap {
-		f.deafUntil = now + deafAfterGap
+	member, sim, now := p.cluster, p.sim, p.clock()
+	if now-member.lastTick > maxLoopGap {
+		member.deafUntil = now + deafAfterGap
 	}
-	f.lastTick = now
-	items := adapter.ToObservations(p.balancer.Reports(now), sim.zoneNumbers)
+	member.lastTick = now
+	observations := adapter.ToObservations(p.balancer.Reports(now), sim.zoneNumbers)
 	if sim.cfg.ExtraLoadReports > 0 {
-		items = append(items, p.extraLoadReports()...)
+		observations = append(observations, p.extraLoadReports()...)
 	}
-	told := f.store.Publish(now, append(items, p.falseReports()...))
-	sim.gossip.publications.recordPublished(p, told)
-	f.outbound.add(told)
+	published := member.store.Publish(now, append(observations, p.falseReports()...))
+	sim.gossip.publications.recordPublished(p, published)
+	member.outbound.add(published)
 	p.balancer.HandlePeerReports(now, p, p.peerReports(now))
 	sim.check.checkDecisions(p, now)
 }
 
-// peers is what the view knows, as the Balancer takes it.
+// peerReports returns the store's entries in the balancer's terms.
 func (p *proxy) peerReports(now int64) balancer.PeerReports {
 	sim := p.sim
-	known := p.cluster.store.PeerEntries(now)
-	h := balancer.PeerReports{Isolated: sim.now-p.cluster.lastHeard >= isolationTimeout, Reports: make([]balancer.Report, 0, len(known))}
+	entries := p.cluster.store.PeerEntries(now)
+	h := balancer.PeerReports{Isolated: sim.now-p.cluster.lastHeard >= isolationTimeout, Reports: make([]balancer.Report, 0, len(entries))}
 	h.LiveReplicas, h.LiveReplicasInZone = sim.gossip.count(sim, p)
 	if p.id == 0 && sim.cfg.seeded == seedDeaf {
 		return h
 	}
 	p.cluster.reportedUnhealthy = make([]bool, len(sim.servers))
-	for i := range known {
+	for i := range entries {
 		if sim.cfg.seeded == seedAfterExpiry {
-			known[i].ObservedAt -= known[i].TTL
+			entries[i].ObservedAt -= entries[i].TTL
 		}
-		sim.check.checkEntryUse(p, now, &known[i])
-		if r, ok := p.report(&known[i]); ok {
+		sim.check.checkEntryUse(p, now, &entries[i])
+		if r, ok := p.report(&entries[i]); ok {
 			h.Reports = append(h.Reports, r)
 		}
 	}
 	return h
 }
 
-func indicator(so bool) float64 {
-	if so {
+// indicator returns 1 for true and 0 for false.
+func indicator(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
@@ -137,7 +138,7 @@
 	return r, ok
 }
 
-// lie has a proxy say that all nodos of a zone are bad, or end that.
+// setFalseReports makes a proxy report a zone and all its servers as unhealthy (by > 0), or ends that.
 func (p *proxy) setFalseReports(zone, by int) {
 	if p.cluster == nil {
 		return
@@ -154,7 +155,8 @@
 	}
 }
 
-// falsehoods are what a liar says. Say takes the first of two items on one subject.
+// falseReports returns a byzantine proxy's observations. True ones of the same
+// subject precede them, and Publish takes the first.
 func (p *proxy) falseReports() (out []state.Observation) {
 	for _, z := range p.cluster.falseZones {
 		body := state.Body{Fault: adapter.WireFault(balancer.FaultUnresponsive), Calls: 1000, BadFraction: 1}
@@ -168,7 +170,7 @@
 	return out
 }
 
-// chatter is what a proxy tells where only the spreading is looked at: so many summaries of nodos, which all move.
+// extraLoadReports returns load reports that change all the time, for runs that look at propagation only.
 func (p *proxy) extraLoadReports() (out []state.Observation) {
 	for i := range min(p.sim.cfg.ExtraLoadReports, len(p.sim.servers)) {
 		target := p.sim.servers[(p.id+i)%len(p.sim.servers)]
--- a/internal/faultlab/model/config.go
+++ b/internal/faultlab/model/config.go
@@ -1,11 +1,11 @@
-// Package model plays a whole fleet in one process on one virtual clock: many logic.Balancers, the nodos that they
-// send to, clients, the list, and the gossip between proxies. There are no sockets, no goroutines and no clock of the
-// machine; all chance comes from one seed, so the same Config gives the same run, event for event (Result.Sum).
+// Package model simulates a cluster in one process on one virtual clock: many balancer.Balancers, the servers that they
+// send to, clients, the endpoint list, and the gossip between proxies. It uses no sockets, no goroutines and no real clock,
+// and draws all randomness from one seed, so equal configurations give the same run, event for event (Result.Hash).
 //
-// It stands beside the fault lab (cmd/merlinpick-faultlab), which plays few real processes at the pace of the machine: the model
-// plays hundreds of proxies through thousands of schedules of faults, and checks after each event what must always
-// hold (check.go). What it leaves out: connections and their handshakes, bodies, bytes on the wire, the machine's own
-// load. All times are microseconds of the virtual clock, which begins at 0.
+// The fault lab (cmd/merlinpick-faultlab) runs few real processes in real time; the model runs hundreds of proxies through
+// thousands of schedules of faults, and checks invariants after each event (check.go). It leaves out connections and
+// handshakes, bodies, bytes on the wire, and the machine's load. Times are int64 microseconds of the virtual clock, which
+// starts at 0.
 package model
 
 import (
@@ -22,51 +22,52 @@
 // Class is a class of requests as clients send it.
 type Class struct {
 	balancer.Class
-	Share   float64 // of all requests, in proportion to the other classes'
-	WorkMin int64   // on a slot of speed 1; drawn evenly between the two
+	Share   float64 // of all requests, relative to the other classes
+	WorkMin int64   // microseconds on a slot of speed 1; drawn uniformly up to WorkMax
 	WorkMax int64
 }
 
-// Config is all that a run depends on.
+// Config determines a run. Durations are microseconds.
 type Config struct {
 	Seed     uint64
-	Duration int64 // the run's length
+	Duration int64
 	Zones    int
-	Regions  int // 1 or 2: the zones' first half is in one, the rest in the other
-	Proxies  int // over all zones, spread evenly
+	Regions  int // 1 or 2, of which each has half of the zones
+	Proxies  int // in all zones, evenly
 	Servers  int
 
-	Rate    float64 // requests a second over all proxies, Poisson
-	Skew    float64 // standard deviation of the logarithm of a proxy's part of them
+	Rate    float64 // requests a second at all proxies, a Poisson process
+	Skew    float64 // standard deviation of the logarithm of a proxy's share of them
 	Classes []Class
 
 	Slots                int
 	Queue                int
 	Speed                float64 // of a slot
-	SlowStartMinCapacity float64 // as logic.Settings
+	SlowStartMinCapacity float64 // as in balancer.Settings
 	SlowStartDuration    int64
-	OverloadMultiple     float64 // of its present capacity: a cold nodo that is sent more for Fall falls over
+	OverloadMultiple     float64 // of its present capacity: a warming server that gets more for OverloadWindow fails
 	OverloadWindow       int64
 
-	ListAddDelay    int64 // until a proxy hears of a nodo that has started
-	ListRemoveDelay int64 // of one that has ended: its lease has to run out
-	DialTimeout     int64 // until a connection that nobody answers is given up
+	ListAddDelay    int64 // until a proxy receives a started server
+	ListRemoveDelay int64 // until a proxy receives an ended server's removal: the lease has to expire
+	DialTimeout     int64 // of a connection that is not answered
 
-	MaxClockOffset int64   // a proxy's clock is off by up to this, either way
-	MaxClockDrift  float64 // and runs fast or slow by up to this part
+	MaxClockOffset int64   // of a proxy's clock, either way
+	MaxClockDrift  float64 // fraction by which it is fast or slow
 
-	Cluster          bool    // proxies tell each other what they see
-	Encoded          bool    // through the packets of view.Encode and view.Decode, instead of entry by entry
-	Loss             float64 // part of gossip packets that is lost all the time
-	ExtraLoadReports int     // summaries that each proxy tells beside, anew all the time: what spreads is looked at, not why
+	Cluster          bool    // proxies gossip
+	Encoded          bool    // gossip passes state.Encode and state.Decode
+	Loss             float64 // fraction of gossip packets
+	ExtraLoadReports int     // that each proxy publishes in addition, to look at propagation
 
 	Faults []Fault
 
-	log    func(at int64, proxy, line string) // takes what proxies tell on-call staff; may be nil
-	seeded seededFault                        // a fault in the fleet's own rules, which the checks must find; tests only
+	log    func(at int64, proxy, line string) // gets the balancers' events; may be nil
+	seeded seededFault                        // which the checks must detect; tests only
 }
 
-// Default is a fleet of a moderate size under two thirds of what it can take: classes as in the lab's calm.toml.
+// Default returns a cluster of moderate size at less than two thirds of its capacity, with the classes of the lab's
+// calm.toml.
 func Default() Config {
 	return Config{Seed: 1, Duration: 20 * sec, Zones: 3, Regions: 1, Proxies: 12, Servers: 18, Rate: 400, Skew: 0.5,
 		Classes: []Class{
@@ -80,7 +81,7 @@
 		ListAddDelay: 200 * ms, ListRemoveDelay: 3 * sec, DialTimeout: 300 * ms, MaxClockOffset: 100 * ms, MaxClockDrift: 0.01, Cluster: true}
 }
 
-// Capacity is what the nodos can take when warm, in requests a second.
+// Capacity returns the capacity of warm servers in requests a second.
 func (c *Config) Capacity() float64 {
 	work, share := 0.0, 0.0
 	for _, k := range c.Classes {
@@ -112,12 +113,12 @@
 	return nil
 }
 
-// ConfigError names the field of a Config that no run can be made of.
+// ConfigError reports an invalid field of a Config.
 type ConfigError struct{ Field string }
 
 func (e *ConfigError) Error() string { return "model: Config." + e.Field + ": out of range" }
 
-// settings is what a proxy is told.
+// settings returns a proxy's settings.
 func (c *Config) settings(ordinal, zone int) balancer.Settings {
 	s := balancer.Settings{Replicas: c.Proxies, ReplicaIndex: ordinal, Zone: zone, ZoneCount: c.Zones, MaxAttempts: 3,
 		DrainGrace: 500 * ms, SlowStartMinCapacity: c.SlowStartMinCapacity, SlowStartDuration: c.SlowStartDuration,
--- a/internal/faultlab/model/fault.go
+++ b/internal/faultlab/model/fault.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault. Targets, Zone, To, Value and Period are fields of Fault.
 type FaultKind int
 
 const (
-	ZoneLost           FaultKind = iota // Zone, nodos and proxies: nobody answers; it returns cold
-	CutResponses                        // what Zone's nodos answer to the proxies of To is lost, and what Zone tells To
-	CutBoth                             // nothing passes between Zone and To; connections do not come up
-	ProxyKilled                         // Who; started again at the end
-	ProxyPaused                         // Who; continued at the end
-	ServerKilled                        // Who; started cold at the end
-	ServerErrors                        // Who: Value of their answers are errors
-	ServerSlow                          // Who: work takes Value times as long
-	ServerUnresponsive                  // Who take requests and answer none
-	ServerFlaps                         // Who fail for Every, are well for Every, and so on
-	GossipLoss                          // Value of the packets is lost
-	GossipDelay                         // packets come up to Value seconds late, in any order
-	GossipPartition                     // nothing is told from Zone to To; with Zone < 0 nowhere
-	ByzantineProxies                    // Who (proxies) say that all nodos of Zone are bad, and that Zone is
+	ZoneLost           FaultKind = iota // servers and proxies of Zone do not answer; they return warming up
+	CutResponses                        // responses and gossip from Zone to To are lost
+	CutBoth                             // no connection, response or gossip between Zone and To
+	ProxyKilled                         // Targets; started again at the end
+	ProxyPaused                         // Targets; resumed at the end
+	ServerKilled                        // Targets; started at the end, warming up
+	ServerErrors                        // Targets: fraction Value of their responses are errors
+	ServerSlow                          // Targets: work takes Value times as long
+	ServerUnresponsive                  // Targets accept requests and do not respond
+	ServerFlaps                         // Targets fail for Period, are healthy for Period, and so on
+	GossipLoss                          // fraction Value of the packets is lost
+	GossipDelay                         // packets are up to Value seconds late, and reordered
+	GossipPartition                     // no gossip from Zone to To; with Zone < 0 none at all
+	ByzantineProxies                    // Targets (proxies) report Zone and all its servers as unhealthy
 	faultKindCount
 )
 
@@ -31,11 +31,12 @@
 	if k < 0 || k >= faultKindCount {
 		return "unknown"
 	}
-	return [...]string{"zone_lost", "cut_answers", "cut_both", "proxy_killed", "proxy_halted", "nodo_killed", "nodo_fails",
-		"nodo_slow", "nodo_silent", "nodo_flaps", "gossip_lost", "gossip_late", "gossip_cut", "liars"}[k]
+	return [...]string{"zone lost", "responses cut", "links cut", "proxy killed", "proxy paused", "server killed",
+		"server errors", "server slow", "server unresponsive", "server flaps", "gossip loss", "gossip delay",
+		"gossip partition", "byzantine proxies"}[k]
 }
 
-// Fault is one fault and its time. With a To below 0 a cut concerns Zone and all others.
+// Fault is a fault from At for Duration. To < 0 stands for all zones but Zone.
 type Fault struct {
 	Kind         FaultKind
 	At, Duration int64
@@ -51,20 +52,20 @@
 }
 
 func (f *Fault) valid(c *Config) bool {
-	most := c.Servers
+	maximum := c.Servers
 	if f.onProxies() {
-		most = c.Proxies
+		maximum = c.Proxies
 	}
 	return f.Kind >= 0 && f.Kind < faultKindCount && f.At >= 0 && f.Duration > 0 && f.Zone < c.Zones && f.To < c.Zones &&
 		(f.Zone >= 0 || f.Kind == GossipPartition) && (f.Kind != ServerFlaps || f.Period > 0) &&
-		!slices.ContainsFunc(f.Targets, func(i int) bool { return i < 0 || i >= most })
+		!slices.ContainsFunc(f.Targets, func(i int) bool { return i < 0 || i >= maximum })
 }
 
 func (f *Fault) onProxies() bool {
 	return f.Kind == ProxyKilled || f.Kind == ProxyPaused || f.Kind == ByzantineProxies
 }
 
-// plan has a fault begin and end.
+// schedule plans a fault's start and end.
 func (w *simulation) schedule(f *Fault) {
 	w.after(f.At, evFault, int(f.Kind), func() { w.startFault(f) })
 	w.after(f.At+f.Duration, evFault, int(f.Kind), func() { w.endFault(f) })
@@ -149,11 +150,11 @@
 
 func (w *simulation) restart(p *proxy) {
 	if err := p.start(); err != nil {
-		panic(err) // the same settings were accepted at its first start
+		panic(err) // cannot happen: the same settings were valid at its first start
 	}
 }
 
-// cut counts a cut of links in or out.
+// changeLinks adds (by 1) or removes (by -1) a cut of links.
 func (w *simulation) changeLinks(f *Fault, by int) {
 	for a := range w.cfg.Zones {
 		for b := range w.cfg.Zones {
@@ -174,7 +175,7 @@
 	w.gossip.updateReachable(w)
 }
 
-// flap has nodos fail and recover in turn.
+// flap makes servers fail and recover in turn.
 func (w *simulation) flap(f *Fault, bad bool) {
 	if w.now >= f.At+f.Duration {
 		return
@@ -186,8 +187,7 @@
 	w.after(f.Period, evFault, int(f.Kind), func() { w.flap(f, !bad) })
 }
 
-// Schedule draws a schedule of faults from the seed for a configuration: some few that overlap, of all kinds, the last
-// over before the run is.
+// Schedule draws one to four faults of any kind, which may overlap, from the configuration's seed. All end before the run.
 func Schedule(c *Config) []Fault {
 	r := source(c.Seed, chanceFaults)
 	var out []Fault
@@ -225,7 +225,8 @@
 	return out
 }
 
-// liars are a third of each zone's proxies, rounded down: more would be most of those that saw anything.
+// byzantineTargets returns a third of each zone's proxies, rounded down: more could be a majority of those that observe a
+// server.
 func byzantineTargets(c *Config) (who []int) {
 	in := map[int]int{}
 	for i := range c.Proxies {
@@ -237,7 +238,7 @@
 	return who
 }
 
-// some draws from one up to a part of n.
+// randomTargets draws at least one and up to a fraction of n indices.
 func randomTargets(r *rand.Rand, n int, most float64) []int {
 	who := r.Perm(n)[:1+r.IntN(max(1, int(most*float64(n))))]
 	slices.Sort(who)
--- a/internal/faultlab/model/gossip.go
+++ b/internal/faultlab/model/gossip.go
@@ -8,28 +8,28 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// How entries spread. It follows memberlist: each proxy sends what it has to tell to a few others so many times, and
-// exchanges all with one other now and then. Who lives is not gossiped here but known after a time, as SWIM has it.
+// Gossip follows memberlist: each proxy sends each entry a number of times to random others, and makes a full exchange with
+// one other now and then. Membership is not gossiped here but known after a delay, as by SWIM.
 const (
 	gossipInterval       = 100 * ms
-	gossipFanout         = 3       // others, each time
-	transmitMultiplier   = 4       // so many times the decimal logarithm of the proxies, rounded up, is each entry sent
-	fullExchangeInterval = 5 * sec // full exchange with one other
+	gossipFanout         = 3 // proxies per round
+	transmitMultiplier   = 4 // times the decimal logarithm of the number of proxies, rounded up
+	fullExchangeInterval = 5 * sec
 	maxPacketBytes       = 1400
-	maxPacketEntries     = 36      // entries, where none is encoded
-	deathDetection       = 4 * sec // until a proxy that has ended, or cannot be reached, counts as gone
+	maxPacketEntries     = 36      // where packets are not encoded
+	deathDetection       = 4 * sec // until a proxy that ended, or cannot be reached, counts as dead
 	joinDetection        = 500 * ms
-	isolationTimeout     = 3 * sec // without a word of anybody
+	isolationTimeout     = 3 * sec // since any other proxy was heard
 )
 
-// gossip is what the proxies' talk has in common.
+// gossipNetwork is what the gossip of all proxies shares.
 type gossipNetwork struct {
 	random              *rand.Rand
-	reachable           []bool // by from and to: zones that reach each other, over others too, as SWIM has found out
-	transmitCount       int    // that each entry is sent
+	reachable           []bool // by from and to: zones that reach each other, also by way of others, as SWIM has detected
+	transmitCount       int    // of each entry
 	publications        publicationLog
-	membershipChangedAt int64 // when a proxy last began, ended, was stopped or continued
-	liveByZone          []int // by zone: proxies that run, while none has moved for noticeDown; else nil
+	membershipChangedAt int64 // when a proxy last started, ended, was paused or resumed
+	liveByZone          []int // running proxies by zone, once nothing has changed for deathDetection; else nil
 }
 
 func (g *gossipNetwork) begin(sim *simulation) {
@@ -39,12 +39,12 @@
 	g.publications.begin()
 }
 
-// reach has the proxies find out, in a while, which zones reach which.
+// updateReachable makes the proxies detect, after a delay, which zones reach each other.
 func (g *gossipNetwork) updateReachable(sim *simulation) {
 	sim.after(deathDetection, evGossip, 0, func() { g.reachable = sim.network.reach() })
 }
 
-// reach tells which zones reach each other now, over any way there and back.
+// reach returns which zones reach each other now, both ways, also by way of others.
 func (n *network) reach() []bool {
 	z := n.zones
 	r := make([]bool, z*z)
@@ -67,71 +67,71 @@
 	return both
 }
 
-// knows tells whether a proxy takes another for living.
-func (g *gossipNetwork) isLive(sim *simulation, p, o *proxy) bool {
-	if !g.reachable[p.zone*sim.cfg.Zones+o.zone] {
+// isLive reports whether a proxy considers another one live.
+func (g *gossipNetwork) isLive(sim *simulation, p, peer *proxy) bool {
+	if !g.reachable[p.zone*sim.cfg.Zones+peer.zone] {
 		return false
 	}
-	if !o.up || o.stopped {
-		return sim.now-o.downAt < deathDetection
+	if !peer.up || peer.stopped {
+		return sim.now-peer.downAt < deathDetection
 	}
-	return o.startedAt == 0 || sim.now-o.startedAt >= joinDetection
+	return peer.startedAt == 0 || sim.now-peer.startedAt >= joinDetection
 }
 
-// stir tells that a proxy has begun, ended, been stopped or continued.
+// membershipChanged records that a proxy started, ended, was paused or resumed.
 func (g *gossipNetwork) membershipChanged(sim *simulation) {
 	g.membershipChangedAt, g.liveByZone = sim.now, nil
 }
 
-// count tells how many proxies one takes for living, itself included, and of them in its zone.
-func (g *gossipNetwork) count(sim *simulation, p *proxy) (living, near int) {
+// count returns how many proxies one considers live, itself included, and how many of them in its zone.
+func (g *gossipNetwork) count(sim *simulation, p *proxy) (live, liveInZone int) {
 	zones := sim.cfg.Zones
 	if g.liveByZone == nil && sim.now-g.membershipChangedAt >= deathDetection {
 		g.liveByZone = make([]int, zones)
-		for _, o := range sim.proxies {
-			g.liveByZone[o.zone] += int(indicator(o.up && !o.stopped))
+		for _, peer := range sim.proxies {
+			g.liveByZone[peer.zone] += int(indicator(peer.up && !peer.stopped))
 		}
 	}
-	if g.liveByZone == nil { // how long ago each moved counts
-		for _, o := range sim.proxies {
-			if o == p || g.isLive(sim, p, o) {
-				living++
-				near += int(indicator(o.zone == p.zone))
+	if g.liveByZone == nil { // detection delays matter
+		for _, peer := range sim.proxies {
+			if peer == p || g.isLive(sim, p, peer) {
+				live++
+				liveInZone += int(indicator(peer.zone == p.zone))
 			}
 		}
-		return living, near
+		return live, liveInZone
 	}
-	living, near = 1, 1
+	live, liveInZone = 1, 1
 	for z, n := range g.liveByZone {
 		switch {
 		case !g.reachable[p.zone*zones+z]:
 		case z == p.zone:
-			living, near = living+n-1, near+n-1
+			live, liveInZone = live+n-1, liveInZone+n-1
 		default:
-			living += n
+			live += n
 		}
 	}
-	return living, near
+	return live, liveInZone
 }
 
-// key is what an entry takes the place of another by.
+// entryKey identifies entries that replace each other.
 type entryKey struct {
 	kind     state.Kind
 	subject  string
 	observer string
 }
 
-// telling is an entry that is being spread.
+// queuedEntry is an entry that is being gossiped.
 type queuedEntry struct {
 	entry         state.Entry
 	transmissions int
-	stale         bool // a later one has taken its place
+	stale         bool // replaced by a later one
 }
 
-// spread holds what a proxy has to tell, by how often it was told: what was told least goes first, of that the latest.
+// transmitQueue holds entries by the number of their transmissions: the least sent go first, of these the latest.
 type transmitQueue struct {
 	byTransmissions [][]*queuedEntry
-	stale           []int // of each of these: how many are
+	stale           []int // how many are, in each of these
 	latest          map[entryKey]*queuedEntry
 }
 
@@ -139,157 +139,157 @@
 	return transmitQueue{make([][]*queuedEntry, times), make([]int, times), map[entryKey]*queuedEntry{}}
 }
 
-func (s *transmitQueue) add(entries []state.Entry) {
+func (q *transmitQueue) add(entries []state.Entry) {
 	for _, e := range entries {
 		k := entryKey{e.Kind, e.Subject, e.Observer}
-		if old := s.latest[k]; old != nil {
-			s.markStale(old)
+		if old := q.latest[k]; old != nil {
+			q.markStale(old)
 		}
-		t := &queuedEntry{entry: e}
-		s.latest[k] = t
-		s.byTransmissions[0] = append(s.byTransmissions[0], t)
+		queued := &queuedEntry{entry: e}
+		q.latest[k] = queued
+		q.byTransmissions[0] = append(q.byTransmissions[0], queued)
 	}
 }
 
-// overtake leaves a telling where it is, so that its line is not searched, but clears a line of which most are stale: in
-// a large fleet a line's beginning is never reached.
-func (s *transmitQueue) markStale(t *queuedEntry) {
-	t.stale = true
-	i := t.transmissions
-	if s.stale[i]++; s.stale[i] > 64 && 2*s.stale[i] > len(s.byTransmissions[i]) {
-		s.byTransmissions[i] = slices.DeleteFunc(s.byTransmissions[i], func(t *queuedEntry) bool { return t.stale })
-		s.stale[i] = 0
+// markStale leaves an entry in its slice, so that this is not searched, but compacts a slice of which most are stale: in a
+// large cluster the start of a slice is never reached.
+func (q *transmitQueue) markStale(queued *queuedEntry) {
+	queued.stale = true
+	i := queued.transmissions
+	if q.stale[i]++; q.stale[i] > 64 && 2*q.stale[i] > len(q.byTransmissions[i]) {
+		q.byTransmissions[i] = slices.DeleteFunc(q.byTransmissions[i], func(queued *queuedEntry) bool { return queued.stale })
+		q.stale[i] = 0
 	}
 }
 
-// take gives up to most entries, each counted as told once more.
-func (s *transmitQueue) take(most int) (out []state.Entry) {
-	taken := make([]*queuedEntry, 0, most)
-	out = make([]state.Entry, 0, most)
-	for i, line := range s.byTransmissions {
-		n := len(line)
-		for n > 0 && len(out) < most {
+// take returns up to maximum entries and counts a transmission of each.
+func (q *transmitQueue) take(maximum int) (out []state.Entry) {
+	sent := make([]*queuedEntry, 0, maximum)
+	out = make([]state.Entry, 0, maximum)
+	for i, bucket := range q.byTransmissions {
+		n := len(bucket)
+		for n > 0 && len(out) < maximum {
 			n--
-			if t := line[n]; !t.stale {
-				out, taken = append(out, t.entry), append(taken, t)
+			if queued := bucket[n]; !queued.stale {
+				out, sent = append(out, queued.entry), append(sent, queued)
 			} else {
-				s.stale[i]--
+				q.stale[i]--
 			}
 		}
-		clear(line[n:])
-		s.byTransmissions[i] = line[:n]
+		clear(bucket[n:])
+		q.byTransmissions[i] = bucket[:n]
 	}
-	for _, t := range taken {
-		if t.transmissions++; t.transmissions < len(s.byTransmissions) {
-			s.byTransmissions[t.transmissions] = append(s.byTransmissions[t.transmissions], t)
+	for _, queued := range sent {
+		if queued.transmissions++; queued.transmissions < len(q.byTransmissions) {
+			q.byTransmissions[queued.transmissions] = append(q.byTransmissions[queued.transmissions], queued)
 		} else {
-			delete(s.latest, entryKey{t.entry.Kind, t.entry.Subject, t.entry.Observer})
+			delete(q.latest, entryKey{queued.entry.Kind, queued.entry.Subject, queued.entry.Observer})
 		}
 	}
 	return out
 }
 
-// packet is what goes from proxy to proxy: entries with their ages, or the same encoded.
+// gossipPacket holds entries with their ages, or the same encoded.
 type gossipPacket struct {
 	entries []state.Entry
 	ages    []int64
 	encoded [][]byte
 }
 
-func (p *proxy) pack(entries []state.Entry, most int) gossipPacket {
+func (p *proxy) pack(entries []state.Entry, maximum int) gossipPacket {
 	now := p.clock()
 	if p.sim.cfg.Encoded {
-		return gossipPacket{encoded: state.Encode(now, entries, most)}
+		return gossipPacket{encoded: state.Encode(now, entries, maximum)}
 	}
-	k := gossipPacket{entries: entries, ages: make([]int64, len(entries))}
+	packet := gossipPacket{entries: entries, ages: make([]int64, len(entries))}
 	for i := range entries {
-		k.ages[i] = now - entries[i].ObservedAt
+		packet.ages[i] = now - entries[i].ObservedAt
 	}
-	return k
+	return packet
 }
 
-// unpack has the times on the reader's clock.
-func (p *proxy) unpack(k gossipPacket) []state.Entry {
+// unpack returns a packet's entries with times on the reader's clock.
+func (p *proxy) unpack(packet gossipPacket) []state.Entry {
 	now := p.clock()
 	var out []state.Entry
-	for _, b := range k.encoded {
+	for _, b := range packet.encoded {
 		entries, _, err := state.Decode(now, b)
 		if err != nil {
-			p.sim.check.violated(ruleExpiry, "a packet of a proxy's is not read by another: %v", err)
+			p.sim.check.violated(ruleExpiry, "a proxy cannot decode another's packet: %v", err)
 		}
 		out = append(out, entries...)
 	}
-	for i := range k.entries { // the packet is this reader's alone
-		k.entries[i].ObservedAt = now - k.ages[i]
+	for i := range packet.entries { // no other reader has the packet
+		packet.entries[i].ObservedAt = now - packet.ages[i]
 	}
 	if out == nil {
-		return k.entries
+		return packet.entries
 	}
 	return out
 }
 
-// gossip is one round of a proxy's.
-func (p *proxy) gossip(life int) {
+// gossip is one gossip round of a proxy.
+func (p *proxy) gossip(incarnation int) {
 	sim := p.sim
 	for range gossipFanout {
-		o := p.randomPeer()
-		if o == nil {
+		peer := p.randomPeer()
+		if peer == nil {
 			break
 		}
 		if entries := p.cluster.outbound.take(maxPacketEntries); len(entries) > 0 || sim.now-p.cluster.lastProbe >= sec {
-			p.cluster.lastProbe = sim.now // a probe, beside what is to be told, shows that this one lives
-			p.sendPacket(o, p.pack(entries, maxPacketBytes))
+			p.cluster.lastProbe = sim.now // an empty packet is a probe: it shows that this proxy is live
+			p.sendPacket(peer, p.pack(entries, maxPacketBytes))
 		}
 	}
-	sim.after(p.realDuration(gossipInterval), evGossip, p.id, func() { p.deliver(life, func() { p.gossip(life) }) })
+	sim.after(p.realDuration(gossipInterval), evGossip, p.id, func() { p.deliver(incarnation, func() { p.gossip(incarnation) }) })
 }
 
-// full exchanges all with one other, over a connection.
-func (p *proxy) fullExchange(life int) {
+// fullExchange exchanges all entries with one other proxy, over a connection.
+func (p *proxy) fullExchange(incarnation int) {
 	sim := p.sim
-	if o := p.randomPeer(); o != nil && sim.network.passesGossip(p.zone, o.zone) && sim.network.passesGossip(o.zone, p.zone) && o.up && !o.stopped {
-		there, back := sim.network.delay(p.zone, o.zone), sim.network.delay(o.zone, p.zone)
-		mine, other := p.pack(p.cluster.store.Entries(p.clock()), 32<<10), o.incarnation
-		sim.after(2*there+back, evPacket, o.id, func() {
-			o.deliver(other, func() {
-				theirs := o.pack(o.cluster.store.Entries(o.clock()), 32<<10)
-				o.receive(mine)
-				sim.after(back, evPacket, p.id, func() { p.deliver(life, func() { p.receive(theirs) }) })
+	if peer := p.randomPeer(); peer != nil && sim.network.passesGossip(p.zone, peer.zone) && sim.network.passesGossip(peer.zone, p.zone) && peer.up && !peer.stopped {
+		there, back := sim.network.delay(p.zone, peer.zone), sim.network.delay(peer.zone, p.zone)
+		mine, other := p.pack(p.cluster.store.Entries(p.clock()), 32<<10), peer.incarnation
+		sim.after(2*there+back, evPacket, peer.id, func() {
+			peer.deliver(other, func() {
+				theirs := peer.pack(peer.cluster.store.Entries(peer.clock()), 32<<10)
+				peer.receive(mine)
+				sim.after(back, evPacket, p.id, func() { p.deliver(incarnation, func() { p.receive(theirs) }) })
 			})
 		})
 	}
-	sim.after(p.realDuration(fullExchangeInterval), evGossip, p.id, func() { p.deliver(life, func() { p.fullExchange(life) }) })
+	sim.after(p.realDuration(fullExchangeInterval), evGossip, p.id, func() { p.deliver(incarnation, func() { p.fullExchange(incarnation) }) })
 }
 
-// peer draws another that this one takes for living; nil where a few draws find none.
+// randomPeer draws a proxy that this one considers live; nil if a few draws find none.
 func (p *proxy) randomPeer() *proxy {
 	for range 20 {
-		o := p.sim.proxies[p.sim.gossip.random.IntN(len(p.sim.proxies))]
-		if o != p && p.sim.gossip.isLive(p.sim, p, o) {
-			return o
+		peer := p.sim.proxies[p.sim.gossip.random.IntN(len(p.sim.proxies))]
+		if peer != p && p.sim.gossip.isLive(p.sim, p, peer) {
+			return peer
 		}
 	}
 	return nil
 }
 
-// talk sends a packet, which may be lost. One that is stopped has it wait in its socket, up to a bound.
-func (p *proxy) sendPacket(o *proxy, k gossipPacket) {
+// sendPacket sends a packet, which may be lost. It waits in the socket of a paused proxy, up to a limit.
+func (p *proxy) sendPacket(peer *proxy, packet gossipPacket) {
 	sim := p.sim
 	sim.result.Packets++
-	for _, b := range k.encoded {
+	for _, b := range packet.encoded {
 		sim.result.Bytes += len(b)
 	}
-	delay, ok := sim.network.gossipDelivery(p.zone, o.zone, sim.gossip.random)
-	if !ok || !o.up {
+	delay, ok := sim.network.gossipDelivery(p.zone, peer.zone, sim.gossip.random)
+	if !ok || !peer.up {
 		return
 	}
-	life := o.incarnation
-	sim.after(delay, evPacket, o.id, func() {
-		if o.stopped {
-			if o.inboxGossip++; o.inboxGossip > maxInboxGossip {
+	incarnation := peer.incarnation
+	sim.after(delay, evPacket, peer.id, func() {
+		if peer.stopped {
+			if peer.inboxGossip++; peer.inboxGossip > maxInboxGossip {
 				return
 			}
 		}
-		o.deliver(life, func() { o.receive(k) })
+		peer.deliver(incarnation, func() { peer.receive(packet) })
 	})
 }
--- a/internal/faultlab/model/gossip_run.go
+++ b/internal/faultlab/model/gossip_run.go
@@ -14,42 +14,42 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// Members plays the gossip of a whole fleet and nothing else, for sizes that a run with Balancers does not end at: the
-// product's view, queue and packets, with what each tells drawn from a plan. Members run side by side on all cores, in
-// steps of the virtual clock; what one sends comes to another in a later step. So the same Members give the same result.
-// Who lives is known, and nobody's clock is off; memberlist's own packets are not counted.
+// GossipConfig configures a run of a cluster's gossip alone, for sizes at which a run with balancers takes too long. It uses
+// the program's store, queue and packets, with drawn observations. Members run in parallel in steps of the virtual clock,
+// and packets arrive in a later step, so equal configurations give equal results. All members are live, all clocks exact,
+// and memberlist's own packets are not counted.
 type GossipConfig struct {
 	Seed        uint64
 	Duration    int64
 	Size        int
 	Zones       int
-	LoadReports int     // nodos that each tells the load of, all of which move all the time
-	Loss        float64 // part of the datagrams
+	LoadReports int     // servers of which each member publishes the load, which changes all the time
+	Loss        float64 // fraction of the datagrams
 }
 
-// MembersResult is what they came to. Bytes are of all members and the whole run.
+// GossipResult is the result of a run. Bytes are those of all members and the entire run.
 type GossipResult struct {
 	Datagrams, Bytes     int64
-	ExchangeBytes        int64                     // bytes of full exchanges
-	HealthAges, LoadAges durations                 // true ages of what members know of others, once a second
-	Entries, EntryBytes  [state.Override + 1]int64 // by kind, and their bytes in the datagrams looked at
-	EntriesHeld          durations                 // entries of others that a member knows, as counts
-	MembersKnown         durations                 // members of which it knows anything, as counts
-	DroppedAtLimit       uint64                    // entries for which there was no room in a view
-	Dropped              int64                     // entries that went unsent for the bound of a queue
+	ExchangeBytes        int64
+	HealthAges, LoadAges durations                 // true ages of peers' entries, once a second
+	Entries, EntryBytes  [state.Override + 1]int64 // by kind, in the datagrams that were sampled
+	EntriesHeld          durations                 // counts of peers' entries that a member holds
+	MembersKnown         durations                 // counts of members of which it holds any entry
+	DroppedAtLimit       uint64                    // entries, by stores
+	Dropped              int64                     // entries, by queues
 	lock                 sync.Mutex
 }
 
 const (
 	stepInterval         = 5 * ms
-	exchangeScaleMembers = 32 // members; above, memberlist has its exchanges rarer
-	sizeSampleInterval   = 64 // each so many datagrams one is looked at in full
+	exchangeScaleMembers = 32 // beyond it memberlist stretches the interval
+	sizeSampleInterval   = 64 // datagrams per one that is sampled
 	ageSampleMembers     = 200
-	changeInterval       = sec // what a member tells of loads, as logic has it
+	changeInterval       = sec // of a member's load reports, as in the balancer
 	maxExchangeBytes     = 1 << 20
 )
 
-// member is one of them.
+// member is one member of the cluster.
 type member struct {
 	run           *gossipRun
 	id            int
@@ -62,7 +62,7 @@
 	nextPublish   int64
 	nextGossip    int64
 	nextExchange  int64
-	publishedAt   []int64 // by Seq, from 1: when it was told
+	publishedAt   []int64 // by Seq, from 1
 	inbox         []message
 	out           []message
 	sent          int64
@@ -76,7 +76,7 @@
 type message struct {
 	at         int64
 	from, to   int
-	wantsReply bool // is wanted
+	wantsReply bool // this side's entries are wanted
 	data       [][]byte
 }
 
@@ -84,12 +84,12 @@
 	config           GossipConfig
 	now              int64
 	members          []*member
-	failingServer    int // the nodo that fails, from a fifth of the run to three fifths
+	failingServer    int // from a fifth of the run to three fifths
 	result           GossipResult
 	exchangeInterval int64 // between a member's full exchanges
 }
 
-// exchangeEach is the time between a member's full exchanges, as memberlist scales it.
+// exchangeInterval returns the time between a member's full exchanges, as memberlist scales it.
 func exchangeInterval(n int) int64 {
 	if n <= exchangeScaleMembers {
 		return fullExchangeInterval
@@ -97,50 +97,50 @@
 	return fullExchangeInterval * int64(math.Ceil(math.Log2(float64(n))-math.Log2(exchangeScaleMembers))+1)
 }
 
-// PlayMembers plays them to the end.
-func PlayGossip(c GossipConfig) *GossipResult {
-	f := &gossipRun{config: c, exchangeInterval: exchangeInterval(c.Size)}
-	for _, a := range []*durations{&f.result.HealthAges, &f.result.LoadAges, &f.result.EntriesHeld, &f.result.MembersKnown} {
+// PlayGossip runs a configuration to its end.
+func PlayGossip(config GossipConfig) *GossipResult {
+	run := &gossipRun{config: config, exchangeInterval: exchangeInterval(config.Size)}
+	for _, a := range []*durations{&run.result.HealthAges, &run.result.LoadAges, &run.result.EntriesHeld, &run.result.MembersKnown} {
 		*a = newDurations()
 	}
-	for i := range c.Size {
-		m := &member{run: f, id: i, zone: i * c.Zones / c.Size, random: source(c.Seed, chanceProxies+uint64(i))}
+	for i := range config.Size {
+		m := &member{run: run, id: i, zone: i * config.Zones / config.Size, random: source(config.Seed, chanceProxies+uint64(i))}
 		m.store = state.New(state.Identity{Name: memberName(i), Zone: zoneName(m.zone), StartedAtMs: epoch / ms}, state.Limits{})
-		m.queue = queue.New(func() int { return queue.TransmitCount(c.Size) })
-		m.nextPublish, m.nextGossip, m.nextExchange = m.random.Int64N(loopInterval), m.random.Int64N(gossipInterval), m.random.Int64N(f.exchangeInterval)
+		m.queue = queue.New(func() int { return queue.TransmitCount(config.Size) })
+		m.nextPublish, m.nextGossip, m.nextExchange = m.random.Int64N(loopInterval), m.random.Int64N(gossipInterval), m.random.Int64N(run.exchangeInterval)
 		m.nextChange = m.random.Int64N(changeInterval)
-		f.members = append(f.members, m)
+		run.members = append(run.members, m)
 	}
-	for looked := int64(0); f.now < c.Duration; f.now += stepInterval {
-		f.inParallel(func(m *member) { m.step() })
-		for _, m := range f.members {
-			for _, k := range m.out {
-				f.members[k.to].inbox = append(f.members[k.to].inbox, k)
+	for looked := int64(0); run.now < config.Duration; run.now += stepInterval {
+		run.inParallel(func(m *member) { m.step() })
+		for _, m := range run.members {
+			for _, message := range m.out {
+				run.members[message.to].inbox = append(run.members[message.to].inbox, message)
 			}
 			m.out = m.out[:0]
 		}
-		if f.now/sec != looked {
-			looked = f.now / sec
-			f.inParallel(func(m *member) { m.sampleAges(looked) })
+		if run.now/sec != looked {
+			looked = run.now / sec
+			run.inParallel(func(m *member) { m.sampleAges(looked) })
 		}
 	}
-	for _, m := range f.members {
-		f.result.Datagrams, f.result.Bytes, f.result.ExchangeBytes = f.result.Datagrams+m.sent, f.result.Bytes+m.bytes, f.result.ExchangeBytes+m.exchangeBytes
+	for _, m := range run.members {
+		run.result.Datagrams, run.result.Bytes, run.result.ExchangeBytes = run.result.Datagrams+m.sent, run.result.Bytes+m.bytes, run.result.ExchangeBytes+m.exchangeBytes
 		for k := range m.entries {
-			f.result.Entries[k] += m.entries[k]
-			f.result.EntryBytes[k] += m.sizes[k]
+			run.result.Entries[k] += m.entries[k]
+			run.result.EntryBytes[k] += m.sizes[k]
 		}
 		_, _, dropped := m.queue.Counts()
-		f.result.Dropped += dropped
-		f.result.DroppedAtLimit += m.store.Counts().DroppedAtLimit
+		run.result.Dropped += dropped
+		run.result.DroppedAtLimit += m.store.Counts().DroppedAtLimit
 	}
-	return &f.result
+	return &run.result
 }
 
 func memberName(i int) string { return fmt.Sprintf("proxy-%04d", i) }
 
-// abreast has each member do something once, side by side.
-func (f *gossipRun) inParallel(do func(*member)) {
+// inParallel calls a function once for each member, on all cores.
+func (run *gossipRun) inParallel(do func(*member)) {
 	const chunk = 8
 	var next atomic.Int64
 	var wait sync.WaitGroup
@@ -148,10 +148,10 @@
 		wait.Go(func() {
 			for {
 				from := int(next.Add(chunk)) - chunk
-				if from >= len(f.members) {
+				if from >= len(run.members) {
 					return
 				}
-				for _, m := range f.members[from:min(from+chunk, len(f.members))] {
+				for _, m := range run.members[from:min(from+chunk, len(run.members))] {
 					do(m)
 				}
 			}
@@ -165,11 +165,11 @@
 	m.receive(now)
 	if now >= m.nextPublish {
 		m.nextPublish += loopInterval
-		told := m.store.Publish(epoch+now, m.observe(now))
-		for range told {
+		published := m.store.Publish(epoch+now, m.observe(now))
+		for range published {
 			m.publishedAt = append(m.publishedAt, now)
 		}
-		m.queue.Add(told)
+		m.queue.Add(published)
 	}
 	if now >= m.nextGossip {
 		m.nextGossip += gossipInterval
@@ -183,32 +183,32 @@
 	}
 }
 
-// hear takes in what has come, in the order in which it came.
+// receive merges the messages that are due, in the order of their arrival.
 func (m *member) receive(now int64) {
 	var due []message
-	m.inbox = slices.DeleteFunc(m.inbox, func(k message) bool {
-		if k.at <= now {
-			due = append(due, k)
+	m.inbox = slices.DeleteFunc(m.inbox, func(received message) bool {
+		if received.at <= now {
+			due = append(due, received)
 		}
-		return k.at <= now
+		return received.at <= now
 	})
 	slices.SortStableFunc(due, func(a, b message) int { return int(a.at - b.at) })
 	for i := range due {
-		k := &due[i]
-		if k.wantsReply {
-			m.exchange(now, k.from, false)
+		received := &due[i]
+		if received.wantsReply {
+			m.exchange(now, received.from, false)
 		}
-		for _, data := range k.data {
-			in, _, err := state.Decode(epoch+now, data)
+		for _, data := range received.data {
+			entries, _, err := state.Decode(epoch+now, data)
 			if err != nil {
 				panic(err) // a member's own packet
 			}
-			m.queue.Add(m.store.Merge(epoch+now, in))
+			m.queue.Add(m.store.Merge(epoch+now, entries))
 		}
 	}
 }
 
-// plan is what it says: that zones are well, the loads of its nodos, and that one of them fails.
+// observe returns the observations: all zones are healthy, the load of some servers, and one server that fails.
 func (m *member) observe(now int64) []state.Observation {
 	c := &m.run.config
 	if now < m.nextChange {
@@ -219,9 +219,9 @@
 	for z := range c.Zones {
 		m.observations = append(m.observations, state.Observation{Kind: state.ZoneHealthy, Subject: zoneName(z), Body: state.Body{Calls: 50 + 50*m.random.Float64()}})
 	}
-	nodos := 2 * c.Size
+	servers := 2 * c.Size
 	for i := range c.LoadReports {
-		n := (2*m.id + i) % nodos
+		n := (2*m.id + i) % servers
 		name := "nodo-" + strconv.Itoa(10000 + n)[1:]
 		m.observations = append(m.observations, state.Observation{Kind: state.ServerLoad, Subject: name, SubjectStartMs: epoch/ms - 1000,
 			Body: state.Body{Calls: 10 + 10*m.random.Float64(), Value: 50_000 + 20_000*m.random.Float64()}})
@@ -241,7 +241,7 @@
 	return o
 }
 
-// tell sends one datagram.
+// sendDatagram sends one datagram to a random member.
 func (m *member) sendDatagram(now int64) {
 	data := m.queue.NextPacket(epoch+now, maxPacketBytes)
 	if data == nil {
@@ -249,11 +249,11 @@
 	}
 	m.bytes += int64(len(data))
 	if m.sent++; m.sent%sizeSampleInterval == 0 {
-		in, _, _ := state.Decode(epoch+now, data)
-		for i := range in {
-			one, _ := state.Pack(epoch+now, in[i:i+1], maxPacketBytes)
-			m.entries[in[i].Kind]++
-			m.sizes[in[i].Kind] += int64(len(one))
+		entries, _, _ := state.Decode(epoch+now, data)
+		for i := range entries {
+			one, _ := state.Pack(epoch+now, entries[i:i+1], maxPacketBytes)
+			m.entries[entries[i].Kind]++
+			m.sizes[entries[i].Kind] += int64(len(one))
 		}
 	}
 	to, lost := m.randomPeer(), m.random.Float64() < m.run.config.Loss
@@ -262,7 +262,7 @@
 	}
 }
 
-// exchange sends all, over a connection.
+// exchange sends all entries over a connection.
 func (m *member) exchange(now int64, to int, answer bool) {
 	data, size := state.Encode(epoch+now, m.store.Entries(epoch+now), state.MaxPacketBytes), 0
 	for i, p := range data {
@@ -287,30 +287,30 @@
 	return d + int64(m.random.Float64()*jitter*float64(d))
 }
 
-// look counts how old what it knows is.
+// sampleAges records the true ages of the entries that the member holds.
 func (m *member) sampleAges(second int64) {
 	c := &m.run.config
 	if every := max(1, c.Size/ageSampleMembers); (int64(m.id)+second)%int64(every) != 0 || second < 5 {
 		return
 	}
-	known := m.store.PeerEntries(epoch + m.run.now)
-	heard, last := 0, ""
-	res := &m.run.result
-	res.lock.Lock()
-	defer res.lock.Unlock()
-	for i := range known {
-		e := &known[i]
+	entries := m.store.PeerEntries(epoch + m.run.now)
+	observers, last := 0, ""
+	result := &m.run.result
+	result.lock.Lock()
+	defer result.lock.Unlock()
+	for i := range entries {
+		e := &entries[i]
 		if e.Observer != last {
-			heard, last = heard+1, e.Observer
+			observers, last = observers+1, e.Observer
 		}
 		of, _ := strconv.Atoi(e.Observer[len("proxy-"):])
 		age := m.run.now - m.run.members[of].publishedAt[e.Seq-1]
 		if e.Kind == state.ServerLoad {
-			res.LoadAges.add(age)
+			result.LoadAges.add(age)
 		} else {
-			res.HealthAges.add(age)
+			result.HealthAges.add(age)
 		}
 	}
-	res.EntriesHeld.add(int64(len(known)))
-	res.MembersKnown.add(int64(heard))
+	result.EntriesHeld.add(int64(len(entries)))
+	result.MembersKnown.add(int64(observers))
 }
--- a/internal/faultlab/model/network.go
+++ b/internal/faultlab/model/network.go
@@ -2,24 +2,24 @@
 
 import "math/rand/v2"
 
-// Delays of one way, without jitter. Far ones are those of two sites some hundred kilometres apart.
+// One-way delays in microseconds, without jitter. delayFar is that of sites some hundred kilometres apart.
 const (
-	delayZone   = 200 // within a zone, and up to twice that
+	delayZone   = 200 // within a zone
 	delayRegion = 1 * ms
 	delayFar    = 12 * ms
-	jitter      = 1.0 // of the delay, at most
+	jitter      = 1.0 // fraction of the delay, at most
 )
 
-// network knows how long and whether anything gets from zone to zone.
+// network determines whether, and with what delay, messages pass between zones.
 type network struct {
 	zones        int
 	regions      int
 	random       *rand.Rand
-	cutRequests  []int // cuts in force, by from and to: of connections and requests
-	cutResponses []int // the same, of answers
+	cutRequests  []int // present cuts by from and to, of connections and requests
+	cutResponses []int // the same, of responses
 	cutGossip    []int // the same, of gossip
 	gossipLoss   float64
-	gossipDelay  int64 // further delay of gossip packets at most
+	gossipDelay  int64 // additional delay of gossip packets, at most
 }
 
 func newNetwork(c *Config) network {
@@ -30,7 +30,7 @@
 
 func (n *network) region(zone int) int { return zone * n.regions / n.zones }
 
-// delay is one way's, with jitter.
+// delay returns a one-way delay with jitter.
 func (n *network) delay(from, to int) int64 {
 	d := int64(delayZone)
 	if n.region(from) != n.region(to) {
@@ -45,7 +45,7 @@
 func (n *network) passesResponses(from, to int) bool { return n.cutResponses[from*n.zones+to] == 0 }
 func (n *network) passesGossip(from, to int) bool    { return n.cutGossip[from*n.zones+to] == 0 }
 
-// hear tells whether a gossip packet gets through now, and its delay.
+// gossipDelivery draws whether a gossip packet is delivered, and its delay.
 func (n *network) gossipDelivery(from, to int, chance *rand.Rand) (delay int64, ok bool) {
 	lost, late := chance.Float64(), chance.Float64()
 	return n.delay(from, to) + int64(late*float64(n.gossipDelay)), n.passesGossip(from, to) && lost >= n.gossipLoss
--- a/internal/faultlab/model/proxy.go
+++ b/internal/faultlab/model/proxy.go
@@ -7,37 +7,37 @@
 	"merlinpick/balancer"
 )
 
-// epoch is Unix time at the beginning of every run, in microseconds.
+// epoch is the Unix time at the start of each run, in microseconds.
 const epoch = int64(1_800_000_000) * sec
 
 const (
-	loopInterval   = 100 * ms // the proxy's loop polls its Balancer so often
-	maxInboxGossip = 128      // gossip packets that wait in a stopped proxy's socket; further ones are dropped
+	loopInterval   = 100 * ms // of the proxy's loop
+	maxInboxGossip = 128      // gossip packets in a paused proxy's socket; more are dropped
 )
 
-// proxy is one process of the program: a Balancer, its host, and a clock of its own.
+// proxy is one process of the program: a balancer, its host, and a clock.
 type proxy struct {
 	sim         *simulation
 	id          int
 	name        string
 	zone        int
-	clockOffset int64   // its clock's lead at the run's beginning
-	clockRate   float64 // of its clock
+	clockOffset int64   // of its clock, at the start of the run
+	clockRate   float64 // of its clock, 1 for an exact one
 	up          bool
-	stopped     bool // until it is continued
+	stopped     bool // paused, until it is resumed
 	startedAt   int64
-	downAt      int64 // when it last ended or was stopped
-	resumedAt   int64 // when it was last continued
+	downAt      int64 // when it last ended or was paused
+	resumedAt   int64 // when it was last resumed
 	incarnation int
 	balancer    *balancer.Balancer
 	requests    map[string]*request
-	listed      []balancer.Server // by nodo, as its list has it
-	inbox       []func()          // what came while it was stopped
-	inboxGossip int               // of it, gossip packets
-	cluster     *clusterMember    // its part in the gossip; nil without peers
+	listed      []balancer.Server // by server
+	inbox       []func()          // what arrived while it was paused
+	inboxGossip int               // gossip packets in the inbox
+	cluster     *clusterMember    // nil without a cluster
 }
 
-// request is one that a client has handed to a proxy.
+// request is a client's request at a proxy.
 type request struct {
 	id        string
 	class     int
@@ -46,10 +46,10 @@
 	deadline  int64
 	closed    bool
 	attempts  []*attempt
-	excused   bool // its proxy was stopped or ended meanwhile
+	excused   bool // its proxy was paused or ended meanwhile
 }
 
-// place is where an attempt is at its nodo.
+// attemptPlace is where an attempt is at its server.
 type attemptPlace uint8
 
 const (
@@ -63,9 +63,9 @@
 	request         *request
 	number          int
 	proxy           *proxy
-	incarnation     int // the proxy's
+	incarnation     int // of the proxy
 	server          *server
-	zone            int // of the nodo, as listed
+	zone            int // of the server, as listed
 	sentAt          int64
 	place           attemptPlace
 	ended           bool // the proxy has its outcome
@@ -78,13 +78,13 @@
 		clockRate:   1 + (2*clocks.Float64()-1)*sim.cfg.MaxClockDrift}
 }
 
-// clock is what its clock shows: Unix time, more or less.
+// clock returns Unix time by the proxy's clock.
 func (p *proxy) clock() int64 { return epoch + p.clockOffset + int64(float64(p.sim.now)*p.clockRate) }
 
-// lasts is how long a time by its clock really is.
+// realDuration converts a duration by the proxy's clock to virtual time.
 func (p *proxy) realDuration(d int64) int64 { return int64(float64(d) / p.clockRate) }
 
-// start begins the process with nothing known but the list.
+// start starts the process with the endpoint list and no other state.
 func (p *proxy) start() error {
 	if p.up {
 		return nil
@@ -110,12 +110,12 @@
 	}
 	p.balancer.UpdateEndpoints(p.clock(), p, balancer.UpdateSnapshot, list)
 	p.joinCluster()
-	life := p.incarnation
-	p.sim.after(seed.Int64N(loopInterval), evTick, p.id, func() { p.deliver(life, func() { p.tick(life) }) })
+	incarnation := p.incarnation
+	p.sim.after(seed.Int64N(loopInterval), evTick, p.id, func() { p.deliver(incarnation, func() { p.tick(incarnation) }) })
 	return nil
 }
 
-// end kills the process: its clients and nodos see their connections end.
+// kill kills the process: its clients' and servers' connections end.
 func (p *proxy) kill() {
 	if !p.up {
 		return
@@ -135,7 +135,7 @@
 	p.requests = nil
 }
 
-// stop halts the process as SIGSTOP does, until cont.
+// pause stops the process like SIGSTOP, until resume.
 func (p *proxy) pause() {
 	if p.up && !p.stopped {
 		p.stopped, p.downAt = true, p.sim.now
@@ -146,7 +146,7 @@
 	}
 }
 
-// cont lets it run again: it finds all that came meanwhile, in order, with its clock far on.
+// resume continues the process: it handles all that arrived meanwhile, in order, with its clock advanced.
 func (p *proxy) resume() {
 	if !p.up || !p.stopped {
 		return
@@ -161,26 +161,26 @@
 	p.inboxGossip = 0
 }
 
-// deliver has the process take something, now or when it is continued; never one that began since.
-func (p *proxy) deliver(life int, do func()) {
+// deliver runs something in the process now, or once it is resumed; not in a later incarnation.
+func (p *proxy) deliver(incarnation int, do func()) {
 	switch {
-	case !p.up || p.incarnation != life:
+	case !p.up || p.incarnation != incarnation:
 	case p.stopped:
-		p.inbox = append(p.inbox, func() { p.deliver(life, do) })
+		p.inbox = append(p.inbox, func() { p.deliver(incarnation, do) })
 	default:
 		do()
 	}
 }
 
-// tick is one turn of the loop that polls the Balancer.
-func (p *proxy) tick(life int) {
+// tick is one iteration of the proxy's loop.
+func (p *proxy) tick(incarnation int) {
 	if p.cluster != nil {
 		p.exchangeReports()
 	}
-	p.sim.after(p.realDuration(loopInterval), evTick, p.id, func() { p.deliver(life, func() { p.tick(life) }) })
+	p.sim.after(p.realDuration(loopInterval), evTick, p.id, func() { p.deliver(incarnation, func() { p.tick(incarnation) }) })
 }
 
-// list brings a change of the list to every proxy.
+// announce delivers a change of the endpoint list to every proxy.
 func (w *simulation) announce(target *server, state balancer.ServerState, delay int64) {
 	e, starts := target.entry(state), target.generation
 	for _, p := range w.proxies {
@@ -200,14 +200,14 @@
 	}
 }
 
-// take hands over a client's request.
+// handle passes a client's request to the balancer.
 func (p *proxy) handle(req *request) {
 	p.requests[req.id] = req
 	left := int64(float64(req.deadline-p.sim.now) * p.clockRate)
 	p.balancer.HandleRequest(p.clock(), p, balancer.Request{ID: req.id, Class: req.class, Deadline: p.clock() + left})
 }
 
-// Send, Refuse, Fail, SetTimer, Watch and Log make a proxy its Balancer's host.
+// Send implements balancer.Host.
 func (p *proxy) Send(id, server string, _, timeout int64) {
 	sim, req := p.sim, p.requests[id]
 	if req == nil {
@@ -229,13 +229,13 @@
 		return
 	}
 	sim.after(sim.network.delay(p.zone, target.zone), evAttempt, target.id, func() {
-		if !a.ended { // its caller has gone before it came
+		if !a.ended { // else it was cancelled on the way
 			target.accept(a)
 		}
 	})
 }
 
-// outcome brings the end of an attempt to the Balancer.
+// outcome reports the end of an attempt to the balancer.
 func (p *proxy) outcome(a *attempt, s balancer.Status) {
 	if a.ended {
 		return
@@ -256,7 +256,7 @@
 	}
 }
 
-// leave tells an attempt's nodo that its caller has gone.
+// cancelAttempt ends an attempt and removes it from its server's queue.
 func (w *simulation) cancelAttempt(a *attempt) {
 	a.ended = true
 	if a.place == placeQueued {
@@ -264,7 +264,7 @@
 	}
 }
 
-// close ends a request towards its client.
+// closeRequest ends a request towards its client.
 func (p *proxy) closeRequest(req *request, e requestEnd) {
 	p.sim.check.checkAnswer(p, req)
 	if req.closed {
@@ -301,9 +301,9 @@
 }
 
 func (p *proxy) SetTimer(delay int64, token string) {
-	life := p.incarnation
+	incarnation := p.incarnation
 	p.sim.after(p.realDuration(delay), evTimer, p.id, func() {
-		p.deliver(life, func() { p.balancer.HandleTimer(p.clock(), p, token) })
+		p.deliver(incarnation, func() { p.balancer.HandleTimer(p.clock(), p, token) })
 	})
 }
 
@@ -314,7 +314,7 @@
 	}
 }
 
-// withdraw is the client's going: its time is over.
+// cancel ends a request whose client's deadline has passed.
 func (p *proxy) cancel(req *request) {
 	if req.closed {
 		return
--- a/internal/faultlab/model/publications.go
+++ b/internal/faultlab/model/publications.go
@@ -2,46 +2,46 @@
 
 import "merlinpick/internal/cluster/state"
 
-// book knows, in virtual time, when each entry was told: what views believe of their ages is held against it.
+// publicationLog records when each entry was published in virtual time. Ages in stores are checked against it.
 type publicationLog struct {
 	publishedAt map[publicationKey]int64
 	lastSweep   int64
 }
 
-// mark names one telling.
+// publicationKey identifies one publication of an entry.
 type publicationKey struct {
 	observer    string
 	incarnation int64
 	seq         uint64
 }
 
-const publicationRetention = 150 * sec // the longest life of an entry twice, and a stop
+const publicationRetention = 150 * sec // twice the longest TTL, and a pause
 
-func (b *publicationLog) begin() { b.publishedAt = map[publicationKey]int64{} }
+func (l *publicationLog) begin() { l.publishedAt = map[publicationKey]int64{} }
 
-// told notes what a proxy has just said.
-func (b *publicationLog) recordPublished(p *proxy, entries []state.Entry) {
+// recordPublished records entries that a proxy publishes now.
+func (l *publicationLog) recordPublished(p *proxy, entries []state.Entry) {
 	sim := p.sim
 	for i := range entries {
 		e := &entries[i]
-		b.publishedAt[publicationKey{e.Observer, e.Incarnation, e.Seq}] = sim.now - (p.clock() - e.ObservedAt)
+		l.publishedAt[publicationKey{e.Observer, e.Incarnation, e.Seq}] = sim.now - (p.clock() - e.ObservedAt)
 		sim.record(evNews, p.id, int64(e.Seq))
 	}
-	if sim.now-b.lastSweep > publicationRetention {
-		b.lastSweep = sim.now
-		for m, at := range b.publishedAt {
+	if sim.now-l.lastSweep > publicationRetention {
+		l.lastSweep = sim.now
+		for m, at := range l.publishedAt {
 			if sim.now-at > publicationRetention {
-				delete(b.publishedAt, m)
+				delete(l.publishedAt, m)
 			}
 		}
 	}
 }
 
-// came notes how long what was news to a proxy has been under way.
-func (b *publicationLog) recordReceived(p *proxy, news []state.Entry) {
-	for i := range news {
-		e := &news[i]
-		if at, ok := b.publishedAt[publicationKey{e.Observer, e.Incarnation, e.Seq}]; ok {
+// recordReceived records the propagation time of entries that changed a proxy's store.
+func (l *publicationLog) recordReceived(p *proxy, changed []state.Entry) {
+	for i := range changed {
+		e := &changed[i]
+		if at, ok := l.publishedAt[publicationKey{e.Observer, e.Incarnation, e.Seq}]; ok {
 			if e.Kind == state.ServerLoad {
 				p.sim.result.LoadPropagation.add(p.sim.now - at)
 			} else {
@@ -52,9 +52,9 @@
 	}
 }
 
-// age is the true age of an entry; -1 where it is not known.
-func (b *publicationLog) age(now int64, e *state.Entry) int64 {
-	at, ok := b.publishedAt[publicationKey{e.Observer, e.Incarnation, e.Seq}]
+// age returns the true age of an entry in microseconds; -1 if it is not known.
+func (l *publicationLog) age(now int64, e *state.Entry) int64 {
+	at, ok := l.publishedAt[publicationKey{e.Observer, e.Incarnation, e.Seq}]
 	if !ok {
 		return -1
 	}
--- a/internal/faultlab/model/result.go
+++ b/internal/faultlab/model/result.go
@@ -2,7 +2,7 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// end is how a request ended for its client.
+// requestEnd is how a request ended for its client.
 type requestEnd int
 
 const (
@@ -11,62 +11,63 @@
 	endFailed
 	endUnanswered
 	endBroken    // its proxy was killed
-	endUnreached // it found no proxy
+	endUnreached // no proxy was up
 	endCount
 )
 
-// bin is the width of the counters over time.
+// binWidth is the resolution of counts over time.
 const binWidth = 100 * ms
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
-	Hash           uint64 // of all events and what proxies did, in order: two runs are the same if it is
+	Hash           uint64 // of all events and actions in order: equal for equal runs
 	Events         int
-	Violations     []Violation // the first of each rule
-	ViolationCount int         // all of them
+	Violations     []Violation // the first ones of each rule
+	ViolationCount int         // of all
 
 	Requests      int
 	Ends          [endCount]int
-	OfferedWeight float64 // worth of all requests
-	ServedWeight  float64 // of those that were answered in time
+	OfferedWeight float64 // priority weight of all requests
+	ServedWeight  float64 // of those served within their latency objective
 	Sends         int
-	CrossZone     int // of them, to another zone
+	CrossZone     int // sends to another zone
 	Overloads     int
 
-	Packets           int       // of gossip
-	Bytes             int       // of them, where they are encoded
-	DroppedAfterPause int       // of them, left out by proxies that had stood still
-	HealthAges        durations // of verdicts and zones that proxies know of others, once a second
-	HealthPropagation durations // of their tellings, when they came to one that did not know them yet
-	LoadAges          durations // the same of summaries of load
+	Packets           int       // gossip packets
+	Bytes             int       // of gossip, where it is encoded
+	DroppedAfterPause int       // gossip packets, by proxies that had been paused
+	HealthAges        durations // of health reports that proxies hold of others, once a second
+	HealthPropagation durations // of health reports, from their publication to a proxy
+	LoadAges          durations // the same of load reports
 	LoadPropagation   durations
-	EvacuationSpread  durations // from the first to the last proxy of a zone to leave another zone, where they hear each other
-	Disagreements     durations // while proxies of a zone that hear each other differ on another
-	MaxOverrun        int64     // the longest that an entry was used beyond its end, by its true age
+	EvacuationSpread  durations // from the first to the last proxy of a zone to evacuate another, while they hear each other
+	Disagreements     durations // of proxies of a zone that hear each other, on evacuating another
+	MaxOverrun        int64     // the longest use of an entry beyond its TTL, by its true age
 
 	bins []binCounts
 }
 
-// ages is a distribution of times.
+// durations is a distribution of durations in microseconds.
 type durations struct{ h *hdrhistogram.Histogram }
 
 func newDurations() durations { return durations{hdrhistogram.New(1, maxDuration, 2)} }
 
 func (a *durations) add(d int64) { _ = a.h.RecordValue(min(max(d, 1), maxDuration)) }
 
-// At is the time that a part of them is within, in microseconds.
+// At returns the quantile of a fraction, in microseconds.
 func (a *durations) At(part float64) int64 { return a.h.ValueAtQuantile(100 * part) }
 
+// N returns the number of recorded durations.
 func (a *durations) N() int64 { return a.h.TotalCount() }
 
 const maxDuration = 1000 * sec
 
-// counts are those of one bin of time.
+// binCounts are the counts of one bin of time.
 type binCounts struct {
 	offeredWeight, servedWeight float64
 	sends                       int
-	sendsByServer               []int // by nodo
-	sendsByZones                []int // by the zone that sends and the zone that it sends to
+	sendsByServer               []int // by server
+	sendsByZones                []int // by the zones of proxy and server
 }
 
 func (r *Result) begin(c *Config) {
@@ -93,7 +94,7 @@
 	b.sendsByZones[a.proxy.zone*sim.cfg.Zones+a.zone]++
 }
 
-// count takes the end of a request. Its worth counts at the time when it came.
+// count counts the end of a request. Its weight counts at the time of its arrival.
 func (r *Result) count(sim *simulation, req *request, e requestEnd) {
 	k := &sim.cfg.Classes[req.class]
 	r.Ends[e]++
@@ -111,7 +112,7 @@
 
 func (r *Result) end(sim *simulation) { r.Hash = sim.log.Sum64() }
 
-// InTime is the part of the offered worth that was answered in time, of requests that came within a span.
+// InTime returns the fraction of the offered weight that was served in time, of requests that arrived in [from, to).
 func (r *Result) InTime(from, to int64) float64 {
 	offered, worth := 0.0, 0.0
 	for i := max(from/binWidth, 0); i < min(to/binWidth, int64(len(r.bins))); i++ {
@@ -124,14 +125,14 @@
 	return worth / offered
 }
 
-// Target is what a fault makes worthless: attempts to a nodo, or to a zone from any other or from its own proxies.
+// Target is what a fault affects: attempts to a server, or to a zone from other zones or from its own proxies.
 type Target struct {
 	Server     int // or -1
 	Zone       int
 	OwnProxies bool
 }
 
-// sends counts the attempts within a span that went to a target, and all that those who may send there made.
+// sends counts the attempts in [from, to) to a target, and all attempts of the proxies that may send to it.
 func (r *Result) sends(from, to int64, t Target) (there, all int) {
 	for i := max(from/binWidth, 0); i < min(to/binWidth, int64(len(r.bins))); i++ {
 		b := &r.bins[i]
@@ -149,9 +150,8 @@
 	return there, all
 }
 
-// Avoided is how long after a fault that began at a time the target gets a fifth of its former part of the attempts,
-// at most, over the next second; the rest of the run if that never comes. Wasted counts what went there until the
-// fault's end.
+// Avoided returns how long after a fault's start the target gets at most avoidedFraction of its previous share of attempts
+// for a second, or the fault's duration if that never happens; wasted counts the attempts to it until the fault's end.
 func (r *Result) Avoided(at, end int64, t Target) (after int64, wasted int) {
 	wasted, _ = r.sends(at, end, t)
 	before, all := r.sends(at-5*sec, at, t)
@@ -167,7 +167,7 @@
 
 const avoidedFraction = 0.2
 
-// isqrt is the root of a square.
+// isqrt returns the root of a square.
 func isqrt(n int) (r int) {
 	for r*r < n {
 		r++
--- a/internal/faultlab/model/server.go
+++ b/internal/faultlab/model/server.go
@@ -9,8 +9,8 @@
 	"merlinpick/balancer"
 )
 
-// nodo is a server: slots, a queue, a cold start, and a load at which it falls over while cold. Its rules are those of
-// the lab's stand-in (internal/faultlab/stubserver), without connections.
+// server is a server with slots, a queue, a slow start, and a load at which it fails while it warms up. Its rules are those
+// of internal/faultlab/stubserver, without connections.
 type server struct {
 	sim        *simulation
 	id         int
@@ -18,21 +18,21 @@
 	zone       int
 	random     *rand.Rand
 	up         bool
-	darkness   int   // its zone is lost: nobody answers, not even to refuse
-	generation int   // and ends: what was in work before is gone
-	startedAt  int64 // of its last start; the first was long ago
+	darkness   int   // lost zones that it is in: it does not even reject connections
+	generation int   // counts starts and stops: work of an earlier one is lost
+	startedAt  int64 // the last start
 	slowStart  bool
 	inFlight   int
 	queue      []*attempt
-	arrivals   []arrival // within the last Fall, while cold
+	arrivals   []arrival // within the last OverloadWindow, while it warms up
 	faults     []*Fault
 }
 
-// arrival is work that came to a cold nodo.
+// arrival is work that arrived at a warming server.
 type arrival struct {
 	at       int64
 	work     int64
-	informed bool // its proxy knew of the start
+	informed bool // the proxy knew of the start
 }
 
 func newServer(sim *simulation, id int, chance *rand.Rand) *server {
@@ -40,16 +40,16 @@
 		random: rand.New(rand.NewPCG(chance.Uint64(), 1))}
 }
 
-// nodoNamed is the nodo of a name that a Balancer was given.
+// serverByName returns the server of a name that a balancer was given.
 func (w *simulation) serverByName(name string) *server {
 	i, err := strconv.Atoi(name[1:])
 	if err != nil || i >= len(w.servers) {
-		panic("model: no nodo is named " + name)
+		panic("model: no server is named " + name)
 	}
 	return w.servers[i]
 }
 
-// launched is its start as the list has it: whole milliseconds of Unix time, 0 for long ago.
+// listedStart returns the start as in the endpoint list: Unix time in microseconds, in full milliseconds; 0 for long ago.
 func (s *server) listedStart() int64 {
 	if !s.slowStart {
 		return 0
@@ -61,7 +61,7 @@
 	return balancer.Server{ID: s.name, Zone: s.zone, Cell: s.id, CapacityHint: 1, State: state, StartTime: s.listedStart()}
 }
 
-// start brings it up, cold, and has the list say so.
+// start starts the process, warming up, and announces it.
 func (s *server) start() {
 	if s.up || s.darkness > 0 {
 		return
@@ -71,7 +71,7 @@
 	s.sim.announce(s, balancer.ServerReady, s.sim.cfg.ListAddDelay)
 }
 
-// end stops the process: its callers' connections are reset, unless its whole zone went dark.
+// stop ends the process: its callers' connections are reset, unless its zone is lost.
 func (s *server) stop() {
 	if !s.up {
 		return
@@ -92,7 +92,7 @@
 	}
 }
 
-// slow is how many times as long its work takes; fails the part of it that fails; silent whether it answers nothing.
+// slowdown returns the factor by which work takes longer.
 func (s *server) slowdown() float64 {
 	x := 1.0
 	for _, f := range s.faults {
@@ -103,6 +103,7 @@
 	return x
 }
 
+// errorRate returns the fraction of responses that are errors.
 func (s *server) errorRate() float64 {
 	x := 0.0
 	for _, f := range s.faults {
@@ -113,11 +114,12 @@
 	return x
 }
 
+// isUnresponsive reports whether it does not respond to requests.
 func (s *server) isUnresponsive() bool {
 	return slices.ContainsFunc(s.faults, func(f *Fault) bool { return f.Kind == ServerUnresponsive })
 }
 
-// share is the present part of its capacity.
+// capacityFraction returns the present fraction of its capacity.
 func (s *server) capacityFraction(at int64) float64 {
 	c := s.sim.cfg
 	if !s.slowStart || at-s.startedAt >= c.SlowStartDuration {
@@ -126,11 +128,11 @@
 	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(max(at-s.startedAt, 0))/float64(c.SlowStartDuration)
 }
 
-// take takes an attempt that reached it.
+// accept handles an attempt that arrives.
 func (s *server) accept(a *attempt) {
 	s.sim.touchedServer = s
 	switch {
-	case s.darkness > 0: // nobody answers
+	case s.darkness > 0: // no answer at all
 	case !s.up:
 		s.respond(a, balancer.StatusConnectFailed)
 	case s.isUnresponsive():
@@ -158,8 +160,8 @@
 	return s.sim.cfg.Queue
 }
 
-// tips counts work that comes to a cold nodo and tells whether the last window held more than it stands, with room for
-// one request more. The share of the window's middle stands for all of it.
+// isOverloaded records work that arrives at a warming server, and reports whether the last window had more than the server
+// can take and one request. The capacity in the middle of the window is used for all of it.
 func (s *server) isOverloaded(a *attempt) bool {
 	c, now := s.sim.cfg, s.sim.now
 	if !s.slowStart || now-s.startedAt > c.SlowStartDuration+c.OverloadWindow {
@@ -171,11 +173,11 @@
 	for s.arrivals[0].at < from {
 		s.arrivals = s.arrivals[1:]
 	}
-	sum, told := int64(0), int64(0)
+	sum, informed := int64(0), int64(0)
 	for _, x := range s.arrivals {
 		sum += x.work
 		if x.informed {
-			told += x.work
+			informed += x.work
 		}
 	}
 	from = max(from, s.startedAt)
@@ -183,22 +185,22 @@
 	if float64(sum) <= stands+float64(a.request.work) {
 		return false
 	}
-	if s.slowdown() == 1 { // that it is slow, besides, nobody could know yet
-		s.sim.check.checkOverload(s, float64(told)/float64(sum))
+	if s.slowdown() == 1 { // else no proxy could know of the slowdown yet
+		s.sim.check.checkOverload(s, float64(informed)/float64(sum))
 	}
 	return true
 }
 
-// begin holds a slot for an attempt until its work is done.
+// process holds a slot for an attempt until its work is done.
 func (s *server) process(a *attempt) {
 	a.place = placeInSlot
 	took := float64(a.request.work) * s.slowdown() / (s.sim.cfg.Speed * s.capacityFraction(s.sim.now))
-	life := s.generation
-	s.sim.after(int64(took), evWork, s.id, func() { s.done(a, life) })
+	incarnation := s.generation
+	s.sim.after(int64(took), evWork, s.id, func() { s.done(a, incarnation) })
 }
 
-func (s *server) done(a *attempt, life int) {
-	if s.generation != life {
+func (s *server) done(a *attempt, incarnation int) {
+	if s.generation != incarnation {
 		s.reset(a)
 		return
 	}
@@ -219,7 +221,7 @@
 	}
 }
 
-// leave drops an attempt whose caller has gone; what is in work goes on.
+// dropQueued removes a cancelled attempt from the queue; work in a slot goes on.
 func (s *server) dropQueued(a *attempt) {
 	if a.place == placeQueued {
 		a.place = placeNone
@@ -227,7 +229,7 @@
 	}
 }
 
-// answer sends an end back to the proxy, where the way is open.
+// respond sends a status to the proxy, if the network passes it.
 func (s *server) respond(a *attempt, status balancer.Status) {
 	if s.sim.network.passesResponses(s.zone, a.proxy.zone) {
 		s.sim.after(s.sim.network.delay(s.zone, a.proxy.zone), evOutcome, a.proxy.id, func() { a.proxy.deliver(a.incarnation, func() { a.proxy.outcome(a, status) }) })
--- a/internal/faultlab/model/simulation.go
+++ b/internal/faultlab/model/simulation.go
@@ -7,15 +7,15 @@
 	"math/rand/v2"
 )
 
-// kind names what an event is, for the run's log.
+// eventKind is the kind of an event in the run's log.
 type eventKind uint8
 
 const (
 	evArrival eventKind = iota
 	evGiveUp
-	evAttempt // reaches its nodo
-	evWork    // of a nodo is done
-	evOutcome // reaches its proxy
+	evAttempt // arrives at its server
+	evWork    // of a server is done
+	evOutcome // arrives at its proxy
 	evTimeout
 	evTimer
 	evList
@@ -23,13 +23,13 @@
 	evGossip
 	evPacket
 	evFault
-	evSend // below: actions of proxies, no events
+	evSend // from here on: actions of proxies
 	evRefuse
 	evFail
 	evNews
 )
 
-// event is something that happens at a time; of two at one time the one that was planned first comes first.
+// event is something that happens at a time. Events of one time run in the order in which they were planned.
 type event struct {
 	time    int64
 	number  uint64
@@ -42,7 +42,7 @@
 	return e.time < o.time || e.time == o.time && e.number < o.number
 }
 
-// agenda is a binary heap of events. container/heap would box each one.
+// agenda is a binary heap of events. container/heap would allocate for each one.
 type agenda []event
 
 func (a *agenda) push(e event) {
@@ -82,7 +82,7 @@
 	return first
 }
 
-// world is one run under way.
+// simulation is the state of a run.
 type simulation struct {
 	cfg             *Config
 	now             int64
@@ -103,7 +103,7 @@
 	zoneNumbers map[string]int // by name
 }
 
-// source is a source of chance for one concern, so that one more fault does not change the arrivals.
+// source returns a random source for one concern, so that another fault does not change the arrivals.
 func source(seed, concern uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, concern)) }
 
 const (
@@ -113,25 +113,26 @@
 	chanceClocks
 	chanceGossip
 	chanceFaults
-	chanceProxies // and one more for each start of each proxy
+	chanceProxies // and one for each start of each proxy
 )
 
-// after plans an event.
+// after plans an event after a delay in microseconds.
 func (w *simulation) after(delay int64, k eventKind, who int, do func()) {
 	w.scheduledEvents++
 	w.agenda.push(event{w.now + max(delay, 0), w.scheduledEvents, k, int32(who), do})
 }
 
-// note adds a line to the log, of which only the sum is kept.
+// record adds an event to the run's hash.
 func (w *simulation) record(k eventKind, who int, what int64) {
 	w.logLine[0] = byte(k)
 	binary.LittleEndian.PutUint64(w.logLine[1:], uint64(w.now))
 	binary.LittleEndian.PutUint64(w.logLine[9:], uint64(who))
 	binary.LittleEndian.PutUint64(w.logLine[17:], uint64(what))
-	w.log.Write(w.logLine[:]) // never fails
+	w.log.Write(w.logLine[:]) // a hash never fails
 }
 
-// Run plays a configuration to its end. A broken check is in the result and ends nothing.
+// Run runs a configuration to its end. Violations are in the result and do not end the run. The error is a *ConfigError or
+// one of balancer.New.
 func Run(c Config) (*Result, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
