--- a/balancer/api.go
+++ b/balancer/api.go
@@ -302,24 +302,24 @@
 		field, problem string
 	}{
 		{len(s.Classes) == 0, "Classes", "none given"},
-		{s.ZoneCount < 1, "Zones", "fewer than one"},
+		{s.ZoneCount < 1, "ZoneCount", "fewer than one"},
 		{s.Zone < 0 || s.Zone >= s.ZoneCount, "Zone", "out of range"},
-		{s.Replicas < 1, "Siblings", "fewer than one"},
-		{s.ReplicaIndex < 0, "Ordinal", "negative"},
-		{s.Tier < 0, "Stage", "negative"},
+		{s.Replicas < 1, "Replicas", "fewer than one"},
+		{s.ReplicaIndex < 0, "ReplicaIndex", "negative"},
+		{s.Tier < 0, "Tier", "negative"},
 		{s.MaxAttempts < 1, "MaxAttempts", "fewer than one"},
 		{s.MaxRetryAfter < 0, "MaxRetryAfter", "negative"},
-		{s.OrderingCooldown < 0, "OrderSettle", "negative"},
-		{s.RetryBudgetWindow < 0, "BudgetSpan", "negative"},
-		{!(s.RetryBudgetMin >= 0), "BudgetFree", "negative"},
-		{!(s.RetryBudgetRatio >= 0), "BudgetShare", "negative"},
+		{s.OrderingCooldown < 0, "OrderingCooldown", "negative"},
+		{s.RetryBudgetWindow < 0, "RetryBudgetWindow", "negative"},
+		{!(s.RetryBudgetMin >= 0), "RetryBudgetMin", "negative"},
+		{!(s.RetryBudgetRatio >= 0), "RetryBudgetRatio", "negative"},
 		{s.DrainGrace < 0, "DrainGrace", "negative"},
-		{s.PollInterval < 0 || s.WatchEndpoints && s.PollInterval == 0, "AskEvery", "not positive"},
-		{s.MembershipEvidenceTTL < 0, "EvidenceSpan", "negative"},
-		{!(s.SlowStartMinCapacity >= 0 && s.SlowStartMinCapacity <= 1), "StartCapacity", "not within 0 and 1"},
-		{s.SlowStartDuration < 0, "Cold", "negative"},
-		{!(s.OverloadMultiple >= 0), "TipMultiple", "negative"},
-		{s.OverloadWindow < 0 || s.OverloadWindow == 0 && s.OverloadMultiple > 0, "FallSpan", "not positive"},
+		{s.PollInterval < 0 || s.WatchEndpoints && s.PollInterval == 0, "PollInterval", "not positive"},
+		{s.MembershipEvidenceTTL < 0, "MembershipEvidenceTTL", "negative"},
+		{!(s.SlowStartMinCapacity >= 0 && s.SlowStartMinCapacity <= 1), "SlowStartMinCapacity", "not within 0 and 1"},
+		{s.SlowStartDuration < 0, "SlowStartDuration", "negative"},
+		{!(s.OverloadMultiple >= 0), "OverloadMultiple", "negative"},
+		{s.OverloadWindow < 0 || s.OverloadWindow == 0 && s.OverloadMultiple > 0, "OverloadWindow", "not positive"},
 	} {
 		if c.bad {
 			return &SettingsError{Field: c.field, Problem: c.problem}
@@ -342,19 +342,19 @@
 func (c Class) fault() (field, problem string) {
 	switch {
 	case c.LatencyObjective <= 0:
-		return "Aim", "not positive"
+		return "LatencyObjective", "not positive"
 	case c.Deadline <= 0:
 		return "Deadline", "not positive"
 	case !(c.PriorityWeight >= 0):
-		return "Worth", "negative"
+		return "PriorityWeight", "negative"
 	case !(c.LateWeight >= 0):
-		return "LateWorth", "negative"
+		return "LateWeight", "negative"
 	case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent:
-		return "Repeat", "unknown"
+		return "Idempotency", "unknown"
 	case c.DedupScope < DedupScopeAll || c.DedupScope > DedupScopeCell:
-		return "Group", "unknown"
+		return "DedupScope", "unknown"
 	case c.DedupWindow < 0:
-		return "Window", "negative"
+		return "DedupWindow", "negative"
 	}
 	return "", ""
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -13,18 +12,19 @@
 	"merlinpick/balancer"
 )
 
-// A document is the part of a configuration file that a service's proxies are told from afar: {"settings": {...}}, the
-// settings whole, but for what is each proxy's own.
+const (
+	// MaxDocumentBytes is the size of a document in its canonical form, at most.
+	MaxDocumentBytes = 64 << 10
+	// MaxServiceNameBytes is the length of a service's name, at most.
+	MaxServiceNameBytes = 100
 
-// DocumentMost bounds a document in its kept form, in bytes.
-const MaxDocumentBytes = 64 << 10
-
-// ServiceMost bounds a service's name, in bytes.
-const MaxServiceNameBytes = 100
+	settingsKey = "settings" // the only key of a document
+)
 
-const settingsKey = "settings"
+// perProxyKeys are the settings that only the proxy's own file gives.
+var perProxyKeys = []string{"my_zone", "ordinal"}
 
-// CheckService tells what is wrong with a service's name.
+// CheckService returns an error if a service's name cannot be used: it is part of URLs.
 func CheckService(name string) error {
 	if name == "" || len(name) > MaxServiceNameBytes || strings.ContainsFunc(name, func(r rune) bool {
 		return r <= ' ' || r == 0x7f || r == 0xfffd || strings.ContainsRune("/?#%", r)
@@ -34,154 +34,106 @@
 	return nil
 }
 
-// own are the keys of the settings that each proxy's file alone says.
-var perProxyKeys = []string{"my_zone", "ordinal"}
-
-// Canonical is a document's text in the one form in which it is kept, compared and sent on: without spaces, and as
-// encoding/json would write it again. It is an error if it is no JSON object or too long.
+// Canonical returns the form of a document in which it is stored, compared and forwarded: without spaces, and as
+// encoding/json would write it again. A text that is no JSON object or too long is an *Error.
 func Canonical(text []byte) (json.RawMessage, error) {
-	var c, b bytes.Buffer
-	if err := json.Compact(&c, text); err != nil {
+	var compact, canonical bytes.Buffer
+	if err := json.Compact(&compact, text); err != nil {
 		return nil, &Error{"", err.Error()}
 	}
-	json.HTMLEscape(&b, c.Bytes())
-	if b.Len() > MaxDocumentBytes {
-		return nil, &Error{"", fmt.Sprintf("it has %d bytes, and there may be %d", b.Len(), MaxDocumentBytes)}
+	json.HTMLEscape(&canonical, compact.Bytes())
+	if canonical.Len() > MaxDocumentBytes {
+		return nil, &Error{"", fmt.Sprintf("it has %d bytes, and there may be %d", canonical.Len(), MaxDocumentBytes)}
 	}
-	if b.Len() == 0 || b.Bytes()[0] != '{' {
+	if canonical.Len() == 0 || canonical.Bytes()[0] != '{' {
 		return nil, &Error{"", "is no JSON object"}
 	}
-	return b.Bytes(), nil
+	return canonical.Bytes(), nil
 }
 
-// CheckDocument reads a document as a proxy will, as far as that can be told without the proxy's own file. Its errors are
-// each an *Error.
+// CheckDocument returns an *Error if no proxy could use a document, as far as that shows without a proxy's own file.
 func CheckDocument(text []byte) error {
-	rules, err := documentSettings(text)
+	settings, err := documentSettings(text)
 	if err != nil {
 		return err
 	}
-	if _, err = Read(rules); err != nil {
+	if _, err = Read(settings); err != nil {
 		return errorBelow(settingsKey, err)
 	}
 	return nil
 }
 
-// rulesOf is a document's settings, and no more is in it.
+// documentSettings returns the settings of a document, which may hold nothing else. Its errors are an *Error.
 func documentSettings(text []byte) (json.RawMessage, error) {
-	var doc map[string]json.RawMessage
-	if err := json.Unmarshal(text, &doc); err != nil {
+	var sections map[string]json.RawMessage
+	if err := json.Unmarshal(text, &sections); err != nil {
 		return nil, errorBelow("", err)
 	}
-	for _, key := range slices.Sorted(maps.Keys(doc)) {
+	for _, key := range slices.Sorted(maps.Keys(sections)) {
 		if key != settingsKey {
 			return nil, &Error{key, "cannot be changed under way; a document holds settings alone"}
 		}
 	}
-	rules := doc[settingsKey]
-	if len(rules) == 0 || string(rules) == "null" {
+	settings := sections[settingsKey]
+	if len(settings) == 0 || string(settings) == "null" {
 		return nil, &Error{settingsKey, "is missing"}
 	}
 	var keys map[string]json.RawMessage
-	if err := json.Unmarshal(rules, &keys); err != nil {
+	if err := json.Unmarshal(settings, &keys); err != nil {
 		return nil, errorBelow(settingsKey, err)
 	}
 	for _, key := range perProxyKeys {
-		if _, has := keys[key]; has {
+		if _, found := keys[key]; found {
 			return nil, &Error{settingsKey + "." + key, "is each proxy's own: its file says it"}
 		}
 	}
-	return rules, nil
+	return settings, nil
 }
 
-// Above puts a document above the settings of a proxy's file, which keep what is the proxy's own. The zone is the one of
-// the same name, wherever the document has it in its list.
-func MergeDocument(base json.RawMessage, document []byte) (json.RawMessage, error) {
-	rules, err := documentSettings(document)
+// MergeDocument returns a document's settings with the per-proxy ones of the proxy's file. The proxy's zone is found in
+// the document by its name. Its errors are an *Error.
+func MergeDocument(fileSettings json.RawMessage, text []byte) (json.RawMessage, error) {
+	settings, err := documentSettings(text)
 	if err != nil {
 		return nil, err
 	}
-	var out, file map[string]json.RawMessage
-	var before, after struct {
+	var merged, file map[string]json.RawMessage
+	var before, after struct { // the rest is checked by Read
 		Zones []string `json:"failure_domains"`
 		Zone  int      `json:"my_zone"`
 	}
-	if err := errors.Join(json.Unmarshal(rules, &out), json.Unmarshal(base, &file), json.Unmarshal(base, &before),
-		json.Unmarshal(rules, &after)); err != nil {
+	if err := errors.Join(json.Unmarshal(settings, &merged), json.Unmarshal(fileSettings, &file),
+		json.Unmarshal(fileSettings, &before), json.Unmarshal(settings, &after)); err != nil {
 		return nil, errorBelow(settingsKey, err)
 	}
 	for _, key := range perProxyKeys {
-		if v, has := file[key]; has {
-			out[key] = v
+		if value, found := file[key]; found {
+			merged[key] = value
 		}
 	}
-	if _, has := file["my_zone"]; has && before.Zone >= 0 && before.Zone < len(before.Zones) {
+	if _, found := file["my_zone"]; found && before.Zone >= 0 && before.Zone < len(before.Zones) {
 		name := before.Zones[before.Zone]
-		at := slices.Index(after.Zones, name)
-		if at < 0 {
+		index := slices.Index(after.Zones, name)
+		if index < 0 {
 			return nil, &Error{settingsKey + ".failure_domains", fmt.Sprintf("lacks %q, this proxy's own zone", name)}
 		}
-		out["my_zone"] = fmt.Append(nil, at)
+		merged["my_zone"] = fmt.Append(nil, index)
 	}
-	return json.Marshal(out)
+	return json.Marshal(merged)
 }
 
-// Read reads the settings of a proxy on real sockets, and has the module judge its part.
+// Read decodes and checks the settings of a proxy on sockets. Its errors are an *Error or those of encoding/json.
 func Read(text []byte) (*Site, error) {
-	s, err := Decode(text)
+	site, err := Decode(text)
 	if err == nil {
-		err = s.CheckSockets()
+		err = site.CheckSockets()
 	}
 	if err == nil {
-		_, unfit := balancer.New(s.Balancer, 0)
-		err = balancerError(unfit)
+		_, settingsErr := balancer.New(site.Balancer, 0)
+		err = balancerError(settingsErr)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return s, nil
-}
-
-// moduleKeys are the settings' keys by the module's names of fields, where the two differ; those of the fields of one class
-// or tenant are below its list's.
-var settingsKeys = map[string]string{
-	"Classes": "profiles", "Zones": "failure_domains", "Zone": "my_zone",
-	"Siblings": "siblings", "Ordinal": "ordinal", "Stage": "stage",
-	"MaxAttempts": "limits.try_limit", "MaxRetryAfter": "limits.max_retry_after_us",
-	"OrderSettle": "contract.order_settle_us", "BudgetSpan": "contract.ratio_span_us",
-	"BudgetFree": "contract.spare_attempts", "BudgetShare": "contract.resend_ratio",
-	"DrainGrace": "contract.drain_grace_us", "AskEvery": "contract.ask_every_us",
-	"StartCapacity": "contract.start_capacity", "Cold": "contract.cold_us",
-	"TipMultiple": "contract.tip_multiple", "FallSpan": "contract.fall_us",
-
-	"Aim": "objective_us", "Deadline": "give_up_us", "Worth": "worth", "LateWorth": "late_share",
-	"Window": "dedup_window_us",
-}
-
-// moduleFault is an error of the module's about its settings, by the keys that these have in the file.
-func balancerError(err error) error {
-	var fault *balancer.SettingsError
-	if !errors.As(err, &fault) {
-		return err
-	}
-	key := cmp.Or(settingsKeys[fault.Field], fault.Field)
-	if fault.List != "" {
-		list := cmp.Or(settingsKeys[fault.List], fault.List)
-		key = strings.TrimSuffix(fmt.Sprintf("%s[%d].%s", list, fault.Index, key), ".")
-	}
-	return &Error{key, fault.Problem}
-}
-
-// faultOf names the key at fault, below a section.
-func errorBelow(section string, err error) error {
-	var kind *json.UnmarshalTypeError
-	var rule *Error
-	under := func(key string) string { return strings.Trim(section+"."+key, ".") }
-	switch {
-	case errors.As(err, &kind):
-		return &Error{under(kind.Field), "is a JSON " + kind.Value + ", not " + kind.Type.String()}
-	case errors.As(err, &rule):
-		return &Error{under(rule.Key), rule.Problem}
-	}
-	return &Error{section, err.Error()}
+	return site, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings object that the simulator's first message and a real proxy's
-// configuration share. Keys that it does not know are ignored.
+// Package settings decodes the settings object that the simulator's first message and a proxy's configuration share, and
+// the documents by which a registry changes it. It maps the protocol's keys to the field's terms (keys.go) and never applies
+// settings itself.
 package settings
 
 import (
@@ -10,102 +11,43 @@
 	"merlinpick/balancer"
 )
 
-// Site is what the settings object says: the module's part and the names and figures of the sockets.
+// Site is a decoded settings object: the balancer's part, and what a proxy on sockets needs.
 type Site struct {
 	Balancer balancer.Settings
-	Classes  []string // names, in the order of Logic.Classes
-	Tenants  []string // names, in the order of Logic.Tenants
-	Zones    []string
-	Tiers    int // of services, each with proxies of its own; 0: not told
+	Classes  []string // names, in the order of Balancer.Classes
+	Tenants  []string // names, in the order of Balancer.Tenants
+	Zones    []string // names
+	Tiers    int      // number of services behind each other, each with proxies of its own; 0: not known
 
-	DialTimeout time.Duration // a connection that is not up by then has failed
-	IdleClose   time.Duration // a backend closes a connection that has been idle this long
+	DialTimeout time.Duration // after which a connection that is not established has failed
+	IdleClose   time.Duration // idle time after which a backend closes a connection
 }
 
-// Error is a value that makes no sense.
-type Error struct {
-	Key     string // as in profiles[0].name
-	Problem string
-}
-
-func (e *Error) Error() string { return e.Key + ": " + e.Problem }
-
-func unknownWord(key, word string) error { return &Error{key, fmt.Sprintf("unknown word %q", word)} }
-
-// object is the settings object as it stands on the wire.
-type object struct {
-	Contract struct {
-		AskEvery      int64   `json:"ask_every_us"`
-		BusyNoProof   bool    `json:"busy_is_no_proof"`
-		OrderSettle   int64   `json:"order_settle_us"`
-		RatioSpan     int64   `json:"ratio_span_us"`
-		ResendRatio   float64 `json:"resend_ratio"`
-		Spare         float64 `json:"spare_attempts"`
-		Cold          int64   `json:"cold_us"`
-		DrainGrace    int64   `json:"drain_grace_us"`
-		StartCapacity float64 `json:"start_capacity"`
-		TipMultiple   float64 `json:"tip_multiple"`
-		FallSpan      int64   `json:"fall_us"`
-	} `json:"contract"`
-	CountedBy string   `json:"counted_by"`
-	Zones     []string `json:"failure_domains"`
-	Limits    struct {
-		DialTimeout   int64 `json:"dial_timeout_us"`
-		IdleClose     int64 `json:"idle_close_us"`
-		MaxRetryAfter int64 `json:"max_retry_after_us"`
-		RetryAfter    bool  `json:"retry_after"`
-		TryLimit      int   `json:"try_limit"`
-	} `json:"limits"`
-	Membership string `json:"membership_mode"`
-	Zone       int    `json:"my_zone"`
-	Profiles   []struct {
-		ByArrival bool    `json:"by_arrival"`
-		Scope     string  `json:"dedup_scope"`
-		Window    int64   `json:"dedup_window_us"`
-		GiveUp    int64   `json:"give_up_us"`
-		LateShare float64 `json:"late_share"`
-		Name      string  `json:"name"`
-		Objective int64   `json:"objective_us"`
-		Repeat    string  `json:"repeat"`
-		Worth     float64 `json:"worth"`
-	} `json:"profiles"`
-	Siblings int `json:"siblings"`
-	Ordinal  int `json:"ordinal"`
-	Stage    int `json:"stage"`
-	Tenants  []struct {
-		Name    string  `json:"name"`
-		Portion float64 `json:"portion"`
-		Quota   float64 `json:"quota_per_s"`
-	} `json:"tenants"`
-	Tiers   []string `json:"tiers"`
-	Weights string   `json:"weights"`
-}
-
-// Decode reads a settings object. What the module needs is checked here; CheckSockets checks the rest.
+// Decode decodes a settings object and checks what the mapping needs; its errors are an *Error or those of encoding/json.
+// balancer.New checks the balancer's part, CheckSockets that of the sockets.
 func Decode(data []byte) (*Site, error) {
-	var o object
-	if err := json.Unmarshal(data, &o); err != nil {
+	var doc document
+	if err := json.Unmarshal(data, &doc); err != nil {
 		return nil, err
 	}
-	site := &Site{Zones: o.Zones, Tiers: len(o.Tiers),
-		DialTimeout: time.Duration(o.Limits.DialTimeout) * time.Microsecond,
-		IdleClose:   time.Duration(o.Limits.IdleClose) * time.Microsecond,
-	}
+	site := &Site{Zones: doc.Zones, Tiers: len(doc.TierNames),
+		DialTimeout: microseconds(doc.Limits.DialTimeout), IdleClose: microseconds(doc.Limits.IdleTimeout)}
 	var err error
-	if site.Balancer, err = o.logic(); err != nil {
+	if site.Balancer, err = doc.balancerSettings(); err != nil {
 		return nil, err
 	}
-	for _, p := range o.Profiles {
-		site.Classes = append(site.Classes, p.Name)
+	for _, class := range doc.Classes {
+		site.Classes = append(site.Classes, class.Name)
 	}
-	for _, t := range o.Tenants {
-		site.Tenants = append(site.Tenants, t.Name)
+	for _, tenant := range doc.Tenants {
+		site.Tenants = append(site.Tenants, tenant.Name)
 	}
 	return site, nil
 }
 
-// CheckSockets tells what a proxy on real sockets lacks: names to know classes and tenants by, and the
-// figures of its connections.
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+
+// CheckSockets returns an *Error if a proxy on sockets lacks a name of a class or tenant, or a timeout of connections.
 func (s *Site) CheckSockets() error {
 	if s.DialTimeout <= 0 {
 		return &Error{"limits.dial_timeout_us", "not positive"}
@@ -121,55 +63,62 @@
 
 func checkDistinct(list string, names []string) error {
 	seen := map[string]bool{}
-	for i, n := range names {
-		if n == "" || seen[n] {
+	for i, name := range names {
+		if name == "" || seen[name] {
 			return &Error{fmt.Sprintf("%s[%d].name", list, i), "missing or given twice"}
 		}
-		seen[n] = true
+		seen[name] = true
 	}
 	return nil
 }
 
-// logic turns the object into the module's settings.
-func (o *object) logic() (balancer.Settings, error) {
-	repeats := map[string]balancer.Idempotency{
+// The protocol's words for the balancer's enumerations.
+var (
+	idempotencyByWord = map[string]balancer.Idempotency{
 		"idempotent": balancer.Idempotent, "deduplicated": balancer.IdempotentWithKey, "at_most_once": balancer.NonIdempotent,
 	}
-	groups := map[string]balancer.DedupScope{
+	dedupScopeByWord = map[string]balancer.DedupScope{
 		"": balancer.DedupScopeAll, "all": balancer.DedupScopeAll, "zone": balancer.DedupScopeZone, "cell": balancer.DedupScopeCell,
 	}
-	s := balancer.Settings{
-		Tier: o.Stage, Replicas: o.Siblings, ReplicaIndex: o.Ordinal, Zone: o.Zone, ZoneCount: len(o.Zones),
-		WatchEndpoints: o.Membership == "subscribe", CapacityHints: o.Weights != "" && o.Weights != "off",
-		MaxAttempts: o.Limits.TryLimit, RejectedMayHaveExecuted: o.Contract.BusyNoProof,
-		OrderingCooldown:  o.Contract.OrderSettle,
-		RetryBudgetWindow: o.Contract.RatioSpan, RetryBudgetMin: o.Contract.Spare, RetryBudgetRatio: o.Contract.ResendRatio,
-		DrainGrace:   o.Contract.DrainGrace,
-		PollInterval: o.Contract.AskEvery, SlowStartMinCapacity: o.Contract.StartCapacity, SlowStartDuration: o.Contract.Cold,
-		OverloadMultiple: o.Contract.TipMultiple, OverloadWindow: o.Contract.FallSpan,
-		WeightPerWork: o.CountedBy == "work",
-	}
-	if o.Membership != "automatic" && o.Membership != "subscribe" {
-		return s, unknownWord("membership_mode", o.Membership)
-	}
-	if o.Limits.RetryAfter {
-		s.MaxRetryAfter = o.Limits.MaxRetryAfter
-	}
-	for i, p := range o.Profiles {
-		repeat, ok := repeats[p.Repeat]
+)
+
+// balancerSettings returns the balancer's part. Its errors are an *Error.
+func (d *document) balancerSettings() (balancer.Settings, error) {
+	settings := balancer.Settings{
+		Tier: d.Tier, Replicas: d.Replicas, ReplicaIndex: d.ReplicaIndex,
+		Zone: d.Zone, ZoneCount: len(d.Zones),
+		WatchEndpoints: d.Membership == "subscribe", PollInterval: d.Contract.PollInterval,
+		CapacityHints: d.Weights != "" && d.Weights != "off", WeightPerWork: d.CountedBy == "work",
+		MaxAttempts: d.Limits.MaxAttempts, RejectedMayHaveExecuted: d.Contract.RejectedMayHaveExecuted,
+		OrderingCooldown:  d.Contract.OrderingCooldown,
+		RetryBudgetWindow: d.Contract.RetryBudgetWindow, RetryBudgetMin: d.Contract.RetryBudgetMin,
+		RetryBudgetRatio:     d.Contract.RetryBudgetRatio,
+		DrainGrace:           d.Contract.DrainGrace,
+		SlowStartMinCapacity: d.Contract.SlowStartMinCapacity, SlowStartDuration: d.Contract.SlowStartDuration,
+		OverloadMultiple: d.Contract.OverloadMultiple, OverloadWindow: d.Contract.OverloadWindow,
+	}
+	if d.Membership != "automatic" && d.Membership != "subscribe" {
+		return settings, unknownWord("membership_mode", d.Membership)
+	}
+	if d.Limits.RetryAfter {
+		settings.MaxRetryAfter = d.Limits.MaxRetryAfter
+	}
+	for i, class := range d.Classes {
+		idempotency, ok := idempotencyByWord[class.Idempotency]
 		if !ok {
-			return s, unknownWord(fmt.Sprintf("profiles[%d].repeat", i), p.Repeat)
+			return settings, unknownWord(fmt.Sprintf("profiles[%d].repeat", i), class.Idempotency)
 		}
-		group, ok := groups[p.Scope]
+		scope, ok := dedupScopeByWord[class.DedupScope]
 		if !ok {
-			return s, unknownWord(fmt.Sprintf("profiles[%d].dedup_scope", i), p.Scope)
+			return settings, unknownWord(fmt.Sprintf("profiles[%d].dedup_scope", i), class.DedupScope)
 		}
-		s.Classes = append(s.Classes, balancer.Class{Name: p.Name, LatencyObjective: p.Objective, Deadline: p.GiveUp, PriorityWeight: p.Worth,
-			LateWeight: p.LateShare, Idempotency: repeat, DedupScope: group, DedupWindow: p.Window,
-			Ordered: p.ByArrival})
+		settings.Classes = append(settings.Classes, balancer.Class{
+			Name: class.Name, LatencyObjective: class.LatencyObjective, Deadline: class.Deadline,
+			PriorityWeight: class.PriorityWeight, LateWeight: class.LateWeight,
+			Idempotency: idempotency, DedupScope: scope, DedupWindow: class.DedupWindow, Ordered: class.Ordered})
 	}
-	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Share: t.Portion, Quota: t.Quota})
+	for _, tenant := range d.Tenants {
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{Name: tenant.Name, Share: tenant.Share, Quota: tenant.Quota})
 	}
-	return s, nil
+	return settings, nil
 }
