--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -56,7 +56,7 @@
 	err = cfg.Check()
 	var invalid *transport.ConfigError
 	if errors.As(err, &invalid) {
-		return nil, parsed, &config.ConfigError{Key: "fleet." + invalid.Key, Problem: invalid.Problem, Remedy: invalid.Remedy}
+		return nil, parsed, &config.Error{Key: "fleet." + invalid.Key, Problem: invalid.Problem, Remedy: invalid.Remedy}
 	}
 	return cfg, parsed, err
 }
--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -64,7 +64,7 @@
 		{"", "", `{"label":"x"}`, "fleet.name", "missing"},
 	} {
 		_, path, err := load(t, c.name, c.section, c.env, ReadConfig)
-		var fault *config.ConfigError
+		var fault *config.Error
 		if !errors.As(err, &fault) || fault.File != path || fault.Key != c.key || !strings.Contains(fault.Problem, c.problem) ||
 			fault.Remedy == "" || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got %v", c.section, err)
@@ -83,7 +83,7 @@
 	f.Add([]byte(`{"label":"x","bind":"127.0.0.1:9","seeds":["127.0.0.1:8"]}`))
 	f.Fuzz(func(t *testing.T, section []byte) {
 		c, _, err := read(section, "n")
-		var fault *config.ConfigError
+		var fault *config.Error
 		if err == nil && c.Check() != nil || errors.As(err, &fault) && fault.Remedy == "" {
 			t.Errorf("%+v, %v", c, err)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -71,7 +71,7 @@
 func Load(env func(string) string, fleet ClusterReader) (*Config, error) {
 	path := env("LB_CONFIG")
 	if path == "" {
-		return nil, &ConfigError{Key: "LB_CONFIG", Problem: "is not set", Remedy: "have it name the configuration file"}
+		return nil, &Error{Key: "LB_CONFIG", Problem: "is not set", Remedy: "have it name the configuration file"}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -79,10 +79,10 @@
 		if errors.As(err, &at) { // which names the file once more
 			err = at.Err
 		}
-		return nil, &ConfigError{File: path, Problem: err.Error(), Remedy: "have LB_CONFIG name a file that can be read"}
+		return nil, &Error{File: path, Problem: err.Error(), Remedy: "have LB_CONFIG name a file that can be read"}
 	}
 	c, err := parse(text, env, fleet)
-	var fault *ConfigError
+	var fault *Error
 	if errors.As(err, &fault) {
 		fault.File = path
 	}
@@ -104,7 +104,7 @@
 }
 
 // Lacks tells of a key that a former configuration has and this one lacks; nil: of none.
-func (c *Config) MissingKey(former *Config) *ConfigError { return missingKey(former.text, c.text) }
+func (c *Config) MissingKey(former *Config) *Error { return missingKey(former.text, c.text) }
 
 // Above is this configuration with a document of its service above its settings; no document: as it is. Its errors are
 // each a *ConfigError.
@@ -152,14 +152,14 @@
 	}
 	var err error
 	if p.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, &ConfigError{Key: "seed", Problem: err.Error(), Remedy: "give 1 to 16 hexadecimal digits"}
+		return nil, &Error{Key: "seed", Problem: err.Error(), Remedy: "give 1 to 16 hexadecimal digits"}
 	}
 	for _, l := range []struct {
 		key string
 		n   float64
 	}{{"cores", c.Cores}, {"memory_mb", c.MemoryMB}, {"sockets", float64(f.Limits.Sockets)}} {
 		if l.n < 0 {
-			return nil, &ConfigError{Key: "limits." + l.key, Problem: "negative", Remedy: "give a limit, or leave it out"}
+			return nil, &Error{Key: "limits." + l.key, Problem: "negative", Remedy: "give a limit, or leave it out"}
 		}
 	}
 	if p.Site, err = decodeSettings(f.Settings); err != nil {
@@ -182,11 +182,11 @@
 // plan reads the section fleet.
 func (c *Config) plan(section json.RawMessage, name string) (*proxy.ClusterPlan, error) {
 	if c.fleet == nil {
-		return nil, &ConfigError{Key: "fleet", Problem: "this program is built without it",
+		return nil, &Error{Key: "fleet", Problem: "this program is built without it",
 			Remedy: "run bin/merlinpick-cluster-proxy, or leave the section out"}
 	}
 	plan, err := c.fleet(section, name)
-	var fault *ConfigError
+	var fault *Error
 	if err != nil && !errors.As(err, &fault) {
 		err = decodeError("fleet", err)
 	}
@@ -196,19 +196,19 @@
 // addresses checks where clients connect and where the list comes from.
 func (f *file) addresses(p *proxy.Config) error {
 	if p.Listen == "" {
-		return &ConfigError{Key: "listen", Problem: "is missing", Remedy: "give HOST:PORT there or in LB_LISTEN"}
+		return &Error{Key: "listen", Problem: "is missing", Remedy: "give HOST:PORT there or in LB_LISTEN"}
 	}
 	if p.Discovery.Address == "" && len(f.Members) == 0 {
-		return &ConfigError{Key: "discovery", Problem: "is missing",
+		return &Error{Key: "discovery", Problem: "is missing",
 			Remedy: "give HOST:PORT there or in LB_DISCOVERY, or discovery_members"}
 	}
 	for i, m := range f.Members {
 		if _, _, err := net.SplitHostPort(m); err != nil {
-			return &ConfigError{Key: fmt.Sprintf("discovery_members[%d]", i), Problem: err.Error(), Remedy: "give HOST:PORT"}
+			return &Error{Key: fmt.Sprintf("discovery_members[%d]", i), Problem: err.Error(), Remedy: "give HOST:PORT"}
 		}
 	}
 	if f.StateDir != "" && len(f.Members) == 0 {
-		return &ConfigError{Key: "discovery_state", Problem: "needs discovery_members; the platform's list is not kept",
+		return &Error{Key: "discovery_state", Problem: "needs discovery_members; the platform's list is not kept",
 			Remedy: "give the members, or leave it out"}
 	}
 	return nil
@@ -217,18 +217,18 @@
 // service checks what is needed to follow a configuration.
 func (f *file) service(name string) error {
 	if err := settings.CheckService(f.Service); err != nil {
-		return &ConfigError{Key: "config_service", Problem: err.Error(), Remedy: "give the service's name, or leave it out"}
+		return &Error{Key: "config_service", Problem: err.Error(), Remedy: "give the service's name, or leave it out"}
 	}
 	if len(f.Members) == 0 {
-		return &ConfigError{Key: "config_service", Problem: "needs discovery_members; the platform's list has no configurations",
+		return &Error{Key: "config_service", Problem: "needs discovery_members; the platform's list has no configurations",
 			Remedy: "give the members, or leave it out"}
 	}
 	if name == "" {
-		return &ConfigError{Key: "name", Problem: "is missing, and config_service needs it to tell proxies apart",
+		return &Error{Key: "name", Problem: "is missing, and config_service needs it to tell proxies apart",
 			Remedy: "give one there or in LB_NAME"}
 	}
 	if len(name) > maxNameBytes {
-		return &ConfigError{Key: "name", Problem: fmt.Sprintf("has %d bytes, and config_service allows %d", len(name), maxNameBytes),
+		return &Error{Key: "name", Problem: fmt.Sprintf("has %d bytes, and config_service allows %d", len(name), maxNameBytes),
 			Remedy: "give a shorter one there or in LB_NAME"}
 	}
 	return nil
@@ -237,7 +237,7 @@
 // site reads the section settings.
 func decodeSettings(section json.RawMessage) (*settings.Site, error) {
 	if !isGiven(section) {
-		return nil, &ConfigError{Key: "settings", Problem: "is missing", Remedy: "give the rules of the tier"}
+		return nil, &Error{Key: "settings", Problem: "is missing", Remedy: "give the rules of the tier"}
 	}
 	s, err := settings.Read(section)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -75,14 +75,14 @@
 	} {
 		env := from(t, strings.Replace(good, c.old, c.new, 1), nil)
 		_, err := Load(env, nil)
-		var fault *ConfigError
+		var fault *Error
 		if !errors.As(err, &fault) || fault.File != env("LB_CONFIG") || fault.Key != c.key ||
 			!strings.Contains(fault.Problem, c.problem) || fault.Remedy == "" || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q for %q: got %v", c.new, c.old, err)
 		}
 	}
 	for _, path := range []string{"", filepath.Join(t.TempDir(), "none")} {
-		var fault *ConfigError
+		var fault *Error
 		if _, err := Load(func(string) string { return path }, nil); !errors.As(err, &fault) || fault.File != path || fault.Remedy == "" {
 			t.Errorf("from %q: got %v", path, err)
 		}
@@ -103,7 +103,7 @@
 		{`"try_limit":3`, `"try_limit":4`, ""},
 	} {
 		next, err := Reload(from(t, strings.Replace(good, c.old, c.new, 1), nil), former)
-		var fault *ConfigError
+		var fault *Error
 		if c.key == "" && (err != nil || next == nil) || c.key != "" && (!errors.As(err, &fault) || fault.Key != c.key || fault.File == "") {
 			t.Errorf("%q for %q: got %v", c.new, c.old, err)
 		}
@@ -116,7 +116,7 @@
 	f.Add([]byte(`{"listen":"a:1","discovery":"a:2","seed":"1","settings":null,"fleet":null}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := parse(text, func(string) string { return "" }, nil)
-		var fault *ConfigError
+		var fault *Error
 		switch {
 		case err == nil && (c == nil || c.Proxy.Cluster != nil):
 			t.Errorf("read as %+v", c)
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -9,14 +9,14 @@
 )
 
 // ConfigError is a fault of the configuration.
-type ConfigError struct {
+type Error struct {
 	File    string // empty: there is none
 	Key     string // as in settings.profiles[0].name, or a word of the environment; empty: the whole file
 	Problem string
 	Remedy  string
 }
 
-func (e *ConfigError) Error() string {
+func (e *Error) Error() string {
 	var at []string
 	for _, part := range []string{e.File, e.Key, e.Problem} {
 		if part != "" {
@@ -30,8 +30,8 @@
 func joinKey(section, key string) string { return strings.Trim(section+"."+key, ".") }
 
 // unreadable is the fault of a section that could not be read, by the key that the error tells of.
-func decodeError(section string, err error) *ConfigError {
-	fault := &ConfigError{Key: section, Problem: err.Error(), Remedy: "correct it; nothing of the file is in force"}
+func decodeError(section string, err error) *Error {
+	fault := &Error{Key: section, Problem: err.Error(), Remedy: "correct it; nothing of the file is in force"}
 	var kind *json.UnmarshalTypeError
 	var rule *settings.Error
 	switch {
--- a/internal/config/missingkey.go
+++ b/internal/config/missingkey.go
@@ -12,7 +12,7 @@
 // lacks tells of the first key that a former configuration has and the next one lacks: what a file that was cut
 // short, or saved in the middle, may show and still make sense. Entries of a list are compared by the keys that all
 // of them have. What the list of servers holds is discovery's and not compared.
-func missingKey(former, next []byte) *ConfigError {
+func missingKey(former, next []byte) *Error {
 	var a, b map[string]any
 	if err := errors.Join(json.Unmarshal(former, &a), json.Unmarshal(next, &b)); err != nil {
 		return decodeError("", err)
@@ -21,7 +21,7 @@
 	return missingBelow("", a, b)
 }
 
-func missingBelow(at string, former, next any) *ConfigError {
+func missingBelow(at string, former, next any) *Error {
 	switch a := former.(type) {
 	case map[string]any:
 		b, ok := next.(map[string]any)
@@ -52,8 +52,8 @@
 	return nil
 }
 
-func missingKeyError(at, problem string) *ConfigError {
-	return &ConfigError{Key: strings.TrimPrefix(at, "."), Problem: problem,
+func missingKeyError(at, problem string) *Error {
+	return &Error{Key: strings.TrimPrefix(at, "."), Problem: problem,
 		Remedy: "give it as the file in force does; to do without it, restart"}
 }
 
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -86,7 +86,7 @@
 		if taken != (c.attempts > 0) {
 			t.Errorf("%d: taken %v, %v", i, taken, err)
 		}
-		var fault *config.ConfigError
+		var fault *config.Error
 		if c.file == "" && !taken && (!errors.As(err, &fault) || fault.Key != c.key || !strings.HasPrefix(err.Error(), c.key)) {
 			t.Errorf("%d: got %v", i, err)
 		}
