--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -1,44 +1,31 @@
 package config
 
 import (
-	"encoding/json"
-	"errors"
 	"strings"
 
 	"merlinpick/internal/settings"
 )
 
-// ConfigError is a fault of the configuration.
+// Error is a fault of the configuration.
 type Error struct {
 	File    string // empty: there is none
-	Key     string // as in settings.profiles[0].name, or a word of the environment; empty: the whole file
+	Key     string // as in settings.profiles[0].name, or an environment variable; empty: the whole file
 	Problem string
 	Remedy  string
 }
 
 func (e *Error) Error() string {
-	var at []string
+	var parts []string
 	for _, part := range []string{e.File, e.Key, e.Problem} {
 		if part != "" {
-			at = append(at, part)
+			parts = append(parts, part)
 		}
 	}
-	return strings.Join(at, ": ") + "; " + e.Remedy
+	return strings.Join(parts, ": ") + "; " + e.Remedy
 }
 
-// under puts a key that is told within a section behind the section's.
-func joinKey(section, key string) string { return strings.Trim(section+"."+key, ".") }
-
-// unreadable is the fault of a section that could not be read, by the key that the error tells of.
+// decodeError returns an *Error about a section, or a key below it that the error names.
 func decodeError(section string, err error) *Error {
-	fault := &Error{Key: section, Problem: err.Error(), Remedy: "correct it; nothing of the file is in force"}
-	var kind *json.UnmarshalTypeError
-	var rule *settings.Error
-	switch {
-	case errors.As(err, &kind):
-		fault.Key, fault.Problem = joinKey(section, kind.Field), "is a JSON "+kind.Value+", not "+kind.Type.String()
-	case errors.As(err, &rule):
-		fault.Key, fault.Problem = joinKey(section, rule.Key), rule.Problem
-	}
-	return fault
+	fault := settings.ErrorBelow(section, err)
+	return &Error{Key: fault.Key, Problem: fault.Problem, Remedy: "correct it; nothing of the file is in force"}
 }
--- a/internal/config/missingkey.go
+++ b/internal/config/missingkey.go
@@ -9,42 +9,46 @@
 	"strings"
 )
 
-// lacks tells of the first key that a former configuration has and the next one lacks: what a file that was cut
-// short, or saved in the middle, may show and still make sense. Entries of a list are compared by the keys that all
-// of them have. What the list of servers holds is discovery's and not compared.
-func missingKey(former, next []byte) *Error {
-	var a, b map[string]any
-	if err := errors.Join(json.Unmarshal(former, &a), json.Unmarshal(next, &b)); err != nil {
+// missingKey returns an *Error about the first key that a previous configuration has and the next one lacks, as a
+// truncated file may show; nil if there is none. Entries of a list are compared by the keys that all of them have. The
+// endpoint list is not compared: its contents come from discovery.
+func missingKey(previous, next []byte) *Error {
+	var previousKeys, nextKeys map[string]any
+	if err := errors.Join(json.Unmarshal(previous, &previousKeys), json.Unmarshal(next, &nextKeys)); err != nil {
 		return decodeError("", err)
 	}
-	delete(a, "known")
-	return missingBelow("", a, b)
+	delete(previousKeys, "known")
+	return missingBelow("", previousKeys, nextKeys)
 }
 
-func missingBelow(at string, former, next any) *Error {
-	switch a := former.(type) {
+// missingBelow is missingKey for the value of a key.
+func missingBelow(key string, previous, next any) *Error {
+	switch previous := previous.(type) {
 	case map[string]any:
-		b, ok := next.(map[string]any)
+		next, ok := next.(map[string]any)
 		if !ok {
-			return missingKeyError(at, "no object")
+			return missingKeyError(key, "no object")
 		}
-		for _, key := range slices.Sorted(maps.Keys(a)) {
-			v, ok := b[key]
+		for _, name := range slices.Sorted(maps.Keys(previous)) {
+			value, ok := next[name]
 			if !ok {
-				return missingKeyError(at+"."+key, "is missing")
+				return missingKeyError(key+"."+name, "is missing")
 			}
-			if err := missingBelow(at+"."+key, a[key], v); err != nil {
+			if err := missingBelow(key+"."+name, previous[name], value); err != nil {
 				return err
 			}
 		}
 	case []any:
-		b, ok := next.([]any)
+		next, ok := next.([]any)
 		if !ok {
-			return missingKeyError(at, "no list")
+			return missingKeyError(key, "no list")
 		}
-		common := commonKeys(a)
-		for i, entry := range b {
-			if err := missingBelow(fmt.Sprintf("%s[%d]", at, i), common, entry); len(common) > 0 && err != nil {
+		common := commonKeys(previous)
+		if len(common) == 0 {
+			return nil
+		}
+		for i, entry := range next {
+			if err := missingBelow(fmt.Sprintf("%s[%d]", key, i), common, entry); err != nil {
 				return err
 			}
 		}
@@ -52,26 +56,26 @@
 	return nil
 }
 
-func missingKeyError(at, problem string) *Error {
-	return &Error{Key: strings.TrimPrefix(at, "."), Problem: problem,
+func missingKeyError(key, problem string) *Error {
+	return &Error{Key: strings.TrimPrefix(key, "."), Problem: problem,
 		Remedy: "give it as the file in force does; to do without it, restart"}
 }
 
-// commonKeys are the keys that all entries of a list have.
+// commonKeys returns the keys that all entries of a list have, without their values.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for _, entry := range list {
-		m, ok := entry.(map[string]any)
+		object, ok := entry.(map[string]any)
 		if !ok {
 			return nil
 		}
 		if common == nil {
-			common = maps.Clone(m)
+			common = maps.Clone(object)
 		}
-		maps.DeleteFunc(common, func(key string, _ any) bool { _, ok := m[key]; return !ok })
+		maps.DeleteFunc(common, func(key string, _ any) bool { _, found := object[key]; return !found })
 	}
 	for key := range common {
-		common[key] = nil // their values are each entry's own
+		common[key] = nil
 	}
 	return common
 }
--- a/internal/discovery/freshness.go
+++ b/internal/discovery/freshness.go
@@ -47,7 +47,8 @@
 // balancer/staleness.go. A new process waits for its first answer (awaitSync in internal/proxy).
 //
 // Registry (Source.Members). A change arrives at most LongPollTimeout + registryWatchSlack + FailoverJitter after it was
-// confirmed, plus the registry's own bound on a member's staleness, as long as one of the next members answers.
+// confirmed, plus the registry's own bound on a member's staleness, as long as one of the next members answers. There is
+// no deadline after which selection goes by other evidence.
 //
 // Without any answer the last list is used, without limit of age; Metrics.Age reports it. An answer that is malformed in
 // any part is discarded as a whole.
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	if _, err = Read(settings); err != nil {
-		return errorBelow(settingsKey, err)
+		return ErrorBelow(settingsKey, err)
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 func documentSettings(text []byte) (json.RawMessage, error) {
 	var sections map[string]json.RawMessage
 	if err := json.Unmarshal(text, &sections); err != nil {
-		return nil, errorBelow("", err)
+		return nil, ErrorBelow("", err)
 	}
 	for _, key := range slices.Sorted(maps.Keys(sections)) {
 		if key != settingsKey {
@@ -80,7 +80,7 @@
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(settings, &keys); err != nil {
-		return nil, errorBelow(settingsKey, err)
+		return nil, ErrorBelow(settingsKey, err)
 	}
 	for _, key := range perProxyKeys {
 		if _, found := keys[key]; found {
@@ -104,7 +104,7 @@
 	}
 	if err := errors.Join(json.Unmarshal(settings, &merged), json.Unmarshal(fileSettings, &file),
 		json.Unmarshal(fileSettings, &before), json.Unmarshal(settings, &after)); err != nil {
-		return nil, errorBelow(settingsKey, err)
+		return nil, ErrorBelow(settingsKey, err)
 	}
 	for _, key := range perProxyKeys {
 		if value, found := file[key]; found {
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -35,8 +35,8 @@
 	return &Error{key, fault.Problem}
 }
 
-// errorBelow returns an *Error whose key stands below a section.
-func errorBelow(section string, err error) error {
+// ErrorBelow returns an error of encoding/json or of this package as an *Error whose key stands below a section.
+func ErrorBelow(section string, err error) *Error {
 	var kind *json.UnmarshalTypeError
 	var rule *Error
 	under := func(key string) string { return strings.Trim(section+"."+key, ".") }
