--- a/cmd/merlinpick-simadapter/main.go
+++ b/cmd/merlinpick-simadapter/main.go
@@ -1,5 +1,6 @@
-// Command merlinpick-simadapter runs many balancers on the simulator's wire: events on standard input, actions on
-// standard output. It decodes and encodes; every decision is made in package logic.
+// Command merlinpick-simadapter runs many balancers on the simulator's wire: events on standard input, actions on standard
+// output, a JSON object a line. It maps the wire's names to those of package balancer (wire.go) and never decides anything
+// itself.
 package main
 
 import (
--- /dev/null
+++ b/cmd/merlinpick-simadapter/session.go
@@ -0,0 +1,164 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+
+	"merlinpick/balancer"
+)
+
+const (
+	readBuffer = 1 << 20 // bytes; longer lines are read in parts
+	maxLists   = 16      // the wire's numbers of endpoint lists are below this
+)
+
+// inputError is a line of input that cannot be processed.
+type inputError struct {
+	line int // from 1
+	err  error
+}
+
+func (e *inputError) Error() string { return fmt.Sprintf("line %d: %v", e.line, e.err) }
+func (e *inputError) Unwrap() error { return e.err }
+
+// eventError is an event with an invalid field.
+type eventError struct {
+	event string // its name on the wire
+	err   error
+}
+
+func (e *eventError) Error() string { return e.event + ": " + e.err.Error() }
+func (e *eventError) Unwrap() error { return e.err }
+
+func invalid(event, format string, args ...any) error {
+	return &eventError{event, fmt.Errorf(format, args...)}
+}
+
+// instance is one proxy's balancer with the host that writes its actions.
+type instance struct {
+	balancer *balancer.Balancer
+	host     *host
+}
+
+// session processes the batches of one process.
+type session struct {
+	now       int64 // time of the batch in µs
+	inBatch   bool
+	instances map[string]*instance
+	lists     [maxLists][]balancer.Server
+	listGiven [maxLists]bool
+	out       *bufio.Writer
+	encoder   *json.Encoder // to out
+}
+
+// serve processes batches until the input ends. It stops with an *inputError at the first line that it cannot process.
+func serve(in io.Reader, out io.Writer) error {
+	w := bufio.NewWriterSize(out, readBuffer)
+	s := &session{instances: map[string]*instance{}, out: w, encoder: json.NewEncoder(w)}
+	s.encoder.SetEscapeHTML(false)
+	r := bufio.NewReaderSize(in, readBuffer)
+	for number := 1; ; number++ {
+		line, readErr := readLine(r)
+		if len(bytes.TrimSpace(line)) > 0 {
+			if err := s.handleLine(line); err != nil {
+				return &inputError{number, err}
+			}
+		}
+		if errors.Is(readErr, io.EOF) {
+			if s.inBatch {
+				return &inputError{number, errors.New("the input ends inside a batch")}
+			}
+			return w.Flush()
+		}
+		if readErr != nil {
+			return &inputError{number, readErr}
+		}
+	}
+}
+
+// readLine returns the next line of any length. It is valid until the next call.
+func readLine(r *bufio.Reader) ([]byte, error) {
+	line, err := r.ReadSlice('\n')
+	if !errors.Is(err, bufio.ErrBufferFull) {
+		return line, err
+	}
+	start := bytes.Clone(line)
+	rest, err := r.ReadBytes('\n')
+	return append(start, rest...), err
+}
+
+// handleLine processes one line of input.
+func (s *session) handleLine(line []byte) error {
+	var e event
+	if err := json.Unmarshal(line, &e); err != nil {
+		return fmt.Errorf("not an event: %w", err)
+	}
+	if e.BatchStart == nil && !s.inBatch {
+		return errors.New("an event before the batch's mark")
+	}
+	switch {
+	case e.BatchStart != nil:
+		return s.startBatch(e.BatchStart)
+	case e.BatchEnd != nil:
+		return s.endBatch()
+	case e.EndpointList != nil:
+		return s.setList(e.EndpointList)
+	case e.NewInstance != nil:
+		return s.addInstance(e.NewInstance)
+	case e.StopInstance != nil:
+		return s.removeInstance(e.StopInstance)
+	case e.ListUpdate != nil:
+		return s.updateList(e.ListUpdate)
+	case e.Request != nil:
+		return s.handleRequest(e.Request)
+	case e.Outcome != nil:
+		return s.handleOutcome(e.Outcome)
+	case e.ClientGone != nil:
+		return s.handleClientGone(e.ClientGone)
+	case e.Timer != nil:
+		return s.handleTimer(e.Timer)
+	case e.ResponseStarted != nil:
+		return s.handleResponseStarted(e.ResponseStarted)
+	case e.HealthCheckDone != nil:
+		_, err := s.find("probe_done", e.HealthCheckDone.Instance)
+		return err
+	case e.PeerMessage != nil:
+		_, err := s.find("message", e.PeerMessage.Instance)
+		return err
+	}
+	return fmt.Errorf("unknown event: %.80s", bytes.TrimSpace(line))
+}
+
+// startBatch sets the time of the events that follow.
+func (s *session) startBatch(b *batchStart) error {
+	if b.Time == nil {
+		return invalid("mark", "time_us is missing")
+	}
+	s.now, s.inBatch = *b.Time, true
+	return nil
+}
+
+// endBatch completes the actions of a batch and writes them.
+func (s *session) endBatch() error {
+	s.inBatch = false
+	if err := s.encoder.Encode(action{Done: &struct{}{}}); err != nil {
+		return err
+	}
+	return s.out.Flush()
+}
+
+// find returns the instance that an event names.
+func (s *session) find(event string, name *string) (*instance, error) {
+	if name == nil {
+		return nil, invalid(event, "who is missing")
+	}
+	found := s.instances[*name]
+	if found == nil {
+		return nil, invalid(event, "unknown instance %q", *name)
+	}
+	return found, nil
+}
--- a/cmd/merlinpick-simadapter/serve_test.go
+++ b/cmd/merlinpick-simadapter/session_test.go
@@ -162,7 +162,7 @@
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
 	enc.SetEscapeHTML(false)
-	h := &host{who: "proxy_1", out: enc}
+	h := &host{instance: "proxy_1", out: enc}
 	h.Send("aa", "backend-x", 0, 7)
 	h.Reject("aa", 250000)
 	h.Fail("aa")
--- a/cmd/merlinpick-simadapter/wire.go
+++ b/cmd/merlinpick-simadapter/wire.go
@@ -7,182 +7,157 @@
 	"merlinpick/balancer"
 )
 
-// event is one line of input: an object with a single key, the event's name.
-type event struct {
-	Mark        *mark        `json:"mark"`
-	YourTurn    *struct{}    `json:"your_turn"`
-	NewInstance *newInstance `json:"new_instance"`
-	PowerOff    *whoOnly     `json:"power_off"`
-	Ledger      *ledger      `json:"ledger"`
-	Membership  *membership  `json:"membership"`
-	JobIn       *jobIn       `json:"job_in"`
-	Established *completed   `json:"established"`
-	Completed   *completed   `json:"completed"`
-	Withdrawn   *ticketOnly  `json:"withdrawn"`
-	TickDue     *tickDue     `json:"tick_due"`
-	ProbeDone   *whoOnly     `json:"probe_done"` // this library sends no probes
-	Message     *whoOnly     `json:"message"`    // nor messages to peers
-}
+// The wire's messages. Their tags are the one place that maps the wire's names to the field's terms. Times and durations
+// are in µs; a time counts from the start of the simulation. Fields that are pointers are required.
 
-type mark struct {
+// event is one line of input: an object with a single key.
+type event struct {
+	BatchStart      *batchStart   `json:"mark"`
+	BatchEnd        *struct{}     `json:"your_turn"`
+	NewInstance     *newInstance  `json:"new_instance"`
+	StopInstance    *instanceOnly `json:"power_off"`
+	EndpointList    *endpointList `json:"ledger"`
+	ListUpdate      *listUpdate   `json:"membership"`
+	Request         *request      `json:"job_in"`
+	ResponseStarted *outcome      `json:"established"`
+	Outcome         *outcome      `json:"completed"`
+	ClientGone      *requestOnly  `json:"withdrawn"`
+	Timer           *timer        `json:"tick_due"`
+	HealthCheckDone *instanceOnly `json:"probe_done"` // ignored: the balancer sends no health checks
+	PeerMessage     *instanceOnly `json:"message"`    // ignored: nor messages to peers
+}
+
+type batchStart struct {
 	Time *int64 `json:"time_us"`
 }
 
-type whoOnly struct {
-	Who *string `json:"who"`
+type instanceOnly struct {
+	Instance *string `json:"who"`
 }
 
-type ticketOnly struct {
-	Who    *string `json:"who"`
-	Ticket *string `json:"ticket"`
+type requestOnly struct {
+	Instance  *string `json:"who"`
+	RequestID *string `json:"ticket"`
 }
 
 type newInstance struct {
-	Who     *string         `json:"who"`
-	Salt    *uint64         `json:"salt"`
-	Options json.RawMessage `json:"options"` // see package settings
+	Instance *string         `json:"who"`
+	Seed     *uint64         `json:"salt"`
+	Settings json.RawMessage `json:"options"` // see package settings
 }
 
-type ledger struct {
-	Roster   *int     `json:"roster_id"`
-	Elements *[]entry `json:"elements"`
+type endpointList struct {
+	Number    *int        `json:"roster_id"`
+	Endpoints *[]endpoint `json:"elements"`
 }
 
-type entry struct {
-	Backend  *string  `json:"backend"`
-	DC       *int     `json:"dc"`
-	Pack     int      `json:"pack"`
-	State    *int     `json:"state"`
-	Power    *float64 `json:"power_hint"`
-	Launched int64    `json:"launched_us"`
+type endpoint struct {
+	ID           *string  `json:"backend"`
+	Zone         *int     `json:"dc"`
+	Cell         int      `json:"pack"`
+	State        *int     `json:"state"`       // index in serverStates
+	CapacityHint *float64 `json:"power_hint"`  // nil: 1
+	StartTime    int64    `json:"launched_us"` // 0: long ago
 }
 
-type membership struct {
-	Who    *string `json:"who"`
-	How    *int    `json:"how"`
-	Roster *int    `json:"roster_id"`
+type listUpdate struct {
+	Instance *string `json:"who"`
+	Kind     *int    `json:"how"`       // index in updateKinds
+	List     *int    `json:"roster_id"` // not needed for a failure
 }
 
-type jobIn struct {
-	Who    *string `json:"who"`
-	Ticket *string `json:"ticket"`
-	Band   *int    `json:"band"`
-	Owner  int     `json:"owner"`
-	Key    string  `json:"affinity"`
-	GiveUp *int64  `json:"give_up_at_us"`
+type request struct {
+	Instance *string `json:"who"`
+	ID       *string `json:"ticket"`
+	Class    *int    `json:"band"`
+	Tenant   int     `json:"owner"`
+	Key      string  `json:"affinity"`
+	Deadline *int64  `json:"give_up_at_us"`
 }
 
-type completed struct {
-	Who      *string `json:"who"`
-	Ticket   *string `json:"ticket"`
-	Go       *int    `json:"go"`
-	Verdict  *int    `json:"verdict"`
-	Took     int64   `json:"took_us"`
-	Terminal bool    `json:"terminal"`
+type outcome struct {
+	Instance    *string `json:"who"`
+	RequestID   *string `json:"ticket"`
+	Attempt     *int    `json:"go"`      // from 0
+	Status      *int    `json:"verdict"` // see statusByCode
+	Latency     int64   `json:"took_us"`
+	RequestDone bool    `json:"terminal"`
 }
 
-type tickDue struct {
-	Who   *string `json:"who"`
-	Nonce *string `json:"nonce"`
+type timer struct {
+	Instance *string `json:"who"`
+	Token    *string `json:"nonce"`
 }
 
-var statuses = map[int]balancer.Status{
-	200: balancer.StatusOK, 500: balancer.StatusError, 503: balancer.StatusRejected, 504: balancer.StatusTimedOut, 502: balancer.StatusConnectFailed,
-	598: balancer.StatusReset, 499: balancer.StatusCancelled, 410: balancer.StatusNotSent,
-}
-
-// kinds and states are the wire's numbers.
+// The wire's numbers for the balancer's enumerations.
 var (
-	kinds  = [...]balancer.UpdateKind{balancer.UpdateDelta, balancer.UpdateSnapshot, balancer.UpdateCached, balancer.UpdateFailed}
-	states = [...]balancer.ServerState{balancer.ServerRemoved, balancer.ServerReady, balancer.ServerDraining}
+	statusByCode = map[int]balancer.Status{
+		200: balancer.StatusOK, 500: balancer.StatusError, 503: balancer.StatusRejected, 504: balancer.StatusTimedOut,
+		502: balancer.StatusConnectFailed, 598: balancer.StatusReset, 499: balancer.StatusCancelled, 410: balancer.StatusNotSent,
+	}
+	updateKinds  = [...]balancer.UpdateKind{balancer.UpdateDelta, balancer.UpdateSnapshot, balancer.UpdateCached, balancer.UpdateFailed}
+	serverStates = [...]balancer.ServerState{balancer.ServerRemoved, balancer.ServerReady, balancer.ServerDraining}
 )
 
-// servers turns a roster's elements into the library's servers.
-func (l *ledger) servers() ([]balancer.Server, error) {
-	out := make([]balancer.Server, 0, len(*l.Elements))
-	for i, e := range *l.Elements {
-		if e.Backend == nil || e.State == nil || e.DC == nil {
+// servers returns the list in the balancer's form.
+func (l *endpointList) servers() ([]balancer.Server, error) {
+	servers := make([]balancer.Server, 0, len(*l.Endpoints))
+	for i, e := range *l.Endpoints {
+		if e.ID == nil || e.State == nil || e.Zone == nil {
 			return nil, fmt.Errorf("elements[%d]: backend, dc or state is missing", i)
 		}
-		if *e.State < 0 || *e.State >= len(states) {
+		if *e.State < 0 || *e.State >= len(serverStates) {
 			return nil, fmt.Errorf("elements[%d].state: unknown state %d", i, *e.State)
 		}
-		s := balancer.Server{ID: *e.Backend, Zone: *e.DC, Cell: e.Pack,
-			State: states[*e.State], CapacityHint: 1, StartTime: e.Launched}
-		if e.Power != nil {
-			s.CapacityHint = *e.Power
+		server := balancer.Server{ID: *e.ID, Zone: *e.Zone, Cell: e.Cell, State: serverStates[*e.State], CapacityHint: 1,
+			StartTime: e.StartTime}
+		if e.CapacityHint != nil {
+			server.CapacityHint = *e.CapacityHint
 		}
-		out = append(out, s)
+		servers = append(servers, server)
 	}
-	return out, nil
+	return servers, nil
 }
 
-// Actions, each under its name on the wire.
+// action is one line of output; exactly one field is set.
+type action struct {
+	Send     *sendAction    `json:"place,omitempty"`
+	Reject   *rejectAction  `json:"overload_reply,omitempty"`
+	Fail     *requestAction `json:"report_failure,omitempty"`
+	SetTimer *timerAction   `json:"schedule,omitempty"`
+	Watch    *watchAction   `json:"subscribe,omitempty"`
+	Log      *logAction     `json:"emit,omitempty"`
+	Done     *struct{}      `json:"done,omitempty"`
+}
+
+// The actions. Their fields are encoded in this order.
 type (
-	place struct {
-		Who     string `json:"who"`
-		Ticket  string `json:"ticket"`
-		Timeout int64  `json:"timeout_us"`
-		Backend string `json:"backend"`
+	sendAction struct {
+		Instance  string `json:"who"`
+		RequestID string `json:"ticket"`
+		Timeout   int64  `json:"timeout_us"`
+		Server    string `json:"backend"`
 	}
-	overloadReply struct {
-		Who      string `json:"who"`
-		Ticket   string `json:"ticket"`
-		StayAway int64  `json:"stay_away_us"`
+	rejectAction struct {
+		Instance   string `json:"who"`
+		RequestID  string `json:"ticket"`
+		RetryAfter int64  `json:"stay_away_us"`
 	}
-	reportFailure struct {
-		Who    string `json:"who"`
-		Ticket string `json:"ticket"`
+	requestAction struct {
+		Instance  string `json:"who"`
+		RequestID string `json:"ticket"`
 	}
-	schedule struct {
-		Who   string `json:"who"`
-		Sleep int64  `json:"sleep_for_us"`
-		Nonce string `json:"nonce"`
+	timerAction struct {
+		Instance string `json:"who"`
+		Delay    int64  `json:"sleep_for_us"`
+		Token    string `json:"nonce"`
 	}
-	subscribe struct {
-		Who    string `json:"who"`
-		Enable bool   `json:"enable"`
+	watchAction struct {
+		Instance string `json:"who"`
+		Enable   bool   `json:"enable"`
 	}
-	emit struct {
-		Who  string `json:"who"`
-		Line string `json:"line"`
+	logAction struct {
+		Instance string `json:"who"`
+		Line     string `json:"line"`
 	}
 )
-
-// action is one line of output; exactly one field is set.
-type action struct {
-	Place         *place         `json:"place,omitempty"`
-	OverloadReply *overloadReply `json:"overload_reply,omitempty"`
-	ReportFailure *reportFailure `json:"report_failure,omitempty"`
-	Schedule      *schedule      `json:"schedule,omitempty"`
-	Subscribe     *subscribe     `json:"subscribe,omitempty"`
-	Emit          *emit          `json:"emit,omitempty"`
-	Done          *struct{}      `json:"done,omitempty"`
-}
-
-// host writes one instance's actions.
-type host struct {
-	who string
-	out *json.Encoder
-}
-
-// An error of writing shows again when the batch is flushed, so it is not looked at here.
-func (h *host) write(a action) { _ = h.out.Encode(a) }
-
-func (h *host) Send(id, server string, _, timeout int64) {
-	h.write(action{Place: &place{h.who, id, timeout, server}})
-}
-
-func (h *host) Reject(id string, after int64) {
-	h.write(action{OverloadReply: &overloadReply{h.who, id, after}})
-}
-
-func (h *host) Fail(id string) { h.write(action{ReportFailure: &reportFailure{h.who, id}}) }
-
-func (h *host) SetTimer(delay int64, token string) {
-	h.write(action{Schedule: &schedule{h.who, delay, token}})
-}
-
-func (h *host) Watch() { h.write(action{Subscribe: &subscribe{h.who, true}}) }
-
-func (h *host) Log(event balancer.Event) { h.write(action{Emit: &emit{h.who, event.String()}}) }
