--- a/cmd/merlinpick-simadapter/session_test.go
+++ b/cmd/merlinpick-simadapter/session_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestARequestFromListToAnswer(t *testing.T) {
+func TestRequestFromListToFailure(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`)+
 		batch(2_000_000, jobLine("proxy_1", "00ff"))+
@@ -79,7 +79,7 @@
 }
 
 // A roster's number is used again within a batch: each list must be read as it stood in order of events.
-func TestRosterReusedWithinABatch(t *testing.T) {
+func TestListNumberReusedWithinBatch(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), instanceLine("proxy_2"),
 		rosterLine(3, "backend-one"), `{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":3}}`,
 		rosterLine(3, "backend-two"), `{"membership":{"who":"proxy_2","how":1,"seq_no":1,"roster_id":3}}`,
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestStopAndRestartInOneBatchForgetsTheList(t *testing.T) {
+func TestRestartWithinBatchForgetsList(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`,
 		`{"power_off":{"who":"proxy_1"}}`, instanceLine("proxy_1"), jobLine("proxy_1", "aa"),
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestInvalidInputIsNamed(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{`nonsense`, "line 2: not an event"},
 		{`{"job_in":{"who":5}}`, "line 2: not an event"},
@@ -182,7 +182,7 @@
 }
 
 // A key that does not reach the module cannot keep its order.
-func TestAKeyReachesTheModule(t *testing.T) {
+func TestOrderingKeyReachesBalancer(t *testing.T) {
 	ordered := strings.Replace(instanceLine("proxy_1"), `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
 	keyed := func(ticket string) string {
 		return strings.Replace(jobLine("proxy_1", ticket), `"affinity":null`, `"affinity":"k:1"`, 1)
--- a/internal/atomicfile/writer_test.go
+++ b/internal/atomicfile/writer_test.go
@@ -11,7 +11,7 @@
 )
 
 // What could not be written is written once the disk takes it, though nothing new has come since.
-func TestWhatCouldNotBeWrittenIsWrittenLater(t *testing.T) {
+func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	synctest.Test(t, func(t *testing.T) {
 		if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file where the folder is to be
@@ -35,7 +35,7 @@
 }
 
 // A newer text takes the place of one that could not be written.
-func TestTheNewestIsWritten(t *testing.T) {
+func TestLatestTextIsWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	synctest.Test(t, func(t *testing.T) {
 		if err := os.WriteFile(dir, nil, 0o600); err != nil {
@@ -61,7 +61,7 @@
 
 // A process that dies between a file's writing and its renaming leaves the new one behind; the next start removes it, and
 // nothing of other names.
-func TestLeftoversOfAWriteAreRemoved(t *testing.T) {
+func TestTemporaryFilesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"list.123.new", "list.9.new", "list", "other.1.new"} {
 		if err := os.WriteFile(filepath.Join(dir, name), nil, 0o600); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestTheConfigurationIsRead(t *testing.T) {
+func TestLoad(t *testing.T) {
 	env := map[string]string{"LB_LISTEN": "127.0.0.1:9", "LB_DISCOVERY": "127.0.0.1:6", "LB_MGMT": "127.0.0.1:8"}
 	for _, c := range []struct {
 		old, new                string
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestAFaultNamesFileKeyProblemAndRemedyInOneLine(t *testing.T) {
+func TestErrorsNameFileKeyProblemAndRemedy(t *testing.T) {
 	for _, c := range []struct{ old, new, key, problem string }{
 		{good, ``, "", "unexpected end"},
 		{`"listen":"127.0.0.1:0",`, ``, "listen", "missing"},
@@ -90,7 +90,7 @@
 }
 
 // A file that lacks what the one in force has may have been cut short; values may change, and the list go.
-func TestAReloadLacksNothingThatIsInForce(t *testing.T) {
+func TestReloadRejectsMissingKeys(t *testing.T) {
 	former, err := Load(from(t, good, nil), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -12,7 +12,7 @@
 
 // An agent that has the list pushed to it answers nothing while discovery is down, not even later the calls that it took then.
 // What it has when it is back counts as told at once: a client is to hear of it within the least grace for sends, 0.5 s.
-func TestAnAgentThatIsBackIsHeardOfAtOnce(t *testing.T) {
+func TestAgentIsHeardSoonAfterOutage(t *testing.T) {
 	const least = 500 * time.Millisecond
 	for _, deaf := range []time.Duration{700 * time.Millisecond, 1900 * time.Millisecond, 3 * time.Second, 5300 * time.Millisecond,
 		8 * time.Second, 21 * time.Second} {
@@ -47,7 +47,7 @@
 }
 
 // An agent that takes long for an answer is waited for all the same.
-func TestASlowAgentIsHeardOf(t *testing.T) {
+func TestSlowAgentIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
 		c.SetInitialList(&List{Version: 5, Full: true})
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -30,6 +30,7 @@
 	Members []string // HOST:PORT each
 }
 
+// String returns the addresses, separated by commas.
 func (s Source) String() string {
 	if len(s.Members) > 0 {
 		return strings.Join(s.Members, ",")
@@ -37,11 +38,11 @@
 	return s.Address
 }
 
-func (s Source) equal(o Source) bool {
-	if len(s.Members) > 0 || len(o.Members) > 0 {
-		return slices.Equal(s.Members, o.Members)
+func (s Source) equal(other Source) bool {
+	if len(s.Members) > 0 || len(other.Members) > 0 {
+		return slices.Equal(s.Members, other.Members)
 	}
-	return s.Address == o.Address
+	return s.Address == other.Address
 }
 
 // Config is the configuration of a Client.
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -236,7 +236,7 @@
 	}
 }
 
-func TestGoldenMemberCalls(t *testing.T) {
+func TestGoldenRegistryCalls(t *testing.T) {
 	var all []string
 	for seed := range uint64(6) {
 		cfg := Config{Source: Source{Members: []string{"m1:1", "m2:1", "m3:1"}}, Seed: seed}
@@ -256,7 +256,7 @@
 }
 
 // A list that an earlier version kept is read as it was.
-func TestGoldenKeptList(t *testing.T) {
+func TestGoldenCachedList(t *testing.T) {
 	l, err := LoadCachedList(filepath.Join("testdata", "kept"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/notifydeadline_test.go
+++ b/internal/discovery/notifydeadline_test.go
@@ -11,7 +11,7 @@
 // Clients of one list that answers in turn, each call after others' turns that take nearly all of the longest wait: whatever
 // befalls their calls, each has a change 6 s after discovery had it and could be reached, less a margin, and they make no more
 // calls than the faults need. Those that befall a fleet at once befall 300, whose own turns are what has to be waited for.
-func TestAChangeIsThereInTime(t *testing.T) {
+func TestChangeArrivesWithinNotifyDeadline(t *testing.T) {
 	const told = 6 * time.Second
 	struck := func(what func(*heldWatch), next ...callFault) func(*serverModel) {
 		return func(l *serverModel) { l.inject(what, next...) }
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -11,7 +11,7 @@
 // The incident of late lists: a fleet of two tiers asks at its start, which is more than discovery answers in a call's wait;
 // then discovery is down for some seconds, while each call waits and fails. Once it answers again every client has a list in
 // about twice the time that their turns take (6 s for 313 of 20 ms): none sleeps on while discovery has nothing to do.
-func TestNoClientSleepsWhileDiscoveryIsIdle(t *testing.T) {
+func TestPollsResumeSoonAfterOutage(t *testing.T) {
 	const wait = 2 * time.Second
 	for _, tt := range []struct {
 		name          string
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -11,7 +11,7 @@
 
 // A queue that is longer than a call may wait answers nobody, and yet its calls take their turns (turns.room). However a
 // fleet came to fill it, the fleet lets it empty: all are answered, within the time that platform.go's constants add up to.
-func TestAFleetLetsAFullQueueEmpty(t *testing.T) {
+func TestPollingDrainsOverloadedQueue(t *testing.T) {
 	const (
 		turn  = 18 * time.Millisecond
 		w     = 2 * time.Second
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -18,7 +18,7 @@
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // A watch that fell silent is given up while its news does not count as told, and the next one goes on from its version.
-func TestASilentWatchIsTakenUpAgainFromItsVersion(t *testing.T) {
+func TestTimedOutWatchContinuesFromVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
 		c.SetInitialList(&List{Version: 5, Full: true})
@@ -51,7 +51,7 @@
 
 // After a move the client goes on from its version, and has the whole list once later: a service with another line of
 // versions may answer from it too.
-func TestAMoveIsCheckedLater(t *testing.T) {
+func TestSourceChangeSchedulesResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
 		c.SetInitialList(&List{Version: 5, Full: true})
@@ -93,7 +93,7 @@
 }
 
 // With a subscription the module is not asked again: for all it knows the one that it asked for stands.
-func TestASubscriptionMovesUnasked(t *testing.T) {
+func TestWatchFollowsSourceChange(t *testing.T) {
 	at := func(index int) (addr string, calls chan string) {
 		calls = make(chan string, 10)
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -132,7 +132,7 @@
 }
 
 // A move that comes while the loop is busy with something else loses no change: the next call goes on from after it.
-func TestAMoveLosesNoChange(t *testing.T) {
+func TestSourceChangeLosesNoUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
 		c.SetInitialList(&List{Version: 5, Full: true})
@@ -165,7 +165,7 @@
 
 // A kept connection that breaks under a watch is a new call's matter, with a new call's patience: net/http's own second try would
 // wait for its turn with what is left of a watch's.
-func TestABrokenConnectionIsNotTriedOnTheSly(t *testing.T) {
+func TestLostConnectionIsNotRetriedSilently(t *testing.T) {
 	var held []string // what is left of a hold says which kind of call it was
 	asked := make(chan struct{}, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/discovery/polls_test.go
+++ b/internal/discovery/polls_test.go
@@ -9,7 +9,7 @@
 
 // What a client learned of a long queue says nothing of another address, nor of a discovery that went down since, and in a
 // fleet that is too small to fill a queue it says nothing at all: a change counts as told 6 s after it could be had.
-func TestALongQueueIsForgotten(t *testing.T) {
+func TestQueueEstimateIsReset(t *testing.T) {
 	const told = 6*time.Second - 400*time.Millisecond
 	for _, tt := range []struct {
 		name    string
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -29,6 +29,13 @@
 	missingRetention    = 30 * time.Second
 )
 
+// epochMismatchError is an answer with changes of another epoch than that of the list held. The full list is requested.
+type epochMismatchError struct{ held, received string }
+
+func (e *epochMismatchError) Error() string {
+	return fmt.Sprintf("changes of epoch %q do not apply to a list of epoch %q; the full list is requested", e.received, e.held)
+}
+
 // registryState is what a client knows of the registry's list. Only Run's goroutine uses it.
 type registryState struct {
 	accepted      failover.AcceptedVersion
@@ -99,7 +106,7 @@
 	first := state.endpoints == nil
 	sameEpoch := list.Epoch == state.accepted.Epoch && !first
 	if !sameEpoch && !list.Full {
-		return fmt.Errorf("changes of epoch %q do not apply to a list of epoch %q", list.Epoch, state.accepted.Epoch)
+		return &epochMismatchError{held: state.accepted.Epoch, received: list.Epoch}
 	}
 	if !state.sourceChanged {
 		if err := state.accepted.Check(list.Epoch, list.Version, now); err != nil {
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -15,7 +15,7 @@
 	"merlinpick/internal/atomicfile"
 )
 
-func TestMembers(t *testing.T) {
+func TestRegistryFollowing(t *testing.T) {
 	const line = "one"
 	bubble(t, "news comes at once, also after a member's death, without the list being told again", func(t *testing.T) {
 		s := newService(line, 10, "a", "b")
@@ -125,7 +125,7 @@
 }
 
 // The callers of a member that dies come to the others over Spread, not together.
-func TestNoHerd(t *testing.T) {
+func TestFailoverIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const clients = 300
 		s := newService("one", 10, "a")
@@ -176,7 +176,7 @@
 }
 
 // What is kept is read again as it was, and nothing else is.
-func TestTheKeptList(t *testing.T) {
+func TestCachedList(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if l, err := LoadCachedList(dir); l != nil || err != nil {
 		t.Errorf("of nothing came %+v, %v", l, err)
@@ -206,7 +206,7 @@
 		}
 	}
 }
-func FuzzKept(f *testing.F) {
+func FuzzCachedList(f *testing.F) {
 	f.Add((&List{Version: 8, Epoch: "l", Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: StatusDraining}}}).encode())
 	f.Add([]byte(`{"index":1,"snapshot":false,"endpoints":[{"name":"n","status":"DELETED"}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/discovery/release_test.go
+++ b/internal/discovery/release_test.go
@@ -10,7 +10,7 @@
 // A release under way when discovery is back from an outage, as in herd+mass: all clients ask at their start, which is more
 // than discovery answers; it is down for 7.5 s; then processes are replaced, which start with an old list, and each answer
 // brings the changes since, a third of all entries a step. A call for an old version costs several turns.
-func TestAReleaseAfterAnOutageIsHeardOf(t *testing.T) {
+func TestReleaseAfterOutageArrives(t *testing.T) {
 	const (
 		turn         = 20 * time.Millisecond
 		steps        = 7
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -48,7 +48,7 @@
 }
 
 // What is below is not taken, but for another line when the former one has been silent.
-func TestLineage(t *testing.T) {
+func TestAcceptedVersion(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		line    string
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestTrustFallsWithBreaksAndComesBack(t *testing.T) {
+func TestMaxIdleFallsAndRecovers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var tr Tracker
 	check := checker(t, &tr)
@@ -39,7 +39,7 @@
 }
 
 // A backend whose process died broke its connections for that; one that goes on did not.
-func TestADeathTakesBreaksBack(t *testing.T) {
+func TestBackendExitUndoesBreaks(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	for _, test := range []struct {
 		name string
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -70,7 +70,7 @@
 }
 
 // What holds is the union of what is kept here, by either process, and what comes from outside.
-func TestTheUnionHolds(t *testing.T) {
+func TestUnionOfLocalAndRemoteApplies(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		b, here := startOverrides(t, Config{Dir: dir})
@@ -108,7 +108,7 @@
 
 // A call is told once it is kept, and holds with what is set from outside meanwhile; others' silence is no reason to
 // send on.
-func TestCallsAreTold(t *testing.T) {
+func TestCallsAreNotified(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		var b *Overrides
@@ -146,7 +146,7 @@
 	})
 }
 
-func TestErrorsNameWhatIsWrong(t *testing.T) {
+func TestErrorsAreTyped(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gone")
 	synctest.Test(t, func(t *testing.T) {
 		mustSucceed(t, os.Mkdir(dir, 0o700))
@@ -174,7 +174,7 @@
 }
 
 // A call that nobody acts on is a no in time, unless nothing is sent any more.
-func TestACallThatNobodyActsOnIsANo(t *testing.T) {
+func TestUnacknowledgedCallFails(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		names, ended := NewNameSet(), make(chan struct{})
@@ -191,7 +191,7 @@
 }
 
 // Names of all kinds are kept, in the form that former versions read.
-func TestBansKeepNamesOfAllKinds(t *testing.T) {
+func TestStoreEscapesNames(t *testing.T) {
 	s := store{dir: t.TempDir()}
 	files := map[string]string{"..": "ban-..", "a": "ban-a", "a b": "ban-a%20b", "a/b": "ban-a%2Fb", "ü%2F": "ban-%C3%BC%252F"}
 	for id, file := range files {
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestNamesOfServersThatLeftAreBounded(t *testing.T) {
+func TestNameSetIsBounded(t *testing.T) {
 	s := NewNameSet()
 	for i := range 2 * maxRememberedNames {
 		s.Add("stays", strconv.Itoa(i))
--- a/internal/override/slowdisk_test.go
+++ b/internal/override/slowdisk_test.go
@@ -9,7 +9,7 @@
 
 // A ban holds, and its call is answered, within a second though the disk takes longer to keep it: the answer is then a no,
 // and the call may be repeated. What the disk has taken by then stands.
-func TestABanHoldsThoughTheDiskIsSlow(t *testing.T) {
+func TestSuspensionAppliesWithSlowDisk(t *testing.T) {
 	names := NewNameSet()
 	names.Add("a", "b")
 	b, err := Open(Config{Dir: t.TempDir(), KnownServers: names, Stopped: make(chan struct{}), Logger: slog.New(slog.DiscardHandler)})
--- a/internal/override/zones_test.go
+++ b/internal/override/zones_test.go
@@ -18,7 +18,7 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-func TestZonesAreTakenOutButForTheLast(t *testing.T) {
+func TestDrainZoneKeepsLastZone(t *testing.T) {
 	type calls = []struct {
 		do   string // d: drain, r: restore, o: out by others, from then on, s: this process starts again
 		zone string
@@ -84,7 +84,7 @@
 }
 
 // A zone is kept where former versions do not look, and none goes for a server, whatever their names.
-func TestZonesAndServersAreKeptApart(t *testing.T) {
+func TestZonesAndServersAreSeparate(t *testing.T) {
 	s := store{dir: t.TempDir()}
 	mustSucceed(t, errors.Join(s.add("a"), s.add(ZoneKey("a/b"))))
 	if _, err := os.Stat(filepath.Join(s.dir, "zone-a%2Fb")); err != nil {
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -12,7 +12,7 @@
 )
 
 // A configuration that an earlier version kept is read as it was, and written in the same bytes.
-func TestGoldenKeptConfiguration(t *testing.T) {
+func TestGoldenCachedConfig(t *testing.T) {
 	want := &CachedConfig{Service: "tarifas", Epoch: "8f3a", Version: 4711, Document: json.RawMessage(`{"settings":{"x":[1,"ü"]}}`)}
 	got, err := LoadCached(filepath.Join("testdata", "kept"), "tarifas")
 	if err != nil {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -20,7 +20,7 @@
 
 // The table in rollout.go: how long a change takes, whatever the members are as it is made. All of it is under the
 // operators' 9 s.
-func TestHowLongAChangeTakes(t *testing.T) {
+func TestChangeIsAppliedWithinBound(t *testing.T) {
 	const (
 		H, S, P, C = LongPollTimeout, watchSlack, failover.Jitter, callTimeout
 		ms         = time.Millisecond
@@ -117,7 +117,7 @@
 }
 
 // What is in force, or refused, is said with the next call; a refused document changes nothing and is not tried again.
-func TestWhatIsSaid(t *testing.T) {
+func TestReports(t *testing.T) {
 	bubble(t, "in force and refused", func(t *testing.T) {
 		s := newFakeRegistry(10)
 		c, a := s.client(t, 1, "", nil)
@@ -200,7 +200,7 @@
 }
 
 // Which versions are believed.
-func TestLines(t *testing.T) {
+func TestEpochs(t *testing.T) {
 	bubble(t, "nothing older within a line", func(t *testing.T) {
 		s := newFakeRegistry(10)
 		_, a := s.client(t, 1, "", nil)
@@ -263,7 +263,7 @@
 }
 
 // What is in force outlives the process, and nothing else passes for it.
-func TestWhatIsKept(t *testing.T) {
+func TestCachedConfig(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if k, err := LoadCached(dir, "tarifas"); k != nil || err != nil {
 		t.Errorf("of nothing came %+v, %v", k, err)
--- a/internal/settings/document_test.go
+++ b/internal/settings/document_test.go
@@ -13,7 +13,7 @@
 var document1 = `{"settings":` + strings.Replace(object1, `"my_zone":1,"ordinal":0,`, "", 1) + `}`
 
 // What is wrong with a document is found where it enters, by the key in the file's words.
-func TestADocumentsFaultsNameTheirKeys(t *testing.T) {
+func TestDocumentErrorsNameKeys(t *testing.T) {
 	if err := CheckDocument([]byte(document1)); err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 }
 
 // A document goes above the file's settings; the proxy's own zone and number stay, the zone by its name.
-func TestADocumentAboveAFile(t *testing.T) {
+func TestMergeDocument(t *testing.T) {
 	for _, c := range []struct {
 		old, new string
 		zone     int
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -16,7 +16,7 @@
 	`"tenants":[{"name":"acme","portion":1,"quota_per_s":4}],"tiers":["t"],"weights":"rough"}`
 
 // Rules that did not reach the module were broken on every rough day.
-func TestTheRulesOfASiteReachTheModule(t *testing.T) {
+func TestSettingsReachBalancer(t *testing.T) {
 	text := strings.Replace(object1, `"contract":{`, `"contract":{"busy_is_no_proof":true,"order_settle_us":7,`+
 		`"ratio_span_us":5000000,"resend_ratio":0.05,"spare_attempts":3,"tip_multiple":2.5,"fall_us":1000000,`, 1)
 	text = strings.Replace(text, `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestImpossibleSettingsAreErrors(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"automatic"`, `"now and then"`, "membership_mode"},
 		{`"deduplicated"`, `"sometimes"`, "profiles[0].repeat"},
