--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -26,7 +26,7 @@
 						<-r.Context().Done()
 						return nil, r.Context().Err()
 					}
-					return answer(`{"index":5,"snapshot":false,"endpoints":[]}`), nil
+					return okResponse(`{"index":5,"snapshot":false,"endpoints":[]}`), nil
 				})
 				ctx, stop := context.WithCancel(t.Context())
 				go c.Run(ctx)
@@ -54,7 +54,7 @@
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			select {
 			case <-time.After(3 * time.Second):
-				return answer(`{"index":5,"snapshot":false,"endpoints":[]}`), nil
+				return okResponse(`{"index":5,"snapshot":false,"endpoints":[]}`), nil
 			case <-r.Context().Done():
 				return nil, r.Context().Err()
 			}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -117,7 +117,7 @@
 	hold, from := holdOf(r)
 	list := func() (*http.Response, error) {
 		version := int64(age / (1700 * time.Millisecond))
-		return answer(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[{"name":"e%d","address":"127.0.0.1:%d","status":"SERVING"}]}`,
+		return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[{"name":"e%d","address":"127.0.0.1:%d","status":"SERVING"}]}`,
 			version, from == "", version%7, 1+version)), nil
 	}
 	well := func() (*http.Response, error) {
@@ -137,12 +137,12 @@
 		{110 * time.Second, func() (*http.Response, error) { return pausing(r, 2*time.Second, unavailable) }},
 		{120 * time.Second, well},
 		{125 * time.Second, func() (*http.Response, error) {
-			return pausing(r, 10*time.Millisecond, func() (*http.Response, error) { return answer(`{"index":9,"endpoints":[{}]}`), nil })
+			return pausing(r, 10*time.Millisecond, func() (*http.Response, error) { return okResponse(`{"index":9,"endpoints":[{}]}`), nil })
 		}},
 		{132 * time.Second, well},
 		{133 * time.Second, func() (*http.Response, error) {
 			return pausing(r, max(hold/2, 20*time.Millisecond), func() (*http.Response, error) {
-				return answer(`{"index":2,"snapshot":false,"endpoints":[]}`), nil
+				return okResponse(`{"index":2,"snapshot":false,"endpoints":[]}`), nil
 			})
 		}},
 		{140 * time.Second, well},
@@ -182,7 +182,7 @@
 			for _, n := range names {
 				entries = append(entries, fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":"z","status":"SERVING","weight":1,"since_ms":5}`, n))
 			}
-			return answer(fmt.Sprintf(`{"index":%d,"snapshot":%t,"line":%q,"endpoints":[%s]}`, version, whole, line, strings.Join(entries, ","))), nil
+			return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"line":%q,"endpoints":[%s]}`, version, whole, line, strings.Join(entries, ","))), nil
 		}
 	}
 	faulty := fmt.Sprintf("m%d", 1+age/(6*time.Second)%3)
@@ -195,7 +195,7 @@
 		case 2:
 			return unavailable()
 		case 3:
-			return answer(`{"index":9`), nil
+			return okResponse(`{"index":9`), nil
 		case 4:
 			return pausing(r, 10*time.Millisecond, list(version-4, false))
 		}
--- a/internal/discovery/notifydeadline_test.go
+++ b/internal/discovery/notifydeadline_test.go
@@ -14,15 +14,15 @@
 func TestChangeArrivesWithinNotifyDeadline(t *testing.T) {
 	const told = 6 * time.Second
 	struck := func(what func(*heldWatch), next ...callFault) func(*serverModel) {
-		return func(l *serverModel) { l.inject(what, next...) }
+		return func(model *serverModel) { model.inject(what, next...) }
 	}
 	trouble := func(f callFault, what func(*heldWatch), d time.Duration) func(*serverModel) {
-		return func(l *serverModel) { l.outage(f, what, d) }
+		return func(model *serverModel) { model.outage(f, what, d) }
 	}
-	move := func(l *serverModel) {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		for _, c := range l.callers {
+	move := func(model *serverModel) {
+		model.mu.Lock()
+		defer model.mu.Unlock()
+		for _, c := range model.callers {
 			c.lastAnswer = time.Time{} // there it is a new watch
 			c.client.SetSource(Source{Address: "127.0.0.1:2"})
 		}
@@ -30,7 +30,7 @@
 	const two, both, pushed, fleet = 1, 2, 3, 4 // longest wait of 2 s, or also of 3 s; or none; or 300 clients
 	tests := []struct {
 		name  string
-		fault func(l *serverModel) // 10 s into the run
+		fault func(model *serverModel) // 10 s into the run
 		in    int
 		calls int // of one client on average, beyond the first
 	}{
@@ -62,19 +62,19 @@
 		{"all silent", struck(silenceWatch), fleet, 4},
 		{"down for 8 s, and all ask", trouble(connectionReset, resetWatch, 8*time.Second), fleet, 18},
 		{"deaf for 8 s, and all ask", trouble(neverAnswered, silenceWatch, 8*time.Second), fleet, 7},
-		{"a tenth silent as 130 start", func(l *serverModel) {
+		{"a tenth silent as 130 start", func(model *serverModel) {
 			for i := range 130 {
-				l.join(l.ctx, false, uint64(1000+i), 0)
+				model.join(model.ctx, false, uint64(1000+i), 0)
 			}
 			time.Sleep(500 * time.Millisecond)
-			l.faultsBelow = 30
-			l.inject(silenceWatch)
+			model.faultsBelow = 30
+			model.inject(silenceWatch)
 		}, fleet, 2},
-		{"a tenth silent as turns are slow", func(l *serverModel) {
-			l.mu.Lock()
-			l.serviceTime, l.faultsBelow = 3*l.serviceTime, 30
-			l.mu.Unlock()
-			l.inject(silenceWatch)
+		{"a tenth silent as turns are slow", func(model *serverModel) {
+			model.mu.Lock()
+			model.serviceTime, model.faultsBelow = 3*model.serviceTime, 30
+			model.mu.Unlock()
+			model.inject(silenceWatch)
 		}, fleet, 1},
 		{"all moved with a call out", move, fleet, 5},
 	}
@@ -85,35 +85,35 @@
 			}
 			t.Run(fmt.Sprint(tt.name, ", turns of ", wait), func(t *testing.T) {
 				clients, margin := 60, 400*time.Millisecond
-				l := &serverModel{maxWait: wait, serviceTime: time.Millisecond, otherLoad: wait - 100*time.Millisecond}
+				model := &serverModel{maxWait: wait, serviceTime: time.Millisecond, otherLoad: wait - 100*time.Millisecond}
 				switch tt.in {
 				case pushed:
-					l.serviceTime, l.otherLoad = 0, 0
+					model.serviceTime, model.otherLoad = 0, 0
 				case fleet:
-					clients, margin, l.serviceTime, l.otherLoad = 300, 50*time.Millisecond, 18*time.Millisecond, 0
+					clients, margin, model.serviceTime, model.otherLoad = 300, 50*time.Millisecond, 18*time.Millisecond, 0
 				}
-				l.callersTold = clients
+				model.assumedCallers = clients
 				synctest.Test(t, func(t *testing.T) {
 					ctx, stop := context.WithCancel(t.Context())
-					l.changed, l.ctx = make(chan struct{}), ctx
+					model.changed, model.ctx = make(chan struct{}), ctx
 					for i := range clients {
-						l.join(ctx, tt.in == pushed, uint64(i+1), 0)
+						model.join(ctx, tt.in == pushed, uint64(i+1), 0)
 					}
 					time.Sleep(10 * time.Second)
-					l.mu.Lock()
-					before := l.calls
-					l.mu.Unlock()
+					model.mu.Lock()
+					before := model.calls
+					model.mu.Unlock()
 					go func() { // a release; its first change comes with the fault
 						for range 30 {
-							l.publishVersion()
+							model.publishVersion()
 							time.Sleep(700 * time.Millisecond)
 						}
 					}()
-					tt.fault(l)
+					tt.fault(model)
 					time.Sleep(25 * time.Second)
 					stop()
 					synctest.Wait()
-					age := l.worstAge(t)
+					age := model.worstAge(t)
 					most := told - margin
 					if tt.in == pushed { // what an agent has counts as told at once; silence is found within a watch's time
 						most = 1200 * time.Millisecond
@@ -121,10 +121,10 @@
 					if age > most {
 						t.Errorf("a change was heard of after %v, want %v", age, most)
 					}
-					if got := l.calls - before; got > tt.calls*clients {
+					if got := model.calls - before; got > tt.calls*clients {
 						t.Errorf("%d calls, want at most %d", got, tt.calls*clients)
 					}
-					t.Logf("age %v; %.1f calls a client", age, float64(l.calls-before)/float64(clients))
+					t.Logf("age %v; %.1f calls a client", age, float64(model.calls-before)/float64(clients))
 				})
 			})
 		}
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -30,27 +30,27 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				l := &serverModel{maxWait: wait, queueLimit: 5 * time.Second, serviceTime: tt.turn, ctx: ctx, changed: make(chan struct{})}
+				model := &serverModel{maxWait: wait, queueLimit: 5 * time.Second, serviceTime: tt.turn, ctx: ctx, changed: make(chan struct{})}
 				join := func(n int, callers int) {
 					for range n {
-						l.callersTold = callers
-						l.join(ctx, false, uint64(len(l.callers)+1), 0)
+						model.assumedCallers = callers
+						model.join(ctx, false, uint64(len(model.callers)+1), 0)
 					}
 				}
 				join(tt.front, EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.front}))
 				join(tt.behind, EstimateCallers(Topology{Tier: 1, TierCount: 2, Replicas: tt.behind}))
 				time.Sleep(tt.after)
-				l.outage(rejectedAfterWait, resetWatch, tt.down)
-				l.publishVersion()
+				model.outage(rejectedAfterWait, resetWatch, tt.down)
+				model.publishVersion()
 				join(tt.again, EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.front}))
 				time.Sleep(3 * time.Minute)
 				stop()
 				synctest.Wait()
-				age := l.worstAge(t)
-				t.Logf("the last heard after %v; %d turns, %d in vain", age, l.served, l.wasted)
+				age := model.worstAge(t)
+				t.Logf("the last heard after %v; %d turns, %d in vain", age, model.served, model.wasted)
 				front := EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.front})
-				l.callers = slices.DeleteFunc(l.callers, func(c *modelClient) bool { return c.client.cfg.Callers != front })
-				first := l.worstAge(t)
+				model.callers = slices.DeleteFunc(model.callers, func(c *modelClient) bool { return c.client.cfg.Callers != front })
+				first := model.worstAge(t)
 				t.Logf("the last of the first stage after %v", first)
 				if first > tt.first {
 					t.Errorf("want those of the first stage within %v", tt.first)
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -42,43 +42,43 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				l := &serverModel{maxWait: w, queueLimit: 5 * time.Second, serviceTime: tt.turn, failEvery: tt.fails, callersTold: tt.clients, ctx: ctx, changed: make(chan struct{})}
+				model := &serverModel{maxWait: w, queueLimit: 5 * time.Second, serviceTime: tt.turn, failEvery: tt.fails, assumedCallers: tt.clients, ctx: ctx, changed: make(chan struct{})}
 				if tt.fault != noFault {
-					l.serviceTime = time.Millisecond // all are answered before the trouble
+					model.serviceTime = time.Millisecond // all are answered before the trouble
 				}
 				for i := range tt.clients {
-					l.join(ctx, false, uint64(i+1), 0)
+					model.join(ctx, false, uint64(i+1), 0)
 				}
 				if tt.fault != noFault {
 					time.Sleep(3 * time.Second)
-					l.mu.Lock()
-					l.serviceTime = tt.turn
-					l.mu.Unlock()
-					l.outage(tt.fault, resetWatch, 8*time.Second)
+					model.mu.Lock()
+					model.serviceTime = tt.turn
+					model.mu.Unlock()
+					model.outage(tt.fault, resetWatch, 8*time.Second)
 				}
-				l.mu.Lock()
-				l.availableSince, l.served, l.wasted = time.Now(), 0, 0
-				l.mu.Unlock()
-				l.publishVersion()
+				model.mu.Lock()
+				model.availableSince, model.served, model.wasted = time.Now(), 0, 0
+				model.mu.Unlock()
+				model.publishVersion()
 				for range 120 {
-					if time.Sleep(time.Second); l.allUpdated() {
+					if time.Sleep(time.Second); model.allUpdated() {
 						break
 					}
 				}
 				stop()
 				synctest.Wait()
-				l.mu.Lock()
-				defer l.mu.Unlock()
+				model.mu.Lock()
+				defer model.mu.Unlock()
 				never, worst := 0, time.Duration(0)
-				for _, c := range l.callers {
+				for _, c := range model.callers {
 					if len(c.heardAt) == 0 {
 						never++
 					} else {
-						worst = max(worst, c.heardAt[0].Sub(l.availableSince))
+						worst = max(worst, c.heardAt[0].Sub(model.availableSince))
 					}
 				}
-				told := fmt.Sprintf("%d of %d never heard, the last after %v; %d turns, %d in vain", never, tt.clients, worst, l.served, l.wasted)
-				if t.Log(told); never > 0 || worst > tt.within || l.wasted > tt.vain*tt.clients {
+				told := fmt.Sprintf("%d of %d never heard, the last after %v; %d turns, %d in vain", never, tt.clients, worst, model.served, model.wasted)
+				if t.Log(told); never > 0 || worst > tt.within || model.wasted > tt.vain*tt.clients {
 					t.Errorf("want all within %v and at most %d turns in vain", tt.within, tt.vain*tt.clients)
 				}
 			})
@@ -87,8 +87,8 @@
 }
 
 // allHeard tells whether each caller has heard of a version.
-func (l *serverModel) allUpdated() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !slices.ContainsFunc(l.callers, func(c *modelClient) bool { return len(c.heardAt) == 0 })
+func (m *serverModel) allUpdated() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return !slices.ContainsFunc(m.callers, func(c *modelClient) bool { return len(c.heardAt) == 0 })
 }
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -26,7 +26,7 @@
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			calls = append(calls, r.URL.Query().Get("from"))
 			if len(calls) != 2 {
-				return answer(`{"index":6,"snapshot":false,"endpoints":[]}`), nil
+				return okResponse(`{"index":6,"snapshot":false,"endpoints":[]}`), nil
 			}
 			<-r.Context().Done()
 			return nil, r.Context().Err()
@@ -61,7 +61,7 @@
 			if hold, _ := time.ParseDuration(r.URL.Query().Get("hold_ms") + "ms"); hold > 0 {
 				select {
 				case <-time.After(hold):
-					return answer(`{"index":5,"snapshot":false,"endpoints":[]}`), nil
+					return okResponse(`{"index":5,"snapshot":false,"endpoints":[]}`), nil
 				case <-r.Context().Done():
 					return nil, r.Context().Err()
 				}
@@ -69,7 +69,7 @@
 			if whole = append(whole, time.Since(start)); len(whole) == 1 {
 				return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 			}
-			return answer(`{"index":5,"snapshot":true,"endpoints":[]}`), nil
+			return okResponse(`{"index":5,"snapshot":true,"endpoints":[]}`), nil
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
@@ -139,7 +139,7 @@
 		calls := 0
 		transport := roundTrip(func(r *http.Request) (*http.Response, error) {
 			if calls++; calls == 1 {
-				return answer(`{"index":6,"snapshot":false,"endpoints":[]}`), nil
+				return okResponse(`{"index":6,"snapshot":false,"endpoints":[]}`), nil
 			}
 			<-r.Context().Done()
 			return nil, r.Context().Err()
--- a/internal/discovery/polls_test.go
+++ b/internal/discovery/polls_test.go
@@ -14,38 +14,38 @@
 	for _, tt := range []struct {
 		name    string
 		clients int
-		trouble func(l *serverModel) // from 10 s on; it ends with calls that are answered in their turns
+		trouble func(model *serverModel) // from 10 s on; it ends with calls that are answered in their turns
 	}{
-		{"by an outage after it", 300, func(l *serverModel) {
-			l.outage(rejectedAfterWait, resetWatch, 25*time.Second)
-			l.outage(connectionReset, keepWatch, 15*time.Second)
+		{"by an outage after it", 300, func(model *serverModel) {
+			model.outage(rejectedAfterWait, resetWatch, 25*time.Second)
+			model.outage(connectionReset, keepWatch, 15*time.Second)
 		}},
-		{"at another address", 300, func(l *serverModel) {
-			l.outage(rejectedAfterWait, resetWatch, 25*time.Second)
-			l.mu.Lock()
-			for _, c := range l.callers {
+		{"at another address", 300, func(model *serverModel) {
+			model.outage(rejectedAfterWait, resetWatch, 25*time.Second)
+			model.mu.Lock()
+			for _, c := range model.callers {
 				c.nextFaults = []callFault{connectionReset}
 				c.client.SetSource(Source{Address: "127.0.0.1:2"})
 			}
-			l.mu.Unlock()
+			model.mu.Unlock()
 		}},
-		{"where few call", 12, func(l *serverModel) { l.outage(rejectedAfterWait, resetWatch, 40*time.Second) }},
+		{"where few call", 12, func(model *serverModel) { model.outage(rejectedAfterWait, resetWatch, 40*time.Second) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				l := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second, serviceTime: time.Millisecond, callersTold: tt.clients, ctx: ctx,
+				model := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second, serviceTime: time.Millisecond, assumedCallers: tt.clients, ctx: ctx,
 					changed: make(chan struct{})}
 				for i := range tt.clients {
-					l.join(ctx, false, uint64(i+1), 0)
+					model.join(ctx, false, uint64(i+1), 0)
 				}
 				time.Sleep(10 * time.Second)
-				tt.trouble(l)
-				l.publishVersion()
+				tt.trouble(model)
+				model.publishVersion()
 				time.Sleep(2 * time.Minute)
 				stop()
 				synctest.Wait()
-				if age := l.worstAge(t); age > told {
+				if age := model.worstAge(t); age > told {
 					t.Errorf("the change was heard of %v after it could be had, want %v", age, told)
 				}
 			})
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -18,108 +18,110 @@
 func TestRegistryFollowing(t *testing.T) {
 	const line = "one"
 	bubble(t, "news comes at once, also after a member's death, without the list being told again", func(t *testing.T) {
-		s := newService(line, 10, "a", "b")
-		_, d := s.client(t, 1, nil)
+		registry := newFakeRegistry(line, 10, "a", "b")
+		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
 		for i, state := range []string{"dead", "lost", "garbled", "silent"} {
-			s.set(func(name string, m *fake) {
-				if name == s.watched {
+			registry.set(func(name string, m *fakeMember) {
+				if name == registry.lastAnswered {
 					m.state = state
 				} else {
 					m.state = ""
 				}
 			})
-			news := d.now().news
+			news := recorded.current().updates
 			sleep(LongPollTimeout + registryWatchSlack + 2*FailoverJitter)
-			at := time.Since(s.start)
-			s.set(func(_ string, m *fake) { m.index++; m.names = []string{"a", "b", fmt.Sprint("c", i)} })
+			at := time.Since(registry.start)
+			registry.set(func(_ string, m *fakeMember) { m.version++; m.names = []string{"a", "b", fmt.Sprint("c", i)} })
 			sleep(FailoverJitter + time.Millisecond)
-			if d.now().index != 11+int64(i) || d.now().at-at > FailoverJitter || d.now().news != news+1 {
-				t.Errorf("%s: version %d after %v, %d news", state, d.now().index, d.now().at-at, d.now().news-news)
+			if recorded.current().version != 11+int64(i) || recorded.current().at-at > FailoverJitter || recorded.current().updates != news+1 {
+				t.Errorf("%s: version %d after %v, %d news", state, recorded.current().version, recorded.current().at-at, recorded.current().updates-news)
 			}
 		}
 	})
 	bubble(t, "nothing older is taken within a line", func(t *testing.T) {
-		s := newService(line, 10, "a", "b")
-		_, d := s.client(t, 1, nil)
+		registry := newFakeRegistry(line, 10, "a", "b")
+		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
-		s.set(func(name string, m *fake) {
-			if name == s.watched {
+		registry.set(func(name string, m *fakeMember) {
+			if name == registry.lastAnswered {
 				m.state = "dead"
 			} else { // both others are behind, and do not know it
-				m.index, m.kept, m.names = 9, 0, []string{"a"}
+				m.version, m.oldestKnown, m.names = 9, 0, []string{"a"}
 			}
 		})
 		sleep(time.Minute)
-		if d.now().list != "a b" || d.now().index != 10 {
-			t.Errorf("told %q, version %d", d.now().list, d.now().index)
+		if recorded.current().list != "a b" || recorded.current().version != 10 {
+			t.Errorf("told %q, version %d", recorded.current().list, recorded.current().version)
 		}
 	})
 	bubble(t, "a wrong restore takes nothing at once, and what does not register again goes", func(t *testing.T) {
-		s := newService(line, 10, "a", "b", "c")
-		c, d := s.client(t, 1, nil)
+		registry := newFakeRegistry(line, 10, "a", "b", "c")
+		c, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
-		s.set(func(_ string, m *fake) { m.line, m.index, m.kept, m.names = "two", 1000, 1000, nil })
+		registry.set(func(_ string, m *fakeMember) { m.epoch, m.version, m.oldestKnown, m.names = "two", 1000, 1000, nil })
 		sleep(time.Second)
-		if d.now().list != "a b c" || d.now().index != 1000 || c.Metrics().RetainedEndpoints != 3 {
-			t.Errorf("told %q, version %d, %+v", d.now().list, d.now().index, c.Metrics())
+		if recorded.current().list != "a b c" || recorded.current().version != 1000 || c.Metrics().RetainedEndpoints != 3 {
+			t.Errorf("told %q, version %d, %+v", recorded.current().list, recorded.current().version, c.Metrics())
 		}
-		s.set(func(_ string, m *fake) { m.index, m.names = 1001, []string{"b"} }) // b registers again
+		registry.set(func(_ string, m *fakeMember) { m.version, m.names = 1001, []string{"b"} }) // b registers again
 		sleep(time.Second)
-		s.set(func(_ string, m *fake) { m.index, m.kept, m.state = 1002, 1002, "dead" })
+		registry.set(func(_ string, m *fakeMember) { m.version, m.oldestKnown, m.state = 1002, 1002, "dead" })
 		sleep(time.Second)
-		s.set(func(_ string, m *fake) { m.state = "" }) // and a whole list of the same line comes between
+		registry.set(func(_ string, m *fakeMember) { m.state = "" }) // and a whole list of the same line comes between
 		sleep(missingRetention - 8*time.Second)
-		if d.now().list != "a b c" {
-			t.Errorf("told %q before %v", d.now().list, missingRetention)
+		if recorded.current().list != "a b c" {
+			t.Errorf("told %q before %v", recorded.current().list, missingRetention)
 		}
 		sleep(8*time.Second + 2*LongPollTimeout)
-		if d.now().list != "b" || c.Metrics().RetainedEndpoints != 0 {
-			t.Errorf("told %q after %v, %+v", d.now().list, missingRetention, c.Metrics())
+		if recorded.current().list != "b" || c.Metrics().RetainedEndpoints != 0 {
+			t.Errorf("told %q after %v, %+v", recorded.current().list, missingRetention, c.Metrics())
 		}
 	})
 	bubble(t, "a line below is taken when nobody answers for the one before", func(t *testing.T) {
-		s := newService(line, 1000, "a")
-		_, d := s.client(t, 1, nil)
+		registry := newFakeRegistry(line, 1000, "a")
+		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
-		s.set(func(name string, m *fake) { m.line, m.index, m.kept, m.names = "zero", 5, 5, []string{"a", "z"} })
+		registry.set(func(name string, m *fakeMember) {
+			m.epoch, m.version, m.oldestKnown, m.names = "zero", 5, 5, []string{"a", "z"}
+		})
 		sleep(epochWait - 2*time.Second)
-		if d.now().index != 1000 {
-			t.Errorf("version %d of another line after %v", d.now().index, epochWait-2*time.Second)
+		if recorded.current().version != 1000 {
+			t.Errorf("version %d of another line after %v", recorded.current().version, epochWait-2*time.Second)
 		}
 		sleep(2*time.Second + 2*maxRegistryBackoff)
-		if d.now().index != 5 || d.now().list != "a z" {
-			t.Errorf("version %d, %q", d.now().index, d.now().list)
+		if recorded.current().version != 5 || recorded.current().list != "a z" {
+			t.Errorf("version %d, %q", recorded.current().version, recorded.current().list)
 		}
 	})
 	bubble(t, "the last list stands while nobody answers, and few calls are made", func(t *testing.T) {
-		s := newService(line, 10, "a", "b")
-		c, d := s.client(t, 1, nil)
+		registry := newFakeRegistry(line, 10, "a", "b")
+		c, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
-		s.set(func(_ string, m *fake) { m.state = "dead" })
+		registry.set(func(_ string, m *fakeMember) { m.state = "dead" })
 		sleep(time.Minute)
-		before := len(s.made())
+		before := len(registry.callTimes())
 		sleep(time.Hour)
-		if n := len(s.made()) - before; d.now().list != "a b" || n < 700 || n > 1500 || c.Metrics().Age < time.Hour {
-			t.Errorf("told %q, %d calls in an hour, %+v", d.now().list, n, c.Metrics())
+		if n := len(registry.callTimes()) - before; recorded.current().list != "a b" || n < 700 || n > 1500 || c.Metrics().Age < time.Hour {
+			t.Errorf("told %q, %d calls in an hour, %+v", recorded.current().list, n, c.Metrics())
 		}
-		s.set(func(_ string, m *fake) { m.state, m.index, m.names = "", 11, []string{"a", "b", "c"} })
+		registry.set(func(_ string, m *fakeMember) { m.state, m.version, m.names = "", 11, []string{"a", "b", "c"} })
 		sleep(maxRegistryBackoff + time.Millisecond)
-		if d.now().index != 11 || c.Metrics().Age > maxRegistryBackoff {
-			t.Errorf("version %d, %+v", d.now().index, c.Metrics())
+		if recorded.current().version != 11 || c.Metrics().Age > maxRegistryBackoff {
+			t.Errorf("version %d, %+v", recorded.current().version, c.Metrics())
 		}
 	})
 	bubble(t, "a client that has kept a list goes on from there", func(t *testing.T) {
-		s := newService(line, 10, "a")
-		_, d := s.client(t, 1, &List{Version: 12, Full: true, Epoch: line})
+		registry := newFakeRegistry(line, 10, "a")
+		_, recorded := registry.client(t, 1, &List{Version: 12, Full: true, Epoch: line})
 		sleep(time.Second)
-		if d.now().news != 0 {
-			t.Errorf("told %q, which is older than what was kept", d.now().list)
+		if recorded.current().updates != 0 {
+			t.Errorf("told %q, which is older than what was kept", recorded.current().list)
 		}
-		s.set(func(_ string, m *fake) { m.index = 13 })
+		registry.set(func(_ string, m *fakeMember) { m.version = 13 })
 		sleep(2 * maxRegistryBackoff)
-		if d.now().index != 13 {
-			t.Errorf("version %d", d.now().index)
+		if recorded.current().version != 13 {
+			t.Errorf("version %d", recorded.current().version)
 		}
 	})
 }
@@ -128,31 +130,31 @@
 func TestFailoverIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const clients = 300
-		s := newService("one", 10, "a")
-		var all []*told
+		registry := newFakeRegistry("one", 10, "a")
+		var all []*recordedList
 		for i := range clients {
-			_, d := s.client(t, uint64(i+1), nil)
-			all = append(all, d)
+			_, recorded := registry.client(t, uint64(i+1), nil)
+			all = append(all, recorded)
 			sleep(10 * time.Millisecond)
 		}
 		sleep(time.Minute)
-		before := len(s.made())
+		before := len(registry.callTimes())
 		sleep(10 * time.Second)
-		usual := peak(s.made()[before:])
-		before = len(s.made())
-		died := time.Since(s.start)
-		s.set(func(name string, m *fake) {
+		usual := maxCallRate(registry.callTimes()[before:])
+		before = len(registry.callTimes())
+		died := time.Since(registry.start)
+		registry.set(func(name string, m *fakeMember) {
 			if name == "m2" {
 				m.state = "dead"
 			}
 		})
 		sleep(10 * time.Second)
-		after := peak(s.made()[before:])
-		s.set(func(_ string, m *fake) { m.index++ })
+		after := maxCallRate(registry.callTimes()[before:])
+		registry.set(func(_ string, m *fakeMember) { m.version++ })
 		sleep(FailoverJitter)
-		for i, d := range all {
-			if d.now().index != 11 {
-				t.Fatalf("client %d is at version %d, %v after the death", i, d.now().index, time.Since(s.start)-died)
+		for i, recorded := range all {
+			if recorded.current().version != 11 {
+				t.Fatalf("client %d is at version %d, %v after the death", i, recorded.current().version, time.Since(registry.start)-died)
 			}
 		}
 		t.Logf("%d clients: at most %d calls in 100 ms before the death, %d after it", clients, usual, after)
@@ -164,7 +166,7 @@
 }
 
 // peak is the most calls in any 100 ms.
-func peak(calls []time.Duration) (most int) {
+func maxCallRate(calls []time.Duration) (most int) {
 	for i := range calls {
 		n := i
 		for n < len(calls) && calls[n]-calls[i] < 100*time.Millisecond {
--- a/internal/discovery/release_test.go
+++ b/internal/discovery/release_test.go
@@ -20,39 +20,39 @@
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
-			l := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second, serviceTime: turn, entriesPerVersion: 6, callersTold: 282, ctx: ctx, changed: make(chan struct{})}
+			model := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second, serviceTime: turn, entriesPerVersion: 6, assumedCallers: 282, ctx: ctx, changed: make(chan struct{})}
 			n := seed * 10000
 			join := func(clients int) {
 				for range clients {
 					n++
-					l.join(ctx, false, n, 0)
+					model.join(ctx, false, n, 0)
 				}
 			}
 			join(273)
 			time.Sleep(2500 * time.Millisecond)
-			l.outage(rejectedAfterWait, resetWatch, 7500*time.Millisecond)
+			model.outage(rejectedAfterWait, resetWatch, 7500*time.Millisecond)
 			for _, step := range []struct {
 				after time.Duration
 				joins int
 			}{{400, 33}, {1800, 33}, {100, 33}, {800, 0}, {2700, 33}, {900, 0}, {900, 11}} {
 				time.Sleep(step.after * time.Millisecond)
 				join(step.joins)
-				l.publishVersion()
+				model.publishVersion()
 			}
 			time.Sleep(2 * time.Minute)
 			stop()
 			synctest.Wait()
-			l.mu.Lock()
-			defer l.mu.Unlock()
+			model.mu.Lock()
+			defer model.mu.Unlock()
 			late, never, worst := 0, 0, time.Duration(0)
-			for _, c := range l.callers {
+			for _, c := range model.callers {
 				if len(c.heardAt) < steps {
 					never++
 					continue
 				}
 				own := time.Duration(0)
-				for v, made := range l.changedAt {
-					for _, since := range []time.Time{l.availableSince, c.joinedAt} {
+				for v, made := range model.changedAt {
+					for _, since := range []time.Time{model.availableSince, c.joinedAt} {
 						if made.Before(since) {
 							made = since
 						}
@@ -63,9 +63,9 @@
 					late++
 				}
 			}
-			t.Logf("seed %d: of %d clients %d never heard, %d late, the worst %v; %d turns, %d in vain", seed, len(l.callers),
-				never, late, worst, l.served, l.wasted)
-			if never > 0 || worst > within || l.wasted > vain {
+			t.Logf("seed %d: of %d clients %d never heard, %d late, the worst %v; %d turns, %d in vain", seed, len(model.callers),
+				never, late, worst, model.served, model.wasted)
+			if never > 0 || worst > within || model.wasted > vain {
 				t.Errorf("want all within %v and at most %d turns in vain", within, vain)
 			}
 		})
--- a/internal/discovery/servermodel_test.go
+++ b/internal/discovery/servermodel_test.go
@@ -31,7 +31,7 @@
 	maxWait           time.Duration // what waits longer for its turn fails then, and yet takes the turn
 	queueLimit        time.Duration // of turns that may wait; what comes beyond is turned away at once; 0: as wait
 	lines             int
-	callersTold       int // that each is told of
+	assumedCallers    int // that each is told of
 	entriesPerVersion int // changed by each version, which cost as much as those of a whole list; 0: none
 	calls             int // that took a turn or were turned away
 	served            int // turns
@@ -79,77 +79,77 @@
 )
 
 func (c *modelClient) RoundTrip(r *http.Request) (*http.Response, error) {
-	l := c.server
+	model := c.server
 	from, hold := int64(-1), time.Duration(0)
 	if q := r.URL.Query(); q.Has("from") {
 		from, _ = strconv.ParseInt(q.Get("from"), 10, 64)
 		ms, _ := strconv.Atoi(q.Get("hold_ms"))
 		hold = time.Duration(ms) * time.Millisecond
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	model.mu.Lock()
+	defer model.mu.Unlock()
 	now := time.Now()
-	goes := from >= 0 && now.Sub(c.lastAnswer) < 200*time.Millisecond
+	watch := from >= 0 && now.Sub(c.lastAnswer) < 200*time.Millisecond
 	c.openWatch = nil
-	if !goes {
-		l.calls++
+	if !watch {
+		model.calls++
 	}
-	fate := l.fault
-	if fate == noFault && len(c.nextFaults) > 0 {
-		fate, c.nextFaults = c.nextFaults[0], c.nextFaults[1:]
+	fault := model.fault
+	if fault == noFault && len(c.nextFaults) > 0 {
+		fault, c.nextFaults = c.nextFaults[0], c.nextFaults[1:]
 	}
-	if !goes && fate == noFault || fate == malformed {
-		start := l.queueFreeAt
+	if !watch && fault == noFault || fault == malformed {
+		start := model.queueFreeAt
 		if start.Before(now) {
 			start = now
 		}
-		if start.Sub(now)+l.otherLoad > max(l.maxWait, l.queueLimit) {
-			fate = rejected
+		if start.Sub(now)+model.otherLoad > max(model.maxWait, model.queueLimit) {
+			fault = rejected
 		} else {
-			cost := l.serviceTime
+			cost := model.serviceTime
 			if from < 0 {
-				cost += l.serviceTime * modelServers / linesPerCall
+				cost += model.serviceTime * modelServers / linesPerCall
 			} else {
-				cost += l.serviceTime * time.Duration(min(int(l.version-from)*l.entriesPerVersion, modelServers)) / linesPerCall
+				cost += model.serviceTime * time.Duration(min(int(model.version-from)*model.entriesPerVersion, modelServers)) / linesPerCall
 			}
-			l.queueFreeAt = start.Add(cost)
-			if l.served++; l.queueLimit > 0 && l.queueFreeAt.Sub(now)+l.otherLoad > l.maxWait { // seen in the bench: issue 24
-				l.wasted++
-				l.pause(r, l.maxWait, nil)
+			model.queueFreeAt = start.Add(cost)
+			if model.served++; model.queueLimit > 0 && model.queueFreeAt.Sub(now)+model.otherLoad > model.maxWait { // seen in the bench: issue 24
+				model.wasted++
+				model.pause(r, model.maxWait, nil)
 				return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 			}
-			if l.failEvery > 0 && l.served%l.failEvery == 0 {
-				l.pause(r, l.queueFreeAt.Sub(now)+l.otherLoad+300*time.Millisecond, nil)
+			if model.failEvery > 0 && model.served%model.failEvery == 0 {
+				model.pause(r, model.queueFreeAt.Sub(now)+model.otherLoad+300*time.Millisecond, nil)
 				return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 			}
-			if !l.pause(r, l.queueFreeAt.Sub(now)+l.otherLoad, nil) {
-				l.wasted++
+			if !model.pause(r, model.queueFreeAt.Sub(now)+model.otherLoad, nil) {
+				model.wasted++
 				return nil, r.Context().Err()
 			}
 		}
 	}
-	switch fate {
+	switch fault {
 	case rejected:
-		l.pause(r, 30*time.Millisecond, nil)
+		model.pause(r, 30*time.Millisecond, nil)
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 	case rejectedAfterWait:
-		l.pause(r, l.maxWait, nil)
+		model.pause(r, model.maxWait, nil)
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 	case connectionReset:
 		return nil, errors.New("connection reset")
 	case neverAnswered:
-		l.pause(r, time.Hour, nil)
+		model.pause(r, time.Hour, nil)
 		return nil, r.Context().Err()
 	case endlessBody:
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&slowBody{r.Context()})}, nil
 	case malformed:
 		c.lastAnswer = time.Now()
-		return answer(`{"index":9,"endpoints":[{}]}`), nil
+		return okResponse(`{"index":9,"endpoints":[{}]}`), nil
 	}
 	end, own := time.Now().Add(hold), &heldWatch{closed: make(chan struct{})}
 	c.openWatch = own
-	for from >= 0 && (l.version <= from || own.silenced) && (time.Now().Before(end) || own.silenced) {
-		if !l.pause(r, time.Until(end), own) {
+	for from >= 0 && (model.version <= from || own.silenced) && (time.Now().Before(end) || own.silenced) {
+		if !model.pause(r, time.Until(end), own) {
 			return nil, cmp.Or(r.Context().Err(), errors.New("connection reset"))
 		}
 	}
@@ -157,25 +157,25 @@
 		c.openWatch = nil
 	}
 	c.lastAnswer = time.Now()
-	n := l.version - from
+	n := model.version - from
 	if from < 0 {
 		n = modelServers
 	}
-	l.lines += int(n)
-	return answer(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[]}`, l.version, from < 0)), nil
+	model.lines += int(n)
+	return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[]}`, model.version, from < 0)), nil
 }
 
 // pause waits without the lock; a watch that is held ends with the next version too. It tells whether the call goes on.
-func (l *serverModel) pause(r *http.Request, d time.Duration, own *heldWatch) bool {
+func (m *serverModel) pause(r *http.Request, d time.Duration, own *heldWatch) bool {
 	var moved, cut chan struct{}
 	if own != nil {
-		moved, cut = l.changed, own.closed
+		moved, cut = m.changed, own.closed
 		if own.silenced {
 			d = time.Hour
 		}
 	}
-	l.mu.Unlock()
-	defer l.mu.Lock()
+	m.mu.Unlock()
+	defer m.mu.Lock()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -201,26 +201,26 @@
 	}
 }
 
-func answer(text string) *http.Response {
+func okResponse(text string) *http.Response {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}
 }
 
 // change makes a version.
-func (l *serverModel) publishVersion() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.version++
-	l.changedAt = append(l.changedAt, time.Now())
-	close(l.changed)
-	l.changed = make(chan struct{})
+func (m *serverModel) publishVersion() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.version++
+	m.changedAt = append(m.changedAt, time.Now())
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
 // strike does something to the open watches, and gives the next calls of each caller their fates.
-func (l *serverModel) inject(what func(*heldWatch), next ...callFault) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, c := range l.callers {
-		if l.faultsBelow > 0 && c.number >= l.faultsBelow {
+func (m *serverModel) inject(what func(*heldWatch), next ...callFault) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, c := range m.callers {
+		if m.faultsBelow > 0 && c.number >= m.faultsBelow {
 			continue
 		}
 		if c.openWatch != nil {
@@ -235,15 +235,15 @@
 func keepWatch(*heldWatch)      {}
 
 // trouble has calls meet a fate for some time, after which each is answered in its turn.
-func (l *serverModel) outage(f callFault, what func(*heldWatch), d time.Duration) {
-	l.inject(what)
-	l.mu.Lock()
-	l.fault = f
-	l.mu.Unlock()
+func (m *serverModel) outage(f callFault, what func(*heldWatch), d time.Duration) {
+	m.inject(what)
+	m.mu.Lock()
+	m.fault = f
+	m.mu.Unlock()
 	time.Sleep(d)
-	l.mu.Lock()
-	l.fault, l.availableSince = noFault, time.Now()
-	l.mu.Unlock()
+	m.mu.Lock()
+	m.fault, m.availableSince = noFault, time.Now()
+	m.mu.Unlock()
 }
 
 func (c *modelClient) recordVersion(version int64) {
@@ -255,15 +255,15 @@
 }
 
 // age is the longest time from a version's making, or from the discovery's return if that is later, until a caller had it.
-func (l *serverModel) worstAge(t *testing.T) (worst time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, c := range l.callers {
-		if len(c.heardAt) < len(l.changedAt) {
-			t.Fatalf("client %d heard of %d versions of %d", c.number, len(c.heardAt), len(l.changedAt))
+func (m *serverModel) worstAge(t *testing.T) (worst time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, c := range m.callers {
+		if len(c.heardAt) < len(m.changedAt) {
+			t.Fatalf("client %d heard of %d versions of %d", c.number, len(c.heardAt), len(m.changedAt))
 		}
-		for v, made := range l.changedAt {
-			for _, since := range []time.Time{l.availableSince, c.joinedAt} {
+		for v, made := range m.changedAt {
+			for _, since := range []time.Time{m.availableSince, c.joinedAt} {
 				if made.Before(since) {
 					made = since
 				}
@@ -275,12 +275,12 @@
 }
 
 // join starts a client that knows the list as it was at a version.
-func (l *serverModel) join(ctx context.Context, pushed bool, seed uint64, version int64) {
-	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: l.callersTold, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
-	l.mu.Lock()
-	who := &modelClient{server: l, number: len(l.callers), client: client, joinedAt: time.Now()}
-	l.callers = append(l.callers, who)
-	l.mu.Unlock()
+func (m *serverModel) join(ctx context.Context, pushed bool, seed uint64, version int64) {
+	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: m.assumedCallers, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
+	m.mu.Lock()
+	who := &modelClient{server: m, number: len(m.callers), client: client, joinedAt: time.Now()}
+	m.callers = append(m.callers, who)
+	m.mu.Unlock()
 	client.connect = func(Source) *http.Client { return &http.Client{Transport: who} }
 	client.http = client.connect(Source{})
 	client.SetInitialList(&List{Version: version, Full: true})
--- a/internal/override/golden_test.go
+++ b/internal/override/golden_test.go
@@ -12,16 +12,16 @@
 func TestGoldenFolder(t *testing.T) {
 	ids := []string{"a", "a b", "a/b", "ü%2F", "10.0.0.1:80", ZoneKey("north"), ZoneKey("a/b ü")}
 	kept := filepath.Join("testdata", "kept")
-	b, err := Open(Config{Dir: kept})
+	overrides, err := Open(Config{Dir: kept})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := slices.Sorted(maps.Keys(b.Current())); !slices.Equal(got, slices.Sorted(slices.Values(ids))) {
+	if got := slices.Sorted(maps.Keys(overrides.Current())); !slices.Equal(got, slices.Sorted(slices.Values(ids))) {
 		t.Errorf("read %q", got)
 	}
-	s := store{dir: t.TempDir()}
+	store := store{dir: t.TempDir()}
 	for _, id := range ids {
-		mustSucceed(t, s.add(id))
+		mustSucceed(t, store.add(id))
 	}
 	files := func(dir string) (names []string) {
 		entries, err := os.ReadDir(dir)
@@ -36,7 +36,7 @@
 		}
 		return names
 	}
-	if now, before := files(s.dir), files(kept); !slices.Equal(now, before) {
+	if now, before := files(store.dir), files(kept); !slices.Equal(now, before) {
 		t.Errorf("written %q, want %q", now, before)
 	}
 }
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -36,22 +36,22 @@
 		cfg.KnownServers = NewNameSet()
 		cfg.KnownServers.Add("a", "b", "c")
 	}
-	b, err := Open(cfg)
+	overrides, err := Open(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &appliedSet{ids: b.Current()}
+	applied := &appliedSet{ids: overrides.Current()}
 	ctx, stop := context.WithCancel(t.Context())
 	var parts sync.WaitGroup
-	parts.Go(func() { b.Run(ctx) })
+	parts.Go(func() { overrides.Run(ctx) })
 	parts.Go(func() {
 		defer close(ended)
 		for {
 			select {
-			case s := <-b.Sets():
-				h.mu.Lock()
-				h.ids = s.IDs
-				h.mu.Unlock()
+			case s := <-overrides.Sets():
+				applied.mu.Lock()
+				applied.ids = s.IDs
+				applied.mu.Unlock()
 				s.Acknowledge()
 			case <-ctx.Done():
 				return
@@ -59,7 +59,7 @@
 		}
 	})
 	t.Cleanup(func() { stop(); parts.Wait() })
-	return b, h
+	return overrides, applied
 }
 
 func mustSucceed(t *testing.T, err error) {
@@ -73,9 +73,9 @@
 func TestUnionOfLocalAndRemoteApplies(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		b, here := startOverrides(t, Config{Dir: dir})
+		overrides, here := startOverrides(t, Config{Dir: dir})
 		other, there := startOverrides(t, Config{Dir: dir})
-		mustSucceed(t, b.SuspendServer("a"))
+		mustSucceed(t, overrides.SuspendServer("a"))
 		if !here.is("a") {
 			t.Errorf("after the answer: %v", here.ids)
 		}
@@ -84,17 +84,17 @@
 		if !there.is("a") {
 			t.Errorf("at the other process: %v", there.ids)
 		}
-		b.SetRemote(map[string]bool{"a": true, "x": true, "c": false})
+		overrides.SetRemote(map[string]bool{"a": true, "x": true, "c": false})
 		synctest.Wait() // without a poll
 		if !here.is("a", "x") || !there.is("a") {
 			t.Errorf("with x from outside: %v, at the other process %v", here.ids, there.ids)
 		}
 		mustSucceed(t, other.ResumeServer("a"))
-		mustSucceed(t, b.ResumeServer("x")) // it is out, and so no stranger; to end that is the others' part
+		mustSucceed(t, overrides.ResumeServer("x")) // it is out, and so no stranger; to end that is the others' part
 		if !here.is("a", "x") {
 			t.Errorf("a resumed here but out by others: %v", here.ids)
 		}
-		b.SetRemote(nil)
+		overrides.SetRemote(nil)
 		synctest.Wait()
 		if !here.is() || !there.is() {
 			t.Errorf("all resumed: %v and %v", here.ids, there.ids)
@@ -111,33 +111,33 @@
 func TestCallsAreNotified(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		var b *Overrides
+		var overrides *Overrides
 		var here *appliedSet
 		var calls []string
 		deaf := errors.New("deaf")
-		b, here = startOverrides(t, Config{Dir: dir, Notify: func(nodo string, suspended bool) error {
+		overrides, here = startOverrides(t, Config{Dir: dir, Notify: func(nodo string, suspended bool) error {
 			calls = append(calls, nodo+" "+strconv.FormatBool(suspended))
 			if nodo == "c" {
 				return deaf
 			}
-			b.SetRemote(map[string]bool{"y": suspended})
+			overrides.SetRemote(map[string]bool{"y": suspended})
 			return nil
 		}})
-		mustSucceed(t, b.SuspendServer("a"))
+		mustSucceed(t, overrides.SuspendServer("a"))
 		if !here.is("a", "y") {
 			t.Errorf("suspended: %v", here.ids)
 		}
-		mustSucceed(t, b.ResumeServer("a"))
+		mustSucceed(t, overrides.ResumeServer("a"))
 		if !here.is() {
 			t.Errorf("resumed: %v", here.ids)
 		}
-		if err := b.SuspendServer("c"); !errors.Is(err, deaf) || !here.is("c") {
+		if err := overrides.SuspendServer("c"); !errors.Is(err, deaf) || !here.is("c") {
 			t.Errorf("untold: %v with %v", here.ids, err)
 		}
-		if mustSucceed(t, b.ClearLocal("c")); here.is("c") || len(calls) != 3 { // the others ended it: none is told
+		if mustSucceed(t, overrides.ClearLocal("c")); here.is("c") || len(calls) != 3 { // the others ended it: none is told
 			t.Errorf("lifted: %v, told of %v", here.ids, calls)
 		}
-		if err := b.SuspendServer("stranger"); err == nil {
+		if err := overrides.SuspendServer("stranger"); err == nil {
 			t.Error("no error on a stranger")
 		}
 		if want := []string{"a true", "a false", "c true"}; !slices.Equal(calls, want) {
@@ -150,21 +150,21 @@
 	dir := filepath.Join(t.TempDir(), "gone")
 	synctest.Test(t, func(t *testing.T) {
 		mustSucceed(t, os.Mkdir(dir, 0o700))
-		b, here := startOverrides(t, Config{Dir: dir})
-		mustSucceed(t, b.SuspendServer("b"))
+		overrides, here := startOverrides(t, Config{Dir: dir})
+		mustSucceed(t, overrides.SuspendServer("b"))
 		mustSucceed(t, os.RemoveAll(dir))
-		b.SetRemote(map[string]bool{"x": true})
+		overrides.SetRemote(map[string]bool{"x": true})
 		synctest.Wait()
 		if !here.is("b", "x") {
 			t.Errorf("with the folder gone: %v", here.ids)
 		}
 		var lost *StoreError
-		if err := b.SuspendServer("a"); !errors.As(err, &lost) || lost.Op != StoreOpAdd || lost.Path != filepath.Join(dir, "ban-a") ||
+		if err := overrides.SuspendServer("a"); !errors.As(err, &lost) || lost.Op != StoreOpAdd || lost.Path != filepath.Join(dir, "ban-a") ||
 			!errors.Is(err, os.ErrNotExist) {
 			t.Errorf("suspend: %v", err)
 		}
 		var unknown *UnknownServerError
-		if err := b.ResumeServer("stranger"); !errors.As(err, &unknown) || unknown.Server != "stranger" {
+		if err := overrides.ResumeServer("stranger"); !errors.As(err, &unknown) || unknown.Server != "stranger" {
 			t.Errorf("a stranger: %v", err)
 		}
 		if _, err := Open(Config{Dir: dir}); !errors.As(err, &lost) || lost.Op != StoreOpRead || lost.Path != dir {
@@ -179,35 +179,35 @@
 	synctest.Test(t, func(t *testing.T) {
 		names, ended := NewNameSet(), make(chan struct{})
 		names.Add("a")
-		b, err := Open(Config{Dir: dir, KnownServers: names, Stopped: ended})
+		overrides, err := Open(Config{Dir: dir, KnownServers: names, Stopped: ended})
 		mustSucceed(t, err)
 		var late *NotAppliedError
-		if err := b.SuspendServer("a"); !errors.As(err, &late) || late.After >= time.Second || !b.Current()["a"] {
+		if err := overrides.SuspendServer("a"); !errors.As(err, &late) || late.After >= time.Second || !overrides.Current()["a"] {
 			t.Errorf("got %v", err)
 		}
 		close(ended)
-		mustSucceed(t, b.SuspendServer("a"))
+		mustSucceed(t, overrides.SuspendServer("a"))
 	})
 }
 
 // Names of all kinds are kept, in the form that former versions read.
 func TestStoreEscapesNames(t *testing.T) {
-	s := store{dir: t.TempDir()}
+	store := store{dir: t.TempDir()}
 	files := map[string]string{"..": "ban-..", "a": "ban-a", "a b": "ban-a%20b", "a/b": "ban-a%2Fb", "ü%2F": "ban-%C3%BC%252F"}
 	for id, file := range files {
-		mustSucceed(t, s.add(id))
-		if info, err := os.Stat(filepath.Join(s.dir, file)); err != nil || info.Size() != 0 {
+		mustSucceed(t, store.add(id))
+		if info, err := os.Stat(filepath.Join(store.dir, file)); err != nil || info.Size() != 0 {
 			t.Errorf("%q: %v", id, err)
 		}
 	}
-	mustSucceed(t, os.WriteFile(filepath.Join(s.dir, "ban-%zz"), nil, 0o600)) // nobody's
-	got, err := s.load()
+	mustSucceed(t, os.WriteFile(filepath.Join(store.dir, "ban-%zz"), nil, 0o600)) // nobody's
+	got, err := store.load()
 	if err != nil || !maps.EqualFunc(got, files, func(is bool, _ string) bool { return is }) {
 		t.Fatalf("got %v, %v", got, err)
 	}
 	for id := range files {
-		mustSucceed(t, errors.Join(s.remove(id), s.remove(id)))
-		if s.has(id) {
+		mustSucceed(t, errors.Join(store.remove(id), store.remove(id)))
+		if store.has(id) {
 			t.Errorf("%q stays", id)
 		}
 	}
--- a/internal/override/slowdisk_test.go
+++ b/internal/override/slowdisk_test.go
@@ -12,19 +12,19 @@
 func TestSuspensionAppliesWithSlowDisk(t *testing.T) {
 	names := NewNameSet()
 	names.Add("a", "b")
-	b, err := Open(Config{Dir: t.TempDir(), KnownServers: names, Stopped: make(chan struct{}), Logger: slog.New(slog.DiscardHandler)})
+	overrides, err := Open(Config{Dir: t.TempDir(), KnownServers: names, Stopped: make(chan struct{}), Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	disk := make(chan struct{})
-	b.store.delay = func() { <-disk }
+	overrides.store.delay = func() { <-disk }
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	held := make(chan map[string]bool, 100)
 	go func() {
 		for {
 			select {
-			case s := <-b.Sets():
+			case s := <-overrides.Sets():
 				held <- s.IDs
 				s.Acknowledge()
 			case <-ctx.Done():
@@ -32,10 +32,10 @@
 			}
 		}
 	}()
-	go b.Run(ctx)
+	go overrides.Run(ctx)
 	began := time.Now()
 	answered := make(chan error, 1)
-	go func() { answered <- b.SuspendServer("a") }()
+	go func() { answered <- overrides.SuspendServer("a") }()
 	for !(<-held)["a"] {
 		if time.Since(began) > time.Second {
 			t.Fatal("the ban does not hold after 1 s")
@@ -59,13 +59,13 @@
 		}
 	}
 	close(disk)
-	for !b.store.has("a") {
+	for !overrides.store.has("a") {
 		time.Sleep(time.Millisecond)
 	}
-	if err := b.SuspendServer("a"); err != nil {
+	if err := overrides.SuspendServer("a"); err != nil {
 		t.Errorf("the call repeated: %v", err)
 	}
-	if err := b.ResumeServer("a"); err != nil || b.Current()["a"] {
-		t.Errorf("resumed: %v, %v", err, b.Current())
+	if err := overrides.ResumeServer("a"); err != nil || overrides.Current()["a"] {
+		t.Errorf("resumed: %v, %v", err, overrides.Current())
 	}
 }
--- a/internal/override/zones_test.go
+++ b/internal/override/zones_test.go
@@ -46,19 +46,19 @@
 			synctest.Test(t, func(t *testing.T) {
 				cfg := Config{Dir: dir, KnownZones: NewNameSet(), ServingZones: func() map[string]bool { return map[string]bool{"a": true, "b/c": true} }}
 				cfg.KnownZones.Add("a", "b/c", "empty")
-				b, here := startOverrides(t, cfg)
+				overrides, here := startOverrides(t, cfg)
 				for _, call := range c.calls {
 					var err error
 					switch call.do {
 					case "d":
-						err = b.DrainZone(call.zone)
+						err = overrides.DrainZone(call.zone)
 					case "r":
-						err = b.RestoreZone(call.zone)
+						err = overrides.RestoreZone(call.zone)
 					case "o":
-						b.SetRemote(map[string]bool{ZoneKey(call.zone): true})
+						overrides.SetRemote(map[string]bool{ZoneKey(call.zone): true})
 						synctest.Wait()
 					case "s":
-						b, here = startOverrides(t, cfg)
+						overrides, here = startOverrides(t, cfg)
 					}
 					var ok bool
 					switch call.err {
@@ -85,23 +85,23 @@
 
 // A zone is kept where former versions do not look, and none goes for a server, whatever their names.
 func TestZonesAndServersAreSeparate(t *testing.T) {
-	s := store{dir: t.TempDir()}
-	mustSucceed(t, errors.Join(s.add("a"), s.add(ZoneKey("a/b"))))
-	if _, err := os.Stat(filepath.Join(s.dir, "zone-a%2Fb")); err != nil {
+	store := store{dir: t.TempDir()}
+	mustSucceed(t, errors.Join(store.add("a"), store.add(ZoneKey("a/b"))))
+	if _, err := os.Stat(filepath.Join(store.dir, "zone-a%2Fb")); err != nil {
 		t.Error(err)
 	}
-	mustSucceed(t, os.WriteFile(filepath.Join(s.dir, "ban-%00zone%2Fc"), nil, 0o600)) // nobody's
-	got, err := s.load()
+	mustSucceed(t, os.WriteFile(filepath.Join(store.dir, "ban-%00zone%2Fc"), nil, 0o600)) // nobody's
+	got, err := store.load()
 	nodos, zones := SplitZones(got)
 	if err != nil || !maps.Equal(nodos, map[string]bool{"a": true}) || !maps.Equal(zones, map[string]bool{"a/b": true}) {
 		t.Errorf("%v %v %v", nodos, zones, err)
 	}
 	names := NewNameSet()
 	names.Add(ZoneKey("c"))
-	b, err := Open(Config{Dir: s.dir, KnownServers: names})
+	overrides, err := Open(Config{Dir: store.dir, KnownServers: names})
 	mustSucceed(t, err)
 	var unknown *UnknownServerError
-	if err := b.SuspendServer(ZoneKey("c")); !errors.As(err, &unknown) {
+	if err := overrides.SuspendServer(ZoneKey("c")); !errors.As(err, &unknown) {
 		t.Errorf("a server with a zone's mark: %v", err)
 	}
 }
--- a/internal/rollout/fakeregistry_test.go
+++ b/internal/rollout/fakeregistry_test.go
@@ -51,70 +51,70 @@
 }
 
 func newFakeRegistry(version int64) *fakeRegistry {
-	s := &fakeRegistry{members: map[string]*fakeMember{}, changed: make(chan struct{}), start: time.Now(), reported: map[string]string{}}
+	registry := &fakeRegistry{members: map[string]*fakeMember{}, changed: make(chan struct{}), start: time.Now(), reported: map[string]string{}}
 	for i := range 5 {
-		s.members[fmt.Sprint("m", i+1)] = &fakeMember{line: "one", version: version, document: documentOf(version)}
+		registry.members[fmt.Sprint("m", i+1)] = &fakeMember{line: "one", version: version, document: documentOf(version)}
 	}
-	return s
+	return registry
 }
 
 func documentOf(version int64) string { return fmt.Sprintf(`{"n":%d}`, version) }
 
 // set changes members and wakes those who watch.
-func (s *fakeRegistry) set(do func(name string, m *fakeMember)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for name, m := range s.members {
+func (f *fakeRegistry) set(do func(name string, m *fakeMember)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for name, m := range f.members {
 		was := *m
 		do(name, m)
 		if m.state != was.state {
 			m.since, m.atPartition = time.Now(), &was
 		}
 	}
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
 // put has all members know another version.
-func (s *fakeRegistry) publish(version int64) {
-	s.set(func(_ string, m *fakeMember) { m.version, m.document = version, documentOf(version) })
+func (f *fakeRegistry) publish(version int64) {
+	f.set(func(_ string, m *fakeMember) { m.version, m.document = version, documentOf(version) })
 }
 
 // watched is the member that was asked last.
-func (s *fakeRegistry) lastCalled() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.calledMembers[len(s.calledMembers)-1]
+func (f *fakeRegistry) lastCalled() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.calledMembers[len(f.calledMembers)-1]
 }
 
 // next are the members that a client asks after the watched one.
-func (s *fakeRegistry) reports() (map[string]string, int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return maps.Clone(s.reported), len(s.calls)
+func (f *fakeRegistry) reports() (map[string]string, int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return maps.Clone(f.reported), len(f.calls)
 }
 
-func (s *fakeRegistry) RoundTrip(r *http.Request) (*http.Response, error) {
+func (f *fakeRegistry) RoundTrip(r *http.Request) (*http.Response, error) {
 	q := r.URL.Query()
 	hold, _ := strconv.Atoi(q.Get("hold_ms"))
 	from, _ := strconv.ParseInt(q.Get("from"), 10, 64)
 	until := time.After(time.Duration(hold) * time.Millisecond)
-	s.mu.Lock()
-	s.calls, s.calledMembers = append(s.calls, time.Since(s.start)), append(s.calledMembers, r.URL.Host)
-	s.mu.Unlock()
+	f.mu.Lock()
+	f.calls, f.calledMembers = append(f.calls, time.Since(f.start)), append(f.calledMembers, r.URL.Host)
+	f.mu.Unlock()
 	for over := false; ; {
-		s.mu.Lock()
-		m, changed := *s.members[r.URL.Host], s.changed
+		f.mu.Lock()
+		m, changed := *f.members[r.URL.Host], f.changed
 		if m.state == healthy {
 			for key := range q {
-				s.reported[key] = q.Get(key)
+				f.reported[key] = q.Get(key)
 			}
 			if !q.Has("refused") {
-				delete(s.reported, "refused")
-				delete(s.reported, "why")
+				delete(f.reported, "refused")
+				delete(f.reported, "why")
 			}
 		}
-		s.mu.Unlock()
+		f.mu.Unlock()
 		answer := func(status int, format string, args ...any) (*http.Response, error) {
 			return &http.Response{StatusCode: status, Status: strconv.Itoa(status), Body: io.NopCloser(strings.NewReader(fmt.Sprintf(format, args...)))}, nil
 		}
@@ -192,11 +192,11 @@
 }
 
 // client runs a client of the service in the test's bubble.
-func (s *fakeRegistry) client(t *testing.T, seed uint64, dir string, known *CachedConfig) (*Client, *recordingApplier) {
-	a := &recordingApplier{}
+func (f *fakeRegistry) client(t *testing.T, seed uint64, dir string, known *CachedConfig) (*Client, *recordingApplier) {
+	applier := &recordingApplier{}
 	c := New(Config{Service: "tarifas", ProxyName: "p1", Members: []string{"m1", "m2", "m3", "m4", "m5"}, Seed: seed, StateDir: dir,
-		Logger: slog.New(slog.DiscardHandler)}, a)
-	c.http.Transport = s
+		Logger: slog.New(slog.DiscardHandler)}, applier)
+	c.http.Transport = f
 	if known != nil {
 		c.SetInitial(known, nil)
 	}
@@ -204,7 +204,7 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended })
-	return c, a
+	return c, applier
 }
 
 // bubble plays a test on its own clock.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -26,13 +26,13 @@
 		ms         = time.Millisecond
 	)
 	// strike makes of the member that is watched, and of those that are asked after it, what is listed.
-	strike := func(s *fakeRegistry, c *Client, states ...string) {
+	strike := func(registry *fakeRegistry, c *Client, states ...string) {
 		order := failover.NewRing(c.cfg.Members, rand.New(rand.NewPCG(c.cfg.Seed, 29)), maxBackoff) // as the client drew it
-		for order.Current() != s.lastCalled() {
+		for order.Current() != registry.lastCalled() {
 			order.RecordFailure()
 		}
 		for _, state := range states {
-			s.set(func(name string, m *fakeMember) {
+			registry.set(func(name string, m *fakeMember) {
 				if name == order.Current() {
 					m.state = state
 				}
@@ -62,20 +62,20 @@
 		worst := time.Duration(0)
 		bubble(t, c.name, func(t *testing.T) {
 			for seed := range uint64(40) {
-				s := newFakeRegistry(10)
-				client, a := s.client(t, seed, "", nil)
+				registry := newFakeRegistry(10)
+				client, applier := registry.client(t, seed, "", nil)
 				sleep(time.Duration(7000+137*seed) * ms)
-				for _, before := s.reports(); ; { // the worst moment: a watch has just begun
-					if _, calls := s.reports(); calls > before {
+				for _, before := registry.reports(); ; { // the worst moment: a watch has just begun
+					if _, calls := registry.reports(); calls > before {
 						break
 					}
 					sleep(ms)
 				}
-				strike(s, client, c.states...)
+				strike(registry, client, c.states...)
 				changed := time.Now()
-				s.publish(11)
+				registry.publish(11)
 				sleep(30 * time.Second)
-				text1, at, _ := a.current()
+				text1, at, _ := applier.current()
 				if took := at.Sub(changed); text1 != documentOf(11) || took < 0 || took > c.bound-c.last {
 					t.Errorf("seed %d: %s in force after %v, %v is written down", seed, text1, took, c.bound)
 				} else {
@@ -95,20 +95,20 @@
 	}{{healthy, maxBackoff + 2*C}, {silent, 2 * (maxBackoff + 2*C)}} {
 		bubble(t, "all are away, then back but for one "+c.stays, func(t *testing.T) {
 			for seed := range uint64(40) {
-				s := newFakeRegistry(10)
-				_, a := s.client(t, seed, "", nil)
+				registry := newFakeRegistry(10)
+				_, applier := registry.client(t, seed, "", nil)
 				sleep(7 * time.Second)
-				s.set(func(_ string, m *fakeMember) { m.state = dead })
+				registry.set(func(_ string, m *fakeMember) { m.state = dead })
 				sleep(time.Minute + time.Duration(seed)*100*ms)
-				s.publish(11)
-				s.set(func(name string, m *fakeMember) {
+				registry.publish(11)
+				registry.set(func(name string, m *fakeMember) {
 					if m.state = healthy; name == "m1" {
 						m.state = c.stays
 					}
 				})
 				back := time.Now()
 				sleep(30 * time.Second)
-				if text1, at, _ := a.current(); text1 != documentOf(11) || at.Sub(back) > c.bound || c.bound >= documentedBound {
+				if text1, at, _ := applier.current(); text1 != documentOf(11) || at.Sub(back) > c.bound || c.bound >= documentedBound {
 					t.Errorf("seed %d: %s in force after %v, %v is written down", seed, text1, at.Sub(back), c.bound)
 				}
 			}
@@ -119,82 +119,82 @@
 // What is in force, or refused, is said with the next call; a refused document changes nothing and is not tried again.
 func TestReports(t *testing.T) {
 	bubble(t, "in force and refused", func(t *testing.T) {
-		s := newFakeRegistry(10)
-		c, a := s.client(t, 1, "", nil)
+		registry := newFakeRegistry(10)
+		c, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		if said, _ := s.reports(); said["name"] != "p1" || said["in_force"] != "10" || said["refused"] != "" {
+		if said, _ := registry.reports(); said["name"] != "p1" || said["in_force"] != "10" || said["refused"] != "" {
 			t.Errorf("said %v", said)
 		}
-		a.reject(`11`)
-		s.publish(11)
+		applier.reject(`11`)
+		registry.publish(11)
 		sleep(time.Minute)
-		said, _ := s.reports()
-		if now, _, n := a.current(); now != documentOf(10) || n != 1 || a.attempts != 2 || said["in_force"] != "10" || said["refused"] != "11" ||
+		said, _ := registry.reports()
+		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || applier.attempts != 2 || said["in_force"] != "10" || said["refused"] != "11" ||
 			said["why"] != "settings.x: is refused" {
-			t.Errorf("%s in force, %d tried, said %v", now, a.attempts, said)
+			t.Errorf("%s in force, %d tried, said %v", now, applier.attempts, said)
 		}
 		if f := c.Metrics(); f.Version != 10 || f.RejectedVersion != 11 || f.Applied != 1 || f.Age > LongPollTimeout {
 			t.Errorf("%+v", f)
 		}
-		a.reject("")
+		applier.reject("")
 		c.RetryRejected() // what it is put above has changed
 		sleep(LongPollTimeout)
 		if f := c.Metrics(); f.Version != 11 || f.RejectedVersion != 0 {
 			t.Errorf("%+v", f)
 		}
-		a.reject(`12`)
-		s.publish(12)
+		applier.reject(`12`)
+		registry.publish(12)
 		sleep(time.Second)
-		s.publish(13)
+		registry.publish(13)
 		sleep(time.Second)
-		if said, _ := s.reports(); said["in_force"] != "13" || said["refused"] != "" || said["why"] != "" {
+		if said, _ := registry.reports(); said["in_force"] != "13" || said["refused"] != "" || said["why"] != "" {
 			t.Errorf("said %v", said)
 		}
 	})
 	bubble(t, "30 changes within a minute, and each is in force at once", func(t *testing.T) {
-		s := newFakeRegistry(10)
-		_, a := s.client(t, 1, "", nil)
+		registry := newFakeRegistry(10)
+		_, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		_, before := s.reports()
+		_, before := registry.reports()
 		for v := int64(11); v <= 40; v++ {
-			s.publish(v)
+			registry.publish(v)
 			sleep(2 * time.Second)
-			if now, _, _ := a.current(); now != documentOf(v) {
+			if now, _, _ := applier.current(); now != documentOf(v) {
 				t.Errorf("%s in force, %d was put", now, v)
 			}
 		}
-		if _, calls := s.reports(); calls-before > 2*30 {
+		if _, calls := registry.reports(); calls-before > 2*30 {
 			t.Errorf("%d calls for 30 changes", calls-before)
 		}
 	})
 	bubble(t, "few calls are made, also of a member that holds no watch, and while none answers", func(t *testing.T) {
-		s := newFakeRegistry(10)
-		_, a := s.client(t, 1, "", nil)
+		registry := newFakeRegistry(10)
+		_, applier := registry.client(t, 1, "", nil)
 		for _, c := range []struct {
 			state string
 			most  int // in 10 minutes
 		}{{healthy, 300}, {holdsNoWatch, 4000}, {dead, 700}, {silent, 700}} {
-			s.set(func(_ string, m *fakeMember) { m.state = c.state })
+			registry.set(func(_ string, m *fakeMember) { m.state = c.state })
 			sleep(time.Minute)
-			_, before := s.reports()
+			_, before := registry.reports()
 			sleep(10 * time.Minute)
-			if _, calls := s.reports(); calls-before > c.most || calls-before < 100 {
+			if _, calls := registry.reports(); calls-before > c.most || calls-before < 100 {
 				t.Errorf("%s: %d calls in 10 minutes", c.state, calls-before)
 			}
 		}
-		if now, _, n := a.current(); now != documentOf(10) || n != 1 {
+		if now, _, n := applier.current(); now != documentOf(10) || n != 1 {
 			t.Errorf("%s is in force, %d applied", now, n)
 		}
 	})
 	bubble(t, "other members are asked once they are named", func(t *testing.T) {
-		s := newFakeRegistry(10)
-		s.members["n1"] = &fakeMember{line: "one", version: 12, document: documentOf(12)}
-		c, a := s.client(t, 1, "", nil)
+		registry := newFakeRegistry(10)
+		registry.members["n1"] = &fakeMember{line: "one", version: 12, document: documentOf(12)}
+		c, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
 		c.SetMembers([]string{"n1"})
 		sleep(LongPollTimeout + watchSlack)
-		if now, _, _ := a.current(); now != documentOf(12) || s.lastCalled() != "n1" {
-			t.Errorf("%s in force, %s asked", now, s.lastCalled())
+		if now, _, _ := applier.current(); now != documentOf(12) || registry.lastCalled() != "n1" {
+			t.Errorf("%s in force, %s asked", now, registry.lastCalled())
 		}
 	})
 }
@@ -202,61 +202,61 @@
 // Which versions are believed.
 func TestEpochs(t *testing.T) {
 	bubble(t, "nothing older within a line", func(t *testing.T) {
-		s := newFakeRegistry(10)
-		_, a := s.client(t, 1, "", nil)
+		registry := newFakeRegistry(10)
+		_, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		at := s.lastCalled()
-		s.set(func(name string, m *fakeMember) {
+		at := registry.lastCalled()
+		registry.set(func(name string, m *fakeMember) {
 			if m.version, m.document, m.state = 9, documentOf(9), answersOlder; name == at {
 				m.state = dead
 			}
 		})
 		sleep(time.Minute)
-		if now, _, n := a.current(); now != documentOf(10) || n != 1 {
+		if now, _, n := applier.current(); now != documentOf(10) || n != 1 {
 			t.Errorf("%s in force", now)
 		}
 	})
 	bubble(t, "a restored service, whose versions lie above, counts at once, and what is the same is not applied again", func(t *testing.T) {
-		s := newFakeRegistry(10)
-		c, a := s.client(t, 1, "", nil)
+		registry := newFakeRegistry(10)
+		c, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		s.set(func(_ string, m *fakeMember) { m.line, m.version, m.document = "two", 1000, documentOf(10) })
+		registry.set(func(_ string, m *fakeMember) { m.line, m.version, m.document = "two", 1000, documentOf(10) })
 		sleep(time.Second)
-		if now, _, n := a.current(); now != documentOf(10) || n != 1 || c.Metrics().Version != 1000 {
+		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || c.Metrics().Version != 1000 {
 			t.Errorf("%s in force, %d applied, %+v", now, n, c.Metrics())
 		}
-		s.set(func(_ string, m *fakeMember) { m.version, m.document = 1001, documentOf(7) })
+		registry.set(func(_ string, m *fakeMember) { m.version, m.document = 1001, documentOf(7) })
 		sleep(time.Second)
-		if now, _, _ := a.current(); now != documentOf(7) {
+		if now, _, _ := applier.current(); now != documentOf(7) {
 			t.Errorf("%s in force", now)
 		}
 	})
 	bubble(t, "a service that begins empty takes nothing away, and its first configuration counts", func(t *testing.T) {
-		s := newFakeRegistry(10)
-		c, a := s.client(t, 1, "", nil)
+		registry := newFakeRegistry(10)
+		c, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		s.set(func(_ string, m *fakeMember) { m.line, m.version, m.document = "two", 0, "" })
+		registry.set(func(_ string, m *fakeMember) { m.line, m.version, m.document = "two", 0, "" })
 		sleep(time.Minute)
-		if now, _, n := a.current(); now != documentOf(10) || n != 1 || c.Metrics().Version != 10 || c.Metrics().Age > LongPollTimeout {
+		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || c.Metrics().Version != 10 || c.Metrics().Age > LongPollTimeout {
 			t.Errorf("%s in force, %+v", now, c.Metrics())
 		}
-		s.set(func(_ string, m *fakeMember) { m.version, m.document = 2000, documentOf(2000) })
+		registry.set(func(_ string, m *fakeMember) { m.version, m.document = 2000, documentOf(2000) })
 		sleep(time.Second)
-		if now, _, _ := a.current(); now != documentOf(2000) {
+		if now, _, _ := applier.current(); now != documentOf(2000) {
 			t.Errorf("%s in force", now)
 		}
 	})
 	bubble(t, "a line below counts when nobody answers for the one before", func(t *testing.T) {
-		s := newFakeRegistry(10)
-		_, a := s.client(t, 1, "", nil)
+		registry := newFakeRegistry(10)
+		_, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		s.set(func(_ string, m *fakeMember) { m.line, m.version, m.document = "zero", 5, documentOf(5) })
+		registry.set(func(_ string, m *fakeMember) { m.line, m.version, m.document = "zero", 5, documentOf(5) })
 		sleep(failover.EpochWait - LongPollTimeout)
-		if now, _, _ := a.current(); now != documentOf(10) {
+		if now, _, _ := applier.current(); now != documentOf(10) {
 			t.Errorf("%s in force", now)
 		}
 		sleep(LongPollTimeout + 2*maxBackoff)
-		if now, _, _ := a.current(); now != documentOf(5) {
+		if now, _, _ := applier.current(); now != documentOf(5) {
 			t.Errorf("%s in force", now)
 		}
 	})
@@ -269,13 +269,13 @@
 		t.Errorf("of nothing came %+v, %v", k, err)
 	}
 	bubble(t, "the newest in force, not what was refused", func(t *testing.T) {
-		s := newFakeRegistry(10)
-		_, a := s.client(t, 1, dir, nil)
+		registry := newFakeRegistry(10)
+		_, applier := registry.client(t, 1, dir, nil)
 		sleep(time.Second)
-		s.publish(11)
+		registry.publish(11)
 		sleep(2 * time.Second)
-		a.reject("12")
-		s.publish(12)
+		applier.reject("12")
+		registry.publish(12)
 		sleep(2 * time.Second)
 	})
 	k, err := LoadCached(dir, "tarifas")
@@ -283,29 +283,29 @@
 		t.Fatalf("got %+v, %v", k, err)
 	}
 	bubble(t, "a client goes on from it", func(t *testing.T) {
-		s := newFakeRegistry(11)
-		c, a := s.client(t, 1, "", k)
+		registry := newFakeRegistry(11)
+		c, applier := registry.client(t, 1, "", k)
 		sleep(time.Minute)
-		if _, _, n := a.current(); n != 0 || c.Metrics().Version != 11 {
+		if _, _, n := applier.current(); n != 0 || c.Metrics().Version != 11 {
 			t.Errorf("%d applied, %+v", n, c.Metrics())
 		}
-		s.publish(12)
+		registry.publish(12)
 		sleep(time.Second)
-		if now, _, _ := a.current(); now != documentOf(12) {
+		if now, _, _ := applier.current(); now != documentOf(12) {
 			t.Errorf("%s in force", now)
 		}
 	})
 	bubble(t, "one that could not be put in force at the start is told so", func(t *testing.T) {
-		s := newFakeRegistry(11)
-		a := &recordingApplier{}
-		c := New(Config{Service: "tarifas", ProxyName: "p1", Members: []string{"m1"}, Logger: slog.New(slog.DiscardHandler)}, a)
-		c.http.Transport = s
+		registry := newFakeRegistry(11)
+		applier := &recordingApplier{}
+		c := New(Config{Service: "tarifas", ProxyName: "p1", Members: []string{"m1"}, Logger: slog.New(slog.DiscardHandler)}, applier)
+		c.http.Transport = registry
 		c.SetInitial(k, errors.New(strings.Repeat("x", 300)))
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); c.Run(ctx) }()
 		sleep(time.Second)
-		if said, _ := s.reports(); said["in_force"] != "0" || said["refused"] != "11" || len(said["why"]) != maxReasonBytes {
+		if said, _ := registry.reports(); said["in_force"] != "0" || said["refused"] != "11" || len(said["why"]) != maxReasonBytes {
 			t.Errorf("said %v", said)
 		}
 		stop()
