--- a/internal/registry/api/configs.go
+++ b/internal/registry/api/configs.go
@@ -1,43 +1,34 @@
 package api
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
-	"sync"
 	"time"
 
 	"merlinpick/internal/registry/raftnode"
-	"merlinpick/internal/registry/rollout"
 	"merlinpick/internal/registry/state"
 	"merlinpick/internal/settings"
 )
 
-// Configurations of services. docs/rollout.md says what is promised.
+// Configurations of services. docs/rollout.md has the guarantees.
 //
-//	GET /config/SERVICE                        the newest; former=1: the one before; consistent=1 as for the list
-//	GET /config/SERVICE?from=V&hold_ms=M       a watch, as of the list; line=L beside it. With name=PROXY, in_force=V and,
-//	                                           where it is so, refused=V and why=KEY, the caller says what it has in force
-//	PUT /config/SERVICE?from=V                 put the body after version V; 409 tells the newest where that is another
-//	GET /config/SERVICE/status                 where which version is in force; all=1: every proxy, not only those behind
-//	GET /v1/inforce/SERVICE                    what this member alone has heard of that
-
+//	GET /config/SERVICE                        the newest; former=1: the previous one; consistent=1: a linearizable read
+//	GET /config/SERVICE?from=V&hold_ms=M       a watch, as of the list; line=L is the epoch of V. With name=PROXY and
+//	                                           in_force=V the proxy reports what it has applied, with refused=V and why=KEY
+//	                                           what it has rejected
+//	PUT /config/SERVICE?from=V                 write the body after version V; 409 names the newest version if it is another
+//	GET /config/SERVICE/status                 which proxies have applied which version; all=1: also those up to date
+//	GET /v1/inforce/SERVICE                    the reports that this member alone has
+
+// Codes of rejected writes beside those of package state.
 const (
-	reportsTimeout  = time.Second // for the other members' part of a status
-	maxReportsBytes = 8 << 20     // bytes of one
-	// silent is without a word from a proxy, until what it has in force is unknown: it says it every rollout.Hold.
-	reportSilence = 15 * time.Second
+	codeOldBuild        = "old_build" // a member's build has no configurations
+	codeInvalidDocument = "faulty"
 )
 
-// ends of puts beside those of package state.
-const (
-	codeOldBuild        = "old_build" // a member's build does not know configurations
-	codeInvalidDocument = "faulty"    // the document makes no sense
-)
-
-// ServiceConfig is the answer to a GET of a configuration. A watch that has no news has no document.
+// ServiceConfig is the answer to a GET of a configuration. A watch that ends without a newer version has no document.
 type ServiceConfig struct {
 	Service  string          `json:"service"`
 	Epoch    string          `json:"line"`
@@ -46,14 +37,15 @@
 	Document json.RawMessage `json:"document,omitempty"`
 }
 
-// ConfigFault is the answer to a put that was not taken.
+// ConfigErrorBody is the answer to a rejected write.
 type ConfigErrorBody struct {
 	ErrorBody
-	Key     string `json:"key,omitempty"`    // of the document
-	Remedy  string `json:"remedy,omitempty"` // what to do
-	Version int64  `json:"version"`          // the newest, where it is known
+	Key     string `json:"key,omitempty"` // of the document
+	Remedy  string `json:"remedy,omitempty"`
+	Version int64  `json:"version"` // the newest; 0: not known
 }
 
+// readService reads the service of a call; false: it has answered 400.
 func readService(w http.ResponseWriter, r *http.Request) (string, bool) {
 	name := r.PathValue("service")
 	if err := settings.CheckService(name); err != nil {
@@ -63,133 +55,79 @@
 	return name, true
 }
 
-func writeConfig(w http.ResponseWriter, line string, c state.Configuration) {
-	out := ServiceConfig{Service: c.Service, Epoch: line, Version: c.Version, Document: c.Document}
+func writeConfig(w http.ResponseWriter, epoch string, c state.Configuration) {
+	out := ServiceConfig{Service: c.Service, Epoch: epoch, Version: c.Version, Document: c.Document}
 	if c.Previous != nil {
 		out.Previous = c.Previous.Version
 	}
 	writeJSON(w, http.StatusOK, out)
 }
 
-func (s *Server) config(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	name, ok := readService(w, r)
+// config answers with a configuration, or as a watch of it.
+func (s *Server) config(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
+	service, ok := readService(w, r)
 	if !ok {
 		return
 	}
-	q := r.URL.Query()
-	if q.Has("from") {
-		s.watchConfig(w, r, m, name)
+	query := r.URL.Query()
+	if query.Has("from") {
+		s.watchConfig(w, r, node, service)
 		return
 	}
-	if q.Get("consistent") == "1" {
-		if err := m.WaitLinearizable(r.Context()); err != nil {
+	if query.Get("consistent") == "1" {
+		if err := node.WaitLinearizable(r.Context()); err != nil {
 			s.rejectRetryable(w, err)
 			return
 		}
 	}
-	if !m.Serving() {
+	if !node.Serving() {
 		s.rejectRetryable(w, raftnode.ErrStale)
 		return
 	}
-	line, c, ok := m.Configuration(name)
+	wantPrevious := query.Get("former") == "1"
+	epoch, c, ok := node.Configuration(service)
 	switch {
-	case !ok, q.Get("former") == "1" && c.Previous == nil:
-		writeJSON(w, http.StatusNotFound, ErrorBody{Error: name + " has no such configuration", Code: state.ResultUnknown})
-	case q.Get("former") == "1":
-		writeConfig(w, line, state.Configuration{Service: name, Version: c.Previous.Version, Document: c.Previous.Document})
+	case !ok, wantPrevious && c.Previous == nil:
+		writeJSON(w, http.StatusNotFound, ErrorBody{Error: service + " has no such configuration", Code: state.ResultUnknown})
+	case wantPrevious:
+		writeConfig(w, epoch, state.Configuration{Service: service, Version: c.Previous.Version, Document: c.Previous.Document})
 	default:
-		writeConfig(w, line, c)
+		writeConfig(w, epoch, c)
 	}
 }
 
-// word reads what a proxy says that it has in force; no name: nothing.
-func readReport(w http.ResponseWriter, r *http.Request) (out rollout.ProxyReport, ok bool) {
-	q := r.URL.Query()
-	if out.Name = q.Get("name"); out.Name == "" {
-		return out, true
-	}
-	if len(out.Name) > rollout.MaxNameBytes {
-		writeError(w, http.StatusBadRequest, "name: at most %d bytes", rollout.MaxNameBytes)
-		return out, false
-	}
-	if out.AppliedVersion, ok = queryNumber(w, r, "in_force", "a version is"); !ok {
-		return out, false
-	}
-	if out.RejectedVersion, ok = queryNumber(w, r, "refused", "a version is"); !ok {
-		return out, false
-	}
-	out.RejectReason = q.Get("why")
-	out.RejectReason = out.RejectReason[:min(len(out.RejectReason), rollout.MaxReasonBytes)]
-	return out, true
-}
-
-// watchConfig answers when there is something newer than from, or its time is over, by the rules of Server.watch.
-func (s *Server) watchConfig(w http.ResponseWriter, r *http.Request, m *raftnode.Node, name string) {
-	said, ok := readReport(w, r)
+// watchConfig records the proxy's report and answers as Server.awaitEvent ends.
+func (s *Server) watchConfig(w http.ResponseWriter, r *http.Request, node *raftnode.Node, service string) {
+	report, ok := readReport(w, r)
 	if !ok {
 		return
 	}
-	from, until, release, ok := s.hold(w, r)
+	request, release, ok := s.startWatch(w, r)
 	if !ok {
 		return
 	}
 	defer release()
-	if said.Name != "" && !s.reports.Record(name, said, time.Now()) {
+	if report.Name != "" && !s.reports.Record(service, report, time.Now()) {
 		s.reportsDropped.Add(1)
 	}
-	line := r.URL.Query().Get("line")
-	timer := time.NewTimer(time.Until(until))
-	defer timer.Stop()
-	over := false
-	for {
-		changed := m.Watches().Wait()
-		if !m.Serving() {
-			s.rejectRetryable(w, raftnode.ErrStale)
-			return
-		}
-		own, c, _ := m.Configuration(name)
-		c.Service = name
-		switch {
-		case line != "" && line != own, c.Version > from:
-			writeConfig(w, own, c)
-			return
-		case c.Version < from && line == "":
-			if err := m.WaitLinearizable(r.Context()); err != nil {
-				s.rejectRetryable(w, err)
-				return
-			}
-			if own, c, _ = m.Configuration(name); c.Version < from {
-				c.Service = name
-				writeConfig(w, own, c)
-				return
-			}
-			continue
-		case over && c.Version == from:
-			writeJSON(w, http.StatusOK, ServiceConfig{Service: name, Epoch: own, Version: from})
-			return
-		case over:
-			s.rejectRetryable(w, errors.New("this member has not come up to that version yet"))
-			return
-		}
-		select {
-		case <-changed:
-		case <-timer.C:
-			over = true
-		case <-s.stopping:
-			s.rejectRetryable(w, errors.New("this member ends"))
-			return
-		case <-r.Context().Done():
-			return
-		}
+	var epoch string
+	var config state.Configuration
+	event := s.awaitEvent(w, r, node, request, func() (string, int64) {
+		epoch, config, _ = node.Configuration(service)
+		config.Service = service
+		return epoch, config.Version
+	})
+	switch event {
+	case watchReset, watchNewer:
+		writeConfig(w, epoch, config)
+	case watchUnchanged:
+		writeJSON(w, http.StatusOK, ServiceConfig{Service: service, Epoch: epoch, Version: request.from})
 	}
 }
 
-func rejectConfig(w http.ResponseWriter, status int, end, key, problem, remedy string, newest int64) {
-	writeJSON(w, status, ConfigErrorBody{ErrorBody{Error: problem, Code: end}, key, remedy, newest})
-}
-
-func (s *Server) putConfig(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	name, ok := readService(w, r)
+// putConfig writes a configuration after the version that the writer has seen.
+func (s *Server) putConfig(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
+	service, ok := readService(w, r)
 	if !ok {
 		return
 	}
@@ -201,153 +139,82 @@
 	if !ok {
 		return
 	}
-	body, ok := readBody(w, r, 2*settings.MaxDocumentBytes) // with spaces, which are not kept
+	body, ok := readBody(w, r, 2*settings.MaxDocumentBytes) // with spaces, which canonical form drops
 	if !ok {
 		return
 	}
-	document, err := settings.Canonical(body)
-	if err == nil {
-		err = settings.CheckDocument(document)
-	}
-	if err != nil {
-		key := ""
-		if fault := (*settings.Error)(nil); errors.As(err, &fault) {
-			key = fault.Key
-		}
-		rejectConfig(w, http.StatusBadRequest, codeInvalidDocument, key, "the document: "+err.Error(), "correct it; nothing was changed", 0)
-		return
-	}
-	// A leader of an older build would answer as if there were no such call.
-	if leader, ok := m.Leader(); ok && leader.Name != s.cfg.Name && r.Header.Get(forwardedHeader) == "" {
-		var fault *raftnode.IncompatibleMemberError
-		if err := m.SupportsConfigs(r.Context(), leader); errors.As(err, &fault) && fault.Cause == nil {
-			s.rejectOldBuild(w, err)
-			return
-		}
-	}
-	if s.forwardToLeader(w, r, m, body) {
+	document, ok := readDocument(w, body)
+	if !ok || s.rejectOldLeader(w, r, node) || s.forwardToLeader(w, r, node, body) {
 		return
 	}
-	res, err := m.Configure(r.Context(), name, after, document)
-	var old *raftnode.IncompatibleMemberError
+	result, err := node.Configure(r.Context(), service, after, document)
+	var incompatible *raftnode.IncompatibleMemberError
 	switch {
-	case errors.As(err, &old):
+	case errors.As(err, &incompatible):
 		s.rejectOldBuild(w, err)
 	case err != nil:
 		s.rejectRetryable(w, err)
-	case res.Code == state.ResultDone:
-		line, _ := m.Version()
-		writeJSON(w, http.StatusOK, ServiceConfig{Service: name, Epoch: line, Version: res.Version})
-	case res.Code == state.ResultConflict:
-		rejectConfig(w, http.StatusConflict, res.Code, "", fmt.Sprintf("%s is at version %d, not %d", name, res.Version, after),
-			"look at it, and put yours after that one", res.Version)
-	case res.Code == state.ResultNoRoom:
-		rejectConfig(w, http.StatusInsufficientStorage, res.Code, "", fmt.Sprintf("%d services with %d bytes of documents may be held",
-			state.MaxServices, state.MaxDocumentBytes), "put shorter documents", res.Version)
+	case result.Code == state.ResultDone:
+		epoch, _ := node.Version()
+		writeJSON(w, http.StatusOK, ServiceConfig{Service: service, Epoch: epoch, Version: result.Version})
 	default:
-		rejectConfig(w, http.StatusConflict, res.Code, "", "the leader's program did not take it", "", res.Version)
+		writeConfigRejected(w, service, after, result)
 	}
 }
 
-func (s *Server) rejectOldBuild(w http.ResponseWriter, err error) {
-	s.rejected.Add(1)
-	w.Header().Set("Retry-After", "5")
-	writeJSON(w, http.StatusServiceUnavailable, ErrorBody{Error: err.Error(), Code: codeOldBuild})
-}
-
-func (s *Server) localReports(w http.ResponseWriter, r *http.Request, _ *raftnode.Node) {
-	if name, ok := readService(w, r); ok {
-		writeJSON(w, http.StatusOK, s.reports.Reports(name, time.Now()))
-	}
-}
-
-// The states of a proxy in a ConfigStatus.
-const (
-	StateApplied  = "in_force" // the newest
-	StateBehind   = "behind"   // another version, or its file's
-	StateRejected = "refused"  // it refused the newest: Why has the key
-	StateUnknown  = "unknown"  // it has said nothing for 15 s
-)
-
-// ProxyStatus is one proxy in a ConfigStatus.
-type ProxyStatus struct {
-	State string `json:"state"`
-	rollout.ProxyReport
-}
-
-// ConfigStatus tells where a configuration is in force, by what proxies have told any member.
-type ConfigStatus struct {
-	Service string         `json:"service"`
-	Epoch   string         `json:"line"`
-	Version int64          `json:"version"`
-	Partial bool           `json:"partial"` // not all members have answered: those that watch there may be missing or old
-	Silent  []string       `json:"silent"`  // these
-	Counts  map[string]int `json:"counts"`  // of proxies, by state
-	Lowest  int64          `json:"lowest"`  // version in force, of proxies that are heard
-	Highest int64          `json:"highest"`
-	Proxies []ProxyStatus  `json:"proxies"` // those that are not in force, or all
-}
-
-func (s *Server) configStatus(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	name, ok := readService(w, r)
-	if !ok {
-		return
+// readDocument returns a document in canonical form; false: it has answered 400 with the key at fault.
+func readDocument(w http.ResponseWriter, body []byte) (json.RawMessage, bool) {
+	document, err := settings.Canonical(body)
+	if err == nil {
+		err = settings.CheckDocument(document)
 	}
-	if !m.Serving() {
-		s.rejectRetryable(w, raftnode.ErrStale)
-		return
+	if err == nil {
+		return document, true
+	}
+	key := ""
+	if invalid := (*settings.Error)(nil); errors.As(err, &invalid) {
+		key = invalid.Key
+	}
+	writeJSON(w, http.StatusBadRequest, ConfigErrorBody{ErrorBody{"the document: " + err.Error(), codeInvalidDocument}, key,
+		"correct it; nothing was changed", 0})
+	return nil, false
+}
+
+// writeConfigRejected answers a write that changed nothing, by its result code.
+func writeConfigRejected(w http.ResponseWriter, service string, after int64, result state.Result) {
+	status, body := http.StatusConflict, ConfigErrorBody{ErrorBody: ErrorBody{Code: result.Code}, Version: result.Version}
+	switch result.Code {
+	case state.ResultConflict:
+		body.Error = fmt.Sprintf("%s is at version %d, not %d", service, result.Version, after)
+		body.Remedy = "look at it, and put yours after that one"
+	case state.ResultNoRoom:
+		status = http.StatusInsufficientStorage
+		body.Error = fmt.Sprintf("%d services with %d bytes of documents may be held", state.MaxServices, state.MaxDocumentBytes)
+		body.Remedy = "put shorter documents"
+	default:
+		body.Error = "the leader's program did not take it"
 	}
-	heard, silent := s.collectReports(r.Context(), m, name)
-	line, c, _ := m.Configuration(name) // after the words: none is of a version that is not known here yet
-	st := ConfigStatus{Service: name, Epoch: line, Version: c.Version, Partial: len(silent) > 0, Silent: silent}
-	st.fill(rollout.MergeReports(heard...), r.URL.Query().Get("all") == "1")
-	writeJSON(w, http.StatusOK, st)
+	writeJSON(w, status, body)
 }
 
-// askWords asks all members for what they have heard.
-func (s *Server) collectReports(ctx context.Context, m *raftnode.Node, name string) (heard [][]rollout.ProxyReport, silent []string) {
-	ctx, cancel := context.WithTimeout(ctx, reportsTimeout)
-	defer cancel()
-	others := m.Peers()
-	heard, silent = make([][]rollout.ProxyReport, len(others)+1), []string{}
-	heard[len(others)] = s.reports.Reports(name, time.Now())
-	faults := make([]error, len(others))
-	var asked sync.WaitGroup
-	for i, p := range others {
-		asked.Go(func() { faults[i] = m.CallPeer(ctx, p, "/v1/inforce/"+name, maxReportsBytes, &heard[i]) })
+// rejectOldLeader answers a write that would be forwarded to a leader whose build has no configurations; that leader would
+// answer as if there were no such call.
+func (s *Server) rejectOldLeader(w http.ResponseWriter, r *http.Request, node *raftnode.Node) bool {
+	leader, ok := node.Leader()
+	if !ok || leader.Name == s.cfg.Name || r.Header.Get(forwardedHeader) != "" {
+		return false
 	}
-	asked.Wait()
-	for i, err := range faults {
-		if err != nil {
-			heard[i] = nil
-			silent = append(silent, others[i].Name)
-		}
+	err := node.SupportsConfigs(r.Context(), leader)
+	var incompatible *raftnode.IncompatibleMemberError
+	if !errors.As(err, &incompatible) || incompatible.Cause != nil {
+		return false
 	}
-	return heard, silent
+	s.rejectOldBuild(w, err)
+	return true
 }
 
-func (st *ConfigStatus) fill(words []rollout.ProxyReport, all bool) {
-	st.Counts, st.Proxies = map[string]int{StateApplied: 0, StateBehind: 0, StateRejected: 0, StateUnknown: 0}, []ProxyStatus{}
-	first := true
-	for _, w := range words {
-		p := ProxyStatus{StateBehind, w}
-		switch {
-		case w.AgeMs >= reportSilence.Milliseconds():
-			p.State = StateUnknown
-		case w.AppliedVersion == st.Version:
-			p.State = StateApplied
-		case w.RejectedVersion != 0 && w.RejectedVersion == st.Version:
-			p.State = StateRejected
-		}
-		st.Counts[p.State]++
-		if p.State != StateUnknown {
-			if first || w.AppliedVersion < st.Lowest {
-				st.Lowest = w.AppliedVersion
-			}
-			st.Highest, first = max(st.Highest, w.AppliedVersion), false
-		}
-		if all || p.State != StateApplied {
-			st.Proxies = append(st.Proxies, p)
-		}
-	}
+func (s *Server) rejectOldBuild(w http.ResponseWriter, err error) {
+	s.rejected.Add(1)
+	w.Header().Set("Retry-After", "5")
+	writeJSON(w, http.StatusServiceUnavailable, ErrorBody{Error: err.Error(), Code: codeOldBuild})
 }
--- a/internal/registry/api/endpoints.go
+++ b/internal/registry/api/endpoints.go
@@ -1,69 +1,64 @@
 package api
 
 import (
-	"bytes"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"net/http"
-	"time"
 
 	"merlinpick/internal/registry/raftnode"
 	"merlinpick/internal/registry/state"
 )
 
-func bodyReader(body []byte) io.Reader {
-	if body == nil {
-		return nil
-	}
-	return bytes.NewReader(body)
-}
-
-// Taken is the answer to a registration, renewal, drain or deregistration.
+// Accepted is the answer to a registration, renewal, drain or deregistration.
 type Accepted struct {
-	Version int64  `json:"index"` // the version in which it is to be seen
+	Version int64  `json:"index"` // the version in which it is visible
 	Status  string `json:"status"`
 	LeaseMs int64  `json:"lease_ms,omitempty"`
 }
 
-// whole reads a call's body, for which there is some time. The limit is off again afterwards: a server-wide one would
-// end watches too.
-func readBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
-	c := http.NewResponseController(w)
-	_ = c.SetReadDeadline(time.Now().Add(bodyTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
-	_ = c.SetReadDeadline(time.Time{})
-	if err != nil {
-		writeError(w, http.StatusBadRequest, "the body: %v", err)
-		return nil, false
-	}
-	return body, true
+// list answers with the whole list, or as a watch of it.
+func (s *Server) list(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
+	query := r.URL.Query()
+	if query.Has("from") {
+		s.watchList(w, r, node)
+		return
+	}
+	if query.Get("consistent") == "1" {
+		if err := node.WaitLinearizable(r.Context()); err != nil {
+			s.rejectRetryable(w, err)
+			return
+		}
+	}
+	if !node.Serving() {
+		s.rejectRetryable(w, raftnode.ErrStale)
+		return
+	}
+	s.writeSnapshot(w, node)
 }
 
-// read reads a call's body as JSON that has no other keys.
-func readJSON(w http.ResponseWriter, r *http.Request, into any) ([]byte, bool) {
-	body, ok := readBody(w, r, maxBodyBytes)
+func (s *Server) writeSnapshot(w http.ResponseWriter, node *raftnode.Node) {
+	s.snapshots.Add(1)
+	writeBody(w, http.StatusOK, node.Watches().Snapshot())
+}
+
+func (s *Server) watchList(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
+	request, release, ok := s.startWatch(w, r)
 	if !ok {
-		return nil, false
-	}
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
-		writeError(w, http.StatusBadRequest, "the body: %v", err)
-		return nil, false
+		return
 	}
-	if d.More() {
-		writeError(w, http.StatusBadRequest, "the body: more than one value")
-		return nil, false
+	defer release()
+	switch s.awaitEvent(w, r, node, request, node.Version) {
+	case watchReset:
+		s.writeSnapshot(w, node)
+	case watchNewer, watchUnchanged:
+		s.changes.Add(1)
+		writeBody(w, http.StatusOK, node.Watches().ChangesSince(request.from))
 	}
-	return body, true
 }
 
-// ended answers what a command came to, where it is no yes.
-func writeRejected(w http.ResponseWriter, end, name string) {
+// writeRejected answers a command that changed nothing, by its result code.
+func writeRejected(w http.ResponseWriter, code, name string) {
 	status, text := http.StatusConflict, ""
-	switch end {
+	switch code {
 	case state.ResultUnknown:
 		status, text = http.StatusNotFound, "is not in the list: register it"
 	case state.ResultEnded:
@@ -75,141 +70,91 @@
 	default:
 		text = "was not taken: the leader's program does not know that command"
 	}
-	writeJSON(w, status, ErrorBody{Error: name + " " + text, Code: end})
+	writeJSON(w, status, ErrorBody{Error: name + " " + text, Code: code})
 }
 
-func (s *Server) register(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	rec := state.Record{Endpoint: state.Endpoint{Weight: 1, Status: state.StatusServing}}
-	body, ok := readJSON(w, r, &rec)
-	if !ok {
-		return
+// readRecord reads a registration; false: it has answered 400.
+func readRecord(w http.ResponseWriter, r *http.Request) (record state.Record, body []byte, ok bool) {
+	record = state.Record{Endpoint: state.Endpoint{Weight: 1, Status: state.StatusServing}}
+	if body, ok = readJSON(w, r, &record); !ok {
+		return record, nil, false
 	}
 	name := r.PathValue("name")
-	if rec.Name == "" {
-		rec.Name = name
+	if record.Name == "" {
+		record.Name = name
 	}
-	if rec.Name != name {
-		writeError(w, http.StatusBadRequest, "name: %q in the body, %q in the path", rec.Name, name)
-		return
+	if record.Name != name {
+		writeError(w, http.StatusBadRequest, "name: %q in the body, %q in the path", record.Name, name)
+		return record, nil, false
 	}
-	if err := rec.Check(); err != nil {
+	if err := record.Check(); err != nil {
 		writeError(w, http.StatusBadRequest, "%v", err)
-		return
+		return record, nil, false
 	}
-	if s.forwardToLeader(w, r, m, body) {
+	return record, body, true
+}
+
+func (s *Server) register(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
+	record, body, ok := readRecord(w, r)
+	if !ok || s.forwardToLeader(w, r, node, body) {
 		return
 	}
-	res, err := m.Propose(state.Command{Kind: state.CommandRegister, Record: &rec})
+	result, err := node.Propose(state.Command{Kind: state.CommandRegister, Record: &record})
 	switch {
 	case err != nil:
 		s.rejectRetryable(w, err)
-	case res.Code != state.ResultDone:
-		writeRejected(w, res.Code, name)
+	case result.Code != state.ResultDone:
+		writeRejected(w, result.Code, record.Name)
 	default:
-		writeJSON(w, http.StatusOK, Accepted{res.Version, state.StatusServing, rec.LeaseMs})
-	}
-}
-
-// instance reads which process of a nodo a call speaks for.
-func readInstanceRef(w http.ResponseWriter, r *http.Request) (ref state.InstanceRef, body []byte, ok bool) {
-	ref.Name = r.PathValue("name")
-	if r.Method == http.MethodDelete {
-		ref.Instance = r.URL.Query().Get("instance")
-	} else {
-		var in struct {
-			Instance string `json:"instance"`
-		}
-		if body, ok = readJSON(w, r, &in); !ok {
-			return ref, nil, false
-		}
-		ref.Instance = in.Instance
+		writeJSON(w, http.StatusOK, Accepted{result.Version, state.StatusServing, record.LeaseMs})
 	}
-	if ref.Instance == "" {
-		writeError(w, http.StatusBadRequest, "instance is missing")
-		return ref, nil, false
-	}
-	return ref, body, true
 }
 
-func (s *Server) renew(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
+func (s *Server) renew(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 	ref, body, ok := readInstanceRef(w, r)
-	if !ok || s.forwardToLeader(w, r, m, body) {
+	if !ok || s.forwardToLeader(w, r, node, body) {
 		return
 	}
-	rec, index, end, err := m.Renew(ref)
+	record, version, code, err := node.Renew(ref)
 	switch {
 	case err != nil:
 		s.rejectRetryable(w, err)
-	case end != state.ResultDone:
-		writeRejected(w, end, ref.Name)
+	case code != state.ResultDone:
+		writeRejected(w, code, ref.Name)
 	default:
-		writeJSON(w, http.StatusOK, Accepted{index, rec.Status, rec.LeaseMs})
+		writeJSON(w, http.StatusOK, Accepted{version, record.Status, record.LeaseMs})
 	}
 }
 
-func (s *Server) drainOrDeregister(kind string) func(http.ResponseWriter, *http.Request, *raftnode.Node) {
-	return func(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
+// drainOrDeregister proposes a command of that kind for the instance that the call names.
+func (s *Server) drainOrDeregister(kind string) nodeHandler {
+	return func(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 		ref, body, ok := readInstanceRef(w, r)
-		if !ok || s.forwardToLeader(w, r, m, body) {
+		if !ok || s.forwardToLeader(w, r, node, body) {
 			return
 		}
-		res, err := m.Propose(state.Command{Kind: kind, Refs: []state.InstanceRef{ref}})
+		result, err := node.Propose(state.Command{Kind: kind, Refs: []state.InstanceRef{ref}})
 		switch {
 		case err != nil:
 			s.rejectRetryable(w, err)
-		case res.Code != state.ResultDone:
-			writeRejected(w, res.Code, ref.Name)
+		case result.Code != state.ResultDone:
+			writeRejected(w, result.Code, ref.Name)
 		case kind == state.CommandDrain:
-			writeJSON(w, http.StatusOK, Accepted{Version: res.Version, Status: state.StatusDraining})
+			writeJSON(w, http.StatusOK, Accepted{Version: result.Version, Status: state.StatusDraining})
 		default:
-			writeJSON(w, http.StatusOK, Accepted{Version: res.Version, Status: state.StatusDeleted})
+			writeJSON(w, http.StatusOK, Accepted{Version: result.Version, Status: state.StatusDeleted})
 		}
 	}
 }
 
-func (s *Server) snapshot(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	if err := m.WaitLinearizable(r.Context()); err != nil {
-		s.rejectRetryable(w, err)
-		return
-	}
-	var text bytes.Buffer
-	if err := m.StateSnapshot().Write(&text); err != nil {
-		writeError(w, http.StatusInternalServerError, "%v", err)
+// endpoints answers with all records and what is left of their leases, from the leader.
+func (s *Server) endpoints(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
+	if s.forwardToLeader(w, r, node, nil) {
 		return
 	}
-	writeBody(w, http.StatusOK, text.Bytes())
-}
-
-// Restored is the answer to a restore.
-type Restored struct {
-	Epoch     string `json:"line"`
-	Version   int64  `json:"index"`
-	Endpoints int    `json:"nodos"`
-}
-
-func (s *Server) restore(w http.ResponseWriter, r *http.Request, m *raftnode.Node) {
-	body, ok := readBody(w, r, state.MaxSnapshotBytes)
-	if !ok {
-		return
-	}
-	image, err := state.ReadSnapshot(bytes.NewReader(body))
-	if err != nil {
-		writeError(w, http.StatusBadRequest, "%v", err)
-		return
-	}
-	if s.forwardToLeader(w, r, m, body) {
-		return
-	}
-	line, index, err := m.Restore(image)
-	var old *raftnode.IncompatibleMemberError
-	switch {
-	case errors.As(err, &old):
-		s.rejectOldBuild(w, err)
-	case errors.Is(err, raftnode.ErrNotLeader), errors.Is(err, raftnode.ErrUncertain):
+	if err := node.WaitLinearizable(r.Context()); err != nil {
 		s.rejectRetryable(w, err)
-	case err != nil:
-		writeError(w, http.StatusInternalServerError, "%v", err)
-	default:
-		writeJSON(w, http.StatusOK, Restored{line, index, len(image.Records)})
+		return
 	}
+	writeJSON(w, http.StatusOK, node.Endpoints())
 }
--- /dev/null
+++ b/internal/registry/api/respond.go
@@ -0,0 +1,54 @@
+package api
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+const writeTimeout = 5 * time.Second // for the client to read an answer
+
+// ErrorBody is the body of an answer other than 200.
+type ErrorBody struct {
+	Error string `json:"error"`
+	Code  string `json:"end,omitempty"` // of a command, as in package state
+}
+
+// ReadError reads the body of an answer other than 200. One that is not the registry's says what its status says.
+func ReadError(resp *http.Response, body []byte) (e ErrorBody) {
+	if json.Unmarshal(body, &e) != nil || e.Error == "" {
+		e.Error = resp.Status
+	}
+	return e
+}
+
+func writeJSON(w http.ResponseWriter, status int, v any) {
+	text, err := json.Marshal(v)
+	if err != nil {
+		panic(err) // structs of strings and numbers
+	}
+	writeBody(w, status, append(text, '\n'))
+}
+
+// writeBody writes an encoded answer. A client that does not read it is given up after writeTimeout.
+func writeBody(w http.ResponseWriter, status int, body []byte) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	header.Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(status)
+	_, _ = w.Write(body)
+}
+
+func writeError(w http.ResponseWriter, status int, format string, args ...any) {
+	writeJSON(w, status, ErrorBody{Error: fmt.Sprintf(format, args...)})
+}
+
+// rejectRetryable answers 503: the call may be repeated.
+func (s *Server) rejectRetryable(w http.ResponseWriter, err error) {
+	s.rejected.Add(1)
+	w.Header().Set("Retry-After", "1")
+	writeError(w, http.StatusServiceUnavailable, "%v", err)
+}
