--- a/internal/registry/api/bench_test.go
+++ b/internal/registry/api/bench_test.go
@@ -39,7 +39,7 @@
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 		for {
-			changed := m.Watches().Wait()
+			changed := m.Watches().Changed()
 			if _, index := m.Version(); index > from {
 				break
 			}
--- a/internal/registry/api/watch.go
+++ b/internal/registry/api/watch.go
@@ -70,7 +70,7 @@
 	defer timer.Stop()
 	timedOut := false
 	for {
-		changed := node.Watches().Wait()
+		changed := node.Watches().Changed()
 		if !node.Serving() {
 			s.rejectRetryable(w, raftnode.ErrStale)
 			return watchAnswered
--- a/internal/registry/watch/hub.go
+++ b/internal/registry/watch/hub.go
@@ -1,9 +1,11 @@
-// Package fanout tells callers of changes. An answer is encoded once, whoever and however many wait for it: all callers
-// at one version share its bytes, and each is woken by the same closed channel and writes at its own speed, so that a
-// slow reader delays nobody.
+// Package watch wakes and answers the clients that watch the endpoint list. It decides nothing about the list: it reads it
+// from a Source.
 //
-// A change wakes the callers at once if the last one did so at least Settle ago, and else with what else has changed by
-// then: a list that changes a hundred times a second is told twenty times a second, and costs its callers that much.
+// An answer is encoded once, however many clients wait for it: all clients at one version share its bytes. All are woken by
+// one closed channel and each is written to on its own connection, so that a slow client delays nobody.
+//
+// A change wakes the clients at once if the last wake-up was at least CoalesceInterval ago, and otherwise together with all
+// changes until then.
 package watch
 
 import (
@@ -16,40 +18,39 @@
 	"merlinpick/internal/registry/state"
 )
 
-// Settle is the least time between two wake-ups; a change is told this much late at most.
+// CoalesceInterval is the shortest time between two wake-ups, and the longest delay of a change.
 const CoalesceInterval = 50 * time.Millisecond
 
-// bodiesMost bounds the answers that are kept: callers at so many different versions share theirs.
-const maxCachedResponses = 64
+const maxCachedResponses = 64 // encoded changes, each from another version
 
-// Source is the list. Each call sees one version whole.
+// Source is the list. Each call reads one version.
 type Source interface {
-	Version() (line string, index int64)
-	Snapshot() (line string, index int64, entries []state.Endpoint)
-	// Changes are the versions after from; false: not all are kept, or there is no such version.
-	Changes(from int64) (line string, index int64, changes []state.Change, kept bool)
+	Version() (epoch string, version int64)
+	Snapshot() (epoch string, version int64, endpoints []state.Endpoint)
+	// Changes returns the versions after from; false: some are no longer retained, or from is not reached yet.
+	Changes(from int64) (epoch string, version int64, changes []state.Change, retained bool)
 }
 
-// Hub tells callers.
+// Hub wakes clients and encodes their answers. It is safe for concurrent use.
 type Hub struct {
 	source  Source
 	pending chan struct{}
 
 	mu           sync.Mutex
 	changed      chan struct{} // closed at the next wake-up
-	epoch        string        // of the kept answers
+	epoch        string        // of the cached responses
 	version      int64
 	snapshot     []byte
-	changesSince map[int64][]byte
+	changesSince map[int64][]byte // by the version that the client has
 	encoded      int64
 }
 
-// New is a hub; its Run wakes callers.
-func New(src Source) *Hub {
-	return &Hub{source: src, pending: make(chan struct{}, 1), changed: make(chan struct{}), changesSince: map[int64][]byte{}}
+// New returns a hub. Its Run wakes clients.
+func New(source Source) *Hub {
+	return &Hub{source: source, pending: make(chan struct{}, 1), changed: make(chan struct{}), changesSince: map[int64][]byte{}}
 }
 
-// Changed has callers be woken. It never waits.
+// NotifyChange has Run wake the clients. It does not block.
 func (h *Hub) NotifyChange() {
 	select {
 	case h.pending <- struct{}{}:
@@ -57,20 +58,19 @@
 	}
 }
 
-// Run wakes callers until the context ends.
+// Run wakes clients until ctx ends, and then once more.
 func (h *Hub) Run(ctx context.Context) {
+	defer h.wake()
 	for {
 		select {
 		case <-h.pending:
 		case <-ctx.Done():
-			h.wake()
 			return
 		}
 		h.wake()
 		select {
 		case <-time.After(CoalesceInterval):
 		case <-ctx.Done():
-			h.wake()
 			return
 		}
 	}
@@ -83,108 +83,112 @@
 	h.changed = make(chan struct{})
 }
 
-// Await is closed when something has changed after this call: a version, or what a member knows of its own freshness.
-func (h *Hub) Wait() <-chan struct{} {
+// Changed returns a channel that is closed at the first wake-up after the call.
+func (h *Hub) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changed
 }
 
-// Encoded counts the answers that were encoded.
+// Encoded returns how many answers were encoded.
 func (h *Hub) Encoded() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.encoded
 }
 
-// Whole is the whole list in the published form.
+// Snapshot returns the encoded Response with the whole list.
 func (h *Hub) Snapshot() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	line, index := h.source.Version()
-	h.invalidate(line, index)
+	h.dropOutdated(h.source.Version())
 	if h.snapshot == nil {
-		line, index, entries := h.source.Snapshot()
-		h.invalidate(line, index)
-		h.snapshot = Response{index, true, line, entries}.Encode()
+		epoch, version, endpoints := h.source.Snapshot()
+		h.dropOutdated(epoch, version)
+		h.snapshot = Response{version, true, epoch, endpoints}.Encode()
 		h.encoded++
 	}
 	return h.snapshot
 }
 
-// Since is what has changed after from, or the whole list where that is no longer known.
+// ChangesSince returns the encoded Response with what changed after a version, or with the whole list if those changes are
+// no longer retained.
 func (h *Hub) ChangesSince(from int64) []byte {
+	if body, retained := h.encodedChanges(from); retained {
+		return body
+	}
+	return h.Snapshot()
+}
+
+func (h *Hub) encodedChanges(from int64) (body []byte, retained bool) {
 	h.mu.Lock()
-	line, index := h.source.Version()
-	h.invalidate(line, index)
+	defer h.mu.Unlock()
+	h.dropOutdated(h.source.Version())
 	if body := h.changesSince[from]; body != nil {
-		h.mu.Unlock()
-		return body
+		return body, true
 	}
-	line, index, changes, kept := h.source.Changes(from)
-	if !kept {
-		h.mu.Unlock()
-		return h.Snapshot()
+	epoch, version, changes, retained := h.source.Changes(from)
+	if !retained {
+		return nil, false
 	}
-	defer h.mu.Unlock()
-	h.invalidate(line, index)
-	body := Response{index, false, line, MergeChanges(changes)}.Encode()
+	h.dropOutdated(epoch, version)
+	body = Response{version, false, epoch, MergeChanges(changes)}.Encode()
 	h.encoded++
 	if len(h.changesSince) < maxCachedResponses {
 		h.changesSince[from] = body
 	}
-	return body
+	return body, true
 }
 
-// at forgets the answers of another version.
-func (h *Hub) invalidate(line string, index int64) {
-	if line != h.epoch || index != h.version {
-		h.epoch, h.version, h.snapshot = line, index, nil
+// dropOutdated drops cached responses of another version.
+func (h *Hub) dropOutdated(epoch string, version int64) {
+	if epoch != h.epoch || version != h.version {
+		h.epoch, h.version, h.snapshot = epoch, version, nil
 		clear(h.changesSince)
 	}
 }
 
-// Merge is the last word on each nodo that changed, in the order of these words.
+// MergeChanges returns the last state of each endpoint that changed, in the order of these last changes.
 func MergeChanges(changes []state.Change) []state.Endpoint {
-	last := map[string]int{}
-	n := 0
+	last := map[string]int{} // position of an endpoint's last change, by name
+	position := 0
 	for _, c := range changes {
 		for _, e := range c.Endpoints {
-			last[e.Name] = n
-			n++
+			last[e.Name] = position
+			position++
 		}
 	}
-	out := make([]state.Endpoint, 0, len(last))
-	n = 0
+	merged := make([]state.Endpoint, 0, len(last))
+	position = 0
 	for _, c := range changes {
 		for _, e := range c.Endpoints {
-			if last[e.Name] == n {
-				out = append(out, e)
+			if last[e.Name] == position {
+				merged = append(merged, e)
 			}
-			n++
+			position++
 		}
 	}
-	return out
+	return merged
 }
 
-// Answer is an answer in the published form, with the line beside it.
+// Response is an answer in the published form, with the epoch beside it.
 type Response struct {
 	Version   int64            `json:"index"`
-	Snapshot  bool             `json:"snapshot"`
+	Snapshot  bool             `json:"snapshot"` // Endpoints are the whole list
 	Epoch     string           `json:"line"`
 	Endpoints []state.Endpoint `json:"endpoints"`
 }
 
-// Encode is the answer's text.
-func (a Response) Encode() []byte {
-	if a.Endpoints == nil {
-		a.Endpoints = []state.Endpoint{}
+// Encode returns the answer's JSON.
+func (r Response) Encode() []byte {
+	if r.Endpoints == nil {
+		r.Endpoints = []state.Endpoint{}
 	}
-	var b bytes.Buffer
-	enc := json.NewEncoder(&b)
-	enc.SetEscapeHTML(false)
-	if err := enc.Encode(a); err != nil {
+	var text bytes.Buffer
+	encoder := json.NewEncoder(&text)
+	encoder.SetEscapeHTML(false)
+	if err := encoder.Encode(r); err != nil {
 		panic(err) // strings and checked numbers
 	}
-	return b.Bytes()
+	return text.Bytes()
 }
