--- a/internal/registry/rollout/reports.go
+++ b/internal/registry/rollout/reports.go
@@ -1,6 +1,6 @@
-// Package inforce is what a member has heard of proxies' configurations: which version each has in force, or has refused.
-// Each proxy says so with every watch, so that this costs no message. It is no part of what members agree on; a proxy
-// that moves to another member says it there, and what it said here ages.
+// Package rollout keeps what one member has heard of the configurations that proxies have applied. Each proxy reports it
+// with every watch. Reports are not replicated: a proxy that moves to another member reports there, and what it reported
+// here expires.
 package rollout
 
 import (
@@ -12,24 +12,24 @@
 )
 
 const (
-	// ProxiesMost bounds the words that are kept, over all services: at most some 500 bytes each.
+	// MaxReports bounds the reports of all services together; each takes about 500 bytes.
 	MaxReports = 10_000
-	// NameMost and WhyMost bound a word's parts, in bytes.
+	// MaxNameBytes and MaxReasonBytes bound the texts of a report.
 	MaxNameBytes   = 100
 	MaxReasonBytes = 200
-	// Kept is how long a word stands that is not said again.
+	// ReportTTL is how long a report is kept that is not renewed.
 	ReportTTL = 10 * time.Minute
 
 	sweepInterval = time.Minute
 )
 
-// Word is what a proxy said of itself.
+// ProxyReport is what a proxy reports of a service's configuration.
 type ProxyReport struct {
-	Name            string `json:"name"`
-	AppliedVersion  int64  `json:"in_force"`          // version; 0: none but its file's
-	RejectedVersion int64  `json:"refused,omitempty"` // version that it could not put in force, newer than that
+	Name            string `json:"name"`              // of the proxy
+	AppliedVersion  int64  `json:"in_force"`          // 0: only its own file's settings
+	RejectedVersion int64  `json:"refused,omitempty"` // newer than AppliedVersion; 0: none
 	RejectReason    string `json:"why,omitempty"`     // key and problem
-	AgeMs           int64  `json:"age_ms"`            // since it was said
+	AgeMs           int64  `json:"age_ms"`            // since the report, in ms
 }
 
 type timedReport struct {
@@ -37,89 +37,89 @@
 	receivedAt time.Time
 }
 
-// Table is the words. Its zero value has none.
+// Table keeps the newest report of each proxy. Its zero value is empty. It is safe for concurrent use.
 type Table struct {
 	mu        sync.Mutex
-	reports   map[string]map[string]timedReport // by service and name
+	reports   map[string]map[string]timedReport // by service and proxy
 	count     int
 	lastSweep time.Time
 }
 
-// Say notes a word; false: there is no room.
-func (t *Table) Record(service string, w ProxyReport, now time.Time) bool {
+// Record keeps a report in place of the proxy's last one; false: there is no room.
+func (t *Table) Record(service string, report ProxyReport, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.Sub(t.lastSweep) >= sweepInterval {
 		t.sweep(now)
 	}
-	words := t.reports[service]
-	_, had := words[w.Name]
-	if !had && t.count >= MaxReports {
-		if t.sweep(now); t.count >= MaxReports {
+	_, known := t.reports[service][report.Name]
+	if !known {
+		if t.count >= MaxReports {
+			t.sweep(now)
+		}
+		if t.count >= MaxReports {
 			return false
 		}
-		words = t.reports[service]
+		t.count++
 	}
-	if words == nil {
-		if t.reports == nil {
-			t.reports = map[string]map[string]timedReport{}
-		}
-		words = map[string]timedReport{}
-		t.reports[service] = words
+	if t.reports == nil {
+		t.reports = map[string]map[string]timedReport{}
 	}
-	if !had {
-		t.count++
+	if t.reports[service] == nil {
+		t.reports[service] = map[string]timedReport{}
 	}
-	words[w.Name] = timedReport{w, now}
+	t.reports[service][report.Name] = timedReport{report, now}
 	return true
 }
 
-// sweep forgets what is old.
+// sweep drops reports that are older than ReportTTL.
 func (t *Table) sweep(now time.Time) {
 	t.lastSweep = now
-	for service, words := range t.reports {
-		for name, w := range words {
-			if now.Sub(w.receivedAt) >= ReportTTL {
-				delete(words, name)
+	for service, reports := range t.reports {
+		for name, report := range reports {
+			if now.Sub(report.receivedAt) >= ReportTTL {
+				delete(reports, name)
 				t.count--
 			}
 		}
-		if len(words) == 0 {
+		if len(reports) == 0 {
 			delete(t.reports, service)
 		}
 	}
 }
 
-// Len is how many words are kept.
+// Len returns the number of reports.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.count
 }
 
-// Of is what was said of a service, by name.
+// Reports returns the reports of a service, ordered by proxy.
 func (t *Table) Reports(service string, now time.Time) []ProxyReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
 	out := make([]ProxyReport, 0, len(t.reports[service]))
-	for _, w := range t.reports[service] {
-		w.AgeMs = now.Sub(w.receivedAt).Milliseconds()
-		out = append(out, w.ProxyReport)
+	for _, report := range t.reports[service] {
+		report.AgeMs = now.Sub(report.receivedAt).Milliseconds()
+		out = append(out, report.ProxyReport)
 	}
-	slices.SortFunc(out, func(a, b ProxyReport) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, compareNames)
 	return out
 }
 
-// Merge is the youngest word on each proxy of what several members have heard, by name.
-func MergeReports(heard ...[]ProxyReport) []ProxyReport {
-	youngest := map[string]ProxyReport{}
-	for _, words := range heard {
-		for _, w := range words {
-			if was, had := youngest[w.Name]; !had || w.AgeMs < was.AgeMs {
-				youngest[w.Name] = w
+// MergeReports returns the newest report of each proxy among those of several members, ordered by proxy.
+func MergeReports(ofMembers ...[]ProxyReport) []ProxyReport {
+	newest := map[string]ProxyReport{}
+	for _, reports := range ofMembers {
+		for _, report := range reports {
+			if other, ok := newest[report.Name]; !ok || report.AgeMs < other.AgeMs {
+				newest[report.Name] = report
 			}
 		}
 	}
-	return slices.SortedFunc(maps.Values(youngest), func(a, b ProxyReport) int { return cmp.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(newest), compareNames)
 }
+
+func compareNames(a, b ProxyReport) int { return cmp.Compare(a.Name, b.Name) }
