--- a/internal/registry/registrar/registrar.go
+++ b/internal/registry/registrar/registrar.go
@@ -1,5 +1,5 @@
-// Package registrar keeps one nodo in the list: it registers it, renews its lease, and moves to another member of the
-// service when one does not answer. Its caller says what is to be; each call may be repeated by it until it is so.
+// Package registrar is the registry's client for servers: it registers one, renews its lease, drains and deregisters it. It
+// moves on to the next member when one does not answer. It does not watch the list: package discovery does.
 package registrar
 
 import (
@@ -24,171 +24,182 @@
 	initialBackoff   = 50 * time.Millisecond
 	maxBackoff       = 400 * time.Millisecond
 	maxResponseBytes = 64 << 10
-	renewalsPerLease = 3 // of a lease passes between two renewals
+	renewalsPerLease = 3 // so that two may fail
 )
 
-// Client calls the service.
+// Client calls the registry. It is safe for concurrent use.
 type Client struct {
 	addresses []string
 	http      *http.Client
-	current   atomic.Uint32 // the member that answered last
+	current   atomic.Uint32 // index of the member that answered last
 }
 
-// New is a client of the service at these addresses.
-func New(addrs []string) *Client {
-	c := &Client{addresses: addrs, http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16,
+// New returns a client of the members at these addresses, HOST:PORT. It begins with a random one.
+func New(addresses []string) *Client {
+	c := &Client{addresses: addresses, http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16,
 		IdleConnTimeout: time.Minute, DisableCompression: true}}}
-	c.current.Store(rand.Uint32N(uint32(len(addrs))))
+	c.current.Store(rand.Uint32N(uint32(len(addresses))))
 	return c
 }
 
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Refused is the service's no: trying the same again does not help.
+// RejectedError is the registry's answer that a call is not possible. Repeating the call does not help.
 type RejectedError struct {
-	Status int
+	Status int // of HTTP
 	api.ErrorBody
 }
 
-func (r *RejectedError) Error() string {
-	return fmt.Sprintf("the list service: %s (%d)", r.ErrorBody.Error, r.Status)
+// Error says why.
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("the list service: %s (%d)", e.ErrorBody.Error, e.Status)
 }
 
-// Call makes one call of one member, and moves on to the next if it does not answer. An error that is no Refused
-// leaves open whether it happened.
+// UnavailableError is an answer of a member that the call may be repeated.
+type UnavailableError struct {
+	Address string
+	api.ErrorBody
+}
+
+// Error names the member's address and its reason.
+func (e *UnavailableError) Error() string { return e.Address + ": " + e.ErrorBody.Error }
+
+// Call calls one member, and moves on to the next for later calls if it does not answer. After an error other than
+// *RejectedError the call may have taken effect.
 func (c *Client) Call(ctx context.Context, method, path string, body, out any) error {
-	at := c.current.Load()
-	err := c.call(ctx, c.addresses[int(at)%len(c.addresses)], method, path, body, out)
-	var no *RejectedError
-	if err != nil && !errors.As(err, &no) && ctx.Err() == nil {
-		c.current.CompareAndSwap(at, (at+1)%uint32(len(c.addresses)))
+	current := c.current.Load()
+	err := c.callMember(ctx, c.addresses[int(current)%len(c.addresses)], method, path, body, out)
+	var rejected *RejectedError
+	if err != nil && !errors.As(err, &rejected) && ctx.Err() == nil {
+		c.current.CompareAndSwap(current, (current+1)%uint32(len(c.addresses)))
 	}
 	return err
 }
 
-func (c *Client) call(ctx context.Context, addr, method, path string, body, out any) error {
-	var r io.Reader
+func (c *Client) callMember(ctx context.Context, address, method, path string, body, out any) error {
+	var content io.Reader
 	if body != nil {
 		text, err := json.Marshal(body)
 		if err != nil {
 			return err
 		}
-		r = bytes.NewReader(text)
+		content = bytes.NewReader(text)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, r)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, content)
 	if err != nil {
 		return err
 	}
-	resp, err := c.http.Do(req)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
-	if resp.StatusCode == http.StatusOK {
+	if response.StatusCode == http.StatusOK {
 		return json.Unmarshal(text, out)
 	}
-	no := &RejectedError{Status: resp.StatusCode, ErrorBody: api.ReadError(resp, text)}
-	if resp.StatusCode/100 == 5 && resp.StatusCode != http.StatusInsufficientStorage {
-		return fmt.Errorf("%s: %s", addr, no.ErrorBody.Error)
+	reason := api.ReadError(response, text)
+	if response.StatusCode/100 == 5 && response.StatusCode != http.StatusInsufficientStorage {
+		return &UnavailableError{address, reason}
 	}
-	return no
+	return &RejectedError{response.StatusCode, reason}
 }
 
-// Until repeats a call until it is answered yes or no.
+// CallUntilDecided repeats a call, with a growing random backoff, until it succeeds, fails with *RejectedError, or ctx ends.
 func (c *Client) CallUntilDecided(ctx context.Context, method, path string, body, out any) error {
-	for pause := initialBackoff; ; pause = min(2*pause, maxBackoff) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		err := c.Call(ctx, method, path, body, out)
-		var no *RejectedError
-		if err == nil || errors.As(err, &no) {
+		var rejected *RejectedError
+		if err == nil || errors.As(err, &rejected) {
 			return err
 		}
 		select {
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(backoff/2 + rand.N(backoff)):
 		case <-ctx.Done():
 			return errors.Join(ctx.Err(), err)
 		}
 	}
 }
 
-func path(name, verb string) string {
-	p := "/catalog/members/" + url.PathEscape(name)
+func endpointPath(name, verb string) string {
+	path := "/catalog/members/" + url.PathEscape(name)
 	if verb != "" {
-		p += "/" + verb
+		path += "/" + verb
 	}
-	return p
+	return path
 }
 
 type instanceBody struct {
 	Instance string `json:"instance"`
 }
 
-// Register has a nodo in the list, until its lease ends.
+// Register registers a server until its lease expires. It repeats the call as CallUntilDecided does.
 func (c *Client) Register(ctx context.Context, r state.Record) (out api.Accepted, err error) {
-	err = c.CallUntilDecided(ctx, http.MethodPut, path(r.Name, ""), r, &out)
+	err = c.CallUntilDecided(ctx, http.MethodPut, endpointPath(r.Name, ""), r, &out)
 	return out, err
 }
 
-// Renew has its lease last on.
-func (c *Client) Renew(ctx context.Context, r state.InstanceRef) (out api.Accepted, err error) {
-	err = c.Call(ctx, http.MethodPost, path(r.Name, "renew"), instanceBody{r.Instance}, &out)
+// Renew restarts a server's lease. It calls one member, once.
+func (c *Client) Renew(ctx context.Context, ref state.InstanceRef) (out api.Accepted, err error) {
+	err = c.Call(ctx, http.MethodPost, endpointPath(ref.Name, "renew"), instanceBody{ref.Instance}, &out)
 	return out, err
 }
 
-// Drain has it get nothing new.
-func (c *Client) Drain(ctx context.Context, r state.InstanceRef) (out api.Accepted, err error) {
-	err = c.CallUntilDecided(ctx, http.MethodPost, path(r.Name, "drain"), instanceBody{r.Instance}, &out)
+// Drain has a server get no new requests. It repeats the call as CallUntilDecided does.
+func (c *Client) Drain(ctx context.Context, ref state.InstanceRef) (out api.Accepted, err error) {
+	err = c.CallUntilDecided(ctx, http.MethodPost, endpointPath(ref.Name, "drain"), instanceBody{ref.Instance}, &out)
 	return out, err
 }
 
-// Deregister takes it out of the list.
-func (c *Client) Deregister(ctx context.Context, r state.InstanceRef) (out api.Accepted, err error) {
-	err = c.CallUntilDecided(ctx, http.MethodDelete, path(r.Name, "")+"?instance="+url.QueryEscape(r.Instance), nil, &out)
+// Deregister removes a server from the list. It repeats the call as CallUntilDecided does.
+func (c *Client) Deregister(ctx context.Context, ref state.InstanceRef) (out api.Accepted, err error) {
+	err = c.CallUntilDecided(ctx, http.MethodDelete, endpointPath(ref.Name, "")+"?instance="+url.QueryEscape(ref.Instance), nil, &out)
 	return out, err
 }
 
-// Keep registers a nodo and renews its lease until the context ends; it does not deregister. One that the service does
-// not know any more is registered again; one that it refuses is an error.
+// KeepRegistered registers a server and renews its lease until ctx ends; it does not deregister it. It registers the server
+// again if the registry no longer knows it, calls registered after each registration unless that is nil, and returns the
+// *RejectedError if the registry rejects the server.
 func (c *Client) KeepRegistered(ctx context.Context, r state.Record, registered func(api.Accepted)) error {
 	lease := time.Duration(r.LeaseMs) * time.Millisecond
 	for {
-		t, err := c.Register(ctx, r)
+		accepted, err := c.Register(ctx, r)
 		if err != nil {
 			return err
 		}
 		if registered != nil {
-			registered(t)
+			registered(accepted)
 		}
-		if err := c.renewUntilUnknown(ctx, r, lease); err != nil {
+		if err := c.renewUntilUnknown(ctx, state.InstanceRef{Name: r.Name, Instance: r.Instance}, lease); err != nil {
 			return err
 		}
 	}
 }
 
-// renewals renews until the service does not know the nodo.
-func (c *Client) renewUntilUnknown(ctx context.Context, r state.Record, lease time.Duration) error {
+// renewUntilUnknown renews a lease, with up to an eighth of jitter, until the registry does not know the server.
+func (c *Client) renewUntilUnknown(ctx context.Context, ref state.InstanceRef, lease time.Duration) error {
 	wait := lease / renewalsPerLease
-	for pause := initialBackoff; ; {
+	for backoff := initialBackoff; ; {
 		select {
 		case <-time.After(wait - wait/8 + rand.N(wait/4+1)):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		_, err := c.Renew(ctx, state.InstanceRef{Name: r.Name, Instance: r.Instance})
-		var no *RejectedError
+		_, err := c.Renew(ctx, ref)
+		var rejected *RejectedError
 		switch {
 		case err == nil:
-			wait, pause = lease/renewalsPerLease, initialBackoff
-		case errors.As(err, &no) && no.Code == state.ResultUnknown:
+			wait, backoff = lease/renewalsPerLease, initialBackoff
+		case errors.As(err, &rejected) && rejected.Code == state.ResultUnknown:
 			return nil
-		case errors.As(err, &no):
+		case errors.As(err, &rejected):
 			return err
 		default:
-			wait, pause = pause, min(2*pause, lease/renewalsPerLease)
+			wait, backoff = backoff, min(2*backoff, lease/renewalsPerLease)
 		}
 	}
 }
