--- a/internal/registry/config/config.go
+++ b/internal/registry/config/config.go
@@ -1,4 +1,5 @@
-// Package config is the configuration of a member of the list service: a TOML file, read whole or not at all.
+// Package config is the configuration of a member of the registry, a TOML file. It maps the file's keys to the terms of the
+// code, and applies a file in full or not at all.
 package config
 
 import (
@@ -16,41 +17,62 @@
 	"merlinpick/internal/registry/raftnode"
 )
 
-// File is a configuration as it is written. Times end in _ms and are milliseconds.
+// File is a configuration as it is written. Durations are in ms.
 type File struct {
 	Name              string   `toml:"name"`
-	Dir               string   `toml:"dir"`         // what outlives the process
-	Listen            string   `toml:"listen"`      // the list's address
-	MetricsAddress    string   `toml:"figures"`     // figures and readiness; empty: none
-	RaftListen        string   `toml:"raft_listen"` // of the consensus, if not the address by which the others find it
-	ElectionTimeoutMs int      `toml:"election_ms"` // without a word from the leader, until another is elected
-	MaxListAgeMs      int      `toml:"stale_ms"`    // a list that is older is not told
-	MaxWatches        int      `toml:"watchers"`    // watches held at once
+	Dir               string   `toml:"dir"`         // of the log and snapshots
+	Listen            string   `toml:"listen"`      // address of the API
+	MetricsAddress    string   `toml:"figures"`     // of metrics and readiness; empty: none
+	RaftListen        string   `toml:"raft_listen"` // for raft's traffic; empty: the member's own Raft address
+	ElectionTimeoutMs int      `toml:"election_ms"` // without a heartbeat from the leader
+	MaxListAgeMs      int      `toml:"stale_ms"`    // an older list is not served
+	MaxWatches        int      `toml:"watchers"`    // in flight at once
 	Lease             Lease    `toml:"lease"`
-	Members           []Member `toml:"member"` // all of them, this one too; none: it is the only one
+	Members           []Member `toml:"member"` // all, with this one; none: a cluster of one
 }
 
-// Lease is what leases go by: package lease has the meaning.
+// Lease configures the lease table; lease.Config has the meaning.
 type Lease struct {
 	HoldThreshold float64 `toml:"part"`
 	ReleaseRate   float64 `toml:"pace"`
 }
 
-// Member is a member as this one finds it.
+// Member is a member of the cluster and its addresses, HOST:PORT.
 type Member struct {
 	Name string `toml:"name"`
 	Raft string `toml:"raft"`
-	List string `toml:"list"`
+	List string `toml:"list"` // of the API
 }
 
-// Default is an only member on this machine.
+// Error is a fault of a file.
+type Error struct {
+	File    string
+	Key     string
+	Problem string // with what is needed
+}
+
+// Error names file, key and problem.
+func (e *Error) Error() string { return e.File + ": " + e.Key + ": " + e.Problem }
+
+// SyntaxError is a file that is no TOML.
+type SyntaxError struct {
+	File    string
+	Line    int // from 1
+	Problem string
+}
+
+// Error names file, line and problem.
+func (e *SyntaxError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem) }
+
+// Default returns the configuration of a cluster of one on the loopback address.
 func Default() File {
 	l := lease.DefaultConfig()
 	return File{Name: "roster", Dir: "roster-data", Listen: "127.0.0.1:8500", MetricsAddress: "127.0.0.1:9500", ElectionTimeoutMs: 500,
 		MaxListAgeMs: 2000, MaxWatches: 6000, Lease: Lease{l.HoldThreshold, l.ReleaseRate}}
 }
 
-// Read reads a file; an empty path is Default. A relative dir is below the file's own folder. The error joins all faults.
+// Read reads a file; an empty path is Default. A relative Dir is taken from the file's directory. The error is a
+// *SyntaxError or joins one *Error for each fault.
 func Read(path string) (File, error) {
 	f := Default()
 	if path == "" {
@@ -67,91 +89,109 @@
 	return f, err
 }
 
-// Parse reads a file's text; name stands for the file in errors.
+// Parse reads a file's text; name is the file's name in errors, which are those of Read.
 func Parse(name, text string) (File, error) {
 	f := Default()
 	meta, err := toml.Decode(text, &f)
-	var parse toml.ParseError
-	if errors.As(err, &parse) {
-		return f, fmt.Errorf("%s:%d: %s", name, parse.Position.Line, cmp.Or(parse.Message, parse.Error()))
+	var syntax toml.ParseError
+	if errors.As(err, &syntax) {
+		return f, &SyntaxError{name, syntax.Position.Line, cmp.Or(syntax.Message, syntax.Error())}
 	}
 	if err != nil {
 		return f, fmt.Errorf("%s: %w", name, err)
 	}
-	var found []error
-	fault := func(key, format string, args ...any) {
-		found = append(found, fmt.Errorf("%s: %s: %s", name, key, fmt.Sprintf(format, args...)))
-	}
+	check := checker{file: name}
 	for _, key := range meta.Undecoded() {
-		fault(key.String(), "unknown key; docs/discovery.md has them all")
+		check.report(key.String(), "unknown key; docs/discovery.md has them all")
 	}
-	f.check(fault)
-	return f, errors.Join(found...)
+	check.addresses(&f)
+	check.limits(&f)
+	check.members(&f)
+	return f, errors.Join(check.errs...)
 }
 
 const (
-	minElectionMs = 100 // ms
-	maxWatches    = 100_000
+	minElectionTimeoutMs = 100
+	maxWatches           = 100_000
 )
 
-func (f *File) check(fault func(key, format string, args ...any)) {
-	address := func(key, v string) {
-		if _, _, err := net.SplitHostPort(v); err != nil {
-			fault(key, "%q: HOST:PORT is needed", v)
-		}
+// checker collects the faults of a file.
+type checker struct {
+	file string
+	errs []error
+}
+
+func (c *checker) report(key, format string, args ...any) {
+	c.errs = append(c.errs, &Error{c.file, key, fmt.Sprintf(format, args...)})
+}
+
+func (c *checker) address(key, address string) {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		c.report(key, "%q: HOST:PORT is needed", address)
 	}
+}
+
+func (c *checker) addresses(f *File) {
 	if f.Name == "" {
-		fault("name", "is missing")
+		c.report("name", "is missing")
 	}
 	if f.Dir == "" {
-		fault("dir", "is missing: the folder of what outlives the process")
+		c.report("dir", "is missing: the folder of what outlives the process")
 	}
-	address("listen", f.Listen)
+	c.address("listen", f.Listen)
 	if f.MetricsAddress != "" {
-		address("figures", f.MetricsAddress)
+		c.address("figures", f.MetricsAddress)
 	}
 	if f.RaftListen != "" {
-		address("raft_listen", f.RaftListen)
+		c.address("raft_listen", f.RaftListen)
 	}
-	if f.ElectionTimeoutMs < minElectionMs {
-		fault("election_ms", "at least %d, not %d", minElectionMs, f.ElectionTimeoutMs)
+}
+
+func (c *checker) limits(f *File) {
+	if f.ElectionTimeoutMs < minElectionTimeoutMs {
+		c.report("election_ms", "at least %d, not %d", minElectionTimeoutMs, f.ElectionTimeoutMs)
 	}
-	if least := time.Duration(f.ElectionTimeoutMs)*time.Millisecond + raftnode.FreshnessInterval; f.MaxListAgeMs < int(least.Milliseconds()) {
-		fault("stale_ms", "%d: at least election_ms and %v, %d, or each election has the list go silent", f.MaxListAgeMs,
-			raftnode.FreshnessInterval, least.Milliseconds())
+	minAge := time.Duration(f.ElectionTimeoutMs)*time.Millisecond + raftnode.FreshnessInterval
+	if f.MaxListAgeMs < int(minAge.Milliseconds()) {
+		c.report("stale_ms", "%d: at least election_ms and %v, %d, or each election has the list go silent", f.MaxListAgeMs,
+			raftnode.FreshnessInterval, minAge.Milliseconds())
 	}
 	if f.MaxWatches < 1 || f.MaxWatches > maxWatches {
-		fault("watchers", "from 1 to %d, not %d", maxWatches, f.MaxWatches)
+		c.report("watchers", "from 1 to %d, not %d", maxWatches, f.MaxWatches)
 	}
 	if !(f.Lease.HoldThreshold >= 0 && f.Lease.HoldThreshold <= 1) {
-		fault("lease.part", "is a part, from 0 to 1, not %v", f.Lease.HoldThreshold)
+		c.report("lease.part", "is a part, from 0 to 1, not %v", f.Lease.HoldThreshold)
 	}
 	if !(f.Lease.ReleaseRate > 0 && f.Lease.ReleaseRate <= 1) {
-		fault("lease.pace", "is a part, over 0 and at most 1, not %v", f.Lease.ReleaseRate)
+		c.report("lease.pace", "is a part, over 0 and at most 1, not %v", f.Lease.ReleaseRate)
 	}
+}
+
+func (c *checker) members(f *File) {
 	if n := len(f.Members); n > 0 && n%2 == 0 {
-		fault("member", "there are %d: an odd number outlives as many losses with one member less", n)
+		c.report("member", "there are %d: an odd number outlives as many losses with one member less", n)
 	}
-	own, seen := false, map[string]bool{}
+	listed, names := false, map[string]bool{}
 	for i, m := range f.Members {
 		key := fmt.Sprintf("member[%d]", i+1)
-		if m.Name == "" || seen[m.Name] {
-			fault(key+".name", "%q is empty or given twice", m.Name)
+		if m.Name == "" || names[m.Name] {
+			c.report(key+".name", "%q is empty or given twice", m.Name)
 		}
-		seen[m.Name] = true
-		address(key+".raft", m.Raft)
-		address(key+".list", m.List)
-		own = own || m.Name == f.Name
+		names[m.Name] = true
+		c.address(key+".raft", m.Raft)
+		c.address(key+".list", m.List)
+		listed = listed || m.Name == f.Name
 	}
-	if len(f.Members) > 0 && !own {
-		fault("name", "%q is none of the members", f.Name)
+	if len(f.Members) > 0 && !listed {
+		c.report("name", "%q is none of the members", f.Name)
 	}
 }
 
-// Member is the configuration of the member itself.
+// Node returns the configuration of the raft node, without its logger.
 func (f File) Node() raftnode.Config {
-	c := raftnode.Config{Name: f.Name, Dir: f.Dir, Listen: f.RaftListen, ElectionTimeout: time.Duration(f.ElectionTimeoutMs) * time.Millisecond,
-		MaxListAge: time.Duration(f.MaxListAgeMs) * time.Millisecond, Lease: lease.DefaultConfig()}
+	c := raftnode.Config{Name: f.Name, Dir: f.Dir, Listen: f.RaftListen,
+		ElectionTimeout: time.Duration(f.ElectionTimeoutMs) * time.Millisecond,
+		MaxListAge:      time.Duration(f.MaxListAgeMs) * time.Millisecond, Lease: lease.DefaultConfig()}
 	c.Lease.HoldThreshold, c.Lease.ReleaseRate = f.Lease.HoldThreshold, f.Lease.ReleaseRate
 	for _, m := range f.Members {
 		c.Peers = append(c.Peers, raftnode.Peer{Name: m.Name, Raft: m.Raft, API: m.List})
