--- a/internal/registry/metrics/metrics.go
+++ b/internal/registry/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package figures is the address of a member's figures, for Prometheus, and of its readiness.
+// Package metrics serves a member's metrics, for Prometheus, and its readiness. It maps the published metric names to the
+// terms of the code, and changes nothing.
 package metrics
 
 import (
@@ -22,7 +23,7 @@
 
 const headerTimeout = 5 * time.Second
 
-// Server answers GET /metrics, /readyz (the list is served) and /livez.
+// Server answers GET /metrics, /livez (the process runs) and /readyz (the member serves the list).
 type Server struct {
 	listener net.Listener
 	http     *http.Server
@@ -30,36 +31,38 @@
 	api      *api.Server
 }
 
-// Listen opens the address; Serve answers there, until Open for a member that waits.
-func Listen(addr string, a *api.Server, log *slog.Logger) (*Server, error) {
-	l, err := net.Listen("tcp", addr)
+// Listen opens the address, HOST:PORT. Serve answers there: until SetNode as a member that is not ready.
+func Listen(address string, apiServer *api.Server, logger *slog.Logger) (*Server, error) {
+	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen for figures: %w", err)
 	}
-	s := &Server{listener: listener.Retry(l, log), api: a}
-	all := prometheus.NewRegistry()
-	all.MustRegister(s, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	s := &Server{listener: listener.Retry(l, logger), api: apiServer}
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(s, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
-	mux.Handle("GET /metrics", promhttp.HandlerFor(all, promhttp.HandlerOpts{}))
+	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "yes") })
-	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if m := s.node.Load(); m != nil && m.Serving() {
-			fmt.Fprintln(w, "yes")
-			return
-		}
-		http.Error(w, "the list is not served: this member has no leader, or waits for the others", http.StatusServiceUnavailable)
-	})
+	mux.HandleFunc("GET /readyz", s.ready)
 	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, WriteTimeout: 2 * headerTimeout}
 	return s, nil
 }
 
-// Addr is the address.
+func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+	if node := s.node.Load(); node != nil && node.Serving() {
+		fmt.Fprintln(w, "yes")
+		return
+	}
+	http.Error(w, "the list is not served: this member has no leader, or waits for the others", http.StatusServiceUnavailable)
+}
+
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Open has it show a member.
-func (s *Server) SetNode(m *raftnode.Node) { s.node.Store(m) }
+// SetNode has the server show a node.
+func (s *Server) SetNode(node *raftnode.Node) { s.node.Store(node) }
 
-// Serve answers until End.
+// Serve answers until Close.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -67,9 +70,10 @@
 	return nil
 }
 
-// End ends it.
+// Close waits for the calls in flight and closes the address.
 func (s *Server) Close() { _ = s.http.Shutdown(context.Background()) }
 
+// desc describes a metric by its published name and help text, which are part of the endpoint and stay.
 func desc(name, help string) *prometheus.Desc {
 	return prometheus.NewDesc("roster_"+name, help, nil, nil)
 }
@@ -102,46 +106,52 @@
 
 // Collect implements prometheus.Collector.
 func (s *Server) Collect(to chan<- prometheus.Metric) {
-	gauge := func(d *prometheus.Desc, v float64) { to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v) }
-	count := func(d *prometheus.Desc, v int64) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v))
-	}
-	is := func(b bool) float64 {
-		if b {
-			return 1
-		}
-		return 0
+	status, encoded := raftnode.WaitingStatus(""), int64(0)
+	if node := s.node.Load(); node != nil {
+		status, encoded = node.Status(), node.Watches().Encoded()
 	}
-	var st raftnode.Status
-	if m := s.node.Load(); m != nil {
-		st = m.Status()
-		count(responsesEncoded, m.Watches().Encoded())
+	collectStatus(to, status)
+	count(to, responsesEncoded, encoded)
+	m := s.api.Metrics()
+	gauge(to, watches, float64(m.Watches))
+	count(to, calls, m.Calls)
+	count(to, callsRejected, m.Rejected)
+	count(to, snapshotResponses, m.Snapshots)
+	count(to, changeResponses, m.Changes)
+	count(to, callsForwarded, m.Forwarded)
+	gauge(to, proxyReports, float64(m.ProxyReports))
+	count(to, proxyReportsDropped, m.ProxyReportsDropped)
+}
+
+func collectStatus(to chan<- prometheus.Metric, status raftnode.Status) {
+	gauge(to, listVersion, float64(status.Version))
+	gauge(to, endpoints, float64(status.Endpoints))
+	gauge(to, isLeader, oneIf(status.Role == "leader"))
+	gauge(to, serving, oneIf(status.Serving))
+	if status.AgeMs < 0 {
+		gauge(to, listAge, -1)
 	} else {
-		st = raftnode.WaitingStatus("")
-		count(responsesEncoded, 0)
+		gauge(to, listAge, float64(status.AgeMs)/1000)
 	}
-	gauge(listVersion, float64(st.Version))
-	gauge(endpoints, float64(st.Endpoints))
-	gauge(isLeader, is(st.Role == "leader"))
-	gauge(serving, is(st.Serving))
-	if st.AgeMs < 0 {
-		gauge(listAge, -1)
-	} else {
-		gauge(listAge, float64(st.AgeMs)/1000)
+	gauge(to, term, float64(status.Term))
+	gauge(to, abstains, oneIf(status.Abstains))
+	gauge(to, heldLeases, float64(status.HeldLeases))
+	gauge(to, heldZones, float64(status.HeldZones))
+	count(to, expiredLeases, status.ExpiredLeases)
+	gauge(to, configurations, float64(status.Configurations))
+}
+
+func gauge(to chan<- prometheus.Metric, desc *prometheus.Desc, value float64) {
+	to <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value)
+}
+
+func count(to chan<- prometheus.Metric, desc *prometheus.Desc, value int64) {
+	to <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value))
+}
+
+func oneIf(b bool) float64 {
+	if b {
+		return 1
 	}
-	gauge(term, float64(st.Term))
-	gauge(abstains, is(st.Abstains))
-	gauge(heldLeases, float64(st.HeldLeases))
-	gauge(heldZones, float64(st.HeldZones))
-	count(expiredLeases, st.ExpiredLeases)
-	f := s.api.Metrics()
-	gauge(watches, float64(f.Watches))
-	count(calls, f.Calls)
-	count(callsRejected, f.Rejected)
-	count(snapshotResponses, f.Snapshots)
-	count(changeResponses, f.Changes)
-	count(callsForwarded, f.Forwarded)
-	gauge(configurations, float64(st.Configurations))
-	gauge(proxyReports, float64(f.ProxyReports))
-	count(proxyReportsDropped, f.ProxyReportsDropped)
+	return 0
 }
