--- a/cmd/merlinpick-registry/apart_test.go
+++ b/cmd/merlinpick-registry/apart_test.go
@@ -122,7 +122,7 @@
 		return err == nil && status == 200
 	})
 	t.Logf("in force at all after %v", inForce(t, all, confirmed, "after", at, inForceWithin))
-	if text, err := get(t.Context(), time.Second, "http://"+s.addrs[l]+"/config/tarifas"); err == nil || !errors.Is(err, errNo) {
+	if text, err := get(t.Context(), time.Second, "http://"+s.addrs[l]+"/config/tarifas"); err == nil || !errors.Is(err, errRejected) {
 		t.Errorf("the one cut off tells %s, %v", text, err)
 	}
 	gates[l].set(false)
--- a/cmd/merlinpick-registry/main_test.go
+++ b/cmd/merlinpick-registry/main_test.go
@@ -34,9 +34,9 @@
 
 var program, proxyProgram string
 
-func TestMain(m *testing.M) { os.Exit(run(m)) }
+func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
-func run(m *testing.M) int {
+func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "roster-")
 	if err != nil {
 		panic(err)
--- a/cmd/merlinpick-registry/rollout_test.go
+++ b/cmd/merlinpick-registry/rollout_test.go
@@ -437,7 +437,7 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := (&snapshotRestore{service: service{strings.Join(s.addrs, ",")}, Yes: true, File: file}).Run(t.Context()); err != nil {
+		if err := (&restoreSnapshot{memberAddresses: memberAddresses{strings.Join(s.addrs, ",")}, Yes: true, File: file}).Run(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		c := s.config(t, 0)
--- a/cmd/merlinpick-registry/serve.go
+++ b/cmd/merlinpick-registry/serve.go
@@ -14,57 +14,57 @@
 	"merlinpick/internal/registry/raftnode"
 )
 
-const endWait = 2 * time.Second // for those who watch to be told to go elsewhere
+const shutdownTimeout = 2 * time.Second // for watches to be answered
 
 type serveCommand struct {
 	Config string `type:"path" help:"TOML; docs/discovery.md has the keys."`
 }
 
 // Run runs a member until SIGTERM or SIGINT.
-func (c *serveCommand) Run(ctx context.Context, log *slog.Logger) (err error) {
-	f, err := config.Read(c.Config)
+func (c *serveCommand) Run(ctx context.Context, logger *slog.Logger) (err error) {
+	file, err := config.Read(c.Config)
 	if err != nil {
 		return err
 	}
-	a, err := api.Listen(api.Config{Listen: f.Listen, Name: f.Name, MaxWatches: f.MaxWatches, Logger: log})
+	apiServer, err := api.Listen(api.Config{Listen: file.Listen, Name: file.Name, MaxWatches: file.MaxWatches, Logger: logger})
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	var parts sync.WaitGroup
-	defer parts.Wait()
-	defer a.Shutdown(endWait)
-	parts.Go(func() { stop(a.Serve()) })
-	var figs *metrics.Server
-	if f.MetricsAddress != "" {
-		if figs, err = metrics.Listen(f.MetricsAddress, a, log); err != nil {
+	var servers sync.WaitGroup
+	defer servers.Wait()
+	defer apiServer.Shutdown(shutdownTimeout)
+	servers.Go(func() { stop(apiServer.Serve()) })
+	var metricsServer *metrics.Server
+	if file.MetricsAddress != "" {
+		if metricsServer, err = metrics.Listen(file.MetricsAddress, apiServer, logger); err != nil {
 			return err
 		}
-		defer figs.Close()
-		parts.Go(func() { stop(figs.Serve()) })
+		defer metricsServer.Close()
+		servers.Go(func() { stop(metricsServer.Serve()) })
 	}
-	cfg := f.Node()
-	cfg.Logger = log
-	m, err := raftnode.Open(ctx, cfg)
+	nodeConfig := file.Node()
+	nodeConfig.Logger = logger
+	node, err := raftnode.Open(ctx, nodeConfig)
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	a.SetNode(m)
-	if figs != nil {
-		figs.SetNode(m)
-		log.Info("a member of the list service", "name", f.Name, "list", a.Addr(), "figures", figs.Addr(), "dir", f.Dir)
-	} else {
-		log.Info("a member of the list service", "name", f.Name, "list", a.Addr(), "dir", f.Dir)
+	apiServer.SetNode(node)
+	metricsAddress := ""
+	if metricsServer != nil {
+		metricsServer.SetNode(node)
+		metricsAddress = metricsServer.Addr()
 	}
+	logger.Info("member started", "member", file.Name, "address", apiServer.Addr(), "metrics", metricsAddress, "dir", file.Dir)
 	<-ctx.Done()
 	cause := context.Cause(ctx)
-	a.Shutdown(endWait)
-	if err := m.Close(); err != nil {
-		log.Warn("the member did not end cleanly", "error", err)
+	apiServer.Shutdown(shutdownTimeout)
+	if err := node.Close(); err != nil {
+		logger.Warn("unclean shutdown", "error", err)
 	}
 	if !errors.Is(cause, context.Canceled) {
 		return cause
@@ -77,19 +77,20 @@
 }
 
 // Run checks a configuration and the directory that it names.
-func (c *checkCommand) Run(log *slog.Logger) error {
-	f, err := config.Read(c.Config)
+func (c *checkCommand) Run(logger *slog.Logger) error {
+	file, err := config.Read(c.Config)
 	if err != nil {
 		return err
 	}
-	empty, err := raftnode.Check(f.Dir, f.Name, log)
+	empty, err := raftnode.Check(file.Dir, file.Name, logger)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errNo, err)
+		return fmt.Errorf("%w: %w", errRejected, err)
 	}
-	what := "whole"
+	content := "whole"
 	if empty {
-		what = "empty"
+		content = "empty"
 	}
-	fmt.Printf("%s: member %s of %d, list on %s; %s is %s\n", c.Config, f.Name, max(1, len(f.Members)), f.Listen, f.Dir, what)
+	fmt.Printf("%s: member %s of %d, list on %s; %s is %s\n", c.Config, file.Name, max(1, len(file.Members)), file.Listen, file.Dir,
+		content)
 	return nil
 }
