--- a/cmd/merlinpick-registry/apart_test.go
+++ b/cmd/merlinpick-registry/apart_test.go
@@ -90,7 +90,7 @@
 
 // A member that is cut off from the others takes no configuration, and those that watch it move on in time; once it is
 // back it has what was confirmed meanwhile.
-func TestAMemberCutOffTakesNoConfiguration(t *testing.T) {
+func TestPartitionedMemberRejectsConfigWrites(t *testing.T) {
 	gates := []*gate{{conns: map[net.Conn]bool{}}, {conns: map[net.Conn]bool{}}, {conns: map[net.Conn]bool{}}}
 	// Each member reaches each other one through the gates of both.
 	s := startService(t, 3, func(i int, f *config.File) {
@@ -134,7 +134,7 @@
 
 // While a member does not say that it knows configurations, as builds before them do not, none is taken, at any member;
 // a first one needs the word of all, and later ones do not wait for one that is away.
-func TestAnOldBuildKeepsConfigurationsOut(t *testing.T) {
+func TestOldBuildBlocksConfigWrites(t *testing.T) {
 	const old = 2
 	var isOld atomic.Bool
 	isOld.Store(true)
@@ -229,7 +229,7 @@
 }
 
 // A build from before configurations, if one is at hand (ROSTER_OLD names its program), takes no harm and does none.
-func TestARealOldBuild(t *testing.T) {
+func TestRealOldBuildBlocksConfigWrites(t *testing.T) {
 	old := os.Getenv("ROSTER_OLD")
 	if old == "" {
 		t.Skip("ROSTER_OLD names no program")
--- a/cmd/merlinpick-registry/main_test.go
+++ b/cmd/merlinpick-registry/main_test.go
@@ -248,7 +248,7 @@
 
 // Whatever is killed and stopped: no acknowledged registration is lost, none happens twice, and what current reads say
 // has an order. ROSTER_KILLS asks for more than CI has time for: docs/discovery.md records 200.
-func TestKillsLoseNothing(t *testing.T) {
+func TestKillsLoseNoAcknowledgedWrite(t *testing.T) {
 	kills := 8
 	if v := os.Getenv("ROSTER_KILLS"); v != "" {
 		var err error
@@ -364,7 +364,7 @@
 }
 
 // With full disks nothing is confirmed and nothing is lost; the list is told on, and when there is room all goes on.
-func TestFullDisks(t *testing.T) {
+func TestFullDisksConfirmNothingAndRecover(t *testing.T) {
 	s := startService(t, 3)
 	c := registrar.New(s.addrs)
 	defer c.Close()
@@ -406,7 +406,7 @@
 
 // An only member keeps its list over a kill; a snapshot goes out and back in as a new line above the old; what is damaged
 // is refused by name.
-func TestOnlyMember(t *testing.T) {
+func TestSingleMemberCommands(t *testing.T) {
 	s := startService(t, 1)
 	at := "--at=" + s.addrs[0]
 	call := func(want int, args ...string) string {
@@ -487,7 +487,7 @@
 }
 
 // Watches beyond the limit are turned away at once, and held ones are told when the leader is lost.
-func TestWatches(t *testing.T) {
+func TestWatchEndsWhenQuorumIsLost(t *testing.T) {
 	s := startService(t, 3)
 	l := s.leader()
 	for ; l < 0; l = s.leader() {
@@ -538,7 +538,7 @@
 }
 
 // A member that has lost its directory does not help to elect one who lacks what it had confirmed.
-func TestAWipedMemberForgetsNothing(t *testing.T) {
+func TestWipedMemberAbstainsUntilCaughtUp(t *testing.T) {
 	s := startService(t, 3)
 	c := registrar.New(s.addrs)
 	defer c.Close()
--- a/cmd/merlinpick-registry/rollout_test.go
+++ b/cmd/merlinpick-registry/rollout_test.go
@@ -249,7 +249,7 @@
 }
 
 // Whatever fails under way, a change is in force at all proxies in time, once, and nothing faulty is.
-func TestAChangeIsInForceWhateverFails(t *testing.T) {
+func TestConfigChangeIsAppliedDespiteFailures(t *testing.T) {
 	s := startService(t, 3)
 	all := startFollowers(t, s, 6)
 	for _, f := range all {
--- a/internal/registry/api/api_test.go
+++ b/internal/registry/api/api_test.go
@@ -70,7 +70,7 @@
 const body = `{"address":"127.0.0.1:1","zone":"a","instance":"i","lease_ms":60000}`
 
 // What is wrong is said, and changes nothing.
-func TestBadCalls(t *testing.T) {
+func TestInvalidCalls(t *testing.T) {
 	m, s := open(t, 10)
 	_, before := m.Version()
 	for _, c := range []struct {
@@ -106,7 +106,7 @@
 }
 
 // By from and line a caller gets changes, the whole list, or waits, and the published form is kept.
-func TestWatchAnswers(t *testing.T) {
+func TestListWatch(t *testing.T) {
 	m, s := open(t, 2)
 	line, base := m.Version()
 	register(t, m, "a", 1)
@@ -167,7 +167,7 @@
 }
 
 // A caller that does not read what it asked for delays nobody.
-func TestASlowReader(t *testing.T) {
+func TestSlowClientDelaysNobody(t *testing.T) {
 	m, s := open(t, 10)
 	i := m.StateSnapshot()
 	for k := range 5000 {
--- a/internal/registry/api/configs_test.go
+++ b/internal/registry/api/configs_test.go
@@ -32,7 +32,7 @@
 }
 
 // What is wrong with a put is said with key and remedy, and changes nothing; a repeated one happens once.
-func TestPutsOfConfigurations(t *testing.T) {
+func TestPutConfig(t *testing.T) {
 	m, s := open(t, 10)
 	first := putDocument(t, s, "tarifas", 0, 1)
 	at := fmt.Sprint("/config/tarifas?from=", first)
@@ -92,7 +92,7 @@
 }
 
 // By from and line a watch gets the document, waits, or is told that nothing is new.
-func TestWatchesOfConfigurations(t *testing.T) {
+func TestConfigWatch(t *testing.T) {
 	m, s := open(t, 2)
 	line, _ := m.Version()
 	first := putDocument(t, s, "a", 0, 1)
@@ -150,7 +150,7 @@
 }
 
 // Each proxy's own word, with its age, counts for where a version is in force.
-func TestWhereAVersionIsInForce(t *testing.T) {
+func TestConfigStatus(t *testing.T) {
 	_, s := open(t, 10)
 	first := putDocument(t, s, "a", 0, 1)
 	second := putDocument(t, s, "a", first, 2)
--- a/internal/registry/api/golden_test.go
+++ b/internal/registry/api/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // The answers are byte for byte what earlier versions sent.
-func TestAnswersAreAsBefore(t *testing.T) {
+func TestAnswersMatchGolden(t *testing.T) {
 	word := rollout.ProxyReport{Name: "p1", AppliedVersion: 3, RejectedVersion: 4, RejectReason: "limits: no", AgeMs: 5}
 	var text bytes.Buffer
 	out := json.NewEncoder(&text)
--- a/internal/registry/config/config_test.go
+++ b/internal/registry/config/config_test.go
@@ -21,7 +21,7 @@
 `
 
 // Every fault of a file is named at once, with file and key.
-func TestFaultsAreNamed(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want []string
--- a/internal/registry/metrics/golden_test.go
+++ b/internal/registry/metrics/golden_test.go
@@ -14,7 +14,7 @@
 )
 
 // The names and types of metrics are those of earlier versions.
-func TestMetricNamesAreAsBefore(t *testing.T) {
+func TestMetricNamesMatchGolden(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", Logger: log})
 	if err != nil {
--- a/internal/registry/rollout/reports_test.go
+++ b/internal/registry/rollout/reports_test.go
@@ -8,7 +8,7 @@
 )
 
 // What is not said again is forgotten, what is full takes what it knows, and makes room of what is old.
-func TestWordsAreBounded(t *testing.T) {
+func TestReportLimits(t *testing.T) {
 	var table Table
 	at := time.Now()
 	for i := range MaxReports {
@@ -35,7 +35,7 @@
 }
 
 // Of several members' words the youngest counts, not the highest version: a proxy may have started anew.
-func TestTheYoungestWordCounts(t *testing.T) {
+func TestNewestReportCounts(t *testing.T) {
 	got := MergeReports([]ProxyReport{{Name: "a", AppliedVersion: 9, AgeMs: 40}, {Name: "b", AppliedVersion: 1, AgeMs: 5}},
 		[]ProxyReport{{Name: "a", AppliedVersion: 3, AgeMs: 10, RejectedVersion: 4, RejectReason: "x"}}, nil, []ProxyReport{{Name: "a", AppliedVersion: 5, AgeMs: 30}})
 	want := []ProxyReport{{Name: "a", AppliedVersion: 3, AgeMs: 10, RejectedVersion: 4, RejectReason: "x"}, {Name: "b", AppliedVersion: 1, AgeMs: 5}}
--- a/internal/registry/state/configs_test.go
+++ b/internal/registry/state/configs_test.go
@@ -24,7 +24,7 @@
 }
 
 // A put is taken after the version that its caller has seen, once, and the one before is kept.
-func TestPuts(t *testing.T) {
+func TestConfigure(t *testing.T) {
 	type step struct {
 		c       Command
 		end     string
@@ -66,7 +66,7 @@
 }
 
 // What does not fit is refused and changes nothing, and what is full can still be changed for less.
-func TestConfigurationsAreBounded(t *testing.T) {
+func TestConfigurationLimits(t *testing.T) {
 	s := begun()
 	for i := range MaxServices {
 		if r := s.Apply(put(fmt.Sprint("s", i), 0, `{}`)); r.Code != ResultDone {
@@ -170,7 +170,7 @@
 }
 
 // A restored image's configurations lie above all that was told, and what it lacks stays.
-func TestLift(t *testing.T) {
+func TestRebase(t *testing.T) {
 	s := begun()
 	s.Apply(put("a", 0, `{"n":1}`))
 	saved := s.Snapshot()
@@ -199,7 +199,7 @@
 }
 
 // Whatever comes in whatever order, also over snapshots: the state is that of a map in which a put after the newest wins.
-func TestConfigurationsAreAsASimpleModelHasThem(t *testing.T) {
+func TestConfigurationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type version struct {
 			n    int64
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -125,7 +125,7 @@
 	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
 }
 
-func TestStateAfterAPlayedLogIsAsBefore(t *testing.T) {
+func TestPlayedLogStateMatchesGolden(t *testing.T) {
 	if got := stateHash(t, func(int, *Command) {}); got != goldenState {
 		t.Errorf("the state hashes to %s, not %s", got, goldenState)
 	}
@@ -172,7 +172,7 @@
 	return map[string]Snapshot{"snapshot.golden": plain, "snapshot-configs.golden": with, "snapshot-empty.golden": {}}
 }
 
-func TestSnapshotsOfEarlierVersionsAreReadAndWrittenAlike(t *testing.T) {
+func TestSnapshotFilesMatchGolden(t *testing.T) {
 	for name, image := range goldenImages() {
 		var text bytes.Buffer
 		if err := image.Write(&text); err != nil {
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestCommandsOfEarlierVersionsAreReadAndWrittenAlike(t *testing.T) {
+func TestCommandsMatchGolden(t *testing.T) {
 	r := *record("n1", "i1", 1_700_000_000_000)
 	r.Zone, r.Type, r.Cell, r.Weight = "b", "web", 2, 0.5
 	var text bytes.Buffer
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -15,7 +15,7 @@
 func refs(name, instance string) []InstanceRef { return []InstanceRef{{name, instance}} }
 
 // What a caller repeats happens once, and what arrives late changes nothing that came after it.
-func TestRepeatsAndLateCommands(t *testing.T) {
+func TestRepeatedAndLateCommands(t *testing.T) {
 	register := Command{Kind: CommandRegister, Record: record("n", "i1", 10)}
 	later := Command{Kind: CommandRegister, Record: record("n", "i2", 20)}
 	moved := *record("n", "i1", 10)
@@ -60,7 +60,7 @@
 }
 
 // A line's first version lies above all that came before, by the clock if that is right and by what is known if not.
-func TestLinesOnlyRise(t *testing.T) {
+func TestFirstVersionGrowsAcrossEpochs(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	first := FirstVersion(now, 0)
 	if next := FirstVersion(now.Add(time.Second), 0); next < first+1<<versionsPerSecondShift {
@@ -75,7 +75,7 @@
 }
 
 // Any byte that is changed, lost or added in a snapshot is noticed.
-func TestASnapshotIsReadWholeOrNotAtAll(t *testing.T) {
+func TestDamagedSnapshotIsRejected(t *testing.T) {
 	s := New()
 	s.Apply(Command{Kind: CommandBegin, Epoch: "l", FirstVersion: 100})
 	s.Apply(Command{Kind: CommandRegister, Record: record("n", "i1", 10)})
@@ -105,7 +105,7 @@
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzReadSnapshot(f *testing.F) {
 	s := New()
 	s.Apply(Command{Kind: CommandBegin, Epoch: "l", FirstVersion: 100})
 	s.Apply(Command{Kind: CommandRegister, Record: record("n", "i1", 10)})
--- a/internal/registry/store/golden_test.go
+++ b/internal/registry/store/golden_test.go
@@ -30,7 +30,7 @@
 const goldenRecords = 12
 
 // A directory that an earlier version wrote is read in full, and its identity is what is written today.
-func TestADirectoryOfAnEarlierVersionIsRead(t *testing.T) {
+func TestDirectoryOfEarlierVersionIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/member")); err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 }
 
 // The key and text of a record in the file are what earlier versions wrote.
-func TestRecordsInTheFileAreAsBefore(t *testing.T) {
+func TestSealedRecordMatchesGolden(t *testing.T) {
 	const want = `398da6ff{"t":1}`
 	sealed := seal(indexKey(1), []byte(`{"t":1}`))
 	if got := fmt.Sprintf("%x%s", sealed[:checksumBytes], sealed[checksumBytes:]); got != want {
--- a/internal/registry/store/store_test.go
+++ b/internal/registry/store/store_test.go
@@ -90,7 +90,7 @@
 }
 
 // A log that was cut anywhere, or has a bit of a record wrong, is refused with all that it still holds left as it is.
-func TestDamageIsRefused(t *testing.T) {
+func TestDamagedLogIsRejected(t *testing.T) {
 	dir := written(t)
 	info, err := os.Stat(filepath.Join(dir, logFile))
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestOpening(t *testing.T) {
+func TestOpen(t *testing.T) {
 	dir := written(t)
 	for name, c := range map[string]struct {
 		prepare func(dir string) error
@@ -169,7 +169,7 @@
 }
 
 // The log is what the consensus expects of one.
-func TestLog(t *testing.T) {
+func TestLogStore(t *testing.T) {
 	dir := written(t)
 	s, _, err := Open(dir, "r1", 0, quiet)
 	if err != nil {
--- a/internal/registry/watch/golden_test.go
+++ b/internal/registry/watch/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // The published list and changes are byte for byte what earlier versions sent.
-func TestPublishedFormIsAsBefore(t *testing.T) {
+func TestPublishedFormMatchesGolden(t *testing.T) {
 	src := &source{state.New()}
 	hub := New(src)
 	var text bytes.Buffer
--- a/internal/registry/watch/hub_test.go
+++ b/internal/registry/watch/hub_test.go
@@ -71,7 +71,7 @@
 
 // Whatever happens to the list, a caller that follows by the protocol has what a plain map has, and its versions rise:
 // over repeats, restores into another line, and members that know no changes since they loaded a snapshot.
-func TestFollowersHaveTheList(t *testing.T) {
+func TestFollowersMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		src := &source{state.New()}
 		src.Apply(state.Command{Kind: state.CommandBegin, Epoch: "line0", FirstVersion: state.FirstVersion(time.Unix(1000, 0), 0)})
@@ -155,7 +155,7 @@
 }
 
 // Callers at one version share one answer, however many they are.
-func TestOneEncodingForAll(t *testing.T) {
+func TestOneEncodingPerVersion(t *testing.T) {
 	src := &source{state.New()}
 	src.Apply(state.Command{Kind: state.CommandBegin, Epoch: "l", FirstVersion: 100})
 	hub := New(src)
