--- /dev/null
+++ b/cmd/merlinpick-registry/proxies_test.go
@@ -0,0 +1,122 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"merlinpick/internal/faultlab/process"
+)
+
+const proxyText = `{"name":%q,"listen":%q,"mgmt":%q,"discovery_members":[%s],"discovery_state":%q,"config_service":"tarifas","seed":"%d",` +
+	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":1,"snapshot":true,"endpoints":[]},%s}`
+
+// rules is the part of a proxy's file that is a document too; its class names which one is in force.
+func rules(class string) string {
+	return fmt.Sprintf(`"settings":{"contract":{},"failure_domains":["a","b"],"limits":{"dial_timeout_us":100000,`+
+		`"idle_close_us":1000000,"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":800000,"name":%q,`+
+		`"objective_us":400000,"repeat":"idempotent","worth":1}],"siblings":3}`, class)
+}
+
+func document(class string) string { return "{" + rules(class) + "}" }
+
+// follower is a proxy as a real process.
+type follower struct {
+	*process.Process
+	t            *testing.T
+	starter      *process.Starter
+	name, mgmt   string
+	dir, members string
+	seed         int
+}
+
+func startFollowers(t *testing.T, s *cluster, n int) []*follower {
+	t.Helper()
+	var all []*follower
+	for i := range n {
+		f := &follower{t: t, starter: s.starter, name: fmt.Sprintf("p%d", i+1), dir: t.TempDir(), seed: i + 1,
+			members: `"` + strings.Join(s.addrs, `","`) + `"`}
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		f.mgmt = l.Addr().String()
+		defer l.Close() // not before the others are chosen
+		all = append(all, f)
+		t.Cleanup(func() {
+			_ = f.Kill()
+			if text, err := os.ReadFile(filepath.Join(f.dir, "log")); t.Failed() && err == nil {
+				t.Logf("%s:\n%s", f.name, text)
+			}
+		})
+	}
+	return all
+}
+
+func (f *follower) start() {
+	f.t.Helper()
+	path := filepath.Join(f.dir, "config.json")
+	if err := os.WriteFile(path, fmt.Appendf(nil, proxyText, f.name, "127.0.0.1:0", f.mgmt, f.members, filepath.Join(f.dir, "state"),
+		f.seed, rules("file")), 0o600); err != nil {
+		f.t.Fatal(err)
+	}
+	p, err := f.starter.Start(process.Spec{Name: f.name, Command: []string{proxyProgram}, Dir: f.dir, Log: filepath.Join(f.dir, "log"),
+		Env: []string{"LB_CONFIG=" + path, "TMPDIR=" + f.dir}}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.Process = p
+}
+
+// figures are what the management address shows; nothing while it does not answer.
+func (f *follower) figures() map[string]int64 {
+	out := map[string]int64{}
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.mgmt+"/v1/metrics", nil)
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return out
+	}
+	defer resp.Body.Close()
+	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
+		key, value, _ := strings.Cut(lines.Text(), "=")
+		out[strings.TrimPrefix(key, "app.")], _ = strconv.ParseInt(value, 10, 64)
+	}
+	return out
+}
+
+// has tells whether a version is in force, and the class that it has.
+func (f *follower) has(version int64, class string) bool {
+	figs := f.figures()
+	_, named := figs["succeeded."+class]
+	return figs["config_version"] == version && named
+}
+
+// inForce waits until a version is in force at all, and gives how long after begun the last had it.
+func inForce(t *testing.T, all []*follower, version int64, class string, begun time.Time, within time.Duration) time.Duration {
+	t.Helper()
+	last := time.Duration(0)
+	for _, f := range all {
+		for !f.has(version, class) {
+			if time.Since(begun) > patience {
+				t.Fatalf("%s: version %d is not in force: %v", f.name, version, f.figures())
+			}
+			time.Sleep(5 * time.Millisecond)
+		}
+		last = max(last, time.Since(begun))
+	}
+	if last > within {
+		t.Errorf("version %d is in force after %v, and not within %v", version, last, within)
+	}
+	return last
+}
--- /dev/null
+++ b/cmd/merlinpick-registry/recovery_test.go
@@ -0,0 +1,99 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"os"
+	"testing"
+	"time"
+
+	"merlinpick/internal/registry/registrar"
+)
+
+// With full disks nothing is confirmed and nothing is lost; the list is told on, and when there is room all goes on.
+func TestFullDisksConfirmNothingAndRecover(t *testing.T) {
+	s := startService(t, 3)
+	c := registrar.New(s.addrs)
+	defer c.Close()
+	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	defer cancel()
+	if _, err := c.Register(ctx, record("before", 1)); err != nil {
+		t.Fatal(err)
+	}
+	full := func(full bool) {
+		for _, p := range s.procs {
+			if err := p.DiskFull(full); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	full(true)
+	short, stop := context.WithTimeout(ctx, 3*time.Second)
+	defer stop()
+	var no *registrar.RejectedError
+	if _, err := c.Register(short, record("during", 2)); err == nil || errors.As(err, &no) {
+		t.Errorf("registered on full disks: %v", err)
+	}
+	for i, p := range s.procs {
+		select {
+		case <-p.Ended():
+			t.Errorf("r%d ended: %v", i+1, p.Err())
+		default:
+		}
+	}
+	full(false)
+	if _, err := c.Register(ctx, record("after", 3)); err != nil {
+		t.Fatal(err)
+	}
+	s.await()
+	if _, _, values, err := s.list(ctx, 0); err != nil || values["before"] == "" || values["after"] == "" {
+		t.Errorf("%v, %v", values, err)
+	}
+}
+
+// A member that has lost its directory does not help to elect one who lacks what it had confirmed.
+func TestWipedMemberAbstainsUntilCaughtUp(t *testing.T) {
+	s := startService(t, 3)
+	c := registrar.New(s.addrs)
+	defer c.Close()
+	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	defer cancel()
+	// The third is away while something is confirmed by the other two.
+	if err := s.procs[2].Kill(); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Register(ctx, record("n", 1)); err != nil {
+		t.Fatal(err)
+	}
+	for _, i := range []int{0, 1} {
+		if err := s.procs[i].Kill(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := os.RemoveAll(s.path(0, "")); err != nil {
+		t.Fatal(err)
+	}
+	s.start(0)
+	s.start(2)
+	until(t, "the wiped member to abstain", func() bool {
+		st, err := s.status(0)
+		return err == nil && st.Abstains
+	})
+	for range 150 { // several elections
+		if l := s.leader(); l >= 0 {
+			t.Fatalf("r%d leads by the vote of one that has lost its directory", l+1)
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	s.start(1)
+	s.await()
+	for i := range s.addrs {
+		if _, _, values, err := s.list(ctx, i); err != nil || values["n"] == "" {
+			t.Errorf("r%d: %v, %v", i+1, values, err)
+		}
+	}
+	until(t, "the wiped member to vote again", func() bool {
+		st, err := s.status(0)
+		return err == nil && !st.Abstains
+	})
+}
--- /dev/null
+++ b/cmd/merlinpick-registry/watch_test.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+)
+
+// Watches beyond the limit are turned away at once, and held ones are told when the leader is lost.
+func TestWatchEndsWhenQuorumIsLost(t *testing.T) {
+	s := startService(t, 3)
+	l := s.leader()
+	for ; l < 0; l = s.leader() {
+		time.Sleep(20 * time.Millisecond)
+	}
+	follower := (l + 1) % 3
+	_, index, _, err := s.list(t.Context(), follower)
+	if err != nil {
+		t.Fatal(err)
+	}
+	watch := func() (status int, after string, took time.Duration) {
+		begun := time.Now()
+		resp, err := http.Get(fmt.Sprintf("http://%s/catalog/members?from=%d&hold_ms=60000", s.addrs[follower], index))
+		if err != nil {
+			t.Error(err)
+			return 0, "", 0
+		}
+		resp.Body.Close()
+		return resp.StatusCode, resp.Header.Get("Retry-After"), time.Since(begun)
+	}
+	type end struct {
+		status int
+		after  string
+	}
+	ended := make(chan end, 1)
+	go func() {
+		status, after, _ := watch()
+		ended <- end{status, after}
+	}()
+	for i, p := range s.procs { // the follower is alone
+		if i != follower {
+			if err := p.Kill(); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	select {
+	case e := <-ended:
+		if e.status != http.StatusServiceUnavailable || e.after == "" {
+			t.Errorf("%+v", e)
+		}
+	case <-time.After(patience):
+		t.Error("a watch is held by a member that has lost the leader")
+	}
+	if status, _, _ := watch(); status != http.StatusServiceUnavailable {
+		t.Errorf("a new watch got %d", status)
+	}
+}
