--- a/cmd/merlinpick-registry/bench_test.go
+++ b/cmd/merlinpick-registry/bench_test.go
@@ -25,16 +25,16 @@
 // BenchmarkLeaderDeath is the time from a leader's death to the next write that is confirmed.
 func BenchmarkLeaderDeath(b *testing.B) {
 	s := startService(b, 3)
-	c := registrar.New(s.addrs)
+	c := registrar.New(s.addresses)
 	defer c.Close()
 	var took []float64
 	for i := 0; b.Loop(); i++ {
-		s.await()
+		s.awaitServing()
 		l := s.leader()
 		if l < 0 {
 			b.Fatal("no leader")
 		}
-		if err := s.procs[l].Kill(); err != nil {
+		if err := s.processes[l].Kill(); err != nil {
 			b.Fatal(err)
 		}
 		begun := time.Now()
@@ -62,19 +62,19 @@
 	if err := i.Write(&text); err != nil {
 		b.Fatal(err)
 	}
-	resp, err := http.Post("http://"+s.addrs[0]+"/v1/restore", "", &text)
+	resp, err := http.Post("http://"+s.addresses[0]+"/v1/restore", "", &text)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		b.Fatal(resp, err)
 	}
 	resp.Body.Close()
 	var took []float64
 	for b.Loop() {
-		if err := s.procs[0].Kill(); err != nil {
+		if err := s.processes[0].Kill(); err != nil {
 			b.Fatal(err)
 		}
 		begun := time.Now()
 		s.start(0)
-		s.await()
+		s.awaitServing()
 		took = append(took, time.Since(begun).Seconds()*1000)
 	}
 	if _, _, values, err := s.list(context.Background(), 0); err != nil || len(values) != 10_000 {
@@ -89,7 +89,7 @@
 // BenchmarkCalls is calls a second of one member, by 32 callers: whole lists of 100 nodos, and renewals.
 func BenchmarkCalls(b *testing.B) {
 	s := startService(b, 1)
-	c := registrar.New(s.addrs)
+	c := registrar.New(s.addresses)
 	defer c.Close()
 	for i := range 100 {
 		if _, err := c.Register(b.Context(), record(fmt.Sprint("n", i), 1)); err != nil {
@@ -101,7 +101,7 @@
 	since.Store(1)
 	for name, call := range map[string]func(w int, i int64) error{
 		"whole": func(int, int64) error {
-			resp, err := client.Get("http://" + s.addrs[0] + "/catalog/members")
+			resp, err := client.Get("http://" + s.addresses[0] + "/catalog/members")
 			if err != nil {
 				return err
 			}
@@ -147,7 +147,7 @@
 		b.Fatal(err)
 	}
 	resident := func() float64 {
-		text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(s.procs[0].PID()), "statm"))
+		text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(s.processes[0].PID()), "statm"))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -157,7 +157,7 @@
 	for b.Loop() {
 		before := resident()
 		for range watchers {
-			c, err := net.Dial("tcp", s.addrs[0])
+			c, err := net.Dial("tcp", s.addresses[0])
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -175,7 +175,7 @@
 func BenchmarkJoin(b *testing.B) {
 	const clients, nodos, replaced, lasts = 300, 100, 60, 7 * time.Second
 	s := startService(b, 3)
-	c := registrar.New(s.addrs)
+	c := registrar.New(s.addresses)
 	defer c.Close()
 	ctx, stop := context.WithCancel(b.Context())
 	var all sync.WaitGroup
@@ -190,7 +190,7 @@
 	confirmed, heard := map[string]time.Time{}, make([]map[string]time.Time, clients)
 	for i := range clients {
 		heard[i] = map[string]time.Time{}
-		d := discovery.New(discovery.Config{Source: discovery.Source{Members: s.addrs}, Seed: uint64(i + 1), Logger: slog.New(slog.DiscardHandler)})
+		d := discovery.New(discovery.Config{Source: discovery.Source{Members: s.addresses}, Seed: uint64(i + 1), Logger: slog.New(slog.DiscardHandler)})
 		all.Go(func() { d.Run(ctx) })
 		all.Go(func() {
 			for {
@@ -224,7 +224,7 @@
 		for i := range replaced {
 			time.Sleep(time.Until(begun.Add(time.Duration(i) * lasts / replaced)))
 			if i == replaced/2 {
-				if err := s.procs[l].Kill(); err != nil {
+				if err := s.processes[l].Kill(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/cmd/merlinpick-registry/cluster_test.go
+++ b/cmd/merlinpick-registry/cluster_test.go
@@ -49,20 +49,20 @@
 
 // cluster is some members as real processes.
 type cluster struct {
-	t       testing.TB
-	starter *process.Starter
-	dir     string
-	addrs   []string
-	procs   []*process.Process
+	t         testing.TB
+	starter   *process.Starter
+	dir       string
+	addresses []string
+	processes []*process.Process
 }
 
 // startService starts them; view changes how a member finds the others, if that is not where they are.
 func startService(t testing.TB, members int, view ...func(i int, f *config.File)) *cluster {
 	t.Helper()
-	s := &cluster{t: t, starter: process.NewStarter(), dir: t.TempDir(), procs: make([]*process.Process, members)}
+	s := &cluster{t: t, starter: process.NewStarter(), dir: t.TempDir(), processes: make([]*process.Process, members)}
 	t.Cleanup(func() {
 		var left []*process.Process
-		for _, p := range s.procs {
+		for _, p := range s.processes {
 			if p != nil {
 				left = append(left, p)
 			}
@@ -81,14 +81,14 @@
 	host := freeHost(t)
 	at := func(i, port int) string { return net.JoinHostPort(host, strconv.Itoa(port+i)) }
 	for i := range members {
-		s.addrs = append(s.addrs, at(i, 8500))
+		s.addresses = append(s.addresses, at(i, 8500))
 	}
 	for i := range members {
 		f := config.Default()
-		f.Name, f.Dir, f.Listen, f.MetricsAddress = fmt.Sprintf("r%d", i+1), s.path(i, ""), s.addrs[i], at(i, 9500)
+		f.Name, f.Dir, f.Listen, f.MetricsAddress = fmt.Sprintf("r%d", i+1), s.path(i, ""), s.addresses[i], at(i, 9500)
 		for j := range members {
 			if members > 1 {
-				f.Members = append(f.Members, config.Member{Name: fmt.Sprintf("r%d", j+1), Raft: at(j, 8600), List: s.addrs[j]})
+				f.Members = append(f.Members, config.Member{Name: fmt.Sprintf("r%d", j+1), Raft: at(j, 8600), List: s.addresses[j]})
 			}
 		}
 		for _, change := range view {
@@ -103,7 +103,7 @@
 		}
 		s.start(i)
 	}
-	s.await()
+	s.awaitServing()
 	return s
 }
 
@@ -133,11 +133,11 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.procs[i] = p
+	s.processes[i] = p
 }
 
 func (s *cluster) status(i int) (st raftnode.Status, err error) {
-	text, err := get(s.t.Context(), time.Second, "http://"+s.addrs[i]+"/v1/member")
+	text, err := get(s.t.Context(), time.Second, "http://"+s.addresses[i]+"/v1/member")
 	if err == nil {
 		err = json.Unmarshal(text, &st)
 	}
@@ -145,10 +145,10 @@
 }
 
 // await waits until all members serve.
-func (s *cluster) await() {
+func (s *cluster) awaitServing() {
 	s.t.Helper()
-	until(s.t, "all members to serve", func() bool {
-		for i := range s.addrs {
+	waitFor(s.t, "all members to serve", func() bool {
+		for i := range s.addresses {
 			if st, err := s.status(i); err != nil || !st.Serving {
 				return false
 			}
@@ -159,7 +159,7 @@
 
 // leader is the member that leads; -1 for none.
 func (s *cluster) leader() int {
-	for i := range s.addrs {
+	for i := range s.addresses {
 		if st, err := s.status(i); err == nil && st.Role == "leader" && st.Serving {
 			return i
 		}
@@ -167,7 +167,7 @@
 	return -1
 }
 
-func until(t testing.TB, what string, is func() bool) {
+func waitFor(t testing.TB, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !is(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -183,7 +183,7 @@
 
 // list is a current list, of one member.
 func (s *cluster) list(ctx context.Context, i int) (line string, index int64, values map[string]string, err error) {
-	text, err := get(ctx, 3*time.Second, "http://"+s.addrs[i]+"/catalog/members?consistent=1")
+	text, err := get(ctx, 3*time.Second, "http://"+s.addresses[i]+"/catalog/members?consistent=1")
 	if err != nil {
 		return "", 0, nil, err
 	}
@@ -203,12 +203,12 @@
 }
 
 // stop stops a process, and returns once all of it stands still.
-func stop(t *testing.T, p *process.Process) {
+func suspend(t *testing.T, p *process.Process) {
 	t.Helper()
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a process to stand still", func() bool {
+	waitFor(t, "a process to stand still", func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.PID()))
 		if err != nil || len(tasks) == 0 {
 			t.Fatalf("%s: %v", p.Name, err)
@@ -225,13 +225,13 @@
 
 func (s *cluster) signal(t *testing.T, i int, sig syscall.Signal) {
 	t.Helper()
-	if err := s.procs[i].Signal(sig); err != nil {
+	if err := s.processes[i].Signal(sig); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func (s *cluster) awaitLeader(t *testing.T) (l int) {
 	t.Helper()
-	until(t, "a leader", func() bool { l = s.leader(); return l >= 0 })
+	waitFor(t, "a leader", func() bool { l = s.leader(); return l >= 0 })
 	return l
 }
--- a/cmd/merlinpick-registry/commands_test.go
+++ b/cmd/merlinpick-registry/commands_test.go
@@ -16,7 +16,7 @@
 // is refused by name.
 func TestSingleMemberCommands(t *testing.T) {
 	s := startService(t, 1)
-	at := "--at=" + s.addrs[0]
+	at := "--at=" + s.addresses[0]
 	call := func(want int, args ...string) string {
 		t.Helper()
 		out, err := exec.Command(program, args...).CombinedOutput()
@@ -33,7 +33,7 @@
 	call(0, "nodos", "register", at, "n1", "127.0.0.1:1", "--lease=10m")
 	call(1, "nodos", "register", at, "n 2", "127.0.0.1:1")
 	call(0, "members", at)
-	host, _, _ := net.SplitHostPort(s.addrs[0])
+	host, _, _ := net.SplitHostPort(s.addresses[0])
 	if text, err := get(t.Context(), time.Second, "http://"+host+":9500/readyz"); err != nil || string(text) != "yes\n" {
 		t.Errorf("readyz: %s, %v", text, err)
 	}
@@ -52,11 +52,11 @@
 	if out := call(0, "snapshot", "inspect", file); !strings.Contains(out, "1 nodos") {
 		t.Error(out)
 	}
-	if err := s.procs[0].Kill(); err != nil {
+	if err := s.processes[0].Kill(); err != nil {
 		t.Fatal(err)
 	}
 	s.start(0)
-	s.await()
+	s.awaitServing()
 	if l, index, values, err := s.list(t.Context(), 0); err != nil || l != line || index != before || len(values) != 1 {
 		t.Errorf("after a kill: line %q, version %d, %v, %v; before %q, %d", l, index, values, err, line, before)
 	}
@@ -79,7 +79,7 @@
 	call(1, "snapshot", "inspect", file)
 	call(1, "snapshot", "restore", at, "--yes", file)
 	// SIGTERM is a clean end, and what is left is whole.
-	if clean, err := s.procs[0].End(patience); !clean || err != nil {
+	if clean, err := s.processes[0].End(patience); !clean || err != nil {
 		t.Errorf("clean %v, %v", clean, err)
 	}
 	call(0, "check", "--config", s.path(0, ".toml"))
--- a/cmd/merlinpick-registry/configcalls_test.go
+++ b/cmd/merlinpick-registry/configcalls_test.go
@@ -15,14 +15,14 @@
 )
 
 // putAt puts a document at one member.
-func (s *cluster) putAt(i int, after int64, body string) (status int, version int64, text string, err error) {
-	return s.putFor("tarifas", i, after, body)
+func (s *cluster) putConfigAt(i int, after int64, body string) (status int, version int64, text string, err error) {
+	return s.putServiceConfigAt("tarifas", i, after, body)
 }
 
-func (s *cluster) putFor(service string, i int, after int64, body string) (status int, version int64, text string, err error) {
+func (s *cluster) putServiceConfigAt(service string, i int, after int64, body string) (status int, version int64, text string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, fmt.Sprintf("http://%s/config/%s?from=%d", s.addrs[i], service, after),
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, fmt.Sprintf("http://%s/config/%s?from=%d", s.addresses[i], service, after),
 		strings.NewReader(body))
 	if err != nil {
 		return 0, 0, "", err
@@ -42,10 +42,10 @@
 }
 
 // put repeats a put until it is answered yes or no, at one member after another, from the leader on.
-func (s *cluster) put(t *testing.T, after int64, body string) (version int64, confirmed time.Time) {
+func (s *cluster) putConfig(t *testing.T, after int64, body string) (version int64, confirmed time.Time) {
 	t.Helper()
 	for end, i := time.Now().Add(patience), max(0, s.leader()); time.Now().Before(end); i++ {
-		status, version, text, err := s.putAt(i%len(s.addrs), after, body)
+		status, version, text, err := s.putConfigAt(i%len(s.addresses), after, body)
 		switch {
 		case err == nil && status == 200:
 			return version, time.Now()
@@ -60,7 +60,7 @@
 
 func (s *cluster) configStatus(t *testing.T, i int) (st api.ConfigStatus) {
 	t.Helper()
-	text, err := get(t.Context(), 3*time.Second, "http://"+s.addrs[i]+"/config/tarifas/status?all=1")
+	text, err := get(t.Context(), 3*time.Second, "http://"+s.addresses[i]+"/config/tarifas/status?all=1")
 	if err == nil {
 		err = json.Unmarshal(text, &st)
 	}
@@ -72,7 +72,7 @@
 
 func (s *cluster) config(t *testing.T, i int) (c api.ServiceConfig) {
 	t.Helper()
-	text, err := get(t.Context(), 3*time.Second, "http://"+s.addrs[i]+"/config/tarifas?consistent=1")
+	text, err := get(t.Context(), 3*time.Second, "http://"+s.addresses[i]+"/config/tarifas?consistent=1")
 	if err == nil {
 		err = json.Unmarshal(text, &c)
 	}
@@ -83,9 +83,9 @@
 }
 
 // watches are those that a member holds.
-func (s *cluster) watches(t *testing.T, i int) (n int) {
+func (s *cluster) watchesAt(t *testing.T, i int) (n int) {
 	t.Helper()
-	host, _, _ := net.SplitHostPort(s.addrs[i])
+	host, _, _ := net.SplitHostPort(s.addresses[i])
 	text, err := get(t.Context(), 3*time.Second, fmt.Sprintf("http://%s:%d/metrics", host, 9500+i))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/merlinpick-registry/kill_test.go
+++ b/cmd/merlinpick-registry/kill_test.go
@@ -17,10 +17,10 @@
 )
 
 // strike kills or stops members by chance until so many were killed: one, the leader, or all of them.
-func (s *cluster) strike(r *rand.Rand, kills int) {
+func (s *cluster) killAtRandom(r *rand.Rand, kills int) {
 	for killed := 0; killed < kills; {
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
-		targets := []int{r.IntN(len(s.procs))}
+		targets := []int{r.IntN(len(s.processes))}
 		switch r.IntN(6) {
 		case 0, 1:
 			if l := s.leader(); l >= 0 {
@@ -31,21 +31,21 @@
 		}
 		if r.IntN(4) == 0 { // it stands still for longer than an election, and comes back believing what it did
 			for _, i := range targets {
-				_ = s.procs[i].Signal(syscall.SIGSTOP)
+				_ = s.processes[i].Signal(syscall.SIGSTOP)
 			}
 			time.Sleep(time.Duration(500+r.IntN(2000)) * time.Millisecond)
 			for _, i := range targets {
-				_ = s.procs[i].Signal(syscall.SIGCONT)
+				_ = s.processes[i].Signal(syscall.SIGCONT)
 			}
 			continue
 		}
 		for _, i := range targets {
-			if err := s.procs[i].Signal(syscall.SIGKILL); err != nil {
+			if err := s.processes[i].Signal(syscall.SIGKILL); err != nil {
 				s.t.Error(err)
 			}
 		}
 		for _, i := range targets {
-			<-s.procs[i].Ended()
+			<-s.processes[i].Ended()
 		}
 		time.Sleep(time.Duration(r.IntN(300)) * time.Millisecond)
 		for _, i := range targets {
@@ -78,7 +78,7 @@
 	var writers, readers sync.WaitGroup
 	for w := range 4 {
 		writers.Go(func() {
-			c := registrar.New(s.addrs)
+			c := registrar.New(s.addresses)
 			defer c.Close()
 			r := rand.New(rand.NewPCG(uint64(w), 1))
 			// Each word is repeated until it is answered: what was under way at a kill may have happened or not.
@@ -123,7 +123,7 @@
 			}
 		})
 	}
-	for i := range s.addrs {
+	for i := range s.addresses {
 		readers.Go(func() {
 			for last := int64(0); ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
 				begun := time.Now()
@@ -146,12 +146,12 @@
 			}
 		})
 	}
-	s.strike(rand.New(rand.NewPCG(uint64(kills), 2)), kills)
-	s.await()
+	s.killAtRandom(rand.New(rand.NewPCG(uint64(kills), 2)), kills)
+	s.awaitServing()
 	stop()
 	writers.Wait()
 	readers.Wait()
-	for i := range s.addrs {
+	for i := range s.addresses {
 		_, index, values, err := s.list(t.Context(), i)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/merlinpick-registry/oldbuild_test.go
+++ b/cmd/merlinpick-registry/oldbuild_test.go
@@ -64,20 +64,20 @@
 	})
 	l := s.awaitLeader(t)
 	for l == old { // the old one's own word is its own: have another lead
-		if err := s.procs[old].Kill(); err != nil {
+		if err := s.processes[old].Kill(); err != nil {
 			t.Fatal(err)
 		}
-		<-s.procs[old].Ended()
+		<-s.processes[old].Ended()
 		s.awaitLeader(t)
 		s.start(old)
-		s.await()
+		s.awaitServing()
 		l = s.awaitLeader(t)
 	}
 	var end struct{ Error, End string }
 	refused := func(what string) {
 		t.Helper()
-		for i := range s.addrs {
-			status, _, text, err := s.putAt(i, 0, document("x"))
+		for i := range s.addresses {
+			status, _, text, err := s.putConfigAt(i, 0, document("x"))
 			if err := errors.Join(err, json.Unmarshal([]byte(text), &end)); err != nil || status != 503 || end.End != "old_build" ||
 				!strings.Contains(end.Error, what) {
 				t.Errorf("r%d: %d %s, %v", i+1, status, text, err)
@@ -86,31 +86,31 @@
 	}
 	refused("member r3 runs a build without configurations")
 	isOld.Store(false)
-	if err := s.procs[old].Kill(); err != nil { // its word is not to be had
+	if err := s.processes[old].Kill(); err != nil { // its word is not to be had
 		t.Fatal(err)
 	}
-	<-s.procs[old].Ended()
-	until(t, "a leader", func() bool { l = s.leader(); return l >= 0 })
-	status, _, text, err := s.putAt(l, 0, document("x"))
+	<-s.processes[old].Ended()
+	waitFor(t, "a leader", func() bool { l = s.leader(); return l >= 0 })
+	status, _, text, err := s.putConfigAt(l, 0, document("x"))
 	if err != nil || status != 503 || !strings.Contains(text, "r3 has not told") {
 		t.Errorf("a first one without r3: %d %s, %v", status, text, err)
 	}
 	s.start(old)
-	s.await()
-	version, _ := s.put(t, 0, document("first"))
-	if err := s.procs[old].Kill(); err != nil {
+	s.awaitServing()
+	version, _ := s.putConfig(t, 0, document("first"))
+	if err := s.processes[old].Kill(); err != nil {
 		t.Fatal(err)
 	}
-	<-s.procs[old].Ended()
-	version, _ = s.put(t, version, document("second"))
+	<-s.processes[old].Ended()
+	version, _ = s.putConfig(t, version, document("second"))
 	s.start(old)
-	s.await()
+	s.awaitServing()
 	isOld.Store(true) // set back to an older build
-	for i := range s.addrs {
+	for i := range s.addresses {
 		if i == old {
 			continue
 		}
-		if status, _, text, err := s.putAt(i, version, document("third")); err != nil || status != 503 && s.leader() != old {
+		if status, _, text, err := s.putConfigAt(i, version, document("third")); err != nil || status != 503 && s.leader() != old {
 			t.Errorf("r%d: %d %s, %v", i+1, status, text, err)
 		}
 	}
@@ -125,44 +125,44 @@
 	s := startService(t, 3)
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	for i := range s.procs { // all are replaced by the old build, one after another
-		swap(t, s, i, old)
+	for i := range s.processes { // all are replaced by the old build, one after another
+		replaceBuild(t, s, i, old)
 	}
-	if out, err := exec.CommandContext(ctx, old, "nodos", "register", "--at="+s.addrs[0], "n1", "127.0.0.1:1", "--lease=10m").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(ctx, old, "nodos", "register", "--at="+s.addresses[0], "n1", "127.0.0.1:1", "--lease=10m").CombinedOutput(); err != nil {
 		t.Fatalf("%s: %v", out, err)
 	}
 	for n := range 3 {
-		for i := range s.addrs {
-			status, _, text, err := s.putAt(i, 0, document("x"))
+		for i := range s.addresses {
+			status, _, text, err := s.putConfigAt(i, 0, document("x"))
 			isOld := i >= n
 			if err != nil || isOld && status != 404 && status != 405 || !isOld && status != 503 {
 				t.Errorf("%d new: r%d: %d %s, %v", n, i+1, status, text, err)
 			}
 		}
-		swap(t, s, n, program)
+		replaceBuild(t, s, n, program)
 	}
-	version, _ := s.put(t, 0, document("x"))
+	version, _ := s.putConfig(t, 0, document("x"))
 	if _, _, values, err := s.list(ctx, 1); err != nil || values["n1"] == "" {
 		t.Errorf("the list is lost: %v, %v", values, err)
 	}
-	swap(t, s, 0, old) // set back
-	until(t, "another to lead", func() bool { return s.leader() > 0 })
-	status, _, text, err := s.putAt(1, version, document("y"))
+	replaceBuild(t, s, 0, old) // set back
+	waitFor(t, "another to lead", func() bool { return s.leader() > 0 })
+	status, _, text, err := s.putConfigAt(1, version, document("y"))
 	if err != nil || status != 503 || !strings.Contains(text, "r1 runs a build without configurations") {
 		t.Errorf("after r1 was set back: %d %s, %v", status, text, err)
 	}
 }
 
 // swap ends a member and starts another build in its place.
-func swap(t *testing.T, s *cluster, i int, with string) {
+func replaceBuild(t *testing.T, s *cluster, i int, with string) {
 	t.Helper()
-	if err := s.procs[i].Kill(); err != nil {
+	if err := s.processes[i].Kill(); err != nil {
 		t.Fatal(err)
 	}
-	<-s.procs[i].Ended()
+	<-s.processes[i].Ended()
 	was := program
 	program = with
 	s.start(i)
 	program = was
-	s.await()
+	s.awaitServing()
 }
--- a/cmd/merlinpick-registry/partition_test.go
+++ b/cmd/merlinpick-registry/partition_test.go
@@ -13,44 +13,44 @@
 )
 
 // gate passes connections on between a member and the others, unless it is shut: then all break, and none come up.
-type gate struct {
-	mu    sync.Mutex
-	shut  bool
-	conns map[net.Conn]bool
+type breakableLink struct {
+	mu          sync.Mutex
+	broken      bool
+	connections map[net.Conn]bool
 }
 
-func (g *gate) keep(c net.Conn) bool {
+func (g *breakableLink) track(c net.Conn) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut {
+	if g.broken {
 		c.Close()
 		return false
 	}
-	g.conns[c] = true
+	g.connections[c] = true
 	return true
 }
 
-func (g *gate) set(shut bool) {
+func (g *breakableLink) setBroken(shut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = shut
+	g.broken = shut
 	if shut {
-		for c := range g.conns {
+		for c := range g.connections {
 			c.Close()
 		}
-		clear(g.conns)
+		clear(g.connections)
 	}
 }
 
 // to is an address that leads to another through the gate.
-func (g *gate) to(t *testing.T, addr string) string {
+func (g *breakableLink) relayTo(t *testing.T, addr string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var all sync.WaitGroup
-	t.Cleanup(func() { l.Close(); g.set(true); all.Wait() })
+	t.Cleanup(func() { l.Close(); g.setBroken(true); all.Wait() })
 	all.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -58,12 +58,12 @@
 				return
 			}
 			all.Go(func() {
-				if !g.keep(c) {
+				if !g.track(c) {
 					return
 				}
 				defer c.Close()
 				out, err := net.DialTimeout("tcp", addr, time.Second)
-				if err != nil || !g.keep(out) {
+				if err != nil || !g.track(out) {
 					return
 				}
 				defer out.Close()
@@ -81,42 +81,42 @@
 // A member that is cut off from the others takes no configuration, and those that watch it move on in time; once it is
 // back it has what was confirmed meanwhile.
 func TestPartitionedMemberRejectsConfigWrites(t *testing.T) {
-	gates := []*gate{{conns: map[net.Conn]bool{}}, {conns: map[net.Conn]bool{}}, {conns: map[net.Conn]bool{}}}
+	gates := []*breakableLink{{connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}}}
 	// Each member reaches each other one through the gates of both.
 	s := startService(t, 3, func(i int, f *config.File) {
 		for j := range f.Members {
 			if m := &f.Members[j]; i != j {
-				m.Raft, m.List = gates[i].to(t, gates[j].to(t, m.Raft)), gates[i].to(t, gates[j].to(t, m.List))
+				m.Raft, m.List = gates[i].relayTo(t, gates[j].relayTo(t, m.Raft)), gates[i].relayTo(t, gates[j].relayTo(t, m.List))
 			} else {
 				f.RaftListen = m.Raft
 			}
 		}
 	})
-	all := startFollowers(t, s, 6)
+	all := newProxies(t, s, 6)
 	for _, f := range all {
 		f.start()
 	}
-	version, at := s.put(t, 0, document("before"))
-	inForce(t, all, version, "before", at, patience)
+	version, at := s.putConfig(t, 0, document("before"))
+	awaitApplied(t, all, version, "before", at, patience)
 	l := s.awaitLeader(t)
-	gates[l].set(true)
+	gates[l].setBroken(true)
 	// Its own callers still reach it: it leads until it finds that it does not.
-	status, _, text, err := s.putAt(l, version, document("lost"))
+	status, _, text, err := s.putConfigAt(l, version, document("lost"))
 	if err != nil || status != 503 {
 		t.Errorf("cut off: %d %s, %v", status, text, err)
 	}
 	var confirmed int64
-	until(t, "the others to take one", func() bool {
-		status, v, _, err := s.putAt((l+1)%3, version, document("after"))
+	waitFor(t, "the others to take one", func() bool {
+		status, v, _, err := s.putConfigAt((l+1)%3, version, document("after"))
 		confirmed, at = v, time.Now()
 		return err == nil && status == 200
 	})
-	t.Logf("in force at all after %v", inForce(t, all, confirmed, "after", at, inForceWithin))
-	if text, err := get(t.Context(), time.Second, "http://"+s.addrs[l]+"/config/tarifas"); err == nil || !errors.Is(err, errRejected) {
+	t.Logf("in force at all after %v", awaitApplied(t, all, confirmed, "after", at, appliedWithin))
+	if text, err := get(t.Context(), time.Second, "http://"+s.addresses[l]+"/config/tarifas"); err == nil || !errors.Is(err, errRejected) {
 		t.Errorf("the one cut off tells %s, %v", text, err)
 	}
-	gates[l].set(false)
-	s.await()
+	gates[l].setBroken(false)
+	s.awaitServing()
 	if c := s.config(t, l); c.Version != confirmed || !bytes.Contains(c.Document, []byte("after")) {
 		t.Errorf("back, it has version %d, and %d was confirmed: %s", c.Version, confirmed, c.Document)
 	}
--- a/cmd/merlinpick-registry/proxies_test.go
+++ b/cmd/merlinpick-registry/proxies_test.go
@@ -21,35 +21,35 @@
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":1,"snapshot":true,"endpoints":[]},%s}`
 
 // rules is the part of a proxy's file that is a document too; its class names which one is in force.
-func rules(class string) string {
+func settingsMember(class string) string {
 	return fmt.Sprintf(`"settings":{"contract":{},"failure_domains":["a","b"],"limits":{"dial_timeout_us":100000,`+
 		`"idle_close_us":1000000,"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":800000,"name":%q,`+
 		`"objective_us":400000,"repeat":"idempotent","worth":1}],"siblings":3}`, class)
 }
 
-func document(class string) string { return "{" + rules(class) + "}" }
+func document(class string) string { return "{" + settingsMember(class) + "}" }
 
 // follower is a proxy as a real process.
-type follower struct {
+type proxyProcess struct {
 	*process.Process
-	t            *testing.T
-	starter      *process.Starter
-	name, mgmt   string
-	dir, members string
-	seed         int
+	t                *testing.T
+	starter          *process.Starter
+	name, management string
+	dir, members     string
+	seed             int
 }
 
-func startFollowers(t *testing.T, s *cluster, n int) []*follower {
+func newProxies(t *testing.T, s *cluster, n int) []*proxyProcess {
 	t.Helper()
-	var all []*follower
+	var all []*proxyProcess
 	for i := range n {
-		f := &follower{t: t, starter: s.starter, name: fmt.Sprintf("p%d", i+1), dir: t.TempDir(), seed: i + 1,
-			members: `"` + strings.Join(s.addrs, `","`) + `"`}
+		f := &proxyProcess{t: t, starter: s.starter, name: fmt.Sprintf("p%d", i+1), dir: t.TempDir(), seed: i + 1,
+			members: `"` + strings.Join(s.addresses, `","`) + `"`}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.mgmt = l.Addr().String()
+		f.management = l.Addr().String()
 		defer l.Close() // not before the others are chosen
 		all = append(all, f)
 		t.Cleanup(func() {
@@ -62,11 +62,11 @@
 	return all
 }
 
-func (f *follower) start() {
+func (f *proxyProcess) start() {
 	f.t.Helper()
 	path := filepath.Join(f.dir, "config.json")
-	if err := os.WriteFile(path, fmt.Appendf(nil, proxyText, f.name, "127.0.0.1:0", f.mgmt, f.members, filepath.Join(f.dir, "state"),
-		f.seed, rules("file")), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, proxyText, f.name, "127.0.0.1:0", f.management, f.members, filepath.Join(f.dir, "state"),
+		f.seed, settingsMember("file")), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 	p, err := f.starter.Start(process.Spec{Name: f.name, Command: []string{proxyProgram}, Dir: f.dir, Log: filepath.Join(f.dir, "log"),
@@ -78,11 +78,11 @@
 }
 
 // figures are what the management address shows; nothing while it does not answer.
-func (f *follower) figures() map[string]int64 {
+func (f *proxyProcess) metrics() map[string]int64 {
 	out := map[string]int64{}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.mgmt+"/v1/metrics", nil)
+	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.management+"/v1/metrics", nil)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return out
@@ -96,20 +96,20 @@
 }
 
 // has tells whether a version is in force, and the class that it has.
-func (f *follower) has(version int64, class string) bool {
-	figs := f.figures()
+func (f *proxyProcess) hasApplied(version int64, class string) bool {
+	figs := f.metrics()
 	_, named := figs["succeeded."+class]
 	return figs["config_version"] == version && named
 }
 
 // inForce waits until a version is in force at all, and gives how long after begun the last had it.
-func inForce(t *testing.T, all []*follower, version int64, class string, begun time.Time, within time.Duration) time.Duration {
+func awaitApplied(t *testing.T, all []*proxyProcess, version int64, class string, begun time.Time, within time.Duration) time.Duration {
 	t.Helper()
 	last := time.Duration(0)
 	for _, f := range all {
-		for !f.has(version, class) {
+		for !f.hasApplied(version, class) {
 			if time.Since(begun) > patience {
-				t.Fatalf("%s: version %d is not in force: %v", f.name, version, f.figures())
+				t.Fatalf("%s: version %d is not in force: %v", f.name, version, f.metrics())
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
--- a/cmd/merlinpick-registry/recovery_test.go
+++ b/cmd/merlinpick-registry/recovery_test.go
@@ -13,7 +13,7 @@
 // With full disks nothing is confirmed and nothing is lost; the list is told on, and when there is room all goes on.
 func TestFullDisksConfirmNothingAndRecover(t *testing.T) {
 	s := startService(t, 3)
-	c := registrar.New(s.addrs)
+	c := registrar.New(s.addresses)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	full := func(full bool) {
-		for _, p := range s.procs {
+		for _, p := range s.processes {
 			if err := p.DiskFull(full); err != nil {
 				t.Fatal(err)
 			}
@@ -34,7 +34,7 @@
 	if _, err := c.Register(short, record("during", 2)); err == nil || errors.As(err, &no) {
 		t.Errorf("registered on full disks: %v", err)
 	}
-	for i, p := range s.procs {
+	for i, p := range s.processes {
 		select {
 		case <-p.Ended():
 			t.Errorf("r%d ended: %v", i+1, p.Err())
@@ -45,7 +45,7 @@
 	if _, err := c.Register(ctx, record("after", 3)); err != nil {
 		t.Fatal(err)
 	}
-	s.await()
+	s.awaitServing()
 	if _, _, values, err := s.list(ctx, 0); err != nil || values["before"] == "" || values["after"] == "" {
 		t.Errorf("%v, %v", values, err)
 	}
@@ -54,19 +54,19 @@
 // A member that has lost its directory does not help to elect one who lacks what it had confirmed.
 func TestWipedMemberAbstainsUntilCaughtUp(t *testing.T) {
 	s := startService(t, 3)
-	c := registrar.New(s.addrs)
+	c := registrar.New(s.addresses)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	// The third is away while something is confirmed by the other two.
-	if err := s.procs[2].Kill(); err != nil {
+	if err := s.processes[2].Kill(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Register(ctx, record("n", 1)); err != nil {
 		t.Fatal(err)
 	}
 	for _, i := range []int{0, 1} {
-		if err := s.procs[i].Kill(); err != nil {
+		if err := s.processes[i].Kill(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 	s.start(0)
 	s.start(2)
-	until(t, "the wiped member to abstain", func() bool {
+	waitFor(t, "the wiped member to abstain", func() bool {
 		st, err := s.status(0)
 		return err == nil && st.Abstains
 	})
@@ -86,13 +86,13 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	s.start(1)
-	s.await()
-	for i := range s.addrs {
+	s.awaitServing()
+	for i := range s.addresses {
 		if _, _, values, err := s.list(ctx, i); err != nil || values["n"] == "" {
 			t.Errorf("r%d: %v, %v", i+1, values, err)
 		}
 	}
-	until(t, "the wiped member to vote again", func() bool {
+	waitFor(t, "the wiped member to vote again", func() bool {
 		st, err := s.status(0)
 		return err == nil && !st.Abstains
 	})
--- a/cmd/merlinpick-registry/rollout_bench_test.go
+++ b/cmd/merlinpick-registry/rollout_bench_test.go
@@ -13,20 +13,20 @@
 )
 
 // noted notes when a document came.
-type noted struct {
+type appliedLog struct {
 	mu sync.Mutex
 	at time.Time
 	n  int
 }
 
-func (n *noted) Apply(int64, []byte) error {
+func (n *appliedLog) Apply(int64, []byte) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.at, n.n = time.Now(), n.n+1
 	return nil
 }
 
-func (n *noted) last() (int, time.Time) {
+func (n *appliedLog) last() (int, time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.n, n.at
@@ -42,11 +42,11 @@
 			var clients sync.WaitGroup
 			defer clients.Wait()
 			defer stop()
-			all := make([]*noted, n)
+			all := make([]*appliedLog, n)
 			service := fmt.Sprint("of", n, "-", b.N)
 			put := func(after int64, class string) (int64, time.Time) {
 				for {
-					status, version, text, err := s.putFor(service, 0, after, document(class))
+					status, version, text, err := s.putServiceConfigAt(service, 0, after, document(class))
 					if err == nil && status == 200 {
 						return version, time.Now()
 					}
@@ -57,8 +57,8 @@
 			}
 			version, _ := put(0, "first")
 			for i := range all {
-				all[i] = &noted{}
-				c := rollout.New(rollout.Config{Service: service, ProxyName: fmt.Sprint("p", i), Members: s.addrs, Seed: uint64(i),
+				all[i] = &appliedLog{}
+				c := rollout.New(rollout.Config{Service: service, ProxyName: fmt.Sprint("p", i), Members: s.addresses, Seed: uint64(i),
 					Logger: slog.New(slog.DiscardHandler)}, all[i])
 				clients.Go(func() { c.Run(ctx) })
 			}
--- a/cmd/merlinpick-registry/slope_callers_test.go
+++ b/cmd/merlinpick-registry/slope_callers_test.go
@@ -25,7 +25,7 @@
 		for r := range runs {
 			s := startService(b, 1)
 			fill(b, s, 0, planned)
-			addr, count := relay(b, s.addrs[0])
+			addr, count := relay(b, s.addresses[0])
 			ctx, end := context.WithCancel(b.Context())
 			var all sync.WaitGroup
 			d := discovery.New(discovery.Config{Source: discovery.Source{Members: []string{addr}}, Seed: uint64(r), Logger: slog.New(slog.DiscardHandler)})
@@ -40,7 +40,7 @@
 				}
 			})
 			time.Sleep(settle)
-			c := registrar.New(s.addrs)
+			c := registrar.New(s.addresses)
 			var since atomic.Int64
 			since.Store(1_790_000_000_000)
 			for _, rate := range rates {
@@ -81,7 +81,7 @@
 		counts := make([][]*atomic.Int64, repeats)
 		for r := range runs {
 			for i, lease := range leases {
-				addr, count := relay(b, s.addrs[0])
+				addr, count := relay(b, s.addresses[0])
 				counts[r] = append(counts[r], count)
 				all.Go(func() {
 					c := registrar.New([]string{addr})
@@ -132,7 +132,7 @@
 	for b.Loop() {
 		s := startService(b, 1)
 		fill(b, s, 0, 1)
-		c := registrar.New(s.addrs)
+		c := registrar.New(s.addresses)
 		n := listed(0)
 		for r := range runs {
 			for _, rate := range rates {
--- a/cmd/merlinpick-registry/slope_test.go
+++ b/cmd/merlinpick-registry/slope_test.go
@@ -55,7 +55,7 @@
 }
 
 // used is the processor time that a process has taken, in seconds.
-func used(b *testing.B, pid int) float64 {
+func cpuSeconds(b *testing.B, pid int) float64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
 		b.Fatal(err)
@@ -78,7 +78,7 @@
 
 // fill registers nodos n0 to n(count-1), many at a time.
 func fill(b *testing.B, s *cluster, from, count int) {
-	c := registrar.New(s.addrs)
+	c := registrar.New(s.addresses)
 	defer c.Close()
 	var next atomic.Int64
 	next.Store(int64(from) - 1)
@@ -134,11 +134,11 @@
 		time.Sleep(settle)
 		l := s.leader()
 		f := (l + 1) % members
-		begun, lead, follow := time.Now(), used(b, s.procs[l].PID()), used(b, s.procs[f].PID())
+		begun, lead, follow := time.Now(), cpuSeconds(b, s.processes[l].PID()), cpuSeconds(b, s.processes[f].PID())
 		time.Sleep(spell)
 		took := time.Since(begun).Seconds()
-		leader = append(leader, 100*(used(b, s.procs[l].PID())-lead)/took)
-		follower = append(follower, 100*(used(b, s.procs[f].PID())-follow)/took)
+		leader = append(leader, 100*(cpuSeconds(b, s.processes[l].PID())-lead)/took)
+		follower = append(follower, 100*(cpuSeconds(b, s.processes[f].PID())-follow)/took)
 		if s.leader() != l {
 			b.Fatal("another leader: the run is void")
 		}
@@ -157,7 +157,7 @@
 		fill(b, s, 0, planned)
 		var clients []*registrar.Client
 		for i := range 50 {
-			clients = append(clients, registrar.New(s.addrs[i%members:i%members+1]))
+			clients = append(clients, registrar.New(s.addresses[i%members:i%members+1]))
 		}
 		for range repeats {
 			l, f := load(b, s, rates, func(ctx context.Context, rate float64) *sync.WaitGroup {
@@ -223,12 +223,12 @@
 		var all sync.WaitGroup
 		for i := range planned {
 			all.Go(func() {
-				if err := watcher(watching, s.addrs[i%members], index, line); err != nil && watching.Err() == nil {
+				if err := watcher(watching, s.addresses[i%members], index, line); err != nil && watching.Err() == nil {
 					b.Error(err)
 				}
 			})
 		}
-		c := registrar.New(s.addrs)
+		c := registrar.New(s.addresses)
 		var since, made atomic.Int64
 		since.Store(1_790_000_000_000)
 		for range repeats {
@@ -281,10 +281,10 @@
 			held := 0
 			for _, n := range sizes {
 				for ; held < int(n); held++ {
-					all.Go(func() { _ = watcher(ctx, s.addrs[0], index, line) })
+					all.Go(func() { _ = watcher(ctx, s.addresses[0], index, line) })
 				}
 				time.Sleep(settle)
-				runs[r] = append(runs[r], resident(b, s.procs[0].PID()))
+				runs[r] = append(runs[r], resident(b, s.processes[0].PID()))
 			}
 			end()
 			all.Wait()
@@ -305,7 +305,7 @@
 			for _, n := range sizes {
 				fill(b, s, has, int(n))
 				has = int(n)
-				resp, err := http.Get("http://" + s.addrs[0] + "/catalog/members")
+				resp, err := http.Get("http://" + s.addresses[0] + "/catalog/members")
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -315,7 +315,7 @@
 					b.Fatal(err)
 				}
 				time.Sleep(settle)
-				runs[r], bodies[r] = append(runs[r], resident(b, s.procs[0].PID())), append(bodies[r], float64(len(text)))
+				runs[r], bodies[r] = append(runs[r], resident(b, s.processes[0].PID())), append(bodies[r], float64(len(text)))
 			}
 		}
 	}
--- a/cmd/merlinpick-registry/watch_test.go
+++ b/cmd/merlinpick-registry/watch_test.go
@@ -21,7 +21,7 @@
 	}
 	watch := func() (status int, after string, took time.Duration) {
 		begun := time.Now()
-		resp, err := http.Get(fmt.Sprintf("http://%s/catalog/members?from=%d&hold_ms=60000", s.addrs[follower], index))
+		resp, err := http.Get(fmt.Sprintf("http://%s/catalog/members?from=%d&hold_ms=60000", s.addresses[follower], index))
 		if err != nil {
 			t.Error(err)
 			return 0, "", 0
@@ -38,7 +38,7 @@
 		status, after, _ := watch()
 		ended <- end{status, after}
 	}()
-	for i, p := range s.procs { // the follower is alone
+	for i, p := range s.processes { // the follower is alone
 		if i != follower {
 			if err := p.Kill(); err != nil {
 				t.Fatal(err)
