--- a/cmd/merlinpick-registry/bench_test.go
+++ b/cmd/merlinpick-registry/bench_test.go
@@ -22,7 +22,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// BenchmarkLeaderDeath is the time from a leader's death to the next write that is confirmed.
+// BenchmarkLeaderDeath measures the time from a leader's death to the next acknowledged write.
 func BenchmarkLeaderDeath(b *testing.B) {
 	s := startService(b, 3)
 	c := registrar.New(s.addresses)
@@ -50,7 +50,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkStart is the time from a member's start to its serving 10,000 nodos from disk.
+// BenchmarkStart measures the time from a member's start until it serves 10,000 endpoints from disk.
 func BenchmarkStart(b *testing.B) {
 	s := startService(b, 1)
 	i := state.Snapshot{Epoch: "l", Version: 1}
@@ -86,7 +86,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkCalls is calls a second of one member, by 32 callers: whole lists of 100 nodos, and renewals.
+// BenchmarkCalls measures the calls per second of one member, by 32 clients: whole lists of 100 endpoints, and renewals.
 func BenchmarkCalls(b *testing.B) {
 	s := startService(b, 1)
 	c := registrar.New(s.addresses)
@@ -97,7 +97,7 @@
 		}
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
-	var since atomic.Int64 // over all runs: an earlier start would be refused
+	var since atomic.Int64 // across all runs: an earlier start would be rejected
 	since.Store(1)
 	for name, call := range map[string]func(w int, i int64) error{
 		"whole": func(int, int64) error {
@@ -138,7 +138,7 @@
 	}
 }
 
-// BenchmarkWatcherMemory is what a watch that is held adds to a member's resident memory.
+// BenchmarkWatcherMemory measures the resident memory of a member for each watch in flight.
 func BenchmarkWatcherMemory(b *testing.B) {
 	const watchers = 5000
 	s := startService(b, 1)
@@ -170,7 +170,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkJoin is how late 300 clients hear of changes while six in ten of 100 nodos are replaced within 7 s and the
+// BenchmarkJoin measures how late 300 clients get changes while six in ten of 100 endpoints are replaced within 7 s and the
 // leader, which a third of them watch, is killed in the middle; and the most calls that a member gets in a second.
 func BenchmarkJoin(b *testing.B) {
 	const clients, nodos, replaced, lasts = 300, 100, 60, 7 * time.Second
@@ -244,7 +244,7 @@
 		for i := range heard {
 			t, ok := heard[i][key]
 			if !ok && strings.HasSuffix(key, state.StatusServing) {
-				missed++ // one that goes may be missing from a whole list instead
+				missed++ // a removed one may be missing from a whole list instead
 			}
 			if ok {
 				late = append(late, max(0, t.Sub(at).Seconds()*1000))
--- a/cmd/merlinpick-registry/cluster_test.go
+++ b/cmd/merlinpick-registry/cluster_test.go
@@ -47,7 +47,7 @@
 	return m.Run()
 }
 
-// cluster is some members as real processes.
+// cluster is a registry whose members are processes.
 type cluster struct {
 	t         testing.TB
 	starter   *process.Starter
@@ -56,7 +56,7 @@
 	processes []*process.Process
 }
 
-// startService starts them; view changes how a member finds the others, if that is not where they are.
+// startService starts a cluster and waits until it serves. View may change the addresses in a member's configuration.
 func startService(t testing.TB, members int, view ...func(i int, f *config.File)) *cluster {
 	t.Helper()
 	s := &cluster{t: t, starter: process.NewStarter(), dir: t.TempDir(), processes: make([]*process.Process, members)}
@@ -107,7 +107,7 @@
 	return s
 }
 
-// freeHost is a loopback address at which nothing listens: tests that run side by side have one each.
+// freeHost returns a loopback address at which nothing listens, so that tests run beside each other.
 func freeHost(t testing.TB) string {
 	t.Helper()
 	for range 100 {
@@ -144,7 +144,7 @@
 	return st, err
 }
 
-// await waits until all members serve.
+// awaitServing waits until all members serve.
 func (s *cluster) awaitServing() {
 	s.t.Helper()
 	waitFor(s.t, "all members to serve", func() bool {
@@ -157,7 +157,7 @@
 	})
 }
 
-// leader is the member that leads; -1 for none.
+// leader returns the index of the leader; -1 for none.
 func (s *cluster) leader() int {
 	for i := range s.addresses {
 		if st, err := s.status(i); err == nil && st.Role == "leader" && st.Serving {
@@ -181,8 +181,8 @@
 		Instance: fmt.Sprint("i", since), LeaseMs: state.MaxLease.Milliseconds()}
 }
 
-// list is a current list, of one member.
-func (s *cluster) list(ctx context.Context, i int) (line string, index int64, values map[string]string, err error) {
+// list reads the list from one member, linearizably. Values are by endpoint, as package linear has them.
+func (s *cluster) list(ctx context.Context, i int) (epoch string, version int64, values map[string]string, err error) {
 	text, err := get(ctx, 3*time.Second, "http://"+s.addresses[i]+"/catalog/members?consistent=1")
 	if err != nil {
 		return "", 0, nil, err
@@ -202,13 +202,13 @@
 	return l.Line, l.Index, values, nil
 }
 
-// stop stops a process, and returns once all of it stands still.
+// suspend stops a process, and returns once all its threads are stopped.
 func suspend(t *testing.T, p *process.Process) {
 	t.Helper()
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a process to stand still", func() bool {
+	waitFor(t, "a process to be suspended", func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.PID()))
 		if err != nil || len(tasks) == 0 {
 			t.Fatalf("%s: %v", p.Name, err)
--- a/cmd/merlinpick-registry/commands_test.go
+++ b/cmd/merlinpick-registry/commands_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// An only member keeps its list over a kill; a snapshot goes out and back in as a new line above the old; what is damaged
-// is refused by name.
+// A cluster of one keeps its list across a kill; a snapshot is saved and restored as a new epoch above the old; damaged
+// files are rejected by name.
 func TestSingleMemberCommands(t *testing.T) {
 	s := startService(t, 1)
 	at := "--at=" + s.addresses[0]
@@ -43,7 +43,7 @@
 			t.Errorf("figures lack %q: %v", figure, err)
 		}
 	}
-	line, before, _, err := s.list(t.Context(), 0)
+	epoch, before, _, err := s.list(t.Context(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,8 +57,8 @@
 	}
 	s.start(0)
 	s.awaitServing()
-	if l, index, values, err := s.list(t.Context(), 0); err != nil || l != line || index != before || len(values) != 1 {
-		t.Errorf("after a kill: line %q, version %d, %v, %v; before %q, %d", l, index, values, err, line, before)
+	if currentEpoch, version, values, err := s.list(t.Context(), 0); err != nil || currentEpoch != epoch || version != before || len(values) != 1 {
+		t.Errorf("after a kill: epoch %q, version %d, %v, %v; before %q, %d", currentEpoch, version, values, err, epoch, before)
 	}
 	call(0, "nodos", "drain", at, "n1")
 	call(0, "nodos", "deregister", at, "n1")
@@ -66,9 +66,9 @@
 	call(0, "nodos", "register", at, "n2", "127.0.0.1:1", "--lease=10m")
 	call(1, "snapshot", "restore", at, file) // without --yes
 	call(0, "snapshot", "restore", at, "--yes", file)
-	l, index, values, err := s.list(t.Context(), 0)
-	if err != nil || l == line || index <= before+3 || values["n1"] == "" || values["n2"] != "" {
-		t.Errorf("restored: line %q after %q, version %d after %d, %v, %v", l, line, index, before, values, err)
+	currentEpoch, version, values, err := s.list(t.Context(), 0)
+	if err != nil || currentEpoch == epoch || version <= before+3 || values["n1"] == "" || values["n2"] != "" {
+		t.Errorf("restored: epoch %q after %q, version %d after %d, %v, %v", currentEpoch, epoch, version, before, values, err)
 	}
 	if text, err = os.ReadFile(file); err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 	}
 	call(1, "snapshot", "inspect", file)
 	call(1, "snapshot", "restore", at, "--yes", file)
-	// SIGTERM is a clean end, and what is left is whole.
+	// SIGTERM is a graceful shutdown, and the directory is complete.
 	if clean, err := s.processes[0].End(patience); !clean || err != nil {
 		t.Errorf("clean %v, %v", clean, err)
 	}
--- a/cmd/merlinpick-registry/configcalls_test.go
+++ b/cmd/merlinpick-registry/configcalls_test.go
@@ -14,7 +14,7 @@
 	"merlinpick/internal/registry/api"
 )
 
-// putAt puts a document at one member.
+// putConfigAt writes a document at one member.
 func (s *cluster) putConfigAt(i int, after int64, body string) (status int, version int64, text string, err error) {
 	return s.putServiceConfigAt("tarifas", i, after, body)
 }
@@ -41,7 +41,8 @@
 	return resp.StatusCode, c.Version, string(raw), nil
 }
 
-// put repeats a put until it is answered yes or no, at one member after another, from the leader on.
+// putConfig repeats a write, at one member after another from the leader on, until it is accepted. It fails the test if it
+// is rejected.
 func (s *cluster) putConfig(t *testing.T, after int64, body string) (version int64, confirmed time.Time) {
 	t.Helper()
 	for end, i := time.Now().Add(patience), max(0, s.leader()); time.Now().Before(end); i++ {
@@ -82,7 +83,7 @@
 	return c
 }
 
-// watches are those that a member holds.
+// watchesAt returns the watches in flight at a member.
 func (s *cluster) watchesAt(t *testing.T, i int) (n int) {
 	t.Helper()
 	host, _, _ := net.SplitHostPort(s.addresses[i])
--- a/cmd/merlinpick-registry/kill_test.go
+++ b/cmd/merlinpick-registry/kill_test.go
@@ -16,7 +16,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// strike kills or stops members by chance until so many were killed: one, the leader, or all of them.
+// killAtRandom kills or suspends a random member, the leader, or all, until so many members were killed.
 func (s *cluster) killAtRandom(r *rand.Rand, kills int) {
 	for killed := 0; killed < kills; {
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
@@ -29,7 +29,7 @@
 		case 2:
 			targets = []int{0, 1, 2}
 		}
-		if r.IntN(4) == 0 { // it stands still for longer than an election, and comes back believing what it did
+		if r.IntN(4) == 0 { // suspended for longer than an election: it resumes with an outdated term
 			for _, i := range targets {
 				_ = s.processes[i].Signal(syscall.SIGSTOP)
 			}
@@ -55,8 +55,8 @@
 	}
 }
 
-// Whatever is killed and stopped: no acknowledged registration is lost, none happens twice, and what current reads say
-// has an order. ROSTER_KILLS asks for more than CI has time for: docs/discovery.md records 200.
+// Across kills and suspensions, no acknowledged registration is lost, none takes effect twice, and the history of
+// linearizable reads and writes is linearizable. ROSTER_KILLS sets the number of kills.
 func TestKillsLoseNoAcknowledgedWrite(t *testing.T) {
 	kills := 8
 	if v := os.Getenv("ROSTER_KILLS"); v != "" {
@@ -81,7 +81,7 @@
 			c := registrar.New(s.addresses)
 			defer c.Close()
 			r := rand.New(rand.NewPCG(uint64(w), 1))
-			// Each word is repeated until it is answered: what was under way at a kill may have happened or not.
+			// Each call is repeated until it is decided: one in flight at a kill may have taken effect or not.
 			say := func(kind linear.Kind, rec state.Record, value string, call func(context.Context) error) bool {
 				end := h.Begin(kind, rec.Name, rec.Instance, w+1)
 				bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), patience)
--- a/cmd/merlinpick-registry/oldbuild_test.go
+++ b/cmd/merlinpick-registry/oldbuild_test.go
@@ -20,15 +20,15 @@
 	"merlinpick/internal/registry/config"
 )
 
-// While a member does not say that it knows configurations, as builds before them do not, none is taken, at any member;
-// a first one needs the word of all, and later ones do not wait for one that is away.
+// While a member does not answer that it supports configurations, as builds before them do not, no member accepts a write.
+// The first write needs all members' answers; later ones do not wait for a member that is down.
 func TestOldBuildBlocksConfigWrites(t *testing.T) {
 	const old = 2
 	var isOld atomic.Bool
 	isOld.Store(true)
 	var mu sync.Mutex
 	fronts := map[string]string{}
-	// The others find the last member's list behind one that says what an older build would.
+	// The others reach the last member's API through a proxy that answers as an older build would.
 	s := startService(t, 3, func(i int, f *config.File) {
 		if i == old {
 			return
@@ -63,7 +63,7 @@
 		m.List = fronts[m.List]
 	})
 	l := s.awaitLeader(t)
-	for l == old { // the old one's own word is its own: have another lead
+	for l == old { // a leader does not ask itself: have another member lead
 		if err := s.processes[old].Kill(); err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 	}
 	refused("member r3 runs a build without configurations")
 	isOld.Store(false)
-	if err := s.processes[old].Kill(); err != nil { // its word is not to be had
+	if err := s.processes[old].Kill(); err != nil { // it does not answer
 		t.Fatal(err)
 	}
 	<-s.processes[old].Ended()
@@ -105,7 +105,7 @@
 	version, _ = s.putConfig(t, version, document("second"))
 	s.start(old)
 	s.awaitServing()
-	isOld.Store(true) // set back to an older build
+	isOld.Store(true) // downgraded
 	for i := range s.addresses {
 		if i == old {
 			continue
@@ -116,7 +116,7 @@
 	}
 }
 
-// A build from before configurations, if one is at hand (ROSTER_OLD names its program), takes no harm and does none.
+// A real build without configurations, which ROSTER_OLD names, blocks writes of them and is not harmed by them.
 func TestRealOldBuildBlocksConfigWrites(t *testing.T) {
 	old := os.Getenv("ROSTER_OLD")
 	if old == "" {
@@ -125,7 +125,7 @@
 	s := startService(t, 3)
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	for i := range s.processes { // all are replaced by the old build, one after another
+	for i := range s.processes { // downgrade all, one after another
 		replaceBuild(t, s, i, old)
 	}
 	if out, err := exec.CommandContext(ctx, old, "nodos", "register", "--at="+s.addresses[0], "n1", "127.0.0.1:1", "--lease=10m").CombinedOutput(); err != nil {
@@ -145,7 +145,7 @@
 	if _, _, values, err := s.list(ctx, 1); err != nil || values["n1"] == "" {
 		t.Errorf("the list is lost: %v, %v", values, err)
 	}
-	replaceBuild(t, s, 0, old) // set back
+	replaceBuild(t, s, 0, old) // downgrade
 	waitFor(t, "another to lead", func() bool { return s.leader() > 0 })
 	status, _, text, err := s.putConfigAt(1, version, document("y"))
 	if err != nil || status != 503 || !strings.Contains(text, "r1 runs a build without configurations") {
@@ -153,7 +153,7 @@
 	}
 }
 
-// swap ends a member and starts another build in its place.
+// replaceBuild kills a member and starts another build in its place.
 func replaceBuild(t *testing.T, s *cluster, i int, with string) {
 	t.Helper()
 	if err := s.processes[i].Kill(); err != nil {
--- a/cmd/merlinpick-registry/partition_test.go
+++ b/cmd/merlinpick-registry/partition_test.go
@@ -12,7 +12,7 @@
 	"merlinpick/internal/registry/config"
 )
 
-// gate passes connections on between a member and the others, unless it is shut: then all break, and none come up.
+// breakableLink relays connections between a member and the others. While it is broken, it has none.
 type breakableLink struct {
 	mu          sync.Mutex
 	broken      bool
@@ -42,7 +42,7 @@
 	}
 }
 
-// to is an address that leads to another through the gate.
+// relayTo returns an address that is relayed to another through the link.
 func (g *breakableLink) relayTo(t *testing.T, addr string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,11 +78,10 @@
 	return l.Addr().String()
 }
 
-// A member that is cut off from the others takes no configuration, and those that watch it move on in time; once it is
-// back it has what was confirmed meanwhile.
+// A partitioned member accepts no write, and its watches move on in time. Once it is back it has what was written meanwhile.
 func TestPartitionedMemberRejectsConfigWrites(t *testing.T) {
 	gates := []*breakableLink{{connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}}}
-	// Each member reaches each other one through the gates of both.
+	// Each member reaches each other one through the links of both.
 	s := startService(t, 3, func(i int, f *config.File) {
 		for j := range f.Members {
 			if m := &f.Members[j]; i != j {
@@ -100,7 +99,7 @@
 	awaitApplied(t, all, version, "before", at, patience)
 	l := s.awaitLeader(t)
 	gates[l].setBroken(true)
-	// Its own callers still reach it: it leads until it finds that it does not.
+	// Clients still reach it, and it leads until its leadership is checked.
 	status, _, text, err := s.putConfigAt(l, version, document("lost"))
 	if err != nil || status != 503 {
 		t.Errorf("cut off: %d %s, %v", status, text, err)
@@ -113,7 +112,7 @@
 	})
 	t.Logf("in force at all after %v", awaitApplied(t, all, confirmed, "after", at, appliedWithin))
 	if text, err := get(t.Context(), time.Second, "http://"+s.addresses[l]+"/config/tarifas"); err == nil || !errors.Is(err, errRejected) {
-		t.Errorf("the one cut off tells %s, %v", text, err)
+		t.Errorf("the partitioned member answers %s, %v", text, err)
 	}
 	gates[l].setBroken(false)
 	s.awaitServing()
--- a/cmd/merlinpick-registry/proxies_test.go
+++ b/cmd/merlinpick-registry/proxies_test.go
@@ -20,7 +20,7 @@
 const proxyText = `{"name":%q,"listen":%q,"mgmt":%q,"discovery_members":[%s],"discovery_state":%q,"config_service":"tarifas","seed":"%d",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":1,"snapshot":true,"endpoints":[]},%s}`
 
-// rules is the part of a proxy's file that is a document too; its class names which one is in force.
+// settingsMember is the part of a proxy's file that a document has too; its class tells documents apart.
 func settingsMember(class string) string {
 	return fmt.Sprintf(`"settings":{"contract":{},"failure_domains":["a","b"],"limits":{"dial_timeout_us":100000,`+
 		`"idle_close_us":1000000,"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":800000,"name":%q,`+
@@ -29,7 +29,7 @@
 
 func document(class string) string { return "{" + settingsMember(class) + "}" }
 
-// follower is a proxy as a real process.
+// proxyProcess is a proxy as a process.
 type proxyProcess struct {
 	*process.Process
 	t                *testing.T
@@ -50,7 +50,7 @@
 			t.Fatal(err)
 		}
 		f.management = l.Addr().String()
-		defer l.Close() // not before the others are chosen
+		defer l.Close() // keeps its port until all are chosen
 		all = append(all, f)
 		t.Cleanup(func() {
 			_ = f.Kill()
@@ -77,7 +77,7 @@
 	f.Process = p
 }
 
-// figures are what the management address shows; nothing while it does not answer.
+// metrics are those of the management address; empty while it does not answer.
 func (f *proxyProcess) metrics() map[string]int64 {
 	out := map[string]int64{}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -95,14 +95,14 @@
 	return out
 }
 
-// has tells whether a version is in force, and the class that it has.
+// hasApplied reports whether the proxy has applied a version, with its class.
 func (f *proxyProcess) hasApplied(version int64, class string) bool {
 	figs := f.metrics()
 	_, named := figs["succeeded."+class]
 	return figs["config_version"] == version && named
 }
 
-// inForce waits until a version is in force at all, and gives how long after begun the last had it.
+// awaitApplied waits until all proxies have applied a version, and returns how long after begun the last one had.
 func awaitApplied(t *testing.T, all []*proxyProcess, version int64, class string, begun time.Time, within time.Duration) time.Duration {
 	t.Helper()
 	last := time.Duration(0)
--- a/cmd/merlinpick-registry/recovery_test.go
+++ b/cmd/merlinpick-registry/recovery_test.go
@@ -10,7 +10,7 @@
 	"merlinpick/internal/registry/registrar"
 )
 
-// With full disks nothing is confirmed and nothing is lost; the list is told on, and when there is room all goes on.
+// With full disks nothing is acknowledged or lost, the list is still served, and writes go on when there is room.
 func TestFullDisksConfirmNothingAndRecover(t *testing.T) {
 	s := startService(t, 3)
 	c := registrar.New(s.addresses)
@@ -51,14 +51,14 @@
 	}
 }
 
-// A member that has lost its directory does not help to elect one who lacks what it had confirmed.
+// A member that has lost its directory does not vote for one that lacks what it had acknowledged.
 func TestWipedMemberAbstainsUntilCaughtUp(t *testing.T) {
 	s := startService(t, 3)
 	c := registrar.New(s.addresses)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	// The third is away while something is confirmed by the other two.
+	// The third is down while the other two acknowledge a registration.
 	if err := s.processes[2].Kill(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/merlinpick-registry/rollout_bench_test.go
+++ b/cmd/merlinpick-registry/rollout_bench_test.go
@@ -12,7 +12,7 @@
 	"merlinpick/internal/rollout"
 )
 
-// noted notes when a document came.
+// appliedLog records when documents were applied.
 type appliedLog struct {
 	mu sync.Mutex
 	at time.Time
@@ -32,8 +32,8 @@
 	return n.n, n.at
 }
 
-// BenchmarkRollout is a change from its confirmation until it is in force at so many clients of five members, all of one
-// service: at the median, at 99 in 100, and the last.
+// BenchmarkRollout measures the time from an acknowledged write until clients of five members have applied it: the median,
+// the 99th percentile, and the last.
 func BenchmarkRollout(b *testing.B) {
 	s := startService(b, 5)
 	for _, n := range []int{30, 100, 300, 1300} {
--- a/cmd/merlinpick-registry/rollout_test.go
+++ b/cmd/merlinpick-registry/rollout_test.go
@@ -15,10 +15,10 @@
 	"merlinpick/internal/rollout"
 )
 
-// inForceWithin is what the operators ask for.
+// appliedWithin is the documented bound.
 const appliedWithin = 9 * time.Second
 
-// Whatever fails under way, a change is in force at all proxies in time, once, and nothing faulty is.
+// Whatever fails meanwhile, all proxies apply a change in time, once, and apply no invalid one.
 func TestConfigChangeIsAppliedDespiteFailures(t *testing.T) {
 	s := startService(t, 3)
 	all := newProxies(t, s, 6)
@@ -26,9 +26,9 @@
 		f.start()
 	}
 	version, at := s.putConfig(t, 0, document("first"))
-	awaitApplied(t, all, version, "first", at, patience) // they start meanwhile
+	awaitApplied(t, all, version, "first", at, patience) // the proxies are starting
 	n := 0
-	// change puts the next one; do strikes as it is put.
+	// change writes the next document, with do running beside it.
 	change := func(t *testing.T, do func(), undo func()) {
 		t.Helper()
 		n++
@@ -54,7 +54,7 @@
 		l, i := s.awaitLeader(t), -1
 		waitFor(t, "a follower to have watches", func() bool {
 			for j := range s.addresses {
-				if j != l && s.watchesAt(t, j) > 1 { // of the list and of the configuration
+				if j != l && s.watchesAt(t, j) > 1 { // one of the list and one of the configuration
 					i = j
 				}
 			}
@@ -164,7 +164,7 @@
 			t.Fatal(err)
 		}
 		<-p.Ended()
-		p.start() // with the service down
+		p.start() // while the registry is down
 		waitFor(t, "the proxy to have what was in force", func() bool { return p.hasApplied(version, "row29") })
 		if age := p.metrics()["config_age_ms"]; age != -1 {
 			t.Errorf("a member answered %d ms ago", age)
--- a/cmd/merlinpick-registry/slope_callers_test.go
+++ b/cmd/merlinpick-registry/slope_callers_test.go
@@ -16,7 +16,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// BenchmarkSlopeFollowing is a proxy's control bytes, in and out, by changes of the list: the client that proxies have.
+// BenchmarkSlopeFollowing measures a proxy client's control bytes, in and out, by changes of the list.
 func BenchmarkSlopeFollowing(b *testing.B) {
 	rates := []float64{0, 60, 600, 3120, 6240} // a minute; the last two are the greatest release, and that of twice the nodos
 	const took = 15 * time.Second
@@ -68,7 +68,7 @@
 		Unit: "B/s", Of: "changes a minute", Note: "one proxy's client with 1,300 nodos listed; changes within 50 ms are told together; HTTP heads and bodies, without what TCP and IP add"})
 }
 
-// BenchmarkSlopeKeeping is a nodo's control bytes, in and out, by renewals: leases of 4, 2 and 1 s, kept as nodos keep them.
+// BenchmarkSlopeKeeping measures a server's control bytes, in and out, by renewals: leases of 4, 2 and 1 s.
 func BenchmarkSlopeKeeping(b *testing.B) {
 	leases := []float64{4, 2, 1}
 	const took = 24 * time.Second
@@ -117,7 +117,7 @@
 		Unit: "B/s", Of: "renewals a second of a nodo", Note: "leases of 4, 2 and 1 s; HTTP heads and bodies, without what TCP and IP add"})
 }
 
-// BenchmarkSlopeRenewing is a nodo's processor time by renewals, alone in this process.
+// BenchmarkSlopeRenewing measures a server's processor time by renewals, alone in this process.
 func BenchmarkSlopeRenewing(b *testing.B) {
 	rates := []float64{1, 3, 10}
 	const settle, spell = 500 * time.Millisecond, 4 * time.Second
--- a/cmd/merlinpick-registry/slope_test.go
+++ b/cmd/merlinpick-registry/slope_test.go
@@ -39,7 +39,7 @@
 	planned = 1300 // nodos and proxies, where something else grows
 )
 
-// slope is what all slopes of this file have in common.
+// slope fits a line through measurements and records it as a figure of the capacity page.
 func slope(b *testing.B, sizes []float64, runs [][]float64, s capacity.Slope) {
 	b.Helper()
 	if b.Failed() {
@@ -54,7 +54,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// used is the processor time that a process has taken, in seconds.
+// cpuSeconds returns the processor time that a process has used, in seconds.
 func cpuSeconds(b *testing.B, pid int) float64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
@@ -63,10 +63,10 @@
 	f := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+2:]))
 	user, _ := strconv.ParseFloat(f[11], 64)
 	system, _ := strconv.ParseFloat(f[12], 64)
-	return (user + system) / 100 // ticks, as Linux tells them on all machines
+	return (user + system) / 100 // clock ticks; Linux has 100 per second
 }
 
-// resident is the memory that a process has, in MB.
+// resident returns a process's resident memory, in MB.
 func resident(b *testing.B, pid int) float64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "statm"))
 	if err != nil {
@@ -76,7 +76,7 @@
 	return pages * float64(os.Getpagesize()) / 1e6
 }
 
-// fill registers nodos n0 to n(count-1), many at a time.
+// fill registers endpoints n0 to n(count-1), many at a time.
 func fill(b *testing.B, s *cluster, from, count int) {
 	c := registrar.New(s.addresses)
 	defer c.Close()
@@ -96,7 +96,7 @@
 	all.Wait()
 }
 
-// listed is a nodo with names as long as real ones.
+// listed returns an endpoint with names as long as real ones.
 func listed(i int) state.Record {
 	r := record(fmt.Sprintf("s-%08x", i), 1_790_000_000_000)
 	r.Address, r.Zone, r.Type = fmt.Sprintf("10.%d.%d.18:8443", i/250, i%250), fmt.Sprintf("zone-%d", i%9), "m2"
@@ -104,7 +104,7 @@
 	return r
 }
 
-// pace calls do at a rate, spread over callers, until the context ends.
+// pace calls do at a rate, spread over callers, until ctx ends.
 func pace(ctx context.Context, rate float64, callers int, do func(caller, i int)) *sync.WaitGroup {
 	var all sync.WaitGroup
 	if rate == 0 {
@@ -126,7 +126,7 @@
 	return &all
 }
 
-// load measures the leader's and a follower's processor time, as a part of a core, at each rate.
+// load measures the leader's and a follower's processor time, as a fraction of a core, at each rate.
 func load(b *testing.B, s *cluster, rates []float64, at func(ctx context.Context, rate float64) *sync.WaitGroup) (leader, follower []float64) {
 	for _, rate := range rates {
 		ctx, stop := context.WithCancel(b.Context())
@@ -148,7 +148,7 @@
 	return leader, follower
 }
 
-// BenchmarkSlopeRenewals is what renewals cost the members: five, 1,300 nodos, each member taking as many.
+// BenchmarkSlopeRenewals measures the cost of renewals: five members, 1,300 endpoints, spread evenly over the members.
 func BenchmarkSlopeRenewals(b *testing.B) {
 	rates := []float64{100, 400, 1300}
 	var leader, follower [][]float64
@@ -181,7 +181,7 @@
 	slope(b, rates, follower, is)
 }
 
-// watcher watches as a proxy does, and asks again at once.
+// watcher watches the list as a proxy does, without pauses.
 func watcher(ctx context.Context, addr string, from int64, line string) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -208,7 +208,7 @@
 	}
 }
 
-// BenchmarkSlopeChanges is what changes of the list cost the members: five, 1,300 nodos, 1,300 watches, 260 at each.
+// BenchmarkSlopeChanges measures the cost of changes: five members, 1,300 endpoints, 1,300 watches, 260 at each member.
 func BenchmarkSlopeChanges(b *testing.B) {
 	rates := []float64{30, 120, 300} // a minute; more than that wants a machine without other work
 	var leader, follower [][]float64
@@ -264,7 +264,7 @@
 	slope(b, rates, follower, is)
 }
 
-// BenchmarkSlopeWatches is a member's memory by watches held, with 1,300 nodos in its list.
+// BenchmarkSlopeWatches measures a member's memory by watches in flight, with 1,300 endpoints.
 func BenchmarkSlopeWatches(b *testing.B) {
 	sizes := []float64{260, 867, 2600}
 	runs := make([][]float64, repeats)
@@ -294,7 +294,7 @@
 		Unit: "MB", Of: "watches", Note: "one member on its own"})
 }
 
-// BenchmarkSlopeNodos is a member's memory by nodos in its list, and how long the whole list is.
+// BenchmarkSlopeNodos measures a member's memory and the length of a whole list by endpoints.
 func BenchmarkSlopeNodos(b *testing.B) {
 	sizes := []float64{150, 1300, 2600, 5200}
 	runs, bodies := make([][]float64, repeats), make([][]float64, repeats)
@@ -325,7 +325,7 @@
 		Unit: "bytes", Of: "listed nodos", Note: "the body alone"})
 }
 
-// relay passes connections on to a member and counts their bytes, both ways.
+// relay relays connections to a member and counts their bytes, both ways.
 func relay(b *testing.B, to string) (addr string, count *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/merlinpick-registry/watch_test.go
+++ b/cmd/merlinpick-registry/watch_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Watches beyond the limit are turned away at once, and held ones are told when the leader is lost.
+// A member that loses its quorum answers the watches in flight, and new ones, with 503.
 func TestWatchEndsWhenQuorumIsLost(t *testing.T) {
 	s := startService(t, 3)
 	l := s.leader()
@@ -38,7 +38,7 @@
 		status, after, _ := watch()
 		ended <- end{status, after}
 	}()
-	for i, p := range s.processes { // the follower is alone
+	for i, p := range s.processes { // the follower loses its quorum
 		if i != follower {
 			if err := p.Kill(); err != nil {
 				t.Fatal(err)
@@ -51,7 +51,7 @@
 			t.Errorf("%+v", e)
 		}
 	case <-time.After(patience):
-		t.Error("a watch is held by a member that has lost the leader")
+		t.Error("a watch stays in flight at a member that has lost the leader")
 	}
 	if status, _, _ := watch(); status != http.StatusServiceUnavailable {
 		t.Errorf("a new watch got %d", status)
--- a/internal/registry/api/api_test.go
+++ b/internal/registry/api/api_test.go
@@ -17,20 +17,20 @@
 	"merlinpick/internal/registry/state"
 )
 
-// open is an only member behind its address.
-func open(b testing.TB, watchers int) (*raftnode.Node, *Server) {
+// openServer starts a cluster of one with its API, and waits until it serves.
+func openServer(b testing.TB, watchers int) (*raftnode.Node, *Server) {
 	b.Helper()
 	log := slog.New(slog.DiscardHandler)
 	s, err := Listen(Config{Listen: "127.0.0.1:0", Name: "r1", MaxWatches: watchers, Logger: log})
 	if err != nil {
 		b.Fatal(err)
 	}
-	m, err := raftnode.Open(b.Context(), raftnode.Config{Name: "r1", Dir: b.TempDir(), ElectionTimeout: 100 * time.Millisecond,
+	node, err := raftnode.Open(b.Context(), raftnode.Config{Name: "r1", Dir: b.TempDir(), ElectionTimeout: 100 * time.Millisecond,
 		MaxListAge: time.Minute, Lease: lease.DefaultConfig(), Logger: log})
 	if err != nil {
 		b.Fatal(err)
 	}
-	s.SetNode(m)
+	s.SetNode(node)
 	served := make(chan error, 1)
 	go func() { served <- s.Serve() }()
 	b.Cleanup(func() {
@@ -38,17 +38,17 @@
 		if err := <-served; err != nil {
 			b.Error(err)
 		}
-		if err := m.Close(); err != nil {
+		if err := node.Close(); err != nil {
 			b.Error(err)
 		}
 	})
-	for !m.Serving() {
+	for !node.Serving() {
 		time.Sleep(10 * time.Millisecond)
 	}
-	return m, s
+	return node, s
 }
 
-// call makes a call and gives its answer.
+// call makes a call and returns the answer's status, Retry-After and body.
 func call(t testing.TB, s *Server, method, path, body string) (status int, after, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.Addr()+path, strings.NewReader(body))
@@ -69,10 +69,10 @@
 
 const body = `{"address":"127.0.0.1:1","zone":"a","instance":"i","lease_ms":60000}`
 
-// What is wrong is said, and changes nothing.
+// An invalid call is answered with what is wrong, and changes nothing.
 func TestInvalidCalls(t *testing.T) {
-	m, s := open(t, 10)
-	_, before := m.Version()
+	node, s := openServer(t, 10)
+	_, before := node.Version()
 	for _, c := range []struct {
 		method, path, body string
 		want               int
@@ -100,17 +100,17 @@
 			t.Errorf("%s %s %.80s: %d %s, wanted %d and %q", c.method, c.path, c.body, status, text, c.want, c.says)
 		}
 	}
-	if _, after := m.Version(); after != before {
+	if _, after := node.Version(); after != before {
 		t.Errorf("version %d became %d", before, after)
 	}
 }
 
-// By from and line a caller gets changes, the whole list, or waits, and the published form is kept.
+// By its version and epoch a client gets changes, the whole list, or waits, in the published form.
 func TestListWatch(t *testing.T) {
-	m, s := open(t, 2)
-	line, base := m.Version()
-	register(t, m, "a", 1)
-	index := register(t, m, "b", 1)
+	node, s := openServer(t, 2)
+	epoch, base := node.Version()
+	register(t, node, "a", 1)
+	version := register(t, node, "b", 1)
 	for _, c := range []struct {
 		query        string
 		whole        bool
@@ -118,13 +118,13 @@
 	}{
 		{"", true, 2, 200},
 		{"?consistent=1", true, 2, 200},
-		{fmt.Sprint("?from=", index-1, "&hold_ms=1000"), false, 1, 200},
-		{fmt.Sprint("?from=", index, "&hold_ms=1"), false, 0, 200},
-		{fmt.Sprint("?from=", base, "&line=", line), false, 2, 200},
-		{"?from=5", true, 2, 200},                                                // before all that is kept
-		{fmt.Sprint("?from=", index+9, "&hold_ms=60000"), true, 2, 200},          // rolled back, as far as a caller without a line knows
-		{fmt.Sprint("?from=", index, "&line=other&hold_ms=60000"), true, 2, 200}, // another line
-		{fmt.Sprint("?from=", index+9, "&hold_ms=1&line=", line), false, 0, 503}, // this member is behind
+		{fmt.Sprint("?from=", version-1, "&hold_ms=1000"), false, 1, 200},
+		{fmt.Sprint("?from=", version, "&hold_ms=1"), false, 0, 200},
+		{fmt.Sprint("?from=", base, "&line=", epoch), false, 2, 200},
+		{"?from=5", true, 2, 200},                                                   // before all retained changes
+		{fmt.Sprint("?from=", version+9, "&hold_ms=60000"), true, 2, 200},           // rolled back, as far as a client without an epoch knows
+		{fmt.Sprint("?from=", version, "&line=other&hold_ms=60000"), true, 2, 200},  // another epoch
+		{fmt.Sprint("?from=", version+9, "&hold_ms=1&line=", epoch), false, 0, 503}, // this member is behind
 	} {
 		status, after, text := call(t, s, "GET", "/catalog/members"+c.query, "")
 		var l struct {
@@ -142,23 +142,23 @@
 			}
 			continue
 		}
-		if err := json.Unmarshal([]byte(text), &l); err != nil || l.Index == nil || *l.Index != index || *l.Snapshot != c.whole ||
+		if err := json.Unmarshal([]byte(text), &l); err != nil || l.Index == nil || *l.Index != version || *l.Snapshot != c.whole ||
 			len(l.Endpoints) != c.nodos {
 			t.Errorf("%s: %s (%v)", c.query, text, err)
 		}
 	}
-	// Two watches are held; a third is turned away at once, and the two are told.
-	held := []*caller{dial(t, s.Addr()), dial(t, s.Addr())}
+	// A third watch is rejected at once; a change answers the two in flight.
+	held := []*rawClient{dial(t, s.Addr()), dial(t, s.Addr())}
 	for _, c := range held {
-		c.ask(index)
+		c.ask(version)
 	}
 	for s.Metrics().Watches < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	if status, after, _ := call(t, s, "GET", fmt.Sprint("/catalog/members?hold_ms=60000&from=", index), ""); status != 503 || after == "" {
+	if status, after, _ := call(t, s, "GET", fmt.Sprint("/catalog/members?hold_ms=60000&from=", version), ""); status != 503 || after == "" {
 		t.Errorf("a third watch: %d, Retry-After %q", status, after)
 	}
-	register(t, m, "c", 1)
+	register(t, node, "c", 1)
 	for _, c := range held {
 		if err := c.take(); err != nil {
 			t.Error(err)
@@ -166,15 +166,15 @@
 	}
 }
 
-// A caller that does not read what it asked for delays nobody.
+// A client that does not read its answers delays no other.
 func TestSlowClientDelaysNobody(t *testing.T) {
-	m, s := open(t, 10)
-	i := m.StateSnapshot()
+	node, s := openServer(t, 10)
+	snapshot := node.StateSnapshot()
 	for k := range 5000 {
-		i.Records = append(i.Records, state.Record{Endpoint: state.Endpoint{Name: fmt.Sprintf("s-%08x", k), Address: "10.1.0.18:8443", Zone: "a",
+		snapshot.Records = append(snapshot.Records, state.Record{Endpoint: state.Endpoint{Name: fmt.Sprintf("s-%08x", k), Address: "10.1.0.18:8443", Zone: "a",
 			Status: state.StatusServing, Weight: 1}, Instance: "1", LeaseMs: 60_000})
 	}
-	if _, _, err := m.Restore(i); err != nil {
+	if _, _, err := node.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
@@ -183,18 +183,18 @@
 			slow.ask(0)
 		}
 	}
-	_, index := m.Version()
+	_, version := node.Version()
 	quick := dial(t, s.Addr())
-	quick.ask(index)
-	register(t, m, "n", 1)
+	quick.ask(version)
+	register(t, node, "n", 1)
 	if err := quick.take(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Whatever comes as a registration, the list stays one that makes sense.
+// After any registration, the state passes its check.
 func FuzzRegister(f *testing.F) {
-	m, s := open(f, 10)
+	node, s := openServer(f, 10)
 	f.Add([]byte(body))
 	f.Add([]byte(`{"address":":","instance":"\u0000","weight":1e300,"lease_ms":1000,"status":"DELETED"}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -203,8 +203,8 @@
 		if w.Code != 200 && w.Code != 400 && w.Code != 409 {
 			t.Errorf("%q: %d %s", data, w.Code, w.Body)
 		}
-		i := m.StateSnapshot()
-		if err := i.Check(); err != nil {
+		snapshot := node.StateSnapshot()
+		if err := snapshot.Check(); err != nil {
 			t.Errorf("%q left %v", data, err)
 		}
 	})
--- a/internal/registry/api/bench_test.go
+++ b/internal/registry/api/bench_test.go
@@ -18,9 +18,9 @@
 	"merlinpick/internal/registry/watch"
 )
 
-func register(b testing.TB, m *raftnode.Node, name string, since int64) int64 {
+func register(b testing.TB, node *raftnode.Node, name string, since int64) int64 {
 	b.Helper()
-	r, err := m.Propose(state.Command{Kind: state.CommandRegister, Record: &state.Record{Endpoint: state.Endpoint{Name: name, Address: "127.0.0.1:1",
+	r, err := node.Propose(state.Command{Kind: state.CommandRegister, Record: &state.Record{Endpoint: state.Endpoint{Name: name, Address: "127.0.0.1:1",
 		Zone: "a", Type: "t", Status: state.StatusServing, Weight: 1, StartedAtMs: since}, Instance: fmt.Sprint(since),
 		LeaseMs: state.MaxLease.Milliseconds()}})
 	if err != nil || r.Code != state.ResultDone {
@@ -29,8 +29,8 @@
 	return r.Version
 }
 
-// naive is the service without shared answers: each caller that is woken encodes its own.
-func naive(b *testing.B, m *raftnode.Node) string {
+// startUnshared serves watches without shared answers: each client's is encoded for it.
+func startUnshared(b *testing.B, node *raftnode.Node) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,8 +39,8 @@
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 		for {
-			changed := m.Watches().Changed()
-			if _, index := m.Version(); index > from {
+			changed := node.Watches().Changed()
+			if _, version := node.Version(); version > from {
 				break
 			}
 			select {
@@ -49,41 +49,41 @@
 				return
 			}
 		}
-		line, index, changes, kept := m.Changes(from)
+		epoch, version, changes, kept := node.Changes(from)
 		if kept {
-			writeBody(w, http.StatusOK, watch.Response{Version: index, Epoch: line, Endpoints: watch.MergeChanges(changes)}.Encode())
+			writeBody(w, http.StatusOK, watch.Response{Version: version, Epoch: epoch, Endpoints: watch.MergeChanges(changes)}.Encode())
 			return
 		}
-		line, index, all := m.Snapshot()
-		writeBody(w, http.StatusOK, watch.Response{Version: index, Snapshot: true, Epoch: line, Endpoints: all}.Encode())
+		epoch, version, all := node.Snapshot()
+		writeBody(w, http.StatusOK, watch.Response{Version: version, Snapshot: true, Epoch: epoch, Endpoints: all}.Encode())
 	})}
 	go func() { _ = s.Serve(l) }()
 	b.Cleanup(func() { s.Close() })
 	return l.Addr().String()
 }
 
-// callers are connections that ask and take answers as cheaply as can be.
-type caller struct {
+// rawClient is a connection that spends little on its calls, so that the server is what is measured.
+type rawClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(b testing.TB, addr string) *caller {
+func dial(b testing.TB, addr string) *rawClient {
 	b.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { c.Close() })
-	return &caller{c, bufio.NewReaderSize(c, 1<<10)}
+	return &rawClient{c, bufio.NewReaderSize(c, 1<<10)}
 }
 
-func (c *caller) ask(from int64) {
+func (c *rawClient) ask(from int64) {
 	fmt.Fprintf(c, "GET /catalog/members?from=%d&hold_ms=60000 HTTP/1.1\r\nHost: x\r\n\r\n", from)
 }
 
-// take reads an answer, whose length its head tells.
-func (c *caller) take() error {
+// take reads an answer by its Content-Length.
+func (c *rawClient) take() error {
 	length := 0
 	for {
 		line, err := c.r.ReadString('\n')
@@ -101,27 +101,27 @@
 	return err
 }
 
-// BenchmarkFanout is the time from a change to its being with all who watch, as one change is told to all.
+// BenchmarkFanout measures the time from a committed change until each watch is answered.
 func BenchmarkFanout(b *testing.B) {
 	for _, n := range []int{300, 1000, 5000} {
 		for _, form := range []string{"shared", "naive"} {
 			b.Run(fmt.Sprintf("%s/%d", form, n), func(b *testing.B) {
-				m, s := open(b, 10_000)
+				node, s := openServer(b, 10_000)
 				addr := s.Addr()
 				if form == "naive" {
-					addr = naive(b, m)
+					addr = startUnshared(b, node)
 				}
-				all := make([]*caller, n)
+				all := make([]*rawClient, n)
 				for i := range all {
 					all[i] = dial(b, addr)
 				}
-				from := register(b, m, "first", 1)
+				from := register(b, node, "first", 1)
 				var took []time.Duration
 				for i := 0; b.Loop(); i++ {
 					for _, c := range all {
 						c.ask(from)
 					}
-					time.Sleep(300 * time.Millisecond) // until all wait
+					time.Sleep(300 * time.Millisecond) // until all watches are in flight
 					var mu sync.Mutex
 					var done sync.WaitGroup
 					var begun time.Time
@@ -139,7 +139,7 @@
 							took = append(took, at.Sub(begun))
 						})
 					}
-					next := register(b, m, "n", int64(i+2))
+					next := register(b, node, "n", int64(i+2))
 					begun = time.Now() // confirmed
 					close(start)
 					done.Wait()
@@ -151,25 +151,25 @@
 	}
 }
 
-// BenchmarkWhole is the time until all who ask at once have a list of 1,000 nodos, as after a restore.
+// BenchmarkWhole measures the time until all clients that call at once have a list of 1,000 endpoints, as after a restore.
 func BenchmarkWhole(b *testing.B) {
 	for _, n := range []int{300, 1000} {
 		for _, form := range []string{"shared", "naive"} {
 			b.Run(fmt.Sprintf("%s/%d", form, n), func(b *testing.B) {
-				m, s := open(b, 10_000)
+				node, s := openServer(b, 10_000)
 				addr := s.Addr()
 				if form == "naive" {
-					addr = naive(b, m)
+					addr = startUnshared(b, node)
 				}
-				i := m.StateSnapshot()
+				i := node.StateSnapshot()
 				for k := range 1000 {
 					i.Records = append(i.Records, state.Record{Endpoint: state.Endpoint{Name: fmt.Sprintf("s-%08x", k), Address: "10.1.0.18:8443",
 						Zone: "a", Type: "m2", Cell: 3, Status: state.StatusServing, Weight: 1}, Instance: "1", LeaseMs: state.MaxLease.Milliseconds()})
 				}
-				if _, _, err := m.Restore(i); err != nil {
+				if _, _, err := node.Restore(i); err != nil {
 					b.Fatal(err)
 				}
-				all := make([]*caller, n)
+				all := make([]*rawClient, n)
 				for i := range all {
 					all[i] = dial(b, addr)
 				}
--- a/internal/registry/api/configs_test.go
+++ b/internal/registry/api/configs_test.go
@@ -13,14 +13,14 @@
 	"merlinpick/internal/settings"
 )
 
-// document is one that is taken, told apart by n.
+// document is a valid document, distinguished by n.
 func document(n int) string {
 	return fmt.Sprintf(`{"settings":{"contract":{},"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,`+
 		`"try_limit":%d},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,`+
 		`"repeat":"idempotent","worth":1}],"siblings":1}}`, n)
 }
 
-// putDocument puts one and gives its version.
+// putDocument writes one and returns its version.
 func putDocument(t testing.TB, s *Server, service string, after int64, n int) int64 {
 	t.Helper()
 	status, _, text := call(t, s, "PUT", fmt.Sprintf("/config/%s?from=%d", service, after), document(n))
@@ -31,9 +31,9 @@
 	return c.Version
 }
 
-// What is wrong with a put is said with key and remedy, and changes nothing; a repeated one happens once.
+// An invalid write is answered with key and remedy, and changes nothing; a repeated one takes effect once.
 func TestPutConfig(t *testing.T) {
-	m, s := open(t, 10)
+	node, s := openServer(t, 10)
 	first := putDocument(t, s, "tarifas", 0, 1)
 	at := fmt.Sprint("/config/tarifas?from=", first)
 	long := strings.Replace(document(1), `"siblings"`, `"x":"`+strings.Repeat("x", settings.MaxDocumentBytes)+`","siblings"`, 1)
@@ -68,7 +68,7 @@
 			t.Errorf("%s: %+v", c.path, fault)
 		}
 	}
-	if _, c, _ := m.Configuration("tarifas"); c.Version != first || string(c.Document) != document(1) {
+	if _, c, _ := node.Configuration("tarifas"); c.Version != first || string(c.Document) != document(1) {
 		t.Errorf("got %+v", c)
 	}
 	second := putDocument(t, s, "tarifas", first, 2)
@@ -91,10 +91,10 @@
 	}
 }
 
-// By from and line a watch gets the document, waits, or is told that nothing is new.
+// By its version and epoch a watch gets the document, waits, or is answered that there is no newer version.
 func TestConfigWatch(t *testing.T) {
-	m, s := open(t, 2)
-	line, _ := m.Version()
+	node, s := openServer(t, 2)
+	epoch, _ := node.Version()
 	first := putDocument(t, s, "a", 0, 1)
 	for _, c := range []struct {
 		service, query string
@@ -103,13 +103,13 @@
 		taken          int
 	}{
 		{"a", "from=0", first, true, 200},
-		{"a", "from=0&hold_ms=60000&line=" + line, first, true, 200},
+		{"a", "from=0&hold_ms=60000&line=" + epoch, first, true, 200},
 		{"a", fmt.Sprint("from=", first, "&hold_ms=1"), first, false, 200},
 		{"a", fmt.Sprint("from=", first, "&hold_ms=60000&line=other"), first, true, 200},
-		{"a", fmt.Sprint("from=", first+7, "&hold_ms=60000"), first, true, 200},          // went back, as far as a caller without a line knows
-		{"a", fmt.Sprint("from=", first+7, "&hold_ms=1&line=", line), 0, false, 503},     // this member is behind
-		{"none", "from=0&hold_ms=1", 0, false, 200},                                      // nothing was put
-		{"none", fmt.Sprint("from=", first, "&hold_ms=60000&line=other"), 0, false, 200}, // in another line neither
+		{"a", fmt.Sprint("from=", first+7, "&hold_ms=60000"), first, true, 200},          // rolled back, as far as a client without an epoch knows
+		{"a", fmt.Sprint("from=", first+7, "&hold_ms=1&line=", epoch), 0, false, 503},    // this member is behind
+		{"none", "from=0&hold_ms=1", 0, false, 200},                                      // nothing was written
+		{"none", fmt.Sprint("from=", first, "&hold_ms=60000&line=other"), 0, false, 200}, // nor in another epoch
 		{"a", "from=x", 0, false, 400}, {"a", "from=1&hold_ms=-1", 0, false, 400},        //
 		{"a", "from=0&name=p&in_force=x", 0, false, 400}, {"a b", "from=0", 0, false, 400}, //
 		{"a", "from=0&name=" + strings.Repeat("p", rollout.MaxNameBytes+1), 0, false, 400}, {"a", "from=0&name=p&refused=-1", 0, false, 400},
@@ -121,7 +121,8 @@
 			t.Errorf("%s?%s: %d %s (%v)", c.service, c.query, status, text, err)
 		}
 	}
-	// What is held is told; a change of the list or of another service does not end it; one too many is turned away.
+	// A write answers the watches in flight; a change of the list or of another service does not; one watch too many is
+	// rejected.
 	type end struct {
 		status int
 		text   string
@@ -129,7 +130,7 @@
 	ended := make(chan end, 2)
 	for range 2 {
 		go func() {
-			status, _, text := call(t, s, "GET", fmt.Sprint("/config/a?hold_ms=60000&from=", first, "&line=", line), "")
+			status, _, text := call(t, s, "GET", fmt.Sprint("/config/a?hold_ms=60000&from=", first, "&line=", epoch), "")
 			ended <- end{status, text}
 		}()
 	}
@@ -139,7 +140,7 @@
 	if status, after, _ := call(t, s, "GET", fmt.Sprint("/config/a?hold_ms=60000&from=", first), ""); status != 503 || after == "" {
 		t.Errorf("a third watch: %d, Retry-After %q", status, after)
 	}
-	register(t, m, "n", 1)
+	register(t, node, "n", 1)
 	putDocument(t, s, "b", 0, 1)
 	putDocument(t, s, "a", first, 2)
 	for range 2 {
@@ -149,9 +150,9 @@
 	}
 }
 
-// Each proxy's own word, with its age, counts for where a version is in force.
+// A proxy's state follows from its own report and the report's age.
 func TestConfigStatus(t *testing.T) {
-	_, s := open(t, 10)
+	_, s := openServer(t, 10)
 	first := putDocument(t, s, "a", 0, 1)
 	second := putDocument(t, s, "a", first, 2)
 	for _, w := range []string{
@@ -159,7 +160,7 @@
 		fmt.Sprint("name=p2&in_force=", first),
 		fmt.Sprint("name=p3&in_force=", first, "&refused=", second, "&why=", url.QueryEscape("settings.profiles[0].worth: is missing")),
 		fmt.Sprint("name=p4&in_force=0&refused=", first),
-		"hold_ms=1", // nobody
+		"hold_ms=1", // no report
 	} {
 		if status, _, text := call(t, s, "GET", "/config/a?from=0&"+w, ""); status != 200 {
 			t.Fatalf("%s: %d %s", w, status, text)
--- a/internal/registry/config/config_test.go
+++ b/internal/registry/config/config_test.go
@@ -20,7 +20,7 @@
 list = "127.0.0.1:6"
 `
 
-// Every fault of a file is named at once, with file and key.
+// All faults of a file are reported at once, with file and key.
 func TestParseReportsAllFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
--- a/internal/registry/rollout/reports_test.go
+++ b/internal/registry/rollout/reports_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// What is not said again is forgotten, what is full takes what it knows, and makes room of what is old.
+// Reports expire; a full table takes reports of known proxies, and drops expired ones to make room.
 func TestReportLimits(t *testing.T) {
 	var table Table
 	at := time.Now()
@@ -20,21 +20,21 @@
 		t.Error("one more found room")
 	}
 	if !table.Record("a", ProxyReport{Name: "p1", AppliedVersion: 7}, at.Add(2*time.Second)) {
-		t.Error("a word that is said again found no room")
+		t.Error("a report of a known proxy found no room")
 	}
 	if !table.Record("b", ProxyReport{Name: "more"}, at.Add(ReportTTL)) || table.Len() != MaxReports/2+1 {
-		t.Errorf("old words hold the room: %d", table.Len())
+		t.Errorf("expired reports take up room: %d", table.Len())
 	}
 	late := at.Add(ReportTTL + time.Second)
 	if got := table.Reports("a", late); !reflect.DeepEqual(got, []ProxyReport{{Name: "p1", AppliedVersion: 7, AgeMs: (ReportTTL - time.Second).Milliseconds()}}) {
 		t.Errorf("got %+.200v", got)
 	}
 	if table.Reports("a", late.Add(ReportTTL)); table.Len() != 0 || len(table.reports) != 0 {
-		t.Errorf("%d words of %d services are left", table.Len(), len(table.reports))
+		t.Errorf("%d reports of %d services are left", table.Len(), len(table.reports))
 	}
 }
 
-// Of several members' words the youngest counts, not the highest version: a proxy may have started anew.
+// Of several members' reports the newest counts, not the highest version: a proxy may have restarted.
 func TestNewestReportCounts(t *testing.T) {
 	got := MergeReports([]ProxyReport{{Name: "a", AppliedVersion: 9, AgeMs: 40}, {Name: "b", AppliedVersion: 1, AgeMs: 5}},
 		[]ProxyReport{{Name: "a", AppliedVersion: 3, AgeMs: 10, RejectedVersion: 4, RejectReason: "x"}}, nil, []ProxyReport{{Name: "a", AppliedVersion: 5, AgeMs: 30}})
--- a/internal/registry/state/configs_test.go
+++ b/internal/registry/state/configs_test.go
@@ -17,13 +17,13 @@
 	return Command{Kind: CommandConfigure, Service: service, After: after, Document: json.RawMessage(document)}
 }
 
-func begun() *State {
+func newBegunState() *State {
 	s := New()
 	s.Apply(Command{Kind: CommandBegin, Epoch: "l", FirstVersion: 100})
 	return s
 }
 
-// A put is taken after the version that its caller has seen, once, and the one before is kept.
+// A write takes effect after the version that its writer has seen, once, and the previous document is kept.
 func TestConfigure(t *testing.T) {
 	type step struct {
 		c       Command
@@ -33,19 +33,19 @@
 	}
 	first, second := step{put("a", 0, `{"n":1}`), ResultDone, 101, true}, step{put("a", 101, `{"n":2}`), ResultDone, 102, true}
 	for name, steps := range map[string][]step{
-		"one after another":             {first, second},
-		"repeated at once":              {first, {first.c, ResultDone, 101, false}},
-		"repeated after another":        {first, second, {second.c, ResultDone, 102, false}, {first.c, ResultConflict, 102, false}},
-		"two at once":                   {first, second, {put("a", 101, `{"n":3}`), ResultConflict, 102, false}},
-		"the same again as a new word":  {first, {put("a", 101, `{"n":1}`), ResultDone, 102, true}},
-		"after what is not there":       {{put("a", 101, `{}`), ResultConflict, 0, false}},
-		"after none where there is one": {first, {put("a", 0, `{}`), ResultConflict, 101, false}},
-		"another service":               {first, {put("b", 0, `{}`), ResultDone, 101, true}},
-		"a name that makes no sense":    {{put("a b", 0, `{}`), ResultIgnored, 0, false}, {put("", 0, `{}`), ResultIgnored, 0, false}},
-		"a form that is not kept":       {{put("a", 0, `{ }`), ResultIgnored, 0, false}, {put("a", 0, `[]`), ResultIgnored, 0, false}, {put("a", 0, ``), ResultIgnored, 0, false}},
-		"too long":                      {{put("a", 0, `{"a":"`+strings.Repeat("a", 64<<10)+`"}`), ResultIgnored, 0, false}},
+		"one after another":                {first, second},
+		"repeated at once":                 {first, {first.c, ResultDone, 101, false}},
+		"repeated after another":           {first, second, {second.c, ResultDone, 102, false}, {first.c, ResultConflict, 102, false}},
+		"two at once":                      {first, second, {put("a", 101, `{"n":3}`), ResultConflict, 102, false}},
+		"the same document as a new write": {first, {put("a", 101, `{"n":1}`), ResultDone, 102, true}},
+		"after what is not there":          {{put("a", 101, `{}`), ResultConflict, 0, false}},
+		"after none where there is one":    {first, {put("a", 0, `{}`), ResultConflict, 101, false}},
+		"another service":                  {first, {put("b", 0, `{}`), ResultDone, 101, true}},
+		"an invalid name":                  {{put("a b", 0, `{}`), ResultIgnored, 0, false}, {put("", 0, `{}`), ResultIgnored, 0, false}},
+		"not canonical":                    {{put("a", 0, `{ }`), ResultIgnored, 0, false}, {put("a", 0, `[]`), ResultIgnored, 0, false}, {put("a", 0, ``), ResultIgnored, 0, false}},
+		"too long":                         {{put("a", 0, `{"a":"`+strings.Repeat("a", 64<<10)+`"}`), ResultIgnored, 0, false}},
 	} {
-		s := begun()
+		s := newBegunState()
 		for i, step := range steps {
 			got := s.Apply(step.c)
 			if got.Code != step.end || got.Version != step.index || got.Changed != step.changes || s.Version() != 100 {
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	s := begun()
+	s := newBegunState()
 	s.Apply(first.c)
 	s.Apply(second.c)
 	if c, ok := s.Configuration("a"); !ok || string(c.Document) != `{"n":2}` || c.Previous == nil || string(c.Previous.Document) != `{"n":1}` ||
@@ -61,13 +61,13 @@
 		t.Errorf("got %+v", c)
 	}
 	if r := New().Apply(put("a", 0, `{}`)); r.Code != ResultIgnored {
-		t.Errorf("before the first line: %+v", r)
+		t.Errorf("before the first epoch: %+v", r)
 	}
 }
 
-// What does not fit is refused and changes nothing, and what is full can still be changed for less.
+// What does not fit is rejected and changes nothing; a full state still takes shorter documents.
 func TestConfigurationLimits(t *testing.T) {
-	s := begun()
+	s := newBegunState()
 	for i := range MaxServices {
 		if r := s.Apply(put(fmt.Sprint("s", i), 0, `{}`)); r.Code != ResultDone {
 			t.Fatalf("%d: %+v", i, r)
@@ -76,7 +76,7 @@
 	if r := s.Apply(put("more", 0, `{}`)); r.Code != ResultNoRoom {
 		t.Errorf("one service more: %+v", r)
 	}
-	s = begun()
+	s = newBegunState()
 	large := `{"a":"` + strings.Repeat("a", 60<<10) + `"}`
 	n, versions := 0, map[string]int64{}
 	replace := func(name, text string) string {
@@ -98,7 +98,7 @@
 	if end := replace("s0", large); end != ResultNoRoom {
 		t.Errorf("a document more: %s", end)
 	}
-	for range 2 { // the former one goes with the second
+	for range 2 { // the second drops the previous document
 		if end := replace("twice", `{}`); end != ResultDone {
 			t.Fatalf("less: %s", end)
 		}
@@ -114,14 +114,14 @@
 		i.Configs = append(i.Configs, Configuration{Service: name, Version: 5, Document: json.RawMessage(large)})
 	}
 	if err := i.Check(); err == nil {
-		t.Error("an image over the bound passes")
+		t.Error("a snapshot over the limit passes")
 	}
 }
 
-// Without configurations a snapshot is what builds before them write, byte for byte; with some it is of a kind that they
-// refuse, and as whole or nothing as the other.
+// Without configurations a snapshot is byte for byte that of builds before them; with some it is of a kind that they
+// reject, and any damage is noticed as well.
 func TestSnapshotsWithConfigurations(t *testing.T) {
-	s := begun()
+	s := newBegunState()
 	s.Apply(Command{Kind: CommandRegister, Record: record("n", "i1", 10)})
 	written := func() []byte {
 		var text bytes.Buffer
@@ -161,7 +161,7 @@
 			}
 		}
 	}
-	// The kind and what is in it go together.
+	// The kind has to match the content.
 	bare := Snapshot{Epoch: "l", Version: 1}
 	body, _ := json.Marshal(bare)
 	if _, err := ReadSnapshot(bytes.NewReader(atomicfile.Seal("roster-snapshot-configs", body))); !errors.Is(err, ErrDamaged) {
@@ -169,9 +169,9 @@
 	}
 }
 
-// A restored image's configurations lie above all that was told, and what it lacks stays.
+// A restored snapshot's configurations are above all earlier versions, and those that it lacks are kept.
 func TestRebase(t *testing.T) {
-	s := begun()
+	s := newBegunState()
 	s.Apply(put("a", 0, `{"n":1}`))
 	saved := s.Snapshot()
 	s.Apply(put("a", 101, `{"n":2}`))
@@ -188,17 +188,17 @@
 		t.Errorf("a %+v, b %+v", a, b)
 	}
 	if r := again.Apply(put("a", 101, `{"n":2}`)); r.Code != ResultConflict {
-		t.Errorf("a put of the line before, repeated: %+v", r)
+		t.Errorf("a repeated write of the epoch before: %+v", r)
 	}
 	if r := again.Apply(put("a", 0, `{"n":1}`)); r.Code != ResultConflict {
 		t.Errorf("another, of what was restored: %+v", r)
 	}
 	if saved.Configs[0].Version != 101 {
-		t.Error("the image that was lifted has changed")
+		t.Error("the snapshot that was rebased has changed")
 	}
 }
 
-// Whatever comes in whatever order, also over snapshots: the state is that of a map in which a put after the newest wins.
+// After any commands and snapshots, the state is that of a map in which a write after the newest version wins.
 func TestConfigurationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type version struct {
@@ -206,7 +206,7 @@
 			text string
 		}
 		model := map[string][]version{}
-		s := begun()
+		s := newBegunState()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "service")
 			all := model[name]
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// goldenState is what the results, versions, changes and images of the played log hash to. It is over values as they
-// are on the wire, so that names may change. A change that only moves, renames or shortens code leaves it as it is.
+// goldenState is the hash of the results, versions, changes and snapshots of the played log, over values as they are on the
+// wire. A change that only moves or renames code leaves it as it is.
 const goldenState = "ec863e87c09f2ee7"
 
-const playedCommands = 48_000 // more than are kept of changes and of ended instances
+const playedCommands = 48_000 // beyond MaxRetainedChanges and MaxEndedInstances
 
-// randomCommand is a command of any kind over few names, so that many meet what is there.
+// randomCommand is a command of any kind, over few names and services so that most of them meet an existing one.
 func randomCommand(r *rand.Rand, at int, s *State) Command {
 	name := func() string { return fmt.Sprintf("n%d", r.IntN(40)) }
 	instance := func() string { return fmt.Sprintf("i%d", max(0, at/100-r.IntN(3))) }
@@ -36,7 +36,7 @@
 		c.Record.Zone, c.Record.Type = string(rune('a'+r.IntN(3))), "web"
 		c.Record.Address = fmt.Sprintf("10.0.0.%d:80", r.IntN(4))
 		c.Record.Cell, c.Record.Weight = r.IntN(3), float64(1+r.IntN(5))/2
-		c.Record.LeaseMs = int64(1000 * r.IntN(700)) // some are not allowed
+		c.Record.LeaseMs = int64(1000 * r.IntN(700)) // some are out of bounds
 		return c
 	case k < 50:
 		return Command{Kind: CommandDrain, Refs: []InstanceRef{ref()}}
@@ -84,7 +84,7 @@
 	}
 }
 
-// stateHash plays the log, as members do: each command encoded and decoded. Change may change one.
+// stateHash plays the log with each command encoded and decoded, as on a member. Change may alter commands.
 func stateHash(t *testing.T, change func(at int, c *Command)) string {
 	t.Helper()
 	sum := sha256.New()
@@ -106,7 +106,7 @@
 		if at%1000 == 999 {
 			hashState(t, sum, s)
 		}
-		if at == playedCommands/2 { // a member that got a snapshot
+		if at == playedCommands/2 { // as on a member that loads a snapshot
 			var text bytes.Buffer
 			if err := s.Snapshot().Write(&text); err != nil {
 				t.Fatal(err)
@@ -142,7 +142,7 @@
 	}
 }
 
-// golden compares bytes with those that an earlier version wrote.
+// golden compares bytes with those that an earlier version wrote to testdata.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -14,7 +14,7 @@
 
 func refs(name, instance string) []InstanceRef { return []InstanceRef{{name, instance}} }
 
-// What a caller repeats happens once, and what arrives late changes nothing that came after it.
+// A repeated command takes effect once, and a late one does not undo what came after it.
 func TestRepeatedAndLateCommands(t *testing.T) {
 	register := Command{Kind: CommandRegister, Record: record("n", "i1", 10)}
 	later := Command{Kind: CommandRegister, Record: record("n", "i2", 20)}
@@ -43,7 +43,7 @@
 		"what is not there": {{drain, ResultUnknown, false, ""}, {gone, ResultUnknown, false, ""}, {over, ResultUnknown, false, ""}},
 		"a kind of another version": {{register, ResultDone, true, StatusServing}, {Command{Kind: "colour", Refs: refs("n", "i1")}, ResultIgnored, false,
 			StatusServing}},
-		"a record that makes no sense": {{Command{Kind: CommandRegister, Record: record("", "i", 0)}, ResultIgnored, false, ""},
+		"an invalid record": {{Command{Kind: CommandRegister, Record: record("", "i", 0)}, ResultIgnored, false, ""},
 			{Command{Kind: CommandRegister}, ResultIgnored, false, ""}},
 	} {
 		s := New()
@@ -59,7 +59,7 @@
 	}
 }
 
-// A line's first version lies above all that came before, by the clock if that is right and by what is known if not.
+// An epoch's first version is above all earlier ones: by the clock if that is right, by the known version if not.
 func TestFirstVersionGrowsAcrossEpochs(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	first := FirstVersion(now, 0)
@@ -74,7 +74,7 @@
 	}
 }
 
-// Any byte that is changed, lost or added in a snapshot is noticed.
+// Any changed, lost or added byte of a snapshot is noticed.
 func TestDamagedSnapshotIsRejected(t *testing.T) {
 	s := New()
 	s.Apply(Command{Kind: CommandBegin, Epoch: "l", FirstVersion: 100})
@@ -139,7 +139,7 @@
 		s.Apply(c)
 		i := s.Snapshot()
 		if err := i.Check(); err != nil {
-			t.Fatalf("%s left a list that makes no sense: %v", data, err)
+			t.Fatalf("%s left an invalid state: %v", data, err)
 		}
 	})
 }
--- a/internal/registry/store/golden_test.go
+++ b/internal/registry/store/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// goldenRecord is entry i of the directory in testdata.
+// goldenRecord is log entry i of the directory in testdata.
 func goldenRecord(i uint64) raft.Log {
 	l := raft.Log{Index: i, Term: 1 + i/5, Type: raft.LogCommand, Data: fmt.Appendf(nil, "command %d", i)}
 	switch i {
@@ -29,7 +29,7 @@
 
 const goldenRecords = 12
 
-// A directory that an earlier version wrote is read in full, and its identity is what is written today.
+// A directory that an earlier version wrote is read in full, and its identity is still written alike.
 func TestDirectoryOfEarlierVersionIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/member")); err != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// The key and text of a record in the file are what earlier versions wrote.
+// A record in the file is byte for byte that of earlier versions.
 func TestSealedRecordMatchesGolden(t *testing.T) {
 	const want = `398da6ff{"t":1}`
 	sealed := seal(indexKey(1), []byte(`{"t":1}`))
--- a/internal/registry/store/store_test.go
+++ b/internal/registry/store/store_test.go
@@ -17,8 +17,8 @@
 
 const entries = 60
 
-// written is a directory in which a term and some entries were confirmed.
-func written(t *testing.T) (dir string) {
+// writtenDir makes a directory with a term and some log entries.
+func writtenDir(t *testing.T) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	s, fresh, err := Open(dir, "r1", 0, quiet)
@@ -39,8 +39,8 @@
 	return dir
 }
 
-// whole tells whether a store has all that was confirmed in it.
-func whole(s *Store) error {
+// checkComplete returns an error if a store lacks something of writtenDir.
+func checkComplete(s *Store) error {
 	if term, err := s.GetUint64([]byte("CurrentTerm")); err != nil || term != 7 {
 		return fmt.Errorf("term %d, %v", term, err)
 	}
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// damage spoils a copy of a directory and opens it: it has to hold all, or be refused and left as it is.
-func damage(t *testing.T, dir, what string, spoil func(path string, text []byte) []byte) (refused bool) {
+// openDamaged damages a copy of a directory and opens it: the store has to be complete, or be rejected and left as it is.
+func openDamaged(t *testing.T, dir, what string, spoil func(path string, text []byte) []byte) (refused bool) {
 	t.Helper()
 	copied := t.TempDir()
 	if err := os.CopyFS(copied, os.DirFS(dir)); err != nil {
@@ -75,7 +75,7 @@
 	s, _, err := Open(copied, "r1", 0, quiet)
 	if err == nil {
 		defer s.Close()
-		if err := whole(s); err != nil {
+		if err := checkComplete(s); err != nil {
 			t.Errorf("%s: taken, and %v", what, err)
 		}
 		return false
@@ -89,9 +89,9 @@
 	return true
 }
 
-// A log that was cut anywhere, or has a bit of a record wrong, is refused with all that it still holds left as it is.
+// A log that was truncated, or has a wrong bit in a record, is rejected and left as it is.
 func TestDamagedLogIsRejected(t *testing.T) {
-	dir := written(t)
+	dir := writtenDir(t)
 	info, err := os.Stat(filepath.Join(dir, logFile))
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	refused := 0
 	for range 60 {
 		at := r.IntN(size)
-		if damage(t, dir, fmt.Sprintf("cut at %d of %d", at, size), func(_ string, b []byte) []byte { return b[:at] }) {
+		if openDamaged(t, dir, fmt.Sprintf("cut at %d of %d", at, size), func(_ string, b []byte) []byte { return b[:at] }) {
 			refused++
 		}
 	}
@@ -109,12 +109,12 @@
 		t.Errorf("%d of 60 cuts were noticed", refused)
 	}
 	for range 60 {
-		damage(t, dir, "a bit", func(_ string, b []byte) []byte {
+		openDamaged(t, dir, "a bit", func(_ string, b []byte) []byte {
 			b[r.IntN(len(b))] ^= 1 << r.IntN(8)
 			return b
 		})
 	}
-	if !damage(t, dir, "an entry", func(_ string, b []byte) []byte {
+	if !openDamaged(t, dir, "an entry", func(_ string, b []byte) []byte {
 		return bytes.ReplaceAll(b, []byte(`"t":7`), []byte(`"t":8`))
 	}) {
 		t.Error("a wrong entry passed")
@@ -122,7 +122,7 @@
 }
 
 func TestOpen(t *testing.T) {
-	dir := written(t)
+	dir := writtenDir(t)
 	for name, c := range map[string]struct {
 		prepare func(dir string) error
 		member  string
@@ -136,9 +136,9 @@
 		"nobody's":                   {func(d string) error { return os.Remove(filepath.Join(d, identityFile)) }, "r1", 0, ErrDamaged},
 		"the name is cut off":        {func(d string) error { return os.Truncate(filepath.Join(d, identityFile), 9) }, "r1", 0, ErrDamaged},
 		"a snapshot reaches into it": {nil, "r1", entries - 3, nil},
-		"a gap before it":            {func(d string) error { return without(d, 1, 5) }, "r1", 0, ErrDamaged},
-		"a gap that a snapshot has":  {func(d string) error { return without(d, 1, 5) }, "r1", 9, nil},
-		"a gap in it":                {func(d string) error { return without(d, 20, 21) }, "r1", 9, ErrDamaged},
+		"a gap before it":            {func(d string) error { return deleteEntries(d, 1, 5) }, "r1", 0, ErrDamaged},
+		"a gap that a snapshot has":  {func(d string) error { return deleteEntries(d, 1, 5) }, "r1", 9, nil},
+		"a gap in it":                {func(d string) error { return deleteEntries(d, 20, 21) }, "r1", 9, ErrDamaged},
 	} {
 		copied := t.TempDir()
 		if err := os.CopyFS(copied, os.DirFS(dir)); err != nil {
@@ -159,8 +159,8 @@
 	}
 }
 
-// without deletes entries, as no consensus does.
-func without(dir string, first, last uint64) error {
+// deleteEntries deletes log entries, which raft does not do in this order.
+func deleteEntries(dir string, first, last uint64) error {
 	s, _, err := Open(dir, "r1", 0, quiet)
 	if err != nil {
 		return err
@@ -168,9 +168,9 @@
 	return errors.Join(s.DeleteRange(first, last), s.Close())
 }
 
-// The log is what the consensus expects of one.
+// The log behaves as raft expects.
 func TestLogStore(t *testing.T) {
-	dir := written(t)
+	dir := writtenDir(t)
 	s, _, err := Open(dir, "r1", 0, quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 		t.Errorf("from %d to %d", first, last)
 	}
 	if _, err := s.GetUint64([]byte("no such")); err == nil || err.Error() != "not found" {
-		t.Errorf("a word that was never set: %v", err)
+		t.Errorf("a key that was never set: %v", err)
 	}
 	if _, _, err := Open(dir, "r1", 0, quiet); err == nil || errors.Is(err, ErrDamaged) {
 		t.Errorf("opened twice: %v", err)
--- a/internal/registry/watch/hub_test.go
+++ b/internal/registry/watch/hub_test.go
@@ -12,7 +12,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// source is a state without a member round it.
+// source is a state without a raft node.
 type source struct{ *state.State }
 
 func (s *source) Version() (string, int64) { return s.Epoch(), s.State.Version() }
@@ -30,11 +30,11 @@
 	return s.Epoch(), s.State.Version(), c, ok
 }
 
-// follower is a caller that knows what it was told and nothing else.
+// follower is a client that knows only what it was answered.
 type follower struct {
-	line  string
-	index int64
-	list  map[string]state.Endpoint
+	epoch     string
+	version   int64
+	endpoints map[string]state.Endpoint
 }
 
 func (f *follower) take(t *rapid.T, body []byte) {
@@ -47,30 +47,30 @@
 	if err := json.Unmarshal(body, &a); err != nil {
 		t.Fatalf("%s: %v", body, err)
 	}
-	if a.Index < f.index {
-		t.Fatalf("version %d of line %q after %d of %q", a.Index, a.Line, f.index, f.line)
+	if a.Index < f.version {
+		t.Fatalf("version %d of epoch %q after %d of %q", a.Index, a.Line, f.version, f.epoch)
 	}
-	if !a.Snapshot && a.Line != f.line {
-		t.Fatalf("changes of line %q to one that is on %q", a.Line, f.line)
+	if !a.Snapshot && a.Line != f.epoch {
+		t.Fatalf("changes of epoch %q to a client of epoch %q", a.Line, f.epoch)
 	}
 	if a.Snapshot {
-		f.list = map[string]state.Endpoint{}
+		f.endpoints = map[string]state.Endpoint{}
 	}
 	for _, e := range a.Endpoints {
 		if e.Status == state.StatusDeleted {
 			if a.Snapshot {
 				t.Fatalf("a whole list with %+v", e)
 			}
-			delete(f.list, e.Name)
+			delete(f.endpoints, e.Name)
 			continue
 		}
-		f.list[e.Name] = e
+		f.endpoints[e.Name] = e
 	}
-	f.line, f.index = a.Line, a.Index
+	f.epoch, f.version = a.Line, a.Index
 }
 
-// Whatever happens to the list, a caller that follows by the protocol has what a plain map has, and its versions rise:
-// over repeats, restores into another line, and members that know no changes since they loaded a snapshot.
+// Whatever happens to the list, a client that follows the protocol has what a plain map has, and its versions grow: across
+// repeated commands, restores into another epoch, and members that retain no changes since they loaded a snapshot.
 func TestFollowersMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		src := &source{state.New()}
@@ -80,7 +80,7 @@
 		instances := map[string]string{}
 		var saved []state.Snapshot
 		lines, starts := 0, int64(0)
-		followers := []*follower{{list: map[string]state.Endpoint{}}, {list: map[string]state.Endpoint{}}, {list: map[string]state.Endpoint{}}}
+		followers := []*follower{{endpoints: map[string]state.Endpoint{}}, {endpoints: map[string]state.Endpoint{}}, {endpoints: map[string]state.Endpoint{}}}
 		names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		ref := func(t *rapid.T) []state.InstanceRef {
 			n := names.Draw(t, "name")
@@ -113,7 +113,7 @@
 				delete(model, r[0].Name)
 			},
 			"save": func(t *rapid.T) { saved = append(saved, src.State.Snapshot()) },
-			"load": func(t *rapid.T) { // a member starts again, or is sent a snapshot: it keeps no changes
+			"load": func(t *rapid.T) { // a member restarts, or loads a snapshot: it retains no changes
 				if err := src.Load(src.State.Snapshot()); err != nil {
 					t.Fatal(err)
 				}
@@ -135,13 +135,13 @@
 			},
 			"follow": func(t *rapid.T) {
 				f := rapid.SampledFrom(followers).Draw(t, "follower")
-				if f.line == "" || f.line != src.Epoch() { // as the API decides it
+				if f.epoch == "" || f.epoch != src.Epoch() { // as the API decides it
 					f.take(t, hub.Snapshot())
 				} else {
-					f.take(t, hub.ChangesSince(f.index))
+					f.take(t, hub.ChangesSince(f.version))
 				}
-				if !maps.Equal(f.list, model) {
-					t.Fatalf("told %v, and it is %v", f.list, model)
+				if !maps.Equal(f.endpoints, model) {
+					t.Fatalf("told %v, and it is %v", f.endpoints, model)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -154,7 +154,7 @@
 	})
 }
 
-// Callers at one version share one answer, however many they are.
+// All clients at one version share one encoded answer.
 func TestOneEncodingPerVersion(t *testing.T) {
 	src := &source{state.New()}
 	src.Apply(state.Command{Kind: state.CommandBegin, Epoch: "l", FirstVersion: 100})
