--- a/internal/proxy/endpointlist.go
+++ b/internal/proxy/endpointlist.go
@@ -34,7 +34,7 @@
 // a server that drains are closed before anything could be decided on them.
 func (l *eventLoop) applyList(kind balancer.UpdateKind, list *discovery.List) {
 	l.list.knownServers.Add(endpointNames(list)...)
-	l.pool.updateEndpoints(kind != balancer.UpdateDelta, list.Endpoints)
+	l.pool.UpdateEndpoints(kind != balancer.UpdateDelta, list.Endpoints)
 	l.applyZoneDrains() // before the balancer knows the servers that are new
 	now, wall := l.clock.now(), time.Now()
 	startOf := func(e discovery.Endpoint) int64 {
--- a/internal/proxy/evict.go
+++ b/internal/proxy/evict.go
@@ -114,7 +114,7 @@
 			if u.conn == c {
 				s.interruptedAt = time.Now()
 				f.conns[c] = s
-				u.interrupt(&u.connShortage)
+				u.stop(errConnShortage)
 				return true
 			}
 		}
--- /dev/null
+++ b/internal/proxy/forwardstream.go
@@ -0,0 +1,59 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"time"
+
+	"merlinpick/internal/proxy/socket"
+	"merlinpick/internal/proxy/upstream"
+)
+
+const copyBufferBytes = 32 << 10
+
+var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
+
+// forwardStream writes a streamed response to its client as it comes. Where it breaks off so does the client's, visibly:
+// short of its length, or without the last chunk.
+func forwardStream(w http.ResponseWriter, r *http.Request, s *upstream.Stream) {
+	unhook := context.AfterFunc(r.Context(), s.CancelAttempt) // the client has gone
+	defer unhook()
+	err := copyStream(w, s)
+	s.Finish(err)
+	if err == nil {
+		return
+	}
+	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok && s.ContentLength < 0 && !r.ProtoAtLeast(1, 1) {
+		// Without chunks the connection's end is the response's end to such a client: a reset is none.
+		socket.ResetOnClose(c.Conn)
+		c.closeNow()
+	}
+	panic(http.ErrAbortHandler)
+}
+
+func copyStream(w http.ResponseWriter, s *upstream.Stream) error {
+	rc := http.NewResponseController(w)
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
+	for {
+		n, err := s.Read(*buf)
+		if n > 0 {
+			_ = rc.SetWriteDeadline(time.Now().Add(upstream.StallTimeout))
+			if _, err := w.Write((*buf)[:n]); err != nil {
+				return upstream.ErrClientGone
+			}
+			if err := rc.Flush(); err != nil {
+				return upstream.ErrClientGone
+			}
+		}
+		if err == io.EOF {
+			return nil
+		}
+		if err != nil {
+			return fmt.Errorf("forward the response: %w", err)
+		}
+	}
+}
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -2,11 +2,10 @@
 
 import (
 	"container/heap"
-	"context"
 	"net/http"
-	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/upstream"
 )
 
 // The loop is the balancer's Host: it carries its decisions out. All of this file runs in the loop's goroutine, but for
@@ -21,21 +20,18 @@
 		return
 	}
 	now := l.clock.now()
-	a := &attempt{request: r, number: r.attemptCount, decidedAt: now, deadline: l.clock.time(l.attemptDeadline(r, now, timeout)), pool: l.pool}
-	if sendWindow > 0 {
-		a.sendDeadline = l.clock.time(now + sendWindow)
-	}
+	a := &attempt{request: r, number: r.attemptCount, decidedAt: now, awaitsBody: r.BodyPending}
 	r.attemptCount++
-	if r.BodyPending {
-		a.bodyComplete = make(chan time.Time, 1)
+	params := upstream.Params{
+		Request: &r.outbound, Deadline: l.clock.time(l.attemptDeadline(r, now, timeout)), Uploading: r.BodyPending,
+		StartStream: func(s *upstream.Stream) bool { return l.startStream(r, s) },
 	}
-	// Never two attempts of a request at once, and none for a client that has gone.
-	clientGone := r.clientContext != nil && r.clientContext.Err() != nil
-	if !l.pool.assign(a, server) || r.ended || r.currentAttempt != nil || clientGone {
+	if sendWindow > 0 {
+		params.SendDeadline = l.clock.time(now + sendWindow)
+	}
+	if !l.start(a, server, params) {
 		l.attempts.unsent = append(l.attempts.unsent, a)
-		return
 	}
-	l.start(a)
 }
 
 // attemptDeadline is when an attempt that begins now is given up, on the loop's clock. While the body is still coming the
@@ -50,50 +46,59 @@
 	return r.Deadline
 }
 
-// start runs an attempt in a goroutine of its own, which posts the result.
-func (l *eventLoop) start(a *attempt) {
-	a.ctx, a.cancel = context.WithCancel(l.attempts.ctx)
-	a.startStream = func(resp response) bool { return l.startStream(a, resp) }
-	a.request.currentAttempt = a
+// start runs an attempt in a goroutine of its own, which posts the result. It returns false for a server that takes nothing
+// new, for a client that has gone, and while another attempt of the request is in flight or it has its response.
+func (l *eventLoop) start(a *attempt, server string, params upstream.Params) bool {
+	r := a.request
+	if r.ended || r.currentAttempt != nil || r.clientContext != nil && r.clientContext.Err() != nil {
+		return false
+	}
+	outbound, ok := l.pool.NewAttempt(l.attempts.ctx, server, params)
+	if !ok {
+		return false
+	}
+	a.started, a.outbound, a.server = true, outbound, outbound.Server()
+	r.currentAttempt = a
 	l.auditAttemptStart(a)
 	l.attempts.goroutines.Go(func() {
-		res := a.run()
-		a.cancel()
-		l.post(func() { l.handleOutcome(a, res) })
+		result := outbound.Run()
+		outbound.Cancel()
+		l.post(func() { l.handleOutcome(a, result) })
 	})
+	return true
 }
 
 // handleOutcome tells the balancer how an attempt ended. A request that it has served gets its response first.
-func (l *eventLoop) handleOutcome(a *attempt, res result) {
+func (l *eventLoop) handleOutcome(a *attempt, result upstream.Result) {
 	r := a.request
-	l.auditAttemptEnd(a, res.status)
+	l.auditAttemptEnd(a, result.Status)
 	if r.currentAttempt == a {
 		r.currentAttempt = nil
 	}
-	if res.status == balancer.StatusOK {
-		l.respond(r, response{status: http.StatusOK, body: res.body, contentType: res.contentType})
+	if result.Status == balancer.StatusOK {
+		l.respond(r, response{status: http.StatusOK, body: result.Body, contentType: result.ContentType})
 	}
-	if res.status != balancer.StatusOK && !r.ended && r.clientGone() {
+	if result.Status != balancer.StatusOK && !r.ended && r.clientGone() {
 		l.handleClientGone(r) // otherwise the balancer might decide on a retry
 	}
 	now := l.clock.now()
-	l.balancer.HandleOutcome(now, l, balancer.Outcome{RequestID: r.ID, Attempt: a.number, Status: res.status,
-		Latency: now - a.decidedAt, RequestDone: r.ended, NotReplayable: r.bodyConsumed})
+	l.balancer.HandleOutcome(now, l, balancer.Outcome{RequestID: r.ID, Attempt: a.number, Status: result.Status,
+		Latency: now - a.decidedAt, RequestDone: r.ended, NotReplayable: r.outbound.BodyConsumed})
 	l.forget(r)
 }
 
 // startStream gives a request a response that is streamed; false if the request has ended otherwise. The attempt's
 // goroutine calls it, and goes on until the response has been passed on.
-func (l *eventLoop) startStream(a *attempt, resp response) bool {
+func (l *eventLoop) startStream(r *request, s *upstream.Stream) bool {
 	started := make(chan bool, 1)
 	l.post(func() {
-		if a.request.ended {
+		if r.ended {
 			started <- false
 			return
 		}
-		resp.stream.clientDeadline = l.clock.time(a.request.Deadline)
-		l.balancer.HandleResponseStarted(l.clock.now(), a.request.ID)
-		l.respond(a.request, resp)
+		s.ClientDeadline = l.clock.time(r.Deadline)
+		l.balancer.HandleResponseStarted(l.clock.now(), r.ID)
+		l.respond(r, response{status: http.StatusOK, contentType: s.ContentType, stream: s})
 		started <- true
 	})
 	select {
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -53,7 +53,7 @@
 	}
 	p.frontend.bodyMemory.setMax(memory)
 	p.frontend.headMemory.setMax(memory)
-	p.loop.pool.setLimits(max(backends, minConns), memory)
+	p.loop.pool.SetLimits(max(backends, minConns), memory)
 	if p.config.OnMemoryShare != nil {
 		p.config.OnMemoryShare(fraction)
 	}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -10,6 +10,7 @@
 	"merlinpick/balancer"
 	"merlinpick/internal/override"
 	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/upstream"
 	"merlinpick/internal/settings"
 )
 
@@ -26,7 +27,7 @@
 type eventLoop struct {
 	balancer    *balancer.Balancer
 	clock       clock
-	pool        *backendPool
+	pool        *upstream.Pool
 	zoneNumbers zoneNumbers
 	cluster     Cluster // nil for a proxy on its own
 
@@ -60,9 +61,10 @@
 type loopConfig struct {
 	balancer    *balancer.Balancer
 	clock       clock
-	pool        *backendPool
+	pool        *upstream.Pool
 	zoneNumbers zoneNumbers
 	metrics     *metrics
+	audit       *audit.Recorder
 	logger      *slog.Logger
 	managed     bool
 	maxListAge  time.Duration // 0: the list is never stale
@@ -72,7 +74,7 @@
 	stopped, markStopped := context.WithCancel(context.Background())
 	return &eventLoop{
 		balancer: cfg.balancer, clock: cfg.clock, pool: cfg.pool, zoneNumbers: cfg.zoneNumbers,
-		metrics: cfg.metrics, audit: audit.New(cfg.logger), logger: cfg.logger, managed: cfg.managed,
+		metrics: cfg.metrics, audit: cfg.audit, logger: cfg.logger, managed: cfg.managed,
 		events:   make(chan func(), eventQueueLength),
 		requests: map[string]*request{},
 		list: endpointList{
@@ -112,7 +114,7 @@
 		event()
 	case <-timers.alarm.C:
 	case now := <-timers.sweep.C:
-		l.pool.sweepIdle(now)
+		l.pool.SweepIdle(now)
 		l.list.status.checkStale(now)
 	case <-timers.exchange:
 		l.exchangeReports()
@@ -194,7 +196,7 @@
 	for len(l.attempts.unsent) > 0 {
 		a := l.attempts.unsent[0]
 		l.attempts.unsent = l.attempts.unsent[1:]
-		l.handleOutcome(a, result{status: balancer.StatusNotSent})
+		l.handleOutcome(a, upstream.Result{Status: balancer.StatusNotSent})
 	}
 }
 
@@ -234,7 +236,7 @@
 	}
 	l.updateZoneNames()
 	f.setSettings(newSettingsSnapshot(site, l.balancer.Settings(), classNumbers))
-	l.pool.setTimeouts(site.DialTimeout, site.IdleClose)
-	l.pool.setDrainGrace(site.Balancer.DrainGrace)
+	l.pool.SetTimeouts(site.DialTimeout, site.IdleClose)
+	l.pool.SetDrainGrace(site.Balancer.DrainGrace)
 	return nil
 }
--- a/internal/proxy/misbehavingclients_test.go
+++ b/internal/proxy/misbehavingclients_test.go
@@ -120,3 +120,8 @@
 		t.Error(err)
 	}
 }
+
+// readerFunc is a Reader by its one method.
+type readerFunc func(p []byte) (int, error)
+
+func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
--- a/internal/proxy/overrides.go
+++ b/internal/proxy/overrides.go
@@ -33,7 +33,7 @@
 	}
 	l.logger.Info("suspended servers changed", "endpoints", slices.Sorted(maps.Keys(servers)))
 	l.overrides.suspended = servers
-	l.pool.setSuspended(servers)
+	l.pool.SetSuspended(servers)
 	l.balancer.SetSuspendedServers(servers)
 	l.metrics.setServers(l.balancer.ServerCounts())
 }
--- a/internal/proxy/parserequest.go
+++ b/internal/proxy/parserequest.go
@@ -7,23 +7,22 @@
 	"time"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/upstream"
 )
 
 const (
-	// The answer to a request is to leave this long before its client gives up, so that a busy core does
-	// not make it late, but a request with little time keeps most of it.
+	// A response is to leave so long before its client gives up, so that a busy core does not make it late, but a request
+	// with little time keeps all but a responseMarginDivisor-th of it.
 	responseMargin        = 30 * time.Millisecond
 	responseMarginDivisor = 8
-)
 
-// fault is the answer to a request that makes no sense.
-func errorResponse(status int, why string) response {
-	return response{status: status, body: []byte(why + "\n"), contentType: "text/plain"}
-}
+	maxTimeoutMillis = 1e9 // of what a client may ask for, so that it fits a time.Duration
+)
 
-// parse reads a request's head. With an answer returned it makes no sense; nothing of it goes on.
+// parseRequest reads a request's head by the settings of a snapshot. With a response returned the head makes no sense, and
+// nothing of it is forwarded.
 func (v *settingsSnapshot) parseRequest(w http.ResponseWriter, r *http.Request) (*request, response) {
-	bad := func(status int, why string) (*request, response) { return nil, errorResponse(status, why) }
+	bad := func(status int, reason string) (*request, response) { return nil, errorResponse(status, reason) }
 	for _, name := range []string{"Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key", "Tenant"} {
 		if len(r.Header[name]) > 1 {
 			return bad(http.StatusBadRequest, name+" is given twice")
@@ -42,38 +41,44 @@
 	if id == "" {
 		return bad(http.StatusBadRequest, "no Request-Id")
 	}
-	k, method := v.balancer.Classes[class], http.MethodPost
-	if k.Idempotency == balancer.Idempotent {
+	settings, method := v.balancer.Classes[class], http.MethodPost
+	if settings.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
 		return bad(http.StatusMethodNotAllowed, "wrong method for the class")
 	}
-	if keyed := r.Header.Get("Idempotency-Key") != ""; keyed != (k.Idempotency == balancer.IdempotentWithKey) {
+	if keyed := r.Header.Get("Idempotency-Key") != ""; keyed != (settings.Idempotency == balancer.IdempotentWithKey) {
 		return bad(http.StatusBadRequest, "Idempotency-Key does not fit the class")
 	}
-	// Without a time-out that makes sense the client is taken to wait as long as its class does.
-	wait := time.Duration(k.Deadline) * time.Microsecond
-	if ms, err := strconv.ParseInt(r.Header.Get("Request-Timeout-Ms"), 10, 64); err == nil && ms > 0 {
-		wait = min(wait, time.Duration(min(ms, 1e9))*time.Millisecond)
-	}
 	tenant, ok := v.tenants[r.Header.Get("Tenant")]
 	if !ok {
-		tenant = -1 // not told
+		tenant = -1 // unknown
 	}
-	wait -= min(responseMargin, wait/responseMarginDivisor)
-	return &request{
+	req := &request{
 		Request: balancer.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
 			Settings: v.balancer},
 		className: name,
-		method:    method, uri: r.RequestURI, host: r.Host, header: forwardedHeader(r.Header), timeout: wait,
-		nonIdempotent: k.Idempotency == balancer.NonIdempotent,
-		responses:     make(chan response, 1),
-	}, response{}
+		outbound: upstream.Request{ID: id, Method: method, URI: r.RequestURI, Host: r.Host, Header: forwardedHeader(r.Header),
+			Timeout: clientTimeout(r, settings), NonIdempotent: settings.Idempotency == balancer.NonIdempotent},
+		responses: make(chan response, 1),
+	}
+	req.outbound.ClientGone = req.clientGone
+	return req, response{}
+}
+
+// clientTimeout is how long the proxy has for a response, from the request's last byte on. A client whose
+// Request-Timeout-Ms makes no sense is taken to wait as long as its class allows.
+func clientTimeout(r *http.Request, class balancer.Class) time.Duration {
+	timeout := time.Duration(class.Deadline) * time.Microsecond
+	if ms, err := strconv.ParseInt(r.Header.Get("Request-Timeout-Ms"), 10, 64); err == nil && ms > 0 {
+		timeout = min(timeout, time.Duration(min(ms, maxTimeoutMillis))*time.Millisecond)
+	}
+	return timeout - min(responseMargin, timeout/responseMarginDivisor)
 }
 
-// passOn takes the headers that concern one connection out, and leaves net/http to frame the body.
+// forwardedHeader removes the headers that concern one connection, and leaves net/http to frame the body.
 func forwardedHeader(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -28,7 +28,9 @@
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/management"
 	"merlinpick/internal/override"
+	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/proxy/handover"
+	"merlinpick/internal/proxy/upstream"
 )
 
 // Proxy is one proxy with its listener open.
@@ -97,14 +99,14 @@
 func assemble(cfg Config, engine *balancer.Balancer, predecessor *handover.Predecessor, listener net.Listener) *Proxy {
 	metrics := newMetrics(cfg.Site.Classes)
 	_, backends, _ := cfg.connLimits(false)
-	pool := newBackendPool(cfg.Site.DialTimeout, cfg.Site.IdleClose, backends, metrics)
-	pool.logger = cfg.Logger
+	recorder := audit.New(cfg.Logger)
+	pool := upstream.NewPool(upstream.Config{DialTimeout: cfg.Site.DialTimeout, IdleClose: cfg.Site.IdleClose, MaxOpen: backends,
+		Audit: recorder, Logger: cfg.Logger, OnForwarded: metrics.attemptForwarded})
+	pool.SetDrainGrace(cfg.Site.Balancer.DrainGrace)
 	l := newEventLoop(loopConfig{
 		balancer: engine, clock: clock{time.Now()}, pool: pool, zoneNumbers: newZoneNumbers(cfg.Site.Zones),
-		metrics: metrics, logger: cfg.Logger, managed: cfg.Managed, maxListAge: cfg.maxListAge(),
+		metrics: metrics, audit: recorder, logger: cfg.Logger, managed: cfg.Managed, maxListAge: cfg.maxListAge(),
 	})
-	pool.audit = l.audit
-	pool.setDrainGrace(cfg.Site.Balancer.DrainGrace)
 	p := &Proxy{config: cfg, loop: l, metrics: metrics, predecessor: predecessor, drainTimes: drainTimes, syncTimeout: cfg.syncTimeout()}
 	p.openListClient()
 	p.frontend = newFrontend(cfg.Site, l, listener, cfg.Logger)
@@ -159,7 +161,7 @@
 	}
 	l := p.loop
 	cfg := override.Config{Dir: p.config.StateDir, KnownServers: l.list.knownServers, KnownZones: l.overrides.zones.knownZones,
-		ServingZones: l.pool.servingZones, Stopped: l.done, Logger: p.config.Logger}
+		ServingZones: l.pool.ServingZones, Stopped: l.done, Logger: p.config.Logger}
 	if p.config.Cluster != nil {
 		cfg.Notify = func(server string, suspended bool) error { return p.cluster.NotifyOverride(server, suspended) }
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -3,73 +3,77 @@
 import (
 	"container/heap"
 	"context"
-	"io"
 	"net"
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"merlinpick/balancer"
 	"merlinpick/internal/proxy/invariant"
 	"merlinpick/internal/proxy/socket"
+	"merlinpick/internal/proxy/upstream"
 )
 
 const (
-	// An attempt's time-out at the end of the request's time is the module's to answer and to learn from;
-	// this much later the request is failed whatever the module says.
-	expiryGrace   = 10 * time.Millisecond
-	maxUploadTime = 30 * time.Minute // for a body to come; its rate is watched where it is read
+	// expiryGrace is how long after its deadline a request is failed whatever the balancer decides: an attempt's timeout at
+	// the deadline is the balancer's to answer and to learn from.
+	expiryGrace = 10 * time.Millisecond
+
+	maxUploadTime = 30 * time.Minute // for a body to come; its rate is checked where it is read
 )
 
-// request is one request that a client has handed over. The fields above answer are set before the loop
-// gets it; those below belong to the loop.
+// request is one request that a client has sent. The client's goroutine sets the first group of fields before the loop gets
+// it; the second group belongs to the loop. outbound is the attempt's while there is one, but for ClientDeadline.
 type request struct {
 	balancer.Request
-	className     string // its name
-	method        string
-	uri           string // path and query as they came
-	host          string
-	header        http.Header   // what goes on to the backend
-	timeout       time.Duration // how long the client waits, from the last byte of the request on
-	bufferedBody  []byte        // what is held of it
-	nonIdempotent bool          // its class must never run twice
-	responses     chan response // takes the one final answer without a wait
-
+	className     string
+	outbound      upstream.Request
 	clientContext context.Context // ends once net/http has noticed that the client has gone; nil in a test without one
-	clientConn    net.Conn        // the client's connection
-
-	// Of a body that is too large to be held. While Uploading the rest is still coming.
-	bodyRemainder  io.Reader                 // what comes after body
-	contentLength  int64                     // of all; -1: not told
-	stopUpload     func()                    // nobody wants the rest any more
-	bodyConsumed   bool                      // some of the rest is gone: no other attempt can have it
-	clientDeadline atomic.Pointer[time.Time] // when the client gives up, once its last byte is known to have come
-
-	rules            *invariant.Request // what the rules know of it; nil in a test that does not take it
-	recordedAttempts int                // attempts that began
+	clientConn    net.Conn
+	stopUpload    func()        // of a body that is still coming: nobody wants the rest any more
+	responses     chan response // takes the one final response without a wait
+
+	rules            *invariant.Request // nil before the loop has taken it
+	recordedAttempts int                // that were started
+	ended            bool               // it has its final response, or nobody waits for one
+	attemptCount     int                // that the balancer decided on
+	currentAttempt   *attempt           // in flight, or nil
+}
 
-	ended          bool
-	attemptCount   int
-	currentAttempt *attempt // the one that is out
+// attempt is one attempt that the balancer has decided on. It belongs to the loop.
+type attempt struct {
+	request     *request
+	number      int
+	decidedAt   int64 // of the loop's clock
+	awaitsBody  bool  // the body was still coming when it was decided on
+	started     bool
+	outbound    *upstream.Attempt // nil unless started
+	server      upstream.Server   // where it goes, if started
+	recordIndex int               // among the started attempts of its request
 }
 
-// answer is a final answer.
+// response is a final response.
 type response struct {
-	status      int // 0: nobody is there to have one
-	body        []byte
-	stream      *responseStream // in body's place: it is passed on as it comes
+	status      int // 0: nobody waits for one
 	contentType string
-	retryAfter  int64 // of a refusal: come again after this, in microseconds; 0 for no word
+	body        []byte
+	stream      *upstream.Stream // in place of body, for a response that is streamed
+	retryAfter  int64            // of a rejection, in microseconds; 0: none
 }
 
-// take hands a request to the module. It has until GiveUp to end it.
+// clientGone tells whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
+// context; what it cannot have seen yet, or never will, at the socket. Any goroutine may call it.
+func (r *request) clientGone() bool {
+	return r.clientContext != nil && (r.clientContext.Err() != nil || socket.PeerClosed(r.clientConn))
+}
+
+// handleRequest gives a request to the balancer, which has until its deadline to end it.
 func (l *eventLoop) handleRequest(r *request) {
-	if l.requests[r.ID] != nil { // two under one id could not be told apart
-		r.reject(response{status: http.StatusBadRequest})
+	if l.requests[r.ID] != nil { // two under one ID could not be told apart
+		r.endUntaken(response{status: http.StatusBadRequest})
 		return
 	}
-	if r.clientContext != nil && r.clientContext.Err() != nil { // it left while this stood in the queue
-		r.reject(response{})
+	if r.clientContext != nil && r.clientContext.Err() != nil { // it left while the event was queued
+		r.endUntaken(response{})
 		return
 	}
 	l.requests[r.ID] = r
@@ -80,16 +84,16 @@
 	l.balancer.HandleRequest(l.clock.now(), l, r.Request)
 }
 
-// turnAway ends a request that the loop does not take: neither its table nor the module has it.
-func (r *request) reject(ans response) {
+// endUntaken ends a request that neither the loop's table nor the balancer has.
+func (r *request) endUntaken(resp response) {
 	r.ended = true
-	r.responses <- ans
+	r.responses <- resp
 	if r.stopUpload != nil {
 		r.stopUpload()
 	}
 }
 
-// limit has a request end when its client gives up, at the latest.
+// armDeadline has a request expire at its deadline.
 func (l *eventLoop) armDeadline(r *request) {
 	if l.drainDeadline > 0 {
 		r.Deadline = min(r.Deadline, l.drainDeadline)
@@ -97,98 +101,97 @@
 	heap.Push(&l.timers, timer{moment: r.Deadline + expiryGrace.Microseconds(), request: r})
 }
 
-// arrived notes when the last byte of a body came that is still being passed on: the client's time runs from then on,
-// however long the backend takes for what is left.
-func (l *eventLoop) handleBodyArrived(r *request, at time.Time) {
+// handleBodyArrived notes when the last byte of a body came that is still being forwarded: the client's time runs from then
+// on, however long the backend takes for what is left.
+func (l *eventLoop) handleBodyArrived(r *request, arrived time.Time) {
 	if r.ended || !r.BodyPending {
 		return
 	}
-	due := at.Add(r.timeout)
-	r.clientDeadline.Store(&due)
+	deadline := arrived.Add(r.outbound.Timeout)
+	r.outbound.ClientDeadline.Store(&deadline)
 	if r.rules != nil {
-		r.rules.SetDeadline(due)
+		r.rules.SetDeadline(deadline)
 	}
-	r.Deadline = l.clock.at(due)
+	r.Deadline = l.clock.at(deadline)
 	l.armDeadline(r)
 }
 
-// uploaded begins the time of a request whose body was still coming when it was taken.
-func (l *eventLoop) handleBodyReceived(r *request, giveUp int64) {
+// handleBodyReceived begins the time of a request whose body was still coming when it was taken. deadline is on the loop's
+// clock.
+func (l *eventLoop) handleBodyReceived(r *request, deadline int64) {
 	if r.ended {
 		return
 	}
-	if due := r.clientDeadline.Load(); due != nil {
-		giveUp = min(giveUp, l.clock.at(*due))
+	if arrived := r.outbound.ClientDeadline.Load(); arrived != nil {
+		deadline = min(deadline, l.clock.at(*arrived))
 	}
-	r.BodyPending, r.Deadline = false, giveUp
+	r.BodyPending, r.Deadline = false, deadline
 	if r.rules != nil {
-		r.rules.SetDeadline(l.clock.time(giveUp))
+		r.rules.SetDeadline(l.clock.time(deadline))
 	}
 	l.armDeadline(r)
 	now := l.clock.now()
 	timeout := l.balancer.HandleBodyReceived(now, r.ID, r.Deadline)
-	if a := r.currentAttempt; a != nil && a.bodyComplete != nil {
+	if a := r.currentAttempt; a != nil && a.awaitsBody {
 		a.decidedAt = now
-		a.bodyComplete <- l.clock.time(min(r.Deadline, now+timeout))
+		a.outbound.CompleteBody(l.clock.time(min(r.Deadline, now+timeout)))
 	}
 }
 
-// end gives a request its final answer, if it has none yet.
-func (l *eventLoop) respond(r *request, ans response) {
+// respond gives a request its final response, if it has none yet.
+func (l *eventLoop) respond(r *request, resp response) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	l.auditResponse(r, ans)
-	r.responses <- ans
+	l.auditResponse(r, resp)
+	r.responses <- resp
 	if r.stopUpload != nil {
 		r.stopUpload()
 	}
 	l.forget(r)
 }
 
+// forget drops a request from the table once nothing of it is left.
 func (l *eventLoop) forget(r *request) {
 	if r.ended && r.currentAttempt == nil {
 		delete(l.requests, r.ID)
-		r.bufferedBody, r.header = nil, nil // a timer may hold on to the rest for seconds
+		r.outbound.Body, r.outbound.Header = nil, nil // a timer may keep the rest for seconds
 	}
 }
 
-// withdraw ends a request that nobody waits for any more, and its attempt.
-func (l *eventLoop) withdraw(r *request, ans response) {
+// withdraw ends a request whatever the balancer would decide, and cancels its attempt.
+func (l *eventLoop) withdraw(r *request, resp response) {
 	if r.ended {
 		return
 	}
-	l.respond(r, ans)
+	l.respond(r, resp)
 	l.balancer.HandleClientGone(l.clock.now(), l, r.ID)
-	if r.currentAttempt != nil {
-		r.currentAttempt.cancel()
-	}
+	r.cancelAttempt()
 }
 
-// gone ends a request whose client has gone, even in the middle of its answer.
+// handleClientGone ends a request whose client has gone, even in the middle of its response.
 func (l *eventLoop) handleClientGone(r *request) {
 	l.withdraw(r, response{})
+	r.cancelAttempt()
+}
+
+func (r *request) cancelAttempt() {
 	if r.currentAttempt != nil {
-		r.currentAttempt.cancel()
+		r.currentAttempt.outbound.Cancel()
 	}
 }
 
-// expire fails a request that the module has not ended in its time.
+// expire fails a request that the balancer has not ended in its time.
 func (l *eventLoop) expire(r *request) {
 	l.withdraw(r, response{status: http.StatusGatewayTimeout})
 }
 
-// hurry is for SIGTERM: all requests end by cutoff, since the process may be killed soon after.
+// shortenDeadlines has all requests end by cutoff, a moment of the loop's clock: after SIGTERM the process may be killed
+// soon.
 func (l *eventLoop) shortenDeadlines(cutoff int64) {
 	l.drainDeadline = cutoff
 	for _, r := range l.requests {
 		heap.Push(&l.timers, timer{moment: cutoff, request: r})
 	}
 }
-
-// left tells whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
-// context; what it cannot have seen yet, or never will, shows at the socket.
-func (r *request) clientGone() bool {
-	return r.clientContext != nil && (r.clientContext.Err() != nil || socket.PeerClosed(r.clientConn))
-}
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -1,38 +1,31 @@
 package proxy
 
 import (
-	"bufio"
-	"bytes"
 	"cmp"
-	"context"
 	"errors"
 	"io"
 	"net"
 	"net/http"
-	"net/url"
 	"os"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"merlinpick/balancer"
 )
 
 const (
-	maxRequestBodyBytes = 40 << 20 // of a request
+	maxRequestBodyBytes = 40 << 20
 
-	maxBufferedBody      = 256 << 10 // of a body is held, to be sent again, before the rest is passed on as it comes
-	guaranteedBodyBuffer = 32 << 10  // whatever memory is left: so much goes out with the head at once
-	unmeteredBuffer      = 4 << 10   // of a body, and of a head, is held without asking
+	maxBufferedBody      = 256 << 10 // up to so many bytes are buffered, to be sent again; the rest is streamed
+	guaranteedBodyBuffer = 32 << 10  // so many are, however little memory is left, and go out with the head at once
+	unmeteredBuffer      = 4 << 10   // so many of a body, and of a head, are buffered without a memoryBudget
 
-	// A body is to come at this rate at least, from the end of requestPatience on, and not to stand still for
-	// stillPatience. Slow clients send 64 kB a second.
+	// A body must come at minUploadRate (bytes a second) from requestReadTimeout after its request's start, and must not
+	// pause for uploadStallTimeout. Slow clients send 64 kB a second.
 	minUploadRate      = 32 << 10
 	uploadStallTimeout = 1500 * time.Millisecond
 )
 
+// Why a body is not read to its end. Clients are shown the text of errDraining, errConnShortage and errBodyMemory.
 var (
 	errBodyTooLarge = errors.New("the body is too large")
 	errDraining     = errors.New("the proxy ends before the body has come")
@@ -41,60 +34,30 @@
 	errRequestEnded = errors.New("the request is over")
 )
 
-// holds bounds the memory of what is held: one the bodies beyond holdLeast each, another the first bytes, which are heads
-// and bodies beyond holdFirst each.
-type memoryBudget struct {
-	mu        sync.Mutex
-	used, max int
-}
-
-func (h *memoryBudget) reserve(n int) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.used+n > h.max {
-		return false
-	}
-	h.used += n
-	return true
-}
-
-func (h *memoryBudget) release(n int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.used -= n
-}
-
-func (h *memoryBudget) setMax(most int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.max = most
-}
-
-// upload is a request's body on its way from the client. The client's goroutine alone reads it.
+// upload is a request's body on its way from the client. The client's goroutine owns it and alone reads it; any goroutine
+// may interrupt it.
 type upload struct {
 	source          io.Reader
-	contentLength   int64 // -1: not told
+	contentLength   int64 // -1: unknown
 	setReadDeadline func(time.Time) error
 	startedAt       time.Time // of the request
-	lastReceived    time.Time // when something came
-	received        atomic.Int64
+	lastReceived    time.Time
+	received        atomic.Int64 // bytes
 	bodyMemory      *memoryBudget
-	bodyReserved    int // of holds
+	bodyReserved    int // of bodyMemory
 	headMemory      *memoryBudget
-	headReserved    int // of firsts
+	headReserved    int // of headMemory
 	conn            net.Conn
 
-	mu           sync.Mutex
-	complete     bool // all has come
-	cancelled    bool // nobody wants the rest
-	draining     bool // the process ends
-	connShortage bool // connections run short
+	mu        sync.Mutex
+	complete  bool  // all of it has come
+	interrupt error // why the rest is not read; nil: it is. See stop.
 }
 
-func (f *frontend) newUpload(w http.ResponseWriter, r *http.Request, began time.Time) *upload {
+// newUpload registers an upload of a request that started at a moment.
+func (f *frontend) newUpload(w http.ResponseWriter, r *http.Request, startedAt time.Time) *upload {
 	u := &upload{source: r.Body, contentLength: r.ContentLength, setReadDeadline: http.NewResponseController(w).SetReadDeadline,
-		startedAt: began, lastReceived: time.Now(), bodyMemory: f.bodyMemory,
-		headMemory: f.headMemory}
+		startedAt: startedAt, lastReceived: time.Now(), bodyMemory: f.bodyMemory, headMemory: f.headMemory}
 	u.conn, _ = r.Context().Value(connKey{}).(net.Conn)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +65,7 @@
 	return u
 }
 
-// endUpload gives back what an upload held.
+// releaseUpload gives back the memory that an upload had reserved.
 func (f *frontend) releaseUpload(u *upload) {
 	u.bodyMemory.release(u.bodyReserved)
 	u.headMemory.release(u.headReserved)
@@ -111,30 +74,25 @@
 	delete(f.uploads, u)
 }
 
-// turnAway ends the uploads that are not done: the process ends before they can be.
+// rejectUploads ends the uploads that are not complete: the process ends before they can be.
 func (f *frontend) rejectUploads() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for u := range f.uploads {
-		u.interrupt(&u.draining)
+		u.stop(errDraining)
 	}
 }
 
+// Read reads from the client. It fails with os.ErrDeadlineExceeded for a body that comes too slowly, or with one of the
+// errors above.
 func (u *upload) Read(p []byte) (int, error) {
-	patience := u.startedAt.Add(requestReadTimeout)
-	until := u.lastReceived.Add(uploadStallTimeout)
-	if until.Before(patience) {
-		until = patience
-	}
-	if slow := patience.Add(time.Duration(u.received.Load()) * time.Second / minUploadRate); slow.Before(until) {
-		until = slow
-	}
-	if err := u.armReadDeadline(until); err != nil {
+	deadline := u.readDeadline()
+	if err := u.armReadDeadline(deadline); err != nil {
 		return 0, err
 	}
 	n, err := u.source.Read(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = cmp.Or(u.armReadDeadline(until), err)
+		err = cmp.Or(u.armReadDeadline(deadline), err)
 	}
 	if n > 0 {
 		u.received.Add(int64(n))
@@ -146,45 +104,63 @@
 	return n, err
 }
 
-// wait sets the deadline for the next read, or says why there is to be none.
-func (u *upload) armReadDeadline(until time.Time) error {
+// readDeadline is until when the next byte must come.
+func (u *upload) readDeadline() time.Time {
+	start := u.startedAt.Add(requestReadTimeout)
+	stalled := u.lastReceived.Add(uploadStallTimeout)
+	if stalled.Before(start) {
+		stalled = start
+	}
+	slow := start.Add(time.Duration(u.received.Load()) * time.Second / minUploadRate)
+	if slow.Before(stalled) {
+		return slow
+	}
+	return stalled
+}
+
+// armReadDeadline sets the deadline for the next read, or tells why there is to be none.
+func (u *upload) armReadDeadline(deadline time.Time) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	switch {
-	case u.cancelled:
-		return errRequestEnded
-	case u.draining:
-		return errDraining
-	case u.connShortage:
-		return errConnShortage
+	if u.interrupt != nil {
+		return u.interrupt
 	}
-	_ = u.setReadDeadline(until)
+	_ = u.setReadDeadline(deadline)
 	return nil
 }
 
-// end ends a read that waits, for the reason given, unless all has come.
-func (u *upload) interrupt(reason *bool) {
+// stop breaks a read off that waits and has later ones fail, unless all has come. Of several reasons errRequestEnded goes
+// before errDraining and that before errConnShortage.
+func (u *upload) stop(reason error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.complete {
-		*reason = true
-		_ = u.setReadDeadline(time.Unix(1, 0))
+	if u.complete {
+		return
+	}
+	if u.interrupt == nil || reason == errRequestEnded || u.interrupt == errConnShortage {
+		u.interrupt = reason
 	}
+	_ = u.setReadDeadline(time.Unix(1, 0))
 }
 
-// stop ends the upload of a request that has its answer. It may come from any goroutine, and at any time.
-func (u *upload) cancel() { u.interrupt(&u.cancelled) }
-
-// finish notes that all has come; false if nobody wanted it any more.
+// markComplete notes that all has come; false if nobody wanted it any more.
 func (u *upload) markComplete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.complete = !u.cancelled // the cutoff itself may come later than its margin
+	u.complete = u.interrupt != errRequestEnded // a drain may reject it shortly before the cutoff: it is in time
 	return u.complete
 }
 
-// hold reads as much of the body as may be held; whole tells that this is all of it.
-func (u *upload) buffer() (body []byte, whole bool, err error) {
+// isCancelled tells whether nobody wanted the rest of the body any more.
+func (u *upload) isCancelled() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.interrupt == errRequestEnded
+}
+
+// buffer reads as much of the body as may be buffered; complete tells that this is all of it. It fails with
+// errBodyTooLarge, errBodyMemory, or an error of Read.
+func (u *upload) buffer() (body []byte, complete bool, err error) {
 	if u.contentLength == 0 {
 		return nil, true, nil
 	}
@@ -194,16 +170,9 @@
 	for {
 		if len(body) == cap(body) {
 			more := max(unmeteredBuffer, cap(body))
-			if cap(body)+more > maxBufferedBody || cap(body)+more > guaranteedBodyBuffer && !u.bodyMemory.reserve(more) {
-				return body, false, nil
-			}
-			switch size := cap(body) + more; {
-			case size > guaranteedBodyBuffer:
-				u.bodyReserved += more
-			case size > unmeteredBuffer && !u.headMemory.reserve(more):
-				return nil, false, errBodyMemory
-			case size > unmeteredBuffer:
-				u.headReserved += more
+			ok, err := u.reserve(cap(body), more)
+			if !ok {
+				return body, false, err
 			}
 			body = append(make([]byte, 0, cap(body)+more), body...)
 		}
@@ -218,19 +187,38 @@
 	}
 }
 
-// missing is how many bytes of the body have not been read; unknown where its length was not told.
+// reserve lets a buffer of a size grow; false if it may not. With errBodyMemory there is not even room for the first bytes.
+func (u *upload) reserve(size, more int) (bool, error) {
+	switch size += more; {
+	case size > maxBufferedBody:
+		return false, nil
+	case size > guaranteedBodyBuffer:
+		if !u.bodyMemory.reserve(more) {
+			return false, nil
+		}
+		u.bodyReserved += more
+	case size > unmeteredBuffer:
+		if !u.headMemory.reserve(more) {
+			return false, errBodyMemory
+		}
+		u.headReserved += more
+	}
+	return true, nil
+}
+
+// remaining is how many bytes of the body have not been read; unknown without a length.
 func (u *upload) remaining() (n int64, known bool) {
 	return u.contentLength - u.received.Load(), u.contentLength >= 0
 }
 
-// passOn writes the rest of the body into the pipe that the attempt reads.
-func (u *upload) forwardTo(to *io.PipeWriter) error {
+// forwardTo writes the rest of the body into the pipe that the attempt reads.
+func (u *upload) forwardTo(pipe *io.PipeWriter) error {
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
 	for {
 		n, err := u.Read(*buf)
 		if n > 0 && err != errBodyTooLarge {
-			if _, err := to.Write((*buf)[:n]); err != nil {
+			if _, err := pipe.Write((*buf)[:n]); err != nil {
 				return errRequestEnded
 			}
 		}
@@ -243,161 +231,17 @@
 	}
 }
 
-// rest is what an attempt reads of a body beyond what is held.
-type remainingBody struct {
-	io.Reader
-	request   *request
-	readError error // its own, to tell it from one of the connection that it is written to
-}
-
-func (r *remainingBody) Read(p []byte) (int, error) {
-	r.request.bodyConsumed = true
-	n, err := r.Reader.Read(p)
-	if err != nil && err != io.EOF {
-		r.readError = err
-	}
-	return n, err
-}
-
-// patientWriter writes to a backend's connection for as long as something goes.
-type stallTimeoutWriter struct {
-	conn     *backendConn
-	ctx      context.Context
-	deadline time.Time // nothing goes after this; zero: no limit
-}
-
-func (w stallTimeoutWriter) Write(p []byte) (int, error) {
-	end := time.Now().Add(streamStallTimeout)
-	if !w.deadline.IsZero() && w.deadline.Before(end) {
-		end = w.deadline
-	}
-	_ = w.conn.SetWriteDeadline(end)
-	if w.ctx.Err() != nil { // stopped, maybe before the deadline was set anew
-		return 0, context.Cause(w.ctx)
-	}
-	return w.conn.Write(p)
-}
-
-// passOnBody writes a request whose body is still coming. It ends when all has been written, and the time for the
-// answer has been told.
-func (a *attempt) sendStreamedBody(c *backendConn) (status balancer.Status, ok bool) {
-	more := &remainingBody{Reader: a.request.bodyRemainder, request: a.request}
-	left := a.request.timeout
-	if due := a.request.clientDeadline.Load(); due != nil {
-		left = time.Until(*due)
-	}
-	out := a.outgoingRequest(left)
-	out.ContentLength = a.request.contentLength
-	out.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.request.bufferedBody), more))
-	a.checkFirstByte(time.Now())
-	w := bufio.NewWriterSize(stallTimeoutWriter{c, a.ctx, a.sendDeadline}, guaranteedBodyBuffer)
-	err := out.Write(w)
-	if err == nil {
-		err = w.Flush()
-	}
-	switch {
-	case a.ctx.Err() != nil, more.readError != nil:
-		return balancer.StatusCancelled, false
-	case err != nil: // the last byte was not written
-		return balancer.StatusConnectFailed, false
-	}
-	select {
-	case a.deadline = <-a.bodyComplete:
-	case <-a.ctx.Done():
-		return balancer.StatusCancelled, false
-	}
-	_ = c.SetDeadline(a.deadline)
-	if a.ctx.Err() != nil {
-		return balancer.StatusCancelled, false
-	}
-	return balancer.StatusOK, true
-}
-
-// outgoing is the head of the request as it goes on, for an answer that is waited for so long.
-func (a *attempt) outgoingRequest(left time.Duration) http.Request {
-	r := a.request
-	r.header.Set("Request-Timeout-Ms", strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	path, query, _ := strings.Cut(r.uri, "?")
-	return http.Request{Method: r.method, Host: r.host, Header: r.header,
-		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.uri, "?")}}
-}
-
-// stopped tells whether nobody wanted the rest of the body any more.
-func (u *upload) isCancelled() bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.cancelled
-}
-
-// fault is the answer to a body that did not come as it should. What is left of it cannot be told from a next
-// request, and is not waited for.
+// errorResponse is the response to a body that did not come as it should. What is left of it cannot be told from a next
+// request, and is not read.
 func (u *upload) errorResponse(w http.ResponseWriter, err error) response {
 	w.Header().Set("Connection", "close")
 	switch {
 	case errors.Is(err, errBodyTooLarge):
 		return errorResponse(http.StatusRequestEntityTooLarge, "the body is too large")
-	case errors.Is(err, errDraining), errors.Is(err, errConnShortage), errors.Is(err, errBodyMemory): // it has not run, and may come again
+	case errors.Is(err, errDraining), errors.Is(err, errConnShortage), errors.Is(err, errBodyMemory): // never executed: it may come again
 		return errorResponse(http.StatusServiceUnavailable, err.Error())
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return errorResponse(http.StatusRequestTimeout, "the body came too slowly")
 	}
 	return errorResponse(http.StatusBadRequest, "the body broke off")
 }
-
-// receive takes a request's body and hands the request over, whose answer then comes on its channel: with the body
-// whole if that can be held, and else while the rest comes. With an answer returned the request is none.
-func (f *frontend) receiveBody(w http.ResponseWriter, r *http.Request, req *request, u *upload) (*inFlightRequest, response) {
-	body, whole, err := u.buffer()
-	switch {
-	case err != nil:
-		return nil, u.errorResponse(w, err)
-	case req.method == http.MethodGet && (len(body) > 0 || !whole):
-		if !whole {
-			w.Header().Set("Connection", "close")
-		}
-		return nil, errorResponse(http.StatusBadRequest, "a body on a GET")
-	}
-	req.bufferedBody = body
-	if whole {
-		u.markComplete()
-		own := f.markComplete(w, r, req)
-		req.Deadline = f.clientDeadline(req)
-		if f.exceedsInFlight() {
-			req.responses <- rejectedResponse(req)
-		} else {
-			f.loop.post(func() { f.loop.handleRequest(req) })
-		}
-		return own, response{}
-	}
-	// The answer may come before the rest of the body has.
-	_ = http.NewResponseController(w).EnableFullDuplex()
-	from, to := io.Pipe()
-	req.bodyRemainder, req.contentLength, req.BodyPending = from, u.contentLength, true
-	req.stopUpload = func() { u.cancel(); from.CloseWithError(errRequestEnded) }
-	unhook := context.AfterFunc(f.loop.stopped, req.stopUpload)
-	defer unhook()
-	if f.exceedsInFlight() {
-		req.stopUpload()
-		req.responses <- rejectedResponse(req)
-	} else {
-		f.loop.post(func() { f.loop.handleRequest(req) })
-	}
-	came := watchBodyEnd(u.conn, u.remaining, func(at time.Time) {
-		f.loop.post(func() { f.loop.handleBodyArrived(req, at) })
-	})
-	err = u.forwardTo(to)
-	came.end()
-	if err == nil && u.markComplete() {
-		own, giveUp := f.markComplete(w, r, req), f.clientDeadline(req)
-		f.loop.post(func() { f.loop.handleBodyReceived(req, giveUp) })
-		to.Close()
-		return own, response{}
-	}
-	w.Header().Set("Connection", "close")
-	if u.isCancelled() { // it has its answer
-		return f.loop.metrics.requestStarted(req.className), response{}
-	}
-	to.CloseWithError(err)
-	f.loop.post(func() { f.loop.handleClientGone(req) })
-	return nil, u.errorResponse(w, err)
-}
--- /dev/null
+++ b/internal/proxy/upstream/cancel_test.go
@@ -0,0 +1,54 @@
+package upstream
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
+)
+
+// A request that is stopped while it is written has not run, and that is no fault of its server.
+func TestAttemptCancelledDuringWriteNeverExecuted(t *testing.T) {
+	p := poolWith(4, "127.0.0.1:1")
+	near, far := net.Pipe()
+	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return near, nil }
+	a := newAttempt(p, "a", proxytest.Timeout)
+	a.request.Method, a.request.Body = http.MethodPost, bytes.Repeat([]byte("x"), 1<<20)
+	go func() {
+		_, _ = io.ReadFull(far, make([]byte, 1<<10))
+		a.cancel()
+	}()
+	if res := a.Run(); res.Status != balancer.StatusNotSent || p.openConns != 0 {
+		t.Errorf("got %v with %d open", res.Status, p.openConns)
+	}
+}
+
+// An attempt that is stopped before it is written is none: the server is not to blame for it.
+func TestCancelledWriteBlamesNobody(t *testing.T) {
+	near, far := net.Pipe() // takes nothing until it is read from
+	defer far.Close()
+	pool := poolWith(5)
+	pool.openConns = 1
+	ctx, stop := context.WithCancel(context.Background())
+	a := &Attempt{request: &Request{Method: "GET", URI: "/", Header: http.Header{}}, deadline: time.Now().Add(proxytest.Timeout),
+		pool: pool, ctx: ctx, cancel: stop}
+	writes := make(chan struct{})
+	c := &conn{Conn: writeSeen{near, writes}, backend: &backend{}}
+	go func() { <-writes; stop() }()
+	if res, keep := a.exchange(c); res.Status != balancer.StatusNotSent || keep {
+		t.Errorf("got %v, keep %v", res.Status, keep)
+	}
+}
+
+type writeSeen struct {
+	net.Conn
+	seen chan struct{}
+}
+
+func (w writeSeen) Write(p []byte) (int, error) { close(w.seen); return w.Conn.Write(p) }
--- /dev/null
+++ b/internal/proxy/upstream/response_test.go
@@ -0,0 +1,79 @@
+package upstream
+
+import (
+	"io"
+	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// An answer that can't be read as HTTP has it is none, however it breaks the rules.
+func TestMalformedResponsesAreResets(t *testing.T) {
+	for name, c := range map[string]struct {
+		text string
+		want balancer.Status
+	}{
+		"some early words":      {strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", maxInformational) + proxytest.OKResponse, balancer.StatusOK},
+		"no end of early words": {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", maxInformational+1) + proxytest.OKResponse, balancer.StatusReset},
+		"an early word's body":  {"HTTP/1.1 100 Continue\r\nContent-Length: 2\r\n\r\nno" + proxytest.OKResponse, balancer.StatusReset},
+		"chunks without a body": {"HTTP/1.1 204 No Content\r\nTransfer-Encoding: chunked\r\n\r\n", balancer.StatusReset},
+		"longer than it says":   {proxytest.OKResponse + "ay, and more", balancer.StatusOK},
+		"a second answer":       {proxytest.OKResponse + "HTTP/1.1 200 OK\r\n", balancer.StatusOK},
+		"a line's end too many": {proxytest.OKResponse + "\r\n", balancer.StatusOK},
+		"nothing to say":        {"HTTP/1.1 204 No Content\r\n\r\n", balancer.StatusError},
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := proxytest.StartBackend(t, proxytest.RespondWith(c.text, true))
+			if res := newAttempt(poolWith(4, b.Addr), "a", proxytest.Timeout).Run(); res.Status != c.want {
+				t.Errorf("got %v %q, want %v", res.Status, res.Body, c.want)
+			}
+		})
+	}
+}
+
+// A client that is slow to take a large answer of untold length has it whole, though little of it had gone by its time.
+func TestSlowClientGetsWholeResponsePastDeadline(t *testing.T) {
+	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
+		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*MaxBufferedResponse))
+		return false
+	})
+	p := poolWith(4, b.Addr)
+	p.maxBuffered.Store(minBufferedResponse) // no more is read ahead
+	a := newAttempt(p, "a", proxytest.Timeout)
+	got := make(chan int64, 1)
+	a.startStream = func(s *Stream) bool {
+		s.ClientDeadline = time.Now().Add(-MaxStreamOverrun) // over now
+		time.AfterFunc(2*ResponseBufferWait, func() {
+			n, err := io.Copy(io.Discard, s)
+			s.Finish(err)
+			got <- n
+		})
+		return true
+	}
+	if res := a.Run(); res.Status != balancer.StatusOK {
+		t.Errorf("got %v", res.Status)
+	}
+	if n := proxytest.Receive(t, "end of the answer", got); n != 2*MaxBufferedResponse {
+		t.Errorf("%d bytes came", n)
+	}
+}
+
+// An answer without a length ends with the connection's end; a reset is none.
+func TestResetDoesNotCompleteResponse(t *testing.T) {
+	for name, head := range map[string]string{"HTTP/1.1": "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\n"} {
+		b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+			_, _ = io.WriteString(w, head+"ok")
+			return n == 1 && proxytest.Reset(w)
+		})
+		p := poolWith(4, b.Addr)
+		if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusReset {
+			t.Errorf("%s, reset: got %v %q", name, res.Status, res.Body)
+		}
+		if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK || string(res.Body) != "ok" {
+			t.Errorf("%s, ended: got %v %q", name, res.Status, res.Body)
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/upstream/reuse.go
@@ -0,0 +1,195 @@
+package upstream
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"syscall"
+	"time"
+
+	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/socket"
+)
+
+// How connections are opened, kept for the next request, and closed.
+
+var (
+	errConnLimit         = errors.New("upstream: the limit of connections to backends is reached and none is idle")
+	errGenerationChanged = errors.New("upstream: the backend was drained, moved, restarted or taken out meanwhile")
+)
+
+// takeIdle takes the most recently used idle connection that has been idle for reuseDelay, is not likely to be closed under
+// the request, and has nothing to read; nil if there is none.
+func (p *Pool) takeIdle(b *backend, generation int, nonIdempotent bool) *conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if b.generation != generation {
+		return nil
+	}
+	now := time.Now()
+	maxIdle := p.idleTracker.MaxIdle(now, p.idleTimeout, nonIdempotent)
+	for i := len(b.idleConns) - 1; i >= 0; i-- {
+		c := b.idleConns[i]
+		if c.idleFor = now.Sub(c.idleSince); c.idleFor < p.reuseDelay {
+			continue
+		}
+		b.idleConns = slices.Delete(b.idleConns, i, i+1)
+		if c.idleFor < maxIdle && socket.Quiet(c.Conn) {
+			return c
+		}
+		p.audit.Count(audit.BackendConnIdle)
+		p.closeLocked(c)
+	}
+	return nil
+}
+
+// awaitReusable takes the connection whose reuse delay ends first, where none has ended, and waits for that: a new one costs
+// the backend work and would take longer. It returns nil if none is idle, or a byte came meanwhile.
+func (p *Pool) awaitReusable(ctx context.Context, b *backend, generation int) *conn {
+	p.mu.Lock()
+	if b.generation != generation || len(b.idleConns) == 0 {
+		p.mu.Unlock()
+		return nil
+	}
+	c := b.idleConns[0]
+	b.idleConns = slices.Delete(b.idleConns, 0, 1)
+	delay := time.NewTimer(time.Until(c.idleSince.Add(p.reuseDelay)))
+	p.mu.Unlock()
+	defer delay.Stop()
+	select {
+	case <-delay.C:
+	case <-ctx.Done(): // nothing will be sent on it
+		return c
+	}
+	if c.idleFor = time.Since(c.idleSince); socket.Quiet(c.Conn) {
+		return c
+	}
+	p.closeConn(c)
+	return nil
+}
+
+// dial opens a connection within the dial timeout and the context's time, unless the backend's generation ends before. It
+// fails with errConnLimit, errGenerationChanged or the dialer's error.
+func (p *Pool) dial(ctx context.Context, b *backend, address string, generation int) (*conn, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	p.mu.Lock()
+	switch {
+	case b.generation != generation:
+		p.mu.Unlock()
+		return nil, fmt.Errorf("dial %s: %w", b.name, errGenerationChanged)
+	case !p.reserveLocked():
+		p.mu.Unlock()
+		return nil, errConnLimit
+	}
+	if b.pendingDials == nil {
+		b.pendingDials = map[*context.CancelFunc]bool{}
+	}
+	b.pendingDials[&cancel] = true
+	dial := p.dialContext
+	p.mu.Unlock()
+	nc, err := dial(ctx, "tcp", address)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(b.pendingDials, &cancel)
+	if err != nil {
+		p.openConns--
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			p.idleTracker.RecordBackendExit(time.Now(), b.name)
+		}
+		if b.generation != generation {
+			err = errGenerationChanged
+		}
+		return nil, fmt.Errorf("dial %s: %w", b.name, err)
+	}
+	c := &conn{Conn: nc, backend: b, generation: generation}
+	c.reader = bufio.NewReaderSize(notingReader{c}, 4<<10)
+	c.responseReader = bufio.NewReaderSize(nil, 1<<10)
+	return c, nil
+}
+
+// reserveLocked counts a connection in. At the limit the one that has been idle longest makes room; false if there is none.
+func (p *Pool) reserveLocked() bool {
+	if p.openConns >= p.maxOpen && !p.closeOldestIdleLocked() {
+		return false
+	}
+	p.openConns++
+	return true
+}
+
+// closeOldestIdleLocked closes the connection that has been idle the longest, if there is one.
+func (p *Pool) closeOldestIdleLocked() bool {
+	var oldest *backend
+	for _, b := range p.byName {
+		if len(b.idleConns) > 0 && (oldest == nil || b.idleConns[0].idleSince.Before(oldest.idleConns[0].idleSince)) {
+			oldest = b
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	p.audit.Count(audit.BackendConnNoRoom)
+	p.closeLocked(oldest.idleConns[0])
+	oldest.idleConns = oldest.idleConns[1:]
+	return true
+}
+
+// putIdle keeps a connection for the next request, unless its backend has changed since it was opened.
+func (p *Pool) putIdle(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if c.backend.generation != c.generation || !c.backend.available {
+		p.closeLocked(c)
+		return
+	}
+	c.idleSince = time.Now()
+	c.backend.idleConns = append(c.backend.idleConns, c)
+}
+
+// recordStaleReuse notes that a reused connection broke before a byte of a response came.
+func (p *Pool) recordStaleReuse(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idleTracker.RecordBrokenReuse(time.Now(), c.backend.name, c.idleFor, p.idleTimeout)
+}
+
+// resetAndClose closes a connection whose request has no complete response. What the system has not delivered of that
+// request never is: after an orderly close it would go on trying, and a backend that was cut off or hung would execute it
+// much later.
+func (p *Pool) resetAndClose(c *conn) {
+	p.audit.Count(audit.BackendConnNoResponse)
+	socket.ResetOnClose(c.Conn)
+	p.closeConn(c)
+}
+
+func (p *Pool) closeConn(c *conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closeLocked(c)
+}
+
+func (p *Pool) closeLocked(c *conn) {
+	c.Close()
+	p.openConns--
+}
+
+// SweepIdle closes the connections that have been idle for too long, and those that their backend has closed.
+func (p *Pool) SweepIdle(now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, b := range p.byName {
+		kept := b.idleConns[:0]
+		for _, c := range b.idleConns {
+			if now.Sub(c.idleSince) < p.idleTimeout && socket.Quiet(c.Conn) {
+				kept = append(kept, c)
+			} else {
+				p.audit.Count(audit.BackendConnIdle)
+				p.closeLocked(c)
+			}
+		}
+		clear(b.idleConns[len(kept):])
+		b.idleConns = kept
+	}
+}
--- /dev/null
+++ b/internal/proxy/upstream/send.go
@@ -0,0 +1,177 @@
+package upstream
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"merlinpick/balancer"
+)
+
+// writeBufferBytes of a streamed request are sent together: its head and the first of its body.
+const writeBufferBytes = 32 << 10
+
+// exchange sends the request and reads the response; reusable tells whether the connection can serve again.
+func (a *Attempt) exchange(c *conn) (result Result, reusable bool) {
+	// Cancelling the attempt ends its reads and writes; the connection is then closed, never used again.
+	unhook := context.AfterFunc(a.ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
+	defer func() {
+		if !unhook() {
+			reusable = false
+		}
+	}()
+	_ = c.SetDeadline(a.deadline)
+	if a.ctx.Err() != nil { // cancelled while the deadline was set
+		return Result{Status: balancer.StatusNotSent}, false
+	}
+	if a.pastSendWindow() {
+		return Result{Status: balancer.StatusNotSent}, true
+	}
+	if limit := a.sendLimit(); limit.Before(a.deadline) {
+		_ = c.SetWriteDeadline(limit)
+		if a.ctx.Err() != nil {
+			return Result{Status: balancer.StatusNotSent}, false
+		}
+	}
+	if status, reusable := a.send(c); status != balancer.StatusOK {
+		return Result{Status: status}, reusable
+	}
+	sent := time.Now()
+	if a.pool.onForwarded != nil {
+		a.pool.onForwarded()
+	}
+	c.responseStarted = false
+	result, reusable, err := a.readResponse(c)
+	switch {
+	case err == nil:
+		return result, reusable
+	case a.pastDeadline():
+		return Result{Status: balancer.StatusTimedOut}, false
+	case a.ctx.Err() != nil:
+		return Result{Status: balancer.StatusCancelled}, false
+	}
+	a.pool.logBrokenResponse(a.backend, err)
+	if !c.responseStarted && time.Since(sent) < staleConnWindow {
+		a.pool.recordStaleReuse(c)
+	}
+	return Result{Status: balancer.StatusReset}, false
+}
+
+// send writes the whole request. Any status but StatusOK proves that the backend has not begun on it, except
+// StatusCancelled; reusable then tells whether the connection can serve another request.
+func (a *Attempt) send(c *conn) (status balancer.Status, reusable bool) {
+	if a.bodyComplete != nil {
+		return a.sendStreamed(c), false
+	}
+	text, err := a.encodeRequest()
+	if err != nil {
+		return balancer.StatusNotSent, true
+	}
+	a.checkFirstByte(time.Now())
+	if _, err := c.Write(text); err != nil { // the last byte was not written
+		if a.ctx.Err() != nil {
+			return balancer.StatusNotSent, false // its connection was not at fault
+		}
+		return balancer.StatusConnectFailed, false
+	}
+	return balancer.StatusOK, false
+}
+
+// encodeRequest writes the whole request into one buffer, so that one write tells whether its last byte went out.
+func (a *Attempt) encodeRequest() ([]byte, error) {
+	out := a.outgoingRequest(time.Until(a.deadline))
+	if body := a.request.Body; len(body) > 0 {
+		out.ContentLength, out.Body = int64(len(body)), io.NopCloser(bytes.NewReader(body))
+	}
+	var buf bytes.Buffer
+	if err := out.Write(&buf); err != nil {
+		return nil, fmt.Errorf("encode request: %w", err)
+	}
+	return buf.Bytes(), nil
+}
+
+// sendStreamed writes a request whose body is still coming. It ends when all has been written and the deadline for the
+// response is known.
+func (a *Attempt) sendStreamed(c *conn) balancer.Status {
+	remaining := &remainingBody{Reader: a.request.BodyRemainder, request: a.request}
+	timeout := a.request.Timeout
+	if deadline := a.request.ClientDeadline.Load(); deadline != nil {
+		timeout = time.Until(*deadline)
+	}
+	out := a.outgoingRequest(timeout)
+	out.ContentLength = a.request.ContentLength
+	out.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.request.Body), remaining))
+	a.checkFirstByte(time.Now())
+	w := bufio.NewWriterSize(stallTimeoutWriter{c, a.ctx, a.sendDeadline}, writeBufferBytes)
+	err := out.Write(w)
+	if err == nil {
+		err = w.Flush()
+	}
+	switch {
+	case a.ctx.Err() != nil, remaining.readErr != nil:
+		return balancer.StatusCancelled
+	case err != nil: // the last byte was not written
+		return balancer.StatusConnectFailed
+	}
+	select {
+	case a.deadline = <-a.bodyComplete:
+	case <-a.ctx.Done():
+		return balancer.StatusCancelled
+	}
+	_ = c.SetDeadline(a.deadline)
+	if a.ctx.Err() != nil {
+		return balancer.StatusCancelled
+	}
+	return balancer.StatusOK
+}
+
+// outgoingRequest is the head of the request as it is sent, for a response that is awaited for so long.
+func (a *Attempt) outgoingRequest(timeout time.Duration) http.Request {
+	r := a.request
+	r.Header.Set("Request-Timeout-Ms", strconv.FormatInt(max(1, timeout.Milliseconds()), 10))
+	path, query, _ := strings.Cut(r.URI, "?")
+	return http.Request{Method: r.Method, Host: r.Host, Header: r.Header,
+		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.URI, "?")}}
+}
+
+// remainingBody is what an attempt reads of a body beyond what is buffered.
+type remainingBody struct {
+	io.Reader
+	request *Request
+	readErr error // its own, to tell it from one of the connection that it is written to
+}
+
+func (r *remainingBody) Read(p []byte) (int, error) {
+	r.request.BodyConsumed = true
+	n, err := r.Reader.Read(p)
+	if err != nil && err != io.EOF {
+		r.readErr = err
+	}
+	return n, err
+}
+
+// stallTimeoutWriter writes to a backend's connection, and fails when nothing can be written for StallTimeout.
+type stallTimeoutWriter struct {
+	conn     *conn
+	ctx      context.Context
+	deadline time.Time // nothing is written after it; zero: no limit
+}
+
+func (w stallTimeoutWriter) Write(p []byte) (int, error) {
+	deadline := time.Now().Add(StallTimeout)
+	if !w.deadline.IsZero() && w.deadline.Before(deadline) {
+		deadline = w.deadline
+	}
+	_ = w.conn.SetWriteDeadline(deadline)
+	if w.ctx.Err() != nil { // cancelled, maybe before the deadline was set anew
+		return 0, context.Cause(w.ctx)
+	}
+	return w.conn.Write(p)
+}
--- a/internal/proxy/zoneoverrides.go
+++ b/internal/proxy/zoneoverrides.go
@@ -40,7 +40,7 @@
 		return
 	}
 	drained, retained := maps.Clone(zones.requested), ""
-	serving := slices.Sorted(maps.Keys(l.pool.servingZones()))
+	serving := slices.Sorted(maps.Keys(l.pool.ServingZones()))
 	if len(serving) > 0 && !slices.ContainsFunc(serving, func(zone string) bool { return !drained[zone] }) {
 		retained = serving[0]
 		delete(drained, retained)
@@ -58,7 +58,7 @@
 	for zone := range drained {
 		numbers[l.zoneNumbers.number(zone)] = true
 	}
-	l.pool.setDrainedZones(drained)
+	l.pool.SetDrainedZones(drained)
 	l.balancer.SetDrainedZones(l.clock.now(), l, numbers)
 	l.metrics.setServers(l.balancer.ServerCounts())
 }
