--- /dev/null
+++ b/internal/discovery/notifydeadline_test.go
@@ -0,0 +1,132 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// Clients of one list that answers in turn, each call after others' turns that take nearly all of the longest wait: whatever
+// befalls their calls, each has a change 6 s after discovery had it and could be reached, less a margin, and they make no more
+// calls than the faults need. Those that befall a fleet at once befall 300, whose own turns are what has to be waited for.
+func TestAChangeIsThereInTime(t *testing.T) {
+	const told = 6 * time.Second
+	struck := func(what func(*heldWatch), next ...callFault) func(*serverModel) {
+		return func(l *serverModel) { l.inject(what, next...) }
+	}
+	trouble := func(f callFault, what func(*heldWatch), d time.Duration) func(*serverModel) {
+		return func(l *serverModel) { l.outage(f, what, d) }
+	}
+	move := func(l *serverModel) {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		for _, c := range l.callers {
+			c.lastAnswer = time.Time{} // there it is a new watch
+			c.client.SetSource(Source{Address: "127.0.0.1:2"})
+		}
+	}
+	const two, both, pushed, fleet = 1, 2, 3, 4 // longest wait of 2 s, or also of 3 s; or none; or 300 clients
+	tests := []struct {
+		name  string
+		fault func(l *serverModel) // 10 s into the run
+		in    int
+		calls int // of one client on average, beyond the first
+	}{
+		{"nothing", func(*serverModel) {}, both, 0},
+		{"silent", struck(silenceWatch), both, 2},
+		{"silent from the first byte", struck(keepWatch, neverAnswered), both, 2},
+		{"byte by byte", struck(keepWatch, endlessBody), both, 2},
+		{"garbled", struck(keepWatch, malformed), both, 2},
+		{"reset", struck(resetWatch), both, 2},
+		{"silent, 503", struck(silenceWatch, rejected), both, 3},
+		{"silent, 503, 503, 503", struck(silenceWatch, rejected, rejected, rejected), both, 5},
+		{"reset, 503, 503, 503", struck(resetWatch, rejected, rejected, rejected), both, 5},
+		{"silent, reset", struck(silenceWatch, connectionReset), both, 3},
+		{"silent, never answered", struck(silenceWatch, neverAnswered), two, 3},
+		{"silent, byte by byte", struck(silenceWatch, endlessBody), two, 3},
+		{"silent, garbled", struck(silenceWatch, malformed), two, 3},
+		{"never answered, and again", struck(keepWatch, neverAnswered, neverAnswered), two, 3},
+		{"503 for 20 s", trouble(rejected, resetWatch, 20*time.Second), both, 40},
+		{"503 after waits for 10 s", trouble(rejectedAfterWait, resetWatch, 10*time.Second), two, 6},
+		{"resets for 20 s", trouble(connectionReset, resetWatch, 20*time.Second), both, 40},
+		{"never answered for 20 s", trouble(neverAnswered, silenceWatch, 20*time.Second), both, 14},
+		{"byte by byte for 20 s", trouble(endlessBody, silenceWatch, 20*time.Second), both, 14},
+		{"garbled for 20 s", trouble(malformed, silenceWatch, 20*time.Second), two, 14},
+		{"moved with a call out", move, both, 2},
+		{"pushed, silent", struck(silenceWatch), pushed, 2},
+		{"pushed, silent, never answered", struck(silenceWatch, neverAnswered), pushed, 3},
+		{"pushed, deaf for 8 s", trouble(neverAnswered, silenceWatch, 8*time.Second), pushed, 26},
+		{"pushed, down for 8 s", trouble(connectionReset, resetWatch, 8*time.Second), pushed, 60},
+		{"all silent", struck(silenceWatch), fleet, 4},
+		{"down for 8 s, and all ask", trouble(connectionReset, resetWatch, 8*time.Second), fleet, 18},
+		{"deaf for 8 s, and all ask", trouble(neverAnswered, silenceWatch, 8*time.Second), fleet, 7},
+		{"a tenth silent as 130 start", func(l *serverModel) {
+			for i := range 130 {
+				l.join(l.ctx, false, uint64(1000+i), 0)
+			}
+			time.Sleep(500 * time.Millisecond)
+			l.faultsBelow = 30
+			l.inject(silenceWatch)
+		}, fleet, 2},
+		{"a tenth silent as turns are slow", func(l *serverModel) {
+			l.mu.Lock()
+			l.serviceTime, l.faultsBelow = 3*l.serviceTime, 30
+			l.mu.Unlock()
+			l.inject(silenceWatch)
+		}, fleet, 1},
+		{"all moved with a call out", move, fleet, 5},
+	}
+	for _, tt := range tests {
+		for _, wait := range []time.Duration{2 * time.Second, 3 * time.Second} {
+			if wait == 3*time.Second && tt.in != both {
+				continue
+			}
+			t.Run(fmt.Sprint(tt.name, ", turns of ", wait), func(t *testing.T) {
+				clients, margin := 60, 400*time.Millisecond
+				l := &serverModel{maxWait: wait, serviceTime: time.Millisecond, otherLoad: wait - 100*time.Millisecond}
+				switch tt.in {
+				case pushed:
+					l.serviceTime, l.otherLoad = 0, 0
+				case fleet:
+					clients, margin, l.serviceTime, l.otherLoad = 300, 50*time.Millisecond, 18*time.Millisecond, 0
+				}
+				l.callersTold = clients
+				synctest.Test(t, func(t *testing.T) {
+					ctx, stop := context.WithCancel(t.Context())
+					l.changed, l.ctx = make(chan struct{}), ctx
+					for i := range clients {
+						l.join(ctx, tt.in == pushed, uint64(i+1), 0)
+					}
+					time.Sleep(10 * time.Second)
+					l.mu.Lock()
+					before := l.calls
+					l.mu.Unlock()
+					go func() { // a release; its first change comes with the fault
+						for range 30 {
+							l.publishVersion()
+							time.Sleep(700 * time.Millisecond)
+						}
+					}()
+					tt.fault(l)
+					time.Sleep(25 * time.Second)
+					stop()
+					synctest.Wait()
+					age := l.worstAge(t)
+					most := told - margin
+					if tt.in == pushed { // what an agent has counts as told at once; silence is found within a watch's time
+						most = 1200 * time.Millisecond
+					}
+					if age > most {
+						t.Errorf("a change was heard of after %v, want %v", age, most)
+					}
+					if got := l.calls - before; got > tt.calls*clients {
+						t.Errorf("%d calls, want at most %d", got, tt.calls*clients)
+					}
+					t.Logf("age %v; %.1f calls a client", age, float64(l.calls-before)/float64(clients))
+				})
+			})
+		}
+	}
+}
--- /dev/null
+++ b/internal/discovery/registry.go
@@ -0,0 +1,201 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"net/url"
+	"slices"
+	"strconv"
+	"time"
+
+	"merlinpick/internal/failover"
+)
+
+// Package failover decides which member is called, when, and which versions are accepted. What a new epoch of versions
+// lacks was not removed by anybody: such endpoints are retained for missingRetention, in which those that live register
+// again. So an older snapshot that was restored by mistake removes no endpoint at once.
+const (
+	// LongPollTimeout is how long a member may hold a watch.
+	LongPollTimeout = 4 * time.Second
+	// FailoverJitter is the time over which the callers of a failed member spread their calls to others.
+	FailoverJitter = failover.Jitter
+
+	registryWatchSlack  = 1500 * time.Millisecond // after the hold, until a watch counts as timed out
+	registryCallTimeout = 3 * time.Second         // of a call that need not wait for a change
+	maxRegistryBackoff  = 5 * time.Second
+	epochWait           = failover.EpochWait
+	missingRetention    = 30 * time.Second
+)
+
+// registryState is what a client knows of the registry's list. Only Run's goroutine uses it.
+type registryState struct {
+	accepted      failover.AcceptedVersion
+	endpoints     map[string]Endpoint  // by name; nil: no list yet
+	missingSince  map[string]time.Time // retained endpoints by name
+	sourceChanged bool                 // since the last full list: any epoch is accepted
+}
+
+// replaceEndpoints replaces the list held by a full one.
+func (s *registryState) replaceEndpoints(list *List) {
+	s.accepted = failover.AcceptedVersion{Epoch: list.Epoch, Version: list.Version, ConfirmedAt: time.Now()}
+	s.endpoints = map[string]Endpoint{}
+	for _, endpoint := range list.Endpoints {
+		s.endpoints[endpoint.Name] = endpoint
+	}
+}
+
+// followRegistry follows the list at the registry's members until the context ends.
+func (c *Client) followRegistry(ctx context.Context) {
+	ring := failover.NewRing(c.source.Members, c.randomness, maxRegistryBackoff)
+	full := true
+	for ctx.Err() == nil {
+		calledAt, versionBefore := time.Now(), c.registry.accepted.Version
+		list, err := c.callMember(ctx, ring.Current(), full)
+		if ctx.Err() != nil {
+			return
+		}
+		now := time.Now()
+		if err == nil {
+			err = c.accept(list, now)
+		}
+		if err == nil {
+			c.lastSuccess.Record()
+			c.expireMissing(now)
+			if !full && c.registry.accepted.Version == versionBefore {
+				ring.PaceWatch(ctx, now.Sub(calledAt), LongPollTimeout)
+			}
+			ring.RecordSuccess()
+			full = false
+			continue
+		}
+		c.failures.Add(1)
+		full = full || list != nil && !errors.Is(err, failover.ErrStaleVersion)
+		failure := ring.LogFailure(c.log, "endpoint list call failed", err)
+		if failure.FailedOver {
+			c.failovers.Add(1)
+		}
+		c.expireMissing(now)
+		c.sleep(ctx, failure.Backoff)
+	}
+}
+
+// callMember requests the full list of a member, or watches for changes after the version held.
+func (c *Client) callMember(ctx context.Context, member string, full bool) (*List, error) {
+	target, timeout := "http://"+member+listPath, registryCallTimeout
+	if !full && c.registry.endpoints != nil {
+		target += "?from=" + strconv.FormatInt(c.registry.accepted.Version, 10) +
+			"&hold_ms=" + strconv.FormatInt(LongPollTimeout.Milliseconds(), 10) +
+			"&line=" + url.QueryEscape(c.registry.accepted.Epoch)
+		timeout = LongPollTimeout + registryWatchSlack
+	}
+	return c.fetch(ctx, target, timeout)
+}
+
+// accept publishes what is new in an answer, or returns why the answer is discarded.
+func (c *Client) accept(list *List, now time.Time) error {
+	state := &c.registry
+	first := state.endpoints == nil
+	sameEpoch := list.Epoch == state.accepted.Epoch && !first
+	if !sameEpoch && !list.Full {
+		return fmt.Errorf("changes of epoch %q do not apply to a list of epoch %q", list.Epoch, state.accepted.Epoch)
+	}
+	if !state.sourceChanged {
+		if err := state.accepted.Check(list.Epoch, list.Version, now); err != nil {
+			return err
+		}
+	}
+	if sameEpoch {
+		state.accepted.ConfirmedAt = now
+	}
+	if !list.Full {
+		c.applyChanges(list)
+		return nil
+	}
+	complete := *list
+	complete.Endpoints = c.retainMissing(list, now, !first && (list.Epoch != state.accepted.Epoch || state.sourceChanged))
+	state.sourceChanged = false
+	state.replaceEndpoints(&complete)
+	c.retained.Store(int64(len(state.missingSince)))
+	c.saveCache()
+	c.publish(Update{&complete})
+	return nil
+}
+
+// retainMissing returns the endpoints of a full list, and after them those held that it lacks and that are retained: all of
+// them if the list is of another epoch, else those that were retained before.
+func (c *Client) retainMissing(list *List, now time.Time, otherEpoch bool) []Endpoint {
+	state := &c.registry
+	endpoints := slices.Clone(list.Endpoints)
+	listed := map[string]bool{}
+	for _, endpoint := range endpoints {
+		listed[endpoint.Name] = true
+	}
+	missing := map[string]time.Time{}
+	for _, name := range slices.Sorted(maps.Keys(state.endpoints)) {
+		since, retained := state.missingSince[name]
+		if listed[name] || !otherEpoch && !retained {
+			continue
+		}
+		if !retained { // the times of several epochs do not add up
+			since = now
+		}
+		missing[name] = since
+		endpoints = append(endpoints, state.endpoints[name])
+	}
+	if otherEpoch {
+		c.log.Warn("endpoint list epoch changed", "epoch", list.Epoch, "version", list.Version,
+			"previous_epoch", state.accepted.Epoch, "previous_version", state.accepted.Version,
+			"endpoints", len(list.Endpoints), "retained", len(missing), "duration", missingRetention)
+	}
+	state.missingSince = missing
+	return endpoints
+}
+
+// applyChanges applies and publishes changes of the list held.
+func (c *Client) applyChanges(changes *List) {
+	state := &c.registry
+	state.accepted.Version = changes.Version
+	if len(changes.Endpoints) == 0 {
+		return
+	}
+	for _, endpoint := range changes.Endpoints {
+		delete(state.missingSince, endpoint.Name)
+		if endpoint.Status == StatusDeleted {
+			delete(state.endpoints, endpoint.Name)
+		} else {
+			state.endpoints[endpoint.Name] = endpoint
+		}
+	}
+	c.retained.Store(int64(len(state.missingSince)))
+	c.saveCache()
+	c.publish(Update{changes})
+}
+
+// expireMissing removes the endpoints that were retained for missingRetention.
+func (c *Client) expireMissing(now time.Time) {
+	state := &c.registry
+	var expired []Endpoint
+	for _, name := range slices.Sorted(maps.Keys(state.missingSince)) {
+		if now.Sub(state.missingSince[name]) >= missingRetention {
+			expired = append(expired, Endpoint{Name: name, Status: StatusDeleted})
+		}
+	}
+	if len(expired) > 0 {
+		c.log.Warn("retained endpoints expired", "endpoints", len(expired), "epoch", state.accepted.Epoch)
+		c.applyChanges(&List{Version: state.accepted.Version, Epoch: state.accepted.Epoch, Endpoints: expired})
+	}
+}
+
+// saveCache has the list held written to the state directory.
+func (c *Client) saveCache() {
+	if c.cache == nil {
+		return
+	}
+	list := &List{Version: c.registry.accepted.Version, Epoch: c.registry.accepted.Epoch}
+	for _, name := range slices.Sorted(maps.Keys(c.registry.endpoints)) {
+		list.Endpoints = append(list.Endpoints, c.registry.endpoints[name])
+	}
+	c.cache.Put(list.encode)
+}
