--- a/internal/proxy/bodyend.go
+++ b/internal/proxy/bodyend.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// The time of a request counts from the last byte that its client sent. A body that is passed on is read no faster than a
-// backend takes it, so that byte may stand in the system's buffers for as long as a backend hangs or a connection to it is
-// late. The system is asked whether it is there.
+// A client's time counts from the last byte of its request. A body that is streamed is read no faster than a backend takes
+// it, so that byte may stand in the system's buffers for as long as a backend hangs or a connection to it is late. The system
+// is asked whether it is there.
 
 const (
 	bodyEndPollInterval = 25 * time.Millisecond
@@ -21,48 +21,49 @@
 // lastChunk ends a chunked body without trailers.
 var lastChunk = []byte("\r\n0\r\n\r\n")
 
-// arrival watches for the end of a body in the buffers of its client's connection.
+// bodyEndWatcher looks for the end of a body in the system's buffers of its client's connection, in a goroutine that end
+// stops. The client's goroutine owns it.
 type bodyEndWatcher struct {
 	conn      net.Conn
 	remaining func() (n int64, known bool) // bytes of the body that have not been read; unknown for a chunked one
-	onEnd     func(at time.Time)           // called once, when the end is there
+	onEnd     func(arrived time.Time)      // called once, when the end is there
 
 	stop      chan struct{}
 	goroutine sync.WaitGroup
 }
 
-// watchArrival looks for the end of a body until it is found or end is called.
-func watchBodyEnd(conn net.Conn, missing func() (int64, bool), found func(time.Time)) *bodyEndWatcher {
-	a := &bodyEndWatcher{conn: conn, remaining: missing, onEnd: found, stop: make(chan struct{})}
-	a.goroutine.Go(a.run)
-	return a
+// watchBodyEnd looks for the end of a body until it is found or end is called.
+func watchBodyEnd(conn net.Conn, remaining func() (int64, bool), onEnd func(time.Time)) *bodyEndWatcher {
+	w := &bodyEndWatcher{conn: conn, remaining: remaining, onEnd: onEnd, stop: make(chan struct{})}
+	w.goroutine.Go(w.run)
+	return w
 }
 
-func (a *bodyEndWatcher) run() {
+func (w *bodyEndWatcher) run() {
 	tick := time.NewTicker(bodyEndPollInterval)
 	defer tick.Stop()
 	var peeked []byte
 	for {
 		select {
 		case <-tick.C:
-		case <-a.stop:
+		case <-w.stop:
 			return
 		}
-		missing, known := a.remaining()
-		if known && socket.Unread(a.conn)+httpReaderBuffer >= missing || !known && endsChunked(a.conn, &peeked) {
-			a.onEnd(time.Now())
+		remaining, known := w.remaining()
+		if known && socket.Unread(w.conn)+httpReaderBuffer >= remaining || !known && endsChunked(w.conn, &peeked) {
+			w.onEnd(time.Now())
 			return
 		}
 	}
 }
 
-// end stops the watch and waits for it.
-func (a *bodyEndWatcher) end() {
-	close(a.stop)
-	a.goroutine.Wait()
+// end stops the watch and waits for its goroutine.
+func (w *bodyEndWatcher) end() {
+	close(w.stop)
+	w.goroutine.Wait()
 }
 
-// endsChunked tells whether what waits to be read is the rest of a chunked body up to its end.
+// endsChunked tells whether what waits to be read is the rest of a chunked body up to its end. buf is allocated once.
 func endsChunked(c net.Conn, buf *[]byte) bool {
 	waiting := socket.Unread(c)
 	if waiting < int64(len(lastChunk)) || waiting > maxPeekBytes {
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"io"
+	"math"
 	"net"
 	"os"
 	"slices"
@@ -13,55 +14,61 @@
 	"time"
 
 	"merlinpick/internal/proxy/framing"
+	"merlinpick/internal/proxy/socket"
 )
 
-// framedConn is a client's connection that lets net/http see no more than one request at a time, and only
-// one whose framing is beyond doubt. Nothing passes after a chunked request: its connection is to be closed.
+// clientConn is a client's connection that lets net/http see no more than one request at a time, and only one whose framing
+// is unambiguous. Nothing passes after a chunked request: its connection is to be closed.
 //
-// What comes is read and noted in one step, and so is a look at what has come and a shutdown: a request is either read
-// before the shutdown, and answered, or never passed on. See linger.go for how a connection ends.
+// What comes is read and noted in one step, under mu, and so are a look at what has come and a shutdown: a request is either
+// read before the shutdown, and answered, or never passed on. See linger.go for how a connection ends.
+//
+// net/http's goroutine for the connection reads it and owns the fields without a lock; any goroutine may close it.
 type clientConn struct {
 	net.Conn
 	rawConn  syscall.RawConn // nil if there is no descriptor
 	listener *limitedListener
 
 	buffered      []byte // read and not passed yet
-	passable      int64  // bytes that may pass before the next head is looked at; negative: all
+	passable      int64  // bytes that may pass before the next head is checked; negative: all
 	endsAfterPass bool   // after these comes nothing more
+	hadRequest    bool   // a head has passed
+	awaitsNext    bool   // net/http waits for a next request, for keepAliveTimeout
 
-	hadRequest     bool         // a head has passed
-	awaitsNext     bool         // net/http waits for a next request, with a long patience
-	requestStarted atomic.Int64 // when the present request did, or the connection for its first; in Unix nanoseconds
-	lastReceived   atomic.Int64 // when something last came, or the connection did
+	requestStarted atomic.Int64 // when the present request did, or the connection for its first; Unix nanoseconds
+	lastReceived   atomic.Int64 // Unix nanoseconds; of a new connection, when it was accepted
 
-	unanswered atomic.Pointer[string] // the request that has been taken and has no answer yet
+	unanswered atomic.Pointer[string] // the ID of the request that has been taken and has no response yet
 
 	mu            sync.Mutex
 	phase         requestPhase
 	discarding    bool // whatever comes now is dropped
 	closed        bool // the descriptor is
-	memoryCharged int  // of the memory for heads
+	memoryCharged int  // bytes of the listener's headMemory
 }
 
-// phase is how far the request on a client's connection has come.
+// requestPhase is how far the request on a client's connection has come.
 type requestPhase int
 
 const (
 	phaseIdle        requestPhase = iota // nothing of one has been read
 	phaseReadingHead                     // a part of its head has
-	phaseInFlight                        // its head has been passed on, and it has no answer yet
+	phaseInFlight                        // its head has been passed on, and it has no response yet
 )
 
-// flaw stands in for a head whose framing is in doubt: net/http answers it 400 and closes. It comes as
-// something to read, since an error would also take away the answer to a request that is still in flight.
-const malformedHead = "ambiguous\r\n\r\n"
+const (
+	// malformedHead stands in for a head whose framing is ambiguous: net/http answers it 400 and closes. It comes as bytes,
+	// since an error would also take away the response to a request that is still in flight.
+	malformedHead = "ambiguous\r\n\r\n"
+
+	maxPipelinedBytes = 4 << 10 // buffered of what a client sends behind a request that waits for its response
 
-// aheadMost is held of what a client sends behind a request that waits for its answer.
-const maxPipelinedBytes = 4 << 10
+	headReadSlack = 4 << 10 // what net/http reads beyond MaxHeaderBytes before it answers 431
+)
 
-// newFramedConn wraps a connection that has just come.
-func newClientConn(c net.Conn, of *limitedListener) *clientConn {
-	f := &clientConn{Conn: c, listener: of}
+// newClientConn wraps a connection that has just been accepted.
+func newClientConn(c net.Conn, listener *limitedListener) *clientConn {
+	f := &clientConn{Conn: c, listener: listener}
 	if sc, ok := c.(syscall.Conn); ok {
 		f.rawConn, _ = sc.SyscallConn()
 	}
@@ -71,6 +78,8 @@
 	return f
 }
 
+// Read gives net/http what may pass. A read of one byte while a request is in flight is net/http's watch for a client that
+// goes: see bufferPipelined.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 1 && (c.passable == 0 && !c.endsAfterPass || c.passable < 0) && c.currentPhase() == phaseInFlight {
 		if err := c.bufferPipelined(); err != nil {
@@ -105,30 +114,13 @@
 	return n, err
 }
 
-// receive reads what has come, and notes it before anybody can take the connection for one that rests. From a
-// connection that has been retired it gives nothing but the end, once that has come.
+// receive reads what has come, and notes it before anybody can take the connection for an idle one. From a connection that
+// is discarding it gives nothing but the end, once that has come.
 func (c *clientConn) receive(p []byte) (n int, err error) {
 	for {
-		if c.rawConn == nil {
-			n, err = c.Conn.Read(p)
-			c.mu.Lock()
-		} else if rawErr := c.rawConn.Read(func(fd uintptr) bool {
-			c.mu.Lock()
-			for {
-				if n, err = syscall.Read(int(fd), p); err != syscall.EINTR {
-					break
-				}
-			}
-			if err == syscall.EAGAIN {
-				c.mu.Unlock()
-			}
-			return err != syscall.EAGAIN // else with the lock
-		}); rawErr != nil {
-			return 0, asReadError(rawErr)
-		} else if err != nil {
-			n, err = 0, asReadError(os.NewSyscallError("read", err))
-		} else if n == 0 {
-			err = io.EOF
+		n, err, ok := c.readLocking(p)
+		if !ok {
+			return 0, err
 		}
 		if n > 0 && !c.discarding {
 			c.lastReceived.Store(time.Now().UnixNano())
@@ -136,10 +128,10 @@
 				c.phase = phaseReadingHead
 			}
 		}
-		retired := c.discarding
+		discarding := c.discarding
 		c.mu.Unlock()
 		switch {
-		case !retired:
+		case !discarding:
 			return n, err
 		case err != nil:
 			return 0, io.EOF
@@ -147,7 +139,38 @@
 	}
 }
 
-// readError is an error as net.Conn.Read gives it: net/http knows a broken connection by that.
+// readLocking reads once and returns with mu locked, taken before the read's bytes leave the system where there is a
+// descriptor. ok is false, and mu not locked, if the read was not made: its deadline has passed or the connection is closed.
+func (c *clientConn) readLocking(p []byte) (n int, err error, ok bool) {
+	if c.rawConn == nil {
+		n, err = c.Conn.Read(p)
+		c.mu.Lock()
+		return n, err, true
+	}
+	waitErr := c.rawConn.Read(func(fd uintptr) bool {
+		c.mu.Lock()
+		for {
+			if n, err = syscall.Read(int(fd), p); err != syscall.EINTR {
+				break
+			}
+		}
+		if err == syscall.EAGAIN {
+			c.mu.Unlock()
+		}
+		return err != syscall.EAGAIN // otherwise with the lock
+	})
+	switch {
+	case waitErr != nil:
+		return 0, asReadError(waitErr), false
+	case err != nil:
+		return 0, asReadError(os.NewSyscallError("read", err)), true
+	case n == 0:
+		return 0, io.EOF, true
+	}
+	return n, nil, true
+}
+
+// asReadError is an error as net.Conn.Read gives it: net/http knows a broken connection by that.
 func asReadError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) {
@@ -156,7 +179,7 @@
 	return &net.OpError{Op: "read", Net: "tcp", Err: err}
 }
 
-// answered notes that the present request has its answer. It comes from the goroutine that reads.
+// responseSent notes that the present request has its response. The goroutine that reads calls it.
 func (c *clientConn) responseSent() {
 	c.awaitsNext = true
 	c.mu.Lock()
@@ -171,19 +194,24 @@
 	}
 }
 
-// at tells how far the present request has come.
+// currentPhase is how far the present request has come.
 func (c *clientConn) currentPhase() requestPhase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase
 }
 
-// silent is how long nothing has come.
+// hasUnreadRequest tells whether bytes of a next request wait in the system on a connection that is idle.
+func (c *clientConn) hasUnreadRequest() bool {
+	return c.currentPhase() == phaseIdle && c.rawConn != nil && !socket.Quiet(c)
+}
+
+// sinceLastReceived is how long nothing has come.
 func (c *clientConn) sinceLastReceived() time.Duration {
 	return time.Since(time.Unix(0, c.lastReceived.Load()))
 }
 
-// begin is for the first bytes of a request on a kept connection: net/http waits for those with another patience.
+// startRequestTimer is for the first bytes of a request on a kept connection, which net/http has awaited for longer.
 func (c *clientConn) startRequestTimer() {
 	now := time.Now()
 	c.requestStarted.Store(now.UnixNano())
@@ -193,60 +221,72 @@
 	}
 }
 
-// head reads until a whole head is there and sets what may pass.
+// readHead reads until a whole head is there and sets what may pass.
 func (c *clientConn) readHead() error {
 	if c.hadRequest && len(c.buffered) > 0 {
 		c.startRequestTimer()
 	}
-	for from := 0; ; {
-		if len(c.buffered) > from {
-			for len(c.buffered) > 1 && c.buffered[0] == '\r' && c.buffered[1] == '\n' { // empty lines before a request
-				c.buffered, from = c.buffered[2:], 0
-			}
-			end := bytes.Index(c.buffered[from:], []byte("\r\n\r\n"))
-			if end >= 0 {
-				end += from + len("\r\n\r\n")
-				return c.passHead(func() { c.frameRequestLocked(end) })
+	for checked := 0; ; {
+		if len(c.buffered) > checked {
+			done, err := c.checkHead(checked)
+			if done {
+				return err
 			}
-			if hasBareLF(c.buffered[from:]) {
-				return c.passHead(c.passMalformedLocked)
-			}
-			if len(c.buffered) > maxRequestHeadBytes+headReadSlack {
-				return c.passHead(func() { c.passable, c.endsAfterPass = -1, true }) // net/http answers 431 and closes
-			}
-			from = max(0, len(c.buffered)-len("\r\n\r")) // what may begin the end of the head
+			checked = max(0, len(c.buffered)-len("\r\n\r")) // what may begin the end of the head
 		}
 		if len(c.buffered) > unmeteredBuffer && !c.chargeMemory() && c.closeUnused(true) {
 			return io.EOF
 		}
-		c.buffered = slices.Grow(c.buffered, 1<<10)
-		n, err := c.receive(c.buffered[len(c.buffered):cap(c.buffered)])
-		if c.hadRequest && len(c.buffered) == 0 && n > 0 {
+		first := len(c.buffered) == 0
+		n, err := c.receiveMore(math.MaxInt)
+		if c.hadRequest && first && n > 0 {
 			c.startRequestTimer()
 		}
-		c.buffered = c.buffered[:len(c.buffered)+n]
 		if n == 0 && err != nil {
 			return err
 		}
 	}
 }
 
-// ahead reads on while a request waits for its answer. Past a request's end net/http reads one byte, to notice a client
-// that goes; given the next request's first it would look no further. So it gets none until the answer has gone out
-// (its read is then broken off by a deadline), or until more has come than is worth holding.
+// checkHead looks at what is buffered, of which so many bytes have been checked, and passes a head that is complete, too long
+// or malformed; done tells that it has.
+func (c *clientConn) checkHead(checked int) (done bool, err error) {
+	for len(c.buffered) > 1 && c.buffered[0] == '\r' && c.buffered[1] == '\n' { // empty lines before a request
+		c.buffered, checked = c.buffered[2:], 0
+	}
+	unchecked := c.buffered[checked:]
+	switch end := bytes.Index(unchecked, []byte("\r\n\r\n")); {
+	case end >= 0:
+		return true, c.passHead(func() { c.frameRequestLocked(checked + end + len("\r\n\r\n")) })
+	case hasBareLF(unchecked):
+		return true, c.passHead(c.passMalformedLocked)
+	case len(c.buffered) > maxRequestHeadBytes+headReadSlack: // net/http answers 431 and closes
+		return true, c.passHead(func() { c.passable, c.endsAfterPass = -1, true })
+	}
+	return false, nil
+}
+
+// receiveMore reads into what is buffered, up to so many bytes there in all.
+func (c *clientConn) receiveMore(limit int) (n int, err error) {
+	c.buffered = slices.Grow(c.buffered, 1<<10)
+	n, err = c.receive(c.buffered[len(c.buffered):min(cap(c.buffered), limit)])
+	c.buffered = c.buffered[:len(c.buffered)+n]
+	return n, err
+}
+
+// bufferPipelined reads on while a request waits for its response. Past a request's end net/http reads one byte, to notice a
+// client that goes; given the next request's first it would look no further. So it gets none until the response has been
+// sent (its read is then broken off by a deadline), or until more has come than is worth buffering.
 func (c *clientConn) bufferPipelined() error {
 	for len(c.buffered) < maxPipelinedBytes {
-		c.buffered = slices.Grow(c.buffered, 1<<10)
-		n, err := c.receive(c.buffered[len(c.buffered):min(cap(c.buffered), maxPipelinedBytes)])
-		c.buffered = c.buffered[:len(c.buffered)+n]
-		if n == 0 && err != nil {
+		if n, err := c.receiveMore(maxPipelinedBytes); n == 0 && err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// charge takes the memory of the longest head, once; false if there is none.
+// chargeMemory reserves the memory of the longest head, once; false if there is none.
 func (c *clientConn) chargeMemory() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -265,18 +305,19 @@
 	}
 }
 
-// let passes a head on, unless the connection has been retired over it.
-func (c *clientConn) passHead(judge func()) error {
+// passHead sets what may pass, unless the connection has begun to discard.
+func (c *clientConn) passHead(setPassable func()) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.discarding {
 		return io.EOF
 	}
 	c.phase = phaseInFlight
-	judge()
+	setPassable()
 	return nil
 }
 
+// frameRequestLocked passes the head that ends at an index, and its body.
 func (c *clientConn) frameRequestLocked(end int) {
 	c.hadRequest = true
 	length, chunked, err := framing.Parse(c.buffered[:end])
@@ -291,11 +332,12 @@
 	}
 }
 
+// passMalformedLocked passes malformedHead in place of what has come.
 func (c *clientConn) passMalformedLocked() {
 	c.buffered, c.passable, c.endsAfterPass = []byte(malformedHead), int64(len(malformedHead)), true
 }
 
-// bareLF tells whether a line ends without a CR. The first byte's predecessor is not known, so it is let off.
+// hasBareLF tells whether a line ends without a CR. What stood before the first byte is unknown, so that one may be an LF.
 func hasBareLF(b []byte) bool {
 	for i := 1; i < len(b); i++ {
 		if b[i] == '\n' && b[i-1] != '\r' {
@@ -305,13 +347,10 @@
 	return false
 }
 
-// SyscallConn is for quiet.
+// SyscallConn is for package socket.
 func (c *clientConn) SyscallConn() (syscall.RawConn, error) {
 	if sc, ok := c.Conn.(syscall.Conn); ok {
 		return sc.SyscallConn()
 	}
 	return nil, errors.ErrUnsupported
 }
-
-// headSlack is what net/http reads beyond MaxHeaderBytes before it answers 431.
-const headReadSlack = 4 << 10
--- a/internal/proxy/evict.go
+++ b/internal/proxy/evict.go
@@ -2,35 +2,37 @@
 
 import (
 	"merlinpick/internal/proxy/audit"
-	"merlinpick/internal/proxy/socket"
 	"net"
 	"net/http"
 	"time"
 )
 
 const (
-	// When connections run short, one without a whole request on it makes room: a kept one after idleLeast,
-	// which is how long clients may count on it, one whose request is not whole once nothing has come for
-	// stallLeast, or in its body for pauseLeast (a slow one may come in pieces some hundred milliseconds apart),
-	// and a new one that has sent nothing after muteLeast: it has waited to be accepted, too.
-	minKeepAlive        = 2 * time.Second
-	minHeadStall        = 250 * time.Millisecond
-	minBodyStall        = 750 * time.Millisecond
-	minNewSilence       = 50 * time.Millisecond
+	// When connections run short, one without a complete request on it makes room: a kept one after minKeepAlive, which is
+	// how long clients may count on it; one whose request is not complete once nothing has come for minHeadStall, or in its
+	// body for minBodyStall (a slow client may pause for some hundred milliseconds); and a new one that has sent nothing
+	// after minNewSilence, since it has waited to be accepted too.
+	minKeepAlive  = 2 * time.Second
+	minHeadStall  = 250 * time.Millisecond
+	minBodyStall  = 750 * time.Millisecond
+	minNewSilence = 50 * time.Millisecond
+
 	makeRoomInterval    = 20 * time.Millisecond
-	shortageFraction    = 0.75        // of the clients' part: connections run short beyond it
-	shortageLogInterval = time.Second // between two lines in the log about that
+	shortageFraction    = 0.75        // of maxConns: beyond it connections run short
+	shortageLogInterval = time.Second // between two log lines about that
 
-	maxRejectConns = 32 // connections beyond the clients' part, to refuse on, at most
+	maxRejectConns = 32 // beyond maxConns, to reject on
 )
 
+// clientConnState is what the frontend knows of a client's connection.
 type clientConnState struct {
 	state           http.ConnState
-	since           time.Time
-	requestComplete bool      // the request on it has come in
-	interruptedAt   time.Time // when its request was ended to make room, if it was
+	since           time.Time // of state
+	requestComplete bool      // the request on it has come, and is in flight
+	interruptedAt   time.Time // when its upload was stopped to make room; zero: it was not
 }
 
+// trackConn is the server's ConnState hook.
 func (f *frontend) trackConn(c net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,21 +49,21 @@
 	}
 }
 
-// short tells whether so many connections leave too little room for others.
+// isShort tells whether so many connections leave too little room for others.
 func (f *frontend) isShort(open int) bool {
 	return float64(open) > shortageFraction*float64(f.maxConns.Load())
 }
 
-// limit sets how many connections of clients are served, with how many requests in flight, and how many
-// connections beyond these are taken to be refused.
-func (f *frontend) setLimits(most, flight, over int) {
-	f.maxConns.Store(int64(most))
-	f.maxInFlight.Store(int64(flight))
-	f.listener.setLimit(most + over)
+// setLimits sets how many connections of clients are served, with how many requests in flight, and how many connections
+// beyond these are accepted to reject on.
+func (f *frontend) setLimits(conns, inFlight, rejectConns int) {
+	f.maxConns.Store(int64(conns))
+	f.maxInFlight.Store(int64(inFlight))
+	f.listener.setLimit(conns + rejectConns)
 }
 
-// cameWhole counts a request in that has come whole: it is owed its answer, and its connection is none to spare.
-// A further read is only there to notice a client that goes.
+// markComplete counts a request in that has come: its connection is not to be evicted before its response. Reads from now
+// on only notice a client that goes, and have no deadline.
 func (f *frontend) markComplete(w http.ResponseWriter, r *http.Request, req *request) *inFlightRequest {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	f.mu.Lock()
@@ -74,25 +76,25 @@
 	return f.loop.metrics.requestStarted(req.className)
 }
 
-// shed closes the connection that can be spared best, if there is one.
+// makeRoom closes the connection that can be spared best, if there is one.
 func (f *frontend) makeRoom() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.makeRoomLocked()
 }
 
-// shedLocked picks by how long a connection has been silent, not by its age: a slow client that keeps sending is
-// owed its answer, one that has stopped is not. Those that have had their close already go first.
+// makeRoomLocked closes a lingering connection, or the one that could have been evicted for longest: what counts is how long
+// it has been silent, not its age. A slow client that keeps sending gets its response, one that has stopped may not.
 func (f *frontend) makeRoomLocked() {
 	if f.listener.lingering.closeOldest() {
 		return
 	}
 	var victim *clientConn
-	var over time.Duration
-	for c, s := range f.conns {
-		fc := c.(*clientConn)
-		if d := s.evictableFor(fc); d > over && (fc.currentPhase() != phaseIdle || fc.rawConn == nil || socket.Quiet(c)) {
-			victim, over = fc, d
+	var longest time.Duration
+	for c, state := range f.conns {
+		conn := c.(*clientConn)
+		if d := state.evictableFor(conn); d > longest && !conn.hasUnreadRequest() {
+			victim, longest = conn, d
 		}
 	}
 	if victim != nil && f.evictLocked(victim) {
@@ -101,13 +103,13 @@
 	}
 }
 
-// cutLocked closes a connection with no whole request on it. One whose body is still coming is refused by its own
-// goroutine, and closed if that takes long.
+// evictLocked closes a connection without a complete request on it. One whose body is still coming is rejected by its own
+// goroutine, and closed if that takes long. False if a request has come.
 func (f *frontend) evictLocked(c *clientConn) bool {
 	s := f.conns[c]
 	if c.currentPhase() != phaseInFlight {
 		if !c.closeUnused(true) {
-			return false // a request has come
+			return false
 		}
 	} else if s.interruptedAt.IsZero() {
 		for u := range f.uploads {
@@ -124,17 +126,17 @@
 	return true
 }
 
-// spare tells for how long a connection could have been closed to make room; not at all if that is not positive.
+// evictableFor is for how long a connection could have been evicted; not at all if that is not positive.
 func (s clientConnState) evictableFor(c *clientConn) time.Duration {
-	at := c.currentPhase()
+	phase := c.currentPhase()
 	switch {
 	case s.requestComplete:
 		return 0
 	case !s.interruptedAt.IsZero():
 		return time.Since(s.interruptedAt) - minLinger + minBodyStall
-	case at == phaseInFlight:
+	case phase == phaseInFlight:
 		return c.sinceLastReceived() - minBodyStall
-	case at == phaseReadingHead:
+	case phase == phaseReadingHead:
 		return c.sinceLastReceived() - minHeadStall
 	case s.state == http.StateIdle:
 		return time.Since(s.since) - minKeepAlive
@@ -142,26 +144,26 @@
 	return c.sinceLastReceived() - minNewSilence
 }
 
-// sayShort tells the log what holds the connections, now and then while they are short.
+// logShortageLocked logs what holds the connections, once in shortageLogInterval while they are short.
 func (f *frontend) logShortageLocked() {
 	if time.Since(f.lastLogged) < shortageLogInterval {
 		return
 	}
-	whole, idle := 0, 0
-	for _, s := range f.conns {
-		if s.requestComplete {
-			whole++
-		} else if s.state == http.StateIdle {
+	inFlight, idle := 0, 0
+	for _, state := range f.conns {
+		if state.requestComplete {
+			inFlight++
+		} else if state.state == http.StateIdle {
 			idle++
 		}
 	}
-	f.logger.Warn("client connections run short", "open", len(f.conns), "in_flight", whole, "idle", idle,
-		"incomplete", len(f.conns)-whole-idle, "shed", f.evicted, "refused", f.rejected)
+	f.logger.Warn("client connections run short", "open", len(f.conns), "in_flight", inFlight, "idle", idle,
+		"incomplete", len(f.conns)-inFlight-idle, "evicted", f.evicted, "rejected", f.rejected)
 	f.lastLogged, f.evicted, f.rejected = time.Now(), 0, 0
 }
 
-// over tells whether more requests are in flight than there may be, and counts the refusal that follows.
-// Connections without a whole request are no reason to refuse one: they give way.
+// exceedsInFlight tells whether more requests are in flight than there may be, and counts the rejection that follows.
+// Connections without a complete request are no reason to reject one: they give way.
 func (f *frontend) exceedsInFlight() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -173,7 +175,7 @@
 	return true
 }
 
-// inFlight counts the connections whose request has come whole and has no answer yet.
+// inFlightLocked counts the connections whose request has come and has no response yet.
 func (f *frontend) inFlightLocked() (n int) {
 	for _, s := range f.conns {
 		if s.requestComplete {
@@ -183,22 +185,23 @@
 	return n
 }
 
+// openConns is how many connections of clients there are.
 func (f *frontend) openConns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// closeIdle closes the connections that have carried no request for some time, and returns how many others there
-// are. One on which a request has just come in is left alone: closing it would lose that request. With cut those whose
-// request has no whole head yet are refused.
-func (f *frontend) closeIdle(idleFor, newFor time.Duration, cut bool) (busy int) {
+// closeIdle closes the connections that have been idle, or new without a byte, for some time, and returns how many others
+// there are. One on which a request has just come is left alone: closing it would lose that request. With rejectPartial,
+// those whose request has no complete head yet are rejected.
+func (f *frontend) closeIdle(idleFor, newFor time.Duration, rejectPartial bool) (busy int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, s := range f.conns {
 		d := time.Since(s.since)
 		idle := s.state == http.StateIdle && d >= idleFor || s.state == http.StateNew && d > newFor
-		if !(idle || cut) || !c.(*clientConn).closeUnused(cut) {
+		if !(idle || rejectPartial) || !c.(*clientConn).closeUnused(rejectPartial) {
 			busy++
 		}
 	}
--- a/internal/proxy/limitedlistener.go
+++ b/internal/proxy/limitedlistener.go
@@ -12,21 +12,21 @@
 	"merlinpick/internal/proxy/audit"
 )
 
-// cappedListener accepts no more connections than there are slots; those beyond wait in the kernel, and
-// shed is called for as long as they must.
+// limitedListener accepts no more connections than there are slots. Those beyond wait in the kernel, and makeRoom is called
+// again and again for as long as they must. Its Accept is called by net/http's one accepting goroutine.
 type limitedListener struct {
 	net.Listener
 	makeRoom   func()
 	retrier    *listener.Retrier
 	audit      *audit.Recorder // nil in a test
 	lingering  lingeringConns
-	headMemory *memoryBudget // for heads
-	slotFreed  chan struct{} // holds a value after a slot came free
+	headMemory *memoryBudget
+	slotFreed  chan struct{} // holds a value after a slot was released
 	closed     chan struct{}
 	closeOnce  sync.Once
 
 	mu        sync.Mutex
-	used, max int
+	used, max int // slots
 }
 
 func newLimitedListener(l net.Listener, shed func(), log *slog.Logger) *limitedListener {
@@ -34,8 +34,8 @@
 		closed: make(chan struct{})}
 }
 
-// Accept takes a slot, which the connection gives back when its descriptor is closed. It fails only when the listener is
-// of no more use: an error of the moment would end the server, and with it all requests that are open.
+// Accept takes a slot, which the connection gives back when its descriptor is closed. It fails only when the listener cannot
+// be used any more: a temporary error would end the server, and with it all requests in flight.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	if !l.acquireSlot() {
 		return nil, net.ErrClosed
@@ -47,7 +47,7 @@
 			return newClientConn(c, l), nil
 		}
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			l.makeRoom() // an idle connection gives its descriptor up
+			l.makeRoom() // an idle connection's descriptor
 		}
 		if err := l.retrier.Failed(err, l.closed); err != nil {
 			l.releaseSlot()
@@ -56,20 +56,20 @@
 	}
 }
 
-// slot waits for a slot; false if the listener was closed first.
+// acquireSlot waits for a slot; false if the listener was closed first.
 func (l *limitedListener) acquireSlot() bool {
 	if l.tryAcquireSlot() {
 		return true
 	}
-	again := time.NewTicker(makeRoomInterval)
-	defer again.Stop()
+	retry := time.NewTicker(makeRoomInterval)
+	defer retry.Stop()
 	for {
 		l.makeRoom()
 		select {
 		case <-l.slotFreed:
 		case <-l.closed:
 			return false
-		case <-again.C:
+		case <-retry.C:
 		}
 		if l.tryAcquireSlot() {
 			return true
@@ -87,7 +87,7 @@
 	return true
 }
 
-// full tells whether connections may wait in the kernel since there is no slot for them.
+// isFull tells whether connections may wait in the kernel since there is no slot for them.
 func (l *limitedListener) isFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,14 +104,14 @@
 	}
 }
 
-// limit sets how many slots there are. Connections that are open stay.
-func (l *limitedListener) setLimit(most int) {
+// setLimit sets how many slots there are. Connections that are open stay.
+func (l *limitedListener) setLimit(slots int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.max = most
+	l.max = slots
 }
 
-// Close ends the listener, and a call of Accept that waits.
+// Close ends the listener, and a call of Accept that waits for a slot.
 func (l *limitedListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/proxy/linger.go
+++ b/internal/proxy/linger.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// How a client's connection ends. A close over bytes that nobody has read resets the connection, and takes what the
-// client has not received yet along, be it the answer that came just before. So the sending side is shut down first;
-// what still comes is read and dropped, never passed on, until the client has closed its side too or lingerMost is over;
-// then the descriptor is closed. A request that crosses the shutdown has no answer: its client sends it once more.
+// How a client's connection ends. A close over bytes that nobody has read resets the connection, and takes along what the
+// client has not received yet, such as the response just before. So the sending side is shut down first; what still comes is
+// read and discarded, never passed on, until the client has closed its side too or lingerTimeout is over; then the
+// descriptor is closed. A request that crosses the shutdown has no response: its client sends it once more.
 
 const (
 	lingerTimeout  = 500 * time.Millisecond
 	minLinger      = 20 * time.Millisecond // even where slots are short
-	maxLingerBytes = 1 << 20               // a peer that goes on sending has had its close
+	maxLingerBytes = 1 << 20               // discarded of a peer that goes on sending
 )
 
-// busyAnswer is for a request that was cut short before it was whole. It has not been sent on and may come again.
+// rejectionText is for a request that was cut short before it was complete. It was never forwarded and may come again.
 const rejectionText = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// lingers holds the connections that have been shut down and are not closed yet.
+// lingeringConns are the connections that have been shut down and are not closed yet. Any goroutine may use it.
 type lingeringConns struct {
 	mu    sync.Mutex
 	since map[*clientConn]time.Time
@@ -45,13 +45,14 @@
 	delete(l.since, c)
 }
 
+// count is how many there are.
 func (l *lingeringConns) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.since)
 }
 
-// endOldest closes the one that has lingered longest, if any has for lingerLeast.
+// closeOldest closes the one that has lingered longest, if any has for minLinger.
 func (l *lingeringConns) closeOldest() bool {
 	l.mu.Lock()
 	var oldest *clientConn
@@ -71,28 +72,28 @@
 	return true
 }
 
-// retire ends a connection that has no request on it, or with cut one whose head is not whole: that is refused. False
-// if a request has come, even one that is not read yet.
-func (c *clientConn) closeUnused(cut bool) bool {
+// closeUnused ends a connection that has no request on it, and with rejectPartial one whose head is not complete: that gets
+// rejectionText. False if a request has come, even one that is not read yet.
+func (c *clientConn) closeUnused(rejectPartial bool) bool {
 	c.mu.Lock()
 	switch {
-	case c.discarding, c.phase == phaseInFlight, c.phase == phaseReadingHead && !cut, c.phase == phaseIdle && c.rawConn != nil && !socket.Quiet(c.Conn):
+	case c.discarding, c.phase == phaseInFlight, c.phase == phaseReadingHead && !rejectPartial, c.phase == phaseIdle && c.rawConn != nil && !socket.Quiet(c.Conn):
 		c.mu.Unlock()
 		return false
 	case c.phase == phaseReadingHead:
 		c.writeRejectionLocked()
 	}
 	c.auditClose(audit.ClientConnUnused)
-	lingers := c.startLingerLocked()
+	lingering := c.startLingerLocked()
 	c.mu.Unlock()
-	if !lingers {
+	if !lingering {
 		c.closeNow()
 	}
 	return true
 }
 
-// refuseLocked answers a request that is not whole, in one write that does not wait: if there is no room for so little,
-// the client takes nothing.
+// writeRejectionLocked rejects a request that is not complete, in one write that does not wait: if there is no room for so
+// little, the client reads nothing.
 func (c *clientConn) writeRejectionLocked() {
 	if c.rawConn != nil {
 		_ = c.rawConn.Write(func(fd uintptr) bool {
@@ -102,7 +103,8 @@
 	}
 }
 
-// shutLocked ends the sending side; from here on all that comes is dropped. False if it cannot be shut by itself.
+// startLingerLocked ends the sending side; from here on all that comes is discarded. False if that side cannot be ended by
+// itself, or the connection is closed.
 func (c *clientConn) startLingerLocked() bool {
 	if c.discarding {
 		return !c.closed
@@ -118,7 +120,8 @@
 	return true
 }
 
-// drop reads what still comes, beside whoever reads already, until the client or the time ends it.
+// discardInput reads what still comes, beside whoever reads already, until the client or the read deadline ends it. It runs
+// in a goroutine of its own, which closes the connection.
 func (c *clientConn) discardInput() {
 	defer c.closeNow()
 	buf := make([]byte, 2<<10) // there may be many
@@ -131,7 +134,7 @@
 	}
 }
 
-// end closes the descriptor and gives the slot back.
+// closeNow closes the descriptor and gives its slot back.
 func (c *clientConn) closeNow() {
 	c.mu.Lock()
 	first := !c.closed
@@ -141,25 +144,25 @@
 		_ = c.Conn.Close()
 		c.listener.lingering.remove(c)
 		c.releaseMemory()
-		c.listener.releaseSlot() // the slot
+		c.listener.releaseSlot()
 	}
 }
 
-// Close ends the connection as soon as its client has taken what it was sent, or lingerMost later.
+// Close ends the connection as soon as its client has received what it was sent, or lingerTimeout later.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	if !c.discarding {
 		c.auditClose(audit.ClientConnDone)
 	}
-	lingers := c.startLingerLocked()
+	lingering := c.startLingerLocked()
 	c.mu.Unlock()
-	if !lingers {
+	if !lingering {
 		c.closeNow()
 	}
 	return nil
 }
 
-// CloseWrite lets net/http end an answer gently before it closes on a peer that still sends.
+// CloseWrite lets net/http end a response in order before it closes on a peer that still sends.
 func (c *clientConn) CloseWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,7 +172,7 @@
 	return nil
 }
 
-// SetReadDeadline leaves a connection that lingers the time that it has.
+// SetReadDeadline does nothing to a connection that lingers, which has a deadline of its own.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +182,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetDeadline is not to go round SetReadDeadline.
+// SetDeadline sets both deadlines, the one for reads through SetReadDeadline.
 func (c *clientConn) SetDeadline(t time.Time) error {
 	_ = c.Conn.SetWriteDeadline(t)
 	return c.SetReadDeadline(t)
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -7,19 +7,19 @@
 	"merlinpick/internal/settings"
 )
 
-// view is what the settings in force tell of requests. It does not change: others take its place, and each request
-// keeps the one that it was read by.
+// settingsSnapshot is what the settings in force say of requests. It does not change: others take its place, and each request
+// keeps the one that it was parsed by.
 type settingsSnapshot struct {
-	balancer *balancer.Settings // with classes by the module's numbers
-	classes  map[string]int     // those numbers
+	balancer *balancer.Settings // with classes by the balancer's numbers
+	classes  map[string]int     // those numbers by name
 	tenants  map[string]int
-	readers  int // requests that it is read by; guarded by the frontend's mu
+	readers  int // requests that keep it; guarded by the frontend's mu
 }
 
-func newSettingsSnapshot(site *settings.Site, rules *balancer.Settings, numbers []int) *settingsSnapshot {
-	v := &settingsSnapshot{balancer: rules, classes: map[string]int{}, tenants: map[string]int{}}
+func newSettingsSnapshot(site *settings.Site, s *balancer.Settings, classNumbers []int) *settingsSnapshot {
+	v := &settingsSnapshot{balancer: s, classes: map[string]int{}, tenants: map[string]int{}}
 	for i, name := range site.Classes {
-		v.classes[name] = numbers[i]
+		v.classes[name] = classNumbers[i]
 	}
 	for i, name := range site.Tenants {
 		v.tenants[name] = i
@@ -27,7 +27,7 @@
 	return v
 }
 
-// read takes the view in force, for one request; done gives it back.
+// acquireSettings gives a request the settings in force; releaseSettings gives them back.
 func (f *frontend) acquireSettings() *settingsSnapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,41 +35,41 @@
 	return f.settings
 }
 
-func (f *frontend) releaseSettings(v *settingsSnapshot) {
+func (f *frontend) releaseSettings(s *settingsSnapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v.readers--
+	s.readers--
 }
 
-// classes are those in force.
+// currentClasses are the classes in force.
 func (f *frontend) currentClasses() []balancer.Class {
-	v := f.acquireSettings()
-	defer f.releaseSettings(v)
-	var all []balancer.Class
-	for _, n := range v.classes {
-		all = append(all, v.balancer.Classes[n])
+	s := f.acquireSettings()
+	defer f.releaseSettings(s)
+	var classes []balancer.Class
+	for _, number := range s.classes {
+		classes = append(classes, s.balancer.Classes[number])
 	}
-	return all
+	return classes
 }
 
-// held tells which of the module's class numbers requests may still have that were read by former views.
+// classesInUse are the balancer's numbers of classes that requests may still have which were parsed by former settings.
 func (f *frontend) classesInUse() map[int]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settingsInUse = slices.DeleteFunc(f.settingsInUse, func(v *settingsSnapshot) bool { return v != f.settings && v.readers == 0 })
-	held := map[int]bool{}
-	for _, v := range f.settingsInUse {
-		for _, n := range v.classes {
-			held[n] = true
+	f.settingsInUse = slices.DeleteFunc(f.settingsInUse, func(s *settingsSnapshot) bool { return s != f.settings && s.readers == 0 })
+	numbers := map[int]bool{}
+	for _, s := range f.settingsInUse {
+		for _, number := range s.classes {
+			numbers[number] = true
 		}
 	}
-	return held
+	return numbers
 }
 
-// turn puts a view in force.
-func (f *frontend) setSettings(v *settingsSnapshot) {
+// setSettings puts settings in force.
+func (f *frontend) setSettings(s *settingsSnapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.settings = v
-	f.settingsInUse = append(f.settingsInUse, v)
+	f.settings = s
+	f.settingsInUse = append(f.settingsInUse, s)
 }
--- a/internal/proxy/zonenumbers.go
+++ b/internal/proxy/zonenumbers.go
@@ -5,7 +5,8 @@
 	"merlinpick/internal/discovery"
 )
 
-// zones numbers zones by name: first the settings' own, then others as they turn up.
+// zoneNumbers are the balancer's numbers of zones by name: first the settings' own, then others as they turn up. The loop
+// owns it.
 type zoneNumbers map[string]int
 
 func newZoneNumbers(names []string) zoneNumbers {
@@ -16,6 +17,7 @@
 	return z
 }
 
+// number gives a zone its number, a new one if it has none.
 func (z zoneNumbers) number(name string) int {
 	n, ok := z[name]
 	if !ok {
@@ -25,12 +27,12 @@
 	return n
 }
 
-// servers turns entries into the module's. The starts that they tell are Unix times; see starts for the module's clock.
-func (z zoneNumbers) toServers(entries []discovery.Endpoint, started func(discovery.Endpoint) int64) []balancer.Server {
-	out := make([]balancer.Server, 0, len(entries))
+// toServers turns entries of an endpoint list into the balancer's servers. startOf tells when one started on the loop's clock.
+func (z zoneNumbers) toServers(entries []discovery.Endpoint, startOf func(discovery.Endpoint) int64) []balancer.Server {
+	servers := make([]balancer.Server, 0, len(entries))
 	for _, e := range entries {
 		s := balancer.Server{ID: e.Name, Zone: z.number(e.Zone), Cell: e.Cell, CapacityHint: 1, StartTime: e.StartedAtMs * 1000,
-			LocalStartTime: started(e)}
+			LocalStartTime: startOf(e)}
 		switch e.Status {
 		case discovery.StatusServing:
 			s.State = balancer.ServerReady
@@ -40,7 +42,7 @@
 		if e.Weight != nil {
 			s.CapacityHint = *e.Weight
 		}
-		out = append(out, s)
+		servers = append(servers, s)
 	}
-	return out
+	return servers
 }
