--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -23,7 +23,6 @@
 	return invariant.Policy{
 		Idempotency: invariant.Idempotency(class.Idempotency), DedupScope: invariant.DedupScope(class.DedupScope),
 		DedupWindow: time.Duration(class.DedupWindow) * time.Microsecond, MaxAttempts: r.Settings.MaxAttempts,
-		RejectedMayHaveExecuted: r.Settings.RejectedMayHaveExecuted,
 	}
 }
 
--- a/internal/proxy/invariant/invariant_test.go
+++ b/internal/proxy/invariant/invariant_test.go
@@ -26,6 +26,9 @@
 		}
 		return r
 	}
+	firstByte := func(sent, deadline, unavailable time.Time) FirstByte {
+		return FirstByte{Request: "1", Server: "a", SentAt: sent, Deadline: deadline, UnavailableSince: unavailable, Grace: second}
+	}
 	answered := func(r *Request) *Request { r.Responded(began, false); return r }
 	for _, c := range []struct {
 		name   string
@@ -52,10 +55,10 @@
 		{"refused, it is out", sent(NewRequest("1", keyed, at(second)), false, false).Responded(began, true), []Rule{RejectedAfterExecution}},
 		{"refused, any server drops it", sent(NewRequest("1", everywhere, at(second)), true, true).Responded(began, true), nil},
 		{"failed, it may have run", sent(NewRequest("1", once, at(second)), true, true).Responded(began, false), nil},
-		{"first byte in time", CheckFirstByte("1", "a", at(MaxSchedulingDelay), began, time.Time{}, second), nil},
-		{"first byte late", CheckFirstByte("1", "a", at(MaxSchedulingDelay+1), began, time.Time{}, second), []Rule{SentAfterDeadline}},
-		{"first byte in the grace", CheckFirstByte("1", "a", at(second), at(second), began, second), nil},
-		{"first byte after the grace", CheckFirstByte("1", "a", at(second+SocketSlack+1), at(2*second), began, second), []Rule{SentToDraining}},
+		{"first byte in time", firstByte(at(MaxSchedulingDelay), began, time.Time{}).Check(), nil},
+		{"first byte late", firstByte(at(MaxSchedulingDelay+1), began, time.Time{}).Check(), []Rule{SentAfterDeadline}},
+		{"first byte in the grace", firstByte(at(second), at(second), began).Check(), nil},
+		{"first byte after the grace", firstByte(at(second+SocketSlack+1), at(2*second), began).Check(), []Rule{SentToDraining}},
 		{"closed", []Violation{ConnClosed("1", "idle")}, []Rule{ClosedInFlight}},
 	} {
 		var got []Rule
@@ -76,7 +79,14 @@
 	}
 	var counts Counts
 	counts.Add(ConnClosed("1", "idle"), ConnClosed("2", "idle"))
-	if counts.Total() != 2 || counts.Snapshot()["closed_unanswered"] != 2 || len(counts.Snapshot()) != int(ruleCount) {
+	if total(&counts) != 2 || counts.Snapshot()["closed_unanswered"] != 2 || len(counts.Snapshot()) != int(ruleCount) {
 		t.Errorf("counted %v", counts.Snapshot())
 	}
 }
+
+func total(c *Counts) (n int64) {
+	for _, count := range c.Snapshot() {
+		n += count
+	}
+	return n
+}
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -210,6 +210,7 @@
 	if a.pool.audit == nil {
 		return
 	}
-	since, grace := a.pool.unavailableSince(a.backend)
-	a.pool.audit.RecordViolations(invariant.CheckFirstByte(a.request.ID, a.server.Name, moment, a.deadline, since, grace)...)
+	first := invariant.FirstByte{Request: a.request.ID, Server: a.server.Name, SentAt: moment, Deadline: a.deadline}
+	first.UnavailableSince, first.Grace = a.pool.unavailableSince(a.backend)
+	a.pool.audit.RecordViolations(first.Check()...)
 }
