--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,123 +1,192 @@
 package balancer
 
-// The rules that are checked before each send, and how their counts are learned.
+// Admission: how many attempts may be in flight at once, for the tier and for each class, which class gives
+// way to which, and when a rejected client may come back.
+//
+// Input: the ends of attempts, as late or timely. Output: whether one more attempt may be sent. A limit
+// starts out of reach, rises after good feedback rounds and is cut after bad ones. An attempt over a limit
+// is rejected at once and never queued: a queue would make all calls late.
 
 const (
-	startLimit              = 1e6 // a count before its first round: a fresh copy refuses nothing while servers answer
-	limitHeadroomFactor     = 1.5 // a good round leaves a count no higher than this times the calls it saw out: an
-	limitHeadroomCalls      = 2.0 // unused count guards from no burst; and this many more, for chance at sparse copies
-	cutPerBadFraction       = 0.6 // a bad round cuts a count or a share by this times its bad part
-	feedbackRoundCalls      = 12  // finishes in a round of evidence: fewer are chance, more are late
-	feedbackRoundObjectives = 2   // aims: a round with fewer finishes has lasted long enough
-	maxSlowFraction         = 0.3 // a larger part of slow finishes makes a round bad for the shares and for home
+	startLimit = 1e6 // attempts: a new replica rejects nothing before its first round
 
-	maxQuotaMultiple       = 2.0  // multiple of its share that a tenant may pass before any evidence, and at most
-	overloadQuotaMultiple  = 1.0  // and after a bad round: what is over the shares goes first
-	minQuotaMultiple       = 0.2  // and at least
-	innerTierQuotaMultiple = 20.0 // start in a late tier: quotas count first calls, and the front has shed already
-	burstDeviations        = 2.0  // standard deviations of a Poisson count above the mean that are taken for chance
-	minWindowCalls         = 24.0 // a QPS window stretches until its count times its length is this much
+	// After a good round a limit is at most the peak in flight times the factor, plus the calls: a limit that
+	// is not used would admit a burst unchecked. The calls leave room for chance at replicas with few.
+	limitHeadroomFactor, limitHeadroomCalls = 1.5, 2.0
 
-	minLimit, minLimitInnerTier = 0.3, 8.0 // least counts: some calls must bring evidence; late refusals waste work
+	limitIncrease         = 1.0 // attempts added to a limit after a good round,
+	limitIncreaseFraction = 0.2 // but no more than this fraction of it
 
-	maxLateFraction, maxLateFractionInnerTier = 0.4, 0.7 // a larger part of late or failed finishes makes a round bad; in a late tier
+	minLimit          = 0.3 // attempts: some have to pass, or nothing would show that servers have recovered
+	minLimitInnerTier = 8.0 // attempts: rejecting here wastes what the tiers before have done
 
-	quotaIncreaseAboveShare, quotaIncreaseBelowShare = 0.1, 0.15 // added after a good round: over a share calls are worth little; below
+	maxLateFraction          = 0.4 // of a round: more late calls make it bad for a limit
+	maxLateFractionInnerTier = 0.7
 
-	limitIncrease, limitIncreaseFraction = 1.0, 0.2 // added to a count after a good round, but no more than this part of it
+	lateFraction    = 0.8 // of the latency objective: an answer that took longer is late
+	preemptionRatio = 1.5 // a class gives way to one whose priority is more than this many times its own
 
-	arrivalDecay = 30 * second // over which a copy learns how many requests are usual
-
-	initialMeanFraction = 0.25 // of the aim: a fresh copy's guess at the mean time
+	retryAfterFraction = 0.5 // of the latency objective: the longest Retry-After
 )
 
-// canPass lets a fractional count work: its fraction is the chance u of one call more. A sparse copy with
-// two calls in flight could otherwise shed nothing or half.
-func (r *concurrencyLimit) admits(u float64) bool { return float64(r.inFlight)+1 <= r.max+u }
+// concurrencyLimit limits attempts in flight.
+type concurrencyLimit struct {
+	inFlight     int
+	peakInFlight int     // since the last change of max
+	max          float64 // attempts in flight; a fraction is the chance of one more
+	min          float64 // that max is never cut below
+	feedback     feedbackRound
+}
+
+// admits tells whether one more attempt may be sent; chance is drawn evenly from 0 to 1. It makes a
+// fractional limit work: otherwise a replica with two calls in flight could shed none or half.
+func (l *concurrencyLimit) admits(chance float64) bool { return float64(l.inFlight)+1 <= l.max+chance }
+
+// acquire counts an attempt in.
+func (l *concurrencyLimit) acquire() {
+	l.inFlight++
+	l.peakInFlight = max(l.peakInFlight, l.inFlight)
+}
 
-func (r *concurrencyLimit) learn(ev *feedbackRound, now, sent int64, bad bool) {
-	f := ev.record(now, sent, bad)
-	if f == 0 {
+// learn takes the end of an attempt into a round and adjusts the limit when the round ends.
+func (l *concurrencyLimit) learn(round *feedbackRound, now, sentAt int64, bad bool) {
+	switch factor := round.record(now, sentAt, bad); factor {
+	case 0:
 		return
-	} else if f == 1 {
-		used := max(r.min, limitHeadroomFactor*float64(r.peakInFlight)+limitHeadroomCalls)
-		r.max = min(r.max+min(limitIncrease, limitIncreaseFraction*r.max), used)
-	} else {
-		r.max = max(r.min, min(r.max, float64(r.peakInFlight))*f)
+	case 1:
+		used := max(l.min, limitHeadroomFactor*float64(l.peakInFlight)+limitHeadroomCalls)
+		l.max = min(l.max+min(limitIncrease, limitIncreaseFraction*l.max), used)
+	default:
+		l.max = max(l.min, min(l.max, float64(l.peakInFlight))*factor)
 	}
-	r.peakInFlight = r.inFlight
+	l.peakInFlight = l.inFlight
 }
 
-func (b *Balancer) freshRule(span int64) concurrencyLimit {
-	allowed, least := maxLateFraction, minLimit
-	if b.s.Tier > 0 {
-		allowed, least = maxLateFractionInnerTier, minLimitInnerTier
-	}
-	return concurrencyLimit{max: startLimit, min: least, feedback: feedbackRound{maxBadFraction: allowed, maxDuration: span}}
+// classAdmission is what admission keeps of a class.
+type classAdmission struct {
+	limit      concurrencyLimit
+	preemption feedbackRound // of calls of classes with a clearly higher priority
+	awaiting   []*attempt    // front tier: in order of sending, those not yet known as slow
 }
 
-func (b *Balancer) freshClass(c Class) classState {
-	first, span := initialMeanFraction*float64(c.LatencyObjective), feedbackRoundObjectives*c.LatencyObjective
-	return classState{rule: b.freshRule(span), mean: first, base: first,
-		yield: feedbackRound{maxBadFraction: maxSlowFraction, maxDuration: span}}
+// attemptAdmission is what admission keeps of an attempt.
+type attemptAdmission struct {
+	counted      bool // it counts as in flight
+	reportedSlow bool // it counted as slow before its end
 }
 
-func (b *Balancer) canPass(now int64, q *request) bool {
-	i := b.tenant(q)
-	return b.tier.admits(b.rnd.Float64()) &&
-		(i < 0 || b.tenants[i].admits(now, b.born, b.share*b.fair*b.s.Tenants[i].Share, b.room(now, i),
-			b.rnd.Float64())) &&
-		b.classes[q.Class].rule.admits(b.rnd.Float64())
+// admission holds the limits of the tier; those of the classes stand in shared.classes.
+type admission struct {
+	*shared
+	tier       concurrencyLimit
+	rejections [rejectReasonCount]int64 // requests by reason
 }
 
-// value is a class's worth for each unit of work, by the time that its calls take when little waits.
-func (b *Balancer) value(class int) float64 {
-	if b.s.WeightPerWork {
-		return b.s.Classes[class].PriorityWeight
+func newAdmission(common *shared) *admission { return &admission{shared: common} }
+
+// newLimit is a limit that has seen nothing; maxDuration is that of its feedback round, in µs.
+func (a *admission) newLimit(maxDuration int64) concurrencyLimit {
+	badFraction, least := maxLateFraction, minLimit
+	if a.settings.Tier > 0 {
+		badFraction, least = maxLateFractionInnerTier, minLimitInnerTier
 	}
-	return b.s.Classes[class].PriorityWeight / b.classes[class].base
+	return concurrencyLimit{max: startLimit, min: least,
+		feedback: feedbackRound{maxBadFraction: badFraction, maxDuration: maxDuration}}
 }
 
-// threadRule limits calls in flight.
-type concurrencyLimit struct {
-	node
-	max      float64
-	min      float64
-	feedback feedbackRound
+// newClass is the state of a class that has seen nothing.
+func (a *admission) newClass(rules Class) classAdmission {
+	duration := feedbackRoundObjectives * rules.LatencyObjective
+	return classAdmission{limit: a.newLimit(duration),
+		preemption: feedbackRound{maxBadFraction: maxSlowFraction, maxDuration: duration}}
 }
 
-// node holds the statistics that rules read: calls in flight and calls passed.
-type node struct {
-	inFlight     int
-	peakInFlight int
-	admitted     window
+// admitsTier tells whether the tier has room for one more attempt.
+func (a *admission) admitsTier() bool { return a.tier.admits(a.random.Float64()) }
+
+// admitsClass tells whether a class has room for one more attempt.
+func (a *admission) admitsClass(class int) bool {
+	return a.classes[class].admission.limit.admits(a.random.Float64())
 }
 
-// enter counts a call in.
-func (n *node) acquire() {
-	n.inFlight++
-	n.peakInFlight = max(n.peakInFlight, n.inFlight)
+// admitsRetry tells whether tier and class both have room for a further attempt of a request; chance is drawn
+// evenly from 0 to 1.
+func (a *admission) admitsRetry(class int, chance float64) bool {
+	return a.tier.admits(chance) && a.classes[class].admission.limit.admits(chance)
 }
 
-// count counts an attempt in: a server has begun with it, or is about to. One whose body is still coming is not
-// counted yet, since how long that takes is its client's doing.
-func (b *Balancer) count(q *request, a *attempt) {
-	a.counted = true
-	a.server.inFlight++
-	b.tier.acquire()
-	b.classes[q.Class].rule.acquire()
-	if b.s.Tier == 0 {
-		b.classes[q.Class].waiting = append(b.classes[q.Class].waiting, a)
+// acquire counts an attempt as in flight: its server has begun with it or is about to. One whose body is
+// still pending is not counted yet, since that takes its client's time.
+func (a *admission) acquire(class int, attempt *attempt) {
+	attempt.admission.counted = true
+	attempt.server.inFlight++
+	a.tier.acquire()
+	state := &a.classes[class].admission
+	state.limit.acquire()
+	if a.settings.Tier == 0 {
+		state.awaiting = append(state.awaiting, attempt)
 	}
 }
 
-// leave counts an attempt out.
-func (b *Balancer) leave(q *request, a *attempt) {
-	if !a.counted {
+// release counts an attempt out, if it was counted in.
+func (a *admission) release(class int, attempt *attempt) {
+	if !attempt.admission.counted {
 		return
 	}
-	a.counted = false
-	a.server.inFlight--
-	b.tier.inFlight--
-	b.classes[q.Class].rule.inFlight--
+	attempt.admission.counted = false
+	attempt.server.inFlight--
+	a.tier.inFlight--
+	a.classes[class].admission.limit.inFlight--
+}
+
+// learn takes the end of an attempt into the limits of its tier and class.
+func (a *admission) learn(now int64, class int, sentAt int64, late bool) {
+	a.tier.learn(&a.tier.feedback, now, sentAt, late)
+	limit := &a.classes[class].admission.limit
+	limit.learn(&limit.feedback, now, sentAt, late)
+}
+
+// preempt cuts the limits of the classes that have to give way while calls of a class are slow. A class
+// without a call in flight since its last change has nothing to give: its limit would fall to the least.
+func (a *admission) preempt(now int64, class int, sentAt int64, slow bool) {
+	for i := range a.classes {
+		other := &a.classes[i].admission
+		if other.limit.peakInFlight > 0 && a.priority(class) > preemptionRatio*a.priority(i) {
+			other.limit.learn(&other.preemption, now, sentAt, slow)
+		}
+	}
+}
+
+// priority is a class's priority weight for each unit of work; where the settings state it for each
+// request, the unloaded latency stands for the work.
+func (a *admission) priority(class int) float64 {
+	if a.settings.WeightPerWork {
+		return a.settings.Classes[class].PriorityWeight
+	}
+	return a.settings.Classes[class].PriorityWeight / a.classes[class].latency.unloaded
+}
+
+// slowInFlight returns, once for each, the attempts of a class that have been in flight for longer than
+// threshold, in µs. In an overload they would otherwise be known as slow only at their end, seconds later.
+func (a *admission) slowInFlight(now int64, class int, threshold int64) (slow []*attempt) {
+	state := &a.classes[class].admission
+	for len(state.awaiting) > 0 && now-state.awaiting[0].sentAt > threshold {
+		attempt := state.awaiting[0]
+		state.awaiting = state.awaiting[1:]
+		if attempt.pending && !attempt.responseStarted {
+			attempt.admission.reportedSlow = true
+			slow = append(slow, attempt)
+		}
+	}
+	return slow
+}
+
+// reject counts a rejection and returns its Retry-After in µs. It is at most half of the latency
+// objective, so that the next answer can still be in time, and spread evenly, so that clients don't come
+// back together.
+func (a *admission) reject(request *request, reason RejectReason) (retryAfter int64) {
+	a.rejections[reason]++
+	objective := request.classRules().LatencyObjective
+	longest := min(request.Settings.MaxRetryAfter, int64(retryAfterFraction*float64(objective)))
+	return longest/2 + a.random.Int64N(longest/2+1)
 }
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -103,7 +103,7 @@
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
 	b, _ := with(t, s, 4)
-	cheap, dear := &b.classes[0].rule, &b.classes[1].rule
+	cheap, dear := &b.classes[0].admission.limit, &b.classes[1].admission.limit
 	for range 10 {
 		cheap.acquire()
 		dear.acquire()
@@ -111,14 +111,14 @@
 	now := start
 	for range 4 * feedbackRoundCalls {
 		now++
-		b.press(now, 1, &attempt{sentAt: now}, true, true)
+		b.applyBackpressure(now, 1, &attempt{sentAt: now}, true, true)
 	}
 	if cheap.max > 10 || dear.max != startLimit {
 		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.max, dear.max)
 	}
 	for range 4 * feedbackRoundCalls {
 		now++
-		b.press(now, 0, &attempt{sentAt: now}, true, true)
+		b.applyBackpressure(now, 0, &attempt{sentAt: now}, true, true)
 	}
 	if dear.max != startLimit {
 		t.Errorf("slow cheap calls cut the worthier class to %v", dear.max)
@@ -140,7 +140,7 @@
 		ask(b, h, now, id, 0)
 		b.HandleOutcome(now+s.Classes[0].LatencyObjective, h, Outcome{RequestID: id, Status: StatusOK, Latency: s.Classes[0].LatencyObjective, RequestDone: true})
 	}
-	if got := b.classes[1].rule.max; got != startLimit {
+	if got := b.classes[1].admission.limit.max; got != startLimit {
 		t.Errorf("before its first call a class may have %v out", got)
 	}
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,388 +1,327 @@
-// The decisions of the balancer; its interface is in api.go. Before each send the rules are checked in order,
-// as Sentinel's FlowSlot does: the tier's (thread grade, cluster node), the tenant's (QPS grade, origin
-// node), the class's (thread grade, default node). A call over a count fails fast, unsent. Counts start high,
-// rise after timely rounds, are cut after bad ones. What passes goes to a server by a weighted random draw.
 package balancer
 
 import (
 	"cmp"
 	"math/rand/v2"
-	"slices"
 	"strings"
-
-	"merlinpick/internal/tailweights"
 )
 
-// New returns a Balancer for the settings; all its random draws come from the seed.
+// Balancer decides for one proxy. It owns the open requests and the order of steps; each rule is a type of
+// its own, in a file of its own, and alone writes its state:
+//
+//	admission     limits of attempts in flight, priority of classes, Retry-After
+//	quotas        requests a second of each tenant
+//	ordering      order of the requests of one key
+//	retries       further attempts, retry budget, deadlines, timeouts
+//	selection     the draw of a server
+//	slowStart     what warming servers get
+//	outliers      health of servers, ejection
+//	damping       servers that flap
+//	locality      evacuation and recovery of zones, weight of remote servers
+//	spillover     weight of other zones by the state of the local one
+//	members       servers of the endpoint list
+//	listing       evidence while the list is stale
+//	subscription  watches of the list
+//	loads         load of servers over all replicas
+//	tuning        weights for the least tail
+//	reports       what this replica and others report
+//
+// The order in which a request is checked: the limit of the tier, the quota of its tenant, the limit of its
+// class, its deadline, and last whether a server may have it. A request over a limit is rejected at once.
+type Balancer struct {
+	*shared
+	requests map[string]*request // by ID, until all attempts have ended
+
+	admission    *admission
+	quotas       *quotas
+	ordering     *ordering
+	retries      *retryPolicy
+	selection    *selection
+	slowStart    *slowStart
+	outliers     *outlierDetection
+	damping      *flapDamping
+	locality     *locality
+	spillover    *spillover
+	members      *membership
+	listing      *listEvidence
+	subscription *subscription
+	loads        *loads
+	tuning       *weightTuning
+	reports      *reportExchange
+}
+
+// New returns a Balancer for the settings; all its random draws come from the seed. The error is a
+// *SettingsError.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{s: &s, rnd: rand.New(rand.NewPCG(seed, seed)), byID: map[string]*server{},
-		reqs: map[string]*request{}, turns: map[string]*keyQueue{}, backoff: minWatchBackoff,
-		tenants: make([]tenantQuota, len(s.Tenants)), classes: make([]classState, len(s.Classes))}
-	b.share, b.shareMost, b.shareBad, b.spill = maxQuotaMultiple, maxQuotaMultiple, overloadQuotaMultiple, startSpillover
-	if s.Tier > 0 {
-		b.share, b.shareMost, b.shareBad, b.spill = innerTierQuotaMultiple, innerTierQuotaMultiple, innerTierQuotaMultiple, minSpillover
-	}
-	for i, c := range s.Classes {
-		b.classes[i] = b.freshClass(c)
-	}
-	b.derive()
-	b.tier = b.freshRule(b.shareEv.maxDuration)
+	common := &shared{settings: &s, random: rand.New(rand.NewPCG(seed, seed)),
+		classes: make([]classState, len(s.Classes))}
+	b := &Balancer{shared: common, requests: map[string]*request{}}
+	b.reports = &reportExchange{}
+	b.members = newMembership(common)
+	b.listing = &listEvidence{shared: common}
+	b.subscription = newSubscription(common)
+	b.ordering = newOrdering()
+	b.admission = newAdmission(common)
+	b.quotas = newQuotas(common)
+	b.retries = newRetryPolicy(common)
+	b.slowStart = newSlowStart(common)
+	b.spillover = newSpillover(&s)
+	b.locality = &locality{shared: common, members: b.members, spillover: b.spillover, reports: b.reports}
+	b.outliers = &outlierDetection{shared: common, members: b.members, reports: b.reports}
+	b.damping = &flapDamping{shared: common, members: b.members, reports: b.reports}
+	b.loads = &loads{shared: common, members: b.members, reports: b.reports}
+	b.tuning = &weightTuning{shared: common, members: b.members, loads: b.loads, slowStart: b.slowStart,
+		reports: b.reports, locality: b.locality}
+	b.selection = &selection{shared: common, members: b.members, listing: b.listing, locality: b.locality,
+		retries: b.retries, slowStart: b.slowStart}
+	for i, rules := range s.Classes {
+		b.classes[i] = b.newClass(rules)
+	}
+	b.admission.tier = b.admission.newLimit(0)
+	b.applySettings()
 	return b, nil
 }
 
-// derive takes what follows from the settings in force.
-func (b *Balancer) derive() {
-	if b.s.RetryBudgetWindow == 0 {
-		b.s.RetryBudgetWindow, b.s.RetryBudgetMin, b.s.RetryBudgetRatio = defaultBudgetWindow, defaultBudgetMin, defaultBudgetRatio
-	}
-	b.fair = 0
-	for _, t := range b.s.Tenants { // a copy that carries more than its part learns a higher multiple
-		b.fair += t.Quota / float64(b.s.Replicas)
-	}
-	span := int64(0)
-	for i, c := range b.s.Classes {
+// newClass is the state of a class of which nothing is known.
+func (b *Balancer) newClass(rules Class) classState {
+	return classState{admission: b.admission.newClass(rules), latency: newClassLatency(rules)}
+}
+
+// applySettings has the rules take what follows from the settings in force. The feedback rounds of what all
+// classes have in common last as long as those of the slowest class.
+func (b *Balancer) applySettings() {
+	withDefaultBudget(b.settings)
+	roundDuration := int64(0)
+	for i, rules := range b.settings.Classes {
 		if !b.classes[i].retired {
-			span = max(span, feedbackRoundObjectives*c.LatencyObjective)
+			roundDuration = max(roundDuration, feedbackRoundObjectives*rules.LatencyObjective)
 		}
 	}
-	b.shareEv.maxBadFraction, b.shareEv.maxDuration = maxSlowFraction, span
-	b.spillEv.maxBadFraction, b.spillEv.maxDuration = maxSlowFraction, span
-	b.tier.feedback.maxDuration = span
+	b.quotas.configure(roundDuration)
+	b.spillover.configure(roundDuration)
+	b.admission.tier.feedback.maxDuration = roundDuration
 }
 
-// Timer takes a timer that was asked for.
-func (b *Balancer) HandleTimer(now int64, h Host, token string) {
-	if token == watchTimer && !b.asked {
-		b.asked = true
-		h.Watch()
+// HandleTimer takes a timer that Host.SetTimer asked for. Tokens that have nothing to say any more do
+// nothing.
+func (b *Balancer) HandleTimer(now int64, host Host, token string) {
+	if token == watchTimer {
+		if b.subscription.reopen() {
+			host.Watch()
+		}
 	} else if id, ok := strings.CutPrefix(token, queueTimeoutTimer); ok {
-		if q := b.reqs[id]; q != nil && !q.done && len(q.attempts) == 0 {
-			b.refuse(now, h, q, RejectQueueTimeout)
+		if request := b.requests[id]; request != nil && !request.done && len(request.attempts) == 0 {
+			b.reject(now, host, request, RejectQueueTimeout)
 		}
-	} else if key, ok := strings.CutPrefix(token, cooldownTimer); ok && b.turns[key] != nil {
-		b.next(now, h, b.turns[key])
+	} else if key, ok := strings.CutPrefix(token, cooldownTimer); ok && b.ordering.queues[key] != nil {
+		b.startNext(now, host, b.ordering.queues[key])
 	}
 }
 
-// Request takes a request and sends or refuses it at once, unless it must wait for its key's turn (rule 5).
-func (b *Balancer) HandleRequest(now int64, h Host, r Request) {
-	if b.reqs[r.ID] != nil {
+// HandleRequest takes a request and sends or rejects it at once, unless it has to wait in its key's queue.
+// A request whose ID is open already is ignored; one of an unknown class fails.
+func (b *Balancer) HandleRequest(now int64, host Host, received Request) {
+	if b.requests[received.ID] != nil {
 		return
 	}
-	under := cmp.Or(r.Settings, b.s)
-	if r.Class < 0 || r.Class >= len(under.Classes) {
-		h.Fail(r.ID)
+	received.Settings = cmp.Or(received.Settings, b.settings)
+	if received.Class < 0 || received.Class >= len(received.Settings.Classes) {
+		host.Fail(received.ID)
 		return
 	}
-	b.watch(now)
-	q := &request{Request: r, Settings: under, receivedAt: now}
-	b.arrived(now, q)
-	if r.Key == "" || !under.Classes[r.Class].Ordered {
-		b.start(now, h, q)
-		return
+	b.recordSlowAttempts(now)
+	request := &request{Request: received, receivedAt: now}
+	b.register(now, request)
+	if b.ordering.isOrdered(request) {
+		b.enqueue(now, host, request)
+	} else {
+		b.start(now, host, request)
 	}
-	b.join(q)
-	if b.next(now, h, q.queue); len(q.attempts) > 0 || q.done {
+}
+
+// register takes a request into the table of open ones and counts it.
+func (b *Balancer) register(now int64, request *request) {
+	b.requests[request.ID] = request
+	b.arrivals.record(now)
+	b.retries.recordRequest(now)
+	b.quotas.recordRequest(now, request)
+}
+
+// enqueue puts a request into its key's queue, starts it if it is the first one, and rejects it if those
+// before it would take too long.
+func (b *Balancer) enqueue(now int64, host Host, request *request) {
+	b.ordering.join(request)
+	b.startNext(now, host, request.queue)
+	if len(request.attempts) > 0 || request.done {
 		return
 	}
-	last := float64(b.deadline(q)-now) - minRemainingMeans*b.classes[r.Class].mean
-	if float64(len(q.queue.waiting)-1)*b.classes[r.Class].mean > last { // this also bounds the line
-		b.refuse(now, h, q, RejectQueueTimeout)
-		return
+	mean := b.classes[request.Class].latency.mean
+	if wait, ok := request.queue.maxWait(b.retries.latestStart(now, request), mean); ok {
+		host.SetTimer(wait, queueTimeoutTimer+request.ID)
+	} else {
+		b.reject(now, host, request, RejectQueueTimeout)
 	}
-	h.SetTimer(max(int64(last), 0), queueTimeoutTimer+q.ID)
 }
 
-// start checks the rules and sends a request's first attempt, or refuses it.
-func (b *Balancer) start(now int64, h Host, q *request) {
-	switch {
-	case !b.canPass(now, q):
-		b.refuse(now, h, q, RejectOverLimit)
-	case !b.inTime(now, q):
-		b.refuse(now, h, q, RejectNoTimeLeft)
-	case !b.send(now, h, q):
-		b.refuse(now, h, q, RejectNoServer)
-	default:
-		if t := b.origin(q); t != nil {
-			t.admitted.add(now)
-		}
+// startNext starts the request of a queue that may run now, and the next one where that is rejected.
+func (b *Balancer) startNext(now int64, host Host, queue *keyQueue) {
+	for request := queue.next(now); request != nil; request = queue.next(now) {
+		b.start(now, host, request)
 	}
+	b.ordering.discardIdle(now, queue)
 }
 
-// next starts the request whose turn it is, unless its key rests: an attempt may then still be running.
-func (b *Balancer) next(now int64, h Host, t *keyQueue) {
-	for len(t.waiting) > 0 && len(t.waiting[0].attempts) == 0 && now >= t.restUntil {
-		b.start(now, h, t.waiting[0])
+// start sends a request's first attempt if all rules admit it, and rejects it otherwise.
+func (b *Balancer) start(now int64, host Host, request *request) {
+	admitted := b.admission.admitsTier() && b.quotas.admits(now, request) &&
+		b.admission.admitsClass(request.Class)
+	switch {
+	case !admitted:
+		b.reject(now, host, request, RejectOverLimit)
+	case !b.retries.canMeetDeadline(now, request):
+		b.reject(now, host, request, RejectNoTimeLeft)
+	case !b.send(now, host, request):
+		b.reject(now, host, request, RejectNoServer)
+	default:
+		b.quotas.recordAdmitted(now, request)
 	}
-	b.tidy(now, t)
 }
 
-// send draws a server and sends an attempt there; false if there is none to send to.
-func (b *Balancer) send(now int64, h Host, q *request) bool {
-	s := b.draw(now, q)
-	if s == nil {
+// send sends an attempt of a request; false if there is no server to send it to.
+func (b *Balancer) send(now int64, host Host, request *request) bool {
+	server := b.selection.choose(now, request)
+	if server == nil {
 		return false
 	}
-	within := b.within(now, q, s)
-	a := &attempt{server: s, sentAt: now, zone: s.Zone, cell: s.Cell, mayHaveExecuted: true, pending: true}
-	q.attempts = append(q.attempts, a)
-	q.pending++
-	b.tier.admitted.add(now)
-	if !q.BodyPending {
-		b.count(q, a)
+	window := b.retries.sendWindow(now, request, server)
+	attempt := &attempt{server: server, sentAt: now, zone: server.Zone, cell: server.Cell, pending: true,
+		mayHaveExecuted: true}
+	request.attempts = append(request.attempts, attempt)
+	request.pending++
+	b.selection.recordSend(now)
+	if !request.BodyPending {
+		b.admission.acquire(request.Class, attempt)
 	}
-	h.Send(q.ID, s.ID, within, b.timeout(now, q))
+	host.Send(request.ID, server.ID, window, b.retries.attemptTimeout(now, request))
 	return true
 }
 
-// again makes a further attempt, where time, rules, rule 2 and the budget (rule 6) allow one. The budget's
-// window ends now: an attempt at its far edge counts, a request taken there does not.
-func (b *Balancer) again(now int64, h Host, q *request) bool {
-	u, rule, from, free := b.rnd.Float64(), &b.classes[q.Class].rule, now-b.s.RetryBudgetWindow, b.s.RetryBudgetMin
-	if now < b.free {
-		free = 0
-	}
-	if len(q.attempts) >= q.Settings.MaxAttempts || !b.inTime(now, q) || !b.tier.admits(u) || !rule.admits(u) ||
-		b.further.countSince(from)+1 > free+b.s.RetryBudgetRatio*b.taken.countSince(from+1) || !b.send(now, h, q) {
+// retry sends a further attempt of a request if limits, deadline, budget and idempotency allow one.
+func (b *Balancer) retry(now int64, host Host, request *request) bool {
+	chance := b.random.Float64()
+	if len(request.attempts) >= request.Settings.MaxAttempts || !b.retries.canMeetDeadline(now, request) ||
+		!b.admission.admitsRetry(request.Class, chance) || !b.retries.budgetAllows(now) ||
+		!b.send(now, host, request) {
 		return false
 	}
-	b.further.add(now, b.s.RetryBudgetWindow)
+	b.retries.recordRetry(now)
 	return true
 }
 
-// refuse gives a hint spread so that clients don't return together, nor too late for an answer in their aim.
-func (b *Balancer) refuse(now int64, h Host, q *request, why RejectReason) {
-	b.refusals[why]++
-	most := min(q.Settings.MaxRetryAfter, int64(retryAfterFraction*float64(q.Settings.Classes[q.Class].LatencyObjective)))
-	h.Reject(q.ID, most/2+b.rnd.Int64N(most/2+1))
-	b.finish(now, h, q)
+// reject ends a request unserved; its client may safely come again.
+func (b *Balancer) reject(now int64, host Host, request *request, reason RejectReason) {
+	host.Reject(request.ID, b.admission.reject(request, reason))
+	b.finish(now, host, request)
 }
 
-// finish marks a request as over and forgets it once all its attempts have ended; only then is it the
-// turn of the next one with its key.
-func (b *Balancer) finish(now int64, h Host, q *request) {
-	q.done = true
-	if q.pending > 0 {
+// finish marks a request as done and forgets it once all its attempts have ended; only then may the next
+// one of its key start.
+func (b *Balancer) finish(now int64, host Host, request *request) {
+	request.done = true
+	if request.pending > 0 {
 		return
 	}
-	delete(b.reqs, q.ID)
-	if t := q.queue; t != nil {
-		t.waiting = slices.DeleteFunc(t.waiting, func(x *request) bool { return x == q })
-		b.next(now, h, t)
+	delete(b.requests, request.ID)
+	if request.queue != nil {
+		b.ordering.leave(request)
+		b.startNext(now, host, request.queue)
 	}
 }
 
-// Started takes the news that a streamed answer has begun and learns from it: the rest is at a client's pace.
+// HandleResponseStarted takes it that a response is being streamed. The rest takes the client's time, so the
+// attempt's latency ends here.
 func (b *Balancer) HandleResponseStarted(now int64, id string) {
-	q := b.reqs[id]
-	if q == nil || q.done {
+	request := b.requests[id]
+	if request == nil || request.done {
 		return
 	}
-	q.done = true
-	for _, a := range q.attempts {
-		if a.pending {
-			a.responseStarted = true
-			b.leave(q, a)
-			b.learn(now, q, a, Outcome{Status: StatusOK, Latency: now - a.sentAt})
+	request.done = true
+	for _, attempt := range request.attempts {
+		if attempt.pending {
+			attempt.responseStarted = true
+			b.admission.release(request.Class, attempt)
+			b.learn(now, request, attempt, Outcome{Status: StatusOK, Latency: now - attempt.sentAt})
 		}
 	}
 }
 
-// Uploaded takes the news that a request's body has come: its time begins. It returns its attempt's time-out.
-func (b *Balancer) HandleBodyReceived(now int64, id string, giveUp int64) (timeout int64) {
-	q := b.reqs[id]
-	if q == nil || q.done {
+// HandleBodyReceived takes it that a request's body is complete: its time begins, and deadline, in µs on
+// the clock of events, is its client's. It returns the timeout of its attempt, in µs; 0 if the request is
+// over.
+func (b *Balancer) HandleBodyReceived(now int64, id string, deadline int64) (timeout int64) {
+	request := b.requests[id]
+	if request == nil || request.done {
 		return 0
 	}
-	q.BodyPending, q.Deadline, q.receivedAt = false, giveUp, now
-	for _, a := range q.attempts {
-		if a.pending {
-			a.sentAt = now
-			b.count(q, a)
+	request.BodyPending, request.Deadline, request.receivedAt = false, deadline, now
+	for _, attempt := range request.attempts {
+		if attempt.pending {
+			attempt.sentAt = now
+			b.admission.acquire(request.Class, attempt)
 		}
 	}
-	return max(b.deadline(q)-now, 1)
+	return max(b.retries.deadline(request)-now, 1)
 }
 
-// Withdrawn takes the news that nobody waits for a request any more.
-func (b *Balancer) HandleClientGone(now int64, h Host, id string) {
-	if q := b.reqs[id]; q != nil {
-		b.finish(now, h, q)
+// HandleClientGone takes it that nobody waits for a request any more.
+func (b *Balancer) HandleClientGone(now int64, host Host, id string) {
+	if request := b.requests[id]; request != nil {
+		b.finish(now, host, request)
 	}
 }
 
-// Outcome takes the end of an attempt; a request that is owed an answer gets it or a further attempt at once.
-func (b *Balancer) HandleOutcome(now int64, h Host, o Outcome) {
-	q := b.reqs[o.RequestID]
-	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].pending {
+// HandleOutcome takes the end of an attempt. A request that still needs a response is retried, rejected or
+// failed at once. Outcomes of unknown attempts are ignored.
+func (b *Balancer) HandleOutcome(now int64, host Host, outcome Outcome) {
+	request := b.requests[outcome.RequestID]
+	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) ||
+		!request.attempts[outcome.Attempt].pending {
 		return
 	}
-	b.watch(now)
-	a := q.attempts[o.Attempt]
-	a.pending = false
-	if q.pending--; a.responseStarted { // learned from already, but for an answer that breaks off
-		if o.Status != StatusOK && o.Status != StatusCancelled {
-			b.judge(a.server, q.Class, o.Status)
+	b.recordSlowAttempts(now)
+	attempt := request.attempts[outcome.Attempt]
+	attempt.pending = false
+	request.pending--
+	if attempt.responseStarted { // learned from already, unless the response breaks off
+		if outcome.Status != StatusOK && outcome.Status != StatusCancelled {
+			b.outliers.attribute(attempt.server, request.Class, outcome.Status)
 		}
-		b.finish(now, h, q)
-		return
-	}
-	a.mayHaveExecuted = o.Status != StatusConnectFailed && o.Status != StatusNotSent && (o.Status != StatusRejected || q.Settings.RejectedMayHaveExecuted)
-	b.leave(q, a)
-	b.learn(now, q, a, o)
-	b.report(now, h)
-	if q.queue != nil && slices.Contains([]Status{StatusTimedOut, StatusReset, StatusCancelled}, o.Status) { // it may still run
-		q.queue.restUntil = now + q.Settings.OrderingCooldown
-		h.SetTimer(q.Settings.OrderingCooldown, cooldownTimer+q.Key)
-	}
-	if o.RequestDone || q.done {
-		b.finish(now, h, q)
-	} else if q.pending > 0 || !o.NotReplayable && b.again(now, h, q) {
-		return
-	} else if b.mayRefuse(q) {
-		b.refuse(now, h, q, RejectRetriesExhausted)
-	} else {
-		h.Fail(q.ID)
-		b.finish(now, h, q)
-	}
-}
-
-// learn takes what an attempt's end tells of the server, the counts, the shares and the zones.
-func (b *Balancer) learn(now int64, q *request, a *attempt, o Outcome) {
-	if o.Status == StatusCancelled || o.Status == StatusNotSent {
+		b.finish(now, host, request)
 		return
 	}
-	b.prove(a.server, a.sentAt, o.Status)
-	c, k, failed := &b.classes[q.Class], q.Settings.Classes[q.Class], o.Status != StatusOK
-	blame := b.judge(a.server, q.Class, o.Status)
-	a.server.refused = o.Status == StatusConnectFailed || failed && a.server.refused
-	if b.zones != nil {
-		b.note(now, a, faultOfStatus[o.Status])
-		b.measure(now, a.server, q.Class, o)
-	}
-	if !failed {
-		b.reward(c, a.server, float64(o.Latency))
-	}
-	spent := float64(now - a.sentAt)
-	late := failed && !blame || !failed && spent > lateFraction*float64(k.LatencyObjective)
-	slow := late || !failed && spent > b.slowBar(q.Class)
-	b.tier.learn(&b.tier.feedback, now, a.sentAt, late)
-	c.rule.learn(&c.rule.feedback, now, a.sentAt, late)
-	if !a.slow {
-		b.press(now, q.Class, a, slow, slow || failed)
+	attempt.mayHaveExecuted = mayHaveExecuted(outcome.Status, request.Settings)
+	b.admission.release(request.Class, attempt)
+	b.learn(now, request, attempt, outcome)
+	b.logThrottling(now, host)
+	if request.queue != nil && mayStillRun(outcome.Status) {
+		host.SetTimer(request.queue.coolDown(now, request.Settings), cooldownTimer+request.Key)
 	}
+	b.conclude(now, host, request, outcome)
 }
 
-// press takes evidence on shares and home; slow calls of a class worth clearly more cut a class's count, too.
-func (b *Balancer) press(now int64, class int, a *attempt, slow, homeBad bool) {
-	for i := range b.classes {
-		// One with no call out since it last learned has nothing to yield: its count would fall to the least.
-		if c := &b.classes[i]; c.rule.peakInFlight > 0 && b.value(class) > preemptionRatio*b.value(i) {
-			c.rule.learn(&c.yield, now, a.sentAt, slow)
-		}
-	}
-	if f := b.shareEv.record(now, a.sentAt, slow); f == 1 && b.share < 1 {
-		b.share = min(1, b.share+quotaIncreaseBelowShare)
-	} else if f == 1 {
-		b.share = min(b.shareMost, b.share+quotaIncreaseAboveShare)
-	} else if f > 0 {
-		b.share = max(minQuotaMultiple, min(b.share, b.shareBad)*f)
-	}
-	if a.zone == b.s.Zone {
-		if f := b.spillEv.record(now, a.sentAt, homeBad); f == 1 {
-			b.spill = max(minSpillover, b.spill*spilloverDecay)
-		} else if f > 0 {
-			b.spill = min(1, b.spill+spilloverIncrease)
-		}
-	}
-}
-
-// watch counts calls as slow when they have been out for the slow bar: in a jam they end seconds later.
-func (b *Balancer) watch(now int64) {
-	for i := range b.classes {
-		c := &b.classes[i]
-		for bar := int64(b.slowBar(i)); len(c.waiting) > 0 && now-c.waiting[0].sentAt > bar; {
-			a := c.waiting[0]
-			c.waiting = c.waiting[1:]
-			if a.pending && !a.responseStarted {
-				a.slow = true
-				b.press(now, i, a, true, true)
-			}
-		}
-	}
-}
-
-// Balancer decides for one proxy.
-type Balancer struct {
-	s         *Settings // in force; Classes by slot
-	rnd       *rand.Rand
-	byID      map[string]*server
-	all       []*server       // in order of first listing
-	ring      []*server       // the same by onRing: at 1,300 servers to sort them at each change takes half a millisecond
-	fresh     []*server       // listed for the first time, not on the ring yet
-	banned    map[string]bool // by hand; listed or not
-	ready     []*server       // those that new calls may go to, this copy's subset first
-	reqs      map[string]*request
-	turns     map[string]*keyQueue
-	tier      concurrencyLimit
-	tenants   []tenantQuota
-	classes   []classState
-	fair      float64 // rate of all tenants inside their shares at one copy
-	share     float64 // multiple of its share that a tenant may pass
-	shareMost float64
-	shareBad  float64 // what a bad round leaves of share at most
-	shareEv   feedbackRound
-	spill     float64 // weight of servers in other zones
-	spillEv   feedbackRound
-	errs      float64       // running part of failed calls over all servers
-	taken     eventTimes    // requests
-	came      decayingCount // requests, over a longer time
-	further   eventTimes    // attempts beyond each request's first
-	draws     window        // whether a server was found or none
-	free      int64         // the free part of the allowance for further attempts is this Balancer's from then on
-	shared    bool          // another process of this proxy sends too
-	born      int64         // when the first request came
-	confirmed int64         // when the list was last confirmed, or came to a fresh copy
-	heard     bool          // the list was confirmed at all
-	backoff   int64         // before the next try at a subscription
-	asked     bool          // a subscription was asked for
-	weights   []float64     // of drawn
-	drawn     []*server     // those that the present draw is among
-	near, far int           // ready[:near] are at home, ready[far:] in zones that are away
-	zones     []zone        // nil until others are to be told or heard
-	peers     PeerReports   // what others told last
-	tells     []Report      // what this copy told last
-	drained   map[int]bool
-	flaps     map[string]observedFlap // by server
-	damper    flapDamper
-	dampedAt  int64 // when the last log line on them was written, and what it said
-
-	dampedSaid string
-
-	loads     []Report // what this copy told last of loads
-	loadAt    int64
-	middle    float64              // mean time under little load over the classes
-	measured  float64              // calls
-	tail      tailweights.TailNorm // of the times of this copy's answered calls in this round, as multiples of their class's
-	tailCalls float64
-	tailWas   float64 // in the last round
-	tuneAt    int64   // when the next round is due
-	step      float64
-	solver    tailweights.Solver
-	reported  int64 // when the last log line was written
-	refusals  [rejectReasonCount]int64
-}
-
-// arrived notes a request that this copy has taken.
-func (b *Balancer) arrived(now int64, q *request) {
-	b.born = cmp.Or(b.born, now)
-	b.taken.add(now, b.s.RetryBudgetWindow)
-	b.came.add(now)
-	if t := b.origin(q); t != nil {
-		t.requests.add(now)
+// conclude decides what becomes of a request whose attempt has ended.
+func (b *Balancer) conclude(now int64, host Host, request *request, outcome Outcome) {
+	switch {
+	case outcome.RequestDone || request.done:
+		b.finish(now, host, request)
+	case request.pending > 0 || !outcome.NotReplayable && b.retry(now, host, request):
+	case b.retries.mayReject(request):
+		b.reject(now, host, request, RejectRetriesExhausted)
+	default:
+		host.Fail(request.ID)
+		b.finish(now, host, request)
 	}
-	b.reqs[q.ID] = q
 }
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -22,7 +22,7 @@
 		if len(h.lines) != before {
 			t.Errorf("an ended request brought %q", h.lines[before:])
 		}
-		if len(b.reqs) != 0 {
+		if len(b.requests) != 0 {
 			t.Error("an ended request is kept")
 		}
 	}
--- a/balancer/callstats.go
+++ b/balancer/callstats.go
@@ -2,29 +2,31 @@
 
 import "math"
 
-// evidence counts calls and how many of them were bad. Both fade, with time and with each further call, so
-// that the part is that of the latest: it must also tell of a zone that calls have begun to avoid.
+// callStats is a fading count of calls and of the bad ones among them. It fades with time and with each
+// further call, so that the bad fraction is that of the latest calls even where calls have become few.
 type callStats struct {
-	calls, bad float64 // as of last
-	lastAt     int64
-	fault      Fault // of the latest that was bad
-	lastBadAt  int64 // when that was
+	calls, bad float64 // as of lastAt
+	lastAt     int64   // µs, when the latest call ended; 0: none yet
+	fault      Fault   // of the latest bad call
+	lastBadAt  int64   // µs, when that ended
 }
 
-// add takes the end of a call: NoCause for one that was answered.
-func (e *callStats) record(now, span int64, most float64, cause Fault) {
-	keep := math.Exp(-float64(now-e.lastAt) / float64(span))
-	keep *= min(1, (most-1)/max(keep*e.calls, 1))
-	e.calls, e.bad, e.lastAt = e.calls*keep+1, e.bad*keep, now
-	if cause != NoFault {
-		e.bad, e.fault, e.lastBadAt = e.bad+1, cause, now
+// record takes the end of a call; NoFault for one that was answered. Earlier calls fade with the time
+// constant decay, in µs, and count as no more than maxCalls-1.
+func (c *callStats) record(now, decay int64, maxCalls float64, fault Fault) {
+	keep := math.Exp(-float64(now-c.lastAt) / float64(decay))
+	keep *= min(1, (maxCalls-1)/max(keep*c.calls, 1))
+	c.calls, c.bad, c.lastAt = c.calls*keep+1, c.bad*keep, now
+	if fault != NoFault {
+		c.bad, c.fault, c.lastBadAt = c.bad+1, fault, now
 	}
 }
 
-// amend takes back that a call was bad: it was answered after all.
-func (e *callStats) retractBad() { e.bad = max(0, e.bad-1) }
+// retractBad takes back one bad call: it was answered after all.
+func (c *callStats) retractBad() { c.bad = max(0, c.bad-1) }
 
-// since tells whether the latest call was no longer ago than span.
-func (e *callStats) seenWithin(now, span int64) bool { return e.lastAt != 0 && now-e.lastAt <= span }
+// seenWithin tells whether the latest call ended no longer ago than span, in µs.
+func (c *callStats) seenWithin(now, span int64) bool { return c.lastAt != 0 && now-c.lastAt <= span }
 
-func (e *callStats) badFraction() float64 { return e.bad / max(e.calls, 1e-9) }
+// badFraction is the bad part of the calls, 0 to 1; 0 without calls.
+func (c *callStats) badFraction() float64 { return c.bad / max(c.calls, 1e-9) }
--- a/balancer/counters.go
+++ b/balancer/counters.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Counts of events by time.
+// Counts of events by time. They decide nothing.
 
 const (
-	second         = int64(1_000_000) // all times are microseconds
-	windowBuckets  = 64               // buckets of the sliding window
-	bucketDuration = second / 8
+	second         = int64(1_000_000) // all times are µs
+	windowBuckets  = 64               // buckets of a window
+	bucketDuration = second / 8       // µs
 	maxWindow      = windowBuckets * bucketDuration
 )
 
-// window counts events over a sliding time of up to windowTicks buckets.
+// window counts events over a sliding time of up to maxWindow.
 type window struct {
 	buckets    [windowBuckets]int32
 	lastBucket int64
@@ -22,14 +22,16 @@
 	w.buckets[w.lastBucket%windowBuckets]++
 }
 
+// advance empties the buckets whose time has passed.
 func (w *window) advance(now int64) {
-	b := now / bucketDuration
-	for i := max(w.lastBucket+1, b-windowBuckets+1); i <= b; i++ {
+	bucket := now / bucketDuration
+	for i := max(w.lastBucket+1, bucket-windowBuckets+1); i <= bucket; i++ {
 		w.buckets[i%windowBuckets] = 0
 	}
-	w.lastBucket = max(w.lastBucket, b)
+	w.lastBucket = max(w.lastBucket, bucket)
 }
 
+// count returns the number of events within span, in µs, before now.
 func (w *window) count(now, span int64) float64 {
 	w.advance(now)
 	total := int32(0)
@@ -41,35 +43,36 @@
 	return float64(total)
 }
 
-// tally counts events and forgets them over about tallySpan.
+// decayingCount counts events; each fades exponentially with the time constant arrivalDecay.
 type decayingCount struct {
 	count  float64
 	lastAt int64
 }
 
-func (t *decayingCount) at(now int64) float64 {
-	t.count *= math.Exp(-float64(now-t.lastAt) / float64(arrivalDecay))
-	t.lastAt = now
-	return t.count
+// at returns the count now.
+func (c *decayingCount) at(now int64) float64 {
+	c.count *= math.Exp(-float64(now-c.lastAt) / float64(arrivalDecay))
+	c.lastAt = now
+	return c.count
 }
 
-func (t *decayingCount) add(now int64) { t.count = t.at(now) + 1 }
+func (c *decayingCount) add(now int64) { c.count = c.at(now) + 1 }
 
-// timeline holds the times of events, oldest first.
+// eventTimes holds the times of events in µs, oldest first.
 type eventTimes []int64
 
-// add takes an event and forgets those that are older than span.
-func (l *eventTimes) add(now, span int64) {
-	*l = append(*l, now)
-	l.countSince(now - span)
+// add records an event and drops those older than span.
+func (e *eventTimes) add(now, span int64) {
+	*e = append(*e, now)
+	e.countSince(now - span)
 }
 
-// since forgets the events before from and counts the rest.
-func (l *eventTimes) countSince(from int64) float64 {
+// countSince drops the events before from and counts the rest.
+func (e *eventTimes) countSince(from int64) float64 {
 	n := 0
-	for n < len(*l) && (*l)[n] < from {
+	for n < len(*e) && (*e)[n] < from {
 		n++
 	}
-	*l = (*l)[n:]
-	return float64(len(*l))
+	*e = (*e)[n:]
+	return float64(len(*e))
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,63 +1,76 @@
 package balancer
 
-// List takes a list of servers or its changes.
-func (b *Balancer) UpdateEndpoints(now int64, h Host, kind UpdateKind, entries []Server) {
+// What becomes of the ready servers when the endpoint list, suspensions or drained zones change.
+
+// UpdateEndpoints takes an endpoint list or its changes, or that it could not be had. entries are those of
+// the list's servers that kind says.
+func (b *Balancer) UpdateEndpoints(now int64, host Host, kind UpdateKind, entries []Server) {
 	if kind == UpdateFailed {
-		if b.asked { // many copies keep the list busy: back off, one ask at a time
-			h.SetTimer(b.backoff+b.rnd.Int64N(b.backoff), watchTimer)
-			b.backoff = max(minWatchBackoff, min(2*b.backoff, maxWatchBackoff, b.s.PollInterval/pollIntervalDivisor))
+		if backoff, ok := b.subscription.failed(); ok {
+			host.SetTimer(backoff, watchTimer)
 		}
-		b.asked = false
 		return
 	}
-	b.confirm(now, kind)
+	b.listing.confirm(now, kind)
 	if kind != UpdateDelta {
-		for _, s := range b.all {
-			s.State = ServerRemoved // unless listed below
-		}
+		b.members.replaceAll()
+	}
+	for _, entry := range entries {
+		b.members.upsert(entry)
 	}
-	for _, e := range entries {
-		b.enter(e)
+	if b.locality.zones != nil {
+		b.damping.detectDelisted(now)
 	}
-	b.leases(now)
-	if b.relist(); b.zones != nil {
-		b.condemn(now) // one whose lease has come back may be damped
+	b.refilter()
+	if b.locality.zones != nil {
+		b.removeUnhealthy(now) // one that has come back may be damped
 	}
-	if b.s.WatchEndpoints && !b.asked {
-		b.asked = true
-		h.Watch()
+	if b.subscription.succeeded() {
+		host.Watch()
 	}
-	b.backoff = minWatchBackoff
 }
 
-// Ban has these servers and no others left out by hand, if need be all. One that comes back starts afresh.
+// SetSuspendedServers has the servers with these IDs and no others suspended, if need be all. One that is
+// resumed starts afresh and gets the next call that it can take.
 func (b *Balancer) SetSuspendedServers(ids map[string]bool) {
-	was := b.banned
-	b.banned = ids
-	for _, s := range b.all {
-		if was[s.ID] && !ids[s.ID] {
-			s.resetLearned(len(b.classes))
-			s.probePending = true
-		}
+	b.members.suspend(ids)
+	b.refilter()
+}
+
+// SetDrainedZones has these zones and no others drained: their servers get nothing, not even trials. One
+// that is restored recovers by steps.
+func (b *Balancer) SetDrainedZones(now int64, host Host, zones map[int]bool) {
+	before := b.members.drainedZones
+	if len(zones) > 0 || len(before) > 0 {
+		b.trackZones() // first, so that draining one is a change of its phase
 	}
-	b.relist()
+	b.members.drainedZones = zones
+	b.refilter()
+	b.locality.drain(now, host, before, zones)
+	b.refilter()
 }
 
-// Drain has these zones and no others suspended by hand: their servers get nothing, not even trials. One that
-// is restored is returned to by steps.
-func (b *Balancer) SetDrainedZones(now int64, h Host, zones map[int]bool) {
-	was := b.drained
-	if len(zones) > 0 || len(was) > 0 {
-		b.open() // before they are out, so that going out is a change
-	}
-	b.drained = zones
-	b.relist()
-	for i := range b.zones {
-		if z := &b.zones[i]; zones[i] && !was[i] {
-			b.stand(now, h, z, ZoneDrained, 0)
-		} else if was[i] && !zones[i] {
-			b.returnTo(now, h, z, 0)
-		}
+// refilter collects the ready servers anew, after a change of servers, zones or settings.
+func (b *Balancer) refilter() {
+	if b.locality.zones == nil {
+		b.members.refilter(nil)
+	} else {
+		b.members.refilter(b.locality.rank)
+	}
+}
+
+// trackZones begins to keep the state of zones, which a replica that hears of no others has no use for.
+func (b *Balancer) trackZones() {
+	if b.locality.track(b.members.drainedZones) {
+		b.refilter()
 	}
-	b.relist()
+}
+
+// removeUnhealthy damps the servers that flap and ejects those that are reported as unhealthy, within one
+// budget.
+func (b *Balancer) removeUnhealthy(now int64) {
+	unhealthy := b.outliers.reportedUnhealthy(now)
+	budget := newRemovalBudget(b.members.ready)
+	b.damping.damp(now, budget)
+	b.outliers.eject(unhealthy, budget)
 }
--- a/balancer/flapdamping.go
+++ b/balancer/flapdamping.go
@@ -8,250 +8,294 @@
 	"strings"
 )
 
-// The data that removals are damped by. What here decides, or why it does not: docs/policy.md.
+// Flap damping: servers that go back and forth between unhealthy and healthy, or in and out of the list,
+// get one steady, small weight until they rest. Each removal and return would move load, cost handshakes
+// and start the next one elsewhere, which does more harm than the server does.
+//
+// Input: flaps, as this replica sees them and the others report them. Output: which ready servers are damped.
 
 const (
-	flapReportTTL = 10 * second // a flap is told for so long
-	flapMemory    = 60 * second // and known for so long, to tell the next one
+	penaltyHalfLife = 20 * second // µs: each flap adds 1 to a penalty, which halves in this time
+	maxPenalty      = 5.0         // a server that rests is back within 2.4 half-lives
 
-	maxRecords = 4096 // records of a damper at most
+	dampingThreshold = 2.2         // a penalty above it damps: the third flap, 10 s apart or less
+	reuseThreshold   = 1.0         // a penalty below it ends damping
+	maxDamping       = 60 * second // µs: damping ends after this; the next flap may begin it again
+	dampedWeight     = 0.1         // health score of a damped server
+
+	flapVoteWindow   = 2 * second // µs: what several replicas see within this is one flap
+	maxRequiredVotes = 3          // replicas that have to see a flap, fewer where fewer live
+
+	fallenScore          = 0.1 // health score: a server below it has fallen, after two failures
+	recoveredBadFraction = 0.2 // of recent calls: a server above it hasn't recovered
+
+	flapReportTTL = 10 * second // µs: a flap is reported for so long
+	flapMemory    = 60 * second // µs: and known for so long, to tell the next one
+
+	maxRecords         = 4096   // of flaps
+	dampingLogInterval = second // µs between log events at least
 )
 
-// damper keeps one record for each key, which is a server or a zone. The zero value is ready.
-type flapDamper struct{ records map[string]*flapRecord }
+// faultDelisted is the fault of a flap whose fall is that the server has left the list. It stays in this
+// replica.
+const faultDelisted Fault = -1
 
-// record is the record of one key. Flaps alternate: one that leads where the last one led is the same, seen
-// late.
-type flapRecord struct {
-	startTime   int64 // the key's own; another begins a new record
-	down        bool  // where the last flap that counted led
-	lastFlapAt  int64 // when it was first seen
-	votes       []flapVote
-	penalty     float64
-	penaltyAt   int64 // when the penalty was that
-	dampedSince int64 // damped from then on; 0: not damped
-	newFlap     bool  // a flap has counted since damped was asked
+// dampingState is what flap damping keeps of a server.
+type dampingState struct {
+	active bool  // it has its steady weight
+	since  int64 // µs, while active
 }
 
-// vote is the newest flap against the last one that counted, as one observer saw it.
+// requiredFlapVotes is how many replicas have to see a flap where so many live: one's own link can be at
+// fault.
+func requiredFlapVotes(liveReplicas int) int { return min(maxRequiredVotes, 1+liveReplicas/4) }
+
+// flapVote is the newest change against the last flap that counted, as one replica saw it.
 type flapVote struct {
 	observer string
-	at       int64
+	at       int64 // µs
 }
 
-// saw takes a flap of a key with the given start, seen by an observer at some time; it tells whether this one
-// makes it count.
-func (d *flapDamper) recordFlap(now int64, key string, start int64, down bool, observer string, at int64,
-	enough int) bool {
-	r := d.records[key]
-	if r == nil || start > r.startTime && !sameStartTime(start, r.startTime) {
-		if d.removeRested(now); r == nil && len(d.records) >= maxRecords || !down {
-			return false // a record begins with a fall
-		}
-		r = &flapRecord{startTime: start, lastFlapAt: at - flapVoteWindow, penaltyAt: now}
-		if d.records == nil {
-			d.records = map[string]*flapRecord{}
-		}
-		d.records[key] = r
+// flapRecord is the record of one server. Flaps alternate: one that leads where the last one led is the
+// same flap, seen late.
+type flapRecord struct {
+	startTime   int64 // the process's; another one begins a new record
+	down        bool  // where the last flap that counted led
+	lastFlapAt  int64 // µs, when that was first seen
+	votes       []flapVote
+	penalty     float64 // as of penaltyAt
+	penaltyAt   int64   // µs
+	dampedSince int64   // µs; 0: not damped
+	newFlap     bool    // one has counted since updateDamped
+}
+
+// accept takes a replica's vote for a flap and tells whether the flap counts with it.
+func (r *flapRecord) accept(now int64, down bool, vote flapVote, required int) bool {
+	if down == r.down || vote.at <= r.lastFlapAt || vote.at > now {
+		return false
 	}
-	return sameStartTime(start, r.startTime) && r.accept(now, down, flapVote{observer, at}, enough)
+	r.votes = slices.DeleteFunc(r.votes, func(former flapVote) bool {
+		return former.observer == vote.observer || vote.at-former.at > flapVoteWindow
+	})
+	if r.votes = append(r.votes, vote); len(r.votes) < required {
+		return false
+	}
+	r.down, r.lastFlapAt, r.votes = down, vote.at, nil
+	r.penalty, r.penaltyAt, r.newFlap = min(r.currentPenalty(now)+1, maxPenalty), now, true
+	return true
 }
 
-// left is the penalty now.
+// currentPenalty is the penalty now, 0 to maxPenalty.
 func (r *flapRecord) currentPenalty(now int64) float64 {
 	return r.penalty * math.Exp2(-float64(now-r.penaltyAt)/float64(penaltyHalfLife))
 }
 
-// damped tells whether a key that began at start is to get its steady share now, and since when.
-func (d *flapDamper) dampedSince(now int64, key string, start int64) (since int64, is bool) {
-	r := d.records[key]
-	if r == nil || !sameStartTime(r.startTime, start) {
+// rested tells whether a record may be forgotten.
+func (r *flapRecord) rested(now int64) bool {
+	return r.currentPenalty(now) < reuseThreshold/2 && now-r.lastFlapAt > penaltyHalfLife
+}
+
+// updateDamped begins or ends damping and tells whether the server is damped now.
+func (r *flapRecord) updateDamped(now int64) bool {
+	penalty := r.currentPenalty(now)
+	if r.dampedSince != 0 && (penalty < reuseThreshold || now-r.dampedSince >= maxDamping) {
+		r.dampedSince = 0
+	} else if r.dampedSince == 0 && r.newFlap && penalty > dampingThreshold {
+		r.dampedSince = now
+	}
+	r.newFlap = false
+	return r.dampedSince != 0
+}
+
+// flapRecords keeps one record for each server that has flapped. The zero value is ready.
+type flapRecords struct{ byID map[string]*flapRecord }
+
+// recordFlap takes a flap of a server's process, seen by an observer at some time in µs. It tells whether
+// the flap counts with it.
+func (f *flapRecords) recordFlap(now int64, id string, startTime int64, down bool, vote flapVote,
+	required int) bool {
+	record := f.byID[id]
+	if record == nil || startTime > record.startTime && !sameStartTime(startTime, record.startTime) {
+		if f.removeRested(now); record == nil && len(f.byID) >= maxRecords || !down {
+			return false // a record begins with a fall
+		}
+		record = &flapRecord{startTime: startTime, lastFlapAt: vote.at - flapVoteWindow, penaltyAt: now}
+		if f.byID == nil {
+			f.byID = map[string]*flapRecord{}
+		}
+		f.byID[id] = record
+	}
+	return sameStartTime(startTime, record.startTime) && record.accept(now, down, vote, required)
+}
+
+// dampedSince tells whether a server's process is to have its steady weight now, and since when, in µs.
+func (f *flapRecords) dampedSince(now int64, id string, startTime int64) (since int64, damped bool) {
+	record := f.byID[id]
+	if record == nil || !sameStartTime(record.startTime, startTime) {
 		return 0, false
 	}
-	is = r.updateDamped(now)
-	return r.dampedSince, is
+	damped = record.updateDamped(now)
+	return record.dampedSince, damped
 }
 
-// tidy forgets the records that have come to rest.
-func (d *flapDamper) removeRested(now int64) {
-	for key, r := range d.records {
-		if r.rested(now) {
-			delete(d.records, key)
+// removeRested forgets the records of servers that rest.
+func (f *flapRecords) removeRested(now int64) {
+	for id, record := range f.byID {
+		if record.rested(now) {
+			delete(f.byID, id)
 		}
 	}
 }
 
-// flap is the latest flap of a server's health as this copy saw it.
+// observedFlap is the latest flap of a server as this replica saw it.
 type observedFlap struct {
 	startTime int64
 	down      bool
 	fault     Fault // of the latest fall
-	at        int64
+	at        int64 // µs
 	count     float64
 }
 
-// flapped notes that a server is bad or healthy, if that is another than before.
-func (b *Balancer) flapped(now int64, s *server, down bool, cause Fault) {
-	f := b.flaps[s.ID]
-	if f.startTime != s.StartTime {
-		f = observedFlap{startTime: s.StartTime}
-	}
-	if f.down == down {
-		return
-	}
-	if f.down, f.at, f.count = down, now, f.count+1; down {
-		f.fault = cause
-	}
-	if b.flaps == nil {
-		b.flaps = map[string]observedFlap{}
-	}
-	b.flaps[s.ID] = f
-}
+// flapDamping holds the flaps that count and those that this replica has seen.
+type flapDamping struct {
+	*shared
+	members  *membership
+	reports  *reportExchange
+	records  flapRecords
+	observed map[string]observedFlap // by server ID
 
-// leaseEnded is a cause that only this copy's books have: it is told as none.
-const faultDelisted Fault = -1
+	logged   string // the damped servers as of the last log event
+	loggedAt int64  // µs
+}
 
-// tellFlaps is what this copy tells of flaps.
-func (b *Balancer) tellFlaps(now int64) (out []Report) {
-	for _, id := range slices.Sorted(maps.Keys(b.flaps)) {
-		f := b.flaps[id]
-		if now-f.at > flapMemory {
-			delete(b.flaps, id)
-		} else if now-f.at <= flapReportTTL {
-			n := Report{Kind: ReportServerFlap, Fault: max(f.fault, NoFault), ObserverZone: b.s.Zone, Server: id,
-				StartTime: f.startTime, Calls: f.count, BadFraction: indicator(f.down), LastObserved: f.at}
-			if r := b.damper.records[id]; r != nil {
-				n.Value = r.currentPenalty(now)
-			}
-			out = append(out, n)
-		}
+// detectFlap looks whether a server has fallen or recovered. Slow calls are no fall, nor are rejected ones:
+// an overload would damp its whole tier. A single failure is one if others report the server, too.
+func (d *flapDamping) detectFlap(now int64, server *server) {
+	state := &server.outlier
+	worst := state.worstScore()
+	reported := state.peerFactor < 1
+	if state.isUnhealthy() && state.recent.fault != FaultSaturated &&
+		(worst <= fallenScore || worst < healthyScore && reported) {
+		d.observe(now, server, true, state.recent.fault)
+	} else if state.recent.badFraction() <= recoveredBadFraction && state.overall.score >= healthyScore &&
+		state.peerFactor == 1 {
+		d.observe(now, server, false, NoFault)
 	}
-	return out
 }
 
-// flapping are the ready servers that the damper has damped, the longest so first, and how many are ready in
-// each zone.
-func (b *Balancer) flapping(now int64) (flapping []*server, in map[int]int) {
-	in = map[int]int{}
-	for _, s := range b.ready {
-		in[s.Zone]++
-		if s.since, s.damped = b.damper.dampedSince(now, s.ID, s.StartTime); s.damped {
-			flapping = append(flapping, s)
+// detectDelisted has a server fall that has left the list: one that comes back as the same process flaps.
+func (d *flapDamping) detectDelisted(now int64) {
+	for _, server := range d.members.all {
+		gone, flap := server.State == ServerRemoved, d.observed[server.ID]
+		if gone || flap.down && flap.fault == faultDelisted {
+			d.observe(now, server, gone, faultDelisted)
 		}
 	}
-	slices.SortFunc(flapping, byDampedSince)
-	return flapping, in
 }
 
-// reportDamped tells on-call staff which servers are damped when that has changed, once a second at most.
-func (b *Balancer) reportDamped(now int64, h Host) {
-	var names []string
-	for _, d := range b.DampedServers(now) {
-		names = append(names, d.Server)
+// observe records that a server has fallen or recovered, if that is a change.
+func (d *flapDamping) observe(now int64, server *server, down bool, fault Fault) {
+	flap := d.observed[server.ID]
+	if flap.startTime != server.StartTime {
+		flap = observedFlap{startTime: server.StartTime}
 	}
-	all := strings.Join(names, " ")
-	if all == b.dampedSaid || now-b.dampedAt < second {
+	if flap.down == down {
 		return
 	}
-	b.dampedSaid, b.dampedAt = all, now
-	h.Log(DampedServersChanged{Servers: names, WeightFraction: dampedWeight})
-}
-
-// enough is how many observers must have seen a flap where so many live: one's own link can be bad.
-func requiredFlapVotes(living int) int { return min(maxRequiredVotes, 1+living/4) }
-
-// counts tells whether a flap, seen by one observer more, now counts: enough saw it, and it leads back.
-func (r *flapRecord) accept(now int64, down bool, v flapVote, enough int) bool {
-	if down == r.down || v.at <= r.lastFlapAt || v.at > now {
-		return false
+	if flap.down, flap.at, flap.count = down, now, flap.count+1; down {
+		flap.fault = fault
 	}
-	r.votes = slices.DeleteFunc(r.votes, func(o flapVote) bool {
-		return o.observer == v.observer || v.at-o.at > flapVoteWindow
-	})
-	if r.votes = append(r.votes, v); len(r.votes) < enough {
-		return false
+	if d.observed == nil {
+		d.observed = map[string]observedFlap{}
 	}
-	r.down, r.lastFlapAt, r.votes = down, v.at, nil
-	r.penalty, r.penaltyAt, r.newFlap = min(r.currentPenalty(now)+1, maxPenalty), now, true
-	return true
-}
-
-// rested tells whether a record may be forgotten.
-func (r *flapRecord) rested(now int64) bool {
-	return r.currentPenalty(now) < reuseThreshold/2 && now-r.lastFlapAt > penaltyHalfLife
+	d.observed[server.ID] = flap
 }
 
-// steady tells whether a key is to get its steady share now.
-func (r *flapRecord) updateDamped(now int64) bool {
-	if left := r.currentPenalty(now); r.dampedSince != 0 && (left < reuseThreshold || now-r.dampedSince >= maxDamping) {
-		r.dampedSince = 0
-	} else if r.dampedSince == 0 && r.newFlap && left > dampingThreshold {
-		r.dampedSince = now
+// flapReports returns the reports of the flaps that this replica saw lately.
+func (d *flapDamping) flapReports(now int64) (reports []Report) {
+	for _, id := range slices.Sorted(maps.Keys(d.observed)) {
+		flap := d.observed[id]
+		if now-flap.at > flapMemory {
+			delete(d.observed, id)
+		} else if now-flap.at <= flapReportTTL {
+			report := Report{Kind: ReportServerFlap, Fault: max(flap.fault, NoFault),
+				ObserverZone: d.settings.Zone, Server: id, StartTime: flap.startTime, Calls: flap.count,
+				BadFraction: indicator(flap.down), LastObserved: flap.at}
+			if record := d.records.byID[id]; record != nil {
+				report.Value = record.currentPenalty(now)
+			}
+			reports = append(reports, report)
+		}
 	}
-	r.newFlap = false
-	return r.dampedSince != 0
+	return reports
 }
 
-// detectFlap looks whether a server that was healthy is bad or the other way round. Slow calls are no
-// flap, nor is having no room, or a crowd would damp its tier; a single failure is, if others show it, too.
-func (b *Balancer) detectFlap(now int64, s *server) {
-	left := s.whole.score
-	for _, c := range s.classes {
-		left = min(left, s.whole.score*c.score)
+// damp damps the servers whose flaps enough replicas report, the longest damped first, as far as the budget
+// for removals goes. An isolated replica uses its zone's part of the budget. Suspended servers stay
+// suspended.
+func (d *flapDamping) damp(now int64, budget *removalBudget) {
+	d.takeReports(now)
+	if peers := &d.reports.peers; peers.Isolated {
+		inZone := peers.LiveReplicasInZone
+		budget.left = budget.left * inZone / max(peers.LiveReplicas, inZone)
 	}
-	if s.isUnhealthy() && s.seen.fault != FaultSaturated && (left <= fallenScore || left < healthyScore && s.told < 1) {
-		b.flapped(now, s, true, s.seen.fault)
-	} else if s.seen.badFraction() <= recoveredBadFraction && s.whole.score >= healthyScore && s.told == 1 {
-		b.flapped(now, s, false, NoFault)
+	for _, server := range d.flapping(now) {
+		server.damping.active = budget.take(server.Zone)
 	}
 }
 
-// leases has a server that the list has no longer fall: one that comes back with the same start flaps.
-func (b *Balancer) leases(now int64) {
-	for _, s := range b.all {
-		if f := b.flaps[s.ID]; b.zones != nil && (s.State == ServerRemoved || f.down && f.fault == faultDelisted) {
-			b.flapped(now, s, s.State == ServerRemoved, faultDelisted)
+// takeReports takes the flaps that all replicas report. That a server doesn't respond tells of the way to
+// it: of such reports only those of this zone count.
+func (d *flapDamping) takeReports(now int64) {
+	required := requiredFlapVotes(d.reports.peers.LiveReplicasInZone)
+	for report := range d.reports.all {
+		if report.Kind == ReportServerFlap && !d.settings.DisableFlapDamping &&
+			(report.Fault != FaultUnresponsive || report.ObserverZone == d.settings.Zone) {
+			down := report.BadFraction >= unhealthyBadFraction
+			vote := flapVote{report.Observer, report.LastObserved}
+			d.records.recordFlap(now, report.Server, report.StartTime, down, vote, required)
 		}
 	}
 }
 
-// damp damps servers by the flaps that copies tell of, the longest damped first, within the budget for
-// removals, alone this zone's part of it; it returns what is left and each zone's use. No ban is overruled.
-func (b *Balancer) damp(now int64) (left int, out map[int]int) {
-	need := requiredFlapVotes(b.peers.LiveReplicasInZone)
-	for n := range b.notices {
-		if n.Kind == ReportServerFlap && !b.s.DisableFlapDamping && (n.Fault != FaultUnresponsive || n.ObserverZone == b.s.Zone) {
-			b.damper.recordFlap(now, n.Server, n.StartTime, n.BadFraction >= unhealthyBadFraction, n.Observer, n.LastObserved, need)
+// flapping are the ready servers that have to be damped by their records, the longest damped first.
+func (d *flapDamping) flapping(now int64) (flapping []*server) {
+	for _, server := range d.members.ready {
+		state := &server.damping
+		if state.since, state.active = d.records.dampedSince(now, server.ID, server.StartTime); state.active {
+			flapping = append(flapping, server)
 		}
 	}
-	if left, out = ejectionBudget(len(b.ready)), map[int]int{}; b.peers.Isolated {
-		left = left * b.peers.LiveReplicasInZone / max(b.peers.LiveReplicas, b.peers.LiveReplicasInZone)
-	}
-	flapping, in := b.flapping(now)
-	for _, s := range flapping {
-		if s.damped = left > 0 && out[s.Zone] < ejectionBudget(in[s.Zone]); s.damped {
-			left, out[s.Zone] = left-1, out[s.Zone]+1
+	slices.SortFunc(flapping, func(x, y *server) int {
+		return cmp.Or(cmp.Compare(x.damping.since, y.damping.since), cmp.Compare(x.ID, y.ID))
+	})
+	return flapping
+}
+
+// damped are the servers that have their steady weight now, the longest damped first.
+func (d *flapDamping) damped(now int64) (out []DampedServer) {
+	for _, server := range d.members.ready {
+		if server.damping.active {
+			penalty := d.records.byID[server.ID].currentPenalty(now)
+			out = append(out, DampedServer{server.ID, penalty, server.damping.since})
 		}
 	}
-	return left, out
+	slices.SortFunc(out, func(x, y DampedServer) int {
+		return cmp.Or(cmp.Compare(x.DampedSince, y.DampedSince), cmp.Compare(x.Server, y.Server))
+	})
+	return out
 }
 
-// longerDamped orders servers by which keep their steady share where the budget is short.
-func byDampedSince(x, y *server) int {
-	return cmp.Or(cmp.Compare(x.since, y.since), cmp.Compare(x.ID, y.ID))
+// logChange logs which servers are damped when that has changed, at most once in dampingLogInterval.
+func (d *flapDamping) logChange(now int64, host Host) {
+	var ids []string
+	for _, server := range d.damped(now) {
+		ids = append(ids, server.Server)
+	}
+	all := strings.Join(ids, " ")
+	if all == d.logged || now-d.loggedAt < dampingLogInterval {
+		return
+	}
+	d.logged, d.loggedAt = all, now
+	host.Log(DampedServersChanged{Servers: ids, WeightFraction: dampedWeight})
 }
-
-// Removals and returns that follow each other fast do more harm than the server does: each moves load, costs
-// handshakes and starts the next one elsewhere. So what flaps gets one steady, small share until it rests.
-const (
-	penaltyHalfLife  = 20 * second // a penalty halves in this time
-	maxPenalty       = 5.0         // and is no more than this: what has rested is back within 2.4 half times
-	maxDamping       = 60 * second // damped for no longer; the next flap then damps again
-	flapVoteWindow   = 2 * second  // flaps that several observers saw within this are one
-	maxRequiredVotes = 3           // observers that must have seen one; fewer where fewer live, see enough
-	dampedWeight     = 0.1         // of its share is left to a server that flaps
-
-	fallenScore, recoveredBadFraction = 0.1, 0.2 // health of one that fell: two failures; bad part of one that is back
-
-	dampingThreshold, reuseThreshold = 2.2, 1.0 // over it damps: the third flap, 10 s apart or less; under this ends
-)
--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -24,14 +24,14 @@
 		{"one fall and return", 3 * second, 7 * second, 2, 0, 0, 0},
 		{"every two minutes", 120 * second, 600 * second, 1, 2, 0, 0},
 	} {
-		var d flapDamper
+		var d flapRecords
 		var changes []int64
 		down, state, damped := false, 0, 0.0
 		for now := int64(0); now < 600*second; now += second / 10 {
 			if now > 0 && now%c.every == 0 && now < c.until {
 				down = !down
 				for i := range int64(3) {
-					d.recordFlap(now+i, "s", 1, down, fmt.Sprint(i), now+i, 3)
+					d.recordFlap(now+i, "s", 1, down, flapVote{fmt.Sprint(i), now + i}, 3)
 				}
 			}
 			_, is := d.dampedSince(now+3, "s", 1)
@@ -83,16 +83,16 @@
 		{"a return without a fall", []say{{1, 1, false, "a"}, {2, 1, false, "b"}}, 0},
 		{"from times to come", []say{{1, 1, true, "a"}, {math.MaxInt64, 1, true, "b"}}, 0},
 	} {
-		var d flapDamper
+		var d flapRecords
 		now := int64(0)
 		for _, s := range c.says {
 			if now = max(now, s.at); s.at == math.MaxInt64 {
 				now = 1
 			}
-			d.recordFlap(now, "s", s.start, s.down, s.who, s.at, 2)
+			d.recordFlap(now, "s", s.start, s.down, flapVote{s.who, s.at}, 2)
 		}
 		got := 0.0
-		if r := d.records["s"]; r != nil {
+		if r := d.byID["s"]; r != nil {
 			got = r.currentPenalty(now)
 		}
 		if math.Abs(got-c.want) > 1e-3 {
@@ -105,7 +105,7 @@
 // time, each flap counts once, and records stay few and go once they rest.
 func TestDamperAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var d flapDamper
+		var d flapRecords
 		now, counted, since := int64(0), map[string]int64{}, map[string]int64{}
 		state := map[string]bool{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -113,15 +113,16 @@
 			key := rapid.SampledFrom([]string{"s", "u"}).Draw(t, "key")
 			down := rapid.Bool().Draw(t, "down")
 			at := now - rapid.Int64Range(-second, 3*second).Draw(t, "age")
-			known := d.records[key] != nil
-			if d.recordFlap(now, key, 1, down, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), at, 2) {
+			known := d.byID[key] != nil
+			vote := flapVote{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), at}
+			if d.recordFlap(now, key, 1, down, vote, 2) {
 				if known && state[key] == down || at <= counted[key] && counted[key] != 0 || at > now {
 					t.Fatalf("at %d a flap of %s to %v seen at %d counts again", now, key, down, at)
 				}
 				state[key], counted[key] = down, at
 			}
 			for _, key := range []string{"s", "u"} {
-				r := d.records[key]
+				r := d.byID[key]
 				if r == nil {
 					since[key] = 0
 					continue
@@ -139,8 +140,8 @@
 				since[key] = from
 			}
 		}
-		if d.removeRested(now + 200*second); len(d.records) != 0 {
-			t.Fatalf("%d records are kept of what rests", len(d.records))
+		if d.removeRested(now + 200*second); len(d.byID) != 0 {
+			t.Fatalf("%d records are kept of what rests", len(d.byID))
 		}
 	})
 }
@@ -307,7 +308,7 @@
 		b.HandlePeerReports(now, h, PeerReports{LiveReplicas: living, LiveReplicasInZone: near, Isolated: alone})
 		out := map[int]int{}
 		for _, d := range b.DampedServers(now) {
-			out[b.byID[d.Server].Zone]++
+			out[b.members.byID[d.Server].Zone]++
 		}
 		all := out[0] + out[1] + out[2]
 		part := 1.0
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -80,8 +80,8 @@
 }
 
 func (c *copyOf) Send(id, server string, _, timeout int64) {
-	w, s := c.w, c.b.byID[server].Server
-	q := c.b.reqs[id]
+	w, s := c.w, c.b.members.byID[server].Server
+	q := c.b.requests[id]
 	k := q.Settings.Classes[q.Class]
 	c.sends = append(c.sends, sendTo{w.now, server, s.Zone, k.Idempotency})
 	status, took := w.fate(c, s)
@@ -142,7 +142,7 @@
 	id := fmt.Sprint(n)
 	class := []int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[c.w.rnd.IntN(10)]
 	c.reqs[id] = new(int)
-	c.b.HandleRequest(c.w.now, c, Request{ID: id, Class: class, Deadline: c.w.now + c.b.s.Classes[class].Deadline})
+	c.b.HandleRequest(c.w.now, c, Request{ID: id, Class: class, Deadline: c.w.now + c.b.settings.Classes[class].Deadline})
 	c.w.after(int64(c.w.rnd.ExpFloat64()*1e6/rate), func() { c.ask(rate, n+1) })
 }
 
@@ -160,7 +160,7 @@
 	w.said[c] = tells
 	p := PeerReports{LiveReplicas: len(w.copies), Isolated: c.deaf}
 	for _, o := range w.copies {
-		if o.b.s.Zone == c.b.s.Zone {
+		if o.b.settings.Zone == c.b.settings.Zone {
 			p.LiveReplicasInZone++
 		}
 		if o == c || c.deaf {
@@ -182,9 +182,9 @@
 	n, of := 0.0, 0.0
 	for _, c := range w.copies {
 		for _, s := range c.sends {
-			if at := s.at - start; at >= since && at < until && (from < 0 || c.b.s.Zone == from) {
+			if at := s.at - start; at >= since && at < until && (from < 0 || c.b.settings.Zone == from) {
 				of++
-				n += indicator(s.zone == to || to < 0 && s.zone != c.b.s.Zone)
+				n += indicator(s.zone == to || to < 0 && s.zone != c.b.settings.Zone)
 			}
 		}
 	}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -39,11 +39,11 @@
 // What one copy goes by is changed once: each of these moves the hash of the fleet.
 func TestFleetHashNoticesChangedDecisions(t *testing.T) {
 	for name, change := range map[string]func(*Balancer){
-		"weight of other zones": func(b *Balancer) { b.spill = 0.4 },
-		"share of tenants":      func(b *Balancer) { b.share = 0.5 },
-		"slowness of a server":  func(b *Balancer) { b.byID["s3"].slowness *= 1.05 },
-		"count of the tier":     func(b *Balancer) { b.tier.max = 1 },
-		"part of a zone":        func(b *Balancer) { b.zones[1].WeightFraction = 0.9 },
+		"weight of other zones": func(b *Balancer) { b.spillover.weight = 0.4 },
+		"share of tenants":      func(b *Balancer) { b.quotas.multiple = 0.5 },
+		"slowness of a server":  func(b *Balancer) { b.members.byID["s3"].latency.slowness *= 1.05 },
+		"count of the tier":     func(b *Balancer) { b.admission.tier.max = 1 },
+		"part of a zone":        func(b *Balancer) { b.locality.zones[1].WeightFraction = 0.9 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -109,10 +109,10 @@
 		return tells
 	}
 	for _, c := range w.copies {
-		c.b.s.OverloadMultiple, c.b.s.OverloadWindow = 2, 2*second
-		c.b.s.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 240}}
-		c.b.tenants = make([]tenantQuota, 1)
-		c.b.derive()
+		c.b.settings.OverloadMultiple, c.b.settings.OverloadWindow = 2, 2*second
+		c.b.settings.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 240}}
+		c.b.quotas.tenants = make([]tenantQuota, 1)
+		c.b.applySettings()
 	}
 	for at := second; at <= 100*second; at += second {
 		w.run(at)
@@ -140,7 +140,7 @@
 			case 80 * second:
 				c.b.HandleOtherProcessExit(w.now)
 			case 85 * second:
-				other := *c.b.s
+				other := *c.b.settings
 				other.RetryBudgetWindow, other.RetryBudgetMin, other.RetryBudgetRatio = 15*second, 2, 0.05
 				other.Classes = slices.Clone(other.Classes)
 				other.Classes[2].LatencyObjective /= 2
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -1,25 +1,72 @@
 package balancer
 
-// slowBar is the time at which a call counts as slow: well before its aim, and clearly over the time of calls
-// when little waits, since servers that hold too many turn slower for long.
-func (b *Balancer) slowBar(class int) float64 {
-	bar := slowFraction * float64(b.s.Classes[class].LatencyObjective)
-	if b.s.Tier > 0 || b.share <= overloadedQuotaMultiple {
-		return bar
+// Latency: how long calls of each class take, how slow each server is against the others, and from when on a
+// call counts as slow or late.
+//
+// Input: the latencies of answered attempts. Output: the mean that other rules measure time in, a server's
+// slowness for its weight, and the thresholds for backpressure.
+
+const (
+	initialMeanFraction = 0.25 // of the latency objective: the mean before any answer
+	initialGuessCalls   = 4.0  // answers that this first guess counts as
+
+	minMeanGain     = 0.05  // of a running mean: what one answer counts at least
+	minUnloadedGain = 0.001 // the same of the unloaded mean when it rises
+
+	slownessGain    = 0.1 // how far one answer moves a server's slowness
+	maxLatencyRatio = 5.0 // to the mean: a slower answer counts as this
+
+	slowFraction          = 0.6 // of the latency objective: slower calls are slow, well before they are late
+	saturatedLatencyRatio = 1.6 // to the unloaded mean: slower calls are slow too
+)
+
+// classLatency is what is known of the latencies of a class.
+type classLatency struct {
+	mean      float64 // µs
+	unloaded  float64 // µs: the mean while little waits
+	successes float64 // answers
+}
+
+// newClassLatency is the first guess at a class's latencies.
+func newClassLatency(rules Class) classLatency {
+	guess := initialMeanFraction * float64(rules.LatencyObjective)
+	return classLatency{mean: guess, unloaded: guess}
+}
+
+// serverLatency is what is known of the latencies of a server.
+type serverLatency struct {
+	slowness float64 // running ratio of its latencies to the class's mean
+}
+
+func newServerLatency() serverLatency { return serverLatency{slowness: 1} }
+
+// runningGain is the gain of a running mean: that of a plain mean over the count so far, but no less than
+// least.
+func runningGain(count, least float64) float64 { return max(least, 1/(initialGuessCalls+count)) }
+
+// recordLatency takes the latency, in µs, of an answer. The slowness moves towards the ratio to the mean:
+// fixed steps would add up until one server had all calls where load does not slow it down.
+func recordLatency(class *classLatency, server *serverLatency, latency float64) {
+	ratio := min(latency/max(class.mean, 1), maxLatencyRatio)
+	server.slowness += (ratio - server.slowness) * slownessGain
+	class.successes++
+	class.mean += (latency - class.mean) * runningGain(class.successes, minMeanGain)
+	gain := runningGain(class.successes, minUnloadedGain)
+	class.unloaded = min(class.mean, class.unloaded+(class.mean-class.unloaded)*gain)
+}
+
+// slowThreshold is the latency, in µs, from which a call counts as slow: well before the objective and,
+// while the tier is not overloaded, clearly over the unloaded mean, since servers with long queues stay
+// slow for long.
+func slowThreshold(settings *Settings, class int, latency classLatency, quotaMultiple float64) float64 {
+	threshold := slowFraction * float64(settings.Classes[class].LatencyObjective)
+	if settings.Tier > 0 || quotaMultiple <= overloadedQuotaMultiple {
+		return threshold
 	}
-	return min(bar, saturatedLatencyRatio*b.classes[class].base)
+	return min(threshold, saturatedLatencyRatio*latency.unloaded)
 }
 
-// gainAfter is the gain of a running mean: that of a plain mean over what was seen, but no less than least.
-func runningGain(seen, least float64) float64 { return max(least, 1/(initialGuessCalls+seen)) }
-
-// reward moves the weight of a server towards its speed: the mean time of all over its own. The time sets the
-// aim of a step: steps alone would add up to all calls at one server where load does not slow it down.
-func (b *Balancer) reward(c *classState, s *server, took float64) {
-	ratio := min(took/max(c.mean, 1), maxLatencyRatio)
-	s.slowness += (ratio - s.slowness) * slownessGain
-	s.told = 1 // until others tell again that it is bad
-	c.seen++
-	c.mean += (took - c.mean) * runningGain(c.seen, minMeanGain)
-	c.base = min(c.mean, c.base+(c.mean-c.base)*runningGain(c.seen, minUnloadedGain))
+// isLate tells whether a latency, in µs, counts against the limits of tier and class.
+func isLate(rules Class, latency float64) bool {
+	return latency > lateFraction*float64(rules.LatencyObjective)
 }
--- a/balancer/learn_test.go
+++ b/balancer/learn_test.go
@@ -9,20 +9,20 @@
 		b, h := with(t, testSettings(), 1)
 		ask(b, h, start, "r", 0)
 		b.HandleResponseStarted(start+1000, "r")
-		s := b.byID["s0"]
-		if s.inFlight != 0 || b.tier.inFlight != 0 || b.classes[0].seen != 1 {
-			t.Errorf("begun: %d held, %d in all, %v seen", s.inFlight, b.tier.inFlight, b.classes[0].seen)
+		s := b.members.byID["s0"]
+		if s.inFlight != 0 || b.admission.tier.inFlight != 0 || b.classes[0].latency.successes != 1 {
+			t.Errorf("begun: %d held, %d in all, %v seen", s.inFlight, b.admission.tier.inFlight, b.classes[0].latency.successes)
 		}
 		ask(b, h, start+20*second, "other", 0) // would count what is slow
 		b.HandleOutcome(start+20*second, h, Outcome{RequestID: "other", Status: StatusOK, Latency: 1000, RequestDone: true})
-		if b.share < maxQuotaMultiple {
-			t.Errorf("a slow client presses the shares to %v", b.share)
+		if b.quotas.multiple < maxQuotaMultiple {
+			t.Errorf("a slow client presses the shares to %v", b.quotas.multiple)
 		}
 		b.HandleOutcome(start+30*second, h, Outcome{RequestID: "r", Status: end, Latency: 30 * second, RequestDone: true})
-		if s.inFlight != 0 || b.tier.inFlight != 0 || len(b.reqs) != 0 {
-			t.Errorf("%v: %d held, %d in all, %d requests", end, s.inFlight, b.tier.inFlight, len(b.reqs))
+		if s.inFlight != 0 || b.admission.tier.inFlight != 0 || len(b.requests) != 0 {
+			t.Errorf("%v: %d held, %d in all, %d requests", end, s.inFlight, b.admission.tier.inFlight, len(b.requests))
 		}
-		if blamed := s.whole.score < 1; blamed != (end == StatusReset) {
+		if blamed := s.outlier.overall.score < 1; blamed != (end == StatusReset) {
 			t.Errorf("%v: blamed %v", end, blamed)
 		}
 	}
@@ -39,7 +39,7 @@
 		t.Fatalf("got %q", h.lines)
 	}
 	late := start + 60*second
-	if b.tier.inFlight != 0 || b.byID[h.sends[0].server].inFlight != 0 {
+	if b.admission.tier.inFlight != 0 || b.members.byID[h.sends[0].server].inFlight != 0 {
 		t.Error("a body on its way counts as a call in flight")
 	}
 	ask(b, h, late, "other", 0) // would count what is slow
@@ -47,12 +47,12 @@
 	if got := b.HandleBodyReceived(late, "r", late+1_000_000); got != s.Classes[0].LatencyObjective {
 		t.Errorf("%d left for the answer", got)
 	}
-	if b.tier.inFlight != 1 || b.byID[h.sends[0].server].inFlight != 1 {
+	if b.admission.tier.inFlight != 1 || b.members.byID[h.sends[0].server].inFlight != 1 {
 		t.Error("a call whose body has come is not counted in flight")
 	}
 	b.HandleOutcome(late+1000, h, Outcome{RequestID: "r", Status: StatusOK, Latency: 1000, RequestDone: true})
-	if b.share < maxQuotaMultiple || b.tier.feedback.bad != 0 || len(b.reqs) != 0 {
-		t.Errorf("a slow client counts against the tier: share %v, %d bad, %d requests", b.share, b.tier.feedback.bad, len(b.reqs))
+	if b.quotas.multiple < maxQuotaMultiple || b.admission.tier.feedback.bad != 0 || len(b.requests) != 0 {
+		t.Errorf("a slow client counts against the tier: share %v, %d bad, %d requests", b.quotas.multiple, b.admission.tier.feedback.bad, len(b.requests))
 	}
 	for _, spent := range []bool{false, true} {
 		n := len(h.sends)
--- a/balancer/listevidence.go
+++ b/balancer/listevidence.go
@@ -1,63 +1,81 @@
 package balancer
 
-// Routing by a list that may be out of date. While the list is confirmed nothing here has a say. Once it
-// was not for Settings.EvidenceSpan, what shows that a server is still listed is that it goes on taking
-// calls: one that drains turns them away, one that is gone takes none, and one that went and came back
-// was silent for longer than the span.
-
-// disprovenPart is the weight left to a server that took no call when it was last sent one, since the
-// list was confirmed.
-const contradictedWeight = unconfirmedWeight * unconfirmedWeight
-
-// unprovenPart is the weight left to a server that nothing shows to be listed, beside those that
-// something does. It is drawn once each of those holds three or four calls, so that a load which they
-// can't carry spreads, or where there is none.
-const unconfirmedWeight = 1e-5
-
-// confirm takes it that the list is the newest there is. One that a copy starts with is the best it has.
-func (b *Balancer) confirm(now int64, kind UpdateKind) {
-	if kind != UpdateCached || b.confirmed == 0 {
-		b.confirmed, b.heard = now, b.heard || kind != UpdateCached
+// List evidence: how far a list that may be out of date is trusted.
+//
+// Input: when the list was last confirmed, and the ends of attempts. Output: a factor of a server's weight
+// while the list is stale, that is, not confirmed for longer than Settings.MembershipEvidenceTTL. Then what
+// shows that a server is still listed is that it goes on executing attempts: one that drains rejects them,
+// one that is gone takes none, and one that went and came back was silent for longer than the TTL. While
+// the list is confirmed nothing here has a say.
+
+const (
+	// Weight left to a server that nothing shows to be listed, beside those that something does. It is
+	// drawn once each of those holds three or four attempts, so that a load which they can't carry spreads,
+	// or where there is no other.
+	unconfirmedWeight = 1e-5
+
+	// Weight left to a server that took no attempt when it was last sent one, since the list was confirmed.
+	contradictedWeight = unconfirmedWeight * unconfirmedWeight
+)
+
+// listingState is what attempts show of a server's place in the list.
+type listingState struct {
+	confirmedUntil int64 // µs: until then it is shown to be listed
+	contradictedAt int64 // µs, when an attempt that it didn't take was sent; 0: none
+}
+
+// listEvidence holds when the list was confirmed.
+type listEvidence struct {
+	*shared
+	confirmedAt   int64 // µs, or when a new replica got its first list
+	everConfirmed bool
+}
+
+// confirm takes it that the list is the newest there is. A cached one is the best that a new replica has.
+func (e *listEvidence) confirm(now int64, kind UpdateKind) {
+	if kind != UpdateCached || e.confirmedAt == 0 {
+		e.confirmedAt, e.everConfirmed = now, e.everConfirmed || kind != UpdateCached
 	}
 }
 
-// stale tells whether the list was not confirmed for so long that it alone shows nothing.
-func (b *Balancer) stale(now int64) bool {
-	return b.s.MembershipEvidenceTTL > 0 && now-b.confirmed > b.s.MembershipEvidenceTTL
+// isStale tells whether the list alone shows nothing any more.
+func (e *listEvidence) isStale(now int64) bool {
+	return e.settings.MembershipEvidenceTTL > 0 && now-e.confirmedAt > e.settings.MembershipEvidenceTTL
 }
 
-// listedPart is the weight left to a server by what shows it to be listed, or not to be.
-func (b *Balancer) listedPart(now int64, s *server) float64 {
+// factor is the factor of a server's weight while the list is stale, above 0 to 1.
+func (e *listEvidence) factor(now int64, server *server) float64 {
 	switch {
-	case now < s.provenUntil:
+	case now < server.listing.confirmedUntil:
 		return 1
-	case s.disprovenAt >= b.confirmed:
+	case server.listing.contradictedAt >= e.confirmedAt:
 		return contradictedWeight
 	}
 	return unconfirmedWeight
 }
 
-// prove takes a call's end as evidence. One that was taken, when the server was still shown to be listed,
-// shows it on; after a gap nothing does but the list. A call that was not taken ends what was shown,
-// unless it was sent before one that was.
-func (b *Balancer) prove(s *server, sent int64, status Status) {
-	if b.s.MembershipEvidenceTTL == 0 || status == StatusCancelled || status == StatusNotSent {
+// record takes the end of an attempt. One that was executed, when the server was still shown to be listed,
+// shows it on; after a gap nothing does but the list. One that was not executed ends what was shown, unless
+// it was sent before one that was.
+func (e *listEvidence) record(server *server, sentAt int64, status Status) {
+	ttl := e.settings.MembershipEvidenceTTL
+	if ttl == 0 || status == StatusCancelled || status == StatusNotSent {
 		return
 	}
-	taken := status == StatusOK || status == StatusError
+	state, executed := &server.listing, status == StatusOK || status == StatusError
 	switch {
-	case taken && (sent <= b.shownBy() || sent < s.provenUntil):
-		s.provenUntil, s.disprovenAt = max(s.provenUntil, sent+b.s.MembershipEvidenceTTL), 0
-	case !taken && sent >= s.provenUntil-b.s.MembershipEvidenceTTL:
-		s.provenUntil, s.disprovenAt = 0, sent
+	case executed && (sentAt <= e.listedUntil() || sentAt < state.confirmedUntil):
+		state.confirmedUntil, state.contradictedAt = max(state.confirmedUntil, sentAt+ttl), 0
+	case !executed && sentAt >= state.confirmedUntil-ttl:
+		state.confirmedUntil, state.contradictedAt = 0, sentAt
 	}
 }
 
-// shownBy is until when the list shows by itself what is listed. That of a copy that has heard of none
-// shows it for the first calls of the copy: what took these was there then.
-func (b *Balancer) shownBy() int64 {
-	if !b.heard {
-		return max(b.confirmed, b.born) + b.s.MembershipEvidenceTTL
+// listedUntil is the time, in µs, until which the list by itself shows what is listed. A new replica's
+// cached list shows it for its first requests: what executes these was there then.
+func (e *listEvidence) listedUntil() int64 {
+	if !e.everConfirmed {
+		return max(e.confirmedAt, e.arrivals.firstAt) + e.settings.MembershipEvidenceTTL
 	}
-	return b.confirmed + b.s.MembershipEvidenceTTL
+	return e.confirmedAt + e.settings.MembershipEvidenceTTL
 }
--- a/balancer/listevidence_test.go
+++ b/balancer/listevidence_test.go
@@ -81,7 +81,7 @@
 // play runs the copy at a rate of requests a second, with a list that is heard for some time.
 func (f *staleFleet) play(rate int64) {
 	f.changedAt, f.heardUntil = changedAt, heardUntil
-	f.until = changedAt + countsAsTold + f.b.s.DrainGrace + socketSlack
+	f.until = changedAt + countsAsTold + f.b.settings.DrainGrace + socketSlack
 	f.b.UpdateEndpoints(start, f, UpdateSnapshot, fleet(len(f.changes)))
 	f.run(rate)
 }
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -6,115 +6,179 @@
 	"slices"
 )
 
-// The data that weights are tuned by. What here decides, or why it does not: docs/policy.md.
+// Load reports: how much load each server gets, and how slow it is at it, by this replica's calls and by
+// those of all replicas.
+//
+// Input: the ends of attempts, and the load reports of all replicas. Output: this replica's reports, and
+// for each server the rate, failures and mean latency of all replicas' calls, by which weights are tuned.
 
 const (
-	loadDecay          = 4 * second // loads fade over this
-	loadReportInterval = second     // and are told anew so often
-	loadReportTTL      = 5 * second // older ones count for nothing
+	loadDecay          = 4 * second // µs: time constant by which load fades
+	loadReportInterval = second     // µs between this replica's reports
+	loadReportTTL      = 5 * second // µs: older reports, and older calls, count for nothing
+
+	maxReplicaCallsRatio = 2.0 // to the median: more calls of one replica count as these
+	maxLatencyDeviation  = 4.0 // factor of the median: other latencies count as this
+
+	maxReportedCalls = 1e9
 )
 
-// load sums up a server's calls of late: all, those that failed, and the worth and times of those answered.
+// loadState is what is known of a server's load.
+type loadState struct {
+	recent loadStats // this replica's calls
+	fleet  fleetLoad // all replicas' calls
+}
+
+// loadStats sums up this replica's latest calls to a server.
 type loadStats struct {
-	calls, failed, weight, weightedLatency float64
-	lastAt                                 int64
+	calls, failed   float64
+	weight          float64 // priority weights of the answered calls
+	weightedLatency float64 // their latencies, in µs, times these
+	lastAt          int64   // µs; 0: no call yet
 }
 
 func (l *loadStats) fade(now int64) {
 	keep := math.Exp(-float64(now-l.lastAt) / float64(loadDecay))
-	l.calls, l.failed, l.weight, l.weightedLatency, l.lastAt = keep*l.calls, keep*l.failed, keep*l.weight, keep*l.weightedLatency, now
+	l.calls, l.failed = keep*l.calls, keep*l.failed
+	l.weight, l.weightedLatency = keep*l.weight, keep*l.weightedLatency
+	l.lastAt = now
+}
+
+// fleetLoad is what all replicas report of a server.
+type fleetLoad struct {
+	callsPerSecond float64
+	calls          float64 // that it rests on
+	failedFraction float64 // 0 to 1
+	meanLatency    float64 // µs, of the answered calls; 0: none
 }
 
-// loadSum is what all copies tell of a server: calls a second, the calls that it rests on, the part of them
-// that failed, and the mean time of the others, in microseconds.
-type fleetLoad struct{ callsPerSecond, calls, failedFraction, meanLatency float64 }
-
-// measure takes the end of an attempt. Times are those of a call of a middling class: otherwise a server
-// would be fast for the classes that it happened to get.
-func (b *Balancer) measure(now int64, s *server, class int, o Outcome) {
-	c, worth := &b.classes[class], b.s.Classes[class].PriorityWeight
-	s.load.fade(now)
-	if s.load.calls++; o.Status != StatusOK {
-		s.load.failed++
-		return
+// loads holds this replica's reports, and the latency that different classes are compared by.
+type loads struct {
+	*shared
+	members *membership
+	reports *reportExchange
+
+	latest     []Report // of this replica
+	reportedAt int64    // µs; 0: never
+
+	typicalLatency float64 // µs: mean unloaded latency over the answered calls of all classes
+	successes      float64
+}
+
+// record takes the end of an attempt. Latencies are scaled to a call of a typical class: a server would
+// otherwise be fast for the classes that it happened to get. It returns the latency as a multiple of its
+// class's unloaded one; ok is false if the attempt failed.
+func (l *loads) record(now int64, server *server, class int, outcome Outcome) (relative float64, ok bool) {
+	load := &server.load.recent
+	load.fade(now)
+	if load.calls++; outcome.Status != StatusOK {
+		load.failed++
+		return 0, false
 	}
-	b.middle += (c.base - b.middle) * runningGain(b.measured, minUnloadedGain)
-	b.measured++
-	took := float64(o.Latency) / max(c.base, 1)
-	s.load.weight += worth
-	s.load.weightedLatency += worth * took * b.middle
-	b.tail.Add(took, worth)
-	b.tailCalls++
+	unloaded, weight := l.classes[class].latency.unloaded, l.settings.Classes[class].PriorityWeight
+	l.typicalLatency += (unloaded - l.typicalLatency) * runningGain(l.successes, minUnloadedGain)
+	l.successes++
+	relative = float64(outcome.Latency) / max(unloaded, 1)
+	load.weight += weight
+	load.weightedLatency += weight * relative * l.typicalLatency
+	return relative, true
 }
 
-// tellLoads is what this copy tells of loads; it stands for a while, since what changes has to be sent.
-func (b *Balancer) tellLoads(now int64) []Report {
-	if b.s.DisableWeightTuning || now-b.loadAt < loadReportInterval && b.loadAt != 0 {
-		return b.loads
+// loadReports returns this replica's reports, which stay the same for loadReportInterval: each change is
+// sent to all replicas.
+func (l *loads) loadReports(now int64) []Report {
+	if l.settings.DisableWeightTuning || now-l.reportedAt < loadReportInterval && l.reportedAt != 0 {
+		return l.latest
 	}
-	b.loadAt, b.loads = now, nil
-	for _, s := range b.all {
-		if s.load.lastAt == 0 || now-s.load.lastAt > loadReportTTL {
+	l.reportedAt, l.latest = now, nil
+	for _, server := range l.members.all {
+		load := &server.load.recent
+		if load.lastAt == 0 || now-load.lastAt > loadReportTTL {
 			continue
 		}
-		s.load.fade(now)
-		n := Report{Kind: ReportServerLoad, ObserverZone: b.s.Zone, Server: s.ID, StartTime: s.StartTime, Calls: s.load.calls,
-			BadFraction: s.load.failed / s.load.calls, LastObserved: now}
-		if s.load.weight > 0 {
-			n.Value = s.load.weightedLatency / s.load.weight
+		load.fade(now)
+		report := Report{Kind: ReportServerLoad, ObserverZone: l.settings.Zone, Server: server.ID,
+			StartTime: server.StartTime, Calls: load.calls, BadFraction: load.failed / load.calls,
+			LastObserved: now}
+		if load.weight > 0 {
+			report.Value = load.weightedLatency / load.weight
 		}
-		b.loads = append(b.loads, n)
+		l.latest = append(l.latest, report)
 	}
-	return b.loads
+	return l.latest
 }
 
-// sumLoads adds up what all copies tell, and returns how many copies that is. What is no number or out of all
-// proportion is bounded.
-func (b *Balancer) sumLoads(now int64) (copies int) {
-	var told []Report
-	var times, calls []float64
-	of := map[string]float64{}
-	for n := range b.notices {
-		if n.Kind == ReportServerLoad && n.LastObserved <= now && n.LastObserved >= now-loadReportTTL && n.Calls > 0 &&
-			n.BadFraction >= 0 && n.BadFraction <= 1 && n.Value >= 0 {
-			told = append(told, n)
-			of[n.Observer] += min(n.Calls, 1e9)
-			if n.Value > 0 {
-				times = append(times, n.Value)
-			}
-		}
+// sumReports sums up the reports of all replicas on each server and returns how many replicas these are.
+// What is no number or out of all proportion is bounded, so that no single replica moves the sums much.
+func (l *loads) sumReports(now int64) (replicas int) {
+	reports, callsOf := l.usableReports(now)
+	for _, server := range l.members.all {
+		server.load.fleet = fleetLoad{}
 	}
-	for _, s := range b.all {
-		s.sum = fleetLoad{}
+	var latencies, calls []float64
+	for _, report := range reports {
+		if report.Value > 0 {
+			latencies = append(latencies, report.Value)
+		}
 	}
-	if len(times) == 0 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	for _, n := range of {
+	for _, n := range callsOf {
 		calls = append(calls, n)
 	}
-	slices.Sort(times)
-	slices.Sort(calls)
-	time, most := times[len(times)/2], maxReplicaCallsRatio*calls[len(calls)/2]
-	for _, n := range told {
-		s := b.byID[n.Server]
-		if s == nil || !sameProcess(s, n) {
-			continue
+	medianLatency, maxCalls := upperMedian(latencies), maxReplicaCallsRatio*upperMedian(calls)
+	for _, report := range reports {
+		if server := l.members.byID[report.Server]; server != nil && sameProcess(server, report) {
+			part := min(1, maxCalls/callsOf[report.Observer])
+			server.load.fleet.add(report, part, medianLatency)
 		}
-		part := min(1, most/of[n.Observer])
-		got := part * min(n.Calls, 1e9)
-		s.sum.calls += got
-		s.sum.failedFraction += got * n.BadFraction
-		if n.Value > 0 {
-			s.sum.callsPerSecond += got * (1 - n.BadFraction) // for now: the weight of time
-			s.sum.meanLatency += got * (1 - n.BadFraction) * min(max(n.Value, time/maxLatencyDeviation), time*maxLatencyDeviation)
+	}
+	live := max(l.reports.peers.LiveReplicas, len(callsOf)) // those that are not heard call, too
+	unheard := float64(live) / float64(len(callsOf))
+	for _, server := range l.members.all {
+		server.load.fleet.finish(unheard)
+	}
+	return len(callsOf)
+}
+
+// usableReports are the load reports that make sense, and the calls of each replica by them.
+func (l *loads) usableReports(now int64) (reports []Report, callsOf map[string]float64) {
+	callsOf = map[string]float64{}
+	for report := range l.reports.all {
+		if report.Kind == ReportServerLoad && report.LastObserved <= now &&
+			report.LastObserved >= now-loadReportTTL && report.Calls > 0 &&
+			report.BadFraction >= 0 && report.BadFraction <= 1 && report.Value >= 0 {
+			reports = append(reports, report)
+			callsOf[report.Observer] += min(report.Calls, maxReportedCalls)
 		}
 	}
-	all := float64(max(b.peers.LiveReplicas, len(of))) / float64(len(of)) // those that are not heard call, too
-	for _, s := range b.all {
-		s.sum.meanLatency /= cmp.Or(s.sum.callsPerSecond, 1)
-		s.sum.failedFraction /= cmp.Or(s.sum.calls, 1)
-		s.sum.callsPerSecond = all * s.sum.calls * float64(second) / float64(loadDecay)
+	return reports, callsOf
+}
+
+// add adds a report, of whose calls the given part counts. Until finish, callsPerSecond holds the weight of
+// the latencies and meanLatency their weighted sum.
+func (f *fleetLoad) add(report Report, part, medianLatency float64) {
+	calls := part * min(report.Calls, maxReportedCalls)
+	f.calls += calls
+	f.failedFraction += calls * report.BadFraction
+	if report.Value > 0 {
+		least, most := medianLatency/maxLatencyDeviation, medianLatency*maxLatencyDeviation
+		latency := min(max(report.Value, least), most)
+		f.callsPerSecond += calls * (1 - report.BadFraction)
+		f.meanLatency += calls * (1 - report.BadFraction) * latency
 	}
-	return len(of)
+}
+
+// finish turns sums into means and a rate; unheard is the ratio of all replicas to those that report.
+func (f *fleetLoad) finish(unheard float64) {
+	f.meanLatency /= cmp.Or(f.callsPerSecond, 1)
+	f.failedFraction /= cmp.Or(f.calls, 1)
+	f.callsPerSecond = unheard * f.calls * float64(second) / float64(loadDecay)
+}
+
+// upperMedian sorts the values and returns their median, the higher one of two.
+func upperMedian(values []float64) float64 {
+	slices.Sort(values)
+	return values[len(values)/2]
 }
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -2,206 +2,307 @@
 
 import "slices"
 
-// How a zone stands as seen from home. All copies of a zone go by one sum, so that they act together.
+// Locality: how each zone, the local one too, is used by the replicas of this zone, and how much weight the
+// servers of other zones have.
+//
+// Input: this replica's calls by zone, and what the replicas of its zone report. All of these go by one
+// sum, so that they act together. Output: a phase and a weight fraction for each zone.
+//
+//	healthy <-> saturated       local zone only: other zones get a part of its calls
+//	healthy -> evacuating       most calls fail; the zone gets less until that is sure
+//	evacuating -> evacuated     it gets trials only
+//	evacuated -> recovering     trials are answered: it gets its weight back by steps
+//	recovering -> healthy
+//	any -> drained              by an operator
 
 const (
-	zoneUnhealthyFraction   = 0.6 // part of bad calls from which a copy calls a zone bad and copies leave it
-	maxRelativeBadElsewhere = 0.5 // of its bad part: more must not fail in the other zones, or nobody leaves
+	// Bad fraction of its calls from which a replica reports a zone as unhealthy and the replicas leave it,
+	// unless more than this fraction of that fails in the other zones, too.
+	zoneUnhealthyFraction   = 0.6
+	maxRelativeBadElsewhere = 0.5
 
-	minZoneCalls, maxZoneCalls = 0.2, 6.0 // calls from which a copy has evidence, and that it counts at most
+	minZoneCalls, maxZoneCalls = 0.2, 6.0 // calls: of one replica fewer are no evidence, more count as these
 
-	evacuationCalls, reevacuationCalls = 4.0, 2.0 // calls of all copies that a zone is left by, and left again by
+	evacuationCalls   = 4.0 // calls of all replicas that it takes to leave a zone
+	reevacuationCalls = 2.0 // and to leave it again while it recovers
 
-	evacuationConfirmation, evacuatingFraction = 3 * second / 20, 0.3 // that must last so long; until then it gets this part
+	evacuationConfirmation = 3 * second / 20 // µs for which a zone has to be bad, and
+	evacuatingFraction     = 0.3             // of its weight that it gets meanwhile
 
-	saturationSpillover, saturatedMinSpillover = 0.35, 0.15 // spill from which a copy tells that home is slow; least while most do
+	saturationSpillover    = 0.35 // spillover from which a replica reports the local zone as saturated
+	saturatedMinSpillover  = 0.15 // spillover at least, while most replicas do
+	healthyMaxSpillover    = 0.01 // spillover at most, while all find that the local zone copes
+	isolatedStepFactor     = 4    // how much longer an isolated replica takes for a step of a recovery
+	isolatedTrialCalls     = 0.9  // answered trials that an isolated replica takes for enough
+	peerAgreementDelay     = second
+	recoveryGoodCalls      = 3.0  // answered trials, faded, that it takes to return to a zone
+	recoveryMaxBadFraction = 0.25 // of calls to a zone that is returned to
 
-	healthyMaxSpillover = 0.01 // weight of one server elsewhere, and of no more, while all find that home copes
+	// µs that a zone stays evacuated: at least, doubled for each time that it was left within
+	// evacuationMemory, and at most. Where few trials or none can be made, as of calls that can't be
+	// repeated, it is returned to after maxUntriedEvacuation all the same.
+	minEvacuation, maxEvacuation = 3 * second, 60 * second
+	evacuationMemory             = 120 * second
+	maxUntriedEvacuation         = 30 * second
 
-	minEvacuation, maxEvacuation = 3 * second, 60 * second // of a stay away, doubled for each time left lately
+	trialsPerSecond = 3.0 // that an evacuated zone gets from all replicas of this zone together
 
-	evacuationMemory     = 120 * second // after which none of those times counts
-	trialsPerSecond      = 3.0          // trials a second that a zone gets from all copies together
-	isolatedTrialCalls   = 0.9          // calls of which none was bad are enough at a copy that hears nobody
-	maxUntriedEvacuation = 30 * second  // with few trials or none, as where all calls are unsafe, it returns after this
-	peerAgreementDelay   = second       // a copy joins the others if they stand otherwise for so long
-
-	minRecoveryStep, recoveryStepFraction = second, 0.2 // a step of a return lasts so long, and this part of Settings.Cold
-
-	recoveryGoodCalls, recoveryMaxBadFraction = 3.0, 0.25 // good trials, unfaded, that let it return; a bad part that does not
-
-	isolatedStepFactor = 4 // and this many times as long at a copy that hears nobody
+	// A step of a recovery lasts so long, in µs, and this fraction of Settings.SlowStartDuration.
+	minRecoveryStep, recoveryStepFraction = second, 0.2
 )
 
-// returnSteps are the parts of its fair weight that a zone gets one after the other as it is returned to.
+// recoveryFractions are the parts of its weight that a recovering zone gets one after the other.
 var recoveryFractions = [...]float64{0.05, 0.15, 0.4, 0.7, 1}
 
-// lookAt moves a zone to where the evidence of all copies of this zone puts it. One that is drained stays so.
-func (b *Balancer) lookAt(now int64, h Host, z *zone) {
-	lost, age, others := b.lost(z), now-z.ChangedAt, b.othersGive(z)
-	answers := z.reports.calls >= evacuationCalls && z.reports.badFraction() <= recoveryMaxBadFraction // nobody is followed out of such a zone
-	slow := z.Zone == b.s.Zone && 2*z.reports.saturatedVotes > z.reports.replicas                      // most copies find home so
-	switch z.Phase {
+// locality holds the zones, and what their use depends on.
+type locality struct {
+	*shared
+	members   *membership
+	spillover *spillover
+	reports   *reportExchange
+	zones     []zone // by number; nil until reports are exchanged or a zone is drained
+}
+
+// evaluate moves each zone to the phase where the reports of this zone's replicas put it. It tells whether
+// one was evacuated or is not any more.
+func (l *locality) evaluate(now int64, host Host) (changed bool) {
+	l.sumReports()
+	for i := range l.zones {
+		zone := &l.zones[i]
+		before := zone.Phase
+		l.evaluateZone(now, host, zone)
+		changed = changed || (before == ZoneEvacuated) != (zone.Phase == ZoneEvacuated)
+	}
+	return changed
+}
+
+func (l *locality) evaluateZone(now int64, host Host, zone *zone) {
+	switch zone.Phase {
 	case ZoneHealthy, ZoneSaturated:
-		if lost {
-			b.stand(now, h, z, ZoneEvacuating, evacuatingFraction)
-		} else if others < 1 && age >= peerAgreementDelay && (others > 0 || !answers) {
-			b.follow(now, h, z, others)
-		} else if slow != (z.Phase == ZoneSaturated) && age >= peerAgreementDelay {
-			b.stand(now, h, z, ZoneSaturated-z.Phase, 1)
-		}
+		l.evaluateServing(now, host, zone)
 	case ZoneEvacuating:
-		if !lost {
-			b.stand(now, h, z, ZoneHealthy, 1)
-		} else if age >= evacuationConfirmation {
-			b.leaveZone(now, h, z)
+		if !l.isLost(zone) {
+			l.setPhase(now, host, zone, ZoneHealthy, 1)
+		} else if now-zone.ChangedAt >= evacuationConfirmation {
+			l.evacuate(now, host, zone)
 		}
 	case ZoneEvacuated:
-		good := z.reports.badFraction() <= recoveryMaxBadFraction && (z.reports.calls-z.reports.bad >= recoveryGoodCalls ||
-			age >= maxUntriedEvacuation || b.peers.Isolated && z.reports.calls >= isolatedTrialCalls)
-		if age >= min(maxEvacuation, minEvacuation<<min(z.flaps-1, 10)) && good || !b.openBeside(z) {
-			b.returnTo(now, h, z, 0)
-		} else if others > 0 && age >= minEvacuation {
-			b.follow(now, h, z, others)
-		}
+		l.evaluateEvacuated(now, host, zone)
 	case ZoneRecovering:
-		span := max(minRecoveryStep, int64(recoveryStepFraction*float64(b.s.SlowStartDuration)))
-		if b.peers.Isolated {
-			span *= isolatedStepFactor
-		}
-		if lost {
-			b.leaveZone(now, h, z)
-		} else if age >= span && z.reports.badFraction() <= recoveryMaxBadFraction {
-			b.returnTo(now, h, z, z.step+1)
+		if l.isLost(zone) {
+			l.evacuate(now, host, zone)
+		} else if now-zone.ChangedAt >= l.recoveryStepDuration() &&
+			zone.reports.badFraction() <= recoveryMaxBadFraction {
+			l.recover(now, host, zone, zone.recovery.step+1)
 		}
 	}
 }
 
-// lost tells whether the copies of this zone see another, or home, as lost: most of those with evidence, more
-// than a third of all (so many may lie) and most calls say so, over several servers, and the others are
-// clearly better. A copy that hears nobody cannot tell a lost zone from a bad link of its own.
-func (b *Balancer) lost(z *zone) bool {
-	s, need, servers := &z.reports, evacuationCalls, min(2, z.reports.readyServers)
-	if z.Phase == ZoneRecovering {
-		need, servers = reevacuationCalls, 0
+// evaluateServing leaves a zone that is lost, or that most other replicas have left, unless it answers this
+// one; and it takes the local zone for saturated while most replicas do.
+func (l *locality) evaluateServing(now int64, host Host, zone *zone) {
+	settled := now-zone.ChangedAt >= peerAgreementDelay
+	others := l.peerFraction(zone)
+	answers := zone.reports.calls >= evacuationCalls && zone.reports.badFraction() <= recoveryMaxBadFraction
+	saturated := zone.Zone == l.settings.Zone && 2*zone.reports.saturatedVotes > zone.reports.replicas
+	if l.isLost(zone) {
+		l.setPhase(now, host, zone, ZoneEvacuating, evacuatingFraction)
+	} else if others < 1 && settled && (others > 0 || !answers) {
+		l.follow(now, host, zone, others)
+	} else if saturated != (zone.Phase == ZoneSaturated) && settled {
+		l.setPhase(now, host, zone, ZoneSaturated-zone.Phase, 1) // to the other of the two
 	}
-	known := s.unhealthyVotes >= min(2, b.peers.LiveReplicasInZone) && 2*s.unhealthyVotes > s.replicas && 3*s.unhealthyVotes > b.peers.LiveReplicasInZone
-	return !b.peers.Isolated && known && s.readyServers > 0 && s.calls >= need && s.badFraction() >= zoneUnhealthyFraction &&
-		s.unhealthyServers >= servers && b.openBeside(z) && b.badBeside(z) <= maxRelativeBadElsewhere*s.badFraction()
 }
 
-// othersGive is the part that most other copies of this zone give a zone, where known to differ from its own.
-func (b *Balancer) othersGive(z *zone) float64 {
-	if b.peers.Isolated || b.peers.LiveReplicasInZone < 3 {
-		return z.WeightFraction
+// evaluateEvacuated returns to a zone whose trials are answered, or where there is no other, or where most
+// other replicas have returned.
+func (l *locality) evaluateEvacuated(now int64, host Host, zone *zone) {
+	age, sum := now-zone.ChangedAt, &zone.reports
+	tried := sum.calls-sum.bad >= recoveryGoodCalls || age >= maxUntriedEvacuation ||
+		l.reports.peers.Isolated && sum.calls >= isolatedTrialCalls
+	good := sum.badFraction() <= recoveryMaxBadFraction && tried
+	stay := min(maxEvacuation, minEvacuation<<min(zone.evacuation.count-1, 10))
+	if age >= stay && good || !l.hasAlternative(zone) {
+		l.recover(now, host, zone, 0)
+	} else if others := l.peerFraction(zone); others > 0 && age >= minEvacuation {
+		l.follow(now, host, zone, others)
 	}
-	shares, untold := z.reports.peerFractions, max(0, b.peers.LiveReplicasInZone-1-len(z.reports.peerFractions)) // these may give nothing or all
-	n := len(shares) + untold
-	least := slices.Concat(make([]float64, untold), shares)[(n-1)/2]
-	most := slices.Concat(shares, slices.Repeat([]float64{1}, untold))[n/2]
-	return min(max(z.WeightFraction, least), most)
 }
 
-// follow puts a zone where most other copies have it.
-func (b *Balancer) follow(now int64, h Host, z *zone, share float64) {
-	if share > 0 {
-		step, _ := slices.BinarySearch(recoveryFractions[:], min(share, 1))
-		b.returnTo(now, h, z, step)
-	} else if b.openBeside(z) {
-		b.leaveZone(now, h, z)
+// recoveryStepDuration is how long, in µs, a step of a recovery lasts at least.
+func (l *locality) recoveryStepDuration() int64 {
+	duration := max(minRecoveryStep, int64(recoveryStepFraction*float64(l.settings.SlowStartDuration)))
+	if l.reports.peers.Isolated {
+		duration *= isolatedStepFactor
 	}
+	return duration
 }
 
-func (b *Balancer) leaveZone(now int64, h Host, z *zone) {
-	if now-z.left > evacuationMemory {
-		z.flaps = 0
+// isLost tells whether the replicas of this zone find a zone lost: most of those with evidence, more than a
+// third of all (so many may report what isn't so) and most calls say so, over several servers, and the
+// other zones are clearly better. An isolated replica can't tell a lost zone from a fault of its own link.
+func (l *locality) isLost(zone *zone) bool {
+	sum, calls, servers := &zone.reports, evacuationCalls, min(2, zone.reports.readyServers)
+	if zone.Phase == ZoneRecovering {
+		calls, servers = reevacuationCalls, 0
 	}
-	z.flaps, z.left, z.long = z.flaps+1, now, callStats{}
-	z.trial = now + b.rnd.Int64N(b.trialGap())
-	b.stand(now, h, z, ZoneEvacuated, 0)
+	peers := &l.reports.peers
+	votes := sum.unhealthyVotes
+	majority := votes >= min(2, peers.LiveReplicasInZone) && 2*votes > sum.replicas &&
+		3*votes > peers.LiveReplicasInZone
+	return !peers.Isolated && majority && sum.readyServers > 0 && sum.calls >= calls &&
+		sum.badFraction() >= zoneUnhealthyFraction && sum.unhealthyServers >= servers &&
+		l.hasAlternative(zone) && l.badElsewhere(zone) <= maxRelativeBadElsewhere*sum.badFraction()
 }
 
-// returnTo takes a zone to a step of its return. What its servers were blamed for went with it.
-func (b *Balancer) returnTo(now int64, h Host, z *zone, step int) {
-	if z.Phase != ZoneRecovering {
-		z.fresh = callStats{}
-		if z.Zone == b.s.Zone { // and so did what was learned of how home copes
-			b.spill = min(b.spill, startSpillover)
+// hasAlternative tells whether another zone takes traffic.
+func (l *locality) hasAlternative(zone *zone) (has bool) {
+	for i := range l.zones {
+		has = has || &l.zones[i] != zone && l.zones[i].acceptsTraffic()
+	}
+	return has
+}
+
+// badElsewhere is the bad fraction of the calls to the other zones that take traffic; 0 if nobody calls them.
+func (l *locality) badElsewhere(zone *zone) float64 {
+	var sum zoneReports
+	for i := range l.zones {
+		if other := &l.zones[i]; other != zone && other.acceptsTraffic() {
+			sum.calls, sum.bad = sum.calls+other.reports.calls, sum.bad+other.reports.bad
 		}
-		for _, s := range b.readyIn(z) {
-			s.resetLearned(len(b.classes))
+	}
+	return sum.badFraction()
+}
+
+// peerFraction is the weight fraction that most other replicas of this zone give a zone, where it is known to
+// differ from this one's. Replicas that report none may give it nothing or all.
+func (l *locality) peerFraction(zone *zone) float64 {
+	peers := &l.reports.peers
+	if peers.Isolated || peers.LiveReplicasInZone < 3 {
+		return zone.WeightFraction
+	}
+	fractions := zone.reports.peerFractions
+	unknown := max(0, peers.LiveReplicasInZone-1-len(fractions))
+	n := len(fractions) + unknown
+	least := slices.Concat(make([]float64, unknown), fractions)[(n-1)/2]
+	most := slices.Concat(fractions, slices.Repeat([]float64{1}, unknown))[n/2]
+	return min(max(zone.WeightFraction, least), most)
+}
+
+// follow puts a zone where most other replicas have it.
+func (l *locality) follow(now int64, host Host, zone *zone, fraction float64) {
+	if fraction > 0 {
+		step, _ := slices.BinarySearch(recoveryFractions[:], min(fraction, 1))
+		l.recover(now, host, zone, step)
+	} else if l.hasAlternative(zone) {
+		l.evacuate(now, host, zone)
+	}
+}
+
+// evacuate leaves a zone: it gets trials only.
+func (l *locality) evacuate(now int64, host Host, zone *zone) {
+	if now-zone.evacuation.lastAt > evacuationMemory {
+		zone.evacuation.count = 0
+	}
+	zone.evacuation.count, zone.evacuation.lastAt = zone.evacuation.count+1, now
+	zone.observed.longTerm = callStats{}
+	zone.evacuation.nextTrialAt = now + l.random.Int64N(l.trialInterval())
+	l.setPhase(now, host, zone, ZoneEvacuated, 0)
+}
+
+// recover takes a zone to a step of its recovery. What was learned of its servers before goes.
+func (l *locality) recover(now int64, host Host, zone *zone, step int) {
+	if zone.Phase != ZoneRecovering {
+		zone.observed.recent = callStats{}
+		if zone.Zone == l.settings.Zone {
+			l.spillover.forget()
+		}
+		for _, server := range l.members.readyIn(zone.Zone) {
+			server.resetLearned(len(l.classes))
 		}
 	}
-	if z.step = step; step < len(recoveryFractions)-1 {
-		b.stand(now, h, z, ZoneRecovering, recoveryFractions[step])
+	if zone.recovery.step = step; step < len(recoveryFractions)-1 {
+		l.setPhase(now, host, zone, ZoneRecovering, recoveryFractions[step])
 	} else {
-		b.stand(now, h, z, ZoneHealthy, 1)
+		l.setPhase(now, host, zone, ZoneHealthy, 1)
+	}
+}
+
+// drain has these zones and no others drained, in place of those before: they get nothing, not even trials.
+// One that is drained no more recovers by steps.
+func (l *locality) drain(now int64, host Host, before, drained map[int]bool) {
+	for i := range l.zones {
+		if zone := &l.zones[i]; drained[i] && !before[i] {
+			l.setPhase(now, host, zone, ZoneDrained, 0)
+		} else if before[i] && !drained[i] {
+			l.recover(now, host, zone, 0)
+		}
 	}
 }
 
-// trialGap is the time between this copy's trials: its part of those of all copies.
-func (b *Balancer) trialGap() int64 {
-	return int64(float64(max(b.peers.LiveReplicasInZone, 1)) / trialsPerSecond * float64(second))
+// trialInterval is the time, in µs, between this replica's trials: its part of those of all replicas.
+func (l *locality) trialInterval() int64 {
+	return int64(float64(max(l.reports.peers.LiveReplicasInZone, 1)) / trialsPerSecond * float64(second))
 }
 
-// trial is a server of a zone that is away and due for a try, if the request may then be sent elsewhere.
-func (b *Balancer) trial(now int64, q *request) *server {
-	k := q.Settings.Classes[q.Class]
-	if len(q.attempts) > 0 || k.Idempotency == NonIdempotent || k.Idempotency == IdempotentWithKey && k.DedupScope != DedupScopeAll {
+// trial is a server of an evacuated zone whose next trial is due, nil if there is none or the request
+// couldn't be sent to another zone afterwards.
+func (l *locality) trial(now int64, request *request) *server {
+	rules := request.classRules()
+	if len(request.attempts) > 0 || rules.Idempotency == NonIdempotent ||
+		rules.Idempotency == IdempotentWithKey && rules.DedupScope != DedupScopeAll {
 		return nil
 	}
-	for i := range b.zones {
-		if z := &b.zones[i]; z.Phase == ZoneEvacuated && now >= z.trial {
-			z.trial = now + b.trialGap()/2 + b.rnd.Int64N(b.trialGap())
-			if of := b.readyIn(z); len(of) > 0 {
-				return of[b.rnd.IntN(len(of))]
-			}
+	for i := range l.zones {
+		zone := &l.zones[i]
+		if zone.Phase != ZoneEvacuated || now < zone.evacuation.nextTrialAt {
+			continue
+		}
+		zone.evacuation.nextTrialAt = now + l.trialInterval()/2 + l.random.Int64N(l.trialInterval())
+		if servers := l.members.readyIn(zone.Zone); len(servers) > 0 {
+			return servers[l.random.IntN(len(servers))]
 		}
 	}
 	return nil
 }
 
-// beyond is the weight of servers in other zones: little while home copes, and all where home is left.
-func (b *Balancer) beyond() float64 {
-	home, spill := b.zone(b.s.Zone), b.spill
-	if home == nil {
-		return spill
-	} else if home.Phase == ZoneSaturated {
-		spill = max(spill, saturatedMinSpillover)
-	} else if b.homeCopes() {
-		spill = min(spill, healthyMaxSpillover)
+// remoteWeight is the weight, 0 to 1, of servers in other zones: little while the local zone copes, all
+// where it is left.
+func (l *locality) remoteWeight() float64 {
+	local, weight := l.zone(l.settings.Zone), l.spillover.weight
+	if local == nil {
+		return weight
 	}
-	return max(spill, 1-home.WeightFraction)
-}
-
-// homeCopes tells whether no copy of this zone, of those with evidence, finds home slow or bad.
-func (b *Balancer) homeCopes() bool {
-	home := b.zone(b.s.Zone)
-	return home != nil && home.Phase == ZoneHealthy && b.spill <= saturationSpillover && home.reports.calls >= evacuationCalls &&
-		home.reports.unhealthyVotes == 0 && home.reports.saturatedVotes == 0 && home.fresh.badFraction() <= recoveryMaxBadFraction
+	if local.Phase == ZoneSaturated {
+		weight = max(weight, saturatedMinSpillover)
+	} else if l.localZoneCopes() {
+		weight = min(weight, healthyMaxSpillover)
+	}
+	return max(weight, 1-local.WeightFraction)
 }
 
-// openBeside tells whether there is a zone to go to instead of another.
-func (b *Balancer) openBeside(z *zone) (open bool) {
-	for i := range b.zones {
-		open = open || &b.zones[i] != z && b.zones[i].acceptsTraffic()
-	}
-	return open
+// localZoneCopes tells whether no replica of this zone, of those with evidence, finds it saturated or bad.
+func (l *locality) localZoneCopes() bool {
+	local := l.zone(l.settings.Zone)
+	return local != nil && local.Phase == ZoneHealthy && l.spillover.weight <= saturationSpillover &&
+		local.reports.calls >= evacuationCalls && local.reports.unhealthyVotes == 0 &&
+		local.reports.saturatedVotes == 0 &&
+		local.observed.recent.badFraction() <= recoveryMaxBadFraction
 }
 
-// badBeside is the part of bad calls in the zones that could be gone to instead; 0 if nobody calls them.
-func (b *Balancer) badBeside(z *zone) float64 {
-	var sum zoneReports
-	for i := range b.zones {
-		if o := &b.zones[i]; o != z && o.acceptsTraffic() {
-			sum.calls, sum.bad = sum.calls+o.reports.calls, sum.bad+o.reports.bad
-		}
+// recoveryFactor is the factor of the weights of a zone's servers. An evacuated zone has 1: it comes last
+// anyway.
+func (l *locality) recoveryFactor(number int) float64 {
+	if zone := l.zone(number); zone != nil && zone.Phase != ZoneEvacuated {
+		return zone.WeightFraction
 	}
-	return sum.badFraction()
+	return 1
 }
 
-// rank puts servers at home first, as a small subset of the ring may be mostly far, and zones left last.
-func (b *Balancer) rank(s *server) int {
-	z := b.zone(s.Zone)
-	return 2*int(indicator(z != nil && z.Phase == ZoneEvacuated)) + int(indicator(s.Zone != b.s.Zone))
+// rank is the place of a zone's servers in the order of the ready ones: local servers first, since a small
+// subset of the ring may be mostly remote, and evacuated zones last.
+func (l *locality) rank(number int) int {
+	zone := l.zone(number)
+	evacuated := zone != nil && zone.Phase == ZoneEvacuated
+	return 2*int(indicator(evacuated)) + int(indicator(number != l.settings.Zone))
 }
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -48,7 +48,7 @@
 			return w.well(c, s)
 		}, -1, [3][]int{0: {0}}, []int{0}},
 		{"answers lost between zones", func(w *world, c *copyOf, s Server) (Status, int64) {
-			if s.Zone == 0 && c.b.s.Zone != 0 {
+			if s.Zone == 0 && c.b.settings.Zone != 0 {
 				return StatusOK, 1e12
 			}
 			return w.well(c, s)
@@ -101,7 +101,7 @@
 			w.fate = func(p *copyOf, s Server) (Status, int64) { return c.fate(w, p, s) }
 			w.run(14 * second)
 			for _, p := range w.copies {
-				got, want := p.away(), c.left[p.b.s.Zone]
+				got, want := p.away(), c.left[p.b.settings.Zone]
 				for z := range 3 {
 					in := slices.Contains(got, z)
 					if !in && slices.Contains(want, z) || in && !slices.Contains(slices.Concat(want, c.may), z) {
@@ -125,7 +125,7 @@
 // stood are the times at which a copy put a zone in a standing.
 func (c *copyOf) stood(zone int, standing ZonePhase) (at []int64) {
 	for _, s := range c.events {
-		if e, ok := s.event.(ZonePhaseChanged); ok && e.State.Zone == zone && e.ObserverZone == c.b.s.Zone && e.State.Phase == standing {
+		if e, ok := s.event.(ZonePhaseChanged); ok && e.State.Zone == zone && e.ObserverZone == c.b.settings.Zone && e.State.Phase == standing {
 			at = append(at, s.at-start)
 		}
 	}
@@ -166,9 +166,9 @@
 				}
 				first, last := int64(math.MaxInt64), int64(0)
 				for _, p := range w.copies {
-					if away := p.stood(0, ZoneEvacuated); p.b.s.Zone == 0 && len(away) != 1 {
+					if away := p.stood(0, ZoneEvacuated); p.b.settings.Zone == 0 && len(away) != 1 {
 						t.Errorf("%s left zone 0 at %v", p.name, away)
-					} else if p.b.s.Zone == 0 {
+					} else if p.b.settings.Zone == 0 {
 						first, last = min(first, away[0]), max(last, away[0])
 					}
 				}
@@ -178,7 +178,7 @@
 				if part := w.part(-1, -1, 5*second, 20*second); part > 0.15 {
 					t.Errorf("%.2f of attempts go across zones while nothing is wrong", part)
 				}
-				cold := w.copies[0].b.s.SlowStartDuration
+				cold := w.copies[0].b.settings.SlowStartDuration
 				if back := w.part(0, 0, 35*second+cold*3/2, 55*second); back < 0.9 {
 					t.Errorf("%.2f are back", back)
 				}
@@ -187,7 +187,7 @@
 				}
 				for _, p := range w.copies {
 					for _, s := range p.sends {
-						if at := s.at - start; s.zone == 0 && p.b.s.Zone == 0 && at > 25*second && at < 35*second && s.repeat != Idempotent {
+						if at := s.at - start; s.zone == 0 && p.b.settings.Zone == 0 && at > 25*second && at < 35*second && s.repeat != Idempotent {
 							t.Fatalf("%s tried zone 0 at %d with a call that is not safe to repeat", p.name, at)
 						}
 					}
@@ -422,10 +422,10 @@
 			for range rapid.IntRange(1, 40).Draw(t, "times") {
 				hear(p)
 				open := 0
-				for _, z := range two[0].zones {
+				for _, z := range two[0].locality.zones {
 					open += int(indicator(z.acceptsTraffic()))
 				}
-				if open == 0 && len(two[0].ready) > 0 {
+				if open == 0 && len(two[0].members.ready) > 0 {
 					t.Fatalf("no zone is open: %+v", two[0].ZoneStates(now))
 				}
 				checkBudget(t, two[0])
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -7,114 +7,176 @@
 	"slices"
 )
 
-// Which servers there are, and which of them this copy sends to.
+// Membership: which servers there are, which of them new attempts may go to, and in which order this replica
+// considers them.
+//
+// Input: the endpoint list, suspended servers and drained zones. Output: the ready servers, this replica's
+// subset first. One that drains, is removed or is suspended is out at once.
 
+// Ranks of zones in the order of the ready servers, see locality.rank.
 const (
-	goldenRatioStep = 0.618034 // steps of this part of a ring spread any number of starts evenly
+	rankLocal  = 0
+	rankRemote = 1
+)
 
-	minSubset, subsetPerRootRate = 4.0, 3.0 // servers of a copy: at least, and by the root of its calls a second
+// goldenRatioStep is the part of the ring between the starts of two replicas: steps of it spread any number
+// of starts evenly.
+const goldenRatioStep = 0.618034
 
-	minWatchBackoff, maxWatchBackoff = second / 4, second // backoff of a failed subscription doubles up to this
-	pollIntervalDivisor, watchTimer  = 8, "watch"         // and up to this part of AskEvery if that is less
-)
+// membership holds the listed servers.
+type membership struct {
+	*shared
+	byID  map[string]*server
+	all   []*server // in order of first listing
+	ring  []*server // the same in ring order, kept sorted
+	added []*server // listed for the first time and not on the ring yet
+
+	suspended    map[string]bool // by operators: server IDs, listed or not
+	drainedZones map[int]bool    // by operators
+
+	ready          []*server // those that new attempts may go to, see order
+	localCount     int       // ready[:localCount] are local
+	reachableCount int       // ready[reachableCount:] are in evacuated zones
+}
 
-// enter takes one entry of a list. What was learned of a server is dropped when its process restarts.
-func (b *Balancer) enter(e Server) {
-	s := b.byID[e.ID]
-	if s == nil {
-		s = b.place(e.ID)
+func newMembership(common *shared) *membership {
+	return &membership{shared: common, byID: map[string]*server{}}
+}
+
+// replaceAll takes it that a list is complete: what upsert doesn't bring is removed.
+func (m *membership) replaceAll() {
+	for _, server := range m.all {
+		server.State = ServerRemoved
 	}
-	if s.StartTime != e.StartTime {
-		s.resetLearned(len(b.classes))
+}
+
+// upsert takes one entry of a list. What was learned of a server goes when its process is another one.
+func (m *membership) upsert(entry Server) {
+	server := m.byID[entry.ID]
+	if server == nil {
+		server = m.add(entry.ID)
+	}
+	if server.StartTime != entry.StartTime {
+		server.resetLearned(len(m.classes))
+	}
+	server.Server = entry
+}
+
+// add adds a server that is listed for the first time.
+func (m *membership) add(id string) *server {
+	server := &server{Server: Server{ID: id}, hash: hashID(id)}
+	server.resetLearned(len(m.classes))
+	m.byID[id] = server
+	m.all = append(m.all, server)
+	m.added = append(m.added, server)
+	return server
+}
+
+// suspend has these servers and no others suspended. One that is resumed starts afresh, and is probed.
+func (m *membership) suspend(ids map[string]bool) {
+	before := m.suspended
+	m.suspended = ids
+	for _, server := range m.all {
+		if before[server.ID] && !ids[server.ID] {
+			server.resetLearned(len(m.classes))
+			server.probePending = true
+		}
 	}
-	s.Server = e
 }
 
-// relist forgets gone servers and gathers the ready: one that drains or is banned is out at once (rule 3).
-func (b *Balancer) relist() {
-	b.all = slices.DeleteFunc(b.all, func(s *server) bool {
+// refilter forgets removed servers and collects the ready ones. rank orders zones, see order; nil while
+// zones are not tracked.
+func (m *membership) refilter(rank func(zone int) int) {
+	m.all = slices.DeleteFunc(m.all, func(s *server) bool {
 		if s.State == ServerRemoved {
-			delete(b.byID, s.ID)
+			delete(m.byID, s.ID)
 		}
 		return s.State == ServerRemoved
 	})
-	b.gather()
-	b.ready = b.ready[:0]
-	for _, s := range b.ring {
-		if s.State == ServerReady && !b.banned[s.ID] && !b.drained[s.Zone] {
-			b.ready = append(b.ready, s)
+	m.updateRing()
+	m.ready = m.ready[:0]
+	for _, server := range m.ring {
+		if server.State == ServerReady && !m.suspended[server.ID] && !m.drainedZones[server.Zone] {
+			m.ready = append(m.ready, server)
 		}
 	}
-	b.rotate()
+	m.order(rank)
 }
 
-// rotate puts this copy's subset first: copies start spread over a ring of servers by their hashes. Otherwise
-// each held a connection of every copy, which costs it capacity, and a copy saw too few calls to judge it.
-func (b *Balancer) rotate() {
-	_, start := math.Modf(float64(b.s.ReplicaIndex) * goldenRatioStep)
-	first := int(start * float64(len(b.ready)))
-	b.ready = slices.Concat(b.ready[first:], b.ready[:first])
-	b.near, b.far = len(b.ready), len(b.ready)
-	if b.zones != nil {
-		b.byRank()
+// updateRing has the ring hold the servers that are listed now. It merges, since sorting some thousand
+// servers at each change would take too long.
+func (m *membership) updateRing() {
+	removed := func(s *server) bool { return s.State == ServerRemoved }
+	m.ring = slices.DeleteFunc(m.ring, removed)
+	added := slices.DeleteFunc(m.added, removed)
+	if m.added = nil; len(added) == 0 {
+		return
 	}
+	slices.SortFunc(added, ringOrder)
+	ring := make([]*server, 0, len(m.ring)+len(added))
+	for _, server := range m.ring {
+		for len(added) > 0 && ringOrder(added[0], server) < 0 {
+			ring, added = append(ring, added[0]), added[1:]
+		}
+		ring = append(ring, server)
+	}
+	m.ring = append(ring, added...)
 }
 
-// onRing is the order of servers on the ring.
-func onRing(x, y *server) int {
-	return cmp.Or(cmp.Compare(x.hash, y.hash), cmp.Compare(x.ID, y.ID))
-}
-
-// place enters a server that is listed for the first time.
-func (b *Balancer) place(id string) *server {
-	s := &server{Server: Server{ID: id}, hash: hashID(id)}
-	s.resetLearned(len(b.classes))
-	b.byID[id] = s
-	b.all = append(b.all, s)
-	b.fresh = append(b.fresh, s)
-	return s
-}
-
-// gather has the ring hold the servers that are listed now: those that are new take their places, those that are gone
-// leave theirs.
-func (b *Balancer) gather() {
-	b.ring = slices.DeleteFunc(b.ring, func(s *server) bool { return s.State == ServerRemoved })
-	fresh := slices.DeleteFunc(b.fresh, func(s *server) bool { return s.State == ServerRemoved })
-	if b.fresh = nil; len(fresh) == 0 {
+// order puts the ready servers in the order of this replica's subset: along the ring from a place of its
+// own, so that replicas spread evenly over the servers, and then by the rank of their zones.
+func (m *membership) order(rank func(zone int) int) {
+	_, place := math.Modf(float64(m.settings.ReplicaIndex) * goldenRatioStep)
+	first := int(place * float64(len(m.ready)))
+	m.ready = slices.Concat(m.ready[first:], m.ready[:first])
+	m.localCount, m.reachableCount = len(m.ready), len(m.ready)
+	if rank == nil {
 		return
 	}
-	slices.SortFunc(fresh, onRing)
-	ring := make([]*server, 0, len(b.ring)+len(fresh))
-	for _, s := range b.ring {
-		for len(fresh) > 0 && onRing(fresh[0], s) < 0 {
-			ring, fresh = append(ring, fresh[0]), fresh[1:]
-		}
-		ring = append(ring, s)
+	slices.SortStableFunc(m.ready, func(x, y *server) int { return rank(x.Zone) - rank(y.Zone) })
+	m.localCount, m.reachableCount = 0, 0
+	for _, server := range m.ready {
+		m.localCount += int(indicator(rank(server.Zone) == rankLocal))
+		m.reachableCount += int(indicator(rank(server.Zone) <= rankRemote))
 	}
-	b.ring = append(ring, fresh...)
 }
 
-// byRank orders the ready servers by their rank.
-func (b *Balancer) byRank() {
-	slices.SortStableFunc(b.ready, func(x, y *server) int { return b.rank(x) - b.rank(y) })
-	b.near, b.far = 0, 0
-	for _, s := range b.ready {
-		b.near += int(indicator(b.rank(s) == 0))
-		b.far += int(indicator(b.rank(s) < 2))
+// local are the ready servers to consider first; all of them while zones are not tracked.
+func (m *membership) local() []*server { return m.ready[:m.localCount] }
+
+// remote are the ready servers of other zones that are not evacuated.
+func (m *membership) remote() []*server { return m.ready[m.localCount:m.reachableCount] }
+
+// evacuated are the ready servers of evacuated zones.
+func (m *membership) evacuated() []*server { return m.ready[m.reachableCount:] }
+
+// readyIn are the ready servers of a zone.
+func (m *membership) readyIn(zone int) (servers []*server) {
+	for _, server := range m.ready {
+		if server.Zone == zone {
+			servers = append(servers, server)
+		}
 	}
+	return servers
 }
 
-// readyIn are the ready servers of a zone.
-func (b *Balancer) readyIn(z *zone) (of []*server) {
-	for _, s := range b.ready {
-		if s.Zone == z.Zone {
-			of = append(of, s)
+// counts returns how many servers are listed, and how many of them are suspended, damped or unhealthy by this
+// replica's own calls. It is for figures alone.
+func (m *membership) counts() (listed, avoided int) {
+	for _, server := range m.all {
+		unhealthy := server.damping.active || server.outlier.overall.score < healthyScore
+		if m.suspended[server.ID] || server.State == ServerReady && unhealthy {
+			avoided++
 		}
 	}
-	return of
+	return len(m.all), avoided
+}
+
+// ringOrder is the order of servers on the ring: the same at every replica, and by nothing that IDs may mean.
+func ringOrder(x, y *server) int {
+	return cmp.Or(cmp.Compare(x.hash, y.hash), cmp.Compare(x.ID, y.ID))
 }
 
-// hash orders servers alike at every copy, by nothing that their names may mean.
 func hashID(id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id)) // never fails
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -37,14 +37,14 @@
 				}
 				b.UpdateEndpoints(start, &recorder{}, rapid.SampledFrom([]UpdateKind{UpdateDelta, UpdateSnapshot, UpdateCached}).Draw(t, "kind"), entries)
 			}
-			sorted := slices.SortedFunc(slices.Values(b.all), onRing)
-			if !slices.Equal(b.ring, sorted) {
-				t.Fatalf("the ring holds %d servers, or in another order than the %d listed", len(b.ring), len(b.all))
+			sorted := slices.SortedFunc(slices.Values(b.members.all), ringOrder)
+			if !slices.Equal(b.members.ring, sorted) {
+				t.Fatalf("the ring holds %d servers, or in another order than the %d listed", len(b.members.ring), len(b.members.all))
 			}
-			ready := slices.DeleteFunc(sorted, func(s *server) bool { return s.State != ServerReady || b.banned[s.ID] })
+			ready := slices.DeleteFunc(sorted, func(s *server) bool { return s.State != ServerReady || b.members.suspended[s.ID] })
 			_, from := math.Modf(float64(set.ReplicaIndex) * goldenRatioStep)
-			if first := int(from * float64(len(ready))); !slices.Equal(b.ready, slices.Concat(ready[first:], ready[:first])) {
-				t.Fatalf("%d servers are ready, or in another order than %d", len(b.ready), len(ready))
+			if first := int(from * float64(len(ready))); !slices.Equal(b.members.ready, slices.Concat(ready[first:], ready[:first])) {
+				t.Fatalf("%d servers are ready, or in another order than %d", len(b.members.ready), len(ready))
 			}
 		}
 	})
--- a/balancer/ordering_test.go
+++ b/balancer/ordering_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("a held request's time ends with %q", h.last())
 	}
 	b.HandleOutcome(start+102_000, h, Outcome{RequestID: "c", Status: StatusOK, Latency: 1000, RequestDone: true})
-	if len(b.turns) != 1 || len(b.reqs) != 2 { // "other" and its key
-		t.Errorf("%d keys and %d requests are kept", len(b.turns), len(b.reqs))
+	if len(b.ordering.queues) != 1 || len(b.requests) != 2 { // "other" and its key
+		t.Errorf("%d keys and %d requests are kept", len(b.ordering.queues), len(b.requests))
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -5,168 +5,284 @@
 	"slices"
 )
 
+// Outlier detection: how healthy each server is by this replica's own calls, whom a failure is attributed
+// to, and which servers are ejected because other replicas report them as unhealthy.
+//
+// Input: the ends of attempts, and the reports of all replicas. Output: a health score for each server and
+// class, by which its weight falls and below which it gets trials only.
+
 const (
-	lateFraction            = 0.8 // of the aim: slower finishes count against the tier and the class
-	slowFraction            = 0.6 // of the aim: slower finishes press the shares, in time to mend what is late next
-	saturatedLatencyRatio   = 1.6 // of the time under little load: slower finishes press the shares too
-	overloadedQuotaMultiple = 0.8 // but not below this multiple, since load is then not what makes them slow
-	preemptionRatio         = 1.5 // a class yields to one that is worth more than this many times as much for its work
+	minHealthScore = 0.05 // what a failing server keeps, for trials
+	healthyScore   = 0.5  // a server below it gets trials only
 
-	initialGuessCalls        = 4.0  // finishes that a fresh copy's first guess at a mean is worth
-	minHealthScore           = 0.05 // health left to a failing server, for trials
-	attributionRatio         = 2.0  // a server is to blame when it fails this many times as often as all
-	maxAttributableErrorRate = 0.75 // of all calls: where more fail, no server is blamed
+	failureScoreFactor = 0.3  // of a score after an attributed failure
+	healthGain         = 0.25 // what one attempt counts in an error rate, and a success mends of a lost score
+	minErrorRateGain   = 0.05 // what one attempt counts in the error rate of all servers
 
-	failureScoreFactor, healthGain = 0.3, 0.25 // health kept after an own failure; part of the loss a success mends
+	attributionRatio         = 2.0  // a failure is a server's own if it fails this many times as often as all
+	maxAttributableErrorRate = 0.75 // of all servers: where more fails, it is nobody's own
 
-	slownessGain, maxLatencyRatio = 0.1, 5.0 // how far a finish moves a slowness, and what it says at most, in means
+	recentDecay          = 2 * second / 5 // µs: recent calls fade with this time constant
+	maxServerCalls       = 5.0            // recent calls of a server count as no more than these
+	serverReportTTL      = 5 * second     // µs: a server is reported for so long after its latest call
+	unhealthyBadFraction = 0.5            // of its recent calls: the server is unhealthy
 
-	minMeanGain, minUnloadedGain = 0.05, 0.001 // of means of time and errors; of time under little load, upwards only
+	// An attempt that has been in flight for so many mean latencies, and for so long in µs, counts as
+	// failed. Its timeout may come seconds later.
+	silentAfterMeans, minSilentAfter = 3.0, second / 10
 
-	minSpillover, startSpillover = 0.02, 0.3 // weight of other zones while home copes; at a fresh copy of the front
+	minUnhealthyVotes  = 2         // replicas that have to report a server as unhealthy
+	minBadCalls        = 3.0       // that they have to have seen together
+	maxCallsPerReport  = 10.0      // calls of one replica count as no more
+	maxEjectedFraction = 1.0 / 3.0 // of the tier's ready servers, and of each zone's
+)
 
-	spilloverIncrease, spilloverDecay = 0.15, 0.9 // added after a round in which home was slow, a factor after a good one
+// health is what this replica's own calls show of a server, for all calls or those of a class.
+type health struct {
+	score     float64 // minHealthScore to 1: what is left of its weight
+	errorRate float64 // running fraction of failed attempts, 0 to 1
+}
 
-)
+// record takes an attempt, failed 0 or 1. A failure is attributed to the server where its error rate is above
+// tolerable.
+func (h *health) record(failed, tolerable float64) (attributed bool) {
+	h.errorRate += (failed - h.errorRate) * healthGain
+	if failed == 0 {
+		h.score += (1 - h.score) * healthGain
+	} else if attributed = h.errorRate > tolerable; attributed {
+		h.score = max(minHealthScore, h.score*failureScoreFactor)
+	}
+	return attributed
+}
 
-// judge updates a server's health and tells whether a failure is its own. One that its peers show as well is
-// a deeper tier's and held against the counts; a refused connection never is, lest a lost zone be one. An
-// error concerns its class only, lest servers that fail one class be lost to all; silence the whole server.
-func (b *Balancer) judge(s *server, class int, status Status) (blame bool) {
-	c, x := &b.classes[class], indicator(status != StatusOK)
-	b.errs += (x - b.errs) * minMeanGain
-	c.errorRate += (x - c.errorRate) * minMeanGain
-	if status == StatusConnectFailed {
-		blame = s.whole.record(x, 0)
-	} else if status != StatusError {
-		blame = s.whole.record(x, tolerableErrorRate(b.errs))
+// tolerableErrorRate is the error rate that a server may have, given that of all servers, before failures are
+// attributed to it. From a half on twice the common rate would be out of reach.
+func tolerableErrorRate(common float64) float64 {
+	if common > maxAttributableErrorRate {
+		return 1
 	}
-	if status == StatusError || status == StatusRejected || status == StatusOK {
-		blame = s.classes[class].record(x, tolerableErrorRate(c.errorRate)) || blame
+	return min(attributionRatio*common, (1+common)/2)
+}
+
+// serverReports sums up what the replicas report of a server.
+type serverReports struct {
+	unhealthy, healthy int     // replicas that call it so
+	unhealthyByPeers   int     // those of unhealthy that are other replicas
+	badCalls           float64 // that they have seen
+	lastUnhealthyAt    int64   // µs, when one last saw it unhealthy
+}
+
+// outlierState is what outlier detection knows of a server.
+type outlierState struct {
+	overall           health
+	byClass           []health // by class number
+	recent            callStats
+	lastSuccessAt     int64         // µs, when this replica last had an answer; 0: never
+	peerFactor        float64       // 0 to 1: what the reports of others leave of its weight
+	reports           serverReports // of all replicas now
+	connectionRefused bool          // since the last success
+}
+
+// newOutlierState is the state of a server of which nothing is known, for so many classes.
+func newOutlierState(classes int) outlierState {
+	state := outlierState{overall: health{score: 1}, byClass: make([]health, classes), peerFactor: 1}
+	for i := range state.byClass {
+		state.byClass[i].score = 1
 	}
-	return blame
+	return state
 }
 
-// usual is the part of failed calls that a server may show unblamed when so many of all fail: twice that, or
-// less from a half on, where it would be out of reach. Where most calls fail it is no server's own.
-func tolerableErrorRate(errs float64) float64 {
-	if errs > maxAttributableErrorRate {
-		return 1
+// overallScore is the health score for all calls together.
+func (o *outlierState) overallScore() float64 { return o.overall.score * o.peerFactor }
+
+// score is the health score for the calls of a class.
+func (o *outlierState) score(class int) float64 {
+	return o.overall.score * o.byClass[class].score * o.peerFactor
+}
+
+// worstScore is the least score by this replica's own calls, over the classes.
+func (o *outlierState) worstScore() float64 {
+	worst := o.overall.score
+	for _, class := range o.byClass {
+		worst = min(worst, o.overall.score*class.score)
 	}
-	return min(attributionRatio*errs, (1+errs)/2)
+	return worst
 }
 
-// judge blames a failure where failures are more than a usual part.
-func (h *health) record(x, usual float64) (blame bool) {
-	h.errorRate += (x - h.errorRate) * healthGain
-	if x == 0 {
-		h.score += (1 - h.score) * healthGain
-	} else if blame = h.errorRate > usual; blame {
-		h.score = max(minHealthScore, h.score*failureScoreFactor)
+// isUnhealthy tells whether this replica finds the server unhealthy.
+func (o *outlierState) isUnhealthy() bool {
+	return o.recent.badFraction() >= unhealthyBadFraction ||
+		o.overall.score < healthyScore && o.recent.lastBadAt > o.lastSuccessAt
+}
+
+// healthReport completes a report with what this replica finds of a server. ok is false if it has nothing to
+// report: the server is healthy and no other replica calls it unhealthy.
+func (o *outlierState) healthReport(now int64, report *Report) (ok bool) {
+	if o.isUnhealthy() {
+		report.Kind, report.Fault = ReportServerUnhealthy, o.recent.fault
+		report.LastObserved = o.recent.lastBadAt
+		return true
 	}
-	return blame
+	report.Kind, report.Fault, report.LastObserved = ReportServerHealthy, NoFault, o.lastSuccessAt
+	return o.reports.unhealthyByPeers > 0 && now-o.lastSuccessAt <= serverReportTTL
+}
+
+// attemptOutlier is what outlier detection keeps of an attempt.
+type attemptOutlier struct {
+	reportedSilent bool // it counted as failed before its end
 }
 
-// health is what is left of a server's weight, and its running part of failed calls.
-type health struct{ score, errorRate float64 }
+// faultOfStatus is how an attempt that ended so counts as evidence on its server.
+var faultOfStatus = [...]Fault{StatusOK: NoFault, StatusError: FaultErrors, StatusRejected: FaultSaturated,
+	StatusTimedOut: FaultUnresponsive, StatusConnectFailed: FaultUnresponsive, StatusReset: FaultUnresponsive,
+	StatusCancelled: FaultUnresponsive, StatusNotSent: FaultUnresponsive}
 
-// quiet tells whether a call is out for far longer than calls take. A time-out may come seconds later.
-func (b *Balancer) quiet(now int64, class int, a *attempt) bool {
-	return now-a.sentAt > max(minSilentAfter, int64(silentAfterMeans*b.classes[class].mean))
+// outlierDetection holds the error rate of all servers; what it knows of each stands in server.outlier.
+type outlierDetection struct {
+	*shared
+	members   *membership
+	reports   *reportExchange
+	errorRate float64 // running fraction of failed attempts over all servers, 0 to 1
 }
 
-func (s *server) isUnhealthy() bool {
-	return s.seen.badFraction() >= unhealthyBadFraction || s.whole.score < healthyScore && s.seen.lastBadAt > s.okAt
+// attribute takes the end of an attempt into the health of its server and tells whether a failure is the
+// server's own. One that the other servers show alike comes from a tier behind them. A refused connection
+// always is the server's own: a zone that is lost refuses at all its servers. An error or a rejection
+// concerns the class only, so that servers that fail one class keep the others; no response concerns the
+// whole server.
+func (d *outlierDetection) attribute(server *server, class int, status Status) (attributed bool) {
+	state, failed := &d.classes[class], indicator(status != StatusOK)
+	d.errorRate += (failed - d.errorRate) * minErrorRateGain
+	state.errorRate += (failed - state.errorRate) * minErrorRateGain
+	if status == StatusConnectFailed {
+		attributed = server.outlier.overall.record(failed, 0)
+	} else if status != StatusError {
+		attributed = server.outlier.overall.record(failed, tolerableErrorRate(d.errorRate))
+	}
+	if status == StatusError || status == StatusRejected || status == StatusOK {
+		own := server.outlier.byClass[class].record(failed, tolerableErrorRate(state.errorRate))
+		attributed = own || attributed
+	}
+	return attributed
+}
+
+// recordConnection takes the end of an attempt as evidence on whether a server accepts connections.
+func (o *outlierState) recordConnection(status Status) {
+	o.connectionRefused = status == StatusConnectFailed || status != StatusOK && o.connectionRefused
 }
 
-// says is what this copy says of a server, if anything: that it is bad, or healthy where others call it bad.
-func (s *server) healthReport(now int64) (kind ReportKind, cause Fault, at int64, ok bool) {
-	if s.isUnhealthy() {
-		return ReportServerUnhealthy, s.seen.fault, s.seen.lastBadAt, true
+// recordAnswer takes it that the server has answered: reports of others count again when they are renewed.
+func (o *outlierState) recordAnswer() { o.peerFactor = 1 }
+
+// recordCall takes the end of an attempt, or that there was none for too long, as evidence to report. One
+// that was counted as unresponsive before its end counts once.
+func (o *outlierState) recordCall(now int64, attempt *attempt, fault Fault) {
+	if fault == NoFault {
+		o.lastSuccessAt = now
+	}
+	if !attempt.outlier.reportedSilent {
+		o.recent.record(now, recentDecay, maxServerCalls, fault)
+	} else if fault == NoFault {
+		o.recent.retractBad()
 	}
-	return ReportServerHealthy, NoFault, s.okAt, s.verdict.unhealthyByPeers > 0 && now-s.okAt <= serverReportTTL
 }
 
-// verdict is what copies say of a server: how many call it bad or healthy, on what evidence and when.
-type serverReports struct {
-	unhealthy, healthy int
-	unhealthyByPeers   int // of bad
-	badCalls           float64
-	lastUnhealthyAt    int64
+// isSilent tells whether an attempt has been in flight for far longer than calls of its class take.
+func (d *outlierDetection) isSilent(now int64, class int, attempt *attempt) bool {
+	longest := max(minSilentAfter, int64(silentAfterMeans*d.classes[class].latency.mean))
+	return attempt.pending && attempt.admission.counted && !attempt.responseStarted &&
+		!attempt.outlier.reportedSilent && now-attempt.sentAt > longest
 }
 
-// sumServers gathers the verdicts of all copies on each server.
-func (b *Balancer) sumServers(now int64, counts func(Report) bool, most float64) {
-	for _, s := range b.all {
-		s.verdict = serverReports{}
+// sumReports sums up the reports of all replicas on each server. That a server doesn't respond tells of the
+// way to it: of such reports only those of this zone count.
+func (d *outlierDetection) sumReports(now int64) {
+	for _, server := range d.members.all {
+		server.outlier.reports = serverReports{}
 	}
-	for n := range b.notices {
-		s := b.byID[n.Server]
-		if n.Kind != ReportServerUnhealthy && n.Kind != ReportServerHealthy || s == nil || !sameProcess(s, n) || !counts(n) {
+	for report := range d.reports.all {
+		server := d.members.byID[report.Server]
+		if report.Kind != ReportServerUnhealthy && report.Kind != ReportServerHealthy || server == nil ||
+			!sameProcess(server, report) ||
+			report.Fault == FaultUnresponsive && report.ObserverZone != d.settings.Zone {
 			continue
 		}
-		v := &s.verdict
-		if n.Kind == ReportServerHealthy {
-			v.healthy++
+		sum := &server.outlier.reports
+		if report.Kind == ReportServerHealthy {
+			sum.healthy++
 			continue
 		}
-		v.unhealthy++
-		v.unhealthyByPeers += int(indicator(n.Observer != ""))
-		v.badCalls += bounded(n.Calls, most) * bounded(n.BadFraction, 1)
-		v.lastUnhealthyAt = max(v.lastUnhealthyAt, min(n.LastObserved, now))
-	}
-}
-
-// condemn leaves trials at most to servers that enough copies call bad, the worst first, within the budget.
-// What this copy was answered since tells more. Silence is told of a way: only that of its own zone counts.
-func (b *Balancer) condemn(now int64) {
-	b.sumServers(now, func(n Report) bool { return n.Fault != FaultUnresponsive || n.ObserverZone == b.s.Zone }, maxCallsPerReport)
-	var bad []*server
-	in := map[int]int{}
-	for _, s := range b.ready {
-		v := &s.verdict
-		s.told = 1
-		in[s.Zone]++
-		if v.unhealthyByPeers > 0 && v.unhealthy >= min(minUnhealthyVotes, b.peers.LiveReplicas-1) && v.unhealthy > v.healthy &&
-			v.badCalls >= minBadCalls && s.okAt <= v.lastUnhealthyAt {
-			bad = append(bad, s)
+		sum.unhealthy++
+		sum.unhealthyByPeers += int(indicator(report.Observer != ""))
+		sum.badCalls += bounded(report.Calls, maxCallsPerReport) * bounded(report.BadFraction, 1)
+		sum.lastUnhealthyAt = max(sum.lastUnhealthyAt, min(report.LastObserved, now))
+	}
+}
+
+// reportedUnhealthy returns the ready servers that enough replicas call unhealthy, the worst first, and takes
+// back all ejections. What this replica was answered since counts more than the reports.
+func (d *outlierDetection) reportedUnhealthy(now int64) (unhealthy []*server) {
+	d.sumReports(now)
+	votes := min(minUnhealthyVotes, d.reports.peers.LiveReplicas-1)
+	for _, server := range d.members.ready {
+		state := &server.outlier
+		state.peerFactor = 1
+		sum := &state.reports
+		if sum.unhealthyByPeers > 0 && sum.unhealthy >= votes && sum.unhealthy > sum.healthy &&
+			sum.badCalls >= minBadCalls && state.lastSuccessAt <= sum.lastUnhealthyAt {
+			unhealthy = append(unhealthy, server)
 		}
 	}
-	slices.SortFunc(bad, func(x, y *server) int {
-		return cmp.Or(cmp.Compare(y.verdict.badCalls, x.verdict.badCalls), cmp.Compare(x.ID, y.ID))
+	slices.SortFunc(unhealthy, func(x, y *server) int {
+		byCalls := cmp.Compare(y.outlier.reports.badCalls, x.outlier.reports.badCalls)
+		return cmp.Or(byCalls, cmp.Compare(x.ID, y.ID))
 	})
-	left, out := b.damp(now)
-	for _, s := range bad {
-		if !s.damped && left > 0 && out[s.Zone] < ejectionBudget(in[s.Zone]) {
-			left, out[s.Zone], s.told = left-1, out[s.Zone]+1, minHealthScore
+	return unhealthy
+}
+
+// eject leaves trials only to these servers, as far as the budget goes. One that flaps has its steady weight.
+func (d *outlierDetection) eject(unhealthy []*server, budget *removalBudget) {
+	for _, server := range unhealthy {
+		if !server.damping.active && budget.take(server.Zone) {
+			server.outlier.peerFactor = minHealthScore
 		}
 	}
 }
 
-// budget is how many of so many servers verdicts may take out: never the only one.
-func ejectionBudget(ready int) int {
-	return min(ready-1, max(1, int(maxEjectedFraction*float64(ready))))
+// ejected are the IDs of the ready servers that get trials only by the reports of others.
+func (d *outlierDetection) ejected() (ids []string) {
+	for _, server := range d.members.ready {
+		if server.outlier.peerFactor < healthyScore {
+			ids = append(ids, server.ID)
+		}
+	}
+	return ids
 }
 
-// causeOf is how an attempt that ended so counts as evidence on its server.
-var faultOfStatus = [...]Fault{StatusOK: NoFault, StatusError: FaultErrors, StatusRejected: FaultSaturated, StatusTimedOut: FaultUnresponsive,
-	StatusConnectFailed: FaultUnresponsive, StatusReset: FaultUnresponsive, StatusCancelled: FaultUnresponsive, StatusNotSent: FaultUnresponsive}
-
-const (
-	recentDecay, longTermDecay = 2 * second / 5, 2 * second // evidence fades over this; that of trials over that
-
-	zoneStatsTTL, trialStatsTTL = second, 4 * second // evidence on a zone is told so long after a call, or a trial
-
-	serverReportTTL      = 5 * second // evidence on a server is told for so long after the latest call
-	maxServerCalls       = 5.0        // evidence on a server is that of about its last so many calls
-	unhealthyBadFraction = 0.5        // part of bad calls from which a server is called bad
-
-	maxCallsPerReport  = 10.0      // calls of one copy count as no more than this
-	maxEjectedFraction = 1.0 / 3.0 // of a tier's or a zone's ready servers: verdicts take out no more
+// removalBudget is how many ready servers ejection and flap damping may take out together, in the tier and in
+// each zone.
+type removalBudget struct {
+	left    int         // in the tier
+	removed map[int]int // by zone
+	ready   map[int]int // servers by zone
+}
 
-	ownLinkMinServers, ownLinkBadFraction = 3, 0.6 // bad ones, over two zones, and their part of all: it is the link
+func newRemovalBudget(ready []*server) *removalBudget {
+	budget := &removalBudget{left: maxRemoved(len(ready)), removed: map[int]int{}, ready: map[int]int{}}
+	for _, server := range ready {
+		budget.ready[server.Zone]++
+	}
+	return budget
+}
 
-	silentAfterMeans, minSilentAfter = 3.0, second / 10 // a call out for so many mean times, and so long, is bad
+// take uses the budget for a server of a zone; false if it is used up.
+func (b *removalBudget) take(zone int) bool {
+	if b.left <= 0 || b.removed[zone] >= maxRemoved(b.ready[zone]) {
+		return false
+	}
+	b.left, b.removed[zone] = b.left-1, b.removed[zone]+1
+	return true
+}
 
-	minUnhealthyVotes, minBadCalls = 2, 3.0 // copies that must call a server bad, and the bad calls they saw
-)
+// maxRemoved is how many of so many servers may be taken out: never the only one.
+func maxRemoved(ready int) int { return min(ready-1, max(1, int(maxEjectedFraction*float64(ready)))) }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -8,24 +8,24 @@
 
 func TestWeightsFollowSpeedAndFailures(t *testing.T) {
 	b, _ := with(t, testSettings(), 2)
-	fast, slow := b.byID["s0"], b.byID["s1"]
+	fast, slow := b.members.byID["s0"], b.members.byID["s1"]
 	c := &b.classes[0]
 	for range 200 {
-		b.reward(c, fast, 100_000)
-		b.reward(c, slow, 300_000)
+		recordLatency(&c.latency, &fast.latency, 100_000)
+		recordLatency(&c.latency, &slow.latency, 300_000)
 	}
-	if b.weigh(start, fast, 0) < 2*b.weigh(start, slow, 0) {
-		t.Errorf("weights %v and %v", b.weigh(start, fast, 0), b.weigh(start, slow, 0))
+	if b.selection.weight(start, fast, 0) < 2*b.selection.weight(start, slow, 0) {
+		t.Errorf("weights %v and %v", b.selection.weight(start, fast, 0), b.selection.weight(start, slow, 0))
 	}
-	before := b.weigh(start, fast, 0)
-	b.judge(fast, 0, StatusError)
-	if b.weigh(start, fast, 0) > before/2 {
+	before := b.selection.weight(start, fast, 0)
+	b.outliers.attribute(fast, 0, StatusError)
+	if b.selection.weight(start, fast, 0) > before/2 {
 		t.Error("a failure that its peer does not show left the weight")
 	}
 	for range 100 {
-		b.judge(fast, 0, StatusError)
+		b.outliers.attribute(fast, 0, StatusError)
 	}
-	if b.weigh(start, fast, 0) <= 0 {
+	if b.selection.weight(start, fast, 0) <= 0 {
 		t.Error("no floor keeps trials going")
 	}
 }
@@ -33,24 +33,24 @@
 // Servers that failed one class were lost to the others too, and the rest was crowded.
 func TestAnErrorConcernsItsClassAndSilenceTheServer(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
-	ill, well := b.byID["s0"], b.byID["s1"]
+	ill, well := b.members.byID["s0"], b.members.byID["s1"]
 	for range 5 {
-		b.judge(ill, 0, StatusError)
-		b.judge(well, 0, StatusOK)
+		b.outliers.attribute(ill, 0, StatusError)
+		b.outliers.attribute(well, 0, StatusOK)
 	}
-	if w := b.weigh(start, ill, 0); w > b.weigh(start, well, 0)/5 {
+	if w := b.selection.weight(start, ill, 0); w > b.selection.weight(start, well, 0)/5 {
 		t.Errorf("a server that fails the class keeps weight %v", w)
 	}
-	if b.weigh(start, ill, 2) != b.weigh(start, well, 2) {
+	if b.selection.weight(start, ill, 2) != b.selection.weight(start, well, 2) {
 		t.Error("errors of one class cost a server the others")
 	}
 	for range 5 {
-		b.judge(ill, 0, StatusTimedOut)
+		b.outliers.attribute(ill, 0, StatusTimedOut)
 		for range 3 {
-			b.judge(well, 0, StatusOK)
+			b.outliers.attribute(well, 0, StatusOK)
 		}
 	}
-	if w := b.weigh(start, ill, 2); w > b.weigh(start, well, 2)/5 {
+	if w := b.selection.weight(start, ill, 2); w > b.selection.weight(start, well, 2)/5 {
 		t.Errorf("a silent server keeps weight %v for the other classes", w)
 	}
 }
@@ -58,19 +58,19 @@
 // A server that was full for one class alone got its weight back with every success of another.
 func TestFullConcernsItsClassToo(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
-	ill, well := b.byID["s0"], b.byID["s1"]
+	ill, well := b.members.byID["s0"], b.members.byID["s1"]
 	for range 5 {
-		b.judge(ill, 0, StatusRejected)
+		b.outliers.attribute(ill, 0, StatusRejected)
 		for range 3 {
-			b.judge(ill, 2, StatusOK)
-			b.judge(well, 0, StatusOK)
-			b.judge(well, 2, StatusOK)
+			b.outliers.attribute(ill, 2, StatusOK)
+			b.outliers.attribute(well, 0, StatusOK)
+			b.outliers.attribute(well, 2, StatusOK)
 		}
 	}
-	if w := b.weigh(start, ill, 0); w > b.weigh(start, well, 0)/5 {
+	if w := b.selection.weight(start, ill, 0); w > b.selection.weight(start, well, 0)/5 {
 		t.Errorf("a server that is full for the class keeps weight %v", w)
 	}
-	if w := b.weigh(start, ill, 2); w < b.weigh(start, well, 2)/2 {
+	if w := b.selection.weight(start, ill, 2); w < b.selection.weight(start, well, 2)/2 {
 		t.Errorf("and for the other class it is left %v", w)
 	}
 }
@@ -79,17 +79,17 @@
 func TestTwoServersThatFailAllAreBlamedAmongFour(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
 	for range 50 {
-		b.judge(b.byID["s0"], 0, StatusRejected)
-		b.judge(b.byID["s1"], 0, StatusRejected)
-		b.judge(b.byID["s2"], 0, StatusOK)
-		b.judge(b.byID["s3"], 0, StatusOK)
+		b.outliers.attribute(b.members.byID["s0"], 0, StatusRejected)
+		b.outliers.attribute(b.members.byID["s1"], 0, StatusRejected)
+		b.outliers.attribute(b.members.byID["s2"], 0, StatusOK)
+		b.outliers.attribute(b.members.byID["s3"], 0, StatusOK)
 	}
 	for _, id := range []string{"s0", "s1"} {
-		if !b.judge(b.byID[id], 0, StatusRejected) {
+		if !b.outliers.attribute(b.members.byID[id], 0, StatusRejected) {
 			t.Errorf("%s is not blamed", id)
 		}
 	}
-	if b.judge(b.byID["s2"], 0, StatusRejected) {
+	if b.outliers.attribute(b.members.byID["s2"], 0, StatusRejected) {
 		t.Error("a single failure of a server that is well is blamed")
 	}
 }
@@ -98,12 +98,12 @@
 func TestPeersShowingTheSameAreNotBlamed(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
 	for range 100 {
-		for _, s := range b.all {
-			b.judge(s, 0, StatusError)
+		for _, s := range b.members.all {
+			b.outliers.attribute(s, 0, StatusError)
 		}
 	}
-	for _, s := range b.all {
-		if b.judge(s, 0, StatusError) {
+	for _, s := range b.members.all {
+		if b.outliers.attribute(s, 0, StatusError) {
 			t.Errorf("%s is blamed for what its peers show", s.ID)
 		}
 	}
@@ -113,8 +113,8 @@
 func TestARefusedConnectionIsAlwaysBlamed(t *testing.T) {
 	b, _ := with(t, testSettings(), 8)
 	for range 5 {
-		for _, s := range b.all {
-			if !b.judge(s, 0, StatusConnectFailed) {
+		for _, s := range b.members.all {
+			if !b.outliers.attribute(s, 0, StatusConnectFailed) {
 				t.Fatalf("%s is not blamed for a refused connection", s.ID)
 			}
 		}
@@ -124,10 +124,10 @@
 // checkBudget checks that verdicts of others take out no more than a third of the tier and of each zone, or one.
 func checkBudget(t interface{ Errorf(string, ...any) }, b *Balancer) {
 	all, out := map[int]int{}, map[int]int{}
-	for _, s := range b.ready {
+	for _, s := range b.members.ready {
 		for _, z := range []int{s.Zone, -1} {
 			all[z]++
-			out[z] += int(indicator(s.told < 1))
+			out[z] += int(indicator(s.outlier.peerFactor < 1))
 		}
 	}
 	for z, n := range out {
@@ -159,7 +159,7 @@
 		{"silent to another zone", says(3, ReportServerUnhealthy, FaultUnresponsive, 1), nil, 1},
 		{"silent to this zone", says(3, ReportServerUnhealthy, FaultUnresponsive, 0), nil, minHealthScore},
 		{"it has answered since", says(3, ReportServerUnhealthy, FaultErrors, 0), func(b *Balancer, h Host) {
-			b.note(start+1, &attempt{server: b.byID["s1"]}, NoFault)
+			b.recordEvidence(start+1, &attempt{server: b.members.byID["s1"]}, NoFault)
 		}, 1},
 		{"it has restarted since", says(3, ReportServerUnhealthy, FaultErrors, 0), func(b *Balancer, h Host) {
 			b.UpdateEndpoints(start, h, UpdateDelta, []Server{{ID: "s1", State: ServerReady, CapacityHint: 1, StartTime: start - 1}})
@@ -170,11 +170,11 @@
 			c.do(b, h)
 		}
 		b.HandlePeerReports(start+2, h, PeerReports{LiveReplicas: 8, LiveReplicasInZone: 4, Reports: c.say})
-		if got := b.byID["s1"].told; got != c.want {
+		if got := b.members.byID["s1"].outlier.peerFactor; got != c.want {
 			t.Errorf("%s: left %v of its weight, not %v", c.name, got, c.want)
 		}
 		b.HandlePeerReports(start+3, h, PeerReports{LiveReplicas: 8, LiveReplicasInZone: 4, Isolated: true, Reports: c.say})
-		if got := b.byID["s1"].told; got != 1 {
+		if got := b.members.byID["s1"].outlier.peerFactor; got != 1 {
 			t.Errorf("%s, then alone: left %v of its weight", c.name, got)
 		}
 	}
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -36,8 +36,8 @@
 	return names
 }
 
-// docs/policy.md says of each function of the module and of its mathematics that does not stand under policy why it is
-// no decision, or that it is one and left.
+// docs/policy.md has a rule for each file under policy, and says of each function of the decisions and of their
+// mathematics that does not stand under policy why it is no decision, or that it is one and left.
 func TestEachFunctionOutsidePolicyHasARow(t *testing.T) {
 	read := func(path string) string {
 		text, err := os.ReadFile(path)
@@ -50,10 +50,15 @@
 	if list == nil {
 		t.Fatal("deploy/balancer.toml has no policy")
 	}
-	rows := map[string]int{} // by file and function
-	for _, m := range regexp.MustCompile(`(?m)^\| (\w+\.go) \| ([\w.]+) \| [^|]+ \| [^|]+ \|$`).FindAllStringSubmatch(read("../docs/policy.md"), -1) {
+	page := read("../docs/policy.md")
+	rows := map[string]int{}  // of functions outside policy, by file and function
+	rules := map[string]int{} // by file and function
+	for _, m := range regexp.MustCompile(`(?m)^\| (\w+\.go) \| ([\w.]+) \|(?:[^|]+\|){2}$`).FindAllStringSubmatch(page, -1) {
 		rows[m[1]+" "+m[2]]++
 	}
+	for _, m := range regexp.MustCompile(`(?m)^\| (\w+\.go) \| ([\w.]+) \|(?:[^|]+\|){4}$`).FindAllStringSubmatch(page, -1) {
+		rules[m[1]+" "+m[2]]++
+	}
 	for _, dir := range []string{"../balancer", "../internal/tailweights"} {
 		paths, _ := filepath.Glob(dir + "/*.go")
 		for _, path := range paths {
@@ -61,16 +66,24 @@
 				continue
 			}
 			decides := strings.Contains(list[1], `"`+strings.TrimPrefix(path, "../")+`"`)
+			inFile := 0
 			for _, f := range functions(t, path) {
 				row := filepath.Base(path) + " " + f
-				if n := rows[row]; n > 1 || n == 0 && !decides {
-					t.Errorf("%s: %s has %d rows in docs/policy.md, not one", path, f, n)
+				if n := rows[row] + rules[row]; n > 1 || n == 0 && !decides || rules[row] > 0 && !decides {
+					t.Errorf("%s: %s has %d rows and %d rules in docs/policy.md", path, f, rows[row], rules[row])
 				}
+				inFile += rules[row]
 				delete(rows, row)
+				delete(rules, row)
+			}
+			if decides && inFile == 0 {
+				t.Errorf("%s decides and has no rule in docs/policy.md", path)
 			}
 		}
 	}
-	for row := range rows {
-		t.Errorf("docs/policy.md has a row for %s, which is not there", row)
+	for _, left := range []map[string]int{rows, rules} {
+		for row := range left {
+			t.Errorf("docs/policy.md has a row for %s, which is not there", row)
+		}
 	}
 }
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -67,7 +67,7 @@
 		b, h := with(t, s, 4)
 		for i := range 100 {
 			now, id := start+int64(i)*4*second, fmt.Sprint(i)
-			b.share, b.tenants[0].requests, b.came = share, decayingCount{}, decayingCount{}
+			b.quotas.multiple, b.quotas.tenants[0].requests, b.arrivals.recent = share, decayingCount{}, decayingCount{}
 			b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
 			b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 		}
@@ -147,13 +147,13 @@
 
 func TestHeldSharesAreReportedRarely(t *testing.T) {
 	b, h := with(t, testSettings(), 2)
-	b.report(start, h)
+	b.logThrottling(start, h)
 	if len(h.lines) != 0 {
 		t.Fatalf("a calm copy reports %q", h.lines)
 	}
-	b.share = 0.5
+	b.quotas.multiple = 0.5
 	for i := range int64(25) {
-		b.report(start+i*second, h)
+		b.logThrottling(start+i*second, h)
 	}
 	if len(h.lines) != 3 {
 		t.Errorf("%d lines in 25 s, want one each 10 s", len(h.lines))
@@ -174,15 +174,15 @@
 	if n := len(h.sends); n != 32 {
 		t.Errorf("%d of 32 pass at a fresh copy", n)
 	}
-	for i := 0; b.share > 1; i++ {
+	for i := 0; b.quotas.multiple > 1; i++ {
 		if i == 10*feedbackRoundCalls {
-			t.Fatalf("share still %v", b.share)
+			t.Fatalf("share still %v", b.quotas.multiple)
 		}
 		now := start + 2*second + int64(i)
-		b.press(now, 0, &attempt{sentAt: now}, true, true)
+		b.applyBackpressure(now, 0, &attempt{sentAt: now}, true, true)
 	}
-	if b.share < minQuotaMultiple || b.share >= 1 {
-		t.Errorf("a bad round leaves a share of %v", b.share)
+	if b.quotas.multiple < minQuotaMultiple || b.quotas.multiple >= 1 {
+		t.Errorf("a bad round leaves a share of %v", b.quotas.multiple)
 	}
 }
 
@@ -191,12 +191,12 @@
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
 	b, _ := with(t, s, 8)
-	b.share = overloadQuotaMultiple
+	b.quotas.multiple = overloadQuotaMultiple
 	for i := range 12 * feedbackRoundCalls {
 		now := start + int64(i)
-		b.press(now, 0, &attempt{sentAt: now}, false, false)
+		b.applyBackpressure(now, 0, &attempt{sentAt: now}, false, false)
 	}
-	if b.share != maxQuotaMultiple {
-		t.Errorf("share %v after a dozen good rounds", b.share)
+	if b.quotas.multiple != maxQuotaMultiple {
+		t.Errorf("share %v after a dozen good rounds", b.quotas.multiple)
 	}
 }
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -6,95 +6,101 @@
 	"slices"
 )
 
-// How other settings take the place of those in force. What is learned moves along; nothing is decided here.
+// How other settings take the place of those in force. What was learned moves along; nothing is decided here.
 
-// Reconfigure puts other settings in force for the requests that come from now on; those that are open keep
-// the ones that they began with. It returns the number that requests are to have for each class. A class that
-// is as it was keeps its number and what was learned. One whose rules differ gets a new number, since open
-// requests need the old one, but keeps what was learned of servers and times. held are numbers that requests
-// on their way here may have, beside those in force.
-func (b *Balancer) Reconfigure(now int64, s Settings, held map[int]bool) (numbers []int, err error) {
+// Reconfigure puts other settings in force for the requests that come from now on; open ones keep the settings that
+// they began with. It returns the number that requests are to have for each class of s. A class that is as it was
+// keeps its number and what was learned. One whose rules differ gets another number, since open requests need the
+// old one, but keeps what was learned of servers and latencies. heldNumbers are numbers that requests on their way
+// here may have, beside those in force.
+//
+// The error is a *SettingsError: settings that make no sense, or another Tier or WatchEndpoints, which can't change
+// while a Balancer runs. Nothing has changed then.
+func (b *Balancer) Reconfigure(now int64, s Settings, heldNumbers map[int]bool) (numbers []int, err error) {
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	if s.Tier != b.s.Tier || s.WatchEndpoints != b.s.WatchEndpoints {
-		return nil, errors.New("logic: Settings.Stage and Subscribe cannot change under way")
+	if s.Tier != b.settings.Tier || s.WatchEndpoints != b.settings.WatchEndpoints {
+		return nil, errors.New("logic: Settings.Tier and WatchEndpoints cannot change under way")
 	}
-	old, classes, was := b.s, s.Classes, map[string]int{}
-	held = maps.Clone(held)
-	if held == nil {
-		held = map[int]bool{}
+	before := b.settings
+	numbers = b.replaceClasses(&s, heldNumbers)
+	b.settings = &s
+	b.quotas.replaceTenants(before)
+	b.applySettings()
+	if b.settings.RetryBudgetWindow > before.RetryBudgetWindow {
+		b.retries.extendWindow(now)
 	}
-	for i, c := range old.Classes {
+	b.refilter()
+	return numbers, nil
+}
+
+// replaceClasses gives each class of the settings s a number, and has s list the classes by these.
+func (b *Balancer) replaceClasses(s *Settings, heldNumbers map[int]bool) (numbers []int) {
+	before, wanted := b.settings.Classes, s.Classes
+	held := map[int]bool{}
+	maps.Copy(held, heldNumbers)
+	formers := map[string]int{} // numbers by name
+	for i, class := range before {
 		if !b.classes[i].retired {
-			was[c.Name], held[i] = i, true
+			formers[class.Name], held[i] = i, true
 			b.classes[i].retired = true // unless it is found again
 		}
 	}
-	b.s = &s
-	b.s.Classes = slices.Clone(old.Classes)
-	for _, c := range classes {
-		i, known := was[c.Name]
-		if !known || old.Classes[i] != c {
-			i = b.succeed(c, i, known, held)
-		}
-		b.classes[i].retired, held[i] = false, true
-		numbers = append(numbers, i)
-	}
-	tenants := make([]tenantQuota, len(s.Tenants))
-	for i, t := range s.Tenants {
-		if j := slices.IndexFunc(old.Tenants, func(o Tenant) bool { return o.Name == t.Name }); j >= 0 {
-			tenants[i] = b.tenants[j]
+	s.Classes = slices.Clone(before)
+	for _, class := range wanted {
+		number, known := formers[class.Name]
+		switch {
+		case !known:
+			number = b.addClass(s, class, nil, held)
+		case before[number] != class:
+			number = b.addClass(s, class, &number, held)
 		}
+		b.classes[number].retired, held[number] = false, true
+		numbers = append(numbers, number)
 	}
-	b.tenants = tenants
-	b.derive()
-	if b.s.RetryBudgetWindow > old.RetryBudgetWindow { // what was spent before the former span is forgotten
-		b.free = max(b.free, b.unspent(now))
-	}
-	b.relist()
-	return numbers, nil
+	return numbers
 }
 
-// succeed gives a class that is new, or whose rules differ from those under its former number, a number.
-func (b *Balancer) succeed(c Class, former int, known bool, held map[int]bool) int {
-	i := b.slot(held)
-	if i == len(b.s.Classes) {
-		b.s.Classes = append(b.s.Classes, c)
+// addClass gives a class a free number. former is the number of the class of this name, whose rules differ; nil if
+// there is none.
+func (b *Balancer) addClass(s *Settings, rules Class, former *int, held map[int]bool) int {
+	number := b.freeNumber(held)
+	if number == len(s.Classes) {
+		s.Classes = append(s.Classes, rules)
 	}
-	b.s.Classes[i] = c
-	fresh := b.freshClass(c)
-	if known {
-		f := b.classes[former]
-		fresh.rule.max, fresh.mean, fresh.base, fresh.seen, fresh.errorRate = f.rule.max, f.mean, f.base, f.seen, f.errorRate
+	s.Classes[number] = rules
+	state := b.newClass(rules)
+	if former != nil {
+		known := &b.classes[*former]
+		state.admission.limit.max = known.admission.limit.max
+		state.latency, state.errorRate = known.latency, known.errorRate
 	}
-	b.classes[i] = fresh
-	for _, s := range b.all {
-		s.classes[i] = health{score: 1}
-		if known {
-			s.classes[i] = s.classes[former]
+	b.classes[number] = state
+	for _, server := range b.members.all {
+		byClass := server.outlier.byClass
+		byClass[number] = health{score: 1}
+		if former != nil {
+			byClass[number] = byClass[*former]
 		}
 	}
-	return i
+	return number
 }
 
-// slot is a place for a class among b.classes: one whose class was retired and has no open request, or a new one.
-// held are the numbers that requests on their way here may still have.
-func (b *Balancer) slot(held map[int]bool) int {
-	for i := range b.classes {
-		if b.classes[i].retired && !held[i] {
-			open := false
-			for _, q := range b.reqs {
-				open = open || q.Class == i
-			}
-			if !open {
-				return i
-			}
+// freeNumber is a number that no class in force, no open request and none of held has; a new one if there is none.
+func (b *Balancer) freeNumber(held map[int]bool) int {
+	open := map[int]bool{}
+	for _, request := range b.requests {
+		open[request.Class] = true
+	}
+	for number := range b.classes {
+		if b.classes[number].retired && !held[number] && !open[number] {
+			return number
 		}
 	}
 	b.classes = append(b.classes, classState{})
-	for _, s := range b.all {
-		s.classes = append(s.classes, health{score: 1})
+	for _, server := range b.members.all {
+		server.outlier.byClass = append(server.outlier.byClass, health{score: 1})
 	}
 	return len(b.classes) - 1
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -51,8 +51,8 @@
 			t.Errorf("%s: %d further attempts, want %d", c.id, more, c.more)
 		}
 	}
-	if len(b.reqs) != 0 || b.tier.inFlight != 0 {
-		t.Errorf("%d requests, %d calls are left", len(b.reqs), b.tier.inFlight)
+	if len(b.requests) != 0 || b.admission.tier.inFlight != 0 {
+		t.Errorf("%d requests, %d calls are left", len(b.requests), b.admission.tier.inFlight)
 	}
 }
 
@@ -64,7 +64,7 @@
 		ask(b, h, start+int64(i), fmt.Sprint(i), 0)
 		b.HandleOutcome(start+int64(i), h, Outcome{RequestID: fmt.Sprint(i), Status: StatusOK, Latency: 77_000, RequestDone: true})
 	}
-	mean, seen := b.classes[0].mean, b.classes[0].seen
+	mean, seen := b.classes[0].latency.mean, b.classes[0].latency.successes
 	last := 0
 	for i := range 100 {
 		s.Classes[0].Deadline++
@@ -73,7 +73,7 @@
 			t.Fatal(err)
 		}
 		last = numbers[0]
-		if c := b.classes[last]; c.mean != mean || c.seen != seen || c.retired {
+		if c := b.classes[last]; c.latency.mean != mean || c.latency.successes != seen || c.retired {
 			t.Fatalf("after %d: %+v", i, c)
 		}
 		ask(b, h, start, fmt.Sprint("x", i), last)
@@ -82,9 +82,9 @@
 	if n := len(b.classes); n > len(s.Classes)+3 {
 		t.Errorf("%d numbers for %d classes", n, len(s.Classes))
 	}
-	for _, srv := range b.all {
-		if len(srv.classes) != len(b.classes) {
-			t.Errorf("%s has %d of %d classes", srv.ID, len(srv.classes), len(b.classes))
+	for _, srv := range b.members.all {
+		if len(srv.outlier.byClass) != len(b.classes) {
+			t.Errorf("%s has %d of %d classes", srv.ID, len(srv.outlier.byClass), len(b.classes))
 		}
 	}
 	b.UpdateEndpoints(start, h, UpdateDelta, []Server{{ID: "late", State: ServerReady}})
@@ -121,10 +121,10 @@
 	}
 	b.HandleRequest(start, h, Request{ID: "2", Tenant: 1, Deadline: start + 1_000_000, Settings: first}) // b
 	b.HandleRequest(start, h, Request{ID: "3", Tenant: 0, Deadline: start + 1_000_000, Settings: first}) // a, which is no more
-	if n := b.tenants[0].admitted.count(start, second); n != 2 || len(h.sends) != 3 {
+	if n := b.quotas.tenants[0].admitted.count(start, second); n != 2 || len(h.sends) != 3 {
 		t.Errorf("%v passed for b, %d sent", n, len(h.sends))
 	}
-	if b.fair != 30 {
-		t.Errorf("fair %v", b.fair)
+	if b.quotas.fairRate != 30 {
+		t.Errorf("fair %v", b.quotas.fairRate)
 	}
 }
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -1,158 +1,144 @@
 package balancer
 
-import (
-	"cmp"
-	"slices"
+import "slices"
+
+// Peer reports: what this replica reports to the others, and what of the others' reports counts.
+//
+// Input: the state of the rules, and the reports of others. Output: the reports of this replica, none where
+// its own link is more likely at fault than the servers.
+
+const (
+	// Unhealthy servers, in more than one zone, and their fraction of all that were called, from which on the
+	// fault is in this replica's own link.
+	ownLinkMinServers, ownLinkBadFraction = 3, 0.6
+
+	startTimeTolerance = second // µs: start times of one process by different clocks differ by less
 )
 
-// The data that verdicts and zones are decided by: what this copy saw and tells, the sum of what all tell,
-// and how zones stand. What here decides, or why it does not: docs/policy.md.
+// reportExchange holds what this replica and the others reported last.
+type reportExchange struct {
+	own   []Report
+	peers PeerReports
+}
 
-// open opens the books that are needed to tell others and to hear them.
-func (b *Balancer) open() {
-	if len(b.zones) == b.s.ZoneCount {
-		return
+// receive takes the others' reports in place of the former ones. An isolated replica goes by its own.
+func (r *reportExchange) receive(peers PeerReports) {
+	if peers.LiveReplicasInZone = max(peers.LiveReplicasInZone, 1); peers.Isolated {
+		peers.Reports = nil
+		peers.LiveReplicasInZone = max(peers.LiveReplicasInZone, r.peers.LiveReplicasInZone)
 	}
-	b.zones = make([]zone, b.s.ZoneCount)
-	for i := range b.zones {
-		b.zones[i].ZoneState = ZoneState{Zone: i, WeightFraction: 1}
-		if b.drained[i] {
-			b.zones[i].Phase, b.zones[i].WeightFraction = ZoneDrained, 0
+	r.peers = peers
+}
+
+// all yields this replica's own reports and the others', so that replicas that hear each other decide alike.
+func (r *reportExchange) all(yield func(Report) bool) {
+	for _, list := range [][]Report{r.own, r.peers.Reports} {
+		for _, report := range list {
+			if !yield(report) {
+				return
+			}
 		}
 	}
-	b.relist()
 }
 
-// note takes the end of an attempt as evidence on its server and zone.
-func (b *Balancer) note(now int64, a *attempt, cause Fault) {
-	z := cmp.Or(b.zone(a.zone), &zone{})
-	if cause == NoFault {
-		a.server.okAt = now
-	}
-	if a.quiet && cause == NoFault {
-		a.server.seen.retractBad()
-		z.fresh.retractBad()
-		z.long.retractBad()
-	}
-	if a.quiet {
-		return
-	}
-	a.server.seen.record(now, recentDecay, maxServerCalls, cause)
-	z.fresh.record(now, recentDecay, maxZoneCalls, faultForZone[cause])
-	z.long.record(now, longTermDecay, maxZoneCalls, faultForZone[cause])
+// sameProcess tells whether a report is of the process that the list names. Its start is by another's clock.
+func sameProcess(server *server, report Report) bool {
+	return sameStartTime(server.StartTime, report.StartTime)
 }
 
-// listen notes calls that are out for too long.
-func (b *Balancer) listen(now int64) {
-	for _, q := range b.reqs {
-		for _, a := range q.attempts {
-			if a.pending && a.counted && !a.responseStarted && !a.quiet && b.quiet(now, q.Class, a) {
-				b.note(now, a, FaultUnresponsive)
-				a.quiet = true
-			}
-		}
+func sameStartTime(x, y int64) bool { return max(x-y, y-x) < startTimeTolerance }
+
+// bounded keeps a number that others report between 0 and most; what is no number is 0.
+func bounded(x, most float64) float64 {
+	if !(x >= 0) {
+		return 0
 	}
+	return min(x, most)
 }
 
-// tried counts the servers that this copy tried, and those of them that it tried very lately.
-type zoneSample struct{ servers, unhealthy, unhealthyZones, recent, recentUnhealthy int }
+// zoneSample counts the servers of a zone, or of all, that this replica called lately.
+type zoneSample struct {
+	servers, unhealthy      int
+	recent, recentUnhealthy int // those of them that it called very lately
+	unhealthyZones          int // of the sample of all: zones with an unhealthy server
+}
 
-// Seen is what this copy tells others now; what is not said again is taken back. It is also what this copy
-// itself goes by, as the others do.
+// Reports returns what this replica reports to the others now. What is not in it any more is withdrawn.
 func (b *Balancer) Reports(now int64) []Report {
-	b.open()
-	b.listen(now)
-	b.tells = nil
-	var sum zoneSample
-	of := map[int]zoneSample{}
-	for _, s := range b.all {
-		if s.State != ServerReady || !s.seen.seenWithin(now, serverReportTTL) {
+	b.trackZones()
+	b.recordSilentAttempts(now)
+	reports, samples := b.serverReports(now)
+	reports = append(reports, b.locality.zoneReports(now, samples)...)
+	reports = append(reports, b.damping.flapReports(now)...)
+	reports = append(reports, b.loads.loadReports(now)...)
+	if b.ownLinkFails(now, samples) {
+		reports = nil
+	}
+	b.reports.own = reports
+	return slices.Clone(reports)
+}
+
+// serverReports returns the reports on the health of the servers that this replica called lately, and a
+// sample of each zone.
+func (b *Balancer) serverReports(now int64) (reports []Report, samples map[int]zoneSample) {
+	samples = map[int]zoneSample{}
+	for _, server := range b.members.all {
+		recent := &server.outlier.recent
+		if server.State != ServerReady || !recent.seenWithin(now, serverReportTTL) {
 			continue
 		}
-		t := of[s.Zone]
-		_, _, span := cmp.Or(b.zone(s.Zone), &zone{}).recentStats(now)
-		late := int(indicator(s.seen.seenWithin(now, span)))
-		t.servers, t.recent = t.servers+1, t.recent+late
-		b.detectFlap(now, s)
-		n := Report{ObserverZone: b.s.Zone, Server: s.ID, StartTime: s.StartTime, Calls: s.seen.calls,
-			BadFraction: s.seen.badFraction()}
-		says := false
-		if n.Kind, n.Fault, n.LastObserved, says = s.healthReport(now); says {
-			b.tells = append(b.tells, n)
-		}
-		if n.Kind == ReportServerUnhealthy {
-			t.unhealthy, t.recentUnhealthy = t.unhealthy+1, t.recentUnhealthy+late
+		b.damping.detectFlap(now, server)
+		report := Report{ObserverZone: b.settings.Zone, Server: server.ID, StartTime: server.StartTime,
+			Calls: recent.calls, BadFraction: recent.badFraction()}
+		if server.outlier.healthReport(now, &report) {
+			reports = append(reports, report)
 		}
-		of[s.Zone] = t
-	}
-	for i := range b.zones {
-		if n, ok := b.tellZone(now, &b.zones[i], of[i]); ok || b.zones[i].Transitions > 0 {
-			b.tells = append(b.tells, n)
+		sample := samples[server.Zone]
+		veryLately := int(indicator(recent.seenWithin(now, b.locality.sampleTTL(server.Zone))))
+		sample.servers, sample.recent = sample.servers+1, sample.recent+veryLately
+		if report.Kind == ReportServerUnhealthy {
+			sample.unhealthy, sample.recentUnhealthy = sample.unhealthy+1, sample.recentUnhealthy+veryLately
 		}
+		samples[server.Zone] = sample
 	}
-	for _, t := range of {
-		sum.servers, sum.unhealthy, sum.unhealthyZones = sum.servers+t.servers, sum.unhealthy+t.unhealthy, sum.unhealthyZones+int(indicator(t.unhealthy > 0))
-	}
-	b.tells = append(append(b.tells, b.tellFlaps(now)...), b.tellLoads(now)...)
-	if b.ownLink(now, sum) {
-		b.tells = nil
-	}
-	return slices.Clone(b.tells)
+	return reports, samples
 }
 
-// Peers takes what others tell now.
-func (b *Balancer) HandlePeerReports(now int64, h Host, p PeerReports) {
-	b.open()
-	if p.LiveReplicasInZone = max(p.LiveReplicasInZone, 1); p.Isolated {
-		p.Reports, p.LiveReplicasInZone = nil, max(p.LiveReplicasInZone, b.peers.LiveReplicasInZone)
-	}
-	b.peers = p
-	b.condemn(now)
-	b.reportDamped(now, h)
-	b.tune(now)
-	b.sumZones(minZoneCalls, maxZoneCalls)
-	changed := false
-	for i := range b.zones {
-		z := &b.zones[i]
-		was := z.Phase
-		b.lookAt(now, h, z)
-		changed = changed || (was == ZoneEvacuated) != (z.Phase == ZoneEvacuated)
-	}
-	if changed {
-		b.relist()
-	}
+// ownLinkFails tells whether what this replica sees is more likely a fault of its own link: most servers over
+// several zones are unhealthy, and no zone answers.
+func (b *Balancer) ownLinkFails(now int64, samples map[int]zoneSample) bool {
+	if b.locality.someZoneAnswers(now) {
+		return false
+	}
+	var all zoneSample
+	for _, sample := range samples {
+		all.servers, all.unhealthy = all.servers+sample.servers, all.unhealthy+sample.unhealthy
+		all.unhealthyZones += int(indicator(sample.unhealthy > 0))
+	}
+	return all.unhealthy >= ownLinkMinServers && all.unhealthyZones > 1 &&
+		float64(all.unhealthy) > ownLinkBadFraction*float64(all.servers)
 }
 
-// ownLink tells whether what this copy sees is more likely a bad link of its own: then it condemns nobody.
-func (b *Balancer) ownLink(now int64, t zoneSample) bool {
-	for i := range b.zones {
-		if e, ok, _ := b.zones[i].recentStats(now); ok && e.badFraction() < zoneUnhealthyFraction {
-			return false
-		}
-	}
-	return t.unhealthy >= ownLinkMinServers && t.unhealthyZones > 1 && float64(t.unhealthy) > ownLinkBadFraction*float64(t.servers)
-}
-
-// notices are those of others and this copy's own, that those that hear each other decide by the same.
-func (b *Balancer) notices(yield func(Report) bool) {
-	for _, list := range [][]Report{b.tells, b.peers.Reports} {
-		for _, n := range list {
-			if !yield(n) {
-				return
+// recordSilentAttempts counts attempts that have been in flight for too long as failed before their end.
+func (b *Balancer) recordSilentAttempts(now int64) {
+	for _, request := range b.requests {
+		for _, attempt := range request.attempts {
+			if b.outliers.isSilent(now, request.Class, attempt) {
+				b.recordEvidence(now, attempt, FaultUnresponsive)
+				attempt.outlier.reportedSilent = true
 			}
 		}
 	}
 }
 
-// sameStart tells whether a notice is of the server's present process; its start is by another's clock.
-func sameProcess(s *server, n Report) bool { return sameStartTime(s.StartTime, n.StartTime) }
-
-func sameStartTime(x, y int64) bool { return max(x-y, y-x) < second }
-
-// within is a number that others told, kept between 0 and most.
-func bounded(x, most float64) float64 {
-	if !(x >= 0) {
-		return 0
+// HandlePeerReports takes what the other replicas report now; it replaces what they reported before.
+func (b *Balancer) HandlePeerReports(now int64, host Host, peers PeerReports) {
+	b.trackZones()
+	b.reports.receive(peers)
+	b.removeUnhealthy(now)
+	b.damping.logChange(now, host)
+	b.tuning.adjust(now)
+	if b.locality.evaluate(now, host) {
+		b.refilter()
 	}
-	return min(x, most)
 }
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -15,11 +15,11 @@
 			}
 			tells = nil
 			for _, s := range w.servers {
-				tells = append(tells, Report{Kind: ReportServerUnhealthy, Fault: FaultErrors, ObserverZone: c.b.s.Zone, Server: s.ID, Calls: 1e9, BadFraction: 7,
+				tells = append(tells, Report{Kind: ReportServerUnhealthy, Fault: FaultErrors, ObserverZone: c.b.settings.Zone, Server: s.ID, Calls: 1e9, BadFraction: 7,
 					LastObserved: w.now + 1e9})
 			}
 			for z := range 3 {
-				tells = append(tells, Report{Kind: ReportZoneUnhealthy, Fault: FaultUnresponsive, ObserverZone: c.b.s.Zone, SubjectZone: z, Calls: 1e9, BadFraction: 1, LastObserved: w.now})
+				tells = append(tells, Report{Kind: ReportZoneUnhealthy, Fault: FaultUnresponsive, ObserverZone: c.b.settings.Zone, SubjectZone: z, Calls: 1e9, BadFraction: 1, LastObserved: w.now})
 			}
 			return tells
 		}
@@ -52,13 +52,13 @@
 		{"home answers", []int{0}, []int{1}, 4},
 	} {
 		b, _ := with(t, testSettings(), 8)
-		b.open()
-		for _, s := range b.all {
+		b.trackZones()
+		for _, s := range b.members.all {
 			for range 3 {
 				if slices.Contains(c.well, s.Zone) {
-					b.note(start, &attempt{server: s, zone: s.Zone}, NoFault)
+					b.recordEvidence(start, &attempt{server: s, zone: s.Zone}, NoFault)
 				} else if slices.Contains(c.bad, s.Zone) {
-					b.note(start, &attempt{server: s, zone: s.Zone}, FaultUnresponsive)
+					b.recordEvidence(start, &attempt{server: s, zone: s.Zone}, FaultUnresponsive)
 				}
 			}
 		}
