--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,72 +6,178 @@
 	"slices"
 )
 
-// What becomes of a request: sent, refused, sent again, answered. Rules 1, 2, 5 and 6 are kept here.
+// Retry: whether a request gets a further attempt, where this may go, when an attempt is given up, and
+// whether a failed request may be rejected instead of failed.
+//
+// Input: the request's class and attempts, and the times of requests and retries. Output: a deadline, an
+// attempt timeout, a send window, and whether the retry budget allows one more.
 
+// The retry budget where the settings state none.
 const (
-	retryAfterFraction = 0.5 // of the aim: the longest hint
-
-	attemptTimeoutMeans = 12.0 // an attempt is given up after this many mean times
-	minRemainingMeans   = 0.5  // a request with less time left than this many mean times cannot make it
+	defaultBudgetWindow = 10 * second // µs
+	defaultBudgetMin    = 5.0         // retries in any window
+	defaultBudgetRatio  = 0.1         // and so many for each request received in it
+)
 
-	queueTimeoutTimer, cooldownTimer = "held ", "turn " // and a request, and a key
+const (
+	attemptTimeoutMeans = 12.0 // mean latencies after which an attempt is given up where a retry may follow
+	minRemainingMeans   = 0.5  // mean latencies: a request with less time left can't be answered
 )
 
-// deadline is when an answer stops being worth anything.
-func (b *Balancer) deadline(q *request) int64 {
-	switch k := q.Settings.Classes[q.Class]; {
-	case q.BodyPending:
+// retryPolicy holds what the retry budget counts.
+type retryPolicy struct {
+	*shared
+	requests eventTimes // received within the budget window
+	retries  eventTimes // attempts beyond each request's first, within the budget window
+
+	// RetryBudgetMin counts from then on, in µs: another process of this proxy may have used it before.
+	minAvailableFrom int64
+}
+
+func newRetryPolicy(common *shared) *retryPolicy { return &retryPolicy{shared: common} }
+
+// withDefaultBudget completes settings that state no retry budget.
+func withDefaultBudget(settings *Settings) {
+	if settings.RetryBudgetWindow == 0 {
+		settings.RetryBudgetWindow = defaultBudgetWindow
+		settings.RetryBudgetMin, settings.RetryBudgetRatio = defaultBudgetMin, defaultBudgetRatio
+	}
+}
+
+// deadline is the time, in µs, from which an answer is worth nothing: the client's deadline or, at the front
+// tier, the latency objective of a class whose late answers have no weight.
+func (p *retryPolicy) deadline(request *request) int64 {
+	switch rules := request.classRules(); {
+	case request.BodyPending:
 		return math.MaxInt64 / 2
-	case b.s.Tier == 0 && k.LateWeight == 0:
-		return min(q.Deadline, q.receivedAt+k.LatencyObjective)
+	case p.settings.Tier == 0 && rules.LateWeight == 0:
+		return min(request.Deadline, request.receivedAt+rules.LatencyObjective)
 	}
-	return q.Deadline
+	return request.Deadline
+}
+
+// latestStart is the time from now, in µs, by which a request has to be sent to be answered by its deadline.
+func (p *retryPolicy) latestStart(now int64, request *request) float64 {
+	return float64(p.deadline(request)-now) - minRemainingMeans*p.classes[request.Class].latency.mean
 }
 
-// inTime tells whether a request can still be answered while that is worth something.
-func (b *Balancer) inTime(now int64, q *request) bool {
-	return float64(b.deadline(q)-now) > minRemainingMeans*b.classes[q.Class].mean
+// canMeetDeadline tells whether a request that is sent now can still be answered by its deadline.
+func (p *retryPolicy) canMeetDeadline(now int64, request *request) bool {
+	return float64(p.deadline(request)-now) > minRemainingMeans*p.classes[request.Class].latency.mean
 }
 
-// timeout gives an attempt up when its answer would be worth nothing, and before that where another may
-// follow, so that a hung server frees its slot.
-func (b *Balancer) timeout(now int64, q *request) int64 {
-	if q.BodyPending {
+// attemptTimeout is the time, in µs, after which an attempt that is sent now is given up: at the deadline,
+// and before that where a retry may follow, so that a server that hangs frees its slot. 0 while the body is
+// pending.
+func (p *retryPolicy) attemptTimeout(now int64, request *request) int64 {
+	if request.BodyPending {
 		return 0
 	}
-	left := b.deadline(q) - now
-	if q.Settings.Classes[q.Class].Idempotency != NonIdempotent && len(q.attempts) < q.Settings.MaxAttempts {
-		left = min(left, int64(attemptTimeoutMeans*b.classes[q.Class].mean))
+	left := p.deadline(request) - now
+	rules := request.classRules()
+	if rules.Idempotency != NonIdempotent && len(request.attempts) < request.Settings.MaxAttempts {
+		left = min(left, int64(attemptTimeoutMeans*p.classes[request.Class].latency.mean))
 	}
 	return max(left, 1)
 }
 
-// within keeps rule 2 for a further attempt: once one may have run, an unsafe request goes nowhere (-1), a
-// keyed one only to the group that drops its repeats, while that remembers it: for so long; 0 for no limit.
-func (b *Balancer) within(now int64, q *request, s *server) (left int64) {
-	k := q.Settings.Classes[q.Class]
-	for _, a := range q.attempts {
-		if !a.mayHaveExecuted || k.Idempotency == Idempotent {
+// neverAgain is a send window that says that a request may not be sent to a server.
+const neverAgain = -1
+
+// sendWindow is the time, in µs, within which a request's last byte has to reach the server; 0: no limit.
+// Once an attempt may have been executed, a non-idempotent request may go nowhere (neverAgain), and one
+// with an idempotency key only to servers that share the key's memory, while these remember it.
+func (p *retryPolicy) sendWindow(now int64, request *request, server *server) (left int64) {
+	rules := request.classRules()
+	for _, attempt := range request.attempts {
+		if !attempt.mayHaveExecuted || rules.Idempotency == Idempotent {
 			continue
 		}
-		if k.Idempotency == NonIdempotent || now-a.sentAt >= k.DedupWindow ||
-			k.DedupScope == DedupScopeZone && a.zone != s.Zone || k.DedupScope == DedupScopeCell && a.cell != s.Cell {
-			return -1
+		if rules.Idempotency == NonIdempotent || now-attempt.sentAt >= rules.DedupWindow ||
+			!sharesDedup(rules.DedupScope, attempt, server) {
+			return neverAgain
 		}
-		left = cmp.Or(left, a.sentAt+k.DedupWindow-now) // the first one's ends first
+		left = cmp.Or(left, attempt.sentAt+rules.DedupWindow-now) // the first attempt's window ends first
 	}
 	return left
 }
 
-// mayRefuse keeps rule 2 for a refusal, which tells the client that trying again is harmless.
-func (b *Balancer) mayRefuse(q *request) bool {
-	k := q.Settings.Classes[q.Class]
-	return k.Idempotency == Idempotent || k.Idempotency == IdempotentWithKey && k.DedupScope == DedupScopeAll ||
-		!slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.mayHaveExecuted })
+// sharesDedup tells whether a server recognises the idempotency key of an earlier attempt.
+func sharesDedup(scope DedupScope, earlier *attempt, server *server) bool {
+	switch scope {
+	case DedupScopeZone:
+		return earlier.zone == server.Zone
+	case DedupScopeCell:
+		return earlier.cell == server.Cell
+	}
+	return true
+}
+
+// mayReject tells whether a request may be rejected, which tells the client that it may safely come again.
+func (p *retryPolicy) mayReject(request *request) bool {
+	rules := request.classRules()
+	return rules.Idempotency == Idempotent ||
+		rules.Idempotency == IdempotentWithKey && rules.DedupScope == DedupScopeAll ||
+		!slices.ContainsFunc(request.attempts, func(a *attempt) bool { return a.mayHaveExecuted })
 }
 
-// unspent is from when on no window holds what was spent of the budget until now, here or elsewhere.
-func (b *Balancer) unspent(now int64) int64 { return now + b.s.RetryBudgetWindow }
+// mayHaveExecuted tells whether an attempt that ended so may have been executed by its server.
+func mayHaveExecuted(status Status, settings *Settings) bool {
+	switch status {
+	case StatusConnectFailed, StatusNotSent:
+		return false
+	case StatusRejected:
+		return settings.RejectedMayHaveExecuted
+	}
+	return true
+}
+
+// recordRequest counts a request for the budget.
+func (p *retryPolicy) recordRequest(now int64) { p.requests.add(now, p.settings.RetryBudgetWindow) }
+
+// recordRetry counts a retry for the budget.
+func (p *retryPolicy) recordRetry(now int64) { p.retries.add(now, p.settings.RetryBudgetWindow) }
+
+// budgetAllows tells whether one more retry is within the budget. The window ends now: a retry at its far
+// edge counts, a request received there doesn't.
+func (p *retryPolicy) budgetAllows(now int64) bool {
+	from, least := now-p.settings.RetryBudgetWindow, p.settings.RetryBudgetMin
+	if now < p.minAvailableFrom {
+		least = 0
+	}
+	allowed := least + p.settings.RetryBudgetRatio*p.requests.countSince(from+1)
+	return p.retries.countSince(from)+1 <= allowed
+}
+
+// windowClear is the time, in µs, from which no budget window holds a retry made until now, here or
+// elsewhere.
+func (p *retryPolicy) windowClear(now int64) int64 { return now + p.settings.RetryBudgetWindow }
 
-// Without a stated budget: its span, the further attempts in it, and those for each request taken.
-const defaultBudgetWindow, defaultBudgetMin, defaultBudgetRatio = 10 * second, 5.0, 0.1
+// extendWindow takes it that the budget window has become longer: retries before the former one are
+// forgotten, so that the minimum counts again only when the new window holds none of them.
+func (p *retryPolicy) extendWindow(now int64) {
+	p.minAvailableFrom = max(p.minAvailableFrom, p.windowClear(now))
+}
+
+// export hands the budget over: what was used of it and its minimum are the successor's. What further
+// requests earn stays here, so that the two together keep to the budget in every window.
+func (p *retryPolicy) export(now int64) RetryBudgetUsage {
+	p.requests.countSince(now - p.settings.RetryBudgetWindow)
+	p.retries.countSince(now - p.settings.RetryBudgetWindow)
+	usage := RetryBudgetUsage{Requests: p.requests, Retries: p.retries}
+	p.requests, p.retries, p.minAvailableFrom = nil, nil, math.MaxInt64
+	return usage
+}
+
+// adopt takes what a predecessor has used of the budget.
+func (p *retryPolicy) adopt(usage RetryBudgetUsage) {
+	p.requests, p.retries = usage.Requests, usage.Retries
+}
+
+// reclaim takes the minimum back from a successor that has ended, once no window holds what that may have
+// used.
+func (p *retryPolicy) reclaim(now int64) {
+	if p.minAvailableFrom == math.MaxInt64 {
+		p.minAvailableFrom = p.windowClear(now)
+	}
+}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -84,7 +84,7 @@
 	}
 	ask(b, h, start+2000, "keyed", 1)
 	b.HandleOutcome(start+3000, h, Outcome{RequestID: "keyed", Status: StatusRejected, Latency: 1000})
-	if len(h.sends) != 3 || b.byID[h.sends[1].server].Cell != b.byID[h.sends[2].server].Cell {
+	if len(h.sends) != 3 || b.members.byID[h.sends[1].server].Cell != b.members.byID[h.sends[2].server].Cell {
 		t.Errorf("a keyed request that was turned away left its group: %q", h.lines)
 	}
 }
@@ -97,8 +97,8 @@
 		ask(b, h, now, id, 0)
 		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
-	if most := int(defaultBudgetWindow/second) + 1; len(b.taken) > most {
-		t.Errorf("%d times of requests are kept, %d are needed", len(b.taken), most)
+	if most := int(defaultBudgetWindow/second) + 1; len(b.retries.requests) > most {
+		t.Errorf("%d times of requests are kept, %d are needed", len(b.retries.requests), most)
 	}
 }
 
@@ -133,7 +133,7 @@
 }
 func TestFurtherAttemptsAreBudgeted(t *testing.T) {
 	b, h := with(t, testSettings(), 4)
-	b.tier.min, b.tier.max = 1e9, 1e9
+	b.admission.tier.min, b.admission.tier.max = 1e9, 1e9
 	const n = 400
 	for i := range n {
 		id := fmt.Sprint(i)
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -2,123 +2,178 @@
 
 import "math"
 
-// Which server a call goes to.
+// Selection: which server an attempt goes to, by a weighted random draw.
+//
+// Input: the ready servers in the order of this replica's subset, and what the other rules say of each:
+// capacity hint, slow start, health, slowness, zone, tuning, evidence that it is still listed, and the
+// attempts that it holds. Output: a server, or none.
 
 const (
-	inFlightExponent         = 8.0  // how sharply a weight falls with the calls of this copy that its server holds
-	triedWeightFactor        = 1e-6 // weight left to a server that the request has tried, for when there is no other
-	nonIdempotentTrialFactor = 0.2  // of the trials of a silent server go on with calls that cannot be made again
-	healthyScore             = 0.5  // of its health left: a server below it only gets trials
-	warmupMargin             = 0.6  // part of its least capacity that a cold server is given
-	overloadMargin           = 0.65 // of what tips a cold server over is the most that all copies may send it
+	inFlightExponent  = 8.0  // of 1 + attempts in flight: how sharply a weight falls with them
+	triedWeightFactor = 1e-6 // for a server that the request has tried: it is left for when there is no other
+
+	// Of its trials, those that an unhealthy server gets from calls that can't be repeated.
+	nonIdempotentTrialFactor = 0.2
+
+	minSubset         = 4.0 // servers that this replica spreads its calls over
+	subsetPerRootRate = 3.0 // servers for each root of a call a second
 )
 
-// draw picks a ready server of this copy's subset at random by weight; those tried before come last. The
-// subset grows where it has too few warm and healthy servers, or none that the request may go to. One back
-// from a ban gets the first call that it stands, wherever it is: who called it back wants to see it serve.
-func (b *Balancer) draw(now int64, q *request) *server {
-	b.draws.add(now)
-	for _, s := range b.ready {
-		if s.probePending && b.within(now, q, s) >= 0 && b.stands(now, s) {
-			s.probePending = false
-			return s
-		}
+// candidate is a server in a draw.
+type candidate struct {
+	server   *server
+	weight   float64
+	reach    float64 // weight by capacity hint and zone alone
+	health   float64 // score for the request's class, 0 to 1
+	capacity float64 // slow start: least fraction of its warm capacity
+}
+
+// selection holds what the size of the subset follows from, and the candidates of the present draw.
+type selection struct {
+	*shared
+	members   *membership
+	listing   *listEvidence
+	locality  *locality
+	retries   *retryPolicy
+	slowStart *slowStart
+
+	sent       window // attempts
+	candidates []candidate
+}
+
+// recordSend counts an attempt.
+func (s *selection) recordSend(now int64) { s.sent.add(now) }
+
+// subsetSize is how many warm and healthy servers this replica's calls are spread over. With more, each
+// server would hold a connection of every replica, and each replica would see too few calls of a server to
+// judge it.
+func (s *selection) subsetSize(now int64) float64 {
+	rate := s.sent.count(now, maxWindow) / float64(maxWindow/second)
+	return max(minSubset, subsetPerRootRate*math.Sqrt(rate))
+}
+
+// choose draws the server of a request's next attempt, nil if there is none to send it to.
+func (s *selection) choose(now int64, request *request) *server {
+	s.slowStart.recordDraw(now)
+	if server := s.resumed(now, request); server != nil {
+		return server
 	}
-	stale := b.stale(now)
-	if s := b.trial(now, q); s != nil && !stale {
-		return s
+	stale := s.listing.isStale(now)
+	if server := s.locality.trial(now, request); server != nil && !stale {
+		return server
 	}
-	b.drawn, b.weights = b.drawn[:0], b.weights[:0]
-	total, best, room := 0.0, 0.0, b.subset(now)
-	beyond, spread, cold := max(1, room*b.beyond()), min(room, float64(len(b.ready)/b.s.ZoneCount)), false
-	for i := 0; i < len(b.ready); i++ {
-		if i < b.near && room <= 0 && total > 0 {
-			i = b.near
-		}
-		if i == b.near && b.homeCopes() && total > 0 {
-			room = 1
-		} else if i == b.near {
-			room = max(room, beyond)
-		}
-		if i == b.far {
-			room = 0
-		}
-		if i == len(b.ready) || room <= 0 && total > 0 {
-			break
-		}
-		s := b.ready[i]
-		warmth := b.warmth(now, s)
-		room, cold = room-s.healthScore(q.Class)*warmth, cold || warmth < 1 && b.s.OverloadMultiple > 0
-		w := 0.0
-		if b.within(now, q, s) >= 0 {
-			w = b.weigh(now, s, q.Class)
-		}
-		if q.triedOn(s) {
-			w *= triedWeightFactor
-		}
-		if stale {
-			w *= b.listedPart(now, s)
-		}
-		total += w
-		if s.healthScore(q.Class) >= healthyScore {
-			best = max(best, w)
-		}
-		b.drawn, b.weights = append(b.drawn, s), append(b.weights, w)
+	d := draw{selection: s, now: now, request: request, stale: stale}
+	d.gather()
+	d.limitUnhealthy()
+	point := s.random.Float64() * d.total
+	if d.warming {
+		point -= s.slowStart.limitWarming(now, s.candidates, d.total, d.spread)
 	}
-	// One that fails fast holds few calls, so it would draw the most: its trials are a part of the best.
-	for i, s := range b.drawn {
-		part, unsafe := s.healthScore(q.Class), q.Settings.Classes[q.Class].Idempotency == NonIdempotent
-		if unsafe && (s.damped || s.whole.score*s.told < healthyScore) {
-			part *= nonIdempotentTrialFactor
-		}
-		if over := b.weights[i] - part*best; best > 0 && part < healthyScore && over > 0 {
-			total, b.weights[i] = total-over, part*best
+	return s.at(point)
+}
+
+// resumed is a server that an operator has resumed and that may get the request, wherever it is: whoever
+// resumed it wants to see it serve.
+func (s *selection) resumed(now int64, request *request) *server {
+	for _, server := range s.members.ready {
+		if server.probePending && s.retries.sendWindow(now, request, server) != neverAgain &&
+			s.slowStart.admitsProbe(now, server, len(s.members.ready)) {
+			server.probePending = false
+			return server
 		}
 	}
-	x := b.rnd.Float64() * total
-	if cold {
-		x -= b.ration(now, q.Class, total, spread)
+	return nil
+}
+
+// draw is one draw in progress.
+type draw struct {
+	*selection
+	now     int64
+	request *request
+	stale   bool // the list alone shows nothing
+
+	total   float64 // of the candidates' weights
+	best    float64 // weight of a healthy candidate
+	spread  float64 // servers of a zone that the replica's calls are taken to be spread over
+	warming bool    // a candidate is warming up and has to be limited
+}
+
+// gather collects the candidates: the replica's subset of the local zone first, then as many of other zones
+// as the spillover asks for, and evacuated zones only where there is nothing else. Each step goes on until
+// it has enough healthy and warm servers and at least one that the request may go to.
+func (d *draw) gather() {
+	d.candidates = d.candidates[:0]
+	d.total, d.best, d.warming = 0, 0, false
+	enough := d.subsetSize(d.now)
+	remote := max(1, enough*d.locality.remoteWeight())
+	d.spread = min(enough, float64(len(d.members.ready)/d.settings.ZoneCount))
+
+	left := d.gatherFrom(d.members.local(), enough)
+	if d.locality.localZoneCopes() && d.total > 0 {
+		left = 1
+	} else {
+		left = max(left, remote)
 	}
-	return b.pick(x)
+	d.gatherFrom(d.members.remote(), left)
+	d.gatherFrom(d.members.evacuated(), 0)
 }
 
-// healthFor is a server's for a class; that of a damped one is steady, or less if it refuses connections.
-func (s *server) healthScore(class int) float64 {
-	left := s.whole.score * s.classes[class].score * s.told
-	if s.damped && (!s.refused || left > dampedWeight) {
-		return dampedWeight
+// gatherFrom adds servers until they add up to enough warm and healthy ones and some candidate has a
+// weight. It returns how many are missing.
+func (d *draw) gatherFrom(servers []*server, enough float64) (missing float64) {
+	for _, server := range servers {
+		if enough <= 0 && d.total > 0 {
+			break
+		}
+		enough -= d.add(server)
 	}
-	return left
+	return enough
 }
 
-// reach is how far calls go to a server for its size and zone alone.
-func (b *Balancer) reach(s *server) float64 {
-	w := 1.0
-	if b.s.CapacityHints && s.CapacityHint > 0 {
-		w = s.CapacityHint
+// add makes a server a candidate and returns what it counts as towards the subset.
+func (d *draw) add(server *server) (counts float64) {
+	warmth := d.slowStart.factor(d.now, server)
+	c := candidate{server: server, reach: d.reach(server), health: server.healthScore(d.request.Class)}
+	d.warming = d.warming || d.slowStart.limitsDraw(warmth)
+	if d.retries.sendWindow(d.now, d.request, server) != neverAgain {
+		c.weight = d.weight(d.now, server, d.request.Class)
+	}
+	if d.request.triedOn(server) {
+		c.weight *= triedWeightFactor
 	}
-	if s.Zone != b.s.Zone { // calls stay at home while home copes
-		w *= b.beyond()
+	if d.stale {
+		c.weight *= d.listing.factor(d.now, server)
 	}
-	return w
+	d.total += c.weight
+	if c.health >= healthyScore {
+		d.best = max(d.best, c.weight)
+	}
+	d.candidates = append(d.candidates, c)
+	return c.health * warmth
 }
 
-// weigh is a server's weight by its size, age and zone, what was learned of it and the calls that it holds.
-func (b *Balancer) weigh(now int64, s *server, class int) float64 {
-	w := max(minHealthScore, s.healthScore(class)) / (s.slowness * s.slowness) * b.warmth(now, s)
-	w *= b.reach(s) * s.tuned / math.Pow(float64(1+s.inFlight), inFlightExponent)
-	if z := b.zone(s.Zone); z != nil && z.Phase != ZoneEvacuated { // one that is away comes last anyway
-		w *= z.WeightFraction
+// limitUnhealthy keeps unhealthy candidates to trials: a part of the best one's weight. One that fails fast
+// holds few attempts and would draw the most otherwise.
+func (d *draw) limitUnhealthy() {
+	nonIdempotent := d.request.classRules().Idempotency == NonIdempotent
+	for i := range d.candidates {
+		c := &d.candidates[i]
+		part := c.health
+		if nonIdempotent && c.server.riskyForNonIdempotent() {
+			part *= nonIdempotentTrialFactor
+		}
+		if over := c.weight - part*d.best; d.best > 0 && part < healthyScore && over > 0 {
+			d.total, c.weight = d.total-over, part*d.best
+		}
 	}
-	return w
 }
 
-// pick returns the drawn server at which the sum of weights passes x, or nil if none has weight or x is below 0.
-func (b *Balancer) pick(x float64) (last *server) {
-	for i, w := range b.weights {
-		if w > 0 && x >= 0 {
-			last = b.drawn[i]
-			if x -= w; x < 0 {
+// at is the candidate at which the sum of weights passes point; nil if none has a weight or point is below 0.
+func (s *selection) at(point float64) (last *server) {
+	for i := range s.candidates {
+		if c := &s.candidates[i]; c.weight > 0 && point >= 0 {
+			last = c.server
+			if point -= c.weight; point < 0 {
 				break
 			}
 		}
@@ -126,8 +181,38 @@
 	return last
 }
 
-// subset is how many warm and healthy servers this copy's calls are spread over.
-func (b *Balancer) subset(now int64) float64 {
-	rate := b.tier.admitted.count(now, maxWindow) / float64(maxWindow/second)
-	return max(minSubset, subsetPerRootRate*math.Sqrt(rate))
+// reach is a server's weight by its capacity hint and zone alone.
+func (s *selection) reach(server *server) float64 {
+	weight := 1.0
+	if s.settings.CapacityHints && server.CapacityHint > 0 {
+		weight = server.CapacityHint
+	}
+	if server.Zone != s.settings.Zone {
+		weight *= s.locality.remoteWeight()
+	}
+	return weight
+}
+
+// weight is a server's weight by its capacity hint, age and zone, by what was learned of it and by the
+// attempts that it holds.
+func (s *selection) weight(now int64, server *server, class int) float64 {
+	slowness, health := server.latency.slowness, max(minHealthScore, server.healthScore(class))
+	weight := health / (slowness * slowness) * s.slowStart.factor(now, server)
+	weight *= s.reach(server) * server.tuning.factor / math.Pow(float64(1+server.inFlight), inFlightExponent)
+	return weight * s.locality.recoveryFactor(server.Zone)
+}
+
+// healthScore is what is left of a server's weight for a class, 0 to 1. One that flaps has a steady one, or a
+// lower one while it refuses connections.
+func (s *server) healthScore(class int) float64 {
+	score := s.outlier.score(class)
+	if s.damping.active && (!s.outlier.connectionRefused || score > dampedWeight) {
+		return dampedWeight
+	}
+	return score
+}
+
+// riskyForNonIdempotent tells whether a call that can't be repeated should rather go elsewhere.
+func (s *server) riskyForNonIdempotent() bool {
+	return s.damping.active || s.outlier.overallScore() < healthyScore
 }
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -71,17 +71,17 @@
 func TestAServerThatFailsFastGetsNoMoreThanTrials(t *testing.T) {
 	b, _ := with(t, testSettings(), 4)
 	for range 50 {
-		b.judge(b.byID["s0"], 0, StatusError)
+		b.outliers.attribute(b.members.byID["s0"], 0, StatusError)
 		for _, id := range []string{"s1", "s2", "s3"} {
-			b.judge(b.byID[id], 0, StatusOK)
+			b.outliers.attribute(b.members.byID[id], 0, StatusOK)
 		}
 	}
 	for _, id := range []string{"s1", "s2", "s3"} {
-		b.byID[id].inFlight = 4
+		b.members.byID[id].inFlight = 4
 	}
 	drawn := 0
 	for range 1000 {
-		if b.draw(start, &request{Settings: b.s}).ID == "s0" {
+		if b.selection.choose(start, &request{Request: Request{Settings: b.settings}}).ID == "s0" {
 			drawn++
 		}
 	}
@@ -95,15 +95,15 @@
 	set := testSettings()
 	b, _ := with(t, set, 4)
 	for range 50 {
-		b.judge(b.byID["s0"], 0, StatusTimedOut)
+		b.outliers.attribute(b.members.byID["s0"], 0, StatusTimedOut)
 		for range 3 {
-			b.judge(b.byID["s1"], 0, StatusOK)
+			b.outliers.attribute(b.members.byID["s1"], 0, StatusOK)
 		}
 	}
 	drawn := map[Idempotency]int{}
 	for class, c := range set.Classes {
 		for range 4000 {
-			if b.draw(start, &request{Settings: b.s, Request: Request{Class: class}}).ID == "s0" {
+			if b.selection.choose(start, &request{Request: Request{Settings: b.settings, Class: class}}).ID == "s0" {
 				drawn[c.Idempotency]++
 			}
 		}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -5,69 +5,116 @@
 	"math"
 )
 
-// ration keeps rule 4 for the sum of all copies: by weight alone a cold server without calls, beside warm
-// ones that have some or fail, draws the most by far. Its chance is held to what it stands (see rush). The
-// rest goes to the least ill of the warm ones, as far as they are healthy, or is refused: that is returned.
-func (b *Balancer) ration(now int64, class int, total, spread float64) (refused float64) {
-	all, warm, able := 0.0, 0.0, 0.0
-	for i, s := range b.drawn {
-		s.warmFraction, all = b.grown(now, s), all+b.reach(s)
-		able = max(able, s.healthScore(class)*indicator(s.warmFraction == 1 && b.weights[i] > 0))
-	}
-	usual, present := b.rush(now)
-	most := total * overloadMargin * b.s.OverloadMultiple * min(1, (usual+1)/present) / max(all, spread)
-	takes := func(s *server) bool { return s.warmFraction == 1 && s.healthScore(class) >= min(able, healthyScore) }
-	for i, s := range b.drawn {
-		if over := b.weights[i] - most*b.reach(s)*s.warmFraction; s.warmFraction < 1 && over > 0 {
-			b.weights[i], refused = b.weights[i]-over, refused+over
-		} else if takes(s) {
-			warm += b.weights[i]
-		}
-	}
-	more := refused * min(1, able/healthyScore) / max(warm, math.SmallestNonzeroFloat64)
-	for i, s := range b.drawn {
-		if takes(s) {
-			b.weights[i] *= 1 + more
-		}
-	}
-	return refused - more*warm
+// Slow start: how much a server gets while it is warming up, so that all replicas together don't overload it.
+//
+// Input: a server's start time, the rate of requests at this replica, and the candidates of a draw. Output: a
+// factor of the server's weight by its age and, where the settings say what overloads a server, a cap on its
+// part of the draw.
+//
+// No replica knows a warming server's capacity or what the others send to it. The cap takes for granted
+// that the other replicas send as this one does, spread evenly over the servers of their subset by capacity
+// and zone, and that a warm server can carry what comes to it so. Each draw has a chance, rather than each
+// replica a number of calls, so that the sum over all replicas varies as chance has it, be they few or
+// many.
+
+const (
+	warmupMargin   = 0.6         // of its least capacity: what a warming server's weight is kept to
+	overloadMargin = 0.65        // of what overloads it: what all replicas may send to a warming server
+	arrivalDecay   = 30 * second // time constant by which a replica learns its usual rate of requests
+)
+
+// slowStart holds the draws, which show the present rate.
+type slowStart struct {
+	*shared
+	draws        window // attempts to find a server
+	otherProcess bool   // another process of this proxy sends too
 }
 
-// stands tells whether one back from a ban may get a call: by chance, if this copy's part of it is under one.
-func (b *Balancer) stands(now int64, s *server) bool {
-	usual, present := b.rush(now)
-	part := usual * overloadMargin * b.s.OverloadMultiple * b.grown(now, s) / float64(len(b.ready))
-	return b.grown(now, s) == 1 || b.s.OverloadMultiple == 0 || part >= 1 || b.rnd.Float64() < part/present
+func newSlowStart(common *shared) *slowStart { return &slowStart{shared: common} }
+
+// recordDraw counts a draw.
+func (s *slowStart) recordDraw(now int64) { s.draws.add(now) }
+
+// capacity is the least fraction of its warm capacity that a server of its age has; 1 for a warm one.
+func (s *slowStart) capacity(now int64, server *server) float64 {
+	started := cmp.Or(server.LocalStartTime, server.StartTime)
+	age := now - started
+	if started == 0 || age >= s.settings.SlowStartDuration {
+		return 1
+	}
+	least := s.settings.SlowStartMinCapacity
+	return least + (1-least)*float64(max(age, 0))/float64(s.settings.SlowStartDuration)
 }
 
-// warmth keeps a cold server's weight under the least capacity that one of its age has (rule 4).
-func (b *Balancer) warmth(now int64, s *server) float64 {
-	part := b.grown(now, s)
-	if part == 1 {
+// factor is the factor of a server's weight, 0 to 1, by its age; 1 for a warm one.
+func (s *slowStart) factor(now int64, server *server) float64 {
+	capacity := s.capacity(now, server)
+	if capacity == 1 {
 		return 1
 	}
-	if b.shared { // the other process sends there too
-		part /= 2
+	if s.otherProcess { // it sends there too
+		capacity /= 2
 	}
-	return warmupMargin * part
+	return warmupMargin * capacity
 }
 
-// grown is the least part of its capacity that a server of its age has.
-func (b *Balancer) grown(now int64, s *server) float64 {
-	started := cmp.Or(s.LocalStartTime, s.StartTime)
-	age := now - started
-	if started == 0 || age >= b.s.SlowStartDuration {
-		return 1
+// limitsDraw tells whether a server with this factor needs the cap of limitWarming.
+func (s *slowStart) limitsDraw(factor float64) bool {
+	return factor < 1 && s.settings.OverloadMultiple > 0
+}
+
+// arrivalRates returns the requests that usually come to this replica in Settings.OverloadWindow, and the
+// draws it has made in the one that ends now. A new replica takes what comes for usual.
+func (s *slowStart) arrivalRates(now int64) (usual, present float64) {
+	span := min(s.settings.OverloadWindow, maxWindow)
+	age := float64(max(now-s.arrivals.firstAt, span))
+	learned := -math.Expm1(-age / float64(arrivalDecay)) // of what the decaying count comes to hold
+	usual = s.arrivals.recent.at(now) * float64(span) / (float64(arrivalDecay) * learned)
+	return usual, max(1, s.draws.count(now, span))
+}
+
+// limitWarming caps the weight of each warming candidate so that all replicas together send it no more than
+// overloadMargin of what overloads it. A rate above the usual, as of rejected clients that come again,
+// doesn't raise the cap. The excess goes to the warm candidates that are healthy, or least ill, as far as
+// their health allows; the rest is returned as the weight of draws that have to find no server. total is
+// the sum of weights, spread the number of servers that the replica's calls are taken to be spread over.
+func (s *slowStart) limitWarming(now int64, candidates []candidate, total, spread float64) (shed float64) {
+	reach, healthiest := 0.0, 0.0
+	for i := range candidates {
+		c := &candidates[i]
+		c.capacity, reach = s.capacity(now, c.server), reach+c.reach
+		healthiest = max(healthiest, c.health*indicator(c.capacity == 1 && c.weight > 0))
+	}
+	usual, present := s.arrivalRates(now)
+	most := total * overloadMargin * s.settings.OverloadMultiple *
+		min(1, (usual+1)/present) / max(reach, spread)
+	takesExcess := func(c *candidate) bool {
+		return c.capacity == 1 && c.health >= min(healthiest, healthyScore)
+	}
+	warm := 0.0
+	for i := range candidates {
+		c := &candidates[i]
+		if over := c.weight - most*c.reach*c.capacity; c.capacity < 1 && over > 0 {
+			c.weight, shed = c.weight-over, shed+over
+		} else if takesExcess(c) {
+			warm += c.weight
+		}
+	}
+	more := shed * min(1, healthiest/healthyScore) / max(warm, math.SmallestNonzeroFloat64)
+	for i := range candidates {
+		if takesExcess(&candidates[i]) {
+			candidates[i].weight *= 1 + more
+		}
 	}
-	return b.s.SlowStartMinCapacity + (1-b.s.SlowStartMinCapacity)*float64(max(age, 0))/float64(b.s.SlowStartDuration)
+	return shed - more*warm
 }
 
-// rush is how many requests usually come to this copy in Settings.FallSpan, and how many draws it has made in
-// the one that ends now. By these it judges what a cold server stands, as no copy knows its capacity or what
-// others send; docs/policy.md says what is taken for granted. Each draw has a chance, not each copy a number
-// of calls, so that the sum of all copies is as chance has it by Poisson, be they few or many.
-func (b *Balancer) rush(now int64) (usual, present float64) {
-	span := min(b.s.OverloadWindow, maxWindow)
-	seen := -math.Expm1(-float64(max(now-b.born, span)) / float64(arrivalDecay)) // of what a tally comes to hold
-	return b.came.at(now) * float64(span) / (float64(arrivalDecay) * seen), max(1, b.draws.count(now, span))
+// admitsProbe tells whether a server that an operator has resumed may get a call now. Where ready servers
+// are so many that its part of this replica's usual calls is below one, a chance stands for that part.
+func (s *slowStart) admitsProbe(now int64, server *server, ready int) bool {
+	usual, present := s.arrivalRates(now)
+	capacity := s.capacity(now, server)
+	part := usual * overloadMargin * s.settings.OverloadMultiple * capacity / float64(ready)
+	return capacity == 1 || s.settings.OverloadMultiple == 0 || part >= 1 ||
+		s.random.Float64() < part/present
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -17,8 +17,8 @@
 	}{
 		{"all is well", 1, func(s *server) {}, 0},
 		{"the warm ones hold calls", 1, func(s *server) { s.inFlight = 2 }, 0},
-		{"the warm ones fail", 1, func(s *server) { s.whole.score = minHealthScore }, 0.65},
-		{"the warm ones were tried", 1, func(s *server) { s.tuned = triedWeightFactor }, 0},
+		{"the warm ones fail", 1, func(s *server) { s.outlier.overall.score = minHealthScore }, 0.65},
+		{"the warm ones were tried", 1, func(s *server) { s.tuning.factor = triedWeightFactor }, 0},
 		{"one warm one is left", 3, func(s *server) { s.inFlight = 2 }, 0},
 		{"all are cold", 4, func(s *server) {}, 0.6}, // 1 - tipPart x 3 x 0.2 is 0.61
 	} {
@@ -33,7 +33,7 @@
 			}
 			b, h := mustNew(t, set), &recorder{}
 			b.UpdateEndpoints(start, h, UpdateSnapshot, list)
-			for _, s := range b.ready {
+			for _, s := range b.members.ready {
 				if s.StartTime == 0 {
 					k.spoil(s)
 				}
@@ -42,9 +42,9 @@
 			got := map[string]float64{}
 			for i := range n {
 				now := start + int64(i) // grown hardly changes meanwhile
-				q := &request{Settings: b.s, Request: Request{ID: fmt.Sprint(i), Class: 2}}
-				b.arrived(now, q)
-				if s := b.draw(now, q); s != nil {
+				q := &request{Request: Request{Settings: b.settings, ID: fmt.Sprint(i), Class: 2}}
+				b.register(now, q)
+				if s := b.selection.choose(now, q); s != nil {
 					got[s.ID] += 1.0 / n
 				} else {
 					got["none"] += 1.0 / n
@@ -77,9 +77,9 @@
 	play := func(span, gap int64) (cold float64) {
 		for end := now + span; now < end; now += gap {
 			n++
-			q := &request{Settings: b.s, Request: Request{ID: fmt.Sprint(n), Class: 2}}
-			b.arrived(now, q)
-			if s := b.draw(now, q); s != nil && s.StartTime > 0 {
+			q := &request{Request: Request{Settings: b.settings, ID: fmt.Sprint(n), Class: 2}}
+			b.register(now, q)
+			if s := b.selection.choose(now, q); s != nil && s.StartTime > 0 {
 				cold++
 			}
 		}
@@ -90,9 +90,9 @@
 		list[i].StartTime = now
 	}
 	b.UpdateEndpoints(now, h, UpdateSnapshot, list)
-	play(2*second, 2_000)                                                          // 500 a second
-	got := play(2*second, 2_000)                                                   // by now the usual is up by two thirds
-	most := 100 * overloadMargin * set.OverloadMultiple * b.grown(now, b.ready[0]) // of the usual, by all four
+	play(2*second, 2_000)                                                                               // 500 a second
+	got := play(2*second, 2_000)                                                                        // by now the usual is up by two thirds
+	most := 100 * overloadMargin * set.OverloadMultiple * b.slowStart.capacity(now, b.members.ready[0]) // of the usual, by all four
 	if got > 2.5*most {
 		t.Errorf("cold servers got %v calls in a span, %v of the usual", got, most)
 	}
@@ -120,7 +120,7 @@
 	if part > s.SlowStartMinCapacity || part == 0 {
 		t.Errorf("a cold server got %.3f of a warm one's calls, capacity is %.3f", part, s.SlowStartMinCapacity)
 	}
-	if w := b.warmth(start+s.SlowStartDuration, b.byID["s1"]); w != 1 {
+	if w := b.slowStart.factor(start+s.SlowStartDuration, b.members.byID["s1"]); w != 1 {
 		t.Errorf("a server past its warming time has warmth %v", w)
 	}
 }
@@ -149,9 +149,9 @@
 			}
 			b, h := mustNew(t, set), &recorder{}
 			b.UpdateEndpoints(start, h, UpdateSnapshot, list)
-			ill := b.byID[list[5].ID]
-			ill.whole.score = minHealthScore
-			for _, s := range b.ready {
+			ill := b.members.byID[list[5].ID]
+			ill.outlier.overall.score = minHealthScore
+			for _, s := range b.members.ready {
 				if s.StartTime == 0 && s != ill {
 					s.inFlight = k.held
 				}
@@ -160,9 +160,9 @@
 			got, none := 0, 0
 			for i := range n {
 				now := start + int64(i) // grown hardly changes meanwhile
-				q := &request{Settings: b.s, Request: Request{ID: fmt.Sprint(i), Class: 2}}
-				b.arrived(now, q)
-				switch b.draw(now, q) {
+				q := &request{Request: Request{Settings: b.settings, ID: fmt.Sprint(i), Class: 2}}
+				b.register(now, q)
+				switch b.selection.choose(now, q) {
 				case ill:
 					got++
 				case nil:
@@ -183,7 +183,7 @@
 // How warm a server is goes by the clock of events, whatever the list's clock says of the same start.
 func TestAColdServerIsColdByTheClockOfEvents(t *testing.T) {
 	const now, cold = 100 * second, 10 * second
-	b := &Balancer{s: &Settings{SlowStartMinCapacity: 0.1, SlowStartDuration: cold}}
+	rule := newSlowStart(&shared{settings: &Settings{SlowStartMinCapacity: 0.1, SlowStartDuration: cold}})
 	for _, c := range []struct {
 		name              string
 		launched, started int64
@@ -195,7 +195,7 @@
 		{"warm, the list's clock ahead", now + 3600*second, now - cold, 1, 1},
 	} {
 		s := &server{Server: Server{StartTime: c.launched, LocalStartTime: c.started}}
-		if got := b.grown(now, s); got < c.least || got > c.most {
+		if got := rule.capacity(now, s); got < c.least || got > c.most {
 			t.Errorf("%s: %v of its capacity, want %v to %v", c.name, got, c.least, c.most)
 		}
 	}
--- a/balancer/spillover_test.go
+++ b/balancer/spillover_test.go
@@ -4,20 +4,20 @@
 
 func TestHomeFirstAndSpillUnderPressure(t *testing.T) {
 	b, _ := with(t, testSettings(), 8)
-	home := b.weigh(start, b.byID["s0"], 0)
+	home := b.selection.weight(start, b.members.byID["s0"], 0)
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			b.press(now, 0, &attempt{sentAt: now, zone: b.s.Zone}, bad, bad)
+			b.applyBackpressure(now, 0, &attempt{sentAt: now, zone: b.settings.Zone}, bad, bad)
 		}
 	}
 	feed(60*feedbackRoundCalls, false)
-	if away := b.weigh(start, b.byID["s2"], 0); away > home/10 {
+	if away := b.selection.weight(start, b.members.byID["s2"], 0); away > home/10 {
 		t.Errorf("a calm home leaves %.3f of the weight to other zones", away/home)
 	}
 	feed(20*feedbackRoundCalls, true)
-	if away := b.weigh(start, b.byID["s2"], 0); away < home/2 {
+	if away := b.selection.weight(start, b.members.byID["s2"], 0); away < home/2 {
 		t.Errorf("a home in trouble leaves %.3f of the weight to other zones", away/home)
 	}
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -1,96 +1,102 @@
 package balancer
 
-import "merlinpick/internal/tailweights"
+import "math/rand/v2"
 
-// The data that decisions read. What here decides, or why it does not: docs/policy.md.
+// The records that several rules share. Each rule keeps its part in a struct of its own, which it alone writes.
 
-// classState is a class's rule and what is known of its times.
-type classState struct {
-	rule      concurrencyLimit
-	yield     feedbackRound // evidence of classes that are worth clearly more
-	mean      float64       // of successes
-	base      float64       // the mean when little waits
-	seen      float64       // successes
-	errorRate float64       // running part of failed calls over all servers
-	waiting   []*attempt    // at the front: in order of sending, those not yet slow
-	retired   bool          // the settings have it no more; it is free once no request of it is open
+// shared is what every rule may read. The engine alone writes it.
+type shared struct {
+	settings *Settings    // in force; Settings.Classes is indexed by class number
+	random   *rand.Rand   // the only source of randomness
+	classes  []classState // by class number
+	arrivals arrivals
 }
 
-type server struct {
-	Server
-	slowness     float64 // running time of its calls against the mean of all
-	whole        health
-	classes      []health // for the calls of each class
-	inFlight     int
-	hash         uint64
-	warmFraction float64 // least part of its capacity, as of the last draw among cold ones
-	probePending bool    // back from a ban and not tried since
-	seen         callStats
-	okAt         int64         // when this copy was last answered by it
-	told         float64       // part of its weight that the verdicts of others leave
-	verdict      serverReports // what copies say of it now
-	refused      bool          // it refused a connection, and has answered nothing since
-	damped       bool          // removals and returns are not acted on
-	since        int64         // since then
-	load         loadStats
-	sum          fleetLoad // as of the last round of tuning
-	fit          tailweights.CurveFit
-	tune         float64 // logarithm of the factor that its weight is tuned by
-	tuneWas      float64 // before the last step
-	tuned        float64 // the factor
-
-	provenUntil int64 // until then it is shown to be listed, see staleness.go
-	disprovenAt int64 // a call sent then was not taken
+// arrivals counts the requests that this replica has received.
+type arrivals struct {
+	firstAt int64         // when the first one came, in µs; 0: none yet
+	recent  decayingCount // fades over arrivalDecay
 }
 
-// forget drops what was learned of a server.
-func (s *server) resetLearned(classes int) {
-	s.slowness, s.whole, s.classes = 1, health{score: 1}, make([]health, classes)
-	s.seen, s.okAt, s.told, s.verdict = callStats{}, 0, 1, serverReports{}
-	s.damped, s.refused, s.provenUntil, s.disprovenAt = false, false, 0, 0
-	s.load, s.sum, s.fit, s.tune, s.tuneWas, s.tuned = loadStats{}, fleetLoad{}, tailweights.CurveFit{}, 0, 0, 1
-	for i := range s.classes {
-		s.classes[i].score = 1
+// record counts one request.
+func (a *arrivals) record(now int64) {
+	if a.firstAt == 0 {
+		a.firstAt = now
 	}
+	a.recent.add(now)
 }
 
-// partOf is one observation of a running part: 1 if it is so, else 0.
-func indicator(so bool) float64 {
-	if so {
-		return 1
-	}
-	return 0
+// classState is what the rules know of one class of requests.
+type classState struct {
+	admission classAdmission
+	latency   classLatency
+	errorRate float64 // outlier detection: running fraction of failed attempts over all servers, 0 to 1
+	retired   bool    // no longer in the settings; its number is free once no open request has it
 }
 
-type attempt struct {
-	server          *server
-	sentAt          int64
-	zone            int // as listed at the time of sending
-	cell            int
-	slow            bool // counted as slow before its end
-	quiet           bool // counted as bad before its end
-	responseStarted bool // its answer has begun
-	counted         bool // in flight, see count
-	mayHaveExecuted bool // outstanding, or ended without proof that it never ran
-	pending         bool
+// server is one listed server: its entry in the list and what each rule keeps of it.
+type server struct {
+	Server              // as last listed
+	hash         uint64 // its place on the ring
+	inFlight     int    // attempts of this replica that count as in flight
+	probePending bool   // selection: resumed by an operator and not called since
+	latency      serverLatency
+	outlier      outlierState
+	damping      dampingState
+	listing      listingState
+	load         loadState
+	tuning       tuningState
+}
+
+// resetLearned drops what was learned of a server, as for another process. Attempts in flight still count.
+func (s *server) resetLearned(classes int) {
+	s.latency = newServerLatency()
+	s.outlier = newOutlierState(classes)
+	s.damping = dampingState{}
+	s.listing = listingState{}
+	s.load = loadState{}
+	s.tuning = newTuningState()
 }
 
+// request is an open request.
 type request struct {
-	Request
-	Settings   *Settings // those that it began with hold for it to its end
-	receivedAt int64
-	queue      *keyQueue // nil if it need not wait its turn
+	Request              // Request.Settings, never nil, hold for it to its end
+	receivedAt int64     // µs; once a body was pending, when it had been received
+	queue      *keyQueue // ordering: nil if it has no place in a queue
 	attempts   []*attempt
-	done       bool
-	pending    int // attempts without outcome
+	pending    int  // attempts without an outcome
+	done       bool // the client has its answer, or is gone
 }
 
-// tried tells whether an attempt of the request went to the server.
-func (q *request) triedOn(s *server) bool {
-	for _, a := range q.attempts {
-		if a.server == s {
+// classRules is the request's class by the settings that the request began with.
+func (r *request) classRules() Class { return r.Settings.Classes[r.Class] }
+
+// triedOn tells whether an attempt of the request went to the server.
+func (r *request) triedOn(server *server) bool {
+	for _, attempt := range r.attempts {
+		if attempt.server == server {
 			return true
 		}
 	}
 	return false
 }
+
+// attempt is one Send of a request.
+type attempt struct {
+	server          *server
+	sentAt          int64 // µs; once a body was pending, when it had been received
+	zone, cell      int   // the server's at the time of sending
+	pending         bool  // without an outcome
+	responseStarted bool  // its response is being streamed: the rest takes the client's time
+	mayHaveExecuted bool  // retry: pending, or ended without proof that the server never ran it
+	admission       attemptAdmission
+	outlier         attemptOutlier
+}
+
+// indicator is one observation of a running fraction: 1 if it is so, else 0.
+func indicator(so bool) float64 {
+	if so {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/balancer/subscription.go
@@ -0,0 +1,53 @@
+package balancer
+
+// Subscription: when a watch of the endpoint list that has failed is opened again.
+//
+// Input: lists and failures. Output: whether to open a watch now, or the backoff before the next one.
+
+const (
+	watchTimer = "watch" // token of the timer that ends a backoff; the host returns it unchanged
+
+	// µs: the backoff doubles with each failure, up to the greater bound or this part of
+	// Settings.PollInterval.
+	minWatchBackoff, maxWatchBackoff = second / 4, second
+	pollIntervalDivisor              = 8
+)
+
+// subscription is the state of this replica's watch.
+type subscription struct {
+	*shared
+	backoff   int64 // µs, before the next attempt
+	requested bool  // a watch is open or being opened
+}
+
+func newSubscription(common *shared) *subscription {
+	return &subscription{shared: common, backoff: minWatchBackoff}
+}
+
+// failed takes a failure and returns the backoff in µs, spread evenly over as much again, as many replicas
+// keep the source of the list busy. ok is false if the next watch waits already.
+func (s *subscription) failed() (backoff int64, ok bool) {
+	if ok = s.requested; ok {
+		backoff = s.backoff + s.random.Int64N(s.backoff)
+		longest := min(maxWatchBackoff, s.settings.PollInterval/pollIntervalDivisor)
+		s.backoff = max(minWatchBackoff, min(2*s.backoff, longest))
+	}
+	s.requested = false
+	return backoff, ok
+}
+
+// succeeded takes a list, which ends the backoff, and tells whether a watch has to be opened for the next
+// ones.
+func (s *subscription) succeeded() (open bool) {
+	s.backoff = minWatchBackoff
+	return s.settings.WatchEndpoints && s.reopen()
+}
+
+// reopen tells whether a watch has to be opened now: none is open or being opened.
+func (s *subscription) reopen() bool {
+	if s.requested {
+		return false
+	}
+	s.requested = true
+	return true
+}
--- a/balancer/weighttuning.go
+++ b/balancer/weighttuning.go
@@ -6,82 +6,146 @@
 	"merlinpick/internal/tailweights"
 )
 
-// Weights tuned for the tail: by what all copies tell, each round moves them a step towards the loads of the
-// least tail. One that is cold, bad, damped or hardly called is not tuned, and zones keep what they have.
-const (
-	tuningInterval       = 3 * second // a round lasts this long, and up to half of it more: copies do not step together
-	loadChanceDeviations = 1.0        // standard deviations of the calls seen by which a load may miss by chance
-	minTunedCalls        = 8.0        // lately seen calls of all copies from which a server is tuned
-	worseTailDeviations  = 4.0        // over the root of this copy's calls: a tail worse by more takes the step back
-	failureExponent      = 2.0        // the power of the answered part by which the time of one that fails counts more
+// Weight tuning: small corrections of the servers' weights that keep the tail of all calls' latencies low.
+//
+// Input: the load reports of all replicas, and this replica's latencies. Output: a factor of each server's
+// weight. In each round the factors move a step towards the loads that package tailweights finds best. A
+// server that is warming up, unhealthy, damped or hardly called isn't tuned, and each zone keeps its share.
 
-	maxLogFactor, logFactorDecay = 1.0, 0.03 // bound of a weight's logarithm; the part that a round takes back
+const (
+	// µs: a round lasts this long, and up to half of it more, as replicas shouldn't step together.
+	tuningInterval = 3 * second
 
-	maxTuningStep, tuningGain = 0.1, 0.5 // a round moves the logarithm by this at most, and this part of the way
+	minTunedCalls        = 8.0 // lately seen calls of all replicas from which on a server is tuned
+	loadChanceDeviations = 1.0 // standard deviations of these calls by which a load may be off by chance
+	worseTailDeviations  = 4.0 // of this replica's calls: a worse tail takes the last step back
+	failureExponent      = 2.0 // of the answered fraction: how much slower a server that fails counts
 
-	maxReplicaCallsRatio, maxLatencyDeviation = 2.0, 4.0 // a copy counts as so many median ones at most, its times within this factor
+	maxLogFactor   = 1.0  // bound of a factor's logarithm
+	logFactorDecay = 0.03 // of the logarithm that a round takes back
+	maxTuningStep  = 0.1  // of the logarithm that a round moves
+	tuningGain     = 0.5  // of the way to the best loads that a round moves
 )
 
-var curveLearning = tailweights.CurveLearning{AssumedUtilization: 0.5, InformativeSpread: 0.3, Retention: 0.9, MaxMisfit: 1.6, MaxSlopeFactor: 8, MinLoadFraction: 0.2}
+var curveLearning = tailweights.CurveLearning{AssumedUtilization: 0.5, InformativeSpread: 0.3, Retention: 0.9,
+	MaxMisfit: 1.6, MaxSlopeFactor: 8, MinLoadFraction: 0.2}
+
+// tuningState is what weight tuning keeps of a server.
+type tuningState struct {
+	curve             tailweights.CurveFit // of its latency against its load
+	logFactor         float64              // natural logarithm of the factor
+	previousLogFactor float64              // before the last round
+	factor            float64              // of its weight, as of the last round
+}
 
-// tune is one round, when it is due.
-func (b *Balancer) tune(now int64) {
-	if now < b.tuneAt {
+func newTuningState() tuningState { return tuningState{factor: 1} }
+
+// weightTuning holds the present round and the tail of the one before.
+type weightTuning struct {
+	*shared
+	members   *membership
+	loads     *loads
+	slowStart *slowStart
+	reports   *reportExchange
+	locality  *locality
+
+	nextAt       int64                // µs, when the next round is due
+	step         float64              // of the logarithm that a round moves at most
+	tail         tailweights.TailNorm // of this round's latencies, as multiples of their class's unloaded one
+	tailCalls    float64
+	previousTail float64
+	solver       tailweights.Solver
+}
+
+// recordLatency takes the latency of an answer, as a multiple of its class's unloaded one.
+func (t *weightTuning) recordLatency(relative, priorityWeight float64) {
+	t.tail.Add(relative, priorityWeight)
+	t.tailCalls++
+}
+
+// adjust is one round, if it is due.
+func (t *weightTuning) adjust(now int64) {
+	if now < t.nextAt {
 		return
 	}
-	defer b.factors()
-	b.tuneAt = now + tuningInterval + b.rnd.Int64N(tuningInterval/2)
-	was, is := b.tailWas, b.tail.Root()
-	worse := was > 0 && is > was*(1+worseTailDeviations/math.Sqrt(b.tailCalls))
-	b.tailWas, b.tail, b.tailCalls = is, tailweights.TailNorm{}, 0
-	b.step = min(max(1.25*b.step, maxTuningStep/4), maxTuningStep)
-	fresh := b.sumLoads(now) > 1 && !b.peers.Isolated && !b.s.DisableWeightTuning
-	if fresh && worse {
-		b.step /= 4
-		for _, s := range b.ready {
-			s.tune = s.tuneWas
-		}
-		return
+	t.nextAt = now + tuningInterval + t.random.Int64N(tuningInterval/2)
+	worse := t.tailIsWorse()
+	t.step = min(max(1.25*t.step, maxTuningStep/4), maxTuningStep)
+	informed := t.loads.sumReports(now) > 1 && !t.reports.peers.Isolated && !t.settings.DisableWeightTuning
+	if informed && worse {
+		t.takeBack()
+	} else {
+		t.advance(now, informed)
+	}
+	for _, server := range t.members.ready {
+		server.tuning.factor = math.Exp(server.tuning.logFactor)
 	}
+}
+
+// tailIsWorse ends the round's tail and tells whether it is worse than the one before by more than chance.
+func (t *weightTuning) tailIsWorse() bool {
+	before, now := t.previousTail, t.tail.Root()
+	worse := before > 0 && now > before*(1+worseTailDeviations/math.Sqrt(t.tailCalls))
+	t.previousTail, t.tail, t.tailCalls = now, tailweights.TailNorm{}, 0
+	return worse
+}
+
+// takeBack takes the last step back and makes the next ones smaller.
+func (t *weightTuning) takeBack() {
+	t.step /= 4
+	for _, server := range t.members.ready {
+		server.tuning.logFactor = server.tuning.previousLogFactor
+	}
+}
+
+// advance takes a step, by zone. A server that can't be tuned, or all where nothing is known, goes back to
+// its own weight.
+func (t *weightTuning) advance(now int64, informed bool) {
 	groups := map[int][]*server{}
-	for _, s := range b.ready {
-		s.tuneWas = s.tune
-		healthy := !s.damped && s.whole.score*s.told >= healthyScore && b.warmth(now, s) == 1
-		if fresh && healthy && s.sum.calls >= minTunedCalls && s.sum.meanLatency > 0 {
-			groups[s.Zone] = append(groups[s.Zone], s)
+	for _, server := range t.members.ready {
+		state := &server.tuning
+		state.previousLogFactor = state.logFactor
+		if informed && t.canTune(now, server) {
+			groups[server.Zone] = append(groups[server.Zone], server)
 		} else {
-			s.tune -= clamp(s.tune, b.step)
+			state.logFactor -= clamp(state.logFactor, t.step)
 		}
 	}
-	for z := range b.zones { // in order
-		if len(groups[z]) > 1 {
-			b.tuneGroup(groups[z])
+	for zone := range t.locality.zones { // in order
+		if len(groups[zone]) > 1 {
+			t.advanceGroup(groups[zone])
 		}
 	}
 }
 
-func clamp(x, most float64) float64 { return min(max(x, -most), most) }
+// canTune tells whether a server is warm, healthy and called enough.
+func (t *weightTuning) canTune(now int64, server *server) bool {
+	healthy := !server.damping.active && server.outlier.overallScore() >= healthyScore
+	load := &server.load.fleet
+	return healthy && t.slowStart.factor(now, server) == 1 &&
+		load.calls >= minTunedCalls && load.meanLatency > 0
+}
 
-// tuneGroup steps weights towards the loads of the least tail. One that fails counts as slower than it seems.
-func (b *Balancer) tuneGroup(group []*server) {
-	seen, mean := make([]tailweights.Observation, len(group)), 0.0
-	for i, s := range group {
-		time := s.sum.meanLatency / math.Pow(max(1-s.sum.failedFraction, minHealthScore), failureExponent)
-		seen[i] = tailweights.Observation{CallsPerSecond: s.sum.callsPerSecond, MeanLatency: time, Weight: s.sum.calls, Curve: &s.fit}
+// advanceGroup moves the factors of one zone's servers towards the loads with the least tail. A server that
+// fails counts as slower than its answers are.
+func (t *weightTuning) advanceGroup(group []*server) {
+	observations, mean := make([]tailweights.Observation, len(group)), 0.0
+	for i, server := range group {
+		load := &server.load.fleet
+		latency := load.meanLatency / math.Pow(max(1-load.failedFraction, minHealthScore), failureExponent)
+		observations[i] = tailweights.Observation{CallsPerSecond: load.callsPerSecond, MeanLatency: latency,
+			Weight: load.calls, Curve: &server.tuning.curve}
 	}
-	ways := b.solver.Adjust(curveLearning, seen)
-	for i, s := range group {
-		ways[i] -= clamp(ways[i], loadChanceDeviations/math.Sqrt(s.sum.calls))
-		mean += ways[i] / float64(len(group))
+	changes := t.solver.Adjust(curveLearning, observations)
+	for i, server := range group {
+		changes[i] -= clamp(changes[i], loadChanceDeviations/math.Sqrt(server.load.fleet.calls))
+		mean += changes[i] / float64(len(group))
 	}
-	for i, s := range group {
-		s.tune = clamp(s.tune*(1-logFactorDecay)+clamp(tuningGain*(ways[i]-mean), b.step), maxLogFactor)
+	for i, server := range group {
+		step := clamp(tuningGain*(changes[i]-mean), t.step)
+		server.tuning.logFactor = clamp(server.tuning.logFactor*(1-logFactorDecay)+step, maxLogFactor)
 	}
 }
 
-// factors works the factors of the draw out, once a round.
-func (b *Balancer) factors() {
-	for _, s := range b.ready {
-		s.tuned = math.Exp(s.tune)
-	}
-}
+// clamp keeps x between -most and most.
+func clamp(x, most float64) float64 { return min(max(x, -most), most) }
--- a/balancer/weighttuning_test.go
+++ b/balancer/weighttuning_test.go
@@ -41,7 +41,7 @@
 		p.queues = append(p.queues, &queue{slots: make([]int64, 2), mean: 55_000})
 	}
 	for _, c := range p.copies {
-		c.b.s.DisableWeightTuning = !on
+		c.b.settings.DisableWeightTuning = !on
 	}
 	p.fate = func(c *copyOf, s Server) (Status, int64) {
 		var i int
@@ -67,7 +67,7 @@
 // factors are those of each server at the first copy, and the part of calls that s0 gets of an equal one.
 func (p *tuning) factors() (f [12]float64, s0 float64) {
 	for i := range f {
-		f[i] = math.Exp(p.copies[0].b.byID[fmt.Sprint("s", i)].tune)
+		f[i] = math.Exp(p.copies[0].b.members.byID[fmt.Sprint("s", i)].tuning.logFactor)
 	}
 	n, of := 0.0, 0.0
 	for _, c := range p.copies {
@@ -168,36 +168,36 @@
 	}{
 		{"a step", nil, 0.3, func(was, is float64) bool { return is < was && is >= was*(1-logFactorDecay)-maxTuningStep-1e-9 }},
 		{"worse", func(b *Balancer, s *server) {
-			b.tailWas, s.tuneWas = 1, 0.2
+			b.tuning.previousTail, s.tuning.previousLogFactor = 1, 0.2
 			for range 1000 {
-				b.tail.Add(1.5, 1)
-				b.tailCalls++
+				b.tuning.tail.Add(1.5, 1)
+				b.tuning.tailCalls++
 			}
 		}, 0.3, func(_, is float64) bool { return is == 0.2 }},
 		{"worse by chance", func(b *Balancer, s *server) {
-			b.tailWas, s.tuneWas = 1, 0.2
-			b.tail.Add(2, 1)
-			b.tailCalls++
+			b.tuning.previousTail, s.tuning.previousLogFactor = 1, 0.2
+			b.tuning.tail.Add(2, 1)
+			b.tuning.tailCalls++
 		}, 0.3, func(was, is float64) bool { return is != 0.2 && is < was }},
-		{"nobody heard", func(b *Balancer, s *server) { b.peers.Isolated = true }, 0.3,
+		{"nobody heard", func(b *Balancer, s *server) { b.reports.peers.Isolated = true }, 0.3,
 			func(was, is float64) bool { return math.Abs(is-(was-maxTuningStep)) < 1e-9 }},
 		{"one heard", func(b *Balancer, s *server) {
-			for i := range b.peers.Reports {
-				b.peers.Reports[i].Observer = "a"
+			for i := range b.reports.peers.Reports {
+				b.reports.peers.Reports[i].Observer = "a"
 			}
 		}, 0.3, func(was, is float64) bool { return math.Abs(is-(was-maxTuningStep)) < 1e-9 }},
-		{"switched off", func(b *Balancer, s *server) { b.s.DisableWeightTuning = true }, 0.05, func(_, is float64) bool { return is == 0 }},
+		{"switched off", func(b *Balancer, s *server) { b.settings.DisableWeightTuning = true }, 0.05, func(_, is float64) bool { return is == 0 }},
 		{"cold", func(b *Balancer, s *server) {
 			s.StartTime = start - second
-			for i := range b.peers.Reports {
-				b.peers.Reports[i].StartTime = s.StartTime
+			for i := range b.reports.peers.Reports {
+				b.reports.peers.Reports[i].StartTime = s.StartTime
 			}
 		}, 0.05, func(_, is float64) bool { return is == 0 }},
-		{"damped", func(b *Balancer, s *server) { s.damped = true }, 0.05, func(_, is float64) bool { return is == 0 }},
-		{"bad", func(b *Balancer, s *server) { s.whole.score = 0.1 }, 0.05, func(_, is float64) bool { return is == 0 }},
+		{"damped", func(b *Balancer, s *server) { s.damping.active = true }, 0.05, func(_, is float64) bool { return is == 0 }},
+		{"bad", func(b *Balancer, s *server) { s.outlier.overall.score = 0.1 }, 0.05, func(_, is float64) bool { return is == 0 }},
 		{"failing, and fast by it", func(b *Balancer, s *server) {
-			for i := range b.peers.Reports {
-				if n := &b.peers.Reports[i]; n.Server == "s0" {
+			for i := range b.reports.peers.Reports {
+				if n := &b.reports.peers.Reports[i]; n.Server == "s0" {
 					n.Value, n.BadFraction = 20_000, 0.4
 				}
 			}
@@ -205,23 +205,23 @@
 	} {
 		b, h := with(t, testSettings(), 12)
 		b.HandlePeerReports(start, h, PeerReports{LiveReplicas: 3, LiveReplicasInZone: 3})
-		for _, s := range b.ready {
+		for _, s := range b.members.ready {
 			for _, who := range []string{"a", "b"} {
 				n := Report{Kind: ReportServerLoad, Observer: who, Server: s.ID, Calls: 200, Value: 40_000, LastObserved: start}
 				if s.ID == "s0" {
 					n.Value = 100_000
 				}
-				b.peers.Reports = append(b.peers.Reports, n)
+				b.reports.peers.Reports = append(b.reports.peers.Reports, n)
 			}
 		}
-		s := b.byID["s0"]
-		b.step, s.tune = maxTuningStep, c.from
+		s := b.members.byID["s0"]
+		b.tuning.step, s.tuning.logFactor = maxTuningStep, c.from
 		if c.set != nil {
 			c.set(b, s)
 		}
-		b.tune(start + 5*second)
-		if !c.want(c.from, s.tune) {
-			t.Errorf("%s: from %g to %g", c.name, c.from, s.tune)
+		b.tuning.adjust(start + 5*second)
+		if !c.want(c.from, s.tuning.logFactor) {
+			t.Errorf("%s: from %g to %g", c.name, c.from, s.tuning.logFactor)
 		}
 	}
 }
--- a/balancer/zonestate.go
+++ b/balancer/zonestate.go
@@ -2,141 +2,245 @@
 
 import "slices"
 
-// zone is how another zone, or home, stands as seen from home.
+// Zone state: what this replica has seen of each zone, what it reports of it, and the sum of what the
+// replicas of its zone report.
+
+const (
+	longTermDecay = 2 * second // µs: time constant by which trials of an evacuated zone fade
+
+	zoneStatsTTL  = second     // µs after its latest call a zone is reported on,
+	trialStatsTTL = 4 * second // µs and for so long after the latest trial of an evacuated one
+
+	zoneLogInterval = second // µs between log events of short phases of a zone, at least
+)
+
+// zone is the state of one zone, the local one too, as this replica sees it.
 type zone struct {
 	ZoneState
-	fresh, long callStats // this copy's own
-	step        int       // of Returning
-	flaps       int       // times that it was left lately
-	left        int64     // when it was last left
-	trial       int64     // when this copy may next try it
-	loggedAt    int64     // when its last log line was written
-	reports     zoneReports
-}
-
-// zone is the state of a zone, nil of one that the settings have not or before others were told or heard.
-func (b *Balancer) zone(i int) *zone {
-	if i < 0 || i >= len(b.zones) {
+	observed   zoneObservation
+	evacuation zoneEvacuation
+	recovery   zoneRecovery
+	reports    zoneReports
+	loggedAt   int64 // µs, when its last log event was; 0: none yet
+}
+
+// zoneObservation is what this replica's own calls show of a zone.
+type zoneObservation struct{ recent, longTerm callStats }
+
+// zoneEvacuation is how often a zone was left, and its trials.
+type zoneEvacuation struct {
+	count       int   // within evacuationMemory of each other
+	lastAt      int64 // µs
+	nextTrialAt int64 // µs
+}
+
+// zoneRecovery is how far the recovery of a zone has come.
+type zoneRecovery struct{ step int } // index of recoveryFractions
+
+// zoneReports is the sum of what the replicas of this zone report of a zone.
+type zoneReports struct {
+	calls, bad       float64
+	replicas         int // with evidence
+	unhealthyVotes   int // those of them that call it unhealthy
+	saturatedVotes   int // those of them that call it saturated
+	fault            Fault
+	readyServers     int
+	unhealthyServers int       // ready ones that some replica of this zone calls unhealthy
+	peerFractions    []float64 // ascending: the weight fraction that each of the other replicas gives it
+}
+
+// badFraction is the bad part of the calls, 0 to 1; 0 without calls.
+func (z *zoneReports) badFraction() float64 { return z.bad / max(z.calls, 1e-9) }
+
+// faultForZone is how a server's fault counts for its zone: a server that rejects is there.
+var faultForZone = [...]Fault{FaultErrors: FaultErrors, FaultUnresponsive: FaultUnresponsive,
+	FaultSlow: FaultSlow, FaultSaturated: NoFault}
+
+// zone is the state of a zone, nil of one that the settings don't have or while zones are not tracked.
+func (l *locality) zone(number int) *zone {
+	if number < 0 || number >= len(l.zones) {
 		return nil
 	}
-	return &b.zones[i]
+	return &l.zones[number]
 }
 
-// tellZone is what this copy tells of a zone, and whether it has evidence on it.
-func (b *Balancer) tellZone(now int64, z *zone, t zoneSample) (n Report, ok bool) {
-	e, ok, _ := z.recentStats(now)
-	n = Report{ObserverZone: b.s.Zone, SubjectZone: z.Zone, LastObserved: now}
-	if ok {
-		n.Calls, n.BadFraction, n.LastObserved = e.calls, e.badFraction(), e.lastAt
+// track begins to keep the state of the zones of the settings; false if it does already.
+func (l *locality) track(drained map[int]bool) bool {
+	if len(l.zones) == l.settings.ZoneCount {
+		return false
+	}
+	l.zones = make([]zone, l.settings.ZoneCount)
+	for i := range l.zones {
+		l.zones[i].ZoneState = ZoneState{Zone: i, WeightFraction: 1}
+		if drained[i] {
+			l.zones[i].Phase, l.zones[i].WeightFraction = ZoneDrained, 0
+		}
 	}
-	b.sayOf(z, &n, e, ok, t)
-	return n, ok
+	return true
 }
 
-// sayOf says of a zone that it is bad if most calls are, at half of its servers. Leaving is not yet left.
-func (b *Balancer) sayOf(z *zone, n *Report, e callStats, ok bool, t zoneSample) {
-	n.Kind, n.Value = ReportZoneHealthy, max(z.WeightFraction, indicator(z.Phase == ZoneEvacuating))
-	if ok && e.badFraction() >= zoneUnhealthyFraction && t.recentUnhealthy > 0 && 2*t.recentUnhealthy >= t.recent {
-		n.Kind, n.Fault = ReportZoneUnhealthy, e.fault
-	} else if z.Zone == b.s.Zone && b.spill > saturationSpillover {
-		n.Fault = FaultSlow
+// recordCall takes the end of an attempt, or that it got no response, as evidence on its zone.
+func (l *locality) recordCall(now int64, attempt *attempt, fault Fault) {
+	zone := l.zone(attempt.zone)
+	if zone == nil {
+		return
+	}
+	own := &zone.observed
+	if !attempt.outlier.reportedSilent {
+		own.recent.record(now, recentDecay, maxZoneCalls, faultForZone[fault])
+		own.longTerm.record(now, longTermDecay, maxZoneCalls, faultForZone[fault])
+	} else if fault == NoFault {
+		own.recent.retractBad()
+		own.longTerm.retractBad()
 	}
 }
 
-// lately is what this copy has lately seen of a zone, if anything, and for how long a server counts as tried.
-func (z *zone) recentStats(now int64) (e callStats, ok bool, tried int64) {
-	e, span, tried := z.fresh, zoneStatsTTL, zoneStatsTTL/2
+// recentStats is what this replica's latest calls show of a zone; ok is false if there were none lately.
+// For an evacuated zone they are its trials.
+func (z *zone) recentStats(now int64) (stats callStats, ok bool) {
+	stats, ttl := z.observed.recent, zoneStatsTTL
 	if z.Phase == ZoneEvacuated {
-		e, span, tried = z.long, trialStatsTTL, trialStatsTTL
+		stats, ttl = z.observed.longTerm, trialStatsTTL
+	}
+	return stats, stats.seenWithin(now, ttl)
+}
+
+// sampleTTL is the time, in µs, for which a server of a zone counts as called very lately.
+func (l *locality) sampleTTL(number int) int64 {
+	if zone := l.zone(number); zone != nil && zone.Phase == ZoneEvacuated {
+		return trialStatsTTL
 	}
-	return e, e.seenWithin(now, span), tried
+	return zoneStatsTTL / 2
 }
 
+// someZoneAnswers tells whether this replica's latest calls to some zone were mostly answered.
+func (l *locality) someZoneAnswers(now int64) bool {
+	for i := range l.zones {
+		if stats, ok := l.zones[i].recentStats(now); ok && stats.badFraction() < zoneUnhealthyFraction {
+			return true
+		}
+	}
+	return false
+}
+
+// acceptsTraffic tells whether a zone takes more than trials.
 func (z *zone) acceptsTraffic() bool {
 	return z.Phase != ZoneEvacuating && z.WeightFraction > 0 && z.reports.readyServers > 0
 }
 
-// state is the state of a zone with the evidence of all copies as of now.
-func (z *zone) state() ZoneState {
-	s := z.ZoneState
-	s.Calls, s.BadFraction, s.ReportingReplicas, s.UnhealthyVotes = z.reports.calls, z.reports.badFraction(), z.reports.replicas, z.reports.unhealthyVotes
-	return s
+// zoneReports returns the reports on the zones that this replica has called lately or that have changed
+// before.
+func (l *locality) zoneReports(now int64, samples map[int]zoneSample) (reports []Report) {
+	for i := range l.zones {
+		if report, ok := l.report(now, &l.zones[i], samples[i]); ok || l.zones[i].Transitions > 0 {
+			reports = append(reports, report)
+		}
+	}
+	return reports
 }
 
-// stand puts a zone in a standing and tells on-call staff: of those that last a second or more each time, of
-// the others at most once a second.
-func (b *Balancer) stand(now int64, h Host, z *zone, to ZonePhase, share float64) {
-	from := z.Phase
-	z.Phase, z.WeightFraction, z.ChangedAt, z.Fault = to, share, now, z.reports.fault
-	if from == to {
-		return
+// report is what this replica reports of a zone, and whether it has evidence. A zone is unhealthy if most
+// calls to it are bad, at half of its servers. One that is being evacuated is reported with its whole
+// weight: it isn't left yet.
+func (l *locality) report(now int64, zone *zone, sample zoneSample) (report Report, ok bool) {
+	stats, ok := zone.recentStats(now)
+	report = Report{ObserverZone: l.settings.Zone, SubjectZone: zone.Zone, LastObserved: now,
+		Kind: ReportZoneHealthy, Value: max(zone.WeightFraction, indicator(zone.Phase == ZoneEvacuating))}
+	if ok {
+		report.Calls, report.BadFraction, report.LastObserved = stats.calls, stats.badFraction(), stats.lastAt
 	}
-	z.Transitions++
-	if from < ZoneEvacuated && to < ZoneEvacuated && now-z.loggedAt < second && z.loggedAt != 0 || to == ZoneEvacuating {
-		return
+	if ok && stats.badFraction() >= zoneUnhealthyFraction &&
+		sample.recentUnhealthy > 0 && 2*sample.recentUnhealthy >= sample.recent {
+		report.Kind, report.Fault = ReportZoneUnhealthy, stats.fault
+	} else if zone.Zone == l.settings.Zone && l.spillover.weight > saturationSpillover {
+		report.Fault = FaultSlow
 	}
-	z.loggedAt = now
-	h.Log(ZonePhaseChanged{ObserverZone: b.s.Zone, State: z.state(), Previous: from})
+	return report, ok
 }
 
-// zoneSum is the evidence of all copies of this zone on another.
-type zoneReports struct {
-	calls, bad float64
-	replicas, unhealthyVotes,
-	saturatedVotes int // copies with evidence, those of them that call it bad, and those that find it slow
-	fault            Fault
-	unhealthyServers int       // ready servers of it that a copy of this zone calls bad
-	readyServers     int       // its ready servers
-	peerFractions    []float64 // what each of the other copies gives it
-}
-
-func (z *zoneReports) badFraction() float64 { return z.bad / max(z.calls, 1e-9) }
-
-// sumZones gathers the evidence of the copies of this zone on each zone.
-func (b *Balancer) sumZones(least, most float64) {
-	bad := map[string]bool{}
-	for i := range b.zones {
-		b.zones[i].reports = zoneReports{}
+// sumReports sums up what the replicas of this zone report of each zone.
+func (l *locality) sumReports() {
+	for i := range l.zones {
+		l.zones[i].reports = zoneReports{}
 	}
-	for _, s := range b.ready {
-		if z := b.zone(s.Zone); z != nil {
-			z.reports.readyServers++
+	for _, server := range l.members.ready {
+		if zone := l.zone(server.Zone); zone != nil {
+			zone.reports.readyServers++
 		}
 	}
-	for n := range b.notices {
-		if n.ObserverZone != b.s.Zone {
+	unhealthy := map[string]bool{} // server IDs that count already
+	for report := range l.reports.all {
+		if report.ObserverZone != l.settings.Zone {
 			continue
 		}
-		if s := b.byID[n.Server]; n.Kind == ReportServerUnhealthy && s != nil && s.State == ServerReady && sameProcess(s, n) {
-			if z := b.zone(s.Zone); z != nil && !bad[n.Server] {
-				bad[n.Server] = true
-				z.reports.unhealthyServers++
+		switch report.Kind {
+		case ReportServerUnhealthy:
+			server := l.members.byID[report.Server]
+			if server == nil || server.State != ServerReady || !sameProcess(server, report) {
+				continue
+			}
+			if zone := l.zone(server.Zone); zone != nil && !unhealthy[report.Server] {
+				unhealthy[report.Server] = true
+				zone.reports.unhealthyServers++
+			}
+		case ReportZoneUnhealthy, ReportZoneHealthy:
+			if zone := l.zone(report.SubjectZone); zone != nil {
+				zone.reports.add(report)
 			}
-		}
-		of := b.zone(n.SubjectZone)
-		if n.Kind != ReportZoneUnhealthy && n.Kind != ReportZoneHealthy || of == nil {
-			continue
-		}
-		z := &of.reports
-		if n.Observer != "" {
-			z.peerFractions = append(z.peerFractions, bounded(n.Value, 1))
-		}
-		calls := bounded(n.Calls, most)
-		if calls < least {
-			continue
-		}
-		z.calls, z.bad, z.replicas = z.calls+calls, z.bad+calls*bounded(n.BadFraction, 1), z.replicas+1
-		if n.Kind == ReportZoneUnhealthy {
-			z.unhealthyVotes++
-			z.fault = max(z.fault, n.Fault)
-		} else if n.Fault == FaultSlow {
-			z.saturatedVotes++
 		}
 	}
-	for i := range b.zones {
-		slices.Sort(b.zones[i].reports.peerFractions)
+	for i := range l.zones {
+		slices.Sort(l.zones[i].reports.peerFractions)
 	}
 }
 
-// zoneCause is how a cause counts for the zone: a server that turned a call away is there, and has no room.
-var faultForZone = [...]Fault{FaultErrors: FaultErrors, FaultUnresponsive: FaultUnresponsive, FaultSlow: FaultSlow, FaultSaturated: NoFault}
+// add adds one replica's report of the zone.
+func (z *zoneReports) add(report Report) {
+	if report.Observer != "" {
+		z.peerFractions = append(z.peerFractions, bounded(report.Value, 1))
+	}
+	calls := bounded(report.Calls, maxZoneCalls)
+	if calls < minZoneCalls {
+		return
+	}
+	z.calls, z.bad, z.replicas = z.calls+calls, z.bad+calls*bounded(report.BadFraction, 1), z.replicas+1
+	if report.Kind == ReportZoneUnhealthy {
+		z.unhealthyVotes++
+		z.fault = max(z.fault, report.Fault)
+	} else if report.Fault == FaultSlow {
+		z.saturatedVotes++
+	}
+}
+
+// setPhase puts a zone in a phase with a weight fraction and logs a change: of phases that last a second or
+// more each one, of the others at most one in zoneLogInterval.
+func (l *locality) setPhase(now int64, host Host, zone *zone, phase ZonePhase, fraction float64) {
+	before := zone.Phase
+	zone.Phase, zone.WeightFraction, zone.ChangedAt, zone.Fault = phase, fraction, now, zone.reports.fault
+	if before == phase {
+		return
+	}
+	zone.Transitions++
+	short := before < ZoneEvacuated && phase < ZoneEvacuated
+	if short && now-zone.loggedAt < zoneLogInterval && zone.loggedAt != 0 || phase == ZoneEvacuating {
+		return
+	}
+	zone.loggedAt = now
+	host.Log(ZonePhaseChanged{ObserverZone: l.settings.Zone, State: zone.state(), Previous: before})
+}
+
+// state is the state of a zone with the reports as of now.
+func (z *zone) state() ZoneState {
+	state := z.ZoneState
+	state.Calls, state.BadFraction = z.reports.calls, z.reports.badFraction()
+	state.ReportingReplicas, state.UnhealthyVotes = z.reports.replicas, z.reports.unhealthyVotes
+	return state
+}
+
+// states are the states of all zones by number; none while they are not tracked.
+func (l *locality) states() (out []ZoneState) {
+	for i := range l.zones {
+		out = append(out, l.zones[i].state())
+	}
+	return out
+}
