--- a/internal/cluster/state/observer.go
+++ b/internal/cluster/state/observer.go
@@ -7,101 +7,118 @@
 	"strings"
 )
 
-// An observer is what one proxy told.
+// observer holds the entries that one proxy published.
 type observer struct {
 	name, zone  string
 	incarnation int64
-	held        []*Entry // by kind and subject; kept for the kind's life, whether withdrawn or not
-	count       [kinds]int
-	floor       [kinds]uint64 // the highest Seq forgotten: none at or under it is taken in as new
-	due         int64         // nothing that is held is to be forgotten sooner
-	heard       int64
-	answered    int64 // when last by answer
+	entries     []*Entry // by kind and subject; retained for the kind's TTL, withdrawn or not
+	countByKind [kindCount]int
+	seqFloor    [kindCount]uint64 // the highest Seq removed: entries at or below it are not stored
+	nextSweep   int64             // no entry is to be removed earlier
+	lastHeard   int64
+	lastReply   int64 // see replyToOldIncarnation
 }
 
-type key struct {
+// entryKey identifies an entry of one observer.
+type entryKey struct {
 	kind    Kind
 	subject string
 }
 
-func byKey(e *Entry, k key) int {
-	if e.Kind != k.kind {
-		return cmp.Compare(e.Kind, k.kind)
+func compareKey(e *Entry, key entryKey) int {
+	if e.Kind != key.kind {
+		return cmp.Compare(e.Kind, key.kind)
 	}
-	return strings.Compare(e.Subject, k.subject)
+	return strings.Compare(e.Subject, key.subject)
 }
 
 func (o *observer) find(kind Kind, subject string) (int, bool) {
-	return slices.BinarySearchFunc(o.held, key{kind, subject}, byKey)
+	return slices.BinarySearchFunc(o.entries, entryKey{kind, subject}, compareKey)
 }
 
 func (o *observer) insert(i int, e *Entry) {
-	o.held = slices.Insert(o.held, i, e)
-	o.count[e.Kind]++
-	o.due = min(o.due, e.kept())
+	o.entries = slices.Insert(o.entries, i, e)
+	o.countByKind[e.Kind]++
+	o.nextSweep = min(o.nextSweep, e.retainedUntil())
 }
 
-// kept is until when an entry is kept: all that its observer told of the kind before it has ended by then.
-func (e *Entry) kept() int64 {
+// retainedUntil returns when an entry may be removed: all earlier entries of its observer and kind have expired by then.
+func (e *Entry) retainedUntil() int64 {
 	if e.Kind == Override {
 		return e.ExpiresAt()
 	}
-	return e.ObservedAt + terms[e.Kind].life
+	return e.ObservedAt + rulesByKind[e.Kind].ttl
 }
 
-func (o *observer) forget(e *Entry) {
-	o.count[e.Kind]--
-	o.floor[e.Kind] = max(o.floor[e.Kind], e.Seq)
+// recordRemoval updates counts and the sequence floor for an entry that is removed.
+func (o *observer) recordRemoval(e *Entry) {
+	o.countByKind[e.Kind]--
+	o.seqFloor[e.Kind] = max(o.seqFloor[e.Kind], e.Seq)
 }
 
-// sweep forgets what has been kept for long enough, and gives how many went and how many of these were not withdrawn. It
-// looks at the entries only if one may be due.
-func (o *observer) sweep(now int64) (went, ended int) {
-	if now < o.due {
+// copyInterned copies an entry and shares strings that are stored already, to save memory.
+func (o *observer) copyInterned(to, e *Entry) {
+	subject := to.Subject
+	*to = *e
+	if subject != "" {
+		to.Subject = subject
+	}
+	to.Observer = o.name
+	if o.zone != e.ObserverZone {
+		o.zone = e.ObserverZone
+	}
+	to.ObserverZone = o.zone
+}
+
+// sweep removes entries past their retention, and returns how many were removed and how many of these were not
+// withdrawn. It returns at once while none can be due.
+func (o *observer) sweep(now int64) (removed, expired int) {
+	if now < o.nextSweep {
 		return 0, 0
 	}
-	n := len(o.held)
-	o.due = math.MaxInt64
-	o.held = slices.DeleteFunc(o.held, func(e *Entry) bool {
-		if kept := e.kept(); kept > now {
-			o.due = min(o.due, kept)
+	before := len(o.entries)
+	o.nextSweep = math.MaxInt64
+	o.entries = slices.DeleteFunc(o.entries, func(e *Entry) bool {
+		if until := e.retainedUntil(); until > now {
+			o.nextSweep = min(o.nextSweep, until)
 			return false
 		}
 		if !e.Withdrawn {
-			ended++
+			expired++
 		}
-		o.forget(e)
+		o.recordRemoval(e)
 		return true
 	})
-	if len(o.held) == 0 {
-		o.held = nil
+	if len(o.entries) == 0 {
+		o.entries = nil
 	}
-	return n - len(o.held), ended
+	return before - len(o.entries), expired
 }
 
-// evict forgets the entry nearest its end, of a kind or (0) of any, and of those that pass, and gives it; nil if there
-// is none.
-func (o *observer) evict(kind Kind, pass func(*Entry) bool) *Entry {
-	at := -1
-	for i, e := range o.held {
-		if (kind != 0 && e.Kind != kind) || (pass != nil && !pass(e)) {
+// evict removes and returns the entry that is nearest the end of its retention, among those of a kind (0: any) that
+// match (nil: all); nil if there is none.
+func (o *observer) evict(kind Kind, match func(*Entry) bool) *Entry {
+	victim := -1
+	for i, e := range o.entries {
+		if (kind != 0 && e.Kind != kind) || (match != nil && !match(e)) {
 			continue
 		}
-		if at < 0 || cmp.Or(cmp.Compare(e.kept(), o.held[at].kept()), cmp.Compare(e.Seq, o.held[at].Seq)) < 0 {
-			at = i
+		if victim < 0 || cmp.Or(cmp.Compare(e.retainedUntil(), o.entries[victim].retainedUntil()),
+			cmp.Compare(e.Seq, o.entries[victim].Seq)) < 0 {
+			victim = i
 		}
 	}
-	if at < 0 {
+	if victim < 0 {
 		return nil
 	}
-	e := o.held[at]
-	o.held = slices.Delete(o.held, at, at+1)
-	o.forget(e)
+	e := o.entries[victim]
+	o.entries = slices.Delete(o.entries, victim, victim+1)
+	o.recordRemoval(e)
 	return e
 }
 
-// reset forgets all that a former incarnation told.
+// reset removes all entries and sequence floors of a previous incarnation.
 func (o *observer) reset(incarnation int64) {
-	*o = observer{name: o.name, zone: o.zone, incarnation: incarnation, heard: o.heard, answered: o.answered,
-		due: math.MaxInt64}
+	*o = observer{name: o.name, zone: o.zone, incarnation: incarnation, lastHeard: o.lastHeard, lastReply: o.lastReply,
+		nextSweep: math.MaxInt64}
 }
--- /dev/null
+++ b/internal/cluster/transport/metrics.go
@@ -0,0 +1,103 @@
+package transport
+
+import (
+	"maps"
+	"sync"
+	"time"
+
+	"merlinpick/internal/cluster/state"
+)
+
+// Metrics are a member's figures. Counts are totals since the start.
+type Metrics struct {
+	LiveMembers       int              // this one included
+	LiveMembersInZone int              // of them, in this one's zone
+	Isolated          bool             // no other member is heard
+	Isolations        int64            // times that this was so
+	Entries           int              // live entries of peers
+	OldestEntry       time.Duration    // greatest age of these
+	SuspendedServers  int              // by an operator's override
+	Queued            int              // entries that wait to be gossiped
+	Sent              int64            // entries gossiped, each transmission
+	BytesIn, BytesOut int64            // membership traffic included
+	Dropped           int64            // messages and entries for which there was no room
+	Joined, Left      int64            // members that joined, and that left or died
+	JoinAttempts      int64            // calls to seeds and lost members
+	JoinFailures      int64            // of them
+	Rejected          map[string]int64 // messages that were not processed, by reason
+	State             state.Counts
+}
+
+// Reasons for rejecting what was received; they are names of metrics.
+const (
+	rejectLabel        = "label"
+	rejectLength       = "length"
+	rejectLate         = "late"
+	rejectMany         = "many"
+	rejectMember       = "member"
+	rejectName         = "name"
+	rejectUnreadable   = "unread"
+	rejectUnknownKind  = "kind"
+	rejectMalformed    = "shape"
+	rejectNewerVersion = "newer"
+)
+
+// rejections counts by reason.
+type rejections struct {
+	mu     sync.Mutex
+	counts map[string]int64
+}
+
+func (r *rejections) add(reason string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.counts == nil {
+		r.counts = map[string]int64{}
+	}
+	r.counts[reason]++
+}
+
+func (r *rejections) addTo(counts map[string]int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	maps.Copy(counts, r.counts)
+}
+
+// Metrics returns the present figures; those of the Store are at most snapshotInterval old.
+func (n *Node) Metrics() Metrics {
+	n.mu.Lock()
+	m := n.metrics
+	n.mu.Unlock()
+	var dropped int64
+	m.Queued, m.Sent, dropped = n.outbound.Counts()
+	m.LiveMembers, m.LiveMembersInZone = n.members.count(n.cfg.Zone)
+	m.BytesIn, m.BytesOut = n.network.bytesIn.Load(), n.network.bytesOut.Load()
+	m.Dropped = n.inboundDropped.Load() + dropped
+	m.Joined, m.Left = n.members.changes()
+	m.JoinAttempts, m.JoinFailures = n.joinAttempts.Load(), n.joinFailures.Load()
+	rejected := maps.Clone(m.Rejected)
+	if rejected == nil {
+		rejected = map[string]int64{}
+	}
+	n.rejected.addTo(rejected)
+	m.Rejected = rejected
+	return m
+}
+
+// updateMetrics stores the figures that only the owner goroutine knows.
+func (n *Node) updateMetrics(now int64) {
+	own := &n.own
+	m := Metrics{Isolated: own.isolated, Isolations: own.isolations, State: own.store.Counts(), Rejected: map[string]int64{
+		rejectUnreadable: own.unreadable, rejectUnknownKind: int64(own.skipped.UnknownKinds),
+		rejectMalformed: int64(own.skipped.Malformed), rejectNewerVersion: int64(own.skipped.NewerVersion)}}
+	m.SuspendedServers = m.State.Suspended
+	for i := range own.peerEntries {
+		if e := &own.peerEntries[i]; e.ExpiresAt() > now {
+			m.Entries++
+			m.OldestEntry = max(m.OldestEntry, time.Duration(now-e.ObservedAt)*time.Microsecond)
+		}
+	}
+	n.mu.Lock()
+	n.metrics = m
+	n.mu.Unlock()
+}
--- /dev/null
+++ b/internal/cluster/transport/override.go
@@ -0,0 +1,132 @@
+package transport
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"merlinpick/internal/atomicfile"
+)
+
+// overrideTimeout is how long Suspend and Resume wait for a confirmation.
+const overrideTimeout = 800 * time.Millisecond
+
+// Suspend suspends a server at all members. It returns once the override would outlive this process, where there is a
+// state directory. After a *StoreError, ErrClosed, a *state.NameError or a *state.LimitError nothing has changed; after a
+// *NotConfirmedError the override may still take effect.
+func (n *Node) Suspend(server string) error { return n.setOverride(server, true) }
+
+// Resume ends a suspension at all members, with the same errors as Suspend.
+func (n *Node) Resume(server string) error { return n.setOverride(server, false) }
+
+func (n *Node) setOverride(server string, suspend bool) error {
+	timeout := time.NewTimer(overrideTimeout)
+	defer timeout.Stop()
+	result := make(chan error, 1)
+	select {
+	case n.ownerCalls <- func() { n.applyOverride(server, suspend, result) }:
+	case <-n.done:
+		return ErrClosed
+	case <-timeout.C:
+		return &NotConfirmedError{overrideTimeout}
+	}
+	select {
+	case err := <-result:
+		return err
+	case <-n.done:
+		return ErrClosed
+	case <-timeout.C:
+		return &NotConfirmedError{overrideTimeout}
+	}
+}
+
+// applyOverride sets an override in the owner goroutine. It is gossiped once it is on disk, and reverted if it cannot be
+// written.
+func (n *Node) applyOverride(server string, suspend bool, result chan<- error) {
+	now := n.cfg.Now()
+	apply, revert := n.own.store.Suspend, n.own.store.Resume
+	if !suspend {
+		apply, revert = revert, apply
+	}
+	changed, err := apply(now, server)
+	if err != nil {
+		result <- err
+		return
+	}
+	finish := func(err error) {
+		n.own.overridesChanged = true
+		if err != nil {
+			n.cfg.Logger.Error("override not stored", "endpoint", server, "error", err)
+			if len(changed) > 0 { // else it was set before
+				if reverted, revertErr := revert(n.cfg.Now(), server); revertErr == nil {
+					n.outbound.Add(reverted)
+				}
+			}
+			result <- err
+			return
+		}
+		n.outbound.Add(changed)
+		result <- nil
+		n.wakeOwner()
+	}
+	if n.overrideFile == nil {
+		finish(nil)
+		return
+	}
+	written := func(err error) { n.runInOwner(func() { finish(err) }) }
+	if !n.overrideFile.enqueue(overrideWrite{n.own.store.OverrideRecords(now), written}) {
+		finish(&StoreError{n.overrideFile.path, errDiskBehind})
+	}
+}
+
+// runInOwner runs a function in the owner goroutine, unless that has ended.
+func (n *Node) runInOwner(call func()) {
+	select {
+	case n.ownerCalls <- call:
+	case <-n.done:
+	}
+}
+
+// saveOverrides writes the overrides that other members set.
+func (n *Node) saveOverrides(now int64) {
+	if n.overrideFile == nil || !n.own.overridesUnsaved || now < n.own.nextOverrideSave {
+		return
+	}
+	n.own.nextOverrideSave = now + overrideSaveInterval.Microseconds()
+	written := func(err error) {
+		if err == nil {
+			return
+		}
+		n.runInOwner(func() {
+			if !n.own.overridesUnsaved {
+				n.cfg.Logger.Error("overrides of other members not stored", "error", err)
+			}
+			n.own.overridesUnsaved = true
+		})
+	}
+	if n.overrideFile.enqueue(overrideWrite{n.own.store.OverrideRecords(now), written}) {
+		n.own.overridesUnsaved = false
+	}
+}
+
+// restoreOverrides merges what the previous process stored. A damaged file is moved aside: full exchanges bring its
+// content back from other members.
+func (n *Node) restoreOverrides() error {
+	path := n.overrideFile.path
+	records, err := n.overrideFile.read()
+	if errors.Is(err, atomicfile.ErrDamaged) {
+		aside := path + ".damaged"
+		n.cfg.Logger.Error("override file damaged", "error", err, "moved_to", aside)
+		if err := os.Rename(path, aside); err != nil {
+			return &StoreError{path, err}
+		}
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	if rejected := n.own.store.RestoreOverrides(n.cfg.Now(), records); rejected > 0 {
+		n.cfg.Logger.Warn("stored overrides rejected", "records", rejected, "file", path)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/proxy/backendpool_test.go
@@ -0,0 +1,196 @@
+package proxy
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
+)
+
+func poolWith(most int, addrs ...string) *backendPool {
+	p := newBackendPool(5*time.Second, 40*time.Second, most, newMetrics(nil))
+	var list []discovery.Endpoint
+	for i, a := range addrs {
+		list = append(list, proxytest.Endpoint(string(rune('a'+i)), a, discovery.StatusServing))
+	}
+	p.updateEndpoints(true, list)
+	return p
+}
+
+func newAttempt(p *backendPool, name string, left time.Duration) *attempt {
+	a := &attempt{pool: p, deadline: time.Now().Add(left), request: &request{Request: balancer.Request{ID: "1"},
+		method: http.MethodGet, uri: "/look/k%2f1?x=%20y", host: "backend.local",
+		header: http.Header{"Request-Id": {"1"}, "User-Agent": {""}}}}
+	p.assign(a, name)
+	a.ctx, a.cancel = context.WithCancel(context.Background())
+	return a
+}
+
+// What comes back decides what the module is told, and with it whether a call may run again.
+func TestOutcomeTable(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		want       balancer.Status
+	}{
+		{"served", proxytest.OKResponse, balancer.StatusOK},
+		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusOK},
+		{"early word first", "HTTP/1.1 100 Continue\r\n\r\n" + proxytest.OKResponse, balancer.StatusOK},
+		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"an error is never full", "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"not found", "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"full", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.StatusRejected},
+		{"over already", "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", balancer.StatusRejected},
+		{"503 without the proof", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"504 without the proof", "HTTP/1.1 504 No\r\nNot-Started: 0\r\nContent-Length: 0\r\n\r\n", balancer.StatusError},
+		{"closed", "", balancer.StatusReset},
+		{"half a head", "HTTP/1.1 200 OK\r\nContent-", balancer.StatusReset},
+		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.StatusReset},
+		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", balancer.StatusReset},
+		{"ended by the close", "HTTP/1.1 200 OK\r\n\r\nok", balancer.StatusOK},
+		{"chunks and a trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n1\r\no\r\n1;a=b\r\nk\r\n0\r\nX: y\r\n\r\n", balancer.StatusOK},
+		{"a long error", "HTTP/1.1 500 Oops\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", maxBufferedResponse+1), balancer.StatusError},
+		{"no HTTP", "SSH-2.0-x\r\n\r\n", balancer.StatusReset},
+		{"chunks and a length", "HTTP/1.1 200 OK\r\nContent-Length: 12\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusReset},
+		{"length twice", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok", balancer.StatusReset},
+		{"chunks in HTTP/1.0", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.StatusReset},
+		{"a folded line", "HTTP/1.1 200 OK\r\nX: y\r\n z\r\nContent-Length: 2\r\n\r\nok", balancer.StatusReset},
+		{"a bare LF", "HTTP/1.1 200 OK\r\nX: y\nContent-Length: 2\r\n\r\nok", balancer.StatusReset},
+		{"endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxResponseHeadBytes) + "\r\n\r\n", balancer.StatusReset},
+		{"long head", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX: " + strings.Repeat("x", 8<<10) + "\r\n\r\nok", balancer.StatusOK},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := proxytest.StartBackend(t, proxytest.RespondWith(c.text, false))
+			p := poolWith(4, b.Addr)
+			res := newAttempt(p, "a", proxytest.Timeout).run()
+			if res.status != c.want || c.want == balancer.StatusOK && string(res.body) != "ok" {
+				t.Errorf("got %v %q, want %v", res.status, res.body, c.want)
+			}
+			if n := b.Requests.Load(); n != 1 {
+				t.Errorf("%d requests came", n)
+			}
+		})
+	}
+}
+
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	l.Close()
+	p := poolWith(4, l.Addr().String())
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusConnectFailed {
+		t.Errorf("got %v", res.status)
+	}
+	if p.openConns != 0 {
+		t.Errorf("%d connections still counted", p.openConns)
+	}
+}
+
+func TestHungBackendTimesOutAndConnectionIsClosed(t *testing.T) {
+	b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
+	p := poolWith(4, b.Addr)
+	if res := newAttempt(p, "a", 50*time.Millisecond).run(); res.status != balancer.StatusTimedOut {
+		t.Errorf("got %v", res.status)
+	}
+	if p.openConns != 0 || len(p.byName["a"].idleConns) != 0 {
+		t.Error("the connection is kept")
+	}
+}
+
+func TestCancelledAttemptClosesItsConnection(t *testing.T) {
+	came := make(chan struct{}, 1)
+	gone := make(chan error, 1)
+	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
+		came <- struct{}{}
+		_, err := w.(net.Conn).Read(make([]byte, 1))
+		gone <- err
+		return false
+	})
+	p := poolWith(4, b.Addr)
+	a := newAttempt(p, "a", proxytest.Timeout)
+	results := make(chan result, 1)
+	go func() { results <- a.run() }()
+	proxytest.Receive(t, "request", came)
+	a.cancel()
+	if res := proxytest.Receive(t, "result", results); res.status != balancer.StatusCancelled {
+		t.Errorf("got %v", res.status)
+	}
+	if err := proxytest.Receive(t, "end of the connection", gone); err == nil {
+		t.Error("the connection is still open")
+	}
+}
+
+// A dial takes time. In it the backend may drain, or the request's time may run out; nothing is sent then.
+func TestNothingIsSentAfterSlowDial(t *testing.T) {
+	for name, meanwhile := range map[string]func(p *backendPool, a *attempt){
+		"drained": func(p *backendPool, a *attempt) {
+			p.updateEndpoints(false, []discovery.Endpoint{proxytest.Endpoint("a", a.address, discovery.StatusDraining)})
+		},
+		"gone": func(p *backendPool, a *attempt) { p.updateEndpoints(true, nil) },
+		"restarted": func(p *backendPool, a *attempt) {
+			e := proxytest.Endpoint("a", a.address, discovery.StatusServing)
+			e.StartedAtMs = 7
+			p.updateEndpoints(false, []discovery.Endpoint{e})
+		},
+		"stopped": func(_ *backendPool, a *attempt) { a.cancel() },
+		"late":    func(_ *backendPool, a *attempt) { a.deadline = time.Now() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+			p := poolWith(4, b.Addr)
+			a := newAttempt(p, "a", proxytest.Timeout)
+			dial := p.dialContext
+			p.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
+				c, err := dial(context.Background(), network, addr)
+				meanwhile(p, a)
+				return c, err
+			}
+			if res := a.run(); res.status != balancer.StatusNotSent {
+				t.Errorf("got %v", res.status)
+			}
+			p.updateEndpoints(true, nil) // closes what is idle
+			proxytest.Receive(t, "close", b.Closed)
+			if b.Requests.Load() != 0 || p.openConns != 0 {
+				t.Errorf("%d requests came, %d connections open", b.Requests.Load(), p.openConns)
+			}
+		})
+	}
+}
+
+// A write that breaks off before the last byte proves that the call never ran; one that ended does not.
+func TestPartiallyWrittenRequestNeverExecuted(t *testing.T) {
+	p := poolWith(4, "127.0.0.1:1")
+	p.dialContext = func(context.Context, string, string) (net.Conn, error) {
+		near, far := net.Pipe()
+		go func() { _, _ = io.ReadFull(far, make([]byte, 5)); far.Close() }()
+		return near, nil
+	}
+	if res := newAttempt(p, "a", proxytest.Timeout).run(); res.status != balancer.StatusConnectFailed {
+		t.Errorf("got %v", res.status)
+	}
+}
+
+func TestForwardedBytesAreUnchanged(t *testing.T) {
+	got := make(chan *http.Request, 1)
+	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
+		got <- r
+		_, _ = io.WriteString(w, proxytest.OKResponse)
+		return true
+	})
+	newAttempt(poolWith(4, b.Addr), "a", 900*time.Millisecond+proxytest.Timeout).run()
+	r := proxytest.Receive(t, "request", got)
+	if r.RequestURI != "/look/k%2f1?x=%20y" || r.Host != "backend.local" || r.Header.Get("Request-Id") != "1" {
+		t.Errorf("got %s %s %v", r.RequestURI, r.Host, r.Header)
+	}
+	if ms := r.Header.Get("Request-Timeout-Ms"); len(ms) != 5 || ms > "20900" {
+		t.Errorf("Request-Timeout-Ms %q", ms)
+	}
+}
--- /dev/null
+++ b/internal/proxy/clientgone_test.go
@@ -0,0 +1,394 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/proxytest"
+	"merlinpick/internal/proxy/socket"
+)
+
+// The ways in which a client goes; each with what it has sent behind its request.
+var departures = []struct {
+	name, behind string
+	leave        func(*client)
+}{
+	{"closes", "", (*client).fin},
+	{"resets", "", (*client).reset},
+	{"ends its sending", "", (*client).closeWrite},
+	{"closes behind a request", lookRequest("next", 4000), (*client).fin},
+	{"resets behind a request", lookRequest("next", 4000), (*client).reset},
+	{"closes behind half a request", lookRequest("next", 4000)[:20], (*client).fin},
+	{"ends its sending behind much", strings.Repeat("x", 2*maxPipelinedBytes), (*client).closeWrite},
+}
+
+func (c *client) tcp() *net.TCPConn { return c.Conn.(*net.TCPConn) }
+func (c *client) fin()              { c.Close() }
+func (c *client) closeWrite()       { _ = c.tcp().CloseWrite() }
+func (c *client) reset()            { _ = c.tcp().SetLinger(0); c.Close() }
+
+// stall has the loop stand still, once it has come to what is in its queue by now, until goOn is called.
+func blockLoop(t *testing.T, p *running) (stands chan struct{}, goOn func()) {
+	t.Helper()
+	stands, again := make(chan struct{}), make(chan struct{})
+	p.loop.post(func() { close(stands); <-again })
+	goOn = sync.OnceFunc(func() { close(again) })
+	t.Cleanup(goOn)
+	return stands, goOn
+}
+
+// nothingLeft checks the books once a client has gone: no request, attempt or connection that is in use.
+func checkNothingLeft(t *testing.T, p *running) {
+	t.Helper()
+	proxytest.WaitUntil(t, func() bool {
+		reqs := make(chan int, 1)
+		p.loop.post(func() { reqs <- len(p.loop.requests) })
+		left := <-reqs
+		pool := p.loop.pool
+		pool.mu.Lock()
+		defer pool.mu.Unlock()
+		idle := 0
+		for _, b := range pool.byName {
+			idle += len(b.idleConns)
+		}
+		holds := p.frontend.bodyMemory
+		holds.mu.Lock()
+		defer holds.mu.Unlock()
+		return left == 0 && pool.openConns == idle && p.Metrics().InFlight == 0 && holds.used == 0
+	})
+}
+
+// nothingSent checks that so many requests have reached the backend over one connection, and that all goes on.
+func checkNothingSent(t *testing.T, p *running, b *proxytest.Backend, before int32) {
+	t.Helper()
+	disableReuseDelay(p.loop.pool) // what it goes on has just been used
+	checkNothingLeft(t, p)
+	cl := connect(t, p)
+	cl.send(t, lookRequest("after", 4000))
+	if resp, _ := cl.readResponse(t); resp.StatusCode != 200 {
+		t.Errorf("then got %s", resp.Status)
+	}
+	if n, conns := b.Requests.Load(), b.Conns.Load(); n != before+1 || conns != 1 {
+		t.Errorf("%d requests reached the backend, want %d; on %d connections", n, before+1, conns)
+	}
+}
+
+// leaves has a client go at the worst instant: the loop has the event, which cause makes, before it, and the attempt that
+// follows from that has all its time before the loop hears of the departure.
+func leaves(t *testing.T, p *running, cause, depart func()) {
+	t.Helper()
+	disableReuseDelay(p.loop.pool) // what it went on may have just been used
+	stands, goOn := blockLoop(t, p)
+	proxytest.Receive(t, "stand of the loop", stands)
+	cause()
+	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
+	stands, end := blockLoop(t, p)
+	depart()
+	goOn()
+	proxytest.Receive(t, "stand behind the event", stands)
+	checkAttemptsEnd(t, p)
+	end()
+}
+
+func checkAttemptsEnd(t *testing.T, p *running) {
+	t.Helper()
+	ended := make(chan struct{})
+	go func() { p.loop.attempts.goroutines.Wait(); close(ended) }()
+	proxytest.Receive(t, "end of the attempts", ended)
+}
+
+// The client goes while its request stands in the loop's queue.
+func TestNoAttemptForClientGoneInEventQueue(t *testing.T) {
+	for _, d := range departures {
+		for _, draining := range []bool{false, true} {
+			if draining && d.behind != lookRequest("next", 4000) {
+				continue // each takes the time of a drain
+			}
+			t.Run(fmt.Sprintf("%s, draining %v", d.name, draining), func(t *testing.T) {
+				t.Parallel()
+				p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
+				cl := connect(t, p)
+				if draining {
+					p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { return 4 * time.Second, 5 * time.Second }
+					p.stop()
+					proxytest.WaitUntil(t, p.frontend.draining.Load)
+				}
+				leaves(t, p, func() { cl.send(t, lookRequest("1", 4000)+d.behind) }, func() { d.leave(cl) })
+				checkNothingSent(t, p, b, 0)
+			})
+		}
+	}
+}
+
+// The client goes while the first attempt's failure stands in the loop's queue: no further one follows.
+func TestNoRetryForGoneClient(t *testing.T) {
+	for _, d := range departures {
+		t.Run(d.name, func(t *testing.T) {
+			fail := make(chan struct{})
+			p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
+				if n == 1 {
+					<-fail
+					return proxytest.RespondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
+				}
+				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
+			})
+			cl := connect(t, p)
+			cl.send(t, lookRequest("1", 4000)+d.behind)
+			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+			leaves(t, p, func() { close(fail) }, func() { d.leave(cl) })
+			checkNothingSent(t, p, b, 1)
+			spent := make(chan int, 1)
+			p.loop.post(func() { spent <- len(p.loop.balancer.ExportRetryBudget(p.loop.clock.now()).Retries) })
+			if n := <-spent; n != 0 {
+				t.Errorf("%d of the allowance for further attempts is taken", n)
+			}
+		})
+	}
+}
+
+// The client goes while its request waits for its key's turn, which comes before the departure is heard of.
+func TestNoAttemptForClientGoneInKeyQueue(t *testing.T) {
+	rate := func(id string) string {
+		return "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: rate\r\nIdempotency-Key: x\r\nContent-Length: 0\r\n\r\n"
+	}
+	text := strings.Replace(siteText, `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
+	for _, d := range departures {
+		t.Run(d.name, func(t *testing.T) {
+			turn := make(chan struct{})
+			b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
+				if n == 1 {
+					<-turn
+				}
+				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
+			})
+			p := startSite(t, text, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)), t.TempDir())
+			first, cl, third := connect(t, p), connect(t, p), connect(t, p)
+			first.send(t, rate("1"))
+			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+			cl.send(t, rate("2")+d.behind)
+			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 2 })
+			leaves(t, p, func() { close(turn) }, func() { d.leave(cl) })
+			third.send(t, rate("3")) // its turn comes
+			for _, c := range []*client{first, third} {
+				if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+					t.Errorf("got %s", resp.Status)
+				}
+			}
+			checkNothingSent(t, p, b, 2)
+		})
+	}
+}
+
+// anyDeparted tells whether the end of a client's connection has come to the proxy's socket.
+func anyPeerClosed(p *running) bool {
+	p.frontend.mu.Lock()
+	defer p.frontend.mu.Unlock()
+	for c := range p.frontend.conns {
+		if socket.PeerClosed(c) {
+			return true
+		}
+	}
+	return len(p.frontend.conns) == 0
+}
+
+// The client goes while a connection to the backend comes up; the loop, which would stop the attempt, is busy.
+func TestNoSendAfterSlowDialForGoneClient(t *testing.T) {
+	for _, text := range []string{lookRequest("1", 4000), postRequest("1", "Content-Length: 1000000") + strings.Repeat("x", maxBufferedBody+1),
+		postRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
+		for _, d := range departures {
+			if strings.Contains(text, "1000000") && d.behind != "" {
+				// Of the body: more than is read while nobody takes it, and no more than a socket's first window holds,
+				// or the end would wait behind it at the client.
+				d.behind = strings.Repeat("x", 50_000)
+			}
+			t.Run(text[:5]+d.name, func(t *testing.T) {
+				p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
+				dialing, up := make(chan struct{}, 1), make(chan struct{})
+				pool := p.loop.pool
+				pool.mu.Lock()
+				dial := pool.dialContext
+				pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					dialing <- struct{}{}
+					<-up
+					return dial(context.WithoutCancel(ctx), network, addr)
+				}
+				pool.mu.Unlock()
+				cl := connect(t, p)
+				cl.send(t, text+d.behind)
+				proxytest.Receive(t, "dial", dialing)
+				stands, end := blockLoop(t, p)
+				proxytest.Receive(t, "stand of the loop", stands)
+				d.leave(cl)
+				proxytest.WaitUntil(t, func() bool { return anyPeerClosed(p) }) // its end may come later than this test goes on
+				close(up)
+				checkAttemptsEnd(t, p)
+				end()
+				checkNothingSent(t, p, b, 0)
+			})
+		}
+	}
+}
+
+// The client goes while its connection waits to be accepted, its request in the kernel.
+func TestNoAttemptForClientGoneBeforeRead(t *testing.T) {
+	for _, d := range departures {
+		t.Run(d.name, func(t *testing.T) {
+			over := make(chan struct{})
+			p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
+				if n == 1 {
+					<-over
+				}
+				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
+			})
+			disableReuseDelay(p.loop.pool)
+			p.frontend.listener.setLimit(1)
+			busy := connect(t, p)
+			busy.send(t, lookRequest("1", 4000))
+			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+			cl := connect(t, p)
+			cl.send(t, lookRequest("2", 4000)+d.behind)
+			d.leave(cl)
+			close(over)
+			busy.readResponse(t)
+			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 }) // its own may stand in the figures for a moment
+			p.frontend.listener.setLimit(50)
+			proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() <= 1 && len(p.frontend.listener.slotFreed) == 0 })
+			// It has been accepted, read and closed: before that it may hold the backend's connection, unsent.
+			proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["closes.client.answered_or_broken"] >= 1 })
+			checkNothingSent(t, p, b, 1)
+		})
+	}
+}
+
+// A client that goes while its attempt is out takes that along, whatever it has sent behind its request.
+func TestClientGoneCancelsAttemptInFlight(t *testing.T) {
+	long := strings.NewReplacer("4000000", "60000000", "8000000", "90000000").Replace(siteText) // no attempt ends by itself
+	for _, text := range []string{lookRequest("1", 60_000), postRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
+		for _, d := range departures {
+			if len(d.behind) > maxPipelinedBytes {
+				continue // not noticed: its attempt ends in its own time, and no other follows
+			}
+			t.Run(text[:5]+d.name, func(t *testing.T) {
+				b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
+				p := startSite(t, long, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)), t.TempDir())
+				cl := connect(t, p)
+				cl.send(t, text+d.behind)
+				proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+				d.leave(cl)
+				checkNothingLeft(t, p)
+			})
+		}
+	}
+}
+
+// A server that ends its sending has given its answer up: the attempt is over, and its connection is closed.
+func TestBackendHalfCloseResetsAttempt(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	closed := make(chan error, 1)
+	go func() {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		defer c.Close()
+		_, _ = http.ReadRequest(bufio.NewReader(c))
+		_ = c.(*net.TCPConn).CloseWrite()
+		_, err = c.Read(make([]byte, 1)) // the proxy's side of it
+		closed <- err
+	}()
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", l.Addr().String(), discovery.StatusServing)))
+	cl := connect(t, p)
+	cl.send(t, postRequest("1", "Content-Length: 0"))
+	if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusBadGateway { // it may have run
+		t.Errorf("got %s", resp.Status)
+	}
+	if err := proxytest.Receive(t, "end of the server's connection", closed); err == nil {
+		t.Error("bytes came")
+	}
+	checkNothingLeft(t, p)
+}
+
+// Of two requests under one id the later is none: its departure says nothing of the other.
+func TestClientGoneWithDuplicateIDLeavesFirstRequest(t *testing.T) {
+	fail := make(chan struct{})
+	p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
+		if n == 1 {
+			<-fail
+			return proxytest.RespondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true)(w, nil, n)
+		}
+		return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
+	})
+	one, two := connect(t, p), connect(t, p)
+	one.send(t, lookRequest("1", 4000))
+	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
+	stands, goOn := blockLoop(t, p)
+	proxytest.Receive(t, "stand of the loop", stands)
+	two.send(t, lookRequest("1", 4000))
+	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
+	two.Close()
+	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 2 })
+	goOn()
+	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 1 })
+	close(fail)
+	if resp, _ := one.readResponse(t); resp.StatusCode != 200 {
+		t.Errorf("got %s", resp.Status)
+	}
+	checkNothingLeft(t, p)
+}
+
+// An answer that comes before all of the body has cuts the rest off, which ends the request's context like a departure:
+// the client, which is there, gets it each time.
+func TestResponseBeforeBodyEndIsNotClientGone(t *testing.T) {
+	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", "127.0.0.1:1", discovery.StatusDraining)))
+	for i := range 20 {
+		cl := connect(t, p)
+		stands, goOn := blockLoop(t, p)
+		proxytest.Receive(t, "stand of the loop", stands)
+		cl.send(t, postRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody)) // and a read waits for more
+		proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
+		goOn()
+		if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
+			t.Errorf("got %s", resp.Status)
+		}
+		cl.Close()
+	}
+	checkNothingLeft(t, p)
+}
+
+// An attempt that is stopped before it is written is none: the server is not to blame for it.
+func TestCancelledWriteBlamesNobody(t *testing.T) {
+	near, far := net.Pipe() // takes nothing until it is read from
+	defer far.Close()
+	pool := poolWith(5)
+	pool.openConns = 1
+	ctx, stop := context.WithCancel(context.Background())
+	a := &attempt{request: &request{method: "GET", uri: "/", header: http.Header{}}, deadline: time.Now().Add(proxytest.Timeout),
+		pool: pool, ctx: ctx, cancel: stop}
+	writes := make(chan struct{})
+	c := &backendConn{Conn: writeSeen{near, writes}, backend: &backend{}}
+	go func() { <-writes; stop() }()
+	if res, keep := a.exchange(c); res.status != balancer.StatusNotSent || keep {
+		t.Errorf("got %v, keep %v", res.status, keep)
+	}
+}
+
+type writeSeen struct {
+	net.Conn
+	seen chan struct{}
+}
+
+func (w writeSeen) Write(p []byte) (int, error) { close(w.seen); return w.Conn.Write(p) }
--- /dev/null
+++ b/internal/proxy/zoneoverrides_test.go
@@ -0,0 +1,114 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+
+	"merlinpick/balancer"
+	"merlinpick/internal/discovery"
+	"merlinpick/internal/management"
+	"merlinpick/internal/override"
+	"merlinpick/internal/proxy/proxytest"
+)
+
+// stands is how a proxy shows a zone.
+func zoneStatus(t *testing.T, p *running, name string) management.Zone {
+	t.Helper()
+	for _, z := range p.Zones() {
+		if z.Name == name {
+			return z
+		}
+	}
+	t.Fatalf("zone %s is not shown: %+v", name, p.Zones())
+	return management.Zone{}
+}
+
+// A zone that is drained gets nothing at any process of a proxy, whatever lists say, and comes back by steps.
+func TestDrainedZoneGetsNothingUntilRestored(t *testing.T) {
+	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	in := func(zone, text string) string {
+		return strings.Replace(text, `"zone":"a"`, fmt.Sprintf(`"zone":%q`, zone), 1)
+	}
+	known := listJSON(1, true, endpointJSON("a/1", a.Addr, discovery.StatusServing), in("b", endpointJSON("b/1", b.Addr, discovery.StatusServing)))
+	d := startDiscovery(t)
+	text := strings.Replace(siteText, `"failure_domains":["a"]`, `"failure_domains":["a","b"]`, 1)
+	first := startSite(t, text, d.addr, 200, known, t.TempDir())
+	id := 0
+	asks := func(p *running, times int) {
+		t.Helper()
+		for c := connect(t, p); times > 0; times-- {
+			id++
+			c.send(t, lookRequest(strconv.Itoa(id), 4000))
+			if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+				t.Fatalf("request %d: %s", id, resp.Status)
+			}
+		}
+	}
+	asks(first, 50)
+	if z := zoneStatus(t, first, "a"); a.Requests.Load() == 0 || z.Phase != balancer.ZoneHealthy || z.WeightFraction != 1 || first.Metrics().Zones != nil {
+		t.Fatalf("before: %d at a, %+v, figures %+v", a.Requests.Load(), z, first.Metrics().Zones)
+	}
+	for range 2 { // calls may be repeated
+		if err := first.DrainZone("a"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	before := a.Requests.Load()
+	var last *override.LastZoneError
+	if err := first.DrainZone("b"); !errors.As(err, &last) {
+		t.Errorf("the last zone: %v", err)
+	}
+	var unknown *override.UnknownZoneError
+	if err := first.DrainZone("c"); !errors.As(err, &unknown) {
+		t.Errorf("a stranger: %v", err)
+	}
+	second := startSite(t, text, d.addr, 200, known, first.config.StateDir)
+	more := []string{endpointJSON("a/2", a.Addr, discovery.StatusServing), in("c", endpointJSON("c/1", b.Addr, discovery.StatusServing))}
+	for _, p := range []*running{first, second} {
+		proxytest.WaitUntil(t, func() bool { // either may take what is said
+			select {
+			case d.responses <- listJSON(2, false, more...):
+			default:
+			}
+			return p.Metrics().ListedServers == 4
+		})
+		if z := zoneStatus(t, p, "a"); z.Phase != balancer.ZoneDrained || z.WeightFraction != 0 || len(p.Metrics().Zones) != 3 {
+			t.Errorf("drained: %+v, figures %+v", z, p.Metrics().Zones)
+		}
+		asks(p, 50)
+	}
+	if n := a.Requests.Load() - before; n > 0 {
+		t.Errorf("%d requests went to a zone that is drained", n)
+	}
+	if err := second.RestoreZone("a"); err != nil {
+		t.Fatal(err)
+	}
+	for _, p := range []*running{second, first} {
+		proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneRecovering })
+		before = a.Requests.Load()
+		proxytest.WaitUntil(t, func() bool { asks(p, 1); return a.Requests.Load() > before })
+		if p.Metrics().Zones != nil {
+			t.Error("restored, it still shows figures of zones")
+		}
+	}
+	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, first, "a").WeightFraction > 0.1 }) // without a fleet that moves it
+}
+
+// Drains by calls at two proxies leave a zone, the same one at each.
+func TestConcurrentZoneDrainsRetainOneZone(t *testing.T) {
+	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	known := listJSON(1, true, endpointJSON("a/1", a.Addr, discovery.StatusServing),
+		strings.Replace(endpointJSON("b/1", b.Addr, discovery.StatusServing), `"zone":"a"`, `"zone":"b"`, 1))
+	d := startDiscovery(t)
+	p := startProxy(t, d.addr, 200, known)
+	p.overrides.SetRemote(map[string]bool{override.ZoneKey("a"): true, override.ZoneKey("b"): true})
+	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "b").Phase == balancer.ZoneDrained })
+	if z := zoneStatus(t, p, "a"); z.Phase != balancer.ZoneHealthy || z.Reason == "" {
+		t.Errorf("the first by name: %+v", z)
+	}
+	d.responses <- listJSON(2, false, strings.Replace(endpointJSON("c/1", b.Addr, discovery.StatusServing), `"zone":"a"`, `"zone":"c"`, 1))
+	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneDrained }) // there is another now
+}
