--- a/balancer/events.go
+++ b/balancer/events.go
@@ -2,77 +2,124 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"strings"
 )
 
-// What a Balancer tells on-call staff of, as values: their words are the owner's to choose and String's to suggest.
+// What a Balancer reports to on-call staff.
 
 // Event is a change that on-call staff should see.
-type Event interface{ fmt.Stringer }
+type Event interface {
+	// Message is a short text, the same for all events of a type.
+	Message() string
+	// Attributes are the event's values.
+	Attributes() []slog.Attr
+	// String is the message with its attributes, for hosts whose log has lines of text alone.
+	fmt.Stringer
+}
 
-// ZoneChanged tells that a zone changed its standing.
+// ZonePhaseChanged is a zone's change of phase.
 type ZonePhaseChanged struct {
-	ObserverZone int       // the zone that sees it so
+	ObserverZone int       // the zone whose replicas see it so
 	State        ZoneState // after the change
 	Previous     ZonePhase
 }
 
-// SharesHeld tells that traffic inside the shares of tenants is held back.
+// TenantsThrottled says that traffic within the shares of tenants is held back, as calls are slow or fail.
 type TenantsThrottled struct {
 	Tier            int
-	QuotaMultiple   float64 // multiple of its share that a tenant may pass
-	InFlight        int     // out now
-	FailureRate     float64 // part of calls that fail
-	SpilloverWeight float64 // weight of servers in other zones
+	QuotaMultiple   float64 // of its share that each tenant may have admitted, below 1
+	InFlight        int     // attempts
+	FailureRate     float64 // running fraction of attempts that fail, 0 to 1
+	SpilloverWeight float64 // of servers in other zones, 0 to 1
 }
 
-// DampedChanged tells which servers are damped now.
+// DampedServersChanged says which servers are damped now.
 type DampedServersChanged struct {
-	Servers        []string
-	WeightFraction float64 // what each of them gets of its share
+	Servers        []string // IDs
+	WeightFraction float64  // of its weight that each of them gets
 }
 
-func (e ZonePhaseChanged) String() string {
-	return fmt.Sprintf("zone %d as seen from zone %d: %v, before %v; gets %.2f of its fair part; %.0f%% of "+
-		"%.0f calls %v, %d of %d copies of this zone call it bad; change %d",
-		e.State.Zone, e.ObserverZone, e.State.Phase, e.Previous, e.State.WeightFraction, 100*e.State.BadFraction, e.State.Calls, e.State.Fault,
-		e.State.UnhealthyVotes, e.State.ReportingReplicas, e.State.Transitions)
+// DampedServer is a server that flaps and gets a steady, small weight.
+type DampedServer struct {
+	Server      string  // ID
+	Penalty     float64 // of its flaps, now
+	DampedSince int64   // µs on the clock of events
 }
 
-func (e TenantsThrottled) String() string {
-	return fmt.Sprintf("tier %d: calls are slow or fail; tenants held to %.2f of their shares, %d calls out, "+
-		"%.0f%% of calls fail, other zones weigh %.2f", e.Tier, e.QuotaMultiple, e.InFlight, 100*e.FailureRate, e.SpilloverWeight)
+// maxLoggedIDs is the length, in bytes, to which a list of server IDs is cut.
+const maxLoggedIDs = 200
+
+// Message implements Event.
+func (e ZonePhaseChanged) Message() string { return "zone phase changed" }
+
+// Attributes implements Event.
+func (e ZonePhaseChanged) Attributes() []slog.Attr {
+	state := &e.State
+	return []slog.Attr{slog.Int("zone", state.Zone), slog.Int("observer_zone", e.ObserverZone),
+		slog.String("phase", state.Phase.String()), slog.String("previous", e.Previous.String()),
+		slog.String("weight", fmt.Sprintf("%.2f", state.WeightFraction)), slog.String("fault", state.Fault.String()),
+		slog.String("bad", fmt.Sprintf("%.2f", state.BadFraction)), slog.String("calls", fmt.Sprintf("%.0f", state.Calls)),
+		slog.Int("unhealthy_votes", state.UnhealthyVotes), slog.Int("replicas", state.ReportingReplicas),
+		slog.Int("transitions", state.Transitions)}
 }
 
-func (e DampedServersChanged) String() string {
-	if len(e.Servers) == 0 {
-		return "no server is damped any more"
-	}
-	return fmt.Sprintf("%d servers swing between bad and well and get a steady %.2f of their share: %.200s",
-		len(e.Servers), e.WeightFraction, strings.Join(e.Servers, " "))
+// String implements Event.
+func (e ZonePhaseChanged) String() string { return eventText(e) }
+
+// Message implements Event.
+func (e TenantsThrottled) Message() string { return "tenants throttled" }
+
+// Attributes implements Event.
+func (e TenantsThrottled) Attributes() []slog.Attr {
+	return []slog.Attr{slog.Int("tier", e.Tier), slog.String("quota_multiple", fmt.Sprintf("%.2f", e.QuotaMultiple)),
+		slog.Int("in_flight", e.InFlight), slog.String("failure_rate", fmt.Sprintf("%.2f", e.FailureRate)),
+		slog.String("spillover_weight", fmt.Sprintf("%.2f", e.SpilloverWeight))}
 }
 
-// DampedState tells on-call staff and figures of a server whose removals and returns are not acted on.
-type DampedServer struct {
-	Server      string
-	Penalty     float64
-	DampedSince int64
+// String implements Event.
+func (e TenantsThrottled) String() string { return eventText(e) }
+
+// Message implements Event.
+func (e DampedServersChanged) Message() string { return "damped servers changed" }
+
+// Attributes implements Event.
+func (e DampedServersChanged) Attributes() []slog.Attr {
+	return []slog.Attr{slog.Int("count", len(e.Servers)), slog.String("weight", fmt.Sprintf("%.2f", e.WeightFraction)),
+		slog.String("endpoints", fmt.Sprintf("%.*s", maxLoggedIDs, strings.Join(e.Servers, " ")))}
+}
+
+// String implements Event.
+func (e DampedServersChanged) String() string { return eventText(e) }
+
+// eventText is an event's message and its attributes as key=value.
+func eventText(e Event) string {
+	var b strings.Builder
+	b.WriteString(e.Message())
+	for _, attr := range e.Attributes() {
+		value := attr.Value.String()
+		if strings.Contains(value, " ") || value == "" {
+			value = fmt.Sprintf("%q", value)
+		}
+		fmt.Fprintf(&b, " %s=%s", attr.Key, value)
+	}
+	return b.String()
 }
 
-// String names a standing for log lines and figures, by the words of docs/fleet.md.
-func (s ZonePhase) String() string {
-	names := []string{"well", "pressed", "leaving", "away", "returning", "drained"}
-	if s < 0 || int(s) >= len(names) {
-		return fmt.Sprintf("standing %d", int(s))
+// String is the phase's name in log lines.
+func (p ZonePhase) String() string {
+	names := []string{"healthy", "saturated", "evacuating", "evacuated", "recovering", "drained"}
+	if p < 0 || int(p) >= len(names) {
+		return fmt.Sprintf("phase %d", int(p))
 	}
-	return names[s]
+	return names[p]
 }
 
-// String names a cause for log lines and figures.
-func (c Fault) String() string {
-	names := []string{"bad", "failing", "silent", "slow", "crowded"}
-	if c < 0 || int(c) >= len(names) {
-		return fmt.Sprintf("cause %d", int(c))
+// String is the fault's name in log lines.
+func (f Fault) String() string {
+	names := []string{"none", "errors", "unresponsive", "slow", "saturated"}
+	if f < 0 || int(f) >= len(names) {
+		return fmt.Sprintf("fault %d", int(f))
 	}
-	return names[c]
+	return names[f]
 }
--- a/cmd/merlinpick-simadapter/serve_test.go
+++ b/cmd/merlinpick-simadapter/serve_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"log/slog"
 	"slices"
 	"strings"
 	"testing"
@@ -156,7 +157,9 @@
 
 type textEvent string
 
-func (e textEvent) String() string { return string(e) }
+func (e textEvent) String() string          { return string(e) }
+func (e textEvent) Message() string         { return string(e) }
+func (e textEvent) Attributes() []slog.Attr { return nil }
 
 func TestActionsOnTheWire(t *testing.T) {
 	var out bytes.Buffer
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -3,6 +3,7 @@
 import (
 	"container/heap"
 	"context"
+	"log/slog"
 	"net/http"
 	"time"
 
@@ -127,4 +128,6 @@
 func (l *eventLoop) Watch() {}
 
 // Log logs an event of the balancer's.
-func (l *eventLoop) Log(event balancer.Event) { l.logger.Info(event.String()) }
+func (l *eventLoop) Log(event balancer.Event) {
+	l.logger.LogAttrs(context.Background(), slog.LevelInfo, event.Message(), event.Attributes()...)
+}
