--- a/cmd/merlinpick-simadapter/serve_test.go
+++ b/cmd/merlinpick-simadapter/serve_test.go
@@ -139,7 +139,7 @@
 		{`{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0}]}}`, "line 2: ledger: elements[0]"},
 		{`{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0,"state":3}]}}`, "line 2: ledger: elements[0].state"},
 		{strings.Replace(instanceLine("p"), "deduplicated", "sometimes", 1), `line 2: new_instance: options.profiles[0].repeat: unknown word "sometimes"`},
-		{strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1), "line 2: new_instance: logic: Settings.Zone"},
+		{strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1), "line 2: new_instance: balancer: Settings.Zone"},
 		{strings.Replace(instanceLine("p"), `"salt":7,`, "", 1), "line 2: new_instance: who, salt or options"},
 	} {
 		_, err := run(t, batch(1, c.line))
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -142,20 +142,20 @@
 	return s, nil
 }
 
-// moduleKeys are the settings' keys by the module's names of fields, where the two differ; those of the fields of one class
+// settingsKeys are the settings' keys by the balancer's names of fields, where the two differ; those of the fields of one class
 // or tenant are below its list's.
 var settingsKeys = map[string]string{
-	"Classes": "profiles", "Zones": "failure_domains", "Zone": "my_zone",
-	"Siblings": "siblings", "Ordinal": "ordinal", "Stage": "stage",
+	"Classes": "profiles", "ZoneCount": "failure_domains", "Zone": "my_zone",
+	"Replicas": "siblings", "ReplicaIndex": "ordinal", "Tier": "stage",
 	"MaxAttempts": "limits.try_limit", "MaxRetryAfter": "limits.max_retry_after_us",
-	"OrderSettle": "contract.order_settle_us", "BudgetSpan": "contract.ratio_span_us",
-	"BudgetFree": "contract.spare_attempts", "BudgetShare": "contract.resend_ratio",
-	"DrainGrace": "contract.drain_grace_us", "AskEvery": "contract.ask_every_us",
-	"StartCapacity": "contract.start_capacity", "Cold": "contract.cold_us",
-	"TipMultiple": "contract.tip_multiple", "FallSpan": "contract.fall_us",
-
-	"Aim": "objective_us", "Deadline": "give_up_us", "Worth": "worth", "LateWorth": "late_share",
-	"Window": "dedup_window_us",
+	"OrderingCooldown": "contract.order_settle_us", "RetryBudgetWindow": "contract.ratio_span_us",
+	"RetryBudgetMin": "contract.spare_attempts", "RetryBudgetRatio": "contract.resend_ratio",
+	"DrainGrace": "contract.drain_grace_us", "PollInterval": "contract.ask_every_us",
+	"SlowStartMinCapacity": "contract.start_capacity", "SlowStartDuration": "contract.cold_us",
+	"OverloadMultiple": "contract.tip_multiple", "OverloadWindow": "contract.fall_us",
+
+	"LatencyObjective": "objective_us", "Deadline": "give_up_us", "PriorityWeight": "worth", "LateWeight": "late_share",
+	"DedupWindow": "dedup_window_us",
 }
 
 // moduleFault is an error of the module's about its settings, by the keys that these have in the file.
