--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -9,20 +9,20 @@
 
 // A hint of one to two seconds sent clients back with most of the aim gone: on a small day with a slow
 // backend up to a quarter was answered late though one call in twenty was.
-func TestAHintLeavesTimeForATimelyAnswer(t *testing.T) {
+func TestRetryAfterLeavesTimeForATimelyAnswer(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = 2 * second
-	b, h := with(t, s, 0) // no server: all is refused
+	b, h := newWithServers(t, s, 0) // no server: all is refused
 	for i := range 100 {
 		b.HandleRequest(start, h, Request{ID: fmt.Sprint(i), Deadline: start + second})
 	}
 	most := s.Classes[0].LatencyObjective / 2
-	if len(h.hints) != 100 || slices.Min(h.hints) < most/2 || slices.Max(h.hints) > most {
-		t.Errorf("hints %v, want %d to %d", h.hints, most/2, most)
+	if len(h.retryAfters) != 100 || slices.Min(h.retryAfters) < most/2 || slices.Max(h.retryAfters) > most {
+		t.Errorf("hints %v, want %d to %d", h.retryAfters, most/2, most)
 	}
 }
 
-func TestCanPassThreadGrade(t *testing.T) {
+func TestConcurrencyLimitAdmitsFractions(t *testing.T) {
 	r := concurrencyLimit{max: 2.25}
 	for _, c := range []struct {
 		u    float64
@@ -38,25 +38,25 @@
 }
 
 // After calm rounds counts stood at a million: a burst filled all servers of the front before one call was late.
-func TestAnUnusedCountIsNotKept(t *testing.T) {
-	b, h := with(t, testSettings(), 4)
+func TestUnusedLimitIsNotKept(t *testing.T) {
+	b, h := newWithServers(t, testSettings(), 4)
 	now, n := start, 0
 	for ; n < 200; n++ { // one call out at a time
 		now += second / 4
-		ask(b, h, now, fmt.Sprint(n), 0)
+		sendRequest(b, h, now, fmt.Sprint(n), 0)
 		b.HandleOutcome(now+100_000, h, Outcome{RequestID: fmt.Sprint(n), Status: StatusOK, Latency: 100_000, RequestDone: true})
 	}
 	before := len(h.sends)
 	for range 50 {
 		n++
-		ask(b, h, now+second/5, fmt.Sprint(n), 0)
+		sendRequest(b, h, now+second/5, fmt.Sprint(n), 0)
 	}
 	if sent := len(h.sends) - before; sent < 3 || sent > 6 {
 		t.Errorf("of a burst of 50 calls %d are sent where one at a time was seen out", sent)
 	}
 }
 
-func TestCountIsLearnedByRounds(t *testing.T) {
+func TestLimitIsLearnedByRounds(t *testing.T) {
 	r := concurrencyLimit{max: startLimit, min: minLimit, feedback: feedbackRound{maxBadFraction: maxLateFraction, maxDuration: second}}
 	now := start
 	feed := func(n int, bad bool) {
@@ -99,10 +99,10 @@
 }
 
 // On a day of pamoja-dar calls worth twelve times as much came late behind long cheap ones.
-func TestACheapClassYieldsToAWorthierOne(t *testing.T) {
+func TestClassIsPreemptedByHigherPriority(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
-	b, _ := with(t, s, 4)
+	b, _ := newWithServers(t, s, 4)
 	cheap, dear := &b.classes[0].admission.limit, &b.classes[1].admission.limit
 	for range 10 {
 		cheap.acquire()
@@ -126,18 +126,18 @@
 }
 
 // A class that nobody uses yet is not held to its least because a worthier one is slow.
-func TestAnUnusedClassKeepsItsCount(t *testing.T) {
-	s := named()
+func TestUnusedClassKeepsItsLimit(t *testing.T) {
+	s := namedSettings()
 	s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight = 10, 1
-	b, h := with(t, s, 4)
+	b, h := newWithServers(t, s, 4)
 	for i := range 100 {
 		id, now := fmt.Sprint(i), start+int64(i)*1000
-		ask(b, h, now, id, 0)
+		sendRequest(b, h, now, id, 0)
 		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	for i := range 100 { // worthy calls turn slow
 		id, now := fmt.Sprint("slow", i), start+int64(i+1)*second
-		ask(b, h, now, id, 0)
+		sendRequest(b, h, now, id, 0)
 		b.HandleOutcome(now+s.Classes[0].LatencyObjective, h, Outcome{RequestID: id, Status: StatusOK, Latency: s.Classes[0].LatencyObjective, RequestDone: true})
 	}
 	if got := b.classes[1].admission.limit.max; got != startLimit {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestRuleOneNothingAfterTheEnd(t *testing.T) {
+func TestNoActionAfterARequestsEnd(t *testing.T) {
 	for _, end := range []func(b *Balancer, h Host){
 		func(b *Balancer, h Host) { b.HandleClientGone(start+1000, h, "r") },
 		func(b *Balancer, h Host) { b.HandleResponseStarted(start+1000, "r") },
@@ -14,8 +14,8 @@
 			b.HandleOutcome(start+1000, h, Outcome{RequestID: "r", Status: StatusRejected, RequestDone: true})
 		},
 	} {
-		b, h := with(t, testSettings(), 4)
-		ask(b, h, start, "r", 0)
+		b, h := newWithServers(t, testSettings(), 4)
+		sendRequest(b, h, start, "r", 0)
 		before := len(h.lines)
 		end(b, h)
 		b.HandleOutcome(start+2000, h, Outcome{RequestID: "r", Status: StatusRejected})
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -58,7 +58,7 @@
 		for _, zones := range []int{1, 3, 9} {
 			for _, n := range []int{15, 150, 1300, 2600} {
 				b.Run(fmt.Sprintf("rate=%d/zones=%d/nodos=%d", rate, zones, n), func(b *testing.B) {
-					bal := listedCopy(b, n, zones, 4)
+					bal := replicaWithList(b, n, zones, 4)
 					for i := range 8 * rate {
 						bal.selection.sent.add(start + int64(i)*second/int64(rate))
 					}
@@ -85,7 +85,7 @@
 					var before, after runtime.MemStats
 					runtime.GC()
 					runtime.ReadMemStats(&before)
-					bal := listedCopy(b, n, 9, classes)
+					bal := replicaWithList(b, n, 9, classes)
 					runtime.GC()
 					runtime.ReadMemStats(&after)
 					held := float64(after.HeapAlloc) - float64(before.HeapAlloc)
@@ -99,7 +99,7 @@
 }
 
 // listedCopy is a copy of a late tier that has a list and has heard of no other.
-func listedCopy(b *testing.B, n, zones, classes int) *Balancer {
+func replicaWithList(b *testing.B, n, zones, classes int) *Balancer {
 	b.Helper()
 	set := testSettings()
 	set.Tier, set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = 1, zones, 3, 2*second
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -7,21 +7,21 @@
 
 // A ban is above all that the module prefers, and a server that comes back is tried with the next call, cold and
 // far as it may be.
-func TestABannedServerGetsNothingAndIsTriedOnceBack(t *testing.T) {
+func TestSuspendedServerGetsNothingAndIsProbedWhenResumed(t *testing.T) {
 	for _, tip := range []float64{0, 3} { // a copy with so much traffic tries it at once, too, where cold servers fall over
-		t.Run(fmt.Sprint(tip), func(t *testing.T) { bannedAndBack(t, tip) })
+		t.Run(fmt.Sprint(tip), func(t *testing.T) { suspendAndResume(t, tip) })
 	}
 }
 
-func bannedAndBack(t *testing.T, tip float64) {
+func suspendAndResume(t *testing.T, tip float64) {
 	set := testSettings()
 	set.OverloadMultiple, set.OverloadWindow = tip, 2*second
-	b, h := with(t, set, 4) // s2 and s3 are in the other zone
+	b, h := newWithServers(t, set, 4) // s2 and s3 are in the other zone
 	now, n := start, 0
 	next := func() string {
 		now, n = now+1000, n+1
 		sends := len(h.sends)
-		ask(b, h, now, fmt.Sprint(n), 2)
+		sendRequest(b, h, now, fmt.Sprint(n), 2)
 		if len(h.sends) == sends {
 			return ""
 		}
@@ -29,7 +29,7 @@
 		return h.sends[sends].server
 	}
 	b.SetSuspendedServers(map[string]bool{"s0": true, "s3": true, "left long ago": true})
-	list := fleet(4)
+	list := testServers(4)
 	list[0].StartTime, list[3].StartTime = start, start // restarted meanwhile
 	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 	for range 300 {
@@ -57,9 +57,9 @@
 }
 
 // A further attempt keeps away from a server that was banned after the first.
-func TestABanHoldsForFurtherAttempts(t *testing.T) {
-	b, h := with(t, testSettings(), 2)
-	ask(b, h, start, "1", 0)
+func TestSuspensionHoldsForRetries(t *testing.T) {
+	b, h := newWithServers(t, testSettings(), 2)
+	sendRequest(b, h, start, "1", 0)
 	other := "s0"
 	if h.sends[0].server == "s0" {
 		other = "s1"
@@ -73,14 +73,14 @@
 	}
 }
 
-func TestRuleThreeDrainingAndGoneGetNothing(t *testing.T) {
+func TestDrainingAndRemovedServersGetNothing(t *testing.T) {
 	for _, state := range []ServerState{ServerDraining, ServerRemoved} {
-		b, h := with(t, testSettings(), 4)
-		list := fleet(4)
+		b, h := newWithServers(t, testSettings(), 4)
+		list := testServers(4)
 		list[0].State, list[1].State = state, state
 		b.UpdateEndpoints(start, h, UpdateDelta, list[:2])
 		for i := range 300 {
-			ask(b, h, start+int64(i), fmt.Sprint(i), 0)
+			sendRequest(b, h, start+int64(i), fmt.Sprint(i), 0)
 			b.HandleOutcome(start+int64(i), h, Outcome{RequestID: fmt.Sprint(i), Status: StatusOK, Latency: 1000, RequestDone: true})
 		}
 		for _, s := range h.sends {
@@ -94,11 +94,11 @@
 	}
 }
 
-func TestRuleThreeAServerMissingFromAWholeListIsGone(t *testing.T) {
-	b, h := with(t, testSettings(), 2)
-	b.UpdateEndpoints(start, h, UpdateSnapshot, fleet(1))
+func TestServerMissingFromASnapshotIsRemoved(t *testing.T) {
+	b, h := newWithServers(t, testSettings(), 2)
+	b.UpdateEndpoints(start, h, UpdateSnapshot, testServers(1))
 	for i := range 50 {
-		ask(b, h, start+int64(i), fmt.Sprint(i), 0)
+		sendRequest(b, h, start+int64(i), fmt.Sprint(i), 0)
 		b.HandleOutcome(start+int64(i), h, Outcome{RequestID: fmt.Sprint(i), Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	for _, s := range h.sends {
--- a/balancer/feedback_test.go
+++ b/balancer/feedback_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A copy that has cut down to a call in seconds took a minute to fill a round, long after its servers were well.
-func TestSparseRoundsEndByTimeAndOnlyWhenGood(t *testing.T) {
+func TestRoundWithFewCallsEndsByTimeAndOnlyWhenGood(t *testing.T) {
 	ev := feedbackRound{maxBadFraction: maxLateFraction, maxDuration: 5 * second}
 	if f := ev.record(start, start, true); f != 0 {
 		t.Errorf("one bad finish is taken for a round: %v", f)
--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -10,7 +10,7 @@
 
 // A server that flaps every so often, as seen by three copies at slightly different times, changes state twice a
 // minute at most once it is known for it; one that falls and comes back once is not damped.
-func TestDamperByFlaps(t *testing.T) {
+func TestFlapRecordsDampByPenalty(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		every, until int64   // it flaps, and rests from then on
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestDamperVotes(t *testing.T) {
+func TestFlapRecordsNeedVotes(t *testing.T) {
 	type say struct {
 		at, start int64
 		down      bool
@@ -103,7 +103,7 @@
 
 // Whatever is told: a penalty stays within its bounds, damping begins only above the mark and ends within its
 // time, each flap counts once, and records stay few and go once they rest.
-func TestDamperAtRandom(t *testing.T) {
+func TestFlapRecordsAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d flapRecords
 		now, counted, since := int64(0), map[string]int64{}, map[string]int64{}
@@ -147,7 +147,7 @@
 }
 
 // In real decisions: one of twelve servers of one zone fails every other 5 s, or its lease ends; ten copies.
-func TestFleetDamps(t *testing.T) {
+func TestFleetDampsFlappingServer(t *testing.T) {
 	flapping := func(w *world) bool { return (w.now-start)/(5*second)%2 == 1 }
 	for _, c := range []struct {
 		name   string
@@ -161,37 +161,37 @@
 			if s.ID == "s0" && flapping(w) {
 				return StatusError, 5_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, false, false, 0.05},
 		{"fails", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusError, 5_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, true, true, 0.02},
 		{"silent", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusTimedOut, 1_600_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, true, true, 0.02},
-		{"its lease ends", func(w *world, s Server) (Status, int64) { return w.well(nil, s) }, true, true, true, 0.02},
-		{"well", func(w *world, s Server) (Status, int64) { return w.well(nil, s) }, false, true, false, 0.12},
+		{"its lease ends", func(w *world, s Server) (Status, int64) { return w.answer(nil, s) }, true, true, true, 0.02},
+		{"well", func(w *world, s Server) (Status, int64) { return w.answer(nil, s) }, false, true, false, 0.12},
 		{"no room", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusRejected, 2_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, true, false, 0.12},
 		{"times with a long tail", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && w.rnd.IntN(4) == 0 {
 				return StatusOK, 450_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, true, false, 0.12},
 	} {
-		w := laid(t, 1, 10, 12, 30, c.on)
-		w.fate = func(_ *copyOf, s Server) (Status, int64) { return c.fate(w, s) }
+		w := newWorld(t, 1, 10, 12, 30, c.on)
+		w.outcome = func(_ *replica, s Server) (Status, int64) { return c.fate(w, s) }
 		damped, looks := 0, 0
 		for at := second; at <= 60*second; at += second {
 			w.run(at)
@@ -200,11 +200,11 @@
 				if s.State = ServerReady; flapping(w) {
 					s.State = ServerRemoved
 				}
-				for _, x := range w.copies {
+				for _, x := range w.replicas {
 					x.b.UpdateEndpoints(w.now, x, UpdateDelta, []Server{s})
 				}
 			}
-			for _, x := range w.copies {
+			for _, x := range w.replicas {
 				if at > 30*second && (!c.lease || !flapping(w)) {
 					looks++
 					damped += len(x.b.DampedServers(w.now))
@@ -212,7 +212,7 @@
 			}
 		}
 		calls, of := 0.0, 0.0
-		for _, x := range w.copies {
+		for _, x := range w.replicas {
 			for _, s := range x.sends {
 				if s.at > start+30*second {
 					of++
@@ -227,36 +227,36 @@
 }
 
 // A death while damped: refused connections are avoided as fast, and what the list says is never damped.
-func TestDeathWhileDamped(t *testing.T) {
+func TestServerDiesWhileDamped(t *testing.T) {
 	trials, later := map[bool]int{}, map[bool]int{}
 	for _, damped := range []bool{false, true} {
-		w := laid(t, 1, 10, 12, 30, true)
+		w := newWorld(t, 1, 10, 12, 30, true)
 		dead := false
-		w.fate = func(_ *copyOf, s Server) (Status, int64) {
+		w.outcome = func(_ *replica, s Server) (Status, int64) {
 			if s.ID == "s0" && dead {
 				return StatusConnectFailed, 500
 			} else if s.ID == "s0" && damped && (w.now-start)/(5*second)%2 == 1 {
 				return StatusError, 5_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}
 		w.run(30 * second)
 		dead = true
-		before := make([]int, len(w.copies))
-		for i, c := range w.copies {
+		before := make([]int, len(w.replicas))
+		for i, c := range w.replicas {
 			before[i] = len(c.sends)
 			if (len(c.b.DampedServers(w.now)) == 1) != damped {
 				t.Fatalf("%s: damped %v, not %v", c.name, c.b.DampedServers(w.now), damped)
 			}
 		}
 		w.run(50 * second)
-		for i, c := range w.copies {
+		for i, c := range w.replicas {
 			for _, s := range c.sends[before[i]:] {
 				trials[damped] += int(indicator(s.server == "s0"))
 				later[damped] += int(indicator(s.server == "s0" && s.at > start+31*second))
 			}
 		}
-		for _, c := range w.copies {
+		for _, c := range w.replicas {
 			c.b.UpdateEndpoints(w.now, c, UpdateDelta, []Server{{ID: "s0", State: ServerDraining}})
 			if n := len(c.sends); n > 0 && len(c.b.DampedServers(w.now)) != 0 {
 				t.Errorf("%s: one that drains is damped", c.name)
@@ -264,7 +264,7 @@
 		}
 		gone := w.now
 		w.run(51 * second)
-		for _, c := range w.copies {
+		for _, c := range w.replicas {
 			for _, s := range c.sends {
 				if s.at > gone && s.server == "s0" {
 					t.Fatalf("%s calls one that drains", c.name)
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -11,7 +11,7 @@
 // before there were any: whoever changes this says in the commit which decision of one copy changed, and why.
 const goldenActions = "66995dfd5b58266d"
 
-func TestOneThatHearsOfNoOthersDecidesAsBefore(t *testing.T) {
+func TestSingleReplicaDecidesAsBefore(t *testing.T) {
 	sum := sha256.New()
 	for seed := range uint64(8) {
 		lines, _ := play(t, seed, 4000, false)
@@ -55,7 +55,7 @@
 }
 
 // noticeValues, zoneValues and eventValues are fields as plain numbers and texts.
-func noticeValues(n Report) []any {
+func reportValues(n Report) []any {
 	return []any{int(n.Kind), int(n.Fault), n.Observer, n.ObserverZone, n.Server, n.StartTime, n.SubjectZone, n.Calls, n.BadFraction, n.Value, n.LastObserved}
 }
 
@@ -79,12 +79,12 @@
 func fleetHash(t *testing.T, change func(*Balancer)) string {
 	t.Helper()
 	sum := sha256.New()
-	w := laid(t, 3, 4, 6, 20, true)
-	w.fate = func(c *copyOf, s Server) (Status, int64) {
+	w := newWorld(t, 3, 4, 6, 20, true)
+	w.outcome = func(c *replica, s Server) (Status, int64) {
 		at := (w.now - start) / second
 		var i int
 		fmt.Sscanf(s.ID, "s%d", &i)
-		switch status, took := w.well(c, s); {
+		switch status, took := w.answer(c, s); {
 		case i == 0 && at/5%2 == 1:
 			return StatusError, 5_000
 		case i == 5 && at/7%2 == 1:
@@ -101,14 +101,14 @@
 			return status, took
 		}
 	}
-	w.hear = func(_, _ *copyOf) bool { return w.rnd.IntN(5) > 0 }
-	w.lie = func(c *copyOf, tells []Report) []Report {
+	w.delivers = func(_, _ *replica) bool { return w.rnd.IntN(5) > 0 }
+	w.alterReports = func(c *replica, tells []Report) []Report {
 		for _, n := range tells {
-			fmt.Fprintln(sum, c.name, noticeValues(n))
+			fmt.Fprintln(sum, c.name, reportValues(n))
 		}
 		return tells
 	}
-	for _, c := range w.copies {
+	for _, c := range w.replicas {
 		c.b.settings.OverloadMultiple, c.b.settings.OverloadWindow = 2, 2*second
 		c.b.settings.Tenants = []Tenant{{Name: "a", Share: 1, Quota: 240}}
 		c.b.quotas.tenants = make([]tenantQuota, 1)
@@ -117,7 +117,7 @@
 	for at := second; at <= 100*second; at += second {
 		w.run(at)
 		if at == 5*second {
-			change(w.copies[0].b)
+			change(w.replicas[0].b)
 		}
 		s := &w.servers[4] // its lease ends now and then
 		if s.State = ServerReady; at/second%12 == 3 {
@@ -127,8 +127,8 @@
 		if at/second%9 == 0 {
 			cold.StartTime = w.now
 		}
-		for i, c := range w.copies {
-			c.deaf = i == 1 && at > 20*second && at < 40*second
+		for i, c := range w.replicas {
+			c.isolated = i == 1 && at > 20*second && at < 40*second
 			c.b.UpdateEndpoints(w.now, c, UpdateDelta, []Server{*s, *cold})
 			switch at {
 			case 60 * second:
@@ -162,10 +162,10 @@
 			}
 		}
 	}
-	for _, c := range w.copies {
-		fmt.Fprintln(sum, c.done, c.lost)
+	for _, c := range w.replicas {
+		fmt.Fprintln(sum, c.succeeded, c.failed)
 		for _, s := range c.sends {
-			fmt.Fprintln(sum, s.at, s.server, s.zone, int(s.repeat))
+			fmt.Fprintln(sum, s.at, s.server, s.zone, int(s.idempotency))
 		}
 		for _, e := range c.events {
 			fmt.Fprintln(sum, e.at, eventValues(e.event))
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -6,15 +6,15 @@
 )
 
 // Two Balancers that are one proxy keep the allowance for further attempts between them, in every window.
-func TestTheAllowanceIsOneForBothProcesses(t *testing.T) {
+func TestRetryBudgetIsSharedByTwoProcesses(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio, s.MaxAttempts = 10*second, 5, 0.1, 3
-	old, h := with(t, s, 4)
+	old, h := newWithServers(t, s, 4)
 	var taken, further []int64
 	fail := func(b *Balancer, now int64, id string) {
 		taken = append(taken, now)
 		sends := len(h.sends)
-		ask(b, h, now, id, 0)
+		sendRequest(b, h, now, id, 0)
 		for i := 0; len(h.sends) > sends+i; i++ {
 			if i > 0 {
 				further = append(further, now)
@@ -29,7 +29,7 @@
 	}
 	next := mustNew(t, s)
 	next.ImportRetryBudget(old.ExportRetryBudget(now))
-	next.UpdateEndpoints(now, h, UpdateSnapshot, fleet(4))
+	next.UpdateEndpoints(now, h, UpdateSnapshot, testServers(4))
 	for i := range 400 {
 		now += second / 20
 		b := next
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestAColdServerGetsHalfFromEachOfTwo(t *testing.T) {
-	b, _ := with(t, testSettings(), 1)
+func TestWarmingServerGetsHalfFromEachOfTwoProcesses(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 1)
 	cold := &server{Server: Server{StartTime: start}}
 	whole := b.slowStart.factor(start+second, cold)
 	b.ImportRetryBudget(RetryBudgetUsage{})
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -7,13 +7,13 @@
 
 // recorder is a Host that keeps what it was told.
 type recorder struct {
-	lines []string
-	sends []sent
-	watch int
-	timer []string
-	hints []int64
+	lines       []string
+	sends       []sendCall
+	watches     int
+	timers      []string
+	retryAfters []int64
 }
-type sent struct {
+type sendCall struct {
 	id, server string
 	timeout    int64
 }
@@ -23,19 +23,19 @@
 }
 func (r *recorder) Send(id, server string, _, timeout int64) {
 	r.note("send %s %s %d", id, server, timeout)
-	r.sends = append(r.sends, sent{id, server, timeout})
+	r.sends = append(r.sends, sendCall{id, server, timeout})
 }
 func (r *recorder) Reject(id string, after int64) {
 	r.note("refuse %s", id)
-	r.hints = append(r.hints, after)
+	r.retryAfters = append(r.retryAfters, after)
 }
 func (r *recorder) Fail(id string) { r.note("fail %s", id) }
 func (r *recorder) SetTimer(delay int64, token string) {
 	r.note("timer %d %s", delay, token)
-	r.timer = append(r.timer, token)
+	r.timers = append(r.timers, token)
 }
 func (r *recorder) Log(Event) { r.note("log") }
-func (r *recorder) Watch()    { r.note("watch"); r.watch++ }
+func (r *recorder) Watch()    { r.note("watch"); r.watches++ }
 
 // last is the latest action without its numbers.
 func (r *recorder) last() string {
@@ -72,7 +72,7 @@
 }
 
 // fleet lists n ready servers: cells of two, zones alternating by cell.
-func fleet(n int) []Server {
+func testServers(n int) []Server {
 	var out []Server
 	for i := range n {
 		out = append(out, Server{ID: fmt.Sprintf("s%d", i), Zone: i / 2 % 2, Cell: i / 2, State: ServerReady, CapacityHint: 1})
@@ -81,11 +81,11 @@
 }
 
 // with returns a balancer that knows n servers, and its host.
-func with(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
+func newWithServers(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
 	b, h := mustNew(t, s), &recorder{}
-	b.UpdateEndpoints(start, h, UpdateSnapshot, fleet(n))
+	b.UpdateEndpoints(start, h, UpdateSnapshot, testServers(n))
 	return b, h
 }
-func ask(b *Balancer, h Host, now int64, id string, class int) {
+func sendRequest(b *Balancer, h Host, now int64, id string, class int) {
 	b.HandleRequest(now, h, Request{ID: id, Class: class, Deadline: now + 1_000_000})
 }
--- a/balancer/learn_test.go
+++ b/balancer/learn_test.go
@@ -4,16 +4,16 @@
 
 // A client that reads its answer slowly says nothing of the server: the call is counted out and judged when the
 // answer begins, and again only if that breaks off.
-func TestAnAnswerThatHasBegunIsTheClients(t *testing.T) {
+func TestStreamedResponseEndsTheAttemptsLatency(t *testing.T) {
 	for _, end := range []Status{StatusOK, StatusCancelled, StatusReset} {
-		b, h := with(t, testSettings(), 1)
-		ask(b, h, start, "r", 0)
+		b, h := newWithServers(t, testSettings(), 1)
+		sendRequest(b, h, start, "r", 0)
 		b.HandleResponseStarted(start+1000, "r")
 		s := b.members.byID["s0"]
 		if s.inFlight != 0 || b.admission.tier.inFlight != 0 || b.classes[0].latency.successes != 1 {
 			t.Errorf("begun: %d held, %d in all, %v seen", s.inFlight, b.admission.tier.inFlight, b.classes[0].latency.successes)
 		}
-		ask(b, h, start+20*second, "other", 0) // would count what is slow
+		sendRequest(b, h, start+20*second, "other", 0) // would count what is slow
 		b.HandleOutcome(start+20*second, h, Outcome{RequestID: "other", Status: StatusOK, Latency: 1000, RequestDone: true})
 		if b.quotas.multiple < maxQuotaMultiple {
 			t.Errorf("a slow client presses the shares to %v", b.quotas.multiple)
@@ -30,10 +30,10 @@
 
 // The time of a request begins when its body is whole, however long that took, and one whose body is gone is not
 // sent again.
-func TestTheTimeOfAnUploadBeginsWithItsLastByte(t *testing.T) {
+func TestLatencyBeginsWhenTheBodyIsReceived(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateWeight = 0
-	b, h := with(t, s, 4)
+	b, h := newWithServers(t, s, 4)
 	b.HandleRequest(start, h, Request{ID: "r", BodyPending: true})
 	if len(h.sends) != 1 || h.sends[0].timeout != 0 {
 		t.Fatalf("got %q", h.lines)
@@ -42,7 +42,7 @@
 	if b.admission.tier.inFlight != 0 || b.members.byID[h.sends[0].server].inFlight != 0 {
 		t.Error("a body on its way counts as a call in flight")
 	}
-	ask(b, h, late, "other", 0) // would count what is slow
+	sendRequest(b, h, late, "other", 0) // would count what is slow
 	b.HandleOutcome(late, h, Outcome{RequestID: "other", Status: StatusOK, Latency: 1000, RequestDone: true})
 	if got := b.HandleBodyReceived(late, "r", late+1_000_000); got != s.Classes[0].LatencyObjective {
 		t.Errorf("%d left for the answer", got)
--- a/balancer/listevidence_test.go
+++ b/balancer/listevidence_test.go
@@ -19,30 +19,30 @@
 )
 
 const (
-	heardUntil = start + 10*second // the list is confirmed every confirmEvery up to here
-	changedAt  = start + 11*second
-	changedFor = 4 * second
-	simulated  = start + 30*second
+	lastConfirmation = start + 10*second // the list is confirmed every confirmEvery up to here
+	changedAt        = start + 11*second
+	changedFor       = 4 * second
+	simulated        = start + 30*second
 
-	confirmEvery = 650 * second / 1000
-	countsAsTold = 6 * second // a change counts as told so long after it came about
-	socketSlack  = second / 20
+	confirmEvery  = 650 * second / 1000
+	notifiedAfter = 6 * second // a change counts as told so long after it came about
+	socketSlack   = second / 20
 )
 
 // staleFleet plays one copy before servers of which some change while nothing is heard of the list. It keeps the sends that
 // broke the rule on drains by the list's clock.
-type staleFleet struct {
-	b       *Balancer
-	rnd     *rand.Rand
-	now     int64
-	changes map[string]change
-	out     []answerDue
-	sends   int
-	late    []string
-	refused int
+type staleListWorld struct {
+	balancer *Balancer
+	rnd      *rand.Rand
+	now      int64
+	changes  map[string]change
+	out      []answerDue
+	sends    int
+	late     []string
+	refused  int
 
 	changedAt, until int64 // of all that change; from then on sends to those are late
-	heardUntil       int64 // the list is confirmed every confirmEvery up to here
+	confirmedUntil   int64 // the list is confirmed every confirmEvery up to here
 }
 
 type answerDue struct {
@@ -52,7 +52,7 @@
 	sent   int64
 }
 
-func (f *staleFleet) Send(id, server string, _, _ int64) {
+func (f *staleListWorld) Send(id, server string, _, _ int64) {
 	f.sends++
 	due, took := answerDue{id: id, sent: f.now}, 60_000+f.rnd.Int64N(140_000)
 	since := f.now - f.changedAt
@@ -64,7 +64,7 @@
 	}
 	told := int64(1 << 60) // of its return
 	if f.changes[server] == returns {
-		told = changedFor + countsAsTold
+		told = changedFor + notifiedAfter
 	}
 	if f.changes[server] != stays && f.now > f.until && since < told {
 		f.late = append(f.late, fmt.Sprintf("%s (%d) at %.2f s", server, f.changes[server], float64(f.now-start)/float64(second)))
@@ -72,28 +72,28 @@
 	due.at = f.now + took
 	f.out = append(f.out, due)
 }
-func (f *staleFleet) Reject(string, int64)   { f.refused++ }
-func (f *staleFleet) Fail(string)            {}
-func (f *staleFleet) SetTimer(int64, string) {}
-func (f *staleFleet) Log(Event)              {}
-func (f *staleFleet) Watch()                 {}
+func (f *staleListWorld) Reject(string, int64)   { f.refused++ }
+func (f *staleListWorld) Fail(string)            {}
+func (f *staleListWorld) SetTimer(int64, string) {}
+func (f *staleListWorld) Log(Event)              {}
+func (f *staleListWorld) Watch()                 {}
 
 // play runs the copy at a rate of requests a second, with a list that is heard for some time.
-func (f *staleFleet) play(rate int64) {
-	f.changedAt, f.heardUntil = changedAt, heardUntil
-	f.until = changedAt + countsAsTold + f.b.settings.DrainGrace + socketSlack
-	f.b.UpdateEndpoints(start, f, UpdateSnapshot, fleet(len(f.changes)))
+func (f *staleListWorld) play(rate int64) {
+	f.changedAt, f.confirmedUntil = changedAt, lastConfirmation
+	f.until = changedAt + notifiedAfter + f.balancer.settings.DrainGrace + socketSlack
+	f.balancer.UpdateEndpoints(start, f, UpdateSnapshot, testServers(len(f.changes)))
 	f.run(rate)
 }
 
 // unheard runs it with the list that it starts with alone: all has changed before.
-func (f *staleFleet) unheard(rate, learned int64) {
-	f.changedAt, f.heardUntil, f.until = start-second, start, start+learned
-	f.b.UpdateEndpoints(start, f, UpdateCached, fleet(len(f.changes)))
+func (f *staleListWorld) playCached(rate, learned int64) {
+	f.changedAt, f.confirmedUntil, f.until = start-second, start, start+learned
+	f.balancer.UpdateEndpoints(start, f, UpdateCached, testServers(len(f.changes)))
 	f.run(rate)
 }
 
-func (f *staleFleet) run(rate int64) {
+func (f *staleListWorld) run(rate int64) {
 	f.now = start
 	attempts, confirm, request := map[string]int{}, start+confirmEvery, start
 	for n := 0; f.now < simulated; {
@@ -102,22 +102,22 @@
 		if len(f.out) > 0 {
 			next = min(next, f.out[0].at)
 		}
-		if confirm < f.heardUntil {
+		if confirm < f.confirmedUntil {
 			next = min(next, confirm)
 		}
 		switch f.now = next; {
-		case confirm < f.heardUntil && next == confirm:
-			f.b.UpdateEndpoints(f.now, f, UpdateDelta, nil)
+		case confirm < f.confirmedUntil && next == confirm:
+			f.balancer.UpdateEndpoints(f.now, f, UpdateDelta, nil)
 			confirm += confirmEvery
 		case len(f.out) > 0 && next == f.out[0].at:
 			due := f.out[0]
 			f.out = f.out[1:]
 			number := attempts[due.id]
 			attempts[due.id]++
-			f.b.HandleOutcome(f.now, f, Outcome{RequestID: due.id, Attempt: number, Status: due.status, Latency: f.now - due.sent, RequestDone: due.status == StatusOK})
+			f.balancer.HandleOutcome(f.now, f, Outcome{RequestID: due.id, Attempt: number, Status: due.status, Latency: f.now - due.sent, RequestDone: due.status == StatusOK})
 		default:
 			n++
-			f.b.HandleRequest(f.now, f, Request{ID: fmt.Sprint(n), Deadline: f.now + 1_000_000})
+			f.balancer.HandleRequest(f.now, f, Request{ID: fmt.Sprint(n), Deadline: f.now + 1_000_000})
 			request += second/rate/2 + f.rnd.Int64N(second/rate)
 		}
 	}
@@ -125,13 +125,13 @@
 
 // A list that is not heard of names servers that drain, are gone, or went and came back. Each change counts as told 6 s after
 // it came about: from then on calls go to servers that kept taking calls, and not to those.
-func TestAStaleListGoesByAnswers(t *testing.T) {
+func TestStaleListIsCorrectedByAttempts(t *testing.T) {
 	for _, rate := range []int64{8, 35} {
 		t.Run(fmt.Sprint(rate, " a second"), func(t *testing.T) {
 			for seed := range uint64(20) {
 				s := testSettings()
 				s.DrainGrace, s.MembershipEvidenceTTL = second, 3*second
-				f := &staleFleet{b: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]change{}}
+				f := &staleListWorld{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]change{}}
 				for i := range 24 {
 					f.changes[fmt.Sprint("s", i)] = []change{stays, drains, stays, dies, stays, returns}[(i+int(seed))%6]
 				}
@@ -149,16 +149,16 @@
 
 // A copy that begins with an old list, and hears of no other, finds out which servers drain or are gone by its first calls, and
 // then leaves these alone.
-func TestAnUnconfirmedListIsLearnedFrom(t *testing.T) {
+func TestCachedListIsCorrectedByFirstAttempts(t *testing.T) {
 	const learned = 4 * second
 	for seed := range uint64(20) {
 		s := testSettings()
 		s.DrainGrace, s.MembershipEvidenceTTL = second, 3*second
-		f := &staleFleet{b: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]change{}}
+		f := &staleListWorld{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]change{}}
 		for i := range 24 {
 			f.changes[fmt.Sprint("s", i)] = []change{stays, drains, stays, stays, dies, stays}[(i+int(seed))%6]
 		}
-		f.unheard(35, learned)
+		f.playCached(35, learned)
 		if len(f.late) > 0 {
 			t.Errorf("seed %d: %d of %d sends to servers that had turned calls away: %v", seed, len(f.late), f.sends, f.late[:min(3, len(f.late))])
 		}
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -11,8 +11,8 @@
 )
 
 // away are the zones that a copy has left.
-func (c *copyOf) away() (out []int) {
-	for _, z := range c.b.ZoneStates(c.w.now) {
+func (c *replica) evacuatedZones() (out []int) {
+	for _, z := range c.b.ZoneStates(c.world.now) {
 		if z.Phase == ZoneEvacuated {
 			out = append(out, z.Zone)
 		}
@@ -21,14 +21,14 @@
 }
 
 // What looks alike at one call is told apart by where it is seen from, how wide it is and what goes well meanwhile.
-func TestTroublesAreToldApart(t *testing.T) {
-	type fate = func(w *world, c *copyOf, s Server) (Status, int64)
+func TestFaultsAreToldApart(t *testing.T) {
+	type fate = func(w *world, c *replica, s Server) (Status, int64)
 	lost := func(zones ...int) fate {
-		return func(w *world, c *copyOf, s Server) (Status, int64) {
+		return func(w *world, c *replica, s Server) (Status, int64) {
 			if slices.Contains(zones, s.Zone) {
 				return StatusOK, 1e12
 			}
-			return w.well(c, s)
+			return w.answer(c, s)
 		}
 	}
 	for _, c := range []struct {
@@ -41,51 +41,51 @@
 		{"a lost zone", lost(0), -1, [3][]int{0: {0}}, []int{0}},
 		{"a lost zone that another used", lost(0), 1, [3][]int{{0}, {0}, nil}, []int{0}},
 		{"two of three lost", lost(0, 1), -1, [3][]int{{0}, {1}, nil}, []int{0, 1}},
-		{"a zone that answers but fails", func(w *world, c *copyOf, s Server) (Status, int64) {
+		{"a zone that answers but fails", func(w *world, c *replica, s Server) (Status, int64) {
 			if s.Zone == 0 {
 				return StatusError, 5_000
 			}
-			return w.well(c, s)
+			return w.answer(c, s)
 		}, -1, [3][]int{0: {0}}, []int{0}},
-		{"answers lost between zones", func(w *world, c *copyOf, s Server) (Status, int64) {
+		{"answers lost between zones", func(w *world, c *replica, s Server) (Status, int64) {
 			if s.Zone == 0 && c.b.settings.Zone != 0 {
 				return StatusOK, 1e12
 			}
-			return w.well(c, s)
+			return w.answer(c, s)
 		}, 1, [3][]int{1: {0}}, nil},
-		{"one bad server", func(w *world, c *copyOf, s Server) (Status, int64) {
+		{"one bad server", func(w *world, c *replica, s Server) (Status, int64) {
 			if s.ID == "s0" {
 				return StatusOK, 1e12
 			}
-			return w.well(c, s)
+			return w.answer(c, s)
 		}, -1, [3][]int{}, nil},
-		{"a copy's own link", func(w *world, c *copyOf, s Server) (Status, int64) {
-			if c.n < 3 {
+		{"a copy's own link", func(w *world, c *replica, s Server) (Status, int64) {
+			if c.index < 3 {
 				return StatusOK, 1e12
 			}
-			return w.well(c, s)
+			return w.answer(c, s)
 		}, -1, [3][]int{}, nil},
-		{"slow everywhere", func(w *world, c *copyOf, s Server) (Status, int64) {
-			_, took := w.well(c, s)
+		{"slow everywhere", func(w *world, c *replica, s Server) (Status, int64) {
+			_, took := w.answer(c, s)
 			return StatusOK, 20 * took
 		}, -1, [3][]int{}, nil},
 		{"lost everywhere", lost(0, 1, 2), -1, [3][]int{}, nil},
-		{"a slow zone", func(w *world, c *copyOf, s Server) (Status, int64) {
-			st, took := w.well(c, s)
+		{"a slow zone", func(w *world, c *replica, s Server) (Status, int64) {
+			st, took := w.answer(c, s)
 			if s.Zone == 0 {
 				took *= 5
 			}
 			return st, took
 		}, -1, [3][]int{}, nil},
-		{"a zone that is full", func(w *world, c *copyOf, s Server) (Status, int64) {
+		{"a zone that is full", func(w *world, c *replica, s Server) (Status, int64) {
 			if s.Zone == 0 {
 				return StatusRejected, 1000
 			}
-			return w.well(c, s)
+			return w.answer(c, s)
 		}, -1, [3][]int{}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := laid(t, 3, 4, 5, 20, true)
+			w := newWorld(t, 3, 4, 5, 20, true)
 			if c.noHome >= 0 {
 				list := slices.Clone(w.servers)
 				for i := range list {
@@ -93,15 +93,15 @@
 						list[i].State = ServerDraining
 					}
 				}
-				for _, p := range w.copies {
+				for _, p := range w.replicas {
 					p.b.UpdateEndpoints(start, p, UpdateSnapshot, list)
 				}
 			}
 			w.run(10 * second)
-			w.fate = func(p *copyOf, s Server) (Status, int64) { return c.fate(w, p, s) }
+			w.outcome = func(p *replica, s Server) (Status, int64) { return c.fate(w, p, s) }
 			w.run(14 * second)
-			for _, p := range w.copies {
-				got, want := p.away(), c.left[p.b.settings.Zone]
+			for _, p := range w.replicas {
+				got, want := p.evacuatedZones(), c.left[p.b.settings.Zone]
 				for z := range 3 {
 					in := slices.Contains(got, z)
 					if !in && slices.Contains(want, z) || in && !slices.Contains(slices.Concat(want, c.may), z) {
@@ -109,9 +109,9 @@
 					}
 				}
 			}
-			w.fate = w.well
+			w.outcome = w.answer
 			w.run(60 * second)
-			for _, p := range w.copies {
+			for _, p := range w.replicas {
 				for _, z := range p.b.ZoneStates(w.now) {
 					if z.Phase > ZoneSaturated {
 						t.Errorf("%s: %+v long after", p.name, z)
@@ -123,7 +123,7 @@
 }
 
 // stood are the times at which a copy put a zone in a standing.
-func (c *copyOf) stood(zone int, standing ZonePhase) (at []int64) {
+func (c *replica) phaseTimes(zone int, standing ZonePhase) (at []int64) {
 	for _, s := range c.events {
 		if e, ok := s.event.(ZonePhaseChanged); ok && e.State.Zone == zone && e.ObserverZone == c.b.settings.Zone && e.State.Phase == standing {
 			at = append(at, s.at-start)
@@ -134,7 +134,7 @@
 
 // In fleets of different width the copies of a lost zone leave it within half a second of each other, in about a
 // second or a third of the time that they take by themselves, and have it back within one and a half cold times.
-func TestAZoneIsLeftAndReturnedToAsOne(t *testing.T) {
+func TestReplicasEvacuateAndReturnTogether(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		copies, servers int
@@ -145,28 +145,28 @@
 			var avoided [2]int64 // when 95 % of the attempts of a second but for trials went elsewhere: alone, together
 			some := 0.05 + trialsPerSecond/(c.rate*float64(c.copies))
 			for on := range 2 {
-				w := laid(t, 3, c.copies, c.servers, c.rate, on == 1)
-				w.hear = func(*copyOf, *copyOf) bool { return w.rnd.Float64() >= c.unheard }
+				w := newWorld(t, 3, c.copies, c.servers, c.rate, on == 1)
+				w.delivers = func(*replica, *replica) bool { return w.rnd.Float64() >= c.unheard }
 				w.run(20 * second)
-				w.fate = func(p *copyOf, s Server) (Status, int64) {
+				w.outcome = func(p *replica, s Server) (Status, int64) {
 					if s.Zone == 0 {
 						return StatusOK, 1e12
 					}
-					return w.well(p, s)
+					return w.answer(p, s)
 				}
 				w.run(35 * second)
-				w.fate = w.well
+				w.outcome = w.answer
 				w.run(35*second + int64(on)*20*second)
 				at := int64(20 * second)
-				for at < 34*second && w.part(0, 0, at, at+second) > some {
+				for at < 34*second && w.attemptFraction(0, 0, at, at+second) > some {
 					at += second / 10
 				}
 				if avoided[on] = at - 20*second; on == 0 {
 					continue
 				}
 				first, last := int64(math.MaxInt64), int64(0)
-				for _, p := range w.copies {
-					if away := p.stood(0, ZoneEvacuated); p.b.settings.Zone == 0 && len(away) != 1 {
+				for _, p := range w.replicas {
+					if away := p.phaseTimes(0, ZoneEvacuated); p.b.settings.Zone == 0 && len(away) != 1 {
 						t.Errorf("%s left zone 0 at %v", p.name, away)
 					} else if p.b.settings.Zone == 0 {
 						first, last = min(first, away[0]), max(last, away[0])
@@ -175,19 +175,19 @@
 				if last-first > second/2 {
 					t.Errorf("first left at %d, last at %d", first, last)
 				}
-				if part := w.part(-1, -1, 5*second, 20*second); part > 0.15 {
+				if part := w.attemptFraction(-1, -1, 5*second, 20*second); part > 0.15 {
 					t.Errorf("%.2f of attempts go across zones while nothing is wrong", part)
 				}
-				cold := w.copies[0].b.settings.SlowStartDuration
-				if back := w.part(0, 0, 35*second+cold*3/2, 55*second); back < 0.9 {
+				cold := w.replicas[0].b.settings.SlowStartDuration
+				if back := w.attemptFraction(0, 0, 35*second+cold*3/2, 55*second); back < 0.9 {
 					t.Errorf("%.2f are back", back)
 				}
-				if early := w.part(0, 0, 25*second, 35*second); early > some {
+				if early := w.attemptFraction(0, 0, 25*second, 35*second); early > some {
 					t.Errorf("%.2f of attempts are trials", early)
 				}
-				for _, p := range w.copies {
+				for _, p := range w.replicas {
 					for _, s := range p.sends {
-						if at := s.at - start; s.zone == 0 && p.b.settings.Zone == 0 && at > 25*second && at < 35*second && s.repeat != Idempotent {
+						if at := s.at - start; s.zone == 0 && p.b.settings.Zone == 0 && at > 25*second && at < 35*second && s.idempotency != Idempotent {
 							t.Fatalf("%s tried zone 0 at %d with a call that is not safe to repeat", p.name, at)
 						}
 					}
@@ -201,101 +201,101 @@
 	}
 }
 
-func TestAZoneThatFlapsIsReturnedToMoreSlowly(t *testing.T) {
-	w := laid(t, 3, 3, 4, 10, true)
-	w.fate = func(c *copyOf, s Server) (Status, int64) {
+func TestFlappingZoneIsReturnedToMoreSlowly(t *testing.T) {
+	w := newWorld(t, 3, 3, 4, 10, true)
+	w.outcome = func(c *replica, s Server) (Status, int64) {
 		if s.Zone == 0 && (w.now-start)/(5*second)%2 == 1 {
 			return StatusOK, 1e12
 		}
-		return w.well(c, s)
+		return w.answer(c, s)
 	}
 	w.run(120 * second)
-	before := w.copies[0].b.ZoneStates(w.now)[0].Transitions
+	before := w.replicas[0].b.ZoneStates(w.now)[0].Transitions
 	w.run(240 * second)
-	if n := w.copies[0].b.ZoneStates(w.now)[0].Transitions - before; n > 2*2 {
+	if n := w.replicas[0].b.ZoneStates(w.now)[0].Transitions - before; n > 2*2 {
 		t.Errorf("%d changes in two minutes", n)
 	}
-	w.fate = w.well
+	w.outcome = w.answer
 	w.run(320 * second)
-	if z := w.copies[0].b.ZoneStates(w.now)[0]; z.WeightFraction < 1 {
+	if z := w.replicas[0].b.ZoneStates(w.now)[0]; z.WeightFraction < 1 {
 		t.Errorf("not returned to: %+v", z)
 	}
 }
 
 // A copy that hears nobody any more keeps nothing of what it heard, and returns at the least pace.
-func TestOneThatIsCutOffFallsToTheLeastShare(t *testing.T) {
-	w := laid(t, 3, 4, 5, 20, true)
+func TestIsolatedReplicaReturnsSlowly(t *testing.T) {
+	w := newWorld(t, 3, 4, 5, 20, true)
 	w.run(10 * second)
-	w.fate = func(p *copyOf, s Server) (Status, int64) {
+	w.outcome = func(p *replica, s Server) (Status, int64) {
 		if s.Zone == 0 {
 			return StatusOK, 1e12
 		}
-		return w.well(p, s)
+		return w.answer(p, s)
 	}
 	w.run(14 * second)
-	c := w.copies[0]
-	c.deaf = true
-	w.fate = w.well
+	c := w.replicas[0]
+	c.isolated = true
+	w.outcome = w.answer
 	w.run(22 * second)
-	if mine, theirs := c.b.ZoneStates(w.now)[0], w.copies[3].b.ZoneStates(w.now)[0]; mine.WeightFraction >= theirs.WeightFraction || mine.WeightFraction > 0.2 {
+	if mine, theirs := c.b.ZoneStates(w.now)[0], w.replicas[3].b.ZoneStates(w.now)[0]; mine.WeightFraction >= theirs.WeightFraction || mine.WeightFraction > 0.2 {
 		t.Errorf("cut off: %+v; the others: %+v", mine, theirs)
 	}
 	w.run(80 * second)
 	if mine := c.b.ZoneStates(w.now)[0]; mine.WeightFraction < 1 {
 		t.Errorf("cut off, much later: %+v", mine)
 	}
-	w.fate = func(p *copyOf, s Server) (Status, int64) {
+	w.outcome = func(p *replica, s Server) (Status, int64) {
 		if s.Zone == 0 {
 			return StatusOK, 1e12
 		}
-		return w.well(p, s)
+		return w.answer(p, s)
 	}
 	w.run(90 * second)
-	if away := c.away(); len(away) > 0 {
+	if away := c.evacuatedZones(); len(away) > 0 {
 		t.Errorf("cut off, it left %v", away)
 	}
-	one := laid(t, 3, 1, 5, 40, true) // the only one of its zone
-	one.copies[0].deaf, one.fate = true, w.fate
+	one := newWorld(t, 3, 1, 5, 40, true) // the only one of its zone
+	one.replicas[0].isolated, one.outcome = true, w.outcome
 	one.run(10 * second)
-	if away := one.copies[0].away(); len(away) > 0 {
+	if away := one.replicas[0].evacuatedZones(); len(away) > 0 {
 		t.Errorf("cut off and the only one of its zone, it left %v", away)
 	}
 }
 
-func TestAZoneSuspendedByHandGetsNothing(t *testing.T) {
-	w := laid(t, 3, 2, 3, 20, true)
+func TestDrainedZoneGetsNothing(t *testing.T) {
+	w := newWorld(t, 3, 2, 3, 20, true)
 	w.run(5 * second)
-	for _, c := range w.copies {
+	for _, c := range w.replicas {
 		c.b.SetDrainedZones(w.now, c, map[int]bool{0: true})
 	}
 	w.run(15 * second)
-	if part := w.part(-1, 0, 5*second, 15*second); part > 0 {
+	if part := w.attemptFraction(-1, 0, 5*second, 15*second); part > 0 {
 		t.Errorf("%v of attempts went to a zone that is drained", part)
 	}
-	sends := len(w.copies[0].sends)
-	w.copies[0].b.SetDrainedZones(w.now, w.copies[0], map[int]bool{0: true, 1: true, 2: true})
-	w.copies[0].b.SetSuspendedServers(map[string]bool{"s0": true})
-	w.copies[0].b.SetSuspendedServers(nil) // back from a ban, it would get the next call
+	sends := len(w.replicas[0].sends)
+	w.replicas[0].b.SetDrainedZones(w.now, w.replicas[0], map[int]bool{0: true, 1: true, 2: true})
+	w.replicas[0].b.SetSuspendedServers(map[string]bool{"s0": true})
+	w.replicas[0].b.SetSuspendedServers(nil) // back from a ban, it would get the next call
 	w.run(16 * second)
-	if n := len(w.copies[0].sends) - sends; n > 0 {
+	if n := len(w.replicas[0].sends) - sends; n > 0 {
 		t.Errorf("%d attempts with all zones drained", n)
 	}
-	for _, c := range w.copies {
+	for _, c := range w.replicas {
 		c.b.SetDrainedZones(w.now, c, nil)
 		c.b.SetDrainedZones(w.now, c, nil)
 	}
 	w.run(17 * second)
-	if z := w.copies[0].b.ZoneStates(w.now)[0]; z.Phase != ZoneRecovering {
+	if z := w.replicas[0].b.ZoneStates(w.now)[0]; z.Phase != ZoneRecovering {
 		t.Errorf("restored: %+v", z)
 	}
 	w.run(40 * second)
-	if part := w.part(0, 0, 30*second, 40*second); part < 0.9 {
+	if part := w.attemptFraction(0, 0, 30*second, 40*second); part < 0.9 {
 		t.Errorf("restored, it gets %v of home's attempts", part)
 	}
 }
 
 // What three of four copies of a zone must tell for another to be left.
-func TestWhatItTakesToLeaveAZone(t *testing.T) {
+func TestEvacuationConditions(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		say       int     // copies that call it bad
@@ -312,7 +312,7 @@
 		{"one server", 3, 5, 0.9, 1, 0.1, ZoneHealthy},
 		{"the others no better", 3, 5, 0.9, 2, 0.55, ZoneHealthy},
 	} {
-		b, h := with(t, testSettings(), 8)
+		b, h := newWithServers(t, testSettings(), 8)
 		var p PeerReports
 		for now := start; now < start+second; now += second / 10 {
 			p = PeerReports{LiveReplicas: 8, LiveReplicasInZone: 5}
@@ -337,7 +337,7 @@
 }
 
 // The first drain of all is a change of state like any other: counted, and said in the log.
-func TestTheFirstDrainIsSaid(t *testing.T) {
+func TestFirstDrainIsLogged(t *testing.T) {
 	b, err := New(Settings{ZoneCount: 2, Replicas: 1, MaxAttempts: 1, Classes: []Class{{LatencyObjective: second, Deadline: second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -351,7 +351,7 @@
 
 // Whatever others say, not all zones are away, the budget holds, and once all say well all is returned to. Two that
 // hear the same stand alike.
-func TestZonesWhateverOthersSay(t *testing.T) {
+func TestZonesUnderAnyReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
 		set.SlowStartDuration = 4 * second
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -11,7 +11,7 @@
 
 // After any lists and bans the ring holds the listed servers in order, and new calls go to the ready ones of it, from
 // this copy's place on.
-func TestRingHoldsWhatIsListed(t *testing.T) {
+func TestRingHoldsListedServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
 		set.ReplicaIndex = rapid.IntRange(0, 5).Draw(t, "ordinal")
--- a/balancer/ordering_test.go
+++ b/balancer/ordering_test.go
@@ -6,10 +6,10 @@
 )
 
 // Requests of one key once overtook one another: an earlier one was still out at a slow server.
-func TestAKeyKeepsItsOrder(t *testing.T) {
+func TestRequestsOfAKeyKeepTheirOrder(t *testing.T) {
 	s := testSettings()
 	s.Classes[2].Ordered, s.OrderingCooldown = true, 100_000
-	b, h := with(t, s, 4)
+	b, h := newWithServers(t, s, 4)
 	take := func(now int64, id, key string) {
 		b.HandleRequest(now, h, Request{ID: id, Class: 2, Key: key, Deadline: now + second})
 	}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func TestWeightsFollowSpeedAndFailures(t *testing.T) {
-	b, _ := with(t, testSettings(), 2)
+func TestWeightsFollowLatencyAndFailures(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 2)
 	fast, slow := b.members.byID["s0"], b.members.byID["s1"]
 	c := &b.classes[0]
 	for range 200 {
@@ -31,8 +31,8 @@
 }
 
 // Servers that failed one class were lost to the others too, and the rest was crowded.
-func TestAnErrorConcernsItsClassAndSilenceTheServer(t *testing.T) {
-	b, _ := with(t, testSettings(), 4)
+func TestErrorConcernsItsClassAndNoResponseTheServer(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 4)
 	ill, well := b.members.byID["s0"], b.members.byID["s1"]
 	for range 5 {
 		b.outliers.attribute(ill, 0, StatusError)
@@ -56,8 +56,8 @@
 }
 
 // A server that was full for one class alone got its weight back with every success of another.
-func TestFullConcernsItsClassToo(t *testing.T) {
-	b, _ := with(t, testSettings(), 4)
+func TestRejectionConcernsItsClass(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 4)
 	ill, well := b.members.byID["s0"], b.members.byID["s1"]
 	for range 5 {
 		b.outliers.attribute(ill, 0, StatusRejected)
@@ -76,8 +76,8 @@
 }
 
 // Where half the calls failed none was blamed, though they were all of two servers: their full cut the counts.
-func TestTwoServersThatFailAllAreBlamedAmongFour(t *testing.T) {
-	b, _ := with(t, testSettings(), 4)
+func TestFailuresOfHalfTheServersAreAttributed(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 4)
 	for range 50 {
 		b.outliers.attribute(b.members.byID["s0"], 0, StatusRejected)
 		b.outliers.attribute(b.members.byID["s1"], 0, StatusRejected)
@@ -95,8 +95,8 @@
 }
 
 // An error that all servers show comes from a deeper tier: no server is blamed.
-func TestPeersShowingTheSameAreNotBlamed(t *testing.T) {
-	b, _ := with(t, testSettings(), 4)
+func TestFailuresOfAllServersAreNotAttributed(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 4)
 	for range 100 {
 		for _, s := range b.members.all {
 			b.outliers.attribute(s, 0, StatusError)
@@ -110,8 +110,8 @@
 }
 
 // When a zone is lost all home servers refuse connections alike: they are to blame nonetheless.
-func TestARefusedConnectionIsAlwaysBlamed(t *testing.T) {
-	b, _ := with(t, testSettings(), 8)
+func TestRefusedConnectionIsAlwaysAttributed(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 8)
 	for range 5 {
 		for _, s := range b.members.all {
 			if !b.outliers.attribute(s, 0, StatusConnectFailed) {
@@ -138,7 +138,7 @@
 }
 
 // A server that others call bad gets trials only, until it answers this copy; restarted it begins anew.
-func TestAVerdictOfOthersIsAPrior(t *testing.T) {
+func TestReportedServerIsEjectedUntilItAnswers(t *testing.T) {
 	set := testSettings()
 	says := func(n int, kind ReportKind, cause Fault, zone int) (out []Report) {
 		for i := range n {
@@ -165,7 +165,7 @@
 			b.UpdateEndpoints(start, h, UpdateDelta, []Server{{ID: "s1", State: ServerReady, CapacityHint: 1, StartTime: start - 1}})
 		}, 1},
 	} {
-		b, h := with(t, set, 8)
+		b, h := newWithServers(t, set, 8)
 		if b.Reports(start); c.do != nil {
 			c.do(b, h)
 		}
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestCanPassQPSGradeWithFractions(t *testing.T) {
+func TestTenantQuotaAdmitsItsRate(t *testing.T) {
 	for _, count := range []float64{0.5, 3, 40} {
 		var r tenantQuota
 		passed := 0
@@ -25,7 +25,7 @@
 }
 
 // A fresh copy with a stretched window once let a long window's worth through at once and choked the front.
-func TestFreshCopyDoesNotPassALongWindowAtOnce(t *testing.T) {
+func TestNewReplicaDoesNotAdmitALongWindowAtOnce(t *testing.T) {
 	var r tenantQuota
 	passed := 0
 	for now := start; now < start+second; now += second / 100 {
@@ -41,7 +41,7 @@
 
 // Each sparse copy let one call of each tenant through a window however low its share: hundreds of copies fed
 // choked servers, which never came to rest.
-func TestAPressedTenantHasNoFreeCall(t *testing.T) {
+func TestThrottledTenantHasNoFreeCall(t *testing.T) {
 	passed := 0
 	rnd := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
@@ -60,11 +60,11 @@
 
 // In a jam pressed shares shed nothing at copies whose tenants each send less than a call a window: room for
 // chance let all of it through.
-func TestRoomForChanceGivesWayWhenCallsAreSlow(t *testing.T) {
+func TestBurstAllowanceShrinksWhileCallsAreSlow(t *testing.T) {
 	s := testSettings()
 	s.Replicas, s.Tenants = 100, []Tenant{{Share: 0.5, Quota: 30}, {Share: 0.5, Quota: 30}}
 	sent := func(share float64) int {
-		b, h := with(t, s, 4)
+		b, h := newWithServers(t, s, 4)
 		for i := range 100 {
 			now, id := start+int64(i)*4*second, fmt.Sprint(i)
 			b.quotas.multiple, b.quotas.tenants[0].requests, b.arrivals.recent = share, decayingCount{}, decayingCount{}
@@ -83,7 +83,7 @@
 
 // At a copy that sees a call a second, chance alone fills a tenant's count: a third of the calls was refused
 // on a calm fleet. A tenant that goes on sending more than its part must be held all the same.
-func TestChanceIsNotTakenForAnOverfullShare(t *testing.T) {
+func TestBurstByChanceIsAdmitted(t *testing.T) {
 	s := testSettings()
 	s.Replicas = 100
 	for range 4 {
@@ -96,7 +96,7 @@
 		sent, asked := 0.0, 0.0
 		for copies := range 20 {
 			s.ReplicaIndex = copies
-			b, h := with(t, s, 4)
+			b, h := newWithServers(t, s, 4)
 			for now := start; now < start+40*second; now += second / 100 {
 				for tenant, rate := range []float64{c.perSecond, 0.25, 0.25, 0.25} {
 					if rnd.Float64() > rate/100 {
@@ -121,7 +121,7 @@
 func TestTenantOverItsShareIsShed(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 0.5, Quota: 20}, {Share: 0.5, Quota: 20}}
-	b, h := with(t, s, 4)
+	b, h := newWithServers(t, s, 4)
 	sent := map[int]int{}
 	n := 0
 	for now := start; now < start+4*second; now += second / 100 {
@@ -145,8 +145,8 @@
 	}
 }
 
-func TestHeldSharesAreReportedRarely(t *testing.T) {
-	b, h := with(t, testSettings(), 2)
+func TestThrottlingIsLoggedRarely(t *testing.T) {
+	b, h := newWithServers(t, testSettings(), 2)
 	b.logThrottling(start, h)
 	if len(h.lines) != 0 {
 		t.Fatalf("a calm copy reports %q", h.lines)
@@ -162,10 +162,10 @@
 
 // A fresh copy held every tenant to its share from its first call on and was slow to learn better: on a calm
 // day of half a minute most refusals at the front were these. The first bad round takes all of the room back.
-func TestAFreshCopyDoesNotHoldTenantsToTheirSharesUntilCallsAreSlow(t *testing.T) {
+func TestNewReplicaThrottlesTenantsOnlyWhenCallsAreSlow(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
-	b, h := with(t, s, 8)
+	b, h := newWithServers(t, s, 8)
 	for i := range 32 { // a second's traffic at 1.6 times the share
 		now, id := start+int64(i)*second/32, fmt.Sprint(i)
 		b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
@@ -187,10 +187,10 @@
 }
 
 // One bad round held a tenant to its share for the rest of a short day, though calls were timely again.
-func TestTheRoomThatABadRoundTookComesBackWithinADozenRounds(t *testing.T) {
+func TestQuotaMultipleRecoversWithinADozenRounds(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
-	b, _ := with(t, s, 8)
+	b, _ := newWithServers(t, s, 8)
 	b.quotas.multiple = overloadQuotaMultiple
 	for i := range 12 * feedbackRoundCalls {
 		now := start + int64(i)
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"errors"
 	"maps"
 	"slices"
 )
@@ -20,8 +19,11 @@
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	if s.Tier != b.settings.Tier || s.WatchEndpoints != b.settings.WatchEndpoints {
-		return nil, errors.New("logic: Settings.Tier and WatchEndpoints cannot change under way")
+	if s.Tier != b.settings.Tier {
+		return nil, &SettingsError{Field: "Tier", Problem: "cannot change while running"}
+	}
+	if s.WatchEndpoints != b.settings.WatchEndpoints {
+		return nil, &SettingsError{Field: "WatchEndpoints", Problem: "cannot change while running"}
 	}
 	before := b.settings
 	numbers = b.replaceClasses(&s, heldNumbers)
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func named() Settings {
+func namedSettings() Settings {
 	s := testSettings()
 	for i := range s.Classes {
 		s.Classes[i].Name = fmt.Sprint("c", i)
@@ -14,13 +14,13 @@
 }
 
 // What comes is under the new settings, what is open under those that it began with.
-func TestOpenRequestsKeepTheirRules(t *testing.T) {
-	s := named()
+func TestOpenRequestsKeepTheirSettings(t *testing.T) {
+	s := namedSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin = second, 100
-	b, h := with(t, s, 4)
+	b, h := newWithServers(t, s, 4)
 	first := b.Settings()
-	ask(b, h, start, "open", 0) // safe, may be tried 4 times
-	next := named()
+	sendRequest(b, h, start, "open", 0) // safe, may be tried 4 times
+	next := namedSettings()
 	next.RetryBudgetWindow, next.RetryBudgetMin, next.MaxAttempts = second, 100, 1
 	next.Classes = next.Classes[:3]
 	next.Classes[0].Idempotency = NonIdempotent
@@ -57,11 +57,11 @@
 }
 
 // What was learned of a class moves to its new number, and numbers are used again once nothing needs them.
-func TestNumbersOfClassesAreBoundedAndLearningMoves(t *testing.T) {
-	s := named()
-	b, h := with(t, s, 4)
+func TestClassNumbersAreReusedAndLearnedStateMoves(t *testing.T) {
+	s := namedSettings()
+	b, h := newWithServers(t, s, 4)
 	for i := range 40 {
-		ask(b, h, start+int64(i), fmt.Sprint(i), 0)
+		sendRequest(b, h, start+int64(i), fmt.Sprint(i), 0)
 		b.HandleOutcome(start+int64(i), h, Outcome{RequestID: fmt.Sprint(i), Status: StatusOK, Latency: 77_000, RequestDone: true})
 	}
 	mean, seen := b.classes[0].latency.mean, b.classes[0].latency.successes
@@ -76,7 +76,7 @@
 		if c := b.classes[last]; c.latency.mean != mean || c.latency.successes != seen || c.retired {
 			t.Fatalf("after %d: %+v", i, c)
 		}
-		ask(b, h, start, fmt.Sprint("x", i), last)
+		sendRequest(b, h, start, fmt.Sprint("x", i), last)
 		b.HandleOutcome(start, h, Outcome{RequestID: fmt.Sprint("x", i), Status: StatusNotSent, RequestDone: true})
 	}
 	if n := len(b.classes); n > len(s.Classes)+3 {
@@ -88,11 +88,11 @@
 		}
 	}
 	b.UpdateEndpoints(start, h, UpdateDelta, []Server{{ID: "late", State: ServerReady}})
-	ask(b, h, start, "to the new server", last)
+	sendRequest(b, h, start, "to the new server", last)
 }
 
-func TestSettingsThatCannotTakeThePlaceChangeNothing(t *testing.T) {
-	b, _ := with(t, named(), 4)
+func TestRejectedSettingsChangeNothing(t *testing.T) {
+	b, _ := newWithServers(t, namedSettings(), 4)
 	was := b.Settings()
 	for name, spoil := range map[string]func(*Settings){
 		"no attempts":      func(s *Settings) { s.MaxAttempts = 0 },
@@ -100,7 +100,7 @@
 		"another tier":     func(s *Settings) { s.Tier = 1 },
 		"no subscriptions": func(s *Settings) { s.WatchEndpoints, s.PollInterval = true, second },
 	} {
-		next := named()
+		next := namedSettings()
 		spoil(&next)
 		if _, err := b.Reconfigure(start, next, nil); err == nil || b.Settings() != was {
 			t.Errorf("%s: %v", name, err)
@@ -109,10 +109,10 @@
 }
 
 // Tenants are known by their names, wherever they stand.
-func TestTenantsKeepTheirCountsWhereverTheyStand(t *testing.T) {
-	s := named()
+func TestTenantsKeepTheirCountsByName(t *testing.T) {
+	s := namedSettings()
 	s.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 10}, {Name: "b", Share: 0.5, Quota: 10}}
-	b, h := with(t, s, 4)
+	b, h := newWithServers(t, s, 4)
 	first := b.Settings()
 	b.HandleRequest(start, h, Request{ID: "1", Tenant: 1, Deadline: start + 1_000_000})
 	s.Tenants = []Tenant{{Name: "b", Share: 1, Quota: 30}}
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -6,11 +6,11 @@
 )
 
 // A third that lies about all servers and zones takes no more than the budget out and moves nobody.
-func TestALyingThirdMovesNothing(t *testing.T) {
+func TestFalseReportsOfAThirdMoveNothing(t *testing.T) {
 	for _, liars := range []bool{false, true} {
-		w := laid(t, 3, 6, 6, 15, true)
-		w.lie = func(c *copyOf, tells []Report) []Report {
-			if !liars || c.n%9 > 2 { // two of the six of each zone
+		w := newWorld(t, 3, 6, 6, 15, true)
+		w.alterReports = func(c *replica, tells []Report) []Report {
+			if !liars || c.index%9 > 2 { // two of the six of each zone
 				return tells
 			}
 			tells = nil
@@ -24,23 +24,23 @@
 			return tells
 		}
 		w.run(40 * second)
-		for _, c := range w.copies {
+		for _, c := range w.replicas {
 			checkBudget(t, c.b)
-			if away := c.away(); len(away) > 0 {
+			if away := c.evacuatedZones(); len(away) > 0 {
 				t.Errorf("%s has left %v", c.name, away)
 			}
 		}
-		if part := w.part(-1, -1, 5*second, 40*second); part > 0.15 {
+		if part := w.attemptFraction(-1, -1, 5*second, 40*second); part > 0.15 {
 			t.Errorf("liars %v: %.2f of attempts across zones", liars, part)
 		}
-		if n := w.failed(); n > 40 {
+		if n := w.failures(); n > 40 {
 			t.Errorf("liars %v: %d requests failed", liars, n)
 		}
 	}
 }
 
 // One that fails over several zones, and is answered by none, tells nothing.
-func TestABadLinkOfItsOwnCondemnsNobody(t *testing.T) {
+func TestOwnLinkFailureReportsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		well []int // zones that answer
@@ -51,7 +51,7 @@
 		{"one zone silent", nil, []int{0}, 4},
 		{"home answers", []int{0}, []int{1}, 4},
 	} {
-		b, _ := with(t, testSettings(), 8)
+		b, _ := newWithServers(t, testSettings(), 8)
 		b.trackZones()
 		for _, s := range b.members.all {
 			for range 3 {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-func TestRuleOneDeadlineTimeOutIsAnsweredAtOnce(t *testing.T) {
+func TestRequestIsAnsweredAtItsDeadline(t *testing.T) {
 	for class := range testSettings().Classes {
-		b, h := with(t, testSettings(), 4)
-		ask(b, h, start, "r", class)
+		b, h := newWithServers(t, testSettings(), 4)
+		sendRequest(b, h, start, "r", class)
 		now, attempt := start, 0
 		for len(h.sends) == attempt+1 { // answer every attempt with a time-out until the request is over
 			now += h.sends[attempt].timeout
@@ -23,7 +23,7 @@
 		}
 	}
 }
-func TestRuleTwoAfterAnOutcome(t *testing.T) {
+func TestIdempotencyAfterAnOutcome(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		status Status
@@ -46,12 +46,12 @@
 		{4, StatusError, 1000, "zone"},
 		{4, StatusError, 300_000, "fail"},
 	} {
-		b, h := with(t, testSettings(), 8)
+		b, h := newWithServers(t, testSettings(), 8)
 		where := map[string]Server{}
-		for _, s := range fleet(8) {
+		for _, s := range testServers(8) {
 			where[s.ID] = s
 		}
-		ask(b, h, start, "r", c.class)
+		sendRequest(b, h, start, "r", c.class)
 		b.HandleOutcome(start+c.after, h, Outcome{RequestID: "r", Status: c.status, Latency: c.after})
 		name := fmt.Sprintf("class %d after status %d at %d", c.class, c.status, c.after)
 		switch c.want {
@@ -73,16 +73,16 @@
 }
 
 // Some fleets turn away work that they had begun: there, 'full' must bring neither a repeat nor a refusal.
-func TestFullIsNoProofWhereSettingsSaySo(t *testing.T) {
+func TestRejectedMayHaveExecuted(t *testing.T) {
 	s := testSettings()
 	s.RejectedMayHaveExecuted = true
-	b, h := with(t, s, 8)
-	ask(b, h, start, "unsafe", 2)
+	b, h := newWithServers(t, s, 8)
+	sendRequest(b, h, start, "unsafe", 2)
 	b.HandleOutcome(start+1000, h, Outcome{RequestID: "unsafe", Status: StatusRejected, Latency: 1000})
 	if len(h.sends) != 1 || h.last() != "fail unsafe" {
 		t.Errorf("an unsafe request that was turned away: %q", h.lines)
 	}
-	ask(b, h, start+2000, "keyed", 1)
+	sendRequest(b, h, start+2000, "keyed", 1)
 	b.HandleOutcome(start+3000, h, Outcome{RequestID: "keyed", Status: StatusRejected, Latency: 1000})
 	if len(h.sends) != 3 || b.members.byID[h.sends[1].server].Cell != b.members.byID[h.sends[2].server].Cell {
 		t.Errorf("a keyed request that was turned away left its group: %q", h.lines)
@@ -90,11 +90,11 @@
 }
 
 // Without failures nothing once trimmed what the budget counts: a calm copy would have grown for ever.
-func TestWhatTheBudgetCountsIsForgotten(t *testing.T) {
-	b, h := with(t, testSettings(), 4)
+func TestRetryBudgetForgetsOldRequests(t *testing.T) {
+	b, h := newWithServers(t, testSettings(), 4)
 	for i := range int64(1000) {
 		now, id := start+i*second, fmt.Sprint(i)
-		ask(b, h, now, id, 0)
+		sendRequest(b, h, now, id, 0)
 		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	if most := int(defaultBudgetWindow/second) + 1; len(b.retries.requests) > most {
@@ -103,15 +103,15 @@
 }
 
 // A saved-up allowance once let a burst of retries through after a calm time, over the stated budget.
-func TestTheBudgetHoldsInAnyWindow(t *testing.T) {
+func TestRetryBudgetHoldsInAnyWindow(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
-	b, h := with(t, s, 8)
+	b, h := newWithServers(t, s, 8)
 	var taken, further eventTimes
 	for i := range int64(2000) {
 		now, id := start+i*20_000, fmt.Sprint(i)
 		before := len(h.sends)
-		ask(b, h, now, id, 0)
+		sendRequest(b, h, now, id, 0)
 		taken = append(taken, now)
 		status := StatusOK // a long calm, then everything fails
 		if i > 1000 {
@@ -131,15 +131,15 @@
 		t.Error("no further attempt was made")
 	}
 }
-func TestFurtherAttemptsAreBudgeted(t *testing.T) {
-	b, h := with(t, testSettings(), 4)
+func TestRetriesAreBudgeted(t *testing.T) {
+	b, h := newWithServers(t, testSettings(), 4)
 	b.admission.tier.min, b.admission.tier.max = 1e9, 1e9
 	const n = 400
 	for i := range n {
 		id := fmt.Sprint(i)
 		now := start + int64(i)*1000
 		before := len(h.sends)
-		ask(b, h, now, id, 0)
+		sendRequest(b, h, now, id, 0)
 		for k := 0; len(h.sends) > before+k; k++ {
 			b.HandleOutcome(now, h, Outcome{RequestID: id, Attempt: k, Status: StatusError, Latency: 1000})
 		}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -7,14 +7,14 @@
 
 func TestNoServerToSendTo(t *testing.T) {
 	b, h := mustNew(t, testSettings()), &recorder{}
-	ask(b, h, start, "a", 2)
+	sendRequest(b, h, start, "a", 2)
 	if h.last() != "refuse a" {
 		t.Errorf("with no list: %q", h.last())
 	}
-	list := fleet(1)
+	list := testServers(1)
 	list[0].State = ServerDraining
 	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
-	ask(b, h, start, "b", 0)
+	sendRequest(b, h, start, "b", 0)
 	if h.last() != "refuse b" {
 		t.Errorf("with all draining: %q", h.last())
 	}
@@ -27,11 +27,11 @@
 	for i := range copies {
 		s := testSettings()
 		s.Replicas, s.ReplicaIndex = copies, i
-		b, h := with(t, s, servers)
+		b, h := newWithServers(t, s, servers)
 		met := map[string]bool{}
 		for k := range 400 {
 			now := start + int64(k)*50_000 // 20 a second
-			ask(b, h, now, fmt.Sprint(k), 0)
+			sendRequest(b, h, now, fmt.Sprint(k), 0)
 			b.HandleOutcome(now, h, Outcome{RequestID: fmt.Sprint(k), Status: StatusOK, Latency: 1000, RequestDone: true})
 		}
 		for _, s := range h.sends {
@@ -51,12 +51,12 @@
 
 // Copies with a few calls a second met each of twelve servers once in many seconds, and went on crowding the
 // ones that had turned slow.
-func TestASparseCopyMeetsItsServersOftenEnough(t *testing.T) {
-	b, h := with(t, testSettings(), 60)
+func TestReplicaWithFewCallsHasASmallSubset(t *testing.T) {
+	b, h := newWithServers(t, testSettings(), 60)
 	met := map[string]int{}
 	for k := range 240 {
 		now := start + int64(k)*second/3 // 3 a second
-		ask(b, h, now, fmt.Sprint(k), 0)
+		sendRequest(b, h, now, fmt.Sprint(k), 0)
 		b.HandleOutcome(now, h, Outcome{RequestID: fmt.Sprint(k), Status: StatusOK, Latency: 300_000, RequestDone: true})
 	}
 	for _, s := range h.sends {
@@ -68,8 +68,8 @@
 }
 
 // A server that fails fast holds no calls, and by that drew nearly all while its peers were busy.
-func TestAServerThatFailsFastGetsNoMoreThanTrials(t *testing.T) {
-	b, _ := with(t, testSettings(), 4)
+func TestServerThatFailsFastGetsTrialsOnly(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 4)
 	for range 50 {
 		b.outliers.attribute(b.members.byID["s0"], 0, StatusError)
 		for _, id := range []string{"s1", "s2", "s3"} {
@@ -91,9 +91,9 @@
 }
 
 // A server that hangs took as many trials from a class that must not run twice, and each cost a request.
-func TestASilentServerIsTriedWithCallsThatCanBeRepeated(t *testing.T) {
+func TestUnresponsiveServerIsTriedWithIdempotentCalls(t *testing.T) {
 	set := testSettings()
-	b, _ := with(t, set, 4)
+	b, _ := newWithServers(t, set, 4)
 	for range 50 {
 		b.outliers.attribute(b.members.byID["s0"], 0, StatusTimedOut)
 		for range 3 {
--- a/balancer/sequences_test.go
+++ b/balancer/sequences_test.go
@@ -10,41 +10,41 @@
 
 // driver plays legal events against one balancer.
 type driver struct {
-	t    *testing.T
-	rnd  *rand.Rand
-	c    *checker
-	b    *Balancer
-	now  int64
-	next int
-	open []string // requests that have an attempt out or are owed an answer
+	t        *testing.T
+	rnd      *rand.Rand
+	checker  *checker
+	balancer *Balancer
+	now      int64
+	next     int
+	open     []string // requests that have an attempt out or are owed an answer
 
-	others bool // others are told and heard
+	exchange bool // others are told and heard
 }
 
 // hear has others say anything, and now and then zones suspended by hand.
-func (d *driver) hear() {
+func (d *driver) exchangeReports() {
 	p := PeerReports{LiveReplicas: 6, LiveReplicasInZone: d.rnd.IntN(5), Isolated: d.rnd.IntN(8) == 0}
 	for range d.rnd.IntN(12) {
 		p.Reports = append(p.Reports, Report{Kind: ReportKind(d.rnd.IntN(6)), Fault: Fault(d.rnd.IntN(5)),
 			Observer: fmt.Sprint("p", d.rnd.IntN(5)), SubjectZone: d.rnd.IntN(2), Server: fmt.Sprint("s", d.rnd.IntN(testFleet)),
 			Calls: 6 * d.rnd.Float64(), BadFraction: indicator(d.rnd.IntN(3) > 0), Value: d.rnd.Float64(), LastObserved: d.now})
 	}
-	d.b.Reports(d.now)
-	d.b.HandlePeerReports(d.now, d.c, p)
+	d.balancer.Reports(d.now)
+	d.balancer.HandlePeerReports(d.now, d.checker, p)
 	if d.rnd.IntN(20) == 0 {
-		d.c.drained = map[int]bool{d.rnd.IntN(2): d.rnd.IntN(3) == 0}
-		d.b.SetDrainedZones(d.now, d.c, d.c.drained)
+		d.checker.drained = map[int]bool{d.rnd.IntN(2): d.rnd.IntN(3) == 0}
+		d.balancer.SetDrainedZones(d.now, d.checker, d.checker.drained)
 	}
 }
 func (d *driver) restart() {
-	b, err := New(d.c.set, d.rnd.Uint64())
+	b, err := New(d.checker.settings, d.rnd.Uint64())
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.b, d.open, d.c.drained = b, nil, nil
-	d.c.reqs, d.c.told, d.c.leftAt = map[string]*book{}, map[string]Server{}, map[string]int64{}
-	d.c.queues, d.c.rested, d.c.taken, d.c.further, d.c.timers = map[string][]*book{}, map[string]int64{}, nil, nil, nil
-	d.whole(UpdateCached)
+	d.balancer, d.open, d.checker.drained = b, nil, nil
+	d.checker.requests, d.checker.listed, d.checker.leftAt = map[string]*requestRecord{}, map[string]Server{}, map[string]int64{}
+	d.checker.queues, d.checker.cooldowns, d.checker.received, d.checker.retries, d.checker.timers = map[string][]*requestRecord{}, map[string]int64{}, nil, nil, nil
+	d.snapshot(UpdateCached)
 }
 func (d *driver) entry(i int) Server {
 	s := Server{ID: fmt.Sprintf("s%d", i), Zone: i % 2, Cell: i / 4, State: ServerReady, CapacityHint: 1}
@@ -52,57 +52,57 @@
 	case 0:
 		s.State = ServerDraining
 	case 1:
-		s.StartTime = d.now - d.rnd.Int64N(d.c.set.SlowStartDuration)
+		s.StartTime = d.now - d.rnd.Int64N(d.checker.settings.SlowStartDuration)
 	}
 	return s
 }
 
 const testFleet = 16
 
-func (d *driver) whole(kind UpdateKind) {
+func (d *driver) snapshot(kind UpdateKind) {
 	var list []Server
 	for i := range testFleet {
 		if d.rnd.IntN(5) > 0 {
 			list = append(list, d.entry(i))
 		}
 	}
-	d.c.list(kind, list)
-	d.b.UpdateEndpoints(d.now, d.c, kind, list)
+	d.checker.recordList(kind, list)
+	d.balancer.UpdateEndpoints(d.now, d.checker, kind, list)
 }
 func (d *driver) delta() {
 	e := d.entry(d.rnd.IntN(testFleet))
-	if _, known := d.c.told[e.ID]; known && d.rnd.IntN(4) == 0 {
+	if _, known := d.checker.listed[e.ID]; known && d.rnd.IntN(4) == 0 {
 		e.State = ServerRemoved
 	}
-	d.c.list(UpdateDelta, []Server{e})
-	d.b.UpdateEndpoints(d.now, d.c, UpdateDelta, []Server{e})
+	d.checker.recordList(UpdateDelta, []Server{e})
+	d.balancer.UpdateEndpoints(d.now, d.checker, UpdateDelta, []Server{e})
 }
 func (d *driver) request() {
 	d.next++
-	r := Request{ID: fmt.Sprintf("r%d", d.next), Class: d.rnd.IntN(len(d.c.set.Classes)),
-		Tenant: d.rnd.IntN(len(d.c.set.Tenants) + 1), Deadline: d.now + 1000 + d.rnd.Int64N(1_500_000)}
+	r := Request{ID: fmt.Sprintf("r%d", d.next), Class: d.rnd.IntN(len(d.checker.settings.Classes)),
+		Tenant: d.rnd.IntN(len(d.checker.settings.Tenants) + 1), Deadline: d.now + 1000 + d.rnd.Int64N(1_500_000)}
 	if n := d.rnd.IntN(8); n > 0 {
 		r.Key = fmt.Sprint("key", n)
 	}
-	k := &book{r: r}
-	d.c.reqs[r.ID] = k
-	d.c.taken = append(d.c.taken, d.now)
-	if d.c.set.Classes[r.Class].Ordered {
-		d.c.queues[r.Key] = append(d.c.queues[r.Key], k)
+	k := &requestRecord{request: r}
+	d.checker.requests[r.ID] = k
+	d.checker.received = append(d.checker.received, d.now)
+	if d.checker.settings.Classes[r.Class].Ordered {
+		d.checker.queues[r.Key] = append(d.checker.queues[r.Key], k)
 	}
 	d.open = append(d.open, r.ID)
-	d.b.HandleRequest(d.now, d.c, r)
-	d.mustBeHeld(r.ID)
+	d.balancer.HandleRequest(d.now, d.checker, r)
+	d.mustBeAccountedFor(r.ID)
 }
 
 // mustBeHeld checks that a request is answered, out or waiting for its turn with a timer set: none may be
 // left with nobody to end it.
-func (d *driver) mustBeHeld(id string) {
-	k := d.c.reqs[id]
-	waits := len(k.tries) == 0 && d.c.set.Classes[k.r.Class].Ordered && k.r.Key != "" &&
-		slices.ContainsFunc(d.c.timers, func(t timer) bool { return t.due <= k.r.Deadline && strings.Contains(t.token, id) })
+func (d *driver) mustBeAccountedFor(id string) {
+	k := d.checker.requests[id]
+	waits := len(k.attempts) == 0 && d.checker.settings.Classes[k.request.Class].Ordered && k.request.Key != "" &&
+		slices.ContainsFunc(d.checker.timers, func(t pendingTimer) bool { return t.due <= k.request.Deadline && strings.Contains(t.token, id) })
 	if !k.closed && len(k.pending) == 0 && !waits {
-		d.c.fault("rule 1: %s is neither answered nor out", id)
+		d.checker.violation("rule 1: %s is neither answered nor out", id)
 	}
 }
 func (d *driver) outcome() {
@@ -111,7 +111,7 @@
 	}
 	i := d.rnd.IntN(len(d.open))
 	id := d.open[i]
-	k := d.c.reqs[id]
+	k := d.checker.requests[id]
 	if len(k.pending) == 0 {
 		if k.closed {
 			d.open = slices.Delete(d.open, i, i+1)
@@ -119,37 +119,37 @@
 		return
 	}
 	d.end(k, []Status{StatusOK, StatusOK, StatusOK, StatusError, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCancelled, StatusNotSent}[d.rnd.IntN(10)])
-	d.mustBeHeld(id)
+	d.mustBeAccountedFor(id)
 }
-func (d *driver) end(k *book, status Status) {
+func (d *driver) end(k *requestRecord, status Status) {
 	n := k.pending[0]
 	k.pending = k.pending[1:]
-	t := k.tries[n]
-	t.done = true
-	if d.c.set.Classes[k.r.Class].Ordered && (status == StatusTimedOut || status == StatusReset || status == StatusCancelled) {
-		d.c.rested[k.r.Key] = max(d.c.rested[k.r.Key], d.now+d.c.set.OrderingCooldown)
+	t := k.attempts[n]
+	t.ended = true
+	if d.checker.settings.Classes[k.request.Class].Ordered && (status == StatusTimedOut || status == StatusReset || status == StatusCancelled) {
+		d.checker.cooldowns[k.request.Key] = max(d.checker.cooldowns[k.request.Key], d.now+d.checker.settings.OrderingCooldown)
 	}
-	t.ran = (status != StatusRejected || d.c.set.RejectedMayHaveExecuted) && status != StatusConnectFailed && status != StatusNotSent
+	t.mayHaveExecuted = (status != StatusRejected || d.checker.settings.RejectedMayHaveExecuted) && status != StatusConnectFailed && status != StatusNotSent
 	if status == StatusOK {
 		k.closed = true
 	}
-	d.b.HandleOutcome(d.now, d.c, Outcome{RequestID: k.r.ID, Attempt: n, Status: status, Latency: d.now - t.sent, RequestDone: k.closed})
+	d.balancer.HandleOutcome(d.now, d.checker, Outcome{RequestID: k.request.ID, Attempt: n, Status: status, Latency: d.now - t.sent, RequestDone: k.closed})
 }
 
 // expire brings the timers and time-outs that are due, as the wire does at an attempt's or a client's time.
 func (d *driver) expire() {
-	for i := 0; i < len(d.c.timers); i++ {
-		if t := d.c.timers[i]; t.due <= d.now {
-			d.c.timers = slices.Delete(d.c.timers, i, i+1)
+	for i := 0; i < len(d.checker.timers); i++ {
+		if t := d.checker.timers[i]; t.due <= d.now {
+			d.checker.timers = slices.Delete(d.checker.timers, i, i+1)
 			i = -1
-			d.b.HandleTimer(d.now, d.c, t.token)
+			d.balancer.HandleTimer(d.now, d.checker, t.token)
 		}
 	}
 	for _, id := range slices.Clone(d.open) {
-		k := d.c.reqs[id]
-		for len(k.pending) > 0 && k.tries[k.pending[0]].sent+k.tries[k.pending[0]].timeout <= d.now {
+		k := d.checker.requests[id]
+		for len(k.pending) > 0 && k.attempts[k.pending[0]].sent+k.attempts[k.pending[0]].timeout <= d.now {
 			d.end(k, StatusTimedOut)
-			d.mustBeHeld(id)
+			d.mustBeAccountedFor(id)
 		}
 	}
 }
@@ -158,21 +158,21 @@
 func (d *driver) nextDue() int64 {
 	due := d.now + 20_000
 	for _, id := range d.open {
-		for _, n := range d.c.reqs[id].pending {
-			due = min(due, d.c.reqs[id].tries[n].sent+d.c.reqs[id].tries[n].timeout)
+		for _, n := range d.checker.requests[id].pending {
+			due = min(due, d.checker.requests[id].attempts[n].sent+d.checker.requests[id].attempts[n].timeout)
 		}
 	}
-	for _, t := range d.c.timers {
+	for _, t := range d.checker.timers {
 		due = min(due, t.due)
 	}
 	return max(due, d.now)
 }
 func (d *driver) step() {
 	d.now = min(d.now+d.rnd.Int64N(20_000), d.nextDue())
-	d.c.now = d.now
+	d.checker.now = d.now
 	d.expire()
-	if d.others && d.rnd.IntN(10) == 0 {
-		d.hear()
+	if d.exchange && d.rnd.IntN(10) == 0 {
+		d.exchangeReports()
 	}
 	switch x := d.rnd.IntN(1000); {
 	case x < 450:
@@ -182,29 +182,29 @@
 	case x < 930:
 		d.delta()
 	case x < 936:
-		d.whole(UpdateSnapshot)
+		d.snapshot(UpdateSnapshot)
 	case x < 942:
-		d.b.UpdateEndpoints(d.now, d.c, UpdateFailed, nil)
-	case x < 960 && len(d.c.timers) > 0: // a stale copy of a timer
-		d.b.HandleTimer(d.now, d.c, "watch")
+		d.balancer.UpdateEndpoints(d.now, d.checker, UpdateFailed, nil)
+	case x < 960 && len(d.checker.timers) > 0: // a stale copy of a timer
+		d.balancer.HandleTimer(d.now, d.checker, "watch")
 	case x < 975:
-		d.withdraw()
+		d.clientGone()
 	case x < 985: // events that name nothing known
-		d.b.HandleOutcome(d.now, d.c, Outcome{RequestID: "nobody", Attempt: 3, Status: StatusError})
-		d.b.HandleClientGone(d.now, d.c, "nobody")
-		d.b.HandleTimer(d.now, d.c, "nothing")
-		d.b.HandleResponseStarted(d.now, "nobody")
+		d.balancer.HandleOutcome(d.now, d.checker, Outcome{RequestID: "nobody", Attempt: 3, Status: StatusError})
+		d.balancer.HandleClientGone(d.now, d.checker, "nobody")
+		d.balancer.HandleTimer(d.now, d.checker, "nothing")
+		d.balancer.HandleResponseStarted(d.now, "nobody")
 	case x < 988:
 		d.restart()
 	}
 }
-func (d *driver) withdraw() {
+func (d *driver) clientGone() {
 	if len(d.open) == 0 {
 		return
 	}
-	k := d.c.reqs[d.open[d.rnd.IntN(len(d.open))]]
+	k := d.checker.requests[d.open[d.rnd.IntN(len(d.open))]]
 	k.closed = true
-	d.b.HandleClientGone(d.now, d.c, k.r.ID)
+	d.balancer.HandleClientGone(d.now, d.checker, k.request.ID)
 }
 
 // play drives a whole sequence and returns what the module did and what it did wrong.
@@ -220,10 +220,10 @@
 	if seed%5 > 1 {
 		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
 	}
-	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), c: &checker{set: s, now: start}, now: start, others: others}
+	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), checker: &checker{settings: s, now: start}, now: start, exchange: others}
 	d.restart()
 	for range steps {
 		d.step()
 	}
-	return d.c.lines, d.c.faults
+	return d.checker.lines, d.checker.violations
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestSettingsThatCannotWork(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"Classes":                     func(s *Settings) { s.Classes = nil },
 		"Zone":                        func(s *Settings) { s.Zone = 2 },
@@ -30,14 +30,14 @@
 	} {
 		s := testSettings()
 		spoil(&s)
-		if _, err := New(s, 1); err == nil || !slices.Contains([]string{"balancer: Settings." + field}, prefix(err.Error())) {
+		if _, err := New(s, 1); err == nil || !slices.Contains([]string{"balancer: Settings." + field}, errorPrefix(err.Error())) {
 			t.Errorf("%s: error %v", field, err)
 		}
 	}
 }
 
 // prefix is an error's text up to the colon that follows the field.
-func prefix(s string) string {
+func errorPrefix(s string) string {
 	for i := len("balancer: "); i < len(s); i++ {
 		if s[i] == ':' {
 			return s[:i]
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,7 +8,7 @@
 // The chance that a copy gives a cold server is held to what all copies may send it, however the others stand; what is
 // over goes to warm ones that are well, and is refused where there is none. Before, the weights alone gave a cold server
 // beside three busy ones all calls but few.
-func TestAColdServersChanceIsHeldHoweverTheOthersStand(t *testing.T) {
+func TestWarmingServersChanceIsCapped(t *testing.T) {
 	for _, k := range []struct {
 		name    string
 		cold    int
@@ -25,7 +25,7 @@
 		t.Run(k.name, func(t *testing.T) {
 			set := testSettings()
 			set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = 1, 3, 2*second
-			list := fleet(4)
+			list := testServers(4)
 			for i := range list {
 				if list[i].Zone = 0; i < k.cold {
 					list[i].StartTime = start
@@ -64,10 +64,10 @@
 }
 
 // What comes beyond the usual, as from clients that were refused and come again, is no reason to send a cold server more.
-func TestARushIsNoReasonToSendAColdServerMore(t *testing.T) {
+func TestBurstDoesNotRaiseAWarmingServersCap(t *testing.T) {
 	set := testSettings()
 	set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = 1, 3, 2*second
-	list := fleet(4)
+	list := testServers(4)
 	for i := range list {
 		list[i].Zone = 0
 	}
@@ -99,16 +99,16 @@
 }
 
 // A cold server's part of the draw stays under its least capacity.
-func TestRuleFourColdServersGetTheirPart(t *testing.T) {
+func TestWarmingServerGetsLessThanItsCapacity(t *testing.T) {
 	s := testSettings()
 	b, h := mustNew(t, s), &recorder{}
-	list := fleet(2)
+	list := testServers(2)
 	list[1].StartTime = start - 1
 	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 	got := 0
 	const n = 4000
 	for i := range n {
-		ask(b, h, start+int64(i), fmt.Sprint(i), 0)
+		sendRequest(b, h, start+int64(i), fmt.Sprint(i), 0)
 		b.HandleOutcome(start+int64(i), h, Outcome{RequestID: fmt.Sprint(i), Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	for _, s := range h.sends {
@@ -127,7 +127,7 @@
 
 // What a cold server may not have goes to warm ones that are well. One that fails fast holds no calls, and by that alone
 // it drew nearly all of it where the others hold some; it keeps its trials.
-func TestAFailingServerDoesNotGetWhatAColdOneMayNot(t *testing.T) {
+func TestUnhealthyServerDoesNotGetAWarmingServersExcess(t *testing.T) {
 	for _, k := range []struct {
 		name string
 		cold int
@@ -141,7 +141,7 @@
 		t.Run(k.name, func(t *testing.T) {
 			set := testSettings()
 			set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = 1, 3, 2*second
-			list := fleet(6)
+			list := testServers(6)
 			for i := range list {
 				if list[i].Zone = 0; i < k.cold {
 					list[i].StartTime = start
@@ -181,7 +181,7 @@
 }
 
 // How warm a server is goes by the clock of events, whatever the list's clock says of the same start.
-func TestAColdServerIsColdByTheClockOfEvents(t *testing.T) {
+func TestServerWarmsUpByTheClockOfEvents(t *testing.T) {
 	const now, cold = 100 * second, 10 * second
 	rule := newSlowStart(&shared{settings: &Settings{SlowStartMinCapacity: 0.1, SlowStartDuration: cold}})
 	for _, c := range []struct {
--- a/balancer/spillover_test.go
+++ b/balancer/spillover_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-func TestHomeFirstAndSpillUnderPressure(t *testing.T) {
-	b, _ := with(t, testSettings(), 8)
+func TestSpilloverGrowsWhileTheLocalZoneIsSlow(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 8)
 	home := b.selection.weight(start, b.members.byID["s0"], 0)
 	now := start
 	feed := func(n int, bad bool) {
--- a/balancer/weighttuning_test.go
+++ b/balancer/weighttuning_test.go
@@ -8,69 +8,69 @@
 )
 
 // queue is a server that works on so many calls at once, each for a time spread about a mean; others wait.
-type queue struct {
-	slots []int64 // when each is free
-	mean  float64 // microseconds
-	fails float64 // part of calls, at once
-	part  *queue  // calls also pass this, which others share
+type serverQueue struct {
+	slots  []int64      // when each is free
+	mean   float64      // microseconds
+	fails  float64      // part of calls, at once
+	shared *serverQueue // calls also pass this, which others share
 }
 
 // done is when a call that comes now is done.
-func (q *queue) done(w *world, now int64) int64 {
+func (q *serverQueue) finish(w *world, now int64) int64 {
 	i := slices.Index(q.slots, slices.Min(q.slots))
 	q.slots[i] = max(q.slots[i], now) + int64(q.mean*(0.3+0.7*w.rnd.ExpFloat64()))
-	if q.part != nil {
-		return q.part.done(w, q.slots[i])
+	if q.shared != nil {
+		return q.shared.finish(w, q.slots[i])
 	}
 	return q.slots[i]
 }
 
 // tuning is a play of ten copies and twelve servers of one zone, tuned or not.
-type tuning struct {
+type tuningRun struct {
 	*world
-	queues []*queue
-	far    int64 // every other copy has this much further to go
-	times  []int64
+	queues       []*serverQueue
+	extraLatency int64 // every other copy has this much further to go
+	latencies    []int64
 }
 
 const tuningEnd, tuningFrom = 80 * second, 40 * second
 
-func newTuning(t *testing.T, on bool, rate float64) *tuning {
-	p := &tuning{world: laid(t, 1, 10, 12, rate, true)}
+func newTuning(t *testing.T, on bool, rate float64) *tuningRun {
+	p := &tuningRun{world: newWorld(t, 1, 10, 12, rate, true)}
 	for range 12 {
-		p.queues = append(p.queues, &queue{slots: make([]int64, 2), mean: 55_000})
+		p.queues = append(p.queues, &serverQueue{slots: make([]int64, 2), mean: 55_000})
 	}
-	for _, c := range p.copies {
+	for _, c := range p.replicas {
 		c.b.settings.DisableWeightTuning = !on
 	}
-	p.fate = func(c *copyOf, s Server) (Status, int64) {
+	p.outcome = func(c *replica, s Server) (Status, int64) {
 		var i int
 		fmt.Sscanf(s.ID, "s%d", &i)
 		q := p.queues[i]
 		if p.rnd.Float64() < q.fails {
 			return StatusError, 2_000
 		}
-		took := q.done(p.world, p.now) - p.now + p.far*int64(c.n%2)
+		took := q.finish(p.world, p.now) - p.now + p.extraLatency*int64(c.index%2)
 		if p.now > start+tuningFrom {
-			p.times = append(p.times, took)
+			p.latencies = append(p.latencies, took)
 		}
 		return StatusOK, took
 	}
 	return p
 }
 
-func (p *tuning) p99() float64 {
-	slices.Sort(p.times)
-	return float64(p.times[len(p.times)*99/100]) / 1000
+func (p *tuningRun) p99() float64 {
+	slices.Sort(p.latencies)
+	return float64(p.latencies[len(p.latencies)*99/100]) / 1000
 }
 
 // factors are those of each server at the first copy, and the part of calls that s0 gets of an equal one.
-func (p *tuning) factors() (f [12]float64, s0 float64) {
+func (p *tuningRun) factors() (f [12]float64, s0 float64) {
 	for i := range f {
-		f[i] = math.Exp(p.copies[0].b.members.byID[fmt.Sprint("s", i)].tuning.logFactor)
+		f[i] = math.Exp(p.replicas[0].b.members.byID[fmt.Sprint("s", i)].tuning.logFactor)
 	}
 	n, of := 0.0, 0.0
-	for _, c := range p.copies {
+	for _, c := range p.replicas {
 		for _, s := range c.sends {
 			if s.at > start+tuningEnd-20*second {
 				of++
@@ -81,11 +81,11 @@
 	return f, 12 * n / of
 }
 
-func TestTuning(t *testing.T) {
+func TestWeightTuning(t *testing.T) {
 	alike := func(by float64) func(f [12]float64, s0 float64) bool {
 		return func(f [12]float64, _ float64) bool { return slices.Min(f[:]) > 1/by && slices.Max(f[:]) < by }
 	}
-	unequal := func(p *tuning) {
+	unequal := func(p *tuningRun) {
 		for i, q := range p.queues {
 			q.mean *= []float64{0.8, 0.8, 1.6}[i%3]
 		}
@@ -93,7 +93,7 @@
 	for _, c := range []struct {
 		name   string
 		rate   float64 // requests a second of each copy
-		set    func(p *tuning)
+		set    func(p *tuningRun)
 		most   float64 // p99 tuned, of p99 not tuned; 0: not looked at
 		expect func(f [12]float64, s0 float64) bool
 	}{
@@ -102,32 +102,32 @@
 		{"unequal", 30, unequal, 0.98, func(f [12]float64, _ float64) bool {
 			return min(f[0], f[1], f[3], f[4]) > max(f[2], f[5], f[8], f[11])
 		}},
-		{"a capacity that halves in mid-round", 30, func(p *tuning) {
+		{"a capacity that halves in mid-round", 30, func(p *tuningRun) {
 			p.after(35*second+second/2, func() { p.queues[0].slots = p.queues[0].slots[:1] })
 		}, 1.05, func(f [12]float64, s0 float64) bool { return f[0] < 1 && s0 < 0.6 }},
-		{"fast because it fails", 30, func(p *tuning) { p.queues[0].fails = 0.3 }, 0,
+		{"fast because it fails", 30, func(p *tuningRun) { p.queues[0].fails = 0.3 }, 0,
 			func(f [12]float64, s0 float64) bool { return f[0] <= 1.02 }},
-		{"fast because nobody sends there", 30, func(p *tuning) {
+		{"fast because nobody sends there", 30, func(p *tuningRun) {
 			p.queues[0].mean *= 6
 			p.after(20*second, func() { p.queues[0].mean /= 6 })
 		}, 0, func(f [12]float64, s0 float64) bool { return s0 > 0.7 && s0 < 1.3 }},
-		{"two on one slow part", 30, func(p *tuning) {
-			part := &queue{slots: make([]int64, 2), mean: 35_000}
-			p.queues[0].part, p.queues[1].part = part, part
+		{"two on one slow part", 30, func(p *tuningRun) {
+			part := &serverQueue{slots: make([]int64, 2), mean: 35_000}
+			p.queues[0].shared, p.queues[1].shared = part, part
 		}, 0, func(f [12]float64, s0 float64) bool { return f[0] < 1 && f[1] < 1 }},
-		{"unequal copies", 30, func(p *tuning) { p.far = 50_000 }, 0, alike(1.1)},
-		{"a third of what is told is lost", 30, func(p *tuning) {
+		{"unequal copies", 30, func(p *tuningRun) { p.extraLatency = 50_000 }, 0, alike(1.1)},
+		{"a third of what is told is lost", 30, func(p *tuningRun) {
 			unequal(p)
-			p.hear = func(from, to *copyOf) bool { return p.rnd.IntN(3) > 0 }
+			p.delivers = func(from, to *replica) bool { return p.rnd.IntN(3) > 0 }
 		}, 0, func(f [12]float64, _ float64) bool { return f[0] > f[2] }},
-		{"nothing is heard any more", 30, func(p *tuning) {
+		{"nothing is heard any more", 30, func(p *tuningRun) {
 			unequal(p)
-			p.after(40*second, func() { p.hear = func(from, to *copyOf) bool { return false } })
+			p.after(40*second, func() { p.delivers = func(from, to *replica) bool { return false } })
 		}, 0, func(f [12]float64, _ float64) bool { return f == [12]float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1} }},
-		{"a third lies", 30, func(p *tuning) {
-			p.lie = func(c *copyOf, tells []Report) []Report {
+		{"a third lies", 30, func(p *tuningRun) {
+			p.alterReports = func(c *replica, tells []Report) []Report {
 				for i := range tells {
-					if n := &tells[i]; n.Kind == ReportServerLoad && c.n%3 == 0 {
+					if n := &tells[i]; n.Kind == ReportServerLoad && c.index%3 == 0 {
 						n.Calls, n.Value = []float64{1e300, math.NaN(), 50}[i%3], []float64{1, 1e300, math.Inf(1)}[i%3]
 					}
 				}
@@ -136,7 +136,7 @@
 		}, 1.15, func(f [12]float64, _ float64) bool { return slices.Min(f[:]) > 0.3 && slices.Max(f[:]) < 3 }},
 	} {
 		p99, refused := map[bool]float64{}, map[bool]int{}
-		var p *tuning
+		var p *tuningRun
 		for _, on := range []bool{false, true} {
 			if !on && c.most == 0 {
 				continue
@@ -145,7 +145,7 @@
 				c.set(p)
 			}
 			p.run(tuningEnd)
-			p99[on], refused[on] = p.p99(), p.failed()
+			p99[on], refused[on] = p.p99(), p.failures()
 		}
 		f, s0 := p.factors()
 		say := fmt.Sprintf("%s: p99 %.0f ms tuned, %.0f not; %d and %d refused; factors %.2f, s0 gets %.2f of its part", c.name,
@@ -203,7 +203,7 @@
 			}
 		}, 0, func(_, is float64) bool { return is <= 0 }},
 	} {
-		b, h := with(t, testSettings(), 12)
+		b, h := newWithServers(t, testSettings(), 12)
 		b.HandlePeerReports(start, h, PeerReports{LiveReplicas: 3, LiveReplicasInZone: 3})
 		for _, s := range b.members.ready {
 			for _, who := range []string{"a", "b"} {
