--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -10,7 +10,7 @@
 
 // A server that flaps every so often, as seen by three copies at slightly different times, changes state twice a
 // minute at most once it is known for it; one that falls and comes back once is not damped.
-func TestDamperByFlaps(t *testing.T) {
+func TestFlapRecordsDampByPenalty(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		every, until int64   // it flaps, and rests from then on
@@ -24,14 +24,14 @@
 		{"one fall and return", 3 * second, 7 * second, 2, 0, 0, 0},
 		{"every two minutes", 120 * second, 600 * second, 1, 2, 0, 0},
 	} {
-		var d flapDamper
+		var d flapRecords
 		var changes []int64
 		down, state, damped := false, 0, 0.0
 		for now := int64(0); now < 600*second; now += second / 10 {
 			if now > 0 && now%c.every == 0 && now < c.until {
 				down = !down
 				for i := range int64(3) {
-					d.recordFlap(now+i, "s", 1, down, fmt.Sprint(i), now+i, 3)
+					d.recordFlap(now+i, "s", 1, down, flapVote{fmt.Sprint(i), now + i}, 3)
 				}
 			}
 			_, is := d.dampedSince(now+3, "s", 1)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestDamperVotes(t *testing.T) {
+func TestFlapRecordsNeedVotes(t *testing.T) {
 	type say struct {
 		at, start int64
 		down      bool
@@ -83,16 +83,16 @@
 		{"a return without a fall", []say{{1, 1, false, "a"}, {2, 1, false, "b"}}, 0},
 		{"from times to come", []say{{1, 1, true, "a"}, {math.MaxInt64, 1, true, "b"}}, 0},
 	} {
-		var d flapDamper
+		var d flapRecords
 		now := int64(0)
 		for _, s := range c.says {
 			if now = max(now, s.at); s.at == math.MaxInt64 {
 				now = 1
 			}
-			d.recordFlap(now, "s", s.start, s.down, s.who, s.at, 2)
+			d.recordFlap(now, "s", s.start, s.down, flapVote{s.who, s.at}, 2)
 		}
 		got := 0.0
-		if r := d.records["s"]; r != nil {
+		if r := d.byID["s"]; r != nil {
 			got = r.currentPenalty(now)
 		}
 		if math.Abs(got-c.want) > 1e-3 {
@@ -103,9 +103,9 @@
 
 // Whatever is told: a penalty stays within its bounds, damping begins only above the mark and ends within its
 // time, each flap counts once, and records stay few and go once they rest.
-func TestDamperAtRandom(t *testing.T) {
+func TestFlapRecordsAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var d flapDamper
+		var d flapRecords
 		now, counted, since := int64(0), map[string]int64{}, map[string]int64{}
 		state := map[string]bool{}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -113,15 +113,16 @@
 			key := rapid.SampledFrom([]string{"s", "u"}).Draw(t, "key")
 			down := rapid.Bool().Draw(t, "down")
 			at := now - rapid.Int64Range(-second, 3*second).Draw(t, "age")
-			known := d.records[key] != nil
-			if d.recordFlap(now, key, 1, down, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), at, 2) {
+			known := d.byID[key] != nil
+			vote := flapVote{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), at}
+			if d.recordFlap(now, key, 1, down, vote, 2) {
 				if known && state[key] == down || at <= counted[key] && counted[key] != 0 || at > now {
 					t.Fatalf("at %d a flap of %s to %v seen at %d counts again", now, key, down, at)
 				}
 				state[key], counted[key] = down, at
 			}
 			for _, key := range []string{"s", "u"} {
-				r := d.records[key]
+				r := d.byID[key]
 				if r == nil {
 					since[key] = 0
 					continue
@@ -139,14 +140,14 @@
 				since[key] = from
 			}
 		}
-		if d.removeRested(now + 200*second); len(d.records) != 0 {
-			t.Fatalf("%d records are kept of what rests", len(d.records))
+		if d.removeRested(now + 200*second); len(d.byID) != 0 {
+			t.Fatalf("%d records are kept of what rests", len(d.byID))
 		}
 	})
 }
 
 // In real decisions: one of twelve servers of one zone fails every other 5 s, or its lease ends; ten copies.
-func TestFleetDamps(t *testing.T) {
+func TestFleetDampsFlappingServer(t *testing.T) {
 	flapping := func(w *world) bool { return (w.now-start)/(5*second)%2 == 1 }
 	for _, c := range []struct {
 		name   string
@@ -160,37 +161,37 @@
 			if s.ID == "s0" && flapping(w) {
 				return StatusError, 5_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, false, false, 0.05},
 		{"fails", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusError, 5_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, true, true, 0.02},
 		{"silent", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusTimedOut, 1_600_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, true, true, 0.02},
-		{"its lease ends", func(w *world, s Server) (Status, int64) { return w.well(nil, s) }, true, true, true, 0.02},
-		{"well", func(w *world, s Server) (Status, int64) { return w.well(nil, s) }, false, true, false, 0.12},
+		{"its lease ends", func(w *world, s Server) (Status, int64) { return w.answer(nil, s) }, true, true, true, 0.02},
+		{"well", func(w *world, s Server) (Status, int64) { return w.answer(nil, s) }, false, true, false, 0.12},
 		{"no room", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusRejected, 2_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, true, false, 0.12},
 		{"times with a long tail", func(w *world, s Server) (Status, int64) {
 			if s.ID == "s0" && w.rnd.IntN(4) == 0 {
 				return StatusOK, 450_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}, false, true, false, 0.12},
 	} {
-		w := laid(t, 1, 10, 12, 30, c.on)
-		w.fate = func(_ *copyOf, s Server) (Status, int64) { return c.fate(w, s) }
+		w := newWorld(t, 1, 10, 12, 30, c.on)
+		w.outcome = func(_ *replica, s Server) (Status, int64) { return c.fate(w, s) }
 		damped, looks := 0, 0
 		for at := second; at <= 60*second; at += second {
 			w.run(at)
@@ -199,11 +200,11 @@
 				if s.State = ServerReady; flapping(w) {
 					s.State = ServerRemoved
 				}
-				for _, x := range w.copies {
+				for _, x := range w.replicas {
 					x.b.UpdateEndpoints(w.now, x, UpdateDelta, []Server{s})
 				}
 			}
-			for _, x := range w.copies {
+			for _, x := range w.replicas {
 				if at > 30*second && (!c.lease || !flapping(w)) {
 					looks++
 					damped += len(x.b.DampedServers(w.now))
@@ -211,7 +212,7 @@
 			}
 		}
 		calls, of := 0.0, 0.0
-		for _, x := range w.copies {
+		for _, x := range w.replicas {
 			for _, s := range x.sends {
 				if s.at > start+30*second {
 					of++
@@ -226,36 +227,36 @@
 }
 
 // A death while damped: refused connections are avoided as fast, and what the list says is never damped.
-func TestDeathWhileDamped(t *testing.T) {
+func TestServerDiesWhileDamped(t *testing.T) {
 	trials, later := map[bool]int{}, map[bool]int{}
 	for _, damped := range []bool{false, true} {
-		w := laid(t, 1, 10, 12, 30, true)
+		w := newWorld(t, 1, 10, 12, 30, true)
 		dead := false
-		w.fate = func(_ *copyOf, s Server) (Status, int64) {
+		w.outcome = func(_ *replica, s Server) (Status, int64) {
 			if s.ID == "s0" && dead {
 				return StatusConnectFailed, 500
 			} else if s.ID == "s0" && damped && (w.now-start)/(5*second)%2 == 1 {
 				return StatusError, 5_000
 			}
-			return w.well(nil, s)
+			return w.answer(nil, s)
 		}
 		w.run(30 * second)
 		dead = true
-		before := make([]int, len(w.copies))
-		for i, c := range w.copies {
+		before := make([]int, len(w.replicas))
+		for i, c := range w.replicas {
 			before[i] = len(c.sends)
 			if (len(c.b.DampedServers(w.now)) == 1) != damped {
 				t.Fatalf("%s: damped %v, not %v", c.name, c.b.DampedServers(w.now), damped)
 			}
 		}
 		w.run(50 * second)
-		for i, c := range w.copies {
+		for i, c := range w.replicas {
 			for _, s := range c.sends[before[i]:] {
 				trials[damped] += int(indicator(s.server == "s0"))
 				later[damped] += int(indicator(s.server == "s0" && s.at > start+31*second))
 			}
 		}
-		for _, c := range w.copies {
+		for _, c := range w.replicas {
 			c.b.UpdateEndpoints(w.now, c, UpdateDelta, []Server{{ID: "s0", State: ServerDraining}})
 			if n := len(c.sends); n > 0 && len(c.b.DampedServers(w.now)) != 0 {
 				t.Errorf("%s: one that drains is damped", c.name)
@@ -263,7 +264,7 @@
 		}
 		gone := w.now
 		w.run(51 * second)
-		for _, c := range w.copies {
+		for _, c := range w.replicas {
 			for _, s := range c.sends {
 				if s.at > gone && s.server == "s0" {
 					t.Fatalf("%s calls one that drains", c.name)
@@ -307,7 +308,7 @@
 		b.HandlePeerReports(now, h, PeerReports{LiveReplicas: living, LiveReplicasInZone: near, Isolated: alone})
 		out := map[int]int{}
 		for _, d := range b.DampedServers(now) {
-			out[b.byID[d.Server].Zone]++
+			out[b.members.byID[d.Server].Zone]++
 		}
 		all := out[0] + out[1] + out[2]
 		part := 1.0
