--- /dev/null
+++ b/cmd/merlinpick-registry/oldbuild_test.go
@@ -0,0 +1,168 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"net/http/httputil"
+	"net/url"
+	"os"
+	"os/exec"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"merlinpick/internal/registry/config"
+)
+
+// While a member does not answer that it supports configurations, as builds before them do not, no member accepts a write.
+// The first write needs all members' answers; later ones do not wait for a member that is down.
+func TestOldBuildBlocksConfigWrites(t *testing.T) {
+	const old = 2
+	var isOld atomic.Bool
+	isOld.Store(true)
+	var mu sync.Mutex
+	fronts := map[string]string{}
+	// The others reach the last member's API through a proxy that answers as an older build would.
+	s := startService(t, 3, func(i int, f *config.File) {
+		if i == old {
+			return
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		m := &f.Members[old]
+		if real := m.List; fronts[real] == "" {
+			to := &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(&url.URL{Scheme: "http", Host: real}) }}
+			to.ModifyResponse = func(r *http.Response) error {
+				if r.Request.URL.Path != "/v1/member" || !isOld.Load() {
+					return nil
+				}
+				text, err := io.ReadAll(r.Body)
+				var word map[string]any
+				if err = errors.Join(err, json.Unmarshal(text, &word)); err != nil {
+					return err
+				}
+				delete(word, "configs")
+				text, err = json.Marshal(word)
+				r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
+				r.Header.Del("Content-Length")
+				return err
+			}
+			to.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, err error) {
+				http.Error(w, err.Error(), http.StatusBadGateway)
+			}
+			front := httptest.NewServer(to)
+			t.Cleanup(front.Close)
+			fronts[real] = strings.TrimPrefix(front.URL, "http://")
+		}
+		m.List = fronts[m.List]
+	})
+	l := s.awaitLeader(t)
+	for l == old { // a leader does not ask itself: have another member lead
+		if err := s.processes[old].Kill(); err != nil {
+			t.Fatal(err)
+		}
+		<-s.processes[old].Ended()
+		s.awaitLeader(t)
+		s.start(old)
+		s.awaitServing()
+		l = s.awaitLeader(t)
+	}
+	var end struct{ Error, End string }
+	refused := func(what string) {
+		t.Helper()
+		for i := range s.addresses {
+			status, _, text, err := s.putConfigAt(i, 0, document("x"))
+			if err := errors.Join(err, json.Unmarshal([]byte(text), &end)); err != nil || status != 503 || end.End != "old_build" ||
+				!strings.Contains(end.Error, what) {
+				t.Errorf("r%d: %d %s, %v", i+1, status, text, err)
+			}
+		}
+	}
+	refused("member r3 runs a build without configurations")
+	isOld.Store(false)
+	if err := s.processes[old].Kill(); err != nil { // it does not answer
+		t.Fatal(err)
+	}
+	<-s.processes[old].Ended()
+	waitFor(t, "a leader", func() bool { l = s.leader(); return l >= 0 })
+	status, _, text, err := s.putConfigAt(l, 0, document("x"))
+	if err != nil || status != 503 || !strings.Contains(text, "r3 has not told") {
+		t.Errorf("a first one without r3: %d %s, %v", status, text, err)
+	}
+	s.start(old)
+	s.awaitServing()
+	version, _ := s.putConfig(t, 0, document("first"))
+	if err := s.processes[old].Kill(); err != nil {
+		t.Fatal(err)
+	}
+	<-s.processes[old].Ended()
+	version, _ = s.putConfig(t, version, document("second"))
+	s.start(old)
+	s.awaitServing()
+	isOld.Store(true) // downgraded
+	for i := range s.addresses {
+		if i == old {
+			continue
+		}
+		if status, _, text, err := s.putConfigAt(i, version, document("third")); err != nil || status != 503 && s.leader() != old {
+			t.Errorf("r%d: %d %s, %v", i+1, status, text, err)
+		}
+	}
+}
+
+// A real build without configurations, which ROSTER_OLD names, blocks writes of them and is not harmed by them.
+func TestRealOldBuildBlocksConfigWrites(t *testing.T) {
+	old := os.Getenv("ROSTER_OLD")
+	if old == "" {
+		t.Skip("ROSTER_OLD names no program")
+	}
+	s := startService(t, 3)
+	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	defer cancel()
+	for i := range s.processes { // downgrade all, one after another
+		replaceBuild(t, s, i, old)
+	}
+	if out, err := exec.CommandContext(ctx, old, "nodos", "register", "--at="+s.addresses[0], "n1", "127.0.0.1:1", "--lease=10m").CombinedOutput(); err != nil {
+		t.Fatalf("%s: %v", out, err)
+	}
+	for n := range 3 {
+		for i := range s.addresses {
+			status, _, text, err := s.putConfigAt(i, 0, document("x"))
+			isOld := i >= n
+			if err != nil || isOld && status != 404 && status != 405 || !isOld && status != 503 {
+				t.Errorf("%d new: r%d: %d %s, %v", n, i+1, status, text, err)
+			}
+		}
+		replaceBuild(t, s, n, program)
+	}
+	version, _ := s.putConfig(t, 0, document("x"))
+	if _, _, values, err := s.list(ctx, 1); err != nil || values["n1"] == "" {
+		t.Errorf("the list is lost: %v, %v", values, err)
+	}
+	replaceBuild(t, s, 0, old) // downgrade
+	waitFor(t, "another to lead", func() bool { return s.leader() > 0 })
+	status, _, text, err := s.putConfigAt(1, version, document("y"))
+	if err != nil || status != 503 || !strings.Contains(text, "r1 runs a build without configurations") {
+		t.Errorf("after r1 was set back: %d %s, %v", status, text, err)
+	}
+}
+
+// replaceBuild kills a member and starts another build in its place.
+func replaceBuild(t *testing.T, s *cluster, i int, with string) {
+	t.Helper()
+	if err := s.processes[i].Kill(); err != nil {
+		t.Fatal(err)
+	}
+	<-s.processes[i].Ended()
+	was := program
+	program = with
+	s.start(i)
+	program = was
+	s.awaitServing()
+}
