--- a/internal/faultlab/model/cases.go
+++ b/internal/faultlab/model/cases.go
@@ -32,7 +32,8 @@
 		{"server unresponsive", server, at, last, one(Fault{Kind: ServerUnresponsive, Targets: []int{20}})},
 		{"server fails", server, at, last, one(Fault{Kind: ServerErrors, Targets: []int{20}, Value: 0.9})},
 		{"third lies", zone, at, last, func(c *Config) {
-			c.Faults = append(c.Faults, Fault{Kind: ByzantineProxies, Zone: 1, Targets: byzantineTargets(c), At: at, Duration: last})
+			c.Faults = append(c.Faults, Fault{Kind: ByzantineProxies, Zone: 1, Targets: byzantineTargets(c),
+				At: at, Duration: last})
 		}},
 		{"gossip cut", zone, at, last, one(Fault{Kind: GossipPartition, Zone: -1})},
 		{"zone lost, gossip cut", zone, at, last, func(c *Config) {
--- a/internal/faultlab/model/check.go
+++ b/internal/faultlab/model/check.go
@@ -11,7 +11,7 @@
 
 const (
 	ruleExpiry         Rule = "expiry"          // no expired entry is used, nor a report on a server's previous start
-	ruleAgreement      Rule = "agreement"       // proxies of a zone that hear each other evacuate the same zones, but for maxDisagreement
+	ruleAgreement      Rule = "agreement"       // proxies of a zone that hear each other evacuate the same zones
 	ruleEjectionBudget Rule = "ejection-budget" // ejections by reports are within their fraction of the tier
 	ruleSlowStart      Rule = "slow-start"      // no server is overloaded by proxies that know of its start
 	ruleSomeZone       Rule = "some-zone"       // not all zones are evacuated at once
@@ -79,7 +79,8 @@
 	if target := sim.touchedServer; target != nil {
 		sim.touchedServer = nil
 		if target.inFlight > sim.cfg.Slots || len(target.queue) > sim.cfg.Queue || target.inFlight < 0 {
-			c.violated(ruleServerCapacity, "%s has %d in flight and %d queued", target.name, target.inFlight, len(target.queue))
+			c.violated(ruleServerCapacity, "%s has %d in flight and %d queued", target.name, target.inFlight,
+				len(target.queue))
 		}
 	}
 }
@@ -87,8 +88,8 @@
 // checkOverload checks an overloaded server by the fraction of its work that came from proxies that knew of its start.
 func (c *checker) checkOverload(target *server, informed float64) {
 	if informed >= minInformedFraction {
-		c.violated(ruleSlowStart, "%s was overloaded %.2f s after its start, %.0f %% of the work from proxies that knew of it", target.name,
-			float64(c.sim.now-target.startedAt)/float64(sec), 100*informed)
+		c.violated(ruleSlowStart, "%s was overloaded %.2f s after its start, %.0f %% of the work from proxies that knew of it",
+			target.name, float64(c.sim.now-target.startedAt)/float64(sec), 100*informed)
 	}
 }
 
@@ -108,10 +109,13 @@
 		if !earlier.mayHaveExecuted || class.Idempotency == balancer.Idempotent {
 			continue
 		}
-		sameScope := class.DedupScope == balancer.DedupScopeAll || class.DedupScope == balancer.DedupScopeZone && earlier.zone == a.zone ||
+		sameScope := class.DedupScope == balancer.DedupScopeAll ||
+			class.DedupScope == balancer.DedupScopeZone && earlier.zone == a.zone ||
 			class.DedupScope == balancer.DedupScopeCell && earlier.server == a.server
-		if class.Idempotency == balancer.NonIdempotent || !sameScope || c.sim.now-earlier.sentAt > class.DedupWindow+dedupWindowSlack {
-			c.violated(ruleRequest, "%s sends %s of class %s again after it may have executed", p.name, req.id, class.Name)
+		expired := c.sim.now-earlier.sentAt > class.DedupWindow+dedupWindowSlack
+		if class.Idempotency == balancer.NonIdempotent || !sameScope || expired {
+			c.violated(ruleRequest, "%s sends %s of class %s again after it may have executed", p.name, req.id,
+				class.Name)
 		}
 	}
 }
--- a/internal/faultlab/model/check_cluster.go
+++ b/internal/faultlab/model/check_cluster.go
@@ -10,7 +10,7 @@
 const (
 	maxHops            = 6            // of an entry to the last proxy
 	maxHopDelay        = 2 * delayFar // without a fault that delays packets
-	maxDisagreement    = 5 * sec      // between proxies of a zone that hear each other; one that evacuates alone does so for 3 s
+	maxDisagreement    = 5 * sec      // of proxies that hear each other; one that evacuates alone does so for 3 s
 	calmDuration       = 6 * sec      // proxies hear each other once they ran with sound gossip for this long
 	maxCalmLoss        = 0.35         // gossip with more loss is not sound
 	maxCalmDelay       = 300 * ms     // nor is gossip with more delay
@@ -48,7 +48,8 @@
 // checkEntryUse checks an entry that is passed to a balancer: its expiry on the proxy's clock, and its true age.
 func (c *checker) checkEntryUse(p *proxy, now int64, e *state.Entry) {
 	if now >= e.ExpiresAt() {
-		c.violated(ruleExpiry, "%s uses the entry of %s on %s %d us after its expiry", p.name, e.Observer, e.Subject, now-e.ExpiresAt())
+		c.violated(ruleExpiry, "%s uses the entry of %s on %s %d us after its expiry", p.name, e.Observer, e.Subject,
+			now-e.ExpiresAt())
 	}
 	sim := c.sim
 	if e.Kind == state.ServerUnhealthy {
@@ -71,8 +72,8 @@
 	over := age - e.TTL
 	sim.result.MaxOverrun = max(sim.result.MaxOverrun, over)
 	if over > maxHops*(maxHopDelay+c.cluster.maxGossipDelay)+int64(2*sim.cfg.MaxClockDrift*float64(e.TTL))+maxLoopGap {
-		c.violated(ruleExpiry, "%s uses the entry of %s on %s of %.2f s ago, with a TTL of %.2f s", p.name, e.Observer, e.Subject,
-			float64(age)/float64(sec), float64(e.TTL)/float64(sec))
+		c.violated(ruleExpiry, "%s uses the entry of %s on %s of %.2f s ago, with a TTL of %.2f s", p.name, e.Observer,
+			e.Subject, float64(age)/float64(sec), float64(e.TTL)/float64(sec))
 	}
 }
 
@@ -93,7 +94,8 @@
 	}
 	changed := evacuated != p.cluster.evacuatedZones
 	p.cluster.evacuatedZones = evacuated
-	if sim.network.cutGossip[p.zone*sim.cfg.Zones+p.zone] > 0 || sim.network.gossipLoss > maxCalmLoss || sim.network.gossipDelay > maxCalmDelay {
+	if !sim.network.passesGossip(p.zone, p.zone) || sim.network.gossipLoss > maxCalmLoss ||
+		sim.network.gossipDelay > maxCalmDelay {
 		c.cluster.lastDisturbed[p.zone] = sim.now
 	}
 	if changed || sim.now-p.cluster.agreementCheckedAt >= sec {
@@ -168,7 +170,8 @@
 			maximum /= 10
 		}
 		if n > maximum {
-			c.violated(ruleEjectionBudget, "%s ejects %d of %d servers by reports, in zone %d of %d", p.name, n, ready[i], i, sim.cfg.Zones)
+			c.violated(ruleEjectionBudget, "%s ejects %d of %d servers by reports, in zone %d of %d", p.name, n, ready[i], i,
+				sim.cfg.Zones)
 		}
 	}
 }
--- a/internal/faultlab/model/client.go
+++ b/internal/faultlab/model/client.go
@@ -103,5 +103,7 @@
 func (p *proxy) isUpForFront() bool { return p.up && !p.stopped || p.sim.now-p.downAt < frontDetection }
 
 func sortedRequests(m map[string]*request) []*request {
-	return slices.SortedFunc(maps.Values(m), func(a, b *request) int { return cmp.Or(cmp.Compare(a.arrivedAt, b.arrivedAt), cmp.Compare(a.id, b.id)) })
+	return slices.SortedFunc(maps.Values(m), func(a, b *request) int {
+		return cmp.Or(cmp.Compare(a.arrivedAt, b.arrivedAt), cmp.Compare(a.id, b.id))
+	})
 }
--- a/internal/faultlab/model/cluster.go
+++ b/internal/faultlab/model/cluster.go
@@ -44,12 +44,12 @@
 		store:    state.New(state.Identity{Name: p.name, Zone: zoneName(p.zone), StartedAtMs: now / ms}, state.Limits{}),
 		outbound: newTransmitQueue(sim.gossip.transmitCount)}
 	incarnation := p.incarnation
-	sim.after(sim.gossip.random.Int64N(gossipInterval), evGossip, p.id, func() { p.deliver(incarnation, func() { p.gossip(incarnation) }) })
+	p.after(sim.gossip.random.Int64N(gossipInterval), evGossip, incarnation, func() { p.gossip(incarnation) })
 	first := sim.gossip.random.Int64N(fullExchangeInterval)
 	if sim.now > 0 { // one that joins a running cluster makes a full exchange at once
 		first = 0
 	}
-	sim.after(first, evGossip, p.id, func() { p.deliver(incarnation, func() { p.fullExchange(incarnation) }) })
+	p.after(first, evGossip, incarnation, func() { p.fullExchange(incarnation) })
 }
 
 // receive merges a packet and queues what is new.
@@ -88,7 +88,8 @@
 func (p *proxy) peerReports(now int64) balancer.PeerReports {
 	sim := p.sim
 	entries := p.cluster.store.PeerEntries(now)
-	h := balancer.PeerReports{Isolated: sim.now-p.cluster.lastHeard >= isolationTimeout, Reports: make([]balancer.Report, 0, len(entries))}
+	h := balancer.PeerReports{Isolated: sim.now-p.cluster.lastHeard >= isolationTimeout,
+		Reports: make([]balancer.Report, 0, len(entries))}
 	h.LiveReplicas, h.LiveReplicasInZone = sim.gossip.count(sim, p)
 	if p.id == 0 && sim.cfg.seeded == seedDeaf {
 		return h
@@ -163,7 +164,8 @@
 		out = append(out, state.Observation{Kind: state.ZoneUnhealthy, Subject: zoneName(z), Body: body})
 		for _, target := range p.sim.servers {
 			if target.zone == z {
-				out = append(out, state.Observation{Kind: state.ServerUnhealthy, Subject: target.name, SubjectStartMs: p.listed[target.id].StartTime / ms, Body: body})
+				out = append(out, state.Observation{Kind: state.ServerUnhealthy, Subject: target.name,
+					SubjectStartMs: p.listed[target.id].StartTime / ms, Body: body})
 			}
 		}
 	}
--- a/internal/faultlab/model/config.go
+++ b/internal/faultlab/model/config.go
@@ -71,14 +71,19 @@
 func Default() Config {
 	return Config{Seed: 1, Duration: 20 * sec, Zones: 3, Regions: 1, Proxies: 12, Servers: 18, Rate: 400, Skew: 0.5,
 		Classes: []Class{
-			{balancer.Class{Name: "once", LatencyObjective: 600 * ms, Deadline: 1600 * ms, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
+			{balancer.Class{Name: "once", LatencyObjective: 600 * ms, Deadline: 1600 * ms, PriorityWeight: 10,
+				Idempotency: balancer.NonIdempotent},
 				0.6, 40 * ms, 80 * ms},
-			{balancer.Class{Name: "keyed", LatencyObjective: 800 * ms, Deadline: 2000 * ms, PriorityWeight: 3, Idempotency: balancer.IdempotentWithKey,
-				DedupScope: balancer.DedupScopeZone, DedupWindow: 3 * sec}, 0.25, 50 * ms, 90 * ms},
-			{balancer.Class{Name: "safe", LatencyObjective: 400 * ms, Deadline: 1200 * ms, PriorityWeight: 1}, 0.15, 10 * ms, 30 * ms},
+			{balancer.Class{Name: "keyed", LatencyObjective: 800 * ms, Deadline: 2000 * ms, PriorityWeight: 3,
+				Idempotency: balancer.IdempotentWithKey,
+				DedupScope:  balancer.DedupScopeZone, DedupWindow: 3 * sec}, 0.25, 50 * ms, 90 * ms},
+			{balancer.Class{Name: "safe", LatencyObjective: 400 * ms, Deadline: 1200 * ms, PriorityWeight: 1},
+				0.15, 10 * ms, 30 * ms},
 		},
-		Slots: 2, Queue: 12, Speed: 1, SlowStartMinCapacity: 0.2, SlowStartDuration: 10 * sec, OverloadMultiple: 3, OverloadWindow: 2 * sec,
-		ListAddDelay: 200 * ms, ListRemoveDelay: 3 * sec, DialTimeout: 300 * ms, MaxClockOffset: 100 * ms, MaxClockDrift: 0.01, Cluster: true}
+		Slots: 2, Queue: 12, Speed: 1, SlowStartMinCapacity: 0.2, SlowStartDuration: 10 * sec,
+		OverloadMultiple: 3, OverloadWindow: 2 * sec,
+		ListAddDelay: 200 * ms, ListRemoveDelay: 3 * sec, DialTimeout: 300 * ms, MaxClockOffset: 100 * ms,
+		MaxClockDrift: 0.01, Cluster: true}
 }
 
 // Capacity returns the capacity of warm servers in requests a second.
--- a/internal/faultlab/model/fault.go
+++ b/internal/faultlab/model/fault.go
@@ -182,7 +182,8 @@
 	}
 	left := f.At + f.Duration - w.now
 	if bad {
-		w.schedule(&Fault{Kind: ServerErrors, At: 0, Duration: min(f.Period, left), Targets: f.Targets, Value: max(f.Value, 0.9)})
+		w.schedule(&Fault{Kind: ServerErrors, At: 0, Duration: min(f.Period, left), Targets: f.Targets,
+			Value: max(f.Value, 0.9)})
 	}
 	w.after(f.Period, evFault, int(f.Kind), func() { w.flap(f, !bad) })
 }
--- a/internal/faultlab/model/gossip.go
+++ b/internal/faultlab/model/gossip.go
@@ -157,7 +157,9 @@
 	queued.stale = true
 	i := queued.transmissions
 	if q.stale[i]++; q.stale[i] > 64 && 2*q.stale[i] > len(q.byTransmissions[i]) {
-		q.byTransmissions[i] = slices.DeleteFunc(q.byTransmissions[i], func(queued *queuedEntry) bool { return queued.stale })
+		q.byTransmissions[i] = slices.DeleteFunc(q.byTransmissions[i], func(queued *queuedEntry) bool {
+			return queued.stale
+		})
 		q.stale[i] = 0
 	}
 }
@@ -241,24 +243,26 @@
 			p.sendPacket(peer, p.pack(entries, maxPacketBytes))
 		}
 	}
-	sim.after(p.realDuration(gossipInterval), evGossip, p.id, func() { p.deliver(incarnation, func() { p.gossip(incarnation) }) })
+	p.after(p.realDuration(gossipInterval), evGossip, incarnation, func() { p.gossip(incarnation) })
 }
 
 // fullExchange exchanges all entries with one other proxy, over a connection.
 func (p *proxy) fullExchange(incarnation int) {
 	sim := p.sim
-	if peer := p.randomPeer(); peer != nil && sim.network.passesGossip(p.zone, peer.zone) && sim.network.passesGossip(peer.zone, p.zone) && peer.up && !peer.stopped {
+	peer := p.randomPeer()
+	if peer != nil && peer.up && !peer.stopped &&
+		sim.network.passesGossip(p.zone, peer.zone) && sim.network.passesGossip(peer.zone, p.zone) {
 		there, back := sim.network.delay(p.zone, peer.zone), sim.network.delay(peer.zone, p.zone)
 		mine, other := p.pack(p.cluster.store.Entries(p.clock()), 32<<10), peer.incarnation
 		sim.after(2*there+back, evPacket, peer.id, func() {
 			peer.deliver(other, func() {
 				theirs := peer.pack(peer.cluster.store.Entries(peer.clock()), 32<<10)
 				peer.receive(mine)
-				sim.after(back, evPacket, p.id, func() { p.deliver(incarnation, func() { p.receive(theirs) }) })
+				p.after(back, evPacket, incarnation, func() { p.receive(theirs) })
 			})
 		})
 	}
-	sim.after(p.realDuration(fullExchangeInterval), evGossip, p.id, func() { p.deliver(incarnation, func() { p.fullExchange(incarnation) }) })
+	p.after(p.realDuration(fullExchangeInterval), evGossip, incarnation, func() { p.fullExchange(incarnation) })
 }
 
 // randomPeer draws a proxy that this one considers live; nil if a few draws find none.
--- a/internal/faultlab/model/gossip_run.go
+++ b/internal/faultlab/model/gossip_run.go
@@ -100,14 +100,18 @@
 // PlayGossip runs a configuration to its end.
 func PlayGossip(config GossipConfig) *GossipResult {
 	run := &gossipRun{config: config, exchangeInterval: exchangeInterval(config.Size)}
-	for _, a := range []*durations{&run.result.HealthAges, &run.result.LoadAges, &run.result.EntriesHeld, &run.result.MembersKnown} {
-		*a = newDurations()
+	r := &run.result
+	for _, d := range []*durations{&r.HealthAges, &r.LoadAges, &r.EntriesHeld, &r.MembersKnown} {
+		*d = newDurations()
 	}
 	for i := range config.Size {
-		m := &member{run: run, id: i, zone: i * config.Zones / config.Size, random: source(config.Seed, chanceProxies+uint64(i))}
-		m.store = state.New(state.Identity{Name: memberName(i), Zone: zoneName(m.zone), StartedAtMs: epoch / ms}, state.Limits{})
+		m := &member{run: run, id: i, zone: i * config.Zones / config.Size,
+			random: source(config.Seed, chanceProxies+uint64(i))}
+		identity := state.Identity{Name: memberName(i), Zone: zoneName(m.zone), StartedAtMs: epoch / ms}
+		m.store = state.New(identity, state.Limits{})
 		m.queue = queue.New(func() int { return queue.TransmitCount(config.Size) })
-		m.nextPublish, m.nextGossip, m.nextExchange = m.random.Int64N(loopInterval), m.random.Int64N(gossipInterval), m.random.Int64N(run.exchangeInterval)
+		m.nextPublish, m.nextGossip = m.random.Int64N(loopInterval), m.random.Int64N(gossipInterval)
+		m.nextExchange = m.random.Int64N(run.exchangeInterval)
 		m.nextChange = m.random.Int64N(changeInterval)
 		run.members = append(run.members, m)
 	}
@@ -125,7 +129,9 @@
 		}
 	}
 	for _, m := range run.members {
-		run.result.Datagrams, run.result.Bytes, run.result.ExchangeBytes = run.result.Datagrams+m.sent, run.result.Bytes+m.bytes, run.result.ExchangeBytes+m.exchangeBytes
+		r.Datagrams += m.sent
+		r.Bytes += m.bytes
+		r.ExchangeBytes += m.exchangeBytes
 		for k := range m.entries {
 			run.result.Entries[k] += m.entries[k]
 			run.result.EntryBytes[k] += m.sizes[k]
@@ -217,17 +223,18 @@
 	m.nextChange = now + changeInterval
 	m.observations = m.observations[:0]
 	for z := range c.Zones {
-		m.observations = append(m.observations, state.Observation{Kind: state.ZoneHealthy, Subject: zoneName(z), Body: state.Body{Calls: 50 + 50*m.random.Float64()}})
+		m.observations = append(m.observations, state.Observation{Kind: state.ZoneHealthy, Subject: zoneName(z),
+			Body: state.Body{Calls: 50 + 50*m.random.Float64()}})
 	}
 	servers := 2 * c.Size
 	for i := range c.LoadReports {
 		n := (2*m.id + i) % servers
 		name := "nodo-" + strconv.Itoa(10000 + n)[1:]
-		m.observations = append(m.observations, state.Observation{Kind: state.ServerLoad, Subject: name, SubjectStartMs: epoch/ms - 1000,
-			Body: state.Body{Calls: 10 + 10*m.random.Float64(), Value: 50_000 + 20_000*m.random.Float64()}})
+		m.observations = append(m.observations, state.Observation{Kind: state.ServerLoad, Subject: name,
+			SubjectStartMs: epoch/ms - 1000, Body: state.Body{Calls: 10 + 10*m.random.Float64(), Value: 50_000 + 20_000*m.random.Float64()}})
 		if n == m.run.failingServer && now > c.Duration/5 && now < c.Duration*3/5 {
-			m.observations = append(m.observations, state.Observation{Kind: state.ServerUnhealthy, Subject: name, SubjectStartMs: epoch/ms - 1000,
-				Body: state.Body{Fault: 1, Calls: 20, BadFraction: 0.8 + 0.2*m.random.Float64()}})
+			m.observations = append(m.observations, state.Observation{Kind: state.ServerUnhealthy, Subject: name,
+				SubjectStartMs: epoch/ms - 1000, Body: state.Body{Fault: 1, Calls: 20, BadFraction: 0.8 + 0.2*m.random.Float64()}})
 		}
 	}
 	return m.observations
--- a/internal/faultlab/model/proxy.go
+++ b/internal/faultlab/model/proxy.go
@@ -111,7 +111,7 @@
 	p.balancer.UpdateEndpoints(p.clock(), p, balancer.UpdateSnapshot, list)
 	p.joinCluster()
 	incarnation := p.incarnation
-	p.sim.after(seed.Int64N(loopInterval), evTick, p.id, func() { p.deliver(incarnation, func() { p.tick(incarnation) }) })
+	p.after(seed.Int64N(loopInterval), evTick, incarnation, func() { p.tick(incarnation) })
 	return nil
 }
 
@@ -172,12 +172,17 @@
 	}
 }
 
+// after plans something in the process, unless another incarnation runs then.
+func (p *proxy) after(delay int64, kind eventKind, incarnation int, do func()) {
+	p.sim.after(delay, kind, p.id, func() { p.deliver(incarnation, do) })
+}
+
 // tick is one iteration of the proxy's loop.
 func (p *proxy) tick(incarnation int) {
 	if p.cluster != nil {
 		p.exchangeReports()
 	}
-	p.sim.after(p.realDuration(loopInterval), evTick, p.id, func() { p.deliver(incarnation, func() { p.tick(incarnation) }) })
+	p.after(p.realDuration(loopInterval), evTick, incarnation, func() { p.tick(incarnation) })
 }
 
 // announce delivers a change of the endpoint list to every proxy.
@@ -216,16 +221,17 @@
 	}
 	target := sim.serverByName(server)
 	sim.record(evSend, p.id, int64(target.id))
-	a := &attempt{request: req, number: len(req.attempts), proxy: p, incarnation: p.incarnation, server: target, zone: target.zone, sentAt: sim.now, mayHaveExecuted: true}
+	a := &attempt{request: req, number: len(req.attempts), proxy: p, incarnation: p.incarnation, server: target,
+		zone: target.zone, sentAt: sim.now, mayHaveExecuted: true}
 	sim.check.checkSend(p, req, a)
 	req.attempts = append(req.attempts, a)
 	sim.result.sent(sim, a)
 	if timeout == 0 {
 		timeout = int64(float64(req.deadline-sim.now) * p.clockRate)
 	}
-	sim.after(p.realDuration(timeout), evTimeout, p.id, func() { p.deliver(a.incarnation, func() { p.outcome(a, balancer.StatusTimedOut) }) })
+	p.after(p.realDuration(timeout), evTimeout, a.incarnation, func() { p.outcome(a, balancer.StatusTimedOut) })
 	if target.darkness > 0 || !sim.network.passesRequests(p.zone, target.zone) {
-		sim.after(p.realDuration(sim.cfg.DialTimeout), evOutcome, p.id, func() { p.deliver(a.incarnation, func() { p.outcome(a, balancer.StatusConnectFailed) }) })
+		p.after(p.realDuration(sim.cfg.DialTimeout), evOutcome, a.incarnation, func() { p.outcome(a, balancer.StatusConnectFailed) })
 		return
 	}
 	sim.after(sim.network.delay(p.zone, target.zone), evAttempt, target.id, func() {
@@ -249,8 +255,9 @@
 	if s == balancer.StatusOK && !a.request.closed {
 		p.closeRequest(a.request, endServed)
 	}
-	p.balancer.HandleOutcome(p.clock(), p, balancer.Outcome{RequestID: a.request.id, Attempt: a.number, Status: s, RequestDone: a.request.closed,
-		Latency: int64(float64(p.sim.now-a.sentAt) * p.clockRate)})
+	p.balancer.HandleOutcome(p.clock(), p, balancer.Outcome{RequestID: a.request.id, Attempt: a.number, Status: s,
+		RequestDone: a.request.closed,
+		Latency:     int64(float64(p.sim.now-a.sentAt) * p.clockRate)})
 	if a.request.closed {
 		p.removeIfDone(a.request)
 	}
--- a/internal/faultlab/model/result.go
+++ b/internal/faultlab/model/result.go
@@ -71,8 +71,9 @@
 }
 
 func (r *Result) begin(c *Config) {
-	for _, a := range []*durations{&r.HealthAges, &r.HealthPropagation, &r.LoadAges, &r.LoadPropagation, &r.EvacuationSpread, &r.Disagreements} {
-		*a = newDurations()
+	for _, d := range []*durations{&r.HealthAges, &r.HealthPropagation, &r.LoadAges, &r.LoadPropagation,
+		&r.EvacuationSpread, &r.Disagreements} {
+		*d = newDurations()
 	}
 	r.bins = make([]binCounts, c.Duration/binWidth+1)
 	for i := range r.bins {
--- a/internal/faultlab/model/server.go
+++ b/internal/faultlab/model/server.go
@@ -181,8 +181,9 @@
 		}
 	}
 	from = max(from, s.startedAt)
-	stands := c.OverloadMultiple * s.capacityFraction((from+now)/2) * c.Speed / s.slowdown() * float64(c.Slots) * float64(c.OverloadWindow)
-	if float64(sum) <= stands+float64(a.request.work) {
+	capacity := c.OverloadMultiple * s.capacityFraction((from+now)/2) * c.Speed / s.slowdown() * float64(c.Slots) *
+		float64(c.OverloadWindow)
+	if float64(sum) <= capacity+float64(a.request.work) {
 		return false
 	}
 	if s.slowdown() == 1 { // else no proxy could know of the slowdown yet
@@ -232,6 +233,6 @@
 // respond sends a status to the proxy, if the network passes it.
 func (s *server) respond(a *attempt, status balancer.Status) {
 	if s.sim.network.passesResponses(s.zone, a.proxy.zone) {
-		s.sim.after(s.sim.network.delay(s.zone, a.proxy.zone), evOutcome, a.proxy.id, func() { a.proxy.deliver(a.incarnation, func() { a.proxy.outcome(a, status) }) })
+		a.proxy.after(s.sim.network.delay(s.zone, a.proxy.zone), evOutcome, a.incarnation, func() { a.proxy.outcome(a, status) })
 	}
 }
