--- a/internal/faultlab/hollow/calibrate_test.go
+++ b/internal/faultlab/hollow/calibrate_test.go
@@ -27,15 +27,15 @@
 }
 
 // What a process's proxies have passed so far, and its members of the fleet.
-func reading(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Spent, fleet []*hollow.FleetFigures) {
+func reading(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Spent, fleet []*hollow.ClusterMetrics) {
 	links.Traffic(func(e link.Ends, t link.Traffic) {
 		if e.From == from {
 			s.In, s.Out, s.Calls = t.Answered, t.Sent, t.Pieces
 		}
 	})
-	for _, x := range p.Figures(false).Proxies {
-		if x.Fleet != nil {
-			fleet = append(fleet, x.Fleet)
+	for _, x := range p.Metrics(false).Proxies {
+		if x.Cluster != nil {
+			fleet = append(fleet, x.Cluster)
 		}
 	}
 	s.Each = time.Duration(proxies) * time.Second
@@ -75,7 +75,7 @@
 					t.Fatal(err)
 				}
 				c := hollow.TestConfig(addr, proxies, 0)
-				c.Fleet = &hollow.Fleet{Label: label}
+				c.Cluster = &hollow.Cluster{Label: label}
 				for i := range c.Proxies {
 					c.Proxies[i].Name = name + c.Proxies[i].Name
 					c.Proxies[i].Bind = fmt.Sprintf("127.0.0.%d:%d", i+2, port)
@@ -98,8 +98,8 @@
 			hollow.Eventually(t, "the nodos", func() bool { return nodo.Waits() == "" })
 			// So long the members of a fleet have spoken to each other, whoever does.
 			hollow.Eventually(t, "gossip", func() bool {
-				for i, x := range real.Figures(false).Proxies {
-					if x.Fleet.In-c.Phases[0].Before.RealGossip[i].In < 10000 {
+				for i, x := range real.Metrics(false).Proxies {
+					if x.Cluster.BytesIn-c.Phases[0].Before.RealGossip[i].BytesIn < 10000 {
 						return false
 					}
 				}
--- a/internal/faultlab/hollow/fleet.go
+++ b/internal/faultlab/hollow/cluster.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	meetEvery = 100 * time.Millisecond // as a real proxy's
-	deafAfter = time.Second            // likewise
-	tier      = "0"
+	exchangeInterval = 100 * time.Millisecond // as a real proxy's
+	maxSnapshotAge   = time.Second            // likewise
+	tier             = "0"
 )
 
 // peersWord is what the link told, and when.
-type peersWord struct {
+type timedSnapshot struct {
 	transport.Snapshot
-	at int64
+	receivedAt int64
 }
 
 // fleetPart is a proxy's part in its fleet, as internal/cluster has it.
-type fleetPart struct {
-	link  *transport.Node
-	words chan peersWord // the newest
-	last  peersWord      // the loop's
+type clusterMember struct {
+	node      *transport.Node
+	snapshots chan timedSnapshot // the newest
+	latest    timedSnapshot      // the loop's
 
 	mu   sync.Mutex
 	ages []float64
 }
 
-func join(f *Fleet, p Proxy, log *slog.Logger) (*fleetPart, error) {
+func joinCluster(f *Cluster, p Proxy, log *slog.Logger) (*clusterMember, error) {
 	k, err := transport.Open(transport.Config{Name: p.Name, Zone: p.Zone, Tier: tier, Bind: p.Bind, Advertise: p.Advertise, Label: f.Label, Seeds: p.Seeds,
-		StartedAtMs: time.Now().UnixMilli(), Now: now, Logger: log})
+		StartedAtMs: time.Now().UnixMilli(), Now: nowMicros, Logger: log})
 	if err != nil {
 		return nil, err
 	}
-	return &fleetPart{link: k, words: make(chan peersWord, 1)}, nil
+	return &clusterMember{node: k, snapshots: make(chan timedSnapshot, 1)}, nil
 }
 
-func (m *fleetPart) run(ctx context.Context) {
+func (m *clusterMember) run(ctx context.Context) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		m.link.Run(ctx)
+		m.node.Run(ctx)
 	}()
 	for {
 		select {
-		case s := <-m.link.Snapshots():
+		case s := <-m.node.Snapshots():
 			select {
-			case <-m.words:
+			case <-m.snapshots:
 			default:
 			}
-			m.words <- peersWord{s, now()}
+			m.snapshots <- timedSnapshot{s, nowMicros()}
 		case <-ended:
 			return
 		}
@@ -63,11 +63,11 @@
 }
 
 // meet has the fleet and the module hear of each other.
-func (m *fleetPart) meet(d *decider) {
-	at := now()
-	m.link.Publish(adapter.ToObservations(d.bal.Reports(at), d.zones))
+func (m *clusterMember) exchangeReports(d *decider) {
+	at := nowMicros()
+	m.node.Publish(adapter.ToObservations(d.balancer.Reports(at), d.zones))
 	peers := balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true}
-	if w := &m.last; w.at != 0 && at-w.at <= deafAfter.Microseconds() {
+	if w := &m.latest; w.receivedAt != 0 && at-w.receivedAt <= maxSnapshotAge.Microseconds() {
 		notices, _ := adapter.ToReports(at, w.PeerEntries, d.zones)
 		peers = balancer.PeerReports{LiveReplicas: w.LiveMembers, LiveReplicasInZone: w.LiveMembersInZone, Isolated: w.Isolated, Reports: notices}
 		ages := make([]float64, 0, len(w.PeerEntries))
@@ -80,12 +80,12 @@
 		m.ages = ages
 		m.mu.Unlock()
 	}
-	d.bal.HandlePeerReports(at, d, peers)
+	d.balancer.HandlePeerReports(at, d, peers)
 }
 
-func (m *fleetPart) figures() *FleetFigures {
+func (m *clusterMember) metrics() *ClusterMetrics {
 	m.mu.Lock()
 	ages := m.ages
 	m.mu.Unlock()
-	return fleetFigures(m.link.Metrics(), ages)
+	return newClusterMetrics(m.node.Metrics(), ages)
 }
--- a/internal/faultlab/hollow/configs_test.go
+++ b/internal/faultlab/hollow/configs_test.go
@@ -34,7 +34,7 @@
 			}
 			p := hollow.StartSeeded(t, c, fault)
 			hollow.Eventually(t, "all", func() bool { return p.Waits() == "" })
-			p.Begin()
+			p.ResetMetrics()
 			start := time.Now()
 			settings := strings.NewReplacer(`"my_zone":0,"ordinal":0,`, "", `"try_limit":3`, `"try_limit":3,"dial_timeout_us":1,"idle_close_us":1`).
 				Replace(hollow.TestTold)
@@ -54,7 +54,7 @@
 			}
 			put.Status, put.Version, put.Sure = resp.StatusCode, told.Version, time.Now().UnixNano()
 			hollow.Eventually(t, "the configuration", func() bool {
-				for _, x := range p.Figures(true).Proxies {
+				for _, x := range p.Metrics(true).Proxies {
 					if x.Config.Version != told.Version {
 						return false
 					}
@@ -62,7 +62,7 @@
 				return true
 			})
 			e := &experiment.Experiment{Seconds: 30, Phases: []experiment.Phase{{Name: "all", From: 0, To: 20}}}
-			control := &result.Control{Hollow: []hollow.Figures{p.Figures(true)}, Puts: []result.Put{put}}
+			control := &result.Control{Hollow: []hollow.Metrics{p.Metrics(true)}, Puts: []result.Put{put}}
 			f := control.Figures(e, start)
 			_, late := f["control.all.config_in_force_last_ms"]
 			if f["control.all.config_changes"] != 1 || f["control.all.config_never"] != test.never || late != test.inForces {
--- a/internal/faultlab/hollow/decide.go
+++ b/internal/faultlab/hollow/decide.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	laterMost = 64               // events of a proxy that wait for its loop
-	callLeast = time.Millisecond // between two calls
-	tookLeast = 20 * time.Millisecond
-	tookMost  = 80 * time.Millisecond
+	maxQueuedEvents = 64               // events of a proxy that wait for its loop
+	minCallInterval = time.Millisecond // between two calls
+	minLatency      = 20 * time.Millisecond
+	maxLatency      = 80 * time.Millisecond
 )
 
 // decider is the decision module with calls that are drawn: nobody sends them and nobody answers, but the module takes each,
 // picks a server, and hears what came of it. It is its own host. All but the counts is the proxy's loop's.
 type decider struct {
-	bal     *balancer.Balancer
-	zones   map[string]int
-	classes []int // the module's numbers of the classes that calls have now
-	rate    float64
-	bad     float64
-	later   chan func()
-	ctx     context.Context // of the event that is under way
-	rnd     *rand.Rand
-	n       int64
-	sends   map[string]int
-	open    map[string]int // the class of each call that has not ended
-
-	taken, sent, refused, failed atomic.Int64
+	balancer       *balancer.Balancer
+	zones          map[string]int
+	classes        []int // the module's numbers of the classes that calls have now
+	callRate       float64
+	failedFraction float64
+	events         chan func()
+	ctx            context.Context // of the event that is under way
+	random         *rand.Rand
+	calls          int64
+	attempts       map[string]int
+	openClasses    map[string]int // the class of each call that has not ended
+
+	taken, sent, rejected, failed atomic.Int64
 }
 
 func newDecider(c *Config, p Proxy, site *settings.Site) (*decider, error) {
-	d := &decider{zones: map[string]int{}, open: map[string]int{}, rate: c.Calls, bad: c.Bad,
-		later: make(chan func(), laterMost), sends: map[string]int{}, ctx: context.Background()}
+	d := &decider{zones: map[string]int{}, openClasses: map[string]int{}, callRate: c.CallRate, failedFraction: c.FailedFraction,
+		events: make(chan func(), maxQueuedEvents), attempts: map[string]int{}, ctx: context.Background()}
 	for i, z := range site.Zones {
 		d.zones[z] = i
 	}
@@ -47,15 +47,15 @@
 		d.classes = append(d.classes, i)
 	}
 	s := site.Balancer
-	s.ReplicaIndex, s.Zone = p.Ordinal, d.number(p.Zone)
+	s.ReplicaIndex, s.Zone = p.ReplicaIndex, d.zoneNumber(p.Zone)
 	var err error
-	d.bal, err = balancer.New(s, p.Seed)
+	d.balancer, err = balancer.New(s, p.Seed)
 	return d, err
 }
 
-func now() int64 { return time.Now().UnixMicro() }
+func nowMicros() int64 { return time.Now().UnixMicro() }
 
-func (d *decider) number(zone string) int {
+func (d *decider) zoneNumber(zone string) int {
 	n, ok := d.zones[zone]
 	if !ok {
 		n = len(d.zones)
@@ -65,14 +65,14 @@
 }
 
 // list tells the module what is listed, as a real proxy does.
-func (d *decider) list(l *discovery.List) {
+func (d *decider) updateEndpoints(l *discovery.List) {
 	kind := balancer.UpdateDelta
 	if l.Full {
 		kind = balancer.UpdateSnapshot
 	}
 	out := make([]balancer.Server, 0, len(l.Endpoints))
 	for _, e := range l.Endpoints {
-		s := balancer.Server{ID: e.Name, Zone: d.number(e.Zone), Cell: e.Cell, CapacityHint: 1, StartTime: e.StartedAtMs * 1000}
+		s := balancer.Server{ID: e.Name, Zone: d.zoneNumber(e.Zone), Cell: e.Cell, CapacityHint: 1, StartTime: e.StartedAtMs * 1000}
 		switch e.Status {
 		case discovery.StatusServing:
 			s.State = balancer.ServerReady
@@ -84,26 +84,26 @@
 		}
 		out = append(out, s)
 	}
-	d.bal.UpdateEndpoints(now(), d, kind, out)
+	d.balancer.UpdateEndpoints(nowMicros(), d, kind, out)
 }
 
 // pause is until the next call: drawn, and an hour if there are none.
-func (d *decider) pause(r *rand.Rand) time.Duration {
-	if d.rate <= 0 || len(d.classes) == 0 {
+func (d *decider) nextCall(r *rand.Rand) time.Duration {
+	if d.callRate <= 0 || len(d.classes) == 0 {
 		return time.Hour
 	}
-	return max(callLeast, time.Duration(r.ExpFloat64()/d.rate*float64(time.Second)))
+	return max(minCallInterval, time.Duration(r.ExpFloat64()/d.callRate*float64(time.Second)))
 }
 
 // call has the module decide on one call.
 func (d *decider) call(ctx context.Context, r *rand.Rand) {
-	d.ctx, d.rnd = ctx, r
-	d.n++
-	id := strconv.FormatInt(d.n, 16)
+	d.ctx, d.random = ctx, r
+	d.calls++
+	id := strconv.FormatInt(d.calls, 16)
 	d.taken.Add(1)
 	class := d.classes[r.IntN(len(d.classes))]
-	d.sends[id], d.open[id] = 0, class
-	d.bal.HandleRequest(now(), d, balancer.Request{ID: id, Class: class, Deadline: now() + time.Second.Microseconds()})
+	d.attempts[id], d.openClasses[id] = 0, class
+	d.balancer.HandleRequest(nowMicros(), d, balancer.Request{ID: id, Class: class, Deadline: nowMicros() + time.Second.Microseconds()})
 }
 
 // after has the proxy's loop do something later; not once the proxy has ended.
@@ -111,7 +111,7 @@
 	ctx := d.ctx
 	time.AfterFunc(delay, func() {
 		select {
-		case d.later <- do:
+		case d.events <- do:
 		case <-ctx.Done():
 		}
 	})
@@ -119,40 +119,40 @@
 
 // Send makes the decider the module's host, as do the others below: an attempt ends as it is drawn, after a time that is.
 func (d *decider) Send(id, _ string, _, timeout int64) {
-	n := d.sends[id]
-	d.sends[id] = n + 1
+	n := d.attempts[id]
+	d.attempts[id] = n + 1
 	d.sent.Add(1)
-	status, took := balancer.StatusOK, tookLeast+time.Duration(d.rnd.Int64N(int64(tookMost-tookLeast)))
-	if d.rnd.Float64() < d.bad {
+	status, took := balancer.StatusOK, minLatency+time.Duration(d.random.Int64N(int64(maxLatency-minLatency)))
+	if d.random.Float64() < d.failedFraction {
 		status = balancer.StatusReset
 	}
 	d.after(took, func() {
-		_, open := d.sends[id]
+		_, open := d.attempts[id]
 		closed := status == balancer.StatusOK || !open
-		d.bal.HandleOutcome(now(), d, balancer.Outcome{RequestID: id, Attempt: n, Status: status, RequestDone: closed, Latency: took.Microseconds()})
+		d.balancer.HandleOutcome(nowMicros(), d, balancer.Outcome{RequestID: id, Attempt: n, Status: status, RequestDone: closed, Latency: took.Microseconds()})
 		if closed {
-			d.end(id)
+			d.finish(id)
 		}
 	})
 }
 
-func (d *decider) end(id string) {
-	delete(d.sends, id)
-	delete(d.open, id)
+func (d *decider) finish(id string) {
+	delete(d.attempts, id)
+	delete(d.openClasses, id)
 }
 
 // reconfigure has other settings in force, as a real proxy does; its own zone and number stay.
 func (d *decider) reconfigure(site *settings.Site, p Proxy) error {
 	s := site.Balancer
 	for _, z := range site.Zones {
-		d.number(z)
+		d.zoneNumber(z)
 	}
-	s.ReplicaIndex, s.Zone, s.ZoneCount = p.Ordinal, d.number(p.Zone), len(d.zones)
+	s.ReplicaIndex, s.Zone, s.ZoneCount = p.ReplicaIndex, d.zoneNumber(p.Zone), len(d.zones)
 	held := map[int]bool{}
-	for _, class := range d.open {
+	for _, class := range d.openClasses {
 		held[class] = true
 	}
-	numbers, err := d.bal.Reconfigure(now(), s, held)
+	numbers, err := d.balancer.Reconfigure(nowMicros(), s, held)
 	if err == nil {
 		d.classes = numbers
 	}
@@ -161,19 +161,19 @@
 
 // Refuse ends a call.
 func (d *decider) Reject(id string, _ int64) {
-	d.refused.Add(1)
-	d.end(id)
+	d.rejected.Add(1)
+	d.finish(id)
 }
 
 // Fail ends a call.
 func (d *decider) Fail(id string) {
 	d.failed.Add(1)
-	d.end(id)
+	d.finish(id)
 }
 
 // SetTimer asks for a timer's event.
 func (d *decider) SetTimer(delay int64, token string) {
-	d.after(time.Duration(delay)*time.Microsecond, func() { d.bal.HandleTimer(now(), d, token) })
+	d.after(time.Duration(delay)*time.Microsecond, func() { d.balancer.HandleTimer(nowMicros(), d, token) })
 }
 
 // Watch is nothing: the list is followed in any case.
@@ -182,6 +182,6 @@
 // Log is nothing: calls that are drawn are no news.
 func (d *decider) Log(balancer.Event) {}
 
-func (d *decider) counted() DecidedFigures {
-	return DecidedFigures{d.taken.Load(), d.sent.Load(), d.refused.Load(), d.failed.Load()}
+func (d *decider) metrics() CallMetrics {
+	return CallMetrics{d.taken.Load(), d.sent.Load(), d.rejected.Load(), d.failed.Load()}
 }
--- a/internal/faultlab/hollow/export_test.go
+++ b/internal/faultlab/hollow/export_test.go
@@ -4,7 +4,7 @@
 
 // For the calibration's test, which judges a process with a seeded fault from outside.
 var (
-	Sound, SkipsWatch, SkipsFleet, SkipsApply = sound, skipsWatch, skipsFleet, skipsApply
+	Sound, SkipsWatch, SkipsFleet, SkipsApply = noFault, skipsWatch, skipsGossip, skipsApply
 
 	TestService = service
 	TestConfig  = config
@@ -13,10 +13,10 @@
 )
 
 // StartSeeded runs a process with a fault until the test ends.
-func StartSeeded(t *testing.T, c Config, fault seeded) *Process {
+func StartSeeded(t *testing.T, c Config, fault seededFault) *Process {
 	p, _ := start(t, c, fault)
 	return p
 }
 
 // Waits says what a process still lacks.
-func (p *Process) Waits() string { return p.missing() }
+func (p *Process) Waits() string { return p.notReadyReason() }
--- a/internal/faultlab/hollow/hollow.go
+++ b/internal/faultlab/hollow/hollow.go
@@ -20,61 +20,61 @@
 
 // Config is what a process is told.
 type Config struct {
-	Name    string `json:"name"`
-	Control string `json:"control"` // address at which it is asked and told
-	Failure string `json:"failure"` // file that tells why it ended, if a proxy or a nodo failed
+	Name           string `json:"name"`
+	ControlAddress string `json:"control"` // address at which it is asked and told
+	FailureFile    string `json:"failure"` // file that tells why it ended, if a proxy or a nodo failed
 
-	Proxies  []Proxy         `json:"proxies,omitempty"`
-	Settings json.RawMessage `json:"settings,omitempty"` // as real proxies are told; zone and ordinal are a proxy's own
-	Calls    float64         `json:"calls"`              // drawn, a second and proxy
-	Bad      float64         `json:"bad"`                // part of them that come to nothing
-	Fleet    *Fleet          `json:"fleet,omitempty"`    // nil: each decides alone
-	Relays   *Relays         `json:"relays,omitempty"`   // nil: members find each other without
+	Proxies        []Proxy         `json:"proxies,omitempty"`
+	Settings       json.RawMessage `json:"settings,omitempty"` // as real proxies are told; zone and ordinal are a proxy's own
+	CallRate       float64         `json:"calls"`              // drawn, a second and proxy
+	FailedFraction float64         `json:"bad"`                // part of them that come to nothing
+	Cluster        *Cluster        `json:"fleet,omitempty"`    // nil: each decides alone
+	Relays         *Relays         `json:"relays,omitempty"`   // nil: members find each other without
 
-	Nodos   []Nodo `json:"nodos,omitempty"`
-	LeaseMs int64  `json:"lease_ms,omitempty"`
+	Servers []Server `json:"nodos,omitempty"`
+	LeaseMs int64    `json:"lease_ms,omitempty"`
 }
 
 // Proxy is one proxy.
 type Proxy struct {
-	Name    string   `json:"name"`
-	Zone    string   `json:"zone"`
-	Ordinal int      `json:"ordinal"`
-	Seed    uint64   `json:"seed"`
-	Lists   []string `json:"lists"`          // members of the list service
-	Bind    string   `json:"bind,omitempty"` // its address in the fleet
-	Seeds   []string `json:"seeds,omitempty"`
-	Service string   `json:"service,omitempty"` // whose configuration it follows there; empty: none
+	Name            string   `json:"name"`
+	Zone            string   `json:"zone"`
+	ReplicaIndex    int      `json:"ordinal"`
+	Seed            uint64   `json:"seed"`
+	RegistryMembers []string `json:"lists"`          // members of the list service
+	Bind            string   `json:"bind,omitempty"` // its address in the fleet
+	Seeds           []string `json:"seeds,omitempty"`
+	Service         string   `json:"service,omitempty"` // whose configuration it follows there; empty: none
 
 	Advertise string `json:"advertise,omitempty"` // its relay's address in the fleet
 }
 
 // Fleet is what the members of the fleet have in common.
-type Fleet struct {
+type Cluster struct {
 	Label string `json:"label"`
 }
 
 // Nodo is one nodo.
-type Nodo struct {
-	Name    string   `json:"name"`
-	Zone    string   `json:"zone"`
-	Address string   `json:"address"` // as listed; nobody is there
-	Lists   []string `json:"lists"`
+type Server struct {
+	Name            string   `json:"name"`
+	Zone            string   `json:"zone"`
+	Address         string   `json:"address"` // as listed; nobody is there
+	RegistryMembers []string `json:"lists"`
 }
 
 // A FailedError is a proxy or a nodo that cannot go on. It ends the run.
 type FailedError struct {
 	Process string `json:"process"`
 	Name    string `json:"name"`
-	Cause   string `json:"cause"`
+	Reason  string `json:"cause"`
 }
 
 func (e *FailedError) Error() string {
-	return fmt.Sprintf("hollow %s (process %s) failed: %s; what it did stands in that process's log", e.Name, e.Process, e.Cause)
+	return fmt.Sprintf("hollow %s (process %s) failed: %s; what it did stands in that process's log", e.Name, e.Process, e.Reason)
 }
 
 // Read reads a process's file.
-func Read(path string) (c Config, err error) {
+func ReadConfig(path string) (c Config, err error) {
 	text, err := os.ReadFile(path)
 	if err == nil {
 		err = json.Unmarshal(text, &c)
@@ -95,10 +95,10 @@
 }
 
 // Failure is what a process that has ended left: a *FailedError, or another error if it left nothing that can be read.
-func Failure(process, path string) error {
+func ReadFailure(process, path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return &FailedError{Process: process, Name: "process " + process, Cause: "it ended by itself and left no word"}
+		return &FailedError{Process: process, Name: "process " + process, Reason: "it ended by itself and left no word"}
 	}
 	if err != nil {
 		return err
@@ -111,4 +111,4 @@
 }
 
 // nanos is the machine's clock, which all processes of a run share.
-func nanos() int64 { return time.Now().UnixNano() }
+func unixNano() int64 { return time.Now().UnixNano() }
--- a/internal/faultlab/hollow/hollow_test.go
+++ b/internal/faultlab/hollow/hollow_test.go
@@ -60,18 +60,18 @@
 
 // config is a process of so many proxies and nodos.
 func config(list string, proxies, nodos int) Config {
-	c := Config{Name: "h", Settings: []byte(told), Calls: 50, Bad: 0.1, LeaseMs: 1000}
+	c := Config{Name: "h", Settings: []byte(told), CallRate: 50, FailedFraction: 0.1, LeaseMs: 1000}
 	for i := range proxies {
-		c.Proxies = append(c.Proxies, Proxy{Name: fmt.Sprintf("hp%d", i), Zone: "a-a", Ordinal: i, Seed: uint64(i), Lists: []string{list}})
+		c.Proxies = append(c.Proxies, Proxy{Name: fmt.Sprintf("hp%d", i), Zone: "a-a", ReplicaIndex: i, Seed: uint64(i), RegistryMembers: []string{list}})
 	}
 	for i := range nodos {
-		c.Nodos = append(c.Nodos, Nodo{Name: fmt.Sprintf("hs%d", i), Zone: "a-a", Address: "127.0.0.1:9", Lists: []string{list}})
+		c.Servers = append(c.Servers, Server{Name: fmt.Sprintf("hs%d", i), Zone: "a-a", Address: "127.0.0.1:9", RegistryMembers: []string{list}})
 	}
 	return c
 }
 
 // start runs a process until the test ends.
-func start(t *testing.T, c Config, fault seeded) (p *Process, ended <-chan error) {
+func start(t *testing.T, c Config, fault seededFault) (p *Process, ended <-chan error) {
 	t.Helper()
 	p, err := newSeeded(c, quiet, fault)
 	if err != nil {
@@ -88,33 +88,33 @@
 // What nodos do comes to all proxies, under versions that tell how late.
 func TestProxiesReceiveChanges(t *testing.T) {
 	list, m, _ := service(t)
-	p, _ := start(t, config(list, 3, 4), sound)
-	eventually(t, "all", func() bool { return p.missing() == "" })
-	p.Begin()
-	if err := p.Do(Order{Act: "replace", Turns: []Turn{{Name: "hs0"}, {Name: "hs1", InMs: 100}}}); err != nil {
+	p, _ := start(t, config(list, 3, 4), noFault)
+	eventually(t, "all", func() bool { return p.notReadyReason() == "" })
+	p.ResetMetrics()
+	if err := p.Execute(Command{Action: "replace", Targets: []CommandTarget{{Name: "hs0"}, {Name: "hs1", DelayMs: 100}}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Do(Order{Act: "die", ForMs: 2500, Turns: []Turn{{Name: "hs2"}}}); err != nil {
+	if err := p.Execute(Command{Action: "die", DurationMs: 2500, Targets: []CommandTarget{{Name: "hs2"}}}); err != nil {
 		t.Fatal(err)
 	}
 	// Two drain, go and are back; one dies, its lease ends, and it is back.
-	eventually(t, "the changes", func() bool { return len(p.Figures(true).Nodos.Changes) >= 7 })
+	eventually(t, "the changes", func() bool { return len(p.Metrics(true).Servers.Changes) >= 7 })
 	_, index := m.Version()
-	var f Figures
+	var f Metrics
 	eventually(t, "all to know", func() bool {
-		f = p.Figures(true)
+		f = p.Metrics(true)
 		for _, x := range f.Proxies {
-			if n := len(x.List.Steps); n == 0 || x.List.Steps[n-1].Index < index {
+			if n := len(x.List.Versions); n == 0 || x.List.Versions[n-1].Version < index {
 				return false
 			}
 		}
 		return true
 	})
-	if f.Nodos.Living != 4 || !f.Ready {
-		t.Errorf("%d nodos live, ready %v (%s); want 4 and true", f.Nodos.Living, f.Ready, f.Missing)
+	if f.Servers.Alive != 4 || !f.Ready {
+		t.Errorf("%d nodos live, ready %v (%s); want 4 and true", f.Servers.Alive, f.Ready, f.NotReadyReason)
 	}
-	for _, c := range f.Nodos.Changes {
-		if c.Index <= 0 || c.Sure < c.Asked {
+	for _, c := range f.Servers.Changes {
+		if c.Version <= 0 || c.ConfirmedAt < c.RequestedAt {
 			t.Errorf("%+v: no version, or sure before it was asked", c)
 		}
 	}
@@ -122,14 +122,14 @@
 		if x.List.Servers != 4 {
 			t.Errorf("%s knows %d servers, want 4", x.Name, x.List.Servers)
 		}
-		if len(x.List.Lost) != 1 || x.List.Lost[0].Name != "hs2" || x.List.Lost[0].At < f.Nodos.Deaths[0].At {
-			t.Errorf("%s lost %v without a word, want hs2 after %v", x.Name, x.List.Lost, f.Nodos.Deaths)
+		if len(x.List.Removed) != 1 || x.List.Removed[0].Name != "hs2" || x.List.Removed[0].At < f.Servers.Deaths[0].At {
+			t.Errorf("%s lost %v without a word, want hs2 after %v", x.Name, x.List.Removed, f.Servers.Deaths)
 		}
 		if x.Calls.Taken == 0 || x.Calls.Sent < x.Calls.Taken/2 {
 			t.Errorf("%s: %+v: the module had nothing to decide", x.Name, x.Calls)
 		}
 	}
-	if light := p.Figures(false); len(light.Nodos.Changes) > 0 || len(light.Proxies[0].List.Steps) > 0 {
+	if light := p.Metrics(false); len(light.Servers.Changes) > 0 || len(light.Proxies[0].List.Versions) > 0 {
 		t.Error("figures without steps have some")
 	}
 }
@@ -143,27 +143,27 @@
 	}
 	defer taken.Close()
 	c := config(list, 2, 0)
-	c.Failure = filepath.Join(t.TempDir(), "failed")
-	c.Fleet = &Fleet{Label: "test"}
+	c.FailureFile = filepath.Join(t.TempDir(), "failed")
+	c.Cluster = &Cluster{Label: "test"}
 	c.Proxies[0].Bind, c.Proxies[1].Bind = "127.0.0.1:0", taken.Addr().String()
 	var failed *FailedError
-	if _, err := New(c, quiet); !errors.As(err, &failed) || failed.Name != "hp1" || !strings.Contains(failed.Cause, "in use") {
+	if _, err := New(c, quiet); !errors.As(err, &failed) || failed.Name != "hp1" || !strings.Contains(failed.Reason, "in use") {
 		t.Fatalf("%v; want hp1's, and that its address is in use", err)
 	}
-	if err := failed.write(c.Failure); err != nil {
+	if err := failed.write(c.FailureFile); err != nil {
 		t.Fatal(err)
 	}
 	var read *FailedError
-	if err := Failure("h", c.Failure); !errors.As(err, &read) || *read != *failed {
+	if err := ReadFailure("h", c.FailureFile); !errors.As(err, &read) || *read != *failed {
 		t.Errorf("left as %v, wanted %v", err, failed)
 	}
-	if err := Failure("h", c.Failure+"-none"); !errors.As(err, &read) || read.Name != "process h" {
+	if err := ReadFailure("h", c.FailureFile+"-none"); !errors.As(err, &read) || read.Name != "process h" {
 		t.Errorf("%v; want the process's own failure", err)
 	}
 
-	p, ended := start(t, config(list, 1, 0), sound)
-	go p.guard("hp0", func() { panic("so it is") })
-	if err := <-ended; !errors.As(err, &failed) || failed.Name != "hp0" || !strings.Contains(failed.Cause, "so it is") {
+	p, ended := start(t, config(list, 1, 0), noFault)
+	go p.recoverPanic("hp0", func() { panic("so it is") })
+	if err := <-ended; !errors.As(err, &failed) || failed.Name != "hp0" || !strings.Contains(failed.Reason, "so it is") {
 		t.Errorf("%v; want hp0's, with its panic", err)
 	}
 }
@@ -172,18 +172,18 @@
 func TestRelaysLoseDatagrams(t *testing.T) {
 	list, _, _ := service(t)
 	c := config(list, 2, 2)
-	c.Fleet = &Fleet{Label: "test"}
-	c.Relays = &Relays{Speakers: map[string]Speaker{}, LocalUs: 100, CrossUs: 200}
+	c.Cluster = &Cluster{Label: "test"}
+	c.Relays = &Relays{Members: map[string]RelayMember{}, RegionDelayUs: 100, CrossRegionDelayUs: 200}
 	for i := range c.Proxies {
 		ip := fmt.Sprintf("127.0.1.%d", i+1)
-		c.Relays.Speakers[ip] = Speaker{c.Proxies[i].Name, "a"}
+		c.Relays.Members[ip] = RelayMember{c.Proxies[i].Name, "a"}
 		c.Proxies[i].Bind, c.Proxies[i].Advertise = free(t, ip), free(t, ip)
 		c.Proxies[i].Seeds = []string{c.Proxies[0].Advertise}
 	}
-	p, _ := start(t, c, sound)
-	eventually(t, "both", func() bool { return p.missing() == "" })
+	p, _ := start(t, c, noFault)
+	eventually(t, "both", func() bool { return p.notReadyReason() == "" })
 	passed := func() (on, lost int) {
-		for _, r := range p.befores {
+		for _, r := range p.memberRelays {
 			x := r.Passed()
 			on, lost = on+x.On, lost+x.Lost
 		}
@@ -193,7 +193,7 @@
 	if _, lost := passed(); lost != 0 {
 		t.Fatalf("%d lost before anything is", lost)
 	}
-	if err := p.Do(Order{Act: "lose", Part: 1, ForMs: 1500}); err != nil {
+	if err := p.Execute(Command{Action: "lose", Fraction: 1, DurationMs: 1500}); err != nil {
 		t.Fatal(err)
 	}
 	before, _ := passed()
@@ -220,8 +220,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, o := range []Order{{Act: "replace", Turns: []Turn{{Name: "none"}}}, {Act: "sing", Turns: []Turn{{Name: "hs0"}}}} {
-		if err := p.Do(o); err == nil {
+	for _, o := range []Command{{Action: "replace", Targets: []CommandTarget{{Name: "none"}}}, {Action: "sing", Targets: []CommandTarget{{Name: "hs0"}}}} {
+		if err := p.Execute(o); err == nil {
 			t.Errorf("%+v was taken", o)
 		}
 	}
--- a/internal/faultlab/hollow/process.go
+++ b/internal/faultlab/hollow/process.go
@@ -21,39 +21,39 @@
 )
 
 const (
-	canaryEvery = 10 * time.Millisecond
-	headWait    = 5 * time.Second
+	stallCheckInterval = 10 * time.Millisecond
+	headerTimeout      = 5 * time.Second
 	// Those of a process begin one after another: a service that meets them all in one instant is another experiment.
-	proxyGap = 15 * time.Millisecond
-	nodoGap  = 5 * time.Millisecond
+	proxyStartInterval  = 15 * time.Millisecond
+	serverStartInterval = 5 * time.Millisecond
 )
 
 // Order tells a process to have nodos do something.
-type Order struct {
-	Act   string  `json:"act"` // replace, die, lose
-	Turns []Turn  `json:"turns"`
-	ForMs int64   `json:"for_ms"` // die: until each is back; 0: never; lose: until it ends
-	Part  float64 `json:"part"`   // lose: of the gossip's datagrams
+type Command struct {
+	Action     string          `json:"act"` // replace, die, lose
+	Targets    []CommandTarget `json:"turns"`
+	DurationMs int64           `json:"for_ms"` // die: until each is back; 0: never; lose: until it ends
+	Fraction   float64         `json:"part"`   // lose: of the gossip's datagrams
 }
 
 // Turn is a nodo, and how long from now its turn is.
-type Turn struct {
-	Name string `json:"name"`
-	InMs int64  `json:"in_ms"`
+type CommandTarget struct {
+	Name    string `json:"name"`
+	DelayMs int64  `json:"in_ms"`
 }
 
 // Process is all that one process runs.
 type Process struct {
-	cfg     Config
-	log     *slog.Logger
-	seeded  seeded
-	proxies []*proxy
-	net     *link.Net // of relays
-	befores []*link.Relay
-	nodos   map[string]*nodo
-	acts    sync.WaitGroup
-	stop    context.CancelCauseFunc
-	ctx     context.Context
+	cfg          Config
+	log          *slog.Logger
+	seeded       seededFault
+	proxies      []*proxy
+	network      *link.Net // of relays
+	memberRelays []*link.Relay
+	servers      map[string]*server
+	commands     sync.WaitGroup
+	stop         context.CancelCauseFunc
+	ctx          context.Context
 
 	mu      sync.Mutex
 	changes []Change
@@ -62,12 +62,12 @@
 }
 
 // New makes all proxies and nodos of a process; nothing runs yet. The error is a *FailedError if it is one's of them.
-func New(c Config, log *slog.Logger) (*Process, error) { return newSeeded(c, log, sound) }
+func New(c Config, log *slog.Logger) (*Process, error) { return newSeeded(c, log, noFault) }
 
-func newSeeded(c Config, log *slog.Logger, fault seeded) (*Process, error) {
-	p := &Process{cfg: c, log: log, seeded: fault, nodos: map[string]*nodo{}}
+func newSeeded(c Config, log *slog.Logger, fault seededFault) (*Process, error) {
+	p := &Process{cfg: c, log: log, seeded: fault, servers: map[string]*server{}}
 	p.ctx, p.stop = context.WithCancelCause(context.Background())
-	if err := p.relays(); err != nil {
+	if err := p.openRelays(); err != nil {
 		return nil, err
 	}
 	for _, x := range c.Proxies {
@@ -77,13 +77,13 @@
 		}
 		p.proxies = append(p.proxies, h)
 	}
-	for _, x := range c.Nodos {
-		p.nodos[x.Name] = newNodo(&p.cfg, x, p.note, p.fail)
+	for _, x := range c.Servers {
+		p.servers[x.Name] = newServer(&p.cfg, x, p.recordChange, p.fail)
 	}
 	return p, nil
 }
 
-func (p *Process) note(c Change) {
+func (p *Process) recordChange(c Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.changes = append(p.changes, c)
@@ -100,25 +100,25 @@
 	var all sync.WaitGroup
 	for i, h := range p.proxies {
 		all.Go(func() {
-			sleep.For(p.ctx, time.Duration(i)*proxyGap)
-			p.guard(h.Name, func() { h.run(p.ctx, p.seeded) })
+			sleep.For(p.ctx, time.Duration(i)*proxyStartInterval)
+			p.recoverPanic(h.Name, func() { h.run(p.ctx, p.seeded) })
 		})
 	}
 	all.Go(func() {
-		for _, n := range p.nodos {
-			if sleep.For(p.ctx, nodoGap) {
+		for _, n := range p.servers {
+			if sleep.For(p.ctx, serverStartInterval) {
 				n.start(p.ctx)
 			}
 		}
 	})
-	all.Go(p.canary)
+	all.Go(p.measureStalls)
 	<-p.ctx.Done()
 	all.Wait()
-	p.acts.Wait()
-	if p.net != nil {
-		p.net.Close()
+	p.commands.Wait()
+	if p.network != nil {
+		p.network.Close()
 	}
-	for _, n := range p.nodos {
+	for _, n := range p.servers {
 		n.close()
 	}
 	var failed *FailedError
@@ -129,7 +129,7 @@
 }
 
 // guard makes a fault of the code that one proxy runs that proxy's failure.
-func (p *Process) guard(name string, do func()) {
+func (p *Process) recoverPanic(name string, do func()) {
 	defer func() {
 		if r := recover(); r != nil {
 			p.log.Error("panic", "name", name, "stack", string(debug.Stack()))
@@ -140,13 +140,13 @@
 }
 
 // canary notes the longest time by which a wake-up came late.
-func (p *Process) canary() {
+func (p *Process) measureStalls() {
 	for {
 		at := time.Now()
-		if !sleep.For(p.ctx, canaryEvery) {
+		if !sleep.For(p.ctx, stallCheckInterval) {
 			return
 		}
-		late := time.Since(at) - canaryEvery
+		late := time.Since(at) - stallCheckInterval
 		p.mu.Lock()
 		p.stall = max(p.stall, late)
 		p.mu.Unlock()
@@ -154,42 +154,42 @@
 }
 
 // Do carries an order out, in the background.
-func (p *Process) Do(o Order) error {
-	for _, t := range o.Turns {
-		if p.nodos[t.Name] == nil {
+func (p *Process) Execute(o Command) error {
+	for _, t := range o.Targets {
+		if p.servers[t.Name] == nil {
 			return fmt.Errorf("hollow process %s has no nodo %q", p.cfg.Name, t.Name)
 		}
 	}
-	if !slices.Contains([]string{"replace", "die", "lose"}, o.Act) {
-		return fmt.Errorf("hollow: no act %q: replace, die or lose", o.Act)
+	if !slices.Contains([]string{"replace", "die", "lose"}, o.Action) {
+		return fmt.Errorf("hollow: no act %q: replace, die or lose", o.Action)
 	}
-	if o.Act == "lose" {
-		end, err := p.lose(o.Part)
-		p.acts.Go(func() {
-			sleep.For(p.ctx, time.Duration(o.ForMs)*time.Millisecond)
+	if o.Action == "lose" {
+		end, err := p.loseDatagrams(o.Fraction)
+		p.commands.Go(func() {
+			sleep.For(p.ctx, time.Duration(o.DurationMs)*time.Millisecond)
 			if err := end(); err != nil {
 				p.fail("relays", err)
 			}
 		})
 		return err
 	}
-	for _, t := range o.Turns {
-		n := p.nodos[t.Name]
-		p.acts.Go(func() {
-			if !sleep.For(p.ctx, time.Duration(t.InMs)*time.Millisecond) {
+	for _, t := range o.Targets {
+		n := p.servers[t.Name]
+		p.commands.Go(func() {
+			if !sleep.For(p.ctx, time.Duration(t.DelayMs)*time.Millisecond) {
 				return
 			}
-			if o.Act == "replace" {
+			if o.Action == "replace" {
 				if err := n.replace(p.ctx); err != nil {
 					p.fail(n.Name, err)
 				}
 				return
 			}
 			p.mu.Lock()
-			p.deaths = append(p.deaths, Death{n.Name, nanos()})
+			p.deaths = append(p.deaths, Death{n.Name, unixNano()})
 			p.mu.Unlock()
-			n.dead()
-			if o.ForMs > 0 && sleep.For(p.ctx, time.Duration(o.ForMs)*time.Millisecond) {
+			n.die()
+			if o.DurationMs > 0 && sleep.For(p.ctx, time.Duration(o.DurationMs)*time.Millisecond) {
 				n.start(p.ctx)
 			}
 		})
@@ -198,28 +198,28 @@
 }
 
 // Begin has the figures begin now.
-func (p *Process) Begin() {
+func (p *Process) ResetMetrics() {
 	p.mu.Lock()
 	p.changes, p.deaths, p.stall = nil, nil, 0
 	p.mu.Unlock()
 	for _, h := range p.proxies {
-		h.list.begin()
-		if h.rules != nil {
-			h.rules.begin()
+		h.endpointList.resetMetrics()
+		if h.rollout != nil {
+			h.rollout.resetMetrics()
 		}
 	}
 }
 
 // missing says what is not there yet.
-func (p *Process) missing() string {
+func (p *Process) notReadyReason() string {
 	for _, h := range p.proxies {
-		if m := h.missing(); m != "" {
+		if m := h.notReadyReason(); m != "" {
 			return m
 		}
 	}
-	for _, n := range p.nodos {
+	for _, n := range p.servers {
 		select {
-		case <-n.known:
+		case <-n.registered:
 		default:
 			return n.Name + " is not in the list"
 		}
@@ -228,21 +228,21 @@
 }
 
 // Figures are as of now; without steps the lists' versions and the nodos' changes are left out.
-func (p *Process) Figures(steps bool) Figures {
-	f := Figures{Missing: p.missing(), RSS: process.Memory(os.Getpid()), CPU: cpu()}
-	f.Ready, f.Over = f.Missing == "", p.over()
+func (p *Process) Metrics(steps bool) Metrics {
+	f := Metrics{NotReadyReason: p.notReadyReason(), RSS: process.Memory(os.Getpid()), CPU: cpu()}
+	f.Ready, f.RelayDrops = f.NotReadyReason == "", p.droppedByRelays()
 	for _, h := range p.proxies {
-		f.Proxies = append(f.Proxies, h.figures(steps))
+		f.Proxies = append(f.Proxies, h.metrics(steps))
 	}
 	p.mu.Lock()
 	if steps {
-		f.Nodos.Changes, f.Nodos.Deaths = slices.Clone(p.changes), slices.Clone(p.deaths)
+		f.Servers.Changes, f.Servers.Deaths = slices.Clone(p.changes), slices.Clone(p.deaths)
 	}
 	f.StallMs = float64(p.stall.Microseconds()) / 1000
 	p.mu.Unlock()
-	for _, n := range p.nodos {
-		if n.lives.Load() {
-			f.Nodos.Living++
+	for _, n := range p.servers {
+		if n.alive.Load() {
+			f.Servers.Alive++
 		}
 	}
 	return f
@@ -250,27 +250,27 @@
 
 // Serve answers at the control address until the process ends: GET /ready, GET /figures, POST /begin, POST /do.
 func (p *Process) Serve() error {
-	l, err := net.Listen("tcp", p.cfg.Control)
+	l, err := net.Listen("tcp", p.cfg.ControlAddress)
 	if err != nil {
 		return fmt.Errorf("hollow process %s: %w", p.cfg.Name, err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, p.missing()) })
+	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, p.notReadyReason()) })
 	mux.HandleFunc("GET /figures", func(w http.ResponseWriter, r *http.Request) {
-		_ = json.NewEncoder(w).Encode(p.Figures(r.URL.Query().Get("steps") != "0"))
+		_ = json.NewEncoder(w).Encode(p.Metrics(r.URL.Query().Get("steps") != "0"))
 	})
-	mux.HandleFunc("POST /begin", func(http.ResponseWriter, *http.Request) { p.Begin() })
+	mux.HandleFunc("POST /begin", func(http.ResponseWriter, *http.Request) { p.ResetMetrics() })
 	mux.HandleFunc("POST /do", func(w http.ResponseWriter, r *http.Request) {
-		var o Order
+		var o Command
 		err := json.NewDecoder(r.Body).Decode(&o)
 		if err == nil {
-			err = p.Do(o)
+			err = p.Execute(o)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 		}
 	})
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: headWait}
+	s := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	defer context.AfterFunc(p.ctx, func() { _ = s.Close() })()
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -280,7 +280,7 @@
 
 // Main is a whole process by its file, until the context ends.
 func Main(ctx context.Context, path string, log *slog.Logger) error {
-	c, err := Read(path)
+	c, err := ReadConfig(path)
 	if err != nil {
 		return err
 	}
@@ -299,7 +299,7 @@
 	}
 	var failed *FailedError
 	if errors.As(err, &failed) {
-		err = errors.Join(err, failed.write(c.Failure))
+		err = errors.Join(err, failed.write(c.FailureFile))
 	}
 	return err
 }
--- a/internal/faultlab/hollow/proxy.go
+++ b/internal/faultlab/hollow/proxy.go
@@ -16,96 +16,96 @@
 // from outside.
 type proxy struct {
 	Proxy
-	cfg    *Config
-	log    *slog.Logger
-	list   *followed
-	fleet  *fleetPart // nil without a fleet
-	decide *decider
-	rules  *ruled // nil if it follows no configuration
+	cfg          *Config
+	log          *slog.Logger
+	endpointList *endpointListFollower
+	cluster      *clusterMember // nil without a fleet
+	decider      *decider
+	rollout      *rolloutFollower // nil if it follows no configuration
 }
 
 // seeded is a fault of a hollow proxy that the checks must find; tests only.
-type seeded uint8
+type seededFault uint8
 
 const (
-	sound      seeded = iota
-	skipsWatch        // it hears the list once and follows it no more
-	skipsFleet        // it takes no part in the gossip
-	skipsApply        // it hears of configurations and has none in force
+	noFault     seededFault = iota
+	skipsWatch              // it hears the list once and follows it no more
+	skipsGossip             // it takes no part in the gossip
+	skipsApply              // it hears of configurations and has none in force
 )
 
 // followed is the list that a proxy follows.
-type followed struct {
+type endpointListFollower struct {
 	client *discovery.Client
 
-	mu      sync.Mutex
-	steps   []Step
-	servers map[string]string // their status
-	lost    []Death
-	before  discovery.Metrics // when the figures began
+	mu       sync.Mutex
+	versions []VersionTime
+	servers  map[string]string // their status
+	removed  []Death
+	baseline discovery.Metrics // when the figures began
 }
 
-func newProxy(c *Config, p Proxy, log *slog.Logger, fault seeded) (*proxy, error) {
+func newProxy(c *Config, p Proxy, log *slog.Logger, fault seededFault) (*proxy, error) {
 	site, err := settings.Decode(c.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	h := &proxy{Proxy: p, cfg: c, log: log.With("proxy", p.Name)}
-	h.list = &followed{servers: map[string]string{}, client: discovery.New(discovery.Config{
-		Source: discovery.Source{Members: p.Lists}, Seed: p.Seed, Logger: h.log})}
-	if h.decide, err = newDecider(c, p, site); err != nil {
+	h.endpointList = &endpointListFollower{servers: map[string]string{}, client: discovery.New(discovery.Config{
+		Source: discovery.Source{Members: p.RegistryMembers}, Seed: p.Seed, Logger: h.log})}
+	if h.decider, err = newDecider(c, p, site); err != nil {
 		return nil, err
 	}
-	if c.Fleet != nil && fault != skipsFleet {
-		if h.fleet, err = join(c.Fleet, p, h.log); err != nil {
+	if c.Cluster != nil && fault != skipsGossip {
+		if h.cluster, err = joinCluster(c.Cluster, p, h.log); err != nil {
 			return nil, err
 		}
 	}
 	if p.Service != "" {
-		h.rules = newRuled(h)
-		h.rules.idle = fault == skipsApply
+		h.rollout = newRolloutFollower(h)
+		h.rollout.appliesNothing = fault == skipsApply
 	}
 	return h, nil
 }
 
 // run takes part until the context ends.
-func (p *proxy) run(ctx context.Context, fault seeded) {
+func (p *proxy) run(ctx context.Context, fault seededFault) {
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	following, leave := context.WithCancel(ctx)
 	defer leave()
-	parts.Go(func() { p.list.client.Run(following) })
-	if p.rules != nil {
-		parts.Go(func() { p.rules.run(ctx) })
+	parts.Go(func() { p.endpointList.client.Run(following) })
+	if p.rollout != nil {
+		parts.Go(func() { p.rollout.run(ctx) })
 	}
-	var peers <-chan peersWord
+	var peers <-chan timedSnapshot
 	var meet <-chan time.Time
-	if p.fleet != nil {
-		parts.Go(func() { p.fleet.run(ctx) })
-		peers = p.fleet.words
-		tick := time.NewTicker(meetEvery)
+	if p.cluster != nil {
+		parts.Go(func() { p.cluster.run(ctx) })
+		peers = p.cluster.snapshots
+		tick := time.NewTicker(exchangeInterval)
 		defer tick.Stop()
 		meet = tick.C
 	}
 	r := rand.New(rand.NewPCG(p.Seed, 7))
-	calls := time.NewTimer(p.decide.pause(r))
+	calls := time.NewTimer(p.decider.nextCall(r))
 	defer calls.Stop()
 	for {
 		select {
-		case n := <-p.list.client.Updates():
-			p.list.took(n.List)
-			p.decide.list(n.List)
+		case n := <-p.endpointList.client.Updates():
+			p.endpointList.record(n.List)
+			p.decider.updateEndpoints(n.List)
 			if fault == skipsWatch {
 				leave()
 			}
 		case w := <-peers:
-			p.fleet.last = w
+			p.cluster.latest = w
 		case <-meet:
-			p.fleet.meet(p.decide)
+			p.cluster.exchangeReports(p.decider)
 		case <-calls.C:
-			p.decide.call(ctx, r)
-			calls.Reset(p.decide.pause(r))
-		case do := <-p.decide.later:
+			p.decider.call(ctx, r)
+			calls.Reset(p.decider.nextCall(r))
+		case do := <-p.decider.events:
 			do()
 		case <-ctx.Done():
 			return
@@ -114,11 +114,11 @@
 }
 
 // took notes that a version is known.
-func (f *followed) took(l *discovery.List) {
+func (f *endpointListFollower) record(l *discovery.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := len(f.steps); n == 0 || l.Version > f.steps[n-1].Index {
-		f.steps = append(f.steps, Step{l.Version, nanos()})
+	if n := len(f.versions); n == 0 || l.Version > f.versions[n-1].Version {
+		f.versions = append(f.versions, VersionTime{l.Version, unixNano()})
 	}
 	before := f.servers
 	if l.Full {
@@ -129,42 +129,42 @@
 			f.servers[e.Name] = e.Status
 			continue
 		}
-		f.gone(e.Name, before[e.Name])
+		f.recordRemoved(e.Name, before[e.Name])
 		delete(f.servers, e.Name)
 	}
 	if l.Full {
 		for name, status := range before {
 			if _, ok := f.servers[name]; !ok {
-				f.gone(name, status)
+				f.recordRemoved(name, status)
 			}
 		}
 	}
 }
 
-func (f *followed) gone(name, status string) {
+func (f *endpointListFollower) recordRemoved(name, status string) {
 	if status == discovery.StatusServing {
-		f.lost = append(f.lost, Death{name, nanos()})
+		f.removed = append(f.removed, Death{name, unixNano()})
 	}
 }
 
 // begin forgets all steps but the last, and what was counted.
-func (f *followed) begin() {
+func (f *endpointListFollower) resetMetrics() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.before, f.lost = f.client.Metrics(), nil
-	if n := len(f.steps); n > 0 {
-		f.steps = append([]Step(nil), f.steps[n-1])
+	f.baseline, f.removed = f.client.Metrics(), nil
+	if n := len(f.versions); n > 0 {
+		f.versions = append([]VersionTime(nil), f.versions[n-1])
 	}
 }
 
-func (f *followed) figures(steps bool) ListFigures {
+func (f *endpointListFollower) metrics(steps bool) ListMetrics {
 	x := f.client.Metrics()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := ListFigures{Servers: len(f.servers), Moves: x.Failovers - f.before.Failovers, Failures: x.Failures - f.before.Failures,
+	out := ListMetrics{Servers: len(f.servers), Failovers: x.Failovers - f.baseline.Failovers, Failures: x.Failures - f.baseline.Failures,
 		AgeMs: -1}
 	if steps {
-		out.Steps, out.Lost = append(out.Steps, f.steps...), append(out.Lost, f.lost...)
+		out.Versions, out.Removed = append(out.Versions, f.versions...), append(out.Removed, f.removed...)
 	}
 	if x.Age >= 0 {
 		out.AgeMs = float64(x.Age.Microseconds()) / 1000
@@ -173,23 +173,23 @@
 }
 
 // missing says what a proxy still lacks before a play can begin; empty: nothing.
-func (p *proxy) missing() string {
-	if p.list.client.Metrics().Age < 0 {
+func (p *proxy) notReadyReason() string {
+	if p.endpointList.client.Metrics().Age < 0 {
 		return p.Name + " has no list"
 	}
-	if p.fleet != nil && p.fleet.link.Metrics().LiveMembers < 2 && len(p.Seeds) > 0 {
+	if p.cluster != nil && p.cluster.node.Metrics().LiveMembers < 2 && len(p.Seeds) > 0 {
 		return p.Name + " has found nobody of its fleet"
 	}
 	return ""
 }
 
-func (p *proxy) figures(steps bool) ProxyFigures {
-	out := ProxyFigures{Name: p.Name, List: p.list.figures(steps), Calls: p.decide.counted()}
-	if p.fleet != nil {
-		out.Fleet = p.fleet.figures()
+func (p *proxy) metrics(steps bool) ProxyMetrics {
+	out := ProxyMetrics{Name: p.Name, List: p.endpointList.metrics(steps), Calls: p.decider.metrics()}
+	if p.cluster != nil {
+		out.Cluster = p.cluster.metrics()
 	}
-	if p.rules != nil {
-		out.Config = p.rules.figures(steps)
+	if p.rollout != nil {
+		out.Config = p.rollout.metrics(steps)
 	}
 	return out
 }
--- /dev/null
+++ b/internal/faultlab/hollow/rollout.go
@@ -0,0 +1,88 @@
+package hollow
+
+import (
+	"context"
+	"sync"
+
+	"merlinpick/internal/rollout"
+	"merlinpick/internal/settings"
+)
+
+// ruled is the configuration that a proxy follows: the program's own client, whose documents go to the proxy's module.
+type rolloutFollower struct {
+	proxy          *proxy
+	client         *rollout.Client
+	ctx            context.Context // of run
+	appliesNothing bool            // a seeded fault: nothing is applied
+
+	mu               sync.Mutex
+	versions         []VersionTime
+	baselineFailures int64 // when the figures began
+}
+
+func newRolloutFollower(p *proxy) *rolloutFollower {
+	r := &rolloutFollower{proxy: p}
+	r.client = rollout.New(rollout.Config{Service: p.Service, ProxyName: p.Name, Members: p.RegistryMembers, Seed: p.Seed, Logger: p.log}, r)
+	return r
+}
+
+func (r *rolloutFollower) run(ctx context.Context) {
+	r.ctx = ctx
+	r.client.Run(ctx)
+}
+
+// Apply implements rollout.Applier.
+func (r *rolloutFollower) Apply(version int64, document []byte) error {
+	if r.appliesNothing {
+		return nil
+	}
+	rules, err := settings.MergeDocument(r.proxy.cfg.Settings, document)
+	if err != nil {
+		return err
+	}
+	site, err := settings.Decode(rules) // what is told to hollow ones lacks the sockets' part
+	if err != nil {
+		return err
+	}
+	done := make(chan error, 1)
+	select {
+	case r.proxy.decider.events <- func() { done <- r.proxy.decider.reconfigure(site, r.proxy.Proxy) }:
+	case <-r.ctx.Done():
+		return r.ctx.Err()
+	}
+	select {
+	case err = <-done:
+	case <-r.ctx.Done():
+		err = r.ctx.Err()
+	}
+	if err == nil {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.versions = append(r.versions, VersionTime{version, unixNano()})
+	}
+	return err
+}
+
+// begin forgets all steps but the last, and what was counted.
+func (r *rolloutFollower) resetMetrics() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.baselineFailures = r.client.Metrics().Failures
+	if n := len(r.versions); n > 0 {
+		r.versions = append([]VersionTime(nil), r.versions[n-1])
+	}
+}
+
+func (r *rolloutFollower) metrics(steps bool) *ConfigMetrics {
+	x := r.client.Metrics()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := &ConfigMetrics{Service: r.proxy.Service, Version: x.Version, RejectedVersion: x.RejectedVersion, Failures: x.Failures - r.baselineFailures, AgeMs: -1}
+	if steps {
+		out.Versions = append(out.Versions, r.versions...)
+	}
+	if x.Age >= 0 {
+		out.AgeMs = float64(x.Age.Microseconds()) / 1000
+	}
+	return out
+}
--- a/internal/faultlab/hollow/rules_test.go
+++ b/internal/faultlab/hollow/rollout_test.go
@@ -18,9 +18,9 @@
 	for i := range c.Proxies {
 		c.Proxies[i].Service = "s"
 	}
-	p, _ := start(t, c, sound)
-	eventually(t, "all", func() bool { return p.missing() == "" })
-	p.Begin()
+	p, _ := start(t, c, noFault)
+	eventually(t, "all", func() bool { return p.notReadyReason() == "" })
+	p.ResetMetrics()
 	put := func(after int64, class string, zone string) int64 {
 		t.Helper()
 		body := strings.NewReplacer(`"my_zone":0,"ordinal":0,`, "", `"name":"c"`, fmt.Sprintf(`"name":%q`, class), `"a-a"`, fmt.Sprintf("%q", zone),
@@ -41,10 +41,10 @@
 		}
 		return out.Version
 	}
-	holds := func(what string, is func(*ConfigFigures) bool) {
+	holds := func(what string, is func(*ConfigMetrics) bool) {
 		t.Helper()
 		eventually(t, what, func() bool {
-			for _, x := range p.Figures(true).Proxies {
+			for _, x := range p.Metrics(true).Proxies {
 				if !is(x.Config) {
 					return false
 				}
@@ -52,21 +52,21 @@
 			return true
 		})
 	}
-	last := func(f *ConfigFigures) int64 {
-		if len(f.Steps) == 0 {
+	last := func(f *ConfigMetrics) int64 {
+		if len(f.Versions) == 0 {
 			return 0
 		}
-		return f.Steps[len(f.Steps)-1].Index
+		return f.Versions[len(f.Versions)-1].Version
 	}
 	first := put(0, "d", "a-a")
-	holds("the first", func(f *ConfigFigures) bool { return last(f) == first })
+	holds("the first", func(f *ConfigMetrics) bool { return last(f) == first })
 	second := put(first, "e", "b-b") // their zone is not in it
-	holds("a refusal", func(f *ConfigFigures) bool { return f.Refused == second && last(f) == first })
+	holds("a refusal", func(f *ConfigMetrics) bool { return f.RejectedVersion == second && last(f) == first })
 	third := put(second, "f", "a-a")
-	holds("the third", func(f *ConfigFigures) bool { return f.Refused == 0 && last(f) == third && len(f.Steps) == 2 })
-	before := p.Figures(false).Proxies[0].Calls.Sent
-	eventually(t, "calls to go on", func() bool { return p.Figures(false).Proxies[0].Calls.Sent > before })
-	if p.Begin(); len(p.Figures(true).Proxies[0].Config.Steps) != 1 {
+	holds("the third", func(f *ConfigMetrics) bool { return f.RejectedVersion == 0 && last(f) == third && len(f.Versions) == 2 })
+	before := p.Metrics(false).Proxies[0].Calls.Sent
+	eventually(t, "calls to go on", func() bool { return p.Metrics(false).Proxies[0].Calls.Sent > before })
+	if p.ResetMetrics(); len(p.Metrics(true).Proxies[0].Config.Versions) != 1 {
 		t.Error("steps from before the figures began")
 	}
 }
--- /dev/null
+++ b/internal/faultlab/hollow/server.go
@@ -0,0 +1,135 @@
+package hollow
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"merlinpick/internal/registry/api"
+	"merlinpick/internal/registry/registrar"
+	"merlinpick/internal/registry/state"
+)
+
+const drainTime = 2 * time.Second // from a nodo's draining to its end
+
+// nodo is a hollow nodo over all its processes: one at a time.
+type server struct {
+	Server
+	lease  int64
+	client *registrar.Client
+	record func(Change)
+	fail   func(name string, err error)
+
+	alive atomic.Bool
+
+	mu             sync.Mutex // of one act at a time
+	registration   state.Record
+	generation     int
+	stopRenewals   context.CancelFunc // of the renewals; nil: it is dead
+	tasks          sync.WaitGroup
+	registeredOnce sync.Once
+	registered     chan struct{} // closed once it was in the list
+}
+
+func newServer(c *Config, n Server, note func(Change), fail func(string, error)) *server {
+	return &server{Server: n, lease: c.LeaseMs, client: registrar.New(n.RegistryMembers), record: note, fail: fail, registered: make(chan struct{})}
+}
+
+// start begins a process: it registers and renews until it dies.
+func (n *server) start(ctx context.Context) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.stopRenewals == nil {
+		n.startLocked(ctx)
+	}
+}
+
+func (n *server) startLocked(ctx context.Context) {
+	n.generation++
+	asked := time.Now()
+	since := int64(0)
+	if n.generation > 1 {
+		since = asked.UnixMilli()
+	}
+	n.registration = state.Record{Endpoint: state.Endpoint{Name: n.Name, Address: n.Address, Zone: n.Zone, Type: "hollow", Status: state.StatusServing,
+		Weight: 1, StartedAtMs: since}, Instance: fmt.Sprint(asked.UnixNano(), "-", n.generation), LeaseMs: n.lease}
+	here, die := context.WithCancel(ctx)
+	n.stopRenewals = die
+	n.alive.Store(true)
+	rec, begun := n.registration, asked.UnixNano()
+	n.tasks.Go(func() {
+		err := n.client.KeepRegistered(here, rec, func(t api.Accepted) {
+			if begun != 0 { // a later one is the service's doing, or the network's
+				n.record(Change{t.Version, begun, unixNano()})
+			}
+			begun = 0
+			n.registeredOnce.Do(func() { close(n.registered) })
+		})
+		if here.Err() == nil {
+			n.fail(n.Name, err)
+		}
+	})
+}
+
+// dead ends the process without a word.
+func (n *server) die() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.endLocked()
+}
+
+func (n *server) endLocked() {
+	if n.stopRenewals != nil {
+		n.stopRenewals()
+		n.stopRenewals = nil
+		n.alive.Store(false)
+	}
+}
+
+// replace has the process drain and go, and another take its place.
+func (n *server) replace(ctx context.Context) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.stopRenewals == nil {
+		return nil
+	}
+	ref := state.InstanceRef{Name: n.registration.Name, Instance: n.registration.Instance}
+	if err := n.callUntilAnswered(ctx, ref, n.client.Drain); err != nil {
+		return err
+	}
+	select {
+	case <-time.After(drainTime):
+	case <-ctx.Done():
+		return nil
+	}
+	n.endLocked()
+	if err := n.callUntilAnswered(ctx, ref, n.client.Deregister); err != nil {
+		return err
+	}
+	n.startLocked(ctx)
+	return nil
+}
+
+// say makes a call until it is answered. That the service knows the process no more is an answer too: its lease has ended.
+func (n *server) callUntilAnswered(ctx context.Context, ref state.InstanceRef, call func(context.Context, state.InstanceRef) (api.Accepted, error)) error {
+	asked := unixNano()
+	t, err := call(ctx, ref)
+	var no *registrar.RejectedError
+	switch {
+	case err == nil:
+		n.record(Change{t.Version, asked, unixNano()})
+	case errors.As(err, &no) && (no.Code == state.ResultUnknown || no.Code == state.ResultEnded), ctx.Err() != nil:
+	default:
+		return err
+	}
+	return nil
+}
+
+func (n *server) close() {
+	n.die()
+	n.tasks.Wait()
+	n.client.Close()
+}
--- a/internal/faultlab/result/configs.go
+++ b/internal/faultlab/result/configs.go
@@ -27,7 +27,7 @@
 	for _, x := range c.Hollow {
 		for _, p := range x.Proxies {
 			if p.Config != nil {
-				follow[p.Config.Service] = append(follow[p.Config.Service], p.Config.Steps)
+				follow[p.Config.Service] = append(follow[p.Config.Service], p.Config.Versions)
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 			failed++
 		default:
 			changes++
-			one := []hollow.Change{{Index: x.Version, Asked: x.Asked, Sure: x.Sure}}
+			one := []hollow.Change{{Version: x.Version, RequestedAt: x.Asked, ConfirmedAt: x.Sure}}
 			late = append(late, known(one, follow[x.Service])...)
 			sure = append(sure, float64(x.Sure-x.Asked)/1e6)
 			never += unmet(one, follow[x.Service], to-inForceWithin.Nanoseconds()+1)
--- a/internal/faultlab/result/configs_test.go
+++ b/internal/faultlab/result/configs_test.go
@@ -12,14 +12,14 @@
 // that never came is told; a faulty one is refused only if it is answered 400.
 func TestConfigs(t *testing.T) {
 	const ms, s = int64(1e6), int64(1e9)
-	follows := func(service string, steps ...Told) hollow.ProxyFigures {
-		return hollow.ProxyFigures{Config: &hollow.ConfigFigures{Service: service, Steps: steps}}
+	follows := func(service string, steps ...Told) hollow.ProxyMetrics {
+		return hollow.ProxyMetrics{Config: &hollow.ConfigMetrics{Service: service, Versions: steps}}
 	}
 	at := time.Unix(100, 0)
 	zero := at.UnixNano()
-	proxies := []hollow.ProxyFigures{
-		follows("s1", Told{Index: 3, At: zero + 2*s + 40*ms}, Told{Index: 5, At: zero + 4*s}),
-		follows("s1", Told{Index: 3, At: zero + 2*s + 90*ms}),
+	proxies := []hollow.ProxyMetrics{
+		follows("s1", Told{Version: 3, ReceivedAt: zero + 2*s + 40*ms}, Told{Version: 5, ReceivedAt: zero + 4*s}),
+		follows("s1", Told{Version: 3, ReceivedAt: zero + 2*s + 90*ms}),
 		follows("s2"),
 		{},
 	}
@@ -44,7 +44,7 @@
 		{"sound and refused", []Put{{Service: "s1", Status: 400, Asked: zero + 2*s}}, map[string]float64{"changes": 0, "refused": 0, "failed": 1}},
 		{"no answer", []Put{{Service: "s1", Asked: zero + 2*s}}, map[string]float64{"changes": 0, "failed": 1}},
 	} {
-		f := (&Control{Hollow: []hollow.Figures{{Proxies: proxies}}, Puts: test.puts}).Figures(e, at)
+		f := (&Control{Hollow: []hollow.Metrics{{Proxies: proxies}}, Puts: test.puts}).Figures(e, at)
 		for name, want := range test.wants {
 			name = "control.a.config_" + name
 			if got, ok := f[name]; !ok || got != want {
--- a/internal/faultlab/result/control.go
+++ b/internal/faultlab/result/control.go
@@ -29,10 +29,10 @@
 type Reading struct {
 	At         time.Time
 	Roles      map[string]Spent
-	Turned     float64                // calls that members answered 503
-	Watches    float64                // held at all members together, at most
-	Gossip     []*hollow.FleetFigures // of each hollow proxy; empty without a fleet
-	RealGossip []*hollow.FleetFigures // of each real one
+	Turned     float64                  // calls that members answered 503
+	Watches    float64                  // held at all members together, at most
+	Gossip     []*hollow.ClusterMetrics // of each hollow proxy; empty without a fleet
+	RealGossip []*hollow.ClusterMetrics // of each real one
 }
 
 // Clone is a copy.
@@ -45,12 +45,12 @@
 type PhaseReading struct{ Before, After *Reading }
 
 // Told is a version of the list, and when a proxy had it: nanoseconds of the machine's clock.
-type Told = hollow.Step
+type Told = hollow.VersionTime
 
 // Control is what a play's figures of control are made of.
 type Control struct {
 	Phases []PhaseReading
-	Hollow []hollow.Figures
+	Hollow []hollow.Metrics
 	Real   [][]Told // versions that each real proxy was told
 	Puts   []Put
 }
@@ -71,11 +71,11 @@
 	var lost [][]hollow.Death
 	var failures, moves, age float64
 	for _, x := range c.Hollow {
-		changes, deaths = append(changes, x.Nodos.Changes...), append(deaths, x.Nodos.Deaths...)
+		changes, deaths = append(changes, x.Servers.Changes...), append(deaths, x.Servers.Deaths...)
 		for _, p := range x.Proxies {
-			lost = append(lost, p.List.Lost)
-			tracks = append(tracks, p.List.Steps)
-			failures, moves = failures+float64(p.List.Failures), moves+float64(p.List.Moves)
+			lost = append(lost, p.List.Removed)
+			tracks = append(tracks, p.List.Versions)
+			failures, moves = failures+float64(p.List.Failures), moves+float64(p.List.Failovers)
 			age = max(age, p.List.AgeMs)
 		}
 	}
@@ -89,13 +89,13 @@
 			spent(e, p.Name, c.Phases[i], put)
 		}
 		from, to := start.Add(experiment.Seconds(p.From)).UnixNano(), start.Add(experiment.Seconds(p.To)).UnixNano()
-		own := slices.DeleteFunc(slices.Clone(changes), func(x hollow.Change) bool { return x.Asked < from || x.Asked >= to })
+		own := slices.DeleteFunc(slices.Clone(changes), func(x hollow.Change) bool { return x.RequestedAt < from || x.RequestedAt >= to })
 		put(p.Name+".changes", float64(len(own)))
 		spread(p.Name+".known", known(own, tracks), put)
 		spread(p.Name+".real_known", known(own, c.Real), put)
 		var sure []float64
 		for _, x := range own {
-			sure = append(sure, float64(x.Sure-x.Asked)/1e6)
+			sure = append(sure, float64(x.ConfirmedAt-x.RequestedAt)/1e6)
 		}
 		slices.Sort(sure)
 		spread(p.Name+".confirmed", sure, put)
@@ -157,7 +157,7 @@
 }
 
 // gossip are the figures of a fleet's members in one phase, a member each.
-func gossip(name string, before, after []*hollow.FleetFigures, seconds float64, put func(string, float64)) {
+func gossip(name string, before, after []*hollow.ClusterMetrics, seconds float64, put func(string, float64)) {
 	var in, out, sent, waiting, entries, dropped, oldest, n float64
 	least := math.Inf(1)
 	var ages []float64
@@ -167,11 +167,11 @@
 			continue
 		}
 		n++
-		in, out, sent = in+float64(a.In-b.In), out+float64(a.Out-b.Out), sent+float64(a.Sent-b.Sent)
-		waiting, entries, oldest = waiting+float64(a.Waiting), entries+float64(a.Entries), oldest+a.Oldest
+		in, out, sent = in+float64(a.BytesIn-b.BytesIn), out+float64(a.BytesOut-b.BytesOut), sent+float64(a.Sent-b.Sent)
+		waiting, entries, oldest = waiting+float64(a.Queued), entries+float64(a.Entries), oldest+a.OldestEntryMs
 		dropped += float64(a.Dropped - b.Dropped)
-		least = min(least, float64(a.Living))
-		ages = append(ages, a.Ages...)
+		least = min(least, float64(a.LiveMembers))
+		ages = append(ages, a.EntryAgesMs...)
 	}
 	if n == 0 {
 		return
@@ -192,8 +192,8 @@
 func known(changes []hollow.Change, tracks [][]Told) (out []float64) {
 	for _, t := range tracks {
 		for _, c := range changes {
-			if i := sort.Search(len(t), func(i int) bool { return t[i].Index >= c.Index }); i < len(t) {
-				out = append(out, max(0, float64(t[i].At-c.Sure)/1e6))
+			if i := sort.Search(len(t), func(i int) bool { return t[i].Version >= c.Version }); i < len(t) {
+				out = append(out, max(0, float64(t[i].ReceivedAt-c.ConfirmedAt)/1e6))
 			}
 		}
 	}
@@ -210,7 +210,7 @@
 func unmet(changes []hollow.Change, tracks [][]Told, before int64) (n int) {
 	for _, t := range tracks {
 		for _, c := range changes {
-			if c.Sure < before && (len(t) == 0 || t[len(t)-1].Index < c.Index) {
+			if c.ConfirmedAt < before && (len(t) == 0 || t[len(t)-1].Version < c.Version) {
 				n++
 			}
 		}
--- a/internal/faultlab/result/control_test.go
+++ b/internal/faultlab/result/control_test.go
@@ -13,7 +13,7 @@
 // where no version reached it, if there was time.
 func TestKnown(t *testing.T) {
 	const ms, s = int64(1e6), int64(1e9)
-	changes := []hollow.Change{{Index: 5, Asked: s, Sure: s}, {Index: 7, Asked: 2 * s, Sure: 2 * s}, {Index: 9, Asked: 9 * s, Sure: 9 * s}}
+	changes := []hollow.Change{{Version: 5, RequestedAt: s, ConfirmedAt: s}, {Version: 7, RequestedAt: 2 * s, ConfirmedAt: 2 * s}, {Version: 9, RequestedAt: 9 * s, ConfirmedAt: 9 * s}}
 	for _, test := range []struct {
 		name    string
 		track   []Told
@@ -21,10 +21,10 @@
 		unknown int // at 10 s: the last change is too young
 	}{
 		{"none", nil, nil, 2},
-		{"at once", []Told{{Index: 4, At: 0}, {Index: 5, At: s + 30*ms}, {Index: 7, At: 2*s + 40*ms}}, []float64{30, 40}, 0},
-		{"one version for both", []Told{{Index: 8, At: 2*s + 10*ms}}, []float64{10, 1010}, 0},
-		{"before it was confirmed", []Told{{Index: 5, At: s - ms}, {Index: 9, At: 9 * s}}, []float64{0, 0, 7000}, 0},
-		{"left behind", []Told{{Index: 6, At: s + 5*ms}}, []float64{5}, 1},
+		{"at once", []Told{{Version: 4, ReceivedAt: 0}, {Version: 5, ReceivedAt: s + 30*ms}, {Version: 7, ReceivedAt: 2*s + 40*ms}}, []float64{30, 40}, 0},
+		{"one version for both", []Told{{Version: 8, ReceivedAt: 2*s + 10*ms}}, []float64{10, 1010}, 0},
+		{"before it was confirmed", []Told{{Version: 5, ReceivedAt: s - ms}, {Version: 9, ReceivedAt: 9 * s}}, []float64{0, 0, 7000}, 0},
+		{"left behind", []Told{{Version: 6, ReceivedAt: s + 5*ms}}, []float64{5}, 1},
 	} {
 		if got := known(changes, [][]Told{test.track}); !slices.Equal(got, test.known) {
 			t.Errorf("%s: known after %v ms, want %v", test.name, got, test.known)
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -67,10 +67,10 @@
 	}
 	add := func(kind string, n int) (out []*hollowProcess) {
 		for i := range n {
-			p := &hollowProcess{cfg: hollow.Config{Name: fmt.Sprintf("%s%d", kind, i+1), Control: f.block.hollowControl(len(f.hollow)),
-				Settings: told, Calls: h.Calls, Bad: h.Bad, LeaseMs: int64(f.exp.List.LeaseMs)}}
+			p := &hollowProcess{cfg: hollow.Config{Name: fmt.Sprintf("%s%d", kind, i+1), ControlAddress: f.block.hollowControl(len(f.hollow)),
+				Settings: told, CallRate: h.Calls, FailedFraction: h.Bad, LeaseMs: int64(f.exp.List.LeaseMs)}}
 			p.path = filepath.Join(f.work, p.cfg.Name+".json")
-			p.cfg.Failure = filepath.Join(f.work, p.cfg.Name+".failed")
+			p.cfg.FailureFile = filepath.Join(f.work, p.cfg.Name+".failed")
 			f.hollow = append(f.hollow, p)
 			out = append(out, p)
 		}
@@ -81,12 +81,12 @@
 	for i, n := range f.exp.HollowProxies() {
 		p := proxies[i%len(proxies)]
 		region := experiment.RegionOf(n.Zone)
-		x := hollow.Proxy{Name: n.Name, Zone: n.Zone, Ordinal: i, Seed: r.Uint64(), Lists: lists[region]}
+		x := hollow.Proxy{Name: n.Name, Zone: n.Zone, ReplicaIndex: i, Seed: r.Uint64(), RegistryMembers: lists[region]}
 		if s := h.ConfigService(i); s > 0 {
 			x.Service = experiment.ServiceName(s)
 		}
 		if f.exp.Cluster.On {
-			p.cfg.Fleet = &hollow.Fleet{Label: f.exp.Cluster.Label}
+			p.cfg.Cluster = &hollow.Cluster{Label: f.exp.Cluster.Label}
 			x.Bind, x.Seeds = f.block.hollowGossip(i), f.hollowSeeds(i)
 			if h.Relays {
 				x.Advertise = f.block.hollowRelay(i)
@@ -107,8 +107,8 @@
 	for i, n := range f.exp.HollowServers() {
 		p := nodos[i%len(nodos)]
 		f.hollowOf[n.Name] = p
-		p.cfg.Nodos = append(p.cfg.Nodos, hollow.Nodo{Name: n.Name, Zone: n.Zone, Address: f.block.hollowServer(),
-			Lists: leases[experiment.RegionOf(n.Zone)]})
+		p.cfg.Servers = append(p.cfg.Servers, hollow.Server{Name: n.Name, Zone: n.Zone, Address: f.block.hollowServer(),
+			RegistryMembers: leases[experiment.RegionOf(n.Zone)]})
 	}
 	return nil
 }
@@ -141,10 +141,10 @@
 
 // hollowRelays are what relays before hollow members know of the fleet.
 func (f *fleet) hollowRelays() *hollow.Relays {
-	out := &hollow.Relays{Speakers: map[string]hollow.Speaker{}, LocalUs: micros(f.exp.Network.LocalMs),
-		CrossUs: micros(f.exp.Network.CrossMs)}
+	out := &hollow.Relays{Members: map[string]hollow.RelayMember{}, RegionDelayUs: micros(f.exp.Network.LocalMs),
+		CrossRegionDelayUs: micros(f.exp.Network.CrossMs)}
 	for ip, n := range f.speakers {
-		out.Speakers[ip.String()] = hollow.Speaker{Name: n.Name, Region: n.Zone}
+		out.Members[ip.String()] = hollow.RelayMember{Name: n.Name, Region: n.Zone}
 	}
 	return out
 }
@@ -161,7 +161,7 @@
 	var errs []error
 	for _, p := range t.hollow {
 		if len(p.cfg.Proxies) > 0 {
-			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Order{Act: "lose", Part: s.Fault.Part, ForMs: length.Milliseconds()})
+			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Command{Action: "lose", Fraction: s.Fault.Part, DurationMs: length.Milliseconds()})
 			errs = append(errs, err)
 		}
 	}
@@ -176,7 +176,7 @@
 	for _, nodos := range []bool{true, false} {
 		var some []*hollowProcess
 		for _, p := range f.hollow {
-			if len(p.cfg.Nodos) > 0 != nodos {
+			if len(p.cfg.Servers) > 0 != nodos {
 				continue
 			}
 			if err := f.startProcess(p, fail); err != nil {
@@ -196,7 +196,7 @@
 			}
 			if missing != "" {
 				return fmt.Errorf("%w: %w", ErrEnvironment, &hollow.FailedError{Process: p.cfg.Name, Name: missing,
-					Cause: fmt.Sprintf("not ready after %v s (lab.ready_wait)", f.exp.Lab.ReadyWait)})
+					Reason: fmt.Sprintf("not ready after %v s (lab.ready_wait)", f.exp.Lab.ReadyWait)})
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 	go func() {
 		<-p.proc.Ended()
 		if p.proc.Crashed() {
-			fail(hollow.Failure(p.cfg.Name, p.cfg.Failure))
+			fail(hollow.ReadFailure(p.cfg.Name, p.cfg.FailureFile))
 		}
 	}()
 	return nil
@@ -232,7 +232,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.cfg.Control+path, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.cfg.ControlAddress+path, bytes.NewReader(text))
 	if err != nil {
 		return nil, err
 	}
@@ -248,7 +248,7 @@
 	return text, err
 }
 
-func (p *hollowProcess) figures(ctx context.Context, steps bool) (out hollow.Figures, err error) {
+func (p *hollowProcess) figures(ctx context.Context, steps bool) (out hollow.Metrics, err error) {
 	path := "/figures"
 	if !steps {
 		path += "?steps=0"
@@ -263,16 +263,16 @@
 // hollowNodos has hollow nodos do what a fault says, each at its turn.
 func (t *timeline) strikeHollowServers(ctx context.Context, s plan.Strike) error {
 	act, _ := strings.CutPrefix(s.Fault.Kind, "hollow_")
-	orders := map[*hollowProcess]*hollow.Order{}
+	orders := map[*hollowProcess]*hollow.Command{}
 	last := time.Duration(0)
 	for _, turn := range s.Turns {
 		p := t.hollowOf[turn.Target]
 		o := orders[p]
 		if o == nil {
-			o = &hollow.Order{Act: act, ForMs: s.For.Milliseconds()}
+			o = &hollow.Command{Action: act, DurationMs: s.For.Milliseconds()}
 			orders[p] = o
 		}
-		o.Turns = append(o.Turns, hollow.Turn{Name: turn.Target, InMs: (turn.At - s.At).Milliseconds()})
+		o.Targets = append(o.Targets, hollow.CommandTarget{Name: turn.Target, DelayMs: (turn.At - s.At).Milliseconds()})
 		last = max(last, turn.At)
 	}
 	for p, o := range orders {
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -150,8 +150,8 @@
 // so far, as are watches: two phases that meet read at one moment.
 func (m *meter) read(ctx context.Context) result.Reading {
 	m.look()
-	var fleet []hollow.ProxyFigures
-	var real []*hollow.FleetFigures
+	var fleet []hollow.ProxyMetrics
+	var real []*hollow.ClusterMetrics
 	if m.exp.Cluster.On {
 		for _, x := range m.order {
 			real = append(real, realProcesses(ctx, x.mgmt))
@@ -177,7 +177,7 @@
 	}
 	for _, p := range m.hollow {
 		role := "proxy"
-		if len(p.cfg.Nodos) > 0 {
+		if len(p.cfg.Servers) > 0 {
 			role = "nodo"
 		}
 		use(role, p.proc.Usage().CPU, process.Memory(p.proc.PID()))
@@ -193,7 +193,7 @@
 	}
 	out.RealGossip = real
 	for i := range fleet {
-		out.Gossip = append(out.Gossip, fleet[i].Fleet)
+		out.Gossip = append(out.Gossip, fleet[i].Cluster)
 	}
 	return out
 }
@@ -222,7 +222,7 @@
 }
 
 // hollowReport is what the hollow processes leave at the end.
-func (f *fleet) hollowReport() (out []hollow.Figures, err error) {
+func (f *fleet) hollowReport() (out []hollow.Metrics, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), hollowCall)
 	defer cancel()
 	for _, p := range f.hollow {
@@ -230,8 +230,8 @@
 		if err != nil {
 			return out, err
 		}
-		if x.Over > 0 {
-			return out, fmt.Errorf("%d datagrams of the gossip found no room in %s", x.Over, p.cfg.Name)
+		if x.RelayDrops > 0 {
+			return out, fmt.Errorf("%d datagrams of the gossip found no room in %s", x.RelayDrops, p.cfg.Name)
 		}
 		out = append(out, x)
 	}
@@ -267,7 +267,7 @@
 	for _, steps := range f.service.Steps() {
 		var told []result.Told
 		for _, s := range steps {
-			told = append(told, result.Told{Index: s.Index, At: s.At.UnixNano()})
+			told = append(told, result.Told{Version: s.Index, ReceivedAt: s.At.UnixNano()})
 		}
 		out.Real = append(out.Real, told)
 	}
@@ -275,7 +275,7 @@
 }
 
 // realFleet is how a real proxy stands with its fleet, by its management address; nil if it does not answer.
-func realProcesses(ctx context.Context, mgmt string) *hollow.FleetFigures {
+func realProcesses(ctx context.Context, mgmt string) *hollow.ClusterMetrics {
 	ctx, cancel := context.WithTimeout(ctx, callPatience)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+mgmt+"/v1/metrics", nil)
@@ -294,6 +294,6 @@
 			f[strings.TrimPrefix(name, "app.fleet_")] = v
 		}
 	}
-	return &hollow.FleetFigures{Living: int(f["living"]), Entries: int(f["entries"]), Oldest: f["oldest_ms"], Sent: int64(f["sent"]),
-		In: int64(f["in_bytes"]), Out: int64(f["out_bytes"]), Dropped: int64(f["dropped"])}
+	return &hollow.ClusterMetrics{LiveMembers: int(f["living"]), Entries: int(f["entries"]), OldestEntryMs: f["oldest_ms"], Sent: int64(f["sent"]),
+		BytesIn: int64(f["in_bytes"]), BytesOut: int64(f["out_bytes"]), Dropped: int64(f["dropped"])}
 }
