--- a/cmd/merlinpick-faultlab/main_test.go
+++ b/cmd/merlinpick-faultlab/main_test.go
@@ -74,7 +74,7 @@
 				t.Errorf("exit %d, want %d, and the proxy's name and cause\n%s", code, exitUnable, out)
 			}
 		})
-		for _, name := range []string{"calm", "kill-wave", "roster", "scale"} {
+		for _, name := range []string{"calm", "kill-wave", "registry", "scale"} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				dir := t.TempDir()
--- a/internal/faultlab/capacity/duty.go
+++ b/internal/faultlab/capacity/duty.go
@@ -26,7 +26,7 @@
 	Instead   string   // what serves in place of one that is absent, or why it may wait
 }
 
-// Sum adds figures up to a budget: a proxy's control is all that it does for control.
+// Sum adds metrics up to a budget: a proxy's control is all that it does for control.
 type Sum struct {
 	What  string
 	Role  string // whose budget it is
--- a/internal/faultlab/capacity/numbers.go
+++ b/internal/faultlab/capacity/numbers.go
@@ -65,7 +65,7 @@
 	Why               string
 }
 
-// Budget is the limit of one class of figures of a role. With Figures it holds for those alone that have one of these words.
+// Budget is the limit of one class of metrics of a role. With Figures it holds for those alone that have one of these words.
 type Budget struct {
 	Role, Class, Unit, From string
 	Value                   float64
@@ -190,7 +190,7 @@
 	minutesADay = daySeconds / 60
 )
 
-// A dimension is what grows, at the letter's size, and whether it doubles with the number of nodos.
+// A dimension is what grows, at the letter's size, and whether it doubles with the number of servers.
 type dimension struct {
 	size    func(n *Numbers) Range
 	doubles bool
@@ -234,7 +234,7 @@
 	}, false, "3 in a lease; the longest lease is low"},
 }
 
-// Size is what grows at the letter's size, or with twice at twice its nodos.
+// Size is what grows at the letter's size, or with twice at twice its servers.
 func (n *Numbers) Size(of string, twice bool) Range {
 	d := dimensions[of]
 	r := d.size(n)
--- a/internal/faultlab/capacity/page.go
+++ b/internal/faultlab/capacity/page.go
@@ -113,7 +113,7 @@
 	return strings.Join(h[:], " / ")
 }
 
-// size is a part of the size to plan for in nodos.
+// size is a part of the size to plan for in servers.
 func (p *Page) size(part float64) string {
 	switch {
 	case math.IsNaN(part):
--- a/internal/faultlab/capacity/rows_test.go
+++ b/internal/faultlab/capacity/rows_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// Of several figures that are over from the same size on, the duty says which speaks for it.
+// Of several metrics that are over from the same size on, the duty says which speaks for it.
 func TestDecides(t *testing.T) {
 	d := []Duty{{Key: "list", Role: Roles[1], Duty: "d", Needs: []string{classBytes}}}
 	p := plain(t, d, nil, grows("list.proxy.first", Roles[1], 30), grows("list.proxy.second", Roles[1], 700))
--- a/internal/faultlab/capacity/slope.go
+++ b/internal/faultlab/capacity/slope.go
@@ -17,7 +17,7 @@
 	// Bend is how far the worst point of a straight slope may lie from its line, as a part of the line's value there.
 	Bend = 0.15
 	// rounding is how far a stated line may lie from the one worked out, as a part of the largest median: what rounding its two
-	// numbers to four figures does. It does not go by the slope, which is next to nothing where a figure is flat or its repeats
+	// numbers to four metrics does. It does not go by the slope, which is next to nothing where a figure is flat or its repeats
 	// spread: at a hundredth of the largest median a fifth more on the slope of a noisy figure (times of a datagram, -16 ns for
 	// each proxy beside 768,000 ns) passed. What the line misses its points by is Bend's, what its repeats differ by the spread's.
 	rounding = 0.001
@@ -261,10 +261,10 @@
 	s.Spread[0], s.Spread[1] = min(s.Per, roundBy(s.Spread[0], top/far)), max(s.Per, roundBy(s.Spread[1], top/far))
 }
 
-// round keeps five figures, which lie well within what a stated line may part from its points.
+// round keeps five metrics, which lie well within what a stated line may part from its points.
 func round(v float64) float64 { return roundBy(v, v) }
 
-// roundBy keeps as much of a value as five figures of another have.
+// roundBy keeps as much of a value as five metrics of another have.
 func roundBy(v, by float64) float64 {
 	if by == 0 {
 		return v
--- a/internal/faultlab/capacity/unit.go
+++ b/internal/faultlab/capacity/unit.go
@@ -10,7 +10,7 @@
 
 func compare(a, b string) int { return cmp.Compare(a, b) }
 
-// The classes of figures: budgets and sums are of one class.
+// The classes of metrics: budgets and sums are of one class.
 const (
 	classBytes    = "bytes"
 	classCPU      = "cpu"
@@ -27,7 +27,7 @@
 	to    float64
 }
 
-// shown is the unit in which a class's figures stand on the page.
+// shown is the unit in which a class's metrics stand on the page.
 var shown = map[string]string{classBytes: "KB/s", classCPU: "% of a core", classMemory: "MB", classTime: "ms",
 	classMessages: "1/s", classSize: "KB", classCount: ""}
 
@@ -42,7 +42,7 @@
 	"%": {classCount, 1}, "attempts/call": {classCount, 1},
 }
 
-// number is a value with three figures that count; a whole one under a hundred thousand has all of them. None is -.
+// number is a value with three metrics that count; a whole one under a hundred thousand has all of them. None is -.
 func number(v float64) string {
 	if math.IsNaN(v) {
 		return "-"
--- a/internal/faultlab/catalog/catalog.go
+++ b/internal/faultlab/catalog/catalog.go
@@ -16,7 +16,7 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// Entry is a nodo as the list has it; its address is each proxy's own.
+// Entry is a server as the list has it; its address is each proxy's own.
 type Entry struct {
 	Name   string `json:"name"`
 	Zone   string `json:"zone"`
@@ -43,7 +43,7 @@
 	Retain int           // changes kept for watches
 	Most   int           // calls that are held, watches that wait included
 	Seed   uint64
-	// Address is where a proxy finds a nodo.
+	// Address is where a proxy finds a server.
 	Address func(proxy, nodo string) string
 }
 
@@ -151,7 +151,7 @@
 }
 
 // Rollback takes the last versions back, with what they told. Watches end: the service was restored from a copy. The
-// nodos that lost their entries by it register again some time later, under versions that were used before.
+// servers that lost their entries by it register again some time later, under versions that were used before.
 func (c *Catalog) Rollback(versions int) {
 	c.on(func() { c.back(c.read(c.file.Bytes()), c.index-int64(versions)) })
 }
--- a/internal/faultlab/chain/chain.go
+++ b/internal/faultlab/chain/chain.go
@@ -1,7 +1,7 @@
-// Package chain is a model of a chain of tiers in virtual time: the real decision module before each tier, nodos and
+// Package chain is a model of a chain of tiers in virtual time: the real decision module before each tier, servers and
 // callers between. It tells how many attempts the last tier gets for each call that came in.
 //
-// By the protocol every nodo of a tier but the last owns a proxy of the next one and is its only caller; a nodo answers
+// By the protocol every server of a tier but the last owns a proxy of the next one and is its only caller; a server answers
 // a request by its own work and one call through that proxy, with the time that remains, and fails if that fails. Before
 // the first tier stand some fronts. Nothing is random but what a seed draws, and nothing takes time but work and network.
 package chain
@@ -26,20 +26,20 @@
 	Slow   float64 // its work takes so many times as long; 0 is 1
 	Errors float64 // part of what it works on that fails
 	Hang   bool    // it takes calls and never answers
-	Share  float64 // of its nodos that this holds for; 0 is all
+	Share  float64 // of its servers that this holds for; 0 is all
 	From   int64   // it begins then
 }
 
 // Config is a chain.
 type Config struct {
 	Tiers   int
-	Width   int     // nodos of each tier, and fronts before the first
+	Width   int     // servers of each tier, and fronts before the first
 	Rate    float64 // calls a second that come to each front
 	Seconds int64
-	Slots   int   // of a nodo; its queue is ten times as long
+	Slots   int   // of a server; its queue is ten times as long
 	Work    int64 // mean, at each tier
 	GiveUp  int64 // of a caller of the first tier
-	Keeps   bool  // a nodo whose caller has left goes on with its own call
+	Keeps   bool  // a server whose caller has left goes on with its own call
 	Seed    uint64
 	Last    Last
 
--- a/internal/faultlab/chain/proxy.go
+++ b/internal/faultlab/chain/proxy.go
@@ -39,7 +39,7 @@
 	number int
 	sent   int64
 	ended  bool
-	job    *job // at the nodo, once it has come there
+	job    *job // at the server, once it has come there
 }
 
 func (w *world) newProxy(tier, number int) (*proxy, error) {
--- a/internal/faultlab/chain/nodo.go
+++ b/internal/faultlab/chain/server.go
@@ -2,7 +2,7 @@
 
 import "merlinpick/balancer"
 
-// nodo works on calls in its slots; what waits for the next tier holds none.
+// server works on calls in its slots; what waits for the next tier holds none.
 type server struct {
 	w            *world
 	tier, number int
@@ -11,7 +11,7 @@
 	queue        []*job
 }
 
-// job is a call at a nodo.
+// job is a call at a server.
 type job struct {
 	n     *server
 	a     *attempt
@@ -22,7 +22,7 @@
 
 const queues = 10 // times the slots
 
-// come takes an attempt that has reached the nodo.
+// come takes an attempt that has reached the server.
 func (n *server) come(a *attempt, until int64) {
 	if a.ended {
 		return
--- a/internal/faultlab/experiment/experiment.go
+++ b/internal/faultlab/experiment/experiment.go
@@ -15,7 +15,7 @@
 	Base    string  `toml:"base"` // a file beside this one, whose keys hold where this one is silent
 	Title   string  `toml:"title"`
 	Seconds float64 `toml:"seconds"` // of load
-	Warmup  float64 `toml:"warmup"`  // at the start, left out of the figures
+	Warmup  float64 `toml:"warmup"`  // at the start, left out of the metrics
 	Seed    uint64  `toml:"seed"`
 	Repeat  int     `toml:"repeat"` // plays; the seed goes up by one each
 
@@ -50,7 +50,7 @@
 	CrossMs float64 `toml:"cross_ms"`
 }
 
-// Zone is a zone with its proxies and nodos.
+// Zone is a zone with its proxies and servers.
 type Zone struct {
 	Name    string        `toml:"name"`
 	Proxies int           `toml:"proxies"`
@@ -58,7 +58,7 @@
 	Servers []ServerGroup `toml:"nodos"`
 }
 
-// NodoGroup is some nodos alike.
+// ServerGroup is some servers alike.
 type ServerGroup struct {
 	Count int     `toml:"count"`
 	Kind  string  `toml:"kind"`
@@ -67,7 +67,7 @@
 	Queue int     `toml:"queue"`
 }
 
-// Nodos is what all nodos have in common.
+// Servers is what all servers have in common.
 type Servers struct {
 	StartCapacity    float64 `toml:"start_capacity"` // of the full capacity, at a start
 	SlowStartMs      float64 `toml:"cold_ms"`        // until it is warm
@@ -155,7 +155,7 @@
 	Membership     string         `toml:"membership"`
 	Settings       map[string]any `toml:"settings"` // laid over the settings object
 	Config         map[string]any `toml:"config"`   // laid over the configuration
-	KnownPart      *float64       `toml:"known"`    // part of the nodos that a starting proxy knows of; all if not given
+	KnownPart      *float64       `toml:"known"`    // part of the servers that a starting proxy knows of; all if not given
 }
 
 // List is the stand-in list service.
@@ -171,12 +171,12 @@
 
 	// With members the list is the project's own service, as real processes, and of the above nothing holds.
 	Members    int     `toml:"members"`     // 0: the stand-in
-	LeaseMs    float64 `toml:"lease_ms"`    // of a nodo
+	LeaseMs    float64 `toml:"lease_ms"`    // of a server
 	ElectionMs float64 `toml:"election_ms"` // of the members
 	StaleMs    float64 `toml:"stale_ms"`    // a list that is older is not told
 }
 
-// Fleet is whether the proxies act as one.
+// Cluster is whether the proxies act as one.
 type Cluster struct {
 	On    bool   `toml:"on"`
 	Label string `toml:"label"`
@@ -196,7 +196,7 @@
 	Share   float64  `toml:"share"`
 	Spread  float64  `toml:"spread"` // seconds over which the targets' turns are spread
 
-	Link      string  `toml:"link"`      // client, nodo, list, lease (from nodos to the list service) or gossip; empty: all
+	Link      string  `toml:"link"`      // client, server, list, lease (from servers to the list service) or gossip; empty: all
 	Direction string  `toml:"direction"` // both, out (what callers send is lost) or back (answers are)
 	FromZone  string  `toml:"from_zone"`
 	ToZone    string  `toml:"to_zone"`
@@ -204,8 +204,8 @@
 	Part      float64 `toml:"part"`
 	Factor    float64 `toml:"factor"`
 	Versions  int     `toml:"versions"`
-	Service   int     `toml:"service"` // of hollow nodos: all of one of the services, from 1; of configurations likewise
-	Count     int     `toml:"count"`   // of hollow nodos: so many of those that are left; of configurations: so many puts
+	Service   int     `toml:"service"` // of hollow servers: all of one of the services, from 1; of configurations likewise
+	Count     int     `toml:"count"`   // of hollow servers: so many of those that are left; of configurations: so many puts
 	Liars     int     `toml:"liars"`
 	Clients   int     `toml:"clients"` // of a crowd, at each proxy
 	Faulty    bool    `toml:"faulty"`  // a put of a document that no proxy could use
@@ -217,7 +217,7 @@
 	Figure string   `toml:"figure"`
 	Min    *float64 `toml:"min"`
 	Max    *float64 `toml:"max"`
-	From   float64  `toml:"from"` // of arrivals, seconds; figures of a span only
+	From   float64  `toml:"from"` // of arrivals, seconds; metrics of a span only
 	To     float64  `toml:"to"`
 }
 
@@ -239,11 +239,11 @@
 // Millis turns a file's milliseconds into a duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Node is one proxy or nodo of the fleet, as a file's zones spell it out.
+// Node is one proxy or server of the fleet, as a file's zones spell it out.
 type Node struct {
 	Name  string
 	Zone  string
-	Group ServerGroup // of a nodo
+	Group ServerGroup // of a server
 }
 
 // ProxyNodes names the proxies: the zone's name and a number from 1.
@@ -257,7 +257,7 @@
 	return out
 }
 
-// NodoNodes names the nodos likewise, over all groups of a zone.
+// ServerNodes names the servers likewise, over all groups of a zone.
 func (e *Experiment) ServerNodes() []Node {
 	var out []Node
 	for _, z := range e.Zones {
@@ -281,11 +281,11 @@
 	return out
 }
 
-// PairLinksMost is how many links from proxies to nodos get an address each. A fleet with more shares one address
+// MaxPairLinks is how many links from proxies to servers get an address each. A fleet with more shares one address
 // among the proxies of a zone, and its links can be told apart by zone only: descriptors are bounded.
 const MaxPairLinks = 6000
 
-// SharedLinks tells whether the proxies of a zone share their links to nodos.
+// SharedLinks tells whether the proxies of a zone share their links to servers.
 func (e *Experiment) SharedLinks() bool {
 	return len(e.ProxyNodes())*len(e.ServerNodes()) > MaxPairLinks
 }
--- a/internal/faultlab/experiment/figures.go
+++ b/internal/faultlab/experiment/figures.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Rules are the rules of service that the referee judges, by the names that figures and reports give them.
+// Rules are the rules of service that the referee judges, by the names that metrics and reports give them.
 var Rules = []string{"lost", "twice", "repeat", "drain", "tip", "garbled", "forged", "list", "rude", "gone"}
 
 // RuleText says what a broken rule means.
--- a/internal/faultlab/experiment/hollow.go
+++ b/internal/faultlab/experiment/hollow.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Hollow is the hollow proxies and nodos beside the real ones: package hollow says what they are. They stand in the file's
+// Hollow is the hollow proxies and servers beside the real ones: package hollow says what they are. They stand in the file's
 // zones in turn, and there in Zones parts, which the list has as zones of their own: a file's zone then is a region.
 type Hollow struct {
 	Proxies   int     `toml:"proxies"`
 	Servers   int     `toml:"nodos"`
-	Processes int     `toml:"processes"`       // of proxies; nodos have half as many
+	Processes int     `toml:"processes"`       // of proxies; servers have half as many
 	Zones     int     `toml:"zones"`           // in each of the file's zones
-	Services  int     `toml:"services"`        // that the nodos make up, for faults of one service
+	Services  int     `toml:"services"`        // that the servers make up, for faults of one service
 	Calls     float64 `toml:"calls"`           // drawn, a second and proxy
 	Bad       float64 `toml:"bad"`             // part of the drawn calls that come to nothing
 	Following int     `toml:"config_services"` // services whose configurations the proxies follow, each one of them in turn; 0: none
 	Relays    bool    `toml:"relays"`          // between members of the fleet, for delays and faults of links that strike all gossip
 }
 
-// Phase is a span of the run whose figures of control are told apart.
+// Phase is a span of the run whose metrics of control are told apart.
 type Phase struct {
 	Name string  `toml:"name"`
 	From float64 `toml:"from"`
@@ -38,13 +38,13 @@
 // On tells whether there are any.
 func (h Hollow) On() bool { return h.Proxies+h.Servers > 0 }
 
-// NodoProcesses is how many processes the nodos share.
+// ServerProcesses is how many processes the servers share.
 func (h Hollow) ServerProcesses() int { return min(max(1, h.Processes/2), h.Servers) }
 
 // HollowProxies names the hollow proxies. A Node's zone is a part of the file's zone.
 func (e *Experiment) HollowProxies() []Node { return e.hollow("p", e.Hollow.Proxies) }
 
-// HollowNodos names the hollow nodos.
+// HollowServers names the hollow servers.
 func (e *Experiment) HollowServers() []Node { return e.hollow("s", e.Hollow.Servers) }
 
 func (e *Experiment) hollow(kind string, n int) (out []Node) {
@@ -85,7 +85,7 @@
 // ServiceName names the service with a number from 1 at the list service.
 func ServiceName(service int) string { return fmt.Sprintf("s%d", service) }
 
-// InService tells whether the hollow nodo with a number from 0 belongs to a service from 1.
+// InService tells whether the hollow server with a number from 0 belongs to a service from 1.
 func (h Hollow) InService(i, service int) bool { return i%h.Services == service-1 }
 
 func (c *checker) checkHollow() {
@@ -133,7 +133,7 @@
 	}
 }
 
-// checkHollowFault checks what only faults of hollow nodos and of configurations have.
+// checkHollowFault checks what only faults of hollow servers and of configurations have.
 func (c *checker) checkHollowFault(key string, f Fault, kind Kind) {
 	if kind.Configs {
 		c.checkConfigPut(key, f)
@@ -178,7 +178,7 @@
 	}
 }
 
-// Roles of which figures of control are told, and the figures of each; and those that have no role.
+// Roles of which metrics of control are told, and the metrics of each; and those that have no role.
 var (
 	controlRoles   = []string{"proxy", "real", "nodo", "leader", "follower", "five", "regions"}
 	controlMetrics = []string{"in_b_s", "out_b_s", "calls_s", "cpu_pct", "memory_mb"}
--- a/internal/faultlab/experiment/read.go
+++ b/internal/faultlab/experiment/read.go
@@ -114,7 +114,7 @@
 	return Problem{File: name, Text: err.Error()}
 }
 
-// defaults are the figures that a file need not give: the platform's where it states one.
+// defaults are the metrics that a file need not give: the platform's where it states one.
 func defaults() *Experiment {
 	return &Experiment{
 		Seconds: 30, Warmup: 3, Seed: 1, Repeat: 1,
--- a/internal/faultlab/linear/linear.go
+++ b/internal/faultlab/linear/linear.go
@@ -1,6 +1,6 @@
 // Package linear keeps a history of what was asked of a list service and what it answered, and checks it: there has to
 // be one order of all calls, each at some moment between its beginning and its end, in which a plain list answers the
-// same. porcupine searches for it, nodo by nodo, which is as good as all at once.
+// same. porcupine searches for it, server by server, which is as good as all at once.
 package linear
 
 import (
@@ -23,10 +23,10 @@
 	Read     Kind = "read" // one that promises to be current
 )
 
-// Absent is the value of a nodo that the list does not have.
+// Absent is the value of a server that the list does not have.
 const Absent = ""
 
-// Value is a nodo's value in the list.
+// Value is a server's value in the list.
 func Value(status, instance string) string { return status + " " + instance }
 
 // input is a call.
@@ -124,11 +124,11 @@
 // Verdict is what a check came to.
 type Verdict struct {
 	Calls int
-	Wrong []string // nodos whose calls no order explains
+	Wrong []string // servers whose calls no order explains
 	Open  []string // and those for which the search took too long
 }
 
-// Check checks all nodos' calls, each for at most so long.
+// Check checks all servers' calls, each for at most so long.
 func (h *History) Check(patience time.Duration) Verdict {
 	h.mu.Lock()
 	all := slices.DeleteFunc(slices.Clone(h.ops), func(o porcupine.Operation) bool { return o.Input == nil })
--- a/internal/faultlab/link/link.go
+++ b/internal/faultlab/link/link.go
@@ -1,4 +1,4 @@
-// Package link is the network of the lab: every connection between a client, a proxy, a nodo and the list runs over a
+// Package link is the network of the lab: every connection between a client, a proxy, a server and the list runs over a
 // Link, where it can be delayed, held, cut in one direction or both, reset, or kept from coming up.
 //
 // It needs no rights. A link that a proxy dials is a listener of its own on a loopback address, so that even the
@@ -28,7 +28,7 @@
 
 // Ends tells a link's place. From is the side that dials.
 type Ends struct {
-	Kind     string // client, nodo, list, lease, member or gossip
+	Kind     string // client, server, list, lease, member or gossip
 	From     string // a proxy's name, or empty for a zone's clients, or for all proxies of the zone
 	FromZone string
 	To       string
--- a/internal/faultlab/link/watch.go
+++ b/internal/faultlab/link/watch.go
@@ -20,7 +20,7 @@
 	c.link.cut(c.link.ends, at)
 }
 
-// Barred are the links on which no connection comes up now, by the address that is dialled.
+// Blocked are the links on which no connection comes up now, by the address that is dialled.
 func (n *Net) Blocked() map[string]Ends {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -61,7 +61,7 @@
 	return c
 }
 
-// Job tells nodos what a request costs.
+// Job tells servers what a request costs.
 func (c *Client) Job(id string) (stubserver.Job, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/faultlab/load/front.go
+++ b/internal/faultlab/load/front.go
@@ -125,7 +125,7 @@
 	return names
 }
 
-// Bar takes a proxy out by hand, as before a planned restart; Expect lets it back in once it is healthy.
+// Bar takes a proxy out by an operator, as before a planned restart; Expect lets it back in once it is healthy.
 func (f *Front) Bar(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/faultlab/path/list.go
+++ b/internal/faultlab/path/list.go
@@ -45,7 +45,7 @@
 
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
 
-// ListenList serves the list of these nodos.
+// ListenList serves the list of these servers.
 func ListenList(nodos *Servers) (*List, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,7 +67,7 @@
 // Whole makes a new version that every watch gets as the whole list, though nothing has changed.
 func (s *List) Whole() { s.turn(func() { s.snapshot = s.index }) }
 
-// Zone lists the nodos of a zone as there or as gone.
+// Zone lists the servers of a zone as there or as gone.
 func (s *List) Zone(zone int, there bool) {
 	s.turn(func() {
 		for i := range s.servers {
@@ -81,7 +81,7 @@
 	})
 }
 
-// Touch makes a new version in which one nodo's entry is told anew with another start.
+// Touch makes a new version in which one server's entry is told anew with another start.
 func (s *List) Touch(i int) {
 	s.turn(func() {
 		e := &s.servers[i%len(s.servers)]
--- a/internal/faultlab/path/load.go
+++ b/internal/faultlab/path/load.go
@@ -14,7 +14,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Figures are of one stretch of time. Times are counted from the moment before a request is written, in microseconds: no
+// Metrics are of one stretch of time. Times are counted from the moment before a request is written, in microseconds: no
 // request waits for another, and how late one was issued is told apart.
 type Metrics struct {
 	Direct, Proxied *hdrhistogram.Histogram
--- a/internal/faultlab/path/path.go
+++ b/internal/faultlab/path/path.go
@@ -1,9 +1,9 @@
 // Package path measures what a proxy adds to a call, beside a plain exchange over loopback in the same run, and what it
-// costs a proxy without calls to follow the list: by the number of listed nodos, while all is calm, while whole lists
+// costs a proxy without calls to follow the list: by the number of listed servers, while all is calm, while whole lists
 // arrive and while a zone goes.
 //
-// The proxy is a real process. Callers, nodos and the list share the process that measures; nodos answer at once. Every
-// listed nodo has a listener of its own.
+// The proxy is a real process. Callers, servers and the list share the process that measures; servers answer at once. Every
+// listed server has a listener of its own.
 package path
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Aim is what a proxy may add for 99 calls in 100, in ms.
+// Budget is what a proxy may add for 99 calls in 100, in ms.
 const Budget = 0.5
 
-// Scene is a proxy with its nodos and its list.
+// Scene is a proxy with its servers and its list.
 type Scene struct {
 	Servers *Servers
 	List    *List
@@ -57,7 +57,7 @@
 const (
 	Calm     Phase = "calm"
 	Snapshot Phase = "whole lists" // wholeEvery
-	Gone     Phase = "a zone goes" // home's nodos die; the list tells it goneTold later
+	Gone     Phase = "a zone goes" // home's servers die; the list tells it goneTold later
 )
 
 const (
--- a/internal/faultlab/path/path_test.go
+++ b/internal/faultlab/path/path_test.go
@@ -25,7 +25,7 @@
 
 const zones = 9
 
-// relay is a stand-in proxy that passes requests on to a nodo after a delay.
+// relay is a stand-in proxy that passes requests on to a server after a delay.
 func relay(t *testing.T, to string, delay time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -192,7 +192,7 @@
 	return [3]float64{x[len(x)/2], x[0], x[len(x)-1]}
 }
 
-// TestFollowing measures what a proxy without calls costs: memory, and processor time while nothing changes, one nodo a
+// TestFollowing measures what a proxy without calls costs: memory, and processor time while nothing changes, one server a
 // second changes, and the whole list comes once a second.
 func TestFollowing(t *testing.T) {
 	if !*full {
--- a/internal/faultlab/path/proxy.go
+++ b/internal/faultlab/path/proxy.go
@@ -25,7 +25,7 @@
 	Sockets  int `json:"sockets"`
 }
 
-// DeploymentLimits are those of a proxy that shares its machine with a nodo.
+// DeploymentLimits are those of a proxy that shares its machine with a server.
 var DeploymentLimits = Limits{Cores: 1, MemoryMB: 64, Sockets: 512}
 
 // Proxy is a real proxy process.
--- a/internal/faultlab/path/nodos.go
+++ b/internal/faultlab/path/servers.go
@@ -8,10 +8,10 @@
 	"sync"
 )
 
-// answer is what every stand-in nodo gives, at once: what is measured is the way there and back.
+// answer is what every stub server gives, at once: what is measured is the way there and back.
 const answer = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
-// Nodo is a stand-in nodo with a listener of its own on loopback.
+// Server is a stub server with a listener of its own on loopback.
 type Server struct {
 	Name string
 	Zone int
@@ -22,14 +22,14 @@
 	conns map[net.Conn]bool
 }
 
-// Nodos are n of them, spread evenly over zones. They share a process with the callers.
+// Servers are n of them, spread evenly over zones. They share a process with the callers.
 type Servers struct {
 	All   []*Server
 	Zones int
 	serve sync.WaitGroup
 }
 
-// ListenNodos has n nodos listen, each on a port of 127.0.0.1.
+// ListenServers has n servers listen, each on a port of 127.0.0.1.
 func ListenServers(n, zones int) (*Servers, error) {
 	s := &Servers{Zones: zones}
 	for i := range n {
@@ -101,7 +101,7 @@
 	}
 }
 
-// down ends a nodo as a process's death does: connections are reset and new ones refused.
+// down ends a server as a process's death does: connections are reset and new ones refused.
 func (n *Server) down() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// Lose ends the nodos of a zone.
+// Lose ends the servers of a zone.
 func (s *Servers) Lose(zone int) {
 	for _, n := range s.All {
 		if n.Zone == zone {
--- a/internal/faultlab/plan/plan.go
+++ b/internal/faultlab/plan/plan.go
@@ -49,7 +49,7 @@
 	Fault experiment.Fault
 	At    time.Duration
 	For   time.Duration
-	Turns []Turn // of faults that meet proxies or nodos one by one
+	Turns []Turn // of faults that meet proxies or servers one by one
 }
 
 // Plan is what chance has decided.
@@ -210,7 +210,7 @@
 	return out
 }
 
-// hollow is the hollow nodos that a fault may be aimed at: those of its service, if it names one.
+// hollow is the hollow servers that a fault may be aimed at: those of its service, if it names one.
 func hollow(e *experiment.Experiment, f experiment.Fault) (out []experiment.Node) {
 	for i, n := range e.HollowServers() {
 		if f.Service == 0 || e.Hollow.InService(i, f.Service) {
--- a/internal/faultlab/plan/plan_test.go
+++ b/internal/faultlab/plan/plan_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// Faults of hollow nodos take all of a service, a share of all, or the first so many of a zone.
+// Faults of hollow servers take all of a service, a share of all, or the first so many of a zone.
 func TestHollowTargets(t *testing.T) {
 	e := &experiment.Experiment{Seconds: 10, Zones: []experiment.Zone{{Name: "n"}, {Name: "s"}}}
 	e.Hollow = experiment.Hollow{Servers: 24, Zones: 3, Services: 8}
--- a/internal/faultlab/referee/try.go
+++ b/internal/faultlab/referee/clientattempt.go
@@ -7,7 +7,7 @@
 
 const (
 	Pending    End = iota
-	Served         // 200 and what a nodo made
+	Served         // 200 and what a server made
 	Rejected       // 429 or 503
 	Failed         // any other answer, or one that broke off in the middle
 	Unreached      // no connection, or one that ended before the request was taken
@@ -18,7 +18,7 @@
 	return [...]string{"pending", "served", "refused", "failed", "unreached", "unanswered"}[e]
 }
 
-// Try is one try of a client.
+// ClientAttempt is one try of a client.
 type ClientAttempt struct {
 	ID       string
 	Arrival  int // of the plan
@@ -44,7 +44,7 @@
 	attempts []*Attempt
 }
 
-// Attempt is a request that reached a nodo whole.
+// Attempt is a request that reached a server whole.
 type Attempt struct {
 	clientAttempt *ClientAttempt
 	Server        string
@@ -57,7 +57,7 @@
 	ended         bool   // no longer out: told, or its connection has ended
 	Made          uint64 // digest of the answer's body
 	Work          time.Duration
-	Spent         time.Duration // of work that the nodo did for it
+	Spent         time.Duration // of work that the server did for it
 }
 
 type attemptState int
@@ -76,5 +76,5 @@
 // Of is the try that an attempt belongs to.
 func (a *Attempt) Of() *ClientAttempt { return a.clientAttempt }
 
-// Served tells whether the nodo answered it 200.
+// Served tells whether the server answered it 200.
 func (a *Attempt) Served() bool { return a.state == stateServed }
--- a/internal/faultlab/referee/referee.go
+++ b/internal/faultlab/referee/referee.go
@@ -1,5 +1,5 @@
 // Package referee keeps the lab's own record of every request and attempt, and judges the rules of service by it. It
-// takes nothing from the proxies: what it knows comes from the clients, nodos and the list of the lab, and from what
+// takes nothing from the proxies: what it knows comes from the clients, servers and the list of the lab, and from what
 // the lab did to processes and links.
 //
 // Where the platform's pages leave room, a doubt is the proxy's: what was told counts from the moment that its last
@@ -29,7 +29,7 @@
 	Window time.Duration
 }
 
-// Terms are the figures of the rules.
+// Terms are the metrics of the rules.
 type Terms struct {
 	Classes      []Class
 	MaxAttempts  int
@@ -62,7 +62,7 @@
 	Text    string    `json:"text"`
 }
 
-// told is what a proxy has been told of a nodo.
+// told is what a proxy has been told of a server.
 type notification struct {
 	serving bool
 	since   int64 // ms
@@ -84,7 +84,7 @@
 
 type span struct{ from, to time.Time }
 
-// nodo is what the referee knows of one.
+// server is what the referee knows of one.
 type server struct {
 	zone    string
 	cell    int
@@ -94,7 +94,7 @@
 	listed  []listing // by the list, in order
 }
 
-// listing is what the list has said of a nodo since a moment.
+// listing is what the list has said of a server since a moment.
 type listing struct {
 	serving bool
 	since   int64
@@ -130,7 +130,7 @@
 	ListCalls   int `json:"list_calls"`   // by the proxies
 	WatchBreaks int `json:"watch_breaks"` // watches that came too late to continue the last
 	Resent      int `json:"resent"`       // requests sent once more since their connection was closed unread
-	Tipped      int `json:"tipped"`       // nodos that fell over
+	Tipped      int `json:"tipped"`       // servers that fell over
 	Crashed     int `json:"crashed"`      // proxies that ended without having been told to
 	Late        int `json:"late"`         // answers after their time, up to 500 ms
 	Rejected    int `json:"turned_back"`  // requests whose new connection was closed unheard
@@ -156,7 +156,7 @@
 	}
 }
 
-// Send notes a try that is about to be written to a proxy, or to none; from now on it may reach nodos.
+// Send notes a try that is about to be written to a proxy, or to none; from now on it may reach servers.
 func (r *Referee) Send(t *ClientAttempt, proxy string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -202,7 +202,7 @@
 	return t.End
 }
 
-// judgeServed holds an answer 200 to what nodos made for that request.
+// judgeServed holds an answer 200 to what servers made for that request.
 func (r *Referee) checkServed(t *ClientAttempt, at time.Time, made uint64) {
 	for _, a := range t.attempts {
 		if a.state == stateServed && a.Made == made {
@@ -333,7 +333,7 @@
 	Attempts        []*Attempt
 	Broken          map[string]int
 	Violations      []Violation // the first of each rule
-	Connects        []time.Time // of each connection to a nodo
+	Connects        []time.Time // of each connection to a server
 	UnansweredSends []UnansweredSend
 	Tally           Tally
 }
@@ -346,10 +346,10 @@
 	return Record{r.order, r.attempts, r.counts, r.first, r.connects, r.unansweredSends, r.tally}
 }
 
-// Rude is the rule that a client which sends no proper request is owed an error or a close.
+// Misbehaving is the rule that a client which sends no proper request is owed an error or a close.
 const Misbehaving = "rude"
 
-// Rude notes a client that got neither in its time.
+// Misbehaved notes a client that got neither in its time.
 func (r *Referee) Misbehaved(proxy string, from, to time.Time, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultlab/referee/referee_test.go
+++ b/internal/faultlab/referee/referee_test.go
@@ -11,7 +11,7 @@
 
 func at(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 
-// newGame is a referee with a try of a class, and nodos a1 and a2 in zone a, b1 in zone b.
+// newGame is a referee with a try of a class, and servers a1 and a2 in zone a, b1 in zone b.
 func newGame(class Class, terms Terms) (*Referee, *ClientAttempt) {
 	terms.Classes = []Class{class}
 	if terms.MaxAttempts == 0 {
--- a/internal/faultlab/referee/nodos.go
+++ b/internal/faultlab/referee/servers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// State notes what a nodo is from now on, by the lab's hand: the truth, of which proxies are told late.
+// State notes what a server is from now on, by the lab's hand: the truth, of which proxies are told late.
 func (r *Referee) State(name, zone string, cell int, serving bool, since int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -17,7 +17,7 @@
 	n.zone, n.cell, n.serving, n.since, n.changed = zone, cell, serving, since, at
 }
 
-// Listed notes that the list says something of a nodo from now on, whether or not anybody has been told.
+// Listed notes that the list says something of a server from now on, whether or not anybody has been told.
 func (r *Referee) Listed(name string, serving bool, since int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// ListAway opens a time in which a proxy, or with no name every one, cannot reach the list. The function that it returns
+// ListUnavailable opens a time in which a proxy, or with no name every one, cannot reach the list. The function that it returns
 // ends it.
 func (r *Referee) ListUnavailable(proxy string, at time.Time) (end func(time.Time)) {
 	r.mu.Lock()
@@ -67,7 +67,7 @@
 	return told
 }
 
-// overdue is the newest change of a nodo that counts as told to a proxy so long before a moment that sends had to stop by
+// overdue is the newest change of a server that counts as told to a proxy so long before a moment that sends had to stop by
 // then; false if there is none, or what the proxy knows is newer.
 func (r *Referee) overdue(proxy string, n *server, knows, sent time.Time) (newest listing, late time.Duration, ok bool) {
 	if n == nil {
@@ -133,7 +133,7 @@
 	return r.proxy(name).starts
 }
 
-// Asks notes a proxy's call to the list; Told and CallFailed note how it ended.
+// RecordPoll notes a proxy's call to the list; Told and CallFailed note how it ended.
 func (r *Referee) RecordPoll(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,14 +141,14 @@
 	r.proxy(name).asking++
 }
 
-// News is what an answer of the list tells a proxy.
+// ListUpdate is what an answer of the list tells a proxy.
 type ListUpdate struct {
 	Entries  []Entry
 	Snapshot bool  // what is missing is gone
 	Order    int64 // in which the list composed its answers, from 1; 0: not known
 }
 
-// Told notes that an answer of the list goes whole to a proxy's socket. One that was composed before another which has been
+// Notified notes that an answer of the list goes whole to a proxy's socket. One that was composed before another which has been
 // told is not news: the proxy has given that call up.
 func (r *Referee) Notified(name string, news ListUpdate, at time.Time) {
 	r.mu.Lock()
@@ -189,14 +189,14 @@
 	p.asking, p.polled, p.failed = max(0, p.asking-1), at, failed
 }
 
-// Connected notes a connection that a nodo took.
+// Connected notes a connection that a server took.
 func (r *Referee) Connected(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.connects = append(r.connects, at)
 }
 
-// Knock is what a proxy sent towards a nodo into silence, so that the nodo saw nothing of it.
+// UnansweredSend is what a proxy sent towards a server into silence, so that the server saw nothing of it.
 type UnansweredSend struct {
 	At       time.Time
 	Proxy    string // empty where proxies share their links
@@ -206,7 +206,7 @@
 	Dial     bool // a connection that does not come up; else bytes on one that had
 }
 
-// Knocked notes a knock.
+// RecordUnansweredSend notes an unanswered send.
 func (r *Referee) RecordUnansweredSend(k UnansweredSend) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -215,7 +215,7 @@
 	}
 }
 
-// Arrival is what a nodo sees of a request.
+// Arrival is what a server sees of a request.
 type Arrival struct {
 	Server, ID        string
 	First, Last       time.Time
@@ -223,7 +223,7 @@
 	Body              uint64 // digest
 }
 
-// Begin notes an attempt that reached a nodo whole, and judges it. It is nil if no client sent that id: the nodo
+// Begin notes an attempt that reached a server whole, and judges it. It is nil if no client sent that id: the server
 // answers 400.
 func (r *Referee) Begin(a Arrival) *Attempt {
 	r.mu.Lock()
@@ -316,7 +316,7 @@
 	}
 }
 
-// Serve notes that a nodo has made an answer 200; Told follows once it is written to the proxy.
+// Serve notes that a server has made an answer 200; Told follows once it is written to the proxy.
 func (r *Referee) Serve(a *Attempt, made uint64, spent time.Duration) {
 	r.end(a, stateServed, spent)
 	r.mu.Lock()
@@ -324,7 +324,7 @@
 	a.Made = made
 }
 
-// Err notes that a nodo answered with an error; Turn that it turned the attempt away unbegun; Drop that its caller went.
+// Err notes that a server answered with an error; Turn that it turned the attempt away unbegun; Drop that its caller went.
 func (r *Referee) Err(a *Attempt, spent time.Duration)  { r.end(a, stateError, spent) }
 func (r *Referee) Turn(a *Attempt)                      { r.end(a, stateRejected, 0) }
 func (r *Referee) Drop(a *Attempt, spent time.Duration) { r.end(a, stateDropped, spent) }
@@ -352,7 +352,7 @@
 	a.notified, a.ended = true, true
 }
 
-// Tipped notes that a cold nodo fell over, with the work that came to it in the window, by proxy.
+// Tipped notes that a warming server fell over, with the work that came to it in the window, by proxy.
 func (r *Referee) Tipped(name string, since int64, work map[string]time.Duration, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultlab/report/text.go
+++ b/internal/faultlab/report/text.go
@@ -16,7 +16,7 @@
 
 const violationsShown = 10
 
-// Text prints a run's figures, faults and verdicts.
+// Text prints a run's metrics, faults and verdicts.
 func Text(w io.Writer, r *result.Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s (%s, version %s)\n", r.Title, r.File, r.Version)
@@ -90,7 +90,7 @@
 	return fmt.Sprintf("%.4g", v)
 }
 
-// Compare prints the figures of two runs with their differences. A difference lies within the spread if the ranges of
+// Compare prints the metrics of two runs with their differences. A difference lies within the spread if the ranges of
 // the two runs' plays overlap; single plays have no spread, and are said to have none.
 func Compare(w io.Writer, a, b *result.Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/internal/faultlab/result/avoid_test.go
+++ b/internal/faultlab/result/avoid_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Two nodos do a second of work a second each. One is gone for the 10 s after second 10, so of 1.5 s of work a second the
+// Two servers do a second of work a second each. One is gone for the 10 s after second 10, so of 1.5 s of work a second the
 // room left bears two thirds; the requests that earn most for their work go first.
 func TestRoomWorth(t *testing.T) {
 	group := experiment.ServerGroup{Count: 2, Speed: 1, Slots: 1}
--- a/internal/faultlab/result/configs.go
+++ b/internal/faultlab/result/configs.go
@@ -21,7 +21,7 @@
 // inForceWithin is what operators want: a change in force everywhere.
 const inForceWithin = 9 * time.Second
 
-// configs are the figures of the configurations that were put in a phase.
+// configs are the metrics of the configurations that were put in a phase.
 func (c *Control) configs(phase string, from, to int64, put func(string, float64)) {
 	follow := map[string][][]Told{}
 	for _, x := range c.Hollow {
--- a/internal/faultlab/result/control.go
+++ b/internal/faultlab/result/control.go
@@ -47,7 +47,7 @@
 // Told is a version of the list, and when a proxy had it: nanoseconds of the machine's clock.
 type Told = hollow.Step
 
-// Control is what a play's figures of control are made of.
+// Control is what a play's metrics of control are made of.
 type Control struct {
 	Phases []PhaseReading
 	Hollow []hollow.Figures
@@ -111,7 +111,7 @@
 	return f
 }
 
-// factors are what a real proxy's figures are of a hollow one's, where both are told: the calibration.
+// factors are what a real proxy's metrics are of a hollow one's, where both are told: the calibration.
 func factors(phase string, f map[string]float64, put func(string, float64)) {
 	at := "control." + phase + "."
 	for factor, pair := range map[string][2]string{"calls": {"real.calls_s", "proxy.calls_s"}, "in": {"real.in_b_s", "proxy.in_b_s"},
@@ -125,7 +125,7 @@
 	}
 }
 
-// spent are the figures of one phase's two readings.
+// spent are the metrics of one phase's two readings.
 func spent(e *experiment.Experiment, phase string, r PhaseReading, put func(string, float64)) {
 	seconds := r.After.At.Sub(r.Before.At).Seconds()
 	borne := map[string]int{"proxy": e.Hollow.Proxies, "real": len(e.ProxyNodes()), "nodo": e.Hollow.Servers}
@@ -156,7 +156,7 @@
 	}
 }
 
-// gossip are the figures of a fleet's members in one phase, a member each.
+// gossip are the metrics of a fleet's members in one phase, a member each.
 func gossip(name string, before, after []*hollow.FleetFigures, seconds float64, put func(string, float64)) {
 	var in, out, sent, waiting, entries, dropped, oldest, n float64
 	least := math.Inf(1)
@@ -218,8 +218,8 @@
 	return n
 }
 
-// buried is how late each proxy had each nodo that died out of its list, in ms, sorted; never counts those that did not: the
-// nodo was back before its lease had ended, or its zone is held.
+// buried is how late each proxy had each server that died out of its list, in ms, sorted; never counts those that did not: the
+// server was back before its lease had ended, or its zone is held.
 func buried(deaths []hollow.Death, lost [][]hollow.Death) (late []float64, never int) {
 	for _, of := range lost {
 		for _, d := range deaths {
--- a/internal/faultlab/result/control_test.go
+++ b/internal/faultlab/result/control_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// A death counts from its moment to the proxy's next loss of that nodo; one that never came is counted apart.
+// A death counts from its moment to the proxy's next loss of that server; one that never came is counted apart.
 func TestBuried(t *testing.T) {
 	const ms = int64(1e6)
 	deaths := []hollow.Death{{Name: "a", At: 100 * ms}, {Name: "b", At: 200 * ms}}
--- a/internal/faultlab/result/figures.go
+++ b/internal/faultlab/result/figures.go
@@ -21,10 +21,10 @@
 	beforeSpan   = 5.0           // seconds before a fault that say what service was
 	backPart     = 0.95          // of it, to be back
 	maxLatency   = 3_600_000_000 // µs
-	latencyExact = 3             // figures
+	latencyExact = 3             // metrics
 )
 
-// Input is what the figures of a play are made of.
+// Input is what the metrics of a play are made of.
 type Input struct {
 	Exp    *experiment.Experiment
 	Plan   *plan.Plan
@@ -51,7 +51,7 @@
 type List struct {
 	Checked int             // calls in its history
 	Told    []time.Duration // from a change's being confirmed to its being told, sorted
-	Lacks   int             // living nodos that the list lacked, at most
+	Lacks   int             // living servers that the list lacked, at most
 	Refused int             // starts refused for a damaged directory
 }
 
@@ -99,7 +99,7 @@
 	return out
 }
 
-// spanFigure is one of the figures that can be asked of a span of arrivals and of a class (-1 for all).
+// spanFigure is one of the metrics that can be asked of a span of arrivals and of a class (-1 for all).
 func spanFigure(e *experiment.Experiment, cs []client, name string, class int, from, to float64) float64 {
 	all, part := 0.0, 0.0
 	for _, c := range cs {
@@ -141,7 +141,7 @@
 	return part / all
 }
 
-// Fill computes a play's figures.
+// Fill computes a play's metrics.
 func (p *Play) Fill(in Input) {
 	e, cs := in.Exp, in.clients()
 	f := map[string]float64{}
--- a/internal/faultlab/result/room.go
+++ b/internal/faultlab/result/headroom.go
@@ -16,13 +16,13 @@
 	headroomStep = 0.1
 )
 
-// hit is a span in which a nodo does a part of its work, and how long it is cold afterwards.
+// hit is a span in which a server does a part of its work, and how long it is cold afterwards.
 type hit struct {
 	from, to, part float64
 	warming        bool
 }
 
-// hits are what the faults of a plan do to each nodo's room.
+// hits are what the faults of a plan do to each server's room.
 func (in *Input) hits() map[string][]hit {
 	out := map[string][]hit{}
 	for _, s := range in.Plan.Strikes {
@@ -59,7 +59,7 @@
 	return out
 }
 
-// partOf is a nodo's part of its whole room at a moment.
+// partOf is a server's part of its whole room at a moment.
 func partOf(hits []hit, at float64, n experiment.Servers) float64 {
 	part := 1.0
 	for _, h := range hits {
@@ -75,7 +75,7 @@
 	return part
 }
 
-// room is the work, in seconds of a slot of speed 1, that the nodos of some zones can do in a span.
+// room is the work, in seconds of a slot of speed 1, that the servers of some zones can do in a span.
 func (in *Input) headroom(from, to float64, zone func(string) bool) (work float64) {
 	hits := in.hits()
 	for _, n := range in.Exp.ServerNodes() {
--- a/internal/faultlab/result/aim.go
+++ b/internal/faultlab/result/objective.go
@@ -15,7 +15,7 @@
 	part  func(call) bool // all calls of its target, the callers' own zone included where that is lost with it
 }
 
-// call is an attempt, or a knock: what a proxy sent towards a nodo.
+// call is an attempt, or an unanswered send: what a proxy sent towards a server.
 type call struct {
 	at              float64 // seconds of the load
 	proxy, server   string
@@ -23,7 +23,7 @@
 	served, arrived bool
 }
 
-// callsOf are all calls in order. Bytes that were held over a cut and came to the nodo after it count once.
+// callsOf are all calls in order. Bytes that were held over a cut and came to the server after it count once.
 func (in *Input) callsOf() []call {
 	zoneOf := map[string]string{}
 	for _, n := range in.Exp.ProxyNodes() {
--- a/internal/faultlab/result/result.go
+++ b/internal/faultlab/result/result.go
@@ -54,7 +54,7 @@
 	Events     []Event              `json:"events"`
 	Windows    []Window             `json:"windows"`
 	Latency    map[string][]float64 `json:"latency_ms"` // at Percentiles, by class
-	Attempts   map[string][]int     `json:"attempts"`   // of each zone's proxies, by the zone of the nodo
+	Attempts   map[string][]int     `json:"attempts"`   // of each zone's proxies, by the zone of the server
 	Zones      []string             `json:"zones"`
 	Spans      []float64            `json:"spans"` // figure of each expectation
 }
@@ -91,7 +91,7 @@
 	Served   int     `json:"served"`
 	Rejected int     `json:"refused"`
 	Failed   int     `json:"failed"`
-	Connects int     `json:"connects"` // to nodos
+	Connects int     `json:"connects"` // to servers
 }
 
 // Range is a figure over the plays.
@@ -113,7 +113,7 @@
 	Text   string   `json:"text,omitempty"` // of the plays that did not hold it
 }
 
-// rangeOf sums figures up. Figures that a play lacks are left out.
+// rangeOf sums metrics up. Figures that a play lacks are left out.
 func rangeOf(vs []float64) Range {
 	vs = slices.DeleteFunc(slices.Clone(vs), math.IsNaN)
 	if len(vs) == 0 {
@@ -189,7 +189,7 @@
 	return why
 }
 
-// Names are the figures' names in order: broken rules last.
+// Names are the metrics' names in order: broken rules last.
 func (r *Result) Names() []string {
 	var names []string
 	for name := range r.Metrics {
--- a/internal/faultlab/run/block.go
+++ b/internal/faultlab/run/block.go
@@ -61,7 +61,7 @@
 func (b *block) gossip(n, process int) string { return b.addr(gossipOct, n, gossipPort+process) }
 func (b *block) relay(n int) string           { return b.addr(listOctet, n, relayPort) }
 
-// The list service: member n's own address, that under which member from finds member to, a zone's nodos find one, and
+// The list service: member n's own address, that under which member from finds member to, a zone's servers find one, and
 // a proxy does.
 const (
 	pairsFrom  = 10 // of the addresses below rosterIP
@@ -83,8 +83,8 @@
 	return b.addr(listOctet, proxy, listPort+1+member)
 }
 
-// Where the hollow proxies and nodos of a zone find a member, where a process of them is told what to do, where hollow proxy
-// n speaks to its fleet, and where hollow nodos are said to be.
+// Where the hollow proxies and servers of a zone find a member, where a process of them is told what to do, where hollow proxy
+// n speaks to its fleet, and where hollow servers are said to be.
 func (b *block) hollowList(zone, to int) string {
 	return b.addr(registryIP, nearFrom+zone*maxPerKind+to, listPort+1)
 }
--- a/internal/faultlab/run/lies.go
+++ b/internal/faultlab/run/byzantine.go
@@ -13,7 +13,7 @@
 
 const firstByzantine = 400 // of the ordinals: above those of proxies
 
-// lie has liars join the gossip for a fault's time, one in each zone in turn.
+// lie has byzantine members join the gossip for a fault's time, one in each zone in turn.
 func (t *timeline) lie(ctx context.Context, s plan.Strike) error {
 	if !t.exp.Cluster.On {
 		return nil
@@ -44,7 +44,7 @@
 	return errors.Join(errs...)
 }
 
-// join has one liar join, behind a relay of its own.
+// join has one byzantine member join, behind a relay of its own.
 func (t *timeline) join(node experiment.Node, victims func() []byzantine.Target) (*byzantine.Member, error) {
 	t.mu.Lock()
 	n := firstByzantine + t.liars
--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -27,7 +27,7 @@
 	killAfter      = 3 * time.Second        // SIGKILL follows SIGTERM by the longest deadline, or this if it is longer
 	killLeeway     = 700 * time.Millisecond
 	successorWait  = 6 * time.Second // for a successor's yes
-	drainTime      = 2 * time.Second // from a nodo's draining to its end
+	drainTime      = 2 * time.Second // from a server's draining to its end
 	tornBefore     = 5 * time.Second // a power loss may take what was written so long before it
 	readyzPoll     = 50 * time.Millisecond
 	reopenPatience = 20 * time.Second // for a proxy that was started again to be admitted
@@ -36,7 +36,7 @@
 	maxServerName  = 64
 )
 
-// fleet is all that a play runs: it owns the processes, nodos, list and links, and carries faults out.
+// fleet is all that a play runs: it owns the processes, servers, list and links, and carries faults out.
 type fleet struct {
 	exp      *experiment.Experiment
 	plan     *plan.Plan
@@ -55,7 +55,7 @@
 	logs     string
 
 	self     []string         // a hollow process's program
-	hollow   []*hollowProcess // of proxies, then of nodos
+	hollow   []*hollowProcess // of proxies, then of servers
 	hollowOf map[string]*hollowProcess
 	configs  configs
 
@@ -64,7 +64,7 @@
 
 	mu       sync.Mutex
 	servers  map[string]*server
-	addrs    map[string]string              // of each group and nodo
+	addrs    map[string]string              // of each group and server
 	speakers map[netip.Addr]experiment.Node // of the gossip, by their own addresses
 	links    int
 	liars    int
@@ -72,7 +72,7 @@
 	faults   []error
 }
 
-// group names the proxies that share their links to nodos.
+// group names the proxies that share their links to servers.
 func (f *fleet) group(node experiment.Node) string {
 	if f.exp.SharedLinks() {
 		return groupOfZone + node.Zone
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -30,7 +30,7 @@
 	hollowSeeds = 3 // of its fleet that a hollow proxy is told in each region
 )
 
-// hollowProcess is a process of hollow proxies or nodos.
+// hollowProcess is a process of hollow proxies or servers.
 type hollowProcess struct {
 	cfg  hollow.Config
 	path string
@@ -168,7 +168,7 @@
 	return errors.Join(errs...)
 }
 
-// startHollow starts all hollow processes, nodos' first, and waits until each has what it follows. One that ends by itself
+// startHollow starts all hollow processes, servers' first, and waits until each has what it follows. One that ends by itself
 // ends the run.
 func (f *fleet) startHollow(ctx context.Context, fail context.CancelCauseFunc) error {
 	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(f.exp.Lab.ReadyWait))
@@ -260,7 +260,7 @@
 	return out, err
 }
 
-// hollowNodos has hollow nodos do what a fault says, each at its turn.
+// hollowNodos has hollow servers do what a fault says, each at its turn.
 func (t *timeline) strikeHollowServers(ctx context.Context, s plan.Strike) error {
 	act, _ := strings.CutPrefix(s.Fault.Kind, "hollow_")
 	orders := map[*hollowProcess]*hollow.Order{}
--- a/internal/faultlab/run/lists.go
+++ b/internal/faultlab/run/lists.go
@@ -40,7 +40,7 @@
 	return err
 }
 
-// startService starts the list service and has all nodos register.
+// startService starts the list service and has all servers register.
 func (f *fleet) startService(ctx context.Context) error {
 	if f.service == nil {
 		return nil
@@ -69,7 +69,7 @@
 	return service.Server{Name: e.Name, Zone: e.Zone, Type: e.Type, Group: e.Group, Since: e.Since}
 }
 
-// change tells the list what a nodo is now. A nodo that dies tells nobody: its lease ends.
+// change tells the list what a server is now. A server that dies tells nobody: its lease ends.
 func (f *fleet) change(e catalog.Entry) {
 	if f.service == nil {
 		f.list.Change(e)
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -21,7 +21,7 @@
 
 const meterEvery = 500 * time.Millisecond
 
-// meter reads what control costs: bytes at the links, CPU and memory at the kernel, and the members' own figures. One
+// meter reads what control costs: bytes at the links, CPU and memory at the kernel, and the members' own metrics. One
 // goroutine looks at it all the time, since what members use ends with them and who leads changes.
 type meter struct {
 	*fleet
--- a/internal/faultlab/run/need.go
+++ b/internal/faultlab/run/need.go
@@ -19,9 +19,9 @@
 	memberBytes  = 400 << 20
 	hollowBytes  = 40 << 20 // of a hollow process with nothing in it
 	hollowEach   = 500 << 10
-	hollowListed = 900       // a hollow proxy keeps so much of each listed nodo
+	hollowListed = 900       // a hollow proxy keeps so much of each listed server
 	labEach      = 100 << 10 // the lab for each connection that it passes on
-	labListed    = 450       // and of each listed nodo, for each proxy that is sent the whole list
+	labListed    = 450       // and of each listed server, for each proxy that is sent the whole list
 	nodoEach     = 150 << 10
 	memberEach   = 60 << 10 // a member for each caller
 	fleetEach    = 600 << 10
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -1,7 +1,7 @@
 // Package run plays an experiment: it builds the fleet, starts the proxies as real processes, plays the load, carries
 // the faults out, and hands what the referee recorded on to be reckoned up.
 //
-// Arrows go one way: run uses load, nodo, catalog, link, process and referee; none of them knows of run, and of each
+// Arrows go one way: run uses load, server, catalog, link, process and referee; none of them knows of run, and of each
 // other they know no more than links and the referee. One goroutine owns each thing: the load its arrivals, the
 // timeline each fault, the catalog its list, a link's connection its two directions, the starter all processes.
 package run
@@ -29,7 +29,7 @@
 // Options are what a run needs beside its experiment.
 type Options struct {
 	Command  []string // a proxy
-	Hollow   []string // a process of hollow proxies or nodos, but for its file; needed if the experiment has any
+	Hollow   []string // a process of hollow proxies or servers, but for its file; needed if the experiment has any
 	Registry []string // a member of the list service; needed if the experiment has any
 	Out      string   // directory for the proxies' logs
 	Log      *slog.Logger
--- a/internal/faultlab/run/run_test.go
+++ b/internal/faultlab/run/run_test.go
@@ -15,7 +15,7 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// One zone, a nodo that drains and one that returns cold: what a plain proxy serves without breaking a rule.
+// One zone, a server that drains and one that returns cold: what a plain proxy serves without breaking a rule.
 const judged = `
 seconds = 5
 warmup = 0
@@ -96,7 +96,7 @@
 			for rule := range p.Broken {
 				broken = append(broken, rule)
 			}
-			if test.wrong == "mixed" { // what it answers is no nodo's either
+			if test.wrong == "mixed" { // what it answers is no server's either
 				broken = slices.DeleteFunc(broken, func(rule string) bool { return rule == "garbled" })
 			}
 			if want := test.rule; want == "" && len(broken) > 0 || want != "" && !slices.Equal(broken, []string{want}) {
@@ -163,7 +163,7 @@
 `
 
 // BenchmarkCalibration holds the whole lab, from the planned arrival to the figure in the result, to arithmetic: arrivals
-// by chance at a nodo of two slots with a fixed time of service, three quarters busy, through a proxy that adds next to
+// by chance at a server of two slots with a fixed time of service, three quarters busy, through a proxy that adds next to
 // nothing, against the times that the queue's recursion gives for these very arrivals. It reports measured percentiles
 // over computed ones: within 0.95 and 1.05 the lab is calibrated.
 func BenchmarkCalibration(b *testing.B) {
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -14,7 +14,7 @@
 	"merlinpick/internal/faultlab/stubserver"
 )
 
-// server is a nodo of the fleet, with what the list says of it.
+// server is a server of the fleet, with what the list says of it.
 type server struct {
 	*stubserver.Server
 	mu     sync.Mutex
@@ -25,17 +25,17 @@
 	refuse func() error // ends the refusal of connections, if its process is down and its machine is not
 }
 
-// address is where a proxy finds a nodo.
+// address is where a proxy finds a server.
 func (f *fleet) address(proxy, name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.addrs[f.group(f.members[proxy].node)+"/"+name]
 }
 
-// Job and Fell make the fleet the nodos' world.
+// Job and Fell make the fleet the servers' world.
 func (f *fleet) Job(id string) (stubserver.Job, bool) { return f.client.Job(id) }
 
-// Fell takes a nodo down for good.
+// Fell takes a server down for good.
 func (f *fleet) Fell(name string) {
 	f.log.Warn("a cold nodo fell over", "nodo", name)
 	f.note(f.down(f.server(name)))
@@ -47,7 +47,7 @@
 	return f.servers[name]
 }
 
-// serversOf are the nodos of a zone.
+// serversOf are the servers of a zone.
 func (f *fleet) serversOf(zone string) (out []*server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,13 +60,13 @@
 	return out
 }
 
-// zoneCells is how many cells the nodos of a zone make up.
+// zoneCells is how many cells the servers of a zone make up.
 const zoneCells = 4
 
-// cellOf is the cell of a nodo by its zone and its own number. Numbers of cells are unique within a tier, as on the platform.
+// cellOf is the cell of a server by its zone and its own number. Numbers of cells are unique within a tier, as on the platform.
 func cellOf(zone, number int) int { return zone*zoneCells + number%zoneCells }
 
-// addServer makes a nodo with a link from each group of proxies, and starts it.
+// addServer makes a server with a link from each group of proxies, and starts it.
 func (f *fleet) addServer(n experiment.Node, cell int, at time.Time, cold bool) (*server, error) {
 	if len(n.Name) > maxServerName {
 		return nil, fmt.Errorf("nodo %s: replaced too often", n.Name)
@@ -109,7 +109,7 @@
 	return s, nil
 }
 
-// begin starts a nodo's process; a zero time is long ago.
+// begin starts a server's process; a zero time is long ago.
 func (f *fleet) begin(s *server, at time.Time, cold bool) {
 	s.Start(at, cold)
 	since := int64(0)
@@ -123,7 +123,7 @@
 	f.ref.State(s.node.Name, s.node.Zone, s.cell, true, since, at)
 }
 
-// tell tells the list what a nodo is now.
+// tell tells the list what a server is now.
 func (f *fleet) notify(s *server, status string) {
 	s.mu.Lock()
 	s.entry.Status = status
@@ -137,7 +137,7 @@
 	return func(e link.Ends) bool { return e.Kind == "nodo" && e.To == name }
 }
 
-// down ends a nodo's process: connections are reset, new ones refused, and the list hears of it.
+// down ends a server's process: connections are reset, new ones refused, and the list hears of it.
 func (f *fleet) down(s *server) error {
 	s.mu.Lock()
 	s.downs++
@@ -152,7 +152,7 @@
 	return err
 }
 
-// vanish ends a nodo's machine: its links are silent already.
+// vanish ends a server's machine: its links are silent already.
 func (f *fleet) vanish(s *server) {
 	s.mu.Lock()
 	s.downs++
@@ -161,7 +161,7 @@
 	f.notify(s, catalog.Deleted)
 }
 
-// up ends one of the faults that keep a nodo down; with the last its process starts again, cold.
+// up ends one of the faults that keep a server down; with the last its process starts again, cold.
 func (f *fleet) up(s *server) error {
 	s.mu.Lock()
 	s.downs--
--- a/internal/faultlab/run/standin_test.go
+++ b/internal/faultlab/run/standin_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// pick draws a nodo that serves; cold ones get a quarter of a warm one's part.
+// pick draws a server that serves; cold ones get a quarter of a warm one's part.
 func (s *standin) pick() (entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/faultlab/run/strike_nodos.go
+++ b/internal/faultlab/run/strike_servers.go
@@ -48,7 +48,7 @@
 	return fmt.Errorf("fault %d: no nodos' fault %q", s.N, f.Kind)
 }
 
-// drain has a nodo drain, end, and come back cold; or another, cold, take its place at once.
+// drain has a server drain, end, and come back cold; or another, cold, take its place at once.
 func (t *timeline) drain(ctx context.Context, s plan.Strike, turn plan.Turn, srv *server) error {
 	if s.Fault.Kind == "nodo_replace" {
 		next := srv.node
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -111,7 +111,7 @@
 	return out
 }
 
-// readdress has a list say where a proxy finds the nodos.
+// readdress has a list say where a proxy finds the servers.
 func (s *Service) readdress(proxy string, l *watch.Response) {
 	for i, e := range l.Endpoints {
 		if s.hollow(e.Name) {
--- a/internal/faultlab/service/report.go
+++ b/internal/faultlab/service/report.go
@@ -12,7 +12,7 @@
 type Report struct {
 	History linear.Verdict
 	Delays  []time.Duration // from a change's being confirmed to its being told, for each proxy that was told
-	Lacks   int             // living nodos that a read lacked, at most
+	Lacks   int             // living servers that a read lacked, at most
 	Refused int             // starts that a member refused for its directory
 	Ended   []string        // members that had ended by themselves at the end
 }
--- a/internal/faultlab/service/nodos.go
+++ b/internal/faultlab/service/servers.go
@@ -20,10 +20,10 @@
 	readWait    = 3 * time.Second
 	renewPart   = 3 // of a lease passes between two renewals
 	againAfter  = 100 * time.Millisecond
-	reader      = 0 // the reader's number in the history; nodos' are from 1 on
+	reader      = 0 // the reader's number in the history; servers' are from 1 on
 )
 
-// nodos is the registrations: one goroutine for each process of a nodo, which registers it, renews its lease, and says
+// servers is the registrations: one goroutine for each process of a server, which registers it, renews its lease, and says
 // once that it drains or goes.
 type servers struct {
 	s    *Service
@@ -35,10 +35,10 @@
 	alive map[string]*life
 	names map[string]bool // all that there ever were, for the reader
 	next  int
-	lacks int // of living nodos, the most that a read has lacked
+	lacks int // of living servers, the most that a read has lacked
 }
 
-// life is one process of a nodo.
+// life is one process of a server.
 type life struct {
 	ref   state.InstanceRef
 	rec   state.Record
@@ -59,14 +59,14 @@
 	n.all.Wait()
 }
 
-// Nodo is a nodo as the list is to have it.
+// Server is a server as the list is to have it.
 type Server struct {
 	Name, Zone, Type string
 	Group            int
 	Since            int64
 }
 
-// Begin has a process of a nodo register and renew until it drains and goes, or dies. The call that it gives waits until
+// Begin has a process of a server register and renew until it drains and goes, or dies. The call that it gives waits until
 // it is in the list.
 func (s *Service) Begin(e Server) (registered func(ctx context.Context) error) {
 	n := s.servers
@@ -91,10 +91,10 @@
 	}
 }
 
-// Drain has a nodo say that it drains; Die ends its process: one that has drained says that it goes, another is silent.
+// Drain has a server say that it drains; Die ends its process: one that has drained says that it goes, another is silent.
 func (s *Service) Drain(name string) { s.say(name, state.StatusDraining) }
 
-// Die ends a nodo's process.
+// Die ends a server's process.
 func (s *Service) Die(name string) { s.say(name, state.StatusDeleted) }
 
 func (s *Service) say(name, word string) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// living are the nodos that have to be in the list.
+// living are the servers that have to be in the list.
 func (n *servers) living() map[string]*life {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,7 +123,7 @@
 	return out
 }
 
-// lack notes how many nodos a read lacked that lived before and after it.
+// lack notes how many servers a read lacked that lived before and after it.
 func (n *servers) lack(before map[string]*life, values map[string]string) {
 	after, lacks := n.living(), 0
 	for name, l := range before {
@@ -136,7 +136,7 @@
 	n.lacks = max(n.lacks, lacks)
 }
 
-// live is the life of one process of a nodo.
+// live is the life of one process of a server.
 func (s *Service) live(ctx context.Context, l *life, registered func()) {
 	defer l.die()
 	client := s.near[l.rec.Zone]
--- a/internal/faultlab/service/service.go
+++ b/internal/faultlab/service/service.go
@@ -1,12 +1,12 @@
 // Package service is the list service under test: its members as real processes, the links between them, between them
-// and the nodos, and between them and the proxies, all over package link, so that each can be cut alone.
+// and the servers, and between them and the proxies, all over package link, so that each can be cut alone.
 //
-// Members find each other under addresses of the lab's, one for each pair and direction; so do the nodos of a zone, and
-// each proxy. What passes between members and from nodos goes through unread. A proxy's calls are read: its answers have
-// the nodos' addresses replaced by that proxy's own, as the published protocol allows, and the referee is told what the
+// Members find each other under addresses of the lab's, one for each pair and direction; so do the servers of a zone, and
+// each proxy. What passes between members and from servers goes through unread. A proxy's calls are read: its answers have
+// the servers' addresses replaced by that proxy's own, as the published protocol allows, and the referee is told what the
 // proxy is told.
 //
-// Beside them runs a reader that asks for current lists, and the nodos' registrations; both go into a history that is
+// Beside them runs a reader that asks for current lists, and the servers' registrations; both go into a history that is
 // checked at the end (package linear).
 package service
 
@@ -65,14 +65,14 @@
 	Starter *process.Starter
 	Log     *slog.Logger
 	Delay   func(from, to string) time.Duration
-	Address func(proxy, nodo string) string     // where a proxy finds a nodo
+	Address func(proxy, nodo string) string     // where a proxy finds a server
 	List    func(proxy, member int) string      // where it finds a member
 	Own     func(member, port int) string       // a member's own address
 	Between func(from, to, port int) string     // where a member finds another
-	Near    func(zone, member, port int) string // where a zone's nodos find a member
+	Near    func(zone, member, port int) string // where a zone's servers find a member
 
-	// Hollow tells the nodos by name that carry no calls; nil: none. Proxies are told that these drain. Then the members have
-	// figures too, and there is a look at the current list only each hollowReads.
+	// Hollow tells the servers by name that carry no calls; nil: none. Proxies are told that these drain. Then the members have
+	// metrics too, and there is a look at the current list only each hollowReads.
 	Hollow func(nodo string) bool
 }
 
@@ -103,7 +103,7 @@
 	members []*Member
 	http    *http.Client
 	history *linear.History
-	near    map[string]*registrar.Client // of each zone's nodos
+	near    map[string]*registrar.Client // of each zone's servers
 	servers *servers
 	delays  *delays
 
@@ -219,7 +219,7 @@
 	return fmt.Errorf("the list service did not serve within %v; its logs are %s", readyWait, filepath.Join(s.cfg.Logs, "r*.log"))
 }
 
-// Run has the reader read until the context ends, and then ends nodos' calls.
+// Run has the reader read until the context ends, and then ends servers' calls.
 func (s *Service) Run(ctx context.Context) {
 	s.read(ctx)
 	s.servers.close()
--- a/internal/faultlab/service/watch.go
+++ b/internal/faultlab/service/watch.go
@@ -11,7 +11,7 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-// Standing is how a member stands, by its own figures and the kernel's.
+// Standing is how a member stands, by its own metrics and the kernel's.
 type Standing struct {
 	PID      int // of the process that it is now
 	CPU      time.Duration
@@ -23,7 +23,7 @@
 	Overdue  float64 // leases that are over and held
 }
 
-// Standing asks a member for its figures.
+// Standing asks a member for its metrics.
 func (s *Service) Standing(m *Member) (out Standing) {
 	m.mu.Lock()
 	proc := m.proc
--- a/internal/faultlab/soak/soak.go
+++ b/internal/faultlab/soak/soak.go
@@ -1,5 +1,5 @@
 // Package soak draws whole experiments from a seed: fleets of some size, and troubles of any kinds that overlap in twos and
-// threes. What a run is judged by is not its figures but its rules: the referee's, those that the proxies themselves saw
+// threes. What a run is judged by is not its metrics but its rules: the referee's, those that the proxies themselves saw
 // broken, and what their logs show of a crash.
 package soak
 
@@ -29,7 +29,7 @@
 	manyMost   = 13   // to
 )
 
-// trouble is a kind of fault with how its figures are drawn.
+// trouble is a kind of fault with how its metrics are drawn.
 type fault struct {
 	kind  string
 	keys  func(r *rand.Rand) string
--- a/internal/faultlab/stubserver/slots.go
+++ b/internal/faultlab/stubserver/slots.go
@@ -13,14 +13,14 @@
 type job struct {
 	work      time.Duration
 	came      time.Time
-	start     chan bool // true: begins; false: the nodo has ended
+	start     chan bool // true: begins; false: the server has ended
 	begun     time.Time
 	holdsSlot time.Duration // that its slot is held
 	gone      bool          // left the queue
 	until     time.Time     // its caller has given up by then
 }
 
-// admit gives a request a slot or a place in the queue, or turns it away. A cold nodo that is sent too much falls
+// admit gives a request a slot or a place in the queue, or turns it away. A warming server that is sent too much falls
 // over: then it tells what came, by proxy.
 func (n *Server) admit(work time.Duration, proxy string, over bool, life int, until time.Time) (j *job, turned bool,
 	fell map[string]time.Duration) {
@@ -46,7 +46,7 @@
 	return j, false, nil
 }
 
-// tip counts work that comes to a cold nodo, and tells whether the last window was more than it can stand: the
+// tip counts work that comes to a warming server, and tells whether the last window was more than it can stand: the
 // multiple of what it could have done in that time, with room for one request more than that.
 func (n *Server) overload(now time.Time, work time.Duration, proxy string) map[string]time.Duration {
 	if !n.slowStart || now.Sub(n.since) > n.spec.SlowStart+n.spec.Fall {
--- a/internal/faultlab/stubserver/stubserver.go
+++ b/internal/faultlab/stubserver/stubserver.go
@@ -13,7 +13,7 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// Spec is what a nodo is.
+// Spec is what a server is.
 type Spec struct {
 	Name  string
 	Zone  string
@@ -41,14 +41,14 @@
 	Proxy  string
 }
 
-// World is what a nodo asks of the rest of the lab.
+// World is what a server asks of the rest of the lab.
 type World interface {
 	Job(id string) (Job, bool)
-	// Fell tells that the nodo has fallen over, and stays down until it is started again.
+	// Fell tells that the server has fallen over, and stays down until it is started again.
 	Fell(name string)
 }
 
-// Nodo is one nodo. Its connections come from links; the lab starts, stops and hampers it.
+// Server is one server. Its connections come from links; the lab starts, stops and hampers it.
 type Server struct {
 	spec  Spec
 	world World
@@ -69,7 +69,7 @@
 	rng         *rand.Rand
 }
 
-// New is a nodo that is not up yet.
+// New is a server that is not up yet.
 func New(spec Spec, world World, ref *referee.Referee) *Server {
 	return &Server{spec: spec, world: world, ref: ref, now: Hamper{Slow: 1}, hampers: map[*Hamper]struct{}{}, rng: rand.New(rand.NewPCG(spec.Seed, 7))}
 }
@@ -98,7 +98,7 @@
 // Drain has it turn new requests away and finish what it has.
 func (n *Server) Drain(on bool) { n.with(func() { n.draining = on }) }
 
-// Hamper is what can be wrong with a nodo that is up.
+// Hamper is what can be wrong with a server that is up.
 type Hamper struct {
 	Slow   float64 // its work takes so many times as long; 0 is 1
 	Errors float64 // part of what it works on that gets 500
--- a/internal/faultlab/stubserver/stubserver_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -24,7 +24,7 @@
 func (w world) Job(string) (Job, bool) { return Job{Work: w.work, Answer: 10, Proxy: "p"}, true }
 func (w world) Fell(name string)       { w.fell <- name }
 
-// newNodo is a nodo behind a link, with its address and the referee of what comes.
+// newNodo is a server behind a link, with its address and the referee of what comes.
 func newNodo(t testing.TB, spec Spec, work time.Duration) (*Server, world, *referee.Referee, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	return resp.StatusCode, resp.Header.Get(wire.NotStarted) == "1"
 }
 
-// What a nodo says and does by the state that it is in. The work takes for ever where only its beginning counts.
+// What a server says and does by the state that it is in. The work takes for ever where only its beginning counts.
 func TestAnswers(t *testing.T) {
 	const forever = time.Hour
 	one := Spec{Slots: 1, Speed: 1, Queue: 1}
@@ -155,7 +155,7 @@
 	}
 }
 
-// The budget of a cold nodo: over it the nodo falls, under it it does not, and warm it stands anything.
+// The budget of a warming server: over it the server falls, under it it does not, and warm it stands anything.
 func TestTip(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
--- a/internal/faultlab/wire/wire.go
+++ b/internal/faultlab/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire holds what the lab's clients and nodos share of the platform's protocol: header names, and bodies that
+// Package wire holds what the lab's clients and servers share of the platform's protocol: header names, and bodies that
 // say by themselves who made them.
 package wire
 
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The whole test suite: formatting, vet, staticcheck, the size of the policy files, and the tests.
+# The whole test suite: gofmt, vet, staticcheck with all its checks, the size of the policy files, and the tests.
 set -eu
 cd "$(dirname "$0")"
 
@@ -11,12 +11,11 @@
   printf 'not formatted by gofmt:\n%s\n' "$unformatted"
   exit 1
 fi
-go vet ./... ./.ci/cost ./.ci/start ./.ci/knownfailures
-go tool staticcheck ./... ./.ci/cost ./.ci/start ./.ci/knownfailures
+go vet ./... ./.ci/cost ./.ci/start ./.ci/knownfailures ./.ci/minimalconfig
+go tool staticcheck -checks all ./... ./.ci/cost ./.ci/start ./.ci/knownfailures ./.ci/minimalconfig
 
-# The proxy and the adapter carry no library, since each one costs start time and memory. The proxy with the fleet carries
-# the fleet's alone: before one is added here .ci/cost compares the build with the one before. None of them has anything of
-# the lab, of the list service or of tests.
+# The proxy and the simulator adapter link no library, since each costs start time and memory. The cluster proxy links those of
+# the cluster alone: before one is added here, compare the builds with .ci/cost. None of them links the lab, the registry or tests.
 may_carry='
   github.com/hashicorp/memberlist
   github.com/fxamacker/cbor github.com/google/btree github.com/hashicorp/errwrap github.com/hashicorp/go-immutable-radix
@@ -25,7 +24,7 @@
   github.com/x448/float16 golang.org/x/net golang.org/x/sys
 '
 never='^merlinpick/(internal/(faultlab|registry)|cmd/(merlinpick-faultlab|merlinpick-registry))(/|$)|^testing$|^net/http/httptest$'
-# carries COMMAND MAY: the packages of libraries, but for those that match MAY, and of all that never may be, in a command.
+# carries COMMAND ALLOWED: libraries that a command links but for those that match ALLOWED, and packages that none may link.
 carries() { go list -deps "./cmd/$1" | grep -E "^[^/]+\.[^/]+/|$never" | grep -vE "$2" || true; }
 foreign=$(carries merlinpick-proxy '^$'; carries merlinpick-simadapter '^$'
   carries merlinpick-cluster-proxy "^($(echo $may_carry | sed 's/\./\\./g; s/ /|/g'))(/|\$)")
