--- a/cmd/merlinpick-simadapter/golden_test.go
+++ b/cmd/merlinpick-simadapter/golden_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A recorded dialogue of several instances (retries, rejections, timers, lists that change, withdrawn requests) is answered
-// in the same bytes. Only the words of log lines are free; TestActionsOnTheWire holds the form of such a line.
+// The recorded input of several instances (retries, rejections, timers, list updates, cancelled requests) has the same output,
+// byte for byte. Only the texts of log lines may differ; TestActionsOnTheWire tests the form of such a line.
 func TestGoldenTranscript(t *testing.T) {
 	input, err := os.ReadFile(filepath.Join("testdata", "transcript.in.jsonl"))
 	if err != nil {
--- a/cmd/merlinpick-simadapter/session_test.go
+++ b/cmd/merlinpick-simadapter/session_test.go
@@ -20,7 +20,7 @@
 	return fmt.Sprintf(`{"new_instance":{"who":%q,"salt":7,"options":%s}}`, who, testOptions)
 }
 
-func rosterLine(id int, servers ...string) string {
+func listLine(id int, servers ...string) string {
 	var e []string
 	for _, s := range servers {
 		e = append(e, fmt.Sprintf(`{"backend":%q,"dc":1,"flavor":0,"pack":0,"state":1,"power_hint":1.5,"launched_us":null}`, s))
@@ -32,12 +32,12 @@
 	return fmt.Sprintf("{\"mark\":{\"time_us\":%d}}\n%s\n{\"your_turn\":{}}\n", now, strings.Join(lines, "\n"))
 }
 
-func jobLine(who, ticket string) string {
+func requestLine(who, ticket string) string {
 	return fmt.Sprintf(`{"job_in":{"who":%q,"ticket":%q,"band":0,"owner":0,"affinity":null,`+
 		`"give_up_at_us":9000000,"weight_hint_us":null,"opts":0}}`, who, ticket)
 }
 
-// run plays the input and returns the reply's lines.
+// run processes the input and returns the lines of output.
 func run(t *testing.T, input string) ([]string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -65,9 +65,9 @@
 }
 
 func TestRequestFromListToFailure(t *testing.T) {
-	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, "backend-x"),
+	got := mustRun(t, batch(1, instanceLine("proxy_1"), listLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`)+
-		batch(2_000_000, jobLine("proxy_1", "00ff"))+
+		batch(2_000_000, requestLine("proxy_1", "00ff"))+
 		batch(2_500_000, `{"completed":{"who":"proxy_1","ticket":"00ff","go":0,"backend":"backend-x","verdict":504,`+
 			`"took_us":500000,"terminal":false,"server_stats":null}}`))
 	want := []string{`{"done":{}}`,
@@ -78,12 +78,12 @@
 	}
 }
 
-// A roster's number is used again within a batch: each list must be read as it stood in order of events.
+// The number of a list is used again within a batch: each update has the list as it was at that event.
 func TestListNumberReusedWithinBatch(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), instanceLine("proxy_2"),
-		rosterLine(3, "backend-one"), `{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":3}}`,
-		rosterLine(3, "backend-two"), `{"membership":{"who":"proxy_2","how":1,"seq_no":1,"roster_id":3}}`,
-		jobLine("proxy_1", "aa"), jobLine("proxy_2", "bb")))
+		listLine(3, "backend-one"), `{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":3}}`,
+		listLine(3, "backend-two"), `{"membership":{"who":"proxy_2","how":1,"seq_no":1,"roster_id":3}}`,
+		requestLine("proxy_1", "aa"), requestLine("proxy_2", "bb")))
 	all := strings.Join(got, "\n")
 	if !strings.Contains(all, `"ticket":"aa","timeout_us":500000,"backend":"backend-one"`) ||
 		!strings.Contains(all, `"ticket":"bb","timeout_us":500000,"backend":"backend-two"`) {
@@ -92,9 +92,9 @@
 }
 
 func TestRestartWithinBatchForgetsList(t *testing.T) {
-	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, "backend-x"),
+	got := mustRun(t, batch(1, instanceLine("proxy_1"), listLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`,
-		`{"power_off":{"who":"proxy_1"}}`, instanceLine("proxy_1"), jobLine("proxy_1", "aa"),
+		`{"power_off":{"who":"proxy_1"}}`, instanceLine("proxy_1"), requestLine("proxy_1", "aa"),
 		`{"withdrawn":{"who":"proxy_1","ticket":"never"}}`,
 		`{"tick_due":{"who":"proxy_1","nonce":"odd"}}`,
 		`{"probe_done":{"who":"proxy_1","backend":"backend-x","verdict":200,"took_us":1,"server_stats":null}}`,
@@ -110,11 +110,11 @@
 	for i := range 20_000 {
 		names = append(names, fmt.Sprintf("backend-%d", i))
 	}
-	if line := rosterLine(0, names...); len(line) < readBuffer {
+	if line := listLine(0, names...); len(line) < readBuffer {
 		t.Fatalf("the line has only %d bytes", len(line))
 	}
-	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, names...),
-		`{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":0}}`, jobLine("proxy_1", "aa")))
+	got := mustRun(t, batch(1, instanceLine("proxy_1"), listLine(0, names...),
+		`{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":0}}`, requestLine("proxy_1", "aa")))
 	if len(got) != 2 || !strings.Contains(got[0], `"place"`) {
 		t.Errorf("got %q", got)
 	}
@@ -127,7 +127,7 @@
 		{`{"greeting":{}}`, "line 2: unknown event"},
 		{`{}`, "line 2: unknown event"},
 		{`null`, "line 2: unknown event"},
-		{jobLine("proxy_9", "aa"), `line 2: job_in: unknown instance "proxy_9"`},
+		{requestLine("proxy_9", "aa"), `line 2: job_in: unknown instance "proxy_9"`},
 		{`{"job_in":{"ticket":"aa"}}`, "line 2: job_in: who is missing"},
 		{`{"membership":{"who":"proxy_1","how":1,"roster_id":4}}`, `line 2: membership: unknown instance`},
 		{instanceLine("proxy_1") + "\n" + `{"membership":{"who":"proxy_1","how":1,"roster_id":4}}`, "line 3: membership: roster_id"},
@@ -147,10 +147,10 @@
 		}
 	}
 	if _, err := run(t, instanceLine("p")); err == nil {
-		t.Error("an event before any mark is taken")
+		t.Error("an event before any mark is accepted")
 	}
 	if _, err := run(t, `{"mark":{"time_us":1}}`); err == nil {
-		t.Error("an end inside a batch is taken")
+		t.Error("an end inside a batch is accepted")
 	}
 }
 
@@ -181,13 +181,13 @@
 	}
 }
 
-// A key that does not reach the module cannot keep its order.
+// Requests of a class with ordering are executed one at a time for each key.
 func TestOrderingKeyReachesBalancer(t *testing.T) {
 	ordered := strings.Replace(instanceLine("proxy_1"), `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
 	keyed := func(ticket string) string {
-		return strings.Replace(jobLine("proxy_1", ticket), `"affinity":null`, `"affinity":"k:1"`, 1)
+		return strings.Replace(requestLine("proxy_1", ticket), `"affinity":null`, `"affinity":"k:1"`, 1)
 	}
-	got := mustRun(t, batch(1, ordered, rosterLine(0, "backend-x", "backend-y"),
+	got := mustRun(t, batch(1, ordered, listLine(0, "backend-x", "backend-y"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`)+
 		batch(2_000_000, keyed("aa"), keyed("bb")))
 	all := strings.Join(got, "\n")
--- a/internal/atomicfile/writer_test.go
+++ b/internal/atomicfile/writer_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// What could not be written is written once the disk takes it, though nothing new has come since.
+// A text whose write failed is written once the disk works, though nothing newer has come.
 func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	synctest.Test(t, func(t *testing.T) {
-		if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file where the folder is to be
+		if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file in place of the directory
 			t.Fatal(err)
 		}
 		k := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
@@ -34,7 +34,7 @@
 	})
 }
 
-// A newer text takes the place of one that could not be written.
+// A newer text replaces one whose write failed.
 func TestLatestTextIsWritten(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	synctest.Test(t, func(t *testing.T) {
@@ -59,8 +59,8 @@
 	})
 }
 
-// A process that dies between a file's writing and its renaming leaves the new one behind; the next start removes it, and
-// nothing of other names.
+// A process that ends between the write of a file and its rename leaves a temporary file; the next start removes it, and no
+// other file.
 func TestTemporaryFilesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"list.123.new", "list.9.new", "list", "other.1.new"} {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,` +
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-// from is an environment with a configuration of this text.
+// from returns an environment with a configuration of this text.
 func from(t *testing.T, text string, more map[string]string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -89,7 +89,7 @@
 	}
 }
 
-// A file that lacks what the one in force has may have been cut short; values may change, and the list go.
+// A file without a key of the previous one may have been truncated; values may change, and the endpoint list may go.
 func TestReloadRejectsMissingKeys(t *testing.T) {
 	former, err := Load(from(t, good, nil), nil)
 	if err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Whatever a file holds, it is read or its fault is a *ConfigError with a remedy.
+// Whatever a file contains, it is decoded or its fault is an *Error with a remedy.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
 	f.Add([]byte(`{"listen":"a:1","discovery":"a:2","seed":"1","settings":null,"fleet":null}`))
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// An agent that has the list pushed to it answers nothing while discovery is down, not even later the calls that it took then.
-// What it has when it is back counts as told at once: a client is to hear of it within the least grace for sends, 0.5 s.
+// A local agent answers nothing while it is down, nor later the calls that it accepted meanwhile. What it has when it is back
+// counts as known at once: a client has to receive it within the shortest drain grace, 0.5 s.
 func TestAgentIsHeardSoonAfterOutage(t *testing.T) {
 	const least = 500 * time.Millisecond
 	for _, deaf := range []time.Duration{700 * time.Millisecond, 1900 * time.Millisecond, 3 * time.Second, 5300 * time.Millisecond,
@@ -33,11 +33,11 @@
 				var heard time.Duration
 				for back := 2*time.Second + deaf; heard < back; {
 					<-c.Updates()
-					time.Sleep(20 * time.Millisecond) // of a watch that is answered at once
+					time.Sleep(20 * time.Millisecond) // a watch is answered at once
 					heard = time.Since(began)
 				}
 				if late := heard - 2*time.Second - deaf; late > least {
-					t.Errorf("heard of %v after it is back", late)
+					t.Errorf("received %v after it was back", late)
 				}
 				stop()
 				synctest.Wait()
@@ -46,7 +46,7 @@
 	}
 }
 
-// An agent that takes long for an answer is waited for all the same.
+// A slow answer of a local agent is awaited.
 func TestSlowAgentIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
@@ -64,7 +64,7 @@
 		start := time.Now()
 		<-c.Updates()
 		if took := time.Since(start); took > 4*time.Second {
-			t.Errorf("heard of after %v", took)
+			t.Errorf("received after %v", took)
 		}
 		stop()
 		synctest.Wait()
--- a/internal/discovery/fakeregistry_test.go
+++ b/internal/discovery/fakeregistry_test.go
@@ -17,22 +17,22 @@
 	"time"
 )
 
-// service stands in for the members, on the test's clock: a list of its own for each, and what is wrong with it.
+// fakeRegistry is the registry's members on the test's clock, each with a list and a fault of its own.
 type fakeRegistry struct {
 	mu           sync.Mutex
 	members      map[string]*fakeMember
 	changed      chan struct{}
-	calls        []time.Duration // since the start
+	calls        []time.Duration // times since the start
 	start        time.Time
-	lastAnswered string // the member that the only client watches, as set begins: the last one that answered
+	lastAnswered string // the member that answered last, as of the last call of set
 }
 type fakeMember struct {
 	epoch       string
 	version     int64
 	names       []string
-	oldestKnown int64 // versions below this are no longer known
+	oldestKnown int64 // changes before this version are not known: the answer is a full list
 	state       string
-	lastCall    int // call, by number
+	lastCall    int // number of its last call
 }
 
 func newFakeRegistry(line string, index int64, names ...string) *fakeRegistry {
@@ -43,7 +43,7 @@
 	return registry
 }
 
-// set changes members and wakes those who watch.
+// set changes members and ends the watches.
 func (f *fakeRegistry) set(do func(name string, m *fakeMember)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,7 +113,7 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"line":%q,"endpoints":[%s]}`, m.version, whole, m.epoch, b.String())
 }
 
-// told is what a client has told so far, as the proxy would have it.
+// recordedList is the list as a reader of the client's updates has it.
 type recordedList struct {
 	mu    sync.Mutex
 	names map[string]bool
@@ -121,9 +121,9 @@
 }
 type recordedState struct {
 	version int64
-	at      time.Duration // when, since the start
+	at      time.Duration // of the last update, since the start
 	updates int
-	list    string // names in order
+	list    string // names, sorted
 }
 
 func (r *recordedList) current() recordedState {
@@ -134,14 +134,14 @@
 	return v
 }
 
-// made are the calls so far.
+// callTimes returns the times of the calls so far.
 func (f *fakeRegistry) callTimes() []time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.calls)
 }
 
-// client runs a client of the service in the test's bubble.
+// client runs a client of the registry in the test's bubble.
 func (f *fakeRegistry) client(t *testing.T, seed uint64, known *List) (*Client, *recordedList) {
 	c := New(Config{Source: Source{Members: []string{"m1", "m2", "m3"}}, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	c.http.Transport = f
@@ -180,7 +180,7 @@
 	return c, recorded
 }
 
-// bubble plays a test on its own clock.
+// bubble runs a subtest on a virtual clock.
 func bubble(t *testing.T, name string, f func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -19,14 +19,14 @@
 	"time"
 )
 
-// What the calls of clients on a played clock hash to: method, URL and virtual time of each call, when each list was handed
-// on and what it held, and the counts at the end. A client that waits, asks or believes otherwise has another hash.
+// Hashes of what clients do on a virtual clock: method, URL and time of each call, time and contents of each update, and the
+// metrics at the end. A client with other pauses, calls or decisions has another hash.
 const (
 	goldenPlatformCalls = "3f8945cf735b85df"
 	goldenMemberCalls   = "40b3f716a41ef52e"
 )
 
-// transcript notes what a client does, in the order of the played clock.
+// transcript records what a client does.
 type transcript struct {
 	mu    sync.Mutex
 	start time.Time
@@ -50,7 +50,7 @@
 	s.lists = append(s.lists, line)
 }
 
-// play runs a client against a scripted server for some virtual time and returns what it did. At moveAt it is moved.
+// play runs a client against a scripted server for some virtual time and returns what it did. Its source changes at moveAt.
 func play(t *testing.T, cfg Config, known *List, answer func(age time.Duration, r *http.Request) (*http.Response, error),
 	length, moveAt time.Duration, moveTo Source) (calls, lists []string, counts string) {
 	t.Helper()
@@ -92,7 +92,7 @@
 	return calls, lists, counts
 }
 
-// pausing answers after some time, or fails with the call's context.
+// pausing answers after some time, unless the call's context ends before.
 func pausing(r *http.Request, d time.Duration, answer func() (*http.Response, error)) (*http.Response, error) {
 	select {
 	case <-time.After(d):
@@ -106,13 +106,13 @@
 	return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 }
 
-// holdOf is how long a call may be held, and the version that it names.
+// holdOf returns how long a call may be held, and the version from which it continues.
 func holdOf(r *http.Request) (hold time.Duration, from string) {
 	hold, _ = time.ParseDuration(r.URL.Query().Get("hold_ms") + "ms")
 	return hold, r.URL.Query().Get("from")
 }
 
-// platformAnswer is the platform's discovery: a change each 1.7 s, and a fault of its own in each phase.
+// platformAnswer is the platform's discovery: a change every 1.7 s, and a fault in every other phase.
 func platformAnswer(age time.Duration, r *http.Request) (*http.Response, error) {
 	hold, from := holdOf(r)
 	list := func() (*http.Response, error) {
@@ -161,8 +161,7 @@
 	panic("after the last phase")
 }
 
-// memberAnswer is the project's own list service: three members, each with faults of its own, and another epoch of
-// versions later.
+// memberAnswer is the registry: three members, each with faults at its own times, and other epochs later.
 func memberAnswer(age time.Duration, r *http.Request) (*http.Response, error) {
 	hold, from := holdOf(r)
 	line, version := "one", 100+int64(age/(2300*time.Millisecond))
@@ -226,7 +225,7 @@
 			}
 			calls, lists, counts := play(t, cfg, known, platformAnswer, 5*time.Minute, 180*time.Second, Source{Address: "127.0.0.1:2"})
 			if len(calls) < 100 || len(lists) < 50 {
-				t.Errorf("seed %d: %d calls and %d lists say little", seed, len(calls), len(lists))
+				t.Errorf("seed %d: %d calls and %d lists are too few", seed, len(calls), len(lists))
 			}
 			all = append(all, hashOf(calls, lists, []string{counts}))
 		}
@@ -246,7 +245,7 @@
 		}
 		calls, lists, counts := play(t, cfg, known, memberAnswer, 4*time.Minute, 200*time.Second, Source{Members: []string{"m3:1", "m2:1"}})
 		if len(calls) < 60 || len(lists) < 30 {
-			t.Errorf("seed %d: %d calls and %d lists say little", seed, len(calls), len(lists))
+			t.Errorf("seed %d: %d calls and %d lists are too few", seed, len(calls), len(lists))
 		}
 		all = append(all, hashOf(calls, lists, []string{counts}))
 	}
@@ -255,9 +254,9 @@
 	}
 }
 
-// A list that an earlier version kept is read as it was.
+// A list that an earlier version cached is read as it was, and written in the same bytes.
 func TestGoldenCachedList(t *testing.T) {
-	l, err := LoadCachedList(filepath.Join("testdata", "kept"))
+	l, err := LoadCachedList(filepath.Join("testdata", "cached"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -271,7 +270,7 @@
 	keep.Put(goldenList().encode)
 	stop()
 	ended()
-	before, err := os.ReadFile(filepath.Join("testdata", "kept", "list"))
+	before, err := os.ReadFile(filepath.Join("testdata", "cached", "list"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/listcost_test.go
+++ b/internal/discovery/listcost_test.go
@@ -19,8 +19,8 @@
 	slopesOn     = flag.String("slopes.machine", "", "machine measured on")
 )
 
-// BenchmarkSlopeList is what a whole list of so many nodos costs a proxy that follows it: the time to read it and to take it
-// in place of the one before, and the memory in which it stays.
+// BenchmarkSlopeList measures what a full list costs a proxy by its number of endpoints: the time to decode and accept it,
+// and the memory that it occupies.
 func BenchmarkSlopeList(b *testing.B) {
 	const repeats, rounds = 5, 20
 	sizes := []float64{15, 150, 1300, 2600}
--- a/internal/discovery/notifydeadline_test.go
+++ b/internal/discovery/notifydeadline_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Clients of one list that answers in turn, each call after others' turns that take nearly all of the longest wait: whatever
-// befalls their calls, each has a change 6 s after discovery had it and could be reached, less a margin, and they make no more
-// calls than the faults need. Those that befall a fleet at once befall 300, whose own turns are what has to be waited for.
+// The sums of freshness.go: with other callers' calls filling nearly all of the queue's limit, each client receives a change
+// within NotifyDeadline, less a margin, whatever fault its calls have, and makes no more calls than the fault requires. Faults
+// of a whole fleet are tested with 300 clients, whose own calls fill the queue.
 func TestChangeArrivesWithinNotifyDeadline(t *testing.T) {
 	const told = 6 * time.Second
 	struck := func(what func(*heldWatch), next ...callFault) func(*serverModel) {
@@ -23,16 +23,16 @@
 		model.mu.Lock()
 		defer model.mu.Unlock()
 		for _, c := range model.callers {
-			c.lastAnswer = time.Time{} // there it is a new watch
+			c.lastAnswer = time.Time{} // the other source has not answered it before
 			c.client.SetSource(Source{Address: "127.0.0.1:2"})
 		}
 	}
-	const two, both, pushed, fleet = 1, 2, 3, 4 // longest wait of 2 s, or also of 3 s; or none; or 300 clients
+	const two, both, pushed, fleet = 1, 2, 3, 4 // W of 2 s; also of 3 s; a local agent; 300 clients
 	tests := []struct {
 		name  string
 		fault func(model *serverModel) // 10 s into the run
 		in    int
-		calls int // of one client on average, beyond the first
+		calls int // for each client at most, on average, after the fault
 	}{
 		{"nothing", func(*serverModel) {}, both, 0},
 		{"silent", struck(silenceWatch), both, 2},
@@ -103,7 +103,7 @@
 					model.mu.Lock()
 					before := model.calls
 					model.mu.Unlock()
-					go func() { // a release; its first change comes with the fault
+					go func() { // the first change comes with the fault
 						for range 30 {
 							model.publishVersion()
 							time.Sleep(700 * time.Millisecond)
@@ -115,11 +115,11 @@
 					synctest.Wait()
 					age := model.worstAge(t)
 					most := told - margin
-					if tt.in == pushed { // what an agent has counts as told at once; silence is found within a watch's time
+					if tt.in == pushed { // its changes count as known at once
 						most = 1200 * time.Millisecond
 					}
 					if age > most {
-						t.Errorf("a change was heard of after %v, want %v", age, most)
+						t.Errorf("a change arrived after %v, want %v", age, most)
 					}
 					if got := model.calls - before; got > tt.calls*clients {
 						t.Errorf("%d calls, want at most %d", got, tt.calls*clients)
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// The incident of late lists: a fleet of two tiers asks at its start, which is more than discovery answers in a call's wait;
-// then discovery is down for some seconds, while each call waits and fails. Once it answers again every client has a list in
-// about twice the time that their turns take (6 s for 313 of 20 ms): none sleeps on while discovery has nothing to do.
+// A fleet of two tiers starts, which is more than discovery serves within W; then discovery is down for some seconds, in
+// which each call waits and fails. Once it answers again every client has a list in about twice the time that discovery needs
+// to serve all of them: none sleeps while discovery is idle.
 func TestPollsResumeSoonAfterOutage(t *testing.T) {
 	const wait = 2 * time.Second
 	for _, tt := range []struct {
 		name          string
 		front, behind int
 		turn          time.Duration
-		after, down   time.Duration // the outage begins so long after the start, and lasts so long
-		again         int           // processes that start anew as it ends
-		within, first time.Duration // of its end all have a list, and those of the first stage
+		after, down   time.Duration // start of the outage, since the fleet's start, and its duration
+		again         int           // processes that start as it ends
+		within, first time.Duration // after its end all have a list, and those of the first tier
 	}{
 		{"as in the bench", 49, 230, 20 * time.Millisecond, 2500 * time.Millisecond, 7500 * time.Millisecond, 34, 14 * time.Second, 6 * time.Second},
 		{"as in the report", 49, 300, 20 * time.Millisecond, 1500 * time.Millisecond, 8 * time.Second, 34, 18 * time.Second, 6 * time.Second},
@@ -47,13 +47,13 @@
 				stop()
 				synctest.Wait()
 				age := model.worstAge(t)
-				t.Logf("the last heard after %v; %d turns, %d in vain", age, model.served, model.wasted)
+				t.Logf("the last updated after %v; %d calls served, %d wasted", age, model.served, model.wasted)
 				front := EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.front})
 				model.callers = slices.DeleteFunc(model.callers, func(c *modelClient) bool { return c.client.cfg.Callers != front })
 				first := model.worstAge(t)
-				t.Logf("the last of the first stage after %v", first)
+				t.Logf("the last of the first tier after %v", first)
 				if first > tt.first {
-					t.Errorf("want those of the first stage within %v", tt.first)
+					t.Errorf("want those of the first tier within %v", tt.first)
 				}
 				if age > tt.within {
 					t.Errorf("want all within %v", tt.within)
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// A queue that is longer than a call may wait answers nobody, and yet its calls take their turns (turns.room). However a
-// fleet came to fill it, the fleet lets it empty: all are answered, within the time that platform.go's constants add up to.
+// A queue longer than W answers nobody, and its calls take their service time all the same. However a fleet has filled it,
+// its clients let it drain: all are answered within the sum of the constants in polling.go.
 func TestPollingDrainsOverloadedQueue(t *testing.T) {
 	const (
 		turn  = 18 * time.Millisecond
 		w     = 2 * time.Second
 		calm  = maxQueueDrain + timeoutsUntilBackoff*maxSmallFleetPeriod            // until the period doubles
-		soon  = minPollPeriod + w + maxSmallFleetPeriod - w + 1500*time.Millisecond // a poll, in vain; another; and the turns of those
+		soon  = minPollPeriod + w + maxSmallFleetPeriod - w + 1500*time.Millisecond // a poll that times out; another; and their service time
 		third = calm + maxSmallFleetPeriod*3/2*(2+4+8)                              // until each has polled in the longest period
 	)
 	tests := []struct {
 		name    string
 		clients int
 		turn    time.Duration
-		fault   callFault // for 8 s; answered: they begin together in its place
+		fault   callFault // for 8 s; noFault: the clients start together instead
 		within  time.Duration
-		vain    int // turns of calls that were not answered, for each client at most
-		fails   int // each so many-th turn ends in a 503
+		vain    int // served calls without an answer, for each client at most
+		fails   int // every so many served calls one ends with a 503
 	}{
 		{"none waits in vain", 300, turn, rejectedAfterWait, 300*turn + 550*time.Millisecond, 0, 0},
 		{"after refusals", 300, turn, rejected, soon, 1, 0},
@@ -44,7 +44,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				model := &serverModel{maxWait: w, queueLimit: 5 * time.Second, serviceTime: tt.turn, failEvery: tt.fails, assumedCallers: tt.clients, ctx: ctx, changed: make(chan struct{})}
 				if tt.fault != noFault {
-					model.serviceTime = time.Millisecond // all are answered before the trouble
+					model.serviceTime = time.Millisecond // all are answered before the outage
 				}
 				for i := range tt.clients {
 					model.join(ctx, false, uint64(i+1), 0)
@@ -77,16 +77,16 @@
 						worst = max(worst, c.heardAt[0].Sub(model.availableSince))
 					}
 				}
-				told := fmt.Sprintf("%d of %d never heard, the last after %v; %d turns, %d in vain", never, tt.clients, worst, model.served, model.wasted)
+				told := fmt.Sprintf("%d of %d received nothing, the last after %v; %d calls served, %d wasted", never, tt.clients, worst, model.served, model.wasted)
 				if t.Log(told); never > 0 || worst > tt.within || model.wasted > tt.vain*tt.clients {
-					t.Errorf("want all within %v and at most %d turns in vain", tt.within, tt.vain*tt.clients)
+					t.Errorf("want all within %v and at most %d calls wasted", tt.within, tt.vain*tt.clients)
 				}
 			})
 		})
 	}
 }
 
-// allHeard tells whether each caller has heard of a version.
+// allUpdated reports whether each client has received a version.
 func (m *serverModel) allUpdated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// roundTrip stands in for discovery and its network.
+// roundTrip is a fake of discovery and the network.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A watch that fell silent is given up while its news does not count as told, and the next one goes on from its version.
+// A watch without an answer times out well before NotifyDeadline, and the next one continues from its version.
 func TestTimedOutWatchContinuesFromVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
@@ -36,21 +36,21 @@
 		<-c.Updates()
 		start := time.Now()
 		if n := <-c.Updates(); n.List == nil {
-			t.Error("the module was told of a failure")
+			t.Error("an update without a list")
 		}
 		if took := time.Since(start); took <= watchHoldMin || took >= 6*time.Second-time.Second {
-			t.Errorf("heard again after %v; it counts as told after 6 s", took)
+			t.Errorf("updated after %v; the change counts as known after 6 s", took)
 		}
 		stop()
-		synctest.Wait() // a call is out
+		synctest.Wait() // a call is in progress
 		if got := strings.Join(calls[:3], " "); got != "5 6 6" {
-			t.Errorf("calls went from versions %s", got)
+			t.Errorf("calls continued from versions %s", got)
 		}
 	})
 }
 
-// After a move the client goes on from its version, and has the whole list once later: a service with another line of
-// versions may answer from it too.
+// After a change of source the client continues from its version, and requests the full list once later: another service may
+// answer for that version too.
 func TestSourceChangeSchedulesResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
@@ -87,12 +87,12 @@
 		synctest.Wait()
 		if len(whole) != 2 || whole[0] < resyncDelayMin || whole[0] > resyncDelayMin+resyncDelayJitter+5*time.Second ||
 			whole[1]-whole[0] < resyncDelayMin {
-			t.Errorf("the whole list was asked for at %v", whole)
+			t.Errorf("the full list was requested at %v", whole)
 		}
 	})
 }
 
-// With a subscription the module is not asked again: for all it knows the one that it asked for stands.
+// After a change of source the client publishes the other source's list, also with a lower version.
 func TestWatchFollowsSourceChange(t *testing.T) {
 	at := func(index int) (addr string, calls chan string) {
 		calls = make(chan string, 10)
@@ -122,7 +122,7 @@
 		t.Errorf("got %+v", n.List)
 	}
 	<-calls
-	<-calls // the watch is held
+	<-calls // the watch is in progress
 	c.SetSource(Source{Address: second})
 	if n := <-c.Updates(); n.List == nil || n.List.Version != 3 || !n.List.Full {
 		t.Errorf("got %+v", n.List)
@@ -131,7 +131,7 @@
 	<-ended
 }
 
-// A move that comes while the loop is busy with something else loses no change: the next call goes on from after it.
+// A change of source while an update waits for its reader does not lose the update.
 func TestSourceChangeLosesNoUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
@@ -148,7 +148,7 @@
 		c.http = c.connect(Source{})
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
-		synctest.Wait() // the change has come, and nobody has read it
+		synctest.Wait() // the update waits for its reader
 		c.SetSource(Source{Address: "127.0.0.1:2"})
 		synctest.Wait()
 		select {
@@ -157,16 +157,16 @@
 				t.Errorf("version %d", n.List.Version)
 			}
 		case <-time.After(time.Minute):
-			t.Error("the change never came")
+			t.Error("the update was lost")
 		}
 		stop()
 	})
 }
 
-// A kept connection that breaks under a watch is a new call's matter, with a new call's patience: net/http's own second try would
-// wait for its turn with what is left of a watch's.
+// After a reused connection is lost under a watch the client makes a new call, with its timeout: net/http's own retry would
+// wait in the queue with what is left of the watch's.
 func TestLostConnectionIsNotRetriedSilently(t *testing.T) {
-	var held []string // what is left of a hold says which kind of call it was
+	var held []string // the hold shows the kind of call
 	asked := make(chan struct{}, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		held = append(held, r.URL.Query().Get("hold_ms"))
--- a/internal/discovery/polls_test.go
+++ b/internal/discovery/polls_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// What a client learned of a long queue says nothing of another address, nor of a discovery that went down since, and in a
-// fleet that is too small to fill a queue it says nothing at all: a change counts as told 6 s after it could be had.
+// What a client knows of an overloaded queue does not hold for another source, nor after discovery was down, nor in a fleet
+// too small to fill a queue: a change still arrives within NotifyDeadline.
 func TestQueueEstimateIsReset(t *testing.T) {
 	const told = 6*time.Second - 400*time.Millisecond
 	for _, tt := range []struct {
 		name    string
 		clients int
-		trouble func(model *serverModel) // from 10 s on; it ends with calls that are answered in their turns
+		trouble func(model *serverModel) // starts at 10 s; after it all calls are served
 	}{
 		{"by an outage after it", 300, func(model *serverModel) {
 			model.outage(rejectedAfterWait, resetWatch, 25*time.Second)
@@ -46,7 +46,7 @@
 				stop()
 				synctest.Wait()
 				if age := model.worstAge(t); age > told {
-					t.Errorf("the change was heard of %v after it could be had, want %v", age, told)
+					t.Errorf("the change arrived %v after it was available, want %v", age, told)
 				}
 			})
 		})
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -17,7 +17,7 @@
 
 func TestRegistryFollowing(t *testing.T) {
 	const line = "one"
-	bubble(t, "news comes at once, also after a member's death, without the list being told again", func(t *testing.T) {
+	bubble(t, "updates come at once, also after a member's failure, without another full list", func(t *testing.T) {
 		registry := newFakeRegistry(line, 10, "a", "b")
 		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
@@ -39,46 +39,46 @@
 			}
 		}
 	})
-	bubble(t, "nothing older is taken within a line", func(t *testing.T) {
+	bubble(t, "nothing older is accepted within an epoch", func(t *testing.T) {
 		registry := newFakeRegistry(line, 10, "a", "b")
 		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
 		registry.set(func(name string, m *fakeMember) {
 			if name == registry.lastAnswered {
 				m.state = "dead"
-			} else { // both others are behind, and do not know it
+			} else { // both others are behind and do not know it
 				m.version, m.oldestKnown, m.names = 9, 0, []string{"a"}
 			}
 		})
 		sleep(time.Minute)
 		if recorded.current().list != "a b" || recorded.current().version != 10 {
-			t.Errorf("told %q, version %d", recorded.current().list, recorded.current().version)
+			t.Errorf("got %q, version %d", recorded.current().list, recorded.current().version)
 		}
 	})
-	bubble(t, "a wrong restore takes nothing at once, and what does not register again goes", func(t *testing.T) {
+	bubble(t, "a wrong restore removes nothing at once, and what does not register again expires", func(t *testing.T) {
 		registry := newFakeRegistry(line, 10, "a", "b", "c")
 		c, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
 		registry.set(func(_ string, m *fakeMember) { m.epoch, m.version, m.oldestKnown, m.names = "two", 1000, 1000, nil })
 		sleep(time.Second)
 		if recorded.current().list != "a b c" || recorded.current().version != 1000 || c.Metrics().RetainedEndpoints != 3 {
-			t.Errorf("told %q, version %d, %+v", recorded.current().list, recorded.current().version, c.Metrics())
+			t.Errorf("got %q, version %d, %+v", recorded.current().list, recorded.current().version, c.Metrics())
 		}
 		registry.set(func(_ string, m *fakeMember) { m.version, m.names = 1001, []string{"b"} }) // b registers again
 		sleep(time.Second)
 		registry.set(func(_ string, m *fakeMember) { m.version, m.oldestKnown, m.state = 1002, 1002, "dead" })
 		sleep(time.Second)
-		registry.set(func(_ string, m *fakeMember) { m.state = "" }) // and a whole list of the same line comes between
+		registry.set(func(_ string, m *fakeMember) { m.state = "" }) // and a full list of the same epoch comes in between
 		sleep(missingRetention - 8*time.Second)
 		if recorded.current().list != "a b c" {
-			t.Errorf("told %q before %v", recorded.current().list, missingRetention)
+			t.Errorf("got %q before %v", recorded.current().list, missingRetention)
 		}
 		sleep(8*time.Second + 2*LongPollTimeout)
 		if recorded.current().list != "b" || c.Metrics().RetainedEndpoints != 0 {
-			t.Errorf("told %q after %v, %+v", recorded.current().list, missingRetention, c.Metrics())
+			t.Errorf("got %q after %v, %+v", recorded.current().list, missingRetention, c.Metrics())
 		}
 	})
-	bubble(t, "a line below is taken when nobody answers for the one before", func(t *testing.T) {
+	bubble(t, "an epoch with lower versions is accepted once nobody confirms the former", func(t *testing.T) {
 		registry := newFakeRegistry(line, 1000, "a")
 		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
@@ -87,14 +87,14 @@
 		})
 		sleep(epochWait - 2*time.Second)
 		if recorded.current().version != 1000 {
-			t.Errorf("version %d of another line after %v", recorded.current().version, epochWait-2*time.Second)
+			t.Errorf("version %d of another epoch after %v", recorded.current().version, epochWait-2*time.Second)
 		}
 		sleep(2*time.Second + 2*maxRegistryBackoff)
 		if recorded.current().version != 5 || recorded.current().list != "a z" {
 			t.Errorf("version %d, %q", recorded.current().version, recorded.current().list)
 		}
 	})
-	bubble(t, "the last list stands while nobody answers, and few calls are made", func(t *testing.T) {
+	bubble(t, "the last list stays in use while nobody answers, and few calls are made", func(t *testing.T) {
 		registry := newFakeRegistry(line, 10, "a", "b")
 		c, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
@@ -103,7 +103,7 @@
 		before := len(registry.callTimes())
 		sleep(time.Hour)
 		if n := len(registry.callTimes()) - before; recorded.current().list != "a b" || n < 700 || n > 1500 || c.Metrics().Age < time.Hour {
-			t.Errorf("told %q, %d calls in an hour, %+v", recorded.current().list, n, c.Metrics())
+			t.Errorf("got %q, %d calls in an hour, %+v", recorded.current().list, n, c.Metrics())
 		}
 		registry.set(func(_ string, m *fakeMember) { m.state, m.version, m.names = "", 11, []string{"a", "b", "c"} })
 		sleep(maxRegistryBackoff + time.Millisecond)
@@ -111,12 +111,12 @@
 			t.Errorf("version %d, %+v", recorded.current().version, c.Metrics())
 		}
 	})
-	bubble(t, "a client that has kept a list goes on from there", func(t *testing.T) {
+	bubble(t, "a client continues from a cached list", func(t *testing.T) {
 		registry := newFakeRegistry(line, 10, "a")
 		_, recorded := registry.client(t, 1, &List{Version: 12, Full: true, Epoch: line})
 		sleep(time.Second)
 		if recorded.current().updates != 0 {
-			t.Errorf("told %q, which is older than what was kept", recorded.current().list)
+			t.Errorf("got %q, which is older than the cached list", recorded.current().list)
 		}
 		registry.set(func(_ string, m *fakeMember) { m.version = 13 })
 		sleep(2 * maxRegistryBackoff)
@@ -126,7 +126,7 @@
 	})
 }
 
-// The callers of a member that dies come to the others over Spread, not together.
+// The callers of a failed member spread over FailoverJitter.
 func TestFailoverIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const clients = 300
@@ -154,18 +154,18 @@
 		sleep(FailoverJitter)
 		for i, recorded := range all {
 			if recorded.current().version != 11 {
-				t.Fatalf("client %d is at version %d, %v after the death", i, recorded.current().version, time.Since(registry.start)-died)
+				t.Fatalf("client %d is at version %d, %v after the failure", i, recorded.current().version, time.Since(registry.start)-died)
 			}
 		}
-		t.Logf("%d clients: at most %d calls in 100 ms before the death, %d after it", clients, usual, after)
+		t.Logf("%d clients: at most %d calls in 100 ms before the failure, %d after it", clients, usual, after)
 		// A third has to come again; by chance at most some more than a sixth of these in 100 ms of the 600.
 		if after > usual+clients/3/6*2 {
-			t.Errorf("a herd: %d calls in 100 ms, %d before", after, usual)
+			t.Errorf("%d calls in 100 ms, %d before", after, usual)
 		}
 	})
 }
 
-// peak is the most calls in any 100 ms.
+// maxCallRate returns the most calls in any 100 ms.
 func maxCallRate(calls []time.Duration) (most int) {
 	for i := range calls {
 		n := i
@@ -177,11 +177,11 @@
 	return most
 }
 
-// What is kept is read again as it was, and nothing else is.
+// A cached list is read as it was written, and nothing else is.
 func TestCachedList(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if l, err := LoadCachedList(dir); l != nil || err != nil {
-		t.Errorf("of nothing came %+v, %v", l, err)
+		t.Errorf("without a file: %+v, %v", l, err)
 	}
 	k := newCacheWriter(dir, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
@@ -189,7 +189,7 @@
 	k.Put((&List{Version: 7, Epoch: "l", Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.1:1", Status: StatusServing}}}).encode)
 	k.Put((&List{Version: 8, Epoch: "l", Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: StatusDraining, StartedAtMs: 5}}}).encode)
 	stop()
-	ended() // what was put last is written first
+	ended() // the latest is written before it ends
 	l, err := LoadCachedList(dir)
 	if err != nil || l == nil || l.Version != 8 || l.Epoch != "l" || !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].StartedAtMs != 5 {
 		t.Fatalf("got %+v, %v", l, err)
@@ -204,7 +204,7 @@
 			t.Fatal(err)
 		}
 		if l, err := LoadCachedList(dir); l != nil || !errors.Is(err, atomicfile.ErrDamaged) {
-			t.Fatalf("cut at %d: %+v, %v", at, l, err)
+			t.Fatalf("truncated at %d: %+v, %v", at, l, err)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 			t.Fatalf("sealed %q, unsealed %q, %v", data, body, err)
 		}
 		if _, err := atomicfile.Unseal(cacheKind, bytes.NewReader(data), maxCacheBytes); err == nil && !bytes.HasPrefix(data, []byte(cacheKind)) {
-			t.Fatalf("%q passed unsealed", data)
+			t.Fatalf("%q is accepted without a header", data)
 		}
 	})
 }
--- a/internal/discovery/release_test.go
+++ b/internal/discovery/release_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// A release under way when discovery is back from an outage, as in herd+mass: all clients ask at their start, which is more
-// than discovery answers; it is down for 7.5 s; then processes are replaced, which start with an old list, and each answer
-// brings the changes since, a third of all entries a step. A call for an old version costs several turns.
+// A release is in progress when discovery is back from an outage: all clients call at their start, which is more than
+// discovery serves; it is down for 7.5 s; then processes are replaced, which start with an old list, and each answer has the
+// changes since, a third of all entries a step. A call for an old version takes several times the service time.
 func TestReleaseAfterOutageArrives(t *testing.T) {
 	const (
 		turn         = 20 * time.Millisecond
 		steps        = 7
-		most         = 6 * time.Second // what the operators ask for; 416 turns of up to 40 ms take longer
+		most         = 6 * time.Second // the operators' bound, which the service time of 416 calls exceeds
 		within, vain = 40 * time.Second, 600
 	)
 	for seed := range uint64(3) {
@@ -63,10 +63,10 @@
 					late++
 				}
 			}
-			t.Logf("seed %d: of %d clients %d never heard, %d late, the worst %v; %d turns, %d in vain", seed, len(model.callers),
+			t.Logf("seed %d: of %d clients %d without all versions, %d late, the worst %v; %d calls served, %d wasted", seed, len(model.callers),
 				never, late, worst, model.served, model.wasted)
 			if never > 0 || worst > within || model.wasted > vain {
-				t.Errorf("want all within %v and at most %d turns in vain", within, vain)
+				t.Errorf("want all within %v and at most %d calls wasted", within, vain)
 			}
 		})
 	}
--- a/internal/discovery/servermodel_test.go
+++ b/internal/discovery/servermodel_test.go
@@ -15,59 +15,59 @@
 	"time"
 )
 
-// turns is a platform's list on a virtual clock: it answers calls in turn, turns away what would wait too long, and lets
-// watches that go on pass. Server i changes with version i. It keeps the ages of what its callers hear.
+// serverModel is the platform's discovery on a virtual clock: it serves calls one after another, rejects those that would
+// wait too long, and serves watches that follow an answer at once. It records when its clients receive each version.
 type serverModel struct {
 	mu                sync.Mutex
-	ctx               context.Context // of the clients
+	ctx               context.Context // the clients' context
 	version           int64
 	changedAt         []time.Time   // of each version, from 1
 	changed           chan struct{} // closed at the next version
-	queueFreeAt       time.Time     // when the call after those that wait has its turn
-	fault             callFault     // of every call
-	availableSince    time.Time     // since when every call is answered in its turn or turned away
-	serviceTime       time.Duration // a turn
-	otherLoad         time.Duration // the turns of others, before each call's
-	maxWait           time.Duration // what waits longer for its turn fails then, and yet takes the turn
-	queueLimit        time.Duration // of turns that may wait; what comes beyond is turned away at once; 0: as wait
+	queueFreeAt       time.Time     // when the calls in the queue are served
+	fault             callFault     // of every call, if not noFault
+	availableSince    time.Time     // since when every call is served or rejected by its queue
+	serviceTime       time.Duration // of one call
+	otherLoad         time.Duration // queue of other callers, before each call
+	maxWait           time.Duration // a call that waits longer fails then, and takes its service time all the same
+	queueLimit        time.Duration // service time that may be queued; calls beyond it are rejected at once; 0: maxWait
 	lines             int
-	assumedCallers    int // that each is told of
-	entriesPerVersion int // changed by each version, which cost as much as those of a whole list; 0: none
-	calls             int // that took a turn or were turned away
-	served            int // turns
-	failEvery         int // each so many-th turn ends in a 503, if not 0
-	wasted            int // turns of calls that were given up or had waited too long
+	assumedCallers    int // Config.Callers of each client
+	entriesPerVersion int // changed by each version, which cost service time as those of a full list do
+	calls             int // served or rejected
+	served            int
+	failEvery         int // every so many served calls one ends with a 503; 0: none
+	wasted            int // served calls that had been abandoned or had timed out
 	callers           []*modelClient
-	faultsBelow       int // strikes miss the callers of these numbers and above, if not 0
+	faultsBelow       int // inject skips clients with this number and above; 0: none
 }
 
-// A fate is what becomes of a call.
+// callFault is what goes wrong with a call.
 type callFault int
 
 const (
 	noFault           callFault = iota
 	rejected                    // 503
-	rejectedAfterWait           // 503 after the longest wait
-	connectionReset             // reset
-	neverAnswered               // accepted and never answered
-	endlessBody                 // answered byte by byte, without end
+	rejectedAfterWait           // 503 after maxWait
+	connectionReset
+	neverAnswered // accepted and never answered
+	endlessBody   // a byte at a time
 	malformed
 )
 
-// caller is one client's part of it.
+// modelClient is one client, with what the model knows of it.
 type modelClient struct {
 	server     *serverModel
 	number     int
 	client     *Client
 	joinedAt   time.Time
-	lastAnswer time.Time   // of the last answer; a watch goes on from it for 200 ms
-	openWatch  *heldWatch  // the watch that is held
+	lastAnswer time.Time   // a call within 200 ms of it is a watch that follows an answer
+	openWatch  *heldWatch  // the watch in progress
 	nextFaults []callFault // of its next calls
 	version    int64
 	heardAt    []time.Time // of each version
 }
 
-// held is a watch that waits for news.
+// heldWatch is a watch that waits for a change.
 type heldWatch struct {
 	silenced bool
 	closed   chan struct{}
@@ -75,7 +75,7 @@
 
 const (
 	modelServers = 200
-	linesPerCall = 38 // lines that cost as much as a call
+	linesPerCall = 38 // entries that take as much service time as a call
 )
 
 func (c *modelClient) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -113,7 +113,7 @@
 				cost += model.serviceTime * time.Duration(min(int(model.version-from)*model.entriesPerVersion, modelServers)) / linesPerCall
 			}
 			model.queueFreeAt = start.Add(cost)
-			if model.served++; model.queueLimit > 0 && model.queueFreeAt.Sub(now)+model.otherLoad > model.maxWait { // seen in the bench: issue 24
+			if model.served++; model.queueLimit > 0 && model.queueFreeAt.Sub(now)+model.otherLoad > model.maxWait {
 				model.wasted++
 				model.pause(r, model.maxWait, nil)
 				return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
@@ -165,7 +165,7 @@
 	return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[]}`, model.version, from < 0)), nil
 }
 
-// pause waits without the lock; a watch that is held ends with the next version too. It tells whether the call goes on.
+// pause waits without the lock; a watch ends with the next version too. It reports whether the call is still wanted.
 func (m *serverModel) pause(r *http.Request, d time.Duration, own *heldWatch) bool {
 	var moved, cut chan struct{}
 	if own != nil {
@@ -188,7 +188,7 @@
 	return r.Context().Err() == nil
 }
 
-// drip is a body that comes slowly and never ends.
+// slowBody is a response body that comes a byte at a time and never ends.
 type slowBody struct{ ctx context.Context }
 
 func (d *slowBody) Read(p []byte) (int, error) {
@@ -205,7 +205,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}
 }
 
-// change makes a version.
+// publishVersion publishes the next version.
 func (m *serverModel) publishVersion() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -215,7 +215,7 @@
 	m.changed = make(chan struct{})
 }
 
-// strike does something to the open watches, and gives the next calls of each caller their fates.
+// inject applies a fault to the watches in progress, and sets the faults of each client's next calls.
 func (m *serverModel) inject(what func(*heldWatch), next ...callFault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -234,7 +234,7 @@
 func resetWatch(h *heldWatch)   { close(h.closed) }
 func keepWatch(*heldWatch)      {}
 
-// trouble has calls meet a fate for some time, after which each is answered in its turn.
+// outage applies a fault to all calls for some time.
 func (m *serverModel) outage(f callFault, what func(*heldWatch), d time.Duration) {
 	m.inject(what)
 	m.mu.Lock()
@@ -254,13 +254,13 @@
 	}
 }
 
-// age is the longest time from a version's making, or from the discovery's return if that is later, until a caller had it.
+// worstAge returns the longest time from a version, or from the end of the outage if that is later, until a client received it.
 func (m *serverModel) worstAge(t *testing.T) (worst time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.callers {
 		if len(c.heardAt) < len(m.changedAt) {
-			t.Fatalf("client %d heard of %d versions of %d", c.number, len(c.heardAt), len(m.changedAt))
+			t.Fatalf("client %d received %d of %d versions", c.number, len(c.heardAt), len(m.changedAt))
 		}
 		for v, made := range m.changedAt {
 			for _, since := range []time.Time{m.availableSince, c.joinedAt} {
@@ -274,7 +274,7 @@
 	return worst
 }
 
-// join starts a client that knows the list as it was at a version.
+// join starts a client that knows the list at a version.
 func (m *serverModel) join(ctx context.Context, pushed bool, seed uint64, version int64) {
 	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: m.assumedCallers, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	m.mu.Lock()
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -9,7 +9,7 @@
 
 var members = []string{"a", "b", "c"}
 
-// Each failure moves on; pauses are short until all have failed, double with each round then, and have an end.
+// Each failure moves on; backoffs are below Jitter until all have failed, then double with each round, up to the maximum.
 func TestRing(t *testing.T) {
 	const most = 2 * time.Second
 	first := map[string]int{}
@@ -43,11 +43,11 @@
 	}
 	one := NewRing(members[:1], rand.New(rand.NewPCG(1, 1)), most)
 	if f := one.RecordFailure(); f.FailedOver || f.Next != "a" {
-		t.Errorf("an only member: %+v", f)
+		t.Errorf("a single member: %+v", f)
 	}
 }
 
-// What is below is not taken, but for another line when the former one has been silent.
+// Lower versions are rejected, except those of another epoch when the former one was not confirmed for EpochWait.
 func TestAcceptedVersion(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -11,7 +11,7 @@
 	return func(now time.Time, unsafe bool, want time.Duration) {
 		t.Helper()
 		if got := tracker.MaxIdle(now, most, unsafe); got != want {
-			t.Errorf("trusted for %v, want %v", got, want)
+			t.Errorf("max idle %v, want %v", got, want)
 		}
 	}
 }
@@ -21,7 +21,7 @@
 	var tracker Tracker
 	check := checker(t, &tracker)
 	check(now, true, most)
-	tracker.RecordBrokenReuse(now, "a", 0, most) // a first request, or no idling: says nothing of staleness
+	tracker.RecordBrokenReuse(now, "a", 0, most) // a first request: not for its idle time
 	check(now, true, most)
 	tracker.RecordBrokenReuse(now, "a", 800*time.Millisecond, most)
 	check(now, false, 400*time.Millisecond)
@@ -38,7 +38,7 @@
 	check(now, true, most)
 }
 
-// A backend whose process died broke its connections for that; one that goes on did not.
+// The exit of a backend explains its broken reuses, and not those of others.
 func TestBackendExitUndoesBreaks(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	for _, test := range []struct {
@@ -46,23 +46,23 @@
 		do   func(tracker *Tracker)
 		want time.Duration // at 1 s
 	}{
-		{"no death", func(tracker *Tracker) { tracker.RecordBrokenReuse(at(1000), "a", 800*time.Millisecond, most) }, 400 * time.Millisecond},
-		{"several breaks, then a death", func(tracker *Tracker) {
+		{"no exit", func(tracker *Tracker) { tracker.RecordBrokenReuse(at(1000), "a", 800*time.Millisecond, most) }, 400 * time.Millisecond},
+		{"several breaks, then an exit", func(tracker *Tracker) {
 			tracker.RecordBrokenReuse(at(990), "a", 800*time.Millisecond, most)
 			tracker.RecordBrokenReuse(at(991), "a", 500*time.Millisecond, most)
 			tracker.RecordBackendExit(at(1000), "a")
 			tracker.RecordBackendExit(at(1000), "a")
 		}, most},
-		{"another's death", func(tracker *Tracker) {
+		{"another backend's exit", func(tracker *Tracker) {
 			tracker.RecordBrokenReuse(at(1000), "a", 800*time.Millisecond, most)
 			tracker.RecordBackendExit(at(1000), "b")
 		}, 400 * time.Millisecond},
-		{"a death long after", func(tracker *Tracker) {
+		{"an exit long after", func(tracker *Tracker) {
 			tracker.RecordBrokenReuse(at(-9500), "a", 800*time.Millisecond, most)
 			tracker.RecordBackendExit(at(1000), "a")
 			tracker.RecordBrokenReuse(at(1000), "b", 200*time.Millisecond, most)
 		}, 100 * time.Millisecond},
-		{"what was seen before it stands", func(tracker *Tracker) {
+		{"an earlier bound stays", func(tracker *Tracker) {
 			tracker.RecordBrokenReuse(at(1000), "b", 800*time.Millisecond, most)
 			tracker.RecordBrokenReuse(at(1000), "a", 500*time.Millisecond, most)
 			tracker.RecordBackendExit(at(1000), "a")
--- a/internal/override/golden_test.go
+++ b/internal/override/golden_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// A folder that an earlier version wrote is read as it was, and written with the same names of files.
+// A directory that an earlier version wrote is read as it was, and written with the same file names.
 func TestGoldenFolder(t *testing.T) {
 	ids := []string{"a", "a b", "a/b", "ü%2F", "10.0.0.1:80", ZoneKey("north"), ZoneKey("a/b ü")}
-	kept := filepath.Join("testdata", "kept")
+	kept := filepath.Join("testdata", "stored")
 	overrides, err := Open(Config{Dir: kept})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// held notes the sets that a reader of Bans acts on.
+// appliedSet records the set that a reader of Overrides has in effect.
 type appliedSet struct {
 	mu  sync.Mutex
 	ids map[string]bool
@@ -27,7 +27,7 @@
 	return slices.Equal(slices.Sorted(maps.Keys(h.ids)), ids)
 }
 
-// acting opens Bans in a bubble, follows them and acts on their sets, all until the test ends.
+// startOverrides opens overrides in a bubble, runs them and acknowledges their sets until the test ends.
 func startOverrides(t *testing.T, cfg Config) (*Overrides, *appliedSet) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -69,7 +69,7 @@
 	}
 }
 
-// What holds is the union of what is kept here, by either process, and what comes from outside.
+// The union of stored overrides, of either process, and remote ones is in effect.
 func TestUnionOfLocalAndRemoteApplies(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -85,14 +85,14 @@
 			t.Errorf("at the other process: %v", there.ids)
 		}
 		overrides.SetRemote(map[string]bool{"a": true, "x": true, "c": false})
-		synctest.Wait() // without a poll
+		synctest.Wait() // sooner than the next poll
 		if !here.is("a", "x") || !there.is("a") {
-			t.Errorf("with x from outside: %v, at the other process %v", here.ids, there.ids)
+			t.Errorf("with remote x: %v, at the other process %v", here.ids, there.ids)
 		}
 		mustSucceed(t, other.ResumeServer("a"))
-		mustSucceed(t, overrides.ResumeServer("x")) // it is out, and so no stranger; to end that is the others' part
+		mustSucceed(t, overrides.ResumeServer("x")) // it is known, since it is suspended; others have to resume it
 		if !here.is("a", "x") {
-			t.Errorf("a resumed here but out by others: %v", here.ids)
+			t.Errorf("a resumed here but suspended by others: %v", here.ids)
 		}
 		overrides.SetRemote(nil)
 		synctest.Wait()
@@ -101,24 +101,23 @@
 		}
 		again, err := Open(Config{Dir: dir})
 		if err != nil || len(again.Current()) != 0 {
-			t.Errorf("kept: %v, %v", again.Current(), err)
+			t.Errorf("stored: %v, %v", again.Current(), err)
 		}
 	})
 }
 
-// A call is told once it is kept, and holds with what is set from outside meanwhile; others' silence is no reason to
-// send on.
+// A call is notified once it is stored, and takes effect with what is set remotely meanwhile, also if the notification fails.
 func TestCallsAreNotified(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		var overrides *Overrides
 		var here *appliedSet
 		var calls []string
-		deaf := errors.New("deaf")
+		unreachable := errors.New("not reachable")
 		overrides, here = startOverrides(t, Config{Dir: dir, Notify: func(nodo string, suspended bool) error {
 			calls = append(calls, nodo+" "+strconv.FormatBool(suspended))
 			if nodo == "c" {
-				return deaf
+				return unreachable
 			}
 			overrides.SetRemote(map[string]bool{"y": suspended})
 			return nil
@@ -131,17 +130,17 @@
 		if !here.is() {
 			t.Errorf("resumed: %v", here.ids)
 		}
-		if err := overrides.SuspendServer("c"); !errors.Is(err, deaf) || !here.is("c") {
-			t.Errorf("untold: %v with %v", here.ids, err)
+		if err := overrides.SuspendServer("c"); !errors.Is(err, unreachable) || !here.is("c") {
+			t.Errorf("not notified: %v with %v", here.ids, err)
 		}
-		if mustSucceed(t, overrides.ClearLocal("c")); here.is("c") || len(calls) != 3 { // the others ended it: none is told
-			t.Errorf("lifted: %v, told of %v", here.ids, calls)
+		if mustSucceed(t, overrides.ClearLocal("c")); here.is("c") || len(calls) != 3 { // others ended it: nobody is notified
+			t.Errorf("cleared: %v, notified of %v", here.ids, calls)
 		}
-		if err := overrides.SuspendServer("stranger"); err == nil {
-			t.Error("no error on a stranger")
+		if err := overrides.SuspendServer("unknown"); err == nil {
+			t.Error("no error for an unknown server")
 		}
 		if want := []string{"a true", "a false", "c true"}; !slices.Equal(calls, want) {
-			t.Errorf("told of %v", calls)
+			t.Errorf("notified of %v", calls)
 		}
 	})
 }
@@ -156,7 +155,7 @@
 		overrides.SetRemote(map[string]bool{"x": true})
 		synctest.Wait()
 		if !here.is("b", "x") {
-			t.Errorf("with the folder gone: %v", here.ids)
+			t.Errorf("with the directory gone: %v", here.ids)
 		}
 		var lost *StoreError
 		if err := overrides.SuspendServer("a"); !errors.As(err, &lost) || lost.Op != StoreOpAdd || lost.Path != filepath.Join(dir, "ban-a") ||
@@ -164,8 +163,8 @@
 			t.Errorf("suspend: %v", err)
 		}
 		var unknown *UnknownServerError
-		if err := overrides.ResumeServer("stranger"); !errors.As(err, &unknown) || unknown.Server != "stranger" {
-			t.Errorf("a stranger: %v", err)
+		if err := overrides.ResumeServer("unknown"); !errors.As(err, &unknown) || unknown.Server != "unknown" {
+			t.Errorf("an unknown server: %v", err)
 		}
 		if _, err := Open(Config{Dir: dir}); !errors.As(err, &lost) || lost.Op != StoreOpRead || lost.Path != dir {
 			t.Errorf("open: %v", err)
@@ -173,7 +172,7 @@
 	})
 }
 
-// A call that nobody acts on is a no in time, unless nothing is sent any more.
+// A call that the reader of Sets does not acknowledge fails in time, unless nothing is sent any more.
 func TestUnacknowledgedCallFails(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -190,7 +189,7 @@
 	})
 }
 
-// Names of all kinds are kept, in the form that former versions read.
+// Names of all kinds are stored in the form that older builds read.
 func TestStoreEscapesNames(t *testing.T) {
 	store := store{dir: t.TempDir()}
 	files := map[string]string{"..": "ban-..", "a": "ban-a", "a b": "ban-a%20b", "a/b": "ban-a%2Fb", "ü%2F": "ban-%C3%BC%252F"}
@@ -200,7 +199,7 @@
 			t.Errorf("%q: %v", id, err)
 		}
 	}
-	mustSucceed(t, os.WriteFile(filepath.Join(store.dir, "ban-%zz"), nil, 0o600)) // nobody's
+	mustSucceed(t, os.WriteFile(filepath.Join(store.dir, "ban-%zz"), nil, 0o600)) // ignored
 	got, err := store.load()
 	if err != nil || !maps.EqualFunc(got, files, func(is bool, _ string) bool { return is }) {
 		t.Fatalf("got %v, %v", got, err)
@@ -220,6 +219,6 @@
 	}
 	ids := s.All()
 	if len(ids) > maxRememberedNames || !slices.Contains(ids, "stays") || s.Has("0") {
-		t.Errorf("%d names kept", len(ids))
+		t.Errorf("%d names remembered", len(ids))
 	}
 }
--- a/internal/override/slowdisk_test.go
+++ b/internal/override/slowdisk_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A ban holds, and its call is answered, within a second though the disk takes longer to keep it: the answer is then a no,
-// and the call may be repeated. What the disk has taken by then stands.
+// A suspension is in effect and its call answered within a second though the disk takes longer: the answer is then an error,
+// and the call may be repeated.
 func TestSuspensionAppliesWithSlowDisk(t *testing.T) {
 	names := NewNameSet()
 	names.Add("a", "b")
@@ -38,22 +38,22 @@
 	go func() { answered <- overrides.SuspendServer("a") }()
 	for !(<-held)["a"] {
 		if time.Since(began) > time.Second {
-			t.Fatal("the ban does not hold after 1 s")
+			t.Fatal("the suspension is not in effect after 1 s")
 		}
 	}
 	select {
 	case err := <-answered:
 		if err == nil {
-			t.Error("a yes though nothing is kept")
+			t.Error("success though nothing is stored")
 		}
 	case <-time.After(time.Second - time.Since(began)):
 		t.Error("no answer within 1 s")
 	}
-	for range 3 { // it goes on holding while the disk stands still
+	for range 3 { // it stays in effect while the disk does not answer
 		select {
 		case ids := <-held:
 			if !ids["a"] {
-				t.Fatal("the ban was lifted")
+				t.Fatal("the suspension ended")
 			}
 		case <-time.After(2 * pollInterval):
 		}
--- a/internal/override/zones_test.go
+++ b/internal/override/zones_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 )
 
-// zonesOut are the zones that the reader of Bans has out.
-func (h *appliedSet) zonesOut() []string {
+// drainedZones returns the zones that the reader of Sets has drained.
+func (h *appliedSet) drainedZones() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, zones := SplitZones(h.ids)
@@ -20,9 +20,9 @@
 
 func TestDrainZoneKeepsLastZone(t *testing.T) {
 	type calls = []struct {
-		do   string // d: drain, r: restore, o: out by others, from then on, s: this process starts again
+		do   string // drain, restore, remote: drained by others, restart: this process starts again
 		zone string
-		err  error // of this type
+		err  error // its type
 	}
 	unknown, last := &UnknownZoneError{}, &LastZoneError{}
 	for _, c := range []struct {
@@ -30,16 +30,16 @@
 		calls calls
 		want  []string
 	}{
-		{"a stranger", calls{{"d", "x", unknown}, {"r", "x", unknown}, {"d", "", unknown}}, nil},
-		{"given twice", calls{{"d", "a", nil}, {"d", "a", nil}}, []string{"a"}},
-		{"ended twice", calls{{"d", "a", nil}, {"r", "a", nil}, {"r", "a", nil}}, nil},
-		{"never out", calls{{"r", "a", nil}}, nil},
-		{"the last", calls{{"d", "a", nil}, {"d", "b/c", last}, {"d", "a", nil}}, []string{"a"}},
-		{"the last of those that serve", calls{{"d", "empty", nil}, {"d", "a", nil}, {"d", "b/c", last}}, []string{"a", "empty"}},
-		{"the last with others' words", calls{{"o", "b/c", nil}, {"d", "a", last}}, []string{"b/c"}},
-		{"over a restart", calls{{"d", "b/c", nil}, {"s", "", nil}, {"d", "a", last}}, []string{"b/c"}},
-		{"ended over a restart", calls{{"d", "b/c", nil}, {"s", "", nil}, {"r", "b/c", nil}, {"s", "", nil}}, nil},
-		{"beside others' words", calls{{"d", "a", nil}, {"o", "gone", nil}, {"r", "a", nil}, {"r", "gone", nil}}, []string{"gone"}},
+		{"an unknown zone", calls{{"drain", "x", unknown}, {"restore", "x", unknown}, {"drain", "", unknown}}, nil},
+		{"drained twice", calls{{"drain", "a", nil}, {"drain", "a", nil}}, []string{"a"}},
+		{"restored twice", calls{{"drain", "a", nil}, {"restore", "a", nil}, {"restore", "a", nil}}, nil},
+		{"never drained", calls{{"restore", "a", nil}}, nil},
+		{"the last", calls{{"drain", "a", nil}, {"drain", "b/c", last}, {"drain", "a", nil}}, []string{"a"}},
+		{"the last that serves", calls{{"drain", "empty", nil}, {"drain", "a", nil}, {"drain", "b/c", last}}, []string{"a", "empty"}},
+		{"the last beside a remote one", calls{{"remote", "b/c", nil}, {"drain", "a", last}}, []string{"b/c"}},
+		{"after a restart", calls{{"drain", "b/c", nil}, {"restart", "", nil}, {"drain", "a", last}}, []string{"b/c"}},
+		{"restored after a restart", calls{{"drain", "b/c", nil}, {"restart", "", nil}, {"restore", "b/c", nil}, {"restart", "", nil}}, nil},
+		{"beside a remote one", calls{{"drain", "a", nil}, {"remote", "gone", nil}, {"restore", "a", nil}, {"restore", "gone", nil}}, []string{"gone"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -50,14 +50,14 @@
 				for _, call := range c.calls {
 					var err error
 					switch call.do {
-					case "d":
+					case "drain":
 						err = overrides.DrainZone(call.zone)
-					case "r":
+					case "restore":
 						err = overrides.RestoreZone(call.zone)
-					case "o":
+					case "remote":
 						overrides.SetRemote(map[string]bool{ZoneKey(call.zone): true})
 						synctest.Wait()
-					case "s":
+					case "restart":
 						overrides, here = startOverrides(t, cfg)
 					}
 					var ok bool
@@ -75,26 +75,26 @@
 						t.Errorf("%s %q: %v", call.do, call.zone, err)
 					}
 				}
-				if got := here.zonesOut(); !slices.Equal(got, c.want) {
-					t.Errorf("out: %q, not %q", got, c.want)
+				if got := here.drainedZones(); !slices.Equal(got, c.want) {
+					t.Errorf("drained: %q, want %q", got, c.want)
 				}
 			})
 		})
 	}
 }
 
-// A zone is kept where former versions do not look, and none goes for a server, whatever their names.
+// Zones are stored where older builds do not read them, and never taken for a server, whatever their names.
 func TestZonesAndServersAreSeparate(t *testing.T) {
 	store := store{dir: t.TempDir()}
 	mustSucceed(t, errors.Join(store.add("a"), store.add(ZoneKey("a/b"))))
 	if _, err := os.Stat(filepath.Join(store.dir, "zone-a%2Fb")); err != nil {
 		t.Error(err)
 	}
-	mustSucceed(t, os.WriteFile(filepath.Join(store.dir, "ban-%00zone%2Fc"), nil, 0o600)) // nobody's
+	mustSucceed(t, os.WriteFile(filepath.Join(store.dir, "ban-%00zone%2Fc"), nil, 0o600)) // ignored
 	got, err := store.load()
-	nodos, zones := SplitZones(got)
-	if err != nil || !maps.Equal(nodos, map[string]bool{"a": true}) || !maps.Equal(zones, map[string]bool{"a/b": true}) {
-		t.Errorf("%v %v %v", nodos, zones, err)
+	servers, zones := SplitZones(got)
+	if err != nil || !maps.Equal(servers, map[string]bool{"a": true}) || !maps.Equal(zones, map[string]bool{"a/b": true}) {
+		t.Errorf("%v %v %v", servers, zones, err)
 	}
 	names := NewNameSet()
 	names.Add(ZoneKey("c"))
@@ -102,6 +102,6 @@
 	mustSucceed(t, err)
 	var unknown *UnknownServerError
 	if err := overrides.SuspendServer(ZoneKey("c")); !errors.As(err, &unknown) {
-		t.Errorf("a server with a zone's mark: %v", err)
+		t.Errorf("a server with the key of a zone: %v", err)
 	}
 }
--- a/internal/rollout/fakeregistry_test.go
+++ b/internal/rollout/fakeregistry_test.go
@@ -16,27 +16,27 @@
 	"time"
 )
 
-// What a member may be.
+// The states of a member.
 const (
 	healthy      = ""
-	dead         = "dead"    // refuses, and breaks off what it held
+	dead         = "dead"    // refuses connections, and breaks those that it had
 	silent       = "silent"  // never answers
 	leaderLost   = "lost"    // 503 at once
-	partitioned  = "cut"     // knows nothing new; 503 once that has lasted for stale
-	malformed    = "garbled" // answers half
-	holdsNoWatch = "hasty"   // holds no watch
-	answersOlder = "brazen"  // tells what it has, also what is older than what was asked for
+	partitioned  = "cut"     // has no changes; 503 after maxStaleness
+	malformed    = "garbled" // answers with half of a message
+	holdsNoWatch = "hasty"   // answers a watch at once
+	answersOlder = "brazen"  // answers with an older version than the request's
 )
 
-const maxStaleness = 2250 * time.Millisecond // the service's own bound
+const maxStaleness = 2250 * time.Millisecond // the registry's own bound
 
-// service stands in for the members, on the test's clock.
+// fakeRegistry is the registry's members on the test's clock.
 type fakeRegistry struct {
 	mu            sync.Mutex
 	members       map[string]*fakeMember
 	changed       chan struct{}
 	start         time.Time
-	calls         []time.Duration // since the start
+	calls         []time.Duration // times since the start
 	calledMembers []string        // the members of these calls
 	reported      map[string]string
 }
@@ -44,23 +44,23 @@
 type fakeMember struct {
 	state       string
 	since       time.Time
-	line        string
+	epoch       string
 	version     int64
 	document    string
-	atPartition *fakeMember // what it knows while it is cut off
+	atPartition *fakeMember // what it has while it is partitioned
 }
 
 func newFakeRegistry(version int64) *fakeRegistry {
 	registry := &fakeRegistry{members: map[string]*fakeMember{}, changed: make(chan struct{}), start: time.Now(), reported: map[string]string{}}
 	for i := range 5 {
-		registry.members[fmt.Sprint("m", i+1)] = &fakeMember{line: "one", version: version, document: documentOf(version)}
+		registry.members[fmt.Sprint("m", i+1)] = &fakeMember{epoch: "one", version: version, document: documentOf(version)}
 	}
 	return registry
 }
 
 func documentOf(version int64) string { return fmt.Sprintf(`{"n":%d}`, version) }
 
-// set changes members and wakes those who watch.
+// set changes members and ends the watches.
 func (f *fakeRegistry) set(do func(name string, m *fakeMember)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,19 +75,19 @@
 	f.changed = make(chan struct{})
 }
 
-// put has all members know another version.
+// publish has all members confirm another version.
 func (f *fakeRegistry) publish(version int64) {
 	f.set(func(_ string, m *fakeMember) { m.version, m.document = version, documentOf(version) })
 }
 
-// watched is the member that was asked last.
+// lastCalled returns the member that was called last.
 func (f *fakeRegistry) lastCalled() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calledMembers[len(f.calledMembers)-1]
 }
 
-// next are the members that a client asks after the watched one.
+// reports returns the parameters of the latest calls, and the number of calls.
 func (f *fakeRegistry) reports() (map[string]string, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,16 +136,16 @@
 			return answer(http.StatusServiceUnavailable, "lost")
 		case m.state == malformed:
 			return answer(http.StatusOK, `{"version":9`)
-		case q.Get("line") != m.line || from < m.version || m.state == answersOlder:
+		case q.Get("line") != m.epoch || from < m.version || m.state == answersOlder:
 			document := ""
 			if m.version > 0 {
 				document = `,"document":` + m.document
 			}
-			return answer(http.StatusOK, `{"service":"tarifas","line":%q,"version":%d%s}`, m.line, m.version, document)
+			return answer(http.StatusOK, `{"service":"tarifas","line":%q,"version":%d%s}`, m.epoch, m.version, document)
 		case from > m.version && over:
 			return answer(http.StatusServiceUnavailable, "behind")
 		case over, m.state == holdsNoWatch:
-			return answer(http.StatusOK, `{"service":"tarifas","line":%q,"version":%d}`, m.line, m.version)
+			return answer(http.StatusOK, `{"service":"tarifas","line":%q,"version":%d}`, m.epoch, m.version)
 		}
 		select {
 		case <-changed:
@@ -158,14 +158,14 @@
 	}
 }
 
-// applied is what a client has put in force.
+// recordingApplier records what a client has applied.
 type recordingApplier struct {
 	mu        sync.Mutex
 	document  string
 	appliedAt time.Time
 	count     int
 	attempts  int
-	rejects   string // a text that holds this is refused
+	rejects   string // a document that contains this is rejected
 }
 
 func (a *recordingApplier) Apply(_ int64, document []byte) error {
@@ -191,7 +191,7 @@
 	a.rejects = what
 }
 
-// client runs a client of the service in the test's bubble.
+// client runs a client of the registry in the test's bubble.
 func (f *fakeRegistry) client(t *testing.T, seed uint64, dir string, known *CachedConfig) (*Client, *recordingApplier) {
 	applier := &recordingApplier{}
 	c := New(Config{Service: "tarifas", ProxyName: "p1", Members: []string{"m1", "m2", "m3", "m4", "m5"}, Seed: seed, StateDir: dir,
@@ -207,7 +207,7 @@
 	return c, applier
 }
 
-// bubble plays a test on its own clock.
+// bubble runs a subtest on a virtual clock.
 func bubble(t *testing.T, name string, f func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
 }
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// A configuration that an earlier version kept is read as it was, and written in the same bytes.
+// A configuration that an earlier version cached is read as it was, and written in the same bytes.
 func TestGoldenCachedConfig(t *testing.T) {
 	want := &CachedConfig{Service: "tarifas", Epoch: "8f3a", Version: 4711, Document: json.RawMessage(`{"settings":{"x":[1,"ü"]}}`)}
-	got, err := LoadCached(filepath.Join("testdata", "kept"), "tarifas")
+	got, err := LoadCached(filepath.Join("testdata", "cached"), "tarifas")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	keep.Put(want.encode)
 	stop()
 	ended()
-	before, err := os.ReadFile(filepath.Join("testdata", "kept", "config"))
+	before, err := os.ReadFile(filepath.Join("testdata", "cached", "config"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -18,16 +18,16 @@
 
 const documentedBound = 9 * time.Second
 
-// The table in rollout.go: how long a change takes, whatever the members are as it is made. All of it is under the
-// operators' 9 s.
+// The table in rollout.go: how long a change takes, whatever the state of the members. All of it is below the operators'
+// bound of 9 s.
 func TestChangeIsAppliedWithinBound(t *testing.T) {
 	const (
 		H, S, P, C = LongPollTimeout, watchSlack, failover.Jitter, callTimeout
 		ms         = time.Millisecond
 	)
-	// strike makes of the member that is watched, and of those that are asked after it, what is listed.
+	// strike sets the states of the member that is watched and of those that are called after it.
 	strike := func(registry *fakeRegistry, c *Client, states ...string) {
-		order := failover.NewRing(c.cfg.Members, rand.New(rand.NewPCG(c.cfg.Seed, 29)), maxBackoff) // as the client drew it
+		order := failover.NewRing(c.cfg.Members, rand.New(rand.NewPCG(c.cfg.Seed, 29)), maxBackoff) // the client's order
 		for order.Current() != registry.lastCalled() {
 			order.RecordFailure()
 		}
@@ -44,7 +44,7 @@
 		name   string
 		states []string // of the watched member, and of the next
 		bound  time.Duration
-		last   time.Duration // of the bound, what the answer itself may take: nothing here
+		last   time.Duration // part of the bound for the last answer, which takes no time here
 	}{
 		{"it tells", []string{healthy}, 0, 0},
 		{"it dies", []string{dead}, P + C, C},
@@ -57,7 +57,7 @@
 		{"it is garbled", []string{malformed}, P + C, C},
 	} {
 		if c.bound >= documentedBound {
-			t.Errorf("%s: %v is written down, and %v promised", c.name, c.bound, documentedBound)
+			t.Errorf("%s: %v is documented, and the bound is %v", c.name, c.bound, documentedBound)
 		}
 		worst := time.Duration(0)
 		bubble(t, c.name, func(t *testing.T) {
@@ -77,23 +77,23 @@
 				sleep(30 * time.Second)
 				text1, at, _ := applier.current()
 				if took := at.Sub(changed); text1 != documentOf(11) || took < 0 || took > c.bound-c.last {
-					t.Errorf("seed %d: %s in force after %v, %v is written down", seed, text1, took, c.bound)
+					t.Errorf("seed %d: %s applied after %v, %v is documented", seed, text1, took, c.bound)
 				} else {
 					worst = max(worst, took)
 				}
 			}
 		})
 		if least := c.bound - c.last - P; worst < least*9/10 {
-			t.Errorf("%s: %v at most, and %v is written down: the test does not strike", c.name, worst, c.bound)
+			t.Errorf("%s: %v at most, and %v is documented: the fault is not effective", c.name, worst, c.bound)
 		}
-		t.Logf("%s: %v at most of 40, %v written down", c.name, worst, c.bound)
+		t.Logf("%s: %v at most of 40, %v documented", c.name, worst, c.bound)
 	}
-	// After a time without any member; one of them stays silent, or none.
+	// After an outage of all members; one of them stays silent, or none.
 	for _, c := range []struct {
 		stays string
 		bound time.Duration
 	}{{healthy, maxBackoff + 2*C}, {silent, 2 * (maxBackoff + 2*C)}} {
-		bubble(t, "all are away, then back but for one "+c.stays, func(t *testing.T) {
+		bubble(t, "all are down, then back but for one "+c.stays, func(t *testing.T) {
 			for seed := range uint64(40) {
 				registry := newFakeRegistry(10)
 				_, applier := registry.client(t, seed, "", nil)
@@ -109,21 +109,21 @@
 				back := time.Now()
 				sleep(30 * time.Second)
 				if text1, at, _ := applier.current(); text1 != documentOf(11) || at.Sub(back) > c.bound || c.bound >= documentedBound {
-					t.Errorf("seed %d: %s in force after %v, %v is written down", seed, text1, at.Sub(back), c.bound)
+					t.Errorf("seed %d: %s applied after %v, %v is documented", seed, text1, at.Sub(back), c.bound)
 				}
 			}
 		})
 	}
 }
 
-// What is in force, or refused, is said with the next call; a refused document changes nothing and is not tried again.
+// The applied or rejected version is reported with the next call; a rejected document changes nothing and is not retried.
 func TestReports(t *testing.T) {
-	bubble(t, "in force and refused", func(t *testing.T) {
+	bubble(t, "applied and rejected", func(t *testing.T) {
 		registry := newFakeRegistry(10)
 		c, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
 		if said, _ := registry.reports(); said["name"] != "p1" || said["in_force"] != "10" || said["refused"] != "" {
-			t.Errorf("said %v", said)
+			t.Errorf("reported %v", said)
 		}
 		applier.reject(`11`)
 		registry.publish(11)
@@ -131,13 +131,13 @@
 		said, _ := registry.reports()
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || applier.attempts != 2 || said["in_force"] != "10" || said["refused"] != "11" ||
 			said["why"] != "settings.x: is refused" {
-			t.Errorf("%s in force, %d tried, said %v", now, applier.attempts, said)
+			t.Errorf("%s applied, %d tried, reported %v", now, applier.attempts, said)
 		}
 		if f := c.Metrics(); f.Version != 10 || f.RejectedVersion != 11 || f.Applied != 1 || f.Age > LongPollTimeout {
 			t.Errorf("%+v", f)
 		}
 		applier.reject("")
-		c.RetryRejected() // what it is put above has changed
+		c.RetryRejected() // the proxy's own file has changed
 		sleep(LongPollTimeout)
 		if f := c.Metrics(); f.Version != 11 || f.RejectedVersion != 0 {
 			t.Errorf("%+v", f)
@@ -148,10 +148,10 @@
 		registry.publish(13)
 		sleep(time.Second)
 		if said, _ := registry.reports(); said["in_force"] != "13" || said["refused"] != "" || said["why"] != "" {
-			t.Errorf("said %v", said)
+			t.Errorf("reported %v", said)
 		}
 	})
-	bubble(t, "30 changes within a minute, and each is in force at once", func(t *testing.T) {
+	bubble(t, "30 changes within a minute, each applied at once", func(t *testing.T) {
 		registry := newFakeRegistry(10)
 		_, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
@@ -160,7 +160,7 @@
 			registry.publish(v)
 			sleep(2 * time.Second)
 			if now, _, _ := applier.current(); now != documentOf(v) {
-				t.Errorf("%s in force, %d was put", now, v)
+				t.Errorf("%s applied, %d was published", now, v)
 			}
 		}
 		if _, calls := registry.reports(); calls-before > 2*30 {
@@ -183,25 +183,25 @@
 			}
 		}
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 {
-			t.Errorf("%s is in force, %d applied", now, n)
+			t.Errorf("%s is applied, %d applied", now, n)
 		}
 	})
-	bubble(t, "other members are asked once they are named", func(t *testing.T) {
+	bubble(t, "other members are called after SetMembers", func(t *testing.T) {
 		registry := newFakeRegistry(10)
-		registry.members["n1"] = &fakeMember{line: "one", version: 12, document: documentOf(12)}
+		registry.members["n1"] = &fakeMember{epoch: "one", version: 12, document: documentOf(12)}
 		c, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
 		c.SetMembers([]string{"n1"})
 		sleep(LongPollTimeout + watchSlack)
 		if now, _, _ := applier.current(); now != documentOf(12) || registry.lastCalled() != "n1" {
-			t.Errorf("%s in force, %s asked", now, registry.lastCalled())
+			t.Errorf("%s applied, %s called", now, registry.lastCalled())
 		}
 	})
 }
 
-// Which versions are believed.
+// Which versions are accepted.
 func TestEpochs(t *testing.T) {
-	bubble(t, "nothing older within a line", func(t *testing.T) {
+	bubble(t, "nothing older within an epoch", func(t *testing.T) {
 		registry := newFakeRegistry(10)
 		_, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
@@ -213,62 +213,62 @@
 		})
 		sleep(time.Minute)
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 {
-			t.Errorf("%s in force", now)
+			t.Errorf("%s applied", now)
 		}
 	})
-	bubble(t, "a restored service, whose versions lie above, counts at once, and what is the same is not applied again", func(t *testing.T) {
+	bubble(t, "an epoch with higher versions is accepted at once, and the same document is not applied again", func(t *testing.T) {
 		registry := newFakeRegistry(10)
 		c, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		registry.set(func(_ string, m *fakeMember) { m.line, m.version, m.document = "two", 1000, documentOf(10) })
+		registry.set(func(_ string, m *fakeMember) { m.epoch, m.version, m.document = "two", 1000, documentOf(10) })
 		sleep(time.Second)
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || c.Metrics().Version != 1000 {
-			t.Errorf("%s in force, %d applied, %+v", now, n, c.Metrics())
+			t.Errorf("%s applied, %d applied, %+v", now, n, c.Metrics())
 		}
 		registry.set(func(_ string, m *fakeMember) { m.version, m.document = 1001, documentOf(7) })
 		sleep(time.Second)
 		if now, _, _ := applier.current(); now != documentOf(7) {
-			t.Errorf("%s in force", now)
+			t.Errorf("%s applied", now)
 		}
 	})
-	bubble(t, "a service that begins empty takes nothing away, and its first configuration counts", func(t *testing.T) {
+	bubble(t, "an empty registry removes nothing, and its first configuration is accepted", func(t *testing.T) {
 		registry := newFakeRegistry(10)
 		c, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		registry.set(func(_ string, m *fakeMember) { m.line, m.version, m.document = "two", 0, "" })
+		registry.set(func(_ string, m *fakeMember) { m.epoch, m.version, m.document = "two", 0, "" })
 		sleep(time.Minute)
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || c.Metrics().Version != 10 || c.Metrics().Age > LongPollTimeout {
-			t.Errorf("%s in force, %+v", now, c.Metrics())
+			t.Errorf("%s applied, %+v", now, c.Metrics())
 		}
 		registry.set(func(_ string, m *fakeMember) { m.version, m.document = 2000, documentOf(2000) })
 		sleep(time.Second)
 		if now, _, _ := applier.current(); now != documentOf(2000) {
-			t.Errorf("%s in force", now)
+			t.Errorf("%s applied", now)
 		}
 	})
-	bubble(t, "a line below counts when nobody answers for the one before", func(t *testing.T) {
+	bubble(t, "an epoch with lower versions is accepted once nobody confirms the former", func(t *testing.T) {
 		registry := newFakeRegistry(10)
 		_, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		registry.set(func(_ string, m *fakeMember) { m.line, m.version, m.document = "zero", 5, documentOf(5) })
+		registry.set(func(_ string, m *fakeMember) { m.epoch, m.version, m.document = "zero", 5, documentOf(5) })
 		sleep(failover.EpochWait - LongPollTimeout)
 		if now, _, _ := applier.current(); now != documentOf(10) {
-			t.Errorf("%s in force", now)
+			t.Errorf("%s applied", now)
 		}
 		sleep(LongPollTimeout + 2*maxBackoff)
 		if now, _, _ := applier.current(); now != documentOf(5) {
-			t.Errorf("%s in force", now)
+			t.Errorf("%s applied", now)
 		}
 	})
 }
 
-// What is in force outlives the process, and nothing else passes for it.
+// The applied configuration outlives the process, and nothing else is read as it.
 func TestCachedConfig(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if k, err := LoadCached(dir, "tarifas"); k != nil || err != nil {
-		t.Errorf("of nothing came %+v, %v", k, err)
+		t.Errorf("without a file: %+v, %v", k, err)
 	}
-	bubble(t, "the newest in force, not what was refused", func(t *testing.T) {
+	bubble(t, "the latest applied one, not the rejected one", func(t *testing.T) {
 		registry := newFakeRegistry(10)
 		_, applier := registry.client(t, 1, dir, nil)
 		sleep(time.Second)
@@ -282,7 +282,7 @@
 	if err != nil || k == nil || k.Version != 11 || k.Epoch != "one" || string(k.Document) != documentOf(11) {
 		t.Fatalf("got %+v, %v", k, err)
 	}
-	bubble(t, "a client goes on from it", func(t *testing.T) {
+	bubble(t, "a client continues from it", func(t *testing.T) {
 		registry := newFakeRegistry(11)
 		c, applier := registry.client(t, 1, "", k)
 		sleep(time.Minute)
@@ -292,10 +292,10 @@
 		registry.publish(12)
 		sleep(time.Second)
 		if now, _, _ := applier.current(); now != documentOf(12) {
-			t.Errorf("%s in force", now)
+			t.Errorf("%s applied", now)
 		}
 	})
-	bubble(t, "one that could not be put in force at the start is told so", func(t *testing.T) {
+	bubble(t, "one that was rejected at the start is reported", func(t *testing.T) {
 		registry := newFakeRegistry(11)
 		applier := &recordingApplier{}
 		c := New(Config{Service: "tarifas", ProxyName: "p1", Members: []string{"m1"}, Logger: slog.New(slog.DiscardHandler)}, applier)
@@ -306,13 +306,13 @@
 		go func() { defer close(ended); c.Run(ctx) }()
 		sleep(time.Second)
 		if said, _ := registry.reports(); said["in_force"] != "0" || said["refused"] != "11" || len(said["why"]) != maxReasonBytes {
-			t.Errorf("said %v", said)
+			t.Errorf("reported %v", said)
 		}
 		stop()
 		<-ended
 	})
 	if k, err := LoadCached(dir, "another"); k != nil || err != nil {
-		t.Errorf("of another service came %+v, %v", k, err)
+		t.Errorf("of another service: %+v, %v", k, err)
 	}
 	path := filepath.Join(dir, cacheFile)
 	whole, err := os.ReadFile(path)
@@ -329,7 +329,7 @@
 			t.Errorf("%q: got %+v, %v", spoilt, k, err)
 		}
 		if text, err := os.ReadFile(path + damagedSuffix); err != nil || !bytes.Equal(text, spoilt) {
-			t.Errorf("%q was not set aside: %v", spoilt, err)
+			t.Errorf("%q was not renamed: %v", spoilt, err)
 		}
 	}
 }
--- a/internal/settings/document_test.go
+++ b/internal/settings/document_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// document1 is object1 as a document: without what is each proxy's own.
+// document1 is object1 as a document: without the per-proxy settings.
 var document1 = `{"settings":` + strings.Replace(object1, `"my_zone":1,"ordinal":0,`, "", 1) + `}`
 
-// What is wrong with a document is found where it enters, by the key in the file's words.
+// A document's errors are found before it is stored, and name the key.
 func TestDocumentErrorsNameKeys(t *testing.T) {
 	if err := CheckDocument([]byte(document1)); err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	}
 }
 
-// A document goes above the file's settings; the proxy's own zone and number stay, the zone by its name.
+// A document replaces the file's settings, except the proxy's zone, found by its name, and its index.
 func TestMergeDocument(t *testing.T) {
 	for _, c := range []struct {
 		old, new string
@@ -72,7 +72,7 @@
 	}
 }
 
-// The kept form is its own kept form, also through encoding/json, so that a repeated call is known by its bytes.
+// The canonical form is its own canonical form, also through encoding/json, so that a repeated call has the same bytes.
 func FuzzCanonical(f *testing.F) {
 	f.Add([]byte(document1))
 	f.Add([]byte("{ \"a\" : \"<&>\u2028\\u0041\xff\" }"))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 	`"objective_us":500000,"repeat":"deduplicated","worth":1.0}],"siblings":3,"stage":0,` +
 	`"tenants":[{"name":"acme","portion":1,"quota_per_s":4}],"tiers":["t"],"weights":"rough"}`
 
-// Rules that did not reach the module were broken on every rough day.
+// Each setting has to reach the balancer.
 func TestSettingsReachBalancer(t *testing.T) {
 	text := strings.Replace(object1, `"contract":{`, `"contract":{"busy_is_no_proof":true,"order_settle_us":7,`+
 		`"ratio_span_us":5000000,"resend_ratio":0.05,"spare_attempts":3,"tip_multiple":2.5,"fall_us":1000000,`, 1)
