--- /dev/null
+++ b/cmd/merlinpick-registry/partition_test.go
@@ -0,0 +1,122 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"merlinpick/internal/registry/config"
+)
+
+// breakableLink relays connections between a member and the others. While it is broken, it has none.
+type breakableLink struct {
+	mu          sync.Mutex
+	broken      bool
+	connections map[net.Conn]bool
+}
+
+func (g *breakableLink) track(c net.Conn) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.broken {
+		c.Close()
+		return false
+	}
+	g.connections[c] = true
+	return true
+}
+
+func (g *breakableLink) setBroken(shut bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.broken = shut
+	if shut {
+		for c := range g.connections {
+			c.Close()
+		}
+		clear(g.connections)
+	}
+}
+
+// relayTo returns an address that is relayed to another through the link.
+func (g *breakableLink) relayTo(t *testing.T, addr string) string {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all sync.WaitGroup
+	t.Cleanup(func() { l.Close(); g.setBroken(true); all.Wait() })
+	all.Go(func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			all.Go(func() {
+				if !g.track(c) {
+					return
+				}
+				defer c.Close()
+				out, err := net.DialTimeout("tcp", addr, time.Second)
+				if err != nil || !g.track(out) {
+					return
+				}
+				defer out.Close()
+				back := make(chan struct{})
+				go func() { defer close(back); _, _ = io.Copy(c, out); c.Close() }()
+				_, _ = io.Copy(out, c)
+				out.Close()
+				<-back
+			})
+		}
+	})
+	return l.Addr().String()
+}
+
+// A partitioned member accepts no write, and its watches move on in time. Once it is back it has what was written meanwhile.
+func TestPartitionedMemberRejectsConfigWrites(t *testing.T) {
+	gates := []*breakableLink{{connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}}}
+	// Each member reaches each other one through the links of both.
+	s := startService(t, 3, func(i int, f *config.File) {
+		for j := range f.Members {
+			if m := &f.Members[j]; i != j {
+				m.Raft, m.List = gates[i].relayTo(t, gates[j].relayTo(t, m.Raft)), gates[i].relayTo(t, gates[j].relayTo(t, m.List))
+			} else {
+				f.RaftListen = m.Raft
+			}
+		}
+	})
+	all := newProxies(t, s, 6)
+	for _, f := range all {
+		f.start()
+	}
+	version, at := s.putConfig(t, 0, document("before"))
+	awaitApplied(t, all, version, "before", at, patience)
+	l := s.awaitLeader(t)
+	gates[l].setBroken(true)
+	// Clients still reach it, and it leads until its leadership is checked.
+	status, _, text, err := s.putConfigAt(l, version, document("lost"))
+	if err != nil || status != 503 {
+		t.Errorf("cut off: %d %s, %v", status, text, err)
+	}
+	var confirmed int64
+	waitFor(t, "the others to take one", func() bool {
+		status, v, _, err := s.putConfigAt((l+1)%3, version, document("after"))
+		confirmed, at = v, time.Now()
+		return err == nil && status == 200
+	})
+	t.Logf("in force at all after %v", awaitApplied(t, all, confirmed, "after", at, appliedWithin))
+	if text, err := get(t.Context(), time.Second, "http://"+s.addresses[l]+"/config/tarifas"); err == nil || !errors.Is(err, errRejected) {
+		t.Errorf("the partitioned member answers %s, %v", text, err)
+	}
+	gates[l].setBroken(false)
+	s.awaitServing()
+	if c := s.config(t, l); c.Version != confirmed || !bytes.Contains(c.Document, []byte("after")) {
+		t.Errorf("back, it has version %d, and %d was confirmed: %s", c.Version, confirmed, c.Document)
+	}
+}
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -14,8 +14,8 @@
 
 func refs(name, instance string) []InstanceRef { return []InstanceRef{{name, instance}} }
 
-// What a caller repeats happens once, and what arrives late changes nothing that came after it.
-func TestRepeatsAndLateCommands(t *testing.T) {
+// A repeated command takes effect once, and a late one does not undo what came after it.
+func TestRepeatedAndLateCommands(t *testing.T) {
 	register := Command{Kind: CommandRegister, Record: record("n", "i1", 10)}
 	later := Command{Kind: CommandRegister, Record: record("n", "i2", 20)}
 	moved := *record("n", "i1", 10)
@@ -43,7 +43,7 @@
 		"what is not there": {{drain, ResultUnknown, false, ""}, {gone, ResultUnknown, false, ""}, {over, ResultUnknown, false, ""}},
 		"a kind of another version": {{register, ResultDone, true, StatusServing}, {Command{Kind: "colour", Refs: refs("n", "i1")}, ResultIgnored, false,
 			StatusServing}},
-		"a record that makes no sense": {{Command{Kind: CommandRegister, Record: record("", "i", 0)}, ResultIgnored, false, ""},
+		"an invalid record": {{Command{Kind: CommandRegister, Record: record("", "i", 0)}, ResultIgnored, false, ""},
 			{Command{Kind: CommandRegister}, ResultIgnored, false, ""}},
 	} {
 		s := New()
@@ -59,8 +59,8 @@
 	}
 }
 
-// A line's first version lies above all that came before, by the clock if that is right and by what is known if not.
-func TestLinesOnlyRise(t *testing.T) {
+// An epoch's first version is above all earlier ones: by the clock if that is right, by the known version if not.
+func TestFirstVersionGrowsAcrossEpochs(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	first := FirstVersion(now, 0)
 	if next := FirstVersion(now.Add(time.Second), 0); next < first+1<<versionsPerSecondShift {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Any byte that is changed, lost or added in a snapshot is noticed.
-func TestASnapshotIsReadWholeOrNotAtAll(t *testing.T) {
+// Any changed, lost or added byte of a snapshot is noticed.
+func TestDamagedSnapshotIsRejected(t *testing.T) {
 	s := New()
 	s.Apply(Command{Kind: CommandBegin, Epoch: "l", FirstVersion: 100})
 	s.Apply(Command{Kind: CommandRegister, Record: record("n", "i1", 10)})
@@ -105,7 +105,7 @@
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzReadSnapshot(f *testing.F) {
 	s := New()
 	s.Apply(Command{Kind: CommandBegin, Epoch: "l", FirstVersion: 100})
 	s.Apply(Command{Kind: CommandRegister, Record: record("n", "i1", 10)})
@@ -139,7 +139,7 @@
 		s.Apply(c)
 		i := s.Snapshot()
 		if err := i.Check(); err != nil {
-			t.Fatalf("%s left a list that makes no sense: %v", data, err)
+			t.Fatalf("%s left an invalid state: %v", data, err)
 		}
 	})
 }
