--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -86,6 +86,8 @@
 		f := c.Metrics()
 		stop()
 		<-ended
+		notes.mu.Lock()
+		defer notes.mu.Unlock()
 		calls, lists = notes.calls, notes.lists
 		counts = fmt.Sprint(f.FromRegistry, f.Age, f.Failovers, f.Failures, f.RetainedEndpoints, f.CallResults)
 	})
