--- a/internal/registry/config/config_test.go
+++ b/internal/registry/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -50,3 +51,15 @@
 		}
 	}
 }
+
+// Faults can be told apart by their types.
+func TestParseErrorsAreTyped(t *testing.T) {
+	var fault *Error
+	if _, err := Parse("f", "nmae = 1\n"); !errors.As(err, &fault) || fault.File != "f" || fault.Key != "nmae" {
+		t.Errorf("got %+v", fault)
+	}
+	var syntax *SyntaxError
+	if _, err := Parse("f", "name = \"r1\"\n= 1\n"); !errors.As(err, &syntax) || syntax.File != "f" || syntax.Line != 2 {
+		t.Errorf("got %+v", syntax)
+	}
+}
--- a/internal/registry/registrar/registrar.go
+++ b/internal/registry/registrar/registrar.go
@@ -53,7 +53,7 @@
 
 // Error says why.
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("the list service: %s (%d)", e.ErrorBody.Error, e.Status)
+	return fmt.Sprintf("registry: %s (%d)", e.ErrorBody.Error, e.Status)
 }
 
 // UnavailableError is an answer of a member that the call may be repeated.
@@ -69,7 +69,11 @@
 // *RejectedError the call may have taken effect.
 func (c *Client) Call(ctx context.Context, method, path string, body, out any) error {
 	current := c.current.Load()
-	err := c.callMember(ctx, c.addresses[int(current)%len(c.addresses)], method, path, body, out)
+	request, err := newRequest(ctx, method, "http://"+c.addresses[int(current)%len(c.addresses)]+path, body)
+	if err != nil {
+		return err
+	}
+	err = c.do(request, out)
 	var rejected *RejectedError
 	if err != nil && !errors.As(err, &rejected) && ctx.Err() == nil {
 		c.current.CompareAndSwap(current, (current+1)%uint32(len(c.addresses)))
@@ -77,19 +81,18 @@
 	return err
 }
 
-func (c *Client) callMember(ctx context.Context, address, method, path string, body, out any) error {
-	var content io.Reader
-	if body != nil {
-		text, err := json.Marshal(body)
-		if err != nil {
-			return err
-		}
-		content = bytes.NewReader(text)
+func newRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
+	if body == nil {
+		return http.NewRequestWithContext(ctx, method, url, nil)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, content)
+	text, err := json.Marshal(body)
 	if err != nil {
-		return err
+		return nil, err
 	}
+	return http.NewRequestWithContext(ctx, method, url, bytes.NewReader(text))
+}
+
+func (c *Client) do(request *http.Request, out any) error {
 	response, err := c.http.Do(request)
 	if err != nil {
 		return err
@@ -104,7 +107,7 @@
 	}
 	reason := api.ReadError(response, text)
 	if response.StatusCode/100 == 5 && response.StatusCode != http.StatusInsufficientStorage {
-		return &UnavailableError{address, reason}
+		return &UnavailableError{request.URL.Host, reason}
 	}
 	return &RejectedError{response.StatusCode, reason}
 }
--- a/internal/registry/store/store_test.go
+++ b/internal/registry/store/store_test.go
@@ -188,7 +188,7 @@
 	if _, err := s.GetUint64([]byte("no such")); err == nil || err.Error() != "not found" {
 		t.Errorf("a key that was never set: %v", err)
 	}
-	if _, _, err := Open(dir, "r1", 0, quiet); err == nil || errors.Is(err, ErrDamaged) {
+	if _, _, err := Open(dir, "r1", 0, quiet); !errors.Is(err, ErrInUse) || errors.Is(err, ErrDamaged) {
 		t.Errorf("opened twice: %v", err)
 	}
 }
