--- a/cmd/merlinpick-registry/endpoints.go
+++ b/cmd/merlinpick-registry/endpoints.go
@@ -17,15 +17,15 @@
 )
 
 type endpointCommands struct {
-	List       listEndpoints      `cmd:"" default:"withargs" help:"Print the nodos."`
-	Register   registerEndpoint   `cmd:"" help:"Register a nodo; with --keep renew its lease until the command is ended."`
-	Drain      drainEndpoint      `cmd:"" help:"Have a nodo get nothing new."`
-	Deregister deregisterEndpoint `cmd:"" help:"Take a nodo out of the list."`
+	List       listEndpoints      `cmd:"" default:"withargs" help:"Print the endpoints."`
+	Register   registerEndpoint   `cmd:"" help:"Register an endpoint; with --keep renew its lease until the command ends."`
+	Drain      drainEndpoint      `cmd:"" help:"Drain an endpoint: it gets no new requests."`
+	Deregister deregisterEndpoint `cmd:"" help:"Remove an endpoint from the list."`
 }
 
 type listEndpoints struct {
 	memberAddresses
-	JSON bool `help:"One object a line."`
+	JSON bool `help:"One JSON object a line."`
 }
 
 // Run prints the endpoints.
@@ -62,10 +62,10 @@
 	Type     string        `default:"nodo"`
 	Cell     int           `name:"group" default:"0"`
 	Weight   float64       `default:"1"`
-	Instance string        `help:"One word for each start of its process. Default: a random one."`
+	Instance string        `help:"An id of this start of its process. Default: a random one."`
 	Since    int64         `name:"since-ms" help:"Unix time of its start, in ms. Default: now."`
 	Lease    time.Duration `default:"10s"`
-	Keep     bool          `help:"Renew the lease, and deregister at the end."`
+	Keep     bool          `help:"Renew the lease, and deregister when the command ends."`
 }
 
 // Run registers an endpoint, and with Keep renews its lease until ctx ends.
@@ -112,7 +112,7 @@
 type endpointInstance struct {
 	memberAddresses
 	Name     string `arg:""`
-	Instance string `help:"Default: the one that is in the list now."`
+	Instance string `help:"Default: the one in the list."`
 }
 
 func (c *endpointInstance) ref(ctx context.Context) (state.InstanceRef, error) {
--- a/cmd/merlinpick-registry/main.go
+++ b/cmd/merlinpick-registry/main.go
@@ -28,19 +28,19 @@
 
 type arguments struct {
 	LogFormat string `enum:"text,json" default:"text" help:"Form of the log on standard error: text or json."`
-	Verbose   bool   `short:"v" help:"Log what the consensus does by itself."`
+	Verbose   bool   `short:"v" help:"Log raft's own events too."`
 
-	Serve     serveCommand     `cmd:"" help:"Run a member; with no configuration an only one on 127.0.0.1:8500."`
-	Members   membersCommand   `cmd:"" help:"Print how each member is; exit 1 if one is not well."`
-	Endpoints endpointCommands `cmd:"" name:"nodos" help:"List the nodos, or register, drain and deregister one."`
-	Watch     watchCommand     `cmd:"" help:"Print changes of the list as they come."`
-	Check     checkCommand     `cmd:"" help:"Name every fault of a configuration, and read all that its directory holds."`
-	Snapshot  snapshotCommands `cmd:"" help:"Save the list to a file, look at one, or put one in the list's place."`
+	Serve     serveCommand     `cmd:"" help:"Run a member; without a configuration, a cluster of one on 127.0.0.1:8500."`
+	Members   membersCommand   `cmd:"" help:"Print each member's status; exit 1 if one does not serve the list."`
+	Endpoints endpointCommands `cmd:"" name:"nodos" help:"List the endpoints, or register, drain and deregister one."`
+	Watch     watchCommand     `cmd:"" help:"Print the list, and its changes as they come."`
+	Check     checkCommand     `cmd:"" help:"Name every fault of a configuration, and verify all that its directory holds."`
+	Snapshot  snapshotCommands `cmd:"" help:"Save the list and configurations to a file, inspect one, or restore one."`
 }
 
 // memberAddresses are the members' API addresses, for commands that call them.
 type memberAddresses struct {
-	At string `default:"127.0.0.1:8500" env:"ROSTER_AT" help:"The members' addresses, with commas between."`
+	At string `default:"127.0.0.1:8500" env:"ROSTER_AT" help:"The members' API addresses, separated by commas."`
 }
 
 func (m memberAddresses) addresses() []string { return strings.Split(m.At, ",") }
@@ -49,7 +49,7 @@
 
 func run(args []string) int {
 	var a arguments
-	parser := kong.Must(&a, kong.Name("merlinpick-registry"), kong.Description("The list of nodos, kept by several members."),
+	parser := kong.Must(&a, kong.Name("merlinpick-registry"), kong.Description("The registry: the endpoint list and the services' configurations, replicated by raft."),
 		kong.UsageOnError())
 	command, err := parser.Parse(args)
 	if err != nil {
--- a/cmd/merlinpick-registry/members.go
+++ b/cmd/merlinpick-registry/members.go
@@ -13,7 +13,7 @@
 
 type membersCommand struct {
 	memberAddresses
-	JSON bool `help:"One object a line."`
+	JSON bool `help:"One JSON object a line."`
 }
 
 // Run prints each member's status. It fails with errRejected if one does not serve the list.
--- a/cmd/merlinpick-registry/snapshot.go
+++ b/cmd/merlinpick-registry/snapshot.go
@@ -15,9 +15,9 @@
 )
 
 type snapshotCommands struct {
-	Save    saveSnapshot    `cmd:"" help:"Save the list to a file."`
+	Save    saveSnapshot    `cmd:"" help:"Save the list and configurations to a file."`
 	Inspect inspectSnapshot `cmd:"" help:"Check a file and print what it holds."`
-	Restore restoreSnapshot `cmd:"" help:"Put a file in the list's place, as a new line of versions."`
+	Restore restoreSnapshot `cmd:"" help:"Replace the list by a file, as a new epoch."`
 }
 
 type saveSnapshot struct {
@@ -56,7 +56,7 @@
 
 type inspectSnapshot struct {
 	File      string `arg:"" type:"path"`
-	Endpoints bool   `name:"nodos" help:"Print the nodos too, one object a line."`
+	Endpoints bool   `name:"nodos" help:"Print the endpoints too, one JSON object a line."`
 }
 
 // Run checks a file and prints what it holds.
@@ -83,7 +83,7 @@
 type restoreSnapshot struct {
 	memberAddresses
 	File string `arg:"" type:"path"`
-	Yes  bool   `help:"Needed if the list has nodos now: they are replaced."`
+	Yes  bool   `help:"Needed if the list has endpoints: they are replaced."`
 }
 
 // Run replaces the registry's state by a file's, at the first member that takes it.
