--- a/cmd/merlinpick-simadapter/serve_test.go
+++ b/cmd/merlinpick-simadapter/session_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"log/slog"
 	"slices"
 	"strings"
 	"testing"
@@ -64,7 +65,7 @@
 	}
 }
 
-func TestARequestFromListToAnswer(t *testing.T) {
+func TestRequestFromListToFailure(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`)+
 		batch(2_000_000, jobLine("proxy_1", "00ff"))+
@@ -79,7 +80,7 @@
 }
 
 // A roster's number is used again within a batch: each list must be read as it stood in order of events.
-func TestRosterReusedWithinABatch(t *testing.T) {
+func TestListNumberReusedWithinBatch(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), instanceLine("proxy_2"),
 		rosterLine(3, "backend-one"), `{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":3}}`,
 		rosterLine(3, "backend-two"), `{"membership":{"who":"proxy_2","how":1,"seq_no":1,"roster_id":3}}`,
@@ -91,7 +92,7 @@
 	}
 }
 
-func TestStopAndRestartInOneBatchForgetsTheList(t *testing.T) {
+func TestRestartWithinBatchForgetsList(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), rosterLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`,
 		`{"power_off":{"who":"proxy_1"}}`, instanceLine("proxy_1"), jobLine("proxy_1", "aa"),
@@ -120,7 +121,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestInvalidInputIsNamed(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{`nonsense`, "line 2: not an event"},
 		{`{"job_in":{"who":5}}`, "line 2: not an event"},
@@ -138,7 +139,7 @@
 		{`{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0}]}}`, "line 2: ledger: elements[0]"},
 		{`{"ledger":{"roster_id":1,"elements":[{"backend":"b","dc":0,"state":3}]}}`, "line 2: ledger: elements[0].state"},
 		{strings.Replace(instanceLine("p"), "deduplicated", "sometimes", 1), `line 2: new_instance: options.profiles[0].repeat: unknown word "sometimes"`},
-		{strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1), "line 2: new_instance: logic: Settings.Zone"},
+		{strings.Replace(instanceLine("p"), `"my_zone":1`, `"my_zone":2`, 1), "line 2: new_instance: balancer: Settings.Zone"},
 		{strings.Replace(instanceLine("p"), `"salt":7,`, "", 1), "line 2: new_instance: who, salt or options"},
 	} {
 		_, err := run(t, batch(1, c.line))
@@ -156,13 +157,15 @@
 
 type textEvent string
 
-func (e textEvent) String() string { return string(e) }
+func (e textEvent) String() string          { return string(e) }
+func (e textEvent) Message() string         { return string(e) }
+func (e textEvent) Attributes() []slog.Attr { return nil }
 
 func TestActionsOnTheWire(t *testing.T) {
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
 	enc.SetEscapeHTML(false)
-	h := &host{who: "proxy_1", out: enc}
+	h := &host{instance: "proxy_1", out: enc}
 	h.Send("aa", "backend-x", 0, 7)
 	h.Reject("aa", 250000)
 	h.Fail("aa")
@@ -182,7 +185,7 @@
 }
 
 // A key that does not reach the module cannot keep its order.
-func TestAKeyReachesTheModule(t *testing.T) {
+func TestOrderingKeyReachesBalancer(t *testing.T) {
 	ordered := strings.Replace(instanceLine("proxy_1"), `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
 	keyed := func(ticket string) string {
 		return strings.Replace(jobLine("proxy_1", ticket), `"affinity":null`, `"affinity":"k:1"`, 1)
