--- a/internal/registry/api/configstatus.go
+++ b/internal/registry/api/configstatus.go
@@ -91,7 +91,8 @@
 }
 
 // collectReports returns every member's reports, and the names of the members that did not answer.
-func (s *Server) collectReports(ctx context.Context, node *raftnode.Node, service string) (reports [][]rollout.ProxyReport, silent []string) {
+func (s *Server) collectReports(ctx context.Context, node *raftnode.Node,
+	service string) (reports [][]rollout.ProxyReport, silent []string) {
 	ctx, cancel := context.WithTimeout(ctx, reportsTimeout)
 	defer cancel()
 	peers := node.Peers()
--- a/internal/registry/api/server.go
+++ b/internal/registry/api/server.go
@@ -89,7 +89,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	s := &Server{cfg: cfg, listener: listener.Retry(l, cfg.Logger), stopping: make(chan struct{}), forwardClient: newForwardClient()}
+	s := &Server{cfg: cfg, listener: listener.Retry(l, cfg.Logger), stopping: make(chan struct{}),
+		forwardClient: newForwardClient()}
 	s.http = &http.Server{Handler: s.routes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(cfg.Logger.Handler(), slog.LevelDebug)}
 	return s, nil
--- a/internal/registry/config/config.go
+++ b/internal/registry/config/config.go
@@ -67,8 +67,8 @@
 // Default returns the configuration of a cluster of one on the loopback address.
 func Default() File {
 	l := lease.DefaultConfig()
-	return File{Name: "roster", Dir: "roster-data", Listen: "127.0.0.1:8500", MetricsAddress: "127.0.0.1:9500", ElectionTimeoutMs: 500,
-		MaxListAgeMs: 2000, MaxWatches: 6000, Lease: Lease{l.HoldThreshold, l.ReleaseRate}}
+	return File{Name: "roster", Dir: "roster-data", Listen: "127.0.0.1:8500", MetricsAddress: "127.0.0.1:9500",
+		ElectionTimeoutMs: 500, MaxListAgeMs: 2000, MaxWatches: 6000, Lease: Lease{l.HoldThreshold, l.ReleaseRate}}
 }
 
 // Read reads a file; an empty path is Default. A relative Dir is taken from the file's directory. The error is a
--- a/internal/registry/raftnode/bootstrap.go
+++ b/internal/registry/raftnode/bootstrap.go
@@ -26,7 +26,8 @@
 	rc := raft.DefaultConfig()
 	rc.LocalID = raft.ServerID(cfg.Name)
 	rc.Logger = newLogger(cfg.Logger)
-	rc.HeartbeatTimeout, rc.ElectionTimeout, rc.LeaderLeaseTimeout = cfg.ElectionTimeout, cfg.ElectionTimeout, cfg.ElectionTimeout/2
+	rc.HeartbeatTimeout, rc.ElectionTimeout = cfg.ElectionTimeout, cfg.ElectionTimeout
+	rc.LeaderLeaseTimeout = cfg.ElectionTimeout / 2
 	rc.SnapshotThreshold, rc.TrailingLogs = snapshotThreshold, trailingLogs
 	rc.SnapshotInterval = snapshotInterval
 	return rc
@@ -54,7 +55,8 @@
 // initialConfiguration lists all members. Their raft addresses are their names, which peerAddresses resolves.
 func (n *Node) initialConfiguration() raft.Configuration {
 	if len(n.cfg.Peers) == 0 {
-		return raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(n.cfg.Name), Address: raft.ServerAddress(n.cfg.Name)}}}
+		self := raft.Server{ID: raft.ServerID(n.cfg.Name), Address: raft.ServerAddress(n.cfg.Name)}
+		return raft.Configuration{Servers: []raft.Server{self}}
 	}
 	var servers []raft.Server
 	for _, p := range n.cfg.Peers {
--- a/internal/registry/raftnode/node.go
+++ b/internal/registry/raftnode/node.go
@@ -78,8 +78,7 @@
 )
 
 // errShutdownTimeout is harmless: the log recovers as after a kill.
-var errShutdownTimeout = fmt.Errorf("raft did not shut down within %v; the next start recovers its directory as after a kill",
-	shutdownTimeout)
+var errShutdownTimeout = errors.New("raft did not shut down in time; the next start recovers its directory as after a kill")
 
 // unreadableCommandError is a committed command that this build cannot decode.
 type unreadableCommandError struct{ response any }
@@ -183,7 +182,8 @@
 	select {
 	case err := <-done:
 		switch {
-		case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
+		case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout),
+			errors.Is(err, raft.ErrLeadershipTransferInProgress):
 			return state.Result{}, ErrNotLeader
 		case err != nil:
 			return state.Result{}, fmt.Errorf("%w (%w)", ErrUncertain, err)
--- a/internal/registry/registrar/registrar.go
+++ b/internal/registry/registrar/registrar.go
@@ -36,8 +36,8 @@
 
 // New returns a client of the members at these addresses, HOST:PORT. It begins with a random one.
 func New(addresses []string) *Client {
-	c := &Client{addresses: addresses, http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16,
-		IdleConnTimeout: time.Minute, DisableCompression: true}}}
+	transport := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute, DisableCompression: true}
+	c := &Client{addresses: addresses, http: &http.Client{Timeout: callTimeout, Transport: transport}}
 	c.current.Store(rand.Uint32N(uint32(len(addresses))))
 	return c
 }
@@ -160,7 +160,8 @@
 
 // Deregister removes a server from the list. It repeats the call as CallUntilDecided does.
 func (c *Client) Deregister(ctx context.Context, ref state.InstanceRef) (out api.Accepted, err error) {
-	err = c.CallUntilDecided(ctx, http.MethodDelete, endpointPath(ref.Name, "")+"?instance="+url.QueryEscape(ref.Instance), nil, &out)
+	path := endpointPath(ref.Name, "") + "?instance=" + url.QueryEscape(ref.Instance)
+	err = c.CallUntilDecided(ctx, http.MethodDelete, path, nil, &out)
 	return out, err
 }
 
--- a/internal/registry/state/record.go
+++ b/internal/registry/state/record.go
@@ -71,7 +71,8 @@
 			fmt.Sprintf("1 to %d characters without spaces, slashes, ?, # and %% are needed", maxNameBytes)}
 	}
 	if _, _, err := net.SplitHostPort(r.Address); err != nil || len(r.Address) > maxFieldBytes {
-		return &FieldError{"address", fmt.Sprintf("%q", r.Address), fmt.Sprintf("HOST:PORT is needed, at most %d characters", maxFieldBytes)}
+		return &FieldError{"address", fmt.Sprintf("%q", r.Address),
+			fmt.Sprintf("HOST:PORT is needed, at most %d characters", maxFieldBytes)}
 	}
 	for _, field := range [...]struct{ key, text string }{{"zone", r.Zone}, {"type", r.Type}, {"instance", r.Instance}} {
 		if len(field.text) > maxFieldBytes {
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -97,7 +97,8 @@
 	if len(s.changes) == 0 || s.changes[0].Version > from+1 {
 		return nil, false
 	}
-	first, _ := slices.BinarySearchFunc(s.changes, from+1, func(c Change, version int64) int { return cmp.Compare(c.Version, version) })
+	byVersion := func(c Change, version int64) int { return cmp.Compare(c.Version, version) }
+	first, _ := slices.BinarySearchFunc(s.changes, from+1, byVersion)
 	return slices.Clone(s.changes[first:]), true
 }
 
