--- a/internal/proxy/linger.go
+++ b/internal/proxy/clientconn/linger.go
@@ -1,4 +1,4 @@
-package proxy
+package clientconn
 
 import (
 	"merlinpick/internal/proxy/audit"
@@ -12,92 +12,88 @@
 
 // How a client's connection ends. A close over bytes that nobody has read resets the connection, and takes along what the
 // client has not received yet, such as the response just before. So the sending side is shut down first; what still comes is
-// read and discarded, never passed on, until the client has closed its side too or lingerTimeout is over; then the
+// read and discarded, never passed on, until the client has closed its side too or LingerTimeout is over; then the
 // descriptor is closed. A request that crosses the shutdown has no response: its client sends it once more.
 
-const (
-	lingerTimeout  = 500 * time.Millisecond
-	minLinger      = 20 * time.Millisecond // even where slots are short
-	maxLingerBytes = 1 << 20               // discarded of a peer that goes on sending
-)
+const maxLingerBytes = 1 << 20 // discarded of a peer that goes on sending
 
-// rejectionText is for a request that was cut short before it was complete. It was never forwarded and may come again.
-const rejectionText = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+// RejectionText is for a request that was cut short before it was complete. It was never forwarded and may come again.
+const RejectionText = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 // lingeringConns are the connections that have been shut down and are not closed yet. Any goroutine may use it.
 type lingeringConns struct {
 	mu    sync.Mutex
-	since map[*clientConn]time.Time
+	since map[*Conn]time.Time
 }
 
-func (l *lingeringConns) add(c *clientConn) {
+func (l *lingeringConns) add(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.since == nil {
-		l.since = map[*clientConn]time.Time{}
+		l.since = map[*Conn]time.Time{}
 	}
 	l.since[c] = time.Now()
 }
 
-func (l *lingeringConns) remove(c *clientConn) {
+func (l *lingeringConns) remove(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.since, c)
 }
 
-// count is how many there are.
-func (l *lingeringConns) count() int {
+// Count is how many there are.
+func (l *lingeringConns) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.since)
 }
 
-// closeOldest closes the one that has lingered longest, if any has for minLinger.
-func (l *lingeringConns) closeOldest() bool {
+// CloseOldest closes the one that has lingered longest, if any has for MinLinger.
+func (l *lingeringConns) CloseOldest() bool {
 	l.mu.Lock()
-	var oldest *clientConn
+	var oldest *Conn
 	for c, t := range l.since {
 		if oldest == nil || t.Before(l.since[oldest]) {
 			oldest = c
 		}
 	}
-	if oldest != nil && time.Since(l.since[oldest]) < minLinger {
+	if oldest != nil && time.Since(l.since[oldest]) < MinLinger {
 		oldest = nil
 	}
 	l.mu.Unlock()
 	if oldest == nil {
 		return false
 	}
-	oldest.closeNow()
+	oldest.CloseNow()
 	return true
 }
 
-// closeUnused ends a connection that has no request on it, and with rejectPartial one whose head is not complete: that gets
-// rejectionText. False if a request has come, even one that is not read yet.
-func (c *clientConn) closeUnused(rejectPartial bool) bool {
+// CloseUnused ends a connection that has no request on it, and with rejectPartial one whose head is not complete: that gets
+// RejectionText. False if a request has come, even one that is not read yet.
+func (c *Conn) CloseUnused(rejectPartial bool) bool {
 	c.mu.Lock()
 	switch {
-	case c.discarding, c.phase == phaseInFlight, c.phase == phaseReadingHead && !rejectPartial, c.phase == phaseIdle && c.rawConn != nil && !socket.Quiet(c.Conn):
+	case c.discarding, c.phase == PhaseInFlight, c.phase == PhaseReadingHead && !rejectPartial, c.phase == PhaseIdle && c.rawConn != nil && !socket.Quiet(c.Conn):
 		c.mu.Unlock()
 		return false
-	case c.phase == phaseReadingHead:
+	case c.phase == PhaseReadingHead:
 		c.writeRejectionLocked()
 	}
-	c.auditClose(audit.ClientConnUnused)
+	c.AuditClose(audit.ClientConnUnused)
 	lingering := c.startLingerLocked()
 	c.mu.Unlock()
 	if !lingering {
-		c.closeNow()
+		c.CloseNow()
 	}
 	return true
 }
 
 // writeRejectionLocked rejects a request that is not complete, in one write that does not wait: if there is no room for so
 // little, the client reads nothing.
-func (c *clientConn) writeRejectionLocked() {
+func (c *Conn) writeRejectionLocked() {
 	if c.rawConn != nil {
 		_ = c.rawConn.Write(func(fd uintptr) bool {
-			_, _ = syscall.Write(int(fd), []byte(rejectionText))
+			_, _ = syscall.Write(int(fd), []byte(RejectionText))
 			return true
 		})
 	}
@@ -105,7 +101,7 @@
 
 // startLingerLocked ends the sending side; from here on all that comes is discarded. False if that side cannot be ended by
 // itself, or the connection is closed.
-func (c *clientConn) startLingerLocked() bool {
+func (c *Conn) startLingerLocked() bool {
 	if c.discarding {
 		return !c.closed
 	}
@@ -114,16 +110,16 @@
 	if !ok || cw.CloseWrite() != nil {
 		return false
 	}
-	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
-	c.listener.lingering.add(c)
+	_ = c.Conn.SetReadDeadline(time.Now().Add(LingerTimeout))
+	c.listener.Lingering.add(c)
 	go c.discardInput()
 	return true
 }
 
 // discardInput reads what still comes, beside whoever reads already, until the client or the read deadline ends it. It runs
 // in a goroutine of its own, which closes the connection.
-func (c *clientConn) discardInput() {
-	defer c.closeNow()
+func (c *Conn) discardInput() {
+	defer c.CloseNow()
 	buf := make([]byte, 2<<10) // there may be many
 	for left := maxLingerBytes; left > 0; {
 		n, err := c.Conn.Read(buf)
@@ -134,36 +130,36 @@
 	}
 }
 
-// closeNow closes the descriptor and gives its slot back.
-func (c *clientConn) closeNow() {
+// CloseNow closes the descriptor and gives its slot back.
+func (c *Conn) CloseNow() {
 	c.mu.Lock()
 	first := !c.closed
 	c.discarding, c.closed = true, true
 	c.mu.Unlock()
 	if first {
 		_ = c.Conn.Close()
-		c.listener.lingering.remove(c)
+		c.listener.Lingering.remove(c)
 		c.releaseMemory()
 		c.listener.releaseSlot()
 	}
 }
 
-// Close ends the connection as soon as its client has received what it was sent, or lingerTimeout later.
-func (c *clientConn) Close() error {
+// Close ends the connection as soon as its client has received what it was sent, or LingerTimeout later.
+func (c *Conn) Close() error {
 	c.mu.Lock()
 	if !c.discarding {
-		c.auditClose(audit.ClientConnDone)
+		c.AuditClose(audit.ClientConnDone)
 	}
 	lingering := c.startLingerLocked()
 	c.mu.Unlock()
 	if !lingering {
-		c.closeNow()
+		c.CloseNow()
 	}
 	return nil
 }
 
 // CloseWrite lets net/http end a response in order before it closes on a peer that still sends.
-func (c *clientConn) CloseWrite() error {
+func (c *Conn) CloseWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.startLingerLocked() {
@@ -173,7 +169,7 @@
 }
 
 // SetReadDeadline does nothing to a connection that lingers, which has a deadline of its own.
-func (c *clientConn) SetReadDeadline(t time.Time) error {
+func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.discarding {
@@ -183,18 +179,19 @@
 }
 
 // SetDeadline sets both deadlines, the one for reads through SetReadDeadline.
-func (c *clientConn) SetDeadline(t time.Time) error {
+func (c *Conn) SetDeadline(t time.Time) error {
 	_ = c.Conn.SetWriteDeadline(t)
 	return c.SetReadDeadline(t)
 }
 
-// markUnanswered notes that a request has been taken on the connection; markAnswered, that it has its response or that
-// nobody waits for one.
-func (c *clientConn) markUnanswered(id string) { c.unanswered.Store(&id) }
-func (c *clientConn) markAnswered()            { c.unanswered.Store(nil) }
+// MarkInFlight notes that a request has been taken on the connection, by its ID.
+func (c *Conn) MarkInFlight(id string) { c.unanswered.Store(&id) }
+
+// MarkAnswered notes that the request has its response, or that nobody waits for one.
+func (c *Conn) MarkAnswered() { c.unanswered.Store(nil) }
 
-// auditClose notes that the proxy closes the connection, and why. Under an unanswered request that breaks a rule.
-func (c *clientConn) auditClose(reason audit.Event) {
+// AuditClose notes that the proxy closes the connection, and why. Under an unanswered request that breaks a rule.
+func (c *Conn) AuditClose(reason audit.Event) {
 	recorder := c.listener.audit
 	if recorder == nil {
 		return
@@ -202,6 +199,6 @@
 	recorder.Count(reason)
 	if id := c.unanswered.Load(); id != nil {
 		recorder.RecordViolations(invariant.ConnClosed(*id, string(reason)+" by "+audit.Callers()))
-		c.markAnswered()
+		c.MarkAnswered()
 	}
 }
--- a/internal/proxy/limitedlistener.go
+++ b/internal/proxy/clientconn/listener.go
@@ -1,4 +1,4 @@
-package proxy
+package clientconn
 
 import (
 	"errors"
@@ -12,15 +12,15 @@
 	"merlinpick/internal/proxy/audit"
 )
 
-// limitedListener accepts no more connections than there are slots. Those beyond wait in the kernel, and makeRoom is called
-// again and again for as long as they must. Its Accept is called by net/http's one accepting goroutine.
-type limitedListener struct {
+// Listener accepts no more connections than there are slots. Those beyond wait in the kernel, and ListenerConfig.MakeRoom is
+// called again and again for as long as they must. Its Accept is called by net/http's one accepting goroutine.
+type Listener struct {
 	net.Listener
 	makeRoom   func()
 	retrier    *listener.Retrier
 	audit      *audit.Recorder // nil in a test
-	lingering  lingeringConns
-	headMemory *memoryBudget
+	Lingering  lingeringConns  // shut down and not closed yet
+	headMemory *MemoryBudget
 	slotFreed  chan struct{} // holds a value after a slot was released
 	closed     chan struct{}
 	closeOnce  sync.Once
@@ -29,14 +29,26 @@
 	used, max int // slots
 }
 
-func newLimitedListener(l net.Listener, shed func(), log *slog.Logger) *limitedListener {
-	return &limitedListener{Listener: l, makeRoom: shed, retrier: listener.NewRetrier(log), slotFreed: make(chan struct{}, 1),
-		closed: make(chan struct{})}
+// MakeRoomInterval is between two calls of ListenerConfig.MakeRoom.
+const MakeRoomInterval = 20 * time.Millisecond
+
+// ListenerConfig is what a Listener starts with.
+type ListenerConfig struct {
+	MakeRoom   func()          // called while connections wait for a slot; it may close one
+	HeadMemory *MemoryBudget   // for heads beyond UnmeteredBuffer
+	Audit      *audit.Recorder // nil: closes are not counted
+	Logger     *slog.Logger
+}
+
+// NewListener wraps a listener. It has no slots before SetLimit.
+func NewListener(l net.Listener, cfg ListenerConfig) *Listener {
+	return &Listener{Listener: l, makeRoom: cfg.MakeRoom, headMemory: cfg.HeadMemory, audit: cfg.Audit,
+		retrier: listener.NewRetrier(cfg.Logger), slotFreed: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
 // Accept takes a slot, which the connection gives back when its descriptor is closed. It fails only when the listener cannot
 // be used any more: a temporary error would end the server, and with it all requests in flight.
-func (l *limitedListener) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	if !l.acquireSlot() {
 		return nil, net.ErrClosed
 	}
@@ -44,7 +56,7 @@
 		c, err := l.Listener.Accept()
 		if err == nil {
 			l.retrier.Succeeded()
-			return newClientConn(c, l), nil
+			return newConn(c, l), nil
 		}
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			l.makeRoom() // an idle connection's descriptor
@@ -57,11 +69,11 @@
 }
 
 // acquireSlot waits for a slot; false if the listener was closed first.
-func (l *limitedListener) acquireSlot() bool {
+func (l *Listener) acquireSlot() bool {
 	if l.tryAcquireSlot() {
 		return true
 	}
-	retry := time.NewTicker(makeRoomInterval)
+	retry := time.NewTicker(MakeRoomInterval)
 	defer retry.Stop()
 	for {
 		l.makeRoom()
@@ -77,7 +89,7 @@
 	}
 }
 
-func (l *limitedListener) tryAcquireSlot() bool {
+func (l *Listener) tryAcquireSlot() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.used >= l.max {
@@ -87,14 +99,14 @@
 	return true
 }
 
-// isFull tells whether connections may wait in the kernel since there is no slot for them.
-func (l *limitedListener) isFull() bool {
+// IsFull tells whether connections may wait in the kernel since there is no slot for them.
+func (l *Listener) IsFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.used >= l.max
 }
 
-func (l *limitedListener) releaseSlot() {
+func (l *Listener) releaseSlot() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.used--
@@ -104,15 +116,15 @@
 	}
 }
 
-// setLimit sets how many slots there are. Connections that are open stay.
-func (l *limitedListener) setLimit(slots int) {
+// SetLimit sets how many slots there are. Connections that are open stay.
+func (l *Listener) SetLimit(slots int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.max = slots
 }
 
 // Close ends the listener, and a call of Accept that waits for a slot.
-func (l *limitedListener) Close() error {
+func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -73,7 +73,7 @@
 // that are open are told to close. It ends once no slot has been short for two polls.
 func (f *frontend) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
 	for unfilled := 0; unfilled < 2 && !successorServing() && time.Until(cutoff) > cutoffMargin; unfilled++ {
-		if f.listener.isFull() {
+		if f.listener.IsFull() {
 			unfilled = -1
 		}
 		f.closeIdle(idleTimeout, drainAcceptPeriod, false)
@@ -98,7 +98,7 @@
 // flushResponses waits, for responseFlushMargin after the cutoff at most, until what the cutoff has ended is answered and
 // what was answered has been received.
 func (f *frontend) flushResponses(cutoff time.Time) {
-	for f.closeIdle(0, 0, true) > int(f.activeStreams.Load()) || f.listener.lingering.count() > 0 {
+	for f.closeIdle(0, 0, true) > int(f.activeStreams.Load()) || f.listener.Lingering.Count() > 0 {
 		if time.Since(cutoff) > responseFlushMargin {
 			return
 		}
--- a/internal/proxy/evict.go
+++ b/internal/proxy/evict.go
@@ -2,6 +2,7 @@
 
 import (
 	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/clientconn"
 	"net"
 	"net/http"
 	"time"
@@ -17,7 +18,6 @@
 	minBodyStall  = 750 * time.Millisecond
 	minNewSilence = 50 * time.Millisecond
 
-	makeRoomInterval    = 20 * time.Millisecond
 	shortageFraction    = 0.75        // of maxConns: beyond it connections run short
 	shortageLogInterval = time.Second // between two log lines about that
 
@@ -41,7 +41,7 @@
 		return
 	}
 	if s == http.StateIdle {
-		c.(*clientConn).responseSent()
+		c.(*clientconn.Conn).ResponseSent()
 	}
 	f.conns[c] = clientConnState{state: s, since: time.Now()}
 	if s == http.StateNew && f.isShort(len(f.conns)) {
@@ -59,7 +59,7 @@
 func (f *frontend) setLimits(conns, inFlight, rejectConns int) {
 	f.maxConns.Store(int64(conns))
 	f.maxInFlight.Store(int64(inFlight))
-	f.listener.setLimit(conns + rejectConns)
+	f.listener.SetLimit(conns + rejectConns)
 }
 
 // markComplete counts a request in that has come: its connection is not to be evicted before its response. Reads from now
@@ -86,14 +86,14 @@
 // makeRoomLocked closes a lingering connection, or the one that could have been evicted for longest: what counts is how long
 // it has been silent, not its age. A slow client that keeps sending gets its response, one that has stopped may not.
 func (f *frontend) makeRoomLocked() {
-	if f.listener.lingering.closeOldest() {
+	if f.listener.Lingering.CloseOldest() {
 		return
 	}
-	var victim *clientConn
+	var victim *clientconn.Conn
 	var longest time.Duration
 	for c, state := range f.conns {
-		conn := c.(*clientConn)
-		if d := state.evictableFor(conn); d > longest && !conn.hasUnreadRequest() {
+		conn := c.(*clientconn.Conn)
+		if d := state.evictableFor(conn); d > longest && !conn.HasUnreadRequest() {
 			victim, longest = conn, d
 		}
 	}
@@ -105,10 +105,10 @@
 
 // evictLocked closes a connection without a complete request on it. One whose body is still coming is rejected by its own
 // goroutine, and closed if that takes long. False if a request has come.
-func (f *frontend) evictLocked(c *clientConn) bool {
+func (f *frontend) evictLocked(c *clientconn.Conn) bool {
 	s := f.conns[c]
-	if c.currentPhase() != phaseInFlight {
-		if !c.closeUnused(true) {
+	if c.Phase() != clientconn.PhaseInFlight {
+		if !c.CloseUnused(true) {
 			return false
 		}
 	} else if s.interruptedAt.IsZero() {
@@ -121,27 +121,27 @@
 			}
 		}
 	}
-	c.auditClose(audit.ClientConnNoRoom)
-	c.closeNow()
+	c.AuditClose(audit.ClientConnNoRoom)
+	c.CloseNow()
 	return true
 }
 
 // evictableFor is for how long a connection could have been evicted; not at all if that is not positive.
-func (s clientConnState) evictableFor(c *clientConn) time.Duration {
-	phase := c.currentPhase()
+func (s clientConnState) evictableFor(c *clientconn.Conn) time.Duration {
+	phase := c.Phase()
 	switch {
 	case s.requestComplete:
 		return 0
 	case !s.interruptedAt.IsZero():
-		return time.Since(s.interruptedAt) - minLinger + minBodyStall
-	case phase == phaseInFlight:
-		return c.sinceLastReceived() - minBodyStall
-	case phase == phaseReadingHead:
-		return c.sinceLastReceived() - minHeadStall
+		return time.Since(s.interruptedAt) - clientconn.MinLinger + minBodyStall
+	case phase == clientconn.PhaseInFlight:
+		return c.SinceLastReceived() - minBodyStall
+	case phase == clientconn.PhaseReadingHead:
+		return c.SinceLastReceived() - minHeadStall
 	case s.state == http.StateIdle:
 		return time.Since(s.since) - minKeepAlive
 	}
-	return c.sinceLastReceived() - minNewSilence
+	return c.SinceLastReceived() - minNewSilence
 }
 
 // logShortageLocked logs what holds the connections, once in shortageLogInterval while they are short.
@@ -201,7 +201,7 @@
 	for c, s := range f.conns {
 		d := time.Since(s.since)
 		idle := s.state == http.StateIdle && d >= idleFor || s.state == http.StateNew && d > newFor
-		if !(idle || rejectPartial) || !c.(*clientConn).closeUnused(rejectPartial) {
+		if !(idle || rejectPartial) || !c.(*clientconn.Conn).CloseUnused(rejectPartial) {
 			busy++
 		}
 	}
--- a/internal/proxy/forwardstream.go
+++ b/internal/proxy/forwardstream.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"merlinpick/internal/proxy/clientconn"
 	"merlinpick/internal/proxy/socket"
 	"merlinpick/internal/proxy/upstream"
 )
@@ -26,10 +27,10 @@
 	if err == nil {
 		return
 	}
-	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok && s.ContentLength < 0 && !r.ProtoAtLeast(1, 1) {
+	if c, ok := r.Context().Value(connKey{}).(*clientconn.Conn); ok && s.ContentLength < 0 && !r.ProtoAtLeast(1, 1) {
 		// Without chunks the connection's end is the response's end to such a client: a reset is none.
 		socket.ResetOnClose(c.Conn)
-		c.closeNow()
+		c.CloseNow()
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -14,27 +14,22 @@
 	"time"
 
 	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/clientconn"
 	"merlinpick/internal/proxy/upstream"
 	"merlinpick/internal/settings"
 )
 
-const (
-	maxRequestHeadBytes = 16 << 10
-	keepAliveTimeout    = 2 * time.Minute // for the next request on a connection
-
-	// requestReadTimeout is for a request's head from its first byte, and on a new connection from the connect. The protocol
-	// wants a connection closed within 3 s whose peer sends nothing, or too little. For bodies see upload.
-	requestReadTimeout = 2500 * time.Millisecond
-)
+// keepAliveTimeout is for the next request on a connection.
+const keepAliveTimeout = 2 * time.Minute
 
 // frontend is the client side: it reads requests, gives them to the loop, and writes the responses. net/http runs it in one
 // goroutine for each connection.
 type frontend struct {
 	loop       *eventLoop
 	server     *http.Server
-	listener   *limitedListener
-	bodyMemory *memoryBudget
-	headMemory *memoryBudget
+	listener   *clientconn.Listener
+	bodyMemory *clientconn.MemoryBudget
+	headMemory *clientconn.MemoryBudget
 	logger     *slog.Logger
 
 	maxConns    atomic.Int64 // connections of clients that are served; some more are accepted to reject on
@@ -60,17 +55,16 @@
 type connKey struct{}
 
 func newFrontend(site *settings.Site, l *eventLoop, listener net.Listener, logger *slog.Logger) *frontend {
-	f := &frontend{loop: l, logger: logger, bodyMemory: &memoryBudget{}, headMemory: &memoryBudget{max: defaultBodyMemory},
+	f := &frontend{loop: l, logger: logger, bodyMemory: clientconn.NewMemoryBudget(0), headMemory: clientconn.NewMemoryBudget(defaultBodyMemory),
 		conns: map[net.Conn]clientConnState{}, uploads: map[*upload]bool{}}
 	classNumbers := make([]int, len(site.Classes))
 	for i := range classNumbers {
 		classNumbers[i] = i
 	}
 	f.setSettings(newSettingsSnapshot(site, l.balancerSettings(site), classNumbers))
-	f.listener = newLimitedListener(listener, f.makeRoom, logger)
-	f.listener.headMemory, f.listener.audit = f.headMemory, l.audit
+	f.listener = clientconn.NewListener(listener, clientconn.ListenerConfig{MakeRoom: f.makeRoom, HeadMemory: f.headMemory, Audit: l.audit, Logger: logger})
 	f.server = &http.Server{
-		Handler: f, ReadHeaderTimeout: requestReadTimeout, IdleTimeout: keepAliveTimeout, MaxHeaderBytes: maxRequestHeadBytes,
+		Handler: f, ReadHeaderTimeout: clientconn.RequestReadTimeout, IdleTimeout: keepAliveTimeout, MaxHeaderBytes: clientconn.MaxHeadBytes,
 		ConnState: f.trackConn, ErrorLog: debugLog(logger),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
@@ -95,13 +89,13 @@
 // ServeHTTP answers health checks and serves requests.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	startedAt := time.Now()
-	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
-		startedAt = time.Unix(0, c.requestStarted.Load())
+	if c, ok := r.Context().Value(connKey{}).(*clientconn.Conn); ok {
+		startedAt = c.RequestStarted()
 	}
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(startedAt.Add(requestReadTimeout)) // net/http may read what is left of a body before it answers
-	_ = rc.SetWriteDeadline(time.Time{})                      // the last response's would hold a 100 Continue up
-	if len(r.TransferEncoding) > 0 {                          // nothing may follow: see clientConn
+	_ = rc.SetReadDeadline(startedAt.Add(clientconn.RequestReadTimeout)) // net/http may read what is left of a body before it answers
+	_ = rc.SetWriteDeadline(time.Time{})                                 // the last response's would hold a 100 Continue up
+	if len(r.TransferEncoding) > 0 {                                     // nothing may follow: see clientConn
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == "/_health" {
@@ -149,14 +143,14 @@
 // awaitAudited returns a request's response. Until it is there, a close of the connection breaks a rule, unless the client
 // has gone. Later ones are net/http's, where a write fails since the client has gone, or are visible to the client.
 func (f *frontend) awaitAudited(req *request) response {
-	c, ok := req.clientConn.(*clientConn)
+	c, ok := req.clientConn.(*clientconn.Conn)
 	if !ok {
 		return f.awaitResponse(req)
 	}
-	c.markUnanswered(req.ID)
+	c.MarkInFlight(req.ID)
 	resp := f.awaitResponse(req)
 	if resp.status != 0 || req.clientGone() {
-		c.markAnswered()
+		c.MarkAnswered()
 	}
 	return resp
 }
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -51,8 +51,8 @@
 	if shared {
 		fraction, memory = 0.5, memory/2
 	}
-	p.frontend.bodyMemory.setMax(memory)
-	p.frontend.headMemory.setMax(memory)
+	p.frontend.bodyMemory.SetMax(memory)
+	p.frontend.headMemory.SetMax(memory)
 	p.loop.pool.SetLimits(max(backends, minConns), memory)
 	if p.config.OnMemoryShare != nil {
 		p.config.OnMemoryShare(fraction)
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -10,6 +10,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"merlinpick/internal/proxy/clientconn"
 )
 
 const (
@@ -17,7 +19,6 @@
 
 	maxBufferedBody      = 256 << 10 // up to so many bytes are buffered, to be sent again; the rest is streamed
 	guaranteedBodyBuffer = 32 << 10  // so many are, however little memory is left, and go out with the head at once
-	unmeteredBuffer      = 4 << 10   // so many of a body, and of a head, are buffered without a memoryBudget
 
 	// A body must come at minUploadRate (bytes a second) from requestReadTimeout after its request's start, and must not
 	// pause for uploadStallTimeout. Slow clients send 64 kB a second.
@@ -43,9 +44,9 @@
 	startedAt       time.Time // of the request
 	lastReceived    time.Time
 	received        atomic.Int64 // bytes
-	bodyMemory      *memoryBudget
+	bodyMemory      *clientconn.MemoryBudget
 	bodyReserved    int // of bodyMemory
-	headMemory      *memoryBudget
+	headMemory      *clientconn.MemoryBudget
 	headReserved    int // of headMemory
 	conn            net.Conn
 
@@ -67,8 +68,8 @@
 
 // releaseUpload gives back the memory that an upload had reserved.
 func (f *frontend) releaseUpload(u *upload) {
-	u.bodyMemory.release(u.bodyReserved)
-	u.headMemory.release(u.headReserved)
+	u.bodyMemory.Release(u.bodyReserved)
+	u.headMemory.Release(u.headReserved)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.uploads, u)
@@ -106,7 +107,7 @@
 
 // readDeadline is until when the next byte must come.
 func (u *upload) readDeadline() time.Time {
-	start := u.startedAt.Add(requestReadTimeout)
+	start := u.startedAt.Add(clientconn.RequestReadTimeout)
 	stalled := u.lastReceived.Add(uploadStallTimeout)
 	if stalled.Before(start) {
 		stalled = start
@@ -169,7 +170,7 @@
 	}
 	for {
 		if len(body) == cap(body) {
-			more := max(unmeteredBuffer, cap(body))
+			more := max(clientconn.UnmeteredBuffer, cap(body))
 			ok, err := u.reserve(cap(body), more)
 			if !ok {
 				return body, false, err
@@ -193,12 +194,12 @@
 	case size > maxBufferedBody:
 		return false, nil
 	case size > guaranteedBodyBuffer:
-		if !u.bodyMemory.reserve(more) {
+		if !u.bodyMemory.Reserve(more) {
 			return false, nil
 		}
 		u.bodyReserved += more
-	case size > unmeteredBuffer:
-		if !u.headMemory.reserve(more) {
+	case size > clientconn.UnmeteredBuffer:
+		if !u.headMemory.Reserve(more) {
 			return false, errBodyMemory
 		}
 		u.headReserved += more
