--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -52,7 +52,7 @@
 
 // Each sign of a fault is found: what the referee saw, what a proxy saw of itself, and how processes ended.
 func TestFaultsAreFound(t *testing.T) {
-	quiet := `time=x level=INFO msg=draining open=2` + "\n" + `time=x level=WARN msg="broken answer" server=a` + "\n"
+	quiet := `time=x level=INFO msg=draining open=2` + "\n" + `time=x level=WARN msg="broken response" server=a` + "\n"
 	for _, c := range []struct {
 		name  string
 		play  result.Play
