--- a/internal/proxy/bodyend.go
+++ b/internal/proxy/bodyend.go
@@ -63,7 +63,7 @@
 	w.goroutine.Wait()
 }
 
-// endsChunked tells whether what waits to be read is the rest of a chunked body up to its end. buf is allocated once.
+// endsChunked reports whether what waits to be read is the rest of a chunked body up to its end. buf is allocated once.
 func endsChunked(c net.Conn, buf *[]byte) bool {
 	waiting := socket.Unread(c)
 	if waiting < int64(len(lastChunk)) || waiting > maxPeekBytes {
--- a/internal/proxy/clientconn/conn.go
+++ b/internal/proxy/clientconn/conn.go
@@ -223,7 +223,7 @@
 	return c.phase
 }
 
-// HasUnreadRequest tells whether bytes of a next request wait in the system on a connection that is idle.
+// HasUnreadRequest reports whether bytes of a next request wait in the system on a connection that is idle.
 func (c *Conn) HasUnreadRequest() bool {
 	return c.Phase() == PhaseIdle && c.rawConn != nil && !socket.Quiet(c)
 }
@@ -246,7 +246,7 @@
 	}
 }
 
-// readHead reads until a whole head is there and sets what may pass.
+// readHead reads until a complete head is there and sets what may pass.
 func (c *Conn) readHead() error {
 	if c.hadRequest && len(c.buffered) > 0 {
 		c.startRequestTimer()
@@ -274,7 +274,7 @@
 }
 
 // checkHead looks at what is buffered, of which so many bytes have been checked, and passes a head that is complete, too long
-// or malformed; done tells that it has.
+// or malformed; done reports that it has.
 func (c *Conn) checkHead(checked int) (done bool, err error) {
 	for len(c.buffered) > 1 && c.buffered[0] == '\r' && c.buffered[1] == '\n' { // empty lines before a request
 		c.buffered, checked = c.buffered[2:], 0
@@ -362,7 +362,7 @@
 	c.buffered, c.passable, c.endsAfterPass = []byte(MalformedHead), int64(len(MalformedHead)), true
 }
 
-// hasBareLF tells whether a line ends without a CR. What stood before the first byte is unknown, so that one may be an LF.
+// hasBareLF reports whether a line ends without a CR. What stood before the first byte is unknown, so that one may be an LF.
 func hasBareLF(b []byte) bool {
 	for i := 1; i < len(b); i++ {
 		if b[i] == '\n' && b[i-1] != '\r' {
--- a/internal/proxy/clientconn/listener.go
+++ b/internal/proxy/clientconn/listener.go
@@ -99,7 +99,7 @@
 	return true
 }
 
-// IsFull tells whether connections may wait in the kernel since there is no slot for them.
+// IsFull reports whether connections may wait in the kernel since there is no slot for them.
 func (l *Listener) IsFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/cluster.go
+++ b/internal/proxy/cluster.go
@@ -27,7 +27,7 @@
 	ExchangeReports(now int64, observed func(now int64) []balancer.Report, zones map[string]int) (balancer.PeerReports, bool)
 }
 
-// ClusterIdentity is what a proxy tells its part in a cluster of itself.
+// ClusterIdentity is what a proxy announces of itself in its cluster.
 type ClusterIdentity struct {
 	Zone        string              // by name; empty: unknown
 	Tier        int                 // its number
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -15,10 +15,10 @@
 	"merlinpick/internal/settings"
 )
 
-// ErrStopped says that the proxy has ended, so that it takes no other settings and no successor.
+// ErrStopped means that the proxy has ended, so that it takes no other settings and no successor.
 var ErrStopped = errors.New("proxy: this process has stopped serving")
 
-// DescriptorLimitError says that a process may open too few files to proxy anything.
+// DescriptorLimitError means that a process may open too few files to proxy anything.
 type DescriptorLimitError struct {
 	Limit             int // of the process
 	Clients, Backends int // connections that would be left for each side
@@ -46,7 +46,7 @@
 
 	BodyMemory int // bytes for buffered bodies; 0 for the default, 16 MiB
 
-	// OnMemoryShare is told the fraction of the memory limit that is this process's; may be nil.
+	// OnMemoryShare is called with the fraction of the memory limit that is this process's; may be nil.
 	OnMemoryShare func(fraction float64)
 }
 
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -27,7 +27,7 @@
 	p.frontend.drain(stay, cutoff, p.successorServing)
 }
 
-// drainTimes tells how long after SIGTERM clients are served on (stay), and when all requests must have ended (left). The
+// drainTimes returns how long after SIGTERM clients are served on (stay), and when all requests must have ended (left). The
 // last that come in still have as long as the longest latency objective. With deadlines of some tens of milliseconds the
 // listener closes cutoffMargin before the cutoff.
 func drainTimes(classes []balancer.Class) (stay, left time.Duration) {
@@ -44,7 +44,7 @@
 // nowhere else to go while the next proxy starts: all are served on for stay. Then the listener closes, and connections as
 // they fall idle, until none is left or the cutoff has come.
 //
-// Where a successor serves, new connections are its own at once. Kept ones are told to close by their next response; those
+// Where a successor serves, new connections are its own at once. Kept ones get Connection: close by their next response; those
 // that send nothing for handoverIdleTimeout are closed, and soon all that are idle: this process may not live to answer a
 // request that comes late.
 func (f *frontend) drain(stay time.Duration, cutoff time.Time, successorServing func() bool) {
@@ -70,7 +70,7 @@
 }
 
 // acceptQueued takes the connections that wait for a slot, which a close of the listener would reset: they come in as those
-// that are open are told to close. It ends once no slot has been short for two polls.
+// that are open get Connection: close. It ends once no slot has been short for two polls.
 func (f *frontend) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
 	for unfilled := 0; unfilled < 2 && !successorServing() && time.Until(cutoff) > cutoffMargin; unfilled++ {
 		if f.listener.IsFull() {
--- a/internal/proxy/evict.go
+++ b/internal/proxy/evict.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// isShort tells whether so many connections leave too little room for others.
+// isShort reports whether so many connections leave too little room for others.
 func (f *frontend) isShort(open int) bool {
 	return float64(open) > shortageFraction*float64(f.maxConns.Load())
 }
@@ -162,7 +162,7 @@
 	f.lastLogged, f.evicted, f.rejected = time.Now(), 0, 0
 }
 
-// exceedsInFlight tells whether more requests are in flight than there may be, and counts the rejection that follows.
+// exceedsInFlight reports whether more requests are in flight than there may be, and counts the rejection that follows.
 // Connections without a complete request are no reason to reject one: they give way.
 func (f *frontend) exceedsInFlight() bool {
 	f.mu.Lock()
--- a/internal/proxy/framing/framing.go
+++ b/internal/proxy/framing/framing.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// ErrAmbiguous says that two readers could see a message's end in two places.
+// ErrAmbiguous means that two readers could see a message's end in two places.
 var ErrAmbiguous = errors.New("ambiguous framing")
 
 // Parse returns the length in bytes of the body that follows a raw head, -1 without a Content-Length, and whether it is
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -37,7 +37,7 @@
 
 	serving       atomic.Bool  // connections are accepted
 	draining      atomic.Bool  // after SIGTERM: health checks fail
-	closing       atomic.Bool  // clients are told to leave by their next response
+	closing       atomic.Bool  // the next responses tell clients to leave: Connection: close
 	awaitingSync  atomic.Bool  // for discovery to confirm the list: health checks fail
 	activeStreams atomic.Int64 // responses that are being streamed
 
@@ -197,7 +197,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// isHealthy tells whether there is a list to serve by and more clients may come.
+// isHealthy reports whether there is a list to serve by and more clients may come.
 func (f *frontend) isHealthy() bool {
 	select {
 	case <-f.loop.list.available:
--- a/internal/proxy/handover/predecessor.go
+++ b/internal/proxy/handover/predecessor.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// ErrNoSocket says that a predecessor's first message carried no listening socket.
+// ErrNoSocket means that a predecessor's first message carried no listening socket.
 var ErrNoSocket = errors.New("handover: no listening socket received")
 
 // Predecessor is the process of this proxy that served before and still runs. The successor owns the connection to it.
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// NotifyServing tells the predecessor that this process accepts clients too.
+// NotifyServing notifies the predecessor that this process accepts clients too.
 func (p *Predecessor) NotifyServing() error {
 	_, err := p.conn.Write([]byte{'s'})
 	return err
@@ -111,5 +111,5 @@
 	p.conn.Close()
 }
 
-// Close ends the connection, which tells the predecessor that this process has ended.
+// Close ends the connection, which notifies the predecessor that this process has ended.
 func (p *Predecessor) Close() { p.conn.Close() }
--- a/internal/proxy/handover/server.go
+++ b/internal/proxy/handover/server.go
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// SuccessorServing tells whether there is a successor that accepts clients.
+// SuccessorServing reports whether there is a successor that accepts clients.
 func (s *Server) SuccessorServing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/handover/state.go
+++ b/internal/proxy/handover/state.go
@@ -23,7 +23,7 @@
 type State struct {
 	RetryBudget  RetryBudgetUsage `json:"spent"`
 	KnownServers []string         `json:"seen"` // all that endpoint lists have named
-	// Now is the predecessor's clock as it wrote this, in microseconds; 0 from versions that do not tell it.
+	// Now is the predecessor's clock as it wrote this, in microseconds; 0 from versions that do not send it.
 	Now int64 `json:"now"`
 }
 
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -70,7 +70,7 @@
 	return true
 }
 
-// handleOutcome tells the balancer how an attempt ended. A request that it has served gets its response first.
+// handleOutcome reports to the balancer how an attempt ended. A request that it has served gets its response first.
 func (l *eventLoop) handleOutcome(a *attempt, result upstream.Result) {
 	r := a.request
 	l.auditAttemptEnd(a, result.Status)
--- a/internal/proxy/invariant/invariant.go
+++ b/internal/proxy/invariant/invariant.go
@@ -1,5 +1,5 @@
 // Package invariant checks, while the proxy runs, that what it does to each request keeps the protocol's rules. It knows
-// nothing of how decisions come about: it is told what was taken, sent, ended, answered and closed, and derives the rules
+// nothing of how decisions come about: it is notified of what was taken, sent, ended, answered and closed, and derives the rules
 // from that alone. So a fault in the decisions, or in how they are carried out, shows as a count that is not zero. It never
 // changes what it watches, and does not log.
 package invariant
@@ -44,7 +44,7 @@
 	SocketSlack = 50 * time.Millisecond
 	// MaxResponseDelay is how long after its client's deadline a response still reaches the client, though it earns nothing.
 	MaxResponseDelay = 500 * time.Millisecond
-	// MaxSchedulingDelay is how long the process may be held up between reading its clock and writing.
+	// MaxSchedulingDelay is how long the process may be delayed between reading its clock and writing.
 	MaxSchedulingDelay = 150 * time.Millisecond
 )
 
@@ -99,7 +99,7 @@
 	DedupScopeCell
 )
 
-// includes tells whether two servers are in one scope.
+// includes reports whether two servers are in one scope.
 func (s DedupScope) includes(x, y Server) bool {
 	switch s {
 	case DedupScopeZone:
@@ -196,7 +196,7 @@
 	}
 }
 
-// Responded notes a final response, and returns the rules that this breaks. One that rejects the request tells its client
+// Responded notes a final response, and returns the rules that this breaks. One that rejects the request lets its client know
 // that a retry is harmless.
 func (r *Request) Responded(moment time.Time, rejected bool) (broken []Violation) {
 	if r.responded {
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -12,7 +12,7 @@
 	reservedDescriptors       = 20
 	reservedDescriptorsShared = 16
 
-	rejectConnsDivisor = 16 // one descriptor in so many is kept to reject on
+	rejectConnsDivisor = 16 // one descriptor in so many is reserved for rejections
 	minRejectConns     = 4
 
 	// Of the rest: clients hold idle and half-written connections too. What is left for backends is a third of all where
@@ -23,7 +23,7 @@
 	defaultBodyMemory = 16 << 20 // bytes
 )
 
-// connLimits tells how many connections there may be of clients and to backends, and how many more of clients to reject
+// connLimits returns how many connections there may be of clients and to backends, and how many more of clients to reject
 // on. While two processes are one proxy (shared) each has half of all.
 func (cfg Config) connLimits(shared bool) (clients, backends, reject int) {
 	descriptors, reserved := cfg.MaxDescriptors, reservedDescriptors
--- a/internal/proxy/liststatus.go
+++ b/internal/proxy/liststatus.go
@@ -30,7 +30,7 @@
 	return &listStatus{logger: logger, maxAge: maxAge, started: now, staleAt: now}
 }
 
-// isStale tells whether the list was stale at the last check.
+// isStale reports whether the list was stale at the last check.
 func (s *listStatus) isStale() bool { return s.stale.Load() }
 
 // setInitial notes the list that the process starts with.
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// reportUnsent tells the balancer of the attempts that could not be started. It may start others in turn, so this goes on
+// reportUnsent reports to the balancer the attempts that could not be started. It may start others in turn, so this goes on
 // until none is left.
 func (l *eventLoop) reportUnsent() {
 	for len(l.attempts.unsent) > 0 {
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// attemptForwarded counts an attempt whose request was written whole.
+// attemptForwarded counts an attempt whose request was written completely.
 func (m *metrics) attemptForwarded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/proxy/overrides.go
+++ b/internal/proxy/overrides.go
@@ -14,7 +14,7 @@
 	zones     zoneOverrides
 }
 
-// handleOverrides puts a set in force and tells its sender so.
+// handleOverrides puts a set in force and acknowledges it.
 func (l *eventLoop) handleOverrides(set override.Set) {
 	l.applyOverrides(set.IDs)
 	set.Acknowledge()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -144,7 +144,7 @@
 		return configured
 	}
 	cached, err := discovery.LoadCachedList(p.config.ListCacheDir)
-	if err != nil { // not needed: the registry tells the whole list
+	if err != nil { // not needed: the registry sends the whole list
 		p.config.Logger.Error("cached endpoint list not used", "error", err)
 	}
 	if cached == nil || configured != nil && configured.Version > cached.Version {
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Ready tells whether requests that come now are served: clients can connect and there is an endpoint list.
+// Ready reports whether requests that come now are served: clients can connect and there is an endpoint list.
 func (p *Proxy) Ready() bool { return p.NotReadyReason() == "" }
 
 // NotReadyReason is what this proxy lacks to be ready, as /readyz shows it; empty if it is.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -60,7 +60,7 @@
 	retryAfter  int64            // of a rejection, in microseconds; 0: none
 }
 
-// clientGone tells whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
+// clientGone reports whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
 // context; what it cannot have seen yet, or never will, at the socket. Any goroutine may call it.
 func (r *request) clientGone() bool {
 	return r.clientContext != nil && (r.clientContext.Err() != nil || socket.PeerClosed(r.clientConn))
@@ -68,7 +68,7 @@
 
 // handleRequest gives a request to the balancer, which has until its deadline to end it.
 func (l *eventLoop) handleRequest(r *request) {
-	if l.requests[r.ID] != nil { // two under one ID could not be told apart
+	if l.requests[r.ID] != nil { // two under one ID could not be distinguished
 		r.endUntaken(response{status: http.StatusBadRequest})
 		return
 	}
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -7,7 +7,7 @@
 	"merlinpick/internal/settings"
 )
 
-// settingsSnapshot is what the settings in force say of requests. It does not change: others take its place, and each request
+// settingsSnapshot is what the settings in force mean for requests. It does not change: others take its place, and each request
 // keeps the one that it was parsed by.
 type settingsSnapshot struct {
 	balancer *balancer.Settings // with classes by the balancer's numbers
--- a/internal/proxy/socket/socket.go
+++ b/internal/proxy/socket/socket.go
@@ -9,7 +9,7 @@
 	"unsafe"
 )
 
-// Quiet tells whether a connection is open with nothing to read. An idle peer that has closed it, or has sent bytes that
+// Quiet reports whether a connection is open with nothing to read. An idle peer that has closed it, or has sent bytes that
 // nobody asked for, makes it false.
 func Quiet(c net.Conn) bool {
 	open := false
@@ -17,7 +17,7 @@
 	return err == nil && open
 }
 
-// PeerClosed tells whether the peer of a connection has closed it or has ended its sending, which looks the same from
+// PeerClosed reports whether the peer of a connection has closed it or has ended its sending, which looks the same from
 // here. It takes one system call, and two where bytes are unread. A connection without a socket, or whose system does
 // not tell, counts as open.
 func PeerClosed(c net.Conn) bool {
@@ -34,7 +34,7 @@
 	return ok && (err != nil || closed)
 }
 
-// Unread is how many bytes of a connection wait in the system to be read; 0 if that cannot be told.
+// Unread is how many bytes of a connection wait in the system to be read; 0 if that is unknown.
 func Unread(c net.Conn) int64 {
 	var n int32
 	_, _ = withDescriptor(c, func(fd uintptr) {
@@ -46,7 +46,7 @@
 	return int64(n)
 }
 
-// Peek copies what waits to be read into a buffer and leaves it unread; 0 if there is nothing, or it cannot be told.
+// Peek copies what waits to be read into a buffer and leaves it unread; 0 if there is nothing, or that is unknown.
 func Peek(c net.Conn, buf []byte) int {
 	n := 0
 	_, _ = withDescriptor(c, func(fd uintptr) {
@@ -95,7 +95,7 @@
 	pollRDHup = 0x2000 // Linux: the peer has ended its sending, whatever is still unread
 )
 
-// hasHangup tells whether the peer's end stands behind bytes that nobody has read yet.
+// hasHangup reports whether the peer's end stands behind bytes that nobody has read yet.
 func hasHangup(fd uintptr) bool {
 	p := struct {
 		fd              int32
--- a/internal/proxy/succession.go
+++ b/internal/proxy/succession.go
@@ -98,14 +98,14 @@
 	return nil
 }
 
-// closeHandover tells a successor that this process has ended.
+// closeHandover notifies a successor that this process has ended.
 func (p *Proxy) closeHandover() {
 	if s := p.handover.Load(); s != nil {
 		s.Close()
 	}
 }
 
-// successorServing tells whether another process accepts new clients.
+// successorServing reports whether another process accepts new clients.
 func (p *Proxy) successorServing() bool {
 	s := p.handover.Load()
 	return s != nil && s.SuccessorServing()
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -119,7 +119,7 @@
 	return stalled
 }
 
-// armReadDeadline sets the deadline for the next read, or tells why there is to be none.
+// armReadDeadline sets the deadline for the next read, or returns why there is to be none.
 func (u *upload) armReadDeadline(deadline time.Time) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -152,14 +152,14 @@
 	return u.complete
 }
 
-// isCancelled tells whether nobody wanted the rest of the body any more.
+// isCancelled reports whether nobody wanted the rest of the body any more.
 func (u *upload) isCancelled() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.interrupt == errRequestEnded
 }
 
-// buffer reads as much of the body as may be buffered; complete tells that this is all of it. It fails with
+// buffer reads as much of the body as may be buffered; complete reports that this is all of it. It fails with
 // errBodyTooLarge, errBodyMemory, or an error of Read.
 func (u *upload) buffer() (body []byte, complete bool, err error) {
 	if u.contentLength == 0 {
@@ -232,7 +232,7 @@
 	}
 }
 
-// errorResponse is the response to a body that did not come as it should. What is left of it cannot be told from a next
+// errorResponse is the response to a body that did not come as it should. What is left of it cannot be distinguished from a next
 // request, and is not read.
 func (u *upload) errorResponse(w http.ResponseWriter, err error) response {
 	w.Header().Set("Connection", "close")
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -41,7 +41,7 @@
 	BodyConsumed   bool                      // some of BodyRemainder has been read: no other attempt can send it
 	ClientDeadline atomic.Pointer[time.Time] // once the body's last byte is known to have come; nil before
 
-	// ClientGone tells whether nobody waits for the response any more; nil: somebody does. Any goroutine may call it.
+	// ClientGone reports whether nobody waits for the response any more; nil: somebody does. Any goroutine may call it.
 	ClientGone func() bool
 }
 
@@ -59,7 +59,7 @@
 	Request      *Request
 	Deadline     time.Time // for the response
 	SendDeadline time.Time // the request's last byte is sent before it or never; zero: no limit
-	Uploading    bool      // the body is still coming: CompleteBody tells another deadline
+	Uploading    bool      // the body is still coming: CompleteBody sets another deadline
 
 	// StartStream hands a response that is streamed to the client's side, sets its ClientDeadline, and returns whether the
 	// client's side takes it.
@@ -125,7 +125,7 @@
 // Cancel stops the attempt: its connection is closed, and Run returns soon.
 func (a *Attempt) Cancel() { a.cancel() }
 
-// CompleteBody tells an attempt, once, that the whole body has come, and the deadline for the response. It does nothing
+// CompleteBody notifies an attempt, once, that the body is complete, and sets the deadline for the response. It does nothing
 // unless the body was still coming when the attempt was created.
 func (a *Attempt) CompleteBody(deadline time.Time) {
 	if a.bodyComplete != nil {
@@ -177,7 +177,7 @@
 
 func (a *Attempt) pastDeadline() bool { return !time.Now().Before(a.deadline) }
 
-// pastSendWindow tells whether the request may not be sent any more: the connection came up too late.
+// pastSendWindow reports whether the request may not be sent any more: the connection came up too late.
 func (a *Attempt) pastSendWindow() bool {
 	return !a.sendDeadline.IsZero() && !time.Now().Before(a.sendDeadline)
 }
@@ -196,11 +196,11 @@
 	return a.pool.dial(ctx, a.backend, a.address, a.generation)
 }
 
-// localShortages are errors of a connect that say what this machine is short of: ports, memory or descriptors.
+// localShortages are errors of a connect for what this machine is short of: ports, memory or descriptors.
 var localShortages = []error{errConnLimit, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE,
 	syscall.EAGAIN}
 
-// isLocalShortage tells whether a connect failed for a shortage of the proxy's own, which says nothing of the backend.
+// isLocalShortage reports whether a connect failed for a shortage of the proxy itself, which is no fault of the backend.
 func isLocalShortage(err error) bool {
 	return slices.ContainsFunc(localShortages, func(s error) bool { return errors.Is(err, s) })
 }
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -31,7 +31,7 @@
 	MaxOpen     int           // connections, those being opened included
 	Audit       *audit.Recorder
 	Logger      *slog.Logger // nil: nothing is logged
-	OnForwarded func()       // called when an attempt's request was written whole; may be nil
+	OnForwarded func()       // called when an attempt's request was written completely; may be nil
 }
 
 // Pool holds the connections to all listed backends. It may be used from any goroutine; a connection that is not idle
@@ -122,7 +122,7 @@
 	}
 }
 
-// UpdateEndpoints takes a whole list or the changes of one. Idle connections to a backend that has restarted, moved, drained
+// UpdateEndpoints takes a complete list or the changes of one. Idle connections to a backend that has restarted, moved, drained
 // or gone are closed: nothing new is to go there, or the process at their other end is gone.
 func (p *Pool) UpdateEndpoints(full bool, entries []discovery.Endpoint) {
 	p.mu.Lock()
@@ -166,7 +166,7 @@
 	}
 }
 
-// isAvailableLocked tells whether a backend takes new requests.
+// isAvailableLocked reports whether a backend takes new requests.
 func (p *Pool) isAvailableLocked(b *backend) bool {
 	return b.serving && !p.suspended[b.name] && !p.drainedZones[b.zone]
 }
@@ -262,7 +262,7 @@
 	p.reuseDelay = delay
 }
 
-// isCurrent tells whether what is listed of a backend is what was in a generation.
+// isCurrent reports whether what is listed of a backend is what was in a generation.
 func (p *Pool) isCurrent(b *backend, generation int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/upstream/readahead.go
+++ b/internal/proxy/upstream/readahead.go
@@ -78,7 +78,7 @@
 	return n, nil
 }
 
-// isStalled tells whether the source has given nothing for ResponseBufferWait after no more than so many bytes, all of which
+// isStalled reports whether the source has given nothing for ResponseBufferWait after no more than so many bytes, all of which
 // have been read on. While the source is not being read it is the client that is waited for, and the response may be a
 // large one.
 func (r *readAhead) isStalled(maxReceived int64) bool {
--- a/internal/proxy/upstream/receive.go
+++ b/internal/proxy/upstream/receive.go
@@ -20,7 +20,7 @@
 
 func (r incoming) contentType() string { return r.Header.Get("Content-Type") }
 
-// reusable tells whether the connection can serve again, now that the response has been read.
+// reusable reports whether the connection can serve again, now that the response has been read.
 func (r incoming) reusable() bool {
 	return !r.Close && r.conn.responseReader.Buffered() == 0 && r.conn.reader.Buffered() == 0
 }
--- a/internal/proxy/upstream/send.go
+++ b/internal/proxy/upstream/send.go
@@ -18,7 +18,7 @@
 // writeBufferBytes of a streamed request are sent together: its head and the first of its body.
 const writeBufferBytes = 32 << 10
 
-// exchange sends the request and reads the response; reusable tells whether the connection can serve again.
+// exchange sends the request and reads the response; reusable reports whether the connection can serve again.
 func (a *Attempt) exchange(c *conn) (result Result, reusable bool) {
 	// Cancelling the attempt ends its reads and writes; the connection is then closed, never used again.
 	unhook := context.AfterFunc(a.ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
@@ -65,7 +65,7 @@
 }
 
 // send writes the whole request. Any status but StatusOK proves that the backend has not begun on it, except
-// StatusCancelled; reusable then tells whether the connection can serve another request.
+// StatusCancelled; reusable then reports whether the connection can serve another request.
 func (a *Attempt) send(c *conn) (status balancer.Status, reusable bool) {
 	if a.bodyComplete != nil {
 		return a.sendStreamed(c), false
@@ -84,7 +84,7 @@
 	return balancer.StatusOK, false
 }
 
-// encodeRequest writes the whole request into one buffer, so that one write tells whether its last byte went out.
+// encodeRequest writes the whole request into one buffer, so that one write reports whether its last byte went out.
 func (a *Attempt) encodeRequest() ([]byte, error) {
 	out := a.outgoingRequest(time.Until(a.deadline))
 	if body := a.request.Body; len(body) > 0 {
--- a/internal/proxy/upstream/stream.go
+++ b/internal/proxy/upstream/stream.go
@@ -23,7 +23,7 @@
 	MaxStreamOverrun = 400 * time.Millisecond
 )
 
-// ErrClientGone says that a response was not passed on whole since its client took no more of it.
+// ErrClientGone means that a response was not passed on completely since its client took no more of it.
 var ErrClientGone = errors.New("the client has gone")
 
 // Stream is a response that is passed on while it comes. The client's side reads it and calls Finish; the attempt waits for
@@ -41,7 +41,7 @@
 // Read gives what has come. It waits for StallTimeout at most.
 func (s *Stream) Read(p []byte) (int, error) { return s.source.Read(p) }
 
-// Finish tells the attempt how the response ended: nil if it was passed on whole, ErrClientGone, or the error of Read. Only
+// Finish tells the attempt how the response ended: nil if it was passed on completely, ErrClientGone, or the error of Read. Only
 // the first call counts.
 func (s *Stream) Finish(err error) {
 	select {
--- a/internal/proxy/zonemetrics.go
+++ b/internal/proxy/zonemetrics.go
@@ -58,7 +58,7 @@
 	l.metrics.setZones(sampled)
 }
 
-// zoneReason says why a zone is in its phase, as the management address shows it.
+// zoneReason is why a zone is in its phase, as the management address shows it.
 func (l *eventLoop) zoneReason(name string, s balancer.ZoneState) string {
 	switch {
 	case l.overrides.zones.drained[name]:
--- a/internal/proxy/zonenumbers.go
+++ b/internal/proxy/zonenumbers.go
@@ -27,7 +27,7 @@
 	return n
 }
 
-// toServers turns entries of an endpoint list into the balancer's servers. startOf tells when one started on the loop's clock.
+// toServers turns entries of an endpoint list into the balancer's servers. startOf returns when one started on the loop's clock.
 func (z zoneNumbers) toServers(entries []discovery.Endpoint, startOf func(discovery.Endpoint) int64) []balancer.Server {
 	servers := make([]balancer.Server, 0, len(entries))
 	for _, e := range entries {
