--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// A hint of one to two seconds sent clients back with most of the aim gone: on a small day with a slow
-// backend up to a quarter was answered late though one call in twenty was.
+// A Retry-After has to leave a client enough of the latency objective for a timely answer.
 func TestRetryAfterLeavesTimeForATimelyAnswer(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = 2 * second
@@ -37,7 +36,7 @@
 	}
 }
 
-// After calm rounds counts stood at a million: a burst filled all servers of the front before one call was late.
+// A limit that is not used comes down, so that a burst can't fill all servers before one call is late.
 func TestUnusedLimitIsNotKept(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 4)
 	now, n := start, 0
@@ -98,7 +97,7 @@
 	}
 }
 
-// On a day of pamoja-dar calls worth twelve times as much came late behind long cheap ones.
+// Slow calls of a class with a clearly higher priority cut the limits of the others, not the other way round.
 func TestClassIsPreemptedByHigherPriority(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
@@ -125,7 +124,7 @@
 	}
 }
 
-// A class that nobody uses yet is not held to its least because a worthier one is slow.
+// A class without calls isn't held to its least limit because one with a higher priority is slow.
 func TestUnusedClassKeepsItsLimit(t *testing.T) {
 	s := namedSettings()
 	s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight = 10, 1
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkPick draws among a thousand servers, alone and with others that are heard, where all is well and where
-// home is away, and alone where a third is cold.
+// BenchmarkPick draws among a thousand servers: without peer reports, with them, with the local zone evacuated, and
+// with a third of the servers warming up.
 func BenchmarkPick(b *testing.B) {
 	for _, zones := range []int{3, 9, 30} {
 		for _, how := range []string{"off", "on", "away", "cold"} {
@@ -51,13 +51,13 @@
 	}
 }
 
-// BenchmarkPickListed draws for a copy on its own by the servers that are listed, the zones that these are spread over,
-// and its calls a second.
+// BenchmarkPickListed draws without peer reports, by the number of listed servers, the zones that these are spread over,
+// and calls a second.
 func BenchmarkPickListed(b *testing.B) {
 	for _, rate := range []int{66, 660} {
 		for _, zones := range []int{1, 3, 9} {
 			for _, n := range []int{15, 150, 1300, 2600} {
-				b.Run(fmt.Sprintf("rate=%d/zones=%d/nodos=%d", rate, zones, n), func(b *testing.B) {
+				b.Run(fmt.Sprintf("rate=%d/zones=%d/servers=%d", rate, zones, n), func(b *testing.B) {
 					bal := replicaWithList(b, n, zones, 4)
 					for i := range 8 * rate {
 						bal.selection.sent.add(start + int64(i)*second/int64(rate))
@@ -75,12 +75,11 @@
 	}
 }
 
-// BenchmarkServersHeld is what a copy on its own holds for each listed server, as bytes of the heap, by the classes that
-// it knows.
+// BenchmarkServersHeld is the heap, in bytes, that each listed server takes, by the number of classes.
 func BenchmarkServersHeld(b *testing.B) {
 	for _, classes := range []int{1, 4, 16} {
 		for _, n := range []int{15, 150, 1300, 2600} {
-			b.Run(fmt.Sprintf("classes=%d/nodos=%d", classes, n), func(b *testing.B) {
+			b.Run(fmt.Sprintf("classes=%d/servers=%d", classes, n), func(b *testing.B) {
 				for b.Loop() {
 					var before, after runtime.MemStats
 					runtime.GC()
@@ -90,7 +89,7 @@
 					runtime.ReadMemStats(&after)
 					held := float64(after.HeapAlloc) - float64(before.HeapAlloc)
 					b.ReportMetric(held, "B-held")
-					b.ReportMetric(held/float64(n), "B-held/nodo")
+					b.ReportMetric(held/float64(n), "B-held/server")
 					runtime.KeepAlive(bal)
 				}
 			})
@@ -98,7 +97,7 @@
 	}
 }
 
-// listedCopy is a copy of a late tier that has a list and has heard of no other.
+// replicaWithList is a replica of an inner tier that has a list and no peer reports.
 func replicaWithList(b *testing.B, n, zones, classes int) *Balancer {
 	b.Helper()
 	set := testSettings()
@@ -114,7 +113,7 @@
 	}
 	var list []Server
 	for i := range n {
-		list = append(list, Server{ID: fmt.Sprintf("nodo-%05d", i), Zone: i % zones, Cell: i / 8, State: ServerReady, CapacityHint: 1})
+		list = append(list, Server{ID: fmt.Sprintf("server-%05d", i), Zone: i % zones, Cell: i / 8, State: ServerReady, CapacityHint: 1})
 	}
 	bal.UpdateEndpoints(start, &recorder{}, UpdateSnapshot, list)
 	return bal
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// checker is a Host that checks the rules by its own books, which share nothing with the module.
+// checker is a Host that checks the rules by its own records, which share nothing with the Balancer.
 type checker struct {
 	settings   Settings
 	now        int64
@@ -20,13 +20,13 @@
 	cooldowns  map[string]int64            // when a key may go on after an attempt that may still run
 }
 
-// timer is one that the module has asked for.
+// pendingTimer is a timer that the Balancer has asked for.
 type pendingTimer struct {
 	due   int64
 	token string
 }
 
-// book is what the checker knows of a request.
+// requestRecord is what the checker knows of a request.
 type requestRecord struct {
 	request  Request
 	closed   bool
@@ -34,7 +34,7 @@
 	pending  []int
 }
 
-// try is one attempt.
+// attemptRecord is one attempt.
 type attemptRecord struct {
 	server          Server
 	sent            int64
@@ -169,7 +169,7 @@
 func (c *checker) Log(Event) {}
 func (c *checker) Watch()    { c.watches++ }
 
-// list records what a list says, as the wire's page words it.
+// recordList takes what an endpoint list says.
 func (c *checker) recordList(kind UpdateKind, entries []Server) {
 	listed := map[string]bool{}
 	for _, e := range entries {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// A ban is above all that the module prefers, and a server that comes back is tried with the next call, cold and
-// far as it may be.
+// A suspension goes before all preferences, and a server that is resumed gets the next call, warming up and remote as it
+// may be.
 func TestSuspendedServerGetsNothingAndIsProbedWhenResumed(t *testing.T) {
-	for _, tip := range []float64{0, 3} { // a copy with so much traffic tries it at once, too, where cold servers fall over
+	for _, tip := range []float64{0, 3} { // a replica with so much traffic tries it at once, too, where cold servers fall over
 		t.Run(fmt.Sprint(tip), func(t *testing.T) { suspendAndResume(t, tip) })
 	}
 }
@@ -56,7 +56,7 @@
 	}
 }
 
-// A further attempt keeps away from a server that was banned after the first.
+// A retry keeps away from a server that was suspended after the first attempt.
 func TestSuspensionHoldsForRetries(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 2)
 	sendRequest(b, h, start, "1", 0)
--- a/balancer/feedback_test.go
+++ b/balancer/feedback_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A copy that has cut down to a call in seconds took a minute to fill a round, long after its servers were well.
+// A round with few calls must neither take minutes nor be judged by a single bad call.
 func TestRoundWithFewCallsEndsByTimeAndOnlyWhenGood(t *testing.T) {
 	ev := feedbackRound{maxBadFraction: maxLateFraction, maxDuration: 5 * second}
 	if f := ev.record(start, start, true); f != 0 {
--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A server that flaps every so often, as seen by three copies at slightly different times, changes state twice a
-// minute at most once it is known for it; one that falls and comes back once is not damped.
+// A server that flaps now and then, as seen by three replicas at slightly different times, changes state twice a minute
+// at most once it is damped; one that falls and comes back once is not damped.
 func TestFlapRecordsDampByPenalty(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -101,8 +101,8 @@
 	}
 }
 
-// Whatever is told: a penalty stays within its bounds, damping begins only above the mark and ends within its
-// time, each flap counts once, and records stay few and go once they rest.
+// Whatever is reported: a penalty stays within its bounds, damping begins only above the threshold and ends within its
+// time, each flap counts once, and records stay few and go once the servers rest.
 func TestFlapRecordsAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d flapRecords
@@ -146,7 +146,7 @@
 	})
 }
 
-// In real decisions: one of twelve servers of one zone fails every other 5 s, or its lease ends; ten copies.
+// Ten replicas: one of twelve servers of one zone fails every other 5 s, or leaves the list.
 func TestFleetDampsFlappingServer(t *testing.T) {
 	flapping := func(w *world) bool { return (w.now-start)/(5*second)%2 == 1 }
 	for _, c := range []struct {
@@ -226,7 +226,7 @@
 	}
 }
 
-// A death while damped: refused connections are avoided as fast, and what the list says is never damped.
+// A damped server that dies is avoided as fast as another, and what the list says is never damped.
 func TestServerDiesWhileDamped(t *testing.T) {
 	trials, later := map[bool]int{}, map[bool]int{}
 	for _, damped := range []bool{false, true} {
@@ -278,7 +278,7 @@
 	}
 }
 
-// However many flap, and whoever hears each other, no copy damps more than its part of a tier's or zone's servers.
+// However many servers flap, and whoever hears each other, no replica damps more than its part of a tier's or zone's.
 func TestDampingBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, h := mustNewFor(t, 3), &recorder{}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// world plays many Balancers, which tell each other what they see every 100 ms, on one clock.
+// world runs many Balancers, which exchange reports every 100 ms, on one clock.
 type world struct {
 	t            testing.TB
 	rnd          *rand.Rand
@@ -17,14 +17,14 @@
 	replicas     []*replica
 	servers      []Server
 	outcome      func(c *replica, s Server) (Status, int64) // how and when an attempt ends
-	delivers     func(from, to *replica) bool               // whether what one tells reaches the other; nil: always
-	alterReports func(c *replica, tells []Report) []Report
+	delivers     func(from, to *replica) bool               // whether what one reports reaches the other; nil: always
+	alterReports func(c *replica, reports []Report) []Report
 	exchange     bool // they hear each other
 	reported     map[*replica][]Report
 	received     map[[2]*replica][]Report // what each last heard of each
 }
 
-// copyOf is one Balancer and what it did.
+// replica is one Balancer and what it did.
 type replica struct {
 	world             *world
 	index             int
@@ -44,7 +44,7 @@
 	idempotency Idempotency
 }
 
-// seen is an event that a copy told on-call staff of, and when.
+// loggedEvent is an event that a replica logged, and when.
 type loggedEvent struct {
 	at    int64
 	event Event
@@ -105,12 +105,12 @@
 func (c *replica) Watch()      {}
 func (c *replica) Log(e Event) { c.events = append(c.events, loggedEvent{c.world.now, e}) }
 
-// laid sets up zones of so many copies and servers, each copy with a rate of requests a second; 60 % of these must
-// not run twice, a quarter only in their zone.
-func newWorld(t testing.TB, zones, copies, servers int, rate float64, on bool) *world {
-	w := &world{t: t, rnd: rand.New(rand.NewPCG(5, uint64(zones*1000+copies*10+servers))), now: start, exchange: on,
+// newWorld sets up zones of so many replicas and servers, each replica with a rate of requests a second; 60 % of these
+// are not idempotent, a quarter are so only in their zone.
+func newWorld(t testing.TB, zones, replicas, servers int, rate float64, on bool) *world {
+	w := &world{t: t, rnd: rand.New(rand.NewPCG(5, uint64(zones*1000+replicas*10+servers))), now: start, exchange: on,
 		reported: map[*replica][]Report{}, received: map[[2]*replica][]Report{}}
-	set := Settings{Replicas: zones * copies, ZoneCount: zones, MaxAttempts: 3, DrainGrace: second, SlowStartMinCapacity: 0.3,
+	set := Settings{Replicas: zones * replicas, ZoneCount: zones, MaxAttempts: 3, DrainGrace: second, SlowStartMinCapacity: 0.3,
 		SlowStartDuration: 8 * second, MaxRetryAfter: second, Classes: []Class{
 			{LatencyObjective: 600_000, Deadline: 1_600_000, PriorityWeight: 10, Idempotency: NonIdempotent},
 			{LatencyObjective: 800_000, Deadline: 2_000_000, PriorityWeight: 3, Idempotency: IdempotentWithKey, DedupScope: DedupScopeZone, DedupWindow: 3 * second},
@@ -120,7 +120,7 @@
 		w.servers = append(w.servers, Server{ID: fmt.Sprint("s", i), Zone: i % zones, State: ServerReady, CapacityHint: 1})
 	}
 	w.outcome = w.answer
-	for i := range zones * copies {
+	for i := range zones * replicas {
 		set.ReplicaIndex, set.Zone = i, i%zones
 		b, err := New(set, uint64(i))
 		if err != nil {
@@ -135,7 +135,7 @@
 	return w
 }
 
-// well answers in 30 to 90 ms.
+// answer is StatusOK after 30 to 90 ms.
 func (w *world) answer(*replica, Server) (Status, int64) {
 	return StatusOK, 30_000 + w.rnd.Int64N(60_000)
 }
@@ -148,18 +148,18 @@
 	c.world.after(int64(c.world.rnd.ExpFloat64()*1e6/rate), func() { c.sendRequests(rate, n+1) })
 }
 
-// tell is what the owner of a copy does: every 100 ms it takes what others said and says what this one sees.
+// exchangeReports is what the owner of a replica does every 100 ms: it hands over the others' reports and takes its own.
 func (c *replica) exchangeReports() {
 	w := c.world
 	w.after(second/10, c.exchangeReports)
 	if !w.exchange {
 		return
 	}
-	tells := c.b.Reports(w.now)
+	reports := c.b.Reports(w.now)
 	if w.alterReports != nil {
-		tells = w.alterReports(c, tells)
+		reports = w.alterReports(c, reports)
 	}
-	w.reported[c] = tells
+	w.reported[c] = reports
 	p := PeerReports{LiveReplicas: len(w.replicas), Isolated: c.isolated}
 	for _, o := range w.replicas {
 		if o.b.settings.Zone == c.b.settings.Zone {
@@ -179,7 +179,8 @@
 	c.b.HandlePeerReports(w.now, c, p)
 }
 
-// part is the part of the attempts from some copies' zone within a span that went to a zone; to -1: across zones.
+// attemptFraction is the fraction of the attempts from some replicas' zone within a span that went to a zone; to -1:
+// across zones.
 func (w *world) attemptFraction(from, to int, since, until int64) float64 {
 	n, of := 0.0, 0.0
 	for _, c := range w.replicas {
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// goldenActions is what the actions of random sequences hash to. A Balancer that hears of no other decides as it did
-// before there were any: whoever changes this says in the commit which decision of one copy changed, and why.
+// goldenActions is the hash of the actions of random sequences. A Balancer without peer reports decides as it did before
+// there were any: whoever changes this says in the commit which decision of one replica changed, and why.
 const goldenActions = "66995dfd5b58266d"
 
 func TestSingleReplicaDecidesAsBefore(t *testing.T) {
@@ -24,10 +24,10 @@
 	}
 }
 
-// goldenFleet is the same of a fleet that is played through unequal, failing, flapping, full and cold servers, a lost
-// zone, a drained one, a handover and other settings: what its copies send, tell on-call staff and tell each other, to
-// the last digit, by the values of typed events and actions, so that the names of these may change. A change that only
-// moves, renames or shortens code leaves it as it is.
+// goldenFleet is the same of a fleet that runs through unequal, failing, flapping, saturated and warming servers, a lost
+// zone, a drained one, a handover and other settings: what its replicas send, log and report, to the last digit, by the
+// values of typed events and actions, so that the names of these may change. A change that only moves, renames or
+// shortens code leaves it as it is.
 const goldenFleet = "43d63b61c8c030ef"
 
 func TestFleetDecidesAsBefore(t *testing.T) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// What one copy goes by is changed once: each of these moves the hash of the fleet.
+// Each of these changes of one replica's state moves the hash of the fleet.
 func TestFleetHashNoticesChangedDecisions(t *testing.T) {
 	for name, change := range map[string]func(*Balancer){
 		"weight of other zones": func(b *Balancer) { b.spillover.weight = 0.4 },
@@ -54,7 +54,7 @@
 	}
 }
 
-// noticeValues, zoneValues and eventValues are fields as plain numbers and texts.
+// reportValues, zoneValues and eventValues are fields as plain numbers and texts.
 func reportValues(n Report) []any {
 	return []any{int(n.Kind), int(n.Fault), n.Observer, n.ObserverZone, n.Server, n.StartTime, n.SubjectZone, n.Calls, n.BadFraction, n.Value, n.LastObserved}
 }
@@ -75,7 +75,7 @@
 	panic(fmt.Sprintf("an event of the unknown type %T", e))
 }
 
-// fleetHash is what all that the fleet does hashes to; change is made to one of its Balancers after 5 s.
+// fleetHash is the hash of all that the fleet does; change is made to one of its Balancers after 5 s.
 func fleetHash(t *testing.T, change func(*Balancer)) string {
 	t.Helper()
 	sum := sha256.New()
@@ -102,11 +102,11 @@
 		}
 	}
 	w.delivers = func(_, _ *replica) bool { return w.rnd.IntN(5) > 0 }
-	w.alterReports = func(c *replica, tells []Report) []Report {
-		for _, n := range tells {
+	w.alterReports = func(c *replica, reports []Report) []Report {
+		for _, n := range reports {
 			fmt.Fprintln(sum, c.name, reportValues(n))
 		}
-		return tells
+		return reports
 	}
 	for _, c := range w.replicas {
 		c.b.settings.OverloadMultiple, c.b.settings.OverloadWindow = 2, 2*second
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Two Balancers that are one proxy keep the allowance for further attempts between them, in every window.
+// Two processes that are one proxy keep to one retry budget between them, in every window.
 func TestRetryBudgetIsSharedByTwoProcesses(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio, s.MaxAttempts = 10*second, 5, 0.1, 3
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// recorder is a Host that keeps what it was told.
+// recorder is a Host that records its calls.
 type recorder struct {
 	lines       []string
 	sends       []sendCall
@@ -37,7 +37,7 @@
 func (r *recorder) Log(Event) { r.note("log") }
 func (r *recorder) Watch()    { r.note("watch"); r.watches++ }
 
-// last is the latest action without its numbers.
+// last is the latest action.
 func (r *recorder) last() string {
 	if len(r.lines) == 0 {
 		return ""
@@ -47,7 +47,8 @@
 
 const start = int64(1_000_000_000)
 
-// testSettings has a class of every repeat kind: 0 safe, 1 keyed by cell, 2 unsafe, 3 keyed by all, 4 keyed by zone.
+// testSettings has a class of each kind: 0 idempotent, 1 with a key by cell, 2 not idempotent, 3 with a key by all, 4 with
+// a key by zone.
 func testSettings() Settings {
 	class := Class{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LateWeight: 0.3}
 	s := Settings{Replicas: 1, ZoneCount: 2, MaxAttempts: 4, DrainGrace: 500_000,
@@ -71,7 +72,7 @@
 	return b
 }
 
-// fleet lists n ready servers: cells of two, zones alternating by cell.
+// testServers lists n ready servers: cells of two, zones alternating by cell.
 func testServers(n int) []Server {
 	var out []Server
 	for i := range n {
@@ -80,7 +81,7 @@
 	return out
 }
 
-// with returns a balancer that knows n servers, and its host.
+// newWithServers returns a Balancer that has a list of n servers, and its host.
 func newWithServers(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
 	b, h := mustNew(t, s), &recorder{}
 	b.UpdateEndpoints(start, h, UpdateSnapshot, testServers(n))
--- a/balancer/learn_test.go
+++ b/balancer/learn_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A client that reads its answer slowly says nothing of the server: the call is counted out and judged when the
-// answer begins, and again only if that breaks off.
+// A client that reads its response slowly says nothing of the server: the attempt ends, for the rules, when the response
+// begins, and counts again only if that breaks off.
 func TestStreamedResponseEndsTheAttemptsLatency(t *testing.T) {
 	for _, end := range []Status{StatusOK, StatusCancelled, StatusReset} {
 		b, h := newWithServers(t, testSettings(), 1)
@@ -28,7 +28,7 @@
 	}
 }
 
-// The time of a request begins when its body is whole, however long that took, and one whose body is gone is not
+// The time of a request begins when its body is complete, however long that took, and one whose body is gone is not
 // sent again.
 func TestLatencyBeginsWhenTheBodyIsReceived(t *testing.T) {
 	s := testSettings()
--- a/balancer/listevidence_test.go
+++ b/balancer/listevidence_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// change is what becomes of a server while the list is not heard.
+// change is what becomes of a server while the list is not confirmed.
 type change int
 
 const (
@@ -25,12 +25,12 @@
 	simulated        = start + 30*second
 
 	confirmEvery  = 650 * second / 1000
-	notifiedAfter = 6 * second // a change counts as told so long after it came about
+	notifiedAfter = 6 * second // a change counts from so long after it came about
 	socketSlack   = second / 20
 )
 
-// staleFleet plays one copy before servers of which some change while nothing is heard of the list. It keeps the sends that
-// broke the rule on drains by the list's clock.
+// staleListWorld runs one replica before servers of which some change while the list is not confirmed. It records the
+// attempts that were sent to a server too long after it had left.
 type staleListWorld struct {
 	balancer *Balancer
 	rnd      *rand.Rand
@@ -62,11 +62,11 @@
 	case (c == dies || c == returns && since < changedFor) && since >= 0:
 		due.status, took = StatusConnectFailed, 250_000
 	}
-	told := int64(1 << 60) // of its return
+	notified := int64(1 << 60) // of its return
 	if f.changes[server] == returns {
-		told = changedFor + notifiedAfter
+		notified = changedFor + notifiedAfter
 	}
-	if f.changes[server] != stays && f.now > f.until && since < told {
+	if f.changes[server] != stays && f.now > f.until && since < notified {
 		f.late = append(f.late, fmt.Sprintf("%s (%d) at %.2f s", server, f.changes[server], float64(f.now-start)/float64(second)))
 	}
 	due.at = f.now + took
@@ -78,7 +78,7 @@
 func (f *staleListWorld) Log(Event)              {}
 func (f *staleListWorld) Watch()                 {}
 
-// play runs the copy at a rate of requests a second, with a list that is heard for some time.
+// play runs the replica at a rate of requests a second, with a list that is confirmed for some time.
 func (f *staleListWorld) play(rate int64) {
 	f.changedAt, f.confirmedUntil = changedAt, lastConfirmation
 	f.until = changedAt + notifiedAfter + f.balancer.settings.DrainGrace + socketSlack
@@ -86,7 +86,7 @@
 	f.run(rate)
 }
 
-// unheard runs it with the list that it starts with alone: all has changed before.
+// playCached runs it with the cached list that it starts with alone: all has changed before.
 func (f *staleListWorld) playCached(rate, learned int64) {
 	f.changedAt, f.confirmedUntil, f.until = start-second, start, start+learned
 	f.balancer.UpdateEndpoints(start, f, UpdateCached, testServers(len(f.changes)))
@@ -123,8 +123,8 @@
 	}
 }
 
-// A list that is not heard of names servers that drain, are gone, or went and came back. Each change counts as told 6 s after
-// it came about: from then on calls go to servers that kept taking calls, and not to those.
+// A stale list has servers that drain, are gone, or went and came back. From 6 s after each change on calls go to servers
+// that kept executing attempts, and not to those.
 func TestStaleListIsCorrectedByAttempts(t *testing.T) {
 	for _, rate := range []int64{8, 35} {
 		t.Run(fmt.Sprint(rate, " a second"), func(t *testing.T) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// A copy that begins with an old list, and hears of no other, finds out which servers drain or are gone by its first calls, and
-// then leaves these alone.
+// A replica that starts with an old list, and gets no other, finds out which servers drain or are gone by its first
+// attempts, and then leaves these alone.
 func TestCachedListIsCorrectedByFirstAttempts(t *testing.T) {
 	const learned = 4 * second
 	for seed := range uint64(20) {
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// away are the zones that a copy has left.
+// evacuatedZones are the zones that a replica has left.
 func (c *replica) evacuatedZones() (out []int) {
 	for _, z := range c.b.ZoneStates(c.world.now) {
 		if z.Phase == ZoneEvacuated {
@@ -20,7 +20,8 @@
 	return out
 }
 
-// What looks alike at one call is told apart by where it is seen from, how wide it is and what goes well meanwhile.
+// Faults that look alike in one call are told apart by the zones that see them, by how wide they are and by what is
+// answered meanwhile.
 func TestFaultsAreToldApart(t *testing.T) {
 	type fate = func(w *world, c *replica, s Server) (Status, int64)
 	lost := func(zones ...int) fate {
@@ -35,8 +36,8 @@
 		name   string
 		fate   fate
 		noHome int      // a zone without ready servers, -1: none
-		left   [3][]int // zones that the copies of each zone have left 4 s later
-		may    []int    // those that any copy may have left, too
+		left   [3][]int // zones that the replicas of each zone have left 4 s later
+		may    []int    // those that any replica may have left, too
 	}{
 		{"a lost zone", lost(0), -1, [3][]int{0: {0}}, []int{0}},
 		{"a lost zone that another used", lost(0), 1, [3][]int{{0}, {0}, nil}, []int{0}},
@@ -59,7 +60,7 @@
 			}
 			return w.answer(c, s)
 		}, -1, [3][]int{}, nil},
-		{"a copy's own link", func(w *world, c *replica, s Server) (Status, int64) {
+		{"a replica's own link", func(w *world, c *replica, s Server) (Status, int64) {
 			if c.index < 3 {
 				return StatusOK, 1e12
 			}
@@ -122,7 +123,7 @@
 	}
 }
 
-// stood are the times at which a copy put a zone in a standing.
+// phaseTimes are the times, in µs, at which a replica put a zone in a phase.
 func (c *replica) phaseTimes(zone int, standing ZonePhase) (at []int64) {
 	for _, s := range c.events {
 		if e, ok := s.event.(ZonePhaseChanged); ok && e.State.Zone == zone && e.ObserverZone == c.b.settings.Zone && e.State.Phase == standing {
@@ -132,20 +133,20 @@
 	return at
 }
 
-// In fleets of different width the copies of a lost zone leave it within half a second of each other, in about a
-// second or a third of the time that they take by themselves, and have it back within one and a half cold times.
+// In fleets of different width the replicas of a lost zone leave it within half a second of each other, in about a second
+// or a third of the time that they take without reports, and have it back within one and a half slow starts.
 func TestReplicasEvacuateAndReturnTogether(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		copies, servers int
-		rate            float64
-		unheard         float64
+		name              string
+		replicas, servers int
+		rate              float64
+		unheard           float64
 	}{{"sparse", 16, 32, 1.5, 0}, {"small", 2, 3, 26, 0}, {"middle", 6, 12, 15, 0}, {"half unheard", 6, 12, 15, 0.5}} {
 		t.Run(c.name, func(t *testing.T) {
 			var avoided [2]int64 // when 95 % of the attempts of a second but for trials went elsewhere: alone, together
-			some := 0.05 + trialsPerSecond/(c.rate*float64(c.copies))
+			some := 0.05 + trialsPerSecond/(c.rate*float64(c.replicas))
 			for on := range 2 {
-				w := newWorld(t, 3, c.copies, c.servers, c.rate, on == 1)
+				w := newWorld(t, 3, c.replicas, c.servers, c.rate, on == 1)
 				w.delivers = func(*replica, *replica) bool { return w.rnd.Float64() >= c.unheard }
 				w.run(20 * second)
 				w.outcome = func(p *replica, s Server) (Status, int64) {
@@ -194,7 +195,7 @@
 				}
 			}
 			t.Logf("avoided after %.1f s alone, %.1f s together", float64(avoided[0])/1e6, float64(avoided[1])/1e6)
-			if avoided[1] > max(avoided[0]/3, 6*second/5) { // few and busy copies find out as fast by themselves
+			if avoided[1] > max(avoided[0]/3, 6*second/5) { // few and busy replicas find out as fast by themselves
 				t.Errorf("avoided after %d alone, %d together", avoided[0], avoided[1])
 			}
 		})
@@ -222,7 +223,7 @@
 	}
 }
 
-// A copy that hears nobody any more keeps nothing of what it heard, and returns at the least pace.
+// An isolated replica keeps nothing of what was reported to it, and returns to a zone at the slowest pace.
 func TestIsolatedReplicaReturnsSlowly(t *testing.T) {
 	w := newWorld(t, 3, 4, 5, 20, true)
 	w.run(10 * second)
@@ -294,11 +295,11 @@
 	}
 }
 
-// What three of four copies of a zone must tell for another to be left.
+// What three of four replicas of a zone have to report for another zone to be evacuated.
 func TestEvacuationConditions(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		say       int     // copies that call it bad
+		say       int     // replicas that call it bad
 		calls     float64 // of each
 		bad       float64
 		servers   int
@@ -306,7 +307,7 @@
 		want      ZonePhase
 	}{
 		{"enough", 3, 5, 0.9, 2, 0.1, ZoneEvacuated},
-		{"too few copies", 1, 5, 0.9, 2, 0.1, ZoneHealthy},
+		{"too few replicas", 1, 5, 0.9, 2, 0.1, ZoneHealthy},
 		{"too few calls", 3, 0.5, 0.9, 2, 0.1, ZoneHealthy},
 		{"too few bad", 3, 5, 0.5, 2, 0.1, ZoneHealthy},
 		{"one server", 3, 5, 0.9, 1, 0.1, ZoneHealthy},
@@ -336,7 +337,7 @@
 	}
 }
 
-// The first drain of all is a change of state like any other: counted, and said in the log.
+// The first drain of all is a change of phase like any other: counted and logged.
 func TestFirstDrainIsLogged(t *testing.T) {
 	b, err := New(Settings{ZoneCount: 2, Replicas: 1, MaxAttempts: 1, Classes: []Class{{LatencyObjective: second, Deadline: second}}}, 1)
 	if err != nil {
@@ -349,8 +350,8 @@
 	}
 }
 
-// Whatever others say, not all zones are away, the budget holds, and once all say well all is returned to. Two that
-// hear the same stand alike.
+// Whatever is reported, some zone takes traffic, the budget holds, and once all zones are reported as healthy all are
+// returned to. Two replicas that get the same reports decide alike.
 func TestZonesUnderAnyReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
@@ -385,7 +386,7 @@
 				Calls: rapid.Float64().Draw(t, "calls"), BadFraction: rapid.SampledFrom([]float64{0, 0.5, 1, math.NaN()}).Draw(t, "bad"),
 				Value: rapid.SampledFrom([]float64{0, 0.05, 0.4, 1, math.Inf(1)}).Draw(t, "value"), LastObserved: rapid.Int64().Draw(t, "at")}
 		})
-		lost := rapid.Custom(func(t *rapid.T) (out []Report) { // all copies of this zone say the same
+		lost := rapid.Custom(func(t *rapid.T) (out []Report) { // all replicas of this zone say the same
 			var bad []bool
 			for range set.ZoneCount {
 				bad = append(bad, rapid.Bool().Draw(t, "bad"))
@@ -435,7 +436,7 @@
 			}
 		}
 		well := PeerReports{LiveReplicas: near, LiveReplicasInZone: near}
-		for i := range near * rapid.IntRange(0, 1).Draw(t, "told") { // or nobody says anything
+		for i := range near * rapid.IntRange(0, 1).Draw(t, "reported") { // or nobody says anything
 			for z := range set.ZoneCount {
 				well.Reports = append(well.Reports, Report{Kind: ReportZoneHealthy, Observer: fmt.Sprint("p", i), SubjectZone: z, Calls: 5, Value: 1, LastObserved: now})
 			}
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// After any lists and bans the ring holds the listed servers in order, and new calls go to the ready ones of it, from
-// this copy's place on.
+// After any lists and suspensions the ring holds the listed servers in order, and new attempts go to the ready ones of it,
+// from this replica's place on.
 func TestRingHoldsListedServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
--- a/balancer/ordering_test.go
+++ b/balancer/ordering_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Requests of one key once overtook one another: an earlier one was still out at a slow server.
+// Requests of one key must not overtake one another while an earlier one is in flight at a slow server.
 func TestRequestsOfAKeyKeepTheirOrder(t *testing.T) {
 	s := testSettings()
 	s.Classes[2].Ordered, s.OrderingCooldown = true, 100_000
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Servers that failed one class were lost to the others too, and the rest was crowded.
+// A server that fails one class keeps the others.
 func TestErrorConcernsItsClassAndNoResponseTheServer(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 4)
 	ill, well := b.members.byID["s0"], b.members.byID["s1"]
@@ -55,7 +55,7 @@
 	}
 }
 
-// A server that was full for one class alone got its weight back with every success of another.
+// A server that rejects one class must not get its weight for it back by answers of another.
 func TestRejectionConcernsItsClass(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 4)
 	ill, well := b.members.byID["s0"], b.members.byID["s1"]
@@ -75,7 +75,7 @@
 	}
 }
 
-// Where half the calls failed none was blamed, though they were all of two servers: their full cut the counts.
+// Failures are attributed to servers even where half of all calls fail.
 func TestFailuresOfHalfTheServersAreAttributed(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 4)
 	for range 50 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// An error that all servers show comes from a deeper tier: no server is blamed.
+// An error that all servers show comes from an inner tier: it is attributed to none.
 func TestFailuresOfAllServersAreNotAttributed(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 4)
 	for range 100 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// When a zone is lost all home servers refuse connections alike: they are to blame nonetheless.
+// When a zone is lost all its servers refuse connections alike, and the failures are attributed to them nonetheless.
 func TestRefusedConnectionIsAlwaysAttributed(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 8)
 	for range 5 {
@@ -121,7 +121,7 @@
 	}
 }
 
-// checkBudget checks that verdicts of others take out no more than a third of the tier and of each zone, or one.
+// checkBudget checks that reports take out no more than a third of the tier's servers and of each zone's, or one.
 func checkBudget(t interface{ Errorf(string, ...any) }, b *Balancer) {
 	all, out := map[int]int{}, map[int]int{}
 	for _, s := range b.members.ready {
@@ -137,7 +137,8 @@
 	}
 }
 
-// A server that others call bad gets trials only, until it answers this copy; restarted it begins anew.
+// A server that others report as unhealthy gets trials only, until it answers this replica; another process of it begins
+// anew.
 func TestReportedServerIsEjectedUntilItAnswers(t *testing.T) {
 	set := testSettings()
 	says := func(n int, kind ReportKind, cause Fault, zone int) (out []Report) {
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// A fresh copy with a stretched window once let a long window's worth through at once and choked the front.
+// The window grows no further than the time since the first request: a new replica would admit a long window's worth.
 func TestNewReplicaDoesNotAdmitALongWindowAtOnce(t *testing.T) {
 	var r tenantQuota
 	passed := 0
@@ -39,8 +39,7 @@
 	}
 }
 
-// Each sparse copy let one call of each tenant through a window however low its share: hundreds of copies fed
-// choked servers, which never came to rest.
+// A replica with few calls must not let one call of each tenant through a window however low its quota is.
 func TestThrottledTenantHasNoFreeCall(t *testing.T) {
 	passed := 0
 	rnd := rand.New(rand.NewPCG(5, 5))
@@ -54,12 +53,11 @@
 		}
 	}
 	if most := 200; passed >= most || passed == 0 { // was one each
-		t.Errorf("200 copies with a count of 0.01 a second passed %d calls in 8 s", passed)
+		t.Errorf("200 replicas with a count of 0.01 a second passed %d calls in 8 s", passed)
 	}
 }
 
-// In a jam pressed shares shed nothing at copies whose tenants each send less than a call a window: room for
-// chance let all of it through.
+// While calls are slow, quotas shed at replicas whose tenants each send less than a call a window, too.
 func TestBurstAllowanceShrinksWhileCallsAreSlow(t *testing.T) {
 	s := testSettings()
 	s.Replicas, s.Tenants = 100, []Tenant{{Share: 0.5, Quota: 30}, {Share: 0.5, Quota: 30}}
@@ -81,8 +79,8 @@
 	}
 }
 
-// At a copy that sees a call a second, chance alone fills a tenant's count: a third of the calls was refused
-// on a calm fleet. A tenant that goes on sending more than its part must be held all the same.
+// At a replica that gets a call a second chance alone fills a tenant's quota, which is no reason to reject. A tenant that
+// goes on sending more than its share is held all the same.
 func TestBurstByChanceIsAdmitted(t *testing.T) {
 	s := testSettings()
 	s.Replicas = 100
@@ -94,8 +92,8 @@
 	}{{0.25, 0.05, 0}, {3, 1, 0.6}} {
 		rnd := rand.New(rand.NewPCG(3, 3))
 		sent, asked := 0.0, 0.0
-		for copies := range 20 {
-			s.ReplicaIndex = copies
+		for replicas := range 20 {
+			s.ReplicaIndex = replicas
 			b, h := newWithServers(t, s, 4)
 			for now := start; now < start+40*second; now += second / 100 {
 				for tenant, rate := range []float64{c.perSecond, 0.25, 0.25, 0.25} {
@@ -149,7 +147,7 @@
 	b, h := newWithServers(t, testSettings(), 2)
 	b.logThrottling(start, h)
 	if len(h.lines) != 0 {
-		t.Fatalf("a calm copy reports %q", h.lines)
+		t.Fatalf("a calm replica reports %q", h.lines)
 	}
 	b.quotas.multiple = 0.5
 	for i := range int64(25) {
@@ -160,8 +158,7 @@
 	}
 }
 
-// A fresh copy held every tenant to its share from its first call on and was slow to learn better: on a calm
-// day of half a minute most refusals at the front were these. The first bad round takes all of the room back.
+// A new replica doesn't hold tenants to their quotas while calls are fast. The first bad round takes the excess back.
 func TestNewReplicaThrottlesTenantsOnlyWhenCallsAreSlow(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
@@ -172,7 +169,7 @@
 		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	if n := len(h.sends); n != 32 {
-		t.Errorf("%d of 32 pass at a fresh copy", n)
+		t.Errorf("%d of 32 pass at a fresh replica", n)
 	}
 	for i := 0; b.quotas.multiple > 1; i++ {
 		if i == 10*feedbackRoundCalls {
@@ -186,7 +183,7 @@
 	}
 }
 
-// One bad round held a tenant to its share for the rest of a short day, though calls were timely again.
+// One bad round doesn't hold a tenant to its quota for long once calls are timely again.
 func TestQuotaMultipleRecoversWithinADozenRounds(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -13,7 +13,7 @@
 	return s
 }
 
-// What comes is under the new settings, what is open under those that it began with.
+// New requests are under the new settings, open ones under those that they began with.
 func TestOpenRequestsKeepTheirSettings(t *testing.T) {
 	s := namedSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin = second, 100
@@ -108,7 +108,7 @@
 	}
 }
 
-// Tenants are known by their names, wherever they stand.
+// Tenants are recognised by their names, wherever they are in the list.
 func TestTenantsKeepTheirCountsByName(t *testing.T) {
 	s := namedSettings()
 	s.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 10}, {Name: "b", Share: 0.5, Quota: 10}}
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -5,23 +5,24 @@
 	"testing"
 )
 
-// A third that lies about all servers and zones takes no more than the budget out and moves nobody.
+// A third of the replicas that report all servers and zones as unhealthy takes out no more than the budget and moves no
+// zone.
 func TestFalseReportsOfAThirdMoveNothing(t *testing.T) {
 	for _, liars := range []bool{false, true} {
 		w := newWorld(t, 3, 6, 6, 15, true)
-		w.alterReports = func(c *replica, tells []Report) []Report {
+		w.alterReports = func(c *replica, reports []Report) []Report {
 			if !liars || c.index%9 > 2 { // two of the six of each zone
-				return tells
+				return reports
 			}
-			tells = nil
+			reports = nil
 			for _, s := range w.servers {
-				tells = append(tells, Report{Kind: ReportServerUnhealthy, Fault: FaultErrors, ObserverZone: c.b.settings.Zone, Server: s.ID, Calls: 1e9, BadFraction: 7,
+				reports = append(reports, Report{Kind: ReportServerUnhealthy, Fault: FaultErrors, ObserverZone: c.b.settings.Zone, Server: s.ID, Calls: 1e9, BadFraction: 7,
 					LastObserved: w.now + 1e9})
 			}
 			for z := range 3 {
-				tells = append(tells, Report{Kind: ReportZoneUnhealthy, Fault: FaultUnresponsive, ObserverZone: c.b.settings.Zone, SubjectZone: z, Calls: 1e9, BadFraction: 1, LastObserved: w.now})
+				reports = append(reports, Report{Kind: ReportZoneUnhealthy, Fault: FaultUnresponsive, ObserverZone: c.b.settings.Zone, SubjectZone: z, Calls: 1e9, BadFraction: 1, LastObserved: w.now})
 			}
-			return tells
+			return reports
 		}
 		w.run(40 * second)
 		for _, c := range w.replicas {
@@ -39,7 +40,7 @@
 	}
 }
 
-// One that fails over several zones, and is answered by none, tells nothing.
+// A replica whose calls fail over several zones, and are answered by none, reports nothing.
 func TestOwnLinkFailureReportsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Some fleets turn away work that they had begun: there, 'full' must bring neither a repeat nor a refusal.
+// Where a rejection is no proof that the server did not execute a request, it brings neither a retry nor a rejection.
 func TestRejectedMayHaveExecuted(t *testing.T) {
 	s := testSettings()
 	s.RejectedMayHaveExecuted = true
@@ -89,7 +89,7 @@
 	}
 }
 
-// Without failures nothing once trimmed what the budget counts: a calm copy would have grown for ever.
+// What the retry budget counts is dropped without retries, too.
 func TestRetryBudgetForgetsOldRequests(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 4)
 	for i := range int64(1000) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// A saved-up allowance once let a burst of retries through after a calm time, over the stated budget.
+// A long calm must not save up a retry budget for a burst.
 func TestRetryBudgetHoldsInAnyWindow(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -20,13 +20,13 @@
 	}
 }
 
-// Many copies that draw from all servers fill every server's connection table.
+// Many replicas that draw from all servers would fill every server's connection table.
 func TestSubsetsAreSmallAndCoverTheFleet(t *testing.T) {
-	const copies, servers = 60, 90
+	const replicas, servers = 60, 90
 	users := map[string]int{}
-	for i := range copies {
+	for i := range replicas {
 		s := testSettings()
-		s.Replicas, s.ReplicaIndex = copies, i
+		s.Replicas, s.ReplicaIndex = replicas, i
 		b, h := newWithServers(t, s, servers)
 		met := map[string]bool{}
 		for k := range 400 {
@@ -38,7 +38,7 @@
 			met[s.server] = true
 		}
 		if len(met) > servers/3 {
-			t.Fatalf("copy %d met %d servers", i, len(met))
+			t.Fatalf("replica %d met %d servers", i, len(met))
 		}
 		for s := range met {
 			users[s]++
@@ -49,8 +49,7 @@
 	}
 }
 
-// Copies with a few calls a second met each of twelve servers once in many seconds, and went on crowding the
-// ones that had turned slow.
+// A replica with a few calls a second has a small subset, so that it learns soon which of its servers are slow.
 func TestReplicaWithFewCallsHasASmallSubset(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 60)
 	met := map[string]int{}
@@ -67,7 +66,7 @@
 	}
 }
 
-// A server that fails fast holds no calls, and by that drew nearly all while its peers were busy.
+// A server that fails fast holds no attempts, which must not make it draw nearly all while the others are busy.
 func TestServerThatFailsFastGetsTrialsOnly(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 4)
 	for range 50 {
@@ -90,7 +89,7 @@
 	}
 }
 
-// A server that hangs took as many trials from a class that must not run twice, and each cost a request.
+// A server that doesn't respond gets fewer trials from a class that must not be executed twice: each costs a request.
 func TestUnresponsiveServerIsTriedWithIdempotentCalls(t *testing.T) {
 	set := testSettings()
 	b, _ := newWithServers(t, set, 4)
--- a/balancer/sequences_test.go
+++ b/balancer/sequences_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// driver plays legal events against one balancer.
+// driver plays legal events against one Balancer.
 type driver struct {
 	t        *testing.T
 	rnd      *rand.Rand
@@ -18,10 +18,10 @@
 	next     int
 	open     []string // requests that have an attempt out or are owed an answer
 
-	exchange bool // others are told and heard
+	exchange bool // reports are exchanged
 }
 
-// hear has others say anything, and now and then zones suspended by hand.
+// exchangeReports has others report anything, and now and then drains zones.
 func (d *driver) exchangeReports() {
 	p := PeerReports{LiveReplicas: 6, LiveReplicasInZone: d.rnd.IntN(5), Isolated: d.rnd.IntN(8) == 0}
 	for range d.rnd.IntN(12) {
@@ -95,8 +95,7 @@
 	d.mustBeAccountedFor(r.ID)
 }
 
-// mustBeHeld checks that a request is answered, out or waiting for its turn with a timer set: none may be
-// left with nobody to end it.
+// mustBeAccountedFor checks that a request is answered, in flight or waiting in its queue with a timer set.
 func (d *driver) mustBeAccountedFor(id string) {
 	k := d.checker.requests[id]
 	waits := len(k.attempts) == 0 && d.checker.settings.Classes[k.request.Class].Ordered && k.request.Key != "" &&
@@ -136,7 +135,7 @@
 	d.balancer.HandleOutcome(d.now, d.checker, Outcome{RequestID: k.request.ID, Attempt: n, Status: status, Latency: d.now - t.sent, RequestDone: k.closed})
 }
 
-// expire brings the timers and time-outs that are due, as the wire does at an attempt's or a client's time.
+// expire fires the timers and timeouts that are due.
 func (d *driver) expire() {
 	for i := 0; i < len(d.checker.timers); i++ {
 		if t := d.checker.timers[i]; t.due <= d.now {
@@ -154,7 +153,7 @@
 	}
 }
 
-// nextDue is when the first time-out falls due.
+// nextDue is when the first timeout is due.
 func (d *driver) nextDue() int64 {
 	due := d.now + 20_000
 	for _, id := range d.open {
@@ -185,7 +184,7 @@
 		d.snapshot(UpdateSnapshot)
 	case x < 942:
 		d.balancer.UpdateEndpoints(d.now, d.checker, UpdateFailed, nil)
-	case x < 960 && len(d.checker.timers) > 0: // a stale copy of a timer
+	case x < 960 && len(d.checker.timers) > 0: // a stale timer
 		d.balancer.HandleTimer(d.now, d.checker, "watch")
 	case x < 975:
 		d.clientGone()
@@ -207,7 +206,7 @@
 	d.balancer.HandleClientGone(d.now, d.checker, k.request.ID)
 }
 
-// play drives a whole sequence and returns what the module did and what it did wrong.
+// play runs a whole sequence and returns the Balancer's actions and its violations of the rules.
 func play(t *testing.T, seed uint64, steps int, others bool) ([]string, []string) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 0.6, Quota: 30}, {Share: 0.4, Quota: 20}}
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// prefix is an error's text up to the colon that follows the field.
+// errorPrefix is an error's text up to the colon that follows the field.
 func errorPrefix(s string) string {
 	for i := len("balancer: "); i < len(s); i++ {
 		if s[i] == ':' {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// The chance that a copy gives a cold server is held to what all copies may send it, however the others stand; what is
-// over goes to warm ones that are well, and is refused where there is none. Before, the weights alone gave a cold server
-// beside three busy ones all calls but few.
+// The chance that a replica gives a warming server is capped to what all replicas may send it, however the others do. The
+// excess goes to warm servers that are healthy, and is rejected where there is none.
 func TestWarmingServersChanceIsCapped(t *testing.T) {
 	for _, k := range []struct {
 		name    string
@@ -63,7 +62,7 @@
 	}
 }
 
-// What comes beyond the usual, as from clients that were refused and come again, is no reason to send a cold server more.
+// What comes beyond the usual, as from rejected clients that come again, is no reason to send a warming server more.
 func TestBurstDoesNotRaiseAWarmingServersCap(t *testing.T) {
 	set := testSettings()
 	set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = 1, 3, 2*second
@@ -98,7 +97,7 @@
 	}
 }
 
-// A cold server's part of the draw stays under its least capacity.
+// A warming server's part of the draw stays under its least capacity.
 func TestWarmingServerGetsLessThanItsCapacity(t *testing.T) {
 	s := testSettings()
 	b, h := mustNew(t, s), &recorder{}
@@ -125,8 +124,8 @@
 	}
 }
 
-// What a cold server may not have goes to warm ones that are well. One that fails fast holds no calls, and by that alone
-// it drew nearly all of it where the others hold some; it keeps its trials.
+// A warming server's excess goes to warm servers that are healthy. One that fails fast holds no attempts, and keeps its
+// trials only.
 func TestUnhealthyServerDoesNotGetAWarmingServersExcess(t *testing.T) {
 	for _, k := range []struct {
 		name string
@@ -169,7 +168,7 @@
 					none++
 				}
 			}
-			// Of what goes to one that is well it has healthFloor, so of all it has that at most.
+			// Of what goes to a healthy server it has minHealthScore, so of all it has that at most.
 			if float64(got) > 1.1*minHealthScore*n {
 				t.Errorf("the failing server got %.3f of the draws, may get %.3f", float64(got)/n, minHealthScore)
 			}
@@ -180,7 +179,7 @@
 	}
 }
 
-// How warm a server is goes by the clock of events, whatever the list's clock says of the same start.
+// Slow start goes by the clock of events, whatever the list's clock says of the same start.
 func TestServerWarmsUpByTheClockOfEvents(t *testing.T) {
 	const now, cold = 100 * second, 10 * second
 	rule := newSlowStart(&shared{settings: &Settings{SlowStartMinCapacity: 0.1, SlowStartDuration: cold}})
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Whatever the asking time, a subscription that fails is asked for again within 2 s: a change counts as told after 6 s.
+// Whatever the poll interval is, a watch that fails is opened again within 2 s.
 func TestWatchBackoffIsShort(t *testing.T) {
 	for _, every := range []int64{1, second / 2, 10 * second, 600 * second} {
 		s := testSettings()
@@ -24,7 +24,7 @@
 	}
 }
 
-// waits notes how long each timer is.
+// timerDelays records how long each timer is.
 type timerDelays struct {
 	*recorder
 	delays []int64
@@ -43,9 +43,9 @@
 	if len(h.timers) != 1 {
 		t.Fatalf("%d timers after a failure", len(h.timers))
 	}
-	b.UpdateEndpoints(start, h, UpdateFailed, nil) // the broken subscription and the failed call are told one by one
+	b.UpdateEndpoints(start, h, UpdateFailed, nil) // the broken subscription and the failed call come one by one
 	if len(h.timers) != 1 {
-		t.Errorf("%d timers after the same failure was told twice", len(h.timers))
+		t.Errorf("%d timers after the same failure came twice", len(h.timers))
 	}
 	b.HandleTimer(start+second, h, h.timers[0])
 	b.HandleTimer(start+second, h, h.timers[0])
--- a/balancer/weighttuning_test.go
+++ b/balancer/weighttuning_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// queue is a server that works on so many calls at once, each for a time spread about a mean; others wait.
+// serverQueue is a server that works on so many calls at once, each for a time spread about a mean; others wait.
 type serverQueue struct {
 	slots  []int64      // when each is free
 	mean   float64      // microseconds
@@ -15,7 +15,7 @@
 	shared *serverQueue // calls also pass this, which others share
 }
 
-// done is when a call that comes now is done.
+// finish is when a call that comes now is done.
 func (q *serverQueue) finish(w *world, now int64) int64 {
 	i := slices.Index(q.slots, slices.Min(q.slots))
 	q.slots[i] = max(q.slots[i], now) + int64(q.mean*(0.3+0.7*w.rnd.ExpFloat64()))
@@ -25,11 +25,11 @@
 	return q.slots[i]
 }
 
-// tuning is a play of ten copies and twelve servers of one zone, tuned or not.
+// tuningRun runs ten replicas and twelve servers of one zone, tuned or not.
 type tuningRun struct {
 	*world
 	queues       []*serverQueue
-	extraLatency int64 // every other copy has this much further to go
+	extraLatency int64 // every other replica has this much further to go
 	latencies    []int64
 }
 
@@ -64,7 +64,7 @@
 	return float64(p.latencies[len(p.latencies)*99/100]) / 1000
 }
 
-// factors are those of each server at the first copy, and the part of calls that s0 gets of an equal one.
+// factors are those of each server at the first replica, and the part of calls that s0 gets of an equal one.
 func (p *tuningRun) factors() (f [12]float64, s0 float64) {
 	for i := range f {
 		f[i] = math.Exp(p.replicas[0].b.members.byID[fmt.Sprint("s", i)].tuning.logFactor)
@@ -92,7 +92,7 @@
 	}
 	for _, c := range []struct {
 		name   string
-		rate   float64 // requests a second of each copy
+		rate   float64 // requests a second of each replica
 		set    func(p *tuningRun)
 		most   float64 // p99 tuned, of p99 not tuned; 0: not looked at
 		expect func(f [12]float64, s0 float64) bool
@@ -115,23 +115,23 @@
 			part := &serverQueue{slots: make([]int64, 2), mean: 35_000}
 			p.queues[0].shared, p.queues[1].shared = part, part
 		}, 0, func(f [12]float64, s0 float64) bool { return f[0] < 1 && f[1] < 1 }},
-		{"unequal copies", 30, func(p *tuningRun) { p.extraLatency = 50_000 }, 0, alike(1.1)},
-		{"a third of what is told is lost", 30, func(p *tuningRun) {
+		{"unequal replicas", 30, func(p *tuningRun) { p.extraLatency = 50_000 }, 0, alike(1.1)},
+		{"a third of the reports is lost", 30, func(p *tuningRun) {
 			unequal(p)
 			p.delivers = func(from, to *replica) bool { return p.rnd.IntN(3) > 0 }
 		}, 0, func(f [12]float64, _ float64) bool { return f[0] > f[2] }},
-		{"nothing is heard any more", 30, func(p *tuningRun) {
+		{"no report arrives any more", 30, func(p *tuningRun) {
 			unequal(p)
 			p.after(40*second, func() { p.delivers = func(from, to *replica) bool { return false } })
 		}, 0, func(f [12]float64, _ float64) bool { return f == [12]float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1} }},
-		{"a third lies", 30, func(p *tuningRun) {
-			p.alterReports = func(c *replica, tells []Report) []Report {
-				for i := range tells {
-					if n := &tells[i]; n.Kind == ReportServerLoad && c.index%3 == 0 {
+		{"a third reports nonsense", 30, func(p *tuningRun) {
+			p.alterReports = func(c *replica, reports []Report) []Report {
+				for i := range reports {
+					if n := &reports[i]; n.Kind == ReportServerLoad && c.index%3 == 0 {
 						n.Calls, n.Value = []float64{1e300, math.NaN(), 50}[i%3], []float64{1, 1e300, math.Inf(1)}[i%3]
 					}
 				}
-				return tells
+				return reports
 			}
 		}, 1.15, func(f [12]float64, _ float64) bool { return slices.Min(f[:]) > 0.3 && slices.Max(f[:]) < 3 }},
 	} {
@@ -157,8 +157,8 @@
 	}
 }
 
-// One round: a step is bounded, and taken back if the tail of this copy's calls got worse; what is cold, damped,
-// failing or hardly called goes back to its own weight, as all do where nobody is heard.
+// One round: a step is bounded, and taken back if the tail of this replica's latencies got worse. A server that is warming
+// up, damped, unhealthy or hardly called goes back to its own weight, as all do where nothing is reported.
 func TestTuningRound(t *testing.T) {
 	for _, c := range []struct {
 		name string
