--- a/cmd/merlinpick-registry/slope_callers_test.go
+++ b/cmd/merlinpick-registry/slope_callers_test.go
@@ -16,7 +16,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// BenchmarkSlopeFollowing is a proxy's control bytes, in and out, by changes of the list: the client that proxies have.
+// BenchmarkSlopeFollowing measures a proxy client's control bytes, in and out, by changes of the list.
 func BenchmarkSlopeFollowing(b *testing.B) {
 	rates := []float64{0, 60, 600, 3120, 6240} // a minute; the last two are the greatest release, and that of twice the nodos
 	const took = 15 * time.Second
@@ -25,7 +25,7 @@
 		for r := range runs {
 			s := startService(b, 1)
 			fill(b, s, 0, planned)
-			addr, count := relay(b, s.addrs[0])
+			addr, count := relay(b, s.addresses[0])
 			ctx, end := context.WithCancel(b.Context())
 			var all sync.WaitGroup
 			d := discovery.New(discovery.Config{Source: discovery.Source{Members: []string{addr}}, Seed: uint64(r), Logger: slog.New(slog.DiscardHandler)})
@@ -40,7 +40,7 @@
 				}
 			})
 			time.Sleep(settle)
-			c := registrar.New(s.addrs)
+			c := registrar.New(s.addresses)
 			var since atomic.Int64
 			since.Store(1_790_000_000_000)
 			for _, rate := range rates {
@@ -68,7 +68,7 @@
 		Unit: "B/s", Of: "changes a minute", Note: "one proxy's client with 1,300 nodos listed; changes within 50 ms are told together; HTTP heads and bodies, without what TCP and IP add"})
 }
 
-// BenchmarkSlopeKeeping is a nodo's control bytes, in and out, by renewals: leases of 4, 2 and 1 s, kept as nodos keep them.
+// BenchmarkSlopeKeeping measures a server's control bytes, in and out, by renewals: leases of 4, 2 and 1 s.
 func BenchmarkSlopeKeeping(b *testing.B) {
 	leases := []float64{4, 2, 1}
 	const took = 24 * time.Second
@@ -81,7 +81,7 @@
 		counts := make([][]*atomic.Int64, repeats)
 		for r := range runs {
 			for i, lease := range leases {
-				addr, count := relay(b, s.addrs[0])
+				addr, count := relay(b, s.addresses[0])
 				counts[r] = append(counts[r], count)
 				all.Go(func() {
 					c := registrar.New([]string{addr})
@@ -117,7 +117,7 @@
 		Unit: "B/s", Of: "renewals a second of a nodo", Note: "leases of 4, 2 and 1 s; HTTP heads and bodies, without what TCP and IP add"})
 }
 
-// BenchmarkSlopeRenewing is a nodo's processor time by renewals, alone in this process.
+// BenchmarkSlopeRenewing measures a server's processor time by renewals, alone in this process.
 func BenchmarkSlopeRenewing(b *testing.B) {
 	rates := []float64{1, 3, 10}
 	const settle, spell = 500 * time.Millisecond, 4 * time.Second
@@ -132,7 +132,7 @@
 	for b.Loop() {
 		s := startService(b, 1)
 		fill(b, s, 0, 1)
-		c := registrar.New(s.addrs)
+		c := registrar.New(s.addresses)
 		n := listed(0)
 		for r := range runs {
 			for _, rate := range rates {
