--- /dev/null
+++ b/balancer/callstats_test.go
@@ -0,0 +1,51 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+)
+
+func TestCallStatsFade(t *testing.T) {
+	var stats callStats
+	if stats.seenWithin(start, second) || stats.badFraction() != 0 {
+		t.Errorf("without calls: %+v", stats)
+	}
+	stats.record(start, second, 100, FaultErrors)
+	stats.record(start, second, 100, NoFault)
+	if stats.calls != 2 || stats.badFraction() != 0.5 || stats.fault != FaultErrors || stats.lastBadAt != start {
+		t.Errorf("one bad call of two: %+v", stats)
+	}
+	stats.record(start+second, second, 100, NoFault) // the two have faded to 1/e
+	if want := 2/math.E + 1; math.Abs(stats.calls-want) > 1e-9 || math.Abs(stats.bad-1/math.E) > 1e-9 {
+		t.Errorf("a second later: %+v, want %v calls", stats, want)
+	}
+	if !stats.seenWithin(start+2*second, second) || stats.seenWithin(start+2*second+1, second) {
+		t.Error("the latest call is seen for another time than asked")
+	}
+}
+
+func TestCallStatsCountNoMoreThanTheLatestCalls(t *testing.T) {
+	var stats callStats
+	for range 50 {
+		stats.record(start, second, 5, FaultErrors)
+	}
+	if math.Abs(stats.calls-5) > 1e-9 {
+		t.Errorf("%v calls, want 5 at most", stats.calls)
+	}
+	for range 20 {
+		stats.record(start, second, 5, NoFault)
+	}
+	if stats.badFraction() > 0.05 {
+		t.Errorf("bad fraction %v after twenty answers", stats.badFraction())
+	}
+}
+
+func TestRetractedBadCall(t *testing.T) {
+	var stats callStats
+	stats.retractBad()
+	stats.record(start, second, 5, FaultUnresponsive)
+	stats.retractBad()
+	if stats.bad != 0 || stats.calls != 1 {
+		t.Errorf("got %+v", stats)
+	}
+}
--- a/balancer/flapdamping.go
+++ b/balancer/flapdamping.go
@@ -53,7 +53,15 @@
 // flapVote is the newest change against the last flap that counted, as one replica saw it.
 type flapVote struct {
 	observer string
-	at       int64 // µs
+	seenAt   int64 // µs
+}
+
+// flapSighting is a flap of a server's process as one replica saw it.
+type flapSighting struct {
+	server    string // ID
+	startTime int64  // µs by the list's clock
+	down      bool   // a fall, else a recovery
+	vote      flapVote
 }
 
 // flapRecord is the record of one server. Flaps alternate: one that leads where the last one led is the
@@ -71,16 +79,16 @@
 
 // accept takes a replica's vote for a flap and tells whether the flap counts with it.
 func (r *flapRecord) accept(now int64, down bool, vote flapVote, required int) bool {
-	if down == r.down || vote.at <= r.lastFlapAt || vote.at > now {
+	if down == r.down || vote.seenAt <= r.lastFlapAt || vote.seenAt > now {
 		return false
 	}
 	r.votes = slices.DeleteFunc(r.votes, func(former flapVote) bool {
-		return former.observer == vote.observer || vote.at-former.at > flapVoteWindow
+		return former.observer == vote.observer || vote.seenAt-former.seenAt > flapVoteWindow
 	})
 	if r.votes = append(r.votes, vote); len(r.votes) < required {
 		return false
 	}
-	r.down, r.lastFlapAt, r.votes = down, vote.at, nil
+	r.down, r.lastFlapAt, r.votes = down, vote.seenAt, nil
 	r.penalty, r.penaltyAt, r.newFlap = min(r.currentPenalty(now)+1, maxPenalty), now, true
 	return true
 }
@@ -110,22 +118,23 @@
 // flapRecords keeps one record for each server that has flapped. The zero value is ready.
 type flapRecords struct{ byID map[string]*flapRecord }
 
-// recordFlap takes a flap of a server's process, seen by an observer at some time in µs. It tells whether
+// recordFlap takes a replica's sighting of a flap. It tells whether
 // the flap counts with it.
-func (f *flapRecords) recordFlap(now int64, id string, startTime int64, down bool, vote flapVote,
-	required int) bool {
-	record := f.byID[id]
-	if record == nil || startTime > record.startTime && !sameStartTime(startTime, record.startTime) {
-		if f.removeRested(now); record == nil && len(f.byID) >= maxRecords || !down {
+func (f *flapRecords) recordFlap(now int64, seen flapSighting, required int) bool {
+	record := f.byID[seen.server]
+	same := record != nil && sameStartTime(seen.startTime, record.startTime)
+	if record == nil || seen.startTime > record.startTime && !same {
+		if f.removeRested(now); record == nil && len(f.byID) >= maxRecords || !seen.down {
 			return false // a record begins with a fall
 		}
-		record = &flapRecord{startTime: startTime, lastFlapAt: vote.at - flapVoteWindow, penaltyAt: now}
+		record = &flapRecord{startTime: seen.startTime, lastFlapAt: seen.vote.seenAt - flapVoteWindow,
+			penaltyAt: now}
 		if f.byID == nil {
 			f.byID = map[string]*flapRecord{}
 		}
-		f.byID[id] = record
+		f.byID[seen.server], same = record, true
 	}
-	return sameStartTime(startTime, record.startTime) && record.accept(now, down, vote, required)
+	return same && record.accept(now, seen.down, seen.vote, required)
 }
 
 // dampedSince tells whether a server's process is to have its steady weight now, and since when, in µs.
@@ -152,7 +161,7 @@
 	startTime int64
 	down      bool
 	fault     Fault // of the latest fall
-	at        int64 // µs
+	seenAt    int64 // µs
 	count     float64
 }
 
@@ -202,7 +211,7 @@
 	if flap.down == down {
 		return
 	}
-	if flap.down, flap.at, flap.count = down, now, flap.count+1; down {
+	if flap.down, flap.seenAt, flap.count = down, now, flap.count+1; down {
 		flap.fault = fault
 	}
 	if d.observed == nil {
@@ -215,12 +224,12 @@
 func (d *flapDamping) flapReports(now int64) (reports []Report) {
 	for _, id := range slices.Sorted(maps.Keys(d.observed)) {
 		flap := d.observed[id]
-		if now-flap.at > flapMemory {
+		if now-flap.seenAt > flapMemory {
 			delete(d.observed, id)
-		} else if now-flap.at <= flapReportTTL {
+		} else if now-flap.seenAt <= flapReportTTL {
 			report := Report{Kind: ReportServerFlap, Fault: max(flap.fault, NoFault),
 				ObserverZone: d.settings.Zone, Server: id, StartTime: flap.startTime, Calls: flap.count,
-				BadFraction: indicator(flap.down), LastObserved: flap.at}
+				BadFraction: indicator(flap.down), LastObserved: flap.seenAt}
 			if record := d.records.byID[id]; record != nil {
 				report.Value = record.currentPenalty(now)
 			}
@@ -253,7 +262,7 @@
 			(report.Fault != FaultUnresponsive || report.ObserverZone == d.settings.Zone) {
 			down := report.BadFraction >= unhealthyBadFraction
 			vote := flapVote{report.Observer, report.LastObserved}
-			d.records.recordFlap(now, report.Server, report.StartTime, down, vote, required)
+			d.records.recordFlap(now, flapSighting{report.Server, report.StartTime, down, vote}, required)
 		}
 	}
 }
--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -31,7 +31,7 @@
 			if now > 0 && now%c.every == 0 && now < c.until {
 				down = !down
 				for i := range int64(3) {
-					d.recordFlap(now+i, "s", 1, down, flapVote{fmt.Sprint(i), now + i}, 3)
+					d.recordFlap(now+i, flapSighting{"s", 1, down, flapVote{fmt.Sprint(i), now + i}}, 3)
 				}
 			}
 			_, is := d.dampedSince(now+3, "s", 1)
@@ -89,7 +89,7 @@
 			if now = max(now, s.at); s.at == math.MaxInt64 {
 				now = 1
 			}
-			d.recordFlap(now, "s", s.start, s.down, flapVote{s.who, s.at}, 2)
+			d.recordFlap(now, flapSighting{"s", s.start, s.down, flapVote{s.who, s.at}}, 2)
 		}
 		got := 0.0
 		if r := d.byID["s"]; r != nil {
@@ -115,7 +115,7 @@
 			at := now - rapid.Int64Range(-second, 3*second).Draw(t, "age")
 			known := d.byID[key] != nil
 			vote := flapVote{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), at}
-			if d.recordFlap(now, key, 1, down, vote, 2) {
+			if d.recordFlap(now, flapSighting{key, 1, down, vote}, 2) {
 				if known && state[key] == down || at <= counted[key] && counted[key] != 0 || at > now {
 					t.Fatalf("at %d a flap of %s to %v seen at %d counts again", now, key, down, at)
 				}
--- /dev/null
+++ b/balancer/latency_test.go
@@ -0,0 +1,73 @@
+package balancer
+
+import (
+	"math"
+	"testing"
+)
+
+func TestLatencyMeansFollowAnswers(t *testing.T) {
+	class, server := newClassLatency(Class{LatencyObjective: 400_000}), newServerLatency()
+	if class.mean != 100_000 || class.unloaded != 100_000 {
+		t.Fatalf("first guess %+v", class)
+	}
+	recordLatency(&class, &server, 50_000)
+	if class.mean != 90_000 || class.unloaded != 90_000 { // one answer against a guess that counts as four
+		t.Errorf("after one answer of 50 ms: %+v", class)
+	}
+	for range 1000 {
+		recordLatency(&class, &server, 50_000)
+	}
+	if math.Abs(class.mean-50_000) > 1 || math.Abs(server.slowness-1) > 0.01 {
+		t.Errorf("after a thousand answers of 50 ms: %+v, slowness %v", class, server.slowness)
+	}
+	for range 30 {
+		recordLatency(&class, &server, 200_000)
+	}
+	if class.mean < 150_000 || class.unloaded > 60_000 {
+		t.Errorf("the unloaded mean follows a slow spell: %+v", class)
+	}
+}
+
+func TestSlownessIsBounded(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		latency  float64
+		slowness float64
+	}{{"half as fast", 100_000, 2}, {"as fast as the mean", 50_000, 1}, {"out of all proportion", 50e6, maxLatencyRatio}} {
+		server := newServerLatency()
+		for range 200 {
+			class := classLatency{mean: 50_000, unloaded: 50_000, successes: 100}
+			recordLatency(&class, &server, c.latency)
+		}
+		if math.Abs(server.slowness-c.slowness) > 1e-6 {
+			t.Errorf("%s: slowness %v, want %v", c.name, server.slowness, c.slowness)
+		}
+	}
+}
+
+func TestSlowThreshold(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		tier     int
+		multiple float64
+		unloaded float64
+		want     float64
+	}{
+		{"by the objective", 0, 1, 1_000_000, 300_000},
+		{"by the unloaded mean", 0, 1, 100_000, 160_000},
+		{"overloaded: by the objective alone", 0, overloadedQuotaMultiple, 100_000, 300_000},
+		{"an inner tier: by the objective alone", 1, 1, 100_000, 300_000},
+	} {
+		settings := &Settings{Tier: c.tier, Classes: []Class{{LatencyObjective: 500_000}}}
+		if got := slowThreshold(settings, 0, classLatency{unloaded: c.unloaded}, c.multiple); got != c.want {
+			t.Errorf("%s: %v µs, want %v", c.name, got, c.want)
+		}
+	}
+}
+
+func TestIsLate(t *testing.T) {
+	rules := Class{LatencyObjective: 500_000}
+	if isLate(rules, 400_000) || !isLate(rules, 400_001) {
+		t.Error("late does not begin above 0.8 of the objective")
+	}
+}
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 )
@@ -102,7 +103,8 @@
 	} {
 		next := namedSettings()
 		spoil(&next)
-		if _, err := b.Reconfigure(start, next, nil); err == nil || b.Settings() != was {
+		_, err := b.Reconfigure(start, next, nil)
+		if fault := (*SettingsError)(nil); !errors.As(err, &fault) || b.Settings() != was {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -93,9 +93,9 @@
 	outlier         attemptOutlier
 }
 
-// indicator is one observation of a running fraction: 1 if it is so, else 0.
-func indicator(so bool) float64 {
-	if so {
+// indicator is one observation of a running fraction: 1 if it holds, else 0.
+func indicator(holds bool) float64 {
+	if holds {
 		return 1
 	}
 	return 0
--- /dev/null
+++ b/balancer/zonestate_test.go
@@ -0,0 +1,69 @@
+package balancer
+
+import "testing"
+
+func TestZoneReportOfOneReplica(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		good, bad int // calls to zone 1 now
+		sample    zoneSample
+		spillover float64
+		zone      int
+		kind      ReportKind
+		fault     Fault
+		evidence  bool
+	}{
+		{"no calls", 0, 0, zoneSample{}, 0, 1, ReportZoneHealthy, NoFault, false},
+		{"answered", 4, 0, zoneSample{recent: 2}, 0, 1, ReportZoneHealthy, NoFault, true},
+		{"most are bad, at all servers", 0, 4, zoneSample{recent: 2, recentUnhealthy: 2}, 0, 1,
+			ReportZoneUnhealthy, FaultUnresponsive, true},
+		{"most are bad, at half of the servers", 0, 4, zoneSample{recent: 2, recentUnhealthy: 1}, 0, 1,
+			ReportZoneUnhealthy, FaultUnresponsive, true},
+		{"most are bad, at few servers", 0, 4, zoneSample{recent: 5, recentUnhealthy: 1}, 0, 1,
+			ReportZoneHealthy, NoFault, true},
+		{"the local zone is slow", 4, 0, zoneSample{recent: 2}, saturationSpillover + 0.01, 0,
+			ReportZoneHealthy, FaultSlow, false},
+		{"another zone, while the local one is slow", 4, 0, zoneSample{recent: 2}, saturationSpillover + 0.01, 1,
+			ReportZoneHealthy, NoFault, true},
+	} {
+		b, _ := newWithServers(t, testSettings(), 4)
+		b.trackZones()
+		b.spillover.weight = c.spillover
+		server := b.members.byID["s2"] // of zone 1
+		for range c.good {
+			b.recordEvidence(start, &attempt{server: server, zone: 1}, NoFault)
+		}
+		for range c.bad {
+			b.recordEvidence(start, &attempt{server: server, zone: 1}, FaultUnresponsive)
+		}
+		report, ok := b.locality.report(start, &b.locality.zones[c.zone], c.sample)
+		if report.Kind != c.kind || report.Fault != c.fault || ok != c.evidence || report.SubjectZone != c.zone {
+			t.Errorf("%s: %+v, evidence %v", c.name, report, ok)
+		}
+	}
+}
+
+func TestReportsOfOneReplicaAreBounded(t *testing.T) {
+	var sum zoneReports
+	sum.add(Report{Kind: ReportZoneUnhealthy, Observer: "a", Calls: 1e9, BadFraction: 7, Fault: FaultErrors, Value: -3})
+	if sum.calls != maxZoneCalls || sum.bad != maxZoneCalls || sum.unhealthyVotes != 1 || sum.peerFractions[0] != 0 {
+		t.Errorf("got %+v", sum)
+	}
+	sum.add(Report{Kind: ReportZoneUnhealthy, Observer: "b", Calls: minZoneCalls / 2, BadFraction: 1, Value: 1})
+	if sum.replicas != 1 || sum.unhealthyVotes != 1 || len(sum.peerFractions) != 2 {
+		t.Errorf("a replica without evidence counts: %+v", sum)
+	}
+}
+
+func TestRejectionsAreNoFaultOfTheZone(t *testing.T) {
+	b, _ := newWithServers(t, testSettings(), 4)
+	b.trackZones()
+	server := b.members.byID["s2"]
+	b.recordEvidence(start, &attempt{server: server, zone: 1}, FaultSaturated)
+	if own := b.locality.zones[1].observed.recent; own.calls != 1 || own.bad != 0 {
+		t.Errorf("of the zone: %+v", own)
+	}
+	if own := server.outlier.recent; own.bad != 1 || own.fault != FaultSaturated {
+		t.Errorf("of the server: %+v", own)
+	}
+}
