--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 )
@@ -13,7 +14,7 @@
 	return s
 }
 
-// What comes is under the new settings, what is open under those that it began with.
+// New requests are under the new settings, open ones under those that they began with.
 func TestOpenRequestsKeepTheirSettings(t *testing.T) {
 	s := namedSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin = second, 100
@@ -102,13 +103,14 @@
 	} {
 		next := namedSettings()
 		spoil(&next)
-		if _, err := b.Reconfigure(start, next, nil); err == nil || b.Settings() != was {
+		_, err := b.Reconfigure(start, next, nil)
+		if fault := (*SettingsError)(nil); !errors.As(err, &fault) || b.Settings() != was {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// Tenants are known by their names, wherever they stand.
+// Tenants are recognised by their names, wherever they are in the list.
 func TestTenantsKeepTheirCountsByName(t *testing.T) {
 	s := namedSettings()
 	s.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 10}, {Name: "b", Share: 0.5, Quota: 10}}
