--- a/internal/faultlab/hollow/cluster.go
+++ b/internal/faultlab/hollow/cluster.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	exchangeInterval = 100 * time.Millisecond // as a real proxy's
-	maxSnapshotAge   = time.Second            // likewise
+	exchangeInterval = 100 * time.Millisecond // as in a real proxy
+	maxSnapshotAge   = time.Second            // as in package cluster
 	tier             = "0"
 )
 
-// peersWord is what the link told, and when.
+// timedSnapshot is a snapshot and the time of its arrival in microseconds.
 type timedSnapshot struct {
 	transport.Snapshot
 	receivedAt int64
 }
 
-// fleetPart is a proxy's part in its fleet, as internal/cluster has it.
+// clusterMember is a proxy's membership, as in package cluster.
 type clusterMember struct {
 	node      *transport.Node
-	snapshots chan timedSnapshot // the newest
-	latest    timedSnapshot      // the loop's
+	snapshots chan timedSnapshot // the newest one
+	latest    timedSnapshot      // used by the proxy's loop only
 
 	mu   sync.Mutex
 	ages []float64
@@ -62,7 +62,7 @@
 	}
 }
 
-// meet has the fleet and the module hear of each other.
+// exchangeReports publishes the balancer's reports and passes it those of other members.
 func (m *clusterMember) exchangeReports(d *decider) {
 	at := nowMicros()
 	m.node.Publish(adapter.ToObservations(d.balancer.Reports(at), d.zones))
--- a/internal/faultlab/hollow/decide.go
+++ b/internal/faultlab/hollow/decide.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	maxQueuedEvents = 64               // events of a proxy that wait for its loop
-	minCallInterval = time.Millisecond // between two calls
+	maxQueuedEvents = 64 // that wait for a proxy's loop
+	minCallInterval = time.Millisecond
 	minLatency      = 20 * time.Millisecond
 	maxLatency      = 80 * time.Millisecond
 )
 
-// decider is the decision module with calls that are drawn: nobody sends them and nobody answers, but the module takes each,
-// picks a server, and hears what came of it. It is its own host. All but the counts is the proxy's loop's.
+// decider drives a balancer with drawn calls: no request is sent, but the balancer decides on each call and gets a drawn
+// outcome. It is the balancer's host. Only the proxy's loop uses it, apart from the counts.
 type decider struct {
 	balancer       *balancer.Balancer
 	zones          map[string]int
-	classes        []int // the module's numbers of the classes that calls have now
+	classes        []int // the balancer's numbers of the present classes
 	callRate       float64
 	failedFraction float64
 	events         chan func()
-	ctx            context.Context // of the event that is under way
+	ctx            context.Context // of the present event
 	random         *rand.Rand
 	calls          int64
 	attempts       map[string]int
-	openClasses    map[string]int // the class of each call that has not ended
+	openClasses    map[string]int // class by open call
 
 	taken, sent, rejected, failed atomic.Int64
 }
@@ -64,7 +64,7 @@
 	return n
 }
 
-// list tells the module what is listed, as a real proxy does.
+// updateEndpoints passes a list to the balancer, as a real proxy does.
 func (d *decider) updateEndpoints(l *discovery.List) {
 	kind := balancer.UpdateDelta
 	if l.Full {
@@ -87,7 +87,7 @@
 	d.balancer.UpdateEndpoints(nowMicros(), d, kind, out)
 }
 
-// pause is until the next call: drawn, and an hour if there are none.
+// nextCall draws the time until the next call; an hour if there are none.
 func (d *decider) nextCall(r *rand.Rand) time.Duration {
 	if d.callRate <= 0 || len(d.classes) == 0 {
 		return time.Hour
@@ -95,7 +95,7 @@
 	return max(minCallInterval, time.Duration(r.ExpFloat64()/d.callRate*float64(time.Second)))
 }
 
-// call has the module decide on one call.
+// call passes one call to the balancer.
 func (d *decider) call(ctx context.Context, r *rand.Rand) {
 	d.ctx, d.random = ctx, r
 	d.calls++
@@ -106,7 +106,7 @@
 	d.balancer.HandleRequest(nowMicros(), d, balancer.Request{ID: id, Class: class, Deadline: nowMicros() + time.Second.Microseconds()})
 }
 
-// after has the proxy's loop do something later; not once the proxy has ended.
+// after runs something in the proxy's loop after a delay, unless the proxy has ended.
 func (d *decider) after(delay time.Duration, do func()) {
 	ctx := d.ctx
 	time.AfterFunc(delay, func() {
@@ -117,7 +117,7 @@
 	})
 }
 
-// Send makes the decider the module's host, as do the others below: an attempt ends as it is drawn, after a time that is.
+// Send implements balancer.Host: an attempt ends with a drawn status after a drawn time.
 func (d *decider) Send(id, _ string, _, timeout int64) {
 	n := d.attempts[id]
 	d.attempts[id] = n + 1
@@ -141,7 +141,7 @@
 	delete(d.openClasses, id)
 }
 
-// reconfigure has other settings in force, as a real proxy does; its own zone and number stay.
+// reconfigure applies other settings, as a real proxy does; zone and replica index stay.
 func (d *decider) reconfigure(site *settings.Site, p Proxy) error {
 	s := site.Balancer
 	for _, z := range site.Zones {
@@ -159,27 +159,27 @@
 	return err
 }
 
-// Refuse ends a call.
+// Reject implements balancer.Host.
 func (d *decider) Reject(id string, _ int64) {
 	d.rejected.Add(1)
 	d.finish(id)
 }
 
-// Fail ends a call.
+// Fail implements balancer.Host.
 func (d *decider) Fail(id string) {
 	d.failed.Add(1)
 	d.finish(id)
 }
 
-// SetTimer asks for a timer's event.
+// SetTimer implements balancer.Host.
 func (d *decider) SetTimer(delay int64, token string) {
 	d.after(time.Duration(delay)*time.Microsecond, func() { d.balancer.HandleTimer(nowMicros(), d, token) })
 }
 
-// Watch is nothing: the list is followed in any case.
+// Watch implements balancer.Host; the list is watched in any case.
 func (d *decider) Watch() {}
 
-// Log is nothing: calls that are drawn are no news.
+// Log implements balancer.Host; events of drawn calls are dropped.
 func (d *decider) Log(balancer.Event) {}
 
 func (d *decider) metrics() CallMetrics {
--- a/internal/faultlab/hollow/hollow.go
+++ b/internal/faultlab/hollow/hollow.go
@@ -1,10 +1,9 @@
-// Package hollow runs the control code of many proxies and nodos in one process, without the calls that real ones carry: a
-// hollow proxy follows the list, takes part in the fleet's gossip and decides on calls that are drawn; a hollow nodo registers,
-// renews, drains and dies at the list service. What runs is the program's own code (discovery, fleet/link, logic, the
-// registrar), so that what passes on the network and how long it takes is what as many real processes would have. What a
-// process costs beside that code is missing, and is told by the calibration (package result).
+// Package hollow runs the control code of many proxies and servers in one process, without requests: a hollow proxy follows
+// the endpoint list, gossips and decides on drawn calls; a hollow server registers, renews, drains and dies at the registry.
+// It runs the program's own code (discovery, cluster, balancer, registrar), so traffic and latency of the control plane are
+// those of as many real processes. What a process costs beside that code is estimated by the calibration (package result).
 //
-// The lab starts the processes, each with a file of this package's Config, and speaks to each at its control address.
+// The lab starts each process with a file of this package's Config and talks to it at its control address.
 package hollow
 
 import (
@@ -18,51 +17,51 @@
 	"merlinpick/internal/atomicfile"
 )
 
-// Config is what a process is told.
+// Config configures a process.
 type Config struct {
 	Name           string `json:"name"`
-	ControlAddress string `json:"control"` // address at which it is asked and told
-	FailureFile    string `json:"failure"` // file that tells why it ended, if a proxy or a nodo failed
+	ControlAddress string `json:"control"` // address of Serve
+	FailureFile    string `json:"failure"` // file for a FailedError
 
 	Proxies        []Proxy         `json:"proxies,omitempty"`
-	Settings       json.RawMessage `json:"settings,omitempty"` // as real proxies are told; zone and ordinal are a proxy's own
-	CallRate       float64         `json:"calls"`              // drawn, a second and proxy
-	FailedFraction float64         `json:"bad"`                // part of them that come to nothing
-	Cluster        *Cluster        `json:"fleet,omitempty"`    // nil: each decides alone
-	Relays         *Relays         `json:"relays,omitempty"`   // nil: members find each other without
+	Settings       json.RawMessage `json:"settings,omitempty"` // as of real proxies; zone and replica index are each proxy's own
+	CallRate       float64         `json:"calls"`              // calls a second of each proxy
+	FailedFraction float64         `json:"bad"`                // of calls
+	Cluster        *Cluster        `json:"fleet,omitempty"`    // nil: proxies do not gossip
+	Relays         *Relays         `json:"relays,omitempty"`   // nil: members connect directly
 
 	Servers []Server `json:"nodos,omitempty"`
 	LeaseMs int64    `json:"lease_ms,omitempty"`
 }
 
-// Proxy is one proxy.
+// Proxy configures one proxy.
 type Proxy struct {
 	Name            string   `json:"name"`
 	Zone            string   `json:"zone"`
 	ReplicaIndex    int      `json:"ordinal"`
 	Seed            uint64   `json:"seed"`
-	RegistryMembers []string `json:"lists"`          // members of the list service
-	Bind            string   `json:"bind,omitempty"` // its address in the fleet
+	RegistryMembers []string `json:"lists"`
+	Bind            string   `json:"bind,omitempty"` // in the cluster
 	Seeds           []string `json:"seeds,omitempty"`
-	Service         string   `json:"service,omitempty"` // whose configuration it follows there; empty: none
+	Service         string   `json:"service,omitempty"` // whose configuration it follows; empty: none
 
-	Advertise string `json:"advertise,omitempty"` // its relay's address in the fleet
+	Advertise string `json:"advertise,omitempty"` // of its relay
 }
 
-// Fleet is what the members of the fleet have in common.
+// Cluster configures the cluster.
 type Cluster struct {
 	Label string `json:"label"`
 }
 
-// Nodo is one nodo.
+// Server configures one server.
 type Server struct {
 	Name            string   `json:"name"`
 	Zone            string   `json:"zone"`
-	Address         string   `json:"address"` // as listed; nobody is there
+	Address         string   `json:"address"` // as listed; nothing listens there
 	RegistryMembers []string `json:"lists"`
 }
 
-// A FailedError is a proxy or a nodo that cannot go on. It ends the run.
+// FailedError reports a proxy or server that failed. It ends the run.
 type FailedError struct {
 	Process string `json:"process"`
 	Name    string `json:"name"`
@@ -70,10 +69,10 @@
 }
 
 func (e *FailedError) Error() string {
-	return fmt.Sprintf("hollow %s (process %s) failed: %s; what it did stands in that process's log", e.Name, e.Process, e.Reason)
+	return fmt.Sprintf("hollow %s (process %s) failed: %s; see that process's log", e.Name, e.Process, e.Reason)
 }
 
-// Read reads a process's file.
+// ReadConfig reads a process's file.
 func ReadConfig(path string) (c Config, err error) {
 	text, err := os.ReadFile(path)
 	if err == nil {
@@ -85,7 +84,7 @@
 	return c, nil
 }
 
-// write leaves a failure for whoever started the process.
+// write writes the failure for the process that started this one.
 func (e *FailedError) write(path string) error {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -94,11 +93,11 @@
 	return atomicfile.WriteFile(path, text)
 }
 
-// Failure is what a process that has ended left: a *FailedError, or another error if it left nothing that can be read.
+// ReadFailure returns the error of a process that has ended: a *FailedError, or another error if its file is unreadable.
 func ReadFailure(process, path string) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return &FailedError{Process: process, Name: "process " + process, Reason: "it ended by itself and left no word"}
+		return &FailedError{Process: process, Name: "process " + process, Reason: "it ended without writing a reason"}
 	}
 	if err != nil {
 		return err
@@ -110,5 +109,5 @@
 	return e
 }
 
-// nanos is the machine's clock, which all processes of a run share.
+// unixNano returns the machine's clock, which all processes of a run share.
 func unixNano() int64 { return time.Now().UnixNano() }
--- a/internal/faultlab/hollow/metrics.go
+++ b/internal/faultlab/hollow/metrics.go
@@ -4,82 +4,82 @@
 	"merlinpick/internal/cluster/transport"
 )
 
-// Step is a version of the list, and when it was there: nanoseconds of the machine's clock.
+// VersionTime is a version and the time of its arrival in Unix nanoseconds.
 type VersionTime struct {
 	Version    int64 `json:"i"`
 	ReceivedAt int64 `json:"at"`
 }
 
-// Change is a change that a nodo asked for, and the version that has it.
+// Change is a change that a server requested, and the version that includes it. Times are Unix nanoseconds.
 type Change struct {
 	Version     int64 `json:"i"`
-	RequestedAt int64 `json:"asked"` // when the call was made first
-	ConfirmedAt int64 `json:"sure"`  // when it was answered
+	RequestedAt int64 `json:"asked"` // start of the first call
+	ConfirmedAt int64 `json:"sure"`
 }
 
-// Death is a nodo that dies without a word, or that a proxy no longer has in its list though it did not drain.
+// Death is a server that dies without deregistering, or that a proxy's list lost without draining; in Unix nanoseconds.
 type Death struct {
 	Name string `json:"name"`
 	At   int64  `json:"at"`
 }
 
-// Figures are a process's.
+// Metrics are the figures of a process, since ResetMetrics where they count.
 type Metrics struct {
-	Ready          bool           `json:"ready"` // all have a list, are in it, and are in the fleet
+	Ready          bool           `json:"ready"` // all proxies have a list and a cluster, all servers are listed
 	NotReadyReason string         `json:"missing,omitempty"`
 	Proxies        []ProxyMetrics `json:"proxies,omitempty"`
 	Servers        ServerMetrics  `json:"nodos"`
-	StallMs        float64        `json:"stall_ms"` // the longest in which the process did not run, since the figures began
-	RelayDrops     int            `json:"over"`     // datagrams for which its relays had no room
-	RSS            int64          `json:"rss"`      // bytes of memory it has now
-	CPU            int64          `json:"cpu"`      // nanoseconds so far
+	StallMs        float64        `json:"stall_ms"` // longest time in which the process did not run
+	RelayDrops     int            `json:"over"`     // datagrams dropped for lack of room
+	RSS            int64          `json:"rss"`      // bytes
+	CPU            int64          `json:"cpu"`      // nanoseconds since the start
 }
 
-// ProxyFigures are a proxy's, in the order of its parts: what each part that it follows adds stands in a record of its own.
+// ProxyMetrics are the figures of a proxy, by its parts.
 type ProxyMetrics struct {
 	Name    string          `json:"name"`
 	List    ListMetrics     `json:"list"`
 	Cluster *ClusterMetrics `json:"fleet,omitempty"`
 	Calls   CallMetrics     `json:"calls"`
 
-	Config *ConfigMetrics `json:"config,omitempty"` // nil: it follows none
+	Config *ConfigMetrics `json:"config,omitempty"` // nil: it follows no configuration
 }
 
-// ConfigFigures are of the configuration that a proxy follows.
+// ConfigMetrics describe the configuration that a proxy follows.
 type ConfigMetrics struct {
 	Service         string        `json:"service"`
-	Versions        []VersionTime `json:"steps"`   // versions, and when each was in force, since the figures began, and the one before
-	Version         int64         `json:"version"` // that the client holds to be in force; 0: the file's
-	RejectedVersion int64         `json:"refused"` // version that could not be put in force; 0: none
+	Versions        []VersionTime `json:"steps"`   // applied since ResetMetrics, and the one before
+	Version         int64         `json:"version"` // in force; 0: the file's
+	RejectedVersion int64         `json:"refused"` // could not be applied; 0: none
 	Failures        int64         `json:"failures"`
-	AgeMs           float64       `json:"age_ms"` // since a member last answered; -1: never
+	AgeMs           float64       `json:"age_ms"` // since a registry member last answered; -1: never
 }
 
-// ListFigures are of the list that a proxy follows.
+// ListMetrics describe the endpoint list that a proxy follows.
 type ListMetrics struct {
-	Versions  []VersionTime `json:"steps"`          // since the figures began, and the one before
-	Removed   []Death       `json:"lost,omitempty"` // since the figures began
+	Versions  []VersionTime `json:"steps"`          // received since ResetMetrics, and the one before
+	Removed   []Death       `json:"lost,omitempty"` // since ResetMetrics
 	Servers   int           `json:"servers"`
 	Failovers int64         `json:"moves"`
 	Failures  int64         `json:"failures"`
-	AgeMs     float64       `json:"age_ms"` // since a member last answered; -1: never
+	AgeMs     float64       `json:"age_ms"` // since a registry member last answered; -1: never
 }
 
-// FleetFigures are of the fleet that it takes part in.
+// ClusterMetrics describe a proxy's membership.
 type ClusterMetrics struct {
 	LiveMembers   int              `json:"living"`
-	Entries       int              `json:"entries"` // of others, acted on
+	Entries       int              `json:"entries"` // live ones of peers
 	OldestEntryMs float64          `json:"oldest_ms"`
-	Queued        int              `json:"waiting"` // entries that are to be passed on
+	Queued        int              `json:"waiting"` // entries
 	Sent          int64            `json:"sent"`
 	BytesIn       int64            `json:"in"` // bytes
 	BytesOut      int64            `json:"out"`
 	Dropped       int64            `json:"dropped"`
 	Rejected      map[string]int64 `json:"refused,omitempty"`
-	EntryAgesMs   []float64        `json:"ages_ms,omitempty"` // of what is acted on now
+	EntryAgesMs   []float64        `json:"ages_ms,omitempty"` // of live entries of peers
 }
 
-// DecidedFigures are of the calls that it decided on.
+// CallMetrics count the calls of a proxy.
 type CallMetrics struct {
 	Taken    int64 `json:"taken"`
 	Sent     int64 `json:"sent"`
@@ -87,10 +87,10 @@
 	Failed   int64 `json:"failed"`
 }
 
-// NodoFigures are of all nodos of a process together.
+// ServerMetrics are the figures of all servers of a process.
 type ServerMetrics struct {
-	Changes []Change `json:"changes,omitempty"` // since the figures began
-	Deaths  []Death  `json:"deaths,omitempty"`  // likewise
+	Changes []Change `json:"changes,omitempty"` // since ResetMetrics
+	Deaths  []Death  `json:"deaths,omitempty"`  // since ResetMetrics
 	Alive   int      `json:"living"`
 }
 
--- a/internal/faultlab/hollow/process.go
+++ b/internal/faultlab/hollow/process.go
@@ -23,26 +23,26 @@
 const (
 	stallCheckInterval = 10 * time.Millisecond
 	headerTimeout      = 5 * time.Second
-	// Those of a process begin one after another: a service that meets them all in one instant is another experiment.
+	// Proxies and servers start one after the other, to spread the load on the registry.
 	proxyStartInterval  = 15 * time.Millisecond
 	serverStartInterval = 5 * time.Millisecond
 )
 
-// Order tells a process to have nodos do something.
+// Command makes servers of a process do something.
 type Command struct {
 	Action     string          `json:"act"` // replace, die, lose
 	Targets    []CommandTarget `json:"turns"`
-	DurationMs int64           `json:"for_ms"` // die: until each is back; 0: never; lose: until it ends
-	Fraction   float64         `json:"part"`   // lose: of the gossip's datagrams
+	DurationMs int64           `json:"for_ms"` // die: until the restart, 0 for never; lose: of the loss
+	Fraction   float64         `json:"part"`   // lose: of gossip datagrams
 }
 
-// Turn is a nodo, and how long from now its turn is.
+// CommandTarget is a server and the delay of the command for it.
 type CommandTarget struct {
 	Name    string `json:"name"`
 	DelayMs int64  `json:"in_ms"`
 }
 
-// Process is all that one process runs.
+// Process holds the proxies and servers of one process.
 type Process struct {
 	cfg          Config
 	log          *slog.Logger
@@ -61,7 +61,8 @@
 	stall   time.Duration
 }
 
-// New makes all proxies and nodos of a process; nothing runs yet. The error is a *FailedError if it is one's of them.
+// New creates the proxies and servers of a process without starting them. The error is a *FailedError if one of them
+// failed.
 func New(c Config, log *slog.Logger) (*Process, error) { return newSeeded(c, log, noFault) }
 
 func newSeeded(c Config, log *slog.Logger, fault seededFault) (*Process, error) {
@@ -89,12 +90,12 @@
 	p.changes = append(p.changes, c)
 }
 
-// fail ends the process with the name of who failed.
+// fail ends the process because of a proxy or server.
 func (p *Process) fail(name string, err error) {
 	p.stop(&FailedError{p.cfg.Name, name, err.Error()})
 }
 
-// Run runs all until the context ends, or one fails: then the error is a *FailedError.
+// Run runs all proxies and servers until the context ends, or one fails with a *FailedError.
 func (p *Process) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() { p.stop(nil) })()
 	var all sync.WaitGroup
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// guard makes a fault of the code that one proxy runs that proxy's failure.
+// recoverPanic makes a panic of a proxy's code that proxy's failure.
 func (p *Process) recoverPanic(name string, do func()) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -139,7 +140,7 @@
 	do()
 }
 
-// canary notes the longest time by which a wake-up came late.
+// measureStalls records the longest delay of a wake-up.
 func (p *Process) measureStalls() {
 	for {
 		at := time.Now()
@@ -153,15 +154,15 @@
 	}
 }
 
-// Do carries an order out, in the background.
+// Execute runs a command in the background. It returns an error for an invalid command.
 func (p *Process) Execute(o Command) error {
 	for _, t := range o.Targets {
 		if p.servers[t.Name] == nil {
-			return fmt.Errorf("hollow process %s has no nodo %q", p.cfg.Name, t.Name)
+			return fmt.Errorf("hollow process %s: no server %q", p.cfg.Name, t.Name)
 		}
 	}
 	if !slices.Contains([]string{"replace", "die", "lose"}, o.Action) {
-		return fmt.Errorf("hollow: no act %q: replace, die or lose", o.Action)
+		return fmt.Errorf("hollow: action %q: use replace, die or lose", o.Action)
 	}
 	if o.Action == "lose" {
 		end, err := p.loseDatagrams(o.Fraction)
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// Begin has the figures begin now.
+// ResetMetrics starts a new period of the metrics.
 func (p *Process) ResetMetrics() {
 	p.mu.Lock()
 	p.changes, p.deaths, p.stall = nil, nil, 0
@@ -210,7 +211,7 @@
 	}
 }
 
-// missing says what is not there yet.
+// notReadyReason returns what is missing before a run can start; empty: nothing.
 func (p *Process) notReadyReason() string {
 	for _, h := range p.proxies {
 		if m := h.notReadyReason(); m != "" {
@@ -227,7 +228,7 @@
 	return ""
 }
 
-// Figures are as of now; without steps the lists' versions and the nodos' changes are left out.
+// Metrics returns the present metrics; versions and changes only with steps.
 func (p *Process) Metrics(steps bool) Metrics {
 	f := Metrics{NotReadyReason: p.notReadyReason(), RSS: process.Memory(os.Getpid()), CPU: cpu()}
 	f.Ready, f.RelayDrops = f.NotReadyReason == "", p.droppedByRelays()
@@ -278,7 +279,7 @@
 	return nil
 }
 
-// Main is a whole process by its file, until the context ends.
+// Main runs a process by its file until the context ends.
 func Main(ctx context.Context, path string, log *slog.Logger) error {
 	c, err := ReadConfig(path)
 	if err != nil {
--- a/internal/faultlab/hollow/proxy.go
+++ b/internal/faultlab/hollow/proxy.go
@@ -12,37 +12,36 @@
 	"merlinpick/internal/settings"
 )
 
-// proxy is a hollow proxy: parts that each follow something, and one loop that owns the decision module. Its figures are read
-// from outside.
+// proxy is a hollow proxy: followers of the list, the cluster and the configuration, and one loop that owns the balancer.
 type proxy struct {
 	Proxy
 	cfg          *Config
 	log          *slog.Logger
 	endpointList *endpointListFollower
-	cluster      *clusterMember // nil without a fleet
+	cluster      *clusterMember // nil without a cluster
 	decider      *decider
-	rollout      *rolloutFollower // nil if it follows no configuration
+	rollout      *rolloutFollower // nil without a service
 }
 
-// seeded is a fault of a hollow proxy that the checks must find; tests only.
+// seededFault is a fault of a hollow proxy that the calibration must detect; tests only.
 type seededFault uint8
 
 const (
 	noFault     seededFault = iota
-	skipsWatch              // it hears the list once and follows it no more
-	skipsGossip             // it takes no part in the gossip
-	skipsApply              // it hears of configurations and has none in force
+	skipsWatch              // it gets the list once and does not watch it
+	skipsGossip             // it does not gossip
+	skipsApply              // it receives configurations and applies none
 )
 
-// followed is the list that a proxy follows.
+// endpointListFollower follows a proxy's endpoint list.
 type endpointListFollower struct {
 	client *discovery.Client
 
 	mu       sync.Mutex
 	versions []VersionTime
-	servers  map[string]string // their status
+	servers  map[string]string // status by name
 	removed  []Death
-	baseline discovery.Metrics // when the figures began
+	baseline discovery.Metrics // at ResetMetrics
 }
 
 func newProxy(c *Config, p Proxy, log *slog.Logger, fault seededFault) (*proxy, error) {
@@ -68,7 +67,7 @@
 	return h, nil
 }
 
-// run takes part until the context ends.
+// run runs the proxy until the context ends.
 func (p *proxy) run(ctx context.Context, fault seededFault) {
 	var parts sync.WaitGroup
 	defer parts.Wait()
@@ -113,7 +112,7 @@
 	}
 }
 
-// took notes that a version is known.
+// record records a version that arrived.
 func (f *endpointListFollower) record(l *discovery.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,7 +146,7 @@
 	}
 }
 
-// begin forgets all steps but the last, and what was counted.
+// resetMetrics starts a new period of the metrics; the last version is kept.
 func (f *endpointListFollower) resetMetrics() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,13 +171,13 @@
 	return out
 }
 
-// missing says what a proxy still lacks before a play can begin; empty: nothing.
+// notReadyReason returns what the proxy lacks before a run can start; empty: nothing.
 func (p *proxy) notReadyReason() string {
 	if p.endpointList.client.Metrics().Age < 0 {
 		return p.Name + " has no list"
 	}
 	if p.cluster != nil && p.cluster.node.Metrics().LiveMembers < 2 && len(p.Seeds) > 0 {
-		return p.Name + " has found nobody of its fleet"
+		return p.Name + " has found no other member"
 	}
 	return ""
 }
--- a/internal/faultlab/hollow/relay.go
+++ b/internal/faultlab/hollow/relay.go
@@ -7,21 +7,21 @@
 	"merlinpick/internal/faultlab/link"
 )
 
-// Relays stand before a process's members of the fleet, for losses and delays between members: each has one, by which all
-// others find it. What they cost the process is in its CPU, so that figures of that are not those of members.
+// Relays configures one relay in front of each member, for loss and delay between members. Their cost is part of the
+// process's CPU time.
 type Relays struct {
-	Members            map[string]RelayMember `json:"speakers"` // all members of the fleet, by the IP that they speak from
-	RegionDelayUs      int64                  `json:"local_us"` // one way within a region, and between two
+	Members            map[string]RelayMember `json:"speakers"` // all members of the cluster, by source IP
+	RegionDelayUs      int64                  `json:"local_us"` // one way, within a region
 	CrossRegionDelayUs int64                  `json:"cross_us"`
 }
 
-// Speaker is a member of the fleet as relays know it.
+// RelayMember is a member as relays know it.
 type RelayMember struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
 }
 
-// relays opens a relay before each of a process's proxies.
+// openRelays opens a relay in front of each of the process's proxies.
 func (p *Process) openRelays() error {
 	c := p.cfg.Relays
 	if c == nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// lose has part of the datagrams that come to all of the process's members be lost until the call that it gives.
+// loseDatagrams drops a fraction of the datagrams to the process's members until end is called.
 func (p *Process) loseDatagrams(part float64) (end func() error, err error) {
 	if p.network == nil {
 		return func() error { return nil }, nil
@@ -70,7 +70,7 @@
 	return p.network.Apply(func(e link.Ends) bool { return e.Kind == "gossip" }, link.Effect{Loss: part})
 }
 
-// over counts datagrams for which relays had no room: the lab's own losses.
+// droppedByRelays counts datagrams that relays dropped for lack of room: losses of the lab itself.
 func (p *Process) droppedByRelays() (n int) {
 	for _, r := range p.memberRelays {
 		n += r.Passed().Over
--- a/internal/faultlab/hollow/rollout.go
+++ b/internal/faultlab/hollow/rollout.go
@@ -8,16 +8,16 @@
 	"merlinpick/internal/settings"
 )
 
-// ruled is the configuration that a proxy follows: the program's own client, whose documents go to the proxy's module.
+// rolloutFollower follows a proxy's configuration with the program's client, and applies documents to the balancer.
 type rolloutFollower struct {
 	proxy          *proxy
 	client         *rollout.Client
 	ctx            context.Context // of run
-	appliesNothing bool            // a seeded fault: nothing is applied
+	appliesNothing bool            // a seeded fault
 
 	mu               sync.Mutex
 	versions         []VersionTime
-	baselineFailures int64 // when the figures began
+	baselineFailures int64 // at ResetMetrics
 }
 
 func newRolloutFollower(p *proxy) *rolloutFollower {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	site, err := settings.Decode(rules) // what is told to hollow ones lacks the sockets' part
+	site, err := settings.Decode(rules) // without the socket settings, which hollow proxies lack
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	return err
 }
 
-// begin forgets all steps but the last, and what was counted.
+// resetMetrics starts a new period of the metrics; the last version is kept.
 func (r *rolloutFollower) resetMetrics() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultlab/hollow/server.go
+++ b/internal/faultlab/hollow/server.go
@@ -13,9 +13,9 @@
 	"merlinpick/internal/registry/state"
 )
 
-const drainTime = 2 * time.Second // from a nodo's draining to its end
+const drainTime = 2 * time.Second // from draining to the end
 
-// nodo is a hollow nodo over all its processes: one at a time.
+// server is a hollow server over all its generations, one at a time.
 type server struct {
 	Server
 	lease  int64
@@ -25,20 +25,20 @@
 
 	alive atomic.Bool
 
-	mu             sync.Mutex // of one act at a time
+	mu             sync.Mutex // held by one command at a time
 	registration   state.Record
 	generation     int
-	stopRenewals   context.CancelFunc // of the renewals; nil: it is dead
+	stopRenewals   context.CancelFunc // nil: it is dead
 	tasks          sync.WaitGroup
 	registeredOnce sync.Once
-	registered     chan struct{} // closed once it was in the list
+	registered     chan struct{} // closed once it was listed
 }
 
 func newServer(c *Config, n Server, note func(Change), fail func(string, error)) *server {
 	return &server{Server: n, lease: c.LeaseMs, client: registrar.New(n.RegistryMembers), record: note, fail: fail, registered: make(chan struct{})}
 }
 
-// start begins a process: it registers and renews until it dies.
+// start starts a generation, which registers and renews until it dies.
 func (n *server) start(ctx context.Context) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,7 +62,7 @@
 	rec, begun := n.registration, asked.UnixNano()
 	n.tasks.Go(func() {
 		err := n.client.KeepRegistered(here, rec, func(t api.Accepted) {
-			if begun != 0 { // a later one is the service's doing, or the network's
+			if begun != 0 { // later ones are repeated by the registry or the network
 				n.record(Change{t.Version, begun, unixNano()})
 			}
 			begun = 0
@@ -74,7 +74,7 @@
 	})
 }
 
-// dead ends the process without a word.
+// die ends the generation without deregistering.
 func (n *server) die() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// replace has the process drain and go, and another take its place.
+// replace drains and deregisters the present generation and starts another.
 func (n *server) replace(ctx context.Context) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// say makes a call until it is answered. That the service knows the process no more is an answer too: its lease has ended.
+// callUntilAnswered makes a call until it is answered. That the registry no longer knows the generation is an answer too: its
+// lease has expired.
 func (n *server) callUntilAnswered(ctx context.Context, ref state.InstanceRef, call func(context.Context, state.InstanceRef) (api.Accepted, error)) error {
 	asked := unixNano()
 	t, err := call(ctx, ref)
