--- a/internal/faultlab/ramp/proxy.go
+++ b/internal/faultlab/ramp/proxy.go
@@ -6,37 +6,37 @@
 	"merlinpick/balancer"
 )
 
-// proxy is one process: a Balancer, what it knows, and its clients.
+// proxy is one process: a balancer, its endpoint list, and its clients.
 type proxy struct {
-	w     *world
-	id    int
-	zone  int
-	rate  float64
-	b     *balancer.Balancer
-	life  int
-	known map[string]int64 // starts that it was told of
-	reqs  map[string]*request
+	sim          *simulation
+	id           int
+	zone         int
+	rate         float64
+	balancer     *balancer.Balancer
+	incarnation  int
+	listedStarts map[string]int64 // start time by server
+	requests     map[string]*request
 }
 
 type request struct {
 	balancer.Request
-	tries int // of the client
-	sends int
-	done  bool
+	clientAttempts int
+	attempts       int
+	done           bool
 }
 
 type attempt struct {
-	p     *proxy
-	q     *request
-	n     int
-	life  int
-	sent  int64
-	work  float64
-	ended bool
+	proxy       *proxy
+	request     *request
+	number      int
+	incarnation int
+	sentAt      int64
+	work        float64
+	ended       bool
 }
 
-func (w *world) classes() []balancer.Class {
-	aim := max(500*ms, int64(12*w.work))
+func (sim *simulation) classes() []balancer.Class {
+	aim := max(500*ms, int64(12*sim.meanWork))
 	return []balancer.Class{
 		{Name: "once", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
 		{Name: "keyed", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 3, LateWeight: 0.3, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupScopeZone, DedupWindow: 5 * sec},
@@ -44,127 +44,127 @@
 	}
 }
 
-// boot starts the process, which knows nothing but the settings and the list.
-func (p *proxy) boot() {
-	w := p.w
-	b, err := balancer.New(w.settings(p), w.Seed*1000+uint64(p.id)+uint64(p.life)<<40)
+// start starts the process with the settings, the endpoint list and no other state.
+func (p *proxy) start() {
+	sim := p.sim
+	b, err := balancer.New(sim.settings(p), sim.Seed*1000+uint64(p.id)+uint64(p.incarnation)<<40)
 	if err != nil {
 		panic(err)
 	}
-	p.b, p.known, p.reqs = b, map[string]int64{}, map[string]*request{}
-	p.life++
+	p.balancer, p.listedStarts, p.requests = b, map[string]int64{}, map[string]*request{}
+	p.incarnation++
 	var list []balancer.Server
-	for _, s := range w.servers {
+	for _, s := range sim.servers {
 		if s.state != balancer.ServerRemoved {
-			list = append(list, s.entry())
-			p.known[s.id] = s.launched
+			list = append(list, s.endpoint())
+			p.listedStarts[s.id] = s.startTime
 		}
 	}
-	b.UpdateEndpoints(w.now, p, balancer.UpdateSnapshot, list)
+	b.UpdateEndpoints(sim.now, p, balancer.UpdateSnapshot, list)
 }
 
-// tell has the list's entry reach the process.
-func (p *proxy) tell(e balancer.Server, after int64) {
-	life := p.life
-	p.w.after(after, func() {
-		if p.life == life {
-			p.known[e.ID] = e.StartTime
-			p.b.UpdateEndpoints(p.w.now, p, balancer.UpdateDelta, []balancer.Server{e})
+// sendUpdate delivers an endpoint to the process after a delay, unless it restarts before.
+func (p *proxy) sendUpdate(e balancer.Server, after int64) {
+	incarnation := p.incarnation
+	p.sim.after(after, func() {
+		if p.incarnation == incarnation {
+			p.listedStarts[e.ID] = e.StartTime
+			p.balancer.UpdateEndpoints(p.sim.now, p, balancer.UpdateDelta, []balancer.Server{e})
 		}
 	})
 }
 
-func (p *proxy) arrive() {
-	p.w.after(int64(p.w.rnd.ExpFloat64()*1e6/(p.rate*p.w.surge)), p.arrive)
-	p.ask(p.w.rnd.IntN(3), 0)
+func (p *proxy) nextArrival() {
+	p.sim.after(int64(p.sim.random.ExpFloat64()*1e6/(p.rate*p.sim.rateFactor)), p.nextArrival)
+	p.request(p.sim.random.IntN(3), 0)
 }
 
-func (p *proxy) ask(class, tries int) {
-	w := p.w
-	w.ids++
-	q := &request{Request: balancer.Request{ID: fmt.Sprint(w.ids), Class: class, Tenant: -1}, tries: tries}
-	q.Deadline = w.now + w.classes()[class].Deadline
-	p.reqs[q.ID] = q
-	if w.now >= 1000*sec+turnAt {
-		w.cold.asked++
+func (p *proxy) request(class, tries int) {
+	sim := p.sim
+	sim.requestCount++
+	req := &request{Request: balancer.Request{ID: fmt.Sprint(sim.requestCount), Class: class, Tenant: -1}, clientAttempts: tries}
+	req.Deadline = sim.now + sim.classes()[class].Deadline
+	p.requests[req.ID] = req
+	if sim.now >= 1000*sec+sceneStart {
+		sim.sinceScene.requests++
 	}
-	p.b.HandleRequest(w.now, p, q.Request)
+	p.balancer.HandleRequest(sim.now, p, req.Request)
 }
 
-// Send, Refuse, Fail, SetTimer, Watch and Log make it the Balancer's host.
+// Send implements balancer.Host.
 func (p *proxy) Send(id, server string, _, timeout int64) {
-	q := p.reqs[id]
-	a := &attempt{p: p, q: q, n: q.sends, life: p.life, sent: p.w.now, work: 0.4 + 1.2*p.w.rnd.Float64()}
-	q.sends++
-	s, way := p.w.byID[server], ms
+	req := p.requests[id]
+	a := &attempt{proxy: p, request: req, number: req.attempts, incarnation: p.incarnation, sentAt: p.sim.now, work: 0.4 + 1.2*p.sim.random.Float64()}
+	req.attempts++
+	s, way := p.sim.serverByID[server], ms
 	if s.zone != p.zone {
 		way = 10 * ms
 	}
-	p.w.after(way, func() { s.take(a) })
+	p.sim.after(way, func() { s.accept(a) })
 	if timeout == 0 {
-		timeout = q.Deadline - p.w.now
+		timeout = req.Deadline - p.sim.now
 	}
-	p.w.after(timeout, func() { a.end(balancer.StatusTimedOut, 0) })
+	p.sim.after(timeout, func() { a.finish(balancer.StatusTimedOut, 0) })
 }
 
 func (p *proxy) Reject(id string, after int64) {
-	q := p.reqs[id]
-	if q.sends == 0 && p.w.now >= 1000*sec+turnAt {
-		p.w.cold.unsent++
+	req := p.requests[id]
+	if req.attempts == 0 && p.sim.now >= 1000*sec+sceneStart {
+		p.sim.sinceScene.rejectedUnsent++
 	}
-	p.over(q, true)
+	p.finishUnserved(req, true)
 }
 
-func (p *proxy) Fail(id string) { p.over(p.reqs[id], p.reqs[id].Class == 2) }
+func (p *proxy) Fail(id string) { p.finishUnserved(p.requests[id], p.requests[id].Class == 2) }
 
-// over ends a request unserved; half of the clients come again, twice at most.
-func (p *proxy) over(q *request, again bool) {
-	if q.done {
+// finishUnserved ends a request; half of the clients repeat it, twice at most.
+func (p *proxy) finishUnserved(req *request, again bool) {
+	if req.done {
 		return
 	}
-	q.done = true
-	if again && q.tries < 2 && p.w.rnd.Float64() < 0.5 {
-		life := p.life
-		p.w.after(75*ms+p.w.rnd.Int64N(525*ms), func() {
-			if p.life == life {
-				p.ask(q.Class, q.tries+1)
+	req.done = true
+	if again && req.clientAttempts < 2 && p.sim.random.Float64() < 0.5 {
+		incarnation := p.incarnation
+		p.sim.after(75*ms+p.sim.random.Int64N(525*ms), func() {
+			if p.incarnation == incarnation {
+				p.request(req.Class, req.clientAttempts+1)
 			}
 		})
 	}
 }
 
 func (p *proxy) SetTimer(delay int64, token string) {
-	life := p.life
-	p.w.after(delay, func() {
-		if p.life == life {
-			p.b.HandleTimer(p.w.now, p, token)
+	incarnation := p.incarnation
+	p.sim.after(delay, func() {
+		if p.incarnation == incarnation {
+			p.balancer.HandleTimer(p.sim.now, p, token)
 		}
 	})
 }
 func (p *proxy) Watch()             {}
 func (p *proxy) Log(balancer.Event) {}
 
-// end gives an attempt's outcome to its process after some time on the way.
-func (a *attempt) end(status balancer.Status, way int64) {
-	p := a.p
-	p.w.after(way, func() {
-		if a.ended || a.life != p.life {
+// finish reports an attempt's outcome to its process after a network delay.
+func (a *attempt) finish(status balancer.Status, way int64) {
+	p := a.proxy
+	p.sim.after(way, func() {
+		if a.ended || a.incarnation != p.incarnation {
 			return
 		}
 		a.ended = true
-		closed := a.q.done || status == balancer.StatusOK
-		if status == balancer.StatusOK && !a.q.done {
-			a.q.done = true
-			if p.w.now >= 1000*sec+turnAt {
-				p.w.cold.served++
+		closed := a.request.done || status == balancer.StatusOK
+		if status == balancer.StatusOK && !a.request.done {
+			a.request.done = true
+			if p.sim.now >= 1000*sec+sceneStart {
+				p.sim.sinceScene.served++
 			}
 		}
-		p.b.HandleOutcome(p.w.now, p, balancer.Outcome{RequestID: a.q.ID, Attempt: a.n, Status: status, Latency: p.w.now - a.sent, RequestDone: closed})
+		p.balancer.HandleOutcome(p.sim.now, p, balancer.Outcome{RequestID: a.request.ID, Attempt: a.number, Status: status, Latency: p.sim.now - a.sentAt, RequestDone: closed})
 	})
 }
 
-// settings is what the configuration says to a process.
-func (w *world) settings(p *proxy) balancer.Settings {
-	return balancer.Settings{Replicas: w.Proxies, ReplicaIndex: p.id, Zone: p.zone, ZoneCount: w.Zones, MaxAttempts: 3,
-		DrainGrace: 500 * ms, SlowStartMinCapacity: w.Start, SlowStartDuration: w.Cold, OverloadMultiple: w.Tip, OverloadWindow: w.Fall, Classes: w.classes()}
+// settings returns a process's settings.
+func (sim *simulation) settings(p *proxy) balancer.Settings {
+	return balancer.Settings{Replicas: sim.Proxies, ReplicaIndex: p.id, Zone: p.zone, ZoneCount: sim.Zones, MaxAttempts: 3,
+		DrainGrace: 500 * ms, SlowStartMinCapacity: sim.SlowStartMinCapacity, SlowStartDuration: sim.SlowStartDuration, OverloadMultiple: sim.OverloadMultiple, OverloadWindow: sim.OverloadWindow, Classes: sim.classes()}
 }
--- a/internal/faultlab/ramp/ramp_test.go
+++ b/internal/faultlab/ramp/ramp_test.go
@@ -23,28 +23,28 @@
 	os.Exit(m.Run())
 }
 
-// size is that of a fleet; with peers all of its processes hear each other.
-type size struct {
+// clusterSize is a number of processes, and whether they exchange reports.
+type clusterSize struct {
 	proxies int
-	peers   bool
+	cluster bool
 }
 
-// sizes are those that the scenes go through. Each pair of scene and size comes once in 52 seeds.
-var sizes = []size{{20, false}, {300, false}, {30, false}, {30, true}}
+// sizes are combined with all scenes: each pair is played once in 52 seeds.
+var sizes = []clusterSize{{20, false}, {300, false}, {30, false}, {30, true}}
 
-// broken are seeds over the bound while weights alone bounded what a cold server gets: they are always played.
-var broken = []int{122, 142, 186, 434, 442, 546, 780}
+// alwaysPlayed are seeds that exceeded the bound when slow start limited weights only.
+var alwaysPlayed = []int{122, 142, 186, 434, 442, 546, 780}
 
-// fleet is the fleet of a seed, from 1 on.
-func fleet(seed int) Config {
+// fleet returns the configuration of a seed, from 1 on.
+func configOfSeed(seed int) Config {
 	i, n := seed-1, len(Scenes)
 	z := sizes[(i%n+i/n)%len(sizes)]
-	return Drawn(uint64(seed), z.proxies, Scenes[i%n], z.peers)
+	return DrawConfig(uint64(seed), z.proxies, Scenes[i%n], z.cluster)
 }
 
-// What all processes together send a cold server stays within its budget and what chance adds to that, in each window.
+// All processes together send a warming server no more than its budget, plus random variation, in each window.
 func TestSlowStartHoldsForAllReplicas(t *testing.T) {
-	play := slices.Clone(broken)
+	play := slices.Clone(alwaysPlayed)
 	for i := range *seeds {
 		if !slices.Contains(play, i+1) {
 			play = append(play, i+1)
@@ -54,18 +54,18 @@
 	for i := range results {
 		room <- true
 		wait.Go(func() {
-			results[i] = Run(fleet(play[i]))
+			results[i] = Run(configOfSeed(play[i]))
 			<-room
 		})
 	}
 	wait.Wait()
 	rows, order := map[string][]Result{}, []string{"all"}
 	for i, r := range results {
-		c := fleet(play[i])
+		c := configOfSeed(play[i])
 		if r.Excess > 0 {
-			t.Errorf("seed %d, %s, %d processes: %.1f calls over the bound of a window with N = %.1f", c.Seed, c.Scene, c.Proxies, r.Excess, r.N)
+			t.Errorf("seed %d, %s, %d processes: %.1f calls over the bound of a window with a budget of %.1f", c.Seed, c.Scene, c.Proxies, r.Excess, r.WindowBudget)
 		}
-		for _, k := range []string{"all", fmt.Sprintf("%d processes, fleet %v", c.Proxies, c.Peers), string(c.Scene)} {
+		for _, k := range []string{"all", fmt.Sprintf("%d processes, fleet %v", c.Proxies, c.Cluster), string(c.Scene)} {
 			if !slices.Contains(order, k) {
 				order = append(order, k)
 			}
@@ -77,12 +77,12 @@
 	}
 }
 
-// print writes a row for each group of runs: how many broke the bound, the fullest window as a part of N + 2 root N + 2,
-// what cold servers got against warm ones by their capacity, and what became of requests from the event on.
+// print writes a row for each group of runs: how many exceeded the bound, the fullest window relative to it, calls of
+// warming servers relative to warm ones, and the end of requests from the scene's start on.
 func print(order []string, rows map[string][]Result) {
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer out.Flush()
-	fmt.Fprintln(out, "fleets\tplayed\tover the bound\tfullest window p50\tp90\tp99\tmax\tcold against warm p50\tserved p50\trefused unsent p50")
+	fmt.Fprintln(out, "runs\tplayed\tover the bound\tfullest window p50\tp90\tp99\tmax\twarming against warm p50\tserved p50\trejected unsent p50")
 	for _, k := range order {
 		at := func(part float64, of func(r Result) float64) float64 {
 			var x []float64
@@ -92,7 +92,7 @@
 			slices.Sort(x)
 			return x[min(len(x)-1, int(part*float64(len(x))))]
 		}
-		worst := func(r Result) float64 { return r.Worst }
+		worst := func(r Result) float64 { return r.WorstWindow }
 		over := 0
 		for _, r := range rows[k] {
 			if r.Excess > 0 {
@@ -100,14 +100,14 @@
 			}
 		}
 		fmt.Fprintf(out, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.3f\t%.3f\n", k, len(rows[k]), over, at(0.5, worst), at(0.9, worst),
-			at(0.99, worst), at(1, worst), at(0.5, func(r Result) float64 { return r.Ramp }),
-			at(0.5, func(r Result) float64 { return r.Served }), at(0.5, func(r Result) float64 { return r.Unsent }))
+			at(0.99, worst), at(1, worst), at(0.5, func(r Result) float64 { return r.WarmingShare }),
+			at(0.5, func(r Result) float64 { return r.Served }), at(0.5, func(r Result) float64 { return r.RejectedUnsent }))
 	}
 }
 
 func TestSameSeedSameRun(t *testing.T) {
 	for _, seed := range []int{1, 4} {
-		if one, two := Run(fleet(seed)), Run(fleet(seed)); one != two {
+		if one, two := Run(configOfSeed(seed)), Run(configOfSeed(seed)); one != two {
 			t.Errorf("seed %d: %+v and then %+v", seed, one, two)
 		}
 	}
--- a/internal/faultlab/ramp/scene.go
+++ b/internal/faultlab/ramp/scene.go
@@ -2,90 +2,90 @@
 
 import "merlinpick/balancer"
 
-// play begins the scene's event.
-func (w *world) play() {
-	n := len(w.servers)
-	some := func(part float64) []*server { // at random
+// startScene starts the scene's event.
+func (sim *simulation) startScene() {
+	n := len(sim.servers)
+	some := func(part float64) []*server { // a random fraction
 		var of []*server
-		for _, i := range w.rnd.Perm(n)[:max(1, int(part*float64(n)))] {
-			of = append(of, w.servers[i])
+		for _, i := range sim.random.Perm(n)[:max(1, int(part*float64(n)))] {
+			of = append(of, sim.servers[i])
 		}
 		return of
 	}
-	switch w.Scene {
+	switch sim.Scene {
 	case "calm": // one restarts
 		some(0)[0].restart()
-	case "replaced": // half drain, and as many new ones come, in two steps
+	case "replaced": // half drain and as many new ones start, in two steps
 		for i, s := range some(0.5) {
-			w.after(int64(i%2)*sec, func() {
+			sim.after(int64(i%2)*sec, func() {
 				s.state = balancer.ServerDraining
-				s.list()
-				w.add(s.zone, w.now).list()
+				s.announce()
+				sim.addServer(s.zone, sim.now).announce()
 			})
 		}
-	case "zone": // a zone is lost and returns cold; nobody was told that it had gone
-		w.zoneLost(5 * sec)
-	case "few": // all but two leave and come back cold at once
-		for _, s := range w.servers[2:] {
+	case "zone": // a zone is lost and returns in slow start; the list never removes it
+		sim.loseZone(5 * sec)
+	case "few": // all but two restart at once
+		for _, s := range sim.servers[2:] {
 			s.restart()
 		}
-	case "none": // all start cold at once
-		for _, s := range w.servers {
+	case "none": // all restart at once
+		for _, s := range sim.servers {
 			s.restart()
 		}
-	case "ban": // one is left out by hand by all, restarted and called back
-		w.suspend(some(0)[0])
-	case "restart": // a third starts cold, and seven in ten processes start anew meanwhile
+	case "ban": // one is suspended at all processes, restarted and resumed
+		sim.suspendServer(some(0)[0])
+	case "restart": // a third restarts, and seven in ten processes restart meanwhile
 		for _, s := range some(0.34) {
 			s.restart()
 		}
-		for _, p := range w.copies {
-			if w.rnd.Float64() < 0.7 {
-				w.after(w.rnd.Int64N(2*sec), p.boot)
+		for _, p := range sim.proxies {
+			if sim.random.Float64() < 0.7 {
+				sim.after(sim.random.Int64N(2*sec), p.start)
 			}
 		}
-	case "hang", "slow", "fail": // three in four hang, are five times as slow, or fail, as one starts cold
+	case "hang", "slow", "fail": // three in four are unresponsive, five times as slow, or fail, while one restarts
 		of := some(0.75)
 		for _, s := range of[1:] {
-			if s.hangs, s.fails = w.Scene == "hang", w.Scene == "fail"; w.Scene == "slow" {
-				s.slow = 5
+			if s.unresponsive, s.failing = sim.Scene == "hang", sim.Scene == "fail"; sim.Scene == "slow" {
+				s.slowdown = 5
 			}
 		}
 		of[0].restart()
 	case "home": // a zone has only one server, and that restarts
-		for _, s := range w.servers {
-			if s.zone == 0 && s != w.servers[0] {
+		for _, s := range sim.servers {
+			if s.zone == 0 && s != sim.servers[0] {
 				s.state = balancer.ServerDraining
-				s.list()
+				s.announce()
 			}
 		}
-		w.after(sec, w.servers[0].restart)
-	case "overload": // a third starts cold while more comes than all can take
+		sim.after(sec, sim.servers[0].restart)
+	case "overload": // a third restarts at a load above the capacity
 		for _, s := range some(0.34) {
 			s.restart()
 		}
-	case "surge": // a quarter starts cold, and three times as much comes from then on
-		w.surge = 3
+	case "surge": // a quarter restarts, and the load triples from then on
+		sim.rateFactor = 3
 		for _, s := range some(0.25) {
 			s.restart()
 		}
 	}
 }
 
-func (w *world) zoneLost(span int64) {
-	for _, s := range w.servers {
+func (sim *simulation) loseZone(span int64) {
+	for _, s := range sim.servers {
 		if s.zone == 0 {
 			s.stop()
-			s.dark = true
-			w.after(span, s.restart)
+			s.unreachable = true
+			sim.after(span, s.restart)
 		}
 	}
 }
 
-func (w *world) suspend(s *server) {
-	for _, p := range w.copies {
-		w.after(w.rnd.Int64N(sec/10), func() { p.b.SetSuspendedServers(map[string]bool{s.id: true}) })
-		w.after(3*sec+w.rnd.Int64N(sec/10), func() { p.b.SetSuspendedServers(nil) })
+func (sim *simulation) suspendServer(s *server) {
+	for _, p := range sim.proxies {
+		sim.after(sim.random.Int64N(sec/10), func() { p.balancer.SetSuspendedServers(map[string]bool{s.id: true}) })
+		sim.after(3*sec+sim.random.Int64N(sec/10), func() { p.balancer.SetSuspendedServers(nil) })
 	}
-	w.after(sec, s.restart)
+	sim.after(sec, s.restart)
 }
--- a/internal/faultlab/ramp/server.go
+++ b/internal/faultlab/ramp/server.go
@@ -8,149 +8,149 @@
 )
 
 const (
-	slots     = 4.0
-	queueMost = 40
+	slots    = 4.0
+	maxQueue = 40
 )
 
-// kinds are the speeds of servers: three kinds, the fastest over twice as fast as the slowest, 1 in the mean.
-var kinds = []float64{1.45, 0.95, 0.6}
+// serverSpeeds are the speeds of three kinds of servers; their mean is 1.
+var serverSpeeds = []float64{1.45, 0.95, 0.6}
 
-// server has slots that work at its present part of its speed, and a queue. It doesn't fall over, so that a run shows
-// every window; what it would have fallen by is in the books.
+// server has slots that work at its capacity fraction, and a queue. It does not fail under overload, so that a run checks
+// every window.
 type server struct {
-	w        *world
-	id       string
-	zone     int
-	launched int64
-	state    balancer.ServerState
-	up       bool    // it answers; otherwise connections are refused
-	hangs    bool    // takes and never answers
-	fails    bool    // answers an error at once
-	dark     bool    // connections never come up
-	speed    float64 // of its kind; nobody is told
-	slow     float64
-	busy     int
-	queue    []*attempt
-	life     int
-	came     []arrival
-	got      float64
+	sim          *simulation
+	id           string
+	zone         int
+	startTime    int64
+	state        balancer.ServerState
+	up           bool    // else connections are refused
+	unresponsive bool    // accepts and never responds
+	failing      bool    // responds with errors at once
+	unreachable  bool    // connections time out
+	speed        float64 // of its kind; not in the list
+	slowdown     float64
+	inFlight     int
+	queue        []*attempt
+	generation   int
+	arrivals     []arrival
+	calls        float64
 }
 
 type arrival struct {
-	at   int64
-	work float64 // in calls of mean work
-	told bool
+	at       int64
+	work     float64 // in calls of mean work
+	informed bool
 }
 
-// add has a server start; launched is 0 for long ago.
-func (w *world) add(zone int, launched int64) *server {
-	s := &server{w: w, id: fmt.Sprint("s", len(w.servers)), zone: zone, launched: launched, state: balancer.ServerReady,
-		up: true, slow: 1, speed: kinds[len(w.servers)/w.Zones%len(kinds)]}
-	w.servers, w.byID[s.id] = append(w.servers, s), s
+// addServer adds a server; startTime is 0 for long ago.
+func (sim *simulation) addServer(zone int, launched int64) *server {
+	s := &server{sim: sim, id: fmt.Sprint("s", len(sim.servers)), zone: zone, startTime: launched, state: balancer.ServerReady,
+		up: true, slowdown: 1, speed: serverSpeeds[len(sim.servers)/sim.Zones%len(serverSpeeds)]}
+	sim.servers, sim.serverByID[s.id] = append(sim.servers, s), s
 	return s
 }
 
-func (s *server) entry() balancer.Server {
-	return balancer.Server{ID: s.id, Zone: s.zone, Cell: s.zone, State: s.state, CapacityHint: 1, StartTime: s.launched}
+func (s *server) endpoint() balancer.Server {
+	return balancer.Server{ID: s.id, Zone: s.zone, Cell: s.zone, State: s.state, CapacityHint: 1, StartTime: s.startTime}
 }
 
-// list has the present entry go out to all processes, each in its own time.
-func (s *server) list() {
-	e := s.entry()
-	for _, p := range s.w.copies {
-		p.tell(e, s.w.rnd.Int64N(s.w.ListCome))
+// announce sends the present endpoint to all processes, each with its own delay.
+func (s *server) announce() {
+	e := s.endpoint()
+	for _, p := range s.sim.proxies {
+		p.sendUpdate(e, s.sim.random.Int64N(s.sim.MaxListDelay))
 	}
 }
 
-// stop ends its process.
+// stop ends the process: queued calls are reset.
 func (s *server) stop() {
 	s.up = false
-	s.life++
+	s.generation++
 	for _, a := range s.queue {
-		a.end(balancer.StatusReset, 0)
+		a.finish(balancer.StatusReset, 0)
 	}
-	s.queue, s.busy = nil, 0
+	s.queue, s.inFlight = nil, 0
 }
 
-// restart starts it cold.
+// restart restarts the process, in slow start.
 func (s *server) restart() {
 	s.stop()
-	s.up, s.dark, s.hangs, s.fails, s.slow, s.state = true, false, false, false, 1, balancer.ServerReady
-	s.launched, s.came, s.got = s.w.now, nil, 0
-	s.list()
+	s.up, s.unreachable, s.unresponsive, s.failing, s.slowdown, s.state = true, false, false, false, 1, balancer.ServerReady
+	s.startTime, s.arrivals, s.calls = s.sim.now, nil, 0
+	s.announce()
 }
 
-// share is the present part of its capacity, as the settings allow it.
-func (s *server) share(at int64) float64 {
-	if s.launched == 0 || at-s.launched >= s.w.Cold {
+// capacityFraction returns the capacity as a fraction of a warm server's, by the settings.
+func (s *server) capacityFraction(at int64) float64 {
+	if s.startTime == 0 || at-s.startTime >= s.sim.SlowStartDuration {
 		return 1
 	}
-	return s.w.Start + (1-s.w.Start)*float64(max(at-s.launched, 0))/float64(s.w.Cold)
+	return s.sim.SlowStartMinCapacity + (1-s.sim.SlowStartMinCapacity)*float64(max(at-s.startTime, 0))/float64(s.sim.SlowStartDuration)
 }
 
-func (s *server) take(a *attempt) {
-	s.count(a)
+func (s *server) accept(a *attempt) {
+	s.checkWindow(a)
 	switch {
-	case s.dark:
-		s.w.after(250*ms, func() { a.end(balancer.StatusConnectFailed, 0) })
+	case s.unreachable:
+		s.sim.after(250*ms, func() { a.finish(balancer.StatusConnectFailed, 0) })
 	case !s.up:
-		a.end(balancer.StatusConnectFailed, ms)
-	case s.hangs:
-	case s.fails:
-		a.end(balancer.StatusError, ms)
-	case s.busy < int(slots):
-		s.begin(a)
-	case len(s.queue) < queueMost:
+		a.finish(balancer.StatusConnectFailed, ms)
+	case s.unresponsive:
+	case s.failing:
+		a.finish(balancer.StatusError, ms)
+	case s.inFlight < int(slots):
+		s.process(a)
+	case len(s.queue) < maxQueue:
 		s.queue = append(s.queue, a)
 	default:
-		a.end(balancer.StatusRejected, ms)
+		a.finish(balancer.StatusRejected, ms)
 	}
 }
 
-func (s *server) begin(a *attempt) {
-	s.busy++
-	life := s.life
-	s.w.after(int64(a.work*s.w.work*s.slow/s.speed/s.share(s.w.now)), func() {
-		if s.life != life {
-			a.end(balancer.StatusReset, 0)
+func (s *server) process(a *attempt) {
+	s.inFlight++
+	incarnation := s.generation
+	s.sim.after(int64(a.work*s.sim.meanWork*s.slowdown/s.speed/s.capacityFraction(s.sim.now)), func() {
+		if s.generation != incarnation {
+			a.finish(balancer.StatusReset, 0)
 			return
 		}
-		if s.busy--; len(s.queue) > 0 {
+		if s.inFlight--; len(s.queue) > 0 {
 			next := s.queue[0]
 			s.queue = s.queue[1:]
-			s.begin(next)
+			s.process(next)
 		}
-		if !s.hangs {
-			a.end(balancer.StatusOK, ms)
+		if !s.unresponsive {
+			a.finish(balancer.StatusOK, ms)
 		}
 	})
 }
 
-// count holds the window that ends now against its budget.
-func (s *server) count(a *attempt) {
-	w := s.w
-	age := w.now - s.launched
-	if s.launched == 0 && w.now-1000*sec >= turnAt || s.launched > 0 && age < w.Cold {
-		s.got++
+// checkWindow compares the window that ends now with its budget.
+func (s *server) checkWindow(a *attempt) {
+	sim := s.sim
+	age := sim.now - s.startTime
+	if s.startTime == 0 && sim.now-1000*sec >= sceneStart || s.startTime > 0 && age < sim.SlowStartDuration {
+		s.calls++
 	}
-	if !s.up || s.dark || s.launched == 0 || age >= w.Cold {
+	if !s.up || s.unreachable || s.startTime == 0 || age >= sim.SlowStartDuration {
 		return
 	}
-	s.came = append(s.came, arrival{w.now, a.work, a.p.known[s.id] == s.launched})
-	from := w.now - w.Fall
-	for s.came[0].at < from {
-		s.came = s.came[1:]
+	s.arrivals = append(s.arrivals, arrival{sim.now, a.work, a.proxy.listedStarts[s.id] == s.startTime})
+	from := sim.now - sim.OverloadWindow
+	for s.arrivals[0].at < from {
+		s.arrivals = s.arrivals[1:]
 	}
-	sum, told := 0.0, 0.0
-	for _, x := range s.came {
+	sum, informed := 0.0, 0.0
+	for _, x := range s.arrivals {
 		sum += x.work
-		if x.told {
-			told += x.work
+		if x.informed {
+			informed += x.work
 		}
 	}
-	n := w.Tip * s.share((max(from, s.launched)+w.now)/2) * slots * s.speed / w.work * float64(w.Fall)
+	n := sim.OverloadMultiple * s.capacityFraction((max(from, s.startTime)+sim.now)/2) * slots * s.speed / sim.meanWork * float64(sim.OverloadWindow)
 	bound := n + 2*math.Sqrt(n) + 2
-	if told > sum*2/3 && sum/bound > w.res.Worst {
-		w.res.Worst, w.res.Excess, w.res.N = sum/bound, sum-bound, n
+	if informed > sum*2/3 && sum/bound > sim.result.WorstWindow {
+		sim.result.WorstWindow, sim.result.Excess, sim.result.WindowBudget = sum/bound, sum-bound, n
 	}
 }
