--- a/internal/faultlab/hollow/cluster.go
+++ b/internal/faultlab/hollow/cluster.go
@@ -34,12 +34,13 @@
 }
 
 func joinCluster(f *Cluster, p Proxy, log *slog.Logger) (*clusterMember, error) {
-	k, err := transport.Open(transport.Config{Name: p.Name, Zone: p.Zone, Tier: tier, Bind: p.Bind, Advertise: p.Advertise, Label: f.Label, Seeds: p.Seeds,
+	node, err := transport.Open(transport.Config{Name: p.Name, Zone: p.Zone, Tier: tier, Bind: p.Bind,
+		Advertise: p.Advertise, Label: f.Label, Seeds: p.Seeds,
 		StartedAtMs: time.Now().UnixMilli(), Now: nowMicros, Logger: log})
 	if err != nil {
 		return nil, err
 	}
-	return &clusterMember{node: k, snapshots: make(chan timedSnapshot, 1)}, nil
+	return &clusterMember{node: node, snapshots: make(chan timedSnapshot, 1)}, nil
 }
 
 func (m *clusterMember) run(ctx context.Context) {
@@ -67,12 +68,13 @@
 	at := nowMicros()
 	m.node.Publish(adapter.ToObservations(d.balancer.Reports(at), d.zones))
 	peers := balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true}
-	if w := &m.latest; w.receivedAt != 0 && at-w.receivedAt <= maxSnapshotAge.Microseconds() {
-		notices, _ := adapter.ToReports(at, w.PeerEntries, d.zones)
-		peers = balancer.PeerReports{LiveReplicas: w.LiveMembers, LiveReplicasInZone: w.LiveMembersInZone, Isolated: w.Isolated, Reports: notices}
-		ages := make([]float64, 0, len(w.PeerEntries))
-		for i := range w.PeerEntries {
-			if e := &w.PeerEntries[i]; !e.Withdrawn && e.ExpiresAt() > at {
+	if snapshot := &m.latest; snapshot.receivedAt != 0 && at-snapshot.receivedAt <= maxSnapshotAge.Microseconds() {
+		reports, _ := adapter.ToReports(at, snapshot.PeerEntries, d.zones)
+		peers = balancer.PeerReports{LiveReplicas: snapshot.LiveMembers, LiveReplicasInZone: snapshot.LiveMembersInZone,
+			Isolated: snapshot.Isolated, Reports: reports}
+		ages := make([]float64, 0, len(snapshot.PeerEntries))
+		for i := range snapshot.PeerEntries {
+			if e := &snapshot.PeerEntries[i]; !e.Withdrawn && e.ExpiresAt() > at {
 				ages = append(ages, float64(at-e.ObservedAt)/1000)
 			}
 		}
--- a/internal/faultlab/hollow/decide.go
+++ b/internal/faultlab/hollow/decide.go
@@ -38,7 +38,8 @@
 }
 
 func newDecider(c *Config, p Proxy, site *settings.Site) (*decider, error) {
-	d := &decider{zones: map[string]int{}, openClasses: map[string]int{}, callRate: c.CallRate, failedFraction: c.FailedFraction,
+	d := &decider{zones: map[string]int{}, openClasses: map[string]int{},
+		callRate: c.CallRate, failedFraction: c.FailedFraction,
 		events: make(chan func(), maxQueuedEvents), attempts: map[string]int{}, ctx: context.Background()}
 	for i, z := range site.Zones {
 		d.zones[z] = i
@@ -72,7 +73,8 @@
 	}
 	out := make([]balancer.Server, 0, len(l.Endpoints))
 	for _, e := range l.Endpoints {
-		s := balancer.Server{ID: e.Name, Zone: d.zoneNumber(e.Zone), Cell: e.Cell, CapacityHint: 1, StartTime: e.StartedAtMs * 1000}
+		s := balancer.Server{ID: e.Name, Zone: d.zoneNumber(e.Zone), Cell: e.Cell, CapacityHint: 1,
+			StartTime: e.StartedAtMs * 1000}
 		switch e.Status {
 		case discovery.StatusServing:
 			s.State = balancer.ServerReady
@@ -103,7 +105,8 @@
 	d.taken.Add(1)
 	class := d.classes[r.IntN(len(d.classes))]
 	d.attempts[id], d.openClasses[id] = 0, class
-	d.balancer.HandleRequest(nowMicros(), d, balancer.Request{ID: id, Class: class, Deadline: nowMicros() + time.Second.Microseconds()})
+	d.balancer.HandleRequest(nowMicros(), d, balancer.Request{ID: id, Class: class,
+		Deadline: nowMicros() + time.Second.Microseconds()})
 }
 
 // after runs something in the proxy's loop after a delay, unless the proxy has ended.
@@ -129,7 +132,8 @@
 	d.after(took, func() {
 		_, open := d.attempts[id]
 		closed := status == balancer.StatusOK || !open
-		d.balancer.HandleOutcome(nowMicros(), d, balancer.Outcome{RequestID: id, Attempt: n, Status: status, RequestDone: closed, Latency: took.Microseconds()})
+		d.balancer.HandleOutcome(nowMicros(), d, balancer.Outcome{RequestID: id, Attempt: n, Status: status,
+			RequestDone: closed, Latency: took.Microseconds()})
 		if closed {
 			d.finish(id)
 		}
--- a/internal/faultlab/hollow/metrics.go
+++ b/internal/faultlab/hollow/metrics.go
@@ -95,6 +95,7 @@
 }
 
 func newClusterMetrics(f transport.Metrics, ages []float64) *ClusterMetrics {
-	return &ClusterMetrics{LiveMembers: f.LiveMembers, Entries: f.Entries, OldestEntryMs: float64(f.OldestEntry.Microseconds()) / 1000, Queued: f.Queued,
+	return &ClusterMetrics{LiveMembers: f.LiveMembers, Entries: f.Entries,
+		OldestEntryMs: float64(f.OldestEntry.Microseconds()) / 1000, Queued: f.Queued,
 		Sent: f.Sent, BytesIn: f.BytesIn, BytesOut: f.BytesOut, Dropped: f.Dropped, Rejected: f.Rejected, EntryAgesMs: ages}
 }
--- a/internal/faultlab/hollow/rollout.go
+++ b/internal/faultlab/hollow/rollout.go
@@ -22,7 +22,8 @@
 
 func newRolloutFollower(p *proxy) *rolloutFollower {
 	r := &rolloutFollower{proxy: p}
-	r.client = rollout.New(rollout.Config{Service: p.Service, ProxyName: p.Name, Members: p.RegistryMembers, Seed: p.Seed, Logger: p.log}, r)
+	r.client = rollout.New(rollout.Config{Service: p.Service, ProxyName: p.Name, Members: p.RegistryMembers,
+		Seed: p.Seed, Logger: p.log}, r)
 	return r
 }
 
@@ -77,7 +78,8 @@
 	x := r.client.Metrics()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := &ConfigMetrics{Service: r.proxy.Service, Version: x.Version, RejectedVersion: x.RejectedVersion, Failures: x.Failures - r.baselineFailures, AgeMs: -1}
+	out := &ConfigMetrics{Service: r.proxy.Service, Version: x.Version, RejectedVersion: x.RejectedVersion,
+		Failures: x.Failures - r.baselineFailures, AgeMs: -1}
 	if steps {
 		out.Versions = append(out.Versions, r.versions...)
 	}
--- a/internal/faultlab/hollow/server.go
+++ b/internal/faultlab/hollow/server.go
@@ -35,7 +35,8 @@
 }
 
 func newServer(c *Config, n Server, note func(Change), fail func(string, error)) *server {
-	return &server{Server: n, lease: c.LeaseMs, client: registrar.New(n.RegistryMembers), record: note, fail: fail, registered: make(chan struct{})}
+	return &server{Server: n, lease: c.LeaseMs, client: registrar.New(n.RegistryMembers), record: note,
+		fail: fail, registered: make(chan struct{})}
 }
 
 // start starts a generation, which registers and renews until it dies.
@@ -54,7 +55,8 @@
 	if n.generation > 1 {
 		since = asked.UnixMilli()
 	}
-	n.registration = state.Record{Endpoint: state.Endpoint{Name: n.Name, Address: n.Address, Zone: n.Zone, Type: "hollow", Status: state.StatusServing,
+	n.registration = state.Record{Endpoint: state.Endpoint{Name: n.Name, Address: n.Address, Zone: n.Zone, Type: "hollow",
+		Status: state.StatusServing,
 		Weight: 1, StartedAtMs: since}, Instance: fmt.Sprint(asked.UnixNano(), "-", n.generation), LeaseMs: n.lease}
 	here, die := context.WithCancel(ctx)
 	n.stopRenewals = die
@@ -115,7 +117,8 @@
 
 // callUntilAnswered makes a call until it is answered. That the registry no longer knows the generation is an answer too: its
 // lease has expired.
-func (n *server) callUntilAnswered(ctx context.Context, ref state.InstanceRef, call func(context.Context, state.InstanceRef) (api.Accepted, error)) error {
+func (n *server) callUntilAnswered(ctx context.Context, ref state.InstanceRef,
+	call func(context.Context, state.InstanceRef) (api.Accepted, error)) error {
 	asked := unixNano()
 	t, err := call(ctx, ref)
 	var no *registrar.RejectedError
--- a/internal/faultlab/ramp/proxy.go
+++ b/internal/faultlab/ramp/proxy.go
@@ -39,8 +39,10 @@
 	aim := max(500*ms, int64(12*sim.meanWork))
 	return []balancer.Class{
 		{Name: "once", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
-		{Name: "keyed", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 3, LateWeight: 0.3, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupScopeZone, DedupWindow: 5 * sec},
-		{Name: "safe", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 1, LateWeight: 0.3, Idempotency: balancer.Idempotent},
+		{Name: "keyed", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 3,
+			LateWeight: 0.3, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupScopeZone, DedupWindow: 5 * sec},
+		{Name: "safe", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 1,
+			LateWeight: 0.3, Idempotency: balancer.Idempotent},
 	}
 }
 
@@ -82,7 +84,8 @@
 func (p *proxy) request(class, tries int) {
 	sim := p.sim
 	sim.requestCount++
-	req := &request{Request: balancer.Request{ID: fmt.Sprint(sim.requestCount), Class: class, Tenant: -1}, clientAttempts: tries}
+	req := &request{clientAttempts: tries,
+		Request: balancer.Request{ID: fmt.Sprint(sim.requestCount), Class: class, Tenant: -1}}
 	req.Deadline = sim.now + sim.classes()[class].Deadline
 	p.requests[req.ID] = req
 	if sim.now >= 1000*sec+sceneStart {
@@ -94,7 +97,8 @@
 // Send implements balancer.Host.
 func (p *proxy) Send(id, server string, _, timeout int64) {
 	req := p.requests[id]
-	a := &attempt{proxy: p, request: req, number: req.attempts, incarnation: p.incarnation, sentAt: p.sim.now, work: 0.4 + 1.2*p.sim.random.Float64()}
+	a := &attempt{proxy: p, request: req, number: req.attempts, incarnation: p.incarnation,
+		sentAt: p.sim.now, work: 0.4 + 1.2*p.sim.random.Float64()}
 	req.attempts++
 	s, way := p.sim.serverByID[server], ms
 	if s.zone != p.zone {
@@ -159,12 +163,15 @@
 				p.sim.sinceScene.served++
 			}
 		}
-		p.balancer.HandleOutcome(p.sim.now, p, balancer.Outcome{RequestID: a.request.ID, Attempt: a.number, Status: status, Latency: p.sim.now - a.sentAt, RequestDone: closed})
+		p.balancer.HandleOutcome(p.sim.now, p, balancer.Outcome{RequestID: a.request.ID, Attempt: a.number, Status: status,
+			Latency: p.sim.now - a.sentAt, RequestDone: closed})
 	})
 }
 
 // settings returns a process's settings.
 func (sim *simulation) settings(p *proxy) balancer.Settings {
 	return balancer.Settings{Replicas: sim.Proxies, ReplicaIndex: p.id, Zone: p.zone, ZoneCount: sim.Zones, MaxAttempts: 3,
-		DrainGrace: 500 * ms, SlowStartMinCapacity: sim.SlowStartMinCapacity, SlowStartDuration: sim.SlowStartDuration, OverloadMultiple: sim.OverloadMultiple, OverloadWindow: sim.OverloadWindow, Classes: sim.classes()}
+		DrainGrace: 500 * ms, SlowStartMinCapacity: sim.SlowStartMinCapacity,
+		SlowStartDuration: sim.SlowStartDuration, OverloadMultiple: sim.OverloadMultiple,
+		OverloadWindow: sim.OverloadWindow, Classes: sim.classes()}
 }
--- a/internal/faultlab/ramp/ramp.go
+++ b/internal/faultlab/ramp/ramp.go
@@ -51,8 +51,10 @@
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	between := func(a, b float64) float64 { return a + (b-a)*rnd.Float64() }
 	c := Config{Seed: seed, Proxies: proxies, Servers: 12, Zones: 3, Scene: scene, Cluster: peers,
-		Rate: between(3, 20), Utilization: between(0.4, 0.75), SlowStartMinCapacity: between(0.15, 0.5), SlowStartDuration: int64(between(4, 12) * 1e6),
-		OverloadMultiple: between(2, 3), OverloadWindow: int64(between(1, 2) * 1e6), MaxListDelay: int64(between(0.2, 2.4) * 1e6)}
+		Rate: between(3, 20), Utilization: between(0.4, 0.75), SlowStartMinCapacity: between(0.15, 0.5),
+		SlowStartDuration: int64(between(4, 12) * 1e6),
+		OverloadMultiple:  between(2, 3), OverloadWindow: int64(between(1, 2) * 1e6),
+		MaxListDelay: int64(between(0.2, 2.4) * 1e6)}
 	if scene == "overload" {
 		c.Utilization *= 2
 	}
@@ -114,7 +116,8 @@
 
 // Run runs one scene.
 func Run(c Config) Result {
-	sim := &simulation{Config: c, random: rand.New(rand.NewPCG(c.Seed, 1)), now: 1000 * sec, rateFactor: 1, serverByID: map[string]*server{}}
+	sim := &simulation{Config: c, random: rand.New(rand.NewPCG(c.Seed, 1)), now: 1000 * sec,
+		rateFactor: 1, serverByID: map[string]*server{}}
 	begin, span := sim.now, sceneStart+5*sec+c.SlowStartDuration+c.OverloadWindow
 	sim.result.WorstWindow, sim.result.Excess = 0, math.Inf(-1)
 	// All slots together are busy for the fraction Utilization with Rate x Proxies calls a second.
@@ -155,7 +158,8 @@
 		if s.startTime > 0 {
 			warming += s.calls
 			part := float64(min(sim.now-s.startTime, sim.SlowStartDuration)) / float64(sim.SlowStartDuration)
-			warmingCapacity += float64(sim.SlowStartDuration) * part * (sim.SlowStartMinCapacity + (1-sim.SlowStartMinCapacity)*part/2)
+			warmingCapacity += float64(sim.SlowStartDuration) * part *
+				(sim.SlowStartMinCapacity + (1-sim.SlowStartMinCapacity)*part/2)
 		} else if s.up {
 			warm += s.calls
 			warmTime += float64(sim.now - begin - sceneStart)
@@ -183,7 +187,8 @@
 				of = append(of, n)
 			}
 		}
-		p.balancer.HandlePeerReports(sim.now, p, balancer.PeerReports{LiveReplicas: sim.Proxies, LiveReplicasInZone: sim.Proxies / sim.Zones, Reports: of})
+		p.balancer.HandlePeerReports(sim.now, p, balancer.PeerReports{LiveReplicas: sim.Proxies,
+			LiveReplicasInZone: sim.Proxies / sim.Zones, Reports: of})
 	}
 	sim.after(sec/2, sim.exchangeReports)
 }
--- a/internal/faultlab/ramp/server.go
+++ b/internal/faultlab/ramp/server.go
@@ -44,7 +44,8 @@
 
 // addServer adds a server; startTime is 0 for long ago.
 func (sim *simulation) addServer(zone int, launched int64) *server {
-	s := &server{sim: sim, id: fmt.Sprint("s", len(sim.servers)), zone: zone, startTime: launched, state: balancer.ServerReady,
+	s := &server{sim: sim, id: fmt.Sprint("s", len(sim.servers)), zone: zone,
+		startTime: launched, state: balancer.ServerReady,
 		up: true, slowdown: 1, speed: serverSpeeds[len(sim.servers)/sim.Zones%len(serverSpeeds)]}
 	sim.servers, sim.serverByID[s.id] = append(sim.servers, s), s
 	return s
@@ -85,7 +86,8 @@
 	if s.startTime == 0 || at-s.startTime >= s.sim.SlowStartDuration {
 		return 1
 	}
-	return s.sim.SlowStartMinCapacity + (1-s.sim.SlowStartMinCapacity)*float64(max(at-s.startTime, 0))/float64(s.sim.SlowStartDuration)
+	age, c := float64(max(at-s.startTime, 0)), &s.sim.Config
+	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*age/float64(c.SlowStartDuration)
 }
 
 func (s *server) accept(a *attempt) {
@@ -148,7 +150,8 @@
 			informed += x.work
 		}
 	}
-	n := sim.OverloadMultiple * s.capacityFraction((max(from, s.startTime)+sim.now)/2) * slots * s.speed / sim.meanWork * float64(sim.OverloadWindow)
+	middle := (max(from, s.startTime) + sim.now) / 2
+	n := sim.OverloadMultiple * s.capacityFraction(middle) * slots * s.speed / sim.meanWork * float64(sim.OverloadWindow)
 	bound := n + 2*math.Sqrt(n) + 2
 	if informed > sum*2/3 && sum/bound > sim.result.WorstWindow {
 		sim.result.WorstWindow, sim.result.Excess, sim.result.WindowBudget = sum/bound, sum-bound, n
