--- /dev/null
+++ b/docs/loglines_test.go
@@ -0,0 +1,127 @@
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// logMethods are the methods of slog.Logger, by the position of the message among their arguments.
+var logMethods = map[string]int{"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "DebugContext": 1, "InfoContext": 1,
+	"WarnContext": 1, "ErrorContext": 1, "Log": 2, "LogAttrs": 2}
+
+// logMessages are the messages of log lines in a file that are literals there: arguments of a logger's methods, and what
+// methods named Message return.
+func logMessages(file *ast.File) (messages []string) {
+	add := func(e ast.Expr) {
+		if text, ok := e.(*ast.BasicLit); ok && text.Kind == token.STRING {
+			if message, err := strconv.Unquote(text.Value); err == nil {
+				messages = append(messages, message)
+			}
+		}
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		switch n := n.(type) {
+		case *ast.CallExpr:
+			method, ok := n.Fun.(*ast.SelectorExpr)
+			if !ok {
+				break
+			}
+			at, ok := logMethods[method.Sel.Name]
+			if ok && isLogger(method.X) && len(n.Args) > at {
+				add(n.Args[at])
+			}
+		case *ast.FuncDecl:
+			if n.Recv != nil && n.Name.Name == "Message" && n.Body != nil {
+				ast.Inspect(n.Body, func(inner ast.Node) bool {
+					if result, ok := inner.(*ast.ReturnStmt); ok && len(result.Results) == 1 {
+						add(result.Results[0])
+					}
+					return true
+				})
+			}
+		}
+		return true
+	})
+	return messages
+}
+
+// isLogger tells whether an expression's last name is that of a logger.
+func isLogger(e ast.Expr) bool {
+	switch e := e.(type) {
+	case *ast.Ident:
+		return strings.HasSuffix(strings.ToLower(e.Name), "log") || strings.HasSuffix(strings.ToLower(e.Name), "logger")
+	case *ast.SelectorExpr:
+		return isLogger(e.Sel)
+	}
+	return false
+}
+
+// TestEachLogLineHasARow holds the log lines of the programs in service to oncall.md: each has a row with its meaning and
+// first action, and each row has its line.
+func TestEachLogLineHasARow(t *testing.T) {
+	page, err := os.ReadFile("oncall.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, tables, found := strings.Cut(string(page), "## Log lines\n")
+	if !found {
+		t.Fatal("oncall.md has no section of log lines")
+	}
+	rows := map[string]bool{} // by message; true once the line was found
+	for _, m := range regexp.MustCompile("(?m)^\\| `([^`]+)` \\| [^|]+ \\| [^|]* \\| [^|]+ \\| [^|]+ \\|$").FindAllStringSubmatch(tables, -1) {
+		rows[m[1]] = false
+	}
+	lines := 0
+	literals := map[string]bool{} // all texts of the programs: some messages reach the logger through a variable
+	for _, dir := range []string{"../balancer", "../internal", "../cmd"} {
+		err := filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
+			if err != nil {
+				return err
+			}
+			if entry.IsDir() && strings.HasSuffix(entry.Name(), "faultlab") {
+				return filepath.SkipDir
+			}
+			if entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return nil
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			ast.Inspect(file, func(n ast.Node) bool {
+				if text, ok := n.(*ast.BasicLit); ok && text.Kind == token.STRING {
+					if literal, err := strconv.Unquote(text.Value); err == nil {
+						literals[literal] = true
+					}
+				}
+				return true
+			})
+			for _, message := range logMessages(file) {
+				lines++
+				if _, ok := rows[message]; !ok {
+					t.Errorf("%s: log line %q has no row", path, message)
+				}
+				rows[message] = true
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	for message, seen := range rows {
+		if !seen && !literals[message] {
+			t.Errorf("oncall.md has a row for %q, which no program logs", message)
+		}
+	}
+	if lines < 50 {
+		t.Errorf("only %d log lines were found", lines)
+	}
+}
