--- a/internal/registry/api/configs.go
+++ b/internal/registry/api/configs.go
@@ -24,8 +24,8 @@
 
 // Codes of rejected writes beside those of package state.
 const (
-	codeOldBuild        = "old_build" // a member's build has no configurations
-	codeInvalidDocument = "faulty"
+	codeOldBuild        state.ResultCode = "old_build" // a member's build has no configurations
+	codeInvalidDocument state.ResultCode = "faulty"
 )
 
 // ServiceConfig is the answer to a GET of a configuration. A watch that ends without a newer version has no document.
--- a/internal/registry/api/endpoints.go
+++ b/internal/registry/api/endpoints.go
@@ -56,7 +56,7 @@
 }
 
 // writeRejected answers a command that changed nothing, by its result code.
-func writeRejected(w http.ResponseWriter, code, name string) {
+func writeRejected(w http.ResponseWriter, code state.ResultCode, name string) {
 	status, text := http.StatusConflict, ""
 	switch code {
 	case state.ResultUnknown:
@@ -127,7 +127,7 @@
 }
 
 // drainOrDeregister proposes a command of that kind for the instance that the call names.
-func (s *Server) drainOrDeregister(kind string) nodeHandler {
+func (s *Server) drainOrDeregister(kind state.CommandKind) nodeHandler {
 	return func(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 		ref, body, ok := readInstanceRef(w, r)
 		if !ok || s.forwardToLeader(w, r, node, body) {
--- a/internal/registry/api/respond.go
+++ b/internal/registry/api/respond.go
@@ -6,14 +6,16 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"merlinpick/internal/registry/state"
 )
 
 const writeTimeout = 5 * time.Second // for the client to read an answer
 
 // ErrorBody is the body of an answer other than 200.
 type ErrorBody struct {
-	Error string `json:"error"`
-	Code  string `json:"end,omitempty"` // of a command, as in package state
+	Error string           `json:"error"`
+	Code  state.ResultCode `json:"end,omitempty"` // of a command
 }
 
 // ReadError reads the body of an answer other than 200. One that is not the registry's says what its status says.
--- a/internal/registry/raftnode/node.go
+++ b/internal/registry/raftnode/node.go
@@ -207,7 +207,7 @@
 // Renew extends an endpoint's lease. It returns the endpoint's record, the newest version, and a result code of package
 // state. It fails with ErrNotLeader, or with ErrStale on a leader that cannot confirm its leadership: the next leader would
 // not know of the renewal.
-func (n *Node) Renew(ref state.InstanceRef) (record state.Record, version int64, code string, err error) {
+func (n *Node) Renew(ref state.InstanceRef) (record state.Record, version int64, code state.ResultCode, err error) {
 	if n.Age() > n.cfg.MaxListAge {
 		return record, 0, "", ErrStale
 	}
--- a/internal/registry/registrar/registrar_test.go
+++ b/internal/registry/registrar/registrar_test.go
@@ -36,7 +36,7 @@
 		status   int
 		body     string
 		rejected bool
-		code     string
+		code     state.ResultCode
 	}{
 		"unknown":       {http.StatusNotFound, `{"error":"n is not in the list","end":"unknown"}`, true, state.ResultUnknown},
 		"list is full":  {http.StatusInsufficientStorage, `{"error":"no room","end":"full"}`, true, state.ResultFull},
--- a/internal/registry/state/command.go
+++ b/internal/registry/state/command.go
@@ -6,20 +6,23 @@
 	"math"
 )
 
+// CommandKind is what a command does.
+type CommandKind string
+
 // The kinds of commands.
 const (
-	CommandBegin      = "begin" // the first epoch; nothing if there is one
-	CommandRegister   = "register"
-	CommandDrain      = "drain"
-	CommandDeregister = "deregister"
-	CommandExpire     = "expire"    // of leases that are over
-	CommandConfigure  = "configure" // a service's configuration
+	CommandBegin      CommandKind = "begin" // the first epoch; nothing if there is one
+	CommandRegister   CommandKind = "register"
+	CommandDrain      CommandKind = "drain"
+	CommandDeregister CommandKind = "deregister"
+	CommandExpire     CommandKind = "expire"    // of leases that are over
+	CommandConfigure  CommandKind = "configure" // a service's configuration
 )
 
 // Command is one entry of the log. Members of another build may know further kinds: a kind that this build does not know
 // changes nothing.
 type Command struct {
-	Kind         string        `json:"kind"`
+	Kind         CommandKind   `json:"kind"`
 	Epoch        string        `json:"line,omitempty"`   // CommandBegin
 	FirstVersion int64         `json:"base,omitempty"`   // CommandBegin
 	Record       *Record       `json:"record,omitempty"` // CommandRegister
@@ -31,21 +34,24 @@
 	Document json.RawMessage `json:"document,omitempty"`
 }
 
+// ResultCode is how a command ended.
+type ResultCode string
+
 // The codes of a Result.
 const (
-	ResultDone     = "done"
-	ResultUnknown  = "unknown"  // the endpoint is not in the list
-	ResultEnded    = "ended"    // the instance was deregistered and cannot return
-	ResultReplaced = "replaced" // an instance that started later has the name
-	ResultFull     = "full"     // the list has MaxEndpoints
-	ResultIgnored  = "ignored"  // unknown kind, or invalid content
-	ResultConflict = "conflict" // a configuration's newest version is not Command.After
-	ResultNoRoom   = "no_room"  // over MaxDocumentBytes or MaxServices
+	ResultDone     ResultCode = "done"
+	ResultUnknown  ResultCode = "unknown"  // the endpoint is not in the list
+	ResultEnded    ResultCode = "ended"    // the instance was deregistered and cannot return
+	ResultReplaced ResultCode = "replaced" // an instance that started later has the name
+	ResultFull     ResultCode = "full"     // the list has MaxEndpoints
+	ResultIgnored  ResultCode = "ignored"  // unknown kind, or invalid content
+	ResultConflict ResultCode = "conflict" // a configuration's newest version is not Command.After
+	ResultNoRoom   ResultCode = "no_room"  // over MaxDocumentBytes or MaxServices
 )
 
 // Result is what a command did.
 type Result struct {
-	Code    string
+	Code    ResultCode
 	Version int64 // the version in which the effect is visible
 	Changed bool  // whether the state was changed
 }
--- a/internal/registry/state/configs_test.go
+++ b/internal/registry/state/configs_test.go
@@ -27,7 +27,7 @@
 func TestConfigure(t *testing.T) {
 	type step struct {
 		c       Command
-		end     string
+		end     ResultCode
 		index   int64
 		changes bool
 	}
@@ -79,7 +79,7 @@
 	s = newBegunState()
 	large := `{"a":"` + strings.Repeat("a", 60<<10) + `"}`
 	n, versions := 0, map[string]int64{}
-	replace := func(name, text string) string {
+	replace := func(name, text string) ResultCode {
 		r := s.Apply(put(name, versions[name], text))
 		versions[name] = r.Version
 		return r.Code
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -118,7 +118,7 @@
 	return Result{Code: code, Version: s.version, Changed: len(changed) > 0}
 }
 
-func (s *State) applyToList(c Command) (code string, changed []Endpoint) {
+func (s *State) applyToList(c Command) (code ResultCode, changed []Endpoint) {
 	switch c.Kind {
 	case CommandBegin:
 		if s.epoch == "" {
@@ -146,7 +146,7 @@
 	return ResultIgnored, nil
 }
 
-func (s *State) register(r Record) (code string, changed []Endpoint) {
+func (s *State) register(r Record) (code ResultCode, changed []Endpoint) {
 	if s.isEnded[InstanceRef{r.Name, r.Instance}] {
 		return ResultEnded, nil
 	}
@@ -166,7 +166,7 @@
 	return ResultDone, []Endpoint{r.Endpoint}
 }
 
-func (s *State) drainOrRemove(kind string, ref InstanceRef) (code string, changed *Endpoint) {
+func (s *State) drainOrRemove(kind CommandKind, ref InstanceRef) (code ResultCode, changed *Endpoint) {
 	current, listed := s.records[ref.Name]
 	switch {
 	case !listed && kind == CommandDeregister && s.isEnded[ref]:
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -25,7 +25,7 @@
 	over := Command{Kind: CommandExpire, Refs: refs("n", "i1")}
 	type step struct {
 		c       Command
-		end     string
+		end     ResultCode
 		changes bool
 		status  string // of n afterwards; empty: not in the list
 	}
--- a/internal/registry/watch/hub_test.go
+++ b/internal/registry/watch/hub_test.go
@@ -109,7 +109,7 @@
 			},
 			"go": func(t *rapid.T) {
 				r := ref(t)
-				src.Apply(state.Command{Kind: rapid.SampledFrom([]string{state.CommandDeregister, state.CommandExpire}).Draw(t, "kind"), Refs: r})
+				src.Apply(state.Command{Kind: rapid.SampledFrom([]state.CommandKind{state.CommandDeregister, state.CommandExpire}).Draw(t, "kind"), Refs: r})
 				delete(model, r[0].Name)
 			},
 			"save": func(t *rapid.T) { saved = append(saved, src.State.Snapshot()) },
