--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -15,8 +15,8 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// A decision that breaks a rule is carried out all the same, and counted and logged: the audit sees what the module and the
-// loop do, not what they mean to do.
+// A decision that breaks a rule is carried out all the same, and counted and logged: the audit sees what the balancer
+// and the loop do, not what they mean to do.
 func TestAuditReportsBrokenRule(t *testing.T) {
 	var log bytes.Buffer
 	l := &eventLoop{clock: clock{start: time.Now()}, requests: map[string]*request{}, audit: audit.New(slog.New(slog.NewTextHandler(&log, nil)))}
@@ -44,8 +44,8 @@
 	}
 }
 
-// A client's connection that the proxy ends under a request that it has taken is a broken rule, by whatever path; one that
-// rests is not.
+// A client's connection that the proxy closes under a request in flight breaks a rule, by whatever path; an idle one
+// does not.
 func TestAuditReportsConnectionClosedInFlight(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
@@ -61,7 +61,7 @@
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().RuleViolations["closed_unanswered"] == 1 })
 }
 
-// What is served and refused in the ordinary way breaks no rule, and shows in the figures.
+// Ordinary requests break no rule, and show in the metrics.
 func TestAuditReportsNothingWhenRulesHold(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for _, id := range []string{"1", "2", "3"} {
--- a/internal/proxy/backendclosing_test.go
+++ b/internal/proxy/backendclosing_test.go
@@ -11,8 +11,8 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// An answer of untold length that breaks off, or is not gone on with, before its first byte has not begun: another
-// attempt can serve, and else the client hears of it in its time.
+// A response without a length that breaks off or stalls before its first byte has not started: a retry can serve,
+// otherwise the client gets an error in its time.
 func TestResponseWithoutLengthStartsAtFirstByte(t *testing.T) {
 	for _, head := range []string{"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"} {
 		for _, c := range []struct {
--- a/internal/proxy/bodyend_test.go
+++ b/internal/proxy/bodyend_test.go
@@ -16,7 +16,7 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// stuckBackend takes connections and reads nothing; the proxy's writes to it fill small buffers and then wait.
+// stuckBackend accepts connections and reads nothing: the proxy's writes to it fill small buffers and then wait.
 func stuckBackend(t *testing.T) string {
 	t.Helper()
 	var lc net.ListenConfig
@@ -31,7 +31,7 @@
 	return l.Addr().String()
 }
 
-// narrow gives the connections to backends small buffers.
+// narrow gives the connections to backends small write buffers.
 func narrow(p *running) {
 	p.loop.pool.WrapDial(func(dial upstream.DialFunc) upstream.DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -45,7 +45,7 @@
 }
 
 // A client's time begins with the last byte that it sent, also where the proxy has not read that byte since the backend
-// takes nothing: the answer must not wait for the backend.
+// takes nothing: the response must not wait for the backend.
 func TestUploadStalledByBackendIsAnsweredInTime(t *testing.T) {
 	const size, left = maxBufferedBody + 32<<10, 500 * time.Millisecond
 	body := bytes.Repeat([]byte("x"), size)
@@ -73,8 +73,8 @@
 	}
 }
 
-// What a backend is told of the client's time has begun to run with the last byte that the client sent, though the
-// connection to the backend came up later than that.
+// The Request-Timeout-Ms of a streamed upload counts from the last byte that the client sent, though the connection to
+// the backend came up later.
 func TestSlowDialForUploadForwardsRemainingTimeout(t *testing.T) {
 	const size, wait, late = maxBufferedBody + 32<<10, 4 * time.Second, time.Second
 	told := make(chan string, 1)
--- a/internal/proxy/clientgone_stress_test.go
+++ b/internal/proxy/clientgone_stress_test.go
@@ -14,7 +14,7 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// Clients that leave at any moment of their requests break no rule that the proxy can see, however they leave.
+// Clients that go at any moment of their requests break no rule, however they go.
 func TestClientsGoneAtAnyMomentBreakNoRule(t *testing.T) {
 	long := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 20<<10, strings.Repeat("x", 20<<10)) // several writes
 	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -39,7 +39,7 @@
 func (c *client) closeWrite()       { _ = c.tcp().CloseWrite() }
 func (c *client) reset()            { _ = c.tcp().SetLinger(0); c.Close() }
 
-// stall has the loop stand still, once it has come to what is in its queue by now, until goOn is called.
+// blockLoop has the loop block once it has handled what is in its queue by now, until goOn is called.
 func blockLoop(t *testing.T, p *running) (stands chan struct{}, goOn func()) {
 	t.Helper()
 	stands, again := make(chan struct{}), make(chan struct{})
@@ -49,7 +49,7 @@
 	return stands, goOn
 }
 
-// nothingLeft checks the books once a client has gone: no request, attempt or connection that is in use.
+// checkNothingLeft checks that a client that has gone left no request, attempt, connection in use or reserved memory.
 func checkNothingLeft(t *testing.T, p *running) {
 	t.Helper()
 	proxytest.WaitUntil(t, func() bool {
@@ -61,7 +61,7 @@
 	})
 }
 
-// nothingSent checks that so many requests have reached the backend over one connection, and that all goes on.
+// checkNothingSent checks that the backend has had so many requests over one connection, and serves the next.
 func checkNothingSent(t *testing.T, p *running, b *proxytest.Backend, before int32) {
 	t.Helper()
 	p.loop.pool.SetReuseDelay(0) // what it goes on has just been used
@@ -76,8 +76,8 @@
 	}
 }
 
-// leaves has a client go at the worst instant: the loop has the event, which cause makes, before it, and the attempt that
-// follows from that has all its time before the loop hears of the departure.
+// leaves has a client go at the worst moment: cause's event is in the loop's queue before it, and the attempt that
+// follows from that event may run to its end before the loop hears that the client has gone.
 func leaves(t *testing.T, p *running, cause, depart func()) {
 	t.Helper()
 	p.loop.pool.SetReuseDelay(0) // what it went on may have just been used
@@ -100,7 +100,7 @@
 	proxytest.Receive(t, "end of the attempts", ended)
 }
 
-// The client goes while its request stands in the loop's queue.
+// The client goes while its request is in the loop's queue.
 func TestNoAttemptForClientGoneInEventQueue(t *testing.T) {
 	for _, d := range departures {
 		for _, draining := range []bool{false, true} {
@@ -123,7 +123,7 @@
 	}
 }
 
-// The client goes while the first attempt's failure stands in the loop's queue: no further one follows.
+// The client goes while the first attempt's failure is in the loop's queue: no retry follows.
 func TestNoRetryForGoneClient(t *testing.T) {
 	for _, d := range departures {
 		t.Run(d.name, func(t *testing.T) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// The client goes while its request waits for its key's turn, which comes before the departure is heard of.
+// The client goes while its request waits in its key's queue, and its turn comes before the loop hears of that.
 func TestNoAttemptForClientGoneInKeyQueue(t *testing.T) {
 	rate := func(id string) string {
 		return "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: rate\r\nIdempotency-Key: x\r\nContent-Length: 0\r\n\r\n"
@@ -182,7 +182,7 @@
 	}
 }
 
-// anyDeparted tells whether the end of a client's connection has come to the proxy's socket.
+// anyPeerClosed reports whether the end of a client's connection has come to the proxy's socket.
 func anyPeerClosed(p *running) bool {
 	p.frontend.mu.Lock()
 	defer p.frontend.mu.Unlock()
@@ -194,7 +194,7 @@
 	return len(p.frontend.conns) == 0
 }
 
-// The client goes while a connection to the backend comes up; the loop, which would stop the attempt, is busy.
+// The client goes while a connection to the backend comes up; the loop, which would cancel the attempt, is busy.
 func TestNoSendAfterSlowDialForGoneClient(t *testing.T) {
 	for _, text := range []string{lookRequest("1", 4000), postRequest("1", "Content-Length: 1000000") + strings.Repeat("x", maxBufferedBody+1),
 		postRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
@@ -230,7 +230,7 @@
 	}
 }
 
-// The client goes while its connection waits to be accepted, its request in the kernel.
+// The client goes while its connection waits to be accepted, with its request in the kernel.
 func TestNoAttemptForClientGoneBeforeRead(t *testing.T) {
 	for _, d := range departures {
 		t.Run(d.name, func(t *testing.T) {
@@ -262,7 +262,7 @@
 	}
 }
 
-// A client that goes while its attempt is out takes that along, whatever it has sent behind its request.
+// A client that goes cancels its attempt in flight, whatever it has sent behind its request.
 func TestClientGoneCancelsAttemptInFlight(t *testing.T) {
 	long := strings.NewReplacer("4000000", "60000000", "8000000", "90000000").Replace(siteText) // no attempt ends by itself
 	for _, text := range []string{lookRequest("1", 60_000), postRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
@@ -283,7 +283,7 @@
 	}
 }
 
-// A server that ends its sending has given its answer up: the attempt is over, and its connection is closed.
+// A backend that half-closes has given its response up: the attempt ends, and its connection is closed.
 func TestBackendHalfCloseResetsAttempt(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -314,7 +314,7 @@
 	checkNothingLeft(t, p)
 }
 
-// Of two requests under one id the later is none: its departure says nothing of the other.
+// Of two requests under one ID the later is rejected: its client's departure does not affect the first.
 func TestClientGoneWithDuplicateIDLeavesFirstRequest(t *testing.T) {
 	fail := make(chan struct{})
 	p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
@@ -342,8 +342,8 @@
 	checkNothingLeft(t, p)
 }
 
-// An answer that comes before all of the body has cuts the rest off, which ends the request's context like a departure:
-// the client, which is there, gets it each time.
+// A response that comes before the body's end cuts the rest of the body off, which ends the request's context as a
+// departure would: the client, which is there, gets the response each time.
 func TestResponseBeforeBodyEndIsNotClientGone(t *testing.T) {
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", "127.0.0.1:1", discovery.StatusDraining)))
 	for i := range 20 {
--- a/internal/proxy/closing_test.go
+++ b/internal/proxy/closing_test.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// startHooked is a frontend alone, whose handler counts requests and answers each with body.
+// startHooked starts a frontend alone, whose handler counts requests and answers each with body.
 func startHooked(t *testing.T, most int, body string) (f *frontend, h *hooks, requests *atomic.Int32, p *running) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -125,10 +125,10 @@
 	return f, h, requests, &running{Proxy: &Proxy{frontend: f}}
 }
 
-// once is a hook that does something the first time only.
+// once sets a hook that runs the first time only.
 func once[F any](at *atomic.Pointer[F], f F) { at.Store(&f) }
 
-// kept is a connection with an answered request on it.
+// keepAliveClient is a connection on which a request has been answered.
 func keepAliveClient(t *testing.T, f *frontend, p *running) *client {
 	t.Helper()
 	c := connect(t, p)
@@ -150,7 +150,7 @@
 	return n
 }
 
-// A request that had just been read, with nobody told of it, was closed on: its connection showed nothing to read.
+// A request that had just been read, and not noted yet, was closed on: its connection showed nothing to read.
 func TestConnectionReadingRequestIsNotClosed(t *testing.T) {
 	for name, end := range map[string]func(*frontend){
 		"drain": func(f *frontend) { f.closeIdle(0, 0, false) },
@@ -184,8 +184,8 @@
 	}
 }
 
-// A request that came between the look at a connection that rests and its close was read after the close and sent on,
-// or its connection was reset.
+// A request that came between the look at an idle connection and its close was read after the close and forwarded, or
+// its connection was reset.
 func TestRequestCrossingCloseIsNeverServed(t *testing.T) {
 	f, h, requests, p := startHooked(t, 4, "ok")
 	c := keepAliveClient(t, f, p)
@@ -209,7 +209,7 @@
 	}
 }
 
-// A close over bytes that nobody had read reset the connection and took the rest of the answer before along.
+// A close over bytes that nobody had read reset the connection and took the rest of the previous response along.
 func TestResponseSurvivesPipelinedBytes(t *testing.T) {
 	large := strings.Repeat("x", 400<<10)
 	f, _, _, p := startHooked(t, 4, large)
@@ -234,7 +234,7 @@
 	}
 }
 
-// Peers that do not close after the proxy has keep no slot that another wants.
+// Peers that do not close after the proxy has hold no slot that another needs.
 func TestLingeringConnectionsGiveWay(t *testing.T) {
 	_, h, _, p := startHooked(t, 2, "ok")
 	for range 8 {
@@ -251,7 +251,7 @@
 	}
 }
 
-// A request whose head was not whole at the end was closed on; its last bytes may have been on their way.
+// A request whose head was incomplete at the cutoff was closed on; its last bytes may have been on their way.
 func TestPartialRequestIsRejectedAtCutoff(t *testing.T) {
 	for _, open := range []func(*frontend, *running) *client{
 		func(_ *frontend, p *running) *client { return connect(t, p) },
@@ -286,7 +286,7 @@
 	}
 }
 
-// Half a head on a kept connection had the two minutes of one that rests.
+// Part of a head on a kept connection had the two minutes of an idle one.
 func TestPartialHeadOnKeepAliveIsClosedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -307,8 +307,8 @@
 	})
 }
 
-// A drain ends while clients send on every connection that is open: what was taken has its answer, the rest an end that
-// shows that it was not.
+// A drain ends while clients send on every open connection: what was taken has its response, the rest an end that shows
+// it was not taken.
 func TestClientsSendingUntilExitLoseNothing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := startProxy(t, startDiscovery(t).addr, 300, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -8,7 +8,7 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// held has requests wait before they are answered; it returns what lets them go on.
+// held has requests wait before they are answered, until release is called.
 func held(h *hooks) (release func()) {
 	gate := make(chan struct{})
 	at := func() { <-gate }
@@ -16,7 +16,7 @@
 	return func() { h.request.Store(nil); close(gate) }
 }
 
-// begin starts a drain of which the doors close at once, and returns when they do.
+// startDrain starts a drain whose listener closes at once, and returns when it has.
 func startDrain(t *testing.T, f *frontend, left time.Duration) (ended chan struct{}) {
 	t.Helper()
 	ended = make(chan struct{})
@@ -28,7 +28,7 @@
 	return ended
 }
 
-// The listener closed on connections that waited in the kernel for a slot: they were reset unheard.
+// The listener closed on connections that waited in the kernel for a slot, which reset them.
 func TestQueuedConnectionsAreAcceptedBeforeListenerCloses(t *testing.T) {
 	f, h, requests, p := startHooked(t, 2, "ok")
 	release := held(h)
@@ -70,7 +70,7 @@
 	proxytest.Receive(t, "end of the drain", ended)
 }
 
-// A peer that takes nothing and never closes does not keep the process beyond its time.
+// A peer that reads nothing and never closes does not keep the process beyond its time.
 func TestDrainEndsInTime(t *testing.T) {
 	f, h, requests, p := startHooked(t, 4, "ok")
 	release := held(h)
@@ -86,7 +86,7 @@
 }
 
 // Whatever the settings: new connections come for 400 ms after SIGTERM, SIGKILL follows the longest deadline (3 s at
-// most) by 700 ms, and between the doors' close and the cutoff there is time for what came last.
+// most) by 700 ms, and between the listener's close and the cutoff there is time for what came last.
 func TestDrainTimesOfAnySettings(t *testing.T) {
 	for _, deadline := range []time.Duration{time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 		250 * time.Millisecond, time.Second, 2999 * time.Millisecond, 3 * time.Second, 8 * time.Second, time.Minute} {
--- a/internal/proxy/answer_test.go
+++ b/internal/proxy/errorresponse_test.go
@@ -12,7 +12,7 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// An answer that only says no, and does not end, says so soon: another attempt has the time to serve.
+// An error response that does not end is given up soon, so that a retry has the time to serve.
 func TestEndlessErrorResponseIsNotAwaited(t *testing.T) {
 	over := make(chan struct{})
 	defer close(over)
@@ -32,8 +32,8 @@
 	}
 }
 
-// An answer within the protocol's bound that is passed on as it comes, and does not end, ends for its client soon after
-// its time, and shows that it is not whole. A larger one goes on.
+// A streamed response of up to 64 KiB that does not end is broken off visibly soon after its client's deadline. A larger
+// one goes on.
 func TestEndlessResponseEndsWithClientDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -9,8 +9,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A request whose end two readers could see in two places was served, and what stood in its body went on to
-// a backend as a request of its own.
+// A request whose end two readers could see in two places was served, and what stood in its body was forwarded as a
+// request of its own.
 func TestAmbiguousFramingIsNeverServed(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	const post = "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"
@@ -56,7 +56,7 @@
 	}
 }
 
-// Behind a chunked body nothing more is read: bytes there were sent by nobody as a request of their own.
+// Nothing is read behind a chunked body: bytes there may not be meant as a request.
 func TestChunkedRequestIsLastOnItsConnection(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	c := connect(t, p)
@@ -70,7 +70,7 @@
 	}
 }
 
-// A flawed head behind a request in flight does not cost that request its answer.
+// A malformed head behind a request in flight does not cost that request its response.
 func TestMalformedPipelinedHeadIsAnsweredInOrder(t *testing.T) {
 	release := make(chan struct{})
 	p, b := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -87,7 +87,7 @@
 	synctest.Wait()
 }
 
-// ends reads what comes until the connection is closed, and tells when that was.
+// readToEnd reads until the connection is closed, and returns after what time that was.
 func readToEnd(c net.Conn) (text string, after time.Duration) {
 	start := time.Now()
 	_ = c.SetReadDeadline(start.Add(time.Hour))
@@ -101,8 +101,8 @@
 	return string(data), time.Since(start)
 }
 
-// Peers that sent nothing, or part of a request and then nothing, kept their connection's slot: for 10 s
-// those silent in the head, for ever those silent in a body, until no client could connect.
+// Peers that sent nothing, or part of a request and then nothing, held their connection's slot: for 10 s in the head,
+// for ever in a body, until no client could connect.
 func TestStalledClientIsClosedInTime(t *testing.T) {
 	const post = "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"
 	for name, c := range map[string]struct {
@@ -137,7 +137,7 @@
 	}
 }
 
-// A byte now and then is no sign of life: the whole request has one time.
+// A byte now and then does not extend the time: the whole request has one deadline.
 func TestDrippingClientIsClosedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -158,7 +158,7 @@
 	})
 }
 
-// The time for a request to come in is not the time for its answer.
+// The time for a request to come in is not the time for its response.
 func TestSlowResponseOutlastsReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -193,7 +193,7 @@
 	})
 }
 
-// Peers that stall in every slot, in the head or in the body, give way to a client before their time is up.
+// Peers that stall in every slot, in the head or in the body, are evicted for a client before their time is up.
 func TestStalledConnectionsAreEvicted(t *testing.T) {
 	for name, text := range map[string]string{
 		"in the head": "",
@@ -227,8 +227,8 @@
 	}
 }
 
-// A client that is slow but keeps sending outlasts a crowd of peers that have stopped, on a new connection or on
-// a kept one, and a drain that begins meanwhile.
+// A client that is slow but keeps sending survives a shortage of connections, on a new connection or a kept one, and a
+// drain that begins meanwhile.
 func TestSlowClientSurvivesConnectionShortage(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -79,7 +79,7 @@
 
 var dateLine = regexp.MustCompile(`Date: [^\r]* GMT`)
 
-// rawExchange sends a text on a connection of its own and returns all bytes up to its end, or up to an answer's.
+// rawExchange sends a text on a connection of its own and returns all bytes up to its end, or up to a response's.
 func rawExchange(t *testing.T, addr, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -105,7 +105,7 @@
 	return dateLine.ReplaceAllString(seen.String(), "Date: D")
 }
 
-// The answers that the proxy makes itself, as they stand on the wire.
+// The responses that the proxy makes itself, as they stand on the wire.
 func TestOwnAnswersAreGolden(t *testing.T) {
 	breaks, _ := startServing(t, proxytest.RespondWith("", false))
 	full, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -15,8 +15,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A successor takes over while clients come on new and kept connections: none is turned back, the predecessor's
-// kept connections are told to close, and it ends.
+// A successor takes over while clients come on new and kept connections: no request is lost, the predecessor's kept
+// connections get Connection: close, and it ends.
 func TestSuccessorTakesOverWithoutErrors(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
@@ -88,7 +88,8 @@
 	}
 }
 
-// oneShot sends one request on a connection of its own; 0 is no whole answer.
+// requestOnce sends one request on a connection of its own, and returns the response's status; 0 without a complete
+// response.
 func requestOnce(addr, text string) int {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return status
 }
 
-// While both live each keeps to its part; a successor that dies leaves the other with all.
+// While both processes run each keeps to its half; when the successor dies the other has all again.
 func TestTwoProcessesShareTheLimits(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
@@ -130,7 +131,7 @@
 	}
 }
 
-// What a dead or mute predecessor left behind must not keep a process from its start.
+// What a dead or hung predecessor left behind does not keep a process from starting.
 func TestStaleHandoverSocketDoesNotBlockStart(t *testing.T) {
 	for name, leave := range map[string]func(t *testing.T, path string){
 		"a file": func(t *testing.T, path string) {
--- a/internal/proxy/invariant/invariant_test.go
+++ b/internal/proxy/invariant/invariant_test.go
@@ -11,7 +11,7 @@
 	second = time.Second
 )
 
-// Each rule is shown broken, and kept by what comes nearest to breaking it.
+// Each rule is shown broken, and kept in the nearest case that does not break it.
 func TestEveryRuleIsDetected(t *testing.T) {
 	keyed := Policy{Idempotency: IdempotentWithKey, DedupScope: DedupScopeZone, DedupWindow: second, MaxAttempts: 3}
 	cell := Policy{Idempotency: IdempotentWithKey, DedupScope: DedupScopeCell, DedupWindow: second, MaxAttempts: 3}
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -15,8 +15,8 @@
 	"merlinpick/internal/settings"
 )
 
-// A proxy whose discovery moves leaves the old one at once, in mid-watch, goes on from its version at the new one, and takes
-// the whole list of one that is behind it.
+// A proxy whose discovery address changes leaves the old one at once, in mid-watch, continues from its version at the
+// new one, and takes the whole list of one that is behind it.
 func TestDiscoveryAddressChanges(t *testing.T) {
 	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	first, second, third := startDiscovery(t), startDiscovery(t), startDiscovery(t)
@@ -48,8 +48,8 @@
 	}
 }
 
-// After SIGTERM clients still come, on new connections and on old ones: all get their answer, on connections
-// that stay until the doors close, and then a close.
+// After SIGTERM clients still come, on new connections and on kept ones: all get their response, on connections that
+// stay until the listener closes, and then a close.
 func TestSIGTERMUnderLoadLosesNothing(t *testing.T) {
 	release := make(chan struct{})
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
@@ -106,7 +106,7 @@
 	}
 }
 
-// The doors closed at once: with the next proxy not yet up, clients that kept a connection had nowhere to go.
+// The listener closed at once: with the next proxy not yet up, clients that kept a connection had nowhere to go.
 func TestClientsAreServedWhileDraining(t *testing.T) {
 	for _, c := range []struct{ deadline, aim, stay, left time.Duration }{
 		{5 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 3500 * time.Millisecond},
@@ -121,7 +121,7 @@
 	}
 }
 
-// SIGKILL follows: what a hung backend holds is failed before it comes.
+// What a hung backend holds is failed before SIGKILL follows.
 func TestSIGTERMEndsHungRequests(t *testing.T) {
 	p, b := startServing(t, proxytest.NeverRespond(t))
 	c := connect(t, p)
@@ -140,8 +140,8 @@
 	}
 }
 
-// New classes are served under their rules once the settings are in force; one that was dropped is turned away, and
-// what is open is answered by the rules that it began with.
+// New classes are served under their rules once the settings are in force; a class that was dropped is rejected, and
+// requests in flight are answered by the rules that they began with.
 func TestSettingsChangeWithRequestsInFlight(t *testing.T) {
 	reached, goOn := make(chan struct{}, 1), make(chan struct{})
 	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
--- a/internal/proxy/limitedlistener_test.go
+++ b/internal/proxy/limitedlistener_test.go
@@ -13,7 +13,7 @@
 	syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR}
 
-// An accept that fails for a moment ends neither the proxy nor the wait of the clients that come next.
+// An accept that fails temporarily ends neither the proxy nor the wait of the clients that come next.
 func TestFailedAcceptEndsNothing(t *testing.T) {
 	for _, failure := range passingAcceptErrors {
 		t.Run(failure.Error(), func(t *testing.T) {
--- a/internal/proxy/list_bench_test.go
+++ b/internal/proxy/list_bench_test.go
@@ -44,8 +44,8 @@
 		metrics: figs, logger: slog.New(slog.DiscardHandler)})
 }
 
-// BenchmarkList is how long the event loop is held up by what discovery told: the whole list with nothing new in it, one
-// entry that changed, and a zone that goes and comes back. Its reading is not the loop's, and is measured beside it.
+// BenchmarkList is how long the event loop takes for an update of the endpoint list: the whole list without changes, one
+// changed entry, and a zone that goes and comes back. Parsing is not the loop's, and is measured beside it.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{15, 150, 1300, 2600} {
 		all := endpoints(n, 9)
@@ -84,7 +84,7 @@
 	}
 }
 
-// BenchmarkListHeld is what a proxy holds for each listed nodo, as bytes of the heap.
+// BenchmarkListHeld is what a proxy holds for each listed server, in bytes of the heap.
 func BenchmarkListHeld(b *testing.B) {
 	for _, n := range []int{15, 150, 1300, 2600} {
 		b.Run(fmt.Sprintf("nodos=%d", n), func(b *testing.B) {
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -13,8 +13,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// Peers that send much and go, in the head or in the body: each held up to 20 KiB of a head and 32 KiB of a body, without
-// a bound over all. Those beyond it are refused at once, and it is all given back.
+// Peers that send much and go, in the head or in the body: each held up to 20 KiB of a head and 32 KiB of a body,
+// without a bound over all. Those beyond it are rejected at once, and all of it is released.
 func TestUnparsedInputIsBoundedAcrossConnections(t *testing.T) {
 	const peers, room = 40, 200 << 10
 	for name, text := range map[string]string{
@@ -60,7 +60,8 @@
 	}
 }
 
-// Idle clients in every slot while discovery is down: the calls to it, to backends and for health have their descriptors.
+// Idle clients in every slot while discovery is down: calls to it, to backends and for health have descriptors of their
+// own.
 func TestIdleClientsLeaveDescriptorsForOthers(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -10,7 +10,7 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// Each request that was taken ends once, whichever way it leaves: taken = ended + outstanding throughout.
+// Each request that was taken ends once, whichever way: taken = ended + in flight throughout.
 func TestEveryRequestIsCountedOnce(t *testing.T) {
 	served := proxytest.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
 	failed := proxytest.RespondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true)
--- a/internal/proxy/misbehavingclients_test.go
+++ b/internal/proxy/misbehavingclients_test.go
@@ -18,8 +18,8 @@
 	"merlinpick/internal/settings"
 )
 
-// A new connection whose request lay in the kernel, its reader not having had its turn, was closed to make room for another:
-// it had sent nothing that anybody had read.
+// A new connection whose request was in the kernel, unread since its goroutine had not run, was closed to make room for
+// another: it seemed to have sent nothing.
 func TestNewConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	f, h, _, p := startHooked(t, 4, "ok")
 	turn := make(chan struct{})
@@ -52,7 +52,7 @@
 	}), n)
 }
 
-// Peers with 60 MB to send that is no request have an error or a close in 6 s, whether they read meanwhile or not.
+// Peers that send 60 MB that are no request get an error or a close within 6 s, whether they read meanwhile or not.
 func TestOversizedInputIsClosedInTime(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for name, head := range map[string]string{
@@ -88,7 +88,7 @@
 	})
 }
 
-// SIGTERM between New and Run: who has connected by then has an answer, and the process ends.
+// SIGTERM between New and Run: who has connected by then gets a response, and the process ends.
 func TestSIGTERMBeforeRun(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	site, err := settings.Decode([]byte(siteText))
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -79,7 +79,7 @@
 	return startProxyAt(t, list, sockets, known, t.TempDir())
 }
 
-// startProxyAt starts a proxy that keeps its bans in a folder.
+// startProxyAt starts a proxy with a state folder.
 func startProxyAt(t *testing.T, list string, sockets int, known, state string) *running {
 	t.Helper()
 	return startSite(t, siteText, list, sockets, known, state)
@@ -130,7 +130,7 @@
 	return r
 }
 
-// serving starts a proxy that knows one backend.
+// startServing starts a proxy with one backend.
 func startServing(t *testing.T, reply func(io.Writer, *http.Request, int) bool) (*running, *proxytest.Backend) {
 	t.Helper()
 	b := proxytest.StartBackend(t, reply)
@@ -197,7 +197,7 @@
 	}
 }
 
-// What makes no sense is answered, never passed on, and the connection still serves.
+// What makes no sense is answered, never forwarded, and the connection still serves.
 func TestBadRequestsAreNotForwarded(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for name, c := range map[string]struct {
@@ -236,7 +236,7 @@
 	}
 }
 
-// The module's refusal comes at once and says when to come back.
+// The balancer's rejection comes at once with a Retry-After.
 func TestRejectionIsAnsweredAtOnce(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
 	c := connect(t, p)
@@ -297,7 +297,7 @@
 	}
 }
 
-// Two requests under one id could not be told apart; the second was never answered.
+// Two requests under one ID could not be distinguished; the second was never answered.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	p, b := startServing(t, proxytest.NeverRespond(t))
 	first, second := connect(t, p), connect(t, p)
@@ -309,7 +309,7 @@
 	}
 }
 
-// A flood of requests was to end in too many open files; those over the clients' part are refused.
+// A flood of requests ended in too many open files; those over the limit are rejected.
 func TestRequestsOverInFlightLimitAreRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, n int) bool {
@@ -344,7 +344,7 @@
 	}
 }
 
-// Connections that carry no request are no reason to refuse one.
+// Connections without a request are no reason to reject one.
 func TestIdleConnectionsCauseNoRejection(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := startProxy(t, startDiscovery(t).addr, 120, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
@@ -358,7 +358,7 @@
 	}
 }
 
-// Each answer is applied, a garbled or broken one changes nothing and the next call asks for the full list.
+// Each response is applied; a malformed or broken one changes nothing, and the next call asks for the whole list.
 func TestListWatchSurvivesMalformedAndBrokenResponses(t *testing.T) {
 	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
--- a/internal/proxy/listsync_test.go
+++ b/internal/proxy/readiness_sync_test.go
@@ -12,8 +12,9 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A new process has a list of any age from its configuration. It is not ready before discovery has confirmed one, lest it send
-// to what is long gone; but it does not wait where discovery is out of reach, nor for longer than its bound.
+// A new process has a list of any age from its configuration. It is not ready before discovery has confirmed one, since
+// it would send to servers that are gone; but it does not wait where discovery is unreachable, nor for longer than its
+// limit.
 func TestSuccessorWaitsForEndpointList(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	known := listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))
--- a/internal/proxy/ready_test.go
+++ b/internal/proxy/readiness_test.go
@@ -19,8 +19,8 @@
 var asking = strings.NewReplacer(`"membership_mode":"automatic"`, `"membership_mode":"subscribe"`,
 	`{"contract":{`, `{"contract":{"ask_every_us":300000000,`).Replace(siteText)
 
-// A proxy that starts without a list, while discovery is down, says what is missing, and is ready soon after discovery is
-// back, whatever the asking time.
+// A proxy that starts without a list, while discovery is down, reports what is missing, and is ready soon after
+// discovery is back, whatever the poll interval.
 func TestReadinessNamesWhatIsMissing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	place, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,8 +61,8 @@
 	proxytest.WaitUntil(t, func() bool { return p.NotReadyReason() == "it drains" })
 }
 
-// While discovery is down, deaf, or answers nonsense, the servers that were last known are used, for as long as it takes;
-// a proxy that has a list from its configuration is ready by it, here without the wait of sync_test.go.
+// While discovery is down, hangs or responds with nonsense, the last known servers are used for as long as it takes; a
+// proxy that has a list from its configuration is ready with it, here without the wait of readiness_sync_test.go.
 func TestLastKnownServersAreKept(t *testing.T) {
 	for _, how := range []string{"down", "503", "deaf", "nonsense"} {
 		t.Run(how, func(t *testing.T) {
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -10,7 +10,7 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// One that is passed on as it comes and then reset is seen not to be whole, by a client of HTTP/1.0 too.
+// A streamed response that is reset is visibly incomplete, to a client of HTTP/1.0 too.
 func TestResetResponseIsVisibleToClient(t *testing.T) {
 	for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -16,7 +16,7 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// A large answer is passed on as it comes, in every framing, and whole.
+// A large response is streamed, in every framing, completely.
 func TestLargeResponsesAreStreamed(t *testing.T) {
 	part := bytes.Repeat([]byte("0123456789abcdef"), upstream.MaxBufferedResponse/16)
 	for _, c := range []struct {
@@ -71,7 +71,7 @@
 	}
 }
 
-// An answer of untold length that comes slowly is not held back until it is large.
+// A response without a length that comes slowly is not held back until it is large.
 func TestSlowResponseWithoutLengthIsStreamed(t *testing.T) {
 	seen := make(chan struct{})
 	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -96,8 +96,8 @@
 	}
 }
 
-// A long answer that breaks off before its first bytes is none: the next attempt can still serve, and where there is no
-// other the client hears so. It was a connection that ended without a word.
+// A long response that breaks off before its first bytes counts as none: the next attempt can still serve, otherwise the
+// client gets an error. It was a connection that ended without a response.
 func TestResponseTruncatedAfterHeadIsRetried(t *testing.T) {
 	for _, c := range []struct {
 		body string
@@ -126,7 +126,7 @@
 	}
 }
 
-// A client can tell an answer that broke off on its way, and it counts as failed.
+// A client can see that a response broke off on its way, and it counts as failed.
 func TestTruncatedResponseIsVisibleToClient(t *testing.T) {
 	for name, head := range map[string]string{
 		"of a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 9*upstream.MaxBufferedResponse),
@@ -151,7 +151,8 @@
 	}
 }
 
-// A client that reads slowly holds its backend up and not the proxy's memory; one that goes frees both sides.
+// A client that reads slowly slows its backend down and does not fill the proxy's memory; one that goes frees both
+// sides.
 func TestSlowReaderSlowsItsBackend(t *testing.T) {
 	const size = 64 << 20
 	written := make(chan int, 1)
@@ -190,7 +191,7 @@
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 }
 
-// A long answer that is still being given when the cutoff comes goes on to its end.
+// A long response that is still being streamed at the cutoff goes on to its end.
 func TestSIGTERMDoesNotTruncateLongResponse(t *testing.T) {
 	goOn := make(chan struct{})
 	part := strings.Repeat("x", 2*upstream.MaxBufferedResponse)
--- a/internal/proxy/sendwindow_test.go
+++ b/internal/proxy/sendwindow_test.go
@@ -13,8 +13,8 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// A further attempt is decided inside the window for repeats, and its connection may come up when that is over. Nobody
-// knows the key any more then: nothing goes out. In time it does.
+// A retry is decided inside the deduplication window, and its connection may come up after it, when no server knows the
+// key any more: nothing is sent then. In time it is.
 func TestRetryKeepsDedupWindowDespiteSlowDial(t *testing.T) {
 	const window = time.Second
 	for _, c := range []struct {
--- a/internal/proxy/starttimes_test.go
+++ b/internal/proxy/starttimes_test.go
@@ -8,8 +8,8 @@
 	"merlinpick/internal/proxy/handover"
 )
 
-// The age of a server's process is taken by the wall clock of the moment in which the list tells of its start: a step of
-// that clock since this process began makes no server warm or cold.
+// The age of a server's process is taken by the wall clock of the moment in which the list first names its start: a step
+// of that clock since this process began makes no server warm or cold.
 func TestWallClockStepDoesNotMoveStartTimes(t *testing.T) {
 	for _, step := range []time.Duration{0, -time.Hour, time.Hour, -5 * time.Second} {
 		c := clock{start: time.Now()}
@@ -37,7 +37,7 @@
 	}
 }
 
-// What a predecessor spent of the allowance lies as long ago for its successor as for itself, also where the wall clock was
+// The retry budget that a predecessor used is as long ago for its successor as for itself, also where the wall clock was
 // set between their starts.
 func TestHandoverStateUsesSuccessorsClock(t *testing.T) {
 	const now = int64(50e6)
--- a/internal/proxy/suspension_test.go
+++ b/internal/proxy/suspension_test.go
@@ -11,7 +11,7 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A ban keeps a server out at both processes of a proxy, through lists and restarts, until one call back.
+// A suspension keeps a server out at both processes of a proxy, through lists and restarts, until it is resumed.
 func TestSuspensionHoldsInEveryProcessUntilResumed(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
@@ -71,7 +71,7 @@
 	}
 }
 
-// A ban that cannot be kept is no ban: the answer must not be yes.
+// A suspension that cannot be stored must not be confirmed.
 func TestSuspensionThatCannotBeStoredFails(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	if err := os.RemoveAll(p.config.StateDir); err != nil {
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -21,7 +21,7 @@
 	return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: post\r\n" + framing + "\r\n\r\n"
 }
 
-// A body that is too large to be held reaches the backend whole, in every framing, and passes on while it comes.
+// A body that is too large to be buffered reaches the backend completely, in every framing, while it comes.
 func TestLargeBodiesAreStreamed(t *testing.T) {
 	const size = 2*maxBufferedBody + 5
 	body := bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size]
@@ -83,7 +83,7 @@
 	}
 }
 
-// A request whose body breaks off in the backend's hands has its answer at once, though the rest has not come.
+// A request whose backend resets during the upload has its response at once, though the rest of the body has not come.
 func TestBackendResetDuringUploadIsAnsweredAtOnce(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	b.ResetsUploads = true
@@ -114,7 +114,7 @@
 	}
 }
 
-// A client that goes in the middle of its body takes the attempt along, and the request counts nowhere.
+// A client that goes in the middle of its body cancels the attempt, and the request is counted nowhere.
 func TestClientGoneDuringUploadLeavesNothing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	b.Begun = make(chan struct{})
@@ -184,7 +184,7 @@
 	}
 }
 
-// Bodies are held while there is memory for it, and the least of each in any case.
+// Bodies are buffered while there is memory for it, and the guaranteed part of each in any case.
 func TestBufferedBodiesAreBounded(t *testing.T) {
 	h := clientconn.NewMemoryBudget(3 * guaranteedBodyBuffer)
 	var all []*upload
@@ -210,7 +210,7 @@
 	}
 }
 
-// A body that cannot come whole before the cutoff is turned away with word that it may come again, not dropped.
+// A body that cannot be complete before the cutoff is rejected so that it may come again, not dropped.
 func TestUploadIncompleteAtCutoffIsRejected(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
--- a/internal/proxy/upstream/abandon_test.go
+++ b/internal/proxy/upstream/abandon_test.go
@@ -13,8 +13,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A request that was written but not yet delivered when its attempt was given up is never delivered: a server that stood
-// still, or was cut off, ran it after that.
+// A request that was written but not yet delivered when its attempt was given up is never delivered: a server that hung,
+// or was cut off, executed it after that.
 func TestAbandonedRequestIsNotDeliveredLater(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -35,7 +35,7 @@
 	return a
 }
 
-// What comes back decides what the module is told, and with it whether a call may run again.
+// What comes back decides the status that the balancer gets, and with it whether a request may be executed again.
 func TestOutcomeTable(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -130,7 +130,7 @@
 	}
 }
 
-// A dial takes time. In it the backend may drain, or the request's time may run out; nothing is sent then.
+// During a dial the backend may drain, or the request's time may run out; nothing is sent then.
 func TestNothingIsSentAfterSlowDial(t *testing.T) {
 	for name, meanwhile := range map[string]func(p *Pool, a *Attempt){
 		"drained": func(p *Pool, a *Attempt) {
@@ -167,7 +167,7 @@
 	}
 }
 
-// A write that breaks off before the last byte proves that the call never ran; one that ended does not.
+// A write that breaks off before the last byte proves that the request was never executed; one that ended does not.
 func TestPartiallyWrittenRequestNeverExecuted(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	p.dialContext = func(context.Context, string, string) (net.Conn, error) {
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -13,7 +13,7 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A request that is stopped while it is written has not run, and that is no fault of its server.
+// A request that is cancelled while it is written was never executed, by no fault of its server.
 func TestAttemptCancelledDuringWriteNeverExecuted(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	near, far := net.Pipe()
@@ -29,7 +29,7 @@
 	}
 }
 
-// An attempt that is stopped before it is written is none: the server is not to blame for it.
+// An attempt that is cancelled before it is written counts as not sent: the server is not to blame.
 func TestCancelledWriteBlamesNobody(t *testing.T) {
 	near, far := net.Pipe() // takes nothing until it is read from
 	defer far.Close()
--- a/internal/proxy/upstream/generation_test.go
+++ b/internal/proxy/upstream/generation_test.go
@@ -13,8 +13,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A request that waits for a connection to a backend which drains, goes or restarts meanwhile does not wait for it to come
-// up: nothing could be sent on it. Nor is one begun that nothing could be sent on.
+// A request that waits for a connection to a backend which drains, goes or restarts meanwhile does not wait on: nothing
+// could be sent on it. Nor is a dial begun that nothing could be sent on.
 func TestDialEndsWithBackendGeneration(t *testing.T) {
 	restarted := proxytest.Endpoint("a", "127.0.0.1:1", discovery.StatusServing)
 	restarted.StartedAtMs = 7
@@ -53,7 +53,7 @@
 	}
 }
 
-// An answer that is under way when its backend drains comes to its end; the connection does not outlive it.
+// A response that is under way when its backend drains comes to its end; the connection is closed then.
 func TestResponseInFlightSurvivesBackendDrain(t *testing.T) {
 	came, goOn := make(chan bool, 1), make(chan bool)
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -76,7 +76,7 @@
 	proxytest.Receive(t, "close", b.Closed)
 }
 
-// A connection that was taken for a request is beyond the reach of what closes idle ones.
+// A connection that a request uses is not closed by what closes idle ones.
 func TestConnectionInUseIsNotEvicted(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := poolWith(1, b.Addr)
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -15,7 +15,7 @@
 	"merlinpick/internal/proxy/socket"
 )
 
-// The peer closes a kept connection; a request that ran into it was sent a second time by http.Transport.
+// The backend closes a kept connection; a request that ran into it was sent a second time by http.Transport.
 func TestConnectionClosedByBackendIsNotReused(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, false)) // promises to stay, then closes
 	p := poolWith(4, b.Addr)
@@ -39,7 +39,7 @@
 	}
 }
 
-// The close crosses the request: exactly one send, and it may have run.
+// The close crosses the request: it is sent exactly once, and may have been executed.
 func TestBackendCloseCrossingRequestIsOneReset(t *testing.T) {
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
@@ -114,7 +114,7 @@
 	}
 }
 
-// A kept connection that broke since its backend died leaves the trust in others as it was.
+// A reused connection that broke since its backend exited does not shorten the idle timeout of others.
 func TestBackendExitDoesNotShortenIdleTimeout(t *testing.T) {
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
@@ -143,8 +143,8 @@
 	}
 }
 
-// A kept connection that its backend closes unannounced breaks under its next request: final for one that
-// must not run twice. On a day with such resets the proxy went on trusting every idle connection.
+// A kept connection that its backend closes unannounced breaks under its next request, which fails it if it must not be
+// executed twice. The proxy went on reusing every idle connection.
 func TestStaleReuseShortensIdleTimeout(t *testing.T) {
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
--- a/internal/proxy/upstream/readahead_test.go
+++ b/internal/proxy/upstream/readahead_test.go
@@ -18,8 +18,8 @@
 	return copy(p, piece), nil
 }
 
-// A source stands still when it was asked for more and gives nothing. One that was not asked, since nobody had taken what
-// came before, does not, though nothing came and all is read now.
+// A source stalls when it was read from and gives nothing. One that was not read from, since nobody had taken what came
+// before, has not stalled, though nothing came and all is read now.
 func TestUnreadSourceIsNotStalled(t *testing.T) {
 	const size = 1 << 10
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/upstream/response_test.go
+++ b/internal/proxy/upstream/response_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// An answer that can't be read as HTTP has it is none, however it breaks the rules.
+// A response that cannot be read as HTTP counts as none, however it breaks the rules.
 func TestMalformedResponsesAreResets(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -34,7 +34,8 @@
 	}
 }
 
-// A client that is slow to take a large answer of untold length has it whole, though little of it had gone by its time.
+// A client that is slow to read a large response without a length gets all of it, though little had been read by its
+// deadline.
 func TestSlowClientGetsWholeResponsePastDeadline(t *testing.T) {
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*MaxBufferedResponse))
@@ -61,7 +62,7 @@
 	}
 }
 
-// An answer without a length ends with the connection's end; a reset is none.
+// A response without a length ends with the connection's end; a reset is none.
 func TestResetDoesNotCompleteResponse(t *testing.T) {
 	for name, head := range map[string]string{"HTTP/1.1": "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\n"} {
 		b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
--- a/internal/proxy/upstream/reusedelay_test.go
+++ b/internal/proxy/upstream/reusedelay_test.go
@@ -13,8 +13,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A second answer that comes after the next request is on its way here is not that one's: the connection rests until it has
-// come, is found to hold what nobody asked for, and is closed.
+// An extra response that comes after the next request has come here is not that one's: the connection stays unused until
+// it has come, is found to have bytes that nobody asked for, and is closed.
 func TestExtraResponseIsNotTakenForNextRequest(t *testing.T) {
 	next, spoilt := make(chan struct{}), make(chan struct{})
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
@@ -49,7 +49,8 @@
 	}
 }
 
-// A call that finds only connections that rest waits for the one that has rested longest; only one call does.
+// An attempt that finds only connections within their reuse delay waits for the one whose delay ends first; only one
+// attempt does.
 func TestAttemptWaitsOutReuseDelay(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := poolWith(4, b.Addr)
@@ -77,7 +78,7 @@
 	}
 }
 
-// One that has rested is used before a new one is opened, though others are more recent.
+// A connection past its reuse delay is used before a new one is opened, though others are more recent.
 func TestReusableConnectionFoundBehindDelayedOnes(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := poolWith(4, b.Addr)
--- a/internal/proxy/upstream/sendwindow_test.go
+++ b/internal/proxy/upstream/sendwindow_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// What cannot be written whole inside the window is broken off there, which proves that it never ran.
+// What cannot be written completely inside the send window is broken off at its end, which proves that it was never
+// executed.
 func TestWritePastSendWindowIsAborted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and reads nothing
 	if err != nil {
--- a/internal/proxy/upstream/shortage_test.go
+++ b/internal/proxy/upstream/shortage_test.go
@@ -11,8 +11,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A connect that fails for what this machine is short of says nothing of the backend: nothing went out, and nobody is to
-// blame. One that the backend refuses, or that does not reach it, is its own.
+// A connect that fails for what this machine is short of is no fault of the backend: nothing was sent. One that the
+// backend refuses, or that does not reach it, is the backend's.
 func TestLocalShortageBlamesNoBackend(t *testing.T) {
 	for _, c := range []struct {
 		errno error
--- a/internal/proxy/zoneoverrides_test.go
+++ b/internal/proxy/zoneoverrides_test.go
@@ -14,7 +14,7 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// stands is how a proxy shows a zone.
+// zoneStatus is how a proxy shows a zone.
 func zoneStatus(t *testing.T, p *running, name string) management.Zone {
 	t.Helper()
 	for _, z := range p.Zones() {
