--- a/internal/cluster/state/limits.go
+++ b/internal/cluster/state/limits.go
@@ -7,7 +7,7 @@
 )
 
 // enforceLimits evicts entries after one was stored, and reports whether that one was kept.
-func (m *merge) enforceLimits(o *observer, stored *Entry) (kept bool) {
+func (m *merge) enforceLimits(peer *observer, stored *Entry) (kept bool) {
 	s, kept := m.store, true
 	evict := func(from *observer, kind Kind) {
 		s.peerEntryCount--
@@ -18,19 +18,19 @@
 		}
 	}
 	maxOfKind := rulesByKind[stored.Kind].maxPerObserver
-	if o.countByKind[stored.Kind] > maxOfKind || len(o.entries) > s.limits.EntriesPerObserver {
-		s.sweepObserver(m.now, o)
+	if peer.countByKind[stored.Kind] > maxOfKind || len(peer.entries) > s.limits.EntriesPerObserver {
+		s.sweepObserver(m.now, peer)
 	}
-	if o.countByKind[stored.Kind] > maxOfKind {
-		evict(o, stored.Kind)
+	if peer.countByKind[stored.Kind] > maxOfKind {
+		evict(peer, stored.Kind)
 	}
-	if len(o.entries) > s.limits.EntriesPerObserver {
-		evict(o, 0)
+	if len(peer.entries) > s.limits.EntriesPerObserver {
+		evict(peer, 0)
 	}
 	if s.peerEntryCount > s.limits.Entries && !m.swept {
 		m.swept = true
-		for _, peer := range s.peers {
-			s.sweepObserver(m.now, peer)
+		for _, other := range s.peers {
+			s.sweepObserver(m.now, other)
 		}
 	}
 	if s.peerEntryCount > s.limits.Entries {
@@ -73,8 +73,8 @@
 	return o
 }
 
-func (s *Store) sweepObserver(now int64, o *observer) {
-	removed, expired := o.sweep(now)
+func (s *Store) sweepObserver(now int64, peer *observer) {
+	removed, expired := peer.sweep(now)
 	s.peerEntryCount -= removed
 	s.counts.Expired += uint64(expired)
 }
--- a/internal/cluster/state/merge.go
+++ b/internal/cluster/state/merge.go
@@ -81,42 +81,42 @@
 }
 
 // peerEntry merges a valid entry of a peer.
-func (m *merge) peerEntry(o *observer, e *Entry) mergeResult {
+func (m *merge) peerEntry(peer *observer, e *Entry) mergeResult {
 	s := m.store
-	if e.Incarnation < o.incarnation {
+	if e.Incarnation < peer.incarnation {
 		return mergeSuperseded
 	}
-	o.lastHeard = m.now
-	if e.Incarnation > o.incarnation {
-		s.peerEntryCount -= len(o.entries)
-		o.reset(e.Incarnation)
+	peer.lastHeard = m.now
+	if e.Incarnation > peer.incarnation {
+		s.peerEntryCount -= len(peer.entries)
+		peer.reset(e.Incarnation)
 	}
-	i, known := o.find(e.Kind, e.Subject)
+	i, known := peer.find(e.Kind, e.Subject)
 	if known {
-		return m.existing(o, o.entries[i], e)
+		return m.existing(peer, peer.entries[i], e)
 	}
-	if e.Seq <= o.seqFloor[e.Kind] {
+	if e.Seq <= peer.seqFloor[e.Kind] {
 		return mergeExpired
 	}
 	stored := new(Entry)
-	o.copyInterned(stored, e)
-	o.insert(i, stored)
-	s.nextSweep = min(s.nextSweep, o.nextSweep)
+	peer.copyInterned(stored, e)
+	peer.insert(i, stored)
+	s.nextSweep = min(s.nextSweep, peer.nextSweep)
 	s.peerEntryCount++
-	if m.enforceLimits(o, stored) {
+	if m.enforceLimits(peer, stored) {
 		return mergeAccepted
 	}
 	return mergeDropped
 }
 
 // existing merges an entry whose key is held. An older copy of the same version changes the expiry only.
-func (m *merge) existing(o *observer, held, e *Entry) mergeResult {
+func (m *merge) existing(peer *observer, held, e *Entry) mergeResult {
 	previousSeq, differs := held.Seq, !e.sameContent(held)
 	wins := compareVersions(e, held) > 0
 	if wins {
-		o.copyInterned(held, e)
-		o.nextSweep = min(o.nextSweep, held.retainedUntil())
-		m.store.nextSweep = min(m.store.nextSweep, o.nextSweep)
+		peer.copyInterned(held, e)
+		peer.nextSweep = min(peer.nextSweep, held.retainedUntil())
+		m.store.nextSweep = min(m.store.nextSweep, peer.nextSweep)
 	}
 	switch {
 	case e.Seq > previousSeq, wins && differs:
@@ -130,19 +130,19 @@
 // replyToOldIncarnation gossips an entry of an observer's held incarnation, at most once a second. A member that
 // restarted with its clock set back learns from it which incarnation it has to exceed; nothing else would tell it once
 // its previous entries have expired.
-func (m *merge) replyToOldIncarnation(o *observer, e *Entry) {
-	if m.now-o.lastReply < second {
+func (m *merge) replyToOldIncarnation(peer *observer, e *Entry) {
+	if m.now-peer.lastReply < second {
 		return
 	}
-	o.lastReply = m.now
-	for _, held := range o.entries {
+	peer.lastReply = m.now
+	for _, held := range peer.entries {
 		if held.ExpiresAt() > m.now {
 			m.changed = append(m.changed, *held)
 			return
 		}
 	}
-	m.changed = append(m.changed, Entry{Kind: e.Kind, Withdrawn: true, Subject: e.Subject, Observer: o.name,
-		ObserverZone: e.ObserverZone, Incarnation: o.incarnation, Seq: 1, ObservedAt: m.now, TTL: e.Kind.TTL()})
+	m.changed = append(m.changed, Entry{Kind: e.Kind, Withdrawn: true, Subject: e.Subject, Observer: peer.name,
+		ObserverZone: e.ObserverZone, Incarnation: peer.incarnation, Seq: 1, ObservedAt: m.now, TTL: e.Kind.TTL()})
 }
 
 // selfNamed handles an entry under this proxy's own name. One that it did not publish comes from a previous process or
--- a/internal/cluster/state/override.go
+++ b/internal/cluster/state/override.go
@@ -104,9 +104,9 @@
 
 // addOverride inserts an override of a server that had none. At the limit the oldest tombstone is evicted; suspensions
 // never are.
-func (s *Store) addOverride(now int64, at int, e *Entry) mergeResult {
+func (s *Store) addOverride(now int64, index int, e *Entry) mergeResult {
 	stored := new(*e)
-	s.overrides.insert(at, stored)
+	s.overrides.insert(index, stored)
 	if len(s.overrides.entries) > s.limits.Overrides {
 		s.overrides.sweep(now)
 	}
@@ -115,8 +115,8 @@
 	}
 	oldest := s.overrides.evict(0, func(e *Entry) bool { return e.Withdrawn })
 	if oldest == nil {
-		at, _ = s.overrides.find(Override, e.Subject)
-		s.overrides.entries = slices.Delete(s.overrides.entries, at, at+1)
+		index, _ = s.overrides.find(Override, e.Subject)
+		s.overrides.entries = slices.Delete(s.overrides.entries, index, index+1)
 	}
 	if oldest == nil || oldest == stored {
 		return mergeDropped
--- a/internal/cluster/state/publish.go
+++ b/internal/cluster/state/publish.go
@@ -73,8 +73,8 @@
 }
 
 // advertise adds an observation that was not published before.
-func (p *publication) advertise(o *Observation) {
-	e := &Entry{Kind: o.Kind, Subject: o.Subject, SubjectStartMs: o.SubjectStartMs, Body: o.Body}
+func (p *publication) advertise(observation *Observation) {
+	e := &Entry{Kind: observation.Kind, Subject: observation.Subject, SubjectStartMs: observation.SubjectStartMs, Body: observation.Body}
 	p.store.stamp(p.now, e)
 	p.changed = append(p.changed, *e)
 	p.store.counts.Advertised++
@@ -82,8 +82,8 @@
 }
 
 // update publishes an observation again if it changed or half of its TTL has passed.
-func (p *publication) update(e *Entry, o *Observation) {
-	changed := e.needsUpdate(p.now, o)
+func (p *publication) update(e *Entry, observation *Observation) {
+	changed := e.needsUpdate(p.now, observation)
 	due := e.ExpiresAt()-p.now < rulesByKind[e.Kind].ttl/2
 	switch {
 	case changed:
@@ -92,7 +92,7 @@
 		p.store.counts.Renewed++
 	}
 	if changed || due {
-		e.Withdrawn, e.SubjectStartMs, e.Body = false, o.SubjectStartMs, o.Body
+		e.Withdrawn, e.SubjectStartMs, e.Body = false, observation.SubjectStartMs, observation.Body
 		p.store.stamp(p.now, e)
 		p.changed = append(p.changed, *e)
 	}
@@ -101,12 +101,12 @@
 
 // needsUpdate reports whether an observation is to be published before its renewal is due: at once for a change of
 // fault, zone or subject, after the kind's update interval for changed numbers.
-func (e *Entry) needsUpdate(now int64, o *Observation) bool {
-	if e.Withdrawn || e.ExpiresAt() <= now || e.SubjectStartMs != o.SubjectStartMs ||
-		e.Body.Fault != o.Body.Fault || e.Body.SubjectZone != o.Body.SubjectZone {
+func (e *Entry) needsUpdate(now int64, observation *Observation) bool {
+	if e.Withdrawn || e.ExpiresAt() <= now || e.SubjectStartMs != observation.SubjectStartMs ||
+		e.Body.Fault != observation.Body.Fault || e.Body.SubjectZone != observation.Body.SubjectZone {
 		return true
 	}
-	return e.Body != o.Body && now-e.ObservedAt >= rulesByKind[e.Kind].updateInterval
+	return e.Body != observation.Body && now-e.ObservedAt >= rulesByKind[e.Kind].updateInterval
 }
 
 // stamp makes an entry the latest of this proxy.
@@ -130,12 +130,12 @@
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), strings.Compare(a.Subject, b.Subject))
 	}
 	admitted := s.admitted[:0]
-	for _, o := range observations {
-		body := &o.Body
+	for _, observation := range observations {
+		body := &observation.Body
 		body.Calls, body.BadFraction = roundNumber(body.Calls), roundNumber(body.BadFraction)
 		body.Value = roundNumber(body.Value)
-		if o.valid(s.limits.NameBytes) {
-			admitted = append(admitted, o)
+		if observation.valid(s.limits.NameBytes) {
+			admitted = append(admitted, observation)
 		}
 	}
 	if !slices.IsSortedFunc(admitted, order) {
@@ -144,13 +144,13 @@
 	s.admitted = admitted
 	var countByKind [kindCount]int
 	n := 0
-	for _, o := range admitted {
-		duplicate := n > 0 && order(admitted[n-1], o) == 0
-		if duplicate || countByKind[o.Kind] == rulesByKind[o.Kind].maxPerObserver || n == s.limits.EntriesPerObserver {
+	for _, observation := range admitted {
+		duplicate := n > 0 && order(admitted[n-1], observation) == 0
+		if duplicate || countByKind[observation.Kind] == rulesByKind[observation.Kind].maxPerObserver || n == s.limits.EntriesPerObserver {
 			continue
 		}
-		countByKind[o.Kind]++
-		admitted[n] = o
+		countByKind[observation.Kind]++
+		admitted[n] = observation
 		n++
 	}
 	s.counts.Omitted += uint64(len(observations) - n)
--- a/internal/faultlab/hollow/hollow.go
+++ b/internal/faultlab/hollow/hollow.go
@@ -68,6 +68,7 @@
 	Reason  string `json:"cause"`
 }
 
+// Error implements error.
 func (e *FailedError) Error() string {
 	return fmt.Sprintf("hollow %s (process %s) failed: %s; see that process's log", e.Name, e.Process, e.Reason)
 }
--- a/internal/faultlab/hollow/process.go
+++ b/internal/faultlab/hollow/process.go
@@ -129,12 +129,17 @@
 	return nil
 }
 
+// panicError is a recovered panic.
+type panicError struct{ value any }
+
+func (e *panicError) Error() string { return fmt.Sprintf("panic: %v", e.value) }
+
 // recoverPanic makes a panic of a proxy's code that proxy's failure.
 func (p *Process) recoverPanic(name string, do func()) {
 	defer func() {
 		if r := recover(); r != nil {
 			p.log.Error("panic", "name", name, "stack", string(debug.Stack()))
-			p.fail(name, fmt.Errorf("panic: %v", r))
+			p.fail(name, &panicError{r})
 		}
 	}()
 	do()
@@ -154,50 +159,79 @@
 	}
 }
 
-// Execute runs a command in the background. It returns an error for an invalid command.
-func (p *Process) Execute(o Command) error {
-	for _, t := range o.Targets {
-		if p.servers[t.Name] == nil {
-			return fmt.Errorf("hollow process %s: no server %q", p.cfg.Name, t.Name)
+// Actions of a Command.
+const (
+	actionReplace = "replace" // drain, deregister and start another generation
+	actionDie     = "die"     // end without deregistering
+	actionLose    = "lose"    // lose gossip datagrams
+)
+
+// CommandError reports a command that cannot be executed.
+type CommandError struct {
+	Process string
+	Problem string
+}
+
+// Error implements error.
+func (e *CommandError) Error() string {
+	return fmt.Sprintf("hollow process %s: command rejected: %s", e.Process, e.Problem)
+}
+
+// Execute runs a command in the background. The error is a *CommandError for an invalid command.
+func (p *Process) Execute(command Command) error {
+	for _, target := range command.Targets {
+		if p.servers[target.Name] == nil {
+			return &CommandError{p.cfg.Name, fmt.Sprintf("no server %q", target.Name)}
 		}
 	}
-	if !slices.Contains([]string{"replace", "die", "lose"}, o.Action) {
-		return fmt.Errorf("hollow: action %q: use replace, die or lose", o.Action)
-	}
-	if o.Action == "lose" {
-		end, err := p.loseDatagrams(o.Fraction)
-		p.commands.Go(func() {
-			sleep.For(p.ctx, time.Duration(o.DurationMs)*time.Millisecond)
-			if err := end(); err != nil {
-				p.fail("relays", err)
-			}
-		})
-		return err
+	duration := time.Duration(command.DurationMs) * time.Millisecond
+	switch command.Action {
+	case actionLose:
+		return p.lose(command.Fraction, duration)
+	case actionReplace, actionDie:
+	default:
+		return &CommandError{p.cfg.Name, fmt.Sprintf("unknown action %q; use replace, die or lose", command.Action)}
 	}
-	for _, t := range o.Targets {
-		n := p.servers[t.Name]
+	for _, target := range command.Targets {
+		s := p.servers[target.Name]
 		p.commands.Go(func() {
-			if !sleep.For(p.ctx, time.Duration(t.DelayMs)*time.Millisecond) {
-				return
-			}
-			if o.Action == "replace" {
-				if err := n.replace(p.ctx); err != nil {
-					p.fail(n.Name, err)
+			switch {
+			case !sleep.For(p.ctx, time.Duration(target.DelayMs)*time.Millisecond):
+			case command.Action == actionReplace:
+				if err := s.replace(p.ctx); err != nil {
+					p.fail(s.Name, err)
 				}
-				return
-			}
-			p.mu.Lock()
-			p.deaths = append(p.deaths, Death{n.Name, unixNano()})
-			p.mu.Unlock()
-			n.die()
-			if o.DurationMs > 0 && sleep.For(p.ctx, time.Duration(o.DurationMs)*time.Millisecond) {
-				n.start(p.ctx)
+			default:
+				p.kill(s, duration)
 			}
 		})
 	}
 	return nil
 }
 
+// kill ends a server without deregistering and starts it again after a downtime; never for 0.
+func (p *Process) kill(s *server, downtime time.Duration) {
+	p.mu.Lock()
+	p.deaths = append(p.deaths, Death{s.Name, unixNano()})
+	p.mu.Unlock()
+	s.die()
+	if downtime > 0 && sleep.For(p.ctx, downtime) {
+		s.start(p.ctx)
+	}
+}
+
+// lose drops a fraction of the datagrams to the process's members for a duration.
+func (p *Process) lose(fraction float64, duration time.Duration) error {
+	end, err := p.loseDatagrams(fraction)
+	p.commands.Go(func() {
+		sleep.For(p.ctx, duration)
+		if err := end(); err != nil {
+			p.fail("relays", err)
+		}
+	})
+	return err
+}
+
 // ResetMetrics starts a new period of the metrics.
 func (p *Process) ResetMetrics() {
 	p.mu.Lock()
--- a/internal/faultlab/model/check.go
+++ b/internal/faultlab/model/check.go
@@ -33,6 +33,7 @@
 	Detail string
 }
 
+// String returns the violation with its time in seconds.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.3f s: %s: %s", float64(v.At)/float64(sec), v.Rule, v.Detail)
 }
--- a/internal/faultlab/model/config.go
+++ b/internal/faultlab/model/config.go
@@ -121,6 +121,7 @@
 // ConfigError reports an invalid field of a Config.
 type ConfigError struct{ Field string }
 
+// Error implements error.
 func (e *ConfigError) Error() string { return "model: Config." + e.Field + ": out of range" }
 
 // settings returns a proxy's settings.
--- a/internal/faultlab/model/fault.go
+++ b/internal/faultlab/model/fault.go
@@ -27,6 +27,7 @@
 	faultKindCount
 )
 
+// String returns the kind's name.
 func (k FaultKind) String() string {
 	if k < 0 || k >= faultKindCount {
 		return "unknown"
@@ -46,6 +47,7 @@
 	Period       int64
 }
 
+// String returns the fault with its times in seconds.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s at %.1f s for %.1f s: zone %d to %d, %v, %g", f.Kind, float64(f.At)/float64(sec),
 		float64(f.Duration)/float64(sec), f.Zone, f.To, f.Targets, f.Value)
--- a/internal/faultlab/model/proxy.go
+++ b/internal/faultlab/model/proxy.go
@@ -154,27 +154,27 @@
 	p.stopped, p.resumedAt = false, p.sim.now
 	p.sim.gossip.membershipChanged(p.sim)
 	for len(p.inbox) > 0 && p.up && !p.stopped {
-		do := p.inbox[0]
+		run := p.inbox[0]
 		p.inbox = p.inbox[1:]
-		do()
+		run()
 	}
 	p.inboxGossip = 0
 }
 
 // deliver runs something in the process now, or once it is resumed; not in a later incarnation.
-func (p *proxy) deliver(incarnation int, do func()) {
+func (p *proxy) deliver(incarnation int, run func()) {
 	switch {
 	case !p.up || p.incarnation != incarnation:
 	case p.stopped:
-		p.inbox = append(p.inbox, func() { p.deliver(incarnation, do) })
+		p.inbox = append(p.inbox, func() { p.deliver(incarnation, run) })
 	default:
-		do()
+		run()
 	}
 }
 
 // after plans something in the process, unless another incarnation runs then.
-func (p *proxy) after(delay int64, kind eventKind, incarnation int, do func()) {
-	p.sim.after(delay, kind, p.id, func() { p.deliver(incarnation, do) })
+func (p *proxy) after(delay int64, kind eventKind, incarnation int, run func()) {
+	p.sim.after(delay, kind, p.id, func() { p.deliver(incarnation, run) })
 }
 
 // tick is one iteration of the proxy's loop.
@@ -293,8 +293,11 @@
 	delete(p.requests, req.id)
 }
 
+// Reject implements balancer.Host.
 func (p *proxy) Reject(id string, after int64) { p.answer(id, evRefuse, endRejected) }
-func (p *proxy) Fail(id string)                { p.answer(id, evFail, endFailed) }
+
+// Fail implements balancer.Host.
+func (p *proxy) Fail(id string) { p.answer(id, evFail, endFailed) }
 
 func (p *proxy) answer(id string, k eventKind, e requestEnd) {
 	p.sim.record(k, p.id, 0)
@@ -307,6 +310,7 @@
 	p.removeIfDone(req)
 }
 
+// SetTimer implements balancer.Host.
 func (p *proxy) SetTimer(delay int64, token string) {
 	incarnation := p.incarnation
 	p.sim.after(p.realDuration(delay), evTimer, p.id, func() {
@@ -314,7 +318,10 @@
 	})
 }
 
+// Watch implements balancer.Host.
 func (p *proxy) Watch() {}
+
+// Log implements balancer.Host.
 func (p *proxy) Log(event balancer.Event) {
 	if p.sim.cfg.log != nil {
 		p.sim.cfg.log(p.sim.now, p.name, event.String())
--- a/internal/faultlab/model/simulation.go
+++ b/internal/faultlab/model/simulation.go
@@ -117,9 +117,9 @@
 )
 
 // after plans an event after a delay in microseconds.
-func (w *simulation) after(delay int64, k eventKind, who int, do func()) {
+func (w *simulation) after(delay int64, k eventKind, who int, run func()) {
 	w.scheduledEvents++
-	w.agenda.push(event{w.now + max(delay, 0), w.scheduledEvents, k, int32(who), do})
+	w.agenda.push(event{w.now + max(delay, 0), w.scheduledEvents, k, int32(who), run})
 }
 
 // record adds an event to the run's hash.
--- a/internal/faultlab/ramp/proxy.go
+++ b/internal/faultlab/ramp/proxy.go
@@ -111,6 +111,7 @@
 	p.sim.after(timeout, func() { a.finish(balancer.StatusTimedOut, 0) })
 }
 
+// Reject implements balancer.Host.
 func (p *proxy) Reject(id string, after int64) {
 	req := p.requests[id]
 	if req.attempts == 0 && p.sim.now >= 1000*sec+sceneStart {
@@ -119,6 +120,7 @@
 	p.finishUnserved(req, true)
 }
 
+// Fail implements balancer.Host.
 func (p *proxy) Fail(id string) { p.finishUnserved(p.requests[id], p.requests[id].Class == 2) }
 
 // finishUnserved ends a request; half of the clients repeat it, twice at most.
@@ -137,6 +139,7 @@
 	}
 }
 
+// SetTimer implements balancer.Host.
 func (p *proxy) SetTimer(delay int64, token string) {
 	incarnation := p.incarnation
 	p.sim.after(delay, func() {
@@ -145,7 +148,11 @@
 		}
 	})
 }
-func (p *proxy) Watch()             {}
+
+// Watch implements balancer.Host.
+func (p *proxy) Watch() {}
+
+// Log implements balancer.Host.
 func (p *proxy) Log(balancer.Event) {}
 
 // finish reports an attempt's outcome to its process after a network delay.
--- a/internal/faultlab/ramp/ramp.go
+++ b/internal/faultlab/ramp/ramp.go
@@ -79,6 +79,7 @@
 	run       func()
 }
 
+// events implements heap.Interface.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -109,9 +110,9 @@
 	sinceScene   struct{ requests, served, rejectedUnsent float64 } // counts since the scene's start
 }
 
-func (sim *simulation) after(d int64, do func()) {
+func (sim *simulation) after(d int64, run func()) {
 	sim.seq++
-	heap.Push(&sim.events, event{sim.now + max(d, 0), sim.seq, do})
+	heap.Push(&sim.events, event{sim.now + max(d, 0), sim.seq, run})
 }
 
 // Run runs one scene.
