--- a/internal/faultlab/ramp/ramp.go
+++ b/internal/faultlab/ramp/ramp.go
@@ -39,13 +39,6 @@
 	Scene        Scene
 }
 
-// Scene is what happens in a run.
-type Scene string
-
-// Scenes are all scenes, in the order of the tables.
-var Scenes = []Scene{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow", "fail", "home",
-	"surge", "overload"}
-
 // DrawConfig returns a run of a size with settings drawn from the seed, in and beyond the range that the settings allow.
 func DrawConfig(seed uint64, proxies int, scene Scene, peers bool) Config {
 	rnd := rand.New(rand.NewPCG(seed, 77))
--- a/internal/faultlab/ramp/scene.go
+++ b/internal/faultlab/ramp/scene.go
@@ -2,27 +2,20 @@
 
 import "merlinpick/balancer"
 
+// Scene is what happens in a run.
+type Scene string
+
+// Scenes are all scenes, in the order of the tables.
+var Scenes = []Scene{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow", "fail", "home",
+	"surge", "overload"}
+
 // startScene starts the scene's event.
 func (sim *simulation) startScene() {
-	n := len(sim.servers)
-	some := func(part float64) []*server { // a random fraction
-		var of []*server
-		for _, i := range sim.random.Perm(n)[:max(1, int(part*float64(n)))] {
-			of = append(of, sim.servers[i])
-		}
-		return of
-	}
 	switch sim.Scene {
-	case "calm": // one restarts
-		some(0)[0].restart()
+	case "calm": // one server restarts
+		sim.restart(0)
 	case "replaced": // half drain and as many new ones start, in two steps
-		for i, s := range some(0.5) {
-			sim.after(int64(i%2)*sec, func() {
-				s.state = balancer.ServerDraining
-				s.announce()
-				sim.addServer(s.zone, sim.now).announce()
-			})
-		}
+		sim.replaceHalf()
 	case "zone": // a zone is lost and returns in slow start; the list never removes it
 		sim.loseZone(5 * sec)
 	case "few": // all but two restart at once
@@ -34,54 +27,90 @@
 			s.restart()
 		}
 	case "ban": // one is suspended at all processes, restarted and resumed
-		sim.suspendServer(some(0)[0])
+		sim.suspendServer(sim.randomServers(0)[0])
 	case "restart": // a third restarts, and seven in ten processes restart meanwhile
-		for _, s := range some(0.34) {
-			s.restart()
-		}
-		for _, p := range sim.proxies {
-			if sim.random.Float64() < 0.7 {
-				sim.after(sim.random.Int64N(2*sec), p.start)
-			}
-		}
-	case "hang", "slow", "fail": // three in four are unresponsive, five times as slow, or fail, while one restarts
-		of := some(0.75)
-		for _, s := range of[1:] {
-			if s.unresponsive, s.failing = sim.Scene == "hang", sim.Scene == "fail"; sim.Scene == "slow" {
-				s.slowdown = 5
-			}
-		}
-		of[0].restart()
-	case "home": // a zone has only one server, and that restarts
-		for _, s := range sim.servers {
-			if s.zone == 0 && s != sim.servers[0] {
-				s.state = balancer.ServerDraining
-				s.announce()
-			}
-		}
-		sim.after(sec, sim.servers[0].restart)
+		sim.restart(0.34)
+		sim.restartProxies(0.7)
+	case "hang", "slow", "fail": // three in four are unresponsive, slow or fail, while one restarts
+		sim.impairServers()
+	case "home": // a zone has one server left, which restarts
+		sim.drainZoneButOne()
 	case "overload": // a third restarts at a load above the capacity
-		for _, s := range some(0.34) {
-			s.restart()
-		}
+		sim.restart(0.34)
 	case "surge": // a quarter restarts, and the load triples from then on
 		sim.rateFactor = 3
-		for _, s := range some(0.25) {
-			s.restart()
+		sim.restart(0.25)
+	}
+}
+
+// randomServers draws a fraction of the servers, at least one.
+func (sim *simulation) randomServers(fraction float64) []*server {
+	n := len(sim.servers)
+	var drawn []*server
+	for _, i := range sim.random.Perm(n)[:max(1, int(fraction*float64(n)))] {
+		drawn = append(drawn, sim.servers[i])
+	}
+	return drawn
+}
+
+// restart restarts a fraction of the servers, at least one.
+func (sim *simulation) restart(fraction float64) {
+	for _, s := range sim.randomServers(fraction) {
+		s.restart()
+	}
+}
+
+func (sim *simulation) replaceHalf() {
+	for i, s := range sim.randomServers(0.5) {
+		sim.after(int64(i%2)*sec, func() {
+			s.state = balancer.ServerDraining
+			s.announce()
+			sim.addServer(s.zone, sim.now).announce()
+		})
+	}
+}
+
+func (sim *simulation) restartProxies(fraction float64) {
+	for _, p := range sim.proxies {
+		if sim.random.Float64() < fraction {
+			sim.after(sim.random.Int64N(2*sec), p.start)
+		}
+	}
+}
+
+func (sim *simulation) impairServers() {
+	impaired := sim.randomServers(0.75)
+	for _, s := range impaired[1:] {
+		s.unresponsive, s.failing = sim.Scene == "hang", sim.Scene == "fail"
+		if sim.Scene == "slow" {
+			s.slowdown = 5
+		}
+	}
+	impaired[0].restart()
+}
+
+func (sim *simulation) drainZoneButOne() {
+	for _, s := range sim.servers {
+		if s.zone == 0 && s != sim.servers[0] {
+			s.state = balancer.ServerDraining
+			s.announce()
 		}
 	}
+	sim.after(sec, sim.servers[0].restart)
 }
 
-func (sim *simulation) loseZone(span int64) {
+// loseZone makes a zone's servers unreachable, and restarts them after a while.
+func (sim *simulation) loseZone(duration int64) {
 	for _, s := range sim.servers {
 		if s.zone == 0 {
 			s.stop()
 			s.unreachable = true
-			sim.after(span, s.restart)
+			sim.after(duration, s.restart)
 		}
 	}
 }
 
+// suspendServer suspends a server at all proxies for 3 s and restarts it meanwhile.
 func (sim *simulation) suspendServer(s *server) {
 	for _, p := range sim.proxies {
 		sim.after(sim.random.Int64N(sec/10), func() { p.balancer.SetSuspendedServers(map[string]bool{s.id: true}) })
