--- a/internal/discovery/fakeregistry_test.go
+++ b/internal/discovery/fakeregistry_test.go
@@ -102,7 +102,7 @@
 		}
 	}
 }
-func encodeList(m fakeMember, whole bool, names []string) string {
+func encodeList(m fakeMember, full bool, names []string) string {
 	var b strings.Builder
 	for i, n := range names {
 		if i > 0 {
@@ -110,7 +110,7 @@
 		}
 		fmt.Fprintf(&b, `{"name":%q,"address":"127.0.0.1:1","zone":"a","status":"SERVING","weight":1,"since_ms":1}`, n)
 	}
-	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"line":%q,"endpoints":[%s]}`, m.version, whole, m.epoch, b.String())
+	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"line":%q,"endpoints":[%s]}`, m.version, full, m.epoch, b.String())
 }
 
 // recordedList is the list as a reader of the client's updates has it.
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -177,13 +177,13 @@
 	if line == "two" {
 		names = []string{"a", "e"}
 	}
-	list := func(version int64, whole bool) func() (*http.Response, error) {
+	list := func(version int64, full bool) func() (*http.Response, error) {
 		return func() (*http.Response, error) {
 			var entries []string
 			for _, n := range names {
 				entries = append(entries, fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":"z","status":"SERVING","weight":1,"since_ms":5}`, n))
 			}
-			return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"line":%q,"endpoints":[%s]}`, version, whole, line, strings.Join(entries, ","))), nil
+			return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"line":%q,"endpoints":[%s]}`, version, full, line, strings.Join(entries, ","))), nil
 		}
 	}
 	faulty := fmt.Sprintf("m%d", 1+age/(6*time.Second)%3)
@@ -201,11 +201,11 @@
 			return pausing(r, 10*time.Millisecond, list(version-4, false))
 		}
 	}
-	whole := from == "" || r.URL.Query().Get("line") != line
-	if whole {
+	full := from == "" || r.URL.Query().Get("line") != line
+	if full {
 		hold = 0
 	}
-	return pausing(r, min(hold, 900*time.Millisecond), list(version, whole))
+	return pausing(r, min(hold, 900*time.Millisecond), list(version, full))
 }
 
 func hashOf(lines ...[]string) string {
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -90,7 +90,7 @@
 	return next
 }
 
-// finish records a reply and reports whether it is the result of the whole.
+// finish records a reply and reports whether it is the result of the hedged call.
 func (h *hedge) finish(reply hedgeReply) bool {
 	if errors.Is(reply.err, errUnavailable) {
 		h.client.platform.rejectedSinceSuccess = true
--- a/internal/discovery/notifydeadline_test.go
+++ b/internal/discovery/notifydeadline_test.go
@@ -12,7 +12,7 @@
 // within NotifyDeadline, less a margin, whatever fault its calls have, and makes no more calls than the fault requires. Faults
 // of a whole fleet are tested with 300 clients, whose own calls fill the queue.
 func TestChangeArrivesWithinNotifyDeadline(t *testing.T) {
-	const told = 6 * time.Second
+	const deadline = NotifyDeadline
 	struck := func(what func(*heldWatch), next ...callFault) func(*serverModel) {
 		return func(model *serverModel) { model.inject(what, next...) }
 	}
@@ -114,7 +114,7 @@
 					stop()
 					synctest.Wait()
 					age := model.worstAge(t)
-					most := told - margin
+					most := deadline - margin
 					if tt.in == pushed { // its changes count as known at once
 						most = 1200 * time.Millisecond
 					}
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -14,46 +14,46 @@
 func TestPollsResumeSoonAfterOutage(t *testing.T) {
 	const wait = 2 * time.Second
 	for _, tt := range []struct {
-		name          string
-		front, behind int
-		turn          time.Duration
-		after, down   time.Duration // start of the outage, since the fleet's start, and its duration
-		again         int           // processes that start as it ends
-		within, first time.Duration // after its end all have a list, and those of the first tier
+		name                 string
+		firstTier, laterTier int
+		callTime             time.Duration
+		after, down          time.Duration // start of the outage, since the fleet's start, and its duration
+		again                int           // processes that start as it ends
+		within, withinFirst  time.Duration // after its end all have a list, and those of the first tier
 	}{
-		{"as in the bench", 49, 230, 20 * time.Millisecond, 2500 * time.Millisecond, 7500 * time.Millisecond, 34, 14 * time.Second, 6 * time.Second},
-		{"as in the report", 49, 300, 20 * time.Millisecond, 1500 * time.Millisecond, 8 * time.Second, 34, 18 * time.Second, 6 * time.Second},
+		{"two tiers", 49, 230, 20 * time.Millisecond, 2500 * time.Millisecond, 7500 * time.Millisecond, 34, 14 * time.Second, 6 * time.Second},
+		{"two tiers, a larger second", 49, 300, 20 * time.Millisecond, 1500 * time.Millisecond, 8 * time.Second, 34, 18 * time.Second, 6 * time.Second},
 		{"a long outage", 49, 300, 20 * time.Millisecond, 1500 * time.Millisecond, 30 * time.Second, 34, 18 * time.Second, 6 * time.Second},
-		{"slow turns", 49, 250, 26 * time.Millisecond, 2500 * time.Millisecond, 7500 * time.Millisecond, 34, 15 * time.Second, 6 * time.Second},
+		{"slow service", 49, 250, 26 * time.Millisecond, 2500 * time.Millisecond, 7500 * time.Millisecond, 34, 15 * time.Second, 6 * time.Second},
 		{"a larger fleet", 150, 750, 20 * time.Millisecond, 2500 * time.Millisecond, 7500 * time.Millisecond, 100, 46 * time.Second, 15 * time.Second},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				model := &serverModel{maxWait: wait, queueLimit: 5 * time.Second, serviceTime: tt.turn, ctx: ctx, changed: make(chan struct{})}
+				model := &serverModel{maxWait: wait, queueLimit: 5 * time.Second, serviceTime: tt.callTime, ctx: ctx, changed: make(chan struct{})}
 				join := func(n int, callers int) {
 					for range n {
 						model.assumedCallers = callers
 						model.join(ctx, false, uint64(len(model.callers)+1), 0)
 					}
 				}
-				join(tt.front, EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.front}))
-				join(tt.behind, EstimateCallers(Topology{Tier: 1, TierCount: 2, Replicas: tt.behind}))
+				join(tt.firstTier, EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.firstTier}))
+				join(tt.laterTier, EstimateCallers(Topology{Tier: 1, TierCount: 2, Replicas: tt.laterTier}))
 				time.Sleep(tt.after)
 				model.outage(rejectedAfterWait, resetWatch, tt.down)
 				model.publishVersion()
-				join(tt.again, EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.front}))
+				join(tt.again, EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.firstTier}))
 				time.Sleep(3 * time.Minute)
 				stop()
 				synctest.Wait()
 				age := model.worstAge(t)
 				t.Logf("the last updated after %v; %d calls served, %d wasted", age, model.served, model.wasted)
-				front := EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.front})
+				front := EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.firstTier})
 				model.callers = slices.DeleteFunc(model.callers, func(c *modelClient) bool { return c.client.cfg.Callers != front })
 				first := model.worstAge(t)
 				t.Logf("the last of the first tier after %v", first)
-				if first > tt.first {
-					t.Errorf("want those of the first tier within %v", tt.first)
+				if first > tt.withinFirst {
+					t.Errorf("want those of the first tier within %v", tt.withinFirst)
 				}
 				if age > tt.within {
 					t.Errorf("want all within %v", tt.within)
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -13,36 +13,37 @@
 // its clients let it drain: all are answered within the sum of the constants in polling.go.
 func TestPollingDrainsOverloadedQueue(t *testing.T) {
 	const (
-		turn  = 18 * time.Millisecond
+		call  = 18 * time.Millisecond
 		w     = 2 * time.Second
 		calm  = maxQueueDrain + timeoutsUntilBackoff*maxSmallFleetPeriod            // until the period doubles
 		soon  = minPollPeriod + w + maxSmallFleetPeriod - w + 1500*time.Millisecond // a poll that times out; another; and their service time
 		third = calm + maxSmallFleetPeriod*3/2*(2+4+8)                              // until each has polled in the longest period
 	)
 	tests := []struct {
-		name    string
-		clients int
-		turn    time.Duration
-		fault   callFault // for 8 s; noFault: the clients start together instead
-		within  time.Duration
-		vain    int // served calls without an answer, for each client at most
-		fails   int // every so many served calls one ends with a 503
+		name      string
+		clients   int
+		callTime  time.Duration
+		fault     callFault // for 8 s; noFault: the clients start together instead
+		within    time.Duration
+		wasted    int // served calls without an answer, for each client at most
+		failEvery int // every so many served calls one ends with a 503
 	}{
-		{"none waits in vain", 300, turn, rejectedAfterWait, 300*turn + 550*time.Millisecond, 0, 0},
-		{"after refusals", 300, turn, rejected, soon, 1, 0},
-		{"after resets", 300, turn, connectionReset, soon, 1, 0},
-		{"as they begin", 300, turn, noFault, w + calm + w, 2, 0},
-		{"slow turns", 300, 25 * time.Millisecond, rejectedAfterWait, calm + maxSmallFleetPeriod*3/2*(2+4) + w, 2, 0},
-		{"one in four turns fails", 300, turn, rejectedAfterWait, calm + w, 1, 4},
-		{"one in four turns of few fails", 12, turn, rejectedAfterWait, 6 * time.Second, 0, 4},
-		{"1,300", 1300, turn, rejectedAfterWait, third + w, 3, 0},
-		{"1,300 as they begin", 1300, turn, noFault, w + third + w, 3, 0},
+		{"no call times out", 300, call, rejectedAfterWait, 300*call + 550*time.Millisecond, 0, 0},
+		{"after rejections", 300, call, rejected, soon, 1, 0},
+		{"after resets", 300, call, connectionReset, soon, 1, 0},
+		{"as they start", 300, call, noFault, w + calm + w, 2, 0},
+		{"slow service", 300, 25 * time.Millisecond, rejectedAfterWait, calm + maxSmallFleetPeriod*3/2*(2+4) + w, 2, 0},
+		{"one in four calls fails", 300, call, rejectedAfterWait, calm + w, 1, 4},
+		{"one in four calls of few fails", 12, call, rejectedAfterWait, 6 * time.Second, 0, 4},
+		{"1,300", 1300, call, rejectedAfterWait, third + w, 3, 0},
+		{"1,300 as they start", 1300, call, noFault, w + third + w, 3, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				model := &serverModel{maxWait: w, queueLimit: 5 * time.Second, serviceTime: tt.turn, failEvery: tt.fails, assumedCallers: tt.clients, ctx: ctx, changed: make(chan struct{})}
+				model := &serverModel{maxWait: w, queueLimit: 5 * time.Second, serviceTime: tt.callTime,
+					failEvery: tt.failEvery, assumedCallers: tt.clients, ctx: ctx, changed: make(chan struct{})}
 				if tt.fault != noFault {
 					model.serviceTime = time.Millisecond // all are answered before the outage
 				}
@@ -52,7 +53,7 @@
 				if tt.fault != noFault {
 					time.Sleep(3 * time.Second)
 					model.mu.Lock()
-					model.serviceTime = tt.turn
+					model.serviceTime = tt.callTime
 					model.mu.Unlock()
 					model.outage(tt.fault, resetWatch, 8*time.Second)
 				}
@@ -77,9 +78,10 @@
 						worst = max(worst, c.heardAt[0].Sub(model.availableSince))
 					}
 				}
-				told := fmt.Sprintf("%d of %d received nothing, the last after %v; %d calls served, %d wasted", never, tt.clients, worst, model.served, model.wasted)
-				if t.Log(told); never > 0 || worst > tt.within || model.wasted > tt.vain*tt.clients {
-					t.Errorf("want all within %v and at most %d calls wasted", tt.within, tt.vain*tt.clients)
+				result := fmt.Sprintf("%d of %d received nothing, the last after %v; %d calls served, %d wasted",
+					never, tt.clients, worst, model.served, model.wasted)
+				if t.Log(result); never > 0 || worst > tt.within || model.wasted > tt.wasted*tt.clients {
+					t.Errorf("want all within %v and at most %d calls wasted", tt.within, tt.wasted*tt.clients)
 				}
 			})
 		})
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -56,7 +56,7 @@
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
 		c.SetInitialList(&List{Version: 5, Full: true})
 		c.scheduleResync()
-		start, whole := time.Now(), []time.Duration(nil)
+		start, fullCalls := time.Now(), []time.Duration(nil)
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			if hold, _ := time.ParseDuration(r.URL.Query().Get("hold_ms") + "ms"); hold > 0 {
 				select {
@@ -66,7 +66,7 @@
 					return nil, r.Context().Err()
 				}
 			}
-			if whole = append(whole, time.Since(start)); len(whole) == 1 {
+			if fullCalls = append(fullCalls, time.Since(start)); len(fullCalls) == 1 {
 				return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 			}
 			return okResponse(`{"index":5,"snapshot":true,"endpoints":[]}`), nil
@@ -85,9 +85,9 @@
 		time.Sleep(10 * time.Minute)
 		stop()
 		synctest.Wait()
-		if len(whole) != 2 || whole[0] < resyncDelayMin || whole[0] > resyncDelayMin+resyncDelayJitter+5*time.Second ||
-			whole[1]-whole[0] < resyncDelayMin {
-			t.Errorf("the full list was requested at %v", whole)
+		if len(fullCalls) != 2 || fullCalls[0] < resyncDelayMin || fullCalls[0] > resyncDelayMin+resyncDelayJitter+5*time.Second ||
+			fullCalls[1]-fullCalls[0] < resyncDelayMin {
+			t.Errorf("the full list was requested at %v", fullCalls)
 		}
 	})
 }
@@ -167,10 +167,10 @@
 // wait in the queue with what is left of the watch's.
 func TestLostConnectionIsNotRetriedSilently(t *testing.T) {
 	var held []string // the hold shows the kind of call
-	asked := make(chan struct{}, 10)
+	calls := make(chan struct{}, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		held = append(held, r.URL.Query().Get("hold_ms"))
-		asked <- struct{}{}
+		calls <- struct{}{}
 		switch len(held) {
 		case 1:
 			fmt.Fprint(w, `{"index":5,"snapshot":false,"endpoints":[]}`)
@@ -188,7 +188,7 @@
 	go func() { defer close(ended); c.Run(ctx) }()
 	<-c.Updates()
 	for range 3 {
-		<-asked
+		<-calls
 	}
 	stop()
 	<-ended
--- a/internal/discovery/polls_test.go
+++ b/internal/discovery/polls_test.go
@@ -10,7 +10,7 @@
 // What a client knows of an overloaded queue does not hold for another source, nor after discovery was down, nor in a fleet
 // too small to fill a queue: a change still arrives within NotifyDeadline.
 func TestQueueEstimateIsReset(t *testing.T) {
-	const told = 6*time.Second - 400*time.Millisecond
+	const bound = NotifyDeadline - 400*time.Millisecond
 	for _, tt := range []struct {
 		name    string
 		clients int
@@ -34,7 +34,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				model := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second, serviceTime: time.Millisecond, assumedCallers: tt.clients, ctx: ctx,
+				model := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second, serviceTime: time.Millisecond,
+					assumedCallers: tt.clients, ctx: ctx,
 					changed: make(chan struct{})}
 				for i := range tt.clients {
 					model.join(ctx, false, uint64(i+1), 0)
@@ -45,8 +46,8 @@
 				time.Sleep(2 * time.Minute)
 				stop()
 				synctest.Wait()
-				if age := model.worstAge(t); age > told {
-					t.Errorf("the change arrived %v after it was available, want %v", age, told)
+				if age := model.worstAge(t); age > bound {
+					t.Errorf("the change arrived %v after it was available, want %v", age, bound)
 				}
 			})
 		})
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -29,13 +29,13 @@
 					m.state = ""
 				}
 			})
-			news := recorded.current().updates
+			updatesBefore := recorded.current().updates
 			sleep(LongPollTimeout + registryWatchSlack + 2*FailoverJitter)
 			at := time.Since(registry.start)
 			registry.set(func(_ string, m *fakeMember) { m.version++; m.names = []string{"a", "b", fmt.Sprint("c", i)} })
 			sleep(FailoverJitter + time.Millisecond)
-			if recorded.current().version != 11+int64(i) || recorded.current().at-at > FailoverJitter || recorded.current().updates != news+1 {
-				t.Errorf("%s: version %d after %v, %d news", state, recorded.current().version, recorded.current().at-at, recorded.current().updates-news)
+			if recorded.current().version != 11+int64(i) || recorded.current().at-at > FailoverJitter || recorded.current().updates != updatesBefore+1 {
+				t.Errorf("%s: version %d after %v, %d updates", state, recorded.current().version, recorded.current().at-at, recorded.current().updates-updatesBefore)
 			}
 		}
 	})
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -107,8 +107,8 @@
 	return backoff/2 + r.RandomDelay(backoff/2)
 }
 
-// PaceWatch sleeps for a random time if a watch that may be held for hold was answered early, after elapsed, without
-// news: a member that holds no watches must not be called in a tight loop.
+// PaceWatch sleeps for a random time below Jitter if a watch that may be held for hold was answered early, after elapsed,
+// without changes: a member that holds no watches must not be called in a tight loop.
 func (r *Ring) PaceWatch(ctx context.Context, elapsed, hold time.Duration) {
 	if elapsed < hold/2 {
 		Sleep(ctx, r.RandomDelay(Jitter))
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -51,16 +51,16 @@
 func TestAcceptedVersion(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		line    string
-		version int64
-		silent  time.Duration
-		taken   bool
+		epoch    string
+		version  int64
+		silent   time.Duration
+		accepted bool
 	}{
 		{"one", 10, 0, true}, {"one", 11, 0, true}, {"one", 9, 0, false}, {"one", 9, time.Hour, false},
 		{"two", 11, 0, true}, {"two", 9, 0, false}, {"two", 9, EpochWait - 1, false}, {"two", 9, EpochWait, true},
 	} {
 		l := AcceptedVersion{Epoch: "one", Version: 10, ConfirmedAt: now.Add(-c.silent)}
-		if err := l.Check(c.line, c.version, now); (err == nil) != c.taken || err != nil && !errors.Is(err, ErrStaleVersion) {
+		if err := l.Check(c.epoch, c.version, now); (err == nil) != c.accepted || err != nil && !errors.Is(err, ErrStaleVersion) {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -114,9 +114,9 @@
 		var here *appliedSet
 		var calls []string
 		unreachable := errors.New("not reachable")
-		overrides, here = startOverrides(t, Config{Dir: dir, Notify: func(nodo string, suspended bool) error {
-			calls = append(calls, nodo+" "+strconv.FormatBool(suspended))
-			if nodo == "c" {
+		overrides, here = startOverrides(t, Config{Dir: dir, Notify: func(server string, suspended bool) error {
+			calls = append(calls, server+" "+strconv.FormatBool(suspended))
+			if server == "c" {
 				return unreachable
 			}
 			overrides.SetRemote(map[string]bool{"y": suspended})
--- a/internal/rollout/cache.go
+++ b/internal/rollout/cache.go
@@ -49,8 +49,9 @@
 		return nil, nil
 	}
 	if errors.Is(err, atomicfile.ErrDamaged) {
-		err = errors.Join(fmt.Errorf("cached configuration %s: %w; it is renamed to %s", path, err, filepath.Base(path)+damagedSuffix),
-			os.Rename(path, path+damagedSuffix))
+		renamed := path + damagedSuffix
+		err = errors.Join(fmt.Errorf("cached configuration %s: %w; it is renamed to %s", path, err, filepath.Base(renamed)),
+			os.Rename(path, renamed))
 	}
 	if err != nil {
 		return nil, err
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -46,7 +46,7 @@
 		bound  time.Duration
 		last   time.Duration // part of the bound for the last answer, which takes no time here
 	}{
-		{"it tells", []string{healthy}, 0, 0},
+		{"it answers", []string{healthy}, 0, 0},
 		{"it dies", []string{dead}, P + C, C},
 		{"it has lost the leader", []string{leaderLost}, P + C, C},
 		{"it falls silent", []string{silent}, H + S + P + C, C},
@@ -319,17 +319,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, spoilt := range [][]byte{nil, whole[:len(whole)-1], bytes.Replace(whole, []byte("11"), []byte("12"), 1),
+	for _, damaged := range [][]byte{nil, whole[:len(whole)-1], bytes.Replace(whole, []byte("11"), []byte("12"), 1),
 		atomicfile.Seal(cacheKind, []byte(`{"service":"tarifas"}`)), atomicfile.Seal("proxy-list", whole)} {
-		if err := os.WriteFile(path, spoilt, 0o600); err != nil {
+		if err := os.WriteFile(path, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		k, err := LoadCached(dir, "tarifas")
 		if _, gone := os.Stat(path); k != nil || !errors.Is(err, atomicfile.ErrDamaged) || !errors.Is(gone, os.ErrNotExist) {
-			t.Errorf("%q: got %+v, %v", spoilt, k, err)
+			t.Errorf("%q: got %+v, %v", damaged, k, err)
 		}
-		if text, err := os.ReadFile(path + damagedSuffix); err != nil || !bytes.Equal(text, spoilt) {
-			t.Errorf("%q was not renamed: %v", spoilt, err)
+		if text, err := os.ReadFile(path + damagedSuffix); err != nil || !bytes.Equal(text, damaged) {
+			t.Errorf("%q was not renamed: %v", damaged, err)
 		}
 	}
 }
