--- a/internal/proxy/closing_test.go
+++ b/internal/proxy/closing_test.go
@@ -18,6 +18,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/clientconn"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/settings"
 )
@@ -28,6 +29,7 @@
 	read    atomic.Pointer[func()]           // bytes were read, and nobody has heard of it
 	control atomic.Pointer[func(fd uintptr)] // something was looked up at the descriptor
 	request atomic.Pointer[func()]           // one is about to be answered
+	open    atomic.Int32                     // connections that were accepted and are not closed
 }
 
 type hookedListener struct {
@@ -40,6 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
+	l.hooks.open.Add(1)
 	return hookedConn{c, l.hooks}, nil
 }
 
@@ -56,6 +59,14 @@
 	return n, err
 }
 
+func (c hookedConn) Close() error {
+	err := c.TCPConn.Close()
+	if err == nil {
+		c.hooks.open.Add(-1)
+	}
+	return err
+}
+
 func (c hookedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
 	return hookedRaw{raw, c.hooks}, err
@@ -86,7 +97,7 @@
 	})
 }
 
-// startHooked is a frontend alone, whose handler counts requests and answers each with body.
+// startHooked starts a frontend alone, whose handler counts requests and answers each with body.
 func startHooked(t *testing.T, most int, body string) (f *frontend, h *hooks, requests *atomic.Int32, p *running) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,10 +125,10 @@
 	return f, h, requests, &running{Proxy: &Proxy{frontend: f}}
 }
 
-// once is a hook that does something the first time only.
+// once sets a hook that runs the first time only.
 func once[F any](at *atomic.Pointer[F], f F) { at.Store(&f) }
 
-// kept is a connection with an answered request on it.
+// keepAliveClient is a connection on which a request has been answered.
 func keepAliveClient(t *testing.T, f *frontend, p *running) *client {
 	t.Helper()
 	c := connect(t, p)
@@ -132,14 +143,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, s := range f.conns {
-		if s.state == http.StateIdle && c.(*clientConn).currentPhase() == phaseIdle {
+		if s.state == http.StateIdle && c.(*clientconn.Conn).Phase() == clientconn.PhaseIdle {
 			n++
 		}
 	}
 	return n
 }
 
-// A request that had just been read, with nobody told of it, was closed on: its connection showed nothing to read.
+// A request that had just been read, and not noted yet, was closed on: its connection showed nothing to read.
 func TestConnectionReadingRequestIsNotClosed(t *testing.T) {
 	for name, end := range map[string]func(*frontend){
 		"drain": func(f *frontend) { f.closeIdle(0, 0, false) },
@@ -173,8 +184,8 @@
 	}
 }
 
-// A request that came between the look at a connection that rests and its close was read after the close and sent on,
-// or its connection was reset.
+// A request that came between the look at an idle connection and its close was read after the close and forwarded, or
+// its connection was reset.
 func TestRequestCrossingCloseIsNeverServed(t *testing.T) {
 	f, h, requests, p := startHooked(t, 4, "ok")
 	c := keepAliveClient(t, f, p)
@@ -192,13 +203,13 @@
 		t.Errorf("got %q and %v, want an end", rest, err)
 	}
 	c.Close()
-	proxytest.WaitUntil(t, func() bool { return f.openConns() == 0 && f.listener.lingering.count() == 0 })
+	proxytest.WaitUntil(t, func() bool { return f.openConns() == 0 && f.listener.Lingering.Count() == 0 })
 	if n := requests.Load(); n != 1 {
 		t.Errorf("%d requests were taken, want the first alone", n)
 	}
 }
 
-// A close over bytes that nobody had read reset the connection and took the rest of the answer before along.
+// A close over bytes that nobody had read reset the connection and took the rest of the previous response along.
 func TestResponseSurvivesPipelinedBytes(t *testing.T) {
 	large := strings.Repeat("x", 400<<10)
 	f, _, _, p := startHooked(t, 4, large)
@@ -223,48 +234,24 @@
 	}
 }
 
-// Peers that do not close after the proxy has keep no slot that another wants.
+// Peers that do not close after the proxy has hold no slot that another needs.
 func TestLingeringConnectionsGiveWay(t *testing.T) {
-	f, _, _, p := startHooked(t, 2, "ok")
+	_, h, _, p := startHooked(t, 2, "ok")
 	for range 8 {
 		c := connect(t, p)
 		c.send(t, "GET /no HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		start := time.Now()
 		c.readResponse(t)
-		if took := time.Since(start); took > lingerTimeout/2 {
+		if took := time.Since(start); took > clientconn.LingerTimeout/2 {
 			t.Errorf("waited %v for a slot", took)
 		}
-		if open := f.descriptors(); open > 2 {
+		if open := h.open.Load(); open > 2 {
 			t.Errorf("%d descriptors for 2 slots", open)
 		}
 	}
 }
 
-// descriptors counts the connections that are not closed. One that has just begun to linger is among those of the server
-// too, and one that has just been closed may still be.
-func (f *frontend) descriptors() int {
-	all := map[*clientConn]bool{}
-	f.mu.Lock()
-	f.listener.lingering.mu.Lock()
-	for c := range f.conns {
-		all[c.(*clientConn)] = true
-	}
-	for c := range f.listener.lingering.since {
-		all[c] = true
-	}
-	f.listener.lingering.mu.Unlock()
-	f.mu.Unlock()
-	for c := range all { // its lock comes before that of those that linger
-		c.mu.Lock()
-		if c.closed {
-			delete(all, c)
-		}
-		c.mu.Unlock()
-	}
-	return len(all)
-}
-
-// A request whose head was not whole at the end was closed on; its last bytes may have been on their way.
+// A request whose head was incomplete at the cutoff was closed on; its last bytes may have been on their way.
 func TestPartialRequestIsRejectedAtCutoff(t *testing.T) {
 	for _, open := range []func(*frontend, *running) *client{
 		func(_ *frontend, p *running) *client { return connect(t, p) },
@@ -278,7 +265,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for c := range f.conns {
-				if c.(*clientConn).currentPhase() == phaseReadingHead {
+				if c.(*clientconn.Conn).Phase() == clientconn.PhaseReadingHead {
 					return true
 				}
 			}
@@ -299,7 +286,7 @@
 	}
 }
 
-// Half a head on a kept connection had the two minutes of one that rests.
+// Part of a head on a kept connection had the two minutes of an idle one.
 func TestPartialHeadOnKeepAliveIsClosedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -320,8 +307,8 @@
 	})
 }
 
-// A drain ends while clients send on every connection that is open: what was taken has its answer, the rest an end that
-// shows that it was not.
+// A drain ends while clients send on every open connection: what was taken has its response, the rest an end that shows
+// it was not taken.
 func TestClientsSendingUntilExitLoseNothing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := startProxy(t, startDiscovery(t).addr, 300, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -13,6 +13,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/clientconn"
 	"merlinpick/internal/proxy/proxytest"
 )
 
@@ -20,7 +21,7 @@
 	return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: post\r\n" + framing + "\r\n\r\n"
 }
 
-// A body that is too large to be held reaches the backend whole, in every framing, and passes on while it comes.
+// A body that is too large to be buffered reaches the backend completely, in every framing, while it comes.
 func TestLargeBodiesAreStreamed(t *testing.T) {
 	const size = 2*maxBufferedBody + 5
 	body := bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size]
@@ -75,14 +76,14 @@
 				}
 			}
 			proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Succeeded == 1 })
-			if p.frontend.bodyMemory.used != 0 {
-				t.Errorf("%d bytes still held", p.frontend.bodyMemory.used)
+			if p.frontend.bodyMemory.Used() != 0 {
+				t.Errorf("%d bytes still held", p.frontend.bodyMemory.Used())
 			}
 		})
 	}
 }
 
-// A request whose body breaks off in the backend's hands has its answer at once, though the rest has not come.
+// A request whose backend resets during the upload has its response at once, though the rest of the body has not come.
 func TestBackendResetDuringUploadIsAnsweredAtOnce(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	b.ResetsUploads = true
@@ -113,7 +114,7 @@
 	}
 }
 
-// A client that goes in the middle of its body takes the attempt along, and the request counts nowhere.
+// A client that goes in the middle of its body cancels the attempt, and the request is counted nowhere.
 func TestClientGoneDuringUploadLeavesNothing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	b.Begun = make(chan struct{})
@@ -159,9 +160,9 @@
 	}{
 		{"slow and steady", slowReader{piece: 640, pause: 10 * time.Millisecond, left: 200_000}, true, time.Minute},
 		{"slow in large pieces", slowReader{piece: 16_000, pause: 250 * time.Millisecond, left: 200_000}, true, time.Minute},
-		{"nothing", slowReader{}, false, requestReadTimeout},
-		{"a stall after much", slowReader{piece: 1 << 20, left: 150_000}, false, requestReadTimeout},
-		{"dripping", slowReader{piece: 10, pause: 200 * time.Millisecond, left: 200_000}, false, requestReadTimeout + time.Second},
+		{"nothing", slowReader{}, false, clientconn.RequestReadTimeout},
+		{"a stall after much", slowReader{piece: 1 << 20, left: 150_000}, false, clientconn.RequestReadTimeout},
+		{"dripping", slowReader{piece: 10, pause: 200 * time.Millisecond, left: 200_000}, false, clientconn.RequestReadTimeout + time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -169,7 +170,7 @@
 				if c.whole {
 					time.Sleep(2 * time.Second) // the head
 				}
-				u := &upload{source: &c.r, contentLength: 200_000, startedAt: began, lastReceived: time.Now(), bodyMemory: &memoryBudget{max: 1 << 20}, headMemory: &memoryBudget{max: maxBufferedBody},
+				u := &upload{source: &c.r, contentLength: 200_000, startedAt: began, lastReceived: time.Now(), bodyMemory: clientconn.NewMemoryBudget(1 << 20), headMemory: clientconn.NewMemoryBudget(maxBufferedBody),
 					setReadDeadline: func(at time.Time) error { c.r.deadline = at; return nil }}
 				_, whole, err := u.buffer()
 				if whole != c.whole || (err == nil) != c.whole {
@@ -183,13 +184,13 @@
 	}
 }
 
-// Bodies are held while there is memory for it, and the least of each in any case.
+// Bodies are buffered while there is memory for it, and the guaranteed part of each in any case.
 func TestBufferedBodiesAreBounded(t *testing.T) {
-	h := &memoryBudget{max: 3 * guaranteedBodyBuffer}
+	h := clientconn.NewMemoryBudget(3 * guaranteedBodyBuffer)
 	var all []*upload
 	held := 0
 	for range 10 {
-		u := &upload{source: bytes.NewReader(make([]byte, 2*maxBufferedBody)), contentLength: 2 * maxBufferedBody, bodyMemory: h, headMemory: &memoryBudget{max: maxBufferedBody},
+		u := &upload{source: bytes.NewReader(make([]byte, 2*maxBufferedBody)), contentLength: 2 * maxBufferedBody, bodyMemory: h, headMemory: clientconn.NewMemoryBudget(maxBufferedBody),
 			setReadDeadline: func(time.Time) error { return nil }}
 		body, whole, err := u.buffer()
 		if err != nil || whole || len(body) < guaranteedBodyBuffer {
@@ -198,18 +199,18 @@
 		held += cap(body)
 		all = append(all, u)
 	}
-	if held > 10*guaranteedBodyBuffer+h.max {
+	if held > (10+3)*guaranteedBodyBuffer {
 		t.Errorf("%d bytes are held", held)
 	}
 	for _, u := range all {
-		h.release(u.bodyReserved)
+		h.Release(u.bodyReserved)
 	}
-	if h.used != 0 {
-		t.Errorf("%d bytes counted after the end", h.used)
+	if h.Used() != 0 {
+		t.Errorf("%d bytes counted after the end", h.Used())
 	}
 }
 
-// A body that cannot come whole before the cutoff is turned away with word that it may come again, not dropped.
+// A body that cannot be complete before the cutoff is rejected so that it may come again, not dropped.
 func TestUploadIncompleteAtCutoffIsRejected(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -97,7 +97,8 @@
 	if len(s.changes) == 0 || s.changes[0].Version > from+1 {
 		return nil, false
 	}
-	first, _ := slices.BinarySearchFunc(s.changes, from+1, func(c Change, version int64) int { return cmp.Compare(c.Version, version) })
+	byVersion := func(c Change, version int64) int { return cmp.Compare(c.Version, version) }
+	first, _ := slices.BinarySearchFunc(s.changes, from+1, byVersion)
 	return slices.Clone(s.changes[first:]), true
 }
 
@@ -117,7 +118,7 @@
 	return Result{Code: code, Version: s.version, Changed: len(changed) > 0}
 }
 
-func (s *State) applyToList(c Command) (code string, changed []Endpoint) {
+func (s *State) applyToList(c Command) (code ResultCode, changed []Endpoint) {
 	switch c.Kind {
 	case CommandBegin:
 		if s.epoch == "" {
@@ -145,7 +146,7 @@
 	return ResultIgnored, nil
 }
 
-func (s *State) register(r Record) (code string, changed []Endpoint) {
+func (s *State) register(r Record) (code ResultCode, changed []Endpoint) {
 	if s.isEnded[InstanceRef{r.Name, r.Instance}] {
 		return ResultEnded, nil
 	}
@@ -165,7 +166,7 @@
 	return ResultDone, []Endpoint{r.Endpoint}
 }
 
-func (s *State) drainOrRemove(kind string, ref InstanceRef) (code string, changed *Endpoint) {
+func (s *State) drainOrRemove(kind CommandKind, ref InstanceRef) (code ResultCode, changed *Endpoint) {
 	current, listed := s.records[ref.Name]
 	switch {
 	case !listed && kind == CommandDeregister && s.isEnded[ref]:
