--- a/.ci/cost/main.go
+++ b/.ci/cost/main.go
@@ -1,9 +1,9 @@
-// Command cost tells what a build of the proxy costs at its start beside another: the time until /_health answers 200
-// and the most memory that was resident (VmHWM). It starts both in turn, with the smallest configuration, and ends
-// with 1 where the new build's median of either is over the old's greatest figure and a margin, with 2 where it could
-// not measure. What is resident of a program's file depends on the file too: one that was just linked shows 0.7 to 0.9 MB
-// more than its copy, or an older one of the same code. So link both anew, or give copies of both. On a busy machine the
-// old's spread grows and the word is worth less; so it is for who adds a library to the proxy, and not for CI.
+// Command cost compares what two builds of the proxy cost at their start: the time until /_health answers 200 and the peak
+// of resident memory (VmHWM). It starts both alternately with the smallest configuration. The exit status is 1 if the new
+// build's median of either is above the old build's maximum and a margin, 2 if it could not measure. The resident part of an
+// executable depends on the file too: a newly linked one shows 0.7 to 0.9 MB more than its copy, or than an older one of the
+// same code, so link both anew or give copies of both. On a busy machine the old build's spread grows and the result means
+// less: it is for changes that add a library to the proxy, and not part of CI.
 package main
 
 import (
@@ -25,115 +25,116 @@
 )
 
 const (
-	patience = 30 * time.Second       // for one start
-	askEvery = 100 * time.Microsecond // between two questions for health: the grain of a start's time
+	startTimeout = 30 * time.Second
+	pollInterval = 100 * time.Microsecond // of the health endpoint: the resolution of the start time
 )
 
-// figures are those of the starts of one build.
-type figures struct {
-	start  []float64 // ms
-	memory []float64 // MB (2^20)
+// measurements are those of the starts of one build.
+type measurements struct {
+	startMs  []float64
+	memoryMB []float64 // in 2^20 bytes
 }
 
 func main() {
 	old := flag.String("old", "", "the build to compare with")
 	next := flag.String("new", "", "the build in question")
-	n := flag.Int("n", 12, "starts of each")
-	margin := flag.Float64("margin", 0.1, "how far over the old's greatest figure the new median may be, as a part of it")
+	starts := flag.Int("n", 12, "starts of each")
+	margin := flag.Float64("margin", 0.1, "fraction of the old maximum by which the new median may exceed it")
 	stay := flag.Duration("stay", 300*time.Millisecond, "how long a proxy lives once it is healthy")
 	flag.Parse()
-	if *old == "" || *next == "" || *n < 1 || *n > 1000 {
+	if *old == "" || *next == "" || *starts < 1 || *starts > 1000 {
 		flag.Usage()
 		os.Exit(2)
 	}
-	a, b, err := measure(*old, *next, *n, *stay)
+	oldRuns, newRuns, err := measure(*old, *next, *starts, *stay)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "cost: %v\n", err)
 		os.Exit(2)
 	}
-	start := compare("start, ms", a.start, b.start, *margin)
-	memory := compare("memory, MB", a.memory, b.memory, *margin)
-	if !start || !memory {
+	startWithin := compare("start, ms", oldRuns.startMs, newRuns.startMs, *margin)
+	memoryWithin := compare("memory, MB", oldRuns.memoryMB, newRuns.memoryMB, *margin)
+	if !startWithin || !memoryWithin {
 		os.Exit(1)
 	}
 }
 
-// measure starts both builds n times each. Each is first in every other turn, so that neither always follows the other.
-func measure(old, next string, n int, stay time.Duration) (a, b figures, err error) {
+// measure starts both builds the given number of times. Each is first in every other round.
+func measure(old, next string, starts int, stay time.Duration) (oldRuns, newRuns measurements, err error) {
 	dir, err := os.MkdirTemp("", "cost")
 	if err != nil {
-		return a, b, err
+		return oldRuns, newRuns, err
 	}
 	defer os.RemoveAll(dir)
 	builds := []struct {
 		path string
-		to   *figures
-	}{{old, &a}, {next, &b}}
-	for i := range n + 1 {
-		for _, x := range builds {
-			start, memory, err := one(x.path, dir, stay)
+		runs *measurements
+	}{{old, &oldRuns}, {next, &newRuns}}
+	for i := range starts + 1 {
+		for _, build := range builds {
+			startMs, memoryMB, err := measureStart(build.path, dir, stay)
 			if err != nil {
-				return a, b, fmt.Errorf("%s, start %d: %w", x.path, i, err)
+				return oldRuns, newRuns, fmt.Errorf("%s, start %d: %w", build.path, i, err)
 			}
-			if i > 0 { // the first reads the file from disk
-				x.to.start, x.to.memory = append(x.to.start, start), append(x.to.memory, memory)
+			if i > 0 { // the first start reads the file from disk
+				build.runs.startMs = append(build.runs.startMs, startMs)
+				build.runs.memoryMB = append(build.runs.memoryMB, memoryMB)
 			}
 		}
 		slices.Reverse(builds)
 	}
-	return a, b, nil
+	return oldRuns, newRuns, nil
 }
 
-// one is the life of one proxy.
-func one(path, dir string, stay time.Duration) (ms, mb float64, err error) {
-	listen, err := minimalconfig.Free()
+// measureStart starts one proxy and kills it once it is measured.
+func measureStart(path, dir string, stay time.Duration) (startMs, memoryMB float64, err error) {
+	listen, err := minimalconfig.FreeAddress()
 	if err != nil {
 		return 0, 0, err
 	}
-	conf := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(conf, minimalconfig.Config(listen, ""), 0o600); err != nil {
+	config := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(config, minimalconfig.Config(listen, ""), 0o600); err != nil {
 		return 0, 0, err
 	}
-	var said bytes.Buffer
+	var output bytes.Buffer
 	cmd := exec.Command(path)
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+conf, "LB_MGMT=", "TMPDIR="+dir)
-	cmd.Stderr = &said
-	began := time.Now()
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+config, "LB_MGMT=", "TMPDIR="+dir)
+	cmd.Stderr = &output
+	startedAt := time.Now()
 	if err := cmd.Start(); err != nil {
 		return 0, 0, err
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
-	ms, mb, err = life(cmd.Process.Pid, began, listen, ended, stay)
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
+	startMs, memoryMB, err = follow(cmd.Process.Pid, startedAt, listen, exited, stay)
 	_ = cmd.Process.Kill()
-	<-ended
+	<-exited
 	if err != nil {
-		err = fmt.Errorf("%w; it said:\n%s", err, said.Bytes())
+		err = fmt.Errorf("%w; its output:\n%s", err, output.Bytes())
 	}
-	return ms, mb, err
+	return startMs, memoryMB, err
 }
 
-// life follows a proxy until it has been healthy for stay.
-func life(pid int, began time.Time, listen string, ended chan error, stay time.Duration) (ms, mb float64, err error) {
+// follow waits until a proxy has been healthy for stay and returns its measurements.
+func follow(pid int, startedAt time.Time, listen string, exited chan error, stay time.Duration) (startMs, memoryMB float64, err error) {
 	for minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
 		select {
-		case err := <-ended:
-			ended <- err
-			return 0, 0, fmt.Errorf("it ended early: %v", err)
-		case <-time.After(askEvery):
+		case err := <-exited:
+			exited <- err
+			return 0, 0, fmt.Errorf("it exited early: %w", err)
+		case <-time.After(pollInterval):
 		}
-		if time.Since(began) > patience {
-			return 0, 0, fmt.Errorf("not healthy after %v", patience)
+		if time.Since(startedAt) > startTimeout {
+			return 0, 0, fmt.Errorf("not healthy after %v", startTimeout)
 		}
 	}
-	ms = float64(time.Since(began).Microseconds()) / 1000
+	startMs = float64(time.Since(startedAt).Microseconds()) / 1000
 	time.Sleep(stay)
-	mb, err = peak(pid)
-	return ms, mb, err
+	memoryMB, err = peakMemory(pid)
+	return startMs, memoryMB, err
 }
 
-// peak is the most memory that was resident, in MB.
-func peak(pid int) (float64, error) {
+// peakMemory returns the peak of resident memory in MB.
+func peakMemory(pid int) (float64, error) {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, err
@@ -145,33 +146,33 @@
 			return n / 1024, err
 		}
 	}
-	return 0, errors.New("its status tells no VmHWM: has it ended?")
+	return 0, errors.New("no VmHWM in its status: has it exited?")
 }
 
-// compare prints what was measured of both, and tells whether the new median is within bounds.
-func compare(what string, old, next []float64, margin float64) bool {
+// compare prints the measurements of both builds and reports whether the new median is within the bound.
+func compare(name string, old, next []float64, margin float64) bool {
 	slices.Sort(old)
 	slices.Sort(next)
 	bound := old[len(old)-1] * (1 + margin)
-	ok := median(next) <= bound
-	word := "within"
-	if !ok {
-		word = "over"
+	isWithin := median(next) <= bound
+	result := "within"
+	if !isWithin {
+		result = "over"
 	}
-	fmt.Printf("%-11s old %s   new %s   the new median is %s the bound of %.2f\n", what, spread(old), spread(next), word, bound)
-	return ok
+	fmt.Printf("%-11s old %s   new %s   the new median is %s the bound of %.2f\n", name, spread(old), spread(next), result, bound)
+	return isWithin
 }
 
-// spread words sorted figures.
-func spread(x []float64) string {
-	return fmt.Sprintf("%.2f (%.2f to %.2f)", median(x), x[0], x[len(x)-1])
+// spread formats the median and the range of sorted values.
+func spread(sorted []float64) string {
+	return fmt.Sprintf("%.2f (%.2f to %.2f)", median(sorted), sorted[0], sorted[len(sorted)-1])
 }
 
-// median is that of sorted figures.
-func median(x []float64) float64 {
-	i := len(x) / 2
-	if len(x)%2 == 1 {
-		return x[i]
+// median returns the median of sorted values.
+func median(sorted []float64) float64 {
+	middle := len(sorted) / 2
+	if len(sorted)%2 == 1 {
+		return sorted[middle]
 	}
-	return (x[i-1] + x[i]) / 2
+	return (sorted[middle-1] + sorted[middle]) / 2
 }
--- a/.ci/knownfailures/known.go
+++ b/.ci/knownfailures/known.go
@@ -11,101 +11,116 @@
 	"strings"
 )
 
-const maxKnown = 3
+const maxKnownFailures = 3
 
-// listed is a line of the list of known reds.
-type listed struct {
-	name         string // as the line has it
-	pkg, test    string // its package's path, and its name there
-	cause, issue string
+// knownFailure is a line of the list.
+type knownFailure struct {
+	name          string // of the test as the line has it
+	packagePath   string
+	test          string // its name in the package
+	cause, number string // why it fails, and the issue
 }
 
-// listError is a line that does not hold.
+// listError is an invalid line of the list.
 type listError struct {
 	file    string
-	line    int
+	line    int // from 1
 	problem string
 }
 
 func (e *listError) Error() string { return fmt.Sprintf("%s:%d: %s", e.file, e.line, e.problem) }
 
 var (
-	form  = regexp.MustCompile(`^([^,\s]+), (\S.*\S), ((?:issue )?#?\d+)$`)
-	named = regexp.MustCompile(`^(?:([\w./-]+?)\.)?((?:Test|Fuzz|Example)\w*)((?:/.+)?)$`)
+	linePattern = regexp.MustCompile(`^([^,\s]+), (\S.*\S), ((?:issue )?#?\d+)$`)
+	namePattern = regexp.MustCompile(`^(?:([\w./-]+?)\.)?((?:Test|Fuzz|Example)\w*)((?:/.+)?)$`)
 )
 
-// load reads the list and finds each test's package. A list that is not there is empty.
-func load(file string, pkgs []pack) ([]listed, error) {
+// load reads the list and finds the package of each test. A file that does not exist is an empty list. An invalid line is a
+// *listError.
+func load(file string, packages []testPackage) ([]knownFailure, error) {
 	data, err := os.ReadFile(file)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	var known []listed
 	text := strings.TrimSpace(string(data))
+	if text == "" {
+		return nil, nil
+	}
+	var known []knownFailure
 	for i, line := range strings.Split(text, "\n") {
-		if text == "" {
-			break
-		}
-		no := func(problem string) ([]listed, error) { return nil, &listError{filepath.Base(file), i + 1, problem} }
-		if i >= maxKnown {
-			return no(fmt.Sprintf("one line too many: at most %d tests may be listed", maxKnown))
-		}
-		f := form.FindStringSubmatch(line)
-		if f == nil {
-			return no(fmt.Sprintf(`%q is not "TestName, cause, issue N"`, line))
+		failure, problem := parseLine(line, packages)
+		switch {
+		case i >= maxKnownFailures:
+			problem = fmt.Sprintf("one line too many: at most %d tests may be listed", maxKnownFailures)
+		case problem == "" && slices.ContainsFunc(known, failure.sameTest):
+			problem = failure.name + " is listed twice"
 		}
-		k := listed{name: f[1], cause: f[2], issue: f[3]}
-		n := named.FindStringSubmatch(k.name)
-		if n == nil {
-			return no(k.name + " is no name of a test")
+		if problem != "" {
+			return nil, &listError{filepath.Base(file), i + 1, problem}
 		}
-		k.test = n[2] + n[3]
-		where := having(pkgs, n[1], n[2])
-		switch len(where) {
-		case 0:
-			return no("no package has a test " + k.name)
-		case 1:
-			k.pkg = where[0]
-		default:
-			return no(fmt.Sprintf("%s is in several packages, put one's folder and a dot before it: %s", k.name, strings.Join(where, ", ")))
-		}
-		if slices.ContainsFunc(known, func(o listed) bool { return o.pkg == k.pkg && o.test == k.test }) {
-			return no(k.name + " is listed twice")
-		}
-		known = append(known, k)
+		known = append(known, failure)
 	}
 	return known, nil
 }
 
-// having is the packages that declare the test; an empty folder is any.
-func having(pkgs []pack, folder, test string) (paths []string) {
-	for _, p := range pkgs {
-		if _, ok := slices.BinarySearch(p.tests, test); ok && (folder == "" || folder == p.folder) {
+// parseLine parses a line and finds its test; a problem is why it cannot.
+func parseLine(line string, packages []testPackage) (failure knownFailure, problem string) {
+	fields := linePattern.FindStringSubmatch(line)
+	if fields == nil {
+		return failure, fmt.Sprintf(`%q is not "TestName, cause, issue N"`, line)
+	}
+	failure = knownFailure{name: fields[1], cause: fields[2], number: fields[3]}
+	name := namePattern.FindStringSubmatch(failure.name)
+	if name == nil {
+		return failure, failure.name + " is no name of a test"
+	}
+	dir, function, subtest := name[1], name[2], name[3]
+	failure.test = function + subtest
+	paths := packagesWith(packages, dir, function)
+	switch len(paths) {
+	case 0:
+		return failure, "no package has a test " + failure.name
+	case 1:
+		failure.packagePath = paths[0]
+		return failure, ""
+	}
+	return failure, fmt.Sprintf("%s is in several packages, put one's folder and a dot before it: %s", failure.name,
+		strings.Join(paths, ", "))
+}
+
+func (k knownFailure) sameTest(other knownFailure) bool {
+	return k.packagePath == other.packagePath && k.test == other.test
+}
+
+// packagesWith returns the paths of the packages that declare a test; an empty directory is any.
+func packagesWith(packages []testPackage, dir, test string) (paths []string) {
+	for _, p := range packages {
+		if _, found := slices.BinarySearch(p.tests, test); found && (dir == "" || dir == p.dir) {
 			paths = append(paths, p.path)
 		}
 	}
 	return paths
 }
 
-// of is what is listed of a package.
-func of(known []listed, pkg string) (its []listed) {
+// ofPackage returns the known failures of a package.
+func ofPackage(known []knownFailure, path string) (failures []knownFailure) {
 	for _, k := range known {
-		if k.pkg == pkg {
-			its = append(its, k)
+		if k.packagePath == path {
+			failures = append(failures, k)
 		}
 	}
-	return its
+	return failures
 }
 
-// pattern matches these tests and no other, as go test's -run and -skip take it.
-func pattern(tests []listed) string {
-	var all []string
-	for _, k := range tests {
+// testPattern returns a pattern for go test's -run and -skip that matches exactly these tests.
+func testPattern(failures []knownFailure) string {
+	var patterns []string
+	for _, k := range failures {
 		parts := strings.Split(k.test, "/")
-		for i, p := range parts {
-			parts[i] = "^" + regexp.QuoteMeta(p) + "$"
+		for i, part := range parts {
+			parts[i] = "^" + regexp.QuoteMeta(part) + "$"
 		}
-		all = append(all, strings.Join(parts, "/"))
+		patterns = append(patterns, strings.Join(parts, "/"))
 	}
-	return strings.Join(all, "|")
+	return strings.Join(patterns, "|")
 }
--- a/.ci/knownfailures/knownfailures_test.go
+++ b/.ci/knownfailures/knownfailures_test.go
@@ -21,8 +21,8 @@
 	otherBad = "package b\nimport \"testing\"\nfunc TestBad(t *testing.T) { t.Fail() }\n"
 )
 
-// TestRed runs the command on small modules.
-func TestRed(t *testing.T) {
+// TestVerdicts runs the command on small modules.
+func TestVerdicts(t *testing.T) {
 	with := func(imports string, more ...string) string {
 		return strings.Replace(okTest, "\"testing\"", "(\"testing\"; "+imports+")", 1) + strings.Join(more, "")
 	}
@@ -32,21 +32,21 @@
 		name, known string
 		files       map[string]string
 		race        bool
-		want        string // of the output: these lines, in this order, the last one last
+		want        string // of the output: these lines in this order, the last one at its end
 	}{
 		{"nothing is listed", "", one(okTest + skipTest), false, "ok  \tm/a\n1 passed, 0 failed, 1 skipped"},
-		{"a listed red passes", "TestBad, one, of two, issue 7\n", one(bad), false,
+		{"a listed failure", "TestBad, one, of two, issue 7\n", one(bad), false,
 			"known red: TestBad: one, of two (issue 7)\n1 passed, 0 failed, 0 skipped"},
-		{"an unlisted red", "", one(bad), false, "it is wrong\nFAIL\tm/a\nred: m/a: TestBad failed\n1 passed, 1 failed, 0 skipped"},
-		{"an unlisted red beside a listed one", "TestPanic, it fails, issue 7", one(bad + panics), false,
+		{"an unlisted failure", "", one(bad), false, "it is wrong\nFAIL\tm/a\nred: m/a: TestBad failed\n1 passed, 1 failed, 0 skipped"},
+		{"an unlisted failure beside a listed one", "TestPanic, it fails, issue 7", one(bad + panics), false,
 			"it is wrong\nknown red: TestPanic\nred: m/a: TestBad failed\n1 passed, 1 failed, 0 skipped"},
 		{"a listed test that passes", "TestOK, it fails, issue 7", one(okTest + skipTest), false,
 			"red: KNOWN-RED.txt: TestOK passes\n0 passed, 1 failed, 1 skipped"},
 		{"a listed test that is skipped", "TestSkip, it fails, issue 7", one(okTest + skipTest), false,
 			"red: KNOWN-RED.txt: TestSkip did not run\n1 passed, 1 failed, 0 skipped"},
-		{"a listed test that is not there", "TestNone, it fails, issue 7", one(okTest), false,
+		{"a listed test that does not exist", "TestNone, it fails, issue 7", one(okTest), false,
 			"red: KNOWN-RED.txt:1: no package has a test TestNone\n0 passed, 1 failed, 0 skipped"},
-		{"a listed case that is not there", "TestOK/none, it fails, issue 7", one(okTest), false,
+		{"a listed case that does not exist", "TestOK/none, it fails, issue 7", one(okTest), false,
 			"red: KNOWN-RED.txt: TestOK/none did not run\n1 passed, 1 failed, 0 skipped"},
 		{"three lines", "TestBad, x y, issue 7\nTestDeep/bad, x y, issue 7\nTestPanic, x y, issue 7\n", one(bad + deepTest + panics), false,
 			"known red: TestBad\nknown red: TestDeep/bad\nknown red: TestPanic\n2 passed, 0 failed, 0 skipped"},
@@ -91,9 +91,9 @@
 			}
 			var out strings.Builder
 			r := runner{dir: dir, race: c.race, out: &out, errs: &out}
-			reds := r.run("KNOWN-RED.txt", []string{"./..."})
-			if green := strings.Contains(c.want, " 0 failed"); green != (reds == 0) {
-				t.Errorf("%d reds, green %v wanted", reds, green)
+			failures := r.run("KNOWN-RED.txt", []string{"./..."})
+			if wantSuccess := strings.Contains(c.want, " 0 failed"); wantSuccess != (failures == 0) {
+				t.Errorf("%d failures, success %v wanted", failures, wantSuccess)
 			}
 			rest := out.String()
 			for want := range strings.Lines(c.want) {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestNoList: a list that is not there is empty.
-func TestNoList(t *testing.T) {
+// TestMissingList: a list that does not exist is empty.
+func TestMissingList(t *testing.T) {
 	known, err := load(filepath.Join(t.TempDir(), "none"), nil)
 	if known != nil || err != nil {
 		t.Error(known, err)
--- a/.ci/knownfailures/main.go
+++ b/.ci/knownfailures/main.go
@@ -1,16 +1,17 @@
-// Command red runs the project's tests and gives the verdict, with the list of known reds passed over.
+// Command knownfailures runs the project's tests and gives the verdict, except for the tests that KNOWN-RED.txt lists.
 //
-// KNOWN-RED.txt at the root names the tests that fail for a cause that is known and filed, one line each:
+// KNOWN-RED.txt at the root names the tests that fail for a known and filed cause, one line each:
 //
 //	TestName, cause in a few words, issue 20
 //
-// A test may be a subtest (TestName/case), and needs its package's folder before it where several packages have it
-// (internal/proxy.TestName). There are three lines at most; a file that is absent or empty lists none. All other tests
-// run without the listed ones, and go test has to end with 0 there. Each listed test then runs alone, so that whatever it
-// does hides no other red: it has to fail, or its line is out of date and that is red too.
+// A test may be a subtest (TestName/case). If several packages have it, it needs its package's directory
+// (internal/proxy.TestName). There are at most three lines; a file that is missing or empty lists none. All other tests
+// run without the listed ones, and go test has to exit with 0. Each listed test then runs alone, so that it cannot hide
+// another failure: it has to fail, else its line is out of date, which is a failure too.
 //
-// The last line is how many tests passed, failed and were skipped. A package that fails outside its tests (a build, a
-// panic, a data race, an exit) and a line of the list that does not hold count as failed. It ends with 0, or 1 for red.
+// The last line of output is the number of tests that passed, failed and were skipped. A package that fails outside its
+// tests (build, panic, data race, exit) and an invalid line of the list count as failed. The exit status is 0, or 1 if
+// anything failed.
 package main
 
 import (
@@ -35,7 +36,7 @@
 	}
 }
 
-// runner runs the tests of the module in a folder.
+// runner runs the tests of the module in a directory.
 type runner struct {
 	dir       string
 	race      bool
@@ -43,87 +44,87 @@
 	tally
 }
 
-// run tells how many reds there are.
+// run runs the tests of the packages that match the patterns and returns the number of failures.
 func (r *runner) run(list string, patterns []string) int {
-	pkgs, err := r.packages(patterns)
-	var known []listed
+	packages, err := r.findPackages(patterns)
+	var known []knownFailure
 	if err == nil {
-		known, err = load(filepath.Join(r.dir, list), pkgs)
+		known, err = load(filepath.Join(r.dir, list), packages)
 	}
 	if err != nil {
-		r.red(fmt.Sprintf("%v; no test was run", err))
-		return r.close()
+		r.fail(fmt.Sprintf("%v; no test was run", err))
+		return r.printVerdict()
 	}
-	var rest []string
-	for _, p := range pkgs {
-		if skip := of(known, p.path); skip != nil {
-			r.strict("-skip="+pattern(skip), p.path)
+	var withoutKnown []string
+	for _, p := range packages {
+		if failures := ofPackage(known, p.path); failures != nil {
+			r.runStrict("-skip="+testPattern(failures), p.path)
 		} else {
-			rest = append(rest, p.path)
+			withoutKnown = append(withoutKnown, p.path)
 		}
 	}
-	if len(rest) > 0 {
-		r.strict(rest...)
+	if len(withoutKnown) > 0 {
+		r.runStrict(withoutKnown...)
 	}
 	for _, k := range known {
-		if problem := r.alone(k); problem != "" {
-			r.red(list + ": " + k.name + " " + problem)
+		if problem := r.runKnownFailure(k); problem != "" {
+			r.fail(list + ": " + k.name + " " + problem)
 		} else {
-			fmt.Fprintf(r.out, "known red: %s: %s (%s)\n", k.name, k.cause, k.issue)
+			fmt.Fprintf(r.out, "known red: %s: %s (%s)\n", k.name, k.cause, k.number)
 		}
 	}
 	if r.passed+r.failed+r.skipped+len(known) == 0 {
-		r.red("no test ran")
+		r.fail("no test ran")
 	}
-	return r.close()
+	return r.printVerdict()
 }
 
-// close writes the verdict's lines.
-func (r *runner) close() int {
-	for _, red := range r.reds {
-		fmt.Fprintln(r.out, "red: "+red)
+// printVerdict prints the failures and the counts, and returns the number of failures.
+func (r *runner) printVerdict() int {
+	for _, failure := range r.failures {
+		fmt.Fprintln(r.out, "red: "+failure)
 	}
 	fmt.Fprintf(r.out, "%d passed, %d failed, %d skipped\n", r.passed, r.failed, r.skipped)
 	return r.failed
 }
 
-// strict runs tests of which none may fail. Go's own word counts, and what it said of single tests besides.
-func (r *runner) strict(args ...string) {
+// runStrict runs tests of which none may fail: go test's exit status counts beside its events.
+func (r *runner) runStrict(args ...string) {
 	failed := r.failed
-	if err := r.test(&r.tally, r.out, args...); err != nil && r.failed == failed {
-		r.red(fmt.Sprintf("go test: %v, with no failed test or package named", err))
+	if err := r.goTest(&r.tally, r.out, args...); err != nil && r.failed == failed {
+		r.fail(fmt.Sprintf("go test: %v, with no failed test or package named", err))
 	}
 }
 
-// alone runs one listed test, and says why its line does not hold; "" is that it fails as listed.
-func (r *runner) alone(k listed) string {
-	t := tally{verdicts: map[string]string{}}
-	err := r.test(&t, io.Discard, "-count=1", "-run="+pattern([]listed{k}), k.pkg)
-	switch verdict := t.verdicts[k.test]; {
-	case verdict == "fail", verdict == "run" && err != nil: // the latter did not live to tell
+// runKnownFailure runs one listed test alone and returns why its line is invalid; empty if it fails as listed.
+func (r *runner) runKnownFailure(k knownFailure) string {
+	t := tally{lastActions: map[string]string{}}
+	err := r.goTest(&t, io.Discard, "-count=1", "-run="+testPattern([]knownFailure{k}), k.packagePath)
+	switch action := t.lastActions[k.test]; {
+	case action == "fail", action == "run" && err != nil: // in the latter case its process has exited
 		return ""
-	case verdict == "pass":
+	case action == "pass":
 		return "passes: take its line out"
 	default:
 		return "did not run: there is no such test, or it was skipped"
 	}
 }
 
-// test runs go test. It returns no error for a run that passed.
-func (r *runner) test(t *tally, out io.Writer, args ...string) error {
+// goTest runs go test, tallies its events and returns an error if it failed.
+func (r *runner) goTest(t *tally, out io.Writer, args ...string) error {
 	if r.race {
 		args = append([]string{"-race"}, args...)
 	}
 	cmd := r.command(append([]string{"test", "-json"}, args...)...)
-	stream, err := cmd.StdoutPipe()
+	events, err := cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	read := t.read(stream, out)
-	return errors.Join(read, cmd.Wait())
+	readErr := t.read(events, out)
+	return errors.Join(readErr, cmd.Wait())
 }
 
 func (r *runner) command(args ...string) *exec.Cmd {
@@ -132,37 +133,38 @@
 	return cmd
 }
 
-// pack is a package, with the names of the tests that its files declare.
-type pack struct {
-	path, folder string
-	tests        []string
+// testPackage is a package with the names of the tests that its files declare, sorted.
+type testPackage struct {
+	path, dir string // dir is relative to the module
+	tests     []string
 }
 
-var declared = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Example)\w*)\(`)
+var testDeclaration = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Example)\w*)\(`)
 
-// packages looks the patterns up. Folders that begin with a dot are in none but by name.
-func (r *runner) packages(patterns []string) ([]pack, error) {
-	const form = `{{.ImportPath}}{{"\t"}}{{.Module.Path}}{{range .TestGoFiles}}{{"\t"}}{{$.Dir}}/{{.}}{{end}}` +
+// findPackages returns the packages that match the patterns. Directories that begin with a dot match only by name.
+func (r *runner) findPackages(patterns []string) ([]testPackage, error) {
+	const format = `{{.ImportPath}}{{"\t"}}{{.Module.Path}}{{range .TestGoFiles}}{{"\t"}}{{$.Dir}}/{{.}}{{end}}` +
 		`{{range .XTestGoFiles}}{{"\t"}}{{$.Dir}}/{{.}}{{end}}`
-	told, err := r.command(append([]string{"list", "-f", form}, patterns...)...).Output()
+	list, err := r.command(append([]string{"list", "-f", format}, patterns...)...).Output()
 	if err != nil {
 		return nil, fmt.Errorf("go list: %w", err)
 	}
-	var pkgs []pack
-	for line := range strings.Lines(string(told)) {
-		f := strings.Split(strings.TrimSpace(line), "\t")
-		p := pack{path: f[0], folder: strings.TrimPrefix(strings.TrimPrefix(f[0], f[1]), "/")}
-		for _, file := range f[2:] {
+	var packages []testPackage
+	for line := range strings.Lines(string(list)) {
+		fields := strings.Split(strings.TrimSpace(line), "\t")
+		path, module, files := fields[0], fields[1], fields[2:]
+		p := testPackage{path: path, dir: strings.TrimPrefix(strings.TrimPrefix(path, module), "/")}
+		for _, file := range files {
 			text, err := os.ReadFile(file)
 			if err != nil {
 				return nil, err
 			}
-			for _, m := range declared.FindAllSubmatch(text, -1) {
-				p.tests = append(p.tests, string(m[1]))
+			for _, match := range testDeclaration.FindAllSubmatch(text, -1) {
+				p.tests = append(p.tests, string(match[1]))
 			}
 		}
 		slices.Sort(p.tests)
-		pkgs = append(pkgs, p)
+		packages = append(packages, p)
 	}
-	return pkgs, nil
+	return packages, nil
 }
--- a/.ci/knownfailures/stream.go
+++ b/.ci/knownfailures/stream.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -13,76 +14,79 @@
 	Action, Package, Test, Output, ImportPath string
 }
 
-// tally counts tests by how they ended; subtests belong to their test.
+// tally counts tests by result; a subtest counts with its test.
 type tally struct {
 	passed, failed, skipped int
-	reds                    []string
-	verdicts                map[string]string // of each test and subtest, where it is wanted
+	failures                []string
+	lastActions             map[string]string // of each test and subtest; nil: not recorded
 }
 
-func (t *tally) red(what string) {
+func (t *tally) fail(failure string) {
 	t.failed++
-	t.reds = append(t.reds, what)
+	t.failures = append(t.failures, failure)
 }
 
-// read follows a run to its end. It writes go test's usual lines: one for each package, and all that a test which
-// failed, or never ended, had to say.
-func (t *tally) read(stream io.Reader, out io.Writer) error {
-	said := map[[2]string]*strings.Builder{} // by package and test, until the test has passed
-	failures := map[string]int{}             // by package
-	lines := bufio.NewReader(stream)
+// testKey is a test of a package; an empty test is the package itself.
+type testKey struct{ packagePath, test string }
+
+// read reads the events of a run to their end. It writes go test's usual output: one line for each package, and the output
+// of each test that failed or did not end.
+func (t *tally) read(events io.Reader, out io.Writer) error {
+	outputs := map[testKey]*strings.Builder{} // until the test has passed
+	failures := map[string]int{}              // by package
+	lines := bufio.NewReader(events)
 	for {
 		line, err := lines.ReadBytes('\n')
-		if err == io.EOF && len(line) == 0 {
+		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
-		if err != nil && err != io.EOF {
+		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		var e event
 		if err := json.Unmarshal(line, &e); err != nil {
 			_, _ = out.Write(line)
-			t.red(fmt.Sprintf("go test wrote what is no event: %v", err))
+			t.fail(fmt.Sprintf("go test wrote what is no event: %v", err))
 			continue
 		}
-		test, _, sub := strings.Cut(e.Test, "/")
-		at := [2]string{e.Package, test}
-		if said[at] == nil {
-			said[at] = &strings.Builder{}
+		test, _, isSubtest := strings.Cut(e.Test, "/")
+		key := testKey{e.Package, test}
+		if outputs[key] == nil {
+			outputs[key] = &strings.Builder{}
 		}
-		said[at].WriteString(e.Output)
+		outputs[key].WriteString(e.Output)
 		switch {
 		case e.Action == "build-output":
 			fmt.Fprint(out, e.Output)
 		case e.Test == "" && (e.Action == "pass" || e.Action == "skip"):
-			fmt.Fprint(out, lastLine(said[at].String()))
+			fmt.Fprint(out, lastLine(outputs[key].String()))
 		case e.Test == "" && e.Action == "fail":
-			for of, text := range said {
-				if of[0] == e.Package && of[1] != "" { // it began and did not end
+			for other, text := range outputs {
+				if other.packagePath == e.Package && other.test != "" { // it started and did not end
 					fmt.Fprint(out, text)
 				}
 			}
-			fmt.Fprint(out, said[at])
+			fmt.Fprint(out, outputs[key])
 			if failures[e.Package] == 0 {
-				t.red(e.Package + " failed outside its tests")
+				t.fail(e.Package + " failed outside its tests")
 			}
-		case e.Test != "" && t.end(e, sub):
+		case e.Test != "" && t.record(e, isSubtest):
 			if e.Action == "fail" {
 				failures[e.Package]++
-				fmt.Fprint(out, said[at])
+				fmt.Fprint(out, outputs[key])
 			}
-			delete(said, at)
+			delete(outputs, key)
 		}
 	}
 }
 
-// end notes what an event says of a test, and tells whether it is the last of a test's own.
-func (t *tally) end(e event, sub bool) bool {
-	last := e.Action == "pass" || e.Action == "fail" || e.Action == "skip"
-	if t.verdicts != nil && (last || e.Action == "run") {
-		t.verdicts[e.Test] = e.Action
+// record counts an event of a test and reports whether it is the end of a test that is no subtest.
+func (t *tally) record(e event, isSubtest bool) bool {
+	ended := e.Action == "pass" || e.Action == "fail" || e.Action == "skip"
+	if t.lastActions != nil && (ended || e.Action == "run") {
+		t.lastActions[e.Test] = e.Action
 	}
-	if !last || sub {
+	if !ended || isSubtest {
 		return false
 	}
 	switch e.Action {
@@ -91,12 +95,12 @@
 	case "skip":
 		t.skipped++
 	default:
-		t.red(e.Package + ": " + e.Test + " failed")
+		t.fail(e.Package + ": " + e.Test + " failed")
 	}
 	return true
 }
 
-// lastLine is that of a package that passed: its verdict.
+// lastLine returns the last line of a package's output, which has its result.
 func lastLine(text string) string {
 	text = strings.TrimSuffix(text, "\n")
 	return text[strings.LastIndexByte(text, '\n')+1:] + "\n"
--- a/.ci/minimalconfig/minimalconfig.go
+++ b/.ci/minimalconfig/minimalconfig.go
@@ -1,5 +1,5 @@
-// Package minimalconfig has the smallest configuration that a proxy starts with, and the requests that the checks in .ci
-// send to such a proxy.
+// Package minimalconfig has the smallest configuration with which a proxy starts, and the requests that the checks in .ci
+// send to such a proxy. It starts no proxy itself.
 package minimalconfig
 
 import (
@@ -15,11 +15,12 @@
 	`"profiles":[{"give_up_us":1000000,"name":"look","objective_us":500000,"repeat":"idempotent","worth":1}],` +
 	`"siblings":1}}`
 
-// Config is that of a proxy with a list that it knows and no discovery. An empty mgmt is none.
-func Config(listen, mgmt string) []byte { return fmt.Appendf(nil, text, listen, mgmt) }
+// Config returns a configuration with an initial endpoint list and no reachable discovery. An empty management address is
+// none.
+func Config(listen, management string) []byte { return fmt.Appendf(nil, text, listen, management) }
 
-// Free is an address that nobody listens at now.
-func Free() (string, error) {
+// FreeAddress returns a loopback address with a port that nobody listens on now.
+func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -28,16 +29,16 @@
 	return l.Addr().String(), nil
 }
 
-// Status makes one call; 0 is no answer.
+// Status makes a request to a URL without its scheme and returns the status of the response; 0: there was none.
 func Status(method, url string) int {
-	req, err := http.NewRequest(method, "http://"+url, nil)
+	request, err := http.NewRequest(method, "http://"+url, nil)
 	if err != nil {
 		return 0
 	}
-	resp, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0
 	}
-	resp.Body.Close()
-	return resp.StatusCode
+	response.Body.Close()
+	return response.StatusCode
 }
--- a/.ci/start/main.go
+++ b/.ci/start/main.go
@@ -1,6 +1,6 @@
-// Command start starts the proxy by the command in CI_RUN, with a list that it knows and no discovery, asks for its
-// health over loopback, looks at its process, and ends it with SIGTERM; then again with a management address, a ban
-// and an upgrade in between.
+// Command start checks the program that the variable CI_RUN starts: the proxy starts with an initial endpoint list and no
+// discovery, is healthy, is one process, reloads on SIGHUP and exits with 0 on SIGTERM; with a management address also that
+// an operator override takes effect and outlasts an upgrade.
 package main
 
 import (
@@ -19,14 +19,14 @@
 	"merlinpick/.ci/minimalconfig"
 )
 
-const patience = 30 * time.Second
+const processTimeout = 30 * time.Second // for a start or an exit
 
 func main() {
 	if err := run(); err != nil {
 		fmt.Fprintf(os.Stderr, "start: %v\n", err)
 		os.Exit(1)
 	}
-	fmt.Println("the proxy starts, is healthy, outlives SIGHUP, keeps a ban over an upgrade and ends on SIGTERM")
+	fmt.Println("the proxy starts, is healthy, survives SIGHUP, keeps an override over an upgrade and exits on SIGTERM")
 }
 
 func run() error {
@@ -35,28 +35,28 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	if err := life(dir, ""); err != nil {
+	if err := checkLifecycle(dir, ""); err != nil {
 		return fmt.Errorf("without a management address: %w", err)
 	}
-	mgmt, err := minimalconfig.Free()
+	management, err := minimalconfig.FreeAddress()
 	if err != nil {
 		return err
 	}
-	if err := life(dir, mgmt); err != nil {
+	if err := checkLifecycle(dir, management); err != nil {
 		return fmt.Errorf("with a management address: %w", err)
 	}
 	return nil
 }
 
-// proxy is one process of run.
+// proxy is a running process.
 type proxy struct {
-	cmd   *exec.Cmd
-	ended chan error
+	cmd    *exec.Cmd
+	exited chan error
 }
 
-// start starts run with a configuration, and waits until that is healthy by the address and path given.
-func start(dir, path, listen, mgmt, health string) (*proxy, error) {
-	if err := os.WriteFile(path, minimalconfig.Config(listen, mgmt), 0o600); err != nil {
+// start starts a proxy and waits until its health URL, without scheme, answers 200.
+func start(dir, path, listen, management, health string) (*proxy, error) {
+	if err := os.WriteFile(path, minimalconfig.Config(listen, management), 0o600); err != nil {
 		return nil, err
 	}
 	cmd := exec.Command("/bin/sh", "-c", os.Getenv("CI_RUN"))
@@ -66,16 +66,16 @@
 		return nil, err
 	}
 	p := &proxy{cmd, make(chan error, 1)}
-	go func() { p.ended <- cmd.Wait() }()
-	for end := time.Now().Add(patience); minimalconfig.Status("GET", health) != http.StatusOK; time.Sleep(20 * time.Millisecond) {
+	go func() { p.exited <- cmd.Wait() }()
+	for deadline := time.Now().Add(processTimeout); minimalconfig.Status("GET", health) != http.StatusOK; time.Sleep(20 * time.Millisecond) {
 		select {
-		case err := <-p.ended:
-			return nil, fmt.Errorf("it ended early: %v", err)
+		case err := <-p.exited:
+			return nil, fmt.Errorf("it exited early: %w", err)
 		default:
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			p.kill()
-			return nil, fmt.Errorf("%s: no yes after %v", health, patience)
+			return nil, fmt.Errorf("%s: not healthy after %v", health, processTimeout)
 		}
 	}
 	return p, nil
@@ -83,50 +83,63 @@
 
 func (p *proxy) kill() { _ = p.cmd.Process.Kill() }
 
-// stop ends it with SIGTERM.
+// stop sends SIGTERM and waits for the exit, which has to be with status 0.
 func (p *proxy) stop() error {
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		return err
-	case <-time.After(patience):
-		return fmt.Errorf("still there %v after SIGTERM", patience)
+	case <-time.After(processTimeout):
+		return fmt.Errorf("still running %v after SIGTERM", processTimeout)
 	}
 }
 
-// life plays a proxy's life: start, SIGHUP, with a management address a ban and an upgrade too, and the end.
-func life(dir, mgmt string) error {
-	listen, err := minimalconfig.Free()
+// checkLifecycle checks start, SIGHUP, with a management address an override and an upgrade too, and the exit.
+func checkLifecycle(dir, management string) error {
+	listen, err := minimalconfig.FreeAddress()
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(dir, "config.json")
-	p, err := start(dir, path, listen, mgmt, listen+"/_health")
+	p, err := start(dir, path, listen, management, listen+"/_health")
 	if err != nil {
 		return err
 	}
 	defer p.kill()
-	if err := oneProcess(p.cmd.Process.Pid); err != nil {
+	if err := checkProcess(p.cmd.Process.Pid); err != nil {
 		return err
 	}
-	// SIGHUP reads the configuration again; by itself it would end the process.
+	// SIGHUP reloads the configuration; unhandled it would end the process.
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
 	if minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
-		return fmt.Errorf("not healthy after SIGHUP")
+		return errors.New("not healthy after SIGHUP")
 	}
-	if mgmt == "" {
+	if management == "" {
 		return p.stop()
 	}
+	if err := checkSuspend(management); err != nil {
+		return err
+	}
+	return checkUpgrade(p, dir, path, listen)
+}
+
+// checkSuspend suspends a server that is in the list, and one that is not.
+func checkSuspend(management string) error {
 	for call, want := range map[string]int{"/v1/nodos/a/suspend": 200, "/v1/nodos/b/suspend": 404} {
-		if got := minimalconfig.Status("POST", mgmt+call); got != want {
+		if got := minimalconfig.Status("POST", management+call); got != want {
 			return fmt.Errorf("%s: got %d, want %d", call, got, want)
 		}
 	}
-	second, err := minimalconfig.Free()
+	return nil
+}
+
+// checkUpgrade replaces a running proxy by a second process.
+func checkUpgrade(p *proxy, dir, path, listen string) error {
+	second, err := minimalconfig.FreeAddress()
 	if err != nil {
 		return err
 	}
@@ -139,17 +152,17 @@
 		return fmt.Errorf("predecessor: %w", err)
 	}
 	if text := body(second + "/v1/metrics"); !strings.Contains(text, "\napp.ejected=1\n") {
-		return fmt.Errorf("the ban did not outlast the upgrade:\n%s", text)
+		return fmt.Errorf("the override did not outlast the upgrade:\n%s", text)
 	}
 	if minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
-		return fmt.Errorf("not healthy after the upgrade")
+		return errors.New("not healthy after the upgrade")
 	}
 	return next.stop()
 }
 
-// oneProcess holds run to what the fleet's platform needs: the shell has given way to the proxy, which has
-// started no other process and is linked dynamically against the C library.
-func oneProcess(pid int) error {
+// checkProcess checks what the platform requires: the shell was replaced by the proxy, which has started no other process
+// and is linked dynamically against the C library.
+func checkProcess(pid int) error {
 	proc := fmt.Sprintf("/proc/%d", pid)
 	exe, err := os.Readlink(proc + "/exe")
 	if err != nil {
@@ -160,7 +173,7 @@
 		return err
 	}
 	if exe == shell {
-		return fmt.Errorf("run leaves a shell behind: it has to exec the proxy")
+		return errors.New("run leaves a shell behind: it has to exec the proxy")
 	}
 	tasks, err := filepath.Glob(proc + "/task/*/children")
 	if err != nil {
@@ -168,7 +181,7 @@
 	}
 	for _, path := range tasks {
 		children, err := os.ReadFile(path)
-		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ESRCH) { // a thread that has ended
+		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ESRCH) { // the thread has ended
 			continue
 		}
 		if err != nil {
@@ -188,13 +201,14 @@
 	return nil
 }
 
+// body returns the body of a response, or the error instead.
 func body(url string) string {
-	resp, err := http.Get("http://" + url)
+	response, err := http.Get("http://" + url)
 	if err != nil {
 		return err.Error()
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err.Error()
 	}
