--- a/internal/discovery/freshness.go
+++ b/internal/discovery/freshness.go
@@ -9,7 +9,7 @@
 // (after an outage: from the moment at which calls are served in turn again) is the sum of
 //
 //	H + S  1.2 s         longest hold of a watch and its slack (platform.go)
-//	D      2.3 s         longest hedge delay (hedge.go); 3.1 s after a 503: Q
+//	D, Q   2.3 s, 3 s    longest hedge delay (hedge.go), and that after a 503
 //	B1-B4  0.1 to 0.8 s  backoffs (polling.go)
 //	W      2 or 3 s      longest wait for service in discovery's queue, after which a call fails with 503
 //	L, T   2.5, 3.5 s    poll periods with an overloaded queue; T grows with the fleet (polling.go)
@@ -43,15 +43,21 @@
 // Sums with * exceed NotifyDeadline; network latency is not included. A fleet whose watches all end at once also waits for
 // the service time of all its calls.
 //
-// A proxy whose list is older than that, for these or other reasons, does not select by its list alone: see
-// balancer/staleness.go. A new process waits for its first answer (awaitSync in internal/proxy).
+// What follows from the age of a list that was not confirmed by an answer:
+//
+//	EvidenceTTL         the list no longer proves that a server is listed: selection prefers servers that go on executing
+//	                    requests (balancer/listevidence.go)
+//	NotifyDeadline      metrics and log report the list as stale (internal/proxy, liststatus.go and readiness.go); for a
+//	                    local agent after PushNotifyDeadline, after a change of source SourceChangeDeadline from then on
+//	any age             the list stays in use; Metrics.Age reports it
+//
+// A new process is not ready until its first answer, or shortly before NotifyDeadline (internal/proxy, readiness.go).
 //
 // Registry (Source.Members). A change arrives at most LongPollTimeout + registryWatchSlack + FailoverJitter after it was
-// confirmed, plus the registry's own bound on a member's staleness, as long as one of the next members answers. There is
-// no deadline after which selection goes by other evidence.
+// confirmed, plus the registry's own bound on a member's staleness, if the next member answers. EvidenceTTL is not
+// applied: the list stays in use without limit of age, which Metrics.Age reports.
 //
-// Without any answer the last list is used, without limit of age; Metrics.Age reports it. An answer that is malformed in
-// any part is discarded as a whole.
+// An answer that is malformed in any part is discarded as a whole.
 const (
 	// NotifyDeadline is when a change of the platform list counts as known to a proxy, from when discovery had it and
 	// could be reached.
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -23,7 +23,7 @@
 		RetryBudgetMin float64 `json:"spare_attempts"`
 		// SlowStartDuration is the time after which a started server has its whole capacity. 0: at once.
 		SlowStartDuration int64 `json:"cold_us"`
-		// DrainGrace is the time in which requests may still be sent to a draining or removed server.
+		// DrainGrace is the time after which a draining or removed server must get no more requests. 0: at once.
 		DrainGrace int64 `json:"drain_grace_us"`
 		// SlowStartMinCapacity is the fraction of its capacity, 0 to 1, that a started server has at least.
 		SlowStartMinCapacity float64 `json:"start_capacity"`
@@ -61,7 +61,7 @@
 		Ordered bool `json:"by_arrival"`
 		// DedupScope is the servers that share their record of idempotency keys: "all" (default), "zone" or "cell".
 		DedupScope string `json:"dedup_scope"`
-		// DedupWindow is how long they drop repeats after the first attempt.
+		// DedupWindow is how long they remember a key, from the first attempt on.
 		DedupWindow int64 `json:"dedup_window_us"`
 		// Deadline is how long a client waits, over all attempts. It has to be positive.
 		Deadline int64 `json:"give_up_us"`
@@ -87,9 +87,9 @@
 	Tenants []struct {
 		// Name identifies the tenant in metrics and over reloads. Needed on sockets.
 		Name string `json:"name"`
-		// Share is the tenant's weight when capacity is divided among tenants.
+		// Share is the tenant's part of the sum of all quotas.
 		Share float64 `json:"portion"`
-		// Quota is the tenant's requests per second over all proxies. 0: none.
+		// Quota is the tenant's requests per second within its share, over all proxies of the tier.
 		Quota float64 `json:"quota_per_s"`
 	} `json:"tenants" field:"-"`
 
