--- a/internal/registry/registrar/registrar.go
+++ b/internal/registry/registrar/registrar.go
@@ -70,10 +70,9 @@
 func (c *Client) Call(ctx context.Context, method, path string, body, out any) error {
 	current := c.current.Load()
 	request, err := newRequest(ctx, method, "http://"+c.addresses[int(current)%len(c.addresses)]+path, body)
-	if err != nil {
-		return err
+	if err == nil {
+		err = c.do(request, out)
 	}
-	err = c.do(request, out)
 	var rejected *RejectedError
 	if err != nil && !errors.As(err, &rejected) && ctx.Err() == nil {
 		c.current.CompareAndSwap(current, (current+1)%uint32(len(c.addresses)))
--- a/internal/registry/registrar/registrar_test.go
+++ b/internal/registry/registrar/registrar_test.go
@@ -79,6 +79,13 @@
 		t.Errorf("%d calls of the member that takes it", calls.Load())
 	}
 
+	calls.Store(0)
+	misconfigured := New([]string{"no address", up})
+	defer misconfigured.Close()
+	if _, err := misconfigured.Register(t.Context(), record); err != nil || calls.Load() != 1 {
+		t.Errorf("beside an address that cannot be called: %v after %d calls", err, calls.Load())
+	}
+
 	calls.Store(0)
 	rejects := startMember(t, func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
