--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A server that flaps every so often, as seen by three copies at slightly different times, changes state twice a
-// minute at most once it is known for it; one that falls and comes back once is not damped.
+// A server that flaps now and then, as seen by three replicas at slightly different times, changes state twice a minute
+// at most once it is damped; one that falls and comes back once is not damped.
 func TestFlapRecordsDampByPenalty(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -31,7 +31,7 @@
 			if now > 0 && now%c.every == 0 && now < c.until {
 				down = !down
 				for i := range int64(3) {
-					d.recordFlap(now+i, "s", 1, down, flapVote{fmt.Sprint(i), now + i}, 3)
+					d.recordFlap(now+i, flapSighting{"s", 1, down, flapVote{fmt.Sprint(i), now + i}}, 3)
 				}
 			}
 			_, is := d.dampedSince(now+3, "s", 1)
@@ -89,7 +89,7 @@
 			if now = max(now, s.at); s.at == math.MaxInt64 {
 				now = 1
 			}
-			d.recordFlap(now, "s", s.start, s.down, flapVote{s.who, s.at}, 2)
+			d.recordFlap(now, flapSighting{"s", s.start, s.down, flapVote{s.who, s.at}}, 2)
 		}
 		got := 0.0
 		if r := d.byID["s"]; r != nil {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Whatever is told: a penalty stays within its bounds, damping begins only above the mark and ends within its
-// time, each flap counts once, and records stay few and go once they rest.
+// Whatever is reported: a penalty stays within its bounds, damping begins only above the threshold and ends within its
+// time, each flap counts once, and records stay few and go once the servers rest.
 func TestFlapRecordsAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var d flapRecords
@@ -115,7 +115,7 @@
 			at := now - rapid.Int64Range(-second, 3*second).Draw(t, "age")
 			known := d.byID[key] != nil
 			vote := flapVote{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), at}
-			if d.recordFlap(now, key, 1, down, vote, 2) {
+			if d.recordFlap(now, flapSighting{key, 1, down, vote}, 2) {
 				if known && state[key] == down || at <= counted[key] && counted[key] != 0 || at > now {
 					t.Fatalf("at %d a flap of %s to %v seen at %d counts again", now, key, down, at)
 				}
@@ -146,7 +146,7 @@
 	})
 }
 
-// In real decisions: one of twelve servers of one zone fails every other 5 s, or its lease ends; ten copies.
+// Ten replicas: one of twelve servers of one zone fails every other 5 s, or leaves the list.
 func TestFleetDampsFlappingServer(t *testing.T) {
 	flapping := func(w *world) bool { return (w.now-start)/(5*second)%2 == 1 }
 	for _, c := range []struct {
@@ -226,7 +226,7 @@
 	}
 }
 
-// A death while damped: refused connections are avoided as fast, and what the list says is never damped.
+// A damped server that dies is avoided as fast as another, and what the list says is never damped.
 func TestServerDiesWhileDamped(t *testing.T) {
 	trials, later := map[bool]int{}, map[bool]int{}
 	for _, damped := range []bool{false, true} {
@@ -278,7 +278,7 @@
 	}
 }
 
-// However many flap, and whoever hears each other, no copy damps more than its part of a tier's or zone's servers.
+// However many servers flap, and whoever hears each other, no replica damps more than its part of a tier's or zone's.
 func TestDampingBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, h := mustNewFor(t, 3), &recorder{}
