--- a/cmd/merlinpick-registry/kill_test.go
+++ b/cmd/merlinpick-registry/kill_test.go
@@ -55,119 +55,156 @@
 	}
 }
 
-// Across kills and suspensions, no acknowledged registration is lost, none takes effect twice, and the history of
-// linearizable reads and writes is linearizable. ROSTER_KILLS sets the number of kills.
-func TestKillsLoseNoAcknowledgedWrite(t *testing.T) {
-	kills := 8
-	if v := os.Getenv("ROSTER_KILLS"); v != "" {
-		var err error
-		if kills, err = strconv.Atoi(v); err != nil {
-			t.Fatal(err)
+const (
+	writerCount        = 4
+	endpointsPerWriter = 3
+)
+
+func endpointName(writer, n int) string { return fmt.Sprintf("w%d-%d", writer, n) }
+
+// workload writes endpoints and reads the list while members are killed, and records the history of all calls.
+type workload struct {
+	t       *testing.T
+	cluster *cluster
+	history *linear.History
+
+	mu           sync.Mutex
+	acknowledged map[string]string // last value by endpoint, as package linear has it
+	changes      int64
+}
+
+// write registers, drains and deregisters a writer's endpoints until ctx ends or a call fails.
+func (l *workload) write(ctx context.Context, writer int) {
+	client := registrar.New(l.cluster.addresses)
+	defer client.Close()
+	random := rand.New(rand.NewPCG(uint64(writer), 1))
+	for since := int64(1); ctx.Err() == nil; since++ {
+		rec := record(endpointName(writer, random.IntN(endpointsPerWriter)), since)
+		ref := state.InstanceRef{Name: rec.Name, Instance: rec.Instance}
+		ok := l.call(ctx, writer, linear.Register, rec, func(ctx context.Context) error {
+			_, err := client.Register(ctx, rec)
+			return err
+		})
+		if ok && random.IntN(2) == 0 {
+			ok = l.call(ctx, writer, linear.Drain, rec, func(ctx context.Context) error {
+				_, err := client.Drain(ctx, ref)
+				return err
+			})
+		}
+		if ok && random.IntN(2) == 0 {
+			ok = l.call(ctx, writer, linear.Gone, rec, func(ctx context.Context) error {
+				_, err := client.Deregister(ctx, ref)
+				return err
+			})
+		}
+		if !ok {
+			return
+		}
+		time.Sleep(time.Duration(random.IntN(40)) * time.Millisecond)
+	}
+}
+
+// call makes one call, which the client repeats until it is decided: one in flight at a kill may have taken effect or not.
+func (l *workload) call(ctx context.Context, writer int, kind linear.Kind, rec state.Record, call func(context.Context) error) bool {
+	end := l.history.Begin(kind, rec.Name, rec.Instance, writer+1)
+	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), patience)
+	defer cancel()
+	if err := call(bounded); err != nil {
+		l.t.Errorf("%s %s: %v", kind, rec.Name, err)
+		return false
+	}
+	end(true, false)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.acknowledged[rec.Name] = map[linear.Kind]string{linear.Register: linear.Value(state.StatusServing, rec.Instance),
+		linear.Drain: linear.Value(state.StatusDraining, rec.Instance), linear.Gone: linear.Absent}[kind]
+	l.changes++
+	return true
+}
+
+// read reads the list from one member until ctx ends. Its versions must not decrease.
+func (l *workload) read(ctx context.Context, member int) {
+	for last := int64(0); ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
+		begun := time.Now()
+		_, version, values, err := l.cluster.list(ctx, member)
+		if err != nil {
+			continue
+		}
+		if version < last {
+			l.t.Errorf("r%d: version %d after %d", member+1, version, last)
+		}
+		last = version
+		for writer := range writerCount {
+			for n := range endpointsPerWriter {
+				if name := endpointName(writer, n); values[name] == "" {
+					values[name] = linear.Absent
+				}
+			}
+		}
+		l.history.Seen(100+member, begun, values)
+	}
+}
+
+// check compares a member's list with what was acknowledged, above the version at the beginning.
+func (l *workload) check(member int, firstVersion int64) {
+	l.t.Helper()
+	_, version, values, err := l.cluster.list(l.t.Context(), member)
+	if err != nil {
+		l.t.Fatal(err)
+	}
+	for name, want := range l.acknowledged {
+		if values[name] != want {
+			l.t.Errorf("r%d: %s is %q, acknowledged was %q", member+1, name, values[name], want)
 		}
 	}
+	if version-firstVersion != l.changes {
+		l.t.Errorf("r%d: %d versions for %d changes", member+1, version-firstVersion, l.changes)
+	}
+}
+
+// killCount is ROSTER_KILLS, or what CI has time for.
+func killCount(t *testing.T) int {
+	t.Helper()
+	text := os.Getenv("ROSTER_KILLS")
+	if text == "" {
+		return 8
+	}
+	kills, err := strconv.Atoi(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return kills
+}
+
+// Across kills and suspensions, no acknowledged registration is lost, none takes effect twice, and the history of
+// linearizable reads and writes is linearizable.
+func TestKillsLoseNoAcknowledgedWrite(t *testing.T) {
+	kills := killCount(t)
 	s := startService(t, 3)
-	_, base, _, err := s.list(t.Context(), 0)
+	_, firstVersion, _, err := s.list(t.Context(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := linear.New()
+	load := &workload{t: t, cluster: s, history: linear.New(), acknowledged: map[string]string{}}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	var mu sync.Mutex
-	wanted, changes := map[string]string{}, int64(0)
-	var writers, readers sync.WaitGroup
-	for w := range 4 {
-		writers.Go(func() {
-			c := registrar.New(s.addresses)
-			defer c.Close()
-			r := rand.New(rand.NewPCG(uint64(w), 1))
-			// Each call is repeated until it is decided: one in flight at a kill may have taken effect or not.
-			say := func(kind linear.Kind, rec state.Record, value string, call func(context.Context) error) bool {
-				end := h.Begin(kind, rec.Name, rec.Instance, w+1)
-				bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), patience)
-				defer cancel()
-				if err := call(bounded); err != nil {
-					t.Errorf("%s %s: %v", kind, rec.Name, err)
-					return false
-				}
-				end(true, false)
-				mu.Lock()
-				defer mu.Unlock()
-				wanted[rec.Name] = value
-				changes++
-				return true
-			}
-			for since := int64(1); ctx.Err() == nil; since++ {
-				rec := record(fmt.Sprintf("w%d-%d", w, r.IntN(3)), since)
-				ref := state.InstanceRef{Name: rec.Name, Instance: rec.Instance}
-				ok := say(linear.Register, rec, linear.Value(state.StatusServing, rec.Instance), func(ctx context.Context) error {
-					_, err := c.Register(ctx, rec)
-					return err
-				})
-				if ok && r.IntN(2) == 0 {
-					ok = say(linear.Drain, rec, linear.Value(state.StatusDraining, rec.Instance), func(ctx context.Context) error {
-						_, err := c.Drain(ctx, ref)
-						return err
-					})
-				}
-				if ok && r.IntN(2) == 0 {
-					ok = say(linear.Gone, rec, linear.Absent, func(ctx context.Context) error {
-						_, err := c.Deregister(ctx, ref)
-						return err
-					})
-				}
-				if !ok {
-					return
-				}
-				time.Sleep(time.Duration(r.IntN(40)) * time.Millisecond)
-			}
-		})
+	var clients sync.WaitGroup
+	for writer := range writerCount {
+		clients.Go(func() { load.write(ctx, writer) })
 	}
-	for i := range s.addresses {
-		readers.Go(func() {
-			for last := int64(0); ctx.Err() == nil; time.Sleep(30 * time.Millisecond) {
-				begun := time.Now()
-				_, index, values, err := s.list(ctx, i)
-				if err != nil {
-					continue
-				}
-				if index < last {
-					t.Errorf("r%d: version %d after %d", i+1, index, last)
-				}
-				last = index
-				for w := range 4 {
-					for n := range 3 {
-						if name := fmt.Sprintf("w%d-%d", w, n); values[name] == "" {
-							values[name] = linear.Absent
-						}
-					}
-				}
-				h.Seen(100+i, begun, values)
-			}
-		})
+	for member := range s.addresses {
+		clients.Go(func() { load.read(ctx, member) })
 	}
 	s.killAtRandom(rand.New(rand.NewPCG(uint64(kills), 2)), kills)
 	s.awaitServing()
 	stop()
-	writers.Wait()
-	readers.Wait()
-	for i := range s.addresses {
-		_, index, values, err := s.list(t.Context(), i)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for name, want := range wanted {
-			if values[name] != want {
-				t.Errorf("r%d: %s is %q, confirmed was %q", i+1, name, values[name], want)
-			}
-		}
-		if index-base != changes {
-			t.Errorf("r%d: %d versions for %d changes", i+1, index-base, changes)
-		}
+	clients.Wait()
+	for member := range s.addresses {
+		load.check(member, firstVersion)
 	}
-	v := h.Check(patience)
-	if len(v.Wrong) > 0 || len(v.Open) > 0 {
-		t.Errorf("no order explains %v; not decided: %v", v.Wrong, v.Open)
+	verdict := load.history.Check(patience)
+	if len(verdict.Wrong) > 0 || len(verdict.Open) > 0 {
+		t.Errorf("no order explains %v; not decided: %v", verdict.Wrong, verdict.Open)
 	}
-	t.Logf("%d kills, %d changes, %d calls in the history", kills, changes, v.Calls)
+	t.Logf("%d kills, %d changes, %d calls in the history", kills, load.changes, verdict.Calls)
 }
