--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -33,7 +33,7 @@
 		deadline = l.clock.time(r.Deadline)
 	}
 	r.rules = invariant.NewRequest(r.ID, policyOf(r), deadline)
-	l.audit.Trace(r.ID, "taken", "class", r.className, "uploading", r.BodyPending)
+	l.audit.Trace(r.ID, "taken", "class", r.ClassName, "uploading", r.BodyPending)
 }
 
 // auditAttemptStart notes that an attempt begins.
@@ -59,14 +59,14 @@
 }
 
 // auditResponse notes a request's final response.
-func (l *eventLoop) auditResponse(r *request, resp response) {
-	l.audit.Trace(r.ID, "answered", "status", resp.status)
+func (l *eventLoop) auditResponse(r *request, resp Response) {
+	l.audit.Trace(r.ID, "answered", "status", resp.Status)
 	switch {
 	case r.rules == nil:
-	case resp.status == 0:
+	case resp.Status == 0:
 		r.rules.ClientGone()
 	default:
-		rejected := resp.status == http.StatusServiceUnavailable || resp.status == http.StatusTooManyRequests
+		rejected := resp.Status == http.StatusServiceUnavailable || resp.Status == http.StatusTooManyRequests
 		l.audit.RecordViolations(r.rules.Responded(time.Now(), rejected)...)
 	}
 }
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -21,7 +21,7 @@
 	var log bytes.Buffer
 	l := &eventLoop{clock: clock{start: time.Now()}, requests: map[string]*request{}, audit: audit.New(slog.New(slog.NewTextHandler(&log, nil)))}
 	rules := &balancer.Settings{MaxAttempts: 2, Classes: []balancer.Class{{Name: "post", Idempotency: balancer.NonIdempotent}}}
-	r := &request{Request: balancer.Request{ID: "r1", Deadline: l.clock.now() + 1e6, Settings: rules}, responses: make(chan response, 2)}
+	r := &request{Request: balancer.Request{ID: "r1", Deadline: l.clock.now() + 1e6, Settings: rules}, responses: make(chan Response, 2)}
 	l.auditRequest(r)
 	begin := func() *attempt {
 		a := &attempt{request: r, server: upstream.Server{Name: "a"}, started: true}
@@ -31,8 +31,8 @@
 	a := begin()
 	l.auditAttemptEnd(a, balancer.StatusTimedOut)
 	begin() // it may have run
-	l.auditResponse(r, response{status: 503})
-	l.auditResponse(r, response{status: 502})
+	l.auditResponse(r, Response{Status: 503})
+	l.auditResponse(r, Response{Status: 502})
 	got := l.audit.Violations()
 	for _, rule := range []invariant.Rule{invariant.RetriedNonIdempotent, invariant.RejectedAfterExecution, invariant.RespondedTwice} {
 		if got[rule.String()] != 1 || !strings.Contains(log.String(), "rule="+rule.String()+" request=r1") {
@@ -70,7 +70,7 @@
 		cl.readResponse(t)
 		cl.Close()
 	}
-	proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.frontend.openConns() == 0 })
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.frontend.OpenConns() == 0 })
 	for rule, n := range p.Metrics().RuleViolations {
 		if n != 0 {
 			t.Errorf("%s: %d", rule, n)
--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -196,7 +196,7 @@
 
 // The client goes while a connection to the backend comes up; the loop, which would cancel the attempt, is busy.
 func TestNoSendAfterSlowDialForGoneClient(t *testing.T) {
-	for _, text := range []string{lookRequest("1", 4000), postRequest("1", "Content-Length: 1000000") + strings.Repeat("x", maxBufferedBody+1),
+	for _, text := range []string{lookRequest("1", 4000), postRequest("1", "Content-Length: 1000000") + strings.Repeat("x", MaxBufferedBody+1),
 		postRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
 			if strings.Contains(text, "1000000") && d.behind != "" {
@@ -242,7 +242,7 @@
 				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
 			})
 			p.loop.pool.SetReuseDelay(0)
-			p.frontend.listener.SetLimit(1)
+			p.frontend.Listener.SetLimit(1)
 			busy := connect(t, p)
 			busy.send(t, lookRequest("1", 4000))
 			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
@@ -252,11 +252,11 @@
 			close(over)
 			busy.readResponse(t)
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 }) // its own may stand in the figures for a moment
-			p.frontend.listener.SetLimit(50)
-			proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() <= 1 })
+			p.frontend.Listener.SetLimit(50)
+			proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() <= 1 })
 			// It has been accepted, read and closed: before that it may hold the backend's connection, unsent.
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["closes.client.answered_or_broken"] >= 1 })
-			proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() <= 1 })
+			proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() <= 1 })
 			checkNothingSent(t, p, b, 1)
 		})
 	}
@@ -334,7 +334,7 @@
 	two.Close()
 	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 2 })
 	goOn()
-	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 1 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 1 })
 	close(fail)
 	if resp, _ := one.readResponse(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
@@ -350,7 +350,7 @@
 		cl := connect(t, p)
 		stands, goOn := blockLoop(t, p)
 		proxytest.Receive(t, "stand of the loop", stands)
-		cl.send(t, postRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody)) // and a read waits for more
+		cl.send(t, postRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", MaxBufferedBody)) // and a read waits for more
 		proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 		goOn()
 		if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
--- a/internal/proxy/closing_test.go
+++ b/internal/proxy/closing_test.go
@@ -98,7 +98,7 @@
 }
 
 // startHooked starts a frontend alone, whose handler counts requests and answers each with body.
-func startHooked(t *testing.T, most int, body string) (f *frontend, h *hooks, requests *atomic.Int32, p *running) {
+func startHooked(t *testing.T, most int, body string) (f *Server, h *hooks, requests *atomic.Int32, p *running) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,17 +110,17 @@
 	}
 	h, requests = &hooks{}, &atomic.Int32{}
 	l := &eventLoop{metrics: newMetrics(nil)}
-	f = newFrontend(site, l, hookedListener{tcp.(*net.TCPListener), h}, slog.New(slog.DiscardHandler))
+	f = NewServer(site, l, hookedListener{tcp.(*net.TCPListener), h}, slog.New(slog.DiscardHandler))
 	f.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
 		if at := h.request.Load(); at != nil {
 			(*at)()
 		}
-		f.writeResponse(w, response{status: 200, body: []byte(body)})
+		f.writeResponse(w, Response{Status: 200, Body: []byte(body)})
 	})
-	f.setLimits(most, most, 0)
+	f.SetLimits(most, most, 0)
 	ended := make(chan struct{})
-	go func() { defer close(ended); _ = f.serve() }()
+	go func() { defer close(ended); _ = f.Serve() }()
 	t.Cleanup(func() { f.server.Close(); proxytest.Receive(t, "end of the frontend", ended) })
 	return f, h, requests, &running{Proxy: &Proxy{frontend: f}}
 }
@@ -129,7 +129,7 @@
 func once[F any](at *atomic.Pointer[F], f F) { at.Store(&f) }
 
 // keepAliveClient is a connection on which a request has been answered.
-func keepAliveClient(t *testing.T, f *frontend, p *running) *client {
+func keepAliveClient(t *testing.T, f *Server, p *running) *client {
 	t.Helper()
 	c := connect(t, p)
 	c.send(t, lookRequest("1", 4000))
@@ -139,7 +139,7 @@
 }
 
 // resting counts the connections that wait for a next request.
-func (f *frontend) resting() (n int) {
+func (f *Server) resting() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, s := range f.conns {
@@ -152,16 +152,16 @@
 
 // A request that had just been read, and not noted yet, was closed on: its connection showed nothing to read.
 func TestConnectionReadingRequestIsNotClosed(t *testing.T) {
-	for name, end := range map[string]func(*frontend){
-		"drain": func(f *frontend) { f.closeIdle(0, 0, false) },
-		"shed": func(f *frontend) {
+	for name, end := range map[string]func(*Server){
+		"drain": func(f *Server) { f.closeIdle(0, 0, false) },
+		"shed": func(f *Server) {
 			f.mu.Lock()
 			for c, s := range f.conns { // it has rested long enough to make room
 				s.since = time.Now().Add(-time.Hour)
 				f.conns[c] = s
 			}
 			f.mu.Unlock()
-			f.makeRoom()
+			f.MakeRoom()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -203,7 +203,7 @@
 		t.Errorf("got %q and %v, want an end", rest, err)
 	}
 	c.Close()
-	proxytest.WaitUntil(t, func() bool { return f.openConns() == 0 && f.listener.Lingering.Count() == 0 })
+	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 0 && f.Listener.Lingering.Count() == 0 })
 	if n := requests.Load(); n != 1 {
 		t.Errorf("%d requests were taken, want the first alone", n)
 	}
@@ -228,7 +228,7 @@
 	if _, err := c.r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	proxytest.WaitUntil(t, func() bool { return f.openConns() == 0 }) // the server is through with it
+	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 0 }) // the server is through with it
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != large {
 		t.Errorf("got %s and %d bytes", resp.Status, len(body))
 	}
@@ -253,9 +253,9 @@
 
 // A request whose head was incomplete at the cutoff was closed on; its last bytes may have been on their way.
 func TestPartialRequestIsRejectedAtCutoff(t *testing.T) {
-	for _, open := range []func(*frontend, *running) *client{
-		func(_ *frontend, p *running) *client { return connect(t, p) },
-		func(f *frontend, p *running) *client { return keepAliveClient(t, f, p) },
+	for _, open := range []func(*Server, *running) *client{
+		func(_ *Server, p *running) *client { return connect(t, p) },
+		func(f *Server, p *running) *client { return keepAliveClient(t, f, p) },
 	} {
 		f, _, requests, p := startHooked(t, 4, "ok")
 		c := open(f, p)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -21,16 +21,16 @@
 
 // drain serves on after SIGTERM until what was taken is answered, or must be cut off.
 func (p *Proxy) drain() {
-	stay, left := p.drainTimes(p.frontend.currentClasses())
+	stay, left := p.drainTimes(p.frontend.CurrentClasses())
 	cutoff := time.Now().Add(left)
 	p.loop.post(func() { p.loop.shortenDeadlines(p.loop.clock.at(cutoff)) })
-	p.frontend.drain(stay, cutoff, p.successorServing)
+	p.frontend.Drain(stay, cutoff, p.successorServing)
 }
 
 // drainTimes returns how long after SIGTERM clients are served on (stay), and when all requests must have ended (left). The
 // last that come in still have as long as the longest latency objective. With deadlines of some tens of milliseconds the
 // listener closes cutoffMargin before the cutoff.
-func drainTimes(classes []balancer.Class) (stay, left time.Duration) {
+func DrainTimes(classes []balancer.Class) (stay, left time.Duration) {
 	deadline, objective := int64(0), int64(0)
 	for _, c := range classes {
 		deadline, objective = max(deadline, c.Deadline), max(objective, c.LatencyObjective)
@@ -47,33 +47,33 @@
 // Where a successor serves, new connections are its own at once. Kept ones get Connection: close by their next response; those
 // that send nothing for handoverIdleTimeout are closed, and soon all that are idle: this process may not live to answer a
 // request that comes late.
-func (f *frontend) drain(stay time.Duration, cutoff time.Time, successorServing func() bool) {
+func (f *Server) Drain(stay time.Duration, cutoff time.Time, successorServing func() bool) {
 	start := time.Now()
 	f.draining.Store(true)
-	f.logger.Info("draining", "open", f.openConns())
+	f.logger.Info("draining", "open", f.OpenConns())
 	for time.Since(start) < stay && !successorServing() {
 		time.Sleep(drainPollInterval)
 	}
 	idleTimeout := time.Duration(0)
 	if time.Since(start) < stay {
-		f.logger.Info("draining to successor", "open", f.openConns())
+		f.logger.Info("draining to successor", "open", f.OpenConns())
 		idleTimeout = handoverIdleTimeout
 	}
 	f.closing.Store(true)
 	f.acceptQueued(idleTimeout, cutoff, successorServing)
-	f.listener.Close()
+	f.Listener.Close()
 	f.closeAsIdle(idleTimeout, start, cutoff)
 	f.flushResponses(cutoff)
 	f.finishStreams(start)
-	f.logger.Info("drained", "duration", time.Since(start), "open", f.openConns())
+	f.logger.Info("drained", "duration", time.Since(start), "open", f.OpenConns())
 	_ = f.server.Close() // not Shutdown, which drops a request that it has just read
 }
 
 // acceptQueued takes the connections that wait for a slot, which a close of the listener would reset: they come in as those
 // that are open get Connection: close. It ends once no slot has been short for two polls.
-func (f *frontend) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
+func (f *Server) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
 	for unfilled := 0; unfilled < 2 && !successorServing() && time.Until(cutoff) > cutoffMargin; unfilled++ {
-		if f.listener.IsFull() {
+		if f.Listener.IsFull() {
 			unfilled = -1
 		}
 		f.closeIdle(idleTimeout, drainAcceptPeriod, false)
@@ -83,7 +83,7 @@
 
 // closeAsIdle closes connections as they fall idle until all are or the cutoff has come. Shortly before it, requests that
 // are not complete are rejected.
-func (f *frontend) closeAsIdle(idleTimeout time.Duration, start, cutoff time.Time) {
+func (f *Server) closeAsIdle(idleTimeout time.Duration, start, cutoff time.Time) {
 	for f.closeIdle(idleTimeout, drainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
 		time.Sleep(drainPollInterval)
 		if time.Since(start) > handoverKeepAlivePeriod {
@@ -97,8 +97,8 @@
 
 // flushResponses waits, for responseFlushMargin after the cutoff at most, until what the cutoff has ended is answered and
 // what was answered has been received.
-func (f *frontend) flushResponses(cutoff time.Time) {
-	for f.closeIdle(0, 0, true) > int(f.activeStreams.Load()) || f.listener.Lingering.Count() > 0 {
+func (f *Server) flushResponses(cutoff time.Time) {
+	for f.closeIdle(0, 0, true) > int(f.activeStreams.Load()) || f.Listener.Lingering.Count() > 0 {
 		if time.Since(cutoff) > responseFlushMargin {
 			return
 		}
@@ -109,7 +109,7 @@
 
 // finishStreams goes on with long responses that backends are still giving, until they end or this process is killed: to
 // cut them off here would be no better.
-func (f *frontend) finishStreams(start time.Time) {
+func (f *Server) finishStreams(start time.Time) {
 	for f.activeStreams.Load() > 0 && time.Since(start) < maxDrainStream {
 		time.Sleep(drainPollInterval)
 		f.closeIdle(0, 0, true)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -17,12 +17,12 @@
 }
 
 // startDrain starts a drain whose listener closes at once, and returns when it has.
-func startDrain(t *testing.T, f *frontend, left time.Duration) (ended chan struct{}) {
+func startDrain(t *testing.T, f *Server, left time.Duration) (ended chan struct{}) {
 	t.Helper()
 	ended = make(chan struct{})
 	go func() {
 		defer close(ended)
-		f.drain(0, time.Now().Add(left), func() bool { return false })
+		f.Drain(0, time.Now().Add(left), func() bool { return false })
 	}()
 	proxytest.WaitUntil(t, f.closing.Load)
 	return ended
@@ -92,7 +92,7 @@
 		250 * time.Millisecond, time.Second, 2999 * time.Millisecond, 3 * time.Second, 8 * time.Second, time.Minute} {
 		for _, part := range []float64{0, 0.01, 0.3, 0.7, 1} {
 			aim := time.Duration(part * float64(deadline))
-			stay, left := drainTimes([]balancer.Class{{Deadline: deadline.Microseconds(), LatencyObjective: aim.Microseconds()},
+			stay, left := DrainTimes([]balancer.Class{{Deadline: deadline.Microseconds(), LatencyObjective: aim.Microseconds()},
 				{Deadline: 1, LatencyObjective: 1}})
 			kill := min(deadline, 3*time.Second) + 700*time.Millisecond
 			if stay < 400*time.Millisecond || stay > left-cutoffMargin || left+responseFlushMargin+2*drainPollInterval > kill {
--- a/internal/proxy/evict.go
+++ b/internal/proxy/evict.go
@@ -13,7 +13,7 @@
 	// how long clients may count on it; one whose request is not complete once nothing has come for minHeadStall, or in its
 	// body for minBodyStall (a slow client may pause for some hundred milliseconds); and a new one that has sent nothing
 	// after minNewSilence, since it has waited to be accepted too.
-	minKeepAlive  = 2 * time.Second
+	MinKeepAlive  = 2 * time.Second
 	minHeadStall  = 250 * time.Millisecond
 	minBodyStall  = 750 * time.Millisecond
 	minNewSilence = 50 * time.Millisecond
@@ -21,7 +21,7 @@
 	shortageFraction    = 0.75        // of maxConns: beyond it connections run short
 	shortageLogInterval = time.Second // between two log lines about that
 
-	maxRejectConns = 32 // beyond maxConns, to reject on
+	MaxRejectConns = 32 // beyond maxConns, to reject on
 )
 
 // clientConnState is what the frontend knows of a client's connection.
@@ -33,7 +33,7 @@
 }
 
 // trackConn is the server's ConnState hook.
-func (f *frontend) trackConn(c net.Conn, s http.ConnState) {
+func (f *Server) trackConn(c net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s == http.StateClosed || s == http.StateHijacked {
@@ -50,21 +50,21 @@
 }
 
 // isShort reports whether so many connections leave too little room for others.
-func (f *frontend) isShort(open int) bool {
+func (f *Server) isShort(open int) bool {
 	return float64(open) > shortageFraction*float64(f.maxConns.Load())
 }
 
 // setLimits sets how many connections of clients are served, with how many requests in flight, and how many connections
 // beyond these are accepted to reject on.
-func (f *frontend) setLimits(conns, inFlight, rejectConns int) {
+func (f *Server) SetLimits(conns, inFlight, rejectConns int) {
 	f.maxConns.Store(int64(conns))
 	f.maxInFlight.Store(int64(inFlight))
-	f.listener.SetLimit(conns + rejectConns)
+	f.Listener.SetLimit(conns + rejectConns)
 }
 
 // markComplete counts a request in that has come: its connection is not to be evicted before its response. Reads from now
 // on only notice a client that goes, and have no deadline.
-func (f *frontend) markComplete(w http.ResponseWriter, r *http.Request, req *request) *inFlightRequest {
+func (f *Server) markComplete(w http.ResponseWriter, r *http.Request, req *request) *inFlightRequest {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,11 +73,11 @@
 		s.requestComplete = true
 		f.conns[c] = s
 	}
-	return f.loop.metrics.requestStarted(req.className)
+	return f.loop.metrics.requestStarted(req.ClassName)
 }
 
 // makeRoom closes the connection that can be spared best, if there is one.
-func (f *frontend) makeRoom() {
+func (f *Server) MakeRoom() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.makeRoomLocked()
@@ -85,8 +85,8 @@
 
 // makeRoomLocked closes a lingering connection, or the one that could have been evicted for longest: what counts is how long
 // it has been silent, not its age. A slow client that keeps sending gets its response, one that has stopped may not.
-func (f *frontend) makeRoomLocked() {
-	if f.listener.Lingering.CloseOldest() {
+func (f *Server) makeRoomLocked() {
+	if f.Listener.Lingering.CloseOldest() {
 		return
 	}
 	var victim *clientconn.Conn
@@ -105,7 +105,7 @@
 
 // evictLocked closes a connection without a complete request on it. One whose body is still coming is rejected by its own
 // goroutine, and closed if that takes long. False if a request has come.
-func (f *frontend) evictLocked(c *clientconn.Conn) bool {
+func (f *Server) evictLocked(c *clientconn.Conn) bool {
 	s := f.conns[c]
 	if c.Phase() != clientconn.PhaseInFlight {
 		if !c.CloseUnused(true) {
@@ -139,13 +139,13 @@
 	case phase == clientconn.PhaseReadingHead:
 		return c.SinceLastReceived() - minHeadStall
 	case s.state == http.StateIdle:
-		return time.Since(s.since) - minKeepAlive
+		return time.Since(s.since) - MinKeepAlive
 	}
 	return c.SinceLastReceived() - minNewSilence
 }
 
 // logShortageLocked logs what holds the connections, once in shortageLogInterval while they are short.
-func (f *frontend) logShortageLocked() {
+func (f *Server) logShortageLocked() {
 	if time.Since(f.lastLogged) < shortageLogInterval {
 		return
 	}
@@ -164,7 +164,7 @@
 
 // exceedsInFlight reports whether more requests are in flight than there may be, and counts the rejection that follows.
 // Connections without a complete request are no reason to reject one: they give way.
-func (f *frontend) exceedsInFlight() bool {
+func (f *Server) exceedsInFlight() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if int64(f.inFlightLocked()) <= f.maxInFlight.Load() {
@@ -176,7 +176,7 @@
 }
 
 // inFlightLocked counts the connections whose request has come and has no response yet.
-func (f *frontend) inFlightLocked() (n int) {
+func (f *Server) inFlightLocked() (n int) {
 	for _, s := range f.conns {
 		if s.requestComplete {
 			n++
@@ -186,7 +186,7 @@
 }
 
 // openConns is how many connections of clients there are.
-func (f *frontend) openConns() int {
+func (f *Server) OpenConns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
@@ -195,7 +195,7 @@
 // closeIdle closes the connections that have been idle, or new without a byte, for some time, and returns how many others
 // there are. One on which a request has just come is left alone: closing it would lose that request. With rejectPartial,
 // those whose request has no complete head yet are rejected.
-func (f *frontend) closeIdle(idleFor, newFor time.Duration, rejectPartial bool) (busy int) {
+func (f *Server) closeIdle(idleFor, newFor time.Duration, rejectPartial bool) (busy int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c, s := range f.conns {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -24,10 +24,10 @@
 
 // frontend is the client side: it reads requests, gives them to the loop, and writes the responses. net/http runs it in one
 // goroutine for each connection.
-type frontend struct {
+type Server struct {
 	loop       *eventLoop
 	server     *http.Server
-	listener   *clientconn.Listener
+	Listener   *clientconn.Listener
 	bodyMemory *clientconn.MemoryBudget
 	headMemory *clientconn.MemoryBudget
 	logger     *slog.Logger
@@ -54,15 +54,15 @@
 // connKey finds a request's connection in its context.
 type connKey struct{}
 
-func newFrontend(site *settings.Site, l *eventLoop, listener net.Listener, logger *slog.Logger) *frontend {
-	f := &frontend{loop: l, logger: logger, bodyMemory: clientconn.NewMemoryBudget(0), headMemory: clientconn.NewMemoryBudget(defaultBodyMemory),
+func NewServer(site *settings.Site, l *eventLoop, listener net.Listener, logger *slog.Logger) *Server {
+	f := &Server{loop: l, logger: logger, bodyMemory: clientconn.NewMemoryBudget(0), headMemory: clientconn.NewMemoryBudget(DefaultBodyMemory),
 		conns: map[net.Conn]clientConnState{}, uploads: map[*upload]bool{}}
 	classNumbers := make([]int, len(site.Classes))
 	for i := range classNumbers {
 		classNumbers[i] = i
 	}
-	f.setSettings(newSettingsSnapshot(site, l.balancerSettings(site), classNumbers))
-	f.listener = clientconn.NewListener(listener, clientconn.ListenerConfig{MakeRoom: f.makeRoom, HeadMemory: f.headMemory, Audit: l.audit, Logger: logger})
+	f.SetSettings(newSettingsSnapshot(site, l.balancerSettings(site), classNumbers))
+	f.Listener = clientconn.NewListener(listener, clientconn.ListenerConfig{MakeRoom: f.MakeRoom, HeadMemory: f.headMemory, Audit: l.audit, Logger: logger})
 	f.server = &http.Server{
 		Handler: f, ReadHeaderTimeout: clientconn.RequestReadTimeout, IdleTimeout: keepAliveTimeout, MaxHeaderBytes: clientconn.MaxHeadBytes,
 		ConnState: f.trackConn, ErrorLog: debugLog(logger),
@@ -77,17 +77,17 @@
 }
 
 // serve accepts connections until the listener is closed.
-func (f *frontend) serve() error {
+func (f *Server) Serve() error {
 	f.serving.Store(true)
 	defer f.serving.Store(false)
-	if err := f.server.Serve(f.listener); !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
+	if err := f.server.Serve(f.Listener); !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve clients: %w", err)
 	}
 	return nil
 }
 
 // ServeHTTP answers health checks and serves requests.
-func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	startedAt := time.Now()
 	if c, ok := r.Context().Value(connKey{}).(*clientconn.Conn); ok {
 		startedAt = c.RequestStarted()
@@ -105,7 +105,7 @@
 	snapshot := f.acquireSettings()
 	defer f.releaseSettings(snapshot)
 	req, rejection := snapshot.parseRequest(w, r)
-	if rejection.status != 0 {
+	if rejection.Status != 0 {
 		f.writeResponse(w, rejection)
 		return
 	}
@@ -113,54 +113,54 @@
 }
 
 // serveRequest reads a request's body, waits for its response and writes it.
-func (f *frontend) serveRequest(w http.ResponseWriter, r *http.Request, req *request, startedAt time.Time) {
-	req.clientContext = r.Context()
-	req.clientConn, _ = r.Context().Value(connKey{}).(net.Conn)
+func (f *Server) serveRequest(w http.ResponseWriter, r *http.Request, req *request, startedAt time.Time) {
+	req.ClientContext = r.Context()
+	req.ClientConn, _ = r.Context().Value(connKey{}).(net.Conn)
 	body := f.newUpload(w, r, startedAt)
 	defer f.releaseUpload(body)
 	inFlight, rejection := f.receiveBody(w, r, req, body)
-	if rejection.status != 0 {
+	if rejection.Status != 0 {
 		f.writeResponse(w, rejection)
 		return
 	}
 	defer inFlight.finish(0) // however else this returns
 	resp := f.awaitAudited(req)
-	if resp.status == 0 {
+	if resp.Status == 0 {
 		f.loop.audit.Count(audit.ClientConnNoResponse)
 		panic(http.ErrAbortHandler) // a return would answer 200
 	}
-	if resp.stream != nil {
+	if resp.Stream != nil {
 		f.activeStreams.Add(1)
 		defer f.activeStreams.Add(-1)
 	}
 	f.writeResponse(w, resp)
-	if resp.stream != nil {
-		forwardStream(w, r, resp.stream)
+	if resp.Stream != nil {
+		forwardStream(w, r, resp.Stream)
 	}
-	inFlight.finish(resp.status)
+	inFlight.finish(resp.Status)
 }
 
 // awaitAudited returns a request's response. Until it is there, a close of the connection breaks a rule, unless the client
 // has gone. Later ones are net/http's, where a write fails since the client has gone, or are visible to the client.
-func (f *frontend) awaitAudited(req *request) response {
-	c, ok := req.clientConn.(*clientconn.Conn)
+func (f *Server) awaitAudited(req *request) Response {
+	c, ok := req.ClientConn.(*clientconn.Conn)
 	if !ok {
 		return f.awaitResponse(req)
 	}
 	c.MarkInFlight(req.ID)
 	resp := f.awaitResponse(req)
-	if resp.status != 0 || req.clientGone() {
+	if resp.Status != 0 || req.IsClientGone() {
 		c.MarkAnswered()
 	}
 	return resp
 }
 
 // awaitResponse returns a request's response, without a status if its client has gone or the loop has ended.
-func (f *frontend) awaitResponse(req *request) (resp response) {
+func (f *Server) awaitResponse(req *request) (resp Response) {
 	l := f.loop
 	select {
 	case resp = <-req.responses:
-	case <-req.clientContext.Done():
+	case <-req.ClientContext.Done():
 		select {
 		case resp = <-req.responses: // one that came before all of the body cut that off, which ends the context too
 		default: // the client has gone
@@ -172,25 +172,25 @@
 }
 
 // clientDeadline is when the client of a request that is complete now gives up, on the loop's clock.
-func (f *frontend) clientDeadline(req *request) int64 {
-	return f.loop.clock.at(time.Now().Add(req.outbound.Timeout))
+func (f *Server) clientDeadline(req *request) int64 {
+	return f.loop.clock.at(time.Now().Add(req.Outbound.Timeout))
 }
 
 // rejectedResponse is the response to a request for which there is no room.
-func rejectedResponse(req *request) response {
-	return response{status: http.StatusServiceUnavailable, retryAfter: req.Settings.MaxRetryAfter}
+func rejectedResponse(req *request) Response {
+	return Response{Status: http.StatusServiceUnavailable, RetryAfter: req.Settings.MaxRetryAfter}
 }
 
 // errorResponse is the response to a request that is not to be forwarded.
-func errorResponse(status int, reason string) response {
-	return response{status: status, body: []byte(reason + "\n"), contentType: "text/plain"}
+func errorResponse(status int, reason string) Response {
+	return Response{Status: status, Body: []byte(reason + "\n"), ContentType: "text/plain"}
 }
 
 // serveHealth answers a health check. Its connection is closed each time: kept ones, of however many checkers, would take
 // the slots that clients need.
-func (f *frontend) serveHealth(w http.ResponseWriter) {
+func (f *Server) serveHealth(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
-	if f.isHealthy() {
+	if f.IsHealthy() {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
@@ -198,7 +198,7 @@
 }
 
 // isHealthy reports whether there is a list to serve by and more clients may come.
-func (f *frontend) isHealthy() bool {
+func (f *Server) IsHealthy() bool {
 	select {
 	case <-f.loop.list.available:
 		return !f.awaitingSync.Load() && !f.draining.Load()
@@ -208,26 +208,26 @@
 }
 
 // writeResponse writes a response, of a streamed one the head.
-func (f *frontend) writeResponse(w http.ResponseWriter, resp response) {
+func (f *Server) writeResponse(w http.ResponseWriter, resp Response) {
 	h := w.Header()
-	if f.closing.Load() || f.isShort(f.openConns()) { // a closed connection makes room for another
+	if f.closing.Load() || f.isShort(f.OpenConns()) { // a closed connection makes room for another
 		h.Set("Connection", "close")
 	}
-	if resp.contentType != "" {
-		h.Set("Content-Type", resp.contentType)
+	if resp.ContentType != "" {
+		h.Set("Content-Type", resp.ContentType)
 	} else {
 		h["Content-Type"] = nil // not to be guessed
 	}
 	switch {
-	case resp.stream == nil:
-		h.Set("Content-Length", strconv.Itoa(len(resp.body)))
-	case resp.stream.ContentLength >= 0:
-		h.Set("Content-Length", strconv.FormatInt(resp.stream.ContentLength, 10))
+	case resp.Stream == nil:
+		h.Set("Content-Length", strconv.Itoa(len(resp.Body)))
+	case resp.Stream.ContentLength >= 0:
+		h.Set("Content-Length", strconv.FormatInt(resp.Stream.ContentLength, 10))
 	}
-	if resp.status == http.StatusServiceUnavailable && resp.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(float64(resp.retryAfter)/1e6, 'f', 3, 64)) // seconds
+	if resp.Status == http.StatusServiceUnavailable && resp.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(float64(resp.RetryAfter)/1e6, 'f', 3, 64)) // seconds
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(upstream.StallTimeout))
-	w.WriteHeader(resp.status)
-	_, _ = w.Write(resp.body) // a client that has gone is no fault
+	w.WriteHeader(resp.Status)
+	_, _ = w.Write(resp.Body) // a client that has gone is no fault
 }
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -50,7 +50,7 @@
 
 // pipedFrontend is a frontend on pipes. Its loop only collects what is posted.
 type pipedFrontend struct {
-	*frontend
+	*Server
 	pipes *pipeListener
 }
 
@@ -65,9 +65,9 @@
 		done: make(chan struct{}), requests: map[string]*request{}, metrics: newMetrics(nil), stopped: context.Background()}
 	close(l.list.available)
 	p := &pipedFrontend{pipes: newPipeListener()}
-	p.frontend = newFrontend(site, l, p.pipes, slog.New(slog.DiscardHandler))
-	p.setLimits(most, most, maxRejectConns)
-	go func() { _ = p.serve() }()
+	p.Server = NewServer(site, l, p.pipes, slog.New(slog.DiscardHandler))
+	p.SetLimits(most, most, MaxRejectConns)
+	go func() { _ = p.Serve() }()
 	return p
 }
 
@@ -82,7 +82,7 @@
 }
 
 func (p *pipedFrontend) stop() {
-	p.listener.Close()
+	p.Listener.Close()
 	p.server.Close()
 	synctest.Wait()
 }
@@ -129,7 +129,7 @@
 					t.Errorf("got %q and the end after %v", text, after)
 				}
 				synctest.Wait()
-				if n := p.openConns(); n != 0 {
+				if n := p.OpenConns(); n != 0 {
 					t.Errorf("%d connections are left", n)
 				}
 			})
@@ -178,7 +178,7 @@
 			}
 			time.Sleep(4 * clientconn.RequestReadTimeout)
 			synctest.Wait()
-			if n := p.openConns(); n != 1 {
+			if n := p.OpenConns(); n != 1 {
 				t.Errorf("%d connections while the answer is awaited", n)
 			}
 			select {
@@ -204,7 +204,7 @@
 				const most = 4
 				p := startPiped(t, most)
 				defer p.stop()
-				for range most + maxRejectConns {
+				for range most + MaxRejectConns {
 					peer := p.connect()
 					defer peer.Close()
 					if _, err := io.WriteString(peer, text); err != nil {
@@ -294,7 +294,7 @@
 			t.Errorf("got %q and the end after %v", text, after)
 		}
 		synctest.Wait()
-		if n := p.openConns(); n != 0 {
+		if n := p.OpenConns(); n != 0 {
 			t.Errorf("%d connections are left", n)
 		}
 	})
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -147,7 +147,7 @@
 	show("half a head at the end", clientconn.RejectionText)
 
 	// Those that take more to come about: by their answers alone.
-	var next response
+	var next Response
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -156,18 +156,18 @@
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { s.Close() })
 	body := &upload{}
-	faultOf := func(err error) response {
+	faultOf := func(err error) Response {
 		rec := &headerOnly{h: http.Header{}}
 		return body.errorResponse(rec, err)
 	}
 	for _, c := range []struct {
 		name string
-		ans  response
+		ans  Response
 	}{
-		{"rejected, come again", response{status: http.StatusServiceUnavailable, retryAfter: 1_234_567}},
-		{"rejected without a time", response{status: http.StatusServiceUnavailable}},
-		{"failed with a time", response{status: http.StatusBadGateway, retryAfter: 1_234_567}},
-		{"expired", response{status: http.StatusGatewayTimeout}},
+		{"rejected, come again", Response{Status: http.StatusServiceUnavailable, RetryAfter: 1_234_567}},
+		{"rejected without a time", Response{Status: http.StatusServiceUnavailable}},
+		{"failed with a time", Response{Status: http.StatusBadGateway, RetryAfter: 1_234_567}},
+		{"expired", Response{Status: http.StatusGatewayTimeout}},
 		{"draining", faultOf(errDraining)},
 		{"short of connections", faultOf(errConnShortage)},
 		{"short of memory", faultOf(errBodyMemory)},
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -25,7 +25,7 @@
 	a := &attempt{request: r, number: r.attemptCount, decidedAt: now, awaitsBody: r.BodyPending}
 	r.attemptCount++
 	params := upstream.Params{
-		Request: &r.outbound, Deadline: l.clock.time(l.attemptDeadline(r, now, timeout)), Uploading: r.BodyPending,
+		Request: &r.Outbound, Deadline: l.clock.time(l.attemptDeadline(r, now, timeout)), Uploading: r.BodyPending,
 		StartStream: func(s *upstream.Stream) bool { return l.startStream(r, s) },
 	}
 	if sendWindow > 0 {
@@ -52,7 +52,7 @@
 // new, for a client that has gone, and while another attempt of the request is in flight or it has its response.
 func (l *eventLoop) start(a *attempt, server string, params upstream.Params) bool {
 	r := a.request
-	if r.ended || r.currentAttempt != nil || r.clientContext != nil && r.clientContext.Err() != nil {
+	if r.ended || r.currentAttempt != nil || r.ClientContext != nil && r.ClientContext.Err() != nil {
 		return false
 	}
 	outbound, ok := l.pool.NewAttempt(l.attempts.ctx, server, params)
@@ -78,14 +78,14 @@
 		r.currentAttempt = nil
 	}
 	if result.Status == balancer.StatusOK {
-		l.respond(r, response{status: http.StatusOK, body: result.Body, contentType: result.ContentType})
+		l.respond(r, Response{Status: http.StatusOK, Body: result.Body, ContentType: result.ContentType})
 	}
-	if result.Status != balancer.StatusOK && !r.ended && r.clientGone() {
+	if result.Status != balancer.StatusOK && !r.ended && r.IsClientGone() {
 		l.handleClientGone(r) // otherwise the balancer might decide on a retry
 	}
 	now := l.clock.now()
 	l.balancer.HandleOutcome(now, l, balancer.Outcome{RequestID: r.ID, Attempt: a.number, Status: result.Status,
-		Latency: now - a.decidedAt, RequestDone: r.ended, NotReplayable: r.outbound.BodyConsumed})
+		Latency: now - a.decidedAt, RequestDone: r.ended, NotReplayable: r.Outbound.BodyConsumed})
 	l.forget(r)
 }
 
@@ -100,7 +100,7 @@
 		}
 		s.ClientDeadline = l.clock.time(r.Deadline)
 		l.balancer.HandleResponseStarted(l.clock.now(), r.ID)
-		l.respond(r, response{status: http.StatusOK, contentType: s.ContentType, stream: s})
+		l.respond(r, Response{Status: http.StatusOK, ContentType: s.ContentType, Stream: s})
 		started <- true
 	})
 	select {
@@ -114,14 +114,14 @@
 // Reject gives a request a 503 that tells its client to come again after so many microseconds; 0: without a time.
 func (l *eventLoop) Reject(id string, retryAfter int64) {
 	if r := l.requests[id]; r != nil {
-		l.respond(r, response{status: http.StatusServiceUnavailable, retryAfter: retryAfter})
+		l.respond(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter})
 	}
 }
 
 // Fail gives a request a 502.
 func (l *eventLoop) Fail(id string) {
 	if r := l.requests[id]; r != nil {
-		l.respond(r, response{status: http.StatusBadGateway})
+		l.respond(r, Response{Status: http.StatusBadGateway})
 	}
 }
 
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -113,7 +113,7 @@
 		{8 * time.Second, 4 * time.Second, drainAcceptPeriod, 3500 * time.Millisecond},
 		{time.Second, 400 * time.Millisecond, 1100 * time.Millisecond, 1500 * time.Millisecond},
 	} {
-		stay, left := drainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.aim.Microseconds()},
+		stay, left := DrainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.aim.Microseconds()},
 			{Deadline: 1, LatencyObjective: 1}})
 		if stay != c.stay || left != c.left {
 			t.Errorf("deadline %v, aim %v: %v and %v, want %v and %v", c.deadline, c.aim, stay, left, c.stay, c.left)
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -20,7 +20,7 @@
 	clientConnFraction = 0.55
 	minConns           = 8 // on either side, at least
 
-	defaultBodyMemory = 16 << 20 // bytes
+	DefaultBodyMemory = 16 << 20 // bytes
 )
 
 // connLimits returns how many connections there may be of clients and to backends, and how many more of clients to reject
@@ -36,7 +36,7 @@
 	if cfg.Cluster != nil {
 		reserved += cfg.Cluster.Descriptors
 	}
-	reject = min(maxRejectConns, max(minRejectConns, descriptors/rejectConnsDivisor))
+	reject = min(MaxRejectConns, max(minRejectConns, descriptors/rejectConnsDivisor))
 	available := descriptors - reserved - reject
 	clients = int(clientConnFraction * float64(available))
 	return clients, available - clients, reject
@@ -46,8 +46,8 @@
 // process of the proxy.
 func (p *Proxy) applyResourceShare(shared bool) {
 	clients, backends, reject := p.config.connLimits(shared)
-	p.frontend.setLimits(max(clients, minConns), max(backends, minConns), reject)
-	fraction, memory := 1.0, cmp.Or(p.config.BodyMemory, defaultBodyMemory)
+	p.frontend.SetLimits(max(clients, minConns), max(backends, minConns), reject)
+	fraction, memory := 1.0, cmp.Or(p.config.BodyMemory, DefaultBodyMemory)
 	if shared {
 		fraction, memory = 0.5, memory/2
 	}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -222,7 +222,7 @@
 }
 
 // reconfigure puts other settings in force for the requests that come from now on. With an error nothing has changed.
-func (l *eventLoop) reconfigure(site *settings.Site, next balancer.Settings, f *frontend) error {
+func (l *eventLoop) reconfigure(site *settings.Site, next balancer.Settings, f *Server) error {
 	if next.Zone < len(site.Zones) { // zones keep the numbers that they have
 		next.Zone = l.zoneNumbers.number(site.Zones[next.Zone])
 		for _, name := range site.Zones {
@@ -230,12 +230,12 @@
 		}
 		next.ZoneCount = len(l.zoneNumbers)
 	}
-	classNumbers, err := l.balancer.Reconfigure(l.clock.now(), next, f.classesInUse())
+	classNumbers, err := l.balancer.Reconfigure(l.clock.now(), next, f.ClassesInUse())
 	if err != nil {
 		return err
 	}
 	l.updateZoneNames()
-	f.setSettings(newSettingsSnapshot(site, l.balancer.Settings(), classNumbers))
+	f.SetSettings(newSettingsSnapshot(site, l.balancer.Settings(), classNumbers))
 	l.pool.SetTimeouts(site.DialTimeout, site.IdleClose)
 	l.pool.SetDrainGrace(site.Balancer.DrainGrace)
 	return nil
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -74,7 +74,7 @@
 			go func() { _, _ = io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n") }()
 		}
 	}
-	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() >= most })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() >= most })
 	d.responses <- listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)) // it is back
 	proxytest.WaitUntil(t, p.Ready)
 	for i, want := range []string{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", lookRequest("1", 4000), "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"} {
@@ -84,7 +84,7 @@
 		if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
 			t.Errorf("call %d: %s", i, resp.Status)
 		}
-		if took := time.Since(start); took > minKeepAlive+time.Second {
+		if took := time.Since(start); took > MinKeepAlive+time.Second {
 			t.Errorf("call %d waited %v", i, took)
 		}
 	}
--- a/internal/proxy/misbehavingclients_test.go
+++ b/internal/proxy/misbehavingclients_test.go
@@ -25,7 +25,7 @@
 	turn := make(chan struct{})
 	once(&h.reading, func() { <-turn })
 	c := connect(t, p)
-	proxytest.WaitUntil(t, func() bool { return f.openConns() == 1 })
+	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 1 })
 	c.send(t, lookRequest("1", 4000))
 	f.mu.Lock()
 	for conn := range f.conns {
@@ -34,7 +34,7 @@
 		})
 	}
 	f.mu.Unlock()
-	f.makeRoom()
+	f.MakeRoom()
 	f.closeIdle(0, 0, true)
 	close(turn)
 	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
--- a/internal/proxy/parserequest.go
+++ b/internal/proxy/parserequest.go
@@ -21,8 +21,8 @@
 
 // parseRequest reads a request's head by the settings of a snapshot. With a response returned the head makes no sense, and
 // nothing of it is forwarded.
-func (v *settingsSnapshot) parseRequest(w http.ResponseWriter, r *http.Request) (*request, response) {
-	bad := func(status int, reason string) (*request, response) { return nil, errorResponse(status, reason) }
+func (v *settingsSnapshot) parseRequest(w http.ResponseWriter, r *http.Request) (*request, Response) {
+	bad := func(status int, reason string) (*request, Response) { return nil, errorResponse(status, reason) }
 	for _, name := range []string{"Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key", "Tenant"} {
 		if len(r.Header[name]) > 1 {
 			return bad(http.StatusBadRequest, name+" is given twice")
@@ -59,13 +59,13 @@
 	req := &request{
 		Request: balancer.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
 			Settings: v.balancer},
-		className: name,
-		outbound: upstream.Request{ID: id, Method: method, URI: r.RequestURI, Host: r.Host, Header: forwardedHeader(r.Header),
+		ClassName: name,
+		Outbound: upstream.Request{ID: id, Method: method, URI: r.RequestURI, Host: r.Host, Header: forwardedHeader(r.Header),
 			Timeout: clientTimeout(r, settings), NonIdempotent: settings.Idempotency == balancer.NonIdempotent},
-		responses: make(chan response, 1),
+		responses: make(chan Response, 1),
 	}
-	req.outbound.ClientGone = req.clientGone
-	return req, response{}
+	req.Outbound.ClientGone = req.IsClientGone
+	return req, Response{}
 }
 
 // clientTimeout is how long the proxy has for a response, from the request's last byte on. A client whose
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -37,7 +37,7 @@
 type Proxy struct {
 	config     Config
 	loop       *eventLoop
-	frontend   *frontend
+	frontend   *Server
 	metrics    *metrics
 	listClient *discovery.Client
 	overrides  *override.Overrides // nil without a management address
@@ -107,9 +107,9 @@
 		balancer: engine, clock: clock{time.Now()}, pool: pool, zoneNumbers: newZoneNumbers(cfg.Site.Zones),
 		metrics: metrics, audit: recorder, logger: cfg.Logger, managed: cfg.Managed, maxListAge: cfg.maxListAge(),
 	})
-	p := &Proxy{config: cfg, loop: l, metrics: metrics, predecessor: predecessor, drainTimes: drainTimes, syncTimeout: cfg.syncTimeout()}
+	p := &Proxy{config: cfg, loop: l, metrics: metrics, predecessor: predecessor, drainTimes: DrainTimes, syncTimeout: cfg.syncTimeout()}
 	p.openListClient()
-	p.frontend = newFrontend(cfg.Site, l, listener, cfg.Logger)
+	p.frontend = NewServer(cfg.Site, l, listener, cfg.Logger)
 	p.applyResourceShare(false)
 	return p
 }
@@ -225,7 +225,7 @@
 }
 
 // Addr is where clients connect.
-func (p *Proxy) Addr() string { return p.frontend.listener.Addr().String() }
+func (p *Proxy) Addr() string { return p.frontend.Listener.Addr().String() }
 
 // Run serves until the context ends, then drains: it finishes the requests that it has taken. It returns when all of the
 // proxy's goroutines have ended, with an error if the listener failed.
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -289,9 +289,9 @@
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	c := connect(t, p)
 	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 9\r\n\r\nabc")
-	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 1 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 1 })
 	c.Close()
-	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 0 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 0 })
 	if n := b.Requests.Load(); n != 0 {
 		t.Errorf("%d requests went on", n)
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -25,12 +25,12 @@
 // it; the second group belongs to the loop. outbound is the attempt's while there is one, but for ClientDeadline.
 type request struct {
 	balancer.Request
-	className     string
-	outbound      upstream.Request
-	clientContext context.Context // ends once net/http has noticed that the client has gone; nil in a test without one
-	clientConn    net.Conn
-	stopUpload    func()        // of a body that is still coming: nobody wants the rest any more
-	responses     chan response // takes the one final response without a wait
+	ClassName     string
+	Outbound      upstream.Request
+	ClientContext context.Context // ends once net/http has noticed that the client has gone; nil in a test without one
+	ClientConn    net.Conn
+	StopUpload    func()        // of a body that is still coming: nobody wants the rest any more
+	responses     chan Response // takes the one final response without a wait
 
 	rules            *invariant.Request // nil before the loop has taken it
 	recordedAttempts int                // that were started
@@ -52,28 +52,28 @@
 }
 
 // response is a final response.
-type response struct {
-	status      int // 0: nobody waits for one
-	contentType string
-	body        []byte
-	stream      *upstream.Stream // in place of body, for a response that is streamed
-	retryAfter  int64            // of a rejection, in microseconds; 0: none
+type Response struct {
+	Status      int // 0: nobody waits for one
+	ContentType string
+	Body        []byte
+	Stream      *upstream.Stream // in place of body, for a response that is streamed
+	RetryAfter  int64            // of a rejection, in microseconds; 0: none
 }
 
 // clientGone reports whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
 // context; what it cannot have seen yet, or never will, at the socket. Any goroutine may call it.
-func (r *request) clientGone() bool {
-	return r.clientContext != nil && (r.clientContext.Err() != nil || socket.PeerClosed(r.clientConn))
+func (r *request) IsClientGone() bool {
+	return r.ClientContext != nil && (r.ClientContext.Err() != nil || socket.PeerClosed(r.ClientConn))
 }
 
 // handleRequest gives a request to the balancer, which has until its deadline to end it.
 func (l *eventLoop) handleRequest(r *request) {
 	if l.requests[r.ID] != nil { // two under one ID could not be distinguished
-		r.endUntaken(response{status: http.StatusBadRequest})
+		r.endUntaken(Response{Status: http.StatusBadRequest})
 		return
 	}
-	if r.clientContext != nil && r.clientContext.Err() != nil { // it left while the event was queued
-		r.endUntaken(response{})
+	if r.ClientContext != nil && r.ClientContext.Err() != nil { // it left while the event was queued
+		r.endUntaken(Response{})
 		return
 	}
 	l.requests[r.ID] = r
@@ -85,11 +85,11 @@
 }
 
 // endUntaken ends a request that neither the loop's table nor the balancer has.
-func (r *request) endUntaken(resp response) {
+func (r *request) endUntaken(resp Response) {
 	r.ended = true
 	r.responses <- resp
-	if r.stopUpload != nil {
-		r.stopUpload()
+	if r.StopUpload != nil {
+		r.StopUpload()
 	}
 }
 
@@ -107,8 +107,8 @@
 	if r.ended || !r.BodyPending {
 		return
 	}
-	deadline := arrived.Add(r.outbound.Timeout)
-	r.outbound.ClientDeadline.Store(&deadline)
+	deadline := arrived.Add(r.Outbound.Timeout)
+	r.Outbound.ClientDeadline.Store(&deadline)
 	if r.rules != nil {
 		r.rules.SetDeadline(deadline)
 	}
@@ -122,7 +122,7 @@
 	if r.ended {
 		return
 	}
-	if arrived := r.outbound.ClientDeadline.Load(); arrived != nil {
+	if arrived := r.Outbound.ClientDeadline.Load(); arrived != nil {
 		deadline = min(deadline, l.clock.at(*arrived))
 	}
 	r.BodyPending, r.Deadline = false, deadline
@@ -139,15 +139,15 @@
 }
 
 // respond gives a request its final response, if it has none yet.
-func (l *eventLoop) respond(r *request, resp response) {
+func (l *eventLoop) respond(r *request, resp Response) {
 	if r.ended {
 		return
 	}
 	r.ended = true
 	l.auditResponse(r, resp)
 	r.responses <- resp
-	if r.stopUpload != nil {
-		r.stopUpload()
+	if r.StopUpload != nil {
+		r.StopUpload()
 	}
 	l.forget(r)
 }
@@ -156,12 +156,12 @@
 func (l *eventLoop) forget(r *request) {
 	if r.ended && r.currentAttempt == nil {
 		delete(l.requests, r.ID)
-		r.outbound.Body, r.outbound.Header = nil, nil // a timer may keep the rest for seconds
+		r.Outbound.Body, r.Outbound.Header = nil, nil // a timer may keep the rest for seconds
 	}
 }
 
 // withdraw ends a request whatever the balancer would decide, and cancels its attempt.
-func (l *eventLoop) withdraw(r *request, resp response) {
+func (l *eventLoop) withdraw(r *request, resp Response) {
 	if r.ended {
 		return
 	}
@@ -172,7 +172,7 @@
 
 // handleClientGone ends a request whose client has gone, even in the middle of its response.
 func (l *eventLoop) handleClientGone(r *request) {
-	l.withdraw(r, response{})
+	l.withdraw(r, Response{})
 	r.cancelAttempt()
 }
 
@@ -184,7 +184,7 @@
 
 // expire fails a request that the balancer has not ended in its time.
 func (l *eventLoop) expire(r *request) {
-	l.withdraw(r, response{status: http.StatusGatewayTimeout})
+	l.withdraw(r, Response{Status: http.StatusGatewayTimeout})
 }
 
 // shortenDeadlines has all requests end by cutoff, a moment of the loop's clock: after SIGTERM the process may be killed
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -28,21 +28,21 @@
 }
 
 // acquireSettings gives a request the settings in force; releaseSettings gives them back.
-func (f *frontend) acquireSettings() *settingsSnapshot {
+func (f *Server) acquireSettings() *settingsSnapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.settings.readers++
 	return f.settings
 }
 
-func (f *frontend) releaseSettings(s *settingsSnapshot) {
+func (f *Server) releaseSettings(s *settingsSnapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.readers--
 }
 
 // currentClasses are the classes in force.
-func (f *frontend) currentClasses() []balancer.Class {
+func (f *Server) CurrentClasses() []balancer.Class {
 	s := f.acquireSettings()
 	defer f.releaseSettings(s)
 	var classes []balancer.Class
@@ -53,7 +53,7 @@
 }
 
 // classesInUse are the balancer's numbers of classes that requests may still have which were parsed by former settings.
-func (f *frontend) classesInUse() map[int]bool {
+func (f *Server) ClassesInUse() map[int]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.settingsInUse = slices.DeleteFunc(f.settingsInUse, func(s *settingsSnapshot) bool { return s != f.settings && s.readers == 0 })
@@ -67,7 +67,7 @@
 }
 
 // setSettings puts settings in force.
-func (f *frontend) setSettings(s *settingsSnapshot) {
+func (f *Server) SetSettings(s *settingsSnapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.settings = s
--- a/internal/proxy/succession.go
+++ b/internal/proxy/succession.go
@@ -58,7 +58,7 @@
 			p.config.Logger.Error("handover not available", "error", err)
 		}
 	}
-	if !p.frontend.isHealthy() {
+	if !p.frontend.IsHealthy() {
 		p.config.Logger.Info("not ready", "reason", p.NotReadyReason())
 	}
 	if p.predecessor != nil {
@@ -66,7 +66,7 @@
 			p.config.Logger.Warn("predecessor exited", "error", err)
 		}
 	}
-	return p.frontend.serve()
+	return p.frontend.Serve()
 }
 
 // awaitList waits for a list from discovery, for listSyncTimeout at most; false if the context ended before.
@@ -85,7 +85,7 @@
 
 // startHandover lets a successor take over from this process.
 func (p *Proxy) startHandover() error {
-	clientListener, ok := p.frontend.listener.Listener.(syscall.Conn)
+	clientListener, ok := p.frontend.Listener.Listener.(syscall.Conn)
 	if !ok {
 		return errNoDescriptor
 	}
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -17,7 +17,7 @@
 const (
 	maxRequestBodyBytes = 40 << 20
 
-	maxBufferedBody      = 256 << 10 // up to so many bytes are buffered, to be sent again; the rest is streamed
+	MaxBufferedBody      = 256 << 10 // up to so many bytes are buffered, to be sent again; the rest is streamed
 	guaranteedBodyBuffer = 32 << 10  // so many are, however little memory is left, and go out with the head at once
 
 	// A body must come at minUploadRate (bytes a second) from requestReadTimeout after its request's start, and must not
@@ -56,7 +56,7 @@
 }
 
 // newUpload registers an upload of a request that started at a moment.
-func (f *frontend) newUpload(w http.ResponseWriter, r *http.Request, startedAt time.Time) *upload {
+func (f *Server) newUpload(w http.ResponseWriter, r *http.Request, startedAt time.Time) *upload {
 	u := &upload{source: r.Body, contentLength: r.ContentLength, setReadDeadline: http.NewResponseController(w).SetReadDeadline,
 		startedAt: startedAt, lastReceived: time.Now(), bodyMemory: f.bodyMemory, headMemory: f.headMemory}
 	u.conn, _ = r.Context().Value(connKey{}).(net.Conn)
@@ -67,7 +67,7 @@
 }
 
 // releaseUpload gives back the memory that an upload had reserved.
-func (f *frontend) releaseUpload(u *upload) {
+func (f *Server) releaseUpload(u *upload) {
 	u.bodyMemory.Release(u.bodyReserved)
 	u.headMemory.Release(u.headReserved)
 	f.mu.Lock()
@@ -76,7 +76,7 @@
 }
 
 // rejectUploads ends the uploads that are not complete: the process ends before they can be.
-func (f *frontend) rejectUploads() {
+func (f *Server) rejectUploads() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for u := range f.uploads {
@@ -191,7 +191,7 @@
 // reserve lets a buffer of a size grow; false if it may not. With errBodyMemory there is not even room for the first bytes.
 func (u *upload) reserve(size, more int) (bool, error) {
 	switch size += more; {
-	case size > maxBufferedBody:
+	case size > MaxBufferedBody:
 		return false, nil
 	case size > guaranteedBodyBuffer:
 		if !u.bodyMemory.Reserve(more) {
@@ -234,7 +234,7 @@
 
 // errorResponse is the response to a body that did not come as it should. What is left of it cannot be distinguished from a next
 // request, and is not read.
-func (u *upload) errorResponse(w http.ResponseWriter, err error) response {
+func (u *upload) errorResponse(w http.ResponseWriter, err error) Response {
 	w.Header().Set("Connection", "close")
 	switch {
 	case errors.Is(err, errBodyTooLarge):
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -23,7 +23,7 @@
 
 // A body that is too large to be buffered reaches the backend completely, in every framing, while it comes.
 func TestLargeBodiesAreStreamed(t *testing.T) {
-	const size = 2*maxBufferedBody + 5
+	const size = 2*MaxBufferedBody + 5
 	body := bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size]
 	for _, c := range []struct {
 		name, framing string
@@ -56,9 +56,9 @@
 					cl.send(t, string(part))
 				}
 			}
-			send(body[:maxBufferedBody+1])
+			send(body[:MaxBufferedBody+1])
 			proxytest.Receive(t, "the head at the backend", b.Begun) // the rest follows only once this has come
-			send(body[maxBufferedBody+1 : size-1])
+			send(body[MaxBufferedBody+1 : size-1])
 			send(body[size-1:])
 			if c.chunked {
 				cl.send(t, "0\r\n\r\n")
@@ -120,11 +120,11 @@
 	b.Begun = make(chan struct{})
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	cl := connect(t, p)
-	cl.send(t, postRequest("1", "Content-Length: 1000000")+strings.Repeat("x", maxBufferedBody+1))
+	cl.send(t, postRequest("1", "Content-Length: 1000000")+strings.Repeat("x", MaxBufferedBody+1))
 	proxytest.Receive(t, "the head at the backend", b.Begun)
 	cl.Close()
 	proxytest.Receive(t, "the backend's connection", b.Closed)
-	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 0 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 0 })
 	f := p.Metrics()
 	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded+e.Rejected+e.Failed != 0 || f.Forwarded != 0 {
 		t.Errorf("got %+v", f)
@@ -170,7 +170,7 @@
 				if c.whole {
 					time.Sleep(2 * time.Second) // the head
 				}
-				u := &upload{source: &c.r, contentLength: 200_000, startedAt: began, lastReceived: time.Now(), bodyMemory: clientconn.NewMemoryBudget(1 << 20), headMemory: clientconn.NewMemoryBudget(maxBufferedBody),
+				u := &upload{source: &c.r, contentLength: 200_000, startedAt: began, lastReceived: time.Now(), bodyMemory: clientconn.NewMemoryBudget(1 << 20), headMemory: clientconn.NewMemoryBudget(MaxBufferedBody),
 					setReadDeadline: func(at time.Time) error { c.r.deadline = at; return nil }}
 				_, whole, err := u.buffer()
 				if whole != c.whole || (err == nil) != c.whole {
@@ -190,7 +190,7 @@
 	var all []*upload
 	held := 0
 	for range 10 {
-		u := &upload{source: bytes.NewReader(make([]byte, 2*maxBufferedBody)), contentLength: 2 * maxBufferedBody, bodyMemory: h, headMemory: clientconn.NewMemoryBudget(maxBufferedBody),
+		u := &upload{source: bytes.NewReader(make([]byte, 2*MaxBufferedBody)), contentLength: 2 * MaxBufferedBody, bodyMemory: h, headMemory: clientconn.NewMemoryBudget(MaxBufferedBody),
 			setReadDeadline: func(time.Time) error { return nil }}
 		body, whole, err := u.buffer()
 		if err != nil || whole || len(body) < guaranteedBodyBuffer {
@@ -216,7 +216,7 @@
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
-	for _, size := range []int{1000, 4 * maxBufferedBody} { // held, and passed on as it comes
+	for _, size := range []int{1000, 4 * MaxBufferedBody} { // held, and passed on as it comes
 		cl := connect(t, p)
 		cl.send(t, postRequest(fmt.Sprint(size), fmt.Sprintf("Content-Length: %d", size))+strings.Repeat("x", size-500))
 		defer func() {
@@ -225,6 +225,6 @@
 			}
 		}()
 	}
-	proxytest.WaitUntil(t, func() bool { return p.frontend.openConns() == 2 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 2 })
 	p.stop()
 }
