--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -51,7 +51,7 @@
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	p.breaksRules = true
 	cl := connect(t, p)
-	cl.send(t, lookRequest("1", 4000))
+	cl.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 1 && b.Requests.Load() == 1 })
 	p.frontend.mu.Lock()
 	for c := range p.frontend.conns {
@@ -66,8 +66,8 @@
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for _, id := range []string{"1", "2", "3"} {
 		cl := connect(t, p)
-		cl.send(t, lookRequest(id, 4000))
-		cl.readResponse(t)
+		cl.Send(t, proxytest.LookRequest(id, 4000))
+		cl.ReadResponse(t)
 		cl.Close()
 	}
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.frontend.OpenConns() == 0 })
--- a/internal/proxy/backendclosing_test.go
+++ b/internal/proxy/backendclosing_test.go
@@ -36,8 +36,8 @@
 					return c.then(w)
 				})
 				cl := connect(t, p)
-				cl.send(t, lookRequest("1", 1500))
-				resp, err := http.ReadResponse(cl.r, nil)
+				cl.Send(t, proxytest.LookRequest("1", 1500))
+				resp, err := http.ReadResponse(cl.R, nil)
 				if err != nil {
 					t.Fatalf("no answer: %v", err)
 				}
--- a/internal/proxy/bodyend_test.go
+++ b/internal/proxy/bodyend_test.go
@@ -58,13 +58,13 @@
 			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", stuckBackend(t), discovery.StatusServing)))
 			narrow(p)
 			cl := connect(t, p)
-			cl.send(t, postRequest("1", c.head))
+			cl.Send(t, proxytest.PostRequest("1", c.head))
 			if c.tail != "" {
-				cl.send(t, fmt.Sprintf("%x\r\n", size))
+				cl.Send(t, fmt.Sprintf("%x\r\n", size))
 			}
-			cl.send(t, string(body)+c.tail)
+			cl.Send(t, string(body)+c.tail)
 			sent := time.Now() // all is in the system's hands
-			resp, _ := cl.readResponse(t)
+			resp, _ := cl.ReadResponse(t)
 			if took := time.Since(sent); took > left+upstream.MaxStreamOverrun {
 				t.Errorf("%s after %v, of %v that the client waits", resp.Status, took, left)
 			}
@@ -94,9 +94,9 @@
 		}
 	})
 	cl := connect(t, p)
-	cl.send(t, postRequest("1", fmt.Sprintf("Request-Timeout-Ms: %d\r\nContent-Length: %d", wait.Milliseconds(), size)))
-	cl.send(t, string(bytes.Repeat([]byte("x"), size)))
-	if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusOK {
+	cl.Send(t, proxytest.PostRequest("1", fmt.Sprintf("Request-Timeout-Ms: %d\r\nContent-Length: %d", wait.Milliseconds(), size)))
+	cl.Send(t, string(bytes.Repeat([]byte("x"), size)))
+	if resp, _ := cl.ReadResponse(t); resp.StatusCode != http.StatusOK {
 		t.Fatalf("got %s", resp.Status)
 	}
 	const slack = 150
--- a/internal/proxy/clientgone_stress_test.go
+++ b/internal/proxy/clientgone_stress_test.go
@@ -34,7 +34,7 @@
 					t.Error(err)
 					return
 				}
-				_, _ = io.WriteString(c, lookRequest(fmt.Sprintf("%d-%d", worker, i), 1000))
+				_, _ = io.WriteString(c, proxytest.LookRequest(fmt.Sprintf("%d-%d", worker, i), 1000))
 				time.Sleep(time.Duration(rand.IntN(6000)) * time.Microsecond)
 				if i%2 == 0 {
 					_ = c.(*net.TCPConn).SetLinger(0)
--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -23,22 +23,17 @@
 // The ways in which a client goes; each with what it has sent behind its request.
 var departures = []struct {
 	name, behind string
-	leave        func(*client)
+	leave        func(*proxytest.Client)
 }{
-	{"closes", "", (*client).fin},
-	{"resets", "", (*client).reset},
-	{"ends its sending", "", (*client).closeWrite},
-	{"closes behind a request", lookRequest("next", 4000), (*client).fin},
-	{"resets behind a request", lookRequest("next", 4000), (*client).reset},
-	{"closes behind half a request", lookRequest("next", 4000)[:20], (*client).fin},
-	{"ends its sending behind much", strings.Repeat("x", 2*clientconn.MaxPipelinedBytes), (*client).closeWrite},
+	{"closes", "", (*proxytest.Client).Fin},
+	{"resets", "", (*proxytest.Client).Reset},
+	{"ends its sending", "", (*proxytest.Client).CloseWrite},
+	{"closes behind a request", proxytest.LookRequest("next", 4000), (*proxytest.Client).Fin},
+	{"resets behind a request", proxytest.LookRequest("next", 4000), (*proxytest.Client).Reset},
+	{"closes behind half a request", proxytest.LookRequest("next", 4000)[:20], (*proxytest.Client).Fin},
+	{"ends its sending behind much", strings.Repeat("x", 2*clientconn.MaxPipelinedBytes), (*proxytest.Client).CloseWrite},
 }
 
-func (c *client) tcp() *net.TCPConn { return c.Conn.(*net.TCPConn) }
-func (c *client) fin()              { c.Close() }
-func (c *client) closeWrite()       { _ = c.tcp().CloseWrite() }
-func (c *client) reset()            { _ = c.tcp().SetLinger(0); c.Close() }
-
 // blockLoop has the loop block once it has handled what is in its queue by now, until goOn is called.
 func blockLoop(t *testing.T, p *running) (stands chan struct{}, goOn func()) {
 	t.Helper()
@@ -67,8 +62,8 @@
 	p.loop.pool.SetReuseDelay(0) // what it goes on has just been used
 	checkNothingLeft(t, p)
 	cl := connect(t, p)
-	cl.send(t, lookRequest("after", 4000))
-	if resp, _ := cl.readResponse(t); resp.StatusCode != 200 {
+	cl.Send(t, proxytest.LookRequest("after", 4000))
+	if resp, _ := cl.ReadResponse(t); resp.StatusCode != 200 {
 		t.Errorf("then got %s", resp.Status)
 	}
 	if n, conns := b.Requests.Load(), b.Conns.Load(); n != before+1 || conns != 1 {
@@ -104,7 +99,7 @@
 func TestNoAttemptForClientGoneInEventQueue(t *testing.T) {
 	for _, d := range departures {
 		for _, draining := range []bool{false, true} {
-			if draining && d.behind != lookRequest("next", 4000) {
+			if draining && d.behind != proxytest.LookRequest("next", 4000) {
 				continue // each takes the time of a drain
 			}
 			t.Run(fmt.Sprintf("%s, draining %v", d.name, draining), func(t *testing.T) {
@@ -116,7 +111,7 @@
 					p.stop()
 					proxytest.WaitUntil(t, p.frontend.draining.Load)
 				}
-				leaves(t, p, func() { cl.send(t, lookRequest("1", 4000)+d.behind) }, func() { d.leave(cl) })
+				leaves(t, p, func() { cl.Send(t, proxytest.LookRequest("1", 4000)+d.behind) }, func() { d.leave(cl) })
 				checkNothingSent(t, p, b, 0)
 			})
 		}
@@ -136,7 +131,7 @@
 				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
 			})
 			cl := connect(t, p)
-			cl.send(t, lookRequest("1", 4000)+d.behind)
+			cl.Send(t, proxytest.LookRequest("1", 4000)+d.behind)
 			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 			leaves(t, p, func() { close(fail) }, func() { d.leave(cl) })
 			checkNothingSent(t, p, b, 1)
@@ -154,7 +149,7 @@
 	rate := func(id string) string {
 		return "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: rate\r\nIdempotency-Key: x\r\nContent-Length: 0\r\n\r\n"
 	}
-	text := strings.Replace(siteText, `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
+	text := strings.Replace(proxytest.SiteJSON, `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
 	for _, d := range departures {
 		t.Run(d.name, func(t *testing.T) {
 			turn := make(chan struct{})
@@ -166,14 +161,14 @@
 			})
 			p := startSite(t, text, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)), t.TempDir())
 			first, cl, third := connect(t, p), connect(t, p), connect(t, p)
-			first.send(t, rate("1"))
+			first.Send(t, rate("1"))
 			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
-			cl.send(t, rate("2")+d.behind)
+			cl.Send(t, rate("2")+d.behind)
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 2 })
 			leaves(t, p, func() { close(turn) }, func() { d.leave(cl) })
-			third.send(t, rate("3")) // its turn comes
-			for _, c := range []*client{first, third} {
-				if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+			third.Send(t, rate("3")) // its turn comes
+			for _, c := range []*proxytest.Client{first, third} {
+				if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
 					t.Errorf("got %s", resp.Status)
 				}
 			}
@@ -196,8 +191,8 @@
 
 // The client goes while a connection to the backend comes up; the loop, which would cancel the attempt, is busy.
 func TestNoSendAfterSlowDialForGoneClient(t *testing.T) {
-	for _, text := range []string{lookRequest("1", 4000), postRequest("1", "Content-Length: 1000000") + strings.Repeat("x", MaxBufferedBody+1),
-		postRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
+	for _, text := range []string{proxytest.LookRequest("1", 4000), proxytest.PostRequest("1", "Content-Length: 1000000") + strings.Repeat("x", MaxBufferedBody+1),
+		proxytest.PostRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
 			if strings.Contains(text, "1000000") && d.behind != "" {
 				// Of the body: more than is read while nobody takes it, and no more than a socket's first window holds,
@@ -215,7 +210,7 @@
 					}
 				})
 				cl := connect(t, p)
-				cl.send(t, text+d.behind)
+				cl.Send(t, text+d.behind)
 				proxytest.Receive(t, "dial", dialing)
 				stands, end := blockLoop(t, p)
 				proxytest.Receive(t, "stand of the loop", stands)
@@ -244,13 +239,13 @@
 			p.loop.pool.SetReuseDelay(0)
 			p.frontend.Listener.SetLimit(1)
 			busy := connect(t, p)
-			busy.send(t, lookRequest("1", 4000))
+			busy.Send(t, proxytest.LookRequest("1", 4000))
 			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 			cl := connect(t, p)
-			cl.send(t, lookRequest("2", 4000)+d.behind)
+			cl.Send(t, proxytest.LookRequest("2", 4000)+d.behind)
 			d.leave(cl)
 			close(over)
-			busy.readResponse(t)
+			busy.ReadResponse(t)
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 }) // its own may stand in the figures for a moment
 			p.frontend.Listener.SetLimit(50)
 			proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() <= 1 })
@@ -264,8 +259,8 @@
 
 // A client that goes cancels its attempt in flight, whatever it has sent behind its request.
 func TestClientGoneCancelsAttemptInFlight(t *testing.T) {
-	long := strings.NewReplacer("4000000", "60000000", "8000000", "90000000").Replace(siteText) // no attempt ends by itself
-	for _, text := range []string{lookRequest("1", 60_000), postRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
+	long := strings.NewReplacer("4000000", "60000000", "8000000", "90000000").Replace(proxytest.SiteJSON) // no attempt ends by itself
+	for _, text := range []string{proxytest.LookRequest("1", 60_000), proxytest.PostRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
 			if len(d.behind) > clientconn.MaxPipelinedBytes {
 				continue // not noticed: its attempt ends in its own time, and no other follows
@@ -274,7 +269,7 @@
 				b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
 				p := startSite(t, long, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)), t.TempDir())
 				cl := connect(t, p)
-				cl.send(t, text+d.behind)
+				cl.Send(t, text+d.behind)
 				proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 				d.leave(cl)
 				checkNothingLeft(t, p)
@@ -304,8 +299,8 @@
 	}()
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", l.Addr().String(), discovery.StatusServing)))
 	cl := connect(t, p)
-	cl.send(t, postRequest("1", "Content-Length: 0"))
-	if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusBadGateway { // it may have run
+	cl.Send(t, proxytest.PostRequest("1", "Content-Length: 0"))
+	if resp, _ := cl.ReadResponse(t); resp.StatusCode != http.StatusBadGateway { // it may have run
 		t.Errorf("got %s", resp.Status)
 	}
 	if err := proxytest.Receive(t, "end of the server's connection", closed); err == nil {
@@ -325,18 +320,18 @@
 		return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
 	})
 	one, two := connect(t, p), connect(t, p)
-	one.send(t, lookRequest("1", 4000))
+	one.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	stands, goOn := blockLoop(t, p)
 	proxytest.Receive(t, "stand of the loop", stands)
-	two.send(t, lookRequest("1", 4000))
+	two.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 	two.Close()
 	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 2 })
 	goOn()
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 1 })
 	close(fail)
-	if resp, _ := one.readResponse(t); resp.StatusCode != 200 {
+	if resp, _ := one.ReadResponse(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
 	}
 	checkNothingLeft(t, p)
@@ -350,10 +345,10 @@
 		cl := connect(t, p)
 		stands, goOn := blockLoop(t, p)
 		proxytest.Receive(t, "stand of the loop", stands)
-		cl.send(t, postRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", MaxBufferedBody)) // and a read waits for more
+		cl.Send(t, proxytest.PostRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", MaxBufferedBody)) // and a read waits for more
 		proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 		goOn()
-		if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
+		if resp, _ := cl.ReadResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("got %s", resp.Status)
 		}
 		cl.Close()
--- a/internal/proxy/closing_test.go
+++ b/internal/proxy/closing_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site, err := settings.Decode([]byte(siteText))
+	site, err := settings.Decode([]byte(proxytest.SiteJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,11 +129,11 @@
 func once[F any](at *atomic.Pointer[F], f F) { at.Store(&f) }
 
 // keepAliveClient is a connection on which a request has been answered.
-func keepAliveClient(t *testing.T, f *Server, p *running) *client {
+func keepAliveClient(t *testing.T, f *Server, p *running) *proxytest.Client {
 	t.Helper()
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 4000))
-	c.readResponse(t)
+	c.Send(t, proxytest.LookRequest("1", 4000))
+	c.ReadResponse(t)
 	proxytest.WaitUntil(t, func() bool { return f.resting() == 1 })
 	return c
 }
@@ -176,8 +176,8 @@
 				case <-time.After(200 * time.Millisecond): // it waits until the read is noted
 				}
 			})
-			c.send(t, lookRequest("2", 4000))
-			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+			c.Send(t, proxytest.LookRequest("2", 4000))
+			if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 				t.Errorf("got %s %q", resp.Status, body)
 			}
 		})
@@ -191,7 +191,7 @@
 	c := keepAliveClient(t, f, p)
 	once(&h.control, func(fd uintptr) {
 		h.control.Store(nil)
-		c.send(t, lookRequest("2", 4000))
+		c.Send(t, proxytest.LookRequest("2", 4000))
 		var b [1]byte
 		proxytest.WaitUntil(t, func() bool {
 			n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -199,7 +199,7 @@
 		})
 	})
 	f.closeIdle(0, 0, false)
-	if rest, err := io.ReadAll(c.r); err != nil || len(rest) > 0 {
+	if rest, err := io.ReadAll(c.R); err != nil || len(rest) > 0 {
 		t.Errorf("got %q and %v, want an end", rest, err)
 	}
 	c.Close()
@@ -223,13 +223,13 @@
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(proxytest.Timeout))
-	c := &client{conn, bufio.NewReaderSize(conn, 16)}
-	c.send(t, strings.Repeat(lookRequest("1", 4000), 100))
-	if _, err := c.r.Peek(1); err != nil {
+	c := &proxytest.Client{Conn: conn, R: bufio.NewReaderSize(conn, 16)}
+	c.Send(t, strings.Repeat(proxytest.LookRequest("1", 4000), 100))
+	if _, err := c.R.Peek(1); err != nil {
 		t.Fatal(err)
 	}
 	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 0 }) // the server is through with it
-	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != large {
+	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != large {
 		t.Errorf("got %s and %d bytes", resp.Status, len(body))
 	}
 }
@@ -239,9 +239,9 @@
 	_, h, _, p := startHooked(t, 2, "ok")
 	for range 8 {
 		c := connect(t, p)
-		c.send(t, "GET /no HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+		c.Send(t, "GET /no HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		start := time.Now()
-		c.readResponse(t)
+		c.ReadResponse(t)
 		if took := time.Since(start); took > clientconn.LingerTimeout/2 {
 			t.Errorf("waited %v for a slot", took)
 		}
@@ -253,14 +253,14 @@
 
 // A request whose head was incomplete at the cutoff was closed on; its last bytes may have been on their way.
 func TestPartialRequestIsRejectedAtCutoff(t *testing.T) {
-	for _, open := range []func(*Server, *running) *client{
-		func(_ *Server, p *running) *client { return connect(t, p) },
-		func(f *Server, p *running) *client { return keepAliveClient(t, f, p) },
+	for _, open := range []func(*Server, *running) *proxytest.Client{
+		func(_ *Server, p *running) *proxytest.Client { return connect(t, p) },
+		func(f *Server, p *running) *proxytest.Client { return keepAliveClient(t, f, p) },
 	} {
 		f, _, requests, p := startHooked(t, 4, "ok")
 		c := open(f, p)
-		text := lookRequest("2", 4000)
-		c.send(t, text[:len(text)/2])
+		text := proxytest.LookRequest("2", 4000)
+		c.Send(t, text[:len(text)/2])
 		proxytest.WaitUntil(t, func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -273,11 +273,11 @@
 		})
 		came := requests.Load()
 		f.closeIdle(time.Hour, time.Hour, true)
-		c.send(t, text[len(text)/2:])
-		if resp, _ := c.readResponse(t); resp.StatusCode != 503 || !resp.Close {
+		c.Send(t, text[len(text)/2:])
+		if resp, _ := c.ReadResponse(t); resp.StatusCode != 503 || !resp.Close {
 			t.Errorf("got %s, close %v", resp.Status, resp.Close)
 		}
-		if _, err := c.r.ReadByte(); err != io.EOF {
+		if _, err := c.R.ReadByte(); err != io.EOF {
 			t.Errorf("then %v, want an end", err)
 		}
 		if requests.Load() != came {
@@ -329,7 +329,7 @@
 			_ = c.SetDeadline(time.Now().Add(proxytest.Timeout))
 			r := bufio.NewReader(c)
 			for i := 0; ; i++ {
-				if _, err = io.WriteString(c, lookRequest(fmt.Sprint(c.LocalAddr(), "-", i), 4000)); err != nil {
+				if _, err = io.WriteString(c, proxytest.LookRequest(fmt.Sprint(c.LocalAddr(), "-", i), 4000)); err != nil {
 					break
 				}
 				var resp *http.Response
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -32,10 +32,10 @@
 func TestQueuedConnectionsAreAcceptedBeforeListenerCloses(t *testing.T) {
 	f, h, requests, p := startHooked(t, 2, "ok")
 	release := held(h)
-	var all []*client
+	var all []*proxytest.Client
 	for i := range 6 { // two are served, the others wait
 		c := connect(t, p)
-		c.send(t, lookRequest("1", 4000))
+		c.Send(t, proxytest.LookRequest("1", 4000))
 		all = append(all, c)
 		proxytest.WaitUntil(t, func() bool { return int(requests.Load()) == min(i+1, 2) })
 	}
@@ -43,7 +43,7 @@
 	time.Sleep(5 * drainPollInterval) // for a listener that closes too soon
 	release()
 	for i, c := range all {
-		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
+		if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 			t.Errorf("client %d: %s %q, close %v", i, resp.Status, body, resp.Close)
 		}
 	}
@@ -55,7 +55,7 @@
 	f, h, requests, p := startHooked(t, 2, "ok")
 	release := held(h)
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 4000))
+	c.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return requests.Load() == 1 })
 	ended := startDrain(t, f, 0)
 	select {
@@ -64,7 +64,7 @@
 	case <-time.After(responseFlushMargin / 2):
 	}
 	release()
-	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q", resp.Status, body)
 	}
 	proxytest.Receive(t, "end of the drain", ended)
@@ -76,7 +76,7 @@
 	release := held(h)
 	defer release()
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 4000))
+	c.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return requests.Load() == 1 })
 	start := time.Now()
 	proxytest.Receive(t, "end of the drain", startDrain(t, f, 2*cutoffMargin))
--- a/internal/proxy/errorresponse_test.go
+++ b/internal/proxy/errorresponse_test.go
@@ -26,8 +26,8 @@
 		return false
 	})
 	cl := connect(t, p)
-	cl.send(t, lookRequest("1", 4000))
-	if resp, body := cl.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+	cl.Send(t, proxytest.LookRequest("1", 4000))
+	if resp, body := cl.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q", resp.Status, body)
 	}
 }
@@ -49,8 +49,8 @@
 				return true
 			})
 			cl, began := connect(t, p), time.Now()
-			cl.send(t, lookRequest("1", 1000))
-			resp, err := http.ReadResponse(cl.r, nil)
+			cl.Send(t, proxytest.LookRequest("1", 1000))
+			resp, err := http.ReadResponse(cl.R, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -14,7 +14,7 @@
 func TestAmbiguousFramingIsNeverServed(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	const post = "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"
-	inner := lookRequest("inner", 4000)
+	inner := proxytest.LookRequest("inner", 4000)
 	length := "Content-Length: 0\r\n"
 	for name, text := range map[string]string{
 		"length beside chunked":  post + length + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner,
@@ -41,12 +41,12 @@
 		t.Run(name, func(t *testing.T) {
 			came := b.Requests.Load()
 			c := connect(t, p)
-			c.send(t, text)
-			resp, _ := c.readResponse(t)
+			c.Send(t, text)
+			resp, _ := c.ReadResponse(t)
 			if resp.StatusCode < 400 || !resp.Close {
 				t.Errorf("got %s, close %v", resp.Status, resp.Close)
 			}
-			if rest, _ := io.ReadAll(c.r); len(rest) > 0 {
+			if rest, _ := io.ReadAll(c.R); len(rest) > 0 {
 				t.Errorf("then got %q", rest)
 			}
 			if n := b.Requests.Load() - came; n > 0 {
@@ -60,12 +60,12 @@
 func TestChunkedRequestIsLastOnItsConnection(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	c := connect(t, p)
-	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"+
-		"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\n"+lookRequest("inner", 4000))
-	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
+	c.Send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"+
+		"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\n"+proxytest.LookRequest("inner", 4000))
+	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 		t.Errorf("got %s %q, close %v", resp.Status, body, resp.Close)
 	}
-	if rest, _ := io.ReadAll(c.r); len(rest) > 0 || b.Requests.Load() != 1 {
+	if rest, _ := io.ReadAll(c.R); len(rest) > 0 || b.Requests.Load() != 1 {
 		t.Errorf("then got %q after %d requests", rest, b.Requests.Load())
 	}
 }
@@ -79,13 +79,13 @@
 		return true
 	})
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 8000)+"POST /post/k HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n")
+	c.Send(t, proxytest.LookRequest("1", 8000)+"POST /post/k HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n")
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	close(release)
-	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("first got %s %q", resp.Status, body)
 	}
-	if resp, _ := c.readResponse(t); resp.StatusCode != 400 || !resp.Close {
+	if resp, _ := c.ReadResponse(t); resp.StatusCode != 400 || !resp.Close {
 		t.Errorf("then got %s, close %v", resp.Status, resp.Close)
 	}
 }
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"merlinpick/internal/proxy/clientconn"
+	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/settings"
 )
 
@@ -57,7 +58,7 @@
 // startPiped is for use in a synctest bubble; end it with stop.
 func startPiped(t *testing.T, most int) *pipedFrontend {
 	t.Helper()
-	site, err := settings.Decode([]byte(siteText))
+	site, err := settings.Decode([]byte(proxytest.SiteJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +164,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
 		defer p.stop()
-		for _, text := range []string{lookRequest("1", 8000),
+		for _, text := range []string{proxytest.LookRequest("1", 8000),
 			"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 3\r\n\r\nabc"} {
 			c := p.connect()
 			if _, err := io.WriteString(c, text); err != nil {
@@ -260,7 +261,7 @@
 					})
 				}
 			})
-			text := strings.Replace(lookRequest("1", 8000), "Host: h", "Host: h\r\nLong: "+strings.Repeat("x", 400), 1)
+			text := strings.Replace(proxytest.LookRequest("1", 8000), "Host: h", "Host: h\r\nLong: "+strings.Repeat("x", 400), 1)
 			for i := 0; i < len(text); i += len(text)/20 + 1 { // 2 s for the head
 				if _, err := io.WriteString(slow, text[i:min(len(text), i+len(text)/20+1)]); err != nil {
 					t.Fatalf("kept %v: cut off after %d bytes of %d: %v", kept, i, len(text), err)
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -126,16 +126,16 @@
 	}{
 		{"health", good, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"},
 		{"health without a list", unlisted, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"},
-		{"served", good, lookRequest("1", 4000)},
-		{"rejected for want of room", full, lookRequest("1", 4000)},
+		{"served", good, proxytest.LookRequest("1", 4000)},
+		{"rejected for want of room", full, proxytest.LookRequest("1", 4000)},
 		{"failed", breaks, post("Content-Length: 0\r\n\r\n")},
 		{"no class", good, "GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n"},
-		{"other path", good, strings.Replace(lookRequest("1", 9), "/look", "/rate", 1)},
-		{"no id", good, strings.Replace(lookRequest("1", 9), "Request-Id", "Other", 1)},
-		{"two ids", good, strings.Replace(lookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1)},
-		{"wrong method", good, strings.Replace(lookRequest("1", 9), "GET", "PUT", 1)},
-		{"needless key", good, strings.Replace(lookRequest("1", 9), "Tenant", "Idempotency-Key", 1)},
-		{"body on a GET", good, strings.Replace(lookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab"},
+		{"other path", good, strings.Replace(proxytest.LookRequest("1", 9), "/look", "/rate", 1)},
+		{"no id", good, strings.Replace(proxytest.LookRequest("1", 9), "Request-Id", "Other", 1)},
+		{"two ids", good, strings.Replace(proxytest.LookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1)},
+		{"wrong method", good, strings.Replace(proxytest.LookRequest("1", 9), "GET", "PUT", 1)},
+		{"needless key", good, strings.Replace(proxytest.LookRequest("1", 9), "Tenant", "Idempotency-Key", 1)},
+		{"body on a GET", good, strings.Replace(proxytest.LookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab"},
 		{"too large", good, post(fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBodyBytes+1))},
 		{"body broken off", good, post("Transfer-Encoding: chunked\r\n\r\nzz\r\n")},
 		{"body too slow", good, post("Content-Length: 9\r\n\r\nabc")},
@@ -193,12 +193,12 @@
 	p.breaksRules = true
 	// A client's connections.
 	gone := connect(t, p)
-	gone.send(t, lookRequest("1", 4000))
+	gone.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	gone.Close()
 	proxytest.WaitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.no_answer"] == 1 })
 	cut := connect(t, p)
-	cut.send(t, lookRequest("2", 4000))
+	cut.Send(t, proxytest.LookRequest("2", 4000))
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 2 })
 	p.frontend.mu.Lock()
 	for c := range p.frontend.conns {
@@ -207,13 +207,13 @@
 	}
 	p.frontend.mu.Unlock()
 	half := connect(t, p)
-	half.send(t, "GET")
+	half.Send(t, "GET")
 	proxytest.WaitUntil(t, func() bool {
 		return p.frontend.closeIdle(0, 0, true) == 0 && p.loop.audit.Events()["closes.client.idle_or_half"] > 0
 	})
 	answered := connect(t, p)
-	answered.send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
-	answered.readResponse(t)
+	answered.Send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+	answered.ReadResponse(t)
 	proxytest.WaitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.answered_or_broken"] > 0 })
 
 	// Connections to backends.
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -25,8 +25,8 @@
 	first := startProxyAt(t, d.addr, 400, known, state)
 	proxytest.WaitUntil(t, func() bool { return first.handover.Load() != nil })
 	kept := connect(t, first)
-	kept.send(t, lookRequest("kept", 4000))
-	kept.readResponse(t)
+	kept.Send(t, proxytest.LookRequest("kept", 4000))
+	kept.ReadResponse(t)
 
 	var id, bad, refused atomic.Int64
 	over := make(chan struct{})
@@ -41,7 +41,7 @@
 					return
 				case <-time.After(10 * time.Millisecond): // within the tenant's share
 				}
-				switch status := requestOnce(first.Addr(), lookRequest(fmt.Sprint("n", id.Add(1)), 4000)); status {
+				switch status := requestOnce(first.Addr(), proxytest.LookRequest(fmt.Sprint("n", id.Add(1)), 4000)); status {
 				case 200:
 				case 503: // heard, and refused by the module: a busy machine makes calls slow
 					refused.Add(1)
@@ -60,14 +60,14 @@
 	}
 	proxytest.WaitUntil(t, second.Ready)
 	proxytest.WaitUntil(t, func() bool { return first.handover.Load().SuccessorServing() })
-	kept.send(t, lookRequest("kept to the end", 4000))
-	if resp, _ := kept.readResponse(t); resp.StatusCode != 200 || resp.Close {
+	kept.Send(t, proxytest.LookRequest("kept to the end", 4000))
+	if resp, _ := kept.ReadResponse(t); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("before the end: %s, close %v", resp.Status, resp.Close)
 	}
 	first.stop()
 	proxytest.WaitUntil(t, first.frontend.closing.Load)
-	kept.send(t, lookRequest("kept on", 4000))
-	if resp, _ := kept.readResponse(t); resp.StatusCode != 200 || !resp.Close {
+	kept.Send(t, proxytest.LookRequest("kept on", 4000))
+	if resp, _ := kept.ReadResponse(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a kept connection: %s, close %v", resp.Status, resp.Close)
 	}
 	if err := proxytest.Receive(t, "end of the predecessor", first.done); err != nil {
@@ -126,7 +126,7 @@
 	second.stop()
 	all, _, _ := first.config.connLimits(false)
 	proxytest.WaitUntil(t, func() bool { return int(first.frontend.maxConns.Load()) == all })
-	if status := requestOnce(first.Addr(), lookRequest("1", 4000)); status != 200 {
+	if status := requestOnce(first.Addr(), proxytest.LookRequest("1", 4000)); status != 200 {
 		t.Errorf("after the successor's end: %d", status)
 	}
 }
@@ -163,7 +163,7 @@
 			if p.predecessor != nil {
 				t.Error("it takes itself for a successor")
 			}
-			if status := requestOnce(p.Addr(), lookRequest("1", 4000)); status != 200 {
+			if status := requestOnce(p.Addr(), proxytest.LookRequest("1", 4000)); status != 200 {
 				t.Errorf("got %d", status)
 			}
 		})
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -37,8 +37,8 @@
 	second.responses <- listJSON(3, true, endpointJSON("b", b.Addr, discovery.StatusServing))
 	query(second, "from=3")
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 4000))
-	if resp, _ := c.readResponse(t); resp.StatusCode != 200 || a.Requests.Load() != 0 || b.Requests.Load() != 1 {
+	c.Send(t, proxytest.LookRequest("1", 4000))
+	if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 || a.Requests.Load() != 0 || b.Requests.Load() != 1 {
 		t.Errorf("got %s, %d and %d requests", resp.Status, a.Requests.Load(), b.Requests.Load())
 	}
 	p.listClient.SetSource(discovery.Source{Address: third.addr}) // and again
@@ -64,27 +64,27 @@
 		return 2 * time.Second, 3500 * time.Millisecond
 	}
 	idle := connect(t, p)
-	idle.send(t, lookRequest("1", 8000))
-	idle.readResponse(t)
-	var held []*client
+	idle.Send(t, proxytest.LookRequest("1", 8000))
+	idle.ReadResponse(t)
+	var held []*proxytest.Client
 	for i := range 10 {
 		held = append(held, connect(t, p))
-		held[i].send(t, lookRequest(fmt.Sprint("h", i), 8000))
+		held[i].Send(t, proxytest.LookRequest(fmt.Sprint("h", i), 8000))
 	}
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 11 })
 	unused := connect(t, p)
 	p.stop()
 	proxytest.WaitUntil(t, func() bool { return p.frontend.draining.Load() })
 	late := connect(t, p)
-	for i, c := range []*client{idle, late, idle, late} {
-		c.send(t, lookRequest(fmt.Sprint("n", i), 8000))
-		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || resp.Close {
+	for i, c := range []*proxytest.Client{idle, late, idle, late} {
+		c.Send(t, proxytest.LookRequest(fmt.Sprint("n", i), 8000))
+		if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || resp.Close {
 			t.Errorf("after SIGTERM: got %s, close %v", resp.Status, resp.Close)
 		}
 	}
 	proxytest.WaitUntil(t, func() bool { return p.frontend.closing.Load() })
-	for _, c := range []*client{idle, late} {
-		if _, err := c.r.ReadByte(); err == nil {
+	for _, c := range []*proxytest.Client{idle, late} {
+		if _, err := c.R.ReadByte(); err == nil {
 			t.Error("an idle connection was not closed")
 		}
 	}
@@ -92,7 +92,7 @@
 	var all sync.WaitGroup
 	for _, c := range held {
 		all.Go(func() {
-			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
+			if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 				t.Errorf("held: got %s, close %v", resp.Status, resp.Close)
 			}
 		})
@@ -101,7 +101,7 @@
 	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
-	if _, err := unused.r.ReadByte(); err == nil {
+	if _, err := unused.R.ReadByte(); err == nil {
 		t.Error("an unused connection got an answer")
 	}
 }
@@ -125,11 +125,11 @@
 func TestSIGTERMEndsHungRequests(t *testing.T) {
 	p, b := startServing(t, proxytest.NeverRespond(t))
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 8000))
+	c.Send(t, proxytest.LookRequest("1", 8000))
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	start := time.Now()
 	p.stop()
-	if resp, _ := c.readResponse(t); resp.StatusCode == 200 {
+	if resp, _ := c.ReadResponse(t); resp.StatusCode == 200 {
 		t.Errorf("got %s", resp.Status)
 	}
 	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
@@ -152,10 +152,10 @@
 		return proxytest.RespondWith(proxytest.OKResponse, true)(w, r, n)
 	})
 	open := connect(t, p)
-	open.send(t, lookRequest("open", 4000))
+	open.Send(t, proxytest.LookRequest("open", 4000))
 	proxytest.Receive(t, "the open request", reached)
 	site, err := settings.Decode([]byte(strings.NewReplacer(`"name":"look"`, `"name":"peek"`,
-		`"repeat":"at_most_once"`, `"repeat":"idempotent"`).Replace(siteText)))
+		`"repeat":"at_most_once"`, `"repeat":"idempotent"`).Replace(proxytest.SiteJSON)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,18 +165,18 @@
 		t.Fatal(err)
 	}
 	close(goOn)
-	if resp, _ := open.readResponse(t); resp.StatusCode != 200 {
+	if resp, _ := open.ReadResponse(t); resp.StatusCode != 200 {
 		t.Errorf("the open request: %s", resp.Status)
 	}
 	for text, want := range map[string]int{
-		strings.ReplaceAll(lookRequest("1", 4000), "look", "peek"): 200,
-		lookRequest("2", 4000): 400,
+		strings.ReplaceAll(proxytest.LookRequest("1", 4000), "look", "peek"):              200,
+		proxytest.LookRequest("2", 4000):                                                  400,
 		"GET /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n\r\n": 200,
-		postRequest("4", "Content-Length: 0"):                                             405,
+		proxytest.PostRequest("4", "Content-Length: 0"):                                   405,
 	} {
 		cl := connect(t, p)
-		cl.send(t, text)
-		if resp, _ := cl.readResponse(t); resp.StatusCode != want {
+		cl.Send(t, text)
+		if resp, _ := cl.ReadResponse(t); resp.StatusCode != want {
 			t.Errorf("%q: %s", text, resp.Status)
 		}
 	}
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -19,20 +19,20 @@
 	const peers, room = 40, 200 << 10
 	for name, text := range map[string]string{
 		"heads":  "GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", clientconn.MaxHeadBytes-1000),
-		"bodies": postRequest("%d", "Content-Length: 60000") + strings.Repeat("x", 31<<10),
+		"bodies": proxytest.PostRequest("%d", "Content-Length: 60000") + strings.Repeat("x", 31<<10),
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 			p := startProxy(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 			p.frontend.headMemory.SetMax(room)
 			answers := make(chan int, peers)
-			var all []*client
+			var all []*proxytest.Client
 			for i := range peers {
 				c := connect(t, p)
-				c.send(t, strings.Replace(text, "%d", fmt.Sprint(i), 1))
+				c.Send(t, strings.Replace(text, "%d", fmt.Sprint(i), 1))
 				all = append(all, c)
 				go func() {
-					if resp, err := http.ReadResponse(c.r, nil); err == nil {
+					if resp, err := http.ReadResponse(c.R, nil); err == nil {
 						answers <- resp.StatusCode
 					}
 				}()
@@ -50,9 +50,9 @@
 			}
 			proxytest.WaitUntil(t, func() bool { return p.frontend.headMemory.Used() == 0 })
 			c := connect(t, p)
-			c.send(t, strings.Replace(postRequest("n", "Content-Length: 31744"), "Host: h", "Host: h\r\nX: "+strings.Repeat("x", 8<<10), 1)+
+			c.Send(t, strings.Replace(proxytest.PostRequest("n", "Content-Length: 31744"), "Host: h", "Host: h\r\nX: "+strings.Repeat("x", 8<<10), 1)+
 				strings.Repeat("x", 31744))
-			if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+			if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 				t.Errorf("then got %s", resp.Status)
 			}
 			proxytest.WaitUntil(t, func() bool { return p.frontend.headMemory.Used() == 0 })
@@ -77,11 +77,11 @@
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() >= most })
 	d.responses <- listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)) // it is back
 	proxytest.WaitUntil(t, p.Ready)
-	for i, want := range []string{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", lookRequest("1", 4000), "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"} {
+	for i, want := range []string{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", proxytest.LookRequest("1", 4000), "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"} {
 		start := time.Now()
 		c := connect(t, p)
-		c.send(t, want)
-		if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+		c.Send(t, want)
+		if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
 			t.Errorf("call %d: %s", i, resp.Status)
 		}
 		if took := time.Since(start); took > MinKeepAlive+time.Second {
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -39,14 +39,14 @@
 	}
 	c := connect(t, p)
 	for _, id := range []string{"1", "2", "3"} {
-		c.send(t, post(id))
-		c.readResponse(t)
+		c.Send(t, post(id))
+		c.ReadResponse(t)
 	}
-	c.send(t, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // no request of a class: nothing to count
-	c.readResponse(t)
+	c.Send(t, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // no request of a class: nothing to count
+	c.ReadResponse(t)
 	proxytest.WaitUntil(t, func() bool { n, _ := ends(); return n == 3 })
 	goes := connect(t, p)
-	goes.send(t, post("4"))
+	goes.Send(t, post("4"))
 	proxytest.Receive(t, "the request at the backend", reached)
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().Forwarded == 4 }) // it may be there before it is counted
 	if n, f := ends(); n != 3 || f.InFlight != 1 {
--- a/internal/proxy/misbehavingclients_test.go
+++ b/internal/proxy/misbehavingclients_test.go
@@ -26,7 +26,7 @@
 	once(&h.reading, func() { <-turn })
 	c := connect(t, p)
 	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 1 })
-	c.send(t, lookRequest("1", 4000))
+	c.Send(t, proxytest.LookRequest("1", 4000))
 	f.mu.Lock()
 	for conn := range f.conns {
 		proxytest.WaitUntil(t, func() bool {
@@ -37,7 +37,7 @@
 	f.MakeRoom()
 	f.closeIdle(0, 0, true)
 	close(turn)
-	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q", resp.Status, body)
 	}
 }
@@ -58,9 +58,9 @@
 	for name, head := range map[string]string{
 		"no head's end": "GET /look/k HTTP/1.1\r\nHost: h\r\nX: ",
 		"no line":       "",
-		"a body":        postRequest("1", "Content-Length: 60000000"),
-		"on a GET":      strings.Replace(lookRequest("2", 4000), "Tenant: acme", "Content-Length: 60000000", 1),
-		"no class":      strings.ReplaceAll(postRequest("3", "Content-Length: 60000000"), "post", "leap"),
+		"a body":        proxytest.PostRequest("1", "Content-Length: 60000000"),
+		"on a GET":      strings.Replace(proxytest.LookRequest("2", 4000), "Tenant: acme", "Content-Length: 60000000", 1),
+		"no class":      strings.ReplaceAll(proxytest.PostRequest("3", "Content-Length: 60000000"), "post", "leap"),
 		"a bare LF":     "GET /look/k HTTP/1.1\nHost: h\n\n",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 // SIGTERM between New and Run: who has connected by then gets a response, and the process ends.
 func TestSIGTERMBeforeRun(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
-	site, err := settings.Decode([]byte(siteText))
+	site, err := settings.Decode([]byte(proxytest.SiteJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,10 +107,10 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	c := connect(t, &running{Proxy: proxy})
-	c.send(t, lookRequest("1", 4000))
+	c.Send(t, proxytest.LookRequest("1", 4000))
 	done := make(chan error, 1)
 	go func() { done <- proxy.Run(ctx) }()
-	if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+	if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
 	}
 	if err := proxytest.Receive(t, "end of Run", done); err != nil {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -20,14 +19,6 @@
 	"merlinpick/internal/settings"
 )
 
-const siteText = `{"contract":{"cold_us":1000000,"start_capacity":0.3},"failure_domains":["a"],"limits":{` +
-	`"dial_timeout_us":5000000,"idle_close_us":30000000,"max_retry_after_us":2000000,"retry_after":true,"try_limit":3},` +
-	`"membership_mode":"automatic","my_zone":0,"ordinal":0,"profiles":[` +
-	`{"give_up_us":8000000,"name":"look","objective_us":4000000,"repeat":"idempotent","worth":1},` +
-	`{"dedup_scope":"cell","dedup_window_us":9000000,"give_up_us":8000000,"name":"rate","objective_us":4000000,"repeat":"deduplicated","worth":1},` +
-	`{"give_up_us":8000000,"name":"post","objective_us":4000000,"repeat":"at_most_once","worth":1}],` +
-	`"siblings":1,"stage":0,"tenants":[{"name":"acme","portion":1,"quota_per_s":1000}],"weights":"off"}`
-
 // fakeDiscovery answers the calls in the order of its answers and then holds every watch.
 type fakeDiscovery struct {
 	addr      string
@@ -82,7 +73,7 @@
 // startProxyAt starts a proxy with a state folder.
 func startProxyAt(t *testing.T, list string, sockets int, known, state string) *running {
 	t.Helper()
-	return startSite(t, siteText, list, sockets, known, state)
+	return startSite(t, proxytest.SiteJSON, list, sockets, known, state)
 }
 
 func startSite(t *testing.T, text, list string, sockets int, known, state string) *running {
@@ -137,58 +128,22 @@
 	return startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))), b
 }
 
-// client is one connection of a client.
-type client struct {
-	net.Conn
-	r *bufio.Reader
-}
-
-func connect(t *testing.T, p *running) *client {
-	t.Helper()
-	c, err := net.Dial("tcp", p.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(proxytest.Timeout))
-	return &client{c, bufio.NewReader(c)}
-}
-
-func (c *client) send(t *testing.T, text string) {
-	t.Helper()
-	if _, err := io.WriteString(c, text); err != nil {
-		t.Fatal(err)
-	}
-}
-
-func (c *client) readResponse(t *testing.T) (*http.Response, string) {
+// connect opens a client's connection to a proxy.
+func connect(t *testing.T, p *running) *proxytest.Client {
 	t.Helper()
-	resp, err := http.ReadResponse(c.r, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	body, err := io.ReadAll(resp.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return resp, string(body)
-}
-
-func lookRequest(id string, ms int) string {
-	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: look\r\nTenant: acme\r\n"+
-		"Request-Timeout-Ms: %d\r\n\r\n", id, ms)
+	return proxytest.Connect(t, p.Addr())
 }
 
 func TestRequestsOfAllClassesAreServed(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p.loop.pool.SetReuseDelay(0)
 	c := connect(t, p)
-	for i, text := range []string{lookRequest("1", 4000),
+	for i, text := range []string{proxytest.LookRequest("1", 4000),
 		"POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nIdempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc",
 		"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
 	} {
-		c.send(t, text)
-		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+		c.Send(t, text)
+		if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 			t.Errorf("request %d: got %s %q", i, resp.Status, body)
 		}
 	}
@@ -206,29 +161,29 @@
 		keep bool
 	}{
 		"no class":      {"GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n", 400, true},
-		"unknown class": {strings.ReplaceAll(lookRequest("1", 9), "look", "leap"), 400, true},
-		"other path":    {strings.Replace(lookRequest("1", 9), "/look", "/rate", 1), 400, true},
-		"full address":  {strings.Replace(lookRequest("1", 9), "/look", "http://h/look", 1), 400, true},
-		"no id":         {strings.Replace(lookRequest("1", 9), "Request-Id", "Other", 1), 400, true},
-		"two ids":       {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1), 400, true},
-		"wrong method":  {strings.Replace(lookRequest("1", 9), "GET", "PUT", 1), 405, true},
-		"needless key":  {strings.Replace(lookRequest("1", 9), "Tenant", "Idempotency-Key", 1), 400, true},
+		"unknown class": {strings.ReplaceAll(proxytest.LookRequest("1", 9), "look", "leap"), 400, true},
+		"other path":    {strings.Replace(proxytest.LookRequest("1", 9), "/look", "/rate", 1), 400, true},
+		"full address":  {strings.Replace(proxytest.LookRequest("1", 9), "/look", "http://h/look", 1), 400, true},
+		"no id":         {strings.Replace(proxytest.LookRequest("1", 9), "Request-Id", "Other", 1), 400, true},
+		"two ids":       {strings.Replace(proxytest.LookRequest("1", 9), "Tenant: acme", "Request-Id: 2", 1), 400, true},
+		"wrong method":  {strings.Replace(proxytest.LookRequest("1", 9), "GET", "PUT", 1), 405, true},
+		"needless key":  {strings.Replace(proxytest.LookRequest("1", 9), "Tenant", "Idempotency-Key", 1), 400, true},
 		"missing key":   {"POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nContent-Length: 0\r\n\r\n", 400, true},
-		"body on a GET": {strings.Replace(lookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab", 400, true},
+		"body on a GET": {strings.Replace(proxytest.LookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab", 400, true},
 		"too large":     {"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: " + strconv.Itoa(maxRequestBodyBytes+1) + "\r\n\r\n", 413, false},
 		"no HTTP":       {"what is this\r\n\r\n", 400, false},
 		"huge head":     {"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*clientconn.MaxHeadBytes) + "\r\n\r\n", 431, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cl := connect(t, p)
-			cl.send(t, c.text)
-			if resp, _ := cl.readResponse(t); resp.StatusCode != c.want {
+			cl.Send(t, c.text)
+			if resp, _ := cl.ReadResponse(t); resp.StatusCode != c.want {
 				t.Errorf("got %s", resp.Status)
 			}
 			if c.keep {
 				came := b.Requests.Load()
-				cl.send(t, lookRequest("9", 4000))
-				if resp, body := cl.readResponse(t); resp.StatusCode != 200 || body != "ok" || b.Requests.Load() != came+1 {
+				cl.Send(t, proxytest.LookRequest("9", 4000))
+				if resp, body := cl.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || b.Requests.Load() != came+1 {
 					t.Errorf("then got %s", resp.Status)
 				}
 			}
@@ -240,8 +195,8 @@
 func TestRejectionIsAnsweredAtOnce(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 8000))
-	resp, _ := c.readResponse(t)
+	c.Send(t, proxytest.LookRequest("1", 8000))
+	resp, _ := c.ReadResponse(t)
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("got %s %v", resp.Status, resp.Header)
 	}
@@ -254,8 +209,8 @@
 	p, b := startServing(t, proxytest.NeverRespond(t))
 	c := connect(t, p)
 	start := time.Now()
-	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 1000\r\nContent-Length: 0\r\n\r\n")
-	resp, _ := c.readResponse(t)
+	c.Send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 1000\r\nContent-Length: 0\r\n\r\n")
+	resp, _ := c.ReadResponse(t)
 	if resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusGatewayTimeout {
 		t.Errorf("got %s after %v", resp.Status, time.Since(start))
 	}
@@ -274,7 +229,7 @@
 		return false
 	})
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 8000))
+	c.Send(t, proxytest.LookRequest("1", 8000))
 	proxytest.Receive(t, "request", came)
 	c.Close()
 	proxytest.Receive(t, "end of the attempt", gone)
@@ -288,7 +243,7 @@
 func TestClientGoneMidRequestLeavesNothing(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	c := connect(t, p)
-	c.send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 9\r\n\r\nabc")
+	c.Send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 9\r\n\r\nabc")
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 1 })
 	c.Close()
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 0 })
@@ -301,10 +256,10 @@
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	p, b := startServing(t, proxytest.NeverRespond(t))
 	first, second := connect(t, p), connect(t, p)
-	first.send(t, lookRequest("1", 8000))
+	first.Send(t, proxytest.LookRequest("1", 8000))
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
-	second.send(t, lookRequest("1", 8000))
-	if resp, _ := second.readResponse(t); resp.StatusCode != 400 {
+	second.Send(t, proxytest.LookRequest("1", 8000))
+	if resp, _ := second.ReadResponse(t); resp.StatusCode != 400 {
 		t.Errorf("got %s", resp.Status)
 	}
 }
@@ -319,27 +274,27 @@
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 120, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	most := int(p.frontend.maxInFlight.Load())
-	var conns []*client
+	var conns []*proxytest.Client
 	for i := range most {
 		conns = append(conns, connect(t, p))
-		conns[i].send(t, lookRequest(fmt.Sprint("f", i), 8000))
+		conns[i].Send(t, proxytest.LookRequest(fmt.Sprint("f", i), 8000))
 	}
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == int64(most) })
 	over := connect(t, p)
-	over.send(t, lookRequest("1", 4000))
-	resp, _ := over.readResponse(t)
+	over.Send(t, proxytest.LookRequest("1", 4000))
+	resp, _ := over.ReadResponse(t)
 	if resp.StatusCode != 503 || !resp.Close || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("got %s %v", resp.Status, resp.Header)
 	}
 	close(release)
 	for _, c := range conns {
-		if resp, _ := c.readResponse(t); resp.StatusCode != 200 && resp.StatusCode != 503 {
+		if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 && resp.StatusCode != 503 {
 			t.Errorf("got %s", resp.Status)
 		}
 	}
 	next := connect(t, p)
-	next.send(t, lookRequest("2", 4000))
-	if resp, _ := next.readResponse(t); resp.StatusCode != 200 {
+	next.Send(t, proxytest.LookRequest("2", 4000))
+	if resp, _ := next.ReadResponse(t); resp.StatusCode != 200 {
 		t.Errorf("got %s", resp.Status)
 	}
 }
@@ -352,8 +307,8 @@
 		connect(t, p)
 	}
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 4000))
-	if resp, _ := c.readResponse(t); resp.StatusCode != 200 || !resp.Close { // its connection makes room
+	c.Send(t, proxytest.LookRequest("1", 4000))
+	if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 || !resp.Close { // its connection makes room
 		t.Errorf("got %s, close %v", resp.Status, resp.Close)
 	}
 }
@@ -365,14 +320,14 @@
 	p := startProxy(t, d.addr, 200, "")
 	health := func() int {
 		c := connect(t, p)
-		c.send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
-		resp, _ := c.readResponse(t)
+		c.Send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		resp, _ := c.ReadResponse(t)
 		return resp.StatusCode
 	}
 	ask := func(id string) int {
 		c := connect(t, p)
-		c.send(t, lookRequest(id, 4000))
-		resp, _ := c.readResponse(t)
+		c.Send(t, proxytest.LookRequest(id, 4000))
+		resp, _ := c.ReadResponse(t)
 		return resp.StatusCode
 	}
 	query := func(want string) {
--- /dev/null
+++ b/internal/proxy/proxytest/client.go
@@ -0,0 +1,86 @@
+package proxytest
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+)
+
+// SiteJSON are a proxy's settings with the classes look (idempotent), rate (with a key) and post (not idempotent).
+const SiteJSON = `{"contract":{"cold_us":1000000,"start_capacity":0.3},"failure_domains":["a"],"limits":{` +
+	`"dial_timeout_us":5000000,"idle_close_us":30000000,"max_retry_after_us":2000000,"retry_after":true,"try_limit":3},` +
+	`"membership_mode":"automatic","my_zone":0,"ordinal":0,"profiles":[` +
+	`{"give_up_us":8000000,"name":"look","objective_us":4000000,"repeat":"idempotent","worth":1},` +
+	`{"dedup_scope":"cell","dedup_window_us":9000000,"give_up_us":8000000,"name":"rate","objective_us":4000000,"repeat":"deduplicated","worth":1},` +
+	`{"give_up_us":8000000,"name":"post","objective_us":4000000,"repeat":"at_most_once","worth":1}],` +
+	`"siblings":1,"stage":0,"tenants":[{"name":"acme","portion":1,"quota_per_s":1000}],"weights":"off"}`
+
+// Client is one connection of a client.
+type Client struct {
+	net.Conn
+	R *bufio.Reader
+}
+
+// Send writes a text.
+func (c *Client) Send(t *testing.T, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// ReadResponse reads a response and its body.
+func (c *Client) ReadResponse(t *testing.T) (*http.Response, string) {
+	t.Helper()
+	resp, err := http.ReadResponse(c.R, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resp, string(body)
+}
+
+// LookRequest is a request of class look with a timeout in milliseconds.
+func LookRequest(id string, ms int) string {
+	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: look\r\nTenant: acme\r\n"+
+		"Request-Timeout-Ms: %d\r\n\r\n", id, ms)
+}
+
+// PostRequest is the head of a request of class post, with a header that frames its body.
+func PostRequest(id, framing string) string {
+	return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: post\r\n" + framing + "\r\n\r\n"
+}
+
+// NewClient is a client on a connection that is open.
+func NewClient(c net.Conn) *Client { return &Client{Conn: c, R: bufio.NewReader(c)} }
+
+// TCP is the connection's socket.
+func (c *Client) TCP() *net.TCPConn { return c.Conn.(*net.TCPConn) }
+
+// Fin closes the connection in order.
+func (c *Client) Fin() { c.Close() }
+
+// CloseWrite ends the sending.
+func (c *Client) CloseWrite() { _ = c.TCP().CloseWrite() }
+
+// Reset closes the connection with a reset.
+func (c *Client) Reset() { _ = c.TCP().SetLinger(0); c.Close() }
+
+// Connect opens a client's connection to an address. It ends with the test.
+func Connect(t *testing.T, address string) *Client {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	_ = c.SetDeadline(time.Now().Add(Timeout))
+	return NewClient(c)
+}
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -17,7 +17,7 @@
 
 // asking is a site whose list is asked for, with an asking time of minutes.
 var asking = strings.NewReplacer(`"membership_mode":"automatic"`, `"membership_mode":"subscribe"`,
-	`{"contract":{`, `{"contract":{"ask_every_us":300000000,`).Replace(siteText)
+	`{"contract":{`, `{"contract":{"ask_every_us":300000000,`).Replace(proxytest.SiteJSON)
 
 // A proxy that starts without a list, while discovery is down, reports what is missing, and is ready soon after
 // discovery is back, whatever the poll interval.
@@ -92,8 +92,8 @@
 			for i := range lost {
 				proxytest.WaitUntil(t, func() bool { return calls.Load() > int32(i+1) })
 				c := connect(t, p)
-				c.send(t, lookRequest(fmt.Sprint(i), 4000))
-				if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+				c.Send(t, proxytest.LookRequest(fmt.Sprint(i), 4000))
+				if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
 					t.Errorf("request %d after %d calls that failed: %s", i, calls.Load(), resp.Status)
 				}
 			}
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -18,8 +18,8 @@
 			return proxytest.Reset(w)
 		})
 		cl := connect(t, p)
-		cl.send(t, strings.Replace(lookRequest("1", 4000), "HTTP/1.1", version, 1))
-		resp, err := http.ReadResponse(cl.r, nil)
+		cl.Send(t, strings.Replace(proxytest.LookRequest("1", 4000), "HTTP/1.1", version, 1))
+		resp, err := http.ReadResponse(cl.R, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -49,8 +49,8 @@
 				return !strings.Contains(c.name, "close")
 			})
 			cl := connect(t, p)
-			cl.send(t, lookRequest("1", 4000))
-			resp, err := http.ReadResponse(cl.r, nil)
+			cl.Send(t, proxytest.LookRequest("1", 4000))
+			resp, err := http.ReadResponse(cl.R, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,8 +81,8 @@
 		return true
 	})
 	cl := connect(t, p)
-	cl.send(t, lookRequest("1", 4000))
-	resp, err := http.ReadResponse(cl.r, nil)
+	cl.Send(t, proxytest.LookRequest("1", 4000))
+	resp, err := http.ReadResponse(cl.R, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,8 +114,8 @@
 			return false
 		})
 		cl := connect(t, p)
-		cl.send(t, lookRequest("1", 4000))
-		resp, err := http.ReadResponse(cl.r, nil)
+		cl.Send(t, proxytest.LookRequest("1", 4000))
+		resp, err := http.ReadResponse(cl.R, nil)
 		if err != nil {
 			t.Errorf("after %q: no answer: %v", c.body, err)
 			continue
@@ -138,8 +138,8 @@
 				return false
 			})
 			cl := connect(t, p)
-			cl.send(t, lookRequest("1", 4000))
-			resp, err := http.ReadResponse(cl.r, nil)
+			cl.Send(t, proxytest.LookRequest("1", 4000))
+			resp, err := http.ReadResponse(cl.R, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -172,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(c, lookRequest("1", 4000)); err != nil {
+	if _, err := io.WriteString(c, proxytest.LookRequest("1", 4000)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := bufio.NewReaderSize(c, 16).Peek(16); err != nil {
@@ -205,8 +205,8 @@
 		return 50 * time.Millisecond, 100 * time.Millisecond
 	}
 	cl := connect(t, p)
-	cl.send(t, lookRequest("1", 4000))
-	resp, err := http.ReadResponse(cl.r, nil)
+	cl.Send(t, proxytest.LookRequest("1", 4000))
+	resp, err := http.ReadResponse(cl.R, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/sendwindow_test.go
+++ b/internal/proxy/sendwindow_test.go
@@ -31,7 +31,7 @@
 				return n > 1 // the first ends without an answer: it may have run
 			})
 			known := listJSON(1, true, endpointJSON("a", b.Addr, "SERVING"))
-			text := strings.Replace(siteText, `"dedup_window_us":9000000`, `"dedup_window_us":1000000`, 1)
+			text := strings.Replace(proxytest.SiteJSON, `"dedup_window_us":9000000`, `"dedup_window_us":1000000`, 1)
 			p := startSite(t, text, startDiscovery(t).addr, 200, known, t.TempDir())
 			first := make(chan time.Time, 9)
 			p.loop.pool.WrapDial(func(dial upstream.DialFunc) upstream.DialFunc {
@@ -43,8 +43,8 @@
 				}
 			})
 			cl := connect(t, p)
-			cl.send(t, "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nTenant: acme\r\nIdempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc")
-			if resp, _ := cl.readResponse(t); resp.StatusCode != c.status || b.Requests.Load() != c.requests || len(first) != 2 {
+			cl.Send(t, "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nTenant: acme\r\nIdempotency-Key: x\r\nContent-Length: 3\r\n\r\nabc")
+			if resp, _ := cl.ReadResponse(t); resp.StatusCode != c.status || b.Requests.Load() != c.requests || len(first) != 2 {
 				t.Errorf("got %s after %d requests and %d dials, want %d", resp.Status, b.Requests.Load(), len(first), c.requests)
 			}
 		})
--- a/internal/proxy/suspension_test.go
+++ b/internal/proxy/suspension_test.go
@@ -19,8 +19,8 @@
 	first := startProxy(t, d.addr, 200, known)
 	asks := func(p *running, id string) int {
 		c := connect(t, p)
-		c.send(t, lookRequest(id, 4000))
-		resp, _ := c.readResponse(t)
+		c.Send(t, proxytest.LookRequest(id, 4000))
+		resp, _ := c.ReadResponse(t)
 		return resp.StatusCode
 	}
 	if got := asks(first, "1"); got != 200 {
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -17,10 +17,6 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-func postRequest(id, framing string) string {
-	return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: post\r\n" + framing + "\r\n\r\n"
-}
-
 // A body that is too large to be buffered reaches the backend completely, in every framing, while it comes.
 func TestLargeBodiesAreStreamed(t *testing.T) {
 	const size = 2*MaxBufferedBody + 5
@@ -42,18 +38,18 @@
 			b.Begun = make(chan struct{})
 			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 			cl := connect(t, p)
-			cl.send(t, postRequest("1", c.framing))
+			cl.Send(t, proxytest.PostRequest("1", c.framing))
 			if strings.Contains(c.framing, "Expect") {
-				resp, err := http.ReadResponse(cl.r, nil)
+				resp, err := http.ReadResponse(cl.R, nil)
 				if err != nil || resp.StatusCode != http.StatusContinue {
 					t.Fatalf("got %v, %v", resp, err)
 				}
 			}
 			send := func(part []byte) {
 				if c.chunked {
-					cl.send(t, fmt.Sprintf("%x\r\n%s\r\n", len(part), part))
+					cl.Send(t, fmt.Sprintf("%x\r\n%s\r\n", len(part), part))
 				} else {
-					cl.send(t, string(part))
+					cl.Send(t, string(part))
 				}
 			}
 			send(body[:MaxBufferedBody+1])
@@ -61,17 +57,17 @@
 			send(body[MaxBufferedBody+1 : size-1])
 			send(body[size-1:])
 			if c.chunked {
-				cl.send(t, "0\r\n\r\n")
+				cl.Send(t, "0\r\n\r\n")
 			}
-			if resp, text := cl.readResponse(t); resp.StatusCode != 200 || text != "ok" {
+			if resp, text := cl.ReadResponse(t); resp.StatusCode != 200 || text != "ok" {
 				t.Errorf("got %s %q", resp.Status, text)
 			}
 			if !bytes.Equal(got.Bytes(), body) {
 				t.Errorf("%d bytes came of %d", got.Len(), size)
 			}
 			if !c.chunked { // the connection goes on
-				cl.send(t, lookRequest("2", 4000))
-				if resp, _ := cl.readResponse(t); resp.StatusCode != 200 {
+				cl.Send(t, proxytest.LookRequest("2", 4000))
+				if resp, _ := cl.ReadResponse(t); resp.StatusCode != 200 {
 					t.Errorf("then got %s", resp.Status)
 				}
 			}
@@ -89,11 +85,11 @@
 	b.ResetsUploads = true
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	cl := connect(t, p)
-	cl.send(t, postRequest("1", fmt.Sprintf("Content-Length: %d", 20<<20)))
+	cl.Send(t, proxytest.PostRequest("1", fmt.Sprintf("Content-Length: %d", 20<<20)))
 	piece := strings.Repeat("x", 64<<10)
 	answered := make(chan int, 1)
 	go func() {
-		resp, err := http.ReadResponse(cl.r, nil)
+		resp, err := http.ReadResponse(cl.R, nil)
 		if err != nil {
 			answered <- 0
 			return
@@ -120,7 +116,7 @@
 	b.Begun = make(chan struct{})
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	cl := connect(t, p)
-	cl.send(t, postRequest("1", "Content-Length: 1000000")+strings.Repeat("x", MaxBufferedBody+1))
+	cl.Send(t, proxytest.PostRequest("1", "Content-Length: 1000000")+strings.Repeat("x", MaxBufferedBody+1))
 	proxytest.Receive(t, "the head at the backend", b.Begun)
 	cl.Close()
 	proxytest.Receive(t, "the backend's connection", b.Closed)
@@ -218,9 +214,9 @@
 	}
 	for _, size := range []int{1000, 4 * MaxBufferedBody} { // held, and passed on as it comes
 		cl := connect(t, p)
-		cl.send(t, postRequest(fmt.Sprint(size), fmt.Sprintf("Content-Length: %d", size))+strings.Repeat("x", size-500))
+		cl.Send(t, proxytest.PostRequest(fmt.Sprint(size), fmt.Sprintf("Content-Length: %d", size))+strings.Repeat("x", size-500))
 		defer func() {
-			if resp, _ := cl.readResponse(t); resp.StatusCode < 500 || !resp.Close {
+			if resp, _ := cl.ReadResponse(t); resp.StatusCode < 500 || !resp.Close {
 				t.Errorf("%d bytes: got %s, close %v", size, resp.Status, resp.Close)
 			}
 		}()
--- a/internal/proxy/zoneoverrides_test.go
+++ b/internal/proxy/zoneoverrides_test.go
@@ -34,15 +34,15 @@
 	}
 	known := listJSON(1, true, endpointJSON("a/1", a.Addr, discovery.StatusServing), in("b", endpointJSON("b/1", b.Addr, discovery.StatusServing)))
 	d := startDiscovery(t)
-	text := strings.Replace(siteText, `"failure_domains":["a"]`, `"failure_domains":["a","b"]`, 1)
+	text := strings.Replace(proxytest.SiteJSON, `"failure_domains":["a"]`, `"failure_domains":["a","b"]`, 1)
 	first := startSite(t, text, d.addr, 200, known, t.TempDir())
 	id := 0
 	asks := func(p *running, times int) {
 		t.Helper()
 		for c := connect(t, p); times > 0; times-- {
 			id++
-			c.send(t, lookRequest(strconv.Itoa(id), 4000))
-			if resp, _ := c.readResponse(t); resp.StatusCode != 200 {
+			c.Send(t, proxytest.LookRequest(strconv.Itoa(id), 4000))
+			if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
 				t.Fatalf("request %d: %s", id, resp.Status)
 			}
 		}
