--- a/internal/proxy/bodyend_test.go
+++ b/internal/proxy/bodyend_test.go
@@ -47,7 +47,7 @@
 // A client's time begins with the last byte that it sent, also where the proxy has not read that byte since the backend
 // takes nothing: the response must not wait for the backend.
 func TestUploadStalledByBackendIsAnsweredInTime(t *testing.T) {
-	const size, left = maxBufferedBody + 32<<10, 500 * time.Millisecond
+	const size, left = MaxBufferedBody + 32<<10, 500 * time.Millisecond
 	body := bytes.Repeat([]byte("x"), size)
 	timeout := fmt.Sprintf("Request-Timeout-Ms: %d\r\n", left.Milliseconds())
 	for _, c := range []struct{ name, head, tail string }{
@@ -58,13 +58,13 @@
 			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", stuckBackend(t), discovery.StatusServing)))
 			narrow(p)
 			cl := connect(t, p)
-			cl.send(t, postRequest("1", c.head))
+			cl.Send(t, proxytest.PostRequest("1", c.head))
 			if c.tail != "" {
-				cl.send(t, fmt.Sprintf("%x\r\n", size))
+				cl.Send(t, fmt.Sprintf("%x\r\n", size))
 			}
-			cl.send(t, string(body)+c.tail)
+			cl.Send(t, string(body)+c.tail)
 			sent := time.Now() // all is in the system's hands
-			resp, _ := cl.readResponse(t)
+			resp, _ := cl.ReadResponse(t)
 			if took := time.Since(sent); took > left+upstream.MaxStreamOverrun {
 				t.Errorf("%s after %v, of %v that the client waits", resp.Status, took, left)
 			}
@@ -76,7 +76,7 @@
 // The Request-Timeout-Ms of a streamed upload counts from the last byte that the client sent, though the connection to
 // the backend came up later.
 func TestSlowDialForUploadForwardsRemainingTimeout(t *testing.T) {
-	const size, wait, late = maxBufferedBody + 32<<10, 4 * time.Second, time.Second
+	const size, wait, late = MaxBufferedBody + 32<<10, 4 * time.Second, time.Second
 	told := make(chan string, 1)
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		told <- r.Header.Get("Request-Timeout-Ms")
@@ -94,9 +94,9 @@
 		}
 	})
 	cl := connect(t, p)
-	cl.send(t, postRequest("1", fmt.Sprintf("Request-Timeout-Ms: %d\r\nContent-Length: %d", wait.Milliseconds(), size)))
-	cl.send(t, string(bytes.Repeat([]byte("x"), size)))
-	if resp, _ := cl.readResponse(t); resp.StatusCode != http.StatusOK {
+	cl.Send(t, proxytest.PostRequest("1", fmt.Sprintf("Request-Timeout-Ms: %d\r\nContent-Length: %d", wait.Milliseconds(), size)))
+	cl.Send(t, string(bytes.Repeat([]byte("x"), size)))
+	if resp, _ := cl.ReadResponse(t); resp.StatusCode != http.StatusOK {
 		t.Fatalf("got %s", resp.Status)
 	}
 	const slack = 150
