--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -17,7 +17,7 @@
 	limitIncrease         = 1.0 // attempts added to a limit after a good round,
 	limitIncreaseFraction = 0.2 // but no more than this fraction of it
 
-	minLimit          = 0.3 // attempts: some have to pass, or nothing would show that servers have recovered
+	minLimit          = 0.3 // attempts: some have to pass, or a recovery would go unnoticed
 	minLimitInnerTier = 8.0 // attempts: rejecting here wastes what the tiers before have done
 
 	maxLateFraction          = 0.4 // of a round: more late calls make it bad for a limit
@@ -38,7 +38,7 @@
 	feedback     feedbackRound
 }
 
-// admits tells whether one more attempt may be sent; chance is drawn evenly from 0 to 1. It makes a
+// admits reports whether one more attempt may be sent; chance is drawn evenly from 0 to 1. It makes a
 // fractional limit work: otherwise a replica with two calls in flight could shed none or half.
 func (l *concurrencyLimit) admits(chance float64) bool { return float64(l.inFlight)+1 <= l.max+chance }
 
@@ -75,7 +75,7 @@
 	reportedSlow bool // it counted as slow before its end
 }
 
-// admission holds the limits of the tier; those of the classes stand in shared.classes.
+// admission holds the limits of the tier; those of the classes are in shared.classes.
 type admission struct {
 	*shared
 	tier       concurrencyLimit
@@ -101,15 +101,15 @@
 		preemption: feedbackRound{maxBadFraction: maxSlowFraction, maxDuration: duration}}
 }
 
-// admitsTier tells whether the tier has room for one more attempt.
+// admitsTier reports whether the tier has room for one more attempt.
 func (a *admission) admitsTier() bool { return a.tier.admits(a.random.Float64()) }
 
-// admitsClass tells whether a class has room for one more attempt.
+// admitsClass reports whether a class has room for one more attempt.
 func (a *admission) admitsClass(class int) bool {
 	return a.classes[class].admission.limit.admits(a.random.Float64())
 }
 
-// admitsRetry tells whether tier and class both have room for a further attempt of a request; chance is drawn
+// admitsRetry reports whether tier and class both have room for a retry of a request; chance is drawn
 // evenly from 0 to 1.
 func (a *admission) admitsRetry(class int, chance float64) bool {
 	return a.tier.admits(chance) && a.classes[class].admission.limit.admits(chance)
@@ -158,7 +158,7 @@
 }
 
 // priority is a class's priority weight for each unit of work; where the settings state it for each
-// request, the unloaded latency stands for the work.
+// request, the unloaded latency is taken for the work.
 func (a *admission) priority(class int) float64 {
 	if a.settings.WeightPerWork {
 		return a.settings.Classes[class].PriorityWeight
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -4,14 +4,14 @@
 // give the same actions.
 //
 // One Balancer serves one proxy. It is not safe for concurrent use: its owner calls one method at a time, in the order
-// in which the events happened, with the time of its clock. Times and spans are whole microseconds (µs); the clock may
+// in which the events happened, with the time of its clock. Times and spans are integral microseconds (µs); the clock may
 // begin anywhere and never goes back.
 //
-// This file and settings.go are its interface. What decides stands in the files that deploy/balancer.toml lists under
+// This file and settings.go are its interface. What decides is in the files that deploy/balancer.toml lists under
 // policy; docs/policy.md has all rules with inputs, units and reasons.
 package balancer
 
-// ServerState is what the endpoint list says of a server.
+// ServerState is the state of a server in the endpoint list.
 type ServerState int
 
 // The states of a server.
@@ -32,7 +32,7 @@
 	LocalStartTime int64   // µs, the same on the clock of events, where the two may differ; 0: as StartTime
 }
 
-// UpdateKind says what an endpoint update holds.
+// UpdateKind is the kind of an endpoint update.
 type UpdateKind int
 
 // The kinds of update.
@@ -54,17 +54,17 @@
 	// Settings are those that the request was read by, as Balancer.Settings returned them; nil for those in force.
 	Settings *Settings
 
-	// BodyPending says that its body is still being received. It may be sent already; its time begins with
+	// BodyPending: its body is still being received. It may be sent already; its time begins with
 	// HandleBodyReceived.
 	BodyPending bool
 }
 
-// ReportKind says what a Report is about.
+// ReportKind is what a Report is about.
 type ReportKind int
 
 // The kinds of report. Their numbers are encoded between replicas.
 const (
-	ReportServerUnhealthy ReportKind = iota // the observer's calls to a server fail: Fault says how
+	ReportServerUnhealthy ReportKind = iota // the observer's calls to a server fail, see Fault
 	ReportServerHealthy                     // they are answered, while others call the server unhealthy
 	ReportZoneUnhealthy                     // most of the observer's latest calls to SubjectZone fail
 	ReportZoneHealthy                       // most are answered, or there were none; FaultSlow: the zone is saturated
@@ -72,7 +72,7 @@
 	ReportServerLoad                        // load and latency of a server
 )
 
-// Fault says how calls fail.
+// Fault is how calls fail.
 type Fault int
 
 // The faults. Their numbers are encoded between replicas.
@@ -103,7 +103,7 @@
 type PeerReports struct {
 	LiveReplicas       int      // replicas of the tier that are alive, this one included, as far as is known
 	LiveReplicasInZone int      // those of them in this one's zone, this one included
-	Isolated           bool     // no other replica was heard for so long that their reports say nothing any more
+	Isolated           bool     // no other replica was heard for so long that their reports have expired
 	Reports            []Report // all that are known of others and have not expired; they replace the former ones
 }
 
@@ -120,7 +120,7 @@
 	ZoneDrained              // by an operator: it gets nothing
 )
 
-// ZoneState says how a zone is used, and why.
+// ZoneState is how a zone is used, and why.
 type ZoneState struct {
 	Zone              int
 	Phase             ZonePhase
@@ -160,7 +160,7 @@
 	NotReplayable bool  // the request's body is gone, so it can't be sent again
 }
 
-// RejectReason says why a request was rejected.
+// RejectReason is why a request was rejected.
 type RejectReason int
 
 // The reasons.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -12,7 +12,7 @@
 //	admission     limits of attempts in flight, priority of classes, Retry-After
 //	quotas        requests a second of each tenant
 //	ordering      order of the requests of one key
-//	retries       further attempts, retry budget, deadlines, timeouts
+//	retries       attempts after the first, retry budget, deadlines, timeouts
 //	selection     the draw of a server
 //	slowStart     what warming servers get
 //	outliers      health of servers, ejection
@@ -105,8 +105,7 @@
 	b.admission.tier.feedback.maxDuration = roundDuration
 }
 
-// HandleTimer takes a timer that Host.SetTimer asked for. Tokens that have nothing to say any more do
-// nothing.
+// HandleTimer takes a timer that Host.SetTimer asked for. Tokens of what is over by now do nothing.
 func (b *Balancer) HandleTimer(now int64, host Host, token string) {
 	if token == watchTimer {
 		if b.subscription.reopen() {
@@ -209,7 +208,7 @@
 	return true
 }
 
-// retry sends a further attempt of a request if limits, deadline, budget and idempotency allow one.
+// retry sends another attempt of a request if limits, deadline, budget and idempotency allow one.
 func (b *Balancer) retry(now int64, host Host, request *request) bool {
 	chance := b.random.Float64()
 	if len(request.attempts) >= request.Settings.MaxAttempts || !b.retries.canMeetDeadline(now, request) ||
@@ -241,7 +240,7 @@
 	}
 }
 
-// HandleResponseStarted takes it that a response is being streamed. The rest takes the client's time, so the
+// HandleResponseStarted handles the start of a streamed response. The rest takes the client's time, so the
 // attempt's latency ends here.
 func (b *Balancer) HandleResponseStarted(now int64, id string) {
 	request := b.requests[id]
@@ -258,8 +257,8 @@
 	}
 }
 
-// HandleBodyReceived takes it that a request's body is complete: its time begins, and deadline, in µs on
-// the clock of events, is its client's. It returns the timeout of its attempt, in µs; 0 if the request is
+// HandleBodyReceived handles the end of a request's body: its time begins, and deadline, in µs on the clock
+// of events, is its client's. It returns the timeout of its attempt, in µs; 0 if the request is
 // over.
 func (b *Balancer) HandleBodyReceived(now int64, id string, deadline int64) (timeout int64) {
 	request := b.requests[id]
@@ -276,7 +275,7 @@
 	return max(b.retries.deadline(request)-now, 1)
 }
 
-// HandleClientGone takes it that nobody waits for a request any more.
+// HandleClientGone handles a client's departure: nobody waits for the request any more.
 func (b *Balancer) HandleClientGone(now int64, host Host, id string) {
 	if request := b.requests[id]; request != nil {
 		b.finish(now, host, request)
--- a/balancer/callstats.go
+++ b/balancer/callstats.go
@@ -25,7 +25,7 @@
 // retractBad takes back one bad call: it was answered after all.
 func (c *callStats) retractBad() { c.bad = max(0, c.bad-1) }
 
-// seenWithin tells whether the latest call ended no longer ago than span, in µs.
+// seenWithin reports whether the latest call ended no longer ago than span, in µs.
 func (c *callStats) seenWithin(now, span int64) bool { return c.lastAt != 0 && now-c.lastAt <= span }
 
 // badFraction is the bad part of the calls, 0 to 1; 0 without calls.
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -25,7 +25,7 @@
 	Previous     ZonePhase
 }
 
-// TenantsThrottled says that traffic within the shares of tenants is held back, as calls are slow or fail.
+// TenantsThrottled is logged while traffic within the shares of tenants is rejected, as calls are slow or fail.
 type TenantsThrottled struct {
 	Tier            int
 	QuotaMultiple   float64 // of its share that each tenant may have admitted, below 1
@@ -34,7 +34,7 @@
 	SpilloverWeight float64 // of servers in other zones, 0 to 1
 }
 
-// DampedServersChanged says which servers are damped now.
+// DampedServersChanged is a change of the set of damped servers.
 type DampedServersChanged struct {
 	Servers        []string // IDs
 	WeightFraction float64  // of its weight that each of them gets
--- a/balancer/flapdamping.go
+++ b/balancer/flapdamping.go
@@ -30,7 +30,7 @@
 	recoveredBadFraction = 0.2 // of recent calls: a server above it hasn't recovered
 
 	flapReportTTL = 10 * second // µs: a flap is reported for so long
-	flapMemory    = 60 * second // µs: and known for so long, to tell the next one
+	flapMemory    = 60 * second // µs: and known for so long, to recognise the next one
 
 	maxRecords         = 4096   // of flaps
 	dampingLogInterval = second // µs between log events at least
@@ -77,7 +77,7 @@
 	newFlap     bool    // one has counted since updateDamped
 }
 
-// accept takes a replica's vote for a flap and tells whether the flap counts with it.
+// accept takes a replica's vote for a flap and reports whether the flap counts with it.
 func (r *flapRecord) accept(now int64, down bool, vote flapVote, required int) bool {
 	if down == r.down || vote.seenAt <= r.lastFlapAt || vote.seenAt > now {
 		return false
@@ -98,12 +98,12 @@
 	return r.penalty * math.Exp2(-float64(now-r.penaltyAt)/float64(penaltyHalfLife))
 }
 
-// rested tells whether a record may be forgotten.
+// rested reports whether a record may be forgotten.
 func (r *flapRecord) rested(now int64) bool {
 	return r.currentPenalty(now) < reuseThreshold/2 && now-r.lastFlapAt > penaltyHalfLife
 }
 
-// updateDamped begins or ends damping and tells whether the server is damped now.
+// updateDamped begins or ends damping and reports whether the server is damped now.
 func (r *flapRecord) updateDamped(now int64) bool {
 	penalty := r.currentPenalty(now)
 	if r.dampedSince != 0 && (penalty < reuseThreshold || now-r.dampedSince >= maxDamping) {
@@ -118,7 +118,7 @@
 // flapRecords keeps one record for each server that has flapped. The zero value is ready.
 type flapRecords struct{ byID map[string]*flapRecord }
 
-// recordFlap takes a replica's sighting of a flap. It tells whether
+// recordFlap takes a replica's sighting of a flap. It reports whether
 // the flap counts with it.
 func (f *flapRecords) recordFlap(now int64, seen flapSighting, required int) bool {
 	record := f.byID[seen.server]
@@ -137,7 +137,7 @@
 	return same && record.accept(now, seen.down, seen.vote, required)
 }
 
-// dampedSince tells whether a server's process is to have its steady weight now, and since when, in µs.
+// dampedSince reports whether a server's process is to have its steady weight now, and since when, in µs.
 func (f *flapRecords) dampedSince(now int64, id string, startTime int64) (since int64, damped bool) {
 	record := f.byID[id]
 	if record == nil || !sameStartTime(record.startTime, startTime) {
@@ -253,8 +253,8 @@
 	}
 }
 
-// takeReports takes the flaps that all replicas report. That a server doesn't respond tells of the way to
-// it: of such reports only those of this zone count.
+// takeReports takes the flaps that all replicas report. That a server doesn't respond may be due to the way
+// to it: of such reports only those of this zone count.
 func (d *flapDamping) takeReports(now int64) {
 	required := requiredFlapVotes(d.reports.peers.LiveReplicasInZone)
 	for report := range d.reports.all {
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -17,7 +17,7 @@
 	b.retries.adopt(usage)
 }
 
-// HandleOtherProcessExit takes it that the other process has ended. A predecessor that outlives its successor has
+// HandleOtherProcessExit handles the end of the other process. A predecessor that outlives its successor has
 // RetryBudgetMin again once no budget window holds what that one may have used of it.
 func (b *Balancer) HandleOtherProcessExit(now int64) {
 	b.slowStart.otherProcess = false
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -90,3 +90,8 @@
 func sendRequest(b *Balancer, h Host, now int64, id string, class int) {
 	b.HandleRequest(now, h, Request{ID: id, Class: class, Deadline: now + 1_000_000})
 }
+
+// weightOf is a server's weight for a class in a draw.
+func weightOf(b *Balancer, now int64, server *server, class int) float64 {
+	return b.selection.weight(now, server, class, b.selection.baseWeight(server))
+}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -66,7 +66,7 @@
 	return min(threshold, saturatedLatencyRatio*latency.unloaded)
 }
 
-// isLate tells whether a latency, in µs, counts against the limits of tier and class.
+// isLate reports whether a latency, in µs, counts against the limits of tier and class.
 func isLate(rules Class, latency float64) bool {
 	return latency > lateFraction*float64(rules.LatencyObjective)
 }
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// logThrottling logs, now and then, that traffic within the tenants' shares is held back.
+// logThrottling logs, now and then, that traffic within the tenants' shares is rejected.
 func (b *Balancer) logThrottling(now int64, host Host) {
 	b.quotas.logThrottling(now, host, TenantsThrottled{InFlight: b.admission.tier.inFlight,
 		FailureRate: b.outliers.errorRate, SpilloverWeight: b.spillover.weight})
--- a/balancer/listevidence.go
+++ b/balancer/listevidence.go
@@ -6,7 +6,7 @@
 // while the list is stale, that is, not confirmed for longer than Settings.MembershipEvidenceTTL. Then what
 // shows that a server is still listed is that it goes on executing attempts: one that drains rejects them,
 // one that is gone takes none, and one that went and came back was silent for longer than the TTL. While
-// the list is confirmed nothing here has a say.
+// the list is confirmed none of this counts.
 
 const (
 	// Weight left to a server that nothing shows to be listed, beside those that something does. It is
@@ -31,14 +31,14 @@
 	everConfirmed bool
 }
 
-// confirm takes it that the list is the newest there is. A cached one is the best that a new replica has.
+// confirm records that the list is the newest there is. A cached one is the best that a new replica has.
 func (e *listEvidence) confirm(now int64, kind UpdateKind) {
 	if kind != UpdateCached || e.confirmedAt == 0 {
 		e.confirmedAt, e.everConfirmed = now, e.everConfirmed || kind != UpdateCached
 	}
 }
 
-// isStale tells whether the list alone shows nothing any more.
+// isStale reports whether the list alone shows nothing any more.
 func (e *listEvidence) isStale(now int64) bool {
 	return e.settings.MembershipEvidenceTTL > 0 && now-e.confirmedAt > e.settings.MembershipEvidenceTTL
 }
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -63,7 +63,7 @@
 	zones     []zone // by number; nil until reports are exchanged or a zone is drained
 }
 
-// evaluate moves each zone to the phase where the reports of this zone's replicas put it. It tells whether
+// evaluate moves each zone to the phase where the reports of this zone's replicas put it. It reports whether
 // one was evacuated or is not any more.
 func (l *locality) evaluate(now int64, host Host) (changed bool) {
 	l.sumReports()
@@ -138,7 +138,7 @@
 	return duration
 }
 
-// isLost tells whether the replicas of this zone find a zone lost: most of those with evidence, more than a
+// isLost reports whether the replicas of this zone find a zone lost: most of those with evidence, more than a
 // third of all (so many may report what isn't so) and most calls say so, over several servers, and the
 // other zones are clearly better. An isolated replica can't tell a lost zone from a fault of its own link.
 func (l *locality) isLost(zone *zone) bool {
@@ -155,7 +155,7 @@
 		l.hasAlternative(zone) && l.badElsewhere(zone) <= maxRelativeBadElsewhere*sum.badFraction()
 }
 
-// hasAlternative tells whether another zone takes traffic.
+// hasAlternative reports whether another zone takes traffic.
 func (l *locality) hasAlternative(zone *zone) (has bool) {
 	for i := range l.zones {
 		has = has || &l.zones[i] != zone && l.zones[i].acceptsTraffic()
@@ -281,7 +281,7 @@
 	return max(weight, 1-local.WeightFraction)
 }
 
-// localZoneCopes tells whether no replica of this zone, of those with evidence, finds it saturated or bad.
+// localZoneCopes reports whether no replica of this zone, of those with evidence, finds it saturated or bad.
 func (l *locality) localZoneCopes() bool {
 	local := l.zone(l.settings.Zone)
 	return local != nil && local.Phase == ZoneHealthy && l.spillover.weight <= saturationSpillover &&
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -43,7 +43,7 @@
 	return &membership{shared: common, byID: map[string]*server{}}
 }
 
-// replaceAll takes it that a list is complete: what upsert doesn't bring is removed.
+// replaceAll begins a complete list: servers that upsert doesn't bring are removed.
 func (m *membership) replaceAll() {
 	for _, server := range m.all {
 		server.State = ServerRemoved
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -33,7 +33,7 @@
 
 func newOrdering() *ordering { return &ordering{queues: map[string]*keyQueue{}} }
 
-// isOrdered tells whether a request has to wait for its predecessors.
+// isOrdered reports whether a request has to wait for its predecessors.
 func (o *ordering) isOrdered(request *request) bool {
 	return request.Key != "" && request.classRules().Ordered
 }
@@ -77,7 +77,7 @@
 	return settings.OrderingCooldown
 }
 
-// mayStillRun tells whether a server may go on with an attempt that ended so.
+// mayStillRun reports whether a server may go on with an attempt that ended so.
 func mayStillRun(status Status) bool {
 	return status == StatusTimedOut || status == StatusReset || status == StatusCancelled
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -109,7 +109,7 @@
 	return worst
 }
 
-// isUnhealthy tells whether this replica finds the server unhealthy.
+// isUnhealthy reports whether this replica finds the server unhealthy.
 func (o *outlierState) isUnhealthy() bool {
 	return o.recent.badFraction() >= unhealthyBadFraction ||
 		o.overall.score < healthyScore && o.recent.lastBadAt > o.lastSuccessAt
@@ -137,7 +137,7 @@
 	StatusTimedOut: FaultUnresponsive, StatusConnectFailed: FaultUnresponsive, StatusReset: FaultUnresponsive,
 	StatusCancelled: FaultUnresponsive, StatusNotSent: FaultUnresponsive}
 
-// outlierDetection holds the error rate of all servers; what it knows of each stands in server.outlier.
+// outlierDetection holds the error rate of all servers; what it knows of each is in server.outlier.
 type outlierDetection struct {
 	*shared
 	members   *membership
@@ -145,7 +145,7 @@
 	errorRate float64 // running fraction of failed attempts over all servers, 0 to 1
 }
 
-// attribute takes the end of an attempt into the health of its server and tells whether a failure is the
+// attribute takes the end of an attempt into the health of its server and reports whether a failure is the
 // server's own. One that the other servers show alike comes from a tier behind them. A refused connection
 // always is the server's own: a zone that is lost refuses at all its servers. An error or a rejection
 // concerns the class only, so that servers that fail one class keep the others; no response concerns the
@@ -171,7 +171,7 @@
 	o.connectionRefused = status == StatusConnectFailed || status != StatusOK && o.connectionRefused
 }
 
-// recordAnswer takes it that the server has answered: reports of others count again when they are renewed.
+// recordAnswer records an answer of the server: reports of others count again when they are renewed.
 func (o *outlierState) recordAnswer() { o.peerFactor = 1 }
 
 // recordCall takes the end of an attempt, or that there was none for too long, as evidence to report. One
@@ -187,7 +187,7 @@
 	}
 }
 
-// isSilent tells whether an attempt has been in flight for far longer than calls of its class take.
+// isSilent reports whether an attempt has been in flight for far longer than calls of its class take.
 func (d *outlierDetection) isSilent(now int64, class int, attempt *attempt) bool {
 	longest := max(minSilentAfter, int64(silentAfterMeans*d.classes[class].latency.mean))
 	return attempt.pending && attempt.admission.counted && !attempt.responseStarted &&
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -14,18 +14,18 @@
 		recordLatency(&c.latency, &fast.latency, 100_000)
 		recordLatency(&c.latency, &slow.latency, 300_000)
 	}
-	if b.selection.weight(start, fast, 0) < 2*b.selection.weight(start, slow, 0) {
-		t.Errorf("weights %v and %v", b.selection.weight(start, fast, 0), b.selection.weight(start, slow, 0))
+	if weightOf(b, start, fast, 0) < 2*weightOf(b, start, slow, 0) {
+		t.Errorf("weights %v and %v", weightOf(b, start, fast, 0), weightOf(b, start, slow, 0))
 	}
-	before := b.selection.weight(start, fast, 0)
+	before := weightOf(b, start, fast, 0)
 	b.outliers.attribute(fast, 0, StatusError)
-	if b.selection.weight(start, fast, 0) > before/2 {
+	if weightOf(b, start, fast, 0) > before/2 {
 		t.Error("a failure that its peer does not show left the weight")
 	}
 	for range 100 {
 		b.outliers.attribute(fast, 0, StatusError)
 	}
-	if b.selection.weight(start, fast, 0) <= 0 {
+	if weightOf(b, start, fast, 0) <= 0 {
 		t.Error("no floor keeps trials going")
 	}
 }
@@ -38,10 +38,10 @@
 		b.outliers.attribute(ill, 0, StatusError)
 		b.outliers.attribute(well, 0, StatusOK)
 	}
-	if w := b.selection.weight(start, ill, 0); w > b.selection.weight(start, well, 0)/5 {
+	if w := weightOf(b, start, ill, 0); w > weightOf(b, start, well, 0)/5 {
 		t.Errorf("a server that fails the class keeps weight %v", w)
 	}
-	if b.selection.weight(start, ill, 2) != b.selection.weight(start, well, 2) {
+	if weightOf(b, start, ill, 2) != weightOf(b, start, well, 2) {
 		t.Error("errors of one class cost a server the others")
 	}
 	for range 5 {
@@ -50,7 +50,7 @@
 			b.outliers.attribute(well, 0, StatusOK)
 		}
 	}
-	if w := b.selection.weight(start, ill, 2); w > b.selection.weight(start, well, 2)/5 {
+	if w := weightOf(b, start, ill, 2); w > weightOf(b, start, well, 2)/5 {
 		t.Errorf("a silent server keeps weight %v for the other classes", w)
 	}
 }
@@ -67,10 +67,10 @@
 			b.outliers.attribute(well, 2, StatusOK)
 		}
 	}
-	if w := b.selection.weight(start, ill, 0); w > b.selection.weight(start, well, 0)/5 {
+	if w := weightOf(b, start, ill, 0); w > weightOf(b, start, well, 0)/5 {
 		t.Errorf("a server that is full for the class keeps weight %v", w)
 	}
-	if w := b.selection.weight(start, ill, 2); w < b.selection.weight(start, well, 2)/2 {
+	if w := weightOf(b, start, ill, 2); w < weightOf(b, start, well, 2)/2 {
 		t.Errorf("and for the other class it is left %v", w)
 	}
 }
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -38,7 +38,7 @@
 	requests decayingCount
 }
 
-// admits tells whether a rate, in requests a second, has room for one more; chance is drawn evenly from 0
+// admits reports whether a rate, in requests a second, has room for one more; chance is drawn evenly from 0
 // to 1 and burstChance is the probability that a count above the rate is taken for chance. The window grows
 // for a small rate, so that fractions work, but not beyond the time since the first request: that would
 // admit a long window's worth at once.
@@ -123,7 +123,7 @@
 	}
 }
 
-// admits tells whether a request is within its tenant's quota; one without a tenant always is.
+// admits reports whether a request is within its tenant's quota; one without a tenant always is.
 func (q *quotas) admits(now int64, request *request) bool {
 	i := q.tenantOf(request)
 	if i < 0 {
@@ -162,8 +162,8 @@
 	}
 }
 
-// logThrottling logs event, at most once in throttlingLogInterval, while traffic within the shares is held
-// back.
+// logThrottling logs event, at most once in throttlingLogInterval, while traffic within the shares is
+// rejected back.
 func (q *quotas) logThrottling(now int64, host Host, event TenantsThrottled) {
 	if q.multiple >= 1 || now-q.loggedAt < throttlingLogInterval && q.loggedAt != 0 {
 		return
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// sameProcess tells whether a report is of the process that the list names. Its start is by another's clock.
+// sameProcess reports whether a report is of the process that the list names. Its start is by another's
+// clock.
 func sameProcess(server *server, report Report) bool {
 	return sameStartTime(server.StartTime, report.StartTime)
 }
@@ -104,8 +105,8 @@
 	return reports, samples
 }
 
-// ownLinkFails tells whether what this replica sees is more likely a fault of its own link: most servers over
-// several zones are unhealthy, and no zone answers.
+// ownLinkFails reports whether what this replica sees is more likely a fault of its own link: most servers
+// over several zones are unhealthy, and no zone answers.
 func (b *Balancer) ownLinkFails(now int64, samples map[int]zoneSample) bool {
 	if b.locality.someZoneAnswers(now) {
 		return false
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Retry: whether a request gets a further attempt, where this may go, when an attempt is given up, and
+// Retry: whether a request gets another attempt, where this may go, when an attempt is given up, and
 // whether a failed request may be rejected instead of failed.
 //
 // Input: the request's class and attempts, and the times of requests and retries. Output: a deadline, an
@@ -61,7 +61,7 @@
 	return float64(p.deadline(request)-now) - minRemainingMeans*p.classes[request.Class].latency.mean
 }
 
-// canMeetDeadline tells whether a request that is sent now can still be answered by its deadline.
+// canMeetDeadline reports whether a request that is sent now can still be answered by its deadline.
 func (p *retryPolicy) canMeetDeadline(now int64, request *request) bool {
 	return float64(p.deadline(request)-now) > minRemainingMeans*p.classes[request.Class].latency.mean
 }
@@ -81,7 +81,7 @@
 	return max(left, 1)
 }
 
-// neverAgain is a send window that says that a request may not be sent to a server.
+// neverAgain is the send window of a server that must not get the request.
 const neverAgain = -1
 
 // sendWindow is the time, in µs, within which a request's last byte has to reach the server; 0: no limit.
@@ -102,7 +102,7 @@
 	return left
 }
 
-// sharesDedup tells whether a server recognises the idempotency key of an earlier attempt.
+// sharesDedup reports whether a server recognises the idempotency key of an earlier attempt.
 func sharesDedup(scope DedupScope, earlier *attempt, server *server) bool {
 	switch scope {
 	case DedupScopeZone:
@@ -113,7 +113,8 @@
 	return true
 }
 
-// mayReject tells whether a request may be rejected, which tells the client that it may safely come again.
+// mayReject reports whether a request may be rejected, which is a promise to the client that it may safely
+// come again.
 func (p *retryPolicy) mayReject(request *request) bool {
 	rules := request.classRules()
 	return rules.Idempotency == Idempotent ||
@@ -121,7 +122,7 @@
 		!slices.ContainsFunc(request.attempts, func(a *attempt) bool { return a.mayHaveExecuted })
 }
 
-// mayHaveExecuted tells whether an attempt that ended so may have been executed by its server.
+// mayHaveExecuted reports whether an attempt that ended so may have been executed by its server.
 func mayHaveExecuted(status Status, settings *Settings) bool {
 	switch status {
 	case StatusConnectFailed, StatusNotSent:
@@ -138,7 +139,7 @@
 // recordRetry counts a retry for the budget.
 func (p *retryPolicy) recordRetry(now int64) { p.retries.add(now, p.settings.RetryBudgetWindow) }
 
-// budgetAllows tells whether one more retry is within the budget. The window ends now: a retry at its far
+// budgetAllows reports whether one more retry is within the budget. The window ends now: a retry at its far
 // edge counts, a request received there doesn't.
 func (p *retryPolicy) budgetAllows(now int64) bool {
 	from, least := now-p.settings.RetryBudgetWindow, p.settings.RetryBudgetMin
@@ -153,7 +154,7 @@
 // elsewhere.
 func (p *retryPolicy) windowClear(now int64) int64 { return now + p.settings.RetryBudgetWindow }
 
-// extendWindow takes it that the budget window has become longer: retries before the former one are
+// extendWindow handles a longer budget window: retries before the former one are
 // forgotten, so that the minimum counts again only when the new window holds none of them.
 func (p *retryPolicy) extendWindow(now int64) {
 	p.minAvailableFrom = max(p.minAvailableFrom, p.windowClear(now))
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -10,7 +10,7 @@
 
 const (
 	inFlightExponent  = 8.0  // of 1 + attempts in flight: how sharply a weight falls with them
-	triedWeightFactor = 1e-6 // for a server that the request has tried: it is left for when there is no other
+	triedWeightFactor = 1e-6 // for a server that the request has tried: the last resort
 
 	// Of its trials, those that an unhealthy server gets from calls that can't be repeated.
 	nonIdempotentTrialFactor = 0.2
@@ -21,11 +21,11 @@
 
 // candidate is a server in a draw.
 type candidate struct {
-	server   *server
-	weight   float64
-	reach    float64 // weight by capacity hint and zone alone
-	health   float64 // score for the request's class, 0 to 1
-	capacity float64 // slow start: least fraction of its warm capacity
+	server     *server
+	weight     float64
+	baseWeight float64 // weight by capacity hint and zone alone
+	health     float64 // score for the request's class, 0 to 1
+	capacity   float64 // slow start: least fraction of its warm capacity
 }
 
 // selection holds what the size of the subset follows from, and the candidates of the present draw.
@@ -133,10 +133,11 @@
 // add makes a server a candidate and returns what it counts as towards the subset.
 func (d *draw) add(server *server) (counts float64) {
 	warmth := d.slowStart.factor(d.now, server)
-	c := candidate{server: server, reach: d.reach(server), health: server.healthScore(d.request.Class)}
+	c := candidate{server: server, baseWeight: d.baseWeight(server),
+		health: server.healthScore(d.request.Class)}
 	d.warming = d.warming || d.slowStart.limitsDraw(warmth)
 	if d.retries.sendWindow(d.now, d.request, server) != neverAgain {
-		c.weight = d.weight(d.now, server, d.request.Class)
+		c.weight = d.weight(d.now, server, d.request.Class, c.baseWeight)
 	}
 	if d.request.triedOn(server) {
 		c.weight *= triedWeightFactor
@@ -182,7 +183,7 @@
 }
 
 // reach is a server's weight by its capacity hint and zone alone.
-func (s *selection) reach(server *server) float64 {
+func (s *selection) baseWeight(server *server) float64 {
 	weight := 1.0
 	if s.settings.CapacityHints && server.CapacityHint > 0 {
 		weight = server.CapacityHint
@@ -193,12 +194,12 @@
 	return weight
 }
 
-// weight is a server's weight by its capacity hint, age and zone, by what was learned of it and by the
-// attempts that it holds.
-func (s *selection) weight(now int64, server *server, class int) float64 {
+// weight is a server's weight for a class: its baseWeight, times factors for its health, slowness, age, tuning
+// and the recovery of its zone, over a power of the attempts that it holds.
+func (s *selection) weight(now int64, server *server, class int, baseWeight float64) float64 {
 	slowness, health := server.latency.slowness, max(minHealthScore, server.healthScore(class))
 	weight := health / (slowness * slowness) * s.slowStart.factor(now, server)
-	weight *= s.reach(server) * server.tuning.factor / math.Pow(float64(1+server.inFlight), inFlightExponent)
+	weight *= baseWeight * server.tuning.factor / math.Pow(float64(1+server.inFlight), inFlightExponent)
 	return weight * s.locality.recoveryFactor(server.Zone)
 }
 
@@ -212,7 +213,7 @@
 	return score
 }
 
-// riskyForNonIdempotent tells whether a call that can't be repeated should rather go elsewhere.
+// riskyForNonIdempotent reports whether a call that can't be repeated should rather go elsewhere.
 func (s *server) riskyForNonIdempotent() bool {
 	return s.damping.active || s.outlier.overallScore() < healthyScore
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Idempotency says whether a request may be executed more than once.
+// Idempotency is whether a request may be executed more than once.
 type Idempotency int
 
 // The kinds of idempotency.
@@ -27,10 +27,10 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name             string  // by which Reconfigure recognises it; says nothing else
+	Name             string  // by which Reconfigure recognises it; no other meaning
 	LatencyObjective int64   // µs, above 0: an answer within it earns the full priority weight
 	Deadline         int64   // µs, above 0: a client waits this long at most, all attempts included
-	PriorityWeight   float64 // 0 or more: worth of one timely answer, against those of other classes
+	PriorityWeight   float64 // 0 or more: value of one timely answer, against those of other classes
 	LateWeight       float64 // 0 or more: fraction of that which an answer between objective and deadline earns
 	Idempotency      Idempotency
 	DedupScope       DedupScope // of IdempotentWithKey
@@ -40,7 +40,7 @@
 
 // Tenant describes one origin of requests.
 type Tenant struct {
-	Name  string  // by which Reconfigure recognises it; says nothing else
+	Name  string  // by which Reconfigure recognises it; no other meaning
 	Share float64 // 0 or more: its part of the sum of all quotas
 	Quota float64 // 0 or more: requests a second within its share, over all proxies of the tier
 }
@@ -55,7 +55,7 @@
 	Classes        []Class  // at least one
 	Tenants        []Tenant // may be empty
 	WatchEndpoints bool     // the endpoint list comes only after Host.Watch
-	CapacityHints  bool     // Server.CapacityHint compares servers; otherwise it says nothing
+	CapacityHints  bool     // Server.CapacityHint compares servers; otherwise it is ignored
 
 	MaxAttempts             int   // of one request, 1 or more
 	OrderingCooldown        int64 // µs for which a key of an Ordered class rests after an attempt that may still run
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -58,7 +58,7 @@
 	return warmupMargin * capacity
 }
 
-// limitsDraw tells whether a server with this factor needs the cap of limitWarming.
+// limitsDraw reports whether a server with this factor needs the cap of limitWarming.
 func (s *slowStart) limitsDraw(factor float64) bool {
 	return factor < 1 && s.settings.OverloadMultiple > 0
 }
@@ -82,7 +82,7 @@
 	reach, healthiest := 0.0, 0.0
 	for i := range candidates {
 		c := &candidates[i]
-		c.capacity, reach = s.capacity(now, c.server), reach+c.reach
+		c.capacity, reach = s.capacity(now, c.server), reach+c.baseWeight
 		healthiest = max(healthiest, c.health*indicator(c.capacity == 1 && c.weight > 0))
 	}
 	usual, present := s.arrivalRates(now)
@@ -94,7 +94,7 @@
 	warm := 0.0
 	for i := range candidates {
 		c := &candidates[i]
-		if over := c.weight - most*c.reach*c.capacity; c.capacity < 1 && over > 0 {
+		if over := c.weight - most*c.baseWeight*c.capacity; c.capacity < 1 && over > 0 {
 			c.weight, shed = c.weight-over, shed+over
 		} else if takesExcess(c) {
 			warm += c.weight
@@ -109,8 +109,8 @@
 	return shed - more*warm
 }
 
-// admitsProbe tells whether a server that an operator has resumed may get a call now. Where ready servers
-// are so many that its part of this replica's usual calls is below one, a chance stands for that part.
+// admitsProbe reports whether a server that an operator has resumed may get a call now. Where ready servers
+// are so many that its part of this replica's usual calls is below one, that part is the chance of a call.
 func (s *slowStart) admitsProbe(now int64, server *server, ready int) bool {
 	usual, present := s.arrivalRates(now)
 	capacity := s.capacity(now, server)
--- a/balancer/spillover_test.go
+++ b/balancer/spillover_test.go
@@ -4,7 +4,7 @@
 
 func TestSpilloverGrowsWhileTheLocalZoneIsSlow(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 8)
-	home := b.selection.weight(start, b.members.byID["s0"], 0)
+	home := weightOf(b, start, b.members.byID["s0"], 0)
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
@@ -13,11 +13,11 @@
 		}
 	}
 	feed(60*feedbackRoundCalls, false)
-	if away := b.selection.weight(start, b.members.byID["s2"], 0); away > home/10 {
+	if away := weightOf(b, start, b.members.byID["s2"], 0); away > home/10 {
 		t.Errorf("a calm home leaves %.3f of the weight to other zones", away/home)
 	}
 	feed(20*feedbackRoundCalls, true)
-	if away := b.selection.weight(start, b.members.byID["s2"], 0); away < home/2 {
+	if away := weightOf(b, start, b.members.byID["s2"], 0); away < home/2 {
 		t.Errorf("a home in trouble leaves %.3f of the weight to other zones", away/home)
 	}
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -71,7 +71,7 @@
 // classRules is the request's class by the settings that the request began with.
 func (r *request) classRules() Class { return r.Settings.Classes[r.Class] }
 
-// triedOn tells whether an attempt of the request went to the server.
+// triedOn reports whether an attempt of the request went to the server.
 func (r *request) triedOn(server *server) bool {
 	for _, attempt := range r.attempts {
 		if attempt.server == server {
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -36,14 +36,14 @@
 	return backoff, ok
 }
 
-// succeeded takes a list, which ends the backoff, and tells whether a watch has to be opened for the next
+// succeeded takes a list, which ends the backoff, and reports whether a watch has to be opened for the next
 // ones.
 func (s *subscription) succeeded() (open bool) {
 	s.backoff = minWatchBackoff
 	return s.settings.WatchEndpoints && s.reopen()
 }
 
-// reopen tells whether a watch has to be opened now: none is open or being opened.
+// reopen reports whether a watch has to be opened now: none is open or being opened.
 func (s *subscription) reopen() bool {
 	if s.requested {
 		return false
--- a/balancer/weighttuning.go
+++ b/balancer/weighttuning.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// tailIsWorse ends the round's tail and tells whether it is worse than the one before by more than chance.
+// tailIsWorse ends the round's tail and reports whether it is worse than the one before by more than chance.
 func (t *weightTuning) tailIsWorse() bool {
 	before, now := t.previousTail, t.tail.Root()
 	worse := before > 0 && now > before*(1+worseTailDeviations/math.Sqrt(t.tailCalls))
@@ -118,7 +118,7 @@
 	}
 }
 
-// canTune tells whether a server is warm, healthy and called enough.
+// canTune reports whether a server is warm, healthy and called enough.
 func (t *weightTuning) canTune(now int64, server *server) bool {
 	healthy := !server.damping.active && server.outlier.overallScore() >= healthyScore
 	load := &server.load.fleet
--- a/balancer/zonestate.go
+++ b/balancer/zonestate.go
@@ -113,7 +113,7 @@
 	return zoneStatsTTL / 2
 }
 
-// someZoneAnswers tells whether this replica's latest calls to some zone were mostly answered.
+// someZoneAnswers reports whether this replica's latest calls to some zone were mostly answered.
 func (l *locality) someZoneAnswers(now int64) bool {
 	for i := range l.zones {
 		if stats, ok := l.zones[i].recentStats(now); ok && stats.badFraction() < zoneUnhealthyFraction {
@@ -123,7 +123,7 @@
 	return false
 }
 
-// acceptsTraffic tells whether a zone takes more than trials.
+// acceptsTraffic reports whether a zone takes more than trials.
 func (z *zone) acceptsTraffic() bool {
 	return z.Phase != ZoneEvacuating && z.WeightFraction > 0 && z.reports.readyServers > 0
 }
--- a/internal/tailweights/adjust.go
+++ b/internal/tailweights/adjust.go
@@ -10,7 +10,7 @@
 	Curve          *CurveFit // of this server over the rounds; Adjust updates it
 }
 
-// CurveLearning says how curves are learned from observations.
+// CurveLearning is how curves are learned from observations.
 type CurveLearning struct {
 	AssumedUtilization float64 // 0 to 1: part of their capacity that servers use on the whole, until curves are known
 	InformativeSpread  float64 // of the mean load: loads that differ by it say as much of a curve as that assumption
--- a/internal/tailweights/curvefit.go
+++ b/internal/tailweights/curvefit.go
@@ -71,7 +71,7 @@
 	return base / (1 - load/capacity)
 }
 
-// TailNorm is the mean fourth power of latencies, whose root stands for their tail as the cost of Solver does: 2.2
+// TailNorm is the mean fourth power of latencies, whose root represents their tail as the cost of Solver does: 2.2
 // means of exponential latencies. Two merge by adding. The zero value has seen nothing.
 type TailNorm struct{ Weight, Sum float64 }
 
--- a/internal/tailweights/solver.go
+++ b/internal/tailweights/solver.go
@@ -54,7 +54,7 @@
 	capacity, minLoad, costScale, callCost, latencyRatio float64
 }
 
-// Solve appends to dst the load of each server and tells whether they meet the demand, in calls a second: their sum
+// Solve appends to dst the load of each server and reports whether they meet the demand, in calls a second: their sum
 // is the demand within Tolerance, each is at least its MinLoad and at most MaxUtilization of its capacity, and the
 // cost is least. Where no loads meet all of that, the least loads (if these alone are too much) or the capacities are
 // scaled to the demand. Equal servers get exactly equal loads. Numbers that are no numbers, negative or infinite
