--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -82,7 +82,14 @@
 	rejections [rejectReasonCount]int64 // requests by reason
 }
 
-func newAdmission(common *shared) *admission { return &admission{shared: common} }
+func newAdmission(common *shared) *admission {
+	a := &admission{shared: common}
+	a.tier = a.newLimit(0) // see configure
+	return a
+}
+
+// configure takes the duration of the tier's feedback round, in µs.
+func (a *admission) configure(roundDuration int64) { a.tier.feedback.maxDuration = roundDuration }
 
 // newLimit is a limit that has seen nothing; maxDuration is that of its feedback round, in µs.
 func (a *admission) newLimit(maxDuration int64) concurrencyLimit {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -80,7 +80,6 @@
 	for i, rules := range s.Classes {
 		b.classes[i] = b.newClass(rules)
 	}
-	b.admission.tier = b.admission.newLimit(0)
 	b.applySettings()
 	return b, nil
 }
@@ -102,7 +101,7 @@
 	}
 	b.quotas.configure(roundDuration)
 	b.spillover.configure(roundDuration)
-	b.admission.tier.feedback.maxDuration = roundDuration
+	b.admission.configure(roundDuration)
 }
 
 // HandleTimer takes a timer that Host.SetTimer asked for. Tokens of what is over by now do nothing.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -2,8 +2,8 @@
 
 // What becomes of the ready servers when the endpoint list, suspensions or drained zones change.
 
-// UpdateEndpoints takes an endpoint list or its changes, or that it could not be had. entries are those of
-// the list's servers that kind says.
+// UpdateEndpoints takes an endpoint list or its changes, as kind says, or that a poll or watch has failed.
+// Then entries are ignored.
 func (b *Balancer) UpdateEndpoints(now int64, host Host, kind UpdateKind, entries []Server) {
 	if kind == UpdateFailed {
 		if backoff, ok := b.subscription.failed(); ok {
@@ -40,11 +40,10 @@
 // SetDrainedZones has these zones and no others drained: their servers get nothing, not even trials. One
 // that is restored recovers by steps.
 func (b *Balancer) SetDrainedZones(now int64, host Host, zones map[int]bool) {
-	before := b.members.drainedZones
-	if len(zones) > 0 || len(before) > 0 {
+	if len(zones) > 0 || len(b.members.drainedZones) > 0 {
 		b.trackZones() // first, so that draining one is a change of its phase
 	}
-	b.members.drainedZones = zones
+	before := b.members.drain(zones)
 	b.refilter()
 	b.locality.drain(now, host, before, zones)
 	b.refilter()
--- a/balancer/flapdamping.go
+++ b/balancer/flapdamping.go
@@ -118,8 +118,7 @@
 // flapRecords keeps one record for each server that has flapped. The zero value is ready.
 type flapRecords struct{ byID map[string]*flapRecord }
 
-// recordFlap takes a replica's sighting of a flap. It reports whether
-// the flap counts with it.
+// recordFlap takes a replica's sighting of a flap and reports whether the flap counts with it.
 func (f *flapRecords) recordFlap(now int64, seen flapSighting, required int) bool {
 	record := f.byID[seen.server]
 	same := record != nil && sameStartTime(seen.startTime, record.startTime)
@@ -245,8 +244,7 @@
 func (d *flapDamping) damp(now int64, budget *removalBudget) {
 	d.takeReports(now)
 	if peers := &d.reports.peers; peers.Isolated {
-		inZone := peers.LiveReplicasInZone
-		budget.left = budget.left * inZone / max(peers.LiveReplicas, inZone)
+		budget.limitTo(peers.LiveReplicasInZone, max(peers.LiveReplicas, peers.LiveReplicasInZone))
 	}
 	for _, server := range d.flapping(now) {
 		server.damping.active = budget.take(server.Zone)
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -6,20 +6,20 @@
 // retry budget. RetryBudgetMin and what was earned are the successor's from now on; this one keeps what further
 // requests earn, so that the two together keep to the budget in every window.
 func (b *Balancer) ExportRetryBudget(now int64) RetryBudgetUsage {
-	b.slowStart.otherProcess = true
+	b.slowStart.setOtherProcess(true)
 	return b.retries.export(now)
 }
 
 // ImportRetryBudget takes what a predecessor has exported, before the first request. The predecessor may send on for
 // a while.
 func (b *Balancer) ImportRetryBudget(usage RetryBudgetUsage) {
-	b.slowStart.otherProcess = true
+	b.slowStart.setOtherProcess(true)
 	b.retries.adopt(usage)
 }
 
 // HandleOtherProcessExit handles the end of the other process. A predecessor that outlives its successor has
 // RetryBudgetMin again once no budget window holds what that one may have used of it.
 func (b *Balancer) HandleOtherProcessExit(now int64) {
-	b.slowStart.otherProcess = false
+	b.slowStart.setOtherProcess(false)
 	b.retries.reclaim(now)
 }
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -84,6 +84,12 @@
 	}
 }
 
+// drain has these zones and no others drained, and returns those that were before.
+func (m *membership) drain(zones map[int]bool) (before map[int]bool) {
+	before, m.drainedZones = m.drainedZones, zones
+	return before
+}
+
 // refilter forgets removed servers and collects the ready ones. rank orders zones, see order; nil while
 // zones are not tracked.
 func (m *membership) refilter(rank func(zone int) int) {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -92,6 +92,17 @@
 	return state
 }
 
+// addClass makes room for one class more.
+func (o *outlierState) addClass() { o.byClass = append(o.byClass, health{score: 1}) }
+
+// resetClass begins a class anew, or with what is known of the class number former; nil if there is none.
+func (o *outlierState) resetClass(number int, former *int) {
+	o.byClass[number] = health{score: 1}
+	if former != nil {
+		o.byClass[number] = o.byClass[*former]
+	}
+}
+
 // overallScore is the health score for all calls together.
 func (o *outlierState) overallScore() float64 { return o.overall.score * o.peerFactor }
 
@@ -132,6 +143,9 @@
 	reportedSilent bool // it counted as failed before its end
 }
 
+// markSilent records that an attempt has counted as failed before its end.
+func (a *attemptOutlier) markSilent() { a.reportedSilent = true }
+
 // faultOfStatus is how an attempt that ended so counts as evidence on its server.
 var faultOfStatus = [...]Fault{StatusOK: NoFault, StatusError: FaultErrors, StatusRejected: FaultSaturated,
 	StatusTimedOut: FaultUnresponsive, StatusConnectFailed: FaultUnresponsive, StatusReset: FaultUnresponsive,
@@ -194,8 +208,8 @@
 		!attempt.outlier.reportedSilent && now-attempt.sentAt > longest
 }
 
-// sumReports sums up the reports of all replicas on each server. That a server doesn't respond tells of the
-// way to it: of such reports only those of this zone count.
+// sumReports sums up the reports of all replicas on each server. That a server doesn't respond may be due to
+// the way to it: of such reports only those of this zone count.
 func (d *outlierDetection) sumReports(now int64) {
 	for _, server := range d.members.all {
 		server.outlier.reports = serverReports{}
@@ -284,5 +298,8 @@
 	return true
 }
 
+// limitTo reduces the tier's budget to a part of a whole.
+func (b *removalBudget) limitTo(part, whole int) { b.left = b.left * part / whole }
+
 // maxRemoved is how many of so many servers may be taken out: never the only one.
 func maxRemoved(ready int) int { return min(ready-1, max(1, int(maxEjectedFraction*float64(ready)))) }
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -80,11 +80,7 @@
 	}
 	b.classes[number] = state
 	for _, server := range b.members.all {
-		byClass := server.outlier.byClass
-		byClass[number] = health{score: 1}
-		if former != nil {
-			byClass[number] = byClass[*former]
-		}
+		server.outlier.resetClass(number, former)
 	}
 	return number
 }
@@ -102,7 +98,7 @@
 	}
 	b.classes = append(b.classes, classState{})
 	for _, server := range b.members.all {
-		server.outlier.byClass = append(server.outlier.byClass, health{score: 1})
+		server.outlier.addClass()
 	}
 	return len(b.classes) - 1
 }
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -126,7 +126,7 @@
 		for _, attempt := range request.attempts {
 			if b.outliers.isSilent(now, request.Class, attempt) {
 				b.recordEvidence(now, attempt, FaultUnresponsive)
-				attempt.outlier.reportedSilent = true
+				attempt.outlier.markSilent()
 			}
 		}
 	}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -93,7 +93,7 @@
 	stale   bool // the list alone shows nothing
 
 	total   float64 // of the candidates' weights
-	best    float64 // weight of a healthy candidate
+	best    float64 // the highest weight of a healthy candidate
 	spread  float64 // servers of a zone that the replica's calls are taken to be spread over
 	warming bool    // a candidate is warming up and has to be limited
 }
@@ -182,7 +182,7 @@
 	return last
 }
 
-// reach is a server's weight by its capacity hint and zone alone.
+// baseWeight is a server's weight by its capacity hint and zone alone.
 func (s *selection) baseWeight(server *server) float64 {
 	weight := 1.0
 	if s.settings.CapacityHints && server.CapacityHint > 0 {
@@ -194,8 +194,8 @@
 	return weight
 }
 
-// weight is a server's weight for a class: its baseWeight, times factors for its health, slowness, age, tuning
-// and the recovery of its zone, over a power of the attempts that it holds.
+// weight is a server's weight for a class: its baseWeight, times factors for its health, slowness, age,
+// tuning and the recovery of its zone, over a power of the attempts that it holds.
 func (s *selection) weight(now int64, server *server, class int, baseWeight float64) float64 {
 	slowness, health := server.latency.slowness, max(minHealthScore, server.healthScore(class))
 	weight := health / (slowness * slowness) * s.slowStart.factor(now, server)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -32,6 +32,9 @@
 
 func newSlowStart(common *shared) *slowStart { return &slowStart{shared: common} }
 
+// setOtherProcess records whether another process of this proxy sends, too.
+func (s *slowStart) setOtherProcess(sends bool) { s.otherProcess = sends }
+
 // recordDraw counts a draw.
 func (s *slowStart) recordDraw(now int64) { s.draws.add(now) }
 
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -38,8 +38,8 @@
 type server struct {
 	Server              // as last listed
 	hash         uint64 // its place on the ring
-	inFlight     int    // attempts of this replica that count as in flight
-	probePending bool   // selection: resumed by an operator and not called since
+	inFlight     int    // admission: attempts of this replica that count as in flight
+	probePending bool   // set by membership when an operator resumes it, cleared by selection when it is called
 	latency      serverLatency
 	outlier      outlierState
 	damping      dampingState
