--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -92,6 +92,17 @@
 	return state
 }
 
+// addClass makes room for one class more.
+func (o *outlierState) addClass() { o.byClass = append(o.byClass, health{score: 1}) }
+
+// resetClass begins a class anew, or with what is known of the class number former; nil if there is none.
+func (o *outlierState) resetClass(number int, former *int) {
+	o.byClass[number] = health{score: 1}
+	if former != nil {
+		o.byClass[number] = o.byClass[*former]
+	}
+}
+
 // overallScore is the health score for all calls together.
 func (o *outlierState) overallScore() float64 { return o.overall.score * o.peerFactor }
 
@@ -109,7 +120,7 @@
 	return worst
 }
 
-// isUnhealthy tells whether this replica finds the server unhealthy.
+// isUnhealthy reports whether this replica finds the server unhealthy.
 func (o *outlierState) isUnhealthy() bool {
 	return o.recent.badFraction() >= unhealthyBadFraction ||
 		o.overall.score < healthyScore && o.recent.lastBadAt > o.lastSuccessAt
@@ -132,12 +143,15 @@
 	reportedSilent bool // it counted as failed before its end
 }
 
+// markSilent records that an attempt has counted as failed before its end.
+func (a *attemptOutlier) markSilent() { a.reportedSilent = true }
+
 // faultOfStatus is how an attempt that ended so counts as evidence on its server.
 var faultOfStatus = [...]Fault{StatusOK: NoFault, StatusError: FaultErrors, StatusRejected: FaultSaturated,
 	StatusTimedOut: FaultUnresponsive, StatusConnectFailed: FaultUnresponsive, StatusReset: FaultUnresponsive,
 	StatusCancelled: FaultUnresponsive, StatusNotSent: FaultUnresponsive}
 
-// outlierDetection holds the error rate of all servers; what it knows of each stands in server.outlier.
+// outlierDetection holds the error rate of all servers; what it knows of each is in server.outlier.
 type outlierDetection struct {
 	*shared
 	members   *membership
@@ -145,7 +159,7 @@
 	errorRate float64 // running fraction of failed attempts over all servers, 0 to 1
 }
 
-// attribute takes the end of an attempt into the health of its server and tells whether a failure is the
+// attribute takes the end of an attempt into the health of its server and reports whether a failure is the
 // server's own. One that the other servers show alike comes from a tier behind them. A refused connection
 // always is the server's own: a zone that is lost refuses at all its servers. An error or a rejection
 // concerns the class only, so that servers that fail one class keep the others; no response concerns the
@@ -171,7 +185,7 @@
 	o.connectionRefused = status == StatusConnectFailed || status != StatusOK && o.connectionRefused
 }
 
-// recordAnswer takes it that the server has answered: reports of others count again when they are renewed.
+// recordAnswer records an answer of the server: reports of others count again when they are renewed.
 func (o *outlierState) recordAnswer() { o.peerFactor = 1 }
 
 // recordCall takes the end of an attempt, or that there was none for too long, as evidence to report. One
@@ -187,15 +201,15 @@
 	}
 }
 
-// isSilent tells whether an attempt has been in flight for far longer than calls of its class take.
+// isSilent reports whether an attempt has been in flight for far longer than calls of its class take.
 func (d *outlierDetection) isSilent(now int64, class int, attempt *attempt) bool {
 	longest := max(minSilentAfter, int64(silentAfterMeans*d.classes[class].latency.mean))
 	return attempt.pending && attempt.admission.counted && !attempt.responseStarted &&
 		!attempt.outlier.reportedSilent && now-attempt.sentAt > longest
 }
 
-// sumReports sums up the reports of all replicas on each server. That a server doesn't respond tells of the
-// way to it: of such reports only those of this zone count.
+// sumReports sums up the reports of all replicas on each server. That a server doesn't respond may be due to
+// the way to it: of such reports only those of this zone count.
 func (d *outlierDetection) sumReports(now int64) {
 	for _, server := range d.members.all {
 		server.outlier.reports = serverReports{}
@@ -284,5 +298,8 @@
 	return true
 }
 
+// limitTo reduces the tier's budget to a part of a whole.
+func (b *removalBudget) limitTo(part, whole int) { b.left = b.left * part / whole }
+
 // maxRemoved is how many of so many servers may be taken out: never the only one.
 func maxRemoved(ready int) int { return min(ready-1, max(1, int(maxEjectedFraction*float64(ready)))) }
