--- a/balancer/state.go
+++ b/balancer/state.go
@@ -38,8 +38,8 @@
 type server struct {
 	Server              // as last listed
 	hash         uint64 // its place on the ring
-	inFlight     int    // attempts of this replica that count as in flight
-	probePending bool   // selection: resumed by an operator and not called since
+	inFlight     int    // admission: attempts of this replica that count as in flight
+	probePending bool   // set by membership when an operator resumes it, cleared by selection when it is called
 	latency      serverLatency
 	outlier      outlierState
 	damping      dampingState
@@ -71,7 +71,7 @@
 // classRules is the request's class by the settings that the request began with.
 func (r *request) classRules() Class { return r.Settings.Classes[r.Class] }
 
-// triedOn tells whether an attempt of the request went to the server.
+// triedOn reports whether an attempt of the request went to the server.
 func (r *request) triedOn(server *server) bool {
 	for _, attempt := range r.attempts {
 		if attempt.server == server {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -17,12 +17,12 @@
 }
 
 // startDrain starts a drain whose listener closes at once, and returns when it has.
-func startDrain(t *testing.T, f *frontend, left time.Duration) (ended chan struct{}) {
+func startDrain(t *testing.T, f *Server, left time.Duration) (ended chan struct{}) {
 	t.Helper()
 	ended = make(chan struct{})
 	go func() {
 		defer close(ended)
-		f.drain(0, time.Now().Add(left), func() bool { return false })
+		f.Drain(0, time.Now().Add(left), func() bool { return false })
 	}()
 	proxytest.WaitUntil(t, f.closing.Load)
 	return ended
@@ -32,10 +32,10 @@
 func TestQueuedConnectionsAreAcceptedBeforeListenerCloses(t *testing.T) {
 	f, h, requests, p := startHooked(t, 2, "ok")
 	release := held(h)
-	var all []*client
+	var all []*proxytest.Client
 	for i := range 6 { // two are served, the others wait
 		c := connect(t, p)
-		c.send(t, lookRequest("1", 4000))
+		c.Send(t, proxytest.LookRequest("1", 4000))
 		all = append(all, c)
 		proxytest.WaitUntil(t, func() bool { return int(requests.Load()) == min(i+1, 2) })
 	}
@@ -43,7 +43,7 @@
 	time.Sleep(5 * drainPollInterval) // for a listener that closes too soon
 	release()
 	for i, c := range all {
-		if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
+		if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 			t.Errorf("client %d: %s %q, close %v", i, resp.Status, body, resp.Close)
 		}
 	}
@@ -55,7 +55,7 @@
 	f, h, requests, p := startHooked(t, 2, "ok")
 	release := held(h)
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 4000))
+	c.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return requests.Load() == 1 })
 	ended := startDrain(t, f, 0)
 	select {
@@ -64,7 +64,7 @@
 	case <-time.After(responseFlushMargin / 2):
 	}
 	release()
-	if resp, body := c.readResponse(t); resp.StatusCode != 200 || body != "ok" {
+	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q", resp.Status, body)
 	}
 	proxytest.Receive(t, "end of the drain", ended)
@@ -76,7 +76,7 @@
 	release := held(h)
 	defer release()
 	c := connect(t, p)
-	c.send(t, lookRequest("1", 4000))
+	c.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return requests.Load() == 1 })
 	start := time.Now()
 	proxytest.Receive(t, "end of the drain", startDrain(t, f, 2*cutoffMargin))
@@ -92,7 +92,7 @@
 		250 * time.Millisecond, time.Second, 2999 * time.Millisecond, 3 * time.Second, 8 * time.Second, time.Minute} {
 		for _, part := range []float64{0, 0.01, 0.3, 0.7, 1} {
 			aim := time.Duration(part * float64(deadline))
-			stay, left := drainTimes([]balancer.Class{{Deadline: deadline.Microseconds(), LatencyObjective: aim.Microseconds()},
+			stay, left := DrainTimes([]balancer.Class{{Deadline: deadline.Microseconds(), LatencyObjective: aim.Microseconds()},
 				{Deadline: 1, LatencyObjective: 1}})
 			kill := min(deadline, 3*time.Second) + 700*time.Millisecond
 			if stay < 400*time.Millisecond || stay > left-cutoffMargin || left+responseFlushMargin+2*drainPollInterval > kill {
