--- a/internal/faultlab/catalog/catalog_test.go
+++ b/internal/faultlab/catalog/catalog_test.go
@@ -21,7 +21,7 @@
 		entries = append(entries, Entry{Name: fmt.Sprintf("s%d", i), Status: Serving})
 	}
 	return New(Config{Lag: time.Second, Call: time.Millisecond, Wait: 100 * time.Millisecond, Sync: time.Minute,
-		Retain: 4, Most: 3, Seed: seed, Address: func(_, nodo string) string { return nodo + ":1" }}, referee.New(referee.Terms{Classes: []referee.Class{{}}, MaxAttempts: 3}), entries)
+		Retain: 4, Most: 3, Seed: seed, Address: func(_, nodo string) string { return nodo + ":1" }}, referee.New(referee.Config{Classes: []referee.Class{{}}, MaxAttempts: 3}), entries)
 }
 
 // After a power loss the list is what it was at some version not older than the last sync: whole records, in order.
@@ -134,16 +134,16 @@
 	for _, dead := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
 		known := []referee.Entry{{Server: "s0", Serving: true}}
-		c.ref.Started("p", known, began)
-		process := c.ref.Process("p")
+		c.ref.RecordProxyStart("p", known, began)
+		process := c.ref.StartCount("p")
 		if dead {
-			c.ref.Started("p", known, began.Add(time.Second))
+			c.ref.RecordProxyStart("p", known, began.Add(time.Second))
 		}
 		c.notified("p", process, &call{lines: []referee.Entry{{Server: "s0", Serving: false}}}, began.Add(2*time.Second))
 		try := &referee.ClientAttempt{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Hour)}
-		c.ref.Send(try, "p")
-		c.ref.Begin(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", First: began.Add(time.Minute), Last: began.Add(time.Minute)})
-		if broken := c.ref.Close().Broken["drain"]; (broken > 0) == dead {
+		c.ref.RecordSend(try, "p")
+		c.ref.BeginAttempt(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", FirstByteAt: began.Add(time.Minute), LastByteAt: began.Add(time.Minute)})
+		if broken := c.ref.Close().ViolationCounts["drain"]; (broken > 0) == dead {
 			t.Errorf("a dead process %v: drain broken %d times", dead, broken)
 		}
 	}
@@ -154,8 +154,8 @@
 func TestAnAnswerThatANewerOneOvertookTellsNothing(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
-		c.ref.Started("p", []referee.Entry{{Server: "s0", Serving: true}}, began)
-		process, held := c.ref.Process("p"), c.index
+		c.ref.RecordProxyStart("p", []referee.Entry{{Server: "s0", Serving: true}}, began)
+		process, held := c.ref.StartCount("p"), c.index
 		ask := func(status string, since int64) *call {
 			c.notify(Entry{Name: "s0", Status: status, Since: since})
 			q := &call{proxy: "p", from: held, reply: make(chan []byte, 1)}
@@ -171,9 +171,9 @@
 			c.notified("p", process, q, began.Add(time.Duration(i+1)*time.Second))
 		}
 		try := &referee.ClientAttempt{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Hour)}
-		c.ref.Send(try, "p")
-		c.ref.Begin(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", First: began.Add(time.Minute), Last: began.Add(time.Minute)})
-		if broken := c.ref.Close().Broken["drain"]; broken != 0 {
+		c.ref.RecordSend(try, "p")
+		c.ref.BeginAttempt(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", FirstByteAt: began.Add(time.Minute), LastByteAt: began.Add(time.Minute)})
+		if broken := c.ref.Close().ViolationCounts["drain"]; broken != 0 {
 			t.Errorf("overtaken %v: drain broken %d times", overtaken, broken)
 		}
 	}
--- a/internal/faultlab/catalog/record.go
+++ b/internal/faultlab/catalog/record.go
@@ -45,7 +45,7 @@
 func (c *Catalog) apply(v change) {
 	c.index = v.Index
 	v.applyTo(c.entries)
-	c.ref.Listed(v.Entry.Name, v.Entry.Status == Serving, v.Entry.Since, time.Now())
+	c.ref.RecordListed(v.Entry.Name, v.Entry.Status == Serving, v.Entry.Since, time.Now())
 	c.changes = append(c.changes, v)
 	if over := len(c.changes) - c.cfg.Retain; over > 0 {
 		c.changes = slices.Clone(c.changes[over:])
@@ -93,7 +93,7 @@
 // restore begins from these records, up to a version.
 func (c *Catalog) restore(records []change, upTo int64) {
 	c.index, c.entries, c.changes = 0, map[string]Entry{}, nil
-	c.ref.Unlisted()
+	c.ref.RecordListLost()
 	whole := 0
 	for _, v := range records {
 		if v.Index > upTo {
--- a/internal/faultlab/catalog/serve.go
+++ b/internal/faultlab/catalog/serve.go
@@ -40,7 +40,7 @@
 func (c *Catalog) Serve(proxy string, conn *link.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
-	process := c.ref.Process(proxy)
+	process := c.ref.StartCount(proxy)
 	for {
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -50,7 +50,7 @@
 		status, body, q := c.handle(proxy, req, conn)
 		told := func(at time.Time) { c.notified(proxy, process, q, at) }
 		if err := conn.NoteThenWrite(wire.JSON(status, body), told); err != nil {
-			c.ref.CallFailed(proxy, time.Now())
+			c.ref.RecordPollFailed(proxy, time.Now())
 			return
 		}
 		if req.Close {
@@ -63,12 +63,12 @@
 // that has been killed since tells the next one nothing.
 func (c *Catalog) notified(proxy string, process int, q *call, at time.Time) {
 	switch {
-	case c.ref.Process(proxy) != process:
+	case c.ref.StartCount(proxy) != process:
 	case q == nil:
-		c.ref.CallFailed(proxy, at)
+		c.ref.RecordPollFailed(proxy, at)
 	default:
 		c.note(proxy, q.index)
-		c.ref.Notified(proxy, referee.ListUpdate{Entries: q.lines, Snapshot: q.snapshot, Order: q.order}, at)
+		c.ref.RecordUpdate(proxy, referee.ListUpdate{Entries: q.lines, Snapshot: q.snapshot, Order: q.order}, at)
 	}
 }
 
@@ -94,7 +94,7 @@
 		}
 		if last, ok := c.ended[proxy]; ok && q.from >= 0 {
 			if q.continues = now.Sub(last) <= continueTime; !q.continues {
-				c.ref.Count(func(t *referee.Tally) { t.WatchBreaks++ })
+				c.ref.UpdateTally(func(t *referee.Tally) { t.WatchBreaks++ })
 			}
 		}
 		taken = true
--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -119,7 +119,7 @@
 
 // outcome is what a client learned of a try by its end, and when it may come again.
 type outcome struct {
-	end   referee.End
+	end   referee.Outcome
 	after time.Duration
 }
 
@@ -159,7 +159,7 @@
 func (c *Client) attempt(ctx context.Context, a *plan.Arrival, class experiment.Class, zone string, n int,
 	patience time.Duration) outcome {
 	now := time.Now()
-	t := &referee.ClientAttempt{ID: c.plan.ID(a, n), Arrival: a.N, N: n, Class: a.Class, Zone: zone, Sent: now,
+	t := &referee.ClientAttempt{ID: c.plan.ID(a, n), Arrival: a.N, Number: n, Class: a.Class, Zone: zone, StartedAt: now,
 		Deadline: now.Add(patience), Path: "/" + class.Name, Method: http.MethodPost, Key: a.Key}
 	var body []byte
 	if class.Repeat == "idempotent" {
@@ -167,7 +167,7 @@
 	} else {
 		body = wire.Make(t.ID, "client", a.Body)
 	}
-	t.Body = wire.Digest(body)
+	t.RequestDigest = wire.Digest(body)
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: backend.local\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n", t.Method, t.Path,
 		wire.RequestID, t.ID, wire.RequestClass, class.Name, wire.Timeout, patience.Milliseconds())
 	if t.Key != "" {
@@ -205,8 +205,8 @@
 		if k == nil {
 			var err error
 			if k, err = c.dial(ctx, t); err != nil {
-				c.ref.Send(t, "")
-				c.ref.Unreachable(t, time.Now())
+				c.ref.RecordSend(t, "")
+				c.ref.RecordUnreachable(t, time.Now())
 				return outcome{end: referee.Unreached}
 			}
 		}
@@ -214,7 +214,7 @@
 		if !again {
 			return out
 		}
-		c.ref.Count(func(y *referee.Tally) { y.Resent++ })
+		c.ref.UpdateTally(func(y *referee.Tally) { y.Resent++ })
 		k, fresh = nil, true
 	}
 }
@@ -241,14 +241,14 @@
 	c.mu.Lock()
 	c.jobs[t.ID] = job
 	c.mu.Unlock()
-	c.ref.Send(t, k.door.Name)
+	c.ref.RecordSend(t, k.door.Name)
 	var mu sync.Mutex
 	var taken time.Time
 	if err := k.WriteThen(request, func(at time.Time) {
 		mu.Lock()
 		taken = at
 		mu.Unlock()
-		c.ref.Taken(t, at)
+		c.ref.RecordWritten(t, at)
 	}); err != nil {
 		return outcome{}, true
 	}
@@ -256,7 +256,7 @@
 	if c.leaves() {
 		after := time.Duration(c.intn(int(leaveWithin)))
 		leave := time.AfterFunc(after, func() {
-			if c.ref.Leaves(t, time.Now()) {
+			if c.ref.RecordClientCancel(t, time.Now()) {
 				left.Store(true)
 				k.Reset()
 			}
@@ -268,7 +268,7 @@
 		defer k.Reset()
 		now := time.Now()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.ref.Silent(t, now)
+			c.ref.RecordTimeout(t, now)
 			return outcome{end: referee.Unanswered}, false
 		}
 		if left.Load() {
@@ -278,10 +278,10 @@
 		unread := taken.IsZero() || k.ReadAt().Before(taken) || link.IsReset(err)
 		mu.Unlock()
 		if !fresh && unread && ctx.Err() == nil && now.Before(t.Deadline) {
-			c.ref.Taken(t, time.Time{})
+			c.ref.RecordWritten(t, time.Time{})
 			return outcome{}, true
 		}
-		c.ref.Broke(t, now, false, fresh)
+		c.ref.RecordConnectionClosed(t, now, false, fresh)
 		return outcome{end: referee.Unreached}, false
 	}
 	resp, made, err := answer(k.r)
@@ -289,13 +289,13 @@
 	if err != nil {
 		k.Reset()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.ref.Silent(t, now)
+			c.ref.RecordTimeout(t, now)
 			return outcome{end: referee.Unanswered}, false
 		}
-		c.ref.Broke(t, now, true, false)
+		c.ref.RecordConnectionClosed(t, now, true, false)
 		return outcome{end: referee.Failed}, false
 	}
-	out.end = c.ref.Answered(t, now, resp.StatusCode, made)
+	out.end = c.ref.RecordResponse(t, now, resp.StatusCode, made)
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
 		out.after = min(time.Duration(s*float64(time.Second)), experiment.Millis(c.exp.Proxy.RetryAfterMs))
 	}
@@ -303,7 +303,7 @@
 	switch {
 	case resp.Close:
 		if k.r.Buffered() > 0 {
-			c.ref.Twice(t, now)
+			c.ref.RecordExtraBytes(t, now)
 		}
 		k.Close()
 	case !k.over(c.ref):
--- a/internal/faultlab/load/front.go
+++ b/internal/faultlab/load/front.go
@@ -195,7 +195,7 @@
 // over tells whether an idle connection is of no more use. Bytes on it are a second answer.
 func (k *kept) over(ref *referee.Referee) bool {
 	if k.r.Buffered() > 0 || k.Waiting() {
-		ref.Twice(k.last, time.Now())
+		ref.RecordExtraBytes(k.last, time.Now())
 		k.Close()
 		return true
 	}
--- a/internal/faultlab/referee/excuse.go
+++ b/internal/faultlab/referee/excuse.go
@@ -6,17 +6,17 @@
 )
 
 // excused tells whether the lab itself kept a proxy from answering a try.
-func (r *Referee) excused(t *ClientAttempt) bool {
-	p := r.proxies[t.Proxy]
+func (r *Referee) isExcused(clientAttempt *ClientAttempt) bool {
+	p := r.proxies[clientAttempt.Proxy]
 	if p == nil {
 		return false
 	}
-	from, to := t.Sent, t.Deadline.Add(maxLateness)
-	if !t.Ended.IsZero() && t.Ended.After(to) {
-		to = t.Ended
+	from, to := clientAttempt.StartedAt, clientAttempt.Deadline.Add(maxLateness)
+	if !clientAttempt.EndedAt.IsZero() && clientAttempt.EndedAt.After(to) {
+		to = clientAttempt.EndedAt
 	}
 	for _, s := range p.excuses {
-		if s.from.Before(to) && s.to.After(from) {
+		if s.start.Before(to) && s.end.After(from) {
 			return true
 		}
 	}
@@ -25,7 +25,7 @@
 
 // Excuse opens a time in which the lab keeps a proxy from its duty: killed, stopped, its clients' links cut. The
 // function that it returns ends it.
-func (r *Referee) Excuse(proxy string, at time.Time) (end func(time.Time)) {
+func (r *Referee) BeginExcusedSpan(proxy string, at time.Time) (end func(time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.proxy(proxy)
@@ -34,26 +34,28 @@
 	return func(to time.Time) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		p.excuses[i].to = to
+		p.excuses[i].end = to
 	}
 }
 
 // Crowded opens a time in which idle clients fill a proxy, which may shut new connections unread then. The function that it
 // returns ends it.
-func (r *Referee) Crowded(proxy string, at time.Time) (end func(time.Time)) {
+func (r *Referee) BeginConnectionFlood(proxy string, at time.Time) (end func(time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.proxy(proxy)
-	i := len(p.crowds)
-	p.crowds = append(p.crowds, span{at, at.Add(24 * time.Hour)})
+	i := len(p.floods)
+	p.floods = append(p.floods, span{at, at.Add(24 * time.Hour)})
 	return func(to time.Time) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		p.crowds[i].to = to.Add(crowdAfter)
+		p.floods[i].end = to.Add(floodRecovery)
 	}
 }
 
 // crowded tells whether a try's proxy was full of idle clients at some time of it.
-func (r *Referee) crowded(t *ClientAttempt) bool {
-	return slices.ContainsFunc(r.proxy(t.Proxy).crowds, func(s span) bool { return s.from.Before(t.Ended) && s.to.After(t.Sent) })
+func (r *Referee) isFlooded(clientAttempt *ClientAttempt) bool {
+	return slices.ContainsFunc(r.proxy(clientAttempt.Proxy).floods, func(s span) bool {
+		return s.start.Before(clientAttempt.EndedAt) && s.end.After(clientAttempt.StartedAt)
+	})
 }
--- a/internal/faultlab/referee/referee_test.go
+++ b/internal/faultlab/referee/referee_test.go
@@ -12,7 +12,7 @@
 func at(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 
 // newGame is a referee with a try of a class, and servers a1 and a2 in zone a, b1 in zone b.
-func newGame(class Class, terms Terms) (*Referee, *ClientAttempt) {
+func newScenario(class Class, terms Config) (*Referee, *ClientAttempt) {
 	terms.Classes = []Class{class}
 	if terms.MaxAttempts == 0 {
 		terms.MaxAttempts = 3
@@ -20,154 +20,171 @@
 	r := New(terms)
 	var known []Entry
 	for name, zone := range map[string]string{"a1": "a", "a2": "a", "b1": "b"} {
-		r.State(name, zone, 0, true, 0, began)
+		r.RecordServerState(name, zone, 0, true, 0, began)
 		known = append(known, Entry{name, true, 0})
 	}
-	r.Started("p", known, began)
-	t := &ClientAttempt{ID: "1", Sent: at(0), Deadline: at(1000)}
-	r.Send(t, "p")
-	r.Taken(t, at(1))
-	return r, t
+	r.RecordProxyStart("p", known, began)
+	clientAttempt := &ClientAttempt{ID: "1", StartedAt: at(0), Deadline: at(1000)}
+	r.RecordSend(clientAttempt, "p")
+	r.RecordWritten(clientAttempt, at(1))
+	return r, clientAttempt
 }
 
-func begin(r *Referee, nodo string, ms int) *Attempt {
-	return r.Begin(Arrival{Server: nodo, ID: "1", First: at(ms), Last: at(ms + 1)})
+func begin(r *Referee, serverName string, ms int) *Attempt {
+	return r.BeginAttempt(Arrival{Server: serverName, ID: "1", FirstByteAt: at(ms), LastByteAt: at(ms + 1)})
 }
 
 func TestRules(t *testing.T) {
 	keyed := func(scope string) Class {
-		return Class{Name: "k", Repeat: Keyed, Scope: scope, Window: 300 * time.Millisecond}
+		return Class{Name: "k", RetryClass: IdempotencyKey, KeyScope: scope, KeyWindow: 300 * time.Millisecond}
 	}
-	unsafe, safe := Class{Name: "u", Repeat: Unsafe}, Class{Name: "s"}
-	turn := func(r *Referee, a *Attempt) { r.Turn(a); r.Wrote(a) }
-	err := func(r *Referee, a *Attempt) { r.Err(a, 0); r.Wrote(a) }
-	copies := Terms{SecondCopies: true}
+	unsafe, safe := Class{Name: "u", RetryClass: NonIdempotent}, Class{Name: "s"}
+	turn := func(r *Referee, attempt *Attempt) { r.RecordRejected(attempt); r.RecordOutcomeWritten(attempt) }
+	err := func(r *Referee, attempt *Attempt) { r.RecordError(attempt, 0); r.RecordOutcomeWritten(attempt) }
+	copies := Config{HedgingAllowed: true}
 	for _, test := range []struct {
 		name  string
 		class Class
-		terms Terms
-		play  func(r *Referee, t *ClientAttempt)
+		terms Config
+		play  func(r *Referee, clientAttempt *ClientAttempt)
 		want  []string
 	}{
-		{"unsafe again after a turn", unsafe, Terms{}, func(r *Referee, _ *ClientAttempt) { turn(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, nil},
+		{"unsafe again after a turn", unsafe, Config{}, func(r *Referee, _ *ClientAttempt) { turn(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, nil},
 		{"unsafe again after a turn that was not told yet", unsafe, copies,
-			func(r *Referee, _ *ClientAttempt) { r.Turn(begin(r, "a1", 5)); begin(r, "a2", 9) }, []string{"repeat"}},
-		{"unsafe again after an error", unsafe, Terms{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, []string{"repeat"}},
-		{"unsafe refused after an error", unsafe, Terms{},
-			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.Answered(y, at(20), 503, 0) }, []string{"repeat"}},
-		{"unsafe refused unsent", unsafe, Terms{}, func(r *Referee, y *ClientAttempt) { r.Answered(y, at(20), 503, 0) }, nil},
-		{"unsafe failed after an error", unsafe, Terms{},
-			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.Answered(y, at(20), 502, 0) }, nil},
-		{"safe again and refused", safe, Terms{},
+			func(r *Referee, _ *ClientAttempt) { r.RecordRejected(begin(r, "a1", 5)); begin(r, "a2", 9) }, []string{"repeat"}},
+		{"unsafe again after an error", unsafe, Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, []string{"repeat"}},
+		{"unsafe refused after an error", unsafe, Config{},
+			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 503, 0) }, []string{"repeat"}},
+		{"unsafe refused unsent", unsafe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(20), 503, 0) }, nil},
+		{"unsafe failed after an error", unsafe, Config{},
+			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 502, 0) }, nil},
+		{"safe again and refused", safe, Config{},
 			func(r *Referee, y *ClientAttempt) {
 				err(r, begin(r, "a1", 5))
 				err(r, begin(r, "b1", 9))
-				r.Answered(y, at(20), 503, 0)
+				r.RecordResponse(y, at(20), 503, 0)
 			}, nil},
-		{"over the limit of tries", safe, Terms{MaxAttempts: 1},
+		{"over the limit of tries", safe, Config{MaxAttempts: 1},
 			func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, []string{"repeat"}},
-		{"a second copy where there may be none", safe, Terms{}, func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, []string{"repeat"}},
+		{"a second copy where there may be none", safe, Config{}, func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, []string{"repeat"}},
 		{"a second copy", safe, copies, func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, nil},
-		{"keyed within its zone", keyed("zone"), Terms{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, nil},
-		{"keyed to another zone", keyed("zone"), Terms{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, []string{"repeat"}},
-		{"keyed to another zone after a turn", keyed("zone"), Terms{}, func(r *Referee, _ *ClientAttempt) { turn(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, nil},
-		{"keyed after its window", keyed("all"), Terms{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 400) }, []string{"repeat"}},
-		{"keyed of all refused", keyed("all"), Terms{},
-			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.Answered(y, at(20), 503, 0) }, nil},
-		{"keyed of a zone refused", keyed("zone"), Terms{},
-			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.Answered(y, at(20), 503, 0) }, []string{"repeat"}},
-		{"within the grace of a drain", safe, Terms{DrainGrace: time.Second},
+		{"keyed within its zone", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, nil},
+		{"keyed to another zone", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, []string{"repeat"}},
+		{"keyed to another zone after a turn", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { turn(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, nil},
+		{"keyed after its window", keyed("all"), Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 400) }, []string{"repeat"}},
+		{"keyed of all refused", keyed("all"), Config{},
+			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 503, 0) }, nil},
+		{"keyed of a zone refused", keyed("zone"), Config{},
+			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 503, 0) }, []string{"repeat"}},
+		{"within the grace of a drain", safe, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Notified("p", ListUpdate{Entries: []Entry{{"a1", false, 0}}}, at(0))
+				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a1", false, 0}}}, at(0))
 				begin(r, "a1", 990)
 			}, nil},
-		{"after the grace of a drain", safe, Terms{DrainGrace: time.Second},
+		{"after the grace of a drain", safe, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Notified("p", ListUpdate{Entries: []Entry{{"a1", false, 0}}}, at(0))
+				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a1", false, 0}}}, at(0))
 				begin(r, "a1", 1100)
 			}, []string{"drain"}},
-		{"gone from a whole list", safe, Terms{},
+		{"gone from a whole list", safe, Config{},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Notified("p", ListUpdate{Entries: []Entry{{"a2", true, 0}}, Snapshot: true}, at(0))
+				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a2", true, 0}}, Snapshot: true}, at(0))
 				begin(r, "a1", 100)
 			}, []string{"drain"}},
-		{"never listed", safe, Terms{}, func(r *Referee, _ *ClientAttempt) { begin(r, "c1", 5) }, []string{"drain"}},
-		{"not told of a drain, asking", safe, Terms{PollInterval: 100 * time.Millisecond},
+		{"never listed", safe, Config{}, func(r *Referee, _ *ClientAttempt) { begin(r, "c1", 5) }, []string{"drain"}},
+		{"not told of a drain, asking", safe, Config{PollInterval: 100 * time.Millisecond},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordPoll("p")
-				r.State("a1", "a", 0, false, 0, at(0))
+				r.RecordServerState("a1", "a", 0, false, 0, at(0))
 				begin(r, "a1", 900)
 			}, nil},
-		{"not told of a drain for not asking", safe, Terms{PollInterval: 100 * time.Millisecond},
-			func(r *Referee, _ *ClientAttempt) { r.State("a1", "a", 0, false, 0, at(0)); begin(r, "a1", 900) }, []string{"drain"}},
-		{"a drain that was had for too long, and never told", safe, Terms{DrainGrace: time.Second},
-			func(r *Referee, _ *ClientAttempt) { r.Listed("a1", false, 0, at(0)); begin(r, "a1", 7100) }, []string{"drain"}},
-		{"a drain that was had for too long, within its grace", safe, Terms{DrainGrace: time.Second},
-			func(r *Referee, _ *ClientAttempt) { r.Listed("a1", false, 0, at(0)); begin(r, "a1", 7040) }, nil},
-		{"a drain that was had, out of reach", safe, Terms{DrainGrace: time.Second},
+		{"not told of a drain for not asking", safe, Config{PollInterval: 100 * time.Millisecond},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Listed("a1", false, 0, at(0))
-				r.ListUnavailable("p", at(3000))(at(4000))
+				r.RecordServerState("a1", "a", 0, false, 0, at(0))
+				begin(r, "a1", 900)
+			}, []string{"drain"}},
+		{"a drain that was had for too long, and never told", safe, Config{DrainGrace: time.Second},
+			func(r *Referee, _ *ClientAttempt) { r.RecordListed("a1", false, 0, at(0)); begin(r, "a1", 7100) }, []string{"drain"}},
+		{"a drain that was had for too long, within its grace", safe, Config{DrainGrace: time.Second},
+			func(r *Referee, _ *ClientAttempt) { r.RecordListed("a1", false, 0, at(0)); begin(r, "a1", 7040) }, nil},
+		{"a drain that was had, out of reach", safe, Config{DrainGrace: time.Second},
+			func(r *Referee, _ *ClientAttempt) {
+				r.RecordListed("a1", false, 0, at(0))
+				r.BeginListOutage("p", at(3000))(at(4000))
 				begin(r, "a1", 10900)
 			}, nil},
-		{"a drain that was had, out of another's reach", safe, Terms{DrainGrace: time.Second},
+		{"a drain that was had, out of another's reach", safe, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Listed("a1", false, 0, at(0))
-				r.ListUnavailable("q", at(3000))(at(4000))
+				r.RecordListed("a1", false, 0, at(0))
+				r.BeginListOutage("q", at(3000))(at(4000))
 				begin(r, "a1", 7100)
 			}, []string{"drain"}},
-		{"a return that counts as told", safe, Terms{},
+		{"a return that counts as told", safe, Config{},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Listed("a1", false, 0, at(0))
-				r.Listed("a1", true, 5, at(1000))
+				r.RecordListed("a1", false, 0, at(0))
+				r.RecordListed("a1", true, 5, at(1000))
 				begin(r, "a1", 7100)
 			}, nil},
-		{"a return that was told in time", safe, Terms{},
+		{"a return that was told in time", safe, Config{},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Listed("a1", false, 0, at(0))
-				r.Listed("a1", true, 5, at(3000))
-				r.Notified("p", ListUpdate{Entries: []Entry{{"a1", true, 5}}}, at(4000))
+				r.RecordListed("a1", false, 0, at(0))
+				r.RecordListed("a1", true, 5, at(3000))
+				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a1", true, 5}}}, at(4000))
 				begin(r, "a1", 7100)
 			}, nil},
-		{"a return that does not count as told yet", safe, Terms{},
+		{"a return that does not count as told yet", safe, Config{},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Listed("a1", false, 0, at(0))
-				r.Listed("a1", true, 5, at(3000))
+				r.RecordListed("a1", false, 0, at(0))
+				r.RecordListed("a1", true, 5, at(3000))
 				begin(r, "a1", 7100)
 			}, []string{"drain"}},
-		{"a process that begins from an old list", safe, Terms{},
+		{"a process that begins from an old list", safe, Config{},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Listed("a1", true, 0, at(-9000))
-				r.Listed("a1", false, 0, at(0))
-				r.Started("p", []Entry{{"a1", true, 0}}, at(5000))
+				r.RecordListed("a1", true, 0, at(-9000))
+				r.RecordListed("a1", false, 0, at(0))
+				r.RecordProxyStart("p", []Entry{{"a1", true, 0}}, at(5000))
 				begin(r, "a1", 7100)
 			}, []string{"drain"}},
-		{"answered late", safe, Terms{}, func(r *Referee, y *ClientAttempt) { r.Answered(y, at(1400), 502, 0) }, nil},
-		{"answered too late", safe, Terms{}, func(r *Referee, y *ClientAttempt) { r.Answered(y, at(1600), 502, 0) }, []string{"lost"}},
-		{"never answered", safe, Terms{}, func(r *Referee, y *ClientAttempt) { r.Silent(y, at(1600)) }, []string{"lost"}},
-		{"never answered while killed", safe, Terms{},
-			func(r *Referee, y *ClientAttempt) { r.Excuse("p", at(500))(at(600)); r.Silent(y, at(1600)) }, nil},
-		{"never answered though killed before", safe, Terms{},
-			func(r *Referee, y *ClientAttempt) { r.Excuse("p", at(-500))(at(-100)); r.Silent(y, at(1600)) }, []string{"lost"}},
-		{"closed without an answer", safe, Terms{}, func(r *Referee, y *ClientAttempt) { r.Broke(y, at(50), false, false) }, []string{"lost"}},
-		{"the one in 200 whose new connection is closed", safe, Terms{}, func(r *Referee, y *ClientAttempt) { r.Broke(y, at(50), false, true) }, nil},
-		{"broken off in its answer", safe, Terms{}, func(r *Referee, y *ClientAttempt) { r.Broke(y, at(50), true, false) }, nil},
-		{"served what no nodo made", safe, Terms{},
-			func(r *Referee, y *ClientAttempt) { r.Serve(begin(r, "a1", 5), 7, 0); r.Answered(y, at(50), 200, 8) }, []string{"garbled"}},
-		{"served what a nodo made", safe, Terms{},
-			func(r *Referee, y *ClientAttempt) { r.Serve(begin(r, "a1", 5), 7, 0); r.Answered(y, at(50), 200, 7) }, nil},
-		{"tipped by those who knew", safe, Terms{},
+		{"answered late", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(1400), 502, 0) }, nil},
+		{"answered too late", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(1600), 502, 0) }, []string{"lost"}},
+		{"never answered", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordTimeout(y, at(1600)) }, []string{"lost"}},
+		{"never answered while killed", safe, Config{},
+			func(r *Referee, y *ClientAttempt) {
+				r.BeginExcusedSpan("p", at(500))(at(600))
+				r.RecordTimeout(y, at(1600))
+			}, nil},
+		{"never answered though killed before", safe, Config{},
+			func(r *Referee, y *ClientAttempt) {
+				r.BeginExcusedSpan("p", at(-500))(at(-100))
+				r.RecordTimeout(y, at(1600))
+			}, []string{"lost"}},
+		{"closed without an answer", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), false, false) }, []string{"lost"}},
+		{"the one in 200 whose new connection is closed", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), false, true) }, nil},
+		{"broken off in its answer", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), true, false) }, nil},
+		{"served what no nodo made", safe, Config{},
+			func(r *Referee, y *ClientAttempt) {
+				r.RecordServed(begin(r, "a1", 5), 7, 0)
+				r.RecordResponse(y, at(50), 200, 8)
+			}, []string{"garbled"}},
+		{"served what a nodo made", safe, Config{},
+			func(r *Referee, y *ClientAttempt) {
+				r.RecordServed(begin(r, "a1", 5), 7, 0)
+				r.RecordResponse(y, at(50), 200, 7)
+			}, nil},
+		{"tipped by those who knew", safe, Config{},
 			func(r *Referee, _ *ClientAttempt) {
-				r.Notified("p", ListUpdate{Entries: []Entry{{"a1", true, 9}}}, at(0))
-				r.Tipped("a1", 9, map[string]time.Duration{"p": 7, "q": 3}, at(5))
+				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a1", true, 9}}}, at(0))
+				r.RecordOverload("a1", 9, map[string]time.Duration{"p": 7, "q": 3}, at(5))
 			}, []string{"tip"}},
-		{"tipped by those who did not know", safe, Terms{},
-			func(r *Referee, _ *ClientAttempt) { r.Tipped("a1", 9, map[string]time.Duration{"p": 7, "q": 3}, at(5)) }, nil},
+		{"tipped by those who did not know", safe, Config{},
+			func(r *Referee, _ *ClientAttempt) {
+				r.RecordOverload("a1", 9, map[string]time.Duration{"p": 7, "q": 3}, at(5))
+			}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r, try := newGame(test.class, test.terms)
-			test.play(r, try)
-			if got := slices.Sorted(maps.Keys(r.Close().Broken)); !slices.Equal(got, test.want) {
+			r, clientAttempt := newScenario(test.class, test.terms)
+			test.play(r, clientAttempt)
+			if got := slices.Sorted(maps.Keys(r.Close().ViolationCounts)); !slices.Equal(got, test.want) {
 				t.Errorf("broken: %v, want %v", got, test.want)
 			}
 		})
@@ -179,18 +196,18 @@
 	for _, c := range []struct {
 		after time.Duration
 		want  int
-	}{{goneWithin + socketSlack, 0}, {goneWithin + socketSlack + 1, 1}} {
-		r, began := New(Terms{Classes: []Class{{}}, MaxAttempts: 3}), time.Unix(1000, 0)
-		r.Started("p", []Entry{{Server: "s", Serving: true}}, began)
-		try := &ClientAttempt{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Second)}
-		r.Send(try, "p")
-		r.Taken(try, began)
-		if !r.Leaves(try, began) || r.Leaves(try, began.Add(1)) {
+	}{{cancelGrace + socketSlack, 0}, {cancelGrace + socketSlack + 1, 1}} {
+		r, began := New(Config{Classes: []Class{{}}, MaxAttempts: 3}), time.Unix(1000, 0)
+		r.RecordProxyStart("p", []Entry{{Server: "s", Serving: true}}, began)
+		clientAttempt := &ClientAttempt{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Second)}
+		r.RecordSend(clientAttempt, "p")
+		r.RecordWritten(clientAttempt, began)
+		if !r.RecordClientCancel(clientAttempt, began) || r.RecordClientCancel(clientAttempt, began.Add(1)) {
 			t.Error("it leaves once")
 		}
 		at := began.Add(c.after)
-		r.Begin(Arrival{Server: "s", ID: "1", Method: "GET", Path: "/", First: at, Last: at})
-		if got := r.Close().Broken; got["gone"] != c.want || got["lost"] != 0 {
+		r.BeginAttempt(Arrival{Server: "s", ID: "1", Method: "GET", Path: "/", FirstByteAt: at, LastByteAt: at})
+		if got := r.Close().ViolationCounts; got["gone"] != c.want || got["lost"] != 0 {
 			t.Errorf("%v after: broken %v", c.after, got)
 		}
 	}
@@ -199,17 +216,17 @@
 // A successor may send to a server that its own list names, though its predecessor was told that it is gone, or never of it.
 func TestASuccessorGoesByItsOwnList(t *testing.T) {
 	for _, known := range []bool{true, false} {
-		r, began := New(Terms{Classes: []Class{{}}, MaxAttempts: 3}), time.Unix(1000, 0)
-		r.Started("p", []Entry{{Server: "gone"}}, began)
+		r, began := New(Config{Classes: []Class{{}}, MaxAttempts: 3}), time.Unix(1000, 0)
+		r.RecordProxyStart("p", []Entry{{Server: "gone"}}, began)
 		if known {
-			r.Knows("p", []Entry{{Server: "gone", Serving: true, Since: 7}, {Server: "new", Serving: true}}, began.Add(time.Minute))
+			r.RecordInheritedList("p", []Entry{{Server: "gone", Serving: true, Since: 7}, {Server: "new", Serving: true}}, began.Add(time.Minute))
 		}
 		at := began.Add(time.Hour)
-		for _, nodo := range []string{"gone", "new"} {
-			r.Send(&ClientAttempt{ID: nodo, Method: "GET", Path: "/", Deadline: at}, "p")
-			r.Begin(Arrival{Server: nodo, ID: nodo, Method: "GET", Path: "/", First: at, Last: at})
+		for _, serverName := range []string{"gone", "new"} {
+			r.RecordSend(&ClientAttempt{ID: serverName, Method: "GET", Path: "/", Deadline: at}, "p")
+			r.BeginAttempt(Arrival{Server: serverName, ID: serverName, Method: "GET", Path: "/", FirstByteAt: at, LastByteAt: at})
 		}
-		if got := r.Close().Broken["drain"]; (got == 2) == known || known && got != 0 {
+		if got := r.Close().ViolationCounts["drain"]; (got == 2) == known || known && got != 0 {
 			t.Errorf("a successor that knows %v: drain broken %d times", known, got)
 		}
 	}
--- a/internal/faultlab/result/avoid_test.go
+++ b/internal/faultlab/result/avoid_test.go
@@ -127,7 +127,7 @@
 	} {
 		for i := range cs {
 			if cs[i].Class == 1 {
-				cs[i].end = map[bool]referee.End{false: referee.Rejected, true: referee.Unreached}[test.unseen]
+				cs[i].end = map[bool]referee.Outcome{false: referee.Rejected, true: referee.Unreached}[test.unseen]
 			}
 		}
 		in := Input{Exp: e, Plan: &plan.Plan{Strikes: []plan.Strike{test.strike}}}
@@ -146,12 +146,12 @@
 func TestKnocksCountOnce(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(experiment.Seconds(s)) }
-	r := referee.New(referee.Terms{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 3})
-	r.Send(&referee.ClientAttempt{ID: "x", Sent: at(10)}, "a-p1")
-	r.State("b-s1", "b", 0, true, 0, start)
-	r.Begin(referee.Arrival{Server: "b-s1", ID: "x", First: at(10), Last: at(13)})
+	r := referee.New(referee.Config{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 3})
+	r.RecordSend(&referee.ClientAttempt{ID: "x", StartedAt: at(10)}, "a-p1")
+	r.RecordServerState("b-s1", "b", 0, true, 0, start)
+	r.BeginAttempt(referee.Arrival{Server: "b-s1", ID: "x", FirstByteAt: at(10), LastByteAt: at(13)})
 	for _, s := range []float64{10, 11} {
-		r.RecordUnansweredSend(referee.UnansweredSend{At: at(s), Proxy: "a-p1", FromZone: "a", Server: "b-s1", Zone: "b", Dial: s == 11})
+		r.RecordUnansweredSend(referee.UnansweredSend{SentAt: at(s), Proxy: "a-p1", FromZone: "a", Server: "b-s1", Zone: "b", Dial: s == 11})
 	}
 	e := &experiment.Experiment{Seconds: 20, Zones: []experiment.Zone{{Name: "a", Proxies: 1}, {Name: "b"}}}
 	in := Input{Exp: e, Start: start, Record: r.Close(), Events: []Event{{N: 1, From: 9, To: 12}}, Plan: &plan.Plan{Strikes: []plan.Strike{
--- a/internal/faultlab/result/figures.go
+++ b/internal/faultlab/result/figures.go
@@ -59,8 +59,8 @@
 type client struct {
 	*plan.Arrival
 	attempts []*referee.ClientAttempt
-	end      referee.End   // Served, Refused, Failed, Unreached
-	took     time.Duration // from the planned moment, if served
+	end      referee.Outcome // Served, Refused, Failed, Unreached
+	took     time.Duration   // from the planned moment, if served
 	inTime   bool
 }
 
@@ -82,13 +82,13 @@
 		c.end = referee.Unreached
 		for _, t := range c.attempts {
 			switch {
-			case t.End == referee.Served:
-				if took := t.Ended.Sub(planned); c.end != referee.Served || took < c.took {
+			case t.Outcome == referee.Served:
+				if took := t.EndedAt.Sub(planned); c.end != referee.Served || took < c.took {
 					c.end, c.took = referee.Served, took
 				}
 			case c.end == referee.Served:
-			case t.End == referee.Rejected, t.End == referee.Unreached:
-				c.end = t.End
+			case t.Outcome == referee.Rejected, t.Outcome == referee.Unreached:
+				c.end = t.Outcome
 			default:
 				c.end = referee.Failed
 			}
@@ -155,18 +155,18 @@
 	p.traffic(in, cs, f)
 	p.latency(in, cs, f)
 	for _, rule := range experiment.Rules {
-		n := in.Record.Broken[rule]
+		n := in.Record.ViolationCounts[rule]
 		f["broken."+rule] = float64(n)
 		f["broken"] += float64(n)
 	}
-	p.Broken, p.Violations = in.Record.Broken, in.Record.Violations
+	p.Broken, p.Violations = in.Record.ViolationCounts, in.Record.Violations
 	p.windows(in, cs)
 	p.recovery(in, f)
 	p.avoidance(in, cs, f)
 	t := in.Record.Tally
-	for name, n := range map[string]int{"handshakes": len(in.Record.Connects), "list_calls": t.ListCalls,
-		"watch_breaks": t.WatchBreaks, "late_answers": t.Late, "turned_back": t.Rejected, "resent": t.Resent,
-		"tipped": t.Tipped, "crashed": t.Crashed} {
+	for name, n := range map[string]int{"handshakes": len(in.Record.ConnectTimes), "list_calls": t.ListCalls,
+		"watch_breaks": t.WatchBreaks, "late_answers": t.LateResponses, "turned_back": t.Rejected, "resent": t.Resent,
+		"tipped": t.Overloads, "crashed": t.Crashed} {
 		f[name] = float64(n)
 	}
 	if l := in.List; l != nil {
@@ -231,19 +231,19 @@
 	var waits []time.Duration
 	first := map[*referee.ClientAttempt]bool{}
 	for _, a := range in.Record.Attempts {
-		from := zoneOf[a.Of().Proxy]
+		from := zoneOf[a.ClientAttempt().Proxy]
 		if row, to := p.Attempts[from], slices.Index(p.Zones, a.Zone); row != nil && to >= 0 {
 			row[to]++
 		}
 		if from != a.Zone {
 			cross++
 		}
-		if !a.Served() || a.Of().End != referee.Served {
-			waste += a.Spent
+		if !a.Served() || a.ClientAttempt().Outcome != referee.Served {
+			waste += a.WorkDone
 		}
-		if t := a.Of(); !first[t] && !t.Taken.IsZero() {
+		if t := a.ClientAttempt(); !first[t] && !t.WrittenAt.IsZero() {
 			first[t] = true
-			waits = append(waits, a.First.Sub(t.Taken))
+			waits = append(waits, a.FirstByteAt.Sub(t.WrittenAt))
 		}
 	}
 	f["requests"], f["tries"], f["attempts"] = float64(len(cs)), float64(len(in.Record.ClientAttempts)), float64(len(in.Record.Attempts))
@@ -306,7 +306,7 @@
 			w.InTime += worth
 		}
 	}
-	for _, at := range in.Record.Connects {
+	for _, at := range in.Record.ConnectTimes {
 		if i := int(at.Sub(in.Start) / windowWidth); i >= 0 && i < n {
 			p.Windows[i].Connects++
 		}
--- a/internal/faultlab/result/objective.go
+++ b/internal/faultlab/result/objective.go
@@ -36,13 +36,13 @@
 	came := map[key]bool{}
 	var out []call
 	for _, a := range in.Record.Attempts {
-		came[key{a.Server, a.First}] = true
-		t := a.Of()
-		out = append(out, call{a.First.Sub(in.Start).Seconds(), t.Proxy, a.Server, zoneOf[t.Proxy], a.Zone, a.Served(), true})
+		came[key{a.Server, a.FirstByteAt}] = true
+		t := a.ClientAttempt()
+		out = append(out, call{a.FirstByteAt.Sub(in.Start).Seconds(), t.Proxy, a.Server, zoneOf[t.Proxy], a.Zone, a.Served(), true})
 	}
 	for _, k := range in.Record.UnansweredSends {
-		if !came[key{k.Server, k.At}] {
-			out = append(out, call{k.At.Sub(in.Start).Seconds(), k.Proxy, k.Server, k.FromZone, k.Zone, false, false})
+		if !came[key{k.Server, k.SentAt}] {
+			out = append(out, call{k.SentAt.Sub(in.Start).Seconds(), k.Proxy, k.Server, k.FromZone, k.Zone, false, false})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b call) int { return cmp.Compare(a.at, b.at) })
--- a/internal/faultlab/result/result_test.go
+++ b/internal/faultlab/result/result_test.go
@@ -27,7 +27,7 @@
 		if s := at.Seconds(); s >= from && s < to {
 			took = 150 * time.Millisecond
 		}
-		in.Record.ClientAttempts = append(in.Record.ClientAttempts, &referee.ClientAttempt{Arrival: i, End: referee.Served, Ended: start.Add(at + took)})
+		in.Record.ClientAttempts = append(in.Record.ClientAttempts, &referee.ClientAttempt{Arrival: i, Outcome: referee.Served, EndedAt: start.Add(at + took)})
 	}
 	var p Play
 	p.Fill(in)
--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -140,17 +140,17 @@
 	return nil
 }
 
-func terms(e *experiment.Experiment) referee.Terms {
-	t := referee.Terms{MaxAttempts: e.Proxy.MaxAttempts, SecondCopies: e.Proxy.SecondCopies,
-		DrainGrace: experiment.Millis(e.Proxy.DrainGraceMs), Slack: experiment.Millis(e.Proxy.SlackMs)}
+func terms(e *experiment.Experiment) referee.Config {
+	t := referee.Config{MaxAttempts: e.Proxy.MaxAttempts, HedgingAllowed: e.Proxy.SecondCopies,
+		DrainGrace: experiment.Millis(e.Proxy.DrainGraceMs), DeadlineSlack: experiment.Millis(e.Proxy.SlackMs)}
 	if e.Proxy.Membership == "subscribe" {
 		t.PollInterval = experiment.Millis(e.Proxy.PollIntervalMs)
 	}
-	repeats := map[string]referee.Repeat{"idempotent": referee.Safe, "deduplicated": referee.Keyed,
-		"at_most_once": referee.Unsafe}
+	repeats := map[string]referee.RetryClass{"idempotent": referee.Idempotent, "deduplicated": referee.IdempotencyKey,
+		"at_most_once": referee.NonIdempotent}
 	for _, k := range e.Classes {
-		t.Classes = append(t.Classes, referee.Class{Name: k.Name, Repeat: repeats[k.Repeat], Scope: k.Scope,
-			Window: experiment.Millis(k.WindowMs)})
+		t.Classes = append(t.Classes, referee.Class{Name: k.Name, RetryClass: repeats[k.Repeat], KeyScope: k.Scope,
+			KeyWindow: experiment.Millis(k.WindowMs)})
 	}
 	return t
 }
--- a/internal/faultlab/run/lists.go
+++ b/internal/faultlab/run/lists.go
@@ -109,7 +109,7 @@
 	}
 	r, err := f.service.End()
 	if wrong := r.Wrong(); wrong != "" {
-		rec.Broken["list"]++
+		rec.ViolationCounts["list"]++
 		rec.Violations = append(rec.Violations, referee.Violation{Rule: "list", At: time.Now(), Text: wrong})
 	}
 	return &result.List{Checked: r.History.Calls, Told: r.Delays, Lacks: r.Lacks, Refused: r.Refused}, err
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -93,9 +93,9 @@
 	}
 	successor := m.proc != nil && !over(m.proc)
 	if successor {
-		f.ref.Knows(m.node.Name, told, time.Now())
+		f.ref.RecordInheritedList(m.node.Name, told, time.Now())
 	} else {
-		f.ref.Started(m.node.Name, told, time.Now())
+		f.ref.RecordProxyStart(m.node.Name, told, time.Now())
 	}
 	p, err := f.starter.Start(process.Spec{Name: m.node.Name, Command: f.command, Env: append(os.Environ(), "LB_CONFIG="+path,
 		"LB_NAME="+m.node.Name, "LB_LISTEN="+m.listen, "LB_DISCOVERY="+m.list, "LB_MGMT="+m.mgmt, "TMPDIR="+tmp),
@@ -128,7 +128,7 @@
 	<-p.Ended()
 	if p.Crashed() {
 		f.log.Error("a proxy crashed", "proxy", p.Name, "error", p.Err())
-		f.ref.Count(func(t *referee.Tally) { t.Crashed++ })
+		f.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 }
 
@@ -144,7 +144,7 @@
 	}
 	at := time.Now()
 	for _, m := range ms {
-		m.owed = append(m.owed, f.ref.Excuse(m.node.Name, at))
+		m.owed = append(m.owed, f.ref.BeginExcusedSpan(m.node.Name, at))
 		m.dead++
 	}
 	return process.KillAll(slices.DeleteFunc(ps, over))
@@ -198,7 +198,7 @@
 	}
 	if !f.awaitYes(ctx, m, successorWait) {
 		f.log.Error("a successor did not say yes", "proxy", m.node.Name)
-		f.ref.Count(func(t *referee.Tally) { t.Crashed++ })
+		f.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 	_, err := old.End(f.longest())
 	return err
@@ -244,7 +244,7 @@
 	}
 	if !f.awaitYes(ctx, m, reopenPatience) && ctx.Err() == nil {
 		f.log.Error("a proxy did not serve again after its start", "proxy", m.node.Name, "waited", reopenPatience)
-		f.ref.Count(func(t *referee.Tally) { t.Crashed++ })
+		f.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 	for _, end := range m.owed {
 		end(time.Now())
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -120,7 +120,7 @@
 	s.entry = catalog.Entry{Name: s.node.Name, Zone: s.node.Zone, Type: cmp.Or(s.node.Group.Kind, "lab"), Group: s.cell,
 		Status: catalog.Serving, Since: since}
 	s.mu.Unlock()
-	f.ref.State(s.node.Name, s.node.Zone, s.cell, true, since, at)
+	f.ref.RecordServerState(s.node.Name, s.node.Zone, s.cell, true, since, at)
 }
 
 // tell tells the list what a server is now.
@@ -129,7 +129,7 @@
 	s.entry.Status = status
 	e := s.entry
 	s.mu.Unlock()
-	f.ref.State(e.Name, e.Zone, e.Group, status == catalog.Serving, e.Since, time.Now())
+	f.ref.RecordServerState(e.Name, e.Zone, e.Group, status == catalog.Serving, e.Since, time.Now())
 	f.change(e)
 }
 
--- a/internal/faultlab/run/strike_links.go
+++ b/internal/faultlab/run/strike_links.go
@@ -34,11 +34,11 @@
 	for _, r := range reaches {
 		for _, m := range t.order {
 			if r.match(link.Ends{Kind: "list", From: m.node.Name, FromZone: m.node.Zone, ToZone: t.exp.List.Zone}) {
-				excused = append(excused, t.ref.ListUnavailable(m.node.Name, begun))
+				excused = append(excused, t.ref.BeginListOutage(m.node.Name, begun))
 			}
 			for _, z := range t.exp.ZoneNames() {
 				if r.match(link.Ends{Kind: "client", FromZone: z, To: m.node.Name, ToZone: m.node.Zone}) {
-					excused = append(excused, t.ref.Excuse(m.node.Name, begun))
+					excused = append(excused, t.ref.BeginExcusedSpan(m.node.Name, begun))
 				}
 			}
 		}
@@ -111,7 +111,7 @@
 		if s.For <= 0 {
 			for _, m := range t.order {
 				now := time.Now()
-				t.ref.Excuse(m.node.Name, now)(now)
+				t.ref.BeginExcusedSpan(m.node.Name, now)(now)
 			}
 		}
 		t.net.Reset(match)
--- a/internal/faultlab/run/strike_lists.go
+++ b/internal/faultlab/run/strike_lists.go
@@ -61,7 +61,7 @@
 			return err
 		}
 		up := t.list.Down()
-		back := t.ref.ListUnavailable("", time.Now())
+		back := t.ref.BeginListOutage("", time.Now())
 		t.net.Reset(links)
 		if s.Fault.Kind == "list_power_loss" {
 			t.log.Info("the list lost its power", "versions_lost", t.list.PowerLoss())
--- a/internal/faultlab/run/strike_proxies.go
+++ b/internal/faultlab/run/strike_proxies.go
@@ -35,8 +35,8 @@
 	case "stop":
 		return t.each(ctx, s, func(turn plan.Turn) error {
 			m := t.members[turn.Target]
-			excused := t.ref.Excuse(turn.Target, time.Now())
-			away := t.ref.ListUnavailable(turn.Target, time.Now())
+			excused := t.ref.BeginExcusedSpan(turn.Target, time.Now())
+			away := t.ref.BeginListOutage(turn.Target, time.Now())
 			defer func() { excused(time.Now()); away(time.Now()) }()
 			if err := t.stopped(m, 1); err != nil {
 				return err
--- a/internal/faultlab/run/strike_reload.go
+++ b/internal/faultlab/run/strike_reload.go
@@ -96,7 +96,7 @@
 			begun := time.Now()
 			err := v.Make(ctx, m.listen)
 			if errors.Is(err, misbehavingclient.ErrUnanswered) {
-				t.ref.Misbehaved(m.node.Name, begun, time.Now(), err.Error())
+				t.ref.RecordMisbehavingClient(m.node.Name, begun, time.Now(), err.Error())
 			}
 		})
 	}
--- a/internal/faultlab/run/strike_series.go
+++ b/internal/faultlab/run/strike_series.go
@@ -55,7 +55,7 @@
 // crowd has clients connect to a proxy and send nothing, for the fault's time. A connection that the proxy closes is not made
 // anew. New connections of others may be shut unread meanwhile.
 func (t *timeline) crowd(ctx context.Context, s plan.Strike, m *member, at time.Duration) error {
-	crowded := t.ref.Crowded(m.node.Name, time.Now())
+	crowded := t.ref.BeginConnectionFlood(m.node.Name, time.Now())
 	defer func() { crowded(time.Now()) }()
 	holding, stop := context.WithDeadline(ctx, t.start.Add(at+s.For))
 	defer stop()
--- a/internal/faultlab/run/unansweredsends.go
+++ b/internal/faultlab/run/unansweredsends.go
@@ -24,7 +24,7 @@
 // knock notes what a proxy sent a server into silence.
 func (f *fleet) recordUnansweredSend(e link.Ends, at time.Time, dial bool) {
 	if e.Kind == "nodo" {
-		f.ref.RecordUnansweredSend(referee.UnansweredSend{At: at, Proxy: e.From, FromZone: e.FromZone, Server: e.To, Zone: e.ToZone, Dial: dial})
+		f.ref.RecordUnansweredSend(referee.UnansweredSend{SentAt: at, Proxy: e.From, FromZone: e.FromZone, Server: e.To, Zone: e.ToZone, Dial: dial})
 	}
 }
 
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -45,7 +45,7 @@
 			s.cfg.Ref.RecordPoll(proxy)
 			status, body, list := s.forward(client, c, "http://"+to+req.URL.RequestURI())
 			if status == 0 {
-				s.cfg.Ref.CallFailed(proxy, time.Now())
+				s.cfg.Ref.RecordPollFailed(proxy, time.Now())
 				c.Reset()
 				return
 			}
@@ -55,14 +55,14 @@
 			}
 			note := func(at time.Time) {
 				if list == nil {
-					s.cfg.Ref.CallFailed(proxy, at)
+					s.cfg.Ref.RecordPollFailed(proxy, at)
 					return
 				}
-				s.cfg.Ref.Notified(proxy, referee.ListUpdate{Entries: entries(list), Snapshot: list.Snapshot}, at)
+				s.cfg.Ref.RecordUpdate(proxy, referee.ListUpdate{Entries: entries(list), Snapshot: list.Snapshot}, at)
 				s.delays.told(proxy, list, at, s.hollow)
 			}
 			if err := c.NoteThenWrite(wire.JSON(status, body), note); err != nil {
-				s.cfg.Ref.CallFailed(proxy, time.Now())
+				s.cfg.Ref.RecordPollFailed(proxy, time.Now())
 				return
 			}
 		}
--- a/internal/faultlab/stubserver/serve.go
+++ b/internal/faultlab/stubserver/serve.go
@@ -20,7 +20,7 @@
 	over, life := n.conns > n.spec.MaxConns, n.incarnation
 	n.mu.Unlock()
 	defer n.with(func() { n.conns-- })
-	n.ref.Connected(time.Now())
+	n.ref.RecordConnection(time.Now())
 	r := bufio.NewReader(c)
 	for first := true; ; first = false {
 		_ = c.SetReadDeadline(time.Now().Add(n.spec.IdleClose))
@@ -50,8 +50,8 @@
 func (n *Server) one(c *link.Conn, req *http.Request, body []byte, begun time.Time, first, over bool, life int) bool {
 	id := req.Header.Get(wire.RequestID)
 	what, known := n.world.Job(id)
-	at := n.ref.Begin(referee.Arrival{Server: n.spec.Name, ID: id, First: begun, Last: time.Now(), Method: req.Method,
-		Path: req.URL.RequestURI(), Key: req.Header.Get(wire.IdempotencyKey), Body: wire.Digest(body)})
+	at := n.ref.BeginAttempt(referee.Arrival{Server: n.spec.Name, ID: id, FirstByteAt: begun, LastByteAt: time.Now(), Method: req.Method,
+		Path: req.URL.RequestURI(), Key: req.Header.Get(wire.IdempotencyKey), RequestDigest: wire.Digest(body)})
 	if at == nil || !known {
 		return n.answer(c, nil, 400, nil, false)
 	}
@@ -62,17 +62,17 @@
 	}
 	j, turned, fell := n.admit(work, what.Proxy, over, life, patience(req))
 	if fell != nil {
-		n.ref.Tipped(n.spec.Name, n.sinceMs(), fell, time.Now())
+		n.ref.RecordOverload(n.spec.Name, n.sinceMs(), fell, time.Now())
 		n.world.Fell(n.spec.Name)
 		return false
 	}
 	if turned {
-		n.ref.Turn(at)
+		n.ref.RecordRejected(at)
 		return n.answer(c, at, 503, nil, true) && !over
 	}
 	if j == nil { // ended meanwhile, or hanging
 		c.AwaitEnd(nil)
-		n.ref.Drop(at, 0)
+		n.ref.RecordCanceled(at, 0)
 		return false
 	}
 	return n.work(c, j, at, id, what, life)
@@ -112,7 +112,7 @@
 	case ok := <-j.start:
 		if !ok {
 			end()
-			n.ref.Drop(at, 0)
+			n.ref.RecordCanceled(at, 0)
 			return false
 		}
 	case <-left:
@@ -125,13 +125,13 @@
 		default:
 		}
 		end()
-		n.ref.Drop(at, 0)
+		n.ref.RecordCanceled(at, 0)
 		return false
 	}
 	if !j.until.IsZero() && j.begun.After(j.until) { // over before it began
 		n.release(life, j.begun)
 		end()
-		n.ref.Turn(at)
+		n.ref.RecordRejected(at)
 		return n.answer(c, at, 504, nil, true)
 	}
 	done := time.NewTimer(time.Until(j.begun.Add(j.holdsSlot)))
@@ -145,7 +145,7 @@
 	case <-gone:
 		n.release(life, time.Now())
 		end()
-		n.ref.Drop(at, time.Since(j.begun))
+		n.ref.RecordCanceled(at, time.Since(j.begun))
 		return false
 	}
 	n.release(life, j.begun.Add(j.holdsSlot))
@@ -156,21 +156,21 @@
 	n.mu.Unlock()
 	select {
 	case <-left:
-		n.ref.Drop(at, j.holdsSlot)
+		n.ref.RecordCanceled(at, j.holdsSlot)
 		return false
 	default:
 	}
 	switch {
 	case !alive:
 		c.AwaitEnd(nil)
-		n.ref.Drop(at, j.holdsSlot)
+		n.ref.RecordCanceled(at, j.holdsSlot)
 		return false
 	case fails:
-		n.ref.Err(at, j.holdsSlot)
+		n.ref.RecordError(at, j.holdsSlot)
 		return n.answer(c, at, 500, nil, false)
 	}
 	made := wire.Make(id, n.spec.Name, what.Answer)
-	n.ref.Serve(at, wire.Digest(made), j.holdsSlot)
+	n.ref.RecordServed(at, wire.Digest(made), j.holdsSlot)
 	if spoils {
 		n.spoil(c, at, made)
 		return false
@@ -184,7 +184,7 @@
 	if notStarted {
 		head += wire.NotStarted + ": 1\r\n"
 	}
-	return c.NoteThenWrite(append([]byte(head+"\r\n"), body...), func(time.Time) { n.ref.Wrote(at) }) == nil
+	return c.NoteThenWrite(append([]byte(head+"\r\n"), body...), func(time.Time) { n.ref.RecordOutcomeWritten(at) }) == nil
 }
 
 // spoil sends an answer that cannot be read as the protocol requires, and closes.
@@ -201,5 +201,5 @@
 	default:
 		text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\n" + string(body)
 	}
-	_ = c.NoteThenWrite([]byte(text), func(time.Time) { n.ref.Wrote(at) })
+	_ = c.NoteThenWrite([]byte(text), func(time.Time) { n.ref.RecordOutcomeWritten(at) })
 }
--- a/internal/faultlab/stubserver/stubserver_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -33,7 +33,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	ref := referee.New(referee.Terms{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 9, SecondCopies: true})
+	ref := referee.New(referee.Config{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 9, HedgingAllowed: true})
 	w := world{work, make(chan string, 1)}
 	spec.Name, spec.IdleClose = "s", time.Minute
 	if spec.MaxConns == 0 {
@@ -50,7 +50,7 @@
 
 // ask makes one request on a connection of its own and tells its status: 0 is none.
 func ask(ref *referee.Referee, addr, id string, patience time.Duration) (status int, notStarted bool) {
-	ref.Send(&referee.ClientAttempt{ID: id, Method: "GET", Path: "/c", Body: wire.Digest(nil)}, "p")
+	ref.RecordSend(&referee.ClientAttempt{ID: id, Method: "GET", Path: "/c", RequestDigest: wire.Digest(nil)}, "p")
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, false
