--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -115,7 +115,7 @@
 	for i := range sides {
 		s := &sides[i]
 		s.dir = filepath.Join(c.Out, s.dir)
-		s.Result = &result.Result{Title: e.Title, File: file, Version: version(s.command[0]), Began: began.UTC(),
+		s.Result = &result.Result{Title: e.Title, File: file, Version: version(s.command[0]), StartedAt: began.UTC(),
 			Machine: result.Machine{Cores: run.Cores(), LoadBefore: run.MachineLoad()}}
 	}
 	for i := range repeat {
@@ -168,8 +168,8 @@
 	case r.Partial != "":
 		fmt.Printf("partial: %s; nothing is judged\n", r.Partial)
 		return status(exitUnable)
-	case r.Void() != "":
-		fmt.Printf("void: %s\n", r.Void())
+	case r.VoidReason() != "":
+		fmt.Printf("void: %s\n", r.VoidReason())
 		return status(exitUnable)
 	case !r.Held:
 		return status(exitFailed)
--- a/internal/faultlab/hollow/calibrate_test.go
+++ b/internal/faultlab/hollow/calibrate_test.go
@@ -27,10 +27,10 @@
 }
 
 // What a process's proxies have passed so far, and its members of the fleet.
-func reading(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Spent, fleet []*hollow.ClusterMetrics) {
+func reading(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Usage, fleet []*hollow.ClusterMetrics) {
 	links.Traffic(func(e link.Ends, t link.Traffic) {
 		if e.From == from {
-			s.In, s.Out, s.Calls = t.Answered, t.Sent, t.Pieces
+			s.BytesIn, s.BytesOut, s.Calls = t.Answered, t.Sent, t.Pieces
 		}
 	})
 	for _, x := range p.Metrics(false).Proxies {
@@ -38,7 +38,7 @@
 			fleet = append(fleet, x.Cluster)
 		}
 	}
-	s.Each = time.Duration(proxies) * time.Second
+	s.InstanceTime = time.Duration(proxies) * time.Second
 	return s, fleet
 }
 
@@ -87,13 +87,13 @@
 			real := hollow.StartSeeded(t, process("real", "a", base[0]), hollow.Sound)
 			judged := hollow.StartSeeded(t, process("hollow", "b", base[1]), fault)
 			hollow.Eventually(t, "both", func() bool { return real.Waits()+judged.Waits() == "" })
-			read := func() *result.Reading {
-				r := &result.Reading{At: time.Now(), Roles: map[string]result.Spent{}}
+			read := func() *result.Sample {
+				r := &result.Sample{TakenAt: time.Now(), Roles: map[string]result.Usage{}}
 				r.Roles["real"], r.RealGossip = reading(links, real, "real", proxies)
 				r.Roles["proxy"], r.Gossip = reading(links, judged, "hollow", proxies)
 				return r
 			}
-			c := &result.Control{Phases: []result.PhaseReading{{Before: read()}}}
+			c := &result.Control{Phases: []result.PhaseSamples{{Before: read()}}}
 			nodo := hollow.StartSeeded(t, hollow.TestConfig(own, 0, nodos), hollow.Sound)
 			hollow.Eventually(t, "the nodos", func() bool { return nodo.Waits() == "" })
 			// So long the members of a fleet have spoken to each other, whoever does.
@@ -107,12 +107,12 @@
 			})
 			after := read()
 			for role, s := range after.Roles {
-				s.Each *= 2
+				s.InstanceTime *= 2
 				after.Roles[role] = s
 			}
 			c.Phases[0].After = after
 			e := &experiment.Experiment{Seconds: 10, Phases: []experiment.Phase{{Name: "all", From: 1, To: 9}}}
-			f := c.Figures(e, time.Now())
+			f := c.Metrics(e, time.Now())
 			for factor, want := range test.held {
 				x := within(factor)
 				v, ok := f[x.Figure]
--- a/internal/faultlab/hollow/configs_test.go
+++ b/internal/faultlab/hollow/configs_test.go
@@ -42,7 +42,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			put := result.Put{Service: "s1", Asked: time.Now().UnixNano()}
+			put := result.ConfigWrite{Service: "s1", RequestedAt: time.Now().UnixNano()}
 			resp, err := http.DefaultClient.Do(req)
 			if err != nil {
 				t.Fatal(err)
@@ -52,7 +52,7 @@
 			if err := json.NewDecoder(resp.Body).Decode(&told); err != nil || resp.StatusCode != http.StatusOK {
 				t.Fatal(resp.Status, err)
 			}
-			put.Status, put.Version, put.Sure = resp.StatusCode, told.Version, time.Now().UnixNano()
+			put.Status, put.Version, put.ConfirmedAt = resp.StatusCode, told.Version, time.Now().UnixNano()
 			hollow.Eventually(t, "the configuration", func() bool {
 				for _, x := range p.Metrics(true).Proxies {
 					if x.Config.Version != told.Version {
@@ -62,8 +62,8 @@
 				return true
 			})
 			e := &experiment.Experiment{Seconds: 30, Phases: []experiment.Phase{{Name: "all", From: 0, To: 20}}}
-			control := &result.Control{Hollow: []hollow.Metrics{p.Metrics(true)}, Puts: []result.Put{put}}
-			f := control.Figures(e, start)
+			control := &result.Control{Hollow: []hollow.Metrics{p.Metrics(true)}, ConfigWrites: []result.ConfigWrite{put}}
+			f := control.Metrics(e, start)
 			_, late := f["control.all.config_in_force_last_ms"]
 			if f["control.all.config_changes"] != 1 || f["control.all.config_never"] != test.never || late != test.inForces {
 				t.Errorf("%v changes, %v never in force, some in force %v; want 1, %v, %v", f["control.all.config_changes"],
--- a/internal/faultlab/report/html.go
+++ b/internal/faultlab/report/html.go
@@ -72,7 +72,7 @@
 
 func pageOf(r *result.Result) (*page, error) {
 	p := &page{Result: r, Verdict: verdict(r), Rules: experiment.RuleText}
-	for _, name := range r.Names() {
+	for _, name := range r.MetricNames() {
 		g := r.Metrics[name]
 		p.Rows = append(p.Rows, row{name, num(g.Median), spread(g)})
 	}
@@ -102,8 +102,8 @@
 	switch {
 	case r.Partial != "":
 		return "PARTIAL: " + r.Partial + ". Nothing is judged."
-	case r.Void() != "":
-		return "VOID: " + r.Void()
+	case r.VoidReason() != "":
+		return "VOID: " + r.VoidReason()
 	case !r.Held:
 		return "NOT HELD"
 	}
--- a/internal/faultlab/report/picture.go
+++ b/internal/faultlab/report/picture.go
@@ -41,7 +41,7 @@
 	g.Legend.Top = true
 	width := 1.0
 	if len(p.Windows) > 1 {
-		width = p.Windows[1].At - p.Windows[0].At
+		width = p.Windows[1].Start - p.Windows[0].Start
 	}
 	most := 1.0
 	for _, w := range p.Windows {
@@ -49,14 +49,14 @@
 	}
 	g.Y.Max = most * legendRoom
 	for _, ev := range p.Events {
-		to := max(ev.To, ev.From+width/4)
-		span, err := plotter.NewPolygon(plotter.XYs{{X: ev.From, Y: 0}, {X: to, Y: 0}, {X: to, Y: most}, {X: ev.From, Y: most}})
+		to := max(ev.End, ev.Start+width/4)
+		span, err := plotter.NewPolygon(plotter.XYs{{X: ev.Start, Y: 0}, {X: to, Y: 0}, {X: to, Y: most}, {X: ev.Start, Y: most}})
 		if err != nil {
 			return "", err
 		}
 		span.Color, span.LineStyle.Width = shade, 0
-		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: ev.From, Y: most}},
-			Labels: []string{fmt.Sprintf("%d %s", ev.N, ev.Kind)}})
+		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: ev.Start, Y: most}},
+			Labels: []string{fmt.Sprintf("%d %s", ev.Number, ev.Kind)}})
 		if err != nil {
 			return "", err
 		}
@@ -75,7 +75,7 @@
 	for _, l := range lines {
 		xys := make(plotter.XYs, len(p.Windows))
 		for i, w := range p.Windows {
-			xys[i] = plotter.XY{X: w.At + width/2, Y: float64(l.of(w)) / width}
+			xys[i] = plotter.XY{X: w.Start + width/2, Y: float64(l.of(w)) / width}
 		}
 		if len(xys) == 0 {
 			continue
--- a/internal/faultlab/report/text.go
+++ b/internal/faultlab/report/text.go
@@ -22,10 +22,10 @@
 	fmt.Fprintf(t, "%s (%s, version %s)\n", r.Title, r.File, r.Version)
 	for i, p := range r.Plays {
 		fmt.Fprintf(t, "play %d: seed %d, plan %s, the lab late by %.2f / %.2f / %.1f ms (p50, p99, max), stalled %.1f ms, %.0f MB%s\n",
-			i+1, p.Seed, p.Plan, p.Late.P50, p.Late.P99, p.Late.Max, p.Late.Stall, p.LabMB, voidText(p))
+			i+1, p.Seed, p.Plan, p.Lateness.P50, p.Lateness.P99, p.Lateness.Max, p.Lateness.Stall, p.LabMB, voidText(p))
 	}
 	fmt.Fprintln(t, "figure\tmedian\tmin\tmax")
-	for _, name := range r.Names() {
+	for _, name := range r.MetricNames() {
 		if _, _, _, ok := spentName(name); ok {
 			continue
 		}
@@ -37,13 +37,13 @@
 		for _, ev := range p.Events {
 			back := fmt.Sprintf("back to 95 %% after %.1f s", ev.Recovery)
 			switch {
-			case ev.Below:
+			case ev.StillDegraded:
 				back = fmt.Sprintf("not back %.1f s later", ev.Recovery)
 			case ev.Recovery == 0:
 				back = "service stayed over 95 %"
 			}
-			fmt.Fprintf(t, "play %d, fault %d: %s %s from %.1f to %.1f s: %s\n", i+1, ev.N, ev.Kind,
-				strings.Join(ev.Target, " "), ev.From, ev.To, back)
+			fmt.Fprintf(t, "play %d, fault %d: %s %s from %.1f to %.1f s: %s\n", i+1, ev.Number, ev.Kind,
+				strings.Join(ev.Target, " "), ev.Start, ev.End, back)
 		}
 		for j, v := range p.Violations {
 			if j == violationsShown {
@@ -59,7 +59,7 @@
 			continue
 		}
 		fmt.Fprintf(t, "NOT HELD: %s", v.Text)
-		if rule, ok := strings.CutPrefix(v.Figure, "broken."); ok {
+		if rule, ok := strings.CutPrefix(v.Metric, "broken."); ok {
 			fmt.Fprintf(t, "  %s: %s\n", rule, experiment.RuleText[rule])
 		}
 	}
@@ -100,12 +100,12 @@
 		fmt.Fprintln(t, "the experiments differ: compare with care")
 	}
 	for name, r := range map[string]*result.Result{"A": a, "B": b} {
-		if why := r.Void(); why != "" {
+		if why := r.VoidReason(); why != "" {
 			fmt.Fprintf(t, "%s is void: %s\n", name, why)
 		}
 	}
 	fmt.Fprintln(t, "figure\tA\tspread\tB\tspread\tB - A\t")
-	names := append(a.Names(), b.Names()...)
+	names := append(a.MetricNames(), b.MetricNames()...)
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
 		x, inA := a.Metrics[name]
--- a/internal/faultlab/result/avoid.go
+++ b/internal/faultlab/result/avoid.go
@@ -7,100 +7,100 @@
 )
 
 const (
-	leftWindow  = 0.25 // seconds
-	leftCalls   = 40   // or as long as so many calls take
-	leftPart    = 0.05 // of them at most go where a fault is met, once it is left: trials
-	avoidWindow = 1.0
-	stayedLast  = 1.0 // seconds before a fault's end: who leaves later has stayed
-	stayedSpan  = 2.0 // of a fault that lasts so long
-	backWindow  = 2.0
-	backStep    = 0.25
-	minRecovery = 20 // calls in a window that says anything
+	departureWindow = 0.25 // seconds
+	departureCalls  = 40   // or as long as so many calls take
+	trialFraction   = 0.05 // of them at most go where a fault is met, once it is left: trials
+	avoidanceWindow = 1.0
+	stayedBeforeEnd = 1.0 // seconds before a fault's end: who leaves later has stayed
+	stayedMinimum   = 2.0 // of a fault that lasts so long
+	returnWindow    = 2.0
+	returnStep      = 0.25
+	minReturnCalls  = 20 // calls in a window that says anything
 )
 
 // avoidance tells of each fault that calls could avoid how soon they did, and how soon they came back after it.
-func (p *Play) avoidance(in Input, cs []client, f map[string]float64) {
-	calls := in.callsOf()
-	for _, ev := range in.Events {
-		a, ok := objectiveOf(in.Plan.Strikes[ev.N-1])
+func (p *Play) addAvoidance(input Input, requests []clientRequest, metrics map[string]float64) {
+	calls := input.calls()
+	for _, event := range input.Events {
+		affected, ok := affectedBy(input.Plan.Strikes[event.Number-1])
 		if !ok {
 			continue
 		}
-		during := between(calls, ev.From, ev.To)
+		during := callsBetween(calls, event.Start, event.End)
 		set := func(name string, v float64, sum func(a, b float64) float64) {
 			if math.IsNaN(v) {
 				return
 			}
-			f[fmt.Sprintf("%s.%d", name, ev.N)] = v
-			if before, had := f[name]; had {
+			metrics[fmt.Sprintf("%s.%d", name, event.Number)] = v
+			if before, had := metrics[name]; had {
 				v = sum(before, v)
 			}
-			f[name] = v
+			metrics[name] = v
 		}
 		add := func(a, b float64) float64 { return a + b }
-		l := leaving(during, a, ev)
+		l := findDepartures(during, affected, event)
 		set("left_first_s", l.first, math.Max)
 		set("left_last_s", l.last, math.Max)
 		set("left_spread_ms", l.spread*1000, math.Max)
 		set("stayed", float64(l.stayed), add)
-		set("avoid_s", l.all, math.Max)
+		set("avoid_s", l.avoided, math.Max)
 		wasted := 0
 		for _, c := range during {
-			if a.meets(c) && !c.served {
+			if affected.affects(c) && !c.served {
 				wasted++
 			}
 		}
 		set("wasted", float64(wasted), add)
-		set("returned_s", returned(in, calls, a, ev), math.Max)
-		set("room_worth", in.headroomWeight(cs, ev), math.Min)
+		set("returned_s", returnDelay(input, calls, affected, event), math.Max)
+		set("room_worth", input.headroomUse(requests, event), math.Min)
 	}
 	dials := 0
-	for _, k := range in.Record.UnansweredSends {
+	for _, k := range input.Record.UnansweredSends {
 		if k.Dial {
 			dials++
 		}
 	}
-	f["dials_lost"] = float64(dials)
+	metrics["dials_lost"] = float64(dials)
 }
 
 // left is when proxies left what a fault struck, in seconds from its beginning.
-type left struct {
+type departures struct {
 	first, last float64 // proxy
 	spread      float64 // from the first to the last of a zone, the largest
-	all         float64 // until at most leftPart of all calls went there, for a while
+	avoided     float64 // until at most leftPart of all calls went there, for a while
 	stayed      int     // proxies that had not left at its end
 }
 
 // leaving finds when each proxy left: at its last call there that was no trial. Proxies that made none but trials say
 // nothing. Where proxies cannot be told apart nothing is said of them.
-func leaving(during []call, a objective, ev Event) left {
-	l := left{first: math.NaN(), last: math.NaN(), spread: math.NaN()}
+func findDepartures(during []call, affected affectedCalls, event Event) departures {
+	l := departures{first: math.NaN(), last: math.NaN(), spread: math.NaN()}
 	by, zones := map[string][]call{}, map[string]string{}
 	concerned := map[string]bool{} // who ever calls there; the others' calls cannot tell
 	for _, c := range during {
-		if a.meets(c) {
-			concerned[c.from] = true
+		if affected.affects(c) {
+			concerned[c.fromZone] = true
 		}
 	}
 	var all []call
 	for _, c := range during {
-		if !concerned[c.from] {
+		if !concerned[c.fromZone] {
 			continue
 		}
 		all = append(all, c)
 		if c.proxy != "" {
 			by[c.proxy] = append(by[c.proxy], c)
-			zones[c.proxy] = c.from
+			zones[c.proxy] = c.fromZone
 		}
 	}
-	l.all = count(all, a).avoided(ev.From, ev.To) - ev.From
+	l.avoided = countCalls(all, affected).avoidedAt(event.Start, event.End) - event.Start
 	firsts, lasts := map[string]float64{}, map[string]float64{}
 	for proxy, own := range by {
-		at := count(own, a).last() - ev.From
+		at := countCalls(own, affected).lastCall() - event.Start
 		if math.IsNaN(at) {
 			continue
 		}
-		if ev.To-ev.From >= stayedSpan && at > ev.To-ev.From-stayedLast {
+		if event.End-event.Start >= stayedMinimum && at > event.End-event.Start-stayedBeforeEnd {
 			l.stayed++
 		}
 		zone := zones[proxy]
@@ -124,18 +124,18 @@
 }
 
 // tally counts calls, and those of them that a fault meets, up to each.
-type tally struct {
-	at    []float64
-	there []int // of the first i
+type callTally struct {
+	times    []float64
+	affected []int // of the first i
 }
 
-func count(cs []call, a objective) tally {
-	t := tally{there: make([]int, len(cs)+1)}
+func countCalls(cs []call, affected affectedCalls) callTally {
+	t := callTally{affected: make([]int, len(cs)+1)}
 	for i, c := range cs {
-		t.at = append(t.at, c.at)
-		t.there[i+1] = t.there[i]
-		if a.meets(c) {
-			t.there[i+1]++
+		t.times = append(t.times, c.time)
+		t.affected[i+1] = t.affected[i]
+		if affected.affects(c) {
+			t.affected[i+1]++
 		}
 	}
 	return t
@@ -143,19 +143,19 @@
 
 // trials tells whether of the calls from the i-th on, for so many seconds after a moment, or as long as so many take, at
 // most leftPart go there. Near the end earlier ones make up the number.
-func (t tally) trials(i int, from, seconds float64, calls int) bool {
-	j, _ := slices.BinarySearch(t.at, from+seconds)
-	j = min(max(j, i+calls), len(t.at))
+func (t callTally) trials(i int, from, seconds float64, calls int) bool {
+	j, _ := slices.BinarySearch(t.times, from+seconds)
+	j = min(max(j, i+calls), len(t.times))
 	i = max(0, min(i, j-calls))
-	return float64(t.there[j]-t.there[i]) <= leftPart*float64(j-i)
+	return float64(t.affected[j]-t.affected[i]) <= trialFraction*float64(j-i)
 }
 
 // last is the moment of the last call there that is no trial. What a proxy means by a call is not to be seen: its very
 // last ones in earnest, up to leftPart of a window, are taken for trials.
-func (t tally) last() float64 {
-	for i := len(t.at) - 1; i >= 0; i-- {
-		if t.there[i+1] > t.there[i] && !t.trials(i, t.at[i], leftWindow, leftCalls) {
-			return t.at[i]
+func (t callTally) lastCall() float64 {
+	for i := len(t.times) - 1; i >= 0; i-- {
+		if t.affected[i+1] > t.affected[i] && !t.trials(i, t.times[i], departureWindow, departureCalls) {
+			return t.times[i]
 		}
 	}
 	return math.NaN()
@@ -163,16 +163,16 @@
 
 // avoided is the first moment from which on at most leftPart of the calls go there, for a short while and for a longer
 // one; what is found is a fault's end if there is none.
-func (t tally) avoided(from, to float64) float64 {
+func (t callTally) avoidedAt(from, to float64) float64 {
 	fine := func(i int, at float64) bool {
-		return t.trials(i, at, leftWindow, leftCalls) && t.trials(i, at, avoidWindow, leftCalls)
+		return t.trials(i, at, departureWindow, departureCalls) && t.trials(i, at, avoidanceWindow, departureCalls)
 	}
 	if fine(0, from) {
 		return from
 	}
-	for i := range t.at {
-		if t.there[i+1] > t.there[i] && i+1 < len(t.at) && fine(i+1, t.at[i]) {
-			return t.at[i]
+	for i := range t.times {
+		if t.affected[i+1] > t.affected[i] && i+1 < len(t.times) && fine(i+1, t.times[i]) {
+			return t.times[i]
 		}
 	}
 	return to
@@ -180,33 +180,33 @@
 
 // returned is how long after a fault's end its target first had backPart of the part of the calls that it had in the
 // beforeSpan before the fault, over backWindow; to the next fault, or the end, if it had not by then.
-func returned(in Input, calls []call, a objective, ev Event) float64 {
+func returnDelay(input Input, calls []call, affected affectedCalls, event Event) float64 {
 	share := func(from, to float64) (float64, int) {
 		n, there := 0, 0
-		for _, c := range between(calls, from, to) {
+		for _, c := range callsBetween(calls, from, to) {
 			if c.arrived {
 				n++
-				if a.part(c) {
+				if affected.targets(c) {
 					there++
 				}
 			}
 		}
-		return over(float64(there), float64(n)), n
+		return ratio(float64(there), float64(n)), n
 	}
-	before, _ := share(max(in.Exp.Warmup, ev.From-beforeSpan), ev.From)
-	until := in.Exp.Seconds
-	for _, other := range in.Events {
-		if other.From > ev.To && other.From < until {
-			until = other.From
+	before, _ := share(max(input.Experiment.Warmup, event.Start-baselineSeconds), event.Start)
+	until := input.Experiment.Seconds
+	for _, other := range input.Events {
+		if other.Start > event.End && other.Start < until {
+			until = other.Start
 		}
 	}
-	if !(before > 0) || until-ev.To < backWindow {
+	if !(before > 0) || until-event.End < returnWindow {
 		return math.NaN()
 	}
-	for at := ev.To; at+backWindow <= until; at += backStep {
-		if now, n := share(at, at+backWindow); n >= minRecovery && now >= backPart*before {
-			return at + backWindow - ev.To
+	for at := event.End; at+returnWindow <= until; at += returnStep {
+		if now, n := share(at, at+returnWindow); n >= minReturnCalls && now >= recoveredFraction*before {
+			return at + returnWindow - event.End
 		}
 	}
-	return until - ev.To
+	return until - event.End
 }
--- a/internal/faultlab/result/avoid_test.go
+++ b/internal/faultlab/result/avoid_test.go
@@ -32,7 +32,7 @@
 			if at <= k.until && n%2 == 0 || k.trialIn > 0 && n%k.trialIn == 0 {
 				to = "z"
 			}
-			out = append(out, call{at: 10 + at, proxy: k.name, from: k.name[:1], to: to, arrived: true})
+			out = append(out, call{time: 10 + at, proxy: k.name, fromZone: k.name[:1], toZone: to, arrived: true})
 		}
 	}
 	return out
@@ -44,23 +44,23 @@
 	for _, test := range []struct {
 		name    string
 		callers []caller
-		want    left
+		want    departures
 	}{
-		{"all at once", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 0.3, 0}}, left{0.26, 0.26, 0, 0.28, 0}},
-		{"one after another", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 0.9, 0}}, left{0.26, 0.86, 0.6, 0.86, 0}},
-		{"each zone by itself", []caller{{"a1", 100, 0.3, 0}, {"b1", 100, 0.9, 0}}, left{0.26, 0.86, 0, 0.86, 0}},
-		{"trials are no calls", []caller{{"a1", 100, 0.3, 50}, {"a2", 100, 0.5, 50}}, left{0.28, 0.46, 0.18, 0.48, 0}},
-		{"so many trials are", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 0.3, 10}}, left{0.26, 9.9, 9.64, 0, 1}},
-		{"few calls a second", []caller{{"a1", 10, 2, 0}, {"a2", 10, 2, 30}}, left{1.6, 1.8, 0.2, 2, 0}},
-		{"one that stays", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 10, 0}}, left{0.26, 9.98, 9.72, 10, 1}},
-		{"never there but for a trial", []caller{{"a1", 100, -1, 500}}, left{nan, nan, nan, 0, 0}},
+		{"all at once", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 0.3, 0}}, departures{0.26, 0.26, 0, 0.28, 0}},
+		{"one after another", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 0.9, 0}}, departures{0.26, 0.86, 0.6, 0.86, 0}},
+		{"each zone by itself", []caller{{"a1", 100, 0.3, 0}, {"b1", 100, 0.9, 0}}, departures{0.26, 0.86, 0, 0.86, 0}},
+		{"trials are no calls", []caller{{"a1", 100, 0.3, 50}, {"a2", 100, 0.5, 50}}, departures{0.28, 0.46, 0.18, 0.48, 0}},
+		{"so many trials are", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 0.3, 10}}, departures{0.26, 9.9, 9.64, 0, 1}},
+		{"few calls a second", []caller{{"a1", 10, 2, 0}, {"a2", 10, 2, 30}}, departures{1.6, 1.8, 0.2, 2, 0}},
+		{"one that stays", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 10, 0}}, departures{0.26, 9.98, 9.72, 10, 1}},
+		{"never there but for a trial", []caller{{"a1", 100, -1, 500}}, departures{nan, nan, nan, 0, 0}},
 	} {
-		got := leaving(during(test.callers...), objective{meets: func(c call) bool { return c.to == "z" }}, Event{From: 10, To: 20})
+		got := findDepartures(during(test.callers...), affectedCalls{affects: func(c call) bool { return c.toZone == "z" }}, Event{Start: 10, End: 20})
 		if test.name == "so many trials are" { // of all calls they are 5 %
-			got.all = 0
+			got.avoided = 0
 		}
-		text := func(l left) string {
-			return fmt.Sprintf("%.2f %.2f %.2f %.2f %d", l.first, l.last, l.spread, l.all, l.stayed)
+		text := func(l departures) string {
+			return fmt.Sprintf("%.2f %.2f %.2f %.2f %d", l.first, l.last, l.spread, l.avoided, l.stayed)
 		}
 		if got, want := text(got), text(test.want); got != want {
 			t.Errorf("%s: %s, want %s (first, last, spread, all, stayed)", test.name, got, want)
@@ -85,17 +85,17 @@
 		if owed += part; owed >= 1 {
 			owed, to = owed-1, "z"
 		}
-		calls = append(calls, call{at: at, from: "a", to: to, arrived: true})
+		calls = append(calls, call{time: at, fromZone: "a", toZone: to, arrived: true})
 	}
-	in := Input{Exp: &experiment.Experiment{Seconds: 30, Warmup: 2}}
-	a := objective{part: func(c call) bool { return c.to == "z" }}
-	ev := Event{N: 1, From: 10, To: 12}
+	input := Input{Experiment: &experiment.Experiment{Seconds: 30, Warmup: 2}}
+	affected := affectedCalls{targets: func(c call) bool { return c.toZone == "z" }}
+	event := Event{Number: 1, Start: 10, End: 12}
 	// The window of 2 s has 95 % of its half once it begins 3.4 s after the end, the last 0.6 s of the rise making up for it.
-	if got := returned(in, calls, a, ev); got < 5 || got > 5.5 {
+	if got := returnDelay(input, calls, affected, event); got < 5 || got > 5.5 {
 		t.Errorf("back after %v s, want 5 to 5.5", got)
 	}
-	in.Events = []Event{ev, {N: 2, From: 15, To: 16}}
-	if got := returned(in, calls, a, ev); got != 3 {
+	input.Events = []Event{event, {Number: 2, Start: 15, End: 16}}
+	if got := returnDelay(input, calls, affected, event); got != 3 {
 		t.Errorf("not back until the next fault: %v s, want the 3 s until that", got)
 	}
 }
@@ -104,16 +104,16 @@
 // room left bears two thirds; the requests that earn most for their work go first.
 func TestRoomWorth(t *testing.T) {
 	group := experiment.ServerGroup{Count: 2, Speed: 1, Slots: 1}
-	e := &experiment.Experiment{Seconds: 30, Zones: []experiment.Zone{{Name: "a", Proxies: 1, Servers: []experiment.ServerGroup{group}}},
+	exp := &experiment.Experiment{Seconds: 30, Zones: []experiment.Zone{{Name: "a", Proxies: 1, Servers: []experiment.ServerGroup{group}}},
 		Classes: []experiment.Class{{Weight: 10}, {Weight: 1}}, Servers: experiment.Servers{StartCapacity: 0.5, SlowStartMs: 4000}}
 	kill := func(from, lasts time.Duration) plan.Strike {
 		return plan.Strike{N: 1, Fault: experiment.Fault{Kind: "nodo_kill"}, At: from, For: lasts, Turns: []plan.Turn{{At: from, Target: "a-s1"}}}
 	}
-	var cs []client
+	var requests []clientRequest
 	for i := range 300 { // each tenth of a second one of 100 ms of each class, and every other one of no class twice
 		at := time.Duration(i) * 100 * time.Millisecond
-		cs = append(cs, client{Arrival: &plan.Arrival{At: at, Class: 0, Work: 50 * time.Millisecond}, end: referee.Served, inTime: true},
-			client{Arrival: &plan.Arrival{At: at, Class: 1, Work: 100 * time.Millisecond}, end: referee.Rejected})
+		requests = append(requests, clientRequest{Arrival: &plan.Arrival{At: at, Class: 0, Work: 50 * time.Millisecond}, outcome: referee.Served, inTime: true},
+			clientRequest{Arrival: &plan.Arrival{At: at, Class: 1, Work: 100 * time.Millisecond}, outcome: referee.Rejected})
 	}
 	for _, test := range []struct {
 		name   string
@@ -125,19 +125,19 @@
 		{"back cold in mid-span", kill(10*time.Second, 4*time.Second), false, 1000 / (1000 + 100.0)},
 		{"unreached is left out", kill(10*time.Second, 10*time.Second), true, 1},
 	} {
-		for i := range cs {
-			if cs[i].Class == 1 {
-				cs[i].end = map[bool]referee.Outcome{false: referee.Rejected, true: referee.Unreached}[test.unseen]
+		for i := range requests {
+			if requests[i].Class == 1 {
+				requests[i].outcome = map[bool]referee.Outcome{false: referee.Rejected, true: referee.Unreached}[test.unseen]
 			}
 		}
-		in := Input{Exp: e, Plan: &plan.Plan{Strikes: []plan.Strike{test.strike}}}
-		if got := in.headroomWeight(cs, Event{N: 1, From: 10, To: 20}); math.Abs(got-test.want) > 1e-3 {
+		input := Input{Experiment: exp, Plan: &plan.Plan{Strikes: []plan.Strike{test.strike}}}
+		if got := input.headroomUse(requests, Event{Number: 1, Start: 10, End: 20}); math.Abs(got-test.want) > 1e-3 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
-	in := Input{Exp: e, Plan: &plan.Plan{Strikes: []plan.Strike{kill(10*time.Second, 4*time.Second)}}}
+	input := Input{Experiment: exp, Plan: &plan.Plan{Strikes: []plan.Strike{kill(10*time.Second, 4*time.Second)}}}
 	// 10 s of the one, 6 s of the other less the 0.25 that it lacks on average over its 4 cold seconds.
-	if got := in.headroom(10, 20, func(string) bool { return true }); math.Abs(got-15) > 0.01 {
+	if got := input.availableWork(10, 20, func(string) bool { return true }); math.Abs(got-15) > 0.01 {
 		t.Errorf("room of %v s, want 15", got)
 	}
 }
@@ -153,17 +153,17 @@
 	for _, s := range []float64{10, 11} {
 		r.RecordUnansweredSend(referee.UnansweredSend{SentAt: at(s), Proxy: "a-p1", FromZone: "a", Server: "b-s1", Zone: "b", Dial: s == 11})
 	}
-	e := &experiment.Experiment{Seconds: 20, Zones: []experiment.Zone{{Name: "a", Proxies: 1}, {Name: "b"}}}
-	in := Input{Exp: e, Start: start, Record: r.Close(), Events: []Event{{N: 1, From: 9, To: 12}}, Plan: &plan.Plan{Strikes: []plan.Strike{
+	exp := &experiment.Experiment{Seconds: 20, Zones: []experiment.Zone{{Name: "a", Proxies: 1}, {Name: "b"}}}
+	input := Input{Experiment: exp, Start: start, Record: r.Close(), Events: []Event{{Number: 1, Start: 9, End: 12}}, Plan: &plan.Plan{Strikes: []plan.Strike{
 		{N: 1, Fault: experiment.Fault{Kind: "zone_cut", Zone: "b"}, At: 9 * time.Second, For: 3 * time.Second}}}}
-	f := map[string]float64{}
-	(&Play{}).avoidance(in, nil, f)
-	if f["wasted.1"] != 2 || f["dials_lost"] != 1 || f["left_last_s.1"] != 2 {
-		t.Errorf("got %v, want 2 wasted of which 1 a dial, the last after 2 s", f)
+	metrics := map[string]float64{}
+	(&Play{}).addAvoidance(input, nil, metrics)
+	if metrics["wasted.1"] != 2 || metrics["dials_lost"] != 1 || metrics["left_last_s.1"] != 2 {
+		t.Errorf("got %v, want 2 wasted of which 1 a dial, the last after 2 s", metrics)
 	}
-	for name := range f {
-		e.Faults = []experiment.Fault{{}}
-		if !experiment.KnownFigure(name, e) {
+	for name := range metrics {
+		exp.Faults = []experiment.Fault{{}}
+		if !experiment.KnownFigure(name, exp) {
 			t.Errorf("%s cannot be expected of a run", name)
 		}
 	}
--- a/internal/faultlab/result/control.go
+++ b/internal/faultlab/result/control.go
@@ -12,61 +12,61 @@
 )
 
 // Spent is what a role has spent so far: all that bear it together.
-type Spent struct {
-	In, Out int64 // bytes that came to it and that it sent
-	Calls   int64 // of the list and of leases: by it, or to it if it is a member of the service
-	CPU     time.Duration
-	Each    time.Duration // seconds that it was borne, over all that bear it
-	Memory  int64         // bytes, of all that bear it; of members the most of one
+type Usage struct {
+	BytesIn, BytesOut int64 // bytes that came to it and that it sent
+	Calls             int64 // of the list and of leases: by it, or to it if it is a member of the service
+	CPU               time.Duration
+	InstanceTime      time.Duration // seconds that it was borne, over all that bear it
+	Memory            int64         // bytes, of all that bear it; of members the most of one
 }
 
 // Plus is both together, and the larger memory.
-func (s Spent) Plus(o Spent) Spent {
-	return Spent{s.In + o.In, s.Out + o.Out, s.Calls + o.Calls, s.CPU + o.CPU, s.Each + o.Each, max(s.Memory, o.Memory)}
+func (s Usage) Plus(o Usage) Usage {
+	return Usage{s.BytesIn + o.BytesIn, s.BytesOut + o.BytesOut, s.Calls + o.Calls, s.CPU + o.CPU, s.InstanceTime + o.InstanceTime, max(s.Memory, o.Memory)}
 }
 
 // Reading is what control has cost until a moment.
-type Reading struct {
-	At         time.Time
-	Roles      map[string]Spent
-	Turned     float64                  // calls that members answered 503
+type Sample struct {
+	TakenAt    time.Time
+	Roles      map[string]Usage
+	Rejected   float64                  // calls that members answered 503
 	Watches    float64                  // held at all members together, at most
 	Gossip     []*hollow.ClusterMetrics // of each hollow proxy; empty without a fleet
 	RealGossip []*hollow.ClusterMetrics // of each real one
 }
 
 // Clone is a copy.
-func (r Reading) Clone() Reading {
+func (r Sample) Clone() Sample {
 	r.Roles = maps.Clone(r.Roles)
 	return r
 }
 
 // PhaseReading is a phase's two readings; nil if it did not come to it.
-type PhaseReading struct{ Before, After *Reading }
+type PhaseSamples struct{ Before, After *Sample }
 
 // Told is a version of the list, and when a proxy had it: nanoseconds of the machine's clock.
-type Told = hollow.VersionTime
+type ReceivedVersion = hollow.VersionTime
 
 // Control is what a play's metrics of control are made of.
 type Control struct {
-	Phases []PhaseReading
-	Hollow []hollow.Metrics
-	Real   [][]Told // versions that each real proxy was told
-	Puts   []Put
+	Phases            []PhaseSamples
+	Hollow            []hollow.Metrics
+	RealProxyVersions [][]ReceivedVersion // versions that each real proxy was told
+	ConfigWrites      []ConfigWrite
 }
 
-const sureBefore = 5 * time.Second // a change that was sure so long before the end should be known to all
+const confirmedBeforeEnd = 5 * time.Second // a change that was sure so long before the end should be known to all
 
 // Figures are those of control, phase by phase, of a load that began at start.
-func (c *Control) Figures(e *experiment.Experiment, start time.Time) map[string]float64 {
-	f := map[string]float64{}
+func (c *Control) Metrics(exp *experiment.Experiment, start time.Time) map[string]float64 {
+	metrics := map[string]float64{}
 	put := func(name string, v float64) {
 		if !math.IsNaN(v) && !math.IsInf(v, 0) {
-			f["control."+name] = v
+			metrics["control."+name] = v
 		}
 	}
 	var changes []hollow.Change
-	var tracks [][]Told
+	var tracks [][]ReceivedVersion
 	var deaths []hollow.Death
 	var lost [][]hollow.Death
 	var failures, moves, age float64
@@ -79,65 +79,65 @@
 			age = max(age, p.List.AgeMs)
 		}
 	}
-	put("hollow_stall_ms", c.Stall())
+	put("hollow_stall_ms", c.LongestStall())
 	put("list_failures", failures)
 	put("list_moves", moves)
 	put("list_age_last_ms", age)
-	end := start.Add(experiment.Seconds(e.Seconds)).UnixNano()
-	for i, p := range e.Phases {
+	end := start.Add(experiment.Seconds(exp.Seconds)).UnixNano()
+	for i, p := range exp.Phases {
 		if i < len(c.Phases) && c.Phases[i].Before != nil && c.Phases[i].After != nil {
-			spent(e, p.Name, c.Phases[i], put)
+			addUsage(exp, p.Name, c.Phases[i], put)
 		}
 		from, to := start.Add(experiment.Seconds(p.From)).UnixNano(), start.Add(experiment.Seconds(p.To)).UnixNano()
 		own := slices.DeleteFunc(slices.Clone(changes), func(x hollow.Change) bool { return x.RequestedAt < from || x.RequestedAt >= to })
 		put(p.Name+".changes", float64(len(own)))
-		spread(p.Name+".known", known(own, tracks), put)
-		spread(p.Name+".real_known", known(own, c.Real), put)
+		addQuantiles(p.Name+".known", notificationDelays(own, tracks), put)
+		addQuantiles(p.Name+".real_known", notificationDelays(own, c.RealProxyVersions), put)
 		var sure []float64
 		for _, x := range own {
 			sure = append(sure, float64(x.ConfirmedAt-x.RequestedAt)/1e6)
 		}
 		slices.Sort(sure)
-		spread(p.Name+".confirmed", sure, put)
-		put(p.Name+".unknown", float64(unknown(own, tracks, end)))
+		addQuantiles(p.Name+".confirmed", sure, put)
+		put(p.Name+".unknown", float64(countUnknown(own, tracks, end)))
 		died := slices.DeleteFunc(slices.Clone(deaths), func(x hollow.Death) bool { return x.At < from || x.At >= to })
-		late, never := buried(died, lost)
+		late, never := removalDelays(died, lost)
 		put(p.Name+".deaths", float64(len(died)))
-		spread(p.Name+".buried", late, put)
+		addQuantiles(p.Name+".buried", late, put)
 		put(p.Name+".unburied", float64(never))
-		c.configs(p.Name, from, to, put)
-		factors(p.Name, f, put)
+		c.configMetrics(p.Name, from, to, put)
+		addCalibration(p.Name, metrics, put)
 	}
-	return f
+	return metrics
 }
 
 // factors are what a real proxy's metrics are of a hollow one's, where both are told: the calibration.
-func factors(phase string, f map[string]float64, put func(string, float64)) {
+func addCalibration(phase string, metrics map[string]float64, put func(string, float64)) {
 	at := "control." + phase + "."
 	for factor, pair := range map[string][2]string{"calls": {"real.calls_s", "proxy.calls_s"}, "in": {"real.in_b_s", "proxy.in_b_s"},
 		"out": {"real.out_b_s", "proxy.out_b_s"}, "cpu": {"real.cpu_pct", "proxy.cpu_pct"},
 		"memory": {"real.memory_mb", "proxy.memory_mb"}, "known": {"real_known_p50_ms", "known_p50_ms"},
 		"gossip_in": {"real_gossip_in_b_s", "gossip_in_b_s"}, "gossip_out": {"real_gossip_out_b_s", "gossip_out_b_s"},
 		"gossip_sent": {"real_gossip_sent_s", "gossip_sent_s"}, "gossip_oldest": {"real_gossip_oldest_ms", "gossip_oldest_ms"}} {
-		if real, ok := f[at+pair[0]]; ok && f[at+pair[1]] > 0 {
-			put(phase+".factor."+factor, real/f[at+pair[1]])
+		if real, ok := metrics[at+pair[0]]; ok && metrics[at+pair[1]] > 0 {
+			put(phase+".factor."+factor, real/metrics[at+pair[1]])
 		}
 	}
 }
 
 // spent are the metrics of one phase's two readings.
-func spent(e *experiment.Experiment, phase string, r PhaseReading, put func(string, float64)) {
-	seconds := r.After.At.Sub(r.Before.At).Seconds()
-	borne := map[string]int{"proxy": e.Hollow.Proxies, "real": len(e.ProxyNodes()), "nodo": e.Hollow.Servers}
+func addUsage(exp *experiment.Experiment, phase string, r PhaseSamples, put func(string, float64)) {
+	seconds := r.After.TakenAt.Sub(r.Before.TakenAt).Seconds()
+	borne := map[string]int{"proxy": exp.Hollow.Proxies, "real": len(exp.ProxyNodes()), "nodo": exp.Hollow.Servers}
 	for role, after := range r.After.Roles {
 		before := r.Before.Roles[role]
-		each := (after.Each - before.Each).Seconds()
+		each := (after.InstanceTime - before.InstanceTime).Seconds()
 		if each <= 0 {
 			continue
 		}
 		name := phase + "." + role + "."
-		put(name+"in_b_s", float64(after.In-before.In)/each)
-		put(name+"out_b_s", float64(after.Out-before.Out)/each)
+		put(name+"in_b_s", float64(after.BytesIn-before.BytesIn)/each)
+		put(name+"out_b_s", float64(after.BytesOut-before.BytesOut)/each)
 		put(name+"calls_s", float64(after.Calls-before.Calls)/each)
 		if role == "regions" {
 			continue
@@ -146,18 +146,18 @@
 		n := float64(max(1, borne[role]))
 		put(name+"memory_mb", float64(after.Memory)/n/(1<<20))
 	}
-	put(phase+".turned", r.After.Turned-r.Before.Turned)
+	put(phase+".turned", r.After.Rejected-r.Before.Rejected)
 	put(phase+".watches_most", r.After.Watches)
 	if len(r.Before.Gossip) == len(r.After.Gossip) {
-		gossip(phase+".", r.Before.Gossip, r.After.Gossip, seconds, put)
+		addGossip(phase+".", r.Before.Gossip, r.After.Gossip, seconds, put)
 	}
 	if len(r.Before.RealGossip) == len(r.After.RealGossip) {
-		gossip(phase+".real_", r.Before.RealGossip, r.After.RealGossip, seconds, put)
+		addGossip(phase+".real_", r.Before.RealGossip, r.After.RealGossip, seconds, put)
 	}
 }
 
 // gossip are the metrics of a fleet's members in one phase, a member each.
-func gossip(name string, before, after []*hollow.ClusterMetrics, seconds float64, put func(string, float64)) {
+func addGossip(name string, before, after []*hollow.ClusterMetrics, seconds float64, put func(string, float64)) {
 	var in, out, sent, waiting, entries, dropped, oldest, n float64
 	least := math.Inf(1)
 	var ages []float64
@@ -185,11 +185,11 @@
 	put(name+"gossip_dropped", dropped)
 	put(name+"living_least", least)
 	slices.Sort(ages)
-	spread(name+"gossip_age", ages, put)
+	addQuantiles(name+"gossip_age", ages, put)
 }
 
 // known is how late each proxy knew each change, in ms, sorted: from its being confirmed. One that was told before counts 0.
-func known(changes []hollow.Change, tracks [][]Told) (out []float64) {
+func notificationDelays(changes []hollow.Change, tracks [][]ReceivedVersion) (out []float64) {
 	for _, t := range tracks {
 		for _, c := range changes {
 			if i := sort.Search(len(t), func(i int) bool { return t[i].Version >= c.Version }); i < len(t) {
@@ -202,12 +202,12 @@
 }
 
 // unknown counts the proxies and changes that never met, of changes that were sure long enough before the end.
-func unknown(changes []hollow.Change, tracks [][]Told, end int64) (n int) {
-	return unmet(changes, tracks, end-sureBefore.Nanoseconds())
+func countUnknown(changes []hollow.Change, tracks [][]ReceivedVersion, end int64) (n int) {
+	return countMissing(changes, tracks, end-confirmedBeforeEnd.Nanoseconds())
 }
 
 // unmet counts the proxies and changes that never met, of changes that were sure before a moment.
-func unmet(changes []hollow.Change, tracks [][]Told, before int64) (n int) {
+func countMissing(changes []hollow.Change, tracks [][]ReceivedVersion, before int64) (n int) {
 	for _, t := range tracks {
 		for _, c := range changes {
 			if c.ConfirmedAt < before && (len(t) == 0 || t[len(t)-1].Version < c.Version) {
@@ -220,7 +220,7 @@
 
 // buried is how late each proxy had each server that died out of its list, in ms, sorted; never counts those that did not: the
 // server was back before its lease had ended, or its zone is held.
-func buried(deaths []hollow.Death, lost [][]hollow.Death) (late []float64, never int) {
+func removalDelays(deaths []hollow.Death, lost [][]hollow.Death) (late []float64, never int) {
 	for _, of := range lost {
 		for _, d := range deaths {
 			i := slices.IndexFunc(of, func(x hollow.Death) bool { return x.Name == d.Name && x.At >= d.At })
@@ -235,7 +235,7 @@
 	return late, never
 }
 
-func spread(name string, sorted []float64, put func(string, float64)) {
+func addQuantiles(name string, sorted []float64, put func(string, float64)) {
 	if len(sorted) == 0 {
 		return
 	}
@@ -246,7 +246,7 @@
 }
 
 // Stall is the longest in which a hollow process did not run, in ms.
-func (c *Control) Stall() (most float64) {
+func (c *Control) LongestStall() (most float64) {
 	if c == nil {
 		return 0
 	}
--- a/internal/faultlab/result/figures.go
+++ b/internal/faultlab/result/figures.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	windowWidth  = 500 * time.Millisecond
-	stretch      = 4             // windows over which service is taken to be back or not
-	beforeSpan   = 5.0           // seconds before a fault that say what service was
-	backPart     = 0.95          // of it, to be back
-	maxLatency   = 3_600_000_000 // µs
-	latencyExact = 3             // metrics
+	windowWidth       = 500 * time.Millisecond
+	recoveryWindows   = 4             // windows over which service is taken to be back or not
+	baselineSeconds   = 5.0           // seconds before a fault that say what service was
+	recoveredFraction = 0.95          // of it, to be back
+	maxLatency        = 3_600_000_000 // µs
+	latencyDigits     = 3             // metrics
 )
 
 // Input is what the metrics of a play are made of.
 type Input struct {
-	Exp    *experiment.Experiment
-	Plan   *plan.Plan
-	Start  time.Time // of the load
-	Record referee.Record
-	Events []Event
-	Late   []time.Duration
-	Stall  time.Duration
-	Memory int64         // peak of a proxy's, bytes
-	CPU    time.Duration // of all proxies
-	List   *List         // of a list service with members; else nil
-	Gossip *Gossip       // nil if the fleet is off
+	Experiment *experiment.Experiment
+	Plan       *plan.Plan
+	Start      time.Time // of the load
+	Record     referee.Record
+	Events     []Event
+	Lateness   []time.Duration
+	Stall      time.Duration
+	Memory     int64         // peak of a proxy's, bytes
+	CPU        time.Duration // of all proxies
+	List       *List         // of a list service with members; else nil
+	Gossip     *Gossip       // nil if the fleet is off
 
 	Control *Control // nil without hollow ones
 }
@@ -49,87 +49,87 @@
 
 // List is what came of a list service.
 type List struct {
-	Checked int             // calls in its history
-	Told    []time.Duration // from a change's being confirmed to its being told, sorted
-	Lacks   int             // living servers that the list lacked, at most
-	Refused int             // starts refused for a damaged directory
+	CheckedCalls       int             // calls in its history
+	NotificationDelays []time.Duration // from a change's being confirmed to its being told, sorted
+	MissingServers     int             // living servers that the list lacked, at most
+	RefusedStarts      int             // starts refused for a damaged directory
 }
 
 // client is an arrival with what came of all its tries.
-type client struct {
+type clientRequest struct {
 	*plan.Arrival
 	attempts []*referee.ClientAttempt
-	end      referee.Outcome // Served, Refused, Failed, Unreached
-	took     time.Duration   // from the planned moment, if served
+	outcome  referee.Outcome // Served, Refused, Failed, Unreached
+	latency  time.Duration   // from the planned moment, if served
 	inTime   bool
 }
 
 // clients gathers the tries by arrival; arrivals that were not played are left out.
-func (in *Input) clients() []client {
-	byArrival := make([][]*referee.ClientAttempt, len(in.Plan.Arrivals))
-	for _, t := range in.Record.ClientAttempts {
+func (input *Input) clientRequests() []clientRequest {
+	byArrival := make([][]*referee.ClientAttempt, len(input.Plan.Arrivals))
+	for _, t := range input.Record.ClientAttempts {
 		byArrival[t.Arrival] = append(byArrival[t.Arrival], t)
 	}
-	var out []client
-	for i := range in.Plan.Arrivals {
-		a := &in.Plan.Arrivals[i]
-		c := client{Arrival: a, attempts: byArrival[i]}
-		if len(c.attempts) == 0 {
+	var out []clientRequest
+	for i := range input.Plan.Arrivals {
+		a := &input.Plan.Arrivals[i]
+		request := clientRequest{Arrival: a, attempts: byArrival[i]}
+		if len(request.attempts) == 0 {
 			continue
 		}
-		planned := in.Start.Add(a.At)
-		aim := experiment.Millis(in.Exp.Classes[a.Class].ObjectiveMs)
-		c.end = referee.Unreached
-		for _, t := range c.attempts {
+		planned := input.Start.Add(a.At)
+		aim := experiment.Millis(input.Experiment.Classes[a.Class].ObjectiveMs)
+		request.outcome = referee.Unreached
+		for _, t := range request.attempts {
 			switch {
 			case t.Outcome == referee.Served:
-				if took := t.EndedAt.Sub(planned); c.end != referee.Served || took < c.took {
-					c.end, c.took = referee.Served, took
+				if took := t.EndedAt.Sub(planned); request.outcome != referee.Served || took < request.latency {
+					request.outcome, request.latency = referee.Served, took
 				}
-			case c.end == referee.Served:
+			case request.outcome == referee.Served:
 			case t.Outcome == referee.Rejected, t.Outcome == referee.Unreached:
-				c.end = t.Outcome
+				request.outcome = t.Outcome
 			default:
-				c.end = referee.Failed
+				request.outcome = referee.Failed
 			}
 		}
-		c.inTime = c.end == referee.Served && c.took <= aim
-		out = append(out, c)
+		request.inTime = request.outcome == referee.Served && request.latency <= aim
+		out = append(out, request)
 	}
 	return out
 }
 
 // spanFigure is one of the metrics that can be asked of a span of arrivals and of a class (-1 for all).
-func spanFigure(e *experiment.Experiment, cs []client, name string, class int, from, to float64) float64 {
+func spanFigure(exp *experiment.Experiment, requests []clientRequest, name string, class int, from, to float64) float64 {
 	all, part := 0.0, 0.0
-	for _, c := range cs {
-		if at := c.At.Seconds(); at < from || at >= to || class >= 0 && c.Class != class {
+	for _, request := range requests {
+		if at := request.At.Seconds(); at < from || at >= to || class >= 0 && request.Class != class {
 			continue
 		}
 		weight := 1.0
 		if name == "worth_in_time" {
-			weight = e.Classes[c.Class].Weight
+			weight = exp.Classes[request.Class].Weight
 		}
 		all += weight
 		switch name {
 		case "worth_in_time", "in_time":
-			if !c.inTime {
+			if !request.inTime {
 				continue
 			}
 		case "served":
-			if c.end != referee.Served {
+			if request.outcome != referee.Served {
 				continue
 			}
 		case "refused":
-			if c.end != referee.Rejected {
+			if request.outcome != referee.Rejected {
 				continue
 			}
 		case "failed":
-			if c.end != referee.Failed {
+			if request.outcome != referee.Failed {
 				continue
 			}
 		case "unreached":
-			if c.end != referee.Unreached {
+			if request.outcome != referee.Unreached {
 				continue
 			}
 		}
@@ -142,66 +142,66 @@
 }
 
 // Fill computes a play's metrics.
-func (p *Play) Fill(in Input) {
-	e, cs := in.Exp, in.clients()
-	f := map[string]float64{}
-	end := e.Seconds
+func (p *Play) Fill(input Input) {
+	exp, requests := input.Experiment, input.clientRequests()
+	metrics := map[string]float64{}
+	end := exp.Seconds
 	for _, name := range []string{"worth_in_time", "in_time", "served", "refused", "failed", "unreached"} {
-		f[name] = spanFigure(e, cs, name, -1, e.Warmup, end)
-		for k, class := range e.Classes {
-			f[name+"."+class.Name] = spanFigure(e, cs, name, k, e.Warmup, end)
+		metrics[name] = spanFigure(exp, requests, name, -1, exp.Warmup, end)
+		for k, class := range exp.Classes {
+			metrics[name+"."+class.Name] = spanFigure(exp, requests, name, k, exp.Warmup, end)
 		}
 	}
-	p.traffic(in, cs, f)
-	p.latency(in, cs, f)
+	p.addTraffic(input, requests, metrics)
+	p.addLatency(input, requests, metrics)
 	for _, rule := range experiment.Rules {
-		n := in.Record.ViolationCounts[rule]
-		f["broken."+rule] = float64(n)
-		f["broken"] += float64(n)
+		n := input.Record.ViolationCounts[rule]
+		metrics["broken."+rule] = float64(n)
+		metrics["broken"] += float64(n)
 	}
-	p.Broken, p.Violations = in.Record.ViolationCounts, in.Record.Violations
-	p.windows(in, cs)
-	p.recovery(in, f)
-	p.avoidance(in, cs, f)
-	t := in.Record.Tally
-	for name, n := range map[string]int{"handshakes": len(in.Record.ConnectTimes), "list_calls": t.ListCalls,
+	p.ViolationCounts, p.Violations = input.Record.ViolationCounts, input.Record.Violations
+	p.addWindows(input, requests)
+	p.addRecovery(input, metrics)
+	p.addAvoidance(input, requests, metrics)
+	t := input.Record.Tally
+	for name, n := range map[string]int{"handshakes": len(input.Record.ConnectTimes), "list_calls": t.ListCalls,
 		"watch_breaks": t.WatchBreaks, "late_answers": t.LateResponses, "turned_back": t.Rejected, "resent": t.Resent,
 		"tipped": t.Overloads, "crashed": t.Crashed} {
-		f[name] = float64(n)
+		metrics[name] = float64(n)
 	}
-	if l := in.List; l != nil {
-		f["list_checked"], f["list_refused"], f["list_lacks"] = float64(l.Checked), float64(l.Refused), float64(l.Lacks)
-		f["list_told_p50_ms"], f["list_told_p99_ms"] = quantile(l.Told, 0.5), quantile(l.Told, 0.99)
-		f["list_told_max_ms"] = quantile(l.Told, 1)
+	if l := input.List; l != nil {
+		metrics["list_checked"], metrics["list_refused"], metrics["list_lacks"] = float64(l.CheckedCalls), float64(l.RefusedStarts), float64(l.MissingServers)
+		metrics["list_told_p50_ms"], metrics["list_told_p99_ms"] = quantile(l.NotificationDelays, 0.5), quantile(l.NotificationDelays, 0.99)
+		metrics["list_told_max_ms"] = quantile(l.NotificationDelays, 1)
 	}
-	if g := in.Gossip; g != nil {
-		each := e.Seconds * float64(len(e.ProxyNodes()))
-		f["gossip_packets_s"], f["gossip_kb_s"] = float64(g.Packets)/each, float64(g.Bytes)/1000/each
+	if g := input.Gossip; g != nil {
+		each := exp.Seconds * float64(len(exp.ProxyNodes()))
+		metrics["gossip_packets_s"], metrics["gossip_kb_s"] = float64(g.Packets)/each, float64(g.Bytes)/1000/each
 	}
-	if c := in.Control; c != nil {
-		maps.Copy(f, c.Figures(e, in.Start))
+	if c := input.Control; c != nil {
+		maps.Copy(metrics, c.Metrics(exp, input.Start))
 	}
-	f["handshakes_per_request"] = over(f["handshakes"], f["requests"])
-	f["proxy_memory_mb"], f["proxy_cpu_s"] = float64(in.Memory)/(1<<20), in.CPU.Seconds()
-	p.Late = lateness(in.Late, in.Stall)
-	for _, x := range e.Expect {
-		p.Spans = append(p.Spans, p.expected(e, cs, f, x))
+	metrics["handshakes_per_request"] = ratio(metrics["handshakes"], metrics["requests"])
+	metrics["proxy_memory_mb"], metrics["proxy_cpu_s"] = float64(input.Memory)/(1<<20), input.CPU.Seconds()
+	p.Lateness = lateness(input.Lateness, input.Stall)
+	for _, x := range exp.Expect {
+		p.Spans = append(p.Spans, p.expectedMetric(exp, requests, metrics, x))
 	}
-	for name, v := range f { // JSON has no NaN: a share of nothing is left out
+	for name, v := range metrics { // JSON has no NaN: a share of nothing is left out
 		if math.IsNaN(v) {
-			delete(f, name)
+			delete(metrics, name)
 		}
 	}
-	p.Metrics = f
+	p.Metrics = metrics
 }
 
-func (p *Play) expected(e *experiment.Experiment, cs []client, f map[string]float64, x experiment.Expect) float64 {
-	v, ok := f[x.Figure]
+func (p *Play) expectedMetric(exp *experiment.Experiment, requests []clientRequest, metrics map[string]float64, x experiment.Expect) float64 {
+	v, ok := metrics[x.Figure]
 	if experiment.SpanFigure(x.Figure) {
 		base, name, _ := strings.Cut(x.Figure, ".")
-		class := slices.IndexFunc(e.Classes, func(k experiment.Class) bool { return k.Name == name })
-		from, to := x.Span(e)
-		v, ok = spanFigure(e, cs, base, class, from, to), true
+		class := slices.IndexFunc(exp.Classes, func(k experiment.Class) bool { return k.Name == name })
+		from, to := x.Span(exp)
+		v, ok = spanFigure(exp, requests, base, class, from, to), true
 	}
 	if !ok || math.IsNaN(v) {
 		return -1 // what did not come about holds no bound from below, and any from above
@@ -209,7 +209,7 @@
 	return v
 }
 
-func over(a, b float64) float64 {
+func ratio(a, b float64) float64 {
 	if b == 0 {
 		return math.NaN()
 	}
@@ -217,12 +217,12 @@
 }
 
 // traffic counts requests, tries and attempts, by the zones that they went between.
-func (p *Play) traffic(in Input, cs []client, f map[string]float64) {
+func (p *Play) addTraffic(input Input, requests []clientRequest, metrics map[string]float64) {
 	zoneOf := map[string]string{}
-	for _, n := range in.Exp.ProxyNodes() {
+	for _, n := range input.Experiment.ProxyNodes() {
 		zoneOf[n.Name] = n.Zone
 	}
-	p.Zones = in.Exp.ZoneNames()
+	p.Zones = input.Experiment.ZoneNames()
 	p.Attempts = map[string][]int{}
 	for _, z := range p.Zones {
 		p.Attempts[z] = make([]int, len(p.Zones))
@@ -230,7 +230,7 @@
 	cross, waste := 0, time.Duration(0)
 	var waits []time.Duration
 	first := map[*referee.ClientAttempt]bool{}
-	for _, a := range in.Record.Attempts {
+	for _, a := range input.Record.Attempts {
 		from := zoneOf[a.ClientAttempt().Proxy]
 		if row, to := p.Attempts[from], slices.Index(p.Zones, a.Zone); row != nil && to >= 0 {
 			row[to]++
@@ -246,28 +246,28 @@
 			waits = append(waits, a.FirstByteAt.Sub(t.WrittenAt))
 		}
 	}
-	f["requests"], f["tries"], f["attempts"] = float64(len(cs)), float64(len(in.Record.ClientAttempts)), float64(len(in.Record.Attempts))
-	f["attempts_per_request"] = over(f["attempts"], f["requests"])
-	f["cross_zone"], f["cross_zone_share"] = float64(cross), over(float64(cross), f["attempts"])
-	f["waste_ms"] = float64(waste) / float64(time.Millisecond)
-	f["overhead_p50_ms"] = quantile(waits, 0.5)
+	metrics["requests"], metrics["tries"], metrics["attempts"] = float64(len(requests)), float64(len(input.Record.ClientAttempts)), float64(len(input.Record.Attempts))
+	metrics["attempts_per_request"] = ratio(metrics["attempts"], metrics["requests"])
+	metrics["cross_zone"], metrics["cross_zone_share"] = float64(cross), ratio(float64(cross), metrics["attempts"])
+	metrics["waste_ms"] = float64(waste) / float64(time.Millisecond)
+	metrics["overhead_p50_ms"] = quantile(waits, 0.5)
 }
 
 // latency is of all that was served, in time or not, from the planned moment of the first try.
-func (p *Play) latency(in Input, cs []client, f map[string]float64) {
+func (p *Play) addLatency(input Input, requests []clientRequest, metrics map[string]float64) {
 	p.Latency = map[string][]float64{}
-	all := hdrhistogram.New(1, maxLatency, latencyExact)
+	all := hdrhistogram.New(1, maxLatency, latencyDigits)
 	of := func(h *hdrhistogram.Histogram) (out []float64) {
 		for _, q := range Percentiles {
 			out = append(out, float64(h.ValueAtQuantile(q))/1000)
 		}
 		return out
 	}
-	for k, class := range in.Exp.Classes {
-		h := hdrhistogram.New(1, maxLatency, latencyExact)
-		for _, c := range cs {
-			if c.Class == k && c.end == referee.Served && c.At.Seconds() >= in.Exp.Warmup {
-				_ = h.RecordValue(min(max(c.took.Microseconds(), 1), maxLatency))
+	for k, class := range input.Experiment.Classes {
+		h := hdrhistogram.New(1, maxLatency, latencyDigits)
+		for _, request := range requests {
+			if request.Class == k && request.outcome == referee.Served && request.At.Seconds() >= input.Experiment.Warmup {
+				_ = h.RecordValue(min(max(request.latency.Microseconds(), 1), maxLatency))
 			}
 		}
 		if h.TotalCount() > 0 {
@@ -279,22 +279,22 @@
 		return
 	}
 	for q, name := range map[float64]string{50: "p50_ms", 90: "p90_ms", 99: "p99_ms", 100: "max_ms"} {
-		f[name] = float64(all.ValueAtQuantile(q)) / 1000
+		metrics[name] = float64(all.ValueAtQuantile(q)) / 1000
 	}
 }
 
-func (p *Play) windows(in Input, cs []client) {
-	n := int(math.Ceil(in.Exp.Seconds / windowWidth.Seconds()))
+func (p *Play) addWindows(input Input, requests []clientRequest) {
+	n := int(math.Ceil(input.Experiment.Seconds / windowWidth.Seconds()))
 	p.Windows = make([]Window, n)
 	for i := range p.Windows {
-		p.Windows[i].At = float64(i) * windowWidth.Seconds()
+		p.Windows[i].Start = float64(i) * windowWidth.Seconds()
 	}
-	for _, c := range cs {
-		w := &p.Windows[min(int(c.At/windowWidth), n-1)]
-		worth := in.Exp.Classes[c.Class].Weight
+	for _, request := range requests {
+		w := &p.Windows[min(int(request.At/windowWidth), n-1)]
+		worth := input.Experiment.Classes[request.Class].Weight
 		w.Arrived++
 		w.Weight += worth
-		switch c.end {
+		switch request.outcome {
 		case referee.Served:
 			w.Served++
 		case referee.Rejected:
@@ -302,68 +302,68 @@
 		default:
 			w.Failed++
 		}
-		if c.inTime {
+		if request.inTime {
 			w.InTime += worth
 		}
 	}
-	for _, at := range in.Record.ConnectTimes {
-		if i := int(at.Sub(in.Start) / windowWidth); i >= 0 && i < n {
+	for _, at := range input.Record.ConnectTimes {
+		if i := int(at.Sub(input.Start) / windowWidth); i >= 0 && i < n {
 			p.Windows[i].Connects++
 		}
 	}
 }
 
 // share is the worth in time of the windows from one up to another.
-func (p *Play) share(from, to int) float64 {
+func (p *Play) weightInTime(from, to int) float64 {
 	worth, in := 0.0, 0.0
 	to = min(to, len(p.Windows))
 	for _, w := range p.Windows[min(max(from, 0), to):to] {
 		worth, in = worth+w.Weight, in+w.InTime
 	}
-	return over(in, worth)
+	return ratio(in, worth)
 }
 
 // recovery tells of each fault how long it took until service was back at 95 % of what it was: to the moment from which
 // on every stretch of 2 s lay over that, up to the next fault. One that lies below to the end has not recovered.
-func (p *Play) recovery(in Input, f map[string]float64) {
-	p.Events = in.Events
+func (p *Play) addRecovery(input Input, metrics map[string]float64) {
+	p.Events = input.Events
 	width := windowWidth.Seconds()
 	for i := range p.Events {
-		ev := &p.Events[i]
-		until := in.Exp.Seconds
+		event := &p.Events[i]
+		until := input.Experiment.Seconds
 		for _, other := range p.Events {
-			if other.From > ev.From+width && other.From < until {
-				until = other.From
+			if other.Start > event.Start+width && other.Start < until {
+				until = other.Start
 			}
 		}
-		first := int(ev.From / width)
-		before := max(first-int(beforeSpan/width), int(in.Exp.Warmup/width))
-		ev.Before = p.share(before, first)
-		if math.IsNaN(ev.Before) {
-			ev.Before = 1
+		first := int(event.Start / width)
+		before := max(first-int(baselineSeconds/width), int(input.Experiment.Warmup/width))
+		event.WeightBefore = p.weightInTime(before, first)
+		if math.IsNaN(event.WeightBefore) {
+			event.WeightBefore = 1
 		}
 		last := int(until / width)
-		for at := first; at+stretch <= last; at++ {
-			if share := p.share(at, at+stretch); share < backPart*ev.Before {
-				ev.Recovery = float64(at+1)*width - ev.From
-				ev.Below = at+stretch == last
+		for at := first; at+recoveryWindows <= last; at++ {
+			if share := p.weightInTime(at, at+recoveryWindows); share < recoveredFraction*event.WeightBefore {
+				event.Recovery = float64(at+1)*width - event.Start
+				event.StillDegraded = at+recoveryWindows == last
 			}
 		}
-		if ev.Below {
-			ev.Recovery = until - ev.From
+		if event.StillDegraded {
+			event.Recovery = until - event.Start
 		}
-		f[fmt.Sprintf("recovery_s.%d", ev.N)] = ev.Recovery
-		f["recovery_s"] = max(f["recovery_s"], ev.Recovery)
+		metrics[fmt.Sprintf("recovery_s.%d", event.Number)] = event.Recovery
+		metrics["recovery_s"] = max(metrics["recovery_s"], event.Recovery)
 	}
 }
 
-func quantile(vs []time.Duration, q float64) float64 {
-	if len(vs) == 0 {
+func quantile(values []time.Duration, q float64) float64 {
+	if len(values) == 0 {
 		return math.NaN()
 	}
-	vs = slices.Clone(vs)
-	slices.Sort(vs)
-	return float64(vs[min(int(q*float64(len(vs))), len(vs)-1)]) / float64(time.Millisecond)
+	values = slices.Clone(values)
+	slices.Sort(values)
+	return float64(values[min(int(q*float64(len(values))), len(values)-1)]) / float64(time.Millisecond)
 }
 
 func lateness(late []time.Duration, stall time.Duration) Lateness {
--- a/internal/faultlab/result/objective.go
+++ b/internal/faultlab/result/objective.go
@@ -10,23 +10,23 @@
 )
 
 // aim is which calls a fault meets: those that a fleet does well to avoid while it holds.
-type objective struct {
-	meets func(call) bool // by proxies that live on
-	part  func(call) bool // all calls of its target, the callers' own zone included where that is lost with it
+type affectedCalls struct {
+	affects func(call) bool // by proxies that live on
+	targets func(call) bool // all calls of its target, the callers' own zone included where that is lost with it
 }
 
 // call is an attempt, or an unanswered send: what a proxy sent towards a server.
 type call struct {
-	at              float64 // seconds of the load
-	proxy, server   string
-	from, to        string // zones
-	served, arrived bool
+	time             float64 // seconds of the load
+	proxy, server    string
+	fromZone, toZone string // zones
+	served, arrived  bool
 }
 
 // callsOf are all calls in order. Bytes that were held over a cut and came to the server after it count once.
-func (in *Input) callsOf() []call {
+func (input *Input) calls() []call {
 	zoneOf := map[string]string{}
-	for _, n := range in.Exp.ProxyNodes() {
+	for _, n := range input.Experiment.ProxyNodes() {
 		zoneOf[n.Name] = n.Zone
 	}
 	type key struct {
@@ -35,54 +35,54 @@
 	}
 	came := map[key]bool{}
 	var out []call
-	for _, a := range in.Record.Attempts {
+	for _, a := range input.Record.Attempts {
 		came[key{a.Server, a.FirstByteAt}] = true
 		t := a.ClientAttempt()
-		out = append(out, call{a.FirstByteAt.Sub(in.Start).Seconds(), t.Proxy, a.Server, zoneOf[t.Proxy], a.Zone, a.Served(), true})
+		out = append(out, call{a.FirstByteAt.Sub(input.Start).Seconds(), t.Proxy, a.Server, zoneOf[t.Proxy], a.Zone, a.Served(), true})
 	}
-	for _, k := range in.Record.UnansweredSends {
+	for _, k := range input.Record.UnansweredSends {
 		if !came[key{k.Server, k.SentAt}] {
-			out = append(out, call{k.SentAt.Sub(in.Start).Seconds(), k.Proxy, k.Server, k.FromZone, k.Zone, false, false})
+			out = append(out, call{k.SentAt.Sub(input.Start).Seconds(), k.Proxy, k.Server, k.FromZone, k.Zone, false, false})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b call) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(out, func(a, b call) int { return cmp.Compare(a.time, b.time) })
 	return out
 }
 
 // aimOf tells which calls a strike meets; false if it is no fault that calls could avoid.
-func objectiveOf(s plan.Strike) (objective, bool) {
+func affectedBy(s plan.Strike) (affectedCalls, bool) {
 	f := s.Fault
 	kind := experiment.Kinds[f.Kind]
 	one := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 	switch {
 	case f.Kind == "zone_loss":
-		return objective{func(c call) bool { return c.to == f.Zone && c.from != f.Zone },
-			func(c call) bool { return c.to == f.Zone }}, true
+		return affectedCalls{func(c call) bool { return c.toZone == f.Zone && c.fromZone != f.Zone },
+			func(c call) bool { return c.toZone == f.Zone }}, true
 	case f.Kind == "zone_cut":
-		meets := func(c call) bool { return (c.to == f.Zone) != (c.from == f.Zone) }
-		return objective{meets, meets}, true
+		meets := func(c call) bool { return (c.toZone == f.Zone) != (c.fromZone == f.Zone) }
+		return affectedCalls{meets, meets}, true
 	case f.Kind == "nodo_drain" || f.Kind == "nodo_replace" || f.Kind == "gossip_lie": // the list tells of these, or nothing is wrong
-		return objective{}, false
+		return affectedCalls{}, false
 	case kind.Servers:
 		struck := map[string]bool{}
 		for _, turn := range s.Turns {
 			struck[turn.Target] = true
 		}
 		meets := func(c call) bool { return struck[c.server] }
-		return objective{meets, meets}, true
+		return affectedCalls{meets, meets}, true
 	case kind.Links && (f.Link == "" || f.Link == "nodo") && (f.ToZone != "" || f.Zone != "" || len(f.Servers) > 0):
 		meets := func(c call) bool {
-			return (f.FromZone == "" || c.from == f.FromZone) && (f.ToZone == "" || c.to == f.ToZone) &&
-				(f.Zone == "" || c.from == f.Zone || c.to == f.Zone) && one(f.Proxies, c.proxy) && one(f.Servers, c.server)
+			return (f.FromZone == "" || c.fromZone == f.FromZone) && (f.ToZone == "" || c.toZone == f.ToZone) &&
+				(f.Zone == "" || c.fromZone == f.Zone || c.toZone == f.Zone) && one(f.Proxies, c.proxy) && one(f.Servers, c.server)
 		}
-		return objective{meets, meets}, true
+		return affectedCalls{meets, meets}, true
 	}
-	return objective{}, false
+	return affectedCalls{}, false
 }
 
 // between is the calls from one moment up to another.
-func between(cs []call, from, to float64) []call {
-	i, _ := slices.BinarySearchFunc(cs, from, func(c call, at float64) int { return cmp.Compare(c.at, at) })
-	j, _ := slices.BinarySearchFunc(cs, to, func(c call, at float64) int { return cmp.Compare(c.at, at) })
+func callsBetween(cs []call, from, to float64) []call {
+	i, _ := slices.BinarySearchFunc(cs, from, func(c call, at float64) int { return cmp.Compare(c.time, at) })
+	j, _ := slices.BinarySearchFunc(cs, to, func(c call, at float64) int { return cmp.Compare(c.time, at) })
 	return cs[i:max(i, j)]
 }
--- a/internal/faultlab/result/result.go
+++ b/internal/faultlab/result/result.go
@@ -21,16 +21,16 @@
 
 // Result is a run: one or more plays of an experiment.
 type Result struct {
-	Title    string           `json:"title"`
-	File     string           `json:"file"`
-	Version  string           `json:"version"` // of the program that was run
-	Began    time.Time        `json:"began"`
-	Machine  Machine          `json:"machine"`
-	Partial  string           `json:"partial,omitempty"` // why the run is not whole
-	Plays    []Play           `json:"plays"`
-	Metrics  map[string]Range `json:"figures"`
-	Expected []Verdict        `json:"expected"`
-	Held     bool             `json:"held"` // every expectation of every play; of no meaning for a void run
+	Title     string           `json:"title"`
+	File      string           `json:"file"`
+	Version   string           `json:"version"` // of the program that was run
+	StartedAt time.Time        `json:"began"`
+	Machine   Machine          `json:"machine"`
+	Partial   string           `json:"partial,omitempty"` // why the run is not whole
+	Plays     []Play           `json:"plays"`
+	Metrics   map[string]Range `json:"figures"`
+	Expected  []Verdict        `json:"expected"`
+	Held      bool             `json:"held"` // every expectation of every play; of no meaning for a void run
 }
 
 // Machine is what the run shared.
@@ -42,21 +42,21 @@
 
 // Play is one play.
 type Play struct {
-	Seed       uint64               `json:"seed"`
-	Plan       string               `json:"plan"` // digest
-	Void       string               `json:"void,omitempty"`
-	Partial    bool                 `json:"partial,omitempty"`
-	Late       Lateness             `json:"late"`
-	LabMB      float64              `json:"lab_mb"` // the lab's own peak of resident memory
-	Metrics    map[string]float64   `json:"figures"`
-	Broken     map[string]int       `json:"broken"`
-	Violations []referee.Violation  `json:"violations,omitempty"`
-	Events     []Event              `json:"events"`
-	Windows    []Window             `json:"windows"`
-	Latency    map[string][]float64 `json:"latency_ms"` // at Percentiles, by class
-	Attempts   map[string][]int     `json:"attempts"`   // of each zone's proxies, by the zone of the server
-	Zones      []string             `json:"zones"`
-	Spans      []float64            `json:"spans"` // figure of each expectation
+	Seed            uint64               `json:"seed"`
+	Plan            string               `json:"plan"` // digest
+	Void            string               `json:"void,omitempty"`
+	Partial         bool                 `json:"partial,omitempty"`
+	Lateness        Lateness             `json:"late"`
+	LabMB           float64              `json:"lab_mb"` // the lab's own peak of resident memory
+	Metrics         map[string]float64   `json:"figures"`
+	ViolationCounts map[string]int       `json:"broken"`
+	Violations      []referee.Violation  `json:"violations,omitempty"`
+	Events          []Event              `json:"events"`
+	Windows         []Window             `json:"windows"`
+	Latency         map[string][]float64 `json:"latency_ms"` // at Percentiles, by class
+	Attempts        map[string][]int     `json:"attempts"`   // of each zone's proxies, by the zone of the server
+	Zones           []string             `json:"zones"`
+	Spans           []float64            `json:"spans"` // figure of each expectation
 }
 
 // Percentiles of Play.Latency.
@@ -72,19 +72,19 @@
 
 // Event is a fault as it was carried out, and how long service was hurt.
 type Event struct {
-	N        int      `json:"n"`
-	Kind     string   `json:"kind"`
-	Target   []string `json:"target,omitempty"`
-	From     float64  `json:"from"` // seconds of the load
-	To       float64  `json:"to"`
-	Recovery float64  `json:"recovery_s"` // from its beginning until service stays at 95 % of what it was; 0: never under
-	Below    bool     `json:"below"`      // it still was not, when the next fault began or the load ended
-	Before   float64  `json:"before"`     // worth in time before it
+	Number        int      `json:"n"`
+	Kind          string   `json:"kind"`
+	Target        []string `json:"target,omitempty"`
+	Start         float64  `json:"from"` // seconds of the load
+	End           float64  `json:"to"`
+	Recovery      float64  `json:"recovery_s"` // from its beginning until service stays at 95 % of what it was; 0: never under
+	StillDegraded bool     `json:"below"`      // it still was not, when the next fault began or the load ended
+	WeightBefore  float64  `json:"before"`     // worth in time before it
 }
 
 // Window is half a second of arrivals.
 type Window struct {
-	At       float64 `json:"at"`
+	Start    float64 `json:"at"`
 	Weight   float64 `json:"worth"`
 	InTime   float64 `json:"in_time"` // worth
 	Arrived  int     `json:"arrived"`
@@ -103,32 +103,32 @@
 
 // Verdict is an expectation and what came of it, over all plays.
 type Verdict struct {
-	Figure string   `json:"figure"`
+	Metric string   `json:"figure"`
 	Min    *float64 `json:"min,omitempty"`
 	Max    *float64 `json:"max,omitempty"`
-	From   float64  `json:"from,omitempty"`
-	To     float64  `json:"to,omitempty"`
+	Start  float64  `json:"from,omitempty"`
+	End    float64  `json:"to,omitempty"`
 	Range  Range    `json:"range"`
 	Held   bool     `json:"held"`
 	Text   string   `json:"text,omitempty"` // of the plays that did not hold it
 }
 
 // rangeOf sums metrics up. Figures that a play lacks are left out.
-func rangeOf(vs []float64) Range {
-	vs = slices.DeleteFunc(slices.Clone(vs), math.IsNaN)
-	if len(vs) == 0 {
+func rangeOf(values []float64) Range {
+	values = slices.DeleteFunc(slices.Clone(values), math.IsNaN)
+	if len(values) == 0 {
 		return Range{}
 	}
-	slices.Sort(vs)
-	mid := vs[len(vs)/2]
-	if len(vs)%2 == 0 {
-		mid = (mid + vs[len(vs)/2-1]) / 2
+	slices.Sort(values)
+	mid := values[len(values)/2]
+	if len(values)%2 == 0 {
+		mid = (mid + values[len(values)/2-1]) / 2
 	}
-	return Range{mid, vs[0], vs[len(vs)-1]}
+	return Range{mid, values[0], values[len(values)-1]}
 }
 
 // Conclude sums the plays up and judges what was expected. Void plays count for nothing.
-func (r *Result) Conclude(e *experiment.Experiment) {
+func (r *Result) Conclude(exp *experiment.Experiment) {
 	r.Metrics, r.Expected, r.Held = map[string]Range{}, nil, true
 	var whole []Play
 	for _, p := range r.Plays {
@@ -142,30 +142,30 @@
 			byName[name] = append(byName[name], v)
 		}
 	}
-	for name, vs := range byName {
-		r.Metrics[name] = rangeOf(vs)
+	for name, values := range byName {
+		r.Metrics[name] = rangeOf(values)
 	}
 	judge := func(x experiment.Expect, of func(Play) float64) {
-		v := Verdict{Figure: x.Figure, Min: x.Min, Max: x.Max, From: x.From, To: x.To, Held: true}
-		var vs []float64
+		v := Verdict{Metric: x.Figure, Min: x.Min, Max: x.Max, Start: x.From, End: x.To, Held: true}
+		var values []float64
 		for i, p := range whole {
 			f := of(p)
-			vs = append(vs, f)
+			values = append(values, f)
 			if ok, text := x.Held(f); !ok {
 				v.Held, r.Held = false, false
 				v.Text += fmt.Sprintf("play %d: %s\n", i+1, text)
 			}
 		}
-		v.Range = rangeOf(vs)
+		v.Range = rangeOf(values)
 		r.Expected = append(r.Expected, v)
 	}
-	if e.Lab.Rules == "enforce" {
+	if exp.Lab.Rules == "enforce" {
 		zero := 0.0
 		for _, rule := range append(prefixed(experiment.Rules), "crashed") {
 			judge(experiment.Expect{Figure: rule, Max: &zero}, func(p Play) float64 { return p.Metrics[rule] })
 		}
 	}
-	for i, x := range e.Expect {
+	for i, x := range exp.Expect {
 		judge(x, func(p Play) float64 { return p.Spans[i] })
 	}
 }
@@ -178,7 +178,7 @@
 }
 
 // Void tells whether no play counts, and why.
-func (r *Result) Void() string {
+func (r *Result) VoidReason() string {
 	why := "no play was made"
 	for _, p := range r.Plays {
 		if p.Void == "" {
@@ -190,18 +190,18 @@
 }
 
 // Names are the metrics' names in order: broken rules last.
-func (r *Result) Names() []string {
+func (r *Result) MetricNames() []string {
 	var names []string
 	for name := range r.Metrics {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, func(a, b string) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(metricRank(a), metricRank(b)), cmp.Compare(a, b))
 	})
 	return names
 }
 
-func rank(name string) int {
+func metricRank(name string) int {
 	if len(name) >= 6 && name[:6] == "broken" {
 		return 1
 	}
--- a/internal/faultlab/result/result_test.go
+++ b/internal/faultlab/result/result_test.go
@@ -11,31 +11,31 @@
 )
 
 // fill plays ten requests a second for 20 s, whose answers are late from some second on until another.
-func fill(t *testing.T, from, to float64, e *experiment.Experiment, events ...Event) Play {
+func fill(t *testing.T, from, to float64, exp *experiment.Experiment, events ...Event) Play {
 	t.Helper()
 	start := time.Unix(1000, 0)
-	e.Seconds, e.Zones = 20, []experiment.Zone{{Name: "z", Proxies: 1}}
-	e.Classes = []experiment.Class{{Name: "c", ObjectiveMs: 100, Weight: 2}}
-	in := Input{Exp: e, Plan: &plan.Plan{}, Start: start, Events: events}
-	for _, ev := range events {
-		in.Plan.Strikes = append(in.Plan.Strikes, plan.Strike{N: ev.N})
+	exp.Seconds, exp.Zones = 20, []experiment.Zone{{Name: "z", Proxies: 1}}
+	exp.Classes = []experiment.Class{{Name: "c", ObjectiveMs: 100, Weight: 2}}
+	input := Input{Experiment: exp, Plan: &plan.Plan{}, Start: start, Events: events}
+	for _, event := range events {
+		input.Plan.Strikes = append(input.Plan.Strikes, plan.Strike{N: event.Number})
 	}
 	for i := range 200 {
 		at := time.Duration(i) * 100 * time.Millisecond
-		in.Plan.Arrivals = append(in.Plan.Arrivals, plan.Arrival{N: i, At: at})
+		input.Plan.Arrivals = append(input.Plan.Arrivals, plan.Arrival{N: i, At: at})
 		took := 50 * time.Millisecond
 		if s := at.Seconds(); s >= from && s < to {
 			took = 150 * time.Millisecond
 		}
-		in.Record.ClientAttempts = append(in.Record.ClientAttempts, &referee.ClientAttempt{Arrival: i, Outcome: referee.Served, EndedAt: start.Add(at + took)})
+		input.Record.ClientAttempts = append(input.Record.ClientAttempts, &referee.ClientAttempt{Arrival: i, Outcome: referee.Served, EndedAt: start.Add(at + took)})
 	}
 	var p Play
-	p.Fill(in)
+	p.Fill(input)
 	return p
 }
 
 func TestRecovery(t *testing.T) {
-	fault := func(n int, from float64) Event { return Event{N: n, From: from, To: from + 1} }
+	fault := func(n int, from float64) Event { return Event{Number: n, Start: from, End: from + 1} }
 	for _, test := range []struct {
 		name     string
 		from, to float64 // of the late answers
@@ -55,8 +55,8 @@
 				t.Errorf("%s: fault %d: %v s, want %v", test.name, i+1, got, want)
 			}
 		}
-		if last := p.Events[len(p.Events)-1]; last.Below != test.below {
-			t.Errorf("%s: below %v", test.name, last.Below)
+		if last := p.Events[len(p.Events)-1]; last.StillDegraded != test.below {
+			t.Errorf("%s: below %v", test.name, last.StillDegraded)
 		}
 	}
 }
@@ -64,18 +64,18 @@
 // A failed expectation is named with figure and bound; a void play counts for nothing; several plays have a spread.
 func TestConclude(t *testing.T) {
 	least := func(v float64) *float64 { return &v }
-	e := &experiment.Experiment{Expect: []experiment.Expect{
+	exp := &experiment.Experiment{Expect: []experiment.Expect{
 		{Figure: "in_time", Min: least(0.7), From: 0.1, To: 20}, {Figure: "in_time", Min: least(0.9), From: 10, To: 15},
 		{Figure: "p99_ms", Max: least(151)}, {Figure: "broken.lost", Max: least(0)}}}
-	bad, good := fill(t, 10, 15, e), fill(t, 20, 20, e)
-	void := fill(t, 0, 20, e)
+	bad, good := fill(t, 10, 15, exp), fill(t, 20, 20, exp)
+	void := fill(t, 0, 20, exp)
 	void.Void = "late"
 	r := Result{Plays: []Play{bad, good, good, void}}
-	r.Conclude(e)
+	r.Conclude(exp)
 	held := []bool{true, false, true, true}
 	for i, v := range r.Expected {
 		if v.Held != held[i] {
-			t.Errorf("%s: held %v (%s)", v.Figure, v.Held, v.Text)
+			t.Errorf("%s: held %v (%s)", v.Metric, v.Held, v.Text)
 		}
 	}
 	if want := "play 1: in_time is 0, wanted at least 0.9\n"; r.Expected[1].Text != want || r.Held {
--- a/internal/faultlab/run/lists.go
+++ b/internal/faultlab/run/lists.go
@@ -112,7 +112,7 @@
 		rec.ViolationCounts["list"]++
 		rec.Violations = append(rec.Violations, referee.Violation{Rule: "list", At: time.Now(), Text: wrong})
 	}
-	return &result.List{Checked: r.History.Calls, Told: r.Delays, Lacks: r.Lacks, Refused: r.Refused}, err
+	return &result.List{CheckedCalls: r.History.Calls, NotificationDelays: r.Delays, MissingServers: r.Lacks, RefusedStarts: r.Refused}, err
 }
 
 // listMembers are where a proxy finds the members of the list service; nil with the stand-in.
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -30,7 +30,7 @@
 	looks sync.Mutex // one at a time
 
 	mu   sync.Mutex
-	sum  result.Reading
+	sum  result.Sample
 	seen map[string]looked // of each member, at the last look
 }
 
@@ -44,7 +44,7 @@
 	if f.service != nil {
 		m.members = f.service.Targets(nil)
 	}
-	m.sum.Roles = map[string]result.Spent{}
+	m.sum.Roles = map[string]result.Usage{}
 	m.look()
 	return m
 }
@@ -100,9 +100,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at := time.Now()
-	past := at.Sub(m.sum.At)
-	first := m.sum.At.IsZero()
-	m.sum.At = at
+	past := at.Sub(m.sum.TakenAt)
+	first := m.sum.TakenAt.IsZero()
+	m.sum.TakenAt = at
 	watches := 0.0
 	for i, x := range m.members {
 		now := looked{standing[i], members[x.Name]}
@@ -120,27 +120,27 @@
 			role = "leader"
 		}
 		t := now.traffic.Minus(was.traffic)
-		spent := result.Spent{In: t.Sent, Out: t.Answered, Calls: t.Pieces, CPU: max(0, now.CPU-was.CPU), Each: past,
+		spent := result.Usage{BytesIn: t.Sent, BytesOut: t.Answered, Calls: t.Pieces, CPU: max(0, now.CPU-was.CPU), InstanceTime: past,
 			Memory: now.Memory}
 		m.sum.Roles[role] = m.sum.Roles[role].Plus(spent)
-		spent.Each = 0
+		spent.InstanceTime = 0
 		m.sum.Roles["five"] = m.sum.Roles["five"].Plus(spent)
 		if now.Up {
-			m.sum.Turned += max(0, now.Rejected-was.Rejected)
+			m.sum.Rejected += max(0, now.Rejected-was.Rejected)
 		}
 	}
 	if !first {
 		five := m.sum.Roles["five"]
-		five.Each += past
+		five.InstanceTime += past
 		m.sum.Roles["five"] = five
 	}
 	m.sum.Watches = max(m.sum.Watches, watches)
 	for role, n := range map[string]int{"proxy": m.exp.Hollow.Proxies, "real": len(m.order), "nodo": m.exp.Hollow.Servers, "regions": 1} {
 		s := m.sum.Roles[role]
 		t := roles[role]
-		s.In, s.Out, s.Calls = t.Sent, t.Answered, t.Pieces
+		s.BytesIn, s.BytesOut, s.Calls = t.Sent, t.Answered, t.Pieces
 		if !first {
-			s.Each += past * time.Duration(n)
+			s.InstanceTime += past * time.Duration(n)
 		}
 		m.sum.Roles[role] = s
 	}
@@ -148,7 +148,7 @@
 
 // read is all so far, with what processes use now. Memory is as of now, of members the most
 // so far, as are watches: two phases that meet read at one moment.
-func (m *meter) read(ctx context.Context) result.Reading {
+func (m *meter) read(ctx context.Context) result.Sample {
 	m.look()
 	var fleet []hollow.ProxyMetrics
 	var real []*hollow.ClusterMetrics
@@ -199,8 +199,8 @@
 }
 
 // phases reads at each phase's beginning and end.
-func (m *meter) phases(ctx context.Context, start time.Time) []result.PhaseReading {
-	out := make([]result.PhaseReading, len(m.exp.Phases))
+func (m *meter) phases(ctx context.Context, start time.Time) []result.PhaseSamples {
+	out := make([]result.PhaseSamples, len(m.exp.Phases))
 	var all sync.WaitGroup
 	for i, p := range m.exp.Phases {
 		all.Go(func() {
@@ -239,9 +239,9 @@
 }
 
 // measure reads the phases while the play lasts; what it gives waits for its end. Nil without hollow ones.
-func (f *fleet) measure(ctx context.Context, start time.Time) (phases func() []result.PhaseReading) {
+func (f *fleet) measure(ctx context.Context, start time.Time) (phases func() []result.PhaseSamples) {
 	if len(f.hollow) == 0 {
-		return func() []result.PhaseReading { return nil }
+		return func() []result.PhaseSamples { return nil }
 	}
 	for _, p := range f.hollow {
 		_, err := p.call(ctx, http.MethodPost, "/begin", nil)
@@ -249,27 +249,27 @@
 	}
 	m := f.newMeter()
 	go m.run(ctx)
-	read := make(chan []result.PhaseReading, 1)
+	read := make(chan []result.PhaseSamples, 1)
 	go func() { read <- m.phases(ctx, start) }()
-	return func() []result.PhaseReading { return <-read }
+	return func() []result.PhaseSamples { return <-read }
 }
 
 // controlReport is what control cost in a play; nil without hollow ones.
-func (f *fleet) controlReport(phases []result.PhaseReading) *result.Control {
+func (f *fleet) controlReport(phases []result.PhaseSamples) *result.Control {
 	if len(f.hollow) == 0 {
 		return nil
 	}
-	out := &result.Control{Phases: phases, Puts: f.configs.done()}
+	out := &result.Control{Phases: phases, ConfigWrites: f.configs.done()}
 	var err error
 	if out.Hollow, err = f.hollowReport(); err != nil {
 		f.note(err)
 	}
 	for _, steps := range f.service.Steps() {
-		var told []result.Told
+		var told []result.ReceivedVersion
 		for _, s := range steps {
-			told = append(told, result.Told{Version: s.Index, ReceivedAt: s.At.UnixNano()})
+			told = append(told, result.ReceivedVersion{Version: s.Index, ReceivedAt: s.At.UnixNano()})
 		}
-		out.Real = append(out.Real, told)
+		out.RealProxyVersions = append(out.RealProxyVersions, told)
 	}
 	return out
 }
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -111,7 +111,7 @@
 	phases := f.measure(canary, start)
 	events := f.play(ctx, start)
 	rest()
-	in := result.Input{Exp: e, Plan: p, Start: start, Record: f.ref.Close(), Events: events, Late: f.client.Late(),
+	in := result.Input{Experiment: e, Plan: p, Start: start, Record: f.ref.Close(), Events: events, Lateness: f.client.Late(),
 		Stall: <-stall}
 	in.Control = f.controlReport(phases())
 	in.List, err = f.listReport(&in.Record)
@@ -131,7 +131,7 @@
 	out.Partial = ctx.Err() != nil
 	out.Fill(in)
 	out.LabMB = float64(process.PeakMemory(os.Getpid())) / (1 << 20)
-	out.Void = voids(e, out.Late, in.Control.Stall(), f.failed())
+	out.Void = voids(e, out.Lateness, in.Control.LongestStall(), f.failed())
 	stop()
 	for range cap(served) {
 		<-served
--- a/internal/faultlab/run/run_test.go
+++ b/internal/faultlab/run/run_test.go
@@ -93,7 +93,7 @@
 				t.Skip("the machine was too busy to judge: ", p.Void)
 			}
 			var broken []string
-			for rule := range p.Broken {
+			for rule := range p.ViolationCounts {
 				broken = append(broken, rule)
 			}
 			if test.wrong == "mixed" { // what it answers is no server's either
@@ -189,6 +189,6 @@
 			computed := float64(want[int(q*float64(len(want)))]) / float64(time.Millisecond)
 			b.ReportMetric(p.Metrics[name]/computed, name+"/computed")
 		}
-		b.ReportMetric(p.Late.P99, "late_p99_ms")
+		b.ReportMetric(p.Lateness.P99, "late_p99_ms")
 	}
 }
--- a/internal/faultlab/run/strike.go
+++ b/internal/faultlab/run/strike.go
@@ -27,19 +27,19 @@
 	events := make([]result.Event, len(t.plan.Strikes))
 	for i, s := range t.plan.Strikes {
 		t.all.Go(func() {
-			events[i] = result.Event{N: s.N, Kind: s.Fault.Kind, From: s.At.Seconds(), To: -1}
+			events[i] = result.Event{Number: s.N, Kind: s.Fault.Kind, Start: s.At.Seconds(), End: -1}
 			if !t.until(ctx, s.At) {
 				return
 			}
 			t.log.Info("fault begins", "n", s.N, "kind", s.Fault.Kind, "targets", targets(s))
-			events[i].From, events[i].Target = time.Since(t.start).Seconds(), targets(s)
+			events[i].Start, events[i].Target = time.Since(t.start).Seconds(), targets(s)
 			t.note(t.strike(ctx, s))
-			events[i].To = time.Since(t.start).Seconds()
+			events[i].End = time.Since(t.start).Seconds()
 			t.log.Info("fault has ended", "n", s.N, "kind", s.Fault.Kind)
 		})
 	}
 	t.all.Wait()
-	return slices.DeleteFunc(events, func(e result.Event) bool { return e.To < 0 })
+	return slices.DeleteFunc(events, func(e result.Event) bool { return e.End < 0 })
 }
 
 func targets(s plan.Strike) (names []string) {
--- a/internal/faultlab/run/strike_configs.go
+++ b/internal/faultlab/run/strike_configs.go
@@ -26,7 +26,7 @@
 type configs struct {
 	mu       sync.Mutex
 	services map[string]*configured
-	puts     []result.Put
+	puts     []result.ConfigWrite
 	n        int64 // documents so far: no two are alike
 }
 
@@ -49,13 +49,13 @@
 	return c.services[service], c.n
 }
 
-func (c *configs) note(p result.Put) {
+func (c *configs) note(p result.ConfigWrite) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.puts = append(c.puts, p)
 }
 
-func (c *configs) done() []result.Put {
+func (c *configs) done() []result.ConfigWrite {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.puts)
@@ -93,7 +93,7 @@
 		}
 		own.mu.Lock()
 		defer own.mu.Unlock()
-		put := result.Put{Service: turn.Target, Faulty: s.Fault.Faulty, Asked: time.Now().UnixNano()}
+		put := result.ConfigWrite{Service: turn.Target, Faulty: s.Fault.Faulty, RequestedAt: time.Now().UnixNano()}
 		t.putConfig(ctx, &put, own, text, int(n))
 		if ctx.Err() == nil || put.Status != 0 {
 			t.configs.note(put)
@@ -103,14 +103,14 @@
 }
 
 // putConfig puts one, first at the member whose turn it is, and at the next one while there is no final answer.
-func (t *timeline) putConfig(ctx context.Context, put *result.Put, own *configured, text []byte, first int) {
+func (t *timeline) putConfig(ctx context.Context, put *result.ConfigWrite, own *configured, text []byte, first int) {
 	members := len(t.service.Targets(nil))
 	ctx, cancel := context.WithTimeout(ctx, maxPutDuration)
 	defer cancel()
 	for try := first; ctx.Err() == nil; try++ {
 		status, version, err := t.askPut(ctx, t.block.member(try%members, listPort), put.Service, own.version, text)
 		if err == nil {
-			put.Status, put.Sure = status, time.Now().UnixNano()
+			put.Status, put.ConfirmedAt = status, time.Now().UnixNano()
 			switch status {
 			case http.StatusOK:
 				own.version, put.Version = version, version
--- a/internal/faultlab/soak/soak.go
+++ b/internal/faultlab/soak/soak.go
@@ -160,7 +160,7 @@
 
 // Faults are what is wrong with a play: broken rules, crashes, and lines of the proxies' logs below dir.
 func Faults(p result.Play, dir string) (found []string, err error) {
-	for rule, n := range p.Broken {
+	for rule, n := range p.ViolationCounts {
 		if n > 0 {
 			found = append(found, fmt.Sprintf("%s broken %d times", rule, n))
 		}
--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -59,8 +59,8 @@
 		lines string
 		want  []string
 	}{
-		{"nothing", result.Play{Broken: map[string]int{"lost": 0}}, "", nil},
-		{"a rule", result.Play{Broken: map[string]int{"lost": 2}, Violations: []referee.Violation{{Rule: "lost", Proxy: "a-p1", Text: "nothing came"}}}, "",
+		{"nothing", result.Play{ViolationCounts: map[string]int{"lost": 0}}, "", nil},
+		{"a rule", result.Play{ViolationCounts: map[string]int{"lost": 2}, Violations: []referee.Violation{{Rule: "lost", Proxy: "a-p1", Text: "nothing came"}}}, "",
 			[]string{"lost broken 2 times", "nothing came"}},
 		{"a crash", result.Play{Metrics: map[string]float64{"crashed": 1}}, "", []string{"1 proxies crashed"}},
 		{"a rule that the proxy saw", result.Play{}, `level=ERROR msg="rule broken" rule=second_copy request=7` + "\n", []string{"rule=second_copy request=7"}},
