--- a/internal/faultlab/referee/clientattempt.go
+++ b/internal/faultlab/referee/clientattempt.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// End is how a try ended for the client.
+// Outcome is how a client's attempt ended.
 type Outcome int
 
 const (
 	Pending    Outcome = iota
-	Served             // 200 and what a server made
+	Served             // 200 with a server's body
 	Rejected           // 429 or 503
-	Failed             // any other answer, or one that broke off in the middle
-	Unreached          // no connection, or one that ended before the request was taken
-	Unanswered         // nothing in its time
+	Failed             // any other response, or an incomplete one
+	Unreached          // no connection, or closed before the request was written
+	Unanswered         // no response before the deadline
 )
 
-func (e Outcome) String() string {
-	return [...]string{"pending", "served", "refused", "failed", "unreached", "unanswered"}[e]
+// String is the outcome's name in results.
+func (o Outcome) String() string {
+	return [...]string{"pending", "served", "refused", "failed", "unreached", "unanswered"}[o]
 }
 
-// ClientAttempt is one try of a client.
+// ClientAttempt is one attempt of a client to get an arrival served.
 type ClientAttempt struct {
 	ID            string
-	Arrival       int // of the plan
+	Arrival       int // index in the plan
 	Number        int // 0 for the first
 	Class         int
 	Zone          string
 	Proxy         string
-	StartedAt     time.Time // when it was begun
+	StartedAt     time.Time // before the connection is opened
 	Deadline      time.Time
 	Method        string
 	Path          string
 	Key           string
-	RequestDigest uint64 // digest
+	RequestDigest uint64 // of the body
 
-	CanceledAt       time.Time // when its client closed its connection without waiting any longer; zero: it did not
-	WrittenAt        time.Time // last byte written to the proxy's socket; zero: it was not
+	CanceledAt       time.Time // when the client closed the connection early; zero: it did not
+	WrittenAt        time.Time // last byte written to the proxy's socket; zero: never
 	EndedAt          time.Time
 	Outcome          Outcome
 	Status           int
-	closedUnanswered bool // its connection ended without an answer, after it was taken
-	rejected         bool // and it was the first on that connection
+	closedUnanswered bool // closed without a response after it was written
+	rejected         bool // closedUnanswered, as the first request on its connection
 
 	attempts []*Attempt
 }
 
-// Attempt is a request that reached a server whole.
+// Attempt is a request that reached a server completely.
 type Attempt struct {
 	clientAttempt  *ClientAttempt
 	Server         string
 	Zone           string
 	Cell           int
-	FirstByteAt    time.Time // when its first byte left the proxy
-	LastByteAt     time.Time // when its last arrived
+	FirstByteAt    time.Time // sent by the proxy
+	LastByteAt     time.Time // received by the server
 	state          attemptState
-	outcomeWritten bool   // its outcome is written to the proxy
-	ended          bool   // no longer out: told, or its connection has ended
-	ResponseDigest uint64 // digest of the answer's body
+	outcomeWritten bool   // the outcome is written to the proxy's socket
+	ended          bool   // no longer in flight: outcome written, or connection closed
+	ResponseDigest uint64 // of the response's body
 	Work           time.Duration
-	WorkDone       time.Duration // of work that the server did for it
+	WorkDone       time.Duration // by the server
 }
 
 type attemptState int
@@ -66,15 +67,15 @@
 	stateInFlight attemptState = iota
 	stateServed
 	stateError
-	stateRejected // never ran
+	stateRejected // never executed
 	stateCanceled
 )
 
 // mayHaveRun tells whether the proxy cannot know that the attempt never ran.
 func (a *Attempt) mayHaveExecuted() bool { return a.state != stateRejected || !a.outcomeWritten }
 
-// Of is the try that an attempt belongs to.
+// ClientAttempt is the client's attempt that this one was forwarded for.
 func (a *Attempt) ClientAttempt() *ClientAttempt { return a.clientAttempt }
 
-// Served tells whether the server answered it 200.
+// Served reports whether the server answered 200.
 func (a *Attempt) Served() bool { return a.state == stateServed }
--- a/internal/faultlab/referee/excuse.go
+++ b/internal/faultlab/referee/excuse.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// excused tells whether the lab itself kept a proxy from answering a try.
+// isExcused reports whether a fault of the lab kept the proxy from answering an attempt.
 func (r *Referee) isExcused(clientAttempt *ClientAttempt) bool {
-	p := r.proxies[clientAttempt.Proxy]
-	if p == nil {
+	proxy := r.proxies[clientAttempt.Proxy]
+	if proxy == nil {
 		return false
 	}
 	from, to := clientAttempt.StartedAt, clientAttempt.Deadline.Add(maxLateness)
 	if !clientAttempt.EndedAt.IsZero() && clientAttempt.EndedAt.After(to) {
 		to = clientAttempt.EndedAt
 	}
-	for _, s := range p.excuses {
+	for _, s := range proxy.excuses {
 		if s.start.Before(to) && s.end.After(from) {
 			return true
 		}
@@ -23,8 +23,8 @@
 	return false
 }
 
-// Excuse opens a time in which the lab keeps a proxy from its duty: killed, stopped, its clients' links cut. The
-// function that it returns ends it.
+// BeginExcusedSpan starts a span in which the lab keeps a proxy from serving: killed, stopped, or its clients' links cut.
+// The returned function ends the span.
 func (r *Referee) BeginExcusedSpan(proxy string, at time.Time) (end func(time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// Crowded opens a time in which idle clients fill a proxy, which may shut new connections unread then. The function that it
-// returns ends it.
+// BeginConnectionFlood starts a span in which idle clients fill a proxy, which may then close new connections unread. The
+// returned function ends the span.
 func (r *Referee) BeginConnectionFlood(proxy string, at time.Time) (end func(time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// crowded tells whether a try's proxy was full of idle clients at some time of it.
+// isFlooded reports whether idle clients filled the proxy at some time of the attempt.
 func (r *Referee) isFlooded(clientAttempt *ClientAttempt) bool {
 	return slices.ContainsFunc(r.proxy(clientAttempt.Proxy).floods, func(s span) bool {
 		return s.start.Before(clientAttempt.EndedAt) && s.end.After(clientAttempt.StartedAt)
--- a/internal/faultlab/referee/referee.go
+++ b/internal/faultlab/referee/referee.go
@@ -1,9 +1,9 @@
-// Package referee keeps the lab's own record of every request and attempt, and judges the rules of service by it. It
-// takes nothing from the proxies: what it knows comes from the clients, servers and the list of the lab, and from what
-// the lab did to processes and links.
+// Package referee records every request and attempt of a run and checks the rules of service against that record. It never
+// uses what proxies report: its facts come from the lab's clients, servers and endpoint list, and from the faults that the
+// lab injected.
 //
-// Where the platform's pages leave room, a doubt is the proxy's: what was told counts from the moment that its last
-// byte was written to the proxy's socket, and what a proxy could not do for a fault of the lab's making is excused.
+// Where the platform's pages are ambiguous, the proxy gets the benefit of the doubt: an update counts from the moment that
+// its last byte was written to the proxy's socket, and what a fault of the lab prevented is excused.
 package referee
 
 import (
@@ -12,47 +12,47 @@
 	"time"
 )
 
-// Repeat is what a class allows.
+// RetryClass says when requests of a class may be retried.
 type RetryClass int
 
 const (
-	Idempotent     RetryClass = iota // may be sent again and refused freely
-	IdempotencyKey                   // again only within the group that drops repeats, while it does
-	NonIdempotent                    // again or refused only where no attempt may have run
+	Idempotent     RetryClass = iota // may be retried and rejected at any time
+	IdempotencyKey                   // retried only where the key is deduplicated, and while it is
+	NonIdempotent                    // retried or rejected only if no attempt may have executed
 )
 
-// Class is what the rules need to know of a class.
+// Class is what the rules need of a class of requests.
 type Class struct {
 	Name       string
 	RetryClass RetryClass
-	KeyScope   string // all, zone or cell, of a keyed class
+	KeyScope   string // where keys are deduplicated: all, zone or cell
 	KeyWindow  time.Duration
 }
 
-// Terms are the metrics of the rules.
+// Config holds the parameters of the rules.
 type Config struct {
 	Classes        []Class
 	MaxAttempts    int
 	HedgingAllowed bool
 	DrainGrace     time.Duration
 	PollInterval   time.Duration
-	DeadlineSlack  time.Duration // beyond a deadline
+	DeadlineSlack  time.Duration // allowed beyond a deadline
 }
 
 const (
-	notificationDeadline     = 6 * time.Second        // after the list had a change and could be reached, it counts as told
-	socketSlack              = 50 * time.Millisecond  // every time limit is this much longer on sockets
-	maxLateness              = 500 * time.Millisecond // an answer after its time is late up to here, and lost beyond
-	floodRecovery            = 500 * time.Millisecond // its clients take so long to leave
-	requestsPerExcusedClose  = 200                    // one request in so many may be turned back unheard
-	failedPollFactor         = 4                      // after a failed call the list need not be asked for so many times as long
-	cancelGrace              = 100 * time.Millisecond // after a client has left attempts may begin for so long
-	overloadInformedFraction = 2.0 / 3                // of the work, from proxies that knew of the start, breaks the rule
-	maxUnansweredSends       = 1_000_000              // 100 MB
-	violationsKept           = 20                     // of each rule are kept in full
+	notificationDeadline     = 6 * time.Second        // from a change in a reachable list until proxies count as notified
+	socketSlack              = 50 * time.Millisecond  // added to each time limit that is observed on sockets
+	maxLateness              = 500 * time.Millisecond // a response later than this counts as lost
+	floodRecovery            = 500 * time.Millisecond // until the idle clients are gone
+	requestsPerExcusedClose  = 200                    // one request in so many may be closed unread
+	failedPollFactor         = 4                      // the poll interval may be so much longer after a failed poll
+	cancelGrace              = 100 * time.Millisecond // attempts may still begin for so long after a client cancelled
+	overloadInformedFraction = 2.0 / 3                // of the work, sent by proxies that knew of the start
+	maxUnansweredSends       = 1_000_000              // about 100 MB
+	violationsKept           = 20                     // for each rule, with their texts
 )
 
-// Violation is a broken rule.
+// Violation is one breach of a rule.
 type Violation struct {
 	Rule    string    `json:"rule"`
 	At      time.Time `json:"at"`
@@ -62,52 +62,52 @@
 	Text    string    `json:"text"`
 }
 
-// told is what a proxy has been told of a server.
+// notification is what a proxy was last notified of a server.
 type notification struct {
 	serving     bool
 	since       int64 // ms
 	receivedAt  time.Time
-	announcedAt time.Time // when the list said so, as far as is known
+	announcedAt time.Time // by the list; zero: not known
 }
 
-// proxy is what the referee knows of one.
+// proxy is what the referee knows of a proxy.
 type proxy struct {
 	notified       map[string]notification
-	lastPollAt     time.Time // when its last call to the list ended
-	pendingPolls   int       // calls that are out
-	lastPollFailed bool      // the last call
-	starts         int       // from nothing
-	newestOrder    int64     // News.Order that it was told
+	lastPollAt     time.Time // end of its last poll
+	pendingPolls   int       // in flight
+	lastPollFailed bool
+	starts         int   // without a predecessor
+	newestOrder    int64 // ListUpdate.Order that it received
 	excuses        []span
 	floods         []span
 }
 
 type span struct{ start, end time.Time }
 
-// serverState is what the referee knows of one.
+// serverState is what the referee knows of a server.
 type serverState struct {
 	zone      string
 	cell      int
 	serving   bool
 	changedAt time.Time
 	since     int64
-	listings  []listing // by the list, in order
+	listings  []listing // in order
 }
 
-// listing is what the list has said of a server since a moment.
+// listing is an entry of the list for a server, from a moment on.
 type listing struct {
 	serving     bool
 	since       int64
 	announcedAt time.Time
 }
 
-// away is a time in which the list could not be reached.
+// outage is a span in which the list was unreachable.
 type outage struct {
-	proxy string // empty: by none
+	proxy string // empty: for all
 	span
 }
 
-// Referee judges one run. Its methods may be called from any goroutine.
+// Referee checks one run. Its methods may be called from any goroutine.
 type Referee struct {
 	config Config
 
@@ -125,28 +125,28 @@
 	tally           Tally
 }
 
-// Tally is counts beside the rules.
+// Tally counts events that are not violations.
 type Tally struct {
 	ListCalls     int `json:"list_calls"`   // by the proxies
-	WatchBreaks   int `json:"watch_breaks"` // watches that came too late to continue the last
-	Resent        int `json:"resent"`       // requests sent once more since their connection was closed unread
-	Overloads     int `json:"tipped"`       // servers that fell over
-	Crashed       int `json:"crashed"`      // proxies that ended without having been told to
-	LateResponses int `json:"late"`         // answers after their time, up to 500 ms
-	Rejected      int `json:"turned_back"`  // requests whose new connection was closed unheard
+	WatchBreaks   int `json:"watch_breaks"` // watches that could not continue from the last version
+	Resent        int `json:"resent"`       // requests sent again as their connection was closed unread
+	Overloads     int `json:"tipped"`       // servers that failed under overload
+	Crashed       int `json:"crashed"`      // proxies that exited without a signal
+	LateResponses int `json:"late"`         // up to maxLateness after the deadline
+	Rejected      int `json:"turned_back"`  // requests whose new connection was closed unread
 }
 
-// New is a referee for a run.
+// New returns the referee of a run.
 func New(t Config) *Referee {
 	return &Referee{config: t, clientAttempts: map[string]*ClientAttempt{}, proxies: map[string]*proxy{}, servers: map[string]*serverState{},
 		violationCounts: map[string]int{}}
 }
 
-// Count adds to the tally.
-func (r *Referee) UpdateTally(add func(*Tally)) {
+// UpdateTally calls update with the tally, under the referee's lock.
+func (r *Referee) UpdateTally(update func(*Tally)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	add(&r.tally)
+	update(&r.tally)
 }
 
 func (r *Referee) violate(v Violation) {
@@ -156,7 +156,7 @@
 	}
 }
 
-// Send notes a try that is about to be written to a proxy, or to none; from now on it may reach servers.
+// RecordSend records an attempt that is about to be written to a proxy (empty: none); it may reach servers from now on.
 func (r *Referee) RecordSend(clientAttempt *ClientAttempt, proxy string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,15 +167,15 @@
 	r.clientAttempts[clientAttempt.ID] = clientAttempt
 }
 
-// Taken notes that a try's last byte was written to the proxy's socket.
+// RecordWritten records that an attempt's last byte was written to the proxy's socket.
 func (r *Referee) RecordWritten(clientAttempt *ClientAttempt, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clientAttempt.WrittenAt = at
 }
 
-// Answered notes a whole answer; made is the digest of its body.
-func (r *Referee) RecordResponse(clientAttempt *ClientAttempt, at time.Time, status int, made uint64) Outcome {
+// RecordResponse records a complete response with the digest of its body, and returns the attempt's outcome.
+func (r *Referee) RecordResponse(clientAttempt *ClientAttempt, at time.Time, status int, digest uint64) Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if clientAttempt.Outcome != Pending {
@@ -185,34 +185,34 @@
 	switch status {
 	case 200:
 		clientAttempt.Outcome = Served
-		r.checkServed(clientAttempt, at, made)
+		r.checkServed(clientAttempt, at, digest)
 	case 429, 503:
 		clientAttempt.Outcome = Rejected
 		r.checkRejected(clientAttempt, at)
 	default:
 		clientAttempt.Outcome = Failed
 	}
-	over := at.Sub(clientAttempt.Deadline)
+	late := at.Sub(clientAttempt.Deadline)
 	switch {
-	case over > maxLateness:
-		r.recordLost(clientAttempt, at, fmt.Sprintf("answered %v after its time", over.Round(time.Millisecond)))
-	case over > r.config.DeadlineSlack+socketSlack:
+	case late > maxLateness:
+		r.recordLost(clientAttempt, at, fmt.Sprintf("answered %v after its time", late.Round(time.Millisecond)))
+	case late > r.config.DeadlineSlack+socketSlack:
 		r.tally.LateResponses++
 	}
 	return clientAttempt.Outcome
 }
 
-// judgeServed holds an answer 200 to what servers made for that request.
-func (r *Referee) checkServed(clientAttempt *ClientAttempt, at time.Time, made uint64) {
+// checkServed checks the body of a 200 against the bodies that servers sent for the request.
+func (r *Referee) checkServed(clientAttempt *ClientAttempt, at time.Time, digest uint64) {
 	for _, attempt := range clientAttempt.attempts {
-		if attempt.state == stateServed && attempt.ResponseDigest == made {
+		if attempt.state == stateServed && attempt.ResponseDigest == digest {
 			return
 		}
 	}
 	r.violate(Violation{Rule: "garbled", At: at, Proxy: clientAttempt.Proxy, Attempt: clientAttempt.ID, Text: "the body is what no nodo made for it"})
 }
 
-// judgeRefused: a refusal says that trying again is harmless.
+// checkRejected checks that a rejection, which invites a retry, leaves no attempt that may have executed.
 func (r *Referee) checkRejected(clientAttempt *ClientAttempt, at time.Time) {
 	class := r.config.Classes[clientAttempt.Class]
 	if class.RetryClass == Idempotent || class.RetryClass == IdempotencyKey && class.KeyScope == "all" {
@@ -227,8 +227,8 @@
 	}
 }
 
-// Broke notes that a try's connection ended without an answer: before any of it came (unheard), or in the middle of
-// one. The first request on a connection that is closed unheard has been turned back rather than lost.
+// RecordConnectionClosed records that a connection closed without a complete response, inAnswer if part of one came. The
+// first request on a connection that is closed unread counts as rejected, not as lost.
 func (r *Referee) RecordConnectionClosed(clientAttempt *ClientAttempt, at time.Time, inAnswer, firstOn bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -246,7 +246,7 @@
 	}
 }
 
-// Unreachable notes that a try met no proxy.
+// RecordUnreachable records that an attempt reached no proxy.
 func (r *Referee) RecordUnreachable(clientAttempt *ClientAttempt, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -255,7 +255,7 @@
 	}
 }
 
-// Silent notes that nothing has come for a try in its time and the slack.
+// RecordTimeout records that no response came before the deadline and its slack.
 func (r *Referee) RecordTimeout(clientAttempt *ClientAttempt, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -264,8 +264,8 @@
 	}
 }
 
-// Leaves notes that a client closes its connection without waiting any longer: no answer is owed from now on. False if the
-// try has ended.
+// RecordClientCancel records that a client closes its connection before the response: none is expected any more. It returns
+// false if the attempt has already ended.
 func (r *Referee) RecordClientCancel(clientAttempt *ClientAttempt, at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -276,7 +276,7 @@
 	return true
 }
 
-// Twice notes that more came on a connection after a whole answer than the next request asked for.
+// RecordExtraBytes records bytes after a complete response that no request asked for.
 func (r *Referee) RecordExtraBytes(clientAttempt *ClientAttempt, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -299,19 +299,19 @@
 	return p
 }
 
-// judgeLost judges, at the end of a run, the tries that got no answer.
+// checkLost checks, at the end of a run, the attempts that got no response.
 func (r *Referee) checkLost() {
-	var turned []*ClientAttempt
-	taken := 0
+	var rejected []*ClientAttempt
+	written := 0
 	for _, clientAttempt := range r.attemptOrder {
 		if clientAttempt.WrittenAt.IsZero() || !clientAttempt.CanceledAt.IsZero() {
 			continue
 		}
-		taken++
+		written++
 		switch {
 		case clientAttempt.rejected:
 			if !r.isExcused(clientAttempt) && !r.isFlooded(clientAttempt) {
-				turned = append(turned, clientAttempt)
+				rejected = append(rejected, clientAttempt)
 			}
 		case clientAttempt.closedUnanswered:
 			r.recordLost(clientAttempt, clientAttempt.EndedAt, "its connection was closed without an answer")
@@ -319,26 +319,26 @@
 			r.recordLost(clientAttempt, clientAttempt.EndedAt, "nothing came in its time")
 		}
 	}
-	r.tally.Rejected = len(turned)
-	for i, clientAttempt := range turned {
-		if i >= (taken+requestsPerExcusedClose-1)/requestsPerExcusedClose {
+	r.tally.Rejected = len(rejected)
+	for i, clientAttempt := range rejected {
+		if i >= (written+requestsPerExcusedClose-1)/requestsPerExcusedClose {
 			r.recordLost(clientAttempt, clientAttempt.EndedAt, "its new connection was closed unheard, as was one in 200 before")
 		}
 	}
 }
 
-// Record is all that a run left.
+// Record is everything that was recorded in a run.
 type Record struct {
 	ClientAttempts  []*ClientAttempt
 	Attempts        []*Attempt
 	ViolationCounts map[string]int
-	Violations      []Violation // the first of each rule
-	ConnectTimes    []time.Time // of each connection to a server
+	Violations      []Violation // the first violationsKept of each rule
+	ConnectTimes    []time.Time // of the connections to servers
 	UnansweredSends []UnansweredSend
 	Tally           Tally
 }
 
-// Close judges what can be judged only at the end, and gives the record out. Nothing may be noted afterwards.
+// Close runs the checks that need the complete run and returns the record. Nothing may be recorded afterwards.
 func (r *Referee) Close() Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -346,10 +346,10 @@
 	return Record{r.attemptOrder, r.attempts, r.violationCounts, r.violations, r.connectTimes, r.unansweredSends, r.tally}
 }
 
-// Misbehaving is the rule that a client which sends no proper request is owed an error or a close.
+// Misbehaving is the rule that a client which sends an invalid request gets an error or a closed connection.
 const Misbehaving = "rude"
 
-// Misbehaved notes a client that got neither in its time.
+// RecordMisbehavingClient records a misbehaving client that got neither in time.
 func (r *Referee) RecordMisbehavingClient(proxy string, from, to time.Time, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultlab/referee/referee_test.go
+++ b/internal/faultlab/referee/referee_test.go
@@ -11,7 +11,7 @@
 
 func at(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 
-// newGame is a referee with a try of a class, and servers a1 and a2 in zone a, b1 in zone b.
+// newScenario returns a referee with a client attempt of a class, and servers a1 and a2 in zone a, b1 in zone b.
 func newScenario(class Class, terms Config) (*Referee, *ClientAttempt) {
 	terms.Classes = []Class{class}
 	if terms.MaxAttempts == 0 {
@@ -20,7 +20,7 @@
 	r := New(terms)
 	var known []Entry
 	for name, zone := range map[string]string{"a1": "a", "a2": "a", "b1": "b"} {
-		r.RecordServerState(name, zone, 0, true, 0, began)
+		r.RecordServerState(name, ServerState{Zone: zone, Serving: true}, began)
 		known = append(known, Entry{name, true, 0})
 	}
 	r.RecordProxyStart("p", known, began)
@@ -38,8 +38,8 @@
 	keyed := func(scope string) Class {
 		return Class{Name: "k", RetryClass: IdempotencyKey, KeyScope: scope, KeyWindow: 300 * time.Millisecond}
 	}
-	unsafe, safe := Class{Name: "u", RetryClass: NonIdempotent}, Class{Name: "s"}
-	turn := func(r *Referee, attempt *Attempt) { r.RecordRejected(attempt); r.RecordOutcomeWritten(attempt) }
+	nonIdempotent, idempotent := Class{Name: "u", RetryClass: NonIdempotent}, Class{Name: "s"}
+	rejected := func(r *Referee, attempt *Attempt) { r.RecordRejected(attempt); r.RecordOutcomeWritten(attempt) }
 	err := func(r *Referee, attempt *Attempt) { r.RecordError(attempt, 0); r.RecordOutcomeWritten(attempt) }
 	copies := Config{HedgingAllowed: true}
 	for _, test := range []struct {
@@ -49,134 +49,134 @@
 		play  func(r *Referee, clientAttempt *ClientAttempt)
 		want  []string
 	}{
-		{"unsafe again after a turn", unsafe, Config{}, func(r *Referee, _ *ClientAttempt) { turn(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, nil},
-		{"unsafe again after a turn that was not told yet", unsafe, copies,
+		{"non-idempotent retried after a rejection", nonIdempotent, Config{}, func(r *Referee, _ *ClientAttempt) { rejected(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, nil},
+		{"non-idempotent retried after an unwritten rejection", nonIdempotent, copies,
 			func(r *Referee, _ *ClientAttempt) { r.RecordRejected(begin(r, "a1", 5)); begin(r, "a2", 9) }, []string{"repeat"}},
-		{"unsafe again after an error", unsafe, Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, []string{"repeat"}},
-		{"unsafe refused after an error", unsafe, Config{},
+		{"non-idempotent retried after an error", nonIdempotent, Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, []string{"repeat"}},
+		{"non-idempotent rejected after an error", nonIdempotent, Config{},
 			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 503, 0) }, []string{"repeat"}},
-		{"unsafe refused unsent", unsafe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(20), 503, 0) }, nil},
-		{"unsafe failed after an error", unsafe, Config{},
+		{"non-idempotent rejected unsent", nonIdempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(20), 503, 0) }, nil},
+		{"non-idempotent failed after an error", nonIdempotent, Config{},
 			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 502, 0) }, nil},
-		{"safe again and refused", safe, Config{},
+		{"idempotent retried and rejected", idempotent, Config{},
 			func(r *Referee, y *ClientAttempt) {
 				err(r, begin(r, "a1", 5))
 				err(r, begin(r, "b1", 9))
 				r.RecordResponse(y, at(20), 503, 0)
 			}, nil},
-		{"over the limit of tries", safe, Config{MaxAttempts: 1},
+		{"over the limit of attempts", idempotent, Config{MaxAttempts: 1},
 			func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, []string{"repeat"}},
-		{"a second copy where there may be none", safe, Config{}, func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, []string{"repeat"}},
-		{"a second copy", safe, copies, func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, nil},
+		{"hedged without hedging", idempotent, Config{}, func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, []string{"repeat"}},
+		{"hedged", idempotent, copies, func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, nil},
 		{"keyed within its zone", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, nil},
 		{"keyed to another zone", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, []string{"repeat"}},
-		{"keyed to another zone after a turn", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { turn(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, nil},
+		{"keyed to another zone after a rejection", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { rejected(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, nil},
 		{"keyed after its window", keyed("all"), Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 400) }, []string{"repeat"}},
-		{"keyed of all refused", keyed("all"), Config{},
+		{"keyed in all zones rejected", keyed("all"), Config{},
 			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 503, 0) }, nil},
-		{"keyed of a zone refused", keyed("zone"), Config{},
+		{"keyed in a zone rejected", keyed("zone"), Config{},
 			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 503, 0) }, []string{"repeat"}},
-		{"within the grace of a drain", safe, Config{DrainGrace: time.Second},
+		{"within the grace of a drain", idempotent, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a1", false, 0}}}, at(0))
 				begin(r, "a1", 990)
 			}, nil},
-		{"after the grace of a drain", safe, Config{DrainGrace: time.Second},
+		{"after the grace of a drain", idempotent, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a1", false, 0}}}, at(0))
 				begin(r, "a1", 1100)
 			}, []string{"drain"}},
-		{"gone from a whole list", safe, Config{},
+		{"missing in a complete list", idempotent, Config{},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a2", true, 0}}, Snapshot: true}, at(0))
 				begin(r, "a1", 100)
 			}, []string{"drain"}},
-		{"never listed", safe, Config{}, func(r *Referee, _ *ClientAttempt) { begin(r, "c1", 5) }, []string{"drain"}},
-		{"not told of a drain, asking", safe, Config{PollInterval: 100 * time.Millisecond},
+		{"never listed", idempotent, Config{}, func(r *Referee, _ *ClientAttempt) { begin(r, "c1", 5) }, []string{"drain"}},
+		{"not notified of a drain, polling", idempotent, Config{PollInterval: 100 * time.Millisecond},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordPoll("p")
-				r.RecordServerState("a1", "a", 0, false, 0, at(0))
+				r.RecordServerState("a1", ServerState{Zone: "a", Serving: false}, at(0))
 				begin(r, "a1", 900)
 			}, nil},
-		{"not told of a drain for not asking", safe, Config{PollInterval: 100 * time.Millisecond},
+		{"not notified of a drain, not polling", idempotent, Config{PollInterval: 100 * time.Millisecond},
 			func(r *Referee, _ *ClientAttempt) {
-				r.RecordServerState("a1", "a", 0, false, 0, at(0))
+				r.RecordServerState("a1", ServerState{Zone: "a", Serving: false}, at(0))
 				begin(r, "a1", 900)
 			}, []string{"drain"}},
-		{"a drain that was had for too long, and never told", safe, Config{DrainGrace: time.Second},
+		{"a drain overdue and never notified", idempotent, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) { r.RecordListed("a1", false, 0, at(0)); begin(r, "a1", 7100) }, []string{"drain"}},
-		{"a drain that was had for too long, within its grace", safe, Config{DrainGrace: time.Second},
+		{"a drain overdue, within its grace", idempotent, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) { r.RecordListed("a1", false, 0, at(0)); begin(r, "a1", 7040) }, nil},
-		{"a drain that was had, out of reach", safe, Config{DrainGrace: time.Second},
+		{"a drain during the proxy's list outage", idempotent, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordListed("a1", false, 0, at(0))
 				r.BeginListOutage("p", at(3000))(at(4000))
 				begin(r, "a1", 10900)
 			}, nil},
-		{"a drain that was had, out of another's reach", safe, Config{DrainGrace: time.Second},
+		{"a drain during another proxy's list outage", idempotent, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordListed("a1", false, 0, at(0))
 				r.BeginListOutage("q", at(3000))(at(4000))
 				begin(r, "a1", 7100)
 			}, []string{"drain"}},
-		{"a return that counts as told", safe, Config{},
+		{"a return that counts as notified", idempotent, Config{},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordListed("a1", false, 0, at(0))
 				r.RecordListed("a1", true, 5, at(1000))
 				begin(r, "a1", 7100)
 			}, nil},
-		{"a return that was told in time", safe, Config{},
+		{"a return notified in time", idempotent, Config{},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordListed("a1", false, 0, at(0))
 				r.RecordListed("a1", true, 5, at(3000))
 				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a1", true, 5}}}, at(4000))
 				begin(r, "a1", 7100)
 			}, nil},
-		{"a return that does not count as told yet", safe, Config{},
+		{"a return that does not count as notified yet", idempotent, Config{},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordListed("a1", false, 0, at(0))
 				r.RecordListed("a1", true, 5, at(3000))
 				begin(r, "a1", 7100)
 			}, []string{"drain"}},
-		{"a process that begins from an old list", safe, Config{},
+		{"a process that starts from an old list", idempotent, Config{},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordListed("a1", true, 0, at(-9000))
 				r.RecordListed("a1", false, 0, at(0))
 				r.RecordProxyStart("p", []Entry{{"a1", true, 0}}, at(5000))
 				begin(r, "a1", 7100)
 			}, []string{"drain"}},
-		{"answered late", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(1400), 502, 0) }, nil},
-		{"answered too late", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(1600), 502, 0) }, []string{"lost"}},
-		{"never answered", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordTimeout(y, at(1600)) }, []string{"lost"}},
-		{"never answered while killed", safe, Config{},
+		{"answered late", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(1400), 502, 0) }, nil},
+		{"answered too late", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(1600), 502, 0) }, []string{"lost"}},
+		{"never answered", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordTimeout(y, at(1600)) }, []string{"lost"}},
+		{"never answered while killed", idempotent, Config{},
 			func(r *Referee, y *ClientAttempt) {
 				r.BeginExcusedSpan("p", at(500))(at(600))
 				r.RecordTimeout(y, at(1600))
 			}, nil},
-		{"never answered though killed before", safe, Config{},
+		{"never answered though killed before", idempotent, Config{},
 			func(r *Referee, y *ClientAttempt) {
 				r.BeginExcusedSpan("p", at(-500))(at(-100))
 				r.RecordTimeout(y, at(1600))
 			}, []string{"lost"}},
-		{"closed without an answer", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), false, false) }, []string{"lost"}},
-		{"the one in 200 whose new connection is closed", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), false, true) }, nil},
-		{"broken off in its answer", safe, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), true, false) }, nil},
-		{"served what no nodo made", safe, Config{},
+		{"closed without an answer", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), false, false) }, []string{"lost"}},
+		{"the one in 200 whose new connection is closed", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), false, true) }, nil},
+		{"closed within its response", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), true, false) }, nil},
+		{"served a body that no server sent", idempotent, Config{},
 			func(r *Referee, y *ClientAttempt) {
 				r.RecordServed(begin(r, "a1", 5), 7, 0)
 				r.RecordResponse(y, at(50), 200, 8)
 			}, []string{"garbled"}},
-		{"served what a nodo made", safe, Config{},
+		{"served a server's body", idempotent, Config{},
 			func(r *Referee, y *ClientAttempt) {
 				r.RecordServed(begin(r, "a1", 5), 7, 0)
 				r.RecordResponse(y, at(50), 200, 7)
 			}, nil},
-		{"tipped by those who knew", safe, Config{},
+		{"overloaded by notified proxies", idempotent, Config{},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a1", true, 9}}}, at(0))
 				r.RecordOverload("a1", 9, map[string]time.Duration{"p": 7, "q": 3}, at(5))
 			}, []string{"tip"}},
-		{"tipped by those who did not know", safe, Config{},
+		{"overloaded by unnotified proxies", idempotent, Config{},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordOverload("a1", 9, map[string]time.Duration{"p": 7, "q": 3}, at(5))
 			}, nil},
@@ -191,8 +191,8 @@
 	}
 }
 
-// An attempt for a client that has left may begin for 0.1 s; its try is owed nothing.
-func TestAnAttemptForAClientThatLeft(t *testing.T) {
+// An attempt may begin for 0.1 s after its client cancelled; the client's attempt does not count as lost.
+func TestAttemptAfterClientCancel(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
 		want  int
@@ -203,7 +203,7 @@
 		r.RecordSend(clientAttempt, "p")
 		r.RecordWritten(clientAttempt, began)
 		if !r.RecordClientCancel(clientAttempt, began) || r.RecordClientCancel(clientAttempt, began.Add(1)) {
-			t.Error("it leaves once")
+			t.Error("a client cancels only once")
 		}
 		at := began.Add(c.after)
 		r.BeginAttempt(Arrival{Server: "s", ID: "1", Method: "GET", Path: "/", FirstByteAt: at, LastByteAt: at})
@@ -213,8 +213,8 @@
 	}
 }
 
-// A successor may send to a server that its own list names, though its predecessor was told that it is gone, or never of it.
-func TestASuccessorGoesByItsOwnList(t *testing.T) {
+// A successor may send to a server of its own list that its predecessor was notified as removed, or never notified of.
+func TestSuccessorUsesItsOwnList(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		r, began := New(Config{Classes: []Class{{}}, MaxAttempts: 3}), time.Unix(1000, 0)
 		r.RecordProxyStart("p", []Entry{{Server: "gone"}}, began)
--- a/internal/faultlab/result/avoid_test.go
+++ b/internal/faultlab/result/avoid_test.go
@@ -148,7 +148,7 @@
 	at := func(s float64) time.Time { return start.Add(experiment.Seconds(s)) }
 	r := referee.New(referee.Config{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 3})
 	r.RecordSend(&referee.ClientAttempt{ID: "x", StartedAt: at(10)}, "a-p1")
-	r.RecordServerState("b-s1", "b", 0, true, 0, start)
+	r.RecordServerState("b-s1", referee.ServerState{Zone: "b", Serving: true}, start)
 	r.BeginAttempt(referee.Arrival{Server: "b-s1", ID: "x", FirstByteAt: at(10), LastByteAt: at(13)})
 	for _, s := range []float64{10, 11} {
 		r.RecordUnansweredSend(referee.UnansweredSend{SentAt: at(s), Proxy: "a-p1", FromZone: "a", Server: "b-s1", Zone: "b", Dial: s == 11})
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"merlinpick/internal/faultlab/catalog"
+	"merlinpick/internal/faultlab/referee"
 	"merlinpick/internal/faultlab/experiment"
 	"merlinpick/internal/faultlab/link"
 	"merlinpick/internal/faultlab/stubserver"
@@ -120,7 +121,7 @@
 	s.entry = catalog.Entry{Name: s.node.Name, Zone: s.node.Zone, Type: cmp.Or(s.node.Group.Kind, "lab"), Group: s.cell,
 		Status: catalog.Serving, Since: since}
 	s.mu.Unlock()
-	f.ref.RecordServerState(s.node.Name, s.node.Zone, s.cell, true, since, at)
+	f.ref.RecordServerState(s.node.Name, referee.ServerState{Zone: s.node.Zone, Cell: s.cell, Serving: true, Since: since}, at)
 }
 
 // tell tells the list what a server is now.
@@ -129,7 +130,8 @@
 	s.entry.Status = status
 	e := s.entry
 	s.mu.Unlock()
-	f.ref.RecordServerState(e.Name, e.Zone, e.Group, status == catalog.Serving, e.Since, time.Now())
+	f.ref.RecordServerState(e.Name, referee.ServerState{Zone: e.Zone, Cell: e.Group, Serving: status == catalog.Serving,
+		Since: e.Since}, time.Now())
 	f.change(e)
 }
 
