--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"merlinpick/internal/faultlab/catalog"
-	"merlinpick/internal/faultlab/referee"
 	"merlinpick/internal/faultlab/experiment"
 	"merlinpick/internal/faultlab/link"
+	"merlinpick/internal/faultlab/referee"
 	"merlinpick/internal/faultlab/stubserver"
 )
 
