--- a/internal/faultlab/result/avoid.go
+++ b/internal/faultlab/result/avoid.go
@@ -9,16 +9,16 @@
 const (
 	departureWindow = 0.25 // seconds
 	departureCalls  = 40   // or as long as so many calls take
-	trialFraction   = 0.05 // of them at most go where a fault is met, once it is left: trials
+	trialFraction   = 0.05 // at most this fraction of calls to a fault's target are trials
 	avoidanceWindow = 1.0
-	stayedBeforeEnd = 1.0 // seconds before a fault's end: who leaves later has stayed
-	stayedMinimum   = 2.0 // of a fault that lasts so long
+	stayedBeforeEnd = 1.0 // seconds; a proxy that leaves later has stayed
+	stayedMinimum   = 2.0 // seconds that a fault lasts for proxies to count as stayed
 	returnWindow    = 2.0
 	returnStep      = 0.25
-	minReturnCalls  = 20 // calls in a window that says anything
+	minReturnCalls  = 20 // in a returnWindow
 )
 
-// avoidance tells of each fault that calls could avoid how soon they did, and how soon they came back after it.
+// addAvoidance adds, for each fault that calls could avoid, how soon they did and how soon they returned after it.
 func (p *Play) addAvoidance(input Input, requests []clientRequest, metrics map[string]float64) {
 	calls := input.calls()
 	for _, event := range input.Events {
@@ -63,28 +63,28 @@
 	metrics["dials_lost"] = float64(dials)
 }
 
-// left is when proxies left what a fault struck, in seconds from its beginning.
+// departures is when proxies stopped calling a fault's target, in seconds from the fault's start.
 type departures struct {
-	first, last float64 // proxy
+	first, last float64 // of a proxy
 	spread      float64 // from the first to the last of a zone, the largest
-	avoided     float64 // until at most leftPart of all calls went there, for a while
-	stayed      int     // proxies that had not left at its end
+	avoided     float64 // until at most trialFraction of all calls went there
+	stayed      int     // proxies that had not stopped at its end
 }
 
-// leaving finds when each proxy left: at its last call there that was no trial. Proxies that made none but trials say
-// nothing. Where proxies cannot be told apart nothing is said of them.
+// findDepartures finds when each proxy stopped: at its last call there that is no trial. Proxies with only trials are left out,
+// and so are proxies that share their links and cannot be distinguished.
 func findDepartures(during []call, affected affectedCalls, event Event) departures {
 	l := departures{first: math.NaN(), last: math.NaN(), spread: math.NaN()}
 	by, zones := map[string][]call{}, map[string]string{}
-	concerned := map[string]bool{} // who ever calls there; the others' calls cannot tell
+	callers := map[string]bool{} // zones that ever call there
 	for _, c := range during {
 		if affected.affects(c) {
-			concerned[c.fromZone] = true
+			callers[c.fromZone] = true
 		}
 	}
 	var all []call
 	for _, c := range during {
-		if !concerned[c.fromZone] {
+		if !callers[c.fromZone] {
 			continue
 		}
 		all = append(all, c)
@@ -123,15 +123,15 @@
 	return l
 }
 
-// tally counts calls, and those of them that a fault meets, up to each.
+// callTally holds the times of calls and running counts of the affected ones.
 type callTally struct {
 	times    []float64
-	affected []int // of the first i
+	affected []int // of the first i calls
 }
 
-func countCalls(cs []call, affected affectedCalls) callTally {
-	t := callTally{affected: make([]int, len(cs)+1)}
-	for i, c := range cs {
+func countCalls(calls []call, affected affectedCalls) callTally {
+	t := callTally{affected: make([]int, len(calls)+1)}
+	for i, c := range calls {
 		t.times = append(t.times, c.time)
 		t.affected[i+1] = t.affected[i]
 		if affected.affects(c) {
@@ -141,8 +141,8 @@
 	return t
 }
 
-// trials tells whether of the calls from the i-th on, for so many seconds after a moment, or as long as so many take, at
-// most leftPart go there. Near the end earlier ones make up the number.
+// trials reports whether at most trialFraction of the calls from the i-th on are affected, over so many seconds after a moment or
+// so many calls, whichever is longer. Near the end earlier calls make up the number.
 func (t callTally) trials(i int, from, seconds float64, calls int) bool {
 	j, _ := slices.BinarySearch(t.times, from+seconds)
 	j = min(max(j, i+calls), len(t.times))
@@ -150,8 +150,8 @@
 	return float64(t.affected[j]-t.affected[i]) <= trialFraction*float64(j-i)
 }
 
-// last is the moment of the last call there that is no trial. What a proxy means by a call is not to be seen: its very
-// last ones in earnest, up to leftPart of a window, are taken for trials.
+// lastCall is the time of the last affected call that is no trial, NaN if there is none. A proxy's last regular calls, up to
+// trialFraction of a window, count as trials.
 func (t callTally) lastCall() float64 {
 	for i := len(t.times) - 1; i >= 0; i-- {
 		if t.affected[i+1] > t.affected[i] && !t.trials(i, t.times[i], departureWindow, departureCalls) {
@@ -161,25 +161,25 @@
 	return math.NaN()
 }
 
-// avoided is the first moment from which on at most leftPart of the calls go there, for a short while and for a longer
-// one; what is found is a fault's end if there is none.
+// avoidedAt is the first time after which at most trialFraction of the calls are affected, over departureWindow and
+// avoidanceWindow; a fault's end if there is none.
 func (t callTally) avoidedAt(from, to float64) float64 {
-	fine := func(i int, at float64) bool {
+	settled := func(i int, at float64) bool {
 		return t.trials(i, at, departureWindow, departureCalls) && t.trials(i, at, avoidanceWindow, departureCalls)
 	}
-	if fine(0, from) {
+	if settled(0, from) {
 		return from
 	}
 	for i := range t.times {
-		if t.affected[i+1] > t.affected[i] && i+1 < len(t.times) && fine(i+1, t.times[i]) {
+		if t.affected[i+1] > t.affected[i] && i+1 < len(t.times) && settled(i+1, t.times[i]) {
 			return t.times[i]
 		}
 	}
 	return to
 }
 
-// returned is how long after a fault's end its target first had backPart of the part of the calls that it had in the
-// beforeSpan before the fault, over backWindow; to the next fault, or the end, if it had not by then.
+// returnDelay is the time from a fault's end until its target has, over returnWindow, recoveredFraction of its share of the calls
+// in the baselineSeconds before the fault; at most until the next fault or the end of the load.
 func returnDelay(input Input, calls []call, affected affectedCalls, event Event) float64 {
 	share := func(from, to float64) (float64, int) {
 		n, there := 0, 0
--- a/internal/faultlab/result/configs.go
+++ b/internal/faultlab/result/configs.go
@@ -8,21 +8,21 @@
 	"merlinpick/internal/faultlab/hollow"
 )
 
-// Put is a configuration that was put at the list service's members.
+// ConfigWrite is a configuration that was written to the list service.
 type ConfigWrite struct {
 	Service     string
 	Faulty      bool
-	Status      int   // of the last answer; 0: there was none
-	Version     int64 // of one that was taken
-	RequestedAt int64 // when it was put first: nanoseconds of the machine's clock
-	ConfirmedAt int64 // when it was answered last
+	Status      int   // of the last answer; 0: none
+	Version     int64 // if it was accepted
+	RequestedAt int64 // when it was first sent, in ns of the machine's clock
+	ConfirmedAt int64 // when it was last answered
 }
 
-// inForceWithin is what operators want: a change in force everywhere.
+// inForceDeadline is the operators' limit for a change to be in force everywhere.
 const inForceDeadline = 9 * time.Second
 
-// configs are the metrics of the configurations that were put in a phase.
-func (c *Control) configMetrics(phase string, from, to int64, put func(string, float64)) {
+// configMetrics adds the metrics of the configurations that were written in a phase.
+func (c *Control) configMetrics(phase string, from, to int64, add func(string, float64)) {
 	follow := map[string][][]ReceivedVersion{}
 	for _, x := range c.Hollow {
 		for _, p := range x.Proxies {
@@ -53,10 +53,10 @@
 	}
 	slices.Sort(late)
 	slices.Sort(sure)
-	put(phase+".config_changes", float64(changes))
-	put(phase+".config_refused", float64(refused))
-	put(phase+".config_failed", float64(failed))
-	put(phase+".config_never", float64(never))
-	addQuantiles(phase+".config_in_force", late, put)
-	addQuantiles(phase+".config_confirmed", sure, put)
+	add(phase+".config_changes", float64(changes))
+	add(phase+".config_refused", float64(refused))
+	add(phase+".config_failed", float64(failed))
+	add(phase+".config_never", float64(never))
+	addQuantiles(phase+".config_in_force", late, add)
+	addQuantiles(phase+".config_confirmed", sure, add)
 }
--- a/internal/faultlab/result/control.go
+++ b/internal/faultlab/result/control.go
@@ -11,56 +11,57 @@
 	"merlinpick/internal/faultlab/hollow"
 )
 
-// Spent is what a role has spent so far: all that bear it together.
+// Usage is what all instances of a role have used so far, together.
 type Usage struct {
-	BytesIn, BytesOut int64 // bytes that came to it and that it sent
-	Calls             int64 // of the list and of leases: by it, or to it if it is a member of the service
+	BytesIn, BytesOut int64
+	Calls             int64 // for the list and leases; received, of a member of the list service, else sent
 	CPU               time.Duration
-	InstanceTime      time.Duration // seconds that it was borne, over all that bear it
-	Memory            int64         // bytes, of all that bear it; of members the most of one
+	InstanceTime      time.Duration // summed over the instances of the role
+	Memory            int64         // bytes, summed; of members the maximum
 }
 
-// Plus is both together, and the larger memory.
-func (s Usage) Plus(o Usage) Usage {
-	return Usage{s.BytesIn + o.BytesIn, s.BytesOut + o.BytesOut, s.Calls + o.Calls, s.CPU + o.CPU, s.InstanceTime + o.InstanceTime, max(s.Memory, o.Memory)}
+// Plus adds two usages, with the larger memory.
+func (u Usage) Plus(other Usage) Usage {
+	return Usage{BytesIn: u.BytesIn + other.BytesIn, BytesOut: u.BytesOut + other.BytesOut, Calls: u.Calls + other.Calls,
+		CPU: u.CPU + other.CPU, InstanceTime: u.InstanceTime + other.InstanceTime, Memory: max(u.Memory, other.Memory)}
 }
 
-// Reading is what control has cost until a moment.
+// Sample is the usage of the control plane until a moment.
 type Sample struct {
 	TakenAt    time.Time
 	Roles      map[string]Usage
-	Rejected   float64                  // calls that members answered 503
-	Watches    float64                  // held at all members together, at most
-	Gossip     []*hollow.ClusterMetrics // of each hollow proxy; empty without a fleet
-	RealGossip []*hollow.ClusterMetrics // of each real one
+	Rejected   float64                  // calls that members answered with 503
+	Watches    float64                  // in flight at all members, maximum
+	Gossip     []*hollow.ClusterMetrics // of each hollow proxy; empty without a cluster
+	RealGossip []*hollow.ClusterMetrics // of each real proxy
 }
 
-// Clone is a copy.
+// Clone is a deep copy but for the gossip metrics.
 func (r Sample) Clone() Sample {
 	r.Roles = maps.Clone(r.Roles)
 	return r
 }
 
-// PhaseReading is a phase's two readings; nil if it did not come to it.
+// PhaseSamples are the samples at a phase's start and end; nil if the play ended before.
 type PhaseSamples struct{ Before, After *Sample }
 
-// Told is a version of the list, and when a proxy had it: nanoseconds of the machine's clock.
+// ReceivedVersion is a version of the list and when a proxy received it, in ns of the machine's clock.
 type ReceivedVersion = hollow.VersionTime
 
-// Control is what a play's metrics of control are made of.
+// Control holds the observations for a play's metrics of the control plane.
 type Control struct {
 	Phases            []PhaseSamples
 	Hollow            []hollow.Metrics
-	RealProxyVersions [][]ReceivedVersion // versions that each real proxy was told
+	RealProxyVersions [][]ReceivedVersion // by proxy
 	ConfigWrites      []ConfigWrite
 }
 
-const confirmedBeforeEnd = 5 * time.Second // a change that was sure so long before the end should be known to all
+const confirmedBeforeEnd = 5 * time.Second // a change confirmed so long before the end must have reached all
 
 // Figures are those of control, phase by phase, of a load that began at start.
 func (c *Control) Metrics(exp *experiment.Experiment, start time.Time) map[string]float64 {
 	metrics := map[string]float64{}
-	put := func(name string, v float64) {
+	add := func(name string, v float64) {
 		if !math.IsNaN(v) && !math.IsInf(v, 0) {
 			metrics["control."+name] = v
 		}
@@ -79,40 +80,40 @@
 			age = max(age, p.List.AgeMs)
 		}
 	}
-	put("hollow_stall_ms", c.LongestStall())
-	put("list_failures", failures)
-	put("list_moves", moves)
-	put("list_age_last_ms", age)
+	add("hollow_stall_ms", c.LongestStall())
+	add("list_failures", failures)
+	add("list_moves", moves)
+	add("list_age_last_ms", age)
 	end := start.Add(experiment.Seconds(exp.Seconds)).UnixNano()
 	for i, p := range exp.Phases {
 		if i < len(c.Phases) && c.Phases[i].Before != nil && c.Phases[i].After != nil {
-			addUsage(exp, p.Name, c.Phases[i], put)
+			addUsage(exp, p.Name, c.Phases[i], add)
 		}
 		from, to := start.Add(experiment.Seconds(p.From)).UnixNano(), start.Add(experiment.Seconds(p.To)).UnixNano()
 		own := slices.DeleteFunc(slices.Clone(changes), func(x hollow.Change) bool { return x.RequestedAt < from || x.RequestedAt >= to })
-		put(p.Name+".changes", float64(len(own)))
-		addQuantiles(p.Name+".known", notificationDelays(own, tracks), put)
-		addQuantiles(p.Name+".real_known", notificationDelays(own, c.RealProxyVersions), put)
+		add(p.Name+".changes", float64(len(own)))
+		addQuantiles(p.Name+".known", notificationDelays(own, tracks), add)
+		addQuantiles(p.Name+".real_known", notificationDelays(own, c.RealProxyVersions), add)
 		var sure []float64
 		for _, x := range own {
 			sure = append(sure, float64(x.ConfirmedAt-x.RequestedAt)/1e6)
 		}
 		slices.Sort(sure)
-		addQuantiles(p.Name+".confirmed", sure, put)
-		put(p.Name+".unknown", float64(countUnknown(own, tracks, end)))
+		addQuantiles(p.Name+".confirmed", sure, add)
+		add(p.Name+".unknown", float64(countUnknown(own, tracks, end)))
 		died := slices.DeleteFunc(slices.Clone(deaths), func(x hollow.Death) bool { return x.At < from || x.At >= to })
 		late, never := removalDelays(died, lost)
-		put(p.Name+".deaths", float64(len(died)))
-		addQuantiles(p.Name+".buried", late, put)
-		put(p.Name+".unburied", float64(never))
-		c.configMetrics(p.Name, from, to, put)
-		addCalibration(p.Name, metrics, put)
+		add(p.Name+".deaths", float64(len(died)))
+		addQuantiles(p.Name+".buried", late, add)
+		add(p.Name+".unburied", float64(never))
+		c.configMetrics(p.Name, from, to, add)
+		addCalibration(p.Name, metrics, add)
 	}
 	return metrics
 }
 
-// factors are what a real proxy's metrics are of a hollow one's, where both are told: the calibration.
-func addCalibration(phase string, metrics map[string]float64, put func(string, float64)) {
+// addCalibration adds the ratio of a real proxy's metrics to a hollow one's, where both exist.
+func addCalibration(phase string, metrics map[string]float64, add func(string, float64)) {
 	at := "control." + phase + "."
 	for factor, pair := range map[string][2]string{"calls": {"real.calls_s", "proxy.calls_s"}, "in": {"real.in_b_s", "proxy.in_b_s"},
 		"out": {"real.out_b_s", "proxy.out_b_s"}, "cpu": {"real.cpu_pct", "proxy.cpu_pct"},
@@ -120,15 +121,15 @@
 		"gossip_in": {"real_gossip_in_b_s", "gossip_in_b_s"}, "gossip_out": {"real_gossip_out_b_s", "gossip_out_b_s"},
 		"gossip_sent": {"real_gossip_sent_s", "gossip_sent_s"}, "gossip_oldest": {"real_gossip_oldest_ms", "gossip_oldest_ms"}} {
 		if real, ok := metrics[at+pair[0]]; ok && metrics[at+pair[1]] > 0 {
-			put(phase+".factor."+factor, real/metrics[at+pair[1]])
+			add(phase+".factor."+factor, real/metrics[at+pair[1]])
 		}
 	}
 }
 
-// spent are the metrics of one phase's two readings.
-func addUsage(exp *experiment.Experiment, phase string, r PhaseSamples, put func(string, float64)) {
+// addUsage adds the metrics between a phase's two samples.
+func addUsage(exp *experiment.Experiment, phase string, r PhaseSamples, add func(string, float64)) {
 	seconds := r.After.TakenAt.Sub(r.Before.TakenAt).Seconds()
-	borne := map[string]int{"proxy": exp.Hollow.Proxies, "real": len(exp.ProxyNodes()), "nodo": exp.Hollow.Servers}
+	instances := map[string]int{"proxy": exp.Hollow.Proxies, "real": len(exp.ProxyNodes()), "nodo": exp.Hollow.Servers}
 	for role, after := range r.After.Roles {
 		before := r.Before.Roles[role]
 		each := (after.InstanceTime - before.InstanceTime).Seconds()
@@ -136,28 +137,28 @@
 			continue
 		}
 		name := phase + "." + role + "."
-		put(name+"in_b_s", float64(after.BytesIn-before.BytesIn)/each)
-		put(name+"out_b_s", float64(after.BytesOut-before.BytesOut)/each)
-		put(name+"calls_s", float64(after.Calls-before.Calls)/each)
+		add(name+"in_b_s", float64(after.BytesIn-before.BytesIn)/each)
+		add(name+"out_b_s", float64(after.BytesOut-before.BytesOut)/each)
+		add(name+"calls_s", float64(after.Calls-before.Calls)/each)
 		if role == "regions" {
 			continue
 		}
-		put(name+"cpu_pct", 100*(after.CPU-before.CPU).Seconds()/each)
-		n := float64(max(1, borne[role]))
-		put(name+"memory_mb", float64(after.Memory)/n/(1<<20))
+		add(name+"cpu_pct", 100*(after.CPU-before.CPU).Seconds()/each)
+		n := float64(max(1, instances[role]))
+		add(name+"memory_mb", float64(after.Memory)/n/(1<<20))
 	}
-	put(phase+".turned", r.After.Rejected-r.Before.Rejected)
-	put(phase+".watches_most", r.After.Watches)
+	add(phase+".turned", r.After.Rejected-r.Before.Rejected)
+	add(phase+".watches_most", r.After.Watches)
 	if len(r.Before.Gossip) == len(r.After.Gossip) {
-		addGossip(phase+".", r.Before.Gossip, r.After.Gossip, seconds, put)
+		addGossip(phase+".", r.Before.Gossip, r.After.Gossip, seconds, add)
 	}
 	if len(r.Before.RealGossip) == len(r.After.RealGossip) {
-		addGossip(phase+".real_", r.Before.RealGossip, r.After.RealGossip, seconds, put)
+		addGossip(phase+".real_", r.Before.RealGossip, r.After.RealGossip, seconds, add)
 	}
 }
 
-// gossip are the metrics of a fleet's members in one phase, a member each.
-func addGossip(name string, before, after []*hollow.ClusterMetrics, seconds float64, put func(string, float64)) {
+// addGossip adds a phase's metrics of the cluster, averaged over its members.
+func addGossip(name string, before, after []*hollow.ClusterMetrics, seconds float64, add func(string, float64)) {
 	var in, out, sent, waiting, entries, dropped, oldest, n float64
 	least := math.Inf(1)
 	var ages []float64
@@ -176,19 +177,20 @@
 	if n == 0 {
 		return
 	}
-	put(name+"gossip_in_b_s", in/n/seconds)
-	put(name+"gossip_out_b_s", out/n/seconds)
-	put(name+"gossip_sent_s", sent/n/seconds)
-	put(name+"gossip_waiting", waiting/n)
-	put(name+"gossip_entries", entries/n)
-	put(name+"gossip_oldest_ms", oldest/n)
-	put(name+"gossip_dropped", dropped)
-	put(name+"living_least", least)
+	add(name+"gossip_in_b_s", in/n/seconds)
+	add(name+"gossip_out_b_s", out/n/seconds)
+	add(name+"gossip_sent_s", sent/n/seconds)
+	add(name+"gossip_waiting", waiting/n)
+	add(name+"gossip_entries", entries/n)
+	add(name+"gossip_oldest_ms", oldest/n)
+	add(name+"gossip_dropped", dropped)
+	add(name+"living_least", least)
 	slices.Sort(ages)
-	addQuantiles(name+"gossip_age", ages, put)
+	addQuantiles(name+"gossip_age", ages, add)
 }
 
-// known is how late each proxy knew each change, in ms, sorted: from its being confirmed. One that was told before counts 0.
+// notificationDelays are the times from each change's confirmation until each proxy received it, in ms, sorted; 0 if it was
+// received before.
 func notificationDelays(changes []hollow.Change, tracks [][]ReceivedVersion) (out []float64) {
 	for _, t := range tracks {
 		for _, c := range changes {
@@ -201,12 +203,12 @@
 	return out
 }
 
-// unknown counts the proxies and changes that never met, of changes that were sure long enough before the end.
+// countUnknown counts the pairs of proxies and changes that never met, of changes confirmed early enough before the end.
 func countUnknown(changes []hollow.Change, tracks [][]ReceivedVersion, end int64) (n int) {
 	return countMissing(changes, tracks, end-confirmedBeforeEnd.Nanoseconds())
 }
 
-// unmet counts the proxies and changes that never met, of changes that were sure before a moment.
+// countMissing counts the pairs of proxies and changes that never met, of changes confirmed before a moment.
 func countMissing(changes []hollow.Change, tracks [][]ReceivedVersion, before int64) (n int) {
 	for _, t := range tracks {
 		for _, c := range changes {
@@ -218,8 +220,8 @@
 	return n
 }
 
-// buried is how late each proxy had each server that died out of its list, in ms, sorted; never counts those that did not: the
-// server was back before its lease had ended, or its zone is held.
+// removalDelays are the times from each server's death until each proxy's list had removed it, in ms, sorted; never counts those
+// that did not: the server was back before its lease expired, or its zone is held.
 func removalDelays(deaths []hollow.Death, lost [][]hollow.Death) (late []float64, never int) {
 	for _, of := range lost {
 		for _, d := range deaths {
@@ -235,17 +237,18 @@
 	return late, never
 }
 
-func addQuantiles(name string, sorted []float64, put func(string, float64)) {
+// addQuantiles adds the median, the 99th percentile and the maximum of sorted values.
+func addQuantiles(name string, sorted []float64, add func(string, float64)) {
 	if len(sorted) == 0 {
 		return
 	}
 	at := func(q float64) float64 { return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))] }
-	put(name+"_p50_ms", at(0.5))
-	put(name+"_p99_ms", at(0.99))
-	put(name+"_last_ms", sorted[len(sorted)-1])
+	add(name+"_p50_ms", at(0.5))
+	add(name+"_p99_ms", at(0.99))
+	add(name+"_last_ms", sorted[len(sorted)-1])
 }
 
-// Stall is the longest in which a hollow process did not run, in ms.
+// LongestStall is the longest pause of a hollow process, in ms.
 func (c *Control) LongestStall() (most float64) {
 	if c == nil {
 		return 0
--- a/internal/faultlab/result/figures.go
+++ b/internal/faultlab/result/figures.go
@@ -17,14 +17,14 @@
 
 const (
 	windowWidth       = 500 * time.Millisecond
-	recoveryWindows   = 4             // windows over which service is taken to be back or not
-	baselineSeconds   = 5.0           // seconds before a fault that say what service was
-	recoveredFraction = 0.95          // of it, to be back
+	recoveryWindows   = 4             // windows over which service counts as recovered
+	baselineSeconds   = 5.0           // before a fault, the level to recover to
+	recoveredFraction = 0.95          // of the level before the fault
 	maxLatency        = 3_600_000_000 // µs
-	latencyDigits     = 3             // metrics
+	latencyDigits     = 3             // significant digits
 )
 
-// Input is what the metrics of a play are made of.
+// Input holds the observations of a play.
 type Input struct {
 	Experiment *experiment.Experiment
 	Plan       *plan.Plan
@@ -33,38 +33,38 @@
 	Events     []Event
 	Lateness   []time.Duration
 	Stall      time.Duration
-	Memory     int64         // peak of a proxy's, bytes
+	Memory     int64         // bytes, maximum of the proxies' peaks
 	CPU        time.Duration // of all proxies
-	List       *List         // of a list service with members; else nil
-	Gossip     *Gossip       // nil if the fleet is off
+	List       *List         // nil without a list service with members
+	Gossip     *Gossip       // nil without a cluster
 
-	Control *Control // nil without hollow ones
+	Control *Control // nil without hollow proxies
 }
 
-// Gossip is what the proxies sent each other.
+// Gossip is the traffic between the proxies.
 type Gossip struct {
-	Packets int   // datagrams that were handed on
-	Bytes   int64 // of these and of connections
+	Packets int   // datagrams forwarded
+	Bytes   int64 // of datagrams and connections
 }
 
-// List is what came of a list service.
+// List holds the observations of a list service.
 type List struct {
-	CheckedCalls       int             // calls in its history
-	NotificationDelays []time.Duration // from a change's being confirmed to its being told, sorted
-	MissingServers     int             // living servers that the list lacked, at most
-	RefusedStarts      int             // starts refused for a damaged directory
+	CheckedCalls       int             // of the checked history
+	NotificationDelays []time.Duration // from a change's confirmation until a proxy was notified, sorted
+	MissingServers     int             // live servers missing in the list, maximum
+	RefusedStarts      int             // of members, for a damaged directory
 }
 
-// client is an arrival with what came of all its tries.
+// clientRequest is an arrival with the result of all its attempts.
 type clientRequest struct {
 	*plan.Arrival
 	attempts []*referee.ClientAttempt
-	outcome  referee.Outcome // Served, Refused, Failed, Unreached
-	latency  time.Duration   // from the planned moment, if served
+	outcome  referee.Outcome // Served, Rejected, Failed or Unreached
+	latency  time.Duration   // from the planned time, if served
 	inTime   bool
 }
 
-// clients gathers the tries by arrival; arrivals that were not played are left out.
+// clientRequests groups the attempts by arrival; arrivals that were not sent are left out.
 func (input *Input) clientRequests() []clientRequest {
 	byArrival := make([][]*referee.ClientAttempt, len(input.Plan.Arrivals))
 	for _, t := range input.Record.ClientAttempts {
@@ -78,7 +78,7 @@
 			continue
 		}
 		planned := input.Start.Add(a.At)
-		aim := experiment.Millis(input.Experiment.Classes[a.Class].ObjectiveMs)
+		objective := experiment.Millis(input.Experiment.Classes[a.Class].ObjectiveMs)
 		request.outcome = referee.Unreached
 		for _, t := range request.attempts {
 			switch {
@@ -93,13 +93,13 @@
 				request.outcome = referee.Failed
 			}
 		}
-		request.inTime = request.outcome == referee.Served && request.latency <= aim
+		request.inTime = request.outcome == referee.Served && request.latency <= objective
 		out = append(out, request)
 	}
 	return out
 }
 
-// spanFigure is one of the metrics that can be asked of a span of arrivals and of a class (-1 for all).
+// spanFigure is a metric over a span of arrivals, in seconds, and a class (-1: all); NaN if nothing arrived.
 func spanFigure(exp *experiment.Experiment, requests []clientRequest, name string, class int, from, to float64) float64 {
 	all, part := 0.0, 0.0
 	for _, request := range requests {
@@ -141,7 +141,7 @@
 	return part / all
 }
 
-// Fill computes a play's metrics.
+// Fill computes the play's metrics from its observations.
 func (p *Play) Fill(input Input) {
 	exp, requests := input.Experiment, input.clientRequests()
 	metrics := map[string]float64{}
@@ -187,7 +187,7 @@
 	for _, x := range exp.Expect {
 		p.Spans = append(p.Spans, p.expectedMetric(exp, requests, metrics, x))
 	}
-	for name, v := range metrics { // JSON has no NaN: a share of nothing is left out
+	for name, v := range metrics { // JSON has no NaN
 		if math.IsNaN(v) {
 			delete(metrics, name)
 		}
@@ -204,7 +204,7 @@
 		v, ok = spanFigure(exp, requests, base, class, from, to), true
 	}
 	if !ok || math.IsNaN(v) {
-		return -1 // what did not come about holds no bound from below, and any from above
+		return -1 // fails every minimum and meets every maximum
 	}
 	return v
 }
@@ -216,7 +216,7 @@
 	return a / b
 }
 
-// traffic counts requests, tries and attempts, by the zones that they went between.
+// addTraffic counts requests, client attempts and attempts, by zones.
 func (p *Play) addTraffic(input Input, requests []clientRequest, metrics map[string]float64) {
 	zoneOf := map[string]string{}
 	for _, n := range input.Experiment.ProxyNodes() {
@@ -253,7 +253,7 @@
 	metrics["overhead_p50_ms"] = quantile(waits, 0.5)
 }
 
-// latency is of all that was served, in time or not, from the planned moment of the first try.
+// addLatency adds the latencies of all served requests, in time or not, from their planned times.
 func (p *Play) addLatency(input Input, requests []clientRequest, metrics map[string]float64) {
 	p.Latency = map[string][]float64{}
 	all := hdrhistogram.New(1, maxLatency, latencyDigits)
@@ -291,9 +291,9 @@
 	}
 	for _, request := range requests {
 		w := &p.Windows[min(int(request.At/windowWidth), n-1)]
-		worth := input.Experiment.Classes[request.Class].Weight
+		weight := input.Experiment.Classes[request.Class].Weight
 		w.Arrived++
-		w.Weight += worth
+		w.Weight += weight
 		switch request.outcome {
 		case referee.Served:
 			w.Served++
@@ -303,7 +303,7 @@
 			w.Failed++
 		}
 		if request.inTime {
-			w.InTime += worth
+			w.InTime += weight
 		}
 	}
 	for _, at := range input.Record.ConnectTimes {
@@ -313,18 +313,18 @@
 	}
 }
 
-// share is the worth in time of the windows from one up to another.
+// weightInTime is the fraction of the weight answered in time in the windows [from, to).
 func (p *Play) weightInTime(from, to int) float64 {
-	worth, in := 0.0, 0.0
+	weight, inTime := 0.0, 0.0
 	to = min(to, len(p.Windows))
 	for _, w := range p.Windows[min(max(from, 0), to):to] {
-		worth, in = worth+w.Weight, in+w.InTime
+		weight, inTime = weight+w.Weight, inTime+w.InTime
 	}
-	return ratio(in, worth)
+	return ratio(inTime, weight)
 }
 
-// recovery tells of each fault how long it took until service was back at 95 % of what it was: to the moment from which
-// on every stretch of 2 s lay over that, up to the next fault. One that lies below to the end has not recovered.
+// addRecovery adds, for each fault, the time until every span of recoveryWindows up to the next fault is at recoveredFraction of
+// the level before.
 func (p *Play) addRecovery(input Input, metrics map[string]float64) {
 	p.Events = input.Events
 	width := windowWidth.Seconds()
--- a/internal/faultlab/result/headroom.go
+++ b/internal/faultlab/result/headroom.go
@@ -16,13 +16,13 @@
 	headroomStep = 0.1
 )
 
-// hit is a span in which a server does a part of its work, and how long it is cold afterwards.
+// capacityLoss is a span in which a server has a fraction of its capacity, and whether slow start follows.
 type capacityLoss struct {
 	start, end, fraction float64
 	warming              bool
 }
 
-// hits are what the faults of a plan do to each server's room.
+// capacityLosses are the effects of the plan's faults on the capacity of each server.
 func (input *Input) capacityLosses() map[string][]capacityLoss {
 	out := map[string][]capacityLoss{}
 	for _, s := range input.Plan.Strikes {
@@ -33,7 +33,7 @@
 			}
 			return (at + s.For).Seconds()
 		}
-		part, cold := 0.0, false
+		fraction, warming := 0.0, false
 		switch f.Kind {
 		case "zone_loss":
 			for _, n := range input.Experiment.ServerNodes() {
@@ -43,39 +43,39 @@
 			}
 			continue
 		case "nodo_kill", "nodo_drain":
-			cold = true
+			warming = true
 		case "nodo_silent", "nodo_hang":
 		case "nodo_slow":
-			part = 1 / f.Factor
+			fraction = 1 / f.Factor
 		case "nodo_errors", "nodo_garble":
-			part = 1 - f.Part
+			fraction = 1 - f.Part
 		default:
 			continue
 		}
 		for _, turn := range s.Turns {
-			out[turn.Target] = append(out[turn.Target], capacityLoss{turn.At.Seconds(), until(turn.At), part, cold})
+			out[turn.Target] = append(out[turn.Target], capacityLoss{turn.At.Seconds(), until(turn.At), fraction, warming})
 		}
 	}
 	return out
 }
 
-// partOf is a server's part of its whole room at a moment.
+// capacityFraction is the fraction of a server's full capacity that it has at a moment.
 func capacityFraction(hits []capacityLoss, at float64, n experiment.Servers) float64 {
-	part := 1.0
+	fraction := 1.0
 	for _, h := range hits {
-		cold := n.SlowStartMs / 1000
+		slowStart := n.SlowStartMs / 1000
 		switch {
 		case at < h.start:
 		case at < h.end:
-			part *= h.fraction
-		case h.warming && at < h.end+cold:
-			part *= n.StartCapacity + (1-n.StartCapacity)*(at-h.end)/cold
+			fraction *= h.fraction
+		case h.warming && at < h.end+slowStart:
+			fraction *= n.StartCapacity + (1-n.StartCapacity)*(at-h.end)/slowStart
 		}
 	}
-	return part
+	return fraction
 }
 
-// room is the work, in seconds of a slot of speed 1, that the servers of some zones can do in a span.
+// availableWork is the work, in seconds of a slot of speed 1, that the servers of the selected zones can do in a span.
 func (input *Input) availableWork(from, to float64, zone func(string) bool) (work float64) {
 	hits := input.capacityLosses()
 	for _, n := range input.Experiment.ServerNodes() {
@@ -90,9 +90,9 @@
 	return work
 }
 
-// roomWorth is the worth answered in time in the roomSpan after a fault's beginning, over the most that the room left
-// allows for what came: that of the requests of most worth for their work, until the room is full. What found no proxy is
-// left out of both. A zone that is cut off has its own room for its own callers.
+// headroomUse is the weight answered in time in the headroomSpan after a fault's start, over the maximum that the remaining
+// capacity allows: requests in the order of weight per work, until the capacity is used. Requests that reached no proxy are left
+// out of both. A zone that is cut off has its own capacity for its own clients.
 func (input *Input) headroomUse(requests []clientRequest, event Event) float64 {
 	to := math.Min(event.Start+headroomSpan, input.Experiment.Seconds)
 	zones := input.Experiment.ZoneNames()
@@ -118,17 +118,17 @@
 	return ratio(got, allowed)
 }
 
-// best is the most worth that so much work can earn.
-func maximumWeight(classes []experiment.Class, came []*plan.Arrival, work float64) (worth float64) {
-	dense := func(a *plan.Arrival) float64 { return classes[a.Class].Weight / math.Max(a.Work.Seconds(), 1e-6) }
-	slices.SortFunc(came, func(a, b *plan.Arrival) int { return cmp.Compare(dense(b), dense(a)) })
+// maximumWeight is the most weight that can be answered with so much work.
+func maximumWeight(classes []experiment.Class, came []*plan.Arrival, work float64) (weight float64) {
+	density := func(a *plan.Arrival) float64 { return classes[a.Class].Weight / math.Max(a.Work.Seconds(), 1e-6) }
+	slices.SortFunc(came, func(a, b *plan.Arrival) int { return cmp.Compare(density(b), density(a)) })
 	for _, a := range came {
 		part := math.Min(1, work/math.Max(a.Work.Seconds(), 1e-6))
 		if part <= 0 {
 			break
 		}
-		worth += part * classes[a.Class].Weight
+		weight += part * classes[a.Class].Weight
 		work -= a.Work.Seconds()
 	}
-	return worth
+	return weight
 }
--- a/internal/faultlab/result/result.go
+++ b/internal/faultlab/result/result.go
@@ -1,5 +1,5 @@
-// Package result is what a run leaves: every figure of every play, what was expected and whether it held. It is the form
-// of result.json, and the only thing that reports and comparisons read.
+// Package result computes the metrics of a run, compares them with what the experiment expects, and defines result.json, the
+// only input of reports and comparisons. It never runs anything.
 package result
 
 import (
@@ -23,70 +23,70 @@
 type Result struct {
 	Title     string           `json:"title"`
 	File      string           `json:"file"`
-	Version   string           `json:"version"` // of the program that was run
+	Version   string           `json:"version"` // of the program under test
 	StartedAt time.Time        `json:"began"`
 	Machine   Machine          `json:"machine"`
-	Partial   string           `json:"partial,omitempty"` // why the run is not whole
+	Partial   string           `json:"partial,omitempty"` // why the run is incomplete
 	Plays     []Play           `json:"plays"`
 	Metrics   map[string]Range `json:"figures"`
 	Expected  []Verdict        `json:"expected"`
-	Held      bool             `json:"held"` // every expectation of every play; of no meaning for a void run
+	Held      bool             `json:"held"` // every expectation, in every play; meaningless for a void run
 }
 
-// Machine is what the run shared.
+// Machine is the machine of a run.
 type Machine struct {
 	Cores      int        `json:"cores"`
-	LoadBefore [3]float64 `json:"load_before"` // of 1, 5 and 15 minutes
+	LoadBefore [3]float64 `json:"load_before"` // averages of 1, 5 and 15 minutes
 	LoadAfter  [3]float64 `json:"load_after"`
 }
 
-// Play is one play.
+// Play is one execution of the experiment with one seed.
 type Play struct {
 	Seed            uint64               `json:"seed"`
 	Plan            string               `json:"plan"` // digest
 	Void            string               `json:"void,omitempty"`
 	Partial         bool                 `json:"partial,omitempty"`
 	Lateness        Lateness             `json:"late"`
-	LabMB           float64              `json:"lab_mb"` // the lab's own peak of resident memory
+	LabMB           float64              `json:"lab_mb"` // peak resident memory of the lab itself
 	Metrics         map[string]float64   `json:"figures"`
 	ViolationCounts map[string]int       `json:"broken"`
 	Violations      []referee.Violation  `json:"violations,omitempty"`
 	Events          []Event              `json:"events"`
 	Windows         []Window             `json:"windows"`
 	Latency         map[string][]float64 `json:"latency_ms"` // at Percentiles, by class
-	Attempts        map[string][]int     `json:"attempts"`   // of each zone's proxies, by the zone of the server
+	Attempts        map[string][]int     `json:"attempts"`   // by the proxy's zone, then by the index in Zones of the server's
 	Zones           []string             `json:"zones"`
-	Spans           []float64            `json:"spans"` // figure of each expectation
+	Spans           []float64            `json:"spans"` // value of each expectation's metric
 }
 
-// Percentiles of Play.Latency.
+// Percentiles are those of Play.Latency.
 var Percentiles = []float64{50, 75, 90, 95, 99, 99.9, 100}
 
-// Lateness is how late the lab itself was, in ms.
+// Lateness is how late the lab sent its arrivals, in ms.
 type Lateness struct {
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
 	Max   float64 `json:"max_ms"`
-	Stall float64 `json:"stall_ms"` // the longest in which the lab did not run
+	Stall float64 `json:"stall_ms"` // longest pause of the lab
 }
 
-// Event is a fault as it was carried out, and how long service was hurt.
+// Event is a fault as it was injected, and how long service was degraded.
 type Event struct {
 	Number        int      `json:"n"`
 	Kind          string   `json:"kind"`
 	Target        []string `json:"target,omitempty"`
-	Start         float64  `json:"from"` // seconds of the load
+	Start         float64  `json:"from"` // seconds since the load started
 	End           float64  `json:"to"`
-	Recovery      float64  `json:"recovery_s"` // from its beginning until service stays at 95 % of what it was; 0: never under
-	StillDegraded bool     `json:"below"`      // it still was not, when the next fault began or the load ended
-	WeightBefore  float64  `json:"before"`     // worth in time before it
+	Recovery      float64  `json:"recovery_s"` // from the fault's start until service stays at 95 % of the level before; 0: never below
+	StillDegraded bool     `json:"below"`      // until the next fault or the end of the load
+	WeightBefore  float64  `json:"before"`     // fraction of the weight answered in time before it
 }
 
-// Window is half a second of arrivals.
+// Window is half a second of arrivals, by their planned times.
 type Window struct {
 	Start    float64 `json:"at"`
 	Weight   float64 `json:"worth"`
-	InTime   float64 `json:"in_time"` // worth
+	InTime   float64 `json:"in_time"` // weight
 	Arrived  int     `json:"arrived"`
 	Served   int     `json:"served"`
 	Rejected int     `json:"refused"`
@@ -94,14 +94,14 @@
 	Connects int     `json:"connects"` // to servers
 }
 
-// Range is a figure over the plays.
+// Range summarizes a metric over the plays.
 type Range struct {
 	Median float64 `json:"median"`
 	Min    float64 `json:"min"`
 	Max    float64 `json:"max"`
 }
 
-// Verdict is an expectation and what came of it, over all plays.
+// Verdict is an expectation and its result over all plays.
 type Verdict struct {
 	Metric string   `json:"figure"`
 	Min    *float64 `json:"min,omitempty"`
@@ -110,10 +110,10 @@
 	End    float64  `json:"to,omitempty"`
 	Range  Range    `json:"range"`
 	Held   bool     `json:"held"`
-	Text   string   `json:"text,omitempty"` // of the plays that did not hold it
+	Text   string   `json:"text,omitempty"` // of the plays in which it failed
 }
 
-// rangeOf sums metrics up. Figures that a play lacks are left out.
+// rangeOf summarizes values; NaN, a metric that a play lacks, is left out.
 func rangeOf(values []float64) Range {
 	values = slices.DeleteFunc(slices.Clone(values), math.IsNaN)
 	if len(values) == 0 {
@@ -127,17 +127,17 @@
 	return Range{mid, values[0], values[len(values)-1]}
 }
 
-// Conclude sums the plays up and judges what was expected. Void plays count for nothing.
+// Conclude fills in Metrics, Expected and Held from the plays that are not void.
 func (r *Result) Conclude(exp *experiment.Experiment) {
 	r.Metrics, r.Expected, r.Held = map[string]Range{}, nil, true
-	var whole []Play
+	var valid []Play
 	for _, p := range r.Plays {
 		if p.Void == "" {
-			whole = append(whole, p)
+			valid = append(valid, p)
 		}
 	}
 	byName := map[string][]float64{}
-	for _, p := range whole {
+	for _, p := range valid {
 		for name, v := range p.Metrics {
 			byName[name] = append(byName[name], v)
 		}
@@ -145,28 +145,28 @@
 	for name, values := range byName {
 		r.Metrics[name] = rangeOf(values)
 	}
-	judge := func(x experiment.Expect, of func(Play) float64) {
-		v := Verdict{Metric: x.Figure, Min: x.Min, Max: x.Max, Start: x.From, End: x.To, Held: true}
+	check := func(expect experiment.Expect, of func(Play) float64) {
+		verdict := Verdict{Metric: expect.Figure, Min: expect.Min, Max: expect.Max, Start: expect.From, End: expect.To, Held: true}
 		var values []float64
-		for i, p := range whole {
+		for i, p := range valid {
 			f := of(p)
 			values = append(values, f)
-			if ok, text := x.Held(f); !ok {
-				v.Held, r.Held = false, false
-				v.Text += fmt.Sprintf("play %d: %s\n", i+1, text)
+			if ok, text := expect.Held(f); !ok {
+				verdict.Held, r.Held = false, false
+				verdict.Text += fmt.Sprintf("play %d: %s\n", i+1, text)
 			}
 		}
-		v.Range = rangeOf(values)
-		r.Expected = append(r.Expected, v)
+		verdict.Range = rangeOf(values)
+		r.Expected = append(r.Expected, verdict)
 	}
 	if exp.Lab.Rules == "enforce" {
 		zero := 0.0
 		for _, rule := range append(prefixed(experiment.Rules), "crashed") {
-			judge(experiment.Expect{Figure: rule, Max: &zero}, func(p Play) float64 { return p.Metrics[rule] })
+			check(experiment.Expect{Figure: rule, Max: &zero}, func(p Play) float64 { return p.Metrics[rule] })
 		}
 	}
 	for i, x := range exp.Expect {
-		judge(x, func(p Play) float64 { return p.Spans[i] })
+		check(x, func(p Play) float64 { return p.Spans[i] })
 	}
 }
 
@@ -177,19 +177,19 @@
 	return out
 }
 
-// Void tells whether no play counts, and why.
+// VoidReason is why no play counts; empty if one does.
 func (r *Result) VoidReason() string {
-	why := "no play was made"
+	reason := "no play was made"
 	for _, p := range r.Plays {
 		if p.Void == "" {
 			return ""
 		}
-		why = p.Void
+		reason = p.Void
 	}
-	return why
+	return reason
 }
 
-// Names are the metrics' names in order: broken rules last.
+// MetricNames are the names of the metrics in order, violations last.
 func (r *Result) MetricNames() []string {
 	var names []string
 	for name := range r.Metrics {
@@ -208,7 +208,7 @@
 	return 0
 }
 
-// Write writes result.json into a directory, whole or not at all.
+// Write writes result.json into a directory atomically.
 func (r *Result) Write(dir string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
