--- a/internal/faultlab/result/control.go
+++ b/internal/faultlab/result/control.go
@@ -58,7 +58,35 @@
 
 const confirmedBeforeEnd = 5 * time.Second // a change confirmed so long before the end must have reached all
 
-// Figures are those of control, phase by phase, of a load that began at start.
+// listHistory is what the hollow processes observed of the list.
+type listHistory struct {
+	changes  []hollow.Change
+	deaths   []hollow.Death
+	versions [][]ReceivedVersion // by hollow proxy
+	removed  [][]hollow.Death    // by hollow proxy
+}
+
+// listHistory collects the observations of the list and adds the metrics that have no phase.
+func (c *Control) listHistory(add func(string, float64)) (history listHistory) {
+	var failures, failovers, age float64
+	for _, process := range c.Hollow {
+		history.changes = append(history.changes, process.Servers.Changes...)
+		history.deaths = append(history.deaths, process.Servers.Deaths...)
+		for _, proxy := range process.Proxies {
+			history.removed = append(history.removed, proxy.List.Removed)
+			history.versions = append(history.versions, proxy.List.Versions)
+			failures, failovers = failures+float64(proxy.List.Failures), failovers+float64(proxy.List.Failovers)
+			age = max(age, proxy.List.AgeMs)
+		}
+	}
+	add("hollow_stall_ms", c.LongestStall())
+	add("list_failures", failures)
+	add("list_moves", failovers)
+	add("list_age_last_ms", age)
+	return history
+}
+
+// Metrics are the metrics of the control plane, phase by phase, of a load that began at start.
 func (c *Control) Metrics(exp *experiment.Experiment, start time.Time) map[string]float64 {
 	metrics := map[string]float64{}
 	add := func(name string, v float64) {
@@ -66,52 +94,50 @@
 			metrics["control."+name] = v
 		}
 	}
-	var changes []hollow.Change
-	var tracks [][]ReceivedVersion
-	var deaths []hollow.Death
-	var lost [][]hollow.Death
-	var failures, moves, age float64
-	for _, x := range c.Hollow {
-		changes, deaths = append(changes, x.Servers.Changes...), append(deaths, x.Servers.Deaths...)
-		for _, p := range x.Proxies {
-			lost = append(lost, p.List.Removed)
-			tracks = append(tracks, p.List.Versions)
-			failures, moves = failures+float64(p.List.Failures), moves+float64(p.List.Failovers)
-			age = max(age, p.List.AgeMs)
-		}
-	}
-	add("hollow_stall_ms", c.LongestStall())
-	add("list_failures", failures)
-	add("list_moves", moves)
-	add("list_age_last_ms", age)
+	history := c.listHistory(add)
 	end := start.Add(experiment.Seconds(exp.Seconds)).UnixNano()
-	for i, p := range exp.Phases {
+	for i, phase := range exp.Phases {
 		if i < len(c.Phases) && c.Phases[i].Before != nil && c.Phases[i].After != nil {
-			addUsage(exp, p.Name, c.Phases[i], add)
-		}
-		from, to := start.Add(experiment.Seconds(p.From)).UnixNano(), start.Add(experiment.Seconds(p.To)).UnixNano()
-		own := slices.DeleteFunc(slices.Clone(changes), func(x hollow.Change) bool { return x.RequestedAt < from || x.RequestedAt >= to })
-		add(p.Name+".changes", float64(len(own)))
-		addQuantiles(p.Name+".known", notificationDelays(own, tracks), add)
-		addQuantiles(p.Name+".real_known", notificationDelays(own, c.RealProxyVersions), add)
-		var sure []float64
-		for _, x := range own {
-			sure = append(sure, float64(x.ConfirmedAt-x.RequestedAt)/1e6)
+			addUsage(exp, phase.Name, c.Phases[i], add)
 		}
-		slices.Sort(sure)
-		addQuantiles(p.Name+".confirmed", sure, add)
-		add(p.Name+".unknown", float64(countUnknown(own, tracks, end)))
-		died := slices.DeleteFunc(slices.Clone(deaths), func(x hollow.Death) bool { return x.At < from || x.At >= to })
-		late, never := removalDelays(died, lost)
-		add(p.Name+".deaths", float64(len(died)))
-		addQuantiles(p.Name+".buried", late, add)
-		add(p.Name+".unburied", float64(never))
-		c.configMetrics(p.Name, from, to, add)
-		addCalibration(p.Name, metrics, add)
+		from, to := start.Add(experiment.Seconds(phase.From)).UnixNano(), start.Add(experiment.Seconds(phase.To)).UnixNano()
+		c.addChanges(phase.Name, history, span{from, to, end}, add)
+		history.addDeaths(phase.Name, from, to, add)
+		c.configMetrics(phase.Name, from, to, add)
+		addCalibration(phase.Name, metrics, add)
 	}
 	return metrics
 }
 
+// span is a phase, and the end of the load, in ns of the machine's clock.
+type span struct{ from, to, loadEnd int64 }
+
+// addChanges adds how soon the list's changes of a phase were confirmed and known.
+func (c *Control) addChanges(phase string, history listHistory, in span, add func(string, float64)) {
+	changes := slices.DeleteFunc(slices.Clone(history.changes), func(change hollow.Change) bool {
+		return change.RequestedAt < in.from || change.RequestedAt >= in.to
+	})
+	add(phase+".changes", float64(len(changes)))
+	addQuantiles(phase+".known", notificationDelays(changes, history.versions), add)
+	addQuantiles(phase+".real_known", notificationDelays(changes, c.RealProxyVersions), add)
+	var confirmed []float64
+	for _, change := range changes {
+		confirmed = append(confirmed, float64(change.ConfirmedAt-change.RequestedAt)/1e6)
+	}
+	slices.Sort(confirmed)
+	addQuantiles(phase+".confirmed", confirmed, add)
+	add(phase+".unknown", float64(countUnknown(changes, history.versions, in.loadEnd)))
+}
+
+// addDeaths adds how soon the servers that died in a phase were removed from the proxies' lists.
+func (h listHistory) addDeaths(phase string, from, to int64, add func(string, float64)) {
+	deaths := slices.DeleteFunc(slices.Clone(h.deaths), func(death hollow.Death) bool { return death.At < from || death.At >= to })
+	late, never := removalDelays(deaths, h.removed)
+	add(phase+".deaths", float64(len(deaths)))
+	addQuantiles(phase+".buried", late, add)
+	add(phase+".unburied", float64(never))
+}
+
 // addCalibration adds the ratio of a real proxy's metrics to a hollow one's, where both exist.
 func addCalibration(phase string, metrics map[string]float64, add func(string, float64)) {
 	at := "control." + phase + "."
--- a/internal/faultlab/result/figures.go
+++ b/internal/faultlab/result/figures.go
@@ -99,100 +99,127 @@
 	return out
 }
 
-// spanFigure is a metric over a span of arrivals, in seconds, and a class (-1: all); NaN if nothing arrived.
-func spanFigure(exp *experiment.Experiment, requests []clientRequest, name string, class int, from, to float64) float64 {
-	all, part := 0.0, 0.0
+// selection is a span of arrivals, in seconds since the load started, and a class (-1: all).
+type selection struct {
+	class    int
+	from, to float64
+}
+
+func (s selection) includes(request clientRequest) bool {
+	at := request.At.Seconds()
+	return at >= s.from && at < s.to && (s.class < 0 || request.Class == s.class)
+}
+
+// counts reports whether a request counts for a span metric.
+func (c clientRequest) counts(metric string) bool {
+	switch metric {
+	case "worth_in_time", "in_time":
+		return c.inTime
+	case "served":
+		return c.outcome == referee.Served
+	case "refused":
+		return c.outcome == referee.Rejected
+	case "failed":
+		return c.outcome == referee.Failed
+	case "unreached":
+		return c.outcome == referee.Unreached
+	}
+	return true
+}
+
+// spanFigure is the fraction of the selected requests that count for a span metric, weighted for worth_in_time; NaN if nothing
+// arrived.
+func spanFigure(exp *experiment.Experiment, requests []clientRequest, metric string, selected selection) float64 {
+	all, counted := 0.0, 0.0
 	for _, request := range requests {
-		if at := request.At.Seconds(); at < from || at >= to || class >= 0 && request.Class != class {
+		if !selected.includes(request) {
 			continue
 		}
 		weight := 1.0
-		if name == "worth_in_time" {
+		if metric == "worth_in_time" {
 			weight = exp.Classes[request.Class].Weight
 		}
 		all += weight
-		switch name {
-		case "worth_in_time", "in_time":
-			if !request.inTime {
-				continue
-			}
-		case "served":
-			if request.outcome != referee.Served {
-				continue
-			}
-		case "refused":
-			if request.outcome != referee.Rejected {
-				continue
-			}
-		case "failed":
-			if request.outcome != referee.Failed {
-				continue
-			}
-		case "unreached":
-			if request.outcome != referee.Unreached {
-				continue
-			}
+		if request.counts(metric) {
+			counted += weight
 		}
-		part += weight
-	}
-	if all == 0 {
-		return math.NaN()
 	}
-	return part / all
+	return ratio(counted, all)
 }
 
 // Fill computes the play's metrics from its observations.
 func (p *Play) Fill(input Input) {
 	exp, requests := input.Experiment, input.clientRequests()
 	metrics := map[string]float64{}
-	end := exp.Seconds
-	for _, name := range []string{"worth_in_time", "in_time", "served", "refused", "failed", "unreached"} {
-		metrics[name] = spanFigure(exp, requests, name, -1, exp.Warmup, end)
-		for k, class := range exp.Classes {
-			metrics[name+"."+class.Name] = spanFigure(exp, requests, name, k, exp.Warmup, end)
-		}
-	}
+	addService(exp, requests, metrics)
 	p.addTraffic(input, requests, metrics)
 	p.addLatency(input, requests, metrics)
-	for _, rule := range experiment.Rules {
-		n := input.Record.ViolationCounts[rule]
-		metrics["broken."+rule] = float64(n)
-		metrics["broken"] += float64(n)
-	}
-	p.ViolationCounts, p.Violations = input.Record.ViolationCounts, input.Record.Violations
+	p.addViolations(input.Record, metrics)
 	p.addWindows(input, requests)
 	p.addRecovery(input, metrics)
 	p.addAvoidance(input, requests, metrics)
-	t := input.Record.Tally
-	for name, n := range map[string]int{"handshakes": len(input.Record.ConnectTimes), "list_calls": t.ListCalls,
-		"watch_breaks": t.WatchBreaks, "late_answers": t.LateResponses, "turned_back": t.Rejected, "resent": t.Resent,
-		"tipped": t.Overloads, "crashed": t.Crashed} {
-		metrics[name] = float64(n)
-	}
-	if l := input.List; l != nil {
-		metrics["list_checked"], metrics["list_refused"], metrics["list_lacks"] = float64(l.CheckedCalls), float64(l.RefusedStarts), float64(l.MissingServers)
-		metrics["list_told_p50_ms"], metrics["list_told_p99_ms"] = quantile(l.NotificationDelays, 0.5), quantile(l.NotificationDelays, 0.99)
-		metrics["list_told_max_ms"] = quantile(l.NotificationDelays, 1)
-	}
-	if g := input.Gossip; g != nil {
-		each := exp.Seconds * float64(len(exp.ProxyNodes()))
-		metrics["gossip_packets_s"], metrics["gossip_kb_s"] = float64(g.Packets)/each, float64(g.Bytes)/1000/each
-	}
-	if c := input.Control; c != nil {
-		maps.Copy(metrics, c.Metrics(exp, input.Start))
+	addTally(input.Record, metrics)
+	input.List.addMetrics(metrics)
+	input.Gossip.addMetrics(exp, metrics)
+	if input.Control != nil {
+		maps.Copy(metrics, input.Control.Metrics(exp, input.Start))
 	}
 	metrics["handshakes_per_request"] = ratio(metrics["handshakes"], metrics["requests"])
 	metrics["proxy_memory_mb"], metrics["proxy_cpu_s"] = float64(input.Memory)/(1<<20), input.CPU.Seconds()
 	p.Lateness = lateness(input.Lateness, input.Stall)
-	for _, x := range exp.Expect {
-		p.Spans = append(p.Spans, p.expectedMetric(exp, requests, metrics, x))
+	for _, expect := range exp.Expect {
+		p.Spans = append(p.Spans, p.expectedMetric(exp, requests, metrics, expect))
 	}
-	for name, v := range metrics { // JSON has no NaN
-		if math.IsNaN(v) {
-			delete(metrics, name)
+	maps.DeleteFunc(metrics, func(_ string, value float64) bool { return math.IsNaN(value) }) // JSON has no NaN
+	p.Metrics = metrics
+}
+
+// addService adds the span metrics after the warm-up, for all classes and for each.
+func addService(exp *experiment.Experiment, requests []clientRequest, metrics map[string]float64) {
+	for _, name := range []string{"worth_in_time", "in_time", "served", "refused", "failed", "unreached"} {
+		metrics[name] = spanFigure(exp, requests, name, selection{-1, exp.Warmup, exp.Seconds})
+		for i, class := range exp.Classes {
+			metrics[name+"."+class.Name] = spanFigure(exp, requests, name, selection{i, exp.Warmup, exp.Seconds})
 		}
 	}
-	p.Metrics = metrics
+}
+
+func (p *Play) addViolations(record referee.Record, metrics map[string]float64) {
+	for _, rule := range experiment.Rules {
+		n := float64(record.ViolationCounts[rule])
+		metrics["broken."+rule] = n
+		metrics["broken"] += n
+	}
+	p.ViolationCounts, p.Violations = record.ViolationCounts, record.Violations
+}
+
+func addTally(record referee.Record, metrics map[string]float64) {
+	tally := record.Tally
+	for name, n := range map[string]int{"handshakes": len(record.ConnectTimes), "list_calls": tally.ListCalls,
+		"watch_breaks": tally.WatchBreaks, "late_answers": tally.LateResponses, "turned_back": tally.Rejected,
+		"resent": tally.Resent, "tipped": tally.Overloads, "crashed": tally.Crashed} {
+		metrics[name] = float64(n)
+	}
+}
+
+func (l *List) addMetrics(metrics map[string]float64) {
+	if l == nil {
+		return
+	}
+	metrics["list_checked"], metrics["list_refused"] = float64(l.CheckedCalls), float64(l.RefusedStarts)
+	metrics["list_lacks"] = float64(l.MissingServers)
+	metrics["list_told_p50_ms"] = quantile(l.NotificationDelays, 0.5)
+	metrics["list_told_p99_ms"] = quantile(l.NotificationDelays, 0.99)
+	metrics["list_told_max_ms"] = quantile(l.NotificationDelays, 1)
+}
+
+func (g *Gossip) addMetrics(exp *experiment.Experiment, metrics map[string]float64) {
+	if g == nil {
+		return
+	}
+	proxySeconds := exp.Seconds * float64(len(exp.ProxyNodes()))
+	metrics["gossip_packets_s"] = float64(g.Packets) / proxySeconds
+	metrics["gossip_kb_s"] = float64(g.Bytes) / 1000 / proxySeconds
 }
 
 func (p *Play) expectedMetric(exp *experiment.Experiment, requests []clientRequest, metrics map[string]float64, x experiment.Expect) float64 {
@@ -201,7 +228,7 @@
 		base, name, _ := strings.Cut(x.Figure, ".")
 		class := slices.IndexFunc(exp.Classes, func(k experiment.Class) bool { return k.Name == name })
 		from, to := x.Span(exp)
-		v, ok = spanFigure(exp, requests, base, class, from, to), true
+		v, ok = spanFigure(exp, requests, base, selection{class, from, to}), true
 	}
 	if !ok || math.IsNaN(v) {
 		return -1 // fails every minimum and meets every maximum
