--- a/internal/faultlab/result/avoid_test.go
+++ b/internal/faultlab/result/avoidance_test.go
@@ -11,8 +11,8 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// caller is a proxy that makes so many calls a second, every second one to zone z, until some second of a fault that
-// lasts from 10 to 20, and from then on one in so many.
+// caller is a proxy that makes rate calls a second, every second one to zone z, until a second of a fault that lasts from 10
+// to 20, and from then on one in trialIn.
 type caller struct {
 	name    string
 	rate    float64
@@ -20,7 +20,7 @@
 	trialIn int
 }
 
-func during(callers ...caller) (out []call) {
+func callsDuring(callers ...caller) (out []call) {
 	for i := range 100_000 {
 		at := float64(i) / 10_000
 		for _, k := range callers {
@@ -38,8 +38,8 @@
 	return out
 }
 
-// The last calls in earnest are taken for trials: what is wanted lies some of them before `until`.
-func TestLeaving(t *testing.T) {
+// The last regular calls count as trials, so that the times wanted lie somewhat before `until`.
+func TestFindDepartures(t *testing.T) {
 	nan := math.NaN()
 	for _, test := range []struct {
 		name    string
@@ -55,7 +55,7 @@
 		{"one that stays", []caller{{"a1", 100, 0.3, 0}, {"a2", 100, 10, 0}}, departures{0.26, 9.98, 9.72, 10, 1}},
 		{"never there but for a trial", []caller{{"a1", 100, -1, 500}}, departures{nan, nan, nan, 0, 0}},
 	} {
-		got := findDepartures(during(test.callers...), affectedCalls{affects: func(c call) bool { return c.toZone == "z" }}, Event{Start: 10, End: 20})
+		got := findDepartures(callsDuring(test.callers...), affectedCalls{affects: func(c call) bool { return c.toZone == "z" }}, Event{Start: 10, End: 20})
 		if test.name == "so many trials are" { // of all calls they are 5 %
 			got.avoided = 0
 		}
@@ -63,15 +63,15 @@
 			return fmt.Sprintf("%.2f %.2f %.2f %.2f %d", l.first, l.last, l.spread, l.avoided, l.stayed)
 		}
 		if got, want := text(got), text(test.want); got != want {
-			t.Errorf("%s: %s, want %s (first, last, spread, all, stayed)", test.name, got, want)
+			t.Errorf("%s: %s, want %s (first, last, spread, avoided, stayed)", test.name, got, want)
 		}
 	}
 }
 
-// The lost zone's part of the calls is a half before a fault from 10 to 12 and rises evenly over 4 s after it.
-func TestReturned(t *testing.T) {
+// The lost zone's share of the calls is a half before a fault from 10 to 12 and rises linearly over 4 s after it.
+func TestReturnDelay(t *testing.T) {
 	var calls []call
-	owed := 0.0
+	credit := 0.0
 	for i := range 3000 {
 		at := float64(i) / 100
 		part := 0.5
@@ -82,8 +82,8 @@
 			part = 0.5 * (at - 12) / 4
 		}
 		to := "y"
-		if owed += part; owed >= 1 {
-			owed, to = owed-1, "z"
+		if credit += part; credit >= 1 {
+			credit, to = credit-1, "z"
 		}
 		calls = append(calls, call{time: at, fromZone: "a", toZone: to, arrived: true})
 	}
@@ -100,9 +100,9 @@
 	}
 }
 
-// Two servers do a second of work a second each. One is gone for the 10 s after second 10, so of 1.5 s of work a second the
-// room left bears two thirds; the requests that earn most for their work go first.
-func TestRoomWorth(t *testing.T) {
+// Two servers do a second of work a second each. One is gone for the 10 s after second 10, so that the remaining capacity serves
+// two thirds of 1.5 s of work a second; the requests with most weight per work go first.
+func TestHeadroomUse(t *testing.T) {
 	group := experiment.ServerGroup{Count: 2, Speed: 1, Slots: 1}
 	exp := &experiment.Experiment{Seconds: 30, Zones: []experiment.Zone{{Name: "a", Proxies: 1, Servers: []experiment.ServerGroup{group}}},
 		Classes: []experiment.Class{{Weight: 10}, {Weight: 1}}, Servers: experiment.Servers{StartCapacity: 0.5, SlowStartMs: 4000}}
@@ -118,11 +118,11 @@
 	for _, test := range []struct {
 		name   string
 		strike plan.Strike
-		unseen bool // what was refused found no proxy
+		unseen bool // the rejected requests reached no proxy
 		want   float64
 	}{
-		{"half of the room", kill(10*time.Second, 10*time.Second), false, 1000 / (1000 + 50.0)},
-		{"back cold in mid-span", kill(10*time.Second, 4*time.Second), false, 1000 / (1000 + 100.0)},
+		{"half of the capacity", kill(10*time.Second, 10*time.Second), false, 1000 / (1000 + 50.0)},
+		{"back in slow start in mid-span", kill(10*time.Second, 4*time.Second), false, 1000 / (1000 + 100.0)},
 		{"unreached is left out", kill(10*time.Second, 10*time.Second), true, 1},
 	} {
 		for i := range requests {
@@ -136,14 +136,14 @@
 		}
 	}
 	input := Input{Experiment: exp, Plan: &plan.Plan{Strikes: []plan.Strike{kill(10*time.Second, 4*time.Second)}}}
-	// 10 s of the one, 6 s of the other less the 0.25 that it lacks on average over its 4 cold seconds.
+	// 10 s of the one, 6 s of the other less the 0.25 that it lacks on average over its 4 s of slow start.
 	if got := input.availableWork(10, 20, func(string) bool { return true }); math.Abs(got-15) > 0.01 {
-		t.Errorf("room of %v s, want 15", got)
+		t.Errorf("available work of %v s, want 15", got)
 	}
 }
 
-// Bytes that were held and came after the cut count once, as what came; those that never came as a call that was wasted.
-func TestKnocksCountOnce(t *testing.T) {
+// Bytes that a cut delayed count once, as the attempt that arrived; those that never arrived count as a wasted call.
+func TestDelayedBytesCountOnce(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(experiment.Seconds(s)) }
 	r := referee.New(referee.Config{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 3})
--- a/internal/faultlab/result/configs_test.go
+++ b/internal/faultlab/result/configs_test.go
@@ -8,9 +8,9 @@
 	"merlinpick/internal/faultlab/hollow"
 )
 
-// A change of configuration counts at those that follow its service, from its being confirmed; one that 9 s were left for and
-// that never came is told; a faulty one is refused only if it is answered 400.
-func TestConfigs(t *testing.T) {
+// A configuration change counts for the proxies that follow its service, from its confirmation; one that had 9 s and did not
+// arrive counts as never; an invalid one counts as refused only if it is answered 400.
+func TestConfigMetrics(t *testing.T) {
 	const ms, s = int64(1e6), int64(1e9)
 	follows := func(service string, steps ...ReceivedVersion) hollow.ProxyMetrics {
 		return hollow.ProxyMetrics{Config: &hollow.ConfigMetrics{Service: service, Versions: steps}}
@@ -24,7 +24,7 @@
 		{},
 	}
 	exp := &experiment.Experiment{Seconds: 30, Phases: []experiment.Phase{{Name: "a", From: 1, To: 14}, {Name: "b", From: 14, To: 20}}}
-	taken := func(service string, version, sure int64) ConfigWrite {
+	accepted := func(service string, version, sure int64) ConfigWrite {
 		return ConfigWrite{Service: service, Status: 200, Version: version, RequestedAt: zero + sure - 10*ms, ConfirmedAt: zero + sure}
 	}
 	for _, test := range []struct {
@@ -32,14 +32,14 @@
 		puts  []ConfigWrite
 		wants map[string]float64
 	}{
-		{"in force at two", []ConfigWrite{taken("s1", 3, 2*s)}, map[string]float64{"changes": 1, "never": 0, "in_force_p50_ms": 90, "in_force_last_ms": 90,
+		{"in force at two", []ConfigWrite{accepted("s1", 3, 2*s)}, map[string]float64{"changes": 1, "never": 0, "in_force_p50_ms": 90, "in_force_last_ms": 90,
 			"confirmed_last_ms": 10}},
-		{"lacking at one", []ConfigWrite{taken("s1", 5, 3*s)}, map[string]float64{"changes": 1, "never": 1, "in_force_last_ms": 1000}},
-		{"9 s before the end", []ConfigWrite{taken("s2", 4, 5*s)}, map[string]float64{"changes": 1, "never": 1}},
-		{"too young", []ConfigWrite{taken("s2", 4, 5*s+ms)}, map[string]float64{"changes": 1, "never": 0}},
-		{"another phase's", []ConfigWrite{taken("s2", 4, 15*s)}, map[string]float64{"changes": 0, "never": 0}},
+		{"lacking at one", []ConfigWrite{accepted("s1", 5, 3*s)}, map[string]float64{"changes": 1, "never": 1, "in_force_last_ms": 1000}},
+		{"9 s before the end", []ConfigWrite{accepted("s2", 4, 5*s)}, map[string]float64{"changes": 1, "never": 1}},
+		{"too young", []ConfigWrite{accepted("s2", 4, 5*s+ms)}, map[string]float64{"changes": 1, "never": 0}},
+		{"another phase's", []ConfigWrite{accepted("s2", 4, 15*s)}, map[string]float64{"changes": 0, "never": 0}},
 		{"refused", []ConfigWrite{{Service: "s1", Faulty: true, Status: 400, RequestedAt: zero + 2*s}}, map[string]float64{"changes": 0, "refused": 1, "failed": 0}},
-		{"faulty and taken", []ConfigWrite{{Service: "s1", Faulty: true, Status: 200, RequestedAt: zero + 2*s}}, map[string]float64{"refused": 0, "failed": 1}},
+		{"faulty and accepted", []ConfigWrite{{Service: "s1", Faulty: true, Status: 200, RequestedAt: zero + 2*s}}, map[string]float64{"refused": 0, "failed": 1}},
 		{"faulty and not refused as such", []ConfigWrite{{Service: "s1", Faulty: true, Status: 409, RequestedAt: zero + 2*s}}, map[string]float64{"refused": 0, "failed": 1}},
 		{"sound and refused", []ConfigWrite{{Service: "s1", Status: 400, RequestedAt: zero + 2*s}}, map[string]float64{"changes": 0, "refused": 0, "failed": 1}},
 		{"no answer", []ConfigWrite{{Service: "s1", RequestedAt: zero + 2*s}}, map[string]float64{"changes": 0, "failed": 1}},
@@ -48,7 +48,7 @@
 		for name, want := range test.wants {
 			name = "control.a.config_" + name
 			if got, ok := metrics[name]; !ok || got != want {
-				t.Errorf("%s: %s is %v (told: %v), want %v", test.name, name, got, ok, want)
+				t.Errorf("%s: %s is %v (present: %v), want %v", test.name, name, got, ok, want)
 			}
 			if !experiment.KnownFigure(name, exp) {
 				t.Errorf("%s cannot be asked for", name)
@@ -56,7 +56,7 @@
 		}
 		for name := range metrics {
 			if !experiment.KnownFigure(name, exp) {
-				t.Errorf("%s is told and cannot be asked for", name)
+				t.Errorf("%s is reported and cannot be asked for", name)
 			}
 		}
 	}
--- a/internal/faultlab/result/control_test.go
+++ b/internal/faultlab/result/control_test.go
@@ -9,9 +9,9 @@
 	"merlinpick/internal/faultlab/hollow"
 )
 
-// A change is known from the first version on that holds it, counts 0 if it was told before it was confirmed, and is unknown
-// where no version reached it, if there was time.
-func TestKnown(t *testing.T) {
+// A change is known from the first received version that includes it, counts 0 if that came before its confirmation, and is
+// unknown where no version included it in time.
+func TestNotificationDelays(t *testing.T) {
 	const ms, s = int64(1e6), int64(1e9)
 	changes := []hollow.Change{{Version: 5, RequestedAt: s, ConfirmedAt: s}, {Version: 7, RequestedAt: 2 * s, ConfirmedAt: 2 * s}, {Version: 9, RequestedAt: 9 * s, ConfirmedAt: 9 * s}}
 	for _, test := range []struct {
@@ -35,8 +35,8 @@
 	}
 }
 
-// A death counts from its moment to the proxy's next loss of that server; one that never came is counted apart.
-func TestBuried(t *testing.T) {
+// A death counts until the proxy's list next removes that server; one that was never removed is counted apart.
+func TestRemovalDelays(t *testing.T) {
 	const ms = int64(1e6)
 	deaths := []hollow.Death{{Name: "a", At: 100 * ms}, {Name: "b", At: 200 * ms}}
 	late, never := removalDelays(deaths, [][]hollow.Death{
@@ -48,8 +48,8 @@
 	}
 }
 
-// What roles spend is told for each that bears one, phase by phase, and a phase that was not read has none of it.
-func TestSpent(t *testing.T) {
+// Usage is reported per instance of each role, phase by phase; a phase without samples has none.
+func TestUsage(t *testing.T) {
 	exp := &experiment.Experiment{Seconds: 30, Phases: []experiment.Phase{{Name: "a", From: 1, To: 11}, {Name: "b", From: 11, To: 20}}}
 	exp.Hollow.Proxies, exp.Zones = 4, []experiment.Zone{{Name: "z", Proxies: 2}}
 	at := time.Unix(100, 0)
@@ -74,10 +74,10 @@
 	}
 	for name := range metrics {
 		if !experiment.KnownFigure(name, exp) {
-			t.Errorf("%s is told and cannot be asked for", name)
+			t.Errorf("%s is reported and cannot be asked for", name)
 		}
 		if _, ok := metrics["control.b.proxy.in_b_s"]; ok {
-			t.Error("a phase that was not read has figures")
+			t.Error("a phase without samples has metrics")
 		}
 	}
 }
--- a/internal/faultlab/result/figures.go
+++ b/internal/faultlab/result/metrics.go
@@ -11,7 +11,6 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"merlinpick/internal/faultlab/experiment"
-	"merlinpick/internal/faultlab/plan"
 	"merlinpick/internal/faultlab/referee"
 )
 
@@ -24,81 +23,6 @@
 	latencyDigits     = 3             // significant digits
 )
 
-// Input holds the observations of a play.
-type Input struct {
-	Experiment *experiment.Experiment
-	Plan       *plan.Plan
-	Start      time.Time // of the load
-	Record     referee.Record
-	Events     []Event
-	Lateness   []time.Duration
-	Stall      time.Duration
-	Memory     int64         // bytes, maximum of the proxies' peaks
-	CPU        time.Duration // of all proxies
-	List       *List         // nil without a list service with members
-	Gossip     *Gossip       // nil without a cluster
-
-	Control *Control // nil without hollow proxies
-}
-
-// Gossip is the traffic between the proxies.
-type Gossip struct {
-	Packets int   // datagrams forwarded
-	Bytes   int64 // of datagrams and connections
-}
-
-// List holds the observations of a list service.
-type List struct {
-	CheckedCalls       int             // of the checked history
-	NotificationDelays []time.Duration // from a change's confirmation until a proxy was notified, sorted
-	MissingServers     int             // live servers missing in the list, maximum
-	RefusedStarts      int             // of members, for a damaged directory
-}
-
-// clientRequest is an arrival with the result of all its attempts.
-type clientRequest struct {
-	*plan.Arrival
-	attempts []*referee.ClientAttempt
-	outcome  referee.Outcome // Served, Rejected, Failed or Unreached
-	latency  time.Duration   // from the planned time, if served
-	inTime   bool
-}
-
-// clientRequests groups the attempts by arrival; arrivals that were not sent are left out.
-func (input *Input) clientRequests() []clientRequest {
-	byArrival := make([][]*referee.ClientAttempt, len(input.Plan.Arrivals))
-	for _, t := range input.Record.ClientAttempts {
-		byArrival[t.Arrival] = append(byArrival[t.Arrival], t)
-	}
-	var out []clientRequest
-	for i := range input.Plan.Arrivals {
-		a := &input.Plan.Arrivals[i]
-		request := clientRequest{Arrival: a, attempts: byArrival[i]}
-		if len(request.attempts) == 0 {
-			continue
-		}
-		planned := input.Start.Add(a.At)
-		objective := experiment.Millis(input.Experiment.Classes[a.Class].ObjectiveMs)
-		request.outcome = referee.Unreached
-		for _, t := range request.attempts {
-			switch {
-			case t.Outcome == referee.Served:
-				if took := t.EndedAt.Sub(planned); request.outcome != referee.Served || took < request.latency {
-					request.outcome, request.latency = referee.Served, took
-				}
-			case request.outcome == referee.Served:
-			case t.Outcome == referee.Rejected, t.Outcome == referee.Unreached:
-				request.outcome = t.Outcome
-			default:
-				request.outcome = referee.Failed
-			}
-		}
-		request.inTime = request.outcome == referee.Served && request.latency <= objective
-		out = append(out, request)
-	}
-	return out
-}
-
 // selection is a span of arrivals, in seconds since the load started, and a class (-1: all).
 type selection struct {
 	class    int
@@ -129,7 +53,7 @@
 
 // spanFigure is the fraction of the selected requests that count for a span metric, weighted for worth_in_time; NaN if nothing
 // arrived.
-func spanFigure(exp *experiment.Experiment, requests []clientRequest, metric string, selected selection) float64 {
+func spanMetric(exp *experiment.Experiment, requests []clientRequest, metric string, selected selection) float64 {
 	all, counted := 0.0, 0.0
 	for _, request := range requests {
 		if !selected.includes(request) {
@@ -177,9 +101,9 @@
 // addService adds the span metrics after the warm-up, for all classes and for each.
 func addService(exp *experiment.Experiment, requests []clientRequest, metrics map[string]float64) {
 	for _, name := range []string{"worth_in_time", "in_time", "served", "refused", "failed", "unreached"} {
-		metrics[name] = spanFigure(exp, requests, name, selection{-1, exp.Warmup, exp.Seconds})
+		metrics[name] = spanMetric(exp, requests, name, selection{-1, exp.Warmup, exp.Seconds})
 		for i, class := range exp.Classes {
-			metrics[name+"."+class.Name] = spanFigure(exp, requests, name, selection{i, exp.Warmup, exp.Seconds})
+			metrics[name+"."+class.Name] = spanMetric(exp, requests, name, selection{i, exp.Warmup, exp.Seconds})
 		}
 	}
 }
@@ -228,7 +152,7 @@
 		base, name, _ := strings.Cut(x.Figure, ".")
 		class := slices.IndexFunc(exp.Classes, func(k experiment.Class) bool { return k.Name == name })
 		from, to := x.Span(exp)
-		v, ok = spanFigure(exp, requests, base, selection{class, from, to}), true
+		v, ok = spanMetric(exp, requests, base, selection{class, from, to}), true
 	}
 	if !ok || math.IsNaN(v) {
 		return -1 // fails every minimum and meets every maximum
--- a/internal/faultlab/result/result_test.go
+++ b/internal/faultlab/result/result_test.go
@@ -10,8 +10,8 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// fill plays ten requests a second for 20 s, whose answers are late from some second on until another.
-func fill(t *testing.T, from, to float64, exp *experiment.Experiment, events ...Event) Play {
+// playWithLateAnswers is a play of ten requests a second for 20 s, whose answers are late between two seconds.
+func playWithLateAnswers(t *testing.T, from, to float64, exp *experiment.Experiment, events ...Event) Play {
 	t.Helper()
 	start := time.Unix(1000, 0)
 	exp.Seconds, exp.Zones = 20, []experiment.Zone{{Name: "z", Proxies: 1}}
@@ -43,13 +43,13 @@
 		want     []float64
 		below    bool // the last of them
 	}{
-		{"never under", 20, 20, []Event{fault(1, 8)}, []float64{0}, false},
+		{"never below", 20, 20, []Event{fault(1, 8)}, []float64{0}, false},
 		{"in the warmup", 8, 11, []Event{fault(1, 0)}, []float64{11}, false},
-		{"under for 3 s", 8, 11, []Event{fault(1, 8)}, []float64{3}, false},
+		{"below for 3 s", 8, 11, []Event{fault(1, 8)}, []float64{3}, false},
 		{"never back", 8, 20, []Event{fault(1, 8)}, []float64{12}, true},
 		{"of the second fault, not the first", 13, 14, []Event{fault(1, 5), fault(2, 12)}, []float64{0, 2}, false},
 	} {
-		p := fill(t, test.from, test.to, &experiment.Experiment{Warmup: 4}, test.events...)
+		p := playWithLateAnswers(t, test.from, test.to, &experiment.Experiment{Warmup: 4}, test.events...)
 		for i, want := range test.want {
 			if got := p.Events[i].Recovery; math.Abs(got-want) > 1e-9 {
 				t.Errorf("%s: fault %d: %v s, want %v", test.name, i+1, got, want)
@@ -61,14 +61,14 @@
 	}
 }
 
-// A failed expectation is named with figure and bound; a void play counts for nothing; several plays have a spread.
+// A failed expectation is reported with metric and bound; a void play does not count; several plays have a range.
 func TestConclude(t *testing.T) {
 	least := func(v float64) *float64 { return &v }
 	exp := &experiment.Experiment{Expect: []experiment.Expect{
 		{Figure: "in_time", Min: least(0.7), From: 0.1, To: 20}, {Figure: "in_time", Min: least(0.9), From: 10, To: 15},
 		{Figure: "p99_ms", Max: least(151)}, {Figure: "broken.lost", Max: least(0)}}}
-	bad, good := fill(t, 10, 15, exp), fill(t, 20, 20, exp)
-	void := fill(t, 0, 20, exp)
+	bad, good := playWithLateAnswers(t, 10, 15, exp), playWithLateAnswers(t, 20, 20, exp)
+	void := playWithLateAnswers(t, 0, 20, exp)
 	void.Void = "late"
 	r := Result{Plays: []Play{bad, good, good, void}}
 	r.Conclude(exp)
@@ -93,6 +93,6 @@
 		t.Fatal(err)
 	}
 	if len(again.Plays) != 4 || again.Metrics["p50_ms"] != r.Metrics["p50_ms"] {
-		t.Error("it does not read back what it wrote")
+		t.Error("the result differs after writing and reading")
 	}
 }
