--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -69,7 +69,7 @@
 
 	updates       chan Update
 	done          <-chan struct{} // closed when Run has to end
-	unreachable   chan struct{}   // closed at the first call that failed at once
+	unreachable   chan struct{}   // closed once discovery could not be reached
 	sourceChanges chan Source     // the latest only
 
 	source   Source // Run's
@@ -113,8 +113,8 @@
 // Updates returns the channel of updates. The next watch starts only once an update was received.
 func (c *Client) Updates() <-chan Update { return c.updates }
 
-// Unreachable returns a channel that is closed once a call for the platform list has failed at once: its connection was
-// refused or lost, or it was rejected without queueing.
+// Unreachable returns a channel that is closed once a call for the platform list has shown that discovery cannot be
+// reached: its connection was refused or lost, or it was rejected without waiting in the queue.
 func (c *Client) Unreachable() <-chan struct{} { return c.unreachable }
 
 // SetSource has the list come from another source from now on. The current list stays in use until that has answered.
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -128,7 +128,8 @@
 	c.publish(Update{list})
 }
 
-// noteUnreachable closes Unreachable at the first call that failed at once.
+// noteUnreachable closes the channel of Unreachable at the first call whose connection failed, or that was rejected without
+// waiting in the queue.
 func (c *Client) noteUnreachable(err error) {
 	var malformed *malformedListError
 	if errors.As(err, &malformed) || errors.Is(err, context.DeadlineExceeded) ||
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -56,7 +56,7 @@
 // followRegistry follows the list at the registry's members until the context ends.
 func (c *Client) followRegistry(ctx context.Context) {
 	ring := failover.NewRing(c.source.Members, c.randomness, maxRegistryBackoff)
-	full := true
+	full := true // the next call requests the full list
 	for ctx.Err() == nil {
 		calledAt, versionBefore := time.Now(), c.registry.accepted.Version
 		list, err := c.callMember(ctx, ring.Current(), full)
@@ -78,7 +78,9 @@
 			continue
 		}
 		c.failures.Add(1)
-		full = full || list != nil && !errors.Is(err, failover.ErrStaleVersion)
+		if list != nil && !errors.Is(err, failover.ErrStaleVersion) {
+			full = true // these changes do not apply to the list held
+		}
 		failure := ring.LogFailure(c.log, "endpoint list call failed", err)
 		if failure.FailedOver {
 			c.failovers.Add(1)
