--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -148,13 +148,16 @@
 	c.retryRejected = true
 }
 
-// takeRequests returns and clears what SetMembers and RetryRejected have requested.
-func (c *Client) takeRequests() (members []string, retryRejected bool) {
+// handleRequests does what RetryRejected has requested, and returns the members that SetMembers has; nil: none.
+func (c *Client) handleRequests(ctx context.Context) []string {
 	c.mu.Lock()
-	defer c.mu.Unlock()
-	members, retryRejected = c.newMembers, c.retryRejected
+	members, retryRejected, rejected := c.newMembers, c.retryRejected, c.metrics.RejectedVersion
 	c.newMembers, c.retryRejected = nil, false
-	return members, retryRejected
+	c.mu.Unlock()
+	if retryRejected && c.rejectedDocument != nil {
+		c.applyDocument(ctx, rejected, c.rejectedDocument)
+	}
+	return members
 }
 
 // Run follows the configuration until the context ends.
@@ -167,21 +170,12 @@
 	watch := false // the last call succeeded: the next one may be held
 	failures := 0  // consecutive
 	for ctx.Err() == nil {
-		members, retryRejected := c.takeRequests()
-		if len(members) > 0 {
+		if members := c.handleRequests(ctx); len(members) > 0 {
 			ring = failover.NewRing(members, c.randomness, maxBackoff)
 			watch = false
 		}
-		if retryRejected && c.rejectedDocument != nil {
-			c.applyDocument(ctx, c.Metrics().RejectedVersion, c.rejectedDocument)
-		}
+		hold, timeout := c.callTiming(ring, watch, failures)
 		calledAt, versionBefore := time.Now(), c.accepted.Version
-		timeout := callTimeout << min(failures/len(c.cfg.Members), 1) // members that have all failed are likely to be busy
-		hold := time.Duration(0)
-		if watch {
-			hold = LongPollTimeout - ring.RandomDelay(holdJitter)
-			timeout = hold + watchSlack
-		}
 		answer, err := c.call(ctx, ring.Current(), hold, timeout)
 		if ctx.Err() != nil {
 			return
@@ -190,21 +184,33 @@
 		if err == nil {
 			err = c.accept(ctx, answer, now)
 		}
-		if err == nil {
-			c.lastSuccess.Record()
-			if watch && c.accepted.Version == versionBefore {
-				ring.PaceWatch(ctx, now.Sub(calledAt), hold)
-			}
-			ring.RecordSuccess()
-			watch, failures = true, 0
+		if err != nil {
+			watch = false
+			failures++
+			c.countFailure()
+			failure := ring.LogFailure(c.cfg.Logger, "configuration call failed", err)
+			failover.Sleep(ctx, failure.Backoff)
 			continue
 		}
-		watch = false
-		failures++
-		c.countFailure()
-		failure := ring.LogFailure(c.cfg.Logger, "configuration call failed", err)
-		failover.Sleep(ctx, failure.Backoff)
+		c.lastSuccess.Record()
+		if watch && c.accepted.Version == versionBefore {
+			ring.PaceWatch(ctx, now.Sub(calledAt), hold)
+		}
+		ring.RecordSuccess()
+		watch, failures = true, 0
+	}
+}
+
+// callTiming returns how long a member may hold the next call, and the call's timeout.
+func (c *Client) callTiming(ring *failover.Ring, watch bool, failures int) (hold, timeout time.Duration) {
+	if watch {
+		hold = LongPollTimeout - ring.RandomDelay(holdJitter)
+		return hold, hold + watchSlack
+	}
+	if failures >= len(c.cfg.Members) { // members that have all failed are likely to be busy
+		return 0, 2 * callTimeout
 	}
+	return 0, callTimeout
 }
 
 func (c *Client) countFailure() {
