--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"merlinpick/internal/proxy/clientconn"
+	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/settings"
 )
 
@@ -50,14 +51,14 @@
 
 // pipedFrontend is a frontend on pipes. Its loop only collects what is posted.
 type pipedFrontend struct {
-	*frontend
+	*Server
 	pipes *pipeListener
 }
 
 // startPiped is for use in a synctest bubble; end it with stop.
 func startPiped(t *testing.T, most int) *pipedFrontend {
 	t.Helper()
-	site, err := settings.Decode([]byte(siteText))
+	site, err := settings.Decode([]byte(proxytest.SiteJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,9 +66,9 @@
 		done: make(chan struct{}), requests: map[string]*request{}, metrics: newMetrics(nil), stopped: context.Background()}
 	close(l.list.available)
 	p := &pipedFrontend{pipes: newPipeListener()}
-	p.frontend = newFrontend(site, l, p.pipes, slog.New(slog.DiscardHandler))
-	p.setLimits(most, most, maxRejectConns)
-	go func() { _ = p.serve() }()
+	p.Server = NewServer(site, l, p.pipes, slog.New(slog.DiscardHandler))
+	p.SetLimits(most, most, MaxRejectConns)
+	go func() { _ = p.Serve() }()
 	return p
 }
 
@@ -82,7 +83,7 @@
 }
 
 func (p *pipedFrontend) stop() {
-	p.listener.Close()
+	p.Listener.Close()
 	p.server.Close()
 	synctest.Wait()
 }
@@ -129,7 +130,7 @@
 					t.Errorf("got %q and the end after %v", text, after)
 				}
 				synctest.Wait()
-				if n := p.openConns(); n != 0 {
+				if n := p.OpenConns(); n != 0 {
 					t.Errorf("%d connections are left", n)
 				}
 			})
@@ -163,7 +164,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
 		defer p.stop()
-		for _, text := range []string{lookRequest("1", 8000),
+		for _, text := range []string{proxytest.LookRequest("1", 8000),
 			"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: 3\r\n\r\nabc"} {
 			c := p.connect()
 			if _, err := io.WriteString(c, text); err != nil {
@@ -178,7 +179,7 @@
 			}
 			time.Sleep(4 * clientconn.RequestReadTimeout)
 			synctest.Wait()
-			if n := p.openConns(); n != 1 {
+			if n := p.OpenConns(); n != 1 {
 				t.Errorf("%d connections while the answer is awaited", n)
 			}
 			select {
@@ -204,7 +205,7 @@
 				const most = 4
 				p := startPiped(t, most)
 				defer p.stop()
-				for range most + maxRejectConns {
+				for range most + MaxRejectConns {
 					peer := p.connect()
 					defer peer.Close()
 					if _, err := io.WriteString(peer, text); err != nil {
@@ -260,7 +261,7 @@
 					})
 				}
 			})
-			text := strings.Replace(lookRequest("1", 8000), "Host: h", "Host: h\r\nLong: "+strings.Repeat("x", 400), 1)
+			text := strings.Replace(proxytest.LookRequest("1", 8000), "Host: h", "Host: h\r\nLong: "+strings.Repeat("x", 400), 1)
 			for i := 0; i < len(text); i += len(text)/20 + 1 { // 2 s for the head
 				if _, err := io.WriteString(slow, text[i:min(len(text), i+len(text)/20+1)]); err != nil {
 					t.Fatalf("kept %v: cut off after %d bytes of %d: %v", kept, i, len(text), err)
@@ -294,7 +295,7 @@
 			t.Errorf("got %q and the end after %v", text, after)
 		}
 		synctest.Wait()
-		if n := p.openConns(); n != 0 {
+		if n := p.OpenConns(); n != 0 {
 			t.Errorf("%d connections are left", n)
 		}
 	})
