--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -49,7 +49,7 @@
 }
 
 // learn takes the end of an attempt into a round and adjusts the limit when the round ends.
-func (l *concurrencyLimit) learn(round *feedbackRound, now, sentAt int64, bad bool) {
+func (l *concurrencyLimit) learn(round *feedbackRound, now, sentAt moment, bad bool) {
 	switch factor := round.record(now, sentAt, bad); factor {
 	case 0:
 		return
@@ -88,11 +88,11 @@
 	return a
 }
 
-// configure takes the duration of the tier's feedback round, in µs.
-func (a *admission) configure(roundDuration int64) { a.tier.feedback.maxDuration = roundDuration }
+// configure takes the duration of the tier's feedback round.
+func (a *admission) configure(roundDuration span) { a.tier.feedback.maxDuration = roundDuration }
 
-// newLimit is a limit that has seen nothing; maxDuration is that of its feedback round, in µs.
-func (a *admission) newLimit(maxDuration int64) concurrencyLimit {
+// newLimit is a limit that has seen nothing; maxDuration is that of its feedback round.
+func (a *admission) newLimit(maxDuration span) concurrencyLimit {
 	badFraction, least := maxLateFraction, minLimit
 	if a.settings.Tier > 0 {
 		badFraction, least = maxLateFractionInnerTier, minLimitInnerTier
@@ -103,7 +103,7 @@
 
 // newClass is the state of a class that has seen nothing.
 func (a *admission) newClass(rules Class) classAdmission {
-	duration := feedbackRoundObjectives * rules.LatencyObjective
+	duration := feedbackRoundObjectives * span(rules.LatencyObjective)
 	return classAdmission{limit: a.newLimit(duration),
 		preemption: feedbackRound{maxBadFraction: maxSlowFraction, maxDuration: duration}}
 }
@@ -147,7 +147,7 @@
 }
 
 // learn takes the end of an attempt into the limits of its tier and class.
-func (a *admission) learn(now int64, class int, sentAt int64, late bool) {
+func (a *admission) learn(now moment, class int, sentAt moment, late bool) {
 	a.tier.learn(&a.tier.feedback, now, sentAt, late)
 	limit := &a.classes[class].admission.limit
 	limit.learn(&limit.feedback, now, sentAt, late)
@@ -155,7 +155,7 @@
 
 // preempt cuts the limits of the classes that have to give way while calls of a class are slow. A class
 // without a call in flight since its last change has nothing to give: its limit would fall to the least.
-func (a *admission) preempt(now int64, class int, sentAt int64, slow bool) {
+func (a *admission) preempt(now moment, class int, sentAt moment, slow bool) {
 	for i := range a.classes {
 		other := &a.classes[i].admission
 		if other.limit.peakInFlight > 0 && a.priority(class) > preemptionRatio*a.priority(i) {
@@ -174,10 +174,10 @@
 }
 
 // slowInFlight returns, once for each, the attempts of a class that have been in flight for longer than
-// threshold, in µs. In an overload they would otherwise be known as slow only at their end, seconds later.
-func (a *admission) slowInFlight(now int64, class int, threshold int64) (slow []*attempt) {
+// threshold. In an overload they would otherwise be known as slow only at their end, seconds later.
+func (a *admission) slowInFlight(now moment, class int, threshold span) (slow []*attempt) {
 	state := &a.classes[class].admission
-	for len(state.awaiting) > 0 && now-state.awaiting[0].sentAt > threshold {
+	for len(state.awaiting) > 0 && now.since(state.awaiting[0].sentAt) > threshold {
 		attempt := state.awaiting[0]
 		state.awaiting = state.awaiting[1:]
 		if attempt.pending && !attempt.responseStarted {
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -56,12 +56,12 @@
 }
 
 func TestLimitIsLearnedByRounds(t *testing.T) {
-	r := concurrencyLimit{max: startLimit, min: minLimit, feedback: feedbackRound{maxBadFraction: maxLateFraction, maxDuration: second}}
+	r := concurrencyLimit{max: startLimit, min: minLimit, feedback: feedbackRound{maxBadFraction: maxLateFraction, maxDuration: span(second)}}
 	now := start
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			r.learn(&r.feedback, now, now, bad)
+			r.learn(&r.feedback, moment(now), moment(now), bad)
 		}
 	}
 	for range 20 {
@@ -83,7 +83,7 @@
 	}
 	sentBefore := now - 1
 	for range 3 * feedbackRoundCalls { // evidence from before the cut must not cut again
-		r.learn(&r.feedback, now, sentBefore, true)
+		r.learn(&r.feedback, moment(now), moment(sentBefore), true)
 	}
 	if r.max != cut {
 		t.Errorf("old evidence changed the count to %v", r.max)
@@ -110,14 +110,14 @@
 	now := start
 	for range 4 * feedbackRoundCalls {
 		now++
-		b.applyBackpressure(now, 1, &attempt{sentAt: now}, true, true)
+		b.applyBackpressure(moment(now), 1, &attempt{sentAt: moment(now)}, true, true)
 	}
 	if cheap.max > 10 || dear.max != startLimit {
 		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.max, dear.max)
 	}
 	for range 4 * feedbackRoundCalls {
 		now++
-		b.applyBackpressure(now, 0, &attempt{sentAt: now}, true, true)
+		b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now)}, true, true)
 	}
 	if dear.max != startLimit {
 		t.Errorf("slow cheap calls cut the worthier class to %v", dear.max)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -93,10 +93,10 @@
 // classes have in common last as long as those of the slowest class.
 func (b *Balancer) applySettings() {
 	withDefaultBudget(b.settings)
-	roundDuration := int64(0)
+	roundDuration := span(0)
 	for i, rules := range b.settings.Classes {
 		if !b.classes[i].retired {
-			roundDuration = max(roundDuration, feedbackRoundObjectives*rules.LatencyObjective)
+			roundDuration = max(roundDuration, feedbackRoundObjectives*span(rules.LatencyObjective))
 		}
 	}
 	b.quotas.configure(roundDuration)
@@ -105,7 +105,8 @@
 }
 
 // HandleTimer takes a timer that Host.SetTimer asked for. Tokens of what is over by now do nothing.
-func (b *Balancer) HandleTimer(now int64, host Host, token string) {
+func (b *Balancer) HandleTimer(at int64, host Host, token string) {
+	now := moment(at)
 	if token == watchTimer {
 		if b.subscription.reopen() {
 			host.Watch()
@@ -121,7 +122,8 @@
 
 // HandleRequest takes a request and sends or rejects it at once, unless it has to wait in its key's queue.
 // A request whose ID is open already is ignored; one of an unknown class fails.
-func (b *Balancer) HandleRequest(now int64, host Host, received Request) {
+func (b *Balancer) HandleRequest(at int64, host Host, received Request) {
+	now := moment(at)
 	if b.requests[received.ID] != nil {
 		return
 	}
@@ -141,7 +143,7 @@
 }
 
 // register takes a request into the table of open ones and counts it.
-func (b *Balancer) register(now int64, request *request) {
+func (b *Balancer) register(now moment, request *request) {
 	b.requests[request.ID] = request
 	b.arrivals.record(now)
 	b.retries.recordRequest(now)
@@ -150,7 +152,7 @@
 
 // enqueue puts a request into its key's queue, starts it if it is the first one, and rejects it if those
 // before it would take too long.
-func (b *Balancer) enqueue(now int64, host Host, request *request) {
+func (b *Balancer) enqueue(now moment, host Host, request *request) {
 	b.ordering.join(request)
 	b.startNext(now, host, request.queue)
 	if len(request.attempts) > 0 || request.done {
@@ -165,7 +167,7 @@
 }
 
 // startNext starts the request of a queue that may run now, and the next one where that is rejected.
-func (b *Balancer) startNext(now int64, host Host, queue *keyQueue) {
+func (b *Balancer) startNext(now moment, host Host, queue *keyQueue) {
 	for request := queue.next(now); request != nil; request = queue.next(now) {
 		b.start(now, host, request)
 	}
@@ -173,7 +175,7 @@
 }
 
 // start sends a request's first attempt if all rules admit it, and rejects it otherwise.
-func (b *Balancer) start(now int64, host Host, request *request) {
+func (b *Balancer) start(now moment, host Host, request *request) {
 	admitted := b.admission.admitsTier() && b.quotas.admits(now, request) &&
 		b.admission.admitsClass(request.Class)
 	switch {
@@ -189,7 +191,7 @@
 }
 
 // send sends an attempt of a request; false if there is no server to send it to.
-func (b *Balancer) send(now int64, host Host, request *request) bool {
+func (b *Balancer) send(now moment, host Host, request *request) bool {
 	server := b.selection.choose(now, request)
 	if server == nil {
 		return false
@@ -203,12 +205,13 @@
 	if !request.BodyPending {
 		b.admission.acquire(request.Class, attempt)
 	}
-	host.Send(request.ID, server.ID, window, b.retries.attemptTimeout(now, request))
+	timeout := b.retries.attemptTimeout(now, request)
+	host.Send(request.ID, server.ID, int64(window), int64(timeout))
 	return true
 }
 
 // retry sends another attempt of a request if limits, deadline, budget and idempotency allow one.
-func (b *Balancer) retry(now int64, host Host, request *request) bool {
+func (b *Balancer) retry(now moment, host Host, request *request) bool {
 	chance := b.random.Float64()
 	if len(request.attempts) >= request.Settings.MaxAttempts || !b.retries.canMeetDeadline(now, request) ||
 		!b.admission.admitsRetry(request.Class, chance) || !b.retries.budgetAllows(now) ||
@@ -220,14 +223,14 @@
 }
 
 // reject ends a request unserved; its client may safely come again.
-func (b *Balancer) reject(now int64, host Host, request *request, reason RejectReason) {
+func (b *Balancer) reject(now moment, host Host, request *request, reason RejectReason) {
 	host.Reject(request.ID, b.admission.reject(request, reason))
 	b.finish(now, host, request)
 }
 
 // finish marks a request as done and forgets it once all its attempts have ended; only then may the next
 // one of its key start.
-func (b *Balancer) finish(now int64, host Host, request *request) {
+func (b *Balancer) finish(now moment, host Host, request *request) {
 	request.done = true
 	if request.pending > 0 {
 		return
@@ -241,7 +244,8 @@
 
 // HandleResponseStarted handles the start of a streamed response. The rest takes the client's time, so the
 // attempt's latency ends here.
-func (b *Balancer) HandleResponseStarted(now int64, id string) {
+func (b *Balancer) HandleResponseStarted(at int64, id string) {
+	now := moment(at)
 	request := b.requests[id]
 	if request == nil || request.done {
 		return
@@ -251,7 +255,8 @@
 		if attempt.pending {
 			attempt.responseStarted = true
 			b.admission.release(request.Class, attempt)
-			b.learn(now, request, attempt, Outcome{Status: StatusOK, Latency: now - attempt.sentAt})
+			latency := int64(now.since(attempt.sentAt))
+			b.learn(now, request, attempt, Outcome{Status: StatusOK, Latency: latency})
 		}
 	}
 }
@@ -259,7 +264,8 @@
 // HandleBodyReceived handles the end of a request's body: its time begins, and deadline, in µs on the clock
 // of events, is its client's. It returns the timeout of its attempt, in µs; 0 if the request is
 // over.
-func (b *Balancer) HandleBodyReceived(now int64, id string, deadline int64) (timeout int64) {
+func (b *Balancer) HandleBodyReceived(at int64, id string, deadline int64) (timeout int64) {
+	now := moment(at)
 	request := b.requests[id]
 	if request == nil || request.done {
 		return 0
@@ -271,11 +277,12 @@
 			b.admission.acquire(request.Class, attempt)
 		}
 	}
-	return max(b.retries.deadline(request)-now, 1)
+	return max(int64(b.retries.deadline(request).since(now)), 1)
 }
 
 // HandleClientGone handles a client's departure: nobody waits for the request any more.
-func (b *Balancer) HandleClientGone(now int64, host Host, id string) {
+func (b *Balancer) HandleClientGone(at int64, host Host, id string) {
+	now := moment(at)
 	if request := b.requests[id]; request != nil {
 		b.finish(now, host, request)
 	}
@@ -283,7 +290,8 @@
 
 // HandleOutcome takes the end of an attempt. A request that still needs a response is retried, rejected or
 // failed at once. Outcomes of unknown attempts are ignored.
-func (b *Balancer) HandleOutcome(now int64, host Host, outcome Outcome) {
+func (b *Balancer) HandleOutcome(at int64, host Host, outcome Outcome) {
+	now := moment(at)
 	request := b.requests[outcome.RequestID]
 	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) ||
 		!request.attempts[outcome.Attempt].pending {
@@ -311,7 +319,7 @@
 }
 
 // conclude decides what becomes of a request whose attempt has ended.
-func (b *Balancer) conclude(now int64, host Host, request *request, outcome Outcome) {
+func (b *Balancer) conclude(now moment, host Host, request *request, outcome Outcome) {
 	switch {
 	case outcome.RequestDone || request.done:
 		b.finish(now, host, request)
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -28,21 +28,21 @@
 				h := &recorder{}
 				bal.UpdateEndpoints(start, h, UpdateSnapshot, list)
 				for i := range 8 * 100 { // 100 requests a second
-					bal.selection.sent.add(start + int64(i)*second/100)
+					bal.selection.sent.add(moment(start + int64(i)*second/100))
 				}
 				if how == "on" || how == "away" {
 					bal.trackZones()
-					bal.locality.zones[0].observed.recent = callStats{calls: 6, lastAt: start + 8*second}
+					bal.locality.zones[0].observed.recent = callStats{calls: 6, lastAt: moment(start + 8*second)}
 					bal.Reports(start + 8*second)
 					bal.HandlePeerReports(start+8*second, h, PeerReports{LiveReplicas: 30, LiveReplicasInZone: 10})
 				}
 				if how == "away" {
-					bal.locality.evacuate(start+8*second, h, &bal.locality.zones[0])
+					bal.locality.evacuate(moment(start+8*second), h, &bal.locality.zones[0])
 					bal.refilter()
 				}
 				q := &request{Request: Request{Settings: bal.settings, Class: 2}}
 				for b.Loop() {
-					if bal.selection.choose(start+8*second, q) == nil {
+					if bal.selection.choose(moment(start+8*second), q) == nil {
 						b.Fatal("nothing drawn")
 					}
 				}
@@ -60,12 +60,12 @@
 				b.Run(fmt.Sprintf("rate=%d/zones=%d/servers=%d", rate, zones, n), func(b *testing.B) {
 					bal := replicaWithList(b, n, zones, 4)
 					for i := range 8 * rate {
-						bal.selection.sent.add(start + int64(i)*second/int64(rate))
+						bal.selection.sent.add(moment(start + int64(i)*second/int64(rate)))
 					}
 					q := &request{Request: Request{Settings: bal.settings}}
 					b.ReportAllocs()
 					for b.Loop() {
-						if bal.selection.choose(start+8*second, q) == nil {
+						if bal.selection.choose(moment(start+8*second), q) == nil {
 							b.Fatal("nothing drawn")
 						}
 					}
--- a/balancer/counters.go
+++ b/balancer/counters.go
@@ -5,9 +5,8 @@
 // Counts of events by time. They decide nothing.
 
 const (
-	second         = int64(1_000_000) // all times are µs
-	windowBuckets  = 64               // buckets of a window
-	bucketDuration = second / 8       // µs
+	windowBuckets  = 64 // buckets of a window
+	bucketDuration = 125 * milliseconds
 	maxWindow      = windowBuckets * bucketDuration
 )
 
@@ -17,25 +16,25 @@
 	lastBucket int64
 }
 
-func (w *window) add(now int64) {
+func (w *window) add(now moment) {
 	w.advance(now)
 	w.buckets[w.lastBucket%windowBuckets]++
 }
 
 // advance empties the buckets whose time has passed.
-func (w *window) advance(now int64) {
-	bucket := now / bucketDuration
+func (w *window) advance(now moment) {
+	bucket := int64(now) / int64(bucketDuration)
 	for i := max(w.lastBucket+1, bucket-windowBuckets+1); i <= bucket; i++ {
 		w.buckets[i%windowBuckets] = 0
 	}
 	w.lastBucket = max(w.lastBucket, bucket)
 }
 
-// count returns the number of events within span, in µs, before now.
-func (w *window) count(now, span int64) float64 {
+// count returns the number of events within a span before now.
+func (w *window) count(now moment, length span) float64 {
 	w.advance(now)
 	total := int32(0)
-	for i := int64(0); i < span/bucketDuration; i++ {
+	for i := int64(0); i < int64(length/bucketDuration); i++ {
 		if w.lastBucket-i >= 0 {
 			total += w.buckets[(w.lastBucket-i)%windowBuckets]
 		}
@@ -46,31 +45,31 @@
 // decayingCount counts events; each fades exponentially with the time constant arrivalDecay.
 type decayingCount struct {
 	count  float64
-	lastAt int64
+	lastAt moment
 }
 
 // at returns the count now.
-func (c *decayingCount) at(now int64) float64 {
-	c.count *= math.Exp(-float64(now-c.lastAt) / float64(arrivalDecay))
+func (c *decayingCount) at(now moment) float64 {
+	c.count *= math.Exp(-float64(now.since(c.lastAt)) / float64(arrivalDecay))
 	c.lastAt = now
 	return c.count
 }
 
-func (c *decayingCount) add(now int64) { c.count = c.at(now) + 1 }
+func (c *decayingCount) add(now moment) { c.count = c.at(now) + 1 }
 
 // eventTimes holds the times of events in µs, oldest first.
 type eventTimes []int64
 
-// add records an event and drops those older than span.
-func (e *eventTimes) add(now, span int64) {
-	*e = append(*e, now)
-	e.countSince(now - span)
+// add records an event and drops those older than a span.
+func (e *eventTimes) add(now moment, length span) {
+	*e = append(*e, int64(now))
+	e.countSince(now.add(-length))
 }
 
 // countSince drops the events before from and counts the rest.
-func (e *eventTimes) countSince(from int64) float64 {
+func (e *eventTimes) countSince(from moment) float64 {
 	n := 0
-	for n < len(*e) && (*e)[n] < from {
+	for n < len(*e) && (*e)[n] < int64(from) {
 		n++
 	}
 	*e = (*e)[n:]
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -4,10 +4,11 @@
 
 // UpdateEndpoints takes an endpoint list or its changes, as kind says, or that a poll or watch has failed.
 // Then entries are ignored.
-func (b *Balancer) UpdateEndpoints(now int64, host Host, kind UpdateKind, entries []Server) {
+func (b *Balancer) UpdateEndpoints(at int64, host Host, kind UpdateKind, entries []Server) {
+	now := moment(at)
 	if kind == UpdateFailed {
 		if backoff, ok := b.subscription.failed(); ok {
-			host.SetTimer(backoff, watchTimer)
+			host.SetTimer(int64(backoff), watchTimer)
 		}
 		return
 	}
@@ -39,7 +40,8 @@
 
 // SetDrainedZones has these zones and no others drained: their servers get nothing, not even trials. One
 // that is restored recovers by steps.
-func (b *Balancer) SetDrainedZones(now int64, host Host, zones map[int]bool) {
+func (b *Balancer) SetDrainedZones(at int64, host Host, zones map[int]bool) {
+	now := moment(at)
 	if len(zones) > 0 || len(b.members.drainedZones) > 0 {
 		b.trackZones() // first, so that draining one is a change of its phase
 	}
@@ -67,7 +69,7 @@
 
 // removeUnhealthy damps the servers that flap and ejects those that are reported as unhealthy, within one
 // budget.
-func (b *Balancer) removeUnhealthy(now int64) {
+func (b *Balancer) removeUnhealthy(now moment) {
 	unhealthy := b.outliers.reportedUnhealthy(now)
 	budget := newRemovalBudget(b.members.ready)
 	b.damping.damp(now, budget)
--- a/balancer/feedback.go
+++ b/balancer/feedback.go
@@ -17,16 +17,16 @@
 
 // feedbackRound is one round in progress.
 type feedbackRound struct {
-	startedAt      int64   // µs: calls sent earlier don't count; 0: with the next call
+	startedAt      moment  // calls sent earlier don't count; 0: with the next call
 	finished, bad  int     // calls
 	maxBadFraction float64 // of a good round, 0 to 1
-	maxDuration    int64   // µs after which a round with few calls may end as a good one
+	maxDuration    span    // after which a round with few calls may end as a good one
 }
 
 // record takes the end of a call that was sent at sentAt. It returns 0 while the round is open. When the
 // round ends it returns 1 if it was good, or else the factor to cut by, which is lower the more calls were
 // bad. A round ends early, as a bad one, when no further call could make it good.
-func (r *feedbackRound) record(now, sentAt int64, bad bool) (factor float64) {
+func (r *feedbackRound) record(now, sentAt moment, bad bool) (factor float64) {
 	if r.startedAt = cmp.Or(r.startedAt, sentAt); sentAt < r.startedAt {
 		return 0
 	}
@@ -35,7 +35,7 @@
 		r.bad++
 	}
 	badFraction := float64(r.bad) / float64(max(r.finished, feedbackRoundCalls/2))
-	open := now-r.startedAt < r.maxDuration || float64(r.bad) > r.maxBadFraction*float64(r.finished)
+	open := now.since(r.startedAt) < r.maxDuration || float64(r.bad) > r.maxBadFraction*float64(r.finished)
 	if float64(r.bad) <= r.maxBadFraction*feedbackRoundCalls && r.finished < feedbackRoundCalls && open {
 		return 0
 	}
--- a/balancer/flapdamping.go
+++ b/balancer/flapdamping.go
@@ -15,25 +15,25 @@
 // Input: flaps, as this replica sees them and the others report them. Output: which ready servers are damped.
 
 const (
-	penaltyHalfLife = 20 * second // µs: each flap adds 1 to a penalty, which halves in this time
-	maxPenalty      = 5.0         // a server that rests is back within 2.4 half-lives
+	penaltyHalfLife = 20 * seconds // each flap adds 1 to a penalty, which halves in this time
+	maxPenalty      = 5.0          // a server that rests is back within 2.4 half-lives
 
-	dampingThreshold = 2.2         // a penalty above it damps: the third flap, 10 s apart or less
-	reuseThreshold   = 1.0         // a penalty below it ends damping
-	maxDamping       = 60 * second // µs: damping ends after this; the next flap may begin it again
-	dampedWeight     = 0.1         // health score of a damped server
+	dampingThreshold = 2.2          // a penalty above it damps: the third flap, 10 s apart or less
+	reuseThreshold   = 1.0          // a penalty below it ends damping
+	maxDamping       = 60 * seconds // damping ends after this; the next flap may begin it again
+	dampedWeight     = 0.1          // health score of a damped server
 
-	flapVoteWindow   = 2 * second // µs: what several replicas see within this is one flap
-	maxRequiredVotes = 3          // replicas that have to see a flap, fewer where fewer live
+	flapVoteWindow   = 2 * seconds // what several replicas see within this is one flap
+	maxRequiredVotes = 3           // replicas that have to see a flap, fewer where fewer live
 
 	fallenScore          = 0.1 // health score: a server below it has fallen, after two failures
 	recoveredBadFraction = 0.2 // of recent calls: a server above it hasn't recovered
 
-	flapReportTTL = 10 * second // µs: a flap is reported for so long
-	flapMemory    = 60 * second // µs: and known for so long, to recognise the next one
+	flapReportTTL = 10 * seconds // a flap is reported for so long
+	flapMemory    = 60 * seconds // and known for so long, to recognise the next one
 
-	maxRecords         = 4096   // of flaps
-	dampingLogInterval = second // µs between log events at least
+	maxRecords         = 4096        // of flaps
+	dampingLogInterval = 1 * seconds // between log events at least
 )
 
 // faultDelisted is the fault of a flap whose fall is that the server has left the list. It stays in this
@@ -42,8 +42,8 @@
 
 // dampingState is what flap damping keeps of a server.
 type dampingState struct {
-	active bool  // it has its steady weight
-	since  int64 // µs, while active
+	active bool   // it has its steady weight
+	since  moment // while active
 }
 
 // requiredFlapVotes is how many replicas have to see a flap where so many live: one's own link can be at
@@ -53,13 +53,13 @@
 // flapVote is the newest change against the last flap that counted, as one replica saw it.
 type flapVote struct {
 	observer string
-	seenAt   int64 // µs
+	seenAt   moment
 }
 
 // flapSighting is a flap of a server's process as one replica saw it.
 type flapSighting struct {
 	server    string // ID
-	startTime int64  // µs by the list's clock
+	startTime moment // by the list's clock
 	down      bool   // a fall, else a recovery
 	vote      flapVote
 }
@@ -67,23 +67,23 @@
 // flapRecord is the record of one server. Flaps alternate: one that leads where the last one led is the
 // same flap, seen late.
 type flapRecord struct {
-	startTime   int64 // the process's; another one begins a new record
-	down        bool  // where the last flap that counted led
-	lastFlapAt  int64 // µs, when that was first seen
+	startTime   moment // the process's; another one begins a new record
+	down        bool   // where the last flap that counted led
+	lastFlapAt  moment // when that was first seen
 	votes       []flapVote
 	penalty     float64 // as of penaltyAt
-	penaltyAt   int64   // µs
-	dampedSince int64   // µs; 0: not damped
-	newFlap     bool    // one has counted since updateDamped
+	penaltyAt   moment
+	dampedSince moment // 0: not damped
+	newFlap     bool   // one has counted since updateDamped
 }
 
 // accept takes a replica's vote for a flap and reports whether the flap counts with it.
-func (r *flapRecord) accept(now int64, down bool, vote flapVote, required int) bool {
+func (r *flapRecord) accept(now moment, down bool, vote flapVote, required int) bool {
 	if down == r.down || vote.seenAt <= r.lastFlapAt || vote.seenAt > now {
 		return false
 	}
 	r.votes = slices.DeleteFunc(r.votes, func(former flapVote) bool {
-		return former.observer == vote.observer || vote.seenAt-former.seenAt > flapVoteWindow
+		return former.observer == vote.observer || vote.seenAt.since(former.seenAt) > flapVoteWindow
 	})
 	if r.votes = append(r.votes, vote); len(r.votes) < required {
 		return false
@@ -94,19 +94,19 @@
 }
 
 // currentPenalty is the penalty now, 0 to maxPenalty.
-func (r *flapRecord) currentPenalty(now int64) float64 {
-	return r.penalty * math.Exp2(-float64(now-r.penaltyAt)/float64(penaltyHalfLife))
+func (r *flapRecord) currentPenalty(now moment) float64 {
+	return r.penalty * math.Exp2(-float64(now.since(r.penaltyAt))/float64(penaltyHalfLife))
 }
 
 // rested reports whether a record may be forgotten.
-func (r *flapRecord) rested(now int64) bool {
-	return r.currentPenalty(now) < reuseThreshold/2 && now-r.lastFlapAt > penaltyHalfLife
+func (r *flapRecord) rested(now moment) bool {
+	return r.currentPenalty(now) < reuseThreshold/2 && now.since(r.lastFlapAt) > penaltyHalfLife
 }
 
 // updateDamped begins or ends damping and reports whether the server is damped now.
-func (r *flapRecord) updateDamped(now int64) bool {
+func (r *flapRecord) updateDamped(now moment) bool {
 	penalty := r.currentPenalty(now)
-	if r.dampedSince != 0 && (penalty < reuseThreshold || now-r.dampedSince >= maxDamping) {
+	if r.dampedSince != 0 && (penalty < reuseThreshold || now.since(r.dampedSince) >= maxDamping) {
 		r.dampedSince = 0
 	} else if r.dampedSince == 0 && r.newFlap && penalty > dampingThreshold {
 		r.dampedSince = now
@@ -119,14 +119,14 @@
 type flapRecords struct{ byID map[string]*flapRecord }
 
 // recordFlap takes a replica's sighting of a flap and reports whether the flap counts with it.
-func (f *flapRecords) recordFlap(now int64, seen flapSighting, required int) bool {
+func (f *flapRecords) recordFlap(now moment, seen flapSighting, required int) bool {
 	record := f.byID[seen.server]
 	same := record != nil && sameStartTime(seen.startTime, record.startTime)
 	if record == nil || seen.startTime > record.startTime && !same {
 		if f.removeRested(now); record == nil && len(f.byID) >= maxRecords || !seen.down {
 			return false // a record begins with a fall
 		}
-		record = &flapRecord{startTime: seen.startTime, lastFlapAt: seen.vote.seenAt - flapVoteWindow,
+		record = &flapRecord{startTime: seen.startTime, lastFlapAt: seen.vote.seenAt.add(-flapVoteWindow),
 			penaltyAt: now}
 		if f.byID == nil {
 			f.byID = map[string]*flapRecord{}
@@ -136,8 +136,8 @@
 	return same && record.accept(now, seen.down, seen.vote, required)
 }
 
-// dampedSince reports whether a server's process is to have its steady weight now, and since when, in µs.
-func (f *flapRecords) dampedSince(now int64, id string, startTime int64) (since int64, damped bool) {
+// dampedSince reports whether a server's process is to have its steady weight now, and since when.
+func (f *flapRecords) dampedSince(now moment, id string, startTime moment) (since moment, damped bool) {
 	record := f.byID[id]
 	if record == nil || !sameStartTime(record.startTime, startTime) {
 		return 0, false
@@ -147,7 +147,7 @@
 }
 
 // removeRested forgets the records of servers that rest.
-func (f *flapRecords) removeRested(now int64) {
+func (f *flapRecords) removeRested(now moment) {
 	for id, record := range f.byID {
 		if record.rested(now) {
 			delete(f.byID, id)
@@ -157,10 +157,10 @@
 
 // observedFlap is the latest flap of a server as this replica saw it.
 type observedFlap struct {
-	startTime int64
+	startTime moment
 	down      bool
 	fault     Fault // of the latest fall
-	seenAt    int64 // µs
+	seenAt    moment
 	count     float64
 }
 
@@ -173,12 +173,12 @@
 	observed map[string]observedFlap // by server ID
 
 	logged   string // the damped servers as of the last log event
-	loggedAt int64  // µs
+	loggedAt moment
 }
 
 // detectFlap looks whether a server has fallen or recovered. Slow calls are no fall, nor are rejected ones:
 // an overload would damp its whole tier. A single failure is one if others report the server, too.
-func (d *flapDamping) detectFlap(now int64, server *server) {
+func (d *flapDamping) detectFlap(now moment, server *server) {
 	state := &server.outlier
 	worst := state.worstScore()
 	reported := state.peerFactor < 1
@@ -192,7 +192,7 @@
 }
 
 // detectDelisted has a server fall that has left the list: one that comes back as the same process flaps.
-func (d *flapDamping) detectDelisted(now int64) {
+func (d *flapDamping) detectDelisted(now moment) {
 	for _, server := range d.members.all {
 		gone, flap := server.State == ServerRemoved, d.observed[server.ID]
 		if gone || flap.down && flap.fault == faultDelisted {
@@ -202,10 +202,10 @@
 }
 
 // observe records that a server has fallen or recovered, if that is a change.
-func (d *flapDamping) observe(now int64, server *server, down bool, fault Fault) {
+func (d *flapDamping) observe(now moment, server *server, down bool, fault Fault) {
 	flap := d.observed[server.ID]
-	if flap.startTime != server.StartTime {
-		flap = observedFlap{startTime: server.StartTime}
+	if flap.startTime != moment(server.StartTime) {
+		flap = observedFlap{startTime: moment(server.StartTime)}
 	}
 	if flap.down == down {
 		return
@@ -220,15 +220,15 @@
 }
 
 // flapReports returns the reports of the flaps that this replica saw lately.
-func (d *flapDamping) flapReports(now int64) (reports []Report) {
+func (d *flapDamping) flapReports(now moment) (reports []Report) {
 	for _, id := range slices.Sorted(maps.Keys(d.observed)) {
 		flap := d.observed[id]
-		if now-flap.seenAt > flapMemory {
+		if now.since(flap.seenAt) > flapMemory {
 			delete(d.observed, id)
-		} else if now-flap.seenAt <= flapReportTTL {
+		} else if now.since(flap.seenAt) <= flapReportTTL {
 			report := Report{Kind: ReportServerFlap, Fault: max(flap.fault, NoFault),
-				ObserverZone: d.settings.Zone, Server: id, StartTime: flap.startTime, Calls: flap.count,
-				BadFraction: indicator(flap.down), LastObserved: flap.seenAt}
+				ObserverZone: d.settings.Zone, Server: id, StartTime: int64(flap.startTime),
+				Calls: flap.count, BadFraction: indicator(flap.down), LastObserved: int64(flap.seenAt)}
 			if record := d.records.byID[id]; record != nil {
 				report.Value = record.currentPenalty(now)
 			}
@@ -241,7 +241,7 @@
 // damp damps the servers whose flaps enough replicas report, the longest damped first, as far as the budget
 // for removals goes. An isolated replica uses its zone's part of the budget. Suspended servers stay
 // suspended.
-func (d *flapDamping) damp(now int64, budget *removalBudget) {
+func (d *flapDamping) damp(now moment, budget *removalBudget) {
 	d.takeReports(now)
 	if peers := &d.reports.peers; peers.Isolated {
 		budget.limitTo(peers.LiveReplicasInZone, max(peers.LiveReplicas, peers.LiveReplicasInZone))
@@ -253,23 +253,25 @@
 
 // takeReports takes the flaps that all replicas report. That a server doesn't respond may be due to the way
 // to it: of such reports only those of this zone count.
-func (d *flapDamping) takeReports(now int64) {
+func (d *flapDamping) takeReports(now moment) {
 	required := requiredFlapVotes(d.reports.peers.LiveReplicasInZone)
 	for report := range d.reports.all {
 		if report.Kind == ReportServerFlap && !d.settings.DisableFlapDamping &&
 			(report.Fault != FaultUnresponsive || report.ObserverZone == d.settings.Zone) {
 			down := report.BadFraction >= unhealthyBadFraction
-			vote := flapVote{report.Observer, report.LastObserved}
-			d.records.recordFlap(now, flapSighting{report.Server, report.StartTime, down, vote}, required)
+			vote := flapVote{report.Observer, moment(report.LastObserved)}
+			seen := flapSighting{report.Server, moment(report.StartTime), down, vote}
+			d.records.recordFlap(now, seen, required)
 		}
 	}
 }
 
 // flapping are the ready servers that have to be damped by their records, the longest damped first.
-func (d *flapDamping) flapping(now int64) (flapping []*server) {
+func (d *flapDamping) flapping(now moment) (flapping []*server) {
 	for _, server := range d.members.ready {
 		state := &server.damping
-		if state.since, state.active = d.records.dampedSince(now, server.ID, server.StartTime); state.active {
+		started := moment(server.StartTime)
+		if state.since, state.active = d.records.dampedSince(now, server.ID, started); state.active {
 			flapping = append(flapping, server)
 		}
 	}
@@ -280,11 +282,11 @@
 }
 
 // damped are the servers that have their steady weight now, the longest damped first.
-func (d *flapDamping) damped(now int64) (out []DampedServer) {
+func (d *flapDamping) damped(now moment) (out []DampedServer) {
 	for _, server := range d.members.ready {
 		if server.damping.active {
 			penalty := d.records.byID[server.ID].currentPenalty(now)
-			out = append(out, DampedServer{server.ID, penalty, server.damping.since})
+			out = append(out, DampedServer{server.ID, penalty, int64(server.damping.since)})
 		}
 	}
 	slices.SortFunc(out, func(x, y DampedServer) int {
@@ -294,13 +296,13 @@
 }
 
 // logChange logs which servers are damped when that has changed, at most once in dampingLogInterval.
-func (d *flapDamping) logChange(now int64, host Host) {
+func (d *flapDamping) logChange(now moment, host Host) {
 	var ids []string
 	for _, server := range d.damped(now) {
 		ids = append(ids, server.Server)
 	}
 	all := strings.Join(ids, " ")
-	if all == d.logged || now-d.loggedAt < dampingLogInterval {
+	if all == d.logged || now.since(d.loggedAt) < dampingLogInterval {
 		return
 	}
 	d.logged, d.loggedAt = all, now
--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -31,10 +31,10 @@
 			if now > 0 && now%c.every == 0 && now < c.until {
 				down = !down
 				for i := range int64(3) {
-					d.recordFlap(now+i, flapSighting{"s", 1, down, flapVote{fmt.Sprint(i), now + i}}, 3)
+					d.recordFlap(moment(now+i), flapSighting{"s", 1, down, flapVote{fmt.Sprint(i), moment(now + i)}}, 3)
 				}
 			}
-			_, is := d.dampedSince(now+3, "s", 1)
+			_, is := d.dampedSince(moment(now+3), "s", 1)
 			damped += indicator(is) / 6000
 			is2 := int(indicator(down))
 			if is {
@@ -89,11 +89,11 @@
 			if now = max(now, s.at); s.at == math.MaxInt64 {
 				now = 1
 			}
-			d.recordFlap(now, flapSighting{"s", s.start, s.down, flapVote{s.who, s.at}}, 2)
+			d.recordFlap(moment(now), flapSighting{"s", moment(s.start), s.down, flapVote{s.who, moment(s.at)}}, 2)
 		}
 		got := 0.0
 		if r := d.byID["s"]; r != nil {
-			got = r.currentPenalty(now)
+			got = r.currentPenalty(moment(now))
 		}
 		if math.Abs(got-c.want) > 1e-3 {
 			t.Errorf("%s: penalty %g, want %g", c.name, got, c.want)
@@ -114,8 +114,8 @@
 			down := rapid.Bool().Draw(t, "down")
 			at := now - rapid.Int64Range(-second, 3*second).Draw(t, "age")
 			known := d.byID[key] != nil
-			vote := flapVote{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), at}
-			if d.recordFlap(now, flapSighting{key, 1, down, vote}, 2) {
+			vote := flapVote{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"), moment(at)}
+			if d.recordFlap(moment(now), flapSighting{key, 1, down, vote}, 2) {
 				if known && state[key] == down || at <= counted[key] && counted[key] != 0 || at > now {
 					t.Fatalf("at %d a flap of %s to %v seen at %d counts again", now, key, down, at)
 				}
@@ -127,20 +127,20 @@
 					since[key] = 0
 					continue
 				}
-				if p := r.currentPenalty(now); !(p >= 0 && p <= maxPenalty) {
+				if p := r.currentPenalty(moment(now)); !(p >= 0 && p <= maxPenalty) {
 					t.Fatalf("a penalty of %g", p)
 				}
-				from, is := d.dampedSince(now, key, 1)
-				if is && since[key] == 0 && r.currentPenalty(now) <= dampingThreshold || is && (now-from >= maxDamping || r.currentPenalty(now) < reuseThreshold) {
-					t.Fatalf("at %d damped since %d at a penalty of %g", now, from, r.currentPenalty(now))
+				from, is := d.dampedSince(moment(now), key, 1)
+				if is && since[key] == 0 && r.currentPenalty(moment(now)) <= dampingThreshold || is && (moment(now).since(from) >= maxDamping || r.currentPenalty(moment(now)) < reuseThreshold) {
+					t.Fatalf("at %d damped since %d at a penalty of %g", now, from, r.currentPenalty(moment(now)))
 				}
-				if !is && since[key] != 0 && now-since[key] < maxDamping && r.currentPenalty(now) >= reuseThreshold {
-					t.Fatalf("at %d no longer damped at a penalty of %g", now, r.currentPenalty(now))
+				if !is && since[key] != 0 && span(now-since[key]) < maxDamping && r.currentPenalty(moment(now)) >= reuseThreshold {
+					t.Fatalf("at %d no longer damped at a penalty of %g", now, r.currentPenalty(moment(now)))
 				}
-				since[key] = from
+				since[key] = int64(from)
 			}
 		}
-		if d.removeRested(now + 200*second); len(d.byID) != 0 {
+		if d.removeRested(moment(now + 200*second)); len(d.byID) != 0 {
 			t.Fatalf("%d records are kept of what rests", len(d.byID))
 		}
 	})
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -68,13 +68,13 @@
 func TestWarmingServerGetsHalfFromEachOfTwoProcesses(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 1)
 	cold := &server{Server: Server{StartTime: start}}
-	whole := b.slowStart.factor(start+second, cold)
+	whole := b.slowStart.factor(moment(start+second), cold)
 	b.ImportRetryBudget(RetryBudgetUsage{})
-	if got := b.slowStart.factor(start+second, cold); got != whole/2 {
+	if got := b.slowStart.factor(moment(start+second), cold); got != whole/2 {
 		t.Errorf("beside another process %v, alone %v", got, whole)
 	}
 	b.HandleOtherProcessExit(start)
-	if got := b.slowStart.factor(start+second, cold); got != whole {
+	if got := b.slowStart.factor(moment(start+second), cold); got != whole {
 		t.Errorf("alone again %v, before %v", got, whole)
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -45,7 +45,11 @@
 	return r.lines[len(r.lines)-1]
 }
 
-const start = int64(1_000_000_000)
+// µs, as of the interface.
+const (
+	second = int64(1_000_000)
+	start  = int64(1_000_000_000)
+)
 
 // testSettings has a class of each kind: 0 idempotent, 1 with a key by cell, 2 not idempotent, 3 with a key by all, 4 with
 // a key by zone.
@@ -93,5 +97,5 @@
 
 // weightOf is a server's weight for a class in a draw.
 func weightOf(b *Balancer, now int64, server *server, class int) float64 {
-	return b.selection.weight(now, server, class, b.selection.baseWeight(server))
+	return b.selection.weight(moment(now), server, class, b.selection.baseWeight(server))
 }
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -3,7 +3,7 @@
 // What the rules take from the end of an attempt, and from one that has been in flight for too long.
 
 // learn has the rules take what the end of an attempt shows.
-func (b *Balancer) learn(now int64, request *request, attempt *attempt, outcome Outcome) {
+func (b *Balancer) learn(now moment, request *request, attempt *attempt, outcome Outcome) {
 	if outcome.Status == StatusCancelled || outcome.Status == StatusNotSent {
 		return
 	}
@@ -21,7 +21,7 @@
 		recordLatency(&b.classes[class].latency, &server.latency, float64(outcome.Latency))
 		server.outlier.recordAnswer()
 	}
-	latency := float64(now - attempt.sentAt)
+	latency := float64(now.since(attempt.sentAt))
 	late := failed && !attributed || !failed && isLate(request.classRules(), latency)
 	slow := late || !failed && latency > b.slowThreshold(class)
 	b.admission.learn(now, class, attempt.sentAt, late)
@@ -37,7 +37,7 @@
 
 // applyBackpressure has quotas, priority and spillover take a call: whether it was slow, and whether it was
 // slow or failed.
-func (b *Balancer) applyBackpressure(now int64, class int, attempt *attempt, slow, bad bool) {
+func (b *Balancer) applyBackpressure(now moment, class int, attempt *attempt, slow, bad bool) {
 	b.admission.preempt(now, class, attempt.sentAt, slow)
 	b.quotas.learn(now, attempt.sentAt, slow)
 	if attempt.zone == b.settings.Zone {
@@ -46,22 +46,22 @@
 }
 
 // recordSlowAttempts takes attempts as slow that have been in flight for too long.
-func (b *Balancer) recordSlowAttempts(now int64) {
+func (b *Balancer) recordSlowAttempts(now moment) {
 	for class := range b.classes {
-		for _, attempt := range b.admission.slowInFlight(now, class, int64(b.slowThreshold(class))) {
+		for _, attempt := range b.admission.slowInFlight(now, class, span(b.slowThreshold(class))) {
 			b.applyBackpressure(now, class, attempt, true, true)
 		}
 	}
 }
 
 // logThrottling logs, now and then, that traffic within the tenants' shares is rejected.
-func (b *Balancer) logThrottling(now int64, host Host) {
+func (b *Balancer) logThrottling(now moment, host Host) {
 	b.quotas.logThrottling(now, host, TenantsThrottled{InFlight: b.admission.tier.inFlight,
 		FailureRate: b.outliers.errorRate, SpilloverWeight: b.spillover.weight})
 }
 
 // recordEvidence takes the end of an attempt as evidence on its server and zone.
-func (b *Balancer) recordEvidence(now int64, attempt *attempt, fault Fault) {
+func (b *Balancer) recordEvidence(now moment, attempt *attempt, fault Fault) {
 	attempt.server.outlier.recordCall(now, attempt, fault)
 	b.locality.recordCall(now, attempt, fault)
 }
--- a/balancer/listevidence.go
+++ b/balancer/listevidence.go
@@ -20,31 +20,34 @@
 
 // listingState is what attempts show of a server's place in the list.
 type listingState struct {
-	confirmedUntil int64 // µs: until then it is shown to be listed
-	contradictedAt int64 // µs, when an attempt that it didn't take was sent; 0: none
+	confirmedUntil moment // until then it is shown to be listed
+	contradictedAt moment // when an attempt that it didn't take was sent; 0: none
 }
 
 // listEvidence holds when the list was confirmed.
 type listEvidence struct {
 	*shared
-	confirmedAt   int64 // µs, or when a new replica got its first list
+	confirmedAt   moment // or when a new replica got its first list
 	everConfirmed bool
 }
 
+// ttl is how long evidence lasts; 0: the list holds without limit.
+func (e *listEvidence) ttl() span { return span(e.settings.MembershipEvidenceTTL) }
+
 // confirm records that the list is the newest there is. A cached one is the best that a new replica has.
-func (e *listEvidence) confirm(now int64, kind UpdateKind) {
+func (e *listEvidence) confirm(now moment, kind UpdateKind) {
 	if kind != UpdateCached || e.confirmedAt == 0 {
 		e.confirmedAt, e.everConfirmed = now, e.everConfirmed || kind != UpdateCached
 	}
 }
 
 // isStale reports whether the list alone shows nothing any more.
-func (e *listEvidence) isStale(now int64) bool {
-	return e.settings.MembershipEvidenceTTL > 0 && now-e.confirmedAt > e.settings.MembershipEvidenceTTL
+func (e *listEvidence) isStale(now moment) bool {
+	return e.ttl() > 0 && now.since(e.confirmedAt) > e.ttl()
 }
 
 // factor is the factor of a server's weight while the list is stale, above 0 to 1.
-func (e *listEvidence) factor(now int64, server *server) float64 {
+func (e *listEvidence) factor(now moment, server *server) float64 {
 	switch {
 	case now < server.listing.confirmedUntil:
 		return 1
@@ -57,25 +60,25 @@
 // record takes the end of an attempt. One that was executed, when the server was still shown to be listed,
 // shows it on; after a gap nothing does but the list. One that was not executed ends what was shown, unless
 // it was sent before one that was.
-func (e *listEvidence) record(server *server, sentAt int64, status Status) {
-	ttl := e.settings.MembershipEvidenceTTL
+func (e *listEvidence) record(server *server, sentAt moment, status Status) {
+	ttl := e.ttl()
 	if ttl == 0 || status == StatusCancelled || status == StatusNotSent {
 		return
 	}
 	state, executed := &server.listing, status == StatusOK || status == StatusError
 	switch {
 	case executed && (sentAt <= e.listedUntil() || sentAt < state.confirmedUntil):
-		state.confirmedUntil, state.contradictedAt = max(state.confirmedUntil, sentAt+ttl), 0
-	case !executed && sentAt >= state.confirmedUntil-ttl:
+		state.confirmedUntil, state.contradictedAt = max(state.confirmedUntil, sentAt.add(ttl)), 0
+	case !executed && sentAt >= state.confirmedUntil.add(-ttl):
 		state.confirmedUntil, state.contradictedAt = 0, sentAt
 	}
 }
 
-// listedUntil is the time, in µs, until which the list by itself shows what is listed. A new replica's
+// listedUntil is the time until which the list by itself shows what is listed. A new replica's
 // cached list shows it for its first requests: what executes these was there then.
-func (e *listEvidence) listedUntil() int64 {
+func (e *listEvidence) listedUntil() moment {
 	if !e.everConfirmed {
-		return max(e.confirmedAt, e.arrivals.firstAt) + e.settings.MembershipEvidenceTTL
+		return max(e.confirmedAt, e.arrivals.firstAt).add(e.ttl())
 	}
-	return e.confirmedAt + e.settings.MembershipEvidenceTTL
+	return e.confirmedAt.add(e.ttl())
 }
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -13,9 +13,9 @@
 // for each server the rate, failures and mean latency of all replicas' calls, by which weights are tuned.
 
 const (
-	loadDecay          = 4 * second // µs: time constant by which load fades
-	loadReportInterval = second     // µs between this replica's reports
-	loadReportTTL      = 5 * second // µs: older reports, and older calls, count for nothing
+	loadDecay          = 4 * seconds // time constant by which load fades
+	loadReportInterval = 1 * seconds // between this replica's reports
+	loadReportTTL      = 5 * seconds // older reports, and older calls, count for nothing
 
 	maxReplicaCallsRatio = 2.0 // to the median: more calls of one replica count as these
 	maxLatencyDeviation  = 4.0 // factor of the median: other latencies count as this
@@ -34,11 +34,11 @@
 	calls, failed   float64
 	weight          float64 // priority weights of the answered calls
 	weightedLatency float64 // their latencies, in µs, times these
-	lastAt          int64   // µs; 0: no call yet
+	lastAt          moment  // 0: no call yet
 }
 
-func (l *loadStats) fade(now int64) {
-	keep := math.Exp(-float64(now-l.lastAt) / float64(loadDecay))
+func (l *loadStats) fade(now moment) {
+	keep := math.Exp(-float64(now.since(l.lastAt)) / float64(loadDecay))
 	l.calls, l.failed = keep*l.calls, keep*l.failed
 	l.weight, l.weightedLatency = keep*l.weight, keep*l.weightedLatency
 	l.lastAt = now
@@ -59,7 +59,7 @@
 	reports *reportExchange
 
 	latest     []Report // of this replica
-	reportedAt int64    // µs; 0: never
+	reportedAt moment   // 0: never
 
 	typicalLatency float64 // µs: mean unloaded latency over the answered calls of all classes
 	successes      float64
@@ -68,7 +68,7 @@
 // record takes the end of an attempt. Latencies are scaled to a call of a typical class: a server would
 // otherwise be fast for the classes that it happened to get. It returns the latency as a multiple of its
 // class's unloaded one; ok is false if the attempt failed.
-func (l *loads) record(now int64, server *server, class int, outcome Outcome) (relative float64, ok bool) {
+func (l *loads) record(now moment, server *server, class int, outcome Outcome) (relative float64, ok bool) {
 	load := &server.load.recent
 	load.fade(now)
 	if load.calls++; outcome.Status != StatusOK {
@@ -86,20 +86,20 @@
 
 // loadReports returns this replica's reports, which stay the same for loadReportInterval: each change is
 // sent to all replicas.
-func (l *loads) loadReports(now int64) []Report {
-	if l.settings.DisableWeightTuning || now-l.reportedAt < loadReportInterval && l.reportedAt != 0 {
+func (l *loads) loadReports(now moment) []Report {
+	if l.settings.DisableWeightTuning || now.since(l.reportedAt) < loadReportInterval && l.reportedAt != 0 {
 		return l.latest
 	}
 	l.reportedAt, l.latest = now, nil
 	for _, server := range l.members.all {
 		load := &server.load.recent
-		if load.lastAt == 0 || now-load.lastAt > loadReportTTL {
+		if load.lastAt == 0 || now.since(load.lastAt) > loadReportTTL {
 			continue
 		}
 		load.fade(now)
 		report := Report{Kind: ReportServerLoad, ObserverZone: l.settings.Zone, Server: server.ID,
 			StartTime: server.StartTime, Calls: load.calls, BadFraction: load.failed / load.calls,
-			LastObserved: now}
+			LastObserved: int64(now)}
 		if load.weight > 0 {
 			report.Value = load.weightedLatency / load.weight
 		}
@@ -110,7 +110,7 @@
 
 // sumReports sums up the reports of all replicas on each server and returns how many replicas these are.
 // What is no number or out of all proportion is bounded, so that no single replica moves the sums much.
-func (l *loads) sumReports(now int64) (replicas int) {
+func (l *loads) sumReports(now moment) (replicas int) {
 	reports, callsOf := l.usableReports(now)
 	for _, server := range l.members.all {
 		server.load.fleet = fleetLoad{}
@@ -143,11 +143,11 @@
 }
 
 // usableReports are the load reports that make sense, and the calls of each replica by them.
-func (l *loads) usableReports(now int64) (reports []Report, callsOf map[string]float64) {
+func (l *loads) usableReports(now moment) (reports []Report, callsOf map[string]float64) {
 	callsOf = map[string]float64{}
 	for report := range l.reports.all {
-		if report.Kind == ReportServerLoad && report.LastObserved <= now &&
-			report.LastObserved >= now-loadReportTTL && report.Calls > 0 &&
+		if report.Kind == ReportServerLoad && report.LastObserved <= int64(now) &&
+			report.LastObserved >= int64(now.add(-loadReportTTL)) && report.Calls > 0 &&
 			report.BadFraction >= 0 && report.BadFraction <= 1 && report.Value >= 0 {
 			reports = append(reports, report)
 			callsOf[report.Observer] += min(report.Calls, maxReportedCalls)
@@ -174,7 +174,7 @@
 func (f *fleetLoad) finish(unheard float64) {
 	f.meanLatency /= cmp.Or(f.callsPerSecond, 1)
 	f.failedFraction /= cmp.Or(f.calls, 1)
-	f.callsPerSecond = unheard * f.calls * float64(second) / float64(loadDecay)
+	f.callsPerSecond = unheard * f.calls * float64(seconds) / float64(loadDecay)
 }
 
 // upperMedian sorts the values and returns their median, the higher one of two.
--- a/balancer/loadreports_test.go
+++ b/balancer/loadreports_test.go
@@ -34,13 +34,13 @@
 			loadReport("c", 40, math.NaN(), 50_000), loadReport("d", 40, 0, math.NaN())}, 1,
 			fleetLoad{callsPerSecond: 30, calls: 40, meanLatency: 50_000}},
 		{"too old", 3, []Report{{Kind: ReportServerLoad, Observer: "a", Server: "s0", Calls: 40, Value: 50_000,
-			LastObserved: start - loadReportTTL - 1}}, 0, fleetLoad{}},
+			LastObserved: start - int64(loadReportTTL) - 1}}, 0, fleetLoad{}},
 		{"another process of the server", 1, []Report{{Kind: ReportServerLoad, Observer: "a", Server: "s0", Calls: 40,
 			Value: 50_000, LastObserved: start, StartTime: 2 * second}}, 1, fleetLoad{}},
 	} {
 		b, _ := newWithServers(t, testSettings(), 2)
 		b.reports.peers = PeerReports{LiveReplicas: c.live, Reports: c.reports}
-		replicas := b.loads.sumReports(start)
+		replicas := b.loads.sumReports(moment(start))
 		got := b.members.byID["s0"].load.fleet
 		near := func(x, y float64) bool { return math.Abs(x-y) <= 1e-9*max(1, math.Abs(y)) }
 		if replicas != c.replicas || !near(got.callsPerSecond, c.want.callsPerSecond) || !near(got.calls, c.want.calls) ||
@@ -61,10 +61,10 @@
 		}
 		return n
 	}
-	if n := loads(start + loadReportInterval - 1); n != 0 {
+	if n := loads(start + int64(loadReportInterval) - 1); n != 0 {
 		t.Errorf("%d load reports before a second has passed", n)
 	}
-	if n := loads(start + loadReportInterval); n != 1 {
+	if n := loads(start + int64(loadReportInterval)); n != 1 {
 		t.Errorf("%d load reports after a second", n)
 	}
 	if n := loads(start + 20*second); n != 0 {
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -26,29 +26,29 @@
 	evacuationCalls   = 4.0 // calls of all replicas that it takes to leave a zone
 	reevacuationCalls = 2.0 // and to leave it again while it recovers
 
-	evacuationConfirmation = 3 * second / 20 // µs for which a zone has to be bad, and
-	evacuatingFraction     = 0.3             // of its weight that it gets meanwhile
+	evacuationConfirmation = 150 * milliseconds // for which a zone has to be bad, and
+	evacuatingFraction     = 0.3                // of its weight that it gets meanwhile
 
 	saturationSpillover    = 0.35 // spillover from which a replica reports the local zone as saturated
 	saturatedMinSpillover  = 0.15 // spillover at least, while most replicas do
 	healthyMaxSpillover    = 0.01 // spillover at most, while all find that the local zone copes
 	isolatedStepFactor     = 4    // how much longer an isolated replica takes for a step of a recovery
 	isolatedTrialCalls     = 0.9  // answered trials that an isolated replica takes for enough
-	peerAgreementDelay     = second
+	peerAgreementDelay     = 1 * seconds
 	recoveryGoodCalls      = 3.0  // answered trials, faded, that it takes to return to a zone
 	recoveryMaxBadFraction = 0.25 // of calls to a zone that is returned to
 
-	// µs that a zone stays evacuated: at least, doubled for each time that it was left within
+	// How long a zone stays evacuated: at least, doubled for each time that it was left within
 	// evacuationMemory, and at most. Where few trials or none can be made, as of calls that can't be
 	// repeated, it is returned to after maxUntriedEvacuation all the same.
-	minEvacuation, maxEvacuation = 3 * second, 60 * second
-	evacuationMemory             = 120 * second
-	maxUntriedEvacuation         = 30 * second
+	minEvacuation, maxEvacuation = 3 * seconds, 60 * seconds
+	evacuationMemory             = 120 * seconds
+	maxUntriedEvacuation         = 30 * seconds
 
 	trialsPerSecond = 3.0 // that an evacuated zone gets from all replicas of this zone together
 
-	// A step of a recovery lasts so long, in µs, and this fraction of Settings.SlowStartDuration.
-	minRecoveryStep, recoveryStepFraction = second, 0.2
+	// A step of a recovery lasts so long and this fraction of Settings.SlowStartDuration.
+	minRecoveryStep, recoveryStepFraction = 1 * seconds, 0.2
 )
 
 // recoveryFractions are the parts of its weight that a recovering zone gets one after the other.
@@ -65,7 +65,7 @@
 
 // evaluate moves each zone to the phase where the reports of this zone's replicas put it. It reports whether
 // one was evacuated or is not any more.
-func (l *locality) evaluate(now int64, host Host) (changed bool) {
+func (l *locality) evaluate(now moment, host Host) (changed bool) {
 	l.sumReports()
 	for i := range l.zones {
 		zone := &l.zones[i]
@@ -76,14 +76,14 @@
 	return changed
 }
 
-func (l *locality) evaluateZone(now int64, host Host, zone *zone) {
+func (l *locality) evaluateZone(now moment, host Host, zone *zone) {
 	switch zone.Phase {
 	case ZoneHealthy, ZoneSaturated:
 		l.evaluateServing(now, host, zone)
 	case ZoneEvacuating:
 		if !l.isLost(zone) {
 			l.setPhase(now, host, zone, ZoneHealthy, 1)
-		} else if now-zone.ChangedAt >= evacuationConfirmation {
+		} else if now.since(moment(zone.ChangedAt)) >= evacuationConfirmation {
 			l.evacuate(now, host, zone)
 		}
 	case ZoneEvacuated:
@@ -91,7 +91,7 @@
 	case ZoneRecovering:
 		if l.isLost(zone) {
 			l.evacuate(now, host, zone)
-		} else if now-zone.ChangedAt >= l.recoveryStepDuration() &&
+		} else if now.since(moment(zone.ChangedAt)) >= l.recoveryStepDuration() &&
 			zone.reports.badFraction() <= recoveryMaxBadFraction {
 			l.recover(now, host, zone, zone.recovery.step+1)
 		}
@@ -100,8 +100,8 @@
 
 // evaluateServing leaves a zone that is lost, or that most other replicas have left, unless it answers this
 // one; and it takes the local zone for saturated while most replicas do.
-func (l *locality) evaluateServing(now int64, host Host, zone *zone) {
-	settled := now-zone.ChangedAt >= peerAgreementDelay
+func (l *locality) evaluateServing(now moment, host Host, zone *zone) {
+	settled := now.since(moment(zone.ChangedAt)) >= peerAgreementDelay
 	others := l.peerFraction(zone)
 	answers := zone.reports.calls >= evacuationCalls && zone.reports.badFraction() <= recoveryMaxBadFraction
 	saturated := zone.Zone == l.settings.Zone && 2*zone.reports.saturatedVotes > zone.reports.replicas
@@ -116,8 +116,8 @@
 
 // evaluateEvacuated returns to a zone whose trials are answered, or where there is no other, or where most
 // other replicas have returned.
-func (l *locality) evaluateEvacuated(now int64, host Host, zone *zone) {
-	age, sum := now-zone.ChangedAt, &zone.reports
+func (l *locality) evaluateEvacuated(now moment, host Host, zone *zone) {
+	age, sum := now.since(moment(zone.ChangedAt)), &zone.reports
 	tried := sum.calls-sum.bad >= recoveryGoodCalls || age >= maxUntriedEvacuation ||
 		l.reports.peers.Isolated && sum.calls >= isolatedTrialCalls
 	good := sum.badFraction() <= recoveryMaxBadFraction && tried
@@ -129,9 +129,9 @@
 	}
 }
 
-// recoveryStepDuration is how long, in µs, a step of a recovery lasts at least.
-func (l *locality) recoveryStepDuration() int64 {
-	duration := max(minRecoveryStep, int64(recoveryStepFraction*float64(l.settings.SlowStartDuration)))
+// recoveryStepDuration is how long a step of a recovery lasts at least.
+func (l *locality) recoveryStepDuration() span {
+	duration := max(minRecoveryStep, span(recoveryStepFraction*float64(l.settings.SlowStartDuration)))
 	if l.reports.peers.Isolated {
 		duration *= isolatedStepFactor
 	}
@@ -190,7 +190,7 @@
 }
 
 // follow puts a zone where most other replicas have it.
-func (l *locality) follow(now int64, host Host, zone *zone, fraction float64) {
+func (l *locality) follow(now moment, host Host, zone *zone, fraction float64) {
 	if fraction > 0 {
 		step, _ := slices.BinarySearch(recoveryFractions[:], min(fraction, 1))
 		l.recover(now, host, zone, step)
@@ -200,18 +200,18 @@
 }
 
 // evacuate leaves a zone: it gets trials only.
-func (l *locality) evacuate(now int64, host Host, zone *zone) {
-	if now-zone.evacuation.lastAt > evacuationMemory {
+func (l *locality) evacuate(now moment, host Host, zone *zone) {
+	if now.since(zone.evacuation.lastAt) > evacuationMemory {
 		zone.evacuation.count = 0
 	}
 	zone.evacuation.count, zone.evacuation.lastAt = zone.evacuation.count+1, now
 	zone.observed.longTerm = callStats{}
-	zone.evacuation.nextTrialAt = now + l.random.Int64N(l.trialInterval())
+	zone.evacuation.nextTrialAt = now.add(l.randomSpan(l.trialInterval()))
 	l.setPhase(now, host, zone, ZoneEvacuated, 0)
 }
 
 // recover takes a zone to a step of its recovery. What was learned of its servers before goes.
-func (l *locality) recover(now int64, host Host, zone *zone, step int) {
+func (l *locality) recover(now moment, host Host, zone *zone, step int) {
 	if zone.Phase != ZoneRecovering {
 		zone.observed.recent = callStats{}
 		if zone.Zone == l.settings.Zone {
@@ -230,7 +230,7 @@
 
 // drain has these zones and no others drained, in place of those before: they get nothing, not even trials.
 // One that is drained no more recovers by steps.
-func (l *locality) drain(now int64, host Host, before, drained map[int]bool) {
+func (l *locality) drain(now moment, host Host, before, drained map[int]bool) {
 	for i := range l.zones {
 		if zone := &l.zones[i]; drained[i] && !before[i] {
 			l.setPhase(now, host, zone, ZoneDrained, 0)
@@ -240,14 +240,14 @@
 	}
 }
 
-// trialInterval is the time, in µs, between this replica's trials: its part of those of all replicas.
-func (l *locality) trialInterval() int64 {
-	return int64(float64(max(l.reports.peers.LiveReplicasInZone, 1)) / trialsPerSecond * float64(second))
+// trialInterval is the time between this replica's trials: its part of those of all replicas.
+func (l *locality) trialInterval() span {
+	return span(float64(max(l.reports.peers.LiveReplicasInZone, 1)) / trialsPerSecond * float64(seconds))
 }
 
 // trial is a server of an evacuated zone whose next trial is due, nil if there is none or the request
 // couldn't be sent to another zone afterwards.
-func (l *locality) trial(now int64, request *request) *server {
+func (l *locality) trial(now moment, request *request) *server {
 	rules := request.classRules()
 	if len(request.attempts) > 0 || rules.Idempotency == NonIdempotent ||
 		rules.Idempotency == IdempotentWithKey && rules.DedupScope != DedupScopeAll {
@@ -258,7 +258,7 @@
 		if zone.Phase != ZoneEvacuated || now < zone.evacuation.nextTrialAt {
 			continue
 		}
-		zone.evacuation.nextTrialAt = now + l.trialInterval()/2 + l.random.Int64N(l.trialInterval())
+		zone.evacuation.nextTrialAt = now.add(l.trialInterval()/2 + l.randomSpan(l.trialInterval()))
 		if servers := l.members.readyIn(zone.Zone); len(servers) > 0 {
 			return servers[l.random.IntN(len(servers))]
 		}
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -441,7 +441,7 @@
 				well.Reports = append(well.Reports, Report{Kind: ReportZoneHealthy, Observer: fmt.Sprint("p", i), SubjectZone: z, Calls: 5, Value: 1, LastObserved: now})
 			}
 		}
-		for range 10 * (maxEvacuation + 8*set.SlowStartDuration) / second {
+		for range 10 * (int64(maxEvacuation) + 8*set.SlowStartDuration) / second {
 			hear(well)
 		}
 		for _, z := range two[0].ZoneStates(now) {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -22,14 +22,14 @@
 	attributionRatio         = 2.0  // a failure is a server's own if it fails this many times as often as all
 	maxAttributableErrorRate = 0.75 // of all servers: where more fails, it is nobody's own
 
-	recentDecay          = 2 * second / 5 // µs: recent calls fade with this time constant
-	maxServerCalls       = 5.0            // recent calls of a server count as no more than these
-	serverReportTTL      = 5 * second     // µs: a server is reported for so long after its latest call
-	unhealthyBadFraction = 0.5            // of its recent calls: the server is unhealthy
+	recentDecay          = 400 * milliseconds // recent calls fade with this time constant
+	maxServerCalls       = 5.0                // recent calls of a server count as no more than these
+	serverReportTTL      = 5 * seconds        // a server is reported for so long after its latest call
+	unhealthyBadFraction = 0.5                // of its recent calls: the server is unhealthy
 
-	// An attempt that has been in flight for so many mean latencies, and for so long in µs, counts as
+	// An attempt that has been in flight for so many mean latencies, and for so long, counts as
 	// failed. Its timeout may come seconds later.
-	silentAfterMeans, minSilentAfter = 3.0, second / 10
+	silentAfterMeans, minSilentAfter = 3.0, 100 * milliseconds
 
 	minUnhealthyVotes  = 2         // replicas that have to report a server as unhealthy
 	minBadCalls        = 3.0       // that they have to have seen together
@@ -69,7 +69,7 @@
 	unhealthy, healthy int     // replicas that call it so
 	unhealthyByPeers   int     // those of unhealthy that are other replicas
 	badCalls           float64 // that they have seen
-	lastUnhealthyAt    int64   // µs, when one last saw it unhealthy
+	lastUnhealthyAt    moment  // when one last saw it unhealthy
 }
 
 // outlierState is what outlier detection knows of a server.
@@ -77,7 +77,7 @@
 	overall           health
 	byClass           []health // by class number
 	recent            callStats
-	lastSuccessAt     int64         // µs, when this replica last had an answer; 0: never
+	lastSuccessAt     moment        // when this replica last had an answer; 0: never
 	peerFactor        float64       // 0 to 1: what the reports of others leave of its weight
 	reports           serverReports // of all replicas now
 	connectionRefused bool          // since the last success
@@ -128,14 +128,14 @@
 
 // healthReport completes a report with what this replica finds of a server. ok is false if it has nothing to
 // report: the server is healthy and no other replica calls it unhealthy.
-func (o *outlierState) healthReport(now int64, report *Report) (ok bool) {
+func (o *outlierState) healthReport(now moment, report *Report) (ok bool) {
 	if o.isUnhealthy() {
 		report.Kind, report.Fault = ReportServerUnhealthy, o.recent.fault
-		report.LastObserved = o.recent.lastBadAt
+		report.LastObserved = int64(o.recent.lastBadAt)
 		return true
 	}
-	report.Kind, report.Fault, report.LastObserved = ReportServerHealthy, NoFault, o.lastSuccessAt
-	return o.reports.unhealthyByPeers > 0 && now-o.lastSuccessAt <= serverReportTTL
+	report.Kind, report.Fault, report.LastObserved = ReportServerHealthy, NoFault, int64(o.lastSuccessAt)
+	return o.reports.unhealthyByPeers > 0 && now.since(o.lastSuccessAt) <= serverReportTTL
 }
 
 // attemptOutlier is what outlier detection keeps of an attempt.
@@ -190,7 +190,7 @@
 
 // recordCall takes the end of an attempt, or that there was none for too long, as evidence to report. One
 // that was counted as unresponsive before its end counts once.
-func (o *outlierState) recordCall(now int64, attempt *attempt, fault Fault) {
+func (o *outlierState) recordCall(now moment, attempt *attempt, fault Fault) {
 	if fault == NoFault {
 		o.lastSuccessAt = now
 	}
@@ -202,15 +202,15 @@
 }
 
 // isSilent reports whether an attempt has been in flight for far longer than calls of its class take.
-func (d *outlierDetection) isSilent(now int64, class int, attempt *attempt) bool {
-	longest := max(minSilentAfter, int64(silentAfterMeans*d.classes[class].latency.mean))
+func (d *outlierDetection) isSilent(now moment, class int, attempt *attempt) bool {
+	longest := max(minSilentAfter, span(silentAfterMeans*d.classes[class].latency.mean))
 	return attempt.pending && attempt.admission.counted && !attempt.responseStarted &&
-		!attempt.outlier.reportedSilent && now-attempt.sentAt > longest
+		!attempt.outlier.reportedSilent && now.since(attempt.sentAt) > longest
 }
 
 // sumReports sums up the reports of all replicas on each server. That a server doesn't respond may be due to
 // the way to it: of such reports only those of this zone count.
-func (d *outlierDetection) sumReports(now int64) {
+func (d *outlierDetection) sumReports(now moment) {
 	for _, server := range d.members.all {
 		server.outlier.reports = serverReports{}
 	}
@@ -229,13 +229,13 @@
 		sum.unhealthy++
 		sum.unhealthyByPeers += int(indicator(report.Observer != ""))
 		sum.badCalls += bounded(report.Calls, maxCallsPerReport) * bounded(report.BadFraction, 1)
-		sum.lastUnhealthyAt = max(sum.lastUnhealthyAt, min(report.LastObserved, now))
+		sum.lastUnhealthyAt = max(sum.lastUnhealthyAt, min(moment(report.LastObserved), now))
 	}
 }
 
 // reportedUnhealthy returns the ready servers that enough replicas call unhealthy, the worst first, and takes
 // back all ejections. What this replica was answered since counts more than the reports.
-func (d *outlierDetection) reportedUnhealthy(now int64) (unhealthy []*server) {
+func (d *outlierDetection) reportedUnhealthy(now moment) (unhealthy []*server) {
 	d.sumReports(now)
 	votes := min(minUnhealthyVotes, d.reports.peers.LiveReplicas-1)
 	for _, server := range d.members.ready {
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -160,7 +160,7 @@
 		{"silent to another zone", says(3, ReportServerUnhealthy, FaultUnresponsive, 1), nil, 1},
 		{"silent to this zone", says(3, ReportServerUnhealthy, FaultUnresponsive, 0), nil, minHealthScore},
 		{"it has answered since", says(3, ReportServerUnhealthy, FaultErrors, 0), func(b *Balancer, h Host) {
-			b.recordEvidence(start+1, &attempt{server: b.members.byID["s1"]}, NoFault)
+			b.recordEvidence(moment(start+1), &attempt{server: b.members.byID["s1"]}, NoFault)
 		}, 1},
 		{"it has restarted since", says(3, ReportServerUnhealthy, FaultErrors, 0), func(b *Balancer, h Host) {
 			b.UpdateEndpoints(start, h, UpdateDelta, []Server{{ID: "s1", State: ServerReady, CapacityHint: 1, StartTime: start - 1}})
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -29,7 +29,7 @@
 	burstDeviations = 2.0  // standard deviations above the mean of a Poisson count that are taken for chance
 	minWindowCalls  = 24.0 // a tenant's window grows until the quota allows this many calls in it
 
-	throttlingLogInterval = 10 * second
+	throttlingLogInterval = 10 * seconds
 )
 
 // tenantQuota is what one tenant has sent.
@@ -42,13 +42,14 @@
 // to 1 and burstChance is the probability that a count above the rate is taken for chance. The window grows
 // for a small rate, so that fractions work, but not beyond the time since the first request: that would
 // admit a long window's worth at once.
-func (t *tenantQuota) admits(now, firstRequestAt int64, rate, burstChance, chance float64) bool {
-	span := second
-	for span < maxWindow && rate*float64(span/second) < minWindowCalls && now-firstRequestAt >= span {
-		span *= 2
+func (t *tenantQuota) admits(now, firstRequestAt moment, rate, burstChance, chance float64) bool {
+	length := 1 * seconds
+	for length < maxWindow && rate*float64(length/seconds) < minWindowCalls &&
+		now.since(firstRequestAt) >= length {
+		length *= 2
 	}
-	admitted := t.admitted.count(now, span)
-	quota := rate * float64(min(span, max(second, now-firstRequestAt))) / float64(second)
+	admitted := t.admitted.count(now, length)
+	quota := rate * float64(min(length, max(seconds, now.since(firstRequestAt)))) / float64(seconds)
 	return admitted+1 <= quota+chance ||
 		chance < burstChance && admitted <= quota+burstDeviations*math.Sqrt(quota)
 }
@@ -62,7 +63,7 @@
 	maxMultiple      float64
 	overloadMultiple float64 // after a bad round, at most
 	feedback         feedbackRound
-	loggedAt         int64 // µs, when throttling was last logged; 0: never
+	loggedAt         moment // when throttling was last logged; 0: never
 }
 
 func newQuotas(common *shared) *quotas {
@@ -75,9 +76,9 @@
 	return q
 }
 
-// configure takes what follows from the settings in force; roundDuration, in µs, is that of a feedback
+// configure takes what follows from the settings in force; roundDuration is that of a feedback
 // round. All replicas are taken to get equal parts; one that carries more learns a higher multiple.
-func (q *quotas) configure(roundDuration int64) {
+func (q *quotas) configure(roundDuration span) {
 	q.fairRate = 0
 	for _, tenant := range q.settings.Tenants {
 		q.fairRate += tenant.Quota / float64(q.settings.Replicas)
@@ -110,21 +111,21 @@
 }
 
 // recordRequest counts a request that its tenant has sent.
-func (q *quotas) recordRequest(now int64, request *request) {
+func (q *quotas) recordRequest(now moment, request *request) {
 	if i := q.tenantOf(request); i >= 0 {
 		q.tenants[i].requests.add(now)
 	}
 }
 
 // recordAdmitted counts a request that was sent.
-func (q *quotas) recordAdmitted(now int64, request *request) {
+func (q *quotas) recordAdmitted(now moment, request *request) {
 	if i := q.tenantOf(request); i >= 0 {
 		q.tenants[i].admitted.add(now)
 	}
 }
 
 // admits reports whether a request is within its tenant's quota; one without a tenant always is.
-func (q *quotas) admits(now int64, request *request) bool {
+func (q *quotas) admits(now moment, request *request) bool {
 	i := q.tenantOf(request)
 	if i < 0 {
 		return true
@@ -138,8 +139,8 @@
 // with few calls have it by itself. It is less while calls are slow, and 0 for a tenant that clearly sends
 // more than its share of the quotas and, while nothing is slow, of what this replica gets: traffic may have
 // moved here.
-func (q *quotas) burstChance(now int64, tenant int) float64 {
-	expected := q.fairRate * float64(min(now-q.arrivals.firstAt, arrivalDecay)) / float64(second)
+func (q *quotas) burstChance(now moment, tenant int) float64 {
+	expected := q.fairRate * float64(min(now.since(q.arrivals.firstAt), arrivalDecay)) / float64(seconds)
 	if q.multiple >= 1 {
 		expected = max(expected, q.arrivals.recent.at(now))
 	}
@@ -151,7 +152,7 @@
 }
 
 // learn takes a call, slow or not, and adjusts the multiple when its feedback round ends.
-func (q *quotas) learn(now, sentAt int64, slow bool) {
+func (q *quotas) learn(now, sentAt moment, slow bool) {
 	switch factor := q.feedback.record(now, sentAt, slow); {
 	case factor == 1 && q.multiple < 1:
 		q.multiple = min(1, q.multiple+quotaIncreaseBelowShare)
@@ -164,8 +165,8 @@
 
 // logThrottling logs event, at most once in throttlingLogInterval, while traffic within the shares is
 // rejected back.
-func (q *quotas) logThrottling(now int64, host Host, event TenantsThrottled) {
-	if q.multiple >= 1 || now-q.loggedAt < throttlingLogInterval && q.loggedAt != 0 {
+func (q *quotas) logThrottling(now moment, host Host, event TenantsThrottled) {
+	if q.multiple >= 1 || now.since(q.loggedAt) < throttlingLogInterval && q.loggedAt != 0 {
 		return
 	}
 	q.loggedAt = now
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -13,8 +13,8 @@
 		passed := 0
 		const secs = 40
 		for now := start; now < start+secs*second; now += second / 100 {
-			if r.admits(now, start, count, 0, 0.5) {
-				r.admitted.add(now)
+			if r.admits(moment(now), moment(start), count, 0, 0.5) {
+				r.admitted.add(moment(now))
 				passed++
 			}
 		}
@@ -29,8 +29,8 @@
 	var r tenantQuota
 	passed := 0
 	for now := start; now < start+second; now += second / 100 {
-		if r.admits(now, start, 3, 0, 0.5) {
-			r.admitted.add(now)
+		if r.admits(moment(now), moment(start), 3, 0, 0.5) {
+			r.admitted.add(moment(now))
 			passed++
 		}
 	}
@@ -46,8 +46,8 @@
 	for range 200 {
 		var r tenantQuota
 		for now := start; now < start+8*second; now += second {
-			if r.admits(now, start-100*second, 0.01, 0, rnd.Float64()) {
-				r.admitted.add(now)
+			if r.admits(moment(now), moment(start-100*second), 0.01, 0, rnd.Float64()) {
+				r.admitted.add(moment(now))
 				passed++
 			}
 		}
@@ -145,13 +145,13 @@
 
 func TestThrottlingIsLoggedRarely(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 2)
-	b.logThrottling(start, h)
+	b.logThrottling(moment(start), h)
 	if len(h.lines) != 0 {
 		t.Fatalf("a calm replica reports %q", h.lines)
 	}
 	b.quotas.multiple = 0.5
 	for i := range int64(25) {
-		b.logThrottling(start+i*second, h)
+		b.logThrottling(moment(start+i*second), h)
 	}
 	if len(h.lines) != 3 {
 		t.Errorf("%d lines in 25 s, want one each 10 s", len(h.lines))
@@ -176,7 +176,7 @@
 			t.Fatalf("share still %v", b.quotas.multiple)
 		}
 		now := start + 2*second + int64(i)
-		b.applyBackpressure(now, 0, &attempt{sentAt: now}, true, true)
+		b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now)}, true, true)
 	}
 	if b.quotas.multiple < minQuotaMultiple || b.quotas.multiple >= 1 {
 		t.Errorf("a bad round leaves a share of %v", b.quotas.multiple)
@@ -191,7 +191,7 @@
 	b.quotas.multiple = overloadQuotaMultiple
 	for i := range 12 * feedbackRoundCalls {
 		now := start + int64(i)
-		b.applyBackpressure(now, 0, &attempt{sentAt: now}, false, false)
+		b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now)}, false, false)
 	}
 	if b.quotas.multiple != maxQuotaMultiple {
 		t.Errorf("share %v after a dozen good rounds", b.quotas.multiple)
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -123,7 +123,7 @@
 	}
 	b.HandleRequest(start, h, Request{ID: "2", Tenant: 1, Deadline: start + 1_000_000, Settings: first}) // b
 	b.HandleRequest(start, h, Request{ID: "3", Tenant: 0, Deadline: start + 1_000_000, Settings: first}) // a, which is no more
-	if n := b.quotas.tenants[0].admitted.count(start, second); n != 2 || len(h.sends) != 3 {
+	if n := b.quotas.tenants[0].admitted.count(moment(start), span(second)); n != 2 || len(h.sends) != 3 {
 		t.Errorf("%v passed for b, %d sent", n, len(h.sends))
 	}
 	if b.quotas.fairRate != 30 {
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -12,7 +12,7 @@
 	// fault is in this replica's own link.
 	ownLinkMinServers, ownLinkBadFraction = 3, 0.6
 
-	startTimeTolerance = second // µs: start times of one process by different clocks differ by less
+	startTimeTolerance = 1 * seconds // start times of one process by different clocks differ by less
 )
 
 // reportExchange holds what this replica and the others reported last.
@@ -44,10 +44,10 @@
 // sameProcess reports whether a report is of the process that the list names. Its start is by another's
 // clock.
 func sameProcess(server *server, report Report) bool {
-	return sameStartTime(server.StartTime, report.StartTime)
+	return sameStartTime(moment(server.StartTime), moment(report.StartTime))
 }
 
-func sameStartTime(x, y int64) bool { return max(x-y, y-x) < startTimeTolerance }
+func sameStartTime(x, y moment) bool { return max(x.since(y), y.since(x)) < startTimeTolerance }
 
 // bounded keeps a number that others report between 0 and most; what is no number is 0.
 func bounded(x, most float64) float64 {
@@ -65,7 +65,8 @@
 }
 
 // Reports returns what this replica reports to the others now. What is not in it any more is withdrawn.
-func (b *Balancer) Reports(now int64) []Report {
+func (b *Balancer) Reports(at int64) []Report {
+	now := moment(at)
 	b.trackZones()
 	b.recordSilentAttempts(now)
 	reports, samples := b.serverReports(now)
@@ -81,7 +82,7 @@
 
 // serverReports returns the reports on the health of the servers that this replica called lately, and a
 // sample of each zone.
-func (b *Balancer) serverReports(now int64) (reports []Report, samples map[int]zoneSample) {
+func (b *Balancer) serverReports(now moment) (reports []Report, samples map[int]zoneSample) {
 	samples = map[int]zoneSample{}
 	for _, server := range b.members.all {
 		recent := &server.outlier.recent
@@ -107,7 +108,7 @@
 
 // ownLinkFails reports whether what this replica sees is more likely a fault of its own link: most servers
 // over several zones are unhealthy, and no zone answers.
-func (b *Balancer) ownLinkFails(now int64, samples map[int]zoneSample) bool {
+func (b *Balancer) ownLinkFails(now moment, samples map[int]zoneSample) bool {
 	if b.locality.someZoneAnswers(now) {
 		return false
 	}
@@ -121,7 +122,7 @@
 }
 
 // recordSilentAttempts counts attempts that have been in flight for too long as failed before their end.
-func (b *Balancer) recordSilentAttempts(now int64) {
+func (b *Balancer) recordSilentAttempts(now moment) {
 	for _, request := range b.requests {
 		for _, attempt := range request.attempts {
 			if b.outliers.isSilent(now, request.Class, attempt) {
@@ -133,7 +134,8 @@
 }
 
 // HandlePeerReports takes what the other replicas report now; it replaces what they reported before.
-func (b *Balancer) HandlePeerReports(now int64, host Host, peers PeerReports) {
+func (b *Balancer) HandlePeerReports(at int64, host Host, peers PeerReports) {
+	now := moment(at)
 	b.trackZones()
 	b.reports.receive(peers)
 	b.removeUnhealthy(now)
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -57,9 +57,9 @@
 		for _, s := range b.members.all {
 			for range 3 {
 				if slices.Contains(c.well, s.Zone) {
-					b.recordEvidence(start, &attempt{server: s, zone: s.Zone}, NoFault)
+					b.recordEvidence(moment(start), &attempt{server: s, zone: s.Zone}, NoFault)
 				} else if slices.Contains(c.bad, s.Zone) {
-					b.recordEvidence(start, &attempt{server: s, zone: s.Zone}, FaultUnresponsive)
+					b.recordEvidence(moment(start), &attempt{server: s, zone: s.Zone}, FaultUnresponsive)
 				}
 			}
 		}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -14,9 +14,9 @@
 
 // The retry budget where the settings state none.
 const (
-	defaultBudgetWindow = 10 * second // µs
-	defaultBudgetMin    = 5.0         // retries in any window
-	defaultBudgetRatio  = 0.1         // and so many for each request received in it
+	defaultBudgetWindow = 10 * seconds
+	defaultBudgetMin    = 5.0 // retries in any window
+	defaultBudgetRatio  = 0.1 // and so many for each request received in it
 )
 
 const (
@@ -30,8 +30,8 @@
 	requests eventTimes // received within the budget window
 	retries  eventTimes // attempts beyond each request's first, within the budget window
 
-	// RetryBudgetMin counts from then on, in µs: another process of this proxy may have used it before.
-	minAvailableFrom int64
+	// RetryBudgetMin counts from then on: another process of this proxy may have used it before.
+	minAvailableFrom moment
 }
 
 func newRetryPolicy(common *shared) *retryPolicy { return &retryPolicy{shared: common} }
@@ -39,44 +39,44 @@
 // withDefaultBudget completes settings that state no retry budget.
 func withDefaultBudget(settings *Settings) {
 	if settings.RetryBudgetWindow == 0 {
-		settings.RetryBudgetWindow = defaultBudgetWindow
+		settings.RetryBudgetWindow = int64(defaultBudgetWindow)
 		settings.RetryBudgetMin, settings.RetryBudgetRatio = defaultBudgetMin, defaultBudgetRatio
 	}
 }
 
-// deadline is the time, in µs, from which an answer is worth nothing: the client's deadline or, at the front
+// deadline is the time from which an answer is worth nothing: the client's deadline or, at the front
 // tier, the latency objective of a class whose late answers have no weight.
-func (p *retryPolicy) deadline(request *request) int64 {
+func (p *retryPolicy) deadline(request *request) moment {
 	switch rules := request.classRules(); {
 	case request.BodyPending:
 		return math.MaxInt64 / 2
 	case p.settings.Tier == 0 && rules.LateWeight == 0:
-		return min(request.Deadline, request.receivedAt+rules.LatencyObjective)
+		return min(moment(request.Deadline), request.receivedAt.add(span(rules.LatencyObjective)))
 	}
-	return request.Deadline
+	return moment(request.Deadline)
 }
 
 // latestStart is the time from now, in µs, by which a request has to be sent to be answered by its deadline.
-func (p *retryPolicy) latestStart(now int64, request *request) float64 {
-	return float64(p.deadline(request)-now) - minRemainingMeans*p.classes[request.Class].latency.mean
+func (p *retryPolicy) latestStart(now moment, request *request) float64 {
+	return float64(p.deadline(request).since(now)) - minRemainingMeans*p.classes[request.Class].latency.mean
 }
 
 // canMeetDeadline reports whether a request that is sent now can still be answered by its deadline.
-func (p *retryPolicy) canMeetDeadline(now int64, request *request) bool {
-	return float64(p.deadline(request)-now) > minRemainingMeans*p.classes[request.Class].latency.mean
+func (p *retryPolicy) canMeetDeadline(now moment, request *request) bool {
+	return float64(p.deadline(request).since(now)) > minRemainingMeans*p.classes[request.Class].latency.mean
 }
 
-// attemptTimeout is the time, in µs, after which an attempt that is sent now is given up: at the deadline,
+// attemptTimeout is the time after which an attempt that is sent now is given up: at the deadline,
 // and before that where a retry may follow, so that a server that hangs frees its slot. 0 while the body is
 // pending.
-func (p *retryPolicy) attemptTimeout(now int64, request *request) int64 {
+func (p *retryPolicy) attemptTimeout(now moment, request *request) span {
 	if request.BodyPending {
 		return 0
 	}
-	left := p.deadline(request) - now
+	left := p.deadline(request).since(now)
 	rules := request.classRules()
 	if rules.Idempotency != NonIdempotent && len(request.attempts) < request.Settings.MaxAttempts {
-		left = min(left, int64(attemptTimeoutMeans*p.classes[request.Class].latency.mean))
+		left = min(left, span(attemptTimeoutMeans*p.classes[request.Class].latency.mean))
 	}
 	return max(left, 1)
 }
@@ -84,20 +84,21 @@
 // neverAgain is the send window of a server that must not get the request.
 const neverAgain = -1
 
-// sendWindow is the time, in µs, within which a request's last byte has to reach the server; 0: no limit.
+// sendWindow is the time within which a request's last byte has to reach the server; 0: no limit.
 // Once an attempt may have been executed, a non-idempotent request may go nowhere (neverAgain), and one
 // with an idempotency key only to servers that share the key's memory, while these remember it.
-func (p *retryPolicy) sendWindow(now int64, request *request, server *server) (left int64) {
+func (p *retryPolicy) sendWindow(now moment, request *request, server *server) (left span) {
 	rules := request.classRules()
+	window := span(rules.DedupWindow)
 	for _, attempt := range request.attempts {
 		if !attempt.mayHaveExecuted || rules.Idempotency == Idempotent {
 			continue
 		}
-		if rules.Idempotency == NonIdempotent || now-attempt.sentAt >= rules.DedupWindow ||
+		if rules.Idempotency == NonIdempotent || now.since(attempt.sentAt) >= window ||
 			!sharesDedup(rules.DedupScope, attempt, server) {
 			return neverAgain
 		}
-		left = cmp.Or(left, attempt.sentAt+rules.DedupWindow-now) // the first attempt's window ends first
+		left = cmp.Or(left, attempt.sentAt.add(window).since(now)) // the first attempt's window ends first
 	}
 	return left
 }
@@ -133,16 +134,19 @@
 	return true
 }
 
+// window is the span in which the budget counts.
+func (p *retryPolicy) window() span { return span(p.settings.RetryBudgetWindow) }
+
 // recordRequest counts a request for the budget.
-func (p *retryPolicy) recordRequest(now int64) { p.requests.add(now, p.settings.RetryBudgetWindow) }
+func (p *retryPolicy) recordRequest(now moment) { p.requests.add(now, p.window()) }
 
 // recordRetry counts a retry for the budget.
-func (p *retryPolicy) recordRetry(now int64) { p.retries.add(now, p.settings.RetryBudgetWindow) }
+func (p *retryPolicy) recordRetry(now moment) { p.retries.add(now, p.window()) }
 
 // budgetAllows reports whether one more retry is within the budget. The window ends now: a retry at its far
 // edge counts, a request received there doesn't.
-func (p *retryPolicy) budgetAllows(now int64) bool {
-	from, least := now-p.settings.RetryBudgetWindow, p.settings.RetryBudgetMin
+func (p *retryPolicy) budgetAllows(now moment) bool {
+	from, least := now.add(-p.window()), p.settings.RetryBudgetMin
 	if now < p.minAvailableFrom {
 		least = 0
 	}
@@ -150,21 +154,21 @@
 	return p.retries.countSince(from)+1 <= allowed
 }
 
-// windowClear is the time, in µs, from which no budget window holds a retry made until now, here or
+// windowClear is the time from which no budget window holds a retry made until now, here or
 // elsewhere.
-func (p *retryPolicy) windowClear(now int64) int64 { return now + p.settings.RetryBudgetWindow }
+func (p *retryPolicy) windowClear(now moment) moment { return now.add(p.window()) }
 
 // extendWindow handles a longer budget window: retries before the former one are
 // forgotten, so that the minimum counts again only when the new window holds none of them.
-func (p *retryPolicy) extendWindow(now int64) {
+func (p *retryPolicy) extendWindow(now moment) {
 	p.minAvailableFrom = max(p.minAvailableFrom, p.windowClear(now))
 }
 
 // export hands the budget over: what was used of it and its minimum are the successor's. What further
 // requests earn stays here, so that the two together keep to the budget in every window.
-func (p *retryPolicy) export(now int64) RetryBudgetUsage {
-	p.requests.countSince(now - p.settings.RetryBudgetWindow)
-	p.retries.countSince(now - p.settings.RetryBudgetWindow)
+func (p *retryPolicy) export(now moment) RetryBudgetUsage {
+	p.requests.countSince(now.add(-p.window()))
+	p.retries.countSince(now.add(-p.window()))
 	usage := RetryBudgetUsage{Requests: p.requests, Retries: p.retries}
 	p.requests, p.retries, p.minAvailableFrom = nil, nil, math.MaxInt64
 	return usage
@@ -177,7 +181,7 @@
 
 // reclaim takes the minimum back from a successor that has ended, once no window holds what that may have
 // used.
-func (p *retryPolicy) reclaim(now int64) {
+func (p *retryPolicy) reclaim(now moment) {
 	if p.minAvailableFrom == math.MaxInt64 {
 		p.minAvailableFrom = p.windowClear(now)
 	}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -97,7 +97,7 @@
 		sendRequest(b, h, now, id, 0)
 		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
-	if most := int(defaultBudgetWindow/second) + 1; len(b.retries.requests) > most {
+	if most := int(defaultBudgetWindow/seconds) + 1; len(b.retries.requests) > most {
 		t.Errorf("%d times of requests are kept, %d are needed", len(b.retries.requests), most)
 	}
 }
@@ -123,7 +123,7 @@
 			}
 			b.HandleOutcome(now, h, Outcome{RequestID: id, Attempt: k, Status: status, Latency: 1000, RequestDone: status == StatusOK})
 		}
-		if n, m := further.countSince(now-5*second), taken.countSince(now-5*second+1); n > 3+0.05*m {
+		if n, m := further.countSince(moment(now-5*second)), taken.countSince(moment(now-5*second+1)); n > 3+0.05*m {
 			t.Fatalf("at %d: %v further attempts where %v requests were taken", now-start, n, m)
 		}
 	}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -42,18 +42,18 @@
 }
 
 // recordSend counts an attempt.
-func (s *selection) recordSend(now int64) { s.sent.add(now) }
+func (s *selection) recordSend(now moment) { s.sent.add(now) }
 
 // subsetSize is how many warm and healthy servers this replica's calls are spread over. With more, each
 // server would hold a connection of every replica, and each replica would see too few calls of a server to
 // judge it.
-func (s *selection) subsetSize(now int64) float64 {
-	rate := s.sent.count(now, maxWindow) / float64(maxWindow/second)
+func (s *selection) subsetSize(now moment) float64 {
+	rate := s.sent.count(now, maxWindow) / float64(maxWindow/seconds)
 	return max(minSubset, subsetPerRootRate*math.Sqrt(rate))
 }
 
 // choose draws the server of a request's next attempt, nil if there is none to send it to.
-func (s *selection) choose(now int64, request *request) *server {
+func (s *selection) choose(now moment, request *request) *server {
 	s.slowStart.recordDraw(now)
 	if server := s.resumed(now, request); server != nil {
 		return server
@@ -74,7 +74,7 @@
 
 // resumed is a server that an operator has resumed and that may get the request, wherever it is: whoever
 // resumed it wants to see it serve.
-func (s *selection) resumed(now int64, request *request) *server {
+func (s *selection) resumed(now moment, request *request) *server {
 	for _, server := range s.members.ready {
 		if server.probePending && s.retries.sendWindow(now, request, server) != neverAgain &&
 			s.slowStart.admitsProbe(now, server, len(s.members.ready)) {
@@ -88,7 +88,7 @@
 // draw is one draw in progress.
 type draw struct {
 	*selection
-	now     int64
+	now     moment
 	request *request
 	stale   bool // the list alone shows nothing
 
@@ -196,7 +196,7 @@
 
 // weight is a server's weight for a class: its baseWeight, times factors for its health, slowness, age,
 // tuning and the recovery of its zone, over a power of the attempts that it holds.
-func (s *selection) weight(now int64, server *server, class int, baseWeight float64) float64 {
+func (s *selection) weight(now moment, server *server, class int, baseWeight float64) float64 {
 	slowness, health := server.latency.slowness, max(minHealthScore, server.healthScore(class))
 	weight := health / (slowness * slowness) * s.slowStart.factor(now, server)
 	weight *= baseWeight * server.tuning.factor / math.Pow(float64(1+server.inFlight), inFlightExponent)
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -80,7 +80,7 @@
 	}
 	drawn := 0
 	for range 1000 {
-		if b.selection.choose(start, &request{Request: Request{Settings: b.settings}}).ID == "s0" {
+		if b.selection.choose(moment(start), &request{Request: Request{Settings: b.settings}}).ID == "s0" {
 			drawn++
 		}
 	}
@@ -102,7 +102,7 @@
 	drawn := map[Idempotency]int{}
 	for class, c := range set.Classes {
 		for range 4000 {
-			if b.selection.choose(start, &request{Request: Request{Settings: b.settings, Class: class}}).ID == "s0" {
+			if b.selection.choose(moment(start), &request{Request: Request{Settings: b.settings, Class: class}}).ID == "s0" {
 				drawn[c.Idempotency]++
 			}
 		}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -18,9 +18,9 @@
 // many.
 
 const (
-	warmupMargin   = 0.6         // of its least capacity: what a warming server's weight is kept to
-	overloadMargin = 0.65        // of what overloads it: what all replicas may send to a warming server
-	arrivalDecay   = 30 * second // time constant by which a replica learns its usual rate of requests
+	warmupMargin   = 0.6          // of its least capacity: what a warming server's weight is kept to
+	overloadMargin = 0.65         // of what overloads it: what all replicas may send to a warming server
+	arrivalDecay   = 30 * seconds // time constant by which a replica learns its usual rate of requests
 )
 
 // slowStart holds the draws, which show the present rate.
@@ -36,13 +36,13 @@
 func (s *slowStart) setOtherProcess(sends bool) { s.otherProcess = sends }
 
 // recordDraw counts a draw.
-func (s *slowStart) recordDraw(now int64) { s.draws.add(now) }
+func (s *slowStart) recordDraw(now moment) { s.draws.add(now) }
 
 // capacity is the least fraction of its warm capacity that a server of its age has; 1 for a warm one.
-func (s *slowStart) capacity(now int64, server *server) float64 {
+func (s *slowStart) capacity(now moment, server *server) float64 {
 	started := cmp.Or(server.LocalStartTime, server.StartTime)
-	age := now - started
-	if started == 0 || age >= s.settings.SlowStartDuration {
+	age := now.since(moment(started))
+	if started == 0 || age >= span(s.settings.SlowStartDuration) {
 		return 1
 	}
 	least := s.settings.SlowStartMinCapacity
@@ -50,7 +50,7 @@
 }
 
 // factor is the factor of a server's weight, 0 to 1, by its age; 1 for a warm one.
-func (s *slowStart) factor(now int64, server *server) float64 {
+func (s *slowStart) factor(now moment, server *server) float64 {
 	capacity := s.capacity(now, server)
 	if capacity == 1 {
 		return 1
@@ -68,12 +68,12 @@
 
 // arrivalRates returns the requests that usually come to this replica in Settings.OverloadWindow, and the
 // draws it has made in the one that ends now. A new replica takes what comes for usual.
-func (s *slowStart) arrivalRates(now int64) (usual, present float64) {
-	span := min(s.settings.OverloadWindow, maxWindow)
-	age := float64(max(now-s.arrivals.firstAt, span))
+func (s *slowStart) arrivalRates(now moment) (usual, present float64) {
+	length := min(span(s.settings.OverloadWindow), maxWindow)
+	age := float64(max(now.since(s.arrivals.firstAt), length))
 	learned := -math.Expm1(-age / float64(arrivalDecay)) // of what the decaying count comes to hold
-	usual = s.arrivals.recent.at(now) * float64(span) / (float64(arrivalDecay) * learned)
-	return usual, max(1, s.draws.count(now, span))
+	usual = s.arrivals.recent.at(now) * float64(length) / (float64(arrivalDecay) * learned)
+	return usual, max(1, s.draws.count(now, length))
 }
 
 // limitWarming caps the weight of each warming candidate so that all replicas together send it no more than
@@ -81,7 +81,7 @@
 // doesn't raise the cap. The excess goes to the warm candidates that are healthy, or least ill, as far as
 // their health allows; the rest is returned as the weight of draws that have to find no server. total is
 // the sum of weights, spread the number of servers that the replica's calls are taken to be spread over.
-func (s *slowStart) limitWarming(now int64, candidates []candidate, total, spread float64) (shed float64) {
+func (s *slowStart) limitWarming(now moment, candidates []candidate, total, spread float64) (shed float64) {
 	reach, healthiest := 0.0, 0.0
 	for i := range candidates {
 		c := &candidates[i]
@@ -114,7 +114,7 @@
 
 // admitsProbe reports whether a server that an operator has resumed may get a call now. Where ready servers
 // are so many that its part of this replica's usual calls is below one, that part is the chance of a call.
-func (s *slowStart) admitsProbe(now int64, server *server, ready int) bool {
+func (s *slowStart) admitsProbe(now moment, server *server, ready int) bool {
 	usual, present := s.arrivalRates(now)
 	capacity := s.capacity(now, server)
 	part := usual * overloadMargin * s.settings.OverloadMultiple * capacity / float64(ready)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -42,8 +42,8 @@
 			for i := range n {
 				now := start + int64(i) // grown hardly changes meanwhile
 				q := &request{Request: Request{Settings: b.settings, ID: fmt.Sprint(i), Class: 2}}
-				b.register(now, q)
-				if s := b.selection.choose(now, q); s != nil {
+				b.register(moment(now), q)
+				if s := b.selection.choose(moment(now), q); s != nil {
 					got[s.ID] += 1.0 / n
 				} else {
 					got["none"] += 1.0 / n
@@ -77,8 +77,8 @@
 		for end := now + span; now < end; now += gap {
 			n++
 			q := &request{Request: Request{Settings: b.settings, ID: fmt.Sprint(n), Class: 2}}
-			b.register(now, q)
-			if s := b.selection.choose(now, q); s != nil && s.StartTime > 0 {
+			b.register(moment(now), q)
+			if s := b.selection.choose(moment(now), q); s != nil && s.StartTime > 0 {
 				cold++
 			}
 		}
@@ -89,9 +89,9 @@
 		list[i].StartTime = now
 	}
 	b.UpdateEndpoints(now, h, UpdateSnapshot, list)
-	play(2*second, 2_000)                                                                               // 500 a second
-	got := play(2*second, 2_000)                                                                        // by now the usual is up by two thirds
-	most := 100 * overloadMargin * set.OverloadMultiple * b.slowStart.capacity(now, b.members.ready[0]) // of the usual, by all four
+	play(2*second, 2_000)                                                                                       // 500 a second
+	got := play(2*second, 2_000)                                                                                // by now the usual is up by two thirds
+	most := 100 * overloadMargin * set.OverloadMultiple * b.slowStart.capacity(moment(now), b.members.ready[0]) // of the usual, by all four
 	if got > 2.5*most {
 		t.Errorf("cold servers got %v calls in a span, %v of the usual", got, most)
 	}
@@ -119,7 +119,7 @@
 	if part > s.SlowStartMinCapacity || part == 0 {
 		t.Errorf("a cold server got %.3f of a warm one's calls, capacity is %.3f", part, s.SlowStartMinCapacity)
 	}
-	if w := b.slowStart.factor(start+s.SlowStartDuration, b.members.byID["s1"]); w != 1 {
+	if w := b.slowStart.factor(moment(start+s.SlowStartDuration), b.members.byID["s1"]); w != 1 {
 		t.Errorf("a server past its warming time has warmth %v", w)
 	}
 }
@@ -160,8 +160,8 @@
 			for i := range n {
 				now := start + int64(i) // grown hardly changes meanwhile
 				q := &request{Request: Request{Settings: b.settings, ID: fmt.Sprint(i), Class: 2}}
-				b.register(now, q)
-				switch b.selection.choose(now, q) {
+				b.register(moment(now), q)
+				switch b.selection.choose(moment(now), q) {
 				case ill:
 					got++
 				case nil:
@@ -194,7 +194,7 @@
 		{"warm, the list's clock ahead", now + 3600*second, now - cold, 1, 1},
 	} {
 		s := &server{Server: Server{StartTime: c.launched, LocalStartTime: c.started}}
-		if got := rule.capacity(now, s); got < c.least || got > c.most {
+		if got := rule.capacity(moment(now), s); got < c.least || got > c.most {
 			t.Errorf("%s: %v of its capacity, want %v to %v", c.name, got, c.least, c.most)
 		}
 	}
--- a/balancer/spillover.go
+++ b/balancer/spillover.go
@@ -26,14 +26,14 @@
 	return &spillover{weight: startSpillover}
 }
 
-// configure takes the duration of a feedback round, in µs.
-func (s *spillover) configure(roundDuration int64) {
+// configure takes the duration of a feedback round.
+func (s *spillover) configure(roundDuration span) {
 	s.feedback.maxBadFraction, s.feedback.maxDuration = maxSlowFraction, roundDuration
 }
 
 // learn takes a call to the local zone, slow or failed or neither, and adjusts the weight when its round
 // ends.
-func (s *spillover) learn(now, sentAt int64, bad bool) {
+func (s *spillover) learn(now, sentAt moment, bad bool) {
 	if factor := s.feedback.record(now, sentAt, bad); factor == 1 {
 		s.weight = max(minSpillover, s.weight*spilloverDecay)
 	} else if factor > 0 {
--- a/balancer/spillover_test.go
+++ b/balancer/spillover_test.go
@@ -9,7 +9,7 @@
 	feed := func(n int, bad bool) {
 		for range n {
 			now++
-			b.applyBackpressure(now, 0, &attempt{sentAt: now, zone: b.settings.Zone}, bad, bad)
+			b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now), zone: b.settings.Zone}, bad, bad)
 		}
 	}
 	feed(60*feedbackRoundCalls, false)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -12,14 +12,17 @@
 	arrivals arrivals
 }
 
+// randomSpan draws a span from 0 to below limit.
+func (s *shared) randomSpan(limit span) span { return span(s.random.Int64N(int64(limit))) }
+
 // arrivals counts the requests that this replica has received.
 type arrivals struct {
-	firstAt int64         // when the first one came, in µs; 0: none yet
+	firstAt moment        // when the first one came; 0: none yet
 	recent  decayingCount // fades over arrivalDecay
 }
 
 // record counts one request.
-func (a *arrivals) record(now int64) {
+func (a *arrivals) record(now moment) {
 	if a.firstAt == 0 {
 		a.firstAt = now
 	}
@@ -61,7 +64,7 @@
 // request is an open request.
 type request struct {
 	Request              // Request.Settings, never nil, hold for it to its end
-	receivedAt int64     // µs; once a body was pending, when it had been received
+	receivedAt moment    // once a body was pending, when it had been received
 	queue      *keyQueue // ordering: nil if it has no place in a queue
 	attempts   []*attempt
 	pending    int  // attempts without an outcome
@@ -84,11 +87,11 @@
 // attempt is one Send of a request.
 type attempt struct {
 	server          *server
-	sentAt          int64 // µs; once a body was pending, when it had been received
-	zone, cell      int   // the server's at the time of sending
-	pending         bool  // without an outcome
-	responseStarted bool  // its response is being streamed: the rest takes the client's time
-	mayHaveExecuted bool  // retry: pending, or ended without proof that the server never ran it
+	sentAt          moment // once a body was pending, when it had been received
+	zone, cell      int    // the server's at the time of sending
+	pending         bool   // without an outcome
+	responseStarted bool   // its response is being streamed: the rest takes the client's time
+	mayHaveExecuted bool   // retry: pending, or ended without proof that the server never ran it
 	admission       attemptAdmission
 	outlier         attemptOutlier
 }
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -27,4 +27,4 @@
 func (b *Balancer) EjectedServers() (ids []string) { return b.outliers.ejected() }
 
 // DampedServers returns the servers that get their steady, small weight now, the longest damped first.
-func (b *Balancer) DampedServers(now int64) []DampedServer { return b.damping.damped(now) }
+func (b *Balancer) DampedServers(now int64) []DampedServer { return b.damping.damped(moment(now)) }
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -7,29 +7,29 @@
 const (
 	watchTimer = "watch" // token of the timer that ends a backoff; the host returns it unchanged
 
-	// µs: the backoff doubles with each failure, up to the greater bound or this part of
+	// The backoff doubles with each failure, up to the greater bound or this part of
 	// Settings.PollInterval.
-	minWatchBackoff, maxWatchBackoff = second / 4, second
+	minWatchBackoff, maxWatchBackoff = 250 * milliseconds, 1 * seconds
 	pollIntervalDivisor              = 8
 )
 
 // subscription is the state of this replica's watch.
 type subscription struct {
 	*shared
-	backoff   int64 // µs, before the next attempt
-	requested bool  // a watch is open or being opened
+	backoff   span // before the next attempt
+	requested bool // a watch is open or being opened
 }
 
 func newSubscription(common *shared) *subscription {
 	return &subscription{shared: common, backoff: minWatchBackoff}
 }
 
-// failed takes a failure and returns the backoff in µs, spread evenly over as much again, as many replicas
+// failed takes a failure and returns the backoff, spread evenly over as much again, as many replicas
 // keep the source of the list busy. ok is false if the next watch waits already.
-func (s *subscription) failed() (backoff int64, ok bool) {
+func (s *subscription) failed() (backoff span, ok bool) {
 	if ok = s.requested; ok {
-		backoff = s.backoff + s.random.Int64N(s.backoff)
-		longest := min(maxWatchBackoff, s.settings.PollInterval/pollIntervalDivisor)
+		backoff = s.backoff + s.randomSpan(s.backoff)
+		longest := min(maxWatchBackoff, span(s.settings.PollInterval)/pollIntervalDivisor)
 		s.backoff = max(minWatchBackoff, min(2*s.backoff, longest))
 	}
 	s.requested = false
--- a/balancer/weighttuning.go
+++ b/balancer/weighttuning.go
@@ -13,8 +13,8 @@
 // server that is warming up, unhealthy, damped or hardly called isn't tuned, and each zone keeps its share.
 
 const (
-	// µs: a round lasts this long, and up to half of it more, as replicas shouldn't step together.
-	tuningInterval = 3 * second
+	// A round lasts this long, and up to half of it more, as replicas shouldn't step together.
+	tuningInterval = 3 * seconds
 
 	minTunedCalls        = 8.0 // lately seen calls of all replicas from which on a server is tuned
 	loadChanceDeviations = 1.0 // standard deviations of these calls by which a load may be off by chance
@@ -49,7 +49,7 @@
 	reports   *reportExchange
 	locality  *locality
 
-	nextAt       int64                // µs, when the next round is due
+	nextAt       moment               // when the next round is due
 	step         float64              // of the logarithm that a round moves at most
 	tail         tailweights.TailNorm // of this round's latencies, as multiples of their class's unloaded one
 	tailCalls    float64
@@ -64,11 +64,11 @@
 }
 
 // adjust is one round, if it is due.
-func (t *weightTuning) adjust(now int64) {
+func (t *weightTuning) adjust(now moment) {
 	if now < t.nextAt {
 		return
 	}
-	t.nextAt = now + tuningInterval + t.random.Int64N(tuningInterval/2)
+	t.nextAt = now.add(tuningInterval + t.randomSpan(tuningInterval/2))
 	worse := t.tailIsWorse()
 	t.step = min(max(1.25*t.step, maxTuningStep/4), maxTuningStep)
 	informed := t.loads.sumReports(now) > 1 && !t.reports.peers.Isolated && !t.settings.DisableWeightTuning
@@ -100,7 +100,7 @@
 
 // advance takes a step, by zone. A server that can't be tuned, or all where nothing is known, goes back to
 // its own weight.
-func (t *weightTuning) advance(now int64, informed bool) {
+func (t *weightTuning) advance(now moment, informed bool) {
 	groups := map[int][]*server{}
 	for _, server := range t.members.ready {
 		state := &server.tuning
@@ -119,7 +119,7 @@
 }
 
 // canTune reports whether a server is warm, healthy and called enough.
-func (t *weightTuning) canTune(now int64, server *server) bool {
+func (t *weightTuning) canTune(now moment, server *server) bool {
 	healthy := !server.damping.active && server.outlier.overallScore() >= healthyScore
 	load := &server.load.fleet
 	return healthy && t.slowStart.factor(now, server) == 1 &&
--- a/balancer/weighttuning_test.go
+++ b/balancer/weighttuning_test.go
@@ -219,7 +219,7 @@
 		if c.set != nil {
 			c.set(b, s)
 		}
-		b.tuning.adjust(start + 5*second)
+		b.tuning.adjust(moment(start + 5*second))
 		if !c.want(c.from, s.tuning.logFactor) {
 			t.Errorf("%s: from %g to %g", c.name, c.from, s.tuning.logFactor)
 		}
--- a/balancer/zonestate.go
+++ b/balancer/zonestate.go
@@ -6,12 +6,12 @@
 // replicas of its zone report.
 
 const (
-	longTermDecay = 2 * second // µs: time constant by which trials of an evacuated zone fade
+	longTermDecay = 2 * seconds // time constant by which trials of an evacuated zone fade
 
-	zoneStatsTTL  = second     // µs after its latest call a zone is reported on,
-	trialStatsTTL = 4 * second // µs and for so long after the latest trial of an evacuated one
+	zoneStatsTTL  = 1 * seconds // after its latest call a zone is reported on,
+	trialStatsTTL = 4 * seconds // and for so long after the latest trial of an evacuated one
 
-	zoneLogInterval = second // µs between log events of short phases of a zone, at least
+	zoneLogInterval = 1 * seconds // between log events of short phases of a zone, at least
 )
 
 // zone is the state of one zone, the local one too, as this replica sees it.
@@ -21,7 +21,7 @@
 	evacuation zoneEvacuation
 	recovery   zoneRecovery
 	reports    zoneReports
-	loggedAt   int64 // µs, when its last log event was; 0: none yet
+	loggedAt   moment // when its last log event was; 0: none yet
 }
 
 // zoneObservation is what this replica's own calls show of a zone.
@@ -29,9 +29,9 @@
 
 // zoneEvacuation is how often a zone was left, and its trials.
 type zoneEvacuation struct {
-	count       int   // within evacuationMemory of each other
-	lastAt      int64 // µs
-	nextTrialAt int64 // µs
+	count       int // within evacuationMemory of each other
+	lastAt      moment
+	nextTrialAt moment
 }
 
 // zoneRecovery is how far the recovery of a zone has come.
@@ -80,7 +80,7 @@
 }
 
 // recordCall takes the end of an attempt, or that it got no response, as evidence on its zone.
-func (l *locality) recordCall(now int64, attempt *attempt, fault Fault) {
+func (l *locality) recordCall(now moment, attempt *attempt, fault Fault) {
 	zone := l.zone(attempt.zone)
 	if zone == nil {
 		return
@@ -97,7 +97,7 @@
 
 // recentStats is what this replica's latest calls show of a zone; ok is false if there were none lately.
 // For an evacuated zone they are its trials.
-func (z *zone) recentStats(now int64) (stats callStats, ok bool) {
+func (z *zone) recentStats(now moment) (stats callStats, ok bool) {
 	stats, ttl := z.observed.recent, zoneStatsTTL
 	if z.Phase == ZoneEvacuated {
 		stats, ttl = z.observed.longTerm, trialStatsTTL
@@ -105,8 +105,8 @@
 	return stats, stats.seenWithin(now, ttl)
 }
 
-// sampleTTL is the time, in µs, for which a server of a zone counts as called very lately.
-func (l *locality) sampleTTL(number int) int64 {
+// sampleTTL is the time for which a server of a zone counts as called very lately.
+func (l *locality) sampleTTL(number int) span {
 	if zone := l.zone(number); zone != nil && zone.Phase == ZoneEvacuated {
 		return trialStatsTTL
 	}
@@ -114,7 +114,7 @@
 }
 
 // someZoneAnswers reports whether this replica's latest calls to some zone were mostly answered.
-func (l *locality) someZoneAnswers(now int64) bool {
+func (l *locality) someZoneAnswers(now moment) bool {
 	for i := range l.zones {
 		if stats, ok := l.zones[i].recentStats(now); ok && stats.badFraction() < zoneUnhealthyFraction {
 			return true
@@ -130,7 +130,7 @@
 
 // zoneReports returns the reports on the zones that this replica has called lately or that have changed
 // before.
-func (l *locality) zoneReports(now int64, samples map[int]zoneSample) (reports []Report) {
+func (l *locality) zoneReports(now moment, samples map[int]zoneSample) (reports []Report) {
 	for i := range l.zones {
 		if report, ok := l.report(now, &l.zones[i], samples[i]); ok || l.zones[i].Transitions > 0 {
 			reports = append(reports, report)
@@ -142,12 +142,13 @@
 // report is what this replica reports of a zone, and whether it has evidence. A zone is unhealthy if most
 // calls to it are bad, at half of its servers. One that is being evacuated is reported with its whole
 // weight: it isn't left yet.
-func (l *locality) report(now int64, zone *zone, sample zoneSample) (report Report, ok bool) {
+func (l *locality) report(now moment, zone *zone, sample zoneSample) (report Report, ok bool) {
 	stats, ok := zone.recentStats(now)
-	report = Report{ObserverZone: l.settings.Zone, SubjectZone: zone.Zone, LastObserved: now,
+	report = Report{ObserverZone: l.settings.Zone, SubjectZone: zone.Zone, LastObserved: int64(now),
 		Kind: ReportZoneHealthy, Value: max(zone.WeightFraction, indicator(zone.Phase == ZoneEvacuating))}
 	if ok {
-		report.Calls, report.BadFraction, report.LastObserved = stats.calls, stats.badFraction(), stats.lastAt
+		report.Calls, report.BadFraction = stats.calls, stats.badFraction()
+		report.LastObserved = int64(stats.lastAt)
 	}
 	if ok && stats.badFraction() >= zoneUnhealthyFraction &&
 		sample.recentUnhealthy > 0 && 2*sample.recentUnhealthy >= sample.recent {
@@ -214,15 +215,16 @@
 
 // setPhase puts a zone in a phase with a weight fraction and logs a change: of phases that last a second or
 // more each one, of the others at most one in zoneLogInterval.
-func (l *locality) setPhase(now int64, host Host, zone *zone, phase ZonePhase, fraction float64) {
+func (l *locality) setPhase(now moment, host Host, zone *zone, phase ZonePhase, fraction float64) {
 	before := zone.Phase
-	zone.Phase, zone.WeightFraction, zone.ChangedAt, zone.Fault = phase, fraction, now, zone.reports.fault
+	zone.Phase, zone.WeightFraction = phase, fraction
+	zone.ChangedAt, zone.Fault = int64(now), zone.reports.fault
 	if before == phase {
 		return
 	}
 	zone.Transitions++
 	short := before < ZoneEvacuated && phase < ZoneEvacuated
-	if short && now-zone.loggedAt < zoneLogInterval && zone.loggedAt != 0 || phase == ZoneEvacuating {
+	if short && now.since(zone.loggedAt) < zoneLogInterval && zone.loggedAt != 0 || phase == ZoneEvacuating {
 		return
 	}
 	zone.loggedAt = now
--- a/balancer/zonestate_test.go
+++ b/balancer/zonestate_test.go
@@ -31,12 +31,12 @@
 		b.spillover.weight = c.spillover
 		server := b.members.byID["s2"] // of zone 1
 		for range c.good {
-			b.recordEvidence(start, &attempt{server: server, zone: 1}, NoFault)
+			b.recordEvidence(moment(start), &attempt{server: server, zone: 1}, NoFault)
 		}
 		for range c.bad {
-			b.recordEvidence(start, &attempt{server: server, zone: 1}, FaultUnresponsive)
+			b.recordEvidence(moment(start), &attempt{server: server, zone: 1}, FaultUnresponsive)
 		}
-		report, ok := b.locality.report(start, &b.locality.zones[c.zone], c.sample)
+		report, ok := b.locality.report(moment(start), &b.locality.zones[c.zone], c.sample)
 		if report.Kind != c.kind || report.Fault != c.fault || ok != c.evidence || report.SubjectZone != c.zone {
 			t.Errorf("%s: %+v, evidence %v", c.name, report, ok)
 		}
@@ -59,7 +59,7 @@
 	b, _ := newWithServers(t, testSettings(), 4)
 	b.trackZones()
 	server := b.members.byID["s2"]
-	b.recordEvidence(start, &attempt{server: server, zone: 1}, FaultSaturated)
+	b.recordEvidence(moment(start), &attempt{server: server, zone: 1}, FaultSaturated)
 	if own := b.locality.zones[1].observed.recent; own.calls != 1 || own.bad != 0 {
 		t.Errorf("of the zone: %+v", own)
 	}
