--- a/internal/faultlab/hollow/calibrate_test.go
+++ b/internal/faultlab/hollow/calibrate_test.go
@@ -26,7 +26,7 @@
 	return ports
 }
 
-// What a process's proxies have passed so far, and its members of the fleet.
+// reading returns what a process's proxies have passed so far, and the metrics of its cluster members.
 func reading(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Spent, fleet []*hollow.ClusterMetrics) {
 	links.Traffic(func(e link.Ends, t link.Traffic) {
 		if e.From == from {
@@ -51,7 +51,7 @@
 	}
 	for _, test := range []struct {
 		name string
-		held map[string]bool // one that follows no list has nothing to gossip about: not judged
+		held map[string]bool // without a list there is nothing to gossip: not checked
 	}{
 		{"sound", map[string]bool{"calls": true, "in": true, "gossip_in": true}},
 		{"watch", map[string]bool{"calls": false, "in": false}},
@@ -96,7 +96,7 @@
 			c := &result.Control{Phases: []result.PhaseReading{{Before: read()}}}
 			nodo := hollow.StartSeeded(t, hollow.TestConfig(own, 0, nodos), hollow.Sound)
 			hollow.Eventually(t, "the nodos", func() bool { return nodo.Waits() == "" })
-			// So long the members of a fleet have spoken to each other, whoever does.
+			// By then the members have exchanged entries.
 			hollow.Eventually(t, "gossip", func() bool {
 				for i, x := range real.Metrics(false).Proxies {
 					if x.Cluster.BytesIn-c.Phases[0].Before.RealGossip[i].BytesIn < 10000 {
--- a/internal/faultlab/hollow/configs_test.go
+++ b/internal/faultlab/hollow/configs_test.go
@@ -37,7 +37,7 @@
 			p.ResetMetrics()
 			start := time.Now()
 			settings := strings.NewReplacer(`"my_zone":0,"ordinal":0,`, "", `"try_limit":3`, `"try_limit":3,"dial_timeout_us":1,"idle_close_us":1`).
-				Replace(hollow.TestTold)
+				Replace(hollow.TestSettings)
 			req, err := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/config/s1?from=0", list), strings.NewReader(`{"settings":`+settings+`}`))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/faultlab/hollow/export_test.go
+++ b/internal/faultlab/hollow/export_test.go
@@ -6,10 +6,10 @@
 var (
 	Sound, SkipsWatch, SkipsFleet, SkipsApply = noFault, skipsWatch, skipsGossip, skipsApply
 
-	TestService = service
-	TestConfig  = config
-	TestTold    = told
-	Eventually  = eventually
+	TestService  = service
+	TestConfig   = config
+	TestSettings = testSettings
+	Eventually   = waitFor
 )
 
 // StartSeeded runs a process with a fault until the test ends.
@@ -18,5 +18,5 @@
 	return p
 }
 
-// Waits says what a process still lacks.
+// Waits returns what a process still lacks.
 func (p *Process) Waits() string { return p.notReadyReason() }
--- a/internal/faultlab/hollow/hollow_test.go
+++ b/internal/faultlab/hollow/hollow_test.go
@@ -41,11 +41,11 @@
 			t.Error(err)
 		}
 	})
-	eventually(t, "a leader", m.Serving)
+	waitFor(t, "a leader", m.Serving)
 	return a.Addr(), m, a
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -54,17 +54,17 @@
 	}
 }
 
-const told = `{"contract":{"start_capacity":0.3,"cold_us":1000000},"failure_domains":["a-a"],"my_zone":0,"ordinal":0,"siblings":3,
+const testSettings = `{"contract":{"start_capacity":0.3,"cold_us":1000000},"failure_domains":["a-a"],"my_zone":0,"ordinal":0,"siblings":3,
 "profiles":[{"name":"c","objective_us":500000,"give_up_us":1000000,"worth":1,"repeat":"idempotent"}],"tiers":["lab"],
 "limits":{"try_limit":3},"membership_mode":"automatic","counted_by":"request","weights":"off"}`
 
-// config is a process of so many proxies and nodos.
-func config(list string, proxies, nodos int) Config {
-	c := Config{Name: "h", Settings: []byte(told), CallRate: 50, FailedFraction: 0.1, LeaseMs: 1000}
+// config returns a process of some proxies and servers.
+func config(list string, proxies, servers int) Config {
+	c := Config{Name: "h", Settings: []byte(testSettings), CallRate: 50, FailedFraction: 0.1, LeaseMs: 1000}
 	for i := range proxies {
 		c.Proxies = append(c.Proxies, Proxy{Name: fmt.Sprintf("hp%d", i), Zone: "a-a", ReplicaIndex: i, Seed: uint64(i), RegistryMembers: []string{list}})
 	}
-	for i := range nodos {
+	for i := range servers {
 		c.Servers = append(c.Servers, Server{Name: fmt.Sprintf("hs%d", i), Zone: "a-a", Address: "127.0.0.1:9", RegistryMembers: []string{list}})
 	}
 	return c
@@ -85,11 +85,11 @@
 	return p, done
 }
 
-// What nodos do comes to all proxies, under versions that tell how late.
+// Changes of servers reach all proxies, with versions by which their latency is known.
 func TestProxiesReceiveChanges(t *testing.T) {
 	list, m, _ := service(t)
 	p, _ := start(t, config(list, 3, 4), noFault)
-	eventually(t, "all", func() bool { return p.notReadyReason() == "" })
+	waitFor(t, "all", func() bool { return p.notReadyReason() == "" })
 	p.ResetMetrics()
 	if err := p.Execute(Command{Action: "replace", Targets: []CommandTarget{{Name: "hs0"}, {Name: "hs1", DelayMs: 100}}}); err != nil {
 		t.Fatal(err)
@@ -98,10 +98,10 @@
 		t.Fatal(err)
 	}
 	// Two drain, go and are back; one dies, its lease ends, and it is back.
-	eventually(t, "the changes", func() bool { return len(p.Metrics(true).Servers.Changes) >= 7 })
+	waitFor(t, "the changes", func() bool { return len(p.Metrics(true).Servers.Changes) >= 7 })
 	_, index := m.Version()
 	var f Metrics
-	eventually(t, "all to know", func() bool {
+	waitFor(t, "all to know", func() bool {
 		f = p.Metrics(true)
 		for _, x := range f.Proxies {
 			if n := len(x.List.Versions); n == 0 || x.List.Versions[n-1].Version < index {
@@ -111,7 +111,7 @@
 		return true
 	})
 	if f.Servers.Alive != 4 || !f.Ready {
-		t.Errorf("%d nodos live, ready %v (%s); want 4 and true", f.Servers.Alive, f.Ready, f.NotReadyReason)
+		t.Errorf("%d servers alive, ready %v (%s); want 4 and true", f.Servers.Alive, f.Ready, f.NotReadyReason)
 	}
 	for _, c := range f.Servers.Changes {
 		if c.Version <= 0 || c.ConfirmedAt < c.RequestedAt {
@@ -123,7 +123,7 @@
 			t.Errorf("%s knows %d servers, want 4", x.Name, x.List.Servers)
 		}
 		if len(x.List.Removed) != 1 || x.List.Removed[0].Name != "hs2" || x.List.Removed[0].At < f.Servers.Deaths[0].At {
-			t.Errorf("%s lost %v without a word, want hs2 after %v", x.Name, x.List.Removed, f.Servers.Deaths)
+			t.Errorf("%s lost %v without draining, want hs2 after %v", x.Name, x.List.Removed, f.Servers.Deaths)
 		}
 		if x.Calls.Taken == 0 || x.Calls.Sent < x.Calls.Taken/2 {
 			t.Errorf("%s: %+v: the module had nothing to decide", x.Name, x.Calls)
@@ -168,7 +168,7 @@
 	}
 }
 
-// Relays pass the gossip on, and lose the part that they are told to, until its time is over.
+// Relays pass gossip, and drop a fraction for the duration of the command.
 func TestRelaysLoseDatagrams(t *testing.T) {
 	list, _, _ := service(t)
 	c := config(list, 2, 2)
@@ -181,7 +181,7 @@
 		c.Proxies[i].Seeds = []string{c.Proxies[0].Advertise}
 	}
 	p, _ := start(t, c, noFault)
-	eventually(t, "both", func() bool { return p.notReadyReason() == "" })
+	waitFor(t, "both", func() bool { return p.notReadyReason() == "" })
 	passed := func() (on, lost int) {
 		for _, r := range p.memberRelays {
 			x := r.Passed()
@@ -189,7 +189,7 @@
 		}
 		return on, lost
 	}
-	eventually(t, "gossip", func() bool { on, _ := passed(); return on > 5 })
+	waitFor(t, "gossip", func() bool { on, _ := passed(); return on > 5 })
 	if _, lost := passed(); lost != 0 {
 		t.Fatalf("%d lost before anything is", lost)
 	}
@@ -197,11 +197,11 @@
 		t.Fatal(err)
 	}
 	before, _ := passed()
-	eventually(t, "losses", func() bool { _, lost := passed(); return lost > 3 })
+	waitFor(t, "losses", func() bool { _, lost := passed(); return lost > 3 })
 	if on, lost := passed(); on > before+2 { // what came in the instant of the order
 		t.Errorf("%d passed while all is lost, %d lost", on-before, lost)
 	}
-	eventually(t, "the end", func() bool { on, _ := passed(); return on > before+10 })
+	waitFor(t, "the end", func() bool { on, _ := passed(); return on > before+10 })
 }
 
 func free(t *testing.T, ip string) string {
--- a/internal/faultlab/hollow/rollout_test.go
+++ b/internal/faultlab/hollow/rollout_test.go
@@ -19,12 +19,12 @@
 		c.Proxies[i].Service = "s"
 	}
 	p, _ := start(t, c, noFault)
-	eventually(t, "all", func() bool { return p.notReadyReason() == "" })
+	waitFor(t, "all", func() bool { return p.notReadyReason() == "" })
 	p.ResetMetrics()
 	put := func(after int64, class string, zone string) int64 {
 		t.Helper()
 		body := strings.NewReplacer(`"my_zone":0,"ordinal":0,`, "", `"name":"c"`, fmt.Sprintf(`"name":%q`, class), `"a-a"`, fmt.Sprintf("%q", zone),
-			`"try_limit":3`, `"try_limit":3,"dial_timeout_us":1,"idle_close_us":1`).Replace(told)
+			`"try_limit":3`, `"try_limit":3,"dial_timeout_us":1,"idle_close_us":1`).Replace(testSettings)
 		req, err := http.NewRequest(http.MethodPut, fmt.Sprintf("http://%s/config/s?from=%d", list, after), strings.NewReader(`{"settings":`+body+`}`))
 		if err != nil {
 			t.Fatal(err)
@@ -43,7 +43,7 @@
 	}
 	holds := func(what string, is func(*ConfigMetrics) bool) {
 		t.Helper()
-		eventually(t, what, func() bool {
+		waitFor(t, what, func() bool {
 			for _, x := range p.Metrics(true).Proxies {
 				if !is(x.Config) {
 					return false
@@ -65,7 +65,7 @@
 	third := put(second, "f", "a-a")
 	holds("the third", func(f *ConfigMetrics) bool { return f.RejectedVersion == 0 && last(f) == third && len(f.Versions) == 2 })
 	before := p.Metrics(false).Proxies[0].Calls.Sent
-	eventually(t, "calls to go on", func() bool { return p.Metrics(false).Proxies[0].Calls.Sent > before })
+	waitFor(t, "calls to go on", func() bool { return p.Metrics(false).Proxies[0].Calls.Sent > before })
 	if p.ResetMetrics(); len(p.Metrics(true).Proxies[0].Config.Versions) != 1 {
 		t.Error("steps from before the figures began")
 	}
--- a/internal/faultlab/model/gossip_run_test.go
+++ b/internal/faultlab/model/gossip_run_test.go
@@ -16,15 +16,15 @@
 )
 
 var (
-	memberSizes = flag.String("model.members", "", "print the gossip of fleets of these sizes, as 10,30,100")
+	memberSizes = flag.String("model.members", "", "print the gossip of clusters of these sizes, as 10,30,100")
 	memberLoss  = flag.String("model.loss", "0,0.1,0.3", "with these parts of the datagrams lost")
-	memberSpan  = flag.Int("model.span", 60, "seconds of each fleet")
-	memberSeed  = flag.Uint64("model.seed", 1, "of each fleet")
-	memberTells = flag.String("model.tells", "all,1,0", "summaries that each member tells: of all nodos that it calls, or so many")
+	memberSpan  = flag.Int("model.span", 60, "seconds of each run")
+	memberSeed  = flag.Uint64("model.seed", 1, "of each run")
+	memberTells = flag.String("model.tells", "all,1,0", "load reports of each member: of all servers that it calls, or a number")
 )
 
-// called is how many nodos of its own zone, a third of twice as many as members, one calls within the 5 s that a summary
-// lives, at 20 calls a second: what a run with Balancers tells, which send home first.
+// serversCalled returns how many servers of its own zone (a third of twice as many as members) a member calls within the
+// TTL of a load report, 5 s, at 20 calls a second, as in a run with balancers, which prefer the home zone.
 func serversCalled(members int) int {
 	nodos := 2 * float64(members) / 3
 	return int(math.Round(nodos * (1 - math.Exp(-100/nodos))))
@@ -82,7 +82,7 @@
 			kinds = append(kinds, fmt.Sprintf("%s %.0f %% (%d B)", state.Kind(k), 100*float64(r.EntryBytes[k])/float64(all), r.EntryBytes[k]/n))
 		}
 	}
-	return fmt.Sprintf("%d members, %d summaries, %.0f %% lost | verdicts %s | summaries %s | %.1f KB/s datagrams, %.1f exchanges | "+
+	return fmt.Sprintf("%d members, %d load reports, %.0f %% lost | health reports %s | load reports %s | %.1f KB/s datagrams, %.1f exchanges | "+
 		"knows %d entries of %d members | over %d, dropped %d | %s", c.Size, c.LoadReports, 100*c.Loss, of(r.HealthAges), of(r.LoadAges),
 		each(r.Bytes), each(r.ExchangeBytes), r.EntriesHeld.At(0.5), r.MembersKnown.At(0.5), r.DroppedAtLimit, r.Dropped, strings.Join(kinds, ", "))
 }
--- a/internal/faultlab/model/model_test.go
+++ b/internal/faultlab/model/model_test.go
@@ -10,7 +10,7 @@
 
 var schedules = flag.Int("model.schedules", 24, "schedules of faults to play")
 
-// scheduled is a small fleet with the schedule of faults of a seed.
+// scheduled returns a small cluster with the schedule of faults of a seed.
 func scheduled(seed uint64) Config {
 	c := Default()
 	c.Seed = seed
--- a/internal/faultlab/model/seeded_test.go
+++ b/internal/faultlab/model/seeded_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each check catches a fault that is put in for it, and says nothing of its rule without.
+// Each check detects a fault that is injected for it, and reports no violation of its rule without.
 func TestChecksCatchSeededFaults(t *testing.T) {
 	all := func(n, step int) (who []int) {
 		for i := 0; i < n; i += step {
@@ -21,29 +21,29 @@
 		faults []Fault
 	}{
 		{"a queue holds one more", seedOverfull, ruleServerCapacity, 3, nil},
-		{"a refusal is given twice", seedTwoAnswers, ruleRequest, 2, nil},
-		{"a reset counts as never begun", seedResend, ruleRequest, 0.7,
+		{"a rejection is answered twice", seedTwoAnswers, ruleRequest, 2, nil},
+		{"a reset counts as not executed", seedResend, ruleRequest, 0.7,
 			[]Fault{{Kind: ServerKilled, At: 5 * sec, Duration: sec, Targets: all(18, 3)}}},
-		{"a start is listed as long ago", seedStartHidden, ruleSlowStart, 0.8,
+		{"a start is hidden from the list", seedStartHidden, ruleSlowStart, 0.8,
 			[]Fault{{Kind: ServerKilled, At: 2 * sec, Duration: 4 * sec, Targets: all(18, 9)}}},
-		{"entries are used after their end", seedAfterExpiry, ruleExpiry, 0.6,
+		{"expired entries are used", seedAfterExpiry, ruleExpiry, 0.6,
 			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 5 * sec, Targets: []int{3}, Value: 1}}},
-		{"what waited for a stopped proxy counts as new", seedStalled, ruleExpiry, 0.6, []Fault{
+		{"gossip from before a pause counts as new", seedStalled, ruleExpiry, 0.6, []Fault{
 			{Kind: ServerErrors, At: 4 * sec, Duration: 10 * sec, Targets: []int{3, 4}, Value: 1},
 			{Kind: ProxyPaused, At: 5 * sec, Duration: 12 * sec, Targets: []int{1, 5}}}},
-		{"a former start's verdict counts for the present one", seedPreviousStart, ruleExpiry, 0.6, []Fault{
+		{"a report on a previous start counts for the present one", seedPreviousStart, ruleExpiry, 0.6, []Fault{
 			{Kind: ServerErrors, At: 4 * sec, Duration: 4 * sec, Targets: []int{3}, Value: 1},
 			{Kind: ServerKilled, At: 7 * sec, Duration: 200 * ms, Targets: []int{3}}}},
-		{"a proxy takes nothing that it is told", seedDeaf, ruleAgreement, 0.6,
+		{"a proxy ignores all entries", seedDeaf, ruleAgreement, 0.6,
 			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 12 * sec, Targets: []int{0, 1, 2, 3, 4, 5}, Value: 1}}},
 		{"the budget is a tenth", seedNoBudget, ruleEjectionBudget, 0.6,
 			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 8 * sec, Targets: []int{3, 9, 15}, Value: 1}}},
-		{"all zones are left", seedAllEvacuated, ruleSomeZone, 0.6, nil},
+		{"all zones are evacuated", seedAllEvacuated, ruleSomeZone, 0.6, nil},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
 			c := Default()
-			if k.rule == ruleSlowStart { // what calls that are out already hold back is enough for other nodos
+			if k.rule == ruleSlowStart { // for other servers the calls in flight limit the load already
 				c.Proxies, c.SlowStartMinCapacity, c.OverloadMultiple, c.Duration = 40, 0.05, 1, 11*sec
 			}
 			c.Rate, c.Faults = k.load*c.Capacity(), k.faults
--- a/internal/faultlab/model/table_test.go
+++ b/internal/faultlab/model/table_test.go
@@ -16,7 +16,7 @@
 	tableSeeds = flag.Int("model.seeds", 7, "seeds of each row")
 )
 
-// spread is the median of some figures and their range.
+// spreadOf formats the median of some figures and their range.
 func spreadOf(x []float64, format string) string {
 	slices.Sort(x)
 	return fmt.Sprintf(format+" ("+format+"-"+format+")", x[len(x)/2], x[0], x[len(x)-1])
@@ -24,14 +24,14 @@
 
 func seconds(x int64) float64 { return float64(x) / float64(sec) }
 
-// TestOffAndOn prints each case without peers and with them, on the same seeds.
+// TestWithAndWithoutPeers prints each case without and with a cluster, on the same seeds.
 func TestWithAndWithoutPeers(t *testing.T) {
 	if !*table {
 		t.Skip("-model.table")
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer out.Flush()
-	fmt.Fprintln(out, "case\tpeers\tworth in time, 10 s\tto the end\tfailed, unanswered %\tresent %\tacross %\tavoided after s\twasted\ttipped\tbroken\tfirst to last to leave s p50 p99 max (n)")
+	fmt.Fprintln(out, "case\tcluster\tweight in time, 10 s\tto the end\tfailed, unanswered %\tretried %\tcross-zone %\tavoided after s\twasted\toverloads\tviolations\tfirst to last evacuation s p50 p99 max (n)")
 	for _, k := range Cases() {
 		for _, peers := range []bool{false, true} {
 			figures := make([][9]float64, *tableSeeds)
@@ -74,7 +74,7 @@
 
 var tableSizes = []int{10, 30, 100, 300}
 
-// staleness is a fleet of which a nodo fails for a while.
+// staleness returns a cluster of which one server fails for a while.
 func staleness(proxies int, loss float64, chatter int, span int64) Config {
 	c := Default()
 	c.Proxies, c.Servers, c.Rate, c.Duration = proxies, 2*proxies, 20*float64(proxies), span
@@ -83,13 +83,13 @@
 	return c
 }
 
-// TestStaleness prints how old what proxies know of each other is, and how long a telling takes to each of them, with
-// verdicts alone and with summaries of two nodos of each proxy beside.
+// TestStaleness prints the ages of entries and their propagation times, with health reports alone and with load reports of
+// two servers of each proxy.
 func TestStaleness(t *testing.T) {
 	if !*table {
 		t.Skip("-model.table")
 	}
-	fmt.Println("seconds, p50 p99 max | verdicts: age | under way | summaries: age | under way | bytes/s a proxy")
+	fmt.Println("seconds, p50 p99 max | health reports: age | propagation | load reports: age | propagation | bytes/s a proxy")
 	var configs []Config
 	for _, n := range tableSizes {
 		for _, loss := range []float64{0, 0.1, 0.3} {
@@ -105,12 +105,12 @@
 		of := func(a durations) string {
 			return fmt.Sprintf("%.2f %.2f %.2f", seconds(a.At(0.5)), seconds(a.At(0.99)), seconds(a.At(1)))
 		}
-		fmt.Printf("%3d proxies, %2.0f %% lost, %d summaries | %s | %s | %s | %s | %.0f\n", c.Proxies, 100*c.Loss, c.ExtraLoadReports,
+		fmt.Printf("%3d proxies, %2.0f %% lost, %d load reports | %s | %s | %s | %s | %.0f\n", c.Proxies, 100*c.Loss, c.ExtraLoadReports,
 			of(r.HealthAges), of(r.HealthPropagation), of(r.LoadAges), of(r.LoadPropagation), float64(r.Bytes)/float64(c.Proxies)/seconds(c.Duration))
 	}
 }
 
-// big is the size that the model is for: 300 proxies, 600 nodos, nine zones in two regions.
+// largeCluster returns a cluster of 300 proxies and 600 servers in nine zones of two regions.
 func largeCluster() Config {
 	c := Default()
 	c.Proxies, c.Servers, c.Zones, c.Regions, c.Duration = 300, 600, 9, 2, 10*sec
