--- a/internal/cluster/state/kind.go
+++ b/internal/cluster/state/kind.go
@@ -24,13 +24,13 @@
 }
 
 var rulesByKind = [kindCount]kindRules{
-	ServerUnhealthy: {"server-bad", 3 * second, 300 * millisecond, 256},
-	ServerHealthy:   {"server-well", 3 * second, 300 * millisecond, 256},
-	ZoneUnhealthy:   {"zone-bad", 3 * second, 300 * millisecond, 32},
-	ZoneHealthy:     {"zone-well", 3 * second, second, 32}, // every member publishes it all the time
+	ServerUnhealthy: {"server-unhealthy", 3 * second, 300 * millisecond, 256},
+	ServerHealthy:   {"server-healthy", 3 * second, 300 * millisecond, 256},
+	ZoneUnhealthy:   {"zone-unhealthy", 3 * second, 300 * millisecond, 32},
+	ZoneHealthy:     {"zone-healthy", 3 * second, second, 32}, // every member publishes it all the time
 	ServerFlap:      {"server-flap", 60 * second, 0, 128},
 	ServerLoad:      {"server-load", 5 * second, 2 * second, 256}, // beyond one weight tuning round of 3 s
-	Override:        {"hand", resumptionTTL, 0, 0},
+	Override:        {"override", resumptionTTL, 0, 0},
 }
 
 const (
@@ -41,7 +41,7 @@
 // Known reports whether this version defines the kind.
 func (k Kind) Known() bool { return k > 0 && k < kindCount }
 
-// String returns the kind's name in metrics and logs.
+// String returns the kind's name in test and lab output.
 func (k Kind) String() string {
 	if !k.Known() {
 		return "unknown"
--- a/internal/cluster/transport/members.go
+++ b/internal/cluster/transport/members.go
@@ -44,11 +44,8 @@
 	return m, m.Version >= metaVersion && len(m.Zone) <= maxNameBytes && len(m.Tier) <= maxNameBytes
 }
 
-// Member is another live proxy.
-type Member struct {
-	Name, Zone, Addr string
-	StartedAtMs      int64 // of its process, Unix milliseconds
-}
+// liveMember is another live proxy.
+type liveMember struct{ name, zone, address string }
 
 // memberList tracks live members. Memberlist calls it with a lock held, so it calls nothing of memberlist.
 type memberList struct {
@@ -60,7 +57,7 @@
 	changed  func()
 
 	mu    sync.Mutex
-	alive map[string]Member
+	alive map[string]liveMember
 	lost  map[string]lostMember // died without leaving
 	joins int64
 	ends  int64 // left or died
@@ -73,7 +70,7 @@
 
 func newMemberList(self, tier string, rejected *rejections, log *slog.Logger, changed func()) *memberList {
 	return &memberList{self: self, tier: tier, rejected: rejected, log: log, limiter: newLogLimiter(), changed: changed,
-		alive: map[string]Member{}, lost: map[string]lostMember{}}
+		alive: map[string]liveMember{}, lost: map[string]lostMember{}}
 }
 
 // ofLiveMembers returns the entries whose observer is live and in the zone that it announced. It reuses the slice.
@@ -82,7 +79,7 @@
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(entries, func(e state.Entry) bool {
 		member, live := l.alive[e.Observer]
-		return !live || member.Zone != e.ObserverZone
+		return !live || member.zone != e.ObserverZone
 	})
 }
 
@@ -111,20 +108,20 @@
 	if node.Name == l.self || !ok {
 		return
 	}
-	member := newMember(node, meta)
+	member := newLiveMember(node, meta)
 	l.mu.Lock()
 	l.alive[node.Name] = member
 	delete(l.lost, node.Name)
 	l.joins++
 	liveMembers := 1 + len(l.alive)
 	l.mu.Unlock()
-	l.logLimited("member joined", "member", member.Name, "zone", member.Zone, "address", member.Addr,
+	l.logLimited("member joined", "member", member.name, "zone", member.zone, "address", member.address,
 		"live_members", liveMembers)
 	l.changed()
 }
 
-func newMember(node *memberlist.Node, meta memberMeta) Member {
-	return Member{Name: node.Name, Zone: meta.Zone, Addr: node.Address(), StartedAtMs: meta.StartedAtMs}
+func newLiveMember(node *memberlist.Node, meta memberMeta) liveMember {
+	return liveMember{name: node.Name, zone: meta.Zone, address: node.Address()}
 }
 
 // NotifyUpdate implements memberlist.EventDelegate: a member announced other metadata, as after a quick restart.
@@ -134,7 +131,7 @@
 		return
 	}
 	l.mu.Lock()
-	l.alive[node.Name] = newMember(node, meta)
+	l.alive[node.Name] = newLiveMember(node, meta)
 	l.mu.Unlock()
 	l.changed()
 }
@@ -176,7 +173,7 @@
 }
 
 // addLost remembers the address of a member that died. At the limit it replaces the one that was lost first.
-func (l *memberList) addLost(member Member) {
+func (l *memberList) addLost(member liveMember) {
 	if len(l.lost) >= maxLostMembers {
 		oldest := ""
 		for name, lost := range l.lost {
@@ -186,7 +183,7 @@
 		}
 		delete(l.lost, oldest)
 	}
-	l.lost[member.Name] = lostMember{member.Addr, time.Now()}
+	l.lost[member.name] = lostMember{member.address, time.Now()}
 }
 
 // count returns how many members are live, and how many of them are in a zone, this one included in both.
@@ -195,7 +192,7 @@
 	defer l.mu.Unlock()
 	inZone = 1
 	for _, member := range l.alive {
-		if member.Zone == zone {
+		if member.zone == zone {
 			inZone++
 		}
 	}
@@ -215,7 +212,7 @@
 	defer l.mu.Unlock()
 	known := map[string]bool{}
 	for _, member := range l.alive {
-		known[member.Addr] = true
+		known[member.address] = true
 	}
 	var addresses []string
 	for _, seed := range seeds {
--- a/internal/cluster/transport/node_test.go
+++ b/internal/cluster/transport/node_test.go
@@ -256,7 +256,7 @@
 // Only entries of live members are used, and only if they name the zone that the member announced.
 func TestEntriesOfLiveMembersOnly(t *testing.T) {
 	m := newMemberList("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
-	m.alive = map[string]Member{"a": {Name: "a", Zone: "north"}}
+	m.alive = map[string]liveMember{"a": {name: "a", zone: "north"}}
 	var got []string
 	for _, e := range m.ofLiveMembers([]state.Entry{{Observer: "a", ObserverZone: "north", Subject: "1"}, {Observer: "a", ObserverZone: "south", Subject: "2"},
 		{Observer: "left", ObserverZone: "north", Subject: "3"}}) {
