--- a/cmd/merlinpick-cluster-proxy/cluster_test.go
+++ b/cmd/merlinpick-cluster-proxy/cluster_test.go
@@ -22,7 +22,7 @@
 
 // The test binary is also the program, so that it runs as the real one does.
 func TestMain(m *testing.M) {
-	if os.Getenv("FERNLANDING_RUNS") != "" {
+	if os.Getenv("MERLINPICK_TEST_AS_PROGRAM") != "" {
 		main()
 		os.Exit(0)
 	}
@@ -77,7 +77,7 @@
 	}
 	log := filepath.Join(m.dir, "log")
 	p, err := s.Start(process.Spec{Name: m.name, Command: []string{os.Args[0]}, Dir: m.dir, Log: log,
-		Env: []string{"FERNLANDING_RUNS=1", "LB_CONFIG=" + path, "TMPDIR=" + m.dir}}, slog.New(slog.DiscardHandler))
+		Env: []string{"MERLINPICK_TEST_AS_PROGRAM=1", "LB_CONFIG=" + path, "TMPDIR=" + m.dir}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -70,7 +70,7 @@
 	checkDecoded(t, data, "packets.txt")
 }
 
-// TestFullExchangeMatchesGoldenFile holds the bytes of a full exchange of a view with own, peers' and override entries.
+// TestFullExchangeMatchesGoldenFile holds the bytes of a full exchange of a store with own, peers' and override entries.
 func TestFullExchangeMatchesGoldenFile(t *testing.T) {
 	store := New(Identity{Name: "self", Zone: "zone-1", StartedAtMs: 1_790_000_000_123}, Limits{})
 	items := []Observation{{ServerUnhealthy, "s1", 1_790_000_000_000, Body{Fault: 1, Calls: 10, BadFraction: 0.5}},
@@ -103,20 +103,20 @@
 	golden(t, name, text.Bytes())
 }
 
-// playViews plays a sequence with a fixed seed on four views and gives a hash of all values that came out.
-func playViews(seed uint64) string {
+// playStores plays a sequence with a fixed seed on four stores and gives a hash of all values that came out.
+func playStores(seed uint64) string {
 	random, hash := rand.New(rand.NewPCG(seed, 1)), sha256.New()
 	start := func(i int, at int64) *Store {
 		return New(Identity{Name: fmt.Sprint("p", i), Zone: fmt.Sprint("z", i%2), StartedAtMs: at}, Limits{Entries: 40, EntriesPerObserver: 12, Observers: 3, Overrides: 4})
 	}
-	views := make([]*Store, 4)
-	for i := range views {
-		views[i] = start(i, 1000)
+	stores := make([]*Store, 4)
+	for i := range stores {
+		stores[i] = start(i, 1000)
 	}
 	now := int64(testTime)
 	for step := range 4000 {
-		i := random.IntN(len(views))
-		store := views[i]
+		i := random.IntN(len(stores))
+		store := stores[i]
 		name := fmt.Sprint("s", random.IntN(6))
 		var out []Entry
 		var err error
@@ -140,8 +140,8 @@
 				fmt.Fprintln(hash, "override", h.Subject, h.Suspended, h.Version, h.Actor, h.AgeMs)
 			}
 			if random.IntN(4) == 0 {
-				views[i] = start(i, 990+int64(random.IntN(step/50+20)))
-				fmt.Fprintln(hash, "restored", views[i].RestoreOverrides(now, hands))
+				stores[i] = start(i, 990+int64(random.IntN(step/50+20)))
+				fmt.Fprintln(hash, "restored", stores[i].RestoreOverrides(now, hands))
 			}
 		default:
 			now += random.Int64N(600 * millisecond)
@@ -149,7 +149,7 @@
 		fmt.Fprintln(hash, step, i, now, err != nil)
 		printEntries(hash, "out", out)
 		for _, packet := range Encode(now, out, MinPacketBytes) {
-			for j, to := range views {
+			for j, to := range stores {
 				if j != i && random.IntN(3) > 0 {
 					in, skipped, err := Decode(now+random.Int64N(20*millisecond), packet)
 					changed := to.Merge(now+20*millisecond, in)
@@ -170,11 +170,11 @@
 	return fmt.Sprintf("%x", hash.Sum(nil)[:8])
 }
 
-// TestPlayedSequenceMatchesGoldenHash holds all that views give in a played sequence, and shows that a changed constant
+// TestPlayedSequenceMatchesGoldenHash holds all that stores return in a played sequence, and shows that a changed constant
 // is noticed.
 func TestPlayedSequenceMatchesGoldenHash(t *testing.T) {
 	const want = "0003b4fa2114f9a8"
-	if got := playViews(1); got != want {
+	if got := playStores(1); got != want {
 		t.Errorf("the played sequence gives %s, want %s", got, want)
 	}
 	for kind, change := range map[Kind]func(*kindRules){
@@ -182,12 +182,12 @@
 	} {
 		was := rulesByKind[kind]
 		change(&rulesByKind[kind])
-		if playViews(1) == want {
+		if playStores(1) == want {
 			t.Errorf("a changed %v is not noticed", kind)
 		}
 		rulesByKind[kind] = was
 	}
-	if slices.Contains([]string{playViews(2), playViews(3)}, want) {
+	if slices.Contains([]string{playStores(2), playStores(3)}, want) {
 		t.Error("another seed gives the same hash")
 	}
 }
--- a/internal/program/signal_test.go
+++ b/internal/program/signal_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-const runAsProgram = "FERNLANDING_TEST_AS_PROGRAM"
+const runAsProgram = "MERLINPICK_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsProgram) != "" {
