--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -6,6 +6,7 @@
 
 	"merlinpick/balancer"
 	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/invariant"
 )
 
@@ -59,7 +60,7 @@
 }
 
 // auditResponse notes a request's final response.
-func (l *eventLoop) auditResponse(r *request, resp Response) {
+func (l *eventLoop) auditResponse(r *request, resp downstream.Response) {
 	l.audit.Trace(r.ID, "answered", "status", resp.Status)
 	switch {
 	case r.rules == nil:
--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -10,6 +10,7 @@
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/invariant"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/proxy/upstream"
@@ -21,7 +22,7 @@
 	var log bytes.Buffer
 	l := &eventLoop{clock: clock{start: time.Now()}, requests: map[string]*request{}, audit: audit.New(slog.New(slog.NewTextHandler(&log, nil)))}
 	rules := &balancer.Settings{MaxAttempts: 2, Classes: []balancer.Class{{Name: "post", Idempotency: balancer.NonIdempotent}}}
-	r := &request{Request: balancer.Request{ID: "r1", Deadline: l.clock.now() + 1e6, Settings: rules}, responses: make(chan Response, 2)}
+	r := &request{Request: &downstream.Request{Request: balancer.Request{ID: "r1", Deadline: l.clock.now() + 1e6, Settings: rules}}}
 	l.auditRequest(r)
 	begin := func() *attempt {
 		a := &attempt{request: r, server: upstream.Server{Name: "a"}, started: true}
@@ -31,8 +32,8 @@
 	a := begin()
 	l.auditAttemptEnd(a, balancer.StatusTimedOut)
 	begin() // it may have run
-	l.auditResponse(r, Response{Status: 503})
-	l.auditResponse(r, Response{Status: 502})
+	l.auditResponse(r, downstream.Response{Status: 503})
+	l.auditResponse(r, downstream.Response{Status: 502})
 	got := l.audit.Violations()
 	for _, rule := range []invariant.Rule{invariant.RetriedNonIdempotent, invariant.RejectedAfterExecution, invariant.RespondedTwice} {
 		if got[rule.String()] != 1 || !strings.Contains(log.String(), "rule="+rule.String()+" request=r1") {
@@ -53,11 +54,9 @@
 	cl := connect(t, p)
 	cl.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 1 && b.Requests.Load() == 1 })
-	p.frontend.mu.Lock()
-	for c := range p.frontend.conns {
+	for _, c := range p.frontend.Conns() {
 		c.Close() // a seeded fault
 	}
-	p.frontend.mu.Unlock()
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().RuleViolations["closed_unanswered"] == 1 })
 }
 
--- a/internal/proxy/bodyend_test.go
+++ b/internal/proxy/bodyend_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/proxy/upstream"
 )
@@ -47,7 +48,7 @@
 // A client's time begins with the last byte that it sent, also where the proxy has not read that byte since the backend
 // takes nothing: the response must not wait for the backend.
 func TestUploadStalledByBackendIsAnsweredInTime(t *testing.T) {
-	const size, left = MaxBufferedBody + 32<<10, 500 * time.Millisecond
+	const size, left = downstream.MaxBufferedBody + 32<<10, 500 * time.Millisecond
 	body := bytes.Repeat([]byte("x"), size)
 	timeout := fmt.Sprintf("Request-Timeout-Ms: %d\r\n", left.Milliseconds())
 	for _, c := range []struct{ name, head, tail string }{
@@ -76,7 +77,7 @@
 // The Request-Timeout-Ms of a streamed upload counts from the last byte that the client sent, though the connection to
 // the backend came up later.
 func TestSlowDialForUploadForwardsRemainingTimeout(t *testing.T) {
-	const size, wait, late = MaxBufferedBody + 32<<10, 4 * time.Second, time.Second
+	const size, wait, late = downstream.MaxBufferedBody + 32<<10, 4 * time.Second, time.Second
 	told := make(chan string, 1)
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
 		told <- r.Header.Get("Request-Timeout-Ms")
--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -15,6 +16,7 @@
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/proxy/clientconn"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/proxy/socket"
 	"merlinpick/internal/proxy/upstream"
@@ -52,7 +54,8 @@
 		p.loop.post(func() { reqs <- len(p.loop.requests) })
 		left := <-reqs
 		conns := p.loop.pool.Stats()
-		return left == 0 && conns.Open == conns.Idle && p.Metrics().InFlight == 0 && p.frontend.bodyMemory.Used() == 0
+		bodies, _ := p.frontend.BufferedBytes()
+		return left == 0 && conns.Open == conns.Idle && p.Metrics().InFlight == 0 && bodies == 0
 	})
 }
 
@@ -109,7 +112,7 @@
 				if draining {
 					p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { return 4 * time.Second, 5 * time.Second }
 					p.stop()
-					proxytest.WaitUntil(t, p.frontend.draining.Load)
+					proxytest.WaitUntil(t, p.frontend.IsDraining)
 				}
 				leaves(t, p, func() { cl.Send(t, proxytest.LookRequest("1", 4000)+d.behind) }, func() { d.leave(cl) })
 				checkNothingSent(t, p, b, 0)
@@ -179,19 +182,13 @@
 
 // anyPeerClosed reports whether the end of a client's connection has come to the proxy's socket.
 func anyPeerClosed(p *running) bool {
-	p.frontend.mu.Lock()
-	defer p.frontend.mu.Unlock()
-	for c := range p.frontend.conns {
-		if socket.PeerClosed(c) {
-			return true
-		}
-	}
-	return len(p.frontend.conns) == 0
+	conns := p.frontend.Conns()
+	return len(conns) == 0 || slices.ContainsFunc(conns, func(c *clientconn.Conn) bool { return socket.PeerClosed(c) })
 }
 
 // The client goes while a connection to the backend comes up; the loop, which would cancel the attempt, is busy.
 func TestNoSendAfterSlowDialForGoneClient(t *testing.T) {
-	for _, text := range []string{proxytest.LookRequest("1", 4000), proxytest.PostRequest("1", "Content-Length: 1000000") + strings.Repeat("x", MaxBufferedBody+1),
+	for _, text := range []string{proxytest.LookRequest("1", 4000), proxytest.PostRequest("1", "Content-Length: 1000000") + strings.Repeat("x", downstream.MaxBufferedBody+1),
 		proxytest.PostRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
 			if strings.Contains(text, "1000000") && d.behind != "" {
@@ -345,7 +342,7 @@
 		cl := connect(t, p)
 		stands, goOn := blockLoop(t, p)
 		proxytest.Receive(t, "stand of the loop", stands)
-		cl.Send(t, proxytest.PostRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", MaxBufferedBody)) // and a read waits for more
+		cl.Send(t, proxytest.PostRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", downstream.MaxBufferedBody)) // and a read waits for more
 		proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 		goOn()
 		if resp, _ := cl.ReadResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
--- a/internal/proxy/bodyend.go
+++ b/internal/proxy/downstream/bodyend.go
@@ -1,4 +1,4 @@
-package proxy
+package downstream
 
 import (
 	"bytes"
--- a/internal/proxy/closing_test.go
+++ b/internal/proxy/downstream/closing_test.go
@@ -1,12 +1,8 @@
-package proxy
+package downstream
 
 import (
 	"bufio"
-	"bytes"
-	"errors"
-	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"strings"
@@ -16,8 +12,6 @@
 	"testing/synctest"
 	"time"
 
-	"merlinpick/balancer"
-	"merlinpick/internal/discovery"
 	"merlinpick/internal/proxy/clientconn"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/settings"
@@ -98,7 +92,7 @@
 }
 
 // startHooked starts a frontend alone, whose handler counts requests and answers each with body.
-func startHooked(t *testing.T, most int, body string) (f *Server, h *hooks, requests *atomic.Int32, p *running) {
+func startHooked(t *testing.T, most int, body string) (f *Server, h *hooks, requests *atomic.Int32) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,8 +103,7 @@
 		t.Fatal(err)
 	}
 	h, requests = &hooks{}, &atomic.Int32{}
-	l := &eventLoop{metrics: newMetrics(nil)}
-	f = NewServer(site, l, hookedListener{tcp.(*net.TCPListener), h}, slog.New(slog.DiscardHandler))
+	f = newTestServer(site, hookedListener{tcp.(*net.TCPListener), h}, &stubHandler{})
 	f.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
 		if at := h.request.Load(); at != nil {
@@ -122,16 +115,22 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = f.Serve() }()
 	t.Cleanup(func() { f.server.Close(); proxytest.Receive(t, "end of the frontend", ended) })
-	return f, h, requests, &running{Proxy: &Proxy{frontend: f}}
+	return f, h, requests
+}
+
+// connect opens a client's connection to a server.
+func connect(t *testing.T, f *Server) *proxytest.Client {
+	t.Helper()
+	return proxytest.Connect(t, f.Listener.Addr().String())
 }
 
 // once sets a hook that runs the first time only.
 func once[F any](at *atomic.Pointer[F], f F) { at.Store(&f) }
 
 // keepAliveClient is a connection on which a request has been answered.
-func keepAliveClient(t *testing.T, f *Server, p *running) *proxytest.Client {
+func keepAliveClient(t *testing.T, f *Server) *proxytest.Client {
 	t.Helper()
-	c := connect(t, p)
+	c := connect(t, f)
 	c.Send(t, proxytest.LookRequest("1", 4000))
 	c.ReadResponse(t)
 	proxytest.WaitUntil(t, func() bool { return f.resting() == 1 })
@@ -165,8 +164,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, h, _, p := startHooked(t, 4, "ok")
-			c := keepAliveClient(t, f, p)
+			f, h, _ := startHooked(t, 4, "ok")
+			c := keepAliveClient(t, f)
 			once(&h.read, func() {
 				h.read.Store(nil)
 				done := make(chan struct{})
@@ -187,8 +186,8 @@
 // A request that came between the look at an idle connection and its close was read after the close and forwarded, or
 // its connection was reset.
 func TestRequestCrossingCloseIsNeverServed(t *testing.T) {
-	f, h, requests, p := startHooked(t, 4, "ok")
-	c := keepAliveClient(t, f, p)
+	f, h, requests := startHooked(t, 4, "ok")
+	c := keepAliveClient(t, f)
 	once(&h.control, func(fd uintptr) {
 		h.control.Store(nil)
 		c.Send(t, proxytest.LookRequest("2", 4000))
@@ -212,12 +211,12 @@
 // A close over bytes that nobody had read reset the connection and took the rest of the previous response along.
 func TestResponseSurvivesPipelinedBytes(t *testing.T) {
 	large := strings.Repeat("x", 400<<10)
-	f, _, _, p := startHooked(t, 4, large)
+	f, _, _ := startHooked(t, 4, large)
 	f.closing.Store(true)
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error { // most of the answer waits at the proxy
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
-	conn, err := d.Dial("tcp", p.Addr())
+	conn, err := d.Dial("tcp", f.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,9 +235,9 @@
 
 // Peers that do not close after the proxy has hold no slot that another needs.
 func TestLingeringConnectionsGiveWay(t *testing.T) {
-	_, h, _, p := startHooked(t, 2, "ok")
+	f, h, _ := startHooked(t, 2, "ok")
 	for range 8 {
-		c := connect(t, p)
+		c := connect(t, f)
 		c.Send(t, "GET /no HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		start := time.Now()
 		c.ReadResponse(t)
@@ -253,12 +252,9 @@
 
 // A request whose head was incomplete at the cutoff was closed on; its last bytes may have been on their way.
 func TestPartialRequestIsRejectedAtCutoff(t *testing.T) {
-	for _, open := range []func(*Server, *running) *proxytest.Client{
-		func(_ *Server, p *running) *proxytest.Client { return connect(t, p) },
-		func(f *Server, p *running) *proxytest.Client { return keepAliveClient(t, f, p) },
-	} {
-		f, _, requests, p := startHooked(t, 4, "ok")
-		c := open(f, p)
+	for _, open := range []func(*testing.T, *Server) *proxytest.Client{connect, keepAliveClient} {
+		f, _, requests := startHooked(t, 4, "ok")
+		c := open(t, f)
 		text := proxytest.LookRequest("2", 4000)
 		c.Send(t, text[:len(text)/2])
 		proxytest.WaitUntil(t, func() bool {
@@ -306,75 +302,3 @@
 		}
 	})
 }
-
-// A drain ends while clients send on every open connection: what was taken has its response, the rest an end that shows
-// it was not taken.
-func TestClientsSendingUntilExitLoseNothing(t *testing.T) {
-	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
-	p := startProxy(t, startDiscovery(t).addr, 300, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
-	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
-		return 100 * time.Millisecond, 600 * time.Millisecond
-	}
-	const clients = 16
-	var answers atomic.Int64
-	ends, started := make(chan error, clients), make(chan struct{}, clients)
-	for range clients {
-		go func() {
-			c, err := net.Dial("tcp", p.Addr())
-			if err != nil {
-				ends <- err
-				return
-			}
-			defer c.Close()
-			_ = c.SetDeadline(time.Now().Add(proxytest.Timeout))
-			r := bufio.NewReader(c)
-			for i := 0; ; i++ {
-				if _, err = io.WriteString(c, proxytest.LookRequest(fmt.Sprint(c.LocalAddr(), "-", i), 4000)); err != nil {
-					break
-				}
-				var resp *http.Response
-				if resp, err = http.ReadResponse(r, nil); err != nil {
-					break
-				}
-				var body bytes.Buffer
-				if _, err = body.ReadFrom(resp.Body); err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
-					err = errors.New("a bad answer: " + resp.Status)
-					break
-				}
-				answers.Add(1)
-				if i == 0 {
-					started <- struct{}{}
-				}
-				if resp.Close {
-					err = nil
-					break
-				}
-			}
-			if err != nil && err != io.EOF && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.EPIPE) {
-				ends <- err
-				return
-			}
-			ends <- nil
-		}()
-	}
-	for range clients {
-		select {
-		case <-started:
-		case err := <-ends:
-			t.Fatal(err)
-		}
-	}
-	p.stop()
-	for range clients {
-		if err := proxytest.Receive(t, "end of a client", ends); err != nil {
-			t.Error(err)
-		}
-	}
-	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
-		t.Error(err)
-	}
-	f := p.Metrics()
-	if ends := f.Classes["look"]; ends.Succeeded+ends.Rejected != answers.Load() || ends.Failed != 0 || f.InFlight != 0 {
-		t.Errorf("%d answers, figures %+v", answers.Load(), f)
-	}
-}
--- /dev/null
+++ b/internal/proxy/downstream/drain.go
@@ -0,0 +1,109 @@
+package downstream
+
+import (
+	"time"
+
+	"merlinpick/balancer"
+)
+
+const (
+	drainAcceptPeriod = 550 * time.Millisecond // after SIGTERM new connections may still come for so long
+	KillDelay         = 3 * time.Second        // SIGKILL comes the longest deadline, or this, after SIGTERM,
+	killDelayMargin   = 500 * time.Millisecond // and this much later
+	drainPollInterval = 20 * time.Millisecond
+
+	handoverIdleTimeout     = 100 * time.Millisecond // for idle connections, once a successor serves
+	handoverKeepAlivePeriod = 500 * time.Millisecond // after it idle ones are closed at once
+	maxDrainStream          = time.Minute            // for responses that are being streamed
+	responseFlushMargin     = 150 * time.Millisecond // after the cutoff: SIGKILL comes killDelayMargin + 200 ms after the longest deadline
+	cutoffMargin            = 100 * time.Millisecond // before the cutoff: a request that is not complete by then is rejected
+)
+
+// DrainTimes returns how long after SIGTERM clients are served on (stay), and when all requests must have ended (left). The
+// last that come in still have as long as the longest latency objective. With deadlines of some tens of milliseconds the
+// listener closes cutoffMargin before the cutoff.
+func DrainTimes(classes []balancer.Class) (stay, left time.Duration) {
+	deadline, objective := int64(0), int64(0)
+	for _, c := range classes {
+		deadline, objective = max(deadline, c.Deadline), max(objective, c.LatencyObjective)
+	}
+	left = min(time.Duration(deadline)*time.Microsecond, KillDelay) + killDelayMargin
+	stay = max(drainAcceptPeriod, left-time.Duration(objective)*time.Microsecond)
+	return min(stay, left-cutoffMargin), left
+}
+
+// Drain ends the client side after SIGTERM. Clients still come for a while, and those that keep a connection may have
+// nowhere else to go while the next proxy starts: all are served on for stay. Then the listener closes, and connections as
+// they fall idle, until none is left or the cutoff has come.
+//
+// Where a successor serves, new connections are its own at once. Kept ones get Connection: close by their next response; those
+// that send nothing for handoverIdleTimeout are closed, and soon all that are idle: this process may not live to answer a
+// request that comes late.
+func (f *Server) Drain(stay time.Duration, cutoff time.Time, successorServing func() bool) {
+	start := time.Now()
+	f.draining.Store(true)
+	f.logger.Info("draining", "open", f.OpenConns())
+	for time.Since(start) < stay && !successorServing() {
+		time.Sleep(drainPollInterval)
+	}
+	idleTimeout := time.Duration(0)
+	if time.Since(start) < stay {
+		f.logger.Info("draining to successor", "open", f.OpenConns())
+		idleTimeout = handoverIdleTimeout
+	}
+	f.closing.Store(true)
+	f.acceptQueued(idleTimeout, cutoff, successorServing)
+	f.Listener.Close()
+	f.closeAsIdle(idleTimeout, start, cutoff)
+	f.flushResponses(cutoff)
+	f.finishStreams(start)
+	f.logger.Info("drained", "duration", time.Since(start), "open", f.OpenConns())
+	_ = f.server.Close() // not Shutdown, which drops a request that it has just read
+}
+
+// acceptQueued takes the connections that wait for a slot, which a close of the listener would reset: they come in as those
+// that are open get Connection: close. It ends once no slot has been short for two polls.
+func (f *Server) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
+	for unfilled := 0; unfilled < 2 && !successorServing() && time.Until(cutoff) > cutoffMargin; unfilled++ {
+		if f.Listener.IsFull() {
+			unfilled = -1
+		}
+		f.closeIdle(idleTimeout, drainAcceptPeriod, false)
+		time.Sleep(drainPollInterval / 2)
+	}
+}
+
+// closeAsIdle closes connections as they fall idle until all are or the cutoff has come. Shortly before it, requests that
+// are not complete are rejected.
+func (f *Server) closeAsIdle(idleTimeout time.Duration, start, cutoff time.Time) {
+	for f.closeIdle(idleTimeout, drainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
+		time.Sleep(drainPollInterval)
+		if time.Since(start) > handoverKeepAlivePeriod {
+			idleTimeout = 0
+		}
+		if time.Until(cutoff) < cutoffMargin {
+			f.rejectUploads()
+		}
+	}
+}
+
+// flushResponses waits, for responseFlushMargin after the cutoff at most, until what the cutoff has ended is answered and
+// what was answered has been received.
+func (f *Server) flushResponses(cutoff time.Time) {
+	for f.closeIdle(0, 0, true) > int(f.activeStreams.Load()) || f.Listener.Lingering.Count() > 0 {
+		if time.Since(cutoff) > responseFlushMargin {
+			return
+		}
+		f.rejectUploads()
+		time.Sleep(drainPollInterval)
+	}
+}
+
+// finishStreams goes on with long responses that backends are still giving, until they end or this process is killed: to
+// cut them off here would be no better.
+func (f *Server) finishStreams(start time.Time) {
+	for f.activeStreams.Load() > 0 && time.Since(start) < maxDrainStream {
+		time.Sleep(drainPollInterval)
+		f.closeIdle(0, 0, true)
+	}
+}
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/downstream/drain_test.go
@@ -1,4 +1,4 @@
-package proxy
+package downstream
 
 import (
 	"testing"
@@ -30,11 +30,11 @@
 
 // The listener closed on connections that waited in the kernel for a slot, which reset them.
 func TestQueuedConnectionsAreAcceptedBeforeListenerCloses(t *testing.T) {
-	f, h, requests, p := startHooked(t, 2, "ok")
+	f, h, requests := startHooked(t, 2, "ok")
 	release := held(h)
 	var all []*proxytest.Client
 	for i := range 6 { // two are served, the others wait
-		c := connect(t, p)
+		c := connect(t, f)
 		c.Send(t, proxytest.LookRequest("1", 4000))
 		all = append(all, c)
 		proxytest.WaitUntil(t, func() bool { return int(requests.Load()) == min(i+1, 2) })
@@ -52,9 +52,9 @@
 
 // What the cutoff ended was cut off 20 ms later, written or not.
 func TestResponsesAtCutoffAreWritten(t *testing.T) {
-	f, h, requests, p := startHooked(t, 2, "ok")
+	f, h, requests := startHooked(t, 2, "ok")
 	release := held(h)
-	c := connect(t, p)
+	c := connect(t, f)
 	c.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return requests.Load() == 1 })
 	ended := startDrain(t, f, 0)
@@ -72,10 +72,10 @@
 
 // A peer that reads nothing and never closes does not keep the process beyond its time.
 func TestDrainEndsInTime(t *testing.T) {
-	f, h, requests, p := startHooked(t, 4, "ok")
+	f, h, requests := startHooked(t, 4, "ok")
 	release := held(h)
 	defer release()
-	c := connect(t, p)
+	c := connect(t, f)
 	c.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return requests.Load() == 1 })
 	start := time.Now()
@@ -101,3 +101,18 @@
 		}
 	}
 }
+
+// The listener closed at once: with the next proxy not yet up, clients that kept a connection had nowhere to go.
+func TestClientsAreServedWhileDraining(t *testing.T) {
+	for _, c := range []struct{ deadline, aim, stay, left time.Duration }{
+		{5 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 3500 * time.Millisecond},
+		{8 * time.Second, 4 * time.Second, drainAcceptPeriod, 3500 * time.Millisecond},
+		{time.Second, 400 * time.Millisecond, 1100 * time.Millisecond, 1500 * time.Millisecond},
+	} {
+		stay, left := DrainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.aim.Microseconds()},
+			{Deadline: 1, LatencyObjective: 1}})
+		if stay != c.stay || left != c.left {
+			t.Errorf("deadline %v, aim %v: %v and %v, want %v and %v", c.deadline, c.aim, stay, left, c.stay, c.left)
+		}
+	}
+}
--- a/internal/proxy/evict.go
+++ b/internal/proxy/downstream/evict.go
@@ -1,4 +1,4 @@
-package proxy
+package downstream
 
 import (
 	"merlinpick/internal/proxy/audit"
@@ -21,10 +21,11 @@
 	shortageFraction    = 0.75        // of maxConns: beyond it connections run short
 	shortageLogInterval = time.Second // between two log lines about that
 
-	MaxRejectConns = 32 // beyond maxConns, to reject on
+	// MaxRejectConns is how many connections are accepted at most beyond the limit, to reject requests on.
+	MaxRejectConns = 32
 )
 
-// clientConnState is what the frontend knows of a client's connection.
+// clientConnState is what the Server knows of a client's connection.
 type clientConnState struct {
 	state           http.ConnState
 	since           time.Time // of state
@@ -54,7 +55,7 @@
 	return float64(open) > shortageFraction*float64(f.maxConns.Load())
 }
 
-// setLimits sets how many connections of clients are served, with how many requests in flight, and how many connections
+// SetLimits sets how many connections of clients are served, with how many requests in flight, and how many connections
 // beyond these are accepted to reject on.
 func (f *Server) SetLimits(conns, inFlight, rejectConns int) {
 	f.maxConns.Store(int64(conns))
@@ -64,7 +65,7 @@
 
 // markComplete counts a request in that has come: its connection is not to be evicted before its response. Reads from now
 // on only notice a client that goes, and have no deadline.
-func (f *Server) markComplete(w http.ResponseWriter, r *http.Request, req *request) *inFlightRequest {
+func (f *Server) markComplete(w http.ResponseWriter, r *http.Request, req *Request) (finish func(status int)) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,10 +74,10 @@
 		s.requestComplete = true
 		f.conns[c] = s
 	}
-	return f.loop.metrics.requestStarted(req.ClassName)
+	return f.requestStarted(req.ClassName)
 }
 
-// makeRoom closes the connection that can be spared best, if there is one.
+// MakeRoom closes the connection that can be spared best, if there is one.
 func (f *Server) MakeRoom() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -185,7 +186,7 @@
 	return n
 }
 
-// openConns is how many connections of clients there are.
+// OpenConns is how many connections of clients there are.
 func (f *Server) OpenConns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- /dev/null
+++ b/internal/proxy/downstream/golden_test.go
@@ -0,0 +1,81 @@
+package downstream
+
+import (
+	"errors"
+	"fmt"
+	"merlinpick/internal/proxy/clientconn"
+	"merlinpick/internal/proxy/proxytest"
+	"merlinpick/internal/settings"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// The last part of the file was written by an earlier version. What clients read stays byte for byte the same.
+func TestOwnResponsesAreGolden(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("..", "testdata", "answers.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	const mark = "== half a head at the end\n"
+	_, want, found := strings.Cut(string(text), mark)
+	if !found {
+		t.Fatalf("no %q in the file", mark)
+	}
+	want = mark + want
+	var out strings.Builder
+	show := func(name, text string) {
+		fmt.Fprintf(&out, "== %s\n%s\n", name, strings.ReplaceAll(text, "\r\n", "\\r\\n\n"))
+	}
+	show("half a head at the end", clientconn.RejectionText)
+
+	// These take more to come about: by their responses alone.
+	var next Response
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	site, err := settings.Decode([]byte(proxytest.SiteJSON))
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := newTestServer(site, l, &stubHandler{})
+	f.SetLimits(100, 100, 0)
+	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { f.writeResponse(w, next) })}
+	go func() { _ = s.Serve(l) }()
+	t.Cleanup(func() { s.Close() })
+	body := &upload{}
+	faultOf := func(err error) Response {
+		rec := &headerOnly{h: http.Header{}}
+		return body.errorResponse(rec, err)
+	}
+	for _, c := range []struct {
+		name string
+		ans  Response
+	}{
+		{"rejected, come again", Response{Status: http.StatusServiceUnavailable, RetryAfter: 1_234_567}},
+		{"rejected without a time", Response{Status: http.StatusServiceUnavailable}},
+		{"failed with a time", Response{Status: http.StatusBadGateway, RetryAfter: 1_234_567}},
+		{"expired", Response{Status: http.StatusGatewayTimeout}},
+		{"draining", faultOf(errDraining)},
+		{"short of connections", faultOf(errConnShortage)},
+		{"short of memory", faultOf(errBodyMemory)},
+		{"another error", faultOf(errors.New("any"))},
+	} {
+		next = c.ans
+		show(c.name, proxytest.RawExchange(t, l.Addr().String(), "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
+	}
+	if out.String() != want {
+		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
+	}
+}
+
+// headerOnly is a ResponseWriter for what sets headers.
+type headerOnly struct{ h http.Header }
+
+func (w *headerOnly) Header() http.Header         { return w.h }
+func (w *headerOnly) Write(p []byte) (int, error) { return len(p), nil }
+func (w *headerOnly) WriteHeader(int)             {}
--- a/internal/proxy/parserequest.go
+++ b/internal/proxy/downstream/parserequest.go
@@ -1,4 +1,4 @@
-package proxy
+package downstream
 
 import (
 	"net/http"
@@ -21,8 +21,8 @@
 
 // parseRequest reads a request's head by the settings of a snapshot. With a response returned the head makes no sense, and
 // nothing of it is forwarded.
-func (v *settingsSnapshot) parseRequest(w http.ResponseWriter, r *http.Request) (*request, Response) {
-	bad := func(status int, reason string) (*request, Response) { return nil, errorResponse(status, reason) }
+func (v *settingsSnapshot) parseRequest(w http.ResponseWriter, r *http.Request) (*Request, Response) {
+	bad := func(status int, reason string) (*Request, Response) { return nil, errorResponse(status, reason) }
 	for _, name := range []string{"Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key", "Tenant"} {
 		if len(r.Header[name]) > 1 {
 			return bad(http.StatusBadRequest, name+" is given twice")
@@ -56,7 +56,7 @@
 	if !ok {
 		tenant = -1 // unknown
 	}
-	req := &request{
+	req := &Request{
 		Request: balancer.Request{ID: id, Class: class, Tenant: tenant, Key: rest[strings.LastIndexByte(rest, '/')+1:],
 			Settings: v.balancer},
 		ClassName: name,
--- /dev/null
+++ b/internal/proxy/downstream/request.go
@@ -0,0 +1,69 @@
+package downstream
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"merlinpick/balancer"
+	"merlinpick/internal/proxy/socket"
+	"merlinpick/internal/proxy/upstream"
+)
+
+// Request is one request that a client has sent. The client's goroutine sets its fields before it gives the request to the
+// Handler, which owns them from then on; attempts use Outbound one after the other.
+type Request struct {
+	balancer.Request // Deadline is the Handler's to set
+	ClassName        string
+	Outbound         upstream.Request
+
+	// Deadline of the client, by the wall clock; zero while the body is still coming.
+	ClientDeadline time.Time
+
+	clientContext context.Context // ends once net/http has noticed that the client has gone
+	clientConn    net.Conn
+	stopUpload    func()        // of a body that is still coming: nobody wants the rest any more
+	responses     chan Response // takes the one final response without a wait
+}
+
+// Response is a final response.
+type Response struct {
+	Status      int // 0: nobody waits for one
+	ContentType string
+	Body        []byte
+	Stream      *upstream.Stream // in place of Body, for a response that is streamed
+	RetryAfter  int64            // of a rejection, in microseconds; 0: none
+}
+
+// Respond gives a request its final response, once, and ends its upload. It does not wait.
+func (r *Request) Respond(resp Response) {
+	r.responses <- resp
+	if r.stopUpload != nil {
+		r.stopUpload()
+	}
+}
+
+// IsClientGone reports whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
+// context; what it cannot have seen yet, or never will, at the socket. Any goroutine may call it.
+func (r *Request) IsClientGone() bool {
+	return r.HasLeft() || r.clientContext != nil && socket.PeerClosed(r.clientConn)
+}
+
+// HasLeft reports whether net/http has noticed that the client has gone, without a system call.
+func (r *Request) HasLeft() bool { return r.clientContext != nil && r.clientContext.Err() != nil }
+
+// Handler decides on requests. Any goroutine may call its methods, which return before there is a response. After Stopped is
+// done it gives none.
+type Handler interface {
+	// HandleRequest takes a request, which gets its response through Respond.
+	HandleRequest(r *Request)
+	// HandleBodyArrived is called when the last byte of a body that is being streamed is known to have come, though it has
+	// not been read yet: the client's time runs from then on.
+	HandleBodyArrived(r *Request, arrived time.Time)
+	// HandleBodyReceived is called when a body that was streamed has been read completely.
+	HandleBodyReceived(r *Request, clientDeadline time.Time)
+	// HandleClientGone is called when nobody waits for the response any more, even in the middle of it.
+	HandleClientGone(r *Request)
+	// Stopped is done when the Handler has stopped.
+	Stopped() context.Context
+}
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/downstream/server.go
@@ -1,4 +1,11 @@
-package proxy
+// Package downstream is the proxy's side towards the clients: it accepts connections, reads and checks requests, gives them to
+// a Handler, and writes the responses that come back. It decides which connection makes room for another and when a body comes
+// too slowly, but neither where a request goes nor what its response is.
+//
+// net/http runs it in one goroutine for each connection, which owns the request that it reads until the Handler has it. A
+// streamed upload has a goroutine more (bodyEndWatcher). Drain is to be called once, and returns when the client side has
+// ended.
+package downstream
 
 import (
 	"context"
@@ -13,6 +20,7 @@
 	"sync/atomic"
 	"time"
 
+	"merlinpick/balancer"
 	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/proxy/clientconn"
 	"merlinpick/internal/proxy/upstream"
@@ -22,15 +30,37 @@
 // keepAliveTimeout is for the next request on a connection.
 const keepAliveTimeout = 2 * time.Minute
 
-// frontend is the client side: it reads requests, gives them to the loop, and writes the responses. net/http runs it in one
+// DefaultBodyMemory is for buffered bodies, in bytes.
+const DefaultBodyMemory = 16 << 20
+
+// Config is what a Server starts with.
+type Config struct {
+	Site     *settings.Site
+	Settings *balancer.Settings // in force
+	Listener net.Listener       // which the Server closes
+	Handler  Handler
+
+	// RequestStarted counts a request of a class in. finish counts it out by its response's status, 0 if it had none; only
+	// the first call counts.
+	RequestStarted func(class string) (finish func(status int))
+	ListAvailable  <-chan struct{} // closed once there is an endpoint list
+	Audit          *audit.Recorder
+	Logger         *slog.Logger
+}
+
+// Server is the client side: it reads requests, gives them to the Handler, and writes the responses. net/http runs it in one
 // goroutine for each connection.
 type Server struct {
-	loop       *eventLoop
-	server     *http.Server
-	Listener   *clientconn.Listener
-	bodyMemory *clientconn.MemoryBudget
-	headMemory *clientconn.MemoryBudget
-	logger     *slog.Logger
+	Listener *clientconn.Listener
+
+	handler        Handler
+	requestStarted func(class string) (finish func(status int))
+	listAvailable  <-chan struct{}
+	audit          *audit.Recorder
+	logger         *slog.Logger
+	server         *http.Server
+	bodyMemory     *clientconn.MemoryBudget // for bodies beyond guaranteedBodyBuffer each
+	headMemory     *clientconn.MemoryBudget // for the first bytes: heads, and bodies beyond clientconn.UnmeteredBuffer each
 
 	maxConns    atomic.Int64 // connections of clients that are served; some more are accepted to reject on
 	maxInFlight atomic.Int64 // requests, each of which may need a connection to a backend; more are rejected
@@ -54,18 +84,21 @@
 // connKey finds a request's connection in its context.
 type connKey struct{}
 
-func NewServer(site *settings.Site, l *eventLoop, listener net.Listener, logger *slog.Logger) *Server {
-	f := &Server{loop: l, logger: logger, bodyMemory: clientconn.NewMemoryBudget(0), headMemory: clientconn.NewMemoryBudget(DefaultBodyMemory),
+// NewServer returns a server that accepts nothing before Serve and SetLimits.
+func NewServer(cfg Config) *Server {
+	f := &Server{handler: cfg.Handler, requestStarted: cfg.RequestStarted, listAvailable: cfg.ListAvailable, audit: cfg.Audit,
+		logger: cfg.Logger, bodyMemory: clientconn.NewMemoryBudget(0), headMemory: clientconn.NewMemoryBudget(DefaultBodyMemory),
 		conns: map[net.Conn]clientConnState{}, uploads: map[*upload]bool{}}
-	classNumbers := make([]int, len(site.Classes))
+	classNumbers := make([]int, len(cfg.Site.Classes))
 	for i := range classNumbers {
 		classNumbers[i] = i
 	}
-	f.SetSettings(newSettingsSnapshot(site, l.balancerSettings(site), classNumbers))
-	f.Listener = clientconn.NewListener(listener, clientconn.ListenerConfig{MakeRoom: f.MakeRoom, HeadMemory: f.headMemory, Audit: l.audit, Logger: logger})
+	f.SetSettings(cfg.Site, cfg.Settings, classNumbers)
+	f.Listener = clientconn.NewListener(cfg.Listener, clientconn.ListenerConfig{MakeRoom: f.MakeRoom, HeadMemory: f.headMemory,
+		Audit: cfg.Audit, Logger: cfg.Logger})
 	f.server = &http.Server{
-		Handler: f, ReadHeaderTimeout: clientconn.RequestReadTimeout, IdleTimeout: keepAliveTimeout, MaxHeaderBytes: clientconn.MaxHeadBytes,
-		ConnState: f.trackConn, ErrorLog: debugLog(logger),
+		Handler: f, ReadHeaderTimeout: clientconn.RequestReadTimeout, IdleTimeout: keepAliveTimeout,
+		MaxHeaderBytes: clientconn.MaxHeadBytes, ConnState: f.trackConn, ErrorLog: debugLog(cfg.Logger),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
 	return f
@@ -76,7 +109,7 @@
 	return slog.NewLogLogger(logger.Handler(), slog.LevelDebug)
 }
 
-// serve accepts connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (f *Server) Serve() error {
 	f.serving.Store(true)
 	defer f.serving.Store(false)
@@ -86,6 +119,46 @@
 	return nil
 }
 
+// IsServing reports whether connections are accepted.
+func (f *Server) IsServing() bool { return f.serving.Load() }
+
+// IsDraining reports whether Drain has begun: health checks fail.
+func (f *Server) IsDraining() bool { return f.draining.Load() }
+
+// IsClosing reports whether responses tell clients to leave, in a drain.
+func (f *Server) IsClosing() bool { return f.closing.Load() }
+
+// IsAwaitingSync reports whether the endpoint list is yet to be confirmed: health checks fail.
+func (f *Server) IsAwaitingSync() bool { return f.awaitingSync.Load() }
+
+// SetAwaitingSync sets whether the endpoint list is yet to be confirmed.
+func (f *Server) SetAwaitingSync(awaiting bool) { f.awaitingSync.Store(awaiting) }
+
+// SetMemory sets how many bytes may be buffered of bodies, and as many of heads.
+func (f *Server) SetMemory(bytes int) {
+	f.bodyMemory.SetMax(bytes)
+	f.headMemory.SetMax(bytes)
+}
+
+// BufferedBytes is how much is buffered of bodies and of heads.
+func (f *Server) BufferedBytes() (bodies, heads int) { return f.bodyMemory.Used(), f.headMemory.Used() }
+
+// Conns are the connections of clients at this moment.
+func (f *Server) Conns() []*clientconn.Conn {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	conns := make([]*clientconn.Conn, 0, len(f.conns))
+	for c := range f.conns {
+		conns = append(conns, c.(*clientconn.Conn))
+	}
+	return conns
+}
+
+// Limits are how many connections are served, and how many requests may be in flight.
+func (f *Server) Limits() (conns, inFlight int) {
+	return int(f.maxConns.Load()), int(f.maxInFlight.Load())
+}
+
 // ServeHTTP answers health checks and serves requests.
 func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	startedAt := time.Now()
@@ -113,20 +186,20 @@
 }
 
 // serveRequest reads a request's body, waits for its response and writes it.
-func (f *Server) serveRequest(w http.ResponseWriter, r *http.Request, req *request, startedAt time.Time) {
-	req.ClientContext = r.Context()
-	req.ClientConn, _ = r.Context().Value(connKey{}).(net.Conn)
+func (f *Server) serveRequest(w http.ResponseWriter, r *http.Request, req *Request, startedAt time.Time) {
+	req.clientContext = r.Context()
+	req.clientConn, _ = r.Context().Value(connKey{}).(net.Conn)
 	body := f.newUpload(w, r, startedAt)
 	defer f.releaseUpload(body)
-	inFlight, rejection := f.receiveBody(w, r, req, body)
+	finish, rejection := f.receiveBody(w, r, req, body)
 	if rejection.Status != 0 {
 		f.writeResponse(w, rejection)
 		return
 	}
-	defer inFlight.finish(0) // however else this returns
+	defer finish(0) // however else this returns
 	resp := f.awaitAudited(req)
 	if resp.Status == 0 {
-		f.loop.audit.Count(audit.ClientConnNoResponse)
+		f.audit.Count(audit.ClientConnNoResponse)
 		panic(http.ErrAbortHandler) // a return would answer 200
 	}
 	if resp.Stream != nil {
@@ -137,13 +210,13 @@
 	if resp.Stream != nil {
 		forwardStream(w, r, resp.Stream)
 	}
-	inFlight.finish(resp.Status)
+	finish(resp.Status)
 }
 
 // awaitAudited returns a request's response. Until it is there, a close of the connection breaks a rule, unless the client
 // has gone. Later ones are net/http's, where a write fails since the client has gone, or are visible to the client.
-func (f *Server) awaitAudited(req *request) Response {
-	c, ok := req.ClientConn.(*clientconn.Conn)
+func (f *Server) awaitAudited(req *Request) Response {
+	c, ok := req.clientConn.(*clientconn.Conn)
 	if !ok {
 		return f.awaitResponse(req)
 	}
@@ -155,29 +228,26 @@
 	return resp
 }
 
-// awaitResponse returns a request's response, without a status if its client has gone or the loop has ended.
-func (f *Server) awaitResponse(req *request) (resp Response) {
-	l := f.loop
+// awaitResponse returns a request's response, without a status if its client has gone or the Handler has stopped.
+func (f *Server) awaitResponse(req *Request) (resp Response) {
 	select {
 	case resp = <-req.responses:
-	case <-req.ClientContext.Done():
+	case <-req.clientContext.Done():
 		select {
 		case resp = <-req.responses: // one that came before all of the body cut that off, which ends the context too
 		default: // the client has gone
-			l.post(func() { l.handleClientGone(req) })
+			f.handler.HandleClientGone(req)
 		}
-	case <-l.done:
+	case <-f.handler.Stopped().Done():
 	}
 	return resp
 }
 
-// clientDeadline is when the client of a request that is complete now gives up, on the loop's clock.
-func (f *Server) clientDeadline(req *request) int64 {
-	return f.loop.clock.at(time.Now().Add(req.Outbound.Timeout))
-}
+// clientDeadline is when the client of a request that is complete now gives up.
+func clientDeadline(req *Request) time.Time { return time.Now().Add(req.Outbound.Timeout) }
 
 // rejectedResponse is the response to a request for which there is no room.
-func rejectedResponse(req *request) Response {
+func rejectedResponse(req *Request) Response {
 	return Response{Status: http.StatusServiceUnavailable, RetryAfter: req.Settings.MaxRetryAfter}
 }
 
@@ -197,10 +267,10 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// isHealthy reports whether there is a list to serve by and more clients may come.
+// IsHealthy reports whether there is a list to serve by and more clients may come.
 func (f *Server) IsHealthy() bool {
 	select {
-	case <-f.loop.list.available:
+	case <-f.listAvailable:
 		return !f.awaitingSync.Load() && !f.draining.Load()
 	default:
 		return false
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -1,4 +1,4 @@
-package proxy
+package downstream
 
 import (
 	"bufio"
@@ -49,10 +49,34 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// pipedFrontend is a frontend on pipes. Its loop only collects what is posted.
+// stubHandler gives no response. It collects the names of the calls, if it has a channel for them.
+type stubHandler struct{ events chan string }
+
+func (h *stubHandler) note(event string) {
+	if h.events != nil {
+		h.events <- event
+	}
+}
+
+func (h *stubHandler) HandleRequest(*Request)                 { h.note("request") }
+func (h *stubHandler) HandleBodyArrived(*Request, time.Time)  { h.note("body arrived") }
+func (h *stubHandler) HandleBodyReceived(*Request, time.Time) { h.note("body received") }
+func (h *stubHandler) HandleClientGone(*Request)              { h.note("client gone") }
+func (h *stubHandler) Stopped() context.Context               { return context.Background() }
+
+// newTestServer is a server with an endpoint list, which counts nothing.
+func newTestServer(site *settings.Site, l net.Listener, handler Handler) *Server {
+	available := make(chan struct{})
+	close(available)
+	return NewServer(Config{Site: site, Settings: &site.Balancer, Listener: l, Handler: handler, ListAvailable: available,
+		RequestStarted: func(string) func(int) { return func(int) {} }, Logger: slog.New(slog.DiscardHandler)})
+}
+
+// pipedFrontend is a server on pipes, whose handler gives no response.
 type pipedFrontend struct {
 	*Server
-	pipes *pipeListener
+	pipes   *pipeListener
+	handler *stubHandler
 }
 
 // startPiped is for use in a synctest bubble; end it with stop.
@@ -62,11 +86,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &eventLoop{clock: clock{time.Now()}, events: make(chan func(), 256), list: endpointList{available: make(chan struct{})},
-		done: make(chan struct{}), requests: map[string]*request{}, metrics: newMetrics(nil), stopped: context.Background()}
-	close(l.list.available)
-	p := &pipedFrontend{pipes: newPipeListener()}
-	p.Server = NewServer(site, l, p.pipes, slog.New(slog.DiscardHandler))
+	handler := &stubHandler{events: make(chan string, 256)}
+	p := &pipedFrontend{pipes: newPipeListener(), handler: handler}
+	p.Server = newTestServer(site, p.pipes, handler)
 	p.SetLimits(most, most, MaxRejectConns)
 	go func() { _ = p.Serve() }()
 	return p
@@ -171,11 +193,13 @@
 				t.Fatal(err)
 			}
 			synctest.Wait()
-			l := p.loop
 			select {
-			case <-l.events: // take: this test answers in the module's place
+			case event := <-p.handler.events: // this test stands in for the handler
+				if event != "request" {
+					t.Fatalf("got %q", event)
+				}
 			default:
-				t.Fatal("the request did not reach the loop")
+				t.Fatal("the request did not reach the handler")
 			}
 			time.Sleep(4 * clientconn.RequestReadTimeout)
 			synctest.Wait()
@@ -183,13 +207,15 @@
 				t.Errorf("%d connections while the answer is awaited", n)
 			}
 			select {
-			case <-l.events:
+			case <-p.handler.events:
 				t.Error("the request was withdrawn")
 			default:
 			}
 			c.Close()
 			synctest.Wait()
-			<-l.events // its withdrawal
+			if event := <-p.handler.events; event != "client gone" {
+				t.Errorf("got %q", event)
+			}
 		}
 	})
 }
@@ -273,9 +299,9 @@
 			}
 			synctest.Wait()
 			select {
-			case <-p.loop.events: // the request has come whole
+			case <-p.handler.events: // the request is complete
 			default:
-				t.Errorf("kept %v: the request did not reach the loop", kept)
+				t.Errorf("kept %v: the request did not reach the handler", kept)
 			}
 		})
 	}
--- a/internal/proxy/settings.go
+++ b/internal/proxy/downstream/settings.go
@@ -1,4 +1,4 @@
-package proxy
+package downstream
 
 import (
 	"slices"
@@ -13,7 +13,7 @@
 	balancer *balancer.Settings // with classes by the balancer's numbers
 	classes  map[string]int     // those numbers by name
 	tenants  map[string]int
-	readers  int // requests that keep it; guarded by the frontend's mu
+	readers  int // requests that keep it; guarded by the Server's mu
 }
 
 func newSettingsSnapshot(site *settings.Site, s *balancer.Settings, classNumbers []int) *settingsSnapshot {
@@ -41,7 +41,7 @@
 	s.readers--
 }
 
-// currentClasses are the classes in force.
+// CurrentClasses are the classes in force.
 func (f *Server) CurrentClasses() []balancer.Class {
 	s := f.acquireSettings()
 	defer f.releaseSettings(s)
@@ -52,7 +52,7 @@
 	return classes
 }
 
-// classesInUse are the balancer's numbers of classes that requests may still have which were parsed by former settings.
+// ClassesInUse are the balancer's numbers of classes that requests may still have which were parsed by former settings.
 func (f *Server) ClassesInUse() map[int]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,8 +66,10 @@
 	return numbers
 }
 
-// setSettings puts settings in force.
-func (f *Server) SetSettings(s *settingsSnapshot) {
+// SetSettings puts settings in force for the requests that come from now on. classNumbers are the balancer's numbers of the
+// site's classes.
+func (f *Server) SetSettings(site *settings.Site, inForce *balancer.Settings, classNumbers []int) {
+	s := newSettingsSnapshot(site, inForce, classNumbers)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.settings = s
--- a/internal/proxy/upload.go
+++ b/internal/proxy/downstream/upload.go
@@ -1,4 +1,4 @@
-package proxy
+package downstream
 
 import (
 	"cmp"
@@ -15,9 +15,11 @@
 )
 
 const (
-	maxRequestBodyBytes = 40 << 20
+	// MaxRequestBodyBytes of a body are read; a longer one is rejected.
+	MaxRequestBodyBytes = 40 << 20
+	// MaxBufferedBody bytes of a body are buffered at most, to be sent again; the rest is streamed.
+	MaxBufferedBody = 256 << 10
 
-	MaxBufferedBody      = 256 << 10 // up to so many bytes are buffered, to be sent again; the rest is streamed
 	guaranteedBodyBuffer = 32 << 10  // so many are, however little memory is left, and go out with the head at once
 
 	// A body must come at minUploadRate (bytes a second) from requestReadTimeout after its request's start, and must not
@@ -99,7 +101,7 @@
 		u.received.Add(int64(n))
 		u.lastReceived = time.Now()
 	}
-	if u.received.Load() > maxRequestBodyBytes {
+	if u.received.Load() > MaxRequestBodyBytes {
 		return n, errBodyTooLarge
 	}
 	return n, err
@@ -165,7 +167,7 @@
 	if u.contentLength == 0 {
 		return nil, true, nil
 	}
-	if u.contentLength > maxRequestBodyBytes {
+	if u.contentLength > MaxRequestBodyBytes {
 		return nil, false, errBodyTooLarge
 	}
 	for {
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -1,19 +1,14 @@
 package proxy
 
 import (
-	"bufio"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"maps"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
 	"reflect"
-	"regexp"
 	"slices"
 	"strings"
 	"testing"
@@ -23,6 +18,7 @@
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/proxy/clientconn"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/handover"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/proxy/upstream"
@@ -31,14 +27,21 @@
 // The files in testdata were written by an earlier version. What others read of this package (another process of the
 // proxy, clients, the readers of metrics) stays byte for byte the same.
 
-// checkGolden compares a text with a file of testdata.
-func checkGolden(t *testing.T, name, got string) {
+// checkGolden compares a text with a file of testdata, or with what stands in that before one of the marks.
+func checkGolden(t *testing.T, name, got string, marks ...string) {
 	t.Helper()
-	want, err := os.ReadFile(filepath.Join("testdata", name))
+	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatalf("%v; got:\n%s", err, got)
 	}
-	if got != string(want) {
+	want := string(text)
+	for _, mark := range marks {
+		var found bool
+		if want, _, found = strings.Cut(want, mark); !found {
+			t.Errorf("%s has no %q", name, mark)
+		}
+	}
+	if got != want {
 		t.Errorf("%s differs: got\n%s\nwant\n%s", name, got, want)
 	}
 }
@@ -77,39 +80,12 @@
 	}
 }
 
-var dateLine = regexp.MustCompile(`Date: [^\r]* GMT`)
-
-// rawExchange sends a text on a connection of its own and returns all bytes up to its end, or up to a response's.
-func rawExchange(t *testing.T, addr, text string) string {
-	t.Helper()
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(proxytest.Timeout))
-	if _, err := io.WriteString(c, text); err != nil {
-		t.Fatal(err)
-	}
-	var seen strings.Builder
-	resp, err := http.ReadResponse(bufio.NewReaderSize(io.TeeReader(c, &seen), 16), nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		t.Fatal(err)
-	}
-	if resp.Close {
-		_, _ = io.Copy(&seen, c)
-	}
-	return dateLine.ReplaceAllString(seen.String(), "Date: D")
-}
-
 // The responses that the proxy makes itself, as they stand on the wire.
 func TestOwnAnswersAreGolden(t *testing.T) {
 	breaks, _ := startServing(t, proxytest.RespondWith("", false))
 	full, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
-	full.frontend.maxInFlight.Store(0)
+	conns, _ := full.frontend.Limits()
+	full.frontend.SetLimits(conns, 0, 4)
 	good, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	unlisted := startProxy(t, startDiscovery(t).addr, 200, "")
 	post := func(more string) string {
@@ -136,56 +112,17 @@
 		{"wrong method", good, strings.Replace(proxytest.LookRequest("1", 9), "GET", "PUT", 1)},
 		{"needless key", good, strings.Replace(proxytest.LookRequest("1", 9), "Tenant", "Idempotency-Key", 1)},
 		{"body on a GET", good, strings.Replace(proxytest.LookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab"},
-		{"too large", good, post(fmt.Sprintf("Content-Length: %d\r\n\r\n", maxRequestBodyBytes+1))},
+		{"too large", good, post(fmt.Sprintf("Content-Length: %d\r\n\r\n", downstream.MaxRequestBodyBytes+1))},
 		{"body broken off", good, post("Transfer-Encoding: chunked\r\n\r\nzz\r\n")},
 		{"body too slow", good, post("Content-Length: 9\r\n\r\nabc")},
 		{"ambiguous framing", good, post("Content-Length: 1\r\nContent-Length: 1\r\n\r\na")},
 		{"head too long", good, "GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*clientconn.MaxHeadBytes) + "\r\n\r\n"},
 	} {
-		show(c.name, rawExchange(t, c.p.Addr(), c.text))
-	}
-	show("half a head at the end", clientconn.RejectionText)
-
-	// Those that take more to come about: by their answers alone.
-	var next Response
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+		show(c.name, proxytest.RawExchange(t, c.p.Addr(), c.text))
 	}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { good.frontend.writeResponse(w, next) })}
-	go func() { _ = s.Serve(l) }()
-	t.Cleanup(func() { s.Close() })
-	body := &upload{}
-	faultOf := func(err error) Response {
-		rec := &headerOnly{h: http.Header{}}
-		return body.errorResponse(rec, err)
-	}
-	for _, c := range []struct {
-		name string
-		ans  Response
-	}{
-		{"rejected, come again", Response{Status: http.StatusServiceUnavailable, RetryAfter: 1_234_567}},
-		{"rejected without a time", Response{Status: http.StatusServiceUnavailable}},
-		{"failed with a time", Response{Status: http.StatusBadGateway, RetryAfter: 1_234_567}},
-		{"expired", Response{Status: http.StatusGatewayTimeout}},
-		{"draining", faultOf(errDraining)},
-		{"short of connections", faultOf(errConnShortage)},
-		{"short of memory", faultOf(errBodyMemory)},
-		{"another error", faultOf(errors.New("any"))},
-	} {
-		next = c.ans
-		show(c.name, rawExchange(t, l.Addr().String(), "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
-	}
-	checkGolden(t, "answers.txt", out.String())
+	checkGolden(t, "answers.txt", out.String(), "== half a head at the end\n") // the rest is package downstream's to compare
 }
 
-// headerOnly is a ResponseWriter for what sets headers.
-type headerOnly struct{ h http.Header }
-
-func (w *headerOnly) Header() http.Header         { return w.h }
-func (w *headerOnly) Write(p []byte) (int, error) { return len(p), nil }
-func (w *headerOnly) WriteHeader(int)             {}
-
 // The names of all counts that the metrics show.
 func TestCountsNamesAreGolden(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
@@ -197,19 +134,11 @@
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	gone.Close()
 	proxytest.WaitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.no_answer"] == 1 })
-	cut := connect(t, p)
-	cut.Send(t, proxytest.LookRequest("2", 4000))
-	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 2 })
-	p.frontend.mu.Lock()
-	for c := range p.frontend.conns {
-		p.frontend.evictLocked(c.(*clientconn.Conn)) // its body, then it
-		p.frontend.evictLocked(c.(*clientconn.Conn))
-	}
-	p.frontend.mu.Unlock()
 	half := connect(t, p)
 	half.Send(t, "GET")
-	proxytest.WaitUntil(t, func() bool {
-		return p.frontend.closeIdle(0, 0, true) == 0 && p.loop.audit.Events()["closes.client.idle_or_half"] > 0
+	proxytest.WaitUntil(t, func() bool { // also in part of a head
+		p.frontend.MakeRoom()
+		return p.loop.audit.Events()["closes.client.no_room"] > 0 && p.loop.audit.Events()["closes.client.idle_or_half"] > 0
 	})
 	answered := connect(t, p)
 	answered.Send(t, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -244,7 +173,7 @@
 	// Ends of attempts and reasons of rejections.
 	l := &eventLoop{clock: clock{time.Now()}, audit: audit.New(slog.New(slog.DiscardHandler))}
 	for s := range balancer.Status(8) {
-		l.auditAttemptEnd(&attempt{request: &request{}}, s)
+		l.auditAttemptEnd(&attempt{request: &request{Request: &downstream.Request{}}}, s)
 	}
 	by := map[balancer.RejectReason]int64{}
 	for i := range rejectReasonNames {
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("before the end: %s, close %v", resp.Status, resp.Close)
 	}
 	first.stop()
-	proxytest.WaitUntil(t, first.frontend.closing.Load)
+	proxytest.WaitUntil(t, first.frontend.IsClosing)
 	kept.Send(t, proxytest.LookRequest("kept on", 4000))
 	if resp, _ := kept.ReadResponse(t); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a kept connection: %s, close %v", resp.Status, resp.Close)
@@ -81,7 +81,7 @@
 		t.Errorf("%d of %d requests went wrong, %d were refused", n, id.Load(), refused.Load())
 	}
 	all, _, _ := second.config.connLimits(false)
-	proxytest.WaitUntil(t, func() bool { return int(second.frontend.maxConns.Load()) == all })
+	proxytest.WaitUntil(t, func() bool { return connLimit(second) == all })
 	third := startProxyAt(t, d.addr, 400, known, state) // and the successor can be succeeded
 	if third.predecessor == nil {
 		t.Error("the successor hands nothing over")
@@ -121,11 +121,11 @@
 	}
 	second := startProxyAt(t, d.addr, 400, known, state)
 	for _, p := range []*running{first, second} {
-		proxytest.WaitUntil(t, func() bool { return int(p.frontend.maxConns.Load()) == half })
+		proxytest.WaitUntil(t, func() bool { return connLimit(p) == half })
 	}
 	second.stop()
 	all, _, _ := first.config.connLimits(false)
-	proxytest.WaitUntil(t, func() bool { return int(first.frontend.maxConns.Load()) == all })
+	proxytest.WaitUntil(t, func() bool { return connLimit(first) == all })
 	if status := requestOnce(first.Addr(), proxytest.LookRequest("1", 4000)); status != 200 {
 		t.Errorf("after the successor's end: %d", status)
 	}
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -7,6 +7,7 @@
 	"net/http"
 
 	"merlinpick/balancer"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/upstream"
 )
 
@@ -52,7 +53,7 @@
 // new, for a client that has gone, and while another attempt of the request is in flight or it has its response.
 func (l *eventLoop) start(a *attempt, server string, params upstream.Params) bool {
 	r := a.request
-	if r.ended || r.currentAttempt != nil || r.ClientContext != nil && r.ClientContext.Err() != nil {
+	if r.ended || r.currentAttempt != nil || r.HasLeft() {
 		return false
 	}
 	outbound, ok := l.pool.NewAttempt(l.attempts.ctx, server, params)
@@ -78,7 +79,7 @@
 		r.currentAttempt = nil
 	}
 	if result.Status == balancer.StatusOK {
-		l.respond(r, Response{Status: http.StatusOK, Body: result.Body, ContentType: result.ContentType})
+		l.respond(r, downstream.Response{Status: http.StatusOK, Body: result.Body, ContentType: result.ContentType})
 	}
 	if result.Status != balancer.StatusOK && !r.ended && r.IsClientGone() {
 		l.handleClientGone(r) // otherwise the balancer might decide on a retry
@@ -100,7 +101,7 @@
 		}
 		s.ClientDeadline = l.clock.time(r.Deadline)
 		l.balancer.HandleResponseStarted(l.clock.now(), r.ID)
-		l.respond(r, Response{Status: http.StatusOK, ContentType: s.ContentType, Stream: s})
+		l.respond(r, downstream.Response{Status: http.StatusOK, ContentType: s.ContentType, Stream: s})
 		started <- true
 	})
 	select {
@@ -114,14 +115,14 @@
 // Reject gives a request a 503 that tells its client to come again after so many microseconds; 0: without a time.
 func (l *eventLoop) Reject(id string, retryAfter int64) {
 	if r := l.requests[id]; r != nil {
-		l.respond(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter})
+		l.respond(r, downstream.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter})
 	}
 }
 
 // Fail gives a request a 502.
 func (l *eventLoop) Fail(id string) {
 	if r := l.requests[id]; r != nil {
-		l.respond(r, Response{Status: http.StatusBadGateway})
+		l.respond(r, downstream.Response{Status: http.StatusBadGateway})
 	}
 }
 
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -1,16 +1,23 @@
 package proxy
 
 import (
+	"bufio"
+	"bytes"
+	"errors"
 	"fmt"
 	"io"
+	"net"
 	"net/http"
 	"strings"
 	"sync"
+	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/settings"
 )
@@ -74,7 +81,7 @@
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 11 })
 	unused := connect(t, p)
 	p.stop()
-	proxytest.WaitUntil(t, func() bool { return p.frontend.draining.Load() })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.IsDraining() })
 	late := connect(t, p)
 	for i, c := range []*proxytest.Client{idle, late, idle, late} {
 		c.Send(t, proxytest.LookRequest(fmt.Sprint("n", i), 8000))
@@ -82,7 +89,7 @@
 			t.Errorf("after SIGTERM: got %s, close %v", resp.Status, resp.Close)
 		}
 	}
-	proxytest.WaitUntil(t, func() bool { return p.frontend.closing.Load() })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.IsClosing() })
 	for _, c := range []*proxytest.Client{idle, late} {
 		if _, err := c.R.ReadByte(); err == nil {
 			t.Error("an idle connection was not closed")
@@ -106,21 +113,6 @@
 	}
 }
 
-// The listener closed at once: with the next proxy not yet up, clients that kept a connection had nowhere to go.
-func TestClientsAreServedWhileDraining(t *testing.T) {
-	for _, c := range []struct{ deadline, aim, stay, left time.Duration }{
-		{5 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 3500 * time.Millisecond},
-		{8 * time.Second, 4 * time.Second, drainAcceptPeriod, 3500 * time.Millisecond},
-		{time.Second, 400 * time.Millisecond, 1100 * time.Millisecond, 1500 * time.Millisecond},
-	} {
-		stay, left := DrainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.aim.Microseconds()},
-			{Deadline: 1, LatencyObjective: 1}})
-		if stay != c.stay || left != c.left {
-			t.Errorf("deadline %v, aim %v: %v and %v, want %v and %v", c.deadline, c.aim, stay, left, c.stay, c.left)
-		}
-	}
-}
-
 // What a hung backend holds is failed before SIGKILL follows.
 func TestSIGTERMEndsHungRequests(t *testing.T) {
 	p, b := startServing(t, proxytest.NeverRespond(t))
@@ -135,7 +127,7 @@
 	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(start); took > killDelay+5*time.Second {
+	if took := time.Since(start); took > downstream.KillDelay+5*time.Second {
 		t.Errorf("ended %v after SIGTERM", took)
 	}
 }
@@ -192,3 +184,75 @@
 		t.Error("settings that cannot work were taken")
 	}
 }
+
+// A drain ends while clients send on every open connection: what was taken has its response, the rest an end that shows
+// it was not taken.
+func TestClientsSendingUntilExitLoseNothing(t *testing.T) {
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
+	p := startProxy(t, startDiscovery(t).addr, 300, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
+	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
+		return 100 * time.Millisecond, 600 * time.Millisecond
+	}
+	const clients = 16
+	var answers atomic.Int64
+	ends, started := make(chan error, clients), make(chan struct{}, clients)
+	for range clients {
+		go func() {
+			c, err := net.Dial("tcp", p.Addr())
+			if err != nil {
+				ends <- err
+				return
+			}
+			defer c.Close()
+			_ = c.SetDeadline(time.Now().Add(proxytest.Timeout))
+			r := bufio.NewReader(c)
+			for i := 0; ; i++ {
+				if _, err = io.WriteString(c, proxytest.LookRequest(fmt.Sprint(c.LocalAddr(), "-", i), 4000)); err != nil {
+					break
+				}
+				var resp *http.Response
+				if resp, err = http.ReadResponse(r, nil); err != nil {
+					break
+				}
+				var body bytes.Buffer
+				if _, err = body.ReadFrom(resp.Body); err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
+					err = errors.New("a bad answer: " + resp.Status)
+					break
+				}
+				answers.Add(1)
+				if i == 0 {
+					started <- struct{}{}
+				}
+				if resp.Close {
+					err = nil
+					break
+				}
+			}
+			if err != nil && err != io.EOF && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, syscall.EPIPE) {
+				ends <- err
+				return
+			}
+			ends <- nil
+		}()
+	}
+	for range clients {
+		select {
+		case <-started:
+		case err := <-ends:
+			t.Fatal(err)
+		}
+	}
+	p.stop()
+	for range clients {
+		if err := proxytest.Receive(t, "end of a client", ends); err != nil {
+			t.Error(err)
+		}
+	}
+	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
+		t.Error(err)
+	}
+	f := p.Metrics()
+	if ends := f.Classes["look"]; ends.Succeeded+ends.Rejected != answers.Load() || ends.Failed != 0 || f.InFlight != 0 {
+		t.Errorf("%d answers, figures %+v", answers.Load(), f)
+	}
+}
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -4,6 +4,7 @@
 	"cmp"
 
 	"merlinpick/internal/management"
+	"merlinpick/internal/proxy/downstream"
 )
 
 const (
@@ -20,7 +21,6 @@
 	clientConnFraction = 0.55
 	minConns           = 8 // on either side, at least
 
-	DefaultBodyMemory = 16 << 20 // bytes
 )
 
 // connLimits returns how many connections there may be of clients and to backends, and how many more of clients to reject
@@ -36,7 +36,7 @@
 	if cfg.Cluster != nil {
 		reserved += cfg.Cluster.Descriptors
 	}
-	reject = min(MaxRejectConns, max(minRejectConns, descriptors/rejectConnsDivisor))
+	reject = min(downstream.MaxRejectConns, max(minRejectConns, descriptors/rejectConnsDivisor))
 	available := descriptors - reserved - reject
 	clients = int(clientConnFraction * float64(available))
 	return clients, available - clients, reject
@@ -47,12 +47,11 @@
 func (p *Proxy) applyResourceShare(shared bool) {
 	clients, backends, reject := p.config.connLimits(shared)
 	p.frontend.SetLimits(max(clients, minConns), max(backends, minConns), reject)
-	fraction, memory := 1.0, cmp.Or(p.config.BodyMemory, DefaultBodyMemory)
+	fraction, memory := 1.0, cmp.Or(p.config.BodyMemory, downstream.DefaultBodyMemory)
 	if shared {
 		fraction, memory = 0.5, memory/2
 	}
-	p.frontend.bodyMemory.SetMax(memory)
-	p.frontend.headMemory.SetMax(memory)
+	p.frontend.SetMemory(memory)
 	p.loop.pool.SetLimits(max(backends, minConns), memory)
 	if p.config.OnMemoryShare != nil {
 		p.config.OnMemoryShare(fraction)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -10,6 +10,7 @@
 	"merlinpick/balancer"
 	"merlinpick/internal/override"
 	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/upstream"
 	"merlinpick/internal/settings"
 )
@@ -213,16 +214,8 @@
 	}
 }
 
-// balancerSettings are the settings in force.
-func (l *eventLoop) balancerSettings(site *settings.Site) *balancer.Settings {
-	if l.balancer == nil {
-		return &site.Balancer // a test without a balancer
-	}
-	return l.balancer.Settings()
-}
-
 // reconfigure puts other settings in force for the requests that come from now on. With an error nothing has changed.
-func (l *eventLoop) reconfigure(site *settings.Site, next balancer.Settings, f *Server) error {
+func (l *eventLoop) reconfigure(site *settings.Site, next balancer.Settings, f *downstream.Server) error {
 	if next.Zone < len(site.Zones) { // zones keep the numbers that they have
 		next.Zone = l.zoneNumbers.number(site.Zones[next.Zone])
 		for _, name := range site.Zones {
@@ -235,7 +228,7 @@
 		return err
 	}
 	l.updateZoneNames()
-	f.SetSettings(newSettingsSnapshot(site, l.balancer.Settings(), classNumbers))
+	f.SetSettings(site, l.balancer.Settings(), classNumbers)
 	l.pool.SetTimeouts(site.DialTimeout, site.IdleClose)
 	l.pool.SetDrainGrace(site.Balancer.DrainGrace)
 	return nil
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -10,6 +10,7 @@
 
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/proxy/clientconn"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/proxytest"
 )
 
@@ -24,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 			p := startProxy(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
-			p.frontend.headMemory.SetMax(room)
+			p.frontend.SetMemory(room)
 			answers := make(chan int, peers)
 			var all []*proxytest.Client
 			for i := range peers {
@@ -42,20 +43,20 @@
 					t.Errorf("got %d", got)
 				}
 			}
-			if n := p.frontend.headMemory.Used(); n > room || n == 0 {
+			if n := bufferedHeads(p); n > room || n == 0 {
 				t.Errorf("%d bytes are held", n)
 			}
 			for _, c := range all {
 				c.Close()
 			}
-			proxytest.WaitUntil(t, func() bool { return p.frontend.headMemory.Used() == 0 })
+			proxytest.WaitUntil(t, func() bool { return bufferedHeads(p) == 0 })
 			c := connect(t, p)
 			c.Send(t, strings.Replace(proxytest.PostRequest("n", "Content-Length: 31744"), "Host: h", "Host: h\r\nX: "+strings.Repeat("x", 8<<10), 1)+
 				strings.Repeat("x", 31744))
 			if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 				t.Errorf("then got %s", resp.Status)
 			}
-			proxytest.WaitUntil(t, func() bool { return p.frontend.headMemory.Used() == 0 })
+			proxytest.WaitUntil(t, func() bool { return bufferedHeads(p) == 0 })
 		})
 	}
 }
@@ -67,7 +68,7 @@
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 120, "")
 	d.responses <- "" // a call that breaks
-	most := int(p.frontend.maxConns.Load())
+	most := connLimit(p)
 	for i := range 2 * most {
 		c := connect(t, p)
 		if i%2 == 0 { // the others never say a word
@@ -84,7 +85,7 @@
 		if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
 			t.Errorf("call %d: %s", i, resp.Status)
 		}
-		if took := time.Since(start); took > MinKeepAlive+time.Second {
+		if took := time.Since(start); took > downstream.MinKeepAlive+time.Second {
 			t.Errorf("call %d waited %v", i, took)
 		}
 	}
--- a/internal/proxy/misbehavingclients_test.go
+++ b/internal/proxy/misbehavingclients_test.go
@@ -12,36 +12,10 @@
 	"time"
 
 	"merlinpick/internal/discovery"
-	"merlinpick/internal/proxy/clientconn"
 	"merlinpick/internal/proxy/proxytest"
-	"merlinpick/internal/proxy/socket"
 	"merlinpick/internal/settings"
 )
 
-// A new connection whose request was in the kernel, unread since its goroutine had not run, was closed to make room for
-// another: it seemed to have sent nothing.
-func TestNewConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
-	f, h, _, p := startHooked(t, 4, "ok")
-	turn := make(chan struct{})
-	once(&h.reading, func() { <-turn })
-	c := connect(t, p)
-	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 1 })
-	c.Send(t, proxytest.LookRequest("1", 4000))
-	f.mu.Lock()
-	for conn := range f.conns {
-		proxytest.WaitUntil(t, func() bool {
-			return conn.(*clientconn.Conn).SinceLastReceived() > 2*minNewSilence && !socket.Quiet(conn)
-		})
-	}
-	f.mu.Unlock()
-	f.MakeRoom()
-	f.closeIdle(0, 0, true)
-	close(turn)
-	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("got %s %q", resp.Status, body)
-	}
-}
-
 // endless gives so many bytes.
 func endless(n int64) io.Reader {
 	return io.LimitReader(readerFunc(func(p []byte) (int, error) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -4,14 +4,15 @@
 //
 // Goroutines and what each owns:
 //   - the event loop (eventLoop.run): the balancer, the table of requests, the endpoint list, the operators' overrides.
-//   - one for each client connection (net/http): its clientConn, and the request that it reads and answers (frontend).
-//   - one for each attempt (attempt.run): its connection to a backend, until it posts the result to the loop.
+//   - one for each client connection (net/http): its clientconn.Conn, and the request that it reads and answers (downstream).
+//   - one for each attempt (upstream.Attempt.Run): its connection to a backend, until it posts the result to the loop.
 //   - one for each lingering client connection, each response without a length (readAhead) and each streamed upload
 //     (bodyEndWatcher); the owner of what they read ends them.
 //   - Proxy.Run's own: discovery's client, the overrides' store, the cluster member, the wait for a predecessor's exit,
 //     the handover server. Run returns after all of these.
 //
-// What several of them use has a lock: frontend (connections, uploads, settings in use), backendPool, metrics, audit.
+// What several of them use has a lock: downstream.Server (connections, uploads, settings in use), upstream.Pool, metrics,
+// audit.Recorder.
 package proxy
 
 import (
@@ -29,6 +30,7 @@
 	"merlinpick/internal/management"
 	"merlinpick/internal/override"
 	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/handover"
 	"merlinpick/internal/proxy/upstream"
 )
@@ -37,7 +39,7 @@
 type Proxy struct {
 	config     Config
 	loop       *eventLoop
-	frontend   *Server
+	frontend   *downstream.Server
 	metrics    *metrics
 	listClient *discovery.Client
 	overrides  *override.Overrides // nil without a management address
@@ -107,9 +109,13 @@
 		balancer: engine, clock: clock{time.Now()}, pool: pool, zoneNumbers: newZoneNumbers(cfg.Site.Zones),
 		metrics: metrics, audit: recorder, logger: cfg.Logger, managed: cfg.Managed, maxListAge: cfg.maxListAge(),
 	})
-	p := &Proxy{config: cfg, loop: l, metrics: metrics, predecessor: predecessor, drainTimes: DrainTimes, syncTimeout: cfg.syncTimeout()}
+	p := &Proxy{config: cfg, loop: l, metrics: metrics, predecessor: predecessor, drainTimes: downstream.DrainTimes, syncTimeout: cfg.syncTimeout()}
 	p.openListClient()
-	p.frontend = NewServer(cfg.Site, l, listener, cfg.Logger)
+	p.frontend = downstream.NewServer(downstream.Config{
+		Site: cfg.Site, Settings: engine.Settings(), Listener: listener, Handler: l,
+		RequestStarted: func(class string) func(int) { return metrics.requestStarted(class).finish },
+		ListAvailable:  l.list.available, Audit: recorder, Logger: cfg.Logger,
+	})
 	p.applyResourceShare(false)
 	return p
 }
@@ -249,7 +255,7 @@
 		defer p.predecessor.Close()
 	}
 	if p.syncTimeout > 0 {
-		p.frontend.awaitingSync.Store(true)
+		p.frontend.SetAwaitingSync(true)
 		parts.Go(func() { p.awaitSync(afterDrain) })
 	}
 	served := make(chan error, 1)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -15,6 +15,7 @@
 
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/proxy/clientconn"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/settings"
 )
@@ -128,6 +129,18 @@
 	return startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))), b
 }
 
+// connLimit is how many connections of clients a proxy serves.
+func connLimit(p *running) int {
+	conns, _ := p.frontend.Limits()
+	return conns
+}
+
+// bufferedHeads is how many bytes a proxy has buffered of heads, and of bodies' first bytes.
+func bufferedHeads(p *running) int {
+	_, heads := p.frontend.BufferedBytes()
+	return heads
+}
+
 // connect opens a client's connection to a proxy.
 func connect(t *testing.T, p *running) *proxytest.Client {
 	t.Helper()
@@ -170,7 +183,7 @@
 		"needless key":  {strings.Replace(proxytest.LookRequest("1", 9), "Tenant", "Idempotency-Key", 1), 400, true},
 		"missing key":   {"POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\nRequest-Class: rate\r\nContent-Length: 0\r\n\r\n", 400, true},
 		"body on a GET": {strings.Replace(proxytest.LookRequest("1", 9), "Tenant: acme", "Content-Length: 2", 1) + "ab", 400, true},
-		"too large":     {"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: " + strconv.Itoa(maxRequestBodyBytes+1) + "\r\n\r\n", 413, false},
+		"too large":     {"POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nContent-Length: " + strconv.Itoa(downstream.MaxRequestBodyBytes+1) + "\r\n\r\n", 413, false},
 		"no HTTP":       {"what is this\r\n\r\n", 400, false},
 		"huge head":     {"GET /look/k HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 4*clientconn.MaxHeadBytes) + "\r\n\r\n", 431, false},
 	} {
@@ -273,7 +286,7 @@
 	})
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 120, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
-	most := int(p.frontend.maxInFlight.Load())
+	_, most := p.frontend.Limits()
 	var conns []*proxytest.Client
 	for i := range most {
 		conns = append(conns, connect(t, p))
@@ -303,7 +316,7 @@
 func TestIdleConnectionsCauseNoRejection(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := startProxy(t, startDiscovery(t).addr, 120, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
-	for range p.frontend.maxConns.Load() + 2 {
+	for range connLimit(p) + 2 {
 		connect(t, p)
 	}
 	c := connect(t, p)
--- a/internal/proxy/proxytest/client.go
+++ b/internal/proxy/proxytest/client.go
@@ -6,6 +6,8 @@
 	"io"
 	"net"
 	"net/http"
+	"regexp"
+	"strings"
 	"testing"
 	"time"
 )
@@ -84,3 +86,32 @@
 	_ = c.SetDeadline(time.Now().Add(Timeout))
 	return NewClient(c)
 }
+
+var dateLine = regexp.MustCompile(`Date: [^\r]* GMT`)
+
+// RawExchange sends a text on a connection of its own and returns all bytes up to its end, or up to a response's, with D for
+// the date.
+func RawExchange(t *testing.T, addr, text string) string {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	_ = c.SetDeadline(time.Now().Add(Timeout))
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+	var seen strings.Builder
+	resp, err := http.ReadResponse(bufio.NewReaderSize(io.TeeReader(c, &seen), 16), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		t.Fatal(err)
+	}
+	if resp.Close {
+		_, _ = io.Copy(&seen, c)
+	}
+	return dateLine.ReplaceAllString(seen.String(), "Date: D")
+}
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -40,7 +40,7 @@
 func (p *Proxy) awaitSync(ctx context.Context) {
 	timeout := time.NewTimer(p.syncTimeout)
 	defer timeout.Stop()
-	defer p.frontend.awaitingSync.Store(false)
+	defer p.frontend.SetAwaitingSync(false)
 	select {
 	case <-p.loop.list.synced:
 	case <-p.listClient.Unreachable():
@@ -56,7 +56,7 @@
 
 // NotReadyReason is what this proxy lacks to be ready, as /readyz shows it; empty if it is.
 func (p *Proxy) NotReadyReason() string {
-	if p.frontend.draining.Load() {
+	if p.frontend.IsDraining() {
 		return "it drains"
 	}
 	select {
@@ -65,10 +65,10 @@
 		return fmt.Sprintf("no list of servers: the configuration has none (known), and discovery at %v has not answered yet",
 			p.config.Discovery)
 	}
-	if !p.frontend.serving.Load() {
+	if !p.frontend.IsServing() {
 		return "clients are not accepted yet"
 	}
-	if p.frontend.awaitingSync.Load() {
+	if p.frontend.IsAwaitingSync() {
 		return fmt.Sprintf("the list of the configuration is not confirmed: discovery at %v has not answered yet", p.config.Discovery)
 	}
 	return ""
--- a/internal/proxy/readiness_sync_test.go
+++ b/internal/proxy/readiness_sync_test.go
@@ -31,7 +31,7 @@
 		t.Cleanup(s.Close)
 		p := startSiteWaiting(t, asking, strings.TrimPrefix(s.URL, "http://"), known, patience)
 		proxytest.Receive(t, "a call for the list", called)
-		proxytest.WaitUntil(t, p.frontend.serving.Load)
+		proxytest.WaitUntil(t, p.frontend.IsServing)
 		return p, called
 	}
 	t.Run("until it is confirmed", func(t *testing.T) {
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -46,7 +46,7 @@
 	s.Start()
 	t.Cleanup(s.Close)
 	p := startSite(t, asking, place.Addr().String(), 200, "", t.TempDir())
-	proxytest.WaitUntil(t, func() bool { return p.frontend.serving.Load() && calls.Load() >= 4 })
+	proxytest.WaitUntil(t, func() bool { return p.frontend.IsServing() && calls.Load() >= 4 })
 	if missing := p.NotReadyReason(); p.Ready() || !strings.Contains(missing, "no list") ||
 		!strings.Contains(missing, place.Addr().String()) {
 		t.Errorf("ready %v, missing %q", p.Ready(), missing)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -3,13 +3,11 @@
 import (
 	"container/heap"
 	"context"
-	"net"
 	"net/http"
 	"time"
 
-	"merlinpick/balancer"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/invariant"
-	"merlinpick/internal/proxy/socket"
 	"merlinpick/internal/proxy/upstream"
 )
 
@@ -21,17 +19,9 @@
 	maxUploadTime = 30 * time.Minute // for a body to come; its rate is checked where it is read
 )
 
-// request is one request that a client has sent. The client's goroutine sets the first group of fields before the loop gets
-// it; the second group belongs to the loop. outbound is the attempt's while there is one, but for ClientDeadline.
+// request is a client's request in the loop's table. It belongs to the loop.
 type request struct {
-	balancer.Request
-	ClassName     string
-	Outbound      upstream.Request
-	ClientContext context.Context // ends once net/http has noticed that the client has gone; nil in a test without one
-	ClientConn    net.Conn
-	StopUpload    func()        // of a body that is still coming: nobody wants the rest any more
-	responses     chan Response // takes the one final response without a wait
-
+	*downstream.Request
 	rules            *invariant.Request // nil before the loop has taken it
 	recordedAttempts int                // that were started
 	ended            bool               // it has its final response, or nobody waits for one
@@ -51,46 +41,57 @@
 	recordIndex int               // among the started attempts of its request
 }
 
-// response is a final response.
-type Response struct {
-	Status      int // 0: nobody waits for one
-	ContentType string
-	Body        []byte
-	Stream      *upstream.Stream // in place of body, for a response that is streamed
-	RetryAfter  int64            // of a rejection, in microseconds; 0: none
+// The loop is the client side's Handler: each call is an event.
+
+// HandleRequest implements downstream.Handler.
+func (l *eventLoop) HandleRequest(r *downstream.Request) { l.post(func() { l.handleRequest(r) }) }
+
+// HandleBodyArrived implements downstream.Handler.
+func (l *eventLoop) HandleBodyArrived(r *downstream.Request, arrived time.Time) {
+	l.postFor(r, func(r *request) { l.handleBodyArrived(r, arrived) })
 }
 
-// clientGone reports whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
-// context; what it cannot have seen yet, or never will, at the socket. Any goroutine may call it.
-func (r *request) IsClientGone() bool {
-	return r.ClientContext != nil && (r.ClientContext.Err() != nil || socket.PeerClosed(r.ClientConn))
+// HandleBodyReceived implements downstream.Handler.
+func (l *eventLoop) HandleBodyReceived(r *downstream.Request, clientDeadline time.Time) {
+	l.postFor(r, func(r *request) { l.handleBodyReceived(r, l.clock.at(clientDeadline)) })
+}
+
+// HandleClientGone implements downstream.Handler.
+func (l *eventLoop) HandleClientGone(r *downstream.Request) { l.postFor(r, l.handleClientGone) }
+
+// Stopped implements downstream.Handler.
+func (l *eventLoop) Stopped() context.Context { return l.stopped }
+
+// postFor posts an event of a request, unless the loop did not take that or has forgotten it.
+func (l *eventLoop) postFor(r *downstream.Request, event func(*request)) {
+	l.post(func() {
+		if own := l.requests[r.ID]; own != nil && own.Request == r {
+			event(own)
+		}
+	})
 }
 
-// handleRequest gives a request to the balancer, which has until its deadline to end it.
-func (l *eventLoop) handleRequest(r *request) {
-	if l.requests[r.ID] != nil { // two under one ID could not be distinguished
-		r.endUntaken(Response{Status: http.StatusBadRequest})
+// handleRequest gives a request to the balancer, which has until its deadline to end it. Two under one ID could not be
+// distinguished: the second is rejected.
+func (l *eventLoop) handleRequest(received *downstream.Request) {
+	if l.requests[received.ID] != nil {
+		received.Respond(downstream.Response{Status: http.StatusBadRequest})
 		return
 	}
-	if r.ClientContext != nil && r.ClientContext.Err() != nil { // it left while the event was queued
-		r.endUntaken(Response{})
+	if received.HasLeft() { // while the event was queued
+		received.Respond(downstream.Response{})
 		return
 	}
+	r := &request{Request: received}
 	l.requests[r.ID] = r
+	if !r.BodyPending {
+		r.Deadline = l.clock.at(r.ClientDeadline)
+	}
 	l.auditRequest(r)
 	if !r.BodyPending {
 		l.armDeadline(r)
 	}
-	l.balancer.HandleRequest(l.clock.now(), l, r.Request)
-}
-
-// endUntaken ends a request that neither the loop's table nor the balancer has.
-func (r *request) endUntaken(resp Response) {
-	r.ended = true
-	r.responses <- resp
-	if r.StopUpload != nil {
-		r.StopUpload()
-	}
+	l.balancer.HandleRequest(l.clock.now(), l, r.Request.Request)
 }
 
 // armDeadline has a request expire at its deadline.
@@ -139,16 +140,13 @@
 }
 
 // respond gives a request its final response, if it has none yet.
-func (l *eventLoop) respond(r *request, resp Response) {
+func (l *eventLoop) respond(r *request, resp downstream.Response) {
 	if r.ended {
 		return
 	}
 	r.ended = true
 	l.auditResponse(r, resp)
-	r.responses <- resp
-	if r.StopUpload != nil {
-		r.StopUpload()
-	}
+	r.Respond(resp)
 	l.forget(r)
 }
 
@@ -161,7 +159,7 @@
 }
 
 // withdraw ends a request whatever the balancer would decide, and cancels its attempt.
-func (l *eventLoop) withdraw(r *request, resp Response) {
+func (l *eventLoop) withdraw(r *request, resp downstream.Response) {
 	if r.ended {
 		return
 	}
@@ -172,7 +170,7 @@
 
 // handleClientGone ends a request whose client has gone, even in the middle of its response.
 func (l *eventLoop) handleClientGone(r *request) {
-	l.withdraw(r, Response{})
+	l.withdraw(r, downstream.Response{})
 	r.cancelAttempt()
 }
 
@@ -184,7 +182,7 @@
 
 // expire fails a request that the balancer has not ended in its time.
 func (l *eventLoop) expire(r *request) {
-	l.withdraw(r, Response{Status: http.StatusGatewayTimeout})
+	l.withdraw(r, downstream.Response{Status: http.StatusGatewayTimeout})
 }
 
 // shortenDeadlines has all requests end by cutoff, a moment of the loop's clock: after SIGTERM the process may be killed
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -214,7 +214,7 @@
 		t.Fatal(err)
 	}
 	p.stop()
-	proxytest.WaitUntil(t, p.frontend.closing.Load)
+	proxytest.WaitUntil(t, p.frontend.IsClosing)
 	time.Sleep(200 * time.Millisecond) // past the cutoff, whatever this machine is at
 	close(goOn)
 	if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != int64(2*len(part)-10) {
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -2,24 +2,22 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
-	"merlinpick/internal/proxy/clientconn"
+	"merlinpick/internal/proxy/downstream"
 	"merlinpick/internal/proxy/proxytest"
 )
 
 // A body that is too large to be buffered reaches the backend completely, in every framing, while it comes.
 func TestLargeBodiesAreStreamed(t *testing.T) {
-	const size = 2*MaxBufferedBody + 5
+	const size = 2*downstream.MaxBufferedBody + 5
 	body := bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size]
 	for _, c := range []struct {
 		name, framing string
@@ -52,9 +50,9 @@
 					cl.Send(t, string(part))
 				}
 			}
-			send(body[:MaxBufferedBody+1])
+			send(body[:downstream.MaxBufferedBody+1])
 			proxytest.Receive(t, "the head at the backend", b.Begun) // the rest follows only once this has come
-			send(body[MaxBufferedBody+1 : size-1])
+			send(body[downstream.MaxBufferedBody+1 : size-1])
 			send(body[size-1:])
 			if c.chunked {
 				cl.Send(t, "0\r\n\r\n")
@@ -72,8 +70,8 @@
 				}
 			}
 			proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Succeeded == 1 })
-			if p.frontend.bodyMemory.Used() != 0 {
-				t.Errorf("%d bytes still held", p.frontend.bodyMemory.Used())
+			if bodies, _ := p.frontend.BufferedBytes(); bodies != 0 {
+				t.Errorf("%d bytes still buffered", bodies)
 			}
 		})
 	}
@@ -116,7 +114,7 @@
 	b.Begun = make(chan struct{})
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	cl := connect(t, p)
-	cl.Send(t, proxytest.PostRequest("1", "Content-Length: 1000000")+strings.Repeat("x", MaxBufferedBody+1))
+	cl.Send(t, proxytest.PostRequest("1", "Content-Length: 1000000")+strings.Repeat("x", downstream.MaxBufferedBody+1))
 	proxytest.Receive(t, "the head at the backend", b.Begun)
 	cl.Close()
 	proxytest.Receive(t, "the backend's connection", b.Closed)
@@ -127,92 +125,13 @@
 	}
 }
 
-// slowReader gives pieces with pauses, and then nothing until its deadline.
-type slowReader struct {
-	piece    int
-	pause    time.Duration
-	left     int
-	deadline time.Time
-}
-
-func (r *slowReader) Read(p []byte) (int, error) {
-	if r.left == 0 || time.Now().Add(r.pause).After(r.deadline) {
-		time.Sleep(time.Until(r.deadline))
-		return 0, errors.New("deadline")
-	}
-	time.Sleep(r.pause)
-	n := min(r.piece, r.left, len(p))
-	r.left -= n
-	return n, nil
-}
-
-// A client may be as slow as 64 kB a second, after a head that took 2 s; who stalls or drips is cut off in time.
-func TestMinimumUploadRate(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		r     slowReader
-		whole bool
-		most  time.Duration // until the end
-	}{
-		{"slow and steady", slowReader{piece: 640, pause: 10 * time.Millisecond, left: 200_000}, true, time.Minute},
-		{"slow in large pieces", slowReader{piece: 16_000, pause: 250 * time.Millisecond, left: 200_000}, true, time.Minute},
-		{"nothing", slowReader{}, false, clientconn.RequestReadTimeout},
-		{"a stall after much", slowReader{piece: 1 << 20, left: 150_000}, false, clientconn.RequestReadTimeout},
-		{"dripping", slowReader{piece: 10, pause: 200 * time.Millisecond, left: 200_000}, false, clientconn.RequestReadTimeout + time.Second},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				began := time.Now()
-				if c.whole {
-					time.Sleep(2 * time.Second) // the head
-				}
-				u := &upload{source: &c.r, contentLength: 200_000, startedAt: began, lastReceived: time.Now(), bodyMemory: clientconn.NewMemoryBudget(1 << 20), headMemory: clientconn.NewMemoryBudget(MaxBufferedBody),
-					setReadDeadline: func(at time.Time) error { c.r.deadline = at; return nil }}
-				_, whole, err := u.buffer()
-				if whole != c.whole || (err == nil) != c.whole {
-					t.Errorf("whole %v, %v", whole, err)
-				}
-				if took := time.Since(began); took > c.most {
-					t.Errorf("it took %v", took)
-				}
-			})
-		})
-	}
-}
-
-// Bodies are buffered while there is memory for it, and the guaranteed part of each in any case.
-func TestBufferedBodiesAreBounded(t *testing.T) {
-	h := clientconn.NewMemoryBudget(3 * guaranteedBodyBuffer)
-	var all []*upload
-	held := 0
-	for range 10 {
-		u := &upload{source: bytes.NewReader(make([]byte, 2*MaxBufferedBody)), contentLength: 2 * MaxBufferedBody, bodyMemory: h, headMemory: clientconn.NewMemoryBudget(MaxBufferedBody),
-			setReadDeadline: func(time.Time) error { return nil }}
-		body, whole, err := u.buffer()
-		if err != nil || whole || len(body) < guaranteedBodyBuffer {
-			t.Fatalf("%d bytes, whole %v, %v", len(body), whole, err)
-		}
-		held += cap(body)
-		all = append(all, u)
-	}
-	if held > (10+3)*guaranteedBodyBuffer {
-		t.Errorf("%d bytes are held", held)
-	}
-	for _, u := range all {
-		h.Release(u.bodyReserved)
-	}
-	if h.Used() != 0 {
-		t.Errorf("%d bytes counted after the end", h.Used())
-	}
-}
-
 // A body that cannot be complete before the cutoff is rejected so that it may come again, not dropped.
 func TestUploadIncompleteAtCutoffIsRejected(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
-	for _, size := range []int{1000, 4 * MaxBufferedBody} { // held, and passed on as it comes
+	for _, size := range []int{1000, 4 * downstream.MaxBufferedBody} { // held, and passed on as it comes
 		cl := connect(t, p)
 		cl.Send(t, proxytest.PostRequest(fmt.Sprint(size), fmt.Sprintf("Content-Length: %d", size))+strings.Repeat("x", size-500))
 		defer func() {
