--- a/internal/proxy/downstream/upload.go
+++ b/internal/proxy/downstream/upload.go
@@ -20,9 +20,10 @@
 	// MaxBufferedBody bytes of a body are buffered at most, to be sent again; the rest is streamed.
 	MaxBufferedBody = 256 << 10
 
-	guaranteedBodyBuffer = 32 << 10  // so many are, however little memory is left, and go out with the head at once
+	// guaranteedBodyBuffer bytes are, however little memory is left, and go out with the head at once.
+	guaranteedBodyBuffer = 32 << 10
 
-	// A body must come at minUploadRate (bytes a second) from requestReadTimeout after its request's start, and must not
+	// A body must come at minUploadRate (bytes a second) from clientconn.RequestReadTimeout after its request's start, and must not
 	// pause for uploadStallTimeout. Slow clients send 64 kB a second.
 	minUploadRate      = 32 << 10
 	uploadStallTimeout = 1500 * time.Millisecond
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -20,7 +20,6 @@
 	// that is 192 or more, as many as clients use for requests at once.
 	clientConnFraction = 0.55
 	minConns           = 8 // on either side, at least
-
 )
 
 // connLimits returns how many connections there may be of clients and to backends, and how many more of clients to reject
