--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -1,14 +1,12 @@
 package proxy
 
 import (
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"maps"
 	"net/http"
 	"os"
 	"path/filepath"
-	"reflect"
 	"slices"
 	"strings"
 	"testing"
@@ -19,7 +17,6 @@
 	"merlinpick/internal/proxy/audit"
 	"merlinpick/internal/proxy/clientconn"
 	"merlinpick/internal/proxy/downstream"
-	"merlinpick/internal/proxy/handover"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/proxy/upstream"
 )
@@ -46,40 +43,6 @@
 	}
 }
 
-func TestHandoverLineIsGolden(t *testing.T) {
-	told := handover.State{RetryBudget: handover.RetryBudgetUsage{Requests: []int64{1_000_000, 2_000_000}, Retries: []int64{1_500_000}},
-		KnownServers: []string{"node-1", "node-2"}, Now: 3_000_000}
-	line, err := json.Marshal(told)
-	if err != nil {
-		t.Fatal(err)
-	}
-	checkGolden(t, "handover.json", string(line)+"\n")
-
-	for _, c := range []struct {
-		file string
-		now  int64
-		want balancer.RetryBudgetUsage
-	}{
-		{"handover.json", 13_000_000, balancer.RetryBudgetUsage{Requests: []int64{11_000_000, 12_000_000}, Retries: []int64{11_500_000}}},
-		{"handover-without-now.json", 13_000_000, balancer.RetryBudgetUsage{Requests: []int64{1_000_000, 2_000_000}, Retries: []int64{1_500_000}}},
-	} {
-		text, err := os.ReadFile(filepath.Join("testdata", c.file))
-		if err != nil {
-			t.Fatal(err)
-		}
-		var read handover.State
-		if err := json.Unmarshal(text, &read); err != nil {
-			t.Fatal(err)
-		}
-		if !slices.Equal(read.KnownServers, told.KnownServers) {
-			t.Errorf("%s: names %v", c.file, read.KnownServers)
-		}
-		if got := read.RetryBudgetAt(c.now); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: got %v, want %v", c.file, got, c.want)
-		}
-	}
-}
-
 // The responses that the proxy makes itself, as they stand on the wire.
 func TestOwnAnswersAreGolden(t *testing.T) {
 	breaks, _ := startServing(t, proxytest.RespondWith("", false))
--- a/internal/proxy/starttimes_test.go
+++ b/internal/proxy/starttimes_test.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"merlinpick/internal/discovery"
-	"merlinpick/internal/proxy/handover"
 )
 
 // The age of a server's process is taken by the wall clock of the moment in which the list first names its start: a step
@@ -36,21 +35,3 @@
 		}
 	}
 }
-
-// The retry budget that a predecessor used is as long ago for its successor as for itself, also where the wall clock was
-// set between their starts.
-func TestHandoverStateUsesSuccessorsClock(t *testing.T) {
-	const now = int64(50e6)
-	before := handover.State{Now: now + 3600e6}
-	before.RetryBudget.Requests = []int64{before.Now - 2e6, before.Now - 1e6}
-	before.RetryBudget.Retries = []int64{before.Now - 1e6}
-	got := before.RetryBudgetAt(now)
-	if got.Requests[0] != now-2e6 || got.Requests[1] != now-1e6 || got.Retries[0] != now-1e6 {
-		t.Errorf("got %+v", got)
-	}
-	former := handover.State{} // of a version that says no time
-	former.RetryBudget.Requests = []int64{7}
-	if got := former.RetryBudgetAt(now); got.Requests[0] != 7 {
-		t.Errorf("got %+v", got)
-	}
-}
