--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -61,7 +61,7 @@
 	b := &Balancer{shared: common, requests: map[string]*request{}}
 	b.reports = &reportExchange{}
 	b.members = newMembership(common)
-	b.listing = &listEvidence{shared: common}
+	b.listing = newListEvidence(common)
 	b.subscription = newSubscription(common)
 	b.ordering = newOrdering()
 	b.admission = newAdmission(common)
@@ -69,10 +69,10 @@
 	b.retries = newRetryPolicy(common)
 	b.slowStart = newSlowStart(common)
 	b.spillover = newSpillover(&s)
-	b.locality = &locality{shared: common, members: b.members, spillover: b.spillover, reports: b.reports}
-	b.outliers = &outlierDetection{shared: common, members: b.members, reports: b.reports}
-	b.damping = &flapDamping{shared: common, members: b.members, reports: b.reports}
-	b.loads = &loads{shared: common, members: b.members, reports: b.reports}
+	b.locality = newLocality(common, b.members, b.spillover, b.reports)
+	b.outliers = newOutlierDetection(common, b.members, b.reports)
+	b.damping = newFlapDamping(common, b.members, b.reports)
+	b.loads = newLoads(common, b.members, b.reports)
 	b.tuning = &weightTuning{shared: common, members: b.members, loads: b.loads, slowStart: b.slowStart,
 		reports: b.reports, locality: b.locality}
 	b.selection = &selection{shared: common, members: b.members, listing: b.listing, locality: b.locality,
--- a/balancer/flapdamping.go
+++ b/balancer/flapdamping.go
@@ -176,6 +176,10 @@
 	loggedAt moment
 }
 
+func newFlapDamping(common *shared, members *membership, reports *reportExchange) *flapDamping {
+	return &flapDamping{shared: common, members: members, reports: reports}
+}
+
 // detectFlap looks whether a server has fallen or recovered. Slow calls are no fall, nor are rejected ones:
 // an overload would damp its whole tier. A single failure is one if others report the server, too.
 func (d *flapDamping) detectFlap(now moment, server *server) {
--- a/balancer/listevidence.go
+++ b/balancer/listevidence.go
@@ -31,6 +31,8 @@
 	everConfirmed bool
 }
 
+func newListEvidence(common *shared) *listEvidence { return &listEvidence{shared: common} }
+
 // ttl is how long evidence lasts; 0: the list holds without limit.
 func (e *listEvidence) ttl() span { return span(e.settings.MembershipEvidenceTTL) }
 
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -65,6 +65,10 @@
 	successes      float64
 }
 
+func newLoads(common *shared, members *membership, reports *reportExchange) *loads {
+	return &loads{shared: common, members: members, reports: reports}
+}
+
 // record takes the end of an attempt. Latencies are scaled to a call of a typical class: a server would
 // otherwise be fast for the classes that it happened to get. It returns the latency as a multiple of its
 // class's unloaded one; ok is false if the attempt failed.
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -29,14 +29,16 @@
 	evacuationConfirmation = 150 * milliseconds // for which a zone has to be bad, and
 	evacuatingFraction     = 0.3                // of its weight that it gets meanwhile
 
-	saturationSpillover    = 0.35 // spillover from which a replica reports the local zone as saturated
-	saturatedMinSpillover  = 0.15 // spillover at least, while most replicas do
-	healthyMaxSpillover    = 0.01 // spillover at most, while all find that the local zone copes
-	isolatedStepFactor     = 4    // how much longer an isolated replica takes for a step of a recovery
-	isolatedTrialCalls     = 0.9  // answered trials that an isolated replica takes for enough
-	peerAgreementDelay     = 1 * seconds
+	saturationSpillover   = 0.35 // spillover from which a replica reports the local zone as saturated
+	saturatedMinSpillover = 0.15 // spillover at least, while most replicas do
+	healthyMaxSpillover   = 0.01 // spillover at most, while all find that the local zone copes
+
+	peerAgreementDelay = 1 * seconds // for which a zone has to be in a phase before a replica follows others
+
 	recoveryGoodCalls      = 3.0  // answered trials, faded, that it takes to return to a zone
 	recoveryMaxBadFraction = 0.25 // of calls to a zone that is returned to
+	isolatedTrialCalls     = 0.9  // answered trials that an isolated replica takes for enough
+	isolatedStepFactor     = 4    // how much longer an isolated replica takes for a step of a recovery
 
 	// How long a zone stays evacuated: at least, doubled for each time that it was left within
 	// evacuationMemory, and at most. Where few trials or none can be made, as of calls that can't be
@@ -47,14 +49,14 @@
 
 	trialsPerSecond = 3.0 // that an evacuated zone gets from all replicas of this zone together
 
-	// A step of a recovery lasts so long and this fraction of Settings.SlowStartDuration.
+	// A step of a recovery lasts so long, and this fraction of Settings.SlowStartDuration, at least.
 	minRecoveryStep, recoveryStepFraction = 1 * seconds, 0.2
 )
 
 // recoveryFractions are the parts of its weight that a recovering zone gets one after the other.
 var recoveryFractions = [...]float64{0.05, 0.15, 0.4, 0.7, 1}
 
-// locality holds the zones, and what their use depends on.
+// locality holds the zones.
 type locality struct {
 	*shared
 	members   *membership
@@ -63,6 +65,11 @@
 	zones     []zone // by number; nil until reports are exchanged or a zone is drained
 }
 
+func newLocality(common *shared, members *membership, spillover *spillover,
+	reports *reportExchange) *locality {
+	return &locality{shared: common, members: members, spillover: spillover, reports: reports}
+}
+
 // evaluate moves each zone to the phase where the reports of this zone's replicas put it. It reports whether
 // one was evacuated or is not any more.
 func (l *locality) evaluate(now moment, host Host) (changed bool) {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -159,6 +159,10 @@
 	errorRate float64 // running fraction of failed attempts over all servers, 0 to 1
 }
 
+func newOutlierDetection(common *shared, members *membership, reports *reportExchange) *outlierDetection {
+	return &outlierDetection{shared: common, members: members, reports: reports}
+}
+
 // attribute takes the end of an attempt into the health of its server and reports whether a failure is the
 // server's own. One that the other servers show alike comes from a tier behind them. A refused connection
 // always is the server's own: a zone that is lost refuses at all its servers. An error or a rejection
