--- a/internal/proxy/upload.go
+++ b/internal/proxy/downstream/upload.go
@@ -1,4 +1,4 @@
-package proxy
+package downstream
 
 import (
 	"cmp"
@@ -15,12 +15,15 @@
 )
 
 const (
-	maxRequestBodyBytes = 40 << 20
+	// MaxRequestBodyBytes of a body are read; a longer one is rejected.
+	MaxRequestBodyBytes = 40 << 20
+	// MaxBufferedBody bytes of a body are buffered at most, to be sent again; the rest is streamed.
+	MaxBufferedBody = 256 << 10
 
-	MaxBufferedBody      = 256 << 10 // up to so many bytes are buffered, to be sent again; the rest is streamed
-	guaranteedBodyBuffer = 32 << 10  // so many are, however little memory is left, and go out with the head at once
+	// guaranteedBodyBuffer bytes are, however little memory is left, and go out with the head at once.
+	guaranteedBodyBuffer = 32 << 10
 
-	// A body must come at minUploadRate (bytes a second) from requestReadTimeout after its request's start, and must not
+	// A body must come at minUploadRate (bytes a second) from clientconn.RequestReadTimeout after its request's start, and must not
 	// pause for uploadStallTimeout. Slow clients send 64 kB a second.
 	minUploadRate      = 32 << 10
 	uploadStallTimeout = 1500 * time.Millisecond
@@ -99,7 +102,7 @@
 		u.received.Add(int64(n))
 		u.lastReceived = time.Now()
 	}
-	if u.received.Load() > maxRequestBodyBytes {
+	if u.received.Load() > MaxRequestBodyBytes {
 		return n, errBodyTooLarge
 	}
 	return n, err
@@ -165,7 +168,7 @@
 	if u.contentLength == 0 {
 		return nil, true, nil
 	}
-	if u.contentLength > maxRequestBodyBytes {
+	if u.contentLength > MaxRequestBodyBytes {
 		return nil, false, errBodyTooLarge
 	}
 	for {
