--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -81,13 +81,13 @@
 	if err != nil {
 		return err
 	}
-	o := run.Options{Log: log}
+	o := run.Options{Logger: log}
 	sides, err := c.sides(e)
 	if err != nil {
 		return err
 	}
 	if e.List.Members > 0 {
-		if o.Registry, err = program(c.Roster, "--roster", "merlinpick-registry"); err != nil {
+		if o.RegistryCommand, err = program(c.Roster, "--roster", "merlinpick-registry"); err != nil {
 			return err
 		}
 	}
@@ -96,8 +96,8 @@
 		if err != nil {
 			return err
 		}
-		if o.Hollow = strings.Fields(c.Hollow); len(o.Hollow) == 0 {
-			o.Hollow = []string{self, "hollow"}
+		if o.HollowCommand = strings.Fields(c.Hollow); len(o.HollowCommand) == 0 {
+			o.HollowCommand = []string{self, "hollow"}
 		}
 	}
 	seed, repeat := e.Seed, e.Repeat
@@ -185,9 +185,9 @@
 	}
 	for try := 0; ; try++ {
 		fmt.Fprintf(os.Stderr, "%s: starting %d proxies\n", what, len(s.exp.ProxyNodes()))
-		o.Out, o.Command, o.Progress = s.dir, s.command, func(at, of time.Duration, p run.Progress) {
+		o.OutputDir, o.ProxyCommand, o.Progress = s.dir, s.command, func(at, of time.Duration, p run.Progress) {
 			fmt.Fprintf(os.Stderr, "%s: %4.0f of %.0f s, %d arrivals, the newest %v late\n", what, at.Seconds(),
-				of.Seconds(), p.Arrived, p.Late.Round(10*time.Microsecond))
+				of.Seconds(), p.Arrived, p.Lateness.Round(10*time.Microsecond))
 		}
 		p, err := run.Play(ctx, s.exp, seed, o)
 		if err != nil && ctx.Err() == nil {
--- a/cmd/merlinpick-faultlab/soak.go
+++ b/cmd/merlinpick-faultlab/soak.go
@@ -68,7 +68,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "experiment.toml"), []byte(text), 0o644); err != nil {
 		return nil, "", err
 	}
-	p, err := run.Play(ctx, e, seed, run.Options{Command: command, Out: dir, Log: log})
+	p, err := run.Play(ctx, e, seed, run.Options{ProxyCommand: command, OutputDir: dir, Logger: log})
 	if err != nil {
 		return nil, "", err
 	}
--- a/internal/faultlab/run/byzantine.go
+++ b/internal/faultlab/run/byzantine.go
@@ -14,24 +14,24 @@
 const firstByzantine = 400 // of the ordinals: above those of proxies
 
 // lie has byzantine members join the gossip for a fault's time, one in each zone in turn.
-func (t *timeline) lie(ctx context.Context, s plan.Strike) error {
-	if !t.exp.Cluster.On {
+func (t *timeline) runByzantineMembers(ctx context.Context, strike plan.Strike) error {
+	if !t.experiment.Cluster.On {
 		return nil
 	}
-	zones := t.exp.ZoneNames()
+	zones := t.experiment.ZoneNames()
 	victims := func() (out []byzantine.Target) {
-		for _, turn := range s.Turns {
-			srv := t.server(turn.Target)
-			srv.mu.Lock()
-			out = append(out, byzantine.Target{Name: srv.entry.Name, StartedAtMs: srv.entry.Since})
-			srv.mu.Unlock()
+		for _, turn := range strike.Turns {
+			server := t.server(turn.Target)
+			server.mu.Lock()
+			out = append(out, byzantine.Target{Name: server.entry.Name, StartedAtMs: server.entry.Since})
+			server.mu.Unlock()
 		}
 		return out
 	}
 	var errs []error
-	for i := range s.Fault.Liars {
+	for i := range strike.Fault.Liars {
 		zone := zones[i%len(zones)]
-		l, err := t.join(experiment.Node{Name: fmt.Sprintf("%s-liar%d.%d", zone, s.N, i+1), Zone: zone}, victims)
+		l, err := t.joinByzantine(experiment.Node{Name: fmt.Sprintf("%s-liar%d.%d", zone, strike.N, i+1), Zone: zone}, victims)
 		if err != nil {
 			errs = append(errs, err)
 			break
@@ -39,18 +39,18 @@
 		defer l.Leave()
 	}
 	if len(errs) == 0 {
-		t.hold(ctx, s, s.At)
+		t.holdFault(ctx, strike, strike.At)
 	}
 	return errors.Join(errs...)
 }
 
 // join has one byzantine member join, behind a relay of its own.
-func (t *timeline) join(node experiment.Node, victims func() []byzantine.Target) (*byzantine.Member, error) {
+func (t *timeline) joinByzantine(node experiment.Node, victims func() []byzantine.Target) (*byzantine.Member, error) {
 	t.mu.Lock()
-	n := firstByzantine + t.liars
-	t.liars++
+	n := firstByzantine + t.byzantineMembers
+	t.byzantineMembers++
 	t.mu.Unlock()
-	r, err := t.relay(node, n)
+	r, err := t.addRelay(node, n)
 	if err != nil {
 		return nil, err
 	}
@@ -59,5 +59,5 @@
 		return nil, err
 	}
 	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage), Bind: bind, Advertise: r.Addr(),
-		Label: t.exp.Cluster.Label, Seeds: t.seeds(node), Logger: t.log}, victims, t.exp.ZoneNames())
+		Label: t.experiment.Cluster.Label, Seeds: t.gossipSeeds(node), Logger: t.log}, victims, t.experiment.ZoneNames())
 }
--- a/internal/faultlab/run/cells_test.go
+++ b/internal/faultlab/run/cells_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A cell's number is one zone's: proxies tell cells apart by it alone.
-func TestCellsAreOneZones(t *testing.T) {
+func TestCellBelongsToOneZone(t *testing.T) {
 	zoneOf := map[int]int{}
 	for zone := range 9 {
 		for number := range 50 {
--- a/internal/faultlab/run/config.go
+++ b/internal/faultlab/run/config.go
@@ -13,9 +13,9 @@
 func micros(ms float64) int64 { return int64(ms * 1000) }
 
 // settings is the settings object that a proxy is told, in the platform's words.
-func settings(e *experiment.Experiment, ordinal, zone int) map[string]any {
+func settings(exp *experiment.Experiment, ordinal, zone int) map[string]any {
 	var profiles []any
-	for _, k := range e.Classes {
+	for _, k := range exp.Classes {
 		p := map[string]any{"name": k.Name, "objective_us": micros(k.ObjectiveMs), "give_up_us": micros(k.GiveUpMs),
 			"worth": k.Weight, "late_share": 0.0, "repeat": k.Repeat, "stream": false, "dedup_scope": "all",
 			"dedup_window_us": 0}
@@ -24,31 +24,31 @@
 		}
 		profiles = append(profiles, p)
 	}
-	n, x := e.Servers, e.Proxy
+	n, x := exp.Servers, exp.Proxy
 	s := map[string]any{
 		"contract": map[string]any{"answer_slack_us": micros(x.SlackMs), "ask_every_us": micros(x.PollIntervalMs),
 			"cold_us": micros(n.SlowStartMs), "drain_grace_us": micros(x.DrainGraceMs), "fall_us": micros(n.FallMs),
 			"start_capacity": n.StartCapacity, "tip_multiple": n.OverloadMultiple},
-		"counted_by": "request", "failure_domains": e.ZoneNames(), "membership_mode": x.Membership, "my_zone": zone,
+		"counted_by": "request", "failure_domains": exp.ZoneNames(), "membership_mode": x.Membership, "my_zone": zone,
 		"limits": map[string]any{"cancelling": n.Cancelling, "dial_timeout_us": micros(x.DialMs),
 			"idle_close_us": micros(x.IdleMs), "max_retry_after_us": micros(x.RetryAfterMs),
 			"retry_after": x.RetryAfterMs > 0, "second_copies": x.SecondCopies, "try_limit": x.MaxAttempts,
 			"streams_per_conn": 1, "peers": false, "probes": false},
-		"ordinal": ordinal, "siblings": len(e.ProxyNodes()), "profiles": profiles, "tenants": []any{},
+		"ordinal": ordinal, "siblings": len(exp.ProxyNodes()), "profiles": profiles, "tenants": []any{},
 		"tiers": []string{"lab"}, "stage": stage, "weights": "off",
 	}
-	lay(s, x.Settings)
+	overlay(s, x.Settings)
 	return s
 }
 
 // lay puts an experiment's own keys over the lab's, object by object.
-func lay(over map[string]any, own map[string]any) {
+func overlay(over map[string]any, own map[string]any) {
 	for key, v := range own {
 		mine, isObject := v.(map[string]any)
 		theirs, both := over[key].(map[string]any)
 		if isObject && both {
 			theirs = maps.Clone(theirs)
-			lay(theirs, mine)
+			overlay(theirs, mine)
 			over[key] = theirs
 			continue
 		}
@@ -57,11 +57,11 @@
 }
 
 // configuration is a proxy's configuration file.
-func configuration(e *experiment.Experiment, m *member, seed uint64, mgmt string, members []string,
+func proxyConfig(exp *experiment.Experiment, proxy *proxyUnderTest, seed uint64, mgmt string, members []string,
 	known json.RawMessage, fleet map[string]any) ([]byte, error) {
-	c := map[string]any{"name": m.node.Name, "listen": m.listen, "mgmt": mgmt, "discovery": m.list,
-		"seed": fmt.Sprintf("%016x", seed), "settings": settings(e, m.ordinal, m.zone),
-		"limits": map[string]any{"cores": e.Proxy.Cores, "memory_mb": e.Proxy.MemoryMB, "sockets": e.Proxy.Sockets},
+	c := map[string]any{"name": proxy.node.Name, "listen": proxy.listenAddress, "mgmt": mgmt, "discovery": proxy.listAddress,
+		"seed": fmt.Sprintf("%016x", seed), "settings": settings(exp, proxy.ordinal, proxy.zone),
+		"limits": map[string]any{"cores": exp.Proxy.Cores, "memory_mb": exp.Proxy.MemoryMB, "sockets": exp.Proxy.Sockets},
 	}
 	if members != nil {
 		delete(c, "discovery")
@@ -73,10 +73,10 @@
 	if known != nil {
 		c["known"] = known
 	}
-	lay(c, e.Proxy.Config)
+	overlay(c, exp.Proxy.Config)
 	text, err := json.MarshalIndent(c, "", " ")
 	if err != nil {
-		return nil, fmt.Errorf("configuration of %s: %w", m.node.Name, err)
+		return nil, fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
 	return text, nil
 }
--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -23,132 +23,132 @@
 )
 
 const (
-	stayAfterTerm  = 300 * time.Millisecond // new connections keep coming to a proxy that was told to end
-	killAfter      = 3 * time.Second        // SIGKILL follows SIGTERM by the longest deadline, or this if it is longer
-	killLeeway     = 700 * time.Millisecond
-	successorWait  = 6 * time.Second // for a successor's yes
-	drainTime      = 2 * time.Second // from a server's draining to its end
-	tornBefore     = 5 * time.Second // a power loss may take what was written so long before it
-	readyzPoll     = 50 * time.Millisecond
-	reopenPatience = 20 * time.Second // for a proxy that was started again to be admitted
-	callPatience   = time.Second
-	groupOfZone    = "zone " // a group of proxies that share their links
-	maxServerName  = 64
+	termNoticeDelay    = 300 * time.Millisecond // new connections keep coming to a proxy that was told to end
+	minKillDelay       = 3 * time.Second        // SIGKILL follows SIGTERM by the longest deadline, or this if it is longer
+	killSlack          = 700 * time.Millisecond
+	successorTimeout   = 6 * time.Second // for a successor's yes
+	drainDuration      = 2 * time.Second // from a server's draining to its end
+	powerLossWindow    = 5 * time.Second // a power loss may take what was written so long before it
+	readyzPollInterval = 50 * time.Millisecond
+	readmitTimeout     = 20 * time.Second // for a proxy that was started again to be admitted
+	callTimeout        = time.Second
+	zoneGroupPrefix    = "zone " // a group of proxies that share their links
+	maxServerName      = 64
 )
 
 // fleet is all that a play runs: it owns the processes, servers, list and links, and carries faults out.
-type fleet struct {
-	exp      *experiment.Experiment
-	plan     *plan.Plan
-	command  []string
-	registry []string // the list service's program
-	log      *slog.Logger
-	block    *block
-	net      *link.Net
-	ref      *referee.Referee
-	list     *catalog.Catalog // the stand-in; nil with a service
-	service  *service.Service // nil with the stand-in
-	front    *load.Front
-	client   *load.Client
-	starter  *process.Starter
-	work     string // directory of the proxies' own
-	logs     string
+type testbed struct {
+	experiment      *experiment.Experiment
+	plan            *plan.Plan
+	proxyCommand    []string
+	registryCommand []string // the list service's program
+	log             *slog.Logger
+	block           *addressBlock
+	net             *link.Net
+	ref             *referee.Referee
+	catalog         *catalog.Catalog // the stand-in; nil with a service
+	service         *service.Service // nil with the stand-in
+	front           *load.Front
+	client          *load.Client
+	starter         *process.Starter
+	workDir         string // directory of the proxies' own
+	logDir          string
 
-	self     []string         // a hollow process's program
-	hollow   []*hollowProcess // of proxies, then of servers
-	hollowOf map[string]*hollowProcess
-	configs  configs
+	hollowCommand   []string         // a hollow process's program
+	hollow          []*hollowProcess // of proxies, then of servers
+	hollowProcessOf map[string]*hollowProcess
+	configs         configWrites
 
-	members map[string]*member
-	order   []*member
+	proxies    map[string]*proxyUnderTest
+	proxyOrder []*proxyUnderTest
 
-	mu       sync.Mutex
-	servers  map[string]*server
-	addrs    map[string]string              // of each group and server
-	speakers map[netip.Addr]experiment.Node // of the gossip, by their own addresses
-	links    int
-	liars    int
-	rng      *rand.Rand
-	faults   []error
+	mu               sync.Mutex
+	servers          map[string]*server
+	addresses        map[string]string              // of each group and server
+	gossipMembers    map[netip.Addr]experiment.Node // of the gossip, by their own addresses
+	serverLinks      int
+	byzantineMembers int
+	rng              *rand.Rand
+	labErrors        []error
 }
 
 // group names the proxies that share their links to servers.
-func (f *fleet) group(node experiment.Node) string {
-	if f.exp.SharedLinks() {
-		return groupOfZone + node.Zone
+func (bed *testbed) linkGroup(node experiment.Node) string {
+	if bed.experiment.SharedLinks() {
+		return zoneGroupPrefix + node.Zone
 	}
 	return node.Name
 }
 
-func (f *fleet) delay(from, to string) time.Duration {
+func (bed *testbed) delay(from, to string) time.Duration {
 	if from == to || from == "" || to == "" {
-		return experiment.Millis(f.exp.Network.LocalMs)
+		return experiment.Millis(bed.experiment.Network.LocalMs)
 	}
-	return experiment.Millis(f.exp.Network.CrossMs)
+	return experiment.Millis(bed.experiment.Network.CrossMs)
 }
 
 // build makes everything but the processes.
-func (f *fleet) build() error {
-	f.net = link.New(f.plan.Seed)
-	f.ref = referee.New(terms(f.exp))
-	f.net.Watch(func(e link.Ends, at time.Time) { f.recordUnansweredSend(e, at, false) })
-	f.members, f.servers, f.addrs = map[string]*member{}, map[string]*server{}, map[string]string{}
-	f.speakers = map[netip.Addr]experiment.Node{}
-	f.rng = f.plan.Source("fleet")
-	zones := f.exp.ZoneNames()
+func (bed *testbed) build() error {
+	bed.net = link.New(bed.plan.Seed)
+	bed.ref = referee.New(refereeConfig(bed.experiment))
+	bed.net.Watch(func(ends link.Ends, at time.Time) { bed.recordUnansweredSend(ends, at, false) })
+	bed.proxies, bed.servers, bed.addresses = map[string]*proxyUnderTest{}, map[string]*server{}, map[string]string{}
+	bed.gossipMembers = map[netip.Addr]experiment.Node{}
+	bed.rng = bed.plan.Source("fleet")
+	zones := bed.experiment.ZoneNames()
 	var targets []load.Target
-	for i, n := range f.exp.ProxyNodes() {
-		m := &member{node: n, ordinal: i, zone: slices.Index(zones, n.Zone), listen: f.block.proxy(i),
-			list: f.block.list(i), dir: filepath.Join(f.work, fmt.Sprint(i))}
-		f.members[n.Name] = m
-		f.order = append(f.order, m)
-		targets = append(targets, load.Target{Name: n.Name, Zone: n.Zone, Addr: m.listen})
+	for i, n := range bed.experiment.ProxyNodes() {
+		proxy := &proxyUnderTest{node: n, ordinal: i, zone: slices.Index(zones, n.Zone), listenAddress: bed.block.proxy(i),
+			listAddress: bed.block.list(i), dir: filepath.Join(bed.workDir, fmt.Sprint(i))}
+		bed.proxies[n.Name] = proxy
+		bed.proxyOrder = append(bed.proxyOrder, proxy)
+		targets = append(targets, load.Target{Name: n.Name, Zone: n.Zone, Addr: proxy.listenAddress})
 	}
-	f.front = load.NewFront(targets, f.net, f.delay, experiment.Millis(f.exp.Clients.NoticeMs),
-		f.exp.Clients.OtherZones, zones, f.plan.Source("front"))
-	if err := f.buildGossip(); err != nil {
+	bed.front = load.NewFront(targets, bed.net, bed.delay, experiment.Millis(bed.experiment.Clients.NoticeMs),
+		bed.experiment.Clients.OtherZones, zones, bed.plan.Source("front"))
+	if err := bed.buildGossip(); err != nil {
 		return err
 	}
-	f.client = load.New(f.exp, f.plan, f.front, f.ref)
+	bed.client = load.New(bed.experiment, bed.plan, bed.front, bed.ref)
 	var entries []catalog.Entry
-	for i, n := range f.exp.ServerNodes() {
-		s, err := f.addServer(n, i, time.Time{}, false)
+	for i, n := range bed.experiment.ServerNodes() {
+		server, err := bed.addServer(n, i, time.Time{}, false)
 		if err != nil {
 			return err
 		}
-		entries = append(entries, s.entry)
+		entries = append(entries, server.entry)
 	}
-	l := f.exp.List
+	l := bed.experiment.List
 	if l.Members > 0 {
-		if err := f.buildService(); err != nil {
+		if err := bed.buildService(); err != nil {
 			return err
 		}
-		return f.buildHollow()
+		return bed.buildHollow()
 	}
-	f.list = catalog.New(catalog.Config{Lag: experiment.Millis(l.LagMs), Call: experiment.Millis(l.CallMs),
+	bed.catalog = catalog.New(catalog.Config{Lag: experiment.Millis(l.LagMs), Call: experiment.Millis(l.CallMs),
 		Line: time.Duration(l.LineUs * float64(time.Microsecond)), Wait: experiment.Millis(l.WaitMs),
-		Sync: experiment.Millis(l.SyncMs), Retain: l.RetainN, Most: l.MaxEntries, Seed: f.plan.Seed, Address: f.address,
-	}, f.ref, entries)
-	for _, m := range f.order {
-		ends := link.Ends{Kind: "list", From: m.node.Name, FromZone: m.node.Zone, ToZone: l.Zone}
-		name := m.node.Name
-		if _, err := f.net.Listen(ends, m.list, f.delay(m.node.Zone, l.Zone),
-			func(c *link.Conn) { f.list.Serve(name, c) }); err != nil {
+		Sync: experiment.Millis(l.SyncMs), Retain: l.RetainN, Most: l.MaxEntries, Seed: bed.plan.Seed, Address: bed.address,
+	}, bed.ref, entries)
+	for _, proxy := range bed.proxyOrder {
+		ends := link.Ends{Kind: "list", From: proxy.node.Name, FromZone: proxy.node.Zone, ToZone: l.Zone}
+		name := proxy.node.Name
+		if _, err := bed.net.Listen(ends, proxy.listAddress, bed.delay(proxy.node.Zone, l.Zone),
+			func(c *link.Conn) { bed.catalog.Serve(name, c) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func terms(e *experiment.Experiment) referee.Config {
-	t := referee.Config{MaxAttempts: e.Proxy.MaxAttempts, HedgingAllowed: e.Proxy.SecondCopies,
-		DrainGrace: experiment.Millis(e.Proxy.DrainGraceMs), DeadlineSlack: experiment.Millis(e.Proxy.SlackMs)}
-	if e.Proxy.Membership == "subscribe" {
-		t.PollInterval = experiment.Millis(e.Proxy.PollIntervalMs)
+func refereeConfig(exp *experiment.Experiment) referee.Config {
+	t := referee.Config{MaxAttempts: exp.Proxy.MaxAttempts, HedgingAllowed: exp.Proxy.SecondCopies,
+		DrainGrace: experiment.Millis(exp.Proxy.DrainGraceMs), DeadlineSlack: experiment.Millis(exp.Proxy.SlackMs)}
+	if exp.Proxy.Membership == "subscribe" {
+		t.PollInterval = experiment.Millis(exp.Proxy.PollIntervalMs)
 	}
 	repeats := map[string]referee.RetryClass{"idempotent": referee.Idempotent, "deduplicated": referee.IdempotencyKey,
 		"at_most_once": referee.NonIdempotent}
-	for _, k := range e.Classes {
+	for _, k := range exp.Classes {
 		t.Classes = append(t.Classes, referee.Class{Name: k.Name, RetryClass: repeats[k.Repeat], KeyScope: k.Scope,
 			KeyWindow: experiment.Millis(k.WindowMs)})
 	}
@@ -156,35 +156,35 @@
 }
 
 // note keeps an error of the lab's own: the run then is void.
-func (f *fleet) note(err error) {
+func (bed *testbed) recordError(err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
 	}
-	f.log.Error("the lab failed to do something", "error", err)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.faults = append(f.faults, err)
+	bed.log.Error("the lab failed to do something", "error", err)
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	bed.labErrors = append(bed.labErrors, err)
 }
 
-func (f *fleet) failed() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return errors.Join(f.faults...)
+func (bed *testbed) labError() error {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	return errors.Join(bed.labErrors...)
 }
 
 // end kills all processes and closes all links.
-func (f *fleet) end() {
+func (bed *testbed) close() {
 	var ps []*process.Process
-	for _, m := range f.order {
-		ps = append(ps, m.processes()...)
+	for _, proxy := range bed.proxyOrder {
+		ps = append(ps, proxy.processes()...)
 	}
-	for _, h := range f.hollow {
-		if h.proc != nil {
-			ps = append(ps, h.proc)
+	for _, h := range bed.hollow {
+		if h.process != nil {
+			ps = append(ps, h.process)
 		}
 	}
-	f.note(process.KillAll(ps))
-	if f.net != nil {
-		f.net.Close()
+	bed.recordError(process.KillAll(ps))
+	if bed.net != nil {
+		bed.net.Close()
 	}
 }
--- a/internal/faultlab/run/gossip_test.go
+++ b/internal/faultlab/run/gossip_test.go
@@ -9,17 +9,17 @@
 
 // What a fault takes from what one proxy sends to another: its datagrams, and its half of connections that either of
 // them dials.
-func TestFaultsOfGossip(t *testing.T) {
+func TestMatchesGossip(t *testing.T) {
 	ends := func(from, to string) link.Ends {
 		return link.Ends{Kind: "gossip", From: from + "-p1", FromZone: from, To: to + "-p1", ToZone: to}
 	}
-	sum := func(f experiment.Fault, e link.Ends) (sum link.Effect) {
-		all := []reach{{between(f.Zone), link.Silent}}
-		if f.Kind != "zone_cut" {
-			all = toGossip(f, link.Effect{Loss: f.Part})
+	sum := func(fault experiment.Fault, ends link.Ends) (sum link.Effect) {
+		all := []linkEffect{{zoneBorder(fault.Zone), link.Silent}}
+		if fault.Kind != "zone_cut" {
+			all = gossipEffects(fault, link.Effect{Loss: fault.Part})
 		}
 		for _, r := range all {
-			if r.match(e) {
+			if r.match(ends) {
 				sum.CutOut, sum.CutBack = sum.CutOut || r.CutOut, sum.CutBack || r.CutBack
 				sum.Loss += r.Loss
 			}
--- a/internal/faultlab/run/lists.go
+++ b/internal/faultlab/run/lists.go
@@ -18,44 +18,44 @@
 )
 
 // buildService makes the list service's members and links.
-func (f *fleet) buildService() (err error) {
-	l := f.exp.List
+func (bed *testbed) buildService() (err error) {
+	l := bed.experiment.List
 	var carriesNone func(string) bool
-	if f.exp.Hollow.On() {
+	if bed.experiment.Hollow.On() {
 		names := map[string]bool{}
-		for _, n := range f.exp.HollowServers() {
+		for _, n := range bed.experiment.HollowServers() {
 			names[n.Name] = true
 		}
 		carriesNone = func(nodo string) bool { return names[nodo] }
 	}
 	var proxies []service.Proxy
-	for _, m := range f.order {
-		proxies = append(proxies, service.Proxy{Name: m.node.Name, Zone: m.node.Zone})
+	for _, proxy := range bed.proxyOrder {
+		proxies = append(proxies, service.Proxy{Name: proxy.node.Name, Zone: proxy.node.Zone})
 	}
-	f.service, err = service.New(service.Config{Members: l.Members, Zones: f.exp.ZoneNames(), Proxies: proxies, Command: f.registry,
+	bed.service, err = service.New(service.Config{Members: l.Members, Zones: bed.experiment.ZoneNames(), Proxies: proxies, Command: bed.registryCommand,
 		Lease: experiment.Millis(l.LeaseMs), Election: experiment.Millis(l.ElectionMs), Stale: experiment.Millis(l.StaleMs),
-		Dir: filepath.Join(f.work, "roster"), Logs: f.logs, Seed: f.plan.Seed, Net: f.net, Ref: f.ref, Starter: f.starter,
-		Log: f.log, Delay: f.delay, Address: f.address, List: f.block.listMember, Own: f.block.member,
-		Between: f.block.memberLink, Near: f.block.memberNear, Hollow: carriesNone})
+		Dir: filepath.Join(bed.workDir, "roster"), Logs: bed.logDir, Seed: bed.plan.Seed, Net: bed.net, Ref: bed.ref, Starter: bed.starter,
+		Log: bed.log, Delay: bed.delay, Address: bed.address, List: bed.block.listMember, Own: bed.block.member,
+		Between: bed.block.memberLink, Near: bed.block.zoneMember, Hollow: carriesNone})
 	return err
 }
 
 // startService starts the list service and has all servers register.
-func (f *fleet) startService(ctx context.Context) error {
-	if f.service == nil {
+func (bed *testbed) startService(ctx context.Context) error {
+	if bed.service == nil {
 		return nil
 	}
-	if err := f.service.Start(ctx); err != nil {
+	if err := bed.service.Start(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
-	f.mu.Lock()
-	all := slices.Collect(maps.Values(f.servers))
-	f.mu.Unlock()
+	bed.mu.Lock()
+	all := slices.Collect(maps.Values(bed.servers))
+	bed.mu.Unlock()
 	var waits []func(context.Context) error
-	for _, s := range all {
-		waits = append(waits, f.service.Begin(registeredServer(s.entry)))
+	for _, server := range all {
+		waits = append(waits, bed.service.Begin(registeredServer(server.entry)))
 	}
-	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(f.exp.Lab.ReadyWait))
+	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(bed.experiment.Lab.ReadyWait))
 	defer cancel()
 	for _, registered := range waits {
 		if err := registered(patience); err != nil {
@@ -65,49 +65,49 @@
 	return nil
 }
 
-func registeredServer(e catalog.Entry) service.Server {
-	return service.Server{Name: e.Name, Zone: e.Zone, Type: e.Type, Group: e.Group, Since: e.Since}
+func registeredServer(entry catalog.Entry) service.Server {
+	return service.Server{Name: entry.Name, Zone: entry.Zone, Type: entry.Type, Group: entry.Group, Since: entry.Since}
 }
 
 // change tells the list what a server is now. A server that dies tells nobody: its lease ends.
-func (f *fleet) change(e catalog.Entry) {
-	if f.service == nil {
-		f.list.Change(e)
+func (bed *testbed) announce(entry catalog.Entry) {
+	if bed.service == nil {
+		bed.catalog.Change(entry)
 		return
 	}
-	switch e.Status {
+	switch entry.Status {
 	case catalog.Serving:
-		f.service.Begin(registeredServer(e))
+		bed.service.Begin(registeredServer(entry))
 	case catalog.Draining:
-		f.service.Drain(e.Name)
+		bed.service.Drain(entry.Name)
 	default:
-		f.service.Die(e.Name)
+		bed.service.Die(entry.Name)
 	}
 }
 
 // known is the list as a proxy is told it at its start.
-func (f *fleet) known(proxy string, part float64, r *rand.Rand) (json.RawMessage, []referee.Entry) {
-	if f.service != nil {
-		return f.service.Snapshot(proxy, func() bool { return r.Float64() < part })
+func (bed *testbed) initialList(proxy string, part float64, r *rand.Rand) (json.RawMessage, []referee.Entry) {
+	if bed.service != nil {
+		return bed.service.Snapshot(proxy, func() bool { return r.Float64() < part })
 	}
-	return f.list.Snapshot(proxy, part, r)
+	return bed.catalog.Snapshot(proxy, part, r)
 }
 
 // runList serves the list until the context ends.
-func (f *fleet) runList(ctx context.Context) {
-	if f.service != nil {
-		f.service.Run(ctx)
+func (bed *testbed) runList(ctx context.Context) {
+	if bed.service != nil {
+		bed.service.Run(ctx)
 		return
 	}
-	f.list.Run(ctx)
+	bed.catalog.Run(ctx)
 }
 
 // listReport is what a list service leaves; what is wrong with it is a broken rule.
-func (f *fleet) listReport(rec *referee.Record) (*result.List, error) {
-	if f.service == nil {
+func (bed *testbed) listReport(rec *referee.Record) (*result.List, error) {
+	if bed.service == nil {
 		return nil, nil
 	}
-	r, err := f.service.End()
+	r, err := bed.service.End()
 	if wrong := r.Wrong(); wrong != "" {
 		rec.ViolationCounts["list"]++
 		rec.Violations = append(rec.Violations, referee.Violation{Rule: "list", At: time.Now(), Text: wrong})
@@ -116,9 +116,9 @@
 }
 
 // listMembers are where a proxy finds the members of the list service; nil with the stand-in.
-func (f *fleet) listMembers(m *member) []string {
-	if f.service == nil {
+func (bed *testbed) listMembers(proxy *proxyUnderTest) []string {
+	if bed.service == nil {
 		return nil
 	}
-	return f.service.Lists(m.ordinal)
+	return bed.service.Lists(proxy.ordinal)
 }
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -19,40 +19,40 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-const meterEvery = 500 * time.Millisecond
+const meterInterval = 500 * time.Millisecond
 
 // meter reads what control costs: bytes at the links, CPU and memory at the kernel, and the members' own metrics. One
 // goroutine looks at it all the time, since what members use ends with them and who leads changes.
 type meter struct {
-	*fleet
+	*testbed
 	members []*service.Member
 
-	looks sync.Mutex // one at a time
+	sampleMu sync.Mutex // one at a time
 
-	mu   sync.Mutex
-	sum  result.Sample
-	seen map[string]looked // of each member, at the last look
+	mu          sync.Mutex
+	total       result.Sample
+	lastSamples map[string]memberSample // of each member, at the last look
 }
 
-type looked struct {
+type memberSample struct {
 	service.Standing
 	traffic link.Traffic // in and out of it, as Sent and Answered
 }
 
-func (f *fleet) newMeter() *meter {
-	m := &meter{fleet: f, seen: map[string]looked{}}
-	if f.service != nil {
-		m.members = f.service.Targets(nil)
+func (bed *testbed) newMeter() *meter {
+	m := &meter{testbed: bed, lastSamples: map[string]memberSample{}}
+	if bed.service != nil {
+		m.members = bed.service.Targets(nil)
 	}
-	m.sum.Roles = map[string]result.Usage{}
-	m.look()
+	m.total.Roles = map[string]result.Usage{}
+	m.sample()
 	return m
 }
 
 // run looks until the context ends.
 func (m *meter) run(ctx context.Context) {
-	for sleep.For(ctx, meterEvery) {
-		m.look()
+	for sleep.For(ctx, meterInterval) {
+		m.sample()
 	}
 }
 
@@ -60,36 +60,36 @@
 func (m *meter) traffic() (roles, members map[string]link.Traffic) {
 	roles, members = map[string]link.Traffic{}, map[string]link.Traffic{}
 	add := func(to map[string]link.Traffic, key string, t link.Traffic) { to[key] = to[key].Plus(t) }
-	m.net.Traffic(func(e link.Ends, t link.Traffic) {
+	m.net.Traffic(func(ends link.Ends, t link.Traffic) {
 		turned := link.Traffic{Sent: t.Answered, Answered: t.Sent, Pieces: t.Pieces}
 		switch {
-		case e.Kind == "list" && e.From == hollowFrom:
+		case ends.Kind == "list" && ends.From == hollowLinkName:
 			add(roles, "proxy", turned)
-		case e.Kind == "list":
+		case ends.Kind == "list":
 			add(roles, "real", turned)
-		case e.Kind == "lease" && e.From == hollowFrom:
+		case ends.Kind == "lease" && ends.From == hollowLinkName:
 			add(roles, "nodo", turned)
 		}
-		switch e.Kind {
+		switch ends.Kind {
 		case "list", "lease", "member":
-			add(members, e.To, t)
-			if e.FromZone != e.ToZone {
+			add(members, ends.To, t)
+			if ends.FromZone != ends.ToZone {
 				add(roles, "regions", t)
 			}
 		}
-		if e.Kind == "member" {
+		if ends.Kind == "member" {
 			back := turned
 			back.Pieces = 0
-			add(members, e.From, back)
+			add(members, ends.From, back)
 		}
 	})
 	return roles, members
 }
 
 // look adds what was spent since the last look to the sum.
-func (m *meter) look() {
-	m.looks.Lock()
-	defer m.looks.Unlock()
+func (m *meter) sample() {
+	m.sampleMu.Lock()
+	defer m.sampleMu.Unlock()
 	standing := make([]service.Standing, len(m.members))
 	var all sync.WaitGroup
 	for i, x := range m.members {
@@ -100,14 +100,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at := time.Now()
-	past := at.Sub(m.sum.TakenAt)
-	first := m.sum.TakenAt.IsZero()
-	m.sum.TakenAt = at
+	past := at.Sub(m.total.TakenAt)
+	first := m.total.TakenAt.IsZero()
+	m.total.TakenAt = at
 	watches := 0.0
 	for i, x := range m.members {
-		now := looked{standing[i], members[x.Name]}
-		was := m.seen[x.Name]
-		m.seen[x.Name] = now
+		now := memberSample{standing[i], members[x.Name]}
+		was := m.lastSamples[x.Name]
+		m.lastSamples[x.Name] = now
 		watches += now.Watches
 		if was.PID != now.PID { // another process: all that it has is new
 			was.CPU, was.Rejected = 0, 0
@@ -122,45 +122,45 @@
 		t := now.traffic.Minus(was.traffic)
 		spent := result.Usage{BytesIn: t.Sent, BytesOut: t.Answered, Calls: t.Pieces, CPU: max(0, now.CPU-was.CPU), InstanceTime: past,
 			Memory: now.Memory}
-		m.sum.Roles[role] = m.sum.Roles[role].Plus(spent)
+		m.total.Roles[role] = m.total.Roles[role].Plus(spent)
 		spent.InstanceTime = 0
-		m.sum.Roles["five"] = m.sum.Roles["five"].Plus(spent)
+		m.total.Roles["five"] = m.total.Roles["five"].Plus(spent)
 		if now.Up {
-			m.sum.Rejected += max(0, now.Rejected-was.Rejected)
+			m.total.Rejected += max(0, now.Rejected-was.Rejected)
 		}
 	}
 	if !first {
-		five := m.sum.Roles["five"]
+		five := m.total.Roles["five"]
 		five.InstanceTime += past
-		m.sum.Roles["five"] = five
+		m.total.Roles["five"] = five
 	}
-	m.sum.Watches = max(m.sum.Watches, watches)
-	for role, n := range map[string]int{"proxy": m.exp.Hollow.Proxies, "real": len(m.order), "nodo": m.exp.Hollow.Servers, "regions": 1} {
-		s := m.sum.Roles[role]
+	m.total.Watches = max(m.total.Watches, watches)
+	for role, n := range map[string]int{"proxy": m.experiment.Hollow.Proxies, "real": len(m.proxyOrder), "nodo": m.experiment.Hollow.Servers, "regions": 1} {
+		s := m.total.Roles[role]
 		t := roles[role]
 		s.BytesIn, s.BytesOut, s.Calls = t.Sent, t.Answered, t.Pieces
 		if !first {
 			s.InstanceTime += past * time.Duration(n)
 		}
-		m.sum.Roles[role] = s
+		m.total.Roles[role] = s
 	}
 }
 
 // read is all so far, with what processes use now. Memory is as of now, of members the most
 // so far, as are watches: two phases that meet read at one moment.
 func (m *meter) read(ctx context.Context) result.Sample {
-	m.look()
+	m.sample()
 	var fleet []hollow.ProxyMetrics
 	var real []*hollow.ClusterMetrics
-	if m.exp.Cluster.On {
-		for _, x := range m.order {
-			real = append(real, realProcesses(ctx, x.mgmt))
+	if m.experiment.Cluster.On {
+		for _, proxy := range m.proxyOrder {
+			real = append(real, readClusterMetrics(ctx, proxy.managementAddress))
 		}
 		for _, p := range m.hollow {
-			f, err := p.figures(ctx, false)
+			f, err := p.metrics(ctx, false)
 			if err != nil {
 				if ctx.Err() == nil {
-					m.note(err)
+					m.recordError(err)
 				}
 				continue
 			}
@@ -169,7 +169,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := m.sum.Clone()
+	out := m.total.Clone()
 	use := func(role string, cpu time.Duration, memory int64) {
 		s := out.Roles[role]
 		s.CPU, s.Memory = s.CPU+cpu, s.Memory+memory
@@ -177,15 +177,15 @@
 	}
 	for _, p := range m.hollow {
 		role := "proxy"
-		if len(p.cfg.Servers) > 0 {
+		if len(p.config.Servers) > 0 {
 			role = "nodo"
 		}
-		use(role, p.proc.Usage().CPU, process.Memory(p.proc.PID()))
+		use(role, p.process.Usage().CPU, process.Memory(p.process.PID()))
 	}
-	for _, x := range m.order {
-		for _, proc := range x.processes() {
+	for _, proxy := range m.proxyOrder {
+		for _, proc := range proxy.processes() {
 			memory := int64(0)
-			if !over(proc) {
+			if !ended(proc) {
 				memory = process.Memory(proc.PID())
 			}
 			use("real", proc.Usage().CPU, memory)
@@ -200,9 +200,9 @@
 
 // phases reads at each phase's beginning and end.
 func (m *meter) phases(ctx context.Context, start time.Time) []result.PhaseSamples {
-	out := make([]result.PhaseSamples, len(m.exp.Phases))
+	out := make([]result.PhaseSamples, len(m.experiment.Phases))
 	var all sync.WaitGroup
-	for i, p := range m.exp.Phases {
+	for i, p := range m.experiment.Phases {
 		all.Go(func() {
 			for j, at := range []float64{p.From, p.To} {
 				if !sleep.For(ctx, time.Until(start.Add(experiment.Seconds(at)))) {
@@ -222,16 +222,16 @@
 }
 
 // hollowReport is what the hollow processes leave at the end.
-func (f *fleet) hollowReport() (out []hollow.Metrics, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), hollowCall)
+func (bed *testbed) hollowReport() (out []hollow.Metrics, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), hollowCallTimeout)
 	defer cancel()
-	for _, p := range f.hollow {
-		x, err := p.figures(ctx, true)
+	for _, p := range bed.hollow {
+		x, err := p.metrics(ctx, true)
 		if err != nil {
 			return out, err
 		}
 		if x.RelayDrops > 0 {
-			return out, fmt.Errorf("%d datagrams of the gossip found no room in %s", x.RelayDrops, p.cfg.Name)
+			return out, fmt.Errorf("%d datagrams of the gossip found no room in %s", x.RelayDrops, p.config.Name)
 		}
 		out = append(out, x)
 	}
@@ -239,15 +239,15 @@
 }
 
 // measure reads the phases while the play lasts; what it gives waits for its end. Nil without hollow ones.
-func (f *fleet) measure(ctx context.Context, start time.Time) (phases func() []result.PhaseSamples) {
-	if len(f.hollow) == 0 {
+func (bed *testbed) startMeter(ctx context.Context, start time.Time) (phases func() []result.PhaseSamples) {
+	if len(bed.hollow) == 0 {
 		return func() []result.PhaseSamples { return nil }
 	}
-	for _, p := range f.hollow {
+	for _, p := range bed.hollow {
 		_, err := p.call(ctx, http.MethodPost, "/begin", nil)
-		f.note(err)
+		bed.recordError(err)
 	}
-	m := f.newMeter()
+	m := bed.newMeter()
 	go m.run(ctx)
 	read := make(chan []result.PhaseSamples, 1)
 	go func() { read <- m.phases(ctx, start) }()
@@ -255,16 +255,16 @@
 }
 
 // controlReport is what control cost in a play; nil without hollow ones.
-func (f *fleet) controlReport(phases []result.PhaseSamples) *result.Control {
-	if len(f.hollow) == 0 {
+func (bed *testbed) controlReport(phases []result.PhaseSamples) *result.Control {
+	if len(bed.hollow) == 0 {
 		return nil
 	}
-	out := &result.Control{Phases: phases, ConfigWrites: f.configs.done()}
+	out := &result.Control{Phases: phases, ConfigWrites: bed.configs.all()}
 	var err error
-	if out.Hollow, err = f.hollowReport(); err != nil {
-		f.note(err)
+	if out.Hollow, err = bed.hollowReport(); err != nil {
+		bed.recordError(err)
 	}
-	for _, steps := range f.service.Steps() {
+	for _, steps := range bed.service.Steps() {
 		var told []result.ReceivedVersion
 		for _, s := range steps {
 			told = append(told, result.ReceivedVersion{Version: s.Index, ReceivedAt: s.At.UnixNano()})
@@ -275,8 +275,8 @@
 }
 
 // realFleet is how a real proxy stands with its fleet, by its management address; nil if it does not answer.
-func realProcesses(ctx context.Context, mgmt string) *hollow.ClusterMetrics {
-	ctx, cancel := context.WithTimeout(ctx, callPatience)
+func readClusterMetrics(ctx context.Context, mgmt string) *hollow.ClusterMetrics {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+mgmt+"/v1/metrics", nil)
 	if err != nil {
--- a/internal/faultlab/run/need.go
+++ b/internal/faultlab/run/need.go
@@ -12,25 +12,25 @@
 
 // What an experiment needs, at the most: measured with scale-30 to scale-1300 and rounded up.
 const (
-	maxProcesses = 300
-	maxMemory    = 12 << 30 // bytes
-	labBytes     = 300 << 20
-	proxyBytes   = 30 << 20 // of a real proxy
-	memberBytes  = 400 << 20
-	hollowBytes  = 40 << 20 // of a hollow process with nothing in it
-	hollowEach   = 500 << 10
-	hollowListed = 900       // a hollow proxy keeps so much of each listed server
-	labEach      = 100 << 10 // the lab for each connection that it passes on
-	labListed    = 450       // and of each listed server, for each proxy that is sent the whole list
-	nodoEach     = 150 << 10
-	memberEach   = 60 << 10 // a member for each caller
-	fleetEach    = 600 << 10
-	fleetKnown   = 1500 // a member of the fleet keeps so much of each other
-	relayKnown   = 500  // and its relay
-	relayEach    = 200 << 10
-	fleetMillis  = 20 // of a core in a thousand that a member of the fleet takes at least, from 10 members on
-	fileEach     = 2  // of the lab for each connection that it passes on
-	minFiles     = 2000
+	maxProcesses          = 300
+	maxMemory             = 12 << 30 // bytes
+	labBytes              = 300 << 20
+	proxyBytes            = 30 << 20 // of a real proxy
+	memberBytes           = 400 << 20
+	hollowProcessBytes    = 40 << 20 // of a hollow process with nothing in it
+	hollowProxyBytes      = 500 << 10
+	hollowBytesPerServer  = 900       // a hollow proxy keeps so much of each listed server
+	labBytesPerConnection = 100 << 10 // the lab for each connection that it passes on
+	labBytesPerListing    = 450       // and of each listed server, for each proxy that is sent the whole list
+	hollowServerBytes     = 150 << 10
+	memberBytesPerClient  = 60 << 10 // a member for each caller
+	clusterMemberBytes    = 600 << 10
+	clusterBytesPerMember = 1500 // a member of the fleet keeps so much of each other
+	relayBytesPerMember   = 500  // and its relay
+	relayBytes            = 200 << 10
+	clusterMilliCores     = 20 // of a core in a thousand that a member of the fleet takes at least, from 10 members on
+	filesPerConnection    = 2  // of the lab for each connection that it passes on
+	minFiles              = 2000
 )
 
 // A NeedError is an experiment that this machine cannot bear. Nothing was started.
@@ -72,32 +72,32 @@
 
 // bears tells whether a machine can bear an experiment with hollow ones: a *NeedError if not. Others are bounded by their
 // file's own limits.
-func bears(e *experiment.Experiment, m machine) error {
-	h := e.Hollow
-	if !h.On() {
+func checkCapacity(exp *experiment.Experiment, m machine) error {
+	hollow := exp.Hollow
+	if !hollow.On() {
 		return nil
 	}
-	real, members := int64(len(e.ProxyNodes())), int64(e.List.Members)
-	listed := int64(h.Servers + len(e.ServerNodes()))
-	processes := 1 + real + members + int64(min(h.Processes, h.Proxies)+h.ServerProcesses())
-	each := hollowEach + hollowListed*listed
-	if e.Cluster.On {
-		each += fleetEach + fleetKnown*int64(h.Proxies)
-		if h.Relays {
-			each += relayEach + relayKnown*(int64(h.Proxies)+real)
+	real, members := int64(len(exp.ProxyNodes())), int64(exp.List.Members)
+	listed := int64(hollow.Servers + len(exp.ServerNodes()))
+	processes := 1 + real + members + int64(min(hollow.Processes, hollow.Proxies)+hollow.ServerProcesses())
+	each := hollowProxyBytes + hollowBytesPerServer*listed
+	if exp.Cluster.On {
+		each += clusterMemberBytes + clusterBytesPerMember*int64(hollow.Proxies)
+		if hollow.Relays {
+			each += relayBytes + relayBytesPerMember*(int64(hollow.Proxies)+real)
 		}
 	}
-	memory := labBytes + (labEach+labListed*listed)*int64(h.Proxies) + labEach*int64(h.Servers) + real*proxyBytes + members*(memberBytes+memberEach*int64(h.Proxies+h.Servers)/max(1, members)) +
-		int64(h.Processes+h.ServerProcesses())*hollowBytes + int64(h.Proxies)*each + int64(h.Servers)*nodoEach
+	memory := labBytes + (labBytesPerConnection+labBytesPerListing*listed)*int64(hollow.Proxies) + labBytesPerConnection*int64(hollow.Servers) + real*proxyBytes + members*(memberBytes+memberBytesPerClient*int64(hollow.Proxies+hollow.Servers)/max(1, members)) +
+		int64(hollow.Processes+hollow.ServerProcesses())*hollowProcessBytes + int64(hollow.Proxies)*each + int64(hollow.Servers)*hollowServerBytes
 	following := int64(0) // one more connection each
-	if h.Following > 0 {
-		following = int64(h.Proxies)
-		memory += following * (labEach + memberEach)
+	if hollow.Following > 0 {
+		following = int64(hollow.Proxies)
+		memory += following * (labBytesPerConnection + memberBytesPerClient)
 	}
-	files := minFiles + fileEach*(int64(h.Proxies+h.Servers)+following)
+	files := minFiles + filesPerConnection*(int64(hollow.Proxies+hollow.Servers)+following)
 	cores := int64(0)
-	if e.Cluster.On {
-		cores = (fleetMillis*(int64(h.Proxies)+real) + 999) / 1000
+	if exp.Cluster.On {
+		cores = (clusterMilliCores*(int64(hollow.Proxies)+real) + 999) / 1000
 	}
 	const less = "give fewer hollow.proxies and hollow.nodos, or a larger machine"
 	switch {
--- a/internal/faultlab/run/need_test.go
+++ b/internal/faultlab/run/need_test.go
@@ -11,17 +11,17 @@
 
 // A size that a machine can't bear is refused with the need and what there is; the sizes that come with the lab are borne by
 // a machine of 24 GB.
-func TestNeeds(t *testing.T) {
+func TestCheckCapacity(t *testing.T) {
 	open := func(name string) *experiment.Experiment {
 		text, err := experiments.Files.ReadFile(name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
-		e, err := experiment.Parse(name, string(text), experiments.Files.ReadFile)
+		exp, err := experiment.Parse(name, string(text), experiments.Files.ReadFile)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return e
+		return exp
 	}
 	large := machine{memory: 20 << 30, files: 20000, cores: 8}
 	for _, test := range []struct {
@@ -38,14 +38,14 @@
 		{"few descriptors", "scale-1300", machine{memory: 20 << 30, files: 1024, cores: 8}, nil, "descriptors"},
 		{"a fleet of 300", "scale-fleet-300", large, nil, ""},
 		{"a fleet of 1300", "scale-fleet-1300", large, nil, "cores"},
-		{"over half", "scale-1300", large, func(e *experiment.Experiment) { e.Hollow.Proxies, e.Hollow.Servers = 5000, 5000 }, "MB of memory"},
-		{"many processes", "scale-30", large, func(e *experiment.Experiment) { e.Zones[0].Proxies = 290 }, "processes"},
+		{"over half", "scale-1300", large, func(exp *experiment.Experiment) { exp.Hollow.Proxies, exp.Hollow.Servers = 5000, 5000 }, "MB of memory"},
+		{"many processes", "scale-30", large, func(exp *experiment.Experiment) { exp.Zones[0].Proxies = 290 }, "processes"},
 	} {
-		e := open(test.of)
+		exp := open(test.of)
 		if test.but != nil {
-			test.but(e)
+			test.but(exp)
 		}
-		err := bears(e, test.m)
+		err := checkCapacity(exp, test.m)
 		var need *NeedError
 		switch {
 		case test.what == "" && err != nil:
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -28,44 +28,44 @@
 
 // Options are what a run needs beside its experiment.
 type Options struct {
-	Command  []string // a proxy
-	Hollow   []string // a process of hollow proxies or servers, but for its file; needed if the experiment has any
-	Registry []string // a member of the list service; needed if the experiment has any
-	Out      string   // directory for the proxies' logs
-	Log      *slog.Logger
+	ProxyCommand    []string // a proxy
+	HollowCommand   []string // a process of hollow proxies or servers, but for its file; needed if the experiment has any
+	RegistryCommand []string // a member of the list service; needed if the experiment has any
+	OutputDir       string   // directory for the proxies' logs
+	Logger          *slog.Logger
 	// Progress is told now and then how far the load is; may be nil.
 	Progress func(at, of time.Duration, p Progress)
 }
 
 // Progress is how a play goes.
 type Progress struct {
-	Arrived int
-	Late    time.Duration // of the newest arrival
+	Arrived  int
+	Lateness time.Duration // of the newest arrival
 }
 
 const (
-	canaryEvery   = 10 * time.Millisecond
-	progressEvery = time.Second
-	readyPoll     = 50 * time.Millisecond
-	workPrefix    = "fleetlab-"
+	stallCheckInterval = 10 * time.Millisecond
+	progressInterval   = time.Second
+	readyPollInterval  = 50 * time.Millisecond
+	workDirPrefix      = "fleetlab-"
 )
 
 // ErrEnvironment is a run that this machine could not make.
 var ErrEnvironment = errors.New("environment")
 
 // Play plays an experiment once. When the context ends it stops, and the play is partial.
-func Play(ctx context.Context, e *experiment.Experiment, seed uint64, o Options) (result.Play, error) {
-	if err := bears(e, thisMachine()); err != nil {
+func Play(ctx context.Context, exp *experiment.Experiment, seed uint64, o Options) (result.Play, error) {
+	if err := checkCapacity(exp, thisMachine()); err != nil {
 		return result.Play{}, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
-	p := plan.Draw(e, seed)
+	p := plan.Draw(exp, seed)
 	sum, err := p.Sum()
 	if err != nil {
 		return result.Play{}, err
 	}
 	out := result.Play{Seed: seed, Plan: sum}
-	f := &fleet{exp: e, plan: p, command: o.Command, registry: o.Registry, self: o.Hollow, log: o.Log, logs: filepath.Join(o.Out, "logs")}
-	if err := os.MkdirAll(f.logs, 0o755); err != nil {
+	f := &testbed{experiment: exp, plan: p, proxyCommand: o.ProxyCommand, registryCommand: o.RegistryCommand, hollowCommand: o.HollowCommand, log: o.Logger, logDir: filepath.Join(o.OutputDir, "logs")}
+	if err := os.MkdirAll(f.logDir, 0o755); err != nil {
 		return out, fmt.Errorf("logs: %w", err)
 	}
 	if f.block, err = claimBlock(); err != nil {
@@ -74,13 +74,13 @@
 	defer f.block.release()
 	removeLeftovers()
 	// Short: a Unix socket's path in it has to fit into 108 bytes.
-	if f.work, err = os.MkdirTemp("", fmt.Sprintf("%s%d-", workPrefix, os.Getpid())); err != nil {
+	if f.workDir, err = os.MkdirTemp("", fmt.Sprintf("%s%d-", workDirPrefix, os.Getpid())); err != nil {
 		return out, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
-	defer os.RemoveAll(f.work)
+	defer os.RemoveAll(f.workDir)
 	f.starter = process.NewStarter()
 	defer f.starter.Close()
-	defer f.end()
+	defer f.close()
 	if err := f.build(); err != nil {
 		return out, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
@@ -106,24 +106,24 @@
 	go func() { stall <- watchStalls(canary) }()
 	start := time.Now()
 	if o.Progress != nil {
-		go f.progress(canary, start, o.Progress)
+		go f.reportProgress(canary, start, o.Progress)
 	}
-	phases := f.measure(canary, start)
-	events := f.play(ctx, start)
+	phases := f.startMeter(canary, start)
+	events := f.playLoad(ctx, start)
 	rest()
-	in := result.Input{Experiment: e, Plan: p, Start: start, Record: f.ref.Close(), Events: events, Lateness: f.client.Late(),
+	in := result.Input{Experiment: exp, Plan: p, Start: start, Record: f.ref.Close(), Events: events, Lateness: f.client.Late(),
 		Stall: <-stall}
 	in.Control = f.controlReport(phases())
 	in.List, err = f.listReport(&in.Record)
-	f.note(err)
+	f.recordError(err)
 	in.Gossip, err = f.gossipReport()
-	f.note(err)
+	f.recordError(err)
 	var failed *hollow.FailedError
 	if errors.As(context.Cause(ctx), &failed) {
 		return out, failed
 	}
-	for _, m := range f.order {
-		for _, proc := range m.processes() {
+	for _, proxy := range f.proxyOrder {
+		for _, proc := range proxy.processes() {
 			u := proc.Usage()
 			in.Memory, in.CPU = max(in.Memory, u.Memory), in.CPU+u.CPU
 		}
@@ -131,7 +131,7 @@
 	out.Partial = ctx.Err() != nil
 	out.Fill(in)
 	out.LabMB = float64(process.PeakMemory(os.Getpid())) / (1 << 20)
-	out.Void = voids(e, out.Lateness, in.Control.LongestStall(), f.failed())
+	out.Void = voidReason(exp, out.Lateness, in.Control.LongestStall(), f.labError())
 	stop()
 	for range cap(served) {
 		<-served
@@ -141,9 +141,9 @@
 
 // removeLeftovers removes the directories of runs that were killed: their processes have ended with them.
 func removeLeftovers() {
-	dirs, _ := filepath.Glob(filepath.Join(os.TempDir(), workPrefix+"*"))
+	dirs, _ := filepath.Glob(filepath.Join(os.TempDir(), workDirPrefix+"*"))
 	for _, dir := range dirs {
-		id, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(dir), workPrefix), "-")
+		id, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(dir), workDirPrefix), "-")
 		if pid, err := strconv.Atoi(id); err == nil && !process.Alive(pid) {
 			os.RemoveAll(dir)
 		}
@@ -151,48 +151,48 @@
 }
 
 // voids tells why a play counts for nothing: the lab was late, or could not do what the file asks.
-func voids(e *experiment.Experiment, late result.Lateness, hollowStall float64, failed error) string {
+func voidReason(exp *experiment.Experiment, late result.Lateness, hollowStall float64, failed error) string {
 	switch {
 	case failed != nil:
 		return fmt.Sprintf("the lab failed: %v", failed)
-	case late.P99 > e.Lab.LateMs:
-		return fmt.Sprintf("the lab was late: 99 %% of arrivals within %.1f ms, wanted %.1f", late.P99, e.Lab.LateMs)
-	case hollowStall > e.Lab.StallMs:
-		return fmt.Sprintf("a hollow process stood still for %.0f ms, wanted at most %.0f", hollowStall, e.Lab.StallMs)
-	case late.Stall > e.Lab.StallMs:
-		return fmt.Sprintf("the lab stood still for %.0f ms, wanted at most %.0f", late.Stall, e.Lab.StallMs)
+	case late.P99 > exp.Lab.LateMs:
+		return fmt.Sprintf("the lab was late: 99 %% of arrivals within %.1f ms, wanted %.1f", late.P99, exp.Lab.LateMs)
+	case hollowStall > exp.Lab.StallMs:
+		return fmt.Sprintf("a hollow process stood still for %.0f ms, wanted at most %.0f", hollowStall, exp.Lab.StallMs)
+	case late.Stall > exp.Lab.StallMs:
+		return fmt.Sprintf("the lab stood still for %.0f ms, wanted at most %.0f", late.Stall, exp.Lab.StallMs)
 	}
 	return ""
 }
 
 // startProxies starts all proxies, a jittered moment apart, and waits until the front admits each.
-func (f *fleet) startProxies(ctx context.Context) error {
-	r := f.plan.Source("starts")
-	for _, m := range f.order {
-		if !sleep.For(ctx, time.Duration(r.Float64()*float64(experiment.Seconds(f.exp.Lab.StartGap)))) {
+func (bed *testbed) startProxies(ctx context.Context) error {
+	r := bed.plan.Source("starts")
+	for _, proxy := range bed.proxyOrder {
+		if !sleep.For(ctx, time.Duration(r.Float64()*float64(experiment.Seconds(bed.experiment.Lab.StartGap)))) {
 			return ctx.Err()
 		}
-		m.mu.Lock()
-		err := f.start(m, false)
-		m.mu.Unlock()
+		proxy.mu.Lock()
+		err := bed.start(proxy, false)
+		proxy.mu.Unlock()
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrEnvironment, err)
 		}
 	}
-	patience := time.NewTimer(experiment.Seconds(f.exp.Lab.ReadyWait))
+	patience := time.NewTimer(experiment.Seconds(bed.experiment.Lab.ReadyWait))
 	defer patience.Stop()
-	for len(f.front.Missing()) > 0 {
-		for _, m := range f.order {
-			if over(m.proc) {
-				return fmt.Errorf("%w: proxy %s ended before it served: %v; its log is %s", ErrEnvironment, m.node.Name,
-					m.proc.Err(), filepath.Join(f.logs, m.node.Name+".log"))
+	for len(bed.front.Missing()) > 0 {
+		for _, proxy := range bed.proxyOrder {
+			if ended(proxy.process) {
+				return fmt.Errorf("%w: proxy %s ended before it served: %v; its log is %s", ErrEnvironment, proxy.node.Name,
+					proxy.process.Err(), filepath.Join(bed.logDir, proxy.node.Name+".log"))
 			}
 		}
 		select {
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		case <-patience.C:
-			return fmt.Errorf("%w: not healthy after %v s (lab.ready_wait): %s", ErrEnvironment, f.exp.Lab.ReadyWait,
-				strings.Join(f.front.Missing(), ", "))
+			return fmt.Errorf("%w: not healthy after %v s (lab.ready_wait): %s", ErrEnvironment, bed.experiment.Lab.ReadyWait,
+				strings.Join(bed.front.Missing(), ", "))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -201,12 +201,12 @@
 }
 
 // play plays load and faults to their ends.
-func (f *fleet) play(ctx context.Context, start time.Time) []result.Event {
+func (bed *testbed) playLoad(ctx context.Context, start time.Time) []result.Event {
 	faults, stop := context.WithCancel(ctx)
 	defer stop()
 	events := make(chan []result.Event, 1)
-	go func() { events <- (&timeline{fleet: f, start: start}).run(faults) }()
-	f.client.Run(ctx, start)
+	go func() { events <- (&timeline{testbed: bed, start: start}).run(faults) }()
+	bed.client.Run(ctx, start)
 	stop() // what holds beyond the last answer is of no use
 	return <-events
 }
@@ -215,20 +215,20 @@
 func watchStalls(ctx context.Context) (most time.Duration) {
 	for {
 		at := time.Now()
-		if !sleep.For(ctx, canaryEvery) {
+		if !sleep.For(ctx, stallCheckInterval) {
 			return most
 		}
-		most = max(most, time.Since(at)-canaryEvery)
+		most = max(most, time.Since(at)-stallCheckInterval)
 	}
 }
 
-func (f *fleet) progress(ctx context.Context, start time.Time, tell func(at, of time.Duration, p Progress)) {
-	of := experiment.Seconds(f.exp.Seconds)
-	for sleep.For(ctx, progressEvery) {
-		late := f.client.Late()
+func (bed *testbed) reportProgress(ctx context.Context, start time.Time, tell func(at, of time.Duration, p Progress)) {
+	of := experiment.Seconds(bed.experiment.Seconds)
+	for sleep.For(ctx, progressInterval) {
+		late := bed.client.Late()
 		p := Progress{Arrived: len(late)}
 		if len(late) > 0 {
-			p.Late = late[len(late)-1]
+			p.Lateness = late[len(late)-1]
 		}
 		tell(min(time.Since(start), of), of, p)
 	}
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -22,99 +22,99 @@
 )
 
 // member is a proxy of the fleet, over all its processes.
-type member struct {
-	node    experiment.Node
-	ordinal int
-	zone    int
-	listen  string
-	list    string
-	dir     string
-	relay   *link.Relay // of the fleet's gossip; nil if it is off
-
-	mu     sync.Mutex // of one fault at a time, and of what follows
-	proc   *process.Process
-	mgmt   string
-	began  time.Time         // of the latest process
-	config string            // its file
-	count  int               // processes so far
-	owed   []func(time.Time) // excuses that end when it serves again
-	dead   int               // faults that keep it down
-
-	all   sync.Mutex // of what follows
-	run   []*process.Process
-	stops int // faults that hold: stopped, disk full
-	fulls int
+type proxyUnderTest struct {
+	node          experiment.Node
+	ordinal       int
+	zone          int
+	listenAddress string
+	listAddress   string
+	dir           string
+	relay         *link.Relay // of the fleet's gossip; nil if it is off
+
+	mu                sync.Mutex // of one fault at a time, and of what follows
+	process           *process.Process
+	managementAddress string
+	startedAt         time.Time         // of the latest process
+	configFile        string            // its file
+	starts            int               // processes so far
+	excusedSpans      []func(time.Time) // excuses that end when it serves again
+	downFaults        int               // faults that keep it down
+
+	processesMu    sync.Mutex // of what follows
+	allProcesses   []*process.Process
+	stopFaults     int // faults that hold: stopped, disk full
+	diskFullFaults int
 }
 
-func (m *member) processes() []*process.Process {
-	m.all.Lock()
-	defer m.all.Unlock()
-	return slices.Clone(m.run)
+func (proxy *proxyUnderTest) processes() []*process.Process {
+	proxy.processesMu.Lock()
+	defer proxy.processesMu.Unlock()
+	return slices.Clone(proxy.allProcesses)
 }
 
 // start starts a process of a proxy. From nothing, it knows the list as its configuration has it; as a successor it
 // shares the predecessor's directory.
-func (f *fleet) start(m *member, keep bool) error {
-	tmp := filepath.Join(m.dir, "tmp")
+func (bed *testbed) start(proxy *proxyUnderTest, keep bool) error {
+	tmp := filepath.Join(proxy.dir, "tmp")
 	if !keep {
-		if err := os.RemoveAll(m.dir); err != nil {
-			return fmt.Errorf("directory of %s: %w", m.node.Name, err)
+		if err := os.RemoveAll(proxy.dir); err != nil {
+			return fmt.Errorf("directory of %s: %w", proxy.node.Name, err)
 		}
 	}
 	if err := os.MkdirAll(tmp, 0o755); err != nil {
-		return fmt.Errorf("directory of %s: %w", m.node.Name, err)
+		return fmt.Errorf("directory of %s: %w", proxy.node.Name, err)
 	}
 	part := 1.0
-	if f.exp.Proxy.KnownPart != nil {
-		part = *f.exp.Proxy.KnownPart
+	if bed.experiment.Proxy.KnownPart != nil {
+		part = *bed.experiment.Proxy.KnownPart
 	}
-	f.mu.Lock()
-	seed := f.rng.Uint64()
+	bed.mu.Lock()
+	seed := bed.rng.Uint64()
 	knows := rand.New(rand.NewPCG(seed, 5))
-	f.mu.Unlock()
+	bed.mu.Unlock()
 	var known json.RawMessage
 	var told []referee.Entry
 	if part > 0 {
-		known, told = f.known(m.node.Name, part, knows)
+		known, told = bed.initialList(proxy.node.Name, part, knows)
 	}
-	m.mgmt = f.block.mgmt(m.ordinal, m.count)
-	speaks, err := f.speaks(m)
+	proxy.managementAddress = bed.block.mgmt(proxy.ordinal, proxy.starts)
+	speaks, err := bed.gossipConfig(proxy)
 	if err != nil {
 		return err
 	}
-	m.count++
-	text, err := configuration(f.exp, m, seed, m.mgmt, f.listMembers(m), known, speaks)
+	proxy.starts++
+	text, err := proxyConfig(bed.experiment, proxy, seed, proxy.managementAddress, bed.listMembers(proxy), known, speaks)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(m.dir, fmt.Sprintf("config-%d.json", m.count)) // its own: another may start before it has read it
+	path := filepath.Join(proxy.dir, fmt.Sprintf("config-%d.json", proxy.starts)) // its own: another may start before it has read it
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return fmt.Errorf("configuration of %s: %w", m.node.Name, err)
+		return fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
-	successor := m.proc != nil && !over(m.proc)
+	successor := proxy.process != nil && !ended(proxy.process)
 	if successor {
-		f.ref.RecordInheritedList(m.node.Name, told, time.Now())
+		bed.ref.RecordInheritedList(proxy.node.Name, told, time.Now())
 	} else {
-		f.ref.RecordProxyStart(m.node.Name, told, time.Now())
+		bed.ref.RecordProxyStart(proxy.node.Name, told, time.Now())
 	}
-	p, err := f.starter.Start(process.Spec{Name: m.node.Name, Command: f.command, Env: append(os.Environ(), "LB_CONFIG="+path,
-		"LB_NAME="+m.node.Name, "LB_LISTEN="+m.listen, "LB_DISCOVERY="+m.list, "LB_MGMT="+m.mgmt, "TMPDIR="+tmp),
-		Log: filepath.Join(f.logs, m.node.Name+".log")}, f.log)
+	p, err := bed.starter.Start(process.Spec{Name: proxy.node.Name, Command: bed.proxyCommand, Env: append(os.Environ(), "LB_CONFIG="+path,
+		"LB_NAME="+proxy.node.Name, "LB_LISTEN="+proxy.listenAddress, "LB_DISCOVERY="+proxy.listAddress, "LB_MGMT="+proxy.managementAddress, "TMPDIR="+tmp),
+		Log: filepath.Join(bed.logDir, proxy.node.Name+".log")}, bed.log)
 	if err != nil {
 		return err
 	}
-	m.proc, m.began, m.config = p, time.Now(), path
-	go f.mourn(p)
-	m.all.Lock()
-	defer m.all.Unlock()
-	m.run = append(m.run, p)
-	if m.fulls > 0 {
+	proxy.process, proxy.startedAt, proxy.configFile = p, time.Now(), path
+	go bed.watchForCrash(p)
+	proxy.processesMu.Lock()
+	defer proxy.processesMu.Unlock()
+	proxy.allProcesses = append(proxy.allProcesses, p)
+	if proxy.diskFullFaults > 0 {
 		return p.DiskFull(true)
 	}
 	return nil
 }
 
-func over(p *process.Process) bool {
+func ended(p *process.Process) bool {
 	select {
 	case <-p.Ended():
 		return true
@@ -124,90 +124,90 @@
 }
 
 // mourn counts a process that ends without having been told to.
-func (f *fleet) mourn(p *process.Process) {
+func (bed *testbed) watchForCrash(p *process.Process) {
 	<-p.Ended()
 	if p.Crashed() {
-		f.log.Error("a proxy crashed", "proxy", p.Name, "error", p.Err())
-		f.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
+		bed.log.Error("a proxy crashed", "proxy", p.Name, "error", p.Err())
+		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 }
 
 // kill kills proxies in one instant, and excuses them until each serves again.
-func (f *fleet) kill(ms []*member) error {
-	ms = slices.Clone(ms)
-	slices.SortFunc(ms, func(a, b *member) int { return cmp.Compare(a.ordinal, b.ordinal) }) // one order of locks
+func (bed *testbed) kill(proxies []*proxyUnderTest) error {
+	proxies = slices.Clone(proxies)
+	slices.SortFunc(proxies, func(a, b *proxyUnderTest) int { return cmp.Compare(a.ordinal, b.ordinal) }) // one order of locks
 	var ps []*process.Process
-	for _, m := range ms {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		ps = append(ps, m.processes()...)
+	for _, proxy := range proxies {
+		proxy.mu.Lock()
+		defer proxy.mu.Unlock()
+		ps = append(ps, proxy.processes()...)
 	}
 	at := time.Now()
-	for _, m := range ms {
-		m.owed = append(m.owed, f.ref.BeginExcusedSpan(m.node.Name, at))
-		m.dead++
+	for _, proxy := range proxies {
+		proxy.excusedSpans = append(proxy.excusedSpans, bed.ref.BeginExcusedSpan(proxy.node.Name, at))
+		proxy.downFaults++
 	}
-	return process.KillAll(slices.DeleteFunc(ps, over))
+	return process.KillAll(slices.DeleteFunc(ps, ended))
 }
 
 // longest is how long a planned restart waits for SIGKILL.
-func (f *fleet) longest() time.Duration {
+func (bed *testbed) killDelay() time.Duration {
 	most := time.Duration(0)
-	for _, k := range f.exp.Classes {
+	for _, k := range bed.experiment.Classes {
 		most = max(most, experiment.Millis(k.GiveUpMs))
 	}
-	return min(most, killAfter) + killLeeway
+	return min(most, minKillDelay) + killSlack
 }
 
 // restart is a planned restart, with a time in between in which there is no process.
-func (f *fleet) restart(ctx context.Context, m *member, signals []signalAt, away time.Duration, keep bool) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.proc == nil || over(m.proc) {
+func (bed *testbed) restart(ctx context.Context, proxy *proxyUnderTest, signals []signalAt, away time.Duration, keep bool) error {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	if proxy.process == nil || ended(proxy.process) {
 		return nil
 	}
-	old := m.proc
-	bar := time.AfterFunc(stayAfterTerm, func() { f.front.Bar(m.node.Name) })
+	old := proxy.process
+	bar := time.AfterFunc(termNoticeDelay, func() { bed.front.Bar(proxy.node.Name) })
 	go sendSignals(old, signals)
-	clean, err := old.End(f.longest())
+	clean, err := old.End(bed.killDelay())
 	bar.Stop()
-	f.front.Bar(m.node.Name)
+	bed.front.Bar(proxy.node.Name)
 	if err != nil {
 		return err
 	}
 	if !clean {
-		f.log.Warn("a proxy did not end by itself after SIGTERM", "proxy", m.node.Name, "error", old.Err())
+		bed.log.Warn("a proxy did not end by itself after SIGTERM", "proxy", proxy.node.Name, "error", old.Err())
 	}
-	defer f.front.Expect(m.node.Name)
+	defer bed.front.Expect(proxy.node.Name)
 	if !sleep.For(ctx, away) {
 		return nil
 	}
-	return f.start(m, keep)
+	return bed.start(proxy, keep)
 }
 
 // upgrade replaces the process by the on-call page.
-func (f *fleet) upgrade(ctx context.Context, m *member) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	old := m.proc
-	if old == nil || over(old) {
+func (bed *testbed) upgrade(ctx context.Context, proxy *proxyUnderTest) error {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	old := proxy.process
+	if old == nil || ended(old) {
 		return nil
 	}
-	if err := f.start(m, true); err != nil {
+	if err := bed.start(proxy, true); err != nil {
 		return err
 	}
-	if !f.awaitYes(ctx, m, successorWait) {
-		f.log.Error("a successor did not say yes", "proxy", m.node.Name)
-		f.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
+	if !bed.awaitReady(ctx, proxy, successorTimeout) {
+		bed.log.Error("a successor did not say yes", "proxy", proxy.node.Name)
+		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
-	_, err := old.End(f.longest())
+	_, err := old.End(bed.killDelay())
 	return err
 }
 
-func (f *fleet) awaitYes(ctx context.Context, m *member, patience time.Duration) bool {
-	client := http.Client{Timeout: callPatience, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(patience); time.Now().Before(end) && sleep.For(ctx, readyzPoll); {
-		resp, err := client.Get("http://" + m.mgmt + "/v1/readyz")
+func (bed *testbed) awaitReady(ctx context.Context, proxy *proxyUnderTest, patience time.Duration) bool {
+	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for end := time.Now().Add(patience); time.Now().Before(end) && sleep.For(ctx, readyzPollInterval); {
+		resp, err := client.Get("http://" + proxy.managementAddress + "/v1/readyz")
 		if err != nil {
 			continue
 		}
@@ -220,35 +220,35 @@
 }
 
 // powerLoss kills a proxy and loses what its files got last.
-func (f *fleet) powerLoss(m *member) error {
-	if err := f.kill([]*member{m}); err != nil {
+func (bed *testbed) powerLoss(proxy *proxyUnderTest) error {
+	if err := bed.kill([]*proxyUnderTest{proxy}); err != nil {
 		return err
 	}
-	f.mu.Lock()
-	r := rand.New(rand.NewPCG(f.plan.Seed, f.rng.Uint64()))
-	f.mu.Unlock()
-	torn, err := faultdisk.Tear(filepath.Join(m.dir, "tmp"), time.Now().Add(-tornBefore), r)
-	f.log.Info("power lost", "proxy", m.node.Name, "files", len(torn))
+	bed.mu.Lock()
+	r := rand.New(rand.NewPCG(bed.plan.Seed, bed.rng.Uint64()))
+	bed.mu.Unlock()
+	torn, err := faultdisk.Tear(filepath.Join(proxy.dir, "tmp"), time.Now().Add(-powerLossWindow), r)
+	bed.log.Info("power lost", "proxy", proxy.node.Name, "files", len(torn))
 	return err
 }
 
 // again starts a killed proxy again, unless another fault keeps it down. It is excused until it says that it serves.
-func (f *fleet) again(ctx context.Context, m *member, keep bool) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.dead--; m.dead > 0 {
+func (bed *testbed) startAgain(ctx context.Context, proxy *proxyUnderTest, keep bool) error {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	if proxy.downFaults--; proxy.downFaults > 0 {
 		return nil
 	}
-	if err := f.start(m, keep); err != nil {
+	if err := bed.start(proxy, keep); err != nil {
 		return err
 	}
-	if !f.awaitYes(ctx, m, reopenPatience) && ctx.Err() == nil {
-		f.log.Error("a proxy did not serve again after its start", "proxy", m.node.Name, "waited", reopenPatience)
-		f.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
+	if !bed.awaitReady(ctx, proxy, readmitTimeout) && ctx.Err() == nil {
+		bed.log.Error("a proxy did not serve again after its start", "proxy", proxy.node.Name, "waited", readmitTimeout)
+		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
-	for _, end := range m.owed {
+	for _, end := range proxy.excusedSpans {
 		end(time.Now())
 	}
-	m.owed = nil
+	proxy.excusedSpans = nil
 	return nil
 }
--- a/internal/faultlab/run/run_test.go
+++ b/internal/faultlab/run/run_test.go
@@ -65,8 +65,8 @@
 `
 
 // Each rule is broken by a proxy that keeps all others, and the right one breaks none.
-func TestRefereeCatches(t *testing.T) {
-	e, err := experiment.Parse("judged", judged, nil)
+func TestRefereeDetects(t *testing.T) {
+	exp, err := experiment.Parse("judged", judged, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,8 +84,8 @@
 	} {
 		t.Run(test.wrong, func(t *testing.T) {
 			t.Parallel()
-			p, err := Play(context.Background(), e, 1, Options{Command: []string{os.Args[0], "standin", test.wrong},
-				Out: t.TempDir(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+			p, err := Play(context.Background(), exp, 1, Options{ProxyCommand: []string{os.Args[0], "standin", test.wrong},
+				OutputDir: t.TempDir(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -110,8 +110,8 @@
 }
 
 // A run in which the lab ran late, or failed itself, is void.
-func TestVoids(t *testing.T) {
-	e := &experiment.Experiment{Lab: experiment.Lab{LateMs: 20, StallMs: 400}}
+func TestVoidReason(t *testing.T) {
+	exp := &experiment.Experiment{Lab: experiment.Lab{LateMs: 20, StallMs: 400}}
 	for _, test := range []struct {
 		late   result.Lateness
 		hollow float64
@@ -124,7 +124,7 @@
 		{result.Lateness{P50: 1, P99: 2, Max: 3, Stall: 3}, 401, nil, "a hollow process stood still"},
 		{result.Lateness{}, 0, io.ErrClosedPipe, "failed: io"},
 	} {
-		if got := voids(e, test.late, test.hollow, test.failed); (got == "") != (test.void == "") || !strings.Contains(got, test.void) {
+		if got := voidReason(exp, test.late, test.hollow, test.failed); (got == "") != (test.void == "") || !strings.Contains(got, test.void) {
 			t.Errorf("%+v, %v: %q, want %q", test.late, test.failed, got, test.void)
 		}
 	}
@@ -167,19 +167,19 @@
 // nothing, against the times that the queue's recursion gives for these very arrivals. It reports measured percentiles
 // over computed ones: within 0.95 and 1.05 the lab is calibrated.
 func BenchmarkCalibration(b *testing.B) {
-	e, err := experiment.Parse("queued", queued, nil)
+	exp, err := experiment.Parse("queued", queued, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for i := range b.N {
-		p, err := Play(context.Background(), e, uint64(i+1), Options{Command: []string{os.Args[0], "standin", "nothing"},
-			Out: b.TempDir(), Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		p, err := Play(context.Background(), exp, uint64(i+1), Options{ProxyCommand: []string{os.Args[0], "standin", "nothing"},
+			OutputDir: b.TempDir(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err != nil {
 			b.Fatal(err)
 		}
 		work, free := 40*time.Millisecond, make([]time.Duration, 2)
 		var want []time.Duration
-		for _, a := range plan.Draw(e, uint64(i+1)).Arrivals { // first come, first served, at the slot that is free first
+		for _, a := range plan.Draw(exp, uint64(i+1)).Arrivals { // first come, first served, at the slot that is free first
 			slices.Sort(free)
 			free[0] = max(free[0], a.At) + work
 			want = append(want, free[0]-a.At)
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -18,43 +18,43 @@
 // server is a server of the fleet, with what the list says of it.
 type server struct {
 	*stubserver.Server
-	mu     sync.Mutex
-	node   experiment.Node
-	cell   int
-	entry  catalog.Entry
-	downs  int          // faults that keep it down
-	refuse func() error // ends the refusal of connections, if its process is down and its machine is not
+	mu         sync.Mutex
+	node       experiment.Node
+	cell       int
+	entry      catalog.Entry
+	downFaults int          // faults that keep it down
+	endRefusal func() error // ends the refusal of connections, if its process is down and its machine is not
 }
 
 // address is where a proxy finds a server.
-func (f *fleet) address(proxy, name string) string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.addrs[f.group(f.members[proxy].node)+"/"+name]
+func (bed *testbed) address(proxy, name string) string {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	return bed.addresses[bed.linkGroup(bed.proxies[proxy].node)+"/"+name]
 }
 
 // Job and Fell make the fleet the servers' world.
-func (f *fleet) Job(id string) (stubserver.Job, bool) { return f.client.Job(id) }
+func (bed *testbed) Job(id string) (stubserver.Job, bool) { return bed.client.Job(id) }
 
 // Fell takes a server down for good.
-func (f *fleet) Fell(name string) {
-	f.log.Warn("a cold nodo fell over", "nodo", name)
-	f.note(f.down(f.server(name)))
+func (bed *testbed) Fell(name string) {
+	bed.log.Warn("a cold nodo fell over", "nodo", name)
+	bed.recordError(bed.takeDown(bed.server(name)))
 }
 
-func (f *fleet) server(name string) *server {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.servers[name]
+func (bed *testbed) server(name string) *server {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	return bed.servers[name]
 }
 
 // serversOf are the servers of a zone.
-func (f *fleet) serversOf(zone string) (out []*server) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.servers {
-		if s.node.Zone == zone {
-			out = append(out, s)
+func (bed *testbed) serversInZone(zone string) (out []*server) {
+	bed.mu.Lock()
+	defer bed.mu.Unlock()
+	for _, server := range bed.servers {
+		if server.node.Zone == zone {
+			out = append(out, server)
 		}
 	}
 	slices.SortFunc(out, func(a, b *server) int { return cmp.Compare(a.node.Name, b.node.Name) })
@@ -68,118 +68,118 @@
 func cellOf(zone, number int) int { return zone*zoneCells + number%zoneCells }
 
 // addServer makes a server with a link from each group of proxies, and starts it.
-func (f *fleet) addServer(n experiment.Node, cell int, at time.Time, cold bool) (*server, error) {
+func (bed *testbed) addServer(n experiment.Node, cell int, at time.Time, cold bool) (*server, error) {
 	if len(n.Name) > maxServerName {
 		return nil, fmt.Errorf("nodo %s: replaced too often", n.Name)
 	}
-	c, number := f.exp.Servers, cell
-	cell = cellOf(slices.Index(f.exp.ZoneNames(), n.Zone), number)
-	s := &server{node: n, cell: cell, Server: stubserver.New(stubserver.Spec{Name: n.Name, Zone: n.Zone, Cell: cell,
+	c, number := bed.experiment.Servers, cell
+	cell = cellOf(slices.Index(bed.experiment.ZoneNames(), n.Zone), number)
+	server := &server{node: n, cell: cell, Server: stubserver.New(stubserver.Spec{Name: n.Name, Zone: n.Zone, Cell: cell,
 		Speed: n.Group.Speed, Slots: n.Group.Slots, Queue: n.Group.Queue, MaxConns: c.MaxConns,
 		ConnectDelay: experiment.Millis(c.ConnectMs), ConnectWork: experiment.Millis(c.ConnectWork),
-		IdleClose: experiment.Millis(f.exp.Proxy.IdleMs), StartCapacity: c.StartCapacity, SlowStart: experiment.Millis(c.SlowStartMs),
+		IdleClose: experiment.Millis(bed.experiment.Proxy.IdleMs), StartCapacity: c.StartCapacity, SlowStart: experiment.Millis(c.SlowStartMs),
 		OverloadMultiple: c.OverloadMultiple, Fall: experiment.Millis(c.FallMs), Cancelling: c.Cancelling,
-		Seed: f.plan.Seed + uint64(number)}, f, f.ref)}
-	f.begin(s, at, cold)
-	f.mu.Lock()
-	f.servers[n.Name] = s
-	f.mu.Unlock()
+		Seed: bed.plan.Seed + uint64(number)}, bed, bed.ref)}
+	bed.startServer(server, at, cold)
+	bed.mu.Lock()
+	bed.servers[n.Name] = server
+	bed.mu.Unlock()
 	seen := map[string]bool{}
-	for _, m := range f.order {
-		group := f.group(m.node)
+	for _, proxy := range bed.proxyOrder {
+		group := bed.linkGroup(proxy.node)
 		if seen[group] {
 			continue
 		}
 		seen[group] = true
-		f.mu.Lock()
-		addr, err := f.block.server(f.links)
-		f.links++
-		f.addrs[group+"/"+n.Name] = addr
-		f.mu.Unlock()
+		bed.mu.Lock()
+		addr, err := bed.block.server(bed.serverLinks)
+		bed.serverLinks++
+		bed.addresses[group+"/"+n.Name] = addr
+		bed.mu.Unlock()
 		if err != nil {
 			return nil, err
 		}
-		ends := link.Ends{Kind: "nodo", From: m.node.Name, FromZone: m.node.Zone, To: n.Name, ToZone: n.Zone}
-		if strings.HasPrefix(group, groupOfZone) {
+		ends := link.Ends{Kind: "nodo", From: proxy.node.Name, FromZone: proxy.node.Zone, To: n.Name, ToZone: n.Zone}
+		if strings.HasPrefix(group, zoneGroupPrefix) {
 			ends.From = ""
 		}
-		if _, err := f.net.Listen(ends, addr, f.delay(m.node.Zone, n.Zone), s.Serve); err != nil {
+		if _, err := bed.net.Listen(ends, addr, bed.delay(proxy.node.Zone, n.Zone), server.Serve); err != nil {
 			return nil, err
 		}
 	}
-	return s, nil
+	return server, nil
 }
 
 // begin starts a server's process; a zero time is long ago.
-func (f *fleet) begin(s *server, at time.Time, cold bool) {
-	s.Start(at, cold)
+func (bed *testbed) startServer(server *server, at time.Time, cold bool) {
+	server.Start(at, cold)
 	since := int64(0)
 	if cold {
 		since = at.UnixMilli()
 	}
-	s.mu.Lock()
-	s.entry = catalog.Entry{Name: s.node.Name, Zone: s.node.Zone, Type: cmp.Or(s.node.Group.Kind, "lab"), Group: s.cell,
+	server.mu.Lock()
+	server.entry = catalog.Entry{Name: server.node.Name, Zone: server.node.Zone, Type: cmp.Or(server.node.Group.Kind, "lab"), Group: server.cell,
 		Status: catalog.Serving, Since: since}
-	s.mu.Unlock()
-	f.ref.RecordServerState(s.node.Name, referee.ServerState{Zone: s.node.Zone, Cell: s.cell, Serving: true, Since: since}, at)
+	server.mu.Unlock()
+	bed.ref.RecordServerState(server.node.Name, referee.ServerState{Zone: server.node.Zone, Cell: server.cell, Serving: true, Since: since}, at)
 }
 
 // tell tells the list what a server is now.
-func (f *fleet) notify(s *server, status string) {
-	s.mu.Lock()
-	s.entry.Status = status
-	e := s.entry
-	s.mu.Unlock()
-	f.ref.RecordServerState(e.Name, referee.ServerState{Zone: e.Zone, Cell: e.Group, Serving: status == catalog.Serving,
-		Since: e.Since}, time.Now())
-	f.change(e)
+func (bed *testbed) setStatus(server *server, status string) {
+	server.mu.Lock()
+	server.entry.Status = status
+	entry := server.entry
+	server.mu.Unlock()
+	bed.ref.RecordServerState(entry.Name, referee.ServerState{Zone: entry.Zone, Cell: entry.Group, Serving: status == catalog.Serving,
+		Since: entry.Since}, time.Now())
+	bed.announce(entry)
 }
 
-func to(name string) func(link.Ends) bool {
-	return func(e link.Ends) bool { return e.Kind == "nodo" && e.To == name }
+func serverLinksTo(name string) func(link.Ends) bool {
+	return func(ends link.Ends) bool { return ends.Kind == "nodo" && ends.To == name }
 }
 
 // down ends a server's process: connections are reset, new ones refused, and the list hears of it.
-func (f *fleet) down(s *server) error {
-	s.mu.Lock()
-	s.downs++
+func (bed *testbed) takeDown(server *server) error {
+	server.mu.Lock()
+	server.downFaults++
 	var err error
-	if s.refuse == nil {
-		s.refuse, err = f.net.Apply(to(s.node.Name), link.Effect{Refuse: true})
+	if server.endRefusal == nil {
+		server.endRefusal, err = bed.net.Apply(serverLinksTo(server.node.Name), link.Effect{Refuse: true})
 	}
-	s.mu.Unlock()
-	s.Stop()
-	f.net.Reset(to(s.node.Name))
-	f.notify(s, catalog.Deleted)
+	server.mu.Unlock()
+	server.Stop()
+	bed.net.Reset(serverLinksTo(server.node.Name))
+	bed.setStatus(server, catalog.Deleted)
 	return err
 }
 
 // vanish ends a server's machine: its links are silent already.
-func (f *fleet) vanish(s *server) {
-	s.mu.Lock()
-	s.downs++
-	s.mu.Unlock()
-	s.Stop()
-	f.notify(s, catalog.Deleted)
+func (bed *testbed) vanish(server *server) {
+	server.mu.Lock()
+	server.downFaults++
+	server.mu.Unlock()
+	server.Stop()
+	bed.setStatus(server, catalog.Deleted)
 }
 
 // up ends one of the faults that keep a server down; with the last its process starts again, cold.
-func (f *fleet) up(s *server) error {
-	s.mu.Lock()
-	s.downs--
-	down, end := s.downs > 0, s.refuse
+func (bed *testbed) bringUp(server *server) error {
+	server.mu.Lock()
+	server.downFaults--
+	down, end := server.downFaults > 0, server.endRefusal
 	if !down {
-		s.refuse = nil
+		server.endRefusal = nil
 	}
-	s.mu.Unlock()
+	server.mu.Unlock()
 	if down {
 		return nil
 	}
-	f.begin(s, time.Now(), true)
+	bed.startServer(server, time.Now(), true)
 	var err error
 	if end != nil {
 		err = end()
 	}
-	f.notify(s, catalog.Serving)
+	bed.setStatus(server, catalog.Serving)
 	return err
 }
--- a/internal/faultlab/run/strike.go
+++ b/internal/faultlab/run/strike.go
@@ -18,93 +18,93 @@
 // timeline carries a plan's faults out, each at its time and for its time, however others stand. It returns when all
 // have ended, or the context has; then what holds ends at once.
 type timeline struct {
-	*fleet
-	start time.Time
-	all   sync.WaitGroup
+	*testbed
+	start   time.Time
+	running sync.WaitGroup
 }
 
 func (t *timeline) run(ctx context.Context) []result.Event {
 	events := make([]result.Event, len(t.plan.Strikes))
-	for i, s := range t.plan.Strikes {
-		t.all.Go(func() {
-			events[i] = result.Event{Number: s.N, Kind: s.Fault.Kind, Start: s.At.Seconds(), End: -1}
-			if !t.until(ctx, s.At) {
+	for i, strike := range t.plan.Strikes {
+		t.running.Go(func() {
+			events[i] = result.Event{Number: strike.N, Kind: strike.Fault.Kind, Start: strike.At.Seconds(), End: -1}
+			if !t.waitUntil(ctx, strike.At) {
 				return
 			}
-			t.log.Info("fault begins", "n", s.N, "kind", s.Fault.Kind, "targets", targets(s))
-			events[i].Start, events[i].Target = time.Since(t.start).Seconds(), targets(s)
-			t.note(t.strike(ctx, s))
+			t.log.Info("fault begins", "n", strike.N, "kind", strike.Fault.Kind, "targets", targetNames(strike))
+			events[i].Start, events[i].Target = time.Since(t.start).Seconds(), targetNames(strike)
+			t.recordError(t.inject(ctx, strike))
 			events[i].End = time.Since(t.start).Seconds()
-			t.log.Info("fault has ended", "n", s.N, "kind", s.Fault.Kind)
+			t.log.Info("fault has ended", "n", strike.N, "kind", strike.Fault.Kind)
 		})
 	}
-	t.all.Wait()
+	t.running.Wait()
 	return slices.DeleteFunc(events, func(e result.Event) bool { return e.End < 0 })
 }
 
-func targets(s plan.Strike) (names []string) {
-	if experiment.Kinds[s.Fault.Kind].Hollow {
-		return []string{fmt.Sprintf("%d hollow nodos", len(s.Turns))}
+func targetNames(strike plan.Strike) (names []string) {
+	if experiment.Kinds[strike.Fault.Kind].Hollow {
+		return []string{fmt.Sprintf("%d hollow nodos", len(strike.Turns))}
 	}
-	if experiment.Kinds[s.Fault.Kind].Configs {
-		return []string{fmt.Sprintf("%d configurations", len(s.Turns))}
+	if experiment.Kinds[strike.Fault.Kind].Configs {
+		return []string{fmt.Sprintf("%d configurations", len(strike.Turns))}
 	}
-	for _, turn := range s.Turns {
+	for _, turn := range strike.Turns {
 		names = append(names, turn.Target)
 	}
-	if s.Fault.Zone != "" && len(names) == 0 {
-		names = []string{s.Fault.Zone}
+	if strike.Fault.Zone != "" && len(names) == 0 {
+		names = []string{strike.Fault.Zone}
 	}
 	return names
 }
 
 // until waits for a moment of the load.
-func (t *timeline) until(ctx context.Context, at time.Duration) bool {
+func (t *timeline) waitUntil(ctx context.Context, at time.Duration) bool {
 	return sleep.For(ctx, time.Until(t.start.Add(at)))
 }
 
 // hold keeps a fault up for its time: to the end of the load if it names none.
-func (t *timeline) hold(ctx context.Context, s plan.Strike, begun time.Duration) {
-	if s.For <= 0 {
-		t.until(ctx, experiment.Seconds(t.exp.Seconds))
+func (t *timeline) holdFault(ctx context.Context, strike plan.Strike, begun time.Duration) {
+	if strike.For <= 0 {
+		t.waitUntil(ctx, experiment.Seconds(t.experiment.Seconds))
 		return
 	}
-	t.until(ctx, begun+s.For)
+	t.waitUntil(ctx, begun+strike.For)
 }
 
 // strike carries one fault out from its beginning to its end.
-func (t *timeline) strike(ctx context.Context, s plan.Strike) error {
-	kind := experiment.Kinds[s.Fault.Kind]
+func (t *timeline) inject(ctx context.Context, strike plan.Strike) error {
+	kind := experiment.Kinds[strike.Fault.Kind]
 	switch {
 	case kind.Proxies:
-		return t.proxies(ctx, s)
-	case s.Fault.Kind == "gossip_lie":
-		return t.lie(ctx, s)
+		return t.injectProxyFault(ctx, strike)
+	case strike.Fault.Kind == "gossip_lie":
+		return t.runByzantineMembers(ctx, strike)
 	case kind.Hollow:
-		return t.strikeHollowServers(ctx, s)
+		return t.injectHollowFault(ctx, strike)
 	case kind.Configs:
-		return t.putConfigs(ctx, s)
+		return t.writeConfigs(ctx, strike)
 	case kind.Servers:
-		return t.each(ctx, s, func(turn plan.Turn) error { return t.strikeServer(ctx, s, turn) })
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error { return t.injectServerFault(ctx, strike, turn) })
 	case kind.Links:
-		return t.links(ctx, s)
+		return t.injectLinkFault(ctx, strike)
 	case kind.Members:
-		return t.listService(ctx, s)
-	case s.Fault.Kind == "zone_loss":
-		return t.loseZone(ctx, s)
-	case s.Fault.Kind == "zone_cut":
-		return t.over(ctx, s, reach{between(s.Fault.Zone), link.Silent})
+		return t.injectRegistryFault(ctx, strike)
+	case strike.Fault.Kind == "zone_loss":
+		return t.loseZone(ctx, strike)
+	case strike.Fault.Kind == "zone_cut":
+		return t.applyEffects(ctx, strike, linkEffect{zoneBorder(strike.Fault.Zone), link.Silent})
 	}
-	return t.lists(ctx, s)
+	return t.injectListFault(ctx, strike)
 }
 
 // each carries a fault out on each target at its turn; the turns do not wait for each other.
-func (t *timeline) each(ctx context.Context, s plan.Strike, do func(plan.Turn) error) error {
-	errs := make([]error, len(s.Turns))
+func (t *timeline) eachTarget(ctx context.Context, strike plan.Strike, do func(plan.Turn) error) error {
+	errs := make([]error, len(strike.Turns))
 	var all sync.WaitGroup
-	for i, turn := range s.Turns {
+	for i, turn := range strike.Turns {
 		all.Go(func() {
-			if t.until(ctx, turn.At) {
+			if t.waitUntil(ctx, turn.At) {
 				errs[i] = do(turn)
 			}
 		})
--- a/internal/faultlab/run/strike_configs.go
+++ b/internal/faultlab/run/strike_configs.go
@@ -17,53 +17,53 @@
 )
 
 const (
-	putWait        = 3 * time.Second // for one answer
-	putPause       = 100 * time.Millisecond
-	maxPutDuration = 20 * time.Second // for all tries of one put
+	configWriteTimeout     = 3 * time.Second // for one answer
+	configRetryPause       = 100 * time.Millisecond
+	maxConfigWriteDuration = 20 * time.Second // for all tries of one put
 )
 
 // configs is what was put of services' configurations.
-type configs struct {
-	mu       sync.Mutex
-	services map[string]*configured
-	puts     []result.ConfigWrite
-	n        int64 // documents so far: no two are alike
+type configWrites struct {
+	mu        sync.Mutex
+	services  map[string]*configuredService
+	writes    []result.ConfigWrite
+	documents int64 // documents so far: no two are alike
 }
 
 // configured is a service whose configuration the lab puts: one put at a time, each after the one before.
-type configured struct {
+type configuredService struct {
 	mu      sync.Mutex
 	version int64
 }
 
-func (c *configs) of(service string) (own *configured, n int64) {
+func (c *configWrites) service(service string) (own *configuredService, n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.services == nil {
-		c.services = map[string]*configured{}
+		c.services = map[string]*configuredService{}
 	}
 	if c.services[service] == nil {
-		c.services[service] = &configured{}
+		c.services[service] = &configuredService{}
 	}
-	c.n++
-	return c.services[service], c.n
+	c.documents++
+	return c.services[service], c.documents
 }
 
-func (c *configs) note(p result.ConfigWrite) {
+func (c *configWrites) record(p result.ConfigWrite) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.puts = append(c.puts, p)
+	c.writes = append(c.writes, p)
 }
 
-func (c *configs) done() []result.ConfigWrite {
+func (c *configWrites) all() []result.ConfigWrite {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.puts)
+	return slices.Clone(c.writes)
 }
 
 // document is the hollow proxies' settings with an objective of its own. A faulty one repeats calls in a way that there is not.
-func (f *fleet) document(n int64, faulty bool) ([]byte, error) {
-	told, err := f.hollowSettings()
+func (bed *testbed) configDocument(n int64, faulty bool) ([]byte, error) {
+	told, err := bed.hollowSettings()
 	if err != nil {
 		return nil, err
 	}
@@ -84,31 +84,31 @@
 }
 
 // putConfigs puts configurations at the members, each at its turn.
-func (t *timeline) putConfigs(ctx context.Context, s plan.Strike) error {
-	return t.each(ctx, s, func(turn plan.Turn) error {
-		own, n := t.configs.of(turn.Target)
-		text, err := t.document(n, s.Fault.Faulty)
+func (t *timeline) writeConfigs(ctx context.Context, strike plan.Strike) error {
+	return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+		own, n := t.configs.service(turn.Target)
+		text, err := t.configDocument(n, strike.Fault.Faulty)
 		if err != nil {
 			return err
 		}
 		own.mu.Lock()
 		defer own.mu.Unlock()
-		put := result.ConfigWrite{Service: turn.Target, Faulty: s.Fault.Faulty, RequestedAt: time.Now().UnixNano()}
-		t.putConfig(ctx, &put, own, text, int(n))
+		put := result.ConfigWrite{Service: turn.Target, Faulty: strike.Fault.Faulty, RequestedAt: time.Now().UnixNano()}
+		t.writeConfig(ctx, &put, own, text, int(n))
 		if ctx.Err() == nil || put.Status != 0 {
-			t.configs.note(put)
+			t.configs.record(put)
 		}
 		return nil
 	})
 }
 
 // putConfig puts one, first at the member whose turn it is, and at the next one while there is no final answer.
-func (t *timeline) putConfig(ctx context.Context, put *result.ConfigWrite, own *configured, text []byte, first int) {
+func (t *timeline) writeConfig(ctx context.Context, put *result.ConfigWrite, own *configuredService, text []byte, first int) {
 	members := len(t.service.Targets(nil))
-	ctx, cancel := context.WithTimeout(ctx, maxPutDuration)
+	ctx, cancel := context.WithTimeout(ctx, maxConfigWriteDuration)
 	defer cancel()
 	for try := first; ctx.Err() == nil; try++ {
-		status, version, err := t.askPut(ctx, t.block.member(try%members, listPort), put.Service, own.version, text)
+		status, version, err := t.sendConfig(ctx, t.block.member(try%members, listPort), put.Service, own.version, text)
 		if err == nil {
 			put.Status, put.ConfirmedAt = status, time.Now().UnixNano()
 			switch status {
@@ -121,12 +121,12 @@
 				return
 			}
 		}
-		sleep.For(ctx, putPause)
+		sleep.For(ctx, configRetryPause)
 	}
 }
 
-func (t *timeline) askPut(ctx context.Context, member, service string, after int64, text []byte) (status int, version int64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, putWait)
+func (t *timeline) sendConfig(ctx context.Context, member, service string, after int64, text []byte) (status int, version int64, err error) {
+	ctx, cancel := context.WithTimeout(ctx, configWriteTimeout)
 	defer cancel()
 	url := fmt.Sprintf("http://%s/config/%s?from=%d", member, service, after)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(text))
--- a/internal/faultlab/run/strike_links.go
+++ b/internal/faultlab/run/strike_links.go
@@ -13,32 +13,32 @@
 )
 
 // between matches the links that lead out of a zone or into it.
-func between(zone string) func(link.Ends) bool {
-	return func(e link.Ends) bool {
-		return e.FromZone != e.ToZone && e.FromZone != "" && e.ToZone != "" && (e.FromZone == zone || e.ToZone == zone)
+func zoneBorder(zone string) func(link.Ends) bool {
+	return func(ends link.Ends) bool {
+		return ends.FromZone != ends.ToZone && ends.FromZone != "" && ends.ToZone != "" && (ends.FromZone == zone || ends.ToZone == zone)
 	}
 }
 
 // reach is an effect and the links that it is for.
-type reach struct {
+type linkEffect struct {
 	match func(link.Ends) bool
 	link.Effect
 }
 
 // over has effects on links for a fault's time. Where they keep clients from a proxy, that proxy is excused.
-func (t *timeline) over(ctx context.Context, s plan.Strike, reaches ...reach) error {
+func (t *timeline) applyEffects(ctx context.Context, strike plan.Strike, reaches ...linkEffect) error {
 	begun := time.Now()
 	var excused []func(time.Time)
 	var ends []func() error
 	var errs []error
 	for _, r := range reaches {
-		for _, m := range t.order {
-			if r.match(link.Ends{Kind: "list", From: m.node.Name, FromZone: m.node.Zone, ToZone: t.exp.List.Zone}) {
-				excused = append(excused, t.ref.BeginListOutage(m.node.Name, begun))
+		for _, proxy := range t.proxyOrder {
+			if r.match(link.Ends{Kind: "list", From: proxy.node.Name, FromZone: proxy.node.Zone, ToZone: t.experiment.List.Zone}) {
+				excused = append(excused, t.ref.BeginListOutage(proxy.node.Name, begun))
 			}
-			for _, z := range t.exp.ZoneNames() {
-				if r.match(link.Ends{Kind: "client", FromZone: z, To: m.node.Name, ToZone: m.node.Zone}) {
-					excused = append(excused, t.ref.BeginExcusedSpan(m.node.Name, begun))
+			for _, z := range t.experiment.ZoneNames() {
+				if r.match(link.Ends{Kind: "client", FromZone: z, To: proxy.node.Name, ToZone: proxy.node.Zone}) {
+					excused = append(excused, t.ref.BeginExcusedSpan(proxy.node.Name, begun))
 				}
 			}
 		}
@@ -46,7 +46,7 @@
 		ends, errs = append(ends, end), append(errs, err)
 	}
 	if errors.Join(errs...) == nil {
-		t.hold(ctx, s, s.At)
+		t.holdFault(ctx, strike, strike.At)
 	}
 	for _, end := range ends {
 		errs = append(errs, end())
@@ -58,27 +58,27 @@
 }
 
 // matching is the links that a fault of links is aimed at.
-func matching(f experiment.Fault, shared bool) func(link.Ends) bool {
+func matchesFault(fault experiment.Fault, shared bool) func(link.Ends) bool {
 	one := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
-	return func(e link.Ends) bool {
-		if f.Link != "" && e.Kind != f.Link || f.FromZone != "" && e.FromZone != f.FromZone ||
-			f.ToZone != "" && e.ToZone != f.ToZone {
+	return func(ends link.Ends) bool {
+		if fault.Link != "" && ends.Kind != fault.Link || fault.FromZone != "" && ends.FromZone != fault.FromZone ||
+			fault.ToZone != "" && ends.ToZone != fault.ToZone {
 			return false
 		}
-		if f.Zone != "" && e.FromZone != f.Zone && e.ToZone != f.Zone {
+		if fault.Zone != "" && ends.FromZone != fault.Zone && ends.ToZone != fault.Zone {
 			return false
 		}
-		switch e.Kind {
+		switch ends.Kind {
 		case "client":
-			return len(f.Servers) == 0 && one(f.Proxies, e.To)
+			return len(fault.Servers) == 0 && one(fault.Proxies, ends.To)
 		case "member", "gossip":
 			return false // member_cut and gossips have these
 		case "lease":
-			return len(f.Servers) == 0 && len(f.Proxies) == 0
+			return len(fault.Servers) == 0 && len(fault.Proxies) == 0
 		case "nodo":
-			return one(f.Servers, e.To) && (shared && len(f.Proxies) == 0 || one(f.Proxies, e.From))
+			return one(fault.Servers, ends.To) && (shared && len(fault.Proxies) == 0 || one(fault.Proxies, ends.From))
 		}
-		return len(f.Servers) == 0 && one(f.Proxies, e.From)
+		return len(fault.Servers) == 0 && one(fault.Proxies, ends.From)
 	}
 }
 
@@ -93,68 +93,72 @@
 	return link.Silent
 }
 
-func (t *timeline) links(ctx context.Context, s plan.Strike) error {
-	f := s.Fault
-	match := matching(f, t.exp.SharedLinks())
-	over := func(e link.Effect) error { return t.over(ctx, s, append(toGossip(f, e), reach{match, e})...) }
-	switch f.Kind {
+func (t *timeline) injectLinkFault(ctx context.Context, strike plan.Strike) error {
+	fault := strike.Fault
+	match := matchesFault(fault, t.experiment.SharedLinks())
+	over := func(e link.Effect) error {
+		return t.applyEffects(ctx, strike, append(gossipEffects(fault, e), linkEffect{match, e})...)
+	}
+	switch fault.Kind {
 	case "cut":
-		return over(cutEffect(f.Direction))
+		return over(cutEffect(fault.Direction))
 	case "delay":
-		return over(link.Effect{Delay: experiment.Millis(f.Ms)})
+		return over(link.Effect{Delay: experiment.Millis(fault.Ms)})
 	case "loss":
-		if err := t.hollowLoss(ctx, s); err != nil {
+		if err := t.loseHollowGossip(ctx, strike); err != nil {
 			return err
 		}
-		return over(link.Effect{Loss: f.Part})
+		return over(link.Effect{Loss: fault.Part})
 	case "reset":
-		if s.For <= 0 {
-			for _, m := range t.order {
+		if strike.For <= 0 {
+			for _, proxy := range t.proxyOrder {
 				now := time.Now()
-				t.ref.BeginExcusedSpan(m.node.Name, now)(now)
+				t.ref.BeginExcusedSpan(proxy.node.Name, now)(now)
 			}
 		}
 		t.net.Reset(match)
-		for _, r := range toGossip(f, link.Effect{}) {
+		for _, r := range gossipEffects(fault, link.Effect{}) {
 			t.net.Reset(r.match)
 		}
-		if s.For <= 0 {
+		if strike.For <= 0 {
 			return nil
 		}
 		return over(link.Effect{ResetNew: true})
 	}
-	return fmt.Errorf("fault %d: no links' fault %q", s.N, f.Kind)
+	return fmt.Errorf("fault %d: no links' fault %q", strike.N, fault.Kind)
 }
 
 // loseZone has a zone's machines vanish, and come back cold.
-func (t *timeline) loseZone(ctx context.Context, s plan.Strike) error {
-	zone := s.Fault.Zone
-	into := func(e link.Ends) bool { return (e.Kind == "nodo" || e.Kind == "gossip") && e.ToZone == zone }
+func (t *timeline) loseZone(ctx context.Context, strike plan.Strike) error {
+	zone := strike.Fault.Zone
+	into := func(ends link.Ends) bool {
+		return (ends.Kind == "nodo" || ends.Kind == "gossip") && ends.ToZone == zone
+	}
 	silent, err := t.net.Apply(into, link.Silent)
 	if err != nil {
 		return err
 	}
-	var ms []*member
-	for _, m := range t.order {
-		if m.node.Zone == zone {
-			ms = append(ms, m)
+	var proxies []*proxyUnderTest
+	for _, proxy := range t.proxyOrder {
+		if proxy.node.Zone == zone {
+			proxies = append(proxies, proxy)
 		}
 	}
-	errs := []error{t.kill(ms)}
-	servers := t.serversOf(zone)
-	for _, srv := range servers {
-		t.vanish(srv)
+	errs := []error{t.kill(proxies)}
+	servers := t.serversInZone(zone)
+	for _, server := range servers {
+		t.vanish(server)
 	}
-	back := s.For > 0 && t.until(ctx, s.At+s.For)
+	back := strike.For > 0 && t.waitUntil(ctx, strike.At+strike.For)
 	t.net.Reset(into)
 	if back {
-		for _, srv := range servers {
-			errs = append(errs, t.up(srv))
+		for _, server := range servers {
+			errs = append(errs, t.bringUp(server))
 		}
 	}
 	errs = append(errs, silent())
 	if back {
-		t.startAll(ctx, ms, false)
+		t.startAll(ctx, proxies, false)
 	}
 	return errors.Join(errs...)
 }
--- a/internal/faultlab/run/strike_proxies.go
+++ b/internal/faultlab/run/strike_proxies.go
@@ -12,68 +12,68 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-func (t *timeline) proxies(ctx context.Context, s plan.Strike) error {
-	f := s.Fault
-	switch f.Kind {
+func (t *timeline) injectProxyFault(ctx context.Context, strike plan.Strike) error {
+	fault := strike.Fault
+	switch fault.Kind {
 	case "kill":
-		return t.killWave(ctx, s)
+		return t.killWave(ctx, strike)
 	case "restart":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			signals := drawSignals(f.Versions, t.plan.Source("signals "+turn.Target))
-			return t.restart(ctx, t.members[turn.Target], signals, s.For, f.Keep)
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+			signals := drawSignals(fault.Versions, t.plan.Source("signals "+turn.Target))
+			return t.restart(ctx, t.proxies[turn.Target], signals, strike.For, fault.Keep)
 		})
 	case "upgrade":
-		return t.each(ctx, s, func(turn plan.Turn) error { return t.upgrade(ctx, t.members[turn.Target]) })
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error { return t.upgrade(ctx, t.proxies[turn.Target]) })
 	case "power_loss":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			m := t.members[turn.Target]
-			if err := t.powerLoss(m); err != nil || !t.until(ctx, turn.At+s.For) {
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+			proxy := t.proxies[turn.Target]
+			if err := t.powerLoss(proxy); err != nil || !t.waitUntil(ctx, turn.At+strike.For) {
 				return err
 			}
-			return t.again(ctx, m, true)
+			return t.startAgain(ctx, proxy, true)
 		})
 	case "stop":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			m := t.members[turn.Target]
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+			proxy := t.proxies[turn.Target]
 			excused := t.ref.BeginExcusedSpan(turn.Target, time.Now())
 			away := t.ref.BeginListOutage(turn.Target, time.Now())
 			defer func() { excused(time.Now()); away(time.Now()) }()
-			if err := t.stopped(m, 1); err != nil {
+			if err := t.addStop(proxy, 1); err != nil {
 				return err
 			}
-			t.hold(ctx, s, turn.At)
-			return t.stopped(m, -1)
+			t.holdFault(ctx, strike, turn.At)
+			return t.addStop(proxy, -1)
 		})
 	case "reload":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			return t.reload(ctx, t.members[turn.Target], s.Fault.Versions, t.plan.Source("reload "+turn.Target))
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+			return t.reload(ctx, t.proxies[turn.Target], strike.Fault.Versions, t.plan.Source("reload "+turn.Target))
 		})
 	case "hold_up":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			return t.holdUp(ctx, s, t.members[turn.Target], turn.At, t.plan.Source("hold up "+turn.Target))
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+			return t.pauseRepeatedly(ctx, strike, t.proxies[turn.Target], turn.At, t.plan.Source("hold up "+turn.Target))
 		})
 	case "crowd":
-		return t.each(ctx, s, func(turn plan.Turn) error { return t.crowd(ctx, s, t.members[turn.Target], turn.At) })
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error { return t.floodConnections(ctx, strike, t.proxies[turn.Target], turn.At) })
 	case "rude":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			return t.visits(ctx, s, t.members[turn.Target], turn.At, t.plan.Source("rude "+turn.Target))
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+			return t.runMisbehavingClients(ctx, strike, t.proxies[turn.Target], turn.At, t.plan.Source("rude "+turn.Target))
 		})
 	case "disk_full":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			m := t.members[turn.Target]
-			if err := t.diskFull(m, 1); err != nil {
+		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+			proxy := t.proxies[turn.Target]
+			if err := t.addDiskFull(proxy, 1); err != nil {
 				return err
 			}
-			t.hold(ctx, s, turn.At)
-			return t.diskFull(m, -1)
+			t.holdFault(ctx, strike, turn.At)
+			return t.addDiskFull(proxy, -1)
 		})
 	}
-	return fmt.Errorf("fault %d: no proxies' fault %q", s.N, f.Kind)
+	return fmt.Errorf("fault %d: no proxies' fault %q", strike.N, fault.Kind)
 }
 
 // stopped counts the faults that stop a proxy; with the last its processes go on.
-func (f *fleet) stopped(m *member, n int) error {
-	return m.held(&m.stops, n, func(p *process.Process, first bool) error {
+func (bed *testbed) addStop(proxy *proxyUnderTest, n int) error {
+	return proxy.countFault(&proxy.stopFaults, n, func(p *process.Process, first bool) error {
 		if first {
 			return p.Signal(syscall.SIGSTOP)
 		}
@@ -82,22 +82,22 @@
 }
 
 // diskFull counts the faults that fill a proxy's disk.
-func (f *fleet) diskFull(m *member, n int) error {
-	return m.held(&m.fulls, n, func(p *process.Process, first bool) error { return p.DiskFull(first) })
+func (bed *testbed) addDiskFull(proxy *proxyUnderTest, n int) error {
+	return proxy.countFault(&proxy.diskFullFaults, n, func(p *process.Process, first bool) error { return p.DiskFull(first) })
 }
 
 // held adds n to a count of faults that hold on a proxy, and does to its processes what the first or the last asks.
-func (m *member) held(count *int, n int, do func(p *process.Process, first bool) error) error {
-	m.all.Lock()
-	defer m.all.Unlock()
+func (proxy *proxyUnderTest) countFault(count *int, n int, do func(p *process.Process, first bool) error) error {
+	proxy.processesMu.Lock()
+	defer proxy.processesMu.Unlock()
 	before := *count
 	*count += n
 	if (before == 0) == (*count == 0) {
 		return nil
 	}
 	var errs []error
-	for _, p := range m.run {
-		if !over(p) {
+	for _, p := range proxy.allProcesses {
+		if !ended(p) {
 			errs = append(errs, do(p, before == 0))
 		}
 	}
@@ -105,22 +105,22 @@
 }
 
 // killWave kills all targets of one moment in one instant, and starts each again after the fault's time.
-func (t *timeline) killWave(ctx context.Context, s plan.Strike) error {
-	waves := map[time.Duration][]*member{}
-	for _, turn := range s.Turns {
-		waves[turn.At] = append(waves[turn.At], t.members[turn.Target])
+func (t *timeline) killWave(ctx context.Context, strike plan.Strike) error {
+	waves := map[time.Duration][]*proxyUnderTest{}
+	for _, turn := range strike.Turns {
+		waves[turn.At] = append(waves[turn.At], t.proxies[turn.Target])
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var errs []error
-	for at, ms := range waves {
+	for at, proxies := range waves {
 		all.Go(func() {
-			if !t.until(ctx, at) {
+			if !t.waitUntil(ctx, at) {
 				return
 			}
-			err := t.kill(ms)
-			if s.For > 0 && t.until(ctx, at+s.For) {
-				t.startAll(ctx, ms, s.Fault.Keep)
+			err := t.kill(proxies)
+			if strike.For > 0 && t.waitUntil(ctx, at+strike.For) {
+				t.startAll(ctx, proxies, strike.Fault.Keep)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -132,10 +132,10 @@
 }
 
 // startAll starts killed proxies again, side by side.
-func (t *timeline) startAll(ctx context.Context, ms []*member, keep bool) {
+func (t *timeline) startAll(ctx context.Context, proxies []*proxyUnderTest, keep bool) {
 	var starts sync.WaitGroup
-	for _, m := range ms {
-		starts.Go(func() { t.note(t.again(ctx, m, keep)) })
+	for _, proxy := range proxies {
+		starts.Go(func() { t.recordError(t.startAgain(ctx, proxy, keep)) })
 	}
 	starts.Wait()
 }
--- a/internal/faultlab/run/strike_reload.go
+++ b/internal/faultlab/run/strike_reload.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	heldUp           = 150 * time.Millisecond // the longest that a proxy may be held up
-	pausedStep       = 100 * time.Millisecond // between two
+	maxPause         = 150 * time.Millisecond // the longest that a proxy may be held up
+	pauseGap         = 100 * time.Millisecond // between two
 	misbehavingPause = 40 * time.Millisecond  // between two rude clients of one proxy, on average
 	reloadGap        = 150 * time.Millisecond
 	// The platform sends no SIGHUP in a program's first second.
-	reloadAfter = time.Second
-	brokenPart  = 0.4 // of the configurations that come with SIGHUP
+	firstReloadDelay     = time.Second
+	brokenConfigFraction = 0.4 // of the configurations that come with SIGHUP
 )
 
 // reload replaces a proxy's configuration and sends SIGHUP, several times in a row: with a file that is whole, and says what
 // the one in force does, or with a broken one, after which the former stands.
-func (t *timeline) reload(ctx context.Context, m *member, times int, r *rand.Rand) error {
+func (t *timeline) reload(ctx context.Context, proxy *proxyUnderTest, times int, r *rand.Rand) error {
 	for range max(1, times) {
-		m.mu.Lock()
-		err := t.reloadOnce(m, r)
-		m.mu.Unlock()
+		proxy.mu.Lock()
+		err := t.reloadOnce(proxy, r)
+		proxy.mu.Unlock()
 		if err != nil || !sleep.For(ctx, time.Duration(r.Int64N(int64(2*reloadGap)))) {
 			return err
 		}
@@ -38,26 +38,26 @@
 	return nil
 }
 
-func (t *timeline) reloadOnce(m *member, r *rand.Rand) error {
-	if m.proc == nil || over(m.proc) || time.Since(m.began) < reloadAfter {
+func (t *timeline) reloadOnce(proxy *proxyUnderTest, r *rand.Rand) error {
+	if proxy.process == nil || ended(proxy.process) || time.Since(proxy.startedAt) < firstReloadDelay {
 		return nil
 	}
-	path := m.config
+	path := proxy.configFile
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("configuration of %s: %w", m.node.Name, err)
+		return fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
 	told := text
-	if r.Float64() < brokenPart {
+	if r.Float64() < brokenConfigFraction {
 		told = text[:r.IntN(len(text)-1)]
 	}
 	if err := os.WriteFile(path+".new", told, 0o644); err != nil {
-		return fmt.Errorf("configuration of %s: %w", m.node.Name, err)
+		return fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		return fmt.Errorf("configuration of %s: %w", m.node.Name, err)
+		return fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
-	if err := m.proc.Signal(syscall.SIGHUP); err != nil && !over(m.proc) {
+	if err := proxy.process.Signal(syscall.SIGHUP); err != nil && !ended(proxy.process) {
 		return err
 	}
 	time.Sleep(reloadGap)                  // it is read by then, or the next one finds a whole file
@@ -65,14 +65,14 @@
 }
 
 // holdUp stops a proxy for a moment, again and again: between any two of its steps.
-func (t *timeline) holdUp(ctx context.Context, s plan.Strike, m *member, at time.Duration, r *rand.Rand) error {
-	end := t.start.Add(at + s.For)
+func (t *timeline) pauseRepeatedly(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
+	end := t.start.Add(at + strike.For)
 	for time.Now().Before(end) {
-		if err := t.stopped(m, 1); err != nil {
+		if err := t.addStop(proxy, 1); err != nil {
 			return err
 		}
-		sleep.For(ctx, time.Duration(r.Int64N(int64(heldUp))))
-		if err := t.stopped(m, -1); err != nil || !sleep.For(ctx, time.Duration(r.Int64N(int64(2*pausedStep)))) {
+		sleep.For(ctx, time.Duration(r.Int64N(int64(maxPause))))
+		if err := t.addStop(proxy, -1); err != nil || !sleep.For(ctx, time.Duration(r.Int64N(int64(2*pauseGap)))) {
 			return err
 		}
 	}
@@ -81,22 +81,22 @@
 
 // visits has rude clients come to a proxy. One that gets neither an error nor a close in time is a broken rule, unless the
 // lab kept the proxy from it meanwhile.
-func (t *timeline) visits(ctx context.Context, s plan.Strike, m *member, at time.Duration, r *rand.Rand) error {
+func (t *timeline) runMisbehavingClients(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
 	class := ""
-	for _, k := range t.exp.Classes {
+	for _, k := range t.experiment.Classes {
 		if k.Repeat == "at_most_once" {
 			class = k.Name
 		}
 	}
-	visiting, stop := context.WithDeadline(ctx, t.start.Add(at+s.For))
+	visiting, stop := context.WithDeadline(ctx, t.start.Add(at+strike.For))
 	defer stop()
 	for sleep.For(visiting, time.Duration(r.Int64N(int64(2*misbehavingPause)))) {
 		v := misbehavingclient.Draw(r, class)
-		t.all.Go(func() {
+		t.running.Go(func() {
 			begun := time.Now()
-			err := v.Make(ctx, m.listen)
+			err := v.Make(ctx, proxy.listenAddress)
 			if errors.Is(err, misbehavingclient.ErrUnanswered) {
-				t.ref.RecordMisbehavingClient(m.node.Name, begun, time.Now(), err.Error())
+				t.ref.RecordMisbehavingClient(proxy.node.Name, begun, time.Now(), err.Error())
 			}
 		})
 	}
--- a/internal/faultlab/run/strike_series.go
+++ b/internal/faultlab/run/strike_series.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	seriesWithin = 1500 * time.Millisecond // after a planned restart's SIGTERM come the other signals
-	crowdDial    = time.Second
-	crowdGap     = 2 * time.Millisecond // between two connections of a crowd
+	signalSeriesSpan = 1500 * time.Millisecond // after a planned restart's SIGTERM come the other signals
+	floodDialTimeout = time.Second
+	floodConnectGap  = 2 * time.Millisecond // between two connections of a crowd
 )
 
 // signalAt is a signal that comes so long after a planned restart's SIGTERM.
@@ -30,7 +30,7 @@
 func drawSignals(n int, r *rand.Rand) []signalAt {
 	var series []signalAt
 	for range n {
-		next := signalAt{time.Duration(r.Int64N(int64(seriesWithin))), syscall.SIGHUP}
+		next := signalAt{time.Duration(r.Int64N(int64(signalSeriesSpan))), syscall.SIGHUP}
 		if r.IntN(2) == 0 {
 			next.signal = syscall.SIGTERM
 		}
@@ -54,15 +54,15 @@
 
 // crowd has clients connect to a proxy and send nothing, for the fault's time. A connection that the proxy closes is not made
 // anew. New connections of others may be shut unread meanwhile.
-func (t *timeline) crowd(ctx context.Context, s plan.Strike, m *member, at time.Duration) error {
-	crowded := t.ref.BeginConnectionFlood(m.node.Name, time.Now())
+func (t *timeline) floodConnections(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration) error {
+	crowded := t.ref.BeginConnectionFlood(proxy.node.Name, time.Now())
 	defer func() { crowded(time.Now()) }()
-	holding, stop := context.WithDeadline(ctx, t.start.Add(at+s.For))
+	holding, stop := context.WithDeadline(ctx, t.start.Add(at+strike.For))
 	defer stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	for i := 0; i < s.Fault.Clients && sleep.For(holding, crowdGap); i++ {
-		c, err := (&net.Dialer{Timeout: crowdDial}).DialContext(holding, "tcp", m.listen)
+	for i := 0; i < strike.Fault.Clients && sleep.For(holding, floodConnectGap); i++ {
+		c, err := (&net.Dialer{Timeout: floodDialTimeout}).DialContext(holding, "tcp", proxy.listenAddress)
 		if err != nil {
 			continue // the proxy is down, or has no room
 		}
--- a/internal/faultlab/run/strike_servers.go
+++ b/internal/faultlab/run/strike_servers.go
@@ -12,46 +12,46 @@
 	"merlinpick/internal/faultlab/stubserver"
 )
 
-func (t *timeline) strikeServer(ctx context.Context, s plan.Strike, turn plan.Turn) error {
-	srv, f := t.server(turn.Target), s.Fault
+func (t *timeline) injectServerFault(ctx context.Context, strike plan.Strike, turn plan.Turn) error {
+	server, fault := t.server(turn.Target), strike.Fault
 	hamper := func(h stubserver.Hamper) error {
-		end := srv.Hamper(h)
-		t.hold(ctx, s, turn.At)
+		end := server.Hamper(h)
+		t.holdFault(ctx, strike, turn.At)
 		end()
 		return nil
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "nodo_kill":
-		if err := t.down(srv); err != nil || s.For <= 0 || !t.until(ctx, turn.At+s.For) {
+		if err := t.takeDown(server); err != nil || strike.For <= 0 || !t.waitUntil(ctx, turn.At+strike.For) {
 			return err
 		}
-		return t.up(srv)
+		return t.bringUp(server)
 	case "nodo_silent":
-		end, err := t.net.Apply(to(turn.Target), link.Silent)
+		end, err := t.net.Apply(serverLinksTo(turn.Target), link.Silent)
 		if err != nil {
 			return err
 		}
-		t.hold(ctx, s, turn.At)
-		t.net.Reset(to(turn.Target))
+		t.holdFault(ctx, strike, turn.At)
+		t.net.Reset(serverLinksTo(turn.Target))
 		return end()
 	case "nodo_hang":
 		return hamper(stubserver.Hamper{Hang: true})
 	case "nodo_slow":
-		return hamper(stubserver.Hamper{Slow: f.Factor})
+		return hamper(stubserver.Hamper{Slow: fault.Factor})
 	case "nodo_errors":
-		return hamper(stubserver.Hamper{Errors: f.Part})
+		return hamper(stubserver.Hamper{Errors: fault.Part})
 	case "nodo_garble":
-		return hamper(stubserver.Hamper{Garble: f.Part})
+		return hamper(stubserver.Hamper{Garble: fault.Part})
 	case "nodo_drain", "nodo_replace":
-		return t.drain(ctx, s, turn, srv)
+		return t.drain(ctx, strike, turn, server)
 	}
-	return fmt.Errorf("fault %d: no nodos' fault %q", s.N, f.Kind)
+	return fmt.Errorf("fault %d: no nodos' fault %q", strike.N, fault.Kind)
 }
 
 // drain has a server drain, end, and come back cold; or another, cold, take its place at once.
-func (t *timeline) drain(ctx context.Context, s plan.Strike, turn plan.Turn, srv *server) error {
-	if s.Fault.Kind == "nodo_replace" {
-		next := srv.node
+func (t *timeline) drain(ctx context.Context, strike plan.Strike, turn plan.Turn, server *server) error {
+	if strike.Fault.Kind == "nodo_replace" {
+		next := server.node
 		next.Name += "-r"
 		t.mu.Lock()
 		n := len(t.servers)
@@ -60,13 +60,13 @@
 		if err != nil {
 			return err
 		}
-		t.notify(fresh, catalog.Serving)
+		t.setStatus(fresh, catalog.Serving)
 	}
-	srv.Drain(true)
-	t.notify(srv, catalog.Draining)
-	sleep.For(ctx, drainTime)
-	if err := t.down(srv); err != nil || s.Fault.Kind == "nodo_replace" || s.For <= 0 || !t.until(ctx, turn.At+s.For) {
+	server.Drain(true)
+	t.setStatus(server, catalog.Draining)
+	sleep.For(ctx, drainDuration)
+	if err := t.takeDown(server); err != nil || strike.Fault.Kind == "nodo_replace" || strike.For <= 0 || !t.waitUntil(ctx, turn.At+strike.For) {
 		return err
 	}
-	return t.up(srv)
+	return t.bringUp(server)
 }
--- a/internal/faultlab/run/unansweredsends.go
+++ b/internal/faultlab/run/unansweredsends.go
@@ -19,38 +19,38 @@
 
 // dialsEvery is how often the kernel is asked which connections wait to come up: a dial that is given up sooner may be
 // missed, and one is noted up to this late.
-const dialsEvery = 25 * time.Millisecond
+const dialPollInterval = 25 * time.Millisecond
 
 // knock notes what a proxy sent a server into silence.
-func (f *fleet) recordUnansweredSend(e link.Ends, at time.Time, dial bool) {
-	if e.Kind == "nodo" {
-		f.ref.RecordUnansweredSend(referee.UnansweredSend{SentAt: at, Proxy: e.From, FromZone: e.FromZone, Server: e.To, Zone: e.ToZone, Dial: dial})
+func (bed *testbed) recordUnansweredSend(ends link.Ends, at time.Time, dial bool) {
+	if ends.Kind == "nodo" {
+		bed.ref.RecordUnansweredSend(referee.UnansweredSend{SentAt: at, Proxy: ends.From, FromZone: ends.FromZone, Server: ends.To, Zone: ends.ToZone, Dial: dial})
 	}
 }
 
 // watchDials notes the dials over links on which none comes up. The lab's listener does not see them: the kernel drops
 // them, and tells of them only in its table of connections, which is read while there is such a link.
-func (f *fleet) watchDials(ctx context.Context) {
+func (bed *testbed) watchDials(ctx context.Context) {
 	seen := map[dial]bool{}
-	for sleep.For(ctx, dialsEvery) {
-		barred := f.net.Blocked()
+	for sleep.For(ctx, dialPollInterval) {
+		barred := bed.net.Blocked()
 		if len(barred) == 0 {
 			continue
 		}
 		text, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
-			f.note(err)
+			bed.recordError(err)
 			return
 		}
 		at, now := time.Now(), map[dial]bool{}
-		for _, d := range dialsOf(text) {
-			e, ok := barred[d.to.String()]
+		for _, d := range pendingDials(text) {
+			ends, ok := barred[d.to.String()]
 			if !ok {
 				continue
 			}
 			now[d] = true
 			if !seen[d] {
-				f.recordUnansweredSend(e, at, true)
+				bed.recordUnansweredSend(ends, at, true)
 			}
 		}
 		seen = now
@@ -63,7 +63,7 @@
 const synSent = "02"
 
 // dialsOf reads the kernel's table of connections (proc_net_tcp(5)).
-func dialsOf(table []byte) (out []dial) {
+func pendingDials(table []byte) (out []dial) {
 	for lines := bufio.NewScanner(bytes.NewReader(table)); lines.Scan(); {
 		words := strings.Fields(lines.Text())
 		if len(words) < 4 || words[3] != synSent {
--- a/internal/faultlab/run/unansweredsends_test.go
+++ b/internal/faultlab/run/unansweredsends_test.go
@@ -12,7 +12,7 @@
 
 // A dial over a link on which none comes up stands in the kernel's table under the address that the link is known by,
 // and nothing else of the link's does.
-func TestDialsOf(t *testing.T) {
+func TestPendingDials(t *testing.T) {
 	n := link.New(1)
 	defer n.Close()
 	held, err := net.Listen("tcp", "127.0.0.9:0")
@@ -35,7 +35,7 @@
 	if _, err := n.Apply(func(link.Ends) bool { return true }, link.Silent); err != nil {
 		t.Fatal(err)
 	}
-	if e := n.Blocked()[addr]; e.To != "s" {
+	if ends := n.Blocked()[addr]; ends.To != "s" {
 		t.Errorf("barred: %+v", n.Blocked())
 	}
 	gone := make(chan struct{})
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, d := range dialsOf(text) {
+		for _, d := range pendingDials(text) {
 			if d.to == netip.MustParseAddrPort(addr) {
 				of++
 			}
