--- a/internal/faultlab/run/block.go
+++ b/internal/faultlab/run/block.go
@@ -1,13 +1,14 @@
 package run
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
 )
 
-// block is the loopback addresses of a run: 127.X.0.0/16, claimed by a listener at its end, so that two runs on a
-// machine never meet, and one that was killed leaves nothing claimed. Ports lie below those that the kernel gives out.
+// addressBlock holds the loopback addresses of a run, 127.octet.0.0/16. A listener on its last address claims it, so that two runs
+// on a machine never share one and a killed run leaves no claim. Ports are below the kernel's ephemeral range.
 type addressBlock struct {
 	octet int
 	claim net.Listener
@@ -17,9 +18,9 @@
 	claimPort     = 7400
 	listPort      = 8500
 	proxyPort     = 8443
-	mgmtPort      = 9400 // and up, one for each process of a proxy
+	mgmtPort      = 9400 // first, one for each process of a proxy
 	relayPort     = 7901
-	gossipPort    = 10400 // and up, likewise
+	gossipPort    = 10400 // first, one for each process of a proxy
 	firstBlock    = 16
 	lastBlock     = 250
 	perOctet      = 250
@@ -28,11 +29,15 @@
 	listOctet     = 5
 	registryOctet = 8
 	serverOctet   = 10
-	hollowOctet   = 230 // and up, of hollow proxies in their fleet
+	hollowOctet   = 230 // first, of hollow proxies in their cluster
 	controlOctet  = 229
 	lastOctet     = 228
 )
 
+// errTooLarge is an experiment with more servers or links than the lab has names or addresses for.
+var errTooLarge = errors.New("experiment too large")
+
+// claimBlock claims the first free block, starting from one that depends on the process.
 func claimBlock() (*addressBlock, error) {
 	span := lastBlock - firstBlock + 1
 	var last error
@@ -44,7 +49,7 @@
 		}
 		last = err
 	}
-	return nil, fmt.Errorf("no block of loopback addresses is free: %w", last)
+	return nil, fmt.Errorf("loopback addresses 127.%d to 127.%d are all claimed, end another run: %w", firstBlock, lastBlock, last)
 }
 
 func (b *addressBlock) release() { b.claim.Close() }
@@ -57,16 +62,15 @@
 func (b *addressBlock) mgmt(n, process int) string { return b.addr(proxyOctet, n, mgmtPort+process) }
 func (b *addressBlock) list(n int) string          { return b.addr(listOctet, n, listPort) }
 
-// Where a process of proxy n speaks to the others, by which address the lab knows it, and where the others find it.
+// gossip is the gossip address of a process of proxy n, and relay the address that it advertises to the others.
 func (b *addressBlock) gossip(n, process int) string {
 	return b.addr(gossipOctet, n, gossipPort+process)
 }
 func (b *addressBlock) relay(n int) string { return b.addr(listOctet, n, relayPort) }
 
-// The list service: member n's own address, that under which member from finds member to, a zone's servers find one, and
-// a proxy does.
+// The list service has an address for each member, and a link's address for each pair of members, zone and proxy.
 const (
-	firstMemberLink = 10 // of the addresses below rosterIP
+	firstMemberLink = 10 // after the members' own addresses
 	firstZoneLink   = 60
 	maxPerKind      = 8
 )
@@ -85,8 +89,8 @@
 	return b.addr(listOctet, proxy, listPort+1+member)
 }
 
-// Where the hollow proxies and servers of a zone find a member, where a process of them is told what to do, where hollow proxy
-// n speaks to its fleet, and where hollow servers are said to be.
+// Hollow processes have an address for each zone and member of the list service (lists and leases), one for the commands of the
+// lab, and gossip addresses like those of proxies; all hollow servers are listed at one address.
 func (b *addressBlock) hollowList(zone, to int) string {
 	return b.addr(registryOctet, firstZoneLink+zone*maxPerKind+to, listPort+1)
 }
@@ -102,7 +106,7 @@
 
 func (b *addressBlock) server(n int) (string, error) {
 	if serverOctet+n/perOctet > lastOctet {
-		return "", fmt.Errorf("over %d links from proxies to nodos", n)
+		return "", fmt.Errorf("%w: over %d links from proxies to nodos, give fewer of either", errTooLarge, n)
 	}
 	return b.addr(serverOctet, n, proxyPort), nil
 }
--- a/internal/faultlab/run/byzantine.go
+++ b/internal/faultlab/run/byzantine.go
@@ -11,9 +11,9 @@
 	"merlinpick/internal/faultlab/plan"
 )
 
-const firstByzantine = 400 // of the ordinals: above those of proxies
+const firstByzantine = 400 // ordinal, above those of proxies
 
-// lie has byzantine members join the gossip for a fault's time, one in each zone in turn.
+// runByzantineMembers has byzantine members join the gossip for the duration of a fault, one in each zone in turn.
 func (t *timeline) runByzantineMembers(ctx context.Context, strike plan.Strike) error {
 	if !t.experiment.Cluster.On {
 		return nil
@@ -44,7 +44,7 @@
 	return errors.Join(errs...)
 }
 
-// join has one byzantine member join, behind a relay of its own.
+// joinByzantine has one byzantine member join, behind a relay of its own.
 func (t *timeline) joinByzantine(node experiment.Node, victims func() []byzantine.Target) (*byzantine.Member, error) {
 	t.mu.Lock()
 	n := firstByzantine + t.byzantineMembers
--- a/internal/faultlab/run/config.go
+++ b/internal/faultlab/run/config.go
@@ -8,11 +8,11 @@
 	"merlinpick/internal/faultlab/experiment"
 )
 
-const stage = 0 // of the one tier
+const stage = 0 // index of the lab's only tier
 
 func micros(ms float64) int64 { return int64(ms * 1000) }
 
-// settings is the settings object that a proxy is told, in the platform's words.
+// settings is the settings object of a proxy, with the platform's keys.
 func settings(exp *experiment.Experiment, ordinal, zone int) map[string]any {
 	var profiles []any
 	for _, k := range exp.Classes {
@@ -41,7 +41,7 @@
 	return s
 }
 
-// lay puts an experiment's own keys over the lab's, object by object.
+// overlay sets an experiment's own keys over the lab's, object by object.
 func overlay(over map[string]any, own map[string]any) {
 	for key, v := range own {
 		mine, isObject := v.(map[string]any)
@@ -56,7 +56,7 @@
 	}
 }
 
-// configuration is a proxy's configuration file.
+// proxyConfig is the text of a proxy's configuration file.
 func proxyConfig(exp *experiment.Experiment, proxy *proxyUnderTest, seed uint64, mgmt string, members []string,
 	known json.RawMessage, fleet map[string]any) ([]byte, error) {
 	c := map[string]any{"name": proxy.node.Name, "listen": proxy.listenAddress, "mgmt": mgmt, "discovery": proxy.listAddress,
--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -23,39 +23,39 @@
 )
 
 const (
-	termNoticeDelay    = 300 * time.Millisecond // new connections keep coming to a proxy that was told to end
-	minKillDelay       = 3 * time.Second        // SIGKILL follows SIGTERM by the longest deadline, or this if it is longer
+	termNoticeDelay    = 300 * time.Millisecond // new connections keep coming after SIGTERM
+	minKillDelay       = 3 * time.Second        // SIGKILL follows SIGTERM by the longest deadline, at least this
 	killSlack          = 700 * time.Millisecond
-	successorTimeout   = 6 * time.Second // for a successor's yes
-	drainDuration      = 2 * time.Second // from a server's draining to its end
-	powerLossWindow    = 5 * time.Second // a power loss may take what was written so long before it
+	successorTimeout   = 6 * time.Second // for a successor to be ready
+	drainDuration      = 2 * time.Second // from draining until the server ends
+	powerLossWindow    = 5 * time.Second // a power loss may lose what was written so long before it
 	readyzPollInterval = 50 * time.Millisecond
-	readmitTimeout     = 20 * time.Second // for a proxy that was started again to be admitted
+	readmitTimeout     = 20 * time.Second // for a restarted proxy to be ready
 	callTimeout        = time.Second
-	zoneGroupPrefix    = "zone " // a group of proxies that share their links
+	zoneGroupPrefix    = "zone " // names a group of proxies that share their links
 	maxServerName      = 64
 )
 
-// fleet is all that a play runs: it owns the processes, servers, list and links, and carries faults out.
+// testbed is everything that a play runs: it owns the processes, servers, list and links, and injects the faults.
 type testbed struct {
 	experiment      *experiment.Experiment
 	plan            *plan.Plan
 	proxyCommand    []string
-	registryCommand []string // the list service's program
+	registryCommand []string // of a member of the list service
 	log             *slog.Logger
 	block           *addressBlock
 	net             *link.Net
 	ref             *referee.Referee
-	catalog         *catalog.Catalog // the stand-in; nil with a service
-	service         *service.Service // nil with the stand-in
+	catalog         *catalog.Catalog // stands in for the list service; nil with a service
+	service         *service.Service // nil with the catalog
 	front           *load.Front
 	client          *load.Client
 	starter         *process.Starter
-	workDir         string // directory of the proxies' own
+	workDir         string // directory of the processes
 	logDir          string
 
-	hollowCommand   []string         // a hollow process's program
-	hollow          []*hollowProcess // of proxies, then of servers
+	hollowCommand   []string         // of a hollow process
+	hollow          []*hollowProcess // those with proxies, then those with servers
 	hollowProcessOf map[string]*hollowProcess
 	configs         configWrites
 
@@ -64,15 +64,15 @@
 
 	mu               sync.Mutex
 	servers          map[string]*server
-	addresses        map[string]string              // of each group and server
-	gossipMembers    map[netip.Addr]experiment.Node // of the gossip, by their own addresses
+	addresses        map[string]string              // of each link group and server
+	gossipMembers    map[netip.Addr]experiment.Node // by their own addresses
 	serverLinks      int
 	byzantineMembers int
 	rng              *rand.Rand
 	labErrors        []error
 }
 
-// group names the proxies that share their links to servers.
+// linkGroup names the proxies that share their links to servers.
 func (bed *testbed) linkGroup(node experiment.Node) string {
 	if bed.experiment.SharedLinks() {
 		return zoneGroupPrefix + node.Zone
@@ -87,7 +87,7 @@
 	return experiment.Millis(bed.experiment.Network.CrossMs)
 }
 
-// build makes everything but the processes.
+// build creates everything but the processes.
 func (bed *testbed) build() error {
 	bed.net = link.New(bed.plan.Seed)
 	bed.ref = referee.New(refereeConfig(bed.experiment))
@@ -155,12 +155,12 @@
 	return t
 }
 
-// note keeps an error of the lab's own: the run then is void.
+// recordError records a failure of the lab itself, which makes the run void.
 func (bed *testbed) recordError(err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
 	}
-	bed.log.Error("the lab failed to do something", "error", err)
+	bed.log.Error("lab failed", "error", err)
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	bed.labErrors = append(bed.labErrors, err)
@@ -172,18 +172,18 @@
 	return errors.Join(bed.labErrors...)
 }
 
-// end kills all processes and closes all links.
+// close kills all processes and closes all links.
 func (bed *testbed) close() {
-	var ps []*process.Process
+	var processes []*process.Process
 	for _, proxy := range bed.proxyOrder {
-		ps = append(ps, proxy.processes()...)
+		processes = append(processes, proxy.processes()...)
 	}
 	for _, h := range bed.hollow {
 		if h.process != nil {
-			ps = append(ps, h.process)
+			processes = append(processes, h.process)
 		}
 	}
-	bed.recordError(process.KillAll(ps))
+	bed.recordError(process.KillAll(processes))
 	if bed.net != nil {
 		bed.net.Close()
 	}
--- a/internal/faultlab/run/gossip.go
+++ b/internal/faultlab/run/gossip.go
@@ -11,7 +11,7 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// buildGossip puts a relay before each proxy, by which the others find it.
+// buildGossip puts a relay before each proxy, at the address that it advertises.
 func (bed *testbed) buildGossip() (err error) {
 	if !bed.experiment.Cluster.On {
 		return nil
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// relay puts a relay before a member of the gossip, and has those of all others know it by its own address.
+// addRelay puts a relay before a member of the gossip, and registers the member's own address with all relays.
 func (bed *testbed) addRelay(to experiment.Node, ordinal int) (*link.Relay, error) {
 	own := netip.MustParseAddrPort(bed.block.gossip(ordinal, 0)).Addr()
 	bed.mu.Lock()
@@ -39,7 +39,8 @@
 	})
 }
 
-// gossipReport is what the relays of proxies passed on. Where one had no room, the lab took part in the loss.
+// gossipReport is the traffic that the proxies' relays forwarded; an error if a relay's queue overflowed, since the lab then
+// caused losses itself.
 func (bed *testbed) gossipReport() (*result.Gossip, error) {
 	if !bed.experiment.Cluster.On {
 		return nil, nil
@@ -51,13 +52,13 @@
 		out.Packets, out.Bytes, over = out.Packets+p.On, out.Bytes+p.Bytes, over+p.Over
 	}
 	if over > 0 {
-		return &out, fmt.Errorf("%d datagrams of the gossip found no room in the lab", over)
+		return &out, fmt.Errorf("relays of the lab dropped %d datagrams of gossip for a full queue: use a less busy machine", over)
 	}
 	return &out, nil
 }
 
-// speaks is a process's part of the configuration in which the proxies act as one; nil if they do not. From now on its
-// relay leads to that process, also while a predecessor still ends.
+// gossipConfig is the cluster section of a process's configuration; nil without a cluster. From now on the proxy's relay leads to
+// that process, even while a predecessor is still ending.
 func (bed *testbed) gossipConfig(proxy *proxyUnderTest) (map[string]any, error) {
 	if proxy.relay == nil {
 		return nil, nil
@@ -69,7 +70,7 @@
 	return map[string]any{"bind": bind, "advertise": proxy.relay.Addr(), "label": bed.experiment.Cluster.Label, "seeds": bed.gossipSeeds(proxy.node)}, nil
 }
 
-// seeds are the proxies that another member is told to join at: the first of each zone, then the second, and so on.
+// gossipSeeds are the proxies that a member joins at: the first of each zone, then the second, and so on.
 func (bed *testbed) gossipSeeds(of experiment.Node) []string {
 	order := slices.Clone(bed.proxyOrder)
 	nth := map[string]int{}
@@ -88,9 +89,9 @@
 	return out
 }
 
-// gossips matches the gossip that a fault of links is aimed at, from the side that it names and to it: what one sends
-// on some links is what it is answered on others, since either dials. The side is that of from_zone, zone or proxies, and
-// the other one to_zone or all the rest; with no side named it is all of it.
+// matchesGossip matches the gossip that a fault of links affects, from the side that it names (out) and to it (back). Either side
+// dials, so that data of one direction is sent on some links and answered on others. The side is that of from_zone, zone or
+// proxies, the other one to_zone or all the rest; with no side named both are all.
 func matchesGossip(fault experiment.Fault) (out, back func(link.Ends) bool) {
 	if fault.Link != "" && fault.Link != "gossip" || len(fault.Servers) > 0 {
 		none := func(link.Ends) bool { return false }
@@ -116,7 +117,7 @@
 	return out, back
 }
 
-// toGossip is what a fault of links does to gossip.
+// gossipEffects are the effects of a fault of links on gossip.
 func gossipEffects(fault experiment.Fault, e link.Effect) []linkEffect {
 	out, back := matchesGossip(fault)
 	if fault.Kind == "cut" {
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -24,12 +24,15 @@
 )
 
 const (
-	hollowLinkName     = "hollow" // the name of the dialling side of links that hollow ones share
+	hollowLinkName     = "hollow" // the dialling side of links that hollow processes share
 	hollowCallTimeout  = 20 * time.Second
 	hollowPollInterval = 200 * time.Millisecond
-	seedsPerRegion     = 3 // of its fleet that a hollow proxy is told in each region
+	seedsPerRegion     = 3 // gossip seeds of a hollow proxy in each region
 )
 
+// errHollowCall is a command that a hollow process answered with an error.
+var errHollowCall = errors.New("hollow process refused a command")
+
 // hollowProcess is a process of hollow proxies or servers.
 type hollowProcess struct {
 	config  hollow.Config
@@ -37,7 +40,7 @@
 	process *process.Process
 }
 
-// buildHollow makes the links of hollow ones, which share one for each zone and member, and their processes' files.
+// buildHollow creates the links of hollow processes, one for each zone and member of the list service, and their configurations.
 func (bed *testbed) buildHollow() error {
 	hollowExp := bed.experiment.Hollow
 	if !hollowExp.On() {
@@ -113,7 +116,7 @@
 	return nil
 }
 
-// hollowSettings are what hollow proxies are told: a real proxy's settings, with the hollow zones.
+// hollowSettings are the settings of hollow proxies: a real proxy's, with the hollow zones.
 func (bed *testbed) hollowSettings() (json.RawMessage, error) {
 	s := settings(bed.experiment, 0, 0)
 	s["failure_domains"] = bed.experiment.HollowZones()
@@ -122,7 +125,7 @@
 	return json.Marshal(s)
 }
 
-// hollowSeeds are the members that hollow proxy i is told to join at: the real ones' first and the hollow ones' first.
+// hollowSeeds are the members that hollow proxy i joins at: the first hollow and the first real ones.
 func (bed *testbed) hollowSeeds(i int) (out []string) {
 	at := bed.block.hollowGossip
 	if bed.experiment.Hollow.Relays {
@@ -139,7 +142,7 @@
 	return out
 }
 
-// hollowRelays are what relays before hollow members know of the fleet.
+// hollowRelays is the configuration of the relays before hollow members.
 func (bed *testbed) hollowRelays() *hollow.Relays {
 	out := &hollow.Relays{Members: map[string]hollow.RelayMember{}, RegionDelayUs: micros(bed.experiment.Network.LocalMs),
 		CrossRegionDelayUs: micros(bed.experiment.Network.CrossMs)}
@@ -149,7 +152,7 @@
 	return out
 }
 
-// hollowLoss has hollow members' relays lose datagrams while a fault of all gossip does.
+// loseHollowGossip has the hollow members' relays drop datagrams for the duration of a loss.
 func (t *timeline) loseHollowGossip(ctx context.Context, strike plan.Strike) error {
 	if strike.Fault.Kind != "loss" || !t.experiment.Hollow.Relays {
 		return nil
@@ -168,8 +171,7 @@
 	return errors.Join(errs...)
 }
 
-// startHollow starts all hollow processes, servers' first, and waits until each has what it follows. One that ends by itself
-// ends the run.
+// startHollow starts all hollow processes, servers first, and waits until each is synced. A process that crashes later calls fail.
 func (bed *testbed) startHollow(ctx context.Context, fail context.CancelCauseFunc) error {
 	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(bed.experiment.Lab.ReadyWait))
 	defer cancel()
@@ -224,7 +226,7 @@
 	return nil
 }
 
-// call makes a call of a process's control address.
+// call sends a command to the process's control address.
 func (p *hollowProcess) call(ctx context.Context, method, path string, body any) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, hollowCallTimeout)
 	defer cancel()
@@ -243,7 +245,7 @@
 	defer resp.Body.Close()
 	text, err = io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s of %s: %s: %s", path, p.config.Name, resp.Status, strings.TrimSpace(string(text)))
+		err = fmt.Errorf("%w: %s of %s: %s: %s", errHollowCall, path, p.config.Name, resp.Status, strings.TrimSpace(string(text)))
 	}
 	return text, err
 }
@@ -260,16 +262,16 @@
 	return out, err
 }
 
-// hollowNodos has hollow servers do what a fault says, each at its turn.
+// injectHollowFault sends a fault to the processes of its hollow servers, each target with its own delay.
 func (t *timeline) injectHollowFault(ctx context.Context, strike plan.Strike) error {
-	act, _ := strings.CutPrefix(strike.Fault.Kind, "hollow_")
+	action, _ := strings.CutPrefix(strike.Fault.Kind, "hollow_")
 	orders := map[*hollowProcess]*hollow.Command{}
 	last := time.Duration(0)
 	for _, turn := range strike.Turns {
 		p := t.hollowProcessOf[turn.Target]
 		o := orders[p]
 		if o == nil {
-			o = &hollow.Command{Action: act, DurationMs: strike.For.Milliseconds()}
+			o = &hollow.Command{Action: action, DurationMs: strike.For.Milliseconds()}
 			orders[p] = o
 		}
 		o.Targets = append(o.Targets, hollow.CommandTarget{Name: turn.Target, DelayMs: (turn.At - strike.At).Milliseconds()})
--- a/internal/faultlab/run/lists.go
+++ b/internal/faultlab/run/lists.go
@@ -17,7 +17,7 @@
 	"merlinpick/internal/faultlab/service"
 )
 
-// buildService makes the list service's members and links.
+// buildService creates the members and links of the list service.
 func (bed *testbed) buildService() (err error) {
 	l := bed.experiment.List
 	var carriesNone func(string) bool
@@ -40,7 +40,7 @@
 	return err
 }
 
-// startService starts the list service and has all servers register.
+// startService starts the list service and waits until all servers are registered.
 func (bed *testbed) startService(ctx context.Context) error {
 	if bed.service == nil {
 		return nil
@@ -69,7 +69,7 @@
 	return service.Server{Name: entry.Name, Zone: entry.Zone, Type: entry.Type, Group: entry.Group, Since: entry.Since}
 }
 
-// change tells the list what a server is now. A server that dies tells nobody: its lease ends.
+// announce announces a server's state to the list. A server that dies announces nothing: its lease expires.
 func (bed *testbed) announce(entry catalog.Entry) {
 	if bed.service == nil {
 		bed.catalog.Change(entry)
@@ -85,7 +85,7 @@
 	}
 }
 
-// known is the list as a proxy is told it at its start.
+// initialList is the list in a proxy's configuration: each entry with a probability of part.
 func (bed *testbed) initialList(proxy string, part float64, r *rand.Rand) (json.RawMessage, []referee.Entry) {
 	if bed.service != nil {
 		return bed.service.Snapshot(proxy, func() bool { return r.Float64() < part })
@@ -102,7 +102,7 @@
 	bed.catalog.Run(ctx)
 }
 
-// listReport is what a list service leaves; what is wrong with it is a broken rule.
+// listReport holds the observations of the list service; a wrong history or list is recorded as a violation.
 func (bed *testbed) listReport(rec *referee.Record) (*result.List, error) {
 	if bed.service == nil {
 		return nil, nil
@@ -115,7 +115,7 @@
 	return &result.List{CheckedCalls: r.History.Calls, NotificationDelays: r.Delays, MissingServers: r.Lacks, RefusedStarts: r.Refused}, err
 }
 
-// listMembers are where a proxy finds the members of the list service; nil with the stand-in.
+// listMembers are the addresses at which a proxy reaches the members of the list service; nil with the catalog.
 func (bed *testbed) listMembers(proxy *proxyUnderTest) []string {
 	if bed.service == nil {
 		return nil
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -21,8 +21,8 @@
 
 const meterInterval = 500 * time.Millisecond
 
-// meter reads what control costs: bytes at the links, CPU and memory at the kernel, and the members' own metrics. One
-// goroutine looks at it all the time, since what members use ends with them and who leads changes.
+// meter measures the usage of the control plane: bytes at the links, CPU and memory at the kernel, and the members' metrics. It
+// samples all the time, since a member's counters end with its process and the leader changes.
 type meter struct {
 	*testbed
 	members []*service.Member
@@ -31,12 +31,12 @@
 
 	mu          sync.Mutex
 	total       result.Sample
-	lastSamples map[string]memberSample // of each member, at the last look
+	lastSamples map[string]memberSample // by member
 }
 
 type memberSample struct {
 	service.Standing
-	traffic link.Traffic // in and out of it, as Sent and Answered
+	traffic link.Traffic // Sent: received by the member, Answered: sent by it
 }
 
 func (bed *testbed) newMeter() *meter {
@@ -49,26 +49,27 @@
 	return m
 }
 
-// run looks until the context ends.
+// run samples until the context ends.
 func (m *meter) run(ctx context.Context) {
 	for sleep.For(ctx, meterInterval) {
 		m.sample()
 	}
 }
 
-// traffic is what the links have passed, by role, and of each member: Sent is what came to it.
+// traffic is the traffic of the links so far, by role and by member, as seen from them: Sent is what they sent, of members what
+// they received.
 func (m *meter) traffic() (roles, members map[string]link.Traffic) {
 	roles, members = map[string]link.Traffic{}, map[string]link.Traffic{}
 	add := func(to map[string]link.Traffic, key string, t link.Traffic) { to[key] = to[key].Plus(t) }
 	m.net.Traffic(func(ends link.Ends, t link.Traffic) {
-		turned := link.Traffic{Sent: t.Answered, Answered: t.Sent, Pieces: t.Pieces}
+		reversed := link.Traffic{Sent: t.Answered, Answered: t.Sent, Pieces: t.Pieces}
 		switch {
 		case ends.Kind == "list" && ends.From == hollowLinkName:
-			add(roles, "proxy", turned)
+			add(roles, "proxy", reversed)
 		case ends.Kind == "list":
-			add(roles, "real", turned)
+			add(roles, "real", reversed)
 		case ends.Kind == "lease" && ends.From == hollowLinkName:
-			add(roles, "nodo", turned)
+			add(roles, "nodo", reversed)
 		}
 		switch ends.Kind {
 		case "list", "lease", "member":
@@ -78,7 +79,7 @@
 			}
 		}
 		if ends.Kind == "member" {
-			back := turned
+			back := reversed
 			back.Pieces = 0
 			add(members, ends.From, back)
 		}
@@ -86,7 +87,7 @@
 	return roles, members
 }
 
-// look adds what was spent since the last look to the sum.
+// sample adds the usage since the last sample to the total.
 func (m *meter) sample() {
 	m.sampleMu.Lock()
 	defer m.sampleMu.Unlock()
@@ -109,7 +110,7 @@
 		was := m.lastSamples[x.Name]
 		m.lastSamples[x.Name] = now
 		watches += now.Watches
-		if was.PID != now.PID { // another process: all that it has is new
+		if was.PID != now.PID { // another process: its counters began at zero
 			was.CPU, was.Rejected = 0, 0
 		}
 		if first {
@@ -146,8 +147,7 @@
 	}
 }
 
-// read is all so far, with what processes use now. Memory is as of now, of members the most
-// so far, as are watches: two phases that meet read at one moment.
+// read returns the usage so far. Memory is the current one, of members the maximum so far, as are watches.
 func (m *meter) read(ctx context.Context) result.Sample {
 	m.sample()
 	var fleet []hollow.ProxyMetrics
@@ -198,7 +198,7 @@
 	return out
 }
 
-// phases reads at each phase's beginning and end.
+// phases reads at each phase's start and end.
 func (m *meter) phases(ctx context.Context, start time.Time) []result.PhaseSamples {
 	out := make([]result.PhaseSamples, len(m.experiment.Phases))
 	var all sync.WaitGroup
@@ -221,7 +221,7 @@
 	return out
 }
 
-// hollowReport is what the hollow processes leave at the end.
+// hollowReport collects the metrics of the hollow processes at the end.
 func (bed *testbed) hollowReport() (out []hollow.Metrics, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), hollowCallTimeout)
 	defer cancel()
@@ -231,14 +231,14 @@
 			return out, err
 		}
 		if x.RelayDrops > 0 {
-			return out, fmt.Errorf("%d datagrams of the gossip found no room in %s", x.RelayDrops, p.config.Name)
+			return out, fmt.Errorf("%d datagrams of gossip dropped for a full queue in %s: use a less busy machine", x.RelayDrops, p.config.Name)
 		}
 		out = append(out, x)
 	}
 	return out, nil
 }
 
-// measure reads the phases while the play lasts; what it gives waits for its end. Nil without hollow ones.
+// startMeter measures the phases; the returned function waits for the last one. Without hollow processes there are none.
 func (bed *testbed) startMeter(ctx context.Context, start time.Time) (phases func() []result.PhaseSamples) {
 	if len(bed.hollow) == 0 {
 		return func() []result.PhaseSamples { return nil }
@@ -254,7 +254,7 @@
 	return func() []result.PhaseSamples { return <-read }
 }
 
-// controlReport is what control cost in a play; nil without hollow ones.
+// controlReport holds the observations of the control plane; nil without hollow processes.
 func (bed *testbed) controlReport(phases []result.PhaseSamples) *result.Control {
 	if len(bed.hollow) == 0 {
 		return nil
@@ -265,16 +265,16 @@
 		bed.recordError(err)
 	}
 	for _, steps := range bed.service.Steps() {
-		var told []result.ReceivedVersion
+		var received []result.ReceivedVersion
 		for _, s := range steps {
-			told = append(told, result.ReceivedVersion{Version: s.Index, ReceivedAt: s.At.UnixNano()})
+			received = append(received, result.ReceivedVersion{Version: s.Index, ReceivedAt: s.At.UnixNano()})
 		}
-		out.RealProxyVersions = append(out.RealProxyVersions, told)
+		out.RealProxyVersions = append(out.RealProxyVersions, received)
 	}
 	return out
 }
 
-// realFleet is how a real proxy stands with its fleet, by its management address; nil if it does not answer.
+// readClusterMetrics reads a real proxy's cluster metrics at its management address; nil if it does not answer.
 func readClusterMetrics(ctx context.Context, mgmt string) *hollow.ClusterMetrics {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/faultlab/run/need.go
+++ b/internal/faultlab/run/need.go
@@ -10,43 +10,44 @@
 	"merlinpick/internal/faultlab/experiment"
 )
 
-// What an experiment needs, at the most: measured with scale-30 to scale-1300 and rounded up.
+// Upper bounds of what an experiment needs.
 const (
 	maxProcesses          = 300
 	maxMemory             = 12 << 30 // bytes
 	labBytes              = 300 << 20
 	proxyBytes            = 30 << 20 // of a real proxy
 	memberBytes           = 400 << 20
-	hollowProcessBytes    = 40 << 20 // of a hollow process with nothing in it
+	hollowProcessBytes    = 40 << 20 // of an empty hollow process
 	hollowProxyBytes      = 500 << 10
-	hollowBytesPerServer  = 900       // a hollow proxy keeps so much of each listed server
-	labBytesPerConnection = 100 << 10 // the lab for each connection that it passes on
-	labBytesPerListing    = 450       // and of each listed server, for each proxy that is sent the whole list
+	hollowBytesPerServer  = 900       // in a hollow proxy, for each listed server
+	labBytesPerConnection = 100 << 10 // for each forwarded connection
+	labBytesPerListing    = 450       // for each listed server and proxy that gets the complete list
 	hollowServerBytes     = 150 << 10
-	memberBytesPerClient  = 60 << 10 // a member for each caller
+	memberBytesPerClient  = 60 << 10 // in a member, for each client
 	clusterMemberBytes    = 600 << 10
-	clusterBytesPerMember = 1500 // a member of the fleet keeps so much of each other
-	relayBytesPerMember   = 500  // and its relay
+	clusterBytesPerMember = 1500 // in a cluster member, for each other
+	relayBytesPerMember   = 500  // in its relay, for each member
 	relayBytes            = 200 << 10
-	clusterMilliCores     = 20 // of a core in a thousand that a member of the fleet takes at least, from 10 members on
-	filesPerConnection    = 2  // of the lab for each connection that it passes on
+	clusterMilliCores     = 20 // CPU of a cluster member, from 10 members on
+	filesPerConnection    = 2  // descriptors of the lab for each forwarded connection
 	minFiles              = 2000
 )
 
-// A NeedError is an experiment that this machine cannot bear. Nothing was started.
+// A NeedError is an experiment that needs more than this machine has. Nothing was started.
 type NeedError struct {
 	What      string
 	Need, Has int64
 	Remedy    string
 }
 
+// Error says what is needed, what there is, and the remedy.
 func (e *NeedError) Error() string {
 	return fmt.Sprintf("this experiment needs %d %s, and there are %d: %s", e.Need, e.What, e.Has, e.Remedy)
 }
 
-// machine is what there is to be had.
+// machine holds the available resources.
 type machine struct {
-	memory int64 // bytes that are available
+	memory int64 // bytes available
 	files  int64 // descriptors of a process
 	cores  int64
 }
@@ -70,8 +71,8 @@
 	return m
 }
 
-// bears tells whether a machine can bear an experiment with hollow ones: a *NeedError if not. Others are bounded by their
-// file's own limits.
+// checkCapacity returns a *NeedError if a machine is too small for an experiment with hollow processes. Others are bounded by the
+// limits of the experiment file.
 func checkCapacity(exp *experiment.Experiment, m machine) error {
 	hollow := exp.Hollow
 	if !hollow.On() {
@@ -89,7 +90,7 @@
 	}
 	memory := labBytes + (labBytesPerConnection+labBytesPerListing*listed)*int64(hollow.Proxies) + labBytesPerConnection*int64(hollow.Servers) + real*proxyBytes + members*(memberBytes+memberBytesPerClient*int64(hollow.Proxies+hollow.Servers)/max(1, members)) +
 		int64(hollow.Processes+hollow.ServerProcesses())*hollowProcessBytes + int64(hollow.Proxies)*each + int64(hollow.Servers)*hollowServerBytes
-	following := int64(0) // one more connection each
+	following := int64(0) // each has one more connection
 	if hollow.Following > 0 {
 		following = int64(hollow.Proxies)
 		memory += following * (labBytesPerConnection + memberBytesPerClient)
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -1,9 +1,9 @@
-// Package run plays an experiment: it builds the fleet, starts the proxies as real processes, plays the load, carries
-// the faults out, and hands what the referee recorded on to be reckoned up.
+// Package run plays an experiment: it builds the testbed, starts the proxies as real processes, sends the load, injects the faults
+// and hands the referee's record to package result. It never computes a metric or checks a rule itself.
 //
-// Arrows go one way: run uses load, server, catalog, link, process and referee; none of them knows of run, and of each
-// other they know no more than links and the referee. One goroutine owns each thing: the load its arrivals, the
-// timeline each fault, the catalog its list, a link's connection its two directions, the starter all processes.
+// It imports load, stubserver, catalog, link, process and referee; none of them imports run, and among each other they use only
+// link and referee. Each piece of state has one owner: load the arrivals, the timeline the faults, the catalog its list, a link's
+// connection its two directions, the starter all processes.
 package run
 
 import (
@@ -26,18 +26,18 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// Options are what a run needs beside its experiment.
+// Options are the settings of a run beside its experiment.
 type Options struct {
-	ProxyCommand    []string // a proxy
-	HollowCommand   []string // a process of hollow proxies or servers, but for its file; needed if the experiment has any
-	RegistryCommand []string // a member of the list service; needed if the experiment has any
-	OutputDir       string   // directory for the proxies' logs
+	ProxyCommand    []string // of a proxy
+	HollowCommand   []string // of a hollow process, without its file; required if the experiment has any
+	RegistryCommand []string // of a member of the list service; required if the experiment has any
+	OutputDir       string   // directory of the processes' logs
 	Logger          *slog.Logger
-	// Progress is told now and then how far the load is; may be nil.
+	// Progress is called every second with the time since the load started, its duration, and the arrivals; may be nil.
 	Progress func(at, of time.Duration, p Progress)
 }
 
-// Progress is how a play goes.
+// Progress is the state of a play.
 type Progress struct {
 	Arrived  int
 	Lateness time.Duration // of the newest arrival
@@ -50,10 +50,11 @@
 	workDirPrefix      = "fleetlab-"
 )
 
-// ErrEnvironment is a run that this machine could not make.
+// ErrEnvironment is a run that failed for the machine's sake: too small, no free addresses, or a process that did not start.
 var ErrEnvironment = errors.New("environment")
 
-// Play plays an experiment once. When the context ends it stops, and the play is partial.
+// Play plays an experiment once. When the context ends it stops, and the play is partial. Errors of the machine wrap
+// ErrEnvironment; a hollow process that crashed is a *hollow.FailedError.
 func Play(ctx context.Context, exp *experiment.Experiment, seed uint64, o Options) (result.Play, error) {
 	if err := checkCapacity(exp, thisMachine()); err != nil {
 		return result.Play{}, fmt.Errorf("%w: %w", ErrEnvironment, err)
@@ -73,7 +74,7 @@
 	}
 	defer f.block.release()
 	removeLeftovers()
-	// Short: a Unix socket's path in it has to fit into 108 bytes.
+	// A short path: a Unix socket's path in it must fit into 108 bytes.
 	if f.workDir, err = os.MkdirTemp("", fmt.Sprintf("%s%d-", workDirPrefix, os.Getpid())); err != nil {
 		return out, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
@@ -139,7 +140,7 @@
 	return out, nil
 }
 
-// removeLeftovers removes the directories of runs that were killed: their processes have ended with them.
+// removeLeftovers removes the directories of runs that were killed.
 func removeLeftovers() {
 	dirs, _ := filepath.Glob(filepath.Join(os.TempDir(), workDirPrefix+"*"))
 	for _, dir := range dirs {
@@ -150,7 +151,7 @@
 	}
 }
 
-// voids tells why a play counts for nothing: the lab was late, or could not do what the file asks.
+// voidReason is why a play does not count: the lab was late, paused or failed; empty if it counts.
 func voidReason(exp *experiment.Experiment, late result.Lateness, hollowStall float64, failed error) string {
 	switch {
 	case failed != nil:
@@ -165,7 +166,7 @@
 	return ""
 }
 
-// startProxies starts all proxies, a jittered moment apart, and waits until the front admits each.
+// startProxies starts all proxies with random gaps and waits until the front finds each healthy.
 func (bed *testbed) startProxies(ctx context.Context) error {
 	r := bed.plan.Source("starts")
 	for _, proxy := range bed.proxyOrder {
@@ -179,8 +180,8 @@
 			return fmt.Errorf("%w: %w", ErrEnvironment, err)
 		}
 	}
-	patience := time.NewTimer(experiment.Seconds(bed.experiment.Lab.ReadyWait))
-	defer patience.Stop()
+	timeout := time.NewTimer(experiment.Seconds(bed.experiment.Lab.ReadyWait))
+	defer timeout.Stop()
 	for len(bed.front.Missing()) > 0 {
 		for _, proxy := range bed.proxyOrder {
 			if ended(proxy.process) {
@@ -190,7 +191,7 @@
 		}
 		select {
 		case <-time.After(readyPollInterval):
-		case <-patience.C:
+		case <-timeout.C:
 			return fmt.Errorf("%w: not healthy after %v s (lab.ready_wait): %s", ErrEnvironment, bed.experiment.Lab.ReadyWait,
 				strings.Join(bed.front.Missing(), ", "))
 		case <-ctx.Done():
@@ -200,18 +201,18 @@
 	return nil
 }
 
-// play plays load and faults to their ends.
+// playLoad runs the load and the faults to their ends.
 func (bed *testbed) playLoad(ctx context.Context, start time.Time) []result.Event {
 	faults, stop := context.WithCancel(ctx)
 	defer stop()
 	events := make(chan []result.Event, 1)
 	go func() { events <- (&timeline{testbed: bed, start: start}).run(faults) }()
 	bed.client.Run(ctx, start)
-	stop() // what holds beyond the last answer is of no use
+	stop() // faults end with the last response
 	return <-events
 }
 
-// watchStalls tells the longest time by which a wake-up came late.
+// watchStalls returns the longest delay of a wake-up.
 func watchStalls(ctx context.Context) (most time.Duration) {
 	for {
 		at := time.Now()
@@ -234,7 +235,7 @@
 	}
 }
 
-// MachineLoad is the machine's load now.
+// MachineLoad is the machine's load average over 1, 5 and 15 minutes.
 func MachineLoad() (load [3]float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -244,5 +245,5 @@
 	return load
 }
 
-// Cores is how many the lab and the proxies share.
+// Cores is the number of cores that the lab and the proxies share.
 func Cores() int { return runtime.NumCPU() }
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -21,7 +21,7 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// member is a proxy of the fleet, over all its processes.
+// proxyUnderTest is a proxy, over all its processes.
 type proxyUnderTest struct {
 	node          experiment.Node
 	ordinal       int
@@ -29,20 +29,20 @@
 	listenAddress string
 	listAddress   string
 	dir           string
-	relay         *link.Relay // of the fleet's gossip; nil if it is off
+	relay         *link.Relay // of gossip; nil without a cluster
 
-	mu                sync.Mutex // of one fault at a time, and of what follows
+	mu                sync.Mutex // held during a fault; guards what follows
 	process           *process.Process
 	managementAddress string
 	startedAt         time.Time         // of the latest process
-	configFile        string            // its file
-	starts            int               // processes so far
-	excusedSpans      []func(time.Time) // excuses that end when it serves again
-	downFaults        int               // faults that keep it down
+	configFile        string            // path
+	starts            int               // number of processes so far
+	excusedSpans      []func(time.Time) // ended when it serves again
+	downFaults        int               // number of active faults that keep it down
 
-	processesMu    sync.Mutex // of what follows
+	processesMu    sync.Mutex // guards what follows
 	allProcesses   []*process.Process
-	stopFaults     int // faults that hold: stopped, disk full
+	stopFaults     int // number of active faults, as are the next
 	diskFullFaults int
 }
 
@@ -52,8 +52,7 @@
 	return slices.Clone(proxy.allProcesses)
 }
 
-// start starts a process of a proxy. From nothing, it knows the list as its configuration has it; as a successor it
-// shares the predecessor's directory.
+// start starts a process of a proxy, with a list in its configuration; with keep, in the directory of its predecessor.
 func (bed *testbed) start(proxy *proxyUnderTest, keep bool) error {
 	tmp := filepath.Join(proxy.dir, "tmp")
 	if !keep {
@@ -87,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(proxy.dir, fmt.Sprintf("config-%d.json", proxy.starts)) // its own: another may start before it has read it
+	path := filepath.Join(proxy.dir, fmt.Sprintf("config-%d.json", proxy.starts)) // one for each process, which may read it after the next one started
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
@@ -114,6 +113,7 @@
 	return nil
 }
 
+// ended reports whether a process has ended.
 func ended(p *process.Process) bool {
 	select {
 	case <-p.Ended():
@@ -123,19 +123,19 @@
 	}
 }
 
-// mourn counts a process that ends without having been told to.
+// watchForCrash counts a process that ends without a signal.
 func (bed *testbed) watchForCrash(p *process.Process) {
 	<-p.Ended()
 	if p.Crashed() {
-		bed.log.Error("a proxy crashed", "proxy", p.Name, "error", p.Err())
+		bed.log.Error("proxy crashed", "proxy", p.Name, "error", p.Err())
 		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 }
 
-// kill kills proxies in one instant, and excuses them until each serves again.
+// kill kills proxies at one moment, and excuses each until it serves again.
 func (bed *testbed) kill(proxies []*proxyUnderTest) error {
 	proxies = slices.Clone(proxies)
-	slices.SortFunc(proxies, func(a, b *proxyUnderTest) int { return cmp.Compare(a.ordinal, b.ordinal) }) // one order of locks
+	slices.SortFunc(proxies, func(a, b *proxyUnderTest) int { return cmp.Compare(a.ordinal, b.ordinal) }) // one order of locking
 	var ps []*process.Process
 	for _, proxy := range proxies {
 		proxy.mu.Lock()
@@ -150,7 +150,7 @@
 	return process.KillAll(slices.DeleteFunc(ps, ended))
 }
 
-// longest is how long a planned restart waits for SIGKILL.
+// killDelay is the time from SIGTERM to SIGKILL in a planned restart.
 func (bed *testbed) killDelay() time.Duration {
 	most := time.Duration(0)
 	for _, k := range bed.experiment.Classes {
@@ -159,33 +159,33 @@
 	return min(most, minKillDelay) + killSlack
 }
 
-// restart is a planned restart, with a time in between in which there is no process.
-func (bed *testbed) restart(ctx context.Context, proxy *proxyUnderTest, signals []signalAt, away time.Duration, keep bool) error {
+// restart is a planned restart, with a span without a process.
+func (bed *testbed) restart(ctx context.Context, proxy *proxyUnderTest, signals []signalAt, downtime time.Duration, keep bool) error {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	if proxy.process == nil || ended(proxy.process) {
 		return nil
 	}
 	old := proxy.process
-	bar := time.AfterFunc(termNoticeDelay, func() { bed.front.Bar(proxy.node.Name) })
+	notice := time.AfterFunc(termNoticeDelay, func() { bed.front.Bar(proxy.node.Name) })
 	go sendSignals(old, signals)
 	clean, err := old.End(bed.killDelay())
-	bar.Stop()
+	notice.Stop()
 	bed.front.Bar(proxy.node.Name)
 	if err != nil {
 		return err
 	}
 	if !clean {
-		bed.log.Warn("a proxy did not end by itself after SIGTERM", "proxy", proxy.node.Name, "error", old.Err())
+		bed.log.Warn("proxy killed after SIGTERM timeout", "proxy", proxy.node.Name, "error", old.Err())
 	}
 	defer bed.front.Expect(proxy.node.Name)
-	if !sleep.For(ctx, away) {
+	if !sleep.For(ctx, downtime) {
 		return nil
 	}
 	return bed.start(proxy, keep)
 }
 
-// upgrade replaces the process by the on-call page.
+// upgrade replaces the process as the on-call page says: start a successor, wait until it is ready, end the predecessor.
 func (bed *testbed) upgrade(ctx context.Context, proxy *proxyUnderTest) error {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -197,16 +197,16 @@
 		return err
 	}
 	if !bed.awaitReady(ctx, proxy, successorTimeout) {
-		bed.log.Error("a successor did not say yes", "proxy", proxy.node.Name)
+		bed.log.Error("successor not ready", "proxy", proxy.node.Name)
 		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 	_, err := old.End(bed.killDelay())
 	return err
 }
 
-func (bed *testbed) awaitReady(ctx context.Context, proxy *proxyUnderTest, patience time.Duration) bool {
+func (bed *testbed) awaitReady(ctx context.Context, proxy *proxyUnderTest, timeout time.Duration) bool {
 	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(patience); time.Now().Before(end) && sleep.For(ctx, readyzPollInterval); {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && sleep.For(ctx, readyzPollInterval); {
 		resp, err := client.Get("http://" + proxy.managementAddress + "/v1/readyz")
 		if err != nil {
 			continue
@@ -219,7 +219,7 @@
 	return false
 }
 
-// powerLoss kills a proxy and loses what its files got last.
+// powerLoss kills a proxy and loses recent writes to its files.
 func (bed *testbed) powerLoss(proxy *proxyUnderTest) error {
 	if err := bed.kill([]*proxyUnderTest{proxy}); err != nil {
 		return err
@@ -228,11 +228,11 @@
 	r := rand.New(rand.NewPCG(bed.plan.Seed, bed.rng.Uint64()))
 	bed.mu.Unlock()
 	torn, err := faultdisk.Tear(filepath.Join(proxy.dir, "tmp"), time.Now().Add(-powerLossWindow), r)
-	bed.log.Info("power lost", "proxy", proxy.node.Name, "files", len(torn))
+	bed.log.Info("proxy power lost", "proxy", proxy.node.Name, "files", len(torn))
 	return err
 }
 
-// again starts a killed proxy again, unless another fault keeps it down. It is excused until it says that it serves.
+// startAgain starts a killed proxy again, unless another fault keeps it down. It stays excused until it is ready.
 func (bed *testbed) startAgain(ctx context.Context, proxy *proxyUnderTest, keep bool) error {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -243,7 +243,7 @@
 		return err
 	}
 	if !bed.awaitReady(ctx, proxy, readmitTimeout) && ctx.Err() == nil {
-		bed.log.Error("a proxy did not serve again after its start", "proxy", proxy.node.Name, "waited", readmitTimeout)
+		bed.log.Error("restarted proxy not ready", "proxy", proxy.node.Name, "duration", readmitTimeout)
 		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 	for _, end := range proxy.excusedSpans {
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -15,30 +15,30 @@
 	"merlinpick/internal/faultlab/stubserver"
 )
 
-// server is a server of the fleet, with what the list says of it.
+// server is a stub server with its entry in the list.
 type server struct {
 	*stubserver.Server
 	mu         sync.Mutex
 	node       experiment.Node
 	cell       int
 	entry      catalog.Entry
-	downFaults int          // faults that keep it down
-	endRefusal func() error // ends the refusal of connections, if its process is down and its machine is not
+	downFaults int          // number of active faults that keep it down
+	endRefusal func() error // ends the refusal of connections while only its process is down
 }
 
-// address is where a proxy finds a server.
+// address is the address at which a proxy reaches a server.
 func (bed *testbed) address(proxy, name string) string {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	return bed.addresses[bed.linkGroup(bed.proxies[proxy].node)+"/"+name]
 }
 
-// Job and Fell make the fleet the servers' world.
+// Job returns the work of a request. With Fell it makes the testbed a stubserver.World.
 func (bed *testbed) Job(id string) (stubserver.Job, bool) { return bed.client.Job(id) }
 
-// Fell takes a server down for good.
+// Fell takes down a server that failed under overload, for the rest of the play.
 func (bed *testbed) Fell(name string) {
-	bed.log.Warn("a cold nodo fell over", "nodo", name)
+	bed.log.Warn("server failed under overload", "endpoint", name)
 	bed.recordError(bed.takeDown(bed.server(name)))
 }
 
@@ -48,7 +48,7 @@
 	return bed.servers[name]
 }
 
-// serversOf are the servers of a zone.
+// serversInZone are the servers of a zone, by name.
 func (bed *testbed) serversInZone(zone string) (out []*server) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -61,16 +61,16 @@
 	return out
 }
 
-// zoneCells is how many cells the servers of a zone make up.
+// zoneCells is the number of cells in a zone.
 const zoneCells = 4
 
-// cellOf is the cell of a server by its zone and its own number. Numbers of cells are unique within a tier, as on the platform.
+// cellOf is the cell of a server, by the index of its zone and its own number. Cells are numbered within a tier.
 func cellOf(zone, number int) int { return zone*zoneCells + number%zoneCells }
 
-// addServer makes a server with a link from each group of proxies, and starts it.
+// addServer creates a server with a link from each link group, and starts it, with slow start if cold.
 func (bed *testbed) addServer(n experiment.Node, cell int, at time.Time, cold bool) (*server, error) {
 	if len(n.Name) > maxServerName {
-		return nil, fmt.Errorf("nodo %s: replaced too often", n.Name)
+		return nil, fmt.Errorf("%w: name of nodo %s, give fewer replacements", errTooLarge, n.Name)
 	}
 	c, number := bed.experiment.Servers, cell
 	cell = cellOf(slices.Index(bed.experiment.ZoneNames(), n.Zone), number)
@@ -110,7 +110,7 @@
 	return server, nil
 }
 
-// begin starts a server's process; a zero time is long ago.
+// startServer starts a server's process; a zero time is long ago.
 func (bed *testbed) startServer(server *server, at time.Time, cold bool) {
 	server.Start(at, cold)
 	since := int64(0)
@@ -124,7 +124,7 @@
 	bed.ref.RecordServerState(server.node.Name, referee.ServerState{Zone: server.node.Zone, Cell: server.cell, Serving: true, Since: since}, at)
 }
 
-// tell tells the list what a server is now.
+// setStatus records a server's status and announces it to the list.
 func (bed *testbed) setStatus(server *server, status string) {
 	server.mu.Lock()
 	server.entry.Status = status
@@ -135,11 +135,12 @@
 	bed.announce(entry)
 }
 
+// serverLinksTo matches the links from proxies to a server.
 func serverLinksTo(name string) func(link.Ends) bool {
 	return func(ends link.Ends) bool { return ends.Kind == "nodo" && ends.To == name }
 }
 
-// down ends a server's process: connections are reset, new ones refused, and the list hears of it.
+// takeDown ends a server's process: connections are reset, new ones refused, and the list is notified.
 func (bed *testbed) takeDown(server *server) error {
 	server.mu.Lock()
 	server.downFaults++
@@ -154,7 +155,7 @@
 	return err
 }
 
-// vanish ends a server's machine: its links are silent already.
+// vanish ends a server's machine, whose links are silent already.
 func (bed *testbed) vanish(server *server) {
 	server.mu.Lock()
 	server.downFaults++
@@ -163,7 +164,7 @@
 	bed.setStatus(server, catalog.Deleted)
 }
 
-// up ends one of the faults that keep a server down; with the last its process starts again, cold.
+// bringUp ends one of the faults that keep a server down; with the last its process starts again, with slow start.
 func (bed *testbed) bringUp(server *server) error {
 	server.mu.Lock()
 	server.downFaults--
--- a/internal/faultlab/run/strike.go
+++ b/internal/faultlab/run/strike.go
@@ -15,14 +15,14 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// timeline carries a plan's faults out, each at its time and for its time, however others stand. It returns when all
-// have ended, or the context has; then what holds ends at once.
+// timeline injects a plan's faults, each at its time and for its duration, independently of each other.
 type timeline struct {
 	*testbed
 	start   time.Time
 	running sync.WaitGroup
 }
 
+// run returns the injected faults when all have ended; when the context ends, active faults end at once.
 func (t *timeline) run(ctx context.Context) []result.Event {
 	events := make([]result.Event, len(t.plan.Strikes))
 	for i, strike := range t.plan.Strikes {
@@ -31,17 +31,24 @@
 			if !t.waitUntil(ctx, strike.At) {
 				return
 			}
-			t.log.Info("fault begins", "n", strike.N, "kind", strike.Fault.Kind, "targets", targetNames(strike))
+			t.log.Info("fault started", "fault", strike.N, "kind", strike.Fault.Kind, "targets", targetNames(strike))
 			events[i].Start, events[i].Target = time.Since(t.start).Seconds(), targetNames(strike)
 			t.recordError(t.inject(ctx, strike))
 			events[i].End = time.Since(t.start).Seconds()
-			t.log.Info("fault has ended", "n", strike.N, "kind", strike.Fault.Kind)
+			t.log.Info("fault ended", "fault", strike.N, "kind", strike.Fault.Kind)
 		})
 	}
 	t.running.Wait()
 	return slices.DeleteFunc(events, func(e result.Event) bool { return e.End < 0 })
 }
 
+// errUnknownFault is a kind of fault that the checks of experiments accept and the timeline does not know.
+var errUnknownFault = errors.New("unknown kind of fault")
+
+func unknownFault(strike plan.Strike, group string) error {
+	return fmt.Errorf("%w: fault %d of %s: %q, see the kinds in docs/lab.md", errUnknownFault, strike.N, group, strike.Fault.Kind)
+}
+
 func targetNames(strike plan.Strike) (names []string) {
 	if experiment.Kinds[strike.Fault.Kind].Hollow {
 		return []string{fmt.Sprintf("%d hollow nodos", len(strike.Turns))}
@@ -58,12 +65,12 @@
 	return names
 }
 
-// until waits for a moment of the load.
+// waitUntil waits until a time since the load started; false if the context ended before.
 func (t *timeline) waitUntil(ctx context.Context, at time.Duration) bool {
 	return sleep.For(ctx, time.Until(t.start.Add(at)))
 }
 
-// hold keeps a fault up for its time: to the end of the load if it names none.
+// holdFault waits for a fault's duration, or until the end of the load if it has none.
 func (t *timeline) holdFault(ctx context.Context, strike plan.Strike, begun time.Duration) {
 	if strike.For <= 0 {
 		t.waitUntil(ctx, experiment.Seconds(t.experiment.Seconds))
@@ -72,7 +79,7 @@
 	t.waitUntil(ctx, begun+strike.For)
 }
 
-// strike carries one fault out from its beginning to its end.
+// inject injects one fault from its start to its end.
 func (t *timeline) inject(ctx context.Context, strike plan.Strike) error {
 	kind := experiment.Kinds[strike.Fault.Kind]
 	switch {
@@ -98,7 +105,7 @@
 	return t.injectListFault(ctx, strike)
 }
 
-// each carries a fault out on each target at its turn; the turns do not wait for each other.
+// eachTarget injects a fault into each target at the target's time; targets do not wait for each other.
 func (t *timeline) eachTarget(ctx context.Context, strike plan.Strike, do func(plan.Turn) error) error {
 	errs := make([]error, len(strike.Turns))
 	var all sync.WaitGroup
--- a/internal/faultlab/run/strike_configs.go
+++ b/internal/faultlab/run/strike_configs.go
@@ -19,18 +19,18 @@
 const (
 	configWriteTimeout     = 3 * time.Second // for one answer
 	configRetryPause       = 100 * time.Millisecond
-	maxConfigWriteDuration = 20 * time.Second // for all tries of one put
+	maxConfigWriteDuration = 20 * time.Second // for all attempts of one write
 )
 
-// configs is what was put of services' configurations.
+// configWrites records the configurations that were written.
 type configWrites struct {
 	mu        sync.Mutex
 	services  map[string]*configuredService
 	writes    []result.ConfigWrite
-	documents int64 // documents so far: no two are alike
+	documents int64 // number so far: each document is different
 }
 
-// configured is a service whose configuration the lab puts: one put at a time, each after the one before.
+// configuredService is a service whose configuration the lab writes, one write at a time, each based on the version before.
 type configuredService struct {
 	mu      sync.Mutex
 	version int64
@@ -61,14 +61,14 @@
 	return slices.Clone(c.writes)
 }
 
-// document is the hollow proxies' settings with an objective of its own. A faulty one repeats calls in a way that there is not.
+// configDocument is the hollow proxies' settings with an objective of its own; a faulty one has an invalid repeat class.
 func (bed *testbed) configDocument(n int64, faulty bool) ([]byte, error) {
-	told, err := bed.hollowSettings()
+	text, err := bed.hollowSettings()
 	if err != nil {
 		return nil, err
 	}
 	var s map[string]any
-	if err := json.Unmarshal(told, &s); err != nil {
+	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, err
 	}
 	delete(s, "my_zone")
@@ -83,7 +83,7 @@
 	return json.Marshal(map[string]any{"settings": s})
 }
 
-// putConfigs puts configurations at the members, each at its turn.
+// writeConfigs writes configurations to the list service, each at its time.
 func (t *timeline) writeConfigs(ctx context.Context, strike plan.Strike) error {
 	return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
 		own, n := t.configs.service(turn.Target)
@@ -102,13 +102,13 @@
 	})
 }
 
-// putConfig puts one, first at the member whose turn it is, and at the next one while there is no final answer.
+// writeConfig writes a configuration to the members in turn until there is a final answer.
 func (t *timeline) writeConfig(ctx context.Context, put *result.ConfigWrite, own *configuredService, text []byte, first int) {
 	members := len(t.service.Targets(nil))
 	ctx, cancel := context.WithTimeout(ctx, maxConfigWriteDuration)
 	defer cancel()
-	for try := first; ctx.Err() == nil; try++ {
-		status, version, err := t.sendConfig(ctx, t.block.member(try%members, listPort), put.Service, own.version, text)
+	for attempt := first; ctx.Err() == nil; attempt++ {
+		status, version, err := t.sendConfig(ctx, t.block.member(attempt%members, listPort), put.Service, own.version, text)
 		if err == nil {
 			put.Status, put.ConfirmedAt = status, time.Now().UnixNano()
 			switch status {
@@ -117,7 +117,7 @@
 				return
 			case http.StatusServiceUnavailable:
 			default:
-				t.log.Info("a configuration was not taken", "service", put.Service, "status", status, "faulty", put.Faulty)
+				t.log.Info("configuration rejected", "service", put.Service, "status", status, "faulty", put.Faulty)
 				return
 			}
 		}
@@ -142,11 +142,11 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	var told struct {
+	var answer struct {
 		Version int64 `json:"version"`
 	}
 	if resp.StatusCode == http.StatusOK {
-		err = json.Unmarshal(body, &told)
+		err = json.Unmarshal(body, &answer)
 	}
-	return resp.StatusCode, told.Version, err
+	return resp.StatusCode, answer.Version, err
 }
--- a/internal/faultlab/run/strike_links.go
+++ b/internal/faultlab/run/strike_links.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"slices"
 	"time"
 
@@ -12,20 +11,20 @@
 	"merlinpick/internal/faultlab/plan"
 )
 
-// between matches the links that lead out of a zone or into it.
+// zoneBorder matches the links that cross the border of a zone.
 func zoneBorder(zone string) func(link.Ends) bool {
 	return func(ends link.Ends) bool {
 		return ends.FromZone != ends.ToZone && ends.FromZone != "" && ends.ToZone != "" && (ends.FromZone == zone || ends.ToZone == zone)
 	}
 }
 
-// reach is an effect and the links that it is for.
+// linkEffect is an effect and the links that it applies to.
 type linkEffect struct {
 	match func(link.Ends) bool
 	link.Effect
 }
 
-// over has effects on links for a fault's time. Where they keep clients from a proxy, that proxy is excused.
+// applyEffects applies effects to links for a fault's duration. A proxy that clients or the list cannot reach is excused.
 func (t *timeline) applyEffects(ctx context.Context, strike plan.Strike, reaches ...linkEffect) error {
 	begun := time.Now()
 	var excused []func(time.Time)
@@ -57,7 +56,7 @@
 	return errors.Join(errs...)
 }
 
-// matching is the links that a fault of links is aimed at.
+// matchesFault matches the links that a fault of links affects, but for gossip.
 func matchesFault(fault experiment.Fault, shared bool) func(link.Ends) bool {
 	one := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 	return func(ends link.Ends) bool {
@@ -72,7 +71,7 @@
 		case "client":
 			return len(fault.Servers) == 0 && one(fault.Proxies, ends.To)
 		case "member", "gossip":
-			return false // member_cut and gossips have these
+			return false // handled by cutMembers and gossipEffects
 		case "lease":
 			return len(fault.Servers) == 0 && len(fault.Proxies) == 0
 		case "nodo":
@@ -82,12 +81,12 @@
 	}
 }
 
-// cutEffect is a cut in a direction, as the dialling side sees it.
+// cutEffect is a cut in a direction, as seen by the dialling side.
 func cutEffect(direction string) link.Effect {
 	switch direction {
-	case "out": // the first packet of a connection is lost too
+	case "out": // connections do not come up either
 		return link.Effect{CutOut: true, NoConnect: true}
-	case "back": // connections come up: what answers is lost behind them
+	case "back": // connections come up; responses are lost
 		return link.Effect{CutBack: true}
 	}
 	return link.Silent
@@ -125,10 +124,10 @@
 		}
 		return over(link.Effect{ResetNew: true})
 	}
-	return fmt.Errorf("fault %d: no links' fault %q", strike.N, fault.Kind)
+	return unknownFault(strike, "links")
 }
 
-// loseZone has a zone's machines vanish, and come back cold.
+// loseZone takes down a zone's machines, and brings them back with slow start.
 func (t *timeline) loseZone(ctx context.Context, strike plan.Strike) error {
 	zone := strike.Fault.Zone
 	into := func(ends link.Ends) bool {
--- a/internal/faultlab/run/strike_lists.go
+++ b/internal/faultlab/run/strike_lists.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"slices"
 	"time"
 
@@ -12,10 +11,10 @@
 	"merlinpick/internal/faultlab/service"
 )
 
-// listService carries out the faults of the list service's members.
+// injectRegistryFault injects a fault into members of the list service.
 func (t *timeline) injectRegistryFault(ctx context.Context, strike plan.Strike) error {
 	ms := t.service.Targets(strike.Fault.Members)
-	t.log.Info("members struck", "n", strike.N, "members", service.Names(ms))
+	t.log.Info("faulty members", "fault", strike.N, "members", service.Names(ms))
 	back := func() bool { return strike.For > 0 && t.waitUntil(ctx, strike.At+strike.For) }
 	switch strike.Fault.Kind {
 	case "member_kill":
@@ -27,11 +26,11 @@
 	case "member_cut":
 		return t.cutMembers(ctx, strike, service.Names(ms))
 	}
-	return fmt.Errorf("fault %d: no members' fault %q", strike.N, strike.Fault.Kind)
+	return unknownFault(strike, "members")
 }
 
-// cutMembers cuts members off from the others: both ways, only what they send (out), or only what they are sent (back).
-// Either side dials, so that what one sends is on some links what is dialled with and on others what is answered.
+// cutMembers cuts members off from the others: both ways, only what they send (out), or only what they receive (back). Either side
+// dials, so that a direction is the request's on some links and the response's on others.
 func (t *timeline) cutMembers(ctx context.Context, strike plan.Strike, names []string) error {
 	other := map[string]string{"out": "back", "back": "out"}
 	var ends []func() error
@@ -53,6 +52,7 @@
 	return errors.Join(ends[0](), ends[1]())
 }
 
+// injectListFault injects a fault into the catalog, or cuts all links to the list.
 func (t *timeline) injectListFault(ctx context.Context, strike plan.Strike) error {
 	links := func(ends link.Ends) bool { return ends.Kind == "list" }
 	down := func() error {
@@ -64,7 +64,7 @@
 		back := t.ref.BeginListOutage("", time.Now())
 		t.net.Reset(links)
 		if strike.Fault.Kind == "list_power_loss" {
-			t.log.Info("the list lost its power", "versions_lost", t.catalog.PowerLoss())
+			t.log.Info("list power lost", "versions_lost", t.catalog.PowerLoss())
 		}
 		t.holdFault(ctx, strike, strike.At)
 		up()
@@ -89,5 +89,5 @@
 		t.catalog.Rollback(strike.Fault.Versions)
 		return nil
 	}
-	return fmt.Errorf("fault %d: no list's fault %q", strike.N, strike.Fault.Kind)
+	return unknownFault(strike, "list")
 }
--- a/internal/faultlab/run/strike_proxies.go
+++ b/internal/faultlab/run/strike_proxies.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"sync"
 	"syscall"
 	"time"
@@ -68,10 +67,10 @@
 			return t.addDiskFull(proxy, -1)
 		})
 	}
-	return fmt.Errorf("fault %d: no proxies' fault %q", strike.N, fault.Kind)
+	return unknownFault(strike, "proxies")
 }
 
-// stopped counts the faults that stop a proxy; with the last its processes go on.
+// addStop changes the number of faults that stop a proxy; with the last its processes continue.
 func (bed *testbed) addStop(proxy *proxyUnderTest, n int) error {
 	return proxy.countFault(&proxy.stopFaults, n, func(p *process.Process, first bool) error {
 		if first {
@@ -81,13 +80,13 @@
 	})
 }
 
-// diskFull counts the faults that fill a proxy's disk.
+// addDiskFull changes the number of faults that fill a proxy's disk.
 func (bed *testbed) addDiskFull(proxy *proxyUnderTest, n int) error {
 	return proxy.countFault(&proxy.diskFullFaults, n, func(p *process.Process, first bool) error { return p.DiskFull(first) })
 }
 
-// held adds n to a count of faults that hold on a proxy, and does to its processes what the first or the last asks.
-func (proxy *proxyUnderTest) countFault(count *int, n int, do func(p *process.Process, first bool) error) error {
+// countFault adds n to a number of active faults, and calls apply for each process when the first starts or the last ends.
+func (proxy *proxyUnderTest) countFault(count *int, n int, apply func(p *process.Process, first bool) error) error {
 	proxy.processesMu.Lock()
 	defer proxy.processesMu.Unlock()
 	before := *count
@@ -98,13 +97,13 @@
 	var errs []error
 	for _, p := range proxy.allProcesses {
 		if !ended(p) {
-			errs = append(errs, do(p, before == 0))
+			errs = append(errs, apply(p, before == 0))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// killWave kills all targets of one moment in one instant, and starts each again after the fault's time.
+// killWave kills the targets of each time at once, and starts them again after the fault's duration.
 func (t *timeline) killWave(ctx context.Context, strike plan.Strike) error {
 	waves := map[time.Duration][]*proxyUnderTest{}
 	for _, turn := range strike.Turns {
@@ -131,7 +130,7 @@
 	return errors.Join(errs...)
 }
 
-// startAll starts killed proxies again, side by side.
+// startAll starts killed proxies again, concurrently.
 func (t *timeline) startAll(ctx context.Context, proxies []*proxyUnderTest, keep bool) {
 	var starts sync.WaitGroup
 	for _, proxy := range proxies {
--- a/internal/faultlab/run/strike_reload.go
+++ b/internal/faultlab/run/strike_reload.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	maxPause         = 150 * time.Millisecond // the longest that a proxy may be held up
-	pauseGap         = 100 * time.Millisecond // between two
-	misbehavingPause = 40 * time.Millisecond  // between two rude clients of one proxy, on average
+	maxPause         = 150 * time.Millisecond // of a proxy
+	pauseGap         = 100 * time.Millisecond // between two pauses
+	misbehavingPause = 40 * time.Millisecond  // between two misbehaving clients of a proxy, on average
 	reloadGap        = 150 * time.Millisecond
 	// The platform sends no SIGHUP in a program's first second.
 	firstReloadDelay     = time.Second
-	brokenConfigFraction = 0.4 // of the configurations that come with SIGHUP
+	brokenConfigFraction = 0.4 // of the configurations before a SIGHUP
 )
 
-// reload replaces a proxy's configuration and sends SIGHUP, several times in a row: with a file that is whole, and says what
-// the one in force does, or with a broken one, after which the former stands.
+// reload replaces a proxy's configuration and sends SIGHUP, several times in a row: with the same content, or with a truncated
+// file, after which the former configuration stays in force.
 func (t *timeline) reload(ctx context.Context, proxy *proxyUnderTest, times int, r *rand.Rand) error {
 	for range max(1, times) {
 		proxy.mu.Lock()
@@ -47,11 +47,11 @@
 	if err != nil {
 		return fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
-	told := text
+	written := text
 	if r.Float64() < brokenConfigFraction {
-		told = text[:r.IntN(len(text)-1)]
+		written = text[:r.IntN(len(text)-1)]
 	}
-	if err := os.WriteFile(path+".new", told, 0o644); err != nil {
+	if err := os.WriteFile(path+".new", written, 0o644); err != nil {
 		return fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
 	if err := os.Rename(path+".new", path); err != nil {
@@ -60,11 +60,11 @@
 	if err := proxy.process.Signal(syscall.SIGHUP); err != nil && !ended(proxy.process) {
 		return err
 	}
-	time.Sleep(reloadGap)                  // it is read by then, or the next one finds a whole file
-	return os.WriteFile(path, text, 0o644) // for a restart, which must find a whole one
+	time.Sleep(reloadGap)                  // the proxy has read it by then, or reads the restored one
+	return os.WriteFile(path, text, 0o644) // a restart needs a valid file
 }
 
-// holdUp stops a proxy for a moment, again and again: between any two of its steps.
+// pauseRepeatedly stops a proxy for short random times.
 func (t *timeline) pauseRepeatedly(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
 	end := t.start.Add(at + strike.For)
 	for time.Now().Before(end) {
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// visits has rude clients come to a proxy. One that gets neither an error nor a close in time is a broken rule, unless the
-// lab kept the proxy from it meanwhile.
+// runMisbehavingClients runs misbehaving clients against a proxy. One that gets neither an error nor a close in time is a violation,
+// unless the lab kept the proxy from answering.
 func (t *timeline) runMisbehavingClients(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
 	class := ""
 	for _, k := range t.experiment.Classes {
@@ -88,9 +88,9 @@
 			class = k.Name
 		}
 	}
-	visiting, stop := context.WithDeadline(ctx, t.start.Add(at+strike.For))
+	running, stop := context.WithDeadline(ctx, t.start.Add(at+strike.For))
 	defer stop()
-	for sleep.For(visiting, time.Duration(r.Int64N(int64(2*misbehavingPause)))) {
+	for sleep.For(running, time.Duration(r.Int64N(int64(2*misbehavingPause)))) {
 		v := misbehavingclient.Draw(r, class)
 		t.running.Go(func() {
 			begun := time.Now()
--- a/internal/faultlab/run/strike_series.go
+++ b/internal/faultlab/run/strike_series.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	signalSeriesSpan = 1500 * time.Millisecond // after a planned restart's SIGTERM come the other signals
+	signalSeriesSpan = 1500 * time.Millisecond // other signals follow a planned restart's SIGTERM within this
 	floodDialTimeout = time.Second
-	floodConnectGap  = 2 * time.Millisecond // between two connections of a crowd
+	floodConnectGap  = 2 * time.Millisecond // between two connections of a flood
 )
 
-// signalAt is a signal that comes so long after a planned restart's SIGTERM.
+// signalAt is a signal that follows a planned restart's SIGTERM.
 type signalAt struct {
 	after  time.Duration
 	signal syscall.Signal
 }
 
-// drawSignals draws the signals of a series: a second SIGTERM, or SIGHUP, which reads the configuration that is in force.
+// drawSignals draws n signals: SIGTERM again, or SIGHUP, which reloads the configuration in force.
 func drawSignals(n int, r *rand.Rand) []signalAt {
 	var series []signalAt
 	for range n {
@@ -39,21 +39,21 @@
 	return series
 }
 
-// sendSignals sends a series to a process for as long as it lives.
+// sendSignals sends signals to a process while it runs.
 func sendSignals(p *process.Process, series []signalAt) {
 	for _, next := range series {
 		go func() {
 			select {
 			case <-time.After(next.after):
-				_ = p.Signal(next.signal) // it may just have ended
+				_ = p.Signal(next.signal) // the process may have just ended
 			case <-p.Ended():
 			}
 		}()
 	}
 }
 
-// crowd has clients connect to a proxy and send nothing, for the fault's time. A connection that the proxy closes is not made
-// anew. New connections of others may be shut unread meanwhile.
+// floodConnections opens connections to a proxy and sends nothing on them, for the fault's duration. Connections that the proxy
+// closes are not reopened. The proxy may close new connections of others unread meanwhile.
 func (t *timeline) floodConnections(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration) error {
 	crowded := t.ref.BeginConnectionFlood(proxy.node.Name, time.Now())
 	defer func() { crowded(time.Now()) }()
@@ -64,7 +64,7 @@
 	for i := 0; i < strike.Fault.Clients && sleep.For(holding, floodConnectGap); i++ {
 		c, err := (&net.Dialer{Timeout: floodDialTimeout}).DialContext(holding, "tcp", proxy.listenAddress)
 		if err != nil {
-			continue // the proxy is down, or has no room
+			continue // the proxy is down, or at its limit
 		}
 		all.Go(func() {
 			unhook := context.AfterFunc(holding, func() { c.Close() })
--- a/internal/faultlab/run/strike_servers.go
+++ b/internal/faultlab/run/strike_servers.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
 
 	"merlinpick/internal/faultlab/catalog"
@@ -12,6 +11,7 @@
 	"merlinpick/internal/faultlab/stubserver"
 )
 
+// injectServerFault injects a fault into one server.
 func (t *timeline) injectServerFault(ctx context.Context, strike plan.Strike, turn plan.Turn) error {
 	server, fault := t.server(turn.Target), strike.Fault
 	hamper := func(h stubserver.Hamper) error {
@@ -45,10 +45,10 @@
 	case "nodo_drain", "nodo_replace":
 		return t.drain(ctx, strike, turn, server)
 	}
-	return fmt.Errorf("fault %d: no nodos' fault %q", strike.N, fault.Kind)
+	return unknownFault(strike, "nodos")
 }
 
-// drain has a server drain, end, and come back cold; or another, cold, take its place at once.
+// drain drains and ends a server, and brings it back with slow start; for nodo_replace another one takes its place at once.
 func (t *timeline) drain(ctx context.Context, strike plan.Strike, turn plan.Turn, server *server) error {
 	if strike.Fault.Kind == "nodo_replace" {
 		next := server.node
--- a/internal/faultlab/run/unansweredsends.go
+++ b/internal/faultlab/run/unansweredsends.go
@@ -17,24 +17,24 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// dialsEvery is how often the kernel is asked which connections wait to come up: a dial that is given up sooner may be
-// missed, and one is noted up to this late.
+// dialPollInterval is the interval of reading the kernel's pending connections: a shorter dial may be missed, and a dial is recorded
+// up to this late.
 const dialPollInterval = 25 * time.Millisecond
 
-// knock notes what a proxy sent a server into silence.
+// recordUnansweredSend records what a proxy sent to a server over a link that dropped it.
 func (bed *testbed) recordUnansweredSend(ends link.Ends, at time.Time, dial bool) {
 	if ends.Kind == "nodo" {
 		bed.ref.RecordUnansweredSend(referee.UnansweredSend{SentAt: at, Proxy: ends.From, FromZone: ends.FromZone, Server: ends.To, Zone: ends.ToZone, Dial: dial})
 	}
 }
 
-// watchDials notes the dials over links on which none comes up. The lab's listener does not see them: the kernel drops
-// them, and tells of them only in its table of connections, which is read while there is such a link.
+// watchDials records the dials over links on which connections do not come up. The lab's listener does not see them: they show only
+// in the kernel's table of connections, which is read while there is such a link.
 func (bed *testbed) watchDials(ctx context.Context) {
 	seen := map[dial]bool{}
 	for sleep.For(ctx, dialPollInterval) {
-		barred := bed.net.Blocked()
-		if len(barred) == 0 {
+		blocked := bed.net.Blocked()
+		if len(blocked) == 0 {
 			continue
 		}
 		text, err := os.ReadFile("/proc/net/tcp")
@@ -44,7 +44,7 @@
 		}
 		at, now := time.Now(), map[dial]bool{}
 		for _, d := range pendingDials(text) {
-			ends, ok := barred[d.to.String()]
+			ends, ok := blocked[d.to.String()]
 			if !ok {
 				continue
 			}
@@ -57,12 +57,12 @@
 	}
 }
 
-// dial is a connection that waits to come up.
+// dial is a connection that is not established yet.
 type dial struct{ from, to netip.AddrPort }
 
 const synSent = "02"
 
-// dialsOf reads the kernel's table of connections (proc_net_tcp(5)).
+// pendingDials parses the kernel's table of connections (proc_net_tcp(5)).
 func pendingDials(table []byte) (out []dial) {
 	for lines := bufio.NewScanner(bytes.NewReader(table)); lines.Scan(); {
 		words := strings.Fields(lines.Text())
@@ -78,7 +78,7 @@
 	return out
 }
 
-// hexAddr reads an address as the table has it: the IP a number in the machine's order of bytes, the port a number.
+// hexAddr parses an address of the table: the IP in the machine's byte order and the port, both in hexadecimal.
 func hexAddr(text string) (netip.AddrPort, bool) {
 	ip, port, _ := strings.Cut(text, ":")
 	raw, err := hex.DecodeString(ip)
