--- a/internal/faultlab/run/config.go
+++ b/internal/faultlab/run/config.go
@@ -56,25 +56,32 @@
 	}
 }
 
+// startConfig is the part of a configuration that differs at each start.
+type startConfig struct {
+	seed    uint64
+	members []string        // of the list service; nil with the catalog
+	known   json.RawMessage // list; nil: none
+	cluster map[string]any  // nil: no cluster
+}
+
 // proxyConfig is the text of a proxy's configuration file.
-func proxyConfig(exp *experiment.Experiment, proxy *proxyUnderTest, seed uint64, mgmt string, members []string,
-	known json.RawMessage, fleet map[string]any) ([]byte, error) {
-	c := map[string]any{"name": proxy.node.Name, "listen": proxy.listenAddress, "mgmt": mgmt, "discovery": proxy.listAddress,
-		"seed": fmt.Sprintf("%016x", seed), "settings": settings(exp, proxy.ordinal, proxy.zone),
+func proxyConfig(exp *experiment.Experiment, proxy *proxyUnderTest, start startConfig) ([]byte, error) {
+	config := map[string]any{"name": proxy.node.Name, "listen": proxy.listenAddress, "mgmt": proxy.managementAddress,
+		"discovery": proxy.listAddress, "seed": fmt.Sprintf("%016x", start.seed), "settings": settings(exp, proxy.ordinal, proxy.zone),
 		"limits": map[string]any{"cores": exp.Proxy.Cores, "memory_mb": exp.Proxy.MemoryMB, "sockets": exp.Proxy.Sockets},
 	}
-	if members != nil {
-		delete(c, "discovery")
-		c["discovery_members"] = members
+	if start.members != nil {
+		delete(config, "discovery")
+		config["discovery_members"] = start.members
 	}
-	if fleet != nil {
-		c["fleet"] = fleet
+	if start.cluster != nil {
+		config["fleet"] = start.cluster
 	}
-	if known != nil {
-		c["known"] = known
+	if start.known != nil {
+		config["known"] = start.known
 	}
-	overlay(c, exp.Proxy.Config)
-	text, err := json.MarshalIndent(c, "", " ")
+	overlay(config, exp.Proxy.Config)
+	text, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
 		return nil, fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -95,17 +95,7 @@
 	bed.proxies, bed.servers, bed.addresses = map[string]*proxyUnderTest{}, map[string]*server{}, map[string]string{}
 	bed.gossipMembers = map[netip.Addr]experiment.Node{}
 	bed.rng = bed.plan.Source("fleet")
-	zones := bed.experiment.ZoneNames()
-	var targets []load.Target
-	for i, n := range bed.experiment.ProxyNodes() {
-		proxy := &proxyUnderTest{node: n, ordinal: i, zone: slices.Index(zones, n.Zone), listenAddress: bed.block.proxy(i),
-			listAddress: bed.block.list(i), dir: filepath.Join(bed.workDir, fmt.Sprint(i))}
-		bed.proxies[n.Name] = proxy
-		bed.proxyOrder = append(bed.proxyOrder, proxy)
-		targets = append(targets, load.Target{Name: n.Name, Zone: n.Zone, Addr: proxy.listenAddress})
-	}
-	bed.front = load.NewFront(targets, bed.net, bed.delay, experiment.Millis(bed.experiment.Clients.NoticeMs),
-		bed.experiment.Clients.OtherZones, zones, bed.plan.Source("front"))
+	bed.addProxies()
 	if err := bed.buildGossip(); err != nil {
 		return err
 	}
@@ -118,13 +108,33 @@
 		}
 		entries = append(entries, server.entry)
 	}
-	l := bed.experiment.List
-	if l.Members > 0 {
-		if err := bed.buildService(); err != nil {
-			return err
-		}
-		return bed.buildHollow()
+	if bed.experiment.List.Members == 0 {
+		return bed.buildCatalog(entries)
+	}
+	if err := bed.buildService(); err != nil {
+		return err
 	}
+	return bed.buildHollow()
+}
+
+// addProxies adds the proxies, without processes, and the front before them.
+func (bed *testbed) addProxies() {
+	zones := bed.experiment.ZoneNames()
+	var targets []load.Target
+	for i, n := range bed.experiment.ProxyNodes() {
+		proxy := &proxyUnderTest{node: n, ordinal: i, zone: slices.Index(zones, n.Zone), listenAddress: bed.block.proxy(i),
+			listAddress: bed.block.list(i), dir: filepath.Join(bed.workDir, fmt.Sprint(i))}
+		bed.proxies[n.Name] = proxy
+		bed.proxyOrder = append(bed.proxyOrder, proxy)
+		targets = append(targets, load.Target{Name: n.Name, Zone: n.Zone, Addr: proxy.listenAddress})
+	}
+	bed.front = load.NewFront(targets, bed.net, bed.delay, experiment.Millis(bed.experiment.Clients.NoticeMs),
+		bed.experiment.Clients.OtherZones, zones, bed.plan.Source("front"))
+}
+
+// buildCatalog creates the catalog, which stands in for the list service, with a link from each proxy.
+func (bed *testbed) buildCatalog(entries []catalog.Entry) error {
+	l := bed.experiment.List
 	bed.catalog = catalog.New(catalog.Config{Lag: experiment.Millis(l.LagMs), Call: experiment.Millis(l.CallMs),
 		Line: time.Duration(l.LineUs * float64(time.Microsecond)), Wait: experiment.Millis(l.WaitMs),
 		Sync: experiment.Millis(l.SyncMs), Retain: l.RetainN, Most: l.MaxEntries, Seed: bed.plan.Seed, Address: bed.address,
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -46,74 +46,91 @@
 	if !hollowExp.On() {
 		return nil
 	}
-	zones := bed.experiment.ZoneNames()
-	members := bed.service.Targets(nil)
-	lists, leases := map[string][]string{}, map[string][]string{}
-	for z, zone := range zones {
-		for n, m := range members {
-			for kind, of := range map[string]struct {
-				addr string
-				all  map[string][]string
-			}{"list": {bed.block.hollowList(z, n), lists}, "lease": {bed.block.hollowLease(z, n), leases}} {
-				ends := link.Ends{Kind: kind, From: hollowLinkName, FromZone: zone, To: m.Name, ToZone: m.Zone}
-				own := bed.block.member(n, listPort)
-				if _, err := bed.net.Listen(ends, of.addr, bed.delay(zone, m.Zone), func(c *link.Conn) { _ = link.Pass(c, own, nil) }); err != nil {
-					return err
-				}
-				of.all[zone] = append(of.all[zone], of.addr)
-			}
-		}
+	lists, leases, err := bed.buildHollowLinks()
+	if err != nil {
+		return err
 	}
-	told, err := bed.hollowSettings()
+	hollowSettings, err := bed.hollowSettings()
 	if err != nil {
 		return err
 	}
-	add := func(kind string, n int) (out []*hollowProcess) {
-		for i := range n {
-			p := &hollowProcess{config: hollow.Config{Name: fmt.Sprintf("%s%d", kind, i+1), ControlAddress: bed.block.hollowControl(len(bed.hollow)),
-				Settings: told, CallRate: hollowExp.Calls, FailedFraction: hollowExp.Bad, LeaseMs: int64(bed.experiment.List.LeaseMs)}}
-			p.path = filepath.Join(bed.workDir, p.config.Name+".json")
-			p.config.FailureFile = filepath.Join(bed.workDir, p.config.Name+".failed")
-			bed.hollow = append(bed.hollow, p)
-			out = append(out, p)
+	proxies := bed.addHollow("hollow-proxies", min(hollowExp.Processes, hollowExp.Proxies), hollowSettings)
+	bed.configureHollowProxies(proxies, lists)
+	servers := bed.addHollow("hollow-nodos", hollowExp.ServerProcesses(), hollowSettings)
+	bed.hollowProcessOf = map[string]*hollowProcess{}
+	for i, node := range bed.experiment.HollowServers() {
+		process := servers[i%len(servers)]
+		bed.hollowProcessOf[node.Name] = process
+		process.config.Servers = append(process.config.Servers, hollow.Server{Name: node.Name, Zone: node.Zone,
+			Address: bed.block.hollowServer(), RegistryMembers: leases[experiment.RegionOf(node.Zone)]})
+	}
+	return nil
+}
+
+// buildHollowLinks creates the links to the list service, and returns their addresses by zone: for lists and for leases.
+func (bed *testbed) buildHollowLinks() (lists, leases map[string][]string, err error) {
+	lists, leases = map[string][]string{}, map[string][]string{}
+	for i, zone := range bed.experiment.ZoneNames() {
+		for n, member := range bed.service.Targets(nil) {
+			own := bed.block.member(n, listPort)
+			listen := func(kind, address string) error {
+				ends := link.Ends{Kind: kind, From: hollowLinkName, FromZone: zone, To: member.Name, ToZone: member.Zone}
+				_, err := bed.net.Listen(ends, address, bed.delay(zone, member.Zone), func(c *link.Conn) { _ = link.Pass(c, own, nil) })
+				return err
+			}
+			list, lease := bed.block.hollowList(i, n), bed.block.hollowLease(i, n)
+			if err := errors.Join(listen("list", list), listen("lease", lease)); err != nil {
+				return nil, nil, err
+			}
+			lists[zone], leases[zone] = append(lists[zone], list), append(leases[zone], lease)
 		}
-		return out
 	}
-	proxies := add("hollow-proxies", min(hollowExp.Processes, hollowExp.Proxies))
-	r := bed.plan.Source("hollow")
-	for i, n := range bed.experiment.HollowProxies() {
-		p := proxies[i%len(proxies)]
-		region := experiment.RegionOf(n.Zone)
-		x := hollow.Proxy{Name: n.Name, Zone: n.Zone, ReplicaIndex: i, Seed: r.Uint64(), RegistryMembers: lists[region]}
-		if s := hollowExp.ConfigService(i); s > 0 {
-			x.Service = experiment.ServiceName(s)
+	return lists, leases, nil
+}
+
+// addHollow adds n hollow processes without proxies or servers.
+func (bed *testbed) addHollow(kind string, n int, settings json.RawMessage) (added []*hollowProcess) {
+	hollowExp := bed.experiment.Hollow
+	for i := range n {
+		name := fmt.Sprintf("%s%d", kind, i+1)
+		process := &hollowProcess{path: filepath.Join(bed.workDir, name+".json"), config: hollow.Config{Name: name,
+			ControlAddress: bed.block.hollowControl(len(bed.hollow)), Settings: settings, CallRate: hollowExp.Calls,
+			FailedFraction: hollowExp.Bad, LeaseMs: int64(bed.experiment.List.LeaseMs),
+			FailureFile: filepath.Join(bed.workDir, name+".failed")}}
+		bed.hollow = append(bed.hollow, process)
+		added = append(added, process)
+	}
+	return added
+}
+
+// configureHollowProxies distributes the hollow proxies over their processes.
+func (bed *testbed) configureHollowProxies(processes []*hollowProcess, lists map[string][]string) {
+	hollowExp, cluster := bed.experiment.Hollow, bed.experiment.Cluster
+	random := bed.plan.Source("hollow")
+	for i, node := range bed.experiment.HollowProxies() {
+		process := processes[i%len(processes)]
+		region := experiment.RegionOf(node.Zone)
+		proxy := hollow.Proxy{Name: node.Name, Zone: node.Zone, ReplicaIndex: i, Seed: random.Uint64(), RegistryMembers: lists[region]}
+		if service := hollowExp.ConfigService(i); service > 0 {
+			proxy.Service = experiment.ServiceName(service)
 		}
-		if bed.experiment.Cluster.On {
-			p.config.Cluster = &hollow.Cluster{Label: bed.experiment.Cluster.Label}
-			x.Bind, x.Seeds = bed.block.hollowGossip(i), bed.hollowSeeds(i)
+		if cluster.On {
+			process.config.Cluster = &hollow.Cluster{Label: cluster.Label}
+			proxy.Bind, proxy.Seeds = bed.block.hollowGossip(i), bed.hollowSeeds(i)
 			if hollowExp.Relays {
-				x.Advertise = bed.block.hollowRelay(i)
+				proxy.Advertise = bed.block.hollowRelay(i)
 			}
-			own := netip.MustParseAddrPort(x.Bind).Addr()
-			bed.gossipMembers[own] = experiment.Node{Name: n.Name, Zone: region}
+			own := netip.MustParseAddrPort(proxy.Bind).Addr()
+			bed.gossipMembers[own] = experiment.Node{Name: node.Name, Zone: region}
 		}
-		p.config.Proxies = append(p.config.Proxies, x)
+		process.config.Proxies = append(process.config.Proxies, proxy)
 	}
-	if bed.experiment.Cluster.On && hollowExp.Relays {
+	if cluster.On && hollowExp.Relays {
 		relays := bed.hollowRelays()
-		for _, p := range proxies {
-			p.config.Relays = relays
+		for _, process := range processes {
+			process.config.Relays = relays
 		}
 	}
-	nodos := add("hollow-nodos", hollowExp.ServerProcesses())
-	bed.hollowProcessOf = map[string]*hollowProcess{}
-	for i, n := range bed.experiment.HollowServers() {
-		p := nodos[i%len(nodos)]
-		bed.hollowProcessOf[n.Name] = p
-		p.config.Servers = append(p.config.Servers, hollow.Server{Name: n.Name, Zone: n.Zone, Address: bed.block.hollowServer(),
-			RegistryMembers: leases[experiment.RegionOf(n.Zone)]})
-	}
-	return nil
 }
 
 // hollowSettings are the settings of hollow proxies: a real proxy's, with the hollow zones.
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -93,57 +93,61 @@
 	defer m.sampleMu.Unlock()
 	standing := make([]service.Standing, len(m.members))
 	var all sync.WaitGroup
-	for i, x := range m.members {
-		all.Go(func() { standing[i] = m.service.Standing(x) })
+	for i, member := range m.members {
+		all.Go(func() { standing[i] = m.service.Standing(member) })
 	}
 	all.Wait()
 	roles, members := m.traffic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at := time.Now()
-	past := at.Sub(m.total.TakenAt)
-	first := m.total.TakenAt.IsZero()
-	m.total.TakenAt = at
+	now := time.Now()
+	elapsed, first := now.Sub(m.total.TakenAt), m.total.TakenAt.IsZero()
+	m.total.TakenAt = now
 	watches := 0.0
-	for i, x := range m.members {
-		now := memberSample{standing[i], members[x.Name]}
-		was := m.lastSamples[x.Name]
-		m.lastSamples[x.Name] = now
-		watches += now.Watches
-		if was.PID != now.PID { // another process: its counters began at zero
-			was.CPU, was.Rejected = 0, 0
-		}
-		if first {
-			continue
-		}
-		role := "follower"
-		if now.Leads {
-			role = "leader"
-		}
-		t := now.traffic.Minus(was.traffic)
-		spent := result.Usage{BytesIn: t.Sent, BytesOut: t.Answered, Calls: t.Pieces, CPU: max(0, now.CPU-was.CPU), InstanceTime: past,
-			Memory: now.Memory}
-		m.total.Roles[role] = m.total.Roles[role].Plus(spent)
-		spent.InstanceTime = 0
-		m.total.Roles["five"] = m.total.Roles["five"].Plus(spent)
-		if now.Up {
-			m.total.Rejected += max(0, now.Rejected-was.Rejected)
+	for i, member := range m.members {
+		current := memberSample{standing[i], members[member.Name]}
+		last := m.lastSamples[member.Name]
+		m.lastSamples[member.Name] = current
+		watches += current.Watches
+		if !first {
+			m.addMember(last, current, elapsed)
 		}
 	}
 	if !first {
 		five := m.total.Roles["five"]
-		five.InstanceTime += past
+		five.InstanceTime += elapsed
 		m.total.Roles["five"] = five
 	}
 	m.total.Watches = max(m.total.Watches, watches)
-	for role, n := range map[string]int{"proxy": m.experiment.Hollow.Proxies, "real": len(m.proxyOrder), "nodo": m.experiment.Hollow.Servers, "regions": 1} {
-		s := m.total.Roles[role]
-		t := roles[role]
-		s.BytesIn, s.BytesOut, s.Calls = t.Sent, t.Answered, t.Pieces
+	instances := map[string]int{"proxy": m.experiment.Hollow.Proxies, "real": len(m.proxyOrder), "nodo": m.experiment.Hollow.Servers,
+		"regions": 1}
+	for role, n := range instances {
+		usage, traffic := m.total.Roles[role], roles[role]
+		usage.BytesIn, usage.BytesOut, usage.Calls = traffic.Sent, traffic.Answered, traffic.Pieces
 		if !first {
-			s.InstanceTime += past * time.Duration(n)
+			usage.InstanceTime += elapsed * time.Duration(n)
 		}
-		m.total.Roles[role] = s
+		m.total.Roles[role] = usage
+	}
+}
+
+// addMember adds a member's usage between two samples to its role, leader or follower, and to that of all members (five).
+func (m *meter) addMember(last, current memberSample, elapsed time.Duration) {
+	if last.PID != current.PID { // another process: its counters began at zero
+		last.CPU, last.Rejected = 0, 0
+	}
+	role := "follower"
+	if current.Leads {
+		role = "leader"
+	}
+	traffic := current.traffic.Minus(last.traffic)
+	usage := result.Usage{BytesIn: traffic.Sent, BytesOut: traffic.Answered, Calls: traffic.Pieces,
+		CPU: max(0, current.CPU-last.CPU), InstanceTime: elapsed, Memory: current.Memory}
+	m.total.Roles[role] = m.total.Roles[role].Plus(usage)
+	usage.InstanceTime = 0
+	m.total.Roles["five"] = m.total.Roles["five"].Plus(usage)
+	if current.Up {
+		m.total.Rejected += max(0, current.Rejected-last.Rejected)
 	}
 }
 
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -14,8 +14,10 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"strconv"
 	"strings"
+	"sync"
 	"time"
 
 	"merlinpick/internal/faultlab/experiment"
@@ -55,91 +57,127 @@
 
 // Play plays an experiment once. When the context ends it stops, and the play is partial. Errors of the machine wrap
 // ErrEnvironment; a hollow process that crashed is a *hollow.FailedError.
-func Play(ctx context.Context, exp *experiment.Experiment, seed uint64, o Options) (result.Play, error) {
+func Play(ctx context.Context, exp *experiment.Experiment, seed uint64, options Options) (result.Play, error) {
 	if err := checkCapacity(exp, thisMachine()); err != nil {
 		return result.Play{}, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
-	p := plan.Draw(exp, seed)
-	sum, err := p.Sum()
+	drawn := plan.Draw(exp, seed)
+	digest, err := drawn.Sum()
 	if err != nil {
 		return result.Play{}, err
 	}
-	out := result.Play{Seed: seed, Plan: sum}
-	f := &testbed{experiment: exp, plan: p, proxyCommand: o.ProxyCommand, registryCommand: o.RegistryCommand, hollowCommand: o.HollowCommand, log: o.Logger, logDir: filepath.Join(o.OutputDir, "logs")}
-	if err := os.MkdirAll(f.logDir, 0o755); err != nil {
-		return out, fmt.Errorf("logs: %w", err)
-	}
-	if f.block, err = claimBlock(); err != nil {
-		return out, fmt.Errorf("%w: %w", ErrEnvironment, err)
-	}
-	defer f.block.release()
-	removeLeftovers()
-	// A short path: a Unix socket's path in it must fit into 108 bytes.
-	if f.workDir, err = os.MkdirTemp("", fmt.Sprintf("%s%d-", workDirPrefix, os.Getpid())); err != nil {
-		return out, fmt.Errorf("%w: %w", ErrEnvironment, err)
-	}
-	defer os.RemoveAll(f.workDir)
-	f.starter = process.NewStarter()
-	defer f.starter.Close()
-	defer f.close()
-	if err := f.build(); err != nil {
-		return out, fmt.Errorf("%w: %w", ErrEnvironment, err)
+	out := result.Play{Seed: seed, Plan: digest}
+	bed := &testbed{experiment: exp, plan: drawn, proxyCommand: options.ProxyCommand, registryCommand: options.RegistryCommand,
+		hollowCommand: options.HollowCommand, log: options.Logger, logDir: filepath.Join(options.OutputDir, "logs")}
+	release, err := bed.prepare()
+	defer release()
+	if err != nil {
+		return out, err
 	}
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	served := make(chan struct{}, 3)
-	if err := f.startService(ctx); err != nil {
+	if err := bed.startService(ctx); err != nil {
 		return out, err
 	}
-	go func() { f.runList(inner); served <- struct{}{} }()
-	go func() { f.front.Run(inner); served <- struct{}{} }()
-	go func() { f.watchDials(inner); served <- struct{}{} }()
+	stopped := bed.serve(inner)
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
-	if err := f.startHollow(ctx, fail); err != nil {
+	if err := bed.startHollow(ctx, fail); err != nil {
 		return out, err
 	}
-	if err := f.startProxies(ctx); err != nil {
+	if err := bed.startProxies(ctx); err != nil {
 		return out, err
 	}
-	stall := make(chan time.Duration, 1)
-	canary, rest := context.WithCancel(inner)
-	go func() { stall <- watchStalls(canary) }()
-	start := time.Now()
-	if o.Progress != nil {
-		go f.reportProgress(canary, start, o.Progress)
-	}
-	phases := f.startMeter(canary, start)
-	events := f.playLoad(ctx, start)
-	rest()
-	in := result.Input{Experiment: exp, Plan: p, Start: start, Record: f.ref.Close(), Events: events, Lateness: f.client.Late(),
-		Stall: <-stall}
-	in.Control = f.controlReport(phases())
-	in.List, err = f.listReport(&in.Record)
-	f.recordError(err)
-	in.Gossip, err = f.gossipReport()
-	f.recordError(err)
+	input := bed.observe(ctx, inner, options)
 	var failed *hollow.FailedError
 	if errors.As(context.Cause(ctx), &failed) {
 		return out, failed
 	}
-	for _, proxy := range f.proxyOrder {
-		for _, proc := range proxy.processes() {
-			u := proc.Usage()
-			in.Memory, in.CPU = max(in.Memory, u.Memory), in.CPU+u.CPU
-		}
-	}
+	input.Memory, input.CPU = bed.proxyUsage()
 	out.Partial = ctx.Err() != nil
-	out.Fill(in)
+	out.Fill(input)
 	out.LabMB = float64(process.PeakMemory(os.Getpid())) / (1 << 20)
-	out.Void = voidReason(exp, out.Lateness, in.Control.LongestStall(), f.labError())
+	out.Void = voidReason(exp, out.Lateness, input.Control.LongestStall(), bed.labError())
 	stop()
-	for range cap(served) {
-		<-served
-	}
+	stopped()
 	return out, nil
 }
 
+// prepare claims addresses and directories and builds the testbed. The returned function, which is never nil, releases all of it
+// and ends all processes.
+func (bed *testbed) prepare() (release func(), err error) {
+	var releases []func()
+	release = func() {
+		for _, undo := range slices.Backward(releases) {
+			undo()
+		}
+	}
+	if err := os.MkdirAll(bed.logDir, 0o755); err != nil {
+		return release, fmt.Errorf("logs: %w", err)
+	}
+	if bed.block, err = claimBlock(); err != nil {
+		return release, fmt.Errorf("%w: %w", ErrEnvironment, err)
+	}
+	releases = append(releases, bed.block.release)
+	removeLeftovers()
+	// A short path: a Unix socket's path in it must fit into 108 bytes.
+	if bed.workDir, err = os.MkdirTemp("", fmt.Sprintf("%s%d-", workDirPrefix, os.Getpid())); err != nil {
+		return release, fmt.Errorf("%w: %w", ErrEnvironment, err)
+	}
+	releases = append(releases, func() { os.RemoveAll(bed.workDir) })
+	bed.starter = process.NewStarter()
+	releases = append(releases, bed.starter.Close, bed.close)
+	if err := bed.build(); err != nil {
+		return release, fmt.Errorf("%w: %w", ErrEnvironment, err)
+	}
+	return release, nil
+}
+
+// serve runs the list, the front and the watch of dials until the context ends; the returned function waits for their ends.
+func (bed *testbed) serve(ctx context.Context) (wait func()) {
+	var running sync.WaitGroup
+	running.Go(func() { bed.runList(ctx) })
+	running.Go(func() { bed.front.Run(ctx) })
+	running.Go(func() { bed.watchDials(ctx) })
+	return running.Wait
+}
+
+// observe plays the load and the faults, and returns what was observed. The meter and the check for stalls end with the load; they
+// run until then even if ctx, which ends load and faults early, ends before.
+func (bed *testbed) observe(ctx, inner context.Context, options Options) result.Input {
+	stall := make(chan time.Duration, 1)
+	metering, stop := context.WithCancel(inner)
+	defer stop()
+	go func() { stall <- watchStalls(metering) }()
+	start := time.Now()
+	if options.Progress != nil {
+		go bed.reportProgress(metering, start, options.Progress)
+	}
+	phases := bed.startMeter(metering, start)
+	events := bed.playLoad(ctx, start)
+	stop()
+	input := result.Input{Experiment: bed.experiment, Plan: bed.plan, Start: start, Record: bed.ref.Close(), Events: events,
+		Lateness: bed.client.Late(), Stall: <-stall}
+	input.Control = bed.controlReport(phases())
+	var err error
+	input.List, err = bed.listReport(&input.Record)
+	bed.recordError(err)
+	input.Gossip, err = bed.gossipReport()
+	bed.recordError(err)
+	return input
+}
+
+// proxyUsage is the peak memory of any proxy process, in bytes, and the CPU time of all.
+func (bed *testbed) proxyUsage() (memory int64, cpu time.Duration) {
+	for _, proxy := range bed.proxyOrder {
+		for _, proc := range proxy.processes() {
+			usage := proc.Usage()
+			memory, cpu = max(memory, usage.Memory), cpu+usage.CPU
+		}
+	}
+	return memory, cpu
+}
+
 // removeLeftovers removes the directories of runs that were killed.
 func removeLeftovers() {
 	dirs, _ := filepath.Glob(filepath.Join(os.TempDir(), workDirPrefix+"*"))
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -54,63 +54,81 @@
 
 // start starts a process of a proxy, with a list in its configuration; with keep, in the directory of its predecessor.
 func (bed *testbed) start(proxy *proxyUnderTest, keep bool) error {
-	tmp := filepath.Join(proxy.dir, "tmp")
+	if err := proxy.prepareDirs(keep); err != nil {
+		return err
+	}
+	path, known, err := bed.writeConfigFile(proxy)
+	if err != nil {
+		return err
+	}
+	successor := proxy.process != nil && !ended(proxy.process)
+	if successor {
+		bed.ref.RecordInheritedList(proxy.node.Name, known, time.Now())
+	} else {
+		bed.ref.RecordProxyStart(proxy.node.Name, known, time.Now())
+	}
+	started, err := bed.starter.Start(process.Spec{Name: proxy.node.Name, Command: bed.proxyCommand,
+		Env: append(os.Environ(), "LB_CONFIG="+path, "LB_NAME="+proxy.node.Name, "LB_LISTEN="+proxy.listenAddress,
+			"LB_DISCOVERY="+proxy.listAddress, "LB_MGMT="+proxy.managementAddress, "TMPDIR="+proxy.tmpDir()),
+		Log: filepath.Join(bed.logDir, proxy.node.Name+".log")}, bed.log)
+	if err != nil {
+		return err
+	}
+	proxy.process, proxy.startedAt, proxy.configFile = started, time.Now(), path
+	go bed.watchForCrash(started)
+	proxy.processesMu.Lock()
+	defer proxy.processesMu.Unlock()
+	proxy.allProcesses = append(proxy.allProcesses, started)
+	if proxy.diskFullFaults > 0 {
+		return started.DiskFull(true)
+	}
+	return nil
+}
+
+func (proxy *proxyUnderTest) tmpDir() string { return filepath.Join(proxy.dir, "tmp") }
+
+// prepareDirs creates the proxy's directories; without keep, their former contents are removed.
+func (proxy *proxyUnderTest) prepareDirs(keep bool) error {
 	if !keep {
 		if err := os.RemoveAll(proxy.dir); err != nil {
 			return fmt.Errorf("directory of %s: %w", proxy.node.Name, err)
 		}
 	}
-	if err := os.MkdirAll(tmp, 0o755); err != nil {
+	if err := os.MkdirAll(proxy.tmpDir(), 0o755); err != nil {
 		return fmt.Errorf("directory of %s: %w", proxy.node.Name, err)
 	}
-	part := 1.0
+	return nil
+}
+
+// writeConfigFile writes the configuration file of the proxy's next process, and returns its path and the list in it. Each process has a
+// file of its own, since it may read it after the next one started.
+func (bed *testbed) writeConfigFile(proxy *proxyUnderTest) (path string, known []referee.Entry, err error) {
+	fraction := 1.0
 	if bed.experiment.Proxy.KnownPart != nil {
-		part = *bed.experiment.Proxy.KnownPart
+		fraction = *bed.experiment.Proxy.KnownPart
 	}
 	bed.mu.Lock()
 	seed := bed.rng.Uint64()
-	knows := rand.New(rand.NewPCG(seed, 5))
 	bed.mu.Unlock()
-	var known json.RawMessage
-	var told []referee.Entry
-	if part > 0 {
-		known, told = bed.initialList(proxy.node.Name, part, knows)
+	var list json.RawMessage
+	if fraction > 0 {
+		list, known = bed.initialList(proxy.node.Name, fraction, rand.New(rand.NewPCG(seed, 5)))
 	}
 	proxy.managementAddress = bed.block.mgmt(proxy.ordinal, proxy.starts)
-	speaks, err := bed.gossipConfig(proxy)
+	cluster, err := bed.gossipConfig(proxy)
 	if err != nil {
-		return err
+		return "", nil, err
 	}
 	proxy.starts++
-	text, err := proxyConfig(bed.experiment, proxy, seed, proxy.managementAddress, bed.listMembers(proxy), known, speaks)
+	text, err := proxyConfig(bed.experiment, proxy, startConfig{seed, bed.listMembers(proxy), list, cluster})
 	if err != nil {
-		return err
+		return "", nil, err
 	}
-	path := filepath.Join(proxy.dir, fmt.Sprintf("config-%d.json", proxy.starts)) // one for each process, which may read it after the next one started
+	path = filepath.Join(proxy.dir, fmt.Sprintf("config-%d.json", proxy.starts))
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		return fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
-	}
-	successor := proxy.process != nil && !ended(proxy.process)
-	if successor {
-		bed.ref.RecordInheritedList(proxy.node.Name, told, time.Now())
-	} else {
-		bed.ref.RecordProxyStart(proxy.node.Name, told, time.Now())
+		return "", nil, fmt.Errorf("configuration of %s: %w", proxy.node.Name, err)
 	}
-	p, err := bed.starter.Start(process.Spec{Name: proxy.node.Name, Command: bed.proxyCommand, Env: append(os.Environ(), "LB_CONFIG="+path,
-		"LB_NAME="+proxy.node.Name, "LB_LISTEN="+proxy.listenAddress, "LB_DISCOVERY="+proxy.listAddress, "LB_MGMT="+proxy.managementAddress, "TMPDIR="+tmp),
-		Log: filepath.Join(bed.logDir, proxy.node.Name+".log")}, bed.log)
-	if err != nil {
-		return err
-	}
-	proxy.process, proxy.startedAt, proxy.configFile = p, time.Now(), path
-	go bed.watchForCrash(p)
-	proxy.processesMu.Lock()
-	defer proxy.processesMu.Unlock()
-	proxy.allProcesses = append(proxy.allProcesses, p)
-	if proxy.diskFullFaults > 0 {
-		return p.DiskFull(true)
-	}
-	return nil
+	return path, known, nil
 }
 
 // ended reports whether a process has ended.
--- a/internal/faultlab/run/strike_proxies.go
+++ b/internal/faultlab/run/strike_proxies.go
@@ -11,65 +11,58 @@
 	"merlinpick/internal/faultlab/process"
 )
 
+// injectProxyFault injects a fault into proxies, each at its time.
 func (t *timeline) injectProxyFault(ctx context.Context, strike plan.Strike) error {
+	if strike.Fault.Kind == "kill" {
+		return t.killWave(ctx, strike)
+	}
+	return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+		return t.injectIntoProxy(ctx, strike, turn, t.proxies[turn.Target])
+	})
+}
+
+func (t *timeline) injectIntoProxy(ctx context.Context, strike plan.Strike, turn plan.Turn, proxy *proxyUnderTest) error {
 	fault := strike.Fault
 	switch fault.Kind {
-	case "kill":
-		return t.killWave(ctx, strike)
 	case "restart":
-		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
-			signals := drawSignals(fault.Versions, t.plan.Source("signals "+turn.Target))
-			return t.restart(ctx, t.proxies[turn.Target], signals, strike.For, fault.Keep)
-		})
+		signals := drawSignals(fault.Versions, t.plan.Source("signals "+turn.Target))
+		return t.restart(ctx, proxy, signals, strike.For, fault.Keep)
 	case "upgrade":
-		return t.eachTarget(ctx, strike, func(turn plan.Turn) error { return t.upgrade(ctx, t.proxies[turn.Target]) })
+		return t.upgrade(ctx, proxy)
 	case "power_loss":
-		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
-			proxy := t.proxies[turn.Target]
-			if err := t.powerLoss(proxy); err != nil || !t.waitUntil(ctx, turn.At+strike.For) {
-				return err
-			}
-			return t.startAgain(ctx, proxy, true)
-		})
+		if err := t.powerLoss(proxy); err != nil || !t.waitUntil(ctx, turn.At+strike.For) {
+			return err
+		}
+		return t.startAgain(ctx, proxy, true)
 	case "stop":
-		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
-			proxy := t.proxies[turn.Target]
-			excused := t.ref.BeginExcusedSpan(turn.Target, time.Now())
-			away := t.ref.BeginListOutage(turn.Target, time.Now())
-			defer func() { excused(time.Now()); away(time.Now()) }()
-			if err := t.addStop(proxy, 1); err != nil {
-				return err
-			}
-			t.holdFault(ctx, strike, turn.At)
-			return t.addStop(proxy, -1)
-		})
+		excuseEnds := t.ref.BeginExcusedSpan(turn.Target, time.Now())
+		outageEnds := t.ref.BeginListOutage(turn.Target, time.Now())
+		defer func() { excuseEnds(time.Now()); outageEnds(time.Now()) }()
+		return t.holdCounted(ctx, strike, turn, proxy, t.addStop)
 	case "reload":
-		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
-			return t.reload(ctx, t.proxies[turn.Target], strike.Fault.Versions, t.plan.Source("reload "+turn.Target))
-		})
+		return t.reload(ctx, proxy, fault.Versions, t.plan.Source("reload "+turn.Target))
 	case "hold_up":
-		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
-			return t.pauseRepeatedly(ctx, strike, t.proxies[turn.Target], turn.At, t.plan.Source("hold up "+turn.Target))
-		})
+		return t.pauseRepeatedly(ctx, strike, proxy, turn.At, t.plan.Source("hold up "+turn.Target))
 	case "crowd":
-		return t.eachTarget(ctx, strike, func(turn plan.Turn) error { return t.floodConnections(ctx, strike, t.proxies[turn.Target], turn.At) })
+		return t.floodConnections(ctx, strike, proxy, turn.At)
 	case "rude":
-		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
-			return t.runMisbehavingClients(ctx, strike, t.proxies[turn.Target], turn.At, t.plan.Source("rude "+turn.Target))
-		})
+		return t.runMisbehavingClients(ctx, strike, proxy, turn.At, t.plan.Source("rude "+turn.Target))
 	case "disk_full":
-		return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
-			proxy := t.proxies[turn.Target]
-			if err := t.addDiskFull(proxy, 1); err != nil {
-				return err
-			}
-			t.holdFault(ctx, strike, turn.At)
-			return t.addDiskFull(proxy, -1)
-		})
+		return t.holdCounted(ctx, strike, turn, proxy, t.addDiskFull)
 	}
 	return unknownFault(strike, "proxies")
 }
 
+// holdCounted adds a fault to a proxy's number of active ones for the fault's duration.
+func (t *timeline) holdCounted(ctx context.Context, strike plan.Strike, turn plan.Turn, proxy *proxyUnderTest,
+	count func(proxy *proxyUnderTest, n int) error) error {
+	if err := count(proxy, 1); err != nil {
+		return err
+	}
+	t.holdFault(ctx, strike, turn.At)
+	return count(proxy, -1)
+}
+
 // addStop changes the number of faults that stop a proxy; with the last its processes continue.
 func (bed *testbed) addStop(proxy *proxyUnderTest, n int) error {
 	return proxy.countFault(&proxy.stopFaults, n, func(p *process.Process, first bool) error {
