--- a/internal/faultlab/report/html.go
+++ b/internal/faultlab/report/html.go
@@ -122,23 +122,23 @@
 </style></head><body>
 <h1>{{.Title}}</h1>
 <p class="{{if eq .Verdict "HELD"}}good{{else}}bad{{end}}"><b>{{.Verdict}}</b></p>
-<p class="note">{{.File}}, begun {{.Began.Format "2006-01-02 15:04:05"}} UTC, program {{.Version}}, {{.Machine.Cores}} cores,
+<p class="note">{{.File}}, begun {{.StartedAt.Format "2006-01-02 15:04:05"}} UTC, program {{.Version}}, {{.Machine.Cores}} cores,
 load of the machine {{index .Machine.LoadBefore 0}} before and {{index .Machine.LoadAfter 0}} after.</p>
 <h2>What was expected</h2>
 <table><tr><th>figure</th><th>bound</th><th>median</th><th>span of arrivals</th><th></th></tr>
-{{range .Expected}}<tr class="{{if .Held}}good{{else}}bad{{end}}"><td>{{.Figure}}</td>
+{{range .Expected}}<tr class="{{if .Held}}good{{else}}bad{{end}}"><td>{{.Metric}}</td>
 <td class="n">{{with .Min}}&ge; {{num .}} {{end}}{{with .Max}}&le; {{num .}}{{end}}</td><td class="n">{{num .Range.Median}}</td>
-<td>{{if or .From .To}}{{num .From}} to {{num .To}} s{{end}}</td><td>{{.Text}}</td></tr>
+<td>{{if or .Start .End}}{{num .Start}} to {{num .End}} s{{end}}</td><td>{{.Text}}</td></tr>
 {{end}}</table>
 {{if .Slowest}}<h2>Slowest to recover</h2>
 <table><tr><th>play</th><th>fault</th><th>targets</th><th>from, to (s)</th><th>worth in time before</th><th>back to 95 % after (s)</th></tr>
-{{range .Slowest}}<tr><td>{{.Play}}</td><td>{{.N}}: {{.Kind}}</td><td>{{join .Target " "}}</td><td>{{printf "%.1f, %.1f" .From .To}}</td>
-<td class="n">{{printf "%.3f" .Before}}</td><td class="n">{{if .Below}}not within {{end}}{{printf "%.1f" .Recovery}}</td></tr>
+{{range .Slowest}}<tr><td>{{.Play}}</td><td>{{.Number}}: {{.Kind}}</td><td>{{join .Target " "}}</td><td>{{printf "%.1f, %.1f" .Start .End}}</td>
+<td class="n">{{printf "%.3f" .WeightBefore}}</td><td class="n">{{if .StillDegraded}}not within {{end}}{{printf "%.1f" .Recovery}}</td></tr>
 {{end}}</table>{{end}}
 {{range $play := .Plays}}<h2>Play {{.N}}, seed {{.Seed}}</h2>
 {{if .Void}}<p class="bad">VOID: {{.Void}}</p>{{end}}{{if .Partial}}<p class="bad">PARTIAL: it was interrupted.</p>{{end}}
-<p class="note">The lab was late by {{printf "%.2f" .Late.P50}} / {{printf "%.2f" .Late.P99}} / {{printf "%.1f" .Late.Max}} ms
-(p50, p99, most), stood still for {{printf "%.1f" .Late.Stall}} ms at most, and took {{printf "%.0f" .LabMB}} MB.</p>
+<p class="note">The lab was late by {{printf "%.2f" .Lateness.P50}} / {{printf "%.2f" .Lateness.P99}} / {{printf "%.1f" .Lateness.Max}} ms
+(p50, p99, most), stood still for {{printf "%.1f" .Lateness.Stall}} ms at most, and took {{printf "%.0f" .LabMB}} MB.</p>
 {{range .Pictures}}{{.}}
 {{end}}
 <table><tr><th>latency, ms</th>{{range $i, $_ := $.Percentiles}}<th>p{{percentile $i}}</th>{{end}}</tr>
@@ -147,7 +147,7 @@
 {{range .Zoned}}<tr><td>{{.From}}</td>{{range .To}}<td class="n">{{.}}</td>{{end}}</tr>{{end}}</table>
 {{if .Violations}}<h3>Broken rules</h3><table><tr><th>rule</th><th>at</th><th>proxy</th><th>nodo</th><th>request</th><th></th></tr>
 {{range .Violations}}<tr class="bad"><td title="{{index $.Rules .Rule}}">{{.Rule}}</td><td>{{.At.Format "15:04:05.000"}}</td>
-<td>{{.Proxy}}</td><td>{{.Nodo}}</td><td>{{.Try}}</td><td>{{.Text}}</td></tr>{{end}}</table>{{end}}
+<td>{{.Proxy}}</td><td>{{.Server}}</td><td>{{.Attempt}}</td><td>{{.Text}}</td></tr>{{end}}</table>{{end}}
 {{end}}
 <h2>All figures</h2>
 <table><tr><th>figure</th><th>median</th><th>spread</th></tr>
