--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -17,9 +17,6 @@
 
 // policyOf is what the settings that a request was read by allow.
 func policyOf(r *request) invariant.Policy {
-	if r.Settings == nil || r.Class >= len(r.Settings.Classes) {
-		return invariant.Policy{MaxAttempts: 1 << 30} // a test's request, without settings
-	}
 	class := r.Settings.Classes[r.Class]
 	return invariant.Policy{
 		Idempotency: invariant.Idempotency(class.Idempotency), DedupScope: invariant.DedupScope(class.DedupScope),
@@ -39,9 +36,7 @@
 
 // auditAttemptStart notes that an attempt begins.
 func (l *eventLoop) auditAttemptStart(a *attempt) {
-	if a.request.rules != nil {
-		l.audit.RecordViolations(a.request.rules.AttemptStarted(invariant.Server(a.server), time.Now())...)
-	}
+	l.audit.RecordViolations(a.request.rules.AttemptStarted(invariant.Server(a.server), time.Now())...)
 	a.recordIndex = a.request.recordedAttempts
 	a.request.recordedAttempts++
 	l.audit.Trace(a.request.ID, "sent", "attempt", a.number, "endpoint", a.server.Name)
@@ -51,23 +46,21 @@
 func (l *eventLoop) auditAttemptEnd(a *attempt, status balancer.Status) {
 	l.audit.Count(audit.AttemptEnded(statusNames[status]))
 	l.audit.Trace(a.request.ID, "ended", "attempt", a.number, "status", statusNames[status])
-	if !a.started || a.request.rules == nil {
+	if !a.started {
 		return
 	}
 	neverExecuted := status == balancer.StatusConnectFailed || status == balancer.StatusNotSent ||
-		status == balancer.StatusRejected && (a.request.Settings == nil || !a.request.Settings.RejectedMayHaveExecuted)
+		status == balancer.StatusRejected && !a.request.Settings.RejectedMayHaveExecuted
 	a.request.rules.AttemptEnded(a.recordIndex, !neverExecuted)
 }
 
 // auditResponse notes a request's final response.
 func (l *eventLoop) auditResponse(r *request, resp downstream.Response) {
 	l.audit.Trace(r.ID, "answered", "status", resp.Status)
-	switch {
-	case r.rules == nil:
-	case resp.Status == 0:
+	if resp.Status == 0 {
 		r.rules.ClientGone()
-	default:
-		rejected := resp.Status == http.StatusServiceUnavailable || resp.Status == http.StatusTooManyRequests
-		l.audit.RecordViolations(r.rules.Responded(time.Now(), rejected)...)
+		return
 	}
+	rejected := resp.Status == http.StatusServiceUnavailable || resp.Status == http.StatusTooManyRequests
+	l.audit.RecordViolations(r.rules.Responded(time.Now(), rejected)...)
 }
--- a/internal/proxy/downstream/request.go
+++ b/internal/proxy/downstream/request.go
@@ -17,7 +17,7 @@
 	ClassName        string
 	Outbound         upstream.Request
 
-	// Deadline of the client, by the wall clock; zero while the body is still coming.
+	// ClientDeadline is when the client gives up, by the process's clock; zero while the body is still coming.
 	ClientDeadline time.Time
 
 	clientContext context.Context // ends once net/http has noticed that the client has gone
@@ -46,11 +46,11 @@
 // IsClientGone reports whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
 // context; what it cannot have seen yet, or never will, at the socket. Any goroutine may call it.
 func (r *Request) IsClientGone() bool {
-	return r.HasLeft() || r.clientContext != nil && socket.PeerClosed(r.clientConn)
+	return r.HasLeft() || socket.PeerClosed(r.clientConn)
 }
 
 // HasLeft reports whether net/http has noticed that the client has gone, without a system call.
-func (r *Request) HasLeft() bool { return r.clientContext != nil && r.clientContext.Err() != nil }
+func (r *Request) HasLeft() bool { return r.clientContext.Err() != nil }
 
 // Handler decides on requests. Any goroutine may call its methods, which return before there is a response. After Stopped is
 // done it gives none.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -22,11 +22,11 @@
 // request is a client's request in the loop's table. It belongs to the loop.
 type request struct {
 	*downstream.Request
-	rules            *invariant.Request // nil before the loop has taken it
-	recordedAttempts int                // that were started
-	ended            bool               // it has its final response, or nobody waits for one
-	attemptCount     int                // that the balancer decided on
-	currentAttempt   *attempt           // in flight, or nil
+	rules            *invariant.Request
+	recordedAttempts int      // that were started
+	ended            bool     // it has its final response, or nobody waits for one
+	attemptCount     int      // that the balancer decided on
+	currentAttempt   *attempt // in flight, or nil
 }
 
 // attempt is one attempt that the balancer has decided on. It belongs to the loop.
@@ -110,9 +110,7 @@
 	}
 	deadline := arrived.Add(r.Outbound.Timeout)
 	r.Outbound.ClientDeadline.Store(&deadline)
-	if r.rules != nil {
-		r.rules.SetDeadline(deadline)
-	}
+	r.rules.SetDeadline(deadline)
 	r.Deadline = l.clock.at(deadline)
 	l.armDeadline(r)
 }
@@ -127,9 +125,7 @@
 		deadline = min(deadline, l.clock.at(*arrived))
 	}
 	r.BodyPending, r.Deadline = false, deadline
-	if r.rules != nil {
-		r.rules.SetDeadline(l.clock.time(deadline))
-	}
+	r.rules.SetDeadline(l.clock.time(deadline))
 	l.armDeadline(r)
 	now := l.clock.now()
 	timeout := l.balancer.HandleBodyReceived(now, r.ID, r.Deadline)
