--- a/internal/proxy/downstream/closing_test.go
+++ b/internal/proxy/downstream/closing_test.go
@@ -138,10 +138,10 @@
 }
 
 // resting counts the connections that wait for a next request.
-func (f *Server) resting() (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c, s := range f.conns {
+func (srv *Server) resting() (n int) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	for c, s := range srv.conns {
 		if s.state == http.StateIdle && c.(*clientconn.Conn).Phase() == clientconn.PhaseIdle {
 			n++
 		}
--- a/internal/proxy/downstream/drain.go
+++ b/internal/proxy/downstream/drain.go
@@ -39,71 +39,71 @@
 // Where a successor serves, new connections are its own at once. Kept ones get Connection: close by their next response; those
 // that send nothing for handoverIdleTimeout are closed, and soon all that are idle: this process may not live to answer a
 // request that comes late.
-func (f *Server) Drain(stay time.Duration, cutoff time.Time, successorServing func() bool) {
+func (srv *Server) Drain(stay time.Duration, cutoff time.Time, successorServing func() bool) {
 	start := time.Now()
-	f.draining.Store(true)
-	f.logger.Info("draining", "open", f.OpenConns())
+	srv.draining.Store(true)
+	srv.logger.Info("draining", "open", srv.OpenConns())
 	for time.Since(start) < stay && !successorServing() {
 		time.Sleep(drainPollInterval)
 	}
 	idleTimeout := time.Duration(0)
 	if time.Since(start) < stay {
-		f.logger.Info("draining to successor", "open", f.OpenConns())
+		srv.logger.Info("draining to successor", "open", srv.OpenConns())
 		idleTimeout = handoverIdleTimeout
 	}
-	f.closing.Store(true)
-	f.acceptQueued(idleTimeout, cutoff, successorServing)
-	f.Listener.Close()
-	f.closeAsIdle(idleTimeout, start, cutoff)
-	f.flushResponses(cutoff)
-	f.finishStreams(start)
-	f.logger.Info("drained", "duration", time.Since(start), "open", f.OpenConns())
-	_ = f.server.Close() // not Shutdown, which drops a request that it has just read
+	srv.closing.Store(true)
+	srv.acceptQueued(idleTimeout, cutoff, successorServing)
+	srv.Listener.Close()
+	srv.closeAsIdle(idleTimeout, start, cutoff)
+	srv.flushResponses(cutoff)
+	srv.finishStreams(start)
+	srv.logger.Info("drained", "duration", time.Since(start), "open", srv.OpenConns())
+	_ = srv.server.Close() // not Shutdown, which drops a request that it has just read
 }
 
 // acceptQueued takes the connections that wait for a slot, which a close of the listener would reset: they come in as those
 // that are open get Connection: close. It ends once no slot has been short for two polls.
-func (f *Server) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
+func (srv *Server) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
 	for unfilled := 0; unfilled < 2 && !successorServing() && time.Until(cutoff) > cutoffMargin; unfilled++ {
-		if f.Listener.IsFull() {
+		if srv.Listener.IsFull() {
 			unfilled = -1
 		}
-		f.closeIdle(idleTimeout, drainAcceptPeriod, false)
+		srv.closeIdle(idleTimeout, drainAcceptPeriod, false)
 		time.Sleep(drainPollInterval / 2)
 	}
 }
 
 // closeAsIdle closes connections as they fall idle until all are or the cutoff has come. Shortly before it, requests that
 // are not complete are rejected.
-func (f *Server) closeAsIdle(idleTimeout time.Duration, start, cutoff time.Time) {
-	for f.closeIdle(idleTimeout, drainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
+func (srv *Server) closeAsIdle(idleTimeout time.Duration, start, cutoff time.Time) {
+	for srv.closeIdle(idleTimeout, drainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
 		time.Sleep(drainPollInterval)
 		if time.Since(start) > handoverKeepAlivePeriod {
 			idleTimeout = 0
 		}
 		if time.Until(cutoff) < cutoffMargin {
-			f.rejectUploads()
+			srv.rejectUploads()
 		}
 	}
 }
 
 // flushResponses waits, for responseFlushMargin after the cutoff at most, until what the cutoff has ended is answered and
 // what was answered has been received.
-func (f *Server) flushResponses(cutoff time.Time) {
-	for f.closeIdle(0, 0, true) > int(f.activeStreams.Load()) || f.Listener.Lingering.Count() > 0 {
+func (srv *Server) flushResponses(cutoff time.Time) {
+	for srv.closeIdle(0, 0, true) > int(srv.activeStreams.Load()) || srv.Listener.Lingering.Count() > 0 {
 		if time.Since(cutoff) > responseFlushMargin {
 			return
 		}
-		f.rejectUploads()
+		srv.rejectUploads()
 		time.Sleep(drainPollInterval)
 	}
 }
 
 // finishStreams goes on with long responses that backends are still giving, until they end or this process is killed: to
 // cut them off here would be no better.
-func (f *Server) finishStreams(start time.Time) {
-	for f.activeStreams.Load() > 0 && time.Since(start) < maxDrainStream {
+func (srv *Server) finishStreams(start time.Time) {
+	for srv.activeStreams.Load() > 0 && time.Since(start) < maxDrainStream {
 		time.Sleep(drainPollInterval)
-		f.closeIdle(0, 0, true)
+		srv.closeIdle(0, 0, true)
 	}
 }
--- a/internal/proxy/downstream/evict.go
+++ b/internal/proxy/downstream/evict.go
@@ -34,89 +34,89 @@
 }
 
 // trackConn is the server's ConnState hook.
-func (f *Server) trackConn(c net.Conn, s http.ConnState) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (srv *Server) trackConn(c net.Conn, s http.ConnState) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
 	if s == http.StateClosed || s == http.StateHijacked {
-		delete(f.conns, c)
+		delete(srv.conns, c)
 		return
 	}
 	if s == http.StateIdle {
 		c.(*clientconn.Conn).ResponseSent()
 	}
-	f.conns[c] = clientConnState{state: s, since: time.Now()}
-	if s == http.StateNew && f.isShort(len(f.conns)) {
-		f.makeRoomLocked()
+	srv.conns[c] = clientConnState{state: s, since: time.Now()}
+	if s == http.StateNew && srv.isShort(len(srv.conns)) {
+		srv.makeRoomLocked()
 	}
 }
 
 // isShort reports whether so many connections leave too little room for others.
-func (f *Server) isShort(open int) bool {
-	return float64(open) > shortageFraction*float64(f.maxConns.Load())
+func (srv *Server) isShort(open int) bool {
+	return float64(open) > shortageFraction*float64(srv.maxConns.Load())
 }
 
 // SetLimits sets how many connections of clients are served, with how many requests in flight, and how many connections
 // beyond these are accepted to reject on.
-func (f *Server) SetLimits(conns, inFlight, rejectConns int) {
-	f.maxConns.Store(int64(conns))
-	f.maxInFlight.Store(int64(inFlight))
-	f.Listener.SetLimit(conns + rejectConns)
+func (srv *Server) SetLimits(conns, inFlight, rejectConns int) {
+	srv.maxConns.Store(int64(conns))
+	srv.maxInFlight.Store(int64(inFlight))
+	srv.Listener.SetLimit(conns + rejectConns)
 }
 
 // markComplete counts a request in that has come: its connection is not to be evicted before its response. Reads from now
 // on only notice a client that goes, and have no deadline.
-func (f *Server) markComplete(w http.ResponseWriter, r *http.Request, req *Request) (finish func(status int)) {
+func (srv *Server) markComplete(w http.ResponseWriter, r *http.Request, req *Request) (finish func(status int)) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
 	c, _ := r.Context().Value(connKey{}).(net.Conn)
-	if s, ok := f.conns[c]; ok {
+	if s, ok := srv.conns[c]; ok {
 		s.requestComplete = true
-		f.conns[c] = s
+		srv.conns[c] = s
 	}
-	return f.requestStarted(req.ClassName)
+	return srv.requestStarted(req.ClassName)
 }
 
 // MakeRoom closes the connection that can be spared best, if there is one.
-func (f *Server) MakeRoom() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.makeRoomLocked()
+func (srv *Server) MakeRoom() {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.makeRoomLocked()
 }
 
 // makeRoomLocked closes a lingering connection, or the one that could have been evicted for longest: what counts is how long
 // it has been silent, not its age. A slow client that keeps sending gets its response, one that has stopped may not.
-func (f *Server) makeRoomLocked() {
-	if f.Listener.Lingering.CloseOldest() {
+func (srv *Server) makeRoomLocked() {
+	if srv.Listener.Lingering.CloseOldest() {
 		return
 	}
 	var victim *clientconn.Conn
 	var longest time.Duration
-	for c, state := range f.conns {
+	for c, state := range srv.conns {
 		conn := c.(*clientconn.Conn)
 		if d := state.evictableFor(conn); d > longest && !conn.HasUnreadRequest() {
 			victim, longest = conn, d
 		}
 	}
-	if victim != nil && f.evictLocked(victim) {
-		f.evicted++
-		f.logShortageLocked()
+	if victim != nil && srv.evictLocked(victim) {
+		srv.evicted++
+		srv.logShortageLocked()
 	}
 }
 
 // evictLocked closes a connection without a complete request on it. One whose body is still coming is rejected by its own
 // goroutine, and closed if that takes long. False if a request has come.
-func (f *Server) evictLocked(c *clientconn.Conn) bool {
-	s := f.conns[c]
+func (srv *Server) evictLocked(c *clientconn.Conn) bool {
+	s := srv.conns[c]
 	if c.Phase() != clientconn.PhaseInFlight {
 		if !c.CloseUnused(true) {
 			return false
 		}
 	} else if s.interruptedAt.IsZero() {
-		for u := range f.uploads {
+		for u := range srv.uploads {
 			if u.conn == c {
 				s.interruptedAt = time.Now()
-				f.conns[c] = s
+				srv.conns[c] = s
 				u.stop(errConnShortage)
 				return true
 			}
@@ -146,39 +146,39 @@
 }
 
 // logShortageLocked logs what holds the connections, once in shortageLogInterval while they are short.
-func (f *Server) logShortageLocked() {
-	if time.Since(f.lastLogged) < shortageLogInterval {
+func (srv *Server) logShortageLocked() {
+	if time.Since(srv.lastLogged) < shortageLogInterval {
 		return
 	}
 	inFlight, idle := 0, 0
-	for _, state := range f.conns {
+	for _, state := range srv.conns {
 		if state.requestComplete {
 			inFlight++
 		} else if state.state == http.StateIdle {
 			idle++
 		}
 	}
-	f.logger.Warn("client connections run short", "open", len(f.conns), "in_flight", inFlight, "idle", idle,
-		"incomplete", len(f.conns)-inFlight-idle, "evicted", f.evicted, "rejected", f.rejected)
-	f.lastLogged, f.evicted, f.rejected = time.Now(), 0, 0
+	srv.logger.Warn("client connections run short", "open", len(srv.conns), "in_flight", inFlight, "idle", idle,
+		"incomplete", len(srv.conns)-inFlight-idle, "evicted", srv.evicted, "rejected", srv.rejected)
+	srv.lastLogged, srv.evicted, srv.rejected = time.Now(), 0, 0
 }
 
 // exceedsInFlight reports whether more requests are in flight than there may be, and counts the rejection that follows.
 // Connections without a complete request are no reason to reject one: they give way.
-func (f *Server) exceedsInFlight() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if int64(f.inFlightLocked()) <= f.maxInFlight.Load() {
+func (srv *Server) exceedsInFlight() bool {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if int64(srv.inFlightLocked()) <= srv.maxInFlight.Load() {
 		return false
 	}
-	f.rejected++
-	f.logShortageLocked()
+	srv.rejected++
+	srv.logShortageLocked()
 	return true
 }
 
 // inFlightLocked counts the connections whose request has come and has no response yet.
-func (f *Server) inFlightLocked() (n int) {
-	for _, s := range f.conns {
+func (srv *Server) inFlightLocked() (n int) {
+	for _, s := range srv.conns {
 		if s.requestComplete {
 			n++
 		}
@@ -187,19 +187,19 @@
 }
 
 // OpenConns is how many connections of clients there are.
-func (f *Server) OpenConns() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns)
+func (srv *Server) OpenConns() int {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	return len(srv.conns)
 }
 
 // closeIdle closes the connections that have been idle, or new without a byte, for some time, and returns how many others
 // there are. One on which a request has just come is left alone: closing it would lose that request. With rejectPartial,
 // those whose request has no complete head yet are rejected.
-func (f *Server) closeIdle(idleFor, newFor time.Duration, rejectPartial bool) (busy int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c, s := range f.conns {
+func (srv *Server) closeIdle(idleFor, newFor time.Duration, rejectPartial bool) (busy int) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	for c, s := range srv.conns {
 		d := time.Since(s.since)
 		idle := s.state == http.StateIdle && d >= idleFor || s.state == http.StateNew && d > newFor
 		if !(idle || rejectPartial) || !c.(*clientconn.Conn).CloseUnused(rejectPartial) {
--- a/internal/proxy/downstream/receivebody.go
+++ b/internal/proxy/downstream/receivebody.go
@@ -10,7 +10,7 @@
 // receiveBody reads a request's body and gives the request to the Handler, whose response then comes on its channel: once the
 // body is complete if it can be buffered, otherwise while the rest comes. With a response returned that is the request's
 // own, and the Handler has none to give.
-func (f *Server) receiveBody(w http.ResponseWriter, r *http.Request, req *Request, u *upload) (func(status int), Response) {
+func (srv *Server) receiveBody(w http.ResponseWriter, r *http.Request, req *Request, u *upload) (func(status int), Response) {
 	body, complete, err := u.buffer()
 	switch {
 	case err != nil:
@@ -23,52 +23,52 @@
 	}
 	req.Outbound.Body = body
 	if !complete {
-		return f.streamBody(w, r, req, u)
+		return srv.streamBody(w, r, req, u)
 	}
 	u.markComplete()
-	finish := f.markComplete(w, r, req)
+	finish := srv.markComplete(w, r, req)
 	req.ClientDeadline = clientDeadline(req)
-	f.dispatch(req)
+	srv.dispatch(req)
 	return finish, Response{}
 }
 
 // dispatch gives a request to the Handler, or rejects it if more are in flight than there may be.
-func (f *Server) dispatch(req *Request) {
-	if f.exceedsInFlight() {
+func (srv *Server) dispatch(req *Request) {
+	if srv.exceedsInFlight() {
 		if req.stopUpload != nil {
 			req.stopUpload()
 		}
 		req.responses <- rejectedResponse(req)
 		return
 	}
-	f.handler.HandleRequest(req)
+	srv.handler.HandleRequest(req)
 }
 
 // streamBody forwards what is left of a body while it comes. The response may come before the rest of the body has.
-func (f *Server) streamBody(w http.ResponseWriter, r *http.Request, req *Request, u *upload) (func(status int), Response) {
+func (srv *Server) streamBody(w http.ResponseWriter, r *http.Request, req *Request, u *upload) (func(status int), Response) {
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	from, to := io.Pipe()
 	req.Outbound.BodyRemainder, req.Outbound.ContentLength, req.BodyPending = from, u.contentLength, true
 	req.stopUpload = func() { u.stop(errRequestEnded); from.CloseWithError(errRequestEnded) }
-	unhook := context.AfterFunc(f.handler.Stopped(), req.stopUpload)
+	unhook := context.AfterFunc(srv.handler.Stopped(), req.stopUpload)
 	defer unhook()
-	f.dispatch(req)
+	srv.dispatch(req)
 	watcher := watchBodyEnd(u.conn, u.remaining, func(arrived time.Time) {
-		f.handler.HandleBodyArrived(req, arrived)
+		srv.handler.HandleBodyArrived(req, arrived)
 	})
 	err := u.forwardTo(to)
 	watcher.end()
 	if err == nil && u.markComplete() {
-		finish, deadline := f.markComplete(w, r, req), clientDeadline(req)
-		f.handler.HandleBodyReceived(req, deadline)
+		finish, deadline := srv.markComplete(w, r, req), clientDeadline(req)
+		srv.handler.HandleBodyReceived(req, deadline)
 		to.Close()
 		return finish, Response{}
 	}
 	w.Header().Set("Connection", "close")
 	if u.isCancelled() { // it has its response
-		return f.requestStarted(req.ClassName), Response{}
+		return srv.requestStarted(req.ClassName), Response{}
 	}
 	to.CloseWithError(err)
-	f.handler.HandleClientGone(req)
+	srv.handler.HandleClientGone(req)
 	return nil, u.errorResponse(w, err)
 }
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -86,22 +86,22 @@
 
 // NewServer returns a server that accepts nothing before Serve and SetLimits.
 func NewServer(cfg Config) *Server {
-	f := &Server{handler: cfg.Handler, requestStarted: cfg.RequestStarted, listAvailable: cfg.ListAvailable, audit: cfg.Audit,
+	srv := &Server{handler: cfg.Handler, requestStarted: cfg.RequestStarted, listAvailable: cfg.ListAvailable, audit: cfg.Audit,
 		logger: cfg.Logger, bodyMemory: clientconn.NewMemoryBudget(0), headMemory: clientconn.NewMemoryBudget(DefaultBodyMemory),
 		conns: map[net.Conn]clientConnState{}, uploads: map[*upload]bool{}}
 	classNumbers := make([]int, len(cfg.Site.Classes))
 	for i := range classNumbers {
 		classNumbers[i] = i
 	}
-	f.SetSettings(cfg.Site, cfg.Settings, classNumbers)
-	f.Listener = clientconn.NewListener(cfg.Listener, clientconn.ListenerConfig{MakeRoom: f.MakeRoom, HeadMemory: f.headMemory,
+	srv.SetSettings(cfg.Site, cfg.Settings, classNumbers)
+	srv.Listener = clientconn.NewListener(cfg.Listener, clientconn.ListenerConfig{MakeRoom: srv.MakeRoom, HeadMemory: srv.headMemory,
 		Audit: cfg.Audit, Logger: cfg.Logger})
-	f.server = &http.Server{
-		Handler: f, ReadHeaderTimeout: clientconn.RequestReadTimeout, IdleTimeout: keepAliveTimeout,
-		MaxHeaderBytes: clientconn.MaxHeadBytes, ConnState: f.trackConn, ErrorLog: debugLog(cfg.Logger),
+	srv.server = &http.Server{
+		Handler: srv, ReadHeaderTimeout: clientconn.RequestReadTimeout, IdleTimeout: keepAliveTimeout,
+		MaxHeaderBytes: clientconn.MaxHeadBytes, ConnState: srv.trackConn, ErrorLog: debugLog(cfg.Logger),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
-	return f
+	return srv
 }
 
 // debugLog sends net/http's remarks on broken clients to the debug level.
@@ -110,57 +110,59 @@
 }
 
 // Serve accepts connections until the listener is closed.
-func (f *Server) Serve() error {
-	f.serving.Store(true)
-	defer f.serving.Store(false)
-	if err := f.server.Serve(f.Listener); !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
+func (srv *Server) Serve() error {
+	srv.serving.Store(true)
+	defer srv.serving.Store(false)
+	if err := srv.server.Serve(srv.Listener); !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve clients: %w", err)
 	}
 	return nil
 }
 
 // IsServing reports whether connections are accepted.
-func (f *Server) IsServing() bool { return f.serving.Load() }
+func (srv *Server) IsServing() bool { return srv.serving.Load() }
 
 // IsDraining reports whether Drain has begun: health checks fail.
-func (f *Server) IsDraining() bool { return f.draining.Load() }
+func (srv *Server) IsDraining() bool { return srv.draining.Load() }
 
 // IsClosing reports whether responses tell clients to leave, in a drain.
-func (f *Server) IsClosing() bool { return f.closing.Load() }
+func (srv *Server) IsClosing() bool { return srv.closing.Load() }
 
 // IsAwaitingSync reports whether the endpoint list is yet to be confirmed: health checks fail.
-func (f *Server) IsAwaitingSync() bool { return f.awaitingSync.Load() }
+func (srv *Server) IsAwaitingSync() bool { return srv.awaitingSync.Load() }
 
 // SetAwaitingSync sets whether the endpoint list is yet to be confirmed.
-func (f *Server) SetAwaitingSync(awaiting bool) { f.awaitingSync.Store(awaiting) }
+func (srv *Server) SetAwaitingSync(awaiting bool) { srv.awaitingSync.Store(awaiting) }
 
 // SetMemory sets how many bytes may be buffered of bodies, and as many of heads.
-func (f *Server) SetMemory(bytes int) {
-	f.bodyMemory.SetMax(bytes)
-	f.headMemory.SetMax(bytes)
+func (srv *Server) SetMemory(bytes int) {
+	srv.bodyMemory.SetMax(bytes)
+	srv.headMemory.SetMax(bytes)
 }
 
 // BufferedBytes is how much is buffered of bodies and of heads.
-func (f *Server) BufferedBytes() (bodies, heads int) { return f.bodyMemory.Used(), f.headMemory.Used() }
+func (srv *Server) BufferedBytes() (bodies, heads int) {
+	return srv.bodyMemory.Used(), srv.headMemory.Used()
+}
 
 // Conns are the connections of clients at this moment.
-func (f *Server) Conns() []*clientconn.Conn {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	conns := make([]*clientconn.Conn, 0, len(f.conns))
-	for c := range f.conns {
+func (srv *Server) Conns() []*clientconn.Conn {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	conns := make([]*clientconn.Conn, 0, len(srv.conns))
+	for c := range srv.conns {
 		conns = append(conns, c.(*clientconn.Conn))
 	}
 	return conns
 }
 
 // Limits are how many connections are served, and how many requests may be in flight.
-func (f *Server) Limits() (conns, inFlight int) {
-	return int(f.maxConns.Load()), int(f.maxInFlight.Load())
+func (srv *Server) Limits() (conns, inFlight int) {
+	return int(srv.maxConns.Load()), int(srv.maxInFlight.Load())
 }
 
 // ServeHTTP answers health checks and serves requests.
-func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (srv *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	startedAt := time.Now()
 	if c, ok := r.Context().Value(connKey{}).(*clientconn.Conn); ok {
 		startedAt = c.RequestStarted()
@@ -172,41 +174,41 @@
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == "/_health" {
-		f.serveHealth(w)
+		srv.serveHealth(w)
 		return
 	}
-	snapshot := f.acquireSettings()
-	defer f.releaseSettings(snapshot)
+	snapshot := srv.acquireSettings()
+	defer srv.releaseSettings(snapshot)
 	req, rejection := snapshot.parseRequest(w, r)
 	if rejection.Status != 0 {
-		f.writeResponse(w, rejection)
+		srv.writeResponse(w, rejection)
 		return
 	}
-	f.serveRequest(w, r, req, startedAt)
+	srv.serveRequest(w, r, req, startedAt)
 }
 
 // serveRequest reads a request's body, waits for its response and writes it.
-func (f *Server) serveRequest(w http.ResponseWriter, r *http.Request, req *Request, startedAt time.Time) {
+func (srv *Server) serveRequest(w http.ResponseWriter, r *http.Request, req *Request, startedAt time.Time) {
 	req.clientContext = r.Context()
 	req.clientConn, _ = r.Context().Value(connKey{}).(net.Conn)
-	body := f.newUpload(w, r, startedAt)
-	defer f.releaseUpload(body)
-	finish, rejection := f.receiveBody(w, r, req, body)
+	body := srv.newUpload(w, r, startedAt)
+	defer srv.releaseUpload(body)
+	finish, rejection := srv.receiveBody(w, r, req, body)
 	if rejection.Status != 0 {
-		f.writeResponse(w, rejection)
+		srv.writeResponse(w, rejection)
 		return
 	}
 	defer finish(0) // however else this returns
-	resp := f.awaitAudited(req)
+	resp := srv.awaitAudited(req)
 	if resp.Status == 0 {
-		f.audit.Count(audit.ClientConnNoResponse)
+		srv.audit.Count(audit.ClientConnNoResponse)
 		panic(http.ErrAbortHandler) // a return would answer 200
 	}
 	if resp.Stream != nil {
-		f.activeStreams.Add(1)
-		defer f.activeStreams.Add(-1)
+		srv.activeStreams.Add(1)
+		defer srv.activeStreams.Add(-1)
 	}
-	f.writeResponse(w, resp)
+	srv.writeResponse(w, resp)
 	if resp.Stream != nil {
 		forwardStream(w, r, resp.Stream)
 	}
@@ -215,13 +217,13 @@
 
 // awaitAudited returns a request's response. Until it is there, a close of the connection breaks a rule, unless the client
 // has gone. Later ones are net/http's, where a write fails since the client has gone, or are visible to the client.
-func (f *Server) awaitAudited(req *Request) Response {
+func (srv *Server) awaitAudited(req *Request) Response {
 	c, ok := req.clientConn.(*clientconn.Conn)
 	if !ok {
-		return f.awaitResponse(req)
+		return srv.awaitResponse(req)
 	}
 	c.MarkInFlight(req.ID)
-	resp := f.awaitResponse(req)
+	resp := srv.awaitResponse(req)
 	if resp.Status != 0 || req.IsClientGone() {
 		c.MarkAnswered()
 	}
@@ -229,16 +231,16 @@
 }
 
 // awaitResponse returns a request's response, without a status if its client has gone or the Handler has stopped.
-func (f *Server) awaitResponse(req *Request) (resp Response) {
+func (srv *Server) awaitResponse(req *Request) (resp Response) {
 	select {
 	case resp = <-req.responses:
 	case <-req.clientContext.Done():
 		select {
 		case resp = <-req.responses: // one that came before all of the body cut that off, which ends the context too
 		default: // the client has gone
-			f.handler.HandleClientGone(req)
+			srv.handler.HandleClientGone(req)
 		}
-	case <-f.handler.Stopped().Done():
+	case <-srv.handler.Stopped().Done():
 	}
 	return resp
 }
@@ -258,9 +260,9 @@
 
 // serveHealth answers a health check. Its connection is closed each time: kept ones, of however many checkers, would take
 // the slots that clients need.
-func (f *Server) serveHealth(w http.ResponseWriter) {
+func (srv *Server) serveHealth(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
-	if f.IsHealthy() {
+	if srv.IsHealthy() {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
@@ -268,19 +270,19 @@
 }
 
 // IsHealthy reports whether there is a list to serve by and more clients may come.
-func (f *Server) IsHealthy() bool {
+func (srv *Server) IsHealthy() bool {
 	select {
-	case <-f.listAvailable:
-		return !f.awaitingSync.Load() && !f.draining.Load()
+	case <-srv.listAvailable:
+		return !srv.awaitingSync.Load() && !srv.draining.Load()
 	default:
 		return false
 	}
 }
 
 // writeResponse writes a response, of a streamed one the head.
-func (f *Server) writeResponse(w http.ResponseWriter, resp Response) {
+func (srv *Server) writeResponse(w http.ResponseWriter, resp Response) {
 	h := w.Header()
-	if f.closing.Load() || f.isShort(f.OpenConns()) { // a closed connection makes room for another
+	if srv.closing.Load() || srv.isShort(srv.OpenConns()) { // a closed connection makes room for another
 		h.Set("Connection", "close")
 	}
 	if resp.ContentType != "" {
--- a/internal/proxy/downstream/settings.go
+++ b/internal/proxy/downstream/settings.go
@@ -28,23 +28,23 @@
 }
 
 // acquireSettings gives a request the settings in force; releaseSettings gives them back.
-func (f *Server) acquireSettings() *settingsSnapshot {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.settings.readers++
-	return f.settings
+func (srv *Server) acquireSettings() *settingsSnapshot {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.settings.readers++
+	return srv.settings
 }
 
-func (f *Server) releaseSettings(s *settingsSnapshot) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (srv *Server) releaseSettings(s *settingsSnapshot) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
 	s.readers--
 }
 
 // CurrentClasses are the classes in force.
-func (f *Server) CurrentClasses() []balancer.Class {
-	s := f.acquireSettings()
-	defer f.releaseSettings(s)
+func (srv *Server) CurrentClasses() []balancer.Class {
+	s := srv.acquireSettings()
+	defer srv.releaseSettings(s)
 	var classes []balancer.Class
 	for _, number := range s.classes {
 		classes = append(classes, s.balancer.Classes[number])
@@ -53,12 +53,12 @@
 }
 
 // ClassesInUse are the balancer's numbers of classes that requests may still have which were parsed by former settings.
-func (f *Server) ClassesInUse() map[int]bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.settingsInUse = slices.DeleteFunc(f.settingsInUse, func(s *settingsSnapshot) bool { return s != f.settings && s.readers == 0 })
+func (srv *Server) ClassesInUse() map[int]bool {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.settingsInUse = slices.DeleteFunc(srv.settingsInUse, func(s *settingsSnapshot) bool { return s != srv.settings && s.readers == 0 })
 	numbers := map[int]bool{}
-	for _, s := range f.settingsInUse {
+	for _, s := range srv.settingsInUse {
 		for _, number := range s.classes {
 			numbers[number] = true
 		}
@@ -68,10 +68,10 @@
 
 // SetSettings puts settings in force for the requests that come from now on. classNumbers are the balancer's numbers of the
 // site's classes.
-func (f *Server) SetSettings(site *settings.Site, inForce *balancer.Settings, classNumbers []int) {
+func (srv *Server) SetSettings(site *settings.Site, inForce *balancer.Settings, classNumbers []int) {
 	s := newSettingsSnapshot(site, inForce, classNumbers)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.settings = s
-	f.settingsInUse = append(f.settingsInUse, s)
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.settings = s
+	srv.settingsInUse = append(srv.settingsInUse, s)
 }
--- a/internal/proxy/downstream/upload.go
+++ b/internal/proxy/downstream/upload.go
@@ -59,30 +59,30 @@
 }
 
 // newUpload registers an upload of a request that started at a moment.
-func (f *Server) newUpload(w http.ResponseWriter, r *http.Request, startedAt time.Time) *upload {
+func (srv *Server) newUpload(w http.ResponseWriter, r *http.Request, startedAt time.Time) *upload {
 	u := &upload{source: r.Body, contentLength: r.ContentLength, setReadDeadline: http.NewResponseController(w).SetReadDeadline,
-		startedAt: startedAt, lastReceived: time.Now(), bodyMemory: f.bodyMemory, headMemory: f.headMemory}
+		startedAt: startedAt, lastReceived: time.Now(), bodyMemory: srv.bodyMemory, headMemory: srv.headMemory}
 	u.conn, _ = r.Context().Value(connKey{}).(net.Conn)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.uploads[u] = true
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.uploads[u] = true
 	return u
 }
 
 // releaseUpload gives back the memory that an upload had reserved.
-func (f *Server) releaseUpload(u *upload) {
+func (srv *Server) releaseUpload(u *upload) {
 	u.bodyMemory.Release(u.bodyReserved)
 	u.headMemory.Release(u.headReserved)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.uploads, u)
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	delete(srv.uploads, u)
 }
 
 // rejectUploads ends the uploads that are not complete: the process ends before they can be.
-func (f *Server) rejectUploads() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for u := range f.uploads {
+func (srv *Server) rejectUploads() {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	for u := range srv.uploads {
 		u.stop(errDraining)
 	}
 }
