--- a/internal/proxy/clientconn/linger.go
+++ b/internal/proxy/clientconn/linger.go
@@ -20,13 +20,13 @@
 // RejectionText is for a request that was cut short before it was complete. It was never forwarded and may come again.
 const RejectionText = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// lingeringConns are the connections that have been shut down and are not closed yet. Any goroutine may use it.
-type lingeringConns struct {
+// LingeringConns are the connections that have been shut down and are not closed yet. Any goroutine may use it.
+type LingeringConns struct {
 	mu    sync.Mutex
 	since map[*Conn]time.Time
 }
 
-func (l *lingeringConns) add(c *Conn) {
+func (l *LingeringConns) add(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.since == nil {
@@ -35,21 +35,21 @@
 	l.since[c] = time.Now()
 }
 
-func (l *lingeringConns) remove(c *Conn) {
+func (l *LingeringConns) remove(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.since, c)
 }
 
 // Count is how many there are.
-func (l *lingeringConns) Count() int {
+func (l *LingeringConns) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.since)
 }
 
 // CloseOldest closes the one that has lingered longest, if any has for MinLinger.
-func (l *lingeringConns) CloseOldest() bool {
+func (l *LingeringConns) CloseOldest() bool {
 	l.mu.Lock()
 	var oldest *Conn
 	for c, t := range l.since {
--- a/internal/proxy/clientconn/listener.go
+++ b/internal/proxy/clientconn/listener.go
@@ -19,7 +19,7 @@
 	makeRoom   func()
 	retrier    *listener.Retrier
 	audit      *audit.Recorder // nil in a test
-	Lingering  lingeringConns  // shut down and not closed yet
+	Lingering  LingeringConns  // shut down and not closed yet
 	headMemory *MemoryBudget
 	slotFreed  chan struct{} // holds a value after a slot was released
 	closed     chan struct{}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -6,8 +6,8 @@
 //   - the event loop (eventLoop.run): the balancer, the table of requests, the endpoint list, the operators' overrides.
 //   - one for each client connection (net/http): its clientconn.Conn, and the request that it reads and answers (downstream).
 //   - one for each attempt (upstream.Attempt.Run): its connection to a backend, until it posts the result to the loop.
-//   - one for each lingering client connection, each response without a length (readAhead) and each streamed upload
-//     (bodyEndWatcher); the owner of what they read ends them.
+//   - one for each lingering connection of a client (clientconn), each response without a length (upstream) and each
+//     streamed upload (downstream); the owner of what they read ends them.
 //   - Proxy.Run's own: discovery's client, the overrides' store, the cluster member, the wait for a predecessor's exit,
 //     the handover server. Run returns after all of these.
 //
