--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -37,13 +37,13 @@
 }
 
 // blockLoop has the loop block once it has handled what is in its queue by now, until goOn is called.
-func blockLoop(t *testing.T, p *running) (stands chan struct{}, goOn func()) {
+func blockLoop(t *testing.T, p *running) (blocked chan struct{}, goOn func()) {
 	t.Helper()
-	stands, again := make(chan struct{}), make(chan struct{})
-	p.loop.post(func() { close(stands); <-again })
+	blocked, again := make(chan struct{}), make(chan struct{})
+	p.loop.post(func() { close(blocked); <-again })
 	goOn = sync.OnceFunc(func() { close(again) })
 	t.Cleanup(goOn)
-	return stands, goOn
+	return blocked, goOn
 }
 
 // checkNothingLeft checks that a client that has gone left no request, attempt, connection in use or reserved memory.
@@ -79,14 +79,14 @@
 func leaves(t *testing.T, p *running, cause, depart func()) {
 	t.Helper()
 	p.loop.pool.SetReuseDelay(0) // what it went on may have just been used
-	stands, goOn := blockLoop(t, p)
-	proxytest.Receive(t, "stand of the loop", stands)
+	blocked, goOn := blockLoop(t, p)
+	proxytest.Receive(t, "block of the loop", blocked)
 	cause()
 	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
-	stands, end := blockLoop(t, p)
+	blocked, end := blockLoop(t, p)
 	depart()
 	goOn()
-	proxytest.Receive(t, "stand behind the event", stands)
+	proxytest.Receive(t, "block behind the event", blocked)
 	checkAttemptsEnd(t, p)
 	end()
 }
@@ -155,10 +155,10 @@
 	text := strings.Replace(proxytest.SiteJSON, `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
 	for _, d := range departures {
 		t.Run(d.name, func(t *testing.T) {
-			turn := make(chan struct{})
+			gate := make(chan struct{})
 			b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 				if n == 1 {
-					<-turn
+					<-gate
 				}
 				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
 			})
@@ -168,7 +168,7 @@
 			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 			cl.Send(t, rate("2")+d.behind)
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 2 })
-			leaves(t, p, func() { close(turn) }, func() { d.leave(cl) })
+			leaves(t, p, func() { close(gate) }, func() { d.leave(cl) })
 			third.Send(t, rate("3")) // its turn comes
 			for _, c := range []*proxytest.Client{first, third} {
 				if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
@@ -209,8 +209,8 @@
 				cl := connect(t, p)
 				cl.Send(t, text+d.behind)
 				proxytest.Receive(t, "dial", dialing)
-				stands, end := blockLoop(t, p)
-				proxytest.Receive(t, "stand of the loop", stands)
+				blocked, end := blockLoop(t, p)
+				proxytest.Receive(t, "block of the loop", blocked)
 				d.leave(cl)
 				proxytest.WaitUntil(t, func() bool { return anyPeerClosed(p) }) // its end may come later than this test goes on
 				close(up)
@@ -319,8 +319,8 @@
 	one, two := connect(t, p), connect(t, p)
 	one.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
-	stands, goOn := blockLoop(t, p)
-	proxytest.Receive(t, "stand of the loop", stands)
+	blocked, goOn := blockLoop(t, p)
+	proxytest.Receive(t, "block of the loop", blocked)
 	two.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 	two.Close()
@@ -340,8 +340,8 @@
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", "127.0.0.1:1", discovery.StatusDraining)))
 	for i := range 20 {
 		cl := connect(t, p)
-		stands, goOn := blockLoop(t, p)
-		proxytest.Receive(t, "stand of the loop", stands)
+		blocked, goOn := blockLoop(t, p)
+		proxytest.Receive(t, "block of the loop", blocked)
 		cl.Send(t, proxytest.PostRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", downstream.MaxBufferedBody)) // and a read waits for more
 		proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 		goOn()
--- a/internal/proxy/downstream/drain_test.go
+++ b/internal/proxy/downstream/drain_test.go
@@ -91,12 +91,12 @@
 	for _, deadline := range []time.Duration{time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 		250 * time.Millisecond, time.Second, 2999 * time.Millisecond, 3 * time.Second, 8 * time.Second, time.Minute} {
 		for _, part := range []float64{0, 0.01, 0.3, 0.7, 1} {
-			aim := time.Duration(part * float64(deadline))
-			stay, left := DrainTimes([]balancer.Class{{Deadline: deadline.Microseconds(), LatencyObjective: aim.Microseconds()},
+			objective := time.Duration(part * float64(deadline))
+			stay, left := DrainTimes([]balancer.Class{{Deadline: deadline.Microseconds(), LatencyObjective: objective.Microseconds()},
 				{Deadline: 1, LatencyObjective: 1}})
 			kill := min(deadline, 3*time.Second) + 700*time.Millisecond
 			if stay < 400*time.Millisecond || stay > left-cutoffMargin || left+responseFlushMargin+2*drainPollInterval > kill {
-				t.Errorf("deadline %v, aim %v: doors close after %v, cutoff after %v, SIGKILL after %v", deadline, aim, stay, left, kill)
+				t.Errorf("deadline %v, objective %v: listener closes after %v, cutoff after %v, SIGKILL after %v", deadline, objective, stay, left, kill)
 			}
 		}
 	}
@@ -104,15 +104,15 @@
 
 // The listener closed at once: with the next proxy not yet up, clients that kept a connection had nowhere to go.
 func TestClientsAreServedWhileDraining(t *testing.T) {
-	for _, c := range []struct{ deadline, aim, stay, left time.Duration }{
+	for _, c := range []struct{ deadline, objective, stay, left time.Duration }{
 		{5 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 3500 * time.Millisecond},
 		{8 * time.Second, 4 * time.Second, drainAcceptPeriod, 3500 * time.Millisecond},
 		{time.Second, 400 * time.Millisecond, 1100 * time.Millisecond, 1500 * time.Millisecond},
 	} {
-		stay, left := DrainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.aim.Microseconds()},
+		stay, left := DrainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.objective.Microseconds()},
 			{Deadline: 1, LatencyObjective: 1}})
 		if stay != c.stay || left != c.left {
-			t.Errorf("deadline %v, aim %v: %v and %v, want %v and %v", c.deadline, c.aim, stay, left, c.stay, c.left)
+			t.Errorf("deadline %v, objective %v: %v and %v, want %v and %v", c.deadline, c.objective, stay, left, c.stay, c.left)
 		}
 	}
 }
--- a/internal/proxy/downstream/evict_test.go
+++ b/internal/proxy/downstream/evict_test.go
@@ -11,8 +11,8 @@
 // another: it seemed to have sent nothing.
 func TestNewConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	f, h, _ := startHooked(t, 4, "ok")
-	turn := make(chan struct{})
-	once(&h.reading, func() { <-turn })
+	gate := make(chan struct{})
+	once(&h.reading, func() { <-gate })
 	c := connect(t, f)
 	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 1 })
 	c.Send(t, proxytest.LookRequest("1", 4000))
@@ -25,7 +25,7 @@
 	f.mu.Unlock()
 	f.MakeRoom()
 	f.closeIdle(0, 0, true)
-	close(turn)
+	close(gate)
 	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q", resp.Status, body)
 	}
--- a/internal/proxy/downstream/upload_test.go
+++ b/internal/proxy/downstream/upload_test.go
@@ -31,10 +31,10 @@
 // A client may be as slow as 64 kB a second, after a head that took 2 s; who stalls or drips is cut off in time.
 func TestMinimumUploadRate(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		r     slowReader
-		whole bool
-		most  time.Duration // until the end
+		name     string
+		r        slowReader
+		complete bool
+		most     time.Duration // until the end
 	}{
 		{"slow and steady", slowReader{piece: 640, pause: 10 * time.Millisecond, left: 200_000}, true, time.Minute},
 		{"slow in large pieces", slowReader{piece: 16_000, pause: 250 * time.Millisecond, left: 200_000}, true, time.Minute},
@@ -45,14 +45,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
-				if c.whole {
+				if c.complete {
 					time.Sleep(2 * time.Second) // the head
 				}
 				u := &upload{source: &c.r, contentLength: 200_000, startedAt: began, lastReceived: time.Now(), bodyMemory: clientconn.NewMemoryBudget(1 << 20), headMemory: clientconn.NewMemoryBudget(MaxBufferedBody),
 					setReadDeadline: func(at time.Time) error { c.r.deadline = at; return nil }}
-				_, whole, err := u.buffer()
-				if whole != c.whole || (err == nil) != c.whole {
-					t.Errorf("whole %v, %v", whole, err)
+				_, complete, err := u.buffer()
+				if complete != c.complete || (err == nil) != c.complete {
+					t.Errorf("complete %v, %v", complete, err)
 				}
 				if took := time.Since(began); took > c.most {
 					t.Errorf("it took %v", took)
@@ -70,9 +70,9 @@
 	for range 10 {
 		u := &upload{source: bytes.NewReader(make([]byte, 2*MaxBufferedBody)), contentLength: 2 * MaxBufferedBody, bodyMemory: h, headMemory: clientconn.NewMemoryBudget(MaxBufferedBody),
 			setReadDeadline: func(time.Time) error { return nil }}
-		body, whole, err := u.buffer()
-		if err != nil || whole || len(body) < guaranteedBodyBuffer {
-			t.Fatalf("%d bytes, whole %v, %v", len(body), whole, err)
+		body, complete, err := u.buffer()
+		if err != nil || complete || len(body) < guaranteedBodyBuffer {
+			t.Fatalf("%d bytes, complete %v, %v", len(body), complete, err)
 		}
 		held += cap(body)
 		all = append(all, u)
--- a/internal/proxy/errorresponse_test.go
+++ b/internal/proxy/errorresponse_test.go
@@ -36,9 +36,9 @@
 // one goes on.
 func TestEndlessResponseEndsWithClientDeadline(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		size  int
-		whole bool
+		name     string
+		size     int
+		complete bool
 	}{{"small", 100, false}, {"large", upstream.MaxBufferedResponse + 1, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			goOn := make(chan struct{})
@@ -54,12 +54,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.whole {
+			if c.complete {
 				time.AfterFunc(time.Until(began.Add(2*time.Second)), func() { close(goOn) }) // its time is long over
 			} else {
 				defer close(goOn)
 			}
-			if n, err := io.Copy(io.Discard, resp.Body); (err == nil) != c.whole || n != int64(c.size) {
+			if n, err := io.Copy(io.Discard, resp.Body); (err == nil) != c.complete || n != int64(c.size) {
 				t.Errorf("%d bytes came, %v", n, err)
 			}
 			if took := time.Since(began); took > upstream.StallTimeout/2 {
--- a/internal/proxy/upstream/generation_test.go
+++ b/internal/proxy/upstream/generation_test.go
@@ -18,7 +18,7 @@
 func TestDialEndsWithBackendGeneration(t *testing.T) {
 	restarted := proxytest.Endpoint("a", "127.0.0.1:1", discovery.StatusServing)
 	restarted.StartedAtMs = 7
-	for name, turn := range map[string]func(p *Pool){
+	for name, change := range map[string]func(p *Pool){
 		"drained": func(p *Pool) {
 			p.UpdateEndpoints(false, []discovery.Endpoint{proxytest.Endpoint("a", "127.0.0.1:1", discovery.StatusDraining)})
 		},
@@ -38,13 +38,13 @@
 			results := make(chan Result, 1)
 			go func() { results <- a.Run() }()
 			proxytest.Receive(t, "dial", dials)
-			turn(p)
+			change(p)
 			if res := proxytest.Receive(t, "result", results); res.Status != balancer.StatusNotSent || a.ctx.Err() != nil {
 				t.Errorf("got %v", res.Status)
 			}
 			began := time.Now()
 			if res := late.Run(); res.Status != balancer.StatusNotSent || len(dials) != 0 {
-				t.Errorf("after the turn: got %v after %v, with %d dials", res.Status, time.Since(began), len(dials))
+				t.Errorf("after the change: got %v after %v, with %d dials", res.Status, time.Since(began), len(dials))
 			}
 			if p.openConns != 0 || len(a.backend.pendingDials) != 0 {
 				t.Errorf("%d connections and %d dials still counted", p.openConns, len(a.backend.pendingDials))
