--- a/internal/faultlab/result/configs.go
+++ b/internal/faultlab/result/configs.go
@@ -8,22 +8,22 @@
 	"merlinpick/internal/faultlab/hollow"
 )
 
-// Put is a configuration that was put at the list service's members.
-type Put struct {
-	Service string
-	Faulty  bool
-	Status  int   // of the last answer; 0: there was none
-	Version int64 // of one that was taken
-	Asked   int64 // when it was put first: nanoseconds of the machine's clock
-	Sure    int64 // when it was answered last
+// ConfigWrite is a configuration that was written to the list service.
+type ConfigWrite struct {
+	Service     string
+	Faulty      bool
+	Status      int   // of the last answer; 0: none
+	Version     int64 // if it was accepted
+	RequestedAt int64 // when it was first sent, in ns of the machine's clock
+	ConfirmedAt int64 // when it was last answered
 }
 
-// inForceWithin is what operators want: a change in force everywhere.
-const inForceWithin = 9 * time.Second
+// inForceDeadline is the operators' limit for a change to be in force everywhere.
+const inForceDeadline = 9 * time.Second
 
-// configs are the metrics of the configurations that were put in a phase.
-func (c *Control) configs(phase string, from, to int64, put func(string, float64)) {
-	follow := map[string][][]Told{}
+// configMetrics adds the metrics of the configurations that were written in a phase.
+func (c *Control) configMetrics(phase string, from, to int64, add func(string, float64)) {
+	follow := map[string][][]ReceivedVersion{}
 	for _, x := range c.Hollow {
 		for _, p := range x.Proxies {
 			if p.Config != nil {
@@ -36,27 +36,27 @@
 	}
 	var changes, refused, failed, never int
 	var late, sure []float64
-	for _, x := range c.Puts {
+	for _, x := range c.ConfigWrites {
 		switch {
-		case x.Asked < from || x.Asked >= to:
+		case x.RequestedAt < from || x.RequestedAt >= to:
 		case x.Faulty && x.Status == http.StatusBadRequest:
 			refused++
 		case x.Faulty || x.Status != http.StatusOK:
 			failed++
 		default:
 			changes++
-			one := []hollow.Change{{Version: x.Version, RequestedAt: x.Asked, ConfirmedAt: x.Sure}}
-			late = append(late, known(one, follow[x.Service])...)
-			sure = append(sure, float64(x.Sure-x.Asked)/1e6)
-			never += unmet(one, follow[x.Service], to-inForceWithin.Nanoseconds()+1)
+			one := []hollow.Change{{Version: x.Version, RequestedAt: x.RequestedAt, ConfirmedAt: x.ConfirmedAt}}
+			late = append(late, notificationDelays(one, follow[x.Service])...)
+			sure = append(sure, float64(x.ConfirmedAt-x.RequestedAt)/1e6)
+			never += countMissing(one, follow[x.Service], to-inForceDeadline.Nanoseconds()+1)
 		}
 	}
 	slices.Sort(late)
 	slices.Sort(sure)
-	put(phase+".config_changes", float64(changes))
-	put(phase+".config_refused", float64(refused))
-	put(phase+".config_failed", float64(failed))
-	put(phase+".config_never", float64(never))
-	spread(phase+".config_in_force", late, put)
-	spread(phase+".config_confirmed", sure, put)
+	add(phase+".config_changes", float64(changes))
+	add(phase+".config_refused", float64(refused))
+	add(phase+".config_failed", float64(failed))
+	add(phase+".config_never", float64(never))
+	addQuantiles(phase+".config_in_force", late, add)
+	addQuantiles(phase+".config_confirmed", sure, add)
 }
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -1,9 +1,9 @@
-// Package run plays an experiment: it builds the fleet, starts the proxies as real processes, plays the load, carries
-// the faults out, and hands what the referee recorded on to be reckoned up.
+// Package run plays an experiment: it builds the testbed, starts the proxies as real processes, sends the load, injects the faults
+// and hands the referee's record to package result. It never computes a metric or checks a rule itself.
 //
-// Arrows go one way: run uses load, server, catalog, link, process and referee; none of them knows of run, and of each
-// other they know no more than links and the referee. One goroutine owns each thing: the load its arrivals, the
-// timeline each fault, the catalog its list, a link's connection its two directions, the starter all processes.
+// It imports load, stubserver, catalog, link, process and referee; none of them imports run, and among each other they use only
+// link and referee. Each piece of state has one owner: load the arrivals, the timeline the faults, the catalog its list, a link's
+// connection its two directions, the starter all processes.
 package run
 
 import (
@@ -14,8 +14,10 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"strconv"
 	"strings"
+	"sync"
 	"time"
 
 	"merlinpick/internal/faultlab/experiment"
@@ -26,173 +28,210 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// Options are what a run needs beside its experiment.
+// Options are the settings of a run beside its experiment.
 type Options struct {
-	Command  []string // a proxy
-	Hollow   []string // a process of hollow proxies or servers, but for its file; needed if the experiment has any
-	Registry []string // a member of the list service; needed if the experiment has any
-	Out      string   // directory for the proxies' logs
-	Log      *slog.Logger
-	// Progress is told now and then how far the load is; may be nil.
+	ProxyCommand    []string // of a proxy
+	HollowCommand   []string // of a hollow process, without its file; required if the experiment has any
+	RegistryCommand []string // of a member of the list service; required if the experiment has any
+	OutputDir       string   // directory of the processes' logs
+	Logger          *slog.Logger
+	// Progress is called every second with the time since the load started, its duration, and the arrivals; may be nil.
 	Progress func(at, of time.Duration, p Progress)
 }
 
-// Progress is how a play goes.
+// Progress is the state of a play.
 type Progress struct {
-	Arrived int
-	Late    time.Duration // of the newest arrival
+	Arrived  int
+	Lateness time.Duration // of the newest arrival
 }
 
 const (
-	canaryEvery   = 10 * time.Millisecond
-	progressEvery = time.Second
-	readyPoll     = 50 * time.Millisecond
-	workPrefix    = "fleetlab-"
+	stallCheckInterval = 10 * time.Millisecond
+	progressInterval   = time.Second
+	readyPollInterval  = 50 * time.Millisecond
+	workDirPrefix      = "fleetlab-"
 )
 
-// ErrEnvironment is a run that this machine could not make.
+// ErrEnvironment is a run that failed for the machine's sake: too small, no free addresses, or a process that did not start.
 var ErrEnvironment = errors.New("environment")
 
-// Play plays an experiment once. When the context ends it stops, and the play is partial.
-func Play(ctx context.Context, e *experiment.Experiment, seed uint64, o Options) (result.Play, error) {
-	if err := bears(e, thisMachine()); err != nil {
+// Play plays an experiment once. When the context ends it stops, and the play is partial. Errors of the machine wrap
+// ErrEnvironment; a hollow process that crashed is a *hollow.FailedError.
+func Play(ctx context.Context, exp *experiment.Experiment, seed uint64, options Options) (result.Play, error) {
+	if err := checkCapacity(exp, thisMachine()); err != nil {
 		return result.Play{}, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
-	p := plan.Draw(e, seed)
-	sum, err := p.Sum()
+	drawn := plan.Draw(exp, seed)
+	digest, err := drawn.Sum()
 	if err != nil {
 		return result.Play{}, err
 	}
-	out := result.Play{Seed: seed, Plan: sum}
-	f := &fleet{exp: e, plan: p, command: o.Command, registry: o.Registry, self: o.Hollow, log: o.Log, logs: filepath.Join(o.Out, "logs")}
-	if err := os.MkdirAll(f.logs, 0o755); err != nil {
-		return out, fmt.Errorf("logs: %w", err)
-	}
-	if f.block, err = claimBlock(); err != nil {
-		return out, fmt.Errorf("%w: %w", ErrEnvironment, err)
-	}
-	defer f.block.release()
-	removeLeftovers()
-	// Short: a Unix socket's path in it has to fit into 108 bytes.
-	if f.work, err = os.MkdirTemp("", fmt.Sprintf("%s%d-", workPrefix, os.Getpid())); err != nil {
-		return out, fmt.Errorf("%w: %w", ErrEnvironment, err)
-	}
-	defer os.RemoveAll(f.work)
-	f.starter = process.NewStarter()
-	defer f.starter.Close()
-	defer f.end()
-	if err := f.build(); err != nil {
-		return out, fmt.Errorf("%w: %w", ErrEnvironment, err)
+	out := result.Play{Seed: seed, Plan: digest}
+	bed := &testbed{experiment: exp, plan: drawn, proxyCommand: options.ProxyCommand, registryCommand: options.RegistryCommand,
+		hollowCommand: options.HollowCommand, log: options.Logger, logDir: filepath.Join(options.OutputDir, "logs")}
+	release, err := bed.prepare()
+	defer release()
+	if err != nil {
+		return out, err
 	}
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	served := make(chan struct{}, 3)
-	if err := f.startService(ctx); err != nil {
+	if err := bed.startService(ctx); err != nil {
 		return out, err
 	}
-	go func() { f.runList(inner); served <- struct{}{} }()
-	go func() { f.front.Run(inner); served <- struct{}{} }()
-	go func() { f.watchDials(inner); served <- struct{}{} }()
+	stopped := bed.serve(inner)
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
-	if err := f.startHollow(ctx, fail); err != nil {
+	if err := bed.startHollow(ctx, fail); err != nil {
 		return out, err
 	}
-	if err := f.startProxies(ctx); err != nil {
+	if err := bed.startProxies(ctx); err != nil {
 		return out, err
 	}
-	stall := make(chan time.Duration, 1)
-	canary, rest := context.WithCancel(inner)
-	go func() { stall <- watchStalls(canary) }()
-	start := time.Now()
-	if o.Progress != nil {
-		go f.progress(canary, start, o.Progress)
-	}
-	phases := f.measure(canary, start)
-	events := f.play(ctx, start)
-	rest()
-	in := result.Input{Exp: e, Plan: p, Start: start, Record: f.ref.Close(), Events: events, Late: f.client.Late(),
-		Stall: <-stall}
-	in.Control = f.controlReport(phases())
-	in.List, err = f.listReport(&in.Record)
-	f.note(err)
-	in.Gossip, err = f.gossipReport()
-	f.note(err)
+	input := bed.observe(ctx, inner, options)
 	var failed *hollow.FailedError
 	if errors.As(context.Cause(ctx), &failed) {
 		return out, failed
 	}
-	for _, m := range f.order {
-		for _, proc := range m.processes() {
-			u := proc.Usage()
-			in.Memory, in.CPU = max(in.Memory, u.Memory), in.CPU+u.CPU
-		}
-	}
+	input.Memory, input.CPU = bed.proxyUsage()
 	out.Partial = ctx.Err() != nil
-	out.Fill(in)
+	out.Fill(input)
 	out.LabMB = float64(process.PeakMemory(os.Getpid())) / (1 << 20)
-	out.Void = voids(e, out.Late, in.Control.Stall(), f.failed())
+	out.Void = voidReason(exp, out.Lateness, input.Control.LongestStall(), bed.labError())
 	stop()
-	for range cap(served) {
-		<-served
-	}
+	stopped()
 	return out, nil
 }
 
-// removeLeftovers removes the directories of runs that were killed: their processes have ended with them.
+// prepare claims addresses and directories and builds the testbed. The returned function, which is never nil, releases all of it
+// and ends all processes.
+func (bed *testbed) prepare() (release func(), err error) {
+	var releases []func()
+	release = func() {
+		for _, undo := range slices.Backward(releases) {
+			undo()
+		}
+	}
+	if err := os.MkdirAll(bed.logDir, 0o755); err != nil {
+		return release, fmt.Errorf("logs: %w", err)
+	}
+	if bed.block, err = claimBlock(); err != nil {
+		return release, fmt.Errorf("%w: %w", ErrEnvironment, err)
+	}
+	releases = append(releases, bed.block.release)
+	removeLeftovers()
+	// A short path: a Unix socket's path in it must fit into 108 bytes.
+	if bed.workDir, err = os.MkdirTemp("", fmt.Sprintf("%s%d-", workDirPrefix, os.Getpid())); err != nil {
+		return release, fmt.Errorf("%w: %w", ErrEnvironment, err)
+	}
+	releases = append(releases, func() { os.RemoveAll(bed.workDir) })
+	bed.starter = process.NewStarter()
+	releases = append(releases, bed.starter.Close, bed.close)
+	if err := bed.build(); err != nil {
+		return release, fmt.Errorf("%w: %w", ErrEnvironment, err)
+	}
+	return release, nil
+}
+
+// serve runs the list, the front and the watch of dials until the context ends; the returned function waits for their ends.
+func (bed *testbed) serve(ctx context.Context) (wait func()) {
+	var running sync.WaitGroup
+	running.Go(func() { bed.runList(ctx) })
+	running.Go(func() { bed.front.Run(ctx) })
+	running.Go(func() { bed.watchDials(ctx) })
+	return running.Wait
+}
+
+// observe plays the load and the faults, and returns what was observed. The meter and the check for stalls end with the load; they
+// run until then even if ctx, which ends load and faults early, ends before.
+func (bed *testbed) observe(ctx, inner context.Context, options Options) result.Input {
+	stall := make(chan time.Duration, 1)
+	metering, stop := context.WithCancel(inner)
+	defer stop()
+	go func() { stall <- watchStalls(metering) }()
+	start := time.Now()
+	if options.Progress != nil {
+		go bed.reportProgress(metering, start, options.Progress)
+	}
+	phases := bed.startMeter(metering, start)
+	events := bed.playLoad(ctx, start)
+	stop()
+	input := result.Input{Experiment: bed.experiment, Plan: bed.plan, Start: start, Record: bed.ref.Close(), Events: events,
+		Lateness: bed.client.Late(), Stall: <-stall}
+	input.Control = bed.controlReport(phases())
+	var err error
+	input.List, err = bed.listReport(&input.Record)
+	bed.recordError(err)
+	input.Gossip, err = bed.gossipReport()
+	bed.recordError(err)
+	return input
+}
+
+// proxyUsage is the peak memory of any proxy process, in bytes, and the CPU time of all.
+func (bed *testbed) proxyUsage() (memory int64, cpu time.Duration) {
+	for _, proxy := range bed.proxyOrder {
+		for _, proc := range proxy.processes() {
+			usage := proc.Usage()
+			memory, cpu = max(memory, usage.Memory), cpu+usage.CPU
+		}
+	}
+	return memory, cpu
+}
+
+// removeLeftovers removes the directories of runs that were killed.
 func removeLeftovers() {
-	dirs, _ := filepath.Glob(filepath.Join(os.TempDir(), workPrefix+"*"))
+	dirs, _ := filepath.Glob(filepath.Join(os.TempDir(), workDirPrefix+"*"))
 	for _, dir := range dirs {
-		id, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(dir), workPrefix), "-")
+		id, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(dir), workDirPrefix), "-")
 		if pid, err := strconv.Atoi(id); err == nil && !process.Alive(pid) {
 			os.RemoveAll(dir)
 		}
 	}
 }
 
-// voids tells why a play counts for nothing: the lab was late, or could not do what the file asks.
-func voids(e *experiment.Experiment, late result.Lateness, hollowStall float64, failed error) string {
+// voidReason is why a play does not count: the lab was late, paused or failed; empty if it counts.
+func voidReason(exp *experiment.Experiment, late result.Lateness, hollowStall float64, failed error) string {
 	switch {
 	case failed != nil:
 		return fmt.Sprintf("the lab failed: %v", failed)
-	case late.P99 > e.Lab.LateMs:
-		return fmt.Sprintf("the lab was late: 99 %% of arrivals within %.1f ms, wanted %.1f", late.P99, e.Lab.LateMs)
-	case hollowStall > e.Lab.StallMs:
-		return fmt.Sprintf("a hollow process stood still for %.0f ms, wanted at most %.0f", hollowStall, e.Lab.StallMs)
-	case late.Stall > e.Lab.StallMs:
-		return fmt.Sprintf("the lab stood still for %.0f ms, wanted at most %.0f", late.Stall, e.Lab.StallMs)
+	case late.P99 > exp.Lab.LateMs:
+		return fmt.Sprintf("the lab was late: 99 %% of arrivals within %.1f ms, wanted %.1f", late.P99, exp.Lab.LateMs)
+	case hollowStall > exp.Lab.StallMs:
+		return fmt.Sprintf("a hollow process stood still for %.0f ms, wanted at most %.0f", hollowStall, exp.Lab.StallMs)
+	case late.Stall > exp.Lab.StallMs:
+		return fmt.Sprintf("the lab stood still for %.0f ms, wanted at most %.0f", late.Stall, exp.Lab.StallMs)
 	}
 	return ""
 }
 
-// startProxies starts all proxies, a jittered moment apart, and waits until the front admits each.
-func (f *fleet) startProxies(ctx context.Context) error {
-	r := f.plan.Source("starts")
-	for _, m := range f.order {
-		if !sleep.For(ctx, time.Duration(r.Float64()*float64(experiment.Seconds(f.exp.Lab.StartGap)))) {
+// startProxies starts all proxies with random gaps and waits until the front finds each healthy.
+func (bed *testbed) startProxies(ctx context.Context) error {
+	r := bed.plan.Source("starts")
+	for _, proxy := range bed.proxyOrder {
+		if !sleep.For(ctx, time.Duration(r.Float64()*float64(experiment.Seconds(bed.experiment.Lab.StartGap)))) {
 			return ctx.Err()
 		}
-		m.mu.Lock()
-		err := f.start(m, false)
-		m.mu.Unlock()
+		proxy.mu.Lock()
+		err := bed.start(proxy, false)
+		proxy.mu.Unlock()
 		if err != nil {
 			return fmt.Errorf("%w: %w", ErrEnvironment, err)
 		}
 	}
-	patience := time.NewTimer(experiment.Seconds(f.exp.Lab.ReadyWait))
-	defer patience.Stop()
-	for len(f.front.Missing()) > 0 {
-		for _, m := range f.order {
-			if over(m.proc) {
-				return fmt.Errorf("%w: proxy %s ended before it served: %v; its log is %s", ErrEnvironment, m.node.Name,
-					m.proc.Err(), filepath.Join(f.logs, m.node.Name+".log"))
+	timeout := time.NewTimer(experiment.Seconds(bed.experiment.Lab.ReadyWait))
+	defer timeout.Stop()
+	for len(bed.front.Missing()) > 0 {
+		for _, proxy := range bed.proxyOrder {
+			if ended(proxy.process) {
+				return fmt.Errorf("%w: proxy %s ended before it served: %v; its log is %s", ErrEnvironment, proxy.node.Name,
+					proxy.process.Err(), filepath.Join(bed.logDir, proxy.node.Name+".log"))
 			}
 		}
 		select {
-		case <-time.After(readyPoll):
-		case <-patience.C:
-			return fmt.Errorf("%w: not healthy after %v s (lab.ready_wait): %s", ErrEnvironment, f.exp.Lab.ReadyWait,
-				strings.Join(f.front.Missing(), ", "))
+		case <-time.After(readyPollInterval):
+		case <-timeout.C:
+			return fmt.Errorf("%w: not healthy after %v s (lab.ready_wait): %s", ErrEnvironment, bed.experiment.Lab.ReadyWait,
+				strings.Join(bed.front.Missing(), ", "))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -200,41 +239,41 @@
 	return nil
 }
 
-// play plays load and faults to their ends.
-func (f *fleet) play(ctx context.Context, start time.Time) []result.Event {
+// playLoad runs the load and the faults to their ends.
+func (bed *testbed) playLoad(ctx context.Context, start time.Time) []result.Event {
 	faults, stop := context.WithCancel(ctx)
 	defer stop()
 	events := make(chan []result.Event, 1)
-	go func() { events <- (&timeline{fleet: f, start: start}).run(faults) }()
-	f.client.Run(ctx, start)
-	stop() // what holds beyond the last answer is of no use
+	go func() { events <- (&timeline{testbed: bed, start: start}).run(faults) }()
+	bed.client.Run(ctx, start)
+	stop() // faults end with the last response
 	return <-events
 }
 
-// watchStalls tells the longest time by which a wake-up came late.
+// watchStalls returns the longest delay of a wake-up.
 func watchStalls(ctx context.Context) (most time.Duration) {
 	for {
 		at := time.Now()
-		if !sleep.For(ctx, canaryEvery) {
+		if !sleep.For(ctx, stallCheckInterval) {
 			return most
 		}
-		most = max(most, time.Since(at)-canaryEvery)
+		most = max(most, time.Since(at)-stallCheckInterval)
 	}
 }
 
-func (f *fleet) progress(ctx context.Context, start time.Time, tell func(at, of time.Duration, p Progress)) {
-	of := experiment.Seconds(f.exp.Seconds)
-	for sleep.For(ctx, progressEvery) {
-		late := f.client.Late()
+func (bed *testbed) reportProgress(ctx context.Context, start time.Time, tell func(at, of time.Duration, p Progress)) {
+	of := experiment.Seconds(bed.experiment.Seconds)
+	for sleep.For(ctx, progressInterval) {
+		late := bed.client.Late()
 		p := Progress{Arrived: len(late)}
 		if len(late) > 0 {
-			p.Late = late[len(late)-1]
+			p.Lateness = late[len(late)-1]
 		}
 		tell(min(time.Since(start), of), of, p)
 	}
 }
 
-// MachineLoad is the machine's load now.
+// MachineLoad is the machine's load average over 1, 5 and 15 minutes.
 func MachineLoad() (load [3]float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -244,5 +283,5 @@
 	return load
 }
 
-// Cores is how many the lab and the proxies share.
+// Cores is the number of cores that the lab and the proxies share.
 func Cores() int { return runtime.NumCPU() }
--- a/internal/faultlab/run/strike_proxies.go
+++ b/internal/faultlab/run/strike_proxies.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"sync"
 	"syscall"
 	"time"
@@ -12,68 +11,61 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-func (t *timeline) proxies(ctx context.Context, s plan.Strike) error {
-	f := s.Fault
-	switch f.Kind {
-	case "kill":
-		return t.killWave(ctx, s)
+// injectProxyFault injects a fault into proxies, each at its time.
+func (t *timeline) injectProxyFault(ctx context.Context, strike plan.Strike) error {
+	if strike.Fault.Kind == "kill" {
+		return t.killWave(ctx, strike)
+	}
+	return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
+		return t.injectIntoProxy(ctx, strike, turn, t.proxies[turn.Target])
+	})
+}
+
+func (t *timeline) injectIntoProxy(ctx context.Context, strike plan.Strike, turn plan.Turn, proxy *proxyUnderTest) error {
+	fault := strike.Fault
+	switch fault.Kind {
 	case "restart":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			signals := drawSignals(f.Versions, t.plan.Source("signals "+turn.Target))
-			return t.restart(ctx, t.members[turn.Target], signals, s.For, f.Keep)
-		})
+		signals := drawSignals(fault.Versions, t.plan.Source("signals "+turn.Target))
+		return t.restart(ctx, proxy, signals, strike.For, fault.Keep)
 	case "upgrade":
-		return t.each(ctx, s, func(turn plan.Turn) error { return t.upgrade(ctx, t.members[turn.Target]) })
+		return t.upgrade(ctx, proxy)
 	case "power_loss":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			m := t.members[turn.Target]
-			if err := t.powerLoss(m); err != nil || !t.until(ctx, turn.At+s.For) {
-				return err
-			}
-			return t.again(ctx, m, true)
-		})
+		if err := t.powerLoss(proxy); err != nil || !t.waitUntil(ctx, turn.At+strike.For) {
+			return err
+		}
+		return t.startAgain(ctx, proxy, true)
 	case "stop":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			m := t.members[turn.Target]
-			excused := t.ref.Excuse(turn.Target, time.Now())
-			away := t.ref.ListUnavailable(turn.Target, time.Now())
-			defer func() { excused(time.Now()); away(time.Now()) }()
-			if err := t.stopped(m, 1); err != nil {
-				return err
-			}
-			t.hold(ctx, s, turn.At)
-			return t.stopped(m, -1)
-		})
+		excuseEnds := t.ref.BeginExcusedSpan(turn.Target, time.Now())
+		outageEnds := t.ref.BeginListOutage(turn.Target, time.Now())
+		defer func() { excuseEnds(time.Now()); outageEnds(time.Now()) }()
+		return t.holdCounted(ctx, strike, turn, proxy, t.addStop)
 	case "reload":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			return t.reload(ctx, t.members[turn.Target], s.Fault.Versions, t.plan.Source("reload "+turn.Target))
-		})
+		return t.reload(ctx, proxy, fault.Versions, t.plan.Source("reload "+turn.Target))
 	case "hold_up":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			return t.holdUp(ctx, s, t.members[turn.Target], turn.At, t.plan.Source("hold up "+turn.Target))
-		})
+		return t.pauseRepeatedly(ctx, strike, proxy, turn.At, t.plan.Source("hold up "+turn.Target))
 	case "crowd":
-		return t.each(ctx, s, func(turn plan.Turn) error { return t.crowd(ctx, s, t.members[turn.Target], turn.At) })
+		return t.floodConnections(ctx, strike, proxy, turn.At)
 	case "rude":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			return t.visits(ctx, s, t.members[turn.Target], turn.At, t.plan.Source("rude "+turn.Target))
-		})
+		return t.runMisbehavingClients(ctx, strike, proxy, turn.At, t.plan.Source("rude "+turn.Target))
 	case "disk_full":
-		return t.each(ctx, s, func(turn plan.Turn) error {
-			m := t.members[turn.Target]
-			if err := t.diskFull(m, 1); err != nil {
-				return err
-			}
-			t.hold(ctx, s, turn.At)
-			return t.diskFull(m, -1)
-		})
+		return t.holdCounted(ctx, strike, turn, proxy, t.addDiskFull)
+	}
+	return unknownFault(strike, "proxies")
+}
+
+// holdCounted adds a fault to a proxy's number of active ones for the fault's duration.
+func (t *timeline) holdCounted(ctx context.Context, strike plan.Strike, turn plan.Turn, proxy *proxyUnderTest,
+	count func(proxy *proxyUnderTest, n int) error) error {
+	if err := count(proxy, 1); err != nil {
+		return err
 	}
-	return fmt.Errorf("fault %d: no proxies' fault %q", s.N, f.Kind)
+	t.holdFault(ctx, strike, turn.At)
+	return count(proxy, -1)
 }
 
-// stopped counts the faults that stop a proxy; with the last its processes go on.
-func (f *fleet) stopped(m *member, n int) error {
-	return m.held(&m.stops, n, func(p *process.Process, first bool) error {
+// addStop changes the number of faults that stop a proxy; with the last its processes continue.
+func (bed *testbed) addStop(proxy *proxyUnderTest, n int) error {
+	return proxy.countFault(&proxy.stopFaults, n, func(p *process.Process, first bool) error {
 		if first {
 			return p.Signal(syscall.SIGSTOP)
 		}
@@ -81,46 +73,46 @@
 	})
 }
 
-// diskFull counts the faults that fill a proxy's disk.
-func (f *fleet) diskFull(m *member, n int) error {
-	return m.held(&m.fulls, n, func(p *process.Process, first bool) error { return p.DiskFull(first) })
+// addDiskFull changes the number of faults that fill a proxy's disk.
+func (bed *testbed) addDiskFull(proxy *proxyUnderTest, n int) error {
+	return proxy.countFault(&proxy.diskFullFaults, n, func(p *process.Process, first bool) error { return p.DiskFull(first) })
 }
 
-// held adds n to a count of faults that hold on a proxy, and does to its processes what the first or the last asks.
-func (m *member) held(count *int, n int, do func(p *process.Process, first bool) error) error {
-	m.all.Lock()
-	defer m.all.Unlock()
+// countFault adds n to a number of active faults, and calls apply for each process when the first starts or the last ends.
+func (proxy *proxyUnderTest) countFault(count *int, n int, apply func(p *process.Process, first bool) error) error {
+	proxy.processesMu.Lock()
+	defer proxy.processesMu.Unlock()
 	before := *count
 	*count += n
 	if (before == 0) == (*count == 0) {
 		return nil
 	}
 	var errs []error
-	for _, p := range m.run {
-		if !over(p) {
-			errs = append(errs, do(p, before == 0))
+	for _, p := range proxy.allProcesses {
+		if !ended(p) {
+			errs = append(errs, apply(p, before == 0))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// killWave kills all targets of one moment in one instant, and starts each again after the fault's time.
-func (t *timeline) killWave(ctx context.Context, s plan.Strike) error {
-	waves := map[time.Duration][]*member{}
-	for _, turn := range s.Turns {
-		waves[turn.At] = append(waves[turn.At], t.members[turn.Target])
+// killWave kills the targets of each time at once, and starts them again after the fault's duration.
+func (t *timeline) killWave(ctx context.Context, strike plan.Strike) error {
+	waves := map[time.Duration][]*proxyUnderTest{}
+	for _, turn := range strike.Turns {
+		waves[turn.At] = append(waves[turn.At], t.proxies[turn.Target])
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var errs []error
-	for at, ms := range waves {
+	for at, proxies := range waves {
 		all.Go(func() {
-			if !t.until(ctx, at) {
+			if !t.waitUntil(ctx, at) {
 				return
 			}
-			err := t.kill(ms)
-			if s.For > 0 && t.until(ctx, at+s.For) {
-				t.startAll(ctx, ms, s.Fault.Keep)
+			err := t.kill(proxies)
+			if strike.For > 0 && t.waitUntil(ctx, at+strike.For) {
+				t.startAll(ctx, proxies, strike.Fault.Keep)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -131,11 +123,11 @@
 	return errors.Join(errs...)
 }
 
-// startAll starts killed proxies again, side by side.
-func (t *timeline) startAll(ctx context.Context, ms []*member, keep bool) {
+// startAll starts killed proxies again, concurrently.
+func (t *timeline) startAll(ctx context.Context, proxies []*proxyUnderTest, keep bool) {
 	var starts sync.WaitGroup
-	for _, m := range ms {
-		starts.Go(func() { t.note(t.again(ctx, m, keep)) })
+	for _, proxy := range proxies {
+		starts.Go(func() { t.recordError(t.startAgain(ctx, proxy, keep)) })
 	}
 	starts.Wait()
 }
