--- a/internal/faultlab/capacity/duty.go
+++ b/internal/faultlab/capacity/duty.go
@@ -12,38 +12,46 @@
 
 // Duty is one thing that a role does, and what carries it.
 type Duty struct {
-	Key       string   // the first word of its slopes' names
-	Role      string   // one of Roles
-	Duty      string   // in words
-	Mechanism string   // the package that carries it
-	State     string   // bytes of what; a template over the arithmetic
-	Ordinary  string   // messages a second, likewise
-	Worst     string   // and in the worst minute
-	Needs     []string // classes without which it is unproven
-	Decides   string   // the slope that says from which size it is over; empty: the first to pass its budget
-	Absent    string   // why no code carries it; empty: some does
-	Asks      string   // the number of the letter that asks for it
-	Instead   string   // what serves in place of one that is absent, or why it may wait
+	Key       string   `toml:"key"`       // the first word of its slopes' names
+	Role      string   `toml:"role"`      // one of Roles
+	Duty      string   `toml:"duty"`      // in words
+	Mechanism string   `toml:"mechanism"` // the package that carries it
+	State     string   `toml:"state"`     // bytes of what; a template over the arithmetic
+	Ordinary  string   `toml:"ordinary"`  // messages a second, likewise
+	Worst     string   `toml:"worst"`     // and in the worst minute
+	Needs     []string `toml:"needs"`     // classes without which it is unproven
+	Decides   string   `toml:"decides"`   // the slope that says from which size it is over; empty: the first to pass its budget
+	Absent    string   `toml:"absent"`    // why no code carries it; empty: some does
+	Asks      string   `toml:"asks"`      // the number of the letter that asks for it
+	Instead   string   `toml:"instead"`   // what serves in place of one that is absent, or why it may wait
 }
 
 // Sum adds metrics up to a budget: a proxy's control is all that it does for control.
 type Sum struct {
-	What  string
-	Role  string // whose budget it is
-	Class string
-	Parts []string // names of slopes; one that nobody has recorded leaves the sum unproven
+	What  string   `toml:"what"`
+	Role  string   `toml:"role"` // whose budget it is
+	Class string   `toml:"class"`
+	Parts []string `toml:"parts"` // names of slopes; one that nobody has recorded leaves the sum unproven
 }
 
 // Failure is what one failure costs: templates over the arithmetic.
 type Failure struct {
-	What, Known, Serves, Lost string
-	Played                    string // what a run gave, and at which size
+	What   string `toml:"what"`
+	Known  string `toml:"known"`
+	Serves string `toml:"serves"`
+	Lost   string `toml:"lost"`
+	Played string `toml:"played"` // what a run gave, and at which size
 }
 
 // Figure is a single figure of a run, where no slope is meant.
 type Figure struct {
-	Name, Unit, Commit, Machine, Command, Note string
-	Value                                      float64
+	Name    string  `toml:"name"`
+	Unit    string  `toml:"unit"`
+	Value   float64 `toml:"value"`
+	Commit  string  `toml:"commit"`
+	Machine string  `toml:"machine"`
+	Command string  `toml:"command"`
+	Note    string  `toml:"note"`
 }
 
 type duties struct {
--- a/internal/faultlab/capacity/numbers.go
+++ b/internal/faultlab/capacity/numbers.go
@@ -60,16 +60,22 @@
 
 // Assumption is a number that the letter leaves open.
 type Assumption struct {
-	Key, Unit         string
-	Low, Likely, High float64
-	Why               string
+	Key    string  `toml:"key"`
+	Unit   string  `toml:"unit"`
+	Low    float64 `toml:"low"`
+	Likely float64 `toml:"likely"`
+	High   float64 `toml:"high"`
+	Why    string  `toml:"why"`
 }
 
 // Budget is the limit of one class of metrics of a role. With Figures it holds for those alone that have one of these words.
 type Budget struct {
-	Role, Class, Unit, From string
-	Value                   float64
-	Figures                 []string
+	Role    string   `toml:"role"`
+	Class   string   `toml:"class"`
+	Unit    string   `toml:"unit"`
+	From    string   `toml:"from"`
+	Value   float64  `toml:"value"`
+	Figures []string `toml:"figures"`
 }
 
 // Numbers are what is set.
