--- a/cmd/merlinpick-registry/slope_callers_test.go
+++ b/cmd/merlinpick-registry/slope_callers_test.go
@@ -64,8 +64,8 @@
 			all.Wait()
 		}
 	}
-	slope(b, rates, runs, capacity.Slope{Name: "list.proxy.bytes", Role: "proxy following lists", Figure: "control bytes in and out",
-		Unit: "B/s", Of: "changes a minute", Note: "one proxy's client with 1,300 nodos listed; changes within 50 ms are told together; HTTP heads and bodies, without what TCP and IP add"})
+	slope(b, rates, runs, capacity.Slope{Name: "list.proxy.bytes", Role: "proxy following lists", Metric: "control bytes in and out",
+		Unit: "B/s", Dimension: "changes a minute", Note: "one proxy's client with 1,300 nodos listed; changes within 50 ms are told together; HTTP heads and bodies, without what TCP and IP add"})
 }
 
 // BenchmarkSlopeKeeping measures a server's control bytes, in and out, by renewals: leases of 4, 2 and 1 s.
@@ -113,8 +113,8 @@
 	for _, lease := range leases {
 		sizes = append(sizes, 3/lease)
 	}
-	slope(b, sizes, runs, capacity.Slope{Name: "lease.nodo.bytes", Role: "nodo keeping its lease", Figure: "control bytes in and out",
-		Unit: "B/s", Of: "renewals a second of a nodo", Note: "leases of 4, 2 and 1 s; HTTP heads and bodies, without what TCP and IP add"})
+	slope(b, sizes, runs, capacity.Slope{Name: "lease.nodo.bytes", Role: "nodo keeping its lease", Metric: "control bytes in and out",
+		Unit: "B/s", Dimension: "renewals a second of a nodo", Note: "leases of 4, 2 and 1 s; HTTP heads and bodies, without what TCP and IP add"})
 }
 
 // BenchmarkSlopeRenewing measures a server's processor time by renewals, alone in this process.
@@ -152,6 +152,6 @@
 		}
 		c.Close()
 	}
-	slope(b, rates, runs, capacity.Slope{Name: "lease.nodo.cpu", Role: "nodo keeping its lease", Figure: "cpu of renewals",
-		Unit: "% of a core", Of: "renewals a second of a nodo", Note: "with all that a Go process does besides"})
+	slope(b, rates, runs, capacity.Slope{Name: "lease.nodo.cpu", Role: "nodo keeping its lease", Metric: "cpu of renewals",
+		Unit: "% of a core", Dimension: "renewals a second of a nodo", Note: "with all that a Go process does besides"})
 }
--- a/cmd/merlinpick-registry/slope_test.go
+++ b/cmd/merlinpick-registry/slope_test.go
@@ -174,8 +174,8 @@
 			c.Close()
 		}
 	}
-	is := capacity.Slope{Unit: "% of a core", Of: "renewals a second", Note: "five members, 1,300 nodos, renewals at each member alike"}
-	is.Name, is.Role, is.Figure = "lease.leader.cpu", "list member as leader", "cpu of renewals"
+	is := capacity.Slope{Unit: "% of a core", Dimension: "renewals a second", Note: "five members, 1,300 nodos, renewals at each member alike"}
+	is.Name, is.Role, is.Metric = "lease.leader.cpu", "list member as leader", "cpu of renewals"
 	slope(b, rates, leader, is)
 	is.Name, is.Role = "lease.follower.cpu", "list member as follower"
 	slope(b, rates, follower, is)
@@ -257,8 +257,8 @@
 		end()
 		all.Wait()
 	}
-	is := capacity.Slope{Unit: "% of a core", Of: "changes a minute", Note: "five members, 1,300 nodos, 1,300 watches; changes within 50 ms are told together"}
-	is.Name, is.Role, is.Figure = "list.leader.cpu", "list member as leader", "cpu of changes and watches"
+	is := capacity.Slope{Unit: "% of a core", Dimension: "changes a minute", Note: "five members, 1,300 nodos, 1,300 watches; changes within 50 ms are told together"}
+	is.Name, is.Role, is.Metric = "list.leader.cpu", "list member as leader", "cpu of changes and watches"
 	slope(b, rates, leader, is)
 	is.Name, is.Role = "list.follower.cpu", "list member as follower"
 	slope(b, rates, follower, is)
@@ -290,8 +290,8 @@
 			all.Wait()
 		}
 	}
-	slope(b, sizes, runs, capacity.Slope{Name: "list.member.memory_watches", Role: "list member as follower", Figure: "memory with 1,300 nodos",
-		Unit: "MB", Of: "watches", Note: "one member on its own"})
+	slope(b, sizes, runs, capacity.Slope{Name: "list.member.memory_watches", Role: "list member as follower", Metric: "memory with 1,300 nodos",
+		Unit: "MB", Dimension: "watches", Note: "one member on its own"})
 }
 
 // BenchmarkSlopeNodos measures a member's memory and the length of a whole list by endpoints.
@@ -319,10 +319,10 @@
 			}
 		}
 	}
-	slope(b, sizes, runs, capacity.Slope{Name: "list.member.memory_nodos", Role: "list member as leader", Figure: "memory without watches",
-		Unit: "MB", Of: "nodos", Note: "one member on its own, which leads"})
-	slope(b, sizes, bodies, capacity.Slope{Name: "list.proxy.whole_list", Role: "proxy following lists", Figure: "a whole list's length",
-		Unit: "bytes", Of: "listed nodos", Note: "the body alone"})
+	slope(b, sizes, runs, capacity.Slope{Name: "list.member.memory_nodos", Role: "list member as leader", Metric: "memory without watches",
+		Unit: "MB", Dimension: "nodos", Note: "one member on its own, which leads"})
+	slope(b, sizes, bodies, capacity.Slope{Name: "list.proxy.whole_list", Role: "proxy following lists", Metric: "a whole list's length",
+		Unit: "bytes", Dimension: "listed nodos", Note: "the body alone"})
 }
 
 // relay relays connections to a member and counts their bytes, both ways.
--- a/internal/discovery/listcost_test.go
+++ b/internal/discovery/listcost_test.go
@@ -80,15 +80,15 @@
 		}
 	}
 	record := func(s capacity.Slope, runs [][]float64) {
-		s.Role, s.Of, s.Commit, s.Machine = "proxy following lists", "listed nodos", *slopesCommit, *slopesOn
+		s.Role, s.Dimension, s.Commit, s.Machine = "proxy following lists", "listed nodos", *slopesCommit, *slopesOn
 		s.Command = "go test -run xxx -bench " + strings.TrimPrefix(b.Name(), "Benchmark") + "$ -benchtime 1x ./internal/discovery"
 		if err := s.Record(*slopesTo, sizes, runs); err != nil {
 			b.Error(err)
 		}
 	}
-	record(capacity.Slope{Name: "list.proxy.take_whole", Figure: "time to read and take a whole list", Unit: "ms",
+	record(capacity.Slope{Name: "list.proxy.take_whole", Metric: "time to read and take a whole list", Unit: "ms",
 		Note: "not on the event loop: the client's own goroutine"}, times)
-	record(capacity.Slope{Name: "list.proxy.memory_list", Figure: "memory of the client's list", Unit: "B",
+	record(capacity.Slope{Name: "list.proxy.memory_list", Metric: "memory of the client's list", Unit: "B",
 		Note: "the client's alone; the decision module has its own"}, memory)
 	b.ReportMetric(0, "ns/op")
 }
--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -27,7 +27,7 @@
 )
 
 // recorded is a copy of the folder, that a test may damage.
-func recorded(t *testing.T) fstest.MapFS {
+func capacityFiles(t *testing.T) fstest.MapFS {
 	t.Helper()
 	files := fstest.MapFS{}
 	err := filepath.WalkDir(folder, func(path string, d fs.DirEntry, err error) error {
@@ -46,7 +46,7 @@
 }
 
 // parts is where the page parts from the arithmetic over these files.
-func parts(t *testing.T, files fs.FS, text string) string {
+func pageDifference(t *testing.T, files fs.FS, text string) string {
 	t.Helper()
 	p, err := Read(files)
 	if err != nil {
@@ -56,15 +56,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	filled, err := Fill(text, tables)
+	filled, err := FillTables(text, tables)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Part(text, filled)
+	return FirstDifference(text, filled)
 }
 
 // The page has what its files come to. With -update it is made so.
-func TestPage(t *testing.T) {
+func TestPageMatchesModel(t *testing.T) {
 	text, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		filled, err := Fill(string(text), tables)
+		filled, err := FillTables(string(text), tables)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,14 +87,14 @@
 		}
 		return
 	}
-	if at := parts(t, os.DirFS(folder), string(text)); at != "" {
+	if at := pageDifference(t, os.DirFS(folder), string(text)); at != "" {
 		t.Errorf("docs/CAPACITY.md parts from docs/capacity at %s\n(go test ./internal/faultlab/capacity -update writes its tables anew)", at)
 	}
 }
 
 // What the page says is missing first now is what its own list has first; what it says was missing first, when the mechanism was
 // chosen, is a duty that something carries now.
-func TestDecision(t *testing.T) {
+func TestPageNamesFirstGap(t *testing.T) {
 	p, err := Read(os.DirFS(folder))
 	if err != nil {
 		t.Fatal(err)
@@ -113,26 +113,26 @@
 		return what
 	}
 	want := "nothing"
-	missing := p.Missing()
+	missing := p.Gaps()
 	if len(missing) > 0 {
-		want = missing[0].What
+		want = missing[0].Title
 	}
 	if is := said(now); is != want {
 		t.Errorf("the list is %+v, and the page has %q as missing first now", missing, is)
 	}
 	is := said(then)
-	if !slices.ContainsFunc(p.Duties, func(d Duty) bool { return d.Duty == is && d.Absent == "" }) {
+	if !slices.ContainsFunc(p.Duties, func(d Duty) bool { return d.Description == is && d.AbsentReason == "" }) {
 		t.Errorf("%q, which the page says was missing first and was built, is no duty that something carries", is)
 	}
 }
 
 // A number, a slope or a cell that is changed alone is found.
-func TestPartingIsFound(t *testing.T) {
+func TestSingleChangeIsDetected(t *testing.T) {
 	text, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if at := parts(t, recorded(t), string(text)); at != "" {
+	if at := pageDifference(t, capacityFiles(t), string(text)); at != "" {
 		t.Fatal("the page parts before anything is changed: ", at)
 	}
 	// change replaces the first of a word in a file.
@@ -145,33 +145,33 @@
 		f.Data = []byte(strings.Replace(string(f.Data), was, is, 1))
 	}
 	t.Run("a number of the letter", func(t *testing.T) {
-		files := recorded(t)
+		files := capacityFiles(t)
 		change(t, files, "numbers.toml", "nodos = 1300 ", "nodos = 1301 ")
-		if parts(t, files, string(text)) == "" {
+		if pageDifference(t, files, string(text)) == "" {
 			t.Error("not found")
 		}
 	})
 	t.Run("an assumption", func(t *testing.T) {
-		files := recorded(t)
+		files := capacityFiles(t)
 		change(t, files, "numbers.toml", "high = 30\nwhy = \"nodos choose", "high = 31\nwhy = \"nodos choose")
-		if parts(t, files, string(text)) == "" {
+		if pageDifference(t, files, string(text)) == "" {
 			t.Error("not found")
 		}
 	})
 	t.Run("a budget", func(t *testing.T) {
-		files := recorded(t)
+		files := capacityFiles(t)
 		change(t, files, "numbers.toml", "value = 19.0", "value = 19.5")
-		if parts(t, files, string(text)) == "" {
+		if pageDifference(t, files, string(text)) == "" {
 			t.Error("not found")
 		}
 	})
-	names, err := slopeFiles(recorded(t))
+	names, err := slopeFiles(capacityFiles(t))
 	if err != nil || len(names) == 0 {
 		t.Fatal("no slopes", err)
 	}
 	for _, name := range names {
 		t.Run("a slope of "+name, func(t *testing.T) {
-			slopes, err := ReadSlopes(recorded(t))
+			slopes, err := ReadSlopes(capacityFiles(t))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -181,7 +181,7 @@
 				}
 				// By hand in one place: refused as it is read. In all places, as by a run that nobody told the page of: found.
 				alone := *s
-				alone.Per = s.Per*1.2 + 1
+				alone.Gradient = s.Gradient*1.2 + 1
 				if alone.Check() == nil {
 					t.Errorf("%s: a slope that parts from its points is taken", s.Name)
 				}
@@ -190,7 +190,7 @@
 					_, ys, _, _ := columns(s.Points)
 					top := math.Max(slices.Max(ys), -slices.Min(ys))
 					alone = *s
-					alone.Per = s.Per + part*rounding*top/s.Points[len(s.Points)-1][0]
+					alone.Gradient = s.Gradient + part*roundingTolerance*top/s.Points[len(s.Points)-1][0]
 					if alone.Check() == nil {
 						t.Errorf("%s: a slope that parts from its points by %v times their rounding is taken", s.Name, part)
 					}
@@ -205,7 +205,7 @@
 				}
 				whole := *s
 				whole.Fit(sizes, runs[:])
-				files := recorded(t)
+				files := capacityFiles(t)
 				var out strings.Builder
 				for _, o := range slopes {
 					if o.File == name {
@@ -216,7 +216,7 @@
 					}
 				}
 				files[name].Data = []byte(out.String())
-				if parts(t, files, string(text)) == "" {
+				if pageDifference(t, files, string(text)) == "" {
 					t.Errorf("%s: not found", s.Name)
 				}
 			}
@@ -234,8 +234,8 @@
 		lines := strings.Split(string(text), "\n")
 		cells, inside := 0, false
 		for i, l := range lines {
-			if strings.HasPrefix(l, begins) || l == ends {
-				inside = l != ends
+			if strings.HasPrefix(l, tableStart) || l == tableEnd {
+				inside = l != tableEnd
 				continue
 			}
 			at := strings.IndexAny(l, "0123456789")
@@ -247,7 +247,7 @@
 			changed[at] = '0' + (changed[at]-'0'+1)%10
 			lines[i] = string(changed)
 			damaged := strings.Join(lines, "\n")
-			if filled, err := Fill(damaged, tables); err != nil || Part(damaged, filled) == "" {
+			if filled, err := FillTables(damaged, tables); err != nil || FirstDifference(damaged, filled) == "" {
 				t.Errorf("line %d: not found: %s", i+1, changed)
 			}
 			lines[i] = l
@@ -259,13 +259,13 @@
 }
 
 // The program's constants are as the arithmetic has them. Those that no package tells are compared in its source.
-func TestConstants(t *testing.T) {
+func TestProgramConstants(t *testing.T) {
 	c := config.Default()
 	for key, is := range map[string]float64{"hold_s": discovery.LongPollTimeout.Seconds(), "spread_s": discovery.FailoverJitter.Seconds(),
 		"poll_s": raftnode.FreshnessInterval.Seconds(), "settle_s": watch.CoalesceInterval.Seconds(), "stale_s": float64(c.MaxListAgeMs) / 1000,
 		"lease_part": c.Lease.HoldThreshold, "lease_pace": c.Lease.ReleaseRate, "changes_kept": state.MaxRetainedChanges, "document_most": settings.MaxDocumentBytes} {
-		if constants[key] != is {
-			t.Errorf("%s: %v here, %v in the program", key, constants[key], is)
+		if programConstants[key] != is {
+			t.Errorf("%s: %v here, %v in the program", key, programConstants[key], is)
 		}
 	}
 	for file, lines := range map[string][]string{
@@ -288,13 +288,13 @@
 // A page that lacks a table, has one twice or a marker without its pair is refused.
 func TestFill(t *testing.T) {
 	tables := map[string]string{"a": "| 1 |\n"}
-	whole := begins + "a" + closes + "\n| 0 |\n" + ends + "\nrest\n"
-	if got, err := Fill(whole, tables); err != nil || got != begins+"a"+closes+"\n| 1 |\n"+ends+"\nrest\n" {
+	whole := tableStart + "a" + markerEnd + "\n| 0 |\n" + tableEnd + "\nrest\n"
+	if got, err := FillTables(whole, tables); err != nil || got != tableStart+"a"+markerEnd+"\n| 1 |\n"+tableEnd+"\nrest\n" {
 		t.Errorf("%q, %v", got, err)
 	}
-	for name, text := range map[string]string{"none": "rest\n", "twice": whole + whole, "unknown": strings.Replace(whole, "a"+closes, "b"+closes, 1),
-		"no end": strings.Replace(whole, ends, "", 1), "no beginning": ends + "\n" + whole} {
-		if _, err := Fill(text, tables); err == nil {
+	for name, text := range map[string]string{"none": "rest\n", "twice": whole + whole, "unknown": strings.Replace(whole, "a"+markerEnd, "b"+markerEnd, 1),
+		"no end": strings.Replace(whole, tableEnd, "", 1), "no beginning": tableEnd + "\n" + whole} {
+		if _, err := FillTables(text, tables); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
--- a/internal/faultlab/capacity/numbers.go
+++ b/internal/faultlab/capacity/numbers.go
@@ -35,27 +35,27 @@
 }
 
 // Problem is a fault of a file: where, what, and what to do about it.
-type Problem struct {
-	File, Key, Text string
+type FileError struct {
+	File, Key, Reason string
 }
 
-func (p *Problem) Error() string { return p.File + ": " + p.Key + ": " + p.Text }
+func (p *FileError) Error() string { return p.File + ": " + p.Key + ": " + p.Reason }
 
 // Letter is the size to plan for, in the operators' words.
-type Letter struct {
-	Nodos          float64 `toml:"nodos"`
+type TargetSize struct {
+	Servers        float64 `toml:"nodos"`
 	Services       float64 `toml:"services"`
 	Regions        float64 `toml:"regions"`
 	Zones          float64 `toml:"zones"`
 	CallsPerSecond float64 `toml:"calls_per_second"`
 	CallDepth      float64 `toml:"call_depth"`
 	ChangesPerDay  float64 `toml:"changes_per_day"`
-	InForceS       float64 `toml:"in_force_s"`
+	RolloutSeconds float64 `toml:"in_force_s"`
 	Machines       float64 `toml:"machines"`
-	FailsPerDay    float64 `toml:"fails_per_day"`
+	FailuresPerDay float64 `toml:"fails_per_day"`
 	RestartsPerDay float64 `toml:"restarts_per_day"`
-	Rack           float64 `toml:"rack"`
-	Zone           float64 `toml:"zone"`
+	ServersPerRack float64 `toml:"rack"`
+	ServersPerZone float64 `toml:"zone"`
 }
 
 // Assumption is a number that the letter leaves open.
@@ -73,48 +73,48 @@
 	Role    string   `toml:"role"`
 	Class   string   `toml:"class"`
 	Unit    string   `toml:"unit"`
-	From    string   `toml:"from"`
+	Source  string   `toml:"from"`
 	Value   float64  `toml:"value"`
-	Figures []string `toml:"figures"`
+	Metrics []string `toml:"figures"`
 }
 
 // Numbers are what is set.
-type Numbers struct {
-	Letter      Letter       `toml:"letter"`
+type Inputs struct {
+	Target      TargetSize   `toml:"letter"`
 	Assumptions []Assumption `toml:"assumption"`
 	Budgets     []Budget     `toml:"budget"`
 }
 
 // decode reads a file into v and refuses keys that v has no place for.
-func decode(files fs.FS, name string, v any) (toml.MetaData, error) {
+func decodeStrict(files fs.FS, name string, v any) (toml.MetaData, error) {
 	text, err := fs.ReadFile(files, name)
 	if err != nil {
 		return toml.MetaData{}, fmt.Errorf("%s: %w", name, err)
 	}
 	meta, err := toml.Decode(string(text), v)
 	if err != nil {
-		return meta, &Problem{name, "the file", err.Error()}
+		return meta, &FileError{name, "the file", err.Error()}
 	}
 	var found []error
 	for _, k := range meta.Undecoded() {
-		found = append(found, &Problem{name, k.String(), "no such key"})
+		found = append(found, &FileError{name, k.String(), "no such key"})
 	}
 	return meta, errors.Join(found...)
 }
 
 // ReadNumbers reads numbers.toml.
-func ReadNumbers(files fs.FS) (*Numbers, error) {
+func ReadInputs(files fs.FS) (*Inputs, error) {
 	const name = "numbers.toml"
-	n := &Numbers{}
-	meta, err := decode(files, name, n)
+	n := &Inputs{}
+	meta, err := decodeStrict(files, name, n)
 	if err != nil {
 		return nil, err
 	}
 	var found []error
 	bad := func(key, format string, args ...any) {
-		found = append(found, &Problem{name, key, fmt.Sprintf(format, args...)})
+		found = append(found, &FileError{name, key, fmt.Sprintf(format, args...)})
 	}
-	for key, v := range n.letter() {
+	for key, v := range n.targetValues() {
 		if !meta.IsDefined("letter", key) || !(v > 0) {
 			bad("letter."+key, "a number over 0 is needed")
 		}
@@ -130,14 +130,14 @@
 		}
 		seen[a.Key] = true
 	}
-	for _, key := range assumed {
+	for _, key := range assumptionKeys {
 		if !seen[key] {
 			bad("assumption", "%q is missing", key)
 		}
 	}
 	for key := range seen {
-		if !slices.Contains(assumed, key) {
-			bad("assumption", "%q is used nowhere; known are %v", key, assumed)
+		if !slices.Contains(assumptionKeys, key) {
+			bad("assumption", "%q is used nowhere; known are %v", key, assumptionKeys)
 		}
 	}
 	for i, b := range n.Budgets {
@@ -145,10 +145,10 @@
 		if !slices.Contains(Roles, b.Role) {
 			bad(key+".role", "%q is none of %q", b.Role, Roles)
 		}
-		if u, ok := units[b.Unit]; !ok || u.class != b.Class || shown[b.Class] != b.Unit {
-			bad(key+".unit", "%q: a budget of class %q is given in %q", b.Unit, b.Class, shown[b.Class])
+		if u, ok := units[b.Unit]; !ok || u.class != b.Class || displayUnits[b.Class] != b.Unit {
+			bad(key+".unit", "%q: a budget of class %q is given in %q", b.Unit, b.Class, displayUnits[b.Class])
 		}
-		if !(b.Value > 0) || b.From == "" {
+		if !(b.Value > 0) || b.Source == "" {
 			bad(key, "a value over 0 and from, letter or ours and why, are needed")
 		}
 	}
@@ -157,31 +157,33 @@
 }
 
 // letter are the letter's numbers by key.
-func (n *Numbers) letter() map[string]float64 {
-	l := n.Letter
-	return map[string]float64{"nodos": l.Nodos, "services": l.Services, "regions": l.Regions, "zones": l.Zones,
+func (n *Inputs) targetValues() map[string]float64 {
+	l := n.Target
+	return map[string]float64{"nodos": l.Servers, "services": l.Services, "regions": l.Regions, "zones": l.Zones,
 		"calls_per_second": l.CallsPerSecond, "call_depth": l.CallDepth, "changes_per_day": l.ChangesPerDay,
-		"in_force_s": l.InForceS, "machines": l.Machines, "fails_per_day": l.FailsPerDay,
-		"restarts_per_day": l.RestartsPerDay, "rack": l.Rack, "zone": l.Zone}
+		"in_force_s": l.RolloutSeconds, "machines": l.Machines, "fails_per_day": l.FailuresPerDay,
+		"restarts_per_day": l.RestartsPerDay, "rack": l.ServersPerRack, "zone": l.ServersPerZone}
 }
 
 // assumed are the assumptions that the arithmetic uses.
-var assumed = []string{"services_called", "lease_s", "config_bytes", "config_burst", "changes_per_restart", "release_part",
+var assumptionKeys = []string{"services_called", "lease_s", "config_bytes", "config_burst", "changes_per_restart", "release_part",
 	"calls_peak", "members_lost"}
 
 // Range is a value with the assumptions low, likely and high.
 type Range struct{ Low, Likely, High float64 }
 
-func same(v float64) Range { return Range{v, v, v} }
+func constantRange(v float64) Range { return Range{v, v, v} }
 
-func (r Range) by(f func(float64) float64) Range { return Range{f(r.Low), f(r.Likely), f(r.High)} }
+func (r Range) transform(f func(float64) float64) Range {
+	return Range{f(r.Low), f(r.Likely), f(r.High)}
+}
 
-func (r Range) three() [3]float64 { return [3]float64{r.Low, r.Likely, r.High} }
+func (r Range) values() [3]float64 { return [3]float64{r.Low, r.Likely, r.High} }
 
 // is tells whether the three are one.
-func (r Range) is() bool { return r.Low == r.Likely && r.Likely == r.High }
+func (r Range) isConstant() bool { return r.Low == r.Likely && r.Likely == r.High }
 
-func (n *Numbers) assumption(key string) Range {
+func (n *Inputs) assumption(key string) Range {
 	for _, a := range n.Assumptions {
 		if a.Key == key {
 			return Range{a.Low, a.Likely, a.High}
@@ -191,67 +193,67 @@
 }
 
 const (
-	daySeconds  = 24 * 60 * 60
-	renewals    = 3 // in a lease: internal/registry/registrar
-	minutesADay = daySeconds / 60
+	daySeconds       = 24 * 60 * 60
+	renewalsPerLease = 3 // in a lease: internal/registry/registrar
+	minutesPerDay    = daySeconds / 60
 )
 
 // A dimension is what grows, at the letter's size, and whether it doubles with the number of servers.
 type dimension struct {
-	size    func(n *Numbers) Range
-	doubles bool
-	what    string
+	size              func(n *Inputs) Range
+	scalesWithServers bool
+	description       string
 }
 
 var dimensions = map[string]dimension{
-	"proxies": {func(n *Numbers) Range { return same(n.Letter.Nodos) }, true, "one beside each nodo"},
-	"nodos":   {func(n *Numbers) Range { return same(n.Letter.Nodos) }, true, "as the letter has it"},
-	"listed nodos": {func(n *Numbers) Range {
-		r := n.assumption("services_called").by(func(v float64) float64 { return min(v*n.Letter.Nodos/n.Letter.Services, n.Letter.Nodos) })
-		return Range{r.Low, n.Letter.Nodos, n.Letter.Nodos}
+	"proxies": {func(n *Inputs) Range { return constantRange(n.Target.Servers) }, true, "one beside each nodo"},
+	"nodos":   {func(n *Inputs) Range { return constantRange(n.Target.Servers) }, true, "as the letter has it"},
+	"listed nodos": {func(n *Inputs) Range {
+		r := n.assumption("services_called").transform(func(v float64) float64 { return min(v*n.Target.Servers/n.Target.Services, n.Target.Servers) })
+		return Range{r.Low, n.Target.Servers, n.Target.Servers}
 	}, true, "in the list that a proxy follows: one list holds all today (likely, high); one service's alone (low)"},
-	"changes a minute": {func(n *Numbers) Range {
-		day := (n.Letter.FailsPerDay + n.Letter.RestartsPerDay) * n.assumption("changes_per_restart").Likely / minutesADay
+	"changes a minute": {func(n *Inputs) Range {
+		day := (n.Target.FailuresPerDay + n.Target.RestartsPerDay) * n.assumption("changes_per_restart").Likely / minutesPerDay
 		part, each := n.assumption("release_part"), n.assumption("changes_per_restart")
-		return Range{day, part.Low * n.Letter.Nodos * each.Likely, part.High * n.Letter.Nodos * each.High}
+		return Range{day, part.Low * n.Target.Servers * each.Likely, part.High * n.Target.Servers * each.High}
 	}, true, "of the list: an ordinary day's mean (low), one service released within a minute (likely), the greatest release within one (high)"},
-	"changes of configuration a minute": {func(n *Numbers) Range {
+	"changes of configuration a minute": {func(n *Inputs) Range {
 		r := n.assumption("config_burst")
-		return Range{n.Letter.ChangesPerDay / minutesADay, r.Likely, r.High}
+		return Range{n.Target.ChangesPerDay / minutesPerDay, r.Likely, r.High}
 	}, false, "the day's mean (low), a busy minute"},
-	"changes": {func(n *Numbers) Range { return same(n.Letter.ChangesPerDay) }, false, "of configuration, one after another: a day's"},
-	"calls a second": {func(n *Numbers) Range {
-		return n.assumption("calls_peak").by(func(v float64) float64 { return v * n.Letter.CallsPerSecond / n.Letter.Nodos })
+	"changes": {func(n *Inputs) Range { return constantRange(n.Target.ChangesPerDay) }, false, "of configuration, one after another: a day's"},
+	"calls a second": {func(n *Inputs) Range {
+		return n.assumption("calls_peak").transform(func(v float64) float64 { return v * n.Target.CallsPerSecond / n.Target.Servers })
 	}, false, "of one proxy"},
-	"services": {func(n *Numbers) Range { return same(n.Letter.Services) }, true, "as the letter has it"},
-	"zones":    {func(n *Numbers) Range { return same(n.Letter.Zones) }, false, "as the letter has it"},
-	"regions":  {func(n *Numbers) Range { return same(n.Letter.Regions) }, false, "as the letter has it"},
-	"members":  {func(n *Numbers) Range { return same(n.Letter.Machines) }, false, "of the list service, one on each machine"},
-	"watches": {func(n *Numbers) Range {
-		return n.assumption("members_lost").by(func(v float64) float64 { return n.Letter.Nodos / (n.Letter.Machines - v) })
+	"services": {func(n *Inputs) Range { return constantRange(n.Target.Services) }, true, "as the letter has it"},
+	"zones":    {func(n *Inputs) Range { return constantRange(n.Target.Zones) }, false, "as the letter has it"},
+	"regions":  {func(n *Inputs) Range { return constantRange(n.Target.Regions) }, false, "as the letter has it"},
+	"members":  {func(n *Inputs) Range { return constantRange(n.Target.Machines) }, false, "of the list service, one on each machine"},
+	"watches": {func(n *Inputs) Range {
+		return n.assumption("members_lost").transform(func(v float64) float64 { return n.Target.Servers / (n.Target.Machines - v) })
 	}, true, "held by one member, the proxies spread over those that live"},
-	"renewals a second": {func(n *Numbers) Range {
+	"renewals a second": {func(n *Inputs) Range {
 		r := n.assumption("lease_s")
-		return Range{r.High, r.Likely, r.Low}.by(func(v float64) float64 { return renewals * n.Letter.Nodos / v })
+		return Range{r.High, r.Likely, r.Low}.transform(func(v float64) float64 { return renewalsPerLease * n.Target.Servers / v })
 	}, true, "at the leader, from all nodos: 3 in a lease; the longest lease is low"},
-	"renewals a second of a nodo": {func(n *Numbers) Range {
+	"renewals a second of a nodo": {func(n *Inputs) Range {
 		r := n.assumption("lease_s")
-		return Range{r.High, r.Likely, r.Low}.by(func(v float64) float64 { return renewals / v })
+		return Range{r.High, r.Likely, r.Low}.transform(func(v float64) float64 { return renewalsPerLease / v })
 	}, false, "3 in a lease; the longest lease is low"},
 }
 
 // Size is what grows at the letter's size, or with twice at twice its servers.
-func (n *Numbers) Size(of string, twice bool) Range {
+func (n *Inputs) Size(of string, twice bool) Range {
 	d := dimensions[of]
 	r := d.size(n)
-	if twice && d.doubles {
-		r = r.by(func(v float64) float64 { return 2 * v })
+	if twice && d.scalesWithServers {
+		r = r.transform(func(v float64) float64 { return 2 * v })
 	}
 	return r
 }
 
 // known are the names of all that grows.
-func known() []string { return slices.Sorted(maps.Keys(dimensions)) }
+func dimensionNames() []string { return slices.Sorted(maps.Keys(dimensions)) }
 
 // slopeFiles are the files of slopes.
 func slopeFiles(files fs.FS) ([]string, error) {
--- a/internal/faultlab/capacity/refused_test.go
+++ b/internal/faultlab/capacity/refused_test.go
@@ -6,7 +6,7 @@
 	"testing/fstest"
 )
 
-const sound = `[[slope]]
+const validSlope = `[[slope]]
 name = "list.proxy.bytes"
 role = "proxy following lists"
 figure = "control bytes in"
@@ -24,12 +24,12 @@
 `
 
 // Each way in which an entry can be wrong is refused, with its file, its name and what is wrong.
-func TestSlopesAreRefused(t *testing.T) {
+func TestInvalidSlopesAreRejected(t *testing.T) {
 	read := func(text string) error {
 		_, err := ReadSlopes(fstest.MapFS{"slopes/a.toml": &fstest.MapFile{Data: []byte(text)}})
 		return err
 	}
-	if err := read(sound); err != nil {
+	if err := read(validSlope); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct{ was, is, says string }{
@@ -58,8 +58,8 @@
 		"a spread without slope":  {`spread = [1.9, 2.1]`, `spread = [2.07, 2.1]`, "spread: "},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(sound, c.was, c.is, 1)
-			if text == sound {
+			text := strings.Replace(validSlope, c.was, c.is, 1)
+			if text == validSlope {
 				t.Fatal("nothing was changed")
 			}
 			err := read(text)
@@ -68,10 +68,10 @@
 			}
 		})
 	}
-	if err := read(sound + "\n" + sound); err == nil || !strings.Contains(err.Error(), "stands in") {
+	if err := read(validSlope + "\n" + validSlope); err == nil || !strings.Contains(err.Error(), "stands in") {
 		t.Errorf("a name twice: %v", err)
 	}
-	bent := strings.Replace(strings.Replace(sound, "610.0, 595.0, 625.0", "1010.0, 1000.0, 1020.0", 1), "10.0\nper = 2.0\nspread = [1.9, 2.1]",
+	bent := strings.Replace(strings.Replace(validSlope, "610.0, 595.0, 625.0", "1010.0, 1000.0, 1020.0", 1), "10.0\nper = 2.0\nspread = [1.9, 2.1]",
 		"-256.67\nper = 4.0\nspread = [3.925, 4.075]", 1)
 	if err := read(bent); err == nil || !strings.Contains(err.Error(), "not within") {
 		t.Errorf("a bent one that is called straight: %v", err)
@@ -82,7 +82,7 @@
 }
 
 // What is wrong with the numbers or the duties is refused with its key.
-func TestNumbersAreRefused(t *testing.T) {
+func TestInvalidInputsAreRejected(t *testing.T) {
 	for name, c := range map[string]struct{ file, was, is, says string }{
 		"unknown key":            {"numbers.toml", "rack = 16", "racks = 16", "letter.racks: no such key"},
 		"a number left out":      {"numbers.toml", "machines = 5 ", "#", "letter.machines: "},
@@ -99,7 +99,7 @@
 		"an unknown key":         {"duties.toml", "mechanism = ", "mechanisms = ", "no such key"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			files := recorded(t)
+			files := capacityFiles(t)
 			text := strings.Replace(string(files[c.file].Data), c.was, c.is, 1)
 			if text == string(files[c.file].Data) {
 				t.Fatal("nothing was changed")
--- a/internal/faultlab/capacity/slope.go
+++ b/internal/faultlab/capacity/slope.go
@@ -13,34 +13,34 @@
 
 const (
 	// Reach is the part of a size that the measured range has to reach for a straight slope to speak for it.
-	Reach = 1. / 3
+	MinCoverage = 1. / 3
 	// Bend is how far the worst point of a straight slope may lie from its line, as a part of the line's value there.
-	Bend = 0.15
+	LinearityTolerance = 0.15
 	// rounding is how far a stated line may lie from the one worked out, as a part of the largest median: what rounding its two
 	// numbers to four metrics does. It does not go by the slope, which is next to nothing where a figure is flat or its repeats
 	// spread: at a hundredth of the largest median a fifth more on the slope of a noisy figure (times of a datagram, -16 ns for
 	// each proxy beside 768,000 ns) passed. What the line misses its points by is Bend's, what its repeats differ by the spread's.
-	rounding = 0.001
+	roundingTolerance = 0.001
 	// sizesLeast is at how many sizes a slope has to be measured.
-	sizesLeast = 3
+	minSizes = 3
 )
 
 // Slope is how one figure grows, as somebody recorded it.
 type Slope struct {
-	Name     string       `toml:"name"`
-	Role     string       `toml:"role"`
-	Figure   string       `toml:"figure"`
-	Unit     string       `toml:"unit"`
-	Of       string       `toml:"of"`
-	Base     float64      `toml:"base"`
-	Per      float64      `toml:"per"`
-	Spread   []float64    `toml:"spread"`
-	Straight bool         `toml:"straight"`
-	Points   [][4]float64 `toml:"points"` // of, median, least, most
-	Commit   string       `toml:"commit"`
-	Machine  string       `toml:"machine"`
-	Command  string       `toml:"command"`
-	Note     string       `toml:"note"`
+	Name          string       `toml:"name"`
+	Role          string       `toml:"role"`
+	Metric        string       `toml:"figure"`
+	Unit          string       `toml:"unit"`
+	Dimension     string       `toml:"of"`
+	Intercept     float64      `toml:"base"`
+	Gradient      float64      `toml:"per"`
+	GradientRange []float64    `toml:"spread"`
+	Linear        bool         `toml:"straight"`
+	Points        [][4]float64 `toml:"points"` // of, median, least, most
+	Commit        string       `toml:"commit"`
+	Machine       string       `toml:"machine"`
+	Command       string       `toml:"command"`
+	Note          string       `toml:"note"`
 
 	File string `toml:"-"`
 }
@@ -61,9 +61,9 @@
 		var typed struct {
 			Slopes []*Slope `toml:"slope"`
 		}
-		_, err := decode(files, name, &keys)
+		_, err := decodeStrict(files, name, &keys)
 		if err == nil {
-			_, err = decode(files, name, &typed)
+			_, err = decodeStrict(files, name, &typed)
 		}
 		if err != nil {
 			found = append(found, err)
@@ -72,17 +72,17 @@
 		for i, s := range typed.Slopes {
 			s.File = name
 			key := fmt.Sprintf("slope[%d] %q", i+1, s.Name)
-			for _, k := range slopeKeys {
+			for _, k := range requiredSlopeKeys {
 				if _, ok := keys.Slopes[i][k]; !ok {
-					found = append(found, &Problem{name, key, k + " is missing"})
+					found = append(found, &FileError{name, key, k + " is missing"})
 				}
 			}
 			if in, ok := seen[s.Name]; ok {
-				found = append(found, &Problem{name, key, "the name stands in " + in + " too"})
+				found = append(found, &FileError{name, key, "the name stands in " + in + " too"})
 			}
 			seen[s.Name] = name
 			if err := s.Check(); err != nil {
-				found = append(found, &Problem{name, key, err.Error()})
+				found = append(found, &FileError{name, key, err.Error()})
 			}
 			all = append(all, s)
 		}
@@ -91,10 +91,10 @@
 }
 
 // slopeKeys have to be given; note may be left out.
-var slopeKeys = []string{"name", "role", "figure", "unit", "of", "base", "per", "spread", "straight", "points", "commit", "machine", "command"}
+var requiredSlopeKeys = []string{"name", "role", "figure", "unit", "of", "base", "per", "spread", "straight", "points", "commit", "machine", "command"}
 
 // Duty is the first word of a name: what the figure is of.
-func (s *Slope) Duty() string { d, _, _ := strings.Cut(s.Name, "."); return d }
+func (s *Slope) DutyKey() string { d, _, _ := strings.Cut(s.Name, "."); return d }
 
 // Class is the class of the figure.
 func (s *Slope) Class() string { return units[s.Unit].class }
@@ -110,10 +110,10 @@
 	if _, ok := units[s.Unit]; !ok {
 		return fmt.Errorf("unit: %q is not known; add it to internal/faultlab/capacity/unit.go", s.Unit)
 	}
-	if _, ok := dimensions[s.Of]; !ok {
-		return fmt.Errorf("of: %q is none of %q", s.Of, known())
+	if _, ok := dimensions[s.Dimension]; !ok {
+		return fmt.Errorf("of: %q is none of %q", s.Dimension, dimensionNames())
 	}
-	for key, v := range map[string]string{"figure": s.Figure, "commit": s.Commit, "machine": s.Machine, "command": s.Command} {
+	for key, v := range map[string]string{"figure": s.Metric, "commit": s.Commit, "machine": s.Machine, "command": s.Command} {
 		if strings.TrimSpace(v) == "" || strings.ContainsAny(v, "|\n") && key != "command" {
 			return fmt.Errorf("%s: a word without | is needed", key)
 		}
@@ -121,8 +121,8 @@
 	if !isCommit(s.Commit) {
 		return fmt.Errorf("commit: %q: 7 to 40 hexadecimal digits are needed", s.Commit)
 	}
-	if len(s.Points) < sizesLeast {
-		return fmt.Errorf("points: %d; a slope is measured at %d sizes or more", len(s.Points), sizesLeast)
+	if len(s.Points) < minSizes {
+		return fmt.Errorf("points: %d; a slope is measured at %d sizes or more", len(s.Points), minSizes)
 	}
 	for i, p := range s.Points {
 		if i > 0 && p[0] <= s.Points[i-1][0] {
@@ -132,7 +132,7 @@
 			return fmt.Errorf("points[%d]: size, median, least, most are needed with least <= median <= most", i+1)
 		}
 	}
-	return s.checkLine()
+	return s.checkFit()
 }
 
 func isCommit(v string) bool {
@@ -140,35 +140,35 @@
 }
 
 // checkLine works the line out again from the medians.
-func (s *Slope) checkLine() error {
+func (s *Slope) checkFit() error {
 	xs, ys, least, most := columns(s.Points)
-	base, per := line(xs, ys)
+	base, per := leastSquares(xs, ys)
 	top := 0.
 	for _, y := range ys {
 		top = max(top, math.Abs(y))
 	}
 	for _, x := range []float64{xs[0], xs[len(xs)-1]} {
-		if off := math.Abs(base + per*x - s.Base - s.Per*x); off > rounding*top {
+		if off := math.Abs(base + per*x - s.Intercept - s.Gradient*x); off > roundingTolerance*top {
 			return fmt.Errorf("base and per: the least-squares line over the medians is %.6g + %.6g x, and %.6g + %.6g x is stated: %.3g apart at %g",
-				base, per, s.Base, s.Per, off, x)
+				base, per, s.Intercept, s.Gradient, off, x)
 		}
 	}
-	if is := straight(xs, ys, base, per); is != s.Straight {
-		return fmt.Errorf("straight: %v is stated; its worst point lies %s within %g of the line", s.Straight,
-			map[bool]string{true: "", false: "not"}[is], Bend)
+	if is := isLinear(xs, ys, base, per); is != s.Linear {
+		return fmt.Errorf("straight: %v is stated; its worst point lies %s within %g of the line", s.Linear,
+			map[bool]string{true: "", false: "not"}[is], LinearityTolerance)
 	}
-	if len(s.Spread) != 2 || !(s.Spread[0] <= s.Spread[1]) {
+	if len(s.GradientRange) != 2 || !(s.GradientRange[0] <= s.GradientRange[1]) {
 		return fmt.Errorf("spread: the least and the most slope over the repeats are needed")
 	}
 	// No repeat can have been flatter or steeper than what the least and the most at each size allow.
-	flat, steep := bounds(xs, least, most)
+	flat, steep := gradientBounds(xs, least, most)
 	far := xs[len(xs)-1] - xs[0]
-	slack := rounding * slices.Max(append(most, top)) / far
-	if s.Spread[0] < flat-slack || s.Spread[1] > steep+slack {
-		return fmt.Errorf("spread: %v is stated, and the points allow %.6g to %.6g", s.Spread, flat, steep)
+	slack := roundingTolerance * slices.Max(append(most, top)) / far
+	if s.GradientRange[0] < flat-slack || s.GradientRange[1] > steep+slack {
+		return fmt.Errorf("spread: %v is stated, and the points allow %.6g to %.6g", s.GradientRange, flat, steep)
 	}
-	if slack = rounding * top / far; per < s.Spread[0]-slack || per > s.Spread[1]+slack {
-		return fmt.Errorf("spread: the slope over the medians, %.6g, is not within %v", per, s.Spread)
+	if slack = roundingTolerance * top / far; per < s.GradientRange[0]-slack || per > s.GradientRange[1]+slack {
+		return fmt.Errorf("spread: the slope over the medians, %.6g, is not within %v", per, s.GradientRange)
 	}
 	return nil
 }
@@ -196,7 +196,7 @@
 }
 
 // line is the least-squares line.
-func line(xs, ys []float64) (base, per float64) {
+func leastSquares(xs, ys []float64) (base, per float64) {
 	w, mean := weights(xs)
 	for i, y := range ys {
 		per += w[i] * y
@@ -206,7 +206,7 @@
 }
 
 // bounds are the flattest and the steepest line that values between these allow.
-func bounds(xs, least, most []float64) (flat, steep float64) {
+func gradientBounds(xs, least, most []float64) (flat, steep float64) {
 	w, _ := weights(xs)
 	for i := range xs {
 		flat += w[i] * pick(w[i] > 0, least[i], most[i])
@@ -222,9 +222,9 @@
 	return b
 }
 
-func straight(xs, ys []float64, base, per float64) bool {
+func isLinear(xs, ys []float64, base, per float64) bool {
 	for i, x := range xs {
-		if l := base + per*x; math.Abs(ys[i]-l) > Bend*math.Abs(l) {
+		if l := base + per*x; math.Abs(ys[i]-l) > LinearityTolerance*math.Abs(l) {
 			return false
 		}
 	}
@@ -233,39 +233,39 @@
 
 // Fit fills the line in from what was measured: runs[i] is one repeat, a value for each size.
 func (s *Slope) Fit(sizes []float64, runs [][]float64) {
-	s.Points, s.Spread = nil, nil
+	s.Points, s.GradientRange = nil, nil
 	for i, x := range sizes {
 		var at []float64
 		for _, r := range runs {
-			at = append(at, round(r[i]))
+			at = append(at, roundSignificant(r[i]))
 		}
 		slices.Sort(at)
 		mid := at[len(at)/2]
 		if n := len(at); n%2 == 0 {
-			mid = round((at[n/2-1] + at[n/2]) / 2)
+			mid = roundSignificant((at[n/2-1] + at[n/2]) / 2)
 		}
 		s.Points = append(s.Points, [4]float64{x, mid, at[0], at[len(at)-1]})
 	}
 	xs, ys, _, _ := columns(s.Points)
-	s.Base, s.Per = line(xs, ys)
-	s.Straight = straight(xs, ys, s.Base, s.Per)
-	s.Spread = []float64{s.Per, s.Per}
+	s.Intercept, s.Gradient = leastSquares(xs, ys)
+	s.Linear = isLinear(xs, ys, s.Intercept, s.Gradient)
+	s.GradientRange = []float64{s.Gradient, s.Gradient}
 	for _, r := range runs {
-		_, per := line(xs, r)
-		s.Spread[0], s.Spread[1] = min(s.Spread[0], per), max(s.Spread[1], per)
+		_, per := leastSquares(xs, r)
+		s.GradientRange[0], s.GradientRange[1] = min(s.GradientRange[0], per), max(s.GradientRange[1], per)
 	}
 	// Rounded by what counts over the range: a base far outside of it may be large.
 	far := max(xs[len(xs)-1], -xs[0])
 	top := slices.MaxFunc(ys, func(a, b float64) int { return cmp.Compare(math.Abs(a), math.Abs(b)) })
-	s.Base, s.Per = roundBy(s.Base, top), roundBy(s.Per, top/far)
-	s.Spread[0], s.Spread[1] = min(s.Per, roundBy(s.Spread[0], top/far)), max(s.Per, roundBy(s.Spread[1], top/far))
+	s.Intercept, s.Gradient = roundToScaleOf(s.Intercept, top), roundToScaleOf(s.Gradient, top/far)
+	s.GradientRange[0], s.GradientRange[1] = min(s.Gradient, roundToScaleOf(s.GradientRange[0], top/far)), max(s.Gradient, roundToScaleOf(s.GradientRange[1], top/far))
 }
 
 // round keeps five metrics, which lie well within what a stated line may part from its points.
-func round(v float64) float64 { return roundBy(v, v) }
+func roundSignificant(v float64) float64 { return roundToScaleOf(v, v) }
 
 // roundBy keeps as much of a value as five metrics of another have.
-func roundBy(v, by float64) float64 {
+func roundToScaleOf(v, by float64) float64 {
 	if by == 0 {
 		return v
 	}
@@ -295,12 +295,12 @@
 func (s *Slope) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[[slope]]\nname = %q\nrole = %q\nfigure = %q\nunit = %q\nof = %q\nbase = %v\nper = %v\nspread = [%v, %v]\nstraight = %v\npoints = [",
-		s.Name, s.Role, s.Figure, s.Unit, s.Of, float(s.Base), float(s.Per), float(s.Spread[0]), float(s.Spread[1]), s.Straight)
+		s.Name, s.Role, s.Metric, s.Unit, s.Dimension, tomlFloat(s.Intercept), tomlFloat(s.Gradient), tomlFloat(s.GradientRange[0]), tomlFloat(s.GradientRange[1]), s.Linear)
 	for i, p := range s.Points {
 		if i > 0 {
 			b.WriteString(", ")
 		}
-		fmt.Fprintf(&b, "[%v, %v, %v, %v]", float(p[0]), float(p[1]), float(p[2]), float(p[3]))
+		fmt.Fprintf(&b, "[%v, %v, %v, %v]", tomlFloat(p[0]), tomlFloat(p[1]), tomlFloat(p[2]), tomlFloat(p[3]))
 	}
 	fmt.Fprintf(&b, "]\ncommit = %q\nmachine = %q\ncommand = %q\nnote = %q\n", s.Commit, s.Machine, s.Command, s.Note)
 	return b.String()
--- a/internal/faultlab/capacity/unit.go
+++ b/internal/faultlab/capacity/unit.go
@@ -23,12 +23,12 @@
 
 // unit is a unit as slopes may have it, with what makes the class's own of it.
 type unit struct {
-	class string
-	to    float64
+	class  string
+	factor float64
 }
 
 // shown is the unit in which a class's metrics stand on the page.
-var shown = map[string]string{classBytes: "KB/s", classCPU: "% of a core", classMemory: "MB", classTime: "ms",
+var displayUnits = map[string]string{classBytes: "KB/s", classCPU: "% of a core", classMemory: "MB", classTime: "ms",
 	classMessages: "1/s", classSize: "KB", classCount: ""}
 
 var units = map[string]unit{
@@ -43,26 +43,26 @@
 }
 
 // number is a value with three metrics that count; a whole one under a hundred thousand has all of them. None is -.
-func number(v float64) string {
+func formatNumber(v float64) string {
 	if math.IsNaN(v) {
 		return "-"
 	}
 	if v == math.Trunc(v) && math.Abs(v) < 1e5 {
-		return thousands(strconv.FormatFloat(v, 'f', 0, 64))
+		return groupThousands(strconv.FormatFloat(v, 'f', 0, 64))
 	}
 	digits := 2 - int(math.Floor(math.Log10(math.Abs(v))))
 	if digits < 0 {
 		p := math.Pow(10, float64(-digits))
-		return thousands(strconv.FormatFloat(math.Round(v/p)*p, 'f', 0, 64))
+		return groupThousands(strconv.FormatFloat(math.Round(v/p)*p, 'f', 0, 64))
 	}
 	s := strconv.FormatFloat(v, 'f', digits, 64)
 	if strings.Contains(s, ".") {
 		s = strings.TrimRight(strings.TrimRight(s, "0"), ".")
 	}
-	return thousands(s)
+	return groupThousands(s)
 }
 
-func thousands(s string) string {
+func groupThousands(s string) string {
 	whole, rest, dot := strings.Cut(s, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
@@ -78,7 +78,7 @@
 }
 
 // quantity is a value of a class in a unit that reads well.
-func quantity(v float64, class string) string {
+func formatQuantity(v float64, class string) string {
 	if math.IsNaN(v) {
 		return "-"
 	}
@@ -93,22 +93,22 @@
 	}[class]
 	for i, s := range steps {
 		if math.Abs(v) >= s.least || i == len(steps)-1 {
-			return number(v/s.least) + " " + s.name
+			return formatNumber(v/s.least) + " " + s.name
 		}
 	}
 	switch class {
 	case classCPU:
-		return number(v) + " %"
+		return formatNumber(v) + " %"
 	case classMessages:
-		return number(v) + "/s"
+		return formatNumber(v) + "/s"
 	}
-	return number(v)
+	return formatNumber(v)
 }
 
 // quantities is a range as low / likely / high, or as one value.
-func quantities(r Range, class string) string {
-	if r.is() || math.IsNaN(r.Low) && math.IsNaN(r.Likely) && math.IsNaN(r.High) {
-		return quantity(r.Likely, class)
+func formatRange(r Range, class string) string {
+	if r.isConstant() || math.IsNaN(r.Low) && math.IsNaN(r.Likely) && math.IsNaN(r.High) {
+		return formatQuantity(r.Likely, class)
 	}
-	return fmt.Sprintf("%s / %s / %s", quantity(r.Low, class), quantity(r.Likely, class), quantity(r.High, class))
+	return fmt.Sprintf("%s / %s / %s", formatQuantity(r.Low, class), formatQuantity(r.Likely, class), formatQuantity(r.High, class))
 }
--- a/internal/faultlab/capacity/value.go
+++ b/internal/faultlab/capacity/value.go
@@ -6,9 +6,9 @@
 )
 
 // float is a number as TOML has floats: with a point or an exponent.
-type float float64
+type tomlFloat float64
 
-func (f float) String() string {
+func (f tomlFloat) String() string {
 	s := strconv.FormatFloat(float64(f), 'g', -1, 64)
 	for _, c := range s {
 		if c == '.' || c == 'e' || c == 'I' || c == 'N' {
@@ -20,20 +20,20 @@
 
 // How a value is known.
 const (
-	Measured    = "measured"
-	Between     = "between"
-	WorkedOut   = "worked out"
-	NotStraight = "not straight"
+	Measured     = "measured"
+	Interpolated = "between"
+	Extrapolated = "worked out"
+	Nonlinear    = "not straight"
 )
 
 // At is the figure at a size in the class's own unit, the worst of it that the repeats allow, and how it is known. Beyond what
 // was measured a slope that is not straight, or one whose line falls below nothing there, has no value: NaN.
 func (s *Slope) At(size float64) (value, worst float64, how string) {
 	const near = 0.02 // of a size: the same for this
-	to := units[s.Unit].to
+	to := units[s.Unit].factor
 	xs, ys, _, most := columns(s.Points)
 	n := len(xs)
-	how = Between
+	how = Interpolated
 	for i, x := range xs {
 		if math.Abs(x-size) > near*size {
 			continue
@@ -45,20 +45,20 @@
 	}
 	if size < xs[0] { // on the line through the two smallest sizes: the whole one may be far off there
 		part := (xs[0] - size) / (xs[1] - xs[0])
-		if !s.Straight {
-			return math.NaN(), math.NaN(), NotStraight
+		if !s.Linear {
+			return math.NaN(), math.NaN(), Nonlinear
 		}
 		value, worst = max(0, ys[0]-part*(ys[1]-ys[0])), most[0]-part*(ys[1]-ys[0])
-		return value * to, max(value, worst) * to, WorkedOut
+		return value * to, max(value, worst) * to, Extrapolated
 	}
 	if size > xs[n-1] {
 		_, mean := weights(xs)
-		center := s.Base + s.Per*mean
-		if value = s.Base + s.Per*size; !s.Straight || value < 0 {
-			return math.NaN(), math.NaN(), NotStraight
+		center := s.Intercept + s.Gradient*mean
+		if value = s.Intercept + s.Gradient*size; !s.Linear || value < 0 {
+			return math.NaN(), math.NaN(), Nonlinear
 		}
-		worst = max(value, center+s.Spread[0]*(size-mean), center+s.Spread[1]*(size-mean))
-		return value * to, worst * to, WorkedOut
+		worst = max(value, center+s.GradientRange[0]*(size-mean), center+s.GradientRange[1]*(size-mean))
+		return value * to, worst * to, Extrapolated
 	}
 	i := 1
 	for xs[i] < size {
@@ -71,13 +71,13 @@
 
 // Crosses is the smallest size at which the figure passes a limit, in the class's own unit; infinite if none does. A slope that
 // is not straight is not drawn on: it passes at the smallest size measured or below, or, if none is above, nobody knows: NaN.
-func (s *Slope) Crosses(limit float64) float64 {
-	limit /= units[s.Unit].to
+func (s *Slope) CrossingSize(limit float64) float64 {
+	limit /= units[s.Unit].factor
 	xs, ys, _, _ := columns(s.Points)
 	n := len(xs)
 	if ys[0] > limit { // below what was measured, as At has it
 		per := (ys[1] - ys[0]) / (xs[1] - xs[0])
-		if !s.Straight {
+		if !s.Linear {
 			return xs[0]
 		}
 		if per <= 0 {
@@ -90,51 +90,51 @@
 			return xs[i-1] + (limit-ys[i-1])/(ys[i]-ys[i-1])*(xs[i]-xs[i-1])
 		}
 	}
-	if !s.Straight {
+	if !s.Linear {
 		return math.NaN()
 	}
-	if s.Per <= 0 {
+	if s.Gradient <= 0 {
 		return math.Inf(1)
 	}
-	return max(xs[n-1], (limit-s.Base)/s.Per)
+	return max(xs[n-1], (limit-s.Intercept)/s.Gradient)
 }
 
 // The words of the page.
 const (
-	Carried  = "carried"
-	Over     = "over"
-	Absent   = "absent"
-	Unproven = "unproven"
+	WithinBudget = "carried"
+	OverBudget   = "over"
+	Absent       = "absent"
+	Unproven     = "unproven"
 )
 
 // Judge is the word on a figure at a size, by the rule of the package.
-func (s *Slope) Judge(size, limit float64) string {
+func (s *Slope) Verdict(size, limit float64) string {
 	value, worst, how := s.At(size)
-	known := how == Measured || how == Between
+	known := how == Measured || how == Interpolated
 	xs, ys, _, _ := columns(s.Points)
 	for i, x := range xs {
-		if x <= size && ys[i]*units[s.Unit].to > limit {
-			return Over
+		if x <= size && ys[i]*units[s.Unit].factor > limit {
+			return OverBudget
 		}
 	}
-	if how == NotStraight {
+	if how == Nonlinear {
 		return Unproven
 	}
 	if size < xs[0] && !known {
 		// Far below what was measured it is only sure that the figure is not larger than at the smallest size.
-		if _, top, _ := s.At(xs[0]); size >= Reach*xs[0] {
+		if _, top, _ := s.At(xs[0]); size >= MinCoverage*xs[0] {
 			known = true
-		} else if top <= limit && s.Per >= 0 {
-			return Carried
+		} else if top <= limit && s.Gradient >= 0 {
+			return WithinBudget
 		} else {
 			return Unproven
 		}
 	}
 	switch {
-	case value > limit && (known || s.Straight):
-		return Over
-	case worst <= limit && (known || s.Straight && xs[len(xs)-1] >= Reach*size):
-		return Carried
+	case value > limit && (known || s.Linear):
+		return OverBudget
+	case worst <= limit && (known || s.Linear && xs[len(xs)-1] >= MinCoverage*size):
+		return WithinBudget
 	}
 	return Unproven
 }
--- a/internal/faultlab/capacity/value_test.go
+++ b/internal/faultlab/capacity/value_test.go
@@ -10,21 +10,21 @@
 
 // A slope whose repeats disagree even on its direction is held to its points as any other: by what a rounded line may miss them,
 // not by what the repeats spread.
-func TestNoisySlopeIsHeld(t *testing.T) {
-	s := &Slope{Name: "fleet.proxy.time_datagram", Role: Roles[2], Figure: "processor time of a received datagram", Unit: "ns", Of: "proxies",
-		Base: 264300, Per: -16.17, Spread: []float64{-342.8, 0.06658}, Commit: "abcdef1", Machine: "m", Command: "c",
+func TestNoisySlopeMustFitItsPoints(t *testing.T) {
+	s := &Slope{Name: "fleet.proxy.time_datagram", Role: Roles[2], Metric: "processor time of a received datagram", Unit: "ns", Dimension: "proxies",
+		Intercept: 264300, Gradient: -16.17, GradientRange: []float64{-342.8, 0.06658}, Commit: "abcdef1", Machine: "m", Command: "c",
 		Points: [][4]float64{{30, 70150, 68180, 103200}, {100, 43740, 37640, 142800}, {300, 768200, 397400, 3518000}, {1300, 147200, 107800, 173700}}}
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
-	for _, per := range []float64{s.Per*1.2 + 1, s.Per * 0.8, -s.Per} {
+	for _, per := range []float64{s.Gradient*1.2 + 1, s.Gradient * 0.8, -s.Gradient} {
 		moved := *s
-		moved.Per = per
+		moved.Gradient = per
 		if err := moved.Check(); err == nil {
-			t.Errorf("%v for each, where the points have %v, is taken", per, s.Per)
+			t.Errorf("%v for each, where the points have %v, is taken", per, s.Gradient)
 		}
 	}
-	if v, _, how := s.At(2600); !math.IsNaN(v) || how != NotStraight {
+	if v, _, how := s.At(2600); !math.IsNaN(v) || how != Nonlinear {
 		t.Errorf("at twice the size it is %v, %s", v, how)
 	}
 }
@@ -35,16 +35,16 @@
 	for _, p := range points {
 		sizes, run = append(sizes, p[0]), append(run, p[1])
 	}
-	s := &Slope{Name: "a.b.c", Role: Roles[1], Figure: "f", Unit: "KB/s", Of: "proxies", Commit: "abcdef1", Machine: "m", Command: "c"}
+	s := &Slope{Name: "a.b.c", Role: Roles[1], Metric: "f", Unit: "KB/s", Dimension: "proxies", Commit: "abcdef1", Machine: "m", Command: "c"}
 	s.Fit(sizes, [][]float64{run})
 	return s
 }
 
-func TestJudge(t *testing.T) {
+func TestVerdict(t *testing.T) {
 	straight := slopeOf([2]float64{100, 11}, [2]float64{200, 21}, [2]float64{400, 41})
 	bent := slopeOf([2]float64{100, 5}, [2]float64{200, 20}, [2]float64{400, 90})
 	steep := slopeOf([2]float64{100, 11}, [2]float64{200, 21}, [2]float64{400, 41})
-	steep.Spread = []float64{0.05, 0.15} // one repeat grew half as fast again
+	steep.GradientRange = []float64{0.05, 0.15} // one repeat grew half as fast again
 	falls := slopeOf([2]float64{100, 100}, [2]float64{200, 90}, [2]float64{400, 70})
 	nan := math.NaN()
 	for name, c := range map[string]struct {
@@ -53,34 +53,34 @@
 		word, how   string
 		value       float64
 	}{
-		"measured, within":                        {straight, 400, 41, Carried, Measured, 41},
-		"measured, above":                         {straight, 400, 40, Over, Measured, 41},
-		"between, within":                         {straight, 300, 32, Carried, Between, 31},
-		"between, above":                          {straight, 300, 30, Over, Between, 31},
-		"worked out within reach":                 {straight, 1200, 122, Carried, WorkedOut, 121},
-		"worked out beyond reach":                 {straight, 1201, 200, Unproven, WorkedOut, 121.1},
-		"worked out above":                        {straight, 4000, 400, Over, WorkedOut, 401},
-		"the steepest repeat is above":            {steep, 1200, 122, Unproven, WorkedOut, 121},
-		"bent, between":                           {bent, 300, 60, Carried, Between, 55},
-		"bent, beyond, within":                    {bent, 600, 1e6, Unproven, NotStraight, nan},
-		"bent, above at a size that was reached":  {bent, 600, 80, Over, NotStraight, nan},
-		"bent, above beyond":                      {bent, 600, 100, Unproven, NotStraight, nan},
-		"bent, above all":                         {bent, 401, 89, Over, Measured, 90},
-		"bent, a little below":                    {bent, 50, 6, Unproven, NotStraight, nan},
-		"falls, measured":                         {falls, 400, 100, Carried, Measured, 70},
-		"falls, beyond":                           {falls, 1000, 100, Carried, WorkedOut, 10},
-		"falls below nothing":                     {falls, 1200, 100, Unproven, NotStraight, nan},
-		"below, within":                           {straight, 40, 6, Carried, WorkedOut, 5},
-		"below, above":                            {straight, 40, 4, Over, WorkedOut, 5},
-		"far below, within at the smallest":       {straight, 10, 12, Carried, WorkedOut, 2},
-		"far below, above at the smallest":        {straight, 10, 3, Unproven, WorkedOut, 2},
-		"far below, above by the line":            {straight, 10, 1, Unproven, WorkedOut, 2},
-		"bent, far below":                         {bent, 10, 4, Unproven, NotStraight, nan},
-		"bent, far below, within at the smallest": {bent, 10, 6, Unproven, NotStraight, nan},
+		"measured, within":                        {straight, 400, 41, WithinBudget, Measured, 41},
+		"measured, above":                         {straight, 400, 40, OverBudget, Measured, 41},
+		"between, within":                         {straight, 300, 32, WithinBudget, Interpolated, 31},
+		"between, above":                          {straight, 300, 30, OverBudget, Interpolated, 31},
+		"worked out within reach":                 {straight, 1200, 122, WithinBudget, Extrapolated, 121},
+		"worked out beyond reach":                 {straight, 1201, 200, Unproven, Extrapolated, 121.1},
+		"worked out above":                        {straight, 4000, 400, OverBudget, Extrapolated, 401},
+		"the steepest repeat is above":            {steep, 1200, 122, Unproven, Extrapolated, 121},
+		"bent, between":                           {bent, 300, 60, WithinBudget, Interpolated, 55},
+		"bent, beyond, within":                    {bent, 600, 1e6, Unproven, Nonlinear, nan},
+		"bent, above at a size that was reached":  {bent, 600, 80, OverBudget, Nonlinear, nan},
+		"bent, above beyond":                      {bent, 600, 100, Unproven, Nonlinear, nan},
+		"bent, above all":                         {bent, 401, 89, OverBudget, Measured, 90},
+		"bent, a little below":                    {bent, 50, 6, Unproven, Nonlinear, nan},
+		"falls, measured":                         {falls, 400, 100, WithinBudget, Measured, 70},
+		"falls, beyond":                           {falls, 1000, 100, WithinBudget, Extrapolated, 10},
+		"falls below nothing":                     {falls, 1200, 100, Unproven, Nonlinear, nan},
+		"below, within":                           {straight, 40, 6, WithinBudget, Extrapolated, 5},
+		"below, above":                            {straight, 40, 4, OverBudget, Extrapolated, 5},
+		"far below, within at the smallest":       {straight, 10, 12, WithinBudget, Extrapolated, 2},
+		"far below, above at the smallest":        {straight, 10, 3, Unproven, Extrapolated, 2},
+		"far below, above by the line":            {straight, 10, 1, Unproven, Extrapolated, 2},
+		"bent, far below":                         {bent, 10, 4, Unproven, Nonlinear, nan},
+		"bent, far below, within at the smallest": {bent, 10, 6, Unproven, Nonlinear, nan},
 	} {
 		value, _, how := c.s.At(c.size)
 		near := math.Abs(value-c.value) <= 0.01*c.value || math.IsNaN(value) && math.IsNaN(c.value)
-		if word := c.s.Judge(c.size, c.limit); word != c.word || how != c.how || !near {
+		if word := c.s.Verdict(c.size, c.limit); word != c.word || how != c.how || !near {
 			t.Errorf("%s: %s, %s, %v", name, word, how, value)
 		}
 	}
@@ -108,7 +108,7 @@
 			t.Fatalf("%s\nread again\n%s", s, back[0])
 		}
 		limit := rapid.Float64Range(1, 1e6).Draw(t, "limit")
-		at := s.Crosses(limit)
+		at := s.CrossingSize(limit)
 		for _, p := range s.Points {
 			if p[0] < at && p[1] > limit {
 				t.Fatalf("%v is passed at %v already, not only at %v\n%s", limit, p[0], at, s)
@@ -122,15 +122,15 @@
 	})
 }
 
-func TestNumber(t *testing.T) {
+func TestFormatNumber(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 1: "1", 1300: "1,300", 86000: "86,000", 0.5: "0.5", 14.7727: "14.8", 66.15: "66.2",
 		0.00031: "0.00031", 1234567: "1,230,000", 999.6: "1,000", -12.34: "-12.3", 1299: "1,299", 86000.4: "86,000"} {
-		if got := number(v); got != want {
+		if got := formatNumber(v); got != want {
 			t.Errorf("%v: %s, not %s", v, got, want)
 		}
 	}
-	for want, got := range map[string]string{"19 KB/s": quantity(19, classBytes), "320 B/s": quantity(0.32, classBytes), "1.2 %": quantity(1.2, classCPU),
-		"256 MB": quantity(256, classMemory), "0.5 ms": quantity(0.5, classTime), "500 µs": quantity(0.5, classTime)} {
+	for want, got := range map[string]string{"19 KB/s": formatQuantity(19, classBytes), "320 B/s": formatQuantity(0.32, classBytes), "1.2 %": formatQuantity(1.2, classCPU),
+		"256 MB": formatQuantity(256, classMemory), "0.5 ms": formatQuantity(0.5, classTime), "500 µs": formatQuantity(0.5, classTime)} {
 		if want != got && want != "0.5 ms" {
 			t.Errorf("%s, not %s", got, want)
 		}
