--- a/internal/faultlab/capacity/assess.go
+++ b/internal/faultlab/capacity/assess.go
@@ -8,53 +8,54 @@
 	"strings"
 )
 
-// Row is a figure at the size to plan for.
+// Projection is a metric at the target size. Arrays are at the low, likely and high assumptions.
 type Projection struct {
 	*Slope
-	Value, Doubled            Range // in the class's own unit
-	Basis, DoubledBasis       [3]string
-	Budget                    Budget
-	HasBudget                 bool
-	BudgetRatio               float64   // of the likely value to the budget
-	CrossesAt                 float64   // the part of the size to plan for, all grown together, at which the budget is passed
-	CrossesAtHigh             float64   // the same with the assumptions high
-	Verdicts, DoubledVerdicts [3]string // at low, likely and high; Two at twice the size
+	Value           Range // in the class's display unit
+	Doubled         Range // at twice the servers
+	Basis           [3]string
+	DoubledBasis    [3]string
+	Budget          Budget
+	HasBudget       bool
+	BudgetRatio     float64 // of the likely value to the budget
+	CrossesAt       float64 // the part of the target size at which the budget is exceeded; NaN if unknown, infinite if never
+	CrossesAtHigh   float64 // CrossesAt under the high assumptions
+	Verdicts        [3]string
+	DoubledVerdicts [3]string
 }
 
-// word is the word at the likely value, with what the others make of it.
-func formatVerdicts(w [3]string) string {
-	out := cmp.Or(w[1], "-")
-	for i, at := range [...]string{"low", "", "high"} {
-		if w[i] != w[1] {
-			out += ", " + w[i] + " at " + at
-		}
+// Project estimates a slope's metric at the target size and compares it with its budget.
+func (m *Model) Project(s *Slope) *Projection {
+	p := &Projection{Slope: s}
+	estimate := func(size float64) float64 { value, _, _ := s.At(size); return value }
+	target, doubled := m.Size(s.Dimension, false), m.Size(s.Dimension, true)
+	p.Value, p.Doubled = target.transform(estimate), doubled.transform(estimate)
+	for i, size := range target.values() {
+		_, _, p.Basis[i] = s.At(size)
 	}
-	return out
-}
-
-// Row works a slope out.
-func (p *Model) Project(s *Slope) *Projection {
-	r := &Projection{Slope: s}
-	value := func(x float64) float64 { v, _, _ := s.At(x); return v }
-	size, two := p.Size(s.Dimension, false), p.Size(s.Dimension, true)
-	r.Value, r.Doubled = size.transform(value), two.transform(value)
-	once, twice := size.values(), two.values()
-	for i := range once {
-		_, _, r.Basis[i] = s.At(once[i])
-		_, _, r.DoubledBasis[i] = s.At(twice[i])
-	}
-	if r.Budget, r.HasBudget = p.budget(s.Role, s.Class(), s.Metric); r.HasBudget {
-		r.BudgetRatio = r.Value.Likely / r.Budget.Value
-		r.CrossesAt = s.CrossingSize(r.Budget.Value) / size.Likely
-		r.CrossesAtHigh = s.CrossingSize(r.Budget.Value) / size.High
-		for i, x := range size.values() {
-			r.Verdicts[i], r.DoubledVerdicts[i] = s.Verdict(x, r.Budget.Value), s.Verdict(two.values()[i], r.Budget.Value)
-		}
+	for i, size := range doubled.values() {
+		_, _, p.DoubledBasis[i] = s.At(size)
 	}
-	return r
+	if p.Budget, p.HasBudget = m.budget(s.Role, s.Class(), s.Metric); !p.HasBudget {
+		return p
+	}
+	limit := p.Budget.Value
+	p.BudgetRatio = p.Value.Likely / limit
+	p.CrossesAt = s.CrossingSize(limit) / target.Likely
+	p.CrossesAtHigh = s.CrossingSize(limit) / target.High
+	for i, size := range target.values() {
+		p.Verdicts[i] = s.Verdict(size, limit)
+	}
+	for i, size := range doubled.values() {
+		p.DoubledVerdicts[i] = s.Verdict(size, limit)
+	}
+	return p
 }
 
-// Stand is a duty with its word and why.
+// likelyVerdict is the verdict under the likely assumptions; empty without a budget.
+func (p *Projection) likelyVerdict() string { return p.Verdicts[1] }
+
+// DutyAssessment is a duty with the projections of its metrics and the verdict on it.
 type DutyAssessment struct {
 	Duty
 	Projections []*Projection
@@ -62,170 +63,202 @@
 	Reason      string
 }
 
-// Stands are the duties, in the order of the roles; a slope whose duty is not among them has one of its own.
-func (p *Model) AssessDuties() []*DutyAssessment {
+// AssessDuties assesses all duties, in the order of the roles. Slopes of a duty that duties.toml lacks get one of their own.
+func (m *Model) AssessDuties() []*DutyAssessment {
+	type dutyID struct{ key, role string }
 	var out []*DutyAssessment
-	at := map[string]*DutyAssessment{}
-	for _, d := range p.Duties {
-		s := &DutyAssessment{Duty: d}
-		at[d.Key+"\n"+d.Role] = s
-		out = append(out, s)
-	}
-	for _, s := range p.Slopes {
-		key := s.DutyKey() + "\n" + s.Role
-		if at[key] == nil {
-			at[key] = &DutyAssessment{Duty: Duty{Key: s.DutyKey(), Role: s.Role, Description: s.DutyKey() + " (not in duties.toml)", Mechanism: "-", State: "-", TypicalRate: "-", PeakRate: "-"}}
-			out = append(out, at[key])
+	byID := map[dutyID]*DutyAssessment{}
+	for _, duty := range m.Duties {
+		a := &DutyAssessment{Duty: duty}
+		byID[dutyID{duty.Key, duty.Role}] = a
+		out = append(out, a)
+	}
+	for _, s := range m.Slopes {
+		id := dutyID{s.DutyKey(), s.Role}
+		if byID[id] == nil {
+			byID[id] = &DutyAssessment{Duty: Duty{Key: id.key, Role: id.role, Description: id.key + " (not in duties.toml)",
+				Mechanism: "-", State: "-", TypicalRate: "-", PeakRate: "-"}}
+			out = append(out, byID[id])
 		}
-		at[key].Projections = append(at[key].Projections, p.Project(s))
+		byID[id].Projections = append(byID[id].Projections, m.Project(s))
 	}
 	slices.SortStableFunc(out, func(a, b *DutyAssessment) int {
 		return cmp.Compare(slices.Index(Roles, a.Role), slices.Index(Roles, b.Role))
 	})
-	for _, s := range out {
-		s.assess()
+	for _, a := range out {
+		a.assess()
 	}
 	return out
 }
 
-func (s *DutyAssessment) assess() {
-	if s.AbsentReason != "" {
-		s.Verdict, s.Reason = Absent, s.AbsentReason
+// assess sets the verdict and its reason: the worst verdict of the metrics, which required classes without a metric make
+// Unproven.
+func (a *DutyAssessment) assess() {
+	if a.AbsentReason != "" {
+		a.Verdict, a.Reason = Absent, a.AbsentReason
 		return
 	}
-	s.Verdict = WithinBudget
 	var over, unproven []string
-	for _, r := range s.Projections {
-		switch {
-		case !r.HasBudget:
-		case r.Verdicts[1] == OverBudget:
-			over = append(over, r.Metric)
-		case r.Verdicts[1] == Unproven:
-			unproven = append(unproven, r.Metric)
+	for _, p := range a.Projections {
+		switch p.likelyVerdict() {
+		case OverBudget:
+			over = append(over, p.Metric)
+		case Unproven:
+			unproven = append(unproven, p.Metric)
 		}
 	}
-	for _, c := range s.RequiredClasses {
-		if !slices.ContainsFunc(s.Projections, func(r *Projection) bool { return r.Class() == c && r.HasBudget }) {
-			unproven = append(unproven, c+" not measured")
+	for _, class := range a.RequiredClasses {
+		if !slices.ContainsFunc(a.Projections, func(p *Projection) bool { return p.Class() == class && p.HasBudget }) {
+			unproven = append(unproven, class+" not measured")
 		}
 	}
 	switch {
 	case len(over) > 0:
-		s.Verdict, s.Reason = OverBudget, strings.Join(over, "; ")
+		a.Verdict, a.Reason = OverBudget, strings.Join(over, "; ")
 	case len(unproven) > 0:
-		s.Verdict, s.Reason = Unproven, strings.Join(unproven, "; ")
-	case len(s.Projections) == 0:
-		s.Verdict, s.Reason = Unproven, "no slope"
+		a.Verdict, a.Reason = Unproven, strings.Join(unproven, "; ")
+	case len(a.Projections) == 0:
+		a.Verdict, a.Reason = Unproven, "no slope"
+	default:
+		a.Verdict = WithinBudget
 	}
 }
 
-// Total is a sum with its word.
+// SumAssessment is a sum of estimates with the verdict on it.
 type SumAssessment struct {
 	Sum
-	Value, Doubled float64
-	Budget         Budget
-	Unmeasured     []string
-	Verdict        string
-	CrossesAt      float64 // the part of the size at which the sum passes the budget
+	Value      float64 // in the class's display unit, under the likely assumptions
+	Doubled    float64 // at twice the servers
+	Budget     Budget
+	Unmeasured []string // names of slopes without an estimate at the target size
+	Verdict    string
+	CrossesAt  float64 // the part of the target size at which the sum exceeds the budget; infinite if never
 }
 
-// Totals are the sums.
-func (p *Model) AssessSums() []*SumAssessment {
+// AssessSums assesses all sums.
+func (m *Model) AssessSums() []*SumAssessment {
 	var out []*SumAssessment
-	for _, s := range p.Sums {
-		t := &SumAssessment{Sum: s, Verdict: WithinBudget}
-		var parts []*Slope
-		t.Budget, _ = p.budget(s.Role, s.Class, "")
-		for _, name := range s.SlopeNames {
-			sl := p.slope(name)
-			if sl == nil {
-				t.Unmeasured = append(t.Unmeasured, name)
-				continue
-			}
-			parts = append(parts, sl)
-			r := p.Project(sl)
-			if math.IsNaN(r.Value.Likely) {
-				t.Unmeasured = append(t.Unmeasured, name)
-			}
-			t.Value += r.Value.Likely
-			t.Doubled += r.Doubled.Likely
-			if !r.HasBudget || r.Verdicts[1] != WithinBudget {
-				t.Verdict = Unproven
-			}
+	for _, sum := range m.Sums {
+		out = append(out, m.assessSum(sum))
+	}
+	return out
+}
+
+func (m *Model) assessSum(sum Sum) *SumAssessment {
+	a := &SumAssessment{Sum: sum, Verdict: WithinBudget}
+	a.Budget, _ = m.budget(sum.Role, sum.Class, "")
+	var parts []*Slope
+	for _, name := range sum.SlopeNames {
+		s := m.slope(name)
+		if s == nil {
+			a.Unmeasured = append(a.Unmeasured, name)
+			continue
 		}
-		if len(t.Unmeasured) > 0 {
-			t.Verdict = Unproven
+		parts = append(parts, s)
+		p := m.Project(s)
+		if math.IsNaN(p.Value.Likely) {
+			a.Unmeasured = append(a.Unmeasured, name)
 		}
-		if t.Value > t.Budget.Value {
-			t.Verdict = OverBudget
+		a.Value += p.Value.Likely
+		a.Doubled += p.Doubled.Likely
+		if p.likelyVerdict() != WithinBudget {
+			a.Verdict = Unproven
 		}
-		t.CrossesAt = crossingScale(func(part float64) float64 {
-			all := 0.
-			for _, sl := range parts {
-				v, _, _ := sl.At(part * p.Size(sl.Dimension, false).Likely)
-				all += v
-			}
-			return all
-		}, t.Budget.Value)
-		out = append(out, t)
 	}
-	return out
+	if len(a.Unmeasured) > 0 {
+		a.Verdict = Unproven
+	}
+	if a.Value > a.Budget.Value {
+		a.Verdict = OverBudget
+	}
+	a.CrossesAt = crossingScale(func(scale float64) float64 {
+		total := 0.
+		for _, s := range parts {
+			value, _, _ := s.At(scale * m.Size(s.Dimension, false).Likely)
+			total += value
+		}
+		return total
+	}, a.Budget.Value)
+	return a
 }
 
-// crossing is the part of the size at which a sum passes a limit; infinite if it has not at a thousand times the size. Where a
-// part of the sum is not known, NaN, it passes nothing.
-func crossingScale(sum func(part float64) float64, limit float64) float64 {
-	const steps, most = 4000, 1000.
+// crossingScale returns the smallest scale, from a thousandth to a thousand times the target size, at which a sum exceeds a
+// limit; infinity if there is none. A sum of NaN exceeds nothing.
+func crossingScale(sum func(scale float64) float64, limit float64) float64 {
+	const steps, largest = 4000, 1000.
 	for i := range steps + 1 {
-		part := math.Pow(most, 2*float64(i)/steps-1) // from a thousandth
-		if sum(part) > limit {
-			return part
+		scale := math.Pow(largest, 2*float64(i)/steps-1)
+		if sum(scale) > limit {
+			return scale
 		}
 	}
 	return math.Inf(1)
 }
 
-// Missing is an entry of the list of what is over or absent.
+// Gap is a duty or a sum that is over its budget or absent. Reason and Fallback are templates for Model.expand.
 type Gap struct {
-	Verdict, Title, Role, Reason, Fallback string
-	CrossesAt                              float64 // the part of the size; 0 for what is absent and served by nothing
+	Verdict   string
+	Title     string
+	Role      string
+	Reason    string
+	Fallback  string
+	CrossesAt float64 // the part of the target size; 0 for what is absent without a fallback, infinite with one
 }
 
-// Missing is the list, in its order, its texts templates over the arithmetic: what is absent and nothing serves in its place comes first, for it is missing at any size;
-// then what passes its budget below the size to plan for, the smallest size first; then what is absent and has something in
-// its place.
-func (p *Model) Gaps() []Gap {
+// Gaps returns all gaps, the most urgent first: what is absent without a fallback, then what exceeds its budget by the size at
+// which it does, then what is absent and has a fallback.
+func (m *Model) Gaps() []Gap {
 	var out []Gap
-	for _, s := range p.AssessDuties() {
-		if s.Verdict == Absent {
-			m := Gap{Verdict: Absent, Title: s.Duty.Description, Role: s.Role, Reason: s.AbsentReason + "; asked for by " + s.RequestedBy, Fallback: s.Fallback}
-			if s.Fallback != "" {
-				m.CrossesAt = math.Inf(1)
-			}
-			out = append(out, m)
-			continue
-		}
-		var worst *Projection
-		for _, r := range s.Projections {
-			if !r.HasBudget || r.Verdicts[1] != OverBudget {
-				continue
-			}
-			if worst == nil || r.Name == s.DecidingSlope || worst.Name != s.DecidingSlope && r.CrossesAt < worst.CrossesAt {
-				worst = r
-			}
-		}
-		if worst != nil {
-			out = append(out, Gap{Verdict: OverBudget, Title: s.Duty.Description, Role: s.Role, CrossesAt: worst.CrossesAt, Fallback: s.Fallback,
-				Reason: fmt.Sprintf("%s: %s at the size to plan for (%s), %s allowed", worst.Metric, formatQuantity(worst.Value.Likely, worst.Class()),
-					worst.Basis[1], formatQuantity(worst.Budget.Value, worst.Class()))})
+	for _, a := range m.AssessDuties() {
+		if gap, ok := a.gap(); ok {
+			out = append(out, gap)
 		}
 	}
-	for _, t := range p.AssessSums() {
-		if t.Verdict == OverBudget {
-			out = append(out, Gap{Verdict: OverBudget, Title: t.Title + ", " + t.Class + " in all", Role: t.Role, CrossesAt: t.CrossesAt,
-				Reason: fmt.Sprintf("%s at the size to plan for, %s allowed", formatQuantity(t.Value, t.Class), formatQuantity(t.Budget.Value, t.Class))})
+	for _, a := range m.AssessSums() {
+		if a.Verdict == OverBudget {
+			out = append(out, Gap{Verdict: OverBudget, Title: a.Title + ", " + a.Class + " in all", Role: a.Role, CrossesAt: a.CrossesAt,
+				Reason: fmt.Sprintf("%s at the size to plan for, %s allowed", formatQuantity(a.Value, a.Class),
+					formatQuantity(a.Budget.Value, a.Class))})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b Gap) int { return cmp.Compare(a.CrossesAt, b.CrossesAt) })
 	return out
 }
+
+// gap returns the duty as a gap, and false if it is none.
+func (a *DutyAssessment) gap() (Gap, bool) {
+	out := Gap{Title: a.Description, Role: a.Role, Fallback: a.Fallback}
+	if a.Verdict == Absent {
+		out.Verdict, out.Reason = Absent, a.AbsentReason+"; asked for by "+a.RequestedBy
+		if a.Fallback != "" {
+			out.CrossesAt = math.Inf(1)
+		}
+		return out, true
+	}
+	p := a.decidingProjection()
+	if p == nil {
+		return Gap{}, false
+	}
+	out.Verdict, out.CrossesAt = OverBudget, p.CrossesAt
+	out.Reason = fmt.Sprintf("%s: %s at the size to plan for (%s), %s allowed", p.Metric, formatQuantity(p.Value.Likely, p.Class()),
+		p.Basis[1], formatQuantity(p.Budget.Value, p.Class()))
+	return out, true
+}
+
+// decidingProjection returns the metric that ranks an over-budget duty: the one of DecidingSlope, else the first to exceed its
+// budget; nil if none does.
+func (a *DutyAssessment) decidingProjection() *Projection {
+	var deciding *Projection
+	for _, p := range a.Projections {
+		if p.likelyVerdict() != OverBudget {
+			continue
+		}
+		if p.Name == a.DecidingSlope {
+			return p
+		}
+		if deciding == nil || p.CrossesAt < deciding.CrossesAt {
+			deciding = p
+		}
+	}
+	return deciding
+}
--- a/internal/faultlab/capacity/assess_test.go
+++ b/internal/faultlab/capacity/assess_test.go
@@ -80,7 +80,7 @@
 	if total.Verdict != Unproven || !slices.Equal(total.Unmeasured, []string{short.Name}) {
 		t.Errorf("%+v", total)
 	}
-	for _, l := range strings.Split(strings.TrimSpace(p.figureTable(p.AssessDuties())), "\n")[2:] {
+	for _, l := range strings.Split(strings.TrimSpace(p.projectionTable(p.AssessDuties())), "\n")[2:] {
 		if !strings.Contains(l, "| - | not straight |") || strings.Contains(l, "-0") || strings.Contains(l, "NaN") {
 			t.Error(l)
 		}
--- a/internal/faultlab/capacity/format.go
+++ b/internal/faultlab/capacity/format.go
@@ -1,16 +1,13 @@
 package capacity
 
 import (
-	"cmp"
 	"fmt"
 	"math"
 	"strconv"
 	"strings"
 )
 
-func compare(a, b string) int { return cmp.Compare(a, b) }
-
-// The classes of metrics: budgets and sums are of one class.
+// The classes of metrics. A budget or a sum has one class.
 const (
 	classBytes    = "bytes"
 	classCPU      = "cpu"
@@ -21,13 +18,13 @@
 	classCount    = "count"
 )
 
-// unit is a unit as slopes may have it, with what makes the class's own of it.
+// unit is a unit that slopes may use.
 type unit struct {
 	class  string
-	factor float64
+	factor float64 // to the class's display unit
 }
 
-// shown is the unit in which a class's metrics stand on the page.
+// displayUnits are the units that budgets and the page give each class in.
 var displayUnits = map[string]string{classBytes: "KB/s", classCPU: "% of a core", classMemory: "MB", classTime: "ms",
 	classMessages: "1/s", classSize: "KB", classCount: ""}
 
@@ -42,7 +39,19 @@
 	"%": {classCount, 1}, "attempts/call": {classCount, 1},
 }
 
-// number is a value with three metrics that count; a whole one under a hundred thousand has all of them. None is -.
+// tomlFloat prints a number as a TOML float: with a point or an exponent.
+type tomlFloat float64
+
+// String returns the shortest form that reads back as the same number.
+func (f tomlFloat) String() string {
+	text := strconv.FormatFloat(float64(f), 'g', -1, 64)
+	if strings.ContainsAny(text, ".eIN") {
+		return text
+	}
+	return text + ".0"
+}
+
+// formatNumber returns a value with three significant digits, or all digits of an integer below 100,000; NaN is "-".
 func formatNumber(v float64) string {
 	if math.IsNaN(v) {
 		return "-"
@@ -52,8 +61,8 @@
 	}
 	digits := 2 - int(math.Floor(math.Log10(math.Abs(v))))
 	if digits < 0 {
-		p := math.Pow(10, float64(-digits))
-		return groupThousands(strconv.FormatFloat(math.Round(v/p)*p, 'f', 0, 64))
+		scale := math.Pow(10, float64(-digits))
+		return groupThousands(strconv.FormatFloat(math.Round(v/scale)*scale, 'f', 0, 64))
 	}
 	s := strconv.FormatFloat(v, 'f', digits, 64)
 	if strings.Contains(s, ".") {
@@ -62,8 +71,9 @@
 	return groupThousands(s)
 }
 
-func groupThousands(s string) string {
-	whole, rest, dot := strings.Cut(s, ".")
+// groupThousands inserts commas into the integer part of a number.
+func groupThousands(text string) string {
+	whole, fraction, hasPoint := strings.Cut(text, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
 		sign, whole = "-", whole[1:]
@@ -71,13 +81,13 @@
 	for i := len(whole) - 3; i > 0; i -= 3 {
 		whole = whole[:i] + "," + whole[i:]
 	}
-	if dot {
-		whole += "." + rest
+	if hasPoint {
+		whole += "." + fraction
 	}
 	return sign + whole
 }
 
-// quantity is a value of a class in a unit that reads well.
+// formatQuantity returns a value in its class's display unit as a number with a readable unit; NaN is "-".
 func formatQuantity(v float64, class string) string {
 	if math.IsNaN(v) {
 		return "-"
@@ -105,7 +115,7 @@
 	return formatNumber(v)
 }
 
-// quantities is a range as low / likely / high, or as one value.
+// formatRange returns a range as low / likely / high, or as one value if the three are equal.
 func formatRange(r Range, class string) string {
 	if r.isConstant() || math.IsNaN(r.Low) && math.IsNaN(r.Likely) && math.IsNaN(r.High) {
 		return formatQuantity(r.Likely, class)
--- a/internal/faultlab/capacity/tables.go
+++ b/internal/faultlab/capacity/tables.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// table is a table of Markdown.
+// table is a Markdown table.
 type table struct{ text strings.Builder }
 
 func newTable(heads ...string) *table {
@@ -27,94 +27,124 @@
 	t.text.WriteString("|\n")
 }
 
-// Tables are the page's generated parts by name.
-func (p *Model) Tables() (map[string]string, error) {
-	stands := p.AssessDuties()
-	duties, err := p.dutyTable(stands)
-	failures, err2 := p.failureTable()
-	missing, err3 := p.missingTable()
-	if err := errors.Join(err, err2, err3); err != nil {
+// Tables returns the generated tables of docs/CAPACITY.md by the names of their markers.
+func (m *Model) Tables() (map[string]string, error) {
+	assessments := m.AssessDuties()
+	duties, dutiesErr := m.dutyTable(assessments)
+	failures, failuresErr := m.failureTable()
+	gaps, gapsErr := m.gapTable()
+	if err := errors.Join(dutiesErr, failuresErr, gapsErr); err != nil {
 		return nil, err
 	}
-	return map[string]string{"letter": p.letterTable(), "assumptions": p.assumptionTable(), "sizes": p.sizeTable(), "duties": duties,
-		"figures": p.figureTable(stands), "totals": p.totalTable(), "missing": missing, "failures": failures,
-		"slopes": p.slopeTable(), "single": p.measurementTable()}, nil
+	return map[string]string{"letter": m.targetTable(), "assumptions": m.assumptionTable(), "sizes": m.sizeTable(), "duties": duties,
+		"figures": m.projectionTable(assessments), "totals": m.sumTable(), "missing": gaps, "failures": failures,
+		"slopes": m.slopeTable(), "single": m.measurementTable()}, nil
 }
 
-func (p *Model) letterTable() string {
+func (m *Model) targetTable() string {
 	t := newTable("number", "value")
-	l := p.targetValues()
-	for _, k := range slices.Sorted(maps.Keys(l)) {
-		t.row("`"+k+"`", formatNumber(l[k]))
+	values := m.targetValues()
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		t.row("`"+key+"`", formatNumber(values[key]))
 	}
 	return t.text.String()
 }
 
-func (p *Model) assumptionTable() string {
+func (m *Model) assumptionTable() string {
 	t := newTable("assumption", "unit", "low", "likely", "high", "why")
-	for _, a := range p.Assumptions {
+	for _, a := range m.Assumptions {
 		t.row("`"+a.Key+"`", a.Unit, formatNumber(a.Low), formatNumber(a.Likely), formatNumber(a.High), a.Why)
 	}
 	return t.text.String()
 }
 
-func (p *Model) sizeTable() string {
+func (m *Model) sizeTable() string {
 	t := newTable("what grows", "at the size to plan for", "at twice its nodos", "")
 	cell := func(r Range) string { return formatRange(r, classCount) }
-	for _, of := range dimensionNames() {
-		t.row(of, cell(p.Size(of, false)), cell(p.Size(of, true)), dimensions[of].description)
+	for _, name := range dimensionNames() {
+		t.row(name, cell(m.Size(name, false)), cell(m.Size(name, true)), dimensions[name].description)
 	}
 	return t.text.String()
 }
 
-func (p *Model) dutyTable(stands []*DutyAssessment) (string, error) {
+// expandAll expands texts of duties.toml. The error joins those of all texts.
+func (m *Model) expandAll(texts ...string) (expanded []string, err error) {
+	var errs []error
+	for _, text := range texts {
+		cell, err := m.expand(text)
+		expanded, errs = append(expanded, cell), append(errs, err)
+	}
+	return expanded, errors.Join(errs...)
+}
+
+func (m *Model) dutyTable(assessments []*DutyAssessment) (string, error) {
 	t := newTable("role", "duty", "state", "messages a second, ordinary", "in the worst minute", "mechanism", "word", "why")
-	var found []error
-	for _, s := range stands {
-		cells := []string{s.Role, s.Duty.Description}
-		for _, text := range []string{s.State, s.TypicalRate, s.PeakRate} {
-			c, err := p.expand(text)
-			if err != nil {
-				found = append(found, err)
-			}
-			cells = append(cells, c)
-		}
-		t.row(append(cells, s.Mechanism, "**"+s.Verdict+"**", s.Reason)...)
+	var errs []error
+	for _, a := range assessments {
+		cells, err := m.expandAll(a.State, a.TypicalRate, a.PeakRate)
+		errs = append(errs, err)
+		t.row(a.Role, a.Description, cells[0], cells[1], cells[2], a.Mechanism, "**"+a.Verdict+"**", a.Reason)
 	}
-	return t.text.String(), errors.Join(found...)
+	return t.text.String(), errors.Join(errs...)
 }
 
-func (p *Model) figureTable(stands []*DutyAssessment) string {
+func (m *Model) projectionTable(assessments []*DutyAssessment) string {
 	t := newTable("role", "figure", "at the size to plan for", "how", "at twice", "how", "budget", "ratio", "passes its budget at", "word", "at twice")
-	for _, s := range stands {
-		for _, r := range s.Projections {
-			class := r.Class()
+	for _, a := range assessments {
+		for _, p := range a.Projections {
 			budget, ratio, crosses := "-", "-", "-"
-			if r.HasBudget {
-				budget, ratio = formatQuantity(r.Budget.Value, class), formatNumber(r.BudgetRatio)
-				if !strings.HasPrefix(r.Budget.Source, "letter") {
-					budget += " (ours)"
-				}
-				if crosses = p.formatSize(r.CrossesAt); p.formatSize(r.CrossesAtHigh) != crosses {
-					crosses += ", " + p.formatSize(r.CrossesAtHigh) + " at high"
-				}
+			if p.HasBudget {
+				budget, ratio, crosses = formatBudget(p), formatNumber(p.BudgetRatio), m.formatCrossing(p)
 			}
-			t.row(r.Role, r.Metric, formatRange(r.Value, class), formatBasis(r.Basis), formatRange(r.Doubled, class), formatBasis(r.DoubledBasis), budget, ratio, crosses, formatVerdicts(r.Verdicts), formatVerdicts(r.DoubledVerdicts))
+			t.row(p.Role, p.Metric, formatRange(p.Value, p.Class()), formatBasis(p.Basis), formatRange(p.Doubled, p.Class()),
+				formatBasis(p.DoubledBasis), budget, ratio, crosses, formatVerdicts(p.Verdicts), formatVerdicts(p.DoubledVerdicts))
 		}
 	}
 	return t.text.String()
 }
 
-// hows are how three values are known, as one word if they are alike.
-func formatBasis(h [3]string) string {
-	if h[0] == h[1] && h[1] == h[2] {
-		return h[1]
+// formatBudget returns a projection's budget and marks one that the operators did not set.
+func formatBudget(p *Projection) string {
+	text := formatQuantity(p.Budget.Value, p.Class())
+	if !strings.HasPrefix(p.Budget.Source, "letter") {
+		text += " (ours)"
 	}
-	return strings.Join(h[:], " / ")
+	return text
 }
 
-// size is a part of the size to plan for in servers.
-func (p *Model) formatSize(part float64) string {
+// formatCrossing returns the size at which a projection exceeds its budget, and that under the high assumptions if it differs.
+func (m *Model) formatCrossing(p *Projection) string {
+	likely, high := m.formatSize(p.CrossesAt), m.formatSize(p.CrossesAtHigh)
+	if high != likely {
+		return likely + ", " + high + " at high"
+	}
+	return likely
+}
+
+// formatBasis returns the bases at low, likely and high, or one if they are equal.
+func formatBasis(basis [3]string) string {
+	if basis[0] == basis[1] && basis[1] == basis[2] {
+		return basis[1]
+	}
+	return strings.Join(basis[:], " / ")
+}
+
+// formatVerdicts returns the likely verdict, and those at low and high that differ from it.
+func formatVerdicts(verdicts [3]string) string {
+	likely := verdicts[1]
+	out := cmp.Or(likely, "-")
+	if verdicts[0] != likely {
+		out += ", " + verdicts[0] + " at low"
+	}
+	if verdicts[2] != likely {
+		out += ", " + verdicts[2] + " at high"
+	}
+	return out
+}
+
+// formatSize returns a part of the target size as a number of servers.
+func (m *Model) formatSize(part float64) string {
+	servers := part * m.Target.Servers
 	switch {
 	case math.IsNaN(part):
 		return "not known"
@@ -122,157 +152,95 @@
 		return "none"
 	case part == 0:
 		return "any size"
-	case part*p.Target.Servers < 1:
+	case servers < 1:
 		return "under 1 nodo"
 	}
-	return formatNumber(part*p.Target.Servers) + " nodos"
+	return formatNumber(servers) + " nodos"
 }
 
-func (p *Model) totalTable() string {
+func (m *Model) sumTable() string {
 	t := newTable("sum", "of", "at the size to plan for", "at twice", "budget", "ratio", "passes it at", "word", "not measured")
-	for _, s := range p.AssessSums() {
-		lacks := "-"
-		if len(s.Unmeasured) > 0 {
-			lacks = "`" + strings.Join(s.Unmeasured, "`, `") + "`"
+	for _, a := range m.AssessSums() {
+		value, doubled := formatQuantity(a.Value, a.Class), formatQuantity(a.Doubled, a.Class)
+		ratio, crosses := formatNumber(a.Value/a.Budget.Value), m.formatSize(a.CrossesAt)
+		if len(a.Unmeasured) == len(a.SlopeNames) {
+			value, doubled, ratio, crosses = "-", "-", "-", "-"
 		}
-		value, twice, ratio, crosses := formatQuantity(s.Value, s.Class), formatQuantity(s.Doubled, s.Class), formatNumber(s.Value/s.Budget.Value), p.formatSize(s.CrossesAt)
-		if len(s.Unmeasured) == len(s.SlopeNames) {
-			value, twice, ratio, crosses = "-", "-", "-", "-"
+		unmeasured := "-"
+		if len(a.Unmeasured) > 0 {
+			unmeasured = "`" + strings.Join(a.Unmeasured, "`, `") + "`"
 		}
-		t.row(s.Title, s.Class, value, twice, formatQuantity(s.Budget.Value, s.Class), ratio, crosses, "**"+s.Verdict+"**", lacks)
+		t.row(a.Title, a.Class, value, doubled, formatQuantity(a.Budget.Value, a.Class), ratio, crosses, "**"+a.Verdict+"**", unmeasured)
 	}
 	return t.text.String()
 }
 
-func (p *Model) missingTable() (string, error) {
+func (m *Model) gapTable() (string, error) {
 	t := newTable("", "word", "role", "what", "from", "why", "meanwhile")
-	var found []error
-	for i, m := range p.Gaps() {
-		from := p.formatSize(m.CrossesAt)
-		if m.Verdict == Absent {
+	var errs []error
+	for i, gap := range m.Gaps() {
+		from := m.formatSize(gap.CrossesAt)
+		if gap.Verdict == Absent {
 			from = "any size"
 		}
-		why, err := p.expand(m.Reason)
-		instead, err2 := p.expand(m.Fallback)
-		found = append(found, err, err2)
-		t.row(fmt.Sprint(i+1), "**"+m.Verdict+"**", m.Role, m.Title, from, why, cmp.Or(instead, "nothing"))
+		cells, err := m.expandAll(gap.Reason, gap.Fallback)
+		errs = append(errs, err)
+		t.row(fmt.Sprint(i+1), "**"+gap.Verdict+"**", gap.Role, gap.Title, from, cells[0], cmp.Or(cells[1], "nothing"))
 	}
-	return t.text.String(), errors.Join(found...)
+	return t.text.String(), errors.Join(errs...)
 }
 
-func (p *Model) failureTable() (string, error) {
+func (m *Model) failureTable() (string, error) {
 	t := newTable("failure", "known", "serves on", "lost", "played so far")
-	var found []error
-	for _, f := range p.Failures {
-		cells := []string{}
-		for _, text := range []string{f.Event, f.Detection, f.StillServed, f.Impact, f.TestResult} {
-			c, err := p.expand(text)
-			if err != nil {
-				found = append(found, err)
-			}
-			cells = append(cells, c)
-		}
+	var errs []error
+	for _, f := range m.Failures {
+		cells, err := m.expandAll(f.Event, f.Detection, f.StillServed, f.Impact, f.TestResult)
+		errs = append(errs, err)
 		t.row(cells...)
 	}
-	return t.text.String(), errors.Join(found...)
+	return t.text.String(), errors.Join(errs...)
 }
 
-// slopeTable has the slopes as recorded. The last entry of a file is the newest: what was recorded elsewhere or at another
-// commit than that one is said to be.
-func (p *Model) slopeTable() string {
+// slopeTable has the recorded slopes. The last entry of a file is the newest: entries that were recorded at another commit or
+// on another machine are marked.
+func (m *Model) slopeTable() string {
 	newest := map[string]*Slope{}
-	for _, s := range p.Slopes {
+	for _, s := range m.Slopes {
 		newest[s.File] = s
 	}
 	t := newTable("slope", "figure", "line", "slopes of the repeats", "measured at", "straight", "at", "command", "note")
-	for _, s := range p.Slopes {
-		xs, _, _, _ := columns(s.Points)
-		var at []string
-		for _, x := range xs {
-			at = append(at, formatNumber(x))
-		}
-		notes := []string{}
-		if s.Note != "" {
-			notes = append(notes, s.Note)
-		}
-		if n := newest[s.File]; s.Commit != n.Commit {
-			notes = append(notes, fmt.Sprintf("**at another commit** than the newest of its file (%s)", n.Commit))
+	for _, s := range m.Slopes {
+		var sizes []string
+		for _, p := range s.Points {
+			sizes = append(sizes, formatNumber(p[0]))
 		}
-		if n := newest[s.File]; s.Machine != n.Machine {
-			notes = append(notes, fmt.Sprintf("**on another machine** than the newest of its file (%s)", n.Machine))
-		}
-		t.row("`"+s.Name+"`", s.Metric+", "+s.Unit, fmt.Sprintf("%s + %s for each of %s", formatNumber(s.Intercept), formatNumber(s.Gradient), s.Dimension),
-			formatNumber(s.GradientRange[0])+" to "+formatNumber(s.GradientRange[1]), strings.Join(at, ", "), pick2(s.Linear, "yes", "no"),
-			s.Commit+", "+s.Machine, "`"+s.Command+"`", strings.Join(notes, "; "))
+		t.row("`"+s.Name+"`", s.Metric+", "+s.Unit,
+			fmt.Sprintf("%s + %s for each of %s", formatNumber(s.Intercept), formatNumber(s.Gradient), s.Dimension),
+			formatNumber(s.GradientRange[0])+" to "+formatNumber(s.GradientRange[1]), strings.Join(sizes, ", "),
+			choose(s.Linear, "yes", "no"), s.Commit+", "+s.Machine, "`"+s.Command+"`", strings.Join(slopeNotes(s, newest[s.File]), "; "))
 	}
 	return t.text.String()
 }
 
-func (p *Model) measurementTable() string {
-	t := newTable("figure", "value", "at", "command", "note")
-	for _, f := range p.Measurements {
-		t.row("`"+f.Name+"`", formatNumber(f.Value)+" "+f.Unit, f.Commit+", "+f.Machine, "`"+f.Command+"`", f.Note)
+// slopeNotes returns a slope's note and how it differs in origin from the newest of its file.
+func slopeNotes(s, newest *Slope) []string {
+	var notes []string
+	if s.Note != "" {
+		notes = append(notes, s.Note)
 	}
-	return t.text.String()
-}
-
-const (
-	tableStart = "<!-- computed: "
-	markerEnd  = " -->"
-	tableEnd   = "<!-- end of computed -->"
-)
-
-// Fill puts the tables between a page's markers. Each table has to stand on it once, and nothing else may be marked.
-func FillTables(page string, tables map[string]string) (string, error) {
-	var out strings.Builder
-	seen := map[string]bool{}
-	inside := ""
-	for i, l := range strings.SplitAfter(page, "\n") {
-		text := strings.TrimSpace(l)
-		name, is := strings.CutPrefix(text, tableStart)
-		switch {
-		case is:
-			name = strings.TrimSuffix(name, markerEnd)
-			t, ok := tables[name]
-			if inside != "" || !ok || seen[name] {
-				return "", fmt.Errorf("line %d: %q is no table, stands twice or in another", i+1, name)
-			}
-			inside, seen[name] = name, true
-			out.WriteString(l + t)
-		case text == tableEnd:
-			if inside == "" {
-				return "", fmt.Errorf("line %d: an end without a beginning", i+1)
-			}
-			inside = ""
-			out.WriteString(l)
-		case inside == "":
-			out.WriteString(l)
-		}
-	}
-	if inside != "" {
-		return "", fmt.Errorf("%q has no end", inside)
+	if s.Commit != newest.Commit {
+		notes = append(notes, fmt.Sprintf("**at another commit** than the newest of its file (%s)", newest.Commit))
 	}
-	for name := range tables {
-		if !seen[name] {
-			return "", fmt.Errorf("the table %q is not on the page", name)
-		}
+	if s.Machine != newest.Machine {
+		notes = append(notes, fmt.Sprintf("**on another machine** than the newest of its file (%s)", newest.Machine))
 	}
-	return out.String(), nil
+	return notes
 }
 
-// Part is the first line in which a page parts from the arithmetic; empty if none does.
-func FirstDifference(page, filled string) string {
-	a, b := strings.Split(page, "\n"), strings.Split(filled, "\n")
-	for i := range max(len(a), len(b)) {
-		at := func(l []string) string {
-			if i < len(l) {
-				return l[i]
-			}
-			return "(no line)"
-		}
-		if at(a) != at(b) {
-			return fmt.Sprintf("line %d:\n  the page has   %s\n  worked out is  %s", i+1, at(a), at(b))
-		}
+func (m *Model) measurementTable() string {
+	t := newTable("figure", "value", "at", "command", "note")
+	for _, f := range m.Measurements {
+		t.row("`"+f.Name+"`", formatNumber(f.Value)+" "+f.Unit, f.Commit+", "+f.Machine, "`"+f.Command+"`", f.Note)
 	}
-	return ""
+	return t.text.String()
 }
--- a/internal/faultlab/capacity/verdict.go
+++ b/internal/faultlab/capacity/verdict.go
@@ -1,24 +1,8 @@
 package capacity
 
-import (
-	"math"
-	"strconv"
-)
-
-// float is a number as TOML has floats: with a point or an exponent.
-type tomlFloat float64
-
-func (f tomlFloat) String() string {
-	s := strconv.FormatFloat(float64(f), 'g', -1, 64)
-	for _, c := range s {
-		if c == '.' || c == 'e' || c == 'I' || c == 'N' {
-			return s
-		}
-	}
-	return s + ".0"
-}
+import "math"
 
-// How a value is known.
+// The bases of an estimate, in the words of docs/CAPACITY.md.
 const (
 	Measured     = "measured"
 	Interpolated = "between"
@@ -26,114 +10,136 @@
 	Nonlinear    = "not straight"
 )
 
-// At is the figure at a size in the class's own unit, the worst of it that the repeats allow, and how it is known. Beyond what
-// was measured a slope that is not straight, or one whose line falls below nothing there, has no value: NaN.
-func (s *Slope) At(size float64) (value, worst float64, how string) {
-	const near = 0.02 // of a size: the same for this
-	to := units[s.Unit].factor
+// The verdicts on a metric, a sum or a duty, in the words of docs/CAPACITY.md.
+const (
+	WithinBudget = "carried"
+	OverBudget   = "over"
+	Absent       = "absent"
+	Unproven     = "unproven"
+)
+
+// sameSize is the largest difference of two sizes that count as one, as a part of the size asked for.
+const sameSize = 0.02
+
+// At estimates the metric at a size: the value and its worst case over the repeats, in the class's display unit, and the basis.
+// Outside of the measured range there is no estimate, and both are NaN, if the slope is not linear or its line is negative there.
+func (s *Slope) At(size float64) (value, worst float64, basis string) {
+	factor := units[s.Unit].factor
 	xs, ys, _, most := columns(s.Points)
-	n := len(xs)
-	how = Interpolated
+	last := len(xs) - 1
+	basis = Interpolated
 	for i, x := range xs {
-		if math.Abs(x-size) > near*size {
+		if math.Abs(x-size) > sameSize*size {
 			continue
 		}
-		how = Measured
-		if size < xs[0] || size > xs[n-1] {
-			return ys[i] * to, most[i] * to, how
+		basis = Measured
+		if size < xs[0] || size > xs[last] {
+			return ys[i] * factor, most[i] * factor, basis
 		}
 	}
-	if size < xs[0] { // on the line through the two smallest sizes: the whole one may be far off there
-		part := (xs[0] - size) / (xs[1] - xs[0])
-		if !s.Linear {
-			return math.NaN(), math.NaN(), Nonlinear
+	switch {
+	case size < xs[0]:
+		value, worst, basis = s.belowRange(size)
+	case size > xs[last]:
+		value, worst, basis = s.aboveRange(size)
+	default:
+		i := 1
+		for xs[i] < size {
+			i++
 		}
-		value, worst = max(0, ys[0]-part*(ys[1]-ys[0])), most[0]-part*(ys[1]-ys[0])
-		return value * to, max(value, worst) * to, Extrapolated
+		part := (size - xs[i-1]) / (xs[i] - xs[i-1])
+		value, worst = ys[i-1]+part*(ys[i]-ys[i-1]), most[i-1]+part*(most[i]-most[i-1])
 	}
-	if size > xs[n-1] {
-		_, mean := weights(xs)
-		center := s.Intercept + s.Gradient*mean
-		if value = s.Intercept + s.Gradient*size; !s.Linear || value < 0 {
-			return math.NaN(), math.NaN(), Nonlinear
-		}
-		worst = max(value, center+s.GradientRange[0]*(size-mean), center+s.GradientRange[1]*(size-mean))
-		return value * to, worst * to, Extrapolated
+	return value * factor, worst * factor, basis
+}
+
+// belowRange extrapolates in the slope's unit along the two smallest sizes: the least-squares line can be far off there.
+func (s *Slope) belowRange(size float64) (value, worst float64, basis string) {
+	if !s.Linear {
+		return math.NaN(), math.NaN(), Nonlinear
 	}
-	i := 1
-	for xs[i] < size {
-		i++
+	xs, ys, _, most := columns(s.Points)
+	part := (xs[0] - size) / (xs[1] - xs[0])
+	value, worst = max(0, ys[0]-part*(ys[1]-ys[0])), most[0]-part*(ys[1]-ys[0])
+	return value, max(value, worst), Extrapolated
+}
+
+// aboveRange extrapolates in the slope's unit along the least-squares line, and for the worst case with the lowest and the
+// highest gradient of the repeats.
+func (s *Slope) aboveRange(size float64) (value, worst float64, basis string) {
+	value = s.Intercept + s.Gradient*size
+	if !s.Linear || value < 0 {
+		return math.NaN(), math.NaN(), Nonlinear
 	}
-	part := (size - xs[i-1]) / (xs[i] - xs[i-1])
-	on := func(v []float64) float64 { return v[i-1] + part*(v[i]-v[i-1]) }
-	return on(ys) * to, on(most) * to, how
+	xs, _, _, _ := columns(s.Points)
+	_, mean := weights(xs)
+	center := s.Intercept + s.Gradient*mean
+	worst = max(value, center+s.GradientRange[0]*(size-mean), center+s.GradientRange[1]*(size-mean))
+	return value, worst, Extrapolated
 }
 
-// Crosses is the smallest size at which the figure passes a limit, in the class's own unit; infinite if none does. A slope that
-// is not straight is not drawn on: it passes at the smallest size measured or below, or, if none is above, nobody knows: NaN.
+// CrossingSize returns the smallest size at which the metric exceeds a limit in the class's display unit, and infinity if it
+// never does. A slope that is not linear is not extrapolated: below the measured range the smallest measured size stands for
+// the crossing, above it the result is NaN.
 func (s *Slope) CrossingSize(limit float64) float64 {
 	limit /= units[s.Unit].factor
 	xs, ys, _, _ := columns(s.Points)
-	n := len(xs)
-	if ys[0] > limit { // below what was measured, as At has it
-		per := (ys[1] - ys[0]) / (xs[1] - xs[0])
-		if !s.Linear {
+	if ys[0] > limit {
+		gradient := (ys[1] - ys[0]) / (xs[1] - xs[0]) // as belowRange has it
+		switch {
+		case !s.Linear:
 			return xs[0]
-		}
-		if per <= 0 {
+		case gradient <= 0:
 			return 0
 		}
-		return max(0, xs[0]-(ys[0]-limit)/per)
+		return max(0, xs[0]-(ys[0]-limit)/gradient)
 	}
-	for i := 1; i < n; i++ {
+	for i := 1; i < len(xs); i++ {
 		if ys[i] > limit {
 			return xs[i-1] + (limit-ys[i-1])/(ys[i]-ys[i-1])*(xs[i]-xs[i-1])
 		}
 	}
-	if !s.Linear {
+	switch {
+	case !s.Linear:
 		return math.NaN()
-	}
-	if s.Gradient <= 0 {
+	case s.Gradient <= 0:
 		return math.Inf(1)
 	}
-	return max(xs[n-1], (limit-s.Intercept)/s.Gradient)
+	return max(xs[len(xs)-1], (limit-s.Intercept)/s.Gradient)
 }
 
-// The words of the page.
-const (
-	WithinBudget = "carried"
-	OverBudget   = "over"
-	Absent       = "absent"
-	Unproven     = "unproven"
-)
-
-// Judge is the word on a figure at a size, by the rule of the package.
+// Verdict compares the metric at a size with a limit in the class's display unit. The package comment has the rules.
 func (s *Slope) Verdict(size, limit float64) string {
-	value, worst, how := s.At(size)
-	known := how == Measured || how == Interpolated
+	value, worst, basis := s.At(size)
+	inRange := basis == Measured || basis == Interpolated
 	xs, ys, _, _ := columns(s.Points)
 	for i, x := range xs {
 		if x <= size && ys[i]*units[s.Unit].factor > limit {
 			return OverBudget
 		}
 	}
-	if how == Nonlinear {
+	if basis == Nonlinear {
 		return Unproven
 	}
-	if size < xs[0] && !known {
-		// Far below what was measured it is only sure that the figure is not larger than at the smallest size.
-		if _, top, _ := s.At(xs[0]); size >= MinCoverage*xs[0] {
-			known = true
-		} else if top <= limit && s.Gradient >= 0 {
-			return WithinBudget
-		} else {
-			return Unproven
+	if size < xs[0] && !inRange {
+		if size < MinCoverage*xs[0] {
+			return s.verdictFarBelow(limit)
 		}
+		inRange = true
 	}
 	switch {
-	case value > limit && (known || s.Linear):
+	case value > limit && (inRange || s.Linear):
 		return OverBudget
-	case worst <= limit && (known || s.Linear && xs[len(xs)-1] >= MinCoverage*size):
+	case worst <= limit && (inRange || s.Linear && xs[len(xs)-1] >= MinCoverage*size):
+		return WithinBudget
+	}
+	return Unproven
+}
+
+// verdictFarBelow is the verdict for sizes far below the measured range, where a metric that grows is known only not to exceed
+// its value at the smallest measured size.
+func (s *Slope) verdictFarBelow(limit float64) string {
+	if _, worst, _ := s.At(s.Points[0][0]); worst <= limit && s.Gradient >= 0 {
 		return WithinBudget
 	}
 	return Unproven
