--- a/internal/faultlab/capacity/assess_test.go
+++ b/internal/faultlab/capacity/assess_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// plain is the numbers as set, with duties and slopes of a test's own.
+// modelWith returns the recorded inputs with other duties and slopes.
 func modelWith(t *testing.T, d []Duty, sums []Sum, s ...*Slope) *Model {
 	t.Helper()
 	n, err := ReadInputs(os.DirFS(folder))
@@ -17,7 +17,7 @@
 	return &Model{n, &dutyFile{Duties: d, Sums: sums}, s}
 }
 
-// grows is a slope of a proxy's that passes a budget of 19 KB/s at so many proxies, measured up to 1,300.
+// slopeOverBudgetAt returns a slope that exceeds 19 KB/s at a number of proxies, with points up to 1,300.
 func slopeOverBudgetAt(name, role string, at float64) *Slope {
 	s := slopeOf([2]float64{13, 19 * 13 / at}, [2]float64{130, 19 * 130 / at}, [2]float64{1300, 19 * 1300 / at})
 	s.Name, s.Role, s.File = name, role, "slopes/a.toml"
@@ -60,7 +60,7 @@
 	}
 }
 
-// What is not straight is not drawn on: not on the page's cells, nor into a sum, nor to where it passes a budget.
+// A nonlinear slope is not extrapolated: not in the page's cells, in a sum or for where it exceeds a budget.
 func TestNonlinearIsNotExtrapolated(t *testing.T) {
 	following := Roles[1]
 	noisy := slopeOf([2]float64{15, 34}, [2]float64{150, 3}, [2]float64{1300, 1})
@@ -85,21 +85,21 @@
 			t.Error(l)
 		}
 	}
-	// Were they straight, lines would be drawn.
+	// If they were linear, they would be extrapolated.
 	noisy.Linear, short.Linear = true, true
 	if r := p.Project(short); r.Basis[1] != Extrapolated || r.Verdicts[1] != WithinBudget && r.Verdicts[1] != OverBudget {
 		t.Errorf("%+v", r)
 	}
 }
 
-// Of several metrics that are over from the same size on, the duty says which speaks for it.
+// The duty selects which of several over-budget metrics ranks it.
 func TestDecidingSlope(t *testing.T) {
 	d := []Duty{{Key: "list", Role: Roles[1], Description: "d", RequiredClasses: []string{classBytes}}}
 	p := modelWith(t, d, nil, slopeOverBudgetAt("list.proxy.first", Roles[1], 30), slopeOverBudgetAt("list.proxy.second", Roles[1], 700))
 	if m := p.Gaps(); len(m) != 1 || p.formatSize(m[0].CrossesAt) != "30 nodos" {
 		t.Errorf("%+v", m)
 	}
-	// One that is within its budget does not hide the other.
+	// A metric within its budget does not hide another.
 	p.Slopes = append(p.Slopes, slopeOverBudgetAt("list.proxy.fine", Roles[1], 3000))
 	d[0].DecidingSlope = "list.proxy.fine"
 	if m := p.Gaps(); len(m) != 1 || p.formatSize(m[0].CrossesAt) != "30 nodos" {
@@ -111,7 +111,7 @@
 	}
 }
 
-// What was recorded elsewhere, or at another commit than the newest entry of its file, is said to be.
+// Entries of another machine or commit than the newest of their file are marked.
 func TestOlderEntriesAreMarked(t *testing.T) {
 	old, far, now := slopeOverBudgetAt("a.b.old", Roles[1], 30), slopeOverBudgetAt("a.b.far", Roles[1], 30), slopeOverBudgetAt("a.b.now", Roles[1], 30)
 	old.Commit, far.Machine = "1234567", "another"
--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -26,7 +26,7 @@
 	page   = "../../../docs/CAPACITY.md"
 )
 
-// recorded is a copy of the folder, that a test may damage.
+// capacityFiles returns a copy of docs/capacity that a test may change.
 func capacityFiles(t *testing.T) fstest.MapFS {
 	t.Helper()
 	files := fstest.MapFS{}
@@ -45,7 +45,7 @@
 	return files
 }
 
-// parts is where the page parts from the arithmetic over these files.
+// pageDifference describes the first difference of a page from the model of these files; empty if there is none.
 func pageDifference(t *testing.T, files fs.FS, text string) string {
 	t.Helper()
 	p, err := Read(files)
@@ -63,7 +63,7 @@
 	return FirstDifference(text, filled)
 }
 
-// The page has what its files come to. With -update it is made so.
+// The tables of docs/CAPACITY.md are those of docs/capacity. With -update they are rewritten.
 func TestPageMatchesModel(t *testing.T) {
 	text, err := os.ReadFile(page)
 	if err != nil {
@@ -88,12 +88,11 @@
 		return
 	}
 	if at := pageDifference(t, os.DirFS(folder), string(text)); at != "" {
-		t.Errorf("docs/CAPACITY.md parts from docs/capacity at %s\n(go test ./internal/faultlab/capacity -update writes its tables anew)", at)
+		t.Errorf("docs/CAPACITY.md differs from docs/capacity at %s\n(go test ./internal/faultlab/capacity -update writes its tables anew)", at)
 	}
 }
 
-// What the page says is missing first now is what its own list has first; what it says was missing first, when the mechanism was
-// chosen, is a duty that something carries now.
+// The page names the first gap of its list as the first one now, and a duty that is implemented by now as the first one then.
 func TestPageNamesFirstGap(t *testing.T) {
 	p, err := Read(os.DirFS(folder))
 	if err != nil {
@@ -104,7 +103,7 @@
 		t.Fatal(err)
 	}
 	const then, now = "\nMissing first, at 7605898: **", "\nMissing first now: **"
-	said := func(line string) string {
+	statedIn := func(line string) string {
 		_, rest, ok := strings.Cut(string(text), line)
 		what, _, ok2 := strings.Cut(rest, "**")
 		if !ok || !ok2 || strings.Contains(rest, line) {
@@ -117,25 +116,25 @@
 	if len(missing) > 0 {
 		want = missing[0].Title
 	}
-	if is := said(now); is != want {
+	if is := statedIn(now); is != want {
 		t.Errorf("the list is %+v, and the page has %q as missing first now", missing, is)
 	}
-	is := said(then)
+	is := statedIn(then)
 	if !slices.ContainsFunc(p.Duties, func(d Duty) bool { return d.Description == is && d.AbsentReason == "" }) {
 		t.Errorf("%q, which the page says was missing first and was built, is no duty that something carries", is)
 	}
 }
 
-// A number, a slope or a cell that is changed alone is found.
+// A change of a single number, slope or cell is detected.
 func TestSingleChangeIsDetected(t *testing.T) {
 	text, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if at := pageDifference(t, capacityFiles(t), string(text)); at != "" {
-		t.Fatal("the page parts before anything is changed: ", at)
+		t.Fatal("the page differs before anything is changed: ", at)
 	}
-	// change replaces the first of a word in a file.
+	// change replaces the first occurrence of a text in a file.
 	change := func(t *testing.T, files fstest.MapFS, name, was, is string) {
 		t.Helper()
 		f := files[name]
@@ -144,7 +143,7 @@
 		}
 		f.Data = []byte(strings.Replace(string(f.Data), was, is, 1))
 	}
-	t.Run("a number of the letter", func(t *testing.T) {
+	t.Run("a number of the target size", func(t *testing.T) {
 		files := capacityFiles(t)
 		change(t, files, "numbers.toml", "nodos = 1300 ", "nodos = 1301 ")
 		if pageDifference(t, files, string(text)) == "" {
@@ -179,20 +178,20 @@
 				if s.File != name {
 					continue
 				}
-				// By hand in one place: refused as it is read. In all places, as by a run that nobody told the page of: found.
+				// Changed in one field, the slope is rejected. Changed in all fields, as by a new run, the page differs.
 				alone := *s
 				alone.Gradient = s.Gradient*1.2 + 1
 				if alone.Check() == nil {
-					t.Errorf("%s: a slope that parts from its points is taken", s.Name)
+					t.Errorf("%s: a slope that does not fit its points is accepted", s.Name)
 				}
-				// Nor by three times what rounding may do.
+				// Three times the rounding tolerance is rejected too.
 				for _, part := range []float64{-3, 3} {
 					_, ys, _, _ := columns(s.Points)
 					top := math.Max(slices.Max(ys), -slices.Min(ys))
 					alone = *s
 					alone.Gradient = s.Gradient + part*roundingTolerance*top/s.Points[len(s.Points)-1][0]
 					if alone.Check() == nil {
-						t.Errorf("%s: a slope that parts from its points by %v times their rounding is taken", s.Name, part)
+						t.Errorf("%s: a slope that misses its points by %v times the tolerance is accepted", s.Name, part)
 					}
 				}
 				var runs [3][]float64
@@ -258,7 +257,7 @@
 	})
 }
 
-// The program's constants are as the arithmetic has them. Those that no package tells are compared in its source.
+// programConstants are equal to the program's. Unexported constants are compared in its source.
 func TestProgramConstants(t *testing.T) {
 	c := config.Default()
 	for key, is := range map[string]float64{"hold_s": discovery.LongPollTimeout.Seconds(), "spread_s": discovery.FailoverJitter.Seconds(),
@@ -285,8 +284,8 @@
 	}
 }
 
-// A page that lacks a table, has one twice or a marker without its pair is refused.
-func TestFill(t *testing.T) {
+// A page that lacks a table, has one twice or a marker without its pair is rejected.
+func TestFillTables(t *testing.T) {
 	tables := map[string]string{"a": "| 1 |\n"}
 	whole := tableStart + "a" + markerEnd + "\n| 0 |\n" + tableEnd + "\nrest\n"
 	if got, err := FillTables(whole, tables); err != nil || got != tableStart+"a"+markerEnd+"\n| 1 |\n"+tableEnd+"\nrest\n" {
@@ -295,7 +294,7 @@
 	for name, text := range map[string]string{"none": "rest\n", "twice": whole + whole, "unknown": strings.Replace(whole, "a"+markerEnd, "b"+markerEnd, 1),
 		"no end": strings.Replace(whole, tableEnd, "", 1), "no beginning": tableEnd + "\n" + whole} {
 		if _, err := FillTables(text, tables); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/internal/faultlab/capacity/inputs_test.go
+++ b/internal/faultlab/capacity/inputs_test.go
@@ -23,7 +23,7 @@
 note = ""
 `
 
-// Each way in which an entry can be wrong is refused, with its file, its name and what is wrong.
+// Every invalid entry is rejected with its file, its name and the reason.
 func TestInvalidSlopesAreRejected(t *testing.T) {
 	read := func(text string) error {
 		_, err := ReadSlopes(fstest.MapFS{"slopes/a.toml": &fstest.MapFile{Data: []byte(text)}})
@@ -81,7 +81,7 @@
 	}
 }
 
-// What is wrong with the numbers or the duties is refused with its key.
+// Invalid numbers and duties are rejected with their key.
 func TestInvalidInputsAreRejected(t *testing.T) {
 	for name, c := range map[string]struct{ file, was, is, says string }{
 		"unknown key":            {"numbers.toml", "rack = 16", "racks = 16", "letter.racks: no such key"},
--- a/internal/faultlab/capacity/verdict_test.go
+++ b/internal/faultlab/capacity/verdict_test.go
@@ -8,8 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// A slope whose repeats disagree even on its direction is held to its points as any other: by what a rounded line may miss them,
-// not by what the repeats spread.
+// A slope whose repeats disagree even on its direction must fit its points as any other, within the rounding tolerance.
 func TestNoisySlopeMustFitItsPoints(t *testing.T) {
 	s := &Slope{Name: "fleet.proxy.time_datagram", Role: Roles[2], Metric: "processor time of a received datagram", Unit: "ns", Dimension: "proxies",
 		Intercept: 264300, Gradient: -16.17, GradientRange: []float64{-342.8, 0.06658}, Commit: "abcdef1", Machine: "m", Command: "c",
@@ -21,7 +20,7 @@
 		moved := *s
 		moved.Gradient = per
 		if err := moved.Check(); err == nil {
-			t.Errorf("%v for each, where the points have %v, is taken", per, s.Gradient)
+			t.Errorf("%v for each, where the points have %v, is accepted", per, s.Gradient)
 		}
 	}
 	if v, _, how := s.At(2600); !math.IsNaN(v) || how != Nonlinear {
@@ -29,7 +28,7 @@
 	}
 }
 
-// slopeOf is a slope of B/s through these points, without spread.
+// slopeOf returns a slope in KB/s through these points, of a single run.
 func slopeOf(points ...[2]float64) *Slope {
 	var sizes, run []float64
 	for _, p := range points {
@@ -48,9 +47,10 @@
 	falls := slopeOf([2]float64{100, 100}, [2]float64{200, 90}, [2]float64{400, 70})
 	nan := math.NaN()
 	for name, c := range map[string]struct {
-		s           *Slope
+		slope       *Slope
 		size, limit float64
-		word, how   string
+		verdict     string
+		basis       string
 		value       float64
 	}{
 		"measured, within":                        {straight, 400, 41, WithinBudget, Measured, 41},
@@ -78,15 +78,15 @@
 		"bent, far below":                         {bent, 10, 4, Unproven, Nonlinear, nan},
 		"bent, far below, within at the smallest": {bent, 10, 6, Unproven, Nonlinear, nan},
 	} {
-		value, _, how := c.s.At(c.size)
+		value, _, basis := c.slope.At(c.size)
 		near := math.Abs(value-c.value) <= 0.01*c.value || math.IsNaN(value) && math.IsNaN(c.value)
-		if word := c.s.Verdict(c.size, c.limit); word != c.word || how != c.how || !near {
-			t.Errorf("%s: %s, %s, %v", name, word, how, value)
+		if verdict := c.slope.Verdict(c.size, c.limit); verdict != c.verdict || basis != c.basis || !near {
+			t.Errorf("%s: %s, %s, %v", name, verdict, basis, value)
 		}
 	}
 }
 
-// What Fit makes its reader takes, written and read again, and a line's figure is its limit where it passes it.
+// A fitted slope is valid, reads back as it was written, and has the limit as its value where it crosses it.
 func TestFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sizes []float64
