--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -71,7 +71,7 @@
 func (bed *testbed) buildHollowLinks() (lists, leases map[string][]string, err error) {
 	lists, leases = map[string][]string{}, map[string][]string{}
 	for i, zone := range bed.experiment.ZoneNames() {
-		for n, member := range bed.service.Targets(nil) {
+		for n, member := range bed.service.Members(nil) {
 			own := bed.block.member(n, listPort)
 			listen := func(kind, address string) error {
 				ends := link.Ends{Kind: kind, From: hollowLinkName, FromZone: zone, To: member.Name, ToZone: member.Zone}
--- a/internal/faultlab/run/lists.go
+++ b/internal/faultlab/run/lists.go
@@ -33,10 +33,10 @@
 		proxies = append(proxies, service.Proxy{Name: proxy.node.Name, Zone: proxy.node.Zone})
 	}
 	bed.service, err = service.New(service.Config{Members: l.Members, Zones: bed.experiment.ZoneNames(), Proxies: proxies, Command: bed.registryCommand,
-		Lease: experiment.Millis(l.LeaseMs), Election: experiment.Millis(l.ElectionMs), Stale: experiment.Millis(l.StaleMs),
-		Dir: filepath.Join(bed.workDir, "roster"), Logs: bed.logDir, Seed: bed.plan.Seed, Net: bed.net, Ref: bed.ref, Starter: bed.starter,
-		Log: bed.log, Delay: bed.delay, Address: bed.address, List: bed.block.listMember, Own: bed.block.member,
-		Between: bed.block.memberLink, Near: bed.block.zoneMember, Hollow: carriesNone})
+		Lease: experiment.Millis(l.LeaseMs), Election: experiment.Millis(l.ElectionMs), MaxListAge: experiment.Millis(l.StaleMs),
+		Dir: filepath.Join(bed.workDir, "roster"), LogDir: bed.logDir, Seed: bed.plan.Seed, Net: bed.net, Referee: bed.ref, Starter: bed.starter,
+		Log: bed.log, Delay: bed.delay, ServerAddress: bed.address, ProxyAddress: bed.block.listMember, MemberAddress: bed.block.member,
+		PeerAddress: bed.block.memberLink, ZoneAddress: bed.block.zoneMember, IsHollow: carriesNone})
 	return err
 }
 
@@ -53,7 +53,7 @@
 	bed.mu.Unlock()
 	var waits []func(context.Context) error
 	for _, server := range all {
-		waits = append(waits, bed.service.Begin(registeredServer(server.entry)))
+		waits = append(waits, bed.service.StartServer(registeredServer(server.entry)))
 	}
 	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(bed.experiment.Lab.ReadyWait))
 	defer cancel()
@@ -77,11 +77,11 @@
 	}
 	switch entry.Status {
 	case catalog.Serving:
-		bed.service.Begin(registeredServer(entry))
+		bed.service.StartServer(registeredServer(entry))
 	case catalog.Draining:
-		bed.service.Drain(entry.Name)
+		bed.service.DrainServer(entry.Name)
 	default:
-		bed.service.Die(entry.Name)
+		bed.service.StopServer(entry.Name)
 	}
 }
 
@@ -108,11 +108,11 @@
 		return nil, nil
 	}
 	r, err := bed.service.End()
-	if wrong := r.Wrong(); wrong != "" {
+	if wrong := r.Violation(); wrong != "" {
 		rec.ViolationCounts["list"]++
 		rec.Violations = append(rec.Violations, referee.Violation{Rule: "list", At: time.Now(), Text: wrong})
 	}
-	return &result.List{CheckedCalls: r.History.Calls, NotificationDelays: r.Delays, MissingServers: r.Lacks, RefusedStarts: r.Refused}, err
+	return &result.List{CheckedCalls: r.History.Calls, NotificationDelays: r.Delays, MissingServers: r.MissingServers, RefusedStarts: r.RefusedStarts}, err
 }
 
 // listMembers are the addresses at which a proxy reaches the members of the list service; nil with the catalog.
@@ -120,5 +120,5 @@
 	if bed.service == nil {
 		return nil
 	}
-	return bed.service.Lists(proxy.ordinal)
+	return bed.service.MemberAddresses(proxy.ordinal)
 }
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -35,14 +35,14 @@
 }
 
 type memberSample struct {
-	service.Standing
+	service.MemberUsage
 	traffic link.Traffic // Sent: received by the member, Answered: sent by it
 }
 
 func (bed *testbed) newMeter() *meter {
 	m := &meter{testbed: bed, lastSamples: map[string]memberSample{}}
 	if bed.service != nil {
-		m.members = bed.service.Targets(nil)
+		m.members = bed.service.Members(nil)
 	}
 	m.total.Roles = map[string]result.Usage{}
 	m.sample()
@@ -91,10 +91,10 @@
 func (m *meter) sample() {
 	m.sampleMu.Lock()
 	defer m.sampleMu.Unlock()
-	standing := make([]service.Standing, len(m.members))
+	standing := make([]service.MemberUsage, len(m.members))
 	var all sync.WaitGroup
 	for i, member := range m.members {
-		all.Go(func() { standing[i] = m.service.Standing(member) })
+		all.Go(func() { standing[i] = m.service.MemberUsage(member) })
 	}
 	all.Wait()
 	roles, members := m.traffic()
@@ -137,7 +137,7 @@
 		last.CPU, last.Rejected = 0, 0
 	}
 	role := "follower"
-	if current.Leads {
+	if current.IsLeader {
 		role = "leader"
 	}
 	traffic := current.traffic.Minus(last.traffic)
@@ -146,7 +146,7 @@
 	m.total.Roles[role] = m.total.Roles[role].Plus(usage)
 	usage.InstanceTime = 0
 	m.total.Roles["five"] = m.total.Roles["five"].Plus(usage)
-	if current.Up {
+	if current.Reachable {
 		m.total.Rejected += max(0, current.Rejected-last.Rejected)
 	}
 }
@@ -268,10 +268,10 @@
 	if out.Hollow, err = bed.hollowReport(); err != nil {
 		bed.recordError(err)
 	}
-	for _, steps := range bed.service.Steps() {
+	for _, steps := range bed.service.ReceivedVersions() {
 		var received []result.ReceivedVersion
 		for _, s := range steps {
-			received = append(received, result.ReceivedVersion{Version: s.Index, ReceivedAt: s.At.UnixNano()})
+			received = append(received, result.ReceivedVersion{Version: s.Version, ReceivedAt: s.ReceivedAt.UnixNano()})
 		}
 		out.RealProxyVersions = append(out.RealProxyVersions, received)
 	}
--- a/internal/faultlab/run/strike_configs.go
+++ b/internal/faultlab/run/strike_configs.go
@@ -104,7 +104,7 @@
 
 // writeConfig writes a configuration to the members in turn until there is a final answer.
 func (t *timeline) writeConfig(ctx context.Context, put *result.ConfigWrite, own *configuredService, text []byte, first int) {
-	members := len(t.service.Targets(nil))
+	members := len(t.service.Members(nil))
 	ctx, cancel := context.WithTimeout(ctx, maxConfigWriteDuration)
 	defer cancel()
 	for attempt := first; ctx.Err() == nil; attempt++ {
--- a/internal/faultlab/run/strike_lists.go
+++ b/internal/faultlab/run/strike_lists.go
@@ -13,7 +13,7 @@
 
 // injectRegistryFault injects a fault into members of the list service.
 func (t *timeline) injectRegistryFault(ctx context.Context, strike plan.Strike) error {
-	ms := t.service.Targets(strike.Fault.Members)
+	ms := t.service.Members(strike.Fault.Members)
 	t.log.Info("faulty members", "fault", strike.N, "members", service.Names(ms))
 	back := func() bool { return strike.For > 0 && t.waitUntil(ctx, strike.At+strike.For) }
 	switch strike.Fault.Kind {
--- a/internal/faultlab/service/faults.go
+++ b/internal/faultlab/service/faults.go
@@ -9,81 +9,81 @@
 	"time"
 )
 
-// Targets are the members that a fault names: "leader" is the one that leads now, a follower another; no name is all.
-func (s *Service) Targets(names []string) (out []*Member) {
-	for _, m := range s.members {
-		if len(names) == 0 || slices.Contains(names, m.Name) {
-			out = append(out, m)
+// Members are the members that a fault names: "leader" is the current leader, "follower" one that is not; no name is all.
+func (s *Service) Members(names []string) (out []*Member) {
+	for _, member := range s.members {
+		if len(names) == 0 || slices.Contains(names, member.Name) {
+			out = append(out, member)
 			continue
 		}
 		leads := func() bool {
-			st, err := s.status(m)
+			st, err := s.status(member)
 			return err == nil && st.Role == "leader"
 		}
 		if slices.Contains(names, "leader") && leads() || slices.Contains(names, "follower") && len(out) == 0 && !leads() {
-			out = append(out, m)
+			out = append(out, member)
 		}
 	}
 	return out
 }
 
-// Kill kills members in one instant, and starts each again after a time, unless another fault keeps it down.
-func (s *Service) Kill(ms []*Member, back func() bool) error {
-	for _, m := range ms {
-		m.mu.Lock()
-		m.dead++
-		err := m.proc.Signal(syscall.SIGKILL)
-		m.mu.Unlock()
+// Kill kills members at once, and when back returns true starts each again, unless another fault keeps it down.
+func (s *Service) Kill(members []*Member, back func() bool) error {
+	for _, member := range members {
+		member.mu.Lock()
+		member.downFaults++
+		err := member.process.Signal(syscall.SIGKILL)
+		member.mu.Unlock()
 		if err != nil {
 			return err
 		}
 	}
-	for _, m := range ms {
-		m.mu.Lock()
-		proc := m.proc
-		m.mu.Unlock()
+	for _, member := range members {
+		member.mu.Lock()
+		proc := member.process
+		member.mu.Unlock()
 		<-proc.Ended()
 	}
 	if !back() {
 		return nil
 	}
-	for _, m := range ms {
-		if err := s.again(m); err != nil {
+	for _, member := range members {
+		if err := s.startAgain(member); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Service) again(m *Member) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.dead--; m.dead > 0 {
+func (s *Service) startAgain(member *Member) error {
+	member.mu.Lock()
+	defer member.mu.Unlock()
+	if member.downFaults--; member.downFaults > 0 {
 		return nil
 	}
-	return s.start(m)
+	return s.start(member)
 }
 
-// Stop has members stand still for a time.
-func (s *Service) Stop(ms []*Member, hold func()) error {
-	for _, m := range ms {
-		m.mu.Lock()
-		m.stops++
-		err := m.proc.Signal(syscall.SIGSTOP)
-		m.mu.Unlock()
+// Stop stops the members' processes until hold returns.
+func (s *Service) Stop(members []*Member, hold func()) error {
+	for _, member := range members {
+		member.mu.Lock()
+		member.stopFaults++
+		err := member.process.Signal(syscall.SIGSTOP)
+		member.mu.Unlock()
 		if err != nil {
 			return err
 		}
 	}
 	hold()
-	for _, m := range ms {
-		m.mu.Lock()
-		m.stops--
+	for _, member := range members {
+		member.mu.Lock()
+		member.stopFaults--
 		var err error
-		if m.stops == 0 {
-			err = m.proc.Signal(syscall.SIGCONT)
+		if member.stopFaults == 0 {
+			err = member.process.Signal(syscall.SIGCONT)
 		}
-		m.mu.Unlock()
+		member.mu.Unlock()
 		if err != nil {
 			return err
 		}
@@ -91,27 +91,28 @@
 	return nil
 }
 
-// Damage kills members, cuts one file of each directory off at a random byte, and starts them again after a time. One
-// that refuses its directory is started with an empty one, as its word says.
-func (s *Service) Damage(ms []*Member, back func() bool) error {
-	return s.Kill(ms, func() bool {
-		for _, m := range ms {
-			path, at, err := s.cut(m)
-			s.log.Info("a file was cut off", "file", path, "at", at, "error", err)
+// Damage kills members, truncates one file of each directory at a random byte, and when back returns true starts them again. One
+// that refuses its directory is started with an empty one, as its error message says.
+func (s *Service) Damage(members []*Member, back func() bool) error {
+	return s.Kill(members, func() bool {
+		for _, member := range members {
+			path, size, err := s.truncateFile(member)
+			s.log.Info("file truncated", "file", path, "bytes", size, "error", err)
 		}
 		if !back() {
 			return false
 		}
-		for _, m := range ms {
-			go s.mend(m)
+		for _, member := range members {
+			go s.replaceDamaged(member)
 		}
 		return true
 	})
 }
 
-func (s *Service) cut(m *Member) (path string, at int64, err error) {
+// truncateFile truncates a random file of a member's directory at a random byte.
+func (s *Service) truncateFile(member *Member) (path string, size int64, err error) {
 	var files []string
-	err = filepath.WalkDir(m.dir, func(path string, d os.DirEntry, err error) error {
+	err = filepath.WalkDir(member.dir, func(path string, d os.DirEntry, err error) error {
 		if err == nil && d.Type().IsRegular() {
 			files = append(files, path)
 		}
@@ -122,45 +123,45 @@
 	}
 	s.mu.Lock()
 	path = files[s.rng.IntN(len(files))]
-	x := s.rng.Float64()
+	fraction := s.rng.Float64()
 	s.mu.Unlock()
 	info, err := os.Stat(path)
 	if err != nil {
 		return path, 0, err
 	}
-	at = int64(x * float64(info.Size()))
-	return path, at, os.Truncate(path, at)
+	size = int64(fraction * float64(info.Size()))
+	return path, size, os.Truncate(path, size)
 }
 
-// mend waits for a member's word on its damaged directory.
-func (s *Service) mend(m *Member) {
-	for end := time.Now().Add(rejectDelay); time.Now().Before(end); time.Sleep(readyPoll) {
-		m.mu.Lock()
-		proc, dead := m.proc, m.dead
-		m.mu.Unlock()
+// replaceDamaged waits whether a member refuses its damaged directory, and starts it with an empty one then.
+func (s *Service) replaceDamaged(member *Member) {
+	for end := time.Now().Add(refusalTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
+		member.mu.Lock()
+		proc, dead := member.process, member.downFaults
+		member.mu.Unlock()
 		if dead > 0 || !proc.Crashed() {
 			continue
 		}
-		m.mu.Lock()
-		defer m.mu.Unlock()
+		member.mu.Lock()
+		defer member.mu.Unlock()
 		s.mu.Lock()
 		s.rejected++
 		s.mu.Unlock()
-		if err := os.Rename(m.dir, fmt.Sprintf("%s.damaged-%d", m.dir, time.Now().UnixNano())); err != nil {
-			s.log.Error("a damaged directory stays", "member", m.Name, "error", err)
+		if err := os.Rename(member.dir, fmt.Sprintf("%s.damaged-%d", member.dir, time.Now().UnixNano())); err != nil {
+			s.log.Error("damaged directory not moved", "member", member.Name, "error", err)
 			return
 		}
-		if err := s.start(m); err != nil {
-			s.log.Error("a member does not start again", "member", m.Name, "error", err)
+		if err := s.start(member); err != nil {
+			s.log.Error("member not restarted", "member", member.Name, "error", err)
 		}
 		return
 	}
 }
 
-// Names are members' names.
-func Names(ms []*Member) (names []string) {
-	for _, m := range ms {
-		names = append(names, m.Name)
+// Names are the names of members.
+func Names(members []*Member) (names []string) {
+	for _, member := range members {
+		names = append(names, member.Name)
 	}
 	return names
 }
--- /dev/null
+++ b/internal/faultlab/service/registrations.go
@@ -0,0 +1,262 @@
+package service
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"merlinpick/internal/faultlab/linear"
+	"merlinpick/internal/faultlab/sleep"
+	"merlinpick/internal/registry/registrar"
+	"merlinpick/internal/registry/state"
+	"merlinpick/internal/registry/watch"
+)
+
+const (
+	readInterval       = 150 * time.Millisecond
+	hollowReadInterval = time.Second // with hollow servers, whose lists are long
+	readTimeout        = 3 * time.Second
+	renewalsPerLease   = 3 // a lease is renewed so many times in its duration
+	renewRetryPause    = 100 * time.Millisecond
+	readerNumber       = 0 // of the reader in the history; servers have numbers from 1
+)
+
+// registrations holds the servers' registrations: one goroutine for each process of a server, which registers it, renews its lease
+// and announces once that it drains or ends.
+type registrations struct {
+	service *Service
+	ctx     context.Context
+	stop    context.CancelFunc
+	running sync.WaitGroup
+
+	mu         sync.Mutex
+	live       map[string]*serverProcess
+	names      map[string]bool // of all servers so far, for the reader
+	lastNumber int
+	missing    int // live servers missing in a read, maximum
+}
+
+// serverProcess is one process of a server.
+type serverProcess struct {
+	ref      state.InstanceRef
+	record   state.Record
+	number   int
+	statuses chan string // to announce: draining, deleted
+	listed   bool        // registered, and no status announced since
+	stop     context.CancelFunc
+}
+
+func newServers(s *Service) *registrations {
+	n := &registrations{service: s, live: map[string]*serverProcess{}, names: map[string]bool{}, lastNumber: readerNumber}
+	n.ctx, n.stop = context.WithCancel(context.Background())
+	return n
+}
+
+func (r *registrations) close() {
+	r.stop()
+	r.running.Wait()
+}
+
+// Server is a server for registration.
+type Server struct {
+	Name, Zone, Type string
+	Group            int
+	Since            int64
+}
+
+// StartServer starts a process of a server, which registers and renews its lease until StopServer. The returned function waits until
+// it is registered.
+func (s *Service) StartServer(server Server) (registered func(ctx context.Context) error) {
+	registrations := s.servers
+	registrations.mu.Lock()
+	defer registrations.mu.Unlock()
+	registrations.lastNumber++
+	number := registrations.lastNumber
+	ctx, stop := context.WithCancel(registrations.ctx)
+	// Each proxy gets an address of its own (setAddresses); this one is never called.
+	endpoint := state.Endpoint{Name: server.Name, Address: "nodo.invalid:1", Zone: server.Zone, Type: server.Type, Cell: server.Group,
+		Status: state.StatusServing, Weight: 1, StartedAtMs: server.Since}
+	record := state.Record{Endpoint: endpoint, Instance: fmt.Sprint(server.Since, "-", number), LeaseMs: s.config.Lease.Milliseconds()}
+	process := &serverProcess{ref: state.InstanceRef{Name: server.Name, Instance: record.Instance}, record: record, number: number,
+		statuses: make(chan string, 2), stop: stop}
+	registrations.live[server.Name], registrations.names[server.Name] = process, true
+	first := make(chan struct{})
+	registrations.running.Go(func() { s.runServer(ctx, process, sync.OnceFunc(func() { close(first) })) })
+	return func(ctx context.Context) error {
+		select {
+		case <-first:
+			return nil
+		case <-ctx.Done():
+			return fmt.Errorf("server %s is not registered: %w", server.Name, ctx.Err())
+		}
+	}
+}
+
+// DrainServer announces that a server drains.
+func (s *Service) DrainServer(name string) { s.sendStatus(name, state.StatusDraining) }
+
+// StopServer ends a server's process: a draining one deregisters, another lets its lease expire.
+func (s *Service) StopServer(name string) { s.sendStatus(name, state.StatusDeleted) }
+
+func (s *Service) sendStatus(name, status string) {
+	n := s.servers
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if server := n.live[name]; server != nil {
+		if status == state.StatusDeleted {
+			delete(n.live, name)
+		}
+		server.listed = false
+		server.statuses <- status
+	}
+}
+
+// listedServers are the servers that must be in the list.
+func (r *registrations) listedServers() map[string]*serverProcess {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := map[string]*serverProcess{}
+	for name, server := range r.live {
+		if server.listed {
+			out[name] = server
+		}
+	}
+	return out
+}
+
+// recordMissing records how many servers were missing in a read that were listed before and after it.
+func (r *registrations) recordMissing(before map[string]*serverProcess, values map[string]string) {
+	after, missing := r.listedServers(), 0
+	for name, server := range before {
+		if after[name] == server && values[name] == linear.Absent {
+			missing++
+		}
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.missing = max(r.missing, missing)
+}
+
+// runServer runs one process of a server: registration, renewals, and the announcements of its end.
+func (s *Service) runServer(ctx context.Context, server *serverProcess, registered func()) {
+	defer server.stop()
+	client := s.registrars[server.record.Zone]
+	if !s.register(ctx, client, server) {
+		return
+	}
+	s.servers.mu.Lock()
+	server.listed = len(server.statuses) == 0
+	s.servers.mu.Unlock()
+	registered()
+	draining := false
+	// The lease may expire at any time after the last renewal that is known to have succeeded.
+	endExpiry := s.history.Begin(linear.Gone, server.ref.Name, server.historyValue(), server.number)
+	for pause := s.config.Lease / renewalsPerLease; ; {
+		select {
+		case status := <-server.statuses:
+			if !s.announce(ctx, client, server, status, draining) {
+				return
+			}
+			draining = true
+			continue
+		case <-time.After(pause):
+		case <-ctx.Done():
+			return
+		}
+		endNextExpiry := s.history.Begin(linear.Gone, server.ref.Name, server.historyValue(), server.number)
+		_, err := client.Renew(ctx, server.ref)
+		var rejected *registrar.RejectedError
+		switch {
+		case err == nil:
+			endExpiry(false, true) // it did not expire
+			endExpiry, pause = endNextExpiry, s.config.Lease/renewalsPerLease
+			continue
+		case errors.As(err, &rejected) && rejected.Code == state.ResultUnknown:
+			if draining || !s.register(ctx, client, server) {
+				return
+			}
+			endExpiry, pause = endNextExpiry, s.config.Lease/renewalsPerLease // the expiry before stays in the history
+			continue
+		case errors.As(err, &rejected):
+			s.log.Error("registration rejected", "endpoint", server.ref.Name, "error", err)
+			return
+		}
+		endNextExpiry(false, true)
+		pause = renewRetryPause
+	}
+}
+
+// announce announces a status; it returns whether the process continues, which it does while draining. A process that ends without
+// having drained announces nothing.
+func (s *Service) announce(ctx context.Context, client *registrar.Client, server *serverProcess, status string, draining bool) bool {
+	switch {
+	case status == state.StatusDraining:
+		s.write(ctx, linear.Drain, server, state.StatusDraining, func(ctx context.Context) error {
+			_, err := client.Drain(ctx, server.ref)
+			return err
+		})
+		return true
+	case draining:
+		s.write(ctx, linear.Gone, server, state.StatusDeleted, func(ctx context.Context) error {
+			_, err := client.Deregister(ctx, server.ref)
+			return err
+		})
+	}
+	return false
+}
+
+// historyValue names the process in the history: the published list has its start, not its instance.
+func (p *serverProcess) historyValue() string { return fmt.Sprint(p.record.StartedAtMs) }
+
+func (s *Service) register(ctx context.Context, client *registrar.Client, server *serverProcess) bool {
+	return s.write(ctx, linear.Register, server, state.StatusServing, func(ctx context.Context) error {
+		_, err := client.Register(ctx, server.record)
+		return err
+	})
+}
+
+// write makes a call that is repeated until it is answered, and records it in the history, with the status that it announces.
+func (s *Service) write(ctx context.Context, kind linear.Kind, server *serverProcess, status string,
+	call func(context.Context) error) bool {
+	end := s.history.Begin(kind, server.ref.Name, server.historyValue(), server.number)
+	err := call(ctx)
+	var rejected *registrar.RejectedError
+	end(err == nil, errors.As(err, &rejected))
+	if err == nil {
+		s.delays.recordConfirmed(server.ref.Name, status, server.record.StartedAtMs, time.Now())
+	}
+	return err == nil
+}
+
+// readLists reads the current list from the members in turn until the context ends.
+func (s *Service) readLists(ctx context.Context) {
+	every := readInterval
+	if s.config.IsHollow != nil {
+		every = hollowReadInterval
+	}
+	for n := 0; sleep.For(ctx, every); n++ {
+		member := s.members[n%len(s.members)]
+		// Names that are not in the list count too, if they existed before the call.
+		s.servers.mu.Lock()
+		values := map[string]string{}
+		for name := range s.servers.names {
+			values[name] = linear.Absent
+		}
+		s.servers.mu.Unlock()
+		listed := s.servers.listedServers()
+		start := time.Now()
+		var list watch.Response
+		if s.get(member, "/catalog/members?consistent=1", readTimeout, &list) != nil {
+			continue
+		}
+		for _, endpoint := range list.Endpoints {
+			if !s.isHollow(endpoint.Name) { // not in the history
+				values[endpoint.Name] = linear.Value(endpoint.Status, fmt.Sprint(endpoint.StartedAtMs))
+			}
+		}
+		s.servers.recordMissing(listed, values)
+		s.history.Seen(readerNumber, start, values)
+	}
+}
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	dialWait = time.Second
-	maxList  = 8 << 20
+	dialTimeout  = time.Second
+	maxListBytes = 8 << 20
 )
 
-// pass hands what comes over a link on to a member's own address, unread.
-func (s *Service) pass(to string) func(*link.Conn) {
+// forwardBytes forwards a link's connections to a member's own address.
+func (s *Service) forwardBytes(to string) func(*link.Conn) {
 	return func(c *link.Conn) { _ = link.Pass(c, to, nil) }
 }
 
-// tell hands a proxy's calls on, and notes what it is told.
-func (s *Service) tell(proxy, to string) func(*link.Conn) {
+// relayPolls forwards a proxy's polls to a member, with the servers' addresses replaced, and records what the proxy receives.
+func (s *Service) relayPolls(proxy, to string) func(*link.Conn) {
 	return func(c *link.Conn) {
 		defer c.Close()
-		client := &http.Client{Transport: &http.Transport{DisableCompression: true, DialContext: (&net.Dialer{Timeout: dialWait}).DialContext}}
+		client := &http.Client{Transport: &http.Transport{DisableCompression: true, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
 		defer client.CloseIdleConnections()
 		r := bufio.NewReader(c)
 		for {
@@ -42,35 +42,35 @@
 			if err != nil {
 				return
 			}
-			s.cfg.Ref.RecordPoll(proxy)
+			s.config.Referee.RecordPoll(proxy)
 			status, body, list := s.forward(client, c, "http://"+to+req.URL.RequestURI())
 			if status == 0 {
-				s.cfg.Ref.RecordPollFailed(proxy, time.Now())
+				s.config.Referee.RecordPollFailed(proxy, time.Now())
 				c.Reset()
 				return
 			}
 			if list != nil {
-				s.readdress(proxy, list)
+				s.setAddresses(proxy, list)
 				body = list.Encode()
 			}
 			note := func(at time.Time) {
 				if list == nil {
-					s.cfg.Ref.RecordPollFailed(proxy, at)
+					s.config.Referee.RecordPollFailed(proxy, at)
 					return
 				}
-				s.cfg.Ref.RecordUpdate(proxy, referee.ListUpdate{Entries: entries(list), Snapshot: list.Snapshot}, at)
-				s.delays.told(proxy, list, at, s.hollow)
+				s.config.Referee.RecordUpdate(proxy, referee.ListUpdate{Entries: refereeEntries(list), Snapshot: list.Snapshot}, at)
+				s.delays.recordReceived(proxy, list, at, s.isHollow)
 			}
 			if err := c.NoteThenWrite(wire.JSON(status, body), note); err != nil {
-				s.cfg.Ref.RecordPollFailed(proxy, time.Now())
+				s.config.Referee.RecordPollFailed(proxy, time.Now())
 				return
 			}
 		}
 	}
 }
 
-// forward makes a call of a member, until the caller has gone; status 0 is a call that failed.
-func (s *Service) forward(client *http.Client, c *link.Conn, url string) (status int, body []byte, l *watch.Response) {
+// forward calls a member, until the proxy closes its connection; status 0 is a failed call.
+func (s *Service) forward(client *http.Client, c *link.Conn, url string) (status int, body []byte, list *watch.Response) {
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := make(chan struct{})
 	var watchers sync.WaitGroup
@@ -91,124 +91,127 @@
 		return 0, nil, nil
 	}
 	defer resp.Body.Close()
-	if body, err = io.ReadAll(io.LimitReader(resp.Body, maxList)); err != nil {
+	if body, err = io.ReadAll(io.LimitReader(resp.Body, maxListBytes)); err != nil {
 		return 0, nil, nil
 	}
 	if resp.StatusCode != http.StatusOK {
 		return resp.StatusCode, body, nil
 	}
-	l = &watch.Response{}
-	if err := json.Unmarshal(body, l); err != nil {
+	list = &watch.Response{}
+	if err := json.Unmarshal(body, list); err != nil {
 		return 0, nil, nil
 	}
-	return resp.StatusCode, body, l
+	return resp.StatusCode, body, list
 }
 
-func entries(l *watch.Response) (out []referee.Entry) {
-	for _, e := range l.Endpoints {
+func refereeEntries(list *watch.Response) (out []referee.Entry) {
+	for _, e := range list.Endpoints {
 		out = append(out, referee.Entry{Server: e.Name, Serving: e.Status == state.StatusServing, Since: e.StartedAtMs})
 	}
 	return out
 }
 
-// readdress has a list say where a proxy finds the servers.
-func (s *Service) readdress(proxy string, l *watch.Response) {
-	for i, e := range l.Endpoints {
-		if s.hollow(e.Name) {
+// setAddresses replaces the addresses of a list's servers by those at which a proxy reaches them.
+func (s *Service) setAddresses(proxy string, list *watch.Response) {
+	for i, e := range list.Endpoints {
+		if s.isHollow(e.Name) {
 			if e.Status == state.StatusServing {
-				l.Endpoints[i].Status = state.StatusDraining // nobody would answer there
+				list.Endpoints[i].Status = state.StatusDraining // no server is there
 			}
 			continue
 		}
-		l.Endpoints[i].Address = s.cfg.Address(proxy, e.Name)
+		list.Endpoints[i].Address = s.config.ServerAddress(proxy, e.Name)
 	}
 }
 
-func (s *Service) hollow(nodo string) bool { return s.cfg.Hollow != nil && s.cfg.Hollow(nodo) }
+func (s *Service) isHollow(nodo string) bool {
+	return s.config.IsHollow != nil && s.config.IsHollow(nodo)
+}
 
-// Snapshot is the list as a proxy is told it at its start, with what the referee notes of it.
-func (s *Service) Snapshot(proxy string, keep func() bool) (text json.RawMessage, told []referee.Entry) {
-	for _, m := range s.members {
-		var l watch.Response
-		if s.get(m, "/catalog/members", callWait, &l) != nil {
+// Snapshot is the list for a proxy's configuration, of the entries that keep selects, as text and for the referee. Both are nil if no
+// member answers.
+func (s *Service) Snapshot(proxy string, keep func() bool) (text json.RawMessage, known []referee.Entry) {
+	for _, member := range s.members {
+		var list watch.Response
+		if s.get(member, "/catalog/members", callTimeout, &list) != nil {
 			continue
 		}
-		l.Endpoints = slices.DeleteFunc(l.Endpoints, func(state.Endpoint) bool { return !keep() })
-		s.readdress(proxy, &l)
-		return l.Encode(), entries(&l)
+		list.Endpoints = slices.DeleteFunc(list.Endpoints, func(state.Endpoint) bool { return !keep() })
+		s.setAddresses(proxy, &list)
+		return list.Encode(), refereeEntries(&list)
 	}
 	return nil, nil
 }
 
-// delays is how late proxies are told what was confirmed.
-type delays struct {
-	mu        sync.Mutex
-	confirmed map[string]time.Time            // by change
-	heard     map[string]map[string]time.Time // by proxy and change
-	since     map[string]time.Time            // that each proxy hears anything
-	steps     map[string][]Step               // versions that each proxy was told
+// notificationDelays records when changes were confirmed and when each proxy received them.
+type notificationDelays struct {
+	mu            sync.Mutex
+	confirmed     map[string]time.Time            // by key of the change
+	received      map[string]map[string]time.Time // by proxy and key of the change
+	firstReceived map[string]time.Time            // first update of each proxy
+	versions      map[string][]ReceivedVersion    // received by each proxy
 }
 
-// Step is a version of the list, and when it was told.
-type Step struct {
-	Index int64
-	At    time.Time
+// ReceivedVersion is a version of the list and when a proxy received it.
+type ReceivedVersion struct {
+	Version    int64
+	ReceivedAt time.Time
 }
 
-// Steps are the versions that each proxy was told, in order.
-func (s *Service) Steps() map[string][]Step {
+// ReceivedVersions are the versions that each proxy received, in order.
+func (s *Service) ReceivedVersions() map[string][]ReceivedVersion {
 	s.delays.mu.Lock()
 	defer s.delays.mu.Unlock()
-	return maps.Clone(s.delays.steps)
+	return maps.Clone(s.delays.versions)
 }
 
-func newDelays() *delays {
-	return &delays{confirmed: map[string]time.Time{}, heard: map[string]map[string]time.Time{},
-		since: map[string]time.Time{}, steps: map[string][]Step{}}
+func newDelays() *notificationDelays {
+	return &notificationDelays{confirmed: map[string]time.Time{}, received: map[string]map[string]time.Time{},
+		firstReceived: map[string]time.Time{}, versions: map[string][]ReceivedVersion{}}
 }
 
-func change(name, status string, since int64) string {
+func changeKey(name, status string, since int64) string {
 	return fmt.Sprint(name, " ", status, " ", since)
 }
 
-func (d *delays) confirm(name, status string, since int64, at time.Time) {
+func (d *notificationDelays) recordConfirmed(name, status string, since int64, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if key := change(name, status, since); d.confirmed[key].IsZero() {
+	if key := changeKey(name, status, since); d.confirmed[key].IsZero() {
 		d.confirmed[key] = at
 	}
 }
 
-func (d *delays) told(proxy string, l *watch.Response, at time.Time, hollow func(string) bool) {
+func (d *notificationDelays) recordReceived(proxy string, list *watch.Response, at time.Time, hollow func(string) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	of := d.heard[proxy]
-	if of == nil {
-		of = map[string]time.Time{}
-		d.heard[proxy], d.since[proxy] = of, at
+	received := d.received[proxy]
+	if received == nil {
+		received = map[string]time.Time{}
+		d.received[proxy], d.firstReceived[proxy] = received, at
 	}
-	if steps := d.steps[proxy]; len(steps) == 0 || l.Version > steps[len(steps)-1].Index {
-		d.steps[proxy] = append(steps, Step{l.Version, at})
+	if steps := d.versions[proxy]; len(steps) == 0 || list.Version > steps[len(steps)-1].Version {
+		d.versions[proxy] = append(steps, ReceivedVersion{list.Version, at})
 	}
-	for _, e := range l.Endpoints {
+	for _, e := range list.Endpoints {
 		if hollow(e.Name) {
 			continue
 		}
-		if key := change(e.Name, e.Status, e.StartedAtMs); of[key].IsZero() {
-			of[key] = at
+		if key := changeKey(e.Name, e.Status, e.StartedAtMs); received[key].IsZero() {
+			received[key] = at
 		}
 	}
 }
 
-// sum tells the delays of all changes to all proxies that were there when they were confirmed. A change that another
-// overtook need not be told.
-func (d *delays) sum() (out []time.Duration) {
+// sorted are the delays of all changes, for the proxies that had received updates when they were confirmed. A change that was
+// overtaken by another may never be received.
+func (d *notificationDelays) sorted() (out []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for proxy, of := range d.heard {
+	for proxy, received := range d.received {
 		for key, at := range d.confirmed {
-			if t, ok := of[key]; ok && at.After(d.since[proxy]) {
-				out = append(out, max(0, t.Sub(at)))
+			if receivedAt, ok := received[key]; ok && at.After(d.firstReceived[proxy]) {
+				out = append(out, max(0, receivedAt.Sub(at)))
 			}
 		}
 	}
--- a/internal/faultlab/service/report.go
+++ b/internal/faultlab/service/report.go
@@ -8,46 +8,46 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-// Report is what a play leaves of the service.
+// Report holds the observations of the service in a play.
 type Report struct {
-	History linear.Verdict
-	Delays  []time.Duration // from a change's being confirmed to its being told, for each proxy that was told
-	Lacks   int             // living servers that a read lacked, at most
-	Refused int             // starts that a member refused for its directory
-	Ended   []string        // members that had ended by themselves at the end
+	History        linear.Verdict
+	Delays         []time.Duration // from a change's confirmation until a proxy received it, for each proxy that did; sorted
+	MissingServers int             // live servers missing in a read, maximum
+	RefusedStarts  int             // of members, for a damaged directory
+	CrashedMembers []string        // members that had crashed at the end
 }
 
-// End kills all members and tells what came of them.
+// End kills all members and reports on the play.
 func (s *Service) End() (Report, error) {
 	var r Report
 	var procs []*process.Process
-	for _, m := range s.members {
-		m.mu.Lock()
-		if m.proc != nil {
-			if m.proc.Crashed() {
-				r.Ended = append(r.Ended, m.Name)
+	for _, member := range s.members {
+		member.mu.Lock()
+		if member.process != nil {
+			if member.process.Crashed() {
+				r.CrashedMembers = append(r.CrashedMembers, member.Name)
 			}
-			procs = append(procs, m.proc)
+			procs = append(procs, member.process)
 		}
-		m.mu.Unlock()
+		member.mu.Unlock()
 	}
 	err := process.KillAll(procs)
-	for _, c := range s.near {
+	for _, c := range s.registrars {
 		c.Close()
 	}
 	s.mu.Lock()
-	r.Refused = s.rejected
+	r.RefusedStarts = s.rejected
 	s.mu.Unlock()
-	r.History = s.history.Check(checkWait)
-	r.Delays = s.delays.sum()
+	r.History = s.history.Check(checkTimeout)
+	r.Delays = s.delays.sorted()
 	s.servers.mu.Lock()
-	r.Lacks = s.servers.lacks
+	r.MissingServers = s.servers.missing
 	s.servers.mu.Unlock()
 	return r, err
 }
 
-// Wrong words what is wrong with a report.
-func (r Report) Wrong() string {
+// Violation says which rule of the list service was broken; empty if none was.
+func (r Report) Violation() string {
 	var out []string
 	if len(r.History.Wrong) > 0 {
 		out = append(out, "no order of the calls explains what was read of "+strings.Join(r.History.Wrong, ", "))
@@ -55,8 +55,8 @@
 	if len(r.History.Open) > 0 {
 		out = append(out, "the search for an order took too long for "+strings.Join(r.History.Open, ", "))
 	}
-	if len(r.Ended) > 0 {
-		out = append(out, "members ended by themselves: "+strings.Join(r.Ended, ", "))
+	if len(r.CrashedMembers) > 0 {
+		out = append(out, "members ended by themselves: "+strings.Join(r.CrashedMembers, ", "))
 	}
 	return strings.Join(out, "; ")
 }
--- a/internal/faultlab/service/service.go
+++ b/internal/faultlab/service/service.go
@@ -1,18 +1,18 @@
-// Package service is the list service under test: its members as real processes, the links between them, between them
-// and the servers, and between them and the proxies, all over package link, so that each can be cut alone.
+// Package service runs the list service under test: its members as real processes, the servers' registrations, and the links of
+// members with each other, with servers and with proxies, all over package link, so that each can be cut alone. It injects the
+// faults of members, and never judges: the referee and package linear do.
 //
-// Members find each other under addresses of the lab's, one for each pair and direction; so do the servers of a zone, and
-// each proxy. What passes between members and from servers goes through unread. A proxy's calls are read: its answers have
-// the servers' addresses replaced by that proxy's own, as the published protocol allows, and the referee is told what the
-// proxy is told.
+// Each pair of members, zone and proxy has a link's address of its own. Traffic between members and from servers is forwarded
+// unread. In the answers to a proxy the servers' addresses are replaced by that proxy's own, as the published protocol allows, and
+// the referee records each update.
 //
-// Beside them runs a reader that asks for current lists, and the servers' registrations; both go into a history that is
-// checked at the end (package linear).
+// A reader reads the current list all the time. Its reads and the registrations form a history that is checked at the end.
 package service
 
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -37,46 +37,51 @@
 )
 
 const (
-	callWait    = time.Second
-	readyWait   = 20 * time.Second
-	readyPoll   = 50 * time.Millisecond
-	rejectDelay = 3 * time.Second // in which a member that is started says that it will not
-	checkWait   = 20 * time.Second
+	callTimeout       = time.Second
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 50 * time.Millisecond
+	refusalTimeout    = 3 * time.Second // for a started member to refuse its directory
+	checkTimeout      = 20 * time.Second
 )
 
-// Proxy is a caller of the list.
+var (
+	errNotReady  = errors.New("the list service did not serve")
+	errBadStatus = errors.New("member answered with an error")
+)
+
+// Proxy is a client of the list.
 type Proxy struct{ Name, Zone string }
 
-// Config is what a service is.
+// Config describes a service.
 type Config struct {
-	Members  int
-	Zones    []string // the members stand in them in turn
-	Proxies  []Proxy
-	Command  []string // the program
-	Lease    time.Duration
-	Election time.Duration
-	Stale    time.Duration
-	Dir      string // of the members' own
-	Logs     string
-	Seed     uint64
+	Members    int
+	Zones      []string // of the members in turn
+	Proxies    []Proxy
+	Command    []string // of a member
+	Lease      time.Duration
+	Election   time.Duration
+	MaxListAge time.Duration
+	Dir        string // parent of the members' directories
+	LogDir     string
+	Seed       uint64
 
-	Net     *link.Net
-	Ref     *referee.Referee
-	Starter *process.Starter
-	Log     *slog.Logger
-	Delay   func(from, to string) time.Duration
-	Address func(proxy, nodo string) string     // where a proxy finds a server
-	List    func(proxy, member int) string      // where it finds a member
-	Own     func(member, port int) string       // a member's own address
-	Between func(from, to, port int) string     // where a member finds another
-	Near    func(zone, member, port int) string // where a zone's servers find a member
+	Net           *link.Net
+	Referee       *referee.Referee
+	Starter       *process.Starter
+	Log           *slog.Logger
+	Delay         func(from, to string) time.Duration
+	ServerAddress func(proxy, nodo string) string     // at which a proxy reaches a server
+	ProxyAddress  func(proxy, member int) string      // at which it reaches a member
+	MemberAddress func(member, port int) string       // a member's own
+	PeerAddress   func(from, to, port int) string     // at which a member reaches another
+	ZoneAddress   func(zone, member, port int) string // at which a zone's servers reach a member
 
-	// Hollow tells the servers by name that carry no calls; nil: none. Proxies are told that these drain. Then the members have
-	// metrics too, and there is a look at the current list only each hollowReads.
-	Hollow func(nodo string) bool
+	// IsHollow reports whether a server, by name, takes no requests; nil: there are none. Proxies see such servers as draining. If set,
+	// members export metrics, and the list is read each hollowReadInterval.
+	IsHollow func(nodo string) bool
 }
 
-// Ports of a member.
+// Ports of a member's address.
 const (
 	listPort = 8500
 	raftPort = 8600
@@ -84,110 +89,132 @@
 	metricsPort = 9500
 )
 
-// Member is a member over all its processes.
+// Member is a member of the service, over all its processes.
 type Member struct {
-	Name, Zone string
-	n          int
-	dir, file  string
+	Name, Zone      string
+	index           int
+	dir, configFile string
 
-	mu    sync.Mutex
-	proc  *process.Process
-	dead  int // faults that keep it down
-	stops int
+	mu         sync.Mutex
+	process    *process.Process
+	downFaults int // number of active faults that keep it down
+	stopFaults int
 }
 
-// Service is the service.
+// Service is a running list service.
 type Service struct {
-	cfg     Config
-	log     *slog.Logger
-	members []*Member
-	http    *http.Client
-	history *linear.History
-	near    map[string]*registrar.Client // of each zone's servers
-	servers *servers
-	delays  *delays
+	config     Config
+	log        *slog.Logger
+	members    []*Member
+	http       *http.Client
+	history    *linear.History
+	registrars map[string]*registrar.Client // by zone of the servers
+	servers    *registrations
+	delays     *notificationDelays
 
 	mu       sync.Mutex
-	rejected int // starts that a member refused for its directory
+	rejected int // starts refused for a damaged directory
 	rng      *rand.Rand
 }
 
-// New makes all but the processes.
+// New creates the members' configurations and all links, but no processes.
 func New(cfg Config) (*Service, error) {
-	s := &Service{cfg: cfg, log: cfg.Log, http: &http.Client{}, history: linear.New(),
-		near: map[string]*registrar.Client{}, rng: rand.New(rand.NewPCG(cfg.Seed, 31)), delays: newDelays()}
+	s := &Service{config: cfg, log: cfg.Log, http: &http.Client{}, history: linear.New(),
+		registrars: map[string]*registrar.Client{}, rng: rand.New(rand.NewPCG(cfg.Seed, 31)), delays: newDelays()}
 	s.servers = newServers(s)
 	for i := range cfg.Members {
-		m := &Member{Name: fmt.Sprintf("r%d", i+1), Zone: cfg.Zones[i%len(cfg.Zones)], n: i,
+		member := &Member{Name: fmt.Sprintf("r%d", i+1), Zone: cfg.Zones[i%len(cfg.Zones)], index: i,
 			dir: filepath.Join(cfg.Dir, fmt.Sprintf("r%d", i+1))}
-		m.file = m.dir + ".toml"
-		s.members = append(s.members, m)
+		member.configFile = member.dir + ".toml"
+		s.members = append(s.members, member)
 	}
-	for _, m := range s.members {
-		if err := s.configure(m); err != nil {
+	for _, member := range s.members {
+		if err := s.configure(member); err != nil {
 			return nil, err
 		}
-		for _, o := range s.members {
-			if o == m {
+	}
+	if err := errors.Join(s.linkMembers(), s.linkServers(), s.linkProxies()); err != nil {
+		return nil, err
+	}
+	return s, nil
+}
+
+// linkMembers creates the links between the members.
+func (s *Service) linkMembers() error {
+	for _, member := range s.members {
+		for _, peer := range s.members {
+			if peer == member {
 				continue
 			}
-			ends := link.Ends{Kind: "member", From: m.Name, FromZone: m.Zone, To: o.Name, ToZone: o.Zone}
+			ends := link.Ends{Kind: "member", From: member.Name, FromZone: member.Zone, To: peer.Name, ToZone: peer.Zone}
 			for _, port := range []int{listPort, raftPort} {
-				if err := s.listen(ends, cfg.Between(m.n, o.n, port), s.pass(cfg.Own(o.n, port))); err != nil {
-					return nil, err
+				address := s.config.PeerAddress(member.index, peer.index, port)
+				if err := s.listen(ends, address, s.forwardBytes(s.config.MemberAddress(peer.index, port))); err != nil {
+					return err
 				}
 			}
 		}
 	}
-	for z, zone := range cfg.Zones {
-		var addrs []string
-		for _, m := range s.members {
-			ends := link.Ends{Kind: "lease", FromZone: zone, To: m.Name, ToZone: m.Zone}
-			addr := cfg.Near(z, m.n, listPort)
-			if err := s.listen(ends, addr, s.pass(cfg.Own(m.n, listPort))); err != nil {
-				return nil, err
+	return nil
+}
+
+// linkServers creates the links from each zone's servers to the members, and the registrars that use them.
+func (s *Service) linkServers() error {
+	for i, zone := range s.config.Zones {
+		var addresses []string
+		for _, member := range s.members {
+			ends := link.Ends{Kind: "lease", FromZone: zone, To: member.Name, ToZone: member.Zone}
+			address := s.config.ZoneAddress(i, member.index, listPort)
+			if err := s.listen(ends, address, s.forwardBytes(s.config.MemberAddress(member.index, listPort))); err != nil {
+				return err
 			}
-			addrs = append(addrs, addr)
+			addresses = append(addresses, address)
 		}
-		s.near[zone] = registrar.New(addrs)
+		s.registrars[zone] = registrar.New(addresses)
 	}
-	for p, proxy := range cfg.Proxies {
-		for _, m := range s.members {
-			ends := link.Ends{Kind: "list", From: proxy.Name, FromZone: proxy.Zone, To: m.Name, ToZone: m.Zone}
-			if err := s.listen(ends, cfg.List(p, m.n), s.tell(proxy.Name, cfg.Own(m.n, listPort))); err != nil {
-				return nil, err
+	return nil
+}
+
+// linkProxies creates the links from each proxy to the members.
+func (s *Service) linkProxies() error {
+	for i, proxy := range s.config.Proxies {
+		for _, member := range s.members {
+			ends := link.Ends{Kind: "list", From: proxy.Name, FromZone: proxy.Zone, To: member.Name, ToZone: member.Zone}
+			relay := s.relayPolls(proxy.Name, s.config.MemberAddress(member.index, listPort))
+			if err := s.listen(ends, s.config.ProxyAddress(i, member.index), relay); err != nil {
+				return err
 			}
 		}
 	}
-	return s, nil
+	return nil
 }
 
 func (s *Service) listen(ends link.Ends, addr string, accept func(*link.Conn)) error {
-	_, err := s.cfg.Net.Listen(ends, addr, s.cfg.Delay(ends.FromZone, ends.ToZone), accept)
+	_, err := s.config.Net.Listen(ends, addr, s.config.Delay(ends.FromZone, ends.ToZone), accept)
 	return err
 }
 
-// configure writes a member's configuration.
-func (s *Service) configure(m *Member) error {
+// configure writes a member's configuration file.
+func (s *Service) configure(member *Member) error {
 	f := config.Default()
-	f.Name, f.Dir, f.Listen, f.MetricsAddress = m.Name, m.dir, s.cfg.Own(m.n, listPort), ""
-	if s.cfg.Hollow != nil {
-		f.MetricsAddress = s.cfg.Own(m.n, metricsPort)
+	f.Name, f.Dir, f.Listen, f.MetricsAddress = member.Name, member.dir, s.config.MemberAddress(member.index, listPort), ""
+	if s.config.IsHollow != nil {
+		f.MetricsAddress = s.config.MemberAddress(member.index, metricsPort)
 	}
-	f.ElectionTimeoutMs, f.MaxListAgeMs = int(s.cfg.Election.Milliseconds()), int(s.cfg.Stale.Milliseconds())
-	for _, o := range s.members {
+	f.ElectionTimeoutMs, f.MaxListAgeMs = int(s.config.Election.Milliseconds()), int(s.config.MaxListAge.Milliseconds())
+	for _, peer := range s.members {
 		at := func(port int) string {
-			if o == m {
-				return s.cfg.Own(m.n, port)
+			if peer == member {
+				return s.config.MemberAddress(member.index, port)
 			}
-			return s.cfg.Between(m.n, o.n, port)
+			return s.config.PeerAddress(member.index, peer.index, port)
 		}
-		f.Members = append(f.Members, config.Member{Name: o.Name, Raft: at(raftPort), List: at(listPort)})
+		f.Members = append(f.Members, config.Member{Name: peer.Name, Raft: at(raftPort), List: at(listPort)})
 	}
-	if err := os.MkdirAll(s.cfg.Dir, 0o755); err != nil {
+	if err := os.MkdirAll(s.config.Dir, 0o755); err != nil {
 		return err
 	}
-	out, err := os.Create(m.file)
+	out, err := os.Create(member.configFile)
 	if err != nil {
 		return err
 	}
@@ -195,20 +222,20 @@
 	return toml.NewEncoder(out).Encode(f)
 }
 
-// Start starts all members, and waits until one leads.
+// Start starts all members, and waits until all serve.
 func (s *Service) Start(ctx context.Context) error {
-	for _, m := range s.members {
-		m.mu.Lock()
-		err := s.start(m)
-		m.mu.Unlock()
+	for _, member := range s.members {
+		member.mu.Lock()
+		err := s.start(member)
+		member.mu.Unlock()
 		if err != nil {
 			return err
 		}
 	}
-	for end := time.Now().Add(readyWait); time.Now().Before(end) && sleep.For(ctx, readyPoll); {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end) && sleep.For(ctx, readyPollInterval); {
 		n := 0
-		for _, m := range s.members {
-			if st, err := s.status(m); err == nil && st.Serving {
+		for _, member := range s.members {
+			if st, err := s.status(member); err == nil && st.Serving {
 				n++
 			}
 		}
@@ -216,43 +243,43 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("the list service did not serve within %v; its logs are %s", readyWait, filepath.Join(s.cfg.Logs, "r*.log"))
+	return fmt.Errorf("%w within %v: see its logs %s", errNotReady, readyTimeout, filepath.Join(s.config.LogDir, "r*.log"))
 }
 
-// Run has the reader read until the context ends, and then ends servers' calls.
+// Run reads lists until the context ends, and then ends the servers' registrations.
 func (s *Service) Run(ctx context.Context) {
-	s.read(ctx)
+	s.readLists(ctx)
 	s.servers.close()
 }
 
-// Lists are where a proxy finds the members.
-func (s *Service) Lists(proxy int) (addrs []string) {
-	for _, m := range s.members {
-		addrs = append(addrs, s.cfg.List(proxy, m.n))
+// MemberAddresses are the addresses at which a proxy reaches the members.
+func (s *Service) MemberAddresses(proxy int) (addrs []string) {
+	for _, member := range s.members {
+		addrs = append(addrs, s.config.ProxyAddress(proxy, member.index))
 	}
 	return addrs
 }
 
-func (s *Service) start(m *Member) error {
-	p, err := s.cfg.Starter.Start(process.Spec{Name: m.Name, Command: append(slices.Clone(s.cfg.Command), "serve", "--config", m.file),
-		Env: os.Environ(), Log: filepath.Join(s.cfg.Logs, m.Name+".log")}, s.log)
+func (s *Service) start(member *Member) error {
+	p, err := s.config.Starter.Start(process.Spec{Name: member.Name, Command: append(slices.Clone(s.config.Command), "serve", "--config", member.configFile),
+		Env: os.Environ(), Log: filepath.Join(s.config.LogDir, member.Name+".log")}, s.log)
 	if err != nil {
 		return err
 	}
-	m.proc = p
+	member.process = p
 	return nil
 }
 
-func (s *Service) status(m *Member) (st raftnode.Status, err error) {
-	err = s.get(m, "/v1/member", callWait, &st)
+func (s *Service) status(member *Member) (st raftnode.Status, err error) {
+	err = s.get(member, "/v1/member", callTimeout, &st)
 	return st, err
 }
 
-// get asks a member at its own address.
-func (s *Service) get(m *Member, path string, patience time.Duration, out any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// get calls a member at its own address and decodes its JSON answer.
+func (s *Service) get(member *Member, path string, timeout time.Duration, out any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.cfg.Own(m.n, listPort)+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.config.MemberAddress(member.index, listPort)+path, nil)
 	if err != nil {
 		return err
 	}
@@ -261,12 +288,12 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s of %s: %s", path, m.Name, resp.Status)
+		return fmt.Errorf("%w: %s of %s: %s", errBadStatus, path, member.Name, resp.Status)
 	}
 	return json.Unmarshal(text, out)
 }
