--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -60,12 +60,12 @@
 	out := []side{{exp: e}}
 	if c.Both {
 		off, on := *e, *e
-		off.Cluster.On, on.Cluster.On = false, true
+		off.Cluster.Enabled, on.Cluster.Enabled = false, true
 		out = []side{{dir: "off", exp: &off}, {dir: "on", exp: &on}}
 	}
 	for i := range out {
 		name := "merlinpick-proxy"
-		if out[i].exp.Cluster.On {
+		if out[i].exp.Cluster.Enabled {
 			name = "merlinpick-cluster-proxy"
 		}
 		var err error
@@ -91,7 +91,7 @@
 			return err
 		}
 	}
-	if e.Hollow.On() {
+	if e.Hollow.Enabled() {
 		self, err := os.Executable()
 		if err != nil {
 			return err
--- a/internal/faultlab/experiment/check_fault.go
+++ b/internal/faultlab/experiment/check_fault.go
@@ -6,113 +6,113 @@
 	"strings"
 )
 
-func (c *checker) checkFault(key string, f Fault) {
-	kind, ok := Kinds[f.Kind]
+func (c *checker) checkFault(key string, fault Fault) {
+	kind, ok := Kinds[fault.Kind]
 	if !ok {
-		c.problem(key+".kind", "%q is none of %s", f.Kind, strings.Join(KindNames(), ", "))
+		c.report(key+".kind", "%q is none of %s", fault.Kind, strings.Join(KindNames(), ", "))
 		return
 	}
-	if f.At < 0 || f.At >= c.e.Seconds {
-		c.problem(key+".at", "%v lies outside the %v seconds of the run", f.At, c.e.Seconds)
+	if fault.At < 0 || fault.At >= c.experiment.Seconds {
+		c.report(key+".at", "%v lies outside the %v seconds of the run", fault.At, c.experiment.Seconds)
 	}
-	c.notNegative(key+".for", f.For)
-	c.notNegative(key+".spread", f.Spread)
-	c.part(key+".share", f.Share)
-	needs := map[string]float64{"factor": f.Factor, "part": f.Part, "ms": f.Ms, "versions": float64(f.Versions),
-		"liars": float64(f.Liars), "clients": float64(f.Clients)}
+	c.notNegative(key+".for", fault.Duration)
+	c.notNegative(key+".spread", fault.Spread)
+	c.fraction(key+".share", fault.Share)
+	needs := map[string]float64{"factor": fault.Factor, "part": fault.Fraction, "ms": fault.DelayMs, "versions": float64(fault.Versions),
+		"liars": float64(fault.ByzantineMembers), "clients": float64(fault.IdleClients)}
 	for _, need := range kind.Needs {
 		c.positive(key+"."+need, needs[need])
 	}
-	if f.Liars > maxLiars {
-		c.problem(key+".liars", "at most %d", maxLiars)
+	if fault.ByzantineMembers > maxByzantineMembers {
+		c.report(key+".liars", "at most %d", maxByzantineMembers)
 	}
 	if slices.Contains(kind.Needs, "part") {
-		c.part(key+".part", f.Part)
+		c.fraction(key+".part", fault.Fraction)
 	}
-	zones := c.e.ZoneNames()
-	for name, zone := range map[string]string{"zone": f.Zone, "from_zone": f.FromZone, "to_zone": f.ToZone} {
+	zones := c.experiment.ZoneNames()
+	for name, zone := range map[string]string{"zone": fault.Zone, "from_zone": fault.FromZone, "to_zone": fault.ToZone} {
 		if zone != "" && !slices.Contains(zones, zone) && !(kind.Hollow && name == "zone") {
-			c.problem(key+"."+name, "no zone %q; there are %s", zone, strings.Join(zones, ", "))
+			c.report(key+"."+name, "no zone %q; there are %s", zone, strings.Join(zones, ", "))
 		}
 	}
-	if kind.Zone && f.Zone == "" {
-		c.problem(key+".zone", "%s needs the zone's name", f.Kind)
+	if kind.Zone && fault.Zone == "" {
+		c.report(key+".zone", "%s needs the zone's name", fault.Kind)
 	}
-	c.checkNames(key+".proxies", f.Proxies, c.e.ProxyNodes(), kind.Proxies || kind.Links, f.Kind)
-	c.checkNames(key+".nodos", f.Servers, c.e.ServerNodes(), kind.Servers || kind.Links, f.Kind)
-	c.checkMembers(key, f, kind)
-	c.checkHollowFault(key, f, kind)
+	c.checkNames(key+".proxies", fault.Proxies, c.experiment.ProxyNodes(), kind.Proxies || kind.Links, fault.Kind)
+	c.checkNames(key+".nodos", fault.Servers, c.experiment.ServerNodes(), kind.Servers || kind.Links, fault.Kind)
+	c.checkMembers(key, fault, kind)
+	c.checkHollowFault(key, fault, kind)
 	if kind.Links {
-		if f.Link != "" {
-			c.oneOf(key+".link", f.Link, "client", "nodo", "list", "lease", "gossip")
-			if f.Link == "gossip" && len(f.Servers) > 0 {
-				c.problem(key+".nodos", "gossip runs between proxies")
+		if fault.Link != "" {
+			c.oneOf(key+".link", fault.Link, "client", "nodo", "list", "lease", "gossip")
+			if fault.Link == "gossip" && len(fault.Servers) > 0 {
+				c.report(key+".nodos", "gossip runs between proxies")
 			}
 		}
-		if f.Direction != "" {
-			c.oneOf(key+".direction", f.Direction, "both", "out", "back")
+		if fault.Direction != "" {
+			c.oneOf(key+".direction", fault.Direction, "both", "out", "back")
 		}
-		if c.e.SharedLinks() && (f.Link == "" || f.Link == "nodo") && (len(f.Proxies) > 0 || f.Share > 0) {
-			c.problem(key+".proxies", "over %d pairs of proxy and nodo links are told apart by zone only: use from_zone",
+		if c.experiment.SharedLinks() && (fault.Link == "" || fault.Link == "nodo") && (len(fault.Proxies) > 0 || fault.Share > 0) {
+			c.report(key+".proxies", "over %d pairs of proxy and nodo links are told apart by zone only: use from_zone",
 				MaxPairLinks)
 		}
-	} else if f.Link != "" || f.Direction != "" && f.Kind != "member_cut" || f.FromZone != "" || f.ToZone != "" {
-		c.problem(key, "link, direction, from_zone and to_zone are for faults of links; %s is none", f.Kind)
+	} else if fault.Link != "" || fault.Direction != "" && fault.Kind != "member_cut" || fault.FromZone != "" || fault.ToZone != "" {
+		c.report(key, "link, direction, from_zone and to_zone are for faults of links; %s is none", fault.Kind)
 	}
 }
 
 func (c *checker) checkNames(key string, names []string, of []Node, allowed bool, kind string) {
 	if len(names) > 0 && !allowed {
-		c.problem(key, "%s is not aimed at any", kind)
+		c.report(key, "%s is not aimed at any", kind)
 		return
 	}
 	for _, n := range names {
 		if !slices.ContainsFunc(of, func(x Node) bool { return x.Name == n }) {
-			c.problem(key, "no %q; names are ZONE-p1 for proxies and ZONE-s1 for nodos", n)
+			c.report(key, "no %q; names are ZONE-p1 for proxies and ZONE-s1 for nodos", n)
 		}
 	}
 }
 
-func (c *checker) checkMembers(key string, f Fault, kind Kind) {
+func (c *checker) checkMembers(key string, fault Fault, kind Kind) {
 	switch {
-	case kind.Members && c.e.List.Members == 0:
-		c.problem(key+".kind", "%s is for a list service with members: list.members", f.Kind)
-	case !kind.Members && strings.HasPrefix(f.Kind, "list_") && c.e.List.Members > 0:
-		c.problem(key+".kind", "%s is for the stand-in: the list service has member_kill, member_stop, member_cut, member_damage",
-			f.Kind)
-	case !kind.Members && len(f.Members) > 0:
-		c.problem(key+".members", "%s is not aimed at any", f.Kind)
+	case kind.Members && c.experiment.List.Members == 0:
+		c.report(key+".kind", "%s is for a list service with members: list.members", fault.Kind)
+	case !kind.Members && strings.HasPrefix(fault.Kind, "list_") && c.experiment.List.Members > 0:
+		c.report(key+".kind", "%s is for the stand-in: the list service has member_kill, member_stop, member_cut, member_damage",
+			fault.Kind)
+	case !kind.Members && len(fault.Members) > 0:
+		c.report(key+".members", "%s is not aimed at any", fault.Kind)
 	}
 	names := []string{"leader", "follower"}
-	for i := range c.e.List.Members {
+	for i := range c.experiment.List.Members {
 		names = append(names, fmt.Sprintf("r%d", i+1))
 	}
-	for _, m := range f.Members {
+	for _, m := range fault.Members {
 		c.oneOf(key+".members", m, names...)
 	}
-	if f.Kind == "member_cut" && f.Direction != "" {
-		c.oneOf(key+".direction", f.Direction, "both", "out", "back")
+	if fault.Kind == "member_cut" && fault.Direction != "" {
+		c.oneOf(key+".direction", fault.Direction, "both", "out", "back")
 	}
 }
 
-func (c *checker) checkExpect(key string, x Expect) {
-	known := KnownFigure(x.Figure, c.e)
+func (c *checker) checkExpect(key string, expect Expect) {
+	known := IsKnownMetric(expect.Metric, c.experiment)
 	if !known {
-		c.problem(key+".figure", "%q is unknown; docs/lab.md lists the figures", x.Figure)
+		c.report(key+".figure", "%q is unknown; docs/lab.md lists the figures", expect.Metric)
 	}
-	if x.Min == nil && x.Max == nil {
-		c.problem(key, "neither min nor max: it cannot fail")
+	if expect.Min == nil && expect.Max == nil {
+		c.report(key, "neither min nor max: it cannot fail")
 	}
-	if x.Min != nil && x.Max != nil && *x.Min > *x.Max {
-		c.problem(key+".min", "%v is over max %v", *x.Min, *x.Max)
+	if expect.Min != nil && expect.Max != nil && *expect.Min > *expect.Max {
+		c.report(key+".min", "%v is over max %v", *expect.Min, *expect.Max)
 	}
-	if x.From != 0 || x.To != 0 {
-		from, to := x.Span(c.e)
-		if from < 0 || to <= from || to > c.e.Seconds {
-			c.problem(key+".from", "%v to %v is no span of the run's %v seconds", from, to, c.e.Seconds)
+	if expect.From != 0 || expect.To != 0 {
+		from, to := expect.Span(c.experiment)
+		if from < 0 || to <= from || to > c.experiment.Seconds {
+			c.report(key+".from", "%v to %v is no span of the run's %v seconds", from, to, c.experiment.Seconds)
 		}
-		if known && !SpanFigure(x.Figure) {
-			c.problem(key+".from", "%s is a figure of the whole run", x.Figure)
+		if known && !IsSpanMetric(expect.Metric) {
+			c.report(key+".from", "%s is a figure of the whole run", expect.Metric)
 		}
 	}
 }
--- a/internal/faultlab/experiment/experiment.go
+++ b/internal/faultlab/experiment/experiment.go
@@ -69,35 +69,35 @@
 
 // Servers is what all servers have in common.
 type Servers struct {
-	StartCapacity    float64 `toml:"start_capacity"` // of the full capacity, at a start
-	SlowStartMs      float64 `toml:"cold_ms"`        // until it is warm
-	OverloadMultiple float64 `toml:"tip_multiple"`   // of the present capacity; sent more it falls over
-	FallMs           float64 `toml:"fall_ms"`        // if it lasts this long
-	MaxConns         int     `toml:"max_conns"`
-	ConnectMs        float64 `toml:"connect_ms"`   // a new connection's first request comes this much later
-	ConnectWork      float64 `toml:"connect_work"` // and costs this much work, in ms
-	Cancelling       bool    `toml:"cancelling"`   // work stops when its caller has gone
+	StartCapacity     float64 `toml:"start_capacity"` // of the full capacity, at a start
+	SlowStartMs       float64 `toml:"cold_ms"`        // until it is warm
+	OverloadMultiple  float64 `toml:"tip_multiple"`   // of the present capacity; sent more it falls over
+	OverloadFailureMs float64 `toml:"fall_ms"`        // if it lasts this long
+	MaxConnections    int     `toml:"max_conns"`
+	ConnectMs         float64 `toml:"connect_ms"`   // a new connection's first request comes this much later
+	ConnectWork       float64 `toml:"connect_work"` // and costs this much work, in ms
+	CancelsWork       bool    `toml:"cancelling"`   // work stops when its caller has gone
 }
 
 // Class is a class of requests.
 type Class struct {
-	Name        string    `toml:"name"`
-	Share       float64   `toml:"share"`
-	WorkMs      []float64 `toml:"work_ms"` // from, to: drawn evenly
-	ObjectiveMs float64   `toml:"aim_ms"`
-	GiveUpMs    float64   `toml:"give_up_ms"` // of all tries together
-	Weight      float64   `toml:"worth"`
-	Repeat      string    `toml:"repeat"`
-	Scope       string    `toml:"scope"`
-	WindowMs    float64   `toml:"window_ms"`
-	AnswerBytes []int     `toml:"answer_bytes"`
-	BodyBytes   []int     `toml:"body_bytes"`
+	Name          string    `toml:"name"`
+	Share         float64   `toml:"share"`
+	WorkMs        []float64 `toml:"work_ms"` // from, to: drawn evenly
+	ObjectiveMs   float64   `toml:"aim_ms"`
+	DeadlineMs    float64   `toml:"give_up_ms"` // of all tries together
+	Weight        float64   `toml:"worth"`
+	RetryClass    string    `toml:"repeat"`
+	KeyScope      string    `toml:"scope"`
+	KeyWindowMs   float64   `toml:"window_ms"`
+	ResponseBytes []int     `toml:"answer_bytes"`
+	RequestBytes  []int     `toml:"body_bytes"`
 }
 
 // Load is the arrivals over time.
 type Load struct {
-	Rate [][]float64 `toml:"rate"` // [second, first tries a second]; straight lines between
-	Even bool        `toml:"even"` // arrivals at even distances rather than by chance
+	Rate         [][]float64 `toml:"rate"` // [second, first tries a second]; straight lines between
+	EvenlySpaced bool        `toml:"even"` // arrivals at even distances rather than by chance
 }
 
 // RateAt is the first tries a second at some second: on straight lines between the points, level outside them.
@@ -130,64 +130,64 @@
 
 // Clients is what the callers do.
 type Clients struct {
-	Retries    int       `toml:"retries"`
-	WaitMs     float64   `toml:"wait_ms"`
-	RetryPart  []float64 `toml:"try_part"` // of the class's give-up time that one try is given: from, to
-	MarkRetry  bool      `toml:"mark_retry"`
-	LeavePart  float64   `toml:"leave_part"`  // of the tries whose clients close their connection before the answer
-	NoticeMs   float64   `toml:"notice_ms"`   // until the front notices a dead proxy
-	OtherZones bool      `toml:"other_zones"` // the front sends on to other zones when its own has no proxy
+	Retries            int       `toml:"retries"`
+	WaitMs             float64   `toml:"wait_ms"`
+	AttemptFraction    []float64 `toml:"try_part"` // of the class's give-up time that one try is given: from, to
+	MarkRetry          bool      `toml:"mark_retry"`
+	CancelFraction     float64   `toml:"leave_part"`  // of the tries whose clients close their connection before the answer
+	FailureDetectionMs float64   `toml:"notice_ms"`   // until the front notices a dead proxy
+	OtherZones         bool      `toml:"other_zones"` // the front sends on to other zones when its own has no proxy
 }
 
 // Proxy is what the proxies are told.
 type Proxy struct {
-	Cores          float64        `toml:"cores"`
-	MemoryMB       int            `toml:"memory_mb"`
-	Sockets        int            `toml:"sockets"`
-	MaxAttempts    int            `toml:"try_limit"`
-	SecondCopies   bool           `toml:"second_copies"`
-	DialMs         float64        `toml:"dial_ms"`
-	IdleMs         float64        `toml:"idle_ms"`
-	DrainGraceMs   float64        `toml:"drain_grace_ms"`
-	PollIntervalMs float64        `toml:"ask_every_ms"`
-	SlackMs        float64        `toml:"slack_ms"`
-	RetryAfterMs   float64        `toml:"retry_after_ms"` // the longest that clients heed; 0: none is sent
-	Membership     string         `toml:"membership"`
-	Settings       map[string]any `toml:"settings"` // laid over the settings object
-	Config         map[string]any `toml:"config"`   // laid over the configuration
-	KnownPart      *float64       `toml:"known"`    // part of the servers that a starting proxy knows of; all if not given
+	Cores           float64        `toml:"cores"`
+	MemoryMB        int            `toml:"memory_mb"`
+	Sockets         int            `toml:"sockets"`
+	MaxAttempts     int            `toml:"try_limit"`
+	Hedging         bool           `toml:"second_copies"`
+	DialTimeoutMs   float64        `toml:"dial_ms"`
+	IdleTimeoutMs   float64        `toml:"idle_ms"`
+	DrainGraceMs    float64        `toml:"drain_grace_ms"`
+	PollIntervalMs  float64        `toml:"ask_every_ms"`
+	DeadlineSlackMs float64        `toml:"slack_ms"`
+	MaxRetryAfterMs float64        `toml:"retry_after_ms"` // the longest that clients heed; 0: none is sent
+	Membership      string         `toml:"membership"`
+	Settings        map[string]any `toml:"settings"` // laid over the settings object
+	Config          map[string]any `toml:"config"`   // laid over the configuration
+	KnownFraction   *float64       `toml:"known"`    // part of the servers that a starting proxy knows of; all if not given
 }
 
 // List is the stand-in list service.
 type List struct {
-	LagMs      float64 `toml:"lag_ms"`  // from a change to its being told
-	CallMs     float64 `toml:"call_ms"` // of the service for one call; calls are handled in turn
-	LineUs     float64 `toml:"line_us"` // and for one line of an answer
-	WaitMs     float64 `toml:"wait_ms"` // a call that has waited longer in line gets 503
-	SyncMs     float64 `toml:"sync_ms"` // between two syncs of its file
-	RetainN    int     `toml:"retain"`  // changes kept for watches; older ones get the whole list
-	MaxEntries int     `toml:"most"`    // calls that wait; more get 503 at once
-	Zone       string  `toml:"zone"`    // where it stands; empty: beside everybody
+	NotificationDelayMs float64 `toml:"lag_ms"`  // from a change to its being told
+	CallMs              float64 `toml:"call_ms"` // of the service for one call; calls are handled in turn
+	EntryUs             float64 `toml:"line_us"` // and for one line of an answer
+	QueueTimeoutMs      float64 `toml:"wait_ms"` // a call that has waited longer in line gets 503
+	SyncIntervalMs      float64 `toml:"sync_ms"` // between two syncs of its file
+	RetainedChanges     int     `toml:"retain"`  // changes kept for watches; older ones get the whole list
+	MaxWaitingCalls     int     `toml:"most"`    // calls that wait; more get 503 at once
+	Zone                string  `toml:"zone"`    // where it stands; empty: beside everybody
 
 	// With members the list is the project's own service, as real processes, and of the above nothing holds.
-	Members    int     `toml:"members"`     // 0: the stand-in
-	LeaseMs    float64 `toml:"lease_ms"`    // of a server
-	ElectionMs float64 `toml:"election_ms"` // of the members
-	StaleMs    float64 `toml:"stale_ms"`    // a list that is older is not told
+	Members      int     `toml:"members"`     // 0: the stand-in
+	LeaseMs      float64 `toml:"lease_ms"`    // of a server
+	ElectionMs   float64 `toml:"election_ms"` // of the members
+	MaxListAgeMs float64 `toml:"stale_ms"`    // a list that is older is not told
 }
 
 // Cluster is whether the proxies act as one.
 type Cluster struct {
-	On    bool   `toml:"on"`
-	Label string `toml:"label"`
-	Seeds int    `toml:"seeds"` // proxies that each is told to join at, spread over the zones
+	Enabled bool   `toml:"on"`
+	Label   string `toml:"label"`
+	Seeds   int    `toml:"seeds"` // proxies that each is told to join at, spread over the zones
 }
 
 // Fault is one thing that goes wrong.
 type Fault struct {
-	At   float64 `toml:"at"`
-	For  float64 `toml:"for"` // 0: to the end, or for a moment where the kind is one of a moment
-	Kind string  `toml:"kind"`
+	At       float64 `toml:"at"`
+	Duration float64 `toml:"for" json:"For"` // 0: to the end, or for a moment where the kind is one of a moment
+	Kind     string  `toml:"kind"`
 
 	Zone    string   `toml:"zone"`
 	Proxies []string `toml:"proxies"` // names; with share or none: drawn among those of the zone, or of all
@@ -196,25 +196,25 @@
 	Share   float64  `toml:"share"`
 	Spread  float64  `toml:"spread"` // seconds over which the targets' turns are spread
 
-	Link      string  `toml:"link"`      // client, server, list, lease (from servers to the list service) or gossip; empty: all
-	Direction string  `toml:"direction"` // both, out (what callers send is lost) or back (answers are)
-	FromZone  string  `toml:"from_zone"`
-	ToZone    string  `toml:"to_zone"`
-	Ms        float64 `toml:"ms"`
-	Part      float64 `toml:"part"`
-	Factor    float64 `toml:"factor"`
-	Versions  int     `toml:"versions"`
-	Service   int     `toml:"service"` // of hollow servers: all of one of the services, from 1; of configurations likewise
-	Count     int     `toml:"count"`   // of hollow servers: so many of those that are left; of configurations: so many puts
-	Liars     int     `toml:"liars"`
-	Clients   int     `toml:"clients"` // of a crowd, at each proxy
-	Faulty    bool    `toml:"faulty"`  // a put of a document that no proxy could use
-	Keep      bool    `toml:"keep"`    // a restarted proxy finds its directory as it was
+	Link             string  `toml:"link"`      // client, server, list, lease (from servers to the list service) or gossip; empty: all
+	Direction        string  `toml:"direction"` // both, out (what callers send is lost) or back (answers are)
+	FromZone         string  `toml:"from_zone"`
+	ToZone           string  `toml:"to_zone"`
+	DelayMs          float64 `toml:"ms" json:"Ms"`
+	Fraction         float64 `toml:"part" json:"Part"`
+	Factor           float64 `toml:"factor"`
+	Versions         int     `toml:"versions"`
+	Service          int     `toml:"service"` // of hollow servers: all of one of the services, from 1; of configurations likewise
+	Count            int     `toml:"count"`   // of hollow servers: so many of those that are left; of configurations: so many puts
+	ByzantineMembers int     `toml:"liars" json:"Liars"`
+	IdleClients      int     `toml:"clients" json:"Clients"` // of a crowd, at each proxy
+	InvalidConfig    bool    `toml:"faulty" json:"Faulty"`   // a put of a document that no proxy could use
+	KeepDirectory    bool    `toml:"keep" json:"Keep"`       // a restarted proxy finds its directory as it was
 }
 
 // Expect is a bound on a figure.
 type Expect struct {
-	Figure string   `toml:"figure"`
+	Metric string   `toml:"figure"`
 	Min    *float64 `toml:"min"`
 	Max    *float64 `toml:"max"`
 	From   float64  `toml:"from"` // of arrivals, seconds; metrics of a span only
@@ -222,13 +222,13 @@
 }
 
 // Span is the part of a run that an expectation speaks of; to 0 is the end.
-func (x Expect) Span(e *Experiment) (from, to float64) {
-	from, to = x.From, x.To
+func (expect Expect) Span(exp *Experiment) (from, to float64) {
+	from, to = expect.From, expect.To
 	if from == 0 && to == 0 {
-		from = e.Warmup
+		from = exp.Warmup
 	}
 	if to == 0 {
-		to = e.Seconds
+		to = exp.Seconds
 	}
 	return from, to
 }
@@ -293,31 +293,31 @@
 // Kinds of faults, each with what it needs and what it is.
 var Kinds = map[string]Kind{
 	"kill":       {Proxies: true, Text: "SIGKILL; started again after `for`, from nothing unless keep"},
-	"stop":       {Proxies: true, Lasts: true, Text: "SIGSTOP, and SIGCONT after `for`"},
+	"stop":       {Proxies: true, HasDuration: true, Text: "SIGSTOP, and SIGCONT after `for`"},
 	"restart":    {Proxies: true, Text: "planned: SIGTERM, `versions` more signals, SIGKILL after the longest deadline, start again `for` later"},
 	"upgrade":    {Proxies: true, Text: "a successor beside it, SIGTERM to the old one, by the on-call page"},
 	"power_loss": {Proxies: true, Text: "SIGKILL, and what its files got last is lost in part; directory kept"},
 	"reload":     {Proxies: true, Text: "SIGHUP, `versions` times in a row, with the configuration in force or a broken one"},
-	"hold_up":    {Proxies: true, Lasts: true, Text: "SIGSTOP for up to 0.15 s, again and again"},
-	"crowd":      {Proxies: true, Lasts: true, Needs: []string{"clients"}, Text: "`clients` connect to each and send nothing"},
-	"rude":       {Proxies: true, Lasts: true, Text: "clients come that send no proper request"},
-	"disk_full":  {Proxies: true, Lasts: true, Text: "every write of a byte to a file fails"},
+	"hold_up":    {Proxies: true, HasDuration: true, Text: "SIGSTOP for up to 0.15 s, again and again"},
+	"crowd":      {Proxies: true, HasDuration: true, Needs: []string{"clients"}, Text: "`clients` connect to each and send nothing"},
+	"rude":       {Proxies: true, HasDuration: true, Text: "clients come that send no proper request"},
+	"disk_full":  {Proxies: true, HasDuration: true, Text: "every write of a byte to a file fails"},
 
 	"nodo_kill":    {Servers: true, Text: "the process dies; back cold after `for`"},
-	"nodo_silent":  {Servers: true, Lasts: true, Text: "the machine vanishes: a black hole; connections reset at the end"},
-	"nodo_hang":    {Servers: true, Lasts: true, Text: "connects and takes requests, never answers"},
-	"nodo_slow":    {Servers: true, Lasts: true, Needs: []string{"factor"}, Text: "takes `factor` times as long"},
-	"nodo_errors":  {Servers: true, Lasts: true, Needs: []string{"part"}, Text: "answers 500 to `part` of its requests"},
-	"nodo_garble":  {Servers: true, Lasts: true, Needs: []string{"part"}, Text: "spoils `part` of its answers"},
+	"nodo_silent":  {Servers: true, HasDuration: true, Text: "the machine vanishes: a black hole; connections reset at the end"},
+	"nodo_hang":    {Servers: true, HasDuration: true, Text: "connects and takes requests, never answers"},
+	"nodo_slow":    {Servers: true, HasDuration: true, Needs: []string{"factor"}, Text: "takes `factor` times as long"},
+	"nodo_errors":  {Servers: true, HasDuration: true, Needs: []string{"part"}, Text: "answers 500 to `part` of its requests"},
+	"nodo_garble":  {Servers: true, HasDuration: true, Needs: []string{"part"}, Text: "spoils `part` of its answers"},
 	"nodo_drain":   {Servers: true, Text: "drains, and is gone from the list 2 s later; back cold after `for`"},
 	"nodo_replace": {Servers: true, Text: "drains and goes while a cold one under a new name takes its place"},
 
-	"zone_loss": {Zone: true, Lasts: true, Text: "its nodos vanish and its proxies are killed; all back cold"},
-	"zone_cut":  {Zone: true, Lasts: true, Text: "all links between it and other zones are silent"},
+	"zone_loss": {Zone: true, HasDuration: true, Text: "its nodos vanish and its proxies are killed; all back cold"},
+	"zone_cut":  {Zone: true, HasDuration: true, Text: "all links between it and other zones are silent"},
 
-	"cut":   {Links: true, Lasts: true, Text: "links fall silent, in `direction`; open connections stay open"},
-	"delay": {Links: true, Lasts: true, Needs: []string{"ms"}, Text: "`ms` more each way"},
-	"loss":  {Links: true, Lasts: true, Needs: []string{"part"}, Text: "`part` of the writes come a retransmission later; of datagrams, never"},
+	"cut":   {Links: true, HasDuration: true, Text: "links fall silent, in `direction`; open connections stay open"},
+	"delay": {Links: true, HasDuration: true, Needs: []string{"ms"}, Text: "`ms` more each way"},
+	"loss":  {Links: true, HasDuration: true, Needs: []string{"part"}, Text: "`part` of the writes come a retransmission later; of datagrams, never"},
 	"reset": {Links: true, Text: "open connections are reset; while it lasts new ones too, at their first byte"},
 
 	"hollow_replace": {Hollow: true, Text: "hollow nodos drain, go 2 s later, and are back at once as another process"},
@@ -325,17 +325,17 @@
 
 	"config_put": {Configs: true, Text: "`count` configurations are put over `spread`, at services in turn; `faulty`: such as no proxy could use"},
 
-	"gossip_lie": {Servers: true, Lasts: true, Needs: []string{"liars"}, Text: "so many more members join the fleet and say that the nodos and all other zones fail"},
+	"gossip_lie": {Servers: true, HasDuration: true, Needs: []string{"liars"}, Text: "so many more members join the fleet and say that the nodos and all other zones fail"},
 
 	"member_kill":   {Members: true, Text: "members of the list service die in one instant; back after `for` with their directories"},
-	"member_stop":   {Members: true, Lasts: true, Text: "SIGSTOP, and SIGCONT after `for`"},
-	"member_cut":    {Members: true, Lasts: true, Text: "links between them and the other members fall silent, in `direction`"},
+	"member_stop":   {Members: true, HasDuration: true, Text: "SIGSTOP, and SIGCONT after `for`"},
+	"member_cut":    {Members: true, HasDuration: true, Text: "links between them and the other members fall silent, in `direction`"},
 	"member_damage": {Members: true, Text: "they die, a file of each is cut off at a random byte; one that refuses it starts empty"},
 
-	"list_down":       {Lasts: true, Text: "the list service refuses connections"},
-	"list_slow":       {Lasts: true, Needs: []string{"factor"}, Text: "calls take `factor` times as long"},
-	"list_stale":      {Lasts: true, Text: "it tells nothing that happened since"},
-	"list_disk_full":  {Lasts: true, Text: "it can keep no change, and tells none that it cannot keep"},
+	"list_down":       {HasDuration: true, Text: "the list service refuses connections"},
+	"list_slow":       {HasDuration: true, Needs: []string{"factor"}, Text: "calls take `factor` times as long"},
+	"list_stale":      {HasDuration: true, Text: "it tells nothing that happened since"},
+	"list_disk_full":  {HasDuration: true, Text: "it can keep no change, and tells none that it cannot keep"},
 	"list_rollback":   {Needs: []string{"versions"}, Text: "its versions go back by `versions`, contents too"},
 	"list_power_loss": {Text: "it dies, loses what was not synced, and is back after `for`"},
 }
@@ -344,7 +344,7 @@
 type Kind struct {
 	Proxies, Servers, Zone, Links, Members, Hollow bool // what it is aimed at
 	Configs                                        bool // it puts configurations of services
-	Lasts                                          bool // it holds for `for`
+	HasDuration                                    bool // it holds for `for`
 	Needs                                          []string
 	Text                                           string
 }
--- a/internal/faultlab/experiment/figures.go
+++ b/internal/faultlab/experiment/figures.go
@@ -38,36 +38,36 @@
 	"returned_s", "room_worth"}
 
 // SpanFigure tells whether a figure can be asked of a span.
-func SpanFigure(name string) bool {
+func IsSpanMetric(name string) bool {
 	base, _, _ := strings.Cut(name, ".")
 	return slices.Contains(spanMetrics, base)
 }
 
 // KnownFigure tells whether the report has a figure of that name for an experiment.
-func KnownFigure(name string, e *Experiment) bool {
+func IsKnownMetric(name string, exp *Experiment) bool {
 	base, rest, dotted := strings.Cut(name, ".")
 	if !dotted {
 		return slices.Contains(spanMetrics, name) || slices.Contains(wholeRunMetrics, name) || slices.Contains(faultMetrics, name)
 	}
 	switch {
 	case base == "control":
-		return controlFigure(rest, e)
+		return isControlMetric(rest, exp)
 	case base == "broken":
 		return slices.Contains(Rules, rest)
 	case slices.Contains(faultMetrics, base):
 		n, err := strconv.Atoi(rest)
-		return err == nil && n >= 1 && n <= len(e.Faults)
+		return err == nil && n >= 1 && n <= len(exp.Faults)
 	}
-	return slices.Contains(spanMetrics, base) && slices.ContainsFunc(e.Classes, func(k Class) bool { return k.Name == rest })
+	return slices.Contains(spanMetrics, base) && slices.ContainsFunc(exp.Classes, func(k Class) bool { return k.Name == rest })
 }
 
 // Held tells whether a figure keeps a bound, and words it if not.
-func (x Expect) Held(v float64) (bool, string) {
-	if x.Min != nil && !(v >= *x.Min) {
-		return false, fmt.Sprintf("%s is %.4g, wanted at least %.4g", x.Figure, v, *x.Min)
+func (expect Expect) Check(v float64) (bool, string) {
+	if expect.Min != nil && !(v >= *expect.Min) {
+		return false, fmt.Sprintf("%s is %.4g, wanted at least %.4g", expect.Metric, v, *expect.Min)
 	}
-	if x.Max != nil && !(v <= *x.Max) {
-		return false, fmt.Sprintf("%s is %.4g, wanted at most %.4g", x.Figure, v, *x.Max)
+	if expect.Max != nil && !(v <= *expect.Max) {
+		return false, fmt.Sprintf("%s is %.4g, wanted at most %.4g", expect.Metric, v, *expect.Max)
 	}
 	return true, ""
 }
--- a/internal/faultlab/experiment/hollow.go
+++ b/internal/faultlab/experiment/hollow.go
@@ -9,15 +9,15 @@
 // Hollow is the hollow proxies and servers beside the real ones: package hollow says what they are. They stand in the file's
 // zones in turn, and there in Zones parts, which the list has as zones of their own: a file's zone then is a region.
 type Hollow struct {
-	Proxies   int     `toml:"proxies"`
-	Servers   int     `toml:"nodos"`
-	Processes int     `toml:"processes"`       // of proxies; servers have half as many
-	Zones     int     `toml:"zones"`           // in each of the file's zones
-	Services  int     `toml:"services"`        // that the servers make up, for faults of one service
-	Calls     float64 `toml:"calls"`           // drawn, a second and proxy
-	Bad       float64 `toml:"bad"`             // part of the drawn calls that come to nothing
-	Following int     `toml:"config_services"` // services whose configurations the proxies follow, each one of them in turn; 0: none
-	Relays    bool    `toml:"relays"`          // between members of the fleet, for delays and faults of links that strike all gossip
+	Proxies            int     `toml:"proxies"`
+	Servers            int     `toml:"nodos"`
+	Processes          int     `toml:"processes"`       // of proxies; servers have half as many
+	ZonesPerRegion     int     `toml:"zones"`           // in each of the file's zones
+	Services           int     `toml:"services"`        // that the servers make up, for faults of one service
+	CallRate           float64 `toml:"calls"`           // drawn, a second and proxy
+	FailedFraction     float64 `toml:"bad"`             // part of the drawn calls that come to nothing
+	ConfigServiceCount int     `toml:"config_services"` // services whose configurations the proxies follow, each one of them in turn; 0: none
+	Relays             bool    `toml:"relays"`          // between members of the fleet, for delays and faults of links that strike all gossip
 }
 
 // Phase is a span of the run whose metrics of control are told apart.
@@ -31,38 +31,40 @@
 	maxHollow          = 5000
 	maxHollowProcesses = 64
 	maxConfigServices  = 1000 // as the list service holds
-	maxConfigPuts      = 10000
+	maxConfigWrites    = 10000
 	hollowPrefix       = "h"
 )
 
 // On tells whether there are any.
-func (h Hollow) On() bool { return h.Proxies+h.Servers > 0 }
+func (h Hollow) Enabled() bool { return h.Proxies+h.Servers > 0 }
 
 // ServerProcesses is how many processes the servers share.
 func (h Hollow) ServerProcesses() int { return min(max(1, h.Processes/2), h.Servers) }
 
 // HollowProxies names the hollow proxies. A Node's zone is a part of the file's zone.
-func (e *Experiment) HollowProxies() []Node { return e.hollow("p", e.Hollow.Proxies) }
+func (e *Experiment) HollowProxies() []Node { return e.hollowNodes("p", e.Hollow.Proxies) }
 
 // HollowServers names the hollow servers.
-func (e *Experiment) HollowServers() []Node { return e.hollow("s", e.Hollow.Servers) }
+func (e *Experiment) HollowServers() []Node { return e.hollowNodes("s", e.Hollow.Servers) }
 
-func (e *Experiment) hollow(kind string, n int) (out []Node) {
+func (e *Experiment) hollowNodes(kind string, n int) (out []Node) {
 	zones := e.ZoneNames()
 	for i := range n {
-		region, part := i%len(zones), i/len(zones)%max(1, e.Hollow.Zones)
-		out = append(out, Node{Name: fmt.Sprintf("%s%s%d", hollowPrefix, kind, i+1), Zone: hollowZone(zones[region], part)})
+		region, part := i%len(zones), i/len(zones)%max(1, e.Hollow.ZonesPerRegion)
+		out = append(out, Node{Name: fmt.Sprintf("%s%s%d", hollowPrefix, kind, i+1), Zone: hollowZoneName(zones[region], part)})
 	}
 	return out
 }
 
-func hollowZone(region string, part int) string { return fmt.Sprintf("%s-%c", region, 'a'+rune(part)) }
+func hollowZoneName(region string, part int) string {
+	return fmt.Sprintf("%s-%c", region, 'a'+rune(part))
+}
 
 // HollowZones are the zones of the hollow ones.
 func (e *Experiment) HollowZones() (out []string) {
 	for _, z := range e.ZoneNames() {
-		for part := range e.Hollow.Zones {
-			out = append(out, hollowZone(z, part))
+		for part := range e.Hollow.ZonesPerRegion {
+			out = append(out, hollowZoneName(z, part))
 		}
 	}
 	return out
@@ -73,108 +75,108 @@
 
 // ConfigService is the service, from 1, whose configuration the hollow proxy with a number from 0 follows; 0: none.
 func (h Hollow) ConfigService(i int) int {
-	if h.Following == 0 {
+	if h.ConfigServiceCount == 0 {
 		return 0
 	}
-	return i%h.Following + 1
+	return i%h.ConfigServiceCount + 1
 }
 
 // ConfigServices is how many services' configurations some hollow proxy follows.
-func (h Hollow) ConfigServices() int { return min(h.Following, h.Proxies) }
+func (h Hollow) ConfigServices() int { return min(h.ConfigServiceCount, h.Proxies) }
 
 // ServiceName names the service with a number from 1 at the list service.
 func ServiceName(service int) string { return fmt.Sprintf("s%d", service) }
 
 // InService tells whether the hollow server with a number from 0 belongs to a service from 1.
-func (h Hollow) InService(i, service int) bool { return i%h.Services == service-1 }
+func (h Hollow) BelongsToService(i, service int) bool { return i%h.Services == service-1 }
 
 func (c *checker) checkHollow() {
-	e, h := c.e, c.e.Hollow
-	for key, n := range map[string]int{"proxies": h.Proxies, "nodos": h.Servers} {
+	exp, hollow := c.experiment, c.experiment.Hollow
+	for key, n := range map[string]int{"proxies": hollow.Proxies, "nodos": hollow.Servers} {
 		if n < 0 || n > maxHollow {
-			c.problem("hollow."+key, "from 0 to %d, not %d", maxHollow, n)
+			c.report("hollow."+key, "from 0 to %d, not %d", maxHollow, n)
 		}
 	}
-	if h.On() {
-		if e.List.Members == 0 {
-			c.problem("hollow", "they follow the list service: list.members is needed")
+	if hollow.Enabled() {
+		if exp.List.Members == 0 {
+			c.report("hollow", "they follow the list service: list.members is needed")
 		}
-		if h.Processes < 1 || h.Processes > maxHollowProcesses {
-			c.problem("hollow.processes", "from 1 to %d, not %d", maxHollowProcesses, h.Processes)
+		if hollow.Processes < 1 || hollow.Processes > maxHollowProcesses {
+			c.report("hollow.processes", "from 1 to %d, not %d", maxHollowProcesses, hollow.Processes)
 		}
-		if h.Zones < 1 || h.Zones > 26 {
-			c.problem("hollow.zones", "from 1 to 26, not %d", h.Zones)
+		if hollow.ZonesPerRegion < 1 || hollow.ZonesPerRegion > 26 {
+			c.report("hollow.zones", "from 1 to 26, not %d", hollow.ZonesPerRegion)
 		}
-		if h.Services < 1 {
-			c.problem("hollow.services", "has to be 1 or more, not %d", h.Services)
+		if hollow.Services < 1 {
+			c.report("hollow.services", "has to be 1 or more, not %d", hollow.Services)
 		}
-		if h.Following < 0 || h.Following > maxConfigServices {
-			c.problem("hollow.config_services", "from 0 to %d, not %d", maxConfigServices, h.Following)
+		if hollow.ConfigServiceCount < 0 || hollow.ConfigServiceCount > maxConfigServices {
+			c.report("hollow.config_services", "from 0 to %d, not %d", maxConfigServices, hollow.ConfigServiceCount)
 		}
-		if h.Relays && !e.Cluster.On {
-			c.problem("hollow.relays", "they stand between members of the fleet: fleet.on is needed")
+		if hollow.Relays && !exp.Cluster.Enabled {
+			c.report("hollow.relays", "they stand between members of the fleet: fleet.on is needed")
 		}
-		c.notNegative("hollow.calls", h.Calls)
-		c.part("hollow.bad", h.Bad)
+		c.notNegative("hollow.calls", hollow.CallRate)
+		c.fraction("hollow.bad", hollow.FailedFraction)
 	}
 	seen := map[string]bool{}
-	for i, p := range e.Phases {
+	for i, p := range exp.Phases {
 		key := fmt.Sprintf("phase[%d]", i+1)
 		if p.Name == "" || seen[p.Name] || strings.ContainsAny(p.Name, " .") {
-			c.problem(key+".name", "%q is empty, given twice, or has a space or a dot", p.Name)
+			c.report(key+".name", "%q is empty, given twice, or has a space or a dot", p.Name)
 		}
 		seen[p.Name] = true
-		if !(p.From >= 0 && p.To > p.From && p.To < e.Seconds) {
-			c.problem(key+".from", "%v to %v is no span that ends before the run's %v seconds do", p.From, p.To, e.Seconds)
+		if !(p.From >= 0 && p.To > p.From && p.To < exp.Seconds) {
+			c.report(key+".from", "%v to %v is no span that ends before the run's %v seconds do", p.From, p.To, exp.Seconds)
 		}
 	}
-	if len(e.Phases) > 0 && !h.On() {
-		c.problem("phase", "figures of phases are of control, with hollow ones: hollow.proxies or hollow.nodos")
+	if len(exp.Phases) > 0 && !hollow.Enabled() {
+		c.report("phase", "figures of phases are of control, with hollow ones: hollow.proxies or hollow.nodos")
 	}
 }
 
 // checkHollowFault checks what only faults of hollow servers and of configurations have.
-func (c *checker) checkHollowFault(key string, f Fault, kind Kind) {
+func (c *checker) checkHollowFault(key string, fault Fault, kind Kind) {
 	if kind.Configs {
-		c.checkConfigPut(key, f)
+		c.checkConfigWrite(key, fault)
 		return
 	}
-	if f.Faulty {
-		c.problem(key+".faulty", "is for config_put")
+	if fault.InvalidConfig {
+		c.report(key+".faulty", "is for config_put")
 	}
 	if !kind.Hollow {
-		if f.Service != 0 || f.Count != 0 {
-			c.problem(key, "service and count are for faults of hollow nodos; %s is none", f.Kind)
+		if fault.Service != 0 || fault.Count != 0 {
+			c.report(key, "service and count are for faults of hollow nodos; %s is none", fault.Kind)
 		}
 		return
 	}
-	if c.e.Hollow.Servers == 0 {
-		c.problem(key+".kind", "%s needs hollow.nodos", f.Kind)
+	if c.experiment.Hollow.Servers == 0 {
+		c.report(key+".kind", "%s needs hollow.nodos", fault.Kind)
 	}
-	if f.Service < 0 || f.Service > c.e.Hollow.Services {
-		c.problem(key+".service", "from 1 to %d, or 0 for all, not %d", c.e.Hollow.Services, f.Service)
+	if fault.Service < 0 || fault.Service > c.experiment.Hollow.Services {
+		c.report(key+".service", "from 1 to %d, or 0 for all, not %d", c.experiment.Hollow.Services, fault.Service)
 	}
-	if f.Count < 0 {
-		c.problem(key+".count", "has to be 0 or more, not %d", f.Count)
+	if fault.Count < 0 {
+		c.report(key+".count", "has to be 0 or more, not %d", fault.Count)
 	}
-	if zones := c.e.HollowZones(); f.Zone != "" && !slices.Contains(zones, f.Zone) {
-		c.problem(key+".zone", "no zone %q of hollow nodos; there are %s", f.Zone, strings.Join(zones, ", "))
+	if zones := c.experiment.HollowZones(); fault.Zone != "" && !slices.Contains(zones, fault.Zone) {
+		c.report(key+".zone", "no zone %q of hollow nodos; there are %s", fault.Zone, strings.Join(zones, ", "))
 	}
 }
 
-func (c *checker) checkConfigPut(key string, f Fault) {
-	most := c.e.Hollow.ConfigServices()
+func (c *checker) checkConfigWrite(key string, fault Fault) {
+	most := c.experiment.Hollow.ConfigServices()
 	if most == 0 {
-		c.problem(key+".kind", "%s needs hollow proxies that follow: hollow.config_services", f.Kind)
+		c.report(key+".kind", "%s needs hollow proxies that follow: hollow.config_services", fault.Kind)
 	}
-	if f.Service < 0 || f.Service > most {
-		c.problem(key+".service", "from 1 to %d, or 0 for all in turn, not %d", most, f.Service)
+	if fault.Service < 0 || fault.Service > most {
+		c.report(key+".service", "from 1 to %d, or 0 for all in turn, not %d", most, fault.Service)
 	}
-	if f.Count < 1 || f.Count > maxConfigPuts {
-		c.problem(key+".count", "from 1 to %d, not %d", maxConfigPuts, f.Count)
+	if fault.Count < 1 || fault.Count > maxConfigWrites {
+		c.report(key+".count", "from 1 to %d, not %d", maxConfigWrites, fault.Count)
 	}
-	if f.Share != 0 || f.Zone != "" || f.For != 0 {
-		c.problem(key, "share, zone and for have no meaning for %s", f.Kind)
+	if fault.Share != 0 || fault.Zone != "" || fault.Duration != 0 {
+		c.report(key, "share, zone and for have no meaning for %s", fault.Kind)
 	}
 }
 
@@ -196,12 +198,12 @@
 
 // controlFigure tells whether there is such a figure of control: PHASE.ROLE.FIGURE, PHASE.factor.FIGURE, PHASE.FIGURE, or one
 // of the whole run.
-func controlFigure(name string, e *Experiment) bool {
+func isControlMetric(name string, exp *Experiment) bool {
 	phase, rest, ok := strings.Cut(name, ".")
 	if !ok {
 		return slices.Contains(controlWhole, name)
 	}
-	if !slices.ContainsFunc(e.Phases, func(p Phase) bool { return p.Name == phase }) {
+	if !slices.ContainsFunc(exp.Phases, func(p Phase) bool { return p.Name == phase }) {
 		return false
 	}
 	role, figure, dotted := strings.Cut(rest, ".")
--- a/internal/faultlab/experiment/read.go
+++ b/internal/faultlab/experiment/read.go
@@ -50,42 +50,42 @@
 }
 
 func parse(name, text string, open func(base string) ([]byte, error), bases int) (*Experiment, error) {
-	e := defaults()
+	exp := defaults()
 	var first struct {
 		Base string `toml:"base"`
 	}
 	if _, err := toml.Decode(text, &first); err != nil {
 		return nil, parseProblem(name, err)
 	}
-	c := &checker{file: name, e: e, lines: lines(text)}
+	c := &checker{file: name, experiment: exp, lines: keyLines(text)}
 	if first.Base != "" {
 		under, err := open(first.Base)
 		if bases == 0 {
 			err = fmt.Errorf("over %d bases, one on another", maxBases)
 		}
 		if err != nil {
-			c.problem("base", "%v", err)
-			return nil, errors.Join(c.found...)
+			c.report("base", "%v", err)
+			return nil, errors.Join(c.problems...)
 		}
 		from := func(base string) ([]byte, error) { return open(filepath.Join(filepath.Dir(first.Base), base)) }
-		if e, err = parse(first.Base, string(under), from, bases-1); err != nil {
-			c.problem("base", "it has faults itself")
-			return nil, errors.Join(append(c.found, err)...)
+		if exp, err = parse(first.Base, string(under), from, bases-1); err != nil {
+			c.report("base", "it has faults itself")
+			return nil, errors.Join(append(c.problems, err)...)
 		}
-		c.e = e
+		c.experiment = exp
 	}
-	if err := e.clearLists(text); err != nil {
+	if err := exp.clearLists(text); err != nil {
 		return nil, parseProblem(name, err)
 	}
-	meta, err := toml.Decode(text, e)
+	meta, err := toml.Decode(text, exp)
 	if err != nil {
 		return nil, parseProblem(name, err)
 	}
 	for _, key := range meta.Undecoded() {
-		c.problem(c.undecoded(key), "unknown key; the format is in docs/lab.md")
+		c.report(c.undecoded(key), "unknown key; the format is in docs/lab.md")
 	}
 	c.check()
-	return e, errors.Join(c.found...)
+	return exp, errors.Join(c.problems...)
 }
 
 // clearLists empties the lists that a file gives anew, so that it replaces its base's rather than mixing with them.
@@ -120,22 +120,22 @@
 		Seconds: 30, Warmup: 3, Seed: 1, Repeat: 1,
 		Lab:     Lab{LateMs: 20, StallMs: 400, StartGap: 0.05, ReadyWait: 30, Rules: "enforce"},
 		Network: Network{LocalMs: 0.5, CrossMs: 15},
-		Clients: Clients{Retries: 3, RetryPart: []float64{0.4, 0.55}, NoticeMs: 2000, MarkRetry: true},
-		Proxy: Proxy{Cores: 1, MemoryMB: 64, Sockets: 512, MaxAttempts: 3, SecondCopies: true, DialMs: 250,
-			IdleMs: 5000, DrainGraceMs: 1000, PollIntervalMs: 10000, SlackMs: 20, RetryAfterMs: 2000,
+		Clients: Clients{Retries: 3, AttemptFraction: []float64{0.4, 0.55}, FailureDetectionMs: 2000, MarkRetry: true},
+		Proxy: Proxy{Cores: 1, MemoryMB: 64, Sockets: 512, MaxAttempts: 3, Hedging: true, DialTimeoutMs: 250,
+			IdleTimeoutMs: 5000, DrainGraceMs: 1000, PollIntervalMs: 10000, DeadlineSlackMs: 20, MaxRetryAfterMs: 2000,
 			Membership: "subscribe"},
-		Servers: Servers{StartCapacity: 0.32, SlowStartMs: 8800, OverloadMultiple: 3, FallMs: 2000, MaxConns: 64,
-			ConnectMs: 2, ConnectWork: 1, Cancelling: true},
+		Servers: Servers{StartCapacity: 0.32, SlowStartMs: 8800, OverloadMultiple: 3, OverloadFailureMs: 2000, MaxConnections: 64,
+			ConnectMs: 2, ConnectWork: 1, CancelsWork: true},
 		Cluster: Cluster{Label: "lab", Seeds: 6},
-		Hollow:  Hollow{Processes: 4, Zones: 3, Services: 88, Calls: 0.2, Bad: 0.01},
-		List: List{LagMs: 1000, CallMs: 2, LineUs: 20, WaitMs: 2000, SyncMs: 500, RetainN: 200, MaxEntries: 1000,
-			LeaseMs: 5000, ElectionMs: 500, StaleMs: 2000},
+		Hollow:  Hollow{Processes: 4, ZonesPerRegion: 3, Services: 88, CallRate: 0.2, FailedFraction: 0.01},
+		List: List{NotificationDelayMs: 1000, CallMs: 2, EntryUs: 20, QueueTimeoutMs: 2000, SyncIntervalMs: 500, RetainedChanges: 200, MaxWaitingCalls: 1000,
+			LeaseMs: 5000, ElectionMs: 500, MaxListAgeMs: 2000},
 	}
 }
 
 // lines maps each key of a file to its line: `fault[2].at`, counted from 1 as a person does. It reads headers and
 // plain keys only, which is all that the format has; what it misses is told without a line.
-func lines(text string) map[string]int {
+func keyLines(text string) map[string]int {
 	at, table, counts := map[string]int{}, "", map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -175,19 +175,19 @@
 }
 
 type checker struct {
-	file  string
-	e     *Experiment
-	lines map[string]int
-	found []error
+	file       string
+	experiment *Experiment
+	lines      map[string]int
+	problems   []error
 }
 
-func (c *checker) problem(key, format string, args ...any) {
+func (c *checker) report(key, format string, args ...any) {
 	line := c.lines[key]
 	for at := key; line == 0 && at != ""; line = c.lines[at] { // else the line of what it stands in
 		i := strings.LastIndexByte(at, '.')
 		at = at[:max(i, 0)]
 	}
-	c.found = append(c.found, Problem{c.file, line, key, fmt.Sprintf(format, args...)})
+	c.problems = append(c.problems, Problem{c.file, line, key, fmt.Sprintf(format, args...)})
 }
 
 // undecoded finds which entry of a list an unknown key stands in: the library names the list only.
--- a/internal/faultlab/experiment/read_test.go
+++ b/internal/faultlab/experiment/read_test.go
@@ -33,7 +33,7 @@
 
 func noBase(string) ([]byte, error) { return nil, os.ErrNotExist }
 
-func TestEveryFaultIsNamedWithItsPlace(t *testing.T) {
+func TestEachProblemIsReportedWithItsPlace(t *testing.T) {
 	for _, test := range []struct {
 		text string
 		want []string // parts of the problems, in any order
@@ -103,14 +103,14 @@
 		}
 		return []byte(whole + "[clients]\nwait_ms = 50\n[[fault]]\nkind = \"stop\"\nat = 1\nfor = 3\n"), nil
 	}
-	e, err := Parse("f", text, open)
+	exp, err := Parse("f", text, open)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e.Seconds != 7 || e.Title != "t" || e.Clients.Retries != 1 || e.Clients.WaitMs != 50 || len(e.Zones) != 1 {
-		t.Errorf("laid over wrongly: %+v", e)
+	if exp.Seconds != 7 || exp.Title != "t" || exp.Clients.Retries != 1 || exp.Clients.WaitMs != 50 || len(exp.Zones) != 1 {
+		t.Errorf("laid over wrongly: %+v", exp)
 	}
-	if len(e.Faults) != 1 || e.Faults[0].Kind != "kill" || e.Faults[0].For != 0 {
-		t.Errorf("the base's faults are mixed in: %+v", e.Faults)
+	if len(exp.Faults) != 1 || exp.Faults[0].Kind != "kill" || exp.Faults[0].Duration != 0 {
+		t.Errorf("the base's faults are mixed in: %+v", exp.Faults)
 	}
 }
--- a/internal/faultlab/hollow/calibrate_test.go
+++ b/internal/faultlab/hollow/calibrate_test.go
@@ -47,7 +47,7 @@
 	const proxies, nodos = 3, 12
 	within := func(factor string) experiment.Expect {
 		least, most := 0.5, 2.0
-		return experiment.Expect{Figure: "control.all.factor." + factor, Min: &least, Max: &most}
+		return experiment.Expect{Metric: "control.all.factor." + factor, Min: &least, Max: &most}
 	}
 	for _, test := range []struct {
 		name string
@@ -115,11 +115,11 @@
 			f := c.Metrics(e, time.Now())
 			for factor, want := range test.held {
 				x := within(factor)
-				v, ok := f[x.Figure]
+				v, ok := f[x.Metric]
 				if !ok {
 					v = -1 // as a play has what did not come about
 				}
-				if held, text := x.Held(v); held != want {
+				if held, text := x.Check(v); held != want {
 					t.Errorf("%s: held %v, want %v: %v %s", factor, held, want, v, text)
 				}
 			}
--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -79,7 +79,7 @@
 func (c *Client) leaves() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.exp.Clients.LeavePart > 0 && c.rng.Float64() < c.exp.Clients.LeavePart
+	return c.exp.Clients.CancelFraction > 0 && c.rng.Float64() < c.exp.Clients.CancelFraction
 }
 
 // Run plays all arrivals from start on, and returns once every try has ended, or soon after the context has.
@@ -126,7 +126,7 @@
 // arrive is one client from its first try to its last.
 func (c *Client) arrive(ctx context.Context, a *plan.Arrival, planned time.Time) {
 	class := c.exp.Classes[a.Class]
-	giveUp := planned.Add(experiment.Millis(class.GiveUpMs))
+	giveUp := planned.Add(experiment.Millis(class.DeadlineMs))
 	zone := c.exp.Zones[a.Zone].Name
 	firstRun := time.Time{} // when a try first may have run
 	for n := 0; n <= c.exp.Clients.Retries; n++ {
@@ -143,9 +143,9 @@
 		}
 		harmless := out.end == referee.Rejected || out.end == referee.Unreached
 		switch {
-		case class.Repeat == "idempotent":
-		case class.Repeat == "deduplicated" && class.Scope == "all" &&
-			(firstRun.IsZero() || time.Since(firstRun) < experiment.Millis(class.WindowMs)):
+		case class.RetryClass == "idempotent":
+		case class.RetryClass == "deduplicated" && class.KeyScope == "all" &&
+			(firstRun.IsZero() || time.Since(firstRun) < experiment.Millis(class.KeyWindowMs)):
 		case !harmless || !firstRun.IsZero():
 			return
 		}
@@ -162,7 +162,7 @@
 	t := &referee.ClientAttempt{ID: c.plan.ID(a, n), Arrival: a.N, Number: n, Class: a.Class, Zone: zone, StartedAt: now,
 		Deadline: now.Add(patience), Path: "/" + class.Name, Method: http.MethodPost, Key: a.Key}
 	var body []byte
-	if class.Repeat == "idempotent" {
+	if class.RetryClass == "idempotent" {
 		t.Method = http.MethodGet
 	} else {
 		body = wire.Make(t.ID, "client", a.Body)
@@ -297,7 +297,7 @@
 	}
 	out.end = c.ref.RecordResponse(t, now, resp.StatusCode, made)
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-		out.after = min(time.Duration(s*float64(time.Second)), experiment.Millis(c.exp.Proxy.RetryAfterMs))
+		out.after = min(time.Duration(s*float64(time.Second)), experiment.Millis(c.exp.Proxy.MaxRetryAfterMs))
 	}
 	k.last = t
 	switch {
--- a/internal/faultlab/plan/plan.go
+++ b/internal/faultlab/plan/plan.go
@@ -95,14 +95,14 @@
 	owed := 0.0
 	for s := 0.0; ; {
 		step := 1 / most
-		if !e.Load.Even {
+		if !e.Load.EvenlySpaced {
 			step = times.ExpFloat64() / most
 		}
 		if s += step; s >= e.Seconds {
 			return
 		}
 		share := e.Load.RateAt(s) / most
-		if e.Load.Even {
+		if e.Load.EvenlySpaced {
 			if owed += share; owed < 1-1e-9 {
 				continue
 			}
@@ -120,12 +120,12 @@
 	a.Zone = weighted(r, len(e.Zones), func(i int) float64 { return e.Zones[i].Traffic })
 	class := e.Classes[a.Class]
 	a.Work = experiment.Millis(between(r, class.WorkMs[0], class.WorkMs[1]))
-	a.Try = experiment.Millis(class.GiveUpMs * between(r, e.Clients.RetryPart[0], e.Clients.RetryPart[1]))
-	a.Answer = size(r, class.AnswerBytes, 200)
-	if class.Repeat != "idempotent" {
-		a.Body = size(r, class.BodyBytes, 100)
+	a.Try = experiment.Millis(class.DeadlineMs * between(r, e.Clients.AttemptFraction[0], e.Clients.AttemptFraction[1]))
+	a.Answer = size(r, class.ResponseBytes, 200)
+	if class.RetryClass != "idempotent" {
+		a.Body = size(r, class.RequestBytes, 100)
 	}
-	if class.Repeat == "deduplicated" {
+	if class.RetryClass == "deduplicated" {
 		a.Key = fmt.Sprintf("%016x%016x", r.Uint64(), r.Uint64())
 	}
 	return a
@@ -157,7 +157,7 @@
 // draw picks a fault's targets. Given names are taken in their order; else a share of those in the zone, or of all,
 // is drawn. Turns are spread evenly over the fault's spread: with none they come in the same instant.
 func draw(e *experiment.Experiment, f experiment.Fault, n int, r *rand.Rand) Strike {
-	s := Strike{N: n, Fault: f, At: experiment.Seconds(f.At), For: experiment.Seconds(f.For)}
+	s := Strike{N: n, Fault: f, At: experiment.Seconds(f.At), For: experiment.Seconds(f.Duration)}
 	kind := experiment.Kinds[f.Kind]
 	var all []experiment.Node
 	given := f.Proxies
@@ -213,7 +213,7 @@
 // hollow is the hollow servers that a fault may be aimed at: those of its service, if it names one.
 func hollow(e *experiment.Experiment, f experiment.Fault) (out []experiment.Node) {
 	for i, n := range e.HollowServers() {
-		if f.Service == 0 || e.Hollow.InService(i, f.Service) {
+		if f.Service == 0 || e.Hollow.BelongsToService(i, f.Service) {
 			out = append(out, n)
 		}
 	}
--- a/internal/faultlab/plan/plan_test.go
+++ b/internal/faultlab/plan/plan_test.go
@@ -11,17 +11,17 @@
 
 func drawExperiment(t *rapid.T) *experiment.Experiment {
 	e := &experiment.Experiment{Seconds: rapid.Float64Range(1, 20).Draw(t, "seconds"),
-		Clients: experiment.Clients{RetryPart: []float64{0.4, 0.6}}}
+		Clients: experiment.Clients{AttemptFraction: []float64{0.4, 0.6}}}
 	for i := range rapid.IntRange(1, 3).Draw(t, "zones") {
 		e.Zones = append(e.Zones, experiment.Zone{Name: string(rune('a' + i)), Proxies: rapid.IntRange(1, 12).Draw(t, "proxies"),
 			Traffic: 1, Servers: []experiment.ServerGroup{{Count: rapid.IntRange(1, 9).Draw(t, "nodos")}}})
 	}
 	for _, repeat := range []string{"idempotent", "deduplicated", "at_most_once"} {
-		e.Classes = append(e.Classes, experiment.Class{Name: repeat, Share: 1, Repeat: repeat, GiveUpMs: 100,
-			WorkMs: []float64{1, 5}, BodyBytes: []int{1, 900}})
+		e.Classes = append(e.Classes, experiment.Class{Name: repeat, Share: 1, RetryClass: repeat, DeadlineMs: 100,
+			WorkMs: []float64{1, 5}, RequestBytes: []int{1, 900}})
 	}
 	e.Load.Rate = [][]float64{{0, rapid.Float64Range(0, 200).Draw(t, "from")}, {1, rapid.Float64Range(1, 200).Draw(t, "to")}}
-	e.Load.Even = rapid.Bool().Draw(t, "even")
+	e.Load.EvenlySpaced = rapid.Bool().Draw(t, "even")
 	e.Faults = []experiment.Fault{{Kind: "kill", Share: rapid.Float64Range(0.1, 1).Draw(t, "share"), At: 0.5, Spread: 2},
 		{Kind: "nodo_slow", Zone: "a", Share: 0.5, At: 0.7}}
 	return e
@@ -91,7 +91,7 @@
 // Faults of hollow servers take all of a service, a share of all, or the first so many of a zone.
 func TestHollowTargets(t *testing.T) {
 	e := &experiment.Experiment{Seconds: 10, Zones: []experiment.Zone{{Name: "n"}, {Name: "s"}}}
-	e.Hollow = experiment.Hollow{Servers: 24, Zones: 3, Services: 8}
+	e.Hollow = experiment.Hollow{Servers: 24, ZonesPerRegion: 3, Services: 8}
 	zone := map[string]string{}
 	for _, n := range e.HollowServers() {
 		zone[n.Name] = n.Zone
--- a/internal/faultlab/result/avoidance_test.go
+++ b/internal/faultlab/result/avoidance_test.go
@@ -163,7 +163,7 @@
 	}
 	for name := range metrics {
 		exp.Faults = []experiment.Fault{{}}
-		if !experiment.KnownFigure(name, exp) {
+		if !experiment.IsKnownMetric(name, exp) {
 			t.Errorf("%s cannot be expected of a run", name)
 		}
 	}
--- a/internal/faultlab/result/configs_test.go
+++ b/internal/faultlab/result/configs_test.go
@@ -50,12 +50,12 @@
 			if got, ok := metrics[name]; !ok || got != want {
 				t.Errorf("%s: %s is %v (present: %v), want %v", test.name, name, got, ok, want)
 			}
-			if !experiment.KnownFigure(name, exp) {
+			if !experiment.IsKnownMetric(name, exp) {
 				t.Errorf("%s cannot be asked for", name)
 			}
 		}
 		for name := range metrics {
-			if !experiment.KnownFigure(name, exp) {
+			if !experiment.IsKnownMetric(name, exp) {
 				t.Errorf("%s is reported and cannot be asked for", name)
 			}
 		}
--- a/internal/faultlab/result/control_test.go
+++ b/internal/faultlab/result/control_test.go
@@ -68,12 +68,12 @@
 		if metrics[name] != want {
 			t.Errorf("%s is %v, want %v", name, metrics[name], want)
 		}
-		if !experiment.KnownFigure(name, exp) {
+		if !experiment.IsKnownMetric(name, exp) {
 			t.Errorf("%s cannot be asked for", name)
 		}
 	}
 	for name := range metrics {
-		if !experiment.KnownFigure(name, exp) {
+		if !experiment.IsKnownMetric(name, exp) {
 			t.Errorf("%s is reported and cannot be asked for", name)
 		}
 		if _, ok := metrics["control.b.proxy.in_b_s"]; ok {
--- a/internal/faultlab/result/headroom.go
+++ b/internal/faultlab/result/headroom.go
@@ -48,7 +48,7 @@
 		case "nodo_slow":
 			fraction = 1 / f.Factor
 		case "nodo_errors", "nodo_garble":
-			fraction = 1 - f.Part
+			fraction = 1 - f.Fraction
 		default:
 			continue
 		}
--- a/internal/faultlab/result/metrics.go
+++ b/internal/faultlab/result/metrics.go
@@ -147,9 +147,9 @@
 }
 
 func (p *Play) expectedMetric(exp *experiment.Experiment, requests []clientRequest, metrics map[string]float64, x experiment.Expect) float64 {
-	v, ok := metrics[x.Figure]
-	if experiment.SpanFigure(x.Figure) {
-		base, name, _ := strings.Cut(x.Figure, ".")
+	v, ok := metrics[x.Metric]
+	if experiment.IsSpanMetric(x.Metric) {
+		base, name, _ := strings.Cut(x.Metric, ".")
 		class := slices.IndexFunc(exp.Classes, func(k experiment.Class) bool { return k.Name == name })
 		from, to := x.Span(exp)
 		v, ok = spanMetric(exp, requests, base, selection{class, from, to}), true
--- a/internal/faultlab/result/result.go
+++ b/internal/faultlab/result/result.go
@@ -146,12 +146,12 @@
 		r.Metrics[name] = rangeOf(values)
 	}
 	check := func(expect experiment.Expect, of func(Play) float64) {
-		verdict := Verdict{Metric: expect.Figure, Min: expect.Min, Max: expect.Max, Start: expect.From, End: expect.To, Held: true}
+		verdict := Verdict{Metric: expect.Metric, Min: expect.Min, Max: expect.Max, Start: expect.From, End: expect.To, Held: true}
 		var values []float64
 		for i, p := range valid {
 			f := of(p)
 			values = append(values, f)
-			if ok, text := expect.Held(f); !ok {
+			if ok, text := expect.Check(f); !ok {
 				verdict.Held, r.Held = false, false
 				verdict.Text += fmt.Sprintf("play %d: %s\n", i+1, text)
 			}
@@ -162,7 +162,7 @@
 	if exp.Lab.Rules == "enforce" {
 		zero := 0.0
 		for _, rule := range append(prefixed(experiment.Rules), "crashed") {
-			check(experiment.Expect{Figure: rule, Max: &zero}, func(p Play) float64 { return p.Metrics[rule] })
+			check(experiment.Expect{Metric: rule, Max: &zero}, func(p Play) float64 { return p.Metrics[rule] })
 		}
 	}
 	for i, x := range exp.Expect {
--- a/internal/faultlab/result/result_test.go
+++ b/internal/faultlab/result/result_test.go
@@ -65,8 +65,8 @@
 func TestConclude(t *testing.T) {
 	least := func(v float64) *float64 { return &v }
 	exp := &experiment.Experiment{Expect: []experiment.Expect{
-		{Figure: "in_time", Min: least(0.7), From: 0.1, To: 20}, {Figure: "in_time", Min: least(0.9), From: 10, To: 15},
-		{Figure: "p99_ms", Max: least(151)}, {Figure: "broken.lost", Max: least(0)}}}
+		{Metric: "in_time", Min: least(0.7), From: 0.1, To: 20}, {Metric: "in_time", Min: least(0.9), From: 10, To: 15},
+		{Metric: "p99_ms", Max: least(151)}, {Metric: "broken.lost", Max: least(0)}}}
 	bad, good := playWithLateAnswers(t, 10, 15, exp), playWithLateAnswers(t, 20, 20, exp)
 	void := playWithLateAnswers(t, 0, 20, exp)
 	void.Void = "late"
--- a/internal/faultlab/run/byzantine.go
+++ b/internal/faultlab/run/byzantine.go
@@ -15,7 +15,7 @@
 
 // runByzantineMembers has byzantine members join the gossip for the duration of a fault, one in each zone in turn.
 func (t *timeline) runByzantineMembers(ctx context.Context, strike plan.Strike) error {
-	if !t.experiment.Cluster.On {
+	if !t.experiment.Cluster.Enabled {
 		return nil
 	}
 	zones := t.experiment.ZoneNames()
@@ -29,7 +29,7 @@
 		return out
 	}
 	var errs []error
-	for i := range strike.Fault.Liars {
+	for i := range strike.Fault.ByzantineMembers {
 		zone := zones[i%len(zones)]
 		l, err := t.joinByzantine(experiment.Node{Name: fmt.Sprintf("%s-liar%d.%d", zone, strike.N, i+1), Zone: zone}, victims)
 		if err != nil {
--- a/internal/faultlab/run/config.go
+++ b/internal/faultlab/run/config.go
@@ -16,23 +16,23 @@
 func settings(exp *experiment.Experiment, ordinal, zone int) map[string]any {
 	var profiles []any
 	for _, k := range exp.Classes {
-		p := map[string]any{"name": k.Name, "objective_us": micros(k.ObjectiveMs), "give_up_us": micros(k.GiveUpMs),
-			"worth": k.Weight, "late_share": 0.0, "repeat": k.Repeat, "stream": false, "dedup_scope": "all",
+		p := map[string]any{"name": k.Name, "objective_us": micros(k.ObjectiveMs), "give_up_us": micros(k.DeadlineMs),
+			"worth": k.Weight, "late_share": 0.0, "repeat": k.RetryClass, "stream": false, "dedup_scope": "all",
 			"dedup_window_us": 0}
-		if k.Repeat == "deduplicated" {
-			p["dedup_scope"], p["dedup_window_us"] = k.Scope, micros(k.WindowMs)
+		if k.RetryClass == "deduplicated" {
+			p["dedup_scope"], p["dedup_window_us"] = k.KeyScope, micros(k.KeyWindowMs)
 		}
 		profiles = append(profiles, p)
 	}
 	n, x := exp.Servers, exp.Proxy
 	s := map[string]any{
-		"contract": map[string]any{"answer_slack_us": micros(x.SlackMs), "ask_every_us": micros(x.PollIntervalMs),
-			"cold_us": micros(n.SlowStartMs), "drain_grace_us": micros(x.DrainGraceMs), "fall_us": micros(n.FallMs),
+		"contract": map[string]any{"answer_slack_us": micros(x.DeadlineSlackMs), "ask_every_us": micros(x.PollIntervalMs),
+			"cold_us": micros(n.SlowStartMs), "drain_grace_us": micros(x.DrainGraceMs), "fall_us": micros(n.OverloadFailureMs),
 			"start_capacity": n.StartCapacity, "tip_multiple": n.OverloadMultiple},
 		"counted_by": "request", "failure_domains": exp.ZoneNames(), "membership_mode": x.Membership, "my_zone": zone,
-		"limits": map[string]any{"cancelling": n.Cancelling, "dial_timeout_us": micros(x.DialMs),
-			"idle_close_us": micros(x.IdleMs), "max_retry_after_us": micros(x.RetryAfterMs),
-			"retry_after": x.RetryAfterMs > 0, "second_copies": x.SecondCopies, "try_limit": x.MaxAttempts,
+		"limits": map[string]any{"cancelling": n.CancelsWork, "dial_timeout_us": micros(x.DialTimeoutMs),
+			"idle_close_us": micros(x.IdleTimeoutMs), "max_retry_after_us": micros(x.MaxRetryAfterMs),
+			"retry_after": x.MaxRetryAfterMs > 0, "second_copies": x.Hedging, "try_limit": x.MaxAttempts,
 			"streams_per_conn": 1, "peers": false, "probes": false},
 		"ordinal": ordinal, "siblings": len(exp.ProxyNodes()), "profiles": profiles, "tenants": []any{},
 		"tiers": []string{"lab"}, "stage": stage, "weights": "off",
--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -128,16 +128,16 @@
 		bed.proxyOrder = append(bed.proxyOrder, proxy)
 		targets = append(targets, load.Target{Name: n.Name, Zone: n.Zone, Addr: proxy.listenAddress})
 	}
-	bed.front = load.NewFront(targets, bed.net, bed.delay, experiment.Millis(bed.experiment.Clients.NoticeMs),
+	bed.front = load.NewFront(targets, bed.net, bed.delay, experiment.Millis(bed.experiment.Clients.FailureDetectionMs),
 		bed.experiment.Clients.OtherZones, zones, bed.plan.Source("front"))
 }
 
 // buildCatalog creates the catalog, which stands in for the list service, with a link from each proxy.
 func (bed *testbed) buildCatalog(entries []catalog.Entry) error {
 	l := bed.experiment.List
-	bed.catalog = catalog.New(catalog.Config{Lag: experiment.Millis(l.LagMs), Call: experiment.Millis(l.CallMs),
-		Line: time.Duration(l.LineUs * float64(time.Microsecond)), Wait: experiment.Millis(l.WaitMs),
-		Sync: experiment.Millis(l.SyncMs), Retain: l.RetainN, Most: l.MaxEntries, Seed: bed.plan.Seed, Address: bed.address,
+	bed.catalog = catalog.New(catalog.Config{Lag: experiment.Millis(l.NotificationDelayMs), Call: experiment.Millis(l.CallMs),
+		Line: time.Duration(l.EntryUs * float64(time.Microsecond)), Wait: experiment.Millis(l.QueueTimeoutMs),
+		Sync: experiment.Millis(l.SyncIntervalMs), Retain: l.RetainedChanges, Most: l.MaxWaitingCalls, Seed: bed.plan.Seed, Address: bed.address,
 	}, bed.ref, entries)
 	for _, proxy := range bed.proxyOrder {
 		ends := link.Ends{Kind: "list", From: proxy.node.Name, FromZone: proxy.node.Zone, ToZone: l.Zone}
@@ -151,16 +151,16 @@
 }
 
 func refereeConfig(exp *experiment.Experiment) referee.Config {
-	t := referee.Config{MaxAttempts: exp.Proxy.MaxAttempts, HedgingAllowed: exp.Proxy.SecondCopies,
-		DrainGrace: experiment.Millis(exp.Proxy.DrainGraceMs), DeadlineSlack: experiment.Millis(exp.Proxy.SlackMs)}
+	t := referee.Config{MaxAttempts: exp.Proxy.MaxAttempts, HedgingAllowed: exp.Proxy.Hedging,
+		DrainGrace: experiment.Millis(exp.Proxy.DrainGraceMs), DeadlineSlack: experiment.Millis(exp.Proxy.DeadlineSlackMs)}
 	if exp.Proxy.Membership == "subscribe" {
 		t.PollInterval = experiment.Millis(exp.Proxy.PollIntervalMs)
 	}
 	repeats := map[string]referee.RetryClass{"idempotent": referee.Idempotent, "deduplicated": referee.IdempotencyKey,
 		"at_most_once": referee.NonIdempotent}
 	for _, k := range exp.Classes {
-		t.Classes = append(t.Classes, referee.Class{Name: k.Name, RetryClass: repeats[k.Repeat], KeyScope: k.Scope,
-			KeyWindow: experiment.Millis(k.WindowMs)})
+		t.Classes = append(t.Classes, referee.Class{Name: k.Name, RetryClass: repeats[k.RetryClass], KeyScope: k.KeyScope,
+			KeyWindow: experiment.Millis(k.KeyWindowMs)})
 	}
 	return t
 }
--- a/internal/faultlab/run/gossip.go
+++ b/internal/faultlab/run/gossip.go
@@ -13,7 +13,7 @@
 
 // buildGossip puts a relay before each proxy, at the address that it advertises.
 func (bed *testbed) buildGossip() (err error) {
-	if !bed.experiment.Cluster.On {
+	if !bed.experiment.Cluster.Enabled {
 		return nil
 	}
 	for _, proxy := range bed.proxyOrder {
@@ -42,7 +42,7 @@
 // gossipReport is the traffic that the proxies' relays forwarded; an error if a relay's queue overflowed, since the lab then
 // caused losses itself.
 func (bed *testbed) gossipReport() (*result.Gossip, error) {
-	if !bed.experiment.Cluster.On {
+	if !bed.experiment.Cluster.Enabled {
 		return nil, nil
 	}
 	var out result.Gossip
--- a/internal/faultlab/run/gossip_test.go
+++ b/internal/faultlab/run/gossip_test.go
@@ -16,7 +16,7 @@
 	sum := func(fault experiment.Fault, ends link.Ends) (sum link.Effect) {
 		all := []linkEffect{{zoneBorder(fault.Zone), link.Silent}}
 		if fault.Kind != "zone_cut" {
-			all = gossipEffects(fault, link.Effect{Loss: fault.Part})
+			all = gossipEffects(fault, link.Effect{Loss: fault.Fraction})
 		}
 		for _, r := range all {
 			if r.match(ends) {
@@ -44,8 +44,8 @@
 		{"of another pair", experiment.Fault{Kind: "cut", FromZone: "a", ToZone: "b"}, "a", "c", true, 0},
 		{"of a proxy", experiment.Fault{Kind: "cut", Link: "gossip", Proxies: []string{"a-p1"}, Direction: "out"}, "a", "b", false, 0},
 		{"of other proxies", experiment.Fault{Kind: "cut", Link: "gossip", Proxies: []string{"c-p1"}}, "a", "b", true, 0},
-		{"loss everywhere counts once", experiment.Fault{Kind: "loss", Link: "gossip", Part: 0.3}, "a", "b", true, 0.3},
-		{"loss one way", experiment.Fault{Kind: "loss", FromZone: "a", ToZone: "b", Direction: "out", Part: 0.3}, "b", "a", true, 0},
+		{"loss everywhere counts once", experiment.Fault{Kind: "loss", Link: "gossip", Fraction: 0.3}, "a", "b", true, 0.3},
+		{"loss one way", experiment.Fault{Kind: "loss", FromZone: "a", ToZone: "b", Direction: "out", Fraction: 0.3}, "b", "a", true, 0},
 		{"a zone cut off", experiment.Fault{Kind: "zone_cut", Zone: "a"}, "b", "a", false, 0},
 		{"another zone cut off", experiment.Fault{Kind: "zone_cut", Zone: "a"}, "b", "c", true, 0},
 	} {
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -43,7 +43,7 @@
 // buildHollow creates the links of hollow processes, one for each zone and member of the list service, and their configurations.
 func (bed *testbed) buildHollow() error {
 	hollowExp := bed.experiment.Hollow
-	if !hollowExp.On() {
+	if !hollowExp.Enabled() {
 		return nil
 	}
 	lists, leases, err := bed.buildHollowLinks()
@@ -94,8 +94,8 @@
 	for i := range n {
 		name := fmt.Sprintf("%s%d", kind, i+1)
 		process := &hollowProcess{path: filepath.Join(bed.workDir, name+".json"), config: hollow.Config{Name: name,
-			ControlAddress: bed.block.hollowControl(len(bed.hollow)), Settings: settings, CallRate: hollowExp.Calls,
-			FailedFraction: hollowExp.Bad, LeaseMs: int64(bed.experiment.List.LeaseMs),
+			ControlAddress: bed.block.hollowControl(len(bed.hollow)), Settings: settings, CallRate: hollowExp.CallRate,
+			FailedFraction: hollowExp.FailedFraction, LeaseMs: int64(bed.experiment.List.LeaseMs),
 			FailureFile: filepath.Join(bed.workDir, name+".failed")}}
 		bed.hollow = append(bed.hollow, process)
 		added = append(added, process)
@@ -114,7 +114,7 @@
 		if service := hollowExp.ConfigService(i); service > 0 {
 			proxy.Service = experiment.ServiceName(service)
 		}
-		if cluster.On {
+		if cluster.Enabled {
 			process.config.Cluster = &hollow.Cluster{Label: cluster.Label}
 			proxy.Bind, proxy.Seeds = bed.block.hollowGossip(i), bed.hollowSeeds(i)
 			if hollowExp.Relays {
@@ -125,7 +125,7 @@
 		}
 		process.config.Proxies = append(process.config.Proxies, proxy)
 	}
-	if cluster.On && hollowExp.Relays {
+	if cluster.Enabled && hollowExp.Relays {
 		relays := bed.hollowRelays()
 		for _, process := range processes {
 			process.config.Relays = relays
@@ -181,7 +181,7 @@
 	var errs []error
 	for _, p := range t.hollow {
 		if len(p.config.Proxies) > 0 {
-			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Command{Action: "lose", Fraction: strike.Fault.Part, DurationMs: length.Milliseconds()})
+			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Command{Action: "lose", Fraction: strike.Fault.Fraction, DurationMs: length.Milliseconds()})
 			errs = append(errs, err)
 		}
 	}
--- a/internal/faultlab/run/lists.go
+++ b/internal/faultlab/run/lists.go
@@ -21,7 +21,7 @@
 func (bed *testbed) buildService() (err error) {
 	l := bed.experiment.List
 	var carriesNone func(string) bool
-	if bed.experiment.Hollow.On() {
+	if bed.experiment.Hollow.Enabled() {
 		names := map[string]bool{}
 		for _, n := range bed.experiment.HollowServers() {
 			names[n.Name] = true
@@ -33,7 +33,7 @@
 		proxies = append(proxies, service.Proxy{Name: proxy.node.Name, Zone: proxy.node.Zone})
 	}
 	bed.service, err = service.New(service.Config{Members: l.Members, Zones: bed.experiment.ZoneNames(), Proxies: proxies, Command: bed.registryCommand,
-		Lease: experiment.Millis(l.LeaseMs), Election: experiment.Millis(l.ElectionMs), MaxListAge: experiment.Millis(l.StaleMs),
+		Lease: experiment.Millis(l.LeaseMs), Election: experiment.Millis(l.ElectionMs), MaxListAge: experiment.Millis(l.MaxListAgeMs),
 		Dir: filepath.Join(bed.workDir, "roster"), LogDir: bed.logDir, Seed: bed.plan.Seed, Net: bed.net, Referee: bed.ref, Starter: bed.starter,
 		Log: bed.log, Delay: bed.delay, ServerAddress: bed.address, ProxyAddress: bed.block.listMember, MemberAddress: bed.block.member,
 		PeerAddress: bed.block.memberLink, ZoneAddress: bed.block.zoneMember, IsHollow: carriesNone})
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -156,7 +156,7 @@
 	m.sample()
 	var fleet []hollow.ProxyMetrics
 	var real []*hollow.ClusterMetrics
-	if m.experiment.Cluster.On {
+	if m.experiment.Cluster.Enabled {
 		for _, proxy := range m.proxyOrder {
 			real = append(real, readClusterMetrics(ctx, proxy.managementAddress))
 		}
--- a/internal/faultlab/run/need.go
+++ b/internal/faultlab/run/need.go
@@ -75,14 +75,14 @@
 // limits of the experiment file.
 func checkCapacity(exp *experiment.Experiment, m machine) error {
 	hollow := exp.Hollow
-	if !hollow.On() {
+	if !hollow.Enabled() {
 		return nil
 	}
 	real, members := int64(len(exp.ProxyNodes())), int64(exp.List.Members)
 	listed := int64(hollow.Servers + len(exp.ServerNodes()))
 	processes := 1 + real + members + int64(min(hollow.Processes, hollow.Proxies)+hollow.ServerProcesses())
 	each := hollowProxyBytes + hollowBytesPerServer*listed
-	if exp.Cluster.On {
+	if exp.Cluster.Enabled {
 		each += clusterMemberBytes + clusterBytesPerMember*int64(hollow.Proxies)
 		if hollow.Relays {
 			each += relayBytes + relayBytesPerMember*(int64(hollow.Proxies)+real)
@@ -91,13 +91,13 @@
 	memory := labBytes + (labBytesPerConnection+labBytesPerListing*listed)*int64(hollow.Proxies) + labBytesPerConnection*int64(hollow.Servers) + real*proxyBytes + members*(memberBytes+memberBytesPerClient*int64(hollow.Proxies+hollow.Servers)/max(1, members)) +
 		int64(hollow.Processes+hollow.ServerProcesses())*hollowProcessBytes + int64(hollow.Proxies)*each + int64(hollow.Servers)*hollowServerBytes
 	following := int64(0) // each has one more connection
-	if hollow.Following > 0 {
+	if hollow.ConfigServiceCount > 0 {
 		following = int64(hollow.Proxies)
 		memory += following * (labBytesPerConnection + memberBytesPerClient)
 	}
 	files := minFiles + filesPerConnection*(int64(hollow.Proxies+hollow.Servers)+following)
 	cores := int64(0)
-	if exp.Cluster.On {
+	if exp.Cluster.Enabled {
 		cores = (clusterMilliCores*(int64(hollow.Proxies)+real) + 999) / 1000
 	}
 	const less = "give fewer hollow.proxies and hollow.nodos, or a larger machine"
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -104,8 +104,8 @@
 // file of its own, since it may read it after the next one started.
 func (bed *testbed) writeConfigFile(proxy *proxyUnderTest) (path string, known []referee.Entry, err error) {
 	fraction := 1.0
-	if bed.experiment.Proxy.KnownPart != nil {
-		fraction = *bed.experiment.Proxy.KnownPart
+	if bed.experiment.Proxy.KnownFraction != nil {
+		fraction = *bed.experiment.Proxy.KnownFraction
 	}
 	bed.mu.Lock()
 	seed := bed.rng.Uint64()
@@ -172,7 +172,7 @@
 func (bed *testbed) killDelay() time.Duration {
 	most := time.Duration(0)
 	for _, k := range bed.experiment.Classes {
-		most = max(most, experiment.Millis(k.GiveUpMs))
+		most = max(most, experiment.Millis(k.DeadlineMs))
 	}
 	return min(most, minKillDelay) + killSlack
 }
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -75,10 +75,10 @@
 	c, number := bed.experiment.Servers, cell
 	cell = cellOf(slices.Index(bed.experiment.ZoneNames(), n.Zone), number)
 	server := &server{node: n, cell: cell, Server: stubserver.New(stubserver.Spec{Name: n.Name, Zone: n.Zone, Cell: cell,
-		Speed: n.Group.Speed, Slots: n.Group.Slots, Queue: n.Group.Queue, MaxConns: c.MaxConns,
+		Speed: n.Group.Speed, Slots: n.Group.Slots, Queue: n.Group.Queue, MaxConns: c.MaxConnections,
 		ConnectDelay: experiment.Millis(c.ConnectMs), ConnectWork: experiment.Millis(c.ConnectWork),
-		IdleClose: experiment.Millis(bed.experiment.Proxy.IdleMs), StartCapacity: c.StartCapacity, SlowStart: experiment.Millis(c.SlowStartMs),
-		OverloadMultiple: c.OverloadMultiple, Fall: experiment.Millis(c.FallMs), Cancelling: c.Cancelling,
+		IdleClose: experiment.Millis(bed.experiment.Proxy.IdleTimeoutMs), StartCapacity: c.StartCapacity, SlowStart: experiment.Millis(c.SlowStartMs),
+		OverloadMultiple: c.OverloadMultiple, Fall: experiment.Millis(c.OverloadFailureMs), Cancelling: c.CancelsWork,
 		Seed: bed.plan.Seed + uint64(number)}, bed, bed.ref)}
 	bed.startServer(server, at, cold)
 	bed.mu.Lock()
--- a/internal/faultlab/run/strike_configs.go
+++ b/internal/faultlab/run/strike_configs.go
@@ -87,13 +87,13 @@
 func (t *timeline) writeConfigs(ctx context.Context, strike plan.Strike) error {
 	return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
 		own, n := t.configs.service(turn.Target)
-		text, err := t.configDocument(n, strike.Fault.Faulty)
+		text, err := t.configDocument(n, strike.Fault.InvalidConfig)
 		if err != nil {
 			return err
 		}
 		own.mu.Lock()
 		defer own.mu.Unlock()
-		put := result.ConfigWrite{Service: turn.Target, Faulty: strike.Fault.Faulty, RequestedAt: time.Now().UnixNano()}
+		put := result.ConfigWrite{Service: turn.Target, Faulty: strike.Fault.InvalidConfig, RequestedAt: time.Now().UnixNano()}
 		t.writeConfig(ctx, &put, own, text, int(n))
 		if ctx.Err() == nil || put.Status != 0 {
 			t.configs.record(put)
--- a/internal/faultlab/run/strike_links.go
+++ b/internal/faultlab/run/strike_links.go
@@ -102,12 +102,12 @@
 	case "cut":
 		return over(cutEffect(fault.Direction))
 	case "delay":
-		return over(link.Effect{Delay: experiment.Millis(fault.Ms)})
+		return over(link.Effect{Delay: experiment.Millis(fault.DelayMs)})
 	case "loss":
 		if err := t.loseHollowGossip(ctx, strike); err != nil {
 			return err
 		}
-		return over(link.Effect{Loss: fault.Part})
+		return over(link.Effect{Loss: fault.Fraction})
 	case "reset":
 		if strike.For <= 0 {
 			for _, proxy := range t.proxyOrder {
--- a/internal/faultlab/run/strike_proxies.go
+++ b/internal/faultlab/run/strike_proxies.go
@@ -26,7 +26,7 @@
 	switch fault.Kind {
 	case "restart":
 		signals := drawSignals(fault.Versions, t.plan.Source("signals "+turn.Target))
-		return t.restart(ctx, proxy, signals, strike.For, fault.Keep)
+		return t.restart(ctx, proxy, signals, strike.For, fault.KeepDirectory)
 	case "upgrade":
 		return t.upgrade(ctx, proxy)
 	case "power_loss":
@@ -112,7 +112,7 @@
 			}
 			err := t.kill(proxies)
 			if strike.For > 0 && t.waitUntil(ctx, at+strike.For) {
-				t.startAll(ctx, proxies, strike.Fault.Keep)
+				t.startAll(ctx, proxies, strike.Fault.KeepDirectory)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/faultlab/run/strike_reload.go
+++ b/internal/faultlab/run/strike_reload.go
@@ -84,7 +84,7 @@
 func (t *timeline) runMisbehavingClients(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
 	class := ""
 	for _, k := range t.experiment.Classes {
-		if k.Repeat == "at_most_once" {
+		if k.RetryClass == "at_most_once" {
 			class = k.Name
 		}
 	}
--- a/internal/faultlab/run/strike_series.go
+++ b/internal/faultlab/run/strike_series.go
@@ -61,7 +61,7 @@
 	defer stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	for i := 0; i < strike.Fault.Clients && sleep.For(holding, floodConnectGap); i++ {
+	for i := 0; i < strike.Fault.IdleClients && sleep.For(holding, floodConnectGap); i++ {
 		c, err := (&net.Dialer{Timeout: floodDialTimeout}).DialContext(holding, "tcp", proxy.listenAddress)
 		if err != nil {
 			continue // the proxy is down, or at its limit
--- a/internal/faultlab/run/strike_servers.go
+++ b/internal/faultlab/run/strike_servers.go
@@ -39,9 +39,9 @@
 	case "nodo_slow":
 		return hamper(stubserver.Hamper{Slow: fault.Factor})
 	case "nodo_errors":
-		return hamper(stubserver.Hamper{Errors: fault.Part})
+		return hamper(stubserver.Hamper{Errors: fault.Fraction})
 	case "nodo_garble":
-		return hamper(stubserver.Hamper{Garble: fault.Part})
+		return hamper(stubserver.Hamper{Garble: fault.Fraction})
 	case "nodo_drain", "nodo_replace":
 		return t.drain(ctx, strike, turn, server)
 	}
--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -42,7 +42,7 @@
 func overlap(e *experiment.Experiment) bool {
 	for i, f := range e.Faults {
 		for _, g := range e.Faults[i+1:] {
-			if f.At <= g.At+g.For+meetWithin && g.At <= f.At+f.For+meetWithin {
+			if f.At <= g.At+g.Duration+meetWithin && g.At <= f.At+f.Duration+meetWithin {
 				return true
 			}
 		}
