--- a/internal/faultlab/experiment/check_fault.go
+++ b/internal/faultlab/experiment/check_fault.go
@@ -29,6 +29,15 @@
 	if slices.Contains(kind.Needs, "part") {
 		c.fraction(key+".part", fault.Fraction)
 	}
+	c.checkZones(key, fault, kind)
+	c.checkNames(key+".proxies", fault.Proxies, c.experiment.ProxyNodes(), kind.Proxies || kind.Links, fault.Kind)
+	c.checkNames(key+".nodos", fault.Servers, c.experiment.ServerNodes(), kind.Servers || kind.Links, fault.Kind)
+	c.checkMembers(key, fault, kind)
+	c.checkHollowFault(key, fault, kind)
+	c.checkLinks(key, fault, kind)
+}
+
+func (c *checker) checkZones(key string, fault Fault, kind Kind) {
 	zones := c.experiment.ZoneNames()
 	for name, zone := range map[string]string{"zone": fault.Zone, "from_zone": fault.FromZone, "to_zone": fault.ToZone} {
 		if zone != "" && !slices.Contains(zones, zone) && !(kind.Hollow && name == "zone") {
@@ -38,26 +47,29 @@
 	if kind.Zone && fault.Zone == "" {
 		c.report(key+".zone", "%s needs the zone's name", fault.Kind)
 	}
-	c.checkNames(key+".proxies", fault.Proxies, c.experiment.ProxyNodes(), kind.Proxies || kind.Links, fault.Kind)
-	c.checkNames(key+".nodos", fault.Servers, c.experiment.ServerNodes(), kind.Servers || kind.Links, fault.Kind)
-	c.checkMembers(key, fault, kind)
-	c.checkHollowFault(key, fault, kind)
-	if kind.Links {
-		if fault.Link != "" {
-			c.oneOf(key+".link", fault.Link, "client", "nodo", "list", "lease", "gossip")
-			if fault.Link == "gossip" && len(fault.Servers) > 0 {
-				c.report(key+".nodos", "gossip runs between proxies")
-			}
-		}
-		if fault.Direction != "" {
-			c.oneOf(key+".direction", fault.Direction, "both", "out", "back")
+}
+
+// checkLinks checks the keys that select links.
+func (c *checker) checkLinks(key string, fault Fault, kind Kind) {
+	if !kind.Links {
+		if fault.Link != "" || fault.Direction != "" && fault.Kind != "member_cut" || fault.FromZone != "" || fault.ToZone != "" {
+			c.report(key, "link, direction, from_zone and to_zone are for faults of links; %s is none", fault.Kind)
 		}
-		if c.experiment.SharedLinks() && (fault.Link == "" || fault.Link == "nodo") && (len(fault.Proxies) > 0 || fault.Share > 0) {
-			c.report(key+".proxies", "over %d pairs of proxy and nodo links are told apart by zone only: use from_zone",
-				MaxPairLinks)
+		return
+	}
+	if fault.Link != "" {
+		c.oneOf(key+".link", fault.Link, "client", "nodo", "list", "lease", "gossip")
+		if fault.Link == "gossip" && len(fault.Servers) > 0 {
+			c.report(key+".nodos", "gossip runs between proxies")
 		}
-	} else if fault.Link != "" || fault.Direction != "" && fault.Kind != "member_cut" || fault.FromZone != "" || fault.ToZone != "" {
-		c.report(key, "link, direction, from_zone and to_zone are for faults of links; %s is none", fault.Kind)
+	}
+	if fault.Direction != "" {
+		c.oneOf(key+".direction", fault.Direction, "both", "out", "back")
+	}
+	selectsProxies := len(fault.Proxies) > 0 || fault.Share > 0
+	if c.experiment.SharedLinks() && (fault.Link == "" || fault.Link == "nodo") && selectsProxies {
+		c.report(key+".proxies", "over %d pairs of proxy and nodo links are told apart by zone only: use from_zone",
+			MaxPairLinks)
 	}
 }
 
--- a/internal/faultlab/experiment/experiment.go
+++ b/internal/faultlab/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package experiment is the file format of the fault lab: what fleet there is, what load it gets, what goes wrong
-// when, and what is expected of it. Times in files are seconds (plain numbers) or milliseconds (keys ending in _ms).
+// Package experiment is the file format of the fault lab: the cluster, its load, the faults and what is expected of the metrics. Times
+// in files are seconds (plain numbers) or milliseconds (keys ending in _ms). It reads and checks files and never runs anything.
 //
-// A file is read whole or not at all: Read returns every fault of a file at once, each with its line and key.
+// Read reports all problems of a file at once, each with its line and key.
 package experiment
 
 import (
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Experiment is one file.
+// Experiment is the content of a file.
 type Experiment struct {
-	Base    string  `toml:"base"` // a file beside this one, whose keys hold where this one is silent
+	Base    string  `toml:"base"` // path of a file whose keys are the defaults of this one
 	Title   string  `toml:"title"`
-	Seconds float64 `toml:"seconds"` // of load
-	Warmup  float64 `toml:"warmup"`  // at the start, left out of the metrics
+	Seconds float64 `toml:"seconds"` // duration of the load
+	Warmup  float64 `toml:"warmup"`  // seconds at the start, left out of the metrics
 	Seed    uint64  `toml:"seed"`
-	Repeat  int     `toml:"repeat"` // plays; the seed goes up by one each
+	Repeat  int     `toml:"repeat"` // number of plays, each with the next seed
 
 	Lab     Lab      `toml:"lab"`
 	Network Network  `toml:"network"`
@@ -35,16 +35,16 @@
 	Expect  []Expect `toml:"expect"`
 }
 
-// Lab is what the lab holds itself to.
+// Lab holds the limits of the lab itself.
 type Lab struct {
-	LateMs    float64 `toml:"late_ms"`    // arrivals' 99th percentile of lateness over this voids the run
-	StallMs   float64 `toml:"stall_ms"`   // a single stall of the lab over this does too
-	StartGap  float64 `toml:"start_gap"`  // seconds between the starts of two proxies, jittered, at the most
-	ReadyWait float64 `toml:"ready_wait"` // seconds for all proxies to be healthy before the load begins
-	Rules     string  `toml:"rules"`      // "enforce" or "report": whether a broken rule fails the run
+	LateMs    float64 `toml:"late_ms"`    // a higher 99th percentile of the arrivals' lateness voids the run
+	StallMs   float64 `toml:"stall_ms"`   // a longer pause of the lab voids the run
+	StartGap  float64 `toml:"start_gap"`  // maximum seconds between the starts of two proxies, drawn at random
+	ReadyWait float64 `toml:"ready_wait"` // timeout in seconds for all proxies to be healthy before the load
+	Rules     string  `toml:"rules"`      // "enforce" or "report": whether a violation fails the run
 }
 
-// Network is the one-way delays between and within zones.
+// Network holds the one-way delays within and between zones.
 type Network struct {
 	LocalMs float64 `toml:"local_ms"`
 	CrossMs float64 `toml:"cross_ms"`
@@ -58,34 +58,34 @@
 	Servers []ServerGroup `toml:"nodos"`
 }
 
-// ServerGroup is some servers alike.
+// ServerGroup is a number of equal servers.
 type ServerGroup struct {
 	Count int     `toml:"count"`
 	Kind  string  `toml:"kind"`
-	Speed float64 `toml:"speed"` // a slot's, of the yardstick
+	Speed float64 `toml:"speed"` // of a slot; 1 is nominal
 	Slots int     `toml:"slots"`
 	Queue int     `toml:"queue"`
 }
 
-// Servers is what all servers have in common.
+// Servers holds the settings of all servers.
 type Servers struct {
-	StartCapacity     float64 `toml:"start_capacity"` // of the full capacity, at a start
-	SlowStartMs       float64 `toml:"cold_ms"`        // until it is warm
-	OverloadMultiple  float64 `toml:"tip_multiple"`   // of the present capacity; sent more it falls over
-	OverloadFailureMs float64 `toml:"fall_ms"`        // if it lasts this long
+	StartCapacity     float64 `toml:"start_capacity"` // fraction of the full capacity at a start
+	SlowStartMs       float64 `toml:"cold_ms"`        // duration of slow start
+	OverloadMultiple  float64 `toml:"tip_multiple"`   // of the current capacity; more work is an overload
+	OverloadFailureMs float64 `toml:"fall_ms"`        // an overload of this duration fails the server
 	MaxConnections    int     `toml:"max_conns"`
-	ConnectMs         float64 `toml:"connect_ms"`   // a new connection's first request comes this much later
-	ConnectWork       float64 `toml:"connect_work"` // and costs this much work, in ms
-	CancelsWork       bool    `toml:"cancelling"`   // work stops when its caller has gone
+	ConnectMs         float64 `toml:"connect_ms"`   // delay of a new connection's first request
+	ConnectWork       float64 `toml:"connect_work"` // work for a new connection, in ms
+	CancelsWork       bool    `toml:"cancelling"`   // work stops when the connection closes
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name          string    `toml:"name"`
 	Share         float64   `toml:"share"`
-	WorkMs        []float64 `toml:"work_ms"` // from, to: drawn evenly
+	WorkMs        []float64 `toml:"work_ms"` // from, to: uniformly distributed
 	ObjectiveMs   float64   `toml:"aim_ms"`
-	DeadlineMs    float64   `toml:"give_up_ms"` // of all tries together
+	DeadlineMs    float64   `toml:"give_up_ms"` // of all attempts together
 	Weight        float64   `toml:"worth"`
 	RetryClass    string    `toml:"repeat"`
 	KeyScope      string    `toml:"scope"`
@@ -94,13 +94,13 @@
 	RequestBytes  []int     `toml:"body_bytes"`
 }
 
-// Load is the arrivals over time.
+// Load is the rate of arrivals over time.
 type Load struct {
-	Rate         [][]float64 `toml:"rate"` // [second, first tries a second]; straight lines between
-	EvenlySpaced bool        `toml:"even"` // arrivals at even distances rather than by chance
+	Rate         [][]float64 `toml:"rate"` // [second, arrivals a second]; linear between
+	EvenlySpaced bool        `toml:"even"` // equal distances in place of a Poisson process
 }
 
-// RateAt is the first tries a second at some second: on straight lines between the points, level outside them.
+// RateAt is the number of arrivals a second at a second: linear between the points, constant outside them.
 func (l Load) RateAt(s float64) float64 {
 	last := 0.0
 	for i, p := range l.Rate {
@@ -119,7 +119,7 @@
 	return last
 }
 
-// requests is how many first tries there are to be, to some part in a hundred.
+// requests is the expected number of arrivals, to about one percent.
 func (l Load) requests(seconds float64) (n float64) {
 	const steps = 1000
 	for i := range steps {
@@ -128,18 +128,18 @@
 	return n
 }
 
-// Clients is what the callers do.
+// Clients holds the settings of the clients.
 type Clients struct {
 	Retries            int       `toml:"retries"`
 	WaitMs             float64   `toml:"wait_ms"`
-	AttemptFraction    []float64 `toml:"try_part"` // of the class's give-up time that one try is given: from, to
+	AttemptFraction    []float64 `toml:"try_part"` // deadline of an attempt, as a fraction of the class's: from, to
 	MarkRetry          bool      `toml:"mark_retry"`
-	CancelFraction     float64   `toml:"leave_part"`  // of the tries whose clients close their connection before the answer
-	FailureDetectionMs float64   `toml:"notice_ms"`   // until the front notices a dead proxy
-	OtherZones         bool      `toml:"other_zones"` // the front sends on to other zones when its own has no proxy
+	CancelFraction     float64   `toml:"leave_part"`  // of the attempts that clients cancel before the response
+	FailureDetectionMs float64   `toml:"notice_ms"`   // until the front detects a dead proxy
+	OtherZones         bool      `toml:"other_zones"` // the front uses other zones when its own has no proxy
 }
 
-// Proxy is what the proxies are told.
+// Proxy holds the settings of the proxies.
 type Proxy struct {
 	Cores           float64        `toml:"cores"`
 	MemoryMB        int            `toml:"memory_mb"`
@@ -151,77 +151,77 @@
 	DrainGraceMs    float64        `toml:"drain_grace_ms"`
 	PollIntervalMs  float64        `toml:"ask_every_ms"`
 	DeadlineSlackMs float64        `toml:"slack_ms"`
-	MaxRetryAfterMs float64        `toml:"retry_after_ms"` // the longest that clients heed; 0: none is sent
+	MaxRetryAfterMs float64        `toml:"retry_after_ms"` // maximum; 0: no Retry-After
 	Membership      string         `toml:"membership"`
-	Settings        map[string]any `toml:"settings"` // laid over the settings object
-	Config          map[string]any `toml:"config"`   // laid over the configuration
-	KnownFraction   *float64       `toml:"known"`    // part of the servers that a starting proxy knows of; all if not given
+	Settings        map[string]any `toml:"settings"` // override keys of the settings object
+	Config          map[string]any `toml:"config"`   // override keys of the configuration
+	KnownFraction   *float64       `toml:"known"`    // fraction of the servers in a starting proxy's list; default all
 }
 
-// List is the stand-in list service.
+// List holds the settings of the list service or of the catalog that stands in for it.
 type List struct {
-	NotificationDelayMs float64 `toml:"lag_ms"`  // from a change to its being told
-	CallMs              float64 `toml:"call_ms"` // of the service for one call; calls are handled in turn
-	EntryUs             float64 `toml:"line_us"` // and for one line of an answer
-	QueueTimeoutMs      float64 `toml:"wait_ms"` // a call that has waited longer in line gets 503
+	NotificationDelayMs float64 `toml:"lag_ms"`  // from a change until it is announced
+	CallMs              float64 `toml:"call_ms"` // of work for a call; calls are handled one after another
+	EntryUs             float64 `toml:"line_us"` // of work for an entry of an answer
+	QueueTimeoutMs      float64 `toml:"wait_ms"` // a call that is queued for longer gets 503
 	SyncIntervalMs      float64 `toml:"sync_ms"` // between two syncs of its file
-	RetainedChanges     int     `toml:"retain"`  // changes kept for watches; older ones get the whole list
-	MaxWaitingCalls     int     `toml:"most"`    // calls that wait; more get 503 at once
-	Zone                string  `toml:"zone"`    // where it stands; empty: beside everybody
+	RetainedChanges     int     `toml:"retain"`  // changes retained for watches; older ones get the complete list
+	MaxWaitingCalls     int     `toml:"most"`    // queued calls; more get 503 at once
+	Zone                string  `toml:"zone"`    // zone of the list; empty: in each zone
 
-	// With members the list is the project's own service, as real processes, and of the above nothing holds.
-	Members      int     `toml:"members"`     // 0: the stand-in
+	// With members, real processes of the list service are used, and none of the settings above.
+	Members      int     `toml:"members"`     // 0: the catalog
 	LeaseMs      float64 `toml:"lease_ms"`    // of a server
 	ElectionMs   float64 `toml:"election_ms"` // of the members
-	MaxListAgeMs float64 `toml:"stale_ms"`    // a list that is older is not told
+	MaxListAgeMs float64 `toml:"stale_ms"`    // maximum age of a list that is served
 }
 
-// Cluster is whether the proxies act as one.
+// Cluster says whether the proxies form a cluster, with gossip.
 type Cluster struct {
 	Enabled bool   `toml:"on"`
 	Label   string `toml:"label"`
-	Seeds   int    `toml:"seeds"` // proxies that each is told to join at, spread over the zones
+	Seeds   int    `toml:"seeds"` // gossip seeds of each proxy, spread over the zones
 }
 
-// Fault is one thing that goes wrong.
+// Fault is a fault to inject. Its JSON keys are part of the digest of a plan.
 type Fault struct {
 	At       float64 `toml:"at"`
-	Duration float64 `toml:"for" json:"For"` // 0: to the end, or for a moment where the kind is one of a moment
+	Duration float64 `toml:"for" json:"For"` // seconds; 0: to the end, or none where the kind has no duration
 	Kind     string  `toml:"kind"`
 
 	Zone    string   `toml:"zone"`
-	Proxies []string `toml:"proxies"` // names; with share or none: drawn among those of the zone, or of all
+	Proxies []string `toml:"proxies"` // names; if none, drawn among those of the zone, or of all
 	Servers []string `toml:"nodos"`
-	Members []string `toml:"members"` // of the list service: r1 and on, leader, follower; none: all
+	Members []string `toml:"members"` // of the list service: r1, r2..., leader, follower; none: all
 	Share   float64  `toml:"share"`
-	Spread  float64  `toml:"spread"` // seconds over which the targets' turns are spread
+	Spread  float64  `toml:"spread"` // seconds over which the targets are spread
 
 	Link             string  `toml:"link"`      // client, server, list, lease (from servers to the list service) or gossip; empty: all
-	Direction        string  `toml:"direction"` // both, out (what callers send is lost) or back (answers are)
+	Direction        string  `toml:"direction"` // both, out (requests are lost) or back (responses are)
 	FromZone         string  `toml:"from_zone"`
 	ToZone           string  `toml:"to_zone"`
 	DelayMs          float64 `toml:"ms" json:"Ms"`
 	Fraction         float64 `toml:"part" json:"Part"`
 	Factor           float64 `toml:"factor"`
 	Versions         int     `toml:"versions"`
-	Service          int     `toml:"service"` // of hollow servers: all of one of the services, from 1; of configurations likewise
-	Count            int     `toml:"count"`   // of hollow servers: so many of those that are left; of configurations: so many puts
+	Service          int     `toml:"service"` // for hollow servers and configurations: number of the service, from 1; 0: all
+	Count            int     `toml:"count"`   // maximum number of hollow servers; number of configuration writes
 	ByzantineMembers int     `toml:"liars" json:"Liars"`
-	IdleClients      int     `toml:"clients" json:"Clients"` // of a crowd, at each proxy
-	InvalidConfig    bool    `toml:"faulty" json:"Faulty"`   // a put of a document that no proxy could use
-	KeepDirectory    bool    `toml:"keep" json:"Keep"`       // a restarted proxy finds its directory as it was
+	IdleClients      int     `toml:"clients" json:"Clients"` // at each proxy
+	InvalidConfig    bool    `toml:"faulty" json:"Faulty"`   // a document that must be rejected
+	KeepDirectory    bool    `toml:"keep" json:"Keep"`       // a restarted proxy keeps its directory
 }
 
-// Expect is a bound on a figure.
+// Expect is a bound on a metric.
 type Expect struct {
 	Metric string   `toml:"figure"`
 	Min    *float64 `toml:"min"`
 	Max    *float64 `toml:"max"`
-	From   float64  `toml:"from"` // of arrivals, seconds; metrics of a span only
+	From   float64  `toml:"from"` // seconds of the arrivals; only for span metrics
 	To     float64  `toml:"to"`
 }
 
-// Span is the part of a run that an expectation speaks of; to 0 is the end.
+// Span is the span of arrivals, in seconds, of an expectation; a To of 0 is the end.
 func (expect Expect) Span(exp *Experiment) (from, to float64) {
 	from, to = expect.From, expect.To
 	if from == 0 && to == 0 {
@@ -233,20 +233,20 @@
 	return from, to
 }
 
-// Seconds turns a file's seconds into a duration.
+// Seconds converts a file's seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Millis turns a file's milliseconds into a duration.
+// Millis converts a file's milliseconds to a duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Node is one proxy or server of the fleet, as a file's zones spell it out.
+// Node is a proxy or server.
 type Node struct {
 	Name  string
 	Zone  string
 	Group ServerGroup // of a server
 }
 
-// ProxyNodes names the proxies: the zone's name and a number from 1.
+// ProxyNodes are the proxies, named by zone and a number from 1.
 func (e *Experiment) ProxyNodes() []Node {
 	var out []Node
 	for _, z := range e.Zones {
@@ -257,7 +257,7 @@
 	return out
 }
 
-// ServerNodes names the servers likewise, over all groups of a zone.
+// ServerNodes are the servers, named by zone and a number from 1 over all groups.
 func (e *Experiment) ServerNodes() []Node {
 	var out []Node
 	for _, z := range e.Zones {
@@ -281,16 +281,16 @@
 	return out
 }
 
-// MaxPairLinks is how many links from proxies to servers get an address each. A fleet with more shares one address
-// among the proxies of a zone, and its links can be told apart by zone only: descriptors are bounded.
+// MaxPairLinks is the maximum number of links from proxies to servers with an address each, since descriptors are limited. With more,
+// the proxies of a zone share their links, which can then be selected by zone only.
 const MaxPairLinks = 6000
 
-// SharedLinks tells whether the proxies of a zone share their links to servers.
+// SharedLinks reports whether the proxies of a zone share their links to servers.
 func (e *Experiment) SharedLinks() bool {
 	return len(e.ProxyNodes())*len(e.ServerNodes()) > MaxPairLinks
 }
 
-// Kinds of faults, each with what it needs and what it is.
+// Kinds are the kinds of faults by name.
 var Kinds = map[string]Kind{
 	"kill":       {Proxies: true, Text: "SIGKILL; started again after `for`, from nothing unless keep"},
 	"stop":       {Proxies: true, HasDuration: true, Text: "SIGSTOP, and SIGCONT after `for`"},
@@ -340,16 +340,16 @@
 	"list_power_loss": {Text: "it dies, loses what was not synced, and is back after `for`"},
 }
 
-// Kind says what a kind of fault needs.
+// Kind describes a kind of fault.
 type Kind struct {
-	Proxies, Servers, Zone, Links, Members, Hollow bool // what it is aimed at
-	Configs                                        bool // it puts configurations of services
-	HasDuration                                    bool // it holds for `for`
+	Proxies, Servers, Zone, Links, Members, Hollow bool // its targets
+	Configs                                        bool // it writes configurations
+	HasDuration                                    bool // it lasts for the key `for`
 	Needs                                          []string
-	Text                                           string
+	Text                                           string // for docs and help
 }
 
-// KindNames are the kinds in order.
+// KindNames are the names of the kinds in order.
 func KindNames() []string {
 	var out []string
 	for k := range Kinds {
--- a/internal/faultlab/experiment/hollow.go
+++ b/internal/faultlab/experiment/hollow.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Hollow is the hollow proxies and servers beside the real ones: package hollow says what they are. They stand in the file's
-// zones in turn, and there in Zones parts, which the list has as zones of their own: a file's zone then is a region.
+// Hollow holds the settings of the hollow proxies and servers beside the real ones (see package hollow). They are distributed over the
+// file's zones, which are regions for them, and each region's ZonesPerRegion zones.
 type Hollow struct {
 	Proxies            int     `toml:"proxies"`
 	Servers            int     `toml:"nodos"`
-	Processes          int     `toml:"processes"`       // of proxies; servers have half as many
+	Processes          int     `toml:"processes"`       // with proxies; those with servers are half as many
 	ZonesPerRegion     int     `toml:"zones"`           // in each of the file's zones
-	Services           int     `toml:"services"`        // that the servers make up, for faults of one service
-	CallRate           float64 `toml:"calls"`           // drawn, a second and proxy
-	FailedFraction     float64 `toml:"bad"`             // part of the drawn calls that come to nothing
-	ConfigServiceCount int     `toml:"config_services"` // services whose configurations the proxies follow, each one of them in turn; 0: none
-	Relays             bool    `toml:"relays"`          // between members of the fleet, for delays and faults of links that strike all gossip
+	Services           int     `toml:"services"`        // of the servers, for faults of one service
+	CallRate           float64 `toml:"calls"`           // simulated calls a second, of each proxy
+	FailedFraction     float64 `toml:"bad"`             // of the simulated calls
+	ConfigServiceCount int     `toml:"config_services"` // services whose configurations the proxies follow, one each; 0: none
+	Relays             bool    `toml:"relays"`          // between cluster members, for delays and link faults of all gossip
 }
 
-// Phase is a span of the run whose metrics of control are told apart.
+// Phase is a span of the run with control-plane metrics of its own.
 type Phase struct {
 	Name string  `toml:"name"`
 	From float64 `toml:"from"`
@@ -30,21 +30,21 @@
 const (
 	maxHollow          = 5000
 	maxHollowProcesses = 64
-	maxConfigServices  = 1000 // as the list service holds
+	maxConfigServices  = 1000 // limit of the list service
 	maxConfigWrites    = 10000
 	hollowPrefix       = "h"
 )
 
-// On tells whether there are any.
+// Enabled reports whether there are any.
 func (h Hollow) Enabled() bool { return h.Proxies+h.Servers > 0 }
 
-// ServerProcesses is how many processes the servers share.
+// ServerProcesses is the number of processes with servers.
 func (h Hollow) ServerProcesses() int { return min(max(1, h.Processes/2), h.Servers) }
 
-// HollowProxies names the hollow proxies. A Node's zone is a part of the file's zone.
+// HollowProxies are the hollow proxies. A node's zone is one of a region.
 func (e *Experiment) HollowProxies() []Node { return e.hollowNodes("p", e.Hollow.Proxies) }
 
-// HollowServers names the hollow servers.
+// HollowServers are the hollow servers.
 func (e *Experiment) HollowServers() []Node { return e.hollowNodes("s", e.Hollow.Servers) }
 
 func (e *Experiment) hollowNodes(kind string, n int) (out []Node) {
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("%s-%c", region, 'a'+rune(part))
 }
 
-// HollowZones are the zones of the hollow ones.
+// HollowZones are the zones of the hollow nodes.
 func (e *Experiment) HollowZones() (out []string) {
 	for _, z := range e.ZoneNames() {
 		for part := range e.Hollow.ZonesPerRegion {
@@ -70,10 +70,10 @@
 	return out
 }
 
-// RegionOf is the file's zone that a hollow one's zone is a part of.
+// RegionOf is the file's zone that a hollow node's zone belongs to.
 func RegionOf(zone string) string { return zone[:strings.LastIndexByte(zone, '-')] }
 
-// ConfigService is the service, from 1, whose configuration the hollow proxy with a number from 0 follows; 0: none.
+// ConfigService is the number of the service, from 1, whose configuration hollow proxy i, from 0, follows; 0: none.
 func (h Hollow) ConfigService(i int) int {
 	if h.ConfigServiceCount == 0 {
 		return 0
@@ -81,13 +81,13 @@
 	return i%h.ConfigServiceCount + 1
 }
 
-// ConfigServices is how many services' configurations some hollow proxy follows.
+// ConfigServices is the number of services whose configurations hollow proxies follow.
 func (h Hollow) ConfigServices() int { return min(h.ConfigServiceCount, h.Proxies) }
 
-// ServiceName names the service with a number from 1 at the list service.
+// ServiceName is the name, at the list service, of a service with a number from 1.
 func ServiceName(service int) string { return fmt.Sprintf("s%d", service) }
 
-// InService tells whether the hollow server with a number from 0 belongs to a service from 1.
+// BelongsToService reports whether hollow server i, from 0, belongs to a service, from 1.
 func (h Hollow) BelongsToService(i, service int) bool { return i%h.Services == service-1 }
 
 func (c *checker) checkHollow() {
@@ -135,7 +135,7 @@
 	}
 }
 
-// checkHollowFault checks what only faults of hollow servers and of configurations have.
+// checkHollowFault checks the keys of faults of hollow servers and of configurations.
 func (c *checker) checkHollowFault(key string, fault Fault, kind Kind) {
 	if kind.Configs {
 		c.checkConfigWrite(key, fault)
@@ -180,7 +180,7 @@
 	}
 }
 
-// Roles of which metrics of control are told, and the metrics of each; and those that have no role.
+// Names of the control plane's metrics: roles, the metrics of each, and those without a role.
 var (
 	controlRoles   = []string{"proxy", "real", "nodo", "leader", "follower", "five", "regions"}
 	controlMetrics = []string{"in_b_s", "out_b_s", "calls_s", "cpu_pct", "memory_mb"}
@@ -196,8 +196,8 @@
 	controlWhole = []string{"hollow_stall_ms", "list_failures", "list_moves", "list_age_last_ms"}
 )
 
-// controlFigure tells whether there is such a figure of control: PHASE.ROLE.FIGURE, PHASE.factor.FIGURE, PHASE.FIGURE, or one
-// of the whole run.
+// isControlMetric reports whether there is such a metric of the control plane: PHASE.ROLE.METRIC, PHASE.factor.METRIC, PHASE.METRIC,
+// or one of the complete run.
 func isControlMetric(name string, exp *Experiment) bool {
 	phase, rest, ok := strings.Cut(name, ".")
 	if !ok {
--- a/internal/faultlab/experiment/figures.go
+++ b/internal/faultlab/experiment/metrics.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Rules are the rules of service that the referee judges, by the names that metrics and reports give them.
+// Rules are the names of the rules of service that the referee checks, as in metrics and reports.
 var Rules = []string{"lost", "twice", "repeat", "drain", "tip", "garbled", "forged", "list", "rude", "gone"}
 
-// RuleText says what a broken rule means.
+// RuleText is the meaning of a violation of each rule.
 var RuleText = map[string]string{
 	"lost":    "a request taken got no whole final answer in its time",
 	"twice":   "a request got more than one answer",
@@ -24,7 +24,7 @@
 	"forged":  "a nodo got a request that no client had sent to that proxy",
 }
 
-// spanFigures can be asked of a span of arrivals, and with `.CLASS` of one class.
+// spanMetrics can have a span of arrivals and, with `.CLASS`, a class.
 var spanMetrics = []string{"worth_in_time", "in_time", "served", "refused", "failed", "unreached"}
 
 var wholeRunMetrics = []string{"requests", "tries", "attempts", "attempts_per_request", "cross_zone", "cross_zone_share",
@@ -33,17 +33,17 @@
 	"proxy_memory_mb", "proxy_cpu_s", "broken", "list_checked", "list_told_p50_ms", "list_told_p99_ms", "list_told_max_ms",
 	"list_refused", "list_lacks", "dials_lost", "gossip_packets_s", "gossip_kb_s"}
 
-// faultFigures are of one fault with `.N`, and of all together without.
+// faultMetrics are of one fault with `.N`, and of all without.
 var faultMetrics = []string{"recovery_s", "left_first_s", "left_last_s", "left_spread_ms", "stayed", "avoid_s", "wasted",
 	"returned_s", "room_worth"}
 
-// SpanFigure tells whether a figure can be asked of a span.
+// IsSpanMetric reports whether a metric can have a span of arrivals.
 func IsSpanMetric(name string) bool {
 	base, _, _ := strings.Cut(name, ".")
 	return slices.Contains(spanMetrics, base)
 }
 
-// KnownFigure tells whether the report has a figure of that name for an experiment.
+// IsKnownMetric reports whether a result of the experiment can have a metric of that name.
 func IsKnownMetric(name string, exp *Experiment) bool {
 	base, rest, dotted := strings.Cut(name, ".")
 	if !dotted {
@@ -61,7 +61,7 @@
 	return slices.Contains(spanMetrics, base) && slices.ContainsFunc(exp.Classes, func(k Class) bool { return k.Name == rest })
 }
 
-// Held tells whether a figure keeps a bound, and words it if not.
+// Check reports whether a value is within the bounds, and describes a failure.
 func (expect Expect) Check(v float64) (bool, string) {
 	if expect.Min != nil && !(v >= *expect.Min) {
 		return false, fmt.Sprintf("%s is %.4g, wanted at least %.4g", expect.Metric, v, *expect.Min)
--- a/internal/faultlab/experiment/read.go
+++ b/internal/faultlab/experiment/read.go
@@ -10,14 +10,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Problem is one fault of a file, with its place.
+// Problem is an error in a file, with its place.
 type Problem struct {
 	File string
-	Line int // 0: the file as a whole
+	Line int // 0: the complete file
 	Key  string
 	Text string
 }
 
+// Error is file, line, key and text.
 func (p Problem) Error() string {
 	at := p.File
 	if p.Line > 0 {
@@ -29,7 +30,7 @@
 	return at + ": " + p.Text
 }
 
-// Read reads a file. The error joins every Problem of it.
+// Read reads a file. The error joins all its Problems.
 func Read(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -40,11 +41,12 @@
 	})
 }
 
-// maxBases bounds a chain of bases, and ends one that leads back to itself.
+// maxBases limits a chain of bases, which may be a cycle.
 const maxBases = 4
 
-// Parse reads a file's text; name stands for the file in errors, and open reads a file that is named as a base, by its
-// path from this one's folder.
+var errTooManyBases = fmt.Errorf("more than %d bases in a chain, remove one", maxBases)
+
+// Parse parses a file's text. Name is the file's in errors; open reads a base, by its path relative to this file.
 func Parse(name, text string, open func(base string) ([]byte, error)) (*Experiment, error) {
 	return parse(name, text, open, maxBases)
 }
@@ -61,7 +63,7 @@
 	if first.Base != "" {
 		under, err := open(first.Base)
 		if bases == 0 {
-			err = fmt.Errorf("over %d bases, one on another", maxBases)
+			err = errTooManyBases
 		}
 		if err != nil {
 			c.report("base", "%v", err)
@@ -88,7 +90,7 @@
 	return exp, errors.Join(c.problems...)
 }
 
-// clearLists empties the lists that a file gives anew, so that it replaces its base's rather than mixing with them.
+// clearLists empties the lists that a file defines, so that they replace its base's instead of being merged.
 func (e *Experiment) clearLists(text string) error {
 	var keys map[string]any
 	if _, err := toml.Decode(text, &keys); err != nil {
@@ -114,7 +116,7 @@
 	return Problem{File: name, Text: err.Error()}
 }
 
-// defaults are the metrics that a file need not give: the platform's where it states one.
+// defaults are the default values, from the platform's pages where these state one.
 func defaults() *Experiment {
 	return &Experiment{
 		Seconds: 30, Warmup: 3, Seed: 1, Repeat: 1,
@@ -133,8 +135,8 @@
 	}
 }
 
-// lines maps each key of a file to its line: `fault[2].at`, counted from 1 as a person does. It reads headers and
-// plain keys only, which is all that the format has; what it misses is told without a line.
+// keyLines maps each key of a file to its line, with indexes from 1: `fault[2].at`. It knows headers and plain keys only; a problem at
+// another key has no line.
 func keyLines(text string) map[string]int {
 	at, table, counts := map[string]int{}, "", map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
@@ -174,6 +176,7 @@
 	return at
 }
 
+// checker collects the problems of a file.
 type checker struct {
 	file       string
 	experiment *Experiment
@@ -181,16 +184,17 @@
 	problems   []error
 }
 
+// report adds a problem at a key.
 func (c *checker) report(key, format string, args ...any) {
 	line := c.lines[key]
-	for at := key; line == 0 && at != ""; line = c.lines[at] { // else the line of what it stands in
+	for at := key; line == 0 && at != ""; line = c.lines[at] { // else the line of the table that contains it
 		i := strings.LastIndexByte(at, '.')
 		at = at[:max(i, 0)]
 	}
 	c.problems = append(c.problems, Problem{c.file, line, key, fmt.Sprintf(format, args...)})
 }
 
-// undecoded finds which entry of a list an unknown key stands in: the library names the list only.
+// undecoded finds the entry of a list that contains an unknown key: the library names the list only.
 func (c *checker) undecoded(key toml.Key) string {
 	plain := key.String()
 	for at := range c.lines {
