--- a/internal/faultlab/catalog/serve.go
+++ b/internal/faultlab/catalog/serve.go
@@ -49,7 +49,7 @@
 		c.ref.RecordPoll(proxy)
 		status, body, q := c.handle(proxy, req, conn)
 		told := func(at time.Time) { c.notified(proxy, process, q, at) }
-		if err := conn.NoteThenWrite(wire.JSON(status, body), told); err != nil {
+		if err := conn.WriteAfter(wire.JSON(status, body), told); err != nil {
 			c.ref.RecordPollFailed(proxy, time.Now())
 			return
 		}
@@ -105,7 +105,7 @@
 	}
 	stop, gone := make(chan struct{}), make(chan struct{})
 	go func() {
-		if conn.AwaitEnd(stop) {
+		if conn.AwaitPeerClose(stop) {
 			close(gone)
 		}
 	}()
--- a/internal/faultlab/hollow/calibrate_test.go
+++ b/internal/faultlab/hollow/calibrate_test.go
@@ -28,9 +28,9 @@
 
 // reading returns what a process's proxies have passed so far, and the metrics of its cluster members.
 func reading(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Usage, fleet []*hollow.ClusterMetrics) {
-	links.Traffic(func(e link.Ends, t link.Traffic) {
+	links.EachTraffic(func(e link.Ends, t link.Traffic) {
 		if e.From == from {
-			s.BytesIn, s.BytesOut, s.Calls = t.Answered, t.Sent, t.Pieces
+			s.BytesIn, s.BytesOut, s.Calls = t.ToDialer, t.FromDialer, t.Chunks
 		}
 	})
 	for _, x := range p.Metrics(false).Proxies {
@@ -71,7 +71,7 @@
 			t.Cleanup(links.Close)
 			process := func(name, label string, port int) hollow.Config {
 				addr := fmt.Sprintf("127.0.0.1:%d", port)
-				if _, err := links.Listen(link.Ends{Kind: "list", From: name}, addr, 0, func(c *link.Conn) { _ = link.Pass(c, own, nil) }); err != nil {
+				if _, err := links.Listen(link.Ends{Kind: "list", From: name}, addr, 0, func(c *link.Conn) { _ = link.Forward(c, own, nil) }); err != nil {
 					t.Fatal(err)
 				}
 				c := hollow.TestConfig(addr, proxies, 0)
--- a/internal/faultlab/hollow/hollow_test.go
+++ b/internal/faultlab/hollow/hollow_test.go
@@ -184,8 +184,8 @@
 	waitFor(t, "both", func() bool { return p.notReadyReason() == "" })
 	passed := func() (on, lost int) {
 		for _, r := range p.memberRelays {
-			x := r.Passed()
-			on, lost = on+x.On, lost+x.Lost
+			x := r.Counters()
+			on, lost = on+x.Forwarded, lost+x.Lost
 		}
 		return on, lost
 	}
--- a/internal/faultlab/hollow/relay.go
+++ b/internal/faultlab/hollow/relay.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			return &FailedError{p.cfg.Name, x.Name, err.Error()}
 		}
-		if err := r.To(x.Bind); err != nil {
+		if err := r.SetTarget(x.Bind); err != nil {
 			return err
 		}
 		p.memberRelays = append(p.memberRelays, r)
@@ -73,7 +73,7 @@
 // droppedByRelays counts datagrams that relays dropped for lack of room: losses of the lab itself.
 func (p *Process) droppedByRelays() (n int) {
 	for _, r := range p.memberRelays {
-		n += r.Passed().Over
+		n += r.Counters().Overflowed
 	}
 	return n
 }
--- a/internal/faultlab/link/backlog.go
+++ b/internal/faultlab/link/backlog.go
@@ -2,10 +2,10 @@
 
 import "syscall"
 
-// backlog sets how many connections a listener's queue holds beside the first.
-func backlog(rc syscall.RawConn, n int) error {
+// setBacklog sets the length of a listener's queue, which holds one connection more.
+func setBacklog(raw syscall.RawConn, n int) error {
 	var set error
-	if err := rc.Control(func(fd uintptr) { set = syscall.Listen(int(fd), n) }); err != nil {
+	if err := raw.Control(func(fd uintptr) { set = syscall.Listen(int(fd), n) }); err != nil {
 		return err
 	}
 	return set
--- a/internal/faultlab/link/conn.go
+++ b/internal/faultlab/link/conn.go
@@ -9,103 +9,103 @@
 	"time"
 )
 
-// Conn is a connection over a link, as the stand-in at its end sees it.
+// Conn is a connection over a link, used by the lab's end of it.
 type Conn struct {
-	raw  *net.TCPConn
-	link *Link
-	in   queue // what the program wrote
-	out  queue // what this side writes
-	gone chan struct{}
-	once sync.Once
+	raw      *net.TCPConn
+	link     *Link
+	incoming queue // from the program
+	outgoing queue // to the program
+	closed   chan struct{}
+	once     sync.Once
 
-	came, went *direction // of the link's traffic
+	received, sent *direction // counters of the link
 
-	cutIn *state // of the newest bytes that came into a cut; fill's alone
+	reportedCut *effectState // the cut that was last reported; used by receiveLoop only
 
-	mu       sync.Mutex
-	deadline time.Time
-	wake     chan struct{} // a new deadline
-	readAt   time.Time
+	mu              sync.Mutex
+	deadline        time.Time
+	deadlineChanged chan struct{} // holds one after SetReadDeadline
+	readAt          time.Time
 }
 
-// piece is bytes that are due at a time, or an end.
-type piece struct {
-	data []byte
-	due  time.Time
-	at   time.Time       // when the socket gave it
-	end  error           // of what is read; io.EOF to close for what is written
-	note func(time.Time) // before it is written to the socket
-	done func(time.Time) // once it is
+// chunk is bytes with the time when they are due, or the end of a stream.
+type chunk struct {
+	data        []byte
+	due         time.Time
+	readAt      time.Time       // when it was read from the socket
+	end         error           // incoming: the read error; outgoing: io.EOF to close
+	beforeWrite func(time.Time) // called before the write to the socket
+	afterWrite  func(time.Time) // called after it
 }
 
 type queue struct {
-	mu     sync.Mutex
-	pieces []piece
-	bytes  int
-	last   time.Time     // due of the newest: order is kept
-	news   chan struct{} // holds one when something was put or taken
-	cutOf  func(*state) bool
+	mu      sync.Mutex
+	chunks  []chunk
+	bytes   int
+	lastDue time.Time     // due time of the newest chunk; order is kept
+	changed chan struct{} // holds one after a chunk was queued
+	isCut   func(*effectState) bool
 }
 
-func (l *Link) conn(raw *net.TCPConn, dialled bool) *Conn {
-	c := &Conn{raw: raw, link: l, gone: make(chan struct{}), wake: make(chan struct{}, 1)}
-	out, back := func(s *state) bool { return s.CutOut }, func(s *state) bool { return s.CutBack }
-	c.in, c.out = queue{cutOf: out}, queue{cutOf: back}
-	c.came, c.went = &l.traffic.sent, &l.traffic.answered
+func (l *Link) newConn(raw *net.TCPConn, dialled bool) *Conn {
+	conn := &Conn{raw: raw, link: l, closed: make(chan struct{}), deadlineChanged: make(chan struct{}, 1)}
+	out, back := func(s *effectState) bool { return s.CutOut }, func(s *effectState) bool { return s.CutBack }
+	conn.incoming, conn.outgoing = queue{isCut: out}, queue{isCut: back}
+	conn.received, conn.sent = &l.traffic.fromDialer, &l.traffic.toDialer
 	l.traffic.conns.Add(1)
 	if dialled {
-		c.came, c.went = c.went, c.came
-		c.in.cutOf, c.out.cutOf = back, out
+		conn.received, conn.sent = conn.sent, conn.received
+		conn.incoming.isCut, conn.outgoing.isCut = back, out
 	}
-	c.in.news, c.out.news = make(chan struct{}, 1), make(chan struct{}, 1)
+	conn.incoming.changed, conn.outgoing.changed = make(chan struct{}, 1), make(chan struct{}, 1)
 	_ = raw.SetNoDelay(true)
 	l.mu.Lock()
-	l.conns[c] = struct{}{}
+	l.conns[conn] = struct{}{}
 	l.mu.Unlock()
-	go c.fill()
-	go c.drain()
-	return c
+	go conn.receiveLoop()
+	go conn.sendLoop()
+	return conn
 }
 
-func (c *Conn) put(q *queue, p piece) {
-	now := c.link.now.Load()
-	due := time.Now().Add(c.link.delay + now.Delay + c.link.lost(now.Loss))
+func (c *Conn) enqueue(q *queue, chunk chunk) {
+	effect := c.link.effect.Load()
+	due := time.Now().Add(c.link.delay + effect.Delay + c.link.retransmitDelay(effect.Loss))
 	q.mu.Lock()
-	if due.Before(q.last) {
-		due = q.last
+	if due.Before(q.lastDue) {
+		due = q.lastDue
 	}
-	p.due, q.last = due, due
-	q.pieces = append(q.pieces, p)
-	q.bytes += len(p.data)
+	chunk.due, q.lastDue = due, due
+	q.chunks = append(q.chunks, chunk)
+	q.bytes += len(chunk.data)
 	q.mu.Unlock()
-	q.tell()
+	q.notify()
 }
 
-func (q *queue) tell() {
+func (q *queue) notify() {
 	select {
-	case q.news <- struct{}{}:
+	case q.changed <- struct{}{}:
 	default:
 	}
 }
 
-// fill moves what the socket gives to the queue.
-func (c *Conn) fill() {
+// receiveLoop moves bytes from the socket to the queue.
+func (c *Conn) receiveLoop() {
 	for {
 		buf := make([]byte, 4<<10)
 		n, err := c.raw.Read(buf)
 		at := time.Now()
 		if n > 0 {
-			c.came.add(n)
-			c.put(&c.in, piece{data: buf[:n], at: at})
-			c.unheard(at)
+			c.received.add(n)
+			c.enqueue(&c.incoming, chunk{data: buf[:n], readAt: at})
+			c.reportCut(at)
 		}
 		if err != nil {
-			c.put(&c.in, piece{end: err, at: at})
+			c.enqueue(&c.incoming, chunk{end: err, readAt: at})
 			return
 		}
-		for c.in.full() {
+		for c.incoming.isFull() {
 			select {
-			case <-c.gone:
+			case <-c.closed:
 				return
 			case <-time.After(time.Millisecond):
 			}
@@ -113,234 +113,241 @@
 	}
 }
 
-func (q *queue) full() bool {
+func (q *queue) isFull() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.bytes > maxQueue
+	return q.bytes > maxQueueBytes
 }
 
-// drain moves what was written to the socket, each piece at its time.
-func (c *Conn) drain() {
+// sendLoop moves chunks from the queue to the socket when they are due.
+func (c *Conn) sendLoop() {
 	for {
-		p, err := c.next(&c.out, false)
+		outgoing, err := c.next(&c.outgoing, false)
 		if err != nil {
 			return
 		}
-		if p.note != nil {
-			p.note(time.Now())
+		if outgoing.beforeWrite != nil {
+			outgoing.beforeWrite(time.Now())
 		}
-		if len(p.data) > 0 {
-			c.went.add(len(p.data))
-			if _, err := c.raw.Write(p.data); err != nil {
-				c.put(&c.in, piece{end: err, at: time.Now()})
-				c.drop()
+		if len(outgoing.data) > 0 {
+			c.sent.add(len(outgoing.data))
+			if _, err := c.raw.Write(outgoing.data); err != nil {
+				c.enqueue(&c.incoming, chunk{end: err, readAt: time.Now()})
+				c.close()
 				return
 			}
 		}
-		if p.done != nil {
-			p.done(time.Now())
+		if outgoing.afterWrite != nil {
+			outgoing.afterWrite(time.Now())
 		}
-		if p.end != nil {
-			c.drop()
+		if outgoing.end != nil {
+			c.close()
 			return
 		}
 	}
 }
 
-// next waits for the first piece of a queue to be due, with the link not cut, and takes it.
-func (c *Conn) next(q *queue, reading bool) (piece, error) {
+// next waits until the first chunk of a queue is due and the link not cut, and takes it. A read ends at the deadline too.
+func (c *Conn) next(q *queue, reading bool) (chunk, error) {
 	for {
-		now := c.link.now.Load()
-		q.mu.Lock()
-		wait := time.Duration(-1)
-		if len(q.pieces) > 0 && !q.cutOf(now) {
-			p := q.pieces[0]
-			if wait = time.Until(p.due); wait <= 0 {
-				q.pieces = q.pieces[1:]
-				q.bytes -= len(p.data)
-				q.mu.Unlock()
-				return p, nil
-			}
+		effect := c.link.effect.Load()
+		first, wait, ok := q.dequeue(effect)
+		if ok {
+			return first, nil
 		}
-		q.mu.Unlock()
-		var wake <-chan struct{}
+		var deadlineChanged <-chan struct{}
 		if reading {
-			c.mu.Lock()
-			deadline := c.deadline
-			c.mu.Unlock()
-			wake = c.wake
-			if !deadline.IsZero() {
-				left := time.Until(deadline)
-				if left <= 0 {
-					return piece{}, os.ErrDeadlineExceeded
-				}
-				if wait < 0 || left < wait {
-					wait = left
-				}
+			deadlineChanged = c.deadlineChanged
+			if wait, ok = c.untilDeadline(wait); !ok {
+				return chunk{}, os.ErrDeadlineExceeded
 			}
 		}
 		var due <-chan time.Time
-		var timer *time.Timer
 		if wait >= 0 {
-			timer = time.NewTimer(wait)
-			due = timer.C
+			due = time.After(wait)
 		}
 		select {
 		case <-due:
-		case <-q.news:
-		case <-wake:
-		case <-now.changed:
-		case <-c.gone:
-			if timer != nil {
-				timer.Stop()
-			}
-			return piece{}, net.ErrClosed
-		}
-		if timer != nil {
-			timer.Stop()
+		case <-q.changed:
+		case <-deadlineChanged:
+		case <-effect.changed:
+		case <-c.closed:
+			return chunk{}, net.ErrClosed
 		}
 	}
 }
 
-// Read gives what has come over the link. A reset that the other side sent is the socket's own error.
+// dequeue takes the first chunk if it is due and the link not cut; else wait is the time until it is due, or negative.
+func (q *queue) dequeue(effect *effectState) (first chunk, wait time.Duration, ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.chunks) == 0 || q.isCut(effect) {
+		return chunk{}, -1, false
+	}
+	first = q.chunks[0]
+	if wait = time.Until(first.due); wait > 0 {
+		return chunk{}, wait, false
+	}
+	q.chunks = q.chunks[1:]
+	q.bytes -= len(first.data)
+	return first, 0, true
+}
+
+// untilDeadline is the shorter of a wait, if not negative, and the time to the read deadline; false if that has passed.
+func (c *Conn) untilDeadline(wait time.Duration) (time.Duration, bool) {
+	c.mu.Lock()
+	deadline := c.deadline
+	c.mu.Unlock()
+	if deadline.IsZero() {
+		return wait, true
+	}
+	left := time.Until(deadline)
+	if left <= 0 {
+		return 0, false
+	}
+	if wait < 0 || left < wait {
+		wait = left
+	}
+	return wait, true
+}
+
+// Read reads bytes that have passed the link. A reset by the peer is returned as the socket's error.
 func (c *Conn) Read(b []byte) (int, error) {
-	p, err := c.next(&c.in, true)
+	received, err := c.next(&c.incoming, true)
 	if err != nil {
 		return 0, err
 	}
-	if p.end != nil {
-		c.in.mu.Lock()
-		c.in.pieces = append(c.in.pieces, p) // the end stays
-		c.in.mu.Unlock()
+	if received.end != nil {
+		c.incoming.mu.Lock()
+		c.incoming.chunks = append(c.incoming.chunks, received) // later reads see the end again
+		c.incoming.mu.Unlock()
 		c.mu.Lock()
-		c.readAt = p.at
+		c.readAt = received.readAt
 		c.mu.Unlock()
-		return 0, p.end
+		return 0, received.end
 	}
-	n := copy(b, p.data)
-	if n < len(p.data) {
-		p.data = p.data[n:]
-		c.in.mu.Lock()
-		c.in.pieces = append([]piece{p}, c.in.pieces...)
-		c.in.bytes += len(p.data)
-		c.in.mu.Unlock()
+	n := copy(b, received.data)
+	if n < len(received.data) {
+		received.data = received.data[n:]
+		c.incoming.mu.Lock()
+		c.incoming.chunks = append([]chunk{received}, c.incoming.chunks...)
+		c.incoming.bytes += len(received.data)
+		c.incoming.mu.Unlock()
 	}
 	c.mu.Lock()
-	c.readAt = p.at
+	c.readAt = received.readAt
 	c.mu.Unlock()
 	return n, nil
 }
 
-// ReadAt is when the socket gave what the last Read returned: earlier than that by the link's delay.
-func (c *Conn) ReadAt() time.Time {
+// LastReadAt is when the bytes of the last Read came from the socket, before the link's delay.
+func (c *Conn) LastReadAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.readAt
 }
 
-// Ended tells whether the other side has closed or reset the connection, and word of it has come over the link.
-func (c *Conn) Ended() bool {
-	now := c.link.now.Load()
-	c.in.mu.Lock()
-	defer c.in.mu.Unlock()
-	if len(c.in.pieces) == 0 || c.in.cutOf(now) {
+// PeerClosed reports whether the peer's close or reset has passed the link.
+func (c *Conn) PeerClosed() bool {
+	effect := c.link.effect.Load()
+	c.incoming.mu.Lock()
+	defer c.incoming.mu.Unlock()
+	if len(c.incoming.chunks) == 0 || c.incoming.isCut(effect) {
 		return false
 	}
-	p := c.in.pieces[0]
-	return p.end != nil && time.Until(p.due) <= 0
+	chunk := c.incoming.chunks[0]
+	return chunk.end != nil && time.Until(chunk.due) <= 0
 }
 
-// AwaitEnd waits until the other side's end has come over the link, the connection is gone, something else has come
-// (false), or stop is closed (false).
-func (c *Conn) AwaitEnd(stop <-chan struct{}) bool {
+// AwaitPeerClose waits until the peer's close or reset has passed the link or the connection is closed (true), or until bytes have
+// passed or stop is closed (false).
+func (c *Conn) AwaitPeerClose(stop <-chan struct{}) bool {
 	for {
-		now := c.link.now.Load()
-		c.in.mu.Lock()
+		effect := c.link.effect.Load()
+		c.incoming.mu.Lock()
 		var wait time.Duration = -1
-		if len(c.in.pieces) > 0 && !c.in.cutOf(now) {
-			p := c.in.pieces[0]
-			if wait = time.Until(p.due); wait <= 0 {
-				c.in.mu.Unlock()
-				return p.end != nil
+		if len(c.incoming.chunks) > 0 && !c.incoming.isCut(effect) {
+			chunk := c.incoming.chunks[0]
+			if wait = time.Until(chunk.due); wait <= 0 {
+				c.incoming.mu.Unlock()
+				return chunk.end != nil
 			}
 		}
-		c.in.mu.Unlock()
+		c.incoming.mu.Unlock()
 		var due <-chan time.Time
 		if wait >= 0 {
 			due = time.After(wait)
 		}
 		select {
 		case <-due:
-		case <-c.in.news:
-		case <-now.changed:
+		case <-c.incoming.changed:
+		case <-effect.changed:
 		case <-stop:
 			return false
-		case <-c.gone:
+		case <-c.closed:
 			return true
 		}
 	}
 }
 
 // Write sends b over the link.
-func (c *Conn) Write(b []byte) (int, error) { return len(b), c.write(piece{data: b}) }
+func (c *Conn) Write(b []byte) (int, error) { return len(b), c.write(chunk{data: b}) }
 
-// WriteThen sends b and calls done once its last byte is written to the socket.
+// WriteThen sends b over the link and calls done after the write to the socket.
 func (c *Conn) WriteThen(b []byte, done func(time.Time)) error {
-	return c.write(piece{data: b, done: done})
+	return c.write(chunk{data: b, afterWrite: done})
 }
 
-// NoteThenWrite sends b and calls note just before it is written to the socket: what is noted is known before the other
-// side can act on it.
-func (c *Conn) NoteThenWrite(b []byte, note func(time.Time)) error {
-	return c.write(piece{data: b, note: note})
+// WriteAfter sends b over the link and calls before ahead of the write to the socket, so that it happens before the peer can act.
+func (c *Conn) WriteAfter(b []byte, before func(time.Time)) error {
+	return c.write(chunk{data: b, beforeWrite: before})
 }
 
-func (c *Conn) write(p piece) error {
-	for c.out.full() {
+func (c *Conn) write(chunk chunk) error {
+	for c.outgoing.isFull() {
 		select {
-		case <-c.gone:
+		case <-c.closed:
 			return net.ErrClosed
 		case <-time.After(time.Millisecond):
 		}
 	}
 	select {
-	case <-c.gone:
+	case <-c.closed:
 		return net.ErrClosed
 	default:
 	}
-	p.data = append([]byte(nil), p.data...)
-	c.put(&c.out, p)
+	chunk.data = append([]byte(nil), chunk.data...)
+	c.enqueue(&c.outgoing, chunk)
 	return nil
 }
 
-// SetReadDeadline bounds Read.
+// SetReadDeadline sets the deadline of Read; zero: none.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.deadline = t
 	c.mu.Unlock()
 	select {
-	case c.wake <- struct{}{}:
+	case c.deadlineChanged <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-// Close closes the connection once all that was written has gone out; over a cut link the other side learns of it
-// when the cut ends.
+// Close closes the connection after all writes have passed the link; over a cut link, when the cut ends.
 func (c *Conn) Close() error {
-	c.put(&c.out, piece{end: io.EOF})
+	c.enqueue(&c.outgoing, chunk{end: io.EOF})
 	return nil
 }
 
-// Reset ends the connection at once, with a reset, whatever the link's state.
+// Reset resets the connection at once, regardless of the link's state.
 func (c *Conn) Reset() {
 	_ = c.raw.SetLinger(0)
-	c.drop()
+	c.close()
 }
 
-func (c *Conn) drop() {
+func (c *Conn) close() {
 	c.once.Do(func() {
-		close(c.gone)
+		close(c.closed)
 		c.raw.Close()
 		c.link.mu.Lock()
 		delete(c.link.conns, c)
@@ -348,14 +355,14 @@
 	})
 }
 
-// IsReset tells whether an error is the other side's reset rather than its close.
+// IsReset reports whether an error of Read is a reset by the peer.
 func IsReset(err error) bool {
 	return err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Waiting tells whether bytes have come that nobody has read.
-func (c *Conn) Waiting() bool {
-	c.in.mu.Lock()
-	defer c.in.mu.Unlock()
-	return len(c.in.pieces) > 0 && c.in.pieces[0].end == nil && time.Until(c.in.pieces[0].due) <= 0
+// HasUnreadBytes reports whether bytes have passed the link and were not read.
+func (c *Conn) HasUnreadBytes() bool {
+	c.incoming.mu.Lock()
+	defer c.incoming.mu.Unlock()
+	return len(c.incoming.chunks) > 0 && c.incoming.chunks[0].end == nil && time.Until(c.incoming.chunks[0].due) <= 0
 }
--- a/internal/faultlab/link/link.go
+++ b/internal/faultlab/link/link.go
@@ -1,14 +1,10 @@
-// Package link is the network of the lab: every connection between a client, a proxy, a server and the list runs over a
-// Link, where it can be delayed, held, cut in one direction or both, reset, or kept from coming up.
+// Package link is the network of the lab: every connection between clients, proxies, servers and the list runs over a Link, where it
+// can be delayed, cut in one direction or both, reset, or kept from coming up. It never interprets the bytes.
 //
-// It needs no rights. A link that a proxy dials is a listener of its own on a loopback address, so that even the
-// connect can be made to fail as it does in the field: refused (the listener is closed) or never answered (its queue
-// is full, which has the kernel drop what comes). What is read and written passes through queues in this process,
-// where each piece waits for its time, and for a cut to end. A piece that was held by a cut is not lost but comes
-// afterwards, as TCP has it.
-//
-// Rejected: packet filters and namespaces (rights, and one machine's only); a relay as a second process on each link
-// (twice the sockets, and its lateness cannot be told from the proxy's).
+// It needs no privileges. A link that a program dials is a listener of its own on a loopback address, so that a connect can fail as
+// in the field: refused (the listener is closed) or unanswered (its queue is full and the kernel drops SYNs). Bytes pass through
+// queues in this process, where each chunk waits until it is due and the cut has ended: as with TCP, a cut delays bytes and loses
+// none.
 package link
 
 import (
@@ -26,100 +22,101 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// Ends tells a link's place. From is the side that dials.
+// Ends identifies the two sides of a link. From is the dialling side.
 type Ends struct {
-	Kind     string // client, server, list, lease, member or gossip
+	Kind     string // client, nodo (a server), list, lease, member or gossip
 	From     string // a proxy's name, or empty for a zone's clients, or for all proxies of the zone
 	FromZone string
 	To       string
 	ToZone   string
 }
 
-// Effect is what can be wrong with a link. Effects on one link add up, and each ends by itself.
+// Effect is what is wrong with a link. Several effects on a link are combined, and each ends independently.
 type Effect struct {
-	CutOut    bool          // what the dialling side sends is held
-	CutBack   bool          // what it is sent is held
+	CutOut    bool          // bytes of the dialling side are held
+	CutBack   bool          // bytes to the dialling side are held
 	NoConnect bool          // new connections do not come up
 	Refuse    bool          // new connections are refused; NoConnect is stronger
 	ResetNew  bool          // new connections are reset at their first byte
 	Delay     time.Duration // added each way
-	Loss      float64       // part of the pieces that come one retransmission later, or two, and so on
+	Loss      float64       // fraction of the chunks that are delayed by a retransmission, repeatedly
 }
 
-// Silent is a black hole: nothing passes, nothing comes up, nothing is said.
+// Silent is a black hole: nothing passes and no connection comes up or is refused.
 var Silent = Effect{CutOut: true, CutBack: true, NoConnect: true}
 
 const (
-	retransmit     = 200 * time.Millisecond // TCP's least on Linux
-	maxRetransmits = 6                      // doublings
-	maxQueue       = 1 << 20                // bytes that wait in one direction of one connection
-	acceptAgain    = 5 * time.Millisecond   // out of descriptors: the run says so by its lateness
+	minRetransmitDelay = 200 * time.Millisecond // TCP's minimum on Linux
+	maxRetransmits     = 6                      // each takes twice the one before
+	maxQueueBytes      = 1 << 20                // in one direction of a connection
+	acceptRetryPause   = 5 * time.Millisecond   // when descriptors run out; shows as lateness of the run
 )
 
-func (e Effect) plus(o Effect) Effect {
-	e.CutOut, e.CutBack = e.CutOut || o.CutOut, e.CutBack || o.CutBack
-	e.NoConnect, e.Refuse, e.ResetNew = e.NoConnect || o.NoConnect, e.Refuse || o.Refuse, e.ResetNew || o.ResetNew
-	e.Delay += o.Delay
-	e.Loss = 1 - (1-e.Loss)*(1-o.Loss)
+func (e Effect) plus(other Effect) Effect {
+	e.CutOut, e.CutBack = e.CutOut || other.CutOut, e.CutBack || other.CutBack
+	e.NoConnect, e.Refuse, e.ResetNew = e.NoConnect || other.NoConnect, e.Refuse || other.Refuse, e.ResetNew || other.ResetNew
+	e.Delay += other.Delay
+	e.Loss = 1 - (1-e.Loss)*(1-other.Loss)
 	return e
 }
 
-// state is a link's sum of effects; changed is closed when another takes its place.
-type state struct {
+// effectState is a link's combined effect; changed is closed when it is replaced.
+type effectState struct {
 	Effect
 	changed chan struct{}
 }
 
-// Link is one link.
+// Link is a link between two sides.
 type Link struct {
-	ends  Ends
-	delay time.Duration // one way, when nothing is wrong
-	now   atomic.Pointer[state]
-	cut   func(Ends, time.Time) // is told what came into a cut; may be nil
+	ends   Ends
+	delay  time.Duration // one way, without effects
+	effect atomic.Pointer[effectState]
+	onCut  func(Ends, time.Time) // see Net.WatchCuts; may be nil
 
-	traffic traffic
+	traffic linkTraffic
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
-	port  *port // of a link that is dialled by others
+	port  *listener // nil if this process dials
 	rng   *rand.Rand
 }
 
-// Net is all links of a run.
+// Net holds all links of a run.
 type Net struct {
 	mu      sync.Mutex
 	links   []*Link
 	relays  []*Relay
-	cut     func(Ends, time.Time)
-	effects map[*applied]struct{}
+	onCut   func(Ends, time.Time)
+	effects map[*appliedEffect]struct{}
 	seed    uint64
 }
 
-type applied struct {
+type appliedEffect struct {
 	match func(Ends) bool
 	Effect
 }
 
-// New is a network without links.
-func New(seed uint64) *Net { return &Net{effects: map[*applied]struct{}{}, seed: seed} }
+// New returns a network without links.
+func New(seed uint64) *Net { return &Net{effects: map[*appliedEffect]struct{}{}, seed: seed} }
 
-// add makes a link, under the effects that hold; p is its listener, or nil. A fault that begins or ends meanwhile waits.
-func (n *Net) add(ends Ends, delay time.Duration, p *port) (*Link, error) {
+// addLink creates a link with the active effects; p is its listener, or nil. Changes of effects wait meanwhile.
+func (n *Net) addLink(ends Ends, delay time.Duration, p *listener) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := &Link{ends: ends, delay: delay, cut: n.cut, conns: map[*Conn]struct{}{}, port: p,
+	l := &Link{ends: ends, delay: delay, onCut: n.onCut, conns: map[*Conn]struct{}{}, port: p,
 		rng: rand.New(rand.NewPCG(n.seed, uint64(len(n.links))))}
-	now := &state{n.sum(ends), make(chan struct{})}
-	l.now.Store(now)
+	effect := &effectState{n.effectOn(ends), make(chan struct{})}
+	l.effect.Store(effect)
 	n.links = append(n.links, l)
 	if p == nil {
 		return l, nil
 	}
 	p.link = l
-	return l, p.to(now.Effect)
+	return l, p.setMode(effect.Effect)
 }
 
-func (n *Net) sum(ends Ends) Effect {
+// effectOn is the combined effect on a link.
+func (n *Net) effectOn(ends Ends) Effect {
 	var sum Effect
 	for a := range n.effects {
 		if a.match(ends) {
@@ -129,41 +126,41 @@
 	return sum
 }
 
-// Listen opens a link that is dialled at addr. Each connection goes to accept, in a goroutine of its own.
+// Listen creates a link that programs dial at addr. Each connection is passed to accept in a goroutine of its own.
 func (n *Net) Listen(ends Ends, addr string, delay time.Duration, accept func(*Conn)) (*Link, error) {
-	return n.add(ends, delay, &port{addr: addr, accept: accept})
+	return n.addLink(ends, delay, &listener{addr: addr, accept: accept})
 }
 
-// Dialer is a link on which this process dials a program's own address.
+// Dialer is a link on which this process dials a program.
 type Dialer struct{ link *Link }
 
-// Dialer makes such a link.
+// Dialer creates a link on which this process dials.
 func (n *Net) Dialer(ends Ends, delay time.Duration) *Dialer {
-	l, _ := n.add(ends, delay, nil)
+	l, _ := n.addLink(ends, delay, nil)
 	return &Dialer{l}
 }
 
-// ErrRefused is a connection that the link did not let come up.
+// ErrRefused is a connection refused by an effect of the link.
 var ErrRefused = errors.New("connection refused")
 
-// Dial connects to addr over the link.
+// Dial connects to addr over the link. The error is ErrRefused, the context's, or the connect's.
 func (d *Dialer) Dial(ctx context.Context, addr string) (*Conn, error) {
 	for {
-		now := d.link.now.Load()
-		if now.NoConnect {
+		effect := d.link.effect.Load()
+		if effect.NoConnect {
 			select {
-			case <-now.changed:
+			case <-effect.changed:
 				continue
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
 		}
-		if now.Refuse {
+		if effect.Refuse {
 			return nil, ErrRefused
 		}
 		break
 	}
-	if !sleep.For(ctx, 2*(d.link.delay+d.link.now.Load().Delay)) {
+	if !sleep.For(ctx, 2*(d.link.delay+d.link.effect.Load().Delay)) {
 		return nil, ctx.Err()
 	}
 	var nd net.Dialer
@@ -171,12 +168,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return d.link.conn(raw.(*net.TCPConn), true), nil
+	return d.link.newConn(raw.(*net.TCPConn), true), nil
 }
 
-// Apply puts an effect on all links that match, those of later too, until end is called.
+// Apply applies an effect to all links that match, including later ones, until end is called.
 func (n *Net) Apply(match func(Ends) bool, e Effect) (end func() error, err error) {
-	a := &applied{match, e}
+	a := &appliedEffect{match, e}
 	n.mu.Lock()
 	n.effects[a] = struct{}{}
 	n.mu.Unlock()
@@ -195,27 +192,27 @@
 	var errs []error
 	for _, l := range n.links {
 		if match(l.ends) {
-			errs = append(errs, l.set(n.sum(l.ends)))
+			errs = append(errs, l.setEffect(n.effectOn(l.ends)))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// set puts a sum of effects in force and wakes all that wait by the former one.
-func (l *Link) set(e Effect) error {
-	former := l.now.Load()
+// setEffect replaces the combined effect and wakes all waiters.
+func (l *Link) setEffect(e Effect) error {
+	former := l.effect.Load()
 	if former.Effect == e {
 		return nil
 	}
-	l.now.Store(&state{e, make(chan struct{})})
+	l.effect.Store(&effectState{e, make(chan struct{})})
 	close(former.changed)
 	if l.port == nil {
 		return nil
 	}
-	return l.port.to(e)
+	return l.port.setMode(e)
 }
 
-// Reset resets all open connections of the links that match, and tells how many there were.
+// Reset resets all open connections of the links that match, and returns their number.
 func (n *Net) Reset(match func(Ends) bool) int {
 	n.mu.Lock()
 	links := n.links
@@ -225,15 +222,15 @@
 		if !match(l.ends) {
 			continue
 		}
-		for _, c := range l.open() {
-			c.Reset()
+		for _, conn := range l.openConns() {
+			conn.Reset()
 			count++
 		}
 	}
 	return count
 }
 
-// Close ends all links.
+// Close closes all links, relays and connections.
 func (n *Net) Close() {
 	n.mu.Lock()
 	relays := n.relays
@@ -250,29 +247,29 @@
 		if l.port != nil {
 			l.port.close()
 		}
-		for _, c := range l.open() {
-			c.Reset()
+		for _, conn := range l.openConns() {
+			conn.Reset()
 		}
 	}
 }
 
-// open is the connections that are open.
-func (l *Link) open() []*Conn {
+// openConns are the open connections.
+func (l *Link) openConns() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Collect(maps.Keys(l.conns))
 }
 
-// lost draws how much later a piece comes for being sent again.
-func (l *Link) lost(part float64) time.Duration {
-	if part <= 0 {
+// retransmitDelay draws the delay of a chunk by retransmissions.
+func (l *Link) retransmitDelay(loss float64) time.Duration {
+	if loss <= 0 {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	total, later := time.Duration(0), retransmit
+	total, later := time.Duration(0), minRetransmitDelay
 	for range maxRetransmits {
-		if l.rng.Float64() >= part {
+		if l.rng.Float64() >= loss {
 			break
 		}
 		total += later
@@ -281,64 +278,64 @@
 	return total
 }
 
-// port is a link's listener, in one of three forms: open, closed (connects are refused), or full (connects get no
-// answer: the kernel drops them, since one connection waits in a queue that holds one).
-type port struct {
+// listener is a link's listener, in one of three modes: open, closed (connects are refused), or full (connects are unanswered: the
+// kernel drops SYNs, since one connection fills the queue).
+type listener struct {
 	addr   string
 	link   *Link
 	accept func(*Conn)
 
-	mu     sync.Mutex
-	form   int
-	l      net.Listener
-	filler net.Conn
-	gone   bool
+	mu       sync.Mutex
+	mode     int
+	listener net.Listener
+	filler   net.Conn
+	closed   bool
 }
 
 const (
-	formNone = iota
-	formOpen
-	formClosed
-	formFull
+	modeNone = iota
+	modeOpen
+	modeClosed
+	modeFull
 )
 
-func (p *port) to(e Effect) error {
-	form := formOpen
+func (p *listener) setMode(e Effect) error {
+	form := modeOpen
 	switch {
 	case e.NoConnect:
-		form = formFull
+		form = modeFull
 	case e.Refuse:
-		form = formClosed
+		form = modeClosed
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if form == p.form || p.gone {
+	if form == p.mode || p.closed {
 		return nil
 	}
 	p.endLocked()
-	p.form = form
-	if form == formClosed {
+	p.mode = form
+	if form == modeClosed {
 		return nil
 	}
 	l, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return fmt.Errorf("link to %s: %w", p.link.ends.To, err)
 	}
-	p.l = l
-	if form == formFull {
+	p.listener = l
+	if form == modeFull {
 		return p.fillLocked()
 	}
 	go p.serve(l)
 	return nil
 }
 
-// fillLocked has the listener's queue hold one connection, and fills it.
-func (p *port) fillLocked() error {
-	rc, err := p.l.(*net.TCPListener).SyscallConn()
+// fillLocked limits the listener's queue to one connection, and fills it.
+func (p *listener) fillLocked() error {
+	rc, err := p.listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return err
 	}
-	if err := backlog(rc, 0); err != nil {
+	if err := setBacklog(rc, 0); err != nil {
 		return fmt.Errorf("link to %s: %w", p.link.ends.To, err)
 	}
 	p.filler, err = net.DialTimeout("tcp", p.addr, time.Second)
@@ -348,43 +345,43 @@
 	return nil
 }
 
-func (p *port) endLocked() {
+func (p *listener) endLocked() {
 	if p.filler != nil {
 		p.filler.Close()
 		p.filler = nil
 	}
-	if p.l != nil {
-		p.l.Close()
-		p.l = nil
+	if p.listener != nil {
+		p.listener.Close()
+		p.listener = nil
 	}
 }
 
-func (p *port) close() {
+func (p *listener) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gone = true
+	p.closed = true
 	p.endLocked()
 }
 
-func (p *port) serve(l net.Listener) {
+func (p *listener) serve(l net.Listener) {
 	for {
 		raw, err := l.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptRetryPause)
 			continue
 		}
-		c := p.link.conn(raw.(*net.TCPConn), false)
-		if p.link.now.Load().ResetNew {
+		conn := p.link.newConn(raw.(*net.TCPConn), false)
+		if p.link.effect.Load().ResetNew {
 			go func() {
 				var first [1]byte
-				_, _ = c.Read(first[:])
-				c.Reset()
+				_, _ = conn.Read(first[:])
+				conn.Reset()
 			}()
 			continue
 		}
-		go p.accept(c)
+		go p.accept(conn)
 	}
 }
--- a/internal/faultlab/link/link_test.go
+++ b/internal/faultlab/link/link_test.go
@@ -34,15 +34,15 @@
 	addr := l.Addr().String()
 	l.Close()
 	n, heard := New(1), make(chan string, 100)
-	if _, err := n.Listen(Ends{Kind: "nodo", To: "s"}, addr, 0, func(c *Conn) {
-		defer c.Close()
-		for r := bufio.NewReader(c); ; {
+	if _, err := n.Listen(Ends{Kind: "nodo", To: "s"}, addr, 0, func(conn *Conn) {
+		defer conn.Close()
+		for r := bufio.NewReader(conn); ; {
 			line, err := r.ReadString('\n')
 			if err != nil {
 				return
 			}
 			heard <- line
-			_, _ = c.Write([]byte(line))
+			_, _ = conn.Write([]byte(line))
 		}
 	}); err != nil {
 		t.Fatal(err)
@@ -191,7 +191,7 @@
 }
 
 // A link that is made while faults begin and end is what they leave it.
-func TestLinksAreMadeUnderFaults(t *testing.T) {
+func TestNewLinkHasActiveEffects(t *testing.T) {
 	const host = "127.0.0.6" // where nobody else's connections take a port while it is closed
 	n, _, _ := newEcho(t)
 	stop, stopped := make(chan struct{}), make(chan struct{})
@@ -221,7 +221,7 @@
 		}
 		addrs = append(addrs, l.Addr().String())
 		l.Close()
-		if _, err := n.Listen(Ends{}, addrs[len(addrs)-1], 0, func(c *Conn) { c.Close() }); err != nil {
+		if _, err := n.Listen(Ends{}, addrs[len(addrs)-1], 0, func(conn *Conn) { conn.Close() }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/faultlab/link/relay.go
+++ b/internal/faultlab/link/relay.go
@@ -12,125 +12,125 @@
 	"time"
 )
 
-// Relay stands before the address of one program for many senders, over UDP and TCP on one port, where a sender cannot be
-// given an address of its own to call: members of a gossip know each other by one address. It tells them apart by where
-// they come from, and puts a link between each of them and the program.
+// Relay forwards UDP and TCP on one port from many senders to one program, where senders cannot have a link's address each: gossip
+// members know each other by one address. It identifies a sender by its source address, and has a link for each sender.
 //
-// A datagram has one direction: of a link's effects CutOut and Loss drop it, Delay delays it. A connection has all of
-// them, but that it comes up even under NoConnect, and then is silent: whose it is can be told only once it is up.
+// Of a link's effects, CutOut and Loss drop a datagram and Delay delays it. All effects apply to connections, but a connection comes up
+// even under NoConnect, and is silent then: its sender is known only once it is up.
 type Relay struct {
-	net  *Net
-	from Sender
-	udp  *net.UDPConn
-	tcp  net.Listener
-	to   atomic.Pointer[net.UDPAddr]
-	own  sync.WaitGroup
+	net     *Net
+	sender  Sender
+	udp     *net.UDPConn
+	tcp     net.Listener
+	target  atomic.Pointer[net.UDPAddr]
+	running sync.WaitGroup
 
-	mu      sync.Mutex
-	links   map[netip.Addr]*Link
-	packets packets
-	bytes   int
-	counts  Passed
-	news    chan struct{}
-	gone    chan struct{}
+	mu       sync.Mutex
+	links    map[netip.Addr]*Link
+	packets  packetHeap
+	bytes    int
+	counters RelayCounters
+	queued   chan struct{}
+	closed   chan struct{}
 }
 
-// Sender tells whose address this is, and the delay from there one way; false if nobody's.
+// Sender returns the ends of the link from a source address and its one-way delay; false if the address is unknown.
 type Sender func(netip.Addr) (Ends, time.Duration, bool)
 
-// Passed counts datagrams, and bytes of datagrams and connections that were handed on, either way.
-type Passed struct {
-	On, Cut, Lost int
-	Over          int // dropped since too many waited
-	Unknown       int // of a sender that nobody knows
-	Bytes         int64
+// RelayCounters counts datagrams, and the forwarded bytes of datagrams and connections in both directions.
+type RelayCounters struct {
+	Forwarded, Cut, Lost int
+	Overflowed           int // dropped for a full queue
+	UnknownSender        int
+	Bytes                int64
 }
 
 const (
-	maxPackets    = 4096 // that wait in one relay
-	packetBytes   = 4 << 20
-	maxDatagram   = 64 << 10
-	socketBytes   = 1 << 20
-	relayDialWait = time.Second
+	maxPackets        = 4096 // queued in a relay
+	maxPacketBytes    = 4 << 20
+	maxDatagram       = 64 << 10
+	socketBufferBytes = 1 << 20
+	relayDialTimeout  = time.Second
 )
 
-// packet is a datagram on its way.
+// packet is a queued datagram.
 type packet struct {
-	due  time.Time
-	n    int // order among those of one moment
-	data []byte
+	due   time.Time
+	order int // order of packets with the same due time
+	data  []byte
 }
 
-type packets []packet
+type packetHeap []packet
 
-func (p packets) Len() int { return len(p) }
-func (p packets) Less(i, j int) bool {
+// Len, Less, Swap, Push and Pop implement heap.Interface, by due time and order.
+func (p packetHeap) Len() int { return len(p) }
+func (p packetHeap) Less(i, j int) bool {
 	if p[i].due.Equal(p[j].due) {
-		return p[i].n < p[j].n
+		return p[i].order < p[j].order
 	}
 	return p[i].due.Before(p[j].due)
 }
-func (p packets) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
-func (p *packets) Push(x any)   { *p = append(*p, x.(packet)) }
-func (p *packets) Pop() any {
+func (p packetHeap) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
+func (p *packetHeap) Push(x any)   { *p = append(*p, x.(packet)) }
+func (p *packetHeap) Pop() any {
 	last := (*p)[len(*p)-1]
 	(*p)[len(*p)-1] = packet{}
 	*p = (*p)[:len(*p)-1]
 	return last
 }
 
-// Relay opens a relay at addr, an IP and a port. What comes is dropped until To names the program.
+// Relay opens a relay at addr, an IP and a port. Datagrams and connections are dropped until SetTarget.
 func (n *Net) Relay(addr string, from Sender) (*Relay, error) {
 	at, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("relay at %s: %w", addr, err)
 	}
-	r := &Relay{net: n, from: from, links: map[netip.Addr]*Link{}, news: make(chan struct{}, 1), gone: make(chan struct{})}
+	r := &Relay{net: n, sender: from, links: map[netip.Addr]*Link{}, queued: make(chan struct{}, 1), closed: make(chan struct{})}
 	if r.udp, err = net.ListenUDP("udp", at); err != nil {
 		return nil, fmt.Errorf("relay at %s: %w", addr, err)
 	}
-	_ = r.udp.SetReadBuffer(socketBytes)
+	_ = r.udp.SetReadBuffer(socketBufferBytes)
 	if r.tcp, err = net.Listen("tcp", r.udp.LocalAddr().String()); err != nil {
 		r.udp.Close()
 		return nil, fmt.Errorf("relay at %s: %w", addr, err)
 	}
-	r.own.Go(r.receive)
-	r.own.Go(r.send)
-	r.own.Go(r.accept)
+	r.running.Go(r.receive)
+	r.running.Go(r.send)
+	r.running.Go(r.accept)
 	n.mu.Lock()
 	n.relays = append(n.relays, r)
 	n.mu.Unlock()
 	return r, nil
 }
 
-// Addr is where it listens.
-func (r *Relay) Addr() string { return r.udp.LocalAddr().String() }
+// Address is the relay's own address.
+func (r *Relay) Address() string { return r.udp.LocalAddr().String() }
 
-// To names the program's address from now on.
-func (r *Relay) To(addr string) error {
+// SetTarget sets the program's address.
+func (r *Relay) SetTarget(addr string) error {
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
 		return fmt.Errorf("relay to %s: %w", addr, err)
 	}
-	r.to.Store(to)
+	r.target.Store(to)
 	return nil
 }
 
-// Passed tells what became of what came so far; of connections, once they have ended.
-func (r *Relay) Passed() Passed {
+// Counters are the counters so far; connections are added when they end.
+func (r *Relay) Counters() RelayCounters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.counts
+	return r.counters
 }
 
 func (r *Relay) close() {
-	close(r.gone)
+	close(r.closed)
 	r.udp.Close()
 	r.tcp.Close()
-	r.own.Wait()
+	r.running.Wait()
 }
 
-// link is that of a sender; nil if it is nobody.
+// link is the link of a sender; nil if it is unknown.
 func (r *Relay) link(ip netip.Addr) *Link {
 	r.mu.Lock()
 	l, known := r.links[ip]
@@ -138,21 +138,21 @@
 	if known {
 		return l
 	}
-	ends, delay, ok := r.from(ip)
+	ends, delay, ok := r.sender(ip)
 	if !ok {
 		return nil
 	}
-	l, _ = r.net.add(ends, delay, nil)
+	l, _ = r.net.addLink(ends, delay, nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if other, known := r.links[ip]; known { // the other of the two that take in was first
+	if other, known := r.links[ip]; known { // created concurrently by receive or accept
 		return other
 	}
 	r.links[ip] = l
 	return l
 }
 
-// receive queues datagrams, each for its time.
+// receive queues datagrams until they are due.
 func (r *Relay) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -161,50 +161,50 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // what an earlier datagram's receiver refused
+			continue // an ICMP error of an earlier datagram
 		}
-		r.put(from.Addr().Unmap(), buf[:n])
+		r.enqueue(from.Addr().Unmap(), buf[:n])
 	}
 }
 
-func (r *Relay) put(from netip.Addr, data []byte) {
+func (r *Relay) enqueue(from netip.Addr, data []byte) {
 	l := r.link(from)
 	var now Effect
 	if l != nil {
-		now = l.now.Load().Effect
+		now = l.effect.Load().Effect
 	}
-	lost := l != nil && now.Loss > 0 && l.draw() < now.Loss
+	lost := l != nil && now.Loss > 0 && l.random() < now.Loss
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case l == nil:
-		r.counts.Unknown++
+		r.counters.UnknownSender++
 	case now.CutOut:
-		r.counts.Cut++
+		r.counters.Cut++
 	case lost:
-		r.counts.Lost++
-	case len(r.packets) >= maxPackets || r.bytes+len(data) > packetBytes:
-		r.counts.Over++
+		r.counters.Lost++
+	case len(r.packets) >= maxPackets || r.bytes+len(data) > maxPacketBytes:
+		r.counters.Overflowed++
 	default:
-		r.counts.On++
-		r.counts.Bytes += int64(len(data))
+		r.counters.Forwarded++
+		r.counters.Bytes += int64(len(data))
 		r.bytes += len(data)
-		heap.Push(&r.packets, packet{time.Now().Add(l.delay + now.Delay), r.counts.On, append([]byte(nil), data...)})
+		heap.Push(&r.packets, packet{time.Now().Add(l.delay + now.Delay), r.counters.Forwarded, append([]byte(nil), data...)})
 		select {
-		case r.news <- struct{}{}:
+		case r.queued <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// draw gives a number from 0 to 1.
-func (l *Link) draw() float64 {
+// random draws a number in [0, 1).
+func (l *Link) random() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
 }
 
-// send hands datagrams on as their times come. Nobody learns of one that the program does not take.
+// send forwards datagrams when they are due. Errors are ignored, as datagrams may be lost.
 func (r *Relay) send() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -220,7 +220,7 @@
 		}
 		r.mu.Unlock()
 		if wait <= 0 {
-			if to := r.to.Load(); to != nil {
+			if to := r.target.Load(); to != nil {
 				_, _ = r.udp.WriteToUDP(next.data, to)
 			}
 			continue
@@ -228,14 +228,14 @@
 		timer.Reset(wait)
 		select {
 		case <-timer.C:
-		case <-r.news:
-		case <-r.gone:
+		case <-r.queued:
+		case <-r.closed:
 			return
 		}
 	}
 }
 
-// accept takes connections in, each over its sender's link.
+// accept accepts connections, each over its sender's link.
 func (r *Relay) accept() {
 	for {
 		raw, err := r.tcp.Accept()
@@ -243,7 +243,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptAgain)
+			time.Sleep(acceptRetryPause)
 			continue
 		}
 		from := raw.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
@@ -252,50 +252,50 @@
 			raw.Close()
 			continue
 		}
-		c := l.conn(raw.(*net.TCPConn), false)
-		if now := l.now.Load(); now.Refuse || now.ResetNew {
-			c.Reset()
+		conn := l.newConn(raw.(*net.TCPConn), false)
+		if effect := l.effect.Load(); effect.Refuse || effect.ResetNew {
+			conn.Reset()
 			continue
 		}
-		go r.pass(c)
+		go r.forward(conn)
 	}
 }
 
-// pass waits for the first bytes before it connects to the program: over a cut link nothing comes up there either.
-func (r *Relay) pass(c *Conn) {
+// forward waits for the first bytes before it connects to the program, so that a cut link opens no connection there.
+func (r *Relay) forward(conn *Conn) {
 	first := make([]byte, 4<<10)
-	n, err := c.Read(first)
-	to := r.to.Load()
+	n, err := conn.Read(first)
+	to := r.target.Load()
 	if err != nil || to == nil {
-		c.Reset()
+		conn.Reset()
 		return
 	}
-	passed := Pass(c, to.String(), first[:n])
+	passed := Forward(conn, to.String(), first[:n])
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts.Bytes += passed
+	r.counters.Bytes += passed
 }
 
-// Pass hands what comes over a connection on to a program's address, unread, and what that answers back; first goes
-// before all else. It tells how many bytes there were, both ways.
-func Pass(c *Conn, to string, first []byte) (passed int64) {
-	up, err := net.DialTimeout("tcp", to, relayDialWait)
+// Forward forwards a connection to a program's address, both ways; first is sent to the program before all else. It returns the number
+// of bytes of both directions.
+func Forward(conn *Conn, to string, first []byte) (forwarded int64) {
+	up, err := net.DialTimeout("tcp", to, relayDialTimeout)
 	if err != nil {
-		c.Reset()
+		conn.Reset()
 		return 0
 	}
 	var both sync.WaitGroup
 	var there, back int64
 	both.Go(func() {
 		if n, err := up.Write(first); err == nil {
-			there, _ = io.Copy(up, c)
+			there, _ = io.Copy(up, conn)
 			there += int64(n)
 		}
 		up.Close()
 	})
 	both.Go(func() {
-		back, _ = io.Copy(c, up)
-		c.Close()
+		back, _ = io.Copy(conn, up)
+		conn.Close()
 	})
 	both.Wait()
 	return there + back
--- a/internal/faultlab/link/relay_test.go
+++ b/internal/faultlab/link/relay_test.go
@@ -81,7 +81,7 @@
 		if err != nil { // the port is another's in TCP
 			continue
 		}
-		if err := r.To(p.addr); err != nil {
+		if err := r.SetTarget(p.addr); err != nil {
 			t.Fatal(err)
 		}
 		return n, r
@@ -111,13 +111,13 @@
 		name   string
 		effect Effect
 		want   string
-		passed Passed
+		passed RelayCounters
 	}{
-		{"nothing", Effect{}, "ab", Passed{On: 2, Unknown: 1}},
-		{"what it sends is cut", Effect{CutOut: true}, "b", Passed{On: 1, Cut: 1, Unknown: 1}},
-		{"what it is sent is cut", Effect{CutBack: true}, "ab", Passed{On: 2, Unknown: 1}},
-		{"lost", Effect{Loss: 1}, "b", Passed{On: 1, Lost: 1, Unknown: 1}},
-		{"late", Effect{Delay: 2 * time.Second}, "ba", Passed{On: 2, Unknown: 1}},
+		{"nothing", Effect{}, "ab", RelayCounters{Forwarded: 2, UnknownSender: 1}},
+		{"what it sends is cut", Effect{CutOut: true}, "b", RelayCounters{Forwarded: 1, Cut: 1, UnknownSender: 1}},
+		{"what it is sent is cut", Effect{CutBack: true}, "ab", RelayCounters{Forwarded: 2, UnknownSender: 1}},
+		{"lost", Effect{Loss: 1}, "b", RelayCounters{Forwarded: 1, Lost: 1, UnknownSender: 1}},
+		{"late", Effect{Delay: 2 * time.Second}, "ba", RelayCounters{Forwarded: 2, UnknownSender: 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newProgram(t)
@@ -126,7 +126,7 @@
 				t.Fatal(err)
 			}
 			for _, from := range []struct{ ip, text string }{{"127.0.0.4", "x"}, {"127.0.0.2", "a"}, {"127.0.0.3", "b"}} {
-				datagram(t, from.ip, r.Addr(), from.text)
+				datagram(t, from.ip, r.Address(), from.text)
 			}
 			got := ""
 			for range test.want {
@@ -139,8 +139,8 @@
 			if got != test.want || len(p.heard) > 0 {
 				t.Errorf("the program heard %q and %d more, want %q", got, len(p.heard), test.want)
 			}
-			test.passed.Bytes = int64(test.passed.On) // of one byte each
-			if passed := r.Passed(); passed != test.passed {
+			test.passed.Bytes = int64(test.passed.Forwarded) // of one byte each
+			if passed := r.Counters(); passed != test.passed {
 				t.Errorf("counted %+v, want %+v", passed, test.passed)
 			}
 		})
@@ -158,7 +158,7 @@
 	}
 	from := func(ip string) net.Conn {
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}, Timeout: long}
-		c, err := d.Dial("tcp", r.Addr())
+		c, err := d.Dial("tcp", r.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/faultlab/link/traffic.go
+++ b/internal/faultlab/link/traffic.go
@@ -2,44 +2,44 @@
 
 import "sync/atomic"
 
-// direction counts what passes one way: bytes without headers of the network, and the pieces that they came in.
-type direction struct{ bytes, pieces atomic.Int64 }
+// direction counts the bytes of one direction, without network headers, and the chunks that they were read in.
+type direction struct{ bytes, chunks atomic.Int64 }
 
 func (d *direction) add(n int) {
 	d.bytes.Add(int64(n))
-	d.pieces.Add(1)
+	d.chunks.Add(1)
 }
 
-// traffic is what has passed over a link.
-type traffic struct {
-	sent, answered direction // by the dialling side, and to it
-	conns          atomic.Int64
+// linkTraffic counts the traffic of a link.
+type linkTraffic struct {
+	fromDialer, toDialer direction // by who sent it
+	conns                atomic.Int64
 }
 
-// Traffic is what has passed over links so far, bytes of connections without the network's own headers.
+// Traffic is the traffic of links so far, without network headers.
 type Traffic struct {
-	Sent, Answered int64 // bytes of the dialling side, and those that it was answered
-	Pieces         int64 // that the dialling side sent in: of short calls one each
-	Conns          int64 // that came up
+	FromDialer, ToDialer int64 // bytes
+	Chunks               int64 // from the dialling side; short calls are one each
+	Connections          int64 // established
 }
 
-// Plus is both together.
-func (t Traffic) Plus(o Traffic) Traffic {
-	return Traffic{t.Sent + o.Sent, t.Answered + o.Answered, t.Pieces + o.Pieces, t.Conns + o.Conns}
+// Add adds two amounts of traffic.
+func (t Traffic) Add(other Traffic) Traffic {
+	return Traffic{t.FromDialer + other.FromDialer, t.ToDialer + other.ToDialer, t.Chunks + other.Chunks, t.Connections + other.Connections}
 }
 
-// Minus is what passed since o was told.
-func (t Traffic) Minus(o Traffic) Traffic {
-	return Traffic{t.Sent - o.Sent, t.Answered - o.Answered, t.Pieces - o.Pieces, t.Conns - o.Conns}
+// Sub is the traffic since an earlier amount.
+func (t Traffic) Sub(other Traffic) Traffic {
+	return Traffic{t.FromDialer - other.FromDialer, t.ToDialer - other.ToDialer, t.Chunks - other.Chunks, t.Connections - other.Connections}
 }
 
-// Traffic shows what each link has passed so far.
-func (n *Net) Traffic(show func(Ends, Traffic)) {
+// EachTraffic calls show with the traffic of each link so far.
+func (n *Net) EachTraffic(show func(Ends, Traffic)) {
 	n.mu.Lock()
 	links := n.links
 	n.mu.Unlock()
 	for _, l := range links {
 		t := &l.traffic
-		show(l.ends, Traffic{t.sent.bytes.Load(), t.answered.bytes.Load(), t.sent.pieces.Load(), t.conns.Load()})
+		show(l.ends, Traffic{t.fromDialer.bytes.Load(), t.toDialer.bytes.Load(), t.fromDialer.chunks.Load(), t.conns.Load()})
 	}
 }
--- a/internal/faultlab/link/traffic_test.go
+++ b/internal/faultlab/link/traffic_test.go
@@ -12,11 +12,11 @@
 	n := New(1)
 	defer n.Close()
 	addr := free(t)
-	if _, err := n.Listen(Ends{Kind: "list", From: "p"}, addr, time.Millisecond, func(c *Conn) {
+	if _, err := n.Listen(Ends{Kind: "list", From: "p"}, addr, time.Millisecond, func(conn *Conn) {
 		b := make([]byte, 16)
-		k, _ := c.Read(b)
-		_, _ = c.Write(append(b[:k], "and more"...))
-		_ = c.Close()
+		k, _ := conn.Read(b)
+		_, _ = conn.Write(append(b[:k], "and more"...))
+		_ = conn.Close()
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -42,13 +42,13 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 	got := map[string]Traffic{}
-	n.Traffic(func(e Ends, t Traffic) { got[e.Kind] = got[e.Kind].Plus(t) })
-	for kind, want := range map[string]Traffic{"list": {Sent: 7, Answered: 23, Pieces: 2, Conns: 2}, "client": {Sent: 2, Answered: 10, Pieces: 1, Conns: 1}} {
+	n.EachTraffic(func(e Ends, t Traffic) { got[e.Kind] = got[e.Kind].Add(t) })
+	for kind, want := range map[string]Traffic{"list": {FromDialer: 7, ToDialer: 23, Chunks: 2, Connections: 2}, "client": {FromDialer: 2, ToDialer: 10, Chunks: 1, Connections: 1}} {
 		if got[kind] != want {
 			t.Errorf("%s: %+v, want %+v", kind, got[kind], want)
 		}
 	}
-	if z := got["list"].Minus(got["list"]); z != (Traffic{}) {
+	if z := got["list"].Sub(got["list"]); z != (Traffic{}) {
 		t.Errorf("nothing since: %+v", z)
 	}
 }
--- a/internal/faultlab/link/watch.go
+++ b/internal/faultlab/link/watch.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Watch has cut told what programs send into cut links that they dial: of each connection the first bytes since the cut
-// began, with the moment at which the socket gave them. It holds for links that are made afterwards.
-func (n *Net) Watch(cut func(Ends, time.Time)) {
+// WatchCuts has onCut called when a program sends bytes into a cut link that it dialled: for the first bytes of each connection since
+// the cut began, with the time of their arrival. It applies to links created afterwards.
+func (n *Net) WatchCuts(onCut func(Ends, time.Time)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.onCut = onCut
 }
 
-// unheard tells the watch of bytes that came into a cut.
-func (c *Conn) unheard(at time.Time) {
-	now := c.link.now.Load()
-	if c.link.cut == nil || c.link.port == nil || !now.CutOut || c.cutIn == now {
+// reportCut reports bytes that came into a cut to the watch.
+func (c *Conn) reportCut(at time.Time) {
+	effect := c.link.effect.Load()
+	if c.link.onCut == nil || c.link.port == nil || !effect.CutOut || c.reportedCut == effect {
 		return
 	}
-	c.cutIn = now
-	c.link.cut(c.link.ends, at)
+	c.reportedCut = effect
+	c.link.onCut(c.link.ends, at)
 }
 
-// Blocked are the links on which no connection comes up now, by the address that is dialled.
+// Blocked are the links on which connections do not come up now, by dialled address.
 func (n *Net) Blocked() map[string]Ends {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := map[string]Ends{}
 	for _, l := range n.links {
-		if l.port != nil && l.now.Load().NoConnect {
+		if l.port != nil && l.effect.Load().NoConnect {
 			out[l.port.addr] = l.ends
 		}
 	}
--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -181,7 +181,7 @@
 	}
 	ended := make(chan outcome, 1)
 	c.open.Go(func() {
-		ended <- c.exchange(ctx, t, append([]byte(head+"\r\n"), body...), stubserver.Job{Work: a.Work, Answer: a.Answer})
+		ended <- c.exchange(ctx, t, append([]byte(head+"\r\n"), body...), stubserver.Job{Work: a.Work, ResponseBytes: a.Answer})
 		c.mu.Lock()
 		delete(c.jobs, t.ID)
 		c.mu.Unlock()
@@ -275,7 +275,7 @@
 			return outcome{end: referee.Unanswered}, false
 		}
 		mu.Lock()
-		unread := taken.IsZero() || k.ReadAt().Before(taken) || link.IsReset(err)
+		unread := taken.IsZero() || k.LastReadAt().Before(taken) || link.IsReset(err)
 		mu.Unlock()
 		if !fresh && unread && ctx.Err() == nil && now.Before(t.Deadline) {
 			c.ref.RecordWritten(t, time.Time{})
--- a/internal/faultlab/load/front.go
+++ b/internal/faultlab/load/front.go
@@ -194,12 +194,12 @@
 
 // over tells whether an idle connection is of no more use. Bytes on it are a second answer.
 func (k *kept) over(ref *referee.Referee) bool {
-	if k.r.Buffered() > 0 || k.Waiting() {
+	if k.r.Buffered() > 0 || k.HasUnreadBytes() {
 		ref.RecordExtraBytes(k.last, time.Now())
 		k.Close()
 		return true
 	}
-	if k.Ended() {
+	if k.PeerClosed() {
 		k.Close()
 		return true
 	}
--- a/internal/faultlab/run/byzantine.go
+++ b/internal/faultlab/run/byzantine.go
@@ -55,9 +55,9 @@
 		return nil, err
 	}
 	bind := t.block.gossip(n, 0)
-	if err := r.To(bind); err != nil {
+	if err := r.SetTarget(bind); err != nil {
 		return nil, err
 	}
-	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage), Bind: bind, Advertise: r.Addr(),
+	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage), Bind: bind, Advertise: r.Address(),
 		Label: t.experiment.Cluster.Label, Seeds: t.gossipSeeds(node), Logger: t.log}, victims, t.experiment.ZoneNames())
 }
--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -91,7 +91,7 @@
 func (bed *testbed) build() error {
 	bed.net = link.New(bed.plan.Seed)
 	bed.ref = referee.New(refereeConfig(bed.experiment))
-	bed.net.Watch(func(ends link.Ends, at time.Time) { bed.recordUnansweredSend(ends, at, false) })
+	bed.net.WatchCuts(func(ends link.Ends, at time.Time) { bed.recordUnansweredSend(ends, at, false) })
 	bed.proxies, bed.servers, bed.addresses = map[string]*proxyUnderTest{}, map[string]*server{}, map[string]string{}
 	bed.gossipMembers = map[netip.Addr]experiment.Node{}
 	bed.rng = bed.plan.Source("fleet")
--- a/internal/faultlab/run/gossip.go
+++ b/internal/faultlab/run/gossip.go
@@ -48,8 +48,8 @@
 	var out result.Gossip
 	over := 0
 	for _, proxy := range bed.proxyOrder {
-		p := proxy.relay.Passed()
-		out.Packets, out.Bytes, over = out.Packets+p.On, out.Bytes+p.Bytes, over+p.Over
+		p := proxy.relay.Counters()
+		out.Packets, out.Bytes, over = out.Packets+p.Forwarded, out.Bytes+p.Bytes, over+p.Overflowed
 	}
 	if over > 0 {
 		return &out, fmt.Errorf("relays of the lab dropped %d datagrams of gossip for a full queue: use a less busy machine", over)
@@ -64,10 +64,10 @@
 		return nil, nil
 	}
 	bind := bed.block.gossip(proxy.ordinal, proxy.starts)
-	if err := proxy.relay.To(bind); err != nil {
+	if err := proxy.relay.SetTarget(bind); err != nil {
 		return nil, err
 	}
-	return map[string]any{"bind": bind, "advertise": proxy.relay.Addr(), "label": bed.experiment.Cluster.Label, "seeds": bed.gossipSeeds(proxy.node)}, nil
+	return map[string]any{"bind": bind, "advertise": proxy.relay.Address(), "label": bed.experiment.Cluster.Label, "seeds": bed.gossipSeeds(proxy.node)}, nil
 }
 
 // gossipSeeds are the proxies that a member joins at: the first of each zone, then the second, and so on.
@@ -83,7 +83,7 @@
 	var out []string
 	for _, o := range order {
 		if o.node.Name != of.Name && len(out) < bed.experiment.Cluster.Seeds {
-			out = append(out, o.relay.Addr())
+			out = append(out, o.relay.Address())
 		}
 	}
 	return out
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -75,7 +75,7 @@
 			own := bed.block.member(n, listPort)
 			listen := func(kind, address string) error {
 				ends := link.Ends{Kind: kind, From: hollowLinkName, FromZone: zone, To: member.Name, ToZone: member.Zone}
-				_, err := bed.net.Listen(ends, address, bed.delay(zone, member.Zone), func(c *link.Conn) { _ = link.Pass(c, own, nil) })
+				_, err := bed.net.Listen(ends, address, bed.delay(zone, member.Zone), func(c *link.Conn) { _ = link.Forward(c, own, nil) })
 				return err
 			}
 			list, lease := bed.block.hollowList(i, n), bed.block.hollowLease(i, n)
@@ -154,7 +154,7 @@
 		}
 	}
 	for n := range min(seedsPerRegion, len(bed.proxyOrder)) {
-		out = append(out, bed.proxyOrder[n].relay.Addr())
+		out = append(out, bed.proxyOrder[n].relay.Address())
 	}
 	return out
 }
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -60,9 +60,9 @@
 // they received.
 func (m *meter) traffic() (roles, members map[string]link.Traffic) {
 	roles, members = map[string]link.Traffic{}, map[string]link.Traffic{}
-	add := func(to map[string]link.Traffic, key string, t link.Traffic) { to[key] = to[key].Plus(t) }
-	m.net.Traffic(func(ends link.Ends, t link.Traffic) {
-		reversed := link.Traffic{Sent: t.Answered, Answered: t.Sent, Pieces: t.Pieces}
+	add := func(to map[string]link.Traffic, key string, t link.Traffic) { to[key] = to[key].Add(t) }
+	m.net.EachTraffic(func(ends link.Ends, t link.Traffic) {
+		reversed := link.Traffic{FromDialer: t.ToDialer, ToDialer: t.FromDialer, Chunks: t.Chunks}
 		switch {
 		case ends.Kind == "list" && ends.From == hollowLinkName:
 			add(roles, "proxy", reversed)
@@ -80,7 +80,7 @@
 		}
 		if ends.Kind == "member" {
 			back := reversed
-			back.Pieces = 0
+			back.Chunks = 0
 			add(members, ends.From, back)
 		}
 	})
@@ -123,7 +123,7 @@
 		"regions": 1}
 	for role, n := range instances {
 		usage, traffic := m.total.Roles[role], roles[role]
-		usage.BytesIn, usage.BytesOut, usage.Calls = traffic.Sent, traffic.Answered, traffic.Pieces
+		usage.BytesIn, usage.BytesOut, usage.Calls = traffic.FromDialer, traffic.ToDialer, traffic.Chunks
 		if !first {
 			usage.InstanceTime += elapsed * time.Duration(n)
 		}
@@ -140,8 +140,8 @@
 	if current.IsLeader {
 		role = "leader"
 	}
-	traffic := current.traffic.Minus(last.traffic)
-	usage := result.Usage{BytesIn: traffic.Sent, BytesOut: traffic.Answered, Calls: traffic.Pieces,
+	traffic := current.traffic.Sub(last.traffic)
+	usage := result.Usage{BytesIn: traffic.FromDialer, BytesOut: traffic.ToDialer, Calls: traffic.Chunks,
 		CPU: max(0, current.CPU-last.CPU), InstanceTime: elapsed, Memory: current.Memory}
 	m.total.Roles[role] = m.total.Roles[role].Plus(usage)
 	usage.InstanceTime = 0
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -37,7 +37,7 @@
 func (bed *testbed) Job(id string) (stubserver.Job, bool) { return bed.client.Job(id) }
 
 // Fell takes down a server that failed under overload, for the rest of the play.
-func (bed *testbed) Fell(name string) {
+func (bed *testbed) OverloadFailed(name string) {
 	bed.log.Warn("server failed under overload", "endpoint", name)
 	bed.recordError(bed.takeDown(bed.server(name)))
 }
@@ -75,10 +75,10 @@
 	c, number := bed.experiment.Servers, cell
 	cell = cellOf(slices.Index(bed.experiment.ZoneNames(), n.Zone), number)
 	server := &server{node: n, cell: cell, Server: stubserver.New(stubserver.Spec{Name: n.Name, Zone: n.Zone, Cell: cell,
-		Speed: n.Group.Speed, Slots: n.Group.Slots, Queue: n.Group.Queue, MaxConns: c.MaxConnections,
+		Speed: n.Group.Speed, Slots: n.Group.Slots, Queue: n.Group.Queue, MaxConnections: c.MaxConnections,
 		ConnectDelay: experiment.Millis(c.ConnectMs), ConnectWork: experiment.Millis(c.ConnectWork),
-		IdleClose: experiment.Millis(bed.experiment.Proxy.IdleTimeoutMs), StartCapacity: c.StartCapacity, SlowStart: experiment.Millis(c.SlowStartMs),
-		OverloadMultiple: c.OverloadMultiple, Fall: experiment.Millis(c.OverloadFailureMs), Cancelling: c.CancelsWork,
+		IdleTimeout: experiment.Millis(bed.experiment.Proxy.IdleTimeoutMs), StartCapacity: c.StartCapacity, SlowStart: experiment.Millis(c.SlowStartMs),
+		OverloadMultiple: c.OverloadMultiple, OverloadWindow: experiment.Millis(c.OverloadFailureMs), CancelsWork: c.CancelsWork,
 		Seed: bed.plan.Seed + uint64(number)}, bed, bed.ref)}
 	bed.startServer(server, at, cold)
 	bed.mu.Lock()
--- a/internal/faultlab/run/strike_servers.go
+++ b/internal/faultlab/run/strike_servers.go
@@ -14,8 +14,8 @@
 // injectServerFault injects a fault into one server.
 func (t *timeline) injectServerFault(ctx context.Context, strike plan.Strike, turn plan.Turn) error {
 	server, fault := t.server(turn.Target), strike.Fault
-	hamper := func(h stubserver.Hamper) error {
-		end := server.Hamper(h)
+	hamper := func(h stubserver.Fault) error {
+		end := server.ApplyFault(h)
 		t.holdFault(ctx, strike, turn.At)
 		end()
 		return nil
@@ -35,13 +35,13 @@
 		t.net.Reset(serverLinksTo(turn.Target))
 		return end()
 	case "nodo_hang":
-		return hamper(stubserver.Hamper{Hang: true})
+		return hamper(stubserver.Fault{Hangs: true})
 	case "nodo_slow":
-		return hamper(stubserver.Hamper{Slow: fault.Factor})
+		return hamper(stubserver.Fault{Slowdown: fault.Factor})
 	case "nodo_errors":
-		return hamper(stubserver.Hamper{Errors: fault.Fraction})
+		return hamper(stubserver.Fault{ErrorFraction: fault.Fraction})
 	case "nodo_garble":
-		return hamper(stubserver.Hamper{Garble: fault.Fraction})
+		return hamper(stubserver.Fault{GarbleFraction: fault.Fraction})
 	case "nodo_drain", "nodo_replace":
 		return t.drain(ctx, strike, turn, server)
 	}
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -27,7 +27,7 @@
 
 // forwardBytes forwards a link's connections to a member's own address.
 func (s *Service) forwardBytes(to string) func(*link.Conn) {
-	return func(c *link.Conn) { _ = link.Pass(c, to, nil) }
+	return func(c *link.Conn) { _ = link.Forward(c, to, nil) }
 }
 
 // relayPolls forwards a proxy's polls to a member, with the servers' addresses replaced, and records what the proxy receives.
@@ -61,7 +61,7 @@
 				s.config.Referee.RecordUpdate(proxy, referee.ListUpdate{Entries: refereeEntries(list), Snapshot: list.Snapshot}, at)
 				s.delays.recordReceived(proxy, list, at, s.isHollow)
 			}
-			if err := c.NoteThenWrite(wire.JSON(status, body), note); err != nil {
+			if err := c.WriteAfter(wire.JSON(status, body), note); err != nil {
 				s.config.Referee.RecordPollFailed(proxy, time.Now())
 				return
 			}
@@ -75,7 +75,7 @@
 	stop := make(chan struct{})
 	var watchers sync.WaitGroup
 	watchers.Go(func() {
-		if c.AwaitEnd(stop) {
+		if c.AwaitPeerClose(stop) {
 			cancel()
 		}
 	})
--- a/internal/faultlab/stubserver/serve.go
+++ b/internal/faultlab/stubserver/serve.go
@@ -13,22 +13,22 @@
 )
 
 // Serve serves one connection until it ends.
-func (n *Server) Serve(c *link.Conn) {
-	defer c.Close()
-	n.mu.Lock()
-	n.conns++
-	over, life := n.conns > n.spec.MaxConns, n.incarnation
-	n.mu.Unlock()
-	defer n.with(func() { n.conns-- })
-	n.ref.RecordConnection(time.Now())
-	r := bufio.NewReader(c)
+func (s *Server) Serve(conn *link.Conn) {
+	defer conn.Close()
+	s.mu.Lock()
+	s.conns++
+	over, incarnation := s.conns > s.spec.MaxConnections, s.incarnation
+	s.mu.Unlock()
+	defer s.locked(func() { s.conns-- })
+	s.referee.RecordConnection(time.Now())
+	r := bufio.NewReader(conn)
 	for first := true; ; first = false {
-		_ = c.SetReadDeadline(time.Now().Add(n.spec.IdleClose))
+		_ = conn.SetReadDeadline(time.Now().Add(s.spec.IdleTimeout))
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		begun := c.ReadAt()
-		_ = c.SetReadDeadline(time.Now().Add(maxRead))
+		begun := conn.LastReadAt()
+		_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -37,55 +37,55 @@
 		if err != nil {
 			return
 		}
-		_ = c.SetReadDeadline(time.Time{})
-		if !n.one(c, req, body, begun, first, over, life) || req.Close {
+		_ = conn.SetReadDeadline(time.Time{})
+		if !s.handle(conn, req, body, begun, first, over, incarnation) || req.Close {
 			return
 		}
 	}
 }
 
-const maxRead = 30 * time.Second // for a whole request
+const readTimeout = 30 * time.Second // for a whole request
 
 // one answers one request; false ends the connection.
-func (n *Server) one(c *link.Conn, req *http.Request, body []byte, begun time.Time, first, over bool, life int) bool {
+func (s *Server) handle(conn *link.Conn, req *http.Request, body []byte, begun time.Time, first, over bool, incarnation int) bool {
 	id := req.Header.Get(wire.RequestID)
-	what, known := n.world.Job(id)
-	at := n.ref.BeginAttempt(referee.Arrival{Server: n.spec.Name, ID: id, FirstByteAt: begun, LastByteAt: time.Now(), Method: req.Method,
+	what, known := s.lab.Job(id)
+	attempt := s.referee.BeginAttempt(referee.Arrival{Server: s.spec.Name, ID: id, FirstByteAt: begun, LastByteAt: time.Now(), Method: req.Method,
 		Path: req.URL.RequestURI(), Key: req.Header.Get(wire.IdempotencyKey), RequestDigest: wire.Digest(body)})
-	if at == nil || !known {
-		return n.answer(c, nil, 400, nil, false)
+	if attempt == nil || !known {
+		return s.respond(conn, nil, 400, nil, false)
 	}
 	work := what.Work
 	if first {
-		time.Sleep(n.spec.ConnectDelay)
-		work += n.spec.ConnectWork
+		time.Sleep(s.spec.ConnectDelay)
+		work += s.spec.ConnectWork
 	}
-	j, turned, fell := n.admit(work, what.Proxy, over, life, patience(req))
+	job, turned, fell := s.admit(work, what.Proxy, over, incarnation, requestDeadline(req))
 	if fell != nil {
-		n.ref.RecordOverload(n.spec.Name, n.sinceMs(), fell, time.Now())
-		n.world.Fell(n.spec.Name)
+		s.referee.RecordOverload(s.spec.Name, s.startedAtMs(), fell, time.Now())
+		s.lab.OverloadFailed(s.spec.Name)
 		return false
 	}
 	if turned {
-		n.ref.RecordRejected(at)
-		return n.answer(c, at, 503, nil, true) && !over
+		s.referee.RecordRejected(attempt)
+		return s.respond(conn, attempt, 503, nil, true) && !over
 	}
-	if j == nil { // ended meanwhile, or hanging
-		c.AwaitEnd(nil)
-		n.ref.RecordCanceled(at, 0)
+	if job == nil { // ended meanwhile, or hanging
+		conn.AwaitPeerClose(nil)
+		s.referee.RecordCanceled(attempt, 0)
 		return false
 	}
-	return n.work(c, j, at, id, what, life)
+	return s.execute(conn, job, attempt, id, what, incarnation)
 }
 
-func (n *Server) sinceMs() int64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.since.UnixMilli()
+func (s *Server) startedAtMs() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.startedAt.UnixMilli()
 }
 
 // patience is when the caller will have given up.
-func patience(req *http.Request) time.Time {
+func requestDeadline(req *http.Request) time.Time {
 	ms, err := strconv.ParseFloat(req.Header.Get(wire.Timeout), 64)
 	if err != nil || ms <= 0 {
 		return time.Time{}
@@ -94,13 +94,13 @@
 }
 
 // work waits for a job's slot and its time, and answers. What its caller has left is dropped.
-func (n *Server) work(c *link.Conn, j *job, at *referee.Attempt, id string, what Job, life int) bool {
+func (s *Server) execute(conn *link.Conn, job *queuedJob, attempt *referee.Attempt, id string, what Job, incarnation int) bool {
 	stop := make(chan struct{})
 	left := make(chan struct{})
 	watch := make(chan struct{})
 	go func() {
 		defer close(watch)
-		if c.AwaitEnd(stop) {
+		if conn.AwaitPeerClose(stop) {
 			close(left)
 		}
 	}()
@@ -109,89 +109,89 @@
 		<-watch
 	}
 	select {
-	case ok := <-j.start:
+	case ok := <-job.start:
 		if !ok {
 			end()
-			n.ref.RecordCanceled(at, 0)
+			s.referee.RecordCanceled(attempt, 0)
 			return false
 		}
 	case <-left:
-		n.with(func() { j.gone = true; n.sweep() })
+		s.locked(func() { job.canceled = true; s.removeCanceled() })
 		select {
-		case ok := <-j.start: // it had begun in that moment
+		case ok := <-job.start: // it had begun in that moment
 			if ok {
-				n.release(life, time.Now())
+				s.releaseSlot(incarnation, time.Now())
 			}
 		default:
 		}
 		end()
-		n.ref.RecordCanceled(at, 0)
+		s.referee.RecordCanceled(attempt, 0)
 		return false
 	}
-	if !j.until.IsZero() && j.begun.After(j.until) { // over before it began
-		n.release(life, j.begun)
+	if !job.deadline.IsZero() && job.startedAt.After(job.deadline) { // over before it began
+		s.releaseSlot(incarnation, job.startedAt)
 		end()
-		n.ref.RecordRejected(at)
-		return n.answer(c, at, 504, nil, true)
+		s.referee.RecordRejected(attempt)
+		return s.respond(conn, attempt, 504, nil, true)
 	}
-	done := time.NewTimer(time.Until(j.begun.Add(j.holdsSlot)))
+	done := time.NewTimer(time.Until(job.startedAt.Add(job.duration)))
 	defer done.Stop()
 	gone := left
-	if !n.spec.Cancelling {
+	if !s.spec.CancelsWork {
 		gone = nil
 	}
 	select {
 	case <-done.C:
 	case <-gone:
-		n.release(life, time.Now())
+		s.releaseSlot(incarnation, time.Now())
 		end()
-		n.ref.RecordCanceled(at, time.Since(j.begun))
+		s.referee.RecordCanceled(attempt, time.Since(job.startedAt))
 		return false
 	}
-	n.release(life, j.begun.Add(j.holdsSlot))
+	s.releaseSlot(incarnation, job.startedAt.Add(job.duration))
 	end()
-	n.mu.Lock()
-	alive := n.incarnation == life && n.up && !n.now.Hang
-	fails, spoils := n.rng.Float64() < n.now.Errors, n.rng.Float64() < n.now.Garble
-	n.mu.Unlock()
+	s.mu.Lock()
+	alive := s.incarnation == incarnation && s.up && !s.fault.Hangs
+	fails, spoils := s.rng.Float64() < s.fault.ErrorFraction, s.rng.Float64() < s.fault.GarbleFraction
+	s.mu.Unlock()
 	select {
 	case <-left:
-		n.ref.RecordCanceled(at, j.holdsSlot)
+		s.referee.RecordCanceled(attempt, job.duration)
 		return false
 	default:
 	}
 	switch {
 	case !alive:
-		c.AwaitEnd(nil)
-		n.ref.RecordCanceled(at, j.holdsSlot)
+		conn.AwaitPeerClose(nil)
+		s.referee.RecordCanceled(attempt, job.duration)
 		return false
 	case fails:
-		n.ref.RecordError(at, j.holdsSlot)
-		return n.answer(c, at, 500, nil, false)
+		s.referee.RecordError(attempt, job.duration)
+		return s.respond(conn, attempt, 500, nil, false)
 	}
-	made := wire.Make(id, n.spec.Name, what.Answer)
-	n.ref.RecordServed(at, wire.Digest(made), j.holdsSlot)
+	made := wire.Make(id, s.spec.Name, what.ResponseBytes)
+	s.referee.RecordServed(attempt, wire.Digest(made), job.duration)
 	if spoils {
-		n.spoil(c, at, made)
+		s.garble(conn, attempt, made)
 		return false
 	}
-	return n.answer(c, at, 200, made, false)
+	return s.respond(conn, attempt, 200, made, false)
 }
 
-func (n *Server) answer(c *link.Conn, at *referee.Attempt, status int, body []byte, notStarted bool) bool {
+func (s *Server) respond(conn *link.Conn, attempt *referee.Attempt, status int, body []byte, notStarted bool) bool {
 	head := "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\nContent-Length: " +
 		strconv.Itoa(len(body)) + "\r\n"
 	if notStarted {
 		head += wire.NotStarted + ": 1\r\n"
 	}
-	return c.NoteThenWrite(append([]byte(head+"\r\n"), body...), func(time.Time) { n.ref.RecordOutcomeWritten(at) }) == nil
+	return conn.WriteAfter(append([]byte(head+"\r\n"), body...), func(time.Time) { s.referee.RecordOutcomeWritten(attempt) }) == nil
 }
 
 // spoil sends an answer that cannot be read as the protocol requires, and closes.
-func (n *Server) spoil(c *link.Conn, at *referee.Attempt, body []byte) {
-	n.mu.Lock()
-	kind := n.rng.IntN(3)
-	n.mu.Unlock()
+func (s *Server) garble(conn *link.Conn, attempt *referee.Attempt, body []byte) {
+	s.mu.Lock()
+	kind := s.rng.IntN(3)
+	s.mu.Unlock()
 	text := ""
 	switch kind {
 	case 0:
@@ -201,5 +201,5 @@
 	default:
 		text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\n" + string(body)
 	}
-	_ = c.NoteThenWrite([]byte(text), func(time.Time) { n.ref.RecordOutcomeWritten(at) })
+	_ = conn.WriteAfter([]byte(text), func(time.Time) { s.referee.RecordOutcomeWritten(attempt) })
 }
--- a/internal/faultlab/stubserver/stubserver_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -21,11 +21,11 @@
 	fell chan string
 }
 
-func (w world) Job(string) (Job, bool) { return Job{Work: w.work, Answer: 10, Proxy: "p"}, true }
-func (w world) Fell(name string)       { w.fell <- name }
+func (w world) Job(string) (Job, bool)     { return Job{Work: w.work, ResponseBytes: 10, Proxy: "p"}, true }
+func (w world) OverloadFailed(name string) { w.fell <- name }
 
 // newNodo is a server behind a link, with its address and the referee of what comes.
-func newNodo(t testing.TB, spec Spec, work time.Duration) (*Server, world, *referee.Referee, string) {
+func newServer(t testing.TB, spec Spec, work time.Duration) (*Server, world, *referee.Referee, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,17 +35,17 @@
 	l.Close()
 	ref := referee.New(referee.Config{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 9, HedgingAllowed: true})
 	w := world{work, make(chan string, 1)}
-	spec.Name, spec.IdleClose = "s", time.Minute
-	if spec.MaxConns == 0 {
-		spec.MaxConns = 1000
+	spec.Name, spec.IdleTimeout = "s", time.Minute
+	if spec.MaxConnections == 0 {
+		spec.MaxConnections = 1000
 	}
-	n := New(spec, w, ref)
+	server := New(spec, w, ref)
 	lnk := link.New(1)
-	if _, err := lnk.Listen(link.Ends{To: "s"}, addr, 0, n.Serve); err != nil {
+	if _, err := lnk.Listen(link.Ends{To: "s"}, addr, 0, server.Serve); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(lnk.Close)
-	return n, w, ref, addr
+	return server, w, ref, addr
 }
 
 // ask makes one request on a connection of its own and tells its status: 0 is none.
@@ -67,43 +67,46 @@
 }
 
 // What a server says and does by the state that it is in. The work takes for ever where only its beginning counts.
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	const forever = time.Hour
 	one := Spec{Slots: 1, Speed: 1, Queue: 1}
 	for _, test := range []struct {
 		name       string
 		spec       Spec
 		work       time.Duration
-		before     func(n *Server)
+		before     func(server *Server)
 		hold       int // requests that are out already
 		patience   time.Duration
 		status     int
 		notStarted bool
 	}{
 		{name: "serves", spec: one, patience: time.Minute, status: 200},
-		{name: "fails", spec: one, before: func(n *Server) { n.Hamper(Hamper{Errors: 1}) }, patience: time.Minute, status: 500},
-		{name: "two hampers, one ended", spec: one, before: func(n *Server) { n.Hamper(Hamper{Errors: 1}); n.Hamper(Hamper{Errors: 1})() },
+		{name: "fails", spec: one, before: func(server *Server) { server.ApplyFault(Fault{ErrorFraction: 1}) }, patience: time.Minute, status: 500},
+		{name: "two hampers, one ended", spec: one, before: func(server *Server) {
+			server.ApplyFault(Fault{ErrorFraction: 1})
+			server.ApplyFault(Fault{ErrorFraction: 1})()
+		},
 			patience: time.Minute, status: 500},
-		{name: "no hamper left", spec: one, before: func(n *Server) { n.Hamper(Hamper{Hang: true})() }, patience: time.Minute, status: 200},
-		{name: "hangs", spec: one, before: func(n *Server) { n.Hamper(Hamper{Hang: true}) }, patience: 50 * time.Millisecond},
-		{name: "draining", spec: one, before: func(n *Server) { n.Drain(true) }, patience: time.Minute, status: 503, notStarted: true},
+		{name: "no hamper left", spec: one, before: func(server *Server) { server.ApplyFault(Fault{Hangs: true})() }, patience: time.Minute, status: 200},
+		{name: "hangs", spec: one, before: func(server *Server) { server.ApplyFault(Fault{Hangs: true}) }, patience: 50 * time.Millisecond},
+		{name: "draining", spec: one, before: func(server *Server) { server.Drain(true) }, patience: time.Minute, status: 503, notStarted: true},
 		{name: "queue full", spec: one, work: forever, hold: 2, patience: time.Minute, status: 503, notStarted: true},
 		{name: "waits in the queue", spec: one, work: forever, hold: 1, patience: 50 * time.Millisecond},
-		{name: "too many connections", spec: Spec{Slots: 9, Speed: 1, MaxConns: 1}, work: forever, hold: 1, patience: time.Minute,
+		{name: "too many connections", spec: Spec{Slots: 9, Speed: 1, MaxConnections: 1}, work: forever, hold: 1, patience: time.Minute,
 			status: 503, notStarted: true},
-		{name: "dead", spec: one, before: func(n *Server) { n.Stop() }, patience: 50 * time.Millisecond},
+		{name: "dead", spec: one, before: func(server *Server) { server.Stop() }, patience: 50 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			n, _, ref, addr := newNodo(t, test.spec, test.work)
-			n.Start(time.Time{}, false)
+			server, _, ref, addr := newServer(t, test.spec, test.work)
+			server.Start(time.Time{}, false)
 			if test.before != nil {
-				test.before(n)
+				test.before(server)
 			}
 			for i := range test.hold {
 				go ask(ref, addr, fmt.Sprint("held", i), 10*time.Second)
 			}
 			for in := 0; in < test.hold; time.Sleep(time.Millisecond) {
-				n.with(func() { in = n.busy + len(n.queue) })
+				server.locked(func() { in = server.busy + len(server.queue) })
 			}
 			if status, notStarted := ask(ref, addr, "x", test.patience); status != test.status || notStarted != test.notStarted {
 				t.Errorf("got %d, Not-Started %v; want %d, %v", status, notStarted, test.status, test.notStarted)
@@ -113,10 +116,10 @@
 }
 
 // A caller that goes gives its place back: in the queue, and in a slot where work can be cancelled.
-func TestCallersThatGo(t *testing.T) {
-	n, _, ref, addr := newNodo(t, Spec{Slots: 1, Speed: 1, Queue: 1, Cancelling: true}, time.Hour)
-	n.Start(time.Time{}, false)
-	holding := func() (in int) { n.with(func() { in = n.busy + len(n.queue) }); return in }
+func TestCanceledRequestsFreeTheirPlaces(t *testing.T) {
+	server, _, ref, addr := newServer(t, Spec{Slots: 1, Speed: 1, Queue: 1, CancelsWork: true}, time.Hour)
+	server.Start(time.Time{}, false)
+	holding := func() (in int) { server.locked(func() { in = server.busy + len(server.queue) }); return in }
 	var long sync.WaitGroup
 	long.Go(func() { ask(ref, addr, "long", 3*time.Second) })
 	until := func(what string, holds func() bool) {
@@ -156,7 +159,7 @@
 }
 
 // The budget of a warming server: over it the server falls, under it it does not, and warm it stands anything.
-func TestTip(t *testing.T) {
+func TestOverloadBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name string
@@ -171,12 +174,12 @@
 		{"over, but warmer", true, 8 * time.Second, 5 * time.Second, false},
 		{"warm", false, time.Second, time.Hour, false},
 	} {
-		n := New(Spec{Slots: 1, Speed: 1, StartCapacity: 0.5, SlowStart: 10 * time.Second, OverloadMultiple: 3, Fall: 2 * time.Second}, nil, nil)
-		n.Start(now, test.cold)
+		server := New(Spec{Slots: 1, Speed: 1, StartCapacity: 0.5, SlowStart: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}, nil, nil)
+		server.Start(now, test.cold)
 		fell := false
 		for i := range 20 {
 			at := now.Add(test.age - time.Second + time.Duration(i)*50*time.Millisecond)
-			fell = n.overload(at, test.work/20, "p") != nil || fell
+			fell = server.overloadBy(at, test.work/20, "p") != nil || fell
 		}
 		if fell != test.fell {
 			t.Errorf("%s: fell %v", test.name, fell)
