--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -33,10 +33,10 @@
 	return bed.addresses[bed.linkGroup(bed.proxies[proxy].node)+"/"+name]
 }
 
-// Job returns the work of a request. With Fell it makes the testbed a stubserver.World.
+// Job returns the work of a request. With OverloadFailed it makes the testbed a stubserver.Lab.
 func (bed *testbed) Job(id string) (stubserver.Job, bool) { return bed.client.Job(id) }
 
-// Fell takes down a server that failed under overload, for the rest of the play.
+// OverloadFailed takes down a server that failed under overload, for the rest of the play.
 func (bed *testbed) OverloadFailed(name string) {
 	bed.log.Warn("server failed under overload", "endpoint", name)
 	bed.recordError(bed.takeDown(bed.server(name)))
--- a/internal/faultlab/stubserver/serve.go
+++ b/internal/faultlab/stubserver/serve.go
@@ -5,6 +5,7 @@
 	"io"
 	"net/http"
 	"strconv"
+	"sync"
 	"time"
 
 	"merlinpick/internal/faultlab/link"
@@ -12,70 +13,87 @@
 	"merlinpick/internal/faultlab/wire"
 )
 
+// readTimeout is for a complete request.
+const readTimeout = 30 * time.Second
+
+// exchange is one request on a connection and its attempt.
+type exchange struct {
+	conn        *link.Conn
+	request     *http.Request
+	attempt     *referee.Attempt
+	id          string
+	work        Job
+	firstOnConn bool
+	overLimit   bool // the server has too many connections
+	incarnation int  // of the server, when the connection was opened
+}
+
 // Serve serves one connection until it ends.
 func (s *Server) Serve(conn *link.Conn) {
 	defer conn.Close()
 	s.mu.Lock()
 	s.conns++
-	over, incarnation := s.conns > s.spec.MaxConnections, s.incarnation
+	overLimit, incarnation := s.conns > s.spec.MaxConnections, s.incarnation
 	s.mu.Unlock()
 	defer s.locked(func() { s.conns-- })
 	s.referee.RecordConnection(time.Now())
-	r := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for first := true; ; first = false {
 		_ = conn.SetReadDeadline(time.Now().Add(s.spec.IdleTimeout))
-		if _, err := r.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		begun := conn.LastReadAt()
+		firstByteAt := conn.LastReadAt()
 		_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
-		req, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(req.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
 		_ = conn.SetReadDeadline(time.Time{})
-		if !s.handle(conn, req, body, begun, first, over, incarnation) || req.Close {
+		x := &exchange{conn: conn, request: request, firstOnConn: first, overLimit: overLimit, incarnation: incarnation}
+		if !s.handle(x, body, firstByteAt) || request.Close {
 			return
 		}
 	}
 }
 
-const readTimeout = 30 * time.Second // for a whole request
-
-// one answers one request; false ends the connection.
-func (s *Server) handle(conn *link.Conn, req *http.Request, body []byte, begun time.Time, first, over bool, incarnation int) bool {
-	id := req.Header.Get(wire.RequestID)
-	what, known := s.lab.Job(id)
-	attempt := s.referee.BeginAttempt(referee.Arrival{Server: s.spec.Name, ID: id, FirstByteAt: begun, LastByteAt: time.Now(), Method: req.Method,
-		Path: req.URL.RequestURI(), Key: req.Header.Get(wire.IdempotencyKey), RequestDigest: wire.Digest(body)})
-	if attempt == nil || !known {
-		return s.respond(conn, nil, 400, nil, false)
-	}
-	work := what.Work
-	if first {
+// handle answers one request; false ends the connection.
+func (s *Server) handle(x *exchange, body []byte, firstByteAt time.Time) bool {
+	x.id = x.request.Header.Get(wire.RequestID)
+	var known bool
+	x.work, known = s.lab.Job(x.id)
+	x.attempt = s.referee.BeginAttempt(referee.Arrival{Server: s.spec.Name, ID: x.id, FirstByteAt: firstByteAt, LastByteAt: time.Now(),
+		Method: x.request.Method, Path: x.request.URL.RequestURI(), Key: x.request.Header.Get(wire.IdempotencyKey),
+		RequestDigest: wire.Digest(body)})
+	if x.attempt == nil || !known {
+		x.attempt = nil
+		return s.respond(x, http.StatusBadRequest, nil, false)
+	}
+	work := x.work.Work
+	if x.firstOnConn {
 		time.Sleep(s.spec.ConnectDelay)
 		work += s.spec.ConnectWork
 	}
-	job, turned, fell := s.admit(work, what.Proxy, over, incarnation, requestDeadline(req))
-	if fell != nil {
-		s.referee.RecordOverload(s.spec.Name, s.startedAtMs(), fell, time.Now())
+	job, rejected, overload := s.admit(x, work, requestDeadline(x.request))
+	if overload != nil {
+		s.referee.RecordOverload(s.spec.Name, s.startedAtMs(), overload, time.Now())
 		s.lab.OverloadFailed(s.spec.Name)
 		return false
 	}
-	if turned {
-		s.referee.RecordRejected(attempt)
-		return s.respond(conn, attempt, 503, nil, true) && !over
+	if rejected {
+		s.referee.RecordRejected(x.attempt)
+		return s.respond(x, http.StatusServiceUnavailable, nil, true) && !x.overLimit
 	}
 	if job == nil { // ended meanwhile, or hanging
-		conn.AwaitPeerClose(nil)
-		s.referee.RecordCanceled(attempt, 0)
+		x.conn.AwaitPeerClose(nil)
+		s.referee.RecordCanceled(x.attempt, 0)
 		return false
 	}
-	return s.execute(conn, job, attempt, id, what, incarnation)
+	return s.execute(x, job)
 }
 
 func (s *Server) startedAtMs() int64 {
@@ -84,111 +102,125 @@
 	return s.startedAt.UnixMilli()
 }
 
-// patience is when the caller will have given up.
-func requestDeadline(req *http.Request) time.Time {
-	ms, err := strconv.ParseFloat(req.Header.Get(wire.Timeout), 64)
+// requestDeadline is when the client gives up, by the request's timeout; zero: not known.
+func requestDeadline(request *http.Request) time.Time {
+	ms, err := strconv.ParseFloat(request.Header.Get(wire.Timeout), 64)
 	if err != nil || ms <= 0 {
 		return time.Time{}
 	}
 	return time.Now().Add(time.Duration(ms * float64(time.Millisecond)))
 }
 
-// work waits for a job's slot and its time, and answers. What its caller has left is dropped.
-func (s *Server) execute(conn *link.Conn, job *queuedJob, attempt *referee.Attempt, id string, what Job, incarnation int) bool {
-	stop := make(chan struct{})
-	left := make(chan struct{})
-	watch := make(chan struct{})
-	go func() {
-		defer close(watch)
-		if conn.AwaitPeerClose(stop) {
-			close(left)
-		}
-	}()
-	end := func() {
-		close(stop)
-		<-watch
-	}
+// execute waits for a job's slot and for its work, and answers. A request whose client closes the connection is dropped.
+func (s *Server) execute(x *exchange, job *queuedJob) bool {
+	canceled, stopWatch := watchCancel(x.conn)
+	defer stopWatch()
 	select {
-	case ok := <-job.start:
-		if !ok {
-			end()
-			s.referee.RecordCanceled(attempt, 0)
+	case started := <-job.start:
+		if !started {
+			s.referee.RecordCanceled(x.attempt, 0)
 			return false
 		}
-	case <-left:
-		s.locked(func() { job.canceled = true; s.removeCanceled() })
-		select {
-		case ok := <-job.start: // it had begun in that moment
-			if ok {
-				s.releaseSlot(incarnation, time.Now())
-			}
-		default:
-		}
-		end()
-		s.referee.RecordCanceled(attempt, 0)
+	case <-canceled:
+		s.leaveQueue(x, job)
+		s.referee.RecordCanceled(x.attempt, 0)
 		return false
 	}
-	if !job.deadline.IsZero() && job.startedAt.After(job.deadline) { // over before it began
-		s.releaseSlot(incarnation, job.startedAt)
-		end()
-		s.referee.RecordRejected(attempt)
-		return s.respond(conn, attempt, 504, nil, true)
+	if !job.deadline.IsZero() && job.startedAt.After(job.deadline) { // expired in the queue
+		s.releaseSlot(x.incarnation, job.startedAt)
+		stopWatch()
+		s.referee.RecordRejected(x.attempt)
+		return s.respond(x, http.StatusGatewayTimeout, nil, true)
 	}
 	done := time.NewTimer(time.Until(job.startedAt.Add(job.duration)))
 	defer done.Stop()
-	gone := left
+	cancelsWork := canceled
 	if !s.spec.CancelsWork {
-		gone = nil
+		cancelsWork = nil
 	}
 	select {
 	case <-done.C:
-	case <-gone:
-		s.releaseSlot(incarnation, time.Now())
-		end()
-		s.referee.RecordCanceled(attempt, time.Since(job.startedAt))
+	case <-cancelsWork:
+		s.releaseSlot(x.incarnation, time.Now())
+		s.referee.RecordCanceled(x.attempt, time.Since(job.startedAt))
 		return false
 	}
-	s.releaseSlot(incarnation, job.startedAt.Add(job.duration))
-	end()
+	s.releaseSlot(x.incarnation, job.startedAt.Add(job.duration))
+	stopWatch()
+	return s.finish(x, job, canceled)
+}
+
+// watchCancel closes canceled when the peer closes the connection. The returned function ends the watch, so that the next request can
+// be read; it may be called more than once.
+func watchCancel(conn *link.Conn) (canceled <-chan struct{}, stop func()) {
+	stopping, closed, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(ended)
+		if conn.AwaitPeerClose(stopping) {
+			close(closed)
+		}
+	}()
+	return closed, sync.OnceFunc(func() {
+		close(stopping)
+		<-ended
+	})
+}
+
+// leaveQueue removes a canceled job from the queue, or releases its slot if it started meanwhile.
+func (s *Server) leaveQueue(x *exchange, job *queuedJob) {
+	s.locked(func() { job.canceled = true; s.removeCanceled() })
+	select {
+	case started := <-job.start:
+		if started {
+			s.releaseSlot(x.incarnation, time.Now())
+		}
+	default:
+	}
+}
+
+// finish answers a request whose work is done, subject to the server's faults, unless it is canceled.
+func (s *Server) finish(x *exchange, job *queuedJob, canceled <-chan struct{}) bool {
 	s.mu.Lock()
-	alive := s.incarnation == incarnation && s.up && !s.fault.Hangs
-	fails, spoils := s.rng.Float64() < s.fault.ErrorFraction, s.rng.Float64() < s.fault.GarbleFraction
+	alive := s.incarnation == x.incarnation && s.up && !s.fault.Hangs
+	fails, garbles := s.rng.Float64() < s.fault.ErrorFraction, s.rng.Float64() < s.fault.GarbleFraction
 	s.mu.Unlock()
 	select {
-	case <-left:
-		s.referee.RecordCanceled(attempt, job.duration)
+	case <-canceled:
+		s.referee.RecordCanceled(x.attempt, job.duration)
 		return false
 	default:
 	}
 	switch {
 	case !alive:
-		conn.AwaitPeerClose(nil)
-		s.referee.RecordCanceled(attempt, job.duration)
+		x.conn.AwaitPeerClose(nil)
+		s.referee.RecordCanceled(x.attempt, job.duration)
 		return false
 	case fails:
-		s.referee.RecordError(attempt, job.duration)
-		return s.respond(conn, attempt, 500, nil, false)
+		s.referee.RecordError(x.attempt, job.duration)
+		return s.respond(x, http.StatusInternalServerError, nil, false)
 	}
-	made := wire.Make(id, s.spec.Name, what.ResponseBytes)
-	s.referee.RecordServed(attempt, wire.Digest(made), job.duration)
-	if spoils {
-		s.garble(conn, attempt, made)
+	body := wire.Make(x.id, s.spec.Name, x.work.ResponseBytes)
+	s.referee.RecordServed(x.attempt, wire.Digest(body), job.duration)
+	if garbles {
+		s.garble(x, body)
 		return false
 	}
-	return s.respond(conn, attempt, 200, made, false)
+	return s.respond(x, http.StatusOK, body, false)
 }
 
-func (s *Server) respond(conn *link.Conn, attempt *referee.Attempt, status int, body []byte, notStarted bool) bool {
+// respond sends a response; false if the connection is closed.
+func (s *Server) respond(x *exchange, status int, body []byte, notStarted bool) bool {
 	head := "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\nContent-Length: " +
 		strconv.Itoa(len(body)) + "\r\n"
 	if notStarted {
 		head += wire.NotStarted + ": 1\r\n"
 	}
-	return conn.WriteAfter(append([]byte(head+"\r\n"), body...), func(time.Time) { s.referee.RecordOutcomeWritten(attempt) }) == nil
+	written := func(time.Time) { s.referee.RecordOutcomeWritten(x.attempt) }
+	return x.conn.WriteAfter(append([]byte(head+"\r\n"), body...), written) == nil
 }
 
-// spoil sends an answer that cannot be read as the protocol requires, and closes.
-func (s *Server) garble(conn *link.Conn, attempt *referee.Attempt, body []byte) {
+// garble sends a response that violates the protocol.
+func (s *Server) garble(x *exchange, body []byte) {
 	s.mu.Lock()
 	kind := s.rng.IntN(3)
 	s.mu.Unlock()
@@ -201,5 +233,5 @@
 	default:
 		text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\n" + string(body)
 	}
-	_ = conn.WriteAfter([]byte(text), func(time.Time) { s.referee.RecordOutcomeWritten(attempt) })
+	_ = x.conn.WriteAfter([]byte(text), func(time.Time) { s.referee.RecordOutcomeWritten(x.attempt) })
 }
--- a/internal/faultlab/stubserver/slots.go
+++ b/internal/faultlab/stubserver/slots.go
@@ -4,39 +4,41 @@
 	"time"
 )
 
+// workArrival is work that a proxy sent.
 type workArrival struct {
 	at    time.Time
 	work  time.Duration
 	proxy string
 }
 
+// queuedJob is a request that is queued or has a slot.
 type queuedJob struct {
 	work      time.Duration
 	arrivedAt time.Time
-	start     chan bool // true: begins; false: the server has ended
+	start     chan bool // true: started; false: the server has ended
 	startedAt time.Time
 	duration  time.Duration // that its slot is held
-	canceled  bool          // left the queue
-	deadline  time.Time     // its caller has given up by then
+	canceled  bool          // by the client
+	deadline  time.Time     // of the client; zero: not known
 }
 
-// admit gives a request a slot or a place in the queue, or turns it away. A warming server that is sent too much falls
-// over: then it tells what came, by proxy.
-func (s *Server) admit(work time.Duration, proxy string, over bool, incarnation int, until time.Time) (job *queuedJob, turned bool,
-	fell map[string]time.Duration) {
+// admit gives a request a slot or a place in the queue, or rejects it. A server in slow start may fail under overload: then overload is
+// the work that each proxy sent. All results are zero if the server hangs or has ended.
+func (s *Server) admit(x *exchange, work time.Duration, deadline time.Time) (job *queuedJob, rejected bool,
+	overload map[string]time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.up || s.incarnation != incarnation || s.fault.Hangs {
+	if !s.up || s.incarnation != x.incarnation || s.fault.Hangs {
 		return nil, false, nil
 	}
 	now := time.Now()
-	if fell = s.overloadBy(now, work, proxy); fell != nil {
-		return nil, false, fell
+	if overload = s.overloadBy(now, work, x.work.Proxy); overload != nil {
+		return nil, false, overload
 	}
-	if s.draining || over || s.busy >= s.spec.Slots && len(s.queue) >= s.spec.Queue {
+	if s.draining || x.overLimit || s.busy >= s.spec.Slots && len(s.queue) >= s.spec.Queue {
 		return nil, true, nil
 	}
-	job = &queuedJob{work: work, arrivedAt: now, start: make(chan bool, 1), deadline: until}
+	job = &queuedJob{work: work, arrivedAt: now, start: make(chan bool, 1), deadline: deadline}
 	if s.busy < s.spec.Slots {
 		s.busy++
 		s.startJob(job, now)
@@ -46,8 +48,8 @@
 	return job, false, nil
 }
 
-// tip counts work that comes to a warming server, and tells whether the last window was more than it can stand: the
-// multiple of what it could have done in that time, with room for one request more than that.
+// overloadBy adds work to that of a server in slow start, and returns the work of the last window by proxy if it is an overload: more
+// than OverloadMultiple times what the server could have done in it, and one request. Else it returns nil.
 func (s *Server) overloadBy(now time.Time, work time.Duration, proxy string) map[string]time.Duration {
 	if !s.slowStart || now.Sub(s.startedAt) > s.spec.SlowStart+s.spec.OverloadWindow {
 		s.recentWork = nil
@@ -61,14 +63,14 @@
 	if now.Sub(s.startedAt) < s.spec.OverloadWindow {
 		from = s.startedAt
 	}
-	sum := time.Duration(0)
+	total := time.Duration(0)
 	for _, a := range s.recentWork {
-		sum += a.work
+		total += a.work
 	}
-	// The window is never shorter than the stated one: the share of its middle stands for all of it.
-	share := s.capacityFraction(from.Add(now.Sub(from) / 2))
-	budget := s.spec.OverloadMultiple * share * s.spec.Speed / s.fault.Slowdown * float64(s.spec.Slots) * float64(s.spec.OverloadWindow)
-	if float64(sum) <= budget+float64(work) {
+	// The capacity in the middle of the window stands for all of it.
+	fraction := s.capacityFraction(from.Add(now.Sub(from) / 2))
+	budget := s.spec.OverloadMultiple * fraction * s.spec.Speed / s.fault.Slowdown * float64(s.spec.Slots) * float64(s.spec.OverloadWindow)
+	if float64(total) <= budget+float64(work) {
 		return nil
 	}
 	by := map[string]time.Duration{}
@@ -78,16 +80,15 @@
 	return by
 }
 
-// begin holds a slot for a job, from now on.
+// startJob starts a job that has a slot.
 func (s *Server) startJob(job *queuedJob, now time.Time) {
 	job.startedAt = now
 	job.duration = time.Duration(float64(job.work) * s.fault.Slowdown / (s.spec.Speed * s.capacityFraction(now)))
 	job.start <- true
 }
 
-// release gives a slot that was free from a moment on to the next in the queue whose caller still waits. The next one
-// begins at that moment, or when it came, rather than now: timers are up to a millisecond late, and a queue would add
-// that up.
+// releaseSlot gives a slot that is free since a moment to the next job in the queue that is not canceled. The job starts at that moment,
+// or when it arrived, rather than now, so that the delays of timers do not add up in a queue.
 func (s *Server) releaseSlot(incarnation int, free time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 	s.busy--
 }
 
-// sweep forgets the jobs at the queue's head that have left, so that a queue of them is not a full one.
+// removeCanceled removes canceled jobs from the queue.
 func (s *Server) removeCanceled() {
 	kept := s.queue[:0]
 	for _, job := range s.queue {
--- a/internal/faultlab/stubserver/stubserver.go
+++ b/internal/faultlab/stubserver/stubserver.go
@@ -1,8 +1,7 @@
-// Package stubserver is a stub of a backend server: it has slots, a queue, a limit on connections, a slow start and an
-// overload threshold, and speaks the platform's protocol.
+// Package stubserver is a stub of a backend server: it has slots, a queue, a limit of connections, slow start and an overload
+// threshold, and speaks the platform's protocol. It knows nothing of proxies and never judges: the referee does.
 //
-// Work is simulated by waiting: a request of w ms of work holds one slot for w / speed, in real time. On a machine that is
-// late the stub is slow, too; the run reports its lateness.
+// Work is simulated by waiting: w ms of work hold a slot for w / speed ms of real time.
 package stubserver
 
 import (
@@ -13,7 +12,7 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// Spec is what a server is.
+// Spec describes a server.
 type Spec struct {
 	Name  string
 	Zone  string
@@ -23,8 +22,8 @@
 	Queue int
 
 	MaxConnections   int
-	ConnectDelay     time.Duration // before a new connection's first request is seen
-	ConnectWork      time.Duration // that it costs, beside its own work
+	ConnectDelay     time.Duration // of a new connection's first request
+	ConnectWork      time.Duration // added to a new connection's first request
 	IdleTimeout      time.Duration
 	StartCapacity    float64
 	SlowStart        time.Duration
@@ -34,21 +33,21 @@
 	Seed             uint64
 }
 
-// Job is what the lab's plan knows of a request by its id.
+// Job is a request's work, response size and proxy, by the lab's plan.
 type Job struct {
 	Work          time.Duration
 	ResponseBytes int // bytes
 	Proxy         string
 }
 
-// World is what a server asks of the rest of the lab.
+// Lab is what a server needs of the rest of the lab.
 type Lab interface {
 	Job(id string) (Job, bool)
-	// Fell tells that the server has fallen over, and stays down until it is started again.
+	// OverloadFailed reports that a server failed under overload; it must be stopped.
 	OverloadFailed(name string)
 }
 
-// Server is one server. Its connections come from links; the lab starts, stops and hampers it.
+// Server is a stub server. Its connections come from links; the lab starts and stops it and applies faults.
 type Server struct {
 	spec    Spec
 	lab     Lab
@@ -56,34 +55,34 @@
 
 	mu          sync.Mutex
 	up          bool
-	startedAt   time.Time // of its last start
-	slowStart   bool      // that start was a cold one
-	incarnation int       // goes up at each start and end
+	startedAt   time.Time // time of the last start
+	slowStart   bool      // the last start was with slow start
+	incarnation int       // increases at each start and end
 	draining    bool
 	faults      map[*Fault]struct{}
-	fault       Fault // the sum of them
+	fault       Fault // all of them combined
 	conns       int
 	busy        int
 	queue       []*queuedJob
-	recentWork  []workArrival // work within the last Spec.Fall, while cold
+	recentWork  []workArrival // within the last OverloadWindow, during slow start
 	rng         *rand.Rand
 }
 
-// New is a server that is not up yet.
+// New returns a server that is not started.
 func New(spec Spec, world Lab, ref *referee.Referee) *Server {
 	return &Server{spec: spec, lab: world, referee: ref, fault: Fault{Slowdown: 1}, faults: map[*Fault]struct{}{}, rng: rand.New(rand.NewPCG(spec.Seed, 7))}
 }
 
-// Start brings it up, cold or long warm.
-func (s *Server) Start(at time.Time, cold bool) {
+// Start starts the server, with slow start or at full capacity.
+func (s *Server) Start(at time.Time, slowStart bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.up, s.startedAt, s.slowStart, s.draining = true, at, cold, false
+	s.up, s.startedAt, s.slowStart, s.draining = true, at, slowStart, false
 	s.incarnation++
 	s.busy, s.queue, s.recentWork = 0, nil, nil
 }
 
-// Stop ends the process: what is in work is gone. The lab resets its connections.
+// Stop ends the server with its queue and its work. The lab resets the connections.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,18 +94,18 @@
 	s.busy, s.queue = 0, nil
 }
 
-// Drain has it turn new requests away and finish what it has.
+// Drain has the server reject new requests and finish those in flight.
 func (s *Server) Drain(on bool) { s.locked(func() { s.draining = on }) }
 
-// Hamper is what can be wrong with a server that is up.
+// Fault is what is wrong with a running server.
 type Fault struct {
-	Slowdown       float64 // its work takes so many times as long; 0 is 1
-	ErrorFraction  float64 // part of what it works on that gets 500
-	GarbleFraction float64 // part of its answers that it spoils
-	Hangs          bool    // it takes requests and never answers
+	Slowdown       float64 // factor of the duration of work; 0 is 1
+	ErrorFraction  float64 // fraction of the requests that get 500
+	GarbleFraction float64 // fraction of the responses that violate the protocol
+	Hangs          bool    // requests are accepted and never answered
 }
 
-// Hamper hampers it until end is called. Several add up, and each ends by itself.
+// ApplyFault applies a fault until end is called. Several faults are combined, and each ends independently.
 func (s *Server) ApplyFault(h Fault) (end func()) {
 	p := &h
 	s.locked(func() { s.faults[p] = struct{}{}; s.combineFaults() })
@@ -125,17 +124,18 @@
 	}
 }
 
+// locked calls change with the server's lock.
 func (s *Server) locked(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// share is its present part of its capacity: it rises evenly from the start to the end of the cold time.
+// capacityFraction is the current fraction of the full capacity: it rises linearly during slow start.
 func (s *Server) capacityFraction(now time.Time) float64 {
 	if !s.slowStart || s.spec.SlowStart <= 0 {
 		return 1
 	}
-	part := float64(now.Sub(s.startedAt)) / float64(s.spec.SlowStart)
-	return min(1, s.spec.StartCapacity+(1-s.spec.StartCapacity)*part)
+	fraction := float64(now.Sub(s.startedAt)) / float64(s.spec.SlowStart)
+	return min(1, s.spec.StartCapacity+(1-s.spec.StartCapacity)*fraction)
 }
--- a/internal/faultlab/stubserver/stubserver_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -24,7 +24,7 @@
 func (w world) Job(string) (Job, bool)     { return Job{Work: w.work, ResponseBytes: 10, Proxy: "p"}, true }
 func (w world) OverloadFailed(name string) { w.fell <- name }
 
-// newNodo is a server behind a link, with its address and the referee of what comes.
+// newServer returns a server behind a link, with its address and referee.
 func newServer(t testing.TB, spec Spec, work time.Duration) (*Server, world, *referee.Referee, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,16 +48,16 @@
 	return server, w, ref, addr
 }
 
-// ask makes one request on a connection of its own and tells its status: 0 is none.
-func ask(ref *referee.Referee, addr, id string, patience time.Duration) (status int, notStarted bool) {
+// ask makes one request on a connection of its own and returns the status; 0: none.
+func ask(ref *referee.Referee, addr, id string, timeout time.Duration) (status int, notStarted bool) {
 	ref.RecordSend(&referee.ClientAttempt{ID: id, Method: "GET", Path: "/c", RequestDigest: wire.Digest(nil)}, "p")
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return 0, false
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c, "GET /c HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %d\r\n\r\n", wire.RequestID, id, wire.Timeout, patience.Milliseconds())
+	_ = c.SetDeadline(time.Now().Add(timeout))
+	fmt.Fprintf(c, "GET /c HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %d\r\n\r\n", wire.RequestID, id, wire.Timeout, timeout.Milliseconds())
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, false
@@ -66,7 +66,7 @@
 	return resp.StatusCode, resp.Header.Get(wire.NotStarted) == "1"
 }
 
-// What a server says and does by the state that it is in. The work takes for ever where only its beginning counts.
+// A server's response depends on its state. Work takes forever where only its start matters.
 func TestResponses(t *testing.T) {
 	const forever = time.Hour
 	one := Spec{Slots: 1, Speed: 1, Queue: 1}
@@ -75,26 +75,26 @@
 		spec       Spec
 		work       time.Duration
 		before     func(server *Server)
-		hold       int // requests that are out already
-		patience   time.Duration
+		hold       int // requests in flight already
+		timeout    time.Duration
 		status     int
 		notStarted bool
 	}{
-		{name: "serves", spec: one, patience: time.Minute, status: 200},
-		{name: "fails", spec: one, before: func(server *Server) { server.ApplyFault(Fault{ErrorFraction: 1}) }, patience: time.Minute, status: 500},
-		{name: "two hampers, one ended", spec: one, before: func(server *Server) {
+		{name: "serves", spec: one, timeout: time.Minute, status: 200},
+		{name: "fails", spec: one, before: func(server *Server) { server.ApplyFault(Fault{ErrorFraction: 1}) }, timeout: time.Minute, status: 500},
+		{name: "two faults, one ended", spec: one, before: func(server *Server) {
 			server.ApplyFault(Fault{ErrorFraction: 1})
 			server.ApplyFault(Fault{ErrorFraction: 1})()
 		},
-			patience: time.Minute, status: 500},
-		{name: "no hamper left", spec: one, before: func(server *Server) { server.ApplyFault(Fault{Hangs: true})() }, patience: time.Minute, status: 200},
-		{name: "hangs", spec: one, before: func(server *Server) { server.ApplyFault(Fault{Hangs: true}) }, patience: 50 * time.Millisecond},
-		{name: "draining", spec: one, before: func(server *Server) { server.Drain(true) }, patience: time.Minute, status: 503, notStarted: true},
-		{name: "queue full", spec: one, work: forever, hold: 2, patience: time.Minute, status: 503, notStarted: true},
-		{name: "waits in the queue", spec: one, work: forever, hold: 1, patience: 50 * time.Millisecond},
-		{name: "too many connections", spec: Spec{Slots: 9, Speed: 1, MaxConnections: 1}, work: forever, hold: 1, patience: time.Minute,
+			timeout: time.Minute, status: 500},
+		{name: "no fault left", spec: one, before: func(server *Server) { server.ApplyFault(Fault{Hangs: true})() }, timeout: time.Minute, status: 200},
+		{name: "hangs", spec: one, before: func(server *Server) { server.ApplyFault(Fault{Hangs: true}) }, timeout: 50 * time.Millisecond},
+		{name: "draining", spec: one, before: func(server *Server) { server.Drain(true) }, timeout: time.Minute, status: 503, notStarted: true},
+		{name: "queue full", spec: one, work: forever, hold: 2, timeout: time.Minute, status: 503, notStarted: true},
+		{name: "waits in the queue", spec: one, work: forever, hold: 1, timeout: 50 * time.Millisecond},
+		{name: "too many connections", spec: Spec{Slots: 9, Speed: 1, MaxConnections: 1}, work: forever, hold: 1, timeout: time.Minute,
 			status: 503, notStarted: true},
-		{name: "dead", spec: one, before: func(server *Server) { server.Stop() }, patience: 50 * time.Millisecond},
+		{name: "dead", spec: one, before: func(server *Server) { server.Stop() }, timeout: 50 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server, _, ref, addr := newServer(t, test.spec, test.work)
@@ -108,14 +108,14 @@
 			for in := 0; in < test.hold; time.Sleep(time.Millisecond) {
 				server.locked(func() { in = server.busy + len(server.queue) })
 			}
-			if status, notStarted := ask(ref, addr, "x", test.patience); status != test.status || notStarted != test.notStarted {
+			if status, notStarted := ask(ref, addr, "x", test.timeout); status != test.status || notStarted != test.notStarted {
 				t.Errorf("got %d, Not-Started %v; want %d, %v", status, notStarted, test.status, test.notStarted)
 			}
 		})
 	}
 }
 
-// A caller that goes gives its place back: in the queue, and in a slot where work can be cancelled.
+// A canceled request frees its place in the queue, and its slot if work can be canceled.
 func TestCanceledRequestsFreeTheirPlaces(t *testing.T) {
 	server, _, ref, addr := newServer(t, Spec{Slots: 1, Speed: 1, Queue: 1, CancelsWork: true}, time.Hour)
 	server.Start(time.Time{}, false)
@@ -149,7 +149,7 @@
 		for j := range 2 {
 			both.Go(func() {
 				if status, _ := ask(ref, addr, fmt.Sprint(i, j), 100*time.Millisecond); status == 503 {
-					t.Errorf("round %d: turned away, though both places should be free", i)
+					t.Errorf("round %d: rejected, though both places should be free", i)
 				}
 			})
 		}
@@ -158,7 +158,7 @@
 	}
 }
 
-// The budget of a warming server: over it the server falls, under it it does not, and warm it stands anything.
+// In slow start a server fails over its budget and not below; at full capacity it never fails.
 func TestOverloadBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
