--- a/internal/faultlab/report/html.go
+++ b/internal/faultlab/report/html.go
@@ -147,7 +147,7 @@
 {{range .Zoned}}<tr><td>{{.From}}</td>{{range .To}}<td class="n">{{.}}</td>{{end}}</tr>{{end}}</table>
 {{if .Violations}}<h3>Broken rules</h3><table><tr><th>rule</th><th>at</th><th>proxy</th><th>nodo</th><th>request</th><th></th></tr>
 {{range .Violations}}<tr class="bad"><td title="{{index $.Rules .Rule}}">{{.Rule}}</td><td>{{.At.Format "15:04:05.000"}}</td>
-<td>{{.Proxy}}</td><td>{{.Nodo}}</td><td>{{.Try}}</td><td>{{.Text}}</td></tr>{{end}}</table>{{end}}
+<td>{{.Proxy}}</td><td>{{.Server}}</td><td>{{.Attempt}}</td><td>{{.Text}}</td></tr>{{end}}</table>{{end}}
 {{end}}
 <h2>All figures</h2>
 <table><tr><th>figure</th><th>median</th><th>spread</th></tr>
