--- /dev/null
+++ b/internal/faultlab/report/page.go
@@ -0,0 +1,163 @@
+package report
+
+import (
+	"cmp"
+	"html/template"
+	"slices"
+	"strings"
+
+	"merlinpick/internal/faultlab/experiment"
+	"merlinpick/internal/faultlab/result"
+)
+
+const (
+	slowestShown = 5 // faults
+	clockFormat  = "15:04:05.000"
+)
+
+// page is the data of the template, which uses these types only: a field of a result that is renamed fails to compile here
+// rather than when a page is written. Times without a format are in seconds from the start of the load.
+type page struct {
+	Title, File, Version string
+	StartedAt            string // UTC
+	Verdict              string
+	Cores                int
+	LoadBefore           float64 // load average of a minute
+	LoadAfter            float64
+	Expectations         []expectation
+	SlowestFaults        []faultRow
+	Plays                []play
+	Percentiles          []string
+	Metrics              []metricRow
+}
+
+type expectation struct {
+	Metric   string
+	Min, Max string // bounds; empty if there is none
+	Median   string
+	Span     string // of the arrivals that count; empty: all
+	Held     bool
+	Text     string
+}
+
+type faultRow struct {
+	Play          int // from 1
+	Number        int
+	Kind          string
+	Targets       string
+	Start, End    float64
+	WeightBefore  float64
+	Recovery      float64
+	StillDegraded bool
+}
+
+type play struct {
+	Number                                int // from 1
+	Seed                                  uint64
+	Void                                  string
+	Partial                               bool
+	LatenessP50, LatenessP99, LatenessMax float64 // ms
+	LongestStall                          float64 // ms
+	LabMemory                             float64 // MB
+	Pictures                              []template.HTML
+	Latency                               map[string][]float64 // ms at Percentiles, by class
+	Zones                                 []string
+	ZoneAttempts                          []zoneRow
+	Violations                            []violation
+}
+
+type zoneRow struct {
+	From string
+	To   []int // in the order of Zones
+}
+
+type violation struct {
+	Rule, RuleText, At, Proxy, Server, Attempt, Text string
+}
+
+type metricRow struct {
+	Name, Median, Spread string
+}
+
+func newPage(r *result.Result) (*page, error) {
+	p := &page{Title: r.Title, File: r.File, Version: r.Version, StartedAt: r.Began.Format("2006-01-02 15:04:05"),
+		Verdict: verdict(r), Cores: r.Machine.Cores, LoadBefore: r.Machine.LoadBefore[0], LoadAfter: r.Machine.LoadAfter[0],
+		SlowestFaults: slowestFaults(r)}
+	for _, e := range r.Expected {
+		p.Expectations = append(p.Expectations, newExpectation(e))
+	}
+	for _, percentile := range result.Percentiles {
+		p.Percentiles = append(p.Percentiles, formatNumber(percentile))
+	}
+	for _, name := range r.Names() {
+		values := r.Metrics[name]
+		p.Metrics = append(p.Metrics, metricRow{name, formatNumber(values.Median), formatSpread(values)})
+	}
+	for i, one := range r.Plays {
+		shown, err := newPlay(i+1, one)
+		if err != nil {
+			return nil, err
+		}
+		p.Plays = append(p.Plays, shown)
+	}
+	return p, nil
+}
+
+func newExpectation(e result.Verdict) expectation {
+	out := expectation{Metric: e.Figure, Median: formatNumber(e.Range.Median), Held: e.Held, Text: e.Text}
+	if e.Min != nil {
+		out.Min = formatNumber(*e.Min)
+	}
+	if e.Max != nil {
+		out.Max = formatNumber(*e.Max)
+	}
+	if e.From != 0 || e.To != 0 {
+		out.Span = formatNumber(e.From) + " to " + formatNumber(e.To) + " s"
+	}
+	return out
+}
+
+func newPlay(number int, p result.Play) (play, error) {
+	out := play{Number: number, Seed: p.Seed, Void: p.Void, Partial: p.Partial, LatenessP50: p.Late.P50, LatenessP99: p.Late.P99,
+		LatenessMax: p.Late.Max, LongestStall: p.Late.Stall, LabMemory: p.LabMB, Latency: p.Latency, Zones: p.Zones}
+	for _, draw := range []func(result.Play) (template.HTML, error){rateChart, latencyChart} {
+		picture, err := draw(p)
+		if err != nil {
+			return play{}, err
+		}
+		out.Pictures = append(out.Pictures, picture)
+	}
+	for _, zone := range p.Zones {
+		out.ZoneAttempts = append(out.ZoneAttempts, zoneRow{zone, p.Attempts[zone]})
+	}
+	for _, v := range p.Violations {
+		out.Violations = append(out.Violations, violation{Rule: v.Rule, RuleText: experiment.RuleText[v.Rule],
+			At: v.At.Format(clockFormat), Proxy: v.Proxy, Server: v.Server, Attempt: v.Attempt, Text: v.Text})
+	}
+	return out, nil
+}
+
+// slowestFaults returns the faults of all plays with the longest recovery, the longest first.
+func slowestFaults(r *result.Result) []faultRow {
+	var out []faultRow
+	for i, p := range r.Plays {
+		for _, ev := range p.Events {
+			out = append(out, faultRow{Play: i + 1, Number: ev.N, Kind: ev.Kind, Targets: strings.Join(ev.Target, " "), Start: ev.From,
+				End: ev.To, WeightBefore: ev.Before, Recovery: ev.Recovery, StillDegraded: ev.Below})
+		}
+	}
+	slices.SortStableFunc(out, func(a, b faultRow) int { return cmp.Compare(b.Recovery, a.Recovery) })
+	return out[:min(slowestShown, len(out))]
+}
+
+func verdict(r *result.Result) string {
+	switch {
+	case r.Partial != "":
+		return "PARTIAL: " + r.Partial + ". Nothing is judged."
+	case r.Void() != "":
+		return "VOID: " + r.Void()
+	case !r.Held:
+		return "NOT HELD"
+	}
+	return "HELD"
+}
--- a/internal/faultlab/report/text.go
+++ b/internal/faultlab/report/text.go
@@ -1,5 +1,5 @@
-// Package report writes what a run left for people: a page that opens from disk, a table, and the difference between
-// two runs. It reads Results and nothing else.
+// Package report renders the results of fault-lab runs for people: an HTML page, a text table and a comparison of two runs. It
+// reads result.Result only, and never evaluates a run.
 package report
 
 import (
@@ -16,64 +16,74 @@
 
 const violationsShown = 10
 
-// Text prints a run's metrics, faults and verdicts.
+// Text prints a run's metrics, faults, violations and verdicts.
 func Text(w io.Writer, r *result.Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s (%s, version %s)\n", r.Title, r.File, r.Version)
 	for i, p := range r.Plays {
 		fmt.Fprintf(t, "play %d: seed %d, plan %s, the lab late by %.2f / %.2f / %.1f ms (p50, p99, max), stalled %.1f ms, %.0f MB%s\n",
-			i+1, p.Seed, p.Plan, p.Late.P50, p.Late.P99, p.Late.Max, p.Late.Stall, p.LabMB, voidText(p))
+			i+1, p.Seed, p.Plan, p.Late.P50, p.Late.P99, p.Late.Max, p.Late.Stall, p.LabMB, formatInvalid(p))
 	}
 	fmt.Fprintln(t, "figure\tmedian\tmin\tmax")
 	for _, name := range r.Names() {
-		if _, _, _, ok := spentName(name); ok {
+		if _, _, _, ok := parseUsageName(name); ok {
 			continue
 		}
-		g := r.Metrics[name]
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", name, num(g.Median), num(g.Min), num(g.Max))
+		values := r.Metrics[name]
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\n", name, formatNumber(values.Median), formatNumber(values.Min), formatNumber(values.Max))
 	}
-	control(t, r)
+	writeUsage(t, r)
 	for i, p := range r.Plays {
-		for _, ev := range p.Events {
-			back := fmt.Sprintf("back to 95 %% after %.1f s", ev.Recovery)
-			switch {
-			case ev.Below:
-				back = fmt.Sprintf("not back %.1f s later", ev.Recovery)
-			case ev.Recovery == 0:
-				back = "service stayed over 95 %"
-			}
-			fmt.Fprintf(t, "play %d, fault %d: %s %s from %.1f to %.1f s: %s\n", i+1, ev.N, ev.Kind,
-				strings.Join(ev.Target, " "), ev.From, ev.To, back)
-		}
-		for j, v := range p.Violations {
-			if j == violationsShown {
-				fmt.Fprintf(t, "play %d: further breaches in result.json\n", i+1)
-				break
-			}
-			fmt.Fprintf(t, "play %d: BROKEN %s: %s (proxy %s, nodo %s, request %s): %s\n", i+1, v.Rule,
-				v.At.Format("15:04:05.000"), v.Proxy, v.Server, v.Attempt, v.Text)
-		}
+		writeFaults(t, i+1, p)
+		writeViolations(t, i+1, p)
 	}
-	for _, v := range r.Expected {
-		if v.Held {
-			continue
+	writeExpectations(t, r)
+	return t.Flush()
+}
+
+func writeFaults(w io.Writer, play int, p result.Play) {
+	for _, ev := range p.Events {
+		recovery := fmt.Sprintf("back to 95 %% after %.1f s", ev.Recovery)
+		switch {
+		case ev.Below:
+			recovery = fmt.Sprintf("not back %.1f s later", ev.Recovery)
+		case ev.Recovery == 0:
+			recovery = "service stayed over 95 %"
 		}
-		fmt.Fprintf(t, "NOT HELD: %s", v.Text)
-		if rule, ok := strings.CutPrefix(v.Figure, "broken."); ok {
-			fmt.Fprintf(t, "  %s: %s\n", rule, experiment.RuleText[rule])
+		fmt.Fprintf(w, "play %d, fault %d: %s %s from %.1f to %.1f s: %s\n", play, ev.N, ev.Kind,
+			strings.Join(ev.Target, " "), ev.From, ev.To, recovery)
+	}
+}
+
+func writeViolations(w io.Writer, play int, p result.Play) {
+	for i, v := range p.Violations {
+		if i == violationsShown {
+			fmt.Fprintf(w, "play %d: further breaches in result.json\n", play)
+			return
 		}
+		fmt.Fprintf(w, "play %d: BROKEN %s: %s (proxy %s, nodo %s, request %s): %s\n", play, v.Rule,
+			v.At.Format(clockFormat), v.Proxy, v.Server, v.Attempt, v.Text)
 	}
+}
+
+// writeExpectations prints the expectations that did not hold, and how many did.
+func writeExpectations(w io.Writer, r *result.Result) {
 	held := 0
 	for _, v := range r.Expected {
 		if v.Held {
 			held++
+			continue
+		}
+		fmt.Fprintf(w, "NOT HELD: %s", v.Text)
+		if rule, ok := strings.CutPrefix(v.Figure, "broken."); ok {
+			fmt.Fprintf(w, "  %s: %s\n", rule, experiment.RuleText[rule])
 		}
 	}
-	fmt.Fprintf(t, "%d of %d expectations held\n", held, len(r.Expected))
-	return t.Flush()
+	fmt.Fprintf(w, "%d of %d expectations held\n", held, len(r.Expected))
 }
 
-func voidText(p result.Play) string {
+// formatInvalid says why a play does not count; empty if it does.
+func formatInvalid(p result.Play) string {
 	switch {
 	case p.Void != "":
 		return "; VOID: " + p.Void
@@ -83,15 +93,16 @@
 	return ""
 }
 
-func num(v float64) string {
+// formatNumber returns four significant digits, or all digits of an integer.
+func formatNumber(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e9 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.4g", v)
 }
 
-// Compare prints the metrics of two runs with their differences. A difference lies within the spread if the ranges of
-// the two runs' plays overlap; single plays have no spread, and are said to have none.
+// Compare prints the metrics of two runs with their differences. A difference is within the spread if the ranges of the two
+// runs' plays overlap; runs of a single play have no spread.
 func Compare(w io.Writer, a, b *result.Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "A: %s, %d plays, version %s\nB: %s, %d plays, version %s\n", a.Title, len(a.Plays), a.Version, b.Title,
@@ -111,29 +122,31 @@
 		x, inA := a.Metrics[name]
 		y, inB := b.Metrics[name]
 		if !inA || !inB {
-			fmt.Fprintf(t, "%s\t%s\t\t%s\t\t\tin one only\n", name, maybe(x, inA), maybe(y, inB))
+			fmt.Fprintf(t, "%s\t%s\t\t%s\t\t\tin one only\n", name, formatMedian(x, inA), formatMedian(y, inB))
 			continue
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%+.4g\t%s\n", name, num(x.Median), spread(x), num(y.Median), spread(y),
-			y.Median-x.Median, within(x, y, len(a.Plays), len(b.Plays)))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%+.4g\t%s\n", name, formatNumber(x.Median), formatSpread(x), formatNumber(y.Median), formatSpread(y),
+			y.Median-x.Median, compareSpreads(x, y, len(a.Plays), len(b.Plays)))
 	}
 	return t.Flush()
 }
 
-func maybe(r result.Range, has bool) string {
-	if !has {
+// formatMedian returns the median, or "-" for a metric that a run lacks.
+func formatMedian(r result.Range, present bool) string {
+	if !present {
 		return "-"
 	}
-	return num(r.Median)
+	return formatNumber(r.Median)
 }
 
-func spread(r result.Range) string { return num(r.Min) + ".." + num(r.Max) }
+func formatSpread(r result.Range) string { return formatNumber(r.Min) + ".." + formatNumber(r.Max) }
 
-func within(x, y result.Range, na, nb int) string {
+// compareSpreads classifies the difference of two ranges over some plays each.
+func compareSpreads(x, y result.Range, playsA, playsB int) string {
 	switch {
 	case x == y:
 		return "same"
-	case na < 2 && nb < 2:
+	case playsA < 2 && playsB < 2:
 		return "single plays: no spread known"
 	case x.Min <= y.Max && y.Min <= x.Max:
 		return "within the spread"
