--- a/internal/faultlab/report/charts.go
+++ b/internal/faultlab/report/charts.go
@@ -41,7 +41,7 @@
 	chart.Legend.Top = true
 	width := 1.0
 	if len(p.Windows) > 1 {
-		width = p.Windows[1].At - p.Windows[0].At
+		width = p.Windows[1].Start - p.Windows[0].Start
 	}
 	highest := 1.0
 	for _, w := range p.Windows {
@@ -63,14 +63,14 @@
 
 // addFault shades the span of a fault, at least minWidth seconds of it, and labels it.
 func addFault(chart *plot.Plot, ev result.Event, minWidth, height float64) error {
-	end := max(ev.To, ev.From+minWidth)
-	span, err := plotter.NewPolygon(plotter.XYs{{X: ev.From, Y: 0}, {X: end, Y: 0}, {X: end, Y: height}, {X: ev.From, Y: height}})
+	end := max(ev.End, ev.Start+minWidth)
+	span, err := plotter.NewPolygon(plotter.XYs{{X: ev.Start, Y: 0}, {X: end, Y: 0}, {X: end, Y: height}, {X: ev.Start, Y: height}})
 	if err != nil {
 		return err
 	}
 	span.Color, span.LineStyle.Width = shade, 0
-	label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: ev.From, Y: height}},
-		Labels: []string{fmt.Sprintf("%d %s", ev.N, ev.Kind)}})
+	label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: ev.Start, Y: height}},
+		Labels: []string{fmt.Sprintf("%d %s", ev.Number, ev.Kind)}})
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 	}
 	points := make(plotter.XYs, len(windows))
 	for i, w := range windows {
-		points[i] = plotter.XY{X: w.At + width/2, Y: float64(l.count(w)) / width}
+		points[i] = plotter.XY{X: w.Start + width/2, Y: float64(l.count(w)) / width}
 	}
 	line, err := plotter.NewLine(points)
 	if err != nil {
--- a/internal/faultlab/report/page.go
+++ b/internal/faultlab/report/page.go
@@ -80,7 +80,7 @@
 }
 
 func newPage(r *result.Result) (*page, error) {
-	p := &page{Title: r.Title, File: r.File, Version: r.Version, StartedAt: r.Began.Format("2006-01-02 15:04:05"),
+	p := &page{Title: r.Title, File: r.File, Version: r.Version, StartedAt: r.StartedAt.Format("2006-01-02 15:04:05"),
 		Verdict: verdict(r), Cores: r.Machine.Cores, LoadBefore: r.Machine.LoadBefore[0], LoadAfter: r.Machine.LoadAfter[0],
 		SlowestFaults: slowestFaults(r)}
 	for _, e := range r.Expected {
@@ -89,7 +89,7 @@
 	for _, percentile := range result.Percentiles {
 		p.Percentiles = append(p.Percentiles, formatNumber(percentile))
 	}
-	for _, name := range r.Names() {
+	for _, name := range r.MetricNames() {
 		values := r.Metrics[name]
 		p.Metrics = append(p.Metrics, metricRow{name, formatNumber(values.Median), formatSpread(values)})
 	}
@@ -104,22 +104,22 @@
 }
 
 func newExpectation(e result.Verdict) expectation {
-	out := expectation{Metric: e.Figure, Median: formatNumber(e.Range.Median), Held: e.Held, Text: e.Text}
+	out := expectation{Metric: e.Metric, Median: formatNumber(e.Range.Median), Held: e.Held, Text: e.Text}
 	if e.Min != nil {
 		out.Min = formatNumber(*e.Min)
 	}
 	if e.Max != nil {
 		out.Max = formatNumber(*e.Max)
 	}
-	if e.From != 0 || e.To != 0 {
-		out.Span = formatNumber(e.From) + " to " + formatNumber(e.To) + " s"
+	if e.Start != 0 || e.End != 0 {
+		out.Span = formatNumber(e.Start) + " to " + formatNumber(e.End) + " s"
 	}
 	return out
 }
 
 func newPlay(number int, p result.Play) (play, error) {
-	out := play{Number: number, Seed: p.Seed, Void: p.Void, Partial: p.Partial, LatenessP50: p.Late.P50, LatenessP99: p.Late.P99,
-		LatenessMax: p.Late.Max, LongestStall: p.Late.Stall, LabMemory: p.LabMB, Latency: p.Latency, Zones: p.Zones}
+	out := play{Number: number, Seed: p.Seed, Void: p.Void, Partial: p.Partial, LatenessP50: p.Lateness.P50, LatenessP99: p.Lateness.P99,
+		LatenessMax: p.Lateness.Max, LongestStall: p.Lateness.Stall, LabMemory: p.LabMB, Latency: p.Latency, Zones: p.Zones}
 	for _, draw := range []func(result.Play) (template.HTML, error){rateChart, latencyChart} {
 		picture, err := draw(p)
 		if err != nil {
@@ -142,8 +142,8 @@
 	var out []faultRow
 	for i, p := range r.Plays {
 		for _, ev := range p.Events {
-			out = append(out, faultRow{Play: i + 1, Number: ev.N, Kind: ev.Kind, Targets: strings.Join(ev.Target, " "), Start: ev.From,
-				End: ev.To, WeightBefore: ev.Before, Recovery: ev.Recovery, StillDegraded: ev.Below})
+			out = append(out, faultRow{Play: i + 1, Number: ev.Number, Kind: ev.Kind, Targets: strings.Join(ev.Target, " "), Start: ev.Start,
+				End: ev.End, WeightBefore: ev.WeightBefore, Recovery: ev.Recovery, StillDegraded: ev.StillDegraded})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b faultRow) int { return cmp.Compare(b.Recovery, a.Recovery) })
@@ -154,8 +154,8 @@
 	switch {
 	case r.Partial != "":
 		return "PARTIAL: " + r.Partial + ". Nothing is judged."
-	case r.Void() != "":
-		return "VOID: " + r.Void()
+	case r.VoidReason() != "":
+		return "VOID: " + r.VoidReason()
 	case !r.Held:
 		return "NOT HELD"
 	}
--- a/internal/faultlab/report/report_test.go
+++ b/internal/faultlab/report/report_test.go
@@ -16,16 +16,16 @@
 	max := 3.0
 	at := time.Date(2026, 1, 2, 3, 4, 5, 678e6, time.UTC)
 	return &result.Result{
-		Title: "sample", File: "sample.toml", Version: "v1", Began: at,
+		Title: "sample", File: "sample.toml", Version: "v1", StartedAt: at,
 		Metrics: map[string]result.Range{"goodput": {Median: 0.5, Min: 0.25, Max: 1}, "control.calm.proxy.in_b_s": {Median: 1234}},
-		Expected: []result.Verdict{{Figure: "broken.lost", Max: &max, From: 1, To: 2, Text: "in play 1"},
-			{Figure: "goodput", Max: &max, Held: true}},
+		Expected: []result.Verdict{{Metric: "broken.lost", Max: &max, Start: 1, End: 2, Text: "in play 1"},
+			{Metric: "goodput", Max: &max, Held: true}},
 		Plays: []result.Play{{
-			Seed: 7, Plan: "abc", Late: result.Lateness{P50: 0.1, P99: 0.2, Max: 3, Stall: 4}, LabMB: 50,
+			Seed: 7, Plan: "abc", Lateness: result.Lateness{P50: 0.1, P99: 0.2, Max: 3, Stall: 4}, LabMB: 50,
 			Violations: []referee.Violation{{Rule: "lost", At: at, Proxy: "proxy-1", Server: "server-2", Attempt: "attempt-3", Text: "no answer"}},
-			Events: []result.Event{{N: 1, Kind: "kill", Target: []string{"proxy-1"}, From: 1, To: 2, Recovery: 1.5, Before: 0.9},
-				{N: 2, Kind: "cut", From: 3, To: 4, Recovery: 2.5, Below: true, Before: 0.8}},
-			Windows:  []result.Window{{At: 0, Arrived: 10, Served: 9, Rejected: 1}, {At: 1, Arrived: 20, Served: 18, Failed: 2}},
+			Events: []result.Event{{Number: 1, Kind: "kill", Target: []string{"proxy-1"}, Start: 1, End: 2, Recovery: 1.5, WeightBefore: 0.9},
+				{Number: 2, Kind: "cut", Start: 3, End: 4, Recovery: 2.5, StillDegraded: true, WeightBefore: 0.8}},
+			Windows:  []result.Window{{Start: 0, Arrived: 10, Served: 9, Rejected: 1}, {Start: 1, Arrived: 20, Served: 18, Failed: 2}},
 			Latency:  map[string][]float64{"class-a": make([]float64, len(result.Percentiles))},
 			Zones:    []string{"east", "west"},
 			Attempts: map[string][]int{"east": {5, 6}, "west": {7, 8}},
--- a/internal/faultlab/report/text.go
+++ b/internal/faultlab/report/text.go
@@ -22,10 +22,10 @@
 	fmt.Fprintf(t, "%s (%s, version %s)\n", r.Title, r.File, r.Version)
 	for i, p := range r.Plays {
 		fmt.Fprintf(t, "play %d: seed %d, plan %s, the lab late by %.2f / %.2f / %.1f ms (p50, p99, max), stalled %.1f ms, %.0f MB%s\n",
-			i+1, p.Seed, p.Plan, p.Late.P50, p.Late.P99, p.Late.Max, p.Late.Stall, p.LabMB, formatInvalid(p))
+			i+1, p.Seed, p.Plan, p.Lateness.P50, p.Lateness.P99, p.Lateness.Max, p.Lateness.Stall, p.LabMB, formatInvalid(p))
 	}
 	fmt.Fprintln(t, "figure\tmedian\tmin\tmax")
-	for _, name := range r.Names() {
+	for _, name := range r.MetricNames() {
 		if _, _, _, ok := parseUsageName(name); ok {
 			continue
 		}
@@ -45,13 +45,13 @@
 	for _, ev := range p.Events {
 		recovery := fmt.Sprintf("back to 95 %% after %.1f s", ev.Recovery)
 		switch {
-		case ev.Below:
+		case ev.StillDegraded:
 			recovery = fmt.Sprintf("not back %.1f s later", ev.Recovery)
 		case ev.Recovery == 0:
 			recovery = "service stayed over 95 %"
 		}
-		fmt.Fprintf(w, "play %d, fault %d: %s %s from %.1f to %.1f s: %s\n", play, ev.N, ev.Kind,
-			strings.Join(ev.Target, " "), ev.From, ev.To, recovery)
+		fmt.Fprintf(w, "play %d, fault %d: %s %s from %.1f to %.1f s: %s\n", play, ev.Number, ev.Kind,
+			strings.Join(ev.Target, " "), ev.Start, ev.End, recovery)
 	}
 }
 
@@ -75,7 +75,7 @@
 			continue
 		}
 		fmt.Fprintf(w, "NOT HELD: %s", v.Text)
-		if rule, ok := strings.CutPrefix(v.Figure, "broken."); ok {
+		if rule, ok := strings.CutPrefix(v.Metric, "broken."); ok {
 			fmt.Fprintf(w, "  %s: %s\n", rule, experiment.RuleText[rule])
 		}
 	}
@@ -111,12 +111,12 @@
 		fmt.Fprintln(t, "the experiments differ: compare with care")
 	}
 	for name, r := range map[string]*result.Result{"A": a, "B": b} {
-		if why := r.Void(); why != "" {
+		if why := r.VoidReason(); why != "" {
 			fmt.Fprintf(t, "%s is void: %s\n", name, why)
 		}
 	}
 	fmt.Fprintln(t, "figure\tA\tspread\tB\tspread\tB - A\t")
-	names := append(a.Names(), b.Names()...)
+	names := append(a.MetricNames(), b.MetricNames()...)
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
 		x, inA := a.Metrics[name]
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -24,169 +24,188 @@
 )
 
 const (
-	hollowFrom  = "hollow" // the name of the dialling side of links that hollow ones share
-	hollowCall  = 20 * time.Second
-	hollowPoll  = 200 * time.Millisecond
-	hollowSeeds = 3 // of its fleet that a hollow proxy is told in each region
+	hollowLinkName     = "hollow" // the dialling side of links that hollow processes share
+	hollowCallTimeout  = 20 * time.Second
+	hollowPollInterval = 200 * time.Millisecond
+	seedsPerRegion     = 3 // gossip seeds of a hollow proxy in each region
 )
 
+// errHollowCall is a command that a hollow process answered with an error.
+var errHollowCall = errors.New("hollow process refused a command")
+
 // hollowProcess is a process of hollow proxies or servers.
 type hollowProcess struct {
-	cfg  hollow.Config
-	path string
-	proc *process.Process
+	config  hollow.Config
+	path    string
+	process *process.Process
 }
 
-// buildHollow makes the links of hollow ones, which share one for each zone and member, and their processes' files.
-func (f *fleet) buildHollow() error {
-	h := f.exp.Hollow
-	if !h.On() {
+// buildHollow creates the links of hollow processes, one for each zone and member of the list service, and their configurations.
+func (bed *testbed) buildHollow() error {
+	hollowExp := bed.experiment.Hollow
+	if !hollowExp.On() {
 		return nil
 	}
-	zones := f.exp.ZoneNames()
-	members := f.service.Targets(nil)
-	lists, leases := map[string][]string{}, map[string][]string{}
-	for z, zone := range zones {
-		for n, m := range members {
-			for kind, of := range map[string]struct {
-				addr string
-				all  map[string][]string
-			}{"list": {f.block.hollowList(z, n), lists}, "lease": {f.block.hollowLease(z, n), leases}} {
-				ends := link.Ends{Kind: kind, From: hollowFrom, FromZone: zone, To: m.Name, ToZone: m.Zone}
-				own := f.block.member(n, listPort)
-				if _, err := f.net.Listen(ends, of.addr, f.delay(zone, m.Zone), func(c *link.Conn) { _ = link.Pass(c, own, nil) }); err != nil {
-					return err
-				}
-				of.all[zone] = append(of.all[zone], of.addr)
-			}
-		}
+	lists, leases, err := bed.buildHollowLinks()
+	if err != nil {
+		return err
 	}
-	told, err := f.hollowSettings()
+	hollowSettings, err := bed.hollowSettings()
 	if err != nil {
 		return err
 	}
-	add := func(kind string, n int) (out []*hollowProcess) {
-		for i := range n {
-			p := &hollowProcess{cfg: hollow.Config{Name: fmt.Sprintf("%s%d", kind, i+1), ControlAddress: f.block.hollowControl(len(f.hollow)),
-				Settings: told, CallRate: h.Calls, FailedFraction: h.Bad, LeaseMs: int64(f.exp.List.LeaseMs)}}
-			p.path = filepath.Join(f.work, p.cfg.Name+".json")
-			p.cfg.FailureFile = filepath.Join(f.work, p.cfg.Name+".failed")
-			f.hollow = append(f.hollow, p)
-			out = append(out, p)
+	proxies := bed.addHollow("hollow-proxies", min(hollowExp.Processes, hollowExp.Proxies), hollowSettings)
+	bed.configureHollowProxies(proxies, lists)
+	servers := bed.addHollow("hollow-nodos", hollowExp.ServerProcesses(), hollowSettings)
+	bed.hollowProcessOf = map[string]*hollowProcess{}
+	for i, node := range bed.experiment.HollowServers() {
+		process := servers[i%len(servers)]
+		bed.hollowProcessOf[node.Name] = process
+		process.config.Servers = append(process.config.Servers, hollow.Server{Name: node.Name, Zone: node.Zone,
+			Address: bed.block.hollowServer(), RegistryMembers: leases[experiment.RegionOf(node.Zone)]})
+	}
+	return nil
+}
+
+// buildHollowLinks creates the links to the list service, and returns their addresses by zone: for lists and for leases.
+func (bed *testbed) buildHollowLinks() (lists, leases map[string][]string, err error) {
+	lists, leases = map[string][]string{}, map[string][]string{}
+	for i, zone := range bed.experiment.ZoneNames() {
+		for n, member := range bed.service.Targets(nil) {
+			own := bed.block.member(n, listPort)
+			listen := func(kind, address string) error {
+				ends := link.Ends{Kind: kind, From: hollowLinkName, FromZone: zone, To: member.Name, ToZone: member.Zone}
+				_, err := bed.net.Listen(ends, address, bed.delay(zone, member.Zone), func(c *link.Conn) { _ = link.Pass(c, own, nil) })
+				return err
+			}
+			list, lease := bed.block.hollowList(i, n), bed.block.hollowLease(i, n)
+			if err := errors.Join(listen("list", list), listen("lease", lease)); err != nil {
+				return nil, nil, err
+			}
+			lists[zone], leases[zone] = append(lists[zone], list), append(leases[zone], lease)
 		}
-		return out
 	}
-	proxies := add("hollow-proxies", min(h.Processes, h.Proxies))
-	r := f.plan.Source("hollow")
-	for i, n := range f.exp.HollowProxies() {
-		p := proxies[i%len(proxies)]
-		region := experiment.RegionOf(n.Zone)
-		x := hollow.Proxy{Name: n.Name, Zone: n.Zone, ReplicaIndex: i, Seed: r.Uint64(), RegistryMembers: lists[region]}
-		if s := h.ConfigService(i); s > 0 {
-			x.Service = experiment.ServiceName(s)
+	return lists, leases, nil
+}
+
+// addHollow adds n hollow processes without proxies or servers.
+func (bed *testbed) addHollow(kind string, n int, settings json.RawMessage) (added []*hollowProcess) {
+	hollowExp := bed.experiment.Hollow
+	for i := range n {
+		name := fmt.Sprintf("%s%d", kind, i+1)
+		process := &hollowProcess{path: filepath.Join(bed.workDir, name+".json"), config: hollow.Config{Name: name,
+			ControlAddress: bed.block.hollowControl(len(bed.hollow)), Settings: settings, CallRate: hollowExp.Calls,
+			FailedFraction: hollowExp.Bad, LeaseMs: int64(bed.experiment.List.LeaseMs),
+			FailureFile: filepath.Join(bed.workDir, name+".failed")}}
+		bed.hollow = append(bed.hollow, process)
+		added = append(added, process)
+	}
+	return added
+}
+
+// configureHollowProxies distributes the hollow proxies over their processes.
+func (bed *testbed) configureHollowProxies(processes []*hollowProcess, lists map[string][]string) {
+	hollowExp, cluster := bed.experiment.Hollow, bed.experiment.Cluster
+	random := bed.plan.Source("hollow")
+	for i, node := range bed.experiment.HollowProxies() {
+		process := processes[i%len(processes)]
+		region := experiment.RegionOf(node.Zone)
+		proxy := hollow.Proxy{Name: node.Name, Zone: node.Zone, ReplicaIndex: i, Seed: random.Uint64(), RegistryMembers: lists[region]}
+		if service := hollowExp.ConfigService(i); service > 0 {
+			proxy.Service = experiment.ServiceName(service)
 		}
-		if f.exp.Cluster.On {
-			p.cfg.Cluster = &hollow.Cluster{Label: f.exp.Cluster.Label}
-			x.Bind, x.Seeds = f.block.hollowGossip(i), f.hollowSeeds(i)
-			if h.Relays {
-				x.Advertise = f.block.hollowRelay(i)
+		if cluster.On {
+			process.config.Cluster = &hollow.Cluster{Label: cluster.Label}
+			proxy.Bind, proxy.Seeds = bed.block.hollowGossip(i), bed.hollowSeeds(i)
+			if hollowExp.Relays {
+				proxy.Advertise = bed.block.hollowRelay(i)
 			}
-			own := netip.MustParseAddrPort(x.Bind).Addr()
-			f.speakers[own] = experiment.Node{Name: n.Name, Zone: region}
+			own := netip.MustParseAddrPort(proxy.Bind).Addr()
+			bed.gossipMembers[own] = experiment.Node{Name: node.Name, Zone: region}
 		}
-		p.cfg.Proxies = append(p.cfg.Proxies, x)
+		process.config.Proxies = append(process.config.Proxies, proxy)
 	}
-	if f.exp.Cluster.On && h.Relays {
-		relays := f.hollowRelays()
-		for _, p := range proxies {
-			p.cfg.Relays = relays
+	if cluster.On && hollowExp.Relays {
+		relays := bed.hollowRelays()
+		for _, process := range processes {
+			process.config.Relays = relays
 		}
 	}
-	nodos := add("hollow-nodos", h.ServerProcesses())
-	f.hollowOf = map[string]*hollowProcess{}
-	for i, n := range f.exp.HollowServers() {
-		p := nodos[i%len(nodos)]
-		f.hollowOf[n.Name] = p
-		p.cfg.Servers = append(p.cfg.Servers, hollow.Server{Name: n.Name, Zone: n.Zone, Address: f.block.hollowServer(),
-			RegistryMembers: leases[experiment.RegionOf(n.Zone)]})
-	}
-	return nil
 }
 
-// hollowSettings are what hollow proxies are told: a real proxy's settings, with the hollow zones.
-func (f *fleet) hollowSettings() (json.RawMessage, error) {
-	s := settings(f.exp, 0, 0)
-	s["failure_domains"] = f.exp.HollowZones()
-	s["siblings"] = f.exp.Hollow.Proxies
+// hollowSettings are the settings of hollow proxies: a real proxy's, with the hollow zones.
+func (bed *testbed) hollowSettings() (json.RawMessage, error) {
+	s := settings(bed.experiment, 0, 0)
+	s["failure_domains"] = bed.experiment.HollowZones()
+	s["siblings"] = bed.experiment.Hollow.Proxies
 	s["membership_mode"] = "automatic"
 	return json.Marshal(s)
 }
 
-// hollowSeeds are the members that hollow proxy i is told to join at: the real ones' first and the hollow ones' first.
-func (f *fleet) hollowSeeds(i int) (out []string) {
-	at := f.block.hollowGossip
-	if f.exp.Hollow.Relays {
-		at = f.block.hollowRelay
+// hollowSeeds are the members that hollow proxy i joins at: the first hollow and the first real ones.
+func (bed *testbed) hollowSeeds(i int) (out []string) {
+	at := bed.block.hollowGossip
+	if bed.experiment.Hollow.Relays {
+		at = bed.block.hollowRelay
 	}
-	for n := range min(hollowSeeds, f.exp.Hollow.Proxies) {
+	for n := range min(seedsPerRegion, bed.experiment.Hollow.Proxies) {
 		if n != i {
 			out = append(out, at(n))
 		}
 	}
-	for n := range min(hollowSeeds, len(f.order)) {
-		out = append(out, f.order[n].relay.Addr())
+	for n := range min(seedsPerRegion, len(bed.proxyOrder)) {
+		out = append(out, bed.proxyOrder[n].relay.Addr())
 	}
 	return out
 }
 
-// hollowRelays are what relays before hollow members know of the fleet.
-func (f *fleet) hollowRelays() *hollow.Relays {
-	out := &hollow.Relays{Members: map[string]hollow.RelayMember{}, RegionDelayUs: micros(f.exp.Network.LocalMs),
-		CrossRegionDelayUs: micros(f.exp.Network.CrossMs)}
-	for ip, n := range f.speakers {
+// hollowRelays is the configuration of the relays before hollow members.
+func (bed *testbed) hollowRelays() *hollow.Relays {
+	out := &hollow.Relays{Members: map[string]hollow.RelayMember{}, RegionDelayUs: micros(bed.experiment.Network.LocalMs),
+		CrossRegionDelayUs: micros(bed.experiment.Network.CrossMs)}
+	for ip, n := range bed.gossipMembers {
 		out.Members[ip.String()] = hollow.RelayMember{Name: n.Name, Region: n.Zone}
 	}
 	return out
 }
 
-// hollowLoss has hollow members' relays lose datagrams while a fault of all gossip does.
-func (t *timeline) hollowLoss(ctx context.Context, s plan.Strike) error {
-	if s.Fault.Kind != "loss" || !t.exp.Hollow.Relays {
+// loseHollowGossip has the hollow members' relays drop datagrams for the duration of a loss.
+func (t *timeline) loseHollowGossip(ctx context.Context, strike plan.Strike) error {
+	if strike.Fault.Kind != "loss" || !t.experiment.Hollow.Relays {
 		return nil
 	}
-	length := s.For
+	length := strike.For
 	if length <= 0 {
-		length = experiment.Seconds(t.exp.Seconds) - s.At
+		length = experiment.Seconds(t.experiment.Seconds) - strike.At
 	}
 	var errs []error
 	for _, p := range t.hollow {
-		if len(p.cfg.Proxies) > 0 {
-			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Command{Action: "lose", Fraction: s.Fault.Part, DurationMs: length.Milliseconds()})
+		if len(p.config.Proxies) > 0 {
+			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Command{Action: "lose", Fraction: strike.Fault.Part, DurationMs: length.Milliseconds()})
 			errs = append(errs, err)
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// startHollow starts all hollow processes, servers' first, and waits until each has what it follows. One that ends by itself
-// ends the run.
-func (f *fleet) startHollow(ctx context.Context, fail context.CancelCauseFunc) error {
-	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(f.exp.Lab.ReadyWait))
+// startHollow starts all hollow processes, servers first, and waits until each is synced. A process that crashes later calls fail.
+func (bed *testbed) startHollow(ctx context.Context, fail context.CancelCauseFunc) error {
+	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(bed.experiment.Lab.ReadyWait))
 	defer cancel()
 	for _, nodos := range []bool{true, false} {
 		var some []*hollowProcess
-		for _, p := range f.hollow {
-			if len(p.cfg.Servers) > 0 != nodos {
+		for _, p := range bed.hollow {
+			if len(p.config.Servers) > 0 != nodos {
 				continue
 			}
-			if err := f.startProcess(p, fail); err != nil {
+			if err := bed.startProcess(p, fail); err != nil {
 				return fmt.Errorf("%w: %w", ErrEnvironment, err)
 			}
 			some = append(some, p)
 		}
 		for _, p := range some {
 			missing := "no answer yet"
-			for missing != "" && sleep.For(patience, hollowPoll) {
+			for missing != "" && sleep.For(patience, hollowPollInterval) {
 				if text, err := p.call(ctx, http.MethodGet, "/ready", nil); err == nil {
 					missing = string(text)
 				}
@@ -195,44 +214,44 @@
 				return context.Cause(ctx)
 			}
 			if missing != "" {
-				return fmt.Errorf("%w: %w", ErrEnvironment, &hollow.FailedError{Process: p.cfg.Name, Name: missing,
-					Reason: fmt.Sprintf("not ready after %v s (lab.ready_wait)", f.exp.Lab.ReadyWait)})
+				return fmt.Errorf("%w: %w", ErrEnvironment, &hollow.FailedError{Process: p.config.Name, Name: missing,
+					Reason: fmt.Sprintf("not ready after %v s (lab.ready_wait)", bed.experiment.Lab.ReadyWait)})
 			}
 		}
 	}
 	return nil
 }
 
-func (f *fleet) startProcess(p *hollowProcess, fail context.CancelCauseFunc) error {
-	text, err := json.Marshal(p.cfg)
+func (bed *testbed) startProcess(p *hollowProcess, fail context.CancelCauseFunc) error {
+	text, err := json.Marshal(p.config)
 	if err == nil {
 		err = os.WriteFile(p.path, text, 0o644)
 	}
 	if err != nil {
 		return err
 	}
-	if p.proc, err = f.starter.Start(process.Spec{Name: p.cfg.Name, Command: append(slices.Clone(f.self), p.path),
-		Env: os.Environ(), Log: filepath.Join(f.logs, p.cfg.Name+".log")}, f.log); err != nil {
+	if p.process, err = bed.starter.Start(process.Spec{Name: p.config.Name, Command: append(slices.Clone(bed.hollowCommand), p.path),
+		Env: os.Environ(), Log: filepath.Join(bed.logDir, p.config.Name+".log")}, bed.log); err != nil {
 		return err
 	}
 	go func() {
-		<-p.proc.Ended()
-		if p.proc.Crashed() {
-			fail(hollow.ReadFailure(p.cfg.Name, p.cfg.FailureFile))
+		<-p.process.Ended()
+		if p.process.Crashed() {
+			fail(hollow.ReadFailure(p.config.Name, p.config.FailureFile))
 		}
 	}()
 	return nil
 }
 
-// call makes a call of a process's control address.
+// call sends a command to the process's control address.
 func (p *hollowProcess) call(ctx context.Context, method, path string, body any) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, hollowCall)
+	ctx, cancel := context.WithTimeout(ctx, hollowCallTimeout)
 	defer cancel()
 	text, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.cfg.ControlAddress+path, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.config.ControlAddress+path, bytes.NewReader(text))
 	if err != nil {
 		return nil, err
 	}
@@ -243,12 +262,12 @@
 	defer resp.Body.Close()
 	text, err = io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s of %s: %s: %s", path, p.cfg.Name, resp.Status, strings.TrimSpace(string(text)))
+		err = fmt.Errorf("%w: %s of %s: %s: %s", errHollowCall, path, p.config.Name, resp.Status, strings.TrimSpace(string(text)))
 	}
 	return text, err
 }
 
-func (p *hollowProcess) figures(ctx context.Context, steps bool) (out hollow.Metrics, err error) {
+func (p *hollowProcess) metrics(ctx context.Context, steps bool) (out hollow.Metrics, err error) {
 	path := "/figures"
 	if !steps {
 		path += "?steps=0"
@@ -260,19 +279,19 @@
 	return out, err
 }
 
-// hollowNodos has hollow servers do what a fault says, each at its turn.
-func (t *timeline) strikeHollowServers(ctx context.Context, s plan.Strike) error {
-	act, _ := strings.CutPrefix(s.Fault.Kind, "hollow_")
+// injectHollowFault sends a fault to the processes of its hollow servers, each target with its own delay.
+func (t *timeline) injectHollowFault(ctx context.Context, strike plan.Strike) error {
+	action, _ := strings.CutPrefix(strike.Fault.Kind, "hollow_")
 	orders := map[*hollowProcess]*hollow.Command{}
 	last := time.Duration(0)
-	for _, turn := range s.Turns {
-		p := t.hollowOf[turn.Target]
+	for _, turn := range strike.Turns {
+		p := t.hollowProcessOf[turn.Target]
 		o := orders[p]
 		if o == nil {
-			o = &hollow.Command{Action: act, DurationMs: s.For.Milliseconds()}
+			o = &hollow.Command{Action: action, DurationMs: strike.For.Milliseconds()}
 			orders[p] = o
 		}
-		o.Targets = append(o.Targets, hollow.CommandTarget{Name: turn.Target, DelayMs: (turn.At - s.At).Milliseconds()})
+		o.Targets = append(o.Targets, hollow.CommandTarget{Name: turn.Target, DelayMs: (turn.At - strike.At).Milliseconds()})
 		last = max(last, turn.At)
 	}
 	for p, o := range orders {
@@ -280,6 +299,6 @@
 			return err
 		}
 	}
-	t.until(ctx, last+s.For)
+	t.waitUntil(ctx, last+strike.For)
 	return nil
 }
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -19,148 +19,152 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-const meterEvery = 500 * time.Millisecond
+const meterInterval = 500 * time.Millisecond
 
-// meter reads what control costs: bytes at the links, CPU and memory at the kernel, and the members' own metrics. One
-// goroutine looks at it all the time, since what members use ends with them and who leads changes.
+// meter measures the usage of the control plane: bytes at the links, CPU and memory at the kernel, and the members' metrics. It
+// samples all the time, since a member's counters end with its process and the leader changes.
 type meter struct {
-	*fleet
+	*testbed
 	members []*service.Member
 
-	looks sync.Mutex // one at a time
+	sampleMu sync.Mutex // one at a time
 
-	mu   sync.Mutex
-	sum  result.Reading
-	seen map[string]looked // of each member, at the last look
+	mu          sync.Mutex
+	total       result.Sample
+	lastSamples map[string]memberSample // by member
 }
 
-type looked struct {
+type memberSample struct {
 	service.Standing
-	traffic link.Traffic // in and out of it, as Sent and Answered
+	traffic link.Traffic // Sent: received by the member, Answered: sent by it
 }
 
-func (f *fleet) newMeter() *meter {
-	m := &meter{fleet: f, seen: map[string]looked{}}
-	if f.service != nil {
-		m.members = f.service.Targets(nil)
+func (bed *testbed) newMeter() *meter {
+	m := &meter{testbed: bed, lastSamples: map[string]memberSample{}}
+	if bed.service != nil {
+		m.members = bed.service.Targets(nil)
 	}
-	m.sum.Roles = map[string]result.Spent{}
-	m.look()
+	m.total.Roles = map[string]result.Usage{}
+	m.sample()
 	return m
 }
 
-// run looks until the context ends.
+// run samples until the context ends.
 func (m *meter) run(ctx context.Context) {
-	for sleep.For(ctx, meterEvery) {
-		m.look()
+	for sleep.For(ctx, meterInterval) {
+		m.sample()
 	}
 }
 
-// traffic is what the links have passed, by role, and of each member: Sent is what came to it.
+// traffic is the traffic of the links so far, by role and by member, as seen from them: Sent is what they sent, of members what
+// they received.
 func (m *meter) traffic() (roles, members map[string]link.Traffic) {
 	roles, members = map[string]link.Traffic{}, map[string]link.Traffic{}
 	add := func(to map[string]link.Traffic, key string, t link.Traffic) { to[key] = to[key].Plus(t) }
-	m.net.Traffic(func(e link.Ends, t link.Traffic) {
-		turned := link.Traffic{Sent: t.Answered, Answered: t.Sent, Pieces: t.Pieces}
+	m.net.Traffic(func(ends link.Ends, t link.Traffic) {
+		reversed := link.Traffic{Sent: t.Answered, Answered: t.Sent, Pieces: t.Pieces}
 		switch {
-		case e.Kind == "list" && e.From == hollowFrom:
-			add(roles, "proxy", turned)
-		case e.Kind == "list":
-			add(roles, "real", turned)
-		case e.Kind == "lease" && e.From == hollowFrom:
-			add(roles, "nodo", turned)
+		case ends.Kind == "list" && ends.From == hollowLinkName:
+			add(roles, "proxy", reversed)
+		case ends.Kind == "list":
+			add(roles, "real", reversed)
+		case ends.Kind == "lease" && ends.From == hollowLinkName:
+			add(roles, "nodo", reversed)
 		}
-		switch e.Kind {
+		switch ends.Kind {
 		case "list", "lease", "member":
-			add(members, e.To, t)
-			if e.FromZone != e.ToZone {
+			add(members, ends.To, t)
+			if ends.FromZone != ends.ToZone {
 				add(roles, "regions", t)
 			}
 		}
-		if e.Kind == "member" {
-			back := turned
+		if ends.Kind == "member" {
+			back := reversed
 			back.Pieces = 0
-			add(members, e.From, back)
+			add(members, ends.From, back)
 		}
 	})
 	return roles, members
 }
 
-// look adds what was spent since the last look to the sum.
-func (m *meter) look() {
-	m.looks.Lock()
-	defer m.looks.Unlock()
+// sample adds the usage since the last sample to the total.
+func (m *meter) sample() {
+	m.sampleMu.Lock()
+	defer m.sampleMu.Unlock()
 	standing := make([]service.Standing, len(m.members))
 	var all sync.WaitGroup
-	for i, x := range m.members {
-		all.Go(func() { standing[i] = m.service.Standing(x) })
+	for i, member := range m.members {
+		all.Go(func() { standing[i] = m.service.Standing(member) })
 	}
 	all.Wait()
 	roles, members := m.traffic()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at := time.Now()
-	past := at.Sub(m.sum.At)
-	first := m.sum.At.IsZero()
-	m.sum.At = at
+	now := time.Now()
+	elapsed, first := now.Sub(m.total.TakenAt), m.total.TakenAt.IsZero()
+	m.total.TakenAt = now
 	watches := 0.0
-	for i, x := range m.members {
-		now := looked{standing[i], members[x.Name]}
-		was := m.seen[x.Name]
-		m.seen[x.Name] = now
-		watches += now.Watches
-		if was.PID != now.PID { // another process: all that it has is new
-			was.CPU, was.Rejected = 0, 0
-		}
-		if first {
-			continue
-		}
-		role := "follower"
-		if now.Leads {
-			role = "leader"
-		}
-		t := now.traffic.Minus(was.traffic)
-		spent := result.Spent{In: t.Sent, Out: t.Answered, Calls: t.Pieces, CPU: max(0, now.CPU-was.CPU), Each: past,
-			Memory: now.Memory}
-		m.sum.Roles[role] = m.sum.Roles[role].Plus(spent)
-		spent.Each = 0
-		m.sum.Roles["five"] = m.sum.Roles["five"].Plus(spent)
-		if now.Up {
-			m.sum.Turned += max(0, now.Rejected-was.Rejected)
+	for i, member := range m.members {
+		current := memberSample{standing[i], members[member.Name]}
+		last := m.lastSamples[member.Name]
+		m.lastSamples[member.Name] = current
+		watches += current.Watches
+		if !first {
+			m.addMember(last, current, elapsed)
 		}
 	}
 	if !first {
-		five := m.sum.Roles["five"]
-		five.Each += past
-		m.sum.Roles["five"] = five
+		five := m.total.Roles["five"]
+		five.InstanceTime += elapsed
+		m.total.Roles["five"] = five
 	}
-	m.sum.Watches = max(m.sum.Watches, watches)
-	for role, n := range map[string]int{"proxy": m.exp.Hollow.Proxies, "real": len(m.order), "nodo": m.exp.Hollow.Servers, "regions": 1} {
-		s := m.sum.Roles[role]
-		t := roles[role]
-		s.In, s.Out, s.Calls = t.Sent, t.Answered, t.Pieces
+	m.total.Watches = max(m.total.Watches, watches)
+	instances := map[string]int{"proxy": m.experiment.Hollow.Proxies, "real": len(m.proxyOrder), "nodo": m.experiment.Hollow.Servers,
+		"regions": 1}
+	for role, n := range instances {
+		usage, traffic := m.total.Roles[role], roles[role]
+		usage.BytesIn, usage.BytesOut, usage.Calls = traffic.Sent, traffic.Answered, traffic.Pieces
 		if !first {
-			s.Each += past * time.Duration(n)
+			usage.InstanceTime += elapsed * time.Duration(n)
 		}
-		m.sum.Roles[role] = s
+		m.total.Roles[role] = usage
+	}
+}
+
+// addMember adds a member's usage between two samples to its role, leader or follower, and to that of all members (five).
+func (m *meter) addMember(last, current memberSample, elapsed time.Duration) {
+	if last.PID != current.PID { // another process: its counters began at zero
+		last.CPU, last.Rejected = 0, 0
+	}
+	role := "follower"
+	if current.Leads {
+		role = "leader"
+	}
+	traffic := current.traffic.Minus(last.traffic)
+	usage := result.Usage{BytesIn: traffic.Sent, BytesOut: traffic.Answered, Calls: traffic.Pieces,
+		CPU: max(0, current.CPU-last.CPU), InstanceTime: elapsed, Memory: current.Memory}
+	m.total.Roles[role] = m.total.Roles[role].Plus(usage)
+	usage.InstanceTime = 0
+	m.total.Roles["five"] = m.total.Roles["five"].Plus(usage)
+	if current.Up {
+		m.total.Rejected += max(0, current.Rejected-last.Rejected)
 	}
 }
 
-// read is all so far, with what processes use now. Memory is as of now, of members the most
-// so far, as are watches: two phases that meet read at one moment.
-func (m *meter) read(ctx context.Context) result.Reading {
-	m.look()
+// read returns the usage so far. Memory is the current one, of members the maximum so far, as are watches.
+func (m *meter) read(ctx context.Context) result.Sample {
+	m.sample()
 	var fleet []hollow.ProxyMetrics
 	var real []*hollow.ClusterMetrics
-	if m.exp.Cluster.On {
-		for _, x := range m.order {
-			real = append(real, realProcesses(ctx, x.mgmt))
+	if m.experiment.Cluster.On {
+		for _, proxy := range m.proxyOrder {
+			real = append(real, readClusterMetrics(ctx, proxy.managementAddress))
 		}
 		for _, p := range m.hollow {
-			f, err := p.figures(ctx, false)
+			f, err := p.metrics(ctx, false)
 			if err != nil {
 				if ctx.Err() == nil {
-					m.note(err)
+					m.recordError(err)
 				}
 				continue
 			}
@@ -169,7 +173,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := m.sum.Clone()
+	out := m.total.Clone()
 	use := func(role string, cpu time.Duration, memory int64) {
 		s := out.Roles[role]
 		s.CPU, s.Memory = s.CPU+cpu, s.Memory+memory
@@ -177,15 +181,15 @@
 	}
 	for _, p := range m.hollow {
 		role := "proxy"
-		if len(p.cfg.Servers) > 0 {
+		if len(p.config.Servers) > 0 {
 			role = "nodo"
 		}
-		use(role, p.proc.Usage().CPU, process.Memory(p.proc.PID()))
+		use(role, p.process.Usage().CPU, process.Memory(p.process.PID()))
 	}
-	for _, x := range m.order {
-		for _, proc := range x.processes() {
+	for _, proxy := range m.proxyOrder {
+		for _, proc := range proxy.processes() {
 			memory := int64(0)
-			if !over(proc) {
+			if !ended(proc) {
 				memory = process.Memory(proc.PID())
 			}
 			use("real", proc.Usage().CPU, memory)
@@ -198,11 +202,11 @@
 	return out
 }
 
-// phases reads at each phase's beginning and end.
-func (m *meter) phases(ctx context.Context, start time.Time) []result.PhaseReading {
-	out := make([]result.PhaseReading, len(m.exp.Phases))
+// phases reads at each phase's start and end.
+func (m *meter) phases(ctx context.Context, start time.Time) []result.PhaseSamples {
+	out := make([]result.PhaseSamples, len(m.experiment.Phases))
 	var all sync.WaitGroup
-	for i, p := range m.exp.Phases {
+	for i, p := range m.experiment.Phases {
 		all.Go(func() {
 			for j, at := range []float64{p.From, p.To} {
 				if !sleep.For(ctx, time.Until(start.Add(experiment.Seconds(at)))) {
@@ -221,62 +225,62 @@
 	return out
 }
 
-// hollowReport is what the hollow processes leave at the end.
-func (f *fleet) hollowReport() (out []hollow.Metrics, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), hollowCall)
+// hollowReport collects the metrics of the hollow processes at the end.
+func (bed *testbed) hollowReport() (out []hollow.Metrics, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), hollowCallTimeout)
 	defer cancel()
-	for _, p := range f.hollow {
-		x, err := p.figures(ctx, true)
+	for _, p := range bed.hollow {
+		x, err := p.metrics(ctx, true)
 		if err != nil {
 			return out, err
 		}
 		if x.RelayDrops > 0 {
-			return out, fmt.Errorf("%d datagrams of the gossip found no room in %s", x.RelayDrops, p.cfg.Name)
+			return out, fmt.Errorf("%d datagrams of gossip dropped for a full queue in %s: use a less busy machine", x.RelayDrops, p.config.Name)
 		}
 		out = append(out, x)
 	}
 	return out, nil
 }
 
-// measure reads the phases while the play lasts; what it gives waits for its end. Nil without hollow ones.
-func (f *fleet) measure(ctx context.Context, start time.Time) (phases func() []result.PhaseReading) {
-	if len(f.hollow) == 0 {
-		return func() []result.PhaseReading { return nil }
+// startMeter measures the phases; the returned function waits for the last one. Without hollow processes there are none.
+func (bed *testbed) startMeter(ctx context.Context, start time.Time) (phases func() []result.PhaseSamples) {
+	if len(bed.hollow) == 0 {
+		return func() []result.PhaseSamples { return nil }
 	}
-	for _, p := range f.hollow {
+	for _, p := range bed.hollow {
 		_, err := p.call(ctx, http.MethodPost, "/begin", nil)
-		f.note(err)
+		bed.recordError(err)
 	}
-	m := f.newMeter()
+	m := bed.newMeter()
 	go m.run(ctx)
-	read := make(chan []result.PhaseReading, 1)
+	read := make(chan []result.PhaseSamples, 1)
 	go func() { read <- m.phases(ctx, start) }()
-	return func() []result.PhaseReading { return <-read }
+	return func() []result.PhaseSamples { return <-read }
 }
 
-// controlReport is what control cost in a play; nil without hollow ones.
-func (f *fleet) controlReport(phases []result.PhaseReading) *result.Control {
-	if len(f.hollow) == 0 {
+// controlReport holds the observations of the control plane; nil without hollow processes.
+func (bed *testbed) controlReport(phases []result.PhaseSamples) *result.Control {
+	if len(bed.hollow) == 0 {
 		return nil
 	}
-	out := &result.Control{Phases: phases, Puts: f.configs.done()}
+	out := &result.Control{Phases: phases, ConfigWrites: bed.configs.all()}
 	var err error
-	if out.Hollow, err = f.hollowReport(); err != nil {
-		f.note(err)
+	if out.Hollow, err = bed.hollowReport(); err != nil {
+		bed.recordError(err)
 	}
-	for _, steps := range f.service.Steps() {
-		var told []result.Told
+	for _, steps := range bed.service.Steps() {
+		var received []result.ReceivedVersion
 		for _, s := range steps {
-			told = append(told, result.Told{Version: s.Index, ReceivedAt: s.At.UnixNano()})
+			received = append(received, result.ReceivedVersion{Version: s.Index, ReceivedAt: s.At.UnixNano()})
 		}
-		out.Real = append(out.Real, told)
+		out.RealProxyVersions = append(out.RealProxyVersions, received)
 	}
 	return out
 }
 
-// realFleet is how a real proxy stands with its fleet, by its management address; nil if it does not answer.
-func realProcesses(ctx context.Context, mgmt string) *hollow.ClusterMetrics {
-	ctx, cancel := context.WithTimeout(ctx, callPatience)
+// readClusterMetrics reads a real proxy's cluster metrics at its management address; nil if it does not answer.
+func readClusterMetrics(ctx context.Context, mgmt string) *hollow.ClusterMetrics {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+mgmt+"/v1/metrics", nil)
 	if err != nil {
--- a/internal/faultlab/run/unansweredsends.go
+++ b/internal/faultlab/run/unansweredsends.go
@@ -17,53 +17,53 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// dialsEvery is how often the kernel is asked which connections wait to come up: a dial that is given up sooner may be
-// missed, and one is noted up to this late.
-const dialsEvery = 25 * time.Millisecond
+// dialPollInterval is the interval of reading the kernel's pending connections: a shorter dial may be missed, and a dial is recorded
+// up to this late.
+const dialPollInterval = 25 * time.Millisecond
 
-// knock notes what a proxy sent a server into silence.
-func (f *fleet) recordUnansweredSend(e link.Ends, at time.Time, dial bool) {
-	if e.Kind == "nodo" {
-		f.ref.RecordUnansweredSend(referee.UnansweredSend{At: at, Proxy: e.From, FromZone: e.FromZone, Server: e.To, Zone: e.ToZone, Dial: dial})
+// recordUnansweredSend records what a proxy sent to a server over a link that dropped it.
+func (bed *testbed) recordUnansweredSend(ends link.Ends, at time.Time, dial bool) {
+	if ends.Kind == "nodo" {
+		bed.ref.RecordUnansweredSend(referee.UnansweredSend{SentAt: at, Proxy: ends.From, FromZone: ends.FromZone, Server: ends.To, Zone: ends.ToZone, Dial: dial})
 	}
 }
 
-// watchDials notes the dials over links on which none comes up. The lab's listener does not see them: the kernel drops
-// them, and tells of them only in its table of connections, which is read while there is such a link.
-func (f *fleet) watchDials(ctx context.Context) {
+// watchDials records the dials over links on which connections do not come up. The lab's listener does not see them: they show only
+// in the kernel's table of connections, which is read while there is such a link.
+func (bed *testbed) watchDials(ctx context.Context) {
 	seen := map[dial]bool{}
-	for sleep.For(ctx, dialsEvery) {
-		barred := f.net.Blocked()
-		if len(barred) == 0 {
+	for sleep.For(ctx, dialPollInterval) {
+		blocked := bed.net.Blocked()
+		if len(blocked) == 0 {
 			continue
 		}
 		text, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
-			f.note(err)
+			bed.recordError(err)
 			return
 		}
 		at, now := time.Now(), map[dial]bool{}
-		for _, d := range dialsOf(text) {
-			e, ok := barred[d.to.String()]
+		for _, d := range pendingDials(text) {
+			ends, ok := blocked[d.to.String()]
 			if !ok {
 				continue
 			}
 			now[d] = true
 			if !seen[d] {
-				f.recordUnansweredSend(e, at, true)
+				bed.recordUnansweredSend(ends, at, true)
 			}
 		}
 		seen = now
 	}
 }
 
-// dial is a connection that waits to come up.
+// dial is a connection that is not established yet.
 type dial struct{ from, to netip.AddrPort }
 
 const synSent = "02"
 
-// dialsOf reads the kernel's table of connections (proc_net_tcp(5)).
-func dialsOf(table []byte) (out []dial) {
+// pendingDials parses the kernel's table of connections (proc_net_tcp(5)).
+func pendingDials(table []byte) (out []dial) {
 	for lines := bufio.NewScanner(bytes.NewReader(table)); lines.Scan(); {
 		words := strings.Fields(lines.Text())
 		if len(words) < 4 || words[3] != synSent {
@@ -78,7 +78,7 @@
 	return out
 }
 
-// hexAddr reads an address as the table has it: the IP a number in the machine's order of bytes, the port a number.
+// hexAddr parses an address of the table: the IP in the machine's byte order and the port, both in hexadecimal.
 func hexAddr(text string) (netip.AddrPort, bool) {
 	ip, port, _ := strings.Cut(text, ":")
 	raw, err := hex.DecodeString(ip)
