--- a/cmd/merlinpick-cluster-proxy/cluster_test.go
+++ b/cmd/merlinpick-cluster-proxy/cluster_test.go
@@ -251,14 +251,14 @@
 	next.mgmt = freeAddress(t)
 	next.start(t, s, "test", a.bind)
 	next.until(t, "a start without waiting for the address", metricIs("fleet_open", 0))
-	if clean, err := b.End(testTimeout); err != nil || !clean {
+	if clean, err := b.Terminate(testTimeout); err != nil || !clean {
 		t.Errorf("b: clean %v, %v", clean, err)
 	}
 	all[1] = &next
 	together("the successor in place of b", func(f map[string]int) bool { return f["fleet_living"] == 3 && f["fleet_suspended"] == 1 })
 
 	for _, m := range all {
-		if clean, err := m.End(testTimeout); err != nil || !clean {
+		if clean, err := m.Terminate(testTimeout); err != nil || !clean {
 			t.Errorf("%s: clean %v, %v", m.name, clean, err)
 		}
 	}
--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -111,7 +111,7 @@
 	if err := claimOut(&c.Out, strings.TrimSuffix(filepath.Base(file), ".toml"), began); err != nil {
 		return err
 	}
-	defer process.Release(c.Out)
+	defer process.Unlock(c.Out)
 	for i := range sides {
 		s := &sides[i]
 		s.dir = filepath.Join(c.Out, s.dir)
@@ -160,7 +160,7 @@
 	if err := os.MkdirAll(*out, 0o755); err != nil {
 		return err
 	}
-	return process.Hold(*out)
+	return process.Lock(*out)
 }
 
 func verdict(r *result.Result) error {
--- a/cmd/merlinpick-faultlab/soak.go
+++ b/cmd/merlinpick-faultlab/soak.go
@@ -31,7 +31,7 @@
 	if err := claimOut(&c.Out, "soak", time.Now()); err != nil {
 		return err
 	}
-	defer process.Release(c.Out)
+	defer process.Unlock(c.Out)
 	bad, void := 0, 0
 	for i := range c.Seeds {
 		if ctx.Err() != nil {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	if found, err = soak.Faults(p, dir); err != nil {
+	if found, err = soak.Failures(p, dir); err != nil {
 		return nil, "", err
 	}
 	var kinds []string
--- a/cmd/merlinpick-registry/commands_test.go
+++ b/cmd/merlinpick-registry/commands_test.go
@@ -79,7 +79,7 @@
 	call(1, "snapshot", "inspect", file)
 	call(1, "snapshot", "restore", at, "--yes", file)
 	// SIGTERM is a graceful shutdown, and the directory is complete.
-	if clean, err := s.processes[0].End(patience); !clean || err != nil {
+	if clean, err := s.processes[0].Terminate(patience); !clean || err != nil {
 		t.Errorf("clean %v, %v", clean, err)
 	}
 	call(0, "check", "--config", s.path(0, ".toml"))
--- a/cmd/merlinpick-registry/kill_test.go
+++ b/cmd/merlinpick-registry/kill_test.go
@@ -92,7 +92,7 @@
 			})
 		}
 		if ok && random.IntN(2) == 0 {
-			ok = l.call(ctx, writer, linear.Gone, rec, func(ctx context.Context) error {
+			ok = l.call(ctx, writer, linear.Remove, rec, func(ctx context.Context) error {
 				_, err := client.Deregister(ctx, ref)
 				return err
 			})
@@ -105,7 +105,7 @@
 }
 
 // call makes one call, which the client repeats until it is decided: one in flight at a kill may have taken effect or not.
-func (l *workload) call(ctx context.Context, writer int, kind linear.Kind, rec state.Record, call func(context.Context) error) bool {
+func (l *workload) call(ctx context.Context, writer int, kind linear.Operation, rec state.Record, call func(context.Context) error) bool {
 	end := l.history.Begin(kind, rec.Name, rec.Instance, writer+1)
 	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), patience)
 	defer cancel()
@@ -116,8 +116,8 @@
 	end(true, false)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.acknowledged[rec.Name] = map[linear.Kind]string{linear.Register: linear.Value(state.StatusServing, rec.Instance),
-		linear.Drain: linear.Value(state.StatusDraining, rec.Instance), linear.Gone: linear.Absent}[kind]
+	l.acknowledged[rec.Name] = map[linear.Operation]string{linear.Register: linear.Value(state.StatusServing, rec.Instance),
+		linear.Drain: linear.Value(state.StatusDraining, rec.Instance), linear.Remove: linear.Absent}[kind]
 	l.changes++
 	return true
 }
@@ -141,7 +141,7 @@
 				}
 			}
 		}
-		l.history.Seen(100+member, begun, values)
+		l.history.RecordRead(100+member, begun, values)
 	}
 }
 
@@ -203,8 +203,8 @@
 		load.check(member, firstVersion)
 	}
 	verdict := load.history.Check(patience)
-	if len(verdict.Wrong) > 0 || len(verdict.Open) > 0 {
-		t.Errorf("no order explains %v; not decided: %v", verdict.Wrong, verdict.Open)
+	if len(verdict.Violations) > 0 || len(verdict.Undecided) > 0 {
+		t.Errorf("no order explains %v; not decided: %v", verdict.Violations, verdict.Undecided)
 	}
 	t.Logf("%d kills, %d changes, %d calls in the history", kills, load.changes, verdict.Calls)
 }
--- a/cmd/merlinpick-registry/recovery_test.go
+++ b/cmd/merlinpick-registry/recovery_test.go
@@ -22,7 +22,7 @@
 	}
 	full := func(full bool) {
 		for _, p := range s.processes {
-			if err := p.DiskFull(full); err != nil {
+			if err := p.SetDiskFull(full); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/faultlab/catalog/catalog.go
+++ b/internal/faultlab/catalog/catalog.go
@@ -170,8 +170,8 @@
 
 // Full has the disk of its file full until end is called: a change that cannot be kept is not told.
 func (c *Catalog) Full() (end func()) {
-	c.on(func() { c.full++; c.file.Full(true) })
-	return func() { c.on(func() { c.full--; c.file.Full(c.full > 0) }) }
+	c.on(func() { c.full++; c.file.SetFull(true) })
+	return func() { c.on(func() { c.full--; c.file.SetFull(c.full > 0) }) }
 }
 
 // note keeps the version that a proxy was told.
--- a/internal/faultlab/catalog/serve.go
+++ b/internal/faultlab/catalog/serve.go
@@ -49,7 +49,7 @@
 		c.ref.RecordPoll(proxy)
 		status, body, q := c.handle(proxy, req, conn)
 		told := func(at time.Time) { c.notified(proxy, process, q, at) }
-		if err := conn.NoteThenWrite(wire.JSON(status, body), told); err != nil {
+		if err := conn.NoteThenWrite(wire.JSONResponse(status, body), told); err != nil {
 			c.ref.RecordPollFailed(proxy, time.Now())
 			return
 		}
--- a/internal/faultlab/faultdisk/faultdisk.go
+++ b/internal/faultlab/faultdisk/faultdisk.go
@@ -18,7 +18,7 @@
 )
 
 // Block is what a disk writes whole.
-const Block = 512
+const BlockSize = 512
 
 // ErrFull is a write to a full disk.
 var ErrFull = fmt.Errorf("write: %w", syscall.ENOSPC)
@@ -50,7 +50,7 @@
 }
 
 // Full has writes fail, or succeed again.
-func (f *File) Full(full bool) {
+func (f *File) SetFull(full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = full
@@ -83,7 +83,7 @@
 	end := kept + r.IntN(len(data)-kept+1)
 	out := append([]byte(nil), data[:end]...)
 	for at := kept; at < end; {
-		next := min(end, (at/Block+1)*Block)
+		next := min(end, (at/BlockSize+1)*BlockSize)
 		if r.IntN(4) == 0 {
 			clear(out[at:next])
 		}
--- a/internal/faultlab/hollow/process.go
+++ b/internal/faultlab/hollow/process.go
@@ -264,7 +264,7 @@
 
 // Metrics returns the present metrics; versions and changes only with steps.
 func (p *Process) Metrics(steps bool) Metrics {
-	f := Metrics{NotReadyReason: p.notReadyReason(), RSS: process.Memory(os.Getpid()), CPU: cpu()}
+	f := Metrics{NotReadyReason: p.notReadyReason(), RSS: process.ResidentMemory(os.Getpid()), CPU: cpu()}
 	f.Ready, f.RelayDrops = f.NotReadyReason == "", p.droppedByRelays()
 	for _, h := range p.proxies {
 		f.Proxies = append(f.Proxies, h.metrics(steps))
--- a/internal/faultlab/linear/linear.go
+++ b/internal/faultlab/linear/linear.go
@@ -13,14 +13,14 @@
 )
 
 // Kind is what a call says.
-type Kind string
+type Operation string
 
 // The kinds of calls.
 const (
-	Register Kind = "register"
-	Drain    Kind = "drain"
-	Gone     Kind = "gone" // deregistered, or its lease may have ended
-	Read     Kind = "read" // one that promises to be current
+	Register Operation = "register"
+	Drain    Operation = "drain"
+	Remove   Operation = "gone" // deregistered, or its lease may have ended
+	Read     Operation = "read" // one that promises to be current
 )
 
 // Absent is the value of a server that the list does not have.
@@ -31,15 +31,15 @@
 
 // input is a call.
 type input struct {
-	kind           Kind
+	kind           Operation
 	name, instance string
 }
 
 // History is all calls so far.
 type History struct {
-	mu    sync.Mutex
-	start time.Time
-	ops   []porcupine.Operation
+	mu         sync.Mutex
+	start      time.Time
+	operations []porcupine.Operation
 }
 
 // New is a history that begins now.
@@ -47,37 +47,37 @@
 
 // Begin notes that a writer's call begins. The call that it gives notes its end: sure, if the service has said yes. One
 // that is not sure may happen at any later moment, or never. A call that the service refused is taken back.
-func (h *History) Begin(kind Kind, name, instance string, client int) (end func(sure, refused bool)) {
+func (h *History) Begin(kind Operation, name, instance string, client int) (end func(sure, refused bool)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	at := len(h.ops)
-	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: input{kind, name, instance}, Output: Absent,
+	at := len(h.operations)
+	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input{kind, name, instance}, Output: Absent,
 		Call: int64(time.Since(h.start)), Return: math.MaxInt64})
 	return func(sure, refused bool) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if sure {
-			h.ops[at].Return = int64(time.Since(h.start))
+			h.operations[at].Return = int64(time.Since(h.start))
 		}
 		if refused {
-			h.ops[at].Input = nil
+			h.operations[at].Input = nil
 		}
 	}
 }
 
 // Seen notes a read of the whole list that began at a time and has just ended: each name's value, Absent included.
-func (h *History) Seen(client int, begun time.Time, values map[string]string) {
+func (h *History) RecordRead(client int, begun time.Time, values map[string]string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := int64(time.Since(h.start))
 	for name, v := range values {
-		h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: input{Read, name, ""}, Output: v,
+		h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input{Read, name, ""}, Output: v,
 			Call: int64(begun.Sub(h.start)), Return: now})
 	}
 }
 
 // step is what a plain list does.
-func step(state, in, out any) (bool, any) {
+func applyOperation(state, in, out any) (bool, any) {
 	now, call := state.(string), in.(input)
 	switch call.kind {
 	case Register:
@@ -90,7 +90,7 @@
 			return true, Value("DRAINING", call.instance)
 		}
 		return true, now
-	case Gone:
+	case Remove:
 		if now == Value("SERVING", call.instance) || now == Value("DRAINING", call.instance) {
 			return true, Absent
 		}
@@ -117,30 +117,30 @@
 		return out
 	},
 	Init:  func() any { return Absent },
-	Step:  step,
+	Step:  applyOperation,
 	Equal: func(a, b any) bool { return a == b },
 }
 
 // Verdict is what a check came to.
-type Verdict struct {
-	Calls int
-	Wrong []string // servers whose calls no order explains
-	Open  []string // and those for which the search took too long
+type CheckResult struct {
+	Calls      int
+	Violations []string // servers whose calls no order explains
+	Undecided  []string // and those for which the search took too long
 }
 
 // Check checks all servers' calls, each for at most so long.
-func (h *History) Check(patience time.Duration) Verdict {
+func (h *History) Check(patience time.Duration) CheckResult {
 	h.mu.Lock()
-	all := slices.DeleteFunc(slices.Clone(h.ops), func(o porcupine.Operation) bool { return o.Input == nil })
+	all := slices.DeleteFunc(slices.Clone(h.operations), func(o porcupine.Operation) bool { return o.Input == nil })
 	h.mu.Unlock()
-	v := Verdict{Calls: len(all)}
+	v := CheckResult{Calls: len(all)}
 	for _, ops := range model.Partition(all) {
 		name := ops[0].Input.(input).name
 		switch porcupine.CheckOperationsTimeout(model, ops, patience) {
 		case porcupine.Illegal:
-			v.Wrong = append(v.Wrong, name)
+			v.Violations = append(v.Violations, name)
 		case porcupine.Unknown:
-			v.Open = append(v.Open, name)
+			v.Undecided = append(v.Undecided, name)
 		}
 	}
 	return v
--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -165,11 +165,11 @@
 	if class.Repeat == "idempotent" {
 		t.Method = http.MethodGet
 	} else {
-		body = wire.Make(t.ID, "client", a.Body)
+		body = wire.MakeBody(t.ID, "client", a.Body)
 	}
 	t.RequestDigest = wire.Digest(body)
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: backend.local\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n", t.Method, t.Path,
-		wire.RequestID, t.ID, wire.RequestClass, class.Name, wire.Timeout, patience.Milliseconds())
+		wire.RequestID, t.ID, wire.RequestClass, class.Name, wire.RequestTimeout, patience.Milliseconds())
 	if t.Key != "" {
 		head += wire.IdempotencyKey + ": " + t.Key + "\r\n"
 	}
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -24,17 +24,17 @@
 
 // Starter starts processes from one thread.
 type Starter struct {
-	do   chan func()
-	done chan struct{}
+	starts chan func()
+	done   chan struct{}
 }
 
 // NewStarter begins the thread.
 func NewStarter() *Starter {
-	s := &Starter{do: make(chan func()), done: make(chan struct{})}
+	s := &Starter{starts: make(chan func()), done: make(chan struct{})}
 	go func() {
 		runtime.LockOSThread() // and never unlocked: the thread ends with this goroutine
 		defer close(s.done)
-		for f := range s.do {
+		for f := range s.starts {
 			f()
 		}
 	}()
@@ -43,7 +43,7 @@
 
 // Close ends the thread, and with it whatever it started that still runs.
 func (s *Starter) Close() {
-	close(s.do)
+	close(s.starts)
 	<-s.done
 }
 
@@ -58,21 +58,21 @@
 
 // Process is one process.
 type Process struct {
-	Name  string
-	cmd   *exec.Cmd
-	log   *slog.Logger
-	ended chan struct{}
+	Name    string
+	command *exec.Cmd
+	log     *slog.Logger
+	ended   chan struct{}
 
-	mu     sync.Mutex
-	err    error
-	wanted bool // it was told to end
-	usage  Usage
+	mu           sync.Mutex
+	err          error
+	endRequested bool // it was told to end
+	usage        Usage
 }
 
 // Usage is what a process used.
 type Usage struct {
-	CPU    time.Duration
-	Memory int64 // peak of its resident memory, bytes
+	CPU        time.Duration
+	PeakMemory int64 // peak of its resident memory, bytes
 }
 
 // Start starts a program.
@@ -91,9 +91,9 @@
 		return nil, fmt.Errorf("start %s: %w", spec.Name, err)
 	}
 	cmd.Stdout = nil
-	p := &Process{Name: spec.Name, cmd: cmd, log: log, ended: make(chan struct{})}
+	p := &Process{Name: spec.Name, command: cmd, log: log, ended: make(chan struct{})}
 	started := make(chan error, 1)
-	s.do <- func() { started <- cmd.Start() }
+	s.starts <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		out.Close()
 		return nil, fmt.Errorf("start %s: %w", spec.Name, err)
@@ -119,7 +119,7 @@
 }
 
 // PID is the process's id.
-func (p *Process) PID() int { return p.cmd.Process.Pid }
+func (p *Process) PID() int { return p.command.Process.Pid }
 
 // Ended is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
@@ -137,7 +137,7 @@
 	case <-p.ended:
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return !p.wanted
+		return !p.endRequested
 	default:
 		return false
 	}
@@ -145,15 +145,15 @@
 
 // Usage is what it has used so far, or used: as of the last look, for the memory of one that ended by itself.
 func (p *Process) Usage() Usage {
-	p.look()
+	p.sampleUsage()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.usage
 }
 
 // look notes what it uses while it lives.
-func (p *Process) look() {
-	u := Usage{Memory: PeakMemory(p.PID())}
+func (p *Process) sampleUsage() {
+	u := Usage{PeakMemory: PeakMemory(p.PID())}
 	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID())); err == nil {
 		_, rest, _ := strings.Cut(string(stat), ") ")
 		if f := strings.Fields(rest); len(f) > 12 {
@@ -164,7 +164,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.usage = Usage{max(p.usage.CPU, u.CPU), max(p.usage.Memory, u.Memory)}
+	p.usage = Usage{max(p.usage.CPU, u.CPU), max(p.usage.PeakMemory, u.PeakMemory)}
 }
 
 // PeakMemory is the peak of a living process's resident memory, in bytes; 0 if it cannot be told.
@@ -186,12 +186,12 @@
 func (p *Process) Signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	ends := sig == syscall.SIGTERM || sig == syscall.SIGKILL
-	p.wanted = p.wanted || ends
+	p.endRequested = p.endRequested || ends
 	p.mu.Unlock()
 	if ends {
-		p.look()
+		p.sampleUsage()
 	}
-	err := p.cmd.Process.Signal(sig)
+	err := p.command.Process.Signal(sig)
 	if errors.Is(err, os.ErrProcessDone) {
 		return nil
 	}
@@ -220,7 +220,7 @@
 }
 
 // End asks it to end, and kills it after patience. Clean tells whether it ended by itself with 0.
-func (p *Process) End(patience time.Duration) (clean bool, err error) {
+func (p *Process) Terminate(patience time.Duration) (clean bool, err error) {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return false, fmt.Errorf("end %s: %w", p.Name, err)
 	}
@@ -237,7 +237,7 @@
 // DiskFull has every byte that the process writes to a file fail, or succeed again. The kernel's limit on a file's size
 // stands for the disk: the error is EFBIG where a disk gives ENOSPC, and making or renaming an empty file still works,
 // as it mostly does on a full disk. The limit is the soft one, which needs no right to be put back.
-func (p *Process) DiskFull(full bool) error {
+func (p *Process) SetDiskFull(full bool) error {
 	var limit syscall.Rlimit
 	if err := prlimit(p.PID(), nil, &limit); err != nil {
 		return fmt.Errorf("disk of %s: %w", p.Name, err)
@@ -261,15 +261,15 @@
 	return nil
 }
 
-const holdFile = "lab.pid"
+const lockFile = "lab.pid"
 
 // Alive tells whether a process of that id lives, whoever's it is.
 func Alive(pid int) bool { return pid > 0 && !errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) }
 
 // Hold marks a directory as this process's, unless a process that lives has marked it. The mark of one that was killed
 // is taken over.
-func Hold(dir string) error {
-	path := filepath.Join(dir, holdFile)
+func Lock(dir string) error {
+	path := filepath.Join(dir, lockFile)
 	if text, err := os.ReadFile(path); err == nil {
 		pid, err := strconv.Atoi(strings.TrimSpace(string(text)))
 		if err == nil && pid != os.Getpid() && Alive(pid) {
@@ -283,10 +283,10 @@
 }
 
 // Release takes the mark away.
-func Release(dir string) { _ = os.Remove(filepath.Join(dir, holdFile)) }
+func Unlock(dir string) { _ = os.Remove(filepath.Join(dir, lockFile)) }
 
 // Memory is a living process's resident memory now, in bytes; 0 if it cannot be told.
-func Memory(pid int) int64 {
+func ResidentMemory(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
--- a/internal/faultlab/process/process_test.go
+++ b/internal/faultlab/process/process_test.go
@@ -43,7 +43,7 @@
 const patience = 20 * time.Second
 
 // until waits for a condition, and says what it waited for if that does not come.
-func until(t *testing.T, what string, holds func() bool) {
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -71,28 +71,28 @@
 	return p, log
 }
 
-func TestFaults(t *testing.T) {
+func TestDiskFullStopAndKill(t *testing.T) {
 	s := NewStarter()
 	defer s.Close()
 	file := filepath.Join(t.TempDir(), "f")
 	p, log := start(t, s, "append", file)
-	until(t, "a first line", func() bool { return size(file) > 0 })
+	waitUntil(t, "a first line", func() bool { return size(file) > 0 })
 
-	if err := p.DiskFull(true); err != nil {
+	if err := p.SetDiskFull(true); err != nil {
 		t.Fatal(err)
 	}
 	logged := func() string { text, _ := os.ReadFile(log); return string(text) }
-	until(t, "a write that fails, in the log", func() bool { return strings.Contains(logged(), "file too large") })
+	waitUntil(t, "a write that fails, in the log", func() bool { return strings.Contains(logged(), "file too large") })
 	full := size(file)
-	if err := p.DiskFull(false); err != nil {
+	if err := p.SetDiskFull(false); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "room again", func() bool { return size(file) > full })
+	waitUntil(t, "room again", func() bool { return size(file) > full })
 
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a stop", func() bool {
+	waitUntil(t, "a stop", func() bool {
 		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 		return strings.Contains(string(stat), ") T ")
 	})
@@ -104,9 +104,9 @@
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it to go on", func() bool { return size(file) > stopped })
+	waitUntil(t, "it to go on", func() bool { return size(file) > stopped })
 
-	if u := p.Usage(); u.Memory < 1<<20 {
+	if u := p.Usage(); u.PeakMemory < 1<<20 {
 		t.Errorf("it uses %+v", u)
 	}
 	if err := p.Kill(); err != nil {
@@ -118,7 +118,7 @@
 }
 
 // A process that ends by itself has crashed; all end with the lab, even one that is killed.
-func TestEnds(t *testing.T) {
+func TestCrashesAndLifetime(t *testing.T) {
 	s := NewStarter()
 	defer s.Close()
 	file := filepath.Join(t.TempDir(), "f")
@@ -132,7 +132,7 @@
 	}
 	lab, log := start(t, s, "lab", file)
 	inner := 0
-	until(t, "a process of the lab's", func() bool {
+	waitUntil(t, "a process of the lab's", func() bool {
 		text, _ := os.ReadFile(log)
 		_, err := fmt.Sscan(string(text), &inner)
 		return err == nil
@@ -140,14 +140,14 @@
 	if err := lab.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the process to end with its lab", func() bool {
+	waitUntil(t, "the process to end with its lab", func() bool {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", inner))
 		return err != nil || strings.Contains(string(stat), ") Z ")
 	})
 }
 
 // A directory is one run's at a time; what a killed run left is taken over.
-func TestHold(t *testing.T) {
+func TestLock(t *testing.T) {
 	dir := t.TempDir()
 	for _, test := range []struct {
 		mark string
@@ -156,13 +156,13 @@
 		{"", true}, {"1\n", false}, {"99999999\n", true}, {"no number\n", true},
 	} {
 		if test.mark != "" {
-			if err := os.WriteFile(filepath.Join(dir, holdFile), []byte(test.mark), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, lockFile), []byte(test.mark), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := Hold(dir); (err == nil) != test.free {
+		if err := Lock(dir); (err == nil) != test.free {
 			t.Errorf("a directory marked %q: %v", test.mark, err)
 		}
-		Release(dir)
+		Unlock(dir)
 	}
 }
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -184,13 +184,13 @@
 		if len(p.config.Servers) > 0 {
 			role = "nodo"
 		}
-		use(role, p.process.Usage().CPU, process.Memory(p.process.PID()))
+		use(role, p.process.Usage().CPU, process.ResidentMemory(p.process.PID()))
 	}
 	for _, proxy := range m.proxyOrder {
 		for _, proc := range proxy.processes() {
 			memory := int64(0)
 			if !ended(proc) {
-				memory = process.Memory(proc.PID())
+				memory = process.ResidentMemory(proc.PID())
 			}
 			use("real", proc.Usage().CPU, memory)
 		}
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -172,7 +172,7 @@
 	for _, proxy := range bed.proxyOrder {
 		for _, proc := range proxy.processes() {
 			usage := proc.Usage()
-			memory, cpu = max(memory, usage.Memory), cpu+usage.CPU
+			memory, cpu = max(memory, usage.PeakMemory), cpu+usage.CPU
 		}
 	}
 	return memory, cpu
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -80,7 +80,7 @@
 	defer proxy.processesMu.Unlock()
 	proxy.allProcesses = append(proxy.allProcesses, started)
 	if proxy.diskFullFaults > 0 {
-		return started.DiskFull(true)
+		return started.SetDiskFull(true)
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 	old := proxy.process
 	notice := time.AfterFunc(termNoticeDelay, func() { bed.front.Bar(proxy.node.Name) })
 	go sendSignals(old, signals)
-	clean, err := old.End(bed.killDelay())
+	clean, err := old.Terminate(bed.killDelay())
 	notice.Stop()
 	bed.front.Bar(proxy.node.Name)
 	if err != nil {
@@ -218,7 +218,7 @@
 		bed.log.Error("successor not ready", "proxy", proxy.node.Name)
 		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
-	_, err := old.End(bed.killDelay())
+	_, err := old.Terminate(bed.killDelay())
 	return err
 }
 
--- a/internal/faultlab/run/strike_proxies.go
+++ b/internal/faultlab/run/strike_proxies.go
@@ -75,7 +75,7 @@
 
 // addDiskFull changes the number of faults that fill a proxy's disk.
 func (bed *testbed) addDiskFull(proxy *proxyUnderTest, n int) error {
-	return proxy.countFault(&proxy.diskFullFaults, n, func(p *process.Process, first bool) error { return p.DiskFull(first) })
+	return proxy.countFault(&proxy.diskFullFaults, n, func(p *process.Process, first bool) error { return p.SetDiskFull(first) })
 }
 
 // countFault adds n to a number of active faults, and calls apply for each process when the first starts or the last ends.
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -61,7 +61,7 @@
 				s.cfg.Ref.RecordUpdate(proxy, referee.ListUpdate{Entries: entries(list), Snapshot: list.Snapshot}, at)
 				s.delays.told(proxy, list, at, s.hollow)
 			}
-			if err := c.NoteThenWrite(wire.JSON(status, body), note); err != nil {
+			if err := c.NoteThenWrite(wire.JSONResponse(status, body), note); err != nil {
 				s.cfg.Ref.RecordPollFailed(proxy, time.Now())
 				return
 			}
--- a/internal/faultlab/service/report.go
+++ b/internal/faultlab/service/report.go
@@ -10,7 +10,7 @@
 
 // Report is what a play leaves of the service.
 type Report struct {
-	History linear.Verdict
+	History linear.CheckResult
 	Delays  []time.Duration // from a change's being confirmed to its being told, for each proxy that was told
 	Lacks   int             // living servers that a read lacked, at most
 	Refused int             // starts that a member refused for its directory
@@ -49,11 +49,11 @@
 // Wrong words what is wrong with a report.
 func (r Report) Wrong() string {
 	var out []string
-	if len(r.History.Wrong) > 0 {
-		out = append(out, "no order of the calls explains what was read of "+strings.Join(r.History.Wrong, ", "))
+	if len(r.History.Violations) > 0 {
+		out = append(out, "no order of the calls explains what was read of "+strings.Join(r.History.Violations, ", "))
 	}
-	if len(r.History.Open) > 0 {
-		out = append(out, "the search for an order took too long for "+strings.Join(r.History.Open, ", "))
+	if len(r.History.Undecided) > 0 {
+		out = append(out, "the search for an order took too long for "+strings.Join(r.History.Undecided, ", "))
 	}
 	if len(r.Ended) > 0 {
 		out = append(out, "members ended by themselves: "+strings.Join(r.Ended, ", "))
--- a/internal/faultlab/service/servers.go
+++ b/internal/faultlab/service/servers.go
@@ -149,7 +149,7 @@
 	registered()
 	drains := false
 	// Its lease may end at any moment after the last renewal that is known to have been taken.
-	mayEnd := s.history.Begin(linear.Gone, l.ref.Name, l.value(), l.n)
+	mayEnd := s.history.Begin(linear.Remove, l.ref.Name, l.value(), l.n)
 	for pause := s.cfg.Lease / renewPart; ; {
 		select {
 		case word := <-l.words:
@@ -159,14 +159,14 @@
 				s.write(ctx, linear.Drain, l, func(ctx context.Context) error { _, err := client.Drain(ctx, l.ref); return err }, state.StatusDraining)
 				continue
 			case drains:
-				s.write(ctx, linear.Gone, l, func(ctx context.Context) error { _, err := client.Deregister(ctx, l.ref); return err }, state.StatusDeleted)
+				s.write(ctx, linear.Remove, l, func(ctx context.Context) error { _, err := client.Deregister(ctx, l.ref); return err }, state.StatusDeleted)
 			}
 			return
 		case <-time.After(pause):
 		case <-ctx.Done():
 			return
 		}
-		begun := s.history.Begin(linear.Gone, l.ref.Name, l.value(), l.n)
+		begun := s.history.Begin(linear.Remove, l.ref.Name, l.value(), l.n)
 		_, err := client.Renew(ctx, l.ref)
 		var no *registrar.RejectedError
 		switch {
@@ -197,7 +197,7 @@
 }
 
 // write makes a call that is repeated until it is answered, and notes it.
-func (s *Service) write(ctx context.Context, kind linear.Kind, l *life, call func(context.Context) error, status string) bool {
+func (s *Service) write(ctx context.Context, kind linear.Operation, l *life, call func(context.Context) error, status string) bool {
 	end := s.history.Begin(kind, l.ref.Name, l.value(), l.n)
 	err := call(ctx)
 	var no *registrar.RejectedError
@@ -235,6 +235,6 @@
 			}
 		}
 		s.servers.lack(living, values)
-		s.history.Seen(reader, begun, values)
+		s.history.RecordRead(reader, begun, values)
 	}
 }
--- a/internal/faultlab/service/watch.go
+++ b/internal/faultlab/service/watch.go
@@ -31,7 +31,7 @@
 	if proc == nil {
 		return out
 	}
-	out.PID, out.CPU, out.Memory = proc.PID(), proc.Usage().CPU, process.Memory(proc.PID())
+	out.PID, out.CPU, out.Memory = proc.PID(), proc.Usage().CPU, process.ResidentMemory(proc.PID())
 	ctx, cancel := context.WithTimeout(context.Background(), callWait)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.cfg.Own(m.n, metricsPort)+"/metrics", nil)
--- a/internal/faultlab/soak/soak.go
+++ b/internal/faultlab/soak/soak.go
@@ -17,38 +17,38 @@
 )
 
 const (
-	seconds    = 18.0
-	lastFault  = 13.0 // seconds; what begins later has no time to show
-	crossings  = 3    // moments at which troubles meet
-	leaveMost  = 0.3  // of the tries\' clients leave before their answer, in half of the seeds
-	meetWithin = 0.8  // seconds between troubles that meet
-	fewLeast   = 3    // proxies of a zone, from
-	fewMost    = 5    // to; but for
-	manyOf     = 4    // one seed in so many, which has
-	manyLeast  = 8    // from
-	manyMost   = 13   // to
+	loadSeconds     = 18.0
+	latestFault     = 13.0 // seconds; what begins later has no time to show
+	overlaps        = 3    // moments at which troubles meet
+	maxLeavePart    = 0.3  // of the tries\' clients leave before their answer, in half of the seeds
+	overlapWindow   = 0.8  // seconds between troubles that meet
+	minProxies      = 3    // proxies of a zone, from
+	maxProxies      = 5    // to; but for
+	largeOneIn      = 4    // one seed in so many, which has
+	minProxiesLarge = 8    // from
+	maxProxiesLarge = 13   // to
 )
 
 // trouble is a kind of fault with how its metrics are drawn.
-type fault struct {
-	kind  string
-	keys  func(r *rand.Rand) string
-	lasts [2]float64 // seconds, from and to
+type faultKind struct {
+	kind     string
+	drawKeys func(r *rand.Rand) string
+	duration [2]float64 // seconds, from and to
 }
 
-func share(low, high float64) func(*rand.Rand) string {
+func drawShare(low, high float64) func(*rand.Rand) string {
 	return func(r *rand.Rand) string { return fmt.Sprintf("share = %.2f\n", low+(high-low)*r.Float64()) }
 }
 
 // with draws a figure beside a share.
-func with(key string, low, high float64, also func(*rand.Rand) string) func(*rand.Rand) string {
+func drawKey(key string, low, high float64, also func(*rand.Rand) string) func(*rand.Rand) string {
 	return func(r *rand.Rand) string {
 		return fmt.Sprintf("%s = %.2f\n", key, low+(high-low)*r.Float64()) + also(r)
 	}
 }
 
 // series has some of the restarts get further signals while they end.
-func series(also func(*rand.Rand) string) func(*rand.Rand) string {
+func drawVersions(also func(*rand.Rand) string) func(*rand.Rand) string {
 	return func(r *rand.Rand) string {
 		signals := ""
 		if n := r.IntN(5); n > 0 {
@@ -58,47 +58,49 @@
 	}
 }
 
-func links(text string) func(*rand.Rand) string { return func(*rand.Rand) string { return text } }
+func fixedKeys(text string) func(*rand.Rand) string { return func(*rand.Rand) string { return text } }
 
 // onceOnly are the troubles that a run has once: two of them on one process would be the lab's own doing.
-var onceOnly = map[string]bool{"kill": true, "restart": true, "upgrade": true, "power_loss": true}
+var oncePerRun = map[string]bool{"kill": true, "restart": true, "upgrade": true, "power_loss": true}
 
-var troubles = []fault{
-	{"kill", share(0.1, 0.4), [2]float64{0.5, 2}},
-	{"restart", series(with("spread", 0, 2, share(0.2, 0.7))), [2]float64{0.2, 1.5}},
-	{"upgrade", with("spread", 0, 2, share(0.2, 0.7)), [2]float64{0, 0}},
-	{"power_loss", share(0.1, 0.3), [2]float64{0.5, 1.5}},
+var faultKinds = []faultKind{
+	{"kill", drawShare(0.1, 0.4), [2]float64{0.5, 2}},
+	{"restart", drawVersions(drawKey("spread", 0, 2, drawShare(0.2, 0.7))), [2]float64{0.2, 1.5}},
+	{"upgrade", drawKey("spread", 0, 2, drawShare(0.2, 0.7)), [2]float64{0, 0}},
+	{"power_loss", drawShare(0.1, 0.3), [2]float64{0.5, 1.5}},
 	{"reload", func(r *rand.Rand) string { return fmt.Sprintf("versions = %d\nshare = 0.8\n", 1+r.IntN(5)) }, [2]float64{0, 0}},
-	{"hold_up", share(0.2, 0.6), [2]float64{1, 4}},
-	{"rude", share(0.3, 1), [2]float64{1, 4}},
-	{"crowd", func(r *rand.Rand) string { return fmt.Sprintf("clients = %d\n", 50+r.IntN(250)) + share(0.1, 0.5)(r) }, [2]float64{2, 5}},
-	{"disk_full", share(0.3, 1), [2]float64{1, 5}},
-	{"nodo_kill", share(0.1, 0.4), [2]float64{0.5, 3}},
-	{"nodo_silent", share(0.1, 0.4), [2]float64{0.5, 4}},
-	{"nodo_hang", share(0.1, 0.5), [2]float64{0.5, 4}},
-	{"nodo_slow", with("factor", 1.5, 4, share(0.2, 0.6)), [2]float64{1, 4}},
-	{"nodo_errors", with("part", 0.1, 0.6, share(0.2, 0.6)), [2]float64{1, 4}},
-	{"nodo_garble", with("part", 0.1, 0.6, share(0.2, 0.6)), [2]float64{1, 4}},
-	{"nodo_drain", with("spread", 0, 1, share(0.1, 0.5)), [2]float64{1, 3}},
-	{"nodo_replace", with("spread", 0, 2, share(0.1, 0.5)), [2]float64{0, 0}},
-	{"reset", links("link = \"nodo\"\n"), [2]float64{0, 0.5}},
-	{"reset", links("link = \"list\"\n"), [2]float64{0, 0.5}},
-	{"delay", with("ms", 20, 300, links("link = \"nodo\"\n")), [2]float64{0.5, 3}},
-	{"delay", with("ms", 50, 900, links("link = \"list\"\n")), [2]float64{0.5, 3}},
-	{"loss", with("part", 0.02, 0.2, links("link = \"nodo\"\n")), [2]float64{1, 3}},
-	{"cut", links("link = \"list\"\n"), [2]float64{0.5, 4}},
-	{"list_down", links(""), [2]float64{0.5, 5}},
-	{"list_slow", with("factor", 5, 60, links("")), [2]float64{1, 4}},
+	{"hold_up", drawShare(0.2, 0.6), [2]float64{1, 4}},
+	{"rude", drawShare(0.3, 1), [2]float64{1, 4}},
+	{"crowd", func(r *rand.Rand) string {
+		return fmt.Sprintf("clients = %d\n", 50+r.IntN(250)) + drawShare(0.1, 0.5)(r)
+	}, [2]float64{2, 5}},
+	{"disk_full", drawShare(0.3, 1), [2]float64{1, 5}},
+	{"nodo_kill", drawShare(0.1, 0.4), [2]float64{0.5, 3}},
+	{"nodo_silent", drawShare(0.1, 0.4), [2]float64{0.5, 4}},
+	{"nodo_hang", drawShare(0.1, 0.5), [2]float64{0.5, 4}},
+	{"nodo_slow", drawKey("factor", 1.5, 4, drawShare(0.2, 0.6)), [2]float64{1, 4}},
+	{"nodo_errors", drawKey("part", 0.1, 0.6, drawShare(0.2, 0.6)), [2]float64{1, 4}},
+	{"nodo_garble", drawKey("part", 0.1, 0.6, drawShare(0.2, 0.6)), [2]float64{1, 4}},
+	{"nodo_drain", drawKey("spread", 0, 1, drawShare(0.1, 0.5)), [2]float64{1, 3}},
+	{"nodo_replace", drawKey("spread", 0, 2, drawShare(0.1, 0.5)), [2]float64{0, 0}},
+	{"reset", fixedKeys("link = \"nodo\"\n"), [2]float64{0, 0.5}},
+	{"reset", fixedKeys("link = \"list\"\n"), [2]float64{0, 0.5}},
+	{"delay", drawKey("ms", 20, 300, fixedKeys("link = \"nodo\"\n")), [2]float64{0.5, 3}},
+	{"delay", drawKey("ms", 50, 900, fixedKeys("link = \"list\"\n")), [2]float64{0.5, 3}},
+	{"loss", drawKey("part", 0.02, 0.2, fixedKeys("link = \"nodo\"\n")), [2]float64{1, 3}},
+	{"cut", fixedKeys("link = \"list\"\n"), [2]float64{0.5, 4}},
+	{"list_down", fixedKeys(""), [2]float64{0.5, 5}},
+	{"list_slow", drawKey("factor", 5, 60, fixedKeys("")), [2]float64{1, 4}},
 }
 
 // Text draws an experiment's file.
 func Text(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 41))
 	var b strings.Builder
-	fmt.Fprintf(&b, "base = \"calm.toml\"\ntitle = \"soak, seed %d\"\nseconds = %g\nexpect = []\n", seed, seconds)
-	least, most := fewLeast, fewMost
-	if r.IntN(manyOf) == 0 {
-		least, most = manyLeast, manyMost
+	fmt.Fprintf(&b, "base = \"calm.toml\"\ntitle = \"soak, seed %d\"\nseconds = %g\nexpect = []\n", seed, loadSeconds)
+	least, most := minProxies, maxProxies
+	if r.IntN(largeOneIn) == 0 {
+		least, most = minProxiesLarge, maxProxiesLarge
 	}
 	var zones strings.Builder
 	for _, z := range []string{"monterrey", "queretaro", "guadalajara"} {
@@ -108,24 +110,24 @@
 	}
 	fmt.Fprintf(&b, "\n[load]\nrate = [[0, 20], [2, %d]]\n", 60+r.IntN(60))
 	fmt.Fprintf(&b, "\n[lab]\nlate_ms = 200\nstall_ms = 1500\n")
-	fmt.Fprintf(&b, "\n[clients]\nother_zones = %v\nleave_part = %.2f\n", r.IntN(2) == 0, leaveMost*r.Float64()*float64(r.IntN(2)))
+	fmt.Fprintf(&b, "\n[clients]\nother_zones = %v\nleave_part = %.2f\n", r.IntN(2) == 0, maxLeavePart*r.Float64()*float64(r.IntN(2)))
 	fmt.Fprintf(&b, "\n[proxy]\nmembership = %q\n", []string{"automatic", "subscribe"}[r.IntN(2)])
 	b.WriteString(zones.String())
-	b.WriteString(classes(r))
+	b.WriteString(drawClasses(r))
 	used := map[string]bool{}
-	for c := range crossings {
-		centre := 3 + (lastFault-3)*(float64(c)+r.Float64())/crossings
+	for c := range overlaps {
+		centre := 3 + (latestFault-3)*(float64(c)+r.Float64())/overlaps
 		for range 2 + r.IntN(2) {
-			t := troubles[r.IntN(len(troubles))]
-			if used[t.kind] && onceOnly[t.kind] {
+			t := faultKinds[r.IntN(len(faultKinds))]
+			if used[t.kind] && oncePerRun[t.kind] {
 				continue
 			}
 			used[t.kind] = true
-			fmt.Fprintf(&b, "\n[[fault]]\nkind = %q\nat = %.2f\n", t.kind, centre+meetWithin*r.Float64())
-			if d := t.lasts[0] + (t.lasts[1]-t.lasts[0])*r.Float64(); d > 0 {
+			fmt.Fprintf(&b, "\n[[fault]]\nkind = %q\nat = %.2f\n", t.kind, centre+overlapWindow*r.Float64())
+			if d := t.duration[0] + (t.duration[1]-t.duration[0])*r.Float64(); d > 0 {
 				fmt.Fprintf(&b, "for = %.2f\n", d)
 			}
-			b.WriteString(t.keys(r))
+			b.WriteString(t.drawKeys(r))
 		}
 	}
 	return b.String()
@@ -133,7 +135,7 @@
 
 // classes draws other deadlines, windows and sizes for half of the seeds: bodies beyond what a proxy holds, answers beyond
 // what it takes whole.
-func classes(r *rand.Rand) string {
+func drawClasses(r *rand.Rand) string {
 	if r.IntN(2) == 0 {
 		return ""
 	}
@@ -156,10 +158,10 @@
 }
 
 // signs are what a proxy's log shows of a fault in the program.
-var signs = []string{`msg="rule broken"`, "panic:", "fatal error:", "WARNING: DATA RACE", "panic serving"}
+var failurePatterns = []string{`msg="rule broken"`, "panic:", "fatal error:", "WARNING: DATA RACE", "panic serving"}
 
 // Faults are what is wrong with a play: broken rules, crashes, and lines of the proxies' logs below dir.
-func Faults(p result.Play, dir string) (found []string, err error) {
+func Failures(p result.Play, dir string) (found []string, err error) {
 	for rule, n := range p.ViolationCounts {
 		if n > 0 {
 			found = append(found, fmt.Sprintf("%s broken %d times", rule, n))
@@ -176,7 +178,7 @@
 		return nil, err
 	}
 	for _, path := range logs {
-		lines, err := scan(path)
+		lines, err := scanLog(path)
 		if err != nil {
 			return nil, err
 		}
@@ -185,7 +187,7 @@
 	return found, nil
 }
 
-func scan(path string) (found []string, err error) {
+func scanLog(path string) (found []string, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -194,7 +196,7 @@
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		for _, sign := range signs {
+		for _, sign := range failurePatterns {
 			if strings.Contains(lines.Text(), sign) {
 				found = append(found, filepath.Base(path)+": "+lines.Text())
 			}
--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -12,7 +12,7 @@
 )
 
 // Each seed gives a whole experiment, the same each time, in which troubles overlap.
-func TestSeedsDrawWholeExperiments(t *testing.T) {
+func TestSeedsDrawValidExperiments(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(300) {
 		e, text, err := Draw(seed)
@@ -25,24 +25,24 @@
 		if n := len(e.ProxyNodes()); n < 9 || n > 40 {
 			t.Errorf("seed %d: %d proxies", seed, n)
 		}
-		if !overlap(e) {
+		if !haveOverlap(e) {
 			t.Errorf("seed %d: no two troubles overlap:\n%s", seed, text)
 		}
 		for _, f := range e.Faults {
 			seen[f.Kind] = true
 		}
 	}
-	for _, trouble := range troubles {
+	for _, trouble := range faultKinds {
 		if !seen[trouble.kind] {
 			t.Errorf("no seed draws %s", trouble.kind)
 		}
 	}
 }
 
-func overlap(e *experiment.Experiment) bool {
+func haveOverlap(e *experiment.Experiment) bool {
 	for i, f := range e.Faults {
 		for _, g := range e.Faults[i+1:] {
-			if f.At <= g.At+g.For+meetWithin && g.At <= f.At+f.For+meetWithin {
+			if f.At <= g.At+g.For+overlapWindow && g.At <= f.At+f.For+overlapWindow {
 				return true
 			}
 		}
@@ -51,7 +51,7 @@
 }
 
 // Each sign of a fault is found: what the referee saw, what a proxy saw of itself, and how processes ended.
-func TestFaultsAreFound(t *testing.T) {
+func TestFailures(t *testing.T) {
 	quiet := `time=x level=INFO msg=draining open=2` + "\n" + `time=x level=WARN msg="broken response" server=a` + "\n"
 	for _, c := range []struct {
 		name  string
@@ -75,7 +75,7 @@
 		if err := os.WriteFile(filepath.Join(dir, "logs", "a-p1.log"), []byte(quiet+c.lines), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		found, err := Faults(c.play, dir)
+		found, err := Failures(c.play, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/faultlab/stubserver/serve.go
+++ b/internal/faultlab/stubserver/serve.go
@@ -86,7 +86,7 @@
 
 // patience is when the caller will have given up.
 func patience(req *http.Request) time.Time {
-	ms, err := strconv.ParseFloat(req.Header.Get(wire.Timeout), 64)
+	ms, err := strconv.ParseFloat(req.Header.Get(wire.RequestTimeout), 64)
 	if err != nil || ms <= 0 {
 		return time.Time{}
 	}
@@ -169,7 +169,7 @@
 		n.ref.RecordError(at, j.holdsSlot)
 		return n.answer(c, at, 500, nil, false)
 	}
-	made := wire.Make(id, n.spec.Name, what.Answer)
+	made := wire.MakeBody(id, n.spec.Name, what.Answer)
 	n.ref.RecordServed(at, wire.Digest(made), j.holdsSlot)
 	if spoils {
 		n.spoil(c, at, made)
--- a/internal/faultlab/stubserver/stubserver_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -57,7 +57,7 @@
 	}
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c, "GET /c HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %d\r\n\r\n", wire.RequestID, id, wire.Timeout, patience.Milliseconds())
+	fmt.Fprintf(c, "GET /c HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %d\r\n\r\n", wire.RequestID, id, wire.RequestTimeout, patience.Milliseconds())
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, false
--- a/internal/faultlab/wire/wire.go
+++ b/internal/faultlab/wire/wire.go
@@ -13,7 +13,7 @@
 const (
 	RequestID      = "Request-Id"
 	RequestClass   = "Request-Class"
-	Timeout        = "Request-Timeout-Ms"
+	RequestTimeout = "Request-Timeout-Ms"
 	IdempotencyKey = "Idempotency-Key"
 	ClientRetry    = "Client-Retry"
 	NotStarted     = "Not-Started"
@@ -27,7 +27,7 @@
 }
 
 // Make is the body of size bytes, or somewhat more, that maker gives for a request: no two makers give the same.
-func Make(id, maker string, size int) []byte {
+func MakeBody(id, maker string, size int) []byte {
 	out := []byte(id + " " + maker + "\n")
 	r := rand.New(rand.NewPCG(Digest([]byte(id)), Digest([]byte(maker))))
 	for len(out) < size {
@@ -37,7 +37,7 @@
 }
 
 // JSON is a whole answer of the list's, head and body.
-func JSON(status int, body []byte) []byte {
+func JSONResponse(status int, body []byte) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status,
 		http.StatusText(status), len(body), body)
 }
