--- a/internal/faultlab/faultdisk/faultdisk.go
+++ b/internal/faultlab/faultdisk/faultdisk.go
@@ -1,8 +1,8 @@
-// Package faultdisk injects power loss into files: a file layer for stand-ins that loses, at a power loss, what was not
-// synced, and the same done to the files of a real process after it was killed.
+// Package faultdisk injects power losses and full disks into files: into in-memory files of stub servers, and into the files
+// of a real process after it was killed. It decides nothing about when a fault happens.
 //
-// Only what a sync confirmed is durable. Of later writes any 512-byte block may be on the disk or not, in any order: a
-// lost block reads as zeros, or is the end of the file.
+// Only data that a sync has confirmed is durable. Of later writes any 512-byte block may be on the disk or not, in any order:
+// a lost block reads as zeros, or is the end of the file.
 package faultdisk
 
 import (
@@ -17,21 +17,21 @@
 	"time"
 )
 
-// Block is what a disk writes whole.
+// BlockSize is what a disk writes atomically, in bytes.
 const BlockSize = 512
 
-// ErrFull is a write to a full disk.
+// ErrFull reports a write to a full disk; it wraps ENOSPC.
 var ErrFull = fmt.Errorf("write: %w", syscall.ENOSPC)
 
-// File is a stand-in's file.
+// File is a file in memory. Its methods are safe for concurrent use.
 type File struct {
 	mu     sync.Mutex
 	data   []byte
-	synced int // bytes that a sync has confirmed
+	synced int // bytes
 	full   bool
 }
 
-// Append writes at the end; a full disk takes none of it.
+// Append writes at the end, or returns ErrFull and writes nothing.
 func (f *File) Append(b []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,49 +42,49 @@
 	return nil
 }
 
-// Sync confirms all that was written.
+// Sync makes all data durable.
 func (f *File) Sync() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.synced = len(f.data)
 }
 
-// Full has writes fail, or succeed again.
+// SetFull makes writes fail, or succeed again.
 func (f *File) SetFull(full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = full
 }
 
-// Bytes is what the file holds.
+// Bytes returns a copy of the data.
 func (f *File) Bytes() []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]byte(nil), f.data...)
 }
 
-// Truncate cuts the file to n bytes, as its reader does with a torn tail.
+// Truncate cuts the file to n bytes, as its reader does with a torn tail. n must not exceed the length.
 func (f *File) Truncate(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.data, f.synced = f.data[:n], min(f.synced, n)
 }
 
-// PowerLoss loses of what was not synced what r decides.
-func (f *File) PowerLoss(r *rand.Rand) {
+// PowerLoss loses a part of the data that is not durable, chosen by random.
+func (f *File) PowerLoss(random *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.data = tear(f.data, f.synced, r)
+	f.data = tear(f.data, f.synced, random)
 	f.synced = len(f.data)
 }
 
-// tear keeps the first bytes of data up to kept, and of the blocks behind them those that r lets live.
-func tear(data []byte, kept int, r *rand.Rand) []byte {
-	end := kept + r.IntN(len(data)-kept+1)
+// tear keeps the first synced bytes of data, and a random part of the blocks behind them.
+func tear(data []byte, synced int, random *rand.Rand) []byte {
+	end := synced + random.IntN(len(data)-synced+1)
 	out := append([]byte(nil), data[:end]...)
-	for at := kept; at < end; {
+	for at := synced; at < end; {
 		next := min(end, (at/BlockSize+1)*BlockSize)
-		if r.IntN(4) == 0 {
+		if random.IntN(4) == 0 {
 			clear(out[at:next])
 		}
 		at = next
@@ -92,10 +92,10 @@
 	return out
 }
 
-// Tear does to the files below a directory what a power loss may do to those changed since a time: nobody outside a
-// process can tell what it synced, so this may take more than a disk would. Files that a program has made but written
-// nothing to are kept or removed. Sockets are removed, as they are no files. It names what it changed.
-func Tear(dir string, since time.Time, r *rand.Rand) ([]string, error) {
+// Tear applies a power loss to the files below a directory that have changed since a time, and returns their paths. What the
+// process synced is not known outside of it, so that more may be lost than on a disk. Empty files are kept or removed at
+// random; sockets are removed.
+func Tear(dir string, since time.Time, random *rand.Rand) ([]string, error) {
 	var changed []string
 	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
@@ -115,20 +115,24 @@
 			return nil
 		}
 		changed = append(changed, path)
-		if info.Size() == 0 {
-			if r.IntN(2) == 0 {
-				return os.Remove(path)
-			}
-			return nil
-		}
-		data, err := os.ReadFile(path)
-		if err != nil {
-			return err
-		}
-		return os.WriteFile(path, tear(data, 0, r), info.Mode().Perm())
+		return tearFile(path, info, random)
 	})
 	if err != nil {
 		return changed, fmt.Errorf("power loss: %w", err)
 	}
 	return changed, nil
 }
+
+func tearFile(path string, info fs.FileInfo, random *rand.Rand) error {
+	if info.Size() == 0 {
+		if random.IntN(2) == 0 {
+			return os.Remove(path)
+		}
+		return nil
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, tear(data, 0, random), info.Mode().Perm())
+}
--- a/internal/faultlab/linear/linear.go
+++ b/internal/faultlab/linear/linear.go
@@ -1,6 +1,6 @@
-// Package linear keeps a history of what was asked of a list service and what it answered, and checks it: there has to
-// be one order of all calls, each at some moment between its beginning and its end, in which a plain list answers the
-// same. porcupine searches for it, server by server, which is as good as all at once.
+// Package linear records the history of calls to a registry and checks that it is linearizable: that there is an order of all
+// calls, each at a moment between its start and its end, in which a sequential list gives the same answers. porcupine searches
+// for it, for each server alone, which is equivalent. The package never calls the registry itself.
 package linear
 
 import (
@@ -12,60 +12,61 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Kind is what a call says.
+// Operation is the kind of a call.
 type Operation string
 
-// The kinds of calls.
+// The operations.
 const (
 	Register Operation = "register"
 	Drain    Operation = "drain"
 	Remove   Operation = "gone" // deregistered, or its lease may have ended
-	Read     Operation = "read" // one that promises to be current
+	Read     Operation = "read" // a linearizable one
 )
 
-// Absent is the value of a server that the list does not have.
+// Absent is the value of a server that is not listed.
 const Absent = ""
 
-// Value is a server's value in the list.
+// Value returns the value of a listed server.
 func Value(status, instance string) string { return status + " " + instance }
 
-// input is a call.
+// input is what a call asks for.
 type input struct {
 	kind           Operation
 	name, instance string
 }
 
-// History is all calls so far.
+// History is the calls so far. Its methods are safe for concurrent use.
 type History struct {
 	mu         sync.Mutex
 	start      time.Time
 	operations []porcupine.Operation
 }
 
-// New is a history that begins now.
+// New returns an empty history that starts now.
 func New() *History { return &History{start: time.Now()} }
 
-// Begin notes that a writer's call begins. The call that it gives notes its end: sure, if the service has said yes. One
-// that is not sure may happen at any later moment, or never. A call that the service refused is taken back.
-func (h *History) Begin(kind Operation, name, instance string, client int) (end func(sure, refused bool)) {
+// Begin records the start of a write. The function that it returns records the end: acknowledged if the service confirmed the
+// write, rejected if it refused it, which removes the call. Any other write may take effect at any later moment, or never.
+func (h *History) Begin(kind Operation, name, instance string, client int) (end func(acknowledged, rejected bool)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	at := len(h.operations)
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input{kind, name, instance}, Output: Absent,
 		Call: int64(time.Since(h.start)), Return: math.MaxInt64})
-	return func(sure, refused bool) {
+	return func(acknowledged, rejected bool) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if sure {
+		if acknowledged {
 			h.operations[at].Return = int64(time.Since(h.start))
 		}
-		if refused {
+		if rejected {
 			h.operations[at].Input = nil
 		}
 	}
 }
 
-// Seen notes a read of the whole list that began at a time and has just ended: each name's value, Absent included.
+// RecordRead records a read of the complete list that began at a time and has just ended, with the value of each server,
+// Absent included.
 func (h *History) RecordRead(client int, begun time.Time, values map[string]string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,7 +77,7 @@
 	}
 }
 
-// step is what a plain list does.
+// applyOperation is the sequential specification: whether an output is right in a state, and the next state.
 func applyOperation(state, in, out any) (bool, any) {
 	now, call := state.(string), in.(input)
 	switch call.kind {
@@ -121,22 +122,22 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Verdict is what a check came to.
+// CheckResult is the result of a check.
 type CheckResult struct {
 	Calls      int
-	Violations []string // servers whose calls no order explains
-	Undecided  []string // and those for which the search took too long
+	Violations []string // servers whose calls are not linearizable
+	Undecided  []string // servers whose search timed out
 }
 
-// Check checks all servers' calls, each for at most so long.
-func (h *History) Check(patience time.Duration) CheckResult {
+// Check checks the calls of all servers, for at most the timeout each.
+func (h *History) Check(timeout time.Duration) CheckResult {
 	h.mu.Lock()
 	all := slices.DeleteFunc(slices.Clone(h.operations), func(o porcupine.Operation) bool { return o.Input == nil })
 	h.mu.Unlock()
 	v := CheckResult{Calls: len(all)}
 	for _, ops := range model.Partition(all) {
 		name := ops[0].Input.(input).name
-		switch porcupine.CheckOperationsTimeout(model, ops, patience) {
+		switch porcupine.CheckOperationsTimeout(model, ops, timeout) {
 		case porcupine.Illegal:
 			v.Violations = append(v.Violations, name)
 		case porcupine.Unknown:
--- a/internal/faultlab/linear/linear_test.go
+++ b/internal/faultlab/linear/linear_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// say is a call as the test gives it: from, to in ms; to 0 is one that is not sure.
+// testCall is a call from and to a time in ms; to 0 is a write without an answer.
 type testCall struct {
 	kind     Operation
 	instance string // of a read: the value
 	from, to int
 }
 
-// Right histories pass and wrong ones are found: by this the checker is known to be able to fail.
+// Linearizable histories pass and others are found.
 func TestCheck(t *testing.T) {
 	const i1, i2 = "SERVING i1", "SERVING i2"
 	for name, c := range map[string]struct {
-		says  []testCall
+		calls []testCall
 		wrong bool
 	}{
 		"read after write":                  {[]testCall{{Register, "i1", 0, 10}, {Read, i1, 20, 30}}, false},
@@ -36,7 +36,7 @@
 		"a lease may end":               {[]testCall{{Register, "i1", 0, 10}, {Remove, "i1", 11, 0}, {Read, i1, 13, 14}, {Read, Absent, 20, 21}}, false},
 	} {
 		h := New()
-		for i, s := range c.says {
+		for i, s := range c.calls {
 			h.Begin(s.kind, "n", s.instance, i)
 			op := &h.operations[len(h.operations)-1]
 			op.Call = int64(s.from) * int64(time.Millisecond)
@@ -54,13 +54,13 @@
 	}
 }
 
-// What the recorder notes is what was called.
+// The history has the calls that were recorded.
 func TestRecorder(t *testing.T) {
 	h := New()
 	h.Begin(Register, "a", "i1", 0)(true, false)
 	begun := time.Now()
 	h.RecordRead(1, begun, map[string]string{"a": Value("SERVING", "i1"), "b": Absent})
-	h.Begin(Register, "b", "i1", 0)(false, true) // refused: it never was
+	h.Begin(Register, "b", "i1", 0)(false, true) // rejected: removed
 	h.Begin(Register, "b", "i2", 0)(false, false)
 	if v := h.Check(time.Second); len(v.Violations)+len(v.Undecided) != 0 || v.Calls != 4 {
 		t.Errorf("%+v", v)
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -1,8 +1,8 @@
-// Package process runs the programs under test: real processes with a directory each, that the lab can kill, stop, take
-// the power from, and fill the disk of. No rights are needed beyond those of a user over its own processes.
+// Package process starts, signals and measures the programs under test as real processes of the same user; it needs no further
+// rights. It knows nothing of what the programs do.
 //
-// A process never outlives the lab, however that ends: the kernel kills it when the thread that started it does, which
-// is why one thread, the starter's, starts them all.
+// A process never outlives the lab, even if the lab is killed: the kernel kills it when the thread that started it ends, so
+// that a single thread, the Starter's, starts all of them.
 package process
 
 import (
@@ -12,7 +12,6 @@
 	"log/slog"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"runtime"
 	"strconv"
 	"strings"
@@ -22,41 +21,41 @@
 	"unsafe"
 )
 
-// Starter starts processes from one thread.
+// Starter starts processes from a single thread.
 type Starter struct {
 	starts chan func()
 	done   chan struct{}
 }
 
-// NewStarter begins the thread.
+// NewStarter starts the thread. Close ends it.
 func NewStarter() *Starter {
 	s := &Starter{starts: make(chan func()), done: make(chan struct{})}
 	go func() {
-		runtime.LockOSThread() // and never unlocked: the thread ends with this goroutine
+		runtime.LockOSThread() // never unlocked: the thread ends with this goroutine
 		defer close(s.done)
-		for f := range s.starts {
-			f()
+		for start := range s.starts {
+			start()
 		}
 	}()
 	return s
 }
 
-// Close ends the thread, and with it whatever it started that still runs.
+// Close ends the thread, and with it every process that still runs.
 func (s *Starter) Close() {
 	close(s.starts)
 	<-s.done
 }
 
-// Spec is a program to run.
+// Spec describes a process to start.
 type Spec struct {
 	Name    string
 	Command []string
-	Dir     string   // its working directory
-	Env     []string // all of it
-	Log     string   // file that gets what it prints, after what is there
+	Dir     string   // working directory
+	Env     []string // the complete environment
+	Log     string   // file that its standard error is appended to
 }
 
-// Process is one process.
+// Process is a started process. Its methods are safe for concurrent use.
 type Process struct {
 	Name    string
 	command *exec.Cmd
@@ -65,17 +64,17 @@
 
 	mu           sync.Mutex
 	err          error
-	endRequested bool // it was told to end
+	endRequested bool // by Signal
 	usage        Usage
 }
 
-// Usage is what a process used.
+// Usage is the resources that a process has used.
 type Usage struct {
 	CPU        time.Duration
-	PeakMemory int64 // peak of its resident memory, bytes
+	PeakMemory int64 // bytes, resident
 }
 
-// Start starts a program.
+// Start starts a process and returns once it runs.
 func (s *Starter) Start(spec Spec, log *slog.Logger) (*Process, error) {
 	out, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -84,7 +83,7 @@
 	cmd := exec.Command(spec.Command[0], spec.Command[1:]...)
 	cmd.Dir, cmd.Env = spec.Dir, spec.Env
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	// By a pipe: the limit that stands for a full disk must not silence the log.
+	// Through a pipe: SetDiskFull limits the process's own files only.
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
 		out.Close()
@@ -109,8 +108,7 @@
 		err := cmd.Wait()
 		p.mu.Lock()
 		p.err = err
-		// Its peak of memory comes from a look before its end: what the kernel keeps counts the lab's own, from the
-		// moment between fork and exec.
+		// The peak memory is sampled before the end: the kernel's figure includes the lab's memory between fork and exec.
 		p.usage.CPU = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		p.mu.Unlock()
 		close(p.ended)
@@ -118,20 +116,20 @@
 	return p, nil
 }
 
-// PID is the process's id.
+// PID returns the process's id.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Err is how it ended: nil for 0.
+// Err returns how the process ended: nil for status 0, and while it runs.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Crashed tells whether it has ended without having been told to.
+// Crashed reports whether the process has ended without SIGTERM or SIGKILL from Signal.
 func (p *Process) Crashed() bool {
 	select {
 	case <-p.ended:
@@ -143,7 +141,7 @@
 	}
 }
 
-// Usage is what it has used so far, or used: as of the last look, for the memory of one that ended by itself.
+// Usage returns the resources used so far. The memory of a process that has ended is as of the last sample.
 func (p *Process) Usage() Usage {
 	p.sampleUsage()
 	p.mu.Lock()
@@ -151,15 +149,15 @@
 	return p.usage
 }
 
-// look notes what it uses while it lives.
+// sampleUsage updates the usage of a running process.
 func (p *Process) sampleUsage() {
 	u := Usage{PeakMemory: PeakMemory(p.PID())}
 	if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID())); err == nil {
 		_, rest, _ := strings.Cut(string(stat), ") ")
-		if f := strings.Fields(rest); len(f) > 12 {
-			user, _ := strconv.ParseInt(f[11], 10, 64)
-			system, _ := strconv.ParseInt(f[12], 10, 64)
-			u.CPU = time.Duration(user+system) * (time.Second / 100)
+		if fields := strings.Fields(rest); len(fields) > 12 {
+			user, _ := strconv.ParseInt(fields[11], 10, 64)
+			system, _ := strconv.ParseInt(fields[12], 10, 64)
+			u.CPU = time.Duration(user+system) * clockTick
 		}
 	}
 	p.mu.Lock()
@@ -167,7 +165,7 @@
 	p.usage = Usage{max(p.usage.CPU, u.CPU), max(p.usage.PeakMemory, u.PeakMemory)}
 }
 
-// PeakMemory is the peak of a living process's resident memory, in bytes; 0 if it cannot be told.
+// PeakMemory returns the peak of a running process's resident memory, in bytes; 0 if it is unknown.
 func PeakMemory(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -182,7 +180,21 @@
 	return 0
 }
 
-// Signal sends a signal. SIGTERM and SIGKILL tell it to end.
+// ResidentMemory returns a running process's current resident memory, in bytes; 0 if it is unknown.
+func ResidentMemory(pid int) int64 {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	if err != nil {
+		return 0
+	}
+	fields := strings.Fields(string(text))
+	if len(fields) < 2 {
+		return 0
+	}
+	pages, _ := strconv.ParseInt(fields[1], 10, 64)
+	return pages * int64(os.Getpagesize())
+}
+
+// Signal sends a signal. After SIGTERM or SIGKILL the end of the process is no crash. A process that has ended is no error.
 func (p *Process) Signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	ends := sig == syscall.SIGTERM || sig == syscall.SIGKILL
@@ -198,7 +210,7 @@
 	return err
 }
 
-// Kill ends it outright and waits for that.
+// Kill sends SIGKILL and waits for the end.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return fmt.Errorf("kill %s: %w", p.Name, err)
@@ -207,53 +219,54 @@
 	return nil
 }
 
-// KillAll kills processes in one instant: all are signalled before any is waited for.
-func KillAll(ps []*Process) error {
+// KillAll kills processes at the same time: all are signalled before any is waited for.
+func KillAll(processes []*Process) error {
 	var errs []error
-	for _, p := range ps {
+	for _, p := range processes {
 		errs = append(errs, p.Signal(syscall.SIGKILL))
 	}
-	for _, p := range ps {
+	for _, p := range processes {
 		<-p.ended
 	}
 	return errors.Join(errs...)
 }
 
-// End asks it to end, and kills it after patience. Clean tells whether it ended by itself with 0.
-func (p *Process) Terminate(patience time.Duration) (clean bool, err error) {
+// Terminate sends SIGTERM, and SIGKILL after a timeout. clean reports whether the process exited by itself with status 0.
+func (p *Process) Terminate(timeout time.Duration) (clean bool, err error) {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
-		return false, fmt.Errorf("end %s: %w", p.Name, err)
+		return false, fmt.Errorf("terminate %s: %w", p.Name, err)
 	}
-	t := time.NewTimer(patience)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-p.ended:
 		return p.Err() == nil, nil
-	case <-t.C:
+	case <-timer.C:
 		return false, p.Kill()
 	}
 }
 
-// DiskFull has every byte that the process writes to a file fail, or succeed again. The kernel's limit on a file's size
-// stands for the disk: the error is EFBIG where a disk gives ENOSPC, and making or renaming an empty file still works,
-// as it mostly does on a full disk. The limit is the soft one, which needs no right to be put back.
+// SetDiskFull makes every write of the process to a file fail, or succeed again, by the limit on the size of files: the error
+// is EFBIG instead of ENOSPC, and empty files can still be created and renamed, as mostly on a full disk. It is the soft limit,
+// which a user may raise again.
 func (p *Process) SetDiskFull(full bool) error {
 	var limit syscall.Rlimit
 	if err := prlimit(p.PID(), nil, &limit); err != nil {
-		return fmt.Errorf("disk of %s: %w", p.Name, err)
+		return fmt.Errorf("limit the files of %s: %w", p.Name, err)
 	}
 	if limit.Cur = limit.Max; full {
 		limit.Cur = 0
 	}
 	if err := prlimit(p.PID(), &limit, nil); err != nil {
-		return fmt.Errorf("disk of %s: %w", p.Name, err)
+		return fmt.Errorf("limit the files of %s: %w", p.Name, err)
 	}
 	return nil
 }
 
+// prlimit sets or gets the limit on the size of a process's files.
 func prlimit(pid int, set, get *syscall.Rlimit) error {
-	const fsize = syscall.RLIMIT_FSIZE
-	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), fsize, uintptr(unsafe.Pointer(set)),
+	const fileSize = syscall.RLIMIT_FSIZE
+	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), fileSize, uintptr(unsafe.Pointer(set)),
 		uintptr(unsafe.Pointer(get)), 0, 0)
 	if errno != 0 {
 		return errno
@@ -261,40 +274,5 @@
 	return nil
 }
 
-const lockFile = "lab.pid"
-
-// Alive tells whether a process of that id lives, whoever's it is.
-func Alive(pid int) bool { return pid > 0 && !errors.Is(syscall.Kill(pid, 0), syscall.ESRCH) }
-
-// Hold marks a directory as this process's, unless a process that lives has marked it. The mark of one that was killed
-// is taken over.
-func Lock(dir string) error {
-	path := filepath.Join(dir, lockFile)
-	if text, err := os.ReadFile(path); err == nil {
-		pid, err := strconv.Atoi(strings.TrimSpace(string(text)))
-		if err == nil && pid != os.Getpid() && Alive(pid) {
-			return fmt.Errorf("%s is in use by the run of process %d; give another --out", dir, pid)
-		}
-	}
-	if err := os.WriteFile(path, []byte(strconv.Itoa(os.Getpid())+"\n"), 0o644); err != nil {
-		return fmt.Errorf("mark the directory: %w", err)
-	}
-	return nil
-}
-
-// Release takes the mark away.
-func Unlock(dir string) { _ = os.Remove(filepath.Join(dir, lockFile)) }
-
-// Memory is a living process's resident memory now, in bytes; 0 if it cannot be told.
-func ResidentMemory(pid int) int64 {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
-	if err != nil {
-		return 0
-	}
-	f := strings.Fields(string(text))
-	if len(f) < 2 {
-		return 0
-	}
-	pages, _ := strconv.ParseInt(f[1], 10, 64)
-	return pages * int64(os.Getpagesize())
-}
+// clockTick is the unit of processor times in /proc (USER_HZ).
+const clockTick = time.Second / 100
--- a/internal/faultlab/process/process_test.go
+++ b/internal/faultlab/process/process_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// The test binary is also the process that it plays with: it appends lines to the file it is given, and says what came
-// of each; or it runs a process of its own and waits.
+// The test binary is also the program under test: "append" appends lines to a file and prints the result of each write, "lab"
+// starts a process of its own and waits.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "append" {
 		for i := 0; ; i++ {
@@ -26,7 +26,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if len(os.Args) == 3 && os.Args[1] == "wait" { // and says nothing: a broken pipe would end it too
+	if len(os.Args) == 3 && os.Args[1] == "wait" { // without output: a broken pipe would end it too
 		time.Sleep(time.Minute)
 	}
 	if len(os.Args) == 3 && os.Args[1] == "lab" {
@@ -42,12 +42,12 @@
 
 const patience = 20 * time.Second
 
-// until waits for a condition, and says what it waited for if that does not come.
+// waitUntil waits for a condition and fails the test with its name if it does not come.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for ", what)
+			t.Fatal("no sign within the timeout of ", what)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 	}
 }
 
-// A process that ends by itself has crashed; all end with the lab, even one that is killed.
+// A process that ends by itself has crashed. Processes end with the lab, even if the lab is killed.
 func TestCrashesAndLifetime(t *testing.T) {
 	s := NewStarter()
 	defer s.Close()
@@ -128,7 +128,7 @@
 	}
 	<-crash.Ended()
 	if !crash.Crashed() {
-		t.Error("an end that nobody asked for is a crash")
+		t.Error("an end without a request is a crash")
 	}
 	lab, log := start(t, s, "lab", file)
 	inner := 0
@@ -146,7 +146,7 @@
 	})
 }
 
-// A directory is one run's at a time; what a killed run left is taken over.
+// A directory has one run at a time; the mark of a killed run is replaced.
 func TestLock(t *testing.T) {
 	dir := t.TempDir()
 	for _, test := range []struct {
--- a/internal/faultlab/wire/wire.go
+++ b/internal/faultlab/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds what the lab's clients and servers share of the platform's protocol: header names, and bodies that
-// say by themselves who made them.
+// Package wire holds the parts of the platform's protocol that the lab's clients and servers share: header names, and bodies
+// that identify their sender. It sends and reads nothing.
 package wire
 
 import (
@@ -19,24 +19,25 @@
 	NotStarted     = "Not-Started"
 )
 
-// Digest tells bodies apart.
+// Digest returns a hash that tells bodies apart.
 func Digest(b []byte) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write(b)
-	return h.Sum64()
+	hash := fnv.New64a()
+	_, _ = hash.Write(b)
+	return hash.Sum64()
 }
 
-// Make is the body of size bytes, or somewhat more, that maker gives for a request: no two makers give the same.
-func MakeBody(id, maker string, size int) []byte {
-	out := []byte(id + " " + maker + "\n")
-	r := rand.New(rand.NewPCG(Digest([]byte(id)), Digest([]byte(maker))))
+// MakeBody returns the body that a sender gives for a request: at least size bytes, the same each time and different for
+// each sender.
+func MakeBody(id, sender string, size int) []byte {
+	out := []byte(id + " " + sender + "\n")
+	random := rand.New(rand.NewPCG(Digest([]byte(id)), Digest([]byte(sender))))
 	for len(out) < size {
-		out = append(out, byte('a'+r.IntN(26)))
+		out = append(out, byte('a'+random.IntN(26)))
 	}
 	return out
 }
 
-// JSON is a whole answer of the list's, head and body.
+// JSONResponse returns a complete HTTP response, head and body.
 func JSONResponse(status int, body []byte) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status,
 		http.StatusText(status), len(body), body)
