--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -11,7 +11,7 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// Each seed gives a whole experiment, the same each time, in which troubles overlap.
+// Each seed gives a valid experiment, the same each time, with faults that overlap.
 func TestSeedsDrawValidExperiments(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(300) {
@@ -26,15 +26,15 @@
 			t.Errorf("seed %d: %d proxies", seed, n)
 		}
 		if !haveOverlap(e) {
-			t.Errorf("seed %d: no two troubles overlap:\n%s", seed, text)
+			t.Errorf("seed %d: no two faults overlap:\n%s", seed, text)
 		}
 		for _, f := range e.Faults {
 			seen[f.Kind] = true
 		}
 	}
-	for _, trouble := range faultKinds {
-		if !seen[trouble.kind] {
-			t.Errorf("no seed draws %s", trouble.kind)
+	for _, fault := range faultKinds {
+		if !seen[fault.kind] {
+			t.Errorf("no seed draws %s", fault.kind)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	return false
 }
 
-// Each sign of a fault is found: what the referee saw, what a proxy saw of itself, and how processes ended.
+// Violations found by the referee or by a proxy, crashes, panics and races are found.
 func TestFailures(t *testing.T) {
 	quiet := `time=x level=INFO msg=draining open=2` + "\n" + `time=x level=WARN msg="broken response" server=a` + "\n"
 	for _, c := range []struct {
