--- a/internal/faultlab/chain/chain.go
+++ b/internal/faultlab/chain/chain.go
@@ -22,26 +22,26 @@
 )
 
 // Last is what is wrong with the last tier; the zero value is nothing.
-type Last struct {
+type Fault struct {
 	Slow   float64 // its work takes so many times as long; 0 is 1
 	Errors float64 // part of what it works on that fails
 	Hang   bool    // it takes calls and never answers
 	Share  float64 // of its servers that this holds for; 0 is all
-	From   int64   // it begins then
+	Start  int64   // it begins then
 }
 
 // Config is a chain.
 type Config struct {
-	Tiers   int
-	Width   int     // servers of each tier, and fronts before the first
-	Rate    float64 // calls a second that come to each front
-	Seconds int64
-	Slots   int   // of a server; its queue is ten times as long
-	Work    int64 // mean, at each tier
-	GiveUp  int64 // of a caller of the first tier
-	Keeps   bool  // a server whose caller has left goes on with its own call
-	Seed    uint64
-	Last    Last
+	Tiers              int
+	Width              int     // servers of each tier, and fronts before the first
+	Rate               float64 // calls a second that come to each front
+	Seconds            int64
+	Slots              int   // of a server; its queue is ten times as long
+	MeanWork           int64 // mean, at each tier
+	CallerTimeout      int64 // of a caller of the first tier
+	IgnoreCancellation bool  // a server whose caller has left goes on with its own call
+	Seed               uint64
+	Fault              Fault
 
 	// Settings are those of all proxies but for their tier.
 	Settings balancer.Settings
@@ -49,26 +49,28 @@
 
 // Result is what came of it.
 type Result struct {
-	Came, Served, Rejected, Failed int   // at the fronts
-	CameSince, LastSince           int   // calls that came since Last.From, and attempts that reached the last tier since
-	Attempts                       []int // that reached each tier
-	Declined                       []int // calls refused before each tier
-	Bound                          []float64
-	Over                           []string // proxies that went over their allowance; none by the rules
+	Arrived, Served, Rejected, Failed    int   // at the fronts
+	ArrivedDuringFault, LastTierAttempts int   // calls that came since Last.From, and attempts that reached the last tier since
+	Attempts                             []int // that reached each tier
+	RejectedBefore                       []int // calls refused before each tier
+	AttemptBounds                        []float64
+	BudgetViolations                     []string // proxies that went over their allowance; none by the rules
 }
 
 // Amplification is attempts at the last tier for each call that came in, since the trouble there began.
-func (r *Result) Amplification() float64 { return float64(r.LastSince) / float64(r.CameSince) }
+func (r *Result) Amplification() float64 {
+	return float64(r.LastTierAttempts) / float64(r.ArrivedDuringFault)
+}
 
 type event struct {
-	at, n int64
-	do    func()
+	time, sequence int64
+	run            func()
 }
 type events []event
 
 func (h events) Len() int { return len(h) }
 func (h events) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].n < h[j].n
+	return h[i].time < h[j].time || h[i].time == h[j].time && h[i].sequence < h[j].sequence
 }
 func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
@@ -78,26 +80,26 @@
 	return last
 }
 
-type world struct {
-	cfg    Config
-	now, n int64
-	events events
-	rnd    *rand.Rand
-	fronts []*proxy
-	all    []*proxy
-	tiers  [][]*server
-	res    Result
+type simulation struct {
+	config         Config
+	now, scheduled int64
+	events         events
+	random         *rand.Rand
+	fronts         []*proxy
+	proxies        []*proxy
+	tiers          [][]*server
+	result         Result
 }
 
-func (w *world) after(delay int64, do func()) {
-	w.n++
-	heap.Push(&w.events, event{w.now + max(delay, 0), w.n, do})
+func (w *simulation) after(delay int64, do func()) {
+	w.scheduled++
+	heap.Push(&w.events, event{w.now + max(delay, 0), w.scheduled, do})
 }
 
 // Play plays a chain to its end.
-func Play(cfg Config) (*Result, error) {
-	w := &world{cfg: cfg, now: second, rnd: rand.New(rand.NewPCG(cfg.Seed, 5))}
-	w.res = Result{Attempts: make([]int, cfg.Tiers), Declined: make([]int, cfg.Tiers)}
+func Run(cfg Config) (*Result, error) {
+	w := &simulation{config: cfg, now: second, random: rand.New(rand.NewPCG(cfg.Seed, 5))}
+	w.result = Result{Attempts: make([]int, cfg.Tiers), RejectedBefore: make([]int, cfg.Tiers)}
 	if err := w.build(); err != nil {
 		return nil, err
 	}
@@ -106,28 +108,28 @@
 	}
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.do()
+		w.now = e.time
+		e.run()
 	}
-	w.bound()
-	return &w.res, nil
+	w.checkBudgets()
+	return &w.result, nil
 }
 
-func (w *world) build() error {
-	w.tiers = make([][]*server, w.cfg.Tiers)
-	for tier := w.cfg.Tiers - 1; tier >= 0; tier-- {
-		for i := range w.cfg.Width {
-			n := &server{w: w, tier: tier, number: i}
-			if tier < w.cfg.Tiers-1 {
+func (w *simulation) build() error {
+	w.tiers = make([][]*server, w.config.Tiers)
+	for tier := w.config.Tiers - 1; tier >= 0; tier-- {
+		for i := range w.config.Width {
+			n := &server{sim: w, tier: tier, number: i}
+			if tier < w.config.Tiers-1 {
 				var err error
-				if n.own, err = w.newProxy(tier+1, i); err != nil {
+				if n.downstream, err = w.newProxy(tier+1, i); err != nil {
 					return err
 				}
 			}
 			w.tiers[tier] = append(w.tiers[tier], n)
 		}
 	}
-	for i := range w.cfg.Width {
+	for i := range w.config.Width {
 		f, err := w.newProxy(0, i)
 		if err != nil {
 			return err
@@ -138,23 +140,23 @@
 }
 
 // arrive has calls come to a front until the end, at random.
-func (w *world) arrive(f *proxy, end int64) {
-	w.after(int64(w.rnd.ExpFloat64()/w.cfg.Rate*float64(second)), func() {
+func (w *simulation) arrive(f *proxy, end int64) {
+	w.after(int64(w.random.ExpFloat64()/w.config.Rate*float64(second)), func() {
 		if w.now > end {
 			return
 		}
-		w.res.Came++
-		if w.now >= w.cfg.Last.From {
-			w.res.CameSince++
+		w.result.Arrived++
+		if w.now >= w.config.Fault.Start {
+			w.result.ArrivedDuringFault++
 		}
-		f.take(w.cfg.GiveUp, func(what answer) {
+		f.handle(w.config.CallerTimeout, func(what callResult) {
 			switch what {
-			case ok:
-				w.res.Served++
+			case succeeded:
+				w.result.Served++
 			case rejected:
-				w.res.Rejected++
+				w.result.Rejected++
 			default:
-				w.res.Failed++
+				w.result.Failed++
 			}
 		})
 		w.arrive(f, end)
@@ -164,18 +166,18 @@
 // bound works out the most attempts that each tier may have had, from the calls that came and the allowance alone: in
 // each span a proxy makes no more than the free part and its share of the calls that it took, and what a tier takes is
 // what the one before was sent.
-func (w *world) bound() {
-	s := w.cfg.Settings
+func (w *simulation) checkBudgets() {
+	s := w.config.Settings
 	spans := float64((w.now-second)/s.RetryBudgetWindow + 1)
-	most := float64(w.res.Came)
-	for range w.cfg.Tiers {
-		most = (1+s.RetryBudgetRatio)*most + float64(w.cfg.Width)*s.RetryBudgetMin*spans
-		w.res.Bound = append(w.res.Bound, most)
+	most := float64(w.result.Arrived)
+	for range w.config.Tiers {
+		most = (1+s.RetryBudgetRatio)*most + float64(w.config.Width)*s.RetryBudgetMin*spans
+		w.result.AttemptBounds = append(w.result.AttemptBounds, most)
 	}
-	for _, p := range w.all {
-		if most := s.RetryBudgetMin*spans + s.RetryBudgetRatio*float64(p.taken); float64(p.further) > most {
-			w.res.Over = append(w.res.Over, fmt.Sprintf("proxy %d before tier %d: %d further attempts for %d calls in %.0f spans, %.1f allowed",
-				p.number, p.tier, p.further, p.taken, spans, most))
+	for _, p := range w.proxies {
+		if most := s.RetryBudgetMin*spans + s.RetryBudgetRatio*float64(p.handled); float64(p.retries) > most {
+			w.result.BudgetViolations = append(w.result.BudgetViolations, fmt.Sprintf("proxy %d before tier %d: %d further attempts for %d calls in %.0f spans, %.1f allowed",
+				p.number, p.tier, p.retries, p.handled, spans, most))
 		}
 	}
 }
--- a/internal/faultlab/chain/server.go
+++ b/internal/faultlab/chain/server.go
@@ -4,96 +4,96 @@
 
 // server works on calls in its slots; what waits for the next tier holds none.
 type server struct {
-	w            *world
+	sim          *simulation
 	tier, number int
-	own          *proxy // of the next tier; nil of the last
+	downstream   *proxy // of the next tier; nil of the last
 	busy         int
 	queue        []*job
 }
 
 // job is a call at a server.
 type job struct {
-	n     *server
-	a     *attempt
-	until int64 // its proxy waits so long
-	gone  bool  // its caller has left
-	leave func()
+	server     *server
+	attempt    *attempt
+	deadline   int64 // its proxy waits so long
+	cancelled  bool  // its caller has left
+	cancelCall func()
 }
 
-const queues = 10 // times the slots
+const queuedPerSlot = 10 // times the slots
 
 // come takes an attempt that has reached the server.
-func (n *server) come(a *attempt, until int64) {
-	if a.ended {
+func (s *server) receive(a *attempt, until int64) {
+	if a.finished {
 		return
 	}
-	n.w.res.Attempts[n.tier]++
-	if n.own == nil && n.w.now >= n.w.cfg.Last.From {
-		n.w.res.LastSince++
+	s.sim.result.Attempts[s.tier]++
+	if s.downstream == nil && s.sim.now >= s.sim.config.Fault.Start {
+		s.sim.result.LastTierAttempts++
 	}
-	j := &job{n: n, a: a, until: until}
-	if a.job = j; n.busy < n.w.cfg.Slots {
-		n.begin(j)
-	} else if len(n.queue) < queues*n.w.cfg.Slots {
-		n.queue = append(n.queue, j)
+	j := &job{server: s, attempt: a, deadline: until}
+	if a.job = j; s.busy < s.sim.config.Slots {
+		s.start(j)
+	} else if len(s.queue) < queuedPerSlot*s.sim.config.Slots {
+		s.queue = append(s.queue, j)
 	} else {
-		j.answer(balancer.StatusRejected)
+		j.respond(balancer.StatusRejected)
 	}
 }
 
-func (n *server) begin(j *job) {
-	n.busy++
-	work, bad := float64(n.w.cfg.Work)*n.w.rnd.ExpFloat64(), false
-	if hit := n.w.cfg.Last; n.own == nil && n.w.now >= hit.From && (hit.Share == 0 || float64(n.number) < hit.Share*float64(n.w.cfg.Width)) {
+func (s *server) start(j *job) {
+	s.busy++
+	work, bad := float64(s.sim.config.MeanWork)*s.sim.random.ExpFloat64(), false
+	if hit := s.sim.config.Fault; s.downstream == nil && s.sim.now >= hit.Start && (hit.Share == 0 || float64(s.number) < hit.Share*float64(s.sim.config.Width)) {
 		if hit.Hang {
 			return // its slot is never free again
 		}
 		if hit.Slow > 0 {
 			work *= hit.Slow
 		}
-		bad = n.w.rnd.Float64() < hit.Errors
+		bad = s.sim.random.Float64() < hit.Errors
 	}
-	n.w.after(int64(work), func() {
-		n.busy--
-		n.following()
+	s.sim.after(int64(work), func() {
+		s.busy--
+		s.startQueued()
 		switch {
-		case j.gone && !n.w.cfg.Keeps:
-		case n.own == nil && bad:
-			j.answer(balancer.StatusError)
-		case n.own == nil:
-			j.answer(balancer.StatusOK)
-		case j.until <= n.w.now:
-			j.answer(balancer.StatusError)
+		case j.cancelled && !s.sim.config.IgnoreCancellation:
+		case s.downstream == nil && bad:
+			j.respond(balancer.StatusError)
+		case s.downstream == nil:
+			j.respond(balancer.StatusOK)
+		case j.deadline <= s.sim.now:
+			j.respond(balancer.StatusError)
 		default:
-			j.leave = n.own.take(j.until-n.w.now, func(what answer) {
+			j.cancelCall = s.downstream.handle(j.deadline-s.sim.now, func(what callResult) {
 				status := balancer.StatusError
-				if what == ok {
+				if what == succeeded {
 					status = balancer.StatusOK
 				}
-				j.answer(status)
+				j.respond(status)
 			})
 		}
 	})
 }
 
 // following begins what waited.
-func (n *server) following() {
-	for len(n.queue) > 0 && n.busy < n.w.cfg.Slots {
-		j := n.queue[0]
-		n.queue = n.queue[1:]
-		if !j.gone || n.w.cfg.Keeps {
-			n.begin(j)
+func (s *server) startQueued() {
+	for len(s.queue) > 0 && s.busy < s.sim.config.Slots {
+		j := s.queue[0]
+		s.queue = s.queue[1:]
+		if !j.cancelled || s.sim.config.IgnoreCancellation {
+			s.start(j)
 		}
 	}
 }
 
 // left is the news that the caller has left.
-func (j *job) left() {
-	if j.gone = true; j.leave != nil && !j.n.w.cfg.Keeps {
-		j.leave()
+func (j *job) cancel() {
+	if j.cancelled = true; j.cancelCall != nil && !j.server.sim.config.IgnoreCancellation {
+		j.cancelCall()
 	}
 }
 
-func (j *job) answer(status balancer.Status) {
-	j.n.w.after(network, func() { j.a.p.outcome(j.a, status) })
+func (j *job) respond(status balancer.Status) {
+	j.server.sim.after(network, func() { j.attempt.proxy.finishAttempt(j.attempt, status) })
 }
--- a/internal/faultlab/path/load.go
+++ b/internal/faultlab/path/loadgen.go
@@ -18,7 +18,7 @@
 // request waits for another, and how late one was issued is told apart.
 type Metrics struct {
 	Direct, Proxied *hdrhistogram.Histogram
-	Late            *hdrhistogram.Histogram // from a request's planned moment to its issue
+	IssueDelay      *hdrhistogram.Histogram // from a request's planned moment to its issue
 	Failed          int                     // proxied calls that were not answered 200
 	Rejected        int                     // of these: 429 or 503
 	DirectFailed    int
@@ -26,44 +26,44 @@
 
 func newMetrics() *Metrics {
 	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
-	return &Metrics{Direct: h(), Proxied: h(), Late: h()}
+	return &Metrics{Direct: h(), Proxied: h(), IssueDelay: h()}
 }
 
 // Added is what the proxy adds at a quantile, in ms: the quantile of proxied calls less that of direct ones. It is no
 // quantile of differences, since no call goes both ways.
-func (f *Metrics) Added(quantile float64) float64 {
-	return float64(f.Proxied.ValueAtQuantile(quantile)-f.Direct.ValueAtQuantile(quantile)) / 1000
+func (m *Metrics) Added(quantile float64) float64 {
+	return float64(m.Proxied.ValueAtQuantile(quantile)-m.Direct.ValueAtQuantile(quantile)) / 1000
 }
 
 // String is a line for people.
-func (f *Metrics) String() string {
+func (m *Metrics) String() string {
 	at := func(h *hdrhistogram.Histogram) string {
 		return fmt.Sprintf("%.3f/%.3f/%.3f", float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000)
 	}
 	return fmt.Sprintf("added p50 %.3f p90 %.3f p99 %.3f ms; proxied p50/p99/max %s of %d, direct %s of %d, issued late %s; "+
-		"failed %d (refused %d), direct %d", f.Added(50), f.Added(90), f.Added(99), at(f.Proxied), f.Proxied.TotalCount(),
-		at(f.Direct), f.Direct.TotalCount(), at(f.Late), f.Failed, f.Rejected, f.DirectFailed)
+		"failed %d (refused %d), direct %d", m.Added(50), m.Added(90), m.Added(99), at(m.Proxied), m.Proxied.TotalCount(),
+		at(m.Direct), m.Direct.TotalCount(), at(m.IssueDelay), m.Failed, m.Rejected, m.DirectFailed)
 }
 
 // Caller calls two addresses in turn, open loop: an arrival waits for nothing.
-type Caller struct {
+type LoadGenerator struct {
 	Proxy  string
 	Direct string
 	Rate   float64 // calls through the proxy in a second; as many go directly
 	Seed   uint64
 
-	mu   sync.Mutex
-	idle map[string][]*kept
-	next int
+	mu     sync.Mutex
+	idle   map[string][]*clientConn
+	lastID int
 }
 
-type kept struct {
+type clientConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
 // Run calls for so long and returns once all calls have ended.
-func (c *Caller) Run(ctx context.Context, long time.Duration) *Metrics {
+func (c *LoadGenerator) Run(ctx context.Context, long time.Duration) *Metrics {
 	f := newMetrics()
 	var mu sync.Mutex // guards f
 	var calls sync.WaitGroup
@@ -87,7 +87,7 @@
 			if direct {
 				to = c.Direct
 			}
-			k, err := c.take(to)
+			k, err := c.connection(to)
 			issued := time.Now()
 			var took time.Duration
 			var status int
@@ -96,7 +96,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			_ = f.Late.RecordValue(max(1, issued.Sub(planned).Microseconds()))
+			_ = f.IssueDelay.RecordValue(max(1, issued.Sub(planned).Microseconds()))
 			switch {
 			case direct && (err != nil || status != http.StatusOK):
 				f.DirectFailed++
@@ -117,10 +117,10 @@
 }
 
 // take is an idle connection, or a new one: it has come up before the call's time begins.
-func (c *Caller) take(to string) (*kept, error) {
+func (c *LoadGenerator) connection(to string) (*clientConn, error) {
 	c.mu.Lock()
 	if c.idle == nil {
-		c.idle = map[string][]*kept{}
+		c.idle = map[string][]*clientConn{}
 	}
 	if all := c.idle[to]; len(all) > 0 {
 		k := all[len(all)-1]
@@ -133,23 +133,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return &kept{nc, bufio.NewReader(nc)}, nil
+	return &clientConn{nc, bufio.NewReader(nc)}, nil
 }
 
-const patience = 2 * time.Second // of a caller; it is what the class gives up at, too
+const callTimeout = 2 * time.Second // of a caller; it is what the class gives up at, too
 
-func (c *Caller) exchange(k *kept) (status int, took time.Duration, err error) {
+func (c *LoadGenerator) exchange(k *clientConn) (status int, took time.Duration, err error) {
 	c.mu.Lock()
-	c.next++
-	id := c.Seed<<32 + uint64(c.next)
+	c.lastID++
+	id := c.Seed<<32 + uint64(c.lastID)
 	c.mu.Unlock()
 	text := fmt.Appendf(nil, "GET /read HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: %016x\r\nRequest-Class: read\r\n"+
-		"Request-Timeout-Ms: %d\r\n\r\n", id, patience.Milliseconds())
-	_ = k.SetDeadline(time.Now().Add(patience))
+		"Request-Timeout-Ms: %d\r\n\r\n", id, callTimeout.Milliseconds())
+	_ = k.SetDeadline(time.Now().Add(callTimeout))
 	begun := time.Now()
 	leaves := true
 	if _, err = k.Write(text); err == nil {
-		status, leaves, err = k.answer()
+		status, leaves, err = k.readResponse()
 	}
 	took = time.Since(begun)
 	if leaves {
@@ -163,8 +163,8 @@
 }
 
 // answer reads one; leaves tells that the connection ends with it.
-func (k *kept) answer() (status int, leaves bool, err error) {
-	resp, err := http.ReadResponse(k.r, nil)
+func (k *clientConn) readResponse() (status int, leaves bool, err error) {
+	resp, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
 		return 0, true, err
 	}
@@ -176,7 +176,7 @@
 }
 
 // Close closes the connections that are kept.
-func (c *Caller) Close() {
+func (c *LoadGenerator) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, all := range c.idle {
--- a/internal/faultlab/path/path_test.go
+++ b/internal/faultlab/path/path_test.go
@@ -26,7 +26,7 @@
 const zones = 9
 
 // relay is a stand-in proxy that passes requests on to a server after a delay.
-func relay(t *testing.T, to string, delay time.Duration) string {
+func delayingProxy(t *testing.T, to string, delay time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,7 +55,7 @@
 					if _, err := out.Discard(2); err != nil {
 						return
 					}
-					if _, err := c.Write([]byte(answer)); err != nil {
+					if _, err := c.Write([]byte(response)); err != nil {
 						return
 					}
 				}
@@ -66,15 +66,15 @@
 }
 
 // The harness tells a proxy that adds 2 ms, and how much, from one that adds next to nothing.
-func TestADelayIsTold(t *testing.T) {
-	nodos, err := ListenServers(18, zones)
+func TestMeasuresAddedDelay(t *testing.T) {
+	nodos, err := StartServers(18, zones)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nodos.Close()
 	added := map[time.Duration]float64{}
 	for _, delay := range []time.Duration{0, 2 * time.Millisecond} {
-		c := &Caller{Proxy: relay(t, nodos.All[0].Addr, delay), Direct: nodos.All[1].Addr, Rate: 150, Seed: 1}
+		c := &LoadGenerator{Proxy: delayingProxy(t, nodos.All[0].Addr, delay), Direct: nodos.All[1].Addr, Rate: 150, Seed: 1}
 		f := c.Run(t.Context(), 2*time.Second)
 		c.Close()
 		t.Logf("delay %v: %v", delay, f)
@@ -82,8 +82,8 @@
 			t.Fatalf("delay %v: %v", delay, f)
 		}
 		added[delay] = f.Added(50)
-		var over *OverError
-		if err := f.Within(Calm, 50, 1.9); errors.As(err, &over) != (delay > 0) {
+		var over *ObjectiveError
+		if err := f.CheckAdded(Calm, 50, 1.9); errors.As(err, &over) != (delay > 0) {
 			t.Errorf("delay %v, bound 1.9 ms at p50: %v", delay, err)
 		}
 	}
@@ -93,13 +93,13 @@
 }
 
 // What the list tells: the whole of it, nothing, a zone that went, the whole again.
-func TestListTells(t *testing.T) {
-	nodos, err := ListenServers(18, zones)
+func TestRegistry(t *testing.T) {
+	nodos, err := StartServers(18, zones)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nodos.Close()
-	list, err := ListenList(nodos)
+	list, err := StartRegistry(nodos)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,13 +113,13 @@
 	}{
 		{"at first", func() {}, -1, true, 18},
 		{"nothing new", func() {}, 1, false, 0},
-		{"a zone goes", func() { list.Zone(0, false) }, 1, false, 2},
-		{"whole again", list.Whole, 2, true, 16},
+		{"a zone goes", func() { list.SetZoneListed(0, false) }, 1, false, 2},
+		{"whole again", list.PublishSnapshot, 2, true, 16},
 		{"held already", func() {}, 3, false, 0},
-		{"one changes", func() { list.Touch(1) }, 3, false, 1},
+		{"one changes", func() { list.TouchEntry(1) }, 3, false, 1},
 	} {
 		test.do()
-		text := string(list.since(test.from))
+		text := string(list.changesSince(test.from))
 		if got := count(text, `"name"`); got != test.entries || count(text, `"snapshot":true`) == 1 != test.snapshot {
 			t.Errorf("%s: %s", test.name, text)
 		}
@@ -142,7 +142,7 @@
 	}
 	limits := DeploymentLimits
 	limits.Cores = *cores
-	phases := []Phase{Calm, Snapshot, Gone}
+	phases := []Phase{Calm, Snapshot, ZoneLoss}
 	if *phase != "" {
 		phases = []Phase{Phase(*phase)}
 	}
@@ -152,14 +152,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &Caller{Proxy: s.Proxy.Addr, Direct: s.Servers.All[1].Addr, Rate: *rate, Seed: *seed + uint64(r)}
+		c := &LoadGenerator{Proxy: s.Proxy.Addr, Direct: s.Servers.All[1].Addr, Rate: *rate, Seed: *seed + uint64(r)}
 		c.Run(t.Context(), 3*time.Second) // connections come up, weights settle
 		for _, phase := range phases {
 			before, err := s.Proxy.CPU()
 			if err != nil {
 				t.Fatal(err)
 			}
-			f, err := s.Play(t.Context(), c, phase, *long)
+			f, err := s.RunPhase(t.Context(), c, phase, *long)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -212,12 +212,12 @@
 		for _, what := range []struct {
 			name string
 			do   func(i int)
-		}{{"nothing changes", func(int) {}}, {"a change a second", s.List.Touch}, {"a whole list a second", func(int) { s.List.Whole() }}} {
+		}{{"nothing changes", func(int) {}}, {"a change a second", s.Registry.TouchEntry}, {"a whole list a second", func(int) { s.Registry.PublishSnapshot() }}} {
 			before, err := s.Proxy.CPU()
 			if err != nil {
 				t.Fatal(err)
 			}
-			begun, sent, calls := time.Now(), s.List.sent.Load(), s.List.calls.Load()
+			begun, sent, calls := time.Now(), s.Registry.bytesSent.Load(), s.Registry.calls.Load()
 			for i := 0; time.Since(begun) < *long; i++ {
 				what.do(i)
 				time.Sleep(time.Second)
@@ -228,8 +228,8 @@
 			}
 			took := time.Since(begun)
 			line += fmt.Sprintf("; %s: %.4f %% of a core, %.1f calls/s, %.0f B/s of lists", what.name,
-				100*float64(after-before)/float64(took), float64(s.List.calls.Load()-calls)/took.Seconds(),
-				float64(s.List.sent.Load()-sent)/took.Seconds())
+				100*float64(after-before)/float64(took), float64(s.Registry.calls.Load()-calls)/took.Seconds(),
+				float64(s.Registry.bytesSent.Load()-sent)/took.Seconds())
 		}
 		resident, own, err = s.Proxy.Memory()
 		if err != nil {
--- a/internal/faultlab/path/proxy.go
+++ b/internal/faultlab/path/proxy.go
@@ -35,7 +35,7 @@
 	starter *process.Starter
 }
 
-func micros(d time.Duration) int64 { return d.Microseconds() }
+func microseconds(d time.Duration) int64 { return d.Microseconds() }
 
 // settings are those of a proxy in zone 0 of a late tier, with one class that may run twice.
 func settings(zones int) map[string]any {
@@ -44,22 +44,22 @@
 		names = append(names, zoneName(z))
 	}
 	return map[string]any{
-		"contract": map[string]any{"answer_slack_us": micros(20 * time.Millisecond), "ask_every_us": micros(10 * time.Second),
-			"cold_us": micros(8800 * time.Millisecond), "drain_grace_us": micros(time.Second), "fall_us": micros(2 * time.Second),
+		"contract": map[string]any{"answer_slack_us": microseconds(20 * time.Millisecond), "ask_every_us": microseconds(10 * time.Second),
+			"cold_us": microseconds(8800 * time.Millisecond), "drain_grace_us": microseconds(time.Second), "fall_us": microseconds(2 * time.Second),
 			"start_capacity": 0.32, "tip_multiple": 3},
 		"counted_by": "request", "failure_domains": names, "membership_mode": "subscribe", "my_zone": 0,
-		"limits": map[string]any{"cancelling": true, "dial_timeout_us": micros(250 * time.Millisecond),
-			"idle_close_us": micros(5 * time.Second), "max_retry_after_us": micros(2 * time.Second), "retry_after": true,
+		"limits": map[string]any{"cancelling": true, "dial_timeout_us": microseconds(250 * time.Millisecond),
+			"idle_close_us": microseconds(5 * time.Second), "max_retry_after_us": microseconds(2 * time.Second), "retry_after": true,
 			"second_copies": true, "try_limit": 3, "streams_per_conn": 1, "peers": false, "probes": false},
 		"ordinal": 0, "siblings": 1, "tenants": []any{}, "tiers": []string{"a", "b"}, "stage": 1, "weights": "off",
-		"profiles": []any{map[string]any{"name": "read", "objective_us": micros(400 * time.Millisecond),
-			"give_up_us": micros(patience), "worth": 1, "late_share": 0.0, "repeat": "idempotent", "stream": false,
+		"profiles": []any{map[string]any{"name": "read", "objective_us": microseconds(400 * time.Millisecond),
+			"give_up_us": microseconds(callTimeout), "worth": 1, "late_share": 0.0, "repeat": "idempotent", "stream": false,
 			"dedup_scope": "all", "dedup_window_us": 0}},
 	}
 }
 
 // StartProxy starts a program in a directory, which gets its configuration and its log, and waits until it is ready.
-func StartProxy(program, dir string, list *List, zones int, limits Limits, seed uint64) (*Proxy, error) {
+func StartProxy(program, dir string, list *Registry, zones int, limits Limits, seed uint64) (*Proxy, error) {
 	program, err := filepath.Abs(program)
 	if err != nil {
 		return nil, fmt.Errorf("proxy: %w", err)
@@ -87,7 +87,7 @@
 		p.starter.Close()
 		return nil, err
 	}
-	if err := p.ready(10 * time.Second); err != nil {
+	if err := p.waitReady(10 * time.Second); err != nil {
 		p.Close()
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 	return l.Addr().String(), nil
 }
 
-func (p *Proxy) ready(within time.Duration) error {
+func (p *Proxy) waitReady(within time.Duration) error {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		select {
 		case <-p.process.Ended():
--- a/internal/faultlab/path/list.go
+++ b/internal/faultlab/path/registry.go
@@ -23,19 +23,19 @@
 }
 
 // List is a stand-in list service: whole lists, and watches that wait for the next version.
-type List struct {
+type Registry struct {
 	Addr string
 
-	http  *http.Server
-	sent  atomic.Int64 // bytes of answers, heads not counted
-	calls atomic.Int64
+	http      *http.Server
+	bytesSent atomic.Int64 // bytes of answers, heads not counted
+	calls     atomic.Int64
 
 	mu       sync.Mutex
 	index    int64
 	snapshot int64 // a watch from below this version gets the whole list
-	servers  []entry
-	changed  []change
-	next     chan struct{} // closed at the next version
+	entries  []entry
+	changes  []change
+	updated  chan struct{} // closed at the next version
 }
 
 type change struct {
@@ -46,14 +46,14 @@
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
 
 // ListenList serves the list of these servers.
-func ListenList(nodos *Servers) (*List, error) {
+func StartRegistry(nodos *Servers) (*Registry, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	s := &List{Addr: l.Addr().String(), index: 1, next: make(chan struct{})}
+	s := &Registry{Addr: l.Addr().String(), index: 1, updated: make(chan struct{})}
 	for _, n := range nodos.All {
-		s.servers = append(s.servers, entry{Name: n.Name, Address: n.Addr, Zone: zoneName(n.Zone), Type: "m2", Group: n.Zone,
+		s.entries = append(s.entries, entry{Name: n.Name, Address: n.Addr, Zone: zoneName(n.Zone), Type: "m2", Group: n.Zone,
 			Status: "SERVING", Weight: 1})
 	}
 	s.http = &http.Server{Handler: s}
@@ -62,54 +62,54 @@
 }
 
 // Close ends the service and its watches.
-func (s *List) Close() { s.http.Close() }
+func (l *Registry) Close() { l.http.Close() }
 
 // Whole makes a new version that every watch gets as the whole list, though nothing has changed.
-func (s *List) Whole() { s.turn(func() { s.snapshot = s.index }) }
+func (l *Registry) PublishSnapshot() { l.publish(func() { l.snapshot = l.index }) }
 
 // Zone lists the servers of a zone as there or as gone.
-func (s *List) Zone(zone int, there bool) {
-	s.turn(func() {
-		for i := range s.servers {
-			if e := &s.servers[i]; e.Zone == zoneName(zone) {
+func (l *Registry) SetZoneListed(zone int, there bool) {
+	l.publish(func() {
+		for i := range l.entries {
+			if e := &l.entries[i]; e.Zone == zoneName(zone) {
 				if e.Status = "DELETED"; there {
 					e.Status, e.SinceMs = "SERVING", time.Now().UnixMilli()
 				}
-				s.changed = append(s.changed, change{s.index, *e})
+				l.changes = append(l.changes, change{l.index, *e})
 			}
 		}
 	})
 }
 
 // Touch makes a new version in which one server's entry is told anew with another start.
-func (s *List) Touch(i int) {
-	s.turn(func() {
-		e := &s.servers[i%len(s.servers)]
+func (l *Registry) TouchEntry(i int) {
+	l.publish(func() {
+		e := &l.entries[i%len(l.entries)]
 		e.SinceMs++
-		s.changed = append(s.changed, change{s.index, *e})
+		l.changes = append(l.changes, change{l.index, *e})
 	})
 }
 
-func (s *List) turn(f func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.index++
+func (l *Registry) publish(f func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.index++
 	f()
-	close(s.next)
-	s.next = make(chan struct{})
+	close(l.updated)
+	l.updated = make(chan struct{})
 }
 
-func (s *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.calls.Add(1)
+func (l *Registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	l.calls.Add(1)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		from = -1
 	}
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	s.mu.Lock()
-	next := s.next
-	waits := from == s.index
-	s.mu.Unlock()
+	l.mu.Lock()
+	next := l.updated
+	waits := from == l.index
+	l.mu.Unlock()
 	if waits {
 		over := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		defer over.Stop()
@@ -120,26 +120,26 @@
 			return
 		}
 	}
-	body := s.since(from)
-	s.sent.Add(int64(len(body)))
+	body := l.changesSince(from)
+	l.bytesSent.Add(int64(len(body)))
 	_, _ = w.Write(body)
 }
 
 // since is what there is to tell one that holds a version.
-func (s *List) since(from int64) []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (l *Registry) changesSince(from int64) []byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	out := struct {
 		Index     int64   `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
 		Endpoints []entry `json:"endpoints"`
-	}{s.index, from < s.snapshot || from < 0, []entry{}}
-	for _, e := range s.servers {
+	}{l.index, from < l.snapshot || from < 0, []entry{}}
+	for _, e := range l.entries {
 		if out.Snapshot && e.Status != "DELETED" {
 			out.Endpoints = append(out.Endpoints, e)
 		}
 	}
-	for _, c := range s.changed {
+	for _, c := range l.changes {
 		if !out.Snapshot && c.index > from {
 			out.Endpoints = append(out.Endpoints, c.entry)
 		}
--- a/internal/faultlab/path/servers.go
+++ b/internal/faultlab/path/servers.go
@@ -9,7 +9,7 @@
 )
 
 // answer is what every stub server gives, at once: what is measured is the way there and back.
-const answer = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
+const response = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
 // Server is a stub server with a listener of its own on loopback.
 type Server struct {
@@ -17,24 +17,24 @@
 	Zone int
 	Addr string
 
-	mu    sync.Mutex
-	l     net.Listener
-	conns map[net.Conn]bool
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[net.Conn]bool
 }
 
 // Servers are n of them, spread evenly over zones. They share a process with the callers.
 type Servers struct {
-	All   []*Server
-	Zones int
-	serve sync.WaitGroup
+	All     []*Server
+	Zones   int
+	running sync.WaitGroup
 }
 
 // ListenServers has n servers listen, each on a port of 127.0.0.1.
-func ListenServers(n, zones int) (*Servers, error) {
+func StartServers(n, zones int) (*Servers, error) {
 	s := &Servers{Zones: zones}
 	for i := range n {
 		nodo := &Server{Name: fmt.Sprintf("s%d", i), Zone: i % zones, Addr: "127.0.0.1:0"}
-		if err := s.up(nodo); err != nil {
+		if err := s.listen(nodo); err != nil {
 			s.Close()
 			return nil, err
 		}
@@ -43,22 +43,22 @@
 	return s, nil
 }
 
-func (s *Servers) up(n *Server) error {
+func (s *Servers) listen(n *Server) error {
 	l, err := net.Listen("tcp", n.Addr)
 	if err != nil {
 		return fmt.Errorf("nodo %s of %d at %s: %w (a nodo takes a port and a descriptor)", n.Name, len(s.All), n.Addr, err)
 	}
 	n.mu.Lock()
-	n.l, n.Addr, n.conns = l, l.Addr().String(), map[net.Conn]bool{}
+	n.listener, n.Addr, n.conns = l, l.Addr().String(), map[net.Conn]bool{}
 	n.mu.Unlock()
-	s.serve.Go(func() {
+	s.running.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
 			n.mu.Lock()
-			lives := n.l == l
+			lives := n.listener == l
 			if lives {
 				n.conns[c] = true
 			}
@@ -67,22 +67,22 @@
 				c.Close()
 				continue
 			}
-			s.serve.Go(func() { n.one(c) })
+			s.running.Go(func() { n.serve(c) })
 		}
 	})
 	return nil
 }
 
 // one answers the requests of a connection. They have no body.
-func (n *Server) one(c net.Conn) {
+func (s *Server) serve(c net.Conn) {
 	defer func() {
 		c.Close()
-		n.mu.Lock()
-		delete(n.conns, c)
-		n.mu.Unlock()
+		s.mu.Lock()
+		delete(s.conns, c)
+		s.mu.Unlock()
 	}()
 	for r := bufio.NewReader(c); skipHead(r) == nil; {
-		if _, err := c.Write([]byte(answer)); err != nil {
+		if _, err := c.Write([]byte(response)); err != nil {
 			return
 		}
 	}
@@ -102,34 +102,34 @@
 }
 
 // down ends a server as a process's death does: connections are reset and new ones refused.
-func (n *Server) down() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.l == nil {
+func (s *Server) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.listener == nil {
 		return
 	}
-	n.l.Close()
-	n.l = nil
-	for c := range n.conns {
+	s.listener.Close()
+	s.listener = nil
+	for c := range s.conns {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
 }
 
 // Lose ends the servers of a zone.
-func (s *Servers) Lose(zone int) {
+func (s *Servers) StopZone(zone int) {
 	for _, n := range s.All {
 		if n.Zone == zone {
-			n.down()
+			n.stop()
 		}
 	}
 }
 
 // Return has them listen again where they did.
-func (s *Servers) Return(zone int) error {
+func (s *Servers) RestartZone(zone int) error {
 	for _, n := range s.All {
 		if n.Zone == zone {
-			if err := s.up(n); err != nil {
+			if err := s.listen(n); err != nil {
 				return err
 			}
 		}
@@ -140,7 +140,7 @@
 // Close ends all and waits for that.
 func (s *Servers) Close() {
 	for _, n := range s.All {
-		n.down()
+		n.stop()
 	}
-	s.serve.Wait()
+	s.running.Wait()
 }
--- a/internal/faultlab/path/path.go
+++ b/internal/faultlab/path/testbed.go
@@ -13,24 +13,24 @@
 )
 
 // Budget is what a proxy may add for 99 calls in 100, in ms.
-const Budget = 0.5
+const LatencyObjective = 0.5
 
 // Scene is a proxy with its servers and its list.
-type Scene struct {
-	Servers *Servers
-	List    *List
-	Proxy   *Proxy
+type Testbed struct {
+	Servers  *Servers
+	Registry *Registry
+	Proxy    *Proxy
 }
 
 // Open sets a scene up.
-func Open(program, dir string, nodos, zones int, limits Limits, seed uint64) (*Scene, error) {
-	s := &Scene{}
+func Open(program, dir string, nodos, zones int, limits Limits, seed uint64) (*Testbed, error) {
+	s := &Testbed{}
 	var err error
-	if s.Servers, err = ListenServers(nodos, zones); err != nil {
+	if s.Servers, err = StartServers(nodos, zones); err != nil {
 		return nil, err
 	}
-	if s.List, err = ListenList(s.Servers); err == nil {
-		s.Proxy, err = StartProxy(program, dir, s.List, zones, limits, seed)
+	if s.Registry, err = StartRegistry(s.Servers); err == nil {
+		s.Proxy, err = StartProxy(program, dir, s.Registry, zones, limits, seed)
 	}
 	if err != nil {
 		s.Close()
@@ -40,14 +40,14 @@
 }
 
 // Close ends all of it.
-func (s *Scene) Close() {
-	if s.Proxy != nil {
-		s.Proxy.Close()
+func (t *Testbed) Close() {
+	if t.Proxy != nil {
+		t.Proxy.Close()
 	}
-	if s.List != nil {
-		s.List.Close()
+	if t.Registry != nil {
+		t.Registry.Close()
 	}
-	s.Servers.Close()
+	t.Servers.Close()
 }
 
 // Phase is something that goes on while calls are made.
@@ -57,7 +57,7 @@
 const (
 	Calm     Phase = "calm"
 	Snapshot Phase = "whole lists" // wholeEvery
-	Gone     Phase = "a zone goes" // home's servers die; the list tells it goneTold later
+	ZoneLoss Phase = "a zone goes" // home's servers die; the list tells it goneTold later
 )
 
 const (
@@ -66,7 +66,7 @@
 )
 
 // Play makes calls while a phase lasts.
-func (s *Scene) Play(ctx context.Context, c *Caller, phase Phase, long time.Duration) (*Metrics, error) {
+func (t *Testbed) RunPhase(ctx context.Context, c *LoadGenerator, phase Phase, long time.Duration) (*Metrics, error) {
 	ctx, stop := context.WithCancel(ctx)
 	failed := make(chan error, 1)
 	go func() {
@@ -77,23 +77,23 @@
 			for ctx.Err() == nil {
 				select {
 				case <-tick.C:
-					s.List.Whole()
+					t.Registry.PublishSnapshot()
 				case <-ctx.Done():
 				}
 			}
-		case Gone:
-			if wait(ctx, long/4) {
-				s.Servers.Lose(0)
+		case ZoneLoss:
+			if sleep(ctx, long/4) {
+				t.Servers.StopZone(0)
 			}
-			if wait(ctx, removalNotified) {
-				s.List.Zone(0, false)
+			if sleep(ctx, removalNotified) {
+				t.Registry.SetZoneListed(0, false)
 			}
 			<-ctx.Done()
-			if err := s.Servers.Return(0); err != nil {
+			if err := t.Servers.RestartZone(0); err != nil {
 				failed <- err
 				return
 			}
-			s.List.Zone(0, true)
+			t.Registry.SetZoneListed(0, true)
 		}
 		failed <- nil
 	}()
@@ -102,7 +102,7 @@
 	return f, <-failed
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -112,21 +112,21 @@
 }
 
 // OverError is a proxy that adds more than its aim.
-type OverError struct {
-	Phase      Phase
-	Added, Aim float64 // ms
-	Quantile   float64
+type ObjectiveError struct {
+	Phase            Phase
+	Added, Objective float64 // ms
+	Quantile         float64
 }
 
-func (e *OverError) Error() string {
+func (e *ObjectiveError) Error() string {
 	return fmt.Sprintf("%s: the proxy adds %.3f ms at p%g, over %.3f ms; see docs/capacity/slopes/path.toml for causes that are known",
-		e.Phase, e.Added, e.Quantile, e.Aim)
+		e.Phase, e.Added, e.Quantile, e.Objective)
 }
 
 // Within is nil if what is added at a quantile is within a bound.
-func (f *Metrics) Within(phase Phase, quantile, bound float64) error {
-	if added := f.Added(quantile); added > bound {
-		return &OverError{phase, added, bound, quantile}
+func (m *Metrics) CheckAdded(phase Phase, quantile, bound float64) error {
+	if added := m.Added(quantile); added > bound {
+		return &ObjectiveError{phase, added, bound, quantile}
 	}
 	return nil
 }
--- a/internal/faultlab/report/report_test.go
+++ b/internal/faultlab/report/report_test.go
@@ -34,7 +34,7 @@
 }
 
 // The page shows every part of a result, violations and faults included.
-func TestHTML(t *testing.T) {
+func TestHTMLFormatsEachPart(t *testing.T) {
 	dir := t.TempDir()
 	if err := HTML(dir, sampleResult()); err != nil {
 		t.Fatal(err)
