--- a/internal/faultlab/process/process_test.go
+++ b/internal/faultlab/process/process_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// The test binary is also the process that it plays with: it appends lines to the file it is given, and says what came
-// of each; or it runs a process of its own and waits.
+// The test binary is also the program under test: "append" appends lines to a file and prints the result of each write, "lab"
+// starts a process of its own and waits.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "append" {
 		for i := 0; ; i++ {
@@ -26,7 +26,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if len(os.Args) == 3 && os.Args[1] == "wait" { // and says nothing: a broken pipe would end it too
+	if len(os.Args) == 3 && os.Args[1] == "wait" { // without output: a broken pipe would end it too
 		time.Sleep(time.Minute)
 	}
 	if len(os.Args) == 3 && os.Args[1] == "lab" {
@@ -42,12 +42,12 @@
 
 const patience = 20 * time.Second
 
-// until waits for a condition, and says what it waited for if that does not come.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil waits for a condition and fails the test with its name if it does not come.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for ", what)
+			t.Fatal("no sign within the timeout of ", what)
 		}
 	}
 }
@@ -71,28 +71,28 @@
 	return p, log
 }
 
-func TestFaults(t *testing.T) {
+func TestDiskFullStopAndKill(t *testing.T) {
 	s := NewStarter()
 	defer s.Close()
 	file := filepath.Join(t.TempDir(), "f")
 	p, log := start(t, s, "append", file)
-	until(t, "a first line", func() bool { return size(file) > 0 })
+	waitUntil(t, "a first line", func() bool { return size(file) > 0 })
 
-	if err := p.DiskFull(true); err != nil {
+	if err := p.SetDiskFull(true); err != nil {
 		t.Fatal(err)
 	}
 	logged := func() string { text, _ := os.ReadFile(log); return string(text) }
-	until(t, "a write that fails, in the log", func() bool { return strings.Contains(logged(), "file too large") })
+	waitUntil(t, "a write that fails, in the log", func() bool { return strings.Contains(logged(), "file too large") })
 	full := size(file)
-	if err := p.DiskFull(false); err != nil {
+	if err := p.SetDiskFull(false); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "room again", func() bool { return size(file) > full })
+	waitUntil(t, "room again", func() bool { return size(file) > full })
 
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a stop", func() bool {
+	waitUntil(t, "a stop", func() bool {
 		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 		return strings.Contains(string(stat), ") T ")
 	})
@@ -104,9 +104,9 @@
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it to go on", func() bool { return size(file) > stopped })
+	waitUntil(t, "it to go on", func() bool { return size(file) > stopped })
 
-	if u := p.Usage(); u.Memory < 1<<20 {
+	if u := p.Usage(); u.PeakMemory < 1<<20 {
 		t.Errorf("it uses %+v", u)
 	}
 	if err := p.Kill(); err != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// A process that ends by itself has crashed; all end with the lab, even one that is killed.
-func TestEnds(t *testing.T) {
+// A process that ends by itself has crashed. Processes end with the lab, even if the lab is killed.
+func TestCrashesAndLifetime(t *testing.T) {
 	s := NewStarter()
 	defer s.Close()
 	file := filepath.Join(t.TempDir(), "f")
@@ -128,11 +128,11 @@
 	}
 	<-crash.Ended()
 	if !crash.Crashed() {
-		t.Error("an end that nobody asked for is a crash")
+		t.Error("an end without a request is a crash")
 	}
 	lab, log := start(t, s, "lab", file)
 	inner := 0
-	until(t, "a process of the lab's", func() bool {
+	waitUntil(t, "a process of the lab's", func() bool {
 		text, _ := os.ReadFile(log)
 		_, err := fmt.Sscan(string(text), &inner)
 		return err == nil
@@ -140,14 +140,14 @@
 	if err := lab.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the process to end with its lab", func() bool {
+	waitUntil(t, "the process to end with its lab", func() bool {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", inner))
 		return err != nil || strings.Contains(string(stat), ") Z ")
 	})
 }
 
-// A directory is one run's at a time; what a killed run left is taken over.
-func TestHold(t *testing.T) {
+// A directory has one run at a time; the mark of a killed run is replaced.
+func TestLock(t *testing.T) {
 	dir := t.TempDir()
 	for _, test := range []struct {
 		mark string
@@ -156,13 +156,13 @@
 		{"", true}, {"1\n", false}, {"99999999\n", true}, {"no number\n", true},
 	} {
 		if test.mark != "" {
-			if err := os.WriteFile(filepath.Join(dir, holdFile), []byte(test.mark), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, lockFile), []byte(test.mark), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := Hold(dir); (err == nil) != test.free {
+		if err := Lock(dir); (err == nil) != test.free {
 			t.Errorf("a directory marked %q: %v", test.mark, err)
 		}
-		Release(dir)
+		Unlock(dir)
 	}
 }
--- a/internal/faultlab/service/registrations.go
+++ b/internal/faultlab/service/registrations.go
@@ -152,7 +152,7 @@
 	registered()
 	draining := false
 	// The lease may expire at any time after the last renewal that is known to have succeeded.
-	endExpiry := s.history.Begin(linear.Gone, server.ref.Name, server.historyValue(), server.number)
+	endExpiry := s.history.Begin(linear.Remove, server.ref.Name, server.historyValue(), server.number)
 	for pause := s.config.Lease / renewalsPerLease; ; {
 		select {
 		case status := <-server.statuses:
@@ -165,7 +165,7 @@
 		case <-ctx.Done():
 			return
 		}
-		endNextExpiry := s.history.Begin(linear.Gone, server.ref.Name, server.historyValue(), server.number)
+		endNextExpiry := s.history.Begin(linear.Remove, server.ref.Name, server.historyValue(), server.number)
 		_, err := client.Renew(ctx, server.ref)
 		var rejected *registrar.RejectedError
 		switch {
@@ -199,7 +199,7 @@
 		})
 		return true
 	case draining:
-		s.write(ctx, linear.Gone, server, state.StatusDeleted, func(ctx context.Context) error {
+		s.write(ctx, linear.Remove, server, state.StatusDeleted, func(ctx context.Context) error {
 			_, err := client.Deregister(ctx, server.ref)
 			return err
 		})
@@ -218,7 +218,7 @@
 }
 
 // write makes a call that is repeated until it is answered, and records it in the history, with the status that it announces.
-func (s *Service) write(ctx context.Context, kind linear.Kind, server *serverProcess, status string,
+func (s *Service) write(ctx context.Context, kind linear.Operation, server *serverProcess, status string,
 	call func(context.Context) error) bool {
 	end := s.history.Begin(kind, server.ref.Name, server.historyValue(), server.number)
 	err := call(ctx)
@@ -257,6 +257,6 @@
 			}
 		}
 		s.servers.recordMissing(listed, values)
-		s.history.Seen(readerNumber, start, values)
+		s.history.RecordRead(readerNumber, start, values)
 	}
 }
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -61,7 +61,7 @@
 				s.config.Referee.RecordUpdate(proxy, referee.ListUpdate{Entries: refereeEntries(list), Snapshot: list.Snapshot}, at)
 				s.delays.recordReceived(proxy, list, at, s.isHollow)
 			}
-			if err := c.WriteAfter(wire.JSON(status, body), note); err != nil {
+			if err := c.WriteAfter(wire.JSONResponse(status, body), note); err != nil {
 				s.config.Referee.RecordPollFailed(proxy, time.Now())
 				return
 			}
--- a/internal/faultlab/service/report.go
+++ b/internal/faultlab/service/report.go
@@ -10,7 +10,7 @@
 
 // Report holds the observations of the service in a play.
 type Report struct {
-	History        linear.Verdict
+	History        linear.CheckResult
 	Delays         []time.Duration // from a change's confirmation until a proxy received it, for each proxy that did; sorted
 	MissingServers int             // live servers missing in a read, maximum
 	RefusedStarts  int             // of members, for a damaged directory
@@ -49,11 +49,11 @@
 // Violation says which rule of the list service was broken; empty if none was.
 func (r Report) Violation() string {
 	var out []string
-	if len(r.History.Wrong) > 0 {
-		out = append(out, "no order of the calls explains what was read of "+strings.Join(r.History.Wrong, ", "))
+	if len(r.History.Violations) > 0 {
+		out = append(out, "no order of the calls explains what was read of "+strings.Join(r.History.Violations, ", "))
 	}
-	if len(r.History.Open) > 0 {
-		out = append(out, "the search for an order took too long for "+strings.Join(r.History.Open, ", "))
+	if len(r.History.Undecided) > 0 {
+		out = append(out, "the search for an order took too long for "+strings.Join(r.History.Undecided, ", "))
 	}
 	if len(r.CrashedMembers) > 0 {
 		out = append(out, "members ended by themselves: "+strings.Join(r.CrashedMembers, ", "))
--- a/internal/faultlab/service/usage.go
+++ b/internal/faultlab/service/usage.go
@@ -31,7 +31,7 @@
 	if proc == nil {
 		return out
 	}
-	out.PID, out.CPU, out.Memory = proc.PID(), proc.Usage().CPU, process.Memory(proc.PID())
+	out.PID, out.CPU, out.Memory = proc.PID(), proc.Usage().CPU, process.ResidentMemory(proc.PID())
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.config.MemberAddress(member.index, metricsPort)+"/metrics", nil)
--- a/internal/faultlab/stubserver/serve.go
+++ b/internal/faultlab/stubserver/serve.go
@@ -104,7 +104,7 @@
 
 // requestDeadline is when the client gives up, by the request's timeout; zero: not known.
 func requestDeadline(request *http.Request) time.Time {
-	ms, err := strconv.ParseFloat(request.Header.Get(wire.Timeout), 64)
+	ms, err := strconv.ParseFloat(request.Header.Get(wire.RequestTimeout), 64)
 	if err != nil || ms <= 0 {
 		return time.Time{}
 	}
@@ -199,7 +199,7 @@
 		s.referee.RecordError(x.attempt, job.duration)
 		return s.respond(x, http.StatusInternalServerError, nil, false)
 	}
-	body := wire.Make(x.id, s.spec.Name, x.work.ResponseBytes)
+	body := wire.MakeBody(x.id, s.spec.Name, x.work.ResponseBytes)
 	s.referee.RecordServed(x.attempt, wire.Digest(body), job.duration)
 	if garbles {
 		s.garble(x, body)
