--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -126,7 +126,7 @@
 			listAddress: bed.block.list(i), dir: filepath.Join(bed.workDir, fmt.Sprint(i))}
 		bed.proxies[n.Name] = proxy
 		bed.proxyOrder = append(bed.proxyOrder, proxy)
-		targets = append(targets, load.Target{Name: n.Name, Zone: n.Zone, Addr: proxy.listenAddress})
+		targets = append(targets, load.Target{Name: n.Name, Zone: n.Zone, Address: proxy.listenAddress})
 	}
 	bed.front = load.NewFront(targets, bed.net, bed.delay, experiment.Millis(bed.experiment.Clients.FailureDetectionMs),
 		bed.experiment.Clients.OtherZones, zones, bed.plan.Source("front"))
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -157,7 +157,7 @@
 	events := bed.playLoad(ctx, start)
 	stop()
 	input := result.Input{Experiment: bed.experiment, Plan: bed.plan, Start: start, Record: bed.ref.Close(), Events: events,
-		Lateness: bed.client.Late(), Stall: <-stall}
+		Lateness: bed.client.Lateness(), Stall: <-stall}
 	input.Control = bed.controlReport(phases())
 	var err error
 	input.List, err = bed.listReport(&input.Record)
@@ -220,7 +220,7 @@
 	}
 	timeout := time.NewTimer(experiment.Seconds(bed.experiment.Lab.ReadyWait))
 	defer timeout.Stop()
-	for len(bed.front.Missing()) > 0 {
+	for len(bed.front.NotAdmitted()) > 0 {
 		for _, proxy := range bed.proxyOrder {
 			if ended(proxy.process) {
 				return fmt.Errorf("%w: proxy %s ended before it served: %v; its log is %s", ErrEnvironment, proxy.node.Name,
@@ -231,7 +231,7 @@
 		case <-time.After(readyPollInterval):
 		case <-timeout.C:
 			return fmt.Errorf("%w: not healthy after %v s (lab.ready_wait): %s", ErrEnvironment, bed.experiment.Lab.ReadyWait,
-				strings.Join(bed.front.Missing(), ", "))
+				strings.Join(bed.front.NotAdmitted(), ", "))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -264,7 +264,7 @@
 func (bed *testbed) reportProgress(ctx context.Context, start time.Time, tell func(at, of time.Duration, p Progress)) {
 	of := experiment.Seconds(bed.experiment.Seconds)
 	for sleep.For(ctx, progressInterval) {
-		late := bed.client.Late()
+		late := bed.client.Lateness()
 		p := Progress{Arrived: len(late)}
 		if len(late) > 0 {
 			p.Lateness = late[len(late)-1]
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -185,18 +185,18 @@
 		return nil
 	}
 	old := proxy.process
-	notice := time.AfterFunc(termNoticeDelay, func() { bed.front.Bar(proxy.node.Name) })
+	notice := time.AfterFunc(termNoticeDelay, func() { bed.front.Block(proxy.node.Name) })
 	go sendSignals(old, signals)
 	clean, err := old.Terminate(bed.killDelay())
 	notice.Stop()
-	bed.front.Bar(proxy.node.Name)
+	bed.front.Block(proxy.node.Name)
 	if err != nil {
 		return err
 	}
 	if !clean {
 		bed.log.Warn("proxy killed after SIGTERM timeout", "proxy", proxy.node.Name, "error", old.Err())
 	}
-	defer bed.front.Expect(proxy.node.Name)
+	defer bed.front.Unblock(proxy.node.Name)
 	if !sleep.For(ctx, downtime) {
 		return nil
 	}
