--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -1,8 +1,8 @@
-// Package load is the callers: clients that arrive by the plan, whatever came of earlier ones, with the tries that a
-// client makes, and the front that spreads their connections over proxies.
+// Package load runs the clients, which arrive by the plan and make their attempts, and the front that distributes their connections
+// over the proxies. It records what happens with the referee and never judges.
 //
-// The loop is open: an arrival waits for nothing, and its time counts from the planned moment. How late the lab itself
-// was at each arrival is measured, since a late lab measures itself.
+// The loop is open: an arrival waits for no earlier one, and its latency counts from the planned time. The lateness of each arrival is
+// recorded, so that a run with a late lab can be recognized.
 package load
 
 import (
@@ -29,10 +29,10 @@
 )
 
 const (
-	lateResponseWindow = 600 * time.Millisecond // to a connection whose request's time is over: what comes then is late, not lost
-	// Clients that leave do so within this; half of it is before most answers.
+	lateResponseWindow = 600 * time.Millisecond // after an attempt's deadline, in which a response is late and not lost
+	// Half of the cancellations come before most responses.
 	maxCancelDelay   = 300 * time.Millisecond
-	minAttemptTime   = 20 * time.Millisecond // a try with less time is not made
+	minAttemptTime   = 20 * time.Millisecond // a retry with less time is not made
 	maxResponseBytes = 64 << 20
 )
 
@@ -45,13 +45,13 @@
 	pools      map[string]*pool
 
 	mu       sync.Mutex
-	jobs     map[string]stubserver.Job // by the id of a try that is out
+	jobs     map[string]stubserver.Job // by the id of an attempt in flight
 	rng      *rand.Rand
 	lateness []time.Duration // of each arrival
 	running  sync.WaitGroup
 }
 
-// New is the clients of a run.
+// New returns the clients of a run.
 func New(exp *experiment.Experiment, p *plan.Plan, f *Front, ref *referee.Referee) *Client {
 	c := &Client{experiment: exp, plan: p, front: f, referee: ref, pools: map[string]*pool{}, jobs: map[string]stubserver.Job{},
 		rng: p.Source("clients")}
@@ -61,7 +61,7 @@
 	return c
 }
 
-// Job tells servers what a request costs.
+// Job is the work of a request, for servers; false if its id is unknown.
 func (c *Client) Job(id string) (stubserver.Job, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,14 +75,14 @@
 	return c.rng.IntN(n)
 }
 
-// leaves draws whether the client of a try closes its connection before the answer.
+// drawCancel draws whether the client of an attempt cancels it.
 func (c *Client) drawCancel() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.experiment.Clients.CancelFraction > 0 && c.rng.Float64() < c.experiment.Clients.CancelFraction
 }
 
-// Run plays all arrivals from start on, and returns once every try has ended, or soon after the context has.
+// Run makes all arrivals, with planned times from start, and returns when every attempt has ended, or soon after the context has.
 func (c *Client) Run(ctx context.Context, start time.Time) {
 	swept, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -110,57 +110,92 @@
 	}
 }
 
-// Late is how late each arrival began.
+// Lateness is the delay of each arrival so far.
 func (c *Client) Lateness() []time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]time.Duration(nil), c.lateness...)
 }
 
-// outcome is what a client learned of a try by its end, and when it may come again.
+// attemptResult is what a client knows of an attempt at its end, with the server's Retry-After.
 type attemptResult struct {
 	outcome    referee.Outcome
 	retryAfter time.Duration
 }
 
-// arrive is one client from its first try to its last.
+// attemptRequest is an attempt with the bytes of its request and the work that it is for servers.
+type attemptRequest struct {
+	attempt *referee.ClientAttempt
+	bytes   []byte
+	job     stubserver.Job
+}
+
+// serveArrival is one client, from its first attempt to its last.
 func (c *Client) serveArrival(ctx context.Context, arrival *plan.Arrival, planned time.Time) {
 	class := c.experiment.Classes[arrival.Class]
-	giveUp := planned.Add(experiment.Millis(class.DeadlineMs))
-	zone := c.experiment.Zones[arrival.Zone].Name
-	firstRun := time.Time{} // when a try first may have run
-	for n := 0; n <= c.experiment.Clients.Retries; n++ {
-		left := time.Until(giveUp)
-		if left < minAttemptTime && n > 0 {
+	deadline := planned.Add(experiment.Millis(class.DeadlineMs))
+	firstExecution := time.Time{} // earliest end of an attempt that may have executed
+	for number := 0; number <= c.experiment.Clients.Retries; number++ {
+		left := time.Until(deadline)
+		if left < minAttemptTime && number > 0 {
 			return
 		}
-		out := c.attempt(ctx, arrival, class, zone, n, min(arrival.Try, left))
-		if out.outcome == referee.Served || ctx.Err() != nil {
+		attempted := c.attempt(ctx, arrival, number, min(arrival.Try, left))
+		if attempted.outcome == referee.Served || ctx.Err() != nil {
 			return
 		}
-		if firstRun.IsZero() && out.outcome != referee.Rejected && out.outcome != referee.Unreached {
-			firstRun = time.Now()
+		notExecuted := attempted.outcome == referee.Rejected || attempted.outcome == referee.Unreached
+		if firstExecution.IsZero() && !notExecuted {
+			firstExecution = time.Now()
 		}
-		harmless := out.outcome == referee.Rejected || out.outcome == referee.Unreached
-		switch {
-		case class.RetryClass == "idempotent":
-		case class.RetryClass == "deduplicated" && class.KeyScope == "all" &&
-			(firstRun.IsZero() || time.Since(firstRun) < experiment.Millis(class.KeyWindowMs)):
-		case !harmless || !firstRun.IsZero():
+		if !mayRetry(class, firstExecution, notExecuted) {
 			return
 		}
-		if !sleep.For(ctx, max(out.retryAfter, experiment.Millis(c.experiment.Clients.WaitMs))) {
+		if !sleep.For(ctx, max(attempted.retryAfter, experiment.Millis(c.experiment.Clients.WaitMs))) {
 			return
 		}
 	}
 }
 
-// try makes one try. It returns at the try's deadline at the latest; its connection is listened to for longer.
-func (c *Client) attempt(ctx context.Context, arrival *plan.Arrival, class experiment.Class, zone string, n int,
-	patience time.Duration) attemptResult {
-	now := time.Now()
-	attempt := &referee.ClientAttempt{ID: c.plan.ID(arrival, n), Arrival: arrival.N, Number: n, Class: arrival.Class, Zone: zone, StartedAt: now,
-		Deadline: now.Add(patience), Path: "/" + class.Name, Method: http.MethodPost, Key: arrival.Key}
+// mayRetry reports whether the class allows a retry after attempts of which the first may have executed at a time (zero: none), and the
+// last was not executed or may have been.
+func mayRetry(class experiment.Class, firstExecution time.Time, notExecuted bool) bool {
+	switch {
+	case class.RetryClass == "idempotent":
+		return true
+	case class.RetryClass == "deduplicated" && class.KeyScope == "all" &&
+		(firstExecution.IsZero() || time.Since(firstExecution) < experiment.Millis(class.KeyWindowMs)):
+		return true
+	}
+	return notExecuted && firstExecution.IsZero()
+}
+
+// attempt makes one attempt. It returns at the attempt's deadline at the latest; late responses are read in the background.
+func (c *Client) attempt(ctx context.Context, arrival *plan.Arrival, number int, timeout time.Duration) attemptResult {
+	request := c.newRequest(arrival, number, timeout)
+	ended := make(chan attemptResult, 1)
+	c.running.Go(func() {
+		ended <- c.exchange(ctx, request)
+		c.mu.Lock()
+		delete(c.jobs, request.attempt.ID)
+		c.mu.Unlock()
+	})
+	deadline := time.NewTimer(time.Until(request.attempt.Deadline))
+	defer deadline.Stop()
+	select {
+	case attempted := <-ended:
+		return attempted
+	case <-deadline.C:
+		return attemptResult{outcome: referee.Unanswered}
+	}
+}
+
+// newRequest is the request of an attempt that starts now.
+func (c *Client) newRequest(arrival *plan.Arrival, number int, timeout time.Duration) *attemptRequest {
+	class, now := c.experiment.Classes[arrival.Class], time.Now()
+	attempt := &referee.ClientAttempt{ID: c.plan.ID(arrival, number), Arrival: arrival.N, Number: number, Class: arrival.Class,
+		Zone: c.experiment.Zones[arrival.Zone].Name, StartedAt: now, Deadline: now.Add(timeout), Path: "/" + class.Name,
+		Method: http.MethodPost, Key: arrival.Key}
 	var body []byte
 	if class.RetryClass == "idempotent" {
 		attempt.Method = http.MethodGet
@@ -169,36 +204,24 @@
 	}
 	attempt.RequestDigest = wire.Digest(body)
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: backend.local\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n", attempt.Method, attempt.Path,
-		wire.RequestID, attempt.ID, wire.RequestClass, class.Name, wire.RequestTimeout, patience.Milliseconds())
+		wire.RequestID, attempt.ID, wire.RequestClass, class.Name, wire.RequestTimeout, timeout.Milliseconds())
 	if attempt.Key != "" {
 		head += wire.IdempotencyKey + ": " + attempt.Key + "\r\n"
 	}
-	if n > 0 && c.experiment.Clients.MarkRetry {
+	if number > 0 && c.experiment.Clients.MarkRetry {
 		head += wire.ClientRetry + ": 1\r\n"
 	}
 	if attempt.Method == http.MethodPost {
 		head += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	}
-	ended := make(chan attemptResult, 1)
-	c.running.Go(func() {
-		ended <- c.exchange(ctx, attempt, append([]byte(head+"\r\n"), body...), stubserver.Job{Work: arrival.Work, ResponseBytes: arrival.Answer})
-		c.mu.Lock()
-		delete(c.jobs, attempt.ID)
-		c.mu.Unlock()
-	})
-	over := time.NewTimer(time.Until(attempt.Deadline))
-	defer over.Stop()
-	select {
-	case out := <-ended:
-		return out
-	case <-over.C:
-		return attemptResult{outcome: referee.Unanswered}
-	}
+	return &attemptRequest{attempt: attempt, bytes: append([]byte(head+"\r\n"), body...),
+		job: stubserver.Job{Work: arrival.Work, ResponseBytes: arrival.Answer}}
 }
 
-// exchange sends a request and waits for its answer. A connection that was closed between requests, or crossed this
-// one on its way, is followed by a new one.
-func (c *Client) exchange(ctx context.Context, attempt *referee.ClientAttempt, request []byte, job stubserver.Job) attemptResult {
+// exchange sends a request and reads the response. If an idle connection closed before the proxy could read the request, it is sent
+// again on a new one.
+func (c *Client) exchange(ctx context.Context, request *attemptRequest) attemptResult {
+	attempt := request.attempt
 	conn := c.pools[attempt.Zone].take(c.intn, c.referee)
 	fresh := conn == nil
 	for {
@@ -210,19 +233,22 @@
 				return attemptResult{outcome: referee.Unreached}
 			}
 		}
-		out, again := c.sendOn(ctx, conn, attempt, request, job, fresh)
-		if !again {
-			return out
+		attempted, resend := c.sendOn(ctx, conn, request, fresh)
+		if !resend {
+			return attempted
 		}
-		c.referee.UpdateTally(func(y *referee.Tally) { y.Resent++ })
+		c.referee.UpdateTally(func(tally *referee.Tally) { tally.Resent++ })
 		conn, fresh = nil, true
 	}
 }
 
+// errNoProxy is a zone without an admitted proxy.
+var errNoProxy = errors.New("no proxy is admitted")
+
 func (c *Client) dial(ctx context.Context, attempt *referee.ClientAttempt) (*clientConn, error) {
 	proxy, ok := c.front.choose(attempt.Zone)
 	if !ok {
-		return nil, errors.New("no proxy is admitted")
+		return nil, errNoProxy
 	}
 	ctx, cancel := context.WithDeadline(ctx, attempt.Deadline)
 	defer cancel()
@@ -233,35 +259,32 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), proxy: proxy}, nil
 }
 
-// on sends a request on a connection. Again asks for it to be sent on a new one: this one had ended before the proxy
-// could read it.
-func (c *Client) sendOn(ctx context.Context, conn *clientConn, attempt *referee.ClientAttempt, request []byte, job stubserver.Job, fresh bool) (out attemptResult,
-	again bool) {
+// sendOn sends a request on a connection and reads the response; resend if the connection closed before the proxy could read the
+// request, and it was not fresh.
+func (c *Client) sendOn(ctx context.Context, conn *clientConn, request *attemptRequest, fresh bool) (attempted attemptResult,
+	resend bool) {
+	attempt, job := request.attempt, request.job
 	job.Proxy = conn.proxy.Name
 	c.mu.Lock()
 	c.jobs[attempt.ID] = job
 	c.mu.Unlock()
 	c.referee.RecordSend(attempt, conn.proxy.Name)
-	var mu sync.Mutex
-	var taken time.Time
-	if err := conn.WriteThen(request, func(at time.Time) {
-		mu.Lock()
-		taken = at
-		mu.Unlock()
+	var writtenAt atomic.Pointer[time.Time]
+	if err := conn.WriteThen(request.bytes, func(at time.Time) {
+		writtenAt.Store(&at)
 		c.referee.RecordWritten(attempt, at)
 	}); err != nil {
 		return attemptResult{}, true
 	}
-	var left atomic.Bool
+	var canceled atomic.Bool
 	if c.drawCancel() {
-		after := time.Duration(c.intn(int(maxCancelDelay)))
-		leave := time.AfterFunc(after, func() {
+		cancel := time.AfterFunc(time.Duration(c.intn(int(maxCancelDelay))), func() {
 			if c.referee.RecordClientCancel(attempt, time.Now()) {
-				left.Store(true)
+				canceled.Store(true)
 				conn.Reset()
 			}
 		})
-		defer leave.Stop()
+		defer cancel.Stop()
 	}
 	_ = conn.SetReadDeadline(attempt.Deadline.Add(lateResponseWindow))
 	if _, err := conn.reader.Peek(1); err != nil {
@@ -271,12 +294,11 @@
 			c.referee.RecordTimeout(attempt, now)
 			return attemptResult{outcome: referee.Unanswered}, false
 		}
-		if left.Load() {
+		if canceled.Load() {
 			return attemptResult{outcome: referee.Unanswered}, false
 		}
-		mu.Lock()
-		unread := taken.IsZero() || conn.LastReadAt().Before(taken) || link.IsReset(err)
-		mu.Unlock()
+		written := writtenAt.Load()
+		unread := written == nil || conn.LastReadAt().Before(*written) || link.IsReset(err)
 		if !fresh && unread && ctx.Err() == nil && now.Before(attempt.Deadline) {
 			c.referee.RecordWritten(attempt, time.Time{})
 			return attemptResult{}, true
@@ -284,24 +306,29 @@
 		c.referee.RecordConnectionClosed(attempt, now, false, fresh)
 		return attemptResult{outcome: referee.Unreached}, false
 	}
-	resp, made, err := readResponse(conn.reader)
+	return c.finish(conn, attempt), false
+}
+
+// finish reads the response, of which the first byte has arrived, records it, and keeps the connection if it can be reused.
+func (c *Client) finish(conn *clientConn, attempt *referee.ClientAttempt) (attempted attemptResult) {
+	response, digest, err := readResponse(conn.reader)
 	now := time.Now()
 	if err != nil {
 		conn.Reset()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			c.referee.RecordTimeout(attempt, now)
-			return attemptResult{outcome: referee.Unanswered}, false
+			return attemptResult{outcome: referee.Unanswered}
 		}
 		c.referee.RecordConnectionClosed(attempt, now, true, false)
-		return attemptResult{outcome: referee.Failed}, false
+		return attemptResult{outcome: referee.Failed}
 	}
-	out.outcome = c.referee.RecordResponse(attempt, now, resp.StatusCode, made)
-	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && s > 0 {
-		out.retryAfter = min(time.Duration(s*float64(time.Second)), experiment.Millis(c.experiment.Proxy.MaxRetryAfterMs))
+	attempted.outcome = c.referee.RecordResponse(attempt, now, response.StatusCode, digest)
+	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
+		attempted.retryAfter = min(time.Duration(seconds*float64(time.Second)), experiment.Millis(c.experiment.Proxy.MaxRetryAfterMs))
 	}
 	conn.lastAttempt = attempt
 	switch {
-	case resp.Close:
+	case response.Close:
 		if conn.reader.Buffered() > 0 {
 			c.referee.RecordExtraBytes(attempt, now)
 		}
@@ -309,10 +336,10 @@
 	case !conn.isUnusable(c.referee):
 		c.pools[attempt.Zone].put(conn)
 	}
-	return out, false
+	return attempted
 }
 
-// answer reads a whole final answer and digests its body.
+// readResponse reads a complete final response and returns the digest of its body.
 func readResponse(r *bufio.Reader) (*http.Response, uint64, error) {
 	for {
 		resp, err := http.ReadResponse(r, nil)
--- a/internal/faultlab/load/front.go
+++ b/internal/faultlab/load/front.go
@@ -19,27 +19,27 @@
 	sweepInterval       = 250 * time.Millisecond
 )
 
-// Target is a proxy as the front knows it.
+// Target is a proxy behind the front.
 type Target struct {
 	Name    string
 	Zone    string
 	Address string
 }
 
-// door is a proxy's state at the front.
+// frontProxy is a proxy's state at the front.
 type frontProxy struct {
 	Target
-	admitted    bool      // new connections go there
-	blocked     bool      // told to leave it; until it is expected again
-	lastHealthy time.Time // of its health page
+	admitted    bool      // gets new connections
+	blocked     bool      // by Block
+	lastHealthy time.Time // last successful health check
 	dialers     map[string]*link.Dialer
 }
 
-// Front spreads the clients' connections over the proxies of their zone. It admits one whose health page says yes, and
-// notices a dead one late.
+// Front distributes the clients' connections over the proxies of their zone. It admits a proxy after a successful health check, and
+// detects a dead one with a delay.
 type Front struct {
 	failureDetection time.Duration
-	otherZones       bool // to other zones where a zone has none
+	otherZones       bool // used where a zone has no admitted proxy
 
 	mu      sync.Mutex
 	proxies map[string]*frontProxy
@@ -47,16 +47,27 @@
 	rng     *rand.Rand
 }
 
-// NewFront is a front of these proxies.
-func NewFront(targets []Target, net *link.Net, delay func(from, to string) time.Duration, notice time.Duration,
-	others bool, zones []string, rng *rand.Rand) *Front {
-	f := &Front{failureDetection: notice, otherZones: others, proxies: map[string]*frontProxy{}, rng: rng}
-	for _, t := range targets {
+// FrontConfig describes a front.
+type FrontConfig struct {
+	Targets          []Target
+	Net              *link.Net
+	Delay            func(from, to string) time.Duration // one way, between zones
+	FailureDetection time.Duration                       // until a dead proxy is no longer admitted
+	OtherZones       bool                                // used where a zone has no admitted proxy
+	Zones            []string                            // of clients
+	Random           *rand.Rand
+}
+
+// NewFront returns a front of proxies that are not admitted yet.
+func NewFront(config FrontConfig) *Front {
+	f := &Front{failureDetection: config.FailureDetection, otherZones: config.OtherZones, proxies: map[string]*frontProxy{},
+		rng: config.Random}
+	for _, t := range config.Targets {
 		proxy := &frontProxy{Target: t, dialers: map[string]*link.Dialer{}}
-		for _, z := range zones {
-			if z == t.Zone || others {
+		for _, z := range config.Zones {
+			if z == t.Zone || config.OtherZones {
 				ends := link.Ends{Kind: "client", FromZone: z, To: t.Name, ToZone: t.Zone}
-				proxy.dialers[z] = net.Dialer(ends, delay(z, t.Zone))
+				proxy.dialers[z] = config.Net.Dialer(ends, config.Delay(z, t.Zone))
 			}
 		}
 		f.proxies[t.Name] = proxy
@@ -65,13 +76,13 @@
 	return f
 }
 
-// Run asks the health pages until the context ends.
+// Run makes health checks until the context ends.
 func (f *Front) Run(ctx context.Context) {
-	var asked sync.WaitGroup
-	defer asked.Wait()
+	var checks sync.WaitGroup
+	defer checks.Wait()
 	for i, proxy := range f.order {
-		asked.Go(func() {
-			// Spread, so that 100 proxies are not asked in one instant.
+		checks.Go(func() {
+			// The first checks are spread over an interval.
 			first := time.Duration(i) * healthCheckInterval / time.Duration(len(f.order))
 			for next := first; sleep.For(ctx, next); next = healthCheckInterval {
 				f.recordHealth(proxy, healthy(ctx, proxy))
@@ -100,12 +111,12 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (f *Front) recordHealth(proxy *frontProxy, yes bool) {
+func (f *Front) recordHealth(proxy *frontProxy, isHealthy bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	switch {
-	case yes:
+	case isHealthy:
 		proxy.lastHealthy = now
 		proxy.admitted = !proxy.blocked
 	case proxy.admitted && now.Sub(proxy.lastHealthy) > f.failureDetection:
@@ -113,7 +124,7 @@
 	}
 }
 
-// Missing names the proxies that are not admitted.
+// NotAdmitted are the names of the proxies that are not admitted.
 func (f *Front) NotAdmitted() (names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,21 +136,21 @@
 	return names
 }
 
-// Bar takes a proxy out by an operator, as before a planned restart; Expect lets it back in once it is healthy.
+// Block takes a proxy out, as an operator does before a planned restart.
 func (f *Front) Block(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.proxies[name].blocked, f.proxies[name].admitted = true, false
 }
 
-// Expect lets a proxy that was barred be admitted again.
+// Unblock lets a blocked proxy be admitted again once it is healthy.
 func (f *Front) Unblock(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.proxies[name].blocked = false
 }
 
-// choose picks a proxy for a new connection of a zone's client.
+// choose draws a proxy for a new connection of a zone's client; false if none is admitted.
 func (f *Front) choose(zone string) (*frontProxy, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,7 +173,7 @@
 	return near[f.rng.IntN(len(near))], true
 }
 
-// kept is a client's connection between requests.
+// clientConn is a client's connection.
 type clientConn struct {
 	*link.Conn
 	reader      *bufio.Reader
@@ -170,13 +181,13 @@
 	lastAttempt *referee.ClientAttempt
 }
 
-// pool is the idle connections of a zone's clients.
+// pool holds the idle connections of a zone's clients.
 type pool struct {
 	mu   sync.Mutex
 	idle []*clientConn
 }
 
-// take gives a connection that is idle, by chance among them, and leaves out those that have ended.
+// take removes a random idle connection that is usable; nil if there is none.
 func (p *pool) take(rng func(int) int, ref *referee.Referee) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,7 +203,7 @@
 	return nil
 }
 
-// over tells whether an idle connection is of no more use. Bytes on it are a second answer.
+// isUnusable reports whether an idle connection has closed or received bytes, which are a second response; it closes such a one.
 func (k *clientConn) isUnusable(ref *referee.Referee) bool {
 	if k.reader.Buffered() > 0 || k.HasUnreadBytes() {
 		ref.RecordExtraBytes(k.lastAttempt, time.Now())
@@ -212,7 +223,7 @@
 	p.idle = append(p.idle, conn)
 }
 
-// sweep closes the idle connections that have ended.
+// sweep removes the unusable idle connections.
 func (p *pool) sweep(ref *referee.Referee) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faultlab/run/fleet.go
+++ b/internal/faultlab/run/fleet.go
@@ -128,8 +128,10 @@
 		bed.proxyOrder = append(bed.proxyOrder, proxy)
 		targets = append(targets, load.Target{Name: n.Name, Zone: n.Zone, Address: proxy.listenAddress})
 	}
-	bed.front = load.NewFront(targets, bed.net, bed.delay, experiment.Millis(bed.experiment.Clients.FailureDetectionMs),
-		bed.experiment.Clients.OtherZones, zones, bed.plan.Source("front"))
+	clients := bed.experiment.Clients
+	bed.front = load.NewFront(load.FrontConfig{Targets: targets, Net: bed.net, Delay: bed.delay,
+		FailureDetection: experiment.Millis(clients.FailureDetectionMs), OtherZones: clients.OtherZones, Zones: zones,
+		Random: bed.plan.Source("front")})
 }
 
 // buildCatalog creates the catalog, which stands in for the list service, with a link from each proxy.
