--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -323,7 +323,10 @@
 	switch {
 	case outcome.RequestDone || request.done:
 		b.finish(now, host, request)
-	case request.pending > 0 || !outcome.NotReplayable && b.retry(now, host, request):
+	case request.pending > 0:
+		return // another attempt decides
+	case !outcome.NotReplayable && b.retry(now, host, request):
+		return // sent again
 	case b.retries.mayReject(request):
 		b.reject(now, host, request, RejectRetriesExhausted)
 	default:
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -70,6 +70,7 @@
 // removeUnhealthy damps the servers that flap and ejects those that are reported as unhealthy, within one
 // budget.
 func (b *Balancer) removeUnhealthy(now moment) {
+	b.outliers.clearEjections()
 	unhealthy := b.outliers.reportedUnhealthy(now)
 	budget := newRemovalBudget(b.members.ready)
 	b.damping.damp(now, budget)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"log/slog"
+	"strconv"
 	"strings"
 )
 
@@ -12,9 +13,9 @@
 type Event interface {
 	// Message is a short text, the same for all events of a type.
 	Message() string
-	// Attributes are the event's values.
-	Attributes() []slog.Attr
-	// String is the message with its attributes, for hosts whose log has lines of text alone.
+	// Attributes are the event's values; zoneName gives the name of a zone's number.
+	Attributes(zoneName func(zone int) string) []slog.Attr
+	// String is the message with its attributes, for hosts whose log has lines of text alone. Zones are numbers there.
 	fmt.Stringer
 }
 
@@ -54,9 +55,9 @@
 func (e ZonePhaseChanged) Message() string { return "zone phase changed" }
 
 // Attributes implements Event.
-func (e ZonePhaseChanged) Attributes() []slog.Attr {
+func (e ZonePhaseChanged) Attributes(zoneName func(zone int) string) []slog.Attr {
 	state := &e.State
-	return []slog.Attr{slog.Int("zone", state.Zone), slog.Int("observer_zone", e.ObserverZone),
+	return []slog.Attr{slog.String("zone", zoneName(state.Zone)), slog.String("observer_zone", zoneName(e.ObserverZone)),
 		slog.String("phase", state.Phase.String()), slog.String("previous", e.Previous.String()),
 		slog.String("weight", fmt.Sprintf("%.2f", state.WeightFraction)), slog.String("fault", state.Fault.String()),
 		slog.String("bad", fmt.Sprintf("%.2f", state.BadFraction)), slog.String("calls", fmt.Sprintf("%.0f", state.Calls)),
@@ -71,7 +72,7 @@
 func (e TenantsThrottled) Message() string { return "tenants throttled" }
 
 // Attributes implements Event.
-func (e TenantsThrottled) Attributes() []slog.Attr {
+func (e TenantsThrottled) Attributes(func(zone int) string) []slog.Attr {
 	return []slog.Attr{slog.Int("tier", e.Tier), slog.String("quota_multiple", fmt.Sprintf("%.2f", e.QuotaMultiple)),
 		slog.Int("in_flight", e.InFlight), slog.String("failure_rate", fmt.Sprintf("%.2f", e.FailureRate)),
 		slog.String("spillover_weight", fmt.Sprintf("%.2f", e.SpilloverWeight))}
@@ -84,7 +85,7 @@
 func (e DampedServersChanged) Message() string { return "damped servers changed" }
 
 // Attributes implements Event.
-func (e DampedServersChanged) Attributes() []slog.Attr {
+func (e DampedServersChanged) Attributes(func(zone int) string) []slog.Attr {
 	return []slog.Attr{slog.Int("count", len(e.Servers)), slog.String("weight", fmt.Sprintf("%.2f", e.WeightFraction)),
 		slog.String("endpoints", fmt.Sprintf("%.*s", maxLoggedIDs, strings.Join(e.Servers, " ")))}
 }
@@ -96,7 +97,7 @@
 func eventText(e Event) string {
 	var b strings.Builder
 	b.WriteString(e.Message())
-	for _, attr := range e.Attributes() {
+	for _, attr := range e.Attributes(strconv.Itoa) {
 		value := attr.Value.String()
 		if strings.Contains(value, " ") || value == "" {
 			value = fmt.Sprintf("%q", value)
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -37,7 +37,7 @@
 
 	recoveryGoodCalls      = 3.0  // answered trials, faded, that it takes to return to a zone
 	recoveryMaxBadFraction = 0.25 // of calls to a zone that is returned to
-	isolatedTrialCalls     = 0.9  // answered trials that an isolated replica takes for enough
+	isolatedTrialCalls     = 0.9  // trials, answered or not, that an isolated replica takes for enough
 	isolatedStepFactor     = 4    // how much longer an isolated replica takes for a step of a recovery
 
 	// How long a zone stays evacuated: at least, doubled for each time that it was left within
@@ -100,7 +100,7 @@
 			l.evacuate(now, host, zone)
 		} else if now.since(moment(zone.ChangedAt)) >= l.recoveryStepDuration() &&
 			zone.reports.badFraction() <= recoveryMaxBadFraction {
-			l.recover(now, host, zone, zone.recovery.step+1)
+			l.enterRecoveryStep(now, host, zone, zone.recovery.step+1)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	good := sum.badFraction() <= recoveryMaxBadFraction && tried
 	stay := min(maxEvacuation, minEvacuation<<min(zone.evacuation.count-1, 10))
 	if age >= stay && good || !l.hasAlternative(zone) {
-		l.recover(now, host, zone, 0)
+		l.enterRecoveryStep(now, host, zone, 0)
 	} else if others := l.peerFraction(zone); others > 0 && age >= minEvacuation {
 		l.follow(now, host, zone, others)
 	}
@@ -172,7 +172,7 @@
 
 // badElsewhere is the bad fraction of the calls to the other zones that take traffic; 0 if nobody calls them.
 func (l *locality) badElsewhere(zone *zone) float64 {
-	var sum zoneReports
+	var sum zoneReportSum
 	for i := range l.zones {
 		if other := &l.zones[i]; other != zone && other.acceptsTraffic() {
 			sum.calls, sum.bad = sum.calls+other.reports.calls, sum.bad+other.reports.bad
@@ -200,7 +200,7 @@
 func (l *locality) follow(now moment, host Host, zone *zone, fraction float64) {
 	if fraction > 0 {
 		step, _ := slices.BinarySearch(recoveryFractions[:], min(fraction, 1))
-		l.recover(now, host, zone, step)
+		l.enterRecoveryStep(now, host, zone, step)
 	} else if l.hasAlternative(zone) {
 		l.evacuate(now, host, zone)
 	}
@@ -217,8 +217,8 @@
 	l.setPhase(now, host, zone, ZoneEvacuated, 0)
 }
 
-// recover takes a zone to a step of its recovery. What was learned of its servers before goes.
-func (l *locality) recover(now moment, host Host, zone *zone, step int) {
+// enterRecoveryStep takes a zone to a step of its recovery. What was learned of its servers before goes.
+func (l *locality) enterRecoveryStep(now moment, host Host, zone *zone, step int) {
 	if zone.Phase != ZoneRecovering {
 		zone.observed.recent = callStats{}
 		if zone.Zone == l.settings.Zone {
@@ -242,7 +242,7 @@
 		if zone := &l.zones[i]; drained[i] && !before[i] {
 			l.setPhase(now, host, zone, ZoneDrained, 0)
 		} else if before[i] && !drained[i] {
-			l.recover(now, host, zone, 0)
+			l.enterRecoveryStep(now, host, zone, 0)
 		}
 	}
 }
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -72,14 +72,14 @@
 	return server
 }
 
-// suspend has these servers and no others suspended. One that is resumed starts afresh, and is probed.
+// suspend has these servers and no others suspended. One that is resumed starts afresh, and gets a trial call.
 func (m *membership) suspend(ids map[string]bool) {
 	before := m.suspended
 	m.suspended = ids
 	for _, server := range m.all {
 		if before[server.ID] && !ids[server.ID] {
 			server.resetLearned(len(m.classes))
-			server.probePending = true
+			server.trialPending = true
 		}
 	}
 }
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -17,12 +17,12 @@
 type keyQueue struct {
 	key       string
 	waiting   []*request // the first is the one that may run
-	restUntil moment     // none starts before, as an attempt may still run
+	coolUntil moment     // none starts before, as an attempt may still run
 }
 
 // next is the request that may start now, nil if there is none.
 func (q *keyQueue) next(now moment) *request {
-	if len(q.waiting) == 0 || len(q.waiting[0].attempts) > 0 || now < q.restUntil {
+	if len(q.waiting) == 0 || len(q.waiting[0].attempts) > 0 || now < q.coolUntil {
 		return nil
 	}
 	return q.waiting[0]
@@ -56,7 +56,7 @@
 
 // discardIdle forgets a queue that holds no request and whose cool-down is over.
 func (o *ordering) discardIdle(now moment, queue *keyQueue) {
-	if len(queue.waiting) == 0 && now >= queue.restUntil {
+	if len(queue.waiting) == 0 && now >= queue.coolUntil {
 		delete(o.queues, queue.key)
 	}
 }
@@ -73,7 +73,7 @@
 
 // coolDown holds a queue after an attempt that may still run. It returns for how long, in µs.
 func (q *keyQueue) coolDown(now moment, settings *Settings) (delay int64) {
-	q.restUntil = now.add(span(settings.OrderingCooldown))
+	q.coolUntil = now.add(span(settings.OrderingCooldown))
 	return settings.OrderingCooldown
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -65,7 +65,7 @@
 }
 
 // serverReports sums up what the replicas report of a server.
-type serverReports struct {
+type serverReportSum struct {
 	unhealthy, healthy int     // replicas that call it so
 	unhealthyByPeers   int     // those of unhealthy that are other replicas
 	badCalls           float64 // that they have seen
@@ -77,10 +77,10 @@
 	overall           health
 	byClass           []health // by class number
 	recent            callStats
-	lastSuccessAt     moment        // when this replica last had an answer; 0: never
-	peerFactor        float64       // 0 to 1: what the reports of others leave of its weight
-	reports           serverReports // of all replicas now
-	connectionRefused bool          // since the last success
+	lastSuccessAt     moment          // when this replica last had an answer; 0: never
+	peerFactor        float64         // 0 to 1: what the reports of others leave of its weight
+	reports           serverReportSum // of all replicas now
+	connectionRefused bool            // since the last success
 }
 
 // newOutlierState is the state of a server of which nothing is known, for so many classes.
@@ -216,7 +216,7 @@
 // the way to it: of such reports only those of this zone count.
 func (d *outlierDetection) sumReports(now moment) {
 	for _, server := range d.members.all {
-		server.outlier.reports = serverReports{}
+		server.outlier.reports = serverReportSum{}
 	}
 	for report := range d.reports.all {
 		server := d.members.byID[report.Server]
@@ -237,14 +237,20 @@
 	}
 }
 
-// reportedUnhealthy returns the ready servers that enough replicas call unhealthy, the worst first, and takes
-// back all ejections. What this replica was answered since counts more than the reports.
+// clearEjections takes back what the reports of others left of the servers' weights.
+func (d *outlierDetection) clearEjections() {
+	for _, server := range d.members.ready {
+		server.outlier.peerFactor = 1
+	}
+}
+
+// reportedUnhealthy returns the ready servers that enough replicas call unhealthy, the worst first. What this
+// replica was answered since counts more than the reports.
 func (d *outlierDetection) reportedUnhealthy(now moment) (unhealthy []*server) {
 	d.sumReports(now)
 	votes := min(minUnhealthyVotes, d.reports.peers.LiveReplicas-1)
 	for _, server := range d.members.ready {
 		state := &server.outlier
-		state.peerFactor = 1
 		sum := &state.reports
 		if sum.unhealthyByPeers > 0 && sum.unhealthy >= votes && sum.unhealthy > sum.healthy &&
 			sum.badCalls >= minBadCalls && state.lastSuccessAt <= sum.lastUnhealthyAt {
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -164,7 +164,7 @@
 }
 
 // logThrottling logs event, at most once in throttlingLogInterval, while traffic within the shares is
-// rejected back.
+// rejected.
 func (q *quotas) logThrottling(now moment, host Host, event TenantsThrottled) {
 	if q.multiple >= 1 || now.since(q.loggedAt) < throttlingLogInterval && q.loggedAt != 0 {
 		return
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -76,9 +76,9 @@
 // resumed it wants to see it serve.
 func (s *selection) resumed(now moment, request *request) *server {
 	for _, server := range s.members.ready {
-		if server.probePending && s.retries.sendWindow(now, request, server) != neverAgain &&
-			s.slowStart.admitsProbe(now, server, len(s.members.ready)) {
-			server.probePending = false
+		if server.trialPending && s.retries.sendWindow(now, request, server) != neverAgain &&
+			s.slowStart.admitsTrial(now, server, len(s.members.ready)) {
+			server.trialPending = false
 			return server
 		}
 	}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -82,39 +82,39 @@
 // their health allows; the rest is returned as the weight of draws that have to find no server. total is
 // the sum of weights, spread the number of servers that the replica's calls are taken to be spread over.
 func (s *slowStart) limitWarming(now moment, candidates []candidate, total, spread float64) (shed float64) {
-	reach, healthiest := 0.0, 0.0
+	totalBaseWeight, healthiest := 0.0, 0.0
 	for i := range candidates {
 		c := &candidates[i]
-		c.capacity, reach = s.capacity(now, c.server), reach+c.baseWeight
+		c.capacity, totalBaseWeight = s.capacity(now, c.server), totalBaseWeight+c.baseWeight
 		healthiest = max(healthiest, c.health*indicator(c.capacity == 1 && c.weight > 0))
 	}
 	usual, present := s.arrivalRates(now)
-	most := total * overloadMargin * s.settings.OverloadMultiple *
-		min(1, (usual+1)/present) / max(reach, spread)
+	capPerCapacity := total * overloadMargin * s.settings.OverloadMultiple *
+		min(1, (usual+1)/present) / max(totalBaseWeight, spread)
 	takesExcess := func(c *candidate) bool {
 		return c.capacity == 1 && c.health >= min(healthiest, healthyScore)
 	}
 	warm := 0.0
 	for i := range candidates {
 		c := &candidates[i]
-		if over := c.weight - most*c.baseWeight*c.capacity; c.capacity < 1 && over > 0 {
-			c.weight, shed = c.weight-over, shed+over
+		if excess := c.weight - capPerCapacity*c.baseWeight*c.capacity; c.capacity < 1 && excess > 0 {
+			c.weight, shed = c.weight-excess, shed+excess
 		} else if takesExcess(c) {
 			warm += c.weight
 		}
 	}
-	more := shed * min(1, healthiest/healthyScore) / max(warm, math.SmallestNonzeroFloat64)
+	excessRatio := shed * min(1, healthiest/healthyScore) / max(warm, math.SmallestNonzeroFloat64)
 	for i := range candidates {
 		if takesExcess(&candidates[i]) {
-			candidates[i].weight *= 1 + more
+			candidates[i].weight *= 1 + excessRatio
 		}
 	}
-	return shed - more*warm
+	return shed - excessRatio*warm
 }
 
-// admitsProbe reports whether a server that an operator has resumed may get a call now. Where ready servers
+// admitsTrial reports whether a server that an operator has resumed may get a call now. Where ready servers
 // are so many that its part of this replica's usual calls is below one, that part is the chance of a call.
-func (s *slowStart) admitsProbe(now moment, server *server, ready int) bool {
+func (s *slowStart) admitsTrial(now moment, server *server, ready int) bool {
 	usual, present := s.arrivalRates(now)
 	capacity := s.capacity(now, server)
 	part := usual * overloadMargin * s.settings.OverloadMultiple * capacity / float64(ready)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -42,7 +42,7 @@
 	Server              // as last listed
 	hash         uint64 // its place on the ring
 	inFlight     int    // admission: attempts of this replica that count as in flight
-	probePending bool   // set by membership when an operator resumes it, cleared by selection when it is called
+	trialPending bool   // set by membership when an operator resumes it, cleared by selection when it is called
 	latency      serverLatency
 	outlier      outlierState
 	damping      dampingState
--- a/balancer/zonestate.go
+++ b/balancer/zonestate.go
@@ -20,7 +20,7 @@
 	observed   zoneObservation
 	evacuation zoneEvacuation
 	recovery   zoneRecovery
-	reports    zoneReports
+	reports    zoneReportSum
 	loggedAt   moment // when its last log event was; 0: none yet
 }
 
@@ -38,7 +38,7 @@
 type zoneRecovery struct{ step int } // index of recoveryFractions
 
 // zoneReports is the sum of what the replicas of this zone report of a zone.
-type zoneReports struct {
+type zoneReportSum struct {
 	calls, bad       float64
 	replicas         int // with evidence
 	unhealthyVotes   int // those of them that call it unhealthy
@@ -50,7 +50,7 @@
 }
 
 // badFraction is the bad part of the calls, 0 to 1; 0 without calls.
-func (z *zoneReports) badFraction() float64 { return z.bad / max(z.calls, 1e-9) }
+func (z *zoneReportSum) badFraction() float64 { return z.bad / max(z.calls, 1e-9) }
 
 // faultForZone is how a server's fault counts for its zone: a server that rejects is there.
 var faultForZone = [...]Fault{FaultErrors: FaultErrors, FaultUnresponsive: FaultUnresponsive,
@@ -162,7 +162,7 @@
 // sumReports sums up what the replicas of this zone report of each zone.
 func (l *locality) sumReports() {
 	for i := range l.zones {
-		l.zones[i].reports = zoneReports{}
+		l.zones[i].reports = zoneReportSum{}
 	}
 	for _, server := range l.members.ready {
 		if zone := l.zone(server.Zone); zone != nil {
@@ -196,7 +196,7 @@
 }
 
 // add adds one replica's report of the zone.
-func (z *zoneReports) add(report Report) {
+func (z *zoneReportSum) add(report Report) {
 	if report.Observer != "" {
 		z.peerFractions = append(z.peerFractions, bounded(report.Value, 1))
 	}
--- a/balancer/zonestate_test.go
+++ b/balancer/zonestate_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestReportsOfOneReplicaAreBounded(t *testing.T) {
-	var sum zoneReports
+	var sum zoneReportSum
 	sum.add(Report{Kind: ReportZoneUnhealthy, Observer: "a", Calls: 1e9, BadFraction: 7, Fault: FaultErrors, Value: -3})
 	if sum.calls != maxZoneCalls || sum.bad != maxZoneCalls || sum.unhealthyVotes != 1 || sum.peerFractions[0] != 0 {
 		t.Errorf("got %+v", sum)
--- a/cmd/merlinpick-simadapter/session_test.go
+++ b/cmd/merlinpick-simadapter/session_test.go
@@ -159,7 +159,7 @@
 
 func (e textEvent) String() string          { return string(e) }
 func (e textEvent) Message() string         { return string(e) }
-func (e textEvent) Attributes() []slog.Attr { return nil }
+func (e textEvent) Attributes(func(zone int) string) []slog.Attr { return nil }
 
 func TestActionsOnTheWire(t *testing.T) {
 	var out bytes.Buffer
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -19,7 +19,7 @@
 		t.Run(fmt.Sprint(deaf), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
-				c.SetInitialList(&List{Version: 5, Full: true})
+				c.SetInitialList(&List{Version: 5, Snapshot: true})
 				began := time.Now()
 				c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 					if at := time.Since(began); at > 2*time.Second && at < 2*time.Second+deaf {
@@ -50,7 +50,7 @@
 func TestSlowAgentIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
-		c.SetInitialList(&List{Version: 5, Full: true})
+		c.SetInitialList(&List{Version: 5, Snapshot: true})
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			select {
 			case <-time.After(3 * time.Second):
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -105,7 +105,7 @@
 func (c *Client) SetInitialList(list *List) {
 	if len(c.source.Members) > 0 {
 		c.registry.replaceEndpoints(list)
-	} else if list.Full {
+	} else if list.Snapshot {
 		c.platform.version = list.Version
 	}
 }
--- a/internal/discovery/fakeregistry_test.go
+++ b/internal/discovery/fakeregistry_test.go
@@ -159,7 +159,7 @@
 			select {
 			case n := <-c.Updates():
 				recorded.mu.Lock()
-				if n.List.Full {
+				if n.List.Snapshot {
 					clear(recorded.names)
 				}
 				for _, e := range n.List.Endpoints {
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -43,7 +43,7 @@
 func (s *transcript) list(l *List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	line := fmt.Sprintf("%d %d %t", time.Since(s.start), l.Version, l.Full)
+	line := fmt.Sprintf("%d %d %t", time.Since(s.start), l.Version, l.Snapshot)
 	for _, e := range l.Endpoints {
 		line += fmt.Sprintf(" %s/%s/%s", e.Name, e.Address, e.Status)
 	}
@@ -223,7 +223,7 @@
 			cfg.Seed, cfg.Source = seed, Source{Address: "127.0.0.1:1"}
 			var known *List
 			if seed%2 == 1 {
-				known = &List{Version: 0, Full: true}
+				known = &List{Version: 0, Snapshot: true}
 			}
 			calls, lists, counts := play(t, cfg, known, platformAnswer, 5*time.Minute, 180*time.Second, Source{Address: "127.0.0.1:2"})
 			if len(calls) < 100 || len(lists) < 50 {
@@ -243,7 +243,7 @@
 		cfg := Config{Source: Source{Members: []string{"m1:1", "m2:1", "m3:1"}}, Seed: seed}
 		var known *List
 		if seed%2 == 1 {
-			known = &List{Version: 90, Full: true, Epoch: "one", Endpoints: []Endpoint{{Name: "old", Address: "127.0.0.1:9", Status: StatusServing}}}
+			known = &List{Version: 90, Snapshot: true, Epoch: "one", Endpoints: []Endpoint{{Name: "old", Address: "127.0.0.1:9", Status: StatusServing}}}
 		}
 		calls, lists, counts := play(t, cfg, known, memberAnswer, 4*time.Minute, 200*time.Second, Source{Members: []string{"m3:1", "m2:1"}})
 		if len(calls) < 60 || len(lists) < 30 {
@@ -283,7 +283,7 @@
 
 func goldenList() *List {
 	weight := 1.5
-	return &List{Version: 4711, Full: true, Epoch: "8f3a", Endpoints: []Endpoint{
+	return &List{Version: 4711, Snapshot: true, Epoch: "8f3a", Endpoints: []Endpoint{
 		{Name: "a-1", Address: "10.0.0.1:80", Zone: "north", Cell: 2, Status: StatusServing, Weight: &weight, StartedAtMs: 1700000000123},
 		{Name: "b \"2\"", Address: "[::1]:8080", Zone: "süd", Status: StatusDraining}}}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -28,7 +28,7 @@
 // List is a full list of endpoints, or changes of one.
 type List struct {
 	Version   int64
-	Full      bool   // else Endpoints are the changes
+	Snapshot  bool   // else Endpoints are the changes
 	Epoch     string // of the versions; the platform list has none
 	Endpoints []Endpoint
 }
--- a/internal/discovery/metrics.go
+++ b/internal/discovery/metrics.go
@@ -83,7 +83,7 @@
 	c.callCounts.add(result)
 	attributes := []any{"url", url, "duration", time.Since(start), "result", string(result)}
 	if list != nil {
-		attributes = append(attributes, "version", list.Version, "full", list.Full, "endpoints", len(list.Endpoints))
+		attributes = append(attributes, "version", list.Version, "full", list.Snapshot, "endpoints", len(list.Endpoints))
 	}
 	c.log.DebugContext(ctx, "endpoint list call", attributes...)
 	return list, err
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -64,7 +64,7 @@
 
 // checkVersion returns a *versionRegressedError if an incremental answer lies below the version held.
 func (s *platformState) checkVersion(list *List) error {
-	if !list.Full && list.Version < s.version {
+	if !list.Snapshot && list.Version < s.version {
 		return &versionRegressedError{s.version, list.Version}
 	}
 	return nil
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -21,7 +21,7 @@
 func TestTimedOutWatchContinuesFromVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
-		c.SetInitialList(&List{Version: 5, Full: true})
+		c.SetInitialList(&List{Version: 5, Snapshot: true})
 		var calls []string
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			calls = append(calls, r.URL.Query().Get("from"))
@@ -54,7 +54,7 @@
 func TestSourceChangeSchedulesResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
-		c.SetInitialList(&List{Version: 5, Full: true})
+		c.SetInitialList(&List{Version: 5, Snapshot: true})
 		c.scheduleResync()
 		start, fullCalls := time.Now(), []time.Duration(nil)
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
@@ -124,7 +124,7 @@
 	<-calls
 	<-calls // the watch is in progress
 	c.SetSource(Source{Address: second})
-	if n := <-c.Updates(); n.List == nil || n.List.Version != 3 || !n.List.Full {
+	if n := <-c.Updates(); n.List == nil || n.List.Version != 3 || !n.List.Snapshot {
 		t.Errorf("got %+v", n.List)
 	}
 	stop()
@@ -135,7 +135,7 @@
 func TestSourceChangeLosesNoUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
-		c.SetInitialList(&List{Version: 5, Full: true})
+		c.SetInitialList(&List{Version: 5, Snapshot: true})
 		calls := 0
 		transport := roundTrip(func(r *http.Request) (*http.Response, error) {
 			if calls++; calls == 1 {
@@ -182,7 +182,7 @@
 	}))
 	defer s.Close()
 	c := New(Config{Source: Source{Address: strings.TrimPrefix(s.URL, "http://")}, Logger: slog.New(slog.DiscardHandler)})
-	c.SetInitialList(&List{Version: 5, Full: true})
+	c.SetInitialList(&List{Version: 5, Snapshot: true})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -107,7 +107,7 @@
 	state := &c.registry
 	first := state.endpoints == nil
 	sameEpoch := list.Epoch == state.accepted.Epoch && !first
-	if !sameEpoch && !list.Full {
+	if !sameEpoch && !list.Snapshot {
 		return &epochMismatchError{held: state.accepted.Epoch, received: list.Epoch}
 	}
 	if !state.sourceChanged {
@@ -118,7 +118,7 @@
 	if sameEpoch {
 		state.accepted.ConfirmedAt = now
 	}
-	if !list.Full {
+	if !list.Snapshot {
 		c.applyChanges(list)
 		return nil
 	}
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -113,7 +113,7 @@
 	})
 	bubble(t, "a client continues from a cached list", func(t *testing.T) {
 		registry := newFakeRegistry(line, 10, "a")
-		_, recorded := registry.client(t, 1, &List{Version: 12, Full: true, Epoch: line})
+		_, recorded := registry.client(t, 1, &List{Version: 12, Snapshot: true, Epoch: line})
 		sleep(time.Second)
 		if recorded.current().updates != 0 {
 			t.Errorf("got %q, which is older than the cached list", recorded.current().list)
@@ -191,7 +191,7 @@
 	stop()
 	ended() // the latest is written before it ends
 	l, err := LoadCachedList(dir)
-	if err != nil || l == nil || l.Version != 8 || l.Epoch != "l" || !l.Full || len(l.Endpoints) != 1 || l.Endpoints[0].StartedAtMs != 5 {
+	if err != nil || l == nil || l.Version != 8 || l.Epoch != "l" || !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].StartedAtMs != 5 {
 		t.Fatalf("got %+v, %v", l, err)
 	}
 	path := filepath.Join(dir, cacheFile)
--- a/internal/discovery/servermodel_test.go
+++ b/internal/discovery/servermodel_test.go
@@ -283,7 +283,7 @@
 	m.mu.Unlock()
 	client.connect = func(Source) *http.Client { return &http.Client{Transport: who} }
 	client.http = client.connect(Source{})
-	client.SetInitialList(&List{Version: version, Full: true})
+	client.SetInitialList(&List{Version: version, Snapshot: true})
 	who.recordVersion(version)
 	go client.Run(ctx)
 	go func() {
--- a/internal/faultlab/hollow/decide.go
+++ b/internal/faultlab/hollow/decide.go
@@ -68,7 +68,7 @@
 // updateEndpoints passes a list to the balancer, as a real proxy does.
 func (d *decider) updateEndpoints(l *discovery.List) {
 	kind := balancer.UpdateDelta
-	if l.Full {
+	if l.Snapshot {
 		kind = balancer.UpdateSnapshot
 	}
 	out := make([]balancer.Server, 0, len(l.Endpoints))
--- a/internal/faultlab/hollow/proxy.go
+++ b/internal/faultlab/hollow/proxy.go
@@ -120,7 +120,7 @@
 		f.versions = append(f.versions, VersionTime{l.Version, unixNano()})
 	}
 	before := f.servers
-	if l.Full {
+	if l.Snapshot {
 		f.servers = map[string]string{}
 	}
 	for _, e := range l.Endpoints {
@@ -131,7 +131,7 @@
 		f.recordRemoved(e.Name, before[e.Name])
 		delete(f.servers, e.Name)
 	}
-	if l.Full {
+	if l.Snapshot {
 		for name, status := range before {
 			if _, ok := f.servers[name]; !ok {
 				f.recordRemoved(name, status)
--- a/internal/proxy/downstream/drain.go
+++ b/internal/proxy/downstream/drain.go
@@ -6,48 +6,49 @@
 	"merlinpick/balancer"
 )
 
+// The platform sends SIGKILL min(longest deadline, MaxDrainDeadline) + 700 ms after SIGTERM.
 const (
-	drainAcceptPeriod = 550 * time.Millisecond // after SIGTERM new connections may still come for so long
-	KillDelay         = 3 * time.Second        // SIGKILL comes the longest deadline, or this, after SIGTERM,
-	killDelayMargin   = 500 * time.Millisecond // and this much later
-	drainPollInterval = 20 * time.Millisecond
+	MaxDrainDeadline     = 3 * time.Second        // part of the longest deadline that a drain waits for at most
+	drainMargin          = 500 * time.Millisecond // after that deadline every request has ended: the cutoff
+	responseFlushMargin  = 150 * time.Millisecond // after the cutoff, for responses to be written and read
+	cutoffMargin         = 100 * time.Millisecond // before the cutoff: a request that is not complete by then is rejected
+	minDrainAcceptPeriod = 550 * time.Millisecond // for new connections, at least; also until a silent new one is closed
+	drainPollInterval    = 20 * time.Millisecond
 
 	handoverIdleTimeout     = 100 * time.Millisecond // for idle connections, once a successor serves
 	handoverKeepAlivePeriod = 500 * time.Millisecond // after it idle ones are closed at once
 	maxDrainStream          = time.Minute            // for responses that are being streamed
-	responseFlushMargin     = 150 * time.Millisecond // after the cutoff: SIGKILL comes killDelayMargin + 200 ms after the longest deadline
-	cutoffMargin            = 100 * time.Millisecond // before the cutoff: a request that is not complete by then is rejected
 )
 
-// DrainTimes returns how long after SIGTERM clients are served on (stay), and when all requests must have ended (left). The
-// last that come in still have as long as the longest latency objective. With deadlines of some tens of milliseconds the
+// DrainTimes returns for how long after SIGTERM clients are served on, and within what time all requests must have ended.
+// The last requests still have as long as the longest latency objective. With deadlines of some tens of milliseconds the
 // listener closes cutoffMargin before the cutoff.
-func DrainTimes(classes []balancer.Class) (stay, left time.Duration) {
+func DrainTimes(classes []balancer.Class) (acceptFor, endWithin time.Duration) {
 	deadline, objective := int64(0), int64(0)
 	for _, c := range classes {
 		deadline, objective = max(deadline, c.Deadline), max(objective, c.LatencyObjective)
 	}
-	left = min(time.Duration(deadline)*time.Microsecond, KillDelay) + killDelayMargin
-	stay = max(drainAcceptPeriod, left-time.Duration(objective)*time.Microsecond)
-	return min(stay, left-cutoffMargin), left
+	endWithin = min(time.Duration(deadline)*time.Microsecond, MaxDrainDeadline) + drainMargin
+	acceptFor = max(minDrainAcceptPeriod, endWithin-time.Duration(objective)*time.Microsecond)
+	return min(acceptFor, endWithin-cutoffMargin), endWithin
 }
 
 // Drain ends the client side after SIGTERM. Clients still come for a while, and those that keep a connection may have
-// nowhere else to go while the next proxy starts: all are served on for stay. Then the listener closes, and connections as
+// nowhere else to go while the next proxy starts: all are served on for acceptFor. Then the listener closes, and connections as
 // they fall idle, until none is left or the cutoff has come.
 //
 // Where a successor serves, new connections are its own at once. Kept ones get Connection: close by their next response; those
 // that send nothing for handoverIdleTimeout are closed, and soon all that are idle: this process may not live to answer a
 // request that comes late.
-func (srv *Server) Drain(stay time.Duration, cutoff time.Time, successorServing func() bool) {
+func (srv *Server) Drain(acceptFor time.Duration, cutoff time.Time, successorServing func() bool) {
 	start := time.Now()
 	srv.draining.Store(true)
 	srv.logger.Info("draining", "open", srv.OpenConns())
-	for time.Since(start) < stay && !successorServing() {
+	for time.Since(start) < acceptFor && !successorServing() {
 		time.Sleep(drainPollInterval)
 	}
 	idleTimeout := time.Duration(0)
-	if time.Since(start) < stay {
+	if time.Since(start) < acceptFor {
 		srv.logger.Info("draining to successor", "open", srv.OpenConns())
 		idleTimeout = handoverIdleTimeout
 	}
@@ -68,7 +69,7 @@
 		if srv.Listener.IsFull() {
 			unfilled = -1
 		}
-		srv.closeIdle(idleTimeout, drainAcceptPeriod, false)
+		srv.closeIdle(idleTimeout, minDrainAcceptPeriod, false)
 		time.Sleep(drainPollInterval / 2)
 	}
 }
@@ -76,7 +77,7 @@
 // closeAsIdle closes connections as they fall idle until all are or the cutoff has come. Shortly before it, requests that
 // are not complete are rejected.
 func (srv *Server) closeAsIdle(idleTimeout time.Duration, start, cutoff time.Time) {
-	for srv.closeIdle(idleTimeout, drainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
+	for srv.closeIdle(idleTimeout, minDrainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
 		time.Sleep(drainPollInterval)
 		if time.Since(start) > handoverKeepAlivePeriod {
 			idleTimeout = 0
--- a/internal/proxy/downstream/drain_test.go
+++ b/internal/proxy/downstream/drain_test.go
@@ -106,7 +106,7 @@
 func TestClientsAreServedWhileDraining(t *testing.T) {
 	for _, c := range []struct{ deadline, objective, stay, left time.Duration }{
 		{5 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 3500 * time.Millisecond},
-		{8 * time.Second, 4 * time.Second, drainAcceptPeriod, 3500 * time.Millisecond},
+		{8 * time.Second, 4 * time.Second, minDrainAcceptPeriod, 3500 * time.Millisecond},
 		{time.Second, 400 * time.Millisecond, 1100 * time.Millisecond, 1500 * time.Millisecond},
 	} {
 		stay, left := DrainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.objective.Microseconds()},
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -169,7 +169,7 @@
 	}
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(startedAt.Add(clientconn.RequestReadTimeout)) // net/http may read what is left of a body before it answers
-	_ = rc.SetWriteDeadline(time.Time{})                                 // the last response's would hold a 100 Continue up
+	_ = rc.SetWriteDeadline(time.Time{})                                 // the last response's deadline would delay a 100 Continue
 	if len(r.TransferEncoding) > 0 {                                     // nothing may follow: see clientConn
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/proxy/endpointlist.go
+++ b/internal/proxy/endpointlist.go
@@ -22,7 +22,7 @@
 func (l *eventLoop) handleListUpdate(update discovery.Update) {
 	l.list.status.markSynced(time.Now(), update.List)
 	kind := balancer.UpdateDelta
-	if update.List.Full {
+	if update.List.Snapshot {
 		kind = balancer.UpdateSnapshot
 	}
 	l.applyList(kind, update.List)
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -136,5 +136,5 @@
 
 // Log logs an event of the balancer's.
 func (l *eventLoop) Log(event balancer.Event) {
-	l.logger.LogAttrs(context.Background(), slog.LevelInfo, event.Message(), event.Attributes()...)
+	l.logger.LogAttrs(context.Background(), slog.LevelInfo, event.Message(), event.Attributes(l.zoneNumbers.name)...)
 }
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -127,7 +127,7 @@
 	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(start); took > downstream.KillDelay+5*time.Second {
+	if took := time.Since(start); took > downstream.MaxDrainDeadline+5*time.Second {
 		t.Errorf("ended %v after SIGTERM", took)
 	}
 }
--- a/internal/proxy/list_bench_test.go
+++ b/internal/proxy/list_bench_test.go
@@ -62,7 +62,9 @@
 			name string
 			news func(i int) discovery.Update
 		}{
-			{"whole", func(int) discovery.Update { return discovery.Update{List: &discovery.List{Full: true, Endpoints: all}} }},
+			{"whole", func(int) discovery.Update {
+				return discovery.Update{List: &discovery.List{Snapshot: true, Endpoints: all}}
+			}},
 			{"change", func(i int) discovery.Update {
 				e := all[i%n]
 				e.StartedAtMs += int64(i)
@@ -74,7 +76,7 @@
 		} {
 			b.Run(fmt.Sprintf("%s/nodos=%d", what.name, n), func(b *testing.B) {
 				l := listLoop(b, 9)
-				l.handleListUpdate(discovery.Update{List: &discovery.List{Full: true, Endpoints: all}})
+				l.handleListUpdate(discovery.Update{List: &discovery.List{Snapshot: true, Endpoints: all}})
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					l.handleListUpdate(what.news(i))
@@ -93,7 +95,7 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				l := listLoop(b, 9)
-				l.handleListUpdate(discovery.Update{List: &discovery.List{Full: true, Endpoints: endpoints(n, 9)}})
+				l.handleListUpdate(discovery.Update{List: &discovery.List{Snapshot: true, Endpoints: endpoints(n, 9)}})
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "B-held")
--- a/internal/proxy/liststatus.go
+++ b/internal/proxy/liststatus.go
@@ -44,7 +44,7 @@
 	first := s.synced.IsZero()
 	if first || s.stale.Load() {
 		s.logger.Info("endpoint list synced", "version", list.Version, "previous_version", s.version, "endpoints", len(list.Endpoints),
-			"snapshot", list.Full, "first", first, "since_start", now.Sub(s.started), "stale_for", s.staleFor(now))
+			"snapshot", list.Snapshot, "first", first, "since_start", now.Sub(s.started), "stale_for", s.staleFor(now))
 	}
 	s.synced, s.staleAt, s.version = now, now.Add(s.maxAge), list.Version
 	s.stale.Store(false)
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -122,7 +122,8 @@
 	case <-timers.sample:
 		l.metrics.setServers(l.balancer.ServerCounts())
 		l.metrics.setRejections(l.balancer.Rejections())
-		l.sampleZones()
+		l.recoverRestoredZones()
+		l.publishZones()
 	case <-ctx.Done():
 		return false
 	}
--- a/internal/proxy/zonenumbers.go
+++ b/internal/proxy/zonenumbers.go
@@ -1,6 +1,8 @@
 package proxy
 
 import (
+	"strconv"
+
 	"merlinpick/balancer"
 	"merlinpick/internal/discovery"
 )
@@ -27,6 +29,16 @@
 	return n
 }
 
+// name is the name of a zone by its number, or the number itself where no zone has it.
+func (z zoneNumbers) name(number int) string {
+	for name, n := range z {
+		if n == number {
+			return name
+		}
+	}
+	return strconv.Itoa(number)
+}
+
 // toServers turns entries of an endpoint list into the balancer's servers. startOf returns when one started on the loop's clock.
 func (z zoneNumbers) toServers(entries []discovery.Endpoint, startOf func(discovery.Endpoint) int64) []balancer.Server {
 	servers := make([]balancer.Server, 0, len(entries))
--- a/internal/proxy/zoneoverrides.go
+++ b/internal/proxy/zoneoverrides.go
@@ -63,13 +63,12 @@
 	l.metrics.setServers(l.balancer.ServerCounts())
 }
 
-// sampleZones updates the zones' metrics. It also has restored zones recover where no cluster does that: for a proxy on its
-// own, or until the cluster's address is open.
-func (l *eventLoop) sampleZones() {
+// recoverRestoredZones has zones that operators restored go on with their recovery where no cluster does that: for a proxy on
+// its own, or until the cluster's address is open.
+func (l *eventLoop) recoverRestoredZones() {
 	now := l.clock.now()
 	recovering := func(z balancer.ZoneState) bool { return z.Phase == balancer.ZoneRecovering }
 	if slices.ContainsFunc(l.balancer.ZoneStates(now), recovering) && (l.cluster == nil || !l.cluster.Metrics().Open) {
 		l.balancer.HandlePeerReports(now, l, balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true})
 	}
-	l.publishZones()
 }
