--- a/internal/faultlab/path/loadgen.go
+++ b/internal/faultlab/path/loadgen.go
@@ -10,50 +10,22 @@
 	"net/http"
 	"sync"
 	"time"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Metrics are of one stretch of time. Times are counted from the moment before a request is written, in microseconds: no
-// request waits for another, and how late one was issued is told apart.
-type Metrics struct {
-	Direct, Proxied *hdrhistogram.Histogram
-	IssueDelay      *hdrhistogram.Histogram // from a request's planned moment to its issue
-	Failed          int                     // proxied calls that were not answered 200
-	Rejected        int                     // of these: 429 or 503
-	DirectFailed    int
-}
-
-func newMetrics() *Metrics {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
-	return &Metrics{Direct: h(), Proxied: h(), IssueDelay: h()}
-}
-
-// Added is what the proxy adds at a quantile, in ms: the quantile of proxied calls less that of direct ones. It is no
-// quantile of differences, since no call goes both ways.
-func (m *Metrics) Added(quantile float64) float64 {
-	return float64(m.Proxied.ValueAtQuantile(quantile)-m.Direct.ValueAtQuantile(quantile)) / 1000
-}
-
-// String is a line for people.
-func (m *Metrics) String() string {
-	at := func(h *hdrhistogram.Histogram) string {
-		return fmt.Sprintf("%.3f/%.3f/%.3f", float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000)
-	}
-	return fmt.Sprintf("added p50 %.3f p90 %.3f p99 %.3f ms; proxied p50/p99/max %s of %d, direct %s of %d, issued late %s; "+
-		"failed %d (refused %d), direct %d", m.Added(50), m.Added(90), m.Added(99), at(m.Proxied), m.Proxied.TotalCount(),
-		at(m.Direct), m.Direct.TotalCount(), at(m.IssueDelay), m.Failed, m.Rejected, m.DirectFailed)
-}
+const (
+	callTimeout = 2 * time.Second // also the deadline of the proxy's class
+	dialTimeout = time.Second
+)
 
-// Caller calls two addresses in turn, open loop: an arrival waits for nothing.
+// LoadGenerator calls two addresses in turn, open loop: no call waits for another.
 type LoadGenerator struct {
 	Proxy  string
 	Direct string
-	Rate   float64 // calls through the proxy in a second; as many go directly
+	Rate   float64 // calls a second through the proxy; as many go directly
 	Seed   uint64
 
 	mu     sync.Mutex
-	idle   map[string][]*clientConn
+	idle   map[string][]*clientConn // by address
 	lastID int
 }
 
@@ -62,109 +34,115 @@
 	reader *bufio.Reader
 }
 
-// Run calls for so long and returns once all calls have ended.
-func (c *LoadGenerator) Run(ctx context.Context, long time.Duration) *Metrics {
-	f := newMetrics()
-	var mu sync.Mutex // guards f
+// Run makes calls for a time and returns once all of them have ended.
+func (g *LoadGenerator) Run(ctx context.Context, duration time.Duration) *Metrics {
+	m := newMetrics()
+	var mu sync.Mutex // guards m
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	rnd := rand.New(rand.NewPCG(c.Seed, uint64(long)))
-	begun := time.Now()
-	at := time.Duration(0)
+	random := rand.New(rand.NewPCG(g.Seed, uint64(duration)))
+	start := time.Now()
+	offset := time.Duration(0)
 	for n := 0; ; n++ {
-		at += time.Duration(rnd.ExpFloat64() / (2 * c.Rate) * float64(time.Second))
-		if at > long {
-			break
+		offset += time.Duration(random.ExpFloat64() / (2 * g.Rate) * float64(time.Second))
+		if offset > duration {
+			return m
 		}
+		planned := start.Add(offset)
 		select {
-		case <-time.After(time.Until(begun.Add(at))):
+		case <-time.After(time.Until(planned)):
 		case <-ctx.Done():
-			return f
+			return m
 		}
-		direct, planned := n%2 == 1, begun.Add(at)
+		direct := n%2 == 1
 		calls.Go(func() {
-			to := c.Proxy
-			if direct {
-				to = c.Direct
-			}
-			k, err := c.connection(to)
-			issued := time.Now()
-			var took time.Duration
-			var status int
-			if err == nil {
-				status, took, err = c.exchange(k)
-			}
+			result := g.call(direct)
 			mu.Lock()
 			defer mu.Unlock()
-			_ = f.IssueDelay.RecordValue(max(1, issued.Sub(planned).Microseconds()))
-			switch {
-			case direct && (err != nil || status != http.StatusOK):
-				f.DirectFailed++
-			case direct:
-				_ = f.Direct.RecordValue(took.Microseconds())
-			case err != nil || status != http.StatusOK:
-				f.Failed++
-				if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-					f.Rejected++
-				}
-			default:
-				_ = f.Proxied.RecordValue(took.Microseconds())
-			}
+			m.record(result, planned)
 		})
 	}
-	calls.Wait()
-	return f
 }
 
-// take is an idle connection, or a new one: it has come up before the call's time begins.
-func (c *LoadGenerator) connection(to string) (*clientConn, error) {
-	c.mu.Lock()
-	if c.idle == nil {
-		c.idle = map[string][]*clientConn{}
+// callResult is the end of one call.
+type callResult struct {
+	direct   bool
+	issued   time.Time // when its connection was ready
+	duration time.Duration
+	status   int
+	err      error
+}
+
+func (g *LoadGenerator) call(direct bool) callResult {
+	address := g.Proxy
+	if direct {
+		address = g.Direct
 	}
-	if all := c.idle[to]; len(all) > 0 {
-		k := all[len(all)-1]
-		c.idle[to] = all[:len(all)-1]
-		c.mu.Unlock()
-		return k, nil
+	conn, err := g.connection(address)
+	result := callResult{direct: direct, issued: time.Now(), err: err}
+	if err == nil {
+		result.status, result.duration, result.err = g.exchange(conn)
 	}
-	c.mu.Unlock()
-	nc, err := net.DialTimeout("tcp", to, time.Second)
+	return result
+}
+
+// connection returns an idle connection or a new one, so that no call's duration includes the dial.
+func (g *LoadGenerator) connection(address string) (*clientConn, error) {
+	if conn := g.idleConnection(address); conn != nil {
+		return conn, nil
+	}
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{nc, bufio.NewReader(nc)}, nil
+	return &clientConn{conn, bufio.NewReader(conn)}, nil
 }
 
-const callTimeout = 2 * time.Second // of a caller; it is what the class gives up at, too
+// idleConnection takes the connection that was used last, or returns nil.
+func (g *LoadGenerator) idleConnection(address string) *clientConn {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	idle := g.idle[address]
+	if len(idle) == 0 {
+		return nil
+	}
+	conn := idle[len(idle)-1]
+	g.idle[address] = idle[:len(idle)-1]
+	return conn
+}
 
-func (c *LoadGenerator) exchange(k *clientConn) (status int, took time.Duration, err error) {
-	c.mu.Lock()
-	c.lastID++
-	id := c.Seed<<32 + uint64(c.lastID)
-	c.mu.Unlock()
-	text := fmt.Appendf(nil, "GET /read HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: %016x\r\nRequest-Class: read\r\n"+
+// exchange sends a request and reads its response. The connection becomes idle or is closed.
+func (g *LoadGenerator) exchange(conn *clientConn) (status int, duration time.Duration, err error) {
+	g.mu.Lock()
+	g.lastID++
+	id := g.Seed<<32 + uint64(g.lastID)
+	g.mu.Unlock()
+	request := fmt.Appendf(nil, "GET /read HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: %016x\r\nRequest-Class: read\r\n"+
 		"Request-Timeout-Ms: %d\r\n\r\n", id, callTimeout.Milliseconds())
-	_ = k.SetDeadline(time.Now().Add(callTimeout))
-	begun := time.Now()
-	leaves := true
-	if _, err = k.Write(text); err == nil {
-		status, leaves, err = k.readResponse()
+	_ = conn.SetDeadline(time.Now().Add(callTimeout))
+	start := time.Now()
+	closing := true
+	if _, err = conn.Write(request); err == nil {
+		status, closing, err = conn.readResponse()
+	}
+	duration = time.Since(start)
+	if closing {
+		conn.Close()
+		return status, duration, err
 	}
-	took = time.Since(begun)
-	if leaves {
-		k.Close()
-		return status, took, err
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.idle == nil {
+		g.idle = map[string][]*clientConn{}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.idle[k.RemoteAddr().String()] = append(c.idle[k.RemoteAddr().String()], k)
-	return status, took, nil
+	address := conn.RemoteAddr().String()
+	g.idle[address] = append(g.idle[address], conn)
+	return status, duration, nil
 }
 
-// answer reads one; leaves tells that the connection ends with it.
-func (k *clientConn) readResponse() (status int, leaves bool, err error) {
-	resp, err := http.ReadResponse(k.reader, nil)
+// readResponse reads a complete response. closing reports that the connection ends with it.
+func (c *clientConn) readResponse() (status int, closing bool, err error) {
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, true, err
 	}
@@ -175,14 +153,14 @@
 	return resp.StatusCode, resp.Close, nil
 }
 
-// Close closes the connections that are kept.
-func (c *LoadGenerator) Close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, all := range c.idle {
-		for _, k := range all {
-			k.Close()
+// Close closes the idle connections. No Run may be in progress.
+func (g *LoadGenerator) Close() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, idle := range g.idle {
+		for _, conn := range idle {
+			conn.Close()
 		}
 	}
-	c.idle = nil
+	g.idle = nil
 }
--- /dev/null
+++ b/internal/faultlab/path/metrics.go
@@ -0,0 +1,58 @@
+package path
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// Metrics are the results of one run of calls. Histograms are in microseconds; a duration starts when its request is written,
+// and excludes the delay of its issue.
+type Metrics struct {
+	Direct, Proxied *hdrhistogram.Histogram
+	IssueDelay      *hdrhistogram.Histogram // from the planned start of a call to the actual one
+	Failed          int                     // proxied calls without a 200
+	Rejected        int                     // of these: 429 or 503
+	DirectFailed    int                     // direct calls without a 200
+}
+
+func newMetrics() *Metrics {
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
+	return &Metrics{Direct: histogram(), Proxied: histogram(), IssueDelay: histogram()}
+}
+
+func (m *Metrics) record(r callResult, planned time.Time) {
+	_ = m.IssueDelay.RecordValue(max(1, r.issued.Sub(planned).Microseconds()))
+	failed := r.err != nil || r.status != http.StatusOK
+	switch {
+	case r.direct && failed:
+		m.DirectFailed++
+	case r.direct:
+		_ = m.Direct.RecordValue(r.duration.Microseconds())
+	case failed:
+		m.Failed++
+		if r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests {
+			m.Rejected++
+		}
+	default:
+		_ = m.Proxied.RecordValue(r.duration.Microseconds())
+	}
+}
+
+// Added returns what the proxy adds at a quantile (0 to 100), in ms: the difference of the two quantiles, not a quantile of
+// differences, since no call goes both ways.
+func (m *Metrics) Added(quantile float64) float64 {
+	return float64(m.Proxied.ValueAtQuantile(quantile)-m.Direct.ValueAtQuantile(quantile)) / 1000
+}
+
+// String returns a summary in one line.
+func (m *Metrics) String() string {
+	summary := func(h *hdrhistogram.Histogram) string {
+		return fmt.Sprintf("%.3f/%.3f/%.3f", float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000)
+	}
+	return fmt.Sprintf("added p50 %.3f p90 %.3f p99 %.3f ms; proxied p50/p99/max %s of %d, direct %s of %d, issued late %s; "+
+		"failed %d (refused %d), direct %d", m.Added(50), m.Added(90), m.Added(99), summary(m.Proxied), m.Proxied.TotalCount(),
+		summary(m.Direct), m.Direct.TotalCount(), summary(m.IssueDelay), m.Failed, m.Rejected, m.DirectFailed)
+}
--- a/internal/faultlab/path/path_test.go
+++ b/internal/faultlab/path/path_test.go
@@ -25,7 +25,7 @@
 
 const zones = 9
 
-// relay is a stand-in proxy that passes requests on to a server after a delay.
+// delayingProxy is a stub proxy that forwards requests to a server after a delay.
 func delayingProxy(t *testing.T, to string, delay time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 	return l.Addr().String()
 }
 
-// The harness tells a proxy that adds 2 ms, and how much, from one that adds next to nothing.
+// The measurement finds 2 ms that a proxy adds, and does not find them where there are none.
 func TestMeasuresAddedDelay(t *testing.T) {
 	nodos, err := StartServers(18, zones)
 	if err != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// What the list tells: the whole of it, nothing, a zone that went, the whole again.
+// The registry serves the complete list, no changes, a zone that was lost, and the complete list again.
 func TestRegistry(t *testing.T) {
 	nodos, err := StartServers(18, zones)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return n
 }
 
-// TestAdded measures what a real proxy adds. It prints; over the aim is told, and fails nothing.
+// TestAdded measures and prints what a real proxy adds. It asserts nothing about the result.
 func TestAdded(t *testing.T) {
 	if !*full {
 		t.Skip("-path.full")
@@ -153,7 +153,7 @@
 			t.Fatal(err)
 		}
 		c := &LoadGenerator{Proxy: s.Proxy.Addr, Direct: s.Servers.All[1].Addr, Rate: *rate, Seed: *seed + uint64(r)}
-		c.Run(t.Context(), 3*time.Second) // connections come up, weights settle
+		c.Run(t.Context(), 3*time.Second) // until connections are open and weights are stable
 		for _, phase := range phases {
 			before, err := s.Proxy.CPU()
 			if err != nil {
@@ -182,7 +182,7 @@
 	}
 }
 
-// medianOf is a column's median, least and most.
+// medianOf returns the median, minimum and maximum of a column.
 func medianOf(rows [][2]float64, i int) [3]float64 {
 	var x []float64
 	for _, r := range rows {
@@ -192,8 +192,8 @@
 	return [3]float64{x[len(x)/2], x[0], x[len(x)-1]}
 }
 
-// TestFollowing measures what a proxy without calls costs: memory, and processor time while nothing changes, one server a
-// second changes, and the whole list comes once a second.
+// TestFollowing measures and prints what a proxy without calls costs: memory, and processor time without changes, with a
+// change a second and with a complete list a second.
 func TestFollowing(t *testing.T) {
 	if !*full {
 		t.Skip("-path.full")
--- a/internal/faultlab/path/proxy.go
+++ b/internal/faultlab/path/proxy.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -18,17 +19,27 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-// Limits are what a proxy is told of the machine: those that the lab has by default.
+// readyTimeout is how long a proxy may take to become healthy.
+const readyTimeout = 10 * time.Second
+
+var (
+	// ErrExited reports a proxy that ended before it was ready; its log says why.
+	ErrExited = errors.New("exited before it was ready; see the log in its directory")
+	// ErrNotReady reports a proxy that did not become healthy in time.
+	ErrNotReady = errors.New("not ready; see the log in its directory")
+)
+
+// Limits are the resources in a proxy's configuration.
 type Limits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// DeploymentLimits are those of a proxy that shares its machine with a server.
+// DeploymentLimits are the limits of a proxy that shares its machine with a server.
 var DeploymentLimits = Limits{Cores: 1, MemoryMB: 64, Sockets: 512}
 
-// Proxy is a real proxy process.
+// Proxy is a running proxy process.
 type Proxy struct {
 	Addr    string
 	process *process.Process
@@ -37,17 +48,17 @@
 
 func microseconds(d time.Duration) int64 { return d.Microseconds() }
 
-// settings are those of a proxy in zone 0 of a late tier, with one class that may run twice.
+// settings are the service settings: the proxy is in the home zone, with one idempotent class.
 func settings(zones int) map[string]any {
 	var names []string
-	for z := range zones {
-		names = append(names, zoneName(z))
+	for zone := range zones {
+		names = append(names, zoneName(zone))
 	}
 	return map[string]any{
 		"contract": map[string]any{"answer_slack_us": microseconds(20 * time.Millisecond), "ask_every_us": microseconds(10 * time.Second),
 			"cold_us": microseconds(8800 * time.Millisecond), "drain_grace_us": microseconds(time.Second), "fall_us": microseconds(2 * time.Second),
 			"start_capacity": 0.32, "tip_multiple": 3},
-		"counted_by": "request", "failure_domains": names, "membership_mode": "subscribe", "my_zone": 0,
+		"counted_by": "request", "failure_domains": names, "membership_mode": "subscribe", "my_zone": homeZone,
 		"limits": map[string]any{"cancelling": true, "dial_timeout_us": microseconds(250 * time.Millisecond),
 			"idle_close_us": microseconds(5 * time.Second), "max_retry_after_us": microseconds(2 * time.Second), "retry_after": true,
 			"second_copies": true, "try_limit": 3, "streams_per_conn": 1, "peers": false, "probes": false},
@@ -58,8 +69,8 @@
 	}
 }
 
-// StartProxy starts a program in a directory, which gets its configuration and its log, and waits until it is ready.
-func StartProxy(program, dir string, list *Registry, zones int, limits Limits, seed uint64) (*Proxy, error) {
+// StartProxy starts a proxy program in a directory, which gets its configuration and its log, and waits until it is ready.
+func StartProxy(program, dir string, registry *Registry, zones int, limits Limits, seed uint64) (*Proxy, error) {
 	program, err := filepath.Abs(program)
 	if err != nil {
 		return nil, fmt.Errorf("proxy: %w", err)
@@ -71,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(map[string]any{"name": "p", "listen": addr, "discovery": list.Addr, "limits": limits,
+	text, err := json.Marshal(map[string]any{"name": "p", "listen": addr, "discovery": registry.Addr, "limits": limits,
 		"seed": fmt.Sprintf("%016x", seed), "settings": settings(zones)})
 	if err != nil {
 		return nil, fmt.Errorf("configuration of the proxy: %w", err)
@@ -87,27 +98,29 @@
 		p.starter.Close()
 		return nil, err
 	}
-	if err := p.waitReady(10 * time.Second); err != nil {
+	if err := p.waitReady(); err != nil {
 		p.Close()
 		return nil, err
 	}
 	return p, nil
 }
 
+// freeAddress returns an address of 127.0.0.1 with a port that was free.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("proxy: %w", err)
+		return "", fmt.Errorf("find a port for the proxy: %w", err)
 	}
 	defer l.Close()
 	return l.Addr().String(), nil
 }
 
-func (p *Proxy) waitReady(within time.Duration) error {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+// waitReady waits until the proxy reports that it is healthy.
+func (p *Proxy) waitReady() error {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		select {
 		case <-p.process.Ended():
-			return fmt.Errorf("proxy at %s ended at its start: %w", p.Addr, p.process.Err())
+			return fmt.Errorf("proxy at %s: %w (%v)", p.Addr, ErrExited, p.process.Err())
 		default:
 		}
 		resp, err := http.Get("http://" + p.Addr + "/_health")
@@ -118,38 +131,38 @@
 			}
 		}
 	}
-	return fmt.Errorf("proxy at %s is not ready after %v", p.Addr, within)
+	return fmt.Errorf("proxy at %s: %w within %v", p.Addr, ErrNotReady, readyTimeout)
 }
 
-// CPU is the processor time that the process has used, to the nanosecond: /proc counts in hundredths of a second.
+// CPU returns the processor time that the process has used, in nanoseconds where /proc has hundredths of a second.
 func (p *Proxy) CPU() (time.Duration, error) {
 	clock := int32(^p.process.PID()<<3 | 2) // CPUCLOCK_SCHED of the whole process, as clock_getcpuclockid(3) has it
-	var t unix.Timespec
-	if err := unix.ClockGettime(clock, &t); err != nil {
+	var used unix.Timespec
+	if err := unix.ClockGettime(clock, &used); err != nil {
 		return 0, fmt.Errorf("processor time of the proxy: %w", err)
 	}
-	return time.Duration(t.Nano()), nil
+	return time.Duration(used.Nano()), nil
 }
 
-// Memory is the process's resident memory now, and that part of it which is its own, in bytes.
+// Memory returns the process's current resident memory and the anonymous part of it, in bytes.
 func (p *Proxy) Memory() (resident, anonymous int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.process.PID()))
 	if err != nil {
 		return 0, 0, fmt.Errorf("memory of the proxy: %w", err)
 	}
-	of := map[string]int64{}
+	values := map[string]int64{}
 	for line := range strings.Lines(string(text)) {
 		if key, rest, ok := strings.Cut(line, ":"); ok {
-			if f := strings.Fields(rest); len(f) == 2 && f[1] == "kB" {
-				kb, _ := strconv.ParseInt(f[0], 10, 64)
-				of[key] = kb << 10
+			if fields := strings.Fields(rest); len(fields) == 2 && fields[1] == "kB" {
+				kb, _ := strconv.ParseInt(fields[0], 10, 64)
+				values[key] = kb << 10
 			}
 		}
 	}
-	return of["VmRSS"], of["RssAnon"], nil
+	return values["VmRSS"], values["RssAnon"], nil
 }
 
-// Close ends the process.
+// Close kills the process and waits for its end.
 func (p *Proxy) Close() {
 	_ = p.process.Signal(syscall.SIGKILL)
 	<-p.process.Ended()
--- a/internal/faultlab/path/registry.go
+++ b/internal/faultlab/path/registry.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// entry is an endpoint as the registry's protocol has it.
 type entry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -22,22 +23,23 @@
 	SinceMs int64   `json:"since_ms"`
 }
 
-// List is a stand-in list service: whole lists, and watches that wait for the next version.
+// Registry is a stub registry: it serves complete lists, and watches that wait for the next version.
 type Registry struct {
 	Addr string
 
 	http      *http.Server
-	bytesSent atomic.Int64 // bytes of answers, heads not counted
+	bytesSent atomic.Int64 // of response bodies
 	calls     atomic.Int64
 
 	mu       sync.Mutex
-	index    int64
-	snapshot int64 // a watch from below this version gets the whole list
+	index    int64 // the version
+	snapshot int64 // a watch from below this version gets the complete list
 	entries  []entry
 	changes  []change
-	updated  chan struct{} // closed at the next version
+	updated  chan struct{} // closed when the next version is published
 }
 
+// change is an entry as of a version.
 type change struct {
 	index int64
 	entry entry
@@ -45,34 +47,34 @@
 
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
 
-// ListenList serves the list of these servers.
-func StartRegistry(nodos *Servers) (*Registry, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// StartRegistry serves a list of servers on a port of 127.0.0.1.
+func StartRegistry(servers *Servers) (*Registry, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("list: %w", err)
+		return nil, fmt.Errorf("start the registry: %w", err)
 	}
-	s := &Registry{Addr: l.Addr().String(), index: 1, updated: make(chan struct{})}
-	for _, n := range nodos.All {
-		s.entries = append(s.entries, entry{Name: n.Name, Address: n.Addr, Zone: zoneName(n.Zone), Type: "m2", Group: n.Zone,
+	l := &Registry{Addr: listener.Addr().String(), index: 1, updated: make(chan struct{})}
+	for _, s := range servers.All {
+		l.entries = append(l.entries, entry{Name: s.Name, Address: s.Addr, Zone: zoneName(s.Zone), Type: "m2", Group: s.Zone,
 			Status: "SERVING", Weight: 1})
 	}
-	s.http = &http.Server{Handler: s}
-	go func() { _ = s.http.Serve(l) }() // it ends with Close
-	return s, nil
+	l.http = &http.Server{Handler: l}
+	go func() { _ = l.http.Serve(listener) }() // ends with Close
+	return l, nil
 }
 
-// Close ends the service and its watches.
+// Close stops the registry and its watches.
 func (l *Registry) Close() { l.http.Close() }
 
-// Whole makes a new version that every watch gets as the whole list, though nothing has changed.
+// PublishSnapshot publishes a version without changes that every watch gets as the complete list.
 func (l *Registry) PublishSnapshot() { l.publish(func() { l.snapshot = l.index }) }
 
-// Zone lists the servers of a zone as there or as gone.
-func (l *Registry) SetZoneListed(zone int, there bool) {
+// SetZoneListed publishes a version in which the servers of a zone are serving or deleted.
+func (l *Registry) SetZoneListed(zone int, listed bool) {
 	l.publish(func() {
 		for i := range l.entries {
 			if e := &l.entries[i]; e.Zone == zoneName(zone) {
-				if e.Status = "DELETED"; there {
+				if e.Status = "DELETED"; listed {
 					e.Status, e.SinceMs = "SERVING", time.Now().UnixMilli()
 				}
 				l.changes = append(l.changes, change{l.index, *e})
@@ -81,7 +83,7 @@
 	})
 }
 
-// Touch makes a new version in which one server's entry is told anew with another start.
+// TouchEntry publishes a version in which one server has another start time. i counts modulo the servers.
 func (l *Registry) TouchEntry(i int) {
 	l.publish(func() {
 		e := &l.entries[i%len(l.entries)]
@@ -90,15 +92,17 @@
 	})
 }
 
-func (l *Registry) publish(f func()) {
+// publish makes a new version, which change may edit, and wakes the watches.
+func (l *Registry) publish(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
-	f()
+	change()
 	close(l.updated)
 	l.updated = make(chan struct{})
 }
 
+// ServeHTTP answers a watch from a version, which waits for the next one for hold_ms if it is the current one.
 func (l *Registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.calls.Add(1)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -108,14 +112,14 @@
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	l.mu.Lock()
 	next := l.updated
-	waits := from == l.index
+	isCurrent := from == l.index
 	l.mu.Unlock()
-	if waits {
-		over := time.NewTimer(time.Duration(hold) * time.Millisecond)
-		defer over.Stop()
+	if isCurrent {
+		timer := time.NewTimer(time.Duration(hold) * time.Millisecond)
+		defer timer.Stop()
 		select {
 		case <-next:
-		case <-over.C:
+		case <-timer.C:
 		case <-r.Context().Done():
 			return
 		}
@@ -125,7 +129,7 @@
 	_, _ = w.Write(body)
 }
 
-// since is what there is to tell one that holds a version.
+// changesSince returns the response for a watcher of a version: the changes since, or the complete list.
 func (l *Registry) changesSince(from int64) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +150,7 @@
 	}
 	text, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // strings and numbers
+		panic(err) // impossible: strings and numbers only
 	}
 	return text
 }
--- a/internal/faultlab/path/servers.go
+++ b/internal/faultlab/path/servers.go
@@ -8,10 +8,10 @@
 	"sync"
 )
 
-// answer is what every stub server gives, at once: what is measured is the way there and back.
+// response is what every stub server answers at once, so that only the path is measured.
 const response = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
-// Server is a stub server with a listener of its own on loopback.
+// Server is a stub server with a listener of its own on 127.0.0.1.
 type Server struct {
 	Name string
 	Zone int
@@ -22,58 +22,59 @@
 	conns    map[net.Conn]bool
 }
 
-// Servers are n of them, spread evenly over zones. They share a process with the callers.
+// Servers are the stub servers, spread evenly over zones.
 type Servers struct {
 	All     []*Server
 	Zones   int
 	running sync.WaitGroup
 }
 
-// ListenServers has n servers listen, each on a port of 127.0.0.1.
+// StartServers starts n servers.
 func StartServers(n, zones int) (*Servers, error) {
 	s := &Servers{Zones: zones}
 	for i := range n {
-		nodo := &Server{Name: fmt.Sprintf("s%d", i), Zone: i % zones, Addr: "127.0.0.1:0"}
-		if err := s.listen(nodo); err != nil {
+		server := &Server{Name: fmt.Sprintf("s%d", i), Zone: i % zones, Addr: "127.0.0.1:0"}
+		if err := s.listen(server); err != nil {
 			s.Close()
 			return nil, err
 		}
-		s.All = append(s.All, nodo)
+		s.All = append(s.All, server)
 	}
 	return s, nil
 }
 
-func (s *Servers) listen(n *Server) error {
-	l, err := net.Listen("tcp", n.Addr)
+// listen starts a server at its address, whose port is 0 at first.
+func (s *Servers) listen(server *Server) error {
+	listener, err := net.Listen("tcp", server.Addr)
 	if err != nil {
-		return fmt.Errorf("nodo %s of %d at %s: %w (a nodo takes a port and a descriptor)", n.Name, len(s.All), n.Addr, err)
+		return fmt.Errorf("server %s of %d at %s: %w (each takes a port and a descriptor: see ulimit -n)", server.Name, len(s.All), server.Addr, err)
 	}
-	n.mu.Lock()
-	n.listener, n.Addr, n.conns = l, l.Addr().String(), map[net.Conn]bool{}
-	n.mu.Unlock()
+	server.mu.Lock()
+	server.listener, server.Addr, server.conns = listener, listener.Addr().String(), map[net.Conn]bool{}
+	server.mu.Unlock()
 	s.running.Go(func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			n.mu.Lock()
-			lives := n.listener == l
-			if lives {
-				n.conns[c] = true
+			server.mu.Lock()
+			current := server.listener == listener
+			if current {
+				server.conns[c] = true
 			}
-			n.mu.Unlock()
-			if !lives {
+			server.mu.Unlock()
+			if !current {
 				c.Close()
 				continue
 			}
-			s.running.Go(func() { n.serve(c) })
+			s.running.Go(func() { server.serve(c) })
 		}
 	})
 	return nil
 }
 
-// one answers the requests of a connection. They have no body.
+// serve answers the requests of a connection, which have no body.
 func (s *Server) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -88,7 +89,7 @@
 	}
 }
 
-// skipHead reads up to the empty line.
+// skipHead reads up to and with the empty line.
 func skipHead(r *bufio.Reader) error {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -101,7 +102,7 @@
 	}
 }
 
-// down ends a server as a process's death does: connections are reset and new ones refused.
+// stop ends a server as the death of its process does: connections are reset, new ones refused.
 func (s *Server) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,20 +117,20 @@
 	}
 }
 
-// Lose ends the servers of a zone.
+// StopZone stops the servers of a zone.
 func (s *Servers) StopZone(zone int) {
-	for _, n := range s.All {
-		if n.Zone == zone {
-			n.stop()
+	for _, server := range s.All {
+		if server.Zone == zone {
+			server.stop()
 		}
 	}
 }
 
-// Return has them listen again where they did.
+// RestartZone restarts the servers of a zone at their addresses.
 func (s *Servers) RestartZone(zone int) error {
-	for _, n := range s.All {
-		if n.Zone == zone {
-			if err := s.listen(n); err != nil {
+	for _, server := range s.All {
+		if server.Zone == zone {
+			if err := s.listen(server); err != nil {
 				return err
 			}
 		}
@@ -137,10 +138,10 @@
 	return nil
 }
 
-// Close ends all and waits for that.
+// Close stops all servers and waits for their connections.
 func (s *Servers) Close() {
-	for _, n := range s.All {
-		n.stop()
+	for _, server := range s.All {
+		server.stop()
 	}
 	s.running.Wait()
 }
--- a/internal/faultlab/path/testbed.go
+++ b/internal/faultlab/path/testbed.go
@@ -1,9 +1,9 @@
-// Package path measures what a proxy adds to a call, beside a plain exchange over loopback in the same run, and what it
-// costs a proxy without calls to follow the list: by the number of listed servers, while all is calm, while whole lists
-// arrive and while a zone goes.
+// Package path measures what a proxy adds to a call, compared with direct calls over loopback in the same run, and what
+// following the endpoint list costs a proxy without calls: by the number of listed servers, in calm, while complete lists arrive
+// and while a zone is lost.
 //
-// The proxy is a real process. Callers, servers and the list share the process that measures; servers answer at once. Every
-// listed server has a listener of its own.
+// The proxy is a real process. The load generator, the stub servers and the stub registry share the measuring process; servers
+// answer at once, each on a listener of its own. The package sets no budgets but LatencyObjective, and records nothing.
 package path
 
 import (
@@ -12,34 +12,34 @@
 	"time"
 )
 
-// Budget is what a proxy may add for 99 calls in 100, in ms.
+// LatencyObjective is the most that a proxy should add at p99, in ms.
 const LatencyObjective = 0.5
 
-// Scene is a proxy with its servers and its list.
+// Testbed is a proxy with its stub servers and its stub registry.
 type Testbed struct {
 	Servers  *Servers
 	Registry *Registry
 	Proxy    *Proxy
 }
 
-// Open sets a scene up.
-func Open(program, dir string, nodos, zones int, limits Limits, seed uint64) (*Testbed, error) {
-	s := &Testbed{}
+// Open starts a testbed with servers spread over zones. The proxy runs in dir.
+func Open(program, dir string, servers, zones int, limits Limits, seed uint64) (*Testbed, error) {
+	t := &Testbed{}
 	var err error
-	if s.Servers, err = StartServers(nodos, zones); err != nil {
+	if t.Servers, err = StartServers(servers, zones); err != nil {
 		return nil, err
 	}
-	if s.Registry, err = StartRegistry(s.Servers); err == nil {
-		s.Proxy, err = StartProxy(program, dir, s.Registry, zones, limits, seed)
+	if t.Registry, err = StartRegistry(t.Servers); err == nil {
+		t.Proxy, err = StartProxy(program, dir, t.Registry, zones, limits, seed)
 	}
 	if err != nil {
-		s.Close()
+		t.Close()
 		return nil, err
 	}
-	return s, nil
+	return t, nil
 }
 
-// Close ends all of it.
+// Close stops everything.
 func (t *Testbed) Close() {
 	if t.Proxy != nil {
 		t.Proxy.Close()
@@ -50,58 +50,72 @@
 	t.Servers.Close()
 }
 
-// Phase is something that goes on while calls are made.
+// Phase is what happens while calls are made.
 type Phase string
 
-// The phases.
+// The phases, by the names that the tests' flag takes.
 const (
 	Calm     Phase = "calm"
-	Snapshot Phase = "whole lists" // wholeEvery
-	ZoneLoss Phase = "a zone goes" // home's servers die; the list tells it goneTold later
+	Snapshot Phase = "whole lists" // a complete list every snapshotInterval
+	ZoneLoss Phase = "a zone goes" // the servers of the proxy's zone stop; the list follows after removalDelay
 )
 
 const (
 	snapshotInterval = 250 * time.Millisecond
-	removalNotified  = time.Second
+	removalDelay     = time.Second
+	homeZone         = 0 // the proxy's
 )
 
-// Play makes calls while a phase lasts.
-func (t *Testbed) RunPhase(ctx context.Context, c *LoadGenerator, phase Phase, long time.Duration) (*Metrics, error) {
+// RunPhase makes calls for a time while a phase takes place, and ends the phase.
+func (t *Testbed) RunPhase(ctx context.Context, g *LoadGenerator, phase Phase, duration time.Duration) (*Metrics, error) {
 	ctx, stop := context.WithCancel(ctx)
-	failed := make(chan error, 1)
+	ended := make(chan error, 1)
 	go func() {
 		switch phase {
 		case Snapshot:
-			tick := time.NewTicker(snapshotInterval)
-			defer tick.Stop()
-			for ctx.Err() == nil {
-				select {
-				case <-tick.C:
-					t.Registry.PublishSnapshot()
-				case <-ctx.Done():
-				}
-			}
+			t.publishSnapshots(ctx)
+			ended <- nil
 		case ZoneLoss:
-			if sleep(ctx, long/4) {
-				t.Servers.StopZone(0)
-			}
-			if sleep(ctx, removalNotified) {
-				t.Registry.SetZoneListed(0, false)
-			}
-			<-ctx.Done()
-			if err := t.Servers.RestartZone(0); err != nil {
-				failed <- err
-				return
-			}
-			t.Registry.SetZoneListed(0, true)
+			ended <- t.loseZone(ctx, duration/4)
+		default:
+			ended <- nil
 		}
-		failed <- nil
 	}()
-	f := c.Run(ctx, long)
+	m := g.Run(ctx, duration)
 	stop()
-	return f, <-failed
+	return m, <-ended
 }
 
+func (t *Testbed) publishSnapshots(ctx context.Context) {
+	ticker := time.NewTicker(snapshotInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			t.Registry.PublishSnapshot()
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// loseZone stops the servers of the proxy's zone after a time, and restarts them when ctx ends.
+func (t *Testbed) loseZone(ctx context.Context, after time.Duration) error {
+	if sleep(ctx, after) {
+		t.Servers.StopZone(homeZone)
+	}
+	if sleep(ctx, removalDelay) {
+		t.Registry.SetZoneListed(homeZone, false)
+	}
+	<-ctx.Done()
+	if err := t.Servers.RestartZone(homeZone); err != nil {
+		return err
+	}
+	t.Registry.SetZoneListed(homeZone, true)
+	return nil
+}
+
+// sleep waits, and reports false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -111,22 +125,23 @@
 	}
 }
 
-// OverError is a proxy that adds more than its aim.
+// ObjectiveError reports a proxy that adds more than an objective.
 type ObjectiveError struct {
 	Phase            Phase
 	Added, Objective float64 // ms
-	Quantile         float64
+	Quantile         float64 // 0 to 100
 }
 
+// Error names the phase, both values and where known causes are recorded.
 func (e *ObjectiveError) Error() string {
 	return fmt.Sprintf("%s: the proxy adds %.3f ms at p%g, over %.3f ms; see docs/capacity/slopes/path.toml for causes that are known",
 		e.Phase, e.Added, e.Quantile, e.Objective)
 }
 
-// Within is nil if what is added at a quantile is within a bound.
-func (m *Metrics) CheckAdded(phase Phase, quantile, bound float64) error {
-	if added := m.Added(quantile); added > bound {
-		return &ObjectiveError{phase, added, bound, quantile}
+// CheckAdded returns an ObjectiveError if the proxy adds more than an objective, in ms, at a quantile.
+func (m *Metrics) CheckAdded(phase Phase, quantile, objective float64) error {
+	if added := m.Added(quantile); added > objective {
+		return &ObjectiveError{phase, added, objective, quantile}
 	}
 	return nil
 }
