--- a/internal/faultlab/chain/proxy.go
+++ b/internal/faultlab/chain/proxy.go
@@ -2,10 +2,12 @@
 
 import (
 	"fmt"
+	"strconv"
 
 	"merlinpick/balancer"
 )
 
+// callResult is how a call ended for its caller.
 type callResult int
 
 const (
@@ -14,17 +16,19 @@
 	rejected
 )
 
-// proxy is one copy of the module before a tier, as its host.
+// proxy is a balancer before a tier and its balancer.Host.
 type proxy struct {
-	sim              *simulation
-	tier, number     int
-	policy           *balancer.Balancer
-	calls            map[string]*call
-	lastID           int
-	handled, retries int
+	sim     *simulation
+	tier    int
+	number  int
+	policy  *balancer.Balancer
+	calls   map[string]*call // in progress, by id
+	lastID  int
+	handled int // calls
+	retries int // attempts but the first of each call
 }
 
-// call is a request that the proxy has taken.
+// call is a request in progress.
 type call struct {
 	id       string
 	deadline int64
@@ -33,44 +37,46 @@
 	attempts []*attempt
 }
 
+// attempt is an attempt of a call at a server.
 type attempt struct {
 	proxy    *proxy
 	call     *call
 	number   int
 	sent     int64
 	finished bool
-	job      *job // at the server, once it has come there
+	job      *job // at the server, once it has arrived there
 }
 
+// newProxy adds a proxy whose endpoint list has all servers of the tier.
 func (w *simulation) newProxy(tier, number int) (*proxy, error) {
-	s := w.config.Settings
-	s.Tier, s.Replicas, s.ReplicaIndex = tier, w.config.Width, number
-	bal, err := balancer.New(s, w.config.Seed<<16+uint64(tier<<8+number))
+	settings := w.config.Settings
+	settings.Tier, settings.Replicas, settings.ReplicaIndex = tier, w.config.Width, number
+	policy, err := balancer.New(settings, w.config.Seed<<16+uint64(tier<<8+number))
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{sim: w, tier: tier, number: number, policy: bal, calls: map[string]*call{}}
-	var list []balancer.Server
+	p := &proxy{sim: w, tier: tier, number: number, policy: policy, calls: map[string]*call{}}
+	var servers []balancer.Server
 	for i := range w.config.Width {
-		list = append(list, balancer.Server{ID: fmt.Sprint(i), State: balancer.ServerReady, CapacityHint: 1})
+		servers = append(servers, balancer.Server{ID: fmt.Sprint(i), State: balancer.ServerReady, CapacityHint: 1})
 	}
-	bal.UpdateEndpoints(w.now, p, balancer.UpdateSnapshot, list)
+	policy.UpdateEndpoints(w.now, p, balancer.UpdateSnapshot, servers)
 	w.proxies = append(w.proxies, p)
 	return p, nil
 }
 
-// take takes a call of a caller that waits so long. What it returns has the caller leave.
-func (p *proxy) handle(wait int64, reply func(callResult)) (leave func()) {
+// handle starts a call with a timeout. The function that it returns cancels the call.
+func (p *proxy) handle(timeout int64, reply func(callResult)) (cancel func()) {
 	p.lastID++
 	p.handled++
-	c := &call{id: fmt.Sprint(p.lastID), deadline: p.sim.now + wait, reply: reply}
+	c := &call{id: fmt.Sprint(p.lastID), deadline: p.sim.now + timeout, reply: reply}
 	p.calls[c.id] = c
-	p.sim.after(wait, func() { p.cancel(c) })
+	p.sim.after(timeout, func() { p.cancel(c) })
 	p.policy.HandleRequest(p.sim.now, p, balancer.Request{ID: c.id, Tenant: -1, Deadline: c.deadline})
 	return func() { p.cancel(c) }
 }
 
-// leave ends a call that nobody waits for any more.
+// cancel ends a call whose caller has left or timed out.
 func (p *proxy) cancel(c *call) {
 	if c.finished {
 		return
@@ -82,16 +88,17 @@
 	}
 }
 
-func (p *proxy) finish(c *call, what callResult) {
+// finish ends a call once.
+func (p *proxy) finish(c *call, result callResult) {
 	if c.finished {
 		return
 	}
 	c.finished = true
 	delete(p.calls, c.id)
-	c.reply(what)
+	c.reply(result)
 }
 
-// Send implements logic.Host.
+// Send implements balancer.Host.
 func (p *proxy) Send(id, server string, _, timeout int64) {
 	c := p.calls[id]
 	a := &attempt{proxy: p, call: c, number: len(c.attempts), sent: p.sim.now}
@@ -99,20 +106,22 @@
 	if a.number > 0 {
 		p.retries++
 	}
-	until := c.deadline
+	deadline := c.deadline
 	if timeout != 0 {
-		until = min(until, p.sim.now+timeout)
+		deadline = min(deadline, p.sim.now+timeout)
 	}
-	var i int
-	fmt.Sscan(server, &i)
-	n := p.sim.tiers[p.tier][i]
-	p.sim.after(network, func() { n.receive(a, until) })
-	if until < c.deadline {
-		p.sim.after(until-p.sim.now, func() { p.finishAttempt(a, balancer.StatusTimedOut) })
+	number, err := strconv.Atoi(server)
+	if err != nil {
+		panic("chain: server not listed: " + server)
+	}
+	to := p.sim.tiers[p.tier][number]
+	p.sim.after(networkDelay, func() { to.receive(a, deadline) })
+	if deadline < c.deadline {
+		p.sim.after(deadline-p.sim.now, func() { p.finishAttempt(a, balancer.StatusTimedOut) })
 	}
 }
 
-// outcome ends an attempt once.
+// finishAttempt ends an attempt once, and its call if it succeeded.
 func (p *proxy) finishAttempt(a *attempt, status balancer.Status) {
 	if a.finished {
 		return
@@ -122,13 +131,13 @@
 		p.finish(a.call, succeeded)
 	}
 	if (status == balancer.StatusTimedOut || status == balancer.StatusCancelled) && a.job != nil {
-		p.sim.after(network, a.job.cancel)
+		p.sim.after(networkDelay, a.job.cancel)
 	}
 	p.policy.HandleOutcome(p.sim.now, p, balancer.Outcome{RequestID: a.call.id, Attempt: a.number, Status: status, Latency: p.sim.now - a.sent,
 		RequestDone: a.call.finished})
 }
 
-// Refuse implements logic.Host.
+// Reject implements balancer.Host.
 func (p *proxy) Reject(id string, _ int64) {
 	if c := p.calls[id]; c != nil {
 		p.sim.result.RejectedBefore[p.tier]++
@@ -136,20 +145,20 @@
 	}
 }
 
-// Fail implements logic.Host.
+// Fail implements balancer.Host.
 func (p *proxy) Fail(id string) {
 	if c := p.calls[id]; c != nil {
 		p.finish(c, failed)
 	}
 }
 
-// SetTimer implements logic.Host.
+// SetTimer implements balancer.Host.
 func (p *proxy) SetTimer(delay int64, token string) {
 	p.sim.after(delay, func() { p.policy.HandleTimer(p.sim.now, p, token) })
 }
 
-// Watch implements logic.Host.
+// Watch implements balancer.Host.
 func (p *proxy) Watch() {}
 
-// Log implements logic.Host.
+// Log implements balancer.Host.
 func (p *proxy) Log(balancer.Event) {}
