--- a/internal/faultlab/path/path_test.go
+++ b/internal/faultlab/path/path_test.go
@@ -148,7 +148,7 @@
 	}
 	all := map[Phase][][2]float64{}
 	for r := range *repeat {
-		s, err := Open(*program, t.TempDir(), *listed, zones, limits, *seed+uint64(r))
+		s, err := Open(*listed, ProxyOptions{Program: *program, Dir: t.TempDir(), Zones: zones, Limits: limits, Seed: *seed + uint64(r)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -199,7 +199,7 @@
 		t.Skip("-path.full")
 	}
 	for r := range *repeat {
-		s, err := Open(*program, t.TempDir(), *listed, zones, DeploymentLimits, *seed+uint64(r))
+		s, err := Open(*listed, ProxyOptions{Program: *program, Dir: t.TempDir(), Zones: zones, Limits: DeploymentLimits, Seed: *seed + uint64(r)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/faultlab/path/proxy.go
+++ b/internal/faultlab/path/proxy.go
@@ -39,6 +39,15 @@
 // DeploymentLimits are the limits of a proxy that shares its machine with a server.
 var DeploymentLimits = Limits{Cores: 1, MemoryMB: 64, Sockets: 512}
 
+// ProxyOptions describe a proxy to start.
+type ProxyOptions struct {
+	Program string // its path
+	Dir     string // gets the configuration and the log
+	Zones   int    // of the servers
+	Limits  Limits
+	Seed    uint64
+}
+
 // Proxy is a running proxy process.
 type Proxy struct {
 	Addr    string
@@ -69,9 +78,9 @@
 	}
 }
 
-// StartProxy starts a proxy program in a directory, which gets its configuration and its log, and waits until it is ready.
-func StartProxy(program, dir string, registry *Registry, zones int, limits Limits, seed uint64) (*Proxy, error) {
-	program, err := filepath.Abs(program)
+// StartProxy starts a proxy that follows a registry and waits until it is ready.
+func StartProxy(registry *Registry, options ProxyOptions) (*Proxy, error) {
+	program, err := filepath.Abs(options.Program)
 	if err != nil {
 		return nil, fmt.Errorf("proxy: %w", err)
 	}
@@ -82,18 +91,18 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(map[string]any{"name": "p", "listen": addr, "discovery": registry.Addr, "limits": limits,
-		"seed": fmt.Sprintf("%016x", seed), "settings": settings(zones)})
+	text, err := json.Marshal(map[string]any{"name": "p", "listen": addr, "discovery": registry.Addr, "limits": options.Limits,
+		"seed": fmt.Sprintf("%016x", options.Seed), "settings": settings(options.Zones)})
 	if err != nil {
 		return nil, fmt.Errorf("configuration of the proxy: %w", err)
 	}
-	file := filepath.Join(dir, "config.json")
+	file := filepath.Join(options.Dir, "config.json")
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return nil, fmt.Errorf("configuration of the proxy: %w", err)
 	}
 	p := &Proxy{Addr: addr, starter: process.NewStarter()}
-	p.process, err = p.starter.Start(process.Spec{Name: "p", Command: []string{program}, Dir: dir,
-		Env: []string{"LB_CONFIG=" + file}, Log: filepath.Join(dir, "log")}, slog.Default())
+	p.process, err = p.starter.Start(process.Spec{Name: "p", Command: []string{program}, Dir: options.Dir,
+		Env: []string{"LB_CONFIG=" + file}, Log: filepath.Join(options.Dir, "log")}, slog.Default())
 	if err != nil {
 		p.starter.Close()
 		return nil, err
--- a/internal/faultlab/path/testbed.go
+++ b/internal/faultlab/path/testbed.go
@@ -22,15 +22,15 @@
 	Proxy    *Proxy
 }
 
-// Open starts a testbed with servers spread over zones. The proxy runs in dir.
-func Open(program, dir string, servers, zones int, limits Limits, seed uint64) (*Testbed, error) {
+// Open starts a testbed with a number of servers spread over the proxy's zones.
+func Open(servers int, options ProxyOptions) (*Testbed, error) {
 	t := &Testbed{}
 	var err error
-	if t.Servers, err = StartServers(servers, zones); err != nil {
+	if t.Servers, err = StartServers(servers, options.Zones); err != nil {
 		return nil, err
 	}
 	if t.Registry, err = StartRegistry(t.Servers); err == nil {
-		t.Proxy, err = StartProxy(program, dir, t.Registry, zones, limits, seed)
+		t.Proxy, err = StartProxy(t.Registry, options)
 	}
 	if err != nil {
 		t.Close()
