--- a/internal/faultlab/chain/events.go
+++ b/internal/faultlab/chain/events.go
@@ -22,7 +22,7 @@
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements heap.Interface.
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
 // Pop implements heap.Interface.
 func (e *events) Pop() any {
