--- a/internal/faultlab/run/strike_configs.go
+++ b/internal/faultlab/run/strike_configs.go
@@ -87,13 +87,13 @@
 func (t *timeline) writeConfigs(ctx context.Context, strike plan.Strike) error {
 	return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
 		own, n := t.configs.service(turn.Target)
-		text, err := t.configDocument(n, strike.Fault.Faulty)
+		text, err := t.configDocument(n, strike.Fault.InvalidConfig)
 		if err != nil {
 			return err
 		}
 		own.mu.Lock()
 		defer own.mu.Unlock()
-		put := result.ConfigWrite{Service: turn.Target, Faulty: strike.Fault.Faulty, RequestedAt: time.Now().UnixNano()}
+		put := result.ConfigWrite{Service: turn.Target, Faulty: strike.Fault.InvalidConfig, RequestedAt: time.Now().UnixNano()}
 		t.writeConfig(ctx, &put, own, text, int(n))
 		if ctx.Err() == nil || put.Status != 0 {
 			t.configs.record(put)
@@ -104,7 +104,7 @@
 
 // writeConfig writes a configuration to the members in turn until there is a final answer.
 func (t *timeline) writeConfig(ctx context.Context, put *result.ConfigWrite, own *configuredService, text []byte, first int) {
-	members := len(t.service.Targets(nil))
+	members := len(t.service.Members(nil))
 	ctx, cancel := context.WithTimeout(ctx, maxConfigWriteDuration)
 	defer cancel()
 	for attempt := first; ctx.Err() == nil; attempt++ {
--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -42,7 +42,7 @@
 func haveOverlap(e *experiment.Experiment) bool {
 	for i, f := range e.Faults {
 		for _, g := range e.Faults[i+1:] {
-			if f.At <= g.At+g.For+overlapWindow && g.At <= f.At+f.For+overlapWindow {
+			if f.At <= g.At+g.Duration+overlapWindow && g.At <= f.At+f.Duration+overlapWindow {
 				return true
 			}
 		}
