--- a/internal/faultlab/capacity/dimensions.go
+++ b/internal/faultlab/capacity/dimensions.go
@@ -22,59 +22,91 @@
 func (r Range) isConstant() bool { return r.Low == r.Likely && r.Likely == r.High }
 
 const (
-	daySeconds       = 24 * 60 * 60
+	secondsPerDay    = 24 * 60 * 60
+	minutesPerDay    = secondsPerDay / 60
 	renewalsPerLease = 3 // as in internal/registry/registrar
-	minutesPerDay    = daySeconds / 60
 )
 
 // dimension is a quantity that a metric grows with.
 type dimension struct {
-	size              func(n *Inputs) Range
+	size              func(inputs *Inputs) Range
 	scalesWithServers bool
-	description       string
+	description       string // on the page
 }
 
-// dimensions are the known dimensions by the names that slopes give them; descriptions are texts of the page.
+// dimensions are the known dimensions by the names that slopes give them.
 var dimensions = map[string]dimension{
-	"proxies": {func(n *Inputs) Range { return constantRange(n.Target.Servers) }, true, "one beside each nodo"},
-	"nodos":   {func(n *Inputs) Range { return constantRange(n.Target.Servers) }, true, "as the letter has it"},
-	"listed nodos": {func(n *Inputs) Range {
-		r := n.assumption("services_called").transform(func(v float64) float64 { return min(v*n.Target.Servers/n.Target.Services, n.Target.Servers) })
-		return Range{r.Low, n.Target.Servers, n.Target.Servers}
-	}, true, "in the list that a proxy follows: one list holds all today (likely, high); one service's alone (low)"},
-	"changes a minute": {func(n *Inputs) Range {
-		day := (n.Target.FailuresPerDay + n.Target.RestartsPerDay) * n.assumption("changes_per_restart").Likely / minutesPerDay
-		part, each := n.assumption("release_part"), n.assumption("changes_per_restart")
-		return Range{day, part.Low * n.Target.Servers * each.Likely, part.High * n.Target.Servers * each.High}
-	}, true, "of the list: an ordinary day's mean (low), one service released within a minute (likely), the greatest release within one (high)"},
-	"changes of configuration a minute": {func(n *Inputs) Range {
-		r := n.assumption("config_burst")
-		return Range{n.Target.ChangesPerDay / minutesPerDay, r.Likely, r.High}
-	}, false, "the day's mean (low), a busy minute"},
-	"changes": {func(n *Inputs) Range { return constantRange(n.Target.ChangesPerDay) }, false, "of configuration, one after another: a day's"},
-	"calls a second": {func(n *Inputs) Range {
-		return n.assumption("calls_peak").transform(func(v float64) float64 { return v * n.Target.CallsPerSecond / n.Target.Servers })
-	}, false, "of one proxy"},
-	"services": {func(n *Inputs) Range { return constantRange(n.Target.Services) }, true, "as the letter has it"},
-	"zones":    {func(n *Inputs) Range { return constantRange(n.Target.Zones) }, false, "as the letter has it"},
-	"regions":  {func(n *Inputs) Range { return constantRange(n.Target.Regions) }, false, "as the letter has it"},
-	"members":  {func(n *Inputs) Range { return constantRange(n.Target.Machines) }, false, "of the list service, one on each machine"},
-	"watches": {func(n *Inputs) Range {
-		return n.assumption("members_lost").transform(func(v float64) float64 { return n.Target.Servers / (n.Target.Machines - v) })
-	}, true, "held by one member, the proxies spread over those that live"},
-	"renewals a second": {func(n *Inputs) Range {
-		r := n.assumption("lease_s")
-		return Range{r.High, r.Likely, r.Low}.transform(func(v float64) float64 { return renewalsPerLease * n.Target.Servers / v })
-	}, true, "at the leader, from all nodos: 3 in a lease; the longest lease is low"},
-	"renewals a second of a nodo": {func(n *Inputs) Range {
-		r := n.assumption("lease_s")
-		return Range{r.High, r.Likely, r.Low}.transform(func(v float64) float64 { return renewalsPerLease / v })
-	}, false, "3 in a lease; the longest lease is low"},
+	"proxies":  {ofTarget(func(t TargetSize) float64 { return t.Servers }), true, "one beside each nodo"},
+	"nodos":    {ofTarget(func(t TargetSize) float64 { return t.Servers }), true, "as the letter has it"},
+	"services": {ofTarget(func(t TargetSize) float64 { return t.Services }), true, "as the letter has it"},
+	"zones":    {ofTarget(func(t TargetSize) float64 { return t.Zones }), false, "as the letter has it"},
+	"regions":  {ofTarget(func(t TargetSize) float64 { return t.Regions }), false, "as the letter has it"},
+	"members":  {ofTarget(func(t TargetSize) float64 { return t.Machines }), false, "of the list service, one on each machine"},
+	"changes":  {ofTarget(func(t TargetSize) float64 { return t.ChangesPerDay }), false, "of configuration, one after another: a day's"},
+	"listed nodos": {listedServers, true,
+		"in the list that a proxy follows: one list holds all today (likely, high); one service's alone (low)"},
+	"changes a minute": {listChangesPerMinute, true,
+		"of the list: an ordinary day's mean (low), one service released within a minute (likely), " +
+			"the greatest release within one (high)"},
+	"changes of configuration a minute": {configChangesPerMinute, false, "the day's mean (low), a busy minute"},
+	"calls a second":                    {callsPerSecond, false, "of one proxy"},
+	"watches":                           {watches, true, "held by one member, the proxies spread over those that live"},
+	"renewals a second":                 {renewalsPerSecond, true, "at the leader, from all nodos: 3 in a lease; the longest lease is low"},
+	"renewals a second of a nodo":       {serverRenewalsPerSecond, false, "3 in a lease; the longest lease is low"},
 }
 
-// Size returns a dimension at the target size, or at twice its servers if doubled is set. of must be a known dimension.
-func (n *Inputs) Size(of string, doubled bool) Range {
-	d := dimensions[of]
+// ofTarget is the size of a dimension that depends on no assumption.
+func ofTarget(value func(TargetSize) float64) func(*Inputs) Range {
+	return func(inputs *Inputs) Range { return constantRange(value(inputs.Target)) }
+}
+
+func listedServers(inputs *Inputs) Range {
+	servers := inputs.Target.Servers
+	oneService := inputs.assumption("services_called").Low * servers / inputs.Target.Services
+	return Range{min(oneService, servers), servers, servers}
+}
+
+func listChangesPerMinute(inputs *Inputs) Range {
+	target, perRestart, released := inputs.Target, inputs.assumption("changes_per_restart"), inputs.assumption("release_part")
+	return Range{
+		Low:    (target.FailuresPerDay + target.RestartsPerDay) * perRestart.Likely / minutesPerDay,
+		Likely: released.Low * target.Servers * perRestart.Likely,
+		High:   released.High * target.Servers * perRestart.High,
+	}
+}
+
+func configChangesPerMinute(inputs *Inputs) Range {
+	burst := inputs.assumption("config_burst")
+	return Range{inputs.Target.ChangesPerDay / minutesPerDay, burst.Likely, burst.High}
+}
+
+func callsPerSecond(inputs *Inputs) Range {
+	target := inputs.Target
+	return inputs.assumption("calls_peak").transform(func(peak float64) float64 { return peak * target.CallsPerSecond / target.Servers })
+}
+
+func watches(inputs *Inputs) Range {
+	target := inputs.Target
+	return inputs.assumption("members_lost").transform(func(lost float64) float64 { return target.Servers / (target.Machines - lost) })
+}
+
+func renewalsPerSecond(inputs *Inputs) Range {
+	return shortestLeaseHigh(inputs).transform(func(lease float64) float64 { return renewalsPerLease * inputs.Target.Servers / lease })
+}
+
+func serverRenewalsPerSecond(inputs *Inputs) Range {
+	return shortestLeaseHigh(inputs).transform(func(lease float64) float64 { return renewalsPerLease / lease })
+}
+
+// shortestLeaseHigh returns the lease in seconds with the longest as low, since it takes the fewest renewals.
+func shortestLeaseHigh(inputs *Inputs) Range {
+	lease := inputs.assumption("lease_s")
+	return Range{lease.High, lease.Likely, lease.Low}
+}
+
+// Size returns a dimension at the target size, or at twice its servers if doubled is set. It panics on an unknown dimension.
+func (n *Inputs) Size(name string, doubled bool) Range {
+	d := dimensions[name]
 	r := d.size(n)
 	if doubled && d.scalesWithServers {
 		r = r.transform(func(v float64) float64 { return 2 * v })
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -83,7 +83,7 @@
 	cmd := exec.Command(spec.Command[0], spec.Command[1:]...)
 	cmd.Dir, cmd.Env = spec.Dir, spec.Env
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	// Through a pipe: SetDiskFull limits the process's own files only.
+	// Through a pipe, so that SetDiskFull does not stop the log.
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
 		out.Close()
