--- a/cmd/merlinpick-cluster-proxy/cluster_test.go
+++ b/cmd/merlinpick-cluster-proxy/cluster_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -77,7 +76,7 @@
 	}
 	log := filepath.Join(m.dir, "log")
 	p, err := s.Start(process.Spec{Name: m.name, Command: []string{os.Args[0]}, Dir: m.dir, Log: log,
-		Env: []string{"MERLINPICK_TEST_AS_PROGRAM=1", "LB_CONFIG=" + path, "TMPDIR=" + m.dir}}, slog.New(slog.DiscardHandler))
+		Env: []string{"MERLINPICK_TEST_AS_PROGRAM=1", "LB_CONFIG=" + path, "TMPDIR=" + m.dir}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/merlinpick-registry/cluster_test.go
+++ b/cmd/merlinpick-registry/cluster_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -129,7 +128,7 @@
 func (s *cluster) start(i int) {
 	s.t.Helper()
 	p, err := s.starter.Start(process.Spec{Name: fmt.Sprintf("r%d", i+1), Command: []string{program, "serve", "--config", s.path(i, ".toml")},
-		Env: os.Environ(), Log: s.path(i, ".log")}, slog.New(slog.DiscardHandler))
+		Env: os.Environ(), Log: s.path(i, ".log")})
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/cmd/merlinpick-registry/proxies_test.go
+++ b/cmd/merlinpick-registry/proxies_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"fmt"
-	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -70,7 +69,7 @@
 		f.t.Fatal(err)
 	}
 	p, err := f.starter.Start(process.Spec{Name: f.name, Command: []string{proxyProgram}, Dir: f.dir, Log: filepath.Join(f.dir, "log"),
-		Env: []string{"LB_CONFIG=" + path, "TMPDIR=" + f.dir}}, slog.New(slog.DiscardHandler))
+		Env: []string{"LB_CONFIG=" + path, "TMPDIR=" + f.dir}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/faultlab/path/proxy.go
+++ b/internal/faultlab/path/proxy.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -102,7 +101,7 @@
 	}
 	p := &Proxy{Addr: addr, starter: process.NewStarter()}
 	p.process, err = p.starter.Start(process.Spec{Name: "p", Command: []string{program}, Dir: options.Dir,
-		Env: []string{"LB_CONFIG=" + file}, Log: filepath.Join(options.Dir, "log")}, slog.Default())
+		Env: []string{"LB_CONFIG=" + file}, Log: filepath.Join(options.Dir, "log")})
 	if err != nil {
 		p.starter.Close()
 		return nil, err
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -9,7 +9,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"os"
 	"os/exec"
 	"runtime"
@@ -59,7 +58,6 @@
 type Process struct {
 	Name    string
 	command *exec.Cmd
-	log     *slog.Logger
 	ended   chan struct{}
 
 	mu           sync.Mutex
@@ -75,7 +73,7 @@
 }
 
 // Start starts a process and returns once it runs.
-func (s *Starter) Start(spec Spec, log *slog.Logger) (*Process, error) {
+func (s *Starter) Start(spec Spec) (*Process, error) {
 	out, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("log of %s: %w", spec.Name, err)
@@ -90,7 +88,7 @@
 		return nil, fmt.Errorf("start %s: %w", spec.Name, err)
 	}
 	cmd.Stdout = nil
-	p := &Process{Name: spec.Name, command: cmd, log: log, ended: make(chan struct{})}
+	p := &Process{Name: spec.Name, command: cmd, ended: make(chan struct{})}
 	started := make(chan error, 1)
 	s.starts <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
--- a/internal/faultlab/process/process_test.go
+++ b/internal/faultlab/process/process_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"io"
-	"log/slog"
 	"os"
 	"path/filepath"
 	"strings"
@@ -30,7 +28,7 @@
 		time.Sleep(time.Minute)
 	}
 	if len(os.Args) == 3 && os.Args[1] == "lab" {
-		p, err := NewStarter().Start(Spec{Name: "inner", Command: []string{os.Args[0], "wait", os.Args[2]}, Log: os.Args[2] + ".log"}, slog.Default())
+		p, err := NewStarter().Start(Spec{Name: "inner", Command: []string{os.Args[0], "wait", os.Args[2]}, Log: os.Args[2] + ".log"})
 		if err != nil {
 			os.Exit(1)
 		}
@@ -63,8 +61,7 @@
 func start(t *testing.T, s *Starter, verb, file string) (*Process, string) {
 	t.Helper()
 	log := file + "." + verb + ".log"
-	p, err := s.Start(Spec{Name: verb, Command: []string{os.Args[0], verb, file}, Env: os.Environ(), Log: log},
-		slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p, err := s.Start(Spec{Name: verb, Command: []string{os.Args[0], verb, file}, Env: os.Environ(), Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -231,7 +231,7 @@
 		return err
 	}
 	if p.process, err = bed.starter.Start(process.Spec{Name: p.config.Name, Command: append(slices.Clone(bed.hollowCommand), p.path),
-		Env: os.Environ(), Log: filepath.Join(bed.logDir, p.config.Name+".log")}, bed.log); err != nil {
+		Env: os.Environ(), Log: filepath.Join(bed.logDir, p.config.Name+".log")}); err != nil {
 		return err
 	}
 	go func() {
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -70,7 +70,7 @@
 	started, err := bed.starter.Start(process.Spec{Name: proxy.node.Name, Command: bed.proxyCommand,
 		Env: append(os.Environ(), "LB_CONFIG="+path, "LB_NAME="+proxy.node.Name, "LB_LISTEN="+proxy.listenAddress,
 			"LB_DISCOVERY="+proxy.listAddress, "LB_MGMT="+proxy.managementAddress, "TMPDIR="+proxy.tmpDir()),
-		Log: filepath.Join(bed.logDir, proxy.node.Name+".log")}, bed.log)
+		Log: filepath.Join(bed.logDir, proxy.node.Name+".log")})
 	if err != nil {
 		return err
 	}
--- a/internal/faultlab/service/service.go
+++ b/internal/faultlab/service/service.go
@@ -262,7 +262,7 @@
 
 func (s *Service) start(member *Member) error {
 	p, err := s.config.Starter.Start(process.Spec{Name: member.Name, Command: append(slices.Clone(s.config.Command), "serve", "--config", member.configFile),
-		Env: os.Environ(), Log: filepath.Join(s.config.LogDir, member.Name+".log")}, s.log)
+		Env: os.Environ(), Log: filepath.Join(s.config.LogDir, member.Name+".log")})
 	if err != nil {
 		return err
 	}
