--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -9,7 +9,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"os"
 	"os/exec"
 	"runtime"
@@ -59,7 +58,6 @@
 type Process struct {
 	Name    string
 	command *exec.Cmd
-	log     *slog.Logger
 	ended   chan struct{}
 
 	mu           sync.Mutex
@@ -75,7 +73,7 @@
 }
 
 // Start starts a process and returns once it runs.
-func (s *Starter) Start(spec Spec, log *slog.Logger) (*Process, error) {
+func (s *Starter) Start(spec Spec) (*Process, error) {
 	out, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("log of %s: %w", spec.Name, err)
@@ -83,14 +81,14 @@
 	cmd := exec.Command(spec.Command[0], spec.Command[1:]...)
 	cmd.Dir, cmd.Env = spec.Dir, spec.Env
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	// Through a pipe: SetDiskFull limits the process's own files only.
+	// Through a pipe, so that SetDiskFull does not stop the log.
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
 		out.Close()
 		return nil, fmt.Errorf("start %s: %w", spec.Name, err)
 	}
 	cmd.Stdout = nil
-	p := &Process{Name: spec.Name, command: cmd, log: log, ended: make(chan struct{})}
+	p := &Process{Name: spec.Name, command: cmd, ended: make(chan struct{})}
 	started := make(chan error, 1)
 	s.starts <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
