--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -72,7 +72,7 @@
 	return server
 }
 
-// suspend has these servers and no others suspended. One that is resumed starts afresh, and gets a trial call.
+// suspend has these servers and no others suspended. One that is resumed starts afresh, with a trial call.
 func (m *membership) suspend(ids map[string]bool) {
 	before := m.suspended
 	m.suspended = ids
