--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -140,7 +140,7 @@
 		if left < minAttemptTime && number > 0 {
 			return
 		}
-		attempted := c.attempt(ctx, arrival, number, min(arrival.Try, left))
+		attempted := c.attempt(ctx, arrival, number, min(arrival.AttemptTimeout, left))
 		if attempted.outcome == referee.Served || ctx.Err() != nil {
 			return
 		}
@@ -193,14 +193,14 @@
 // newRequest is the request of an attempt that starts now.
 func (c *Client) newRequest(arrival *plan.Arrival, number int, timeout time.Duration) *attemptRequest {
 	class, now := c.experiment.Classes[arrival.Class], time.Now()
-	attempt := &referee.ClientAttempt{ID: c.plan.ID(arrival, number), Arrival: arrival.N, Number: number, Class: arrival.Class,
+	attempt := &referee.ClientAttempt{ID: c.plan.ID(arrival, number), Arrival: arrival.Number, Number: number, Class: arrival.Class,
 		Zone: c.experiment.Zones[arrival.Zone].Name, StartedAt: now, Deadline: now.Add(timeout), Path: "/" + class.Name,
 		Method: http.MethodPost, Key: arrival.Key}
 	var body []byte
 	if class.RetryClass == "idempotent" {
 		attempt.Method = http.MethodGet
 	} else {
-		body = wire.MakeBody(attempt.ID, "client", arrival.Body)
+		body = wire.MakeBody(attempt.ID, "client", arrival.RequestBytes)
 	}
 	attempt.RequestDigest = wire.Digest(body)
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: backend.local\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n", attempt.Method, attempt.Path,
@@ -215,7 +215,7 @@
 		head += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	}
 	return &attemptRequest{attempt: attempt, bytes: append([]byte(head+"\r\n"), body...),
-		job: stubserver.Job{Work: arrival.Work, ResponseBytes: arrival.Answer}}
+		job: stubserver.Job{Work: arrival.Work, ResponseBytes: arrival.ResponseBytes}}
 }
 
 // exchange sends a request and reads the response. If an idle connection closed before the proxy could read the request, it is sent
--- a/internal/faultlab/plan/plan_test.go
+++ b/internal/faultlab/plan/plan_test.go
@@ -10,59 +10,59 @@
 )
 
 func drawExperiment(t *rapid.T) *experiment.Experiment {
-	e := &experiment.Experiment{Seconds: rapid.Float64Range(1, 20).Draw(t, "seconds"),
+	exp := &experiment.Experiment{Seconds: rapid.Float64Range(1, 20).Draw(t, "seconds"),
 		Clients: experiment.Clients{AttemptFraction: []float64{0.4, 0.6}}}
 	for i := range rapid.IntRange(1, 3).Draw(t, "zones") {
-		e.Zones = append(e.Zones, experiment.Zone{Name: string(rune('a' + i)), Proxies: rapid.IntRange(1, 12).Draw(t, "proxies"),
+		exp.Zones = append(exp.Zones, experiment.Zone{Name: string(rune('a' + i)), Proxies: rapid.IntRange(1, 12).Draw(t, "proxies"),
 			Traffic: 1, Servers: []experiment.ServerGroup{{Count: rapid.IntRange(1, 9).Draw(t, "nodos")}}})
 	}
 	for _, repeat := range []string{"idempotent", "deduplicated", "at_most_once"} {
-		e.Classes = append(e.Classes, experiment.Class{Name: repeat, Share: 1, RetryClass: repeat, DeadlineMs: 100,
+		exp.Classes = append(exp.Classes, experiment.Class{Name: repeat, Share: 1, RetryClass: repeat, DeadlineMs: 100,
 			WorkMs: []float64{1, 5}, RequestBytes: []int{1, 900}})
 	}
-	e.Load.Rate = [][]float64{{0, rapid.Float64Range(0, 200).Draw(t, "from")}, {1, rapid.Float64Range(1, 200).Draw(t, "to")}}
-	e.Load.EvenlySpaced = rapid.Bool().Draw(t, "even")
-	e.Faults = []experiment.Fault{{Kind: "kill", Share: rapid.Float64Range(0.1, 1).Draw(t, "share"), At: 0.5, Spread: 2},
+	exp.Load.Rate = [][]float64{{0, rapid.Float64Range(0, 200).Draw(t, "from")}, {1, rapid.Float64Range(1, 200).Draw(t, "to")}}
+	exp.Load.EvenlySpaced = rapid.Bool().Draw(t, "even")
+	exp.Faults = []experiment.Fault{{Kind: "kill", Share: rapid.Float64Range(0.1, 1).Draw(t, "share"), At: 0.5, Spread: 2},
 		{Kind: "nodo_slow", Zone: "a", Share: 0.5, At: 0.7}}
-	return e
+	return exp
 }
 
 // The same file and seed give the same plan; another seed gives another; one more fault leaves the rest as it was.
-func TestSameSeedSamePlan(t *testing.T) {
+func TestSameSeedDrawsSamePlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e, seed := drawExperiment(t), rapid.Uint64().Draw(t, "seed")
-		sum := func(e *experiment.Experiment, seed uint64) string {
-			text, err := Draw(e, seed).Sum()
+		exp, seed := drawExperiment(t), rapid.Uint64().Draw(t, "seed")
+		sum := func(exp *experiment.Experiment, seed uint64) string {
+			text, err := Draw(exp, seed).Digest()
 			if err != nil {
 				t.Fatal(err)
 			}
 			return text
 		}
-		if a, b := sum(e, seed), sum(e, seed); a != b {
+		if a, b := sum(exp, seed), sum(exp, seed); a != b {
 			t.Fatalf("plans %s and %s", a, b)
 		}
-		p := Draw(e, seed)
-		if len(p.Arrivals) > 5 && sum(e, seed) == sum(e, seed+1) {
+		p := Draw(exp, seed)
+		if len(p.Arrivals) > 5 && sum(exp, seed) == sum(exp, seed+1) {
 			t.Fatal("another seed gives the same plan")
 		}
-		more := *e
-		more.Faults = append(slices.Clone(e.Faults), experiment.Fault{Kind: "restart", Share: 0.5})
+		more := *exp
+		more.Faults = append(slices.Clone(exp.Faults), experiment.Fault{Kind: "restart", Share: 0.5})
 		q := Draw(&more, seed)
-		if !slices.Equal(p.Arrivals, q.Arrivals) || !slices.EqualFunc(p.Strikes, q.Strikes[:len(p.Strikes)], func(a, b Strike) bool {
-			return slices.Equal(a.Turns, b.Turns)
+		if !slices.Equal(p.Arrivals, q.Arrivals) || !slices.EqualFunc(p.Faults, q.Faults[:len(p.Faults)], func(a, b PlannedFault) bool {
+			return slices.Equal(a.Targets, b.Targets)
 		}) {
 			t.Fatal("a further fault changes what was drawn before it")
 		}
-		for i, a := range p.Arrivals {
-			if i > 0 && a.At < p.Arrivals[i-1].At || a.At >= experiment.Seconds(e.Seconds) {
-				t.Fatalf("arrival %d at %v", i, a.At)
+		for i, arrival := range p.Arrivals {
+			if i > 0 && arrival.At < p.Arrivals[i-1].At || arrival.At >= experiment.Seconds(exp.Seconds) {
+				t.Fatalf("arrival %d at %v", i, arrival.At)
 			}
 		}
 	})
 }
 
 func TestTargets(t *testing.T) {
-	e := &experiment.Experiment{Seconds: 10, Zones: []experiment.Zone{{Name: "a", Proxies: 10}, {Name: "b", Proxies: 10}}}
+	exp := &experiment.Experiment{Seconds: 10, Zones: []experiment.Zone{{Name: "a", Proxies: 10}, {Name: "b", Proxies: 10}}}
 	for _, test := range []struct {
 		fault experiment.Fault
 		want  int
@@ -73,13 +73,13 @@
 		{experiment.Fault{Kind: "kill", Zone: "b", Share: 0.01}, 1},
 		{experiment.Fault{Kind: "kill", Proxies: []string{"b-p2", "a-p1"}}, 2},
 	} {
-		e.Faults = []experiment.Fault{test.fault}
-		turns := Draw(e, 1).Strikes[0].Turns
+		exp.Faults = []experiment.Fault{test.fault}
+		turns := Draw(exp, 1).Faults[0].Targets
 		seen := map[string]bool{}
 		for _, turn := range turns {
-			seen[turn.Target] = true
-			if z := test.fault.Zone; z != "" && turn.Target[:1] != z {
-				t.Errorf("%+v meets %s", test.fault, turn.Target)
+			seen[turn.Name] = true
+			if z := test.fault.Zone; z != "" && turn.Name[:1] != z {
+				t.Errorf("%+v meets %s", test.fault, turn.Name)
 			}
 		}
 		if len(seen) != test.want || len(turns) != test.want {
@@ -90,10 +90,10 @@
 
 // Faults of hollow servers take all of a service, a share of all, or the first so many of a zone.
 func TestHollowTargets(t *testing.T) {
-	e := &experiment.Experiment{Seconds: 10, Zones: []experiment.Zone{{Name: "n"}, {Name: "s"}}}
-	e.Hollow = experiment.Hollow{Servers: 24, ZonesPerRegion: 3, Services: 8}
+	exp := &experiment.Experiment{Seconds: 10, Zones: []experiment.Zone{{Name: "n"}, {Name: "s"}}}
+	exp.Hollow = experiment.Hollow{Servers: 24, ZonesPerRegion: 3, Services: 8}
 	zone := map[string]string{}
-	for _, n := range e.HollowServers() {
+	for _, n := range exp.HollowServers() {
 		zone[n.Name] = n.Zone
 	}
 	for _, test := range []struct {
@@ -107,13 +107,13 @@
 		{experiment.Fault{Count: 100}, 24},
 	} {
 		test.fault.Kind = "hollow_replace"
-		s := draw(e, test.fault, 1, source(1, "fault", 0))
-		if len(s.Turns) != test.want {
-			t.Errorf("%+v: %d turns, want %d", test.fault, len(s.Turns), test.want)
+		planned := drawFault(exp, test.fault, 1, newSource(1, "fault", 0))
+		if len(planned.Targets) != test.want {
+			t.Errorf("%+v: %d turns, want %d", test.fault, len(planned.Targets), test.want)
 		}
-		for _, turn := range s.Turns {
-			if z := zone[turn.Target]; z == "" || test.fault.Zone != "" && z != test.fault.Zone {
-				t.Errorf("%+v: meets %q of zone %q", test.fault, turn.Target, z)
+		for _, turn := range planned.Targets {
+			if z := zone[turn.Name]; z == "" || test.fault.Zone != "" && z != test.fault.Zone {
+				t.Errorf("%+v: meets %q of zone %q", test.fault, turn.Name, z)
 			}
 		}
 	}
--- a/internal/faultlab/result/avoidance.go
+++ b/internal/faultlab/result/avoidance.go
@@ -22,7 +22,7 @@
 func (p *Play) addAvoidance(input Input, requests []clientRequest, metrics map[string]float64) {
 	calls := input.calls()
 	for _, event := range input.Events {
-		affected, ok := affectedBy(input.Plan.Strikes[event.Number-1])
+		affected, ok := affectedBy(input.Plan.Faults[event.Number-1])
 		if !ok {
 			continue
 		}
--- a/internal/faultlab/result/avoidance_test.go
+++ b/internal/faultlab/result/avoidance_test.go
@@ -106,8 +106,8 @@
 	group := experiment.ServerGroup{Count: 2, Speed: 1, Slots: 1}
 	exp := &experiment.Experiment{Seconds: 30, Zones: []experiment.Zone{{Name: "a", Proxies: 1, Servers: []experiment.ServerGroup{group}}},
 		Classes: []experiment.Class{{Weight: 10}, {Weight: 1}}, Servers: experiment.Servers{StartCapacity: 0.5, SlowStartMs: 4000}}
-	kill := func(from, lasts time.Duration) plan.Strike {
-		return plan.Strike{N: 1, Fault: experiment.Fault{Kind: "nodo_kill"}, At: from, For: lasts, Turns: []plan.Turn{{At: from, Target: "a-s1"}}}
+	kill := func(from, lasts time.Duration) plan.PlannedFault {
+		return plan.PlannedFault{Number: 1, Fault: experiment.Fault{Kind: "nodo_kill"}, At: from, Duration: lasts, Targets: []plan.Target{{At: from, Name: "a-s1"}}}
 	}
 	var requests []clientRequest
 	for i := range 300 { // each tenth of a second one of 100 ms of each class, and every other one of no class twice
@@ -117,7 +117,7 @@
 	}
 	for _, test := range []struct {
 		name   string
-		strike plan.Strike
+		strike plan.PlannedFault
 		unseen bool // the rejected requests reached no proxy
 		want   float64
 	}{
@@ -130,12 +130,12 @@
 				requests[i].outcome = map[bool]referee.Outcome{false: referee.Rejected, true: referee.Unreached}[test.unseen]
 			}
 		}
-		input := Input{Experiment: exp, Plan: &plan.Plan{Strikes: []plan.Strike{test.strike}}}
+		input := Input{Experiment: exp, Plan: &plan.Plan{Faults: []plan.PlannedFault{test.strike}}}
 		if got := input.headroomUse(requests, Event{Number: 1, Start: 10, End: 20}); math.Abs(got-test.want) > 1e-3 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
-	input := Input{Experiment: exp, Plan: &plan.Plan{Strikes: []plan.Strike{kill(10*time.Second, 4*time.Second)}}}
+	input := Input{Experiment: exp, Plan: &plan.Plan{Faults: []plan.PlannedFault{kill(10*time.Second, 4*time.Second)}}}
 	// 10 s of the one, 6 s of the other less the 0.25 that it lacks on average over its 4 s of slow start.
 	if got := input.availableWork(10, 20, func(string) bool { return true }); math.Abs(got-15) > 0.01 {
 		t.Errorf("available work of %v s, want 15", got)
@@ -154,8 +154,8 @@
 		r.RecordUnansweredSend(referee.UnansweredSend{SentAt: at(s), Proxy: "a-p1", FromZone: "a", Server: "b-s1", Zone: "b", Dial: s == 11})
 	}
 	exp := &experiment.Experiment{Seconds: 20, Zones: []experiment.Zone{{Name: "a", Proxies: 1}, {Name: "b"}}}
-	input := Input{Experiment: exp, Start: start, Record: r.Close(), Events: []Event{{Number: 1, Start: 9, End: 12}}, Plan: &plan.Plan{Strikes: []plan.Strike{
-		{N: 1, Fault: experiment.Fault{Kind: "zone_cut", Zone: "b"}, At: 9 * time.Second, For: 3 * time.Second}}}}
+	input := Input{Experiment: exp, Start: start, Record: r.Close(), Events: []Event{{Number: 1, Start: 9, End: 12}}, Plan: &plan.Plan{Faults: []plan.PlannedFault{
+		{Number: 1, Fault: experiment.Fault{Kind: "zone_cut", Zone: "b"}, At: 9 * time.Second, Duration: 3 * time.Second}}}}
 	metrics := map[string]float64{}
 	(&Play{}).addAvoidance(input, nil, metrics)
 	if metrics["wasted.1"] != 2 || metrics["dials_lost"] != 1 || metrics["left_last_s.1"] != 2 {
--- a/internal/faultlab/result/calls.go
+++ b/internal/faultlab/result/calls.go
@@ -50,7 +50,7 @@
 }
 
 // affectedBy selects the calls that a fault affects; false if calls could not avoid it.
-func affectedBy(s plan.Strike) (affectedCalls, bool) {
+func affectedBy(s plan.PlannedFault) (affectedCalls, bool) {
 	f := s.Fault
 	kind := experiment.Kinds[f.Kind]
 	one := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
@@ -65,8 +65,8 @@
 		return affectedCalls{}, false
 	case kind.Servers:
 		struck := map[string]bool{}
-		for _, turn := range s.Turns {
-			struck[turn.Target] = true
+		for _, turn := range s.Targets {
+			struck[turn.Name] = true
 		}
 		affects := func(c call) bool { return struck[c.server] }
 		return affectedCalls{affects, affects}, true
--- a/internal/faultlab/result/headroom.go
+++ b/internal/faultlab/result/headroom.go
@@ -25,13 +25,13 @@
 // capacityLosses are the effects of the plan's faults on the capacity of each server.
 func (input *Input) capacityLosses() map[string][]capacityLoss {
 	out := map[string][]capacityLoss{}
-	for _, s := range input.Plan.Strikes {
+	for _, s := range input.Plan.Faults {
 		f := s.Fault
 		until := func(at time.Duration) float64 {
-			if s.For <= 0 {
+			if s.Duration <= 0 {
 				return input.Experiment.Seconds
 			}
-			return (at + s.For).Seconds()
+			return (at + s.Duration).Seconds()
 		}
 		fraction, warming := 0.0, false
 		switch f.Kind {
@@ -52,8 +52,8 @@
 		default:
 			continue
 		}
-		for _, turn := range s.Turns {
-			out[turn.Target] = append(out[turn.Target], capacityLoss{turn.At.Seconds(), until(turn.At), fraction, warming})
+		for _, turn := range s.Targets {
+			out[turn.Name] = append(out[turn.Name], capacityLoss{turn.At.Seconds(), until(turn.At), fraction, warming})
 		}
 	}
 	return out
@@ -97,7 +97,7 @@
 	to := math.Min(event.Start+headroomSpan, input.Experiment.Seconds)
 	zones := input.Experiment.ZoneNames()
 	sides := []func(string) bool{func(string) bool { return true }}
-	if s := input.Plan.Strikes[event.Number-1]; s.Fault.Kind == "zone_cut" {
+	if s := input.Plan.Faults[event.Number-1]; s.Fault.Kind == "zone_cut" {
 		to = math.Min(to, event.End)
 		sides = []func(string) bool{func(z string) bool { return z == s.Fault.Zone }, func(z string) bool { return z != s.Fault.Zone }}
 	}
--- a/internal/faultlab/result/result_test.go
+++ b/internal/faultlab/result/result_test.go
@@ -18,11 +18,11 @@
 	exp.Classes = []experiment.Class{{Name: "c", ObjectiveMs: 100, Weight: 2}}
 	input := Input{Experiment: exp, Plan: &plan.Plan{}, Start: start, Events: events}
 	for _, event := range events {
-		input.Plan.Strikes = append(input.Plan.Strikes, plan.Strike{N: event.Number})
+		input.Plan.Faults = append(input.Plan.Faults, plan.PlannedFault{Number: event.Number})
 	}
 	for i := range 200 {
 		at := time.Duration(i) * 100 * time.Millisecond
-		input.Plan.Arrivals = append(input.Plan.Arrivals, plan.Arrival{N: i, At: at})
+		input.Plan.Arrivals = append(input.Plan.Arrivals, plan.Arrival{Number: i, At: at})
 		took := 50 * time.Millisecond
 		if s := at.Seconds(); s >= from && s < to {
 			took = 150 * time.Millisecond
--- a/internal/faultlab/run/byzantine.go
+++ b/internal/faultlab/run/byzantine.go
@@ -14,14 +14,14 @@
 const firstByzantine = 400 // ordinal, above those of proxies
 
 // runByzantineMembers has byzantine members join the gossip for the duration of a fault, one in each zone in turn.
-func (t *timeline) runByzantineMembers(ctx context.Context, strike plan.Strike) error {
+func (t *timeline) runByzantineMembers(ctx context.Context, planned plan.PlannedFault) error {
 	if !t.experiment.Cluster.Enabled {
 		return nil
 	}
 	zones := t.experiment.ZoneNames()
 	victims := func() (out []byzantine.Target) {
-		for _, turn := range strike.Turns {
-			server := t.server(turn.Target)
+		for _, target := range planned.Targets {
+			server := t.server(target.Name)
 			server.mu.Lock()
 			out = append(out, byzantine.Target{Name: server.entry.Name, StartedAtMs: server.entry.Since})
 			server.mu.Unlock()
@@ -29,9 +29,9 @@
 		return out
 	}
 	var errs []error
-	for i := range strike.Fault.ByzantineMembers {
+	for i := range planned.Fault.ByzantineMembers {
 		zone := zones[i%len(zones)]
-		l, err := t.joinByzantine(experiment.Node{Name: fmt.Sprintf("%s-liar%d.%d", zone, strike.N, i+1), Zone: zone}, victims)
+		l, err := t.joinByzantine(experiment.Node{Name: fmt.Sprintf("%s-liar%d.%d", zone, planned.Number, i+1), Zone: zone}, victims)
 		if err != nil {
 			errs = append(errs, err)
 			break
@@ -39,7 +39,7 @@
 		defer l.Leave()
 	}
 	if len(errs) == 0 {
-		t.holdFault(ctx, strike, strike.At)
+		t.holdFault(ctx, planned, planned.At)
 	}
 	return errors.Join(errs...)
 }
--- a/internal/faultlab/run/strike_configs.go
+++ b/internal/faultlab/run/faults_configs.go
@@ -84,16 +84,16 @@
 }
 
 // writeConfigs writes configurations to the list service, each at its time.
-func (t *timeline) writeConfigs(ctx context.Context, strike plan.Strike) error {
-	return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
-		own, n := t.configs.service(turn.Target)
-		text, err := t.configDocument(n, strike.Fault.InvalidConfig)
+func (t *timeline) writeConfigs(ctx context.Context, planned plan.PlannedFault) error {
+	return t.eachTarget(ctx, planned, func(target plan.Target) error {
+		own, n := t.configs.service(target.Name)
+		text, err := t.configDocument(n, planned.Fault.InvalidConfig)
 		if err != nil {
 			return err
 		}
 		own.mu.Lock()
 		defer own.mu.Unlock()
-		put := result.ConfigWrite{Service: turn.Target, Faulty: strike.Fault.InvalidConfig, RequestedAt: time.Now().UnixNano()}
+		put := result.ConfigWrite{Service: target.Name, Faulty: planned.Fault.InvalidConfig, RequestedAt: time.Now().UnixNano()}
 		t.writeConfig(ctx, &put, own, text, int(n))
 		if ctx.Err() == nil || put.Status != 0 {
 			t.configs.record(put)
--- a/internal/faultlab/run/strike_links.go
+++ b/internal/faultlab/run/faults_links.go
@@ -25,7 +25,7 @@
 }
 
 // applyEffects applies effects to links for a fault's duration. A proxy that clients or the list cannot reach is excused.
-func (t *timeline) applyEffects(ctx context.Context, strike plan.Strike, reaches ...linkEffect) error {
+func (t *timeline) applyEffects(ctx context.Context, planned plan.PlannedFault, reaches ...linkEffect) error {
 	begun := time.Now()
 	var excused []func(time.Time)
 	var ends []func() error
@@ -45,7 +45,7 @@
 		ends, errs = append(ends, end), append(errs, err)
 	}
 	if errors.Join(errs...) == nil {
-		t.holdFault(ctx, strike, strike.At)
+		t.holdFault(ctx, planned, planned.At)
 	}
 	for _, end := range ends {
 		errs = append(errs, end())
@@ -92,11 +92,11 @@
 	return link.Silent
 }
 
-func (t *timeline) injectLinkFault(ctx context.Context, strike plan.Strike) error {
-	fault := strike.Fault
+func (t *timeline) injectLinkFault(ctx context.Context, planned plan.PlannedFault) error {
+	fault := planned.Fault
 	match := matchesFault(fault, t.experiment.SharedLinks())
 	over := func(e link.Effect) error {
-		return t.applyEffects(ctx, strike, append(gossipEffects(fault, e), linkEffect{match, e})...)
+		return t.applyEffects(ctx, planned, append(gossipEffects(fault, e), linkEffect{match, e})...)
 	}
 	switch fault.Kind {
 	case "cut":
@@ -104,12 +104,12 @@
 	case "delay":
 		return over(link.Effect{Delay: experiment.Millis(fault.DelayMs)})
 	case "loss":
-		if err := t.loseHollowGossip(ctx, strike); err != nil {
+		if err := t.loseHollowGossip(ctx, planned); err != nil {
 			return err
 		}
 		return over(link.Effect{Loss: fault.Fraction})
 	case "reset":
-		if strike.For <= 0 {
+		if planned.Duration <= 0 {
 			for _, proxy := range t.proxyOrder {
 				now := time.Now()
 				t.ref.BeginExcusedSpan(proxy.node.Name, now)(now)
@@ -119,17 +119,17 @@
 		for _, r := range gossipEffects(fault, link.Effect{}) {
 			t.net.Reset(r.match)
 		}
-		if strike.For <= 0 {
+		if planned.Duration <= 0 {
 			return nil
 		}
 		return over(link.Effect{ResetNew: true})
 	}
-	return unknownFault(strike, "links")
+	return unknownFault(planned, "links")
 }
 
 // loseZone takes down a zone's machines, and brings them back with slow start.
-func (t *timeline) loseZone(ctx context.Context, strike plan.Strike) error {
-	zone := strike.Fault.Zone
+func (t *timeline) loseZone(ctx context.Context, planned plan.PlannedFault) error {
+	zone := planned.Fault.Zone
 	into := func(ends link.Ends) bool {
 		return (ends.Kind == "nodo" || ends.Kind == "gossip") && ends.ToZone == zone
 	}
@@ -148,7 +148,7 @@
 	for _, server := range servers {
 		t.vanish(server)
 	}
-	back := strike.For > 0 && t.waitUntil(ctx, strike.At+strike.For)
+	back := planned.Duration > 0 && t.waitUntil(ctx, planned.At+planned.Duration)
 	t.net.Reset(into)
 	if back {
 		for _, server := range servers {
--- a/internal/faultlab/run/strike_lists.go
+++ b/internal/faultlab/run/faults_lists.go
@@ -12,30 +12,30 @@
 )
 
 // injectRegistryFault injects a fault into members of the list service.
-func (t *timeline) injectRegistryFault(ctx context.Context, strike plan.Strike) error {
-	ms := t.service.Members(strike.Fault.Members)
-	t.log.Info("faulty members", "fault", strike.N, "members", service.Names(ms))
-	back := func() bool { return strike.For > 0 && t.waitUntil(ctx, strike.At+strike.For) }
-	switch strike.Fault.Kind {
+func (t *timeline) injectRegistryFault(ctx context.Context, planned plan.PlannedFault) error {
+	ms := t.service.Members(planned.Fault.Members)
+	t.log.Info("faulty members", "fault", planned.Number, "members", service.Names(ms))
+	back := func() bool { return planned.Duration > 0 && t.waitUntil(ctx, planned.At+planned.Duration) }
+	switch planned.Fault.Kind {
 	case "member_kill":
 		return t.service.Kill(ms, back)
 	case "member_stop":
-		return t.service.Stop(ms, func() { t.holdFault(ctx, strike, strike.At) })
+		return t.service.Stop(ms, func() { t.holdFault(ctx, planned, planned.At) })
 	case "member_damage":
 		return t.service.Damage(ms, back)
 	case "member_cut":
-		return t.cutMembers(ctx, strike, service.Names(ms))
+		return t.cutMembers(ctx, planned, service.Names(ms))
 	}
-	return unknownFault(strike, "members")
+	return unknownFault(planned, "members")
 }
 
 // cutMembers cuts members off from the others: both ways, only what they send (out), or only what they receive (back). Either side
 // dials, so that a direction is the request's on some links and the response's on others.
-func (t *timeline) cutMembers(ctx context.Context, strike plan.Strike, names []string) error {
+func (t *timeline) cutMembers(ctx context.Context, planned plan.PlannedFault, names []string) error {
 	other := map[string]string{"out": "back", "back": "out"}
 	var ends []func() error
 	for _, dials := range []bool{true, false} {
-		direction := strike.Fault.Direction
+		direction := planned.Fault.Direction
 		if !dials {
 			direction = other[direction]
 		}
@@ -48,12 +48,12 @@
 		}
 		ends = append(ends, end)
 	}
-	t.holdFault(ctx, strike, strike.At)
+	t.holdFault(ctx, planned, planned.At)
 	return errors.Join(ends[0](), ends[1]())
 }
 
 // injectListFault injects a fault into the catalog, or cuts all links to the list.
-func (t *timeline) injectListFault(ctx context.Context, strike plan.Strike) error {
+func (t *timeline) injectListFault(ctx context.Context, planned plan.PlannedFault) error {
 	links := func(ends link.Ends) bool { return ends.Kind == "list" }
 	down := func() error {
 		end, err := t.net.Apply(links, link.Effect{Refuse: true})
@@ -63,31 +63,31 @@
 		up := t.catalog.Down()
 		back := t.ref.BeginListOutage("", time.Now())
 		t.net.Reset(links)
-		if strike.Fault.Kind == "list_power_loss" {
+		if planned.Fault.Kind == "list_power_loss" {
 			t.log.Info("list power lost", "versions_lost", t.catalog.PowerLoss())
 		}
-		t.holdFault(ctx, strike, strike.At)
+		t.holdFault(ctx, planned, planned.At)
 		up()
 		defer func() { back(time.Now()) }()
 		return end()
 	}
 	during := func(end func()) error {
-		t.holdFault(ctx, strike, strike.At)
+		t.holdFault(ctx, planned, planned.At)
 		end()
 		return nil
 	}
-	switch strike.Fault.Kind {
+	switch planned.Fault.Kind {
 	case "list_down", "list_power_loss":
 		return down()
 	case "list_slow":
-		return during(t.catalog.Slow(strike.Fault.Factor))
+		return during(t.catalog.Slow(planned.Fault.Factor))
 	case "list_stale":
 		return during(t.catalog.Stale())
 	case "list_disk_full":
 		return during(t.catalog.Full())
 	case "list_rollback":
-		t.catalog.Rollback(strike.Fault.Versions)
+		t.catalog.Rollback(planned.Fault.Versions)
 		return nil
 	}
-	return unknownFault(strike, "list")
+	return unknownFault(planned, "list")
 }
--- a/internal/faultlab/run/strike_proxies.go
+++ b/internal/faultlab/run/faults_proxies.go
@@ -12,54 +12,54 @@
 )
 
 // injectProxyFault injects a fault into proxies, each at its time.
-func (t *timeline) injectProxyFault(ctx context.Context, strike plan.Strike) error {
-	if strike.Fault.Kind == "kill" {
-		return t.killWave(ctx, strike)
+func (t *timeline) injectProxyFault(ctx context.Context, planned plan.PlannedFault) error {
+	if planned.Fault.Kind == "kill" {
+		return t.killWave(ctx, planned)
 	}
-	return t.eachTarget(ctx, strike, func(turn plan.Turn) error {
-		return t.injectIntoProxy(ctx, strike, turn, t.proxies[turn.Target])
+	return t.eachTarget(ctx, planned, func(target plan.Target) error {
+		return t.injectIntoProxy(ctx, planned, target, t.proxies[target.Name])
 	})
 }
 
-func (t *timeline) injectIntoProxy(ctx context.Context, strike plan.Strike, turn plan.Turn, proxy *proxyUnderTest) error {
-	fault := strike.Fault
+func (t *timeline) injectIntoProxy(ctx context.Context, planned plan.PlannedFault, target plan.Target, proxy *proxyUnderTest) error {
+	fault := planned.Fault
 	switch fault.Kind {
 	case "restart":
-		signals := drawSignals(fault.Versions, t.plan.Source("signals "+turn.Target))
-		return t.restart(ctx, proxy, signals, strike.For, fault.KeepDirectory)
+		signals := drawSignals(fault.Versions, t.plan.Source("signals "+target.Name))
+		return t.restart(ctx, proxy, signals, planned.Duration, fault.KeepDirectory)
 	case "upgrade":
 		return t.upgrade(ctx, proxy)
 	case "power_loss":
-		if err := t.powerLoss(proxy); err != nil || !t.waitUntil(ctx, turn.At+strike.For) {
+		if err := t.powerLoss(proxy); err != nil || !t.waitUntil(ctx, target.At+planned.Duration) {
 			return err
 		}
 		return t.startAgain(ctx, proxy, true)
 	case "stop":
-		excuseEnds := t.ref.BeginExcusedSpan(turn.Target, time.Now())
-		outageEnds := t.ref.BeginListOutage(turn.Target, time.Now())
+		excuseEnds := t.ref.BeginExcusedSpan(target.Name, time.Now())
+		outageEnds := t.ref.BeginListOutage(target.Name, time.Now())
 		defer func() { excuseEnds(time.Now()); outageEnds(time.Now()) }()
-		return t.holdCounted(ctx, strike, turn, proxy, t.addStop)
+		return t.holdCounted(ctx, planned, target, proxy, t.addStop)
 	case "reload":
-		return t.reload(ctx, proxy, fault.Versions, t.plan.Source("reload "+turn.Target))
+		return t.reload(ctx, proxy, fault.Versions, t.plan.Source("reload "+target.Name))
 	case "hold_up":
-		return t.pauseRepeatedly(ctx, strike, proxy, turn.At, t.plan.Source("hold up "+turn.Target))
+		return t.pauseRepeatedly(ctx, planned, proxy, target.At, t.plan.Source("hold up "+target.Name))
 	case "crowd":
-		return t.floodConnections(ctx, strike, proxy, turn.At)
+		return t.floodConnections(ctx, planned, proxy, target.At)
 	case "rude":
-		return t.runMisbehavingClients(ctx, strike, proxy, turn.At, t.plan.Source("rude "+turn.Target))
+		return t.runMisbehavingClients(ctx, planned, proxy, target.At, t.plan.Source("rude "+target.Name))
 	case "disk_full":
-		return t.holdCounted(ctx, strike, turn, proxy, t.addDiskFull)
+		return t.holdCounted(ctx, planned, target, proxy, t.addDiskFull)
 	}
-	return unknownFault(strike, "proxies")
+	return unknownFault(planned, "proxies")
 }
 
 // holdCounted adds a fault to a proxy's number of active ones for the fault's duration.
-func (t *timeline) holdCounted(ctx context.Context, strike plan.Strike, turn plan.Turn, proxy *proxyUnderTest,
+func (t *timeline) holdCounted(ctx context.Context, planned plan.PlannedFault, target plan.Target, proxy *proxyUnderTest,
 	count func(proxy *proxyUnderTest, n int) error) error {
 	if err := count(proxy, 1); err != nil {
 		return err
 	}
-	t.holdFault(ctx, strike, turn.At)
+	t.holdFault(ctx, planned, target.At)
 	return count(proxy, -1)
 }
 
@@ -97,10 +97,10 @@
 }
 
 // killWave kills the targets of each time at once, and starts them again after the fault's duration.
-func (t *timeline) killWave(ctx context.Context, strike plan.Strike) error {
+func (t *timeline) killWave(ctx context.Context, planned plan.PlannedFault) error {
 	waves := map[time.Duration][]*proxyUnderTest{}
-	for _, turn := range strike.Turns {
-		waves[turn.At] = append(waves[turn.At], t.proxies[turn.Target])
+	for _, target := range planned.Targets {
+		waves[target.At] = append(waves[target.At], t.proxies[target.Name])
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -111,8 +111,8 @@
 				return
 			}
 			err := t.kill(proxies)
-			if strike.For > 0 && t.waitUntil(ctx, at+strike.For) {
-				t.startAll(ctx, proxies, strike.Fault.KeepDirectory)
+			if planned.Duration > 0 && t.waitUntil(ctx, at+planned.Duration) {
+				t.startAll(ctx, proxies, planned.Fault.KeepDirectory)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/faultlab/run/strike_reload.go
+++ b/internal/faultlab/run/faults_reload.go
@@ -65,8 +65,8 @@
 }
 
 // pauseRepeatedly stops a proxy for short random times.
-func (t *timeline) pauseRepeatedly(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
-	end := t.start.Add(at + strike.For)
+func (t *timeline) pauseRepeatedly(ctx context.Context, planned plan.PlannedFault, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
+	end := t.start.Add(at + planned.Duration)
 	for time.Now().Before(end) {
 		if err := t.addStop(proxy, 1); err != nil {
 			return err
@@ -81,14 +81,14 @@
 
 // runMisbehavingClients runs misbehaving clients against a proxy. One that gets neither an error nor a close in time is a violation,
 // unless the lab kept the proxy from answering.
-func (t *timeline) runMisbehavingClients(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
+func (t *timeline) runMisbehavingClients(ctx context.Context, planned plan.PlannedFault, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
 	class := ""
 	for _, k := range t.experiment.Classes {
 		if k.RetryClass == "at_most_once" {
 			class = k.Name
 		}
 	}
-	running, stop := context.WithDeadline(ctx, t.start.Add(at+strike.For))
+	running, stop := context.WithDeadline(ctx, t.start.Add(at+planned.Duration))
 	defer stop()
 	for sleep.For(running, time.Duration(r.Int64N(int64(2*misbehavingPause)))) {
 		v := misbehavingclient.Draw(r, class)
--- a/internal/faultlab/run/strike_series.go
+++ b/internal/faultlab/run/faults_series.go
@@ -54,14 +54,14 @@
 
 // floodConnections opens connections to a proxy and sends nothing on them, for the fault's duration. Connections that the proxy
 // closes are not reopened. The proxy may close new connections of others unread meanwhile.
-func (t *timeline) floodConnections(ctx context.Context, strike plan.Strike, proxy *proxyUnderTest, at time.Duration) error {
+func (t *timeline) floodConnections(ctx context.Context, planned plan.PlannedFault, proxy *proxyUnderTest, at time.Duration) error {
 	crowded := t.ref.BeginConnectionFlood(proxy.node.Name, time.Now())
 	defer func() { crowded(time.Now()) }()
-	holding, stop := context.WithDeadline(ctx, t.start.Add(at+strike.For))
+	holding, stop := context.WithDeadline(ctx, t.start.Add(at+planned.Duration))
 	defer stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	for i := 0; i < strike.Fault.IdleClients && sleep.For(holding, floodConnectGap); i++ {
+	for i := 0; i < planned.Fault.IdleClients && sleep.For(holding, floodConnectGap); i++ {
 		c, err := (&net.Dialer{Timeout: floodDialTimeout}).DialContext(holding, "tcp", proxy.listenAddress)
 		if err != nil {
 			continue // the proxy is down, or at its limit
--- a/internal/faultlab/run/strike_servers.go
+++ b/internal/faultlab/run/faults_servers.go
@@ -12,27 +12,27 @@
 )
 
 // injectServerFault injects a fault into one server.
-func (t *timeline) injectServerFault(ctx context.Context, strike plan.Strike, turn plan.Turn) error {
-	server, fault := t.server(turn.Target), strike.Fault
+func (t *timeline) injectServerFault(ctx context.Context, planned plan.PlannedFault, target plan.Target) error {
+	server, fault := t.server(target.Name), planned.Fault
 	hamper := func(h stubserver.Fault) error {
 		end := server.ApplyFault(h)
-		t.holdFault(ctx, strike, turn.At)
+		t.holdFault(ctx, planned, target.At)
 		end()
 		return nil
 	}
 	switch fault.Kind {
 	case "nodo_kill":
-		if err := t.takeDown(server); err != nil || strike.For <= 0 || !t.waitUntil(ctx, turn.At+strike.For) {
+		if err := t.takeDown(server); err != nil || planned.Duration <= 0 || !t.waitUntil(ctx, target.At+planned.Duration) {
 			return err
 		}
 		return t.bringUp(server)
 	case "nodo_silent":
-		end, err := t.net.Apply(serverLinksTo(turn.Target), link.Silent)
+		end, err := t.net.Apply(serverLinksTo(target.Name), link.Silent)
 		if err != nil {
 			return err
 		}
-		t.holdFault(ctx, strike, turn.At)
-		t.net.Reset(serverLinksTo(turn.Target))
+		t.holdFault(ctx, planned, target.At)
+		t.net.Reset(serverLinksTo(target.Name))
 		return end()
 	case "nodo_hang":
 		return hamper(stubserver.Fault{Hangs: true})
@@ -43,14 +43,14 @@
 	case "nodo_garble":
 		return hamper(stubserver.Fault{GarbleFraction: fault.Fraction})
 	case "nodo_drain", "nodo_replace":
-		return t.drain(ctx, strike, turn, server)
+		return t.drain(ctx, planned, target, server)
 	}
-	return unknownFault(strike, "nodos")
+	return unknownFault(planned, "nodos")
 }
 
 // drain drains and ends a server, and brings it back with slow start; for nodo_replace another one takes its place at once.
-func (t *timeline) drain(ctx context.Context, strike plan.Strike, turn plan.Turn, server *server) error {
-	if strike.Fault.Kind == "nodo_replace" {
+func (t *timeline) drain(ctx context.Context, planned plan.PlannedFault, target plan.Target, server *server) error {
+	if planned.Fault.Kind == "nodo_replace" {
 		next := server.node
 		next.Name += "-r"
 		t.mu.Lock()
@@ -65,7 +65,7 @@
 	server.Drain(true)
 	t.setStatus(server, catalog.Draining)
 	sleep.For(ctx, drainDuration)
-	if err := t.takeDown(server); err != nil || strike.Fault.Kind == "nodo_replace" || strike.For <= 0 || !t.waitUntil(ctx, turn.At+strike.For) {
+	if err := t.takeDown(server); err != nil || planned.Fault.Kind == "nodo_replace" || planned.Duration <= 0 || !t.waitUntil(ctx, target.At+planned.Duration) {
 		return err
 	}
 	return t.bringUp(server)
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -170,18 +170,18 @@
 }
 
 // loseHollowGossip has the hollow members' relays drop datagrams for the duration of a loss.
-func (t *timeline) loseHollowGossip(ctx context.Context, strike plan.Strike) error {
-	if strike.Fault.Kind != "loss" || !t.experiment.Hollow.Relays {
+func (t *timeline) loseHollowGossip(ctx context.Context, planned plan.PlannedFault) error {
+	if planned.Fault.Kind != "loss" || !t.experiment.Hollow.Relays {
 		return nil
 	}
-	length := strike.For
+	length := planned.Duration
 	if length <= 0 {
-		length = experiment.Seconds(t.experiment.Seconds) - strike.At
+		length = experiment.Seconds(t.experiment.Seconds) - planned.At
 	}
 	var errs []error
 	for _, p := range t.hollow {
 		if len(p.config.Proxies) > 0 {
-			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Command{Action: "lose", Fraction: strike.Fault.Fraction, DurationMs: length.Milliseconds()})
+			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Command{Action: "lose", Fraction: planned.Fault.Fraction, DurationMs: length.Milliseconds()})
 			errs = append(errs, err)
 		}
 	}
@@ -280,25 +280,25 @@
 }
 
 // injectHollowFault sends a fault to the processes of its hollow servers, each target with its own delay.
-func (t *timeline) injectHollowFault(ctx context.Context, strike plan.Strike) error {
-	action, _ := strings.CutPrefix(strike.Fault.Kind, "hollow_")
+func (t *timeline) injectHollowFault(ctx context.Context, planned plan.PlannedFault) error {
+	action, _ := strings.CutPrefix(planned.Fault.Kind, "hollow_")
 	orders := map[*hollowProcess]*hollow.Command{}
 	last := time.Duration(0)
-	for _, turn := range strike.Turns {
-		p := t.hollowProcessOf[turn.Target]
+	for _, target := range planned.Targets {
+		p := t.hollowProcessOf[target.Name]
 		o := orders[p]
 		if o == nil {
-			o = &hollow.Command{Action: action, DurationMs: strike.For.Milliseconds()}
+			o = &hollow.Command{Action: action, DurationMs: planned.Duration.Milliseconds()}
 			orders[p] = o
 		}
-		o.Targets = append(o.Targets, hollow.CommandTarget{Name: turn.Target, DelayMs: (turn.At - strike.At).Milliseconds()})
-		last = max(last, turn.At)
+		o.Targets = append(o.Targets, hollow.CommandTarget{Name: target.Name, DelayMs: (target.At - planned.At).Milliseconds()})
+		last = max(last, target.At)
 	}
 	for p, o := range orders {
 		if _, err := p.call(ctx, http.MethodPost, "/do", o); err != nil && ctx.Err() == nil {
 			return err
 		}
 	}
-	t.waitUntil(ctx, last+strike.For)
+	t.waitUntil(ctx, last+planned.Duration)
 	return nil
 }
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -62,7 +62,7 @@
 		return result.Play{}, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
 	drawn := plan.Draw(exp, seed)
-	digest, err := drawn.Sum()
+	digest, err := drawn.Digest()
 	if err != nil {
 		return result.Play{}, err
 	}
