--- a/internal/faultlab/catalog/answer.go
+++ b/internal/faultlab/catalog/answer.go
@@ -10,137 +10,139 @@
 )
 
 // line is an entry on the wire.
-type line struct {
+type wireEntry struct {
 	Entry
 	Address string  `json:"address"`
 	Weight  float64 `json:"weight"`
 }
 
 // step tells what is due and answers the calls whose turn it is; the next one is due after the time that it returns.
-func (c *Catalog) step(now time.Time) time.Duration {
-	if now.Sub(c.synced) >= c.cfg.Sync {
+func (c *Catalog) advance(now time.Time) time.Duration {
+	if now.Sub(c.syncedAt) >= c.config.SyncInterval {
 		c.file.Sync()
-		c.synced = now
+		c.syncedAt = now
 	}
-	next := c.cfg.Sync
+	next := c.config.SyncInterval
 	news := false
-	for len(c.pending) > 0 && c.stale == 0 && c.down == 0 {
-		if wait := c.pending[0].at.Sub(now); wait > 0 {
+	for len(c.pending) > 0 && c.staleFaults == 0 && c.downFaults == 0 {
+		if wait := c.pending[0].dueAt.Sub(now); wait > 0 {
 			next = min(next, wait)
 			break
 		}
-		if !c.notify(c.pending[0].entry) {
+		if !c.commit(c.pending[0].entry) {
 			break
 		}
 		c.pending = c.pending[1:]
 		news = true
 	}
-	kept := c.waiting[:0]
-	for _, w := range c.waiting {
-		if news || !now.Before(w.until) {
-			w.since = now
-			c.line = append(c.line, w)
+	kept := c.watches[:0]
+	for _, w := range c.watches {
+		if news || !now.Before(w.holdUntil) {
+			w.queuedAt = now
+			c.queue = append(c.queue, w)
 		} else {
 			kept = append(kept, w)
 		}
 	}
-	c.waiting = kept
-	next = min(next, c.serveLine(now))
-	for _, w := range c.waiting {
-		next = min(next, w.until.Sub(now))
+	c.watches = kept
+	next = min(next, c.serveQueue(now))
+	for _, w := range c.watches {
+		next = min(next, w.holdUntil.Sub(now))
 	}
-	return max(next, minWait)
+	return max(next, minStepInterval)
 }
 
 // serveLine answers the calls whose turn it is, and returns how long it is until the next one is due. A watch that goes on
 // takes no turn. A call that has waited too long fails then, and takes its turn all the same, as the platform's do.
-func (c *Catalog) serveLine(now time.Time) time.Duration {
-	next := c.cfg.Sync
-	line := c.line
-	c.line = nil
-	for _, q := range line {
-		waited := now.Sub(q.since)
+func (c *Catalog) serveQueue(now time.Time) time.Duration {
+	next := c.config.SyncInterval
+	line := c.queue
+	c.queue = nil
+	for _, call := range line {
+		waited := now.Sub(call.queuedAt)
 		switch {
-		case q.continues:
-			c.answer(q, now)
-		case c.busy.After(now):
-			if waited > c.cfg.Wait {
-				q.fail()
+		case call.continues:
+			c.answer(call, now)
+		case c.busyUntil.After(now):
+			if waited > c.config.QueueTimeout {
+				call.fail()
 			} else {
-				next = min(next, c.cfg.Wait-waited)
+				next = min(next, c.config.QueueTimeout-waited)
 			}
-			next = min(next, c.busy.Sub(now))
-			c.line = append(c.line, q)
-		case q.failed || waited > c.cfg.Wait:
-			q.fail()
-			c.busy = now.Add(c.cost(0))
+			next = min(next, c.busyUntil.Sub(now))
+			c.queue = append(c.queue, call)
+		case call.failed || waited > c.config.QueueTimeout:
+			call.fail()
+			c.busyUntil = now.Add(c.workOf(0))
 		default:
-			c.busy = now.Add(c.answer(q, now))
+			c.busyUntil = now.Add(c.answer(call, now))
 		}
 	}
 	return next
 }
 
 // cost is how long the service is busy with an answer of so many lines.
-func (c *Catalog) cost(lines int) time.Duration {
-	return time.Duration(c.slow * float64(c.cfg.Call+time.Duration(lines)*c.cfg.Line))
+func (c *Catalog) workOf(lines int) time.Duration {
+	return time.Duration(c.slowdown * float64(c.config.CallWork+time.Duration(lines)*c.config.EntryWork))
 }
 
 // answer answers a call and tells how long the service was busy with it.
-func (c *Catalog) answer(q *call, now time.Time) time.Duration {
-	var lines []line
-	q.snapshot = q.from < 0 || q.from > c.index || c.index > q.from && (len(c.changes) == 0 || c.changes[0].Index > q.from+1)
-	if q.snapshot {
-		lines, q.lines = c.snapshot(q.proxy, c.entries)
+func (c *Catalog) answer(call *pollCall, now time.Time) time.Duration {
+	var lines []wireEntry
+	call.snapshot = call.from < 0 || call.from > c.version || c.version > call.from && (len(c.changes) == 0 || c.changes[0].Version > call.from+1)
+	if call.snapshot {
+		lines, call.entries = c.snapshot(call.proxy, c.entries)
 	} else {
-		if q.from == c.index && now.Before(q.until) {
-			q.continues = true // it has had its turn
-			c.waiting = append(c.waiting, q)
-			return c.cost(0)
+		if call.from == c.version && now.Before(call.holdUntil) {
+			call.continues = true // it has had its turn
+			c.watches = append(c.watches, call)
+			return c.workOf(0)
 		}
 		seen := map[string]bool{}
-		for _, v := range slices.Backward(c.changes) {
-			if v.Index > q.from && !seen[v.Entry.Name] {
-				seen[v.Entry.Name] = true
-				lines = append(lines, c.line1(q.proxy, v.Entry))
-				q.lines = append(q.lines, noted(v.Entry))
+		for _, record := range slices.Backward(c.changes) {
+			if record.Version > call.from && !seen[record.Entry.Name] {
+				seen[record.Entry.Name] = true
+				lines = append(lines, c.onWire(call.proxy, record.Entry))
+				call.entries = append(call.entries, refereeEntry(record.Entry))
 			}
 		}
 	}
-	c.answered++
-	q.order, q.index = c.answered, c.index
-	q.reply <- encode(c.index, q.snapshot, lines)
-	c.ended[q.proxy] = now
-	return c.cost(len(lines))
+	c.answeredCalls++
+	call.order, call.version = c.answeredCalls, c.version
+	call.reply <- encode(c.version, call.snapshot, lines)
+	c.lastAnswers[call.proxy] = now
+	return c.workOf(len(lines))
 }
 
-func (c *Catalog) line1(proxy string, e Entry) line { return line{e, c.cfg.Address(proxy, e.Name), 1} }
+func (c *Catalog) onWire(proxy string, entry Entry) wireEntry {
+	return wireEntry{entry, c.config.Address(proxy, entry.Name), 1}
+}
 
-func noted(e Entry) referee.Entry {
-	return referee.Entry{Server: e.Name, Serving: e.Status == Serving, Since: e.Since}
+func refereeEntry(entry Entry) referee.Entry {
+	return referee.Entry{Server: entry.Name, Serving: entry.Status == Serving, Since: entry.Since}
 }
 
-func (c *Catalog) snapshot(proxy string, entries map[string]Entry) ([]line, []referee.Entry) {
-	var lines []line
+func (c *Catalog) snapshot(proxy string, entries map[string]Entry) ([]wireEntry, []referee.Entry) {
+	var lines []wireEntry
 	var told []referee.Entry
-	for _, e := range entries {
-		lines = append(lines, c.line1(proxy, e))
+	for _, entry := range entries {
+		lines = append(lines, c.onWire(proxy, entry))
 	}
-	slices.SortFunc(lines, func(a, b line) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(lines, func(a, b wireEntry) int { return strings.Compare(a.Name, b.Name) })
 	for _, l := range lines {
-		told = append(told, noted(l.Entry))
+		told = append(told, refereeEntry(l.Entry))
 	}
 	return lines, told
 }
 
-func encode(index int64, whole bool, lines []line) []byte {
+func encode(index int64, whole bool, lines []wireEntry) []byte {
 	if lines == nil {
-		lines = []line{}
+		lines = []wireEntry{}
 	}
 	text, err := json.Marshal(struct {
-		Index     int64  `json:"index"`
-		Snapshot  bool   `json:"snapshot"`
-		Endpoints []line `json:"endpoints"`
+		Index     int64       `json:"index"`
+		Snapshot  bool        `json:"snapshot"`
+		Endpoints []wireEntry `json:"endpoints"`
 	}{index, whole, lines})
 	if err != nil {
 		panic(err)
@@ -149,9 +151,9 @@
 }
 
 // drop ends all calls without an answer.
-func (c *Catalog) drop() {
-	for _, q := range append(c.line, c.waiting...) {
-		q.fail()
+func (c *Catalog) failCalls() {
+	for _, call := range append(c.queue, c.watches...) {
+		call.fail()
 	}
-	c.line, c.waiting = nil, nil
+	c.queue, c.watches = nil, nil
 }
--- a/internal/faultlab/catalog/catalog_test.go
+++ b/internal/faultlab/catalog/catalog_test.go
@@ -20,36 +20,36 @@
 	for i := range n {
 		entries = append(entries, Entry{Name: fmt.Sprintf("s%d", i), Status: Serving})
 	}
-	return New(Config{Lag: time.Second, Call: time.Millisecond, Wait: 100 * time.Millisecond, Sync: time.Minute,
-		Retain: 4, Most: 3, Seed: seed, Address: func(_, nodo string) string { return nodo + ":1" }}, referee.New(referee.Config{Classes: []referee.Class{{}}, MaxAttempts: 3}), entries)
+	return New(Config{NotificationDelay: time.Second, CallWork: time.Millisecond, QueueTimeout: 100 * time.Millisecond, SyncInterval: time.Minute,
+		RetainedChanges: 4, MaxWaitingCalls: 3, Seed: seed, Address: func(_, nodo string) string { return nodo + ":1" }}, referee.New(referee.Config{Classes: []referee.Class{{}}, MaxAttempts: 3}), entries)
 }
 
 // After a power loss the list is what it was at some version not older than the last sync: whole records, in order.
-func TestPowerLossKeepsWhatWasSynced(t *testing.T) {
+func TestPowerLossKeepsSyncedVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCatalog(2, rapid.Uint64().Draw(t, "seed"))
-		synced := c.index
-		states := map[int64]string{c.index: fmt.Sprint(c.entries)}
+		synced := c.version
+		states := map[int64]string{c.version: fmt.Sprint(c.entries)}
 		for range rapid.IntRange(1, 40).Draw(t, "changes") {
 			status := rapid.SampledFrom([]string{Serving, Draining, Deleted}).Draw(t, "status")
-			c.notify(Entry{Name: rapid.SampledFrom([]string{"s0", "s1", "s2"}).Draw(t, "name"), Status: status})
-			states[c.index] = fmt.Sprint(c.entries)
+			c.commit(Entry{Name: rapid.SampledFrom([]string{"s0", "s1", "s2"}).Draw(t, "name"), Status: status})
+			states[c.version] = fmt.Sprint(c.entries)
 			if rapid.IntRange(0, 5).Draw(t, "sync") == 0 {
 				c.file.Sync()
-				synced = c.index
+				synced = c.version
 			}
 		}
-		before := c.index
+		before := c.version
 		c.file.PowerLoss(c.rng)
-		c.restore(c.read(c.file.Bytes()), before)
-		if c.index < synced || c.index > before {
-			t.Fatalf("version %d after the loss; %d was synced, %d written", c.index, synced, before)
+		c.restore(c.readRecords(c.file.Bytes()), before)
+		if c.version < synced || c.version > before {
+			t.Fatalf("version %d after the loss; %d was synced, %d written", c.version, synced, before)
 		}
-		if got := fmt.Sprint(c.entries); got != states[c.index] {
-			t.Fatalf("at version %d: %s, was %s", c.index, got, states[c.index])
+		if got := fmt.Sprint(c.entries); got != states[c.version] {
+			t.Fatalf("at version %d: %s, was %s", c.version, got, states[c.version])
 		}
-		c.notify(Entry{Name: "s9", Status: Serving})
-		if again := c.read(c.file.Bytes()); len(again) == 0 || again[len(again)-1].Index != c.index {
+		c.commit(Entry{Name: "s9", Status: Serving})
+		if again := c.readRecords(c.file.Bytes()); len(again) == 0 || again[len(again)-1].Version != c.version {
 			t.Fatal("what is written after a loss cannot be read")
 		}
 	})
@@ -59,7 +59,7 @@
 	type answer struct {
 		Index     int64
 		Snapshot  bool
-		Endpoints []line
+		Endpoints []wireEntry
 	}
 	for _, test := range []struct {
 		name      string
@@ -83,7 +83,7 @@
 		}, after: time.Second, whole: true, lines: 3},
 		{name: "newer than the service, which was rolled back", from: 3, do: func(c *Catalog) { c.Rollback(1) },
 			after: time.Second, whole: true, lines: 2},
-		{name: "down", from: 3, do: func(c *Catalog) { c.Down() }, after: time.Second, failed: true},
+		{name: "down", from: 3, do: func(c *Catalog) { c.TakeDown() }, after: time.Second, failed: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -93,17 +93,17 @@
 				if test.do != nil {
 					test.do(c)
 				}
-				q := &call{proxy: "p", from: test.from, since: time.Now(), until: time.Now().Add(5 * time.Second),
+				call := &pollCall{proxy: "p", from: test.from, queuedAt: time.Now(), holdUntil: time.Now().Add(5 * time.Second),
 					reply: make(chan []byte, 1)}
 				began := time.Now()
-				c.on(func() {
-					if c.down > 0 {
-						close(q.reply)
+				c.run(func() {
+					if c.downFaults > 0 {
+						close(call.reply)
 						return
 					}
-					c.line = append(c.line, q)
+					c.queue = append(c.queue, call)
 				})
-				text, ok := <-q.reply
+				text, ok := <-call.reply
 				took := time.Since(began)
 				stop()
 				<-c.done
@@ -130,20 +130,20 @@
 
 // An answer that a cut held back for a process which was killed meanwhile tells the process after it nothing: what that one
 // sends later breaks no rule. An answer to itself does.
-func TestAnAnswerToADeadProcessTellsTheNextNothing(t *testing.T) {
+func TestAnswerToDeadProcessDoesNotNotifyItsSuccessor(t *testing.T) {
 	for _, dead := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
 		known := []referee.Entry{{Server: "s0", Serving: true}}
-		c.ref.RecordProxyStart("p", known, began)
-		process := c.ref.StartCount("p")
+		c.referee.RecordProxyStart("p", known, began)
+		process := c.referee.StartCount("p")
 		if dead {
-			c.ref.RecordProxyStart("p", known, began.Add(time.Second))
+			c.referee.RecordProxyStart("p", known, began.Add(time.Second))
 		}
-		c.notified("p", process, &call{lines: []referee.Entry{{Server: "s0", Serving: false}}}, began.Add(2*time.Second))
+		c.recordAnswer("p", process, &pollCall{entries: []referee.Entry{{Server: "s0", Serving: false}}}, began.Add(2*time.Second))
 		try := &referee.ClientAttempt{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Hour)}
-		c.ref.RecordSend(try, "p")
-		c.ref.BeginAttempt(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", FirstByteAt: began.Add(time.Minute), LastByteAt: began.Add(time.Minute)})
-		if broken := c.ref.Close().ViolationCounts["drain"]; (broken > 0) == dead {
+		c.referee.RecordSend(try, "p")
+		c.referee.BeginAttempt(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", FirstByteAt: began.Add(time.Minute), LastByteAt: began.Add(time.Minute)})
+		if broken := c.referee.Close().ViolationCounts["drain"]; (broken > 0) == dead {
 			t.Errorf("a dead process %v: drain broken %d times", dead, broken)
 		}
 	}
@@ -151,61 +151,61 @@
 
 // An answer that was composed before another one, and leaves a slow link after it, tells its proxy nothing: the proxy has
 // given that call up, and what it acts on is the newer answer.
-func TestAnAnswerThatANewerOneOvertookTellsNothing(t *testing.T) {
+func TestOvertakenAnswerIsIgnored(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
-		c.ref.RecordProxyStart("p", []referee.Entry{{Server: "s0", Serving: true}}, began)
-		process, held := c.ref.StartCount("p"), c.index
-		ask := func(status string, since int64) *call {
-			c.notify(Entry{Name: "s0", Status: status, Since: since})
-			q := &call{proxy: "p", from: held, reply: make(chan []byte, 1)}
-			c.answer(q, began)
-			return q
+		c.referee.RecordProxyStart("p", []referee.Entry{{Server: "s0", Serving: true}}, began)
+		process, held := c.referee.StartCount("p"), c.version
+		ask := func(status string, since int64) *pollCall {
+			c.commit(Entry{Name: "s0", Status: status, Since: since})
+			call := &pollCall{proxy: "p", from: held, reply: make(chan []byte, 1)}
+			c.answer(call, began)
+			return call
 		}
 		drains, back := ask(Draining, 0), ask(Serving, 7)
-		told := []*call{drains, back}
+		told := []*pollCall{drains, back}
 		if overtaken {
-			told = []*call{back, drains}
+			told = []*pollCall{back, drains}
 		}
-		for i, q := range told {
-			c.notified("p", process, q, began.Add(time.Duration(i+1)*time.Second))
+		for i, call := range told {
+			c.recordAnswer("p", process, call, began.Add(time.Duration(i+1)*time.Second))
 		}
 		try := &referee.ClientAttempt{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Hour)}
-		c.ref.RecordSend(try, "p")
-		c.ref.BeginAttempt(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", FirstByteAt: began.Add(time.Minute), LastByteAt: began.Add(time.Minute)})
-		if broken := c.ref.Close().ViolationCounts["drain"]; broken != 0 {
+		c.referee.RecordSend(try, "p")
+		c.referee.BeginAttempt(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", FirstByteAt: began.Add(time.Minute), LastByteAt: began.Add(time.Minute)})
+		if broken := c.referee.Close().ViolationCounts["drain"]; broken != 0 {
 			t.Errorf("overtaken %v: drain broken %d times", overtaken, broken)
 		}
 	}
 }
 
 // A call that has waited too long for its turn fails then, and takes its turn all the same; a watch that goes on takes none.
-func TestACallInVainTakesItsTurn(t *testing.T) {
+func TestTimedOutCallKeepsItsPlaceInTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		c := newCatalog(1, 1)
-		c.cfg.Call, c.cfg.Wait = 60*time.Millisecond, 100*time.Millisecond
+		c.config.CallWork, c.config.QueueTimeout = 60*time.Millisecond, 100*time.Millisecond
 		go c.Run(ctx)
 		began := time.Now()
 		ends := map[string]time.Duration{}
 		var mu sync.Mutex
 		var all sync.WaitGroup
-		ask := func(name string, q *call) {
-			q.proxy, q.since, q.reply = name, time.Now(), make(chan []byte, 1)
-			c.on(func() { c.line = append(c.line, q) })
+		ask := func(name string, call *pollCall) {
+			call.proxy, call.queuedAt, call.reply = name, time.Now(), make(chan []byte, 1)
+			c.run(func() { c.queue = append(c.queue, call) })
 			all.Go(func() {
-				_, ok := <-q.reply
+				_, ok := <-call.reply
 				mu.Lock()
 				defer mu.Unlock()
 				ends[fmt.Sprint(name, " ", ok)] = time.Since(began)
 			})
 		}
 		for _, name := range []string{"a", "b", "c", "d"} {
-			ask(name, &call{from: -1})
+			ask(name, &pollCall{from: -1})
 		}
-		ask("goes on", &call{from: 0, continues: true})
+		ask("goes on", &pollCall{from: 0, continues: true})
 		time.Sleep(150 * time.Millisecond)
-		ask("e", &call{from: -1})
+		ask("e", &pollCall{from: -1})
 		all.Wait()
 		stop()
 		<-c.done
@@ -223,19 +223,19 @@
 }
 
 // A process that takes a proxy's place begins from the list as the one before it last had it.
-func TestANewProcessKnowsWhatItsProxyLastHad(t *testing.T) {
+func TestNewProcessStartsFromLastNotifiedList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		c := newCatalog(2, 1)
 		go c.Run(ctx)
-		c.note("p", c.index)
+		c.recordVersion("p", c.version)
 		c.Change(Entry{Name: "s0", Status: Draining})
 		time.Sleep(2 * time.Second)
 		for proxy, want := range map[string]string{"p": Serving, "new": Draining} {
 			text, told := c.Snapshot(proxy, 1, rand.New(rand.NewPCG(1, 1)))
 			var list struct {
 				Index     int64
-				Endpoints []line
+				Endpoints []wireEntry
 			}
 			if err := json.Unmarshal(text, &list); err != nil {
 				t.Fatal(err)
--- a/internal/faultlab/catalog/record.go
+++ b/internal/faultlab/catalog/record.go
@@ -10,27 +10,27 @@
 )
 
 // change is one version of the list.
-type change struct {
-	Index int64 `json:"index"`
-	Entry Entry `json:"entry"`
+type versionRecord struct {
+	Version int64 `json:"index"`
+	Entry   Entry `json:"entry"`
 }
 
 // back begins again from these records, up to a version. What was told after that is told again.
-func (c *Catalog) back(records []change, upTo int64) {
+func (c *Catalog) rollBack(records []versionRecord, upTo int64) {
 	former := c.changes
 	c.restore(records, upTo)
-	c.drop()
-	again := time.Now().Add(registerAgain)
-	for _, v := range former {
-		if v.Index > c.index {
-			c.pending = append(c.pending, due{again, v.Entry})
+	c.failCalls()
+	again := time.Now().Add(reregisterDelay)
+	for _, record := range former {
+		if record.Version > c.version {
+			c.pending = append(c.pending, pendingChange{again, record.Entry})
 		}
 	}
 }
 
 // tell makes an entry the next version. A disk that takes no record of it keeps the version from coming about.
-func (c *Catalog) notify(e Entry) bool {
-	next := change{c.index + 1, e}
+func (c *Catalog) commit(entry Entry) bool {
+	next := versionRecord{c.version + 1, entry}
 	text, err := json.Marshal(next)
 	if err != nil {
 		panic(err) // a struct of strings and numbers
@@ -42,48 +42,48 @@
 	return true
 }
 
-func (c *Catalog) apply(v change) {
-	c.index = v.Index
-	v.applyTo(c.entries)
-	c.ref.RecordListed(v.Entry.Name, v.Entry.Status == Serving, v.Entry.Since, time.Now())
-	c.changes = append(c.changes, v)
-	if over := len(c.changes) - c.cfg.Retain; over > 0 {
+func (c *Catalog) apply(record versionRecord) {
+	c.version = record.Version
+	record.applyTo(c.entries)
+	c.referee.RecordListed(record.Entry.Name, record.Entry.Status == Serving, record.Entry.Since, time.Now())
+	c.changes = append(c.changes, record)
+	if over := len(c.changes) - c.config.RetainedChanges; over > 0 {
 		c.changes = slices.Clone(c.changes[over:])
 	}
 }
 
-func (v change) applyTo(entries map[string]Entry) {
-	if v.Entry.Status == Deleted {
-		delete(entries, v.Entry.Name)
+func (r versionRecord) applyTo(entries map[string]Entry) {
+	if r.Entry.Status == Deleted {
+		delete(entries, r.Entry.Name)
 		return
 	}
-	entries[v.Entry.Name] = v.Entry
+	entries[r.Entry.Name] = r.Entry
 }
 
 // asOf is the list as it was at a version.
-func (c *Catalog) asOf(version int64) map[string]Entry {
+func (c *Catalog) entriesAt(version int64) map[string]Entry {
 	entries := map[string]Entry{}
-	for _, v := range c.read(c.file.Bytes()) {
-		if v.Index > version {
+	for _, record := range c.readRecords(c.file.Bytes()) {
+		if record.Version > version {
 			break
 		}
-		v.applyTo(entries)
+		record.applyTo(entries)
 	}
 	return entries
 }
 
 // read takes the records of a file up to the first that is torn.
-func (c *Catalog) read(data []byte) []change {
-	var out []change
+func (c *Catalog) readRecords(data []byte) []versionRecord {
+	var out []versionRecord
 	whole := 0
 	for len(data) > whole {
 		text, _, ok := bytes.Cut(data[whole:], []byte("\n"))
-		var v change
+		var record versionRecord
 		if !ok || len(text) < 10 || fmt.Sprintf("%08x", crc32.ChecksumIEEE(text[9:])) != string(text[:8]) ||
-			json.Unmarshal(text[9:], &v) != nil {
+			json.Unmarshal(text[9:], &record) != nil {
 			break
 		}
-		out = append(out, v)
+		out = append(out, record)
 		whole += len(text) + 1
 	}
 	c.file.Truncate(whole)
@@ -91,16 +91,16 @@
 }
 
 // restore begins from these records, up to a version.
-func (c *Catalog) restore(records []change, upTo int64) {
-	c.index, c.entries, c.changes = 0, map[string]Entry{}, nil
-	c.ref.RecordListLost()
+func (c *Catalog) restore(records []versionRecord, upTo int64) {
+	c.version, c.entries, c.changes = 0, map[string]Entry{}, nil
+	c.referee.RecordListLost()
 	whole := 0
-	for _, v := range records {
-		if v.Index > upTo {
+	for _, record := range records {
+		if record.Version > upTo {
 			break
 		}
-		c.apply(v)
-		text, _ := json.Marshal(v)
+		c.apply(record)
+		text, _ := json.Marshal(record)
 		whole += len(text) + 10
 	}
 	c.file.Truncate(whole)
--- a/internal/faultlab/catalog/serve.go
+++ b/internal/faultlab/catalog/serve.go
@@ -13,26 +13,26 @@
 )
 
 // call is a proxy's call.
-type call struct {
-	proxy    string
-	from     int64 // -1: the whole list
-	until    time.Time
-	since    time.Time // that it stands in line
-	reply    chan []byte
-	lines    []referee.Entry
-	snapshot bool
-	index    int64 // that it was answered with
-	order    int64 // in which it was answered
+type pollCall struct {
+	proxy     string
+	from      int64 // -1: the whole list
+	holdUntil time.Time
+	queuedAt  time.Time // that it stands in line
+	reply     chan []byte
+	entries   []referee.Entry
+	snapshot  bool
+	version   int64 // that it was answered with
+	order     int64 // in which it was answered
 
 	continues bool // it goes on from the last answer, and takes no turn
 	failed    bool // it has waited too long
 }
 
 // fail ends a call without an answer, once.
-func (q *call) fail() {
-	if !q.failed {
-		q.failed = true
-		close(q.reply)
+func (p *pollCall) fail() {
+	if !p.failed {
+		p.failed = true
+		close(p.reply)
 	}
 }
 
@@ -40,17 +40,17 @@
 func (c *Catalog) Serve(proxy string, conn *link.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
-	process := c.ref.StartCount(proxy)
+	process := c.referee.StartCount(proxy)
 	for {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		c.ref.RecordPoll(proxy)
-		status, body, q := c.handle(proxy, req, conn)
-		told := func(at time.Time) { c.notified(proxy, process, q, at) }
+		c.referee.RecordPoll(proxy)
+		status, body, call := c.handle(proxy, req, conn)
+		told := func(at time.Time) { c.recordAnswer(proxy, process, call, at) }
 		if err := conn.WriteAfter(wire.JSONResponse(status, body), told); err != nil {
-			c.ref.RecordPollFailed(proxy, time.Now())
+			c.referee.RecordPollFailed(proxy, time.Now())
 			return
 		}
 		if req.Close {
@@ -61,44 +61,44 @@
 
 // told notes an answer that goes to a process of a proxy, nil for the call if it failed. What a cut held back for a process
 // that has been killed since tells the next one nothing.
-func (c *Catalog) notified(proxy string, process int, q *call, at time.Time) {
+func (c *Catalog) recordAnswer(proxy string, process int, call *pollCall, at time.Time) {
 	switch {
-	case c.ref.StartCount(proxy) != process:
-	case q == nil:
-		c.ref.RecordPollFailed(proxy, at)
+	case c.referee.StartCount(proxy) != process:
+	case call == nil:
+		c.referee.RecordPollFailed(proxy, at)
 	default:
-		c.note(proxy, q.index)
-		c.ref.RecordUpdate(proxy, referee.ListUpdate{Entries: q.lines, Snapshot: q.snapshot, Order: q.order}, at)
+		c.recordVersion(proxy, call.version)
+		c.referee.RecordUpdate(proxy, referee.ListUpdate{Entries: call.entries, Snapshot: call.snapshot, Order: call.order}, at)
 	}
 }
 
 // handle answers one call: nil for the call if it failed.
-func (c *Catalog) handle(proxy string, req *http.Request, conn *link.Conn) (int, []byte, *call) {
+func (c *Catalog) handle(proxy string, req *http.Request, conn *link.Conn) (int, []byte, *pollCall) {
 	if req.Method != http.MethodGet || req.URL.Path != "/catalog/members" {
 		return http.StatusNotFound, nil, nil
 	}
 	now := time.Now()
-	q := &call{proxy: proxy, from: -1, since: now, reply: make(chan []byte, 1)}
+	call := &pollCall{proxy: proxy, from: -1, queuedAt: now, reply: make(chan []byte, 1)}
 	if from := req.URL.Query().Get("from"); from != "" {
 		n, err := strconv.ParseInt(from, 10, 64)
 		hold, err2 := strconv.ParseInt(req.URL.Query().Get("hold_ms"), 10, 64)
 		if err != nil || err2 != nil || n < 0 || hold < 0 {
 			return http.StatusBadRequest, nil, nil
 		}
-		q.from, q.until = n, now.Add(min(maxHold, time.Duration(hold)*time.Millisecond))
+		call.from, call.holdUntil = n, now.Add(min(maxHoldTime, time.Duration(hold)*time.Millisecond))
 	}
 	taken := false
-	c.on(func() {
-		if c.down > 0 || len(c.line)+len(c.waiting) >= c.cfg.Most {
+	c.run(func() {
+		if c.downFaults > 0 || len(c.queue)+len(c.watches) >= c.config.MaxWaitingCalls {
 			return
 		}
-		if last, ok := c.ended[proxy]; ok && q.from >= 0 {
-			if q.continues = now.Sub(last) <= continueTime; !q.continues {
-				c.ref.UpdateTally(func(t *referee.Tally) { t.WatchBreaks++ })
+		if last, ok := c.lastAnswers[proxy]; ok && call.from >= 0 {
+			if call.continues = now.Sub(last) <= continueWindow; !call.continues {
+				c.referee.UpdateTally(func(t *referee.Tally) { t.WatchBreaks++ })
 			}
 		}
 		taken = true
-		c.line = append(c.line, q)
+		c.queue = append(c.queue, call)
 	})
 	if !taken {
 		return http.StatusServiceUnavailable, nil, nil
@@ -111,15 +111,15 @@
 	}()
 	defer close(stop)
 	select {
-	case body, ok := <-q.reply:
+	case body, ok := <-call.reply:
 		if !ok {
 			return http.StatusServiceUnavailable, nil, nil
 		}
-		return http.StatusOK, body, q
+		return http.StatusOK, body, call
 	case <-gone: // its caller has given up or died: the call leaves the line
-		c.on(func() {
-			c.line = slices.DeleteFunc(c.line, func(o *call) bool { return o == q })
-			c.waiting = slices.DeleteFunc(c.waiting, func(o *call) bool { return o == q })
+		c.run(func() {
+			c.queue = slices.DeleteFunc(c.queue, func(o *pollCall) bool { return o == call })
+			c.watches = slices.DeleteFunc(c.watches, func(o *pollCall) bool { return o == call })
 		})
 		return http.StatusServiceUnavailable, nil, nil
 	case <-c.done:
--- a/internal/faultlab/run/faults_lists.go
+++ b/internal/faultlab/run/faults_lists.go
@@ -60,7 +60,7 @@
 		if err != nil {
 			return err
 		}
-		up := t.catalog.Down()
+		up := t.catalog.TakeDown()
 		back := t.ref.BeginListOutage("", time.Now())
 		t.net.Reset(links)
 		if planned.Fault.Kind == "list_power_loss" {
@@ -80,11 +80,11 @@
 	case "list_down", "list_power_loss":
 		return down()
 	case "list_slow":
-		return during(t.catalog.Slow(planned.Fault.Factor))
+		return during(t.catalog.SlowDown(planned.Fault.Factor))
 	case "list_stale":
-		return during(t.catalog.Stale())
+		return during(t.catalog.Freeze())
 	case "list_disk_full":
-		return during(t.catalog.Full())
+		return during(t.catalog.FillDisk())
 	case "list_rollback":
 		t.catalog.Rollback(planned.Fault.Versions)
 		return nil
--- a/internal/faultlab/run/testbed.go
+++ b/internal/faultlab/run/testbed.go
@@ -137,9 +137,9 @@
 // buildCatalog creates the catalog, which stands in for the list service, with a link from each proxy.
 func (bed *testbed) buildCatalog(entries []catalog.Entry) error {
 	l := bed.experiment.List
-	bed.catalog = catalog.New(catalog.Config{Lag: experiment.Millis(l.NotificationDelayMs), Call: experiment.Millis(l.CallMs),
-		Line: time.Duration(l.EntryUs * float64(time.Microsecond)), Wait: experiment.Millis(l.QueueTimeoutMs),
-		Sync: experiment.Millis(l.SyncIntervalMs), Retain: l.RetainedChanges, Most: l.MaxWaitingCalls, Seed: bed.plan.Seed, Address: bed.address,
+	bed.catalog = catalog.New(catalog.Config{NotificationDelay: experiment.Millis(l.NotificationDelayMs), CallWork: experiment.Millis(l.CallMs),
+		EntryWork: time.Duration(l.EntryUs * float64(time.Microsecond)), QueueTimeout: experiment.Millis(l.QueueTimeoutMs),
+		SyncInterval: experiment.Millis(l.SyncIntervalMs), RetainedChanges: l.RetainedChanges, MaxWaitingCalls: l.MaxWaitingCalls, Seed: bed.plan.Seed, Address: bed.address,
 	}, bed.ref, entries)
 	for _, proxy := range bed.proxyOrder {
 		ends := link.Ends{Kind: "list", From: proxy.node.Name, FromZone: proxy.node.Zone, ToZone: l.Zone}
