--- a/internal/faultlab/catalog/answer.go
+++ b/internal/faultlab/catalog/answer.go
@@ -9,21 +9,21 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// line is an entry on the wire.
+// wireEntry is an entry of an answer, with the proxy's own address of the server.
 type wireEntry struct {
 	Entry
 	Address string  `json:"address"`
 	Weight  float64 `json:"weight"`
 }
 
-// step tells what is due and answers the calls whose turn it is; the next one is due after the time that it returns.
+// advance commits the due changes and answers the calls that are due; it returns the time until it must be called again.
 func (c *Catalog) advance(now time.Time) time.Duration {
 	if now.Sub(c.syncedAt) >= c.config.SyncInterval {
 		c.file.Sync()
 		c.syncedAt = now
 	}
 	next := c.config.SyncInterval
-	news := false
+	changed := false
 	for len(c.pending) > 0 && c.staleFaults == 0 && c.downFaults == 0 {
 		if wait := c.pending[0].dueAt.Sub(now); wait > 0 {
 			next = min(next, wait)
@@ -33,11 +33,11 @@
 			break
 		}
 		c.pending = c.pending[1:]
-		news = true
+		changed = true
 	}
 	kept := c.watches[:0]
 	for _, w := range c.watches {
-		if news || !now.Before(w.holdUntil) {
+		if changed || !now.Before(w.holdUntil) {
 			w.queuedAt = now
 			c.queue = append(c.queue, w)
 		} else {
@@ -52,8 +52,8 @@
 	return max(next, minStepInterval)
 }
 
-// serveLine answers the calls whose turn it is, and returns how long it is until the next one is due. A watch that goes on
-// takes no turn. A call that has waited too long fails then, and takes its turn all the same, as the platform's do.
+// serveQueue answers the calls that are due and returns the time until the next one is. A watch that continues is not queued. A call
+// that waited too long fails then and still keeps its place, as on the platform.
 func (c *Catalog) serveQueue(now time.Time) time.Duration {
 	next := c.config.SyncInterval
 	line := c.queue
@@ -81,12 +81,12 @@
 	return next
 }
 
-// cost is how long the service is busy with an answer of so many lines.
+// workOf is the time that an answer with a number of entries takes.
 func (c *Catalog) workOf(lines int) time.Duration {
 	return time.Duration(c.slowdown * float64(c.config.CallWork+time.Duration(lines)*c.config.EntryWork))
 }
 
-// answer answers a call and tells how long the service was busy with it.
+// answer answers a call, or adds it to the watches, and returns the time that this takes.
 func (c *Catalog) answer(call *pollCall, now time.Time) time.Duration {
 	var lines []wireEntry
 	call.snapshot = call.from < 0 || call.from > c.version || c.version > call.from && (len(c.changes) == 0 || c.changes[0].Version > call.from+1)
@@ -94,7 +94,7 @@
 		lines, call.entries = c.snapshot(call.proxy, c.entries)
 	} else {
 		if call.from == c.version && now.Before(call.holdUntil) {
-			call.continues = true // it has had its turn
+			call.continues = true // not queued again
 			c.watches = append(c.watches, call)
 			return c.workOf(0)
 		}
@@ -114,6 +114,7 @@
 	return c.workOf(len(lines))
 }
 
+// onWire is an entry as a proxy gets it.
 func (c *Catalog) onWire(proxy string, entry Entry) wireEntry {
 	return wireEntry{entry, c.config.Address(proxy, entry.Name), 1}
 }
@@ -122,20 +123,21 @@
 	return referee.Entry{Server: entry.Name, Serving: entry.Status == Serving, Since: entry.Since}
 }
 
+// snapshot is a list as a proxy gets it, by name, and as the referee records it.
 func (c *Catalog) snapshot(proxy string, entries map[string]Entry) ([]wireEntry, []referee.Entry) {
 	var lines []wireEntry
-	var told []referee.Entry
+	var known []referee.Entry
 	for _, entry := range entries {
 		lines = append(lines, c.onWire(proxy, entry))
 	}
 	slices.SortFunc(lines, func(a, b wireEntry) int { return strings.Compare(a.Name, b.Name) })
 	for _, l := range lines {
-		told = append(told, refereeEntry(l.Entry))
+		known = append(known, refereeEntry(l.Entry))
 	}
-	return lines, told
+	return lines, known
 }
 
-func encode(index int64, whole bool, lines []wireEntry) []byte {
+func encode(version int64, snapshot bool, lines []wireEntry) []byte {
 	if lines == nil {
 		lines = []wireEntry{}
 	}
@@ -143,14 +145,14 @@
 		Index     int64       `json:"index"`
 		Snapshot  bool        `json:"snapshot"`
 		Endpoints []wireEntry `json:"endpoints"`
-	}{index, whole, lines})
+	}{version, snapshot, lines})
 	if err != nil {
 		panic(err)
 	}
 	return text
 }
 
-// drop ends all calls without an answer.
+// failCalls ends all calls without an answer.
 func (c *Catalog) failCalls() {
 	for _, call := range append(c.queue, c.watches...) {
 		call.fail()
--- a/internal/faultlab/catalog/catalog.go
+++ b/internal/faultlab/catalog/catalog.go
@@ -1,8 +1,7 @@
-// Package catalog is the stand-in list service: the platform's discovery protocol, handled in turn, told late, kept in a
-// file that a power loss tears.
+// Package catalog stands in for the list service: it speaks the platform's discovery protocol, with delays, a queue of calls and a file
+// that a power loss can tear. It never checks what proxies do with the list.
 //
-// One goroutine, run, owns the list and answers all calls one after another; connections hand their calls to it and
-// wait.
+// One goroutine, Run, owns the list and answers all calls one after another; connections pass their calls to it.
 package catalog
 
 import (
@@ -16,7 +15,7 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// Entry is a server as the list has it; its address is each proxy's own.
+// Entry is a server in the list, without its address, which is different for each proxy.
 type Entry struct {
 	Name   string `json:"name"`
 	Zone   string `json:"zone"`
@@ -26,24 +25,24 @@
 	Since  int64  `json:"since_ms"`
 }
 
-// The words of Status.
+// Values of Status.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 )
 
-// Config is what the service is.
+// Config describes a catalog.
 type Config struct {
-	NotificationDelay time.Duration // from a change to its being told
-	CallWork          time.Duration // of the service for a call
-	EntryWork         time.Duration // and for a line of an answer
-	QueueTimeout      time.Duration // in line, at most
-	SyncInterval      time.Duration // between syncs of the file
-	RetainedChanges   int           // changes kept for watches
-	MaxWaitingCalls   int           // calls that are held, watches that wait included
+	NotificationDelay time.Duration // from a change until it is announced
+	CallWork          time.Duration // time for a call
+	EntryWork         time.Duration // and for an entry of an answer
+	QueueTimeout      time.Duration // of a call
+	SyncInterval      time.Duration // of the file
+	RetainedChanges   int           // for watches
+	MaxWaitingCalls   int           // calls in the queue and watches
 	Seed              uint64
-	// Address is where a proxy finds a server.
+	// Address is the address at which a proxy reaches a server.
 	Address func(proxy, nodo string) string
 }
 
@@ -51,37 +50,37 @@
 	maxHoldTime     = 60 * time.Second
 	minStepInterval = 100 * time.Microsecond
 
-	reregisterDelay = 3 * time.Second        // after a loss of versions
-	continueWindow  = 200 * time.Millisecond // a watch that comes later than this after the last answer is a new one
+	reregisterDelay = 3 * time.Second        // of servers whose entries were lost
+	continueWindow  = 200 * time.Millisecond // a watch that comes later after the last answer is a new one
 )
 
-// Catalog is the service.
+// Catalog is a running catalog.
 type Catalog struct {
 	config  Config
 	referee *referee.Referee
 	actions chan func()
 	done    chan struct{}
 
-	// What follows is run's alone.
+	// The following is used by Run only.
 	file           *faultdisk.File
 	version        int64
 	answeredCalls  int64 // calls
 	entries        map[string]Entry
-	changes        []versionRecord // of the last versions, in order
-	pending        []pendingChange // changes not told yet
-	watches        []*pollCall     // watches with nothing to tell
-	queue          []*pollCall     // calls in line
+	changes        []versionRecord // the last RetainedChanges versions, in order
+	pending        []pendingChange // changes not announced yet
+	watches        []*pollCall     // answered at the next change or the end of their hold
+	queue          []*pollCall     // calls not answered yet
 	busyUntil      time.Time
 	slowdown       float64
-	downFaults     int // faults that hold, as of the next
+	downFaults     int // number of active faults, as are the next
 	staleFaults    int
 	diskFullFaults int
 	syncedAt       time.Time
-	lastAnswers    map[string]time.Time // when each proxy's last watch was answered
+	lastAnswers    map[string]time.Time // by proxy
 	rng            *rand.Rand
 
 	mu               sync.Mutex
-	notifiedVersions map[string]int64 // the version that each proxy was last told
+	notifiedVersions map[string]int64 // last version of each proxy
 }
 
 type pendingChange struct {
@@ -89,7 +88,7 @@
 	entry Entry
 }
 
-// New is a service that holds these entries as versions of long ago.
+// New returns a catalog with these entries as synced versions.
 func New(cfg Config, ref *referee.Referee, entries []Entry) *Catalog {
 	c := &Catalog{config: cfg, referee: ref, actions: make(chan func()), done: make(chan struct{}), file: &faultdisk.File{},
 		entries: map[string]Entry{}, slowdown: 1, lastAnswers: map[string]time.Time{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), notifiedVersions: map[string]int64{}}
@@ -118,48 +117,48 @@
 	}
 }
 
+// run has the catalog's goroutine call f, and waits for it.
 func (c *Catalog) run(f func()) {
-	did := make(chan struct{})
+	called := make(chan struct{})
 	select {
-	case c.actions <- func() { f(); close(did) }:
-		<-did
+	case c.actions <- func() { f(); close(called) }:
+		<-called
 	case <-c.done:
 	}
 }
 
-// Change has the list hold an entry, and tells it after the lag.
+// Change adds an entry to the list, announced after NotificationDelay.
 func (c *Catalog) Change(entry Entry) {
 	c.run(func() {
 		c.pending = append(c.pending, pendingChange{time.Now().Add(c.config.NotificationDelay), entry})
 	})
 }
 
-// Down ends all calls, and has those that come end too, until end is called. Several add up, as do those below.
+// TakeDown fails all calls until end is called. Several such faults are combined, as are those below.
 func (c *Catalog) TakeDown() (end func()) {
 	c.run(func() { c.downFaults++; c.failCalls() })
 	return func() { c.run(func() { c.downFaults-- }) }
 }
 
-// Slow has calls take so many times as long until end is called.
+// SlowDown multiplies the time of calls until end is called.
 func (c *Catalog) SlowDown(factor float64) (end func()) {
 	c.run(func() { c.slowdown *= factor })
 	return func() { c.run(func() { c.slowdown /= factor }) }
 }
 
-// Stale has it tell nothing new until end is called.
+// Freeze announces no change until end is called.
 func (c *Catalog) Freeze() (end func()) {
 	c.run(func() { c.staleFaults++ })
 	return func() { c.run(func() { c.staleFaults-- }) }
 }
 
-// Rollback takes the last versions back, with what they told. Watches end: the service was restored from a copy. The
-// servers that lost their entries by it register again some time later, under versions that were used before.
+// Rollback removes the last versions, as after a restore from a backup: all calls fail, and servers whose entries were lost register
+// again after reregisterDelay, under versions that were used before.
 func (c *Catalog) Rollback(versions int) {
 	c.run(func() { c.rollBack(c.readRecords(c.file.Bytes()), c.version-int64(versions)) })
 }
 
-// PowerLoss loses what the file had not synced, and reads what is left. The versions go back by as much. It comes with
-// Down. It tells how many versions were lost.
+// PowerLoss loses what was not synced to the file and returns the number of lost versions. It is used while the catalog is down.
 func (c *Catalog) PowerLoss() (lost int64) {
 	c.run(func() {
 		before := c.version
@@ -170,20 +169,20 @@
 	return lost
 }
 
-// Full has the disk of its file full until end is called: a change that cannot be kept is not told.
+// FillDisk makes writes to the file fail until end is called: a change that cannot be stored is not announced.
 func (c *Catalog) FillDisk() (end func()) {
 	c.run(func() { c.diskFullFaults++; c.file.SetFull(true) })
 	return func() { c.run(func() { c.diskFullFaults--; c.file.SetFull(c.diskFullFaults > 0) }) }
 }
 
-// note keeps the version that a proxy was told.
+// recordVersion records the version that a proxy was notified of.
 func (c *Catalog) recordVersion(proxy string, index int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notifiedVersions[proxy] = index
 }
 
-// lastHeld is the version that a proxy was last told; false if it never was.
+// lastVersion is the last version that a proxy was notified of; false if there is none.
 func (c *Catalog) lastVersion(proxy string) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,26 +190,26 @@
 	return index, ok
 }
 
-// Snapshot is the list as a proxy is told it at its start, with what the referee notes of it: as its former process last had
-// it, as on the platform, or as it is now.
-func (c *Catalog) Snapshot(proxy string, part float64, r *rand.Rand) (list json.RawMessage, told []referee.Entry) {
+// Snapshot is the list for a proxy's configuration, as text and for the referee: as its former process last received it, as on the
+// platform, or the current one. Each entry is kept with a probability of fraction.
+func (c *Catalog) Snapshot(proxy string, fraction float64, random *rand.Rand) (list json.RawMessage, known []referee.Entry) {
 	c.run(func() {
 		entries, version := c.entries, c.version
 		if held, ok := c.lastVersion(proxy); ok && held < c.version {
 			entries, version = c.entriesAt(held), held
 		}
-		lines, noted := c.snapshot(proxy, entries)
-		whole, kept := len(lines), lines[:0]
+		lines, all := c.snapshot(proxy, entries)
+		total, kept := len(lines), lines[:0]
 		for i, l := range lines {
-			if r.Float64() < part {
+			if random.Float64() < fraction {
 				kept = append(kept, l)
-				told = append(told, noted[i])
+				known = append(known, all[i])
 			}
 		}
-		if len(kept) < whole { // no version of the list looked so: a caller must not go on from it
+		if len(kept) < total { // not a version of the list: a watch must not continue from it
 			version = -1
 		}
 		list = encode(version, true, kept)
 	})
-	return list, told
+	return list, known
 }
--- a/internal/faultlab/catalog/catalog_test.go
+++ b/internal/faultlab/catalog/catalog_test.go
@@ -24,7 +24,7 @@
 		RetainedChanges: 4, MaxWaitingCalls: 3, Seed: seed, Address: func(_, nodo string) string { return nodo + ":1" }}, referee.New(referee.Config{Classes: []referee.Class{{}}, MaxAttempts: 3}), entries)
 }
 
-// After a power loss the list is what it was at some version not older than the last sync: whole records, in order.
+// After a power loss the list is that of some version not older than the last sync: complete records, in order.
 func TestPowerLossKeepsSyncedVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCatalog(2, rapid.Uint64().Draw(t, "seed"))
@@ -128,8 +128,8 @@
 	}
 }
 
-// An answer that a cut held back for a process which was killed meanwhile tells the process after it nothing: what that one
-// sends later breaks no rule. An answer to itself does.
+// An answer that a cut delayed until its process was killed does not notify the next process, whose later sends break no rule. An
+// answer to that process does.
 func TestAnswerToDeadProcessDoesNotNotifyItsSuccessor(t *testing.T) {
 	for _, dead := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
@@ -149,8 +149,7 @@
 	}
 }
 
-// An answer that was composed before another one, and leaves a slow link after it, tells its proxy nothing: the proxy has
-// given that call up, and what it acts on is the newer answer.
+// An answer that passes a slow link after a newer one does not notify its proxy, which has given that call up.
 func TestOvertakenAnswerIsIgnored(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
@@ -179,7 +178,7 @@
 	}
 }
 
-// A call that has waited too long for its turn fails then, and takes its turn all the same; a watch that goes on takes none.
+// A call that waited too long fails and still keeps its place in the queue; a watch that continues is not queued.
 func TestTimedOutCallKeepsItsPlaceInTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -222,7 +221,7 @@
 	})
 }
 
-// A process that takes a proxy's place begins from the list as the one before it last had it.
+// A proxy's next process starts from the list that its former one last received.
 func TestNewProcessStartsFromLastNotifiedList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/faultlab/catalog/record.go
+++ b/internal/faultlab/catalog/record.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// change is one version of the list.
+// versionRecord is one version of the list, as in the file.
 type versionRecord struct {
 	Version int64 `json:"index"`
 	Entry   Entry `json:"entry"`
 }
 
-// back begins again from these records, up to a version. What was told after that is told again.
+// rollBack restarts the list from records up to a version. Later changes are announced again after reregisterDelay.
 func (c *Catalog) rollBack(records []versionRecord, upTo int64) {
 	former := c.changes
 	c.restore(records, upTo)
@@ -28,12 +28,12 @@
 	}
 }
 
-// tell makes an entry the next version. A disk that takes no record of it keeps the version from coming about.
+// commit makes an entry the next version; false if it could not be stored.
 func (c *Catalog) commit(entry Entry) bool {
 	next := versionRecord{c.version + 1, entry}
 	text, err := json.Marshal(next)
 	if err != nil {
-		panic(err) // a struct of strings and numbers
+		panic(err) // cannot fail: strings and numbers
 	}
 	if c.file.Append(fmt.Appendf(nil, "%08x %s\n", crc32.ChecksumIEEE(text), text)) != nil {
 		return false
@@ -60,7 +60,7 @@
 	entries[r.Entry.Name] = r.Entry
 }
 
-// asOf is the list as it was at a version.
+// entriesAt is the list at a version.
 func (c *Catalog) entriesAt(version int64) map[string]Entry {
 	entries := map[string]Entry{}
 	for _, record := range c.readRecords(c.file.Bytes()) {
@@ -72,36 +72,36 @@
 	return entries
 }
 
-// read takes the records of a file up to the first that is torn.
+// readRecords parses the records of a file up to the first invalid one, and truncates the file there.
 func (c *Catalog) readRecords(data []byte) []versionRecord {
 	var out []versionRecord
-	whole := 0
-	for len(data) > whole {
-		text, _, ok := bytes.Cut(data[whole:], []byte("\n"))
+	valid := 0
+	for len(data) > valid {
+		text, _, ok := bytes.Cut(data[valid:], []byte("\n"))
 		var record versionRecord
 		if !ok || len(text) < 10 || fmt.Sprintf("%08x", crc32.ChecksumIEEE(text[9:])) != string(text[:8]) ||
 			json.Unmarshal(text[9:], &record) != nil {
 			break
 		}
 		out = append(out, record)
-		whole += len(text) + 1
+		valid += len(text) + 1
 	}
-	c.file.Truncate(whole)
+	c.file.Truncate(valid)
 	return out
 }
 
-// restore begins from these records, up to a version.
+// restore sets the list to records up to a version.
 func (c *Catalog) restore(records []versionRecord, upTo int64) {
 	c.version, c.entries, c.changes = 0, map[string]Entry{}, nil
 	c.referee.RecordListLost()
-	whole := 0
+	valid := 0
 	for _, record := range records {
 		if record.Version > upTo {
 			break
 		}
 		c.apply(record)
 		text, _ := json.Marshal(record)
-		whole += len(text) + 10
+		valid += len(text) + 10
 	}
-	c.file.Truncate(whole)
+	c.file.Truncate(valid)
 }
--- a/internal/faultlab/catalog/serve.go
+++ b/internal/faultlab/catalog/serve.go
@@ -12,23 +12,23 @@
 	"merlinpick/internal/faultlab/wire"
 )
 
-// call is a proxy's call.
+// pollCall is a poll of a proxy.
 type pollCall struct {
 	proxy     string
-	from      int64 // -1: the whole list
+	from      int64 // version; -1: the complete list
 	holdUntil time.Time
-	queuedAt  time.Time // that it stands in line
+	queuedAt  time.Time // when it was queued
 	reply     chan []byte
 	entries   []referee.Entry
 	snapshot  bool
-	version   int64 // that it was answered with
-	order     int64 // in which it was answered
+	version   int64 // of the answer
+	order     int64 // of the answer, among all
 
-	continues bool // it goes on from the last answer, and takes no turn
-	failed    bool // it has waited too long
+	continues bool // a watch that continues from the last answer is not queued
+	failed    bool // it has failed
 }
 
-// fail ends a call without an answer, once.
+// fail ends a call without an answer; further calls do nothing.
 func (p *pollCall) fail() {
 	if !p.failed {
 		p.failed = true
@@ -48,8 +48,8 @@
 		}
 		c.referee.RecordPoll(proxy)
 		status, body, call := c.handle(proxy, req, conn)
-		told := func(at time.Time) { c.recordAnswer(proxy, process, call, at) }
-		if err := conn.WriteAfter(wire.JSONResponse(status, body), told); err != nil {
+		record := func(at time.Time) { c.recordAnswer(proxy, process, call, at) }
+		if err := conn.WriteAfter(wire.JSONResponse(status, body), record); err != nil {
 			c.referee.RecordPollFailed(proxy, time.Now())
 			return
 		}
@@ -59,8 +59,8 @@
 	}
 }
 
-// told notes an answer that goes to a process of a proxy, nil for the call if it failed. What a cut held back for a process
-// that has been killed since tells the next one nothing.
+// recordAnswer records an answer that is written to a process of a proxy; poll is nil if the call failed. An answer that a cut delayed
+// until after the process was killed does not notify the next one.
 func (c *Catalog) recordAnswer(proxy string, process int, call *pollCall, at time.Time) {
 	switch {
 	case c.referee.StartCount(proxy) != process:
@@ -72,35 +72,16 @@
 	}
 }
 
-// handle answers one call: nil for the call if it failed.
-func (c *Catalog) handle(proxy string, req *http.Request, conn *link.Conn) (int, []byte, *pollCall) {
-	if req.Method != http.MethodGet || req.URL.Path != "/catalog/members" {
+// handle answers one request; the call is nil if it failed.
+func (c *Catalog) handle(proxy string, request *http.Request, conn *link.Conn) (status int, body []byte, poll *pollCall) {
+	if request.Method != http.MethodGet || request.URL.Path != "/catalog/members" {
 		return http.StatusNotFound, nil, nil
 	}
-	now := time.Now()
-	call := &pollCall{proxy: proxy, from: -1, queuedAt: now, reply: make(chan []byte, 1)}
-	if from := req.URL.Query().Get("from"); from != "" {
-		n, err := strconv.ParseInt(from, 10, 64)
-		hold, err2 := strconv.ParseInt(req.URL.Query().Get("hold_ms"), 10, 64)
-		if err != nil || err2 != nil || n < 0 || hold < 0 {
-			return http.StatusBadRequest, nil, nil
-		}
-		call.from, call.holdUntil = n, now.Add(min(maxHoldTime, time.Duration(hold)*time.Millisecond))
+	poll, ok := parsePoll(proxy, request)
+	if !ok {
+		return http.StatusBadRequest, nil, nil
 	}
-	taken := false
-	c.run(func() {
-		if c.downFaults > 0 || len(c.queue)+len(c.watches) >= c.config.MaxWaitingCalls {
-			return
-		}
-		if last, ok := c.lastAnswers[proxy]; ok && call.from >= 0 {
-			if call.continues = now.Sub(last) <= continueWindow; !call.continues {
-				c.referee.UpdateTally(func(t *referee.Tally) { t.WatchBreaks++ })
-			}
-		}
-		taken = true
-		c.queue = append(c.queue, call)
-	})
-	if !taken {
+	if !c.enqueue(poll) {
 		return http.StatusServiceUnavailable, nil, nil
 	}
 	stop, gone := make(chan struct{}), make(chan struct{})
@@ -111,18 +92,52 @@
 	}()
 	defer close(stop)
 	select {
-	case body, ok := <-call.reply:
+	case body, ok := <-poll.reply:
 		if !ok {
 			return http.StatusServiceUnavailable, nil, nil
 		}
-		return http.StatusOK, body, call
-	case <-gone: // its caller has given up or died: the call leaves the line
+		return http.StatusOK, body, poll
+	case <-gone: // the proxy closed the connection
 		c.run(func() {
-			c.queue = slices.DeleteFunc(c.queue, func(o *pollCall) bool { return o == call })
-			c.watches = slices.DeleteFunc(c.watches, func(o *pollCall) bool { return o == call })
+			c.queue = slices.DeleteFunc(c.queue, func(other *pollCall) bool { return other == poll })
+			c.watches = slices.DeleteFunc(c.watches, func(other *pollCall) bool { return other == poll })
 		})
 		return http.StatusServiceUnavailable, nil, nil
 	case <-c.done:
 		return http.StatusServiceUnavailable, nil, nil
 	}
 }
+
+// parsePoll is a request's call; false if its parameters are invalid.
+func parsePoll(proxy string, request *http.Request) (poll *pollCall, ok bool) {
+	now := time.Now()
+	poll = &pollCall{proxy: proxy, from: -1, queuedAt: now, reply: make(chan []byte, 1)}
+	from := request.URL.Query().Get("from")
+	if from == "" {
+		return poll, true
+	}
+	version, err := strconv.ParseInt(from, 10, 64)
+	hold, err2 := strconv.ParseInt(request.URL.Query().Get("hold_ms"), 10, 64)
+	if err != nil || err2 != nil || version < 0 || hold < 0 {
+		return nil, false
+	}
+	poll.from, poll.holdUntil = version, now.Add(min(maxHoldTime, time.Duration(hold)*time.Millisecond))
+	return poll, true
+}
+
+// enqueue queues a call; false if the catalog is down or its queue full.
+func (c *Catalog) enqueue(poll *pollCall) (queued bool) {
+	c.run(func() {
+		if c.downFaults > 0 || len(c.queue)+len(c.watches) >= c.config.MaxWaitingCalls {
+			return
+		}
+		if last, ok := c.lastAnswers[poll.proxy]; ok && poll.from >= 0 {
+			if poll.continues = poll.queuedAt.Sub(last) <= continueWindow; !poll.continues {
+				c.referee.UpdateTally(func(tally *referee.Tally) { tally.WatchBreaks++ })
+			}
+		}
+		queued = true
+		c.queue = append(c.queue, poll)
+	})
+	return queued
+}
