--- a/cmd/merlinpick-faultlab/main.go
+++ b/cmd/merlinpick-faultlab/main.go
@@ -70,13 +70,13 @@
 }
 
 // status is an exit status that is no error of the program's.
-type status int
+type exitStatus int
 
-func (s status) Error() string { return fmt.Sprintf("exit status %d", int(s)) }
+func (s exitStatus) Error() string { return fmt.Sprintf("exit status %d", int(s)) }
 
-func main() { os.Exit(realMain(os.Args[1:])) }
+func main() { os.Exit(runProgram(os.Args[1:])) }
 
-func realMain(args []string) int {
+func runProgram(args []string) int {
 	var a arguments
 	parser := kong.Must(&a, kong.Name("merlinpick-faultlab"), kong.Description(
 		"Plays fleets of real proxies through failures, and judges what came of it."), kong.UsageOnError())
@@ -89,7 +89,7 @@
 	defer stop()
 	cmd.BindTo(ctx, (*context.Context)(nil))
 	err = cmd.Run(newLog(a))
-	var s status
+	var s exitStatus
 	switch {
 	case err == nil:
 		return exitHeld
@@ -113,25 +113,25 @@
 }
 
 // open reads an experiment: a file, or one of the program's own by its name.
-func open(name string) (*experiment.Experiment, string, error) {
-	e, err := experiment.Read(name)
+func openExperiment(name string) (*experiment.Experiment, string, error) {
+	exp, err := experiment.Read(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		own := strings.TrimSuffix(filepath.Base(name), ".toml") + ".toml"
 		if text, missing := experiments.Files.ReadFile(own); missing == nil && filepath.Base(name) == name {
-			e, err = experiment.Parse(own, string(text), experiments.Files.ReadFile)
-			return e, own, err
+			exp, err = experiment.Parse(own, string(text), experiments.Files.ReadFile)
+			return exp, own, err
 		}
 	}
-	return e, name, err
+	return exp, name, err
 }
 
 func (c *checkCommand) Run() error {
-	e, _, err := open(c.File)
+	exp, _, err := openExperiment(c.File)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d proxies, %d nodos, %d faults, %d expectations, %g s\n", e.Title, len(e.ProxyNodes()),
-		len(e.ServerNodes()), len(e.Faults), len(e.Expect), e.Seconds)
+	fmt.Printf("%s: %d proxies, %d nodos, %d faults, %d expectations, %g s\n", exp.Title, len(exp.ProxyNodes()),
+		len(exp.ServerNodes()), len(exp.Faults), len(exp.Expect), exp.Seconds)
 	return nil
 }
 
@@ -145,11 +145,11 @@
 		if err != nil {
 			return err
 		}
-		e, err := experiment.Parse(f.Name(), string(text), experiments.Files.ReadFile)
+		exp, err := experiment.Parse(f.Name(), string(text), experiments.Files.ReadFile)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%-18s %s\n", strings.TrimSuffix(f.Name(), ".toml"), e.Title)
+		fmt.Printf("%-18s %s\n", strings.TrimSuffix(f.Name(), ".toml"), exp.Title)
 	}
 	return nil
 }
--- a/cmd/merlinpick-faultlab/main_test.go
+++ b/cmd/merlinpick-faultlab/main_test.go
@@ -19,20 +19,20 @@
 // The test binary is also the program.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "as-fleetlab" {
-		os.Exit(realMain(os.Args[2:]))
+		os.Exit(runProgram(os.Args[2:]))
 	}
 	os.Exit(m.Run())
 }
 
 // fleetlab is a call of the program, not begun.
-func fleetlab(args ...string) (cmd *exec.Cmd, out *bytes.Buffer) {
+func faultlab(args ...string) (cmd *exec.Cmd, out *bytes.Buffer) {
 	cmd = exec.Command(os.Args[0], append([]string{"as-fleetlab"}, args...)...)
 	out = &bytes.Buffer{}
 	cmd.Stdout, cmd.Stderr = out, out
 	return cmd, out
 }
 
-func exit(t *testing.T, cmd *exec.Cmd, err error) int {
+func exitCode(t *testing.T, cmd *exec.Cmd, err error) int {
 	t.Helper()
 	if cmd.ProcessState == nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 }
 
 // build builds a program under test into a directory.
-func build(t *testing.T, dir, name string) string {
+func buildProgram(t *testing.T, dir, name string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
 	if out, err := exec.Command("go", "build", "-o", path, "merlinpick/cmd/"+name).CombinedOutput(); err != nil {
@@ -53,8 +53,8 @@
 // The present program, small: it keeps the rules, and a run leaves its files.
 func TestSmallRuns(t *testing.T) {
 	bin := t.TempDir()
-	program, roster := build(t, bin, "merlinpick-proxy"), build(t, bin, "merlinpick-registry")
-	build(t, bin, "merlinpick-cluster-proxy")
+	program, roster := buildProgram(t, bin, "merlinpick-proxy"), buildProgram(t, bin, "merlinpick-registry")
+	buildProgram(t, bin, "merlinpick-cluster-proxy")
 	lab := filepath.Join(bin, "merlinpick-faultlab")
 	if text, err := os.ReadFile(os.Args[0]); err != nil || os.WriteFile(lab, text, 0o700) != nil {
 		t.Fatal("no copy of this program: ", err)
@@ -67,10 +67,10 @@
 			if err := os.WriteFile(script, []byte(text), 0o700); err != nil {
 				t.Fatal(err)
 			}
-			cmd, out := fleetlab("run", "testdata/scale.toml", "--proxy", program, "--roster", roster, "--out", t.TempDir(),
+			cmd, out := faultlab("run", "testdata/scale.toml", "--proxy", program, "--roster", roster, "--out", t.TempDir(),
 				"--hollow", script)
 			err := cmd.Run()
-			if code := exit(t, cmd, err); code != exitUnable || !strings.Contains(out.String(), "hollow hp2 (process h) failed: as seeded") {
+			if code := exitCode(t, cmd, err); code != exitUnable || !strings.Contains(out.String(), "hollow hp2 (process h) failed: as seeded") {
 				t.Errorf("exit %d, want %d, and the proxy's name and cause\n%s", code, exitUnable, out)
 			}
 		})
@@ -78,10 +78,10 @@
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				dir := t.TempDir()
-				cmd, out := fleetlab("run", "testdata/"+name+".toml", "--proxy", program, "--roster", roster, "--out", dir,
+				cmd, out := faultlab("run", "testdata/"+name+".toml", "--proxy", program, "--roster", roster, "--out", dir,
 					"--tries", "3", "--hollow", os.Args[0]+" as-fleetlab hollow")
 				err := cmd.Run()
-				if code := exit(t, cmd, err); code == exitUnable && strings.Contains(out.String(), "\nvoid: ") {
+				if code := exitCode(t, cmd, err); code == exitUnable && strings.Contains(out.String(), "\nvoid: ") {
 					t.Skip("the machine was too busy to judge, four times:\n", out)
 				} else if code != exitHeld {
 					t.Fatalf("exit %d\n%s", code, out)
@@ -98,7 +98,7 @@
 				if r.Metrics["requests"].Min < 100 || len(r.Expected) < 8 {
 					t.Errorf("%v requests, %d expectations: too little was judged", r.Metrics["requests"], len(r.Expected))
 				}
-				cmd, out = fleetlab("compare", dir, dir)
+				cmd, out = faultlab("compare", dir, dir)
 				if err := cmd.Run(); err != nil || !strings.Contains(out.String(), "same") {
 					t.Errorf("compare with itself: %v\n%s", err, out)
 				}
@@ -106,11 +106,11 @@
 		}
 		t.Run("not held", func(t *testing.T) {
 			t.Parallel()
-			file := write(t, "title = \"t\"\nseconds = 3\nwarmup = 0\n[lab]\nlate_ms = 900\nstall_ms = 3000\n"+fleet+
+			file := writeFile(t, "title = \"t\"\nseconds = 3\nwarmup = 0\n[lab]\nlate_ms = 900\nstall_ms = 3000\n"+smallCluster+
 				"[[expect]]\nfigure = \"in_time\"\nmax = 0.1\n")
-			cmd, out := fleetlab("run", file, "--proxy", program, "--out", t.TempDir(), "--tries", "3")
+			cmd, out := faultlab("run", file, "--proxy", program, "--out", t.TempDir(), "--tries", "3")
 			err := cmd.Run()
-			if code := exit(t, cmd, err); code != exitFailed && !strings.Contains(out.String(), "\nvoid: ") {
+			if code := exitCode(t, cmd, err); code != exitFailed && !strings.Contains(out.String(), "\nvoid: ") {
 				t.Errorf("exit %d, want %d\n%s", code, exitFailed, out)
 			} else if code == exitFailed && !strings.Contains(out.String(), "wanted at most 0.1") {
 				t.Errorf("what was not held is not named:\n%s", out)
@@ -119,7 +119,7 @@
 		t.Run("both", func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			cmd, out := fleetlab("run", write(t, "title = \"t\"\nseconds = 2\nwarmup = 0\n[lab]\nlate_ms = 900\nstall_ms = 3000\n"+fleet),
+			cmd, out := faultlab("run", writeFile(t, "title = \"t\"\nseconds = 2\nwarmup = 0\n[lab]\nlate_ms = 900\nstall_ms = 3000\n"+smallCluster),
 				"--both", "--repeat", "2", "--out", dir)
 			cmd.Path = lab // which looks for the proxies beside itself
 			if err := cmd.Run(); err != nil && !strings.Contains(out.String(), "\nvoid: ") {
@@ -147,7 +147,7 @@
 		t.Run("interrupted", func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			cmd, out := fleetlab("run", write(t, "title = \"t\"\nseconds = 600\n"+fleet), "--proxy", program, "--out", dir)
+			cmd, out := faultlab("run", writeFile(t, "title = \"t\"\nseconds = 600\n"+smallCluster), "--proxy", program, "--out", dir)
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
@@ -162,14 +162,14 @@
 			}
 			err := cmd.Wait()
 			r, readErr := result.Read(dir)
-			if code := exit(t, cmd, err); code != exitUnable || readErr != nil || !strings.Contains(r.Partial, "interrupted") {
+			if code := exitCode(t, cmd, err); code != exitUnable || readErr != nil || !strings.Contains(r.Partial, "interrupted") {
 				t.Errorf("exit %d, result: %v\n%s", code, readErr, out)
 			}
 		})
 	})
 }
 
-const fleet = `[[zone]]
+const smallCluster = `[[zone]]
 name = "z"
 proxies = 1
 traffic = 1
@@ -190,7 +190,7 @@
 rate = [[0, 30]]
 `
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "x.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -200,7 +200,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	bad := write(t, "title = \"t\"\nseconds = -1\n[[fault]]\nkind = \"x\"\n"+fleet)
+	bad := writeFile(t, "title = \"t\"\nseconds = -1\n[[fault]]\nkind = \"x\"\n"+smallCluster)
 	for _, test := range []struct {
 		args []string
 		code int
@@ -209,15 +209,15 @@
 		{[]string{"check", bad}, exitUnable, []string{":2: seconds: has to be over 0", ":4: fault[1].kind: \"x\" is none of"}},
 		{[]string{"run", bad}, exitUnable, []string{":2: seconds"}},
 		{[]string{"run", "none.toml"}, exitUnable, []string{"no such file"}},
-		{[]string{"run", write(t, fleet), "--proxy", "/none", "--out", t.TempDir()}, exitUnable, []string{"/none"}},
+		{[]string{"run", writeFile(t, smallCluster), "--proxy", "/none", "--out", t.TempDir()}, exitUnable, []string{"/none"}},
 		{[]string{"rn"}, exitUnable, []string{"unexpected argument rn"}},
 		{[]string{"compare", t.TempDir(), t.TempDir()}, exitUnable, []string{"result.json"}},
 		{[]string{"list"}, exitHeld, []string{"kill-wave", "zone-loss", "one-way-cut", "list-down", "rolling-upgrade", "soak-short"}},
 		{[]string{"check", "kill-wave"}, exitHeld, []string{"13 proxies"}},
 	} {
-		cmd, out := fleetlab(test.args...)
+		cmd, out := faultlab(test.args...)
 		err := cmd.Run()
-		if code := exit(t, cmd, err); code != test.code {
+		if code := exitCode(t, cmd, err); code != test.code {
 			t.Errorf("%v: exit %d, want %d\n%s", test.args, code, test.code, out)
 		}
 		for _, want := range test.says {
@@ -231,7 +231,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range files {
-		if cmd, out := fleetlab("check", f.Name()); cmd.Run() != nil {
+		if cmd, out := faultlab("check", f.Name()); cmd.Run() != nil {
 			t.Errorf("%s: %s", f.Name(), out)
 		}
 	}
--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -32,7 +32,7 @@
 }
 
 // program is a program to run: as told, or one beside this.
-func program(told, flag, name string) ([]string, error) {
+func programCommand(told, flag, name string) ([]string, error) {
 	if words := strings.Fields(told); len(words) > 0 {
 		return words, nil
 	}
@@ -48,28 +48,28 @@
 }
 
 // side is one of the ways that a run plays its seeds.
-type side struct {
-	dir     string
-	exp     *experiment.Experiment
-	command []string // a proxy
+type variant struct {
+	dir        string
+	experiment *experiment.Experiment
+	command    []string // a proxy
 	*result.Result
 }
 
 // sides are a run's: the file as it is, or with the fleet off and on.
-func (c *runCommand) sides(e *experiment.Experiment) ([]side, error) {
-	out := []side{{exp: e}}
+func (c *runCommand) variants(exp *experiment.Experiment) ([]variant, error) {
+	out := []variant{{experiment: exp}}
 	if c.Both {
-		off, on := *e, *e
+		off, on := *exp, *exp
 		off.Cluster.Enabled, on.Cluster.Enabled = false, true
-		out = []side{{dir: "off", exp: &off}, {dir: "on", exp: &on}}
+		out = []variant{{dir: "off", experiment: &off}, {dir: "on", experiment: &on}}
 	}
 	for i := range out {
 		name := "merlinpick-proxy"
-		if out[i].exp.Cluster.Enabled {
+		if out[i].experiment.Cluster.Enabled {
 			name = "merlinpick-cluster-proxy"
 		}
 		var err error
-		if out[i].command, err = program(c.Proxy, "--proxy", name); err != nil {
+		if out[i].command, err = programCommand(c.Proxy, "--proxy", name); err != nil {
 			return nil, err
 		}
 	}
@@ -77,30 +77,30 @@
 }
 
 func (c *runCommand) Run(ctx context.Context, log *slog.Logger) error {
-	e, file, err := open(c.File)
+	exp, file, err := openExperiment(c.File)
 	if err != nil {
 		return err
 	}
-	o := run.Options{Logger: log}
-	sides, err := c.sides(e)
+	options := run.Options{Logger: log}
+	sides, err := c.variants(exp)
 	if err != nil {
 		return err
 	}
-	if e.List.Members > 0 {
-		if o.RegistryCommand, err = program(c.Roster, "--roster", "merlinpick-registry"); err != nil {
+	if exp.List.Members > 0 {
+		if options.RegistryCommand, err = programCommand(c.Roster, "--roster", "merlinpick-registry"); err != nil {
 			return err
 		}
 	}
-	if e.Hollow.Enabled() {
+	if exp.Hollow.Enabled() {
 		self, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		if o.HollowCommand = strings.Fields(c.Hollow); len(o.HollowCommand) == 0 {
-			o.HollowCommand = []string{self, "hollow"}
+		if options.HollowCommand = strings.Fields(c.Hollow); len(options.HollowCommand) == 0 {
+			options.HollowCommand = []string{self, "hollow"}
 		}
 	}
-	seed, repeat := e.Seed, e.Repeat
+	seed, repeat := exp.Seed, exp.Repeat
 	if c.Seed != nil {
 		seed = *c.Seed
 	}
@@ -108,20 +108,20 @@
 		repeat = c.Repeat
 	}
 	began := time.Now()
-	if err := claimOut(&c.Out, strings.TrimSuffix(filepath.Base(file), ".toml"), began); err != nil {
+	if err := claimOutputDir(&c.Out, strings.TrimSuffix(filepath.Base(file), ".toml"), began); err != nil {
 		return err
 	}
 	defer process.Unlock(c.Out)
 	for i := range sides {
 		s := &sides[i]
 		s.dir = filepath.Join(c.Out, s.dir)
-		s.Result = &result.Result{Title: e.Title, File: file, Version: version(s.command[0]), StartedAt: began.UTC(),
+		s.Result = &result.Result{Title: exp.Title, File: file, Version: programDigest(s.command[0]), StartedAt: began.UTC(),
 			Machine: result.Machine{Cores: run.Cores(), LoadBefore: run.MachineLoad()}}
 	}
 	for i := range repeat {
 		for j := range sides {
 			s := sides[(i+j)%len(sides)] // in turn, so that what drifts meets both alike
-			if err := c.play(ctx, s, seed+uint64(i), o); err != nil {
+			if err := c.play(ctx, s, seed+uint64(i), options); err != nil {
 				return err
 			}
 		}
@@ -134,7 +134,7 @@
 	}
 	for _, s := range sides {
 		s.Machine.LoadAfter = run.MachineLoad()
-		s.Conclude(s.exp)
+		s.Conclude(s.experiment)
 		if err := errors.Join(s.Write(s.dir), report.HTML(s.dir, s.Result), report.Text(os.Stdout, s.Result)); err != nil {
 			return err
 		}
@@ -145,15 +145,15 @@
 		if err := report.Compare(os.Stdout, sides[0].Result, sides[1].Result); err != nil {
 			return err
 		}
-		if off := verdict(sides[0].Result); errors.Is(off, status(exitUnable)) {
+		if off := verdictError(sides[0].Result); errors.Is(off, exitStatus(exitUnable)) {
 			return off
 		}
 	}
-	return verdict(sides[len(sides)-1].Result)
+	return verdictError(sides[len(sides)-1].Result)
 }
 
 // claimOut makes the directory of a run, one of its name and time where none was given, and holds it. The caller releases it.
-func claimOut(out *string, name string, at time.Time) error {
+func claimOutputDir(out *string, name string, at time.Time) error {
 	if *out == "" {
 		*out = filepath.Join("found", name+"-"+at.Format("20060102T150405"))
 	}
@@ -163,33 +163,33 @@
 	return process.Lock(*out)
 }
 
-func verdict(r *result.Result) error {
+func verdictError(r *result.Result) error {
 	switch {
 	case r.Partial != "":
 		fmt.Printf("partial: %s; nothing is judged\n", r.Partial)
-		return status(exitUnable)
+		return exitStatus(exitUnable)
 	case r.VoidReason() != "":
 		fmt.Printf("void: %s\n", r.VoidReason())
-		return status(exitUnable)
+		return exitStatus(exitUnable)
 	case !r.Held:
-		return status(exitFailed)
+		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
 // play plays one seed, again while it comes out void and there are tries left.
-func (c *runCommand) play(ctx context.Context, s side, seed uint64, o run.Options) error {
+func (c *runCommand) play(ctx context.Context, s variant, seed uint64, options run.Options) error {
 	what := fmt.Sprintf("seed %d", seed)
 	if c.Both {
 		what += ", fleet " + filepath.Base(s.dir)
 	}
 	for try := 0; ; try++ {
-		fmt.Fprintf(os.Stderr, "%s: starting %d proxies\n", what, len(s.exp.ProxyNodes()))
-		o.OutputDir, o.ProxyCommand, o.Progress = s.dir, s.command, func(at, of time.Duration, p run.Progress) {
+		fmt.Fprintf(os.Stderr, "%s: starting %d proxies\n", what, len(s.experiment.ProxyNodes()))
+		options.OutputDir, options.ProxyCommand, options.Progress = s.dir, s.command, func(at, of time.Duration, p run.Progress) {
 			fmt.Fprintf(os.Stderr, "%s: %4.0f of %.0f s, %d arrivals, the newest %v late\n", what, at.Seconds(),
 				of.Seconds(), p.Arrived, p.Lateness.Round(10*time.Microsecond))
 		}
-		p, err := run.Play(ctx, s.exp, seed, o)
+		p, err := run.Play(ctx, s.experiment, seed, options)
 		if err != nil && ctx.Err() == nil {
 			return err
 		}
@@ -204,7 +204,7 @@
 }
 
 // version tells builds of the program under test apart: a digest of its file.
-func version(command string) string {
+func programDigest(command string) string {
 	text, err := os.ReadFile(command)
 	if err != nil {
 		return "unknown"
--- a/cmd/merlinpick-faultlab/soak.go
+++ b/cmd/merlinpick-faultlab/soak.go
@@ -24,11 +24,11 @@
 
 // Run plays the seeds. The exit status is 1 if a rule was broken or a proxy crashed at any of them.
 func (c *soakCommand) Run(ctx context.Context, log *slog.Logger) error {
-	command, err := program(c.Proxy, "--proxy", "merlinpick-proxy")
+	command, err := programCommand(c.Proxy, "--proxy", "merlinpick-proxy")
 	if err != nil {
 		return err
 	}
-	if err := claimOut(&c.Out, "soak", time.Now()); err != nil {
+	if err := claimOutputDir(&c.Out, "soak", time.Now()); err != nil {
 		return err
 	}
 	defer process.Unlock(c.Out)
@@ -38,7 +38,7 @@
 			fmt.Printf("interrupted after %d of %d seeds\n", i, c.Seeds)
 			break
 		}
-		found, why, err := c.seed(ctx, c.From+uint64(i), command, log)
+		found, why, err := c.playSeed(ctx, c.From+uint64(i), command, log)
 		switch {
 		case err != nil:
 			return err
@@ -50,14 +50,14 @@
 	}
 	fmt.Printf("%d seeds with a fault, %d void, of %d from %d on\n", bad, void, c.Seeds, c.From)
 	if bad > 0 {
-		return status(exitFailed)
+		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
 // seed plays one seed; a play whose lab was late is void, but what was found in it is told all the same.
-func (c *soakCommand) seed(ctx context.Context, seed uint64, command []string, log *slog.Logger) (found []string, void string, err error) {
-	e, text, err := soak.Draw(seed)
+func (c *soakCommand) playSeed(ctx context.Context, seed uint64, command []string, log *slog.Logger) (found []string, void string, err error) {
+	exp, text, err := soak.Draw(seed)
 	if err != nil {
 		return nil, "", err
 	}
@@ -68,7 +68,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "experiment.toml"), []byte(text), 0o644); err != nil {
 		return nil, "", err
 	}
-	p, err := run.Play(ctx, e, seed, run.Options{ProxyCommand: command, OutputDir: dir, Logger: log})
+	p, err := run.Play(ctx, exp, seed, run.Options{ProxyCommand: command, OutputDir: dir, Logger: log})
 	if err != nil {
 		return nil, "", err
 	}
@@ -76,11 +76,11 @@
 		return nil, "", err
 	}
 	var kinds []string
-	for _, f := range e.Faults {
+	for _, f := range exp.Faults {
 		kinds = append(kinds, f.Kind)
 	}
-	fmt.Printf("seed %d: %d proxies, %s: worth in time %.3f, %d found%s\n", seed, len(e.ProxyNodes()), strings.Join(kinds, " "),
-		p.Metrics["worth_in_time"], len(found), voidly(p.Void))
+	fmt.Printf("seed %d: %d proxies, %s: worth in time %.3f, %d found%s\n", seed, len(exp.ProxyNodes()), strings.Join(kinds, " "),
+		p.Metrics["worth_in_time"], len(found), voidNote(p.Void))
 	for i, f := range found {
 		if i == 12 {
 			fmt.Printf("  and %d more\n", len(found)-i)
@@ -94,7 +94,7 @@
 	return found, p.Void, err
 }
 
-func voidly(why string) string {
+func voidNote(why string) string {
 	if why == "" {
 		return ""
 	}
--- a/cmd/merlinpick-faultlab/soak_test.go
+++ b/cmd/merlinpick-faultlab/soak_test.go
@@ -8,9 +8,9 @@
 // A short soak of drawn fleets, with real processes: restarts under signals in series, crowds of idle clients, a list that is slow,
 // down or cut off, and clients that use connections for as long as they stay open.
 func TestShortSoak(t *testing.T) {
-	cmd, out := fleetlab("soak", "--from", "33000", "--seeds", "4", "--proxy", build(t, t.TempDir(), "merlinpick-proxy"), "--out", t.TempDir())
+	cmd, out := faultlab("soak", "--from", "33000", "--seeds", "4", "--proxy", buildProgram(t, t.TempDir(), "merlinpick-proxy"), "--out", t.TempDir())
 	err := cmd.Run()
-	if code := exit(t, cmd, err); code != exitHeld && strings.Contains(out.String(), "(void: ") {
+	if code := exitCode(t, cmd, err); code != exitHeld && strings.Contains(out.String(), "(void: ") {
 		t.Skip("the machine was too busy to judge:\n", out)
 	} else if code != exitHeld {
 		t.Fatalf("exit %d\n%s", code, out)
