--- a/cmd/merlinpick-faultlab/main.go
+++ b/cmd/merlinpick-faultlab/main.go
@@ -1,8 +1,8 @@
-// Command merlinpick-faultlab plays experiments: whole fleets of real proxies, faults between them, and a verdict. docs/lab.md
-// says how to rehearse a failure with it.
+// Command merlinpick-faultlab plays experiments: it runs clusters of real proxies under faults, and checks the results against what the
+// experiment expects. docs/lab.md says how to rehearse a failure with it.
 //
-// Exit status: 0, every expectation held; 1, one did not; 2, bad usage, a bad file, or a machine on which the run could
-// not be made or came out void.
+// Exit status: 0, every expectation held; 1, one did not; 2, bad usage, an invalid file, or a run that this machine could not make
+// or that was void.
 package main
 
 import (
@@ -64,14 +64,15 @@
 	Config string `arg:"" help:"The process's file."`
 }
 
-// Run runs the process until it is told to end.
+// Run runs the process until the context ends.
 func (c *hollowCommand) Run(ctx context.Context, log *slog.Logger) error {
 	return hollow.Main(ctx, c.Config, log)
 }
 
-// status is an exit status that is no error of the program's.
+// exitStatus is an exit status without a message.
 type exitStatus int
 
+// Error names the status.
 func (s exitStatus) Error() string { return fmt.Sprintf("exit status %d", int(s)) }
 
 func main() { os.Exit(runProgram(os.Args[1:])) }
@@ -112,7 +113,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, o))
 }
 
-// open reads an experiment: a file, or one of the program's own by its name.
+// openExperiment reads an experiment, from a file or, by its name, one that is built in; file is its path or name.
 func openExperiment(name string) (*experiment.Experiment, string, error) {
 	exp, err := experiment.Read(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -125,6 +126,7 @@
 	return exp, name, err
 }
 
+// Run prints all problems of the file, or its size.
 func (c *checkCommand) Run() error {
 	exp, _, err := openExperiment(c.File)
 	if err != nil {
@@ -135,6 +137,7 @@
 	return nil
 }
 
+// Run prints names and titles of the built-in experiments.
 func (c *listCommand) Run() error {
 	files, err := experiments.Files.ReadDir(".")
 	if err != nil {
@@ -154,6 +157,7 @@
 	return nil
 }
 
+// Run prints the run's report and writes its page again.
 func (c *reportCommand) Run() error {
 	r, err := result.Read(c.Dir)
 	if err != nil {
@@ -165,6 +169,7 @@
 	return report.HTML(c.Dir, r)
 }
 
+// Run prints the metrics of both runs.
 func (c *compareCommand) Run() error {
 	a, err := result.Read(c.A)
 	if err != nil {
--- a/cmd/merlinpick-faultlab/main_test.go
+++ b/cmd/merlinpick-faultlab/main_test.go
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// fleetlab is a call of the program, not begun.
+// faultlab is a command of the program that is not started.
 func faultlab(args ...string) (cmd *exec.Cmd, out *bytes.Buffer) {
 	cmd = exec.Command(os.Args[0], append([]string{"as-fleetlab"}, args...)...)
 	out = &bytes.Buffer{}
@@ -40,7 +40,7 @@
 	return cmd.ProcessState.ExitCode()
 }
 
-// build builds a program under test into a directory.
+// buildProgram builds a program under test into a directory.
 func buildProgram(t *testing.T, dir, name string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
@@ -50,7 +50,7 @@
 	return path
 }
 
-// The present program, small: it keeps the rules, and a run leaves its files.
+// Small runs of the current programs keep the rules and write their files.
 func TestSmallRuns(t *testing.T) {
 	bin := t.TempDir()
 	program, roster := buildProgram(t, bin, "merlinpick-proxy"), buildProgram(t, bin, "merlinpick-registry")
--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -31,9 +31,9 @@
 	Both   bool    `help:"Play each seed with the fleet off and on, in turn, into OUT/off and OUT/on, and print the figures side by side. The exit status is that of on."`
 }
 
-// program is a program to run: as told, or one beside this.
-func programCommand(told, flag, name string) ([]string, error) {
-	if words := strings.Fields(told); len(words) > 0 {
+// programCommand is the command of a program: as given by a flag, or the program beside this one.
+func programCommand(given, flag, name string) ([]string, error) {
+	if words := strings.Fields(given); len(words) > 0 {
 		return words, nil
 	}
 	self, err := os.Executable()
@@ -47,15 +47,15 @@
 	return []string{path}, nil
 }
 
-// side is one of the ways that a run plays its seeds.
+// variant is one of the settings in which a run plays its seeds.
 type variant struct {
 	dir        string
 	experiment *experiment.Experiment
-	command    []string // a proxy
+	command    []string // of a proxy
 	*result.Result
 }
 
-// sides are a run's: the file as it is, or with the fleet off and on.
+// variants are a run's: the experiment as it is, or with the cluster off and on.
 func (c *runCommand) variants(exp *experiment.Experiment) ([]variant, error) {
 	out := []variant{{experiment: exp}}
 	if c.Both {
@@ -76,30 +76,60 @@
 	return out, nil
 }
 
+// Run plays the seeds, writes the results and prints them.
 func (c *runCommand) Run(ctx context.Context, log *slog.Logger) error {
 	exp, file, err := openExperiment(c.File)
 	if err != nil {
 		return err
 	}
-	options := run.Options{Logger: log}
-	sides, err := c.variants(exp)
+	variants, err := c.variants(exp)
+	if err != nil {
+		return err
+	}
+	options, err := c.options(exp, log)
 	if err != nil {
 		return err
 	}
+	started := time.Now()
+	if err := claimOutputDir(&c.Out, strings.TrimSuffix(filepath.Base(file), ".toml"), started); err != nil {
+		return err
+	}
+	defer process.Unlock(c.Out)
+	for i := range variants {
+		v := &variants[i]
+		v.dir = filepath.Join(c.Out, v.dir)
+		v.Result = &result.Result{Title: exp.Title, File: file, Version: programDigest(v.command[0]), StartedAt: started.UTC(),
+			Machine: result.Machine{Cores: run.Cores(), LoadBefore: run.MachineLoad()}}
+	}
+	if err := c.playSeeds(ctx, exp, variants, options); err != nil {
+		return err
+	}
+	return c.conclude(variants)
+}
+
+// options are the run's options, with the commands that the experiment needs.
+func (c *runCommand) options(exp *experiment.Experiment, log *slog.Logger) (run.Options, error) {
+	options := run.Options{Logger: log}
 	if exp.List.Members > 0 {
+		var err error
 		if options.RegistryCommand, err = programCommand(c.Roster, "--roster", "merlinpick-registry"); err != nil {
-			return err
+			return options, err
 		}
 	}
 	if exp.Hollow.Enabled() {
 		self, err := os.Executable()
 		if err != nil {
-			return err
+			return options, err
 		}
 		if options.HollowCommand = strings.Fields(c.Hollow); len(options.HollowCommand) == 0 {
 			options.HollowCommand = []string{self, "hollow"}
 		}
 	}
+	return options, nil
+}
+
+// playSeeds plays each seed in all variants, which alternate so that drift of the machine affects them alike.
+func (c *runCommand) playSeeds(ctx context.Context, exp *experiment.Experiment, variants []variant, options run.Options) error {
 	seed, repeat := exp.Seed, exp.Repeat
 	if c.Seed != nil {
 		seed = *c.Seed
@@ -107,52 +137,45 @@
 	if c.Repeat > 0 {
 		repeat = c.Repeat
 	}
-	began := time.Now()
-	if err := claimOutputDir(&c.Out, strings.TrimSuffix(filepath.Base(file), ".toml"), began); err != nil {
-		return err
-	}
-	defer process.Unlock(c.Out)
-	for i := range sides {
-		s := &sides[i]
-		s.dir = filepath.Join(c.Out, s.dir)
-		s.Result = &result.Result{Title: exp.Title, File: file, Version: programDigest(s.command[0]), StartedAt: began.UTC(),
-			Machine: result.Machine{Cores: run.Cores(), LoadBefore: run.MachineLoad()}}
-	}
 	for i := range repeat {
-		for j := range sides {
-			s := sides[(i+j)%len(sides)] // in turn, so that what drifts meets both alike
-			if err := c.play(ctx, s, seed+uint64(i), options); err != nil {
+		for j := range variants {
+			if err := c.play(ctx, variants[(i+j)%len(variants)], seed+uint64(i), options); err != nil {
 				return err
 			}
 		}
 		if ctx.Err() != nil {
-			for _, s := range sides {
-				s.Partial = fmt.Sprintf("interrupted in play %d of %d", i+1, repeat)
+			for _, v := range variants {
+				v.Partial = fmt.Sprintf("interrupted in play %d of %d", i+1, repeat)
 			}
 			break
 		}
 	}
-	for _, s := range sides {
-		s.Machine.LoadAfter = run.MachineLoad()
-		s.Conclude(s.experiment)
-		if err := errors.Join(s.Write(s.dir), report.HTML(s.dir, s.Result), report.Text(os.Stdout, s.Result)); err != nil {
+	return nil
+}
+
+// conclude writes and prints the results of the variants; the error is the exit status of the last one.
+func (c *runCommand) conclude(variants []variant) error {
+	for _, v := range variants {
+		v.Machine.LoadAfter = run.MachineLoad()
+		v.Conclude(v.experiment)
+		if err := errors.Join(v.Write(v.dir), report.HTML(v.dir, v.Result), report.Text(os.Stdout, v.Result)); err != nil {
 			return err
 		}
-		fmt.Printf("%s: result.json, report.html, logs/\n", s.dir)
+		fmt.Printf("%s: result.json, report.html, logs/\n", v.dir)
 	}
 	if c.Both {
 		fmt.Println("\nA: the fleet off; B: on")
-		if err := report.Compare(os.Stdout, sides[0].Result, sides[1].Result); err != nil {
+		if err := report.Compare(os.Stdout, variants[0].Result, variants[1].Result); err != nil {
 			return err
 		}
-		if off := verdictError(sides[0].Result); errors.Is(off, exitStatus(exitUnable)) {
+		if off := verdictError(variants[0].Result); errors.Is(off, exitStatus(exitUnable)) {
 			return off
 		}
 	}
-	return verdictError(sides[len(sides)-1].Result)
+	return verdictError(variants[len(variants)-1].Result)
 }
 
-// claimOut makes the directory of a run, one of its name and time where none was given, and holds it. The caller releases it.
+// claimOutputDir creates and locks the directory of a run, named by experiment and time if none was given. The caller unlocks it.
 func claimOutputDir(out *string, name string, at time.Time) error {
 	if *out == "" {
 		*out = filepath.Join("found", name+"-"+at.Format("20060102T150405"))
@@ -163,6 +186,7 @@
 	return process.Lock(*out)
 }
 
+// verdictError prints why a run cannot be judged, and returns its exit status; nil if every expectation held.
 func verdictError(r *result.Result) error {
 	switch {
 	case r.Partial != "":
@@ -177,13 +201,13 @@
 	return nil
 }
 
-// play plays one seed, again while it comes out void and there are tries left.
+// play plays one seed, and again while it is void, up to Tries times.
 func (c *runCommand) play(ctx context.Context, s variant, seed uint64, options run.Options) error {
 	what := fmt.Sprintf("seed %d", seed)
 	if c.Both {
 		what += ", fleet " + filepath.Base(s.dir)
 	}
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		fmt.Fprintf(os.Stderr, "%s: starting %d proxies\n", what, len(s.experiment.ProxyNodes()))
 		options.OutputDir, options.ProxyCommand, options.Progress = s.dir, s.command, func(at, of time.Duration, p run.Progress) {
 			fmt.Fprintf(os.Stderr, "%s: %4.0f of %.0f s, %d arrivals, the newest %v late\n", what, at.Seconds(),
@@ -196,14 +220,14 @@
 		if p.Metrics != nil {
 			s.Plays = append(s.Plays, p)
 		}
-		if p.Void == "" || try >= c.Tries || ctx.Err() != nil {
+		if p.Void == "" || attempt >= c.Tries || ctx.Err() != nil {
 			return nil
 		}
 		fmt.Fprintf(os.Stderr, "%s: void: %s; played again\n", what, p.Void)
 	}
 }
 
-// version tells builds of the program under test apart: a digest of its file.
+// programDigest identifies a build of the program under test: a digest of its file.
 func programDigest(command string) string {
 	text, err := os.ReadFile(command)
 	if err != nil {
--- a/cmd/merlinpick-faultlab/soak.go
+++ b/cmd/merlinpick-faultlab/soak.go
@@ -14,6 +14,8 @@
 	"merlinpick/internal/faultlab/soak"
 )
 
+const maxShown = 12 // failures of a seed
+
 type soakCommand struct {
 	From  uint64 `help:"The first seed." default:"1"`
 	Seeds int    `help:"How many, one after another." default:"10"`
@@ -22,7 +24,7 @@
 	Keep  bool   `help:"Keep the logs of the other seeds too."`
 }
 
-// Run plays the seeds. The exit status is 1 if a rule was broken or a proxy crashed at any of them.
+// Run plays the seeds. The exit status is 1 if a rule was violated or a proxy crashed with any of them.
 func (c *soakCommand) Run(ctx context.Context, log *slog.Logger) error {
 	command, err := programCommand(c.Proxy, "--proxy", "merlinpick-proxy")
 	if err != nil {
@@ -38,13 +40,13 @@
 			fmt.Printf("interrupted after %d of %d seeds\n", i, c.Seeds)
 			break
 		}
-		found, why, err := c.playSeed(ctx, c.From+uint64(i), command, log)
+		found, voidReason, err := c.playSeed(ctx, c.From+uint64(i), command, log)
 		switch {
 		case err != nil:
 			return err
 		case len(found) > 0:
 			bad++
-		case why != "":
+		case voidReason != "":
 			void++
 		}
 	}
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// seed plays one seed; a play whose lab was late is void, but what was found in it is told all the same.
+// playSeed plays one seed. The play may be void, but the failures found in it are reported all the same.
 func (c *soakCommand) playSeed(ctx context.Context, seed uint64, command []string, log *slog.Logger) (found []string, void string, err error) {
 	exp, text, err := soak.Draw(seed)
 	if err != nil {
@@ -82,7 +84,7 @@
 	fmt.Printf("seed %d: %d proxies, %s: worth in time %.3f, %d found%s\n", seed, len(exp.ProxyNodes()), strings.Join(kinds, " "),
 		p.Metrics["worth_in_time"], len(found), voidNote(p.Void))
 	for i, f := range found {
-		if i == 12 {
+		if i == maxShown {
 			fmt.Printf("  and %d more\n", len(found)-i)
 			break
 		}
@@ -94,9 +96,10 @@
 	return found, p.Void, err
 }
 
-func voidNote(why string) string {
-	if why == "" {
+// voidNote is the remark on a void play; empty if it is not.
+func voidNote(reason string) string {
+	if reason == "" {
 		return ""
 	}
-	return " (void: " + why + ")"
+	return " (void: " + reason + ")"
 }
