--- a/internal/faultlab/chain/chain_test.go
+++ b/internal/faultlab/chain/chain_test.go
@@ -10,8 +10,8 @@
 
 var table = flag.Bool("chain.table", false, "print attempts by tier for more rates, seeds and attempts")
 
-// config returns a chain of 12 tiers with the default retry budget.
-func config(rate float64, seconds int64, maxAttempts int) Config {
+// testConfig returns a chain of 12 tiers with the default retry budget.
+func testConfig(rate float64, seconds int64, maxAttempts int) Config {
 	return Config{Tiers: 12, Width: 4, Rate: rate, Seconds: seconds, Slots: 4, MeanWork: 2 * milli, CallerTimeout: 2 * second, Seed: 1,
 		Settings: balancer.Settings{ZoneCount: 1, MaxAttempts: maxAttempts, DrainGrace: second, SlowStartMinCapacity: 0.32, SlowStartDuration: 8_800 * milli,
 			OverloadMultiple: 3, OverloadWindow: 2 * second, MaxRetryAfter: 2 * second, RetryBudgetWindow: 10 * second, RetryBudgetMin: 5, RetryBudgetRatio: 0.1,
@@ -37,27 +37,27 @@
 func TestRetryBudgetBoundsChain(t *testing.T) {
 	for _, test := range faults {
 		t.Run(test.name, func(t *testing.T) {
-			cfg := config(20, 12, 3)
-			cfg.Fault, cfg.IgnoreCancellation = test.fault, test.ignoreCancellation
-			cfg.Fault.Start = 3 * second
-			r, err := Run(cfg)
+			config := testConfig(20, 12, 3)
+			config.Fault, config.IgnoreCancellation = test.fault, test.ignoreCancellation
+			config.Fault.Start = 3 * second
+			result, err := Run(config)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Log(formatResult(r))
-			if r.Arrived < 500 || r.Served+r.Rejected+r.Failed != r.Arrived {
-				t.Errorf("%d calls arrived, %d were served, %d rejected and %d failed", r.Arrived, r.Served, r.Rejected, r.Failed)
+			t.Log(formatResult(result))
+			if result.Arrived < 500 || result.Served+result.Rejected+result.Failed != result.Arrived {
+				t.Errorf("%d calls arrived, %d were served, %d rejected and %d failed", result.Arrived, result.Served, result.Rejected, result.Failed)
 			}
-			for _, violation := range r.BudgetViolations {
+			for _, violation := range result.BudgetViolations {
 				t.Error(violation)
 			}
-			for tier, most := range r.AttemptBounds {
-				if float64(r.Attempts[tier]) > most {
-					t.Errorf("tier %d got %d attempts, of %.0f that the retry budgets allow", tier+1, r.Attempts[tier], most)
+			for tier, most := range result.AttemptBounds {
+				if float64(result.Attempts[tier]) > most {
+					t.Errorf("tier %d got %d attempts, of %.0f that the retry budgets allow", tier+1, result.Attempts[tier], most)
 				}
 			}
-			if test.name == "nothing" && (r.Served < r.Arrived*99/100 || r.Amplification() > 1.01) {
-				t.Errorf("without a fault: %s", formatResult(r))
+			if test.name == "nothing" && (result.Served < result.Arrived*99/100 || result.Amplification() > 1.01) {
+				t.Errorf("without a fault: %s", formatResult(result))
 			}
 		})
 	}
@@ -65,15 +65,15 @@
 
 // Without a retry budget the same chain exceeds the bound, so that the bound is an effect of the budget.
 func TestChainWithoutRetryBudgetExceedsBound(t *testing.T) {
-	cfg := config(20, 12, 3)
-	cfg.Fault = Fault{Errors: 1, Start: 3 * second}
-	cfg.Settings.RetryBudgetMin = 1e9
-	unlimited, err := Run(cfg)
+	config := testConfig(20, 12, 3)
+	config.Fault = Fault{Errors: 1, Start: 3 * second}
+	config.Settings.RetryBudgetMin = 1e9
+	unlimited, err := Run(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Settings.RetryBudgetMin = 5
-	limited, err := Run(cfg)
+	config.Settings.RetryBudgetMin = 5
+	limited, err := Run(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,11 +83,11 @@
 	}
 }
 
-func formatResult(r *Result) string {
-	each := func(tier int) float64 { return float64(r.Attempts[tier-1]) / float64(r.Arrived) }
+func formatResult(result *Result) string {
+	each := func(tier int) float64 { return float64(result.Attempts[tier-1]) / float64(result.Arrived) }
 	return fmt.Sprintf("came %d served %d refused %d failed %d; attempts for each call: tier 1 %.2f, 4 %.2f, 8 %.2f, 12 %.2f "+
-		"(since it began %.2f), at most %.2f; refused before tiers %v", r.Arrived, r.Served, r.Rejected, r.Failed, each(1), each(4),
-		each(8), each(12), r.Amplification(), r.AttemptBounds[len(r.AttemptBounds)-1]/float64(r.Arrived), r.RejectedBefore)
+		"(since it began %.2f), at most %.2f; refused before tiers %v", result.Arrived, result.Served, result.Rejected, result.Failed, each(1), each(4),
+		each(8), each(12), result.Amplification(), result.AttemptBounds[len(result.AttemptBounds)-1]/float64(result.Arrived), result.RejectedBefore)
 }
 
 // TestTable prints the attempts at each tier for each call that arrived.
@@ -98,14 +98,14 @@
 	for _, rate := range []float64{1, 10, 66} {
 		for _, test := range faults {
 			for seed := range uint64(3) {
-				cfg := config(rate, 40, 3)
-				cfg.Fault, cfg.IgnoreCancellation, cfg.Seed = test.fault, test.ignoreCancellation, seed+1
-				cfg.Fault.Start = 10 * second
-				r, err := Run(cfg)
+				config := testConfig(rate, 40, 3)
+				config.Fault, config.IgnoreCancellation, config.Seed = test.fault, test.ignoreCancellation, seed+1
+				config.Fault.Start = 10 * second
+				result, err := Run(config)
 				if err != nil {
 					t.Fatal(err)
 				}
-				fmt.Printf("rate %g, %s, seed %d: %s\n", rate, test.name, cfg.Seed, formatResult(r))
+				fmt.Printf("rate %g, %s, seed %d: %s\n", rate, test.name, config.Seed, formatResult(result))
 			}
 		}
 	}
