--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -20,7 +20,7 @@
 	maxReplicaCallsRatio = 2.0 // to the median: more calls of one replica count as these
 	maxLatencyDeviation  = 4.0 // factor of the median: other latencies count as this
 
-	maxReportedCalls = 1e9
+	maxReportedCalls = 1e9 // calls of one report; more count as this
 )
 
 // loadState is what is known of a server's load.
@@ -112,7 +112,8 @@
 	return l.latest
 }
 
-// sumReports sums up the reports of all replicas on each server and returns how many replicas these are.
+// sumReports sums up the reports of all replicas on each server and returns how many replicas reported; 0 if no
+// report has a latency.
 // What is no number or out of all proportion is bounded, so that no single replica moves the sums much.
 func (l *loads) sumReports(now moment) (replicas int) {
 	reports, callsOf := l.usableReports(now)
@@ -160,8 +161,9 @@
 	return reports, callsOf
 }
 
-// add adds a report, of whose calls the given part counts. Until finish, callsPerSecond holds the weight of
-// the latencies and meanLatency their weighted sum.
+// add adds a report, of whose calls the given part counts. Until finish the fields hold sums: failedFraction the
+// failed calls, callsPerSecond the answered calls that have a latency, meanLatency their latencies in µs
+// times these calls.
 func (f *fleetLoad) add(report Report, part, medianLatency float64) {
 	calls := part * min(report.Calls, maxReportedCalls)
 	f.calls += calls
@@ -174,11 +176,11 @@
 	}
 }
 
-// finish turns sums into means and a rate; unheard is the ratio of all replicas to those that report.
-func (f *fleetLoad) finish(unheard float64) {
+// finish turns sums into means and a rate; liveToHeard is the ratio of all replicas to those that report.
+func (f *fleetLoad) finish(liveToHeard float64) {
 	f.meanLatency /= cmp.Or(f.callsPerSecond, 1)
 	f.failedFraction /= cmp.Or(f.calls, 1)
-	f.callsPerSecond = unheard * f.calls * float64(seconds) / float64(loadDecay)
+	f.callsPerSecond = liveToHeard * f.calls * float64(seconds) / float64(loadDecay)
 }
 
 // upperMedian sorts the values and returns their median, the higher one of two.
--- a/balancer/weighttuning.go
+++ b/balancer/weighttuning.go
@@ -24,7 +24,11 @@
 	maxLogFactor   = 1.0  // bound of a factor's logarithm
 	logFactorDecay = 0.03 // of the logarithm that a round takes back
 	maxTuningStep  = 0.1  // of the logarithm that a round moves
-	tuningGain     = 0.5  // of the way to the best loads that a round moves
+
+	tuningStepGrowth = 1.25 // factor of the step, each round
+	tuningStepCut    = 4.0  // divisor of the step after a worse tail; of maxTuningStep: the least step
+
+	tuningGain = 0.5 // of the way to the best loads that a round moves
 )
 
 var curveLearning = tailweights.CurveLearning{AssumedUtilization: 0.5, InformativeSpread: 0.3, Retention: 0.9,
@@ -70,7 +74,7 @@
 	}
 	t.nextAt = now.add(tuningInterval + t.randomSpan(tuningInterval/2))
 	worse := t.tailIsWorse()
-	t.step = min(max(1.25*t.step, maxTuningStep/4), maxTuningStep)
+	t.step = min(max(tuningStepGrowth*t.step, maxTuningStep/tuningStepCut), maxTuningStep)
 	informed := t.loads.sumReports(now) > 1 && !t.reports.peers.Isolated && !t.settings.DisableWeightTuning
 	if informed && worse {
 		t.takeBack()
@@ -92,14 +96,14 @@
 
 // takeBack takes the last step back and makes the next ones smaller.
 func (t *weightTuning) takeBack() {
-	t.step /= 4
+	t.step /= tuningStepCut
 	for _, server := range t.members.ready {
 		server.tuning.logFactor = server.tuning.previousLogFactor
 	}
 }
 
 // advance takes a step, by zone. A server that can't be tuned, or all where nothing is known, goes back to
-// its own weight.
+// its own weight; the only tunable server of a zone keeps its factor.
 func (t *weightTuning) advance(now moment, informed bool) {
 	groups := map[int][]*server{}
 	for _, server := range t.members.ready {
--- a/internal/cluster/transport/config.go
+++ b/internal/cluster/transport/config.go
@@ -14,7 +14,7 @@
 
 // Parameters of memberlist.
 const (
-	// 10 datagrams of 1,400 bytes a second to each of 3 members: 42 KB/s at most, and none while nothing changes. Half
+	// 10 datagrams of 1,400 bytes a second to each of 3 members: 42 KB/s at most; with nothing new, renewals alone. Half
 	// the shortest TTL, 1.5 s, is 15 rounds: enough for 300 members at 30 % loss.
 	gossipInterval  = 100 * time.Millisecond
 	gossipFanout    = 3
--- a/internal/cluster/transport/datagrams.go
+++ b/internal/cluster/transport/datagrams.go
@@ -104,7 +104,7 @@
 		return nil, rejectLength
 	case err != nil || label != t.label || len(body) == 0:
 		return nil, rejectLabel
-	case kernelWait(controlMessages) > maxKernelWait:
+	case kernelWait(controlMessages) > maxInputDelay:
 		return nil, rejectLate
 	}
 	return body, ""
--- a/internal/cluster/transport/delegate.go
+++ b/internal/cluster/transport/delegate.go
@@ -91,5 +91,5 @@
 // receivedLate reports whether this process was stopped until just now: what memberlist still holds from before is older
 // than its ages say.
 func (n *Node) receivedLate(now int64) bool {
-	return now < n.staleUntil.Load() || now-n.lastTick.Load() > maxKernelWait.Microseconds()
+	return now < n.staleUntil.Load() || now-n.lastTick.Load() > maxInputDelay.Microseconds()
 }
--- a/internal/cluster/transport/members.go
+++ b/internal/cluster/transport/members.go
@@ -47,8 +47,8 @@
 // liveMember is another live proxy.
 type liveMember struct{ name, zone, address string }
 
-// memberList tracks live members. Memberlist calls it with a lock held, so it calls nothing of memberlist.
-type memberList struct {
+// liveMembers tracks live members. Memberlist calls it with a lock held, so it calls nothing of memberlist.
+type liveMembers struct {
 	self     string
 	tier     string
 	rejected *rejections
@@ -68,13 +68,13 @@
 	lostAt  time.Time
 }
 
-func newMemberList(self, tier string, rejected *rejections, log *slog.Logger, changed func()) *memberList {
-	return &memberList{self: self, tier: tier, rejected: rejected, log: log, limiter: newLogLimiter(), changed: changed,
+func newLiveMembers(self, tier string, rejected *rejections, log *slog.Logger, changed func()) *liveMembers {
+	return &liveMembers{self: self, tier: tier, rejected: rejected, log: log, limiter: newLogLimiter(), changed: changed,
 		alive: map[string]liveMember{}, lost: map[string]lostMember{}}
 }
 
 // ofLiveMembers returns the entries whose observer is live and in the zone that it announced. It reuses the slice.
-func (l *memberList) ofLiveMembers(entries []state.Entry) []state.Entry {
+func (l *liveMembers) ofLiveMembers(entries []state.Entry) []state.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(entries, func(e state.Entry) bool {
@@ -84,7 +84,7 @@
 }
 
 // NotifyAlive implements memberlist.AliveDelegate: an error keeps a node out.
-func (l *memberList) NotifyAlive(node *memberlist.Node) error {
+func (l *liveMembers) NotifyAlive(node *memberlist.Node) error {
 	if node.Name == l.self {
 		return nil
 	}
@@ -103,7 +103,7 @@
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (l *memberList) NotifyJoin(node *memberlist.Node) {
+func (l *liveMembers) NotifyJoin(node *memberlist.Node) {
 	meta, ok := decodeMeta(node.Meta)
 	if node.Name == l.self || !ok {
 		return
@@ -125,7 +125,7 @@
 }
 
 // NotifyUpdate implements memberlist.EventDelegate: a member announced other metadata, as after a quick restart.
-func (l *memberList) NotifyUpdate(node *memberlist.Node) {
+func (l *liveMembers) NotifyUpdate(node *memberlist.Node) {
 	meta, ok := decodeMeta(node.Meta)
 	if node.Name == l.self || !ok {
 		return
@@ -137,7 +137,7 @@
 }
 
 // NotifyLeave implements memberlist.EventDelegate: a member left, or is dead.
-func (l *memberList) NotifyLeave(node *memberlist.Node) {
+func (l *liveMembers) NotifyLeave(node *memberlist.Node) {
 	if node.Name == l.self {
 		return
 	}
@@ -160,20 +160,20 @@
 }
 
 // NotifyConflict implements memberlist.ConflictDelegate: two members have one name.
-func (l *memberList) NotifyConflict(existing, other *memberlist.Node) {
+func (l *liveMembers) NotifyConflict(existing, other *memberlist.Node) {
 	l.rejected.add(rejectName)
 	l.logLimited("member name conflict", "member", existing.Name, "address", existing.Address(),
 		"other_address", other.Address())
 }
 
-func (l *memberList) logLimited(event string, args ...any) {
+func (l *liveMembers) logLimited(event string, args ...any) {
 	if suppressed, ok := l.limiter.allow(time.Now()); ok {
 		l.log.Info(event, append(args, "suppressed", suppressed)...)
 	}
 }
 
 // addLost remembers the address of a member that died. At the limit it replaces the one that was lost first.
-func (l *memberList) addLost(member liveMember) {
+func (l *liveMembers) addLost(member liveMember) {
 	if len(l.lost) >= maxLostMembers {
 		oldest := ""
 		for name, lost := range l.lost {
@@ -187,7 +187,7 @@
 }
 
 // count returns how many members are live, and how many of them are in a zone, this one included in both.
-func (l *memberList) count(zone string) (live, inZone int) {
+func (l *liveMembers) count(zone string) (live, inZone int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	inZone = 1
@@ -200,14 +200,14 @@
 }
 
 // live returns how many members are live, this one included.
-func (l *memberList) live() int {
+func (l *liveMembers) live() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return 1 + len(l.alive)
 }
 
 // missing returns the sorted addresses of seeds and lost members that are not known to be live.
-func (l *memberList) missing(seeds []string, now time.Time) []string {
+func (l *liveMembers) missing(seeds []string, now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := map[string]bool{}
@@ -233,7 +233,7 @@
 }
 
 // changes returns how many members joined, and how many left or died, since the start.
-func (l *memberList) changes() (joins, ends int64) {
+func (l *liveMembers) changes() (joins, ends int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.joins, l.ends
--- a/internal/cluster/transport/network.go
+++ b/internal/cluster/transport/network.go
@@ -24,9 +24,9 @@
 	socketErrorPause   = 50 * time.Millisecond // a failing socket must not take a core
 	listenAttempts     = 8                     // a port that the kernel chose for TCP may be taken for UDP
 
-	// A datagram or connection that waited longer in the kernel is dropped: the process was stopped or starved, and the
-	// entries are older than their ages say. The sender's probe has failed by then, and it publishes the entries again.
-	maxKernelWait = 500 * time.Millisecond
+	// Input that waited longer, in the kernel or while this process was stopped, is dropped: its entries are older than their
+	// ages say. The sender's probe has failed by then, and it publishes the entries again.
+	maxInputDelay = 500 * time.Millisecond
 
 	// MaxDescriptors is how many descriptors a node holds at most: two listeners, the connections that others opened and
 	// half as many of its own.
--- a/internal/cluster/transport/node.go
+++ b/internal/cluster/transport/node.go
@@ -34,7 +34,7 @@
 	cfg          Config
 	network      *network
 	memberlist   *memberlist.Memberlist
-	members      *memberList
+	members      *liveMembers
 	outbound     *queue.Queue
 	rejected     rejections
 	overrideFile *overrideFile // nil without a state directory
@@ -89,7 +89,7 @@
 			return nil, err
 		}
 	}
-	n.members = newMemberList(cfg.Name, cfg.Tier, &n.rejected, cfg.Logger, n.wakeOwner)
+	n.members = newLiveMembers(cfg.Name, cfg.Tier, &n.rejected, cfg.Logger, n.wakeOwner)
 	n.outbound = queue.New(func() int { return queue.TransmitCount(n.members.live()) })
 	n.lastTick.Store(cfg.Now())
 	if n.network, err = listen(bind, cfg.Label, &n.rejected, func() { n.lastHeard.Store(cfg.Now()) }); err != nil {
--- a/internal/cluster/transport/node_test.go
+++ b/internal/cluster/transport/node_test.go
@@ -255,7 +255,7 @@
 
 // Only entries of live members are used, and only if they name the zone that the member announced.
 func TestEntriesOfLiveMembersOnly(t *testing.T) {
-	m := newMemberList("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
+	m := newLiveMembers("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
 	m.alive = map[string]liveMember{"a": {name: "a", zone: "north"}}
 	var got []string
 	for _, e := range m.ofLiveMembers([]state.Entry{{Observer: "a", ObserverZone: "north", Subject: "1"}, {Observer: "a", ObserverZone: "south", Subject: "2"},
@@ -283,7 +283,7 @@
 		look  bool // the owner ticks before the message
 		taken bool
 	}{
-		{0, false, true}, {snapshotInterval, true, true}, {maxKernelWait, false, true}, {time.Microsecond, false, false},
+		{0, false, true}, {snapshotInterval, true, true}, {maxInputDelay, false, true}, {time.Microsecond, false, false},
 		{time.Minute, true, false}, {snapshotInterval / 2, true, false}, {snapshotInterval / 2, true, true},
 	} {
 		now.Add(step.forth.Microseconds())
--- a/internal/cluster/transport/overridefile.go
+++ b/internal/cluster/transport/overridefile.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	overrideFileName     = "fleet-hands"
+	overrideFileName     = "fleet-hands" // an older name, which other versions read
 	overrideFileKind     = "fleet-hands"
 	maxOverrideFileBytes = 4 << 20 // the 4,096 records of a Store take a quarter
 )
--- a/internal/cluster/transport/owner.go
+++ b/internal/cluster/transport/owner.go
@@ -73,7 +73,7 @@
 
 func (n *Node) tick(started int64) {
 	now := n.cfg.Now()
-	if now-n.lastTick.Load() > maxKernelWait.Microseconds() { // the process was stopped or starved, see receivedLate
+	if now-n.lastTick.Load() > maxInputDelay.Microseconds() { // the process was stopped or starved, see receivedLate
 		n.staleUntil.Store(now + snapshotInterval.Microseconds())
 	}
 	n.lastTick.Store(now)
--- a/internal/cluster/transport/streams.go
+++ b/internal/cluster/transport/streams.go
@@ -44,7 +44,7 @@
 func (t *network) checkStream(conn *net.TCPConn, s *stream) {
 	_ = s.Conn.SetDeadline(time.Now().Add(labelTimeout))
 	labelled, label, err := memberlist.RemoveLabelHeaderFromStream(s)
-	late := sinceLastReceive(conn) > maxKernelWait
+	late := sinceLastReceive(conn) > maxInputDelay
 	switch {
 	case err != nil || label != t.label:
 		t.rejected.add(rejectLabel)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads the proxy's configuration: a JSON file, and environment variables for what it lacks. Each fault is an
+// Package config reads the proxy's configuration: a JSON file, and environment variables. Each fault is an
 // *Error. Keys that it does not know are ignored. It never changes the file, and applies nothing.
 package config
 
@@ -29,8 +29,8 @@
 // those of encoding/json.
 type ClusterReader func(section json.RawMessage, name string) (*proxy.ClusterPlan, error)
 
-// Load reads the file that the variable LB_CONFIG names; LB_LISTEN, LB_DISCOVERY, LB_MGMT and LB_NAME replace what it
-// lacks. Without a cluster reader a section fleet is a fault. Its errors are an *Error.
+// Load reads the file that the variable LB_CONFIG names. LB_LISTEN, LB_DISCOVERY and LB_MGMT are used where the file has
+// no value; LB_NAME takes precedence over the file's name. Without a cluster reader a section fleet is a fault. Its errors are an *Error.
 func Load(env func(string) string, cluster ClusterReader) (*Config, error) {
 	path := env("LB_CONFIG")
 	if path == "" {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -21,7 +21,7 @@
 	maxNameBytes       = 100  // of a proxy's name at the registry
 )
 
-// file is the configuration file. Its tags map the file's keys to the field's terms.
+// file is the configuration file. The field names are the program's terms; the tags are the keys, which keep older names.
 type file struct {
 	// ProxyName identifies the proxy to the registry and the cluster, unless LB_NAME does.
 	ProxyName string `json:"name"`
@@ -71,7 +71,8 @@
 	p.Listen = f.Listen
 	p.Discovery = discovery.Source{Address: f.PlatformAddress, Members: f.RegistryMembers}
 	p.ListCacheDir, p.Managed = f.CacheDir, c.ManagementAddress != ""
-	// The temporary directory may be shared with other proxies: the address makes the name unique.
+	// The temporary directory may be shared with other proxies: the address makes the name unique. The prefix must stay: a
+	// successor finds its predecessor by this path.
 	p.StateDir = filepath.Join(cmp.Or(env("TMPDIR"), os.TempDir()), "fernlanding-"+url.PathEscape(p.Listen))
 	p.MaxDescriptors = cmp.Or(f.Limits.Descriptors, defaultDescriptors)
 	if err := f.checkAddresses(); err != nil {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -52,7 +52,7 @@
 	Callers  int
 	Pushed   bool   // the platform list comes from a local agent that has no other callers
 	Seed     uint64 // of the order of members, and of random delays
-	StateDir string // directory of the cached list, for a registry; empty: it is not cached
+	CacheDir string // directory of the cached list, for a registry; empty: it is not cached
 	Logger   *slog.Logger
 }
 
@@ -93,8 +93,8 @@
 	}
 	c.platform.version = -1
 	c.platform.scheduler = pollScheduler{callers: cfg.Callers, agent: cfg.Pushed, randomDelay: c.randomDelay}
-	if cfg.StateDir != "" && len(cfg.Source.Members) > 0 {
-		c.cache = newCacheWriter(cfg.StateDir, cfg.Logger)
+	if cfg.CacheDir != "" && len(cfg.Source.Members) > 0 {
+		c.cache = newCacheWriter(cfg.CacheDir, cfg.Logger)
 	}
 	c.fromRegistry.Store(len(cfg.Source.Members) > 0)
 	return c
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -20,11 +20,12 @@
 	"merlinpick/internal/rollout"
 )
 
-// Fractions of limits.memory_mb. A limit under 20 MB is less than the runtime and the program need.
+// Shares of limits.memory_mb (1 MB = 1<<20 bytes), and a floor. A limit under 20 MB is less than the runtime and the program
+// need.
 const (
-	heapFraction   = 0.6      // at which the runtime collects harder
+	heapFraction   = 0.6      // soft limit of the heap (debug.SetMemoryLimit)
 	minHeapBytes   = 12 << 20 // below this the runtime would do little but collect
-	bodiesFraction = 0.125    // for buffered bodies of requests and responses
+	bodiesFraction = 0.125    // each for request bodies, request heads and backend responses: 0.375 in all
 	bytesPerMB     = 1 << 20
 )
 
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -62,7 +62,7 @@
 		r.log.Error("configuration reload rejected", "error", err)
 		return
 	}
-	r.log.Info("configuration reloaded", "discovery", file.Proxy.Discovery, "classes", r.active.Proxy.Site.Classes,
+	r.log.Info("settings and discovery reloaded", "discovery", file.Proxy.Discovery, "classes", r.active.Proxy.Site.Classes,
 		"with_document", r.document != nil)
 	if r.rollout != nil {
 		r.rollout.RetryRejected() // the document may fit the new file
--- a/internal/program/rollout.go
+++ b/internal/program/rollout.go
@@ -40,15 +40,15 @@
 // fit the file is logged and not used.
 func startRollout(ctx context.Context, file *config.Config, env func(string) string, deliveries chan<- delivery,
 	log *slog.Logger) (client *rollout.Client, active *config.Config, document []byte) {
-	stateDir := file.Proxy.ListCacheDir
+	cacheDir := file.Proxy.ListCacheDir
 	client = rollout.New(rollout.Config{
 		Service: file.Service, ProxyName: file.ProxyName, Members: file.Proxy.Discovery.Members,
-		Seed: file.Proxy.Seed, StateDir: stateDir, Logger: log,
+		Seed: file.Proxy.Seed, CacheDir: cacheDir, Logger: log,
 	}, documentApplier{ctx, deliveries})
-	if stateDir == "" {
+	if cacheDir == "" {
 		return client, file, nil
 	}
-	cached, err := rollout.LoadCached(stateDir, file.Service)
+	cached, err := rollout.LoadCached(cacheDir, file.Service)
 	if err != nil {
 		log.Error("cached configuration unreadable", "service", file.Service, "error", err)
 	}
--- a/internal/proxy/clientconn/conn.go
+++ b/internal/proxy/clientconn/conn.go
@@ -1,6 +1,7 @@
 // Package clientconn is the layer between net/http and the sockets of clients: a listener with a limited number of slots, and
 // connections that let pass only requests whose framing is unambiguous, and that are closed without losing a response or a
-// request that has come. It knows nothing of what requests mean, and decides on no close but at the end of a linger.
+// request that has come. It knows nothing of what requests mean. It closes connections by itself only at
+// the end of a linger, and when there is no memory for a long head.
 package clientconn
 
 import (
@@ -179,7 +180,7 @@
 		if err == syscall.EAGAIN {
 			c.mu.Unlock()
 		}
-		return err != syscall.EAGAIN // otherwise with the lock
+		return err != syscall.EAGAIN // true ends the wait and leaves mu locked
 	})
 	switch {
 	case waitErr != nil:
--- a/internal/proxy/cluster.go
+++ b/internal/proxy/cluster.go
@@ -32,7 +32,7 @@
 	Zone        string              // by name; empty: unknown
 	Tier        int                 // its number
 	StartedAtMs int64               // of this process, Unix milliseconds
-	StateDir    string              // folder of what outlives the process; empty: none
+	StateDir    string              // directory of what outlives the process; empty: none
 	Now         func() int64        // the loop's clock, microseconds
 	Overrides   *override.Overrides // to apply the cluster's suspensions to; nil without a management address
 	Logger      *slog.Logger
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -37,7 +37,7 @@
 	MaxDescriptors int             // files that the process may hold open
 	InitialList    *discovery.List // the configuration's list; may be nil
 	ListCacheDir   string          // folder of the last list, for a Discovery with members; empty: none
-	StateDir       string          // folder of what outlives the process; with Managed
+	StateDir       string          // directory of what outlives the process; with Managed
 	Managed        bool            // there is a management address: metrics are kept up and descriptors reserved for its callers
 	Site           *settings.Site
 	Logger         *slog.Logger
--- a/internal/proxy/downstream/drain.go
+++ b/internal/proxy/downstream/drain.go
@@ -21,8 +21,8 @@
 )
 
 // DrainTimes returns for how long after SIGTERM clients are served on, and within what time all requests must have ended.
-// The last requests still have as long as the longest latency objective. With deadlines of some tens of milliseconds the
-// listener closes cutoffMargin before the cutoff.
+// The last requests still have as long as the longest latency objective. With a longest deadline under
+// 150 ms acceptFor is endWithin - cutoffMargin, below minDrainAcceptPeriod.
 func DrainTimes(classes []balancer.Class) (acceptFor, endWithin time.Duration) {
 	deadline, objective := int64(0), int64(0)
 	for _, c := range classes {
--- a/internal/proxy/downstream/evict.go
+++ b/internal/proxy/downstream/evict.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// When connections run short, one without a complete request on it makes room: a kept one after minKeepAlive, which is
+	// When connections run short, one without a complete request on it makes room: a kept one after MinKeepAlive, which is
 	// how long clients may count on it; one whose request is not complete once nothing has come for minHeadStall, or in its
 	// body for minBodyStall (a slow client may pause for some hundred milliseconds); and a new one that has sent nothing
 	// after minNewSilence, since it has waited to be accepted too.
@@ -63,9 +63,9 @@
 	srv.Listener.SetLimit(conns + rejectConns)
 }
 
-// markComplete counts a request in that has come: its connection is not to be evicted before its response. Reads from now
+// startInFlight counts a request in that has come: its connection is not to be evicted before its response. Reads from now
 // on only notice a client that goes, and have no deadline.
-func (srv *Server) markComplete(w http.ResponseWriter, r *http.Request, req *Request) (finish func(status int)) {
+func (srv *Server) startInFlight(w http.ResponseWriter, r *http.Request, req *Request) (finish func(status int)) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -104,8 +104,8 @@
 	}
 }
 
-// evictLocked closes a connection without a complete request on it. One whose body is still coming is rejected by its own
-// goroutine, and closed if that takes long. False if a request has come.
+// evictLocked closes a connection without a complete request on it. One whose body is still coming is first interrupted, so
+// that its own goroutine can reject it; a later call closes it. False if a request has come.
 func (srv *Server) evictLocked(c *clientconn.Conn) bool {
 	s := srv.conns[c]
 	if c.Phase() != clientconn.PhaseInFlight {
--- a/internal/proxy/downstream/receivebody.go
+++ b/internal/proxy/downstream/receivebody.go
@@ -8,9 +8,9 @@
 )
 
 // receiveBody reads a request's body and gives the request to the Handler, whose response then comes on its channel: once the
-// body is complete if it can be buffered, otherwise while the rest comes. With a response returned that is the request's
-// own, and the Handler has none to give.
-func (srv *Server) receiveBody(w http.ResponseWriter, r *http.Request, req *Request, u *upload) (func(status int), Response) {
+// body is complete if it can be buffered, otherwise while the rest comes. If the returned Response has a status it is the
+// final one, and the Handler gives none. Otherwise finish is to be called with the status once the response is written.
+func (srv *Server) receiveBody(w http.ResponseWriter, r *http.Request, req *Request, u *upload) (finish func(status int), _ Response) {
 	body, complete, err := u.buffer()
 	switch {
 	case err != nil:
@@ -26,7 +26,7 @@
 		return srv.streamBody(w, r, req, u)
 	}
 	u.markComplete()
-	finish := srv.markComplete(w, r, req)
+	finish = srv.startInFlight(w, r, req)
 	req.ClientDeadline = clientDeadline(req)
 	srv.dispatch(req)
 	return finish, Response{}
@@ -54,13 +54,13 @@
 	defer unhook()
 	srv.dispatch(req)
 	watcher := watchBodyEnd(u.conn, u.remaining, func(arrived time.Time) {
-		srv.handler.HandleBodyArrived(req, arrived)
+		srv.handler.HandleBodyEndSeen(req, arrived)
 	})
 	err := u.forwardTo(to)
 	watcher.end()
 	if err == nil && u.markComplete() {
-		finish, deadline := srv.markComplete(w, r, req), clientDeadline(req)
-		srv.handler.HandleBodyReceived(req, deadline)
+		finish, deadline := srv.startInFlight(w, r, req), clientDeadline(req)
+		srv.handler.HandleBodyRead(req, deadline)
 		to.Close()
 		return finish, Response{}
 	}
--- a/internal/proxy/downstream/request.go
+++ b/internal/proxy/downstream/request.go
@@ -46,22 +46,23 @@
 // IsClientGone reports whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
 // context; what it cannot have seen yet, or never will, at the socket. Any goroutine may call it.
 func (r *Request) IsClientGone() bool {
-	return r.HasLeft() || socket.PeerClosed(r.clientConn)
+	return r.IsClientGoneByContext() || socket.PeerClosed(r.clientConn)
 }
 
-// HasLeft reports whether net/http has noticed that the client has gone, without a system call.
-func (r *Request) HasLeft() bool { return r.clientContext.Err() != nil }
+// IsClientGoneByContext reports whether net/http has noticed that the client has gone; IsClientGone also asks the socket,
+// a system call.
+func (r *Request) IsClientGoneByContext() bool { return r.clientContext.Err() != nil }
 
 // Handler decides on requests. Any goroutine may call its methods, which return before there is a response. After Stopped is
 // done it gives none.
 type Handler interface {
 	// HandleRequest takes a request, which gets its response through Respond.
 	HandleRequest(r *Request)
-	// HandleBodyArrived is called when the last byte of a body that is being streamed is known to have come, though it has
+	// HandleBodyEndSeen is called when the last byte of a body that is being streamed is known to have come, though it has
 	// not been read yet: the client's time runs from then on.
-	HandleBodyArrived(r *Request, arrived time.Time)
+	HandleBodyEndSeen(r *Request, arrived time.Time)
 	// HandleBodyReceived is called when a body that was streamed has been read completely.
-	HandleBodyReceived(r *Request, clientDeadline time.Time)
+	HandleBodyRead(r *Request, clientDeadline time.Time)
 	// HandleClientGone is called when nobody waits for the response any more, even in the middle of it.
 	HandleClientGone(r *Request)
 	// Stopped is done when the Handler has stopped.
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -27,10 +27,11 @@
 	"merlinpick/internal/settings"
 )
 
-// keepAliveTimeout is for the next request on a connection.
+// keepAliveTimeout is how long an idle client connection waits for its next request.
 const keepAliveTimeout = 2 * time.Minute
 
-// DefaultBodyMemory is for buffered bodies, in bytes.
+// DefaultBodyMemory is the budget in bytes where none is configured: once for bodies, once for heads, once for the responses
+// of backends.
 const DefaultBodyMemory = 16 << 20
 
 // Config is what a Server starts with.
@@ -170,7 +171,7 @@
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(startedAt.Add(clientconn.RequestReadTimeout)) // net/http may read what is left of a body before it answers
 	_ = rc.SetWriteDeadline(time.Time{})                                 // the last response's deadline would delay a 100 Continue
-	if len(r.TransferEncoding) > 0 {                                     // nothing may follow: see clientConn
+	if len(r.TransferEncoding) > 0 {                                     // nothing may follow: see clientconn.Conn
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == "/_health" {
@@ -191,9 +192,9 @@
 func (srv *Server) serveRequest(w http.ResponseWriter, r *http.Request, req *Request, startedAt time.Time) {
 	req.clientContext = r.Context()
 	req.clientConn, _ = r.Context().Value(connKey{}).(net.Conn)
-	body := srv.newUpload(w, r, startedAt)
-	defer srv.releaseUpload(body)
-	finish, rejection := srv.receiveBody(w, r, req, body)
+	u := srv.newUpload(w, r, startedAt)
+	defer srv.releaseUpload(u)
+	finish, rejection := srv.receiveBody(w, r, req, u)
 	if rejection.Status != 0 {
 		srv.writeResponse(w, rejection)
 		return
--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -58,11 +58,11 @@
 	}
 }
 
-func (h *stubHandler) HandleRequest(*Request)                 { h.note("request") }
-func (h *stubHandler) HandleBodyArrived(*Request, time.Time)  { h.note("body arrived") }
-func (h *stubHandler) HandleBodyReceived(*Request, time.Time) { h.note("body received") }
-func (h *stubHandler) HandleClientGone(*Request)              { h.note("client gone") }
-func (h *stubHandler) Stopped() context.Context               { return context.Background() }
+func (h *stubHandler) HandleRequest(*Request)                { h.note("request") }
+func (h *stubHandler) HandleBodyEndSeen(*Request, time.Time) { h.note("body arrived") }
+func (h *stubHandler) HandleBodyRead(*Request, time.Time)    { h.note("body received") }
+func (h *stubHandler) HandleClientGone(*Request)             { h.note("client gone") }
+func (h *stubHandler) Stopped() context.Context              { return context.Background() }
 
 // newTestServer is a server with an endpoint list, which counts nothing.
 func newTestServer(site *settings.Site, l net.Listener, handler Handler) *Server {
--- a/internal/proxy/handover/predecessor.go
+++ b/internal/proxy/handover/predecessor.go
@@ -27,7 +27,7 @@
 	conn *net.UnixConn
 }
 
-// ConnectPredecessor asks the predecessor at a state folder for its socket and state. It returns nil if none answers
+// ConnectPredecessor asks the predecessor at a state directory for its socket and state. It returns nil if none answers
 // within 2 s: what a dead process left behind, or one that hangs, must not keep this process from starting.
 func ConnectPredecessor(dir string, logger *slog.Logger) *Predecessor {
 	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Net: "unix", Name: filepath.Join(dir, socketName)})
--- a/internal/proxy/handover/server.go
+++ b/internal/proxy/handover/server.go
@@ -19,8 +19,9 @@
 type Hooks struct {
 	// ExportState gives the state for a successor that has connected. An error ends its connection.
 	ExportState func() (State, error)
-	// SuccessorExited is called when a successor has ended that ExportState gave a state for.
-	SuccessorExited func()
+	// SuccessorDisconnected is called when the connection to a successor that ExportState gave a state for has closed; after
+	// a failed handover the successor may still run.
+	SuccessorDisconnected func()
 }
 
 // Server hands the clients' listener over to successor processes, one at a time. It owns its accept goroutine and one for
@@ -39,7 +40,7 @@
 	goroutines sync.WaitGroup
 }
 
-// Start listens for successors in a state folder and serves them until Close. It takes the socket's name over from a
+// Start listens for successors in a state directory and serves them until Close. It takes the socket's name over from a
 // predecessor, dead or alive, in one step.
 func Start(dir string, clientListener syscall.Conn, hooks Hooks, logger *slog.Logger) (*Server, error) {
 	path := filepath.Join(dir, socketName)
@@ -92,12 +93,12 @@
 	return true
 }
 
-// handOver sends the socket and the state, and stays until the successor has ended.
+// handOver sends the socket and the state, and stays until the successor's connection has closed.
 func (s *Server) handOver(conn *net.UnixConn) {
 	s.logger.Info("successor connected")
 	state, err := s.hooks.ExportState()
 	if err == nil {
-		defer s.hooks.SuccessorExited()
+		defer s.hooks.SuccessorDisconnected()
 		err = s.send(conn, state)
 	}
 	if err != nil {
@@ -111,7 +112,7 @@
 	closed := s.closed
 	s.mu.Unlock()
 	if !closed { // otherwise it is this process that ends
-		s.logger.Warn("successor exited")
+		s.logger.Warn("successor connection closed")
 	}
 }
 
--- a/internal/proxy/handover/state.go
+++ b/internal/proxy/handover/state.go
@@ -2,7 +2,7 @@
 // serves to the successor process that is started beside it. It does not decide when either serves or ends.
 //
 // The two share one listening socket, so that no connection waits in an accept queue that is closed. The successor gets
-// the socket over a Unix socket in the proxy's state folder. The connection between them tells each that the other lives:
+// the socket over a Unix socket in the proxy's state directory. The connection between them tells each that the other lives:
 // it closes with the process that holds it, however that ends.
 package handover
 
@@ -19,7 +19,7 @@
 	maxStateBytes = 1 << 20
 )
 
-// State is what a successor inherits, one line of JSON on the wire.
+// State is what a successor inherits, one line of JSON on the wire. Its keys are older names, which other versions read.
 type State struct {
 	RetryBudget  RetryBudgetUsage `json:"spent"`
 	KnownServers []string         `json:"seen"` // all that endpoint lists have named
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -53,7 +53,7 @@
 // new, for a client that has gone, and while another attempt of the request is in flight or it has its response.
 func (l *eventLoop) start(a *attempt, server string, params upstream.Params) bool {
 	r := a.request
-	if r.ended || r.currentAttempt != nil || r.HasLeft() {
+	if r.ended || r.currentAttempt != nil || r.IsClientGoneByContext() {
 		return false
 	}
 	outbound, ok := l.pool.NewAttempt(l.attempts.ctx, server, params)
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -9,7 +9,7 @@
 
 const (
 	// Descriptors that are neither a client's nor a backend's: the runtime's, listeners, discovery's calls and watches, the
-	// state folder, and some more. While two processes are one proxy there is less to spare.
+	// state directory, and some more. While two processes are one proxy there is less to spare.
 	reservedDescriptors       = 20
 	reservedDescriptorsShared = 16
 
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// iterate handles one event and what is due; false once the context has ended.
+// iterate handles one event, then runs the timers that are due; false once the context has ended. After an urgent event it
+// returns at once: timers run after the next event that is not urgent.
 func (l *eventLoop) iterate(ctx context.Context, timers *loopTimers) bool {
 	if l.handleUrgent() {
 		return true
@@ -215,7 +216,8 @@
 	}
 }
 
-// reconfigure puts other settings in force for the requests that come from now on. With an error nothing has changed.
+// reconfigure puts other settings in force for the requests that come from now on. With an error the
+// settings in force are unchanged; zones that the rejected settings name keep the numbers that they were given.
 func (l *eventLoop) reconfigure(site *settings.Site, next balancer.Settings, f *downstream.Server) error {
 	if next.Zone < len(site.Zones) { // zones keep the numbers that they have
 		next.Zone = l.zoneNumbers.number(site.Zones[next.Zone])
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -54,7 +54,7 @@
 }
 
 // New opens the listener; clients are served from Run on. It fails with a DescriptorLimitError, an error of the settings,
-// or one of the listener, the state folder or the cluster's address.
+// or one of the listener, the state directory or the cluster's address.
 func New(cfg Config) (*Proxy, error) {
 	engine, err := balancer.New(cfg.balancerSettings(), cfg.Seed)
 	if err != nil {
@@ -86,13 +86,13 @@
 	return p, nil
 }
 
-// findPredecessor opens the state folder and looks for a process that serves; nil without one.
+// findPredecessor opens the state directory and looks for a process that serves; nil without one.
 func (cfg Config) findPredecessor() (*handover.Predecessor, error) {
 	if !cfg.Managed {
 		return nil, nil
 	}
 	if err := os.MkdirAll(cfg.StateDir, 0o700); err != nil {
-		return nil, fmt.Errorf("open the state folder: %w", err)
+		return nil, fmt.Errorf("open the state directory: %w", err)
 	}
 	return handover.ConnectPredecessor(cfg.StateDir, cfg.Logger), nil
 }
@@ -126,7 +126,7 @@
 	topology := discovery.Topology{Tier: site.Balancer.Tier, TierCount: site.Tiers, Replicas: site.Balancer.Replicas}
 	p.listClient = discovery.New(discovery.Config{
 		Source: p.config.Discovery, Pushed: !site.Balancer.WatchEndpoints, Seed: p.config.Seed,
-		Callers: discovery.EstimateCallers(topology), StateDir: p.config.ListCacheDir, Logger: p.config.Logger,
+		Callers: discovery.EstimateCallers(topology), CacheDir: p.config.ListCacheDir, Logger: p.config.Logger,
 	})
 	p.loop.list.updates = p.listClient.Updates()
 }
@@ -193,7 +193,7 @@
 }
 
 // Reload puts another configuration's settings in force for the requests that come from now on, and its discovery address.
-// The rest of it waits for a restart. With an error (ErrStopped, or one of the settings) nothing has changed.
+// The rest of it waits for a restart. With an error (ErrStopped, or one of the settings) the settings in force are unchanged.
 func (p *Proxy) Reload(cfg Config) error {
 	failed := make(chan error, 1)
 	p.loop.post(func() { failed <- p.loop.reconfigure(cfg.Site, cfg.balancerSettings(), p.frontend) })
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -71,7 +71,7 @@
 	return startProxyAt(t, list, sockets, known, t.TempDir())
 }
 
-// startProxyAt starts a proxy with a state folder.
+// startProxyAt starts a proxy with a state directory.
 func startProxyAt(t *testing.T, list string, sockets int, known, state string) *running {
 	t.Helper()
 	return startSite(t, proxytest.SiteJSON, list, sockets, known, state)
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -8,7 +8,7 @@
 	"merlinpick/internal/discovery"
 )
 
-// syncMargin: a process is ready so long before discovery.NotifyDeadline after its start.
+// syncMargin before discovery.NotifyDeadline a starting process is ready even without a confirmed list.
 const syncMargin = 250 * time.Millisecond
 
 // syncTimeout is how long a process that starts waits for discovery to confirm its list: until changes from before its
@@ -35,8 +35,8 @@
 	return discovery.NotifyDeadline
 }
 
-// awaitSync has this process be ready once discovery has confirmed the list, is unreachable, so that no change counts as
-// notified, or has taken syncTimeout.
+// awaitSync has this process be ready once discovery has confirmed the list, is unreachable (then no change counts as known),
+// or has taken syncTimeout.
 func (p *Proxy) awaitSync(ctx context.Context) {
 	timeout := time.NewTimer(p.syncTimeout)
 	defer timeout.Stop()
@@ -44,9 +44,9 @@
 	select {
 	case <-p.loop.list.synced:
 	case <-p.listClient.Unreachable():
-		p.config.Logger.Warn("ready with the configuration's endpoint list", "reason", "discovery unreachable", "address", p.config.Discovery)
+		p.config.Logger.Warn("no longer waiting for discovery to confirm the list", "reason", "discovery unreachable", "address", p.config.Discovery)
 	case <-timeout.C:
-		p.config.Logger.Warn("ready with the configuration's endpoint list", "reason", "discovery has not confirmed it", "duration", p.syncTimeout)
+		p.config.Logger.Warn("no longer waiting for discovery to confirm the list", "reason", "discovery has not confirmed it", "duration", p.syncTimeout)
 	case <-ctx.Done():
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -46,14 +46,14 @@
 // HandleRequest implements downstream.Handler.
 func (l *eventLoop) HandleRequest(r *downstream.Request) { l.post(func() { l.handleRequest(r) }) }
 
-// HandleBodyArrived implements downstream.Handler.
-func (l *eventLoop) HandleBodyArrived(r *downstream.Request, arrived time.Time) {
-	l.postFor(r, func(r *request) { l.handleBodyArrived(r, arrived) })
+// HandleBodyEndSeen implements downstream.Handler.
+func (l *eventLoop) HandleBodyEndSeen(r *downstream.Request, arrived time.Time) {
+	l.postFor(r, func(r *request) { l.handleBodyEndSeen(r, arrived) })
 }
 
 // HandleBodyReceived implements downstream.Handler.
-func (l *eventLoop) HandleBodyReceived(r *downstream.Request, clientDeadline time.Time) {
-	l.postFor(r, func(r *request) { l.handleBodyReceived(r, l.clock.at(clientDeadline)) })
+func (l *eventLoop) HandleBodyRead(r *downstream.Request, clientDeadline time.Time) {
+	l.postFor(r, func(r *request) { l.handleBodyRead(r, l.clock.at(clientDeadline)) })
 }
 
 // HandleClientGone implements downstream.Handler.
@@ -78,7 +78,7 @@
 		received.Respond(downstream.Response{Status: http.StatusBadRequest})
 		return
 	}
-	if received.HasLeft() { // while the event was queued
+	if received.IsClientGoneByContext() { // while the event was queued
 		received.Respond(downstream.Response{})
 		return
 	}
@@ -102,9 +102,9 @@
 	heap.Push(&l.timers, timer{moment: r.Deadline + expiryGrace.Microseconds(), request: r})
 }
 
-// handleBodyArrived notes when the last byte of a body came that is still being forwarded: the client's time runs from then
+// handleBodyEndSeen notes when the last byte of a body came that is still being forwarded: the client's time runs from then
 // on, however long the backend takes for what is left.
-func (l *eventLoop) handleBodyArrived(r *request, arrived time.Time) {
+func (l *eventLoop) handleBodyEndSeen(r *request, arrived time.Time) {
 	if r.ended || !r.BodyPending {
 		return
 	}
@@ -115,9 +115,9 @@
 	l.armDeadline(r)
 }
 
-// handleBodyReceived begins the time of a request whose body was still coming when it was taken. deadline is on the loop's
+// handleBodyRead begins the time of a request whose body was still coming when it was taken. deadline is on the loop's
 // clock.
-func (l *eventLoop) handleBodyReceived(r *request, deadline int64) {
+func (l *eventLoop) handleBodyRead(r *request, deadline int64) {
 	if r.ended {
 		return
 	}
--- a/internal/proxy/succession.go
+++ b/internal/proxy/succession.go
@@ -9,8 +9,8 @@
 	"merlinpick/internal/proxy/handover"
 )
 
-// listSyncTimeout is how long a successor waits for discovery before it serves by the list that it has. It has 6 s to be
-// ready in all.
+// listSyncTimeout is how long a successor waits for discovery before it serves by the list that it has. It
+// must be ready within discovery.NotifyDeadline (6 s).
 const listSyncTimeout = 3 * time.Second
 
 var errNoDescriptor = errors.New("the listener has no descriptor to share")
@@ -63,7 +63,7 @@
 	}
 	if p.predecessor != nil {
 		if err := p.predecessor.NotifyServing(); err != nil {
-			p.config.Logger.Warn("predecessor exited", "error", err)
+			p.config.Logger.Warn("predecessor not notified of serving", "error", err)
 		}
 	}
 	return p.frontend.Serve()
@@ -89,7 +89,7 @@
 	if !ok {
 		return errNoDescriptor
 	}
-	hooks := handover.Hooks{ExportState: p.exportState, SuccessorExited: func() { p.addOtherProcesses(-1) }}
+	hooks := handover.Hooks{ExportState: p.exportState, SuccessorDisconnected: func() { p.addOtherProcesses(-1) }}
 	s, err := handover.Start(p.config.StateDir, clientListener, hooks, p.config.Logger)
 	if err != nil {
 		return err
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -21,7 +21,8 @@
 	"merlinpick/internal/proxy/invariant"
 )
 
-// staleConnWindow is how soon a request breaks that was sent on a connection which the backend had closed.
+// staleConnWindow: a request on a reused connection that breaks within it is taken as sent on a connection that the backend
+// had already closed.
 const staleConnWindow = 100 * time.Millisecond
 
 // Request is what a client's request sends to a backend. Its attempts use it one after the other.
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -55,7 +55,7 @@
 	openConns    int // those being opened included
 	idleTracker  idletimeout.Tracker
 	byName       map[string]*backend
-	listCount    int             // updates so far
+	updateCount  int             // updates so far
 	suspended    map[string]bool // by name
 	drainedZones map[string]bool
 
@@ -113,11 +113,11 @@
 
 // SetLimits sets how many connections may be open, and how many bytes of responses these may buffer together. Idle
 // connections beyond the first limit are closed.
-func (p *Pool) SetLimits(maxOpen, memory int) {
+func (p *Pool) SetLimits(maxOpen, memoryBytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxOpen = maxOpen
-	p.maxBuffered.Store(int64(min(MaxBufferedResponse, max(minBufferedResponse, memory/maxOpen))))
+	p.maxBuffered.Store(int64(min(MaxBufferedResponse, max(minBufferedResponse, memoryBytes/maxOpen))))
 	for p.openConns > p.maxOpen && p.closeOldestIdleLocked() {
 	}
 }
@@ -128,7 +128,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.listCount++
+	p.updateCount++
 	for _, e := range entries {
 		p.updateEndpointLocked(now, e)
 	}
@@ -136,7 +136,7 @@
 		return
 	}
 	for name, b := range p.byName {
-		if b.lastListed != p.listCount {
+		if b.lastListed != p.updateCount {
 			b.serving, b.available = false, false
 			p.idleTracker.RecordBackendExit(now, name)
 			p.advanceGenerationLocked(b)
@@ -151,7 +151,7 @@
 		b = &backend{name: e.Name}
 		p.byName[e.Name] = b
 	}
-	b.lastListed = p.listCount
+	b.lastListed = p.updateCount
 	b.zone, b.cell, b.serving = e.Zone, e.Cell, e.Status == discovery.StatusServing
 	if b.startedMs != e.StartedAtMs {
 		p.idleTracker.RecordBackendExit(now, e.Name)
--- a/internal/proxy/upstream/receive.go
+++ b/internal/proxy/upstream/receive.go
@@ -121,8 +121,9 @@
 	return Result{Status: status}, n <= MaxBufferedResponse && resp.reusable(), nil
 }
 
-// streamResponse has the client's side read the response, and waits until it has. One that does not end is broken off
-// MaxStreamOverrun after the client's deadline.
+// streamResponse has the client's side read the response, and waits until it has. A response of known length up to
+// MaxBufferedResponse is broken off MaxStreamOverrun - ResponseBufferWait after the client's deadline; one without a length
+// from then on, once it has stalled for ResponseBufferWait. Longer ones are limited by StallTimeout alone.
 func (a *Attempt) streamResponse(resp incoming, source io.Reader) (Result, bool, error) {
 	length := resp.ContentLength
 	s := &Stream{ContentLength: length, ContentType: resp.contentType(), source: source, done: make(chan error, 1), cancelAttempt: a.cancel}
@@ -144,7 +145,7 @@
 			return Result{Status: balancer.StatusReset}, false, nil
 		case <-overrun.C:
 			if length > MaxBufferedResponse {
-				continue // it may take as long as it takes
+				continue // only StallTimeout applies
 			}
 			if ahead, ok := source.(*readAhead); ok && !ahead.isStalled(MaxBufferedResponse) {
 				overrun.Reset(ResponseBufferWait)
--- a/internal/proxy/upstream/reuse.go
+++ b/internal/proxy/upstream/reuse.go
@@ -13,6 +13,11 @@
 	"merlinpick/internal/proxy/socket"
 )
 
+const (
+	readerBytes   = 4 << 10 // buffer of a connection's reader
+	headPeekBytes = 1 << 10 // buffer of the reader that waits for the first bytes of a response
+)
+
 // How connections are opened, kept for the next request, and closed.
 
 var (
@@ -46,7 +51,8 @@
 }
 
 // awaitReusable takes the connection whose reuse delay ends first, where none has ended, and waits for that: a new one costs
-// the backend work and would take longer. It returns nil if none is idle, or a byte came meanwhile.
+// the backend work and would take longer. It returns nil if none is idle, the backend's generation has ended, or the
+// connection has something to read (it is closed then). If ctx ends first it returns the connection, to be put back.
 func (p *Pool) awaitReusable(ctx context.Context, b *backend, generation int) *conn {
 	p.mu.Lock()
 	if b.generation != generation || len(b.idleConns) == 0 {
@@ -105,8 +111,8 @@
 		return nil, fmt.Errorf("dial %s: %w", b.name, err)
 	}
 	c := &conn{Conn: nc, backend: b, generation: generation}
-	c.reader = bufio.NewReaderSize(notingReader{c}, 4<<10)
-	c.responseReader = bufio.NewReaderSize(nil, 1<<10)
+	c.reader = bufio.NewReaderSize(notingReader{c}, readerBytes)
+	c.responseReader = bufio.NewReaderSize(nil, headPeekBytes)
 	return c, nil
 }
 
--- a/internal/proxy/upstream/stream.go
+++ b/internal/proxy/upstream/stream.go
@@ -15,7 +15,8 @@
 	// ResponseBufferWait is how long a response is buffered before what has come of it is streamed.
 	ResponseBufferWait = 100 * time.Millisecond
 
-	// StallTimeout is how long a peer may neither send nor take a byte in the middle of a response before it counts as hung.
+	// StallTimeout is how long a peer may neither send nor take a byte in the middle of a request's body or a
+	// response before it counts as hung.
 	StallTimeout = 10 * time.Second
 
 	// MaxStreamOverrun is how long after its client's deadline a streamed response is broken off. A client waits for half a
--- a/internal/registry/api/endpoints.go
+++ b/internal/registry/api/endpoints.go
@@ -32,10 +32,10 @@
 		s.rejectRetryable(w, raftnode.ErrStale)
 		return
 	}
-	s.writeSnapshot(w, node)
+	s.writeList(w, node)
 }
 
-func (s *Server) writeSnapshot(w http.ResponseWriter, node *raftnode.Node) {
+func (s *Server) writeList(w http.ResponseWriter, node *raftnode.Node) {
 	s.snapshots.Add(1)
 	writeBody(w, http.StatusOK, node.Watches().Snapshot())
 }
@@ -48,7 +48,7 @@
 	defer release()
 	switch s.awaitEvent(w, r, node, request, node.Version) {
 	case watchReset:
-		s.writeSnapshot(w, node)
+		s.writeList(w, node)
 	case watchNewer, watchUnchanged:
 		s.changes.Add(1)
 		writeBody(w, http.StatusOK, node.Watches().ChangesSince(request.from))
--- a/internal/registry/api/server.go
+++ b/internal/registry/api/server.go
@@ -11,8 +11,15 @@
 //	GET    /config/SERVICE                     a service's configuration, or a watch of it: configs.go
 //	PUT    /config/SERVICE?from=V              write a configuration after version V
 //	GET    /config/SERVICE/status              which proxies have applied it
-//	GET    /v1/member /v1/proof /v1/nodos /v1/snapshot /v1/inforce/SERVICE
-//	POST   /v1/restore
+//	GET    /v1/member                          this member's status, also before it serves
+//	GET    /v1/proof                           the leader's read index, for members
+//	GET    /v1/nodos                           endpoints and their leases
+//	GET    /v1/snapshot                        the replicated state
+//	POST   /v1/restore                         replaces it
+//	GET    /v1/inforce/SERVICE                 what proxies reported at this member
+//
+// Names on the wire are older than the code's: /catalog/members and "nodos" are endpoints, "line" is the epoch, "index" the
+// version of the list, "former" the previous version, "refused" a rejected one, "overdue" held leases.
 //
 // Answers carry the epoch as "line". A whole list of the same epoch is never older than what any member has answered in
 // that epoch before. One of another epoch starts over: endpoints that it lacks were not removed by anybody.
--- a/internal/registry/raftnode/bootstrap.go
+++ b/internal/registry/raftnode/bootstrap.go
@@ -71,7 +71,7 @@
 		_, n.transport = raft.NewInmemTransport(raft.ServerAddress(n.cfg.Name))
 		return false, nil
 	}
-	if abstain, err = n.mustAbstain(ctx, empty); err != nil {
+	if abstain, err = n.decideAbstention(ctx, empty); err != nil {
 		return false, err
 	}
 	layer, err := listen(n.cfg)
@@ -85,12 +85,12 @@
 	return abstain, nil
 }
 
-// mustAbstain reports whether this node has to abstain from elections. A node with an empty directory waits until all
-// peers have answered: one that has not may be the one that holds data.
-func (n *Node) mustAbstain(ctx context.Context, empty bool) (bool, error) {
+// decideAbstention reports whether this node has to abstain from elections. With an empty directory it waits until all
+// peers have answered or one holds data, as one that has not answered may hold it, and then stores that it abstains.
+func (n *Node) decideAbstention(ctx context.Context, empty bool) (bool, error) {
 	if !empty {
 		value, err := n.store.Get(abstainKey)
-		return err == nil && len(value) == 1 && value[0] == 1, nil // an error means that it was never set
+		return err == nil && len(value) == 1 && value[0] == 1, nil // an error is that it was never set: store.Open has verified all records
 	}
 	emptyPeers := map[string]bool{}
 	lastLogged := time.Now()
--- a/internal/registry/raftnode/configs.go
+++ b/internal/registry/raftnode/configs.go
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// Configure writes a service's document if the service's newest version is after; otherwise the result is
+// Configure writes a service's document if the service's newest version equals expected; otherwise the result is
 // state.ResultConflict. The errors are those of Propose, and *IncompatibleMemberError.
-func (n *Node) Configure(ctx context.Context, service string, after int64, document json.RawMessage) (state.Result, error) {
+func (n *Node) Configure(ctx context.Context, service string, expected int64, document json.RawMessage) (state.Result, error) {
 	if !json.Valid(document) {
 		return state.Result{}, errInvalidJSON
 	}
@@ -87,7 +87,7 @@
 	}
 	n.configWrites.RLock()
 	defer n.configWrites.RUnlock()
-	return n.Propose(state.Command{Kind: state.CommandConfigure, Service: service, After: after, Document: document})
+	return n.Propose(state.Command{Kind: state.CommandConfigure, Service: service, After: expected, Document: document})
 }
 
 // Configuration returns a service's configuration as this node has it, and the epoch of its version.
--- a/internal/registry/raftnode/leadership.go
+++ b/internal/registry/raftnode/leadership.go
@@ -51,7 +51,7 @@
 // restarts every lease.
 func (n *Node) startLeading() {
 	if err := n.raft.Barrier(barrierTimeout).Error(); err != nil {
-		n.logger.Warn("leadership lost before it was usable", "error", err)
+		n.logger.Warn("leadership not usable yet: barrier failed", "error", err)
 		return
 	}
 	epoch, version := n.Version()
--- a/internal/registry/store/stable.go
+++ b/internal/registry/store/stable.go
@@ -22,13 +22,13 @@
 		err := s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(stableBucket).Put(key, seal(key, value)) })
 		if !isDiskFull(err) {
 			if logged {
-				s.logger.Info("disk accepts writes again", "file", s.path, "error", err)
+				s.logger.Info("disk full no longer: wait ended", "file", s.path, "error", err)
 			}
 			return err
 		}
 		if !logged {
 			logged = true
-			s.logger.Error("disk full: abstaining from elections", "file", s.path, "error", err)
+			s.logger.Error("disk full: cannot store a term or vote, waiting", "file", s.path, "error", err)
 		}
 		time.Sleep(diskFullRetryInterval)
 	}
--- a/internal/registry/store/store.go
+++ b/internal/registry/store/store.go
@@ -37,7 +37,7 @@
 
 var (
 	logBucket    = []byte("log")
-	stableBucket = []byte("words")
+	stableBucket = []byte("words") // an older name, on disk
 	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
 )
 
--- a/internal/registry/store/verify.go
+++ b/internal/registry/store/verify.go
@@ -190,7 +190,7 @@
 		return errNoMetaPage
 	}
 	if !firstOK || !secondOK {
-		logger.Warn("unconfirmed last write to the log discarded", "file", path)
+		logger.Warn("one meta page of the log is invalid: the other one is used", "file", path)
 	}
 	newest := first
 	if secondOK && (!firstOK || second.transaction > first.transaction) {
--- a/internal/rollout/fakeregistry_test.go
+++ b/internal/rollout/fakeregistry_test.go
@@ -194,7 +194,7 @@
 // client runs a client of the registry in the test's bubble.
 func (f *fakeRegistry) client(t *testing.T, seed uint64, dir string, known *CachedConfig) (*Client, *recordingApplier) {
 	applier := &recordingApplier{}
-	c := New(Config{Service: "tarifas", ProxyName: "p1", Members: []string{"m1", "m2", "m3", "m4", "m5"}, Seed: seed, StateDir: dir,
+	c := New(Config{Service: "tarifas", ProxyName: "p1", Members: []string{"m1", "m2", "m3", "m4", "m5"}, Seed: seed, CacheDir: dir,
 		Logger: slog.New(slog.DiscardHandler)}, applier)
 	c.http.Transport = f
 	if known != nil {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -61,7 +61,7 @@
 	ProxyName string   // reported to the members; empty: nothing is reported
 	Members   []string // HOST:PORT each, at least one
 	Seed      uint64   // of the order of members, and of random delays
-	StateDir  string   // directory of the cached configuration; empty: it is not cached
+	CacheDir  string   // directory of the cached configuration; empty: it is not cached
 	Logger    *slog.Logger
 }
 
@@ -98,8 +98,8 @@
 // New returns a client. Run has it follow the configuration.
 func New(cfg Config, applier Applier) *Client {
 	c := &Client{cfg: cfg, applier: applier, http: failover.NewHTTPClient(), randomness: rand.New(rand.NewPCG(cfg.Seed, 29))}
-	if cfg.StateDir != "" {
-		c.cache = newCacheWriter(cfg.StateDir, cfg.Logger)
+	if cfg.CacheDir != "" {
+		c.cache = newCacheWriter(cfg.CacheDir, cfg.Logger)
 	}
 	return c
 }
--- a/internal/tailweights/adjust.go
+++ b/internal/tailweights/adjust.go
@@ -17,7 +17,7 @@
 	Retention          float64 // 0 to 1: what each round leaves of the weight of earlier observations
 	MaxMisfit          float64 // factor: a latency that is further off its curve begins a new one
 	MaxSlopeFactor     float64 // factor of the assumed slope within which a curve's slope is kept
-	MinLoadFraction    float64 // of an equal load: what each server gets at least
+	MinLoadFraction    float64 // of an equal load, that each server gets at least; of its present load, for the change
 }
 
 // Adjust returns, for each server, the natural logarithm of the ratio of the load at which the tail is least to its
@@ -31,10 +31,11 @@
 		servers[i] = Server{UnloadedLatency: base, Capacity: capacity, MinLoad: learning.MinLoadFraction * demand / n}
 	}
 	loads, _ := s.Solve(nil, servers, demand)
+	changes := make([]float64, len(loads))
 	for i, seen := range observations {
-		loads[i] = math.Log(max(loads[i]/seen.CallsPerSecond, learning.MinLoadFraction))
+		changes[i] = math.Log(max(loads[i]/seen.CallsPerSecond, learning.MinLoadFraction))
 	}
-	return loads
+	return changes
 }
 
 // totals returns the sum of the loads, and the number of calls that a server is assumed to work on at once, which is
