--- a/cmd/merlinpick-faultlab/main.go
+++ b/cmd/merlinpick-faultlab/main.go
@@ -1,8 +1,8 @@
-// Command merlinpick-faultlab plays experiments: whole fleets of real proxies, faults between them, and a verdict. docs/lab.md
-// says how to rehearse a failure with it.
+// Command merlinpick-faultlab plays experiments: it runs clusters of real proxies under faults, and checks the results against what the
+// experiment expects. docs/lab.md says how to rehearse a failure with it.
 //
-// Exit status: 0, every expectation held; 1, one did not; 2, bad usage, a bad file, or a machine on which the run could
-// not be made or came out void.
+// Exit status: 0, every expectation held; 1, one did not; 2, bad usage, an invalid file, or a run that this machine could not make
+// or that was void.
 package main
 
 import (
@@ -64,19 +64,20 @@
 	Config string `arg:"" help:"The process's file."`
 }
 
-// Run runs the process until it is told to end.
+// Run runs the process until the context ends.
 func (c *hollowCommand) Run(ctx context.Context, log *slog.Logger) error {
 	return hollow.Main(ctx, c.Config, log)
 }
 
-// status is an exit status that is no error of the program's.
-type status int
+// exitStatus is an exit status without a message.
+type exitStatus int
 
-func (s status) Error() string { return fmt.Sprintf("exit status %d", int(s)) }
+// Error names the status.
+func (s exitStatus) Error() string { return fmt.Sprintf("exit status %d", int(s)) }
 
-func main() { os.Exit(realMain(os.Args[1:])) }
+func main() { os.Exit(runProgram(os.Args[1:])) }
 
-func realMain(args []string) int {
+func runProgram(args []string) int {
 	var a arguments
 	parser := kong.Must(&a, kong.Name("merlinpick-faultlab"), kong.Description(
 		"Plays fleets of real proxies through failures, and judges what came of it."), kong.UsageOnError())
@@ -89,7 +90,7 @@
 	defer stop()
 	cmd.BindTo(ctx, (*context.Context)(nil))
 	err = cmd.Run(newLog(a))
-	var s status
+	var s exitStatus
 	switch {
 	case err == nil:
 		return exitHeld
@@ -112,29 +113,31 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, o))
 }
 
-// open reads an experiment: a file, or one of the program's own by its name.
-func open(name string) (*experiment.Experiment, string, error) {
-	e, err := experiment.Read(name)
+// openExperiment reads an experiment, from a file or, by its name, one that is built in; file is its path or name.
+func openExperiment(name string) (*experiment.Experiment, string, error) {
+	exp, err := experiment.Read(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		own := strings.TrimSuffix(filepath.Base(name), ".toml") + ".toml"
 		if text, missing := experiments.Files.ReadFile(own); missing == nil && filepath.Base(name) == name {
-			e, err = experiment.Parse(own, string(text), experiments.Files.ReadFile)
-			return e, own, err
+			exp, err = experiment.Parse(own, string(text), experiments.Files.ReadFile)
+			return exp, own, err
 		}
 	}
-	return e, name, err
+	return exp, name, err
 }
 
+// Run prints all problems of the file, or its size.
 func (c *checkCommand) Run() error {
-	e, _, err := open(c.File)
+	exp, _, err := openExperiment(c.File)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d proxies, %d nodos, %d faults, %d expectations, %g s\n", e.Title, len(e.ProxyNodes()),
-		len(e.ServerNodes()), len(e.Faults), len(e.Expect), e.Seconds)
+	fmt.Printf("%s: %d proxies, %d nodos, %d faults, %d expectations, %g s\n", exp.Title, len(exp.ProxyNodes()),
+		len(exp.ServerNodes()), len(exp.Faults), len(exp.Expect), exp.Seconds)
 	return nil
 }
 
+// Run prints names and titles of the built-in experiments.
 func (c *listCommand) Run() error {
 	files, err := experiments.Files.ReadDir(".")
 	if err != nil {
@@ -145,15 +148,16 @@
 		if err != nil {
 			return err
 		}
-		e, err := experiment.Parse(f.Name(), string(text), experiments.Files.ReadFile)
+		exp, err := experiment.Parse(f.Name(), string(text), experiments.Files.ReadFile)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%-18s %s\n", strings.TrimSuffix(f.Name(), ".toml"), e.Title)
+		fmt.Printf("%-18s %s\n", strings.TrimSuffix(f.Name(), ".toml"), exp.Title)
 	}
 	return nil
 }
 
+// Run prints the run's report and writes its page again.
 func (c *reportCommand) Run() error {
 	r, err := result.Read(c.Dir)
 	if err != nil {
@@ -165,6 +169,7 @@
 	return report.HTML(c.Dir, r)
 }
 
+// Run prints the metrics of both runs.
 func (c *compareCommand) Run() error {
 	a, err := result.Read(c.A)
 	if err != nil {
--- a/internal/faultlab/catalog/catalog.go
+++ b/internal/faultlab/catalog/catalog.go
@@ -1,8 +1,7 @@
-// Package catalog is the stand-in list service: the platform's discovery protocol, handled in turn, told late, kept in a
-// file that a power loss tears.
+// Package catalog stands in for the list service: it speaks the platform's discovery protocol, with delays, a queue of calls and a file
+// that a power loss can tear. It never checks what proxies do with the list.
 //
-// One goroutine, run, owns the list and answers all calls one after another; connections hand their calls to it and
-// wait.
+// One goroutine, Run, owns the list and answers all calls one after another; connections pass their calls to it.
 package catalog
 
 import (
@@ -16,7 +15,7 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// Entry is a server as the list has it; its address is each proxy's own.
+// Entry is a server in the list, without its address, which is different for each proxy.
 type Entry struct {
 	Name   string `json:"name"`
 	Zone   string `json:"zone"`
@@ -26,75 +25,75 @@
 	Since  int64  `json:"since_ms"`
 }
 
-// The words of Status.
+// Values of Status.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 )
 
-// Config is what the service is.
+// Config describes a catalog.
 type Config struct {
-	Lag    time.Duration // from a change to its being told
-	Call   time.Duration // of the service for a call
-	Line   time.Duration // and for a line of an answer
-	Wait   time.Duration // in line, at most
-	Sync   time.Duration // between syncs of the file
-	Retain int           // changes kept for watches
-	Most   int           // calls that are held, watches that wait included
-	Seed   uint64
-	// Address is where a proxy finds a server.
+	NotificationDelay time.Duration // from a change until it is announced
+	CallWork          time.Duration // time for a call
+	EntryWork         time.Duration // and for an entry of an answer
+	QueueTimeout      time.Duration // of a call
+	SyncInterval      time.Duration // of the file
+	RetainedChanges   int           // for watches
+	MaxWaitingCalls   int           // calls in the queue and watches
+	Seed              uint64
+	// Address is the address at which a proxy reaches a server.
 	Address func(proxy, nodo string) string
 }
 
 const (
-	maxHold = 60 * time.Second
-	minWait = 100 * time.Microsecond
+	maxHoldTime     = 60 * time.Second
+	minStepInterval = 100 * time.Microsecond
 
-	registerAgain = 3 * time.Second        // after a loss of versions
-	continueTime  = 200 * time.Millisecond // a watch that comes later than this after the last answer is a new one
+	reregisterDelay = 3 * time.Second        // of servers whose entries were lost
+	continueWindow  = 200 * time.Millisecond // a watch that comes later after the last answer is a new one
 )
 
-// Catalog is the service.
+// Catalog is a running catalog.
 type Catalog struct {
-	cfg  Config
-	ref  *referee.Referee
-	do   chan func()
-	done chan struct{}
-
-	// What follows is run's alone.
-	file     *faultdisk.File
-	index    int64
-	answered int64 // calls
-	entries  map[string]Entry
-	changes  []change // of the last versions, in order
-	pending  []due    // changes not told yet
-	waiting  []*call  // watches with nothing to tell
-	line     []*call  // calls in line
-	busy     time.Time
-	slow     float64
-	down     int // faults that hold, as of the next
-	stale    int
-	full     int
-	synced   time.Time
-	ended    map[string]time.Time // when each proxy's last watch was answered
-	rng      *rand.Rand
-
-	mu   sync.Mutex
-	held map[string]int64 // the version that each proxy was last told
-}
-
-type due struct {
-	at    time.Time
+	config  Config
+	referee *referee.Referee
+	actions chan func()
+	done    chan struct{}
+
+	// The following is used by Run only.
+	file           *faultdisk.File
+	version        int64
+	answeredCalls  int64 // calls
+	entries        map[string]Entry
+	changes        []versionRecord // the last RetainedChanges versions, in order
+	pending        []pendingChange // changes not announced yet
+	watches        []*pollCall     // answered at the next change or the end of their hold
+	queue          []*pollCall     // calls not answered yet
+	busyUntil      time.Time
+	slowdown       float64
+	downFaults     int // number of active faults, as are the next
+	staleFaults    int
+	diskFullFaults int
+	syncedAt       time.Time
+	lastAnswers    map[string]time.Time // by proxy
+	rng            *rand.Rand
+
+	mu               sync.Mutex
+	notifiedVersions map[string]int64 // last version of each proxy
+}
+
+type pendingChange struct {
+	dueAt time.Time
 	entry Entry
 }
 
-// New is a service that holds these entries as versions of long ago.
+// New returns a catalog with these entries as synced versions.
 func New(cfg Config, ref *referee.Referee, entries []Entry) *Catalog {
-	c := &Catalog{cfg: cfg, ref: ref, do: make(chan func()), done: make(chan struct{}), file: &faultdisk.File{},
-		entries: map[string]Entry{}, slow: 1, ended: map[string]time.Time{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), held: map[string]int64{}}
-	for _, e := range entries {
-		c.notify(e)
+	c := &Catalog{config: cfg, referee: ref, actions: make(chan func()), done: make(chan struct{}), file: &faultdisk.File{},
+		entries: map[string]Entry{}, slowdown: 1, lastAnswers: map[string]time.Time{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), notifiedVersions: map[string]int64{}}
+	for _, entry := range entries {
+		c.commit(entry)
 	}
 	c.file.Sync()
 	return c
@@ -107,108 +106,110 @@
 	defer timer.Stop()
 	for {
 		select {
-		case f := <-c.do:
+		case f := <-c.actions:
 			f()
 		case <-timer.C:
 		case <-ctx.Done():
-			c.drop()
+			c.failCalls()
 			return
 		}
-		timer.Reset(c.step(time.Now()))
+		timer.Reset(c.advance(time.Now()))
 	}
 }
 
-func (c *Catalog) on(f func()) {
-	did := make(chan struct{})
+// run has the catalog's goroutine call f, and waits for it.
+func (c *Catalog) run(f func()) {
+	called := make(chan struct{})
 	select {
-	case c.do <- func() { f(); close(did) }:
-		<-did
+	case c.actions <- func() { f(); close(called) }:
+		<-called
 	case <-c.done:
 	}
 }
 
-// Change has the list hold an entry, and tells it after the lag.
-func (c *Catalog) Change(e Entry) {
-	c.on(func() { c.pending = append(c.pending, due{time.Now().Add(c.cfg.Lag), e}) })
+// Change adds an entry to the list, announced after NotificationDelay.
+func (c *Catalog) Change(entry Entry) {
+	c.run(func() {
+		c.pending = append(c.pending, pendingChange{time.Now().Add(c.config.NotificationDelay), entry})
+	})
 }
 
-// Down ends all calls, and has those that come end too, until end is called. Several add up, as do those below.
-func (c *Catalog) Down() (end func()) {
-	c.on(func() { c.down++; c.drop() })
-	return func() { c.on(func() { c.down-- }) }
+// TakeDown fails all calls until end is called. Several such faults are combined, as are those below.
+func (c *Catalog) TakeDown() (end func()) {
+	c.run(func() { c.downFaults++; c.failCalls() })
+	return func() { c.run(func() { c.downFaults-- }) }
 }
 
-// Slow has calls take so many times as long until end is called.
-func (c *Catalog) Slow(factor float64) (end func()) {
-	c.on(func() { c.slow *= factor })
-	return func() { c.on(func() { c.slow /= factor }) }
+// SlowDown multiplies the time of calls until end is called.
+func (c *Catalog) SlowDown(factor float64) (end func()) {
+	c.run(func() { c.slowdown *= factor })
+	return func() { c.run(func() { c.slowdown /= factor }) }
 }
 
-// Stale has it tell nothing new until end is called.
-func (c *Catalog) Stale() (end func()) {
-	c.on(func() { c.stale++ })
-	return func() { c.on(func() { c.stale-- }) }
+// Freeze announces no change until end is called.
+func (c *Catalog) Freeze() (end func()) {
+	c.run(func() { c.staleFaults++ })
+	return func() { c.run(func() { c.staleFaults-- }) }
 }
 
-// Rollback takes the last versions back, with what they told. Watches end: the service was restored from a copy. The
-// servers that lost their entries by it register again some time later, under versions that were used before.
+// Rollback removes the last versions, as after a restore from a backup: all calls fail, and servers whose entries were lost register
+// again after reregisterDelay, under versions that were used before.
 func (c *Catalog) Rollback(versions int) {
-	c.on(func() { c.back(c.read(c.file.Bytes()), c.index-int64(versions)) })
+	c.run(func() { c.rollBack(c.readRecords(c.file.Bytes()), c.version-int64(versions)) })
 }
 
-// PowerLoss loses what the file had not synced, and reads what is left. The versions go back by as much. It comes with
-// Down. It tells how many versions were lost.
+// PowerLoss loses what was not synced to the file and returns the number of lost versions. It is used while the catalog is down.
 func (c *Catalog) PowerLoss() (lost int64) {
-	c.on(func() {
-		before := c.index
+	c.run(func() {
+		before := c.version
 		c.file.PowerLoss(c.rng)
-		c.back(c.read(c.file.Bytes()), before)
-		lost = before - c.index
+		c.rollBack(c.readRecords(c.file.Bytes()), before)
+		lost = before - c.version
 	})
 	return lost
 }
 
-// Full has the disk of its file full until end is called: a change that cannot be kept is not told.
-func (c *Catalog) Full() (end func()) {
-	c.on(func() { c.full++; c.file.SetFull(true) })
-	return func() { c.on(func() { c.full--; c.file.SetFull(c.full > 0) }) }
+// FillDisk makes writes to the file fail until end is called: a change that cannot be stored is not announced.
+func (c *Catalog) FillDisk() (end func()) {
+	c.run(func() { c.diskFullFaults++; c.file.SetFull(true) })
+	return func() { c.run(func() { c.diskFullFaults--; c.file.SetFull(c.diskFullFaults > 0) }) }
 }
 
-// note keeps the version that a proxy was told.
-func (c *Catalog) note(proxy string, index int64) {
+// recordVersion records the version that a proxy was notified of.
+func (c *Catalog) recordVersion(proxy string, index int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held[proxy] = index
+	c.notifiedVersions[proxy] = index
 }
 
-// lastHeld is the version that a proxy was last told; false if it never was.
-func (c *Catalog) lastHeld(proxy string) (int64, bool) {
+// lastVersion is the last version that a proxy was notified of; false if there is none.
+func (c *Catalog) lastVersion(proxy string) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	index, ok := c.held[proxy]
+	index, ok := c.notifiedVersions[proxy]
 	return index, ok
 }
 
-// Snapshot is the list as a proxy is told it at its start, with what the referee notes of it: as its former process last had
-// it, as on the platform, or as it is now.
-func (c *Catalog) Snapshot(proxy string, part float64, r *rand.Rand) (list json.RawMessage, told []referee.Entry) {
-	c.on(func() {
-		entries, version := c.entries, c.index
-		if held, ok := c.lastHeld(proxy); ok && held < c.index {
-			entries, version = c.asOf(held), held
+// Snapshot is the list for a proxy's configuration, as text and for the referee: as its former process last received it, as on the
+// platform, or the current one. Each entry is kept with a probability of fraction.
+func (c *Catalog) Snapshot(proxy string, fraction float64, random *rand.Rand) (list json.RawMessage, known []referee.Entry) {
+	c.run(func() {
+		entries, version := c.entries, c.version
+		if held, ok := c.lastVersion(proxy); ok && held < c.version {
+			entries, version = c.entriesAt(held), held
 		}
-		lines, noted := c.snapshot(proxy, entries)
-		whole, kept := len(lines), lines[:0]
+		lines, all := c.snapshot(proxy, entries)
+		total, kept := len(lines), lines[:0]
 		for i, l := range lines {
-			if r.Float64() < part {
+			if random.Float64() < fraction {
 				kept = append(kept, l)
-				told = append(told, noted[i])
+				known = append(known, all[i])
 			}
 		}
-		if len(kept) < whole { // no version of the list looked so: a caller must not go on from it
+		if len(kept) < total { // not a version of the list: a watch must not continue from it
 			version = -1
 		}
 		list = encode(version, true, kept)
 	})
-	return list, told
+	return list, known
 }
