--- a/cmd/merlinpick-simadapter/session_test.go
+++ b/cmd/merlinpick-simadapter/session_test.go
@@ -157,9 +157,9 @@
 
 type textEvent string
 
-func (e textEvent) String() string          { return string(e) }
-func (e textEvent) Message() string         { return string(e) }
-func (e textEvent) Attributes() []slog.Attr { return nil }
+func (e textEvent) String() string                               { return string(e) }
+func (e textEvent) Message() string                              { return string(e) }
+func (e textEvent) Attributes(func(zone int) string) []slog.Attr { return nil }
 
 func TestActionsOnTheWire(t *testing.T) {
 	var out bytes.Buffer
