--- a/internal/faultlab/capacity/assess_test.go
+++ b/internal/faultlab/capacity/assess_test.go
@@ -8,13 +8,13 @@
 )
 
 // modelWith returns the recorded inputs with other duties and slopes.
-func modelWith(t *testing.T, d []Duty, sums []Sum, s ...*Slope) *Model {
+func modelWith(t *testing.T, duties []Duty, sums []Sum, slopes ...*Slope) *Model {
 	t.Helper()
-	n, err := ReadInputs(os.DirFS(folder))
+	inputs, err := ReadInputs(os.DirFS(capacityDir))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Model{n, &dutyFile{Duties: d, Sums: sums}, s}
+	return &Model{inputs, &dutyFile{Duties: duties, Sums: sums}, slopes}
 }
 
 // slopeOverBudgetAt returns a slope that exceeds 19 KB/s at a number of proxies, with points up to 1,300.
@@ -26,7 +26,7 @@
 
 func TestGaps(t *testing.T) {
 	following, member := Roles[1], Roles[2]
-	p := modelWith(t, []Duty{
+	model := modelWith(t, []Duty{
 		{Key: "lists", Role: following, Description: "waits", AbsentReason: "none", RequestedBy: "services", Fallback: "one list"},
 		{Key: "list", Role: following, Description: "later", RequiredClasses: []string{classBytes}},
 		{Key: "fleet", Role: member, Description: "early", RequiredClasses: []string{classBytes}},
@@ -38,14 +38,14 @@
 		slopeOverBudgetAt("list.proxy.bytes", following, 700), slopeOverBudgetAt("fleet.proxy.bytes", member, 30), slopeOverBudgetAt("fine.proxy.bytes", member, 3000),
 		slopeOverBudgetAt("half.proxy.bytes", member, 3000), slopeOverBudgetAt("new.proxy.bytes", member, 3000))
 	var got []string
-	for _, m := range p.Gaps() {
-		got = append(got, m.Verdict+" "+m.Title+" "+p.formatSize(m.CrossesAt))
+	for _, m := range model.Gaps() {
+		got = append(got, m.Verdict+" "+m.Title+" "+model.formatSize(m.CrossesAt))
 	}
 	if want := "absent asked for any size; over all, bytes in all 28.8 nodos; over early 30 nodos; over later 700 nodos; absent waits none"; strings.Join(got, "; ") != want {
 		t.Errorf("%s\nnot %s", strings.Join(got, "; "), want)
 	}
 	got = nil
-	for _, s := range p.AssessDuties() {
+	for _, s := range model.AssessDuties() {
 		got = append(got, s.Duty.Description+": "+s.Verdict+" "+s.Reason)
 	}
 	want := "waits: absent none; later: over f; asked for: absent none; early: over f; fine: carried ; half: unproven cpu not measured; " +
@@ -54,7 +54,7 @@
 		t.Errorf("%s\nnot %s", strings.Join(got, "; "), want)
 	}
 	for i, word := range []string{OverBudget, Unproven} {
-		if total := p.AssessSums()[i]; total.Verdict != word {
+		if total := model.AssessSums()[i]; total.Verdict != word {
 			t.Errorf("%s: %s", total.Title, total.Verdict)
 		}
 	}
@@ -67,46 +67,46 @@
 	noisy.Name, noisy.Dimension, noisy.File = "list.proxy.noisy", "proxies", "slopes/a.toml"
 	short := slopeOf([2]float64{15, 1}, [2]float64{150, 9}, [2]float64{600, 2})
 	short.Name, short.Dimension, short.File = "list.proxy.short", "proxies", "slopes/a.toml"
-	p := modelWith(t, []Duty{{Key: "list", Role: following, Description: "d", RequiredClasses: []string{classBytes}}},
+	model := modelWith(t, []Duty{{Key: "list", Role: following, Description: "d", RequiredClasses: []string{classBytes}}},
 		[]Sum{{Title: "all", Role: following, Class: classBytes, SlopeNames: []string{noisy.Name, short.Name}}}, noisy, short)
-	r := p.Project(noisy)
-	if got := []any{r.Value.Likely, r.Basis[1], r.Verdicts[1], r.DoubledBasis[1], p.formatSize(r.CrossesAt)}; !slices.Equal(got, []any{1., Measured, OverBudget, Nonlinear, "15 nodos"}) {
+	projection := model.Project(noisy)
+	if got := []any{projection.Value.Likely, projection.Basis[1], projection.Verdicts[1], projection.DoubledBasis[1], model.formatSize(projection.CrossesAt)}; !slices.Equal(got, []any{1., Measured, OverBudget, Nonlinear, "15 nodos"}) {
 		t.Error(got)
 	}
-	if r := p.Project(short); r.Basis[1] != Nonlinear || r.Verdicts[1] != Unproven || p.formatSize(r.CrossesAt) != "not known" {
-		t.Errorf("%+v", r)
+	if projection := model.Project(short); projection.Basis[1] != Nonlinear || projection.Verdicts[1] != Unproven || model.formatSize(projection.CrossesAt) != "not known" {
+		t.Errorf("%+v", projection)
 	}
-	total := p.AssessSums()[0]
+	total := model.AssessSums()[0]
 	if total.Verdict != Unproven || !slices.Equal(total.Unmeasured, []string{short.Name}) {
 		t.Errorf("%+v", total)
 	}
-	for _, l := range strings.Split(strings.TrimSpace(p.projectionTable(p.AssessDuties())), "\n")[2:] {
+	for _, l := range strings.Split(strings.TrimSpace(model.projectionTable(model.AssessDuties())), "\n")[2:] {
 		if !strings.Contains(l, "| - | not straight |") || strings.Contains(l, "-0") || strings.Contains(l, "NaN") {
 			t.Error(l)
 		}
 	}
 	// If they were linear, they would be extrapolated.
 	noisy.Linear, short.Linear = true, true
-	if r := p.Project(short); r.Basis[1] != Extrapolated || r.Verdicts[1] != WithinBudget && r.Verdicts[1] != OverBudget {
-		t.Errorf("%+v", r)
+	if projection := model.Project(short); projection.Basis[1] != Extrapolated || projection.Verdicts[1] != WithinBudget && projection.Verdicts[1] != OverBudget {
+		t.Errorf("%+v", projection)
 	}
 }
 
 // The duty selects which of several over-budget metrics ranks it.
 func TestDecidingSlope(t *testing.T) {
-	d := []Duty{{Key: "list", Role: Roles[1], Description: "d", RequiredClasses: []string{classBytes}}}
-	p := modelWith(t, d, nil, slopeOverBudgetAt("list.proxy.first", Roles[1], 30), slopeOverBudgetAt("list.proxy.second", Roles[1], 700))
-	if m := p.Gaps(); len(m) != 1 || p.formatSize(m[0].CrossesAt) != "30 nodos" {
+	duties := []Duty{{Key: "list", Role: Roles[1], Description: "d", RequiredClasses: []string{classBytes}}}
+	model := modelWith(t, duties, nil, slopeOverBudgetAt("list.proxy.first", Roles[1], 30), slopeOverBudgetAt("list.proxy.second", Roles[1], 700))
+	if m := model.Gaps(); len(m) != 1 || model.formatSize(m[0].CrossesAt) != "30 nodos" {
 		t.Errorf("%+v", m)
 	}
 	// A metric within its budget does not hide another.
-	p.Slopes = append(p.Slopes, slopeOverBudgetAt("list.proxy.fine", Roles[1], 3000))
-	d[0].DecidingSlope = "list.proxy.fine"
-	if m := p.Gaps(); len(m) != 1 || p.formatSize(m[0].CrossesAt) != "30 nodos" {
+	model.Slopes = append(model.Slopes, slopeOverBudgetAt("list.proxy.fine", Roles[1], 3000))
+	duties[0].DecidingSlope = "list.proxy.fine"
+	if m := model.Gaps(); len(m) != 1 || model.formatSize(m[0].CrossesAt) != "30 nodos" {
 		t.Errorf("%+v", m)
 	}
-	d[0].DecidingSlope = "list.proxy.second"
-	if m := p.Gaps(); len(m) != 1 || p.formatSize(m[0].CrossesAt) != "700 nodos" {
+	duties[0].DecidingSlope = "list.proxy.second"
+	if m := model.Gaps(); len(m) != 1 || model.formatSize(m[0].CrossesAt) != "700 nodos" {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -22,20 +22,20 @@
 var update = flag.Bool("update", false, "write the tables of docs/CAPACITY.md anew")
 
 const (
-	folder = "../../../docs/capacity"
-	page   = "../../../docs/CAPACITY.md"
+	capacityDir = "../../../docs/capacity"
+	pagePath    = "../../../docs/CAPACITY.md"
 )
 
 // capacityFiles returns a copy of docs/capacity that a test may change.
 func capacityFiles(t *testing.T) fstest.MapFS {
 	t.Helper()
 	files := fstest.MapFS{}
-	err := filepath.WalkDir(folder, func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(capacityDir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
 			return err
 		}
 		text, err := os.ReadFile(path)
-		name, _ := filepath.Rel(folder, path)
+		name, _ := filepath.Rel(capacityDir, path)
 		files[filepath.ToSlash(name)] = &fstest.MapFile{Data: text}
 		return err
 	})
@@ -48,11 +48,11 @@
 // pageDifference describes the first difference of a page from the model of these files; empty if there is none.
 func pageDifference(t *testing.T, files fs.FS, text string) string {
 	t.Helper()
-	p, err := Read(files)
+	model, err := Read(files)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tables, err := p.Tables()
+	tables, err := model.Tables()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,16 +65,16 @@
 
 // The tables of docs/CAPACITY.md are those of docs/capacity. With -update they are rewritten.
 func TestPageMatchesModel(t *testing.T) {
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if *update {
-		p, err := Read(os.DirFS(folder))
+		model, err := Read(os.DirFS(capacityDir))
 		if err != nil {
 			t.Fatal(err)
 		}
-		tables, err := p.Tables()
+		tables, err := model.Tables()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,23 +82,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(page, []byte(filled), 0o644); err != nil {
+		if err := os.WriteFile(pagePath, []byte(filled), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	if at := pageDifference(t, os.DirFS(folder), string(text)); at != "" {
+	if at := pageDifference(t, os.DirFS(capacityDir), string(text)); at != "" {
 		t.Errorf("docs/CAPACITY.md differs from docs/capacity at %s\n(go test ./internal/faultlab/capacity -update writes its tables anew)", at)
 	}
 }
 
 // The page names the first gap of its list as the first one now, and a duty that is implemented by now as the first one then.
 func TestPageNamesFirstGap(t *testing.T) {
-	p, err := Read(os.DirFS(folder))
+	model, err := Read(os.DirFS(capacityDir))
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 		return what
 	}
 	want := "nothing"
-	missing := p.Gaps()
+	missing := model.Gaps()
 	if len(missing) > 0 {
 		want = missing[0].Title
 	}
@@ -120,14 +120,14 @@
 		t.Errorf("the list is %+v, and the page has %q as missing first now", missing, is)
 	}
 	is := statedIn(then)
-	if !slices.ContainsFunc(p.Duties, func(d Duty) bool { return d.Description == is && d.AbsentReason == "" }) {
+	if !slices.ContainsFunc(model.Duties, func(d Duty) bool { return d.Description == is && d.AbsentReason == "" }) {
 		t.Errorf("%q, which the page says was missing first and was built, is no duty that something carries", is)
 	}
 }
 
 // A change of a single number, slope or cell is detected.
 func TestSingleChangeIsDetected(t *testing.T) {
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,11 +222,11 @@
 		})
 	}
 	t.Run("a cell", func(t *testing.T) {
-		p, err := Read(os.DirFS(folder))
+		model, err := Read(os.DirFS(capacityDir))
 		if err != nil {
 			t.Fatal(err)
 		}
-		tables, err := p.Tables()
+		tables, err := model.Tables()
 		if err != nil {
 			t.Fatal(err)
 		}
