--- a/internal/faultlab/misbehavingclient/misbehavingclient_test.go
+++ b/internal/faultlab/misbehavingclient/misbehavingclient_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A server that keeps rude clients is found out, and one that answers or closes is not.
-func TestAVisitTellsWhatItMet(t *testing.T) {
+// A server that leaves a misbehaving client unanswered or serves it is reported; one that rejects it or closes is not.
+func TestRunReportsTheAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		does func(net.Conn)
@@ -18,7 +18,7 @@
 	}{
 		{"closes", func(c net.Conn) { c.Close() }, false},
 		{"answers 400", func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n") }, false},
-		{"keeps it", func(net.Conn) { time.Sleep(Patience + time.Second) }, true},
+		{"keeps it", func(net.Conn) { time.Sleep(AnswerTimeout + time.Second) }, true},
 		{"serves it", func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 					c.does(conn)
 				}
 			}()
-			err = Visit{Name: "half a head", send: []string{"GET / HT"}}.Make(t.Context(), l.Addr().String())
+			err = Misbehavior{Name: "half a head", chunks: []string{"GET / HT"}}.Run(t.Context(), l.Addr().String())
 			if (err != nil) != c.bad {
 				t.Errorf("got %v", err)
 			}
--- a/internal/faultlab/run/faults_reload.go
+++ b/internal/faultlab/run/faults_reload.go
@@ -94,7 +94,7 @@
 		v := misbehavingclient.Draw(r, class)
 		t.running.Go(func() {
 			begun := time.Now()
-			err := v.Make(ctx, proxy.listenAddress)
+			err := v.Run(ctx, proxy.listenAddress)
 			if errors.Is(err, misbehavingclient.ErrUnanswered) {
 				t.ref.RecordMisbehavingClient(proxy.node.Name, begun, time.Now(), err.Error())
 			}
