--- a/internal/faultlab/misbehavingclient/misbehavingclient.go
+++ b/internal/faultlab/misbehavingclient/misbehavingclient.go
@@ -21,10 +21,10 @@
 
 // Misbehavior is one way to violate the protocol.
 type Misbehavior struct {
-	Name  string
-	chunks  []string // sent with a pause after each
-	pause time.Duration
-	resets  bool // the connection is reset afterwards; no answer is expected
+	Name   string
+	chunks []string // sent with a pause after each
+	pause  time.Duration
+	resets bool // the connection is reset afterwards; no answer is expected
 }
 
 // ErrUnanswered is a proxy that gave neither an error nor a close in time.
--- a/internal/faultlab/run/gossip.go
+++ b/internal/faultlab/run/gossip.go
@@ -1,6 +1,7 @@
 package run
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"slices"
@@ -11,6 +12,9 @@
 	"merlinpick/internal/faultlab/result"
 )
 
+// errGossipDropped is gossip that the lab's relays dropped for a full queue.
+var errGossipDropped = errors.New("gossip dropped")
+
 // buildGossip puts a relay before each proxy, at the address that it advertises.
 func (bed *testbed) buildGossip() (err error) {
 	if !bed.experiment.Cluster.Enabled {
@@ -46,13 +50,13 @@
 		return nil, nil
 	}
 	var out result.Gossip
-	over := 0
+	dropped := 0
 	for _, proxy := range bed.proxyOrder {
 		p := proxy.relay.Counters()
-		out.Packets, out.Bytes, over = out.Packets+p.Forwarded, out.Bytes+p.Bytes, over+p.Overflowed
+		out.Packets, out.Bytes, dropped = out.Packets+p.Forwarded, out.Bytes+p.Bytes, dropped+p.Overflowed
 	}
-	if over > 0 {
-		return &out, fmt.Errorf("relays of the lab dropped %d datagrams of gossip for a full queue: use a less busy machine", over)
+	if dropped > 0 {
+		return &out, fmt.Errorf("%w: %d in the lab, use a less busy machine", errGossipDropped, dropped)
 	}
 	return &out, nil
 }
@@ -71,7 +75,7 @@
 }
 
 // gossipSeeds are the proxies that a member joins at: the first of each zone, then the second, and so on.
-func (bed *testbed) gossipSeeds(of experiment.Node) []string {
+func (bed *testbed) gossipSeeds(member experiment.Node) []string {
 	order := slices.Clone(bed.proxyOrder)
 	nth := map[string]int{}
 	in := map[*proxyUnderTest]int{}
@@ -82,7 +86,7 @@
 	slices.SortStableFunc(order, func(a, b *proxyUnderTest) int { return in[a] - in[b] })
 	var out []string
 	for _, o := range order {
-		if o.node.Name != of.Name && len(out) < bed.experiment.Cluster.Seeds {
+		if o.node.Name != member.Name && len(out) < bed.experiment.Cluster.Seeds {
 			out = append(out, o.relay.Address())
 		}
 	}
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -235,7 +235,7 @@
 			return out, err
 		}
 		if x.RelayDrops > 0 {
-			return out, fmt.Errorf("%d datagrams of gossip dropped for a full queue in %s: use a less busy machine", x.RelayDrops, p.config.Name)
+			return out, fmt.Errorf("%w: %d in %s, use a less busy machine", errGossipDropped, x.RelayDrops, p.config.Name)
 		}
 		out = append(out, x)
 	}
--- a/internal/faultlab/run/timeline.go
+++ b/internal/faultlab/run/timeline.go
@@ -106,13 +106,13 @@
 }
 
 // eachTarget injects a fault into each target at the target's time; targets do not wait for each other.
-func (t *timeline) eachTarget(ctx context.Context, planned plan.PlannedFault, do func(plan.Target) error) error {
+func (t *timeline) eachTarget(ctx context.Context, planned plan.PlannedFault, inject func(plan.Target) error) error {
 	errs := make([]error, len(planned.Targets))
 	var all sync.WaitGroup
 	for i, target := range planned.Targets {
 		all.Go(func() {
 			if t.waitUntil(ctx, target.At) {
-				errs[i] = do(target)
+				errs[i] = inject(target)
 			}
 		})
 	}
