--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -112,9 +112,9 @@
 	return l.latest
 }
 
-// sumReports sums up the reports of all replicas on each server and returns how many replicas reported; 0 if no
-// report has a latency.
-// What is no number or out of all proportion is bounded, so that no single replica moves the sums much.
+// sumReports sums up the reports of all replicas on each server and returns how many replicas reported; 0 if
+// no report has a latency. What is no number or out of all proportion is bounded, so that no single replica
+// moves the sums much.
 func (l *loads) sumReports(now moment) (replicas int) {
 	reports, callsOf := l.usableReports(now)
 	for _, server := range l.members.all {
@@ -161,8 +161,8 @@
 	return reports, callsOf
 }
 
-// add adds a report, of whose calls the given part counts. Until finish the fields hold sums: failedFraction the
-// failed calls, callsPerSecond the answered calls that have a latency, meanLatency their latencies in µs
+// add adds a report, of whose calls the given part counts. Until finish the fields hold sums: failedFraction
+// the failed calls, callsPerSecond the answered calls that have a latency, meanLatency their latencies in µs
 // times these calls.
 func (f *fleetLoad) add(report Report, part, medianLatency float64) {
 	calls := part * min(report.Calls, maxReportedCalls)
