--- a/internal/registry/api/configs.go
+++ b/internal/registry/api/configs.go
@@ -74,14 +74,7 @@
 		s.watchConfig(w, r, node, service)
 		return
 	}
-	if query.Get("consistent") == "1" {
-		if err := node.WaitLinearizable(r.Context()); err != nil {
-			s.rejectRetryable(w, err)
-			return
-		}
-	}
-	if !node.Serving() {
-		s.rejectRetryable(w, raftnode.ErrStale)
+	if !s.awaitReadable(w, r, node) {
 		return
 	}
 	wantPrevious := query.Get("former") == "1"
--- a/internal/registry/api/endpoints.go
+++ b/internal/registry/api/endpoints.go
@@ -17,22 +17,30 @@
 
 // list answers with the whole list, or as a watch of it.
 func (s *Server) list(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
-	query := r.URL.Query()
-	if query.Has("from") {
+	if r.URL.Query().Has("from") {
 		s.watchList(w, r, node)
 		return
 	}
-	if query.Get("consistent") == "1" {
+	if !s.awaitReadable(w, r, node) {
+		return
+	}
+	s.writeList(w, node)
+}
+
+// awaitReadable waits, for a call with consistent=1, until the node may answer a linearizable read. If the node may not answer
+// by what it has, it rejects the call and returns false.
+func (s *Server) awaitReadable(w http.ResponseWriter, r *http.Request, node *raftnode.Node) bool {
+	if r.URL.Query().Get("consistent") == "1" {
 		if err := node.WaitLinearizable(r.Context()); err != nil {
 			s.rejectRetryable(w, err)
-			return
+			return false
 		}
 	}
 	if !node.Serving() {
 		s.rejectRetryable(w, raftnode.ErrStale)
-		return
+		return false
 	}
-	s.writeList(w, node)
+	return true
 }
 
 func (s *Server) writeList(w http.ResponseWriter, node *raftnode.Node) {
