--- a/internal/proxy/clientconn/linger.go
+++ b/internal/proxy/clientconn/linger.go
@@ -1,13 +1,14 @@
 package clientconn
 
 import (
-	"merlinpick/internal/proxy/audit"
-	"merlinpick/internal/proxy/invariant"
-	"merlinpick/internal/proxy/socket"
 	"net"
 	"sync"
 	"syscall"
 	"time"
+
+	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/invariant"
+	"merlinpick/internal/proxy/socket"
 )
 
 // How a client's connection ends. A close over bytes that nobody has read resets the connection, and takes along what the
--- a/internal/proxy/downstream/bodyend.go
+++ b/internal/proxy/downstream/bodyend.go
@@ -2,10 +2,11 @@
 
 import (
 	"bytes"
-	"merlinpick/internal/proxy/socket"
 	"net"
 	"sync"
 	"time"
+
+	"merlinpick/internal/proxy/socket"
 )
 
 // A client's time counts from the last byte of its request. A body that is streamed is read no faster than a backend takes
--- a/internal/proxy/downstream/evict.go
+++ b/internal/proxy/downstream/evict.go
@@ -1,11 +1,12 @@
 package downstream
 
 import (
-	"merlinpick/internal/proxy/audit"
-	"merlinpick/internal/proxy/clientconn"
 	"net"
 	"net/http"
 	"time"
+
+	"merlinpick/internal/proxy/audit"
+	"merlinpick/internal/proxy/clientconn"
 )
 
 const (
--- a/internal/proxy/downstream/evict_test.go
+++ b/internal/proxy/downstream/evict_test.go
@@ -1,10 +1,11 @@
 package downstream
 
 import (
+	"testing"
+
 	"merlinpick/internal/proxy/clientconn"
 	"merlinpick/internal/proxy/proxytest"
 	"merlinpick/internal/proxy/socket"
-	"testing"
 )
 
 // A new connection whose request was in the kernel, unread since its goroutine had not run, was closed to make room for
--- a/internal/proxy/downstream/golden_test.go
+++ b/internal/proxy/downstream/golden_test.go
@@ -3,15 +3,16 @@
 import (
 	"errors"
 	"fmt"
-	"merlinpick/internal/proxy/clientconn"
-	"merlinpick/internal/proxy/proxytest"
-	"merlinpick/internal/settings"
 	"net"
 	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"merlinpick/internal/proxy/clientconn"
+	"merlinpick/internal/proxy/proxytest"
+	"merlinpick/internal/settings"
 )
 
 // The last part of the file was written by an earlier version. What clients read stays byte for byte the same.
--- a/internal/proxy/downstream/request.go
+++ b/internal/proxy/downstream/request.go
@@ -61,7 +61,7 @@
 	// HandleBodyEndSeen is called when the last byte of a body that is being streamed is known to have come, though it has
 	// not been read yet: the client's time runs from then on.
 	HandleBodyEndSeen(r *Request, arrived time.Time)
-	// HandleBodyReceived is called when a body that was streamed has been read completely.
+	// HandleBodyRead is called when a body that was streamed has been read completely.
 	HandleBodyRead(r *Request, clientDeadline time.Time)
 	// HandleClientGone is called when nobody waits for the response any more, even in the middle of it.
 	HandleClientGone(r *Request)
--- a/internal/proxy/downstream/upload_test.go
+++ b/internal/proxy/downstream/upload_test.go
@@ -3,10 +3,11 @@
 import (
 	"bytes"
 	"errors"
-	"merlinpick/internal/proxy/clientconn"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"merlinpick/internal/proxy/clientconn"
 )
 
 // slowReader gives pieces with pauses, and then nothing until its deadline.
--- a/internal/proxy/handover/state_test.go
+++ b/internal/proxy/handover/state_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"encoding/json"
-	"merlinpick/balancer"
 	"os"
 	"path/filepath"
 	"reflect"
 	"slices"
 	"testing"
+
+	"merlinpick/balancer"
 )
 
 // The retry budget that a predecessor used is as long ago for its successor as for itself, also where the wall clock was
--- a/internal/proxy/proxytest/proxytest.go
+++ b/internal/proxy/proxytest/proxytest.go
@@ -5,12 +5,13 @@
 	"bufio"
 	"cmp"
 	"io"
-	"merlinpick/internal/discovery"
 	"net"
 	"net/http"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"merlinpick/internal/discovery"
 )
 
 // Timeout is for what must happen; it ends a test that hangs.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -51,7 +51,7 @@
 	l.postFor(r, func(r *request) { l.handleBodyEndSeen(r, arrived) })
 }
 
-// HandleBodyReceived implements downstream.Handler.
+// HandleBodyRead implements downstream.Handler.
 func (l *eventLoop) HandleBodyRead(r *downstream.Request, clientDeadline time.Time) {
 	l.postFor(r, func(r *request) { l.handleBodyRead(r, l.clock.at(clientDeadline)) })
 }
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -1,14 +1,13 @@
 package upstream
 
 import (
+	"context"
 	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"context"
-
 	"merlinpick/internal/discovery"
 	"merlinpick/internal/idletimeout"
 	"merlinpick/internal/proxy/audit"
--- a/internal/proxy/upstream/response_test.go
+++ b/internal/proxy/upstream/response_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"io"
-	"merlinpick/balancer"
-	"merlinpick/internal/proxy/proxytest"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
+
+	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // A response that cannot be read as HTTP counts as none, however it breaks the rules.
--- a/internal/proxy/upstream/sendwindow_test.go
+++ b/internal/proxy/upstream/sendwindow_test.go
@@ -1,13 +1,14 @@
 package upstream
 
 import (
-	"merlinpick/balancer"
-	"merlinpick/internal/proxy/proxytest"
 	"net"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
+
+	"merlinpick/balancer"
+	"merlinpick/internal/proxy/proxytest"
 )
 
 // What cannot be written completely inside the send window is broken off at its end, which proves that it was never
