--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -64,7 +64,7 @@
 	return min(attributionRatio*common, (1+common)/2)
 }
 
-// serverReports sums up what the replicas report of a server.
+// serverReportSum sums up what the replicas report of a server.
 type serverReportSum struct {
 	unhealthy, healthy int     // replicas that call it so
 	unhealthyByPeers   int     // those of unhealthy that are other replicas
--- a/balancer/zonestate.go
+++ b/balancer/zonestate.go
@@ -37,7 +37,7 @@
 // zoneRecovery is how far the recovery of a zone has come.
 type zoneRecovery struct{ step int } // index of recoveryFractions
 
-// zoneReports is the sum of what the replicas of this zone report of a zone.
+// zoneReportSum is the sum of what the replicas of this zone report of a zone.
 type zoneReportSum struct {
 	calls, bad       float64
 	replicas         int // with evidence
--- a/internal/faultlab/byzantine/byzantine_test.go
+++ b/internal/faultlab/byzantine/byzantine_test.go
@@ -14,7 +14,7 @@
 	"merlinpick/internal/cluster/transport"
 )
 
-// nothingLeft checks that no goroutine outlives the test. A probe of memberlist ends a probe interval after its member, which is
+// checkNoGoroutinesLeft checks that no goroutine outlives the test. A probe of memberlist ends a probe interval after its member, which is
 // longer than goleak waits.
 func checkNoGoroutinesLeft(t *testing.T) {
 	t.Helper()
--- a/internal/faultlab/referee/clientattempt.go
+++ b/internal/faultlab/referee/clientattempt.go
@@ -71,7 +71,7 @@
 	stateCanceled
 )
 
-// mayHaveRun tells whether the proxy cannot know that the attempt never ran.
+// mayHaveExecuted tells whether the proxy cannot know that the attempt never ran.
 func (a *Attempt) mayHaveExecuted() bool { return a.state != stateRejected || !a.outcomeWritten }
 
 // ClientAttempt is the client's attempt that this one was forwarded for.
--- a/internal/faultlab/result/metrics.go
+++ b/internal/faultlab/result/metrics.go
@@ -51,7 +51,7 @@
 	return true
 }
 
-// spanFigure is the fraction of the selected requests that count for a span metric, weighted for worth_in_time; NaN if nothing
+// spanMetric is the fraction of the selected requests that count for a span metric, weighted for worth_in_time; NaN if nothing
 // arrived.
 func spanMetric(exp *experiment.Experiment, requests []clientRequest, metric string, selected selection) float64 {
 	all, counted := 0.0, 0.0
