--- a/.ci/knownfailures/main.go
+++ b/.ci/knownfailures/main.go
@@ -99,7 +99,7 @@
 // runKnownFailure runs one listed test alone and returns why its line is invalid; empty if it fails as listed.
 func (r *runner) runKnownFailure(k knownFailure) string {
 	t := tally{lastActions: map[string]string{}}
-	err := r.goTest(&t, io.Discard, "-count=1", "-run="+testPattern([]knownFailure{k}), k.packagePath)
+	err := r.goTest(&t, io.Discard, "-run="+testPattern([]knownFailure{k}), k.packagePath)
 	switch action := t.lastActions[k.test]; {
 	case action == "fail", action == "run" && err != nil: // in the latter case its process has exited
 		return ""
@@ -110,12 +110,12 @@
 	}
 }
 
-// goTest runs go test, tallies its events and returns an error if it failed.
+// goTest runs go test without its cache, tallies its events and returns an error if it failed.
 func (r *runner) goTest(t *tally, out io.Writer, args ...string) error {
 	if r.race {
 		args = append([]string{"-race"}, args...)
 	}
-	cmd := r.command(append([]string{"test", "-json"}, args...)...)
+	cmd := r.command(append([]string{"test", "-json", "-count=1"}, args...)...)
 	events, err := cmd.StdoutPipe()
 	if err != nil {
 		return err
