--- a/balancer/counters.go
+++ b/balancer/counters.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Counts of events by time. They decide nothing.
+// Counters of events over time. They make no decisions themselves.
 
 const (
 	windowBuckets  = 64 // buckets of a window
@@ -10,18 +10,19 @@
 	maxWindow      = windowBuckets * bucketDuration
 )
 
-// window counts events over a sliding time of up to maxWindow.
+// window counts events in a sliding window of up to maxWindow.
 type window struct {
 	buckets    [windowBuckets]int32
-	lastBucket int64
+	lastBucket int64 // number of the newest bucket, counted from time 0 of the clock
 }
 
+// add counts one event.
 func (w *window) add(now moment) {
 	w.advance(now)
 	w.buckets[w.lastBucket%windowBuckets]++
 }
 
-// advance empties the buckets whose time has passed.
+// advance empties the buckets that have left the window.
 func (w *window) advance(now moment) {
 	bucket := int64(now) / int64(bucketDuration)
 	for i := max(w.lastBucket+1, bucket-windowBuckets+1); i <= bucket; i++ {
@@ -30,7 +31,7 @@
 	w.lastBucket = max(w.lastBucket, bucket)
 }
 
-// count returns the number of events within a span before now.
+// count returns the number of events in the given length of time before now.
 func (w *window) count(now moment, length span) float64 {
 	w.advance(now)
 	total := int32(0)
@@ -42,31 +43,32 @@
 	return float64(total)
 }
 
-// decayingCount counts events; each fades exponentially with the time constant arrivalDecay.
+// decayingCount counts events; each decays exponentially with the time constant arrivalDecay.
 type decayingCount struct {
-	count  float64
+	count  float64 // as of lastAt
 	lastAt moment
 }
 
-// at returns the count now.
+// at returns the decayed count as of now.
 func (c *decayingCount) at(now moment) float64 {
 	c.count *= math.Exp(-float64(now.since(c.lastAt)) / float64(arrivalDecay))
 	c.lastAt = now
 	return c.count
 }
 
+// add counts one event.
 func (c *decayingCount) add(now moment) { c.count = c.at(now) + 1 }
 
 // eventTimes holds the times of events in µs, oldest first.
 type eventTimes []int64
 
-// add records an event and drops those older than a span.
+// add records an event and drops the events that are older than length.
 func (e *eventTimes) add(now moment, length span) {
 	*e = append(*e, int64(now))
 	e.countSince(now.add(-length))
 }
 
-// countSince drops the events before from and counts the rest.
+// countSince drops the events before from and returns the number of the others.
 func (e *eventTimes) countSince(from moment) float64 {
 	n := 0
 	for n < len(*e) && (*e)[n] < int64(from) {
--- a/balancer/feedback.go
+++ b/balancer/feedback.go
@@ -2,30 +2,34 @@
 
 import "cmp"
 
-// Feedback rounds: how often a limit, a quota or the spillover is adjusted, and how strongly. A round gathers
-// the calls that were sent since the last adjustment, so that the effect of one adjustment is seen before the
-// next one and replicas with few calls still adjust.
+// Feedback rounds: determine when a limit, the quotas or the spillover weight is adjusted, and by how much. A
+// round counts only calls that were sent after the previous adjustment, so that the effect of one adjustment
+// is seen before the next one. It lasts for a number of calls, or ends with fewer after its maximum duration,
+// so that replicas with few calls adjust, too.
 
 const (
 	feedbackRoundCalls      = 12 // finished calls that complete a round
 	feedbackRoundObjectives = 2  // latency objectives after which a round with fewer calls may end
 
-	cutPerBadFraction = 0.6 // a bad round cuts by this times its bad fraction
+	// cutPerBadFraction, times its fraction of bad calls, is what a bad round cuts by.
+	cutPerBadFraction = 0.6
 
-	maxSlowFraction = 0.3 // of a round: more slow calls make it bad for quotas, preemption and the local zone
+	// maxSlowFraction is the fraction of slow calls above which a round is bad for quotas, preemption and the
+	// local zone.
+	maxSlowFraction = 0.3
 )
 
-// feedbackRound is one round in progress.
+// feedbackRound is the round in progress.
 type feedbackRound struct {
-	startedAt      moment  // calls sent earlier don't count; 0: with the next call
-	finished, bad  int     // calls
-	maxBadFraction float64 // of a good round, 0 to 1
-	maxDuration    span    // after which a round with few calls may end as a good one
+	startedAt      moment  // calls sent earlier don't count; 0: the next call starts the round
+	finished, bad  int     // numbers of calls
+	maxBadFraction float64 // highest fraction of bad calls in a good round, 0 to 1
+	maxDuration    span    // time after which a round with few calls may end as a good one
 }
 
-// record takes the end of a call that was sent at sentAt. It returns 0 while the round is open. When the
-// round ends it returns 1 if it was good, or else the factor to cut by, which is lower the more calls were
-// bad. A round ends early, as a bad one, when no further call could make it good.
+// record records the end of a call that was sent at sentAt. It returns 0 while the round is in progress. When
+// the round ends, it returns 1 for a good round, or else the factor to cut by, which is lower the more calls
+// were bad. A round ends early, as a bad one, as soon as no further call could make it good.
 func (r *feedbackRound) record(now, sentAt moment, bad bool) (factor float64) {
 	if r.startedAt = cmp.Or(r.startedAt, sentAt); sentAt < r.startedAt {
 		return 0
--- a/balancer/flapdamping.go
+++ b/balancer/flapdamping.go
@@ -8,76 +8,80 @@
 	"strings"
 )
 
-// Flap damping: servers that go back and forth between unhealthy and healthy, or in and out of the list,
-// get one steady, small weight until they rest. Each removal and return would move load, cost handshakes
-// and start the next one elsewhere, which does more harm than the server does.
+// Flap damping: servers that keep changing between unhealthy and healthy, or leave the endpoint list and come
+// back, get a small fixed weight until they are stable. Each removal and return would move load, cost
+// handshakes and cause the next change elsewhere, which does more harm than the server itself.
 //
-// Input: flaps, as this replica sees them and the others report them. Output: which ready servers are damped.
+// Input: flaps, as this replica observes them and other replicas report them. Output: which ready servers are
+// damped.
 
 const (
-	penaltyHalfLife = 20 * seconds // each flap adds 1 to a penalty, which halves in this time
-	maxPenalty      = 5.0          // a server that rests is back within 2.4 half-lives
+	penaltyHalfLife = 20 * seconds // time in which a penalty halves; each flap adds 1 to it
+	maxPenalty      = 5.0          // bounds damping to 2.4 half-lives after the last flap
 
-	dampingThreshold = 2.2          // a penalty above it damps: the third flap, 10 s apart or less
-	reuseThreshold   = 1.0          // a penalty below it ends damping
-	maxDamping       = 60 * seconds // damping ends after this; the next flap may begin it again
+	dampingThreshold = 2.2          // damping begins above it: at the third flap, 10 s apart or less
+	reuseThreshold   = 1.0          // damping ends below it
+	maxDamping       = 60 * seconds // longest damping; the next flap may start it again
 	dampedWeight     = 0.1          // health score of a damped server
 
-	flapVoteWindow   = 2 * seconds // what several replicas see within this is one flap
-	maxRequiredVotes = 3           // replicas that have to see a flap, fewer where fewer live
+	flapVoteWindow   = 2 * seconds // observations of several replicas within this time are one flap
+	maxRequiredVotes = 3           // replicas that must observe a flap; fewer where few are alive
 
-	fallenScore          = 0.1 // health score: a server below it has fallen, after two failures
-	recoveredBadFraction = 0.2 // of recent calls: a server above it hasn't recovered
+	// fallenScore is the health score at which, and below which, a server is down. Two failures lead to it.
+	fallenScore = 0.1
 
-	flapReportTTL = 10 * seconds // a flap is reported for so long
-	flapMemory    = 60 * seconds // and known for so long, to recognise the next one
+	// recoveredBadFraction is the highest fraction of bad recent calls at which a server counts as recovered.
+	recoveredBadFraction = 0.2
 
-	maxRecords         = 4096        // of flaps
-	dampingLogInterval = 1 * seconds // between log events at least
+	flapReportTTL = 10 * seconds // time for which a flap is reported
+	flapMemory    = 60 * seconds // time for which an observed flap is kept, to recognize the next one
+
+	maxRecords         = 4096        // flap records kept
+	dampingLogInterval = 1 * seconds // minimum time between two log events
 )
 
-// faultDelisted is the fault of a flap whose fall is that the server has left the list. It stays in this
-// replica.
+// faultDelisted is the fault of a server that went down by leaving the endpoint list. It is never reported to
+// other replicas.
 const faultDelisted Fault = -1
 
-// dampingState is what flap damping keeps of a server.
+// dampingState is the flap damping state of a server.
 type dampingState struct {
-	active bool   // it has its steady weight
-	since  moment // while active
+	active bool   // damped: it has a fixed weight
+	since  moment // when damping began; valid while active
 }
 
-// requiredFlapVotes is how many replicas have to see a flap where so many live: one's own link can be at
-// fault.
+// requiredFlapVotes returns how many replicas must observe a flap, given the number of live replicas. One is
+// not enough where there are several, since its own network link may be at fault.
 func requiredFlapVotes(liveReplicas int) int { return min(maxRequiredVotes, 1+liveReplicas/4) }
 
-// flapVote is the newest change against the last flap that counted, as one replica saw it.
+// flapVote is one replica's latest observation of a change from the state after the last counted flap.
 type flapVote struct {
 	observer string
 	seenAt   moment
 }
 
-// flapSighting is a flap of a server's process as one replica saw it.
+// flapSighting is a flap of a server process as one replica observed it.
 type flapSighting struct {
-	server    string // ID
-	startTime moment // by the list's clock
-	down      bool   // a fall, else a recovery
+	server    string // server ID
+	startTime moment // start of the process, by the clock of the endpoint list
+	down      bool   // true: the server went down; false: it recovered
 	vote      flapVote
 }
 
-// flapRecord is the record of one server. Flaps alternate: one that leads where the last one led is the
-// same flap, seen late.
+// flapRecord counts the flaps of one server. Flaps alternate between down and recovered: an observation of
+// the state that the latest counted flap led to is a late report of that flap.
 type flapRecord struct {
-	startTime   moment // the process's; another one begins a new record
-	down        bool   // where the last flap that counted led
-	lastFlapAt  moment // when that was first seen
-	votes       []flapVote
-	penalty     float64 // as of penaltyAt
+	startTime   moment     // start of the server process; another process gets a new record
+	down        bool       // state after the latest counted flap
+	lastFlapAt  moment     // when a replica observed that flap
+	votes       []flapVote // for the next flap
+	penalty     float64    // as of penaltyAt
 	penaltyAt   moment
 	dampedSince moment // 0: not damped
-	newFlap     bool   // one has counted since updateDamped
+	newFlap     bool   // a flap was counted since the latest updateDamped
 }
 
-// accept takes a replica's vote for a flap and reports whether the flap counts with it.
+// accept records a replica's vote for a flap and reports whether this vote makes the flap count.
 func (r *flapRecord) accept(now moment, down bool, vote flapVote, required int) bool {
 	if down == r.down || vote.seenAt <= r.lastFlapAt || vote.seenAt > now {
 		return false
@@ -93,17 +97,17 @@
 	return true
 }
 
-// currentPenalty is the penalty now, 0 to maxPenalty.
+// currentPenalty returns the penalty as of now, from 0 to maxPenalty.
 func (r *flapRecord) currentPenalty(now moment) float64 {
 	return r.penalty * math.Exp2(-float64(now.since(r.penaltyAt))/float64(penaltyHalfLife))
 }
 
-// rested reports whether a record may be forgotten.
+// rested reports whether the server has been stable for so long that its record may be discarded.
 func (r *flapRecord) rested(now moment) bool {
 	return r.currentPenalty(now) < reuseThreshold/2 && now.since(r.lastFlapAt) > penaltyHalfLife
 }
 
-// updateDamped begins or ends damping and reports whether the server is damped now.
+// updateDamped starts or ends damping and reports whether the server is damped now.
 func (r *flapRecord) updateDamped(now moment) bool {
 	penalty := r.currentPenalty(now)
 	if r.dampedSince != 0 && (penalty < reuseThreshold || now.since(r.dampedSince) >= maxDamping) {
@@ -115,16 +119,16 @@
 	return r.dampedSince != 0
 }
 
-// flapRecords keeps one record for each server that has flapped. The zero value is ready.
+// flapRecords holds one record for each server that has flapped. Its zero value is ready for use.
 type flapRecords struct{ byID map[string]*flapRecord }
 
-// recordFlap takes a replica's sighting of a flap and reports whether the flap counts with it.
+// recordFlap records one replica's observation of a flap and reports whether the flap counts with it.
 func (f *flapRecords) recordFlap(now moment, seen flapSighting, required int) bool {
 	record := f.byID[seen.server]
 	same := record != nil && sameStartTime(seen.startTime, record.startTime)
 	if record == nil || seen.startTime > record.startTime && !same {
 		if f.removeRested(now); record == nil && len(f.byID) >= maxRecords || !seen.down {
-			return false // a record begins with a fall
+			return false // a record begins with a server that goes down
 		}
 		record = &flapRecord{startTime: seen.startTime, lastFlapAt: seen.vote.seenAt.add(-flapVoteWindow),
 			penaltyAt: now}
@@ -136,7 +140,7 @@
 	return same && record.accept(now, seen.down, seen.vote, required)
 }
 
-// dampedSince reports whether a server's process is to have its steady weight now, and since when.
+// dampedSince reports whether a server process has to be damped now, and since when.
 func (f *flapRecords) dampedSince(now moment, id string, startTime moment) (since moment, damped bool) {
 	record := f.byID[id]
 	if record == nil || !sameStartTime(record.startTime, startTime) {
@@ -146,7 +150,7 @@
 	return record.dampedSince, damped
 }
 
-// removeRested forgets the records of servers that rest.
+// removeRested discards the records of servers that have been stable for long enough.
 func (f *flapRecords) removeRested(now moment) {
 	for id, record := range f.byID {
 		if record.rested(now) {
@@ -155,16 +159,16 @@
 	}
 }
 
-// observedFlap is the latest flap of a server as this replica saw it.
+// observedFlap is the latest flap of a server that this replica observed itself.
 type observedFlap struct {
 	startTime moment
 	down      bool
-	fault     Fault // of the latest fall
+	fault     Fault // why the server last went down
 	seenAt    moment
-	count     float64
+	count     float64 // flaps of this server process
 }
 
-// flapDamping holds the flaps that count and those that this replica has seen.
+// flapDamping holds the flaps that count, and those that this replica has observed.
 type flapDamping struct {
 	*shared
 	members  *membership
@@ -172,16 +176,18 @@
 	records  flapRecords
 	observed map[string]observedFlap // by server ID
 
-	logged   string // the damped servers as of the last log event
+	logged   string // IDs of the damped servers as of the latest log event, separated by spaces
 	loggedAt moment
 }
 
+// newFlapDamping returns the flap damping without any recorded flaps.
 func newFlapDamping(common *shared, members *membership, reports *reportExchange) *flapDamping {
 	return &flapDamping{shared: common, members: members, reports: reports}
 }
 
-// detectFlap looks whether a server has fallen or recovered. Slow calls are no fall, nor are rejected ones:
-// an overload would damp its whole tier. A single failure is one if others report the server, too.
+// detectFlap checks whether a server went down or recovered. Slow or rejected calls do not count as down,
+// since an overload would otherwise damp all servers of its tier. A single failure counts as down if other
+// replicas report the server as unhealthy, too.
 func (d *flapDamping) detectFlap(now moment, server *server) {
 	state := &server.outlier
 	worst := state.worstScore()
@@ -195,7 +201,8 @@
 	}
 }
 
-// detectDelisted has a server fall that has left the list: one that comes back as the same process flaps.
+// detectDelisted treats a server that left the endpoint list as down, so that a process that comes back to
+// the list flaps.
 func (d *flapDamping) detectDelisted(now moment) {
 	for _, server := range d.members.all {
 		gone, flap := server.State == ServerRemoved, d.observed[server.ID]
@@ -205,7 +212,7 @@
 	}
 }
 
-// observe records that a server has fallen or recovered, if that is a change.
+// observe records that a server is down or has recovered, if that is a change.
 func (d *flapDamping) observe(now moment, server *server, down bool, fault Fault) {
 	flap := d.observed[server.ID]
 	if flap.startTime != moment(server.StartTime) {
@@ -223,7 +230,7 @@
 	d.observed[server.ID] = flap
 }
 
-// flapReports returns the reports of the flaps that this replica saw lately.
+// flapReports returns the reports on the flaps that this replica observed recently, and discards old ones.
 func (d *flapDamping) flapReports(now moment) (reports []Report) {
 	for _, id := range slices.Sorted(maps.Keys(d.observed)) {
 		flap := d.observed[id]
@@ -242,9 +249,9 @@
 	return reports
 }
 
-// damp damps the servers whose flaps enough replicas report, the longest damped first, as far as the budget
-// for removals goes. An isolated replica uses its zone's part of the budget. Suspended servers stay
-// suspended.
+// damp damps the servers whose flaps enough replicas report, those damped longest first, as far as the
+// removal budget allows. An isolated replica uses only its zone's part of the budget. Servers suspended by an
+// operator stay suspended.
 func (d *flapDamping) damp(now moment, budget *removalBudget) {
 	d.takeReports(now)
 	if peers := &d.reports.peers; peers.Isolated {
@@ -255,8 +262,8 @@
 	}
 }
 
-// takeReports takes the flaps that all replicas report. That a server doesn't respond may be due to the way
-// to it: of such reports only those of this zone count.
+// takeReports records the flaps that all replicas report. A server may appear unresponsive because of the
+// network path to it, so reports of that fault count only from replicas in this zone.
 func (d *flapDamping) takeReports(now moment) {
 	required := requiredFlapVotes(d.reports.peers.LiveReplicasInZone)
 	for report := range d.reports.all {
@@ -270,7 +277,8 @@
 	}
 }
 
-// flapping are the ready servers that have to be damped by their records, the longest damped first.
+// flapping updates the damping state of each ready server from its record. It returns the servers that have
+// to be damped, those damped longest first.
 func (d *flapDamping) flapping(now moment) (flapping []*server) {
 	for _, server := range d.members.ready {
 		state := &server.damping
@@ -285,7 +293,7 @@
 	return flapping
 }
 
-// damped are the servers that have their steady weight now, the longest damped first.
+// damped returns the servers that are damped now, those damped longest first.
 func (d *flapDamping) damped(now moment) (out []DampedServer) {
 	for _, server := range d.members.ready {
 		if server.damping.active {
@@ -299,7 +307,7 @@
 	return out
 }
 
-// logChange logs which servers are damped when that has changed, at most once in dampingLogInterval.
+// logChange logs which servers are damped if that has changed, at most once per dampingLogInterval.
 func (d *flapDamping) logChange(now moment, host Host) {
 	var ids []string
 	for _, server := range d.damped(now) {
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -1,8 +1,9 @@
 package balancer
 
-// What the rules take from the end of an attempt, and from one that has been in flight for too long.
+// This file passes the outcome of each attempt, and each attempt that has been in flight for too long, to the
+// rules that adapt to them.
 
-// learn has the rules take what the end of an attempt shows.
+// learn records the outcome of an attempt with every rule that adapts to outcomes.
 func (b *Balancer) learn(now moment, request *request, attempt *attempt, outcome Outcome) {
 	if outcome.Status == StatusCancelled || outcome.Status == StatusNotSent {
 		return
@@ -30,13 +31,13 @@
 	}
 }
 
-// slowThreshold is the latency, in µs, from which a call of a class counts as slow now.
+// slowThreshold returns the latency, in µs, above which a call of a class counts as slow now.
 func (b *Balancer) slowThreshold(class int) float64 {
 	return slowThreshold(b.settings, class, b.classes[class].latency, b.quotas.multiple)
 }
 
-// applyBackpressure has quotas, priority and spillover take a call: whether it was slow, and whether it was
-// slow or failed.
+// applyBackpressure records a call for preemption, quotas and spillover. slow is whether it was slow, bad
+// whether it was slow or failed.
 func (b *Balancer) applyBackpressure(now moment, class int, attempt *attempt, slow, bad bool) {
 	b.admission.preempt(now, class, attempt.sentAt, slow)
 	b.quotas.learn(now, attempt.sentAt, slow)
@@ -45,7 +46,7 @@
 	}
 }
 
-// recordSlowAttempts takes attempts as slow that have been in flight for too long.
+// recordSlowAttempts records attempts that have been in flight for too long as slow, before they end.
 func (b *Balancer) recordSlowAttempts(now moment) {
 	for class := range b.classes {
 		for _, attempt := range b.admission.slowInFlight(now, class, span(b.slowThreshold(class))) {
@@ -54,13 +55,13 @@
 	}
 }
 
-// logThrottling logs, now and then, that traffic within the tenants' shares is rejected.
+// logThrottling logs, at a limited rate, that traffic within the tenants' shares is being rejected.
 func (b *Balancer) logThrottling(now moment, host Host) {
 	b.quotas.logThrottling(now, host, TenantsThrottled{InFlight: b.admission.tier.inFlight,
 		FailureRate: b.outliers.errorRate, SpilloverWeight: b.spillover.weight})
 }
 
-// recordEvidence takes the end of an attempt as evidence on its server and zone.
+// recordEvidence records the outcome of an attempt as evidence of the health of its server and zone.
 func (b *Balancer) recordEvidence(now moment, attempt *attempt, fault Fault) {
 	attempt.server.outlier.recordCall(now, attempt, fault)
 	b.locality.recordCall(now, attempt, fault)
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -2,25 +2,26 @@
 
 import "slices"
 
-// Ordering: requests of an Ordered class with the same key run one at a time, as they were received.
+// Ordering: requests of an Ordered class with the same key run one at a time, in the order in which they were
+// received.
 //
-// Input: requests, their ends, and attempts that may still run. Output: which request of a key may start now,
-// and how long another may wait in its key's queue.
+// Input: requests, their ends, and attempts that may still be running. Output: which request of a key may
+// start now, and how long another may wait in the queue of its key.
 
-// Timer tokens: the prefix, then a request's ID or a key. The host returns tokens unchanged.
+// Prefixes of timer tokens. A request ID or a key follows. The host returns tokens unchanged.
 const (
-	queueTimeoutTimer = "held " // a request has waited in its queue for as long as it can
-	cooldownTimer     = "turn " // a key's cool-down has ended
+	queueTimeoutTimer = "held " // the maximum wait of a queued request has passed
+	cooldownTimer     = "turn " // the cool-down of a key has ended
 )
 
 // keyQueue holds the open requests of one key in the order in which they were received.
 type keyQueue struct {
 	key       string
-	waiting   []*request // the first is the one that may run
-	coolUntil moment     // none starts before, as an attempt may still run
+	waiting   []*request // only the first may run
+	coolUntil moment     // no request starts before, since an attempt may still be running
 }
 
-// next is the request that may start now, nil if there is none.
+// next returns the request that may start now, or nil if there is none.
 func (q *keyQueue) next(now moment) *request {
 	if len(q.waiting) == 0 || len(q.waiting[0].attempts) > 0 || now < q.coolUntil {
 		return nil
@@ -31,14 +32,15 @@
 // ordering holds the queues by key.
 type ordering struct{ queues map[string]*keyQueue }
 
+// newOrdering returns an ordering without queues.
 func newOrdering() *ordering { return &ordering{queues: map[string]*keyQueue{}} }
 
-// isOrdered reports whether a request has to wait for its predecessors.
+// isOrdered reports whether a request has to wait for earlier requests with its key.
 func (o *ordering) isOrdered(request *request) bool {
 	return request.Key != "" && request.classRules().Ordered
 }
 
-// join puts a request last in its key's queue.
+// join appends a request to the queue of its key.
 func (o *ordering) join(request *request) {
 	request.queue = o.queues[request.Key]
 	if request.queue == nil {
@@ -48,22 +50,22 @@
 	request.queue.waiting = append(request.queue.waiting, request)
 }
 
-// leave takes a request that is over out of its queue.
+// leave removes a finished request from its queue.
 func (o *ordering) leave(done *request) {
 	queue := done.queue
 	queue.waiting = slices.DeleteFunc(queue.waiting, func(other *request) bool { return other == done })
 }
 
-// discardIdle forgets a queue that holds no request and whose cool-down is over.
+// discardIdle discards a queue that holds no requests and whose cool-down is over.
 func (o *ordering) discardIdle(now moment, queue *keyQueue) {
 	if len(queue.waiting) == 0 && now >= queue.coolUntil {
 		delete(o.queues, queue.key)
 	}
 }
 
-// maxWait is how long, in µs, the last request of a queue may wait; latest is the time, in µs from now,
-// after which it could no longer be answered. ok is false where the requests before it need longer by the
-// class's mean latency, in µs. This also bounds the queue.
+// maxWait returns how long, in µs, the last request of a queue may wait. latest is the time from now, in µs,
+// by which that request has to be sent, and mean is the mean latency of its class, in µs. ok is false if the
+// requests before it are expected to take longer than latest, which also bounds the length of the queue.
 func (q *keyQueue) maxWait(latest, mean float64) (wait int64, ok bool) {
 	if float64(len(q.waiting)-1)*mean > latest {
 		return 0, false
@@ -71,13 +73,13 @@
 	return max(int64(latest), 0), true
 }
 
-// coolDown holds a queue after an attempt that may still run. It returns for how long, in µs.
+// coolDown blocks a queue after an attempt that may still be running. It returns the duration in µs.
 func (q *keyQueue) coolDown(now moment, settings *Settings) (delay int64) {
 	q.coolUntil = now.add(span(settings.OrderingCooldown))
 	return settings.OrderingCooldown
 }
 
-// mayStillRun reports whether a server may go on with an attempt that ended so.
+// mayStillRun reports whether a server may still be working on an attempt that ended with status.
 func mayStillRun(status Status) bool {
 	return status == StatusTimedOut || status == StatusReset || status == StatusCancelled
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -5,46 +5,56 @@
 	"slices"
 )
 
-// Outlier detection: how healthy each server is by this replica's own calls, whom a failure is attributed
-// to, and which servers are ejected because other replicas report them as unhealthy.
+// Outlier detection: determines how healthy each server is from this replica's own calls, whether a failure
+// is attributed to its server, and which servers are ejected because other replicas report them as unhealthy.
 //
-// Input: the ends of attempts, and the reports of all replicas. Output: a health score for each server and
-// class, by which its weight falls and below which it gets trials only.
+// Input: the outcomes of attempts, and the reports of all replicas. Output: a health score for each server
+// and class. The weight of a server falls with its score, and below healthyScore the server gets trial
+// requests only.
 
 const (
-	minHealthScore = 0.05 // what a failing server keeps, for trials
-	healthyScore   = 0.5  // a server below it gets trials only
+	minHealthScore = 0.05 // lowest score, which still lets trial requests through
+	healthyScore   = 0.5  // a server with a lower score gets trial requests only
 
-	failureScoreFactor = 0.3  // of a score after an attributed failure
-	healthGain         = 0.25 // what one attempt counts in an error rate, and a success mends of a lost score
-	minErrorRateGain   = 0.05 // what one attempt counts in the error rate of all servers
+	failureScoreFactor = 0.3 // factor of a score after a failure attributed to the server
 
-	attributionRatio         = 2.0  // a failure is a server's own if it fails this many times as often as all
-	maxAttributableErrorRate = 0.75 // of all servers: where more fails, it is nobody's own
+	// healthGain is the weight of one attempt in an error rate, and the fraction of the lost score that a
+	// success restores.
+	healthGain = 0.25
 
-	recentDecay          = 400 * milliseconds // recent calls fade with this time constant
-	maxServerCalls       = 5.0                // recent calls of a server count as no more than these
-	serverReportTTL      = 5 * seconds        // a server is reported for so long after its latest call
-	unhealthyBadFraction = 0.5                // of its recent calls: the server is unhealthy
+	// minErrorRateGain is the weight of one attempt in the error rate of all servers.
+	minErrorRateGain = 0.05
 
-	// An attempt that has been in flight for so many mean latencies, and for so long, counts as
-	// failed. Its timeout may come seconds later.
+	// attributionRatio: a failure is attributed to a server whose error rate is more than this many times
+	// that of all servers.
+	attributionRatio = 2.0
+
+	// maxAttributableErrorRate is the error rate of all servers above which failures are attributed to none.
+	maxAttributableErrorRate = 0.75
+
+	recentDecay          = 400 * milliseconds // time constant by which recent calls decay
+	maxServerCalls       = 5.0                // recent calls of one server count as at most this many
+	serverReportTTL      = 5 * seconds        // time after its latest call for which a server is reported
+	unhealthyBadFraction = 0.5                // fraction of bad recent calls from which a server is unhealthy
+
+	// An attempt that has been in flight for longer than silentAfterMeans mean latencies of its class, and
+	// longer than minSilentAfter, counts as failed. Its timeout may come seconds later.
 	silentAfterMeans, minSilentAfter = 3.0, 100 * milliseconds
 
-	minUnhealthyVotes  = 2         // replicas that have to report a server as unhealthy
-	minBadCalls        = 3.0       // that they have to have seen together
-	maxCallsPerReport  = 10.0      // calls of one replica count as no more
-	maxEjectedFraction = 1.0 / 3.0 // of the tier's ready servers, and of each zone's
+	minUnhealthyVotes  = 2         // replicas that must report a server as unhealthy before it is ejected
+	minBadCalls        = 3.0       // bad calls that these replicas must have seen in total
+	maxCallsPerReport  = 10.0      // calls in the report of one replica count as at most this many
+	maxEjectedFraction = 1.0 / 3.0 // of the tier's ready servers, and of those of each zone
 )
 
-// health is what this replica's own calls show of a server, for all calls or those of a class.
+// health is the health of a server by this replica's own calls, either all of them or those of one class.
 type health struct {
-	score     float64 // minHealthScore to 1: what is left of its weight
+	score     float64 // minHealthScore to 1: factor of the server's weight
 	errorRate float64 // running fraction of failed attempts, 0 to 1
 }
 
-// record takes an attempt, failed 0 or 1. A failure is attributed to the server where its error rate is above
-// tolerable.
+// record records an attempt; failed is 0 or 1. A failure is attributed to the server if its error rate is
+// above tolerable.
 func (h *health) record(failed, tolerable float64) (attributed bool) {
 	h.errorRate += (failed - h.errorRate) * healthGain
 	if failed == 0 {
@@ -55,8 +65,9 @@
 	return attributed
 }
 
-// tolerableErrorRate is the error rate that a server may have, given that of all servers, before failures are
-// attributed to it. From a half on twice the common rate would be out of reach.
+// tolerableErrorRate returns the error rate above which failures are attributed to a server; common is the
+// error rate of all servers. The result is at most half-way between common and 1: where half of all attempts
+// or more fail, no server could fail attributionRatio times as often.
 func tolerableErrorRate(common float64) float64 {
 	if common > maxAttributableErrorRate {
 		return 1
@@ -64,26 +75,26 @@
 	return min(attributionRatio*common, (1+common)/2)
 }
 
-// serverReportSum sums up what the replicas report of a server.
+// serverReportSum aggregates the reports of the replicas on one server.
 type serverReportSum struct {
-	unhealthy, healthy int     // replicas that call it so
-	unhealthyByPeers   int     // those of unhealthy that are other replicas
-	badCalls           float64 // that they have seen
-	lastUnhealthyAt    moment  // when one last saw it unhealthy
+	unhealthy, healthy int     // replicas that report the server as unhealthy, as healthy
+	unhealthyByPeers   int     // other replicas among those counted in unhealthy
+	badCalls           float64 // total in the reports of it as unhealthy
+	lastUnhealthyAt    moment  // when a replica last observed it as unhealthy
 }
 
-// outlierState is what outlier detection knows of a server.
+// outlierState is the outlier detection state of a server.
 type outlierState struct {
 	overall           health
 	byClass           []health // by class number
 	recent            callStats
-	lastSuccessAt     moment          // when this replica last had an answer; 0: never
-	peerFactor        float64         // 0 to 1: what the reports of others leave of its weight
-	reports           serverReportSum // of all replicas now
+	lastSuccessAt     moment          // when this replica last got an answer; 0: never
+	peerFactor        float64         // 0 to 1: factor of the weight that the reports of other replicas leave
+	reports           serverReportSum // as of the latest sumReports
 	connectionRefused bool            // since the last success
 }
 
-// newOutlierState is the state of a server of which nothing is known, for so many classes.
+// newOutlierState returns the state of a server without any recorded calls. classes is the number of classes.
 func newOutlierState(classes int) outlierState {
 	state := outlierState{overall: health{score: 1}, byClass: make([]health, classes), peerFactor: 1}
 	for i := range state.byClass {
@@ -92,10 +103,11 @@
 	return state
 }
 
-// addClass makes room for one class more.
+// addClass adds a class without any recorded calls.
 func (o *outlierState) addClass() { o.byClass = append(o.byClass, health{score: 1}) }
 
-// resetClass begins a class anew, or with what is known of the class number former; nil if there is none.
+// resetClass resets the health for a class, or copies it from the class numbered *former unless former is
+// nil.
 func (o *outlierState) resetClass(number int, former *int) {
 	o.byClass[number] = health{score: 1}
 	if former != nil {
@@ -103,15 +115,15 @@
 	}
 }
 
-// overallScore is the health score for all calls together.
+// overallScore returns the health score for the calls of all classes together.
 func (o *outlierState) overallScore() float64 { return o.overall.score * o.peerFactor }
 
-// score is the health score for the calls of a class.
+// score returns the health score for the calls of a class.
 func (o *outlierState) score(class int) float64 {
 	return o.overall.score * o.byClass[class].score * o.peerFactor
 }
 
-// worstScore is the least score by this replica's own calls, over the classes.
+// worstScore returns the lowest score of all classes by this replica's own calls.
 func (o *outlierState) worstScore() float64 {
 	worst := o.overall.score
 	for _, class := range o.byClass {
@@ -120,14 +132,14 @@
 	return worst
 }
 
-// isUnhealthy reports whether this replica finds the server unhealthy.
+// isUnhealthy reports whether the server is unhealthy by this replica's own calls.
 func (o *outlierState) isUnhealthy() bool {
 	return o.recent.badFraction() >= unhealthyBadFraction ||
 		o.overall.score < healthyScore && o.recent.lastBadAt > o.lastSuccessAt
 }
 
-// healthReport completes a report with what this replica finds of a server. ok is false if it has nothing to
-// report: the server is healthy and no other replica calls it unhealthy.
+// healthReport sets the kind, fault and time of a report on a server. ok is false if there is nothing to
+// report: the server is healthy and no other replica reports it as unhealthy.
 func (o *outlierState) healthReport(now moment, report *Report) (ok bool) {
 	if o.isUnhealthy() {
 		report.Kind, report.Fault = ReportServerUnhealthy, o.recent.fault
@@ -138,20 +150,20 @@
 	return o.reports.unhealthyByPeers > 0 && now.since(o.lastSuccessAt) <= serverReportTTL
 }
 
-// attemptOutlier is what outlier detection keeps of an attempt.
+// attemptOutlier is the outlier detection state of an attempt.
 type attemptOutlier struct {
-	reportedSilent bool // it counted as failed before its end
+	reportedSilent bool // counted as failed before its end
 }
 
-// markSilent records that an attempt has counted as failed before its end.
+// markSilent records that an attempt has been counted as failed before its end.
 func (a *attemptOutlier) markSilent() { a.reportedSilent = true }
 
-// faultOfStatus is how an attempt that ended so counts as evidence on its server.
+// faultOfStatus maps the status of an attempt to the fault that it shows at its server.
 var faultOfStatus = [...]Fault{StatusOK: NoFault, StatusError: FaultErrors, StatusRejected: FaultSaturated,
 	StatusTimedOut: FaultUnresponsive, StatusConnectFailed: FaultUnresponsive, StatusReset: FaultUnresponsive,
 	StatusCancelled: FaultUnresponsive, StatusNotSent: FaultUnresponsive}
 
-// outlierDetection holds the error rate of all servers; what it knows of each is in server.outlier.
+// outlierDetection holds the error rate of all servers. The state of each server is in server.outlier.
 type outlierDetection struct {
 	*shared
 	members   *membership
@@ -159,15 +171,16 @@
 	errorRate float64 // running fraction of failed attempts over all servers, 0 to 1
 }
 
+// newOutlierDetection returns the outlier detection without any recorded calls.
 func newOutlierDetection(common *shared, members *membership, reports *reportExchange) *outlierDetection {
 	return &outlierDetection{shared: common, members: members, reports: reports}
 }
 
-// attribute takes the end of an attempt into the health of its server and reports whether a failure is the
-// server's own. One that the other servers show alike comes from a tier behind them. A refused connection
-// always is the server's own: a zone that is lost refuses at all its servers. An error or a rejection
-// concerns the class only, so that servers that fail one class keep the others; no response concerns the
-// whole server.
+// attribute records the outcome of an attempt in the health of its server and reports whether a failure is
+// attributed to the server. A failure that the other servers show alike comes from a tier behind them and is
+// attributed to none. A refused connection is always attributed to the server, since a zone that is lost
+// refuses connections at all its servers. An error or a rejection affects the health for the class only, so
+// that a server that fails one class keeps the others. A missing response affects the health for all classes.
 func (d *outlierDetection) attribute(server *server, class int, status Status) (attributed bool) {
 	state, failed := &d.classes[class], indicator(status != StatusOK)
 	d.errorRate += (failed - d.errorRate) * minErrorRateGain
@@ -184,16 +197,17 @@
 	return attributed
 }
 
-// recordConnection takes the end of an attempt as evidence on whether a server accepts connections.
+// recordConnection records from the outcome of an attempt whether the server refuses connections.
 func (o *outlierState) recordConnection(status Status) {
 	o.connectionRefused = status == StatusConnectFailed || status != StatusOK && o.connectionRefused
 }
 
-// recordAnswer records an answer of the server: reports of others count again when they are renewed.
+// recordAnswer records an answer of the server. It overrides the reports of other replicas until these are
+// renewed.
 func (o *outlierState) recordAnswer() { o.peerFactor = 1 }
 
-// recordCall takes the end of an attempt, or that there was none for too long, as evidence to report. One
-// that was counted as unresponsive before its end counts once.
+// recordCall records the outcome of an attempt, or that a response is overdue, as evidence for reports. An
+// attempt that was counted as unresponsive before its end is not counted again.
 func (o *outlierState) recordCall(now moment, attempt *attempt, fault Fault) {
 	if fault == NoFault {
 		o.lastSuccessAt = now
@@ -205,15 +219,15 @@
 	}
 }
 
-// isSilent reports whether an attempt has been in flight for far longer than calls of its class take.
+// isSilent reports whether an attempt has been in flight for far longer than the calls of its class take.
 func (d *outlierDetection) isSilent(now moment, class int, attempt *attempt) bool {
 	longest := max(minSilentAfter, span(silentAfterMeans*d.classes[class].latency.mean))
 	return attempt.pending && attempt.admission.counted && !attempt.responseStarted &&
 		!attempt.outlier.reportedSilent && now.since(attempt.sentAt) > longest
 }
 
-// sumReports sums up the reports of all replicas on each server. That a server doesn't respond may be due to
-// the way to it: of such reports only those of this zone count.
+// sumReports aggregates the reports of all replicas on each server. A server may appear unresponsive because
+// of the network path to it, so reports of that fault count only from replicas in this zone.
 func (d *outlierDetection) sumReports(now moment) {
 	for _, server := range d.members.all {
 		server.outlier.reports = serverReportSum{}
@@ -237,15 +251,15 @@
 	}
 }
 
-// clearEjections takes back what the reports of others left of the servers' weights.
+// clearEjections resets the effect of other replicas' reports on the weights of the ready servers.
 func (d *outlierDetection) clearEjections() {
 	for _, server := range d.members.ready {
 		server.outlier.peerFactor = 1
 	}
 }
 
-// reportedUnhealthy returns the ready servers that enough replicas call unhealthy, the worst first. What this
-// replica was answered since counts more than the reports.
+// reportedUnhealthy returns the ready servers that enough replicas report as unhealthy, those with the most
+// bad calls first. A later answer to this replica outweighs the reports.
 func (d *outlierDetection) reportedUnhealthy(now moment) (unhealthy []*server) {
 	d.sumReports(now)
 	votes := min(minUnhealthyVotes, d.reports.peers.LiveReplicas-1)
@@ -264,7 +278,8 @@
 	return unhealthy
 }
 
-// eject leaves trials only to these servers, as far as the budget goes. One that flaps has its steady weight.
+// eject reduces these servers to trial requests, as far as the budget allows. Damped servers are skipped,
+// since they have a fixed weight.
 func (d *outlierDetection) eject(unhealthy []*server, budget *removalBudget) {
 	for _, server := range unhealthy {
 		if !server.damping.active && budget.take(server.Zone) {
@@ -273,7 +288,8 @@
 	}
 }
 
-// ejected are the IDs of the ready servers that get trials only by the reports of others.
+// ejected returns the IDs of the ready servers that are reduced to trial requests by the reports of other
+// replicas.
 func (d *outlierDetection) ejected() (ids []string) {
 	for _, server := range d.members.ready {
 		if server.outlier.peerFactor < healthyScore {
@@ -283,14 +299,15 @@
 	return ids
 }
 
-// removalBudget is how many ready servers ejection and flap damping may take out together, in the tier and in
-// each zone.
+// removalBudget is the number of ready servers that ejection and flap damping together may still take out of
+// use, in the tier and in each zone.
 type removalBudget struct {
 	left    int         // in the tier
 	removed map[int]int // by zone
 	ready   map[int]int // servers by zone
 }
 
+// newRemovalBudget returns the unused budget for the ready servers.
 func newRemovalBudget(ready []*server) *removalBudget {
 	budget := &removalBudget{left: maxRemoved(len(ready)), removed: map[int]int{}, ready: map[int]int{}}
 	for _, server := range ready {
@@ -299,7 +316,7 @@
 	return budget
 }
 
-// take uses the budget for a server of a zone; false if it is used up.
+// take uses one unit of the budget for a server of a zone. It returns false if the budget is used up.
 func (b *removalBudget) take(zone int) bool {
 	if b.left <= 0 || b.removed[zone] >= maxRemoved(b.ready[zone]) {
 		return false
@@ -308,8 +325,9 @@
 	return true
 }
 
-// limitTo reduces the tier's budget to a part of a whole.
+// limitTo reduces the remaining budget of the tier to the fraction part/whole.
 func (b *removalBudget) limitTo(part, whole int) { b.left = b.left * part / whole }
 
-// maxRemoved is how many of so many servers may be taken out: never the only one.
+// maxRemoved returns how many of the given number of ready servers may be taken out of use: at least one, but
+// never the only one.
 func maxRemoved(ready int) int { return min(ready-1, max(1, int(maxEjectedFraction*float64(ready)))) }
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -5,43 +5,48 @@
 	"slices"
 )
 
-// Tenant quotas: how many requests a second each tenant may have admitted while the tier is short of
+// Tenant quotas: limit how many requests per second of each tenant are admitted while the tier is short of
 // capacity.
 //
-// Input: each request with its tenant, and the ends of attempts as slow or not. Output: whether a request
-// is within its tenant's quota. A tenant gets its share of the rate that all quotas together give this
-// replica, times a multiple that all tenants have in common: it rises while calls are fast and is cut when
-// they are slow.
+// Input: each request with its tenant, and the ends of attempts as slow or not. Output: whether a request is
+// within its tenant's quota. Each tenant gets its share of the rate that all quotas together allow this
+// replica, times a multiple that is the same for all tenants. The multiple rises while calls are fast and is
+// cut when they are slow.
 
 const (
-	maxQuotaMultiple       = 2.0  // at the start and at most
-	overloadQuotaMultiple  = 1.0  // at most after a bad round: what is over the quotas goes first
-	minQuotaMultiple       = 0.2  // at least
-	innerTierQuotaMultiple = 20.0 // at an inner tier: the front tier has shed already
+	maxQuotaMultiple       = 2.0  // initial and highest multiple
+	overloadQuotaMultiple  = 1.0  // upper bound after a bad round: what exceeds the quotas is shed first
+	minQuotaMultiple       = 0.2  // lowest multiple
+	innerTierQuotaMultiple = 20.0 // initial and highest at an inner tier: the front tier sheds load before it
 
-	quotaIncreaseAboveShare = 0.1  // added to the multiple after a good round from 1 on
-	quotaIncreaseBelowShare = 0.15 // and below 1
+	quotaIncreaseAboveShare = 0.1  // added to a multiple of 1 or more after a good round
+	quotaIncreaseBelowShare = 0.15 // added to a multiple below 1 after a good round
 
-	// From this multiple down the tier is overloaded: chance is allowed for less, and only the latency
-	// objective says what is slow.
+	// overloadedQuotaMultiple is the multiple at which, and below which, the tier counts as overloaded: fewer
+	// random bursts are admitted, and only the latency objective decides which calls are slow.
 	overloadedQuotaMultiple = 0.8
 
-	burstDeviations = 2.0  // standard deviations above the mean of a Poisson count that are taken for chance
-	minWindowCalls  = 24.0 // a tenant's window grows until the quota allows this many calls in it
+	// burstDeviations is the number of standard deviations above the mean of a Poisson distribution up to
+	// which a count is put down to random variation.
+	burstDeviations = 2.0
 
+	minWindowCalls = 24.0 // the window of a tenant grows until its quota allows this many calls in it
+
+	// throttlingLogInterval is the minimum time between two log events about throttling.
 	throttlingLogInterval = 10 * seconds
 )
 
-// tenantQuota is what one tenant has sent.
+// tenantQuota counts the requests of one tenant.
 type tenantQuota struct {
-	admitted window
-	requests decayingCount
+	admitted window        // requests that were sent to a server
+	requests decayingCount // requests received
 }
 
-// admits reports whether a rate, in requests a second, has room for one more; chance is drawn evenly from 0
-// to 1 and burstChance is the probability that a count above the rate is taken for chance. The window grows
-// for a small rate, so that fractions work, but not beyond the time since the first request: that would
-// admit a long window's worth at once.
+// admits reports whether a rate, in requests per second, leaves room for one more request. chance is drawn
+// uniformly from [0, 1), and burstChance is the probability with which a count above the rate is admitted as
+// random variation. The window is longer for a small rate, so that fractions of a request count, but no
+// longer than the time since the first request: a new replica would otherwise admit the requests of a long
+// window at once.
 func (t *tenantQuota) admits(now, firstRequestAt moment, rate, burstChance, chance float64) bool {
 	length := 1 * seconds
 	for length < maxWindow && rate*float64(length/seconds) < minWindowCalls &&
@@ -54,18 +59,19 @@
 		chance < burstChance && admitted <= quota+burstDeviations*math.Sqrt(quota)
 }
 
-// quotas holds the multiple and the tenants' counts.
+// quotas holds the multiple and the counts of the tenants.
 type quotas struct {
 	*shared
-	tenants          []tenantQuota // by Settings.Tenants
-	fairRate         float64       // requests a second: this replica's part of all quotas
-	multiple         float64       // of its share that each tenant may have admitted
-	maxMultiple      float64
-	overloadMultiple float64 // after a bad round, at most
+	tenants          []tenantQuota // indexed as Settings.Tenants
+	fairRate         float64       // requests per second: this replica's part of the sum of all quotas
+	multiple         float64       // factor of the rate that each tenant's share allows
+	maxMultiple      float64       // initial and highest value of multiple
+	overloadMultiple float64       // upper bound of multiple after a bad round
 	feedback         feedbackRound
-	loggedAt         moment // when throttling was last logged; 0: never
+	loggedAt         moment // time of the latest log event about throttling; 0: never
 }
 
+// newQuotas returns the quota rule with the initial multiple for the tier.
 func newQuotas(common *shared) *quotas {
 	q := &quotas{shared: common, tenants: make([]tenantQuota, len(common.settings.Tenants)),
 		multiple: maxQuotaMultiple, maxMultiple: maxQuotaMultiple, overloadMultiple: overloadQuotaMultiple}
@@ -76,8 +82,9 @@
 	return q
 }
 
-// configure takes what follows from the settings in force; roundDuration is that of a feedback
-// round. All replicas are taken to get equal parts; one that carries more learns a higher multiple.
+// configure derives the replica's rate from the settings in force. roundDuration is the maximum duration of a
+// feedback round. All replicas are assumed to get equal parts of the traffic; the multiple of a replica that
+// gets more rises accordingly.
 func (q *quotas) configure(roundDuration span) {
 	q.fairRate = 0
 	for _, tenant := range q.settings.Tenants {
@@ -86,7 +93,8 @@
 	q.feedback.maxBadFraction, q.feedback.maxDuration = maxSlowFraction, roundDuration
 }
 
-// replaceTenants takes the tenants of the settings in force. A tenant of the same name keeps its counts.
+// replaceTenants replaces the tenants of the settings before by those of the settings in force. A tenant of
+// the same name keeps its counts.
 func (q *quotas) replaceTenants(before *Settings) {
 	tenants := make([]tenantQuota, len(q.settings.Tenants))
 	for i, tenant := range q.settings.Tenants {
@@ -98,7 +106,7 @@
 	q.tenants = tenants
 }
 
-// tenantOf is the number that the request's tenant has now, -1 without one.
+// tenantOf returns the index of the request's tenant in the settings in force, or -1 if it has none.
 func (q *quotas) tenantOf(request *request) int {
 	if request.Tenant < 0 || request.Tenant >= len(request.Settings.Tenants) {
 		return -1
@@ -110,21 +118,21 @@
 	return slices.IndexFunc(q.settings.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// recordRequest counts a request that its tenant has sent.
+// recordRequest counts a request that was received from its tenant.
 func (q *quotas) recordRequest(now moment, request *request) {
 	if i := q.tenantOf(request); i >= 0 {
 		q.tenants[i].requests.add(now)
 	}
 }
 
-// recordAdmitted counts a request that was sent.
+// recordAdmitted counts a request that was sent to a server.
 func (q *quotas) recordAdmitted(now moment, request *request) {
 	if i := q.tenantOf(request); i >= 0 {
 		q.tenants[i].admitted.add(now)
 	}
 }
 
-// admits reports whether a request is within its tenant's quota; one without a tenant always is.
+// admits reports whether a request is within its tenant's quota. A request without a tenant always is.
 func (q *quotas) admits(now moment, request *request) bool {
 	i := q.tenantOf(request)
 	if i < 0 {
@@ -135,10 +143,10 @@
 	return q.tenants[i].admits(now, q.arrivals.firstAt, rate, burst, q.random.Float64())
 }
 
-// burstChance is the probability, 0 to 1, that a count above the quota is taken for chance, as replicas
-// with few calls have it by itself. It is less while calls are slow, and 0 for a tenant that clearly sends
-// more than its share of the quotas and, while nothing is slow, of what this replica gets: traffic may have
-// moved here.
+// burstChance returns the probability, from 0 to 1, with which a count above the quota is admitted as random
+// variation, which is considerable at replicas with few calls. It is lower while calls are slow. It is 0 for
+// a tenant that clearly sends more than its share of the quotas and, while calls are fast, also more than its
+// share of the requests that this replica gets: traffic may have moved here from other replicas.
 func (q *quotas) burstChance(now moment, tenant int) float64 {
 	expected := q.fairRate * float64(min(now.since(q.arrivals.firstAt), arrivalDecay)) / float64(seconds)
 	if q.multiple >= 1 {
@@ -151,7 +159,7 @@
 	return min(1, q.multiple/overloadedQuotaMultiple)
 }
 
-// learn takes a call, slow or not, and adjusts the multiple when its feedback round ends.
+// learn records a call as slow or not and adjusts the multiple when the feedback round ends.
 func (q *quotas) learn(now, sentAt moment, slow bool) {
 	switch factor := q.feedback.record(now, sentAt, slow); {
 	case factor == 1 && q.multiple < 1:
@@ -163,8 +171,8 @@
 	}
 }
 
-// logThrottling logs event, at most once in throttlingLogInterval, while traffic within the shares is
-// rejected.
+// logThrottling completes and logs event while traffic within the tenants' shares is rejected, at most once
+// per throttlingLogInterval.
 func (q *quotas) logThrottling(now moment, host Host, event TenantsThrottled) {
 	if q.multiple >= 1 || now.since(q.loggedAt) < throttlingLogInterval && q.loggedAt != 0 {
 		return
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,37 +6,43 @@
 	"slices"
 )
 
-// Retry: whether a request gets another attempt, where this may go, when an attempt is given up, and
-// whether a failed request may be rejected instead of failed.
+// Retry: decides whether a request gets another attempt, to which servers it may be sent, when an attempt
+// times out, and whether a request whose attempts failed is rejected or failed.
 //
 // Input: the request's class and attempts, and the times of requests and retries. Output: a deadline, an
-// attempt timeout, a send window, and whether the retry budget allows one more.
+// attempt timeout, a send window, and whether the retry budget allows one more retry.
 
-// The retry budget where the settings state none.
+// The retry budget for settings that do not state one.
 const (
 	defaultBudgetWindow = 10 * seconds
-	defaultBudgetMin    = 5.0 // retries in any window
-	defaultBudgetRatio  = 0.1 // and so many for each request received in it
+	defaultBudgetMin    = 5.0 // retries that are always allowed per window
+	defaultBudgetRatio  = 0.1 // further retries per request received in the window
 )
 
 const (
-	attemptTimeoutMeans = 12.0 // mean latencies after which an attempt is given up where a retry may follow
-	minRemainingMeans   = 0.5  // mean latencies: a request with less time left can't be answered
+	// attemptTimeoutMeans is the number of mean latencies of its class after which an attempt times out where
+	// a retry may follow.
+	attemptTimeoutMeans = 12.0
+
+	// minRemainingMeans is the number of mean latencies of its class that a request needs to be answered
+	// before its deadline.
+	minRemainingMeans = 0.5
 )
 
-// retryPolicy holds what the retry budget counts.
+// retryPolicy holds the requests and retries that count towards the retry budget.
 type retryPolicy struct {
 	*shared
-	requests eventTimes // received within the budget window
-	retries  eventTimes // attempts beyond each request's first, within the budget window
+	requests eventTimes // requests received within the budget window
+	retries  eventTimes // retries sent within the budget window
 
-	// RetryBudgetMin counts from then on: another process of this proxy may have used it before.
+	// RetryBudgetMin is available only from this time on: another process of this proxy may have used it
+	// before.
 	minAvailableFrom moment
 }
 
 func newRetryPolicy(common *shared) *retryPolicy { return &retryPolicy{shared: common} }
 
-// withDefaultBudget completes settings that state no retry budget.
+// withDefaultBudget sets the default retry budget in settings that do not state one.
 func withDefaultBudget(settings *Settings) {
 	if settings.RetryBudgetWindow == 0 {
 		settings.RetryBudgetWindow = int64(defaultBudgetWindow)
@@ -44,8 +50,8 @@
 	}
 }
 
-// deadline is the time from which an answer is worth nothing: the client's deadline or, at the front
-// tier, the latency objective of a class whose late answers have no weight.
+// deadline returns the time after which an answer has no value: the client's deadline or, at the front tier,
+// the latency objective of a class whose late answers have no weight.
 func (p *retryPolicy) deadline(request *request) moment {
 	switch rules := request.classRules(); {
 	case request.BodyPending:
@@ -56,23 +62,24 @@
 	return moment(request.Deadline)
 }
 
-// latestStart is the time from now, in µs, by which a request has to be sent to be answered by its deadline.
+// latestStart returns the time from now, in µs, by which a request must be sent to be answered before its
+// deadline.
 func (p *retryPolicy) latestStart(now moment, request *request) float64 {
 	return float64(p.deadline(request).since(now)) - minRemainingMeans*p.classes[request.Class].latency.mean
 }
 
-// canMeetDeadline reports whether a request that is sent now can still be answered by its deadline.
+// canMeetDeadline reports whether a request that is sent now can still be answered before its deadline.
 func (p *retryPolicy) canMeetDeadline(now moment, request *request) bool {
 	left := p.deadline(request).since(now)
 	if request.BodyPending && request.Timeout > 0 {
-		left = span(request.Timeout) // from a moment on that is yet to come
+		left = span(request.Timeout) // runs only from the end of the body
 	}
 	return float64(left) > minRemainingMeans*p.classes[request.Class].latency.mean
 }
 
-// attemptTimeout is the time after which an attempt that is sent now is given up: at the deadline,
-// and before that where a retry may follow, so that a server that hangs frees its slot. 0 while the body is
-// pending.
+// attemptTimeout returns the timeout of an attempt that is sent now. The attempt is given up at the deadline,
+// and earlier where a retry may follow, so that attempts do not stay in flight at a server that hangs. The
+// timeout is 0 while the body is still being received.
 func (p *retryPolicy) attemptTimeout(now moment, request *request) span {
 	if request.BodyPending {
 		return 0
@@ -88,9 +95,10 @@
 // neverAgain is the send window of a server that must not get the request.
 const neverAgain = -1
 
-// sendWindow is the time within which a request's last byte has to reach the server; 0: no limit.
-// Once an attempt may have been executed, a non-idempotent request may go nowhere (neverAgain), and one
-// with an idempotency key only to servers that share the key's memory, while these remember it.
+// sendWindow returns the time within which the last byte of a request has to be sent to a server; 0 is no
+// limit. Once an attempt may have been executed, a non-idempotent request must not be sent to any server
+// (neverAgain). A request with an idempotency key may then be sent only to servers that share deduplication
+// with the server of that attempt, and only until they forget the key.
 func (p *retryPolicy) sendWindow(now moment, request *request, server *server) (left span) {
 	rules := request.classRules()
 	window := span(rules.DedupWindow)
@@ -102,12 +110,12 @@
 			!sharesDedup(rules.DedupScope, attempt, server) {
 			return neverAgain
 		}
-		left = cmp.Or(left, attempt.sentAt.add(window).since(now)) // the first attempt's window ends first
+		left = cmp.Or(left, attempt.sentAt.add(window).since(now)) // first attempt's window ends first
 	}
 	return left
 }
 
-// sharesDedup reports whether a server recognises the idempotency key of an earlier attempt.
+// sharesDedup reports whether a server recognizes the idempotency key of an earlier attempt.
 func sharesDedup(scope DedupScope, earlier *attempt, server *server) bool {
 	switch scope {
 	case DedupScopeZone:
@@ -118,8 +126,8 @@
 	return true
 }
 
-// mayReject reports whether a request may be rejected, which is a promise to the client that it may safely
-// come again.
+// mayReject reports whether a request may be rejected, which promises the client that sending it again is
+// safe.
 func (p *retryPolicy) mayReject(request *request) bool {
 	rules := request.classRules()
 	return rules.Idempotency == Idempotent ||
@@ -127,7 +135,7 @@
 		!slices.ContainsFunc(request.attempts, func(a *attempt) bool { return a.mayHaveExecuted })
 }
 
-// mayHaveExecuted reports whether an attempt that ended so may have been executed by its server.
+// mayHaveExecuted reports whether the server may have executed an attempt that ended with status.
 func mayHaveExecuted(status Status, settings *Settings) bool {
 	switch status {
 	case StatusConnectFailed, StatusNotSent:
@@ -138,17 +146,17 @@
 	return true
 }
 
-// window is the span in which the budget counts.
+// window returns the length of the retry budget window.
 func (p *retryPolicy) window() span { return span(p.settings.RetryBudgetWindow) }
 
-// recordRequest counts a request for the budget.
+// recordRequest counts a request towards the retry budget.
 func (p *retryPolicy) recordRequest(now moment) { p.requests.add(now, p.window()) }
 
-// recordRetry counts a retry for the budget.
+// recordRetry counts a retry towards the retry budget.
 func (p *retryPolicy) recordRetry(now moment) { p.retries.add(now, p.window()) }
 
-// budgetAllows reports whether one more retry is within the budget. The window ends now: a retry at its far
-// edge counts, a request received there doesn't.
+// budgetAllows reports whether the budget allows one more retry. The window ends now. At its far edge a retry
+// still counts, a request does not.
 func (p *retryPolicy) budgetAllows(now moment) bool {
 	from, least := now.add(-p.window()), p.settings.RetryBudgetMin
 	if now < p.minAvailableFrom {
@@ -158,18 +166,18 @@
 	return p.retries.countSince(from)+1 <= allowed
 }
 
-// windowClear is the time from which no budget window holds a retry made until now, here or
-// elsewhere.
+// windowClear returns the time from which no budget window contains a retry that this or another process has
+// made up to now.
 func (p *retryPolicy) windowClear(now moment) moment { return now.add(p.window()) }
 
-// extendWindow handles a longer budget window: retries before the former one are
-// forgotten, so that the minimum counts again only when the new window holds none of them.
+// extendWindow handles a longer budget window. Retries before the start of the former window are no longer
+// known, so RetryBudgetMin is available again only when the new window contains none of them.
 func (p *retryPolicy) extendWindow(now moment) {
 	p.minAvailableFrom = max(p.minAvailableFrom, p.windowClear(now))
 }
 
-// export hands the budget over: what was used of it and its minimum are the successor's. What further
-// requests earn stays here, so that the two together keep to the budget in every window.
+// export hands the budget over to a successor: both its past usage and RetryBudgetMin. What later requests
+// earn stays with this process, so that the two processes together keep to the budget in every window.
 func (p *retryPolicy) export(now moment) RetryBudgetUsage {
 	p.requests.countSince(now.add(-p.window()))
 	p.retries.countSince(now.add(-p.window()))
@@ -178,13 +186,13 @@
 	return usage
 }
 
-// adopt takes what a predecessor has used of the budget.
+// adopt imports the budget usage of a predecessor.
 func (p *retryPolicy) adopt(usage RetryBudgetUsage) {
 	p.requests, p.retries = usage.Requests, usage.Retries
 }
 
-// reclaim takes the minimum back from a successor that has ended, once no window holds what that may have
-// used.
+// reclaim makes RetryBudgetMin available again after the successor has ended, once no budget window contains
+// a retry that it may have made.
 func (p *retryPolicy) reclaim(now moment) {
 	if p.minAvailableFrom == math.MaxInt64 {
 		p.minAvailableFrom = p.windowClear(now)
--- a/balancer/spillover.go
+++ b/balancer/spillover.go
@@ -1,24 +1,25 @@
 package balancer
 
-// Spillover: how much weight the servers of other zones have while the local zone is slow or fails.
+// Spillover: sets the weight of servers in other zones while the local zone is slow or fails.
 //
-// Input: calls to the local zone, as bad or not. Output: a weight from 0 to 1 for each server of another
-// zone, against 1 for a local one. How locality uses it: remoteWeight.
+// Input: calls to the local zone, as bad or not. Output: the weight of each server of another zone, from 0 to
+// 1, where a local server has 1. locality.remoteWeight applies it.
 
 const (
-	minSpillover   = 0.02 // weight
-	startSpillover = 0.3  // weight at a new replica of the front tier
+	minSpillover   = 0.02 // lowest weight
+	startSpillover = 0.3  // initial weight at a replica of the front tier
 
 	spilloverIncrease = 0.15 // added to the weight after a bad round
-	spilloverDecay    = 0.9  // factor of the weight after a good one
+	spilloverDecay    = 0.9  // factor of the weight after a good round
 )
 
-// spillover holds the weight that this replica has learned from its own calls.
+// spillover holds the weight that follows from this replica's own calls.
 type spillover struct {
 	weight   float64 // minSpillover to 1
 	feedback feedbackRound
 }
 
+// newSpillover returns the spillover with the initial weight for the tier.
 func newSpillover(settings *Settings) *spillover {
 	if settings.Tier > 0 {
 		return &spillover{weight: minSpillover}
@@ -26,13 +27,13 @@
 	return &spillover{weight: startSpillover}
 }
 
-// configure takes the duration of a feedback round.
+// configure sets the maximum duration of a feedback round.
 func (s *spillover) configure(roundDuration span) {
 	s.feedback.maxBadFraction, s.feedback.maxDuration = maxSlowFraction, roundDuration
 }
 
-// learn takes a call to the local zone, slow or failed or neither, and adjusts the weight when its round
-// ends.
+// learn records a call to the local zone, where bad is slow or failed, and adjusts the weight when the
+// feedback round ends.
 func (s *spillover) learn(now, sentAt moment, bad bool) {
 	if factor := s.feedback.record(now, sentAt, bad); factor == 1 {
 		s.weight = max(minSpillover, s.weight*spilloverDecay)
@@ -41,5 +42,5 @@
 	}
 }
 
-// forget drops what was learned of a local zone that has recovered.
+// forget lowers the weight to the initial one at most, once the local zone has recovered.
 func (s *spillover) forget() { s.weight = min(s.weight, startSpillover) }
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -1,31 +1,35 @@
 package balancer
 
-// Subscription: when a watch of the endpoint list that has failed is opened again.
+// Subscription: decides when a watch of the endpoint list is opened again after a failure.
 //
-// Input: lists and failures. Output: whether to open a watch now, or the backoff before the next one.
+// Input: received lists and failures. Output: whether to open a watch now, or the backoff before the next
+// one.
 
 const (
-	watchTimer = "watch" // token of the timer that ends a backoff; the host returns it unchanged
+	// watchTimer is the token of the timer that ends a backoff. The host returns it unchanged.
+	watchTimer = "watch"
 
-	// The backoff doubles with each failure, up to the greater bound or this part of
-	// Settings.PollInterval.
+	// The backoff doubles with each failure, up to maxWatchBackoff or to Settings.PollInterval divided by
+	// pollIntervalDivisor, whichever is shorter, but never below minWatchBackoff.
 	minWatchBackoff, maxWatchBackoff = 250 * milliseconds, 1 * seconds
-	pollIntervalDivisor              = 8
+
+	pollIntervalDivisor = 8
 )
 
-// subscription is the state of this replica's watch.
+// subscription is the state of this replica's watch of the endpoint list.
 type subscription struct {
 	*shared
-	backoff   span // before the next attempt
+	backoff   span // minimum delay before the next attempt
 	requested bool // a watch is open or being opened
 }
 
+// newSubscription returns a subscription without a watch.
 func newSubscription(common *shared) *subscription {
 	return &subscription{shared: common, backoff: minWatchBackoff}
 }
 
-// failed takes a failure and returns the backoff, spread evenly over as much again, as many replicas
-// keep the source of the list busy. ok is false if the next watch waits already.
+// failed records a failure and returns the backoff, to which it adds a random part of up to the same length,
+// since many replicas may load the source of the list at once. ok is false if a backoff is running already.
 func (s *subscription) failed() (backoff span, ok bool) {
 	if ok = s.requested; ok {
 		backoff = s.backoff + s.randomSpan(s.backoff)
@@ -36,14 +40,15 @@
 	return backoff, ok
 }
 
-// succeeded takes a list, which ends the backoff, and reports whether a watch has to be opened for the next
-// ones.
+// succeeded records that a list was received, which resets the backoff. It reports whether the caller has to
+// open a watch for the next lists.
 func (s *subscription) succeeded() (open bool) {
 	s.backoff = minWatchBackoff
 	return s.settings.WatchEndpoints && s.reopen()
 }
 
-// reopen reports whether a watch has to be opened now: none is open or being opened.
+// reopen marks the watch as requested. It reports whether the caller has to open it, that is, whether no
+// watch was open or being opened before.
 func (s *subscription) reopen() bool {
 	if s.requested {
 		return false
--- a/balancer/weighttuning.go
+++ b/balancer/weighttuning.go
@@ -6,45 +6,61 @@
 	"merlinpick/internal/tailweights"
 )
 
-// Weight tuning: small corrections of the servers' weights that keep the tail of all calls' latencies low.
+// Weight tuning: makes small corrections to the servers' weights that keep the tail latency of all calls low.
 //
-// Input: the load reports of all replicas, and this replica's latencies. Output: a factor of each server's
-// weight. In each round the factors move a step towards the loads that package tailweights finds best. A
-// server that is warming up, unhealthy, damped or hardly called isn't tuned, and each zone keeps its share.
+// Input: the load reports of all replicas, and the latencies of this replica. Output: a factor of each
+// server's weight. In each round the factors move one step towards the loads that package tailweights
+// computes as optimal. A server that is warming up, unhealthy, damped or rarely called is not tuned, and each
+// zone keeps its share of the load.
 
 const (
-	// A round lasts this long, and up to half of it more, as replicas shouldn't step together.
+	// tuningInterval is the minimum duration of a round. A random part of up to half of it is added, so that
+	// replicas do not step together.
 	tuningInterval = 3 * seconds
 
-	minTunedCalls        = 8.0 // lately seen calls of all replicas from which on a server is tuned
-	loadChanceDeviations = 1.0 // standard deviations of these calls by which a load may be off by chance
-	worseTailDeviations  = 4.0 // of this replica's calls: a worse tail takes the last step back
-	failureExponent      = 2.0 // of the answered fraction: how much slower a server that fails counts
+	minTunedCalls = 8.0 // recent calls of all replicas that a server needs to be tuned
 
-	maxLogFactor   = 1.0  // bound of a factor's logarithm
-	logFactorDecay = 0.03 // of the logarithm that a round takes back
-	maxTuningStep  = 0.1  // of the logarithm that a round moves
+	// loadChanceDeviations is a number of standard deviations of a server's recent calls. Changes of a load
+	// of up to this size are ignored as random variation, and larger ones are reduced by as much.
+	loadChanceDeviations = 1.0
 
-	tuningStepGrowth = 1.25 // factor of the step, each round
-	tuningStepCut    = 4.0  // divisor of the step after a worse tail; of maxTuningStep: the least step
+	// worseTailDeviations is the number of standard deviations, by the number of this replica's calls, by
+	// which the tail latency must get worse for the last step to be reverted.
+	worseTailDeviations = 4.0
 
-	tuningGain = 0.5 // of the way to the best loads that a round moves
+	// failureExponent: the latency of a server that fails is divided by the answered fraction of its calls to
+	// this power.
+	failureExponent = 2.0
+
+	maxLogFactor   = 1.0  // bound of the absolute natural logarithm of a factor
+	logFactorDecay = 0.03 // fraction of the logarithm that is removed in each round
+	maxTuningStep  = 0.1  // largest change of the logarithm in a round
+
+	tuningStepGrowth = 1.25 // factor of the step in each round
+
+	// tuningStepCut is the divisor of the step after a worse tail. maxTuningStep divided by it is the
+	// smallest step.
+	tuningStepCut = 4.0
+
+	tuningGain = 0.5 // fraction of the distance to the optimal loads that a round covers
 )
 
+// curveLearning configures how the curves of latency against load are fitted.
 var curveLearning = tailweights.CurveLearning{AssumedUtilization: 0.5, InformativeSpread: 0.3, Retention: 0.9,
 	MaxMisfit: 1.6, MaxSlopeFactor: 8, MinLoadFraction: 0.2}
 
-// tuningState is what weight tuning keeps of a server.
+// tuningState is the weight tuning state of a server.
 type tuningState struct {
-	curve             tailweights.CurveFit // of its latency against its load
+	curve             tailweights.CurveFit // latency against load
 	logFactor         float64              // natural logarithm of the factor
-	previousLogFactor float64              // before the last round
-	factor            float64              // of its weight, as of the last round
+	previousLogFactor float64              // logFactor before the latest round
+	factor            float64              // of the server's weight, as of the latest round
 }
 
+// newTuningState returns the state of a server whose weight is not corrected.
 func newTuningState() tuningState { return tuningState{factor: 1} }
 
-// weightTuning holds the present round and the tail of the one before.
+// weightTuning holds the current round and the tail latency of the one before.
 type weightTuning struct {
 	*shared
 	members   *membership
@@ -54,20 +70,20 @@
 	locality  *locality
 
 	nextAt       moment               // when the next round is due
-	step         float64              // of the logarithm that a round moves at most
-	tail         tailweights.TailNorm // of this round's latencies, as multiples of their class's unloaded one
-	tailCalls    float64
-	previousTail float64
+	step         float64              // largest change of a logarithm in the next round
+	tail         tailweights.TailNorm // this round's latencies, as multiples of their class's unloaded ones
+	tailCalls    float64              // number of latencies in tail
+	previousTail float64              // tail of the previous round; 0: none
 	solver       tailweights.Solver
 }
 
-// recordLatency takes the latency of an answer, as a multiple of its class's unloaded one.
+// recordLatency records the latency of an answer as a multiple of its class's unloaded latency.
 func (t *weightTuning) recordLatency(relative, priorityWeight float64) {
 	t.tail.Add(relative, priorityWeight)
 	t.tailCalls++
 }
 
-// adjust is one round, if it is due.
+// adjust runs one round, if it is due.
 func (t *weightTuning) adjust(now moment) {
 	if now < t.nextAt {
 		return
@@ -86,7 +102,8 @@
 	}
 }
 
-// tailIsWorse ends the round's tail and reports whether it is worse than the one before by more than chance.
+// tailIsWorse ends the measurement of this round's tail and reports whether it is worse than the previous one
+// by more than random variation.
 func (t *weightTuning) tailIsWorse() bool {
 	before, now := t.previousTail, t.tail.Root()
 	worse := before > 0 && now > before*(1+worseTailDeviations/math.Sqrt(t.tailCalls))
@@ -94,7 +111,7 @@
 	return worse
 }
 
-// takeBack takes the last step back and makes the next ones smaller.
+// takeBack reverts the latest step and makes the next ones smaller.
 func (t *weightTuning) takeBack() {
 	t.step /= tuningStepCut
 	for _, server := range t.members.ready {
@@ -102,8 +119,8 @@
 	}
 }
 
-// advance takes a step, by zone. A server that can't be tuned, or all where nothing is known, goes back to
-// its own weight; the only tunable server of a zone keeps its factor.
+// advance takes one step, zone by zone. The factor of a server that cannot be tuned, or of all servers if
+// informed is false, moves back to 1. The only tunable server of a zone keeps its factor.
 func (t *weightTuning) advance(now moment, informed bool) {
 	groups := map[int][]*server{}
 	for _, server := range t.members.ready {
@@ -115,14 +132,14 @@
 			state.logFactor -= clamp(state.logFactor, t.step)
 		}
 	}
-	for zone := range t.locality.zones { // in order
+	for zone := range t.locality.zones { // in order of zone numbers, unlike a range over groups
 		if len(groups[zone]) > 1 {
 			t.advanceGroup(groups[zone])
 		}
 	}
 }
 
-// canTune reports whether a server is warm, healthy and called enough.
+// canTune reports whether a server is warm, healthy and called often enough to be tuned.
 func (t *weightTuning) canTune(now moment, server *server) bool {
 	healthy := !server.damping.active && server.outlier.overallScore() >= healthyScore
 	load := &server.load.fleet
@@ -130,8 +147,8 @@
 		load.calls >= minTunedCalls && load.meanLatency > 0
 }
 
-// advanceGroup moves the factors of one zone's servers towards the loads with the least tail. A server that
-// fails counts as slower than its answers are.
+// advanceGroup moves the factors of one zone's servers towards the loads with the lowest tail latency. A
+// server that fails counts as slower than its answers are.
 func (t *weightTuning) advanceGroup(group []*server) {
 	observations, mean := make([]tailweights.Observation, len(group)), 0.0
 	for i, server := range group {
@@ -151,5 +168,5 @@
 	}
 }
 
-// clamp keeps x between -most and most.
+// clamp returns x, limited to the range from -most to most.
 func clamp(x, most float64) float64 { return min(max(x, -most), most) }
--- a/balancer/zonestate.go
+++ b/balancer/zonestate.go
@@ -2,61 +2,63 @@
 
 import "slices"
 
-// Zone state: what this replica has seen of each zone, what it reports of it, and the sum of what the
-// replicas of its zone report.
+// Zone state: records what this replica observes of each zone, what it reports of it, and the sum of the
+// reports of all replicas in this replica's zone.
 
 const (
-	longTermDecay = 2 * seconds // time constant by which trials of an evacuated zone fade
+	longTermDecay = 2 * seconds // time constant by which trial requests to an evacuated zone decay
 
-	zoneStatsTTL  = 1 * seconds // after its latest call a zone is reported on,
-	trialStatsTTL = 4 * seconds // and for so long after the latest trial of an evacuated one
+	zoneStatsTTL  = 1 * seconds // time after its latest call for which a zone is reported,
+	trialStatsTTL = 4 * seconds // and after the latest trial request for an evacuated zone
 
-	zoneLogInterval = 1 * seconds // between log events of short phases of a zone, at least
+	zoneLogInterval = 1 * seconds // minimum time between log events about short phases of a zone
 )
 
-// zone is the state of one zone, the local one too, as this replica sees it.
+// zone is the state of one zone, possibly the local one, as this replica sees it.
 type zone struct {
 	ZoneState
 	observed   zoneObservation
 	evacuation zoneEvacuation
 	recovery   zoneRecovery
 	reports    zoneReportSum
-	loggedAt   moment // when its last log event was; 0: none yet
+	loggedAt   moment // when a phase change was last logged; 0: never
 }
 
-// zoneObservation is what this replica's own calls show of a zone.
+// zoneObservation counts this replica's own calls to a zone.
 type zoneObservation struct{ recent, longTerm callStats }
 
-// zoneEvacuation is how often a zone was left, and its trials.
+// zoneEvacuation is the history of a zone's evacuations, and the time of its next trial request.
 type zoneEvacuation struct {
-	count       int // within evacuationMemory of each other
-	lastAt      moment
+	count       int    // evacuations with at most evacuationMemory between one and the next
+	lastAt      moment // when the latest evacuation began
 	nextTrialAt moment
 }
 
-// zoneRecovery is how far the recovery of a zone has come.
+// zoneRecovery is the progress of a zone's recovery.
 type zoneRecovery struct{ step int } // index of recoveryFractions
 
-// zoneReportSum is the sum of what the replicas of this zone report of a zone.
+// zoneReportSum aggregates what the replicas of this zone report of a zone.
 type zoneReportSum struct {
 	calls, bad       float64
-	replicas         int // with evidence
-	unhealthyVotes   int // those of them that call it unhealthy
-	saturatedVotes   int // those of them that call it saturated
+	replicas         int // replicas with evidence
+	unhealthyVotes   int // those that report it as unhealthy
+	saturatedVotes   int // those that report it as saturated
 	fault            Fault
 	readyServers     int
-	unhealthyServers int       // ready ones that some replica of this zone calls unhealthy
-	peerFractions    []float64 // ascending: the weight fraction that each of the other replicas gives it
+	unhealthyServers int       // ready servers that some replica of this zone reports as unhealthy
+	peerFractions    []float64 // ascending: the weight fraction that each other replica gives the zone
 }
 
-// badFraction is the bad part of the calls, 0 to 1; 0 without calls.
+// badFraction returns the fraction of bad calls, from 0 to 1; it is 0 without calls.
 func (z *zoneReportSum) badFraction() float64 { return z.bad / max(z.calls, 1e-9) }
 
-// faultForZone is how a server's fault counts for its zone: a server that rejects is there.
+// faultForZone maps a fault of a server to what it shows of the zone. A server that rejects calls is
+// reachable, so that is no fault of the zone.
 var faultForZone = [...]Fault{FaultErrors: FaultErrors, FaultUnresponsive: FaultUnresponsive,
 	FaultSlow: FaultSlow, FaultSaturated: NoFault}
 
-// zone is the state of a zone, nil of one that the settings don't have or while zones are not tracked.
+// zone returns the state of a zone. It is nil for a zone that the settings do not have, and while zones are
+// not tracked.
 func (l *locality) zone(number int) *zone {
 	if number < 0 || number >= len(l.zones) {
 		return nil
@@ -64,7 +66,7 @@
 	return &l.zones[number]
 }
 
-// track begins to keep the state of the zones of the settings; false if it does already.
+// track starts tracking the zones of the settings. It returns false if they are tracked already.
 func (l *locality) track(drained map[int]bool) bool {
 	if len(l.zones) == l.settings.ZoneCount {
 		return false
@@ -79,7 +81,8 @@
 	return true
 }
 
-// recordCall takes the end of an attempt, or that it got no response, as evidence on its zone.
+// recordCall records the outcome of an attempt, or that a response is overdue, as evidence of its zone's
+// health.
 func (l *locality) recordCall(now moment, attempt *attempt, fault Fault) {
 	zone := l.zone(attempt.zone)
 	if zone == nil {
@@ -95,8 +98,8 @@
 	}
 }
 
-// recentStats is what this replica's latest calls show of a zone; ok is false if there were none lately.
-// For an evacuated zone they are its trials.
+// recentStats returns the statistics of this replica's latest calls to a zone, or of its trial requests to an
+// evacuated one. ok is false if there were none recently.
 func (z *zone) recentStats(now moment) (stats callStats, ok bool) {
 	stats, ttl := z.observed.recent, zoneStatsTTL
 	if z.Phase == ZoneEvacuated {
@@ -105,7 +108,8 @@
 	return stats, stats.seenWithin(now, ttl)
 }
 
-// sampleTTL is the time for which a server of a zone counts as called very lately.
+// sampleTTL returns the time after its latest call for which a server of a zone is included in the sample of
+// recently called servers.
 func (l *locality) sampleTTL(number int) span {
 	if zone := l.zone(number); zone != nil && zone.Phase == ZoneEvacuated {
 		return trialStatsTTL
@@ -113,7 +117,7 @@
 	return zoneStatsTTL / 2
 }
 
-// someZoneAnswers reports whether this replica's latest calls to some zone were mostly answered.
+// someZoneAnswers reports whether most of this replica's latest calls to at least one zone were answered.
 func (l *locality) someZoneAnswers(now moment) bool {
 	for i := range l.zones {
 		if stats, ok := l.zones[i].recentStats(now); ok && stats.badFraction() < zoneUnhealthyFraction {
@@ -123,13 +127,13 @@
 	return false
 }
 
-// acceptsTraffic reports whether a zone takes more than trials.
+// acceptsTraffic reports whether a zone gets more than trial requests.
 func (z *zone) acceptsTraffic() bool {
 	return z.Phase != ZoneEvacuating && z.WeightFraction > 0 && z.reports.readyServers > 0
 }
 
-// zoneReports returns the reports on the zones that this replica has called lately or that have changed
-// before.
+// zoneReports returns the reports on the zones that this replica has called recently or that have ever
+// changed their phase.
 func (l *locality) zoneReports(now moment, samples map[int]zoneSample) (reports []Report) {
 	for i := range l.zones {
 		if report, ok := l.report(now, &l.zones[i], samples[i]); ok || l.zones[i].Transitions > 0 {
@@ -139,9 +143,9 @@
 	return reports
 }
 
-// report is what this replica reports of a zone, and whether it has evidence. A zone is unhealthy if most
-// calls to it are bad, at half of its servers. One that is being evacuated is reported with its whole
-// weight: it isn't left yet.
+// report returns this replica's report on a zone, and whether it has evidence. It reports the zone as
+// unhealthy if most of its calls are bad and at least half of the servers that it called are unhealthy. A
+// zone that is being evacuated is reported with its full weight, since the evacuation is not certain yet.
 func (l *locality) report(now moment, zone *zone, sample zoneSample) (report Report, ok bool) {
 	stats, ok := zone.recentStats(now)
 	report = Report{ObserverZone: l.settings.Zone, SubjectZone: zone.Zone, LastObserved: int64(now),
@@ -159,7 +163,7 @@
 	return report, ok
 }
 
-// sumReports sums up what the replicas of this zone report of each zone.
+// sumReports aggregates what the replicas of this zone report of each zone.
 func (l *locality) sumReports() {
 	for i := range l.zones {
 		l.zones[i].reports = zoneReportSum{}
@@ -169,7 +173,8 @@
 			zone.reports.readyServers++
 		}
 	}
-	unhealthy := map[string]bool{} // server IDs that count already
+	// unhealthy holds the IDs of the servers that are counted already.
+	unhealthy := map[string]bool{}
 	for report := range l.reports.all {
 		if report.ObserverZone != l.settings.Zone {
 			continue
@@ -195,7 +200,7 @@
 	}
 }
 
-// add adds one replica's report of the zone.
+// add adds the report of one replica.
 func (z *zoneReportSum) add(report Report) {
 	if report.Observer != "" {
 		z.peerFractions = append(z.peerFractions, bounded(report.Value, 1))
@@ -213,8 +218,9 @@
 	}
 }
 
-// setPhase puts a zone in a phase with a weight fraction and logs a change: of phases that last a second or
-// more each one, of the others at most one in zoneLogInterval.
+// setPhase sets the phase and weight fraction of a zone and logs a change of phase. Changes to or from
+// ZoneEvacuated, ZoneRecovering and ZoneDrained, which last a second or more, are all logged; of the others
+// at most one per zoneLogInterval, and none to ZoneEvacuating.
 func (l *locality) setPhase(now moment, host Host, zone *zone, phase ZonePhase, fraction float64) {
 	before := zone.Phase
 	zone.Phase, zone.WeightFraction = phase, fraction
@@ -231,7 +237,7 @@
 	host.Log(ZonePhaseChanged{ObserverZone: l.settings.Zone, State: zone.state(), Previous: before})
 }
 
-// state is the state of a zone with the reports as of now.
+// state returns the zone's state with the figures of the latest reports.
 func (z *zone) state() ZoneState {
 	state := z.ZoneState
 	state.Calls, state.BadFraction = z.reports.calls, z.reports.badFraction()
@@ -239,7 +245,7 @@
 	return state
 }
 
-// states are the states of all zones by number; none while they are not tracked.
+// states returns the states of all zones by number. It is empty while zones are not tracked.
 func (l *locality) states() (out []ZoneState) {
 	for i := range l.zones {
 		out = append(out, l.zones[i].state())
