--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -7,43 +7,46 @@
 	"testing"
 )
 
-// A Retry-After has to leave a client enough of the latency objective for a timely answer.
+// A Retry-After must leave a client enough of the latency objective for a timely answer.
 func TestRetryAfterLeavesTimeForATimelyAnswer(t *testing.T) {
 	s := testSettings()
 	s.MaxRetryAfter = 2 * second
-	b, h := newWithServers(t, s, 0) // no server: all is refused
+	b, h := newWithServers(t, s, 0) // without servers all requests are rejected
 	for i := range 100 {
 		b.HandleRequest(start, h, Request{ID: fmt.Sprint(i), Deadline: start + second})
 	}
 	most := s.Classes[0].LatencyObjective / 2
 	if len(h.retryAfters) != 100 || slices.Min(h.retryAfters) < most/2 || slices.Max(h.retryAfters) > most {
-		t.Errorf("hints %v, want %d to %d", h.retryAfters, most/2, most)
+		t.Errorf("Retry-After values in µs: %v, want 100 from %d to %d", h.retryAfters, most/2, most)
 	}
 }
 
+// The fractional part of a limit is the probability of admitting one more attempt.
 func TestConcurrencyLimitAdmitsFractions(t *testing.T) {
-	r := concurrencyLimit{max: 2.25}
+	limit := concurrencyLimit{max: 2.25}
 	for _, c := range []struct {
-		u    float64
-		want bool
+		chance float64
+		want   bool
 	}{{0, true}, {0, true}, {0.7, false}, {0.8, true}, {0.99, false}} {
-		if r.admits(c.u) != c.want {
-			t.Fatalf("canPass is %v at %d in flight of 2.25 with %v", !c.want, r.inFlight, c.u)
+		if limit.admits(c.chance) != c.want {
+			t.Fatalf("admits(%v) is %v with %d attempts in flight and a limit of 2.25, want %v",
+				c.chance, !c.want, limit.inFlight, c.want)
 		}
 		if c.want {
-			r.acquire()
+			limit.acquire()
 		}
 	}
 }
 
-// A limit that is not used comes down, so that a burst can't fill all servers before one call is late.
+// A limit falls while it is not used. Otherwise a burst could fill all servers before the first call is late.
 func TestUnusedLimitIsNotKept(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 4)
 	now, n := start, 0
-	for ; n < 200; n++ { // one call out at a time
+	for ; n < 200; n++ { // one call in flight at a time
 		now += second / 4
 		sendRequest(b, h, now, fmt.Sprint(n), 0)
-		b.HandleOutcome(now+100_000, h, Outcome{RequestID: fmt.Sprint(n), Status: StatusOK, Latency: 100_000, RequestDone: true})
+		b.HandleOutcome(now+100_000, h,
+			Outcome{RequestID: fmt.Sprint(n), Status: StatusOK, Latency: 100_000, RequestDone: true})
 	}
 	before := len(h.sends)
 	for range 50 {
@@ -51,80 +54,87 @@
 		sendRequest(b, h, now+second/5, fmt.Sprint(n), 0)
 	}
 	if sent := len(h.sends) - before; sent < 3 || sent > 6 {
-		t.Errorf("of a burst of 50 calls %d are sent where one at a time was seen out", sent)
+		t.Errorf("%d calls of a burst of 50 were sent after at most one was in flight, want 3 to 6", sent)
 	}
 }
 
+// A limit changes only at the end of a feedback round, and a bad round ends as soon as it cannot become good.
 func TestLimitIsLearnedByRounds(t *testing.T) {
-	r := concurrencyLimit{max: startLimit, min: minLimit, feedback: feedbackRound{maxBadFraction: maxLateFraction, maxDuration: span(second)}}
+	limit := concurrencyLimit{max: startLimit, min: minLimit,
+		feedback: feedbackRound{maxBadFraction: maxLateFraction, maxDuration: span(second)}}
 	now := start
-	feed := func(n int, bad bool) {
+	record := func(n int, bad bool) {
 		for range n {
 			now++
-			r.learn(&r.feedback, moment(now), moment(now), bad)
+			limit.learn(&limit.feedback, moment(now), moment(now), bad)
 		}
 	}
 	for range 20 {
-		r.acquire()
+		limit.acquire()
 	}
-	feed(feedbackRoundCalls, false)
-	if want := limitHeadroomFactor*20 + limitHeadroomCalls; r.max != want {
-		t.Errorf("after a good round: %v, want %v", r.max, want)
+	record(feedbackRoundCalls, false)
+	if want := limitHeadroomFactor*20 + limitHeadroomCalls; limit.max != want {
+		t.Errorf("limit after a good round: %v, want %v", limit.max, want)
 	}
-	sure := int(math.Floor(maxLateFraction*feedbackRoundCalls)) + 1 // bad finishes after which no good ones could save the round
-	feed(sure-1, true)
-	if want := limitHeadroomFactor*20 + limitHeadroomCalls; r.max != want {
-		t.Errorf("before its verdict is sure a round changed the count to %v", r.max)
+	// decisive is the number of bad calls after which no good ones could make the round good.
+	decisive := int(math.Floor(maxLateFraction*feedbackRoundCalls)) + 1
+	record(decisive-1, true)
+	if want := limitHeadroomFactor*20 + limitHeadroomCalls; limit.max != want {
+		t.Errorf("limit before the round is certain to be bad: %v, want %v", limit.max, want)
 	}
-	feed(1, true)
-	cut := 20 * (1 - cutPerBadFraction*float64(sure)/(feedbackRoundCalls/2))
-	if r.max != cut {
-		t.Errorf("after a bad round: %v, want %v", r.max, cut)
+	record(1, true)
+	cut := 20 * (1 - cutPerBadFraction*float64(decisive)/(feedbackRoundCalls/2))
+	if limit.max != cut {
+		t.Errorf("limit after a bad round: %v, want %v", limit.max, cut)
 	}
 	sentBefore := now - 1
-	for range 3 * feedbackRoundCalls { // evidence from before the cut must not cut again
-		r.learn(&r.feedback, moment(now), moment(sentBefore), true)
+	for range 3 * feedbackRoundCalls { // calls sent before the cut must not cut again
+		limit.learn(&limit.feedback, moment(now), moment(sentBefore), true)
 	}
-	if r.max != cut {
-		t.Errorf("old evidence changed the count to %v", r.max)
+	if limit.max != cut {
+		t.Errorf("limit after the ends of calls sent before the cut: %v, want %v", limit.max, cut)
 	}
-	r.inFlight, r.peakInFlight = 0, 0
+	limit.inFlight, limit.peakInFlight = 0, 0
 	for range 50 {
-		feed(feedbackRoundCalls, true)
+		record(feedbackRoundCalls, true)
 	}
-	if r.max != minLimit {
-		t.Errorf("the count fell to %v, below its floor %v", r.max, minLimit)
+	if limit.max != minLimit {
+		t.Errorf("limit after 50 bad rounds: %v, want the minimum %v", limit.max, minLimit)
 	}
 }
 
-// Slow calls of a class with a clearly higher priority cut the limits of the others, not the other way round.
+// Slow calls of a class with a clearly higher priority cut the limits of the other classes, but not vice
+// versa.
 func TestClassIsPreemptedByHigherPriority(t *testing.T) {
 	s := testSettings()
 	s.Classes[1].PriorityWeight = 40
 	b, _ := newWithServers(t, s, 4)
-	cheap, dear := &b.classes[0].admission.limit, &b.classes[1].admission.limit
+	low, high := &b.classes[0].admission.limit, &b.classes[1].admission.limit
 	for range 10 {
-		cheap.acquire()
-		dear.acquire()
+		low.acquire()
+		high.acquire()
 	}
 	now := start
 	for range 4 * feedbackRoundCalls {
 		now++
 		b.applyBackpressure(moment(now), 1, &attempt{sentAt: moment(now)}, true, true)
 	}
-	if cheap.max > 10 || dear.max != startLimit {
-		t.Errorf("after slow calls of the worthier class: cheap %v, dear %v", cheap.max, dear.max)
+	if low.max > 10 || high.max != startLimit {
+		t.Errorf("limits after slow calls of the class with high priority: %v (low priority, want up to 10) "+
+			"and %v (high priority, want %v)", low.max, high.max, startLimit)
 	}
 	for range 4 * feedbackRoundCalls {
 		now++
 		b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now)}, true, true)
 	}
-	if dear.max != startLimit {
-		t.Errorf("slow cheap calls cut the worthier class to %v", dear.max)
+	if high.max != startLimit {
+		t.Errorf("limit of the class with high priority after slow calls of the one with low priority: %v, "+
+			"want %v", high.max, startLimit)
 	}
 }
 
-// A class without calls isn't held to its least limit because one with a higher priority is slow.
+// The limit of a class without calls must not fall to the minimum because a class with a higher priority is
+// slow.
 func TestUnusedClassKeepsItsLimit(t *testing.T) {
 	s := namedSettings()
 	s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight = 10, 1
@@ -134,12 +144,13 @@
 		sendRequest(b, h, now, id, 0)
 		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
-	for i := range 100 { // worthy calls turn slow
+	for i := range 100 { // calls of the class with the higher priority become slow
 		id, now := fmt.Sprint("slow", i), start+int64(i+1)*second
 		sendRequest(b, h, now, id, 0)
-		b.HandleOutcome(now+s.Classes[0].LatencyObjective, h, Outcome{RequestID: id, Status: StatusOK, Latency: s.Classes[0].LatencyObjective, RequestDone: true})
+		b.HandleOutcome(now+s.Classes[0].LatencyObjective, h, Outcome{RequestID: id, Status: StatusOK,
+			Latency: s.Classes[0].LatencyObjective, RequestDone: true})
 	}
 	if got := b.classes[1].admission.limit.max; got != startLimit {
-		t.Errorf("before its first call a class may have %v out", got)
+		t.Errorf("limit of a class before its first call: %v, want %v", got, startLimit)
 	}
 }
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -7,80 +7,86 @@
 	"testing"
 )
 
+// A tenant that sends more than its quota gets its quota, be it a fraction of a request per second or many.
 func TestTenantQuotaAdmitsItsRate(t *testing.T) {
-	for _, count := range []float64{0.5, 3, 40} {
-		var r tenantQuota
-		passed := 0
+	for _, rate := range []float64{0.5, 3, 40} {
+		var tenant tenantQuota
+		admitted := 0
 		const secs = 40
 		for now := start; now < start+secs*second; now += second / 100 {
-			if r.admits(moment(now), moment(start), count, 0, 0.5) {
-				r.admitted.add(moment(now))
-				passed++
+			if tenant.admits(moment(now), moment(start), rate, 0, 0.5) {
+				tenant.admitted.add(moment(now))
+				admitted++
 			}
 		}
-		if rate := float64(passed) / secs; math.Abs(rate-count) > 0.15*count+1.0/secs {
-			t.Errorf("count %.1f passed %.2f a second", count, rate)
+		if got := float64(admitted) / secs; math.Abs(got-rate) > 0.15*rate+1.0/secs {
+			t.Errorf("a quota of %.1f requests per second admitted %.2f per second", rate, got)
 		}
 	}
 }
 
-// The window grows no further than the time since the first request: a new replica would admit a long window's worth.
+// The window must not be longer than the time since the first request: a new replica would otherwise admit
+// the requests of a long window at once.
 func TestNewReplicaDoesNotAdmitALongWindowAtOnce(t *testing.T) {
-	var r tenantQuota
-	passed := 0
+	var tenant tenantQuota
+	admitted := 0
 	for now := start; now < start+second; now += second / 100 {
-		if r.admits(moment(now), moment(start), 3, 0, 0.5) {
-			r.admitted.add(moment(now))
-			passed++
+		if tenant.admits(moment(now), moment(start), 3, 0, 0.5) {
+			tenant.admitted.add(moment(now))
+			admitted++
 		}
 	}
-	if passed > 4 {
-		t.Errorf("passed %d in the first second with a count of 3", passed)
+	if admitted > 4 {
+		t.Errorf("%d requests were admitted in the first second at a quota of 3 per second, want up to 4",
+			admitted)
 	}
 }
 
-// A replica with few calls must not let one call of each tenant through a window however low its quota is.
+// A replica with few calls must not admit one call of each tenant per window however low the quota is.
 func TestThrottledTenantHasNoFreeCall(t *testing.T) {
-	passed := 0
+	admitted := 0
 	rnd := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		var r tenantQuota
+		var tenant tenantQuota
 		for now := start; now < start+8*second; now += second {
-			if r.admits(moment(now), moment(start-100*second), 0.01, 0, rnd.Float64()) {
-				r.admitted.add(moment(now))
-				passed++
+			if tenant.admits(moment(now), moment(start-100*second), 0.01, 0, rnd.Float64()) {
+				tenant.admitted.add(moment(now))
+				admitted++
 			}
 		}
 	}
-	if most := 200; passed >= most || passed == 0 { // was one each
-		t.Errorf("200 replicas with a count of 0.01 a second passed %d calls in 8 s", passed)
+	if most := 200; admitted >= most || admitted == 0 { // the fault admitted one request at each replica
+		t.Errorf("200 replicas with a quota of 0.01 requests per second admitted %d in 8 s, want 1 to %d",
+			admitted, most-1)
 	}
 }
 
-// While calls are slow, quotas shed at replicas whose tenants each send less than a call a window, too.
+// While calls are slow, quotas also shed load at replicas whose tenants each send less than one call per
+// window.
 func TestBurstAllowanceShrinksWhileCallsAreSlow(t *testing.T) {
 	s := testSettings()
 	s.Replicas, s.Tenants = 100, []Tenant{{Share: 0.5, Quota: 30}, {Share: 0.5, Quota: 30}}
-	sent := func(share float64) int {
+	sent := func(multiple float64) int {
 		b, h := newWithServers(t, s, 4)
 		for i := range 100 {
 			now, id := start+int64(i)*4*second, fmt.Sprint(i)
-			b.quotas.multiple, b.quotas.tenants[0].requests, b.arrivals.recent = share, decayingCount{}, decayingCount{}
+			b.quotas.multiple, b.quotas.tenants[0].requests, b.arrivals.recent =
+				multiple, decayingCount{}, decayingCount{}
 			b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
 			b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 		}
 		return len(h.sends)
 	}
 	if n := sent(1); n < 95 {
-		t.Errorf("with nothing slow %d of 100 pass", n)
+		t.Errorf("%d of 100 requests were sent while no call was slow, want at least 95", n)
 	}
 	if n := sent(0.2); n > 60 || n < 20 {
-		t.Errorf("at a share of 0.2 %d of 100 pass", n)
+		t.Errorf("%d of 100 requests were sent at a quota multiple of 0.2, want 20 to 60", n)
 	}
 }
 
-// At a replica that gets a call a second chance alone fills a tenant's quota, which is no reason to reject. A tenant that
-// goes on sending more than its share is held all the same.
+// At a replica that gets one call per second, random variation alone fills a tenant's quota and must not
+// cause rejections. A tenant that keeps sending more than its share is still limited.
 func TestBurstByChanceIsAdmitted(t *testing.T) {
 	s := testSettings()
 	s.Replicas = 100
@@ -88,12 +94,13 @@
 		s.Tenants = append(s.Tenants, Tenant{Share: 0.25, Quota: 30})
 	}
 	for _, c := range []struct {
-		perSecond, most, least float64 // of tenant 0; the others send 0.25 a second each; parts of it refused
+		perSecond   float64 // requests of tenant 0; the other tenants send 0.25 per second each
+		most, least float64 // fraction of these requests that may and that must be rejected
 	}{{0.25, 0.05, 0}, {3, 1, 0.6}} {
 		rnd := rand.New(rand.NewPCG(3, 3))
-		sent, asked := 0.0, 0.0
-		for replicas := range 20 {
-			s.ReplicaIndex = replicas
+		sent, received := 0.0, 0.0
+		for replica := range 20 {
+			s.ReplicaIndex = replica
 			b, h := newWithServers(t, s, 4)
 			for now := start; now < start+40*second; now += second / 100 {
 				for tenant, rate := range []float64{c.perSecond, 0.25, 0.25, 0.25} {
@@ -104,18 +111,22 @@
 					before := len(h.sends)
 					b.HandleRequest(now, h, Request{ID: id, Tenant: tenant, Deadline: now + second})
 					if tenant == 0 {
-						asked++
+						received++
 						sent += float64(len(h.sends) - before)
 					}
-					b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 300_000, RequestDone: true})
+					b.HandleOutcome(now, h,
+						Outcome{RequestID: id, Status: StatusOK, Latency: 300_000, RequestDone: true})
 				}
 			}
 		}
-		if refused := 1 - sent/asked; refused > c.most || refused < c.least {
-			t.Errorf("at %.2f calls a second and a count of 0.3, %.2f are refused", c.perSecond, refused)
+		if rejected := 1 - sent/received; rejected > c.most || rejected < c.least {
+			t.Errorf("%.2f of the requests were rejected at %.2f requests per second and a quota of 0.3, "+
+				"want %.2f to %.2f", rejected, c.perSecond, c.least, c.most)
 		}
 	}
 }
+
+// A tenant that sends more than its share is throttled; a tenant within its share is not.
 func TestTenantOverItsShareIsShed(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 0.5, Quota: 20}, {Share: 0.5, Quota: 20}}
@@ -124,7 +135,7 @@
 	n := 0
 	for now := start; now < start+4*second; now += second / 100 {
 		tenant := 0
-		if n++; n%10 == 0 { // tenant 0 asks for 90 a second, tenant 1 for 10
+		if n++; n%10 == 0 { // tenant 0 sends 90 requests per second, tenant 1 sends 10
 			tenant = 1
 		}
 		before := len(h.sends)
@@ -136,54 +147,58 @@
 		}
 	}
 	if sent[1] != 40 {
-		t.Errorf("the tenant inside its share got %d of 40", sent[1])
+		t.Errorf("%d of 40 requests of the tenant within its share were sent, want all", sent[1])
 	}
 	if sent[0] > 200 {
-		t.Errorf("the tenant over its share got %d in 4 s, at 20 a second", sent[0])
+		t.Errorf("%d requests of the tenant over its share were sent in 4 s at a quota of 20 per second, "+
+			"want up to 200", sent[0])
 	}
 }
 
+// Throttling is logged at most once per throttlingLogInterval, and not at all while calls are fast.
 func TestThrottlingIsLoggedRarely(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 2)
 	b.logThrottling(moment(start), h)
 	if len(h.lines) != 0 {
-		t.Fatalf("a calm replica reports %q", h.lines)
+		t.Fatalf("a replica that throttles no tenant logged %q", h.lines)
 	}
 	b.quotas.multiple = 0.5
 	for i := range int64(25) {
 		b.logThrottling(moment(start+i*second), h)
 	}
 	if len(h.lines) != 3 {
-		t.Errorf("%d lines in 25 s, want one each 10 s", len(h.lines))
+		t.Errorf("%d log lines in 25 s of throttling, want 3, one per 10 s", len(h.lines))
 	}
 }
 
-// A new replica doesn't hold tenants to their quotas while calls are fast. The first bad round takes the excess back.
+// A new replica does not limit tenants to their quotas while calls are fast. The first bad round makes it do
+// so.
 func TestNewReplicaThrottlesTenantsOnlyWhenCallsAreSlow(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
 	b, h := newWithServers(t, s, 8)
-	for i := range 32 { // a second's traffic at 1.6 times the share
+	for i := range 32 { // one second of traffic at 1.6 times the quota
 		now, id := start+int64(i)*second/32, fmt.Sprint(i)
 		b.HandleRequest(now, h, Request{ID: id, Deadline: now + second})
 		b.HandleOutcome(now, h, Outcome{RequestID: id, Status: StatusOK, Latency: 1000, RequestDone: true})
 	}
 	if n := len(h.sends); n != 32 {
-		t.Errorf("%d of 32 pass at a fresh replica", n)
+		t.Errorf("%d of 32 requests were sent by a new replica, want all", n)
 	}
 	for i := 0; b.quotas.multiple > 1; i++ {
 		if i == 10*feedbackRoundCalls {
-			t.Fatalf("share still %v", b.quotas.multiple)
+			t.Fatalf("the quota multiple is still %v after %d slow calls", b.quotas.multiple, i)
 		}
 		now := start + 2*second + int64(i)
 		b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now)}, true, true)
 	}
 	if b.quotas.multiple < minQuotaMultiple || b.quotas.multiple >= 1 {
-		t.Errorf("a bad round leaves a share of %v", b.quotas.multiple)
+		t.Errorf("quota multiple after a bad round: %v, want from %v to below 1",
+			b.quotas.multiple, minQuotaMultiple)
 	}
 }
 
-// One bad round doesn't hold a tenant to its quota for long once calls are timely again.
+// After a bad round the quota multiple is back at its maximum within a dozen good ones.
 func TestQuotaMultipleRecoversWithinADozenRounds(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
@@ -194,6 +209,6 @@
 		b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now)}, false, false)
 	}
 	if b.quotas.multiple != maxQuotaMultiple {
-		t.Errorf("share %v after a dozen good rounds", b.quotas.multiple)
+		t.Errorf("quota multiple after a dozen good rounds: %v, want %v", b.quotas.multiple, maxQuotaMultiple)
 	}
 }
--- a/balancer/spillover_test.go
+++ b/balancer/spillover_test.go
@@ -2,22 +2,25 @@
 
 import "testing"
 
+// Servers of other zones get little weight while the local zone is fast, and more while it is slow or fails.
 func TestSpilloverGrowsWhileTheLocalZoneIsSlow(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 8)
-	home := weightOf(b, start, b.members.byID["s0"], 0)
+	local := weightOf(b, start, b.members.byID["s0"], 0)
 	now := start
-	feed := func(n int, bad bool) {
+	record := func(n int, bad bool) {
 		for range n {
 			now++
 			b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now), zone: b.settings.Zone}, bad, bad)
 		}
 	}
-	feed(60*feedbackRoundCalls, false)
-	if away := weightOf(b, start, b.members.byID["s2"], 0); away > home/10 {
-		t.Errorf("a calm home leaves %.3f of the weight to other zones", away/home)
+	record(60*feedbackRoundCalls, false)
+	if remote := weightOf(b, start, b.members.byID["s2"], 0); remote > local/10 {
+		t.Errorf("a remote server has %.3f of a local one's weight while the local zone is fast, want up "+
+			"to 0.1", remote/local)
 	}
-	feed(20*feedbackRoundCalls, true)
-	if away := weightOf(b, start, b.members.byID["s2"], 0); away < home/2 {
-		t.Errorf("a home in trouble leaves %.3f of the weight to other zones", away/home)
+	record(20*feedbackRoundCalls, true)
+	if remote := weightOf(b, start, b.members.byID["s2"], 0); remote < local/2 {
+		t.Errorf("a remote server has %.3f of a local one's weight while the local zone is slow, want at "+
+			"least 0.5", remote/local)
 	}
 }
--- a/balancer/zonestate_test.go
+++ b/balancer/zonestate_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// The report on a zone follows from this replica's calls, the servers that it sampled and, for the local
+// zone, the spillover weight.
 func TestZoneReportOfOneReplica(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -38,32 +40,38 @@
 		}
 		report, ok := b.locality.report(moment(start), &b.locality.zones[c.zone], c.sample)
 		if report.Kind != c.kind || report.Fault != c.fault || ok != c.evidence || report.SubjectZone != c.zone {
-			t.Errorf("%s: %+v, evidence %v", c.name, report, ok)
+			t.Errorf("%s: report %+v, evidence %v; want kind %d, fault %v, zone %d and evidence %v",
+				c.name, report, ok, c.kind, c.fault, c.zone, c.evidence)
 		}
 	}
 }
 
+// The figures in the report of one replica are bounded, and a report without evidence is no vote.
 func TestReportsOfOneReplicaAreBounded(t *testing.T) {
 	var sum zoneReportSum
-	sum.add(Report{Kind: ReportZoneUnhealthy, Observer: "a", Calls: 1e9, BadFraction: 7, Fault: FaultErrors, Value: -3})
-	if sum.calls != maxZoneCalls || sum.bad != maxZoneCalls || sum.unhealthyVotes != 1 || sum.peerFractions[0] != 0 {
-		t.Errorf("got %+v", sum)
+	sum.add(Report{Kind: ReportZoneUnhealthy, Observer: "a", Calls: 1e9, BadFraction: 7, Fault: FaultErrors,
+		Value: -3})
+	if sum.calls != maxZoneCalls || sum.bad != maxZoneCalls || sum.unhealthyVotes != 1 ||
+		sum.peerFractions[0] != 0 {
+		t.Errorf("the sum of a report with values out of range is %+v", sum)
 	}
 	sum.add(Report{Kind: ReportZoneUnhealthy, Observer: "b", Calls: minZoneCalls / 2, BadFraction: 1, Value: 1})
 	if sum.replicas != 1 || sum.unhealthyVotes != 1 || len(sum.peerFractions) != 2 {
-		t.Errorf("a replica without evidence counts: %+v", sum)
+		t.Errorf("the sum after a report without evidence is %+v, want it to count only in peerFractions",
+			sum)
 	}
 }
 
+// A rejected call is a bad call of its server, but not of its zone.
 func TestRejectionsAreNoFaultOfTheZone(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 4)
 	b.trackZones()
 	server := b.members.byID["s2"]
 	b.recordEvidence(moment(start), &attempt{server: server, zone: 1}, FaultSaturated)
 	if own := b.locality.zones[1].observed.recent; own.calls != 1 || own.bad != 0 {
-		t.Errorf("of the zone: %+v", own)
+		t.Errorf("the zone's calls after a rejection: %+v, want one that is not bad", own)
 	}
 	if own := server.outlier.recent; own.bad != 1 || own.fault != FaultSaturated {
-		t.Errorf("of the server: %+v", own)
+		t.Errorf("the server's calls after a rejection: %+v, want a bad one with FaultSaturated", own)
 	}
 }
