--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,7 +8,7 @@
 // attempt over a limit is rejected at once and never queued: a queue would make all calls late.
 
 const (
-	startLimit = 1e6 // attempts: a new replica rejects nothing before its first feedback round ends
+	initialLimit = 1e6 // attempts: a new replica rejects nothing before its first feedback round ends
 
 	// After a good round a limit is at most limitHeadroomFactor times the peak of attempts in flight, plus
 	// limitHeadroomCalls: an unused high limit would admit a burst unchecked. limitHeadroomCalls leaves room
@@ -52,9 +52,9 @@
 	l.peakInFlight = max(l.peakInFlight, l.inFlight)
 }
 
-// learn records the end of an attempt in a feedback round and adjusts the limit when that round ends. sentAt
-// is when the attempt was sent.
-func (l *concurrencyLimit) learn(round *feedbackRound, now, sentAt moment, bad bool) {
+// recordCall records the end of an attempt in a feedback round and adjusts the limit when that round ends.
+// sentAt is when the attempt was sent.
+func (l *concurrencyLimit) recordCall(round *feedbackRound, now, sentAt moment, bad bool) {
 	switch factor := round.record(now, sentAt, bad); factor {
 	case 0:
 		return
@@ -71,13 +71,13 @@
 type classAdmission struct {
 	limit      concurrencyLimit
 	preemption feedbackRound // counts slow calls of classes with a clearly higher priority
-	awaiting   []*attempt    // front tier only: attempts in order of sending, not yet checked for slowness
+	unchecked  []*attempt    // front tier only: attempts in order of sending, not yet checked for slowness
 }
 
 // attemptAdmission is the admission state of an attempt.
 type attemptAdmission struct {
-	counted      bool // counted as in flight
-	reportedSlow bool // counted as slow before its end
+	counted     bool // counted as in flight
+	countedSlow bool // counted as slow before its end
 }
 
 // admission holds the limit of the tier and the number of rejections. The limits of the classes are in
@@ -105,7 +105,7 @@
 	if a.settings.Tier > 0 {
 		badFraction, least = maxLateFractionInnerTier, minLimitInnerTier
 	}
-	return concurrencyLimit{max: startLimit, min: least,
+	return concurrencyLimit{max: initialLimit, min: least,
 		feedback: feedbackRound{maxBadFraction: badFraction, maxDuration: maxDuration}}
 }
 
@@ -140,7 +140,7 @@
 	state := &a.classes[class].admission
 	state.limit.acquire()
 	if a.settings.Tier == 0 {
-		state.awaiting = append(state.awaiting, attempt)
+		state.unchecked = append(state.unchecked, attempt)
 	}
 }
 
@@ -155,11 +155,11 @@
 	a.classes[class].admission.limit.inFlight--
 }
 
-// learn records the end of an attempt, late or timely, in the limits of the tier and of its class.
-func (a *admission) learn(now moment, class int, sentAt moment, late bool) {
-	a.tier.learn(&a.tier.feedback, now, sentAt, late)
+// recordCall records the end of an attempt, late or timely, in the limits of the tier and of its class.
+func (a *admission) recordCall(now moment, class int, sentAt moment, late bool) {
+	a.tier.recordCall(&a.tier.feedback, now, sentAt, late)
 	limit := &a.classes[class].admission.limit
-	limit.learn(&limit.feedback, now, sentAt, late)
+	limit.recordCall(&limit.feedback, now, sentAt, late)
 }
 
 // preempt records a call of a class, slow or not, against the limits of all classes with a clearly lower
@@ -169,7 +169,7 @@
 	for i := range a.classes {
 		other := &a.classes[i].admission
 		if other.limit.peakInFlight > 0 && a.priority(class) > preemptionRatio*a.priority(i) {
-			other.limit.learn(&other.preemption, now, sentAt, slow)
+			other.limit.recordCall(&other.preemption, now, sentAt, slow)
 		}
 	}
 }
@@ -187,11 +187,11 @@
 // attempt only once. Without this, an overload would show only when these attempts end, seconds later.
 func (a *admission) slowInFlight(now moment, class int, threshold span) (slow []*attempt) {
 	state := &a.classes[class].admission
-	for len(state.awaiting) > 0 && now.since(state.awaiting[0].sentAt) > threshold {
-		attempt := state.awaiting[0]
-		state.awaiting = state.awaiting[1:]
+	for len(state.unchecked) > 0 && now.since(state.unchecked[0].sentAt) > threshold {
+		attempt := state.unchecked[0]
+		state.unchecked = state.unchecked[1:]
 		if attempt.pending && !attempt.responseStarted {
-			attempt.admission.reportedSlow = true
+			attempt.admission.countedSlow = true
 			slow = append(slow, attempt)
 		}
 	}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -60,13 +60,13 @@
 
 // A limit changes only at the end of a feedback round, and a bad round ends as soon as it cannot become good.
 func TestLimitIsLearnedByRounds(t *testing.T) {
-	limit := concurrencyLimit{max: startLimit, min: minLimit,
+	limit := concurrencyLimit{max: initialLimit, min: minLimit,
 		feedback: feedbackRound{maxBadFraction: maxLateFraction, maxDuration: span(second)}}
 	now := start
 	record := func(n int, bad bool) {
 		for range n {
 			now++
-			limit.learn(&limit.feedback, moment(now), moment(now), bad)
+			limit.recordCall(&limit.feedback, moment(now), moment(now), bad)
 		}
 	}
 	for range 20 {
@@ -89,7 +89,7 @@
 	}
 	sentBefore := now - 1
 	for range 3 * feedbackRoundCalls { // calls sent before the cut must not cut again
-		limit.learn(&limit.feedback, moment(now), moment(sentBefore), true)
+		limit.recordCall(&limit.feedback, moment(now), moment(sentBefore), true)
 	}
 	if limit.max != cut {
 		t.Errorf("limit after the ends of calls sent before the cut: %v, want %v", limit.max, cut)
@@ -119,17 +119,17 @@
 		now++
 		b.applyBackpressure(moment(now), 1, &attempt{sentAt: moment(now)}, true, true)
 	}
-	if low.max > 10 || high.max != startLimit {
+	if low.max > 10 || high.max != initialLimit {
 		t.Errorf("limits after slow calls of the class with high priority: %v (low priority, want up to 10) "+
-			"and %v (high priority, want %v)", low.max, high.max, startLimit)
+			"and %v (high priority, want %v)", low.max, high.max, initialLimit)
 	}
 	for range 4 * feedbackRoundCalls {
 		now++
 		b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now)}, true, true)
 	}
-	if high.max != startLimit {
+	if high.max != initialLimit {
 		t.Errorf("limit of the class with high priority after slow calls of the one with low priority: %v, "+
-			"want %v", high.max, startLimit)
+			"want %v", high.max, initialLimit)
 	}
 }
 
@@ -150,7 +150,7 @@
 		b.HandleOutcome(now+s.Classes[0].LatencyObjective, h, Outcome{RequestID: id, Status: StatusOK,
 			Latency: s.Classes[0].LatencyObjective, RequestDone: true})
 	}
-	if got := b.classes[1].admission.limit.max; got != startLimit {
-		t.Errorf("limit of a class before its first call: %v, want %v", got, startLimit)
+	if got := b.classes[1].admission.limit.max; got != initialLimit {
+		t.Errorf("limit of a class before its first call: %v, want %v", got, initialLimit)
 	}
 }
--- a/balancer/flapdamping.go
+++ b/balancer/flapdamping.go
@@ -27,16 +27,16 @@
 	flapVoteWindow   = 2 * seconds // observations of several replicas within this time are one flap
 	maxRequiredVotes = 3           // replicas that must observe a flap; fewer where few are alive
 
-	// fallenScore is the health score at which, and below which, a server is down. Two failures lead to it.
-	fallenScore = 0.1
+	// downScore is the health score at which, and below which, a server is down. Two failures lead to it.
+	downScore = 0.1
 
 	// recoveredBadFraction is the highest fraction of bad recent calls at which a server counts as recovered.
 	recoveredBadFraction = 0.2
 
-	flapReportTTL = 10 * seconds // time for which a flap is reported
-	flapMemory    = 60 * seconds // time for which an observed flap is kept, to recognize the next one
+	flapReportTTL   = 10 * seconds // time for which a flap is reported
+	observedFlapTTL = 60 * seconds // time for which an observed flap is kept, to recognize the next one
 
-	maxRecords         = 4096        // flap records kept
+	maxFlapRecords     = 4096        // flap records kept
 	dampingLogInterval = 1 * seconds // minimum time between two log events
 )
 
@@ -60,8 +60,8 @@
 	seenAt   moment
 }
 
-// flapSighting is a flap of a server process as one replica observed it.
-type flapSighting struct {
+// flapObservation is a flap of a server process as one replica observed it.
+type flapObservation struct {
 	server    string // server ID
 	startTime moment // start of the process, by the clock of the endpoint list
 	down      bool   // true: the server went down; false: it recovered
@@ -81,8 +81,8 @@
 	newFlap     bool   // a flap was counted since the latest updateDamped
 }
 
-// accept records a replica's vote for a flap and reports whether this vote makes the flap count.
-func (r *flapRecord) accept(now moment, down bool, vote flapVote, required int) bool {
+// addVote records a replica's vote for a flap and reports whether this vote makes the flap count.
+func (r *flapRecord) addVote(now moment, down bool, vote flapVote, required int) bool {
 	if down == r.down || vote.seenAt <= r.lastFlapAt || vote.seenAt > now {
 		return false
 	}
@@ -102,8 +102,8 @@
 	return r.penalty * math.Exp2(-float64(now.since(r.penaltyAt))/float64(penaltyHalfLife))
 }
 
-// rested reports whether the server has been stable for so long that its record may be discarded.
-func (r *flapRecord) rested(now moment) bool {
+// isStale reports whether the server has been stable for so long that its record may be discarded.
+func (r *flapRecord) isStale(now moment) bool {
 	return r.currentPenalty(now) < reuseThreshold/2 && now.since(r.lastFlapAt) > penaltyHalfLife
 }
 
@@ -123,11 +123,11 @@
 type flapRecords struct{ byID map[string]*flapRecord }
 
 // recordFlap records one replica's observation of a flap and reports whether the flap counts with it.
-func (f *flapRecords) recordFlap(now moment, seen flapSighting, required int) bool {
+func (f *flapRecords) recordFlap(now moment, seen flapObservation, required int) bool {
 	record := f.byID[seen.server]
 	same := record != nil && sameStartTime(seen.startTime, record.startTime)
 	if record == nil || seen.startTime > record.startTime && !same {
-		if f.removeRested(now); record == nil && len(f.byID) >= maxRecords || !seen.down {
+		if f.removeStale(now); record == nil && len(f.byID) >= maxFlapRecords || !seen.down {
 			return false // a record begins with a server that goes down
 		}
 		record = &flapRecord{startTime: seen.startTime, lastFlapAt: seen.vote.seenAt.add(-flapVoteWindow),
@@ -137,7 +137,7 @@
 		}
 		f.byID[seen.server], same = record, true
 	}
-	return same && record.accept(now, seen.down, seen.vote, required)
+	return same && record.addVote(now, seen.down, seen.vote, required)
 }
 
 // dampedSince reports whether a server process has to be damped now, and since when.
@@ -150,10 +150,10 @@
 	return record.dampedSince, damped
 }
 
-// removeRested discards the records of servers that have been stable for long enough.
-func (f *flapRecords) removeRested(now moment) {
+// removeStale discards the records of servers that have been stable for long enough.
+func (f *flapRecords) removeStale(now moment) {
 	for id, record := range f.byID {
-		if record.rested(now) {
+		if record.isStale(now) {
 			delete(f.byID, id)
 		}
 	}
@@ -176,8 +176,8 @@
 	records  flapRecords
 	observed map[string]observedFlap // by server ID
 
-	logged   string // IDs of the damped servers as of the latest log event, separated by spaces
-	loggedAt moment
+	loggedServers string // IDs of the damped servers as of the latest log event, separated by spaces
+	loggedAt      moment
 }
 
 // newFlapDamping returns the flap damping without any recorded flaps.
@@ -193,7 +193,7 @@
 	worst := state.worstScore()
 	reported := state.peerFactor < 1
 	if state.isUnhealthy() && state.recent.fault != FaultSaturated &&
-		(worst <= fallenScore || worst < healthyScore && reported) {
+		(worst <= downScore || worst < healthyScore && reported) {
 		d.observe(now, server, true, state.recent.fault)
 	} else if state.recent.badFraction() <= recoveredBadFraction && state.overall.score >= healthyScore &&
 		state.peerFactor == 1 {
@@ -234,7 +234,7 @@
 func (d *flapDamping) flapReports(now moment) (reports []Report) {
 	for _, id := range slices.Sorted(maps.Keys(d.observed)) {
 		flap := d.observed[id]
-		if now.since(flap.seenAt) > flapMemory {
+		if now.since(flap.seenAt) > observedFlapTTL {
 			delete(d.observed, id)
 		} else if now.since(flap.seenAt) <= flapReportTTL {
 			report := Report{Kind: ReportServerFlap, Fault: max(flap.fault, NoFault),
@@ -253,7 +253,7 @@
 // removal budget allows. An isolated replica uses only its zone's part of the budget. Servers suspended by an
 // operator stay suspended.
 func (d *flapDamping) damp(now moment, budget *removalBudget) {
-	d.takeReports(now)
+	d.recordReports(now)
 	if peers := &d.reports.peers; peers.Isolated {
 		budget.limitTo(peers.LiveReplicasInZone, max(peers.LiveReplicas, peers.LiveReplicasInZone))
 	}
@@ -262,16 +262,16 @@
 	}
 }
 
-// takeReports records the flaps that all replicas report. A server may appear unresponsive because of the
+// recordReports records the flaps that all replicas report. A server may appear unresponsive because of the
 // network path to it, so reports of that fault count only from replicas in this zone.
-func (d *flapDamping) takeReports(now moment) {
+func (d *flapDamping) recordReports(now moment) {
 	required := requiredFlapVotes(d.reports.peers.LiveReplicasInZone)
 	for report := range d.reports.all {
 		if report.Kind == ReportServerFlap && !d.settings.DisableFlapDamping &&
 			(report.Fault != FaultUnresponsive || report.ObserverZone == d.settings.Zone) {
 			down := report.BadFraction >= unhealthyBadFraction
 			vote := flapVote{report.Observer, moment(report.LastObserved)}
-			seen := flapSighting{report.Server, moment(report.StartTime), down, vote}
+			seen := flapObservation{report.Server, moment(report.StartTime), down, vote}
 			d.records.recordFlap(now, seen, required)
 		}
 	}
@@ -314,9 +314,9 @@
 		ids = append(ids, server.Server)
 	}
 	all := strings.Join(ids, " ")
-	if all == d.logged || now.since(d.loggedAt) < dampingLogInterval {
+	if all == d.loggedServers || now.since(d.loggedAt) < dampingLogInterval {
 		return
 	}
-	d.logged, d.loggedAt = all, now
+	d.loggedServers, d.loggedAt = all, now
 	host.Log(DampedServersChanged{Servers: ids, WeightFraction: dampedWeight})
 }
--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -35,7 +35,7 @@
 				down = !down
 				for i := range int64(3) {
 					records.recordFlap(moment(now+i),
-						flapSighting{"s", 1, down, flapVote{fmt.Sprint(i), moment(now + i)}}, 3)
+						flapObservation{"s", 1, down, flapVote{fmt.Sprint(i), moment(now + i)}}, 3)
 				}
 			}
 			_, damped := records.dampedSince(moment(now+3), "s", 1)
@@ -104,7 +104,7 @@
 				now = 1
 			}
 			records.recordFlap(moment(now),
-				flapSighting{"s", moment(v.startTime), v.down, flapVote{v.observer, moment(v.seenAt)}}, 2)
+				flapObservation{"s", moment(v.startTime), v.down, flapVote{v.observer, moment(v.seenAt)}}, 2)
 		}
 		got := 0.0
 		if r := records.byID["s"]; r != nil {
@@ -132,7 +132,7 @@
 			seenAt := now - rapid.Int64Range(-second, 3*second).Draw(t, "age")
 			known := records.byID[id] != nil
 			vote := flapVote{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "observer"), moment(seenAt)}
-			if records.recordFlap(moment(now), flapSighting{id, 1, down, vote}, 2) {
+			if records.recordFlap(moment(now), flapObservation{id, 1, down, vote}, 2) {
 				if known && countedDown[id] == down ||
 					seenAt <= countedAt[id] && countedAt[id] != 0 || seenAt > now {
 					t.Fatalf("at %d µs a flap of %s with down %v, observed at %d µs, counts although it "+
@@ -164,7 +164,7 @@
 				since[id] = int64(from)
 			}
 		}
-		if records.removeRested(moment(now + 200*second)); len(records.byID) != 0 {
+		if records.removeStale(moment(now + 200*second)); len(records.byID) != 0 {
 			t.Fatalf("%d records are kept 200 s after the latest vote, want none", len(records.byID))
 		}
 	})
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -62,7 +62,7 @@
 // slow for a long time.
 func slowThreshold(settings *Settings, class int, latency classLatency, quotaMultiple float64) float64 {
 	threshold := slowFraction * float64(settings.Classes[class].LatencyObjective)
-	if settings.Tier > 0 || quotaMultiple <= overloadedQuotaMultiple {
+	if settings.Tier > 0 || quotaMultiple <= overloadedQuotaThreshold {
 		return threshold
 	}
 	return min(threshold, saturatedLatencyRatio*latency.unloaded)
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -65,7 +65,7 @@
 	}{
 		{"by the objective", 0, 1, 1_000_000, 300_000},
 		{"by the unloaded mean", 0, 1, 100_000, 160_000},
-		{"overloaded: by the objective alone", 0, overloadedQuotaMultiple, 100_000, 300_000},
+		{"overloaded: by the objective alone", 0, overloadedQuotaThreshold, 100_000, 300_000},
 		{"an inner tier: by the objective alone", 1, 1, 100_000, 300_000},
 	} {
 		settings := &Settings{Tier: c.tier, Classes: []Class{{LatencyObjective: 500_000}}}
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -25,8 +25,8 @@
 	latency := float64(now.since(attempt.sentAt))
 	late := failed && !attributed || !failed && isLate(request.classRules(), latency)
 	slow := late || !failed && latency > b.slowThreshold(class)
-	b.admission.learn(now, class, attempt.sentAt, late)
-	if !attempt.admission.reportedSlow {
+	b.admission.recordCall(now, class, attempt.sentAt, late)
+	if !attempt.admission.countedSlow {
 		b.applyBackpressure(now, class, attempt, slow, slow || failed)
 	}
 }
@@ -40,9 +40,9 @@
 // whether it was slow or failed.
 func (b *Balancer) applyBackpressure(now moment, class int, attempt *attempt, slow, bad bool) {
 	b.admission.preempt(now, class, attempt.sentAt, slow)
-	b.quotas.learn(now, attempt.sentAt, slow)
+	b.quotas.recordCall(now, attempt.sentAt, slow)
 	if attempt.zone == b.settings.Zone {
-		b.spillover.learn(now, attempt.sentAt, bad)
+		b.spillover.recordCall(now, attempt.sentAt, bad)
 	}
 }
 
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -16,14 +16,14 @@
 
 // keyQueue holds the open requests of one key in the order in which they were received.
 type keyQueue struct {
-	key       string
-	waiting   []*request // only the first may run
-	coolUntil moment     // no request starts before, since an attempt may still be running
+	key           string
+	waiting       []*request // only the first may run
+	cooldownUntil moment     // no request starts before, since an attempt may still be running
 }
 
 // next returns the request that may start now, or nil if there is none.
 func (q *keyQueue) next(now moment) *request {
-	if len(q.waiting) == 0 || len(q.waiting[0].attempts) > 0 || now < q.coolUntil {
+	if len(q.waiting) == 0 || len(q.waiting[0].attempts) > 0 || now < q.cooldownUntil {
 		return nil
 	}
 	return q.waiting[0]
@@ -58,7 +58,7 @@
 
 // discardIdle discards a queue that holds no requests and whose cool-down is over.
 func (o *ordering) discardIdle(now moment, queue *keyQueue) {
-	if len(queue.waiting) == 0 && now >= queue.coolUntil {
+	if len(queue.waiting) == 0 && now >= queue.cooldownUntil {
 		delete(o.queues, queue.key)
 	}
 }
@@ -75,7 +75,7 @@
 
 // coolDown blocks a queue after an attempt that may still be running. It returns the duration in µs.
 func (q *keyQueue) coolDown(now moment, settings *Settings) (delay int64) {
-	q.coolUntil = now.add(span(settings.OrderingCooldown))
+	q.cooldownUntil = now.add(span(settings.OrderingCooldown))
 	return settings.OrderingCooldown
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -22,8 +22,8 @@
 	// success restores.
 	healthGain = 0.25
 
-	// minErrorRateGain is the weight of one attempt in the error rate of all servers.
-	minErrorRateGain = 0.05
+	// tierErrorRateGain is the weight of one attempt in the error rate of all servers.
+	tierErrorRateGain = 0.05
 
 	// attributionRatio: a failure is attributed to a server whose error rate is more than this many times
 	// that of all servers.
@@ -37,9 +37,9 @@
 	serverReportTTL      = 5 * seconds        // time after its latest call for which a server is reported
 	unhealthyBadFraction = 0.5                // fraction of bad recent calls from which a server is unhealthy
 
-	// An attempt that has been in flight for longer than silentAfterMeans mean latencies of its class, and
-	// longer than minSilentAfter, counts as failed. Its timeout may come seconds later.
-	silentAfterMeans, minSilentAfter = 3.0, 100 * milliseconds
+	// An attempt that has been in flight for longer than unresponsiveAfterMeanLatencies mean latencies of its
+	// class, and longer than minUnresponsiveAfter, counts as failed. Its timeout may come seconds later.
+	unresponsiveAfterMeanLatencies, minUnresponsiveAfter = 3.0, 100 * milliseconds
 
 	minUnhealthyVotes  = 2         // replicas that must report a server as unhealthy before it is ejected
 	minBadCalls        = 3.0       // bad calls that these replicas must have seen in total
@@ -152,11 +152,11 @@
 
 // attemptOutlier is the outlier detection state of an attempt.
 type attemptOutlier struct {
-	reportedSilent bool // counted as failed before its end
+	countedUnresponsive bool // counted as failed before its end
 }
 
 // markSilent records that an attempt has been counted as failed before its end.
-func (a *attemptOutlier) markSilent() { a.reportedSilent = true }
+func (a *attemptOutlier) markSilent() { a.countedUnresponsive = true }
 
 // faultOfStatus maps the status of an attempt to the fault that it shows at its server.
 var faultOfStatus = [...]Fault{StatusOK: NoFault, StatusError: FaultErrors, StatusRejected: FaultSaturated,
@@ -183,16 +183,16 @@
 // that a server that fails one class keeps the others. A missing response affects the health for all classes.
 func (d *outlierDetection) attribute(server *server, class int, status Status) (attributed bool) {
 	state, failed := &d.classes[class], indicator(status != StatusOK)
-	d.errorRate += (failed - d.errorRate) * minErrorRateGain
-	state.errorRate += (failed - state.errorRate) * minErrorRateGain
+	d.errorRate += (failed - d.errorRate) * tierErrorRateGain
+	state.errorRate += (failed - state.errorRate) * tierErrorRateGain
 	if status == StatusConnectFailed {
 		attributed = server.outlier.overall.record(failed, 0)
 	} else if status != StatusError {
 		attributed = server.outlier.overall.record(failed, tolerableErrorRate(d.errorRate))
 	}
 	if status == StatusError || status == StatusRejected || status == StatusOK {
-		own := server.outlier.byClass[class].record(failed, tolerableErrorRate(state.errorRate))
-		attributed = own || attributed
+		attributedInClass := server.outlier.byClass[class].record(failed, tolerableErrorRate(state.errorRate))
+		attributed = attributedInClass || attributed
 	}
 	return attributed
 }
@@ -212,7 +212,7 @@
 	if fault == NoFault {
 		o.lastSuccessAt = now
 	}
-	if !attempt.outlier.reportedSilent {
+	if !attempt.outlier.countedUnresponsive {
 		o.recent.record(now, recentDecay, maxServerCalls, fault)
 	} else if fault == NoFault {
 		o.recent.retractBad()
@@ -221,9 +221,9 @@
 
 // isSilent reports whether an attempt has been in flight for far longer than the calls of its class take.
 func (d *outlierDetection) isSilent(now moment, class int, attempt *attempt) bool {
-	longest := max(minSilentAfter, span(silentAfterMeans*d.classes[class].latency.mean))
+	longest := max(minUnresponsiveAfter, span(unresponsiveAfterMeanLatencies*d.classes[class].latency.mean))
 	return attempt.pending && attempt.admission.counted && !attempt.responseStarted &&
-		!attempt.outlier.reportedSilent && now.since(attempt.sentAt) > longest
+		!attempt.outlier.countedUnresponsive && now.since(attempt.sentAt) > longest
 }
 
 // sumReports aggregates the reports of all replicas on each server. A server may appear unresponsive because
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -14,17 +14,17 @@
 // cut when they are slow.
 
 const (
-	maxQuotaMultiple       = 2.0  // initial and highest multiple
-	overloadQuotaMultiple  = 1.0  // upper bound after a bad round: what exceeds the quotas is shed first
-	minQuotaMultiple       = 0.2  // lowest multiple
-	innerTierQuotaMultiple = 20.0 // initial and highest at an inner tier: the front tier sheds load before it
+	maxQuotaMultiple              = 2.0  // initial and highest multiple
+	maxQuotaMultipleAfterBadRound = 1.0  // after a bad round: what exceeds the quotas is shed first
+	minQuotaMultiple              = 0.2  // lowest multiple
+	innerTierQuotaMultiple        = 20.0 // initial and highest at an inner tier: the front tier has shed load
 
 	quotaIncreaseAboveShare = 0.1  // added to a multiple of 1 or more after a good round
 	quotaIncreaseBelowShare = 0.15 // added to a multiple below 1 after a good round
 
-	// overloadedQuotaMultiple is the multiple at which, and below which, the tier counts as overloaded: fewer
-	// random bursts are admitted, and only the latency objective decides which calls are slow.
-	overloadedQuotaMultiple = 0.8
+	// overloadedQuotaThreshold is the multiple at which, and below which, the tier counts as overloaded:
+	// fewer random bursts are admitted, and only the latency objective decides which calls are slow.
+	overloadedQuotaThreshold = 0.8
 
 	// burstDeviations is the number of standard deviations above the mean of a Poisson distribution up to
 	// which a count is put down to random variation.
@@ -62,22 +62,23 @@
 // quotas holds the multiple and the counts of the tenants.
 type quotas struct {
 	*shared
-	tenants          []tenantQuota // indexed as Settings.Tenants
-	fairRate         float64       // requests per second: this replica's part of the sum of all quotas
-	multiple         float64       // factor of the rate that each tenant's share allows
-	maxMultiple      float64       // initial and highest value of multiple
-	overloadMultiple float64       // upper bound of multiple after a bad round
-	feedback         feedbackRound
-	loggedAt         moment // time of the latest log event about throttling; 0: never
+	tenants                  []tenantQuota // indexed as Settings.Tenants
+	fairRate                 float64       // requests per second: this replica's part of all quotas
+	multiple                 float64       // factor of the rate that each tenant's share allows
+	maxMultiple              float64       // initial and highest value of multiple
+	maxMultipleAfterBadRound float64       // upper bound of multiple after a bad round
+	feedback                 feedbackRound
+	loggedAt                 moment // time of the latest log event about throttling; 0: never
 }
 
 // newQuotas returns the quota rule with the initial multiple for the tier.
 func newQuotas(common *shared) *quotas {
 	q := &quotas{shared: common, tenants: make([]tenantQuota, len(common.settings.Tenants)),
-		multiple: maxQuotaMultiple, maxMultiple: maxQuotaMultiple, overloadMultiple: overloadQuotaMultiple}
+		multiple: maxQuotaMultiple, maxMultiple: maxQuotaMultiple,
+		maxMultipleAfterBadRound: maxQuotaMultipleAfterBadRound}
 	if common.settings.Tier > 0 {
 		q.multiple = innerTierQuotaMultiple
-		q.maxMultiple, q.overloadMultiple = innerTierQuotaMultiple, innerTierQuotaMultiple
+		q.maxMultiple, q.maxMultipleAfterBadRound = innerTierQuotaMultiple, innerTierQuotaMultiple
 	}
 	return q
 }
@@ -106,8 +107,8 @@
 	q.tenants = tenants
 }
 
-// tenantOf returns the index of the request's tenant in the settings in force, or -1 if it has none.
-func (q *quotas) tenantOf(request *request) int {
+// tenantIndex returns the index of the request's tenant in the settings in force, or -1 if it has none.
+func (q *quotas) tenantIndex(request *request) int {
 	if request.Tenant < 0 || request.Tenant >= len(request.Settings.Tenants) {
 		return -1
 	}
@@ -120,21 +121,21 @@
 
 // recordRequest counts a request that was received from its tenant.
 func (q *quotas) recordRequest(now moment, request *request) {
-	if i := q.tenantOf(request); i >= 0 {
+	if i := q.tenantIndex(request); i >= 0 {
 		q.tenants[i].requests.add(now)
 	}
 }
 
 // recordAdmitted counts a request that was sent to a server.
 func (q *quotas) recordAdmitted(now moment, request *request) {
-	if i := q.tenantOf(request); i >= 0 {
+	if i := q.tenantIndex(request); i >= 0 {
 		q.tenants[i].admitted.add(now)
 	}
 }
 
 // admits reports whether a request is within its tenant's quota. A request without a tenant always is.
 func (q *quotas) admits(now moment, request *request) bool {
-	i := q.tenantOf(request)
+	i := q.tenantIndex(request)
 	if i < 0 {
 		return true
 	}
@@ -156,18 +157,18 @@
 	if q.tenants[tenant].requests.at(now) > expected+burstDeviations*math.Sqrt(expected)+1 {
 		return 0
 	}
-	return min(1, q.multiple/overloadedQuotaMultiple)
+	return min(1, q.multiple/overloadedQuotaThreshold)
 }
 
-// learn records a call as slow or not and adjusts the multiple when the feedback round ends.
-func (q *quotas) learn(now, sentAt moment, slow bool) {
+// recordCall records a call as slow or not and adjusts the multiple when the feedback round ends.
+func (q *quotas) recordCall(now, sentAt moment, slow bool) {
 	switch factor := q.feedback.record(now, sentAt, slow); {
 	case factor == 1 && q.multiple < 1:
 		q.multiple = min(1, q.multiple+quotaIncreaseBelowShare)
 	case factor == 1:
 		q.multiple = min(q.maxMultiple, q.multiple+quotaIncreaseAboveShare)
 	case factor > 0:
-		q.multiple = max(minQuotaMultiple, min(q.multiple, q.overloadMultiple)*factor)
+		q.multiple = max(minQuotaMultiple, min(q.multiple, q.maxMultipleAfterBadRound)*factor)
 	}
 }
 
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -203,7 +203,7 @@
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 1, Quota: 20}}
 	b, _ := newWithServers(t, s, 8)
-	b.quotas.multiple = overloadQuotaMultiple
+	b.quotas.multiple = maxQuotaMultipleAfterBadRound
 	for i := range 12 * feedbackRoundCalls {
 		now := start + int64(i)
 		b.applyBackpressure(moment(now), 0, &attempt{sentAt: moment(now)}, false, false)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// attemptTimeoutMeans is the number of mean latencies of its class after which an attempt times out where
-	// a retry may follow.
-	attemptTimeoutMeans = 12.0
+	// attemptTimeoutMeanLatencies is the number of mean latencies of its class after which an attempt times
+	// out where a retry may follow.
+	attemptTimeoutMeanLatencies = 12.0
 
-	// minRemainingMeans is the number of mean latencies of its class that a request needs to be answered
-	// before its deadline.
-	minRemainingMeans = 0.5
+	// minRemainingMeanLatencies is the number of mean latencies of its class that a request needs to be
+	// answered before its deadline.
+	minRemainingMeanLatencies = 0.5
 )
 
 // retryPolicy holds the requests and retries that count towards the retry budget.
@@ -65,7 +65,8 @@
 // latestStart returns the time from now, in µs, by which a request must be sent to be answered before its
 // deadline.
 func (p *retryPolicy) latestStart(now moment, request *request) float64 {
-	return float64(p.deadline(request).since(now)) - minRemainingMeans*p.classes[request.Class].latency.mean
+	return float64(p.deadline(request).since(now)) -
+		minRemainingMeanLatencies*p.classes[request.Class].latency.mean
 }
 
 // canMeetDeadline reports whether a request that is sent now can still be answered before its deadline.
@@ -74,7 +75,7 @@
 	if request.BodyPending && request.Timeout > 0 {
 		left = span(request.Timeout) // runs only from the end of the body
 	}
-	return float64(left) > minRemainingMeans*p.classes[request.Class].latency.mean
+	return float64(left) > minRemainingMeanLatencies*p.classes[request.Class].latency.mean
 }
 
 // attemptTimeout returns the timeout of an attempt that is sent now. The attempt is given up at the deadline,
@@ -87,7 +88,7 @@
 	left := p.deadline(request).since(now)
 	rules := request.classRules()
 	if rules.Idempotency != NonIdempotent && len(request.attempts) < request.Settings.MaxAttempts {
-		left = min(left, span(attemptTimeoutMeans*p.classes[request.Class].latency.mean))
+		left = min(left, span(attemptTimeoutMeanLatencies*p.classes[request.Class].latency.mean))
 	}
 	return max(left, 1)
 }
@@ -166,14 +167,14 @@
 	return p.retries.countSince(from)+1 <= allowed
 }
 
-// windowClear returns the time from which no budget window contains a retry that this or another process has
-// made up to now.
-func (p *retryPolicy) windowClear(now moment) moment { return now.add(p.window()) }
+// windowClearsAt returns the time from which no budget window contains a retry that this or another process
+// has made up to now.
+func (p *retryPolicy) windowClearsAt(now moment) moment { return now.add(p.window()) }
 
 // extendWindow handles a longer budget window. Retries before the start of the former window are no longer
 // known, so RetryBudgetMin is available again only when the new window contains none of them.
 func (p *retryPolicy) extendWindow(now moment) {
-	p.minAvailableFrom = max(p.minAvailableFrom, p.windowClear(now))
+	p.minAvailableFrom = max(p.minAvailableFrom, p.windowClearsAt(now))
 }
 
 // export hands the budget over to a successor: both its past usage and RetryBudgetMin. What later requests
@@ -195,6 +196,6 @@
 // a retry that it may have made.
 func (p *retryPolicy) reclaim(now moment) {
 	if p.minAvailableFrom == math.MaxInt64 {
-		p.minAvailableFrom = p.windowClear(now)
+		p.minAvailableFrom = p.windowClearsAt(now)
 	}
 }
--- a/balancer/spillover.go
+++ b/balancer/spillover.go
@@ -6,8 +6,8 @@
 // 1, where a local server has 1. locality.remoteWeight applies it.
 
 const (
-	minSpillover   = 0.02 // lowest weight
-	startSpillover = 0.3  // initial weight at a replica of the front tier
+	minSpillover     = 0.02 // lowest weight
+	initialSpillover = 0.3  // initial weight at a replica of the front tier
 
 	spilloverIncrease = 0.15 // added to the weight after a bad round
 	spilloverDecay    = 0.9  // factor of the weight after a good round
@@ -24,7 +24,7 @@
 	if settings.Tier > 0 {
 		return &spillover{weight: minSpillover}
 	}
-	return &spillover{weight: startSpillover}
+	return &spillover{weight: initialSpillover}
 }
 
 // configure sets the maximum duration of a feedback round.
@@ -32,9 +32,9 @@
 	s.feedback.maxBadFraction, s.feedback.maxDuration = maxSlowFraction, roundDuration
 }
 
-// learn records a call to the local zone, where bad is slow or failed, and adjusts the weight when the
+// recordCall records a call to the local zone, where bad is slow or failed, and adjusts the weight when the
 // feedback round ends.
-func (s *spillover) learn(now, sentAt moment, bad bool) {
+func (s *spillover) recordCall(now, sentAt moment, bad bool) {
 	if factor := s.feedback.record(now, sentAt, bad); factor == 1 {
 		s.weight = max(minSpillover, s.weight*spilloverDecay)
 	} else if factor > 0 {
@@ -43,4 +43,4 @@
 }
 
 // forget lowers the weight to the initial one at most, once the local zone has recovered.
-func (s *spillover) forget() { s.weight = min(s.weight, startSpillover) }
+func (s *spillover) forget() { s.weight = min(s.weight, initialSpillover) }
--- a/balancer/weighttuning.go
+++ b/balancer/weighttuning.go
@@ -93,9 +93,9 @@
 	t.step = min(max(tuningStepGrowth*t.step, maxTuningStep/tuningStepCut), maxTuningStep)
 	informed := t.loads.sumReports(now) > 1 && !t.reports.peers.Isolated && !t.settings.DisableWeightTuning
 	if informed && worse {
-		t.takeBack()
+		t.revertStep()
 	} else {
-		t.advance(now, informed)
+		t.takeStep(now, informed)
 	}
 	for _, server := range t.members.ready {
 		server.tuning.factor = math.Exp(server.tuning.logFactor)
@@ -111,17 +111,17 @@
 	return worse
 }
 
-// takeBack reverts the latest step and makes the next ones smaller.
-func (t *weightTuning) takeBack() {
+// revertStep reverts the latest step and makes the next ones smaller.
+func (t *weightTuning) revertStep() {
 	t.step /= tuningStepCut
 	for _, server := range t.members.ready {
 		server.tuning.logFactor = server.tuning.previousLogFactor
 	}
 }
 
-// advance takes one step, zone by zone. The factor of a server that cannot be tuned, or of all servers if
+// takeStep takes one step, zone by zone. The factor of a server that cannot be tuned, or of all servers if
 // informed is false, moves back to 1. The only tunable server of a zone keeps its factor.
-func (t *weightTuning) advance(now moment, informed bool) {
+func (t *weightTuning) takeStep(now moment, informed bool) {
 	groups := map[int][]*server{}
 	for _, server := range t.members.ready {
 		state := &server.tuning
@@ -134,7 +134,7 @@
 	}
 	for zone := range t.locality.zones { // in order of zone numbers, unlike a range over groups
 		if len(groups[zone]) > 1 {
-			t.advanceGroup(groups[zone])
+			t.adjustZone(groups[zone])
 		}
 	}
 }
@@ -147,9 +147,9 @@
 		load.calls >= minTunedCalls && load.meanLatency > 0
 }
 
-// advanceGroup moves the factors of one zone's servers towards the loads with the lowest tail latency. A
+// adjustZone moves the factors of one zone's servers towards the loads with the lowest tail latency. A
 // server that fails counts as slower than its answers are.
-func (t *weightTuning) advanceGroup(group []*server) {
+func (t *weightTuning) adjustZone(group []*server) {
 	observations, mean := make([]tailweights.Observation, len(group)), 0.0
 	for i, server := range group {
 		load := &server.load.fleet
@@ -168,5 +168,5 @@
 	}
 }
 
-// clamp returns x, limited to the range from -most to most.
-func clamp(x, most float64) float64 { return min(max(x, -most), most) }
+// clamp returns x, limited to the range from -bound to bound.
+func clamp(x, bound float64) float64 { return min(max(x, -bound), bound) }
--- a/balancer/zonestate.go
+++ b/balancer/zonestate.go
@@ -88,13 +88,13 @@
 	if zone == nil {
 		return
 	}
-	own := &zone.observed
-	if !attempt.outlier.reportedSilent {
-		own.recent.record(now, recentDecay, maxZoneCalls, faultForZone[fault])
-		own.longTerm.record(now, longTermDecay, maxZoneCalls, faultForZone[fault])
+	observed := &zone.observed
+	if !attempt.outlier.countedUnresponsive {
+		observed.recent.record(now, recentDecay, maxZoneCalls, faultForZone[fault])
+		observed.longTerm.record(now, longTermDecay, maxZoneCalls, faultForZone[fault])
 	} else if fault == NoFault {
-		own.recent.retractBad()
-		own.longTerm.retractBad()
+		observed.recent.retractBad()
+		observed.longTerm.retractBad()
 	}
 }
 
--- a/balancer/zonestate_test.go
+++ b/balancer/zonestate_test.go
@@ -68,10 +68,10 @@
 	b.trackZones()
 	server := b.members.byID["s2"]
 	b.recordEvidence(moment(start), &attempt{server: server, zone: 1}, FaultSaturated)
-	if own := b.locality.zones[1].observed.recent; own.calls != 1 || own.bad != 0 {
-		t.Errorf("the zone's calls after a rejection: %+v, want one that is not bad", own)
+	if recent := b.locality.zones[1].observed.recent; recent.calls != 1 || recent.bad != 0 {
+		t.Errorf("the zone's calls after a rejection: %+v, want one that is not bad", recent)
 	}
-	if own := server.outlier.recent; own.bad != 1 || own.fault != FaultSaturated {
-		t.Errorf("the server's calls after a rejection: %+v, want a bad one with FaultSaturated", own)
+	if recent := server.outlier.recent; recent.bad != 1 || recent.fault != FaultSaturated {
+		t.Errorf("the server's calls after a rejection: %+v, want a bad one with FaultSaturated", recent)
 	}
 }
