--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -1,8 +1,9 @@
 package balancer
 
-// What the rules take from the end of an attempt, and from one that has been in flight for too long.
+// This file passes the outcome of each attempt, and each attempt that has been in flight for too long, to the
+// rules that adapt to them.
 
-// learn has the rules take what the end of an attempt shows.
+// learn records the outcome of an attempt with every rule that adapts to outcomes.
 func (b *Balancer) learn(now moment, request *request, attempt *attempt, outcome Outcome) {
 	if outcome.Status == StatusCancelled || outcome.Status == StatusNotSent {
 		return
@@ -24,28 +25,28 @@
 	latency := float64(now.since(attempt.sentAt))
 	late := failed && !attributed || !failed && isLate(request.classRules(), latency)
 	slow := late || !failed && latency > b.slowThreshold(class)
-	b.admission.learn(now, class, attempt.sentAt, late)
-	if !attempt.admission.reportedSlow {
+	b.admission.recordCall(now, class, attempt.sentAt, late)
+	if !attempt.admission.countedSlow {
 		b.applyBackpressure(now, class, attempt, slow, slow || failed)
 	}
 }
 
-// slowThreshold is the latency, in µs, from which a call of a class counts as slow now.
+// slowThreshold returns the latency, in µs, above which a call of a class counts as slow now.
 func (b *Balancer) slowThreshold(class int) float64 {
 	return slowThreshold(b.settings, class, b.classes[class].latency, b.quotas.multiple)
 }
 
-// applyBackpressure has quotas, priority and spillover take a call: whether it was slow, and whether it was
-// slow or failed.
+// applyBackpressure records a call for preemption, quotas and spillover. slow is whether it was slow, bad
+// whether it was slow or failed.
 func (b *Balancer) applyBackpressure(now moment, class int, attempt *attempt, slow, bad bool) {
 	b.admission.preempt(now, class, attempt.sentAt, slow)
-	b.quotas.learn(now, attempt.sentAt, slow)
+	b.quotas.recordCall(now, attempt.sentAt, slow)
 	if attempt.zone == b.settings.Zone {
-		b.spillover.learn(now, attempt.sentAt, bad)
+		b.spillover.recordCall(now, attempt.sentAt, bad)
 	}
 }
 
-// recordSlowAttempts takes attempts as slow that have been in flight for too long.
+// recordSlowAttempts records attempts that have been in flight for too long as slow, before they end.
 func (b *Balancer) recordSlowAttempts(now moment) {
 	for class := range b.classes {
 		for _, attempt := range b.admission.slowInFlight(now, class, span(b.slowThreshold(class))) {
@@ -54,13 +55,13 @@
 	}
 }
 
-// logThrottling logs, now and then, that traffic within the tenants' shares is rejected.
+// logThrottling logs, at a limited rate, that traffic within the tenants' shares is being rejected.
 func (b *Balancer) logThrottling(now moment, host Host) {
 	b.quotas.logThrottling(now, host, TenantsThrottled{InFlight: b.admission.tier.inFlight,
 		FailureRate: b.outliers.errorRate, SpilloverWeight: b.spillover.weight})
 }
 
-// recordEvidence takes the end of an attempt as evidence on its server and zone.
+// recordEvidence records the outcome of an attempt as evidence of the health of its server and zone.
 func (b *Balancer) recordEvidence(now moment, attempt *attempt, fault Fault) {
 	attempt.server.outlier.recordCall(now, attempt, fault)
 	b.locality.recordCall(now, attempt, fault)
