--- a/internal/proxy/downstream/bodyend.go
+++ b/internal/proxy/downstream/bodyend.go
@@ -9,31 +9,38 @@
 	"merlinpick/internal/proxy/socket"
 )
 
-// A client's time counts from the last byte of its request. A body that is streamed is read no faster than a backend takes
-// it, so that byte may stand in the system's buffers for as long as a backend hangs or a connection to it is late. The system
-// is asked whether it is there.
+// The time that a client waits counts from the last byte of its request. A streamed body is read no faster
+// than a backend accepts it, so the last byte may wait in the kernel's receive buffer for as long as a
+// backend hangs or the connection to it is delayed. The bodyEndWatcher therefore asks the kernel whether the
+// last byte has arrived.
 
 const (
 	bodyEndPollInterval = 25 * time.Millisecond
-	httpReaderBuffer    = 4 << 10  // of net/http's reader, which may hold as much of a body as the system no longer shows
-	maxPeekBytes        = 64 << 10 // of a chunked body whose end is looked for: a larger rest counts as still coming
+
+	// httpReaderBuffer is the size in bytes of the read buffer of net/http, which may hold that much of a
+	// body that is no longer in the kernel's receive buffer.
+	httpReaderBuffer = 4 << 10
+
+	// maxPeekBytes is how many unread bytes are searched, at most, for the end of a chunked body. If more are
+	// unread, the body counts as incomplete.
+	maxPeekBytes = 64 << 10
 )
 
 // lastChunk ends a chunked body without trailers.
 var lastChunk = []byte("\r\n0\r\n\r\n")
 
-// bodyEndWatcher looks for the end of a body in the system's buffers of its client's connection, in a goroutine that end
-// stops. The client's goroutine owns it.
+// bodyEndWatcher polls the kernel's receive buffer of a client connection for the end of a request body, in a
+// goroutine that end stops. It is owned by the goroutine of the client connection.
 type bodyEndWatcher struct {
 	conn      net.Conn
-	remaining func() (n int64, known bool) // bytes of the body that have not been read; unknown for a chunked one
-	onEnd     func(arrived time.Time)      // called once, when the end is there
+	remaining func() (n int64, known bool) // bytes of the body not read yet; known is false if it is chunked
+	onEnd     func(arrived time.Time)      // called once, when the end has arrived
 
 	stop      chan struct{}
 	goroutine sync.WaitGroup
 }
 
-// watchBodyEnd looks for the end of a body until it is found or end is called.
+// watchBodyEnd starts a watcher that polls for the end of a body until it is found or end is called.
 func watchBodyEnd(conn net.Conn, remaining func() (int64, bool), onEnd func(time.Time)) *bodyEndWatcher {
 	w := &bodyEndWatcher{conn: conn, remaining: remaining, onEnd: onEnd, stop: make(chan struct{})}
 	w.goroutine.Go(w.run)
@@ -58,13 +65,14 @@
 	}
 }
 
-// end stops the watch and waits for its goroutine.
+// end stops the watcher and waits until its goroutine has ended.
 func (w *bodyEndWatcher) end() {
 	close(w.stop)
 	w.goroutine.Wait()
 }
 
-// endsChunked reports whether what waits to be read is the rest of a chunked body up to its end. buf is allocated once.
+// endsChunked reports whether the unread bytes in the kernel's receive buffer contain the rest of a chunked
+// body up to its end. It allocates buf on first use.
 func endsChunked(c net.Conn, buf *[]byte) bool {
 	waiting := socket.Unread(c)
 	if waiting < int64(len(lastChunk)) || waiting > maxPeekBytes {
--- a/internal/proxy/downstream/closing_test.go
+++ b/internal/proxy/downstream/closing_test.go
@@ -18,15 +18,17 @@
 	"merlinpick/internal/settings"
 )
 
-// hooks stop a client's connection where an order is to be forced.
+// hooks holds functions that run at certain points of a client connection, with which a test forces an order
+// of events.
 type hooks struct {
-	reading atomic.Pointer[func()]           // something may be there to read
-	read    atomic.Pointer[func()]           // bytes were read, and nobody has heard of it
-	control atomic.Pointer[func(fd uintptr)] // something was looked up at the descriptor
-	request atomic.Pointer[func()]           // one is about to be answered
+	reading atomic.Pointer[func()]           // before a read waits for bytes
+	read    atomic.Pointer[func()]           // after bytes were read, before the Conn has recorded it
+	control atomic.Pointer[func(fd uintptr)] // after the descriptor's state was queried
+	request atomic.Pointer[func()]           // before a request is answered
 	open    atomic.Int32                     // connections that were accepted and are not closed
 }
 
+// hookedListener accepts TCP connections that call hooks.
 type hookedListener struct {
 	*net.TCPListener
 	hooks *hooks
@@ -41,6 +43,7 @@
 	return hookedConn{c, l.hooks}, nil
 }
 
+// hookedConn is a TCP connection that calls hooks.
 type hookedConn struct {
 	*net.TCPConn
 	hooks *hooks
@@ -67,6 +70,7 @@
 	return hookedRaw{raw, c.hooks}, err
 }
 
+// hookedRaw is the syscall.RawConn of a hookedConn.
 type hookedRaw struct {
 	syscall.RawConn
 	hooks *hooks
@@ -92,7 +96,7 @@
 	})
 }
 
-// startHooked starts a frontend alone, whose handler counts requests and answers each with body.
+// startHooked starts a Server with hooks, whose handler counts requests and answers each with body.
 func startHooked(t *testing.T, most int, body string) (f *Server, h *hooks, requests *atomic.Int32) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -115,20 +119,20 @@
 	f.SetLimits(most, most, 0)
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = f.Serve() }()
-	t.Cleanup(func() { f.server.Close(); proxytest.Receive(t, "end of the frontend", ended) })
+	t.Cleanup(func() { f.server.Close(); proxytest.Receive(t, "end of the server", ended) })
 	return f, h, requests
 }
 
-// connect opens a client's connection to a server.
+// connect returns a client with a new connection to a server.
 func connect(t *testing.T, f *Server) *proxytest.Client {
 	t.Helper()
 	return proxytest.Connect(t, f.Listener.Addr().String())
 }
 
-// once sets a hook that runs the first time only.
+// once sets a hook. It runs each time until it is removed.
 func once[F any](at *atomic.Pointer[F], f F) { at.Store(&f) }
 
-// keepAliveClient is a connection on which a request has been answered.
+// keepAliveClient returns a client with an idle connection on which a request has been answered.
 func keepAliveClient(t *testing.T, f *Server) *proxytest.Client {
 	t.Helper()
 	c := connect(t, f)
@@ -138,7 +142,7 @@
 	return c
 }
 
-// resting counts the connections that wait for a next request.
+// resting returns how many connections wait for their next request.
 func (srv *Server) resting() (n int) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -150,13 +154,14 @@
 	return n
 }
 
-// A request that had just been read, and not noted yet, was closed on: its connection showed nothing to read.
+// Guards against the close of a connection whose next request has just been read but not recorded yet, so
+// that there is nothing left to read.
 func TestConnectionReadingRequestIsNotClosed(t *testing.T) {
 	for name, end := range map[string]func(*Server){
 		"drain": func(f *Server) { f.closeIdle(0, 0, false) },
 		"shed": func(f *Server) {
 			f.mu.Lock()
-			for c, s := range f.conns { // it has rested long enough to make room
+			for c, s := range f.conns { // idle for long enough to be evicted
 				s.since = time.Now().Add(-time.Hour)
 				f.conns[c] = s
 			}
@@ -173,19 +178,19 @@
 				go func() { defer close(done); end(f) }()
 				select {
 				case <-done:
-				case <-time.After(200 * time.Millisecond): // it waits until the read is noted
+				case <-time.After(200 * time.Millisecond): // it waits until the read is recorded
 				}
 			})
 			c.Send(t, proxytest.LookRequest("2", 4000))
 			if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
-				t.Errorf("got %s %q", resp.Status, body)
+				t.Errorf("got %s %q, want a 200 \"ok\"", resp.Status, body)
 			}
 		})
 	}
 }
 
-// A request that came between the look at an idle connection and its close was read after the close and forwarded, or
-// its connection was reset.
+// Guards against a request that arrives between the check of an idle connection and its close, and is then
+// read after the close and forwarded, or whose connection is reset.
 func TestRequestCrossingCloseIsNeverServed(t *testing.T) {
 	f, h, requests := startHooked(t, 4, "ok")
 	c := keepAliveClient(t, f)
@@ -200,24 +205,26 @@
 	})
 	f.closeIdle(0, 0, false)
 	if rest, err := io.ReadAll(c.R); err != nil || len(rest) > 0 {
-		t.Errorf("got %q and %v, want an end", rest, err)
+		t.Errorf("after the close the client read %q, error %v; want EOF", rest, err)
 	}
 	c.Close()
 	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 0 && f.Listener.Lingering.Count() == 0 })
 	if n := requests.Load(); n != 1 {
-		t.Errorf("%d requests were taken, want the first alone", n)
+		t.Errorf("%d requests were served, want only the first", n)
 	}
 	if n := f.audit.Events()[string(audit.ClientBytesDiscarded)]; n != 1 { // the metrics show that it was never read
-		t.Errorf("%d connections counted with bytes after their close, want 1", n)
+		t.Errorf("%d connections were counted with bytes after their close, want 1", n)
 	}
 }
 
-// A close over bytes that nobody had read reset the connection and took the rest of the previous response along.
+// Guards against a close with unread bytes, which resets the connection and loses the rest of the previous
+// response.
 func TestResponseSurvivesPipelinedBytes(t *testing.T) {
 	large := strings.Repeat("x", 400<<10)
 	f, _, _ := startHooked(t, 4, large)
 	f.closing.Store(true)
-	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error { // most of the answer waits at the proxy
+	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
+		// With a small receive buffer, most of the response waits at the proxy.
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
 	conn, err := d.Dial("tcp", f.Listener.Addr().String())
@@ -231,13 +238,13 @@
 	if _, err := c.R.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 0 }) // the server is through with it
+	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 0 }) // the server has closed it
 	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != large {
-		t.Errorf("got %s and %d bytes", resp.Status, len(body))
+		t.Errorf("got %s with a body of %d bytes, want a 200 with the whole body", resp.Status, len(body))
 	}
 }
 
-// Peers that do not close after the proxy has hold no slot that another needs.
+// Checks that lingering connections, whose clients do not close them, keep no slot that another client needs.
 func TestLingeringConnectionsGiveWay(t *testing.T) {
 	f, h, _ := startHooked(t, 2, "ok")
 	for range 8 {
@@ -246,15 +253,16 @@
 		start := time.Now()
 		c.ReadResponse(t)
 		if took := time.Since(start); took > clientconn.LingerTimeout/2 {
-			t.Errorf("waited %v for a slot", took)
+			t.Errorf("a client waited %v for a slot", took)
 		}
 		if open := h.open.Load(); open > 2 {
-			t.Errorf("%d descriptors for 2 slots", open)
+			t.Errorf("%d descriptors are open with 2 slots", open)
 		}
 	}
 }
 
-// A request whose head was incomplete at the cutoff was closed on; its last bytes may have been on their way.
+// Guards against a close without a response, at the cutoff of a drain, of a connection with an incomplete
+// head: the last bytes of the head may be on their way.
 func TestPartialRequestIsRejectedAtCutoff(t *testing.T) {
 	for _, open := range []func(*testing.T, *Server) *proxytest.Client{connect, keepAliveClient} {
 		f, _, requests := startHooked(t, 4, "ok")
@@ -275,18 +283,19 @@
 		f.closeIdle(time.Hour, time.Hour, true)
 		c.Send(t, text[len(text)/2:])
 		if resp, _ := c.ReadResponse(t); resp.StatusCode != 503 || !resp.Close {
-			t.Errorf("got %s, close %v", resp.Status, resp.Close)
+			t.Errorf("got %s, close %v; want a 503 with Connection: close", resp.Status, resp.Close)
 		}
 		if _, err := c.R.ReadByte(); err != io.EOF {
-			t.Errorf("then %v, want an end", err)
+			t.Errorf("after the response the client read error %v, want EOF", err)
 		}
 		if requests.Load() != came {
-			t.Error("it was served too")
+			t.Error("the rejected request was served too")
 		}
 	}
 }
 
-// Part of a head on a kept connection had the two minutes of an idle one.
+// Guards against an incomplete head on a kept-alive connection that has the two minutes of an idle connection
+// to complete.
 func TestPartialHeadOnKeepAliveIsClosedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -302,7 +311,7 @@
 		time.Sleep(time.Minute)
 		go func() { _, _ = io.WriteString(c, "GET /look") }()
 		if text, after := readToEnd(c); text != "" || after > 3*time.Second {
-			t.Errorf("got %q and the end after %v", text, after)
+			t.Errorf("got response %q, closed after %v; want none within 3 s", text, after)
 		}
 	})
 }
--- a/internal/proxy/downstream/drain.go
+++ b/internal/proxy/downstream/drain.go
@@ -6,23 +6,24 @@
 	"merlinpick/balancer"
 )
 
-// The platform sends SIGKILL min(longest deadline, MaxDrainDeadline) + 700 ms after SIGTERM.
+// The times of a drain. The platform sends SIGKILL min(longest deadline, MaxDrainDeadline) + 700 ms after
+// SIGTERM.
 const (
-	MaxDrainDeadline     = 3 * time.Second        // part of the longest deadline that a drain waits for at most
-	drainMargin          = 500 * time.Millisecond // after that deadline every request has ended: the cutoff
-	responseFlushMargin  = 150 * time.Millisecond // after the cutoff, for responses to be written and read
-	cutoffMargin         = 100 * time.Millisecond // before the cutoff: a request that is not complete by then is rejected
-	minDrainAcceptPeriod = 550 * time.Millisecond // for new connections, at least; also until a silent new one is closed
+	MaxDrainDeadline     = 3 * time.Second        // caps the longest deadline that a drain waits for
+	drainMargin          = 500 * time.Millisecond // from that deadline to the cutoff, when all requests end
+	responseFlushMargin  = 150 * time.Millisecond // after the cutoff, to write responses and have them read
+	cutoffMargin         = 100 * time.Millisecond // before the cutoff, when incomplete requests are rejected
+	minDrainAcceptPeriod = 550 * time.Millisecond // least for new connections, and until a silent one closes
 	drainPollInterval    = 20 * time.Millisecond
 
-	handoverIdleTimeout     = 100 * time.Millisecond // for idle connections, once a successor serves
-	handoverKeepAlivePeriod = 500 * time.Millisecond // after it idle ones are closed at once
-	maxDrainStream          = time.Minute            // for responses that are being streamed
+	handoverIdleTimeout     = 100 * time.Millisecond // idle time of connections, once a successor serves
+	handoverKeepAlivePeriod = 500 * time.Millisecond // from SIGTERM; then idle connections close at once
+	maxDrainStream          = time.Minute            // from SIGTERM, for streamed responses to end
 )
 
-// DrainTimes returns for how long after SIGTERM clients are served on, and within what time all requests must have ended.
-// The last requests still have as long as the longest latency objective. With a longest deadline under
-// 150 ms acceptFor is endWithin - cutoffMargin, below minDrainAcceptPeriod.
+// DrainTimes returns for how long after SIGTERM clients are still served as before, and by when after SIGTERM
+// all requests must have ended. The last requests still have as long as the longest latency objective. With a
+// longest deadline under 150 ms acceptFor is endWithin - cutoffMargin, which is below minDrainAcceptPeriod.
 func DrainTimes(classes []balancer.Class) (acceptFor, endWithin time.Duration) {
 	deadline, objective := int64(0), int64(0)
 	for _, c := range classes {
@@ -33,23 +34,25 @@
 	return min(acceptFor, endWithin-cutoffMargin), endWithin
 }
 
-// Drain ends the client side after SIGTERM. Clients still come for a while, and those that keep a connection may have
-// nowhere else to go while the next proxy starts: all are served on for acceptFor. Then the listener closes, and connections as
-// they fall idle, until none is left or the cutoff has come.
+// Drain shuts the client side down after SIGTERM. Clients keep connecting for a while, and those with a
+// kept-alive connection may have no other proxy to use until the next one has started: all are served for
+// acceptFor. Then the listener is closed, and connections are closed as they become idle, until none is left
+// or the cutoff is reached.
 //
-// Where a successor serves, new connections are its own at once. Kept ones get Connection: close by their next response; those
-// that send nothing for handoverIdleTimeout are closed, and soon all that are idle: this process may not live to answer a
-// request that comes late.
+// If a successor serves, it accepts new connections at once. Kept-alive connections get Connection: close
+// with their next response. They are closed if they send nothing for handoverIdleTimeout, and after
+// handoverKeepAlivePeriod as soon as they are idle, since this process may be killed before it could answer a
+// late request.
 func (srv *Server) Drain(acceptFor time.Duration, cutoff time.Time, successorServing func() bool) {
 	start := time.Now()
 	srv.draining.Store(true)
-	srv.logger.Info("draining", "open", srv.OpenConns())
+	srv.logger.Info("draining client connections", "open", srv.OpenConns())
 	for time.Since(start) < acceptFor && !successorServing() {
 		time.Sleep(drainPollInterval)
 	}
 	idleTimeout := time.Duration(0)
 	if time.Since(start) < acceptFor {
-		srv.logger.Info("draining to successor", "open", srv.OpenConns())
+		srv.logger.Info("draining client connections to the successor process", "open", srv.OpenConns())
 		idleTimeout = handoverIdleTimeout
 	}
 	srv.closing.Store(true)
@@ -58,12 +61,13 @@
 	srv.closeAsIdle(idleTimeout, start, cutoff)
 	srv.flushResponses(cutoff)
 	srv.finishStreams(start)
-	srv.logger.Info("drained", "duration", time.Since(start), "open", srv.OpenConns())
+	srv.logger.Info("client connections drained", "duration", time.Since(start), "open", srv.OpenConns())
 	_ = srv.server.Close() // not Shutdown, which drops a request that it has just read
 }
 
-// acceptQueued takes the connections that wait for a slot, which a close of the listener would reset: they come in as those
-// that are open get Connection: close. It ends once no slot has been short for two polls.
+// acceptQueued accepts the connections that wait for a slot, which would be reset if the listener closed.
+// Slots become free as the open connections get Connection: close. It returns once two polls in a row found a
+// free slot, or when a successor serves or the cutoff is near.
 func (srv *Server) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
 	for unfilled := 0; unfilled < 2 && !successorServing() && time.Until(cutoff) > cutoffMargin; unfilled++ {
 		if srv.Listener.IsFull() {
@@ -74,8 +78,8 @@
 	}
 }
 
-// closeAsIdle closes connections as they fall idle until all are or the cutoff has come. Shortly before it, requests that
-// are not complete are rejected.
+// closeAsIdle closes connections as they become idle, until all are closed or the cutoff is reached. From
+// cutoffMargin before the cutoff, requests that are not complete are rejected.
 func (srv *Server) closeAsIdle(idleTimeout time.Duration, start, cutoff time.Time) {
 	for srv.closeIdle(idleTimeout, minDrainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
 		time.Sleep(drainPollInterval)
@@ -88,8 +92,8 @@
 	}
 }
 
-// flushResponses waits, for responseFlushMargin after the cutoff at most, until what the cutoff has ended is answered and
-// what was answered has been received.
+// flushResponses waits until the requests that the cutoff ended are answered and the responses have been
+// received, for at most responseFlushMargin after the cutoff. It does not wait for streamed responses.
 func (srv *Server) flushResponses(cutoff time.Time) {
 	for srv.closeIdle(0, 0, true) > int(srv.activeStreams.Load()) || srv.Listener.Lingering.Count() > 0 {
 		if time.Since(cutoff) > responseFlushMargin {
@@ -100,8 +104,8 @@
 	}
 }
 
-// finishStreams goes on with long responses that backends are still giving, until they end or this process is killed: to
-// cut them off here would be no better.
+// finishStreams waits for the responses that are still being streamed, until they end, maxDrainStream is over
+// or this process is killed: aborting them here would be no better than the kill.
 func (srv *Server) finishStreams(start time.Time) {
 	for srv.activeStreams.Load() > 0 && time.Since(start) < maxDrainStream {
 		time.Sleep(drainPollInterval)
--- a/internal/proxy/downstream/drain_test.go
+++ b/internal/proxy/downstream/drain_test.go
@@ -8,7 +8,7 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// held has requests wait before they are answered, until release is called.
+// held makes requests wait before they are answered, until release is called.
 func held(h *hooks) (release func()) {
 	gate := make(chan struct{})
 	at := func() { <-gate }
@@ -16,7 +16,8 @@
 	return func() { h.request.Store(nil); close(gate) }
 }
 
-// startDrain starts a drain whose listener closes at once, and returns when it has.
+// startDrain starts a drain with no accept period and a cutoff after left, and returns once responses carry
+// Connection: close. ended is closed when the drain has ended.
 func startDrain(t *testing.T, f *Server, left time.Duration) (ended chan struct{}) {
 	t.Helper()
 	ended = make(chan struct{})
@@ -28,29 +29,32 @@
 	return ended
 }
 
-// The listener closed on connections that waited in the kernel for a slot, which reset them.
+// Guards against a drain that closes the listener while connections wait in the kernel for a slot, which
+// resets them.
 func TestQueuedConnectionsAreAcceptedBeforeListenerCloses(t *testing.T) {
 	f, h, requests := startHooked(t, 2, "ok")
 	release := held(h)
 	var all []*proxytest.Client
-	for i := range 6 { // two are served, the others wait
+	for i := range 6 { // two are served, the others wait in the kernel
 		c := connect(t, f)
 		c.Send(t, proxytest.LookRequest("1", 4000))
 		all = append(all, c)
 		proxytest.WaitUntil(t, func() bool { return int(requests.Load()) == min(i+1, 2) })
 	}
 	ended := startDrain(t, f, proxytest.Timeout)
-	time.Sleep(5 * drainPollInterval) // for a listener that closes too soon
+	time.Sleep(5 * drainPollInterval) // gives a listener that closes too early the time to do so
 	release()
 	for i, c := range all {
 		if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
-			t.Errorf("client %d: %s %q, close %v", i, resp.Status, body, resp.Close)
+			t.Errorf("client %d: got %s %q, close %v; want a 200 \"ok\" with Connection: close",
+				i, resp.Status, body, resp.Close)
 		}
 	}
 	proxytest.Receive(t, "end of the drain", ended)
 }
 
-// What the cutoff ended was cut off 20 ms later, written or not.
+// Guards against a drain that closes the connections 20 ms after the cutoff, before the responses to the
+// requests that the cutoff ended are written.
 func TestResponsesAtCutoffAreWritten(t *testing.T) {
 	f, h, requests := startHooked(t, 2, "ok")
 	release := held(h)
@@ -60,17 +64,18 @@
 	ended := startDrain(t, f, 0)
 	select {
 	case <-ended:
-		t.Error("the drain ended over a request")
+		t.Error("the drain ended before a request in flight was answered")
 	case <-time.After(responseFlushMargin / 2):
 	}
 	release()
 	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("got %s %q", resp.Status, body)
+		t.Errorf("got %s %q, want a 200 \"ok\"", resp.Status, body)
 	}
 	proxytest.Receive(t, "end of the drain", ended)
 }
 
-// A peer that reads nothing and never closes does not keep the process beyond its time.
+// Checks that a request that is never answered, on a connection that the client does not close, does not
+// extend a drain.
 func TestDrainEndsInTime(t *testing.T) {
 	f, h, requests := startHooked(t, 4, "ok")
 	release := held(h)
@@ -81,12 +86,13 @@
 	start := time.Now()
 	proxytest.Receive(t, "end of the drain", startDrain(t, f, 2*cutoffMargin))
 	if took := time.Since(start); took > 2*cutoffMargin+responseFlushMargin+proxytest.Timeout/10 {
-		t.Errorf("it took %v", took)
+		t.Errorf("the drain took %v", took)
 	}
 }
 
-// Whatever the settings: new connections come for 400 ms after SIGTERM, SIGKILL follows the longest deadline (3 s at
-// most) by 700 ms, and between the listener's close and the cutoff there is time for what came last.
+// Checks for any settings that new connections are accepted for 400 ms after SIGTERM, that the drain ends
+// before SIGKILL, which follows the longest deadline (3 s at most) by 700 ms, and that between the listener's
+// close and the cutoff there is time for the last requests.
 func TestDrainTimesOfAnySettings(t *testing.T) {
 	for _, deadline := range []time.Duration{time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 		250 * time.Millisecond, time.Second, 2999 * time.Millisecond, 3 * time.Second, 8 * time.Second, time.Minute} {
@@ -96,13 +102,15 @@
 				{Deadline: 1, LatencyObjective: 1}})
 			kill := min(deadline, 3*time.Second) + 700*time.Millisecond
 			if stay < 400*time.Millisecond || stay > left-cutoffMargin || left+responseFlushMargin+2*drainPollInterval > kill {
-				t.Errorf("deadline %v, objective %v: listener closes after %v, cutoff after %v, SIGKILL after %v", deadline, objective, stay, left, kill)
+				t.Errorf("deadline %v, objective %v: listener closes at %v, cutoff at %v, SIGKILL at %v",
+					deadline, objective, stay, left, kill)
 			}
 		}
 	}
 }
 
-// The listener closed at once: with the next proxy not yet up, clients that kept a connection had nowhere to go.
+// Guards against a listener that closes at once on SIGTERM: before the next proxy has started, clients with a
+// kept-alive connection would have no proxy to connect to.
 func TestClientsAreServedWhileDraining(t *testing.T) {
 	for _, c := range []struct{ deadline, objective, stay, left time.Duration }{
 		{5 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 3500 * time.Millisecond},
@@ -112,7 +120,8 @@
 		stay, left := DrainTimes([]balancer.Class{{Deadline: c.deadline.Microseconds(), LatencyObjective: c.objective.Microseconds()},
 			{Deadline: 1, LatencyObjective: 1}})
 		if stay != c.stay || left != c.left {
-			t.Errorf("deadline %v, objective %v: %v and %v, want %v and %v", c.deadline, c.objective, stay, left, c.stay, c.left)
+			t.Errorf("deadline %v, objective %v: got accept period %v and cutoff %v, want %v and %v",
+				c.deadline, c.objective, stay, left, c.stay, c.left)
 		}
 	}
 }
--- a/internal/proxy/downstream/evict.go
+++ b/internal/proxy/downstream/evict.go
@@ -10,31 +10,34 @@
 )
 
 const (
-	// When connections run short, one without a complete request on it makes room: a kept one after MinKeepAlive, which is
-	// how long clients may count on it; one whose request is not complete once nothing has come for minHeadStall, or in its
-	// body for minBodyStall (a slow client may pause for some hundred milliseconds); and a new one that has sent nothing
-	// after minNewSilence, since it has waited to be accepted too.
+	// When few connection slots are left, a connection without a complete request may be evicted:
+	//   - an idle one after MinKeepAlive, for which clients may rely on a kept-alive connection;
+	//   - one with an incomplete head once nothing has arrived for minHeadStall;
+	//   - one with an incomplete body once nothing has arrived for minBodyStall, since a slow client may
+	//     pause for several hundred milliseconds;
+	//   - a new one that has sent nothing for minNewSilence, since it has also waited to be accepted.
 	MinKeepAlive  = 2 * time.Second
 	minHeadStall  = 250 * time.Millisecond
 	minBodyStall  = 750 * time.Millisecond
 	minNewSilence = 50 * time.Millisecond
 
-	shortageFraction    = 0.75        // of maxConns: beyond it connections run short
-	shortageLogInterval = time.Second // between two log lines about that
+	shortageFraction    = 0.75        // of maxConns; with more connections open, few slots are left
+	shortageLogInterval = time.Second // between two log lines about a shortage
 
-	// MaxRejectConns is how many connections are accepted at most beyond the limit, to reject requests on.
+	// MaxRejectConns is how many connections beyond the limit are accepted, at most, to reject their
+	// requests.
 	MaxRejectConns = 32
 )
 
-// clientConnState is what the Server knows of a client's connection.
+// clientConnState is the state that the Server tracks for each client connection.
 type clientConnState struct {
 	state           http.ConnState
-	since           time.Time // of state
-	requestComplete bool      // the request on it has come, and is in flight
-	interruptedAt   time.Time // when its upload was stopped to make room; zero: it was not
+	since           time.Time // when state was entered
+	requestComplete bool      // a request has been received completely and is in flight
+	interruptedAt   time.Time // when an eviction interrupted its upload; zero if none did
 }
 
-// trackConn is the server's ConnState hook.
+// trackConn is the http.Server's ConnState hook. It evicts a connection if a new one leaves few slots.
 func (srv *Server) trackConn(c net.Conn, s http.ConnState) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -51,21 +54,21 @@
 	}
 }
 
-// isShort reports whether so many connections leave too little room for others.
+// isShort reports whether so many open connections leave too few slots for others.
 func (srv *Server) isShort(open int) bool {
 	return float64(open) > shortageFraction*float64(srv.maxConns.Load())
 }
 
-// SetLimits sets how many connections of clients are served, with how many requests in flight, and how many connections
-// beyond these are accepted to reject on.
+// SetLimits sets how many client connections are served, how many requests may be in flight, and how many
+// connections beyond conns are accepted to reject their requests.
 func (srv *Server) SetLimits(conns, inFlight, rejectConns int) {
 	srv.maxConns.Store(int64(conns))
 	srv.maxInFlight.Store(int64(inFlight))
 	srv.Listener.SetLimit(conns + rejectConns)
 }
 
-// startInFlight counts a request in that has come: its connection is not to be evicted before its response. Reads from now
-// on only notice a client that goes, and have no deadline.
+// startInFlight counts a completely received request as in flight, so that its connection is not evicted
+// before the response. Further reads only detect that the client disconnects, and have no deadline.
 func (srv *Server) startInFlight(w http.ResponseWriter, r *http.Request, req *Request) (finish func(status int)) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	srv.mu.Lock()
@@ -78,15 +81,16 @@
 	return srv.requestStarted(req.ClassName)
 }
 
-// MakeRoom closes the connection that can be spared best, if there is one.
+// MakeRoom frees a slot by closing one connection, if any may be closed: see makeRoomLocked.
 func (srv *Server) MakeRoom() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	srv.makeRoomLocked()
 }
 
-// makeRoomLocked closes a lingering connection, or the one that could have been evicted for longest: what counts is how long
-// it has been silent, not its age. A slow client that keeps sending gets its response, one that has stopped may not.
+// makeRoomLocked closes a lingering connection, or else evicts the one that has been evictable for longest.
+// What counts is how long a connection has been silent, not its age: a slow client that keeps sending gets
+// its response, one that has stopped sending may not.
 func (srv *Server) makeRoomLocked() {
 	if srv.Listener.Lingering.CloseOldest() {
 		return
@@ -105,8 +109,9 @@
 	}
 }
 
-// evictLocked closes a connection without a complete request on it. One whose body is still coming is first interrupted, so
-// that its own goroutine can reject it; a later call closes it. False if a request has come.
+// evictLocked closes a connection without a complete request. While a body is being received, the first call
+// only interrupts the upload, so that the connection's own goroutine can reject the request; a later call
+// closes the connection. It returns false if a request has arrived meanwhile.
 func (srv *Server) evictLocked(c *clientconn.Conn) bool {
 	s := srv.conns[c]
 	if c.Phase() != clientconn.PhaseInFlight {
@@ -128,7 +133,8 @@
 	return true
 }
 
-// evictableFor is for how long a connection could have been evicted; not at all if that is not positive.
+// evictableFor returns for how long the connection has been evictable. If that is not positive, it may not be
+// evicted.
 func (s clientConnState) evictableFor(c *clientconn.Conn) time.Duration {
 	phase := c.Phase()
 	switch {
@@ -146,7 +152,7 @@
 	return c.SinceLastReceived() - minNewSilence
 }
 
-// logShortageLocked logs what holds the connections, once in shortageLogInterval while they are short.
+// logShortageLocked logs what occupies the connection slots, at most once in shortageLogInterval.
 func (srv *Server) logShortageLocked() {
 	if time.Since(srv.lastLogged) < shortageLogInterval {
 		return
@@ -159,13 +165,14 @@
 			idle++
 		}
 	}
-	srv.logger.Warn("client connections run short", "open", len(srv.conns), "in_flight", inFlight, "idle", idle,
+	srv.logger.Warn("client capacity is short: connections are evicted or requests rejected",
+		"open", len(srv.conns), "in_flight", inFlight, "idle", idle,
 		"incomplete", len(srv.conns)-inFlight-idle, "evicted", srv.evicted, "rejected", srv.rejected)
 	srv.lastLogged, srv.evicted, srv.rejected = time.Now(), 0, 0
 }
 
-// exceedsInFlight reports whether more requests are in flight than there may be, and counts the rejection that follows.
-// Connections without a complete request are no reason to reject one: they give way.
+// exceedsInFlight reports whether more requests are in flight than the limit allows, and if so counts the
+// rejection that follows. Connections without a complete request do not count, since they can be evicted.
 func (srv *Server) exceedsInFlight() bool {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -177,7 +184,7 @@
 	return true
 }
 
-// inFlightLocked counts the connections whose request has come and has no response yet.
+// inFlightLocked returns how many connections have a complete request without a response.
 func (srv *Server) inFlightLocked() (n int) {
 	for _, s := range srv.conns {
 		if s.requestComplete {
@@ -187,16 +194,17 @@
 	return n
 }
 
-// OpenConns is how many connections of clients there are.
+// OpenConns returns the number of open client connections.
 func (srv *Server) OpenConns() int {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	return len(srv.conns)
 }
 
-// closeIdle closes the connections that have been idle, or new without a byte, for some time, and returns how many others
-// there are. One on which a request has just come is left alone: closing it would lose that request. With rejectPartial,
-// those whose request has no complete head yet are rejected.
+// closeIdle closes the connections that have been idle for idleFor, or new without a byte for newFor, and
+// returns how many others there are. One on which a request has just arrived stays open, since closing it
+// would lose that request. With rejectPartial, all connections without a complete head are closed, and a
+// request whose head is incomplete is rejected.
 func (srv *Server) closeIdle(idleFor, newFor time.Duration, rejectPartial bool) (busy int) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
--- a/internal/proxy/downstream/evict_test.go
+++ b/internal/proxy/downstream/evict_test.go
@@ -8,8 +8,8 @@
 	"merlinpick/internal/proxy/socket"
 )
 
-// A new connection whose request was in the kernel, unread since its goroutine had not run, was closed to make room for
-// another: it seemed to have sent nothing.
+// Guards against the eviction of a new connection whose request waits in the kernel's receive buffer, not
+// read yet because the connection's goroutine has not run: it seems to have sent nothing.
 func TestNewConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	f, h, _ := startHooked(t, 4, "ok")
 	gate := make(chan struct{})
@@ -28,6 +28,6 @@
 	f.closeIdle(0, 0, true)
 	close(gate)
 	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("got %s %q", resp.Status, body)
+		t.Errorf("got %s %q, want a 200 \"ok\"", resp.Status, body)
 	}
 }
--- a/internal/proxy/downstream/forwardstream.go
+++ b/internal/proxy/downstream/forwardstream.go
@@ -17,10 +17,11 @@
 
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
 
-// forwardStream writes a streamed response to its client as it comes. Where it breaks off so does the client's, visibly:
-// short of its length, or without the last chunk.
+// forwardStream writes a streamed response to its client as it arrives from the backend. If the backend's
+// response breaks off, so does the client's, in a way that the client can detect: it is shorter than its
+// Content-Length or lacks the last chunk.
 func forwardStream(w http.ResponseWriter, r *http.Request, s *upstream.Stream) {
-	unhook := context.AfterFunc(r.Context(), s.CancelAttempt) // the client has gone
+	unhook := context.AfterFunc(r.Context(), s.CancelAttempt) // if the client disconnects
 	defer unhook()
 	err := copyStream(w, s)
 	s.Finish(err)
@@ -28,7 +29,8 @@
 		return
 	}
 	if c, ok := r.Context().Value(connKey{}).(*clientconn.Conn); ok && s.ContentLength < 0 && !r.ProtoAtLeast(1, 1) {
-		// Without chunks the connection's end is the response's end to such a client: a reset is none.
+		// Without chunks, an HTTP/1.0 client takes an orderly close for the end of the response, but not a
+		// reset.
 		socket.ResetOnClose(c.Conn)
 		c.CloseNow()
 	}
--- a/internal/proxy/downstream/golden_test.go
+++ b/internal/proxy/downstream/golden_test.go
@@ -15,7 +15,8 @@
 	"merlinpick/internal/settings"
 )
 
-// The last part of the file was written by an earlier version. What clients read stays byte for byte the same.
+// Checks that the proxy's own responses stay the same, byte for byte, as in the last part of a file that an
+// earlier version wrote.
 func TestOwnResponsesAreGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "testdata", "answers.txt"))
 	if err != nil {
@@ -24,7 +25,7 @@
 	const mark = "== half a head at the end\n"
 	_, want, found := strings.Cut(string(text), mark)
 	if !found {
-		t.Fatalf("no %q in the file", mark)
+		t.Fatalf("answers.txt has no line %q", mark)
 	}
 	want = mark + want
 	var out strings.Builder
@@ -33,7 +34,7 @@
 	}
 	show("half a head at the end", clientconn.RejectionText)
 
-	// These take more to come about: by their responses alone.
+	// The situations of the following responses are hard to bring about, so only the responses are written.
 	var next Response
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,11 +71,11 @@
 		show(c.name, proxytest.RawExchange(t, l.Addr().String(), "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 	}
 	if out.String() != want {
-		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
+		t.Errorf("got responses\n%s\nwant\n%s", out.String(), want)
 	}
 }
 
-// headerOnly is a ResponseWriter for what sets headers.
+// headerOnly is a ResponseWriter that keeps the headers and drops the rest.
 type headerOnly struct{ h http.Header }
 
 func (w *headerOnly) Header() http.Header         { return w.h }
--- a/internal/proxy/downstream/parserequest.go
+++ b/internal/proxy/downstream/parserequest.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// A response is to leave so long before its client gives up, so that a busy core does not make it late, but a request
-	// with little time keeps all but a responseMarginDivisor-th of it.
+	// responseMargin is how long before the client gives up a response is due, so that a busy core does not
+	// make it late. A request with a short timeout loses at most a responseMarginDivisor-th of it.
 	responseMargin        = 30 * time.Millisecond
 	responseMarginDivisor = 8
 
-	timeoutHeader = "Request-Timeout-Ms" // how long the client waits from the last byte of the request on
+	timeoutHeader = "Request-Timeout-Ms" // how long the client waits, from the last byte of its request
 )
 
-// errMalformedTimeout is a Request-Timeout-Ms that cannot be read. Clients are shown the text.
+// errMalformedTimeout means that Request-Timeout-Ms is not a number. Clients are shown the text.
 var errMalformedTimeout = errors.New(timeoutHeader + " is no number of milliseconds")
 
-// parseRequest reads a request's head by the settings of a snapshot. With a response returned the head makes no sense, and
-// nothing of it is forwarded.
+// parseRequest checks a request's head by the settings of the snapshot and builds the Request from it. If the
+// head is invalid, it returns the response that rejects the request, which is then not forwarded.
 func (v *settingsSnapshot) parseRequest(w http.ResponseWriter, r *http.Request) (*Request, Response) {
 	bad := func(status int, reason string) (*Request, Response) { return nil, errorResponse(status, reason) }
 	for _, name := range []string{"Request-Id", "Request-Class", timeoutHeader, "Idempotency-Key", "Tenant"} {
@@ -77,12 +77,13 @@
 	return req, Response{}
 }
 
-// clientTimeout is how long the proxy has for a response, from the request's last byte on; 0 if the client no longer waits by
-// then. A client that states no Request-Timeout-Ms waits as long as its class allows. A value that is no number is an error.
+// clientTimeout returns how long the proxy has for a response, counted from the last byte of the request: the
+// client's Request-Timeout-Ms, or the deadline of the class if that is shorter or the header is missing, less
+// the margin. It is 0 if the client states less than 1 ms. A value that is not a number is an error.
 func clientTimeout(r *http.Request, class balancer.Class) (time.Duration, error) {
 	timeout := time.Duration(class.Deadline) * time.Microsecond
 	if stated := r.Header[timeoutHeader]; len(stated) > 0 {
-		millis, err := strconv.ParseFloat(stated[0], 64) // ±Inf beyond its range
+		millis, err := strconv.ParseFloat(stated[0], 64) // ±Inf if out of range
 		if err != nil && !errors.Is(err, strconv.ErrRange) || math.IsNaN(millis) {
 			return 0, errMalformedTimeout
 		}
@@ -94,7 +95,7 @@
 	return timeout - min(responseMargin, timeout/responseMarginDivisor), nil
 }
 
-// forwardedHeader removes the headers that concern one connection, and leaves net/http to frame the body.
+// forwardedHeader removes the hop-by-hop headers, and those that frame the body, which net/http sets anew.
 func forwardedHeader(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -106,7 +107,7 @@
 		delete(h, name)
 	}
 	if h["User-Agent"] == nil {
-		h["User-Agent"] = []string{""} // none of ours in its place
+		h["User-Agent"] = []string{""} // keeps net/http from adding its own
 	}
 	return h
 }
--- a/internal/proxy/downstream/parserequest_test.go
+++ b/internal/proxy/downstream/parserequest_test.go
@@ -8,7 +8,8 @@
 	"merlinpick/balancer"
 )
 
-// Request-Timeout-Ms is taken as it is stated: only a client that states none waits as long as its class allows.
+// Checks that Request-Timeout-Ms is applied as stated, up to the class's deadline, which applies if there is
+// no header.
 func TestClientTimeoutIsTakenAsStated(t *testing.T) {
 	class := balancer.Class{Deadline: 8_000_000}
 	const whole, margin = 8 * time.Second, responseMargin
@@ -41,7 +42,7 @@
 			got = -1
 		}
 		if got != c.want {
-			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
+			t.Errorf("Request-Timeout-Ms %s: got timeout %v, want %v (-1ns: an error)", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/proxy/downstream/receivebody.go
+++ b/internal/proxy/downstream/receivebody.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// receiveBody reads a request's body and gives the request to the Handler, whose response then comes on its channel: once the
-// body is complete if it can be buffered, otherwise while the rest comes. If the returned Response has a status it is the
-// final one, and the Handler gives none. Otherwise finish is to be called with the status once the response is written.
+// receiveBody reads a request's body and hands the request to the Handler: once the body is complete if it
+// can be buffered, otherwise while the rest is still being received. If the returned Response has a status,
+// it is the final response, and the Handler gives none. Otherwise the Handler delivers the response on the
+// request's channel, and finish is to be called with its status once it is written.
 func (srv *Server) receiveBody(w http.ResponseWriter, r *http.Request, req *Request, u *upload) (finish func(status int), _ Response) {
 	body, complete, err := u.buffer()
 	switch {
@@ -32,7 +33,7 @@
 	return finish, Response{}
 }
 
-// dispatch gives a request to the Handler, or rejects it if more are in flight than there may be.
+// dispatch hands a request to the Handler, or rejects it if more are in flight than the limit allows.
 func (srv *Server) dispatch(req *Request) {
 	if srv.exceedsInFlight() {
 		if req.stopUpload != nil {
@@ -44,7 +45,8 @@
 	srv.handler.HandleRequest(req)
 }
 
-// streamBody forwards what is left of a body while it comes. The response may come before the rest of the body has.
+// streamBody forwards the rest of a body while it is being received. The response may be there before all of
+// the body is.
 func (srv *Server) streamBody(w http.ResponseWriter, r *http.Request, req *Request, u *upload) (func(status int), Response) {
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	from, to := io.Pipe()
@@ -65,7 +67,7 @@
 		return finish, Response{}
 	}
 	w.Header().Set("Connection", "close")
-	if u.isCancelled() { // it has its response
+	if u.isCancelled() { // the request already has its response
 		return srv.requestStarted(req.ClassName), Response{}
 	}
 	to.CloseWithError(err)
--- a/internal/proxy/downstream/request.go
+++ b/internal/proxy/downstream/request.go
@@ -10,32 +10,32 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// Request is one request that a client has sent. The client's goroutine sets its fields before it gives the request to the
-// Handler, which owns them from then on; attempts use Outbound one after the other.
+// Request is one request of a client. The goroutine of the client's connection sets its fields before it
+// hands the request to the Handler, which owns them from then on. Attempts use Outbound one after the other.
 type Request struct {
-	balancer.Request // Deadline is the Handler's to set
+	balancer.Request // the Handler sets Deadline
 	ClassName        string
 	Outbound         upstream.Request
 
-	// ClientDeadline is when the client gives up, by the process's clock; zero while the body is still coming.
+	// ClientDeadline is when the client gives up, by this process's clock; zero until the body is complete.
 	ClientDeadline time.Time
 
-	clientContext context.Context // ends once net/http has noticed that the client has gone
+	clientContext context.Context // cancelled once net/http has detected that the client has gone
 	clientConn    net.Conn
-	stopUpload    func()        // of a body that is still coming: nobody wants the rest any more
-	responses     chan Response // takes the one final response without a wait
+	stopUpload    func()        // stops the upload of a streamed body whose rest is not needed; else nil
+	responses     chan Response // has room for the one final response
 }
 
-// Response is a final response.
+// Response is the final response to a request.
 type Response struct {
-	Status      int // 0: nobody waits for one
+	Status      int // 0: none is sent, since nobody waits for it
 	ContentType string
 	Body        []byte
 	Stream      *upstream.Stream // in place of Body, for a response that is streamed
-	RetryAfter  int64            // of a rejection, in microseconds; 0: none
+	RetryAfter  int64            // of a rejection, in microseconds; 0: no Retry-After header
 }
 
-// Respond gives a request its final response, once, and ends its upload. It does not wait.
+// Respond delivers the final response of a request, once, and ends its upload. It does not block.
 func (r *Request) Respond(resp Response) {
 	r.responses <- resp
 	if r.stopUpload != nil {
@@ -43,28 +43,29 @@
 	}
 }
 
-// IsClientGone reports whether the client has gone: nothing new is to begin for it. What net/http has noticed shows in the
-// context; what it cannot have seen yet, or never will, at the socket. Any goroutine may call it.
+// IsClientGone reports whether the client has disconnected, so that no new work is to begin for it. It checks
+// the context, which shows what net/http has detected, and the socket, which also shows what net/http has not
+// detected yet or never will. Any goroutine may call it.
 func (r *Request) IsClientGone() bool {
 	return r.IsClientGoneByContext() || socket.PeerClosed(r.clientConn)
 }
 
-// IsClientGoneByContext reports whether net/http has noticed that the client has gone; IsClientGone also asks the socket,
-// a system call.
+// IsClientGoneByContext reports whether net/http has detected that the client has disconnected. Unlike
+// IsClientGone it makes no system call.
 func (r *Request) IsClientGoneByContext() bool { return r.clientContext.Err() != nil }
 
-// Handler decides on requests. Any goroutine may call its methods, which return before there is a response. After Stopped is
-// done it gives none.
+// Handler decides what response a request gets. Any goroutine may call its methods, which return before there
+// is a response. After Stopped is done it gives no responses.
 type Handler interface {
-	// HandleRequest takes a request, which gets its response through Respond.
+	// HandleRequest starts to handle a request, which gets its response through Respond.
 	HandleRequest(r *Request)
-	// HandleBodyEndSeen is called when the last byte of a body that is being streamed is known to have come, though it has
-	// not been read yet: the client's time runs from then on.
+	// HandleBodyEndSeen is called when the last byte of a streamed body is known to have arrived, though it
+	// has not been read yet. The time that the client waits counts from arrived.
 	HandleBodyEndSeen(r *Request, arrived time.Time)
-	// HandleBodyRead is called when a body that was streamed has been read completely.
+	// HandleBodyRead is called when a streamed body has been read completely.
 	HandleBodyRead(r *Request, clientDeadline time.Time)
-	// HandleClientGone is called when nobody waits for the response any more, even in the middle of it.
+	// HandleClientGone is called when nobody waits for the response any more, even while it is being sent.
 	HandleClientGone(r *Request)
-	// Stopped is done when the Handler has stopped.
+	// Stopped returns a context that is done once the Handler has stopped.
 	Stopped() context.Context
 }
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -1,10 +1,10 @@
-// Package downstream is the proxy's side towards the clients: it accepts connections, reads and checks requests, gives them to
-// a Handler, and writes the responses that come back. It decides which connection makes room for another and when a body comes
-// too slowly, but neither where a request goes nor what its response is.
+// Package downstream is the client side of the proxy: it accepts connections, reads and checks requests,
+// hands them to a Handler, and writes the Handler's responses. It decides which connection is evicted for
+// another and when a body arrives too slowly, but neither where a request is sent nor what its response is.
 //
-// net/http runs it in one goroutine for each connection, which owns the request that it reads until the Handler has it. A
-// streamed upload has a goroutine more (bodyEndWatcher). Drain is to be called once, and returns when the client side has
-// ended.
+// net/http runs one goroutine for each connection, which owns the request that it reads until it hands it to
+// the Handler. A streamed upload has one more goroutine (bodyEndWatcher). Drain is to be called once, and
+// returns when the client side has shut down.
 package downstream
 
 import (
@@ -30,26 +30,26 @@
 // keepAliveTimeout is how long an idle client connection waits for its next request.
 const keepAliveTimeout = 2 * time.Minute
 
-// DefaultBodyMemory is the budget in bytes where none is configured: once for bodies, once for heads, once for the responses
-// of backends.
+// DefaultBodyMemory is the memory budget in bytes if none is configured. It applies three times: to request
+// bodies, to request heads and to the responses of backends.
 const DefaultBodyMemory = 16 << 20
 
-// Config is what a Server starts with.
+// Config holds what NewServer needs.
 type Config struct {
 	Site     *settings.Site
 	Settings *balancer.Settings // in force
-	Listener net.Listener       // which the Server closes
+	Listener net.Listener       // closed by the Server
 	Handler  Handler
 
-	// RequestStarted counts a request of a class in. finish counts it out by its response's status, 0 if it had none; only
-	// the first call counts.
+	// RequestStarted counts a request of a class as started. finish counts it as finished with the status of
+	// its response, 0 if it had none; only the first call of finish counts.
 	RequestStarted func(class string) (finish func(status int))
 	ListAvailable  <-chan struct{} // closed once there is an endpoint list
 	Audit          *audit.Recorder
 	Logger         *slog.Logger
 }
 
-// Server is the client side: it reads requests, gives them to the Handler, and writes the responses. net/http runs it in one
+// Server reads requests, hands them to the Handler, and writes the responses. net/http calls it from one
 // goroutine for each connection.
 type Server struct {
 	Listener *clientconn.Listener
@@ -60,32 +60,32 @@
 	audit          *audit.Recorder
 	logger         *slog.Logger
 	server         *http.Server
-	bodyMemory     *clientconn.MemoryBudget // for bodies beyond guaranteedBodyBuffer each
-	headMemory     *clientconn.MemoryBudget // for the first bytes: heads, and bodies beyond clientconn.UnmeteredBuffer each
+	bodyMemory     *clientconn.MemoryBudget // for the part of each body beyond guaranteedBodyBuffer
+	headMemory     *clientconn.MemoryBudget // for heads, and that first part, beyond UnmeteredBuffer
 
-	maxConns    atomic.Int64 // connections of clients that are served; some more are accepted to reject on
+	maxConns    atomic.Int64 // client connections that are served; some more are accepted to reject requests
 	maxInFlight atomic.Int64 // requests, each of which may need a connection to a backend; more are rejected
 
 	serving       atomic.Bool  // connections are accepted
-	draining      atomic.Bool  // after SIGTERM: health checks fail
-	closing       atomic.Bool  // the next responses tell clients to leave: Connection: close
-	awaitingSync  atomic.Bool  // for discovery to confirm the list: health checks fail
+	draining      atomic.Bool  // SIGTERM was received: health checks fail
+	closing       atomic.Bool  // responses carry Connection: close
+	awaitingSync  atomic.Bool  // discovery has yet to confirm the endpoint list: health checks fail
 	activeStreams atomic.Int64 // responses that are being streamed
 
 	mu            sync.Mutex
 	settings      *settingsSnapshot   // in force
-	settingsInUse []*settingsSnapshot // by requests, the one in force last
+	settingsInUse []*settingsSnapshot // used by requests; the snapshot in force is the last one
 	conns         map[net.Conn]clientConnState
 	uploads       map[*upload]bool
-	evicted       int // connections, since logShortageLocked last logged
-	rejected      int // requests, likewise
+	evicted       int // connections evicted since logShortageLocked last logged
+	rejected      int // requests rejected since logShortageLocked last logged
 	lastLogged    time.Time
 }
 
-// connKey finds a request's connection in its context.
+// connKey is the key of a request's connection in its context.
 type connKey struct{}
 
-// NewServer returns a server that accepts nothing before Serve and SetLimits.
+// NewServer returns a server that accepts no connections before SetLimits and Serve are called.
 func NewServer(cfg Config) *Server {
 	srv := &Server{handler: cfg.Handler, requestStarted: cfg.RequestStarted, listAvailable: cfg.ListAvailable, audit: cfg.Audit,
 		logger: cfg.Logger, bodyMemory: clientconn.NewMemoryBudget(0), headMemory: clientconn.NewMemoryBudget(DefaultBodyMemory),
@@ -105,7 +105,7 @@
 	return srv
 }
 
-// debugLog sends net/http's remarks on broken clients to the debug level.
+// debugLog returns a logger that writes net/http's messages about misbehaving clients at debug level.
 func debugLog(logger *slog.Logger) *log.Logger {
 	return slog.NewLogLogger(logger.Handler(), slog.LevelDebug)
 }
@@ -123,30 +123,30 @@
 // IsServing reports whether connections are accepted.
 func (srv *Server) IsServing() bool { return srv.serving.Load() }
 
-// IsDraining reports whether Drain has begun: health checks fail.
+// IsDraining reports whether Drain has begun; health checks then fail.
 func (srv *Server) IsDraining() bool { return srv.draining.Load() }
 
-// IsClosing reports whether responses tell clients to leave, in a drain.
+// IsClosing reports whether responses carry Connection: close because of a drain.
 func (srv *Server) IsClosing() bool { return srv.closing.Load() }
 
-// IsAwaitingSync reports whether the endpoint list is yet to be confirmed: health checks fail.
+// IsAwaitingSync reports whether the endpoint list is yet to be confirmed; health checks then fail.
 func (srv *Server) IsAwaitingSync() bool { return srv.awaitingSync.Load() }
 
 // SetAwaitingSync sets whether the endpoint list is yet to be confirmed.
 func (srv *Server) SetAwaitingSync(awaiting bool) { srv.awaitingSync.Store(awaiting) }
 
-// SetMemory sets how many bytes may be buffered of bodies, and as many of heads.
+// SetMemory sets how many bytes of bodies may be buffered, and as many of heads.
 func (srv *Server) SetMemory(bytes int) {
 	srv.bodyMemory.SetMax(bytes)
 	srv.headMemory.SetMax(bytes)
 }
 
-// BufferedBytes is how much is buffered of bodies and of heads.
+// BufferedBytes returns how many bytes are reserved for buffered bodies and heads.
 func (srv *Server) BufferedBytes() (bodies, heads int) {
 	return srv.bodyMemory.Used(), srv.headMemory.Used()
 }
 
-// Conns are the connections of clients at this moment.
+// Conns returns the open client connections.
 func (srv *Server) Conns() []*clientconn.Conn {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -157,7 +157,7 @@
 	return conns
 }
 
-// Limits are how many connections are served, and how many requests may be in flight.
+// Limits returns how many connections are served, and how many requests may be in flight.
 func (srv *Server) Limits() (conns, inFlight int) {
 	return int(srv.maxConns.Load()), int(srv.maxInFlight.Load())
 }
@@ -169,9 +169,10 @@
 		startedAt = c.RequestStarted()
 	}
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(startedAt.Add(clientconn.RequestReadTimeout)) // net/http may read what is left of a body before it answers
-	_ = rc.SetWriteDeadline(time.Time{})                                 // the last response's deadline would delay a 100 Continue
-	if len(r.TransferEncoding) > 0 {                                     // nothing may follow: see clientconn.Conn
+	// A deadline is needed since net/http may read the rest of a body before it responds.
+	_ = rc.SetReadDeadline(startedAt.Add(clientconn.RequestReadTimeout))
+	_ = rc.SetWriteDeadline(time.Time{}) // the deadline of the last response would delay a 100 Continue
+	if len(r.TransferEncoding) > 0 {     // no further request may follow: see clientconn.Conn
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == "/_health" {
@@ -199,7 +200,7 @@
 		srv.writeResponse(w, rejection)
 		return
 	}
-	defer finish(0) // however else this returns
+	defer finish(0) // has no effect after finish(resp.Status) below
 	resp := srv.awaitAudited(req)
 	if resp.Status == 0 {
 		srv.audit.Count(audit.ClientConnNoResponse)
@@ -216,8 +217,9 @@
 	finish(resp.Status)
 }
 
-// awaitAudited returns a request's response. Until it is there, a close of the connection breaks a rule, unless the client
-// has gone. Later ones are net/http's, where a write fails since the client has gone, or are visible to the client.
+// awaitAudited returns a request's response. If the connection is closed before the response is there, the
+// audit records a broken rule, unless the client has gone. Later closes are not recorded: net/http makes them
+// when a write fails since the client has gone, or the client can tell that its response is incomplete.
 func (srv *Server) awaitAudited(req *Request) Response {
 	c, ok := req.clientConn.(*clientconn.Conn)
 	if !ok {
@@ -231,13 +233,16 @@
 	return resp
 }
 
-// awaitResponse returns a request's response, without a status if its client has gone or the Handler has stopped.
+// awaitResponse returns a request's response, or one without a status if the client has gone or the Handler
+// has stopped.
 func (srv *Server) awaitResponse(req *Request) (resp Response) {
 	select {
 	case resp = <-req.responses:
 	case <-req.clientContext.Done():
 		select {
-		case resp = <-req.responses: // one that came before all of the body cut that off, which ends the context too
+		case resp = <-req.responses:
+			// The response came before all of the body and stopped the upload, which also cancels the
+			// context.
 		default: // the client has gone
 			srv.handler.HandleClientGone(req)
 		}
@@ -246,21 +251,21 @@
 	return resp
 }
 
-// clientDeadline is when the client of a request that is complete now gives up.
+// clientDeadline returns when the client gives up on a request whose last byte has just been read.
 func clientDeadline(req *Request) time.Time { return time.Now().Add(req.Outbound.Timeout) }
 
-// rejectedResponse is the response to a request for which there is no room.
+// rejectedResponse returns the response to a request that exceeds the limit of requests in flight.
 func rejectedResponse(req *Request) Response {
 	return Response{Status: http.StatusServiceUnavailable, RetryAfter: req.Settings.MaxRetryAfter}
 }
 
-// errorResponse is the response to a request that is not to be forwarded.
+// errorResponse returns the response to a request that is not forwarded.
 func errorResponse(status int, reason string) Response {
 	return Response{Status: status, Body: []byte(reason + "\n"), ContentType: "text/plain"}
 }
 
-// serveHealth answers a health check. Its connection is closed each time: kept ones, of however many checkers, would take
-// the slots that clients need.
+// serveHealth answers a health check and closes the connection, since kept-alive connections of health
+// checkers would take the slots that clients need.
 func (srv *Server) serveHealth(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if srv.IsHealthy() {
@@ -270,7 +275,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// IsHealthy reports whether there is a list to serve by and more clients may come.
+// IsHealthy reports whether there is a confirmed endpoint list and the server is not draining.
 func (srv *Server) IsHealthy() bool {
 	select {
 	case <-srv.listAvailable:
@@ -280,16 +285,16 @@
 	}
 }
 
-// writeResponse writes a response, of a streamed one the head.
+// writeResponse writes a response, or only its head if the response is streamed.
 func (srv *Server) writeResponse(w http.ResponseWriter, resp Response) {
 	h := w.Header()
-	if srv.closing.Load() || srv.isShort(srv.OpenConns()) { // a closed connection makes room for another
+	if srv.closing.Load() || srv.isShort(srv.OpenConns()) { // closing it frees a slot for another connection
 		h.Set("Connection", "close")
 	}
 	if resp.ContentType != "" {
 		h.Set("Content-Type", resp.ContentType)
 	} else {
-		h["Content-Type"] = nil // not to be guessed
+		h["Content-Type"] = nil // keeps net/http from guessing it
 	}
 	switch {
 	case resp.Stream == nil:
@@ -302,5 +307,5 @@
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(upstream.StallTimeout))
 	w.WriteHeader(resp.Status)
-	_, _ = w.Write(resp.Body) // a client that has gone is no fault
+	_, _ = w.Write(resp.Body) // fails only if the client has gone
 }
--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -20,10 +20,10 @@
 	"merlinpick/internal/settings"
 )
 
-// pipeListener hands out the far ends of pipes, so that the client side runs on a test's own clock.
+// pipeListener accepts ends of net.Pipe in place of sockets, so that a Server can run in a synctest bubble.
 type pipeListener struct {
-	conns  chan net.Conn
-	fails  chan error // what the next calls of Accept give
+	conns  chan net.Conn // returned by the next calls of Accept
+	fails  chan error    // errors of the next calls of Accept
 	closed chan struct{}
 	once   sync.Once
 }
@@ -50,7 +50,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// stubHandler gives no response. It collects the names of the calls, if it has a channel for them.
+// stubHandler is a Handler that gives no response. It sends the names of its calls to events, if that is set.
 type stubHandler struct{ events chan string }
 
 func (h *stubHandler) note(event string) {
@@ -65,7 +65,7 @@
 func (h *stubHandler) HandleClientGone(*Request)             { h.note("client gone") }
 func (h *stubHandler) Stopped() context.Context              { return context.Background() }
 
-// newTestServer is a server with an endpoint list, which counts nothing.
+// newTestServer returns a server that has an endpoint list and does not count requests.
 func newTestServer(site *settings.Site, l net.Listener, handler Handler) *Server {
 	available := make(chan struct{})
 	close(available)
@@ -73,14 +73,14 @@
 		RequestStarted: func(string) func(int) { return func(int) {} }, Audit: audit.New(nil), Logger: slog.New(slog.DiscardHandler)})
 }
 
-// pipedFrontend is a server on pipes, whose handler gives no response.
+// pipedFrontend is a Server whose connections are pipes and whose handler gives no response.
 type pipedFrontend struct {
 	*Server
 	pipes   *pipeListener
 	handler *stubHandler
 }
 
-// startPiped is for use in a synctest bubble; end it with stop.
+// startPiped starts a Server in a synctest bubble. The test must call stop.
 func startPiped(t *testing.T, most int) *pipedFrontend {
 	t.Helper()
 	site, err := settings.Decode([]byte(proxytest.SiteJSON))
@@ -95,6 +95,7 @@
 	return p
 }
 
+// connect returns the client's end of a new connection, which is closed if the listener is.
 func (p *pipedFrontend) connect() net.Conn {
 	near, far := net.Pipe()
 	select {
@@ -111,13 +112,13 @@
 	synctest.Wait()
 }
 
-// readToEnd reads until the connection is closed, and returns after what time that was.
+// readToEnd reads until the connection is closed, and returns how long that took.
 func readToEnd(c net.Conn) (text string, after time.Duration) {
 	start := time.Now()
 	_ = c.SetReadDeadline(start.Add(time.Hour))
 	data, err := io.ReadAll(c)
 	if err != nil && !os.IsTimeout(err) {
-		err = nil // a close is a close
+		err = nil // any error but a timeout means that the connection is closed
 	}
 	if err != nil {
 		return "still open", time.Hour
@@ -125,13 +126,13 @@
 	return string(data), time.Since(start)
 }
 
-// Peers that sent nothing, or part of a request and then nothing, held their connection's slot: for 10 s in the head,
-// for ever in a body, until no client could connect.
+// Guards against clients that send nothing, or only part of a request, and keep their connection's slot until
+// no other client can connect. They once kept it for 10 s in the head, and for ever in a body.
 func TestStalledClientIsClosedInTime(t *testing.T) {
 	const post = "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"
 	for name, c := range map[string]struct {
 		text string
-		want string // how the answer begins, if there is to be one
+		want string // the beginning of the response; empty: no response
 	}{
 		"silent":             {"", ""},
 		"half a head":        {"GET /look/k HT", ""},
@@ -150,18 +151,19 @@
 				go func() { _, _ = io.WriteString(peer, c.text) }()
 				text, after := readToEnd(peer)
 				if !strings.HasPrefix(text, c.want) || text != "" && c.want == "" || after > 3*time.Second {
-					t.Errorf("got %q and the end after %v", text, after)
+					t.Errorf("got response %q, closed after %v; want another one within 3 s", text, after)
 				}
 				synctest.Wait()
 				if n := p.OpenConns(); n != 0 {
-					t.Errorf("%d connections are left", n)
+					t.Errorf("%d connections are still open, want 0", n)
 				}
 			})
 		})
 	}
 }
 
-// A byte now and then does not extend the time: the whole request has one deadline.
+// Checks that a client that sends a byte now and then does not extend its time: the whole request has one
+// deadline.
 func TestDrippingClientIsClosedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -177,12 +179,12 @@
 			}
 		})
 		if text, after := readToEnd(peer); !strings.HasPrefix(text, "HTTP/1.1 408 ") || after > 3*time.Second {
-			t.Errorf("got %q and the end after %v", text, after)
+			t.Errorf("got response %q, closed after %v; want a 408 within 3 s", text, after)
 		}
 	})
 }
 
-// The time for a request to come in is not the time for its response.
+// Checks that the timeout for receiving a request does not limit the time for its response.
 func TestSlowResponseOutlastsReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -197,7 +199,7 @@
 			select {
 			case event := <-p.handler.events: // this test stands in for the handler
 				if event != "request" {
-					t.Fatalf("got %q", event)
+					t.Fatalf("the handler got %q, want a request", event)
 				}
 			default:
 				t.Fatal("the request did not reach the handler")
@@ -205,23 +207,24 @@
 			time.Sleep(4 * clientconn.RequestReadTimeout)
 			synctest.Wait()
 			if n := p.OpenConns(); n != 1 {
-				t.Errorf("%d connections while the answer is awaited", n)
+				t.Errorf("%d connections are open while the client waits for the response, want 1", n)
 			}
 			select {
 			case <-p.handler.events:
-				t.Error("the request was withdrawn")
+				t.Error("the request was cancelled while its client waited for the response")
 			default:
 			}
 			c.Close()
 			synctest.Wait()
 			if event := <-p.handler.events; event != "client gone" {
-				t.Errorf("got %q", event)
+				t.Errorf("after the client's close the handler got %q, want \"client gone\"", event)
 			}
 		}
 	})
 }
 
-// Peers that stall in every slot, in the head or in the body, are evicted for a client before their time is up.
+// Checks that clients that stall in every slot, in the head or in the body, are evicted for a new client
+// before their timeout.
 func TestStalledConnectionsAreEvicted(t *testing.T) {
 	for name, text := range map[string]string{
 		"in the head": "",
@@ -243,20 +246,20 @@
 				c := p.connect()
 				defer c.Close()
 				if took := time.Since(start); took > minBodyStall+2*clientconn.MakeRoomInterval {
-					t.Errorf("a client waited %v for a slot", took)
+					t.Errorf("the new client waited %v for a slot", took)
 				}
 				go func() { _, _ = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n") }()
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err != nil || resp.StatusCode != http.StatusOK {
-					t.Errorf("got %v, %v", resp, err)
+					t.Errorf("health check on the new connection: got %v, error %v; want a 200", resp, err)
 				}
 			})
 		})
 	}
 }
 
-// A client that is slow but keeps sending survives a shortage of connections, on a new connection or a kept one, and a
-// drain that begins meanwhile.
+// Checks that a client that is slow but keeps sending is not evicted when connection slots are short, on a
+// new or a kept-alive connection, nor closed by a drain that begins meanwhile.
 func TestSlowClientSurvivesConnectionShortage(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -291,7 +294,8 @@
 			text := strings.Replace(proxytest.LookRequest("1", 8000), "Host: h", "Host: h\r\nLong: "+strings.Repeat("x", 400), 1)
 			for i := 0; i < len(text); i += len(text)/20 + 1 { // 2 s for the head
 				if _, err := io.WriteString(slow, text[i:min(len(text), i+len(text)/20+1)]); err != nil {
-					t.Fatalf("kept %v: cut off after %d bytes of %d: %v", kept, i, len(text), err)
+					t.Fatalf("kept-alive %v: the connection was closed after %d bytes of %d: %v",
+						kept, i, len(text), err)
 				}
 				time.Sleep(100 * time.Millisecond)
 				if i > len(text)/2 {
@@ -302,13 +306,13 @@
 			select {
 			case <-p.handler.events: // the request is complete
 			default:
-				t.Errorf("kept %v: the request did not reach the handler", kept)
+				t.Errorf("kept-alive %v: the request did not reach the handler", kept)
 			}
 		})
 	}
 }
 
-// Checkers that kept their connections filled every slot with them.
+// Guards against health checkers that fill every slot with the connections that they keep open.
 func TestHealthCheckClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -319,11 +323,11 @@
 			t.Fatal(err)
 		}
 		if text, after := readToEnd(c); !strings.HasPrefix(text, "HTTP/1.1 200 ") || after != 0 {
-			t.Errorf("got %q and the end after %v", text, after)
+			t.Errorf("got response %q, closed after %v; want a 200, closed at once", text, after)
 		}
 		synctest.Wait()
 		if n := p.OpenConns(); n != 0 {
-			t.Errorf("%d connections are left", n)
+			t.Errorf("%d connections are still open, want 0", n)
 		}
 	})
 }
--- a/internal/proxy/downstream/settings.go
+++ b/internal/proxy/downstream/settings.go
@@ -7,13 +7,13 @@
 	"merlinpick/internal/settings"
 )
 
-// settingsSnapshot is what the settings in force mean for requests. It does not change: others take its place, and each request
-// keeps the one that it was parsed by.
+// settingsSnapshot holds the settings that requests are parsed with. Apart from readers it does not change:
+// new settings are a new snapshot, and each request keeps the one that it was parsed with.
 type settingsSnapshot struct {
-	balancer *balancer.Settings // with classes by the balancer's numbers
-	classes  map[string]int     // those numbers by name
-	tenants  map[string]int
-	readers  int // requests that keep it; guarded by the Server's mu
+	balancer *balancer.Settings // its Classes are indexed by the balancer's class numbers
+	classes  map[string]int     // the balancer's class numbers, by name
+	tenants  map[string]int     // the balancer's tenant numbers, by name
+	readers  int                // requests that use the snapshot; guarded by the Server's mu
 }
 
 func newSettingsSnapshot(site *settings.Site, s *balancer.Settings, classNumbers []int) *settingsSnapshot {
@@ -27,7 +27,8 @@
 	return v
 }
 
-// acquireSettings gives a request the settings in force; releaseSettings gives them back.
+// acquireSettings returns the settings in force for a request, which must call releaseSettings when it has
+// ended.
 func (srv *Server) acquireSettings() *settingsSnapshot {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -41,7 +42,7 @@
 	s.readers--
 }
 
-// CurrentClasses are the classes in force.
+// CurrentClasses returns the classes in force.
 func (srv *Server) CurrentClasses() []balancer.Class {
 	s := srv.acquireSettings()
 	defer srv.releaseSettings(s)
@@ -52,7 +53,8 @@
 	return classes
 }
 
-// ClassesInUse are the balancer's numbers of classes that requests may still have which were parsed by former settings.
+// ClassesInUse returns the balancer's numbers of the classes in force and of those that requests parsed with
+// earlier settings may still have.
 func (srv *Server) ClassesInUse() map[int]bool {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -66,8 +68,8 @@
 	return numbers
 }
 
-// SetSettings puts settings in force for the requests that come from now on. classNumbers are the balancer's numbers of the
-// site's classes.
+// SetSettings puts settings in force for the requests that arrive from now on. classNumbers holds the
+// balancer's number of each of the site's classes.
 func (srv *Server) SetSettings(site *settings.Site, inForce *balancer.Settings, classNumbers []int) {
 	s := newSettingsSnapshot(site, inForce, classNumbers)
 	srv.mu.Lock()
--- a/internal/proxy/downstream/upload.go
+++ b/internal/proxy/downstream/upload.go
@@ -15,50 +15,54 @@
 )
 
 const (
-	// MaxRequestBodyBytes of a body are read; a longer one is rejected.
+	// MaxRequestBodyBytes is how long a request body may be, in bytes; a longer one is rejected.
 	MaxRequestBodyBytes = 40 << 20
-	// MaxBufferedBody bytes of a body are buffered at most, to be sent again; the rest is streamed.
+	// MaxBufferedBody is how many bytes of a body are buffered, at most, so that a retry can send them again.
+	// The rest is streamed.
 	MaxBufferedBody = 256 << 10
 
-	// guaranteedBodyBuffer bytes are, however little memory is left, and go out with the head at once.
+	// guaranteedBodyBuffer is how many bytes of a body are buffered even if bodyMemory is used up. They are
+	// sent to the backend together with the head.
 	guaranteedBodyBuffer = 32 << 10
 
-	// A body must come at minUploadRate (bytes a second) from clientconn.RequestReadTimeout after its request's start, and must not
-	// pause for uploadStallTimeout. Slow clients send 64 kB a second.
+	// From clientconn.RequestReadTimeout after the start of its request, a body must arrive at minUploadRate
+	// (bytes a second) on average, and without a pause of uploadStallTimeout. Slow clients send 64 kB a
+	// second.
 	minUploadRate      = 32 << 10
 	uploadStallTimeout = 1500 * time.Millisecond
 )
 
-// Why a body is not read to its end. Clients are shown the text of errDraining, errConnShortage and errBodyMemory.
+// The reasons why a body is not read to its end. Clients are shown the text of errDraining, errConnShortage
+// and errBodyMemory.
 var (
 	errBodyTooLarge = errors.New("the body is too large")
 	errDraining     = errors.New("the proxy ends before the body has come")
 	errConnShortage = errors.New("connections run short and the body stands still")
 	errBodyMemory   = errors.New("too many bodies are held")
-	errRequestEnded = errors.New("the request is over")
+	errRequestEnded = errors.New("the request has ended before its body was read")
 )
 
-// upload is a request's body on its way from the client. The client's goroutine owns it and alone reads it; any goroutine
-// may interrupt it.
+// upload is a request body that is being received from a client. The goroutine of the client's connection
+// owns it and alone reads it; any goroutine may interrupt it with stop.
 type upload struct {
 	source          io.Reader
 	contentLength   int64 // -1: unknown
 	setReadDeadline func(time.Time) error
-	startedAt       time.Time // of the request
+	startedAt       time.Time // start of the request
 	lastReceived    time.Time
 	received        atomic.Int64 // bytes
 	bodyMemory      *clientconn.MemoryBudget
-	bodyReserved    int // of bodyMemory
+	bodyReserved    int // bytes reserved from bodyMemory
 	headMemory      *clientconn.MemoryBudget
-	headReserved    int // of headMemory
+	headReserved    int // bytes reserved from headMemory
 	conn            net.Conn
 
 	mu        sync.Mutex
-	complete  bool  // all of it has come
-	interrupt error // why the rest is not read; nil: it is. See stop.
+	complete  bool  // all of the body has been read
+	interrupt error // why the rest is not read; nil if it is. See stop.
 }
 
-// newUpload registers an upload of a request that started at a moment.
+// newUpload registers the upload of a request that started at startedAt.
 func (srv *Server) newUpload(w http.ResponseWriter, r *http.Request, startedAt time.Time) *upload {
 	u := &upload{source: r.Body, contentLength: r.ContentLength, setReadDeadline: http.NewResponseController(w).SetReadDeadline,
 		startedAt: startedAt, lastReceived: time.Now(), bodyMemory: srv.bodyMemory, headMemory: srv.headMemory}
@@ -69,7 +73,7 @@
 	return u
 }
 
-// releaseUpload gives back the memory that an upload had reserved.
+// releaseUpload unregisters an upload and releases the memory that it reserved.
 func (srv *Server) releaseUpload(u *upload) {
 	u.bodyMemory.Release(u.bodyReserved)
 	u.headMemory.Release(u.headReserved)
@@ -78,7 +82,7 @@
 	delete(srv.uploads, u)
 }
 
-// rejectUploads ends the uploads that are not complete: the process ends before they can be.
+// rejectUploads interrupts the uploads that are not complete, since the process ends before they can be.
 func (srv *Server) rejectUploads() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -87,8 +91,8 @@
 	}
 }
 
-// Read reads from the client. It fails with os.ErrDeadlineExceeded for a body that comes too slowly, or with one of the
-// errors above.
+// Read reads from the client. It fails with os.ErrDeadlineExceeded if the body arrives too slowly, or with
+// one of the errors above.
 func (u *upload) Read(p []byte) (int, error) {
 	deadline := u.readDeadline()
 	if err := u.armReadDeadline(deadline); err != nil {
@@ -108,7 +112,7 @@
 	return n, err
 }
 
-// readDeadline is until when the next byte must come.
+// readDeadline returns the time by which the next byte must arrive.
 func (u *upload) readDeadline() time.Time {
 	start := u.startedAt.Add(clientconn.RequestReadTimeout)
 	stalled := u.lastReceived.Add(uploadStallTimeout)
@@ -122,7 +126,8 @@
 	return stalled
 }
 
-// armReadDeadline sets the deadline for the next read, or returns why there is to be none.
+// armReadDeadline sets the deadline of the next read, or returns the reason why the body is not read any
+// further.
 func (u *upload) armReadDeadline(deadline time.Time) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -133,8 +138,8 @@
 	return nil
 }
 
-// stop breaks a read off that waits and has later ones fail, unless all has come. Of several reasons errRequestEnded goes
-// before errDraining and that before errConnShortage.
+// stop interrupts a waiting read and makes later ones fail with the reason, unless the body is complete. Of
+// several reasons, errRequestEnded takes precedence over errDraining, and errDraining over errConnShortage.
 func (u *upload) stop(reason error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -147,23 +152,24 @@
 	_ = u.setReadDeadline(time.Unix(1, 0))
 }
 
-// markComplete notes that all has come; false if nobody wanted it any more.
+// markComplete records that all of the body has been read. It returns false if the request had already ended.
 func (u *upload) markComplete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.complete = u.interrupt != errRequestEnded // a drain may reject it shortly before the cutoff: it is in time
+	// A body that was read completely is in time, even if a drain has interrupted the upload meanwhile.
+	u.complete = u.interrupt != errRequestEnded
 	return u.complete
 }
 
-// isCancelled reports whether nobody wanted the rest of the body any more.
+// isCancelled reports whether the request ended before its body was complete, so that nobody needs the rest.
 func (u *upload) isCancelled() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.interrupt == errRequestEnded
 }
 
-// buffer reads as much of the body as may be buffered; complete reports that this is all of it. It fails with
-// errBodyTooLarge, errBodyMemory, or an error of Read.
+// buffer reads as much of the body as may be buffered; complete reports whether that is all of it. It fails
+// with errBodyTooLarge, errBodyMemory, or an error of Read.
 func (u *upload) buffer() (body []byte, complete bool, err error) {
 	if u.contentLength == 0 {
 		return nil, true, nil
@@ -191,7 +197,8 @@
 	}
 }
 
-// reserve lets a buffer of a size grow; false if it may not. With errBodyMemory there is not even room for the first bytes.
+// reserve reserves the memory for a buffer of size bytes to grow by more. It returns false if the buffer may
+// not grow, with errBodyMemory if there is no memory even for the first guaranteedBodyBuffer bytes.
 func (u *upload) reserve(size, more int) (bool, error) {
 	switch size += more; {
 	case size > MaxBufferedBody:
@@ -210,12 +217,12 @@
 	return true, nil
 }
 
-// remaining is how many bytes of the body have not been read; unknown without a length.
+// remaining returns how many bytes of the body have not been read; known is false without a Content-Length.
 func (u *upload) remaining() (n int64, known bool) {
 	return u.contentLength - u.received.Load(), u.contentLength >= 0
 }
 
-// forwardTo writes the rest of the body into the pipe that the attempt reads.
+// forwardTo writes the rest of the body to the pipe that the attempt reads from.
 func (u *upload) forwardTo(pipe *io.PipeWriter) error {
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
@@ -235,14 +242,15 @@
 	}
 }
 
-// errorResponse is the response to a body that did not come as it should. What is left of it cannot be distinguished from a next
-// request, and is not read.
+// errorResponse returns the response to a request whose body could not be read, for the error of Read or
+// buffer. The connection closes, since the rest of the body could not be told from a next request.
 func (u *upload) errorResponse(w http.ResponseWriter, err error) Response {
 	w.Header().Set("Connection", "close")
 	switch {
 	case errors.Is(err, errBodyTooLarge):
 		return errorResponse(http.StatusRequestEntityTooLarge, "the body is too large")
-	case errors.Is(err, errDraining), errors.Is(err, errConnShortage), errors.Is(err, errBodyMemory): // never executed: it may come again
+	case errors.Is(err, errDraining), errors.Is(err, errConnShortage), errors.Is(err, errBodyMemory):
+		// The request was never executed, so the client may send it again.
 		return errorResponse(http.StatusServiceUnavailable, err.Error())
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return errorResponse(http.StatusRequestTimeout, "the body came too slowly")
--- a/internal/proxy/downstream/upload_test.go
+++ b/internal/proxy/downstream/upload_test.go
@@ -10,11 +10,11 @@
 	"merlinpick/internal/proxy/clientconn"
 )
 
-// slowReader gives pieces with pauses, and then nothing until its deadline.
+// slowReader returns pieces of a body with a pause before each, and then blocks until its deadline.
 type slowReader struct {
-	piece    int
+	piece    int // bytes
 	pause    time.Duration
-	left     int
+	left     int // bytes of the body
 	deadline time.Time
 }
 
@@ -29,7 +29,8 @@
 	return n, nil
 }
 
-// A client may be as slow as 64 kB a second, after a head that took 2 s; who stalls or drips is cut off in time.
+// Checks that a client may be as slow as 64 kB a second, after a head that took 2 s, and that one that stalls
+// or sends only a few bytes now and then times out.
 func TestMinimumUploadRate(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -47,23 +48,24 @@
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
 				if c.complete {
-					time.Sleep(2 * time.Second) // the head
+					time.Sleep(2 * time.Second) // time that the head took
 				}
 				u := &upload{source: &c.r, contentLength: 200_000, startedAt: began, lastReceived: time.Now(), bodyMemory: clientconn.NewMemoryBudget(1 << 20), headMemory: clientconn.NewMemoryBudget(MaxBufferedBody),
 					setReadDeadline: func(at time.Time) error { c.r.deadline = at; return nil }}
 				_, complete, err := u.buffer()
 				if complete != c.complete || (err == nil) != c.complete {
-					t.Errorf("complete %v, %v", complete, err)
+					t.Errorf("the body was read with complete %v, error %v", complete, err)
 				}
 				if took := time.Since(began); took > c.most {
-					t.Errorf("it took %v", took)
+					t.Errorf("reading the body took too long: %v", took)
 				}
 			})
 		})
 	}
 }
 
-// Bodies are buffered while there is memory for it, and the guaranteed part of each in any case.
+// Checks that bodies are buffered only while the memory budget allows it, except for the guaranteed part of
+// each.
 func TestBufferedBodiesAreBounded(t *testing.T) {
 	h := clientconn.NewMemoryBudget(3 * guaranteedBodyBuffer)
 	var all []*upload
@@ -73,18 +75,19 @@
 			setReadDeadline: func(time.Time) error { return nil }}
 		body, complete, err := u.buffer()
 		if err != nil || complete || len(body) < guaranteedBodyBuffer {
-			t.Fatalf("%d bytes, complete %v, %v", len(body), complete, err)
+			t.Fatalf("buffered %d bytes, complete %v, error %v; want the guaranteed part of a larger body",
+				len(body), complete, err)
 		}
 		held += cap(body)
 		all = append(all, u)
 	}
 	if held > (10+3)*guaranteedBodyBuffer {
-		t.Errorf("%d bytes are held", held)
+		t.Errorf("%d bytes are buffered, more than the budget and the guaranteed parts", held)
 	}
 	for _, u := range all {
 		h.Release(u.bodyReserved)
 	}
 	if h.Used() != 0 {
-		t.Errorf("%d bytes counted after the end", h.Used())
+		t.Errorf("%d bytes are still reserved after all were released", h.Used())
 	}
 }
