--- a/internal/proxy/clientconn/conn.go
+++ b/internal/proxy/clientconn/conn.go
@@ -1,7 +1,7 @@
-// Package clientconn is the layer between net/http and the sockets of clients: a listener with a limited number of slots, and
-// connections that let pass only requests whose framing is unambiguous, and that are closed without losing a response or a
-// request that has come. It knows nothing of what requests mean. It closes connections by itself only at
-// the end of a linger, and when there is no memory for a long head.
+// Package clientconn is the layer between net/http and the sockets of clients: a listener with a limited
+// number of connection slots, and connections that pass on only requests whose framing is unambiguous and
+// that close without losing a response or a request that has arrived. It does not interpret requests. It
+// closes a connection on its own only at the end of a linger, or when there is no memory for a long head.
 package clientconn
 
 import (
@@ -22,82 +22,85 @@
 	"merlinpick/internal/proxy/socket"
 )
 
-// Conn is a client's connection that lets net/http see no more than one request at a time, and only one whose framing
-// is unambiguous. Nothing passes after a chunked request: its connection is to be closed.
+// Conn is a client connection that passes at most one request at a time to net/http, and only if its framing
+// is unambiguous. After a chunked request nothing more is passed: the connection is to be closed.
 //
-// What comes is read and noted in one step, under mu, and so are a look at what has come and a shutdown: a request is either
-// read before the shutdown, and answered, or never passed on. See linger.go for how a connection ends.
+// Reading bytes and recording that they have arrived is one step under mu. So is checking for unread bytes
+// and shutting the connection down. A request is therefore either read before the shutdown, and answered, or
+// never passed on. See linger.go for how a connection is closed.
 //
-// net/http's goroutine for the connection reads it and owns the fields without a lock; any goroutine may close it.
+// net/http's goroutine for a connection reads it and owns the fields without a lock. Any goroutine may close
+// it.
 type Conn struct {
 	net.Conn
 	rawConn  syscall.RawConn // nil if there is no descriptor
 	listener *Listener
 
-	buffered      []byte // read and not passed yet
-	passable      int64  // bytes that may pass before the next head is checked; negative: all
-	endsAfterPass bool   // after these comes nothing more
-	hadRequest    bool   // a head has passed
-	awaitsNext    bool   // net/http waits for a next request, for keepAliveTimeout
+	buffered      []byte // read from the socket, not passed to net/http yet
+	passable      int64  // bytes that may be passed before the next head is checked; negative: no limit
+	endsAfterPass bool   // after the passable bytes, net/http reads EOF
+	hadRequest    bool   // a request's head has been passed
+	awaitsNext    bool   // net/http waits for the next request, with its longer idle timeout
 
-	requestStarted atomic.Int64 // when the present request did, or the connection for its first; Unix nanoseconds
-	lastReceived   atomic.Int64 // Unix nanoseconds; of a new connection, when it was accepted
+	requestStarted atomic.Int64 // first byte of the current request, or the accept; Unix nanoseconds
+	lastReceived   atomic.Int64 // last bytes received, or the accept; Unix nanoseconds
 
-	unanswered  atomic.Pointer[string]      // the ID of the request that has been taken and has no response yet
-	closeReason atomic.Pointer[audit.Event] // why the proxy closes it; nil before
-	discarded   atomic.Int64                // bytes that came after the shutdown
+	unanswered  atomic.Pointer[string]      // ID of the accepted request that has no response; nil: none
+	closeReason atomic.Pointer[audit.Event] // why the proxy closes the connection; nil before it does
+	discarded   atomic.Int64                // bytes received after the shutdown
 
 	mu            sync.Mutex
 	phase         Phase
-	discarding    bool // whatever comes now is dropped
-	closed        bool // the descriptor is
-	memoryCharged int  // bytes of the listener's headMemory
+	discarding    bool // bytes received from now on are dropped
+	closed        bool // the descriptor is closed
+	memoryCharged int  // bytes reserved from the listener's headMemory
 }
 
-// Phase is how far the request on a client's connection has come.
+// Phase is the progress of the current request on a client connection.
 type Phase int
 
-// The phases.
+// The phases of a request.
 const (
-	PhaseIdle        Phase = iota // nothing of one has been read
-	PhaseReadingHead              // a part of its head has
-	PhaseInFlight                 // its head has been passed on, and it has no response yet
+	PhaseIdle        Phase = iota // no byte of a request has been read
+	PhaseReadingHead              // a part of its head has been read
+	PhaseInFlight                 // its head has been passed to net/http, and it has no response yet
 )
 
-// String is the phase's name in the log.
+// String returns the phase's name in the log.
 func (p Phase) String() string {
 	return [...]string{PhaseIdle: "idle", PhaseReadingHead: "reading_head", PhaseInFlight: "in_flight"}[p]
 }
 
 const (
-	// MalformedHead stands in for a head whose framing is ambiguous: net/http answers it 400 and closes. It comes as bytes,
-	// since an error would also take away the response to a request that is still in flight.
+	// MalformedHead replaces a head whose framing is ambiguous: net/http responds with 400 and closes. It is
+	// passed as bytes, since a read error would also lose the response to a request still in flight.
 	MalformedHead = "ambiguous\r\n\r\n"
 
-	headReadSlack = 4 << 10 // what net/http reads beyond MaxHeaderBytes before it answers 431
+	headReadSlack = 4 << 10 // bytes that net/http reads beyond MaxHeaderBytes before it responds with 431
 )
 
 const (
-	// MaxHeadBytes of a request's head are read; a longer one is answered 431.
+	// MaxHeadBytes is how long a request's head may be, in bytes; a longer one is answered with 431.
 	MaxHeadBytes = 16 << 10
 
-	// MaxPipelinedBytes are buffered of what a client sends behind a request that waits for its response.
+	// MaxPipelinedBytes is how many bytes are buffered behind a request that waits for its response.
 	MaxPipelinedBytes = 4 << 10
 
-	// UnmeteredBuffer bytes of a head, and of a body, are buffered without a MemoryBudget.
+	// UnmeteredBuffer is how many bytes of a head, and of a body, are buffered without a MemoryBudget.
 	UnmeteredBuffer = 4 << 10
 
-	// RequestReadTimeout is for a request's head from its first byte, and on a new connection from the connect. The protocol
-	// wants a connection closed within 3 s whose peer sends nothing, or too little.
+	// RequestReadTimeout is how long a request's head may take, from its first byte or, on a new connection,
+	// from the connect. The protocol requires that a connection whose peer sends nothing, or too little, is
+	// closed within 3 s.
 	RequestReadTimeout = 2500 * time.Millisecond
 
-	// A connection that has been shut down stays open for its peer for LingerTimeout at most, and for MinLinger even where
-	// slots are short.
+	// After its shutdown a connection stays open for its peer for at most LingerTimeout, and for at least
+	// MinLinger even if few slots are left.
 	LingerTimeout = 500 * time.Millisecond
 	MinLinger     = 20 * time.Millisecond
 )
 
-// newConn wraps a connection that has just been accepted.
+// newConn wraps a newly accepted connection.
 func newConn(c net.Conn, listener *Listener) *Conn {
 	f := &Conn{Conn: c, listener: listener}
 	if sc, ok := c.(syscall.Conn); ok {
@@ -109,8 +112,8 @@
 	return f
 }
 
-// Read gives net/http what may pass. A read of one byte while a request is in flight is net/http's watch for a client that
-// goes: see bufferPipelined.
+// Read returns the bytes that may be passed to net/http. A read of one byte while a request is in flight is
+// how net/http detects that the client disconnects: see bufferPipelined.
 func (c *Conn) Read(p []byte) (int, error) {
 	if len(p) == 1 && (c.passable == 0 && !c.endsAfterPass || c.passable < 0) && c.Phase() == PhaseInFlight {
 		if err := c.bufferPipelined(); err != nil {
@@ -145,8 +148,8 @@
 	return n, err
 }
 
-// receive reads what has come, and notes it before anybody can take the connection for an idle one. From a connection that
-// is discarding it gives nothing but the end, once that has come.
+// receive reads from the socket, and records that bytes have arrived before any goroutine can take the
+// connection for idle. While the connection is discarding it drops them and returns EOF once a read fails.
 func (c *Conn) receive(p []byte) (n int, err error) {
 	for {
 		n, err, ok := c.readLocking(p)
@@ -173,8 +176,9 @@
 	}
 }
 
-// readLocking reads once and returns with mu locked, taken before the read's bytes leave the system where there is a
-// descriptor. ok is false, and mu not locked, if the read was not made: its deadline has passed or the connection is closed.
+// readLocking reads once and returns with mu locked. If there is a descriptor, mu is locked before the bytes
+// leave the kernel's receive buffer. ok is false, and mu not locked, if there was no read because its
+// deadline has passed or the connection is closed.
 func (c *Conn) readLocking(p []byte) (n int, err error, ok bool) {
 	if c.rawConn == nil {
 		n, err = c.Conn.Read(p)
@@ -204,7 +208,7 @@
 	return n, nil, true
 }
 
-// asReadError is an error as net.Conn.Read gives it: net/http knows a broken connection by that.
+// asReadError wraps an error as net.Conn.Read does, by which net/http recognizes a broken connection.
 func asReadError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) {
@@ -213,13 +217,13 @@
 	return &net.OpError{Op: "read", Net: "tcp", Err: err}
 }
 
-// ResponseSent notes that the present request has its response. The goroutine that reads calls it.
+// ResponseSent records that the current request has its response. The goroutine that reads calls it.
 func (c *Conn) ResponseSent() {
 	c.awaitsNext = true
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.passable != 0 || c.endsAfterPass: // the next one came meanwhile
+	case c.passable != 0 || c.endsAfterPass: // the head of the next request has arrived meanwhile
 		c.phase = PhaseInFlight
 	case len(c.buffered) > 0:
 		c.phase = PhaseReadingHead
@@ -228,27 +232,28 @@
 	}
 }
 
-// Phase is how far the present request has come.
+// Phase returns the progress of the current request.
 func (c *Conn) Phase() Phase {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase
 }
 
-// HasUnreadRequest reports whether bytes of a next request wait in the system on a connection that is idle.
+// HasUnreadRequest reports whether an idle connection has unread bytes, or its peer has closed it.
 func (c *Conn) HasUnreadRequest() bool {
 	return c.Phase() == PhaseIdle && c.rawConn != nil && !socket.Quiet(c)
 }
 
-// RequestStarted is when the first byte of the present request came, or the connection for its first.
+// RequestStarted returns when the current request's first byte arrived, or a new connection was accepted.
 func (c *Conn) RequestStarted() time.Time { return time.Unix(0, c.requestStarted.Load()) }
 
-// SinceLastReceived is how long nothing has come.
+// SinceLastReceived returns how long ago the last bytes arrived, or the connection was accepted if none have.
 func (c *Conn) SinceLastReceived() time.Duration {
 	return time.Since(time.Unix(0, c.lastReceived.Load()))
 }
 
-// startRequestTimer is for the first bytes of a request on a kept connection, which net/http has awaited for longer.
+// startRequestTimer records the start of a request on a kept-alive connection, and replaces the longer idle
+// timeout of net/http with RequestReadTimeout.
 func (c *Conn) startRequestTimer() {
 	now := time.Now()
 	c.requestStarted.Store(now.UnixNano())
@@ -258,7 +263,7 @@
 	}
 }
 
-// readHead reads until a complete head is there and sets what may pass.
+// readHead reads until a complete head is buffered and sets how many bytes may be passed.
 func (c *Conn) readHead() error {
 	if c.hadRequest && len(c.buffered) > 0 {
 		c.startRequestTimer()
@@ -269,7 +274,7 @@
 			if done {
 				return err
 			}
-			checked = max(0, len(c.buffered)-len("\r\n\r")) // what may begin the end of the head
+			checked = max(0, len(c.buffered)-len("\r\n\r")) // the last bytes may be part of the head's end
 		}
 		if len(c.buffered) > UnmeteredBuffer && !c.chargeMemory() && c.CloseUnused(true) {
 			return io.EOF
@@ -285,8 +290,8 @@
 	}
 }
 
-// checkHead looks at what is buffered, of which so many bytes have been checked, and passes a head that is complete, too long
-// or malformed; done reports that it has.
+// checkHead checks the buffered bytes, except for the first checked ones, and passes a head that is complete,
+// too long or malformed; done reports whether it did.
 func (c *Conn) checkHead(checked int) (done bool, err error) {
 	for len(c.buffered) > 1 && c.buffered[0] == '\r' && c.buffered[1] == '\n' { // empty lines before a request
 		c.buffered, checked = c.buffered[2:], 0
@@ -303,7 +308,7 @@
 	return false, nil
 }
 
-// receiveMore reads into what is buffered, up to so many bytes there in all.
+// receiveMore appends received bytes to buffered, up to limit bytes in total.
 func (c *Conn) receiveMore(limit int) (n int, err error) {
 	c.buffered = slices.Grow(c.buffered, 1<<10)
 	n, err = c.receive(c.buffered[len(c.buffered):min(cap(c.buffered), limit)])
@@ -311,9 +316,10 @@
 	return n, err
 }
 
-// bufferPipelined reads on while a request waits for its response. Past a request's end net/http reads one byte, to notice a
-// client that goes; given the next request's first it would look no further. So it gets none until the response has been
-// sent (its read is then broken off by a deadline), or until more has come than is worth buffering.
+// bufferPipelined keeps reading while a request waits for its response. After the end of a request, net/http
+// reads one byte to detect that the client disconnects. If it got the first byte of the next request, it
+// would stop looking. So it gets none until the response has been sent, when net/http interrupts its read
+// with a deadline, or until MaxPipelinedBytes are buffered.
 func (c *Conn) bufferPipelined() error {
 	for len(c.buffered) < MaxPipelinedBytes {
 		if n, err := c.receiveMore(MaxPipelinedBytes); n == 0 && err != nil {
@@ -323,7 +329,7 @@
 	return nil
 }
 
-// chargeMemory reserves the memory of the longest head, once; false if there is none.
+// chargeMemory reserves the memory of the longest head, once; it returns false if there is not enough.
 func (c *Conn) chargeMemory() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -342,7 +348,7 @@
 	}
 }
 
-// passHead sets what may pass, unless the connection has begun to discard.
+// passHead calls setPassable with mu locked, unless the connection is already discarding.
 func (c *Conn) passHead(setPassable func()) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -354,7 +360,7 @@
 	return nil
 }
 
-// frameRequestLocked passes the head that ends at an index, and its body.
+// frameRequestLocked passes the head that ends at index end of buffered, and its body.
 func (c *Conn) frameRequestLocked(end int) {
 	c.hadRequest = true
 	length, chunked, err := framing.Parse(c.buffered[:end])
@@ -365,16 +371,17 @@
 		c.passable, c.endsAfterPass = -1, true
 	default:
 		c.passable = int64(end) + max(length, 0)
-		c.endsAfterPass = c.passable < 0 // so long that the sum does not fit
+		c.endsAfterPass = c.passable < 0 // the sum has overflowed
 	}
 }
 
-// passMalformedLocked passes MalformedHead in place of what has come.
+// passMalformedLocked passes MalformedHead in place of the buffered bytes.
 func (c *Conn) passMalformedLocked() {
 	c.buffered, c.passable, c.endsAfterPass = []byte(MalformedHead), int64(len(MalformedHead)), true
 }
 
-// hasBareLF reports whether a line ends without a CR. What stood before the first byte is unknown, so that one may be an LF.
+// hasBareLF reports whether a line ends without a CR. The byte before the first is unknown: that may be an
+// LF.
 func hasBareLF(b []byte) bool {
 	for i := 1; i < len(b); i++ {
 		if b[i] == '\n' && b[i-1] != '\r' {
@@ -384,7 +391,7 @@
 	return false
 }
 
-// SyscallConn is for package socket.
+// SyscallConn returns the raw connection of the socket, which package socket uses.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	if sc, ok := c.Conn.(syscall.Conn); ok {
 		return sc.SyscallConn()
--- a/internal/proxy/clientconn/conn_test.go
+++ b/internal/proxy/clientconn/conn_test.go
@@ -11,7 +11,7 @@
 const getRequest = "GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\nRequest-Class: look\r\nTenant: acme\r\n" +
 	"Request-Timeout-Ms: 9\r\n\r\n"
 
-// readConn reads from r; the rest of it is not used.
+// readConn is a connection whose Read reads from r. Its other methods are not used.
 type readConn struct {
 	net.Conn
 	r io.Reader
@@ -19,7 +19,7 @@
 
 func (c readConn) Read(p []byte) (int, error) { return c.r.Read(p) }
 
-// However the bytes arrive, requests of plain framing pass unchanged.
+// Checks that requests with unambiguous framing pass unchanged, however their bytes arrive.
 func TestPlainRequestsPassUnchanged(t *testing.T) {
 	text := getRequest + "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\n\r\na\nb\r\n\r\n" +
 		"POST /b HTTP/1.1\r\nHost: h\r\ncontent-length:0\r\n\r\n" +
@@ -31,13 +31,13 @@
 	} {
 		got, err := io.ReadAll(&Conn{Conn: readConn{r: r}})
 		if err != nil || string(got) != text {
-			t.Errorf("%s: %v, %q", name, err, got)
+			t.Errorf("%s: error %v, got %q, want the input unchanged", name, err, got)
 		}
 	}
 }
 
-// FuzzFraming: no input makes a connection panic, and what it passes is a prefix of the input, but for empty lines before a
-// head and MalformedHead in place of a bad one.
+// FuzzFraming checks that no input makes a connection panic, and that each line that it passes is part of the
+// input, except for MalformedHead in place of a bad head.
 func FuzzFraming(f *testing.F) {
 	f.Add(getRequest + getRequest)
 	f.Add("\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: 9223372036854775807\r\n\r\nx")
@@ -51,7 +51,7 @@
 		passed := strings.TrimSuffix(string(got), MalformedHead)
 		for _, part := range strings.Split(passed, "\r\n") {
 			if !strings.Contains(text, part) {
-				t.Errorf("%q was not in %q", part, text)
+				t.Errorf("passed %q, which is not in the input %q", part, text)
 			}
 		}
 	})
--- a/internal/proxy/clientconn/linger.go
+++ b/internal/proxy/clientconn/linger.go
@@ -11,17 +11,19 @@
 	"merlinpick/internal/proxy/socket"
 )
 
-// How a client's connection ends. A close over bytes that nobody has read resets the connection, and takes along what the
-// client has not received yet, such as the response just before. So the sending side is shut down first; what still comes is
-// read and discarded, never passed on, until the client has closed its side too or LingerTimeout is over; then the
-// descriptor is closed. A request that crosses the shutdown has no response: its client sends it once more.
+// How a client connection is closed: closing a socket with unread bytes resets the connection, and drops what
+// the client has not received yet, such as the last response. So the sending side is shut down first. What
+// still arrives is read and discarded, never passed on, until the client has closed its side too or
+// LingerTimeout is over; then the descriptor is closed. A request that the client sends while the shutdown is
+// on its way gets no response: the client sends it again.
 
-const maxLingerBytes = 1 << 20 // discarded of a peer that goes on sending
+const maxLingerBytes = 1 << 20 // bytes discarded, at most, of a peer that keeps sending
 
-// RejectionText is for a request that was cut short before it was complete. It was never forwarded and may come again.
+// RejectionText is the response to a request that was cut off before its head was complete. The request was
+// never forwarded, so the client may send it again.
 const RejectionText = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// LingeringConns are the connections that have been shut down and are not closed yet. Any goroutine may use it.
+// LingeringConns is the set of connections that are shut down and not closed yet. Any goroutine may use it.
 type LingeringConns struct {
 	mu    sync.Mutex
 	since map[*Conn]time.Time
@@ -42,14 +44,15 @@
 	delete(l.since, c)
 }
 
-// Count is how many there are.
+// Count returns the number of lingering connections.
 func (l *LingeringConns) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.since)
 }
 
-// CloseOldest closes the one that has lingered longest, if any has for MinLinger.
+// CloseOldest closes the connection that has lingered longest, if that is at least MinLinger, and reports
+// whether it closed one.
 func (l *LingeringConns) CloseOldest() bool {
 	l.mu.Lock()
 	var oldest *Conn
@@ -69,8 +72,9 @@
 	return true
 }
 
-// CloseUnused ends a connection that has no request on it, and with rejectPartial one whose head is not complete: that gets
-// RejectionText. False if a request has come, even one that is not read yet.
+// CloseUnused closes a connection that has no request on it. With rejectPartial it also closes one whose head
+// is incomplete, with RejectionText as the response. It returns false if a request has arrived, even one that
+// is not read yet, or if the connection is already discarding.
 func (c *Conn) CloseUnused(rejectPartial bool) bool {
 	c.mu.Lock()
 	switch {
@@ -89,8 +93,8 @@
 	return true
 }
 
-// writeRejectionLocked rejects a request that is not complete, in one write that does not wait: if there is no room for so
-// little, the client reads nothing.
+// writeRejectionLocked writes RejectionText with one write that does not block. If there is no room for so
+// few bytes, the client is not reading anyway.
 func (c *Conn) writeRejectionLocked() {
 	if c.rawConn != nil {
 		_ = c.rawConn.Write(func(fd uintptr) bool {
@@ -100,8 +104,8 @@
 	}
 }
 
-// startLingerLocked ends the sending side; from here on all that comes is discarded. False if that side cannot be ended by
-// itself, or the connection is closed.
+// startLingerLocked shuts down the sending side; all that arrives from then on is discarded. It returns false
+// if the sending side cannot be shut down on its own, or the connection is closed.
 func (c *Conn) startLingerLocked() bool {
 	if c.discarding {
 		return !c.closed
@@ -117,11 +121,12 @@
 	return true
 }
 
-// discardInput reads what still comes, beside whoever reads already, until the client or the read deadline ends it. It runs
-// in a goroutine of its own, which closes the connection.
+// discardInput reads and drops what still arrives, concurrently with any other reader, until the client
+// closes its side, the read deadline passes or maxLingerBytes have been read. Then it closes the connection.
+// It runs in a goroutine of its own.
 func (c *Conn) discardInput() {
 	defer c.CloseNow()
-	buf := make([]byte, 2<<10) // there may be many
+	buf := make([]byte, 2<<10) // small, since many connections may linger
 	for left := maxLingerBytes; left > 0; {
 		n, err := c.Conn.Read(buf)
 		if err != nil {
@@ -132,7 +137,7 @@
 	}
 }
 
-// CloseNow closes the descriptor and gives its slot back.
+// CloseNow closes the descriptor and releases its slot.
 func (c *Conn) CloseNow() {
 	c.mu.Lock()
 	first, phase := !c.closed, c.phase
@@ -147,7 +152,8 @@
 	}
 }
 
-// Close ends the connection as soon as its client has received what it was sent, or LingerTimeout later.
+// Close shuts the connection down. Its descriptor is closed once the client has received everything and
+// closed its side, or after LingerTimeout.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	if !c.discarding {
@@ -161,7 +167,7 @@
 	return nil
 }
 
-// CloseWrite lets net/http end a response in order before it closes on a peer that still sends.
+// CloseWrite lets net/http finish a response in order before it closes a connection whose peer still sends.
 func (c *Conn) CloseWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,7 +177,8 @@
 	return nil
 }
 
-// SetReadDeadline does nothing to a connection that lingers, which has a deadline of its own.
+// SetReadDeadline has no effect on a connection that is discarding, since a lingering one has its own
+// deadline.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,13 +194,14 @@
 	return c.SetReadDeadline(t)
 }
 
-// MarkInFlight notes that a request has been taken on the connection, by its ID.
+// MarkInFlight records the ID of the request that has been accepted on the connection.
 func (c *Conn) MarkInFlight(id string) { c.unanswered.Store(&id) }
 
-// MarkAnswered notes that the request has its response, or that nobody waits for one.
+// MarkAnswered records that the request has its response, or that nobody waits for one.
 func (c *Conn) MarkAnswered() { c.unanswered.Store(nil) }
 
-// AuditClose notes that the proxy closes the connection, and why. Under an unanswered request that breaks a rule.
+// AuditClose records that the proxy closes the connection, and why. If a request on it has no response, that
+// is recorded as a broken rule.
 func (c *Conn) AuditClose(reason audit.Event) {
 	recorder := c.listener.audit
 	if recorder == nil {
@@ -207,7 +215,7 @@
 	}
 }
 
-// auditClosed notes how the connection has ended.
+// auditClosed records how the connection was closed, and in which phase.
 func (c *Conn) auditClosed(phase Phase) {
 	if c.listener.audit == nil {
 		return
--- a/internal/proxy/clientconn/listener.go
+++ b/internal/proxy/clientconn/listener.go
@@ -12,16 +12,17 @@
 	"merlinpick/internal/proxy/audit"
 )
 
-// Listener accepts no more connections than there are slots. Those beyond wait in the kernel, and ListenerConfig.MakeRoom is
-// called again and again for as long as they must. Its Accept is called by net/http's one accepting goroutine.
+// Listener accepts no more connections than it has slots. Further connections wait in the kernel, and while
+// no slot is free ListenerConfig.MakeRoom is called repeatedly. Accept is called only by net/http's accepting
+// goroutine.
 type Listener struct {
 	net.Listener
 	makeRoom   func()
 	retrier    *listener.Retrier
-	audit      *audit.Recorder // nil in a test
-	Lingering  LingeringConns  // shut down and not closed yet
+	audit      *audit.Recorder // nil: closes are not counted
+	Lingering  LingeringConns  // connections that are shut down and not closed yet
 	headMemory *MemoryBudget
-	slotFreed  chan struct{} // holds a value after a slot was released
+	slotFreed  chan struct{} // has a value after a slot was released
 	closed     chan struct{}
 	closeOnce  sync.Once
 
@@ -29,25 +30,26 @@
 	used, max int // slots
 }
 
-// MakeRoomInterval is between two calls of ListenerConfig.MakeRoom.
+// MakeRoomInterval is the time between two calls of ListenerConfig.MakeRoom.
 const MakeRoomInterval = 20 * time.Millisecond
 
-// ListenerConfig is what a Listener starts with.
+// ListenerConfig holds what NewListener needs.
 type ListenerConfig struct {
-	MakeRoom   func()          // called while connections wait for a slot; it may close one
-	HeadMemory *MemoryBudget   // for heads beyond UnmeteredBuffer
+	MakeRoom   func()          // called while connections wait for a slot; it may close a connection
+	HeadMemory *MemoryBudget   // for heads longer than UnmeteredBuffer
 	Audit      *audit.Recorder // nil: closes are not counted
 	Logger     *slog.Logger
 }
 
-// NewListener wraps a listener. It has no slots before SetLimit.
+// NewListener wraps a listener. The result has no slots before SetLimit is called.
 func NewListener(l net.Listener, cfg ListenerConfig) *Listener {
 	return &Listener{Listener: l, makeRoom: cfg.MakeRoom, headMemory: cfg.HeadMemory, audit: cfg.Audit,
 		retrier: listener.NewRetrier(cfg.Logger), slotFreed: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// Accept takes a slot, which the connection gives back when its descriptor is closed. It fails only when the listener cannot
-// be used any more: a temporary error would end the server, and with it all requests in flight.
+// Accept waits for a slot and returns the next connection, which releases the slot when its descriptor is
+// closed. It fails only when the listener cannot be used any more: net/http would end the server on a
+// temporary error, and with it all requests in flight.
 func (l *Listener) Accept() (net.Conn, error) {
 	if !l.acquireSlot() {
 		return nil, net.ErrClosed
@@ -59,7 +61,7 @@
 			return newConn(c, l), nil
 		}
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			l.makeRoom() // an idle connection's descriptor
+			l.makeRoom() // frees the descriptor of a connection
 		}
 		if err := l.retrier.Failed(err, l.closed); err != nil {
 			l.releaseSlot()
@@ -68,7 +70,7 @@
 	}
 }
 
-// acquireSlot waits for a slot; false if the listener was closed first.
+// acquireSlot waits for a slot. It returns false if the listener is closed first.
 func (l *Listener) acquireSlot() bool {
 	if l.tryAcquireSlot() {
 		return true
@@ -99,7 +101,7 @@
 	return true
 }
 
-// IsFull reports whether connections may wait in the kernel since there is no slot for them.
+// IsFull reports whether no slot is free, so that connections may wait in the kernel.
 func (l *Listener) IsFull() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,14 +118,14 @@
 	}
 }
 
-// SetLimit sets how many slots there are. Connections that are open stay.
+// SetLimit sets the number of slots. Connections that are already open stay open.
 func (l *Listener) SetLimit(slots int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.max = slots
 }
 
-// Close ends the listener, and a call of Accept that waits for a slot.
+// Close closes the listener, and ends a call of Accept that waits for a slot.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/proxy/clientconn/memorybudget.go
+++ b/internal/proxy/clientconn/memorybudget.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// MemoryBudget bounds the bytes that are buffered for clients. It may be used from any goroutine.
+// MemoryBudget limits how many bytes are buffered for clients. Any goroutine may use it.
 type MemoryBudget struct {
 	mu        sync.Mutex
 	used, max int
 }
 
-// NewMemoryBudget returns a budget of so many bytes.
+// NewMemoryBudget returns a budget of the given number of bytes.
 func NewMemoryBudget(bytes int) *MemoryBudget { return &MemoryBudget{max: bytes} }
 
-// Reserve takes so many bytes; false if there are not as many left.
+// Reserve reserves bytes from the budget. It returns false, and reserves none, if fewer are left.
 func (b *MemoryBudget) Reserve(bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -22,21 +22,21 @@
 	return true
 }
 
-// Release gives back what was reserved.
+// Release returns reserved bytes to the budget.
 func (b *MemoryBudget) Release(bytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.used -= bytes
 }
 
-// SetMax changes the budget. What is reserved stays so, also beyond it.
+// SetMax sets the size of the budget. Reserved bytes stay reserved, even if they exceed it.
 func (b *MemoryBudget) SetMax(bytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.max = bytes
 }
 
-// Used is how many bytes are reserved.
+// Used returns how many bytes are reserved.
 func (b *MemoryBudget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/framing/framing.go
+++ b/internal/proxy/framing/framing.go
@@ -1,5 +1,5 @@
-// Package framing finds the end of an HTTP/1.1 message's body from its head, and rejects a head that two readers could take
-// in two ways (request smuggling). It reads nothing itself.
+// Package framing determines from the head of an HTTP/1.1 message where its body ends, and rejects a head
+// that two recipients could interpret in different ways (request smuggling). It does no I/O.
 package framing
 
 import (
@@ -8,13 +8,13 @@
 	"strconv"
 )
 
-// ErrAmbiguous means that two readers could see a message's end in two places.
+// ErrAmbiguous means that two recipients could find the end of a message in different places.
 var ErrAmbiguous = errors.New("ambiguous framing")
 
-// Parse returns the length in bytes of the body that follows a raw head, -1 without a Content-Length, and whether it is
-// chunked. It fails with ErrAmbiguous for what net/http would settle silently: a Transfer-Encoding beside a Content-Length,
-// a repeated Content-Length, a Transfer-Encoding in HTTP/1.0, folded lines, a bare CR or LF. Another reader could take a
-// part of such a body for a request of its own.
+// Parse returns the length in bytes of the body that follows a raw head, -1 without a Content-Length, and
+// whether it is chunked. It fails with ErrAmbiguous for what net/http would resolve silently: a
+// Transfer-Encoding beside a Content-Length, a repeated Content-Length, a Transfer-Encoding in HTTP/1.0,
+// folded lines, a bare CR or LF. Another recipient could take a part of such a body for a separate request.
 func Parse(head []byte) (length int64, chunked bool, err error) {
 	lines := bytes.Split(bytes.TrimSuffix(head, []byte("\r\n\r\n")), []byte("\r\n"))
 	length = -1
--- a/internal/proxy/proxytest/client.go
+++ b/internal/proxy/proxytest/client.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// SiteJSON are a proxy's settings with the classes look (idempotent), rate (with a key) and post (not idempotent).
+// SiteJSON holds a proxy's settings with the classes look (idempotent), rate (idempotent with a key) and post
+// (not idempotent).
 const SiteJSON = `{"contract":{"cold_us":1000000,"start_capacity":0.3},"failure_domains":["a"],"limits":{` +
 	`"dial_timeout_us":5000000,"idle_close_us":30000000,"max_retry_after_us":2000000,"retry_after":true,"try_limit":3},` +
 	`"membership_mode":"automatic","my_zone":0,"ordinal":0,"profiles":[` +
@@ -21,13 +22,13 @@
 	`{"give_up_us":8000000,"name":"post","objective_us":4000000,"repeat":"at_most_once","worth":1}],` +
 	`"siblings":1,"stage":0,"tenants":[{"name":"acme","portion":1,"quota_per_s":1000}],"weights":"off"}`
 
-// Client is one connection of a client.
+// Client is a client with one connection.
 type Client struct {
 	net.Conn
-	R *bufio.Reader
+	R *bufio.Reader // reads from Conn
 }
 
-// Send writes a text.
+// Send writes a text to the connection.
 func (c *Client) Send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -49,33 +50,34 @@
 	return resp, string(body)
 }
 
-// LookRequest is a request of class look with a timeout in milliseconds.
+// LookRequest returns a request of class look with a Request-Timeout-Ms of ms milliseconds.
 func LookRequest(id string, ms int) string {
 	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: look\r\nTenant: acme\r\n"+
 		"Request-Timeout-Ms: %d\r\n\r\n", id, ms)
 }
 
-// PostRequest is the head of a request of class post, with a header that frames its body.
+// PostRequest returns the head of a request of class post, with framing as the header line that frames its
+// body.
 func PostRequest(id, framing string) string {
 	return "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: post\r\n" + framing + "\r\n\r\n"
 }
 
-// NewClient is a client on a connection that is open.
+// NewClient returns a client on an open connection.
 func NewClient(c net.Conn) *Client { return &Client{Conn: c, R: bufio.NewReader(c)} }
 
-// TCP is the connection's socket.
+// TCP returns the client's TCP connection.
 func (c *Client) TCP() *net.TCPConn { return c.Conn.(*net.TCPConn) }
 
-// Fin closes the connection in order.
+// Fin closes the connection in order, with a FIN.
 func (c *Client) Fin() { c.Close() }
 
-// CloseWrite ends the sending.
+// CloseWrite shuts down the sending side of the connection.
 func (c *Client) CloseWrite() { _ = c.TCP().CloseWrite() }
 
 // Reset closes the connection with a reset.
 func (c *Client) Reset() { _ = c.TCP().SetLinger(0); c.Close() }
 
-// Connect opens a client's connection to an address. It ends with the test.
+// Connect returns a client with a new connection to an address, which is closed when the test ends.
 func Connect(t *testing.T, address string) *Client {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -89,8 +91,8 @@
 
 var dateLine = regexp.MustCompile(`Date: [^\r]* GMT`)
 
-// RawExchange sends a text on a connection of its own and returns all bytes up to its end, or up to a response's, with D for
-// the date.
+// RawExchange sends a text on a new connection and returns the bytes of the response, and of all that follows
+// if the response closes the connection. The value of a Date header is replaced with D.
 func RawExchange(t *testing.T, addr, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
--- a/internal/proxy/proxytest/proxytest.go
+++ b/internal/proxy/proxytest/proxytest.go
@@ -1,4 +1,5 @@
-// Package proxytest has what the tests of the proxy's packages share: a backend on a loopback socket, and waits that end.
+// Package proxytest has what the tests of the proxy's packages share: a client, a backend on a loopback
+// socket, and waits with a timeout.
 package proxytest
 
 import (
@@ -14,35 +15,37 @@
 	"merlinpick/internal/discovery"
 )
 
-// Timeout is for what must happen; it ends a test that hangs.
+// Timeout limits each wait for something that must happen, so that a test does not hang.
 const Timeout = 20 * time.Second
 
-// Receive returns what comes from a channel, and fails the test if nothing does within Timeout.
+// Receive returns the next value of a channel, and fails the test if there is none within Timeout. what names
+// the value in the failure message.
 func Receive[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(Timeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// Backend is a backend on a loopback socket.
+// Backend is an HTTP/1.1 server on a loopback socket, in the role of a backend.
 type Backend struct {
 	Addr     string
-	Requests atomic.Int32 // that have come complete
-	Conns    atomic.Int32
-	Closed   chan struct{} // one for each connection that has ended
+	Requests atomic.Int32  // requests received completely
+	Conns    atomic.Int32  // connections accepted
+	Closed   chan struct{} // has a value for each connection that has ended
 
-	Begun         chan struct{} // closed when the first head has come, if set
-	Body          io.Writer     // gets the bodies, if set
-	ResetsUploads bool          // the connection ends after a head and some of its body
+	Begun         chan struct{} // if set, closed when the first head has been received
+	Body          io.Writer     // if set, gets the bodies
+	ResetsUploads bool          // each connection is closed after a head and a part of its body
 }
 
-// StartBackend starts a backend that ends with the test. For the n-th request that has come complete, reply writes the
-// response to w, which is the connection, and returns whether that stays open.
+// StartBackend starts a backend that stops when the test ends. For the n-th request that is received
+// completely, reply writes the response to w, which is the connection, and returns whether the connection
+// stays open.
 func StartBackend(t *testing.T, reply func(w io.Writer, r *http.Request, n int) bool) *Backend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,7 +88,8 @@
 	return b
 }
 
-// RespondWith replies to each request with a text, and keeps the connection or closes it.
+// RespondWith returns a reply function for StartBackend that responds to each request with a text, and keeps
+// the connection open or closes it.
 func RespondWith(text string, keep bool) func(io.Writer, *http.Request, int) bool {
 	return func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, text)
@@ -96,14 +100,15 @@
 // OKResponse is a response with a body of two bytes.
 const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// NeverRespond replies nothing until the test ends.
+// NeverRespond returns a reply function for StartBackend that blocks until the test ends and sends no
+// response.
 func NeverRespond(t *testing.T) func(io.Writer, *http.Request, int) bool {
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
 	return func(io.Writer, *http.Request, int) bool { <-over; return false }
 }
 
-// Endpoint is an entry of an endpoint list, in zone a.
+// Endpoint returns an entry of an endpoint list, in zone a.
 func Endpoint(name, addr, status string) discovery.Endpoint {
 	return discovery.Endpoint{Name: name, Address: addr, Zone: "a", Status: status}
 }
@@ -113,12 +118,13 @@
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the condition did not hold within %v", Timeout)
+			t.Fatalf("the awaited condition did not hold within %v", Timeout)
 		}
 	}
 }
 
-// Reset has the close of a connection reach its peer as a reset. It returns false, for a reply to return.
+// Reset makes the close of a connection send a reset to its peer. It returns false, which a reply function
+// can return to close the connection.
 func Reset(w io.Writer) bool {
 	_ = w.(*net.TCPConn).SetLinger(0)
 	return false
--- a/internal/proxy/socket/socket.go
+++ b/internal/proxy/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket asks the operating system about TCP connections: whether the peer has closed one, and what waits to be
-// read. No call blocks, and none takes bytes from a connection.
+// Package socket queries the operating system about TCP connections: whether the peer has closed one, and
+// which bytes are unread. No call blocks, and none consumes bytes of a connection.
 package socket
 
 import (
@@ -9,17 +9,17 @@
 	"unsafe"
 )
 
-// Quiet reports whether a connection is open with nothing to read. An idle peer that has closed it, or has sent bytes that
-// nobody asked for, makes it false.
+// Quiet reports whether a connection is open and has nothing to read. It is false if the peer has closed an
+// idle connection or has sent unsolicited bytes on it.
 func Quiet(c net.Conn) bool {
 	open := false
 	_, err := peek(c, func(_ uintptr, _ int, err error) { open = errors.Is(err, syscall.EAGAIN) })
 	return err == nil && open
 }
 
-// PeerClosed reports whether the peer of a connection has closed it or has ended its sending, which looks the same from
-// here. It takes one system call, and two where bytes are unread. A connection without a socket, or whose system does
-// not tell, counts as open.
+// PeerClosed reports whether the peer of a connection has closed it or has shut down its sending side, which
+// cannot be told apart. It makes one system call, or two if bytes are unread. A connection whose socket is
+// not accessible counts as open.
 func PeerClosed(c net.Conn) bool {
 	closed := false
 	ok, err := peek(c, func(fd uintptr, n int, err error) {
@@ -34,11 +34,12 @@
 	return ok && (err != nil || closed)
 }
 
-// Unread is how many bytes of a connection wait in the system to be read; 0 if that is unknown.
+// Unread returns how many bytes are unread in the kernel's receive buffer of a connection; 0 if that is
+// unknown.
 func Unread(c net.Conn) int64 {
 	var n int32
 	_, _ = withDescriptor(c, func(fd uintptr) {
-		const fionread = 0x541b // FIONREAD, which package syscall does not name on Linux
+		const fionread = 0x541b // FIONREAD, which package syscall does not define on Linux
 		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, fd, fionread, uintptr(unsafe.Pointer(&n))); errno != 0 {
 			n = 0
 		}
@@ -46,7 +47,8 @@
 	return int64(n)
 }
 
-// Peek copies what waits to be read into a buffer and leaves it unread; 0 if there is nothing, or that is unknown.
+// Peek copies unread bytes into buf without consuming them and returns how many; 0 if there are none or that
+// is unknown.
 func Peek(c net.Conn, buf []byte) int {
 	n := 0
 	_, _ = withDescriptor(c, func(fd uintptr) {
@@ -55,16 +57,16 @@
 	return max(0, n)
 }
 
-// ResetOnClose makes a connection's close drop what the system has not delivered yet and reset the peer, in place of
-// an orderly end.
+// ResetOnClose makes a connection's close drop the bytes that the kernel has not delivered yet and send a
+// reset, in place of an orderly shutdown.
 func ResetOnClose(c net.Conn) {
 	if l, ok := c.(interface{ SetLinger(sec int) error }); ok {
 		_ = l.SetLinger(0)
 	}
 }
 
-// peek calls look with the result of a one-byte peek. ok is false if the connection has no socket; an error is one of
-// getting at the socket. In both cases look is not called.
+// peek calls look with the result of a one-byte peek. ok is false if the connection has no accessible socket;
+// err is non-nil if the socket could not be used. In both cases look is not called.
 func peek(c net.Conn, look func(fd uintptr, n int, err error)) (ok bool, err error) {
 	return withDescriptor(c, func(fd uintptr) {
 		var b [1]byte
@@ -73,9 +75,9 @@
 	})
 }
 
-// withDescriptor calls f with a connection's descriptor. ok is false if it has none; an error is one of getting at it. In
-// both cases f is not called. It uses Control, not Read: Read waits for any other reader, and net/http always has one on
-// a client's connection.
+// withDescriptor calls f with a connection's descriptor. ok is false if the connection has no accessible
+// descriptor; err is non-nil if the descriptor could not be used. In both cases f is not called. It uses
+// Control, not Read: Read waits for any other reader, and net/http always has one on a client connection.
 func withDescriptor(c net.Conn, f func(fd uintptr)) (ok bool, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -88,14 +90,15 @@
 	return true, raw.Control(f)
 }
 
-// Events of ppoll, which package syscall does not name.
+// Events of ppoll, which package syscall does not define.
 const (
 	pollErr   = 0x8
 	pollHup   = 0x10
-	pollRDHup = 0x2000 // Linux: the peer has ended its sending, whatever is still unread
+	pollRDHup = 0x2000 // Linux: the peer has shut down its sending side, even if bytes are unread
 )
 
-// hasHangup reports whether the peer's end stands behind bytes that nobody has read yet.
+// hasHangup reports whether the peer has closed a connection, or shut down its sending side, though bytes are
+// unread.
 func hasHangup(fd uintptr) bool {
 	p := struct {
 		fd              int32
