--- a/cmd/merlinpick-simadapter/events.go
+++ b/cmd/merlinpick-simadapter/events.go
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// setList stores an endpoint list under its number, which may be used again for another one.
+// setList stores an endpoint list under its number, in place of an earlier list with the same number.
 func (s *session) setList(l *endpointList) error {
 	if l.Number == nil || l.Endpoints == nil {
 		return invalid("ledger", "roster_id or elements is missing")
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// updateList hands a stored list to an instance, or the failure to get one.
+// updateList passes a stored list to an instance's balancer, or tells it that discovery failed to deliver a
+// list.
 func (s *session) updateList(u *listUpdate) error {
 	to, err := s.find("membership", u.Instance)
 	if err != nil {
--- a/cmd/merlinpick-simadapter/golden_test.go
+++ b/cmd/merlinpick-simadapter/golden_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// The recorded input of several instances (retries, rejections, timers, list updates, cancelled requests) has the same output,
-// byte for byte. Only the texts of log lines may differ; TestActionsOnTheWire tests the form of such a line.
+// Checks that a recorded input of several instances (retries, rejections, timers, list updates, cancelled
+// requests) still gives the recorded output, byte for byte. Only the texts of log lines may differ;
+// TestActionsOnTheWire checks the form of such a line.
 func TestGoldenTranscript(t *testing.T) {
 	input, err := os.ReadFile(filepath.Join("testdata", "transcript.in.jsonl"))
 	if err != nil {
@@ -23,10 +24,10 @@
 	got, want := mustRun(t, string(input)), strings.Split(strings.TrimSuffix(string(output), "\n"), "\n")
 	for i := range max(len(got), len(want)) {
 		if i >= len(got) || i >= len(want) {
-			t.Fatalf("%d lines, want %d", len(got), len(want))
+			t.Fatalf("the output has %d lines, want %d", len(got), len(want))
 		}
 		if g, w := words.ReplaceAllString(got[i], "$1$2"), words.ReplaceAllString(want[i], "$1$2"); g != w {
-			t.Fatalf("line %d: got %s, want %s", i+1, g, w)
+			t.Fatalf("output line %d: got %s, want %s", i+1, g, w)
 		}
 	}
 }
--- a/cmd/merlinpick-simadapter/host.go
+++ b/cmd/merlinpick-simadapter/host.go
@@ -6,13 +6,13 @@
 	"merlinpick/balancer"
 )
 
-// host writes one instance's actions. It implements balancer.Host.
+// host implements balancer.Host: it writes the actions of one instance as lines of output.
 type host struct {
 	instance string
 	out      *json.Encoder
 }
 
-// write encodes an action. A write error shows again when the batch is flushed.
+// write encodes an action. A write error is not lost: endBatch returns it.
 func (h *host) write(a action) { _ = h.out.Encode(a) }
 
 func (h *host) Send(id, server string, _, timeout int64) {
--- a/cmd/merlinpick-simadapter/main.go
+++ b/cmd/merlinpick-simadapter/main.go
@@ -1,6 +1,6 @@
-// Command merlinpick-simadapter runs many balancers on the simulator's wire: events on standard input, actions on standard
-// output, a JSON object a line. It maps the wire's names to those of package balancer (wire.go) and never decides anything
-// itself.
+// Command merlinpick-simadapter runs many balancers against the simulator's wire protocol: it reads events
+// from standard input and writes actions to standard output, as JSON objects of one line each. It maps the
+// wire's names to those of package balancer (wire.go) and makes no decisions itself.
 package main
 
 import (
--- a/cmd/merlinpick-simadapter/session.go
+++ b/cmd/merlinpick-simadapter/session.go
@@ -13,10 +13,10 @@
 
 const (
 	readBuffer = 1 << 20 // bytes; longer lines are read in parts
-	maxLists   = 16      // the wire's numbers of endpoint lists are below this
+	maxLists   = 16      // the numbers of endpoint lists are 0 to maxLists-1
 )
 
-// inputError is a line of input that cannot be processed.
+// inputError is the error of a line of input that cannot be processed.
 type inputError struct {
 	line int // from 1
 	err  error
@@ -25,7 +25,7 @@
 func (e *inputError) Error() string { return fmt.Sprintf("line %d: %v", e.line, e.err) }
 func (e *inputError) Unwrap() error { return e.err }
 
-// eventError is an event with an invalid field.
+// eventError is the error of an event with an invalid field.
 type eventError struct {
 	event string // its name on the wire
 	err   error
@@ -34,23 +34,24 @@
 func (e *eventError) Error() string { return e.event + ": " + e.err.Error() }
 func (e *eventError) Unwrap() error { return e.err }
 
+// invalid returns an *eventError with a formatted description.
 func invalid(event, format string, args ...any) error {
 	return &eventError{event, fmt.Errorf(format, args...)}
 }
 
-// instance is one proxy's balancer with the host that writes its actions.
+// instance is the balancer of one simulated proxy, with the host that writes its actions.
 type instance struct {
 	balancer *balancer.Balancer
 	host     *host
 }
 
-// session processes the batches of one process.
+// session is the state of one run of the adapter: its instances and endpoint lists.
 type session struct {
-	now       int64 // time of the batch in µs
+	now       int64 // simulated time of the batch in µs
 	inBatch   bool
-	instances map[string]*instance
+	instances map[string]*instance // by name
 	lists     [maxLists][]balancer.Server
-	listGiven [maxLists]bool
+	listGiven [maxLists]bool // whether an event has set the list
 	out       *bufio.Writer
 	encoder   *json.Encoder // to out
 }
@@ -80,7 +81,7 @@
 	}
 }
 
-// readLine returns the next line of any length. It is valid until the next call.
+// readLine returns the next line, of any length, which is valid until the next call.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
@@ -98,7 +99,7 @@
 		return fmt.Errorf("not an event: %w", err)
 	}
 	if e.BatchStart == nil && !s.inBatch {
-		return errors.New("an event before the batch's mark")
+		return errors.New("event outside a batch: a mark has to come first")
 	}
 	switch {
 	case e.BatchStart != nil:
@@ -133,7 +134,7 @@
 	return fmt.Errorf("unknown event: %.80s", bytes.TrimSpace(line))
 }
 
-// startBatch sets the time of the events that follow.
+// startBatch starts a batch and sets the time of its events.
 func (s *session) startBatch(b *batchStart) error {
 	if b.Time == nil {
 		return invalid("mark", "time_us is missing")
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// endBatch completes the actions of a batch and writes them.
+// endBatch ends a batch: it adds the done action and flushes the actions of the batch.
 func (s *session) endBatch() error {
 	s.inBatch = false
 	if err := s.encoder.Encode(action{Done: &struct{}{}}); err != nil {
--- a/cmd/merlinpick-simadapter/session_test.go
+++ b/cmd/merlinpick-simadapter/session_test.go
@@ -17,10 +17,12 @@
 	`"objective_us":500000,"repeat":"deduplicated","worth":1.0}],"siblings":3,"stage":0,"tenants":[],"tiers":["t"],` +
 	`"weights":"rough"}`
 
+// instanceLine returns an event that starts an instance with testOptions.
 func instanceLine(who string) string {
 	return fmt.Sprintf(`{"new_instance":{"who":%q,"salt":7,"options":%s}}`, who, testOptions)
 }
 
+// listLine returns an event that sets an endpoint list of ready servers.
 func listLine(id int, servers ...string) string {
 	var e []string
 	for _, s := range servers {
@@ -29,16 +31,18 @@
 	return fmt.Sprintf(`{"ledger":{"roster_id":%d,"elements":[%s]}}`, id, strings.Join(e, ","))
 }
 
+// batch returns the lines of a batch with the given events at a time in µs.
 func batch(now int, lines ...string) string {
 	return fmt.Sprintf("{\"mark\":{\"time_us\":%d}}\n%s\n{\"your_turn\":{}}\n", now, strings.Join(lines, "\n"))
 }
 
+// requestLine returns an event for a request, by its ID, at an instance.
 func requestLine(who, ticket string) string {
 	return fmt.Sprintf(`{"job_in":{"who":%q,"ticket":%q,"band":0,"owner":0,"affinity":null,`+
 		`"give_up_at_us":9000000,"weight_hint_us":null,"opts":0}}`, who, ticket)
 }
 
-// run processes the input and returns the lines of output.
+// run processes the input and returns the lines of output, and the error of serve.
 func run(t *testing.T, input string) ([]string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -46,6 +50,7 @@
 	return strings.Split(strings.TrimSuffix(out.String(), "\n"), "\n"), err
 }
 
+// mustRun is run for an input that has to be valid.
 func mustRun(t *testing.T, input string) []string {
 	t.Helper()
 	lines, err := run(t, input)
@@ -55,16 +60,18 @@
 	return lines
 }
 
+// Checks that an empty batch is answered with done alone, and that the input may end between batches.
 func TestEmptyBatchesAndEndOfInput(t *testing.T) {
 	got := mustRun(t, batch(5)+batch(6))
 	if want := []string{`{"done":{}}`, `{"done":{}}`}; !slices.Equal(got, want) {
-		t.Errorf("got %q", got)
+		t.Errorf("two empty batches: got output %q, want one done action for each", got)
 	}
 	if lines := mustRun(t, ""); len(lines) != 1 || lines[0] != "" {
-		t.Errorf("no input gave %q", lines)
+		t.Errorf("empty input: got output %q, want none", lines)
 	}
 }
 
+// Checks that a request is sent to a server of the list, and fails once the attempt has timed out.
 func TestRequestFromListToFailure(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), listLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`)+
@@ -75,11 +82,12 @@
 		`{"place":{"who":"proxy_1","ticket":"00ff","timeout_us":500000,"backend":"backend-x"}}`, `{"done":{}}`,
 		`{"report_failure":{"who":"proxy_1","ticket":"00ff"}}`, `{"done":{}}`}
 	if !slices.Equal(got, want) {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("got output\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
 
-// The number of a list is used again within a batch: each update has the list as it was at that event.
+// Checks that the number of a list can be reused within a batch: each update gets the list that had the
+// number at that event.
 func TestListNumberReusedWithinBatch(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), instanceLine("proxy_2"),
 		listLine(3, "backend-one"), `{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":3}}`,
@@ -88,10 +96,12 @@
 	all := strings.Join(got, "\n")
 	if !strings.Contains(all, `"ticket":"aa","timeout_us":500000,"backend":"backend-one"`) ||
 		!strings.Contains(all, `"ticket":"bb","timeout_us":500000,"backend":"backend-two"`) {
-		t.Errorf("got\n%s", all)
+		t.Errorf("want aa sent to backend-one and bb to backend-two, got output\n%s", all)
 	}
 }
 
+// Checks that an instance that is restarted within a batch has no list, and ignores events for unknown
+// requests and timers.
 func TestRestartWithinBatchForgetsList(t *testing.T) {
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), listLine(0, "backend-x"),
 		`{"membership":{"who":"proxy_1","how":2,"seq_no":1,"roster_id":0}}`,
@@ -102,25 +112,27 @@
 		`{"message":{"who":"proxy_1","src_peer":2,"payload":"aGk="}}`,
 		`{"established":{"who":"proxy_1","ticket":"never","go":0,"backend":"backend-x","took_us":5}}`))
 	if len(got) != 2 || !strings.Contains(got[0], `"overload_reply":{"who":"proxy_1","ticket":"aa"`) {
-		t.Errorf("got %q", got)
+		t.Errorf("got output %q, want a rejection of aa and done", got)
 	}
 }
 
+// Checks that a line longer than the read buffer is processed.
 func TestVeryLongLine(t *testing.T) {
 	var names []string
 	for i := range 20_000 {
 		names = append(names, fmt.Sprintf("backend-%d", i))
 	}
 	if line := listLine(0, names...); len(line) < readBuffer {
-		t.Fatalf("the line has only %d bytes", len(line))
+		t.Fatalf("the line has only %d bytes, fewer than the read buffer", len(line))
 	}
 	got := mustRun(t, batch(1, instanceLine("proxy_1"), listLine(0, names...),
 		`{"membership":{"who":"proxy_1","how":1,"seq_no":1,"roster_id":0}}`, requestLine("proxy_1", "aa")))
 	if len(got) != 2 || !strings.Contains(got[0], `"place"`) {
-		t.Errorf("got %q", got)
+		t.Errorf("got output %q, want a place action and done", got)
 	}
 }
 
+// Checks that the error for invalid input names the line, the event and the field.
 func TestInvalidInputIsNamed(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{`nonsense`, "line 2: not an event"},
@@ -144,23 +156,25 @@
 	} {
 		_, err := run(t, batch(1, c.line))
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%.60s: error %v, want %q", c.line, err, c.want)
+			t.Errorf("input %.60s: got error %v, want one that begins with %q", c.line, err, c.want)
 		}
 	}
 	if _, err := run(t, instanceLine("p")); err == nil {
-		t.Error("an event before any mark is accepted")
+		t.Error("an event before any mark was accepted")
 	}
 	if _, err := run(t, `{"mark":{"time_us":1}}`); err == nil {
-		t.Error("an end inside a batch is accepted")
+		t.Error("the end of the input inside a batch was accepted")
 	}
 }
 
+// textEvent is a balancer.Event that consists of a text.
 type textEvent string
 
 func (e textEvent) String() string                               { return string(e) }
 func (e textEvent) Message() string                              { return string(e) }
 func (e textEvent) Attributes(func(zone int) string) []slog.Attr { return nil }
 
+// Checks the form of each action on the wire.
 func TestActionsOnTheWire(t *testing.T) {
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
@@ -180,11 +194,12 @@
 {"emit":{"who":"proxy_1","line":"share <1 \"low\""}}
 `
 	if out.String() != want {
-		t.Errorf("got\n%s", out.String())
+		t.Errorf("the actions differ from the wanted ones: got\n%s", out.String())
 	}
 }
 
-// Requests of a class with ordering are executed one at a time for each key.
+// Checks that a request's key reaches the balancer: requests of a class with ordering are sent one at a time
+// for each key.
 func TestOrderingKeyReachesBalancer(t *testing.T) {
 	ordered := strings.Replace(instanceLine("proxy_1"), `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
 	keyed := func(ticket string) string {
@@ -195,6 +210,6 @@
 		batch(2_000_000, keyed("aa"), keyed("bb")))
 	all := strings.Join(got, "\n")
 	if strings.Count(all, `"place"`) != 1 || !strings.Contains(all, `"nonce":"held bb"`) {
-		t.Errorf("got\n%s", all)
+		t.Errorf("want one place action and a timer for the waiting request bb, got output\n%s", all)
 	}
 }
--- a/cmd/merlinpick-simadapter/wire.go
+++ b/cmd/merlinpick-simadapter/wire.go
@@ -7,10 +7,11 @@
 	"merlinpick/balancer"
 )
 
-// The wire's messages. Their tags are the one place that maps the wire's names to the field's terms. Times and durations
-// are in µs; a time counts from the start of the simulation. Fields that are pointers are required.
+// The messages of the wire protocol. The wire's names stand only in the struct tags and in error messages.
+// Times and durations are in µs; a time counts from the start of the simulation. Fields that are pointers are
+// required, unless their comment says otherwise.
 
-// event is one line of input: an object with a single key.
+// event is one line of input: a JSON object with a single key.
 type event struct {
 	BatchStart      *batchStart   `json:"mark"`
 	BatchEnd        *struct{}     `json:"your_turn"`
@@ -24,7 +25,7 @@
 	ClientGone      *requestOnly  `json:"withdrawn"`
 	Timer           *timer        `json:"tick_due"`
 	HealthCheckDone *instanceOnly `json:"probe_done"` // ignored: the balancer sends no health checks
-	PeerMessage     *instanceOnly `json:"message"`    // ignored: nor messages to peers
+	PeerMessage     *instanceOnly `json:"message"`    // ignored: the balancer sends no messages to peers
 }
 
 type batchStart struct {
@@ -78,7 +79,7 @@
 type outcome struct {
 	Instance    *string `json:"who"`
 	RequestID   *string `json:"ticket"`
-	Attempt     *int    `json:"go"`      // from 0
+	Attempt     *int    `json:"go"`      // counts from 0
 	Status      *int    `json:"verdict"` // see statusByCode
 	Latency     int64   `json:"took_us"`
 	RequestDone bool    `json:"terminal"`
@@ -99,7 +100,7 @@
 	serverStates = [...]balancer.ServerState{balancer.ServerRemoved, balancer.ServerReady, balancer.ServerDraining}
 )
 
-// servers returns the list in the balancer's form.
+// servers converts the list to the balancer's servers.
 func (l *endpointList) servers() ([]balancer.Server, error) {
 	servers := make([]balancer.Server, 0, len(*l.Endpoints))
 	for i, e := range *l.Endpoints {
@@ -130,7 +131,7 @@
 	Done     *struct{}      `json:"done,omitempty"`
 }
 
-// The actions. Their fields are encoded in this order.
+// The actions. Their fields are encoded in the order in which they are declared.
 type (
 	sendAction struct {
 		Instance  string `json:"who"`
