--- a/cmd/merlinpick-simadapter/events.go
+++ b/cmd/merlinpick-simadapter/events.go
@@ -43,14 +43,14 @@
 	if err != nil {
 		return &eventError{"ledger", err}
 	}
-	s.lists[*l.Number], s.listGiven[*l.Number] = servers, true
+	s.lists[*l.Number], s.listSet[*l.Number] = servers, true
 	return nil
 }
 
 // updateList passes a stored list to an instance's balancer, or tells it that discovery failed to deliver a
 // list.
 func (s *session) updateList(u *listUpdate) error {
-	to, err := s.find("membership", u.Instance)
+	target, err := s.find("membership", u.Instance)
 	if err != nil {
 		return err
 	}
@@ -59,31 +59,31 @@
 	}
 	kind := updateKinds[*u.Kind]
 	if kind == balancer.UpdateFailed {
-		to.balancer.UpdateEndpoints(s.now, to.host, kind, nil)
+		target.balancer.UpdateEndpoints(s.now, target.host, kind, nil)
 		return nil
 	}
-	if u.List == nil || *u.List < 0 || *u.List >= maxLists || !s.listGiven[*u.List] {
+	if u.List == nil || *u.List < 0 || *u.List >= maxLists || !s.listSet[*u.List] {
 		return invalid("membership", "roster_id is missing or unknown")
 	}
-	to.balancer.UpdateEndpoints(s.now, to.host, kind, s.lists[*u.List])
+	target.balancer.UpdateEndpoints(s.now, target.host, kind, s.lists[*u.List])
 	return nil
 }
 
 func (s *session) handleRequest(r *request) error {
-	to, err := s.find("job_in", r.Instance)
+	target, err := s.find("job_in", r.Instance)
 	if err != nil {
 		return err
 	}
 	if r.ID == nil || r.Class == nil || r.Deadline == nil {
 		return invalid("job_in", "ticket, band or give_up_at_us is missing")
 	}
-	to.balancer.HandleRequest(s.now, to.host, balancer.Request{ID: *r.ID, Class: *r.Class, Tenant: r.Tenant, Key: r.Key,
-		Deadline: *r.Deadline})
+	target.balancer.HandleRequest(s.now, target.host, balancer.Request{ID: *r.ID, Class: *r.Class,
+		Tenant: r.Tenant, Key: r.Key, Deadline: *r.Deadline})
 	return nil
 }
 
 func (s *session) handleOutcome(o *outcome) error {
-	to, err := s.find("completed", o.Instance)
+	target, err := s.find("completed", o.Instance)
 	if err != nil {
 		return err
 	}
@@ -94,43 +94,43 @@
 	if !ok {
 		return invalid("completed", "unknown verdict %d", *o.Status)
 	}
-	to.balancer.HandleOutcome(s.now, to.host, balancer.Outcome{RequestID: *o.RequestID, Attempt: *o.Attempt, Status: status,
-		Latency: o.Latency, RequestDone: o.RequestDone})
+	target.balancer.HandleOutcome(s.now, target.host, balancer.Outcome{RequestID: *o.RequestID,
+		Attempt: *o.Attempt, Status: status, Latency: o.Latency, RequestDone: o.RequestDone})
 	return nil
 }
 
 func (s *session) handleClientGone(r *requestOnly) error {
-	to, err := s.find("withdrawn", r.Instance)
+	target, err := s.find("withdrawn", r.Instance)
 	if err != nil {
 		return err
 	}
 	if r.RequestID == nil {
 		return invalid("withdrawn", "ticket is missing")
 	}
-	to.balancer.HandleClientGone(s.now, to.host, *r.RequestID)
+	target.balancer.HandleClientGone(s.now, target.host, *r.RequestID)
 	return nil
 }
 
 func (s *session) handleResponseStarted(o *outcome) error {
-	to, err := s.find("established", o.Instance)
+	target, err := s.find("established", o.Instance)
 	if err != nil {
 		return err
 	}
 	if o.RequestID == nil {
 		return invalid("established", "ticket is missing")
 	}
-	to.balancer.HandleResponseStarted(s.now, *o.RequestID)
+	target.balancer.HandleResponseStarted(s.now, *o.RequestID)
 	return nil
 }
 
 func (s *session) handleTimer(t *timer) error {
-	to, err := s.find("tick_due", t.Instance)
+	target, err := s.find("tick_due", t.Instance)
 	if err != nil {
 		return err
 	}
 	if t.Token == nil {
 		return invalid("tick_due", "nonce is missing")
 	}
-	to.balancer.HandleTimer(s.now, to.host, *t.Token)
+	target.balancer.HandleTimer(s.now, target.host, *t.Token)
 	return nil
 }
--- a/cmd/merlinpick-simadapter/golden_test.go
+++ b/cmd/merlinpick-simadapter/golden_test.go
@@ -20,13 +20,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	words := regexp.MustCompile(`^(\{"emit":\{"who":"[^"]*","line":").*("\}\})$`)
+	logText := regexp.MustCompile(`^(\{"emit":\{"who":"[^"]*","line":").*("\}\})$`)
 	got, want := mustRun(t, string(input)), strings.Split(strings.TrimSuffix(string(output), "\n"), "\n")
 	for i := range max(len(got), len(want)) {
 		if i >= len(got) || i >= len(want) {
 			t.Fatalf("the output has %d lines, want %d", len(got), len(want))
 		}
-		if g, w := words.ReplaceAllString(got[i], "$1$2"), words.ReplaceAllString(want[i], "$1$2"); g != w {
+		if g, w := logText.ReplaceAllString(got[i], "$1$2"),
+			logText.ReplaceAllString(want[i], "$1$2"); g != w {
 			t.Fatalf("output line %d: got %s, want %s", i+1, g, w)
 		}
 	}
--- a/cmd/merlinpick-simadapter/session.go
+++ b/cmd/merlinpick-simadapter/session.go
@@ -51,7 +51,7 @@
 	inBatch   bool
 	instances map[string]*instance // by name
 	lists     [maxLists][]balancer.Server
-	listGiven [maxLists]bool // whether an event has set the list
+	listSet   [maxLists]bool // whether an event has set the list
 	out       *bufio.Writer
 	encoder   *json.Encoder // to out
 }
@@ -62,21 +62,21 @@
 	s := &session{instances: map[string]*instance{}, out: w, encoder: json.NewEncoder(w)}
 	s.encoder.SetEscapeHTML(false)
 	r := bufio.NewReaderSize(in, readBuffer)
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		line, readErr := readLine(r)
 		if len(bytes.TrimSpace(line)) > 0 {
 			if err := s.handleLine(line); err != nil {
-				return &inputError{number, err}
+				return &inputError{lineNumber, err}
 			}
 		}
 		if errors.Is(readErr, io.EOF) {
 			if s.inBatch {
-				return &inputError{number, errors.New("the input ends inside a batch")}
+				return &inputError{lineNumber, errors.New("the input ends inside a batch")}
 			}
 			return w.Flush()
 		}
 		if readErr != nil {
-			return &inputError{number, readErr}
+			return &inputError{lineNumber, readErr}
 		}
 	}
 }
--- a/internal/proxy/backendclosing_test.go
+++ b/internal/proxy/backendclosing_test.go
@@ -37,7 +37,7 @@
 				})
 				cl := connect(t, p)
 				cl.Send(t, proxytest.LookRequest("1", 1500))
-				resp, err := http.ReadResponse(cl.R, nil)
+				resp, err := http.ReadResponse(cl.Reader, nil)
 				if err != nil {
 					t.Fatalf("no answer: %v", err)
 				}
--- a/internal/proxy/clientconn/conn.go
+++ b/internal/proxy/clientconn/conn.go
@@ -36,11 +36,11 @@
 	rawConn  syscall.RawConn // nil if there is no descriptor
 	listener *Listener
 
-	buffered      []byte // read from the socket, not passed to net/http yet
-	passable      int64  // bytes that may be passed before the next head is checked; negative: no limit
-	endsAfterPass bool   // after the passable bytes, net/http reads EOF
-	hadRequest    bool   // a request's head has been passed
-	awaitsNext    bool   // net/http waits for the next request, with its longer idle timeout
+	buffered          []byte // read from the socket, not passed to net/http yet
+	passable          int64  // bytes that may be passed before the next head is checked; negative: no limit
+	eofAfterPass      bool   // after the passable bytes, net/http reads EOF
+	hadRequest        bool   // a request's head has been passed
+	awaitsNextRequest bool   // net/http waits for the next request, with its longer idle timeout
 
 	requestStarted atomic.Int64 // first byte of the current request, or the accept; Unix nanoseconds
 	lastReceived   atomic.Int64 // last bytes received, or the accept; Unix nanoseconds
@@ -102,25 +102,25 @@
 
 // newConn wraps a newly accepted connection.
 func newConn(c net.Conn, listener *Listener) *Conn {
-	f := &Conn{Conn: c, listener: listener}
+	conn := &Conn{Conn: c, listener: listener}
 	if sc, ok := c.(syscall.Conn); ok {
-		f.rawConn, _ = sc.SyscallConn()
+		conn.rawConn, _ = sc.SyscallConn()
 	}
 	now := time.Now().UnixNano()
-	f.requestStarted.Store(now)
-	f.lastReceived.Store(now)
-	return f
+	conn.requestStarted.Store(now)
+	conn.lastReceived.Store(now)
+	return conn
 }
 
 // Read returns the bytes that may be passed to net/http. A read of one byte while a request is in flight is
 // how net/http detects that the client disconnects: see bufferPipelined.
 func (c *Conn) Read(p []byte) (int, error) {
-	if len(p) == 1 && (c.passable == 0 && !c.endsAfterPass || c.passable < 0) && c.Phase() == PhaseInFlight {
+	if len(p) == 1 && (c.passable == 0 && !c.eofAfterPass || c.passable < 0) && c.Phase() == PhaseInFlight {
 		if err := c.bufferPipelined(); err != nil {
 			return 0, err
 		}
 	}
-	if c.passable == 0 && !c.endsAfterPass {
+	if c.passable == 0 && !c.eofAfterPass {
 		if err := c.readHead(); err != nil {
 			return 0, err
 		}
@@ -152,7 +152,7 @@
 // connection for idle. While the connection is discarding it drops them and returns EOF once a read fails.
 func (c *Conn) receive(p []byte) (n int, err error) {
 	for {
-		n, err, ok := c.readLocking(p)
+		n, err, ok := c.readAndLock(p)
 		if !ok {
 			return 0, err
 		}
@@ -176,10 +176,10 @@
 	}
 }
 
-// readLocking reads once and returns with mu locked. If there is a descriptor, mu is locked before the bytes
+// readAndLock reads once and returns with mu locked. If there is a descriptor, mu is locked before the bytes
 // leave the kernel's receive buffer. ok is false, and mu not locked, if there was no read because its
 // deadline has passed or the connection is closed.
-func (c *Conn) readLocking(p []byte) (n int, err error, ok bool) {
+func (c *Conn) readAndLock(p []byte) (n int, err error, ok bool) {
 	if c.rawConn == nil {
 		n, err = c.Conn.Read(p)
 		c.mu.Lock()
@@ -219,11 +219,11 @@
 
 // ResponseSent records that the current request has its response. The goroutine that reads calls it.
 func (c *Conn) ResponseSent() {
-	c.awaitsNext = true
+	c.awaitsNextRequest = true
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.passable != 0 || c.endsAfterPass: // the head of the next request has arrived meanwhile
+	case c.passable != 0 || c.eofAfterPass: // the head of the next request has arrived meanwhile
 		c.phase = PhaseInFlight
 	case len(c.buffered) > 0:
 		c.phase = PhaseReadingHead
@@ -241,7 +241,7 @@
 
 // HasUnreadRequest reports whether an idle connection has unread bytes, or its peer has closed it.
 func (c *Conn) HasUnreadRequest() bool {
-	return c.Phase() == PhaseIdle && c.rawConn != nil && !socket.Quiet(c)
+	return c.Phase() == PhaseIdle && c.rawConn != nil && !socket.IsIdle(c)
 }
 
 // RequestStarted returns when the current request's first byte arrived, or a new connection was accepted.
@@ -257,8 +257,8 @@
 func (c *Conn) startRequestTimer() {
 	now := time.Now()
 	c.requestStarted.Store(now.UnixNano())
-	if c.awaitsNext {
-		c.awaitsNext = false
+	if c.awaitsNextRequest {
+		c.awaitsNextRequest = false
 		_ = c.SetReadDeadline(now.Add(RequestReadTimeout))
 	}
 }
@@ -303,7 +303,7 @@
 	case hasBareLF(unchecked):
 		return true, c.passHead(c.passMalformedLocked)
 	case len(c.buffered) > MaxHeadBytes+headReadSlack: // net/http answers 431 and closes
-		return true, c.passHead(func() { c.passable, c.endsAfterPass = -1, true })
+		return true, c.passHead(func() { c.passable, c.eofAfterPass = -1, true })
 	}
 	return false, nil
 }
@@ -368,16 +368,16 @@
 	case err != nil:
 		c.passMalformedLocked()
 	case chunked:
-		c.passable, c.endsAfterPass = -1, true
+		c.passable, c.eofAfterPass = -1, true
 	default:
 		c.passable = int64(end) + max(length, 0)
-		c.endsAfterPass = c.passable < 0 // the sum has overflowed
+		c.eofAfterPass = c.passable < 0 // the sum has overflowed
 	}
 }
 
 // passMalformedLocked passes MalformedHead in place of the buffered bytes.
 func (c *Conn) passMalformedLocked() {
-	c.buffered, c.passable, c.endsAfterPass = []byte(MalformedHead), int64(len(MalformedHead)), true
+	c.buffered, c.passable, c.eofAfterPass = []byte(MalformedHead), int64(len(MalformedHead)), true
 }
 
 // hasBareLF reports whether a line ends without a CR. The byte before the first is unknown: that may be an
--- a/internal/proxy/clientconn/linger.go
+++ b/internal/proxy/clientconn/linger.go
@@ -78,7 +78,8 @@
 func (c *Conn) CloseUnused(rejectPartial bool) bool {
 	c.mu.Lock()
 	switch {
-	case c.discarding, c.phase == PhaseInFlight, c.phase == PhaseReadingHead && !rejectPartial, c.phase == PhaseIdle && c.rawConn != nil && !socket.Quiet(c.Conn):
+	case c.discarding, c.phase == PhaseInFlight, c.phase == PhaseReadingHead && !rejectPartial,
+		c.phase == PhaseIdle && c.rawConn != nil && !socket.IsIdle(c.Conn):
 		c.mu.Unlock()
 		return false
 	case c.phase == PhaseReadingHead:
--- a/internal/proxy/downstream/bodyend.go
+++ b/internal/proxy/downstream/bodyend.go
@@ -30,7 +30,7 @@
 var lastChunk = []byte("\r\n0\r\n\r\n")
 
 // bodyEndWatcher polls the kernel's receive buffer of a client connection for the end of a request body, in a
-// goroutine that end stops. It is owned by the goroutine of the client connection.
+// goroutine that stopAndWait stops. It is owned by the goroutine of the client connection.
 type bodyEndWatcher struct {
 	conn      net.Conn
 	remaining func() (n int64, known bool) // bytes of the body not read yet; known is false if it is chunked
@@ -40,7 +40,7 @@
 	goroutine sync.WaitGroup
 }
 
-// watchBodyEnd starts a watcher that polls for the end of a body until it is found or end is called.
+// watchBodyEnd starts a watcher that polls for the end of a body until it is found or stopAndWait is called.
 func watchBodyEnd(conn net.Conn, remaining func() (int64, bool), onEnd func(time.Time)) *bodyEndWatcher {
 	w := &bodyEndWatcher{conn: conn, remaining: remaining, onEnd: onEnd, stop: make(chan struct{})}
 	w.goroutine.Go(w.run)
@@ -58,22 +58,23 @@
 			return
 		}
 		remaining, known := w.remaining()
-		if known && socket.Unread(w.conn)+httpReaderBuffer >= remaining || !known && endsChunked(w.conn, &peeked) {
+		if known && socket.Unread(w.conn)+httpReaderBuffer >= remaining ||
+			!known && chunkedEndArrived(w.conn, &peeked) {
 			w.onEnd(time.Now())
 			return
 		}
 	}
 }
 
-// end stops the watcher and waits until its goroutine has ended.
-func (w *bodyEndWatcher) end() {
+// stopAndWait stops the watcher and waits until its goroutine has ended.
+func (w *bodyEndWatcher) stopAndWait() {
 	close(w.stop)
 	w.goroutine.Wait()
 }
 
-// endsChunked reports whether the unread bytes in the kernel's receive buffer contain the rest of a chunked
-// body up to its end. It allocates buf on first use.
-func endsChunked(c net.Conn, buf *[]byte) bool {
+// chunkedEndArrived reports whether the unread bytes in the kernel's receive buffer contain the rest of a
+// chunked body up to its end. It allocates buf on first use.
+func chunkedEndArrived(c net.Conn, buf *[]byte) bool {
 	waiting := socket.Unread(c)
 	if waiting < int64(len(lastChunk)) || waiting > maxPeekBytes {
 		return false
--- a/internal/proxy/downstream/closing_test.go
+++ b/internal/proxy/downstream/closing_test.go
@@ -97,7 +97,7 @@
 }
 
 // startHooked starts a Server with hooks, whose handler counts requests and answers each with body.
-func startHooked(t *testing.T, most int, body string) (f *Server, h *hooks, requests *atomic.Int32) {
+func startHooked(t *testing.T, maxConns int, body string) (srv *Server, h *hooks, requests *atomic.Int32) {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,42 +108,42 @@
 		t.Fatal(err)
 	}
 	h, requests = &hooks{}, &atomic.Int32{}
-	f = newTestServer(site, hookedListener{tcp.(*net.TCPListener), h}, &stubHandler{})
-	f.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	srv = newTestServer(site, hookedListener{tcp.(*net.TCPListener), h}, &stubHandler{})
+	srv.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
-		if at := h.request.Load(); at != nil {
-			(*at)()
+		if hook := h.request.Load(); hook != nil {
+			(*hook)()
 		}
-		f.writeResponse(w, Response{Status: 200, Body: []byte(body)})
+		srv.writeResponse(w, Response{Status: 200, Body: []byte(body)})
 	})
-	f.SetLimits(most, most, 0)
+	srv.SetLimits(maxConns, maxConns, 0)
 	ended := make(chan struct{})
-	go func() { defer close(ended); _ = f.Serve() }()
-	t.Cleanup(func() { f.server.Close(); proxytest.Receive(t, "end of the server", ended) })
-	return f, h, requests
+	go func() { defer close(ended); _ = srv.Serve() }()
+	t.Cleanup(func() { srv.server.Close(); proxytest.Receive(t, "end of the server", ended) })
+	return srv, h, requests
 }
 
 // connect returns a client with a new connection to a server.
-func connect(t *testing.T, f *Server) *proxytest.Client {
+func connect(t *testing.T, srv *Server) *proxytest.Client {
 	t.Helper()
-	return proxytest.Connect(t, f.Listener.Addr().String())
+	return proxytest.Connect(t, srv.Listener.Addr().String())
 }
 
-// once sets a hook. It runs each time until it is removed.
-func once[F any](at *atomic.Pointer[F], f F) { at.Store(&f) }
+// setHook sets a hook. It runs each time until it is removed.
+func setHook[F any](hook *atomic.Pointer[F], f F) { hook.Store(&f) }
 
 // keepAliveClient returns a client with an idle connection on which a request has been answered.
-func keepAliveClient(t *testing.T, f *Server) *proxytest.Client {
+func keepAliveClient(t *testing.T, srv *Server) *proxytest.Client {
 	t.Helper()
-	c := connect(t, f)
+	c := connect(t, srv)
 	c.Send(t, proxytest.LookRequest("1", 4000))
 	c.ReadResponse(t)
-	proxytest.WaitUntil(t, func() bool { return f.resting() == 1 })
+	proxytest.WaitUntil(t, func() bool { return srv.idleConns() == 1 })
 	return c
 }
 
-// resting returns how many connections wait for their next request.
-func (srv *Server) resting() (n int) {
+// idleConns returns how many connections wait for their next request.
+func (srv *Server) idleConns() (n int) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	for c, s := range srv.conns {
@@ -158,24 +158,24 @@
 // that there is nothing left to read.
 func TestConnectionReadingRequestIsNotClosed(t *testing.T) {
 	for name, end := range map[string]func(*Server){
-		"drain": func(f *Server) { f.closeIdle(0, 0, false) },
-		"shed": func(f *Server) {
-			f.mu.Lock()
-			for c, s := range f.conns { // idle for long enough to be evicted
+		"drain": func(srv *Server) { srv.closeIdle(0, 0, false) },
+		"shed": func(srv *Server) {
+			srv.mu.Lock()
+			for c, s := range srv.conns { // idle for long enough to be evicted
 				s.since = time.Now().Add(-time.Hour)
-				f.conns[c] = s
+				srv.conns[c] = s
 			}
-			f.mu.Unlock()
-			f.MakeRoom()
+			srv.mu.Unlock()
+			srv.MakeRoom()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, h, _ := startHooked(t, 4, "ok")
-			c := keepAliveClient(t, f)
-			once(&h.read, func() {
+			srv, h, _ := startHooked(t, 4, "ok")
+			c := keepAliveClient(t, srv)
+			setHook(&h.read, func() {
 				h.read.Store(nil)
 				done := make(chan struct{})
-				go func() { defer close(done); end(f) }()
+				go func() { defer close(done); end(srv) }()
 				select {
 				case <-done:
 				case <-time.After(200 * time.Millisecond): // it waits until the read is recorded
@@ -192,9 +192,9 @@
 // Guards against a request that arrives between the check of an idle connection and its close, and is then
 // read after the close and forwarded, or whose connection is reset.
 func TestRequestCrossingCloseIsNeverServed(t *testing.T) {
-	f, h, requests := startHooked(t, 4, "ok")
-	c := keepAliveClient(t, f)
-	once(&h.control, func(fd uintptr) {
+	srv, h, requests := startHooked(t, 4, "ok")
+	c := keepAliveClient(t, srv)
+	setHook(&h.control, func(fd uintptr) {
 		h.control.Store(nil)
 		c.Send(t, proxytest.LookRequest("2", 4000))
 		var b [1]byte
@@ -203,16 +203,17 @@
 			return n > 0 && err == nil || requests.Load() > 1
 		})
 	})
-	f.closeIdle(0, 0, false)
-	if rest, err := io.ReadAll(c.R); err != nil || len(rest) > 0 {
+	srv.closeIdle(0, 0, false)
+	if rest, err := io.ReadAll(c.Reader); err != nil || len(rest) > 0 {
 		t.Errorf("after the close the client read %q, error %v; want EOF", rest, err)
 	}
 	c.Close()
-	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 0 && f.Listener.Lingering.Count() == 0 })
+	proxytest.WaitUntil(t, func() bool { return srv.OpenConns() == 0 && srv.Listener.Lingering.Count() == 0 })
 	if n := requests.Load(); n != 1 {
 		t.Errorf("%d requests were served, want only the first", n)
 	}
-	if n := f.audit.Events()[string(audit.ClientBytesDiscarded)]; n != 1 { // the metrics show that it was never read
+	// The metrics show that the second request was never read.
+	if n := srv.audit.Events()[string(audit.ClientBytesDiscarded)]; n != 1 {
 		t.Errorf("%d connections were counted with bytes after their close, want 1", n)
 	}
 }
@@ -221,24 +222,24 @@
 // response.
 func TestResponseSurvivesPipelinedBytes(t *testing.T) {
 	large := strings.Repeat("x", 400<<10)
-	f, _, _ := startHooked(t, 4, large)
-	f.closing.Store(true)
+	srv, _, _ := startHooked(t, 4, large)
+	srv.closing.Store(true)
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		// With a small receive buffer, most of the response waits at the proxy.
 		return c.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
 	}}
-	conn, err := d.Dial("tcp", f.Listener.Addr().String())
+	conn, err := d.Dial("tcp", srv.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(proxytest.Timeout))
-	c := &proxytest.Client{Conn: conn, R: bufio.NewReaderSize(conn, 16)}
+	c := &proxytest.Client{Conn: conn, Reader: bufio.NewReaderSize(conn, 16)}
 	c.Send(t, strings.Repeat(proxytest.LookRequest("1", 4000), 100))
-	if _, err := c.R.Peek(1); err != nil {
+	if _, err := c.Reader.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 0 }) // the server has closed it
+	proxytest.WaitUntil(t, func() bool { return srv.OpenConns() == 0 }) // the server has closed it
 	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != large {
 		t.Errorf("got %s with a body of %d bytes, want a 200 with the whole body", resp.Status, len(body))
 	}
@@ -246,9 +247,9 @@
 
 // Checks that lingering connections, whose clients do not close them, keep no slot that another client needs.
 func TestLingeringConnectionsGiveWay(t *testing.T) {
-	f, h, _ := startHooked(t, 2, "ok")
+	srv, h, _ := startHooked(t, 2, "ok")
 	for range 8 {
-		c := connect(t, f)
+		c := connect(t, srv)
 		c.Send(t, "GET /no HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		start := time.Now()
 		c.ReadResponse(t)
@@ -265,30 +266,30 @@
 // head: the last bytes of the head may be on their way.
 func TestPartialRequestIsRejectedAtCutoff(t *testing.T) {
 	for _, open := range []func(*testing.T, *Server) *proxytest.Client{connect, keepAliveClient} {
-		f, _, requests := startHooked(t, 4, "ok")
-		c := open(t, f)
+		srv, _, requests := startHooked(t, 4, "ok")
+		c := open(t, srv)
 		text := proxytest.LookRequest("2", 4000)
 		c.Send(t, text[:len(text)/2])
 		proxytest.WaitUntil(t, func() bool {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			for c := range f.conns {
+			srv.mu.Lock()
+			defer srv.mu.Unlock()
+			for c := range srv.conns {
 				if c.(*clientconn.Conn).Phase() == clientconn.PhaseReadingHead {
 					return true
 				}
 			}
 			return false
 		})
-		came := requests.Load()
-		f.closeIdle(time.Hour, time.Hour, true)
+		servedBefore := requests.Load()
+		srv.closeIdle(time.Hour, time.Hour, true)
 		c.Send(t, text[len(text)/2:])
 		if resp, _ := c.ReadResponse(t); resp.StatusCode != 503 || !resp.Close {
 			t.Errorf("got %s, close %v; want a 503 with Connection: close", resp.Status, resp.Close)
 		}
-		if _, err := c.R.ReadByte(); err != io.EOF {
+		if _, err := c.Reader.ReadByte(); err != io.EOF {
 			t.Errorf("after the response the client read error %v, want EOF", err)
 		}
-		if requests.Load() != came {
+		if requests.Load() != servedBefore {
 			t.Error("the rejected request was served too")
 		}
 	}
--- a/internal/proxy/downstream/drain.go
+++ b/internal/proxy/downstream/drain.go
@@ -58,7 +58,7 @@
 	srv.closing.Store(true)
 	srv.acceptQueued(idleTimeout, cutoff, successorServing)
 	srv.Listener.Close()
-	srv.closeAsIdle(idleTimeout, start, cutoff)
+	srv.closeIdleUntilCutoff(idleTimeout, start, cutoff)
 	srv.flushResponses(cutoff)
 	srv.finishStreams(start)
 	srv.logger.Info("client connections drained", "duration", time.Since(start), "open", srv.OpenConns())
@@ -69,18 +69,18 @@
 // Slots become free as the open connections get Connection: close. It returns once two polls in a row found a
 // free slot, or when a successor serves or the cutoff is near.
 func (srv *Server) acceptQueued(idleTimeout time.Duration, cutoff time.Time, successorServing func() bool) {
-	for unfilled := 0; unfilled < 2 && !successorServing() && time.Until(cutoff) > cutoffMargin; unfilled++ {
+	for notFull := 0; notFull < 2 && !successorServing() && time.Until(cutoff) > cutoffMargin; notFull++ {
 		if srv.Listener.IsFull() {
-			unfilled = -1
+			notFull = -1
 		}
 		srv.closeIdle(idleTimeout, minDrainAcceptPeriod, false)
 		time.Sleep(drainPollInterval / 2)
 	}
 }
 
-// closeAsIdle closes connections as they become idle, until all are closed or the cutoff is reached. From
-// cutoffMargin before the cutoff, requests that are not complete are rejected.
-func (srv *Server) closeAsIdle(idleTimeout time.Duration, start, cutoff time.Time) {
+// closeIdleUntilCutoff closes connections as they become idle, until all are closed or the cutoff is reached.
+// From cutoffMargin before the cutoff, requests that are not complete are rejected.
+func (srv *Server) closeIdleUntilCutoff(idleTimeout time.Duration, start, cutoff time.Time) {
 	for srv.closeIdle(idleTimeout, minDrainAcceptPeriod, time.Until(cutoff) < cutoffMargin) > 0 && time.Now().Before(cutoff) {
 		time.Sleep(drainPollInterval)
 		if time.Since(start) > handoverKeepAlivePeriod {
--- a/internal/proxy/downstream/evict.go
+++ b/internal/proxy/downstream/evict.go
@@ -49,13 +49,13 @@
 		c.(*clientconn.Conn).ResponseSent()
 	}
 	srv.conns[c] = clientConnState{state: s, since: time.Now()}
-	if s == http.StateNew && srv.isShort(len(srv.conns)) {
+	if s == http.StateNew && srv.isConnShortage(len(srv.conns)) {
 		srv.makeRoomLocked()
 	}
 }
 
-// isShort reports whether so many open connections leave too few slots for others.
-func (srv *Server) isShort(open int) bool {
+// isConnShortage reports whether so many open connections leave too few slots for others.
+func (srv *Server) isConnShortage(open int) bool {
 	return float64(open) > shortageFraction*float64(srv.maxConns.Load())
 }
 
--- a/internal/proxy/downstream/evict_test.go
+++ b/internal/proxy/downstream/evict_test.go
@@ -11,21 +11,21 @@
 // Guards against the eviction of a new connection whose request waits in the kernel's receive buffer, not
 // read yet because the connection's goroutine has not run: it seems to have sent nothing.
 func TestNewConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
-	f, h, _ := startHooked(t, 4, "ok")
+	srv, h, _ := startHooked(t, 4, "ok")
 	gate := make(chan struct{})
-	once(&h.reading, func() { <-gate })
-	c := connect(t, f)
-	proxytest.WaitUntil(t, func() bool { return f.OpenConns() == 1 })
+	setHook(&h.reading, func() { <-gate })
+	c := connect(t, srv)
+	proxytest.WaitUntil(t, func() bool { return srv.OpenConns() == 1 })
 	c.Send(t, proxytest.LookRequest("1", 4000))
-	f.mu.Lock()
-	for conn := range f.conns {
+	srv.mu.Lock()
+	for conn := range srv.conns {
 		proxytest.WaitUntil(t, func() bool {
-			return conn.(*clientconn.Conn).SinceLastReceived() > 2*minNewSilence && !socket.Quiet(conn)
+			return conn.(*clientconn.Conn).SinceLastReceived() > 2*minNewSilence && !socket.IsIdle(conn)
 		})
 	}
-	f.mu.Unlock()
-	f.MakeRoom()
-	f.closeIdle(0, 0, true)
+	srv.mu.Unlock()
+	srv.MakeRoom()
+	srv.closeIdle(0, 0, true)
 	close(gate)
 	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
 		t.Errorf("got %s %q, want a 200 \"ok\"", resp.Status, body)
--- a/internal/proxy/downstream/forwardstream.go
+++ b/internal/proxy/downstream/forwardstream.go
@@ -21,8 +21,8 @@
 // response breaks off, so does the client's, in a way that the client can detect: it is shorter than its
 // Content-Length or lacks the last chunk.
 func forwardStream(w http.ResponseWriter, r *http.Request, s *upstream.Stream) {
-	unhook := context.AfterFunc(r.Context(), s.CancelAttempt) // if the client disconnects
-	defer unhook()
+	stopWatching := context.AfterFunc(r.Context(), s.CancelAttempt) // if the client disconnects
+	defer stopWatching()
 	err := copyStream(w, s)
 	s.Finish(err)
 	if err == nil {
--- a/internal/proxy/downstream/golden_test.go
+++ b/internal/proxy/downstream/golden_test.go
@@ -44,30 +44,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newTestServer(site, l, &stubHandler{})
-	f.SetLimits(100, 100, 0)
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { f.writeResponse(w, next) })}
+	srv := newTestServer(site, l, &stubHandler{})
+	srv.SetLimits(100, 100, 0)
+	s := &http.Server{Handler: http.HandlerFunc(
+		func(w http.ResponseWriter, _ *http.Request) { srv.writeResponse(w, next) })}
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { s.Close() })
 	body := &upload{}
-	faultOf := func(err error) Response {
+	responseTo := func(err error) Response {
 		rec := &headerOnly{h: http.Header{}}
 		return body.errorResponse(rec, err)
 	}
 	for _, c := range []struct {
-		name string
-		ans  Response
+		name     string
+		response Response
 	}{
 		{"rejected, come again", Response{Status: http.StatusServiceUnavailable, RetryAfter: 1_234_567}},
 		{"rejected without a time", Response{Status: http.StatusServiceUnavailable}},
 		{"failed with a time", Response{Status: http.StatusBadGateway, RetryAfter: 1_234_567}},
 		{"expired", Response{Status: http.StatusGatewayTimeout}},
-		{"draining", faultOf(errDraining)},
-		{"short of connections", faultOf(errConnShortage)},
-		{"short of memory", faultOf(errBodyMemory)},
-		{"another error", faultOf(errors.New("any"))},
+		{"draining", responseTo(errDraining)},
+		{"short of connections", responseTo(errConnShortage)},
+		{"short of memory", responseTo(errBodyMemory)},
+		{"another error", responseTo(errors.New("any"))},
 	} {
-		next = c.ans
+		next = c.response
 		show(c.name, proxytest.RawExchange(t, l.Addr().String(), "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 	}
 	if out.String() != want {
--- a/internal/proxy/downstream/listener_test.go
+++ b/internal/proxy/downstream/listener_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// passingAcceptErrors are the errors that accept(2) lists which concern one connection, or are temporary: the
-// next call may succeed.
-var passingAcceptErrors = []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EPROTO,
-	syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENONET,
-	syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR}
+// temporaryAcceptErrors are the errors that accept(2) lists which concern one connection, or are temporary:
+// the next call may succeed.
+var temporaryAcceptErrors = []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE,
+	syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
+	syscall.EHOSTDOWN, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP,
+	syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR}
 
 // Checks that a temporary error of accept neither ends the server nor delays the next client.
 func TestFailedAcceptEndsNothing(t *testing.T) {
-	for _, failure := range passingAcceptErrors {
+	for _, failure := range temporaryAcceptErrors {
 		t.Run(failure.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := startPiped(t, 4)
--- a/internal/proxy/downstream/parserequest.go
+++ b/internal/proxy/downstream/parserequest.go
@@ -27,39 +27,40 @@
 // parseRequest checks a request's head by the settings of the snapshot and builds the Request from it. If the
 // head is invalid, it returns the response that rejects the request, which is then not forwarded.
 func (v *settingsSnapshot) parseRequest(w http.ResponseWriter, r *http.Request) (*Request, Response) {
-	bad := func(status int, reason string) (*Request, Response) { return nil, errorResponse(status, reason) }
+	fail := func(status int, reason string) (*Request, Response) { return nil, errorResponse(status, reason) }
 	for _, name := range []string{"Request-Id", "Request-Class", timeoutHeader, "Idempotency-Key", "Tenant"} {
 		if len(r.Header[name]) > 1 {
-			return bad(http.StatusBadRequest, name+" is given twice")
+			return fail(http.StatusBadRequest, name+" is given twice")
 		}
 	}
 	name := r.Header.Get("Request-Class")
 	class, ok := v.classes[name]
 	if !ok {
-		return bad(http.StatusBadRequest, "unknown Request-Class")
+		return fail(http.StatusBadRequest, "unknown Request-Class")
 	}
-	part, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if part != name || !strings.HasPrefix(r.RequestURI, "/") {
-		return bad(http.StatusBadRequest, "the path does not begin with the class")
+	firstSegment, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	if firstSegment != name || !strings.HasPrefix(r.RequestURI, "/") {
+		return fail(http.StatusBadRequest, "the path does not begin with the class")
 	}
 	id := r.Header.Get("Request-Id")
 	if id == "" {
-		return bad(http.StatusBadRequest, "no Request-Id")
+		return fail(http.StatusBadRequest, "no Request-Id")
 	}
-	settings, method := v.balancer.Classes[class], http.MethodPost
-	if settings.Idempotency == balancer.Idempotent {
+	classSettings, method := v.balancer.Classes[class], http.MethodPost
+	if classSettings.Idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
 		w.Header().Set("Allow", method)
-		return bad(http.StatusMethodNotAllowed, "wrong method for the class")
+		return fail(http.StatusMethodNotAllowed, "wrong method for the class")
 	}
-	if keyed := r.Header.Get("Idempotency-Key") != ""; keyed != (settings.Idempotency == balancer.IdempotentWithKey) {
-		return bad(http.StatusBadRequest, "Idempotency-Key does not fit the class")
+	if hasKey := r.Header.Get("Idempotency-Key") != ""; hasKey !=
+		(classSettings.Idempotency == balancer.IdempotentWithKey) {
+		return fail(http.StatusBadRequest, "Idempotency-Key does not fit the class")
 	}
-	timeout, err := clientTimeout(r, settings)
+	timeout, err := clientTimeout(r, classSettings)
 	if err != nil {
-		return bad(http.StatusBadRequest, err.Error())
+		return fail(http.StatusBadRequest, err.Error())
 	}
 	tenant, ok := v.tenants[r.Header.Get("Tenant")]
 	if !ok {
@@ -70,7 +71,7 @@
 			Timeout: max(1, timeout.Microseconds()), Settings: v.balancer},
 		ClassName: name,
 		Outbound: upstream.Request{ID: id, Method: method, URI: r.RequestURI, Host: r.Host, Header: forwardedHeader(r.Header),
-			Timeout: timeout, NonIdempotent: settings.Idempotency == balancer.NonIdempotent},
+			Timeout: timeout, NonIdempotent: classSettings.Idempotency == balancer.NonIdempotent},
 		responses: make(chan Response, 1),
 	}
 	req.Outbound.ClientGone = req.IsClientGone
@@ -82,8 +83,8 @@
 // the margin. It is 0 if the client states less than 1 ms. A value that is not a number is an error.
 func clientTimeout(r *http.Request, class balancer.Class) (time.Duration, error) {
 	timeout := time.Duration(class.Deadline) * time.Microsecond
-	if stated := r.Header[timeoutHeader]; len(stated) > 0 {
-		millis, err := strconv.ParseFloat(stated[0], 64) // ±Inf if out of range
+	if values := r.Header[timeoutHeader]; len(values) > 0 {
+		millis, err := strconv.ParseFloat(values[0], 64) // ±Inf if out of range
 		if err != nil && !errors.Is(err, strconv.ErrRange) || math.IsNaN(millis) {
 			return 0, errMalformedTimeout
 		}
--- a/internal/proxy/downstream/receivebody.go
+++ b/internal/proxy/downstream/receivebody.go
@@ -52,14 +52,14 @@
 	from, to := io.Pipe()
 	req.Outbound.BodyRemainder, req.Outbound.ContentLength, req.BodyPending = from, u.contentLength, true
 	req.stopUpload = func() { u.stop(errRequestEnded); from.CloseWithError(errRequestEnded) }
-	unhook := context.AfterFunc(srv.handler.Stopped(), req.stopUpload)
-	defer unhook()
+	stopWatching := context.AfterFunc(srv.handler.Stopped(), req.stopUpload)
+	defer stopWatching()
 	srv.dispatch(req)
 	watcher := watchBodyEnd(u.conn, u.remaining, func(arrived time.Time) {
 		srv.handler.HandleBodyEndSeen(req, arrived)
 	})
 	err := u.forwardTo(to)
-	watcher.end()
+	watcher.stopAndWait()
 	if err == nil && u.markComplete() {
 		finish, deadline := srv.startInFlight(w, r, req), clientDeadline(req)
 		srv.handler.HandleBodyRead(req, deadline)
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -99,14 +99,14 @@
 		Audit: cfg.Audit, Logger: cfg.Logger})
 	srv.server = &http.Server{
 		Handler: srv, ReadHeaderTimeout: clientconn.RequestReadTimeout, IdleTimeout: keepAliveTimeout,
-		MaxHeaderBytes: clientconn.MaxHeadBytes, ConnState: srv.trackConn, ErrorLog: debugLog(cfg.Logger),
+		MaxHeaderBytes: clientconn.MaxHeadBytes, ConnState: srv.trackConn, ErrorLog: debugLogger(cfg.Logger),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
 	return srv
 }
 
-// debugLog returns a logger that writes net/http's messages about misbehaving clients at debug level.
-func debugLog(logger *slog.Logger) *log.Logger {
+// debugLogger returns a logger that writes net/http's messages about misbehaving clients at debug level.
+func debugLogger(logger *slog.Logger) *log.Logger {
 	return slog.NewLogLogger(logger.Handler(), slog.LevelDebug)
 }
 
@@ -201,7 +201,7 @@
 		return
 	}
 	defer finish(0) // has no effect after finish(resp.Status) below
-	resp := srv.awaitAudited(req)
+	resp := srv.awaitAuditedResponse(req)
 	if resp.Status == 0 {
 		srv.audit.Count(audit.ClientConnNoResponse)
 		panic(http.ErrAbortHandler) // a return would answer 200
@@ -217,10 +217,11 @@
 	finish(resp.Status)
 }
 
-// awaitAudited returns a request's response. If the connection is closed before the response is there, the
-// audit records a broken rule, unless the client has gone. Later closes are not recorded: net/http makes them
-// when a write fails since the client has gone, or the client can tell that its response is incomplete.
-func (srv *Server) awaitAudited(req *Request) Response {
+// awaitAuditedResponse returns a request's response. If the connection is closed before the response is
+// there, the audit records a broken rule, unless the client has gone. Later closes are not recorded: net/http
+// makes them when a write fails since the client has gone, or the client can tell that its response is
+// incomplete.
+func (srv *Server) awaitAuditedResponse(req *Request) Response {
 	c, ok := req.clientConn.(*clientconn.Conn)
 	if !ok {
 		return srv.awaitResponse(req)
@@ -288,7 +289,7 @@
 // writeResponse writes a response, or only its head if the response is streamed.
 func (srv *Server) writeResponse(w http.ResponseWriter, resp Response) {
 	h := w.Header()
-	if srv.closing.Load() || srv.isShort(srv.OpenConns()) { // closing it frees a slot for another connection
+	if srv.closing.Load() || srv.isConnShortage(srv.OpenConns()) { // closing the connection frees its slot
 		h.Set("Connection", "close")
 	}
 	if resp.ContentType != "" {
--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -53,16 +53,16 @@
 // stubHandler is a Handler that gives no response. It sends the names of its calls to events, if that is set.
 type stubHandler struct{ events chan string }
 
-func (h *stubHandler) note(event string) {
+func (h *stubHandler) record(event string) {
 	if h.events != nil {
 		h.events <- event
 	}
 }
 
-func (h *stubHandler) HandleRequest(*Request)                { h.note("request") }
-func (h *stubHandler) HandleBodyEndSeen(*Request, time.Time) { h.note("body arrived") }
-func (h *stubHandler) HandleBodyRead(*Request, time.Time)    { h.note("body received") }
-func (h *stubHandler) HandleClientGone(*Request)             { h.note("client gone") }
+func (h *stubHandler) HandleRequest(*Request)                { h.record("request") }
+func (h *stubHandler) HandleBodyEndSeen(*Request, time.Time) { h.record("body arrived") }
+func (h *stubHandler) HandleBodyRead(*Request, time.Time)    { h.record("body received") }
+func (h *stubHandler) HandleClientGone(*Request)             { h.record("client gone") }
 func (h *stubHandler) Stopped() context.Context              { return context.Background() }
 
 // newTestServer returns a server that has an endpoint list and does not count requests.
@@ -73,30 +73,30 @@
 		RequestStarted: func(string) func(int) { return func(int) {} }, Audit: audit.New(nil), Logger: slog.New(slog.DiscardHandler)})
 }
 
-// pipedFrontend is a Server whose connections are pipes and whose handler gives no response.
-type pipedFrontend struct {
+// pipedServer is a Server whose connections are pipes and whose handler gives no response.
+type pipedServer struct {
 	*Server
 	pipes   *pipeListener
 	handler *stubHandler
 }
 
 // startPiped starts a Server in a synctest bubble. The test must call stop.
-func startPiped(t *testing.T, most int) *pipedFrontend {
+func startPiped(t *testing.T, maxConns int) *pipedServer {
 	t.Helper()
 	site, err := settings.Decode([]byte(proxytest.SiteJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
 	handler := &stubHandler{events: make(chan string, 256)}
-	p := &pipedFrontend{pipes: newPipeListener(), handler: handler}
+	p := &pipedServer{pipes: newPipeListener(), handler: handler}
 	p.Server = newTestServer(site, p.pipes, handler)
-	p.SetLimits(most, most, MaxRejectConns)
+	p.SetLimits(maxConns, maxConns, MaxRejectConns)
 	go func() { _ = p.Serve() }()
 	return p
 }
 
 // connect returns the client's end of a new connection, which is closed if the listener is.
-func (p *pipedFrontend) connect() net.Conn {
+func (p *pipedServer) connect() net.Conn {
 	near, far := net.Pipe()
 	select {
 	case p.pipes.conns <- far:
@@ -106,7 +106,7 @@
 	return near
 }
 
-func (p *pipedFrontend) stop() {
+func (p *pipedServer) stop() {
 	p.Listener.Close()
 	p.server.Close()
 	synctest.Wait()
@@ -232,10 +232,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const most = 4
-				p := startPiped(t, most)
+				const maxConns = 4
+				p := startPiped(t, maxConns)
 				defer p.stop()
-				for range most + MaxRejectConns {
+				for range maxConns + MaxRejectConns {
 					peer := p.connect()
 					defer peer.Close()
 					if _, err := io.WriteString(peer, text); err != nil {
@@ -261,7 +261,7 @@
 // Checks that a client that is slow but keeps sending is not evicted when connection slots are short, on a
 // new or a kept-alive connection, nor closed by a drain that begins meanwhile.
 func TestSlowClientSurvivesConnectionShortage(t *testing.T) {
-	for _, kept := range []bool{false, true} {
+	for _, keepAlive := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			p := startPiped(t, 8)
 			var others sync.WaitGroup
@@ -269,7 +269,7 @@
 			defer p.stop()
 			slow := p.connect()
 			defer slow.Close()
-			if kept {
+			if keepAlive {
 				others.Go(func() { _, _ = io.WriteString(slow, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n") })
 				resp, err := http.ReadResponse(bufio.NewReader(slow), nil)
 				if err != nil {
@@ -295,7 +295,7 @@
 			for i := 0; i < len(text); i += len(text)/20 + 1 { // 2 s for the head
 				if _, err := io.WriteString(slow, text[i:min(len(text), i+len(text)/20+1)]); err != nil {
 					t.Fatalf("kept-alive %v: the connection was closed after %d bytes of %d: %v",
-						kept, i, len(text), err)
+						keepAlive, i, len(text), err)
 				}
 				time.Sleep(100 * time.Millisecond)
 				if i > len(text)/2 {
@@ -306,7 +306,7 @@
 			select {
 			case <-p.handler.events: // the request is complete
 			default:
-				t.Errorf("kept-alive %v: the request did not reach the handler", kept)
+				t.Errorf("kept-alive %v: the request did not reach the handler", keepAlive)
 			}
 		})
 	}
--- a/internal/proxy/downstream/upload.go
+++ b/internal/proxy/downstream/upload.go
@@ -114,16 +114,16 @@
 
 // readDeadline returns the time by which the next byte must arrive.
 func (u *upload) readDeadline() time.Time {
-	start := u.startedAt.Add(clientconn.RequestReadTimeout)
-	stalled := u.lastReceived.Add(uploadStallTimeout)
-	if stalled.Before(start) {
-		stalled = start
+	graceEnd := u.startedAt.Add(clientconn.RequestReadTimeout)
+	stallDeadline := u.lastReceived.Add(uploadStallTimeout)
+	if stallDeadline.Before(graceEnd) {
+		stallDeadline = graceEnd
 	}
-	slow := start.Add(time.Duration(u.received.Load()) * time.Second / minUploadRate)
-	if slow.Before(stalled) {
-		return slow
+	rateDeadline := graceEnd.Add(time.Duration(u.received.Load()) * time.Second / minUploadRate)
+	if rateDeadline.Before(stallDeadline) {
+		return rateDeadline
 	}
-	return stalled
+	return stallDeadline
 }
 
 // armReadDeadline sets the deadline of the next read, or returns the reason why the body is not read any
--- a/internal/proxy/errorresponse_test.go
+++ b/internal/proxy/errorresponse_test.go
@@ -50,7 +50,7 @@
 			})
 			cl, began := connect(t, p), time.Now()
 			cl.Send(t, proxytest.LookRequest("1", 1000))
-			resp, err := http.ReadResponse(cl.R, nil)
+			resp, err := http.ReadResponse(cl.Reader, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -46,7 +46,7 @@
 			if resp.StatusCode < 400 || !resp.Close {
 				t.Errorf("got %s, close %v", resp.Status, resp.Close)
 			}
-			if rest, _ := io.ReadAll(c.R); len(rest) > 0 {
+			if rest, _ := io.ReadAll(c.Reader); len(rest) > 0 {
 				t.Errorf("then got %q", rest)
 			}
 			if n := b.Requests.Load() - came; n > 0 {
@@ -65,7 +65,7 @@
 	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
 		t.Errorf("got %s %q, close %v", resp.Status, body, resp.Close)
 	}
-	if rest, _ := io.ReadAll(c.R); len(rest) > 0 || b.Requests.Load() != 1 {
+	if rest, _ := io.ReadAll(c.Reader); len(rest) > 0 || b.Requests.Load() != 1 {
 		t.Errorf("then got %q after %d requests", rest, b.Requests.Load())
 	}
 }
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -91,7 +91,7 @@
 	}
 	proxytest.WaitUntil(t, func() bool { return p.frontend.IsClosing() })
 	for _, c := range []*proxytest.Client{idle, late} {
-		if _, err := c.R.ReadByte(); err == nil {
+		if _, err := c.Reader.ReadByte(); err == nil {
 			t.Error("an idle connection was not closed")
 		}
 	}
@@ -108,7 +108,7 @@
 	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
-	if _, err := unused.R.ReadByte(); err == nil {
+	if _, err := unused.Reader.ReadByte(); err == nil {
 		t.Error("an unused connection got an answer")
 	}
 }
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -33,7 +33,7 @@
 				c.Send(t, strings.Replace(text, "%d", fmt.Sprint(i), 1))
 				all = append(all, c)
 				go func() {
-					if resp, err := http.ReadResponse(c.R, nil); err == nil {
+					if resp, err := http.ReadResponse(c.Reader, nil); err == nil {
 						answers <- resp.StatusCode
 					}
 				}()
--- a/internal/proxy/notimeleft_test.go
+++ b/internal/proxy/notimeleft_test.go
@@ -19,7 +19,7 @@
 	cl := connect(t, p)
 	cl.Send(t, proxytest.LookRequest("1", 0))
 	_ = cl.SetReadDeadline(time.Now().Add(allowedDelay))
-	if _, err := http.ReadResponse(cl.R, nil); err != nil {
+	if _, err := http.ReadResponse(cl.Reader, nil); err != nil {
 		t.Errorf("no response within %v: %v", allowedDelay, err)
 	}
 }
@@ -50,7 +50,7 @@
 		cl := connect(t, p)
 		cl.Send(t, proxytest.LookRequest(fmt.Sprint("r", ms), ms))
 		_ = cl.SetReadDeadline(time.Now().Add(allowedDelay))
-		resp, err := http.ReadResponse(cl.R, nil)
+		resp, err := http.ReadResponse(cl.Reader, nil)
 		if err != nil {
 			t.Fatalf("%d ms: no response within %v: %v", ms, allowedDelay, err)
 		}
@@ -58,7 +58,7 @@
 			resp.StatusCode != http.StatusBadGateway {
 			t.Errorf("%d ms: got %s", ms, resp.Status)
 		}
-		if next, err := http.ReadResponse(cl.R, nil); err == nil {
+		if next, err := http.ReadResponse(cl.Reader, nil); err == nil {
 			t.Errorf("%d ms: a second response: %s", ms, next.Status)
 		}
 	}
--- a/internal/proxy/proxytest/client.go
+++ b/internal/proxy/proxytest/client.go
@@ -25,7 +25,7 @@
 // Client is a client with one connection.
 type Client struct {
 	net.Conn
-	R *bufio.Reader // reads from Conn
+	Reader *bufio.Reader // reads from Conn
 }
 
 // Send writes a text to the connection.
@@ -39,7 +39,7 @@
 // ReadResponse reads a response and its body.
 func (c *Client) ReadResponse(t *testing.T) (*http.Response, string) {
 	t.Helper()
-	resp, err := http.ReadResponse(c.R, nil)
+	resp, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,10 +50,10 @@
 	return resp, string(body)
 }
 
-// LookRequest returns a request of class look with a Request-Timeout-Ms of ms milliseconds.
-func LookRequest(id string, ms int) string {
+// LookRequest returns a request of class look with a Request-Timeout-Ms of timeoutMs.
+func LookRequest(id string, timeoutMs int) string {
 	return fmt.Sprintf("GET /look/k HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Class: look\r\nTenant: acme\r\n"+
-		"Request-Timeout-Ms: %d\r\n\r\n", id, ms)
+		"Request-Timeout-Ms: %d\r\n\r\n", id, timeoutMs)
 }
 
 // PostRequest returns the head of a request of class post, with framing as the header line that frames its
@@ -63,7 +63,7 @@
 }
 
 // NewClient returns a client on an open connection.
-func NewClient(c net.Conn) *Client { return &Client{Conn: c, R: bufio.NewReader(c)} }
+func NewClient(c net.Conn) *Client { return &Client{Conn: c, Reader: bufio.NewReader(c)} }
 
 // TCP returns the client's TCP connection.
 func (c *Client) TCP() *net.TCPConn { return c.Conn.(*net.TCPConn) }
--- a/internal/proxy/proxytest/proxytest.go
+++ b/internal/proxy/proxytest/proxytest.go
@@ -38,9 +38,9 @@
 	Conns    atomic.Int32  // connections accepted
 	Closed   chan struct{} // has a value for each connection that has ended
 
-	Begun         chan struct{} // if set, closed when the first head has been received
-	Body          io.Writer     // if set, gets the bodies
-	ResetsUploads bool          // each connection is closed after a head and a part of its body
+	FirstHeadReceived chan struct{} // if set, closed when the first head has been received
+	Body              io.Writer     // if set, gets the bodies
+	ResetsUploads     bool          // each connection is closed after a head and a part of its body
 }
 
 // StartBackend starts a backend that stops when the test ends. For the n-th request that is received
@@ -68,8 +68,8 @@
 					if err != nil {
 						return
 					}
-					if b.Begun != nil && b.Conns.Load() == 1 && b.Requests.Load() == 0 {
-						close(b.Begun)
+					if b.FirstHeadReceived != nil && b.Conns.Load() == 1 && b.Requests.Load() == 0 {
+						close(b.FirstHeadReceived)
 					}
 					if b.ResetsUploads {
 						_, _ = io.CopyN(io.Discard, req.Body, 100_000)
@@ -103,9 +103,9 @@
 // NeverRespond returns a reply function for StartBackend that blocks until the test ends and sends no
 // response.
 func NeverRespond(t *testing.T) func(io.Writer, *http.Request, int) bool {
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
-	return func(io.Writer, *http.Request, int) bool { <-over; return false }
+	testEnded := make(chan struct{})
+	t.Cleanup(func() { close(testEnded) })
+	return func(io.Writer, *http.Request, int) bool { <-testEnded; return false }
 }
 
 // Endpoint returns an entry of an endpoint list, in zone a.
@@ -114,9 +114,9 @@
 }
 
 // WaitUntil polls a condition, and fails the test if it does not hold within Timeout.
-func WaitUntil(t *testing.T, ok func() bool) {
+func WaitUntil(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Timeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("the awaited condition did not hold within %v", Timeout)
 		}
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -19,7 +19,7 @@
 		})
 		cl := connect(t, p)
 		cl.Send(t, strings.Replace(proxytest.LookRequest("1", 4000), "HTTP/1.1", version, 1))
-		resp, err := http.ReadResponse(cl.R, nil)
+		resp, err := http.ReadResponse(cl.Reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -50,7 +50,7 @@
 			})
 			cl := connect(t, p)
 			cl.Send(t, proxytest.LookRequest("1", 4000))
-			resp, err := http.ReadResponse(cl.R, nil)
+			resp, err := http.ReadResponse(cl.Reader, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -82,7 +82,7 @@
 	})
 	cl := connect(t, p)
 	cl.Send(t, proxytest.LookRequest("1", 4000))
-	resp, err := http.ReadResponse(cl.R, nil)
+	resp, err := http.ReadResponse(cl.Reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 		})
 		cl := connect(t, p)
 		cl.Send(t, proxytest.LookRequest("1", 4000))
-		resp, err := http.ReadResponse(cl.R, nil)
+		resp, err := http.ReadResponse(cl.Reader, nil)
 		if err != nil {
 			t.Errorf("after %q: no answer: %v", c.body, err)
 			continue
@@ -139,7 +139,7 @@
 			})
 			cl := connect(t, p)
 			cl.Send(t, proxytest.LookRequest("1", 4000))
-			resp, err := http.ReadResponse(cl.R, nil)
+			resp, err := http.ReadResponse(cl.Reader, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -206,7 +206,7 @@
 	}
 	cl := connect(t, p)
 	cl.Send(t, proxytest.LookRequest("1", 4000))
-	resp, err := http.ReadResponse(cl.R, nil)
+	resp, err := http.ReadResponse(cl.Reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/socket/socket.go
+++ b/internal/proxy/socket/socket.go
@@ -9,9 +9,9 @@
 	"unsafe"
 )
 
-// Quiet reports whether a connection is open and has nothing to read. It is false if the peer has closed an
+// IsIdle reports whether a connection is open and has nothing to read. It is false if the peer has closed an
 // idle connection or has sent unsolicited bytes on it.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	open := false
 	_, err := peek(c, func(_ uintptr, _ int, err error) { open = errors.Is(err, syscall.EAGAIN) })
 	return err == nil && open
@@ -65,13 +65,13 @@
 	}
 }
 
-// peek calls look with the result of a one-byte peek. ok is false if the connection has no accessible socket;
-// err is non-nil if the socket could not be used. In both cases look is not called.
-func peek(c net.Conn, look func(fd uintptr, n int, err error)) (ok bool, err error) {
+// peek calls inspect with the result of a one-byte peek. ok is false if the connection has no accessible
+// socket; err is non-nil if the socket could not be used. In both cases inspect is not called.
+func peek(c net.Conn, inspect func(fd uintptr, n int, err error)) (ok bool, err error) {
 	return withDescriptor(c, func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		look(fd, n, err)
+		inspect(fd, n, err)
 	})
 }
 
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -33,12 +33,12 @@
 			})
 			var got bytes.Buffer
 			b.Body = &got
-			b.Begun = make(chan struct{})
+			b.FirstHeadReceived = make(chan struct{})
 			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 			cl := connect(t, p)
 			cl.Send(t, proxytest.PostRequest("1", c.framing))
 			if strings.Contains(c.framing, "Expect") {
-				resp, err := http.ReadResponse(cl.R, nil)
+				resp, err := http.ReadResponse(cl.Reader, nil)
 				if err != nil || resp.StatusCode != http.StatusContinue {
 					t.Fatalf("got %v, %v", resp, err)
 				}
@@ -51,7 +51,8 @@
 				}
 			}
 			send(body[:downstream.MaxBufferedBody+1])
-			proxytest.Receive(t, "the head at the backend", b.Begun) // the rest follows only once this has come
+			// The rest of the body is sent only once the backend has received the head.
+			proxytest.Receive(t, "the head at the backend", b.FirstHeadReceived)
 			send(body[downstream.MaxBufferedBody+1 : size-1])
 			send(body[size-1:])
 			if c.chunked {
@@ -87,7 +88,7 @@
 	piece := strings.Repeat("x", 64<<10)
 	answered := make(chan int, 1)
 	go func() {
-		resp, err := http.ReadResponse(cl.R, nil)
+		resp, err := http.ReadResponse(cl.Reader, nil)
 		if err != nil {
 			answered <- 0
 			return
@@ -111,11 +112,11 @@
 // A client that goes in the middle of its body cancels the attempt, and the request is counted nowhere.
 func TestClientGoneDuringUploadLeavesNothing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
-	b.Begun = make(chan struct{})
+	b.FirstHeadReceived = make(chan struct{})
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	cl := connect(t, p)
 	cl.Send(t, proxytest.PostRequest("1", "Content-Length: 1000000")+strings.Repeat("x", downstream.MaxBufferedBody+1))
-	proxytest.Receive(t, "the head at the backend", b.Begun)
+	proxytest.Receive(t, "the head at the backend", b.FirstHeadReceived)
 	cl.Close()
 	proxytest.Receive(t, "the backend's connection", b.Closed)
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 0 })
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -27,7 +27,7 @@
 		proxytest.WaitUntil(t, func() bool { // the news has reached this end
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return !socket.Quiet(p.byName["a"].idleConns[0].Conn)
+			return !socket.IsIdle(p.byName["a"].idleConns[0].Conn)
 		})
 	}
 	if b.Requests.Load() != 3 || b.Conns.Load() != 3 {
--- a/internal/proxy/upstream/reuse.go
+++ b/internal/proxy/upstream/reuse.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		b.idleConns = slices.Delete(b.idleConns, i, i+1)
-		if c.idleFor < maxIdle && socket.Quiet(c.Conn) {
+		if c.idleFor < maxIdle && socket.IsIdle(c.Conn) {
 			return c
 		}
 		p.audit.Count(audit.BackendConnIdle)
@@ -69,7 +69,7 @@
 	case <-ctx.Done(): // nothing will be sent on it
 		return c
 	}
-	if c.idleFor = time.Since(c.idleSince); socket.Quiet(c.Conn) {
+	if c.idleFor = time.Since(c.idleSince); socket.IsIdle(c.Conn) {
 		return c
 	}
 	p.closeConn(c)
@@ -188,7 +188,7 @@
 	for _, b := range p.byName {
 		kept := b.idleConns[:0]
 		for _, c := range b.idleConns {
-			if now.Sub(c.idleSince) < p.idleTimeout && socket.Quiet(c.Conn) {
+			if now.Sub(c.idleSince) < p.idleTimeout && socket.IsIdle(c.Conn) {
 				kept = append(kept, c)
 			} else {
 				p.audit.Count(audit.BackendConnIdle)
