--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -151,7 +151,7 @@
 				go func() { _, _ = io.WriteString(peer, c.text) }()
 				text, after := readToEnd(peer)
 				if !strings.HasPrefix(text, c.want) || text != "" && c.want == "" || after > 3*time.Second {
-					t.Errorf("got response %q, closed after %v; want another one within 3 s", text, after)
+					t.Errorf("wrong response %q, or closed too late, after %v", text, after)
 				}
 				synctest.Wait()
 				if n := p.OpenConns(); n != 0 {
