--- a/internal/proxy/downstream/golden_test.go
+++ b/internal/proxy/downstream/golden_test.go
@@ -15,7 +15,8 @@
 	"merlinpick/internal/settings"
 )
 
-// The last part of the file was written by an earlier version. What clients read stays byte for byte the same.
+// Checks that the proxy's own responses stay the same, byte for byte, as in the last part of a file that an
+// earlier version wrote.
 func TestOwnResponsesAreGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "testdata", "answers.txt"))
 	if err != nil {
@@ -24,7 +25,7 @@
 	const mark = "== half a head at the end\n"
 	_, want, found := strings.Cut(string(text), mark)
 	if !found {
-		t.Fatalf("no %q in the file", mark)
+		t.Fatalf("answers.txt has no line %q", mark)
 	}
 	want = mark + want
 	var out strings.Builder
@@ -33,7 +34,7 @@
 	}
 	show("half a head at the end", clientconn.RejectionText)
 
-	// These take more to come about: by their responses alone.
+	// The situations of the following responses are hard to bring about, so only the responses are written.
 	var next Response
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,38 +44,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := newTestServer(site, l, &stubHandler{})
-	f.SetLimits(100, 100, 0)
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { f.writeResponse(w, next) })}
+	srv := newTestServer(site, l, &stubHandler{})
+	srv.SetLimits(100, 100, 0)
+	s := &http.Server{Handler: http.HandlerFunc(
+		func(w http.ResponseWriter, _ *http.Request) { srv.writeResponse(w, next) })}
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { s.Close() })
 	body := &upload{}
-	faultOf := func(err error) Response {
+	responseTo := func(err error) Response {
 		rec := &headerOnly{h: http.Header{}}
 		return body.errorResponse(rec, err)
 	}
 	for _, c := range []struct {
-		name string
-		ans  Response
+		name     string
+		response Response
 	}{
 		{"rejected, come again", Response{Status: http.StatusServiceUnavailable, RetryAfter: 1_234_567}},
 		{"rejected without a time", Response{Status: http.StatusServiceUnavailable}},
 		{"failed with a time", Response{Status: http.StatusBadGateway, RetryAfter: 1_234_567}},
 		{"expired", Response{Status: http.StatusGatewayTimeout}},
-		{"draining", faultOf(errDraining)},
-		{"short of connections", faultOf(errConnShortage)},
-		{"short of memory", faultOf(errBodyMemory)},
-		{"another error", faultOf(errors.New("any"))},
+		{"draining", responseTo(errDraining)},
+		{"short of connections", responseTo(errConnShortage)},
+		{"short of memory", responseTo(errBodyMemory)},
+		{"another error", responseTo(errors.New("any"))},
 	} {
-		next = c.ans
+		next = c.response
 		show(c.name, proxytest.RawExchange(t, l.Addr().String(), "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
 	}
 	if out.String() != want {
-		t.Errorf("got\n%s\nwant\n%s", out.String(), want)
+		t.Errorf("got responses\n%s\nwant\n%s", out.String(), want)
 	}
 }
 
-// headerOnly is a ResponseWriter for what sets headers.
+// headerOnly is a ResponseWriter that keeps the headers and drops the rest.
 type headerOnly struct{ h http.Header }
 
 func (w *headerOnly) Header() http.Header         { return w.h }
