--- a/cmd/merlinpick-proxy/main.go
+++ b/cmd/merlinpick-proxy/main.go
@@ -1,5 +1,5 @@
-// Command merlinpick-proxy is the load balancing proxy. It cannot join a cluster, so it does not load the libraries
-// that clusters need; cmd/merlinpick-cluster-proxy can.
+// Command merlinpick-proxy is the load-balancing proxy without cluster support, and without the libraries
+// that clusters need. Use merlinpick-cluster-proxy to join a cluster.
 package main
 
 import "merlinpick/internal/program"
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -10,12 +10,13 @@
 	"merlinpick/internal/proxy/invariant"
 )
 
-// statusNames are the names of attempts' ends in the metrics and in traces.
+// statusNames maps the status of an ended attempt to its name in metrics and traces.
 var statusNames = map[balancer.Status]string{balancer.StatusOK: "ok", balancer.StatusError: "error",
 	balancer.StatusRejected: "full", balancer.StatusTimedOut: "timed_out", balancer.StatusConnectFailed: "connect_failed",
 	balancer.StatusReset: "reset", balancer.StatusCancelled: "cancelled", balancer.StatusNotSent: "not_sent"}
 
-// policyOf is what the settings that a request was read by allow.
+// policyOf returns the retry policy for a request's class, from the settings in force when the request was
+// read.
 func policyOf(r *request) invariant.Policy {
 	class := r.Settings.Classes[r.Class]
 	return invariant.Policy{
@@ -24,7 +25,7 @@
 	}
 }
 
-// auditRequest has the rules checked for a request from now on.
+// auditRequest starts the rule checks for a request.
 func (l *eventLoop) auditRequest(r *request) {
 	deadline := time.Time{}
 	if !r.BodyPending {
@@ -34,7 +35,7 @@
 	l.audit.Trace(r.ID, "taken", "class", r.ClassName, "uploading", r.BodyPending)
 }
 
-// auditAttemptStart notes that an attempt begins.
+// auditAttemptStart records the start of an attempt and reports the rules that it breaks.
 func (l *eventLoop) auditAttemptStart(a *attempt) {
 	l.audit.RecordViolations(a.request.rules.AttemptStarted(invariant.Server(a.server), time.Now())...)
 	a.recordIndex = a.request.recordedAttempts
@@ -42,7 +43,8 @@
 	l.audit.Trace(a.request.ID, "sent", "attempt", a.number, "endpoint", a.server.Name)
 }
 
-// auditListEvidence notes what shows that the server of an attempt is still listed, while the list alone does not.
+// auditListEvidence records, while the endpoint list is stale, which other evidence shows that an attempt's
+// server is still listed.
 func (l *eventLoop) auditListEvidence(a *attempt) {
 	evidence, stale := l.balancer.ListEvidence(a.decidedAt, a.server.Name)
 	if !stale {
@@ -58,10 +60,10 @@
 		"least_in_flight", leastInFlight)
 }
 
-// microseconds is a span of the balancer's as a duration.
+// microseconds converts a span from the balancer, which counts in microseconds, to a duration.
 func microseconds(span int64) time.Duration { return time.Duration(span) * time.Microsecond }
 
-// auditAttemptEnd notes how an attempt ended. One that was not started has no record.
+// auditAttemptEnd records how an attempt ended. The rules do not know of an attempt that was never started.
 func (l *eventLoop) auditAttemptEnd(a *attempt, status balancer.Status) {
 	l.audit.Count(audit.AttemptEnded(statusNames[status]))
 	l.audit.Trace(a.request.ID, "ended", "attempt", a.number, "status", statusNames[status])
@@ -73,7 +75,8 @@
 	a.request.rules.AttemptEnded(a.recordIndex, !neverExecuted)
 }
 
-// auditResponse notes a request's final response.
+// auditResponse records a request's final response and reports the rules that it breaks. Status 0 means that
+// the client disconnected.
 func (l *eventLoop) auditResponse(r *request, resp downstream.Response) {
 	l.audit.Trace(r.ID, "answered", "status", resp.Status)
 	if resp.Status == 0 {
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// clock gives the balancer's time: microseconds that begin at the Unix time of the process's start and then follow the
-// monotonic clock. So Unix times of the endpoint list compare with it, and a step of the wall clock does not move it.
+// clock is the balancer's time source. It counts microseconds from the Unix time at which the process
+// started, following the monotonic clock. It can be compared with the Unix times in the endpoint list, and
+// wall clock steps do not affect it.
 type clock struct{ start time.Time }
 
 func (c clock) now() int64           { return c.at(time.Now()) }
@@ -12,14 +13,15 @@
 	return c.start.Add(time.Duration(micros-c.start.UnixMicro()) * time.Microsecond)
 }
 
-// timer is an entry of the loop's timers: the balancer's, with a token, or the end of a request's time.
+// timer is an entry in the loop's timer heap. It belongs to the balancer, or to a request whose deadline has
+// passed when it fires.
 type timer struct {
-	moment  int64 // of clock
-	token   string
-	request *request
+	moment  int64    // on the loop's clock, in microseconds
+	token   string   // passed to balancer.HandleTimer, if request is nil
+	request *request // nil for a timer of the balancer
 }
 
-// timerHeap implements heap.Interface, the first timer to fire on top.
+// timerHeap implements heap.Interface; the timer that fires first is at the top.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -15,43 +15,48 @@
 	"merlinpick/internal/settings"
 )
 
-// ErrStopped means that the proxy has ended, so that it takes no other settings and no successor.
+// ErrStopped is returned once the proxy has stopped: it can no longer be reconfigured or hand over to a
+// successor.
 var ErrStopped = errors.New("proxy: this process has stopped serving")
 
-// DescriptorLimitError means that a process may open too few files to proxy anything.
+// DescriptorLimitError reports that the process may open too few files to work as a proxy.
 type DescriptorLimitError struct {
-	Limit             int // of the process
-	Clients, Backends int // connections that would be left for each side
+	Limit             int // of open files for the process
+	Clients, Backends int // connections that the limit leaves for each side
 }
 
 func (e *DescriptorLimitError) Error() string {
-	return fmt.Sprintf("proxy: a limit of %d open files leaves %d connections for clients and %d for backends, each needs %d: raise it",
+	return fmt.Sprintf(
+		"proxy: limit of %d open files leaves %d client and %d backend connections, each needs %d: raise it",
 		e.Limit, e.Clients, e.Backends, minConns)
 }
 
-// Config is what a proxy starts with.
+// Config holds what a proxy needs to start.
 type Config struct {
 	Listen         string // address for clients
 	Discovery      discovery.Source
 	Seed           uint64
 	MaxDescriptors int             // files that the process may hold open
-	InitialList    *discovery.List // the configuration's list; may be nil
-	ListCacheDir   string          // folder of the last list, for a Discovery with members; empty: none
-	StateDir       string          // directory of what outlives the process; with Managed
-	Managed        bool            // there is a management address: metrics are kept up and descriptors reserved for its callers
-	Site           *settings.Site
-	Logger         *slog.Logger
+	InitialList    *discovery.List // endpoint list from the configuration; may be nil
+	// ListCacheDir is the directory that caches the latest list, if Discovery has members; empty: none.
+	ListCacheDir string
+	StateDir     string // directory for state that outlives the process; used if Managed
+	// Managed states that there is a management address: metrics are updated and descriptors reserved for it.
+	Managed bool
+	Site    *settings.Site
+	Logger  *slog.Logger
 
-	Cluster *ClusterPlan // nil for a proxy on its own
+	Cluster *ClusterPlan // nil for a proxy without a cluster
 
 	BodyMemory int // bytes for buffered bodies; 0 for the default, 16 MiB
 
-	// OnMemoryShare is called with the fraction of the memory limit that is this process's; may be nil.
+	// OnMemoryShare is called with the fraction of the memory limit that this process may use; may be nil.
 	OnMemoryShare func(fraction float64)
 }
 
-// balancerSettings are the settings' own, with how long an endpoint list counts as evidence that a server is listed. The
-// registry's list does for as long as no other comes.
+// balancerSettings returns the balancer's part of the settings, and sets in them for how long an endpoint
+// list is evidence that a server is listed. A list from the registry remains evidence until the next one
+// arrives.
 func (cfg Config) balancerSettings() balancer.Settings {
 	s := cfg.Site.Balancer
 	if len(cfg.Discovery.Members) == 0 {
@@ -61,8 +66,8 @@
 	return s
 }
 
-// listen opens the clients' listener, or takes the predecessor's over. With a management address the port is shared: a
-// predecessor whose handover failed may still serve on it.
+// listen opens the listener for clients, or takes over the predecessor's. With a management address it sets
+// SO_REUSEPORT, since a predecessor whose handover failed may still serve on the port.
 func (cfg Config) listen(predecessor *handover.Predecessor) (net.Listener, error) {
 	if predecessor != nil {
 		return predecessor.Listener, nil
@@ -78,7 +83,7 @@
 	return l, nil
 }
 
-// soReusePort is SO_REUSEPORT, which package syscall does not name on Linux.
+// soReusePort is SO_REUSEPORT, which package syscall does not define on Linux.
 const soReusePort = 0xf
 
 func setReusePort(_, _ string, c syscall.RawConn) error {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// drain serves on after SIGTERM until what was taken is answered, or must be cut off.
+// drain finishes the accepted requests after SIGTERM. Requests that are still open at the cutoff are ended.
 func (p *Proxy) drain() {
 	acceptFor, endWithin := p.drainTimes(p.frontend.CurrentClasses())
 	cutoff := time.Now().Add(endWithin)
--- a/internal/proxy/endpointlist.go
+++ b/internal/proxy/endpointlist.go
@@ -8,17 +8,18 @@
 	"merlinpick/internal/override"
 )
 
-// endpointList is what the loop knows from discovery.
+// endpointList holds what the event loop has learned from discovery.
 type endpointList struct {
-	updates      <-chan discovery.Update
-	status       *listStatus
-	startTimes   startTimes
-	knownServers *override.NameSet // all that lists have named, also those of the predecessor process
-	available    chan struct{}     // closed once there is a list
-	synced       chan struct{}     // closed once there is one from discovery
+	updates    <-chan discovery.Update
+	status     *listStatus
+	startTimes startTimes
+	// knownServers holds every server that a list has named, including lists of the predecessor process.
+	knownServers *override.NameSet
+	available    chan struct{} // closed once there is a list
+	synced       chan struct{} // closed once discovery has sent a list
 }
 
-// handleListUpdate applies what discovery answered.
+// handleListUpdate applies an update from discovery.
 func (l *eventLoop) handleListUpdate(update discovery.Update) {
 	l.list.status.markSynced(time.Now(), update.List)
 	kind := balancer.UpdateDelta
@@ -30,12 +31,12 @@
 	closeOnce(l.list.synced)
 }
 
-// applyList applies a list, or the changes of one, to the connections first and then to the balancer: idle connections to
-// a server that drains are closed before anything could be decided on them.
+// applyList applies a complete list or a delta, first to the connection pool and then to the balancer: idle
+// connections to a draining server are closed before the balancer can choose that server again.
 func (l *eventLoop) applyList(kind balancer.UpdateKind, list *discovery.List) {
 	l.list.knownServers.Add(endpointNames(list)...)
 	l.pool.UpdateEndpoints(kind != balancer.UpdateDelta, list.Endpoints)
-	l.applyZoneDrains() // before the balancer knows the servers that are new
+	l.applyZoneDrains() // before the balancer learns of new servers
 	now, wall := l.clock.now(), time.Now()
 	startOf := func(e discovery.Endpoint) int64 {
 		moment := l.list.startTimes.startOf(e, now, wall)
@@ -55,6 +56,7 @@
 	}
 }
 
+// endpointNames returns the names of all endpoints in a list.
 func endpointNames(list *discovery.List) []string {
 	names := make([]string, 0, len(list.Endpoints))
 	for _, e := range list.Endpoints {
@@ -63,7 +65,7 @@
 	return names
 }
 
-// closeOnce closes a channel that only the caller's goroutine closes, unless it is closed.
+// closeOnce closes a channel unless it is closed already. Only one goroutine may close the channel.
 func closeOnce(c chan struct{}) {
 	select {
 	case <-c:
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -11,11 +11,12 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// The loop is the balancer's Host: it carries its decisions out. All of this file runs in the loop's goroutine, but for
-// startStream.
+// The event loop implements balancer.Host, which carries out the balancer's decisions. Everything in this
+// file runs in the loop's goroutine, except startStream.
 
-// Send starts an attempt at a server. sendWindow (0: none) is how long its last byte may be sent, timeout (0: the client's
-// deadline) how long its response is awaited, both in microseconds from now.
+// Send starts an attempt at a server. Both limits are in microseconds from now: the request's last byte must
+// be sent within sendWindow (0: no limit), and the response must arrive within timeout (0: by the client's
+// deadline).
 func (l *eventLoop) Send(id, server string, sendWindow, timeout int64) {
 	r := l.requests[id]
 	if r == nil {
@@ -37,8 +38,8 @@
 	}
 }
 
-// attemptDeadline is when an attempt that begins now is given up, on the loop's clock. While the body is still coming the
-// client's deadline is not known: it is set once the body is complete.
+// attemptDeadline returns when an attempt that starts now times out, on the loop's clock. While the body is
+// still being received, the client's deadline is unknown: it is set once the body is complete.
 func (l *eventLoop) attemptDeadline(r *request, now, timeout int64) int64 {
 	switch {
 	case r.BodyPending:
@@ -49,8 +50,9 @@
 	return r.Deadline
 }
 
-// start runs an attempt in a goroutine of its own, which posts the result. It returns false for a server that takes nothing
-// new, for a client that has gone, and while another attempt of the request is in flight or it has its response.
+// start runs an attempt in its own goroutine, which posts the result to the loop. It returns false if the
+// server accepts no new requests, the client has disconnected, another attempt of the request is in flight,
+// or the request has ended.
 func (l *eventLoop) start(a *attempt, server string, params upstream.Params) bool {
 	r := a.request
 	if r.ended || r.currentAttempt != nil || r.IsClientGoneByContext() {
@@ -72,7 +74,8 @@
 	return true
 }
 
-// handleOutcome reports to the balancer how an attempt ended. A request that it has served gets its response first.
+// handleOutcome reports the end of an attempt to the balancer. If the attempt succeeded, the request gets its
+// response first.
 func (l *eventLoop) handleOutcome(a *attempt, result upstream.Result) {
 	r := a.request
 	l.auditAttemptEnd(a, result.Status)
@@ -91,8 +94,8 @@
 	l.forget(r)
 }
 
-// startStream gives a request a response that is streamed; false if the request has ended otherwise. The attempt's
-// goroutine calls it, and goes on until the response has been passed on.
+// startStream responds to a request with a streamed response; it returns false if the request has already
+// ended. It is called by the attempt's goroutine, which runs until the response has been forwarded.
 func (l *eventLoop) startStream(r *request, s *upstream.Stream) bool {
 	started := make(chan bool, 1)
 	l.post(func() {
@@ -113,29 +116,30 @@
 	}
 }
 
-// Reject gives a request a 503 that tells its client to come again after so many microseconds; 0: without a time.
+// Reject responds with a 503 that asks the client to retry after retryAfter microseconds; 0 sends no
+// Retry-After.
 func (l *eventLoop) Reject(id string, retryAfter int64) {
 	if r := l.requests[id]; r != nil {
 		l.respond(r, downstream.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter})
 	}
 }
 
-// Fail gives a request a 502.
+// Fail responds to a request with a 502.
 func (l *eventLoop) Fail(id string) {
 	if r := l.requests[id]; r != nil {
 		l.respond(r, downstream.Response{Status: http.StatusBadGateway})
 	}
 }
 
-// SetTimer has HandleTimer called with a token after a delay in microseconds.
+// SetTimer schedules a call of the balancer's HandleTimer with a token, after a delay in microseconds.
 func (l *eventLoop) SetTimer(delay int64, token string) {
 	heap.Push(&l.timers, timer{moment: l.clock.now() + delay, token: token})
 }
 
-// Watch does nothing: discovery's client watches from the start and retries by itself.
+// Watch does nothing: the discovery client watches from the start and retries by itself.
 func (l *eventLoop) Watch() {}
 
-// Log logs an event of the balancer's.
+// Log logs an event that the balancer reports.
 func (l *eventLoop) Log(event balancer.Event) {
 	l.logger.LogAttrs(context.Background(), slog.LevelInfo, event.Message(), event.Attributes(l.zoneNumbers.name)...)
 }
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// Descriptors that are neither a client's nor a backend's: the runtime's, listeners, discovery's calls and watches, the
-	// state directory, and some more. While two processes are one proxy there is less to spare.
+	// Descriptors used for neither clients nor backends: the runtime, listeners, discovery calls and watches,
+	// the state directory, and a few spare ones. While two processes share the limit of one proxy, fewer are
+	// spare.
 	reservedDescriptors       = 20
 	reservedDescriptorsShared = 16
 
-	rejectConnsDivisor = 16 // one descriptor in so many is reserved for rejections
+	rejectConnsDivisor = 16 // one of 16 descriptors is reserved for connections that are only rejected
 	minRejectConns     = 4
 
-	// Of the rest: clients hold idle and half-written connections too. What is left for backends is a third of all where
-	// that is 192 or more, as many as clients use for requests at once.
+	// Clients get more than half of the remaining descriptors, since some of their connections are idle or
+	// have sent only part of a request. With a limit of 192 descriptors or more, this leaves a third of all
+	// for backends: as many connections as requests may be in flight.
 	clientConnFraction = 0.55
-	minConns           = 8 // on either side, at least
+	minConns           = 8 // least number of connections for clients, and for backends
 )
 
-// connLimits returns how many connections there may be of clients and to backends, and how many more of clients to reject
-// on. While two processes are one proxy (shared) each has half of all.
+// connLimits returns the limits of connections from clients and to backends, and of additional client
+// connections that are only rejected. If shared, this process has half of the descriptors, since a second
+// process of the proxy is running.
 func (cfg Config) connLimits(shared bool) (clients, backends, reject int) {
 	descriptors, reserved := cfg.MaxDescriptors, reservedDescriptors
 	if shared {
@@ -41,8 +44,8 @@
 	return clients, available - clients, reject
 }
 
-// applyResourceShare has this process keep to its part of memory and descriptors, half of them while it shares with another
-// process of the proxy.
+// applyResourceShare sets this process's limits of memory and connections: all of the proxy's, or half if
+// shared with another process of the proxy.
 func (p *Proxy) applyResourceShare(shared bool) {
 	clients, backends, reject := p.config.connLimits(shared)
 	p.frontend.SetLimits(max(clients, minConns), max(backends, minConns), reject)
--- a/internal/proxy/liststatus.go
+++ b/internal/proxy/liststatus.go
@@ -8,21 +8,22 @@
 	"merlinpick/internal/discovery"
 )
 
-// listStatus is how old the endpoint list is that requests are routed by. The loop owns it; isStale may be called from any
-// goroutine.
+// listStatus tracks the age of the endpoint list that requests are routed by. The loop owns it; isStale may
+// be called from any goroutine.
 //
-// A list is synced whenever discovery answers, with changes or without. It is stale once changes may count as notified that
-// this process has not heard of: maxAge after it was last synced, and from the start of a process that has only its
-// configuration's list, whose age is unknown.
+// The list is synced by each answer from discovery, with or without changes. It is stale once there may be
+// changes that discovery counts as notified but this process has not received: maxAge after the last sync,
+// and, in a process that has only the list from its configuration, from the start, since the age of that list
+// is unknown.
 type listStatus struct {
 	logger     *slog.Logger
-	maxAge     time.Duration // 0: it is never stale
+	maxAge     time.Duration // 0: the list is never stale
 	started    time.Time
-	synced     time.Time // zero: never
-	staleAt    time.Time
+	synced     time.Time // last sync; zero: never synced
+	staleAt    time.Time // when the list becomes stale unless it is synced before
 	version    int64
 	stale      atomic.Bool
-	staleSince time.Time // while stale
+	staleSince time.Time // valid while stale
 }
 
 func newListStatus(maxAge time.Duration, logger *slog.Logger) *listStatus {
@@ -33,13 +34,13 @@
 // isStale reports whether the list was stale at the last check.
 func (s *listStatus) isStale() bool { return s.stale.Load() }
 
-// setInitial notes the list that the process starts with.
+// setInitial records the list that the process starts with.
 func (s *listStatus) setInitial(list *discovery.List) {
 	s.version = list.Version
 	s.logger.Info("initial endpoint list", "version", list.Version, "endpoints", len(list.Endpoints))
 }
 
-// markSynced notes an answer of discovery.
+// markSynced records an answer from discovery.
 func (s *listStatus) markSynced(now time.Time, list *discovery.List) {
 	first := s.synced.IsZero()
 	if first || s.stale.Load() {
@@ -50,14 +51,15 @@
 	s.stale.Store(false)
 }
 
-// sourceChanged notes that the operator has set another discovery address, whose changes count as notified soon.
+// sourceChanged records that the operator has changed the discovery address. Changes at the new address count
+// as notified after discovery.SourceChangeDeadline, so the list becomes stale then at the latest.
 func (s *listStatus) sourceChanged(now time.Time) {
 	if deadline := now.Add(discovery.SourceChangeDeadline); deadline.Before(s.staleAt) {
 		s.staleAt = deadline
 	}
 }
 
-// checkStale notes that the list has become stale, if it has.
+// checkStale marks the list as stale, and logs it, once staleAt has passed.
 func (s *listStatus) checkStale(now time.Time) {
 	if s.maxAge == 0 || s.stale.Load() || now.Before(s.staleAt) {
 		return
@@ -71,6 +73,7 @@
 	s.logger.Warn("endpoint list stale", "version", s.version, "age", now.Sub(s.synced))
 }
 
+// staleFor returns how long the list has been stale, or 0 if it is not.
 func (s *listStatus) staleFor(now time.Time) time.Duration {
 	if !s.stale.Load() {
 		return 0
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -16,49 +16,51 @@
 )
 
 const (
-	idleSweepInterval = time.Second            // between two sweeps of idle connections to backends
-	sampleInterval    = 200 * time.Millisecond // between two samples of the balancer's state for the metrics
+	idleSweepInterval = time.Second // time between two sweeps of idle connections to backends
+	// sampleInterval is the time between two samples of the balancer's state for the metrics.
+	sampleInterval = 200 * time.Millisecond
 
-	eventQueueLength = 256 // beyond it, who posts an event waits
+	eventQueueLength = 256 // post blocks while the queue holds this many events
 )
 
-// eventLoop owns the balancer, the table of requests and the endpoint list. Its goroutine alone (run) uses them: whatever
-// happens elsewhere comes to it through channels and is given to the balancer in that order. As the balancer's Host it
-// carries out the balancer's decisions.
+// eventLoop owns the balancer, the table of requests and the endpoint list. Only its goroutine (run) uses
+// them: events from other goroutines arrive through channels and are passed to the balancer in order of
+// arrival. As the balancer's Host, it carries out the balancer's decisions.
 type eventLoop struct {
 	balancer    *balancer.Balancer
 	clock       clock
 	pool        *upstream.Pool
 	zoneNumbers zoneNumbers
-	cluster     Cluster // nil for a proxy on its own
+	cluster     Cluster // nil for a proxy without a cluster
 
 	metrics *metrics
 	audit   *audit.Recorder
 	logger  *slog.Logger
-	managed bool // there is a management address, which shows the metrics
+	managed bool // there is a management address, which serves the metrics
 
 	events    chan func()
 	timers    timerHeap
-	requests  map[string]*request // by ID, until answered with no attempt in flight
+	requests  map[string]*request // by ID; removed when the request has ended and no attempt is in flight
 	attempts  attemptTable
 	list      endpointList
 	overrides overrideState
 
-	drainDeadline int64 // after SIGTERM every request ends by this moment of clock; 0 before
+	drainDeadline int64 // time on clock by which every request ends after SIGTERM; 0 before SIGTERM
 
 	done        chan struct{}   // closed when the loop has ended
-	stopped     context.Context // done when the loop has ended, for context.AfterFunc
+	stopped     context.Context // cancelled when the loop has ended, for context.AfterFunc
 	markStopped context.CancelFunc
 }
 
-// attemptTable is the loop's part of the attempts: each runs in a goroutine of its own and posts its result.
+// attemptTable holds the loop's state of the attempts. Each attempt runs in its own goroutine and posts its
+// result.
 type attemptTable struct {
-	ctx        context.Context // of all attempts; its end cancels them
+	ctx        context.Context // parent of all attempts: cancelling it cancels them
 	goroutines sync.WaitGroup
-	unsent     []*attempt // could not be started; reported to the balancer after the present event
+	unsent     []*attempt // could not be started; reported to the balancer after the current event
 }
 
-// loopConfig is what an eventLoop starts with.
+// loopConfig holds what an eventLoop needs to start.
 type loopConfig struct {
 	balancer    *balancer.Balancer
 	clock       clock
@@ -87,7 +89,7 @@
 	}
 }
 
-// run handles events until the context ends, then cancels the attempts and waits for them.
+// run handles events until the context ends, then cancels the attempts and waits for their goroutines.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.done)
 	defer l.markStopped()
@@ -101,8 +103,8 @@
 	}
 }
 
-// iterate handles one event, then runs the timers that are due; false once the context has ended. After an urgent event it
-// returns at once: timers run after the next event that is not urgent.
+// iterate handles one event, then runs the timers that are due. It returns false once the context has ended.
+// After an urgent event it returns at once: the timers run after the next event that is not urgent.
 func (l *eventLoop) iterate(ctx context.Context, timers *loopTimers) bool {
 	if l.handleUrgent() {
 		return true
@@ -136,8 +138,9 @@
 	return true
 }
 
-// handleUrgent handles what comes before all else: nothing may go to a server that is known to drain, or is suspended.
-// False if there is nothing of it.
+// handleUrgent handles an update of the endpoint list or the overrides before any other event, since nothing
+// may be sent to a server that is known to be draining or suspended. It returns false if there is no such
+// update.
 func (l *eventLoop) handleUrgent() bool {
 	select {
 	case update := <-l.list.updates:
@@ -150,15 +153,16 @@
 	return true
 }
 
-// loopTimers are what the loop waits for beside events.
+// loopTimers holds the timer and tickers that the loop waits for, besides events.
 type loopTimers struct {
-	alarm    *time.Timer // the first of eventLoop.timers
-	sweep    *time.Ticker
-	sample   <-chan time.Time // nil without a management address
-	exchange <-chan time.Time // nil without a cluster
+	alarm    *time.Timer      // fires when the first entry of eventLoop.timers is due
+	sweep    *time.Ticker     // sweeps idle connections, checks the age of the list
+	sample   <-chan time.Time // samples the balancer for the metrics; nil without a management address
+	exchange <-chan time.Time // exchanges reports with the cluster; nil without a cluster
 	tickers  []*time.Ticker
 }
 
+// startTimers starts the timer and the tickers that the configuration calls for.
 func (l *eventLoop) startTimers() *loopTimers {
 	t := &loopTimers{alarm: time.NewTimer(0), sweep: time.NewTicker(idleSweepInterval)}
 	if l.managed {
@@ -170,6 +174,7 @@
 	return t
 }
 
+// tick starts a ticker, to be stopped by stop, and returns its channel.
 func (t *loopTimers) tick(interval time.Duration) <-chan time.Time {
 	ticker := time.NewTicker(interval)
 	t.tickers = append(t.tickers, ticker)
@@ -184,8 +189,8 @@
 	}
 }
 
-// post hands an event to the loop, from any goroutine. It waits while the queue is full; after the loop's end the event
-// is dropped.
+// post queues an event for the loop. Any goroutine may call it. It blocks while the queue is full, and drops
+// the event if the loop has ended.
 func (l *eventLoop) post(event func()) {
 	select {
 	case l.events <- event:
@@ -193,8 +198,8 @@
 	}
 }
 
-// reportUnsent reports to the balancer the attempts that could not be started. It may start others in turn, so this goes on
-// until none is left.
+// reportUnsent reports to the balancer the attempts that could not be started. The balancer may decide on new
+// attempts that cannot be started either, so this repeats until none is left.
 func (l *eventLoop) reportUnsent() {
 	for len(l.attempts.unsent) > 0 {
 		a := l.attempts.unsent[0]
@@ -216,10 +221,10 @@
 	}
 }
 
-// reconfigure puts other settings in force for the requests that come from now on. With an error the
-// settings in force are unchanged; zones that the rejected settings name keep the numbers that they were given.
+// reconfigure applies new settings to the requests that arrive from now on. If it fails, the current settings
+// stay in force, but new zones in the rejected settings keep the numbers that they were given.
 func (l *eventLoop) reconfigure(site *settings.Site, next balancer.Settings, f *downstream.Server) error {
-	if next.Zone < len(site.Zones) { // zones keep the numbers that they have
+	if next.Zone < len(site.Zones) { // known zones keep their numbers
 		next.Zone = l.zoneNumbers.number(site.Zones[next.Zone])
 		for _, name := range site.Zones {
 			l.zoneNumbers.number(name)
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -9,20 +9,21 @@
 	"merlinpick/internal/management"
 )
 
-// maxClasses bounds the classes that are counted: classes come and go with the settings.
+// maxClasses limits how many classes are counted: every reload may bring new ones.
 const maxClasses = 256
 
-// rejectReasonNames are the reasons' names in the metrics.
+// rejectReasonNames maps the reasons for a rejection to their names in the metrics.
 var rejectReasonNames = [...]string{balancer.RejectOverLimit: "over_count", balancer.RejectNoTimeLeft: "no_time",
 	balancer.RejectNoServer: "no_server", balancer.RejectQueueTimeout: "no_turn",
 	balancer.RejectRetriesExhausted: "no_further_attempt"}
 
-// metrics holds the counts that the management address shows; it may be used from any goroutine. Each request is counted in
-// when it has been taken and out when it ends, both by the client's goroutine.
+// metrics holds the counters and gauges that the management address serves. It may be used from any
+// goroutine. Each request is in flight from when it is accepted until it ends; the client's goroutine records
+// both.
 type metrics struct {
 	mu         sync.Mutex
 	classes    map[string]*management.RequestCounts
-	counts     management.Metrics // all but Classes, Events and Zones
+	counts     management.Metrics // all except Classes, Events and Zones
 	zones      zoneMetrics
 	rejections map[balancer.RejectReason]int64
 }
@@ -33,7 +34,8 @@
 	return m
 }
 
-// setClasses has these classes shown, with zeros too. Others that have counts stay while there is room.
+// setClasses adds classes to the metrics, so that they are shown even with zero counts. Earlier classes keep
+// their counts unless there would be more than maxClasses: then all counts are cleared.
 func (m *metrics) setClasses(classes []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,6 +47,7 @@
 	}
 }
 
+// classCountsLocked returns the counts of a class, which it adds if it is new.
 func (m *metrics) classCountsLocked(class string) *management.RequestCounts {
 	counts := m.classes[class]
 	if counts == nil {
@@ -54,13 +57,14 @@
 	return counts
 }
 
-// inFlightRequest is one request that has been taken and not ended. The goroutine that took it ends it.
+// inFlightRequest is one request that was accepted. The goroutine that accepted it calls finish.
 type inFlightRequest struct {
 	metrics *metrics
 	class   string
 	ended   bool
 }
 
+// requestStarted counts a request as in flight until its finish is called.
 func (m *metrics) requestStarted(class string) *inFlightRequest {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -68,7 +72,8 @@
 	return &inFlightRequest{metrics: m, class: class}
 }
 
-// finish counts the request by its response's status, 0 if it had none. Only the first call counts.
+// finish counts the request by the status of its response, or 0 if it had none. Only the first call has an
+// effect.
 func (r *inFlightRequest) finish(status int) {
 	if r.ended {
 		return
@@ -87,35 +92,36 @@
 	}
 }
 
-// attemptForwarded counts an attempt whose request was written completely.
+// attemptForwarded counts an attempt whose request was written to the backend completely.
 func (m *metrics) attemptForwarded() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.Forwarded++
 }
 
-// setServers sets how many servers are listed, and how many of these get nothing or only trials.
+// setServers sets how many servers are listed, and how many of these are ejected: they get no requests or
+// only trials.
 func (m *metrics) setServers(listed, ejected int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.ListedServers, m.counts.EjectedServers = listed, ejected
 }
 
-// setRejections sets how many requests the balancer has rejected so far, by reason.
+// setRejections sets how many requests the balancer has rejected since the start, by reason.
 func (m *metrics) setRejections(byReason map[balancer.RejectReason]int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.rejections = byReason
 }
 
-// setZones sets how the zones stand.
+// setZones sets the latest sample of the zones.
 func (m *metrics) setZones(zones zoneMetrics) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.zones = zones
 }
 
-// recordReload counts a reload by whether its configuration was applied.
+// recordReload counts a reload as applied or rejected.
 func (m *metrics) recordReload(applied bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,6 +132,7 @@
 	}
 }
 
+// snapshot returns a copy of the current metrics.
 func (m *metrics) snapshot() management.Metrics {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/proxy/overrides.go
+++ b/internal/proxy/overrides.go
@@ -7,20 +7,20 @@
 	"merlinpick/internal/override"
 )
 
-// overrideState is what operators have taken out.
+// overrideState holds the servers and zones that operators have taken out of service.
 type overrideState struct {
-	updates   <-chan override.Set // whole sets; nil without a management address
-	suspended map[string]bool     // servers by name
+	updates   <-chan override.Set // complete sets; nil without a management address
+	suspended map[string]bool     // suspended servers, by name
 	zones     zoneOverrides
 }
 
-// handleOverrides puts a set in force and acknowledges it.
+// handleOverrides applies a set of overrides and acknowledges it.
 func (l *eventLoop) handleOverrides(set override.Set) {
 	l.applyOverrides(set.IDs)
 	set.Acknowledge()
 }
 
-// applyOverrides has these servers and zones, and no others, get nothing new.
+// applyOverrides makes the given servers and zones, and no others, receive no new requests.
 func (l *eventLoop) applyOverrides(ids map[string]bool) {
 	servers, zones := override.SplitZones(ids)
 	if !maps.Equal(zones, l.overrides.zones.requested) {
@@ -38,16 +38,18 @@
 	l.metrics.setServers(l.balancer.ServerCounts())
 }
 
-// SuspendServer has a server get nothing new, whatever the list says, until ResumeServer. Any process of this proxy may be
-// called. It returns once this process acts on it; its errors are those of override.Overrides.SuspendServer.
+// SuspendServer stops new requests to a server, whatever the endpoint list says, until ResumeServer. It may
+// be called on any process of this proxy, and returns once this process has applied the suspension. It
+// returns the errors of override.Overrides.SuspendServer.
 func (p *Proxy) SuspendServer(server string) error { return p.overrides.SuspendServer(server) }
 
-// ResumeServer ends the suspension of a server. Its errors are those of override.Overrides.ResumeServer.
+// ResumeServer ends the suspension of a server. It returns the errors of override.Overrides.ResumeServer.
 func (p *Proxy) ResumeServer(server string) error { return p.overrides.ResumeServer(server) }
 
-// DrainZone has a zone get nothing new until RestoreZone, as SuspendServer does a server. Its errors are those of
+// DrainZone stops new requests to the servers of a zone until RestoreZone. It returns the errors of
 // override.Overrides.DrainZone.
 func (p *Proxy) DrainZone(zone string) error { return p.overrides.DrainZone(zone) }
 
-// RestoreZone has a zone come back by steps. Its errors are those of override.Overrides.RestoreZone.
+// RestoreZone ends the drain of a zone, whose share of requests then grows in steps. It returns the errors of
+// override.Overrides.RestoreZone.
 func (p *Proxy) RestoreZone(zone string) error { return p.overrides.RestoreZone(zone) }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,18 +1,20 @@
-// Package proxy forwards HTTP/1.1 requests from clients to the backends that the balancer chooses. It carries decisions
-// out and makes none: which server takes an attempt, whether there is another, and when a request is given up are package
-// balancer's.
+// Package proxy forwards HTTP/1.1 requests from clients to the backends that the balancer chooses. It carries
+// out decisions but makes none: package balancer decides which server gets an attempt, whether to retry, and
+// when to give up a request.
 //
 // Goroutines and what each owns:
 //   - the event loop (eventLoop.run): the balancer, the table of requests, the endpoint list, the operators' overrides.
-//   - one for each client connection (net/http): its clientconn.Conn, and the request that it reads and answers (downstream).
-//   - one for each attempt (upstream.Attempt.Run): its connection to a backend, until it posts the result to the loop.
-//   - one for each lingering connection of a client (clientconn), each response without a length (upstream) and each
-//     streamed upload (downstream); the owner of what they read ends them.
-//   - Proxy.Run's own: discovery's client, the overrides' store, the cluster member, the wait for a predecessor's exit,
-//     the handover server. Run returns after all of these.
+//   - one per client connection (net/http): its clientconn.Conn, and the request that it reads and responds
+//     to (downstream).
+//   - one per attempt (upstream.Attempt.Run): its connection to a backend, until it posts the result to the
+//     loop.
+//   - one per lingering client connection (clientconn), per response without a length (upstream) and per
+//     streamed upload (downstream). Each ends when the owner of its source closes that source.
+//   - those that Proxy.Run starts: the discovery client, the store of overrides, the cluster member, the
+//     wait for a predecessor's exit, the handover server. Run returns after all of these have ended.
 //
-// What several of them use has a lock: downstream.Server (connections, uploads, settings in use), upstream.Pool, metrics,
-// audit.Recorder.
+// Types that several goroutines share have a lock: downstream.Server (connections, uploads, settings in use),
+// upstream.Pool, metrics, audit.Recorder.
 package proxy
 
 import (
@@ -35,7 +37,7 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// Proxy is one proxy with its listener open.
+// Proxy is one process of a proxy, with its listener open.
 type Proxy struct {
 	config     Config
 	loop       *eventLoop
@@ -43,18 +45,20 @@
 	metrics    *metrics
 	listClient *discovery.Client
 	overrides  *override.Overrides // nil without a management address
-	cluster    Cluster             // nil for a proxy on its own
+	cluster    Cluster             // nil for a proxy without a cluster
 
 	predecessor    *handover.Predecessor           // nil if none was found at the start
 	handover       atomic.Pointer[handover.Server] // set once this process serves, with a management address
-	otherProcesses atomic.Int32                    // of this proxy, that run beside this one
+	otherProcesses atomic.Int32                    // processes of this proxy that run besides this one
 
-	drainTimes  func([]balancer.Class) (stay, left time.Duration)
-	syncTimeout time.Duration // for discovery to confirm the list; this process is ready without after it; 0: at once
+	// drainTimes returns for how long a draining process keeps accepting, and within what time it must end.
+	drainTimes func([]balancer.Class) (stay, left time.Duration)
+	// syncTimeout limits the wait for discovery to confirm the list before this process is ready; 0: no wait.
+	syncTimeout time.Duration
 }
 
-// New opens the listener; clients are served from Run on. It fails with a DescriptorLimitError, an error of the settings,
-// or one of the listener, the state directory or the cluster's address.
+// New opens the listener; Run serves clients. It fails with a DescriptorLimitError, or an error of the
+// settings, the listener, the state directory or the cluster's address.
 func New(cfg Config) (*Proxy, error) {
 	engine, err := balancer.New(cfg.balancerSettings(), cfg.Seed)
 	if err != nil {
@@ -86,7 +90,8 @@
 	return p, nil
 }
 
-// findPredecessor opens the state directory and looks for a process that serves; nil without one.
+// findPredecessor creates the state directory if needed and connects to the process that serves from it. It
+// returns nil if there is none, or without a management address.
 func (cfg Config) findPredecessor() (*handover.Predecessor, error) {
 	if !cfg.Managed {
 		return nil, nil
@@ -97,7 +102,7 @@
 	return handover.ConnectPredecessor(cfg.StateDir, cfg.Logger), nil
 }
 
-// assemble connects the parts.
+// assemble creates the components of a proxy and connects them.
 func assemble(cfg Config, engine *balancer.Balancer, predecessor *handover.Predecessor, listener net.Listener) *Proxy {
 	metrics := newMetrics(cfg.Site.Classes)
 	_, backends, _ := cfg.connLimits(false)
@@ -120,7 +125,7 @@
 	return p
 }
 
-// openListClient connects discovery's updates to the loop.
+// openListClient creates the discovery client and passes its updates to the loop.
 func (p *Proxy) openListClient() {
 	site := p.config.Site
 	topology := discovery.Topology{Tier: site.Balancer.Tier, TierCount: site.Tiers, Replicas: site.Balancer.Replicas}
@@ -131,7 +136,7 @@
 	p.loop.list.updates = p.listClient.Updates()
 }
 
-// applyInitialList has requests routed by a list before discovery has answered, if there is one.
+// applyInitialList applies a list that is known before discovery answers, if there is one.
 func (p *Proxy) applyInitialList() {
 	if list := p.initialList(); list != nil {
 		p.loop.list.status.setInitial(list)
@@ -140,7 +145,8 @@
 	p.loop.list.status.checkStale(time.Now())
 }
 
-// initialList is the newest list that the proxy can begin with, its own cached one or the configuration's; nil without.
+// initialList returns the newest list available at the start, from the proxy's cache or its configuration, or
+// nil.
 func (p *Proxy) initialList() *discovery.List {
 	configured := p.config.InitialList
 	if p.config.ListCacheDir == "" {
@@ -150,7 +156,7 @@
 		return configured
 	}
 	cached, err := discovery.LoadCachedList(p.config.ListCacheDir)
-	if err != nil { // not needed: the registry sends the whole list
+	if err != nil { // the proxy starts without the cache: the registry sends the complete list
 		p.config.Logger.Error("cached endpoint list not used", "error", err)
 	}
 	if cached == nil || configured != nil && configured.Version > cached.Version {
@@ -160,7 +166,8 @@
 	return cached
 }
 
-// openOverrides loads the operators' overrides and puts them in force, with a management address.
+// openOverrides loads the operators' overrides and applies them. Without a management address it does
+// nothing.
 func (p *Proxy) openOverrides() error {
 	if !p.config.Managed {
 		return nil
@@ -180,7 +187,7 @@
 	return nil
 }
 
-// openCluster opens this proxy's part in a cluster, if it is to be one of it.
+// openCluster opens this proxy's membership in its cluster, if one is configured.
 func (p *Proxy) openCluster() (err error) {
 	if p.config.Cluster == nil {
 		return nil
@@ -192,8 +199,9 @@
 	return nil
 }
 
-// Reload puts another configuration's settings in force for the requests that come from now on, and its discovery address.
-// The rest of it waits for a restart. With an error (ErrStopped, or one of the settings) the settings in force are unchanged.
+// Reload applies the settings of a new configuration to the requests that arrive from now on, and switches to
+// its discovery address. The rest of the configuration takes effect at the next start. If Reload fails, with
+// ErrStopped or an error of the settings, the current settings stay in force.
 func (p *Proxy) Reload(cfg Config) error {
 	failed := make(chan error, 1)
 	p.loop.post(func() { failed <- p.loop.reconfigure(cfg.Site, cfg.balancerSettings(), p.frontend) })
@@ -211,10 +219,10 @@
 	return nil
 }
 
-// RecordReload counts a reload by whether its configuration was applied.
+// RecordReload counts a reload as applied or rejected.
 func (p *Proxy) RecordReload(applied bool) { p.metrics.recordReload(applied) }
 
-// Metrics are the counts and gauges at this moment.
+// Metrics returns the current counters and gauges.
 func (p *Proxy) Metrics() management.Metrics {
 	m := p.metrics.snapshot()
 	m.RuleViolations = p.loop.audit.Violations()
@@ -230,11 +238,11 @@
 	return m
 }
 
-// Addr is where clients connect.
+// Addr returns the address on which clients connect.
 func (p *Proxy) Addr() string { return p.frontend.Listener.Addr().String() }
 
-// Run serves until the context ends, then drains: it finishes the requests that it has taken. It returns when all of the
-// proxy's goroutines have ended, with an error if the listener failed.
+// Run serves until the context ends, then drains: it finishes the requests that it has accepted. It returns
+// when all of the proxy's goroutines have ended, with an error if the listener failed.
 func (p *Proxy) Run(ctx context.Context) error {
 	afterDrain, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
@@ -246,7 +254,8 @@
 	}
 	parts.Go(func() { p.listClient.Run(afterDrain) })
 	if p.cluster != nil {
-		present, leave := context.WithCancel(ctx) // it leaves as the drain begins: a successor may want the address
+		// The proxy leaves the cluster when the drain begins, to free the address for a successor.
+		present, leave := context.WithCancel(ctx)
 		defer leave()
 		parts.Go(func() { p.cluster.Run(present) })
 	}
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -8,11 +8,13 @@
 	"merlinpick/internal/discovery"
 )
 
-// syncMargin before discovery.NotifyDeadline a starting process is ready even without a confirmed list.
+// syncMargin is how long before discovery.NotifyDeadline a starting process becomes ready even without a
+// confirmed list.
 const syncMargin = 250 * time.Millisecond
 
-// syncTimeout is how long a process that starts waits for discovery to confirm its list: until changes from before its
-// start count as notified at the latest. A registry's list is cached by the proxy itself and used at once.
+// syncTimeout returns how long a starting process waits for discovery to confirm its list: at most until all
+// changes from before its start count as notified. A list from the registry is cached by the proxy itself and
+// used without a wait.
 func (cfg Config) syncTimeout() time.Duration {
 	switch {
 	case len(cfg.Discovery.Members) > 0:
@@ -23,8 +25,9 @@
 	return discovery.NotifyDeadline - syncMargin
 }
 
-// maxListAge is how long after it was last synced a list is stale; 0: never, for a registry's list, whose age nothing
-// bounds. An agent that has the list pushed to it has passed it on within the deadline, or hears nothing.
+// maxListAge returns how long after its last sync a list becomes stale; 0 means never. A list from the
+// registry never does, since there is no limit on its age. A local agent that receives pushed lists passes
+// each one on within the deadline, unless it cannot be reached.
 func (cfg Config) maxListAge() time.Duration {
 	switch {
 	case len(cfg.Discovery.Members) > 0:
@@ -35,8 +38,8 @@
 	return discovery.NotifyDeadline
 }
 
-// awaitSync has this process be ready once discovery has confirmed the list, is unreachable (then no change counts as known),
-// or has taken syncTimeout.
+// awaitSync makes this process ready once discovery has confirmed the list, once discovery is unreachable
+// (then no change counts as notified), or after syncTimeout.
 func (p *Proxy) awaitSync(ctx context.Context) {
 	timeout := time.NewTimer(p.syncTimeout)
 	defer timeout.Stop()
@@ -51,10 +54,10 @@
 	}
 }
 
-// Ready reports whether requests that come now are served: clients can connect and there is an endpoint list.
+// Ready reports whether new requests are served: clients can connect and there is an endpoint list.
 func (p *Proxy) Ready() bool { return p.NotReadyReason() == "" }
 
-// NotReadyReason is what this proxy lacks to be ready, as /readyz shows it; empty if it is.
+// NotReadyReason returns why this proxy is not ready, as /readyz shows it, or "" if it is ready.
 func (p *Proxy) NotReadyReason() string {
 	if p.frontend.IsDraining() {
 		return "it drains"
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -12,57 +12,58 @@
 )
 
 const (
-	// expiryGrace is how long after its deadline a request is failed whatever the balancer decides: an attempt's timeout at
-	// the deadline is the balancer's to answer and to learn from.
+	// expiryGrace is how long after its deadline a request fails even if the balancer has not ended it. It
+	// leaves the balancer time to handle the timeout of an attempt at the deadline itself, and to learn from
+	// it.
 	expiryGrace = 10 * time.Millisecond
 
-	maxUploadTime = 30 * time.Minute // for a body to come; its rate is checked where it is read
+	maxUploadTime = 30 * time.Minute // for a request body to arrive; downstream also checks its rate
 )
 
-// request is a client's request in the loop's table. It belongs to the loop.
+// request is a client's request in the loop's table. Only the loop uses it.
 type request struct {
 	*downstream.Request
 	rules            *invariant.Request
-	recordedAttempts int      // that were started
-	ended            bool     // it has its final response, or nobody waits for one
-	attemptCount     int      // that the balancer decided on
+	recordedAttempts int      // attempts that were started
+	ended            bool     // it has its final response, or its client has disconnected
+	attemptCount     int      // attempts that the balancer decided on
 	currentAttempt   *attempt // in flight, or nil
 }
 
-// attempt is one attempt that the balancer has decided on. It belongs to the loop.
+// attempt is one attempt that the balancer has decided on. Only the loop uses it.
 type attempt struct {
 	request     *request
 	number      int
-	decidedAt   int64 // of the loop's clock
-	awaitsBody  bool  // the body was still coming when it was decided on
+	decidedAt   int64 // on the loop's clock
+	awaitsBody  bool  // the body was still being received when the balancer decided
 	started     bool
 	outbound    *upstream.Attempt // nil unless started
-	server      upstream.Server   // where it goes, if started
+	server      upstream.Server   // destination, if started
 	recordIndex int               // among the started attempts of its request
 }
 
-// The loop is the client side's Handler: each call is an event.
+// The event loop implements downstream.Handler. Each call posts an event.
 
-// HandleRequest implements downstream.Handler.
+// HandleRequest posts a new request.
 func (l *eventLoop) HandleRequest(r *downstream.Request) { l.post(func() { l.handleRequest(r) }) }
 
-// HandleBodyEndSeen implements downstream.Handler.
+// HandleBodyEndSeen posts that the last byte of a body that is being forwarded has arrived.
 func (l *eventLoop) HandleBodyEndSeen(r *downstream.Request, arrived time.Time) {
 	l.postFor(r, func(r *request) { l.handleBodyEndSeen(r, arrived) })
 }
 
-// HandleBodyRead implements downstream.Handler.
+// HandleBodyRead posts that a request's body has been read completely.
 func (l *eventLoop) HandleBodyRead(r *downstream.Request, clientDeadline time.Time) {
 	l.postFor(r, func(r *request) { l.handleBodyRead(r, l.clock.at(clientDeadline)) })
 }
 
-// HandleClientGone implements downstream.Handler.
+// HandleClientGone posts that a request's client has disconnected.
 func (l *eventLoop) HandleClientGone(r *downstream.Request) { l.postFor(r, l.handleClientGone) }
 
-// Stopped implements downstream.Handler.
+// Stopped returns a context that is cancelled when the loop has ended.
 func (l *eventLoop) Stopped() context.Context { return l.stopped }
 
-// postFor posts an event of a request, unless the loop did not take that or has forgotten it.
+// postFor posts an event for a request. The loop ignores it if the request is not in its table.
 func (l *eventLoop) postFor(r *downstream.Request, event func(*request)) {
 	l.post(func() {
 		if own := l.requests[r.ID]; own != nil && own.Request == r {
@@ -71,14 +72,14 @@
 	})
 }
 
-// handleRequest gives a request to the balancer, which has until its deadline to end it. Two under one ID could not be
-// distinguished: the second is rejected.
+// handleRequest passes a request to the balancer, which must end it by its deadline. A request with the ID of
+// one that is still in the table is rejected, since the two could not be told apart.
 func (l *eventLoop) handleRequest(received *downstream.Request) {
 	if l.requests[received.ID] != nil {
 		received.Respond(downstream.Response{Status: http.StatusBadRequest})
 		return
 	}
-	if received.IsClientGoneByContext() { // while the event was queued
+	if received.IsClientGoneByContext() { // disconnected while the event was queued
 		received.Respond(downstream.Response{})
 		return
 	}
@@ -94,7 +95,7 @@
 	l.balancer.HandleRequest(l.clock.now(), l, r.Request.Request)
 }
 
-// armDeadline has a request expire at its deadline.
+// armDeadline sets the timer that ends a request at its deadline, or at the drain's cutoff if that is sooner.
 func (l *eventLoop) armDeadline(r *request) {
 	if l.drainDeadline > 0 {
 		r.Deadline = min(r.Deadline, l.drainDeadline)
@@ -102,8 +103,8 @@
 	heap.Push(&l.timers, timer{moment: r.Deadline + expiryGrace.Microseconds(), request: r})
 }
 
-// handleBodyEndSeen notes when the last byte of a body came that is still being forwarded: the client's time runs from then
-// on, however long the backend takes for what is left.
+// handleBodyEndSeen records when the last byte of a body arrived that is still being forwarded. The client's
+// timeout starts then, however long the backend takes to read the rest.
 func (l *eventLoop) handleBodyEndSeen(r *request, arrived time.Time) {
 	if r.ended || !r.BodyPending {
 		return
@@ -115,8 +116,8 @@
 	l.armDeadline(r)
 }
 
-// handleBodyRead begins the time of a request whose body was still coming when it was taken. deadline is on the loop's
-// clock.
+// handleBodyRead sets the deadline of a request whose body was still being received when it was accepted.
+// deadline is on the loop's clock.
 func (l *eventLoop) handleBodyRead(r *request, deadline int64) {
 	if r.ended {
 		return
@@ -135,7 +136,7 @@
 	}
 }
 
-// respond gives a request its final response, if it has none yet.
+// respond sends a request's final response, unless the request has ended.
 func (l *eventLoop) respond(r *request, resp downstream.Response) {
 	if r.ended {
 		return
@@ -146,7 +147,7 @@
 	l.forget(r)
 }
 
-// forget drops a request from the table once nothing of it is left.
+// forget removes a request from the table if it has ended and has no attempt in flight.
 func (l *eventLoop) forget(r *request) {
 	if r.ended && r.currentAttempt == nil {
 		delete(l.requests, r.ID)
@@ -154,7 +155,7 @@
 	}
 }
 
-// withdraw ends a request whatever the balancer would decide, and cancels its attempt.
+// withdraw ends a request with a response, without a decision of the balancer, and cancels its attempt.
 func (l *eventLoop) withdraw(r *request, resp downstream.Response) {
 	if r.ended {
 		return
@@ -164,25 +165,26 @@
 	r.cancelAttempt()
 }
 
-// handleClientGone ends a request whose client has gone, even in the middle of its response.
+// handleClientGone ends a request whose client has disconnected, even while its response is being streamed.
 func (l *eventLoop) handleClientGone(r *request) {
 	l.withdraw(r, downstream.Response{})
 	r.cancelAttempt()
 }
 
+// cancelAttempt cancels the attempt in flight, if there is one.
 func (r *request) cancelAttempt() {
 	if r.currentAttempt != nil {
 		r.currentAttempt.outbound.Cancel()
 	}
 }
 
-// expire fails a request that the balancer has not ended in its time.
+// expire responds with a 504 to a request that the balancer has not ended by its deadline.
 func (l *eventLoop) expire(r *request) {
 	l.withdraw(r, downstream.Response{Status: http.StatusGatewayTimeout})
 }
 
-// shortenDeadlines has all requests end by cutoff, a moment of the loop's clock: after SIGTERM the process may be killed
-// soon.
+// shortenDeadlines makes all requests end by cutoff, a time on the loop's clock, since a process may be
+// killed soon after SIGTERM.
 func (l *eventLoop) shortenDeadlines(cutoff int64) {
 	l.drainDeadline = cutoff
 	for _, r := range l.requests {
--- a/internal/proxy/starttimes.go
+++ b/internal/proxy/starttimes.go
@@ -6,17 +6,19 @@
 	"merlinpick/internal/discovery"
 )
 
-// startTimes are the servers' last starts by name, on the loop's clock. The list gives them as Unix times. Each is compared
-// with the wall clock once, when it is first listed: a later step of that clock does not change how old a server is.
+// startTimes holds when each server last started, by server name. The endpoint list gives Unix times. Each is
+// converted to the loop's clock once, when it is first listed, so that a later step of the wall clock does
+// not change the age of a server.
 type startTimes map[string]startTime
 
+// startTime is when one server last started.
 type startTime struct {
-	unixMs int64 // as listed
-	moment int64 // of the loop's clock
+	unixMs int64 // as listed, in Unix milliseconds
+	moment int64 // on the loop's clock, in microseconds
 }
 
-// startOf is when an entry's server started, on the loop's clock in microseconds; 0 is long ago. now and wall are the same
-// moment by both clocks.
+// startOf returns when an endpoint's server started, on the loop's clock in microseconds; 0 means long ago.
+// now and wall are the current time on the loop's clock and on the wall clock.
 func (s startTimes) startOf(e discovery.Endpoint, now int64, wall time.Time) int64 {
 	if e.StartedAtMs == 0 {
 		delete(s, e.Name)
@@ -31,7 +33,7 @@
 	return known.moment
 }
 
-// retainListed forgets the servers that a whole list does not name.
+// retainListed removes the servers that a complete list does not name.
 func (s startTimes) retainListed(entries []discovery.Endpoint) {
 	listed := make(map[string]bool, len(entries))
 	for _, e := range entries {
--- a/internal/proxy/succession.go
+++ b/internal/proxy/succession.go
@@ -9,13 +9,14 @@
 	"merlinpick/internal/proxy/handover"
 )
 
-// listSyncTimeout is how long a successor waits for discovery before it serves by the list that it has. It
+// listSyncTimeout is how long a successor waits for discovery before it serves with the list that it has. It
 // must be ready within discovery.NotifyDeadline (6 s).
 const listSyncTimeout = 3 * time.Second
 
-var errNoDescriptor = errors.New("the listener has no descriptor to share")
+// errNoDescriptor reports a client listener that cannot be passed to a successor.
+var errNoDescriptor = errors.New("the listener for clients has no file descriptor to share with a successor")
 
-// inherit takes over what a predecessor knows, and shares the limits with it from now on.
+// inherit imports the predecessor's state, if there is one, and shares the limits with it from now on.
 func (p *Proxy) inherit() {
 	if p.predecessor == nil {
 		return
@@ -27,7 +28,7 @@
 	p.addOtherProcesses(1)
 }
 
-// exportState gives a successor its state, and shares the limits with it from now on.
+// exportState returns the state for a successor, and shares the limits with it from now on.
 func (p *Proxy) exportState() (handover.State, error) {
 	exported := make(chan handover.State, 1)
 	p.loop.post(func() {
@@ -47,14 +48,15 @@
 	}
 }
 
-// serve accepts clients until the listener is closed. With a predecessor alive it first waits for a list from discovery, or
-// for listSyncTimeout: until then the predecessor takes all of them.
+// serve accepts clients until the listener is closed. If there is a predecessor, it first waits for a list
+// from discovery, for at most listSyncTimeout; until then the predecessor accepts all clients.
 func (p *Proxy) serve(ctx context.Context) error {
 	if p.predecessor != nil && !p.awaitList(ctx) {
 		return nil
 	}
 	if p.config.Managed {
-		if err := p.startHandover(); err != nil { // a successor then shares the address, and some connections are reset
+		// If this fails, a successor must open its own listener, and some connections are reset.
+		if err := p.startHandover(); err != nil {
 			p.config.Logger.Error("handover not available", "error", err)
 		}
 	}
@@ -63,27 +65,30 @@
 	}
 	if p.predecessor != nil {
 		if err := p.predecessor.NotifyServing(); err != nil {
-			p.config.Logger.Warn("predecessor not notified of serving", "error", err)
+			p.config.Logger.Warn("could not notify the predecessor that this process is serving",
+				"error", err)
 		}
 	}
 	return p.frontend.Serve()
 }
 
-// awaitList waits for a list from discovery, for listSyncTimeout at most; false if the context ended before.
+// awaitList waits for a list from discovery, for at most listSyncTimeout. It returns false if the context
+// ended first.
 func (p *Proxy) awaitList(ctx context.Context) bool {
 	timeout := time.NewTimer(listSyncTimeout)
 	defer timeout.Stop()
 	select {
 	case <-p.loop.list.synced:
 	case <-timeout.C:
-		p.config.Logger.Warn("endpoint list not synced, serving by the last known one", "duration", listSyncTimeout)
+		p.config.Logger.Warn("endpoint list not synced, serving with the last known list",
+			"duration", listSyncTimeout)
 	case <-ctx.Done():
 		return false
 	}
 	return true
 }
 
-// startHandover lets a successor take over from this process.
+// startHandover starts the server from which a successor takes over the client listener.
 func (p *Proxy) startHandover() error {
 	clientListener, ok := p.frontend.Listener.Listener.(syscall.Conn)
 	if !ok {
@@ -98,21 +103,21 @@
 	return nil
 }
 
-// closeHandover notifies a successor that this process has ended.
+// closeHandover closes the handover server, which tells a successor that this process has ended.
 func (p *Proxy) closeHandover() {
 	if s := p.handover.Load(); s != nil {
 		s.Close()
 	}
 }
 
-// successorServing reports whether another process accepts new clients.
+// successorServing reports whether a successor process accepts clients.
 func (p *Proxy) successorServing() bool {
 	s := p.handover.Load()
 	return s != nil && s.SuccessorServing()
 }
 
-// addOtherProcesses counts the processes of this proxy that run beside this one: a predecessor, a successor. Each has half
-// of the limits then.
+// addOtherProcesses adds n to the number of other running processes of this proxy: a predecessor, a
+// successor. While there is one, each process has half of the limits.
 func (p *Proxy) addOtherProcesses(n int32) {
 	others := p.otherProcesses.Add(n)
 	p.applyResourceShare(others > 0)
--- a/internal/proxy/zonemetrics.go
+++ b/internal/proxy/zonemetrics.go
@@ -10,24 +10,25 @@
 	"merlinpick/internal/management"
 )
 
-// faultNames are the faults' names in what the management address shows.
+// faultNames maps the faults of a zone to their names in the management API.
 var faultNames = [...]string{balancer.NoFault: "bad", balancer.FaultErrors: "failing", balancer.FaultUnresponsive: "silent",
 	balancer.FaultSlow: "slow", balancer.FaultSaturated: "crowded"}
 
-// zoneMetrics is how the zones stood when the loop last sampled them.
+// zoneMetrics holds the state of all zones when the loop last sampled them.
 type zoneMetrics struct {
-	exported bool // among the metrics
+	exported bool // the zones are included in the metrics
 	start    time.Time
 	zones    []zoneMetric
 }
 
+// zoneMetric holds the state of one zone, and when its phase last changed.
 type zoneMetric struct {
 	management.Zone
 	changedAt time.Time
-	changed   bool // since the start
+	changed   bool // the phase has changed since the start; otherwise changedAt is not set
 }
 
-// publishZones updates the zones' metrics.
+// publishZones samples the zones for the management API.
 func (l *eventLoop) publishZones() {
 	if !l.managed {
 		return
@@ -45,7 +46,7 @@
 		if !ok {
 			state.WeightFraction = 1
 		}
-		if l.overrides.zones.drained[name] { // the balancer does not know zones that the settings do not have
+		if l.overrides.zones.drained[name] { // the balancer does not know zones that are not in the settings
 			state.Phase, state.WeightFraction = balancer.ZoneDrained, 0
 		}
 		sampled.zones = append(sampled.zones, zoneMetric{
@@ -58,7 +59,7 @@
 	l.metrics.setZones(sampled)
 }
 
-// zoneReason is why a zone is in its phase, as the management address shows it.
+// zoneReason returns why a zone is in its phase, as the management API shows it.
 func (l *eventLoop) zoneReason(name string, s balancer.ZoneState) string {
 	switch {
 	case l.overrides.zones.drained[name]:
@@ -72,7 +73,7 @@
 		100*s.BadFraction, s.Calls, faultNames[s.Fault], s.UnhealthyVotes, s.ReportingReplicas)
 }
 
-// current are the sampled zones with how long each has been in its phase by now.
+// current returns the sampled zones, each with how long it has been in its phase.
 func (m *zoneMetrics) current() []management.Zone {
 	zones := make([]management.Zone, 0, len(m.zones))
 	for _, z := range m.zones {
@@ -85,7 +86,7 @@
 	return zones
 }
 
-// Zones are the zones by name, as the loop last sampled them; empty without a management address.
+// Zones returns the zones as the loop last sampled them, sorted by name; none without a management address.
 func (p *Proxy) Zones() []management.Zone {
 	p.metrics.mu.Lock()
 	defer p.metrics.mu.Unlock()
--- a/internal/proxy/zonenumbers.go
+++ b/internal/proxy/zonenumbers.go
@@ -7,8 +7,8 @@
 	"merlinpick/internal/discovery"
 )
 
-// zoneNumbers are the balancer's numbers of zones by name: first the settings' own, then others as they turn up. The loop
-// owns it.
+// zoneNumbers maps zone names to the numbers that the balancer uses for them: first the zones in the
+// settings, then others in the order in which they are first seen. Only the loop uses it.
 type zoneNumbers map[string]int
 
 func newZoneNumbers(names []string) zoneNumbers {
@@ -19,7 +19,7 @@
 	return z
 }
 
-// number gives a zone its number, a new one if it has none.
+// number returns the number of a zone, and assigns the next one if the zone is new.
 func (z zoneNumbers) number(name string) int {
 	n, ok := z[name]
 	if !ok {
@@ -29,7 +29,7 @@
 	return n
 }
 
-// name is the name of a zone by its number, or the number itself where no zone has it.
+// name returns the name of the zone with a number, or the number as text if there is none.
 func (z zoneNumbers) name(number int) string {
 	for name, n := range z {
 		if n == number {
@@ -39,7 +39,8 @@
 	return strconv.Itoa(number)
 }
 
-// toServers turns entries of an endpoint list into the balancer's servers. startOf returns when one started on the loop's clock.
+// toServers converts the entries of an endpoint list to servers for the balancer. startOf returns when the
+// server of an entry started, on the loop's clock.
 func (z zoneNumbers) toServers(entries []discovery.Endpoint, startOf func(discovery.Endpoint) int64) []balancer.Server {
 	servers := make([]balancer.Server, 0, len(entries))
 	for _, e := range entries {
--- a/internal/proxy/zoneoverrides.go
+++ b/internal/proxy/zoneoverrides.go
@@ -8,22 +8,25 @@
 	"merlinpick/internal/override"
 )
 
-// zoneOverrides are the zones, by name, that operators have drained. All but knownZones is the loop's own.
+// zoneOverrides holds the zones, by name, that operators have drained. Only the loop uses it, except for
+// knownZones.
 type zoneOverrides struct {
-	knownZones *override.NameSet // those of the settings and of lists
-	knownCount int               // of zoneNumbers when knownZones was last updated
-	requested  map[string]bool   // to be drained: the union of this proxy's overrides and the cluster's
-	drained    map[string]bool   // requested, but for retained
-	retained   string            // the zone that is not drained since no other has servers that serve; empty: none
+	knownZones *override.NameSet // zones that the settings or a list have named
+	knownCount int               // size of zoneNumbers when knownZones was last updated
+	requested  map[string]bool   // zones to drain: the union of this proxy's overrides and the cluster's
+	drained    map[string]bool   // requested without retained
+	// retained is a requested zone that is not drained, as no other zone has serving servers; or empty.
+	retained string
 }
 
+// newZoneOverrides returns overrides that drain no zone and know the given zones.
 func newZoneOverrides(numbers zoneNumbers) zoneOverrides {
 	z := zoneOverrides{knownZones: override.NewNameSet(), knownCount: len(numbers)}
 	z.knownZones.Add(slices.Collect(maps.Keys(numbers))...)
 	return z
 }
 
-// updateZoneNames lets operators drain zones that have turned up.
+// updateZoneNames adds newly seen zones to those that operators can drain.
 func (l *eventLoop) updateZoneNames() {
 	if len(l.zoneNumbers) != l.overrides.zones.knownCount {
 		l.overrides.zones.knownCount = len(l.zoneNumbers)
@@ -32,8 +35,9 @@
 	l.publishZones()
 }
 
-// applyZoneDrains drains the requested zones. A call that would leave no zone with servers is rejected, but calls at two
-// proxies, or a list, may lead there: then the first zone by name is retained, the same at every proxy.
+// applyZoneDrains drains the requested zones. A call that would leave no zone with serving servers is
+// rejected, but calls at two proxies, or a new list, can still lead to that state. Then the first such zone
+// by name is not drained; every proxy picks the same one.
 func (l *eventLoop) applyZoneDrains() {
 	zones := &l.overrides.zones
 	if len(zones.requested)+len(zones.drained) == 0 {
@@ -46,7 +50,8 @@
 		delete(drained, retained)
 	}
 	if retained != zones.retained && retained != "" {
-		l.logger.Error("zone drain rejected: no other zone has serving endpoints, restore another", "zone", retained)
+		l.logger.Error("zone not drained: no other zone has serving endpoints; restore another zone first",
+			"zone", retained)
 	}
 	zones.retained = retained
 	if maps.Equal(drained, zones.drained) {
@@ -63,8 +68,8 @@
 	l.metrics.setServers(l.balancer.ServerCounts())
 }
 
-// recoverRestoredZones has zones that operators restored go on with their recovery where no cluster does that: for a proxy on
-// its own, or until the cluster's address is open.
+// recoverRestoredZones continues the recovery of zones that operators have restored while no cluster reports
+// arrive to drive it: in a proxy without a cluster, or until the cluster's address is open.
 func (l *eventLoop) recoverRestoredZones() {
 	now := l.clock.now()
 	recovering := func(z balancer.ZoneState) bool { return z.Phase == balancer.ZoneRecovering }
