--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -1,9 +1,10 @@
-// Package upstream is the proxy's side towards the backends: a pool of connections, and attempts that send one request to
-// one backend and read its response. It does not choose a backend and does not retry: whether there is another attempt is
-// the balancer's decision.
+// Package upstream implements the proxy's side towards the backends: a pool of connections, and attempts that
+// send one request to one backend and read its response. It neither chooses a backend nor retries: both are
+// decisions of the balancer.
 //
-// An attempt runs in the goroutine that calls Run, and owns its connection for as long. A readAhead has a goroutine that
-// ends with the attempt's connection. The pool has none: SweepIdle is to be called about once a second.
+// An attempt runs in the goroutine that calls Run, and owns its connection until Run returns. A readAhead
+// starts a goroutine that ends when the attempt closes its connection. The pool starts none: SweepIdle must
+// be called about once a second.
 package upstream
 
 import (
@@ -21,49 +22,52 @@
 	"merlinpick/internal/proxy/invariant"
 )
 
-// staleConnWindow: a request on a reused connection that breaks within it is taken as sent on a connection that the backend
-// had already closed.
+// staleConnWindow is how soon after sending a request a reused connection must break for the pool to assume
+// that the backend had already closed it.
 const staleConnWindow = 100 * time.Millisecond
 
-// Request is what a client's request sends to a backend. Its attempts use it one after the other.
+// Request is a client's request as it is sent to a backend. Its attempts use it one after the other.
 type Request struct {
 	ID            string
 	Method        string
-	URI           string // path and query as they came
+	URI           string // path and query as received
 	Host          string
-	Header        http.Header   // Request-Timeout-Ms is set by each attempt
-	Timeout       time.Duration // how long the client waits, from the last byte of the request on
+	Header        http.Header   // each attempt sets Request-Timeout-Ms
+	Timeout       time.Duration // how long the client waits after sending the last byte of the request
 	NonIdempotent bool          // it must never be executed twice
-	Body          []byte        // as much of it as is buffered
-
-	// Of a body that is too large to be buffered.
-	BodyRemainder  io.Reader                 // what follows Body
-	ContentLength  int64                     // of all of it; -1: unknown
-	BodyConsumed   bool                      // some of BodyRemainder has been read: no other attempt can send it
-	ClientDeadline atomic.Pointer[time.Time] // once the body's last byte is known to have come; nil before
-
-	// ClientGone reports whether nobody waits for the response any more; nil: somebody does. Any goroutine may call it.
+	Body          []byte        // the buffered part of the body
+
+	// These fields are for a body that is too large to be buffered.
+	BodyRemainder io.Reader // the part after Body
+	ContentLength int64     // of the complete body, in bytes; -1: unknown
+	// BodyConsumed states that part of BodyRemainder has been read, so that no other attempt can send it.
+	BodyConsumed bool
+	// ClientDeadline is set once the last byte of the body is known to have arrived; nil before.
+	ClientDeadline atomic.Pointer[time.Time]
+
+	// ClientGone reports whether the client has disconnected; nil means that it has not. Any goroutine may
+	// call it.
 	ClientGone func() bool
 }
 
 func (r *Request) clientGone() bool { return r.ClientGone != nil && r.ClientGone() }
 
-// Server is where an attempt goes, as it was listed when the attempt was created.
+// Server is the destination of an attempt, as it was listed when the attempt was created.
 type Server struct {
 	Name string
 	Zone string
 	Cell int
 }
 
-// Params are what an attempt is to do.
+// Params holds the parameters of an attempt.
 type Params struct {
 	Request      *Request
 	Deadline     time.Time // for the response
-	SendDeadline time.Time // the request's last byte is sent before it or never; zero: no limit
-	Uploading    bool      // the body is still coming: CompleteBody sets another deadline
+	SendDeadline time.Time // the request's last byte must be sent before it; zero: no limit
+	Uploading    bool      // the body is still being received: CompleteBody sets the final deadline
 
-	// StartStream hands a response that is streamed to the client's side, sets its ClientDeadline, and returns whether the
-	// client's side takes it.
+	// StartStream passes a streamed response to the client's side and sets its ClientDeadline. It returns
+	// false if the client's side does not accept the response.
 	StartStream func(*Stream) bool
 }
 
@@ -73,7 +77,8 @@
 	request      *Request
 	deadline     time.Time
 	sendDeadline time.Time
-	bodyComplete chan time.Time // gets the deadline once the body has come; nil unless it is still coming
+	// bodyComplete receives the deadline once the body is complete; nil if the body was buffered.
+	bodyComplete chan time.Time
 	startStream  func(*Stream) bool
 
 	backend    *backend
@@ -85,15 +90,15 @@
 	cancel context.CancelFunc
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result struct {
 	Status      balancer.Status
-	Body        []byte // of a 200 that was not streamed
+	Body        []byte // of a 200 response that was not streamed
 	ContentType string
 }
 
-// NewAttempt creates an attempt at a backend by its name; false if the list has none of this name that takes new requests.
-// Cancel, or the context's end, stops it.
+// NewAttempt creates an attempt at the named backend. It returns false if no backend of this name is listed
+// and accepts new requests. Cancel, or the end of ctx, stops the attempt.
 func (p *Pool) NewAttempt(ctx context.Context, server string, params Params) (*Attempt, bool) {
 	a := &Attempt{pool: p, request: params.Request, deadline: params.Deadline, sendDeadline: params.SendDeadline,
 		startStream: params.StartStream}
@@ -107,7 +112,8 @@
 	return a, true
 }
 
-// assign gives an attempt a backend as it is listed now; false if there is none that takes new requests.
+// assign sets an attempt's backend, as it is listed now. It returns false if it is not listed or accepts no
+// new requests.
 func (p *Pool) assign(a *Attempt, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,21 +126,21 @@
 	return true
 }
 
-// Server is where the attempt goes.
+// Server returns the destination of the attempt.
 func (a *Attempt) Server() Server { return a.server }
 
 // Cancel stops the attempt: its connection is closed, and Run returns soon.
 func (a *Attempt) Cancel() { a.cancel() }
 
-// CompleteBody notifies an attempt, once, that the body is complete, and sets the deadline for the response. It does nothing
-// unless the body was still coming when the attempt was created.
+// CompleteBody tells an attempt that the body is complete, and sets the deadline for the response. It must be
+// called only once. It does nothing if the body was complete when the attempt was created.
 func (a *Attempt) CompleteBody(deadline time.Time) {
 	if a.bodyComplete != nil {
 		a.bodyComplete <- deadline
 	}
 }
 
-// Run carries the attempt out and returns when nothing of it is left. The caller then calls Cancel.
+// Run carries out the attempt and returns when it is over. The caller must then call Cancel.
 func (a *Attempt) Run() Result {
 	c := a.pool.takeIdle(a.backend, a.generation, a.request.NonIdempotent)
 	if c == nil {
@@ -142,18 +148,19 @@
 	}
 	if c == nil {
 		if a.request.clientGone() {
-			return Result{Status: balancer.StatusNotSent} // a connection costs the backend work
+			return Result{Status: balancer.StatusNotSent} // saves the backend the cost of a new connection
 		}
 		var err error
 		if c, err = a.dial(); err != nil {
 			if a.ctx.Err() != nil || a.pastSendWindow() || isLocalShortage(err) || errors.Is(err, errGenerationChanged) {
-				return Result{Status: balancer.StatusNotSent} // no fault of the backend's
+				return Result{Status: balancer.StatusNotSent} // not the backend's fault
 			}
 			return Result{Status: balancer.StatusConnectFailed}
 		}
 	}
-	// The dial took time, and so did the way here. Nothing is sent for an attempt that was cancelled or is too late, to a
-	// backend that has changed, or for a client that has gone, of which the context may hear later.
+	// Conditions may have changed since the attempt was created, above all during the dial. Send nothing if
+	// the attempt was cancelled or is past its deadline, if the backend has changed, or if the client has
+	// disconnected, which may be known before the context is cancelled.
 	if a.ctx.Err() != nil || a.pastDeadline() || !a.pool.isCurrent(a.backend, a.generation) || a.request.clientGone() {
 		a.pool.putIdle(c)
 		return Result{Status: balancer.StatusNotSent}
@@ -163,7 +170,7 @@
 	return result
 }
 
-// release gives the connection back to the pool or closes it.
+// release returns the connection to the pool or closes it.
 func (a *Attempt) release(c *conn, status balancer.Status, reusable bool) {
 	switch {
 	case reusable:
@@ -178,12 +185,14 @@
 
 func (a *Attempt) pastDeadline() bool { return !time.Now().Before(a.deadline) }
 
-// pastSendWindow reports whether the request may not be sent any more: the connection came up too late.
+// pastSendWindow reports whether it is too late to send the request, since the connection was established too
+// late.
 func (a *Attempt) pastSendWindow() bool {
 	return !a.sendDeadline.IsZero() && !time.Now().Before(a.sendDeadline)
 }
 
-// sendLimit is when the request's last byte must be sent: the deadline, or the send window's end if that is sooner.
+// sendLimit returns when the request's last byte must have been sent: at the deadline, or at the end of the
+// send window if that is sooner.
 func (a *Attempt) sendLimit() time.Time {
 	if !a.sendDeadline.IsZero() && a.sendDeadline.Before(a.deadline) {
 		return a.sendDeadline
@@ -191,22 +200,26 @@
 	return a.deadline
 }
 
+// dial opens a connection to the attempt's backend before sendLimit.
 func (a *Attempt) dial() (*conn, error) {
 	ctx, cancel := context.WithDeadline(a.ctx, a.sendLimit())
 	defer cancel()
 	return a.pool.dial(ctx, a.backend, a.address, a.generation)
 }
 
-// localShortages are errors of a connect for what this machine is short of: ports, memory or descriptors.
+// localShortages are the errors of a dial that fails for lack of a resource on this machine: connections,
+// ports, memory or file descriptors.
 var localShortages = []error{errConnLimit, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE,
 	syscall.EAGAIN}
 
-// isLocalShortage reports whether a connect failed for a shortage of the proxy itself, which is no fault of the backend.
+// isLocalShortage reports whether a dial failed for lack of a local resource, which is not the backend's
+// fault.
 func isLocalShortage(err error) bool {
 	return slices.ContainsFunc(localShortages, func(s error) bool { return errors.Is(err, s) })
 }
 
-// checkFirstByte checks the rules at the moment in which the attempt's first byte is sent.
+// checkFirstByte checks the rules for an attempt whose first byte is sent at moment, and reports those that
+// it breaks.
 func (a *Attempt) checkFirstByte(moment time.Time) {
 	if a.pool.audit == nil {
 		return
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -14,28 +14,29 @@
 
 const (
 	maxResponseHeadBytes = 16 << 10
-	maxInformational     = 5 // responses with a status below 200 before the one that counts, as in net/http
+	maxInformational     = 5 // responses with a status below 200 before the final one, as in net/http
 )
 
 var (
-	errHeadTooLong          = errors.New("upstream: the response's head is longer than 16 KiB")
-	errTooManyInformational = errors.New("upstream: more than 5 informational responses")
+	errHeadTooLong          = errors.New("upstream: the response's header is longer than 16 KiB")
+	errTooManyInformational = errors.New("upstream: more than 5 informational (1xx) responses")
 )
 
 // conn is a connection to a backend. It carries one request at a time, and belongs to that request's attempt or, while
 // idle, to the pool.
 type conn struct {
 	net.Conn
-	backend         *backend
-	generation      int // of the backend when it was opened
-	reader          *bufio.Reader
-	responseReader  *bufio.Reader // of a response whose head has been checked: the head, then reader
-	responseStarted bool          // a byte of the present response has come
+	backend    *backend
+	generation int // of the backend when it was opened
+	reader     *bufio.Reader
+	// responseReader reads a response whose header was checked: first the header, then from reader.
+	responseReader  *bufio.Reader
+	responseStarted bool // a byte of the current response has arrived
 	idleSince       time.Time
-	idleFor         time.Duration // before its present request; 0 for its first
+	idleFor         time.Duration // how long it was idle before the current request; 0 for its first
 }
 
-// notingReader reads from a connection and notes that something came.
+// notingReader reads from a connection and sets responseStarted when data arrives.
 type notingReader struct{ c *conn }
 
 func (r notingReader) Read(p []byte) (int, error) {
@@ -44,8 +45,9 @@
 	return n, err
 }
 
-// readResponse reads a response's head, past informational ones. It fails for a body whose end two readers could see in two
-// places: net/http would settle that silently, and the rest of it would be taken for the next response.
+// readResponse reads the header of the final response and skips informational ones. It fails if the length of
+// the body is ambiguous: net/http would silently choose one, and the rest could be taken for the next
+// response.
 func (c *conn) readResponse(method string) (*http.Response, error) {
 	for range maxInformational + 1 {
 		head, err := c.readHead()
@@ -73,7 +75,7 @@
 	return nil, errTooManyInformational
 }
 
-// readHead reads up to the empty line.
+// readHead reads a response's status line and header, up to and including the empty line.
 func (c *conn) readHead() (head []byte, err error) {
 	for !bytes.HasSuffix(head, []byte("\r\n\r\n")) {
 		line, err := c.reader.ReadSlice('\n')
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -14,55 +14,57 @@
 )
 
 const (
-	// defaultDrainGrace is for settings that state none: no deployment known has a longer one.
+	// defaultDrainGrace is used if the settings have no drain grace. No known deployment has a longer one.
 	defaultDrainGrace = time.Second
 
-	brokenLogInterval = time.Second // between two log lines about broken responses
+	brokenLogInterval = time.Second // least time between two log lines about broken responses
 )
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Config is what a Pool starts with.
+// Config holds what a Pool needs to start.
 type Config struct {
-	DialTimeout time.Duration // for a connection to come up
-	IdleClose   time.Duration // after which backends close an idle connection
-	MaxOpen     int           // connections, those being opened included
+	DialTimeout time.Duration // longest time to establish a connection
+	IdleClose   time.Duration // after this time backends close an idle connection
+	MaxOpen     int           // connection limit, including those being opened
 	Audit       *audit.Recorder
 	Logger      *slog.Logger // nil: nothing is logged
 	OnForwarded func()       // called when an attempt's request was written completely; may be nil
 }
 
 // Pool holds the connections to all listed backends. It may be used from any goroutine; a connection that is not idle
-// belongs to the attempt that has it.
+// belongs to the attempt that uses it.
 //
-// It stands in for http.Transport, which by itself sends a GET or a request with an idempotency key again when a kept
-// connection turns out to be dead: an attempt that the balancer would not know of.
+// It replaces http.Transport, which automatically resends a GET or a request with an idempotency key when a
+// reused connection turns out to be closed: an attempt that the balancer would not know of.
 type Pool struct {
-	maxBuffered atomic.Int64 // responses of up to so many bytes are buffered whole
+	maxBuffered atomic.Int64 // responses of up to this many bytes are buffered completely
 	onForwarded func()
 	audit       *audit.Recorder
 	logger      *slog.Logger
 
-	mu           sync.Mutex
-	dialContext  DialFunc
-	wrapDial     func(DialFunc) DialFunc // nil: as it is
-	idleTimeout  time.Duration           // idle connections are closed after it, well before the backend does it
-	reuseDelay   time.Duration           // a connection is idle for so long before it is used again: see idletimeout.ReuseDelay
-	drainGrace   time.Duration           // in which sends must stop to a backend that drains or is gone
+	mu          sync.Mutex
+	dialContext DialFunc
+	wrapDial    func(DialFunc) DialFunc // set by WrapDial; nil: none
+	// idleTimeout is when idle connections are closed, well before the backend closes them.
+	idleTimeout time.Duration
+	// reuseDelay is the least idle time before a connection is reused: see idletimeout.ReuseDelay.
+	reuseDelay   time.Duration
+	drainGrace   time.Duration // within it, sends to a backend that drains or was removed must stop
 	maxOpen      int
-	openConns    int // those being opened included
+	openConns    int // including those being opened
 	idleTracker  idletimeout.Tracker
 	byName       map[string]*backend
-	updateCount  int             // updates so far
-	suspended    map[string]bool // by name
+	updateCount  int             // endpoint updates so far
+	suspended    map[string]bool // backends by name
 	drainedZones map[string]bool
 
 	lastLogged time.Time // when logBrokenResponse last logged
-	unlogged   int       // broken responses since
+	unlogged   int       // broken responses since then
 }
 
-// backend is one backend as it is listed now. The pool's lock guards it.
+// backend is one backend, as currently listed. The pool's lock guards it.
 type backend struct {
 	name             string
 	address          string
@@ -70,15 +72,15 @@
 	cell             int
 	startedMs        int64 // Unix milliseconds, as listed
 	lastListed       int   // the latest update that named it, counted from 1
-	serving          bool  // by the list
-	available        bool  // serving, not suspended, and in no drained zone
+	serving          bool  // according to the list
+	available        bool  // serving, not suspended, and not in a drained zone
 	unavailableSince time.Time
 
-	// generation goes up whenever what is listed of the backend, or decided by operators, changes: draining, gone,
-	// restarted, moved, suspended or not. Nothing is sent on a connection of a former generation.
+	// generation is incremented whenever the list or an operator changes the backend: it drains, is removed,
+	// restarts, moves, or is suspended or resumed. Nothing is sent on a connection of an earlier generation.
 	generation   int
-	idleConns    []*conn                      // the most recently used last
-	pendingDials map[*context.CancelFunc]bool // in this generation
+	idleConns    []*conn                      // the most recently used is last
+	pendingDials map[*context.CancelFunc]bool // dials of this generation
 }
 
 // NewPool returns a pool without backends.
@@ -90,7 +92,7 @@
 	return p
 }
 
-// SetTimeouts sets how long a connection may take to come up, and be idle before the backend closes it.
+// SetTimeouts sets how long a dial may take, and after what idle time backends close a connection.
 func (p *Pool) SetTimeouts(dialTimeout, idleClose time.Duration) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	p.mu.Lock()
@@ -101,7 +103,8 @@
 	}
 }
 
-// SetDrainGrace sets the grace for sends to backends that drain or are gone, in microseconds; 0 stands for the default.
+// SetDrainGrace sets within what time sends to a backend that drains or was removed must stop, in
+// microseconds; 0 sets the default.
 func (p *Pool) SetDrainGrace(micros int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,8 +113,8 @@
 	}
 }
 
-// SetLimits sets how many connections may be open, and how many bytes of responses these may buffer together. Idle
-// connections beyond the first limit are closed.
+// SetLimits sets how many connections may be open, and how many bytes of responses they may buffer in total.
+// It closes the connections that have been idle longest if there are more than maxOpen.
 func (p *Pool) SetLimits(maxOpen, memoryBytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,8 +124,9 @@
 	}
 }
 
-// UpdateEndpoints takes a complete list or the changes of one. Idle connections to a backend that has restarted, moved, drained
-// or gone are closed: nothing new is to go there, or the process at their other end is gone.
+// UpdateEndpoints applies a complete list (full) or a delta. It closes idle connections to a backend that has
+// restarted or moved, since the process at their other end has exited, and to one that drains or was removed,
+// since it gets no new requests.
 func (p *Pool) UpdateEndpoints(full bool, entries []discovery.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,6 +148,7 @@
 	}
 }
 
+// updateEndpointLocked applies one entry of a list.
 func (p *Pool) updateEndpointLocked(now time.Time, e discovery.Endpoint) {
 	b := p.byName[e.Name]
 	if b == nil {
@@ -165,12 +170,13 @@
 	}
 }
 
-// isAvailableLocked reports whether a backend takes new requests.
+// isAvailableLocked reports whether a backend accepts new requests.
 func (p *Pool) isAvailableLocked(b *backend) bool {
 	return b.serving && !p.suspended[b.name] && !p.drainedZones[b.zone]
 }
 
-// SetSuspended has these backends, by name, and no others get nothing new; idle connections there are closed.
+// SetSuspended makes the named backends, and no others, suspended: they get no new requests, and their idle
+// connections are closed.
 func (p *Pool) SetSuspended(names map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +184,8 @@
 	p.refilterLocked()
 }
 
-// SetDrainedZones has the backends of these zones and no others get nothing new; idle connections there are closed.
+// SetDrainedZones makes these zones, and no others, drained: their backends get no new requests, and the idle
+// connections to them are closed.
 func (p *Pool) SetDrainedZones(zones map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,7 +193,7 @@
 	p.refilterLocked()
 }
 
-// refilterLocked applies the operators' overrides to all backends.
+// refilterLocked updates the availability of all backends after a change of the operators' overrides.
 func (p *Pool) refilterLocked() {
 	for _, b := range p.byName {
 		if available := p.isAvailableLocked(b); available != b.available {
@@ -196,8 +203,9 @@
 	}
 }
 
-// advanceGenerationLocked begins a new generation of a backend. Its idle connections are closed, and dials are given up:
-// nothing would be sent on them, and the requests that wait for them can go elsewhere.
+// advanceGenerationLocked starts a new generation of a backend. It closes the idle connections and cancels
+// pending dials: nothing would be sent on them, and the requests that wait for a dial can go to another
+// backend.
 func (p *Pool) advanceGenerationLocked(b *backend) {
 	b.generation++
 	switch {
@@ -216,7 +224,8 @@
 	b.idleConns = nil
 }
 
-// ServingZones are the zones with backends that serve by the list, drained or suspended ones too.
+// ServingZones returns the zones with backends that the list shows as serving, even if operators have drained
+// or suspended them.
 func (p *Pool) ServingZones() map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,13 +238,13 @@
 	return zones
 }
 
-// Stats are a pool's counts at one moment.
+// Stats holds the number of a pool's connections.
 type Stats struct {
-	Open int // connections, those being opened included
-	Idle int // of these
+	Open int // including those being opened
+	Idle int // included in Open
 }
 
-// Stats counts the connections.
+// Stats returns the current number of connections.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -246,7 +255,7 @@
 	return s
 }
 
-// WrapDial has all connections opened through a wrapper of the dialer, for faults that a test injects.
+// WrapDial wraps the dialer that opens all connections, so that tests can inject faults.
 func (p *Pool) WrapDial(wrap func(DialFunc) DialFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,28 +263,29 @@
 	p.dialContext = wrap(p.dialContext)
 }
 
-// SetReuseDelay sets how long a connection is idle before it is used again.
+// SetReuseDelay sets how long a connection must be idle before it is reused.
 func (p *Pool) SetReuseDelay(delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reuseDelay = delay
 }
 
-// isCurrent reports whether what is listed of a backend is what was in a generation.
+// isCurrent reports whether a backend is still in a generation.
 func (p *Pool) isCurrent(b *backend, generation int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return b.generation == generation
 }
 
-// unavailableSince is when a backend was last taken out for new requests, zero if it takes them, and the grace from then.
+// unavailableSince returns when a backend stopped accepting new requests, zero if it accepts them, and within
+// what time after that sends must stop.
 func (p *Pool) unavailableSince(b *backend) (since time.Time, grace time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return b.unavailableSince, p.drainGrace
 }
 
-// logBrokenResponse logs a response that could not be read, once in brokenLogInterval.
+// logBrokenResponse logs a response that could not be read, at most once per brokenLogInterval.
 func (p *Pool) logBrokenResponse(b *backend, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/upstream/readahead.go
+++ b/internal/proxy/upstream/readahead.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-const readAheadPiece = 8 << 10 // bytes of one read, at most
+const readAheadPiece = 8 << 10 // most bytes of one read from the source
 
-// readAhead reads on ahead of its reader, up to a capacity, so that a response without a length can be awaited without a
-// read that has to be broken off: a chunked body does not survive that.
+// readAhead reads a source ahead of its reader, up to a capacity. This allows a wait with a timeout for a
+// response without a length: interrupting a read of a chunked body would make the rest of it unreadable.
 type readAhead struct {
-	capacity int // bytes
+	capacity int // in bytes
 
 	mu          sync.Mutex
 	cond        sync.Cond
 	buffered    []byte
-	received    int64     // bytes so far
-	readStarted time.Time // of the read of the source that is under way; zero: there is none
-	sourceErr   error     // the source's end is io.EOF
-	closed      bool      // nobody reads any more
+	received    int64     // bytes read from the source so far
+	readStarted time.Time // when the pending read of the source started; zero: none is pending
+	sourceErr   error     // error that ended the source; io.EOF at its regular end
+	closed      bool      // the reader has stopped reading
 
-	firstByte, filled         chan struct{} // closed when a byte, or capacity, has come; both at the source's end
+	// These are closed when a byte, or capacity, has arrived; both at the source's end.
+	firstByte, filled         chan struct{}
 	firstByteOnce, filledOnce sync.Once
 }
 
-// newReadAhead starts the goroutine that reads the source. It ends with the source, which the attempt that owns the
-// connection sees to.
+// newReadAhead starts the goroutine that reads the source. The goroutine ends with the source; the attempt
+// that owns the connection makes sure that the source ends.
 func newReadAhead(source io.Reader, capacity int) *readAhead {
 	r := &readAhead{capacity: capacity, readStarted: time.Now(), firstByte: make(chan struct{}), filled: make(chan struct{})}
 	r.cond.L = &r.mu
@@ -35,6 +36,7 @@
 	return r
 }
 
+// fill reads the source until it ends or the readAhead is closed. It pauses while the buffer is full.
 func (r *readAhead) fill(source io.Reader) {
 	piece := make([]byte, min(r.capacity, readAheadPiece))
 	for {
@@ -62,7 +64,7 @@
 	}
 }
 
-// Read gives what has been read ahead, and waits for a byte if there is none.
+// Read returns data that has been read ahead, and blocks while there is none.
 func (r *readAhead) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,9 +80,9 @@
 	return n, nil
 }
 
-// isStalled reports whether the source has given nothing for ResponseBufferWait after no more than so many bytes, all of which
-// have been read on. While the source is not being read it is the client that is waited for, and the response may be a
-// large one.
+// isStalled reports whether the source, after at most maxReceived bytes, all of which the reader has taken,
+// has returned nothing for ResponseBufferWait. While no read of the source is pending, the response is
+// waiting for the client, not for the backend, and may be a large one.
 func (r *readAhead) isStalled(maxReceived int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +90,7 @@
 		len(r.buffered) == 0 && r.sourceErr == nil
 }
 
-// complete returns the whole body, or the source's error; ok is false while more is to come.
+// complete returns the whole body or the source's error; ok is false while the source has not ended.
 func (r *readAhead) complete() (body []byte, err error, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,9 +103,9 @@
 	return r.buffered, nil, true
 }
 
-// awaitStart waits until the whole body or capacity has come, and after ResponseBufferWait only for the first byte. A
-// response that is streamed before that and then breaks off reaches the client as a connection that ends without a
-// response.
+// awaitStart waits until the whole body has arrived or the buffer is full; after ResponseBufferWait it waits
+// only for the first byte. If a response were streamed before its first byte and then broke off, the client
+// would see a connection that closes without a response.
 func (r *readAhead) awaitStart(ctx context.Context) error {
 	timeout := time.NewTimer(ResponseBufferWait)
 	defer timeout.Stop()
@@ -114,7 +116,7 @@
 	case <-ctx.Done():
 	}
 	select {
-	case <-r.firstByte: // before all else: what has come by the deadline has begun
+	case <-r.firstByte: // checked first: a byte that arrived by the deadline counts even if ctx has ended
 		return nil
 	default:
 	}
@@ -126,7 +128,7 @@
 	}
 }
 
-// close lets fill end though nobody reads on.
+// close lets fill end when the buffer is full and is no longer read.
 func (r *readAhead) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/upstream/receive.go
+++ b/internal/proxy/upstream/receive.go
@@ -12,7 +12,7 @@
 	"merlinpick/balancer"
 )
 
-// incoming is a response whose head has been read.
+// incoming is a response whose header has been read.
 type incoming struct {
 	*http.Response
 	conn *conn
@@ -20,13 +20,14 @@
 
 func (r incoming) contentType() string { return r.Header.Get("Content-Type") }
 
-// reusable reports whether the connection can serve again, now that the response has been read.
+// reusable reports whether the connection can be reused. The response must have been read completely.
 func (r incoming) reusable() bool {
 	return !r.Close && r.conn.responseReader.Buffered() == 0 && r.conn.reader.Buffered() == 0
 }
 
-// readResponse reads the response. A small one is buffered whole: one that breaks off counts as none. A larger one is
-// streamed, and so is one without a length that is not complete soon.
+// readResponse reads the response. A small one is buffered completely, so that the request can be retried if
+// it breaks off. A larger one is streamed, and so is one without a length that is not complete within
+// ResponseBufferWait.
 func (a *Attempt) readResponse(c *conn) (result Result, reusable bool, err error) {
 	head, err := c.readResponse(a.request.Method)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return Result{Status: balancer.StatusOK, Body: body, ContentType: resp.contentType()}, resp.reusable(), nil
 }
 
-// readWithoutLength reads a response that is chunked or ends with its connection.
+// readWithoutLength reads a response that is chunked or ends when the backend closes the connection.
 func (a *Attempt) readWithoutLength(resp incoming) (Result, bool, error) {
 	ahead := newReadAhead(stallTimeoutReader{resp.Body, resp.conn, a.ctx}, int(a.pool.maxBuffered.Load()))
 	defer ahead.close()
@@ -73,9 +74,9 @@
 	return Result{Status: balancer.StatusOK, Body: body, ContentType: resp.contentType()}, resp.reusable(), nil
 }
 
-// awaitBodyStart waits until a long response's body has begun: for its first kilobyte, or ResponseBufferWait and whatever
-// has come by then. Once a response is streamed there can be no retry; one that breaks off before its first byte would even
-// reach the client as a connection that ends without a response.
+// awaitBodyStart waits for the start of a large response's body: for its first kilobyte, and after
+// ResponseBufferWait only for its first byte. Once a response is streamed, there can be no retry, and if it
+// breaks off before its first byte, the client sees a connection that closes without a response.
 func (a *Attempt) awaitBodyStart(c *conn) error {
 	limit := time.Now().Add(ResponseBufferWait)
 	if limit.After(a.deadline) {
@@ -88,7 +89,7 @@
 		_, err = c.responseReader.Peek(1)
 	}
 	switch {
-	case a.ctx.Err() != nil: // cancelled, maybe before a deadline was set anew
+	case a.ctx.Err() != nil: // cancelled; the cancellation may have been overwritten by a new deadline
 		return context.Cause(a.ctx)
 	case errors.Is(err, os.ErrDeadlineExceeded) && len(first) > 0:
 		return nil
@@ -96,19 +97,20 @@
 	return err
 }
 
-// readErrorResponse reads a response other than 200, of which only the status counts. Its body is awaited for no longer than
-// ResponseBufferWait, since there may be a retry; to the deadline only where the backend proves that it executed nothing.
+// readErrorResponse reads a response other than 200. Only its status matters, so it waits for the body no
+// longer than ResponseBufferWait, to leave time for a retry. If the backend declares that it executed
+// nothing, it waits until the deadline.
 func (a *Attempt) readErrorResponse(resp incoming) (Result, bool, error) {
 	notStarted := resp.Header.Get("Not-Started") == "1" &&
 		(resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout)
 	if limit := time.Now().Add(ResponseBufferWait); !notStarted && limit.Before(a.deadline) {
 		_ = resp.conn.SetReadDeadline(limit)
-		if a.ctx.Err() != nil { // cancelled, maybe before the deadline was set anew
+		if a.ctx.Err() != nil { // cancelled; the new deadline may have overwritten the cancellation
 			return Result{}, false, context.Cause(a.ctx)
 		}
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, MaxBufferedResponse+1))
-	status := balancer.StatusError // it may have been executed
+	status := balancer.StatusError // the request may have been executed
 	if notStarted {
 		status = balancer.StatusRejected
 	}
@@ -121,9 +123,10 @@
 	return Result{Status: status}, n <= MaxBufferedResponse && resp.reusable(), nil
 }
 
-// streamResponse has the client's side read the response, and waits until it has. A response of known length up to
-// MaxBufferedResponse is broken off MaxStreamOverrun - ResponseBufferWait after the client's deadline; one without a length
-// from then on, once it has stalled for ResponseBufferWait. Longer ones are limited by StallTimeout alone.
+// streamResponse passes the response to the client's side, and waits until that has read it. MaxStreamOverrun
+// - ResponseBufferWait after the client's deadline it aborts a response of known length up to
+// MaxBufferedResponse; from then on it also aborts a response without a length that has sent no more than
+// that and has stalled for ResponseBufferWait. Longer responses are limited only by StallTimeout.
 func (a *Attempt) streamResponse(resp incoming, source io.Reader) (Result, bool, error) {
 	length := resp.ContentLength
 	s := &Stream{ContentLength: length, ContentType: resp.contentType(), source: source, done: make(chan error, 1), cancelAttempt: a.cancel}
--- a/internal/proxy/upstream/reuse.go
+++ b/internal/proxy/upstream/reuse.go
@@ -14,19 +14,22 @@
 )
 
 const (
-	readerBytes   = 4 << 10 // buffer of a connection's reader
-	headPeekBytes = 1 << 10 // buffer of the reader that waits for the first bytes of a response
+	readerBytes   = 4 << 10 // buffer size of a connection's reader
+	headPeekBytes = 1 << 10 // buffer size of a response's reader, which awaitBodyStart fills
 )
 
-// How connections are opened, kept for the next request, and closed.
+// This file opens connections, keeps them for reuse, and closes them.
 
 var (
-	errConnLimit         = errors.New("upstream: the limit of connections to backends is reached and none is idle")
-	errGenerationChanged = errors.New("upstream: the backend was drained, moved, restarted or taken out meanwhile")
+	errConnLimit = errors.New("upstream: the limit of connections to backends is reached and none is idle")
+
+	errGenerationChanged = errors.New(
+		"upstream: the backend was drained, suspended, moved, restarted or removed in the meantime")
 )
 
-// takeIdle takes the most recently used idle connection that has been idle for reuseDelay, is not likely to be closed under
-// the request, and has nothing to read; nil if there is none.
+// takeIdle returns the most recently used idle connection that has been idle for at least reuseDelay, has
+// nothing to read, and is unlikely to be closed by the backend during the request. It returns nil if there is
+// none.
 func (p *Pool) takeIdle(b *backend, generation int, nonIdempotent bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,9 +53,10 @@
 	return nil
 }
 
-// awaitReusable takes the connection whose reuse delay ends first, where none has ended, and waits for that: a new one costs
-// the backend work and would take longer. It returns nil if none is idle, the backend's generation has ended, or the
-// connection has something to read (it is closed then). If ctx ends first it returns the connection, to be put back.
+// awaitReusable is called if no idle connection has passed its reuse delay. It takes the one whose delay ends
+// first and waits for that: a new connection would take longer and cost the backend work. It returns nil if
+// none is idle, if the backend's generation has changed, or if the connection has something to read, and
+// closes it then. If ctx ends first, it returns the connection, which the caller must put back.
 func (p *Pool) awaitReusable(ctx context.Context, b *backend, generation int) *conn {
 	p.mu.Lock()
 	if b.generation != generation || len(b.idleConns) == 0 {
@@ -66,7 +70,7 @@
 	defer delay.Stop()
 	select {
 	case <-delay.C:
-	case <-ctx.Done(): // nothing will be sent on it
+	case <-ctx.Done(): // the caller will send nothing
 		return c
 	}
 	if c.idleFor = time.Since(c.idleSince); socket.Quiet(c.Conn) {
@@ -76,8 +80,8 @@
 	return nil
 }
 
-// dial opens a connection within the dial timeout and the context's time, unless the backend's generation ends before. It
-// fails with errConnLimit, errGenerationChanged or the dialer's error.
+// dial opens a connection within the dial timeout and before ctx ends. It fails with errConnLimit, with the
+// dialer's error, or with errGenerationChanged if the backend's generation changes first.
 func (p *Pool) dial(ctx context.Context, b *backend, address string, generation int) (*conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -116,7 +120,8 @@
 	return c, nil
 }
 
-// reserveLocked counts a connection in. At the limit the one that has been idle longest makes room; false if there is none.
+// reserveLocked counts a new connection. At the limit it closes the one that has been idle longest; it
+// returns false if none is idle.
 func (p *Pool) reserveLocked() bool {
 	if p.openConns >= p.maxOpen && !p.closeOldestIdleLocked() {
 		return false
@@ -125,7 +130,7 @@
 	return true
 }
 
-// closeOldestIdleLocked closes the connection that has been idle the longest, if there is one.
+// closeOldestIdleLocked closes the connection that has been idle longest. It returns false if none is idle.
 func (p *Pool) closeOldestIdleLocked() bool {
 	var oldest *backend
 	for _, b := range p.byName {
@@ -154,16 +159,16 @@
 	c.backend.idleConns = append(c.backend.idleConns, c)
 }
 
-// recordStaleReuse notes that a reused connection broke before a byte of a response came.
+// recordStaleReuse records that a reused connection broke before the first byte of a response.
 func (p *Pool) recordStaleReuse(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idleTracker.RecordBrokenReuse(time.Now(), c.backend.name, c.idleFor, p.idleTimeout)
 }
 
-// resetAndClose closes a connection whose request has no complete response. What the system has not delivered of that
-// request never is: after an orderly close it would go on trying, and a backend that was cut off or hung would execute it
-// much later.
+// resetAndClose resets a connection whose request has no complete response, so that the kernel discards the
+// part of the request that it has not delivered. After an orderly close it would keep retransmitting, and a
+// backend that was cut off or hung could execute the request much later.
 func (p *Pool) resetAndClose(c *conn) {
 	p.audit.Count(audit.BackendConnNoResponse)
 	socket.ResetOnClose(c.Conn)
@@ -176,12 +181,14 @@
 	p.closeLocked(c)
 }
 
+// closeLocked closes a connection and subtracts it from the open ones.
 func (p *Pool) closeLocked(c *conn) {
 	c.Close()
 	p.openConns--
 }
 
-// SweepIdle closes the connections that have been idle for too long, and those that their backend has closed.
+// SweepIdle closes the connections that have been idle for idleTimeout, and those that the backend has
+// closed.
 func (p *Pool) SweepIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/upstream/send.go
+++ b/internal/proxy/upstream/send.go
@@ -15,12 +15,14 @@
 	"merlinpick/balancer"
 )
 
-// writeBufferBytes of a streamed request are sent together: its head and the first of its body.
+// writeBufferBytes is the size of the write buffer of a streamed request. Its header and the start of its
+// body are sent in one write.
 const writeBufferBytes = 32 << 10
 
-// exchange sends the request and reads the response; reusable reports whether the connection can serve again.
+// exchange sends the request and reads the response. reusable reports whether the connection can be reused.
 func (a *Attempt) exchange(c *conn) (result Result, reusable bool) {
-	// Cancelling the attempt ends its reads and writes; the connection is then closed, never used again.
+	// Cancelling the attempt aborts its reads and writes by a deadline in the past. The connection is then
+	// closed.
 	unhook := context.AfterFunc(a.ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
 		if !unhook() {
@@ -28,7 +30,7 @@
 		}
 	}()
 	_ = c.SetDeadline(a.deadline)
-	if a.ctx.Err() != nil { // cancelled while the deadline was set
+	if a.ctx.Err() != nil { // cancelled; the new deadline may have overwritten the cancellation
 		return Result{Status: balancer.StatusNotSent}, false
 	}
 	if a.pastSendWindow() {
@@ -64,8 +66,9 @@
 	return Result{Status: balancer.StatusReset}, false
 }
 
-// send writes the whole request. Any status but StatusOK proves that the backend has not begun on it, except
-// StatusCancelled; reusable then reports whether the connection can serve another request.
+// send writes the whole request. If it returns neither StatusOK nor StatusCancelled, the backend cannot have
+// started to execute the request. Unless it returns StatusOK, reusable reports whether the connection can be
+// reused.
 func (a *Attempt) send(c *conn) (status balancer.Status, reusable bool) {
 	if a.bodyComplete != nil {
 		return a.sendStreamed(c), false
@@ -77,14 +80,15 @@
 	a.checkFirstByte(time.Now())
 	if _, err := c.Write(text); err != nil { // the last byte was not written
 		if a.ctx.Err() != nil {
-			return balancer.StatusNotSent, false // its connection was not at fault
+			return balancer.StatusNotSent, false // the connection did not fail
 		}
 		return balancer.StatusConnectFailed, false
 	}
 	return balancer.StatusOK, false
 }
 
-// encodeRequest writes the whole request into one buffer, so that one write reports whether its last byte went out.
+// encodeRequest encodes the whole request into one buffer, so that a single write shows whether its last byte
+// was sent.
 func (a *Attempt) encodeRequest() ([]byte, error) {
 	out := a.outgoingRequest(time.Until(a.deadline))
 	if body := a.request.Body; len(body) > 0 {
@@ -97,8 +101,8 @@
 	return buf.Bytes(), nil
 }
 
-// sendStreamed writes a request whose body is still coming. It ends when all has been written and the deadline for the
-// response is known.
+// sendStreamed writes a request whose body is still being received. It returns when the request has been
+// written and the deadline for the response is known.
 func (a *Attempt) sendStreamed(c *conn) balancer.Status {
 	remaining := &remainingBody{Reader: a.request.BodyRemainder, request: a.request}
 	timeout := a.request.Timeout
@@ -132,7 +136,7 @@
 	return balancer.StatusOK
 }
 
-// outgoingRequest is the head of the request as it is sent, for a response that is awaited for so long.
+// outgoingRequest returns the request to send, without a body. timeout is how long the response is awaited.
 func (a *Attempt) outgoingRequest(timeout time.Duration) http.Request {
 	r := a.request
 	r.Header.Set("Request-Timeout-Ms", strconv.FormatInt(max(1, timeout.Milliseconds()), 10))
@@ -141,11 +145,11 @@
 		URL: &url.URL{Opaque: path, RawQuery: query, ForceQuery: strings.HasSuffix(r.URI, "?")}}
 }
 
-// remainingBody is what an attempt reads of a body beyond what is buffered.
+// remainingBody reads the part of a body that is not buffered.
 type remainingBody struct {
 	io.Reader
 	request *Request
-	readErr error // its own, to tell it from one of the connection that it is written to
+	readErr error // kept to distinguish a failed read of the body from a failed write to the backend
 }
 
 func (r *remainingBody) Read(p []byte) (int, error) {
@@ -157,11 +161,11 @@
 	return n, err
 }
 
-// stallTimeoutWriter writes to a backend's connection, and fails when nothing can be written for StallTimeout.
+// stallTimeoutWriter writes to a backend's connection, and fails if a write takes longer than StallTimeout.
 type stallTimeoutWriter struct {
 	conn     *conn
 	ctx      context.Context
-	deadline time.Time // nothing is written after it; zero: no limit
+	deadline time.Time // writes after it fail; zero: no limit
 }
 
 func (w stallTimeoutWriter) Write(p []byte) (int, error) {
@@ -170,7 +174,7 @@
 		deadline = w.deadline
 	}
 	_ = w.conn.SetWriteDeadline(deadline)
-	if w.ctx.Err() != nil { // cancelled, maybe before the deadline was set anew
+	if w.ctx.Err() != nil { // cancelled; the new deadline may have overwritten the cancellation
 		return 0, context.Cause(w.ctx)
 	}
 	return w.conn.Write(p)
--- a/internal/proxy/upstream/stream.go
+++ b/internal/proxy/upstream/stream.go
@@ -8,42 +8,45 @@
 )
 
 const (
-	// MaxBufferedResponse is up to how many bytes a response is buffered whole before any of it is passed on.
+	// MaxBufferedResponse is the size in bytes up to which a response is buffered completely before it is
+	// forwarded.
 	MaxBufferedResponse = 64 << 10
-	minBufferedResponse = 4 << 10 // the same where memory is short
+	minBufferedResponse = 4 << 10 // lower bound of that size when memory is short
 
-	// ResponseBufferWait is how long a response is buffered before what has come of it is streamed.
+	// ResponseBufferWait is how long a response is buffered before the part that has arrived is streamed.
 	ResponseBufferWait = 100 * time.Millisecond
 
-	// StallTimeout is how long a peer may neither send nor take a byte in the middle of a request's body or a
-	// response before it counts as hung.
+	// StallTimeout is how long a peer may neither send nor accept a byte in the middle of a request body or a
+	// response before it is considered hung.
 	StallTimeout = 10 * time.Second
 
-	// MaxStreamOverrun is how long after its client's deadline a streamed response is broken off. A client waits for half a
-	// second after its deadline; only a response beyond MaxBufferedResponse, the protocol's bound, may take longer.
+	// MaxStreamOverrun is how long after its client's deadline a streamed response is aborted. A client waits
+	// for half a second after its deadline. Only a response above MaxBufferedResponse, the limit in the
+	// protocol, may take longer.
 	MaxStreamOverrun = 400 * time.Millisecond
 )
 
-// ErrClientGone means that a response was not passed on completely since its client took no more of it.
-var ErrClientGone = errors.New("the client has gone")
+// ErrClientGone reports that a response was not forwarded completely, since the client stopped reading or
+// disconnected.
+var ErrClientGone = errors.New("the client disconnected or stopped reading the response")
 
-// Stream is a response that is passed on while it comes. The client's side reads it and calls Finish; the attempt waits for
-// that, and owns the connection.
+// Stream is a response that is forwarded while it arrives. The client's side reads it and calls Finish. The
+// attempt owns the connection and waits for Finish.
 type Stream struct {
 	ContentLength  int64 // -1: unknown
 	ContentType    string
 	ClientDeadline time.Time // set by Params.StartStream
 
 	source        io.Reader
-	done          chan error // takes the first Finish without a wait
+	done          chan error // buffers the result of the first Finish
 	cancelAttempt context.CancelFunc
 }
 
-// Read gives what has come. It waits for StallTimeout at most.
+// Read reads the part of the response that has arrived. It blocks for at most StallTimeout.
 func (s *Stream) Read(p []byte) (int, error) { return s.source.Read(p) }
 
-// Finish tells the attempt how the response ended: nil if it was passed on completely, ErrClientGone, or the error of Read. Only
-// the first call counts.
+// Finish tells the attempt how the response ended: nil if it was forwarded completely, ErrClientGone, or the
+// error of Read. Only the first call has an effect.
 func (s *Stream) Finish(err error) {
 	select {
 	case s.done <- err:
@@ -51,10 +54,10 @@
 	}
 }
 
-// CancelAttempt stops the attempt: reads fail soon.
+// CancelAttempt stops the attempt, which makes Read fail.
 func (s *Stream) CancelAttempt() { s.cancelAttempt() }
 
-// stallTimeoutReader reads from a backend's connection, and fails when nothing comes for StallTimeout.
+// stallTimeoutReader reads from a backend's connection, and fails if nothing arrives for StallTimeout.
 type stallTimeoutReader struct {
 	io.Reader
 	conn *conn
@@ -63,7 +66,7 @@
 
 func (r stallTimeoutReader) Read(p []byte) (int, error) {
 	_ = r.conn.SetReadDeadline(time.Now().Add(StallTimeout))
-	if r.ctx.Err() != nil { // cancelled, maybe before the deadline was set anew
+	if r.ctx.Err() != nil { // cancelled; the new deadline may have overwritten the cancellation
 		return 0, context.Cause(r.ctx)
 	}
 	return r.Reader.Read(p)
