--- a/internal/proxy/audit_test.go
+++ b/internal/proxy/audit_test.go
@@ -16,8 +16,8 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// A decision that breaks a rule is carried out all the same, and counted and logged: the audit sees what the balancer
-// and the loop do, not what they mean to do.
+// TestAuditReportsBrokenRule checks that a decision that breaks a rule is carried out, counted and logged:
+// the audit checks what the balancer and the loop do, whatever they intended.
 func TestAuditReportsBrokenRule(t *testing.T) {
 	var log bytes.Buffer
 	l := &eventLoop{clock: clock{start: time.Now()}, requests: map[string]*request{}, audit: audit.New(slog.New(slog.NewTextHandler(&log, nil)))}
@@ -31,22 +31,23 @@
 	}
 	a := begin()
 	l.auditAttemptEnd(a, balancer.StatusTimedOut)
-	begin() // it may have run
+	begin() // a retry, although the first attempt may have been executed
 	l.auditResponse(r, downstream.Response{Status: 503})
 	l.auditResponse(r, downstream.Response{Status: 502})
 	got := l.audit.Violations()
 	for _, rule := range []invariant.Rule{invariant.RetriedNonIdempotent, invariant.RejectedAfterExecution, invariant.RespondedTwice} {
 		if got[rule.String()] != 1 || !strings.Contains(log.String(), "rule="+rule.String()+" request=r1") {
-			t.Errorf("%v counted %d times; the log:\n%s", rule, got[rule.String()], log.String())
+			t.Errorf("rule %v: counted %d violations, want 1 and a log line; log:\n%s",
+				rule, got[rule.String()], log.String())
 		}
 	}
 	if l.audit.Events()["attempts.timed_out"] != 1 {
-		t.Errorf("events %v", l.audit.Events())
+		t.Errorf("got events %v, want one attempts.timed_out", l.audit.Events())
 	}
 }
 
-// A client's connection that the proxy closes under a request in flight breaks a rule, by whatever path; an idle one
-// does not.
+// TestAuditReportsConnectionClosedInFlight checks that closing a client connection with a request in flight
+// is reported as a violation, whichever code closes it.
 func TestAuditReportsConnectionClosedInFlight(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
@@ -55,12 +56,12 @@
 	cl.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 1 && b.Requests.Load() == 1 })
 	for _, c := range p.frontend.Conns() {
-		c.Close() // a seeded fault
+		c.Close() // injects the fault
 	}
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().RuleViolations["closed_unanswered"] == 1 })
 }
 
-// Ordinary requests break no rule, and show in the metrics.
+// TestAuditReportsNothingWhenRulesHold checks that ordinary requests are counted and cause no violation.
 func TestAuditReportsNothingWhenRulesHold(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for _, id := range []string{"1", "2", "3"} {
@@ -72,7 +73,7 @@
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["attempts.ok"] == 3 && p.frontend.OpenConns() == 0 })
 	for rule, n := range p.Metrics().RuleViolations {
 		if n != 0 {
-			t.Errorf("%s: %d", rule, n)
+			t.Errorf("rule %s: got %d violations, want none", rule, n)
 		}
 	}
 }
--- a/internal/proxy/backendclosing_test.go
+++ b/internal/proxy/backendclosing_test.go
@@ -11,13 +11,14 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// A response without a length that breaks off or stalls before its first byte has not started: a retry can serve,
-// otherwise the client gets an error in its time.
+// TestResponseWithoutLengthStartsAtFirstByte checks that a response without a length that breaks off or
+// stalls before its first body byte does not count as started: a retry can still serve the request, or the
+// client gets an error in time.
 func TestResponseWithoutLengthStartsAtFirstByte(t *testing.T) {
 	for _, head := range []string{"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"} {
 		for _, c := range []struct {
 			name string
-			good int // the attempt that is served
+			good int // the first attempt that is served
 			then func(io.Writer) bool
 			want int
 		}{
@@ -32,14 +33,15 @@
 						return true
 					}
 					_, _ = io.WriteString(w, head)
-					time.Sleep(3 * upstream.ResponseBufferWait / 2) // past the time for which a whole answer is waited for
+					// Sleep until the proxy waits only for the first byte.
+					time.Sleep(3 * upstream.ResponseBufferWait / 2)
 					return c.then(w)
 				})
 				cl := connect(t, p)
 				cl.Send(t, proxytest.LookRequest("1", 1500))
 				resp, err := http.ReadResponse(cl.R, nil)
 				if err != nil {
-					t.Fatalf("no answer: %v", err)
+					t.Fatalf("no response: %v", err)
 				}
 				if _, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != c.want {
 					t.Errorf("got %s, %v, want %d", resp.Status, err, c.want)
--- a/internal/proxy/bodyend_test.go
+++ b/internal/proxy/bodyend_test.go
@@ -17,7 +17,8 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// stuckBackend accepts connections and reads nothing: the proxy's writes to it fill small buffers and then wait.
+// stuckBackend starts a listener that reads nothing from its connections: the proxy's writes fill small
+// buffers and then block. It returns the listener's address.
 func stuckBackend(t *testing.T) string {
 	t.Helper()
 	var lc net.ListenConfig
@@ -32,7 +33,7 @@
 	return l.Addr().String()
 }
 
-// narrow gives the connections to backends small write buffers.
+// narrow sets small write buffers on the proxy's connections to backends.
 func narrow(p *running) {
 	p.loop.pool.WrapDial(func(dial upstream.DialFunc) upstream.DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -45,8 +46,9 @@
 	})
 }
 
-// A client's time begins with the last byte that it sent, also where the proxy has not read that byte since the backend
-// takes nothing: the response must not wait for the backend.
+// TestUploadStalledByBackendIsAnsweredInTime checks that a client's timeout starts with the last byte that it
+// sends, even if the proxy cannot read that byte because the backend reads nothing: the response must not
+// wait for the backend.
 func TestUploadStalledByBackendIsAnsweredInTime(t *testing.T) {
 	const size, left = downstream.MaxBufferedBody + 32<<10, 500 * time.Millisecond
 	body := bytes.Repeat([]byte("x"), size)
@@ -64,18 +66,19 @@
 				cl.Send(t, fmt.Sprintf("%x\r\n", size))
 			}
 			cl.Send(t, string(body)+c.tail)
-			sent := time.Now() // all is in the system's hands
+			sent := time.Now() // the kernel has accepted all bytes
 			resp, _ := cl.ReadResponse(t)
 			if took := time.Since(sent); took > left+upstream.MaxStreamOverrun {
-				t.Errorf("%s after %v, of %v that the client waits", resp.Status, took, left)
+				t.Errorf("got %s after %v, but the client waits only %v", resp.Status, took, left)
 			}
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 		})
 	}
 }
 
-// The Request-Timeout-Ms of a streamed upload counts from the last byte that the client sent, though the connection to
-// the backend came up later.
+// TestSlowDialForUploadForwardsRemainingTimeout checks that the Request-Timeout-Ms forwarded with a streamed
+// upload counts from the last byte that the client sent, even if the connection to the backend is established
+// later.
 func TestSlowDialForUploadForwardsRemainingTimeout(t *testing.T) {
 	const size, wait, late = downstream.MaxBufferedBody + 32<<10, 4 * time.Second, time.Second
 	told := make(chan string, 1)
@@ -103,6 +106,6 @@
 	const slack = 150
 	var ms int64
 	if _, err := fmt.Sscan(<-told, &ms); err != nil || ms > (wait-late).Milliseconds()+slack {
-		t.Errorf("told %d ms where at most %v are left", ms, wait-late)
+		t.Errorf("forwarded a timeout of %d ms, but at most %v remain", ms, wait-late)
 	}
 }
--- a/internal/proxy/clientgone_stress_test.go
+++ b/internal/proxy/clientgone_stress_test.go
@@ -14,13 +14,16 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// Clients that go at any moment of their requests break no rule, however they go.
+// TestClientsGoneAtAnyMomentBreakNoRule checks that no rule is broken when clients close or reset their
+// connections at random times during their requests.
 func TestClientsGoneAtAnyMomentBreakNoRule(t *testing.T) {
-	long := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 20<<10, strings.Repeat("x", 20<<10)) // several writes
+	// The response takes several writes.
+	long := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s",
+		20<<10, strings.Repeat("x", 20<<10))
 	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
 		time.Sleep(time.Duration(rand.IntN(4000)) * time.Microsecond)
 		if n%7 == 0 {
-			return false // a reset: another attempt is decided on
+			return false // closes without a response, so that the balancer decides on a retry
 		}
 		_, _ = io.WriteString(w, long)
 		return true
--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -22,7 +22,8 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// The ways in which a client goes; each with what it has sent behind its request.
+// departures are the ways in which a client disconnects, each with the data that it has sent after its
+// request.
 var departures = []struct {
 	name, behind string
 	leave        func(*proxytest.Client)
@@ -36,7 +37,8 @@
 	{"ends its sending behind much", strings.Repeat("x", 2*clientconn.MaxPipelinedBytes), (*proxytest.Client).CloseWrite},
 }
 
-// blockLoop has the loop block once it has handled what is in its queue by now, until goOn is called.
+// blockLoop makes the loop block, after the events that are in its queue now, until goOn is called. blocked
+// is closed when the loop blocks.
 func blockLoop(t *testing.T, p *running) (blocked chan struct{}, goOn func()) {
 	t.Helper()
 	blocked, again := make(chan struct{}), make(chan struct{})
@@ -46,7 +48,8 @@
 	return blocked, goOn
 }
 
-// checkNothingLeft checks that a client that has gone left no request, attempt, connection in use or reserved memory.
+// checkNothingLeft checks that no request, attempt, connection in use or reserved memory is left of a client
+// that has disconnected.
 func checkNothingLeft(t *testing.T, p *running) {
 	t.Helper()
 	proxytest.WaitUntil(t, func() bool {
@@ -59,26 +62,28 @@
 	})
 }
 
-// checkNothingSent checks that the backend has had so many requests over one connection, and serves the next.
+// checkNothingSent checks that the backend has received only the first before requests, and that it serves
+// the next request on the same connection.
 func checkNothingSent(t *testing.T, p *running, b *proxytest.Backend, before int32) {
 	t.Helper()
-	p.loop.pool.SetReuseDelay(0) // what it goes on has just been used
+	p.loop.pool.SetReuseDelay(0) // the next request reuses a connection that was just used
 	checkNothingLeft(t, p)
 	cl := connect(t, p)
 	cl.Send(t, proxytest.LookRequest("after", 4000))
 	if resp, _ := cl.ReadResponse(t); resp.StatusCode != 200 {
-		t.Errorf("then got %s", resp.Status)
+		t.Errorf("next request: got %s, want 200", resp.Status)
 	}
 	if n, conns := b.Requests.Load(), b.Conns.Load(); n != before+1 || conns != 1 {
-		t.Errorf("%d requests reached the backend, want %d; on %d connections", n, before+1, conns)
+		t.Errorf("%d requests reached the backend, want %d; on %d connections, want 1", n, before+1, conns)
 	}
 }
 
-// leaves has a client go at the worst moment: cause's event is in the loop's queue before it, and the attempt that
-// follows from that event may run to its end before the loop hears that the client has gone.
+// leaves makes a client disconnect at the worst time: the event that cause posts is already in the loop's
+// queue, and an attempt that results from this event may end before the loop learns that the client has
+// disconnected.
 func leaves(t *testing.T, p *running, cause, depart func()) {
 	t.Helper()
-	p.loop.pool.SetReuseDelay(0) // what it went on may have just been used
+	p.loop.pool.SetReuseDelay(0) // an attempt may reuse a connection that was just used
 	blocked, goOn := blockLoop(t, p)
 	proxytest.Receive(t, "block of the loop", blocked)
 	cause()
@@ -86,11 +91,12 @@
 	blocked, end := blockLoop(t, p)
 	depart()
 	goOn()
-	proxytest.Receive(t, "block behind the event", blocked)
+	proxytest.Receive(t, "block of the loop after the event", blocked)
 	checkAttemptsEnd(t, p)
 	end()
 }
 
+// checkAttemptsEnd waits until no attempt is running.
 func checkAttemptsEnd(t *testing.T, p *running) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -98,12 +104,13 @@
 	proxytest.Receive(t, "end of the attempts", ended)
 }
 
-// The client goes while its request is in the loop's queue.
+// TestNoAttemptForClientGoneInEventQueue checks that nothing is sent for a client that disconnects while its
+// request is in the loop's queue.
 func TestNoAttemptForClientGoneInEventQueue(t *testing.T) {
 	for _, d := range departures {
 		for _, draining := range []bool{false, true} {
 			if draining && d.behind != proxytest.LookRequest("next", 4000) {
-				continue // each takes the time of a drain
+				continue // each draining case takes as long as a drain
 			}
 			t.Run(fmt.Sprintf("%s, draining %v", d.name, draining), func(t *testing.T) {
 				t.Parallel()
@@ -121,7 +128,8 @@
 	}
 }
 
-// The client goes while the first attempt's failure is in the loop's queue: no retry follows.
+// TestNoRetryForGoneClient checks that no retry is sent if the client disconnects while the failure of the
+// first attempt is in the loop's queue.
 func TestNoRetryForGoneClient(t *testing.T) {
 	for _, d := range departures {
 		t.Run(d.name, func(t *testing.T) {
@@ -141,13 +149,15 @@
 			spent := make(chan int, 1)
 			p.loop.post(func() { spent <- len(p.loop.balancer.ExportRetryBudget(p.loop.clock.now()).Retries) })
 			if n := <-spent; n != 0 {
-				t.Errorf("%d of the allowance for further attempts is taken", n)
+				t.Errorf("%d retries are charged to the retry budget, want none", n)
 			}
 		})
 	}
 }
 
-// The client goes while its request waits in its key's queue, and its turn comes before the loop hears of that.
+// TestNoAttemptForClientGoneInKeyQueue checks that nothing is sent for a client that disconnects while its
+// request waits in the queue of its idempotency key, even if its turn comes before the loop learns of the
+// disconnect.
 func TestNoAttemptForClientGoneInKeyQueue(t *testing.T) {
 	rate := func(id string) string {
 		return "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: rate\r\nIdempotency-Key: x\r\nContent-Length: 0\r\n\r\n"
@@ -169,10 +179,10 @@
 			cl.Send(t, rate("2")+d.behind)
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 2 })
 			leaves(t, p, func() { close(gate) }, func() { d.leave(cl) })
-			third.Send(t, rate("3")) // its turn comes
+			third.Send(t, rate("3")) // the key's queue must go on to it
 			for _, c := range []*proxytest.Client{first, third} {
 				if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
-					t.Errorf("got %s", resp.Status)
+					t.Errorf("a client that stayed got %s, want 200", resp.Status)
 				}
 			}
 			checkNothingSent(t, p, b, 2)
@@ -180,20 +190,22 @@
 	}
 }
 
-// anyPeerClosed reports whether the end of a client's connection has come to the proxy's socket.
+// anyPeerClosed reports whether a client's close has reached the proxy's socket, or no client connection is
+// open.
 func anyPeerClosed(p *running) bool {
 	conns := p.frontend.Conns()
 	return len(conns) == 0 || slices.ContainsFunc(conns, func(c *clientconn.Conn) bool { return socket.PeerClosed(c) })
 }
 
-// The client goes while a connection to the backend comes up; the loop, which would cancel the attempt, is busy.
+// TestNoSendAfterSlowDialForGoneClient checks that nothing is sent if the client disconnects during the dial
+// to the backend, even while the loop, which would cancel the attempt, is blocked.
 func TestNoSendAfterSlowDialForGoneClient(t *testing.T) {
 	for _, text := range []string{proxytest.LookRequest("1", 4000), proxytest.PostRequest("1", "Content-Length: 1000000") + strings.Repeat("x", downstream.MaxBufferedBody+1),
 		proxytest.PostRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
 			if strings.Contains(text, "1000000") && d.behind != "" {
-				// Of the body: more than is read while nobody takes it, and no more than a socket's first window holds,
-				// or the end would wait behind it at the client.
+				// Part of the body: more than the proxy reads while nothing is forwarded, but no more than
+				// the initial window of the socket holds, or the client's close would wait behind it.
 				d.behind = strings.Repeat("x", 50_000)
 			}
 			t.Run(text[:5]+d.name, func(t *testing.T) {
@@ -212,7 +224,8 @@
 				blocked, end := blockLoop(t, p)
 				proxytest.Receive(t, "block of the loop", blocked)
 				d.leave(cl)
-				proxytest.WaitUntil(t, func() bool { return anyPeerClosed(p) }) // its end may come later than this test goes on
+				// The close may arrive with a delay.
+				proxytest.WaitUntil(t, func() bool { return anyPeerClosed(p) })
 				close(up)
 				checkAttemptsEnd(t, p)
 				end()
@@ -222,7 +235,8 @@
 	}
 }
 
-// The client goes while its connection waits to be accepted, with its request in the kernel.
+// TestNoAttemptForClientGoneBeforeRead checks that nothing is sent for a client that disconnects before its
+// connection is accepted, with its request in the kernel's buffer.
 func TestNoAttemptForClientGoneBeforeRead(t *testing.T) {
 	for _, d := range departures {
 		t.Run(d.name, func(t *testing.T) {
@@ -243,10 +257,12 @@
 			d.leave(cl)
 			close(over)
 			busy.ReadResponse(t)
-			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 }) // its own may stand in the figures for a moment
+			// The request of busy may be counted for a moment longer.
+			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 			p.frontend.Listener.SetLimit(50)
 			proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() <= 1 })
-			// It has been accepted, read and closed: before that it may hold the backend's connection, unsent.
+			// Wait until the client's connection was accepted, read and closed. Before that, its request may
+			// hold the connection to the backend without sending.
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["closes.client.answered_or_broken"] >= 1 })
 			proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() <= 1 })
 			checkNothingSent(t, p, b, 1)
@@ -254,13 +270,16 @@
 	}
 }
 
-// A client that goes cancels its attempt in flight, whatever it has sent behind its request.
+// TestClientGoneCancelsAttemptInFlight checks that a client's disconnect cancels its attempt in flight,
+// whatever the client has sent after its request.
 func TestClientGoneCancelsAttemptInFlight(t *testing.T) {
-	long := strings.NewReplacer("4000000", "60000000", "8000000", "90000000").Replace(proxytest.SiteJSON) // no attempt ends by itself
+	// No attempt times out during the test.
+	long := strings.NewReplacer("4000000", "60000000", "8000000", "90000000").Replace(proxytest.SiteJSON)
 	for _, text := range []string{proxytest.LookRequest("1", 60_000), proxytest.PostRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
 		for _, d := range departures {
 			if len(d.behind) > clientconn.MaxPipelinedBytes {
-				continue // not noticed: its attempt ends in its own time, and no other follows
+				// The disconnect is not noticed: the attempt ends by its timeout, without a retry.
+				continue
 			}
 			t.Run(text[:5]+d.name, func(t *testing.T) {
 				b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
@@ -275,7 +294,8 @@
 	}
 }
 
-// A backend that half-closes has given its response up: the attempt ends, and its connection is closed.
+// TestBackendHalfCloseResetsAttempt checks that an attempt ends, and its connection is closed, when the
+// backend half-closes the connection, since no response can follow.
 func TestBackendHalfCloseResetsAttempt(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -291,22 +311,24 @@
 		defer c.Close()
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		_ = c.(*net.TCPConn).CloseWrite()
-		_, err = c.Read(make([]byte, 1)) // the proxy's side of it
+		_, err = c.Read(make([]byte, 1)) // returns when the proxy closes the connection
 		closed <- err
 	}()
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", l.Addr().String(), discovery.StatusServing)))
 	cl := connect(t, p)
 	cl.Send(t, proxytest.PostRequest("1", "Content-Length: 0"))
-	if resp, _ := cl.ReadResponse(t); resp.StatusCode != http.StatusBadGateway { // it may have run
-		t.Errorf("got %s", resp.Status)
+	// The request may have been executed.
+	if resp, _ := cl.ReadResponse(t); resp.StatusCode != http.StatusBadGateway {
+		t.Errorf("got %s, want 502", resp.Status)
 	}
-	if err := proxytest.Receive(t, "end of the server's connection", closed); err == nil {
-		t.Error("bytes came")
+	if err := proxytest.Receive(t, "end of the backend's connection", closed); err == nil {
+		t.Error("the backend received data, want the connection closed")
 	}
 	checkNothingLeft(t, p)
 }
 
-// Of two requests under one ID the later is rejected: its client's departure does not affect the first.
+// TestClientGoneWithDuplicateIDLeavesFirstRequest checks that the second of two requests with the same ID is
+// rejected, and that the disconnect of its client does not affect the first request.
 func TestClientGoneWithDuplicateIDLeavesFirstRequest(t *testing.T) {
 	fail := make(chan struct{})
 	p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
@@ -329,24 +351,26 @@
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 1 })
 	close(fail)
 	if resp, _ := one.ReadResponse(t); resp.StatusCode != 200 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("first request: got %s, want 200", resp.Status)
 	}
 	checkNothingLeft(t, p)
 }
 
-// A response that comes before the body's end cuts the rest of the body off, which ends the request's context as a
-// departure would: the client, which is there, gets the response each time.
+// TestResponseBeforeBodyEndIsNotClientGone checks that a client always gets a response that is sent before
+// the end of the request body. Such a response stops the reading of the body, which cancels the request's
+// context as a disconnect does.
 func TestResponseBeforeBodyEndIsNotClientGone(t *testing.T) {
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", "127.0.0.1:1", discovery.StatusDraining)))
 	for i := range 20 {
 		cl := connect(t, p)
 		blocked, goOn := blockLoop(t, p)
 		proxytest.Receive(t, "block of the loop", blocked)
-		cl.Send(t, proxytest.PostRequest(fmt.Sprint(i), "Content-Length: 1000000")+strings.Repeat("x", downstream.MaxBufferedBody)) // and a read waits for more
+		cl.Send(t, proxytest.PostRequest(fmt.Sprint(i), "Content-Length: 1000000")+
+			strings.Repeat("x", downstream.MaxBufferedBody)) // the proxy waits for the rest of the body
 		proxytest.WaitUntil(t, func() bool { return len(p.loop.events) == 1 })
 		goOn()
 		if resp, _ := cl.ReadResponse(t); resp.StatusCode != http.StatusServiceUnavailable {
-			t.Errorf("got %s", resp.Status)
+			t.Errorf("request %d: got %s, want 503", i, resp.Status)
 		}
 		cl.Close()
 	}
--- a/internal/proxy/errorresponse_test.go
+++ b/internal/proxy/errorresponse_test.go
@@ -12,7 +12,8 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// An error response that does not end is given up soon, so that a retry has the time to serve.
+// TestEndlessErrorResponseIsNotAwaited checks that the proxy soon stops waiting for the body of an error
+// response that does not end, so that there is time for a retry.
 func TestEndlessErrorResponseIsNotAwaited(t *testing.T) {
 	over := make(chan struct{})
 	defer close(over)
@@ -32,8 +33,9 @@
 	}
 }
 
-// A streamed response of up to 64 KiB that does not end is broken off visibly soon after its client's deadline. A larger
-// one goes on.
+// TestEndlessResponseEndsWithClientDeadline checks that a streamed response of up to 64 KiB that does not end
+// is aborted soon after the client's deadline, so that the client sees an incomplete response. A larger
+// response continues.
 func TestEndlessResponseEndsWithClientDeadline(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -55,15 +57,16 @@
 				t.Fatal(err)
 			}
 			if c.complete {
-				time.AfterFunc(time.Until(began.Add(2*time.Second)), func() { close(goOn) }) // its time is long over
+				// Long after the deadline.
+				time.AfterFunc(time.Until(began.Add(2*time.Second)), func() { close(goOn) })
 			} else {
 				defer close(goOn)
 			}
 			if n, err := io.Copy(io.Discard, resp.Body); (err == nil) != c.complete || n != int64(c.size) {
-				t.Errorf("%d bytes came, %v", n, err)
+				t.Errorf("got %d bytes and error %v, want %d bytes, complete %v", n, err, c.size, c.complete)
 			}
 			if took := time.Since(began); took > upstream.StallTimeout/2 {
-				t.Errorf("it took %v", took)
+				t.Errorf("the response ended after %v, want at most %v", took, upstream.StallTimeout/2)
 			}
 		})
 	}
--- a/internal/proxy/framing_test.go
+++ b/internal/proxy/framing_test.go
@@ -9,8 +9,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A request whose end two readers could see in two places was served, and what stood in its body was forwarded as a
-// request of its own.
+// TestAmbiguousFramingIsNeverServed guards against request smuggling: a request whose length is ambiguous was
+// served, and data in its body was forwarded as a request of its own.
 func TestAmbiguousFramingIsNeverServed(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	const post = "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"
@@ -44,33 +44,36 @@
 			c.Send(t, text)
 			resp, _ := c.ReadResponse(t)
 			if resp.StatusCode < 400 || !resp.Close {
-				t.Errorf("got %s, close %v", resp.Status, resp.Close)
+				t.Errorf("got %s, close %v, want an error and a close", resp.Status, resp.Close)
 			}
 			if rest, _ := io.ReadAll(c.R); len(rest) > 0 {
-				t.Errorf("then got %q", rest)
+				t.Errorf("got %q after the response, want nothing", rest)
 			}
 			if n := b.Requests.Load() - came; n > 0 {
-				t.Errorf("%d requests went on", n)
+				t.Errorf("%d requests reached the backend, want none", n)
 			}
 		})
 	}
 }
 
-// Nothing is read behind a chunked body: bytes there may not be meant as a request.
+// TestChunkedRequestIsLastOnItsConnection checks that nothing is read after a chunked body, since data there
+// may not be intended as a request.
 func TestChunkedRequestIsLastOnItsConnection(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	c := connect(t, p)
 	c.Send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"+
 		"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\n"+proxytest.LookRequest("inner", 4000))
 	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
-		t.Errorf("got %s %q, close %v", resp.Status, body, resp.Close)
+		t.Errorf("got %s %q, close %v, want 200 \"ok\" and a close", resp.Status, body, resp.Close)
 	}
 	if rest, _ := io.ReadAll(c.R); len(rest) > 0 || b.Requests.Load() != 1 {
-		t.Errorf("then got %q after %d requests", rest, b.Requests.Load())
+		t.Errorf("got %q after the response and %d requests at the backend, want nothing and 1",
+			rest, b.Requests.Load())
 	}
 }
 
-// A malformed head behind a request in flight does not cost that request its response.
+// TestMalformedPipelinedHeadIsAnsweredInOrder checks that a request in flight still gets its response if a
+// malformed header follows it on the connection.
 func TestMalformedPipelinedHeadIsAnsweredInOrder(t *testing.T) {
 	release := make(chan struct{})
 	p, b := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -83,9 +86,9 @@
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	close(release)
 	if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("first got %s %q", resp.Status, body)
+		t.Errorf("first response: got %s %q, want 200 \"ok\"", resp.Status, body)
 	}
 	if resp, _ := c.ReadResponse(t); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("then got %s, close %v", resp.Status, resp.Close)
+		t.Errorf("second response: got %s, close %v, want 400 and a close", resp.Status, resp.Close)
 	}
 }
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -21,10 +21,11 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// The files in testdata were written by an earlier version. What others read of this package (another process of the
-// proxy, clients, the readers of metrics) stays byte for byte the same.
+// The files in testdata were written by an earlier version. The output of this package that others read
+// (another process of the proxy, clients, readers of the metrics) must stay the same byte for byte.
 
-// checkGolden compares a text with a file of testdata, or with what stands in that before one of the marks.
+// checkGolden compares got with a file in testdata, up to the first of the marks, each of which the file must
+// contain.
 func checkGolden(t *testing.T, name, got string, marks ...string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -35,7 +36,7 @@
 	for _, mark := range marks {
 		var found bool
 		if want, _, found = strings.Cut(want, mark); !found {
-			t.Errorf("%s has no %q", name, mark)
+			t.Errorf("%s does not contain the mark %q", name, mark)
 		}
 	}
 	if got != want {
@@ -43,7 +44,8 @@
 	}
 }
 
-// The responses that the proxy makes itself, as they stand on the wire.
+// TestOwnAnswersAreGolden compares the responses that the proxy generates itself, as they are sent, with the
+// golden file.
 func TestOwnAnswersAreGolden(t *testing.T) {
 	breaks, _ := startServing(t, proxytest.RespondWith("", false))
 	full, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
@@ -83,15 +85,16 @@
 	} {
 		show(c.name, proxytest.RawExchange(t, c.p.Addr(), c.text))
 	}
-	checkGolden(t, "answers.txt", out.String(), "== half a head at the end\n") // the rest is package downstream's to compare
+	// Package downstream compares the rest.
+	checkGolden(t, "answers.txt", out.String(), "== half a head at the end\n")
 }
 
-// The names of all counts that the metrics show.
+// TestCountsNamesAreGolden compares the names of all events and rules in the metrics with the golden file.
 func TestCountsNamesAreGolden(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	p.breaksRules = true
-	// A client's connections.
+	// Reasons for closing client connections.
 	gone := connect(t, p)
 	gone.Send(t, proxytest.LookRequest("1", 4000))
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
@@ -99,7 +102,8 @@
 	proxytest.WaitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.no_answer"] == 1 })
 	half := connect(t, p)
 	half.Send(t, "GET")
-	proxytest.WaitUntil(t, func() bool { // also in part of a head
+	// MakeRoom also closes a connection in the middle of a request header.
+	proxytest.WaitUntil(t, func() bool {
 		p.frontend.MakeRoom()
 		return p.loop.audit.Events()["closes.client.no_room"] > 0 && p.loop.audit.Events()["closes.client.idle_or_half"] > 0
 	})
@@ -108,7 +112,7 @@
 	answered.ReadResponse(t)
 	proxytest.WaitUntil(t, func() bool { return p.loop.audit.Events()["closes.client.answered_or_broken"] > 0 })
 
-	// Connections to backends.
+	// Reasons for closing connections to backends.
 	good := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	closing := proxytest.StartBackend(t, proxytest.RespondWith("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false))
 	pool := upstream.NewPool(upstream.Config{DialTimeout: proxytest.Timeout, IdleClose: time.Minute, MaxOpen: 4, Audit: p.loop.audit})
@@ -119,7 +123,7 @@
 		a, ok := pool.NewAttempt(t.Context(), name, upstream.Params{Deadline: time.Now().Add(timeout),
 			Request: &upstream.Request{ID: "1", Method: http.MethodGet, URI: "/look/k", Host: "h", Header: http.Header{}}})
 		if !ok {
-			t.Fatalf("no backend %s", name)
+			t.Fatalf("backend %s is not available", name)
 		}
 		a.Run()
 	}
@@ -133,7 +137,7 @@
 	run("closing", proxytest.Timeout)
 	run("hung", 50*time.Millisecond)
 
-	// Ends of attempts and reasons of rejections.
+	// Statuses of attempts and reasons for rejections.
 	l := &eventLoop{clock: clock{time.Now()}, audit: audit.New(slog.New(slog.DiscardHandler))}
 	for s := range balancer.Status(8) {
 		l.auditAttemptEnd(&attempt{request: &request{Request: &downstream.Request{}}}, s)
--- a/internal/proxy/handover/state_test.go
+++ b/internal/proxy/handover/state_test.go
@@ -11,8 +11,8 @@
 	"merlinpick/balancer"
 )
 
-// The retry budget that a predecessor used is as long ago for its successor as for itself, also where the wall clock was
-// set between their starts.
+// TestHandoverStateUsesSuccessorsClock checks that the times in an inherited retry budget are as long ago on
+// the successor's clock as on the predecessor's, even if the wall clock was set between their starts.
 func TestHandoverStateUsesSuccessorsClock(t *testing.T) {
 	const now = int64(50e6)
 	before := State{Now: now + 3600e6}
@@ -20,16 +20,17 @@
 	before.RetryBudget.Retries = []int64{before.Now - 1e6}
 	got := before.RetryBudgetAt(now)
 	if got.Requests[0] != now-2e6 || got.Requests[1] != now-1e6 || got.Retries[0] != now-1e6 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want times 2 s and 1 s ago", got)
 	}
-	former := State{} // of a version that says no time
+	former := State{} // from a version that does not send its clock
 	former.RetryBudget.Requests = []int64{7}
 	if got := former.RetryBudgetAt(now); got.Requests[0] != 7 {
-		t.Errorf("got %+v", got)
+		t.Errorf("without the predecessor's clock: got %+v, want the times unchanged", got)
 	}
 }
 
-// The files were written by an earlier version; another process of the proxy reads them.
+// TestHandoverLineIsGolden compares the encoded state with the golden file, and decodes the lines of earlier
+// versions, since the two processes of a handover may be of different versions.
 func TestHandoverLineIsGolden(t *testing.T) {
 	told := State{RetryBudget: RetryBudgetUsage{Requests: []int64{1_000_000, 2_000_000}, Retries: []int64{1_500_000}},
 		KnownServers: []string{"node-1", "node-2"}, Now: 3_000_000}
@@ -62,7 +63,7 @@
 			t.Fatal(err)
 		}
 		if !slices.Equal(read.KnownServers, told.KnownServers) {
-			t.Errorf("%s: names %v", c.file, read.KnownServers)
+			t.Errorf("%s: got the known servers %v, want %v", c.file, read.KnownServers, told.KnownServers)
 		}
 		if got := read.RetryBudgetAt(c.now); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.file, got, c.want)
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -15,8 +15,9 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A successor takes over while clients come on new and kept connections: no request is lost, the predecessor's kept
-// connections get Connection: close, and it ends.
+// TestSuccessorTakesOverWithoutErrors checks that no request is lost when a successor takes over while
+// clients send on new and kept connections. The predecessor sends Connection: close on its kept connections,
+// and exits.
 func TestSuccessorTakesOverWithoutErrors(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
@@ -39,36 +40,39 @@
 				select {
 				case <-over:
 					return
-				case <-time.After(10 * time.Millisecond): // within the tenant's share
+				case <-time.After(10 * time.Millisecond): // keeps the rate within the tenant's quota
 				}
 				switch status := requestOnce(first.Addr(), proxytest.LookRequest(fmt.Sprint("n", id.Add(1)), 4000)); status {
 				case 200:
-				case 503: // heard, and refused by the module: a busy machine makes calls slow
+				case 503: // rejected by the balancer, since calls are slow on a busy machine
 					refused.Add(1)
 				default:
 					bad.Add(1)
-					t.Logf("a request was answered with %d", status)
+					t.Logf("got status %d", status)
 				}
 			}
 		})
 	}
-	d.responses <- listJSON(2, true, endpointJSON("a", b.Addr, discovery.StatusServing)) // whoever asks: the successor too
+	// One response for each process.
+	d.responses <- listJSON(2, true, endpointJSON("a", b.Addr, discovery.StatusServing))
 	d.responses <- listJSON(2, true, endpointJSON("a", b.Addr, discovery.StatusServing))
 	second := startProxyAt(t, d.addr, 400, known, state)
 	if second.Addr() != first.Addr() {
-		t.Fatalf("the successor listens at %s and not %s", second.Addr(), first.Addr())
+		t.Fatalf("the successor listens on %s, want %s", second.Addr(), first.Addr())
 	}
 	proxytest.WaitUntil(t, second.Ready)
 	proxytest.WaitUntil(t, func() bool { return first.handover.Load().SuccessorServing() })
 	kept.Send(t, proxytest.LookRequest("kept to the end", 4000))
 	if resp, _ := kept.ReadResponse(t); resp.StatusCode != 200 || resp.Close {
-		t.Errorf("before the end: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("kept connection before the drain: got %s, close %v, want 200 and no close",
+			resp.Status, resp.Close)
 	}
 	first.stop()
 	proxytest.WaitUntil(t, first.frontend.IsClosing)
 	kept.Send(t, proxytest.LookRequest("kept on", 4000))
 	if resp, _ := kept.ReadResponse(t); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("on a kept connection: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("kept connection during the drain: got %s, close %v, want 200 and a close",
+			resp.Status, resp.Close)
 	}
 	if err := proxytest.Receive(t, "end of the predecessor", first.done); err != nil {
 		t.Error(err)
@@ -78,18 +82,19 @@
 	proxytest.WaitUntil(t, func() bool { return id.Load() > before+50 })
 	end()
 	if n := bad.Load(); n > 0 || refused.Load() > id.Load()/2 {
-		t.Errorf("%d of %d requests went wrong, %d were refused", n, id.Load(), refused.Load())
+		t.Errorf("%d of %d requests failed, want none; %d were rejected, want at most half",
+			n, id.Load(), refused.Load())
 	}
 	all, _, _ := second.config.connLimits(false)
 	proxytest.WaitUntil(t, func() bool { return connLimit(second) == all })
-	third := startProxyAt(t, d.addr, 400, known, state) // and the successor can be succeeded
+	third := startProxyAt(t, d.addr, 400, known, state) // the successor can hand over in turn
 	if third.predecessor == nil {
-		t.Error("the successor hands nothing over")
+		t.Error("the successor did not hand over to a third process")
 	}
 }
 
-// requestOnce sends one request on a connection of its own, and returns the response's status; 0 without a complete
-// response.
+// requestOnce sends one request on a new connection and returns the status of the response, or 0 if there is
+// none.
 func requestOnce(addr, text string) int {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -107,7 +112,8 @@
 	return status
 }
 
-// While both processes run each keeps to its half; when the successor dies the other has all again.
+// TestTwoProcessesShareTheLimits checks that each process uses at most half of the limits while both run, and
+// that the predecessor uses all of them again when the successor has exited.
 func TestTwoProcessesShareTheLimits(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
@@ -117,7 +123,7 @@
 	proxytest.WaitUntil(t, func() bool { return first.handover.Load() != nil })
 	half, backends, over := first.config.connLimits(true)
 	if all := 2 * (half + backends + over + reservedDescriptorsShared + management.MaxConns + 1); all > 400 {
-		t.Errorf("two processes may hold %d descriptors", all)
+		t.Errorf("two processes may use %d descriptors, want at most 400", all)
 	}
 	second := startProxyAt(t, d.addr, 400, known, state)
 	for _, p := range []*running{first, second} {
@@ -127,11 +133,12 @@
 	all, _, _ := first.config.connLimits(false)
 	proxytest.WaitUntil(t, func() bool { return connLimit(first) == all })
 	if status := requestOnce(first.Addr(), proxytest.LookRequest("1", 4000)); status != 200 {
-		t.Errorf("after the successor's end: %d", status)
+		t.Errorf("after the successor's exit: got status %d, want 200", status)
 	}
 }
 
-// What a dead or hung predecessor left behind does not keep a process from starting.
+// TestStaleHandoverSocketDoesNotBlockStart checks that a process starts although a dead predecessor has left
+// its socket file, or a hung one does not answer.
 func TestStaleHandoverSocketDoesNotBlockStart(t *testing.T) {
 	for name, leave := range map[string]func(t *testing.T, path string){
 		"a file": func(t *testing.T, path string) {
@@ -161,10 +168,10 @@
 			b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 			p := startProxyAt(t, startDiscovery(t).addr, 400, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)), state)
 			if p.predecessor != nil {
-				t.Error("it takes itself for a successor")
+				t.Error("the process found a predecessor, want none")
 			}
 			if status := requestOnce(p.Addr(), proxytest.LookRequest("1", 4000)); status != 200 {
-				t.Errorf("got %d", status)
+				t.Errorf("got status %d, want 200", status)
 			}
 		})
 	}
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -22,8 +22,9 @@
 	"merlinpick/internal/settings"
 )
 
-// A proxy whose discovery address changes leaves the old one at once, in mid-watch, continues from its version at the
-// new one, and takes the whole list of one that is behind it.
+// TestDiscoveryAddressChanges checks that a proxy whose discovery address changes immediately ends its watch
+// at the old address, continues from its list version at the new one, and takes the complete list if the new
+// one has an older version.
 func TestDiscoveryAddressChanges(t *testing.T) {
 	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	first, second, third := startDiscovery(t), startDiscovery(t), startDiscovery(t)
@@ -31,7 +32,7 @@
 	query := func(d *fakeDiscovery, want string) {
 		t.Helper()
 		if got, _, _ := strings.Cut(proxytest.Receive(t, "call", d.calls), "&hold_ms="); got != want {
-			t.Errorf("asked %q, want %q", got, want)
+			t.Errorf("got the query %q, want %q", got, want)
 		}
 	}
 	query(first, "")
@@ -39,24 +40,25 @@
 	query(first, "from=5")
 	p.listClient.SetSource(discovery.Source{Address: second.addr})
 	query(second, "from=5")
-	second.responses <- listJSON(3, false) // another count of versions
+	second.responses <- listJSON(3, false) // an older version than the proxy's
 	query(second, "")
 	second.responses <- listJSON(3, true, endpointJSON("b", b.Addr, discovery.StatusServing))
 	query(second, "from=3")
 	c := connect(t, p)
 	c.Send(t, proxytest.LookRequest("1", 4000))
 	if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 || a.Requests.Load() != 0 || b.Requests.Load() != 1 {
-		t.Errorf("got %s, %d and %d requests", resp.Status, a.Requests.Load(), b.Requests.Load())
+		t.Errorf("got %s, with %d requests at a and %d at b, want 200, 0 and 1",
+			resp.Status, a.Requests.Load(), b.Requests.Load())
 	}
-	p.listClient.SetSource(discovery.Source{Address: third.addr}) // and again
+	p.listClient.SetSource(discovery.Source{Address: third.addr}) // changes it once more
 	query(third, "from=3")
 	if n := len(first.calls); n != 0 {
-		t.Errorf("%d more calls at the first address", n)
+		t.Errorf("%d more calls to the first address, want none", n)
 	}
 }
 
-// After SIGTERM clients still come, on new connections and on kept ones: all get their response, on connections that
-// stay until the listener closes, and then a close.
+// TestSIGTERMUnderLoadLosesNothing checks that requests after SIGTERM, on new and on kept connections, get
+// their response. The connections stay open until the listener closes, and are closed then.
 func TestSIGTERMUnderLoadLosesNothing(t *testing.T) {
 	release := make(chan struct{})
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
@@ -67,7 +69,7 @@
 		return true
 	})
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
-	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { // long enough for what is to be served on
+	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { // long enough for the requests below
 		return 2 * time.Second, 3500 * time.Millisecond
 	}
 	idle := connect(t, p)
@@ -86,7 +88,8 @@
 	for i, c := range []*proxytest.Client{idle, late, idle, late} {
 		c.Send(t, proxytest.LookRequest(fmt.Sprint("n", i), 8000))
 		if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || resp.Close {
-			t.Errorf("after SIGTERM: got %s, close %v", resp.Status, resp.Close)
+			t.Errorf("request after SIGTERM: got %s, close %v, want 200 and no close",
+				resp.Status, resp.Close)
 		}
 	}
 	proxytest.WaitUntil(t, func() bool { return p.frontend.IsClosing() })
@@ -100,7 +103,8 @@
 	for _, c := range held {
 		all.Go(func() {
 			if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || !resp.Close {
-				t.Errorf("held: got %s, close %v", resp.Status, resp.Close)
+				t.Errorf("request in flight at SIGTERM: got %s, close %v, want 200 and a close",
+					resp.Status, resp.Close)
 			}
 		})
 	}
@@ -109,11 +113,12 @@
 		t.Error(err)
 	}
 	if _, err := unused.R.ReadByte(); err == nil {
-		t.Error("an unused connection got an answer")
+		t.Error("a connection without a request got a response")
 	}
 }
 
-// What a hung backend holds is failed before SIGKILL follows.
+// TestSIGTERMEndsHungRequests checks that, after SIGTERM, requests at a hung backend fail in time, before a
+// SIGKILL follows.
 func TestSIGTERMEndsHungRequests(t *testing.T) {
 	p, b := startServing(t, proxytest.NeverRespond(t))
 	c := connect(t, p)
@@ -122,18 +127,20 @@
 	start := time.Now()
 	p.stop()
 	if resp, _ := c.ReadResponse(t); resp.StatusCode == 200 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want an error", resp.Status)
 	}
 	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(start); took > downstream.MaxDrainDeadline+5*time.Second {
-		t.Errorf("ended %v after SIGTERM", took)
+		t.Errorf("Run ended %v after SIGTERM, want at most %v",
+			took, downstream.MaxDrainDeadline+5*time.Second)
 	}
 }
 
-// New classes are served under their rules once the settings are in force; a class that was dropped is rejected, and
-// requests in flight are answered by the rules that they began with.
+// TestSettingsChangeWithRequestsInFlight checks that a reload applies to new requests: new classes are served
+// according to their settings, and removed ones are rejected. Requests in flight complete under the settings
+// that they started with.
 func TestSettingsChangeWithRequestsInFlight(t *testing.T) {
 	reached, goOn := make(chan struct{}, 1), make(chan struct{})
 	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
@@ -158,7 +165,7 @@
 	}
 	close(goOn)
 	if resp, _ := open.ReadResponse(t); resp.StatusCode != 200 {
-		t.Errorf("the open request: %s", resp.Status)
+		t.Errorf("request in flight during the reload: got %s, want 200", resp.Status)
 	}
 	for text, want := range map[string]int{
 		strings.ReplaceAll(proxytest.LookRequest("1", 4000), "look", "peek"):              200,
@@ -169,24 +176,25 @@
 		cl := connect(t, p)
 		cl.Send(t, text)
 		if resp, _ := cl.ReadResponse(t); resp.StatusCode != want {
-			t.Errorf("%q: %s", text, resp.Status)
+			t.Errorf("request %q: got %s, want %d", text, resp.Status, want)
 		}
 	}
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 	f := p.Metrics()
 	if f.Classes["look"].Succeeded != 1 || f.Classes["peek"].Succeeded != 1 || f.Classes["post"].Succeeded != 1 {
-		t.Errorf("figures %+v", f.Classes)
+		t.Errorf("got class metrics %+v, want one success each of look, peek and post", f.Classes)
 	}
 	bad := *site
 	bad.Balancer.MaxAttempts = 0
 	cfg.Site = &bad
 	if err := p.Reload(cfg); err == nil {
-		t.Error("settings that cannot work were taken")
+		t.Error("Reload accepted invalid settings")
 	}
 }
 
-// A drain ends while clients send on every open connection: what was taken has its response, the rest an end that shows
-// it was not taken.
+// TestClientsSendingUntilExitLoseNothing checks that, when a drain ends while clients send on all
+// connections, each accepted request gets its response. The other connections end in a way that shows that
+// their request was not accepted.
 func TestClientsSendingUntilExitLoseNothing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := startProxy(t, startDiscovery(t).addr, 300, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
@@ -216,7 +224,7 @@
 				}
 				var body bytes.Buffer
 				if _, err = body.ReadFrom(resp.Body); err != nil || resp.StatusCode != 200 && resp.StatusCode != 503 {
-					err = errors.New("a bad answer: " + resp.Status)
+					err = errors.New("unexpected response: " + resp.Status)
 					break
 				}
 				answers.Add(1)
@@ -253,6 +261,6 @@
 	}
 	f := p.Metrics()
 	if ends := f.Classes["look"]; ends.Succeeded+ends.Rejected != answers.Load() || ends.Failed != 0 || f.InFlight != 0 {
-		t.Errorf("%d answers, figures %+v", answers.Load(), f)
+		t.Errorf("clients got %d responses, which the metrics do not match: %+v", answers.Load(), f)
 	}
 }
--- a/internal/proxy/list_bench_test.go
+++ b/internal/proxy/list_bench_test.go
@@ -13,7 +13,7 @@
 	"merlinpick/internal/settings"
 )
 
-// endpoints are n endpoints, spread evenly over zones.
+// endpoints returns n endpoints, spread evenly over zones.
 func endpoints(n, zones int) []discovery.Endpoint {
 	out := make([]discovery.Endpoint, 0, n)
 	weight := 1.0
@@ -24,7 +24,7 @@
 	return out
 }
 
-// listLoop is a loop without connections, as a proxy's in a late tier.
+// listLoop returns an event loop without connections, configured as in a proxy of tier 1.
 func listLoop(b testing.TB, zones int) *eventLoop {
 	b.Helper()
 	site := &settings.Site{DialTimeout: time.Second, IdleClose: 5 * time.Second, Classes: []string{"read"},
@@ -44,8 +44,9 @@
 		metrics: figs, logger: slog.New(slog.DiscardHandler)})
 }
 
-// BenchmarkList is how long the event loop takes for an update of the endpoint list: the whole list without changes, one
-// changed entry, and a zone that goes and comes back. Parsing is not the loop's, and is measured beside it.
+// BenchmarkList measures how long the event loop takes to apply an update of the endpoint list: the complete
+// list without changes, one changed entry, and a zone that is removed and added back. It does not include
+// parsing, which does not happen in the loop.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{15, 150, 1300, 2600} {
 		all := endpoints(n, 9)
@@ -86,7 +87,8 @@
 	}
 }
 
-// BenchmarkListHeld is what a proxy holds for each listed server, in bytes of the heap.
+// BenchmarkListHeld measures how many bytes of heap a proxy uses for the endpoint list, in total and per
+// server.
 func BenchmarkListHeld(b *testing.B) {
 	for _, n := range []int{15, 150, 1300, 2600} {
 		b.Run(fmt.Sprintf("nodos=%d", n), func(b *testing.B) {
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -14,8 +14,10 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// Peers that send much and go, in the head or in the body: each held up to 20 KiB of a head and 32 KiB of a body,
-// without a bound over all. Those beyond it are rejected at once, and all of it is released.
+// TestUnparsedInputIsBoundedAcrossConnections checks the limit on memory for all incomplete requests
+// together: each connection could hold up to 20 KiB of a header and 32 KiB of a body, without a limit on the
+// total. Connections beyond the limit are rejected at once, and the memory is released when the clients
+// disconnect.
 func TestUnparsedInputIsBoundedAcrossConnections(t *testing.T) {
 	const peers, room = 40, 200 << 10
 	for name, text := range map[string]string{
@@ -38,13 +40,13 @@
 					}
 				}()
 			}
-			for range peers - room/(16<<10) { // a peer that is let in takes as much, or more
-				if got := proxytest.Receive(t, "refusal", answers); got != 503 {
-					t.Errorf("got %d", got)
+			for range peers - room/(16<<10) { // each accepted connection uses 16 KiB or more
+				if got := proxytest.Receive(t, "rejection", answers); got != 503 {
+					t.Errorf("got status %d, want 503", got)
 				}
 			}
 			if n := bufferedHeads(p); n > room || n == 0 {
-				t.Errorf("%d bytes are held", n)
+				t.Errorf("%d bytes are buffered, want 1 to %d", n, room)
 			}
 			for _, c := range all {
 				c.Close()
@@ -54,44 +56,47 @@
 			c.Send(t, strings.Replace(proxytest.PostRequest("n", "Content-Length: 31744"), "Host: h", "Host: h\r\nX: "+strings.Repeat("x", 8<<10), 1)+
 				strings.Repeat("x", 31744))
 			if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
-				t.Errorf("then got %s", resp.Status)
+				t.Errorf("request after the memory was released: got %s, want 200", resp.Status)
 			}
 			proxytest.WaitUntil(t, func() bool { return bufferedHeads(p) == 0 })
 		})
 	}
 }
 
-// Idle clients in every slot while discovery is down: calls to it, to backends and for health have descriptors of their
-// own.
+// TestIdleClientsLeaveDescriptorsForOthers checks that calls to discovery and to backends, and health checks,
+// have their own descriptors: they work although idle clients use up the limit of client connections while
+// discovery is down.
 func TestIdleClientsLeaveDescriptorsForOthers(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
 	p := startProxy(t, d.addr, 120, "")
-	d.responses <- "" // a call that breaks
+	d.responses <- "" // breaks the connection of the first call
 	most := connLimit(p)
 	for i := range 2 * most {
 		c := connect(t, p)
-		if i%2 == 0 { // the others never say a word
+		if i%2 == 0 { // the others send nothing
 			go func() { _, _ = io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n") }()
 		}
 	}
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() >= most })
-	d.responses <- listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)) // it is back
+	// Now discovery works again.
+	d.responses <- listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))
 	proxytest.WaitUntil(t, p.Ready)
 	for i, want := range []string{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", proxytest.LookRequest("1", 4000), "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"} {
 		start := time.Now()
 		c := connect(t, p)
 		c.Send(t, want)
 		if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
-			t.Errorf("call %d: %s", i, resp.Status)
+			t.Errorf("request %d: got %s, want 200", i, resp.Status)
 		}
 		if took := time.Since(start); took > downstream.MinKeepAlive+time.Second {
-			t.Errorf("call %d waited %v", i, took)
+			t.Errorf("request %d took %v, want at most %v", i, took, downstream.MinKeepAlive+time.Second)
 		}
 	}
 }
 
-// All parts of the descriptors together are no more than there are, alone and beside another process of the proxy.
+// TestDescriptorLimitsAddUp checks that the shares of the descriptor limit add up to no more than the limit,
+// for a single process and for one that shares with another process of the proxy.
 func TestDescriptorLimitsAddUp(t *testing.T) {
 	for sockets := 128; sockets <= 1024; sockets++ {
 		for _, watched := range []bool{false, true} {
@@ -104,10 +109,12 @@
 					have, own = sockets/2, reservedDescriptorsShared
 				}
 				if watched {
-					own += 17 // callers of the management address, and its listener
+					own += 17 // connections to the management address, and its listener
 				}
 				if clients+backends+over+own > have || over < minRejectConns {
-					t.Errorf("%d sockets, watched %v, shared %v: %d+%d+%d+%d", sockets, watched, shared, clients, backends, over, own)
+					t.Errorf("limit %d, managed %v, shared %v: %d clients + %d backends + %d rejects + "+
+						"%d reserved, want at most the limit",
+						sockets, watched, shared, clients, backends, over, own)
 				}
 			}
 		}
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -10,7 +10,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// Each request that was taken ends once, whichever way: taken = ended + in flight throughout.
+// TestEveryRequestIsCountedOnce checks that each accepted request is counted as ended exactly once, however
+// it ends, and as in flight before that.
 func TestEveryRequestIsCountedOnce(t *testing.T) {
 	served := proxytest.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
 	failed := proxytest.RespondWith("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true)
@@ -42,24 +43,28 @@
 		c.Send(t, post(id))
 		c.ReadResponse(t)
 	}
-	c.Send(t, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // no request of a class: nothing to count
+	c.Send(t, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // has no class and is not counted
 	c.ReadResponse(t)
 	proxytest.WaitUntil(t, func() bool { n, _ := ends(); return n == 3 })
 	goes := connect(t, p)
 	goes.Send(t, post("4"))
 	proxytest.Receive(t, "the request at the backend", reached)
-	proxytest.WaitUntil(t, func() bool { return p.Metrics().Forwarded == 4 }) // it may be there before it is counted
+	// The backend may read it before it is counted.
+	proxytest.WaitUntil(t, func() bool { return p.Metrics().Forwarded == 4 })
 	if n, f := ends(); n != 3 || f.InFlight != 1 {
-		t.Errorf("while one is out: %d ended, %+v", n, f)
+		t.Errorf("with one request in flight: %d ended, want 3; metrics %+v", n, f)
 	}
 	goes.Close()
 	proxytest.WaitUntil(t, func() bool { n, _ := ends(); return n == 4 })
 	_, f := ends()
 	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded != 2 || e.Failed != 2 || f.ListedServers != 1 {
-		t.Errorf("at the end: %+v", f)
+		t.Errorf("after all requests: got %+v, want 2 succeeded and 2 failed of class post, none in flight "+
+			"and 1 listed server", f)
 	}
 }
 
+// TestRequestFinishCountsOnce checks that only the first call of finish counts, and that the number of
+// classes is limited.
 func TestRequestFinishCountsOnce(t *testing.T) {
 	f := newMetrics([]string{"a"})
 	one, two := f.requestStarted("a"), f.requestStarted("b")
@@ -67,16 +72,17 @@
 	one.finish(0)
 	got := f.snapshot()
 	if got.Classes["a"] != (management.RequestCounts{Rejected: 1}) || got.InFlight != 1 {
-		t.Errorf("got %+v", got)
+		t.Errorf("after finishing the first request: got %+v, want 1 rejected of class a and 1 in flight",
+			got)
 	}
 	two.finish(0)
 	if got = f.snapshot(); got.Classes["b"] != (management.RequestCounts{Failed: 1}) || got.InFlight != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("after finishing both requests: got %+v, want 1 failed of class b and none in flight", got)
 	}
 	for range 3 * maxClasses {
 		f.setClasses([]string{string(bytes.Repeat([]byte("x"), len(f.classes)+1))})
 	}
 	if len(f.classes) > maxClasses {
-		t.Errorf("%d classes are kept", len(f.classes))
+		t.Errorf("%d classes are counted, want at most %d", len(f.classes), maxClasses)
 	}
 }
--- a/internal/proxy/misbehavingclients_test.go
+++ b/internal/proxy/misbehavingclients_test.go
@@ -16,7 +16,7 @@
 	"merlinpick/internal/settings"
 )
 
-// endless gives so many bytes.
+// endless returns a reader of n bytes.
 func endless(n int64) io.Reader {
 	return io.LimitReader(readerFunc(func(p []byte) (int, error) {
 		for i := range p {
@@ -26,7 +26,8 @@
 	}), n)
 }
 
-// Peers that send 60 MB that are no request get an error or a close within 6 s, whether they read meanwhile or not.
+// TestOversizedInputIsClosedInTime checks that a client that sends 60 MB that are no valid request gets an
+// error or a closed connection within 6 s, even if it reads nothing while it sends.
 func TestOversizedInputIsClosedInTime(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for name, head := range map[string]string{
@@ -51,18 +52,19 @@
 				}
 			}
 			if took := time.Since(start); took > 6*time.Second {
-				t.Errorf("%v after %v", err, took)
+				t.Errorf("got %v; the connection ended after %v, want at most 6 s", err, took)
 			}
 		})
 	}
 	t.Cleanup(func() {
 		if n := b.Requests.Load(); n > 0 {
-			t.Errorf("%d requests went on", n)
+			t.Errorf("%d requests reached the backend, want none", n)
 		}
 	})
 }
 
-// SIGTERM between New and Run: who has connected by then gets a response, and the process ends.
+// TestSIGTERMBeforeRun checks that a SIGTERM between New and Run ends the process, after the clients that
+// have connected by then have got a response.
 func TestSIGTERMBeforeRun(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	site, err := settings.Decode([]byte(proxytest.SiteJSON))
@@ -85,19 +87,19 @@
 	done := make(chan error, 1)
 	go func() { done <- proxy.Run(ctx) }()
 	if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want 200", resp.Status)
 	}
 	if err := proxytest.Receive(t, "end of Run", done); err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", proxy.Addr()); err == nil {
-		t.Error("the listener is open")
+		t.Error("the listener is still open")
 	} else if !strings.Contains(err.Error(), syscall.ECONNREFUSED.Error()) {
 		t.Error(err)
 	}
 }
 
-// readerFunc is a Reader by its one method.
+// readerFunc is a function that implements io.Reader.
 type readerFunc func(p []byte) (int, error)
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
--- a/internal/proxy/notimeleft_test.go
+++ b/internal/proxy/notimeleft_test.go
@@ -11,8 +11,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A client that retries at the end of its time states that it waits for 0 ms. It gets a response no later than half a second
-// after that time, as every client does.
+// TestRequestWithoutTimeLeftIsAnswered checks that a client that retries at the end of its timeout, and so
+// sends a timeout of 0 ms, gets a response within half a second of its deadline, as every client does.
 func TestRequestWithoutTimeLeftIsAnswered(t *testing.T) {
 	const allowedDelay = 500 * time.Millisecond
 	p, _ := startServing(t, proxytest.NeverRespond(t))
@@ -24,7 +24,8 @@
 	}
 }
 
-// An upload that is streamed has no deadline before its last byte, but one whose client will not wait then is sent nowhere.
+// TestUploadWithoutTimeLeftIsRejectedUnsent checks that a streamed upload with a timeout of 0 ms or less is
+// rejected without a connection to a backend, although its deadline is not known before its last byte.
 func TestUploadWithoutTimeLeftIsRejectedUnsent(t *testing.T) {
 	const size = 2 * downstream.MaxBufferedBody
 	for _, timeout := range []string{"0", "-20", "0.4"} {
@@ -35,14 +36,16 @@
 			cl.Send(t, strings.Repeat("x", downstream.MaxBufferedBody+1))
 			resp, _ := cl.ReadResponse(t)
 			if resp.StatusCode != http.StatusServiceUnavailable || b.Conns.Load() != 0 {
-				t.Errorf("got %s, %d connections at the backend", resp.Status, b.Conns.Load())
+				t.Errorf("got %s and %d connections to the backend, want 503 and none",
+					resp.Status, b.Conns.Load())
 			}
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().Events["refusals.no_time"] == 1 })
 		})
 	}
 }
 
-// A request with so little time that no backend can answer it gets one response, soon after that time.
+// TestRequestWithLittleTimeIsAnsweredOnce checks that a request whose timeout is too short for any backend
+// gets exactly one response, soon after its deadline.
 func TestRequestWithLittleTimeIsAnsweredOnce(t *testing.T) {
 	const allowedDelay = 500 * time.Millisecond
 	p, _ := startServing(t, proxytest.NeverRespond(t))
@@ -56,10 +59,10 @@
 		}
 		if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusGatewayTimeout &&
 			resp.StatusCode != http.StatusBadGateway {
-			t.Errorf("%d ms: got %s", ms, resp.Status)
+			t.Errorf("%d ms: got %s, want 502, 503 or 504", ms, resp.Status)
 		}
 		if next, err := http.ReadResponse(cl.R, nil); err == nil {
-			t.Errorf("%d ms: a second response: %s", ms, next.Status)
+			t.Errorf("%d ms: got a second response: %s", ms, next.Status)
 		}
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -20,14 +20,16 @@
 	"merlinpick/internal/settings"
 )
 
-// fakeDiscovery answers the calls in the order of its answers and then holds every watch.
+// fakeDiscovery is a discovery server. It sends the queued responses in order, one per call, and lets calls
+// wait while there is none.
 type fakeDiscovery struct {
 	addr      string
-	responses chan string   // the next answers; "" breaks the connection
-	calls     chan string   // the queries that came
-	stop      chan struct{} // ends the held calls
+	responses chan string   // the queued responses; "" breaks the connection
+	calls     chan string   // the URL query of each call
+	stop      chan struct{} // closed to end the waiting calls
 }
 
+// startDiscovery starts a fakeDiscovery without responses.
 func startDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
 	d := &fakeDiscovery{responses: make(chan string, 10), calls: make(chan string, 1000), stop: make(chan struct{})}
@@ -48,46 +50,53 @@
 	return d
 }
 
+// listJSON returns an endpoint list, complete (full) or a delta, as discovery sends it.
 func listJSON(index int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, full, strings.Join(entries, ","))
 }
 
+// endpointJSON returns an entry of an endpoint list in zone a, as discovery sends it.
 func endpointJSON(name, addr, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":1,"status":%q,"weight":1,"since_ms":0}`,
 		name, addr, status)
 }
 
-// running is a proxy at work; stop is SIGTERM to it, done gives what Run returned.
+// running is a proxy whose Run has been called.
 type running struct {
 	*Proxy
-	stop context.CancelFunc
-	done chan error
+	stop context.CancelFunc // has the effect of SIGTERM
+	done chan error         // receives the result of Run
 
-	breaksRules bool // the test has it break a rule
+	breaksRules bool // the test makes the proxy break a rule
 }
 
+// startProxy starts a proxy with a new state directory. list is the address of discovery, sockets the
+// descriptor limit, and known the initial endpoint list as JSON, or "".
 func startProxy(t *testing.T, list string, sockets int, known string) *running {
 	t.Helper()
 	return startProxyAt(t, list, sockets, known, t.TempDir())
 }
 
-// startProxyAt starts a proxy with a state directory.
+// startProxyAt starts a proxy with the given state directory.
 func startProxyAt(t *testing.T, list string, sockets int, known, state string) *running {
 	t.Helper()
 	return startSite(t, proxytest.SiteJSON, list, sockets, known, state)
 }
 
+// startSite starts a proxy with the given settings as JSON.
 func startSite(t *testing.T, text, list string, sockets int, known, state string) *running {
 	t.Helper()
 	return startWithSyncTimeout(t, text, list, sockets, known, state, 0)
 }
 
-// startSiteWaiting starts a proxy that waits so long for discovery to confirm its list.
+// startSiteWaiting starts a proxy that waits up to patience for discovery to confirm its list.
 func startSiteWaiting(t *testing.T, text, list, known string, patience time.Duration) *running {
 	t.Helper()
 	return startWithSyncTimeout(t, text, list, 200, known, t.TempDir(), patience)
 }
 
+// startWithSyncTimeout starts a proxy with the given sync timeout. At the end of the test it stops the proxy
+// and checks that the proxy broke no rule, unless breaksRules is set.
 func startWithSyncTimeout(t *testing.T, text, list string, sockets int, known, state string, patience time.Duration) *running {
 	t.Helper()
 	site, err := settings.Decode([]byte(text))
@@ -113,9 +122,9 @@
 	t.Cleanup(func() {
 		stop()
 		proxytest.Receive(t, "end of the proxy", ended)
-		for rule, n := range p.Metrics().RuleViolations { // whatever the test is about
+		for rule, n := range p.Metrics().RuleViolations { // checked in every test
 			if n > 0 && !r.breaksRules {
-				t.Errorf("the proxy broke the rule %s, %d times", rule, n)
+				t.Errorf("the proxy broke the rule %s %d times", rule, n)
 			}
 		}
 	})
@@ -129,24 +138,26 @@
 	return startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))), b
 }
 
-// connLimit is how many connections of clients a proxy serves.
+// connLimit returns the limit of client connections of a proxy.
 func connLimit(p *running) int {
 	conns, _ := p.frontend.Limits()
 	return conns
 }
 
-// bufferedHeads is how many bytes a proxy has buffered of heads, and of bodies' first bytes.
+// bufferedHeads returns how many bytes of request headers and first bytes of bodies a proxy has buffered.
 func bufferedHeads(p *running) int {
 	_, heads := p.frontend.BufferedBytes()
 	return heads
 }
 
-// connect opens a client's connection to a proxy.
+// connect opens a client connection to a proxy.
 func connect(t *testing.T, p *running) *proxytest.Client {
 	t.Helper()
 	return proxytest.Connect(t, p.Addr())
 }
 
+// TestRequestsOfAllClassesAreServed checks that requests of all classes are served on one connection to the
+// backend.
 func TestRequestsOfAllClassesAreServed(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p.loop.pool.SetReuseDelay(0)
@@ -157,15 +168,16 @@
 	} {
 		c.Send(t, text)
 		if resp, body := c.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
-			t.Errorf("request %d: got %s %q", i, resp.Status, body)
+			t.Errorf("request %d: got %s %q, want 200 \"ok\"", i, resp.Status, body)
 		}
 	}
 	if b.Requests.Load() != 3 || b.Conns.Load() != 1 {
-		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
+		t.Errorf("backend got %d requests on %d connections, want 3 on 1", b.Requests.Load(), b.Conns.Load())
 	}
 }
 
-// What makes no sense is answered, never forwarded, and the connection still serves.
+// TestBadRequestsAreNotForwarded checks that invalid requests get an error response and are not forwarded,
+// and that the connection stays usable where keep is set.
 func TestBadRequestsAreNotForwarded(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for name, c := range map[string]struct {
@@ -191,33 +203,35 @@
 			cl := connect(t, p)
 			cl.Send(t, c.text)
 			if resp, _ := cl.ReadResponse(t); resp.StatusCode != c.want {
-				t.Errorf("got %s", resp.Status)
+				t.Errorf("got %s, want %d", resp.Status, c.want)
 			}
 			if c.keep {
 				came := b.Requests.Load()
 				cl.Send(t, proxytest.LookRequest("9", 4000))
 				if resp, body := cl.ReadResponse(t); resp.StatusCode != 200 || body != "ok" || b.Requests.Load() != came+1 {
-					t.Errorf("then got %s", resp.Status)
+					t.Errorf("valid request on the same connection: got %s, want 200", resp.Status)
 				}
 			}
 		})
 	}
 }
 
-// The balancer's rejection comes at once with a Retry-After.
+// TestRejectionIsAnsweredAtOnce checks that a rejection by the balancer is sent at once, with a Retry-After.
 func TestRejectionIsAnsweredAtOnce(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", true))
 	c := connect(t, p)
 	c.Send(t, proxytest.LookRequest("1", 8000))
 	resp, _ := c.ReadResponse(t)
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("got %s %v", resp.Status, resp.Header)
+		t.Errorf("got %s with header %v, want 503 with Retry-After", resp.Status, resp.Header)
 	}
 	if n := b.Requests.Load(); n < 1 || n > 3 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("got %d attempts, want 1 to 3", n)
 	}
 }
 
+// TestHungBackendStillGivesClientAnAnswer checks that a request to a hung backend ends in time with a 502 or
+// 504, and that a non-idempotent request is not retried.
 func TestHungBackendStillGivesClientAnAnswer(t *testing.T) {
 	p, b := startServing(t, proxytest.NeverRespond(t))
 	c := connect(t, p)
@@ -225,13 +239,15 @@
 	c.Send(t, "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\nRequest-Timeout-Ms: 1000\r\nContent-Length: 0\r\n\r\n")
 	resp, _ := c.ReadResponse(t)
 	if resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusGatewayTimeout {
-		t.Errorf("got %s after %v", resp.Status, time.Since(start))
+		t.Errorf("got %s after %v, want 502 or 504", resp.Status, time.Since(start))
 	}
 	if n := b.Requests.Load(); n != 1 {
-		t.Errorf("an unsafe request went out %d times", n)
+		t.Errorf("a non-idempotent request was sent %d times, want once", n)
 	}
 }
 
+// TestClientGoneCancelsAttempt checks that a client's disconnect cancels its attempt and removes its request
+// from the loop.
 func TestClientGoneCancelsAttempt(t *testing.T) {
 	came := make(chan struct{}, 1)
 	gone := make(chan struct{}, 1)
@@ -246,13 +262,15 @@
 	proxytest.Receive(t, "request", came)
 	c.Close()
 	proxytest.Receive(t, "end of the attempt", gone)
-	proxytest.WaitUntil(t, func() bool { // nothing is left of it
+	proxytest.WaitUntil(t, func() bool { // the loop has removed the request
 		left := make(chan int, 1)
 		p.loop.post(func() { left <- len(p.loop.requests) })
-		return proxytest.Receive(t, "word of the loop", left) == 0
+		return proxytest.Receive(t, "number of requests in the loop", left) == 0
 	})
 }
 
+// TestClientGoneMidRequestLeavesNothing checks that a request whose client disconnects in the middle of the
+// body is not forwarded, and that its connection is closed.
 func TestClientGoneMidRequestLeavesNothing(t *testing.T) {
 	p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	c := connect(t, p)
@@ -261,11 +279,12 @@
 	c.Close()
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 0 })
 	if n := b.Requests.Load(); n != 0 {
-		t.Errorf("%d requests went on", n)
+		t.Errorf("%d requests reached the backend, want none", n)
 	}
 }
 
-// Two requests under one ID could not be distinguished; the second was never answered.
+// TestDuplicateRequestIDIsRejected checks that the second of two requests with the same ID is rejected. Since
+// the two could not be told apart, the second never got a response.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	p, b := startServing(t, proxytest.NeverRespond(t))
 	first, second := connect(t, p), connect(t, p)
@@ -273,11 +292,12 @@
 	proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 	second.Send(t, proxytest.LookRequest("1", 8000))
 	if resp, _ := second.ReadResponse(t); resp.StatusCode != 400 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("got %s, want 400", resp.Status)
 	}
 }
 
-// A flood of requests ended in too many open files; those over the limit are rejected.
+// TestRequestsOverInFlightLimitAreRejected checks that requests over the limit of requests in flight are
+// rejected. Without the limit, a flood of requests failed with "too many open files".
 func TestRequestsOverInFlightLimitAreRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, n int) bool {
@@ -297,22 +317,24 @@
 	over.Send(t, proxytest.LookRequest("1", 4000))
 	resp, _ := over.ReadResponse(t)
 	if resp.StatusCode != 503 || !resp.Close || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("got %s %v", resp.Status, resp.Header)
+		t.Errorf("request over the limit: got %s, close %v, header %v, want 503 with a close and Retry-After",
+			resp.Status, resp.Close, resp.Header)
 	}
 	close(release)
 	for _, c := range conns {
 		if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 && resp.StatusCode != 503 {
-			t.Errorf("got %s", resp.Status)
+			t.Errorf("request within the limit: got %s, want 200 or 503", resp.Status)
 		}
 	}
 	next := connect(t, p)
 	next.Send(t, proxytest.LookRequest("2", 4000))
 	if resp, _ := next.ReadResponse(t); resp.StatusCode != 200 {
-		t.Errorf("got %s", resp.Status)
+		t.Errorf("request after the flood: got %s, want 200", resp.Status)
 	}
 }
 
-// Connections without a request are no reason to reject one.
+// TestIdleConnectionsCauseNoRejection checks that no request is rejected because of connections without a
+// request.
 func TestIdleConnectionsCauseNoRejection(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := startProxy(t, startDiscovery(t).addr, 120, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
@@ -321,12 +343,14 @@
 	}
 	c := connect(t, p)
 	c.Send(t, proxytest.LookRequest("1", 4000))
-	if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 || !resp.Close { // its connection makes room
-		t.Errorf("got %s, close %v", resp.Status, resp.Close)
+	// The connection is closed to make room for another.
+	if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("got %s, close %v, want 200 and a close", resp.Status, resp.Close)
 	}
 }
 
-// Each response is applied; a malformed or broken one changes nothing, and the next call asks for the whole list.
+// TestListWatchSurvivesMalformedAndBrokenResponses checks that each valid response of discovery is applied,
+// that a malformed one changes nothing, and that the next call asks for the complete list.
 func TestListWatchSurvivesMalformedAndBrokenResponses(t *testing.T) {
 	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
@@ -346,30 +370,30 @@
 	query := func(want string) {
 		t.Helper()
 		if got, _, _ := strings.Cut(proxytest.Receive(t, "call", d.calls), "&hold_ms="); got != want {
-			t.Errorf("asked %q, want %q", got, want)
+			t.Errorf("got the query %q, want %q", got, want)
 		}
 	}
 	query("")
 	if got := health(); got != 503 {
-		t.Errorf("healthy without a list: %d", got)
+		t.Errorf("health check without a list: got %d, want 503", got)
 	}
 	d.responses <- listJSON(5, true, endpointJSON("a", a.Addr, discovery.StatusServing))
 	query("from=5")
 	if got := health(); got != 200 {
-		t.Errorf("not healthy with a list: %d", got)
+		t.Errorf("health check with a list: got %d, want 200", got)
 	}
 	for _, nonsense := range []string{`{"index":6,"snap`, listJSON(6, false, endpointJSON("a", "nowhere", discovery.StatusServing)),
 		listJSON(6, false, endpointJSON("a", a.Addr, "RESTING")), ""} {
 		d.responses <- nonsense
 		if nonsense == "" {
-			query("from=5") // net/http asks once more by itself; a question may be put twice
+			query("from=5") // net/http resends the call by itself, which is allowed
 		} else {
 			query("")
 		}
 		d.responses <- listJSON(5, true, endpointJSON("a", a.Addr, discovery.StatusServing))
 		query("from=5")
 		if got := ask("x"); got != 200 {
-			t.Errorf("after %q: %d", nonsense, got)
+			t.Errorf("request after the response %q: got %d, want 200", nonsense, got)
 		}
 	}
 	d.responses <- listJSON(7, false, endpointJSON("a", a.Addr, discovery.StatusDraining), endpointJSON("b", b.Addr, discovery.StatusServing))
@@ -377,10 +401,11 @@
 	served := a.Requests.Load()
 	for i := range 20 {
 		if got := ask(fmt.Sprint("y", i)); got != 200 {
-			t.Errorf("after the drain: %d", got)
+			t.Errorf("request after the drain: got %d, want 200", got)
 		}
 	}
 	if a.Requests.Load() != served || b.Requests.Load() != 20 {
-		t.Errorf("%d requests to a draining backend", a.Requests.Load()-served)
+		t.Errorf("%d requests reached the draining backend, want none; %d the other, want 20",
+			a.Requests.Load()-served, b.Requests.Load())
 	}
 }
--- a/internal/proxy/readiness_sync_test.go
+++ b/internal/proxy/readiness_sync_test.go
@@ -12,9 +12,9 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A new process has a list of any age from its configuration. It is not ready before discovery has confirmed one, since
-// it would send to servers that are gone; but it does not wait where discovery is unreachable, nor for longer than its
-// limit.
+// TestSuccessorWaitsForEndpointList checks that a new process is not ready before discovery has confirmed its
+// list: the list in its configuration may be of any age, and the process would send to servers that were
+// removed. It does not wait if discovery is unreachable, nor longer than its sync timeout.
 func TestSuccessorWaitsForEndpointList(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	known := listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))
@@ -44,9 +44,10 @@
 			}
 		}, time.Minute)
 		if missing := p.NotReadyReason(); !strings.Contains(missing, "not confirmed") {
-			t.Errorf("missing %q before discovery has answered", missing)
+			t.Errorf("before discovery has answered: got the reason %q, want one with \"not confirmed\"",
+				missing)
 		}
-		answer <- struct{}{} // and the watch that follows is held
+		answer <- struct{}{} // the watch that follows waits
 		proxytest.WaitUntil(t, p.Ready)
 	})
 	t.Run("not where discovery is out of reach", func(t *testing.T) {
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -15,12 +15,12 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// asking is a site whose list is asked for, with an asking time of minutes.
+// asking holds settings with which the proxy polls discovery for the list, at an interval of minutes.
 var asking = strings.NewReplacer(`"membership_mode":"automatic"`, `"membership_mode":"subscribe"`,
 	`{"contract":{`, `{"contract":{"ask_every_us":300000000,`).Replace(proxytest.SiteJSON)
 
-// A proxy that starts without a list, while discovery is down, reports what is missing, and is ready soon after
-// discovery is back, whatever the poll interval.
+// TestReadinessNamesWhatIsMissing checks that a proxy that starts without a list while discovery is down
+// reports what is missing, and becomes ready soon after discovery recovers, whatever the poll interval.
 func TestReadinessNamesWhatIsMissing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	place, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,20 +49,21 @@
 	proxytest.WaitUntil(t, func() bool { return p.frontend.IsServing() && calls.Load() >= 4 })
 	if missing := p.NotReadyReason(); p.Ready() || !strings.Contains(missing, "no list") ||
 		!strings.Contains(missing, place.Addr().String()) {
-		t.Errorf("ready %v, missing %q", p.Ready(), missing)
+		t.Errorf("got ready %v with the reason %q, want not ready for lack of a list", p.Ready(), missing)
 	}
 	down.Store(false)
 	back := time.Now()
 	proxytest.WaitUntil(t, p.Ready)
 	if took := time.Since(back); took > 5*time.Second {
-		t.Errorf("ready %v after discovery was back", took)
+		t.Errorf("ready %v after discovery recovered, want at most 5 s", took)
 	}
 	p.stop()
 	proxytest.WaitUntil(t, func() bool { return p.NotReadyReason() == "it drains" })
 }
 
-// While discovery is down, hangs or responds with nonsense, the last known servers are used for as long as it takes; a
-// proxy that has a list from its configuration is ready with it, here without the wait of readiness_sync_test.go.
+// TestLastKnownServersAreKept checks that the last known servers are used while discovery is down, hangs or
+// sends malformed lists. A proxy with a list from its configuration is ready with it; here it does not wait
+// for discovery to confirm it.
 func TestLastKnownServersAreKept(t *testing.T) {
 	for _, how := range []string{"down", "503", "deaf", "nonsense"} {
 		t.Run(how, func(t *testing.T) {
@@ -87,14 +88,15 @@
 			proxytest.WaitUntil(t, p.Ready)
 			lost := 4
 			if how == "deaf" {
-				lost = 1 // each takes two seconds
+				lost = 1 // each failed call takes two seconds
 			}
 			for i := range lost {
 				proxytest.WaitUntil(t, func() bool { return calls.Load() > int32(i+1) })
 				c := connect(t, p)
 				c.Send(t, proxytest.LookRequest(fmt.Sprint(i), 4000))
 				if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
-					t.Errorf("request %d after %d calls that failed: %s", i, calls.Load(), resp.Status)
+					t.Errorf("request %d, after %d failed calls to discovery: got %s, want 200",
+						i, calls.Load(), resp.Status)
 				}
 			}
 			if !p.Ready() {
--- a/internal/proxy/reset_test.go
+++ b/internal/proxy/reset_test.go
@@ -10,7 +10,8 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// A streamed response that is reset is visibly incomplete, to a client of HTTP/1.0 too.
+// TestResetResponseIsVisibleToClient checks that clients, including those of HTTP/1.0, can see that a
+// streamed response is incomplete if the backend resets its connection.
 func TestResetResponseIsVisibleToClient(t *testing.T) {
 	for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -24,7 +25,7 @@
 			t.Fatal(err)
 		}
 		if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-			t.Errorf("%s: %d bytes looked like a whole answer", version, n)
+			t.Errorf("%s: the client took the first %d bytes for a complete response", version, n)
 		}
 	}
 }
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -16,7 +16,7 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// A large response is streamed, in every framing, completely.
+// TestLargeResponsesAreStreamed checks that a large response is streamed completely, whatever its framing.
 func TestLargeResponsesAreStreamed(t *testing.T) {
 	part := bytes.Repeat([]byte("0123456789abcdef"), upstream.MaxBufferedResponse/16)
 	for _, c := range []struct {
@@ -40,7 +40,8 @@
 				_, _ = io.WriteString(w, c.head)
 				write(part)
 				write(part[:1])
-				proxytest.Receive(t, "the client's first bytes", seen) // the rest follows only once these have come
+				// Sends the rest only after the client has these.
+				proxytest.Receive(t, "the client's first bytes", seen)
 				write(part[1:])
 				write(part)
 				if c.chunked {
@@ -61,17 +62,19 @@
 			close(seen)
 			rest, err := io.ReadAll(resp.Body)
 			if err != nil || !bytes.Equal(append(got, rest...), bytes.Repeat(part, 3)) {
-				t.Errorf("%d bytes came, %v", len(got)+len(rest), err)
+				t.Errorf("got %d bytes and error %v, want all %d bytes unchanged",
+					len(got)+len(rest), err, 3*len(part))
 			}
 			if resp.Header.Get("Content-Type") != "a/b" {
-				t.Errorf("header %v", resp.Header)
+				t.Errorf("got header %v, want Content-Type a/b", resp.Header)
 			}
 			proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.Classes["look"].Succeeded == 1 && f.InFlight == 0 })
 		})
 	}
 }
 
-// A response without a length that comes slowly is not held back until it is large.
+// TestSlowResponseWithoutLengthIsStreamed checks that the data of a slow response without a length is
+// forwarded before the response is complete or large.
 func TestSlowResponseWithoutLengthIsStreamed(t *testing.T) {
 	seen := make(chan struct{})
 	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -92,12 +95,13 @@
 	}
 	close(seen)
 	if rest, err := io.ReadAll(resp.Body); err != nil || string(got)+string(rest) != "abcd" {
-		t.Errorf("got %s%s, %v", got, rest, err)
+		t.Errorf("got %s%s and error %v, want abcd", got, rest, err)
 	}
 }
 
-// A long response that breaks off before its first bytes counts as none: the next attempt can still serve, otherwise the
-// client gets an error. It was a connection that ended without a response.
+// TestResponseTruncatedAfterHeadIsRetried checks that a large response that breaks off before or soon after
+// its first body byte does not count as started: a retry can still serve the request, or the client gets an
+// error. Without this, the client saw a connection that closed without a response.
 func TestResponseTruncatedAfterHeadIsRetried(t *testing.T) {
 	for _, c := range []struct {
 		body string
@@ -117,16 +121,17 @@
 		cl.Send(t, proxytest.LookRequest("1", 4000))
 		resp, err := http.ReadResponse(cl.R, nil)
 		if err != nil {
-			t.Errorf("after %q: no answer: %v", c.body, err)
+			t.Errorf("after a body of %q: no response: %v", c.body, err)
 			continue
 		}
 		if _, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != c.want {
-			t.Errorf("after %q: got %s, %v", c.body, resp.Status, err)
+			t.Errorf("after a body of %q: got %s and error %v, want %d", c.body, resp.Status, err, c.want)
 		}
 	}
 }
 
-// A client can see that a response broke off on its way, and it counts as failed.
+// TestTruncatedResponseIsVisibleToClient checks that a client can see that a streamed response broke off, and
+// that the request counts as failed.
 func TestTruncatedResponseIsVisibleToClient(t *testing.T) {
 	for name, head := range map[string]string{
 		"of a length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 9*upstream.MaxBufferedResponse),
@@ -144,15 +149,16 @@
 				t.Fatal(err)
 			}
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-				t.Errorf("%d bytes looked like a whole answer", n)
+				t.Errorf("the client took the first %d bytes for a complete response", n)
 			}
 			proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.Classes["look"].Failed == 1 && f.InFlight == 0 })
 		})
 	}
 }
 
-// A client that reads slowly slows its backend down and does not fill the proxy's memory; one that goes frees both
-// sides.
+// TestSlowReaderSlowsItsBackend checks that a client that reads slowly slows down the backend instead of
+// filling the proxy's memory, and that its disconnect ends the request and closes the connection to the
+// backend.
 func TestSlowReaderSlowsItsBackend(t *testing.T) {
 	const size = 64 << 20
 	written := make(chan int, 1)
@@ -180,18 +186,19 @@
 	}
 	select {
 	case n := <-written:
-		t.Fatalf("the backend got rid of %d bytes that nobody read", n)
+		t.Fatalf("the backend could write %d bytes that the client did not read", n)
 	case <-time.After(100 * time.Millisecond):
 	}
 	c.Close()
 	if n := proxytest.Receive(t, "the backend's end", written); n == size {
-		t.Error("all was taken for a client that had gone")
+		t.Error("the proxy read the complete response for a client that had disconnected")
 	}
-	proxytest.Receive(t, "the backend's connection", b.Closed)
+	proxytest.Receive(t, "the close of the backend's connection", b.Closed)
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 }
 
-// A long response that is still being streamed at the cutoff goes on to its end.
+// TestSIGTERMDoesNotTruncateLongResponse checks that a large response that is still being streamed at the
+// drain's cutoff is streamed to its end.
 func TestSIGTERMDoesNotTruncateLongResponse(t *testing.T) {
 	goOn := make(chan struct{})
 	part := strings.Repeat("x", 2*upstream.MaxBufferedResponse)
@@ -215,10 +222,10 @@
 	}
 	p.stop()
 	proxytest.WaitUntil(t, p.frontend.IsClosing)
-	time.Sleep(200 * time.Millisecond) // past the cutoff, whatever this machine is at
+	time.Sleep(200 * time.Millisecond) // until after the cutoff, even on a busy machine
 	close(goOn)
 	if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != int64(2*len(part)-10) {
-		t.Errorf("%d bytes more came, %v", n, err)
+		t.Errorf("got %d more bytes and error %v, want %d bytes", n, err, 2*len(part)-10)
 	}
 	if err := proxytest.Receive(t, "end of Run", p.done); err != nil {
 		t.Error(err)
--- a/internal/proxy/suspension_test.go
+++ b/internal/proxy/suspension_test.go
@@ -11,7 +11,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A suspension keeps a server out at both processes of a proxy, through lists and restarts, until it is resumed.
+// TestSuspensionHoldsInEveryProcessUntilResumed checks that a suspension applies in both processes of a
+// proxy, across list updates and restarts of the server, until the server is resumed.
 func TestSuspensionHoldsInEveryProcessUntilResumed(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	d := startDiscovery(t)
@@ -24,22 +25,22 @@
 		return resp.StatusCode
 	}
 	if got := asks(first, "1"); got != 200 {
-		t.Fatalf("before the ban: %d", got)
+		t.Fatalf("before the suspension: got %d, want 200", got)
 	}
-	for range 3 { // calls may be repeated
+	for range 3 { // repeated calls succeed
 		if err := first.SuspendServer("a/1"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if got := asks(first, "2"); got != 503 {
-		t.Errorf("the last server left, banned: %d", got)
+		t.Errorf("with the only server suspended: got %d, want 503", got)
 	}
 	second := startProxyAt(t, d.addr, 200, known, first.config.StateDir)
 	proxytest.WaitUntil(t, func() bool { return second.Metrics().EjectedServers == 1 })
 	if got := asks(second, "3"); got != 503 {
-		t.Errorf("beside the next process: %d", got)
+		t.Errorf("in the next process: got %d, want 503", got)
 	}
-	d.responses <- listJSON(2, true) // it leaves the list, and one that is banned can still be called back
+	d.responses <- listJSON(2, true) // removes the server from the list: it can still be resumed
 	proxytest.WaitUntil(t, func() bool { return first.Metrics().ListedServers == 0 || second.Metrics().ListedServers == 0 })
 	if err := second.ResumeServer("a/1"); err != nil {
 		t.Fatal(err)
@@ -50,28 +51,30 @@
 	for _, p := range []*running{first, second} {
 		proxytest.WaitUntil(t, func() bool { id++; return asks(p, strconv.Itoa(id)) == 200 })
 	}
-	for _, p := range []*running{first, second} { // whichever was asked above
+	for _, p := range []*running{first, second} { // whichever process was called above
 		proxytest.WaitUntil(t, func() bool { return p.Metrics().EjectedServers == 0 })
 	}
 }
 
+// TestSuspendingUnlistedServerFails checks that a server that no list has named can be neither suspended nor
+// resumed, and that resuming a server that is not suspended has no effect.
 func TestSuspendingUnlistedServerFails(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	for _, do := range []func(string) error{p.SuspendServer, p.ResumeServer} {
 		var unknown *override.UnknownServerError
 		if err := do("stranger"); !errors.As(err, &unknown) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want an UnknownServerError", err)
 		}
 	}
-	if err := p.ResumeServer("a"); err != nil { // nothing to end, and no harm
+	if err := p.ResumeServer("a"); err != nil { // the server is not suspended
 		t.Error(err)
 	}
 	if left := p.overrides.Current(); len(left) != 0 {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("got the overrides %v, want none", left)
 	}
 }
 
-// A suspension that cannot be stored must not be confirmed.
+// TestSuspensionThatCannotBeStoredFails checks that a suspension that cannot be stored is reported as failed.
 func TestSuspensionThatCannotBeStoredFails(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	if err := os.RemoveAll(p.config.StateDir); err != nil {
@@ -79,6 +82,6 @@
 	}
 	var lost *override.StoreError
 	if err := p.SuspendServer("a"); !errors.As(err, &lost) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want a StoreError", err)
 	}
 }
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -15,7 +15,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A body that is too large to be buffered reaches the backend completely, in every framing, while it comes.
+// TestLargeBodiesAreStreamed checks that a request body that is too large to be buffered is streamed to the
+// backend completely while it is received, whatever its framing.
 func TestLargeBodiesAreStreamed(t *testing.T) {
 	const size = 2*downstream.MaxBufferedBody + 5
 	body := bytes.Repeat([]byte("0123456789abcdef"), size/16+1)[:size]
@@ -51,33 +52,35 @@
 				}
 			}
 			send(body[:downstream.MaxBufferedBody+1])
-			proxytest.Receive(t, "the head at the backend", b.Begun) // the rest follows only once this has come
+			// Sends the rest only after the backend has this.
+			proxytest.Receive(t, "the head at the backend", b.Begun)
 			send(body[downstream.MaxBufferedBody+1 : size-1])
 			send(body[size-1:])
 			if c.chunked {
 				cl.Send(t, "0\r\n\r\n")
 			}
 			if resp, text := cl.ReadResponse(t); resp.StatusCode != 200 || text != "ok" {
-				t.Errorf("got %s %q", resp.Status, text)
+				t.Errorf("got %s %q, want 200 \"ok\"", resp.Status, text)
 			}
 			if !bytes.Equal(got.Bytes(), body) {
-				t.Errorf("%d bytes came of %d", got.Len(), size)
+				t.Errorf("the backend got %d bytes, want the body of %d bytes unchanged", got.Len(), size)
 			}
-			if !c.chunked { // the connection goes on
+			if !c.chunked { // the connection can be reused
 				cl.Send(t, proxytest.LookRequest("2", 4000))
 				if resp, _ := cl.ReadResponse(t); resp.StatusCode != 200 {
-					t.Errorf("then got %s", resp.Status)
+					t.Errorf("next request on the connection: got %s, want 200", resp.Status)
 				}
 			}
 			proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Succeeded == 1 })
 			if bodies, _ := p.frontend.BufferedBytes(); bodies != 0 {
-				t.Errorf("%d bytes still buffered", bodies)
+				t.Errorf("%d bytes of bodies are still buffered, want none", bodies)
 			}
 		})
 	}
 }
 
-// A request whose backend resets during the upload has its response at once, though the rest of the body has not come.
+// TestBackendResetDuringUploadIsAnsweredAtOnce checks that a request whose backend resets the connection
+// during the upload gets its response at once, before the rest of the body has arrived.
 func TestBackendResetDuringUploadIsAnsweredAtOnce(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	b.ResetsUploads = true
@@ -96,19 +99,21 @@
 	}()
 	for sent := 0; sent < 16<<20; sent += len(piece) {
 		if _, err := io.WriteString(cl, piece); err != nil {
-			break // it has answered and closed
+			break // the proxy has responded and closed the connection
 		}
 	}
-	if got := proxytest.Receive(t, "the answer", answered); got != 503 { // the last byte was never written: it has not run
-		t.Errorf("got %d", got)
+	// The last byte was never written, so the request was not executed and may be rejected.
+	if got := proxytest.Receive(t, "the response", answered); got != 503 {
+		t.Errorf("got status %d, want 503", got)
 	}
 	proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Rejected == 1 })
 	if n := p.Metrics().Forwarded; n != 0 {
-		t.Errorf("%d attempts count as written", n)
+		t.Errorf("%d attempts count as forwarded, want none", n)
 	}
 }
 
-// A client that goes in the middle of its body cancels the attempt, and the request is counted nowhere.
+// TestClientGoneDuringUploadLeavesNothing checks that the disconnect of a client in the middle of its body
+// cancels the attempt, and that the request is not counted.
 func TestClientGoneDuringUploadLeavesNothing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	b.Begun = make(chan struct{})
@@ -117,26 +122,28 @@
 	cl.Send(t, proxytest.PostRequest("1", "Content-Length: 1000000")+strings.Repeat("x", downstream.MaxBufferedBody+1))
 	proxytest.Receive(t, "the head at the backend", b.Begun)
 	cl.Close()
-	proxytest.Receive(t, "the backend's connection", b.Closed)
+	proxytest.Receive(t, "the close of the backend's connection", b.Closed)
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 0 })
 	f := p.Metrics()
 	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded+e.Rejected+e.Failed != 0 || f.Forwarded != 0 {
-		t.Errorf("got %+v", f)
+		t.Errorf("got metrics %+v, want no request of class post, none in flight and none forwarded", f)
 	}
 }
 
-// A body that cannot be complete before the cutoff is rejected so that it may come again, not dropped.
+// TestUploadIncompleteAtCutoffIsRejected checks that a request whose body is incomplete at the drain's cutoff
+// gets an error response, so that its client can retry, instead of a closed connection.
 func TestUploadIncompleteAtCutoffIsRejected(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
-	for _, size := range []int{1000, 4 * downstream.MaxBufferedBody} { // held, and passed on as it comes
+	for _, size := range []int{1000, 4 * downstream.MaxBufferedBody} { // a buffered body and a streamed one
 		cl := connect(t, p)
 		cl.Send(t, proxytest.PostRequest(fmt.Sprint(size), fmt.Sprintf("Content-Length: %d", size))+strings.Repeat("x", size-500))
 		defer func() {
 			if resp, _ := cl.ReadResponse(t); resp.StatusCode < 500 || !resp.Close {
-				t.Errorf("%d bytes: got %s, close %v", size, resp.Status, resp.Close)
+				t.Errorf("body of %d bytes: got %s, close %v, want an error and a close",
+					size, resp.Status, resp.Close)
 			}
 		}()
 	}
--- a/internal/proxy/upstream/abandon_test.go
+++ b/internal/proxy/upstream/abandon_test.go
@@ -13,8 +13,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A request that was written but not yet delivered when its attempt was given up is never delivered: a server that hung,
-// or was cut off, executed it after that.
+// TestAbandonedRequestIsNotDeliveredLater checks that a request that was written but not yet delivered when
+// its attempt ended is never delivered. Without this, a server that hung or was cut off executed it later.
 func TestAbandonedRequestIsNotDeliveredLater(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,7 +26,7 @@
 	p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err == nil {
-			err = c.(*net.TCPConn).SetWriteBuffer(4 << 20) // holds all that the server has not taken
+			err = c.(*net.TCPConn).SetWriteBuffer(4 << 20) // holds all data that the server has not received
 		}
 		return c, err
 	}
@@ -39,12 +39,12 @@
 	a := newAttempt(p, "a", time.Second)
 	a.request.Method, a.request.Body = http.MethodPost, bytes.Repeat([]byte("x"), 2<<20)
 	if res := a.Run(); res.Status != balancer.StatusTimedOut {
-		t.Fatalf("got %v, want it written whole and then timed out", res.Status)
+		t.Fatalf("got %v, want a timeout after the request was written completely", res.Status)
 	}
 	c := proxytest.Receive(t, "connection", taken)
 	defer c.Close()
 	_ = c.SetReadDeadline(time.Now().Add(proxytest.Timeout))
 	if n, err := io.Copy(io.Discard, c); err == nil {
-		t.Errorf("%d bytes and an end came after the attempt had been given up", n)
+		t.Errorf("the server got %d bytes and an orderly close after the attempt had ended, want a reset", n)
 	}
 }
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -14,7 +14,7 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// poolWith is a pool with backends named a, b, and so on.
+// poolWith returns a pool with backends named a, b, and so on, at the given addresses.
 func poolWith(maxOpen int, addresses ...string) *Pool {
 	p := NewPool(Config{DialTimeout: 5 * time.Second, IdleClose: 40 * time.Second, MaxOpen: maxOpen})
 	var list []discovery.Endpoint
@@ -25,6 +25,7 @@
 	return p
 }
 
+// newAttempt creates an attempt of a GET request at the named backend.
 func newAttempt(p *Pool, name string, timeout time.Duration) *Attempt {
 	a, ok := p.NewAttempt(context.Background(), name, Params{Deadline: time.Now().Add(timeout),
 		Request: &Request{ID: "1", Method: http.MethodGet, URI: "/look/k%2f1?x=%20y", Host: "backend.local",
@@ -35,7 +36,8 @@
 	return a
 }
 
-// What comes back decides the status that the balancer gets, and with it whether a request may be executed again.
+// TestOutcomeTable checks the status that each kind of response is reported with, on which it depends whether
+// the balancer may retry the request.
 func TestOutcomeTable(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -75,12 +77,14 @@
 				t.Errorf("got %v %q, want %v", res.Status, res.Body, c.want)
 			}
 			if n := b.Requests.Load(); n != 1 {
-				t.Errorf("%d requests came", n)
+				t.Errorf("the backend got %d requests, want 1", n)
 			}
 		})
 	}
 }
 
+// TestRefusedConnectionIsConnectFailed checks that a refused connection is reported as a failed connect and
+// not counted as open.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,24 +93,28 @@
 	l.Close()
 	p := poolWith(4, l.Addr().String())
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusConnectFailed {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, balancer.StatusConnectFailed)
 	}
 	if p.openConns != 0 {
-		t.Errorf("%d connections still counted", p.openConns)
+		t.Errorf("%d connections are counted as open, want none", p.openConns)
 	}
 }
 
+// TestHungBackendTimesOutAndConnectionIsClosed checks that an attempt at a hung backend times out and that
+// its connection is not reused.
 func TestHungBackendTimesOutAndConnectionIsClosed(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
 	p := poolWith(4, b.Addr)
 	if res := newAttempt(p, "a", 50*time.Millisecond).Run(); res.Status != balancer.StatusTimedOut {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, balancer.StatusTimedOut)
 	}
 	if p.openConns != 0 || len(p.byName["a"].idleConns) != 0 {
-		t.Error("the connection is kept")
+		t.Error("the connection is still open")
 	}
 }
 
+// TestCancelledAttemptClosesItsConnection checks that cancelling an attempt in flight ends it and closes its
+// connection.
 func TestCancelledAttemptClosesItsConnection(t *testing.T) {
 	came := make(chan struct{}, 1)
 	gone := make(chan error, 1)
@@ -123,14 +131,15 @@
 	proxytest.Receive(t, "request", came)
 	a.cancel()
 	if res := proxytest.Receive(t, "result", results); res.Status != balancer.StatusCancelled {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, balancer.StatusCancelled)
 	}
 	if err := proxytest.Receive(t, "end of the connection", gone); err == nil {
 		t.Error("the connection is still open")
 	}
 }
 
-// During a dial the backend may drain, or the request's time may run out; nothing is sent then.
+// TestNothingIsSentAfterSlowDial checks that nothing is sent if the backend drains or changes, or the attempt
+// is cancelled or passes its deadline, during the dial.
 func TestNothingIsSentAfterSlowDial(t *testing.T) {
 	for name, meanwhile := range map[string]func(p *Pool, a *Attempt){
 		"drained": func(p *Pool, a *Attempt) {
@@ -156,18 +165,20 @@
 				return c, err
 			}
 			if res := a.Run(); res.Status != balancer.StatusNotSent {
-				t.Errorf("got %v", res.Status)
+				t.Errorf("got %v, want %v", res.Status, balancer.StatusNotSent)
 			}
-			p.UpdateEndpoints(true, nil) // closes what is idle
+			p.UpdateEndpoints(true, nil) // closes idle connections
 			proxytest.Receive(t, "close", b.Closed)
 			if b.Requests.Load() != 0 || p.openConns != 0 {
-				t.Errorf("%d requests came, %d connections open", b.Requests.Load(), p.openConns)
+				t.Errorf("the backend got %d requests, and %d connections are open, want none",
+					b.Requests.Load(), p.openConns)
 			}
 		})
 	}
 }
 
-// A write that breaks off before the last byte proves that the request was never executed; one that ended does not.
+// TestPartiallyWrittenRequestNeverExecuted checks that a write that fails before the last byte is reported as
+// a failed connect, since the backend cannot have executed the request.
 func TestPartiallyWrittenRequestNeverExecuted(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	p.dialContext = func(context.Context, string, string) (net.Conn, error) {
@@ -176,10 +187,12 @@
 		return near, nil
 	}
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusConnectFailed {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, balancer.StatusConnectFailed)
 	}
 }
 
+// TestForwardedBytesAreUnchanged checks that the path, the query and the header are forwarded unchanged, and
+// that Request-Timeout-Ms holds the remaining time.
 func TestForwardedBytesAreUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
@@ -190,9 +203,9 @@
 	newAttempt(poolWith(4, b.Addr), "a", 900*time.Millisecond+proxytest.Timeout).Run()
 	r := proxytest.Receive(t, "request", got)
 	if r.RequestURI != "/look/k%2f1?x=%20y" || r.Host != "backend.local" || r.Header.Get("Request-Id") != "1" {
-		t.Errorf("got %s %s %v", r.RequestURI, r.Host, r.Header)
+		t.Errorf("got the URI %s, host %s and header %v, want them unchanged", r.RequestURI, r.Host, r.Header)
 	}
 	if ms := r.Header.Get("Request-Timeout-Ms"); len(ms) != 5 || ms > "20900" {
-		t.Errorf("Request-Timeout-Ms %q", ms)
+		t.Errorf("got Request-Timeout-Ms %q, want five digits and at most 20900", ms)
 	}
 }
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -13,7 +13,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A request that is cancelled while it is written was never executed, by no fault of its server.
+// TestAttemptCancelledDuringWriteNeverExecuted checks that an attempt that is cancelled while its request is
+// being written counts as not sent, since the server cannot have executed it and is not at fault.
 func TestAttemptCancelledDuringWriteNeverExecuted(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	near, far := net.Pipe()
@@ -25,13 +26,15 @@
 		a.cancel()
 	}()
 	if res := a.Run(); res.Status != balancer.StatusNotSent || p.openConns != 0 {
-		t.Errorf("got %v with %d open", res.Status, p.openConns)
+		t.Errorf("got %v with %d open connections, want %v with none",
+			res.Status, p.openConns, balancer.StatusNotSent)
 	}
 }
 
-// An attempt that is cancelled before it is written counts as not sent: the server is not to blame.
+// TestCancelledWriteBlamesNobody checks that an attempt that is cancelled before any byte of its request is
+// accepted counts as not sent, since the server is not at fault, and that its connection is not reused.
 func TestCancelledWriteBlamesNobody(t *testing.T) {
-	near, far := net.Pipe() // takes nothing until it is read from
+	near, far := net.Pipe() // accepts no data until it is read from
 	defer far.Close()
 	pool := poolWith(5)
 	pool.openConns = 1
@@ -42,10 +45,11 @@
 	c := &conn{Conn: writeSeen{near, writes}, backend: &backend{}}
 	go func() { <-writes; stop() }()
 	if res, keep := a.exchange(c); res.Status != balancer.StatusNotSent || keep {
-		t.Errorf("got %v, keep %v", res.Status, keep)
+		t.Errorf("got %v, reusable %v, want %v, false", res.Status, keep, balancer.StatusNotSent)
 	}
 }
 
+// writeSeen is a connection that closes seen when Write is called.
 type writeSeen struct {
 	net.Conn
 	seen chan struct{}
--- a/internal/proxy/upstream/generation_test.go
+++ b/internal/proxy/upstream/generation_test.go
@@ -13,8 +13,9 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A request that waits for a connection to a backend which drains, goes or restarts meanwhile does not wait on: nothing
-// could be sent on it. Nor is a dial begun that nothing could be sent on.
+// TestDialEndsWithBackendGeneration checks that an attempt stops waiting for a dial when its backend drains,
+// is removed, restarts or is suspended, since nothing may be sent on the connection, and that a later attempt
+// with the old generation starts no dial.
 func TestDialEndsWithBackendGeneration(t *testing.T) {
 	restarted := proxytest.Endpoint("a", "127.0.0.1:1", discovery.StatusServing)
 	restarted.StartedAtMs = 7
@@ -29,7 +30,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := poolWith(4, "127.0.0.1:1")
 			dials := make(chan bool, 9)
-			p.dialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { // it never comes up
+			p.dialContext = func(ctx context.Context, _, _ string) (net.Conn, error) { // never connects
 				dials <- true
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -40,20 +41,24 @@
 			proxytest.Receive(t, "dial", dials)
 			change(p)
 			if res := proxytest.Receive(t, "result", results); res.Status != balancer.StatusNotSent || a.ctx.Err() != nil {
-				t.Errorf("got %v", res.Status)
+				t.Errorf("got %v and context error %v, want %v and none",
+					res.Status, a.ctx.Err(), balancer.StatusNotSent)
 			}
 			began := time.Now()
 			if res := late.Run(); res.Status != balancer.StatusNotSent || len(dials) != 0 {
-				t.Errorf("after the change: got %v after %v, with %d dials", res.Status, time.Since(began), len(dials))
+				t.Errorf("attempt after the change: got %v after %v, with %d dials, want %v without a dial",
+					res.Status, time.Since(began), len(dials), balancer.StatusNotSent)
 			}
 			if p.openConns != 0 || len(a.backend.pendingDials) != 0 {
-				t.Errorf("%d connections and %d dials still counted", p.openConns, len(a.backend.pendingDials))
+				t.Errorf("%d connections and %d dials are still counted, want none",
+					p.openConns, len(a.backend.pendingDials))
 			}
 		})
 	}
 }
 
-// A response that is under way when its backend drains comes to its end; the connection is closed then.
+// TestResponseInFlightSurvivesBackendDrain checks that a request in flight when its backend drains gets its
+// whole response, and that the connection is closed after it.
 func TestResponseInFlightSurvivesBackendDrain(t *testing.T) {
 	came, goOn := make(chan bool, 1), make(chan bool)
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
@@ -71,27 +76,31 @@
 	p.SetLimits(1, 1)
 	close(goOn)
 	if res := proxytest.Receive(t, "result", results); res.Status != balancer.StatusOK || string(res.Body) != "ok" || p.openConns != 0 {
-		t.Errorf("got %v %q with %d open", res.Status, res.Body, p.openConns)
+		t.Errorf("got %v %q with %d open connections, want %v \"ok\" with none",
+			res.Status, res.Body, p.openConns, balancer.StatusOK)
 	}
 	proxytest.Receive(t, "close", b.Closed)
 }
 
-// A connection that a request uses is not closed by what closes idle ones.
+// TestConnectionInUseIsNotEvicted checks that sweeps and lower limits, which close idle connections, do not
+// close one that a request uses.
 func TestConnectionInUseIsNotEvicted(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := poolWith(1, b.Addr)
 	p.SetReuseDelay(0)
 	a := newAttempt(p, "a", proxytest.Timeout)
 	if res := a.Run(); res.Status != balancer.StatusOK {
-		t.Fatalf("got %v", res.Status)
+		t.Fatalf("got %v, want %v", res.Status, balancer.StatusOK)
 	}
 	c := p.takeIdle(a.backend, a.generation, false)
 	p.SweepIdle(time.Now().Add(2 * p.idleTimeout))
 	p.SetLimits(1, 1)
-	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusNotSent { // no room, and none is made of this one
-		t.Errorf("a second one: got %v", res.Status)
+	// At the limit: the connection in use is not closed.
+	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusNotSent {
+		t.Errorf("second attempt: got %v, want %v", res.Status, balancer.StatusNotSent)
 	}
 	if res, keep := a.exchange(c); res.Status != balancer.StatusOK || !keep || b.Conns.Load() != 1 {
-		t.Errorf("got %v, kept %v, on %d connections", res.Status, keep, b.Conns.Load())
+		t.Errorf("first attempt: got %v, reusable %v, on %d connections, want %v, true, on 1",
+			res.Status, keep, b.Conns.Load(), balancer.StatusOK)
 	}
 }
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -15,31 +15,36 @@
 	"merlinpick/internal/proxy/socket"
 )
 
-// The backend closes a kept connection; a request that ran into it was sent a second time by http.Transport.
+// TestConnectionClosedByBackendIsNotReused checks that an idle connection that the backend has closed is not
+// used again. http.Transport sent a request that met such a connection a second time.
 func TestConnectionClosedByBackendIsNotReused(t *testing.T) {
-	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, false)) // promises to stay, then closes
+	// The backend closes its connections without having sent Connection: close.
+	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, false))
 	p := poolWith(4, b.Addr)
 	for n := range 3 {
 		if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK {
-			t.Fatalf("attempt %d: got %v", n, res.Status)
+			t.Fatalf("attempt %d: got %v, want %v", n, res.Status, balancer.StatusOK)
 		}
 		proxytest.Receive(t, "close", b.Closed)
-		proxytest.WaitUntil(t, func() bool { // the news has reached this end
+		proxytest.WaitUntil(t, func() bool { // the close has reached the pool's socket
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return !socket.Quiet(p.byName["a"].idleConns[0].Conn)
 		})
 	}
 	if b.Requests.Load() != 3 || b.Conns.Load() != 3 {
-		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
+		t.Errorf("the backend got %d requests on %d connections, want 3 on 3",
+			b.Requests.Load(), b.Conns.Load())
 	}
 	p.SweepIdle(time.Now())
 	if p.openConns != 0 {
-		t.Errorf("%d connections open after the sweep", p.openConns)
+		t.Errorf("%d connections are open after the sweep, want none", p.openConns)
 	}
 }
 
-// The close crosses the request: it is sent exactly once, and may have been executed.
+// TestBackendCloseCrossingRequestIsOneReset checks that a request is sent exactly once if the backend closes
+// the connection while the request is on its way, and that it counts as reset, since it may have been
+// executed.
 func TestBackendCloseCrossingRequestIsOneReset(t *testing.T) {
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 1 {
@@ -53,13 +58,16 @@
 		t.Fatalf("got %v", res.Status)
 	}
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusReset {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, balancer.StatusReset)
 	}
 	if b.Requests.Load() != 2 || b.Conns.Load() != 1 {
-		t.Errorf("%d requests on %d connections", b.Requests.Load(), b.Conns.Load())
+		t.Errorf("the backend got %d requests on %d connections, want 2 on 1",
+			b.Requests.Load(), b.Conns.Load())
 	}
 }
 
+// TestPoolReusesMostRecentAndClosesOld checks that the most recently used connection is reused first, and
+// that SweepIdle closes connections that have been idle for the idle timeout.
 func TestPoolReusesMostRecentAndClosesOld(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := poolWith(4, b.Addr)
@@ -76,15 +84,17 @@
 	p.putIdle(two[0])
 	p.putIdle(two[1])
 	if c := p.takeIdle(e, e.generation, false); c != two[1] {
-		t.Error("not the most recent one")
+		t.Error("takeIdle did not return the most recently used connection")
 	}
 	p.putIdle(two[1])
 	p.SweepIdle(time.Now().Add(p.idleTimeout))
 	if len(e.idleConns) != 0 || p.openConns != 0 {
-		t.Errorf("%d idle, %d open", len(e.idleConns), p.openConns)
+		t.Errorf("after the sweep: %d idle and %d open connections, want none", len(e.idleConns), p.openConns)
 	}
 }
 
+// TestConnLimitClosesIdleOrOpensNone checks that, at the connection limit, a new connection replaces an idle
+// one, and that an attempt is not sent if none is idle.
 func TestConnLimitClosesIdleOrOpensNone(t *testing.T) {
 	quick, slow := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.NeverRespond(t))
 	p := poolWith(1, quick.Addr, slow.Addr)
@@ -96,25 +106,29 @@
 	go func() { results <- held.Run() }()
 	proxytest.Receive(t, "close of the idle connection", quick.Closed)
 	proxytest.WaitUntil(t, func() bool { return slow.Requests.Load() == 1 })
-	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusNotSent { // the limit is the proxy's own, and no backend's fault
-		t.Errorf("over the limit: got %v", res.Status)
+	// The limit is the proxy's, not the backend's fault.
+	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusNotSent {
+		t.Errorf("at the limit: got %v, want %v", res.Status, balancer.StatusNotSent)
 	}
 	held.cancel()
 	proxytest.Receive(t, "result", results)
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK {
-		t.Errorf("with room again: got %v", res.Status)
+		t.Errorf("below the limit again: got %v, want %v", res.Status, balancer.StatusOK)
 	}
 }
 
+// TestAnyDialErrorIsConnectFailed checks that an unknown dial error is reported as a failed connect.
 func TestAnyDialErrorIsConnectFailed(t *testing.T) {
 	p := poolWith(4, "127.0.0.1:1")
 	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("too many open files") }
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusConnectFailed || p.openConns != 0 {
-		t.Errorf("got %v with %d open", res.Status, p.openConns)
+		t.Errorf("got %v with %d open connections, want %v with none",
+			res.Status, p.openConns, balancer.StatusConnectFailed)
 	}
 }
 
-// A reused connection that broke since its backend exited does not shorten the idle timeout of others.
+// TestBackendExitDoesNotShortenIdleTimeout checks that a reused connection that broke because its backend
+// exited does not shorten the idle timeout of other connections.
 func TestBackendExitDoesNotShortenIdleTimeout(t *testing.T) {
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
@@ -132,23 +146,24 @@
 		t.Fatalf("got %v, want a reset", res.Status)
 	}
 	if span := p.idleTracker.MaxIdle(time.Now(), p.idleTimeout, false); span > 600*time.Millisecond {
-		t.Fatalf("trusted for %v after a break at 1 s", span)
+		t.Fatalf("longest idle time is %v after a connection broke at 1 s, want at most 600 ms", span)
 	}
 	p.dialContext = func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusConnectFailed {
 		t.Fatalf("got %v, want a refused connection", res.Status)
 	}
 	if span := p.idleTracker.MaxIdle(time.Now(), p.idleTimeout, false); span != p.idleTimeout {
-		t.Errorf("trusted for %v though the backend had died, want %v", span, p.idleTimeout)
+		t.Errorf("longest idle time is %v although the backend had exited, want %v", span, p.idleTimeout)
 	}
 }
 
-// A kept connection that its backend closes unannounced breaks under its next request, which fails it if it must not be
-// executed twice. The proxy went on reusing every idle connection.
+// TestStaleReuseShortensIdleTimeout checks that connections are reused only after shorter idle times once a
+// reused connection has broken. A connection that its backend closes without notice fails the next request on
+// it, if that request must not be executed twice; the proxy kept reusing every idle connection.
 func TestStaleReuseShortensIdleTimeout(t *testing.T) {
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
-			return false // closed without an answer
+			return false // closes without a response
 		}
 		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
@@ -173,13 +188,14 @@
 		conns  int32
 	}{
 		{0, true, balancer.StatusOK, 1},
-		{time.Second, true, balancer.StatusReset, 1}, // trusted until now
+		{time.Second, true, balancer.StatusReset, 1}, // reused, since none has broken yet
 		{0, true, balancer.StatusOK, 2},
 		{600 * time.Millisecond, true, balancer.StatusOK, 3},
-		{5 * time.Millisecond, true, balancer.StatusOK, 3}, // fresh enough
+		{5 * time.Millisecond, true, balancer.StatusOK, 3}, // idle only briefly: reused
 	} {
 		if got := do(step.idle, step.unsafe); got != step.want || b.Conns.Load() != step.conns {
-			t.Errorf("step %d: %v on %d connections, want %v on %d", i, got, b.Conns.Load(), step.want, step.conns)
+			t.Errorf("step %d: got %v on %d connections, want %v on %d",
+				i, got, b.Conns.Load(), step.want, step.conns)
 		}
 	}
 }
--- a/internal/proxy/upstream/readahead_test.go
+++ b/internal/proxy/upstream/readahead_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// pieces is a source that gives what it is sent.
+// pieces is a reader that returns the data sent to the channel, one element per Read, until the channel is
+// closed.
 type pieces chan []byte
 
 func (s pieces) Read(p []byte) (int, error) {
@@ -18,26 +19,27 @@
 	return copy(p, piece), nil
 }
 
-// A source stalls when it was read from and gives nothing. One that was not read from, since nobody had taken what came
-// before, has not stalled, though nothing came and all is read now.
+// TestUnreadSourceIsNotStalled checks that a source counts as stalled only while a read from it is pending.
+// If the buffer was full, the source was not read and is not stalled, even though nothing arrived and the
+// buffer is empty now.
 func TestUnreadSourceIsNotStalled(t *testing.T) {
 	const size = 1 << 10
 	synctest.Test(t, func(t *testing.T) {
 		source := make(pieces)
 		p := newReadAhead(source, size)
 		source <- make([]byte, size)
-		synctest.Wait() // it is full: the source is not asked
+		synctest.Wait() // the buffer is full: the source is not read
 		p.isStalled(MaxBufferedResponse)
 		time.Sleep(ResponseBufferWait)
 		if n, err := p.Read(make([]byte, size)); n != size || err != nil {
-			t.Fatalf("%d bytes, %v", n, err)
+			t.Fatalf("got %d bytes and error %v, want %d bytes", n, err, size)
 		}
 		if p.isStalled(MaxBufferedResponse) {
-			t.Error("it stands still though it was not asked")
+			t.Error("the source counts as stalled although it was not read")
 		}
 		time.Sleep(2 * ResponseBufferWait)
 		if !p.isStalled(MaxBufferedResponse) {
-			t.Error("it does not stand still though it was asked and gave nothing")
+			t.Error("the source does not count as stalled although a read of it got nothing for too long")
 		}
 		close(source)
 	})
--- a/internal/proxy/upstream/response_test.go
+++ b/internal/proxy/upstream/response_test.go
@@ -11,7 +11,8 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A response that cannot be read as HTTP counts as none, however it breaks the rules.
+// TestMalformedResponsesAreResets checks that a response that violates HTTP counts as a reset, and that valid
+// ones with informational responses or excess data are accepted.
 func TestMalformedResponsesAreResets(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -35,19 +36,19 @@
 	}
 }
 
-// A client that is slow to read a large response without a length gets all of it, though little had been read by its
-// deadline.
+// TestSlowClientGetsWholeResponsePastDeadline checks that a client that is slow to read a large response
+// without a length gets all of it, even if little had been read by its deadline.
 func TestSlowClientGetsWholeResponsePastDeadline(t *testing.T) {
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*MaxBufferedResponse))
 		return false
 	})
 	p := poolWith(4, b.Addr)
-	p.maxBuffered.Store(minBufferedResponse) // no more is read ahead
+	p.maxBuffered.Store(minBufferedResponse) // limits how much is read ahead
 	a := newAttempt(p, "a", proxytest.Timeout)
 	got := make(chan int64, 1)
 	a.startStream = func(s *Stream) bool {
-		s.ClientDeadline = time.Now().Add(-MaxStreamOverrun) // over now
+		s.ClientDeadline = time.Now().Add(-MaxStreamOverrun) // the time limit for small responses has passed
 		time.AfterFunc(2*ResponseBufferWait, func() {
 			n, err := io.Copy(io.Discard, s)
 			s.Finish(err)
@@ -56,14 +57,15 @@
 		return true
 	}
 	if res := a.Run(); res.Status != balancer.StatusOK {
-		t.Errorf("got %v", res.Status)
+		t.Errorf("got %v, want %v", res.Status, balancer.StatusOK)
 	}
-	if n := proxytest.Receive(t, "end of the answer", got); n != 2*MaxBufferedResponse {
-		t.Errorf("%d bytes came", n)
+	if n := proxytest.Receive(t, "end of the response", got); n != 2*MaxBufferedResponse {
+		t.Errorf("got %d bytes, want %d", n, 2*MaxBufferedResponse)
 	}
 }
 
-// A response without a length ends with the connection's end; a reset is none.
+// TestResetDoesNotCompleteResponse checks that an orderly close of the connection completes a response
+// without a length, and that a reset does not.
 func TestResetDoesNotCompleteResponse(t *testing.T) {
 	for name, head := range map[string]string{"HTTP/1.1": "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\n"} {
 		b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
@@ -72,10 +74,10 @@
 		})
 		p := poolWith(4, b.Addr)
 		if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusReset {
-			t.Errorf("%s, reset: got %v %q", name, res.Status, res.Body)
+			t.Errorf("%s, reset: got %v %q, want %v", name, res.Status, res.Body, balancer.StatusReset)
 		}
 		if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK || string(res.Body) != "ok" {
-			t.Errorf("%s, ended: got %v %q", name, res.Status, res.Body)
+			t.Errorf("%s, closed: got %v %q, want %v \"ok\"", name, res.Status, res.Body, balancer.StatusOK)
 		}
 	}
 }
--- a/internal/proxy/upstream/reusedelay_test.go
+++ b/internal/proxy/upstream/reusedelay_test.go
@@ -13,13 +13,14 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// An extra response that comes after the next request has come here is not that one's: the connection stays unused until
-// it has come, is found to have bytes that nobody asked for, and is closed.
+// TestExtraResponseIsNotTakenForNextRequest checks that a second response to one request is not taken for the
+// response to the next request. During the reuse delay the connection is not used; when the extra response
+// arrives, the connection has unexpected data to read and is closed.
 func TestExtraResponseIsNotTakenForNextRequest(t *testing.T) {
 	next, spoilt := make(chan struct{}), make(chan struct{})
 	b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
 		if n == 2 {
-			proxytest.Receive(t, "second answer to the first request", spoilt)
+			proxytest.Receive(t, "second response to the first request", spoilt)
 		}
 		_, _ = io.WriteString(w, proxytest.OKResponse)
 		if n == 1 {
@@ -33,24 +34,24 @@
 	})
 	p := poolWith(4, b.Addr)
 	if p.reuseDelay != idletimeout.ReuseDelay {
-		t.Errorf("connections rest for %v", p.reuseDelay)
+		t.Errorf("reuse delay is %v, want %v", p.reuseDelay, idletimeout.ReuseDelay)
 	}
-	p.reuseDelay = time.Second // for a machine that stands still now and then
+	p.reuseDelay = time.Second // tolerates pauses of a busy machine
 	for n := range 2 {
 		if n == 1 {
 			close(next)
 		}
 		if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK || string(res.Body) != "ok" {
-			t.Fatalf("request %d: got %v %q", n+1, res.Status, res.Body)
+			t.Fatalf("request %d: got %v %q, want %v \"ok\"", n+1, res.Status, res.Body, balancer.StatusOK)
 		}
 	}
 	if b.Conns.Load() != 2 || p.openConns != 1 {
-		t.Errorf("%d connections, %d open", b.Conns.Load(), p.openConns)
+		t.Errorf("%d connections, of which %d are open, want 2 and 1", b.Conns.Load(), p.openConns)
 	}
 }
 
-// An attempt that finds only connections within their reuse delay waits for the one whose delay ends first; only one
-// attempt does.
+// TestAttemptWaitsOutReuseDelay checks that an attempt that finds only connections within their reuse delay
+// waits for the one whose delay ends first, and that only one attempt waits for each connection.
 func TestAttemptWaitsOutReuseDelay(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := poolWith(4, b.Addr)
@@ -58,10 +59,11 @@
 	for n := range 3 {
 		began := time.Now()
 		if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK || b.Conns.Load() != 1 {
-			t.Fatalf("request %d: got %v on %d connections", n+1, res.Status, b.Conns.Load())
+			t.Fatalf("request %d: got %v on %d connections, want %v on 1",
+				n+1, res.Status, b.Conns.Load(), balancer.StatusOK)
 		}
 		if took := time.Since(began); n > 0 && took < p.reuseDelay/2 {
-			t.Errorf("request %d took %v", n+1, took)
+			t.Errorf("request %d took %v, want at least %v", n+1, took, p.reuseDelay/2)
 		}
 	}
 	p.reuseDelay = proxytest.Timeout
@@ -70,15 +72,18 @@
 	go func() { results <- first.Run() }()
 	proxytest.WaitUntil(t, func() bool { p.mu.Lock(); defer p.mu.Unlock(); return len(first.backend.idleConns) == 0 })
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK || b.Conns.Load() != 2 {
-		t.Errorf("beside one that waits: got %v on %d connections", res.Status, b.Conns.Load())
+		t.Errorf("attempt while another waits: got %v on %d connections, want %v on 2",
+			res.Status, b.Conns.Load(), balancer.StatusOK)
 	}
 	first.cancel()
 	if res := proxytest.Receive(t, "result", results); res.Status != balancer.StatusNotSent || b.Requests.Load() != 4 {
-		t.Errorf("stopped in the rest: got %v after %d requests", res.Status, b.Requests.Load())
+		t.Errorf("attempt cancelled during the delay: got %v after %d requests, want %v after 4",
+			res.Status, b.Requests.Load(), balancer.StatusNotSent)
 	}
 }
 
-// A connection past its reuse delay is used before a new one is opened, though others are more recent.
+// TestReusableConnectionFoundBehindDelayedOnes checks that a connection past its reuse delay is reused,
+// although more recently used ones are still within theirs.
 func TestReusableConnectionFoundBehindDelayedOnes(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := poolWith(4, b.Addr)
@@ -95,9 +100,10 @@
 	p.reuseDelay = proxytest.Timeout
 	two[0].idleSince = two[0].idleSince.Add(-proxytest.Timeout)
 	if c := p.takeIdle(e, e.generation, false); c != two[0] {
-		t.Error("not the one that has rested")
+		t.Error("takeIdle did not return the connection that is past its reuse delay")
 	}
 	if c := p.takeIdle(e, e.generation, false); c != nil || len(e.idleConns) != 1 || p.openConns != 2 {
-		t.Errorf("%d idle and %d open beside one that rests", len(e.idleConns), p.openConns)
+		t.Errorf("takeIdle returned a connection within its reuse delay, or closed one: %d idle, %d open, "+
+			"want 1 and 2", len(e.idleConns), p.openConns)
 	}
 }
--- a/internal/proxy/upstream/sendwindow_test.go
+++ b/internal/proxy/upstream/sendwindow_test.go
@@ -11,10 +11,11 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// What cannot be written completely inside the send window is broken off at its end, which proves that it was never
+// TestWritePastSendWindowIsAborted checks that a request that cannot be written completely within the send
+// window is aborted at the end of the window, and counts as a failed connect, since it cannot have been
 // executed.
 func TestWritePastSendWindowIsAborted(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and reads nothing
+	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections but reads nothing
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,9 +26,11 @@
 		if uploading {
 			a.bodyComplete, a.request.BodyRemainder = make(chan time.Time, 1), strings.NewReader("")
 		}
-		a.sendDeadline = time.Now().Add(200 * time.Millisecond) // the body takes longer than that to allocate on a busy machine
+		// Set after the body is allocated, which may take longer than this on a busy machine.
+		a.sendDeadline = time.Now().Add(200 * time.Millisecond)
 		if res := a.Run(); res.Status != balancer.StatusConnectFailed || time.Since(a.sendDeadline) > StallTimeout/2 {
-			t.Errorf("uploading %v: got %v", uploading, res.Status)
+			t.Errorf("uploading %v: got %v, want %v soon after the send window", uploading, res.Status,
+				balancer.StatusConnectFailed)
 		}
 	}
 }
--- a/internal/proxy/upstream/shortage_test.go
+++ b/internal/proxy/upstream/shortage_test.go
@@ -11,8 +11,9 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// A connect that fails for what this machine is short of is no fault of the backend: nothing was sent. One that the
-// backend refuses, or that does not reach it, is the backend's.
+// TestLocalShortageBlamesNoBackend checks that a dial that fails for lack of a local resource counts as not
+// sent, not as a failure of the backend. A dial that the backend refuses, or that does not reach it, counts
+// as the backend's failure.
 func TestLocalShortageBlamesNoBackend(t *testing.T) {
 	for _, c := range []struct {
 		errno error
@@ -31,7 +32,7 @@
 			t.Errorf("%v: got %v, want %v", c.errno, res.Status, c.want)
 		}
 		if p.openConns != 0 {
-			t.Errorf("%v: %d connections are counted as open", c.errno, p.openConns)
+			t.Errorf("%v: %d connections are counted as open, want none", c.errno, p.openConns)
 		}
 	}
 }
--- a/internal/proxy/zoneoverrides_test.go
+++ b/internal/proxy/zoneoverrides_test.go
@@ -14,7 +14,7 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// zoneStatus is how a proxy shows a zone.
+// zoneStatus returns the state of a zone as a proxy shows it.
 func zoneStatus(t *testing.T, p *running, name string) management.Zone {
 	t.Helper()
 	for _, z := range p.Zones() {
@@ -22,11 +22,12 @@
 			return z
 		}
 	}
-	t.Fatalf("zone %s is not shown: %+v", name, p.Zones())
+	t.Fatalf("zone %s is not among the zones %+v", name, p.Zones())
 	return management.Zone{}
 }
 
-// A zone that is drained gets nothing at any process of a proxy, whatever lists say, and comes back by steps.
+// TestDrainedZoneGetsNothingUntilRestored checks that a drained zone gets no requests from any process of a
+// proxy, whatever the endpoint list says, and that its share grows in steps once it is restored.
 func TestDrainedZoneGetsNothingUntilRestored(t *testing.T) {
 	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	in := func(zone, text string) string {
@@ -43,15 +44,16 @@
 			id++
 			c.Send(t, proxytest.LookRequest(strconv.Itoa(id), 4000))
 			if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
-				t.Fatalf("request %d: %s", id, resp.Status)
+				t.Fatalf("request %d: got %s, want 200", id, resp.Status)
 			}
 		}
 	}
 	asks(first, 50)
 	if z := zoneStatus(t, first, "a"); a.Requests.Load() == 0 || z.Phase != balancer.ZoneHealthy || z.WeightFraction != 1 || first.Metrics().Zones != nil {
-		t.Fatalf("before: %d at a, %+v, figures %+v", a.Requests.Load(), z, first.Metrics().Zones)
+		t.Fatalf("before the drain: %d requests at a, zone %+v, zone metrics %+v; want some requests, "+
+			"a healthy zone and no zone metrics", a.Requests.Load(), z, first.Metrics().Zones)
 	}
-	for range 2 { // calls may be repeated
+	for range 2 { // repeated calls succeed
 		if err := first.DrainZone("a"); err != nil {
 			t.Fatal(err)
 		}
@@ -59,16 +61,16 @@
 	before := a.Requests.Load()
 	var last *override.LastZoneError
 	if err := first.DrainZone("b"); !errors.As(err, &last) {
-		t.Errorf("the last zone: %v", err)
+		t.Errorf("drain of the last zone: got error %v, want a LastZoneError", err)
 	}
 	var unknown *override.UnknownZoneError
 	if err := first.DrainZone("c"); !errors.As(err, &unknown) {
-		t.Errorf("a stranger: %v", err)
+		t.Errorf("drain of an unknown zone: got error %v, want an UnknownZoneError", err)
 	}
 	second := startSite(t, text, d.addr, 200, known, first.config.StateDir)
 	more := []string{endpointJSON("a/2", a.Addr, discovery.StatusServing), in("c", endpointJSON("c/1", b.Addr, discovery.StatusServing))}
 	for _, p := range []*running{first, second} {
-		proxytest.WaitUntil(t, func() bool { // either may take what is said
+		proxytest.WaitUntil(t, func() bool { // either process may receive the response
 			select {
 			case d.responses <- listJSON(2, false, more...):
 			default:
@@ -76,12 +78,13 @@
 			return p.Metrics().ListedServers == 4
 		})
 		if z := zoneStatus(t, p, "a"); z.Phase != balancer.ZoneDrained || z.WeightFraction != 0 || len(p.Metrics().Zones) != 3 {
-			t.Errorf("drained: %+v, figures %+v", z, p.Metrics().Zones)
+			t.Errorf("after the drain: got zone %+v and metrics %+v, want it drained and 3 zones",
+				z, p.Metrics().Zones)
 		}
 		asks(p, 50)
 	}
 	if n := a.Requests.Load() - before; n > 0 {
-		t.Errorf("%d requests went to a zone that is drained", n)
+		t.Errorf("%d requests reached the drained zone, want none", n)
 	}
 	if err := second.RestoreZone("a"); err != nil {
 		t.Fatal(err)
@@ -91,13 +94,15 @@
 		before = a.Requests.Load()
 		proxytest.WaitUntil(t, func() bool { asks(p, 1); return a.Requests.Load() > before })
 		if p.Metrics().Zones != nil {
-			t.Error("restored, it still shows figures of zones")
+			t.Error("after the restore: the metrics still include zones")
 		}
 	}
-	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, first, "a").WeightFraction > 0.1 }) // without a fleet that moves it
+	// The share grows although there is no cluster.
+	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, first, "a").WeightFraction > 0.1 })
 }
 
-// Drains by calls at two proxies leave a zone, the same one at each.
+// TestConcurrentZoneDrainsRetainOneZone checks that drains requested at two proxies, which together would
+// drain all zones, leave one zone: the first by name, so that each proxy leaves the same one.
 func TestConcurrentZoneDrainsRetainOneZone(t *testing.T) {
 	a, b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	known := listJSON(1, true, endpointJSON("a/1", a.Addr, discovery.StatusServing),
@@ -107,8 +112,9 @@
 	p.overrides.SetRemote(map[string]bool{override.ZoneKey("a"): true, override.ZoneKey("b"): true})
 	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "b").Phase == balancer.ZoneDrained })
 	if z := zoneStatus(t, p, "a"); z.Phase != balancer.ZoneHealthy || z.Reason == "" {
-		t.Errorf("the first by name: %+v", z)
+		t.Errorf("the first zone by name: got %+v, want it healthy with a reason", z)
 	}
 	d.responses <- listJSON(2, false, strings.Replace(endpointJSON("c/1", b.Addr, discovery.StatusServing), `"zone":"a"`, `"zone":"c"`, 1))
-	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneDrained }) // there is another now
+	// With zone c serving, zone a is drained too.
+	proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneDrained })
 }
