--- a/internal/proxy/audit/audit.go
+++ b/internal/proxy/audit/audit.go
@@ -38,8 +38,8 @@
 	BackendConnNoResponse Event = "closes.server.no_answer" // its request has no complete response
 	BackendConnIdle       Event = "closes.server.idle"      // idle for too long, or closed by the backend
 	// BackendConnNoRoom counts idle connections that were closed to make room for others.
-	BackendConnNoRoom Event = "closes.server.room"
-	BackendConnList   Event = "closes.server.list" // the list or an override has changed the backend
+	BackendConnNoRoom  Event = "closes.server.room"
+	BackendConnChanged Event = "closes.server.list" // the list or an override has changed the backend
 )
 
 // AttemptEnded returns the event of an attempt that ended with a status.
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -16,7 +16,7 @@
 // timer is an entry in the loop's timer heap. It belongs to the balancer, or to a request whose deadline has
 // passed when it fires.
 type timer struct {
-	moment  int64    // on the loop's clock, in microseconds
+	dueAt   int64    // on the loop's clock, in microseconds
 	token   string   // passed to balancer.HandleTimer, if request is nil
 	request *request // nil for a timer of the balancer
 }
@@ -25,7 +25,7 @@
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].moment < h[j].moment }
+func (h timerHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timer)) }
 func (h *timerHeap) Pop() any {
--- a/internal/proxy/endpointlist.go
+++ b/internal/proxy/endpointlist.go
@@ -39,11 +39,11 @@
 	l.applyZoneDrains() // before the balancer learns of new servers
 	now, wall := l.clock.now(), time.Now()
 	startOf := func(e discovery.Endpoint) int64 {
-		moment := l.list.startTimes.startOf(e, now, wall)
+		started := l.list.startTimes.startOf(e, now, wall)
 		if e.Status == discovery.StatusDeleted {
 			delete(l.list.startTimes, e.Name)
 		}
-		return moment
+		return started
 	}
 	l.balancer.UpdateEndpoints(now, l, kind, l.zoneNumbers.toServers(list.Endpoints, startOf))
 	if kind != balancer.UpdateDelta {
--- a/internal/proxy/handover/state.go
+++ b/internal/proxy/handover/state.go
@@ -46,10 +46,10 @@
 	if s.Now == 0 {
 		return balancer.RetryBudgetUsage{Requests: s.RetryBudget.Requests, Retries: s.RetryBudget.Retries}
 	}
-	shift := func(moments []int64) []int64 {
-		shifted := make([]int64, len(moments))
-		for i, moment := range moments {
-			shifted[i] = moment - s.Now + now
+	shift := func(times []int64) []int64 {
+		shifted := make([]int64, len(times))
+		for i, t := range times {
+			shifted[i] = t - s.Now + now
 		}
 		return shifted
 	}
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -91,7 +91,7 @@
 	now := l.clock.now()
 	l.balancer.HandleOutcome(now, l, balancer.Outcome{RequestID: r.ID, Attempt: a.number, Status: result.Status,
 		Latency: now - a.decidedAt, RequestDone: r.ended, NotReplayable: r.Outbound.BodyConsumed})
-	l.forget(r)
+	l.removeIfDone(r)
 }
 
 // startStream responds to a request with a streamed response; it returns false if the request has already
@@ -133,7 +133,7 @@
 
 // SetTimer schedules a call of the balancer's HandleTimer with a token, after a delay in microseconds.
 func (l *eventLoop) SetTimer(delay int64, token string) {
-	heap.Push(&l.timers, timer{moment: l.clock.now() + delay, token: token})
+	heap.Push(&l.timers, timer{dueAt: l.clock.now() + delay, token: token})
 }
 
 // Watch does nothing: the discovery client watches from the start and retries by itself.
--- a/internal/proxy/invariant/invariant.go
+++ b/internal/proxy/invariant/invariant.go
@@ -180,9 +180,9 @@
 }
 
 // AttemptStarted records the start of an attempt, and returns the violations that this causes.
-func (r *Request) AttemptStarted(to Server, startedAt time.Time) (broken []Violation) {
+func (r *Request) AttemptStarted(to Server, startedAt time.Time) (violations []Violation) {
 	add := func(rule Rule, format string, args ...any) {
-		broken = append(broken, r.violation(rule, format, args...))
+		violations = append(violations, r.violation(rule, format, args...))
 	}
 	if r.responded {
 		add(SentAfterResponse, "an attempt at %s started after the response", to.Name)
@@ -194,17 +194,17 @@
 		add(TooManyAttempts, "attempt %d, with at most %d allowed, at %s",
 			len(r.attempts)+1, r.policy.MaxAttempts, to.Name)
 	}
-	for _, former := range r.attempts {
-		if !former.mayHaveExecuted || r.policy.Idempotency == Idempotent {
+	for _, earlier := range r.attempts {
+		if !earlier.mayHaveExecuted || r.policy.Idempotency == Idempotent {
 			continue
 		}
-		switch elapsed := startedAt.Sub(former.startedAt); {
+		switch elapsed := startedAt.Sub(earlier.startedAt); {
 		case r.policy.Idempotency == NonIdempotent:
 			add(RetriedNonIdempotent, "retried at %s after an attempt at %s that may have been executed",
-				to.Name, former.server.Name)
-		case !r.policy.DedupScope.includes(former.server, to):
+				to.Name, earlier.server.Name)
+		case !r.policy.DedupScope.includes(earlier.server, to):
 			add(RetriedOutsideScope, "retried at %s, outside the deduplication scope of an attempt at %s",
-				to.Name, former.server.Name)
+				to.Name, earlier.server.Name)
 		case elapsed > r.policy.DedupWindow+SocketSlack:
 			add(RetriedAfterWindow,
 				"retried at %s %v after an attempt that may have executed; the deduplication window is %v",
@@ -212,7 +212,7 @@
 		}
 	}
 	r.attempts = append(r.attempts, attempt{server: to, startedAt: startedAt, inFlight: true, mayHaveExecuted: true})
-	return broken
+	return violations
 }
 
 // AttemptEnded records the end of an attempt, numbered from 0, and whether it may have been executed.
@@ -224,20 +224,23 @@
 
 // Responded records a final response, and returns the violations that this causes. A rejection tells the
 // client that it may safely retry the request.
-func (r *Request) Responded(moment time.Time, rejected bool) (broken []Violation) {
+func (r *Request) Responded(respondedAt time.Time, rejected bool) (violations []Violation) {
 	if r.responded {
 		return []Violation{r.violation(RespondedTwice, "a second final response was sent")}
 	}
 	r.responded = true
-	harmless := r.policy.Idempotency == Idempotent || r.policy.Idempotency == IdempotentWithKey && r.policy.DedupScope == DedupScopeAll
-	if rejected && !harmless && slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveExecuted }) {
-		broken = append(broken,
+	retrySafe := r.policy.Idempotency == Idempotent ||
+		r.policy.Idempotency == IdempotentWithKey && r.policy.DedupScope == DedupScopeAll
+	if rejected && !retrySafe &&
+		slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveExecuted }) {
+		violations = append(violations,
 			r.violation(RejectedAfterExecution, "rejected although an attempt may have been executed"))
 	}
-	if delay := moment.Sub(r.deadline); !r.deadline.IsZero() && delay > MaxResponseDelay {
-		broken = append(broken, r.violation(RespondedLate, "responded %v after the client's deadline", delay))
+	if delay := respondedAt.Sub(r.deadline); !r.deadline.IsZero() && delay > MaxResponseDelay {
+		violations = append(violations,
+			r.violation(RespondedLate, "responded %v after the client's deadline", delay))
 	}
-	return broken
+	return violations
 }
 
 // ClientGone records that the client has disconnected and expects no response.
@@ -254,16 +257,16 @@
 }
 
 // Check returns the violations that sending the first byte causes.
-func (b FirstByte) Check() (broken []Violation) {
+func (b FirstByte) Check() (violations []Violation) {
 	if delay := b.SentAt.Sub(b.Deadline); delay > MaxSchedulingDelay {
-		broken = append(broken, Violation{SentAfterDeadline, b.Request,
+		violations = append(violations, Violation{SentAfterDeadline, b.Request,
 			fmt.Sprintf("sent to %s %v after the attempt's deadline", b.Server, delay)})
 	}
 	if delay := b.SentAt.Sub(b.UnavailableSince); !b.UnavailableSince.IsZero() && delay > b.Grace+SocketSlack {
-		broken = append(broken, Violation{SentToDraining, b.Request,
+		violations = append(violations, Violation{SentToDraining, b.Request,
 			fmt.Sprintf("sent to %s %v after it stopped accepting new requests", b.Server, delay)})
 	}
-	return broken
+	return violations
 }
 
 // ConnClosed returns the violation for a client connection that the proxy closed although it had accepted a
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -116,7 +116,7 @@
 		l.handleOverrides(set)
 	case event := <-l.events:
 		event()
-	case <-timers.alarm.C:
+	case <-timers.dueTimer.C:
 	case now := <-timers.sweep.C:
 		l.pool.SweepIdle(now)
 		l.list.status.checkStale(now)
@@ -133,7 +133,7 @@
 	l.reportUnsent()
 	l.fireTimers()
 	if len(l.timers) > 0 {
-		timers.alarm.Reset(time.Until(l.clock.time(l.timers[0].moment)))
+		timers.dueTimer.Reset(time.Until(l.clock.time(l.timers[0].dueAt)))
 	}
 	return true
 }
@@ -155,7 +155,7 @@
 
 // loopTimers holds the timer and tickers that the loop waits for, besides events.
 type loopTimers struct {
-	alarm    *time.Timer      // fires when the first entry of eventLoop.timers is due
+	dueTimer *time.Timer      // fires when the first entry of eventLoop.timers is due
 	sweep    *time.Ticker     // sweeps idle connections, checks the age of the list
 	sample   <-chan time.Time // samples the balancer for the metrics; nil without a management address
 	exchange <-chan time.Time // exchanges reports with the cluster; nil without a cluster
@@ -164,25 +164,25 @@
 
 // startTimers starts the timer and the tickers that the configuration calls for.
 func (l *eventLoop) startTimers() *loopTimers {
-	t := &loopTimers{alarm: time.NewTimer(0), sweep: time.NewTicker(idleSweepInterval)}
+	t := &loopTimers{dueTimer: time.NewTimer(0), sweep: time.NewTicker(idleSweepInterval)}
 	if l.managed {
-		t.sample = t.tick(sampleInterval)
+		t.sample = t.startTicker(sampleInterval)
 	}
 	if l.cluster != nil {
-		t.exchange = t.tick(reportExchangeInterval)
+		t.exchange = t.startTicker(reportExchangeInterval)
 	}
 	return t
 }
 
-// tick starts a ticker, to be stopped by stop, and returns its channel.
-func (t *loopTimers) tick(interval time.Duration) <-chan time.Time {
+// startTicker starts a ticker, to be stopped by stop, and returns its channel.
+func (t *loopTimers) startTicker(interval time.Duration) <-chan time.Time {
 	ticker := time.NewTicker(interval)
 	t.tickers = append(t.tickers, ticker)
 	return ticker.C
 }
 
 func (t *loopTimers) stop() {
-	t.alarm.Stop()
+	t.dueTimer.Stop()
 	t.sweep.Stop()
 	for _, ticker := range t.tickers {
 		ticker.Stop()
@@ -210,7 +210,7 @@
 
 // fireTimers runs the timers that are due.
 func (l *eventLoop) fireTimers() {
-	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].moment <= now; {
+	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].dueAt <= now; {
 		t := heap.Pop(&l.timers).(timer)
 		if t.request == nil {
 			l.balancer.HandleTimer(now, l, t.token)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -52,7 +52,7 @@
 	otherProcesses atomic.Int32                    // processes of this proxy that run besides this one
 
 	// drainTimes returns for how long a draining process keeps accepting, and within what time it must end.
-	drainTimes func([]balancer.Class) (stay, left time.Duration)
+	drainTimes func([]balancer.Class) (acceptFor, endWithin time.Duration)
 	// syncTimeout limits the wait for discovery to confirm the list before this process is ready; 0: no wait.
 	syncTimeout time.Duration
 }
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	p := assemble(cfg, engine, predecessor, listener)
-	p.inherit()
+	p.inheritState()
 	p.applyInitialList()
 	if err := p.openOverrides(); err != nil {
 		listener.Close()
@@ -245,30 +245,30 @@
 // when all of the proxy's goroutines have ended, with an error if the listener failed.
 func (p *Proxy) Run(ctx context.Context) error {
 	afterDrain, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	defer stop()
-	parts.Go(func() { p.loop.run(afterDrain) })
+	goroutines.Go(func() { p.loop.run(afterDrain) })
 	if p.overrides != nil {
-		parts.Go(func() { p.overrides.Run(afterDrain) })
+		goroutines.Go(func() { p.overrides.Run(afterDrain) })
 	}
-	parts.Go(func() { p.listClient.Run(afterDrain) })
+	goroutines.Go(func() { p.listClient.Run(afterDrain) })
 	if p.cluster != nil {
 		// The proxy leaves the cluster when the drain begins, to free the address for a successor.
-		present, leave := context.WithCancel(ctx)
+		memberCtx, leave := context.WithCancel(ctx)
 		defer leave()
-		parts.Go(func() { p.cluster.Run(present) })
+		goroutines.Go(func() { p.cluster.Run(memberCtx) })
 	}
 	if p.predecessor != nil {
-		parts.Go(func() { p.predecessor.AwaitExit(); p.addOtherProcesses(-1) })
+		goroutines.Go(func() { p.predecessor.AwaitExit(); p.addOtherProcesses(-1) })
 		defer p.predecessor.Close()
 	}
 	if p.syncTimeout > 0 {
 		p.frontend.SetAwaitingSync(true)
-		parts.Go(func() { p.awaitSync(afterDrain) })
+		goroutines.Go(func() { p.awaitSync(afterDrain) })
 	}
 	served := make(chan error, 1)
-	parts.Go(func() { served <- p.serve(ctx) })
+	goroutines.Go(func() { served <- p.serve(ctx) })
 	defer p.closeHandover()
 	select {
 	case err := <-served:
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -100,7 +100,7 @@
 	if l.drainDeadline > 0 {
 		r.Deadline = min(r.Deadline, l.drainDeadline)
 	}
-	heap.Push(&l.timers, timer{moment: r.Deadline + expiryGrace.Microseconds(), request: r})
+	heap.Push(&l.timers, timer{dueAt: r.Deadline + expiryGrace.Microseconds(), request: r})
 }
 
 // handleBodyEndSeen records when the last byte of a body arrived that is still being forwarded. The client's
@@ -144,19 +144,19 @@
 	r.ended = true
 	l.auditResponse(r, resp)
 	r.Respond(resp)
-	l.forget(r)
+	l.removeIfDone(r)
 }
 
-// forget removes a request from the table if it has ended and has no attempt in flight.
-func (l *eventLoop) forget(r *request) {
+// removeIfDone removes a request from the table if it has ended and has no attempt in flight.
+func (l *eventLoop) removeIfDone(r *request) {
 	if r.ended && r.currentAttempt == nil {
 		delete(l.requests, r.ID)
 		r.Outbound.Body, r.Outbound.Header = nil, nil // a timer may keep the rest for seconds
 	}
 }
 
-// withdraw ends a request with a response, without a decision of the balancer, and cancels its attempt.
-func (l *eventLoop) withdraw(r *request, resp downstream.Response) {
+// abort ends a request with a response, without a decision of the balancer, and cancels its attempt.
+func (l *eventLoop) abort(r *request, resp downstream.Response) {
 	if r.ended {
 		return
 	}
@@ -167,7 +167,7 @@
 
 // handleClientGone ends a request whose client has disconnected, even while its response is being streamed.
 func (l *eventLoop) handleClientGone(r *request) {
-	l.withdraw(r, downstream.Response{})
+	l.abort(r, downstream.Response{})
 	r.cancelAttempt()
 }
 
@@ -180,7 +180,7 @@
 
 // expire responds with a 504 to a request that the balancer has not ended by its deadline.
 func (l *eventLoop) expire(r *request) {
-	l.withdraw(r, downstream.Response{Status: http.StatusGatewayTimeout})
+	l.abort(r, downstream.Response{Status: http.StatusGatewayTimeout})
 }
 
 // shortenDeadlines makes all requests end by cutoff, a time on the loop's clock, since a process may be
@@ -188,6 +188,6 @@
 func (l *eventLoop) shortenDeadlines(cutoff int64) {
 	l.drainDeadline = cutoff
 	for _, r := range l.requests {
-		heap.Push(&l.timers, timer{moment: cutoff, request: r})
+		heap.Push(&l.timers, timer{dueAt: cutoff, request: r})
 	}
 }
--- a/internal/proxy/starttimes.go
+++ b/internal/proxy/starttimes.go
@@ -13,8 +13,8 @@
 
 // startTime is when one server last started.
 type startTime struct {
-	unixMs int64 // as listed, in Unix milliseconds
-	moment int64 // on the loop's clock, in microseconds
+	unixMs    int64 // as listed, in Unix milliseconds
+	startedAt int64 // on the loop's clock, in microseconds
 }
 
 // startOf returns when an endpoint's server started, on the loop's clock in microseconds; 0 means long ago.
@@ -30,7 +30,7 @@
 		known = startTime{e.StartedAtMs, now - age}
 		s[e.Name] = known
 	}
-	return known.moment
+	return known.startedAt
 }
 
 // retainListed removes the servers that a complete list does not name.
--- a/internal/proxy/succession.go
+++ b/internal/proxy/succession.go
@@ -16,8 +16,8 @@
 // errNoDescriptor reports a client listener that cannot be passed to a successor.
 var errNoDescriptor = errors.New("the listener for clients has no file descriptor to share with a successor")
 
-// inherit imports the predecessor's state, if there is one, and shares the limits with it from now on.
-func (p *Proxy) inherit() {
+// inheritState imports the predecessor's state, if there is one, and shares the limits with it from now on.
+func (p *Proxy) inheritState() {
 	if p.predecessor == nil {
 		return
 	}
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -152,7 +152,8 @@
 		}
 		var err error
 		if c, err = a.dial(); err != nil {
-			if a.ctx.Err() != nil || a.pastSendWindow() || isLocalShortage(err) || errors.Is(err, errGenerationChanged) {
+			if a.ctx.Err() != nil || a.pastSendWindow() || isLocalResourceError(err) ||
+				errors.Is(err, errGenerationChanged) {
 				return Result{Status: balancer.StatusNotSent} // not the backend's fault
 			}
 			return Result{Status: balancer.StatusConnectFailed}
@@ -207,24 +208,25 @@
 	return a.pool.dial(ctx, a.backend, a.address, a.generation)
 }
 
-// localShortages are the errors of a dial that fails for lack of a resource on this machine: connections,
-// ports, memory or file descriptors.
-var localShortages = []error{errConnLimit, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE,
-	syscall.EAGAIN}
+// localResourceErrors are the errors of a dial that fails for lack of a resource on this machine:
+// connections, ports, memory or file descriptors.
+var localResourceErrors = []error{errConnLimit, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM,
+	syscall.EMFILE, syscall.ENFILE, syscall.EAGAIN}
 
-// isLocalShortage reports whether a dial failed for lack of a local resource, which is not the backend's
+// isLocalResourceError reports whether a dial failed for lack of a local resource, which is not the backend's
 // fault.
-func isLocalShortage(err error) bool {
-	return slices.ContainsFunc(localShortages, func(s error) bool { return errors.Is(err, s) })
+func isLocalResourceError(err error) bool {
+	return slices.ContainsFunc(localResourceErrors, func(s error) bool { return errors.Is(err, s) })
 }
 
-// checkFirstByte checks the rules for an attempt whose first byte is sent at moment, and reports those that
+// checkFirstByte checks the rules for an attempt whose first byte is sent at sentAt, and reports those that
 // it breaks.
-func (a *Attempt) checkFirstByte(moment time.Time) {
+func (a *Attempt) checkFirstByte(sentAt time.Time) {
 	if a.pool.audit == nil {
 		return
 	}
-	first := invariant.FirstByte{Request: a.request.ID, Server: a.server.Name, SentAt: moment, Deadline: a.deadline}
+	first := invariant.FirstByte{Request: a.request.ID, Server: a.server.Name, SentAt: sentAt,
+		Deadline: a.deadline}
 	first.UnavailableSince, first.Grace = a.pool.unavailableSince(a.backend)
 	a.pool.audit.RecordViolations(first.Check()...)
 }
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -36,10 +36,10 @@
 	idleFor         time.Duration // how long it was idle before the current request; 0 for its first
 }
 
-// notingReader reads from a connection and sets responseStarted when data arrives.
-type notingReader struct{ c *conn }
+// responseStartReader reads from a connection and sets responseStarted when data arrives.
+type responseStartReader struct{ c *conn }
 
-func (r notingReader) Read(p []byte) (int, error) {
+func (r responseStartReader) Read(p []byte) (int, error) {
 	n, err := r.c.Conn.Read(p)
 	r.c.responseStarted = r.c.responseStarted || n > 0
 	return n, err
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -181,7 +181,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.suspended = names
-	p.refilterLocked()
+	p.updateAvailabilityLocked()
 }
 
 // SetDrainedZones makes these zones, and no others, drained: their backends get no new requests, and the idle
@@ -190,11 +190,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drainedZones = zones
-	p.refilterLocked()
+	p.updateAvailabilityLocked()
 }
 
-// refilterLocked updates the availability of all backends after a change of the operators' overrides.
-func (p *Pool) refilterLocked() {
+// updateAvailabilityLocked updates the availability of all backends after a change of the operators'
+// overrides.
+func (p *Pool) updateAvailabilityLocked() {
 	for _, b := range p.byName {
 		if available := p.isAvailableLocked(b); available != b.available {
 			b.available = available
@@ -218,7 +219,7 @@
 		(*cancel)()
 	}
 	for _, c := range b.idleConns {
-		p.audit.Count(audit.BackendConnList)
+		p.audit.Count(audit.BackendConnChanged)
 		p.closeLocked(c)
 	}
 	b.idleConns = nil
--- a/internal/proxy/upstream/readahead.go
+++ b/internal/proxy/upstream/readahead.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const readAheadPiece = 8 << 10 // most bytes of one read from the source
+const maxReadAheadChunk = 8 << 10 // most bytes of one read from the source
 
 // readAhead reads a source ahead of its reader, up to a capacity. This allows a wait with a timeout for a
 // response without a length: interrupting a read of a chunked body would make the rest of it unreadable.
@@ -38,12 +38,12 @@
 
 // fill reads the source until it ends or the readAhead is closed. It pauses while the buffer is full.
 func (r *readAhead) fill(source io.Reader) {
-	piece := make([]byte, min(r.capacity, readAheadPiece))
+	chunk := make([]byte, min(r.capacity, maxReadAheadChunk))
 	for {
-		n, err := source.Read(piece)
+		n, err := source.Read(chunk)
 		r.mu.Lock()
 		r.readStarted = time.Time{}
-		r.buffered = append(r.buffered, piece[:n]...)
+		r.buffered = append(r.buffered, chunk[:n]...)
 		r.received += int64(n)
 		r.sourceErr = err
 		r.cond.Broadcast()
--- a/internal/proxy/upstream/receive.go
+++ b/internal/proxy/upstream/receive.go
@@ -12,16 +12,16 @@
 	"merlinpick/balancer"
 )
 
-// incoming is a response whose header has been read.
-type incoming struct {
+// incomingResponse is a response whose header has been read.
+type incomingResponse struct {
 	*http.Response
 	conn *conn
 }
 
-func (r incoming) contentType() string { return r.Header.Get("Content-Type") }
+func (r incomingResponse) contentType() string { return r.Header.Get("Content-Type") }
 
 // reusable reports whether the connection can be reused. The response must have been read completely.
-func (r incoming) reusable() bool {
+func (r incomingResponse) reusable() bool {
 	return !r.Close && r.conn.responseReader.Buffered() == 0 && r.conn.reader.Buffered() == 0
 }
 
@@ -34,7 +34,7 @@
 		return result, false, fmt.Errorf("read response: %w", err)
 	}
 	defer head.Body.Close()
-	resp := incoming{head, c}
+	resp := incomingResponse{head, c}
 	switch length := resp.ContentLength; {
 	case resp.StatusCode != http.StatusOK:
 		return a.readErrorResponse(resp)
@@ -54,7 +54,7 @@
 }
 
 // readWithoutLength reads a response that is chunked or ends when the backend closes the connection.
-func (a *Attempt) readWithoutLength(resp incoming) (Result, bool, error) {
+func (a *Attempt) readWithoutLength(resp incomingResponse) (Result, bool, error) {
 	ahead := newReadAhead(stallTimeoutReader{resp.Body, resp.conn, a.ctx}, int(a.pool.maxBuffered.Load()))
 	defer ahead.close()
 	ctx, cancel := context.WithDeadline(a.ctx, a.deadline)
@@ -100,7 +100,7 @@
 // readErrorResponse reads a response other than 200. Only its status matters, so it waits for the body no
 // longer than ResponseBufferWait, to leave time for a retry. If the backend declares that it executed
 // nothing, it waits until the deadline.
-func (a *Attempt) readErrorResponse(resp incoming) (Result, bool, error) {
+func (a *Attempt) readErrorResponse(resp incomingResponse) (Result, bool, error) {
 	notStarted := resp.Header.Get("Not-Started") == "1" &&
 		(resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout)
 	if limit := time.Now().Add(ResponseBufferWait); !notStarted && limit.Before(a.deadline) {
@@ -127,7 +127,7 @@
 // - ResponseBufferWait after the client's deadline it aborts a response of known length up to
 // MaxBufferedResponse; from then on it also aborts a response without a length that has sent no more than
 // that and has stalled for ResponseBufferWait. Longer responses are limited only by StallTimeout.
-func (a *Attempt) streamResponse(resp incoming, source io.Reader) (Result, bool, error) {
+func (a *Attempt) streamResponse(resp incomingResponse, source io.Reader) (Result, bool, error) {
 	length := resp.ContentLength
 	s := &Stream{ContentLength: length, ContentType: resp.contentType(), source: source, done: make(chan error, 1), cancelAttempt: a.cancel}
 	if !a.startStream(s) {
--- a/internal/proxy/upstream/reuse.go
+++ b/internal/proxy/upstream/reuse.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	readerBytes   = 4 << 10 // buffer size of a connection's reader
-	headPeekBytes = 1 << 10 // buffer size of a response's reader, which awaitBodyStart fills
+	connReaderBytes     = 4 << 10 // buffer size of a connection's reader
+	responseReaderBytes = 1 << 10 // buffer size of a response's reader, which awaitBodyStart fills
 )
 
 // This file opens connections, keeps them for reuse, and closes them.
@@ -90,7 +90,7 @@
 	case b.generation != generation:
 		p.mu.Unlock()
 		return nil, fmt.Errorf("dial %s: %w", b.name, errGenerationChanged)
-	case !p.reserveLocked():
+	case !p.reserveConnLocked():
 		p.mu.Unlock()
 		return nil, errConnLimit
 	}
@@ -115,14 +115,14 @@
 		return nil, fmt.Errorf("dial %s: %w", b.name, err)
 	}
 	c := &conn{Conn: nc, backend: b, generation: generation}
-	c.reader = bufio.NewReaderSize(notingReader{c}, readerBytes)
-	c.responseReader = bufio.NewReaderSize(nil, headPeekBytes)
+	c.reader = bufio.NewReaderSize(responseStartReader{c}, connReaderBytes)
+	c.responseReader = bufio.NewReaderSize(nil, responseReaderBytes)
 	return c, nil
 }
 
-// reserveLocked counts a new connection. At the limit it closes the one that has been idle longest; it
+// reserveConnLocked counts a new connection. At the limit it closes the one that has been idle longest; it
 // returns false if none is idle.
-func (p *Pool) reserveLocked() bool {
+func (p *Pool) reserveConnLocked() bool {
 	if p.openConns >= p.maxOpen && !p.closeOldestIdleLocked() {
 		return false
 	}
