--- a/internal/proxy/bodyend_test.go
+++ b/internal/proxy/bodyend_test.go
@@ -17,9 +17,9 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// stuckBackend starts a listener that reads nothing from its connections: the proxy's writes fill small
+// startStuckBackend starts a listener that reads nothing from its connections: the proxy's writes fill small
 // buffers and then block. It returns the listener's address.
-func stuckBackend(t *testing.T) string {
+func startStuckBackend(t *testing.T) string {
 	t.Helper()
 	var lc net.ListenConfig
 	lc.Control = func(_, _ string, c syscall.RawConn) error {
@@ -33,8 +33,8 @@
 	return l.Addr().String()
 }
 
-// narrow sets small write buffers on the proxy's connections to backends.
-func narrow(p *running) {
+// limitWriteBuffers sets small write buffers on the proxy's connections to backends.
+func limitWriteBuffers(p *runningProxy) {
 	p.loop.pool.WrapDial(func(dial upstream.DialFunc) upstream.DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(ctx, network, addr)
@@ -58,8 +58,9 @@
 		{"in chunks", timeout + "Transfer-Encoding: chunked", "\r\n0\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", stuckBackend(t), discovery.StatusServing)))
-			narrow(p)
+			p := startProxy(t, startDiscovery(t).addr, 200,
+				listJSON(1, true, endpointJSON("a", startStuckBackend(t), discovery.StatusServing)))
+			limitWriteBuffers(p)
 			cl := connect(t, p)
 			cl.Send(t, proxytest.PostRequest("1", c.head))
 			if c.tail != "" {
@@ -81,9 +82,9 @@
 // later.
 func TestSlowDialForUploadForwardsRemainingTimeout(t *testing.T) {
 	const size, wait, late = downstream.MaxBufferedBody + 32<<10, 4 * time.Second, time.Second
-	told := make(chan string, 1)
+	forwarded := make(chan string, 1)
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
-		told <- r.Header.Get("Request-Timeout-Ms")
+		forwarded <- r.Header.Get("Request-Timeout-Ms")
 		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
 	})
@@ -105,7 +106,7 @@
 	}
 	const slack = 150
 	var ms int64
-	if _, err := fmt.Sscan(<-told, &ms); err != nil || ms > (wait-late).Milliseconds()+slack {
+	if _, err := fmt.Sscan(<-forwarded, &ms); err != nil || ms > (wait-late).Milliseconds()+slack {
 		t.Errorf("forwarded a timeout of %d ms, but at most %v remain", ms, wait-late)
 	}
 }
--- a/internal/proxy/clientgone_test.go
+++ b/internal/proxy/clientgone_test.go
@@ -22,11 +22,11 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// departures are the ways in which a client disconnects, each with the data that it has sent after its
+// disconnects are the ways in which a client disconnects, each with the data that it has sent after its
 // request.
-var departures = []struct {
-	name, behind string
-	leave        func(*proxytest.Client)
+var disconnects = []struct {
+	name, pipelined string
+	disconnect      func(*proxytest.Client)
 }{
 	{"closes", "", (*proxytest.Client).Fin},
 	{"resets", "", (*proxytest.Client).Reset},
@@ -39,7 +39,7 @@
 
 // blockLoop makes the loop block, after the events that are in its queue now, until goOn is called. blocked
 // is closed when the loop blocks.
-func blockLoop(t *testing.T, p *running) (blocked chan struct{}, goOn func()) {
+func blockLoop(t *testing.T, p *runningProxy) (blocked chan struct{}, goOn func()) {
 	t.Helper()
 	blocked, again := make(chan struct{}), make(chan struct{})
 	p.loop.post(func() { close(blocked); <-again })
@@ -50,7 +50,7 @@
 
 // checkNothingLeft checks that no request, attempt, connection in use or reserved memory is left of a client
 // that has disconnected.
-func checkNothingLeft(t *testing.T, p *running) {
+func checkNothingLeft(t *testing.T, p *runningProxy) {
 	t.Helper()
 	proxytest.WaitUntil(t, func() bool {
 		reqs := make(chan int, 1)
@@ -64,7 +64,7 @@
 
 // checkNothingSent checks that the backend has received only the first before requests, and that it serves
 // the next request on the same connection.
-func checkNothingSent(t *testing.T, p *running, b *proxytest.Backend, before int32) {
+func checkNothingSent(t *testing.T, p *runningProxy, b *proxytest.Backend, before int32) {
 	t.Helper()
 	p.loop.pool.SetReuseDelay(0) // the next request reuses a connection that was just used
 	checkNothingLeft(t, p)
@@ -78,10 +78,10 @@
 	}
 }
 
-// leaves makes a client disconnect at the worst time: the event that cause posts is already in the loop's
-// queue, and an attempt that results from this event may end before the loop learns that the client has
-// disconnected.
-func leaves(t *testing.T, p *running, cause, depart func()) {
+// disconnectAfterEvent makes a client disconnect at the worst time: the event that cause posts is already in
+// the loop's queue, and an attempt that results from this event may end before the loop learns that the
+// client has disconnected.
+func disconnectAfterEvent(t *testing.T, p *runningProxy, cause, depart func()) {
 	t.Helper()
 	p.loop.pool.SetReuseDelay(0) // an attempt may reuse a connection that was just used
 	blocked, goOn := blockLoop(t, p)
@@ -97,7 +97,7 @@
 }
 
 // checkAttemptsEnd waits until no attempt is running.
-func checkAttemptsEnd(t *testing.T, p *running) {
+func checkAttemptsEnd(t *testing.T, p *runningProxy) {
 	t.Helper()
 	ended := make(chan struct{})
 	go func() { p.loop.attempts.goroutines.Wait(); close(ended) }()
@@ -107,9 +107,9 @@
 // TestNoAttemptForClientGoneInEventQueue checks that nothing is sent for a client that disconnects while its
 // request is in the loop's queue.
 func TestNoAttemptForClientGoneInEventQueue(t *testing.T) {
-	for _, d := range departures {
+	for _, d := range disconnects {
 		for _, draining := range []bool{false, true} {
-			if draining && d.behind != proxytest.LookRequest("next", 4000) {
+			if draining && d.pipelined != proxytest.LookRequest("next", 4000) {
 				continue // each draining case takes as long as a drain
 			}
 			t.Run(fmt.Sprintf("%s, draining %v", d.name, draining), func(t *testing.T) {
@@ -117,11 +117,15 @@
 				p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
 				cl := connect(t, p)
 				if draining {
-					p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { return 4 * time.Second, 5 * time.Second }
+					p.drainTimes = func([]balancer.Class) (acceptFor, endWithin time.Duration) {
+						return 4 * time.Second, 5 * time.Second
+					}
 					p.stop()
 					proxytest.WaitUntil(t, p.frontend.IsDraining)
 				}
-				leaves(t, p, func() { cl.Send(t, proxytest.LookRequest("1", 4000)+d.behind) }, func() { d.leave(cl) })
+				disconnectAfterEvent(t, p,
+					func() { cl.Send(t, proxytest.LookRequest("1", 4000)+d.pipelined) },
+					func() { d.disconnect(cl) })
 				checkNothingSent(t, p, b, 0)
 			})
 		}
@@ -131,7 +135,7 @@
 // TestNoRetryForGoneClient checks that no retry is sent if the client disconnects while the failure of the
 // first attempt is in the loop's queue.
 func TestNoRetryForGoneClient(t *testing.T) {
-	for _, d := range departures {
+	for _, d := range disconnects {
 		t.Run(d.name, func(t *testing.T) {
 			fail := make(chan struct{})
 			p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
@@ -142,9 +146,9 @@
 				return proxytest.RespondWith(proxytest.OKResponse, true)(w, nil, n)
 			})
 			cl := connect(t, p)
-			cl.Send(t, proxytest.LookRequest("1", 4000)+d.behind)
+			cl.Send(t, proxytest.LookRequest("1", 4000)+d.pipelined)
 			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
-			leaves(t, p, func() { close(fail) }, func() { d.leave(cl) })
+			disconnectAfterEvent(t, p, func() { close(fail) }, func() { d.disconnect(cl) })
 			checkNothingSent(t, p, b, 1)
 			spent := make(chan int, 1)
 			p.loop.post(func() { spent <- len(p.loop.balancer.ExportRetryBudget(p.loop.clock.now()).Retries) })
@@ -163,7 +167,7 @@
 		return "POST /rate/k HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nRequest-Class: rate\r\nIdempotency-Key: x\r\nContent-Length: 0\r\n\r\n"
 	}
 	text := strings.Replace(proxytest.SiteJSON, `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
-	for _, d := range departures {
+	for _, d := range disconnects {
 		t.Run(d.name, func(t *testing.T) {
 			gate := make(chan struct{})
 			b := proxytest.StartBackend(t, func(w io.Writer, _ *http.Request, n int) bool {
@@ -176,9 +180,9 @@
 			first, cl, third := connect(t, p), connect(t, p), connect(t, p)
 			first.Send(t, rate("1"))
 			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
-			cl.Send(t, rate("2")+d.behind)
+			cl.Send(t, rate("2")+d.pipelined)
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 2 })
-			leaves(t, p, func() { close(gate) }, func() { d.leave(cl) })
+			disconnectAfterEvent(t, p, func() { close(gate) }, func() { d.disconnect(cl) })
 			third.Send(t, rate("3")) // the key's queue must go on to it
 			for _, c := range []*proxytest.Client{first, third} {
 				if resp, _ := c.ReadResponse(t); resp.StatusCode != 200 {
@@ -192,7 +196,7 @@
 
 // anyPeerClosed reports whether a client's close has reached the proxy's socket, or no client connection is
 // open.
-func anyPeerClosed(p *running) bool {
+func anyPeerClosed(p *runningProxy) bool {
 	conns := p.frontend.Conns()
 	return len(conns) == 0 || slices.ContainsFunc(conns, func(c *clientconn.Conn) bool { return socket.PeerClosed(c) })
 }
@@ -202,11 +206,11 @@
 func TestNoSendAfterSlowDialForGoneClient(t *testing.T) {
 	for _, text := range []string{proxytest.LookRequest("1", 4000), proxytest.PostRequest("1", "Content-Length: 1000000") + strings.Repeat("x", downstream.MaxBufferedBody+1),
 		proxytest.PostRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
-		for _, d := range departures {
-			if strings.Contains(text, "1000000") && d.behind != "" {
+		for _, d := range disconnects {
+			if strings.Contains(text, "1000000") && d.pipelined != "" {
 				// Part of the body: more than the proxy reads while nothing is forwarded, but no more than
 				// the initial window of the socket holds, or the client's close would wait behind it.
-				d.behind = strings.Repeat("x", 50_000)
+				d.pipelined = strings.Repeat("x", 50_000)
 			}
 			t.Run(text[:5]+d.name, func(t *testing.T) {
 				p, b := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
@@ -219,11 +223,11 @@
 					}
 				})
 				cl := connect(t, p)
-				cl.Send(t, text+d.behind)
+				cl.Send(t, text+d.pipelined)
 				proxytest.Receive(t, "dial", dialing)
 				blocked, end := blockLoop(t, p)
 				proxytest.Receive(t, "block of the loop", blocked)
-				d.leave(cl)
+				d.disconnect(cl)
 				// The close may arrive with a delay.
 				proxytest.WaitUntil(t, func() bool { return anyPeerClosed(p) })
 				close(up)
@@ -238,7 +242,7 @@
 // TestNoAttemptForClientGoneBeforeRead checks that nothing is sent for a client that disconnects before its
 // connection is accepted, with its request in the kernel's buffer.
 func TestNoAttemptForClientGoneBeforeRead(t *testing.T) {
-	for _, d := range departures {
+	for _, d := range disconnects {
 		t.Run(d.name, func(t *testing.T) {
 			over := make(chan struct{})
 			p, b := startServing(t, func(w io.Writer, _ *http.Request, n int) bool {
@@ -253,8 +257,8 @@
 			busy.Send(t, proxytest.LookRequest("1", 4000))
 			proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
 			cl := connect(t, p)
-			cl.Send(t, proxytest.LookRequest("2", 4000)+d.behind)
-			d.leave(cl)
+			cl.Send(t, proxytest.LookRequest("2", 4000)+d.pipelined)
+			d.disconnect(cl)
 			close(over)
 			busy.ReadResponse(t)
 			// The request of busy may be counted for a moment longer.
@@ -276,8 +280,8 @@
 	// No attempt times out during the test.
 	long := strings.NewReplacer("4000000", "60000000", "8000000", "90000000").Replace(proxytest.SiteJSON)
 	for _, text := range []string{proxytest.LookRequest("1", 60_000), proxytest.PostRequest("1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"} {
-		for _, d := range departures {
-			if len(d.behind) > clientconn.MaxPipelinedBytes {
+		for _, d := range disconnects {
+			if len(d.pipelined) > clientconn.MaxPipelinedBytes {
 				// The disconnect is not noticed: the attempt ends by its timeout, without a retry.
 				continue
 			}
@@ -285,9 +289,9 @@
 				b := proxytest.StartBackend(t, proxytest.NeverRespond(t))
 				p := startSite(t, long, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)), t.TempDir())
 				cl := connect(t, p)
-				cl.Send(t, text+d.behind)
+				cl.Send(t, text+d.pipelined)
 				proxytest.WaitUntil(t, func() bool { return b.Requests.Load() == 1 })
-				d.leave(cl)
+				d.disconnect(cl)
 				checkNothingLeft(t, p)
 			})
 		}
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -62,7 +62,7 @@
 	}
 	for _, c := range []struct {
 		name string
-		p    *running
+		p    *runningProxy
 		text string
 	}{
 		{"health", good, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"},
--- a/internal/proxy/handover/state_test.go
+++ b/internal/proxy/handover/state_test.go
@@ -22,9 +22,9 @@
 	if got.Requests[0] != now-2e6 || got.Requests[1] != now-1e6 || got.Retries[0] != now-1e6 {
 		t.Errorf("got %+v, want times 2 s and 1 s ago", got)
 	}
-	former := State{} // from a version that does not send its clock
-	former.RetryBudget.Requests = []int64{7}
-	if got := former.RetryBudgetAt(now); got.Requests[0] != 7 {
+	old := State{} // from a version that does not send its clock
+	old.RetryBudget.Requests = []int64{7}
+	if got := old.RetryBudgetAt(now); got.Requests[0] != 7 {
 		t.Errorf("without the predecessor's clock: got %+v, want the times unchanged", got)
 	}
 }
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -29,7 +29,7 @@
 	kept.Send(t, proxytest.LookRequest("kept", 4000))
 	kept.ReadResponse(t)
 
-	var id, bad, refused atomic.Int64
+	var id, bad, rejected atomic.Int64
 	over := make(chan struct{})
 	var clients sync.WaitGroup
 	end := sync.OnceFunc(func() { close(over); clients.Wait() })
@@ -45,7 +45,7 @@
 				switch status := requestOnce(first.Addr(), proxytest.LookRequest(fmt.Sprint("n", id.Add(1)), 4000)); status {
 				case 200:
 				case 503: // rejected by the balancer, since calls are slow on a busy machine
-					refused.Add(1)
+					rejected.Add(1)
 				default:
 					bad.Add(1)
 					t.Logf("got status %d", status)
@@ -81,9 +81,9 @@
 	before := id.Load()
 	proxytest.WaitUntil(t, func() bool { return id.Load() > before+50 })
 	end()
-	if n := bad.Load(); n > 0 || refused.Load() > id.Load()/2 {
+	if n := bad.Load(); n > 0 || rejected.Load() > id.Load()/2 {
 		t.Errorf("%d of %d requests failed, want none; %d were rejected, want at most half",
-			n, id.Load(), refused.Load())
+			n, id.Load(), rejected.Load())
 	}
 	all, _, _ := second.config.connLimits(false)
 	proxytest.WaitUntil(t, func() bool { return connLimit(second) == all })
@@ -126,7 +126,7 @@
 		t.Errorf("two processes may use %d descriptors, want at most 400", all)
 	}
 	second := startProxyAt(t, d.addr, 400, known, state)
-	for _, p := range []*running{first, second} {
+	for _, p := range []*runningProxy{first, second} {
 		proxytest.WaitUntil(t, func() bool { return connLimit(p) == half })
 	}
 	second.stop()
--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -69,7 +69,8 @@
 		return true
 	})
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
-	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) { // long enough for the requests below
+	p.drainTimes = func([]balancer.Class) (acceptFor, endWithin time.Duration) {
+		// Long enough for the requests below.
 		return 2 * time.Second, 3500 * time.Millisecond
 	}
 	idle := connect(t, p)
@@ -198,7 +199,7 @@
 func TestClientsSendingUntilExitLoseNothing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	p := startProxy(t, startDiscovery(t).addr, 300, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
-	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
+	p.drainTimes = func([]balancer.Class) (acceptFor, endWithin time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
 	const clients = 16
--- a/internal/proxy/list_bench_test.go
+++ b/internal/proxy/list_bench_test.go
@@ -24,8 +24,8 @@
 	return out
 }
 
-// listLoop returns an event loop without connections, configured as in a proxy of tier 1.
-func listLoop(b testing.TB, zones int) *eventLoop {
+// newListLoop returns an event loop without connections, configured as in a proxy of tier 1.
+func newListLoop(b testing.TB, zones int) *eventLoop {
 	b.Helper()
 	site := &settings.Site{DialTimeout: time.Second, IdleClose: 5 * time.Second, Classes: []string{"read"},
 		Balancer: balancer.Settings{Tier: 1, Replicas: 1, ZoneCount: zones, MaxAttempts: 3, DrainGrace: 1_000_000, SlowStartMinCapacity: 0.3,
@@ -38,10 +38,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	figs := newMetrics(site.Classes)
+	counts := newMetrics(site.Classes)
 	pool := upstream.NewPool(upstream.Config{DialTimeout: site.DialTimeout, IdleClose: site.IdleClose, MaxOpen: 100})
 	return newEventLoop(loopConfig{balancer: bal, clock: clock{time.Now()}, pool: pool, zoneNumbers: newZoneNumbers(site.Zones),
-		metrics: figs, logger: slog.New(slog.DiscardHandler)})
+		metrics: counts, logger: slog.New(slog.DiscardHandler)})
 }
 
 // BenchmarkList measures how long the event loop takes to apply an update of the endpoint list: the complete
@@ -76,7 +76,7 @@
 			}},
 		} {
 			b.Run(fmt.Sprintf("%s/nodos=%d", what.name, n), func(b *testing.B) {
-				l := listLoop(b, 9)
+				l := newListLoop(b, 9)
 				l.handleListUpdate(discovery.Update{List: &discovery.List{Snapshot: true, Endpoints: all}})
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
@@ -96,7 +96,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				l := listLoop(b, 9)
+				l := newListLoop(b, 9)
 				l.handleListUpdate(discovery.Update{List: &discovery.List{Snapshot: true, Endpoints: endpoints(n, 9)}})
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/internal/proxy/memory_test.go
+++ b/internal/proxy/memory_test.go
@@ -99,22 +99,22 @@
 // for a single process and for one that shares with another process of the proxy.
 func TestDescriptorLimitsAddUp(t *testing.T) {
 	for sockets := 128; sockets <= 1024; sockets++ {
-		for _, watched := range []bool{false, true} {
+		for _, managed := range []bool{false, true} {
 			for _, shared := range []bool{false, true} {
-				cfg := Config{MaxDescriptors: sockets, Managed: watched}
+				cfg := Config{MaxDescriptors: sockets, Managed: managed}
 				clients, backends, over := cfg.connLimits(shared)
 				clients, backends = max(clients, minConns), max(backends, minConns)
 				have, own := sockets, reservedDescriptors
 				if shared {
 					have, own = sockets/2, reservedDescriptorsShared
 				}
-				if watched {
+				if managed {
 					own += 17 // connections to the management address, and its listener
 				}
 				if clients+backends+over+own > have || over < minRejectConns {
 					t.Errorf("limit %d, managed %v, shared %v: %d clients + %d backends + %d rejects + "+
 						"%d reserved, want at most the limit",
-						sockets, watched, shared, clients, backends, over, own)
+						sockets, managed, shared, clients, backends, over, own)
 				}
 			}
 		}
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -46,15 +46,15 @@
 	c.Send(t, "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n") // has no class and is not counted
 	c.ReadResponse(t)
 	proxytest.WaitUntil(t, func() bool { n, _ := ends(); return n == 3 })
-	goes := connect(t, p)
-	goes.Send(t, post("4"))
+	leaving := connect(t, p)
+	leaving.Send(t, post("4"))
 	proxytest.Receive(t, "the request at the backend", reached)
 	// The backend may read it before it is counted.
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().Forwarded == 4 })
 	if n, f := ends(); n != 3 || f.InFlight != 1 {
 		t.Errorf("with one request in flight: %d ended, want 3; metrics %+v", n, f)
 	}
-	goes.Close()
+	leaving.Close()
 	proxytest.WaitUntil(t, func() bool { n, _ := ends(); return n == 4 })
 	_, f := ends()
 	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded != 2 || e.Failed != 2 || f.ListedServers != 1 {
--- a/internal/proxy/misbehavingclients_test.go
+++ b/internal/proxy/misbehavingclients_test.go
@@ -16,8 +16,8 @@
 	"merlinpick/internal/settings"
 )
 
-// endless returns a reader of n bytes.
-func endless(n int64) io.Reader {
+// repeatedByte returns a reader of n bytes.
+func repeatedByte(n int64) io.Reader {
 	return io.LimitReader(readerFunc(func(p []byte) (int, error) {
 		for i := range p {
 			p[i] = 'x'
@@ -43,7 +43,8 @@
 			c := connect(t, p)
 			start := time.Now()
 			_ = c.SetDeadline(start.Add(proxytest.Timeout))
-			_, err := io.Copy(struct{ io.Writer }{c}, io.MultiReader(strings.NewReader(head), endless(60e6)))
+			_, err := io.Copy(struct{ io.Writer }{c},
+				io.MultiReader(strings.NewReader(head), repeatedByte(60e6)))
 			if err == nil {
 				var got bytes.Buffer
 				_, err = got.ReadFrom(c)
@@ -82,7 +83,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	c := connect(t, &running{Proxy: proxy})
+	c := connect(t, &runningProxy{Proxy: proxy})
 	c.Send(t, proxytest.LookRequest("1", 4000))
 	done := make(chan error, 1)
 	go func() { done <- proxy.Run(ctx) }()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -61,8 +61,8 @@
 		name, addr, status)
 }
 
-// running is a proxy whose Run has been called.
-type running struct {
+// runningProxy is a proxy whose Run has been called.
+type runningProxy struct {
 	*Proxy
 	stop context.CancelFunc // has the effect of SIGTERM
 	done chan error         // receives the result of Run
@@ -72,32 +72,36 @@
 
 // startProxy starts a proxy with a new state directory. list is the address of discovery, sockets the
 // descriptor limit, and known the initial endpoint list as JSON, or "".
-func startProxy(t *testing.T, list string, sockets int, known string) *running {
+func startProxy(t *testing.T, list string, sockets int, known string) *runningProxy {
 	t.Helper()
 	return startProxyAt(t, list, sockets, known, t.TempDir())
 }
 
 // startProxyAt starts a proxy with the given state directory.
-func startProxyAt(t *testing.T, list string, sockets int, known, state string) *running {
+func startProxyAt(t *testing.T, list string, sockets int, known, state string) *runningProxy {
 	t.Helper()
 	return startSite(t, proxytest.SiteJSON, list, sockets, known, state)
 }
 
 // startSite starts a proxy with the given settings as JSON.
-func startSite(t *testing.T, text, list string, sockets int, known, state string) *running {
+func startSite(t *testing.T, text, list string, sockets int, known, state string) *runningProxy {
 	t.Helper()
 	return startWithSyncTimeout(t, text, list, sockets, known, state, 0)
 }
 
-// startSiteWaiting starts a proxy that waits up to patience for discovery to confirm its list.
-func startSiteWaiting(t *testing.T, text, list, known string, patience time.Duration) *running {
+// startSiteWithSyncTimeout starts a proxy that waits up to syncTimeout for discovery to confirm its list.
+func startSiteWithSyncTimeout(
+	t *testing.T, text, list, known string, syncTimeout time.Duration,
+) *runningProxy {
 	t.Helper()
-	return startWithSyncTimeout(t, text, list, 200, known, t.TempDir(), patience)
+	return startWithSyncTimeout(t, text, list, 200, known, t.TempDir(), syncTimeout)
 }
 
 // startWithSyncTimeout starts a proxy with the given sync timeout. At the end of the test it stops the proxy
 // and checks that the proxy broke no rule, unless breaksRules is set.
-func startWithSyncTimeout(t *testing.T, text, list string, sockets int, known, state string, patience time.Duration) *running {
+func startWithSyncTimeout(
+	t *testing.T, text, list string, sockets int, known, state string, syncTimeout time.Duration,
+) *runningProxy {
 	t.Helper()
 	site, err := settings.Decode([]byte(text))
 	if err != nil {
@@ -114,9 +118,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.syncTimeout = patience
+	p.syncTimeout = syncTimeout
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{Proxy: p, stop: stop, done: make(chan error, 1)}
+	r := &runningProxy{Proxy: p, stop: stop, done: make(chan error, 1)}
 	ended := make(chan struct{})
 	go func() { defer close(ended); r.done <- p.Run(ctx) }()
 	t.Cleanup(func() {
@@ -132,26 +136,28 @@
 }
 
 // startServing starts a proxy with one backend.
-func startServing(t *testing.T, reply func(io.Writer, *http.Request, int) bool) (*running, *proxytest.Backend) {
+func startServing(
+	t *testing.T, reply func(io.Writer, *http.Request, int) bool,
+) (*runningProxy, *proxytest.Backend) {
 	t.Helper()
 	b := proxytest.StartBackend(t, reply)
 	return startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))), b
 }
 
 // connLimit returns the limit of client connections of a proxy.
-func connLimit(p *running) int {
+func connLimit(p *runningProxy) int {
 	conns, _ := p.frontend.Limits()
 	return conns
 }
 
 // bufferedHeads returns how many bytes of request headers and first bytes of bodies a proxy has buffered.
-func bufferedHeads(p *running) int {
+func bufferedHeads(p *runningProxy) int {
 	_, heads := p.frontend.BufferedBytes()
 	return heads
 }
 
 // connect opens a client connection to a proxy.
-func connect(t *testing.T, p *running) *proxytest.Client {
+func connect(t *testing.T, p *runningProxy) *proxytest.Client {
 	t.Helper()
 	return proxytest.Connect(t, p.Addr())
 }
--- a/internal/proxy/readiness_sync_test.go
+++ b/internal/proxy/readiness_sync_test.go
@@ -18,7 +18,9 @@
 func TestSuccessorWaitsForEndpointList(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
 	known := listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))
-	start := func(t *testing.T, handler http.HandlerFunc, patience time.Duration) (*running, chan struct{}) {
+	start := func(
+		t *testing.T, handler http.HandlerFunc, syncTimeout time.Duration,
+	) (*runningProxy, chan struct{}) {
 		t.Helper()
 		called := make(chan struct{}, 1)
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -29,7 +31,8 @@
 			handler(w, r)
 		}))
 		t.Cleanup(s.Close)
-		p := startSiteWaiting(t, asking, strings.TrimPrefix(s.URL, "http://"), known, patience)
+		p := startSiteWithSyncTimeout(t, pollingSiteJSON, strings.TrimPrefix(s.URL, "http://"), known,
+			syncTimeout)
 		proxytest.Receive(t, "a call for the list", called)
 		proxytest.WaitUntil(t, p.frontend.IsServing)
 		return p, called
--- a/internal/proxy/readiness_test.go
+++ b/internal/proxy/readiness_test.go
@@ -15,15 +15,16 @@
 	"merlinpick/internal/proxy/proxytest"
 )
 
-// asking holds settings with which the proxy polls discovery for the list, at an interval of minutes.
-var asking = strings.NewReplacer(`"membership_mode":"automatic"`, `"membership_mode":"subscribe"`,
+// pollingSiteJSON holds settings with which the proxy polls discovery for the list, at an interval of
+// minutes.
+var pollingSiteJSON = strings.NewReplacer(`"membership_mode":"automatic"`, `"membership_mode":"subscribe"`,
 	`{"contract":{`, `{"contract":{"ask_every_us":300000000,`).Replace(proxytest.SiteJSON)
 
 // TestReadinessNamesWhatIsMissing checks that a proxy that starts without a list while discovery is down
 // reports what is missing, and becomes ready soon after discovery recovers, whatever the poll interval.
 func TestReadinessNamesWhatIsMissing(t *testing.T) {
 	b := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true))
-	place, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,13 +43,13 @@
 		<-r.Context().Done()
 	}))
 	s.Listener.Close()
-	s.Listener = place
+	s.Listener = listener
 	s.Start()
 	t.Cleanup(s.Close)
-	p := startSite(t, asking, place.Addr().String(), 200, "", t.TempDir())
+	p := startSite(t, pollingSiteJSON, listener.Addr().String(), 200, "", t.TempDir())
 	proxytest.WaitUntil(t, func() bool { return p.frontend.IsServing() && calls.Load() >= 4 })
 	if missing := p.NotReadyReason(); p.Ready() || !strings.Contains(missing, "no list") ||
-		!strings.Contains(missing, place.Addr().String()) {
+		!strings.Contains(missing, listener.Addr().String()) {
 		t.Errorf("got ready %v with the reason %q, want not ready for lack of a list", p.Ready(), missing)
 	}
 	down.Store(false)
@@ -84,7 +85,7 @@
 			}))
 			t.Cleanup(s.Close)
 			known := listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing))
-			p := startSite(t, asking, strings.TrimPrefix(s.URL, "http://"), 200, known, t.TempDir())
+			p := startSite(t, pollingSiteJSON, strings.TrimPrefix(s.URL, "http://"), 200, known, t.TempDir())
 			proxytest.WaitUntil(t, p.Ready)
 			lost := 4
 			if how == "deaf" {
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -164,9 +164,9 @@
 	written := make(chan int, 1)
 	p, b := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-		n, piece := 0, make([]byte, 64<<10)
+		n, chunk := 0, make([]byte, 64<<10)
 		for n < size {
-			m, err := w.Write(piece)
+			m, err := w.Write(chunk)
 			if n += m; err != nil {
 				break
 			}
@@ -208,7 +208,7 @@
 		_, _ = io.WriteString(w, part)
 		return true
 	})
-	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
+	p.drainTimes = func([]balancer.Class) (acceptFor, endWithin time.Duration) {
 		return 50 * time.Millisecond, 100 * time.Millisecond
 	}
 	cl := connect(t, p)
--- a/internal/proxy/suspension_test.go
+++ b/internal/proxy/suspension_test.go
@@ -18,13 +18,13 @@
 	d := startDiscovery(t)
 	known := listJSON(1, true, endpointJSON("a/1", b.Addr, discovery.StatusServing))
 	first := startProxy(t, d.addr, 200, known)
-	asks := func(p *running, id string) int {
+	statusOf := func(p *runningProxy, id string) int {
 		c := connect(t, p)
 		c.Send(t, proxytest.LookRequest(id, 4000))
 		resp, _ := c.ReadResponse(t)
 		return resp.StatusCode
 	}
-	if got := asks(first, "1"); got != 200 {
+	if got := statusOf(first, "1"); got != 200 {
 		t.Fatalf("before the suspension: got %d, want 200", got)
 	}
 	for range 3 { // repeated calls succeed
@@ -32,12 +32,12 @@
 			t.Fatal(err)
 		}
 	}
-	if got := asks(first, "2"); got != 503 {
+	if got := statusOf(first, "2"); got != 503 {
 		t.Errorf("with the only server suspended: got %d, want 503", got)
 	}
 	second := startProxyAt(t, d.addr, 200, known, first.config.StateDir)
 	proxytest.WaitUntil(t, func() bool { return second.Metrics().EjectedServers == 1 })
-	if got := asks(second, "3"); got != 503 {
+	if got := statusOf(second, "3"); got != 503 {
 		t.Errorf("in the next process: got %d, want 503", got)
 	}
 	d.responses <- listJSON(2, true) // removes the server from the list: it can still be resumed
@@ -48,10 +48,10 @@
 	d.responses <- listJSON(3, false, `{"name":"a/1","address":"`+b.Addr+`","zone":"a","status":"SERVING","since_ms":5}`)
 	d.responses <- listJSON(3, false, `{"name":"a/1","address":"`+b.Addr+`","zone":"a","status":"SERVING","since_ms":5}`)
 	id := 10
-	for _, p := range []*running{first, second} {
-		proxytest.WaitUntil(t, func() bool { id++; return asks(p, strconv.Itoa(id)) == 200 })
+	for _, p := range []*runningProxy{first, second} {
+		proxytest.WaitUntil(t, func() bool { id++; return statusOf(p, strconv.Itoa(id)) == 200 })
 	}
-	for _, p := range []*running{first, second} { // whichever process was called above
+	for _, p := range []*runningProxy{first, second} { // whichever process was called above
 		proxytest.WaitUntil(t, func() bool { return p.Metrics().EjectedServers == 0 })
 	}
 }
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -87,7 +87,7 @@
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	cl := connect(t, p)
 	cl.Send(t, proxytest.PostRequest("1", fmt.Sprintf("Content-Length: %d", 20<<20)))
-	piece := strings.Repeat("x", 64<<10)
+	chunk := strings.Repeat("x", 64<<10)
 	answered := make(chan int, 1)
 	go func() {
 		resp, err := http.ReadResponse(cl.R, nil)
@@ -97,8 +97,8 @@
 		}
 		answered <- resp.StatusCode
 	}()
-	for sent := 0; sent < 16<<20; sent += len(piece) {
-		if _, err := io.WriteString(cl, piece); err != nil {
+	for sent := 0; sent < 16<<20; sent += len(chunk) {
+		if _, err := io.WriteString(cl, chunk); err != nil {
 			break // the proxy has responded and closed the connection
 		}
 	}
@@ -134,7 +134,7 @@
 // gets an error response, so that its client can retry, instead of a closed connection.
 func TestUploadIncompleteAtCutoffIsRejected(t *testing.T) {
 	p, _ := startServing(t, proxytest.RespondWith(proxytest.OKResponse, true))
-	p.drainTimes = func([]balancer.Class) (stay, left time.Duration) {
+	p.drainTimes = func([]balancer.Class) (acceptFor, endWithin time.Duration) {
 		return 100 * time.Millisecond, 600 * time.Millisecond
 	}
 	for _, size := range []int{1000, 4 * downstream.MaxBufferedBody} { // a buffered body and a streamed one
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -141,7 +141,7 @@
 // TestNothingIsSentAfterSlowDial checks that nothing is sent if the backend drains or changes, or the attempt
 // is cancelled or passes its deadline, during the dial.
 func TestNothingIsSentAfterSlowDial(t *testing.T) {
-	for name, meanwhile := range map[string]func(p *Pool, a *Attempt){
+	for name, change := range map[string]func(p *Pool, a *Attempt){
 		"drained": func(p *Pool, a *Attempt) {
 			p.UpdateEndpoints(false, []discovery.Endpoint{proxytest.Endpoint("a", a.address, discovery.StatusDraining)})
 		},
@@ -161,7 +161,7 @@
 			dial := p.dialContext
 			p.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(context.Background(), network, addr)
-				meanwhile(p, a)
+				change(p, a)
 				return c, err
 			}
 			if res := a.Run(); res.Status != balancer.StatusNotSent {
--- a/internal/proxy/upstream/cancel_test.go
+++ b/internal/proxy/upstream/cancel_test.go
@@ -42,17 +42,17 @@
 	a := &Attempt{request: &Request{Method: "GET", URI: "/", Header: http.Header{}}, deadline: time.Now().Add(proxytest.Timeout),
 		pool: pool, ctx: ctx, cancel: stop}
 	writes := make(chan struct{})
-	c := &conn{Conn: writeSeen{near, writes}, backend: &backend{}}
+	c := &conn{Conn: writeNotifyingConn{near, writes}, backend: &backend{}}
 	go func() { <-writes; stop() }()
 	if res, keep := a.exchange(c); res.Status != balancer.StatusNotSent || keep {
 		t.Errorf("got %v, reusable %v, want %v, false", res.Status, keep, balancer.StatusNotSent)
 	}
 }
 
-// writeSeen is a connection that closes seen when Write is called.
-type writeSeen struct {
+// writeNotifyingConn is a connection that closes seen when Write is called.
+type writeNotifyingConn struct {
 	net.Conn
 	seen chan struct{}
 }
 
-func (w writeSeen) Write(p []byte) (int, error) { close(w.seen); return w.Conn.Write(p) }
+func (w writeNotifyingConn) Write(p []byte) (int, error) { close(w.seen); return w.Conn.Write(p) }
--- a/internal/proxy/upstream/readahead_test.go
+++ b/internal/proxy/upstream/readahead_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// pieces is a reader that returns the data sent to the channel, one element per Read, until the channel is
-// closed.
-type pieces chan []byte
+// chunkReader is a reader that returns the data sent to the channel, one element per Read, until the channel
+// is closed.
+type chunkReader chan []byte
 
-func (s pieces) Read(p []byte) (int, error) {
-	piece, ok := <-s
+func (s chunkReader) Read(p []byte) (int, error) {
+	chunk, ok := <-s
 	if !ok {
 		return 0, io.EOF
 	}
-	return copy(p, piece), nil
+	return copy(p, chunk), nil
 }
 
 // TestUnreadSourceIsNotStalled checks that a source counts as stalled only while a read from it is pending.
@@ -25,7 +25,7 @@
 func TestUnreadSourceIsNotStalled(t *testing.T) {
 	const size = 1 << 10
 	synctest.Test(t, func(t *testing.T) {
-		source := make(pieces)
+		source := make(chunkReader)
 		p := newReadAhead(source, size)
 		source <- make([]byte, size)
 		synctest.Wait() // the buffer is full: the source is not read
--- a/internal/proxy/zoneoverrides_test.go
+++ b/internal/proxy/zoneoverrides_test.go
@@ -15,7 +15,7 @@
 )
 
 // zoneStatus returns the state of a zone as a proxy shows it.
-func zoneStatus(t *testing.T, p *running, name string) management.Zone {
+func zoneStatus(t *testing.T, p *runningProxy, name string) management.Zone {
 	t.Helper()
 	for _, z := range p.Zones() {
 		if z.Name == name {
@@ -38,7 +38,7 @@
 	text := strings.Replace(proxytest.SiteJSON, `"failure_domains":["a"]`, `"failure_domains":["a","b"]`, 1)
 	first := startSite(t, text, d.addr, 200, known, t.TempDir())
 	id := 0
-	asks := func(p *running, times int) {
+	sendRequests := func(p *runningProxy, times int) {
 		t.Helper()
 		for c := connect(t, p); times > 0; times-- {
 			id++
@@ -48,7 +48,7 @@
 			}
 		}
 	}
-	asks(first, 50)
+	sendRequests(first, 50)
 	if z := zoneStatus(t, first, "a"); a.Requests.Load() == 0 || z.Phase != balancer.ZoneHealthy || z.WeightFraction != 1 || first.Metrics().Zones != nil {
 		t.Fatalf("before the drain: %d requests at a, zone %+v, zone metrics %+v; want some requests, "+
 			"a healthy zone and no zone metrics", a.Requests.Load(), z, first.Metrics().Zones)
@@ -69,7 +69,7 @@
 	}
 	second := startSite(t, text, d.addr, 200, known, first.config.StateDir)
 	more := []string{endpointJSON("a/2", a.Addr, discovery.StatusServing), in("c", endpointJSON("c/1", b.Addr, discovery.StatusServing))}
-	for _, p := range []*running{first, second} {
+	for _, p := range []*runningProxy{first, second} {
 		proxytest.WaitUntil(t, func() bool { // either process may receive the response
 			select {
 			case d.responses <- listJSON(2, false, more...):
@@ -81,7 +81,7 @@
 			t.Errorf("after the drain: got zone %+v and metrics %+v, want it drained and 3 zones",
 				z, p.Metrics().Zones)
 		}
-		asks(p, 50)
+		sendRequests(p, 50)
 	}
 	if n := a.Requests.Load() - before; n > 0 {
 		t.Errorf("%d requests reached the drained zone, want none", n)
@@ -89,10 +89,10 @@
 	if err := second.RestoreZone("a"); err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range []*running{second, first} {
+	for _, p := range []*runningProxy{second, first} {
 		proxytest.WaitUntil(t, func() bool { return zoneStatus(t, p, "a").Phase == balancer.ZoneRecovering })
 		before = a.Requests.Load()
-		proxytest.WaitUntil(t, func() bool { asks(p, 1); return a.Requests.Load() > before })
+		proxytest.WaitUntil(t, func() bool { sendRequests(p, 1); return a.Requests.Load() > before })
 		if p.Metrics().Zones != nil {
 			t.Error("after the restore: the metrics still include zones")
 		}
