--- a/internal/proxy/lifecycle_test.go
+++ b/internal/proxy/lifecycle_test.go
@@ -147,13 +147,13 @@
 	p, _ := startServing(t, func(w io.Writer, r *http.Request, n int) bool {
 		if r.Header.Get("Request-Id") == "open" {
 			reached <- struct{}{}
-			proxytest.Receive(t, "the reload", goOn)
+			proxytest.Receive(t, "signal after the reload", goOn)
 		}
 		return proxytest.RespondWith(proxytest.OKResponse, true)(w, r, n)
 	})
 	open := connect(t, p)
 	open.Send(t, proxytest.LookRequest("open", 4000))
-	proxytest.Receive(t, "the open request", reached)
+	proxytest.Receive(t, "request before the reload", reached)
 	site, err := settings.Decode([]byte(strings.NewReplacer(`"name":"look"`, `"name":"peek"`,
 		`"repeat":"at_most_once"`, `"repeat":"idempotent"`).Replace(proxytest.SiteJSON)))
 	if err != nil {
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -48,7 +48,7 @@
 	proxytest.WaitUntil(t, func() bool { n, _ := ends(); return n == 3 })
 	leaving := connect(t, p)
 	leaving.Send(t, post("4"))
-	proxytest.Receive(t, "the request at the backend", reached)
+	proxytest.Receive(t, "request at the backend", reached)
 	// The backend may read it before it is counted.
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().Forwarded == 4 })
 	if n, f := ends(); n != 3 || f.InFlight != 1 {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -307,7 +307,7 @@
 func TestRequestsOverInFlightLimitAreRejected(t *testing.T) {
 	release := make(chan struct{})
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, n int) bool {
-		proxytest.Receive(t, "the end of the flood", release)
+		proxytest.Receive(t, "signal after the flood", release)
 		return proxytest.RespondWith(proxytest.OKResponse, true)(w, r, n)
 	})
 	d := startDiscovery(t)
--- a/internal/proxy/readiness_sync_test.go
+++ b/internal/proxy/readiness_sync_test.go
@@ -33,7 +33,7 @@
 		t.Cleanup(s.Close)
 		p := startSiteWithSyncTimeout(t, pollingSiteJSON, strings.TrimPrefix(s.URL, "http://"), known,
 			syncTimeout)
-		proxytest.Receive(t, "a call for the list", called)
+		proxytest.Receive(t, "call for the list", called)
 		proxytest.WaitUntil(t, p.frontend.IsServing)
 		return p, called
 	}
--- a/internal/proxy/responsestream_test.go
+++ b/internal/proxy/responsestream_test.go
@@ -41,7 +41,7 @@
 				write(part)
 				write(part[:1])
 				// Sends the rest only after the client has these.
-				proxytest.Receive(t, "the client's first bytes", seen)
+				proxytest.Receive(t, "first bytes at the client", seen)
 				write(part[1:])
 				write(part)
 				if c.chunked {
@@ -79,7 +79,7 @@
 	seen := make(chan struct{})
 	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n")
-		proxytest.Receive(t, "the client's first bytes", seen)
+		proxytest.Receive(t, "first bytes at the client", seen)
 		_, _ = io.WriteString(w, "2\r\ncd\r\n0\r\n\r\n")
 		return true
 	})
@@ -190,10 +190,10 @@
 	case <-time.After(100 * time.Millisecond):
 	}
 	c.Close()
-	if n := proxytest.Receive(t, "the backend's end", written); n == size {
+	if n := proxytest.Receive(t, "end of the backend's write", written); n == size {
 		t.Error("the proxy read the complete response for a client that had disconnected")
 	}
-	proxytest.Receive(t, "the close of the backend's connection", b.Closed)
+	proxytest.Receive(t, "close of the backend's connection", b.Closed)
 	proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 }
 
@@ -204,7 +204,7 @@
 	part := strings.Repeat("x", 2*upstream.MaxBufferedResponse)
 	p, _ := startServing(t, func(w io.Writer, _ *http.Request, _ int) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(part), part)
-		proxytest.Receive(t, "the cutoff", goOn)
+		proxytest.Receive(t, "signal after the cutoff", goOn)
 		_, _ = io.WriteString(w, part)
 		return true
 	})
--- a/internal/proxy/succession.go
+++ b/internal/proxy/succession.go
@@ -57,7 +57,7 @@
 	if p.config.Managed {
 		// If this fails, a successor must open its own listener, and some connections are reset.
 		if err := p.startHandover(); err != nil {
-			p.config.Logger.Error("handover not available", "error", err)
+			p.config.Logger.Error("handover to a successor not available", "error", err)
 		}
 	}
 	if !p.frontend.IsHealthy() {
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -53,7 +53,7 @@
 			}
 			send(body[:downstream.MaxBufferedBody+1])
 			// Sends the rest only after the backend has this.
-			proxytest.Receive(t, "the head at the backend", b.Begun)
+			proxytest.Receive(t, "head at the backend", b.Begun)
 			send(body[downstream.MaxBufferedBody+1 : size-1])
 			send(body[size-1:])
 			if c.chunked {
@@ -103,7 +103,7 @@
 		}
 	}
 	// The last byte was never written, so the request was not executed and may be rejected.
-	if got := proxytest.Receive(t, "the response", answered); got != 503 {
+	if got := proxytest.Receive(t, "response", answered); got != 503 {
 		t.Errorf("got status %d, want 503", got)
 	}
 	proxytest.WaitUntil(t, func() bool { f := p.Metrics(); return f.InFlight == 0 && f.Classes["post"].Rejected == 1 })
@@ -120,9 +120,9 @@
 	p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", b.Addr, discovery.StatusServing)))
 	cl := connect(t, p)
 	cl.Send(t, proxytest.PostRequest("1", "Content-Length: 1000000")+strings.Repeat("x", downstream.MaxBufferedBody+1))
-	proxytest.Receive(t, "the head at the backend", b.Begun)
+	proxytest.Receive(t, "head at the backend", b.Begun)
 	cl.Close()
-	proxytest.Receive(t, "the close of the backend's connection", b.Closed)
+	proxytest.Receive(t, "close of the backend's connection", b.Closed)
 	proxytest.WaitUntil(t, func() bool { return p.frontend.OpenConns() == 0 })
 	f := p.Metrics()
 	if e := f.Classes["post"]; f.InFlight != 0 || e.Succeeded+e.Rejected+e.Failed != 0 || f.Forwarded != 0 {
--- a/internal/proxy/upstream/attempt_test.go
+++ b/internal/proxy/upstream/attempt_test.go
@@ -168,7 +168,7 @@
 				t.Errorf("got %v, want %v", res.Status, balancer.StatusNotSent)
 			}
 			p.UpdateEndpoints(true, nil) // closes idle connections
-			proxytest.Receive(t, "close", b.Closed)
+			proxytest.Receive(t, "close of the connection", b.Closed)
 			if b.Requests.Load() != 0 || p.openConns != 0 {
 				t.Errorf("the backend got %d requests, and %d connections are open, want none",
 					b.Requests.Load(), p.openConns)
--- a/internal/proxy/upstream/generation_test.go
+++ b/internal/proxy/upstream/generation_test.go
@@ -79,7 +79,7 @@
 		t.Errorf("got %v %q with %d open connections, want %v \"ok\" with none",
 			res.Status, res.Body, p.openConns, balancer.StatusOK)
 	}
-	proxytest.Receive(t, "close", b.Closed)
+	proxytest.Receive(t, "close of the connection", b.Closed)
 }
 
 // TestConnectionInUseIsNotEvicted checks that sweeps and lower limits, which close idle connections, do not
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -25,7 +25,7 @@
 		if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK {
 			t.Fatalf("attempt %d: got %v, want %v", n, res.Status, balancer.StatusOK)
 		}
-		proxytest.Receive(t, "close", b.Closed)
+		proxytest.Receive(t, "close of the connection", b.Closed)
 		proxytest.WaitUntil(t, func() bool { // the close has reached the pool's socket
 			p.mu.Lock()
 			defer p.mu.Unlock()
--- a/internal/proxy/upstream/receive.go
+++ b/internal/proxy/upstream/receive.go
@@ -123,10 +123,10 @@
 	return Result{Status: status}, n <= MaxBufferedResponse && resp.reusable(), nil
 }
 
-// streamResponse passes the response to the client's side, and waits until that has read it. MaxStreamOverrun
-// - ResponseBufferWait after the client's deadline it aborts a response of known length up to
-// MaxBufferedResponse; from then on it also aborts a response without a length that has sent no more than
-// that and has stalled for ResponseBufferWait. Longer responses are limited only by StallTimeout.
+// streamResponse passes the response to the client's side, and waits until that has read it. The time limit
+// of a response of up to MaxBufferedResponse is the client's deadline plus MaxStreamOverrun minus
+// ResponseBufferWait: then it is aborted if its length is known. Without a known length it is aborted after
+// the limit once it has stalled for ResponseBufferWait. Longer responses are limited only by StallTimeout.
 func (a *Attempt) streamResponse(resp incomingResponse, source io.Reader) (Result, bool, error) {
 	length := resp.ContentLength
 	s := &Stream{ContentLength: length, ContentType: resp.contentType(), source: source, done: make(chan error, 1), cancelAttempt: a.cancel}
