--- a/internal/proxy/bodyend_test.go
+++ b/internal/proxy/bodyend_test.go
@@ -17,8 +17,9 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// stuckBackend accepts connections and reads nothing: the proxy's writes to it fill small buffers and then wait.
-func stuckBackend(t *testing.T) string {
+// startStuckBackend starts a listener that reads nothing from its connections: the proxy's writes fill small
+// buffers and then block. It returns the listener's address.
+func startStuckBackend(t *testing.T) string {
 	t.Helper()
 	var lc net.ListenConfig
 	lc.Control = func(_, _ string, c syscall.RawConn) error {
@@ -32,8 +33,8 @@
 	return l.Addr().String()
 }
 
-// narrow gives the connections to backends small write buffers.
-func narrow(p *running) {
+// limitWriteBuffers sets small write buffers on the proxy's connections to backends.
+func limitWriteBuffers(p *runningProxy) {
 	p.loop.pool.WrapDial(func(dial upstream.DialFunc) upstream.DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := dial(ctx, network, addr)
@@ -45,8 +46,9 @@
 	})
 }
 
-// A client's time begins with the last byte that it sent, also where the proxy has not read that byte since the backend
-// takes nothing: the response must not wait for the backend.
+// TestUploadStalledByBackendIsAnsweredInTime checks that a client's timeout starts with the last byte that it
+// sends, even if the proxy cannot read that byte because the backend reads nothing: the response must not
+// wait for the backend.
 func TestUploadStalledByBackendIsAnsweredInTime(t *testing.T) {
 	const size, left = downstream.MaxBufferedBody + 32<<10, 500 * time.Millisecond
 	body := bytes.Repeat([]byte("x"), size)
@@ -56,31 +58,33 @@
 		{"in chunks", timeout + "Transfer-Encoding: chunked", "\r\n0\r\n\r\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := startProxy(t, startDiscovery(t).addr, 200, listJSON(1, true, endpointJSON("a", stuckBackend(t), discovery.StatusServing)))
-			narrow(p)
+			p := startProxy(t, startDiscovery(t).addr, 200,
+				listJSON(1, true, endpointJSON("a", startStuckBackend(t), discovery.StatusServing)))
+			limitWriteBuffers(p)
 			cl := connect(t, p)
 			cl.Send(t, proxytest.PostRequest("1", c.head))
 			if c.tail != "" {
 				cl.Send(t, fmt.Sprintf("%x\r\n", size))
 			}
 			cl.Send(t, string(body)+c.tail)
-			sent := time.Now() // all is in the system's hands
+			sent := time.Now() // the kernel has accepted all bytes
 			resp, _ := cl.ReadResponse(t)
 			if took := time.Since(sent); took > left+upstream.MaxStreamOverrun {
-				t.Errorf("%s after %v, of %v that the client waits", resp.Status, took, left)
+				t.Errorf("got %s after %v, but the client waits only %v", resp.Status, took, left)
 			}
 			proxytest.WaitUntil(t, func() bool { return p.Metrics().InFlight == 0 })
 		})
 	}
 }
 
-// The Request-Timeout-Ms of a streamed upload counts from the last byte that the client sent, though the connection to
-// the backend came up later.
+// TestSlowDialForUploadForwardsRemainingTimeout checks that the Request-Timeout-Ms forwarded with a streamed
+// upload counts from the last byte that the client sent, even if the connection to the backend is established
+// later.
 func TestSlowDialForUploadForwardsRemainingTimeout(t *testing.T) {
 	const size, wait, late = downstream.MaxBufferedBody + 32<<10, 4 * time.Second, time.Second
-	told := make(chan string, 1)
+	forwarded := make(chan string, 1)
 	b := proxytest.StartBackend(t, func(w io.Writer, r *http.Request, _ int) bool {
-		told <- r.Header.Get("Request-Timeout-Ms")
+		forwarded <- r.Header.Get("Request-Timeout-Ms")
 		_, _ = io.WriteString(w, proxytest.OKResponse)
 		return true
 	})
@@ -102,7 +106,7 @@
 	}
 	const slack = 150
 	var ms int64
-	if _, err := fmt.Sscan(<-told, &ms); err != nil || ms > (wait-late).Milliseconds()+slack {
-		t.Errorf("told %d ms where at most %v are left", ms, wait-late)
+	if _, err := fmt.Sscan(<-forwarded, &ms); err != nil || ms > (wait-late).Milliseconds()+slack {
+		t.Errorf("forwarded a timeout of %d ms, but at most %v remain", ms, wait-late)
 	}
 }
--- a/internal/proxy/list_bench_test.go
+++ b/internal/proxy/list_bench_test.go
@@ -13,7 +13,7 @@
 	"merlinpick/internal/settings"
 )
 
-// endpoints are n endpoints, spread evenly over zones.
+// endpoints returns n endpoints, spread evenly over zones.
 func endpoints(n, zones int) []discovery.Endpoint {
 	out := make([]discovery.Endpoint, 0, n)
 	weight := 1.0
@@ -24,8 +24,8 @@
 	return out
 }
 
-// listLoop is a loop without connections, as a proxy's in a late tier.
-func listLoop(b testing.TB, zones int) *eventLoop {
+// newListLoop returns an event loop without connections, configured as in a proxy of tier 1.
+func newListLoop(b testing.TB, zones int) *eventLoop {
 	b.Helper()
 	site := &settings.Site{DialTimeout: time.Second, IdleClose: 5 * time.Second, Classes: []string{"read"},
 		Balancer: balancer.Settings{Tier: 1, Replicas: 1, ZoneCount: zones, MaxAttempts: 3, DrainGrace: 1_000_000, SlowStartMinCapacity: 0.3,
@@ -38,14 +38,15 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	figs := newMetrics(site.Classes)
+	counts := newMetrics(site.Classes)
 	pool := upstream.NewPool(upstream.Config{DialTimeout: site.DialTimeout, IdleClose: site.IdleClose, MaxOpen: 100})
 	return newEventLoop(loopConfig{balancer: bal, clock: clock{time.Now()}, pool: pool, zoneNumbers: newZoneNumbers(site.Zones),
-		metrics: figs, logger: slog.New(slog.DiscardHandler)})
+		metrics: counts, logger: slog.New(slog.DiscardHandler)})
 }
 
-// BenchmarkList is how long the event loop takes for an update of the endpoint list: the whole list without changes, one
-// changed entry, and a zone that goes and comes back. Parsing is not the loop's, and is measured beside it.
+// BenchmarkList measures how long the event loop takes to apply an update of the endpoint list: the complete
+// list without changes, one changed entry, and a zone that is removed and added back. It does not include
+// parsing, which does not happen in the loop.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{15, 150, 1300, 2600} {
 		all := endpoints(n, 9)
@@ -75,7 +76,7 @@
 			}},
 		} {
 			b.Run(fmt.Sprintf("%s/nodos=%d", what.name, n), func(b *testing.B) {
-				l := listLoop(b, 9)
+				l := newListLoop(b, 9)
 				l.handleListUpdate(discovery.Update{List: &discovery.List{Snapshot: true, Endpoints: all}})
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
@@ -86,7 +87,8 @@
 	}
 }
 
-// BenchmarkListHeld is what a proxy holds for each listed server, in bytes of the heap.
+// BenchmarkListHeld measures how many bytes of heap a proxy uses for the endpoint list, in total and per
+// server.
 func BenchmarkListHeld(b *testing.B) {
 	for _, n := range []int{15, 150, 1300, 2600} {
 		b.Run(fmt.Sprintf("nodos=%d", n), func(b *testing.B) {
@@ -94,7 +96,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				l := listLoop(b, 9)
+				l := newListLoop(b, 9)
 				l.handleListUpdate(discovery.Update{List: &discovery.List{Snapshot: true, Endpoints: endpoints(n, 9)}})
 				runtime.GC()
 				runtime.ReadMemStats(&after)
