--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,13 +1,14 @@
-// Package atomicfile writes files that survive a power loss either unchanged or replaced, and detects damaged ones. It
-// never interprets their contents, and uses the standard library only.
+// Package atomicfile replaces files atomically, so that after a power loss a file has either its old or its
+// new contents, and detects damaged files. It never interprets the contents, and uses the standard library
+// only.
 //
-// A sealed text is a header and a body:
+// A file consists of a header line and a body:
 //
 //	KIND 1 LENGTH CRC32C\n
 //	body
 //
-// Each byte is covered by the length, the checksum or the exact form of the header, so that any truncation, corruption or
-// appended text is detected.
+// Each byte is covered by the length, the checksum or the exact form of the header, so any truncation,
+// corruption or appended data is detected.
 package atomicfile
 
 import (
@@ -27,25 +28,26 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged is a text that differs from what was sealed.
+// ErrDamaged means that a file, or encoded data, differs from what was written.
 var ErrDamaged = errors.New("damaged")
 
 func header(kind string, body []byte) []byte {
-	return fmt.Appendf(nil, "%s %d %d %08x\n", kind, formatVersion, len(body), crc32.Checksum(body, castagnoli))
+	return fmt.Appendf(nil, "%s %d %d %08x\n",
+		kind, formatVersion, len(body), crc32.Checksum(body, castagnoli))
 }
 
-// Seal returns a body with its header. The kind is a word without spaces.
+// Seal returns a body preceded by its header. The kind is a word without spaces.
 func Seal(kind string, body []byte) []byte { return append(header(kind, body), body...) }
 
-// Unseal returns the body of a sealed text of a kind. A text that is damaged, of another kind or longer than maxBytes is an
-// error that wraps ErrDamaged.
+// Unseal reads what Seal returned and returns the body. Data that is damaged, of another kind or longer than
+// maxBytes is an error that wraps ErrDamaged.
 func Unseal(kind string, r io.Reader, maxBytes int64) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(r, maxBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(text)) > maxBytes {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrDamaged, maxBytes)
+		return nil, fmt.Errorf("%w: longer than %d bytes", ErrDamaged, maxBytes)
 	}
 	first, body, found := bytes.Cut(text, []byte("\n"))
 	if !found || len(first) > maxHeaderBytes || !bytes.HasPrefix(first, []byte(kind+" ")) {
@@ -55,12 +57,13 @@
 		return nil, fmt.Errorf("%w: header %q has a format that this build does not read", ErrDamaged, first)
 	}
 	if want := bytes.TrimSuffix(header(kind, body), []byte("\n")); !bytes.Equal(first, want) {
-		return nil, fmt.Errorf("%w: header %q does not match the body, whose header is %q", ErrDamaged, first, want)
+		return nil, fmt.Errorf("%w: header %q does not match the body, whose header would be %q",
+			ErrDamaged, first, want)
 	}
 	return body, nil
 }
 
-// ReadFile returns the body of a sealed file, as Unseal does.
+// ReadFile returns the body of a file that was written with a header, as Unseal does.
 func ReadFile(path, kind string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -70,13 +73,14 @@
 	return Unseal(kind, f, maxBytes)
 }
 
-// WriteFile replaces a file, or creates it, in one step that a power loss cannot split. It returns once that is durable.
+// WriteFile creates or replaces a file atomically, also if the power is lost. It returns once the new
+// contents are durable.
 func WriteFile(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), temporaryName(filepath.Base(path)))
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // fails once it is renamed
+	defer os.Remove(f.Name()) // fails after the rename, when the file has another name
 	_, err = f.Write(data)
 	if err == nil {
 		err = f.Sync()
@@ -98,10 +102,10 @@
 	return dir.Sync()
 }
 
-// temporaryName returns the pattern of the names under which WriteFile writes a file before it is renamed.
+// temporaryName returns the pattern of the names under which WriteFile writes a file before it renames it.
 func temporaryName(name string) string { return name + ".*.new" }
 
-// removeLeftovers removes the temporary files of processes that ended within WriteFile.
+// removeLeftovers removes the temporary files of processes that were killed within WriteFile.
 func removeLeftovers(path string) error {
 	leftovers, err := filepath.Glob(temporaryName(path))
 	if err != nil {
--- a/internal/atomicfile/writer.go
+++ b/internal/atomicfile/writer.go
@@ -8,26 +8,28 @@
 	"time"
 )
 
-const writeInterval = time.Second // between two writes, at least
+const writeInterval = time.Second // minimum time between two writes
 
-// Writer keeps the latest version of a text in a sealed file, from a goroutine of its own. A disk that fails or is slow is
-// logged once, the write is repeated, and the caller is not affected: only the next start reads the file.
+// Writer writes the latest version of a text to a file with a header, in a goroutine of its own. If the disk
+// fails, the failure is logged once and the write is repeated. Neither that nor a slow disk affects the
+// caller: the file is read only at the next start.
 type Writer struct {
 	dir, file, kind string
-	description     string // of the text, in log lines
+	description     string // describes the text in log lines
 	log             *slog.Logger
-	pending         chan func() []byte // the latest only
+	pending         chan func() []byte // holds only the latest text
 	failing         bool               // the last write failed
 }
 
-// NewWriter returns a writer of a file in a directory. The kind is that of Seal; the description names the text in the
-// log. Run has it write.
+// NewWriter returns a writer of a file in a directory. kind is the kind in the header; description describes
+// the text in log lines. Nothing is written until Run is called.
 func NewWriter(dir, file, kind, description string, logger *slog.Logger) *Writer {
-	return &Writer{dir: dir, file: file, kind: kind, description: description, log: logger, pending: make(chan func() []byte, 1)}
+	return &Writer{dir: dir, file: file, kind: kind, description: description, log: logger,
+		pending: make(chan func() []byte, 1)}
 }
 
-// Put has a text written soon, in place of one that is not written yet. The text is requested when it is written. Only one
-// goroutine may call it.
+// Put replaces the text to write. A previous text that is not written yet is dropped. The function is called
+// when the text is written. Only one goroutine may call Put.
 func (w *Writer) Put(text func() []byte) {
 	select {
 	case <-w.pending:
@@ -36,8 +38,8 @@
 	w.pending <- text
 }
 
-// Run starts the goroutine, which ends with the context, after it has written what is pending. The function returned waits
-// for that.
+// Run starts the goroutine that writes. When the context ends, it writes what is pending and returns. The
+// returned function waits for that.
 func (w *Writer) Run(ctx context.Context) (wait func()) {
 	done := make(chan struct{})
 	go func() {
@@ -51,7 +53,7 @@
 }
 
 func (w *Writer) writeUntilDone(ctx context.Context) {
-	var unwritten func() []byte // the last write of it failed
+	var unwritten func() []byte // the text whose last write failed; nil: none
 	for {
 		var retry <-chan time.Time
 		if unwritten != nil {
@@ -80,7 +82,7 @@
 	}
 }
 
-// write reports whether a text was written.
+// write writes a text and reports whether that succeeded.
 func (w *Writer) write(text []byte) bool {
 	err := os.MkdirAll(w.dir, 0o700)
 	if err == nil {
@@ -88,8 +90,8 @@
 	}
 	switch {
 	case err != nil && !w.failing:
-		w.log.Error("cache write failed; a restart would read an older version", "file", w.file, "content", w.description,
-			"dir", w.dir, "error", err)
+		w.log.Error("cache write failed; a restart would read an older version",
+			"file", w.file, "content", w.description, "dir", w.dir, "error", err)
 	case err == nil && w.failing:
 		w.log.Info("cache write succeeded again", "file", w.file, "content", w.description, "dir", w.dir)
 	}
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -13,15 +13,15 @@
 const (
 	cacheFile     = "list"
 	cacheKind     = "proxy-list"
-	maxCacheBytes = maxListBytes + 1<<10 // with the file's header
+	maxCacheBytes = maxListBytes + 1<<10 // the list and the header of the file
 )
 
 func newCacheWriter(dir string, logger *slog.Logger) *atomicfile.Writer {
 	return atomicfile.NewWriter(dir, cacheFile, cacheKind, "endpoint list", logger)
 }
 
-// LoadCachedList returns the list that a former process cached in a state directory; nil if there is none. A damaged file
-// is an error that wraps atomicfile.ErrDamaged, and stays as it is.
+// LoadCachedList returns the list that a previous process cached in a state directory, or nil if there is
+// none. A damaged file is left in place; the error then wraps atomicfile.ErrDamaged.
 func LoadCachedList(dir string) (*List, error) {
 	path := filepath.Join(dir, cacheFile)
 	body, err := atomicfile.ReadFile(path, cacheKind, maxCacheBytes)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,13 +1,15 @@
-// Package discovery follows the list of endpoints and publishes each change of it. There are two kinds of source:
+// Package discovery follows the list of endpoints and publishes each change to it. It calls by long polling:
+// a watch is a call that the server holds until there is a change. There are two kinds of source:
 //
-//   - the platform list, at one address (Source.Address): one watch after another, see platform.go;
-//   - the registry, with several members (Source.Members): a watch at one member, and at another one when that fails, see
-//     registry.go.
+//   - the platform's discovery service, at one address (Source.Address): one watch after another, see
+//     platform.go;
+//   - the registry, with several members (Source.Members): watches at one member, with failover to another
+//     when a call fails, see registry.go.
 //
-// How old a list may be, for each fault, and what follows from that stands in freshness.go.
+// freshness.go lists how old the list may get under each kind of failure, and what follows from that age.
 //
-// Run's goroutine makes or waits for all calls; a second one, with a state directory, writes the cached list (cache.go).
-// The package never changes the list by itself: without an answer the last list stays in use.
+// Run's goroutine makes the calls or waits for them. With a state directory, a second goroutine writes the
+// cached list (cache.go). While calls fail, the last list stays in use.
 package discovery
 
 import (
@@ -24,7 +26,8 @@
 	"merlinpick/internal/failover"
 )
 
-// Source is where the list comes from: the registry's members if there are any, else the platform's address.
+// Source says where the list comes from: the registry if it has Members, else the platform's discovery at
+// Address.
 type Source struct {
 	Address string   // HOST:PORT
 	Members []string // HOST:PORT each
@@ -48,15 +51,16 @@
 // Config is the configuration of a Client.
 type Config struct {
 	Source Source
-	// Callers is the approximate number of clients of the platform's discovery (EstimateCallers); 0: not known.
+	// Callers is the approximate number of clients that call the platform's discovery (EstimateCallers); 0:
+	// unknown.
 	Callers  int
-	Pushed   bool   // the platform list comes from a local agent that has no other callers
-	Seed     uint64 // of the order of members, and of random delays
-	CacheDir string // directory of the cached list, for a registry; empty: it is not cached
+	Pushed   bool   // the platform list comes from a local agent, which has no other callers
+	Seed     uint64 // of the random order of members and of random delays
+	CacheDir string // directory of the cached registry list; empty: no cache
 	Logger   *slog.Logger
 }
 
-// Update is an answer of the source: a full list, or the changes since the update before.
+// Update is an answer of the source: a full list, or the changes since the previous update.
 type Update struct{ List *List }
 
 // Client follows the list of endpoints.
@@ -68,22 +72,22 @@
 	randomness *rand.Rand
 
 	updates       chan Update
-	done          <-chan struct{} // closed when Run has to end
-	unreachable   chan struct{}   // closed once discovery could not be reached
-	sourceChanges chan Source     // the latest only
+	done          <-chan struct{} // closed when Run has to return
+	unreachable   chan struct{}   // closed at the first failure to reach discovery
+	sourceChanges chan Source     // holds only the latest source requested
 
-	source   Source // Run's
+	source   Source // used by Run's goroutine only
 	platform platformState
 	registry registryState
-	cache    *atomicfile.Writer // nil: the list is not cached
+	cache    *atomicfile.Writer // nil: no cache
 
-	callCounts                    callCounter // of the platform list
+	callCounts                    callCounter // calls for the platform list
 	lastSuccess                   failover.LastSuccess
 	failovers, failures, retained atomic.Int64
 	fromRegistry                  atomic.Bool
 }
 
-// New returns a client. Run has it follow the list.
+// New returns a client. It makes no calls until Run is called.
 func New(cfg Config) *Client {
 	c := &Client{
 		cfg: cfg, log: cfg.Logger, http: newHTTPClient(cfg.Source), connect: newHTTPClient,
@@ -100,8 +104,9 @@
 	return c
 }
 
-// SetInitialList sets the full list that the client starts from: of a registry the cached list, of the platform the list
-// in the proxy's configuration, from whose version the first call then continues. It must be called before Run.
+// SetInitialList sets the full list that the client starts from: the cached list of a registry, or the list
+// in the proxy's configuration for the platform, in which case the first call requests the changes since its
+// version. It must be called before Run.
 func (c *Client) SetInitialList(list *List) {
 	if len(c.source.Members) > 0 {
 		c.registry.replaceEndpoints(list)
@@ -110,27 +115,29 @@
 	}
 }
 
-// Updates returns the channel of updates. The next watch starts only once an update was received.
+// Updates returns the channel of updates. The client starts its next call only when an update has been
+// received.
 func (c *Client) Updates() <-chan Update { return c.updates }
 
-// Unreachable returns a channel that is closed once a call for the platform list has shown that discovery cannot be
-// reached: its connection was refused or lost, or it was rejected without waiting in the queue.
+// Unreachable returns a channel that is closed once a call for the platform list has shown that discovery
+// cannot be reached: the connection was refused or lost, or the call was rejected without waiting in the
+// queue.
 func (c *Client) Unreachable() <-chan struct{} { return c.unreachable }
 
-// SetSource has the list come from another source from now on. The current list stays in use until that has answered.
+// SetSource replaces the source of the list. The current list stays in use until the new source has answered.
 // It may be called from any goroutine.
 func (c *Client) SetSource(source Source) {
 	for {
 		select {
 		case c.sourceChanges <- source:
 			return
-		case <-c.sourceChanges: // replaces an earlier one that was not taken yet
+		case <-c.sourceChanges: // discard an earlier source that Run has not received yet
 		}
 	}
 }
 
-// Run follows the list until the context ends. A change of source cancels the call in flight, and the new source is called
-// at once, from the version held.
+// Run follows the list until the context ends. A change of source cancels the call in flight; the new source
+// is called at once, for the changes since the held version.
 func (c *Client) Run(ctx context.Context) {
 	defer func() { c.http.CloseIdleConnections() }()
 	c.done = ctx.Done()
@@ -152,8 +159,8 @@
 	}
 }
 
-// awaitSourceChange cancels the calls to the current source once there is another one, which it sends on the channel
-// returned. The channel is closed when the context has ended.
+// awaitSourceChange waits for another source, sends it on the returned channel and cancels the calls to the
+// current one. The channel is closed after that, or when the context has ended.
 func (c *Client) awaitSourceChange(ctx context.Context, cancel context.CancelFunc) <-chan Source {
 	next := make(chan Source, 1)
 	go func() {
@@ -174,7 +181,7 @@
 	return next
 }
 
-// changeSource resets what was known of the former source.
+// changeSource switches to another source and resets what was learned from the previous one.
 func (c *Client) changeSource(source Source) {
 	c.log.Info("endpoint list source changed", "from", c.source, "to", source)
 	c.source = source
@@ -183,13 +190,13 @@
 	c.platform.watching = false
 	c.platform.rejectedSinceSuccess, c.platform.watchTimedOut = false, false
 	c.platform.scheduler.reset()
-	c.scheduleResync() // the versions of another service may mean something else
+	c.scheduleResync() // another service may use versions of its own
 	c.http.CloseIdleConnections()
 	c.http = c.connect(source)
 }
 
-// publish sends an update. A change of source waits for it: the version held includes it, and the next call continues from
-// there.
+// publish sends an update and waits until it is received. A change of source waits too: the held version
+// already includes the update, and the next call continues from that version.
 func (c *Client) publish(update Update) {
 	select {
 	case c.updates <- update:
@@ -199,7 +206,7 @@
 
 func (c *Client) sleep(ctx context.Context, d time.Duration) { failover.Sleep(ctx, d) }
 
-// randomDelay returns a random duration from 0 to below limit.
+// randomDelay returns a random duration in [0, limit).
 func (c *Client) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(c.randomness.Int64N(int64(limit)))
 }
--- a/internal/discovery/fetch.go
+++ b/internal/discovery/fetch.go
@@ -14,9 +14,11 @@
 )
 
 const (
-	listPath            = "/catalog/members"
-	maxListBytes        = 4 << 20
-	platformDialTimeout = 2 * hedgeDelayMin // an abandoned dial must not hold one of the two connections for longer
+	listPath     = "/catalog/members"
+	maxListBytes = 4 << 20
+
+	// platformDialTimeout bounds how long the dial of an abandoned call occupies one of the two connections.
+	platformDialTimeout = 2 * hedgeDelayMin
 )
 
 var (
@@ -24,13 +26,13 @@
 	errConnectionLost = errors.New("connection to discovery lost during a call")
 )
 
-// malformedListError is an answer that is not a list in a known form.
+// malformedListError means that an answer is not a list in a known format.
 type malformedListError struct{ err error }
 
 func (e *malformedListError) Error() string { return "malformed endpoint list: " + e.err.Error() }
 func (e *malformedListError) Unwrap() error { return e.err }
 
-// newHTTPClient returns a client for calls to a source.
+// newHTTPClient returns the HTTP client for calls to a source.
 func newHTTPClient(source Source) *http.Client {
 	if len(source.Members) > 0 {
 		return failover.NewHTTPClient()
@@ -39,7 +41,7 @@
 		DialContext: (&net.Dialer{Timeout: platformDialTimeout}).DialContext}}
 }
 
-// fetch makes one call and returns the list of its answer.
+// fetch makes one call and returns the list in the answer.
 func (c *Client) fetch(ctx context.Context, url string, timeout time.Duration) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -69,8 +71,9 @@
 	return list, nil
 }
 
-// fetchOnce is a counted fetch without net/http's silent retry on a reused connection that was lost: that would be a new
-// call, which waits in discovery's queue, with the shorter timeout of a watch.
+// fetchOnce makes one call and counts it. It prevents net/http from silently retrying after a reused
+// connection was lost: the retry would be a new call that waits in discovery's queue, but with what is left
+// of the shorter timeout of a watch.
 func (c *Client) fetchOnce(ctx context.Context, url string, timeout time.Duration) (*List, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -7,21 +7,26 @@
 	"time"
 )
 
-// A call that waits in discovery's queue may have been lost. After the hedge delay another one is made beside it. A call is
-// abandoned after two delays, so that two are in flight at most. The delays differ, so that a fleet whose calls were lost
-// together does not leave discovery idle together.
+// A call that waits in discovery's queue may have been lost. After the hedge delay a second call is made
+// beside it. A call is abandoned after two delays, so at most two are in flight. The delays are random: if
+// the calls of a whole fleet are lost at once, its clients must not all wait at the same time while discovery
+// is idle.
 const (
-	hedgeDelayMin      = 1750 * time.Millisecond
-	hedgeDelayJitter   = 500 * time.Millisecond
-	hedgeDelayMax      = hedgeDelayMin + hedgeDelayJitter
-	firstHedgeDelayMin = 2020 * time.Millisecond // of a first call: over 2 s, the queue's usual limit, when it may fail
-	// busyHedgeDelayMin is for calls after a 503 until one succeeds: with shorter delays a fleet would be in the queue twice.
+	hedgeDelayMin    = 1750 * time.Millisecond
+	hedgeDelayJitter = 500 * time.Millisecond
+	hedgeDelayMax    = hedgeDelayMin + hedgeDelayJitter
+	// firstHedgeDelayMin is for the first call. It is above 2 s, the usual limit of discovery's queue, at
+	// which the call may be rejected.
+	firstHedgeDelayMin = 2020 * time.Millisecond
+	// busyHedgeDelayMin is for calls after a 503, until one succeeds. With shorter delays each client of a
+	// fleet would be in the queue twice.
 	busyHedgeDelayMin = 2600 * time.Millisecond
-	// agentHedgeDelayMin is for a local agent, which has no queue and may lose all calls of a time in which it was down.
+	// agentHedgeDelayMin is for a local agent, which has no queue and may never answer calls made while it
+	// was down.
 	agentHedgeDelayMin = 300 * time.Millisecond
 )
 
-// hedge is a call with others made beside it. Its methods are called from one goroutine.
+// hedge is a call and the hedged calls made beside it. Its methods must be called from one goroutine.
 type hedge struct {
 	client  *Client
 	url     string
@@ -29,12 +34,12 @@
 	calls   sync.WaitGroup
 
 	inFlight        int
-	patientInFlight bool          // one of these has a patient timeout
-	lastPatient     bool          // the latest call has
-	postponed       time.Duration // of the first hedge, see firstDelay
+	patientInFlight bool          // a call with the long timeout is in flight
+	lastPatient     bool          // the latest call has the long timeout
+	postponed       time.Duration // added to the delay of the first hedged call, see firstDelay
 }
 
-// hedgeReply is the result of one of the calls.
+// hedgeReply is the result of one of the calls of a hedge.
 type hedgeReply struct {
 	list     *List
 	err      error
@@ -42,8 +47,8 @@
 	patient  bool
 }
 
-// hedgedCall makes a call that waits in discovery's queue, and another one after each hedge delay without an answer. The
-// first answer counts; hedgedCall fails once all calls in flight have failed.
+// hedgedCall makes a call that waits in discovery's queue, and another one after each hedge delay without an
+// answer. It returns the first answer, and fails once all calls in flight have failed.
 func (c *Client) hedgedCall(ctx context.Context, url string) (*List, error) {
 	c.platform.scheduler.rejectedAfter = 0
 	ctx, cancel := context.WithCancel(ctx)
@@ -68,8 +73,8 @@
 	}
 }
 
-// start makes a call and returns the timer of the next one. Of a local agent one call waits patiently for an answer, and
-// the calls beside it last for one hedge delay.
+// start makes a call and returns a timer for the next one. To a local agent, only one call in flight has the
+// long timeout; the calls beside it last for one hedge delay.
 func (h *hedge) start(ctx context.Context) (next <-chan time.Time) {
 	delay, timeout := h.timing()
 	patient := !h.client.cfg.Pushed || !h.patientInFlight
@@ -91,7 +96,7 @@
 	return next
 }
 
-// finish records a reply and reports whether it is the result of the hedged call.
+// finish records a reply and reports whether it is the result of the whole hedged call.
 func (h *hedge) finish(reply hedgeReply) bool {
 	if errors.Is(reply.err, errUnavailable) {
 		h.client.platform.rejectedSinceSuccess = true
@@ -102,11 +107,12 @@
 	if reply.err == nil {
 		return true
 	}
-	// A timeout of a call that was not patient says nothing: the next one is due.
+	// If the latest call had the short timeout, a timeout does not end the hedge: the next call is due.
 	return h.inFlight == 0 && (h.lastPatient || !errors.Is(reply.err, context.DeadlineExceeded))
 }
 
-// timing returns the delay until the next call is made beside a call, and the timeout of the latter: two delays.
+// timing returns the timeout of the call being started, two delays, and the delay until the next call is made
+// beside it.
 func (h *hedge) timing() (delay, timeout time.Duration) {
 	c, first := h.client, h.inFlight == 0
 	switch {
@@ -125,9 +131,10 @@
 	return delay, 2 * delay
 }
 
-// firstDelay returns the delay after the first call that follows a watch which timed out. A whole fleet may make that call
-// at once, so the hedge waits until the call cannot be in the queue any more: served beside it, the hedge would take
-// service time for nothing. The hedges after it keep their times, so that the fleet stays spread if nobody is answered.
+// firstDelay returns the delay after the first call that follows a watch that timed out. A whole fleet may
+// make that call at the same time, so the hedged call waits until the first one cannot be in the queue any
+// more: if both were served, the second would waste service time. The hedged calls after it keep their
+// original times, so that a fleet without answers stays spread out.
 func (h *hedge) firstDelay() time.Duration {
 	delay := hedgeDelayMin + h.client.randomDelay(hedgeDelayJitter)
 	h.postponed = max(0, firstHedgeDelayMin-delay)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,29 +11,29 @@
 const (
 	StatusServing  = "SERVING"
 	StatusDraining = "DRAINING" // accepts no new requests
-	StatusDeleted  = "DELETED"  // removed; among changes only
+	StatusDeleted  = "DELETED"  // removed; only in lists of changes
 )
 
-// Endpoint is an entry of the list. Its tags map the protocol's names.
+// Endpoint is an entry of the list. The tags are the field names of the protocol.
 type Endpoint struct {
 	Name        string   `json:"name"`
 	Address     string   `json:"address"` // HOST:PORT
 	Zone        string   `json:"zone"`
 	Cell        int      `json:"group"`
 	Status      string   `json:"status"`
-	Weight      *float64 `json:"weight"`   // capacity hint; nil: not given
-	StartedAtMs int64    `json:"since_ms"` // start of the endpoint's process, Unix time in ms; 0: not known
+	Weight      *float64 `json:"weight"`   // capacity hint; nil: none
+	StartedAtMs int64    `json:"since_ms"` // start of the endpoint's process, Unix time in ms; 0: unknown
 }
 
-// List is a full list of endpoints, or changes of one.
+// List is a full list of endpoints, or the changes to one.
 type List struct {
 	Version   int64
-	Snapshot  bool   // else Endpoints are the changes
-	Epoch     string // of the versions; the platform list has none
+	Snapshot  bool   // whether Endpoints is the full list; otherwise it holds the changes only
+	Epoch     string // versions are comparable within an epoch; empty for the platform list
 	Endpoints []Endpoint
 }
 
-// listMessage is a list in the protocol's names.
+// listMessage is a list in the JSON form of the protocol.
 type listMessage struct {
 	Version   int64      `json:"index"`
 	Full      bool       `json:"snapshot"`
@@ -41,7 +41,7 @@
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Parse decodes a list in the protocol's form. A list with any malformed entry is an error.
+// Parse decodes a list in the JSON form of the protocol. It returns an error if any entry is malformed.
 func Parse(data []byte) (*List, error) {
 	var message struct {
 		Version   *int64      `json:"index"`
@@ -63,7 +63,7 @@
 	return &List{*message.Version, *message.Full, message.Epoch, *message.Endpoints}, nil
 }
 
-// validate returns why an endpoint is malformed.
+// validate returns an error if the endpoint is malformed.
 func (e Endpoint) validate() error {
 	if e.Name == "" {
 		return errors.New("name is missing")
@@ -78,7 +78,7 @@
 	return fmt.Errorf("unknown status %q", e.Status)
 }
 
-// encode returns the list as a full one in the protocol's form.
+// encode returns the list in the JSON form of the protocol, marked as a full list.
 func (l *List) encode() []byte {
 	endpoints := l.Endpoints
 	if endpoints == nil {
@@ -86,7 +86,7 @@
 	}
 	text, err := json.Marshal(listMessage{l.Version, true, l.Epoch, endpoints})
 	if err != nil {
-		panic(err) // strings, and numbers that were decoded from JSON
+		panic(err) // cannot happen: strings, and numbers that were decoded from JSON
 	}
 	return text
 }
--- a/internal/discovery/metrics.go
+++ b/internal/discovery/metrics.go
@@ -10,22 +10,23 @@
 
 // Metrics are a client's counters and gauges.
 type Metrics struct {
-	FromRegistry      bool          // the source is the registry: Failovers and RetainedEndpoints are in use
-	Age               time.Duration // since the last answer with a list; negative: there was none
-	Failovers         int64         // from one registry member to another
+	FromRegistry      bool          // the source is the registry: Failovers and RetainedEndpoints apply
+	Age               time.Duration // since the last answer with a list; negative: no answer yet
+	Failovers         int64         // switches from one registry member to another
 	Failures          int64         // failed calls
-	RetainedEndpoints int64         // missing in a new epoch and retained for now
+	RetainedEndpoints int64         // endpoints that a new epoch lacks and that are still retained
 
-	CallResults map[string]int64 // of the platform list, by result
+	CallResults map[string]int64 // calls for the platform list, by result
 }
 
 // Metrics returns the current values. It may be called from any goroutine.
 func (c *Client) Metrics() Metrics {
-	return Metrics{FromRegistry: c.fromRegistry.Load(), Age: c.lastSuccess.Age(), Failovers: c.failovers.Load(),
-		Failures: c.failures.Load(), RetainedEndpoints: c.retained.Load(), CallResults: c.callCounts.snapshot()}
+	return Metrics{FromRegistry: c.fromRegistry.Load(), Age: c.lastSuccess.Age(),
+		Failovers: c.failovers.Load(), Failures: c.failures.Load(),
+		RetainedEndpoints: c.retained.Load(), CallResults: c.callCounts.snapshot()}
 }
 
-// callResult is how a call for the platform list ended. Its values are those of a metric's label.
+// callResult is how a call for the platform list ended. The values are those of a metric label.
 type callResult string
 
 const (
@@ -33,7 +34,7 @@
 	callUnavailable      callResult = "busy" // 503: not served in time, or discovery is down
 	callMalformed        callResult = "garbled"
 	callTimedOut         callResult = "timed_out"
-	callCanceled         callResult = "stopped" // another call succeeded first, or the client is closing
+	callCanceled         callResult = "stopped" // another call succeeded first, or the client is stopping
 	callConnectionFailed callResult = "broke"   // refused, reset or cut off
 )
 
@@ -83,7 +84,8 @@
 	c.callCounts.add(result)
 	attributes := []any{"url", url, "duration", time.Since(start), "result", string(result)}
 	if list != nil {
-		attributes = append(attributes, "version", list.Version, "full", list.Snapshot, "endpoints", len(list.Endpoints))
+		attributes = append(attributes, "version", list.Version, "full", list.Snapshot,
+			"endpoints", len(list.Endpoints))
 	}
 	c.log.DebugContext(ctx, "endpoint list call", attributes...)
 	return list, err
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -8,39 +8,47 @@
 	"time"
 )
 
-// Discovery serves calls one after another, so calls that cost it little come first:
+// Discovery serves calls one at a time, so the client prefers calls that cost discovery little:
 //
-//   - A watch that follows an answer at once takes no service time; a new watch takes some, a full list as much as its
-//     length. So whatever ended a watch, the next call continues from the version held and brings only later changes.
-//   - The full list is requested only if no version is held, once after a malformed answer, and after a version that went
-//     back. A new source may be another service with other versions: one that is lower shows at its first answer, the rest
-//     at one full list that is requested some time after the change.
+//   - A watch that follows an answer at once takes no service time. A new watch takes some, and a full list
+//     takes time in proportion to its length. So whatever ended a watch, the next call asks for the changes
+//     since the held version.
+//   - The full list is requested only if no version is held, once after a malformed answer, and after the
+//     version went back. A new source may be another service with versions of its own. A lower version shows
+//     in its first answer; any other difference is found by one request for the full list some time after the
+//     change.
 const (
-	watchHoldMin    = 500 * time.Millisecond // how long discovery may hold a watch that follows an answer, at least,
-	watchHoldJitter = 300 * time.Millisecond // and up to this much longer: the watches of a fleet must not end together
+	// Discovery may hold a watch that follows an answer for watchHoldMin plus a random part of
+	// watchHoldJitter, so that the watches of a fleet do not end at the same time.
+	watchHoldMin    = 500 * time.Millisecond
+	watchHoldJitter = 300 * time.Millisecond
 	watchSlack      = 400 * time.Millisecond // after the hold, until a watch counts as timed out
-	pollHold        = 100 * time.Millisecond // the hold of any other call that continues from a version
+	pollHold        = 100 * time.Millisecond // hold of any other call for the changes since a version
 
-	agentWatchHold  = 400 * time.Millisecond // in place of the above for a local agent
+	// The same for a local agent.
+	agentWatchHold  = 400 * time.Millisecond
 	agentJitter     = 100 * time.Millisecond
 	agentWatchSlack = 250 * time.Millisecond
 
-	resyncDelayMin    = 30 * time.Second // after a change of source, until the full list is requested,
-	resyncDelayJitter = 90 * time.Second // and up to this much later: a fleet must not request it together
+	// The full list is requested resyncDelayMin plus a random part of resyncDelayJitter after a change of
+	// source, so that a fleet does not request it at the same time.
+	resyncDelayMin    = 30 * time.Second
+	resyncDelayJitter = 90 * time.Second
 )
 
-// watchTimeoutError is a watch without a complete answer at the end of its hold and slack.
+// watchTimeoutError means that a watch had no complete answer at the end of its hold and slack.
 type watchTimeoutError struct {
 	hold time.Duration
 	err  error
 }
 
 func (e *watchTimeoutError) Error() string {
-	return fmt.Sprintf("no answer to a watch with a hold of %v; it is repeated: %v", e.hold, e.err)
+	return fmt.Sprintf("watch with a hold of %v timed out and is repeated: %v", e.hold, e.err)
 }
 func (e *watchTimeoutError) Unwrap() error { return e.err }
 
-// versionRegressedError is an incremental answer whose version is below the one held. It is discarded.
+// versionRegressedError means that an answer with changes has a version below the held one. The answer is
+// discarded.
 type versionRegressedError struct{ held, received int64 }
 
 func (e *versionRegressedError) Error() string {
@@ -49,10 +57,10 @@
 
 // platformState is what a client knows of the platform list. Only Run's goroutine uses it.
 type platformState struct {
-	version              int64     // held; negative: none
+	version              int64     // of the held list; negative: none
 	watching             bool      // the last call succeeded: the next one is a watch
 	watchTimedOut        bool      // the last call was a watch that timed out
-	rejectedSinceSuccess bool      // a call ended with a 503 since one succeeded
+	rejectedSinceSuccess bool      // a call ended with a 503 after the last one that succeeded
 	resyncAt             time.Time // when the full list is requested; zero: not scheduled
 	scheduler            pollScheduler
 }
@@ -62,7 +70,7 @@
 	return s.version < 0 || malformed || s.watching && !s.resyncAt.IsZero() && !now.Before(s.resyncAt)
 }
 
-// checkVersion returns a *versionRegressedError if an incremental answer lies below the version held.
+// checkVersion returns a *versionRegressedError if an answer with changes has a version below the held one.
 func (s *platformState) checkVersion(list *List) error {
 	if !list.Snapshot && list.Version < s.version {
 		return &versionRegressedError{s.version, list.Version}
@@ -70,13 +78,13 @@
 	return nil
 }
 
-// followPlatform watches the platform list until the context ends. The next watch follows an answer at once, so that no
-// change in between is received late; so does the call after a watch that timed out, and the first one after a malformed
-// answer.
+// followPlatform watches the platform list until the context ends. The next watch is started at once after an
+// answer, so that no change in between arrives late. The calls after a watch that timed out and after the
+// first malformed answer are made at once too.
 func (c *Client) followPlatform(ctx context.Context) {
 	state := &c.platform
 	failures := 0      // consecutive
-	malformed := false // the last answer was, to a call that continued from a version
+	malformed := false // the last answer was malformed, to a call for changes
 	for ctx.Err() == nil {
 		full := state.needsFullList(malformed, time.Now())
 		list, err := c.callPlatform(ctx, full)
@@ -102,7 +110,7 @@
 		var regressed *versionRegressedError
 		var badList *malformedListError
 		switch {
-		case errors.As(err, &timedOut): // a watch does not queue: no sign yet that discovery is overloaded
+		case errors.As(err, &timedOut): // no sign of overload, since a watch does not wait in the queue
 			state.watchTimedOut = true
 			continue
 		case errors.As(err, &regressed):
@@ -128,8 +136,8 @@
 	c.publish(Update{list})
 }
 
-// noteUnreachable closes the channel of Unreachable at the first call whose connection failed, or that was rejected without
-// waiting in the queue.
+// noteUnreachable closes the channel of Unreachable at the first call whose connection failed or that was
+// rejected without waiting in the queue.
 func (c *Client) noteUnreachable(err error) {
 	var malformed *malformedListError
 	if errors.As(err, &malformed) || errors.Is(err, context.DeadlineExceeded) ||
@@ -143,12 +151,13 @@
 	}
 }
 
-// scheduleResync has the full list requested at a random time some time from now.
+// scheduleResync schedules a request for the full list at a random later time.
 func (c *Client) scheduleResync() {
 	c.platform.resyncAt = time.Now().Add(resyncDelayMin + c.randomDelay(resyncDelayJitter))
 }
 
-// finishResync follows a request of the full list: a scheduled one is done, or scheduled again if it failed.
+// finishResync is called after a request for the full list. It clears a scheduled one, or schedules it again
+// on failure.
 func (c *Client) finishResync(err error) {
 	switch {
 	case err == nil:
@@ -158,7 +167,7 @@
 	}
 }
 
-// callPlatform requests the full list, or the changes since the version held.
+// callPlatform requests the full list, or the changes since the held version.
 func (c *Client) callPlatform(ctx context.Context, full bool) (*List, error) {
 	url := "http://" + c.source.Address + listPath
 	if full {
@@ -172,7 +181,8 @@
 	case watch:
 		hold = watchHoldMin + c.randomDelay(watchHoldJitter)
 	}
-	url += "?from=" + strconv.FormatInt(c.platform.version, 10) + "&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
+	url += "?from=" + strconv.FormatInt(c.platform.version, 10) +
+		"&hold_ms=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	if !watch {
 		return c.hedgedCall(ctx, url)
 	}
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -6,76 +6,89 @@
 	"time"
 )
 
-// After a failed call the pauses double, up to a maximum; half of each is random.
+// Backoffs after consecutive failed calls double up to a maximum. Half of each backoff is random.
 const (
-	initialBackoff  = 100 * time.Millisecond
-	maxBackoff      = 800 * time.Millisecond
-	maxAgentBackoff = 200 * time.Millisecond // a local agent has one caller, and its changes count as known at once
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 800 * time.Millisecond
+	// maxAgentBackoff is for a local agent: it has a single caller, and its changes count as known at once.
+	maxAgentBackoff = 200 * time.Millisecond
 )
 
-// Discovery serves calls one after another, and a call that waits in its queue for longer than W (freshness.go) is
-// rejected with 503 but takes its service time all the same. A queue longer than W therefore answers nobody, and stays that
-// long if the fleet polls faster than discovery serves. So once the queue is overloaded each client polls once in a period,
-// at a random point of it:
+// Discovery serves calls one at a time. A call that waits in its queue for longer than W (freshness.go) is
+// rejected with 503, but takes its service time all the same. So while the queue is longer than W no call is
+// answered, and it stays that long if the fleet polls faster than discovery serves. Therefore, once the queue
+// is overloaded, each client polls once in a period, at a random point of it:
 //
-//   - The base period is the time that discovery needs for one call of each caller, less what may be queued at its end.
-//   - After some timeouts in the queue it doubles with each further one, and grows faster for a client without any list yet.
-//     It never exceeds the time for one call of each caller, so that discovery is not idle while clients sleep after an
-//     outage.
+//   - The base period is the time that discovery needs for one call of each caller, less the time for which
+//     calls may still be queued at its end.
+//   - After some timeouts in the queue the period doubles with each further one, and grows faster for a
+//     client that has no list yet. It never exceeds the time for one call of each caller, so that discovery
+//     is not idle after an outage while clients sleep.
 const (
-	failuresUntilOverload = 6                      // consecutive failures after which the queue is taken for overloaded
-	longQueueWait         = time.Second            // a 503 after this was rejected by the queue
-	shortQueueWait        = 100 * time.Millisecond // the same once calls fail repeatedly; a 503 sooner was not queued
+	// failuresUntilOverload is the number of consecutive failures after which the queue is assumed to be
+	// overloaded.
+	failuresUntilOverload = 6
+	// longQueueWait is the time after which a 503 means that the call was rejected because of the queue.
+	longQueueWait = time.Second
+	// shortQueueWait replaces longQueueWait once calls fail repeatedly. A call with an earlier 503 was never
+	// in the queue.
+	shortQueueWait = 100 * time.Millisecond
 
 	serviceTime          = 22 * time.Millisecond // of one call in discovery
-	serviceTimeAtStart   = 35 * time.Millisecond // as assumed while a fleet starts
+	serviceTimeAtStart   = 35 * time.Millisecond // assumed while a fleet starts
 	serviceTimeInRelease = 40 * time.Millisecond // with the changes of a release in the answer
 
-	minPollPeriod         = 2500 * time.Millisecond
-	maxWaitPlusPeriod     = 5500 * time.Millisecond // in a fleet that discovery serves within it
-	maxSmallFleetPeriod   = 3500 * time.Millisecond // the same, whatever the wait
-	maxUnsyncedBasePeriod = NotifyDeadline          // of a client without any list yet
-	queueAtPeriodEnd      = 1900 * time.Millisecond // a little less than W of calls may be queued at the end of a period
+	minPollPeriod = 2500 * time.Millisecond
+	// maxWaitPlusPeriod bounds the sum of the wait until a 503 and the poll period, in a fleet small enough
+	// to be served within one period.
+	maxWaitPlusPeriod     = 5500 * time.Millisecond
+	maxSmallFleetPeriod   = 3500 * time.Millisecond // bounds the poll period of such a fleet
+	maxUnsyncedBasePeriod = NotifyDeadline          // bounds the base period of a client that has no list yet
+	queueAtPeriodEnd      = 1900 * time.Millisecond // service time queued at the end of a period; below W
 
-	minQueueDrain = 2 * time.Second // before the first poll: discovery serves calls that have timed out too
+	// Limits of the pause before the first poll: discovery also serves calls that have timed out.
+	minQueueDrain = 2 * time.Second
 	maxQueueDrain = 3 * time.Second
 
-	timeoutsUntilBackoff         = 4 // in the queue, after which the period grows
-	timeoutsUntilBackoffUnsynced = 1 // the same for a client without any list yet
-	maxPollsCountedDown          = 2 // failed connections count as no more polls: there is no queue
-	maxPeriodDoublings           = 3
+	timeoutsUntilBackoff         = 4 // timeouts in the queue after which the period grows
+	timeoutsUntilBackoffUnsynced = 1 // the same for a client that has no list yet
+	// maxPollsCountedDown bounds the number of failed polls counted while connections fail, since discovery
+	// then has no queue.
+	maxPollsCountedDown = 2
+	maxPeriodDoublings  = 3
 
-	defaultCallers = 700 // if Config.Callers is not known
+	defaultCallers = 700 // used if Config.Callers is unknown
 )
 
-// pollScheduler decides when a client of the platform list makes its next call after a failed one. It is not safe for
-// concurrent use.
+// pollScheduler decides when a client of the platform list makes its next call after a failed one. It is not
+// safe for concurrent use.
 type pollScheduler struct {
 	callers     int  // clients that share discovery's queue
-	agent       bool // a local agent, without other callers
+	agent       bool // the source is a local agent, which has no other callers
 	randomDelay func(limit time.Duration) time.Duration
 
-	rejectedAfter    time.Duration // of the last call: until its 503; 0: none
+	rejectedAfter    time.Duration // time from the start of the last call to its 503; 0: none
 	lastRejected     bool          // the last call ended with a 503
-	longestRejection time.Duration // longest time until a 503
-	failedPolls      int           // consecutive, since the queue was taken for overloaded
-	queueTimeouts    int           // of these: rejected after waiting in the queue
-	synced           bool          // discovery has answered with a list before
+	longestRejection time.Duration // the longest rejectedAfter so far
+	failedPolls      int           // consecutive failed polls since the queue is assumed to be overloaded
+	queueTimeouts    int           // those of failedPolls that were rejected after waiting in the queue
+	synced           bool          // the source has answered with a list before
 }
 
-// recordSuccess ends the polling: the queue is short.
+// recordSuccess ends the periodic polling, since a call that was answered shows that the queue is short.
 func (s *pollScheduler) recordSuccess() {
 	s.synced = true
 	s.failedPolls, s.queueTimeouts = 0, 0
 }
 
-// reset forgets the queue, which was that of another source.
+// reset clears what was learned of the previous source's queue.
 func (s *pollScheduler) reset() {
 	s.lastRejected, s.synced = false, false
 	s.failedPolls, s.queueTimeouts, s.longestRejection, s.rejectedAfter = 0, 0, 0, 0
 }
 
-// delayAfter returns the pause after a call that failed with err, the last of some consecutive failures.
+// delayAfter returns the pause after a call that failed with err. failures is the number of consecutive
+// failures.
 func (s *pollScheduler) delayAfter(err error, failures int) time.Duration {
 	s.lastRejected = errors.Is(err, errUnavailable)
 	if s.queueIsOverloaded(err, failures) {
@@ -84,14 +97,15 @@
 	return s.retryBackoff(failures)
 }
 
-// queueIsOverloaded reports whether a queue longer than W rejected the last call, or so many calls have failed that the
-// queue will be that long once they do not.
+// queueIsOverloaded reports whether the last call was rejected by a queue longer than W, or so many calls
+// have failed that the queue will be that long as soon as connections succeed again.
 func (s *pollScheduler) queueIsOverloaded(err error, failures int) bool {
 	var malformed *malformedListError
 	if s.agent || errors.As(err, &malformed) || errors.Is(err, context.DeadlineExceeded) {
 		return false
 	}
-	if s.rejectedAfter >= longQueueWait || s.rejectedAfter >= shortQueueWait && failures >= failuresUntilOverload-1 {
+	if s.rejectedAfter >= longQueueWait ||
+		s.rejectedAfter >= shortQueueWait && failures >= failuresUntilOverload-1 {
 		s.longestRejection = max(s.longestRejection, s.rejectedAfter)
 		return true
 	}
@@ -102,17 +116,17 @@
 func (s *pollScheduler) nextPollDelay() time.Duration {
 	s.failedPolls++
 	immediate := s.rejectedAfter < shortQueueWait
-	if immediate && !s.lastRejected { // discovery is down: its queue is gone
+	if immediate && !s.lastRejected { // the connection failed: discovery is down and has no queue
 		s.failedPolls, s.queueTimeouts = min(s.failedPolls, maxPollsCountedDown), 0
 	}
-	if immediate && s.queueTimeouts == 0 { // the call took no service time
+	if immediate && s.queueTimeouts == 0 { // the call was never queued and took no service time
 		if s.failedPolls == 1 {
 			return s.randomDelay(minPollPeriod)
 		}
 		return minPollPeriod - s.rejectedAfter
 	}
 	if s.failedPolls > 1 && s.rejectedAfter >= shortQueueWait && s.rejectedAfter < longQueueWait {
-		// It was served in time and failed: the queue is short.
+		// The call was served in time and failed: the queue is short.
 		s.failedPolls, s.queueTimeouts = 1, 0
 		return s.randomDelay(minPollPeriod)
 	}
@@ -123,38 +137,40 @@
 func (s *pollScheduler) delayAfterQueueTimeout() time.Duration {
 	first := s.queueTimeouts == 0
 	if s.queueTimeouts++; first {
-		s.queueTimeouts = s.failedPolls // those that failed immediately count too
+		s.queueTimeouts = s.failedPolls // polls that failed immediately count too
 	}
 	period := s.basePollPeriod()
 	backedOff := s.backedOffPeriod(period)
 	switch {
-	case s.failedPolls == 1: // the whole fleet polled at once
+	case s.failedPolls == 1: // the whole fleet polled at the same time
 		return s.queueDrainTime() + s.randomDelay(period)
-	case first: // polls were spread over a period: the queue drains soon
+	case first: // polls were spread over a period, so the queue drains soon
 		return s.randomDelay(max(period-s.rejectedAfter, 0))
-	case backedOff > period: // a new random point: polls must not gather in a part of the longer period
+	case backedOff > period: // at a new random point, so that polls spread over the whole longer period
 		return backedOff*3/4 + s.randomDelay(backedOff/2) - s.rejectedAfter
 	}
 	return max(period-s.rejectedAfter, 0)
 }
 
-// queueDrainTime returns the time in which discovery serves the calls that have timed out.
+// queueDrainTime returns the time in which discovery serves the queued calls that have timed out.
 func (s *pollScheduler) queueDrainTime() time.Duration {
 	return min(maxQueueDrain, max(minQueueDrain, s.queueTime(serviceTime)))
 }
 
-// basePollPeriod returns the period in which each caller polls once and all are served, the last after W.
+// basePollPeriod returns the period in which each caller polls once and all are served, the last one after a
+// wait of W.
 func (s *pollScheduler) basePollPeriod() time.Duration {
 	smallFleet := min(max(maxWaitPlusPeriod-s.longestRejection, minPollPeriod), maxSmallFleetPeriod)
 	wholeFleet := s.queueTime(serviceTime) - queueAtPeriodEnd
 	if !s.synced {
-		wholeFleet = min(wholeFleet, maxUnsyncedBasePeriod) // its period grows soon
+		wholeFleet = min(wholeFleet, maxUnsyncedBasePeriod) // the period grows soon by backing off
 	}
 	return max(smallFleet, wholeFleet)
 }
 
-// backedOffPeriod returns the period after the timeouts so far. A client without any list competes with a starting fleet,
-// so its period grows soon. One whose watch ended may be behind an outage and should be served soon after it.
+// backedOffPeriod returns the period after the timeouts so far. A client that has no list yet competes with a
+// starting fleet, so its period grows early. A client that had one may be waiting for the end of an outage,
+// and should be served soon after it.
 func (s *pollScheduler) backedOffPeriod(period time.Duration) time.Duration {
 	doublings, callTime := s.queueTimeouts-timeoutsUntilBackoff, serviceTimeInRelease
 	if !s.synced {
@@ -176,7 +192,7 @@
 	return time.Duration(callers) * callTime
 }
 
-// retryBackoff returns the pause after some consecutive failures, at least one.
+// retryBackoff returns the pause after a number of consecutive failures, at least one.
 func (s *pollScheduler) retryBackoff(failures int) time.Duration {
 	limit := maxBackoff
 	if s.agent {
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -13,38 +13,42 @@
 	"merlinpick/internal/failover"
 )
 
-// Package failover decides which member is called, when, and which versions are accepted. What a new epoch of versions
-// lacks was not removed by anybody: such endpoints are retained for missingRetention, in which those that live register
-// again. So an older snapshot that was restored by mistake removes no endpoint at once.
+// Package failover decides which member is called, when, and which versions are accepted. Endpoints that a
+// new epoch of versions lacks were not removed by anybody, so they are retained for missingRetention, in
+// which those that are alive register again. A snapshot that is older than intended, restored by mistake,
+// thus removes no endpoint at once.
 const (
-	// LongPollTimeout is how long a member may hold a watch.
+	// LongPollTimeout is the longest time for which a member may hold a watch.
 	LongPollTimeout = 4 * time.Second
-	// FailoverJitter is the time over which the callers of a failed member spread their calls to others.
+	// FailoverJitter is the time over which the callers of a failed member spread their calls to other
+	// members.
 	FailoverJitter = failover.Jitter
 
 	registryWatchSlack  = 1500 * time.Millisecond // after the hold, until a watch counts as timed out
-	registryCallTimeout = 3 * time.Second         // of a call that need not wait for a change
+	registryCallTimeout = 3 * time.Second         // of a call that does not wait for a change
 	maxRegistryBackoff  = 5 * time.Second
 	epochWait           = failover.EpochWait
 	missingRetention    = 30 * time.Second
 )
 
-// epochMismatchError is an answer with changes of another epoch than that of the list held. The full list is requested.
+// epochMismatchError means that an answer has changes of another epoch than the held list. The client then
+// requests the full list.
 type epochMismatchError struct{ held, received string }
 
 func (e *epochMismatchError) Error() string {
-	return fmt.Sprintf("changes of epoch %q do not apply to a list of epoch %q; the full list is requested", e.received, e.held)
+	return fmt.Sprintf("changes of epoch %q do not apply to a list of epoch %q; the full list is requested",
+		e.received, e.held)
 }
 
-// registryState is what a client knows of the registry's list. Only Run's goroutine uses it.
+// registryState is what a client knows of the registry's list. It is used by Run's goroutine only.
 type registryState struct {
 	accepted      failover.AcceptedVersion
 	endpoints     map[string]Endpoint  // by name; nil: no list yet
-	missingSince  map[string]time.Time // retained endpoints by name
+	missingSince  map[string]time.Time // retained endpoints, by name: when they were first missing
 	sourceChanged bool                 // since the last full list: any epoch is accepted
 }
 
-// replaceEndpoints replaces the list held by a full one.
+// replaceEndpoints replaces the held list by a full one.
 func (s *registryState) replaceEndpoints(list *List) {
 	s.accepted = failover.AcceptedVersion{Epoch: list.Epoch, Version: list.Version, ConfirmedAt: time.Now()}
 	s.endpoints = map[string]Endpoint{}
@@ -53,7 +57,7 @@
 	}
 }
 
-// followRegistry follows the list at the registry's members until the context ends.
+// followRegistry follows the registry's list until the context ends, failing over between its members.
 func (c *Client) followRegistry(ctx context.Context) {
 	ring := failover.NewRing(c.source.Members, c.randomness, maxRegistryBackoff)
 	full := true // the next call requests the full list
@@ -79,7 +83,7 @@
 		}
 		c.failures.Add(1)
 		if list != nil && !errors.Is(err, failover.ErrStaleVersion) {
-			full = true // these changes do not apply to the list held
+			full = true // the changes do not apply to the held list
 		}
 		failure := ring.LogFailure(c.log, "endpoint list call failed", err)
 		if failure.FailedOver {
@@ -90,7 +94,7 @@
 	}
 }
 
-// callMember requests the full list of a member, or watches for changes after the version held.
+// callMember requests the full list from a member, or watches for changes since the held version.
 func (c *Client) callMember(ctx context.Context, member string, full bool) (*List, error) {
 	target, timeout := "http://"+member+listPath, registryCallTimeout
 	if !full && c.registry.endpoints != nil {
@@ -102,7 +106,7 @@
 	return c.fetch(ctx, target, timeout)
 }
 
-// accept publishes what is new in an answer, or returns why the answer is discarded.
+// accept publishes what is new in an answer, or returns an error that says why the answer is discarded.
 func (c *Client) accept(list *List, now time.Time) error {
 	state := &c.registry
 	first := state.endpoints == nil
@@ -123,7 +127,8 @@
 		return nil
 	}
 	complete := *list
-	complete.Endpoints = c.retainMissing(list, now, !first && (list.Epoch != state.accepted.Epoch || state.sourceChanged))
+	complete.Endpoints = c.retainMissing(list, now,
+		!first && (list.Epoch != state.accepted.Epoch || state.sourceChanged))
 	state.sourceChanged = false
 	state.replaceEndpoints(&complete)
 	c.retained.Store(int64(len(state.missingSince)))
@@ -132,8 +137,9 @@
 	return nil
 }
 
-// retainMissing returns the endpoints of a full list, and after them those held that it lacks and that are retained: all of
-// them if the list is of another epoch, else those that were retained before.
+// retainMissing returns the endpoints of a full list, followed by the retained ones: held endpoints that the
+// list lacks. If the list is of another epoch all of those are retained, otherwise only those that were
+// retained before.
 func (c *Client) retainMissing(list *List, now time.Time, otherEpoch bool) []Endpoint {
 	state := &c.registry
 	endpoints := slices.Clone(list.Endpoints)
@@ -147,7 +153,7 @@
 		if listed[name] || !otherEpoch && !retained {
 			continue
 		}
-		if !retained { // the times of several epochs do not add up
+		if !retained { // the retention time does not start again with each further epoch
 			since = now
 		}
 		missing[name] = since
@@ -162,7 +168,7 @@
 	return endpoints
 }
 
-// applyChanges applies and publishes changes of the list held.
+// applyChanges applies changes to the held list and publishes them.
 func (c *Client) applyChanges(changes *List) {
 	state := &c.registry
 	state.accepted.Version = changes.Version
@@ -182,7 +188,7 @@
 	c.publish(Update{changes})
 }
 
-// expireMissing removes the endpoints that were retained for missingRetention.
+// expireMissing removes the endpoints that have been retained for missingRetention.
 func (c *Client) expireMissing(now time.Time) {
 	state := &c.registry
 	var expired []Endpoint
@@ -192,12 +198,14 @@
 		}
 	}
 	if len(expired) > 0 {
-		c.log.Warn("retained endpoints expired", "endpoints", len(expired), "epoch", state.accepted.Epoch)
-		c.applyChanges(&List{Version: state.accepted.Version, Epoch: state.accepted.Epoch, Endpoints: expired})
+		c.log.Warn("removed endpoints retained since an epoch change",
+			"endpoints", len(expired), "epoch", state.accepted.Epoch)
+		c.applyChanges(&List{Version: state.accepted.Version, Epoch: state.accepted.Epoch,
+			Endpoints: expired})
 	}
 }
 
-// saveCache has the list held written to the state directory.
+// saveCache passes the held list to the writer of the cache, if there is one.
 func (c *Client) saveCache() {
 	if c.cache == nil {
 		return
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,9 +1,9 @@
-// Package listener wraps a net.Listener so that Accept survives temporary errors. It never closes a listener by itself
-// and knows nothing of what is served.
+// Package listener wraps a net.Listener so that Accept survives temporary errors. It never closes a listener
+// by itself and does not depend on what is served.
 //
-// accept(2) returns network errors that are pending on the new connection and asks callers to treat them like EAGAIN; a
-// shortage of descriptors or memory passes too. net/http's server retries only some of these, with pauses of up to a
-// second, and ends at the others.
+// accept(2) returns network errors that are pending on the new connection, and its callers are expected to
+// treat them like EAGAIN and retry. A shortage of file descriptors or memory is temporary too. The server of
+// net/http retries only some of these errors, with pauses of up to a second, and stops at the others.
 package listener
 
 import (
@@ -17,14 +17,14 @@
 
 const (
 	minBackoff  = time.Millisecond
-	maxBackoff  = 20 * time.Millisecond // a client in the accept queue waits no longer for the next attempt
+	maxBackoff  = 20 * time.Millisecond // longest wait of a client in the accept queue until the next attempt
 	logInterval = time.Second
 )
 
-// permanentErrors are those of a listener that is closed or invalid: no later call succeeds.
+// permanentErrors are the errors of a listener that is closed or invalid, after which no later call succeeds.
 var permanentErrors = []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
-// IsPermanent reports whether no later call of Accept can succeed after an error.
+// IsPermanent reports whether err means that no later call of Accept can succeed.
 func IsPermanent(err error) bool {
 	for _, permanent := range permanentErrors {
 		if errors.Is(err, permanent) {
@@ -34,22 +34,22 @@
 	return false
 }
 
-// Retrier computes the backoff after failed calls of Accept. It is not safe for concurrent use.
+// Retrier waits and logs after failed calls of Accept. It is not safe for concurrent use.
 type Retrier struct {
 	log      *slog.Logger
 	backoff  time.Duration
-	failures int // since the last log line
+	failures int // failed calls since the last log line
 	loggedAt time.Time
 }
 
-// NewRetrier returns a Retrier that logs failed calls at most once per second.
+// NewRetrier returns a Retrier that logs at most once per second.
 func NewRetrier(log *slog.Logger) *Retrier { return &Retrier{log: log} }
 
-// Succeeded resets the backoff.
+// Succeeded resets the backoff after a call that succeeded.
 func (r *Retrier) Succeeded() { r.backoff = 0 }
 
-// Failed waits before the next attempt, until stop is closed at the latest. It returns nil if Accept is to be called
-// again, err if that is permanent, and net.ErrClosed after stop.
+// Failed waits before the next call of Accept, until stop is closed at the latest. It returns nil if Accept
+// is to be called again, err if that is permanent, and net.ErrClosed if stop was closed.
 func (r *Retrier) Failed(err error, stop <-chan struct{}) error {
 	if IsPermanent(err) {
 		return err
@@ -76,16 +76,16 @@
 	stop     chan struct{}
 	stopOnce sync.Once
 
-	mu      sync.Mutex // held by one call of Accept at a time
+	mu      sync.Mutex // serializes Accept
 	retrier *Retrier
 }
 
-// Retry wraps a listener.
+// Retry returns a Listener that wraps l and retries after temporary errors of Accept.
 func Retry(l net.Listener, log *slog.Logger) *Listener {
 	return &Listener{Listener: l, stop: make(chan struct{}), retrier: NewRetrier(log)}
 }
 
-// Accept waits for the next connection. The error is permanent (IsPermanent).
+// Accept waits for the next connection. It returns permanent errors only (IsPermanent).
 func (l *Listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// Close closes the listener and ends a call of Accept that waits.
+// Close closes the listener and ends a call of Accept that is waiting.
 func (l *Listener) Close() error {
 	l.stopOnce.Do(func() { close(l.stop) })
 	return l.Listener.Close()
--- a/internal/override/calls.go
+++ b/internal/override/calls.go
@@ -7,15 +7,18 @@
 	"time"
 )
 
-// SuspendServer takes a server out of service until ResumeServer, here or in another process with the same directory. It
-// returns once that is stored and in effect. Its errors are *UnknownServerError, *StoreError, *StoreTimeoutError,
-// *NotAppliedError and those of Config.Notify; after any but the first the call may be repeated.
+// SuspendServer takes a server out of service until ResumeServer is called, here or in another process that
+// uses the same directory. It returns once the override is stored and in effect. It returns an
+// *UnknownServerError, *StoreError, *StoreTimeoutError, *NotAppliedError or an error of Config.Notify. After
+// any of them but the first the call may be repeated.
 func (o *Overrides) SuspendServer(server string) error { return o.changeServer(server, true) }
 
-// ResumeServer ends that, with the same errors. A remote override of the server stays until SetRemote removes it.
+// ResumeServer returns a server to service, with the same errors as SuspendServer. A remote override of the
+// server stays in effect until SetRemote removes it.
 func (o *Overrides) ResumeServer(server string) error { return o.changeServer(server, false) }
 
-// ClearLocal removes the stored override of a server that other proxies have resumed, without notifying them.
+// ClearLocal removes the stored override of a server that other proxies have resumed. It does not notify
+// them.
 func (o *Overrides) ClearLocal(server string) error {
 	if !o.store.has(server) {
 		return nil
@@ -26,7 +29,8 @@
 	return o.reload()
 }
 
-// changeServer rejects calls for servers that no list has named and that are not suspended.
+// changeServer suspends or resumes a server. It rejects servers that no list has named and that are not
+// suspended.
 func (o *Overrides) changeServer(server string, suspended bool) error {
 	if _, zone := zoneOfKey(server); zone || !o.cfg.KnownServers.Has(server) && !o.isSet(server) {
 		return &UnknownServerError{server}
@@ -34,8 +38,8 @@
 	return o.change(server, suspended)
 }
 
-// DrainZone takes a zone out of service until RestoreZone, as SuspendServer does a server. Its errors are
-// *UnknownZoneError, *LastZoneError and those of SuspendServer.
+// DrainZone takes a zone out of service until RestoreZone is called, as SuspendServer does for a server. It
+// returns an *UnknownZoneError, a *LastZoneError or an error of SuspendServer.
 func (o *Overrides) DrainZone(zone string) error {
 	o.drainMu.Lock() // two concurrent calls must not drain the last two zones
 	defer o.drainMu.Unlock()
@@ -57,7 +61,7 @@
 	return o.change(ZoneKey(zone), true)
 }
 
-// RestoreZone ends that. Its errors are *UnknownZoneError and those of ResumeServer.
+// RestoreZone returns a zone to service. It returns an *UnknownZoneError or an error of ResumeServer.
 func (o *Overrides) RestoreZone(zone string) error {
 	if !o.isKnownZone(zone) {
 		return &UnknownZoneError{zone}
@@ -69,7 +73,7 @@
 	return zone != "" && (o.cfg.KnownZones != nil && o.cfg.KnownZones.Has(zone) || o.isSet(ZoneKey(zone)))
 }
 
-// change stores an override or its end, notifies others and returns once it is in effect.
+// change stores or removes an override, notifies other proxies and returns once the change is in effect.
 func (o *Overrides) change(id string, suspended bool) error {
 	write := o.store.remove
 	if suspended {
@@ -82,11 +86,12 @@
 	if o.cfg.Notify != nil {
 		notifyErr = o.cfg.Notify(id, suspended)
 	}
-	return errors.Join(notifyErr, o.reload()) // it is stored, so it takes effect here even if others were not notified
+	// The change is stored, so it takes effect here even if other proxies were not notified.
+	return errors.Join(notifyErr, o.reload())
 }
 
-// storeInTime changes the store and waits for that for storeTimeout at most. A write that takes longer continues, and Run
-// sees its result.
+// storeInTime changes the store and waits at most storeTimeout for the write. A slower write continues in the
+// background, and Run sees its result.
 func (o *Overrides) storeInTime(id string, write func(string) error) error {
 	select {
 	case o.pendingWrites <- struct{}{}:
@@ -108,7 +113,8 @@
 	}
 }
 
-// isSet reports whether a server, or a zone by its ZoneKey, is out of service here or by others.
+// isSet reports whether a server, or a zone given by its ZoneKey, is out of service by a local or remote
+// override.
 func (o *Overrides) isSet(id string) bool {
 	if o.store.has(id) {
 		return true
--- a/internal/override/names.go
+++ b/internal/override/names.go
@@ -6,19 +6,21 @@
 	"sync"
 )
 
-const maxRememberedNames = 4096 // including servers that have left the list
+const maxRememberedNames = 4096 // of a NameSet, including names that are no longer in the list
 
-// NameSet is the servers, or zones, that some endpoint list has named. It is safe for concurrent use.
+// NameSet is a bounded set of the servers, or zones, that any endpoint list has named. It is safe for
+// concurrent use.
 type NameSet struct {
 	mu       sync.Mutex
-	lastSeen map[string]int // number of the list that named it last
-	lists    int
+	lastSeen map[string]int // by name, the number of the last list that had it
+	lists    int            // number of lists added
 }
 
 // NewNameSet returns an empty set.
 func NewNameSet() *NameSet { return &NameSet{lastSeen: map[string]int{}} }
 
-// Add adds the names of one list. If there are too many, those that no list has named for the longest are removed.
+// Add adds the names of one list. If the set is then too large, it drops those that have been missing from
+// lists for longest.
 func (s *NameSet) Add(names ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +37,7 @@
 	}
 }
 
-// Has reports whether a name is in the set.
+// Has reports whether the set contains a name.
 func (s *NameSet) Has(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +45,7 @@
 	return ok
 }
 
-// All returns the names, in no order.
+// All returns the names in no particular order.
 func (s *NameSet) All() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,8 +1,9 @@
-// Package override holds the servers and zones that operators have taken out of service: those stored in the proxy's own
-// directory and those that other proxies have announced. It hands each change to the one reader of Sets, which has to stop
-// sending there. It never chooses servers itself, and takes none out without an operator's call.
+// Package override manages the servers and zones that operators have taken out of service: those stored in
+// the proxy's own directory, and those that other proxies have announced. It passes each change to the single
+// reader of Sets, which must then stop sending requests there. It never chooses servers itself, and takes
+// none out of service without an operator's call.
 //
-// One goroutine, Run, follows the directory; calls may come from any goroutine.
+// The goroutine in Run follows the directory. Operators' calls may come from any goroutine.
 package override
 
 import (
@@ -14,59 +15,62 @@
 	"time"
 )
 
-// An operator's call has to be answered and to take effect within 1 s: the protocol's bound for any deployment.
+// An operator's call must be answered and take effect within 1 s, the protocol's bound for any deployment.
 const (
-	pollInterval     = 200 * time.Millisecond // of the directory, which another process of this proxy may have changed
+	// pollInterval is how often the directory is read: another process of this proxy may have changed it.
+	pollInterval     = 200 * time.Millisecond
 	applyTimeout     = 800 * time.Millisecond // for a set to be acknowledged
 	storeTimeout     = 800 * time.Millisecond // for a change to be stored
-	maxPendingWrites = 16                     // that a slow disk may hold up
+	maxPendingWrites = 16                     // writes in progress on a slow disk; further calls fail
 )
 
 // Config is the configuration of Overrides.
 type Config struct {
-	Dir          string          // where overrides are stored; it has to exist
-	KnownServers *NameSet        // that may be suspended
-	KnownZones   *NameSet        // that may be drained; nil: none
-	Stopped      <-chan struct{} // closed once no set is read any more: calls then take effect at once
+	Dir          string          // directory of the stored overrides; it must exist
+	KnownServers *NameSet        // servers that may be suspended
+	KnownZones   *NameSet        // zones that may be drained; nil: none
+	Stopped      <-chan struct{} // closed when sets are no longer read: calls then return at once
 	Logger       *slog.Logger
 
-	// ServingZones returns the zones that have servers to send to. It is needed with KnownZones, has to be safe for
-	// concurrent use, and its result is not changed.
+	// ServingZones returns the zones with servers that accept requests. It is required with KnownZones and
+	// must be safe for concurrent use. The result is not modified.
 	ServingZones func() map[string]bool
 
-	// Notify is called with each override that was stored, before it takes effect; a zone is given by its ZoneKey. It may
-	// call SetRemote, which then takes effect with it. Its error becomes that of the operator's call. It has to be safe for
-	// concurrent use. nil: nobody is notified.
+	// Notify is called after each override is stored or removed, before the change takes effect. A zone is
+	// given by its ZoneKey. Notify may call SetRemote, which then takes effect at the same time. Its error is
+	// returned from the operator's call. It must be safe for concurrent use. nil: no notification.
 	Notify func(id string, suspended bool) error
 }
 
-// Set is a complete set of servers, and zones by ZoneKey, that are out of service. Its reader must not change it.
+// Set is the complete set of servers, and zones by ZoneKey, that are out of service. The reader must not
+// modify it.
 type Set struct {
 	IDs          map[string]bool
 	acknowledged chan struct{}
 }
 
-// Acknowledge confirms that this set is in effect. It has to be called once for each set.
+// Acknowledge confirms that this set is in effect. It must be called exactly once for each set.
 func (s Set) Acknowledge() { close(s.acknowledged) }
 
-// Overrides are the servers and zones that are out of service.
+// Overrides manages the servers and zones that are out of service.
 type Overrides struct {
 	cfg           Config
 	store         store
 	sets          chan Set
-	pendingWrites chan struct{} // one value for each
-	wake          chan struct{} // holds a value if Run has to read the directory before its interval
+	pendingWrites chan struct{} // semaphore: one value for each write in progress
+	wake          chan struct{} // holds a value if Run must reload before the next poll
 
-	mu     sync.Mutex      // one read of the store at a time, delivered in order
-	stored map[string]bool // as read last
+	mu     sync.Mutex      // serializes reads of the store, so that sets are delivered in order
+	stored map[string]bool // result of the last read
 
-	drainMu sync.Mutex // one call of DrainZone at a time
+	drainMu sync.Mutex // serializes DrainZone
 
 	remoteMu sync.Mutex
-	remote   map[string]bool // replaced, never changed
+	remote   map[string]bool // never modified, only replaced
 }
 
-// Open reads the stored overrides. Current has to be in effect before anything is sent; Run follows changes.
+// Open reads the stored overrides. The caller must apply Current before it sends any request, and call Run to
+// follow changes.
 func Open(cfg Config) (*Overrides, error) {
 	o := &Overrides{cfg: cfg, store: store{dir: cfg.Dir}, sets: make(chan Set), wake: make(chan struct{}, 1),
 		pendingWrites: make(chan struct{}, maxPendingWrites)}
@@ -77,18 +81,18 @@
 	return o, nil
 }
 
-// Sets returns the channel of complete sets, one for each time that it may have changed.
+// Sets returns the channel of complete sets. A set is sent whenever it may have changed.
 func (o *Overrides) Sets() <-chan Set { return o.sets }
 
-// Current returns the set that has to be in effect now. It waits for one that is being delivered, so the reader of Sets must
-// not call it.
+// Current returns the set that must be in effect now. It waits while a set is being delivered, so the reader
+// of Sets must not call it.
 func (o *Overrides) Current() map[string]bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.withRemote(o.stored)
 }
 
-// withRemote returns the union of stored and remote overrides.
+// withRemote returns the union of the stored and remote overrides.
 func (o *Overrides) withRemote(stored map[string]bool) map[string]bool {
 	ids := maps.Clone(stored)
 	o.remoteMu.Lock()
@@ -97,8 +101,8 @@
 	return ids
 }
 
-// SetRemote replaces the overrides that other proxies have announced. It does not wait: Run delivers the union. The reader
-// of Sets may call it.
+// SetRemote replaces the overrides that other proxies have announced. It does not wait: Run delivers the new
+// union. The reader of Sets may call it.
 func (o *Overrides) SetRemote(ids map[string]bool) {
 	remote := maps.Clone(ids)
 	maps.DeleteFunc(remote, func(_ string, suspended bool) bool { return !suspended })
@@ -127,14 +131,15 @@
 			return
 		}
 		err := o.reload()
-		if err != nil && !failing { // once, not at each poll
-			o.cfg.Logger.Error("overrides not updated", "error", err)
+		if err != nil && !failing { // log once, not at every poll
+			o.cfg.Logger.Error("failed to update the set of suspended servers and zones", "error", err)
 		}
 		failing = err != nil
 	}
 }
 
-// reload reads the store and returns once the union is in effect. If the store cannot be read its part stays unchanged.
+// reload reads the store and returns once the union with the remote overrides is in effect. If the store
+// cannot be read, the previous result is used for its part.
 func (o *Overrides) reload() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -145,7 +150,8 @@
 	return errors.Join(err, o.deliver(o.withRemote(o.stored)))
 }
 
-// deliver sends a set to its reader and returns once it is acknowledged, or a *NotAppliedError.
+// deliver sends a set to the reader and returns once it is acknowledged, or a *NotAppliedError after
+// applyTimeout.
 func (o *Overrides) deliver(ids map[string]bool) error {
 	set := Set{ids, make(chan struct{})}
 	timeout := time.NewTimer(applyTimeout)
--- a/internal/override/store.go
+++ b/internal/override/store.go
@@ -9,18 +9,18 @@
 	"strings"
 )
 
-// Prefixes of file names. The name of a server or zone follows, escaped as in the path of a URL.
+// Prefixes of file names. The name of the server or zone follows, escaped as a URL path segment.
 const (
 	serverPrefix = "ban-"
-	zonePrefix   = "zone-" // not read by older builds
+	zonePrefix   = "zone-" // ignored by older builds
 )
 
-// store keeps overrides in a directory, one empty file for each server or zone. Each read goes to the directory, since
-// another process may change it; a file is created or removed in one step, so processes do not lose each other's changes.
-// All errors are *StoreError.
+// store keeps overrides in a directory, with one empty file for each server or zone. Every read goes to the
+// directory, since another process may change it. Files are created and removed atomically, so processes do
+// not lose each other's changes. All errors are *StoreError.
 type store struct {
 	dir   string
-	delay func() // of a slow disk, in tests; else nil
+	delay func() // simulates a slow disk in tests; otherwise nil
 }
 
 func (s store) path(id string) string {
@@ -46,7 +46,7 @@
 	return storeError(StoreOpRemove, s.path(id), err)
 }
 
-// sync makes a change of the directory durable.
+// sync makes changes of the directory durable.
 func (s store) sync() error {
 	if s.delay != nil {
 		s.delay()
@@ -63,7 +63,7 @@
 	return err == nil
 }
 
-// load returns the stored ids. Files with other names are ignored.
+// load returns the stored IDs. Files with other names are ignored.
 func (s store) load() (map[string]bool, error) {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return ids, nil
 }
 
-// idOfFile returns the id that a file stands for, if any.
+// idOfFile returns the ID that a file name stands for, if any.
 func idOfFile(name string) (id string, ok bool) {
 	if escaped, found := strings.CutPrefix(name, serverPrefix); found {
 		id, err := url.PathUnescape(escaped)
--- a/internal/rollout/cache.go
+++ b/internal/rollout/cache.go
@@ -15,11 +15,12 @@
 const (
 	cacheFile     = "config"
 	cacheKind     = "proxy-config"
-	maxCacheBytes = maxResponseBytes + 1<<10 // with the file's header
-	damagedSuffix = ".damaged"               // of a damaged file that was renamed
+	maxCacheBytes = maxResponseBytes + 1<<10 // the document and the header of the file
+	damagedSuffix = ".damaged"               // added to the name of a damaged file
 )
 
-// CachedConfig is the configuration that was applied when a process ended. Its tags are those of the file.
+// CachedConfig is the configuration that was applied when a process ended. The tags are the field names in
+// the file.
 type CachedConfig struct {
 	Service  string          `json:"service"`
 	Epoch    string          `json:"line"`
@@ -30,7 +31,7 @@
 func (c *CachedConfig) encode() []byte {
 	text, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // strings, and a document that was decoded from JSON
+		panic(err) // cannot happen: strings, and a document that was decoded from JSON
 	}
 	return text
 }
@@ -39,9 +40,9 @@
 	return atomicfile.NewWriter(dir, cacheFile, cacheKind, "applied configuration", logger)
 }
 
-// LoadCached returns the configuration of a service that a former process cached in a state directory; nil if there is
-// none. A damaged file is renamed, so that the next start does not read it, and is an error that wraps
-// atomicfile.ErrDamaged.
+// LoadCached returns the configuration of a service that a previous process cached in a state directory, or
+// nil if there is none. A damaged file is renamed, so that the next start does not read it; the error then
+// wraps atomicfile.ErrDamaged.
 func LoadCached(dir, service string) (*CachedConfig, error) {
 	path := filepath.Join(dir, cacheFile)
 	cached, err := readCache(path)
@@ -50,7 +51,9 @@
 	}
 	if errors.Is(err, atomicfile.ErrDamaged) {
 		renamed := path + damagedSuffix
-		err = errors.Join(fmt.Errorf("cached configuration %s: %w; it is renamed to %s", path, err, filepath.Base(renamed)),
+		err = errors.Join(
+			fmt.Errorf("cached configuration %s: %w; the file is renamed to %s",
+				path, err, filepath.Base(renamed)),
 			os.Rename(path, renamed))
 	}
 	if err != nil {
--- a/internal/rollout/call.go
+++ b/internal/rollout/call.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// response is a member's answer. Its tags map the protocol's names.
+// response is the answer of a registry member. The tags are the field names of the protocol.
 type response struct {
 	Service  string          `json:"service"`
 	Epoch    string          `json:"line"`
@@ -20,23 +20,24 @@
 	Document json.RawMessage `json:"document"`
 }
 
-// malformedAnswerError is an answer that is not one in a known form, or not of this service.
+// malformedAnswerError means that an answer is not in a known format, or is not for the client's service.
 type malformedAnswerError struct{ err error }
 
 func (e *malformedAnswerError) Error() string { return "malformed answer: " + e.err.Error() }
 func (e *malformedAnswerError) Unwrap() error { return e.err }
 
-// statusError is an answer with a status other than 200.
+// statusError means that a member answered with a status other than 200.
 type statusError struct {
 	status string
 	body   []byte
 }
 
 func (e *statusError) Error() string {
-	return fmt.Sprintf("member answered %s: %.200s", e.status, e.body)
+	return fmt.Sprintf("registry member answered with status %s: %.200s", e.status, e.body)
 }
 
-// call requests what is newer than the accepted version, to be held for hold at most, and reports what is applied.
+// call requests a configuration newer than the accepted version and reports to the member which version is
+// applied. The member may hold the call for hold.
 func (c *Client) call(ctx context.Context, member string, hold, timeout time.Duration) (*response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -60,7 +61,7 @@
 	return c.decode(body)
 }
 
-// query returns the parameters of a call.
+// query returns the query parameters of a call.
 func (c *Client) query(hold time.Duration) url.Values {
 	query := url.Values{
 		"from":    {strconv.FormatInt(c.accepted.Version, 10)},
@@ -89,7 +90,8 @@
 		return nil, &malformedAnswerError{err}
 	}
 	if answer.Version == nil || *answer.Version < 0 || answer.Epoch == "" || answer.Service != c.cfg.Service {
-		return nil, &malformedAnswerError{errors.New("version or line is missing, or the service is another one")}
+		return nil, &malformedAnswerError{
+			errors.New("version or line is missing, or the answer is for another service")}
 	}
 	return &answer, nil
 }
