--- a/internal/atomicfile/writer_test.go
+++ b/internal/atomicfile/writer_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A text whose write failed is written once the disk works, though nothing newer has come.
+// A text whose write failed is written once the disk works again, even without a newer text.
 func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	synctest.Test(t, func(t *testing.T) {
@@ -27,7 +27,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		if body, err := ReadFile(filepath.Join(dir, "list"), "kind", 100); err != nil || string(body) != "newest" {
-			t.Errorf("got %q, %v", body, err)
+			t.Errorf("file contains %q, %v", body, err)
 		}
 		stop()
 		ended()
@@ -54,13 +54,13 @@
 		stop()
 		ended()
 		if body, err := ReadFile(filepath.Join(dir, "list"), "kind", 100); err != nil || string(body) != "newer" {
-			t.Errorf("got %q, %v", body, err)
+			t.Errorf("file contains %q, %v", body, err)
 		}
 	})
 }
 
-// A process that ends between the write of a file and its rename leaves a temporary file; the next start removes it, and no
-// other file.
+// A process that is killed between the write of a file and its rename leaves a temporary file. The next start
+// removes it, and no other file.
 func TestTemporaryFilesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"list.123.new", "list.9.new", "list", "other.1.new"} {
@@ -74,6 +74,6 @@
 	ended()
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
 	if err != nil || len(left) != 2 || filepath.Base(left[0]) != "list" || filepath.Base(left[1]) != "other.1.new" {
-		t.Errorf("left %v, %v", left, err)
+		t.Errorf("remaining files %v, %v", left, err)
 	}
 }
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// A local agent answers nothing while it is down, nor later the calls that it accepted meanwhile. What it has when it is back
-// counts as known at once: a client has to receive it within the shortest drain grace, 0.5 s.
+// After an outage of a local agent, a client must receive the agent's list within the shortest drain grace,
+// 0.5 s, since that list counts as known at once. The agent never answers the calls that it accepted during
+// the outage.
 func TestAgentIsHeardSoonAfterOutage(t *testing.T) {
 	const least = 500 * time.Millisecond
 	for _, deaf := range []time.Duration{700 * time.Millisecond, 1900 * time.Millisecond, 3 * time.Second, 5300 * time.Millisecond,
@@ -33,11 +34,11 @@
 				var heard time.Duration
 				for back := 2*time.Second + deaf; heard < back; {
 					<-c.Updates()
-					time.Sleep(20 * time.Millisecond) // a watch is answered at once
+					time.Sleep(20 * time.Millisecond) // the fake answers every watch at once
 					heard = time.Since(began)
 				}
 				if late := heard - 2*time.Second - deaf; late > least {
-					t.Errorf("received %v after it was back", late)
+					t.Errorf("first update %v after the end of the outage", late)
 				}
 				stop()
 				synctest.Wait()
@@ -46,7 +47,7 @@
 	}
 }
 
-// A slow answer of a local agent is awaited.
+// A client waits for a local agent that takes 3 s to answer.
 func TestSlowAgentIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
@@ -64,7 +65,7 @@
 		start := time.Now()
 		<-c.Updates()
 		if took := time.Since(start); took > 4*time.Second {
-			t.Errorf("received after %v", took)
+			t.Errorf("first update after %v", took)
 		}
 		stop()
 		synctest.Wait()
--- a/internal/discovery/fakeregistry_test.go
+++ b/internal/discovery/fakeregistry_test.go
@@ -17,22 +17,25 @@
 	"time"
 )
 
-// fakeRegistry is the registry's members on the test's clock, each with a list and a fault of its own.
+// fakeRegistry simulates the registry's members on the test's virtual clock. Each member has a list and a
+// fault of its own.
 type fakeRegistry struct {
 	mu           sync.Mutex
 	members      map[string]*fakeMember
 	changed      chan struct{}
-	calls        []time.Duration // times since the start
+	calls        []time.Duration // times of the calls, since the start
 	start        time.Time
-	lastAnswered string // the member that answered last, as of the last call of set
+	lastAnswered string // the healthy member called last before the last set
 }
+
+// fakeMember is the state of one member of a fakeRegistry.
 type fakeMember struct {
 	epoch       string
 	version     int64
 	names       []string
-	oldestKnown int64 // changes before this version are not known: the answer is a full list
-	state       string
-	lastCall    int // number of its last call
+	oldestKnown int64  // calls for the changes since an older version get a full list
+	state       string // its fault; empty: none
+	lastCall    int    // number of the last call to it
 }
 
 func newFakeRegistry(line string, index int64, names ...string) *fakeRegistry {
@@ -43,7 +46,7 @@
 	return registry
 }
 
-// set changes members and ends the watches.
+// set changes the members and wakes their watches.
 func (f *fakeRegistry) set(do func(name string, m *fakeMember)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,6 +63,8 @@
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
+
+// RoundTrip answers a call as the member would that the request is sent to.
 func (f *fakeRegistry) RoundTrip(r *http.Request) (*http.Response, error) {
 	q := r.URL.Query()
 	hold, _ := strconv.Atoi(q.Get("hold_ms"))
@@ -82,9 +87,9 @@
 		case m.state == "silent":
 			<-r.Context().Done()
 			return nil, r.Context().Err()
-		case m.state == "lost":
+		case m.state == "unavailable":
 			return answer(http.StatusServiceUnavailable, `{"error":"lost"}`)
-		case m.state == "garbled":
+		case m.state == "malformed":
 			return answer(http.StatusOK, `{"index":9`)
 		case !q.Has("from") || q.Get("line") != m.epoch || from < min(m.oldestKnown, m.version) || from > m.version:
 			return answer(http.StatusOK, encodeList(m, true, m.names))
@@ -102,6 +107,7 @@
 		}
 	}
 }
+
 func encodeList(m fakeMember, full bool, names []string) string {
 	var b strings.Builder
 	for i, n := range names {
@@ -113,17 +119,19 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"line":%q,"endpoints":[%s]}`, m.version, full, m.epoch, b.String())
 }
 
-// recordedList is the list as a reader of the client's updates has it.
+// recordedList is the list that results from a client's updates.
 type recordedList struct {
 	mu    sync.Mutex
 	names map[string]bool
 	recordedState
 }
+
+// recordedState is the state of a recordedList after its last update.
 type recordedState struct {
 	version int64
-	at      time.Duration // of the last update, since the start
+	at      time.Duration // time of the last update, since the start
 	updates int
-	list    string // names, sorted
+	list    string // sorted names, separated by spaces
 }
 
 func (r *recordedList) current() recordedState {
@@ -141,7 +149,7 @@
 	return slices.Clone(f.calls)
 }
 
-// client runs a client of the registry in the test's bubble.
+// client runs a client of the registry until the test ends.
 func (f *fakeRegistry) client(t *testing.T, seed uint64, known *List) (*Client, *recordedList) {
 	c := New(Config{Source: Source{Members: []string{"m1", "m2", "m3"}}, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	c.http.Transport = f
@@ -184,4 +192,6 @@
 func bubble(t *testing.T, name string, f func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
 }
+
+// sleep advances the virtual clock and waits until all goroutines are blocked.
 func sleep(d time.Duration) { time.Sleep(d); synctest.Wait() }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -19,14 +19,14 @@
 	"time"
 )
 
-// Hashes of what clients do on a virtual clock: method, URL and time of each call, time and contents of each update, and the
-// metrics at the end. A client with other pauses, calls or decisions has another hash.
+// Hashes of what clients do on a virtual clock: method, URL and time of each call, time and contents of each
+// update, and the metrics at the end. They change if a client makes other calls, pauses or decisions.
 const (
 	goldenPlatformCalls = "bc7ef0b0243e943b"
 	goldenMemberCalls   = "40b3f716a41ef52e"
 )
 
-// transcript records what a client does.
+// transcript records the calls and updates of a client.
 type transcript struct {
 	mu    sync.Mutex
 	start time.Time
@@ -50,7 +50,8 @@
 	s.lists = append(s.lists, line)
 }
 
-// play runs a client against a scripted server for some virtual time and returns what it did. Its source changes at moveAt.
+// play runs a client against a scripted server for some virtual time and returns what it did. The source
+// changes to moveTo at moveAt.
 func play(t *testing.T, cfg Config, known *List, answer func(age time.Duration, r *http.Request) (*http.Response, error),
 	length, moveAt time.Duration, moveTo Source) (calls, lists []string, counts string) {
 	t.Helper()
@@ -94,7 +95,7 @@
 	return calls, lists, counts
 }
 
-// pausing answers after some time, unless the call's context ends before.
+// pausing calls answer after d, unless the call's context ends first.
 func pausing(r *http.Request, d time.Duration, answer func() (*http.Response, error)) (*http.Response, error) {
 	select {
 	case <-time.After(d):
@@ -108,13 +109,14 @@
 	return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 }
 
-// holdOf returns how long a call may be held, and the version from which it continues.
+// holdOf returns how long a call may be held, and the version since which it requests changes.
 func holdOf(r *http.Request) (hold time.Duration, from string) {
 	hold, _ = time.ParseDuration(r.URL.Query().Get("hold_ms") + "ms")
 	return hold, r.URL.Query().Get("from")
 }
 
-// platformAnswer is the platform's discovery: a change every 1.7 s, and a fault in every other phase.
+// platformAnswer simulates the platform's discovery with a change every 1.7 s and a fault in every other
+// phase.
 func platformAnswer(age time.Duration, r *http.Request) (*http.Response, error) {
 	hold, from := holdOf(r)
 	list := func() (*http.Response, error) {
@@ -163,7 +165,7 @@
 	panic("after the last phase")
 }
 
-// memberAnswer is the registry: three members, each with faults at its own times, and other epochs later.
+// memberAnswer simulates three registry members, each with faults at its own times, and changes of epoch.
 func memberAnswer(age time.Duration, r *http.Request) (*http.Response, error) {
 	hold, from := holdOf(r)
 	line, version := "one", 100+int64(age/(2300*time.Millisecond))
@@ -216,6 +218,7 @@
 	return fmt.Sprintf("%x", sum.Sum(nil)[:8])
 }
 
+// Clients of the platform list make the same calls at the same times as before.
 func TestGoldenPlatformCalls(t *testing.T) {
 	var all []string
 	for seed := range uint64(4) {
@@ -227,16 +230,17 @@
 			}
 			calls, lists, counts := play(t, cfg, known, platformAnswer, 5*time.Minute, 180*time.Second, Source{Address: "127.0.0.1:2"})
 			if len(calls) < 100 || len(lists) < 50 {
-				t.Errorf("seed %d: %d calls and %d lists are too few", seed, len(calls), len(lists))
+				t.Errorf("seed %d: %d calls and %d updates are too few", seed, len(calls), len(lists))
 			}
 			all = append(all, hashOf(calls, lists, []string{counts}))
 		}
 	}
 	if got := hashOf(all); got != goldenPlatformCalls {
-		t.Errorf("the calls hash to %s, not %s", got, goldenPlatformCalls)
+		t.Errorf("hash of the calls is %s, want %s", got, goldenPlatformCalls)
 	}
 }
 
+// Clients of the registry make the same calls at the same times as before.
 func TestGoldenRegistryCalls(t *testing.T) {
 	var all []string
 	for seed := range uint64(6) {
@@ -247,16 +251,16 @@
 		}
 		calls, lists, counts := play(t, cfg, known, memberAnswer, 4*time.Minute, 200*time.Second, Source{Members: []string{"m3:1", "m2:1"}})
 		if len(calls) < 60 || len(lists) < 30 {
-			t.Errorf("seed %d: %d calls and %d lists are too few", seed, len(calls), len(lists))
+			t.Errorf("seed %d: %d calls and %d updates are too few", seed, len(calls), len(lists))
 		}
 		all = append(all, hashOf(calls, lists, []string{counts}))
 	}
 	if got := hashOf(all); got != goldenMemberCalls {
-		t.Errorf("the calls hash to %s, not %s", got, goldenMemberCalls)
+		t.Errorf("hash of the calls is %s, want %s", got, goldenMemberCalls)
 	}
 }
 
-// A list that an earlier version cached is read as it was, and written in the same bytes.
+// A list that an earlier version of the program cached is read correctly, and is written as the same bytes.
 func TestGoldenCachedList(t *testing.T) {
 	l, err := LoadCachedList(filepath.Join("testdata", "cached"))
 	if err != nil {
@@ -277,7 +281,7 @@
 		t.Fatal(err)
 	}
 	if now, err := os.ReadFile(filepath.Join(dir, "list")); err != nil || !bytes.Equal(now, before) {
-		t.Errorf("written %q, %v, want %q", now, err, before)
+		t.Errorf("wrote %q, %v, want %q", now, err, before)
 	}
 }
 
--- a/internal/discovery/listcost_test.go
+++ b/internal/discovery/listcost_test.go
@@ -19,8 +19,8 @@
 	slopesOn     = flag.String("slopes.machine", "", "machine measured on")
 )
 
-// BenchmarkSlopeList measures what a full list costs a proxy by its number of endpoints: the time to decode and accept it,
-// and the memory that it occupies.
+// BenchmarkSlopeList measures what a full list costs a proxy, by the number of endpoints: the time to decode
+// and accept it, and the memory that it occupies.
 func BenchmarkSlopeList(b *testing.B) {
 	const repeats, rounds = 5, 20
 	sizes := []float64{15, 150, 1300, 2600}
--- a/internal/discovery/notifydeadline_test.go
+++ b/internal/discovery/notifydeadline_test.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// The sums of freshness.go: with other callers' calls filling nearly all of the queue's limit, each client receives a change
-// within NotifyDeadline, less a margin, whatever fault its calls have, and makes no more calls than the fault requires. Faults
-// of a whole fleet are tested with 300 clients, whose own calls fill the queue.
+// Each client receives a change within NotifyDeadline, less a margin, whatever failure its calls have, and
+// makes no more calls than the failure requires. The cases are those of the table in freshness.go, while the
+// calls of other callers fill nearly all of discovery's queue. Failures of a whole fleet are tested with 300
+// clients, whose own calls fill the queue.
 func TestChangeArrivesWithinNotifyDeadline(t *testing.T) {
-	const deadline = 6 * time.Second // the protocol's, apart from NotifyDeadline, so that a change of that shows here
+	const deadline = 6 * time.Second // required by the protocol; independent of NotifyDeadline, so that a wrong constant fails the test
 	struck := func(what func(*heldWatch), next ...callFault) func(*serverModel) {
 		return func(model *serverModel) { model.inject(what, next...) }
 	}
@@ -23,16 +24,16 @@
 		model.mu.Lock()
 		defer model.mu.Unlock()
 		for _, c := range model.callers {
-			c.lastAnswer = time.Time{} // the other source has not answered it before
+			c.lastAnswer = time.Time{} // the new source has not answered this client before
 			c.client.SetSource(Source{Address: "127.0.0.1:2"})
 		}
 	}
-	const two, both, pushed, fleet = 1, 2, 3, 4 // W of 2 s; also of 3 s; a local agent; 300 clients
+	const two, both, pushed, fleet = 1, 2, 3, 4 // W of 2 s; of 2 s and of 3 s; a local agent; 300 clients
 	tests := []struct {
 		name  string
 		fault func(model *serverModel) // 10 s into the run
 		in    int
-		calls int // for each client at most, on average, after the fault
+		calls int // most calls per client after the fault, on average
 	}{
 		{"nothing", func(*serverModel) {}, both, 0},
 		{"silent", struck(silenceWatch), both, 2},
@@ -103,7 +104,7 @@
 					model.mu.Lock()
 					before := model.calls
 					model.mu.Unlock()
-					go func() { // the first change comes with the fault
+					go func() { // the first change is published at the time of the fault
 						for range 30 {
 							model.publishVersion()
 							time.Sleep(700 * time.Millisecond)
@@ -115,16 +116,16 @@
 					synctest.Wait()
 					age := model.worstAge(t)
 					most := deadline - margin
-					if tt.in == pushed { // its changes count as known at once
+					if tt.in == pushed { // an agent's changes count as known at once
 						most = 1200 * time.Millisecond
 					}
 					if age > most {
-						t.Errorf("a change arrived after %v, want %v", age, most)
+						t.Errorf("a change arrived after %v, want at most %v", age, most)
 					}
 					if got := model.calls - before; got > tt.calls*clients {
 						t.Errorf("%d calls, want at most %d", got, tt.calls*clients)
 					}
-					t.Logf("age %v; %.1f calls a client", age, float64(model.calls-before)/float64(clients))
+					t.Logf("changes arrived within %v; %.1f calls per client", age, float64(model.calls-before)/float64(clients))
 				})
 			})
 		}
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// A fleet of two tiers starts, which is more than discovery serves within W; then discovery is down for some seconds, in
-// which each call waits and fails. Once it answers again every client has a list in about twice the time that discovery needs
-// to serve all of them: none sleeps while discovery is idle.
+// After an outage of discovery, every client has a list within about twice the time that discovery needs to
+// serve all of them: no client sleeps while discovery is idle. A fleet of two tiers starts, which makes more
+// calls than discovery serves within W. Discovery is then down for some seconds, in which each call waits and
+// fails.
 func TestPollsResumeSoonAfterOutage(t *testing.T) {
 	const wait = 2 * time.Second
 	for _, tt := range []struct {
 		name                 string
 		firstTier, laterTier int
 		callTime             time.Duration
-		after, down          time.Duration // start of the outage, since the fleet's start, and its duration
-		again                int           // processes that start as it ends
-		within, withinFirst  time.Duration // after its end all have a list, and those of the first tier
+		after, down          time.Duration // start of the outage after that of the fleet, and its duration
+		again                int           // processes that start when the outage ends
+		within, withinFirst  time.Duration // longest time from its end until all, and all of the first tier, have a list
 	}{
 		{"two tiers", 49, 230, 20 * time.Millisecond, 2500 * time.Millisecond, 7500 * time.Millisecond, 34, 14 * time.Second, 6 * time.Second},
 		{"two tiers, a larger second", 49, 300, 20 * time.Millisecond, 1500 * time.Millisecond, 8 * time.Second, 34, 18 * time.Second, 6 * time.Second},
@@ -47,16 +48,16 @@
 				stop()
 				synctest.Wait()
 				age := model.worstAge(t)
-				t.Logf("the last updated after %v; %d calls served, %d wasted", age, model.served, model.wasted)
+				t.Logf("all clients updated within %v; %d calls served, %d wasted", age, model.served, model.wasted)
 				front := EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.firstTier})
 				model.callers = slices.DeleteFunc(model.callers, func(c *modelClient) bool { return c.client.cfg.Callers != front })
 				first := model.worstAge(t)
-				t.Logf("the last of the first tier after %v", first)
+				t.Logf("all clients of the first tier updated within %v", first)
 				if first > tt.withinFirst {
-					t.Errorf("want those of the first tier within %v", tt.withinFirst)
+					t.Errorf("want all clients of the first tier updated within %v", tt.withinFirst)
 				}
 				if age > tt.within {
-					t.Errorf("want all within %v", tt.within)
+					t.Errorf("want all clients updated within %v", tt.within)
 				}
 			})
 		})
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// A queue longer than W answers nobody, and its calls take their service time all the same. However a fleet has filled it,
-// its clients let it drain: all are answered within the sum of the constants in polling.go.
+// Clients poll slowly enough that an overloaded queue drains, whatever has filled it: all are answered within
+// the sum of the constants in polling.go. While the queue is longer than W no call is answered, but each
+// takes its service time all the same.
 func TestPollingDrainsOverloadedQueue(t *testing.T) {
 	const (
 		call  = 18 * time.Millisecond
 		w     = 2 * time.Second
-		calm  = maxQueueDrain + timeoutsUntilBackoff*maxSmallFleetPeriod            // until the period doubles
-		soon  = minPollPeriod + w + maxSmallFleetPeriod - w + 1500*time.Millisecond // a poll that times out; another; and their service time
-		third = calm + maxSmallFleetPeriod*3/2*(2+4+8)                              // until each has polled in the longest period
+		calm  = maxQueueDrain + timeoutsUntilBackoff*maxSmallFleetPeriod            // until the poll period doubles
+		soon  = minPollPeriod + w + maxSmallFleetPeriod - w + 1500*time.Millisecond // a poll that times out, another one, and their service time
+		third = calm + maxSmallFleetPeriod*3/2*(2+4+8)                              // until each client has polled in the longest period
 	)
 	tests := []struct {
 		name      string
 		clients   int
 		callTime  time.Duration
-		fault     callFault // for 8 s; noFault: the clients start together instead
+		fault     callFault // for 8 s; noFault: all clients start at the same time instead
 		within    time.Duration
-		wasted    int // served calls without an answer, for each client at most
-		failEvery int // every so many served calls one ends with a 503
+		wasted    int // most served calls per client that got no answer
+		failEvery int // one of this many served calls ends with a 503; 0: none
 	}{
 		{"no call times out", 300, call, rejectedAfterWait, 300*call + 550*time.Millisecond, 0, 0},
 		{"after rejections", 300, call, rejected, soon, 1, 0},
@@ -45,7 +46,7 @@
 				model := &serverModel{maxWait: w, queueLimit: 5 * time.Second, serviceTime: tt.callTime,
 					failEvery: tt.failEvery, assumedCallers: tt.clients, ctx: ctx, changed: make(chan struct{})}
 				if tt.fault != noFault {
-					model.serviceTime = time.Millisecond // all are answered before the outage
+					model.serviceTime = time.Millisecond // so that all clients are answered before the outage
 				}
 				for i := range tt.clients {
 					model.join(ctx, false, uint64(i+1), 0)
@@ -78,10 +79,10 @@
 						worst = max(worst, c.heardAt[0].Sub(model.availableSince))
 					}
 				}
-				result := fmt.Sprintf("%d of %d received nothing, the last after %v; %d calls served, %d wasted",
+				result := fmt.Sprintf("%d of %d clients received no list, the last one after %v; %d calls served, %d wasted",
 					never, tt.clients, worst, model.served, model.wasted)
 				if t.Log(result); never > 0 || worst > tt.within || model.wasted > tt.wasted*tt.clients {
-					t.Errorf("want all within %v and at most %d calls wasted", tt.within, tt.wasted*tt.clients)
+					t.Errorf("want all clients updated within %v and at most %d calls wasted", tt.within, tt.wasted*tt.clients)
 				}
 			})
 		})
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -12,12 +12,13 @@
 	"time"
 )
 
-// roundTrip is a fake of discovery and the network.
+// roundTrip simulates discovery and the network.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A watch without an answer times out well before NotifyDeadline, and the next one continues from its version.
+// A watch without an answer times out well before NotifyDeadline. The next one requests the changes since the
+// same version.
 func TestTimedOutWatchContinuesFromVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
@@ -36,21 +37,21 @@
 		<-c.Updates()
 		start := time.Now()
 		if n := <-c.Updates(); n.List == nil {
-			t.Error("an update without a list")
+			t.Error("the update has no list")
 		}
 		if took := time.Since(start); took <= watchHoldMin || took >= 6*time.Second-time.Second {
-			t.Errorf("updated after %v; the change counts as known after 6 s", took)
+			t.Errorf("updated after %v; a change counts as known after 6 s", took)
 		}
 		stop()
 		synctest.Wait() // a call is in progress
 		if got := strings.Join(calls[:3], " "); got != "5 6 6" {
-			t.Errorf("calls continued from versions %s", got)
+			t.Errorf("calls requested the changes since versions %s, want 5 6 6", got)
 		}
 	})
 }
 
-// After a change of source the client continues from its version, and requests the full list once later: another service may
-// answer for that version too.
+// After a change of source the client requests the changes since its version, and later the full list once:
+// another service may answer for that version too.
 func TestSourceChangeSchedulesResync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
@@ -92,7 +93,7 @@
 	})
 }
 
-// After a change of source the client publishes the other source's list, also with a lower version.
+// After a change of source the client publishes the new source's list, even with a lower version.
 func TestWatchFollowsSourceChange(t *testing.T) {
 	at := func(index int) (addr string, calls chan string) {
 		calls = make(chan string, 10)
@@ -119,19 +120,19 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Run(ctx) }()
 	if n := <-c.Updates(); n.List == nil || n.List.Version != 5 {
-		t.Errorf("got %+v", n.List)
+		t.Errorf("got %+v, want version 5", n.List)
 	}
 	<-calls
 	<-calls // the watch is in progress
 	c.SetSource(Source{Address: second})
 	if n := <-c.Updates(); n.List == nil || n.List.Version != 3 || !n.List.Snapshot {
-		t.Errorf("got %+v", n.List)
+		t.Errorf("got %+v, want a full list of version 3", n.List)
 	}
 	stop()
 	<-ended
 }
 
-// A change of source while an update waits for its reader does not lose the update.
+// An update that waits for its reader is not lost when the source changes.
 func TestSourceChangeLosesNoUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Logger: slog.New(slog.DiscardHandler)})
@@ -154,7 +155,7 @@
 		select {
 		case n := <-c.Updates():
 			if n.List.Version != 6 {
-				t.Errorf("version %d", n.List.Version)
+				t.Errorf("got version %d, want 6", n.List.Version)
 			}
 		case <-time.After(time.Minute):
 			t.Error("the update was lost")
@@ -163,10 +164,10 @@
 	})
 }
 
-// After a reused connection is lost under a watch the client makes a new call, with its timeout: net/http's own retry would
-// wait in the queue with what is left of the watch's.
+// After a reused connection is lost under a watch, the client makes a new call with the timeout of such a
+// call. The retry of net/http would wait in the queue with what is left of the watch's timeout.
 func TestLostConnectionIsNotRetriedSilently(t *testing.T) {
-	var held []string // the hold shows the kind of call
+	var held []string // requested holds, which tell watches from other calls
 	calls := make(chan struct{}, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		held = append(held, r.URL.Query().Get("hold_ms"))
@@ -193,6 +194,6 @@
 	stop()
 	<-ended
 	if first := fmt.Sprint(pollHold.Milliseconds()); held[0] != first || held[1] == first || held[2] != first {
-		t.Errorf("holds of %v ms", held)
+		t.Errorf("calls requested holds of %v ms; only the first may have the hold of a poll", held)
 	}
 }
--- a/internal/discovery/polls_test.go
+++ b/internal/discovery/polls_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// What a client knows of an overloaded queue does not hold for another source, nor after discovery was down, nor in a fleet
-// too small to fill a queue: a change still arrives within NotifyDeadline.
+// What a client has learned of an overloaded queue does not apply to another source, after discovery was
+// down, or in a fleet too small to fill a queue: a change still arrives within NotifyDeadline.
 func TestQueueEstimateIsReset(t *testing.T) {
-	const bound = 6*time.Second - 400*time.Millisecond // the protocol's 6 s, apart from NotifyDeadline
+	const bound = 6*time.Second - 400*time.Millisecond // the protocol's 6 s; independent of NotifyDeadline
 	for _, tt := range []struct {
 		name    string
 		clients int
-		trouble func(model *serverModel) // starts at 10 s; after it all calls are served
+		trouble func(model *serverModel) // runs from 10 s on; all calls after it are served
 	}{
 		{"by an outage after it", 300, func(model *serverModel) {
 			model.outage(rejectedAfterWait, resetWatch, 25*time.Second)
@@ -47,7 +47,7 @@
 				stop()
 				synctest.Wait()
 				if age := model.worstAge(t); age > bound {
-					t.Errorf("the change arrived %v after it was available, want %v", age, bound)
+					t.Errorf("the change arrived %v after it was available, want at most %v", age, bound)
 				}
 			})
 		})
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -15,13 +15,14 @@
 	"merlinpick/internal/atomicfile"
 )
 
+// A client follows the list of the registry through failures of members and changes of epoch.
 func TestRegistryFollowing(t *testing.T) {
 	const line = "one"
 	bubble(t, "updates come at once, also after a member's failure, without another full list", func(t *testing.T) {
 		registry := newFakeRegistry(line, 10, "a", "b")
 		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
-		for i, state := range []string{"dead", "lost", "garbled", "silent"} {
+		for i, state := range []string{"dead", "unavailable", "malformed", "silent"} {
 			registry.set(func(name string, m *fakeMember) {
 				if name == registry.lastAnswered {
 					m.state = state
@@ -35,7 +36,7 @@
 			registry.set(func(_ string, m *fakeMember) { m.version++; m.names = []string{"a", "b", fmt.Sprint("c", i)} })
 			sleep(FailoverJitter + time.Millisecond)
 			if recorded.current().version != 11+int64(i) || recorded.current().at-at > FailoverJitter || recorded.current().updates != updatesBefore+1 {
-				t.Errorf("%s: version %d after %v, %d updates", state, recorded.current().version, recorded.current().at-at, recorded.current().updates-updatesBefore)
+				t.Errorf("after a member turned %q: got version %d after %v, with %d updates", state, recorded.current().version, recorded.current().at-at, recorded.current().updates-updatesBefore)
 			}
 		}
 	})
@@ -46,7 +47,7 @@
 		registry.set(func(name string, m *fakeMember) {
 			if name == registry.lastAnswered {
 				m.state = "dead"
-			} else { // both others are behind and do not know it
+			} else { // both others are behind and answer nevertheless
 				m.version, m.oldestKnown, m.names = 9, 0, []string{"a"}
 			}
 		})
@@ -68,7 +69,7 @@
 		sleep(time.Second)
 		registry.set(func(_ string, m *fakeMember) { m.version, m.oldestKnown, m.state = 1002, 1002, "dead" })
 		sleep(time.Second)
-		registry.set(func(_ string, m *fakeMember) { m.state = "" }) // and a full list of the same epoch comes in between
+		registry.set(func(_ string, m *fakeMember) { m.state = "" }) // the next answer is a full list of the same epoch
 		sleep(missingRetention - 8*time.Second)
 		if recorded.current().list != "a b c" {
 			t.Errorf("got %q before %v", recorded.current().list, missingRetention)
@@ -126,7 +127,7 @@
 	})
 }
 
-// The callers of a failed member spread over FailoverJitter.
+// The clients of a failed member spread their calls to other members over FailoverJitter.
 func TestFailoverIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const clients = 300
@@ -154,18 +155,19 @@
 		sleep(FailoverJitter)
 		for i, recorded := range all {
 			if recorded.current().version != 11 {
-				t.Fatalf("client %d is at version %d, %v after the failure", i, recorded.current().version, time.Since(registry.start)-died)
+				t.Fatalf("client %d is still at version %d, %v after the failure", i, recorded.current().version, time.Since(registry.start)-died)
 			}
 		}
 		t.Logf("%d clients: at most %d calls in 100 ms before the failure, %d after it", clients, usual, after)
-		// A third has to come again; by chance at most some more than a sixth of these in 100 ms of the 600.
+		// A third of the clients fails over. Of these a sixth is expected in 100 ms of the 600 ms, and by
+		// chance up to twice as many.
 		if after > usual+clients/3/6*2 {
-			t.Errorf("%d calls in 100 ms, %d before", after, usual)
+			t.Errorf("%d calls in 100 ms after the failure, %d before it", after, usual)
 		}
 	})
 }
 
-// maxCallRate returns the most calls in any 100 ms.
+// maxCallRate returns the largest number of calls in any 100 ms.
 func maxCallRate(calls []time.Duration) (most int) {
 	for i := range calls {
 		n := i
@@ -177,7 +179,7 @@
 	return most
 }
 
-// A cached list is read as it was written, and nothing else is.
+// A cached list is read as it was written. A truncated file is reported as damaged.
 func TestCachedList(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if l, err := LoadCachedList(dir); l != nil || err != nil {
@@ -189,7 +191,7 @@
 	k.Put((&List{Version: 7, Epoch: "l", Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.1:1", Status: StatusServing}}}).encode)
 	k.Put((&List{Version: 8, Epoch: "l", Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: StatusDraining, StartedAtMs: 5}}}).encode)
 	stop()
-	ended() // the latest is written before it ends
+	ended() // the latest list is written before the writer ends
 	l, err := LoadCachedList(dir)
 	if err != nil || l == nil || l.Version != 8 || l.Epoch != "l" || !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].StartedAtMs != 5 {
 		t.Fatalf("got %+v, %v", l, err)
@@ -208,6 +210,9 @@
 		}
 	}
 }
+
+// FuzzCachedList checks that any list that Parse accepts survives encoding and decoding, and that only data
+// with a matching header is accepted.
 func FuzzCachedList(f *testing.F) {
 	f.Add((&List{Version: 8, Epoch: "l", Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: StatusDraining}}}).encode())
 	f.Add([]byte(`{"index":1,"snapshot":false,"endpoints":[{"name":"n","status":"DELETED"}]}`))
@@ -218,14 +223,14 @@
 		}
 		again, err := Parse(l.encode())
 		if err != nil || len(again.Endpoints) != len(l.Endpoints) || again.Version != l.Version || again.Epoch != l.Epoch {
-			t.Fatalf("%s was read as %+v, and that again as %+v, %v", data, l, again, err)
+			t.Fatalf("%s was decoded as %+v, and after encoding as %+v, %v", data, l, again, err)
 		}
 		sealed := atomicfile.Seal(cacheKind, data)
 		if body, err := atomicfile.Unseal(cacheKind, bytes.NewReader(sealed), maxCacheBytes); err != nil || !bytes.Equal(body, data) {
-			t.Fatalf("sealed %q, unsealed %q, %v", data, body, err)
+			t.Fatalf("encoded %q, decoded %q, %v", data, body, err)
 		}
 		if _, err := atomicfile.Unseal(cacheKind, bytes.NewReader(data), maxCacheBytes); err == nil && !bytes.HasPrefix(data, []byte(cacheKind)) {
-			t.Fatalf("%q is accepted without a header", data)
+			t.Fatalf("%q was accepted without a header", data)
 		}
 	})
 }
--- a/internal/discovery/release_test.go
+++ b/internal/discovery/release_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// A release is in progress when discovery is back from an outage: all clients call at their start, which is more than
-// discovery serves; it is down for 7.5 s; then processes are replaced, which start with an old list, and each answer has the
-// changes since, a third of all entries a step. A call for an old version takes several times the service time.
+// All versions of a release arrive in time when it follows an outage of discovery. At their start the clients
+// make more calls than discovery serves; discovery is then down for 7.5 s. After that, processes are replaced
+// that start with an old list, and each answer has the changes since, a third of all entries in a step. A
+// call for the changes since an old version takes several times the service time.
 func TestReleaseAfterOutageArrives(t *testing.T) {
 	const (
 		turn         = 20 * time.Millisecond
 		steps        = 7
-		most         = 6 * time.Second // the operators' bound, which the service time of 416 calls exceeds
+		most         = 6 * time.Second // bound required by operators; the service time of 416 calls exceeds it
 		within, vain = 40 * time.Second, 600
 	)
 	for seed := range uint64(3) {
@@ -63,10 +64,10 @@
 					late++
 				}
 			}
-			t.Logf("seed %d: of %d clients %d without all versions, %d late, the worst %v; %d calls served, %d wasted", seed, len(model.callers),
+			t.Logf("seed %d: of %d clients %d lack versions, %d received one late, the latest after %v; %d calls served, %d wasted", seed, len(model.callers),
 				never, late, worst, model.served, model.wasted)
 			if never > 0 || worst > within || model.wasted > vain {
-				t.Errorf("want all within %v and at most %d calls wasted", within, vain)
+				t.Errorf("want all versions received within %v and at most %d calls wasted", within, vain)
 			}
 		})
 	}
--- a/internal/discovery/servermodel_test.go
+++ b/internal/discovery/servermodel_test.go
@@ -15,33 +15,34 @@
 	"time"
 )
 
-// serverModel is the platform's discovery on a virtual clock: it serves calls one after another, rejects those that would
-// wait too long, and serves watches that follow an answer at once. It records when its clients receive each version.
+// serverModel simulates the platform's discovery on a virtual clock. It serves calls one at a time, rejects
+// those that would wait too long, and serves watches that follow an answer at once. It records when its
+// clients receive each version.
 type serverModel struct {
 	mu                sync.Mutex
 	ctx               context.Context // the clients' context
 	version           int64
-	changedAt         []time.Time   // of each version, from 1
-	changed           chan struct{} // closed at the next version
-	queueFreeAt       time.Time     // when the calls in the queue are served
-	fault             callFault     // of every call, if not noFault
-	availableSince    time.Time     // since when every call is served or rejected by its queue
-	serviceTime       time.Duration // of one call
-	otherLoad         time.Duration // queue of other callers, before each call
-	maxWait           time.Duration // a call that waits longer fails then, and takes its service time all the same
-	queueLimit        time.Duration // service time that may be queued; calls beyond it are rejected at once; 0: maxWait
+	changedAt         []time.Time   // when each version was published, from version 1 on
+	changed           chan struct{} // closed when the next version is published
+	queueFreeAt       time.Time     // when all calls in the queue will have been served
+	fault             callFault     // applied to every call, if not noFault
+	availableSince    time.Time     // end of the last outage: since then each call is served or rejected by the queue
+	serviceTime       time.Duration // time to serve one call
+	otherLoad         time.Duration // service time of other callers' calls that are queued before each call
+	maxWait           time.Duration // W: a call that waits longer fails, and takes its service time all the same
+	queueLimit        time.Duration // most service time queued; further calls are rejected at once; 0: maxWait
 	lines             int
 	assumedCallers    int // Config.Callers of each client
-	entriesPerVersion int // changed by each version, which cost service time as those of a full list do
-	calls             int // served or rejected
-	served            int
-	failEvery         int // every so many served calls one ends with a 503; 0: none
-	wasted            int // served calls that had been abandoned or had timed out
+	entriesPerVersion int // entries that each version changes; they cost as much service time as in a full list
+	calls             int // calls served or rejected
+	served            int // calls served
+	failEvery         int // one of this many served calls ends with a 503; 0: none
+	wasted            int // calls served after they had been abandoned or had timed out
 	callers           []*modelClient
-	faultsBelow       int // inject skips clients with this number and above; 0: none
+	faultsBelow       int // inject skips clients with this number or a higher one; 0: it skips none
 }
 
-// callFault is what goes wrong with a call.
+// callFault is a failure of a call.
 type callFault int
 
 const (
@@ -49,35 +50,36 @@
 	rejected                    // 503
 	rejectedAfterWait           // 503 after maxWait
 	connectionReset
-	neverAnswered // accepted and never answered
-	endlessBody   // a byte at a time
+	neverAnswered // the call is accepted and never answered
+	endlessBody   // the body arrives a byte at a time and never ends
 	malformed
 )
 
-// modelClient is one client, with what the model knows of it.
+// modelClient is a client of a serverModel.
 type modelClient struct {
 	server     *serverModel
 	number     int
 	client     *Client
 	joinedAt   time.Time
-	lastAnswer time.Time   // a call within 200 ms of it is a watch that follows an answer
-	openWatch  *heldWatch  // the watch in progress
-	nextFaults []callFault // of its next calls
+	lastAnswer time.Time   // a call within 200 ms after it is a watch that follows an answer
+	openWatch  *heldWatch  // the watch in progress; nil: none
+	nextFaults []callFault // applied to its next calls
 	version    int64
-	heardAt    []time.Time // of each version
+	heardAt    []time.Time // when it received each version
 }
 
-// heldWatch is a watch that waits for a change.
+// heldWatch is a watch that the server holds until there is a change.
 type heldWatch struct {
-	silenced bool
-	closed   chan struct{}
+	silenced bool          // it is never answered
+	closed   chan struct{} // closed to reset its connection
 }
 
 const (
 	modelServers = 200
-	linesPerCall = 38 // entries that take as much service time as a call
+	linesPerCall = 38 // entries that take as much service time as a call without any
 )
 
+// RoundTrip serves a call of the client as discovery would, with the faults that apply to it.
 func (c *modelClient) RoundTrip(r *http.Request) (*http.Response, error) {
 	model := c.server
 	from, hold := int64(-1), time.Duration(0)
@@ -165,7 +167,8 @@
 	return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[]}`, model.version, from < 0)), nil
 }
 
-// pause waits without the lock; a watch ends with the next version too. It reports whether the call is still wanted.
+// pause unlocks the model and waits. A watch ends with the next version too. It reports whether the client
+// still waits for the call.
 func (m *serverModel) pause(r *http.Request, d time.Duration, own *heldWatch) bool {
 	var moved, cut chan struct{}
 	if own != nil {
@@ -188,7 +191,7 @@
 	return r.Context().Err() == nil
 }
 
-// slowBody is a response body that comes a byte at a time and never ends.
+// slowBody is a response body that arrives a byte at a time and never ends.
 type slowBody struct{ ctx context.Context }
 
 func (d *slowBody) Read(p []byte) (int, error) {
@@ -234,7 +237,7 @@
 func resetWatch(h *heldWatch)   { close(h.closed) }
 func keepWatch(*heldWatch)      {}
 
-// outage applies a fault to all calls for some time.
+// outage applies a fault to the watches in progress, and another one to all calls for some time.
 func (m *serverModel) outage(f callFault, what func(*heldWatch), d time.Duration) {
 	m.inject(what)
 	m.mu.Lock()
@@ -246,6 +249,7 @@
 	m.mu.Unlock()
 }
 
+// recordVersion records that the client has received a version.
 func (c *modelClient) recordVersion(version int64) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -254,7 +258,8 @@
 	}
 }
 
-// worstAge returns the longest time from a version, or from the end of the outage if that is later, until a client received it.
+// worstAge returns the longest time from the publication of a version until a client received it. The time
+// starts later if the version was published before the end of an outage or before the client joined.
 func (m *serverModel) worstAge(t *testing.T) (worst time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -274,7 +279,7 @@
 	return worst
 }
 
-// join starts a client that knows the list at a version.
+// join starts a client that has the list of a version.
 func (m *serverModel) join(ctx context.Context, pushed bool, seed uint64, version int64) {
 	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: m.assumedCallers, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	m.mu.Lock()
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -9,7 +9,8 @@
 
 var members = []string{"a", "b", "c"}
 
-// Each failure moves on; backoffs are below Jitter until all have failed, then double with each round, up to the maximum.
+// Each failure moves on to another member. Backoffs are below Jitter until all members have failed, and then
+// double with each round, up to the maximum.
 func TestRing(t *testing.T) {
 	const most = 2 * time.Second
 	first := map[string]int{}
@@ -25,7 +26,7 @@
 				least = high / 2
 			}
 			if f.Backoff < least || f.Backoff >= high {
-				t.Fatalf("seed %d, failure %d: %v, not from %v to %v", seed, i, f.Backoff, least, high)
+				t.Fatalf("seed %d, failure %d: backoff %v, want one from %v to %v", seed, i, f.Backoff, least, high)
 			}
 			if !f.FailedOver || f.Next == before || f.Next != r.Current() || f.Consecutive != i || f.ShouldLog != (i == 1 || i%3 == 0) {
 				t.Fatalf("seed %d, failure %d: %+v after %s", seed, i, f, before)
@@ -33,21 +34,22 @@
 		}
 		r.RecordSuccess()
 		if f := r.RecordFailure(); f.Consecutive != 1 || f.Backoff >= Jitter {
-			t.Fatalf("seed %d, after an answer: %+v", seed, f)
+			t.Fatalf("seed %d, first failure after an answer: %+v", seed, f)
 		}
 	}
 	for _, m := range members {
 		if n := first[m]; n < 70 || n > 130 {
-			t.Errorf("%s is the first of %d of 300", m, n)
+			t.Errorf("%s is the first member of %d of 300 rings", m, n)
 		}
 	}
 	one := NewRing(members[:1], rand.New(rand.NewPCG(1, 1)), most)
 	if f := one.RecordFailure(); f.FailedOver || f.Next != "a" {
-		t.Errorf("a single member: %+v", f)
+		t.Errorf("ring of a single member: %+v", f)
 	}
 }
 
-// Lower versions are rejected, except those of another epoch when the former one was not confirmed for EpochWait.
+// Lower versions are rejected, except those of another epoch when the previous one has not been confirmed for
+// EpochWait.
 func TestAcceptedVersion(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -65,6 +67,6 @@
 		}
 	}
 	if err := (AcceptedVersion{}).Check("one", 0, now); err != nil {
-		t.Errorf("the first: %v", err)
+		t.Errorf("the first version was rejected: %v", err)
 	}
 }
--- a/internal/idletimeout/idletimeout_test.go
+++ b/internal/idletimeout/idletimeout_test.go
@@ -7,26 +7,28 @@
 
 const most = 4 * time.Second
 
+// checker returns a function that checks MaxIdle of a tracker at a time.
 func checker(t *testing.T, tracker *Tracker) func(now time.Time, unsafe bool, want time.Duration) {
 	return func(now time.Time, unsafe bool, want time.Duration) {
 		t.Helper()
 		if got := tracker.MaxIdle(now, most, unsafe); got != want {
-			t.Errorf("max idle %v, want %v", got, want)
+			t.Errorf("MaxIdle is %v, want %v", got, want)
 		}
 	}
 }
 
+// Broken reuses lower the bound, down to MinIdleTimeout; it doubles with each RecoveryTime after that.
 func TestMaxIdleFallsAndRecovers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var tracker Tracker
 	check := checker(t, &tracker)
 	check(now, true, most)
-	tracker.RecordBrokenReuse(now, "a", 0, most) // a first request: not for its idle time
+	tracker.RecordBrokenReuse(now, "a", 0, most) // the first request on a connection, which did not break for its idle time
 	check(now, true, most)
 	tracker.RecordBrokenReuse(now, "a", 800*time.Millisecond, most)
 	check(now, false, 400*time.Millisecond)
 	check(now, true, 200*time.Millisecond)
-	tracker.RecordBrokenReuse(now, "b", 600*time.Millisecond, most) // sent before the first break was known
+	tracker.RecordBrokenReuse(now, "b", 600*time.Millisecond, most) // a request that was sent before the first break was known
 	check(now, false, 200*time.Millisecond)
 	now = now.Add(RecoveryTime)
 	check(now, false, 400*time.Millisecond)
@@ -38,13 +40,13 @@
 	check(now, true, most)
 }
 
-// The exit of a backend explains its broken reuses, and not those of others.
+// The exit of a backend undoes the effect of its own broken reuses, not of those at other backends.
 func TestBackendExitUndoesBreaks(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	for _, test := range []struct {
 		name string
 		do   func(tracker *Tracker)
-		want time.Duration // at 1 s
+		want time.Duration // MaxIdle at 1 s
 	}{
 		{"no exit", func(tracker *Tracker) { tracker.RecordBrokenReuse(at(1000), "a", 800*time.Millisecond, most) }, 400 * time.Millisecond},
 		{"several breaks, then an exit", func(tracker *Tracker) {
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// scripted returns its errors, and then a connection.
+// scripted is a listener whose Accept returns the given errors, and then a connection.
 type scripted struct {
 	net.Listener
 	errs []error
@@ -28,6 +28,7 @@
 
 func (s *scripted) Close() error { return nil }
 
+// Accept retries after temporary errors, with pauses of at most maxBackoff.
 func TestTemporaryErrorsAreRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var errs []error
@@ -40,11 +41,12 @@
 			t.Fatal(err)
 		}
 		if took := time.Since(start); took > 20*maxBackoff {
-			t.Errorf("20 failures took %v", took)
+			t.Errorf("Accept took %v to retry after 20 failures", took)
 		}
 	})
 }
 
+// Accept returns permanent errors.
 func TestPermanentErrorsAreReturned(t *testing.T) {
 	for _, want := range permanentErrors {
 		l := Retry(&scripted{errs: []error{want}}, slog.New(slog.DiscardHandler))
@@ -54,6 +56,7 @@
 	}
 }
 
+// Close ends a call of Accept that waits to retry.
 func TestCloseEndsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		errs := make([]error, 1000)
@@ -66,7 +69,7 @@
 		time.Sleep(maxBackoff)
 		l.Close()
 		if err := <-ended; !errors.Is(err, net.ErrClosed) {
-			t.Errorf("got %v", err)
+			t.Errorf("Accept returned %v after Close, want net.ErrClosed", err)
 		}
 	})
 }
--- a/internal/override/golden_test.go
+++ b/internal/override/golden_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// A directory that an earlier version wrote is read as it was, and written with the same file names.
+// A directory that an earlier version of the program wrote is read correctly, and is written with the same
+// file names.
 func TestGoldenFolder(t *testing.T) {
 	ids := []string{"a", "a b", "a/b", "ü%2F", "10.0.0.1:80", ZoneKey("north"), ZoneKey("a/b ü")}
 	kept := filepath.Join("testdata", "stored")
@@ -37,6 +38,6 @@
 		return names
 	}
 	if now, before := files(store.dir), files(kept); !slices.Equal(now, before) {
-		t.Errorf("written %q, want %q", now, before)
+		t.Errorf("wrote files %q, want %q", now, before)
 	}
 }
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// appliedSet records the set that a reader of Overrides has in effect.
+// appliedSet records the last set that a reader of Overrides has acknowledged.
 type appliedSet struct {
 	mu  sync.Mutex
 	ids map[string]bool
@@ -27,7 +27,7 @@
 	return slices.Equal(slices.Sorted(maps.Keys(h.ids)), ids)
 }
 
-// startOverrides opens overrides in a bubble, runs them and acknowledges their sets until the test ends.
+// startOverrides opens overrides, runs them and acknowledges their sets until the test ends.
 func startOverrides(t *testing.T, cfg Config) (*Overrides, *appliedSet) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -69,7 +69,8 @@
 	}
 }
 
-// The union of stored overrides, of either process, and remote ones is in effect.
+// Stored overrides, of this process or another one with the same directory, and remote ones are in effect
+// together.
 func TestUnionOfLocalAndRemoteApplies(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -77,36 +78,37 @@
 		other, there := startOverrides(t, Config{Dir: dir})
 		mustSucceed(t, overrides.SuspendServer("a"))
 		if !here.is("a") {
-			t.Errorf("after the answer: %v", here.ids)
+			t.Errorf("in effect when SuspendServer returned: %v", here.ids)
 		}
 		time.Sleep(pollInterval + 1)
 		synctest.Wait()
 		if !there.is("a") {
-			t.Errorf("at the other process: %v", there.ids)
+			t.Errorf("in effect in the other process: %v", there.ids)
 		}
 		overrides.SetRemote(map[string]bool{"a": true, "x": true, "c": false})
-		synctest.Wait() // sooner than the next poll
+		synctest.Wait() // takes effect before the next poll
 		if !here.is("a", "x") || !there.is("a") {
-			t.Errorf("with remote x: %v, at the other process %v", here.ids, there.ids)
+			t.Errorf("with x suspended remotely: %v, in the other process %v", here.ids, there.ids)
 		}
 		mustSucceed(t, other.ResumeServer("a"))
-		mustSucceed(t, overrides.ResumeServer("x")) // it is known, since it is suspended; others have to resume it
+		mustSucceed(t, overrides.ResumeServer("x")) // x is known since it is suspended; other proxies must resume it
 		if !here.is("a", "x") {
-			t.Errorf("a resumed here but suspended by others: %v", here.ids)
+			t.Errorf("with a resumed here but suspended remotely: %v", here.ids)
 		}
 		overrides.SetRemote(nil)
 		synctest.Wait()
 		if !here.is() || !there.is() {
-			t.Errorf("all resumed: %v and %v", here.ids, there.ids)
+			t.Errorf("after all were resumed: %v and %v", here.ids, there.ids)
 		}
 		again, err := Open(Config{Dir: dir})
 		if err != nil || len(again.Current()) != 0 {
-			t.Errorf("stored: %v, %v", again.Current(), err)
+			t.Errorf("still stored after all were resumed: %v, %v", again.Current(), err)
 		}
 	})
 }
 
-// A call is notified once it is stored, and takes effect with what is set remotely meanwhile, also if the notification fails.
+// Notify is called once a change is stored. The change takes effect together with what SetRemote sets
+// meanwhile, also if the notification fails.
 func TestCallsAreNotified(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -124,17 +126,17 @@
 		}})
 		mustSucceed(t, overrides.SuspendServer("a"))
 		if !here.is("a", "y") {
-			t.Errorf("suspended: %v", here.ids)
+			t.Errorf("in effect after a was suspended: %v", here.ids)
 		}
 		mustSucceed(t, overrides.ResumeServer("a"))
 		if !here.is() {
-			t.Errorf("resumed: %v", here.ids)
+			t.Errorf("in effect after a was resumed: %v", here.ids)
 		}
 		if err := overrides.SuspendServer("c"); !errors.Is(err, unreachable) || !here.is("c") {
-			t.Errorf("not notified: %v with %v", here.ids, err)
+			t.Errorf("after a failed notification: %v in effect, error %v", here.ids, err)
 		}
-		if mustSucceed(t, overrides.ClearLocal("c")); here.is("c") || len(calls) != 3 { // others ended it: nobody is notified
-			t.Errorf("cleared: %v, notified of %v", here.ids, calls)
+		if mustSucceed(t, overrides.ClearLocal("c")); here.is("c") || len(calls) != 3 { // without a notification
+			t.Errorf("after ClearLocal: %v in effect, notified of %v", here.ids, calls)
 		}
 		if err := overrides.SuspendServer("unknown"); err == nil {
 			t.Error("no error for an unknown server")
@@ -145,6 +147,7 @@
 	})
 }
 
+// Failed calls return the documented error types, and remote overrides still apply without the directory.
 func TestErrorsAreTyped(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gone")
 	synctest.Test(t, func(t *testing.T) {
@@ -155,24 +158,24 @@
 		overrides.SetRemote(map[string]bool{"x": true})
 		synctest.Wait()
 		if !here.is("b", "x") {
-			t.Errorf("with the directory gone: %v", here.ids)
+			t.Errorf("in effect after the directory was removed: %v", here.ids)
 		}
 		var lost *StoreError
 		if err := overrides.SuspendServer("a"); !errors.As(err, &lost) || lost.Op != StoreOpAdd || lost.Path != filepath.Join(dir, "ban-a") ||
 			!errors.Is(err, os.ErrNotExist) {
-			t.Errorf("suspend: %v", err)
+			t.Errorf("SuspendServer without the directory: %v", err)
 		}
 		var unknown *UnknownServerError
 		if err := overrides.ResumeServer("unknown"); !errors.As(err, &unknown) || unknown.Server != "unknown" {
-			t.Errorf("an unknown server: %v", err)
+			t.Errorf("ResumeServer of an unknown server: %v", err)
 		}
 		if _, err := Open(Config{Dir: dir}); !errors.As(err, &lost) || lost.Op != StoreOpRead || lost.Path != dir {
-			t.Errorf("open: %v", err)
+			t.Errorf("Open without the directory: %v", err)
 		}
 	})
 }
 
-// A call that the reader of Sets does not acknowledge fails in time, unless nothing is sent any more.
+// A call whose set the reader of Sets does not acknowledge fails in time, unless requests are no longer sent.
 func TestUnacknowledgedCallFails(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -182,21 +185,21 @@
 		mustSucceed(t, err)
 		var late *NotAppliedError
 		if err := overrides.SuspendServer("a"); !errors.As(err, &late) || late.After >= time.Second || !overrides.Current()["a"] {
-			t.Errorf("got %v", err)
+			t.Errorf("SuspendServer without an acknowledgement: %v", err)
 		}
 		close(ended)
 		mustSucceed(t, overrides.SuspendServer("a"))
 	})
 }
 
-// Names of all kinds are stored in the form that older builds read.
+// Names with special characters are stored in the form that older builds read.
 func TestStoreEscapesNames(t *testing.T) {
 	store := store{dir: t.TempDir()}
 	files := map[string]string{"..": "ban-..", "a": "ban-a", "a b": "ban-a%20b", "a/b": "ban-a%2Fb", "ü%2F": "ban-%C3%BC%252F"}
 	for id, file := range files {
 		mustSucceed(t, store.add(id))
 		if info, err := os.Stat(filepath.Join(store.dir, file)); err != nil || info.Size() != 0 {
-			t.Errorf("%q: %v", id, err)
+			t.Errorf("file of %q: %v", id, err)
 		}
 	}
 	mustSucceed(t, os.WriteFile(filepath.Join(store.dir, "ban-%zz"), nil, 0o600)) // ignored
@@ -207,11 +210,12 @@
 	for id := range files {
 		mustSucceed(t, errors.Join(store.remove(id), store.remove(id)))
 		if store.has(id) {
-			t.Errorf("%q stays", id)
+			t.Errorf("%q is still stored after it was removed", id)
 		}
 	}
 }
 
+// A NameSet keeps the names of recent lists and drops the oldest others.
 func TestNameSetIsBounded(t *testing.T) {
 	s := NewNameSet()
 	for i := range 2 * maxRememberedNames {
--- a/internal/override/slowdisk_test.go
+++ b/internal/override/slowdisk_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A suspension is in effect and its call answered within a second though the disk takes longer: the answer is then an error,
-// and the call may be repeated.
+// A suspension is in effect and its call answered within a second even if the disk takes longer. The call
+// then returns an error, and may be repeated.
 func TestSuspensionAppliesWithSlowDisk(t *testing.T) {
 	names := NewNameSet()
 	names.Add("a", "b")
@@ -44,16 +44,16 @@
 	select {
 	case err := <-answered:
 		if err == nil {
-			t.Error("success though nothing is stored")
+			t.Error("SuspendServer succeeded before the override was stored")
 		}
 	case <-time.After(time.Second - time.Since(began)):
-		t.Error("no answer within 1 s")
+		t.Error("SuspendServer did not return within 1 s")
 	}
-	for range 3 { // it stays in effect while the disk does not answer
+	for range 3 { // it stays in effect while the disk is blocked
 		select {
 		case ids := <-held:
 			if !ids["a"] {
-				t.Fatal("the suspension ended")
+				t.Fatal("the suspension is no longer in effect")
 			}
 		case <-time.After(2 * pollInterval):
 		}
@@ -63,9 +63,9 @@
 		time.Sleep(time.Millisecond)
 	}
 	if err := overrides.SuspendServer("a"); err != nil {
-		t.Errorf("the call repeated: %v", err)
+		t.Errorf("SuspendServer, repeated: %v", err)
 	}
 	if err := overrides.ResumeServer("a"); err != nil || overrides.Current()["a"] {
-		t.Errorf("resumed: %v, %v", err, overrides.Current())
+		t.Errorf("ResumeServer: %v, in effect: %v", err, overrides.Current())
 	}
 }
--- a/internal/override/zones_test.go
+++ b/internal/override/zones_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 )
 
-// drainedZones returns the zones that the reader of Sets has drained.
+// drainedZones returns the drained zones of the last acknowledged set.
 func (h *appliedSet) drainedZones() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -18,11 +18,12 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
+// DrainZone rejects unknown zones and the last zone that serves, also after a restart.
 func TestDrainZoneKeepsLastZone(t *testing.T) {
 	type calls = []struct {
-		do   string // drain, restore, remote: drained by others, restart: this process starts again
+		do   string // drain, restore, remote (drained by other proxies) or restart (of this process)
 		zone string
-		err  error // its type
+		err  error // type of the expected error
 	}
 	unknown, last := &UnknownZoneError{}, &LastZoneError{}
 	for _, c := range []struct {
@@ -83,7 +84,8 @@
 	}
 }
 
-// Zones are stored where older builds do not read them, and never taken for a server, whatever their names.
+// Zones are stored in files that older builds ignore, and are never taken for servers, whatever their names
+// are.
 func TestZonesAndServersAreSeparate(t *testing.T) {
 	store := store{dir: t.TempDir()}
 	mustSucceed(t, errors.Join(store.add("a"), store.add(ZoneKey("a/b"))))
@@ -94,7 +96,7 @@
 	got, err := store.load()
 	servers, zones := SplitZones(got)
 	if err != nil || !maps.Equal(servers, map[string]bool{"a": true}) || !maps.Equal(zones, map[string]bool{"a/b": true}) {
-		t.Errorf("%v %v %v", servers, zones, err)
+		t.Errorf("loaded servers %v, zones %v, %v", servers, zones, err)
 	}
 	names := NewNameSet()
 	names.Add(ZoneKey("c"))
@@ -102,6 +104,6 @@
 	mustSucceed(t, err)
 	var unknown *UnknownServerError
 	if err := overrides.SuspendServer(ZoneKey("c")); !errors.As(err, &unknown) {
-		t.Errorf("a server with the key of a zone: %v", err)
+		t.Errorf("SuspendServer with the key of a zone: %v", err)
 	}
 }
--- a/internal/rollout/fakeregistry_test.go
+++ b/internal/rollout/fakeregistry_test.go
@@ -16,38 +16,39 @@
 	"time"
 )
 
-// The states of a member.
+// States of a fakeMember.
 const (
 	healthy      = ""
-	dead         = "dead"    // refuses connections, and breaks those that it had
-	silent       = "silent"  // never answers
-	leaderLost   = "lost"    // 503 at once
-	partitioned  = "cut"     // has no changes; 503 after maxStaleness
-	malformed    = "garbled" // answers with half of a message
-	holdsNoWatch = "hasty"   // answers a watch at once
-	answersOlder = "brazen"  // answers with an older version than the request's
+	dead         = "dead"           // refuses connections, and resets those that were open
+	silent       = "silent"         // accepts calls and never answers them
+	leaderLost   = "leader lost"    // answers 503 at once
+	partitioned  = "partitioned"    // receives no changes; answers 503 after maxStaleness
+	malformed    = "malformed"      // answers with an incomplete message
+	holdsNoWatch = "holds no watch" // answers watches at once
+	answersOlder = "answers older"  // answers with a version older than the one in the request
 )
 
-const maxStaleness = 2250 * time.Millisecond // the registry's own bound
+const maxStaleness = 2250 * time.Millisecond // the registry's own bound on how stale a member may be
 
-// fakeRegistry is the registry's members on the test's clock.
+// fakeRegistry simulates the registry's members on the test's virtual clock.
 type fakeRegistry struct {
 	mu            sync.Mutex
 	members       map[string]*fakeMember
 	changed       chan struct{}
 	start         time.Time
-	calls         []time.Duration // times since the start
-	calledMembers []string        // the members of these calls
-	reported      map[string]string
+	calls         []time.Duration   // times of the calls, since the start
+	calledMembers []string          // the member of each of these calls
+	reported      map[string]string // query parameters of the latest calls
 }
 
+// fakeMember is the state of one member of a fakeRegistry.
 type fakeMember struct {
 	state       string
-	since       time.Time
+	since       time.Time // when it took that state
 	epoch       string
 	version     int64
 	document    string
-	atPartition *fakeMember // what it has while it is partitioned
+	atPartition *fakeMember // its contents when it took that state, which it has while it is partitioned
 }
 
 func newFakeRegistry(version int64) *fakeRegistry {
@@ -58,9 +59,10 @@
 	return registry
 }
 
+// documentOf returns the document of a version.
 func documentOf(version int64) string { return fmt.Sprintf(`{"n":%d}`, version) }
 
-// set changes members and ends the watches.
+// set changes the members and wakes their watches.
 func (f *fakeRegistry) set(do func(name string, m *fakeMember)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,7 +77,7 @@
 	f.changed = make(chan struct{})
 }
 
-// publish has all members confirm another version.
+// publish makes all members confirm another version.
 func (f *fakeRegistry) publish(version int64) {
 	f.set(func(_ string, m *fakeMember) { m.version, m.document = version, documentOf(version) })
 }
@@ -94,6 +96,7 @@
 	return maps.Clone(f.reported), len(f.calls)
 }
 
+// RoundTrip answers a call as the member would that the request is sent to.
 func (f *fakeRegistry) RoundTrip(r *http.Request) (*http.Response, error) {
 	q := r.URL.Query()
 	hold, _ := strconv.Atoi(q.Get("hold_ms"))
@@ -158,14 +161,14 @@
 	}
 }
 
-// recordingApplier records what a client has applied.
+// recordingApplier records the documents that a client applies.
 type recordingApplier struct {
 	mu        sync.Mutex
 	document  string
 	appliedAt time.Time
-	count     int
-	attempts  int
-	rejects   string // a document that contains this is rejected
+	count     int    // documents applied
+	attempts  int    // calls of Apply
+	rejects   string // documents that contain this are rejected; empty: none
 }
 
 func (a *recordingApplier) Apply(_ int64, document []byte) error {
@@ -191,7 +194,7 @@
 	a.rejects = what
 }
 
-// client runs a client of the registry in the test's bubble.
+// client runs a client of the registry until the test ends.
 func (f *fakeRegistry) client(t *testing.T, seed uint64, dir string, known *CachedConfig) (*Client, *recordingApplier) {
 	applier := &recordingApplier{}
 	c := New(Config{Service: "tarifas", ProxyName: "p1", Members: []string{"m1", "m2", "m3", "m4", "m5"}, Seed: seed, CacheDir: dir,
@@ -212,4 +215,5 @@
 	t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
 }
 
+// sleep advances the virtual clock and waits until all goroutines are blocked.
 func sleep(d time.Duration) { time.Sleep(d); synctest.Wait() }
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// A configuration that an earlier version cached is read as it was, and written in the same bytes.
+// A configuration that an earlier version of the program cached is read correctly, and is written as the same
+// bytes.
 func TestGoldenCachedConfig(t *testing.T) {
 	want := &CachedConfig{Service: "tarifas", Epoch: "8f3a", Version: 4711, Document: json.RawMessage(`{"settings":{"x":[1,"ü"]}}`)}
 	got, err := LoadCached(filepath.Join("testdata", "cached"), "tarifas")
@@ -33,6 +34,6 @@
 		t.Fatal(err)
 	}
 	if now, err := os.ReadFile(filepath.Join(dir, "config")); err != nil || !bytes.Equal(now, before) {
-		t.Errorf("written %q, %v, want %q", now, err, before)
+		t.Errorf("wrote %q, %v, want %q", now, err, before)
 	}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -16,18 +16,18 @@
 	"merlinpick/internal/failover"
 )
 
-const documentedBound = 9 * time.Second
+const documentedBound = 9 * time.Second // bound required by operators
 
-// The table in rollout.go: how long a change takes, whatever the state of the members. All of it is below the operators'
-// bound of 9 s.
+// A change is applied within the times of the table in rollout.go, whatever the state of the members. All of
+// these times are below the operators' bound of 9 s.
 func TestChangeIsAppliedWithinBound(t *testing.T) {
 	const (
 		H, S, P, C = LongPollTimeout, watchSlack, failover.Jitter, callTimeout
 		ms         = time.Millisecond
 	)
-	// strike sets the states of the member that is watched and of those that are called after it.
+	// strike sets the states of the watched member and of the members that the client calls after it.
 	strike := func(registry *fakeRegistry, c *Client, states ...string) {
-		order := failover.NewRing(c.cfg.Members, rand.New(rand.NewPCG(c.cfg.Seed, 29)), maxBackoff) // the client's order
+		order := failover.NewRing(c.cfg.Members, rand.New(rand.NewPCG(c.cfg.Seed, 29)), maxBackoff) // in the client's order
 		for order.Current() != registry.lastCalled() {
 			order.RecordFailure()
 		}
@@ -42,9 +42,9 @@
 	}
 	for _, c := range []struct {
 		name   string
-		states []string // of the watched member, and of the next
+		states []string // of the watched member and of the next one
 		bound  time.Duration
-		last   time.Duration // part of the bound for the last answer, which takes no time here
+		last   time.Duration // part of the bound that the last answer may take; it takes no time in the test
 	}{
 		{"it answers", []string{healthy}, 0, 0},
 		{"it dies", []string{dead}, P + C, C},
@@ -57,7 +57,7 @@
 		{"it is garbled", []string{malformed}, P + C, C},
 	} {
 		if c.bound >= documentedBound {
-			t.Errorf("%s: %v is documented, and the bound is %v", c.name, c.bound, documentedBound)
+			t.Errorf("%s: the documented time %v is not below the operators' bound %v", c.name, c.bound, documentedBound)
 		}
 		worst := time.Duration(0)
 		bubble(t, c.name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 				registry := newFakeRegistry(10)
 				client, applier := registry.client(t, seed, "", nil)
 				sleep(time.Duration(7000+137*seed) * ms)
-				for _, before := registry.reports(); ; { // the worst moment: a watch has just begun
+				for _, before := registry.reports(); ; { // the worst moment for the fault: a watch has just started
 					if _, calls := registry.reports(); calls > before {
 						break
 					}
@@ -77,18 +77,18 @@
 				sleep(30 * time.Second)
 				text1, at, _ := applier.current()
 				if took := at.Sub(changed); text1 != documentOf(11) || took < 0 || took > c.bound-c.last {
-					t.Errorf("seed %d: %s applied after %v, %v is documented", seed, text1, took, c.bound)
+					t.Errorf("seed %d: got %s after %v, documented time is %v", seed, text1, took, c.bound)
 				} else {
 					worst = max(worst, took)
 				}
 			}
 		})
 		if least := c.bound - c.last - P; worst < least*9/10 {
-			t.Errorf("%s: %v at most, and %v is documented: the fault is not effective", c.name, worst, c.bound)
+			t.Errorf("%s: took at most %v of the documented %v: the fault has no effect", c.name, worst, c.bound)
 		}
-		t.Logf("%s: %v at most of 40, %v documented", c.name, worst, c.bound)
+		t.Logf("%s: took at most %v in 40 runs, documented time is %v", c.name, worst, c.bound)
 	}
-	// After an outage of all members; one of them stays silent, or none.
+	// After an outage of all members, all of them are back, or all but one, which stays silent.
 	for _, c := range []struct {
 		stays string
 		bound time.Duration
@@ -109,14 +109,15 @@
 				back := time.Now()
 				sleep(30 * time.Second)
 				if text1, at, _ := applier.current(); text1 != documentOf(11) || at.Sub(back) > c.bound || c.bound >= documentedBound {
-					t.Errorf("seed %d: %s applied after %v, %v is documented", seed, text1, at.Sub(back), c.bound)
+					t.Errorf("seed %d: got %s after %v, documented time is %v", seed, text1, at.Sub(back), c.bound)
 				}
 			}
 		})
 	}
 }
 
-// The applied or rejected version is reported with the next call; a rejected document changes nothing and is not retried.
+// The client reports the applied or rejected version with its next call. A rejected document changes nothing
+// and is not retried by itself.
 func TestReports(t *testing.T) {
 	bubble(t, "applied and rejected", func(t *testing.T) {
 		registry := newFakeRegistry(10)
@@ -131,7 +132,7 @@
 		said, _ := registry.reports()
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || applier.attempts != 2 || said["in_force"] != "10" || said["refused"] != "11" ||
 			said["why"] != "settings.x: is refused" {
-			t.Errorf("%s applied, %d tried, reported %v", now, applier.attempts, said)
+			t.Errorf("applied %s after %d attempts, reported %v", now, applier.attempts, said)
 		}
 		if f := c.Metrics(); f.Version != 10 || f.RejectedVersion != 11 || f.Applied != 1 || f.Age > LongPollTimeout {
 			t.Errorf("%+v", f)
@@ -160,7 +161,7 @@
 			registry.publish(v)
 			sleep(2 * time.Second)
 			if now, _, _ := applier.current(); now != documentOf(v) {
-				t.Errorf("%s applied, %d was published", now, v)
+				t.Errorf("applied %s, want version %d", now, v)
 			}
 		}
 		if _, calls := registry.reports(); calls-before > 2*30 {
@@ -172,18 +173,18 @@
 		_, applier := registry.client(t, 1, "", nil)
 		for _, c := range []struct {
 			state string
-			most  int // in 10 minutes
+			most  int // calls in 10 minutes
 		}{{healthy, 300}, {holdsNoWatch, 4000}, {dead, 700}, {silent, 700}} {
 			registry.set(func(_ string, m *fakeMember) { m.state = c.state })
 			sleep(time.Minute)
 			_, before := registry.reports()
 			sleep(10 * time.Minute)
 			if _, calls := registry.reports(); calls-before > c.most || calls-before < 100 {
-				t.Errorf("%s: %d calls in 10 minutes", c.state, calls-before)
+				t.Errorf("members in state %q: %d calls in 10 minutes", c.state, calls-before)
 			}
 		}
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 {
-			t.Errorf("%s is applied, %d applied", now, n)
+			t.Errorf("applied %s, %d documents in all", now, n)
 		}
 	})
 	bubble(t, "other members are called after SetMembers", func(t *testing.T) {
@@ -194,12 +195,13 @@
 		c.SetMembers([]string{"n1"})
 		sleep(LongPollTimeout + watchSlack)
 		if now, _, _ := applier.current(); now != documentOf(12) || registry.lastCalled() != "n1" {
-			t.Errorf("%s applied, %s called", now, registry.lastCalled())
+			t.Errorf("applied %s, called %s", now, registry.lastCalled())
 		}
 	})
 }
 
-// Which versions are accepted.
+// Older versions are rejected within an epoch. Another epoch is accepted at once with higher versions, and
+// after EpochWait with lower ones. An empty registry changes nothing.
 func TestEpochs(t *testing.T) {
 	bubble(t, "nothing older within an epoch", func(t *testing.T) {
 		registry := newFakeRegistry(10)
@@ -213,7 +215,7 @@
 		})
 		sleep(time.Minute)
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 {
-			t.Errorf("%s applied", now)
+			t.Errorf("applied %s", now)
 		}
 	})
 	bubble(t, "an epoch with higher versions is accepted at once, and the same document is not applied again", func(t *testing.T) {
@@ -223,12 +225,12 @@
 		registry.set(func(_ string, m *fakeMember) { m.epoch, m.version, m.document = "two", 1000, documentOf(10) })
 		sleep(time.Second)
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || c.Metrics().Version != 1000 {
-			t.Errorf("%s applied, %d applied, %+v", now, n, c.Metrics())
+			t.Errorf("applied %s, %d documents in all, %+v", now, n, c.Metrics())
 		}
 		registry.set(func(_ string, m *fakeMember) { m.version, m.document = 1001, documentOf(7) })
 		sleep(time.Second)
 		if now, _, _ := applier.current(); now != documentOf(7) {
-			t.Errorf("%s applied", now)
+			t.Errorf("applied %s", now)
 		}
 	})
 	bubble(t, "an empty registry removes nothing, and its first configuration is accepted", func(t *testing.T) {
@@ -238,12 +240,12 @@
 		registry.set(func(_ string, m *fakeMember) { m.epoch, m.version, m.document = "two", 0, "" })
 		sleep(time.Minute)
 		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || c.Metrics().Version != 10 || c.Metrics().Age > LongPollTimeout {
-			t.Errorf("%s applied, %+v", now, c.Metrics())
+			t.Errorf("applied %s, %+v", now, c.Metrics())
 		}
 		registry.set(func(_ string, m *fakeMember) { m.version, m.document = 2000, documentOf(2000) })
 		sleep(time.Second)
 		if now, _, _ := applier.current(); now != documentOf(2000) {
-			t.Errorf("%s applied", now)
+			t.Errorf("applied %s", now)
 		}
 	})
 	bubble(t, "an epoch with lower versions is accepted once nobody confirms the former", func(t *testing.T) {
@@ -253,16 +255,17 @@
 		registry.set(func(_ string, m *fakeMember) { m.epoch, m.version, m.document = "zero", 5, documentOf(5) })
 		sleep(failover.EpochWait - LongPollTimeout)
 		if now, _, _ := applier.current(); now != documentOf(10) {
-			t.Errorf("%s applied", now)
+			t.Errorf("applied %s", now)
 		}
 		sleep(LongPollTimeout + 2*maxBackoff)
 		if now, _, _ := applier.current(); now != documentOf(5) {
-			t.Errorf("%s applied", now)
+			t.Errorf("applied %s", now)
 		}
 	})
 }
 
-// The applied configuration outlives the process, and nothing else is read as it.
+// The applied configuration is cached for the next process. Damaged files and those of another kind or
+// service are not used.
 func TestCachedConfig(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	if k, err := LoadCached(dir, "tarifas"); k != nil || err != nil {
@@ -287,12 +290,12 @@
 		c, applier := registry.client(t, 1, "", k)
 		sleep(time.Minute)
 		if _, _, n := applier.current(); n != 0 || c.Metrics().Version != 11 {
-			t.Errorf("%d applied, %+v", n, c.Metrics())
+			t.Errorf("%d documents applied, want none; %+v", n, c.Metrics())
 		}
 		registry.publish(12)
 		sleep(time.Second)
 		if now, _, _ := applier.current(); now != documentOf(12) {
-			t.Errorf("%s applied", now)
+			t.Errorf("applied %s", now)
 		}
 	})
 	bubble(t, "one that was rejected at the start is reported", func(t *testing.T) {
@@ -312,7 +315,7 @@
 		<-ended
 	})
 	if k, err := LoadCached(dir, "another"); k != nil || err != nil {
-		t.Errorf("of another service: %+v, %v", k, err)
+		t.Errorf("cache of another service was used: %+v, %v", k, err)
 	}
 	path := filepath.Join(dir, cacheFile)
 	whole, err := os.ReadFile(path)
