--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -36,12 +36,12 @@
 		kind, formatVersion, len(body), crc32.Checksum(body, castagnoli))
 }
 
-// Seal returns a body preceded by its header. The kind is a word without spaces.
-func Seal(kind string, body []byte) []byte { return append(header(kind, body), body...) }
+// Encode returns a body preceded by its header. The kind is a word without spaces.
+func Encode(kind string, body []byte) []byte { return append(header(kind, body), body...) }
 
-// Unseal reads what Seal returned and returns the body. Data that is damaged, of another kind or longer than
-// maxBytes is an error that wraps ErrDamaged.
-func Unseal(kind string, r io.Reader, maxBytes int64) ([]byte, error) {
+// Decode reads what Encode returned and returns the body. Data that is damaged, of another kind or longer
+// than maxBytes is an error that wraps ErrDamaged.
+func Decode(kind string, r io.Reader, maxBytes int64) ([]byte, error) {
 	text, err := io.ReadAll(io.LimitReader(r, maxBytes+1))
 	if err != nil {
 		return nil, err
@@ -63,14 +63,14 @@
 	return body, nil
 }
 
-// ReadFile returns the body of a file that was written with a header, as Unseal does.
+// ReadFile returns the body of a file that was written with a header, as Decode does.
 func ReadFile(path, kind string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	return Unseal(kind, f, maxBytes)
+	return Decode(kind, f, maxBytes)
 }
 
 // WriteFile creates or replaces a file atomically, also if the power is lost. It returns once the new
--- a/internal/atomicfile/writer.go
+++ b/internal/atomicfile/writer.go
@@ -86,7 +86,7 @@
 func (w *Writer) write(text []byte) bool {
 	err := os.MkdirAll(w.dir, 0o700)
 	if err == nil {
-		err = WriteFile(filepath.Join(w.dir, w.file), Seal(w.kind, text))
+		err = WriteFile(filepath.Join(w.dir, w.file), Encode(w.kind, text))
 	}
 	switch {
 	case err != nil && !w.failing:
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data := atomicfile.Seal(overrideFileKind, body)
+	data := atomicfile.Encode(overrideFileKind, body)
 	if _, err := os.Stat(path); os.IsNotExist(err) && *record {
 		if err := os.WriteFile(path, data, 0o644); err != nil {
 			t.Fatal(err)
--- a/internal/cluster/transport/overridefile.go
+++ b/internal/cluster/transport/overridefile.go
@@ -64,7 +64,7 @@
 func (f *overrideFile) write(overrides []state.OverrideRecord) error {
 	body, err := json.Marshal(overrideFileBody{time.Now().UnixMilli(), overrides})
 	if err == nil {
-		err = atomicfile.WriteFile(f.path, atomicfile.Seal(overrideFileKind, body))
+		err = atomicfile.WriteFile(f.path, atomicfile.Encode(overrideFileKind, body))
 	}
 	if err != nil {
 		return &StoreError{f.path, err}
@@ -82,7 +82,7 @@
 		return nil, &StoreError{f.path, err}
 	}
 	defer file.Close()
-	text, err := atomicfile.Unseal(overrideFileKind, file, maxOverrideFileBytes)
+	text, err := atomicfile.Decode(overrideFileKind, file, maxOverrideFileBytes)
 	if err != nil {
 		return nil, &StoreError{f.path, err}
 	}
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -19,7 +19,7 @@
 		8 * time.Second, 21 * time.Second} {
 		t.Run(fmt.Sprint(deaf), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
+				c := New(Config{Source: Source{Address: "127.0.0.1:1"}, LocalAgent: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
 				c.SetInitialList(&List{Version: 5, Snapshot: true})
 				began := time.Now()
 				c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
@@ -50,7 +50,7 @@
 // A client waits for a local agent that takes 3 s to answer.
 func TestSlowAgentIsAwaited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
+		c := New(Config{Source: Source{Address: "127.0.0.1:1"}, LocalAgent: true, Seed: 7, Logger: slog.New(slog.DiscardHandler)})
 		c.SetInitialList(&List{Version: 5, Snapshot: true})
 		c.http.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			select {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -53,11 +53,11 @@
 	Source Source
 	// Callers is the approximate number of clients that call the platform's discovery (EstimateCallers); 0:
 	// unknown.
-	Callers  int
-	Pushed   bool   // the platform list comes from a local agent, which has no other callers
-	Seed     uint64 // of the random order of members and of random delays
-	CacheDir string // directory of the cached registry list; empty: no cache
-	Logger   *slog.Logger
+	Callers    int
+	LocalAgent bool   // the platform list comes from a local agent, which has no other callers
+	Seed       uint64 // of the random order of members and of random delays
+	CacheDir   string // directory of the cached registry list; empty: no cache
+	Logger     *slog.Logger
 }
 
 // Update is an answer of the source: a full list, or the changes since the previous update.
@@ -65,11 +65,11 @@
 
 // Client follows the list of endpoints.
 type Client struct {
-	cfg        Config
-	log        *slog.Logger
-	http       *http.Client
-	connect    func(Source) *http.Client // newHTTPClient, replaced by tests
-	randomness *rand.Rand
+	cfg            Config
+	log            *slog.Logger
+	http           *http.Client
+	makeHTTPClient func(Source) *http.Client // newHTTPClient, replaced by tests
+	randomness     *rand.Rand
 
 	updates       chan Update
 	done          <-chan struct{} // closed when Run has to return
@@ -90,13 +90,14 @@
 // New returns a client. It makes no calls until Run is called.
 func New(cfg Config) *Client {
 	c := &Client{
-		cfg: cfg, log: cfg.Logger, http: newHTTPClient(cfg.Source), connect: newHTTPClient,
+		cfg: cfg, log: cfg.Logger, http: newHTTPClient(cfg.Source), makeHTTPClient: newHTTPClient,
 		randomness: rand.New(rand.NewPCG(cfg.Seed, 23)),
 		updates:    make(chan Update), unreachable: make(chan struct{}), sourceChanges: make(chan Source, 1),
 		source: cfg.Source,
 	}
 	c.platform.version = -1
-	c.platform.scheduler = pollScheduler{callers: cfg.Callers, agent: cfg.Pushed, randomDelay: c.randomDelay}
+	c.platform.scheduler = pollScheduler{callers: cfg.Callers, agent: cfg.LocalAgent,
+		randomDelay: c.randomDelay}
 	if cfg.CacheDir != "" && len(cfg.Source.Members) > 0 {
 		c.cache = newCacheWriter(cfg.CacheDir, cfg.Logger)
 	}
@@ -192,7 +193,7 @@
 	c.platform.scheduler.reset()
 	c.scheduleResync() // another service may use versions of its own
 	c.http.CloseIdleConnections()
-	c.http = c.connect(source)
+	c.http = c.makeHTTPClient(source)
 }
 
 // publish sends an update and waits until it is received. A change of source waits too: the held version
--- a/internal/discovery/freshness.go
+++ b/internal/discovery/freshness.go
@@ -38,7 +38,7 @@
 //	source changed with a call in flight       W                             2        3
 //	source changed to lower versions           W + pollHold + W              4.1      6.1 *
 //
-//	local agent (Config.Pushed): no queue, backoffs up to 0.2 s, H + S = 0.75 s, hedge delay 0.4 s
+//	local agent (Config.LocalAgent): no queue, backoffs up to 0.2 s, H + S = 0.75 s, hedge delay 0.4 s
 //	  no answer                                H + S                         0.75
 //	  no answer, twice                         H + S + hedge delay           1.15
 //	  down, or not answering, then back        0.2, hedge delay              0.2, 0.4
@@ -51,7 +51,7 @@
 //	EvidenceTTL      the list no longer proves that a server is listed: selection prefers servers that keep
 //	                 executing requests (balancer/listevidence.go)
 //	NotifyDeadline   metrics and log report the list as stale (internal/proxy, liststatus.go and
-//	                 readiness.go). For a local agent it is PushNotifyDeadline; after a change of source
+//	                 readiness.go). For a local agent it is AgentNotifyDeadline; after a change of source
 //	                 it is SourceChangeDeadline, counted from the change
 //	any age          the list stays in use; Metrics.Age reports its age
 //
@@ -67,10 +67,10 @@
 	// NotifyDeadline is the time after which a change of the platform list counts as known to a proxy. It
 	// starts when discovery has the change and can be reached.
 	NotifyDeadline = 6 * time.Second
-	// PushNotifyDeadline is the age at which a list from a local agent counts as stale. The agent's changes
+	// AgentNotifyDeadline is the age at which a list from a local agent counts as stale. The agent's changes
 	// count as known at once, so a client must treat its list as stale after this long without an answer. It
 	// is longer than the watches of an agent take.
-	PushNotifyDeadline = 1500 * time.Millisecond
+	AgentNotifyDeadline = 1500 * time.Millisecond
 	// SourceChangeDeadline is the time after which the list at a new address counts as known. It starts when
 	// the operator sets the address.
 	SourceChangeDeadline = 4 * time.Second
@@ -83,9 +83,9 @@
 // EvidenceTTL returns for how long an answer of discovery, or a request that a server accepted, proves that
 // the server is still listed. A removal within that time does not yet count as known, or is within the grace
 // period in which requests may still be sent to the server.
-func EvidenceTTL(pushed bool, grace time.Duration) time.Duration {
+func EvidenceTTL(localAgent bool, grace time.Duration) time.Duration {
 	known := NotifyDeadline
-	if pushed {
+	if localAgent {
 		known = 0
 	}
 	return min(known+grace, maxEvidenceTTL)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -63,8 +63,8 @@
 			notes.call(r)
 			return answer(time.Since(notes.start), r)
 		})
-		c.connect = func(Source) *http.Client { return &http.Client{Transport: transport} }
-		c.http = c.connect(Source{})
+		c.makeHTTPClient = func(Source) *http.Client { return &http.Client{Transport: transport} }
+		c.http = c.makeHTTPClient(Source{})
 		if known != nil {
 			c.SetInitialList(known)
 		}
@@ -222,7 +222,7 @@
 func TestGoldenPlatformCalls(t *testing.T) {
 	var all []string
 	for seed := range uint64(4) {
-		for _, cfg := range []Config{{Callers: 0}, {Callers: 12}, {Callers: 300}, {Pushed: true}} {
+		for _, cfg := range []Config{{Callers: 0}, {Callers: 12}, {Callers: 300}, {LocalAgent: true}} {
 			cfg.Seed, cfg.Source = seed, Source{Address: "127.0.0.1:1"}
 			var known *List
 			if seed%2 == 1 {
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -33,18 +33,18 @@
 	replies chan hedgeReply
 	calls   sync.WaitGroup
 
-	inFlight        int
-	patientInFlight bool          // a call with the long timeout is in flight
-	lastPatient     bool          // the latest call has the long timeout
-	postponed       time.Duration // added to the delay of the first hedged call, see firstDelay
+	inFlight            int
+	longTimeoutInFlight bool          // a call with the long timeout is in flight
+	lastHasLongTimeout  bool          // the latest call has the long timeout
+	addedDelay          time.Duration // added to the delay of the first hedged call, see firstDelay
 }
 
 // hedgeReply is the result of one of the calls of a hedge.
 type hedgeReply struct {
-	list     *List
-	err      error
-	duration time.Duration
-	patient  bool
+	list        *List
+	err         error
+	duration    time.Duration
+	longTimeout bool
 }
 
 // hedgedCall makes a call that waits in discovery's queue, and another one after each hedge delay without an
@@ -77,19 +77,19 @@
 // long timeout; the calls beside it last for one hedge delay.
 func (h *hedge) start(ctx context.Context) (next <-chan time.Time) {
 	delay, timeout := h.timing()
-	patient := !h.client.cfg.Pushed || !h.patientInFlight
-	if !patient {
+	longTimeout := !h.client.cfg.LocalAgent || !h.longTimeoutInFlight
+	if !longTimeout {
 		timeout = delay
 	}
 	next = time.After(delay)
-	h.patientInFlight = h.patientInFlight || patient
-	h.lastPatient = patient
+	h.longTimeoutInFlight = h.longTimeoutInFlight || longTimeout
+	h.lastHasLongTimeout = longTimeout
 	h.inFlight++
 	h.calls.Go(func() {
 		start := time.Now()
 		list, err := h.client.fetchOnce(ctx, h.url, timeout)
 		select {
-		case h.replies <- hedgeReply{list, err, time.Since(start), patient}:
+		case h.replies <- hedgeReply{list, err, time.Since(start), longTimeout}:
 		case <-ctx.Done():
 		}
 	})
@@ -102,13 +102,13 @@
 		h.client.platform.rejectedSinceSuccess = true
 		h.client.platform.scheduler.rejectedAfter = reply.duration
 	}
-	h.patientInFlight = h.patientInFlight && !reply.patient
+	h.longTimeoutInFlight = h.longTimeoutInFlight && !reply.longTimeout
 	h.inFlight--
 	if reply.err == nil {
 		return true
 	}
 	// If the latest call had the short timeout, a timeout does not end the hedge: the next call is due.
-	return h.inFlight == 0 && (h.lastPatient || !errors.Is(reply.err, context.DeadlineExceeded))
+	return h.inFlight == 0 && (h.lastHasLongTimeout || !errors.Is(reply.err, context.DeadlineExceeded))
 }
 
 // timing returns the timeout of the call being started, two delays, and the delay until the next call is made
@@ -116,7 +116,7 @@
 func (h *hedge) timing() (delay, timeout time.Duration) {
 	c, first := h.client, h.inFlight == 0
 	switch {
-	case c.cfg.Pushed:
+	case c.cfg.LocalAgent:
 		return agentHedgeDelayMin + c.randomDelay(agentJitter), 2 * hedgeDelayMax
 	case c.platform.rejectedSinceSuccess:
 		delay = busyHedgeDelayMin + c.randomDelay(hedgeDelayJitter)
@@ -125,8 +125,8 @@
 	case first:
 		delay = h.firstDelay()
 	default:
-		delay = hedgeDelayMin + c.randomDelay(hedgeDelayJitter) - h.postponed
-		h.postponed = 0
+		delay = hedgeDelayMin + c.randomDelay(hedgeDelayJitter) - h.addedDelay
+		h.addedDelay = 0
 	}
 	return delay, 2 * delay
 }
@@ -137,6 +137,6 @@
 // original times, so that a fleet without answers stays spread out.
 func (h *hedge) firstDelay() time.Duration {
 	delay := hedgeDelayMin + h.client.randomDelay(hedgeDelayJitter)
-	h.postponed = max(0, firstHedgeDelayMin-delay)
-	return delay + h.postponed
+	h.addedDelay = max(0, firstHedgeDelayMin-delay)
+	return delay + h.addedDelay
 }
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -123,7 +123,7 @@
 			}
 		}
 		failures++
-		c.noteUnreachable(err)
+		c.signalUnreachable(err)
 		c.sleep(ctx, state.scheduler.delayAfter(err, failures))
 	}
 }
@@ -136,9 +136,9 @@
 	c.publish(Update{list})
 }
 
-// noteUnreachable closes the channel of Unreachable at the first call whose connection failed or that was
+// signalUnreachable closes the channel of Unreachable at the first call whose connection failed or that was
 // rejected without waiting in the queue.
-func (c *Client) noteUnreachable(err error) {
+func (c *Client) signalUnreachable(err error) {
 	var malformed *malformedListError
 	if errors.As(err, &malformed) || errors.Is(err, context.DeadlineExceeded) ||
 		c.platform.scheduler.rejectedAfter >= shortQueueWait {
@@ -176,7 +176,7 @@
 	watch := c.platform.watching
 	hold, slack := pollHold, watchSlack
 	switch {
-	case watch && c.cfg.Pushed:
+	case watch && c.cfg.LocalAgent:
 		hold, slack = agentWatchHold+c.randomDelay(agentJitter), agentWatchSlack
 	case watch:
 		hold = watchHoldMin + c.randomDelay(watchHoldJitter)
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -145,8 +145,8 @@
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		})
-		c.connect = func(Source) *http.Client { return &http.Client{Transport: transport} }
-		c.http = c.connect(Source{})
+		c.makeHTTPClient = func(Source) *http.Client { return &http.Client{Transport: transport} }
+		c.http = c.makeHTTPClient(Source{})
 		ctx, stop := context.WithCancel(t.Context())
 		go c.Run(ctx)
 		synctest.Wait() // the update waits for its reader
--- a/internal/discovery/polling.go
+++ b/internal/discovery/polling.go
@@ -52,10 +52,10 @@
 
 	timeoutsUntilBackoff         = 4 // timeouts in the queue after which the period grows
 	timeoutsUntilBackoffUnsynced = 1 // the same for a client that has no list yet
-	// maxPollsCountedDown bounds the number of failed polls counted while connections fail, since discovery
-	// then has no queue.
-	maxPollsCountedDown = 2
-	maxPeriodDoublings  = 3
+	// maxFailedPollsWhileDown bounds the number of failed polls counted while connections fail, since
+	// discovery then has no queue.
+	maxFailedPollsWhileDown = 2
+	maxPeriodDoublings      = 3
 
 	defaultCallers = 700 // used if Config.Callers is unknown
 )
@@ -117,7 +117,7 @@
 	s.failedPolls++
 	immediate := s.rejectedAfter < shortQueueWait
 	if immediate && !s.lastRejected { // the connection failed: discovery is down and has no queue
-		s.failedPolls, s.queueTimeouts = min(s.failedPolls, maxPollsCountedDown), 0
+		s.failedPolls, s.queueTimeouts = min(s.failedPolls, maxFailedPollsWhileDown), 0
 	}
 	if immediate && s.queueTimeouts == 0 { // the call was never queued and took no service time
 		if s.failedPolls == 1 {
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -225,11 +225,11 @@
 		if err != nil || len(again.Endpoints) != len(l.Endpoints) || again.Version != l.Version || again.Epoch != l.Epoch {
 			t.Fatalf("%s was decoded as %+v, and after encoding as %+v, %v", data, l, again, err)
 		}
-		sealed := atomicfile.Seal(cacheKind, data)
-		if body, err := atomicfile.Unseal(cacheKind, bytes.NewReader(sealed), maxCacheBytes); err != nil || !bytes.Equal(body, data) {
+		sealed := atomicfile.Encode(cacheKind, data)
+		if body, err := atomicfile.Decode(cacheKind, bytes.NewReader(sealed), maxCacheBytes); err != nil || !bytes.Equal(body, data) {
 			t.Fatalf("encoded %q, decoded %q, %v", data, body, err)
 		}
-		if _, err := atomicfile.Unseal(cacheKind, bytes.NewReader(data), maxCacheBytes); err == nil && !bytes.HasPrefix(data, []byte(cacheKind)) {
+		if _, err := atomicfile.Decode(cacheKind, bytes.NewReader(data), maxCacheBytes); err == nil && !bytes.HasPrefix(data, []byte(cacheKind)) {
 			t.Fatalf("%q was accepted without a header", data)
 		}
 	})
--- a/internal/discovery/servermodel_test.go
+++ b/internal/discovery/servermodel_test.go
@@ -281,13 +281,13 @@
 
 // join starts a client that has the list of a version.
 func (m *serverModel) join(ctx context.Context, pushed bool, seed uint64, version int64) {
-	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: m.assumedCallers, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
+	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, LocalAgent: pushed, Callers: m.assumedCallers, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	m.mu.Lock()
 	who := &modelClient{server: m, number: len(m.callers), client: client, joinedAt: time.Now()}
 	m.callers = append(m.callers, who)
 	m.mu.Unlock()
-	client.connect = func(Source) *http.Client { return &http.Client{Transport: who} }
-	client.http = client.connect(Source{})
+	client.makeHTTPClient = func(Source) *http.Client { return &http.Client{Transport: who} }
+	client.http = client.makeHTTPClient(Source{})
 	client.SetInitialList(&List{Version: version, Snapshot: true})
 	who.recordVersion(version)
 	go client.Run(ctx)
--- a/internal/override/calls.go
+++ b/internal/override/calls.go
@@ -11,11 +11,11 @@
 // uses the same directory. It returns once the override is stored and in effect. It returns an
 // *UnknownServerError, *StoreError, *StoreTimeoutError, *NotAppliedError or an error of Config.Notify. After
 // any of them but the first the call may be repeated.
-func (o *Overrides) SuspendServer(server string) error { return o.changeServer(server, true) }
+func (o *Overrides) SuspendServer(server string) error { return o.setServerSuspended(server, true) }
 
 // ResumeServer returns a server to service, with the same errors as SuspendServer. A remote override of the
 // server stays in effect until SetRemote removes it.
-func (o *Overrides) ResumeServer(server string) error { return o.changeServer(server, false) }
+func (o *Overrides) ResumeServer(server string) error { return o.setServerSuspended(server, false) }
 
 // ClearLocal removes the stored override of a server that other proxies have resumed. It does not notify
 // them.
@@ -29,13 +29,13 @@
 	return o.reload()
 }
 
-// changeServer suspends or resumes a server. It rejects servers that no list has named and that are not
+// setServerSuspended suspends or resumes a server. It rejects servers that no list has named and that are not
 // suspended.
-func (o *Overrides) changeServer(server string, suspended bool) error {
-	if _, zone := zoneOfKey(server); zone || !o.cfg.KnownServers.Has(server) && !o.isSet(server) {
+func (o *Overrides) setServerSuspended(server string, suspended bool) error {
+	if _, zone := zoneOfKey(server); zone || !o.cfg.KnownServers.Has(server) && !o.isSuspended(server) {
 		return &UnknownServerError{server}
 	}
-	return o.change(server, suspended)
+	return o.setSuspended(server, suspended)
 }
 
 // DrainZone takes a zone out of service until RestoreZone is called, as SuspendServer does for a server. It
@@ -58,7 +58,7 @@
 			return &LastZoneError{zone, slices.Sorted(maps.Keys(drained))}
 		}
 	}
-	return o.change(ZoneKey(zone), true)
+	return o.setSuspended(ZoneKey(zone), true)
 }
 
 // RestoreZone returns a zone to service. It returns an *UnknownZoneError or an error of ResumeServer.
@@ -66,15 +66,17 @@
 	if !o.isKnownZone(zone) {
 		return &UnknownZoneError{zone}
 	}
-	return o.change(ZoneKey(zone), false)
+	return o.setSuspended(ZoneKey(zone), false)
 }
 
 func (o *Overrides) isKnownZone(zone string) bool {
-	return zone != "" && (o.cfg.KnownZones != nil && o.cfg.KnownZones.Has(zone) || o.isSet(ZoneKey(zone)))
+	return zone != "" &&
+		(o.cfg.KnownZones != nil && o.cfg.KnownZones.Has(zone) || o.isSuspended(ZoneKey(zone)))
 }
 
-// change stores or removes an override, notifies other proxies and returns once the change is in effect.
-func (o *Overrides) change(id string, suspended bool) error {
+// setSuspended stores or removes an override, notifies other proxies and returns once the change is in
+// effect.
+func (o *Overrides) setSuspended(id string, suspended bool) error {
 	write := o.store.remove
 	if suspended {
 		write = o.store.add
@@ -113,9 +115,9 @@
 	}
 }
 
-// isSet reports whether a server, or a zone given by its ZoneKey, is out of service by a local or remote
-// override.
-func (o *Overrides) isSet(id string) bool {
+// isSuspended reports whether a server, or a zone given by its ZoneKey, is out of service by a local or
+// remote override.
+func (o *Overrides) isSuspended(id string) bool {
 	if o.store.has(id) {
 		return true
 	}
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -128,7 +128,7 @@
 	} {
 		dir := t.TempDir()
 		if c.kept != "" {
-			text := atomicfile.Seal("proxy-config", []byte(c.kept))
+			text := atomicfile.Encode("proxy-config", []byte(c.kept))
 			if c.kept == "x" {
 				text = text[:len(text)-1]
 			}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -125,7 +125,7 @@
 	site := p.config.Site
 	topology := discovery.Topology{Tier: site.Balancer.Tier, TierCount: site.Tiers, Replicas: site.Balancer.Replicas}
 	p.listClient = discovery.New(discovery.Config{
-		Source: p.config.Discovery, Pushed: !site.Balancer.WatchEndpoints, Seed: p.config.Seed,
+		Source: p.config.Discovery, LocalAgent: !site.Balancer.WatchEndpoints, Seed: p.config.Seed,
 		Callers: discovery.EstimateCallers(topology), CacheDir: p.config.ListCacheDir, Logger: p.config.Logger,
 	})
 	p.loop.list.updates = p.listClient.Updates()
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -18,7 +18,7 @@
 	case len(cfg.Discovery.Members) > 0:
 		return 0
 	case !cfg.Site.Balancer.WatchEndpoints:
-		return discovery.PushNotifyDeadline
+		return discovery.AgentNotifyDeadline
 	}
 	return discovery.NotifyDeadline - syncMargin
 }
@@ -30,7 +30,7 @@
 	case len(cfg.Discovery.Members) > 0:
 		return 0
 	case !cfg.Site.Balancer.WatchEndpoints:
-		return discovery.PushNotifyDeadline
+		return discovery.AgentNotifyDeadline
 	}
 	return discovery.NotifyDeadline
 }
--- a/internal/registry/state/configs_test.go
+++ b/internal/registry/state/configs_test.go
@@ -138,7 +138,7 @@
 	s.Apply(put("a", 0, `{"n":1}`))
 	s.Apply(put("a", 102, `{"n":2,"s":"\u003c"}`))
 	whole := written()
-	if _, err := atomicfile.Unseal("roster-snapshot", bytes.NewReader(whole), MaxSnapshotBytes); !errors.Is(err, atomicfile.ErrDamaged) {
+	if _, err := atomicfile.Decode("roster-snapshot", bytes.NewReader(whole), MaxSnapshotBytes); !errors.Is(err, atomicfile.ErrDamaged) {
 		t.Errorf("a build before them reads it: %v", err)
 	}
 	i, err := ReadSnapshot(bytes.NewReader(whole))
@@ -164,7 +164,7 @@
 	// The kind has to match the content.
 	bare := Snapshot{Epoch: "l", Version: 1}
 	body, _ := json.Marshal(bare)
-	if _, err := ReadSnapshot(bytes.NewReader(atomicfile.Seal("roster-snapshot-configs", body))); !errors.Is(err, ErrDamaged) {
+	if _, err := ReadSnapshot(bytes.NewReader(atomicfile.Encode("roster-snapshot-configs", body))); !errors.Is(err, ErrDamaged) {
 		t.Errorf("none in a snapshot of some: %v", err)
 	}
 }
--- a/internal/registry/state/snapshotfile.go
+++ b/internal/registry/state/snapshotfile.go
@@ -29,7 +29,7 @@
 func (s Snapshot) Write(w io.Writer) error {
 	body, err := json.Marshal(s)
 	if err == nil {
-		_, err = w.Write(atomicfile.Seal(s.kind(), body))
+		_, err = w.Write(atomicfile.Encode(s.kind(), body))
 	}
 	if err != nil {
 		return fmt.Errorf("write a snapshot: %w", err)
@@ -50,7 +50,7 @@
 	if head, _ := in.Peek(len(snapshotKindWithConfigs)); string(head) == snapshotKindWithConfigs {
 		kind = snapshotKindWithConfigs
 	}
-	body, err := atomicfile.Unseal(kind, in, MaxSnapshotBytes)
+	body, err := atomicfile.Decode(kind, in, MaxSnapshotBytes)
 	if err != nil {
 		return s, fmt.Errorf("a snapshot: %w", err)
 	}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -159,9 +159,9 @@
 	c.retryRejected = true
 }
 
-// handleRequests retries a rejected document if RetryRejected was called, and returns the members that
+// takePendingChanges retries a rejected document if RetryRejected was called, and returns the members that
 // SetMembers has set since the last call, or nil.
-func (c *Client) handleRequests(ctx context.Context) []string {
+func (c *Client) takePendingChanges(ctx context.Context) []string {
 	c.mu.Lock()
 	members, retryRejected, rejected := c.newMembers, c.retryRejected, c.metrics.RejectedVersion
 	c.newMembers, c.retryRejected = nil, false
@@ -182,7 +182,7 @@
 	watch := false // the last call succeeded, so the next one is a watch
 	failures := 0  // consecutive failed calls
 	for ctx.Err() == nil {
-		if members := c.handleRequests(ctx); len(members) > 0 {
+		if members := c.takePendingChanges(ctx); len(members) > 0 {
 			ring = failover.NewRing(members, c.randomness, maxBackoff)
 			watch = false
 		}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -323,7 +323,7 @@
 		t.Fatal(err)
 	}
 	for _, damaged := range [][]byte{nil, whole[:len(whole)-1], bytes.Replace(whole, []byte("11"), []byte("12"), 1),
-		atomicfile.Seal(cacheKind, []byte(`{"service":"tarifas"}`)), atomicfile.Seal("proxy-list", whole)} {
+		atomicfile.Encode(cacheKind, []byte(`{"service":"tarifas"}`)), atomicfile.Encode("proxy-list", whole)} {
 		if err := os.WriteFile(path, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
