--- a/internal/atomicfile/writer_test.go
+++ b/internal/atomicfile/writer_test.go
@@ -17,10 +17,10 @@
 		if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file in place of the directory
 			t.Fatal(err)
 		}
-		k := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
+		writer := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
 		ctx, stop := context.WithCancel(t.Context())
-		ended := k.Run(ctx)
-		k.Put(func() []byte { return []byte("newest") })
+		wait := writer.Run(ctx)
+		writer.Put(func() []byte { return []byte("newest") })
 		time.Sleep(5 * time.Second)
 		if err := os.Remove(dir); err != nil {
 			t.Fatal(err)
@@ -30,7 +30,7 @@
 			t.Errorf("file contains %q, %v", body, err)
 		}
 		stop()
-		ended()
+		wait()
 	})
 }
 
@@ -41,18 +41,18 @@
 		if err := os.WriteFile(dir, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		k := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
+		writer := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
 		ctx, stop := context.WithCancel(t.Context())
-		ended := k.Run(ctx)
-		k.Put(func() []byte { return []byte("older") })
+		wait := writer.Run(ctx)
+		writer.Put(func() []byte { return []byte("older") })
 		time.Sleep(1500 * time.Millisecond)
-		k.Put(func() []byte { return []byte("newer") })
+		writer.Put(func() []byte { return []byte("newer") })
 		if err := os.Remove(dir); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
 		stop()
-		ended()
+		wait()
 		if body, err := ReadFile(filepath.Join(dir, "list"), "kind", 100); err != nil || string(body) != "newer" {
 			t.Errorf("file contains %q, %v", body, err)
 		}
@@ -69,11 +69,12 @@
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	ended := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler)).Run(ctx)
+	wait := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler)).Run(ctx)
 	stop()
-	ended()
-	left, err := filepath.Glob(filepath.Join(dir, "*"))
-	if err != nil || len(left) != 2 || filepath.Base(left[0]) != "list" || filepath.Base(left[1]) != "other.1.new" {
-		t.Errorf("remaining files %v, %v", left, err)
+	wait()
+	remaining, err := filepath.Glob(filepath.Join(dir, "*"))
+	if err != nil || len(remaining) != 2 ||
+		filepath.Base(remaining[0]) != "list" || filepath.Base(remaining[1]) != "other.1.new" {
+		t.Errorf("remaining files %v, %v", remaining, err)
 	}
 }
--- a/internal/discovery/fakeregistry_test.go
+++ b/internal/discovery/fakeregistry_test.go
@@ -38,16 +38,16 @@
 	lastCall    int    // number of the last call to it
 }
 
-func newFakeRegistry(line string, index int64, names ...string) *fakeRegistry {
+func newFakeRegistry(epoch string, version int64, names ...string) *fakeRegistry {
 	registry := &fakeRegistry{members: map[string]*fakeMember{}, changed: make(chan struct{}), start: time.Now()}
 	for _, m := range []string{"m1", "m2", "m3"} {
-		registry.members[m] = &fakeMember{epoch: line, version: index, names: names, oldestKnown: index}
+		registry.members[m] = &fakeMember{epoch: epoch, version: version, names: names, oldestKnown: version}
 	}
 	return registry
 }
 
 // set changes the members and wakes their watches.
-func (f *fakeRegistry) set(do func(name string, m *fakeMember)) {
+func (f *fakeRegistry) set(update func(name string, m *fakeMember)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := -1
@@ -58,7 +58,7 @@
 		}
 	}
 	for name, m := range f.members {
-		do(name, m)
+		update(name, m)
 	}
 	close(f.changed)
 	f.changed = make(chan struct{})
@@ -66,15 +66,15 @@
 
 // RoundTrip answers a call as the member would that the request is sent to.
 func (f *fakeRegistry) RoundTrip(r *http.Request) (*http.Response, error) {
-	q := r.URL.Query()
-	hold, _ := strconv.Atoi(q.Get("hold_ms"))
-	from, _ := strconv.ParseInt(q.Get("from"), 10, 64)
+	query := r.URL.Query()
+	hold, _ := strconv.Atoi(query.Get("hold_ms"))
+	from, _ := strconv.ParseInt(query.Get("from"), 10, 64)
 	until := time.After(time.Duration(hold) * time.Millisecond)
 	f.mu.Lock()
 	f.calls = append(f.calls, time.Since(f.start))
 	f.members[r.URL.Host].lastCall = len(f.calls)
 	f.mu.Unlock()
-	for over := false; ; {
+	for holdExpired := false; ; {
 		f.mu.Lock()
 		m, changed := *f.members[r.URL.Host], f.changed
 		f.mu.Unlock()
@@ -91,17 +91,18 @@
 			return answer(http.StatusServiceUnavailable, `{"error":"lost"}`)
 		case m.state == "malformed":
 			return answer(http.StatusOK, `{"index":9`)
-		case !q.Has("from") || q.Get("line") != m.epoch || from < min(m.oldestKnown, m.version) || from > m.version:
+		case !query.Has("from") || query.Get("line") != m.epoch ||
+			from < min(m.oldestKnown, m.version) || from > m.version:
 			return answer(http.StatusOK, encodeList(m, true, m.names))
 		case from < m.version:
 			return answer(http.StatusOK, encodeList(m, false, m.names))
-		case over:
+		case holdExpired:
 			return answer(http.StatusOK, encodeList(m, false, nil))
 		}
 		select {
 		case <-changed:
 		case <-until:
-			over = true
+			holdExpired = true
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
 		}
@@ -157,26 +158,26 @@
 		c.SetInitialList(known)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { defer close(ended); c.Run(ctx) }()
+	runDone := make(chan struct{})
+	go func() { defer close(runDone); c.Run(ctx) }()
 	recorded := &recordedList{names: map[string]bool{}}
-	read := make(chan struct{})
+	readerDone := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(readerDone)
 		for {
 			select {
-			case n := <-c.Updates():
+			case update := <-c.Updates():
 				recorded.mu.Lock()
-				if n.List.Snapshot {
+				if update.List.Snapshot {
 					clear(recorded.names)
 				}
-				for _, e := range n.List.Endpoints {
+				for _, e := range update.List.Endpoints {
 					recorded.names[e.Name] = true
 					if e.Status == StatusDeleted {
 						delete(recorded.names, e.Name)
 					}
 				}
-				recorded.version, recorded.at = n.List.Version, time.Since(f.start)
+				recorded.version, recorded.at = update.List.Version, time.Since(f.start)
 				recorded.updates++
 				recorded.mu.Unlock()
 			case <-ctx.Done():
@@ -184,7 +185,7 @@
 			}
 		}
 	}()
-	t.Cleanup(func() { stop(); <-ended; <-read })
+	t.Cleanup(func() { stop(); <-runDone; <-readerDone })
 	return c, recorded
 }
 
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -34,34 +34,35 @@
 	lists []string
 }
 
-func (s *transcript) call(r *http.Request) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.calls = append(s.calls, fmt.Sprintf("%d %s %s", time.Since(s.start), r.Method, r.URL))
+func (t *transcript) call(r *http.Request) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.calls = append(t.calls, fmt.Sprintf("%d %s %s", time.Since(t.start), r.Method, r.URL))
 }
 
-func (s *transcript) list(l *List) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	line := fmt.Sprintf("%d %d %t", time.Since(s.start), l.Version, l.Snapshot)
+func (t *transcript) list(l *List) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	line := fmt.Sprintf("%d %d %t", time.Since(t.start), l.Version, l.Snapshot)
 	for _, e := range l.Endpoints {
 		line += fmt.Sprintf(" %s/%s/%s", e.Name, e.Address, e.Status)
 	}
-	s.lists = append(s.lists, line)
+	t.lists = append(t.lists, line)
 }
 
-// play runs a client against a scripted server for some virtual time and returns what it did. The source
-// changes to moveTo at moveAt.
-func play(t *testing.T, cfg Config, known *List, answer func(age time.Duration, r *http.Request) (*http.Response, error),
-	length, moveAt time.Duration, moveTo Source) (calls, lists []string, counts string) {
+// runScripted runs a client against a scripted server for some virtual time and returns what it did. The
+// source changes to newSource at sourceChangeAt.
+func runScripted(t *testing.T, cfg Config, known *List,
+	answer func(elapsed time.Duration, r *http.Request) (*http.Response, error),
+	duration, sourceChangeAt time.Duration, newSource Source) (calls, lists []string, counts string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		notes := &transcript{start: time.Now()}
+		recorded := &transcript{start: time.Now()}
 		cfg.Logger = slog.New(slog.DiscardHandler)
 		c := New(cfg)
 		transport := roundTrip(func(r *http.Request) (*http.Response, error) {
-			notes.call(r)
-			return answer(time.Since(notes.start), r)
+			recorded.call(r)
+			return answer(time.Since(recorded.start), r)
 		})
 		c.makeHTTPClient = func(Source) *http.Client { return &http.Client{Transport: transport} }
 		c.http = c.makeHTTPClient(Source{})
@@ -74,29 +75,31 @@
 		go func() {
 			for {
 				select {
-				case n := <-c.Updates():
-					notes.list(n.List)
+				case update := <-c.Updates():
+					recorded.list(update.List)
 				case <-ctx.Done():
 					return
 				}
 			}
 		}()
-		time.Sleep(moveAt)
-		c.SetSource(moveTo)
-		time.Sleep(length - moveAt)
-		f := c.Metrics()
+		time.Sleep(sourceChangeAt)
+		c.SetSource(newSource)
+		time.Sleep(duration - sourceChangeAt)
+		metrics := c.Metrics()
 		stop()
 		<-ended
-		notes.mu.Lock()
-		defer notes.mu.Unlock()
-		calls, lists = notes.calls, notes.lists
-		counts = fmt.Sprint(f.FromRegistry, f.Age, f.Failovers, f.Failures, f.RetainedEndpoints, f.CallResults)
+		recorded.mu.Lock()
+		defer recorded.mu.Unlock()
+		calls, lists = recorded.calls, recorded.lists
+		counts = fmt.Sprint(metrics.FromRegistry, metrics.Age, metrics.Failovers, metrics.Failures,
+			metrics.RetainedEndpoints, metrics.CallResults)
 	})
 	return calls, lists, counts
 }
 
-// pausing calls answer after d, unless the call's context ends first.
-func pausing(r *http.Request, d time.Duration, answer func() (*http.Response, error)) (*http.Response, error) {
+// answerAfter calls answer after d, unless the call's context ends first.
+func answerAfter(r *http.Request, d time.Duration,
+	answer func() (*http.Response, error)) (*http.Response, error) {
 	select {
 	case <-time.After(d):
 		return answer()
@@ -117,48 +120,58 @@
 
 // platformAnswer simulates the platform's discovery with a change every 1.7 s and a fault in every other
 // phase.
-func platformAnswer(age time.Duration, r *http.Request) (*http.Response, error) {
+func platformAnswer(elapsed time.Duration, r *http.Request) (*http.Response, error) {
 	hold, from := holdOf(r)
 	list := func() (*http.Response, error) {
-		version := int64(age / (1700 * time.Millisecond))
+		version := int64(elapsed / (1700 * time.Millisecond))
 		return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[{"name":"e%d","address":"127.0.0.1:%d","status":"SERVING"}]}`,
 			version, from == "", version%7, 1+version)), nil
 	}
-	well := func() (*http.Response, error) {
-		return pausing(r, min(hold, 1700*time.Millisecond-age%(1700*time.Millisecond)), list)
+	healthy := func() (*http.Response, error) {
+		return answerAfter(r, min(hold, 1700*time.Millisecond-elapsed%(1700*time.Millisecond)), list)
 	}
 	phases := []struct {
 		until  time.Duration
 		answer func() (*http.Response, error)
 	}{
-		{10 * time.Second, well},
-		{13 * time.Second, func() (*http.Response, error) { return pausing(r, time.Hour, list) }}, // never answered
-		{20 * time.Second, well},
+		{10 * time.Second, healthy},
+		{13 * time.Second, func() (*http.Response, error) { // never answered
+			return answerAfter(r, time.Hour, list)
+		}},
+		{20 * time.Second, healthy},
 		{27 * time.Second, func() (*http.Response, error) { return nil, errors.New("connection reset") }},
-		{34 * time.Second, well},
-		{45 * time.Second, func() (*http.Response, error) { return pausing(r, 30*time.Millisecond, unavailable) }},
-		{52 * time.Second, well},
-		{110 * time.Second, func() (*http.Response, error) { return pausing(r, 2*time.Second, unavailable) }},
-		{120 * time.Second, well},
+		{34 * time.Second, healthy},
+		{45 * time.Second, func() (*http.Response, error) {
+			return answerAfter(r, 30*time.Millisecond, unavailable)
+		}},
+		{52 * time.Second, healthy},
+		{110 * time.Second, func() (*http.Response, error) {
+			return answerAfter(r, 2*time.Second, unavailable)
+		}},
+		{120 * time.Second, healthy},
 		{125 * time.Second, func() (*http.Response, error) {
-			return pausing(r, 10*time.Millisecond, func() (*http.Response, error) { return okResponse(`{"index":9,"endpoints":[{}]}`), nil })
+			return answerAfter(r, 10*time.Millisecond, func() (*http.Response, error) {
+				return okResponse(`{"index":9,"endpoints":[{}]}`), nil
+			})
 		}},
-		{132 * time.Second, well},
+		{132 * time.Second, healthy},
 		{133 * time.Second, func() (*http.Response, error) {
-			return pausing(r, max(hold/2, 20*time.Millisecond), func() (*http.Response, error) {
+			return answerAfter(r, max(hold/2, 20*time.Millisecond), func() (*http.Response, error) {
 				return okResponse(`{"index":2,"snapshot":false,"endpoints":[]}`), nil
 			})
 		}},
-		{140 * time.Second, well},
+		{140 * time.Second, healthy},
 		{147 * time.Second, func() (*http.Response, error) {
 			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(&slowBody{r.Context()})}, nil
 		}},
-		{155 * time.Second, well},
-		{170 * time.Second, func() (*http.Response, error) { return pausing(r, 300*time.Millisecond, unavailable) }},
-		{time.Hour, well},
+		{155 * time.Second, healthy},
+		{170 * time.Second, func() (*http.Response, error) {
+			return answerAfter(r, 300*time.Millisecond, unavailable)
+		}},
+		{time.Hour, healthy},
 	}
 	for _, p := range phases {
-		if age < p.until {
+		if elapsed < p.until {
 			return p.answer()
 		}
 	}
@@ -166,17 +179,17 @@
 }
 
 // memberAnswer simulates three registry members, each with faults at its own times, and changes of epoch.
-func memberAnswer(age time.Duration, r *http.Request) (*http.Response, error) {
+func memberAnswer(elapsed time.Duration, r *http.Request) (*http.Response, error) {
 	hold, from := holdOf(r)
-	line, version := "one", 100+int64(age/(2300*time.Millisecond))
-	if age > 60*time.Second {
-		line = "two"
+	epoch, version := "one", 100+int64(elapsed/(2300*time.Millisecond))
+	if elapsed > 60*time.Second {
+		epoch = "two"
 	}
-	if age > 95*time.Second {
-		line, version = "three", int64(age/(2300*time.Millisecond))
+	if elapsed > 95*time.Second {
+		epoch, version = "three", int64(elapsed/(2300*time.Millisecond))
 	}
 	names := []string{"a", "b", "c", "d"}[:2+version%3]
-	if line == "two" {
+	if epoch == "two" {
 		names = []string{"a", "e"}
 	}
 	list := func(version int64, full bool) func() (*http.Response, error) {
@@ -185,29 +198,30 @@
 			for _, n := range names {
 				entries = append(entries, fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:1","zone":"z","status":"SERVING","weight":1,"since_ms":5}`, n))
 			}
-			return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"line":%q,"endpoints":[%s]}`, version, full, line, strings.Join(entries, ","))), nil
+			return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"line":%q,"endpoints":[%s]}`,
+				version, full, epoch, strings.Join(entries, ","))), nil
 		}
 	}
-	faulty := fmt.Sprintf("m%d", 1+age/(6*time.Second)%3)
-	if age > 130*time.Second && age < 150*time.Second || r.URL.Hostname() == faulty {
-		switch age / (18 * time.Second) % 5 {
+	faulty := fmt.Sprintf("m%d", 1+elapsed/(6*time.Second)%3)
+	if elapsed > 130*time.Second && elapsed < 150*time.Second || r.URL.Hostname() == faulty {
+		switch elapsed / (18 * time.Second) % 5 {
 		case 0:
 			return nil, errors.New("connection refused")
 		case 1:
-			return pausing(r, time.Hour, unavailable)
+			return answerAfter(r, time.Hour, unavailable)
 		case 2:
 			return unavailable()
 		case 3:
 			return okResponse(`{"index":9`), nil
 		case 4:
-			return pausing(r, 10*time.Millisecond, list(version-4, false))
+			return answerAfter(r, 10*time.Millisecond, list(version-4, false))
 		}
 	}
-	full := from == "" || r.URL.Query().Get("line") != line
+	full := from == "" || r.URL.Query().Get("line") != epoch
 	if full {
 		hold = 0
 	}
-	return pausing(r, min(hold, 900*time.Millisecond), list(version, full))
+	return answerAfter(r, min(hold, 900*time.Millisecond), list(version, full))
 }
 
 func hashOf(lines ...[]string) string {
@@ -228,7 +242,8 @@
 			if seed%2 == 1 {
 				known = &List{Version: 0, Snapshot: true}
 			}
-			calls, lists, counts := play(t, cfg, known, platformAnswer, 5*time.Minute, 180*time.Second, Source{Address: "127.0.0.1:2"})
+			calls, lists, counts := runScripted(t, cfg, known, platformAnswer,
+				5*time.Minute, 180*time.Second, Source{Address: "127.0.0.1:2"})
 			if len(calls) < 100 || len(lists) < 50 {
 				t.Errorf("seed %d: %d calls and %d updates are too few", seed, len(calls), len(lists))
 			}
@@ -249,7 +264,8 @@
 		if seed%2 == 1 {
 			known = &List{Version: 90, Snapshot: true, Epoch: "one", Endpoints: []Endpoint{{Name: "old", Address: "127.0.0.1:9", Status: StatusServing}}}
 		}
-		calls, lists, counts := play(t, cfg, known, memberAnswer, 4*time.Minute, 200*time.Second, Source{Members: []string{"m3:1", "m2:1"}})
+		calls, lists, counts := runScripted(t, cfg, known, memberAnswer,
+			4*time.Minute, 200*time.Second, Source{Members: []string{"m3:1", "m2:1"}})
 		if len(calls) < 60 || len(lists) < 30 {
 			t.Errorf("seed %d: %d calls and %d updates are too few", seed, len(calls), len(lists))
 		}
@@ -270,12 +286,12 @@
 		t.Errorf("got %+v, want %+v", l, want)
 	}
 	dir := t.TempDir()
-	keep := newCacheWriter(dir, slog.New(slog.DiscardHandler))
+	writer := newCacheWriter(dir, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
-	ended := keep.Run(ctx)
-	keep.Put(goldenList().encode)
+	wait := writer.Run(ctx)
+	writer.Put(goldenList().encode)
 	stop()
-	ended()
+	wait()
 	before, err := os.ReadFile(filepath.Join("testdata", "cached", "list"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/listcost_test.go
+++ b/internal/discovery/listcost_test.go
@@ -25,7 +25,7 @@
 	const repeats, rounds = 5, 20
 	sizes := []float64{15, 150, 1300, 2600}
 	times, memory := make([][]float64, repeats), make([][]float64, repeats)
-	text := func(n int) []byte {
+	encodedList := func(n int) []byte {
 		l := List{Epoch: "3f2a9c77", Version: 1 << 51}
 		for i := range n {
 			w := 1.
@@ -44,8 +44,8 @@
 	for b.Loop() {
 		for r := range repeats {
 			for _, n := range sizes {
-				data := text(int(n))
-				ctx, end := context.WithCancel(b.Context())
+				data := encodedList(int(n))
+				ctx, stop := context.WithCancel(b.Context())
 				c := New(Config{Source: Source{Members: []string{"127.0.0.1:1"}}, Logger: slog.New(slog.DiscardHandler)})
 				c.done = ctx.Done()
 				go func() {
@@ -57,7 +57,7 @@
 						}
 					}
 				}()
-				take := func() {
+				acceptList := func() {
 					l, err := Parse(data)
 					if err != nil {
 						b.Fatal(err)
@@ -67,15 +67,15 @@
 					}
 				}
 				before := heap()
-				take()
+				acceptList()
 				memory[r] = append(memory[r], heap()-before)
-				begun := time.Now()
+				start := time.Now()
 				for range rounds {
-					take()
+					acceptList()
 				}
-				times[r] = append(times[r], time.Since(begun).Seconds()*1000/rounds)
+				times[r] = append(times[r], time.Since(start).Seconds()*1000/rounds)
 				runtime.KeepAlive(c)
-				end()
+				stop()
 			}
 		}
 	}
--- a/internal/discovery/notifydeadline_test.go
+++ b/internal/discovery/notifydeadline_test.go
@@ -13,56 +13,59 @@
 // calls of other callers fill nearly all of discovery's queue. Failures of a whole fleet are tested with 300
 // clients, whose own calls fill the queue.
 func TestChangeArrivesWithinNotifyDeadline(t *testing.T) {
-	const deadline = 6 * time.Second // required by the protocol; independent of NotifyDeadline, so that a wrong constant fails the test
-	struck := func(what func(*heldWatch), next ...callFault) func(*serverModel) {
-		return func(model *serverModel) { model.inject(what, next...) }
+	// The protocol requires 6 s. The constant is independent of NotifyDeadline, so that a wrong one fails the
+	// test.
+	const deadline = 6 * time.Second
+	withFaults := func(watchFault func(*heldWatch), next ...callFault) func(*serverModel) {
+		return func(model *serverModel) { model.inject(watchFault, next...) }
 	}
-	trouble := func(f callFault, what func(*heldWatch), d time.Duration) func(*serverModel) {
-		return func(model *serverModel) { model.outage(f, what, d) }
+	withOutage := func(fault callFault, watchFault func(*heldWatch), d time.Duration) func(*serverModel) {
+		return func(model *serverModel) { model.outage(fault, watchFault, d) }
 	}
-	move := func(model *serverModel) {
+	changeSource := func(model *serverModel) {
 		model.mu.Lock()
 		defer model.mu.Unlock()
-		for _, c := range model.callers {
+		for _, c := range model.clients {
 			c.lastAnswer = time.Time{} // the new source has not answered this client before
 			c.client.SetSource(Source{Address: "127.0.0.1:2"})
 		}
 	}
-	const two, both, pushed, fleet = 1, 2, 3, 4 // W of 2 s; of 2 s and of 3 s; a local agent; 300 clients
+	// Setups: W of 2 s; W of 2 s and W of 3 s; a local agent; a fleet of 300 clients.
+	const wait2s, waitBoth, localAgent, wholeFleet = 1, 2, 3, 4
 	tests := []struct {
-		name  string
-		fault func(model *serverModel) // 10 s into the run
-		in    int
-		calls int // most calls per client after the fault, on average
+		name     string
+		fault    func(model *serverModel) // 10 s into the run
+		setup    int
+		maxCalls int // most calls per client after the fault, on average
 	}{
-		{"nothing", func(*serverModel) {}, both, 0},
-		{"silent", struck(silenceWatch), both, 2},
-		{"silent from the first byte", struck(keepWatch, neverAnswered), both, 2},
-		{"byte by byte", struck(keepWatch, endlessBody), both, 2},
-		{"garbled", struck(keepWatch, malformed), both, 2},
-		{"reset", struck(resetWatch), both, 2},
-		{"silent, 503", struck(silenceWatch, rejected), both, 3},
-		{"silent, 503, 503, 503", struck(silenceWatch, rejected, rejected, rejected), both, 5},
-		{"reset, 503, 503, 503", struck(resetWatch, rejected, rejected, rejected), both, 5},
-		{"silent, reset", struck(silenceWatch, connectionReset), both, 3},
-		{"silent, never answered", struck(silenceWatch, neverAnswered), two, 3},
-		{"silent, byte by byte", struck(silenceWatch, endlessBody), two, 3},
-		{"silent, garbled", struck(silenceWatch, malformed), two, 3},
-		{"never answered, and again", struck(keepWatch, neverAnswered, neverAnswered), two, 3},
-		{"503 for 20 s", trouble(rejected, resetWatch, 20*time.Second), both, 40},
-		{"503 after waits for 10 s", trouble(rejectedAfterWait, resetWatch, 10*time.Second), two, 6},
-		{"resets for 20 s", trouble(connectionReset, resetWatch, 20*time.Second), both, 40},
-		{"never answered for 20 s", trouble(neverAnswered, silenceWatch, 20*time.Second), both, 14},
-		{"byte by byte for 20 s", trouble(endlessBody, silenceWatch, 20*time.Second), both, 14},
-		{"garbled for 20 s", trouble(malformed, silenceWatch, 20*time.Second), two, 14},
-		{"moved with a call out", move, both, 2},
-		{"pushed, silent", struck(silenceWatch), pushed, 2},
-		{"pushed, silent, never answered", struck(silenceWatch, neverAnswered), pushed, 3},
-		{"pushed, deaf for 8 s", trouble(neverAnswered, silenceWatch, 8*time.Second), pushed, 26},
-		{"pushed, down for 8 s", trouble(connectionReset, resetWatch, 8*time.Second), pushed, 60},
-		{"all silent", struck(silenceWatch), fleet, 4},
-		{"down for 8 s, and all ask", trouble(connectionReset, resetWatch, 8*time.Second), fleet, 18},
-		{"deaf for 8 s, and all ask", trouble(neverAnswered, silenceWatch, 8*time.Second), fleet, 7},
+		{"nothing", func(*serverModel) {}, waitBoth, 0},
+		{"silent", withFaults(silenceWatch), waitBoth, 2},
+		{"silent from the first byte", withFaults(keepWatch, neverAnswered), waitBoth, 2},
+		{"byte by byte", withFaults(keepWatch, endlessBody), waitBoth, 2},
+		{"garbled", withFaults(keepWatch, malformed), waitBoth, 2},
+		{"reset", withFaults(resetWatch), waitBoth, 2},
+		{"silent, 503", withFaults(silenceWatch, rejected), waitBoth, 3},
+		{"silent, 503, 503, 503", withFaults(silenceWatch, rejected, rejected, rejected), waitBoth, 5},
+		{"reset, 503, 503, 503", withFaults(resetWatch, rejected, rejected, rejected), waitBoth, 5},
+		{"silent, reset", withFaults(silenceWatch, connectionReset), waitBoth, 3},
+		{"silent, never answered", withFaults(silenceWatch, neverAnswered), wait2s, 3},
+		{"silent, byte by byte", withFaults(silenceWatch, endlessBody), wait2s, 3},
+		{"silent, garbled", withFaults(silenceWatch, malformed), wait2s, 3},
+		{"never answered, and again", withFaults(keepWatch, neverAnswered, neverAnswered), wait2s, 3},
+		{"503 for 20 s", withOutage(rejected, resetWatch, 20*time.Second), waitBoth, 40},
+		{"503 after waits for 10 s", withOutage(rejectedAfterWait, resetWatch, 10*time.Second), wait2s, 6},
+		{"resets for 20 s", withOutage(connectionReset, resetWatch, 20*time.Second), waitBoth, 40},
+		{"never answered for 20 s", withOutage(neverAnswered, silenceWatch, 20*time.Second), waitBoth, 14},
+		{"byte by byte for 20 s", withOutage(endlessBody, silenceWatch, 20*time.Second), waitBoth, 14},
+		{"garbled for 20 s", withOutage(malformed, silenceWatch, 20*time.Second), wait2s, 14},
+		{"moved with a call out", changeSource, waitBoth, 2},
+		{"pushed, silent", withFaults(silenceWatch), localAgent, 2},
+		{"pushed, silent, never answered", withFaults(silenceWatch, neverAnswered), localAgent, 3},
+		{"pushed, deaf for 8 s", withOutage(neverAnswered, silenceWatch, 8*time.Second), localAgent, 26},
+		{"pushed, down for 8 s", withOutage(connectionReset, resetWatch, 8*time.Second), localAgent, 60},
+		{"all silent", withFaults(silenceWatch), wholeFleet, 4},
+		{"down for 8 s, and all ask", withOutage(connectionReset, resetWatch, 8*time.Second), wholeFleet, 18},
+		{"deaf for 8 s, and all ask", withOutage(neverAnswered, silenceWatch, 8*time.Second), wholeFleet, 7},
 		{"a tenth silent as 130 start", func(model *serverModel) {
 			for i := range 130 {
 				model.join(model.ctx, false, uint64(1000+i), 0)
@@ -70,27 +73,27 @@
 			time.Sleep(500 * time.Millisecond)
 			model.faultsBelow = 30
 			model.inject(silenceWatch)
-		}, fleet, 2},
+		}, wholeFleet, 2},
 		{"a tenth silent as turns are slow", func(model *serverModel) {
 			model.mu.Lock()
 			model.serviceTime, model.faultsBelow = 3*model.serviceTime, 30
 			model.mu.Unlock()
 			model.inject(silenceWatch)
-		}, fleet, 1},
-		{"all moved with a call out", move, fleet, 5},
+		}, wholeFleet, 1},
+		{"all moved with a call out", changeSource, wholeFleet, 5},
 	}
 	for _, tt := range tests {
 		for _, wait := range []time.Duration{2 * time.Second, 3 * time.Second} {
-			if wait == 3*time.Second && tt.in != both {
+			if wait == 3*time.Second && tt.setup != waitBoth {
 				continue
 			}
 			t.Run(fmt.Sprint(tt.name, ", turns of ", wait), func(t *testing.T) {
 				clients, margin := 60, 400*time.Millisecond
 				model := &serverModel{maxWait: wait, serviceTime: time.Millisecond, otherLoad: wait - 100*time.Millisecond}
-				switch tt.in {
-				case pushed:
+				switch tt.setup {
+				case localAgent:
 					model.serviceTime, model.otherLoad = 0, 0
-				case fleet:
+				case wholeFleet:
 					clients, margin, model.serviceTime, model.otherLoad = 300, 50*time.Millisecond, 18*time.Millisecond, 0
 				}
 				model.assumedCallers = clients
@@ -98,7 +101,7 @@
 					ctx, stop := context.WithCancel(t.Context())
 					model.changed, model.ctx = make(chan struct{}), ctx
 					for i := range clients {
-						model.join(ctx, tt.in == pushed, uint64(i+1), 0)
+						model.join(ctx, tt.setup == localAgent, uint64(i+1), 0)
 					}
 					time.Sleep(10 * time.Second)
 					model.mu.Lock()
@@ -115,17 +118,18 @@
 					stop()
 					synctest.Wait()
 					age := model.worstAge(t)
-					most := deadline - margin
-					if tt.in == pushed { // an agent's changes count as known at once
-						most = 1200 * time.Millisecond
+					maxAge := deadline - margin
+					if tt.setup == localAgent { // an agent's changes count as known at once
+						maxAge = 1200 * time.Millisecond
 					}
-					if age > most {
-						t.Errorf("a change arrived after %v, want at most %v", age, most)
+					if age > maxAge {
+						t.Errorf("a change arrived after %v, want at most %v", age, maxAge)
 					}
-					if got := model.calls - before; got > tt.calls*clients {
-						t.Errorf("%d calls, want at most %d", got, tt.calls*clients)
+					if got := model.calls - before; got > tt.maxCalls*clients {
+						t.Errorf("%d calls, want at most %d", got, tt.maxCalls*clients)
 					}
-					t.Logf("changes arrived within %v; %.1f calls per client", age, float64(model.calls-before)/float64(clients))
+					t.Logf("changes arrived within %v; %.1f calls per client",
+						age, float64(model.calls-before)/float64(clients))
 				})
 			})
 		}
--- a/internal/discovery/outage_test.go
+++ b/internal/discovery/outage_test.go
@@ -18,9 +18,9 @@
 		name                 string
 		firstTier, laterTier int
 		callTime             time.Duration
-		after, down          time.Duration // start of the outage after that of the fleet, and its duration
-		again                int           // processes that start when the outage ends
-		within, withinFirst  time.Duration // longest time from its end until all, and all of the first tier, have a list
+		outageStart, outage  time.Duration // start of the outage after that of the fleet, and its duration
+		restarts             int           // processes that start when the outage ends
+		within, withinFirst  time.Duration // until all, and all of the first tier, have a list after its end
 	}{
 		{"two tiers", 49, 230, 20 * time.Millisecond, 2500 * time.Millisecond, 7500 * time.Millisecond, 34, 14 * time.Second, 6 * time.Second},
 		{"two tiers, a larger second", 49, 300, 20 * time.Millisecond, 1500 * time.Millisecond, 8 * time.Second, 34, 18 * time.Second, 6 * time.Second},
@@ -35,25 +35,27 @@
 				join := func(n int, callers int) {
 					for range n {
 						model.assumedCallers = callers
-						model.join(ctx, false, uint64(len(model.callers)+1), 0)
+						model.join(ctx, false, uint64(len(model.clients)+1), 0)
 					}
 				}
 				join(tt.firstTier, EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.firstTier}))
 				join(tt.laterTier, EstimateCallers(Topology{Tier: 1, TierCount: 2, Replicas: tt.laterTier}))
-				time.Sleep(tt.after)
-				model.outage(rejectedAfterWait, resetWatch, tt.down)
+				time.Sleep(tt.outageStart)
+				model.outage(rejectedAfterWait, resetWatch, tt.outage)
 				model.publishVersion()
-				join(tt.again, EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.firstTier}))
+				join(tt.restarts, EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.firstTier}))
 				time.Sleep(3 * time.Minute)
 				stop()
 				synctest.Wait()
 				age := model.worstAge(t)
-				t.Logf("all clients updated within %v; %d calls served, %d wasted", age, model.served, model.wasted)
-				front := EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.firstTier})
-				model.callers = slices.DeleteFunc(model.callers, func(c *modelClient) bool { return c.client.cfg.Callers != front })
-				first := model.worstAge(t)
-				t.Logf("all clients of the first tier updated within %v", first)
-				if first > tt.withinFirst {
+				t.Logf("all clients updated within %v; %d calls served, %d wasted",
+					age, model.served, model.wasted)
+				firstTierCallers := EstimateCallers(Topology{Tier: 0, TierCount: 2, Replicas: tt.firstTier})
+				model.clients = slices.DeleteFunc(model.clients,
+					func(c *modelClient) bool { return c.client.cfg.Callers != firstTierCallers })
+				firstTierAge := model.worstAge(t)
+				t.Logf("all clients of the first tier updated within %v", firstTierAge)
+				if firstTierAge > tt.withinFirst {
 					t.Errorf("want all clients of the first tier updated within %v", tt.withinFirst)
 				}
 				if age > tt.within {
--- a/internal/discovery/platform_test.go
+++ b/internal/discovery/platform_test.go
@@ -95,7 +95,7 @@
 
 // After a change of source the client publishes the new source's list, even with a lower version.
 func TestWatchFollowsSourceChange(t *testing.T) {
-	at := func(index int) (addr string, calls chan string) {
+	serveVersion := func(index int) (addr string, calls chan string) {
 		calls = make(chan string, 10)
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			calls <- r.URL.RawQuery
@@ -113,8 +113,8 @@
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://"), calls
 	}
-	first, calls := at(5)
-	second, _ := at(3)
+	first, calls := serveVersion(5)
+	second, _ := serveVersion(3)
 	c := New(Config{Source: Source{Address: first}, Logger: slog.New(slog.DiscardHandler)})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -167,12 +167,12 @@
 // After a reused connection is lost under a watch, the client makes a new call with the timeout of such a
 // call. The retry of net/http would wait in the queue with what is left of the watch's timeout.
 func TestLostConnectionIsNotRetriedSilently(t *testing.T) {
-	var held []string // requested holds, which tell watches from other calls
+	var holds []string // requested holds, which tell watches from other calls
 	calls := make(chan struct{}, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		held = append(held, r.URL.Query().Get("hold_ms"))
+		holds = append(holds, r.URL.Query().Get("hold_ms"))
 		calls <- struct{}{}
-		switch len(held) {
+		switch len(holds) {
 		case 1:
 			fmt.Fprint(w, `{"index":5,"snapshot":false,"endpoints":[]}`)
 		case 2:
@@ -193,7 +193,8 @@
 	}
 	stop()
 	<-ended
-	if first := fmt.Sprint(pollHold.Milliseconds()); held[0] != first || held[1] == first || held[2] != first {
-		t.Errorf("calls requested holds of %v ms; only the first may have the hold of a poll", held)
+	if first := fmt.Sprint(pollHold.Milliseconds()); holds[0] != first ||
+		holds[1] == first || holds[2] != first {
+		t.Errorf("calls requested holds of %v ms; only the first may have the hold of a poll", holds)
 	}
 }
--- a/internal/discovery/polls_test.go
+++ b/internal/discovery/polls_test.go
@@ -14,7 +14,7 @@
 	for _, tt := range []struct {
 		name    string
 		clients int
-		trouble func(model *serverModel) // runs from 10 s on; all calls after it are served
+		fault   func(model *serverModel) // runs from 10 s on; all calls after it are served
 	}{
 		{"by an outage after it", 300, func(model *serverModel) {
 			model.outage(rejectedAfterWait, resetWatch, 25*time.Second)
@@ -23,7 +23,7 @@
 		{"at another address", 300, func(model *serverModel) {
 			model.outage(rejectedAfterWait, resetWatch, 25*time.Second)
 			model.mu.Lock()
-			for _, c := range model.callers {
+			for _, c := range model.clients {
 				c.nextFaults = []callFault{connectionReset}
 				c.client.SetSource(Source{Address: "127.0.0.1:2"})
 			}
@@ -41,7 +41,7 @@
 					model.join(ctx, false, uint64(i+1), 0)
 				}
 				time.Sleep(10 * time.Second)
-				tt.trouble(model)
+				tt.fault(model)
 				model.publishVersion()
 				time.Sleep(2 * time.Minute)
 				stop()
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -17,9 +17,9 @@
 
 // A client follows the list of the registry through failures of members and changes of epoch.
 func TestRegistryFollowing(t *testing.T) {
-	const line = "one"
+	const epoch = "one"
 	bubble(t, "updates come at once, also after a member's failure, without another full list", func(t *testing.T) {
-		registry := newFakeRegistry(line, 10, "a", "b")
+		registry := newFakeRegistry(epoch, 10, "a", "b")
 		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
 		for i, state := range []string{"dead", "unavailable", "malformed", "silent"} {
@@ -36,12 +36,14 @@
 			registry.set(func(_ string, m *fakeMember) { m.version++; m.names = []string{"a", "b", fmt.Sprint("c", i)} })
 			sleep(FailoverJitter + time.Millisecond)
 			if recorded.current().version != 11+int64(i) || recorded.current().at-at > FailoverJitter || recorded.current().updates != updatesBefore+1 {
-				t.Errorf("after a member turned %q: got version %d after %v, with %d updates", state, recorded.current().version, recorded.current().at-at, recorded.current().updates-updatesBefore)
+				t.Errorf("after a member turned %q: got version %d after %v, with %d updates",
+					state, recorded.current().version, recorded.current().at-at,
+					recorded.current().updates-updatesBefore)
 			}
 		}
 	})
 	bubble(t, "nothing older is accepted within an epoch", func(t *testing.T) {
-		registry := newFakeRegistry(line, 10, "a", "b")
+		registry := newFakeRegistry(epoch, 10, "a", "b")
 		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
 		registry.set(func(name string, m *fakeMember) {
@@ -57,7 +59,7 @@
 		}
 	})
 	bubble(t, "a wrong restore removes nothing at once, and what does not register again expires", func(t *testing.T) {
-		registry := newFakeRegistry(line, 10, "a", "b", "c")
+		registry := newFakeRegistry(epoch, 10, "a", "b", "c")
 		c, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
 		registry.set(func(_ string, m *fakeMember) { m.epoch, m.version, m.oldestKnown, m.names = "two", 1000, 1000, nil })
@@ -69,7 +71,8 @@
 		sleep(time.Second)
 		registry.set(func(_ string, m *fakeMember) { m.version, m.oldestKnown, m.state = 1002, 1002, "dead" })
 		sleep(time.Second)
-		registry.set(func(_ string, m *fakeMember) { m.state = "" }) // the next answer is a full list of the same epoch
+		// The next answer is a full list of the same epoch.
+		registry.set(func(_ string, m *fakeMember) { m.state = "" })
 		sleep(missingRetention - 8*time.Second)
 		if recorded.current().list != "a b c" {
 			t.Errorf("got %q before %v", recorded.current().list, missingRetention)
@@ -80,7 +83,7 @@
 		}
 	})
 	bubble(t, "an epoch with lower versions is accepted once nobody confirms the former", func(t *testing.T) {
-		registry := newFakeRegistry(line, 1000, "a")
+		registry := newFakeRegistry(epoch, 1000, "a")
 		_, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
 		registry.set(func(name string, m *fakeMember) {
@@ -96,7 +99,7 @@
 		}
 	})
 	bubble(t, "the last list stays in use while nobody answers, and few calls are made", func(t *testing.T) {
-		registry := newFakeRegistry(line, 10, "a", "b")
+		registry := newFakeRegistry(epoch, 10, "a", "b")
 		c, recorded := registry.client(t, 1, nil)
 		sleep(time.Second)
 		registry.set(func(_ string, m *fakeMember) { m.state = "dead" })
@@ -113,8 +116,8 @@
 		}
 	})
 	bubble(t, "a client continues from a cached list", func(t *testing.T) {
-		registry := newFakeRegistry(line, 10, "a")
-		_, recorded := registry.client(t, 1, &List{Version: 12, Snapshot: true, Epoch: line})
+		registry := newFakeRegistry(epoch, 10, "a")
+		_, recorded := registry.client(t, 1, &List{Version: 12, Snapshot: true, Epoch: epoch})
 		sleep(time.Second)
 		if recorded.current().updates != 0 {
 			t.Errorf("got %q, which is older than the cached list", recorded.current().list)
@@ -141,42 +144,44 @@
 		sleep(time.Minute)
 		before := len(registry.callTimes())
 		sleep(10 * time.Second)
-		usual := maxCallRate(registry.callTimes()[before:])
+		rateBefore := maxCallRate(registry.callTimes()[before:])
 		before = len(registry.callTimes())
-		died := time.Since(registry.start)
+		failedAt := time.Since(registry.start)
 		registry.set(func(name string, m *fakeMember) {
 			if name == "m2" {
 				m.state = "dead"
 			}
 		})
 		sleep(10 * time.Second)
-		after := maxCallRate(registry.callTimes()[before:])
+		rateAfter := maxCallRate(registry.callTimes()[before:])
 		registry.set(func(_ string, m *fakeMember) { m.version++ })
 		sleep(FailoverJitter)
 		for i, recorded := range all {
 			if recorded.current().version != 11 {
-				t.Fatalf("client %d is still at version %d, %v after the failure", i, recorded.current().version, time.Since(registry.start)-died)
+				t.Fatalf("client %d is still at version %d, %v after the failure",
+					i, recorded.current().version, time.Since(registry.start)-failedAt)
 			}
 		}
-		t.Logf("%d clients: at most %d calls in 100 ms before the failure, %d after it", clients, usual, after)
+		t.Logf("%d clients: at most %d calls in 100 ms before the failure, %d after it",
+			clients, rateBefore, rateAfter)
 		// A third of the clients fails over. Of these a sixth is expected in 100 ms of the 600 ms, and by
 		// chance up to twice as many.
-		if after > usual+clients/3/6*2 {
-			t.Errorf("%d calls in 100 ms after the failure, %d before it", after, usual)
+		if rateAfter > rateBefore+clients/3/6*2 {
+			t.Errorf("%d calls in 100 ms after the failure, %d before it", rateAfter, rateBefore)
 		}
 	})
 }
 
 // maxCallRate returns the largest number of calls in any 100 ms.
-func maxCallRate(calls []time.Duration) (most int) {
+func maxCallRate(calls []time.Duration) (highest int) {
 	for i := range calls {
 		n := i
 		for n < len(calls) && calls[n]-calls[i] < 100*time.Millisecond {
 			n++
 		}
-		most = max(most, n-i)
+		highest = max(highest, n-i)
 	}
-	return most
+	return highest
 }
 
 // A cached list is read as it was written. A truncated file is reported as damaged.
@@ -185,13 +190,16 @@
 	if l, err := LoadCachedList(dir); l != nil || err != nil {
 		t.Errorf("without a file: %+v, %v", l, err)
 	}
-	k := newCacheWriter(dir, slog.New(slog.DiscardHandler))
+	writer := newCacheWriter(dir, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
-	ended := k.Run(ctx)
-	k.Put((&List{Version: 7, Epoch: "l", Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.1:1", Status: StatusServing}}}).encode)
-	k.Put((&List{Version: 8, Epoch: "l", Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: StatusDraining, StartedAtMs: 5}}}).encode)
+	wait := writer.Run(ctx)
+	writer.Put((&List{Version: 7, Epoch: "l",
+		Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.1:1", Status: StatusServing}}}).encode)
+	writer.Put((&List{Version: 8, Epoch: "l",
+		Endpoints: []Endpoint{{Name: "b", Address: "127.0.0.1:1", Status: StatusDraining,
+			StartedAtMs: 5}}}).encode)
 	stop()
-	ended() // the latest list is written before the writer ends
+	wait() // the latest list is written before the writer ends
 	l, err := LoadCachedList(dir)
 	if err != nil || l == nil || l.Version != 8 || l.Epoch != "l" || !l.Snapshot || len(l.Endpoints) != 1 || l.Endpoints[0].StartedAtMs != 5 {
 		t.Fatalf("got %+v, %v", l, err)
@@ -225,11 +233,13 @@
 		if err != nil || len(again.Endpoints) != len(l.Endpoints) || again.Version != l.Version || again.Epoch != l.Epoch {
 			t.Fatalf("%s was decoded as %+v, and after encoding as %+v, %v", data, l, again, err)
 		}
-		sealed := atomicfile.Encode(cacheKind, data)
-		if body, err := atomicfile.Decode(cacheKind, bytes.NewReader(sealed), maxCacheBytes); err != nil || !bytes.Equal(body, data) {
+		encoded := atomicfile.Encode(cacheKind, data)
+		if body, err := atomicfile.Decode(cacheKind, bytes.NewReader(encoded), maxCacheBytes); err != nil ||
+			!bytes.Equal(body, data) {
 			t.Fatalf("encoded %q, decoded %q, %v", data, body, err)
 		}
-		if _, err := atomicfile.Decode(cacheKind, bytes.NewReader(data), maxCacheBytes); err == nil && !bytes.HasPrefix(data, []byte(cacheKind)) {
+		if _, err := atomicfile.Decode(cacheKind, bytes.NewReader(data), maxCacheBytes); err == nil &&
+			!bytes.HasPrefix(data, []byte(cacheKind)) {
 			t.Fatalf("%q was accepted without a header", data)
 		}
 	})
--- a/internal/discovery/release_test.go
+++ b/internal/discovery/release_test.go
@@ -13,15 +13,17 @@
 // call for the changes since an old version takes several times the service time.
 func TestReleaseAfterOutageArrives(t *testing.T) {
 	const (
-		turn         = 20 * time.Millisecond
-		steps        = 7
-		most         = 6 * time.Second // bound required by operators; the service time of 416 calls exceeds it
-		within, vain = 40 * time.Second, 600
+		callTime            = 20 * time.Millisecond
+		steps               = 7
+		maxAge              = 6 * time.Second // operators' bound, which the service time of 416 calls exceeds
+		maxDelay, maxWasted = 40 * time.Second, 600
 	)
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
-			model := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second, serviceTime: turn, entriesPerVersion: 6, assumedCallers: 282, ctx: ctx, changed: make(chan struct{})}
+			model := &serverModel{maxWait: 2 * time.Second, queueLimit: 5 * time.Second,
+				serviceTime: callTime, entriesPerVersion: 6, assumedCallers: 282,
+				ctx: ctx, changed: make(chan struct{})}
 			n := seed * 10000
 			join := func(clients int) {
 				for range clients {
@@ -45,29 +47,30 @@
 			synctest.Wait()
 			model.mu.Lock()
 			defer model.mu.Unlock()
-			late, never, worst := 0, 0, time.Duration(0)
-			for _, c := range model.callers {
-				if len(c.heardAt) < steps {
-					never++
+			late, incomplete, worst := 0, 0, time.Duration(0)
+			for _, c := range model.clients {
+				if len(c.receivedAt) < steps {
+					incomplete++
 					continue
 				}
-				own := time.Duration(0)
-				for v, made := range model.changedAt {
+				clientWorst := time.Duration(0)
+				for v, publishedAt := range model.publishedAt {
 					for _, since := range []time.Time{model.availableSince, c.joinedAt} {
-						if made.Before(since) {
-							made = since
+						if publishedAt.Before(since) {
+							publishedAt = since
 						}
 					}
-					own = max(own, c.heardAt[v].Sub(made))
+					clientWorst = max(clientWorst, c.receivedAt[v].Sub(publishedAt))
 				}
-				if worst = max(worst, own); own > most {
+				if worst = max(worst, clientWorst); clientWorst > maxAge {
 					late++
 				}
 			}
-			t.Logf("seed %d: of %d clients %d lack versions, %d received one late, the latest after %v; %d calls served, %d wasted", seed, len(model.callers),
-				never, late, worst, model.served, model.wasted)
-			if never > 0 || worst > within || model.wasted > vain {
-				t.Errorf("want all versions received within %v and at most %d calls wasted", within, vain)
+			t.Logf("seed %d: %d clients, %d incomplete, %d late, last after %v; %d calls served, %d wasted",
+				seed, len(model.clients), incomplete, late, worst, model.served, model.wasted)
+			if incomplete > 0 || worst > maxDelay || model.wasted > maxWasted {
+				t.Errorf("want all versions received within %v and at most %d calls wasted",
+					maxDelay, maxWasted)
 			}
 		})
 	}
--- a/internal/discovery/servermodel_test.go
+++ b/internal/discovery/servermodel_test.go
@@ -22,23 +22,23 @@
 	mu                sync.Mutex
 	ctx               context.Context // the clients' context
 	version           int64
-	changedAt         []time.Time   // when each version was published, from version 1 on
+	publishedAt       []time.Time   // when each version was published, from version 1 on
 	changed           chan struct{} // closed when the next version is published
 	queueFreeAt       time.Time     // when all calls in the queue will have been served
 	fault             callFault     // applied to every call, if not noFault
-	availableSince    time.Time     // end of the last outage: since then each call is served or rejected by the queue
+	availableSince    time.Time     // end of the last outage
 	serviceTime       time.Duration // time to serve one call
 	otherLoad         time.Duration // service time of other callers' calls that are queued before each call
-	maxWait           time.Duration // W: a call that waits longer fails, and takes its service time all the same
-	queueLimit        time.Duration // most service time queued; further calls are rejected at once; 0: maxWait
-	lines             int
+	maxWait           time.Duration // W: a call that waits longer fails, but takes its service time
+	queueLimit        time.Duration // most service time queued; calls beyond it are rejected; 0: maxWait
+	entriesSent       int
 	assumedCallers    int // Config.Callers of each client
-	entriesPerVersion int // entries that each version changes; they cost as much service time as in a full list
+	entriesPerVersion int // entries changed by each version; each costs service time as in a full list
 	calls             int // calls served or rejected
 	served            int // calls served
 	failEvery         int // one of this many served calls ends with a 503; 0: none
 	wasted            int // calls served after they had been abandoned or had timed out
-	callers           []*modelClient
+	clients           []*modelClient
 	faultsBelow       int // inject skips clients with this number or a higher one; 0: it skips none
 }
 
@@ -65,7 +65,7 @@
 	openWatch  *heldWatch  // the watch in progress; nil: none
 	nextFaults []callFault // applied to its next calls
 	version    int64
-	heardAt    []time.Time // when it received each version
+	receivedAt []time.Time // when it received each version
 }
 
 // heldWatch is a watch that the server holds until there is a change.
@@ -75,8 +75,8 @@
 }
 
 const (
-	modelServers = 200
-	linesPerCall = 38 // entries that take as much service time as a call without any
+	modelEntries   = 200
+	entriesPerCall = 38 // entries that take as much service time as a call without any
 )
 
 // RoundTrip serves a call of the client as discovery would, with the faults that apply to it.
@@ -110,9 +110,11 @@
 		} else {
 			cost := model.serviceTime
 			if from < 0 {
-				cost += model.serviceTime * modelServers / linesPerCall
+				cost += model.serviceTime * modelEntries / entriesPerCall
 			} else {
-				cost += model.serviceTime * time.Duration(min(int(model.version-from)*model.entriesPerVersion, modelServers)) / linesPerCall
+				cost += model.serviceTime * time.Duration(
+					min(int(model.version-from)*model.entriesPerVersion, modelEntries)) /
+					entriesPerCall
 			}
 			model.queueFreeAt = start.Add(cost)
 			if model.served++; model.queueLimit > 0 && model.queueFreeAt.Sub(now)+model.otherLoad > model.maxWait {
@@ -148,32 +150,33 @@
 		c.lastAnswer = time.Now()
 		return okResponse(`{"index":9,"endpoints":[{}]}`), nil
 	}
-	end, own := time.Now().Add(hold), &heldWatch{closed: make(chan struct{})}
-	c.openWatch = own
-	for from >= 0 && (model.version <= from || own.silenced) && (time.Now().Before(end) || own.silenced) {
-		if !model.pause(r, time.Until(end), own) {
+	end, current := time.Now().Add(hold), &heldWatch{closed: make(chan struct{})}
+	c.openWatch = current
+	for from >= 0 && (model.version <= from || current.silenced) &&
+		(time.Now().Before(end) || current.silenced) {
+		if !model.pause(r, time.Until(end), current) {
 			return nil, cmp.Or(r.Context().Err(), errors.New("connection reset"))
 		}
 	}
-	if c.openWatch == own {
+	if c.openWatch == current {
 		c.openWatch = nil
 	}
 	c.lastAnswer = time.Now()
-	n := model.version - from
+	entries := model.version - from
 	if from < 0 {
-		n = modelServers
+		entries = modelEntries
 	}
-	model.lines += int(n)
+	model.entriesSent += int(entries)
 	return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[]}`, model.version, from < 0)), nil
 }
 
 // pause unlocks the model and waits. A watch ends with the next version too. It reports whether the client
 // still waits for the call.
-func (m *serverModel) pause(r *http.Request, d time.Duration, own *heldWatch) bool {
-	var moved, cut chan struct{}
-	if own != nil {
-		moved, cut = m.changed, own.closed
-		if own.silenced {
+func (m *serverModel) pause(r *http.Request, d time.Duration, watch *heldWatch) bool {
+	var changed, closed chan struct{}
+	if watch != nil {
+		changed, closed = m.changed, watch.closed
+		if watch.silenced {
 			d = time.Hour
 		}
 	}
@@ -183,8 +186,8 @@
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-moved:
-	case <-cut:
+	case <-changed:
+	case <-closed:
 		return false
 	case <-r.Context().Done():
 	}
@@ -213,21 +216,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.version++
-	m.changedAt = append(m.changedAt, time.Now())
+	m.publishedAt = append(m.publishedAt, time.Now())
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // inject applies a fault to the watches in progress, and sets the faults of each client's next calls.
-func (m *serverModel) inject(what func(*heldWatch), next ...callFault) {
+func (m *serverModel) inject(watchFault func(*heldWatch), next ...callFault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, c := range m.callers {
+	for _, c := range m.clients {
 		if m.faultsBelow > 0 && c.number >= m.faultsBelow {
 			continue
 		}
 		if c.openWatch != nil {
-			what(c.openWatch)
+			watchFault(c.openWatch)
 		}
 		c.nextFaults = next
 	}
@@ -238,10 +241,10 @@
 func keepWatch(*heldWatch)      {}
 
 // outage applies a fault to the watches in progress, and another one to all calls for some time.
-func (m *serverModel) outage(f callFault, what func(*heldWatch), d time.Duration) {
-	m.inject(what)
+func (m *serverModel) outage(fault callFault, watchFault func(*heldWatch), d time.Duration) {
+	m.inject(watchFault)
 	m.mu.Lock()
-	m.fault = f
+	m.fault = fault
 	m.mu.Unlock()
 	time.Sleep(d)
 	m.mu.Lock()
@@ -254,7 +257,7 @@
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	for ; c.version < version; c.version++ {
-		c.heardAt = append(c.heardAt, time.Now())
+		c.receivedAt = append(c.receivedAt, time.Now())
 	}
 }
 
@@ -263,39 +266,40 @@
 func (m *serverModel) worstAge(t *testing.T) (worst time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, c := range m.callers {
-		if len(c.heardAt) < len(m.changedAt) {
-			t.Fatalf("client %d received %d of %d versions", c.number, len(c.heardAt), len(m.changedAt))
+	for _, c := range m.clients {
+		if len(c.receivedAt) < len(m.publishedAt) {
+			t.Fatalf("client %d received %d of %d versions", c.number, len(c.receivedAt), len(m.publishedAt))
 		}
-		for v, made := range m.changedAt {
+		for v, publishedAt := range m.publishedAt {
 			for _, since := range []time.Time{m.availableSince, c.joinedAt} {
-				if made.Before(since) {
-					made = since
+				if publishedAt.Before(since) {
+					publishedAt = since
 				}
 			}
-			worst = max(worst, c.heardAt[v].Sub(made))
+			worst = max(worst, c.receivedAt[v].Sub(publishedAt))
 		}
 	}
 	return worst
 }
 
 // join starts a client that has the list of a version.
-func (m *serverModel) join(ctx context.Context, pushed bool, seed uint64, version int64) {
-	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, LocalAgent: pushed, Callers: m.assumedCallers, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
+func (m *serverModel) join(ctx context.Context, localAgent bool, seed uint64, version int64) {
+	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, LocalAgent: localAgent,
+		Callers: m.assumedCallers, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	m.mu.Lock()
-	who := &modelClient{server: m, number: len(m.callers), client: client, joinedAt: time.Now()}
-	m.callers = append(m.callers, who)
+	joined := &modelClient{server: m, number: len(m.clients), client: client, joinedAt: time.Now()}
+	m.clients = append(m.clients, joined)
 	m.mu.Unlock()
-	client.makeHTTPClient = func(Source) *http.Client { return &http.Client{Transport: who} }
+	client.makeHTTPClient = func(Source) *http.Client { return &http.Client{Transport: joined} }
 	client.http = client.makeHTTPClient(Source{})
 	client.SetInitialList(&List{Version: version, Snapshot: true})
-	who.recordVersion(version)
+	joined.recordVersion(version)
 	go client.Run(ctx)
 	go func() {
 		for {
 			select {
 			case n := <-client.Updates():
-				who.recordVersion(n.List.Version)
+				joined.recordVersion(n.List.Version)
 			case <-ctx.Done():
 				return
 			}
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -12,21 +12,22 @@
 // Each failure moves on to another member. Backoffs are below Jitter until all members have failed, and then
 // double with each round, up to the maximum.
 func TestRing(t *testing.T) {
-	const most = 2 * time.Second
+	const maxBackoff = 2 * time.Second
 	first := map[string]int{}
 	for seed := range uint64(300) {
-		r := NewRing(members, rand.New(rand.NewPCG(seed, 1)), most)
+		r := NewRing(members, rand.New(rand.NewPCG(seed, 1)), maxBackoff)
 		first[r.Current()]++
 		for i := 1; i <= 40; i++ {
 			before := r.Current()
 			f := r.RecordFailure()
-			least, high := time.Duration(0), Jitter
+			low, high := time.Duration(0), Jitter
 			if round := i / len(members); round > 0 {
-				high = min(Jitter<<min(round, 8), most)
-				least = high / 2
+				high = min(Jitter<<min(round, 8), maxBackoff)
+				low = high / 2
 			}
-			if f.Backoff < least || f.Backoff >= high {
-				t.Fatalf("seed %d, failure %d: backoff %v, want one from %v to %v", seed, i, f.Backoff, least, high)
+			if f.Backoff < low || f.Backoff >= high {
+				t.Fatalf("seed %d, failure %d: backoff %v, want one from %v to %v",
+					seed, i, f.Backoff, low, high)
 			}
 			if !f.FailedOver || f.Next == before || f.Next != r.Current() || f.Consecutive != i || f.ShouldLog != (i == 1 || i%3 == 0) {
 				t.Fatalf("seed %d, failure %d: %+v after %s", seed, i, f, before)
@@ -42,7 +43,7 @@
 			t.Errorf("%s is the first member of %d of 300 rings", m, n)
 		}
 	}
-	one := NewRing(members[:1], rand.New(rand.NewPCG(1, 1)), most)
+	one := NewRing(members[:1], rand.New(rand.NewPCG(1, 1)), maxBackoff)
 	if f := one.RecordFailure(); f.FailedOver || f.Next != "a" {
 		t.Errorf("ring of a single member: %+v", f)
 	}
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// scripted is a listener whose Accept returns the given errors, and then a connection.
-type scripted struct {
+// scriptedListener is a listener whose Accept returns the given errors, and then a connection.
+type scriptedListener struct {
 	net.Listener
 	errs []error
 }
 
-func (s *scripted) Accept() (net.Conn, error) {
+func (s *scriptedListener) Accept() (net.Conn, error) {
 	if len(s.errs) == 0 {
-		near, _ := net.Pipe()
-		return near, nil
+		conn, _ := net.Pipe()
+		return conn, nil
 	}
 	err := s.errs[0]
 	s.errs = s.errs[1:]
 	return nil, &net.OpError{Op: "accept", Err: err}
 }
 
-func (s *scripted) Close() error { return nil }
+func (s *scriptedListener) Close() error { return nil }
 
 // Accept retries after temporary errors, with pauses of at most maxBackoff.
 func TestTemporaryErrorsAreRetried(t *testing.T) {
@@ -35,7 +35,7 @@
 		for range 20 {
 			errs = append(errs, syscall.ENOBUFS)
 		}
-		l := Retry(&scripted{errs: errs}, slog.New(slog.DiscardHandler))
+		l := Retry(&scriptedListener{errs: errs}, slog.New(slog.DiscardHandler))
 		start := time.Now()
 		if _, err := l.Accept(); err != nil {
 			t.Fatal(err)
@@ -49,7 +49,7 @@
 // Accept returns permanent errors.
 func TestPermanentErrorsAreReturned(t *testing.T) {
 	for _, want := range permanentErrors {
-		l := Retry(&scripted{errs: []error{want}}, slog.New(slog.DiscardHandler))
+		l := Retry(&scriptedListener{errs: []error{want}}, slog.New(slog.DiscardHandler))
 		if _, err := l.Accept(); !errors.Is(err, want) {
 			t.Errorf("got %v, want %v", err, want)
 		}
@@ -63,7 +63,7 @@
 		for i := range errs {
 			errs[i] = syscall.ENOMEM
 		}
-		l := Retry(&scripted{errs: errs}, slog.New(slog.DiscardHandler))
+		l := Retry(&scriptedListener{errs: errs}, slog.New(slog.DiscardHandler))
 		ended := make(chan error, 1)
 		go func() { _, err := l.Accept(); ended <- err }()
 		time.Sleep(maxBackoff)
--- a/internal/override/golden_test.go
+++ b/internal/override/golden_test.go
@@ -12,8 +12,8 @@
 // file names.
 func TestGoldenFolder(t *testing.T) {
 	ids := []string{"a", "a b", "a/b", "ü%2F", "10.0.0.1:80", ZoneKey("north"), ZoneKey("a/b ü")}
-	kept := filepath.Join("testdata", "stored")
-	overrides, err := Open(Config{Dir: kept})
+	storedDir := filepath.Join("testdata", "stored")
+	overrides, err := Open(Config{Dir: storedDir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		}
 		return names
 	}
-	if now, before := files(store.dir), files(kept); !slices.Equal(now, before) {
+	if now, before := files(store.dir), files(storedDir); !slices.Equal(now, before) {
 		t.Errorf("wrote files %q, want %q", now, before)
 	}
 }
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -21,7 +21,7 @@
 	ids map[string]bool
 }
 
-func (h *appliedSet) is(ids ...string) bool {
+func (h *appliedSet) equals(ids ...string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Equal(slices.Sorted(maps.Keys(h.ids)), ids)
@@ -42,9 +42,9 @@
 	}
 	applied := &appliedSet{ids: overrides.Current()}
 	ctx, stop := context.WithCancel(t.Context())
-	var parts sync.WaitGroup
-	parts.Go(func() { overrides.Run(ctx) })
-	parts.Go(func() {
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { overrides.Run(ctx) })
+	goroutines.Go(func() {
 		defer close(ended)
 		for {
 			select {
@@ -58,7 +58,7 @@
 			}
 		}
 	})
-	t.Cleanup(func() { stop(); parts.Wait() })
+	t.Cleanup(func() { stop(); goroutines.Wait() })
 	return overrides, applied
 }
 
@@ -77,27 +77,28 @@
 		overrides, here := startOverrides(t, Config{Dir: dir})
 		other, there := startOverrides(t, Config{Dir: dir})
 		mustSucceed(t, overrides.SuspendServer("a"))
-		if !here.is("a") {
+		if !here.equals("a") {
 			t.Errorf("in effect when SuspendServer returned: %v", here.ids)
 		}
 		time.Sleep(pollInterval + 1)
 		synctest.Wait()
-		if !there.is("a") {
+		if !there.equals("a") {
 			t.Errorf("in effect in the other process: %v", there.ids)
 		}
 		overrides.SetRemote(map[string]bool{"a": true, "x": true, "c": false})
 		synctest.Wait() // takes effect before the next poll
-		if !here.is("a", "x") || !there.is("a") {
+		if !here.equals("a", "x") || !there.equals("a") {
 			t.Errorf("with x suspended remotely: %v, in the other process %v", here.ids, there.ids)
 		}
 		mustSucceed(t, other.ResumeServer("a"))
-		mustSucceed(t, overrides.ResumeServer("x")) // x is known since it is suspended; other proxies must resume it
-		if !here.is("a", "x") {
+		// x is known since it is suspended. Only other proxies can resume it.
+		mustSucceed(t, overrides.ResumeServer("x"))
+		if !here.equals("a", "x") {
 			t.Errorf("with a resumed here but suspended remotely: %v", here.ids)
 		}
 		overrides.SetRemote(nil)
 		synctest.Wait()
-		if !here.is() || !there.is() {
+		if !here.equals() || !there.equals() {
 			t.Errorf("after all were resumed: %v and %v", here.ids, there.ids)
 		}
 		again, err := Open(Config{Dir: dir})
@@ -125,17 +126,18 @@
 			return nil
 		}})
 		mustSucceed(t, overrides.SuspendServer("a"))
-		if !here.is("a", "y") {
+		if !here.equals("a", "y") {
 			t.Errorf("in effect after a was suspended: %v", here.ids)
 		}
 		mustSucceed(t, overrides.ResumeServer("a"))
-		if !here.is() {
+		if !here.equals() {
 			t.Errorf("in effect after a was resumed: %v", here.ids)
 		}
-		if err := overrides.SuspendServer("c"); !errors.Is(err, unreachable) || !here.is("c") {
+		if err := overrides.SuspendServer("c"); !errors.Is(err, unreachable) || !here.equals("c") {
 			t.Errorf("after a failed notification: %v in effect, error %v", here.ids, err)
 		}
-		if mustSucceed(t, overrides.ClearLocal("c")); here.is("c") || len(calls) != 3 { // without a notification
+		// ClearLocal makes no notification.
+		if mustSucceed(t, overrides.ClearLocal("c")); here.equals("c") || len(calls) != 3 {
 			t.Errorf("after ClearLocal: %v in effect, notified of %v", here.ids, calls)
 		}
 		if err := overrides.SuspendServer("unknown"); err == nil {
@@ -157,11 +159,12 @@
 		mustSucceed(t, os.RemoveAll(dir))
 		overrides.SetRemote(map[string]bool{"x": true})
 		synctest.Wait()
-		if !here.is("b", "x") {
+		if !here.equals("b", "x") {
 			t.Errorf("in effect after the directory was removed: %v", here.ids)
 		}
-		var lost *StoreError
-		if err := overrides.SuspendServer("a"); !errors.As(err, &lost) || lost.Op != StoreOpAdd || lost.Path != filepath.Join(dir, "ban-a") ||
+		var storeErr *StoreError
+		if err := overrides.SuspendServer("a"); !errors.As(err, &storeErr) || storeErr.Op != StoreOpAdd ||
+			storeErr.Path != filepath.Join(dir, "ban-a") ||
 			!errors.Is(err, os.ErrNotExist) {
 			t.Errorf("SuspendServer without the directory: %v", err)
 		}
@@ -169,7 +172,8 @@
 		if err := overrides.ResumeServer("unknown"); !errors.As(err, &unknown) || unknown.Server != "unknown" {
 			t.Errorf("ResumeServer of an unknown server: %v", err)
 		}
-		if _, err := Open(Config{Dir: dir}); !errors.As(err, &lost) || lost.Op != StoreOpRead || lost.Path != dir {
+		if _, err := Open(Config{Dir: dir}); !errors.As(err, &storeErr) || storeErr.Op != StoreOpRead ||
+			storeErr.Path != dir {
 			t.Errorf("Open without the directory: %v", err)
 		}
 	})
@@ -183,8 +187,10 @@
 		names.Add("a")
 		overrides, err := Open(Config{Dir: dir, KnownServers: names, Stopped: ended})
 		mustSucceed(t, err)
-		var late *NotAppliedError
-		if err := overrides.SuspendServer("a"); !errors.As(err, &late) || late.After >= time.Second || !overrides.Current()["a"] {
+		var notApplied *NotAppliedError
+		if err := overrides.SuspendServer("a"); !errors.As(err, &notApplied) ||
+			notApplied.After >= time.Second ||
+			!overrides.Current()["a"] {
 			t.Errorf("SuspendServer without an acknowledgement: %v", err)
 		}
 		close(ended)
--- a/internal/override/slowdisk_test.go
+++ b/internal/override/slowdisk_test.go
@@ -16,16 +16,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk := make(chan struct{})
-	overrides.store.delay = func() { <-disk }
+	diskBlocked := make(chan struct{})
+	overrides.store.delay = func() { <-diskBlocked }
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	held := make(chan map[string]bool, 100)
+	applied := make(chan map[string]bool, 100)
 	go func() {
 		for {
 			select {
 			case s := <-overrides.Sets():
-				held <- s.IDs
+				applied <- s.IDs
 				s.Acknowledge()
 			case <-ctx.Done():
 				return
@@ -33,11 +33,11 @@
 		}
 	}()
 	go overrides.Run(ctx)
-	began := time.Now()
+	start := time.Now()
 	answered := make(chan error, 1)
 	go func() { answered <- overrides.SuspendServer("a") }()
-	for !(<-held)["a"] {
-		if time.Since(began) > time.Second {
+	for !(<-applied)["a"] {
+		if time.Since(start) > time.Second {
 			t.Fatal("the suspension is not in effect after 1 s")
 		}
 	}
@@ -46,19 +46,19 @@
 		if err == nil {
 			t.Error("SuspendServer succeeded before the override was stored")
 		}
-	case <-time.After(time.Second - time.Since(began)):
+	case <-time.After(time.Second - time.Since(start)):
 		t.Error("SuspendServer did not return within 1 s")
 	}
 	for range 3 { // it stays in effect while the disk is blocked
 		select {
-		case ids := <-held:
+		case ids := <-applied:
 			if !ids["a"] {
 				t.Fatal("the suspension is no longer in effect")
 			}
 		case <-time.After(2 * pollInterval):
 		}
 	}
-	close(disk)
+	close(diskBlocked)
 	for !overrides.store.has("a") {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/rollout/fakeregistry_test.go
+++ b/internal/rollout/fakeregistry_test.go
@@ -63,14 +63,14 @@
 func documentOf(version int64) string { return fmt.Sprintf(`{"n":%d}`, version) }
 
 // set changes the members and wakes their watches.
-func (f *fakeRegistry) set(do func(name string, m *fakeMember)) {
+func (f *fakeRegistry) set(update func(name string, m *fakeMember)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, m := range f.members {
-		was := *m
-		do(name, m)
-		if m.state != was.state {
-			m.since, m.atPartition = time.Now(), &was
+		before := *m
+		update(name, m)
+		if m.state != before.state {
+			m.since, m.atPartition = time.Now(), &before
 		}
 	}
 	close(f.changed)
@@ -98,21 +98,21 @@
 
 // RoundTrip answers a call as the member would that the request is sent to.
 func (f *fakeRegistry) RoundTrip(r *http.Request) (*http.Response, error) {
-	q := r.URL.Query()
-	hold, _ := strconv.Atoi(q.Get("hold_ms"))
-	from, _ := strconv.ParseInt(q.Get("from"), 10, 64)
+	query := r.URL.Query()
+	hold, _ := strconv.Atoi(query.Get("hold_ms"))
+	from, _ := strconv.ParseInt(query.Get("from"), 10, 64)
 	until := time.After(time.Duration(hold) * time.Millisecond)
 	f.mu.Lock()
 	f.calls, f.calledMembers = append(f.calls, time.Since(f.start)), append(f.calledMembers, r.URL.Host)
 	f.mu.Unlock()
-	for over := false; ; {
+	for holdExpired := false; ; {
 		f.mu.Lock()
 		m, changed := *f.members[r.URL.Host], f.changed
 		if m.state == healthy {
-			for key := range q {
-				f.reported[key] = q.Get(key)
+			for key := range query {
+				f.reported[key] = query.Get(key)
 			}
-			if !q.Has("refused") {
+			if !query.Has("refused") {
 				delete(f.reported, "refused")
 				delete(f.reported, "why")
 			}
@@ -121,13 +121,14 @@
 		answer := func(status int, format string, args ...any) (*http.Response, error) {
 			return &http.Response{StatusCode: status, Status: strconv.Itoa(status), Body: io.NopCloser(strings.NewReader(fmt.Sprintf(format, args...)))}, nil
 		}
-		turns := time.After(time.Hour)
+		becomesStale := time.After(time.Hour)
 		if m.state == partitioned {
 			left := maxStaleness - time.Since(m.since)
 			if left <= 0 {
 				return answer(http.StatusServiceUnavailable, "stale")
 			}
-			m.version, m.document, turns = m.atPartition.version, m.atPartition.document, time.After(left)
+			m.version, m.document, becomesStale =
+				m.atPartition.version, m.atPartition.document, time.After(left)
 		}
 		switch {
 		case m.state == dead:
@@ -139,22 +140,22 @@
 			return answer(http.StatusServiceUnavailable, "lost")
 		case m.state == malformed:
 			return answer(http.StatusOK, `{"version":9`)
-		case q.Get("line") != m.epoch || from < m.version || m.state == answersOlder:
+		case query.Get("line") != m.epoch || from < m.version || m.state == answersOlder:
 			document := ""
 			if m.version > 0 {
 				document = `,"document":` + m.document
 			}
 			return answer(http.StatusOK, `{"service":"tarifas","line":%q,"version":%d%s}`, m.epoch, m.version, document)
-		case from > m.version && over:
+		case from > m.version && holdExpired:
 			return answer(http.StatusServiceUnavailable, "behind")
-		case over, m.state == holdsNoWatch:
+		case holdExpired, m.state == holdsNoWatch:
 			return answer(http.StatusOK, `{"service":"tarifas","line":%q,"version":%d}`, m.epoch, m.version)
 		}
 		select {
 		case <-changed:
-		case <-turns:
+		case <-becomesStale:
 		case <-until:
-			over = true
+			holdExpired = true
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
 		}
@@ -163,19 +164,19 @@
 
 // recordingApplier records the documents that a client applies.
 type recordingApplier struct {
-	mu        sync.Mutex
-	document  string
-	appliedAt time.Time
-	count     int    // documents applied
-	attempts  int    // calls of Apply
-	rejects   string // documents that contain this are rejected; empty: none
+	mu              sync.Mutex
+	document        string
+	appliedAt       time.Time
+	count           int    // documents applied
+	attempts        int    // calls of Apply
+	rejectSubstring string // documents that contain this are rejected; empty: none
 }
 
 func (a *recordingApplier) Apply(_ int64, document []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.attempts++
-	if a.rejects != "" && strings.Contains(string(document), a.rejects) {
+	if a.rejectSubstring != "" && strings.Contains(string(document), a.rejectSubstring) {
 		return errors.New("settings.x: is refused")
 	}
 	a.document, a.appliedAt, a.count = string(document), time.Now(), a.count+1
@@ -188,10 +189,10 @@
 	return a.document, a.appliedAt, a.count
 }
 
-func (a *recordingApplier) reject(what string) {
+func (a *recordingApplier) reject(substring string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.rejects = what
+	a.rejectSubstring = substring
 }
 
 // client runs a client of the registry until the test ends.
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -23,12 +23,12 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	dir := t.TempDir()
-	keep := newCacheWriter(dir, slog.New(slog.DiscardHandler))
+	writer := newCacheWriter(dir, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
-	ended := keep.Run(ctx)
-	keep.Put(want.encode)
+	wait := writer.Run(ctx)
+	writer.Put(want.encode)
 	stop()
-	ended()
+	wait()
 	before, err := os.ReadFile(filepath.Join("testdata", "cached", "config"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -25,26 +25,27 @@
 		H, S, P, C = LongPollTimeout, watchSlack, failover.Jitter, callTimeout
 		ms         = time.Millisecond
 	)
-	// strike sets the states of the watched member and of the members that the client calls after it.
-	strike := func(registry *fakeRegistry, c *Client, states ...string) {
-		order := failover.NewRing(c.cfg.Members, rand.New(rand.NewPCG(c.cfg.Seed, 29)), maxBackoff) // in the client's order
-		for order.Current() != registry.lastCalled() {
-			order.RecordFailure()
+	// setStates sets the states of the watched member and of the members that the client calls after it.
+	setStates := func(registry *fakeRegistry, c *Client, states ...string) {
+		// The members in the client's order.
+		ring := failover.NewRing(c.cfg.Members, rand.New(rand.NewPCG(c.cfg.Seed, 29)), maxBackoff)
+		for ring.Current() != registry.lastCalled() {
+			ring.RecordFailure()
 		}
 		for _, state := range states {
 			registry.set(func(name string, m *fakeMember) {
-				if name == order.Current() {
+				if name == ring.Current() {
 					m.state = state
 				}
 			})
-			order.RecordFailure()
+			ring.RecordFailure()
 		}
 	}
 	for _, c := range []struct {
-		name   string
-		states []string // of the watched member and of the next one
-		bound  time.Duration
-		last   time.Duration // part of the bound that the last answer may take; it takes no time in the test
+		name       string
+		states     []string // of the watched member and of the next one
+		bound      time.Duration
+		lastAnswer time.Duration // part of the bound for the last answer, which takes no time in the test
 	}{
 		{"it answers", []string{healthy}, 0, 0},
 		{"it dies", []string{dead}, P + C, C},
@@ -57,7 +58,8 @@
 		{"it is garbled", []string{malformed}, P + C, C},
 	} {
 		if c.bound >= documentedBound {
-			t.Errorf("%s: the documented time %v is not below the operators' bound %v", c.name, c.bound, documentedBound)
+			t.Errorf("%s: the documented time %v is not below the operators' bound %v",
+				c.name, c.bound, documentedBound)
 		}
 		worst := time.Duration(0)
 		bubble(t, c.name, func(t *testing.T) {
@@ -65,35 +67,39 @@
 				registry := newFakeRegistry(10)
 				client, applier := registry.client(t, seed, "", nil)
 				sleep(time.Duration(7000+137*seed) * ms)
-				for _, before := registry.reports(); ; { // the worst moment for the fault: a watch has just started
+				// Wait for the worst moment for the fault: a watch has just started.
+				for _, before := registry.reports(); ; {
 					if _, calls := registry.reports(); calls > before {
 						break
 					}
 					sleep(ms)
 				}
-				strike(registry, client, c.states...)
+				setStates(registry, client, c.states...)
 				changed := time.Now()
 				registry.publish(11)
 				sleep(30 * time.Second)
-				text1, at, _ := applier.current()
-				if took := at.Sub(changed); text1 != documentOf(11) || took < 0 || took > c.bound-c.last {
-					t.Errorf("seed %d: got %s after %v, documented time is %v", seed, text1, took, c.bound)
+				document, at, _ := applier.current()
+				if took := at.Sub(changed); document != documentOf(11) || took < 0 ||
+					took > c.bound-c.lastAnswer {
+					t.Errorf("seed %d: got %s after %v, documented time is %v",
+						seed, document, took, c.bound)
 				} else {
 					worst = max(worst, took)
 				}
 			}
 		})
-		if least := c.bound - c.last - P; worst < least*9/10 {
-			t.Errorf("%s: took at most %v of the documented %v: the fault has no effect", c.name, worst, c.bound)
+		if least := c.bound - c.lastAnswer - P; worst < least*9/10 {
+			t.Errorf("%s: took at most %v of the documented %v: the fault has no effect",
+				c.name, worst, c.bound)
 		}
 		t.Logf("%s: took at most %v in 40 runs, documented time is %v", c.name, worst, c.bound)
 	}
 	// After an outage of all members, all of them are back, or all but one, which stays silent.
 	for _, c := range []struct {
-		stays string
-		bound time.Duration
+		oneState string
+		bound    time.Duration
 	}{{healthy, maxBackoff + 2*C}, {silent, 2 * (maxBackoff + 2*C)}} {
-		bubble(t, "all are down, then back but for one "+c.stays, func(t *testing.T) {
+		bubble(t, "all are down, then back but for one "+c.oneState, func(t *testing.T) {
 			for seed := range uint64(40) {
 				registry := newFakeRegistry(10)
 				_, applier := registry.client(t, seed, "", nil)
@@ -103,13 +109,15 @@
 				registry.publish(11)
 				registry.set(func(name string, m *fakeMember) {
 					if m.state = healthy; name == "m1" {
-						m.state = c.stays
+						m.state = c.oneState
 					}
 				})
 				back := time.Now()
 				sleep(30 * time.Second)
-				if text1, at, _ := applier.current(); text1 != documentOf(11) || at.Sub(back) > c.bound || c.bound >= documentedBound {
-					t.Errorf("seed %d: got %s after %v, documented time is %v", seed, text1, at.Sub(back), c.bound)
+				if document, at, _ := applier.current(); document != documentOf(11) ||
+					at.Sub(back) > c.bound || c.bound >= documentedBound {
+					t.Errorf("seed %d: got %s after %v, documented time is %v",
+						seed, document, at.Sub(back), c.bound)
 				}
 			}
 		})
@@ -123,16 +131,18 @@
 		registry := newFakeRegistry(10)
 		c, applier := registry.client(t, 1, "", nil)
 		sleep(time.Second)
-		if said, _ := registry.reports(); said["name"] != "p1" || said["in_force"] != "10" || said["refused"] != "" {
-			t.Errorf("reported %v", said)
+		if reported, _ := registry.reports(); reported["name"] != "p1" ||
+			reported["in_force"] != "10" || reported["refused"] != "" {
+			t.Errorf("reported %v", reported)
 		}
 		applier.reject(`11`)
 		registry.publish(11)
 		sleep(time.Minute)
-		said, _ := registry.reports()
-		if now, _, n := applier.current(); now != documentOf(10) || n != 1 || applier.attempts != 2 || said["in_force"] != "10" || said["refused"] != "11" ||
-			said["why"] != "settings.x: is refused" {
-			t.Errorf("applied %s after %d attempts, reported %v", now, applier.attempts, said)
+		reported, _ := registry.reports()
+		if now, _, count := applier.current(); now != documentOf(10) || count != 1 || applier.attempts != 2 ||
+			reported["in_force"] != "10" || reported["refused"] != "11" ||
+			reported["why"] != "settings.x: is refused" {
+			t.Errorf("applied %s after %d attempts, reported %v", now, applier.attempts, reported)
 		}
 		if f := c.Metrics(); f.Version != 10 || f.RejectedVersion != 11 || f.Applied != 1 || f.Age > LongPollTimeout {
 			t.Errorf("%+v", f)
@@ -148,8 +158,9 @@
 		sleep(time.Second)
 		registry.publish(13)
 		sleep(time.Second)
-		if said, _ := registry.reports(); said["in_force"] != "13" || said["refused"] != "" || said["why"] != "" {
-			t.Errorf("reported %v", said)
+		if reported, _ := registry.reports(); reported["in_force"] != "13" ||
+			reported["refused"] != "" || reported["why"] != "" {
+			t.Errorf("reported %v", reported)
 		}
 	})
 	bubble(t, "30 changes within a minute, each applied at once", func(t *testing.T) {
@@ -268,8 +279,8 @@
 // service are not used.
 func TestCachedConfig(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	if k, err := LoadCached(dir, "tarifas"); k != nil || err != nil {
-		t.Errorf("without a file: %+v, %v", k, err)
+	if cached, err := LoadCached(dir, "tarifas"); cached != nil || err != nil {
+		t.Errorf("without a file: %+v, %v", cached, err)
 	}
 	bubble(t, "the latest applied one, not the rejected one", func(t *testing.T) {
 		registry := newFakeRegistry(10)
@@ -281,13 +292,14 @@
 		registry.publish(12)
 		sleep(2 * time.Second)
 	})
-	k, err := LoadCached(dir, "tarifas")
-	if err != nil || k == nil || k.Version != 11 || k.Epoch != "one" || string(k.Document) != documentOf(11) {
-		t.Fatalf("got %+v, %v", k, err)
+	cached, err := LoadCached(dir, "tarifas")
+	if err != nil || cached == nil || cached.Version != 11 || cached.Epoch != "one" ||
+		string(cached.Document) != documentOf(11) {
+		t.Fatalf("got %+v, %v", cached, err)
 	}
 	bubble(t, "a client continues from it", func(t *testing.T) {
 		registry := newFakeRegistry(11)
-		c, applier := registry.client(t, 1, "", k)
+		c, applier := registry.client(t, 1, "", cached)
 		sleep(time.Minute)
 		if _, _, n := applier.current(); n != 0 || c.Metrics().Version != 11 {
 			t.Errorf("%d documents applied, want none; %+v", n, c.Metrics())
@@ -303,33 +315,37 @@
 		applier := &recordingApplier{}
 		c := New(Config{Service: "tarifas", ProxyName: "p1", Members: []string{"m1"}, Logger: slog.New(slog.DiscardHandler)}, applier)
 		c.http.Transport = registry
-		c.SetInitial(k, errors.New(strings.Repeat("x", 300)))
+		c.SetInitial(cached, errors.New(strings.Repeat("x", 300)))
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { defer close(ended); c.Run(ctx) }()
 		sleep(time.Second)
-		if said, _ := registry.reports(); said["in_force"] != "0" || said["refused"] != "11" || len(said["why"]) != maxReasonBytes {
-			t.Errorf("reported %v", said)
+		if reported, _ := registry.reports(); reported["in_force"] != "0" ||
+			reported["refused"] != "11" || len(reported["why"]) != maxReasonBytes {
+			t.Errorf("reported %v", reported)
 		}
 		stop()
 		<-ended
 	})
-	if k, err := LoadCached(dir, "another"); k != nil || err != nil {
-		t.Errorf("cache of another service was used: %+v, %v", k, err)
+	if cached, err := LoadCached(dir, "another"); cached != nil || err != nil {
+		t.Errorf("cache of another service was used: %+v, %v", cached, err)
 	}
 	path := filepath.Join(dir, cacheFile)
-	whole, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, damaged := range [][]byte{nil, whole[:len(whole)-1], bytes.Replace(whole, []byte("11"), []byte("12"), 1),
-		atomicfile.Encode(cacheKind, []byte(`{"service":"tarifas"}`)), atomicfile.Encode("proxy-list", whole)} {
+	for _, damaged := range [][]byte{nil, content[:len(content)-1],
+		bytes.Replace(content, []byte("11"), []byte("12"), 1),
+		atomicfile.Encode(cacheKind, []byte(`{"service":"tarifas"}`)),
+		atomicfile.Encode("proxy-list", content)} {
 		if err := os.WriteFile(path, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		k, err := LoadCached(dir, "tarifas")
-		if _, gone := os.Stat(path); k != nil || !errors.Is(err, atomicfile.ErrDamaged) || !errors.Is(gone, os.ErrNotExist) {
-			t.Errorf("%q: got %+v, %v", damaged, k, err)
+		cached, err := LoadCached(dir, "tarifas")
+		if _, statErr := os.Stat(path); cached != nil ||
+			!errors.Is(err, atomicfile.ErrDamaged) || !errors.Is(statErr, os.ErrNotExist) {
+			t.Errorf("%q: got %+v, %v", damaged, cached, err)
 		}
 		if text, err := os.ReadFile(path + damagedSuffix); err != nil || !bytes.Equal(text, damaged) {
 			t.Errorf("%q was not renamed: %v", damaged, err)
