--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	if int64(len(text)) > maxBytes {
-		return nil, fmt.Errorf("%w: longer than %d bytes", ErrDamaged, maxBytes)
+		return nil, fmt.Errorf("%w: over %d bytes", ErrDamaged, maxBytes)
 	}
 	first, body, found := bytes.Cut(text, []byte("\n"))
 	if !found || len(first) > maxHeaderBytes || !bytes.HasPrefix(first, []byte(kind+" ")) {
@@ -57,7 +57,7 @@
 		return nil, fmt.Errorf("%w: header %q has a format that this build does not read", ErrDamaged, first)
 	}
 	if want := bytes.TrimSuffix(header(kind, body), []byte("\n")); !bytes.Equal(first, want) {
-		return nil, fmt.Errorf("%w: header %q does not match the body, whose header would be %q",
+		return nil, fmt.Errorf("%w: header %q does not match the body, whose header is %q",
 			ErrDamaged, first, want)
 	}
 	return body, nil
