--- a/internal/atomicfile/writer_test.go
+++ b/internal/atomicfile/writer_test.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// A text whose write failed is written once the disk works, though nothing newer has come.
+// A text whose write failed is written once the disk works again, even without a newer text.
 func TestFailedWriteIsRetried(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	synctest.Test(t, func(t *testing.T) {
 		if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file in place of the directory
 			t.Fatal(err)
 		}
-		k := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
+		writer := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
 		ctx, stop := context.WithCancel(t.Context())
-		ended := k.Run(ctx)
-		k.Put(func() []byte { return []byte("newest") })
+		wait := writer.Run(ctx)
+		writer.Put(func() []byte { return []byte("newest") })
 		time.Sleep(5 * time.Second)
 		if err := os.Remove(dir); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
 		if body, err := ReadFile(filepath.Join(dir, "list"), "kind", 100); err != nil || string(body) != "newest" {
-			t.Errorf("got %q, %v", body, err)
+			t.Errorf("file contains %q, %v", body, err)
 		}
 		stop()
-		ended()
+		wait()
 	})
 }
 
@@ -41,26 +41,26 @@
 		if err := os.WriteFile(dir, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		k := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
+		writer := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler))
 		ctx, stop := context.WithCancel(t.Context())
-		ended := k.Run(ctx)
-		k.Put(func() []byte { return []byte("older") })
+		wait := writer.Run(ctx)
+		writer.Put(func() []byte { return []byte("older") })
 		time.Sleep(1500 * time.Millisecond)
-		k.Put(func() []byte { return []byte("newer") })
+		writer.Put(func() []byte { return []byte("newer") })
 		if err := os.Remove(dir); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
 		stop()
-		ended()
+		wait()
 		if body, err := ReadFile(filepath.Join(dir, "list"), "kind", 100); err != nil || string(body) != "newer" {
-			t.Errorf("got %q, %v", body, err)
+			t.Errorf("file contains %q, %v", body, err)
 		}
 	})
 }
 
-// A process that ends between the write of a file and its rename leaves a temporary file; the next start removes it, and no
-// other file.
+// A process that is killed between the write of a file and its rename leaves a temporary file. The next start
+// removes it, and no other file.
 func TestTemporaryFilesAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"list.123.new", "list.9.new", "list", "other.1.new"} {
@@ -69,11 +69,12 @@
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	ended := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler)).Run(ctx)
+	wait := NewWriter(dir, "list", "kind", "the list", slog.New(slog.DiscardHandler)).Run(ctx)
 	stop()
-	ended()
-	left, err := filepath.Glob(filepath.Join(dir, "*"))
-	if err != nil || len(left) != 2 || filepath.Base(left[0]) != "list" || filepath.Base(left[1]) != "other.1.new" {
-		t.Errorf("left %v, %v", left, err)
+	wait()
+	remaining, err := filepath.Glob(filepath.Join(dir, "*"))
+	if err != nil || len(remaining) != 2 ||
+		filepath.Base(remaining[0]) != "list" || filepath.Base(remaining[1]) != "other.1.new" {
+		t.Errorf("remaining files %v, %v", remaining, err)
 	}
 }
--- a/internal/discovery/fakeregistry_test.go
+++ b/internal/discovery/fakeregistry_test.go
@@ -17,34 +17,37 @@
 	"time"
 )
 
-// fakeRegistry is the registry's members on the test's clock, each with a list and a fault of its own.
+// fakeRegistry simulates the registry's members on the test's virtual clock. Each member has a list and a
+// fault of its own.
 type fakeRegistry struct {
 	mu           sync.Mutex
 	members      map[string]*fakeMember
 	changed      chan struct{}
-	calls        []time.Duration // times since the start
+	calls        []time.Duration // times of the calls, since the start
 	start        time.Time
-	lastAnswered string // the member that answered last, as of the last call of set
+	lastAnswered string // the healthy member called last before the last set
 }
+
+// fakeMember is the state of one member of a fakeRegistry.
 type fakeMember struct {
 	epoch       string
 	version     int64
 	names       []string
-	oldestKnown int64 // changes before this version are not known: the answer is a full list
-	state       string
-	lastCall    int // number of its last call
+	oldestKnown int64  // calls for the changes since an older version get a full list
+	state       string // its fault; empty: none
+	lastCall    int    // number of the last call to it
 }
 
-func newFakeRegistry(line string, index int64, names ...string) *fakeRegistry {
+func newFakeRegistry(epoch string, version int64, names ...string) *fakeRegistry {
 	registry := &fakeRegistry{members: map[string]*fakeMember{}, changed: make(chan struct{}), start: time.Now()}
 	for _, m := range []string{"m1", "m2", "m3"} {
-		registry.members[m] = &fakeMember{epoch: line, version: index, names: names, oldestKnown: index}
+		registry.members[m] = &fakeMember{epoch: epoch, version: version, names: names, oldestKnown: version}
 	}
 	return registry
 }
 
-// set changes members and ends the watches.
-func (f *fakeRegistry) set(do func(name string, m *fakeMember)) {
+// set changes the members and wakes their watches.
+func (f *fakeRegistry) set(update func(name string, m *fakeMember)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := -1
@@ -55,21 +58,23 @@
 		}
 	}
 	for name, m := range f.members {
-		do(name, m)
+		update(name, m)
 	}
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
+
+// RoundTrip answers a call as the member would that the request is sent to.
 func (f *fakeRegistry) RoundTrip(r *http.Request) (*http.Response, error) {
-	q := r.URL.Query()
-	hold, _ := strconv.Atoi(q.Get("hold_ms"))
-	from, _ := strconv.ParseInt(q.Get("from"), 10, 64)
+	query := r.URL.Query()
+	hold, _ := strconv.Atoi(query.Get("hold_ms"))
+	from, _ := strconv.ParseInt(query.Get("from"), 10, 64)
 	until := time.After(time.Duration(hold) * time.Millisecond)
 	f.mu.Lock()
 	f.calls = append(f.calls, time.Since(f.start))
 	f.members[r.URL.Host].lastCall = len(f.calls)
 	f.mu.Unlock()
-	for over := false; ; {
+	for holdExpired := false; ; {
 		f.mu.Lock()
 		m, changed := *f.members[r.URL.Host], f.changed
 		f.mu.Unlock()
@@ -82,26 +87,28 @@
 		case m.state == "silent":
 			<-r.Context().Done()
 			return nil, r.Context().Err()
-		case m.state == "lost":
+		case m.state == "unavailable":
 			return answer(http.StatusServiceUnavailable, `{"error":"lost"}`)
-		case m.state == "garbled":
+		case m.state == "malformed":
 			return answer(http.StatusOK, `{"index":9`)
-		case !q.Has("from") || q.Get("line") != m.epoch || from < min(m.oldestKnown, m.version) || from > m.version:
+		case !query.Has("from") || query.Get("line") != m.epoch ||
+			from < min(m.oldestKnown, m.version) || from > m.version:
 			return answer(http.StatusOK, encodeList(m, true, m.names))
 		case from < m.version:
 			return answer(http.StatusOK, encodeList(m, false, m.names))
-		case over:
+		case holdExpired:
 			return answer(http.StatusOK, encodeList(m, false, nil))
 		}
 		select {
 		case <-changed:
 		case <-until:
-			over = true
+			holdExpired = true
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
 		}
 	}
 }
+
 func encodeList(m fakeMember, full bool, names []string) string {
 	var b strings.Builder
 	for i, n := range names {
@@ -113,17 +120,19 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"line":%q,"endpoints":[%s]}`, m.version, full, m.epoch, b.String())
 }
 
-// recordedList is the list as a reader of the client's updates has it.
+// recordedList is the list that results from a client's updates.
 type recordedList struct {
 	mu    sync.Mutex
 	names map[string]bool
 	recordedState
 }
+
+// recordedState is the state of a recordedList after its last update.
 type recordedState struct {
 	version int64
-	at      time.Duration // of the last update, since the start
+	at      time.Duration // time of the last update, since the start
 	updates int
-	list    string // names, sorted
+	list    string // sorted names, separated by spaces
 }
 
 func (r *recordedList) current() recordedState {
@@ -141,7 +150,7 @@
 	return slices.Clone(f.calls)
 }
 
-// client runs a client of the registry in the test's bubble.
+// client runs a client of the registry until the test ends.
 func (f *fakeRegistry) client(t *testing.T, seed uint64, known *List) (*Client, *recordedList) {
 	c := New(Config{Source: Source{Members: []string{"m1", "m2", "m3"}}, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	c.http.Transport = f
@@ -149,26 +158,26 @@
 		c.SetInitialList(known)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { defer close(ended); c.Run(ctx) }()
+	runDone := make(chan struct{})
+	go func() { defer close(runDone); c.Run(ctx) }()
 	recorded := &recordedList{names: map[string]bool{}}
-	read := make(chan struct{})
+	readerDone := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(readerDone)
 		for {
 			select {
-			case n := <-c.Updates():
+			case update := <-c.Updates():
 				recorded.mu.Lock()
-				if n.List.Snapshot {
+				if update.List.Snapshot {
 					clear(recorded.names)
 				}
-				for _, e := range n.List.Endpoints {
+				for _, e := range update.List.Endpoints {
 					recorded.names[e.Name] = true
 					if e.Status == StatusDeleted {
 						delete(recorded.names, e.Name)
 					}
 				}
-				recorded.version, recorded.at = n.List.Version, time.Since(f.start)
+				recorded.version, recorded.at = update.List.Version, time.Since(f.start)
 				recorded.updates++
 				recorded.mu.Unlock()
 			case <-ctx.Done():
@@ -176,7 +185,7 @@
 			}
 		}
 	}()
-	t.Cleanup(func() { stop(); <-ended; <-read })
+	t.Cleanup(func() { stop(); <-runDone; <-readerDone })
 	return c, recorded
 }
 
@@ -184,4 +193,6 @@
 func bubble(t *testing.T, name string, f func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) { synctest.Test(t, f) })
 }
+
+// sleep advances the virtual clock and waits until all goroutines are blocked.
 func sleep(d time.Duration) { time.Sleep(d); synctest.Wait() }
--- a/internal/discovery/servermodel_test.go
+++ b/internal/discovery/servermodel_test.go
@@ -15,33 +15,34 @@
 	"time"
 )
 
-// serverModel is the platform's discovery on a virtual clock: it serves calls one after another, rejects those that would
-// wait too long, and serves watches that follow an answer at once. It records when its clients receive each version.
+// serverModel simulates the platform's discovery on a virtual clock. It serves calls one at a time, rejects
+// those that would wait too long, and serves watches that follow an answer at once. It records when its
+// clients receive each version.
 type serverModel struct {
 	mu                sync.Mutex
 	ctx               context.Context // the clients' context
 	version           int64
-	changedAt         []time.Time   // of each version, from 1
-	changed           chan struct{} // closed at the next version
-	queueFreeAt       time.Time     // when the calls in the queue are served
-	fault             callFault     // of every call, if not noFault
-	availableSince    time.Time     // since when every call is served or rejected by its queue
-	serviceTime       time.Duration // of one call
-	otherLoad         time.Duration // queue of other callers, before each call
-	maxWait           time.Duration // a call that waits longer fails then, and takes its service time all the same
-	queueLimit        time.Duration // service time that may be queued; calls beyond it are rejected at once; 0: maxWait
-	lines             int
+	publishedAt       []time.Time   // when each version was published, from version 1 on
+	changed           chan struct{} // closed when the next version is published
+	queueFreeAt       time.Time     // when all calls in the queue will have been served
+	fault             callFault     // applied to every call, if not noFault
+	availableSince    time.Time     // end of the last outage
+	serviceTime       time.Duration // time to serve one call
+	otherLoad         time.Duration // service time of other callers' calls that are queued before each call
+	maxWait           time.Duration // W: a call that waits longer fails, but takes its service time
+	queueLimit        time.Duration // most service time queued; calls beyond it are rejected; 0: maxWait
+	entriesSent       int
 	assumedCallers    int // Config.Callers of each client
-	entriesPerVersion int // changed by each version, which cost service time as those of a full list do
-	calls             int // served or rejected
-	served            int
-	failEvery         int // every so many served calls one ends with a 503; 0: none
-	wasted            int // served calls that had been abandoned or had timed out
-	callers           []*modelClient
-	faultsBelow       int // inject skips clients with this number and above; 0: none
+	entriesPerVersion int // entries changed by each version; each costs service time as in a full list
+	calls             int // calls served or rejected
+	served            int // calls served
+	failEvery         int // one of this many served calls ends with a 503; 0: none
+	wasted            int // calls served after they had been abandoned or had timed out
+	clients           []*modelClient
+	faultsBelow       int // inject skips clients with this number or a higher one; 0: it skips none
 }
 
-// callFault is what goes wrong with a call.
+// callFault is a failure of a call.
 type callFault int
 
 const (
@@ -49,35 +50,36 @@
 	rejected                    // 503
 	rejectedAfterWait           // 503 after maxWait
 	connectionReset
-	neverAnswered // accepted and never answered
-	endlessBody   // a byte at a time
+	neverAnswered // the call is accepted and never answered
+	endlessBody   // the body arrives a byte at a time and never ends
 	malformed
 )
 
-// modelClient is one client, with what the model knows of it.
+// modelClient is a client of a serverModel.
 type modelClient struct {
 	server     *serverModel
 	number     int
 	client     *Client
 	joinedAt   time.Time
-	lastAnswer time.Time   // a call within 200 ms of it is a watch that follows an answer
-	openWatch  *heldWatch  // the watch in progress
-	nextFaults []callFault // of its next calls
+	lastAnswer time.Time   // a call within 200 ms after it is a watch that follows an answer
+	openWatch  *heldWatch  // the watch in progress; nil: none
+	nextFaults []callFault // applied to its next calls
 	version    int64
-	heardAt    []time.Time // of each version
+	receivedAt []time.Time // when it received each version
 }
 
-// heldWatch is a watch that waits for a change.
+// heldWatch is a watch that the server holds until there is a change.
 type heldWatch struct {
-	silenced bool
-	closed   chan struct{}
+	silenced bool          // it is never answered
+	closed   chan struct{} // closed to reset its connection
 }
 
 const (
-	modelServers = 200
-	linesPerCall = 38 // entries that take as much service time as a call
+	modelEntries   = 200
+	entriesPerCall = 38 // entries that take as much service time as a call without any
 )
 
+// RoundTrip serves a call of the client as discovery would, with the faults that apply to it.
 func (c *modelClient) RoundTrip(r *http.Request) (*http.Response, error) {
 	model := c.server
 	from, hold := int64(-1), time.Duration(0)
@@ -108,9 +110,11 @@
 		} else {
 			cost := model.serviceTime
 			if from < 0 {
-				cost += model.serviceTime * modelServers / linesPerCall
+				cost += model.serviceTime * modelEntries / entriesPerCall
 			} else {
-				cost += model.serviceTime * time.Duration(min(int(model.version-from)*model.entriesPerVersion, modelServers)) / linesPerCall
+				cost += model.serviceTime * time.Duration(
+					min(int(model.version-from)*model.entriesPerVersion, modelEntries)) /
+					entriesPerCall
 			}
 			model.queueFreeAt = start.Add(cost)
 			if model.served++; model.queueLimit > 0 && model.queueFreeAt.Sub(now)+model.otherLoad > model.maxWait {
@@ -146,31 +150,33 @@
 		c.lastAnswer = time.Now()
 		return okResponse(`{"index":9,"endpoints":[{}]}`), nil
 	}
-	end, own := time.Now().Add(hold), &heldWatch{closed: make(chan struct{})}
-	c.openWatch = own
-	for from >= 0 && (model.version <= from || own.silenced) && (time.Now().Before(end) || own.silenced) {
-		if !model.pause(r, time.Until(end), own) {
+	end, current := time.Now().Add(hold), &heldWatch{closed: make(chan struct{})}
+	c.openWatch = current
+	for from >= 0 && (model.version <= from || current.silenced) &&
+		(time.Now().Before(end) || current.silenced) {
+		if !model.pause(r, time.Until(end), current) {
 			return nil, cmp.Or(r.Context().Err(), errors.New("connection reset"))
 		}
 	}
-	if c.openWatch == own {
+	if c.openWatch == current {
 		c.openWatch = nil
 	}
 	c.lastAnswer = time.Now()
-	n := model.version - from
+	entries := model.version - from
 	if from < 0 {
-		n = modelServers
+		entries = modelEntries
 	}
-	model.lines += int(n)
+	model.entriesSent += int(entries)
 	return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[]}`, model.version, from < 0)), nil
 }
 
-// pause waits without the lock; a watch ends with the next version too. It reports whether the call is still wanted.
-func (m *serverModel) pause(r *http.Request, d time.Duration, own *heldWatch) bool {
-	var moved, cut chan struct{}
-	if own != nil {
-		moved, cut = m.changed, own.closed
-		if own.silenced {
+// pause unlocks the model and waits. A watch ends with the next version too. It reports whether the client
+// still waits for the call.
+func (m *serverModel) pause(r *http.Request, d time.Duration, watch *heldWatch) bool {
+	var changed, closed chan struct{}
+	if watch != nil {
+		changed, closed = m.changed, watch.closed
+		if watch.silenced {
 			d = time.Hour
 		}
 	}
@@ -180,15 +186,15 @@
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-moved:
-	case <-cut:
+	case <-changed:
+	case <-closed:
 		return false
 	case <-r.Context().Done():
 	}
 	return r.Context().Err() == nil
 }
 
-// slowBody is a response body that comes a byte at a time and never ends.
+// slowBody is a response body that arrives a byte at a time and never ends.
 type slowBody struct{ ctx context.Context }
 
 func (d *slowBody) Read(p []byte) (int, error) {
@@ -210,21 +216,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.version++
-	m.changedAt = append(m.changedAt, time.Now())
+	m.publishedAt = append(m.publishedAt, time.Now())
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // inject applies a fault to the watches in progress, and sets the faults of each client's next calls.
-func (m *serverModel) inject(what func(*heldWatch), next ...callFault) {
+func (m *serverModel) inject(watchFault func(*heldWatch), next ...callFault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, c := range m.callers {
+	for _, c := range m.clients {
 		if m.faultsBelow > 0 && c.number >= m.faultsBelow {
 			continue
 		}
 		if c.openWatch != nil {
-			what(c.openWatch)
+			watchFault(c.openWatch)
 		}
 		c.nextFaults = next
 	}
@@ -234,11 +240,11 @@
 func resetWatch(h *heldWatch)   { close(h.closed) }
 func keepWatch(*heldWatch)      {}
 
-// outage applies a fault to all calls for some time.
-func (m *serverModel) outage(f callFault, what func(*heldWatch), d time.Duration) {
-	m.inject(what)
+// outage applies a fault to the watches in progress, and another one to all calls for some time.
+func (m *serverModel) outage(fault callFault, watchFault func(*heldWatch), d time.Duration) {
+	m.inject(watchFault)
 	m.mu.Lock()
-	m.fault = f
+	m.fault = fault
 	m.mu.Unlock()
 	time.Sleep(d)
 	m.mu.Lock()
@@ -246,51 +252,54 @@
 	m.mu.Unlock()
 }
 
+// recordVersion records that the client has received a version.
 func (c *modelClient) recordVersion(version int64) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	for ; c.version < version; c.version++ {
-		c.heardAt = append(c.heardAt, time.Now())
+		c.receivedAt = append(c.receivedAt, time.Now())
 	}
 }
 
-// worstAge returns the longest time from a version, or from the end of the outage if that is later, until a client received it.
+// worstAge returns the longest time from the publication of a version until a client received it. The time
+// starts later if the version was published before the end of an outage or before the client joined.
 func (m *serverModel) worstAge(t *testing.T) (worst time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, c := range m.callers {
-		if len(c.heardAt) < len(m.changedAt) {
-			t.Fatalf("client %d received %d of %d versions", c.number, len(c.heardAt), len(m.changedAt))
+	for _, c := range m.clients {
+		if len(c.receivedAt) < len(m.publishedAt) {
+			t.Fatalf("client %d received %d of %d versions", c.number, len(c.receivedAt), len(m.publishedAt))
 		}
-		for v, made := range m.changedAt {
+		for v, publishedAt := range m.publishedAt {
 			for _, since := range []time.Time{m.availableSince, c.joinedAt} {
-				if made.Before(since) {
-					made = since
+				if publishedAt.Before(since) {
+					publishedAt = since
 				}
 			}
-			worst = max(worst, c.heardAt[v].Sub(made))
+			worst = max(worst, c.receivedAt[v].Sub(publishedAt))
 		}
 	}
 	return worst
 }
 
-// join starts a client that knows the list at a version.
-func (m *serverModel) join(ctx context.Context, pushed bool, seed uint64, version int64) {
-	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, Pushed: pushed, Callers: m.assumedCallers, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
+// join starts a client that has the list of a version.
+func (m *serverModel) join(ctx context.Context, localAgent bool, seed uint64, version int64) {
+	client := New(Config{Source: Source{Address: "127.0.0.1:1"}, LocalAgent: localAgent,
+		Callers: m.assumedCallers, Seed: seed, Logger: slog.New(slog.DiscardHandler)})
 	m.mu.Lock()
-	who := &modelClient{server: m, number: len(m.callers), client: client, joinedAt: time.Now()}
-	m.callers = append(m.callers, who)
+	joined := &modelClient{server: m, number: len(m.clients), client: client, joinedAt: time.Now()}
+	m.clients = append(m.clients, joined)
 	m.mu.Unlock()
-	client.connect = func(Source) *http.Client { return &http.Client{Transport: who} }
-	client.http = client.connect(Source{})
+	client.makeHTTPClient = func(Source) *http.Client { return &http.Client{Transport: joined} }
+	client.http = client.makeHTTPClient(Source{})
 	client.SetInitialList(&List{Version: version, Snapshot: true})
-	who.recordVersion(version)
+	joined.recordVersion(version)
 	go client.Run(ctx)
 	go func() {
 		for {
 			select {
 			case n := <-client.Updates():
-				who.recordVersion(n.List.Version)
+				joined.recordVersion(n.List.Version)
 			case <-ctx.Done():
 				return
 			}
--- a/internal/override/slowdisk_test.go
+++ b/internal/override/slowdisk_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A suspension is in effect and its call answered within a second though the disk takes longer: the answer is then an error,
-// and the call may be repeated.
+// A suspension is in effect and its call answered within a second even if the disk takes longer. The call
+// then returns an error, and may be repeated.
 func TestSuspensionAppliesWithSlowDisk(t *testing.T) {
 	names := NewNameSet()
 	names.Add("a", "b")
@@ -16,16 +16,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk := make(chan struct{})
-	overrides.store.delay = func() { <-disk }
+	diskBlocked := make(chan struct{})
+	overrides.store.delay = func() { <-diskBlocked }
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	held := make(chan map[string]bool, 100)
+	applied := make(chan map[string]bool, 100)
 	go func() {
 		for {
 			select {
 			case s := <-overrides.Sets():
-				held <- s.IDs
+				applied <- s.IDs
 				s.Acknowledge()
 			case <-ctx.Done():
 				return
@@ -33,39 +33,39 @@
 		}
 	}()
 	go overrides.Run(ctx)
-	began := time.Now()
+	start := time.Now()
 	answered := make(chan error, 1)
 	go func() { answered <- overrides.SuspendServer("a") }()
-	for !(<-held)["a"] {
-		if time.Since(began) > time.Second {
+	for !(<-applied)["a"] {
+		if time.Since(start) > time.Second {
 			t.Fatal("the suspension is not in effect after 1 s")
 		}
 	}
 	select {
 	case err := <-answered:
 		if err == nil {
-			t.Error("success though nothing is stored")
+			t.Error("SuspendServer succeeded before the override was stored")
 		}
-	case <-time.After(time.Second - time.Since(began)):
-		t.Error("no answer within 1 s")
+	case <-time.After(time.Second - time.Since(start)):
+		t.Error("SuspendServer did not return within 1 s")
 	}
-	for range 3 { // it stays in effect while the disk does not answer
+	for range 3 { // it stays in effect while the disk is blocked
 		select {
-		case ids := <-held:
+		case ids := <-applied:
 			if !ids["a"] {
-				t.Fatal("the suspension ended")
+				t.Fatal("the suspension is no longer in effect")
 			}
 		case <-time.After(2 * pollInterval):
 		}
 	}
-	close(disk)
+	close(diskBlocked)
 	for !overrides.store.has("a") {
 		time.Sleep(time.Millisecond)
 	}
 	if err := overrides.SuspendServer("a"); err != nil {
-		t.Errorf("the call repeated: %v", err)
+		t.Errorf("SuspendServer, repeated: %v", err)
 	}
 	if err := overrides.ResumeServer("a"); err != nil || overrides.Current()["a"] {
-		t.Errorf("resumed: %v, %v", err, overrides.Current())
+		t.Errorf("ResumeServer: %v, in effect: %v", err, overrides.Current())
 	}
 }
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -20,7 +20,7 @@
 	case len(cfg.Discovery.Members) > 0:
 		return 0
 	case !cfg.Site.Balancer.WatchEndpoints:
-		return discovery.PushNotifyDeadline
+		return discovery.AgentNotifyDeadline
 	}
 	return discovery.NotifyDeadline - syncMargin
 }
@@ -33,7 +33,7 @@
 	case len(cfg.Discovery.Members) > 0:
 		return 0
 	case !cfg.Site.Balancer.WatchEndpoints:
-		return discovery.PushNotifyDeadline
+		return discovery.AgentNotifyDeadline
 	}
 	return discovery.NotifyDeadline
 }
