--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -198,9 +198,9 @@
 	return slow
 }
 
-// reject counts a rejection and returns its Retry-After in µs. The Retry-After is at most half of the latency
-// objective, so that the next attempt of the client can still be in time, and it is spread over the upper
-// half of that range, so that clients do not all come back at once.
+// reject counts a rejection and returns its Retry-After in µs. The Retry-After is at most half of the
+// latency objective, so that the next attempt of the client can still be in time, and it is spread over the
+// upper half of that range, so that clients do not all come back at once.
 func (a *admission) reject(request *request, reason RejectReason) (retryAfter int64) {
 	a.rejections[reason]++
 	objective := request.classRules().LatencyObjective
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -57,9 +57,9 @@
 	class.unloaded = min(class.mean, class.unloaded+(class.mean-class.unloaded)*gain)
 }
 
-// slowThreshold returns the latency, in µs, above which a call counts as slow. It is well below the objective
-// and, while the tier is not overloaded, not far above the unloaded mean, since servers with long queues stay
-// slow for a long time.
+// slowThreshold returns the latency, in µs, above which a call counts as slow. It is well below the
+// objective and, while the tier is not overloaded, not far above the unloaded mean, since servers with long
+// queues stay slow for a long time.
 func slowThreshold(settings *Settings, class int, latency classLatency, quotaMultiple float64) float64 {
 	threshold := slowFraction * float64(settings.Classes[class].LatencyObjective)
 	if settings.Tier > 0 || quotaMultiple <= overloadedQuotaThreshold {
