--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -65,7 +65,8 @@
 
 // maxWait returns how long, in µs, the last request of a queue may wait. latest is the time from now, in
 // µs, by which that request has to be sent, and mean is the mean latency of its class, in µs. ok is false
-// if the requests before it are expected to take longer than latest, which also bounds the length of the queue.
+// if the requests before it are expected to take longer than latest, which also bounds the length of the
+// queue.
 func (q *keyQueue) maxWait(latest, mean float64) (wait int64, ok bool) {
 	if float64(len(q.waiting)-1)*mean > latest {
 		return 0, false
