--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -15,7 +15,7 @@
 // ReadConfig reads the configuration's section "fleet"; proxyName is the member's name if the section has none. It is a
 // config.ClusterReader. The error is a *config.ConfigError, or one of package json.
 func ReadConfig(text json.RawMessage, proxyName string) (*proxy.ClusterPlan, error) {
-	cfg, parsed, err := read(text, proxyName)
+	cfg, parsed, err := parseSection(text, proxyName)
 	if err != nil {
 		return nil, err
 	}
@@ -33,8 +33,8 @@
 	}, nil
 }
 
-// section is the section as it stands in the file.
-type section struct {
+// fleetSection is the fleetSection as it stands in the file.
+type fleetSection struct {
 	Name      string   `json:"name"`
 	Bind      string   `json:"bind"`
 	Advertise string   `json:"advertise"`
@@ -46,8 +46,8 @@
 
 func disabled(enabled *bool) bool { return enabled != nil && !*enabled }
 
-// read parses the section and checks what it gives of a transport.Config.
-func read(text json.RawMessage, proxyName string) (cfg *transport.Config, parsed section, err error) {
+// parseSection parses the section and checks what it gives of a transport.Config.
+func parseSection(text json.RawMessage, proxyName string) (cfg *transport.Config, parsed fleetSection, err error) {
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return nil, parsed, err
 	}
--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -18,7 +18,7 @@
 
 func TestReadSection(t *testing.T) {
 	for _, c := range []struct{ more, name, want string }{{"", "n4", "n4"}, {`,"name":"n5"`, "n4", "n5"}} {
-		f, _, err := read([]byte(`{"label":"x","bind":"127.0.0.1:9","seeds":["127.0.0.1:8"]`+c.more+`}`), c.name)
+		f, _, err := parseSection([]byte(`{"label":"x","bind":"127.0.0.1:9","seeds":["127.0.0.1:8"]`+c.more+`}`), c.name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,7 +82,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"label":"x","bind":"127.0.0.1:9","seeds":["127.0.0.1:8"]}`))
 	f.Fuzz(func(t *testing.T, section []byte) {
-		c, _, err := read(section, "n")
+		c, _, err := parseSection(section, "n")
 		var fault *config.Error
 		if err == nil && c.Check() != nil || errors.As(err, &fault) && fault.Remedy == "" {
 			t.Errorf("%+v, %v", c, err)
--- a/internal/cluster/queue/queue.go
+++ b/internal/cluster/queue/queue.go
@@ -37,7 +37,7 @@
 
 	mu      sync.Mutex
 	byKey   map[entryKey]*queuedEntry
-	ordered *btree.BTreeG[*queuedEntry] // the same, by compareTurns
+	ordered *btree.BTreeG[*queuedEntry] // the same, by compareOrder
 	added   uint64                      // entries ever added
 	dropped int64
 	sent    int64
@@ -51,13 +51,13 @@
 type queuedEntry struct {
 	entry         state.Entry
 	transmissions int
-	addedAs       uint64 // grows with each entry that is added
+	sequence      uint64 // grows with each entry that is added
 }
 
 // New returns an empty queue. It asks transmitCount, with each packet, how often an entry is to be sent.
 func New(transmitCount func() int) *Queue {
 	return &Queue{transmitCount: transmitCount, byKey: map[entryKey]*queuedEntry{},
-		ordered: btree.NewG(btreeDegree, func(a, b *queuedEntry) bool { return compareTurns(a, b) < 0 })}
+		ordered: btree.NewG(btreeDegree, func(a, b *queuedEntry) bool { return compareOrder(a, b) < 0 })}
 }
 
 func keyOf(e *state.Entry) entryKey {
@@ -82,9 +82,9 @@
 	state.ServerLoad:      3,
 }
 
-// compareTurns orders entries by who goes first: the fewest transmissions, adjusted by priority; of these the newest.
-func compareTurns(a, b *queuedEntry) int {
-	return cmp.Or(cmp.Compare(a.rank(), b.rank()), cmp.Compare(b.addedAs, a.addedAs))
+// compareOrder orders entries by who goes first: the fewest transmissions, adjusted by priority; of these the newest.
+func compareOrder(a, b *queuedEntry) int {
+	return cmp.Or(cmp.Compare(a.rank(), b.rank()), cmp.Compare(b.sequence, a.sequence))
 }
 
 func (q *queuedEntry) rank() int { return q.transmissions + priorityStep*priorities[q.entry.Kind] }
@@ -102,7 +102,7 @@
 			q.ordered.Delete(replaced)
 		}
 		q.added++
-		queued := &queuedEntry{entry: entries[i], addedAs: q.added}
+		queued := &queuedEntry{entry: entries[i], sequence: q.added}
 		q.byKey[key] = queued
 		q.ordered.ReplaceOrInsert(queued)
 	}
--- a/internal/cluster/state/decode.go
+++ b/internal/cluster/state/decode.go
@@ -32,7 +32,7 @@
 	d := decoder{now: now, size: len(data)}
 	var p packet[group[wireEntry]]
 	if strictMode.Unmarshal(data, &p) != nil {
-		return d.lenient(data)
+		return d.decodeLenient(data)
 	}
 	if err := d.checkVersion(p.Version); err != nil {
 		return nil, d.skipped, err
@@ -74,7 +74,7 @@
 		d.skipped.UnknownKinds++
 		return
 	}
-	e, ok := w.entry(d.now, observer, zone, incarnation)
+	e, ok := w.toEntry(d.now, observer, zone, incarnation)
 	if !ok {
 		d.skipped.Malformed++
 		return
@@ -82,8 +82,8 @@
 	d.entries = append(d.entries, e)
 }
 
-// lenient reads a packet group by group and entry by entry, and skips those that do not have the known shape.
-func (d *decoder) lenient(data []byte) ([]Entry, Skipped, error) {
+// decodeLenient reads a packet group by group and entry by entry, and skips those that do not have the known shape.
+func (d *decoder) decodeLenient(data []byte) ([]Entry, Skipped, error) {
 	var p packet[cbor.RawMessage]
 	if err := d.unmarshal(data, &p); err != nil {
 		return nil, Skipped{}, &PacketError{d.size, err.Error()}
@@ -98,13 +98,13 @@
 			continue
 		}
 		for _, raw := range g.Entries {
-			d.lenientEntry(raw, &g)
+			d.decodeLenientEntry(raw, &g)
 		}
 	}
 	return d.entries, d.skipped, nil
 }
 
-func (d *decoder) lenientEntry(raw cbor.RawMessage, g *group[cbor.RawMessage]) {
+func (d *decoder) decodeLenientEntry(raw cbor.RawMessage, g *group[cbor.RawMessage]) {
 	var header struct {
 		Kind uint64 `cbor:"1,keyasint"`
 	}
--- a/internal/cluster/state/entry.go
+++ b/internal/cluster/state/entry.go
@@ -8,9 +8,9 @@
 
 // Ranges of numbers that entries carry.
 const (
-	maxAgeMs  = 1 << 43
-	maxStamp  = 1 << 53 // of an incarnation, a start in milliseconds, a sequence number and a Lamport version
-	maxNumber = 1 << 40 // of Calls and Value; a power of two, which rounding does not exceed
+	maxAgeMs      = 1 << 43
+	maxStamp      = 1 << 53 // of an incarnation, a start in milliseconds, a sequence number and a Lamport version
+	maxBodyNumber = 1 << 40 // of Calls and Value; a power of two, which rounding does not exceed
 )
 
 // Body is the content of an entry. Numbers are rounded to 11 bits, which is three bytes on the wire and keeps noise in
@@ -101,7 +101,7 @@
 
 func (b *Body) valid(maxNameBytes int) bool {
 	return len(b.SubjectZone) <= maxNameBytes && utf8.ValidString(b.SubjectZone) &&
-		inRange(b.Calls, maxNumber) && inRange(b.BadFraction, 1) && inRange(b.Value, maxNumber)
+		inRange(b.Calls, maxBodyNumber) && inRange(b.BadFraction, 1) && inRange(b.Value, maxBodyNumber)
 }
 
 func validName(name string, maxBytes int) bool {
@@ -129,5 +129,5 @@
 			return e.TTL == 0
 		}
 	}
-	return e.TTL > 0 && e.TTL <= rulesByKind[e.Kind].ttl
+	return e.TTL > 0 && e.TTL <= paramsByKind[e.Kind].ttl
 }
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -59,7 +59,7 @@
 		Entry{Kind: Override, Subject: "server-1", Observer: "proxy-b", Seq: 7, ObservedAt: testTime - 3600*second},
 		Entry{Kind: Override, Withdrawn: true, Subject: "server-3", Observer: "proxy-b", Seq: 8, ObservedAt: testTime - second, TTL: resumptionTTL},
 		Entry{Kind: ServerUnhealthy, Subject: "same-start", SubjectStartMs: started, Observer: "proxy-c", Incarnation: started, Seq: 1 << 40,
-			ObservedAt: testTime, TTL: ServerUnhealthy.TTL(), Body: Body{Fault: 200, Calls: maxNumber, BadFraction: 1, Value: 0.0625}},
+			ObservedAt: testTime, TTL: ServerUnhealthy.TTL(), Body: Body{Fault: 200, Calls: maxBodyNumber, BadFraction: 1, Value: 0.0625}},
 		Entry{Kind: ServerLoad, Subject: "earlier-start", SubjectStartMs: 1, Observer: "proxy-c", Incarnation: started, Seq: maxStamp,
 			ObservedAt: testTime - 4*second, TTL: 4500 * millisecond})
 }
@@ -177,15 +177,15 @@
 	if got := playStores(1); got != want {
 		t.Errorf("the played sequence gives %s, want %s", got, want)
 	}
-	for kind, change := range map[Kind]func(*kindRules){
-		ServerUnhealthy: func(x *kindRules) { x.updateInterval -= 150 * millisecond }, ZoneHealthy: func(x *kindRules) { x.ttl += 50 * millisecond }, ServerFlap: func(x *kindRules) { x.maxPerObserver = 3 },
+	for kind, change := range map[Kind]func(*kindParams){
+		ServerUnhealthy: func(x *kindParams) { x.updateInterval -= 150 * millisecond }, ZoneHealthy: func(x *kindParams) { x.ttl += 50 * millisecond }, ServerFlap: func(x *kindParams) { x.maxPerObserver = 3 },
 	} {
-		was := rulesByKind[kind]
-		change(&rulesByKind[kind])
+		was := paramsByKind[kind]
+		change(&paramsByKind[kind])
 		if playStores(1) == want {
 			t.Errorf("a changed %v is not noticed", kind)
 		}
-		rulesByKind[kind] = was
+		paramsByKind[kind] = was
 	}
 	if slices.Contains([]string{playStores(2), playStores(3)}, want) {
 		t.Error("another seed gives the same hash")
--- a/internal/cluster/state/kind.go
+++ b/internal/cluster/state/kind.go
@@ -15,15 +15,15 @@
 	kindCount
 )
 
-// kindRules are the gossip parameters of a kind.
-type kindRules struct {
+// kindParams are the gossip parameters of a kind.
+type kindParams struct {
 	name           string
 	ttl            int64 // from ObservedAt to the expiry, at most
 	updateInterval int64 // between two publications of changed numbers, at least
 	maxPerObserver int   // entries
 }
 
-var rulesByKind = [kindCount]kindRules{
+var paramsByKind = [kindCount]kindParams{
 	ServerUnhealthy: {"server-unhealthy", 3 * second, 300 * millisecond, 256},
 	ServerHealthy:   {"server-healthy", 3 * second, 300 * millisecond, 256},
 	ZoneUnhealthy:   {"zone-unhealthy", 3 * second, 300 * millisecond, 32},
@@ -46,7 +46,7 @@
 	if !k.Known() {
 		return "unknown"
 	}
-	return rulesByKind[k].name
+	return paramsByKind[k].name
 }
 
 // TTL returns the longest TTL of the kind's entries in microseconds, 0 for an unknown kind. For Override it is the TTL
@@ -55,5 +55,5 @@
 	if !k.Known() {
 		return 0
 	}
-	return rulesByKind[k].ttl
+	return paramsByKind[k].ttl
 }
--- a/internal/cluster/state/limits.go
+++ b/internal/cluster/state/limits.go
@@ -17,7 +17,7 @@
 			s.counts.Evicted++
 		}
 	}
-	maxOfKind := rulesByKind[stored.Kind].maxPerObserver
+	maxOfKind := paramsByKind[stored.Kind].maxPerObserver
 	if peer.countByKind[stored.Kind] > maxOfKind || len(peer.entries) > s.limits.EntriesPerObserver {
 		s.sweepObserver(m.now, peer)
 	}
--- a/internal/cluster/state/merge.go
+++ b/internal/cluster/state/merge.go
@@ -38,7 +38,7 @@
 	m := merge{store: s, now: s.advance(now)}
 	for i := range entries {
 		e := &entries[i]
-		result := m.entry(e)
+		result := m.mergeEntry(e)
 		s.counts.add(result)
 		if result == mergeAccepted {
 			m.changed = append(m.changed, *e)
@@ -49,14 +49,14 @@
 
 // merge is one call of Merge.
 type merge struct {
-	store   *Store
-	now     int64
-	changed []Entry   // to gossip
-	from    *observer // of the previous entry: packets group entries by observer
-	swept   bool      // all peers were swept to make room
+	store       *Store
+	now         int64
+	changed     []Entry   // to gossip
+	currentPeer *observer // of the previous entry: packets group entries by observer
+	swept       bool      // all peers were swept to make room
 }
 
-func (m *merge) entry(e *Entry) mergeResult {
+func (m *merge) mergeEntry(e *Entry) mergeResult {
 	s := m.store
 	switch {
 	case !e.valid(m.now, s.limits.NameBytes):
@@ -66,22 +66,22 @@
 	case e.Kind == Override:
 		return s.mergeOverride(m.now, e)
 	case e.Observer == s.identity.Name:
-		return m.selfNamed(e)
+		return m.mergeSelfNamed(e)
 	}
-	if m.from == nil || m.from.name != e.Observer {
-		if m.from = s.findOrAddObserver(m.now, e.Observer); m.from == nil {
+	if m.currentPeer == nil || m.currentPeer.name != e.Observer {
+		if m.currentPeer = s.findOrAddObserver(m.now, e.Observer); m.currentPeer == nil {
 			return mergeDropped
 		}
 	}
-	result := m.peerEntry(m.from, e)
-	if e.Incarnation < m.from.incarnation {
-		m.replyToOldIncarnation(m.from, e)
+	result := m.mergePeerEntry(m.currentPeer, e)
+	if e.Incarnation < m.currentPeer.incarnation {
+		m.replyToOldIncarnation(m.currentPeer, e)
 	}
 	return result
 }
 
-// peerEntry merges a valid entry of a peer.
-func (m *merge) peerEntry(peer *observer, e *Entry) mergeResult {
+// mergePeerEntry merges a valid entry of a peer.
+func (m *merge) mergePeerEntry(peer *observer, e *Entry) mergeResult {
 	s := m.store
 	if e.Incarnation < peer.incarnation {
 		return mergeSuperseded
@@ -93,7 +93,7 @@
 	}
 	i, known := peer.find(e.Kind, e.Subject)
 	if known {
-		return m.existing(peer, peer.entries[i], e)
+		return m.mergeExisting(peer, peer.entries[i], e)
 	}
 	if e.Seq <= peer.seqFloor[e.Kind] {
 		return mergeExpired
@@ -109,8 +109,8 @@
 	return mergeDropped
 }
 
-// existing merges an entry whose key is held. An older copy of the same version changes the expiry only.
-func (m *merge) existing(peer *observer, held, e *Entry) mergeResult {
+// mergeExisting merges an entry whose key is held. An older copy of the same version changes the expiry only.
+func (m *merge) mergeExisting(peer *observer, held, e *Entry) mergeResult {
 	previousSeq, differs := held.Seq, !e.sameContent(held)
 	wins := compareVersions(e, held) > 0
 	if wins {
@@ -145,9 +145,9 @@
 		ObserverZone: e.ObserverZone, Incarnation: peer.incarnation, Seq: 1, ObservedAt: m.now, TTL: e.Kind.TTL()})
 }
 
-// selfNamed handles an entry under this proxy's own name. One that it did not publish comes from a previous process or
+// mergeSelfNamed handles an entry under this proxy's own name. One that it did not publish comes from a previous process or
 // from a namesake: own entries of a higher incarnation replace it at all members.
-func (m *merge) selfNamed(e *Entry) mergeResult {
+func (m *merge) mergeSelfNamed(e *Entry) mergeResult {
 	s, own := m.store, &m.store.own
 	if e.Incarnation == own.incarnation && e.Seq <= s.lastSeq {
 		return mergeDuplicate
--- a/internal/cluster/state/observer.go
+++ b/internal/cluster/state/observer.go
@@ -47,7 +47,7 @@
 	if e.Kind == Override {
 		return e.ExpiresAt()
 	}
-	return e.ObservedAt + rulesByKind[e.Kind].ttl
+	return e.ObservedAt + paramsByKind[e.Kind].ttl
 }
 
 // recordRemoval updates counts and the sequence floor for an entry that is removed.
--- a/internal/cluster/state/publish.go
+++ b/internal/cluster/state/publish.go
@@ -84,7 +84,7 @@
 // update publishes an observation again if it changed or half of its TTL has passed.
 func (p *publication) update(e *Entry, observation *Observation) {
 	changed := e.needsUpdate(p.now, observation)
-	due := e.ExpiresAt()-p.now < rulesByKind[e.Kind].ttl/2
+	due := e.ExpiresAt()-p.now < paramsByKind[e.Kind].ttl/2
 	switch {
 	case changed:
 		p.store.counts.Advertised++
@@ -106,7 +106,7 @@
 		e.Body.Fault != observation.Body.Fault || e.Body.SubjectZone != observation.Body.SubjectZone {
 		return true
 	}
-	return e.Body != observation.Body && now-e.ObservedAt >= rulesByKind[e.Kind].updateInterval
+	return e.Body != observation.Body && now-e.ObservedAt >= paramsByKind[e.Kind].updateInterval
 }
 
 // stamp makes an entry the latest of this proxy.
@@ -114,13 +114,13 @@
 	s.lastSeq++
 	e.Observer, e.ObserverZone = s.identity.Name, s.identity.Zone
 	e.Incarnation, e.Seq = s.own.incarnation, s.lastSeq
-	e.ObservedAt, e.TTL = now, rulesByKind[e.Kind].ttl
+	e.ObservedAt, e.TTL = now, paramsByKind[e.Kind].ttl
 }
 
 // withdrawalTTL is the TTL of a tombstone: until the withdrawn entry would have expired, in full milliseconds as the wire
 // carries it.
 func withdrawalTTL(now int64, e *Entry) int64 {
-	return min((e.ExpiresAt()-now+millisecond-1)/millisecond*millisecond, rulesByKind[e.Kind].ttl)
+	return min((e.ExpiresAt()-now+millisecond-1)/millisecond*millisecond, paramsByKind[e.Kind].ttl)
 }
 
 // admit returns the valid observations within the limits, with rounded numbers, by kind and subject. The slice is
@@ -146,7 +146,7 @@
 	n := 0
 	for _, observation := range admitted {
 		duplicate := n > 0 && order(admitted[n-1], observation) == 0
-		if duplicate || countByKind[observation.Kind] == rulesByKind[observation.Kind].maxPerObserver || n == s.limits.EntriesPerObserver {
+		if duplicate || countByKind[observation.Kind] == paramsByKind[observation.Kind].maxPerObserver || n == s.limits.EntriesPerObserver {
 			continue
 		}
 		countByKind[observation.Kind]++
--- a/internal/cluster/state/store_test.go
+++ b/internal/cluster/state/store_test.go
@@ -144,7 +144,7 @@
 // The entry nearest its expiry is evicted, even if it is the new one.
 func TestEvictionOrder(t *testing.T) {
 	store := New(Identity{Name: "self"}, Limits{})
-	most := rulesByKind[ZoneUnhealthy].maxPerObserver
+	most := paramsByKind[ZoneUnhealthy].maxPerObserver
 	for i := range most {
 		store.Merge(testTime, []Entry{testEntry(ZoneUnhealthy, fmt.Sprint("z", i), uint64(i+2), testTime, 3*second)})
 	}
--- a/internal/cluster/state/wire.go
+++ b/internal/cluster/state/wire.go
@@ -106,8 +106,8 @@
 	return (e.Kind != Override || e.Withdrawn) && w.AgeMs*millisecond >= e.TTL
 }
 
-// entry converts a received entry; ok is false for numbers that would overflow. Merge checks the rest.
-func (w *wireEntry) entry(now int64, observer, zone string, incarnation int64) (e Entry, ok bool) {
+// toEntry converts a received toEntry; ok is false for numbers that would overflow. Merge checks the rest.
+func (w *wireEntry) toEntry(now int64, observer, zone string, incarnation int64) (e Entry, ok bool) {
 	e = Entry{
 		Kind: Kind(w.Kind), Seq: w.Seq, Subject: w.Subject, ObservedAt: now - w.AgeMs*millisecond, Withdrawn: w.Withdrawn,
 		SubjectStartMs: w.SubjectStartMs, Observer: observer, ObserverZone: zone, Incarnation: incarnation,
--- a/internal/cluster/state/wire_test.go
+++ b/internal/cluster/state/wire_test.go
@@ -20,7 +20,7 @@
 			in[i].ObservedAt -= rapid.Int64Range(0, millisecond-1).Draw(t, "within a millisecond")
 			if e := &in[i]; e.Kind != Override {
 				e.SubjectStartMs = rapid.SampledFrom([]int64{0, e.Incarnation, 7, maxStamp}).Draw(t, "start")
-				e.Body.Value = rapid.Float64Range(0, maxNumber).Draw(t, "value")
+				e.Body.Value = rapid.Float64Range(0, maxBodyNumber).Draw(t, "value")
 			}
 		}
 		most := rapid.IntRange(MinPacketBytes, 4*MinPacketBytes).Draw(t, "most")
--- a/internal/cluster/transport/config.go
+++ b/internal/cluster/transport/config.go
@@ -74,7 +74,7 @@
 			"set it to an IP address and a port, like 127.0.0.1:7946"}
 	}
 	if cfg.Advertise != "" {
-		if advertise, err = reachable(cfg.Advertise); err != nil {
+		if advertise, err = parseReachable(cfg.Advertise); err != nil {
 			return bind, advertise, &ConfigError{"advertise",
 				fmt.Sprintf("%q is not an address that others can reach", cfg.Advertise),
 				"set it to the IP address and port under which the other members reach this one"}
@@ -84,7 +84,7 @@
 			"set it to one address, or set fleet.advertise too"}
 	}
 	for _, seed := range cfg.Seeds {
-		if _, err := reachable(seed); err != nil {
+		if _, err := parseReachable(seed); err != nil {
 			return bind, advertise, &ConfigError{"seeds", fmt.Sprintf("%q is not a member's address", seed),
 				"use IP addresses and ports, like 127.0.0.1:7946"}
 		}
@@ -92,8 +92,8 @@
 	return bind, advertise, nil
 }
 
-// reachable parses an address that can be connected to.
-func reachable(address string) (netip.AddrPort, error) {
+// parseReachable parses an address that can be connected to.
+func parseReachable(address string) (netip.AddrPort, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err == nil && (parsed.Port() == 0 || parsed.Addr().IsUnspecified()) {
 		err = errUnreachable
--- a/internal/cluster/transport/datagrams.go
+++ b/internal/cluster/transport/datagrams.go
@@ -91,7 +91,7 @@
 		select {
 		case t.packets <- packet:
 		default:
-			t.rejected.add(rejectMany)
+			t.rejected.add(rejectTooMany)
 		}
 	}
 }
--- a/internal/cluster/transport/delegate.go
+++ b/internal/cluster/transport/delegate.go
@@ -41,7 +41,7 @@
 	result := make(chan []byte, 1)
 	encode := func() {
 		now := n.cfg.Now()
-		result <- encodeExchange(now, n.own.store.Entries(now))
+		result <- encodeExchange(now, n.owner.store.Entries(now))
 	}
 	select {
 	case n.ownerCalls <- encode:
--- a/internal/cluster/transport/errors.go
+++ b/internal/cluster/transport/errors.go
@@ -78,7 +78,7 @@
 
 var (
 	errUnreachable    = errors.New("no port, or the address of all interfaces")
-	errDiskBehind     = errors.New("earlier writes are still in progress")
+	errWritesPending  = errors.New("earlier writes are still in progress")
 	errForeignMember  = errors.New("not a member of this tier's cluster, or its metadata is invalid")
 	errTooManyMembers = errors.New("the cluster has the maximum of members that are tracked")
 	errStreamTooLong  = fmt.Errorf("a member sent over %d bytes", maxStreamBytes)
--- a/internal/cluster/transport/join.go
+++ b/internal/cluster/transport/join.go
@@ -21,7 +21,7 @@
 	var lastLogged time.Time
 	for {
 		attempted, err := n.tryJoin(ctx)
-		liveMembers, _ := n.members.count("")
+		liveMembers, _ := n.members.liveCounts("")
 		switch {
 		case ctx.Err() != nil:
 			return
@@ -50,7 +50,7 @@
 // tryJoin tries up to joinFanout addresses of members that are not known to be live, until one answers. The error is that
 // of the last address.
 func (n *Node) tryJoin(ctx context.Context) (attempted []string, err error) {
-	missing := n.members.missing(n.seeds, time.Now())
+	missing := n.members.missingAddresses(n.seeds, time.Now())
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	for _, address := range missing[:min(joinFanout, len(missing))] {
 		if ctx.Err() != nil {
--- a/internal/cluster/transport/members.go
+++ b/internal/cluster/transport/members.go
@@ -56,11 +56,11 @@
 	limiter  *logLimiter
 	changed  func()
 
-	mu    sync.Mutex
-	alive map[string]liveMember
-	lost  map[string]lostMember // died without leaving
-	joins int64
-	ends  int64 // left or died
+	mu         sync.Mutex
+	alive      map[string]liveMember
+	lost       map[string]lostMember // died without leaving
+	joins      int64
+	departures int64 // left or died
 }
 
 type lostMember struct {
@@ -73,8 +73,8 @@
 		alive: map[string]liveMember{}, lost: map[string]lostMember{}}
 }
 
-// ofLiveMembers returns the entries whose observer is live and in the zone that it announced. It reuses the slice.
-func (l *liveMembers) ofLiveMembers(entries []state.Entry) []state.Entry {
+// filterLive returns the entries whose observer is live and in the zone that it announced. It reuses the slice.
+func (l *liveMembers) filterLive(entries []state.Entry) []state.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.DeleteFunc(entries, func(e state.Entry) bool {
@@ -90,13 +90,13 @@
 	}
 	meta, ok := decodeMeta(node.Meta)
 	if !ok || node.Name == "" || len(node.Name) > maxNameBytes || meta.Tier != l.tier {
-		l.rejected.add(rejectMember)
+		l.rejected.add(rejectForeignMember)
 		return errForeignMember
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, known := l.alive[node.Name]; !known && len(l.alive) >= maxMembers {
-		l.rejected.add(rejectMany)
+		l.rejected.add(rejectTooMany)
 		return errTooManyMembers
 	}
 	return nil
@@ -148,7 +148,7 @@
 	if known && !left {
 		l.addLost(member)
 	}
-	l.ends++
+	l.departures++
 	liveMembers := 1 + len(l.alive)
 	l.mu.Unlock()
 	event := "member died"
@@ -161,7 +161,7 @@
 
 // NotifyConflict implements memberlist.ConflictDelegate: two members have one name.
 func (l *liveMembers) NotifyConflict(existing, other *memberlist.Node) {
-	l.rejected.add(rejectName)
+	l.rejected.add(rejectNameConflict)
 	l.logLimited("member name conflict", "member", existing.Name, "address", existing.Address(),
 		"other_address", other.Address())
 }
@@ -186,8 +186,8 @@
 	l.lost[member.name] = lostMember{member.address, time.Now()}
 }
 
-// count returns how many members are live, and how many of them are in a zone, this one included in both.
-func (l *liveMembers) count(zone string) (live, inZone int) {
+// liveCounts returns how many members are live, and how many of them are in a zone, this one included in both.
+func (l *liveMembers) liveCounts(zone string) (live, inZone int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	inZone = 1
@@ -199,15 +199,15 @@
 	return 1 + len(l.alive), inZone
 }
 
-// live returns how many members are live, this one included.
-func (l *liveMembers) live() int {
+// liveCount returns how many members are liveCount, this one included.
+func (l *liveMembers) liveCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return 1 + len(l.alive)
 }
 
-// missing returns the sorted addresses of seeds and lost members that are not known to be live.
-func (l *liveMembers) missing(seeds []string, now time.Time) []string {
+// missingAddresses returns the sorted addresses of seeds and lost members that are not known to be live.
+func (l *liveMembers) missingAddresses(seeds []string, now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := map[string]bool{}
@@ -232,9 +232,9 @@
 	return addresses
 }
 
-// changes returns how many members joined, and how many left or died, since the start.
-func (l *liveMembers) changes() (joins, ends int64) {
+// joinsAndDepartures returns how many members joined, and how many left or died, since the start.
+func (l *liveMembers) joinsAndDepartures() (joins, departures int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.joins, l.ends
+	return l.joins, l.departures
 }
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -30,16 +30,16 @@
 
 // Reasons for rejecting what was received; they are names of metrics.
 const (
-	rejectLabel        = "label"
-	rejectLength       = "length"
-	rejectLate         = "late"
-	rejectMany         = "many"
-	rejectMember       = "member"
-	rejectName         = "name"
-	rejectUnreadable   = "unread"
-	rejectUnknownKind  = "kind"
-	rejectMalformed    = "shape"
-	rejectNewerVersion = "newer"
+	rejectLabel         = "label"
+	rejectLength        = "length"
+	rejectLate          = "late"
+	rejectTooMany       = "many"
+	rejectForeignMember = "member"
+	rejectNameConflict  = "name"
+	rejectUnreadable    = "unread"
+	rejectUnknownKind   = "kind"
+	rejectMalformed     = "shape"
+	rejectNewerVersion  = "newer"
 )
 
 // rejections counts by reason.
@@ -70,10 +70,10 @@
 	n.mu.Unlock()
 	var dropped int64
 	m.Queued, m.Sent, dropped = n.outbound.Counts()
-	m.LiveMembers, m.LiveMembersInZone = n.members.count(n.cfg.Zone)
+	m.LiveMembers, m.LiveMembersInZone = n.members.liveCounts(n.cfg.Zone)
 	m.BytesIn, m.BytesOut = n.network.bytesIn.Load(), n.network.bytesOut.Load()
 	m.Dropped = n.inboundDropped.Load() + dropped
-	m.Joined, m.Left = n.members.changes()
+	m.Joined, m.Left = n.members.joinsAndDepartures()
 	m.JoinAttempts, m.JoinFailures = n.joinAttempts.Load(), n.joinFailures.Load()
 	rejected := maps.Clone(m.Rejected)
 	if rejected == nil {
@@ -86,13 +86,13 @@
 
 // updateMetrics stores the figures that only the owner goroutine knows.
 func (n *Node) updateMetrics(now int64) {
-	own := &n.own
-	m := Metrics{Isolated: own.isolated, Isolations: own.isolations, State: own.store.Counts(), Rejected: map[string]int64{
-		rejectUnreadable: own.unreadable, rejectUnknownKind: int64(own.skipped.UnknownKinds),
-		rejectMalformed: int64(own.skipped.Malformed), rejectNewerVersion: int64(own.skipped.NewerVersion)}}
+	owner := &n.owner
+	m := Metrics{Isolated: owner.isolated, Isolations: owner.isolations, State: owner.store.Counts(), Rejected: map[string]int64{
+		rejectUnreadable: owner.unreadable, rejectUnknownKind: int64(owner.skipped.UnknownKinds),
+		rejectMalformed: int64(owner.skipped.Malformed), rejectNewerVersion: int64(owner.skipped.NewerVersion)}}
 	m.SuspendedServers = m.State.Suspended
-	for i := range own.peerEntries {
-		if e := &own.peerEntries[i]; e.ExpiresAt() > now {
+	for i := range owner.peerEntries {
+		if e := &owner.peerEntries[i]; e.ExpiresAt() > now {
 			m.Entries++
 			m.OldestEntry = max(m.OldestEntry, time.Duration(now-e.ObservedAt)*time.Microsecond)
 		}
--- a/internal/cluster/transport/node.go
+++ b/internal/cluster/transport/node.go
@@ -61,7 +61,7 @@
 	metrics        Metrics
 
 	closeOnce sync.Once
-	own       ownerState // used by the owner goroutine only
+	owner     ownerState // used by the owner goroutine only
 }
 
 // message is a gossip packet, or the packets of a full exchange.
@@ -82,7 +82,7 @@
 		wake: make(chan struct{}, 1), joinNow: make(chan struct{}, 1), snapshots: make(chan Snapshot, 1),
 		done: make(chan struct{})}
 	identity := state.Identity{Name: cfg.Name, Zone: cfg.Zone, StartedAtMs: cfg.StartedAtMs}
-	n.own = ownerState{store: state.New(identity, state.Limits{})}
+	n.owner = ownerState{store: state.New(identity, state.Limits{})}
 	if cfg.StateDir != "" {
 		n.overrideFile = newOverrideFile(filepath.Join(cfg.StateDir, overrideFileName))
 		if err := n.restoreOverrides(); err != nil {
@@ -90,7 +90,7 @@
 		}
 	}
 	n.members = newLiveMembers(cfg.Name, cfg.Tier, &n.rejected, cfg.Logger, n.wakeOwner)
-	n.outbound = queue.New(func() int { return queue.TransmitCount(n.members.live()) })
+	n.outbound = queue.New(func() int { return queue.TransmitCount(n.members.liveCount()) })
 	n.lastTick.Store(cfg.Now())
 	if n.network, err = listen(bind, cfg.Label, &n.rejected, func() { n.lastHeard.Store(cfg.Now()) }); err != nil {
 		return nil, err
--- a/internal/cluster/transport/node_test.go
+++ b/internal/cluster/transport/node_test.go
@@ -162,7 +162,7 @@
 		if conn, err := net.Dial("tcp", a.Addr()); err == nil {
 			t.Cleanup(func() { conn.Close() })
 		}
-		return a.Metrics().Rejected[rejectMany] > 0
+		return a.Metrics().Rejected[rejectTooMany] > 0
 	})
 	if err := a.Suspend("n"); err != nil {
 		t.Fatal(err)
@@ -258,7 +258,7 @@
 	m := newLiveMembers("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
 	m.alive = map[string]liveMember{"a": {name: "a", zone: "north"}}
 	var got []string
-	for _, e := range m.ofLiveMembers([]state.Entry{{Observer: "a", ObserverZone: "north", Subject: "1"}, {Observer: "a", ObserverZone: "south", Subject: "2"},
+	for _, e := range m.filterLive([]state.Entry{{Observer: "a", ObserverZone: "north", Subject: "1"}, {Observer: "a", ObserverZone: "south", Subject: "2"},
 		{Observer: "left", ObserverZone: "north", Subject: "3"}}) {
 		got = append(got, e.Subject)
 	}
--- a/internal/cluster/transport/override.go
+++ b/internal/cluster/transport/override.go
@@ -44,7 +44,7 @@
 // written.
 func (n *Node) applyOverride(server string, suspend bool, result chan<- error) {
 	now := n.cfg.Now()
-	apply, revert := n.own.store.Suspend, n.own.store.Resume
+	apply, revert := n.owner.store.Suspend, n.owner.store.Resume
 	if !suspend {
 		apply, revert = revert, apply
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	finish := func(err error) {
-		n.own.overridesChanged = true
+		n.owner.overridesChanged = true
 		if err != nil {
 			n.cfg.Logger.Error("override not stored", "endpoint", server, "error", err)
 			if len(changed) > 0 { // else it was set before
@@ -74,8 +74,8 @@
 		return
 	}
 	written := func(err error) { n.runInOwner(func() { finish(err) }) }
-	if !n.overrideFile.enqueue(overrideWrite{n.own.store.OverrideRecords(now), written}) {
-		finish(&StoreError{n.overrideFile.path, errDiskBehind})
+	if !n.overrideFile.enqueue(overrideWrite{n.owner.store.OverrideRecords(now), written}) {
+		finish(&StoreError{n.overrideFile.path, errWritesPending})
 	}
 }
 
@@ -89,23 +89,23 @@
 
 // saveOverrides writes the overrides that other members set.
 func (n *Node) saveOverrides(now int64) {
-	if n.overrideFile == nil || !n.own.overridesUnsaved || now < n.own.nextOverrideSave {
+	if n.overrideFile == nil || !n.owner.overridesUnsaved || now < n.owner.nextOverrideSave {
 		return
 	}
-	n.own.nextOverrideSave = now + overrideSaveInterval.Microseconds()
+	n.owner.nextOverrideSave = now + overrideSaveInterval.Microseconds()
 	written := func(err error) {
 		if err == nil {
 			return
 		}
 		n.runInOwner(func() {
-			if !n.own.overridesUnsaved {
+			if !n.owner.overridesUnsaved {
 				n.cfg.Logger.Error("overrides of other members not stored", "error", err)
 			}
-			n.own.overridesUnsaved = true
+			n.owner.overridesUnsaved = true
 		})
 	}
-	if n.overrideFile.enqueue(overrideWrite{n.own.store.OverrideRecords(now), written}) {
-		n.own.overridesUnsaved = false
+	if n.overrideFile.enqueue(overrideWrite{n.owner.store.OverrideRecords(now), written}) {
+		n.owner.overridesUnsaved = false
 	}
 }
 
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	if rejected := n.own.store.RestoreOverrides(n.cfg.Now(), records); rejected > 0 {
+	if rejected := n.owner.store.RestoreOverrides(n.cfg.Now(), records); rejected > 0 {
 		n.cfg.Logger.Warn("stored overrides rejected", "records", rejected, "file", path)
 	}
 	return nil
--- a/internal/cluster/transport/owner.go
+++ b/internal/cluster/transport/owner.go
@@ -36,7 +36,7 @@
 
 // ownerLoop handles messages, calls and ticks until the context ends.
 func (n *Node) ownerLoop(ctx context.Context) {
-	n.own.isolated, n.own.overridesChanged = true, true
+	n.owner.isolated, n.owner.overridesChanged = true, true
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
 	started := n.cfg.Now()
@@ -87,27 +87,27 @@
 
 // updateIsolation determines whether any other member is heard. It logs only where others are expected.
 func (n *Node) updateIsolation(started, now int64) {
-	own := &n.own
+	owner := &n.owner
 	lastHeard := n.lastHeard.Load()
-	wasIsolated := own.isolated
-	own.isolated = lastHeard == 0 || now-lastHeard > isolationTimeout.Microseconds()
-	liveMembers, _ := n.members.count("")
+	wasIsolated := owner.isolated
+	owner.isolated = lastHeard == 0 || now-lastHeard > isolationTimeout.Microseconds()
+	liveMembers, _ := n.members.liveCounts("")
 	othersExpected := len(n.seeds) > 0 || liveMembers > 1 || lastHeard != 0
 	switch {
-	case own.isolated && !own.isolationLogged && othersExpected && now-started > isolationTimeout.Microseconds():
-		own.isolationLogged = true
-		own.isolations++
+	case owner.isolated && !owner.isolationLogged && othersExpected && now-started > isolationTimeout.Microseconds():
+		owner.isolationLogged = true
+		owner.isolations++
 		n.cfg.Logger.Warn("cluster isolated", "duration", isolationTimeout, "seeds", n.seeds)
 		select {
 		case n.joinNow <- struct{}{}:
 		default:
 		}
-	case !own.isolated && own.isolationLogged:
-		own.isolationLogged = false
+	case !owner.isolated && owner.isolationLogged:
+		owner.isolationLogged = false
 		n.cfg.Logger.Info("cluster isolation ended", "live_members", liveMembers)
 	}
-	if wasIsolated != own.isolated {
-		own.lastSnapshot = 0
+	if wasIsolated != owner.isolated {
+		owner.lastSnapshot = 0
 	}
 }
 
@@ -118,7 +118,7 @@
 	n.publishPending = false
 	n.mu.Unlock()
 	if pending {
-		n.outbound.Add(n.own.store.Publish(n.cfg.Now(), observations))
+		n.outbound.Add(n.owner.store.Publish(n.cfg.Now(), observations))
 	}
 }
 
@@ -129,14 +129,14 @@
 		decode = state.DecodeAll
 	}
 	entries, skipped, err := decode(m.receivedAt, m.payload)
-	n.own.skipped.Add(skipped)
+	n.owner.skipped.Add(skipped)
 	if err != nil {
-		n.own.unreadable++
+		n.owner.unreadable++
 	}
-	changed := n.own.store.Merge(n.cfg.Now(), entries)
+	changed := n.owner.store.Merge(n.cfg.Now(), entries)
 	for i := range changed {
 		if changed[i].Kind == state.Override {
-			n.own.overridesChanged, n.own.overridesUnsaved = true, true
+			n.owner.overridesChanged, n.owner.overridesUnsaved = true, true
 		}
 	}
 	n.outbound.Add(changed)
@@ -144,23 +144,23 @@
 
 // publishSnapshot sends a snapshot when one is due or an override changed. It replaces one that was not read.
 func (n *Node) publishSnapshot() {
-	own, now := &n.own, n.cfg.Now()
+	owner, now := &n.owner, n.cfg.Now()
 	changed := false
-	if own.overridesChanged {
+	if owner.overridesChanged {
 		overrides := map[string]bool{}
-		for _, record := range own.store.OverrideRecords(now) {
+		for _, record := range owner.store.OverrideRecords(now) {
 			overrides[record.Subject] = record.Suspended
 		}
-		changed = own.overrides == nil || !maps.Equal(overrides, own.overrides)
-		own.overrides, own.overridesChanged = overrides, false
+		changed = owner.overrides == nil || !maps.Equal(overrides, owner.overrides)
+		owner.overrides, owner.overridesChanged = overrides, false
 	}
-	if !changed && own.lastSnapshot != 0 && now-own.lastSnapshot < snapshotInterval.Microseconds() {
+	if !changed && owner.lastSnapshot != 0 && now-owner.lastSnapshot < snapshotInterval.Microseconds() {
 		return
 	}
-	own.lastSnapshot = now
-	own.peerEntries = n.members.ofLiveMembers(own.store.PeerEntries(now))
-	snapshot := Snapshot{Isolated: own.isolated, PeerEntries: own.peerEntries, Overrides: own.overrides}
-	snapshot.LiveMembers, snapshot.LiveMembersInZone = n.members.count(n.cfg.Zone)
+	owner.lastSnapshot = now
+	owner.peerEntries = n.members.filterLive(owner.store.PeerEntries(now))
+	snapshot := Snapshot{Isolated: owner.isolated, PeerEntries: owner.peerEntries, Overrides: owner.overrides}
+	snapshot.LiveMembers, snapshot.LiveMembersInZone = n.members.liveCounts(n.cfg.Zone)
 	select {
 	case <-n.snapshots:
 	default:
--- a/internal/cluster/transport/streams.go
+++ b/internal/cluster/transport/streams.go
@@ -28,7 +28,7 @@
 		select {
 		case t.slots <- struct{}{}:
 		default:
-			t.rejected.add(rejectMany)
+			t.rejected.add(rejectTooMany)
 			conn.Close()
 			continue
 		}
--- a/internal/tailweights/adjust.go
+++ b/internal/tailweights/adjust.go
@@ -27,7 +27,7 @@
 	n := float64(len(observations))
 	servers := make([]Server, len(observations))
 	for i, seen := range observations {
-		base, capacity := seen.learn(learning, concurrency)
+		base, capacity := seen.updateCurve(learning, concurrency)
 		servers[i] = Server{UnloadedLatency: base, Capacity: capacity, MinLoad: learning.MinLoadFraction * demand / n}
 	}
 	loads, _ := s.Solve(nil, servers, demand)
@@ -49,9 +49,9 @@
 	return concurrency, demand
 }
 
-// learn adds an observation to its server's curve and returns the curve. One that is far off it is of another server
+// updateCurve adds an observation to its server's curve and returns the curve. One that is far off it is of another server
 // by the same name, or of one that has changed: the curve begins anew.
-func (o *Observation) learn(learning CurveLearning, concurrency float64) (base, capacity float64) {
+func (o *Observation) updateCurve(learning CurveLearning, concurrency float64) (base, capacity float64) {
 	estimate := func() (base, capacity float64, ok bool) {
 		return o.Curve.Estimate(concurrency, learning.InformativeSpread, learning.MaxSlopeFactor)
 	}
@@ -60,7 +60,7 @@
 	if !ok || misfit > learning.MaxMisfit || misfit < 1/learning.MaxMisfit {
 		*o.Curve = CurveFit{}
 	}
-	o.Curve.Fade(learning.Retention)
+	o.Curve.Decay(learning.Retention)
 	o.Curve.Add(o.CallsPerSecond, o.MeanLatency, o.Weight)
 	base, capacity, _ = estimate()
 	return base, capacity
--- a/internal/tailweights/curvefit.go
+++ b/internal/tailweights/curvefit.go
@@ -30,8 +30,8 @@
 	f.sumLoadInverse += other.sumLoadInverse
 }
 
-// Fade leaves the given part, 0 to 1, of the weight of what was seen.
-func (f *CurveFit) Fade(part float64) {
+// Decay leaves the given part, 0 to 1, of the weight of what was seen.
+func (f *CurveFit) Decay(part float64) {
 	f.sumWeight = part * f.sumWeight
 	f.sumLoad = part * f.sumLoad
 	f.sumInverse = part * f.sumInverse
--- a/internal/tailweights/curvefit_test.go
+++ b/internal/tailweights/curvefit_test.go
@@ -28,7 +28,7 @@
 			g.Add(x, LatencyAt(c.base, c.slot/c.base*1000, x), 100)
 		}
 		whole.Merge(part)
-		whole.Fade(0.5) // weights alone say nothing
+		whole.Decay(0.5) // weights alone say nothing
 		base, cap, ok := whole.Estimate(c.guess*1000, 0.1, 8)
 		if !ok || math.Abs(base/c.wantBase-1) > c.within || math.Abs(base*cap/1000/c.wantSlots-1) > c.within {
 			t.Errorf("%s: base %g, %g slots, %v", c.name, base, base*cap/1000, ok)
--- a/internal/tailweights/solver.go
+++ b/internal/tailweights/solver.go
@@ -75,7 +75,7 @@
 	}
 	loads := dst[first:]
 	if minLoads >= demand || capacities*MaxUtilization <= demand {
-		s.scale(loads, demand, minLoads, capacities)
+		s.scaleToDemand(loads, demand, minLoads, capacities)
 		return dst, minLoads == demand
 	}
 	s.search(loads, demand, capacities)
@@ -83,9 +83,9 @@
 	return dst, true
 }
 
-// scale shares out a demand that can't be met: in proportion to the least loads where these are too much, else to the
+// scaleToDemand shares out a demand that can't be met: in proportion to the least loads where these are too much, else to the
 // capacities.
-func (s *Solver) scale(loads []float64, demand, minLoads, capacities float64) {
+func (s *Solver) scaleToDemand(loads []float64, demand, minLoads, capacities float64) {
 	for i, curve := range s.curves {
 		if minLoads >= demand && minLoads > 0 {
 			loads[i] = curve.minLoad * (demand / minLoads)
