--- a/internal/cluster/state/cluster_test.go
+++ b/internal/cluster/state/cluster_test.go
@@ -21,7 +21,8 @@
 	seq         uint64
 }
 
-// testNode is one proxy: its store with a clock of its own, what it published last, and what it was seen to hold.
+// testNode is one proxy: its store with a clock of its own, what it published last, and what it was seen to
+// hold.
 type testNode struct {
 	*Store
 	clockOffset  int64 // ahead of the simulation's
@@ -66,8 +67,8 @@
 	}
 }
 
-// deliver delivers a packet, and checks that each entry aged by no less than its time in transit and a millisecond more
-// at most.
+// deliver delivers a packet, and checks that each entry aged by no less than its time in transit and a
+// millisecond more at most.
 func (w *simulation) deliver(to *testNode, f packetInTransit) {
 	entries, skipped, err := Decode(w.now+to.clockOffset, f.data)
 	if err != nil || skipped != (Skipped{}) {
@@ -100,7 +101,8 @@
 	w.send(n, n.Store.Publish(w.now+n.clockOffset, n.observations))
 }
 
-// check checks that a node holds no expired entry, none that was gone and none that is older than one it held.
+// check checks that a node holds no expired entry, none that was gone and none that is older than one it
+// held.
 func (w *simulation) check(n *testNode) {
 	knows := map[publishedKey]entryVersion{}
 	for _, e := range n.PeerEntries(w.now + n.clockOffset) {
@@ -128,9 +130,10 @@
 	return cmp.Or(cmp.Compare(a.incarnation, b.incarnation), cmp.Compare(a.seq, b.seq)) < 0
 }
 
-// Proxies with clocks of their own publish, restart (also with an earlier start), suspend and resume, while packets are
-// lost, duplicated, reordered, and late by up to the entire run. Expired and withdrawn entries never come back. Once packets
-// arrive and full exchanges were made, each proxy holds exactly what each other publishes, and the same overrides.
+// Proxies with clocks of their own publish, restart (also with an earlier start), suspend and resume, while
+// packets are lost, duplicated, reordered, and late by up to the entire run. Expired and withdrawn entries
+// never come back. Once packets arrive and full exchanges were made, each proxy holds exactly what each other
+// publishes, and the same overrides.
 func TestStoresConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &simulation{T: t, nodes: make([]*testNode, rapid.IntRange(2, 4).Draw(t, "nodes"))}
--- a/internal/cluster/state/decode.go
+++ b/internal/cluster/state/decode.go
@@ -7,12 +7,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Skipped counts what was left out of packets that could be read.
+// Skipped counts the parts of readable packets that were ignored.
 type Skipped struct {
-	UnknownKinds  int // entries
+	UnknownKinds  int // entries of a kind that this version does not define
 	UnknownFields int // packets, groups and entries with unknown fields, which were ignored
-	Malformed     int // groups and entries of another shape, or with numbers out of range
-	NewerVersion  int // packets of a newer version, whose known part was read
+	Malformed     int // groups and entries with wrong field types, or with numbers out of range
+	NewerVersion  int // packets of a newer version, of which the known part was read
 }
 
 // Add adds the counts of other.
@@ -23,11 +23,11 @@
 	s.NewerVersion += other.NewerVersion
 }
 
-// Decode reads one packet of at most MaxPacketBytes. It is safe for untrusted bytes: it takes at most some 8 MB of memory
-// and returns at most some 8,000 entries. The error is a *PacketError.
+// Decode decodes one packet of at most MaxPacketBytes. It is safe for untrusted input: it allocates at most
+// about 8 MB and returns at most about 8,000 entries. The error is a *PacketError. now is in microseconds.
 func Decode(now int64, data []byte) ([]Entry, Skipped, error) {
 	if len(data) > MaxPacketBytes {
-		return nil, Skipped{}, &PacketError{len(data), fmt.Sprintf("over %d bytes", MaxPacketBytes)}
+		return nil, Skipped{}, &PacketError{len(data), fmt.Sprintf("longer than %d bytes", MaxPacketBytes)}
 	}
 	d := decoder{now: now, size: len(data)}
 	var p packet[group[wireEntry]]
@@ -51,17 +51,17 @@
 	return d.entries, d.skipped, nil
 }
 
-// decoder reads one packet.
+// decoder holds the state of decoding one packet.
 type decoder struct {
 	now     int64
-	size    int // bytes of the packet
+	size    int // of the packet, bytes
 	entries []Entry
 	skipped Skipped
 }
 
 func (d *decoder) checkVersion(version uint64) error {
 	if version == 0 {
-		return &PacketError{d.size, "no version"}
+		return &PacketError{d.size, "its version is missing or 0"}
 	}
 	if version > wireVersion {
 		d.skipped.NewerVersion++
@@ -82,7 +82,7 @@
 	d.entries = append(d.entries, e)
 }
 
-// decodeLenient reads a packet group by group and entry by entry, and skips those that do not have the known shape.
+// decodeLenient decodes a packet group by group and entry by entry, and skips those that are malformed.
 func (d *decoder) decodeLenient(data []byte) ([]Entry, Skipped, error) {
 	var p packet[cbor.RawMessage]
 	if err := d.unmarshal(data, &p); err != nil {
@@ -112,7 +112,7 @@
 	switch {
 	case lenientMode.Unmarshal(raw, &header) != nil:
 		d.skipped.Malformed++
-	case !knownKind(header.Kind): // its other fields may have other types
+	case !knownKind(header.Kind): // its other fields may have types unknown to this version
 		d.skipped.UnknownKinds++
 	case d.unmarshal(raw, &w) != nil:
 		d.skipped.Malformed++
@@ -121,18 +121,18 @@
 	}
 }
 
-// unmarshal reads into a zero value; unknown fields are counted and ignored.
-func (d *decoder) unmarshal(data []byte, to any) error {
-	err := strictMode.Unmarshal(data, to)
+// unmarshal decodes data into target, a pointer to a zero value. Unknown fields are counted and ignored.
+func (d *decoder) unmarshal(data []byte, target any) error {
+	err := strictMode.Unmarshal(data, target)
 	if unknown := (*cbor.UnknownFieldError)(nil); errors.As(err, &unknown) {
 		d.skipped.UnknownFields++
-		err = lenientMode.Unmarshal(data, to)
+		err = lenientMode.Unmarshal(data, target)
 	}
 	return err
 }
 
-// DecodeAll reads the concatenated packets of a full exchange, of at most MaxSequenceBytes and some 32,000 entries. It
-// also returns what came before an error. The error is a *PacketError.
+// DecodeAll decodes the concatenated packets of a full exchange, of at most MaxSequenceBytes and about 32,000
+// entries. On an error, a *PacketError, it also returns the entries of the packets before it.
 func DecodeAll(now int64, sequence []byte) ([]Entry, Skipped, error) {
 	var (
 		skipped Skipped
@@ -140,7 +140,8 @@
 		raw     cbor.RawMessage
 	)
 	if len(sequence) > MaxSequenceBytes {
-		return nil, skipped, &PacketError{len(sequence), fmt.Sprintf("over %d bytes", MaxSequenceBytes)}
+		return nil, skipped, &PacketError{len(sequence),
+			fmt.Sprintf("longer than %d bytes", MaxSequenceBytes)}
 	}
 	for rest := sequence; len(rest) > 0; {
 		next, err := lenientMode.UnmarshalFirst(rest, &raw)
@@ -148,7 +149,7 @@
 			return all, skipped, &PacketError{len(rest), err.Error()}
 		}
 		if len(all) > maxSequenceEntries {
-			return all, skipped, &PacketError{len(rest), fmt.Sprintf("after %d entries", len(all))}
+			return all, skipped, &PacketError{len(rest), fmt.Sprintf("over the limit after %d entries", len(all))}
 		}
 		entries, packetSkipped, err := Decode(now, raw)
 		if err != nil {
--- a/internal/cluster/state/encode.go
+++ b/internal/cluster/state/encode.go
@@ -6,19 +6,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// packer fills one packet after the other.
+// packer packs entries into packets, one packet at a time.
 type packer struct {
 	maxBytes int
-	size     int // upper bound of the present packet's bytes
+	size     int // upper bound on the encoded size of the current packet, bytes
 	buffer   []byte
-	encoded  bytes.Buffer // one entry
+	encoded  bytes.Buffer // encoding of the entry that is being added
 	entry    wireEntry
 	packet   packet[group[cbor.RawMessage]]
 }
 
 func newPacker(maxBytes int) *packer {
 	maxBytes = min(maxBytes, MaxPacketBytes)
-	// The buffer never grows: the packet's entries are slices of it.
+	// The buffer holds a whole packet, so append never reallocates it: the packet's entries are slices of it.
 	return &packer{maxBytes: maxBytes, size: emptyPacketBytes, buffer: make([]byte, 0, max(maxBytes, 0)),
 		packet: packet[group[cbor.RawMessage]]{Version: wireVersion}}
 }
@@ -27,8 +27,8 @@
 
 const (
 	packAdded   packResult = iota
-	packSkipped            // the entry is invalid or would be expired at its reader
-	packFull               // no room in this packet
+	packSkipped            // the entry is invalid, or would be expired for its receiver
+	packFull               // the entry does not fit into the current packet
 )
 
 func (p *packer) add(now int64, e *Entry) packResult {
@@ -56,7 +56,7 @@
 	return packAdded
 }
 
-// flush returns the present packet, nil if it is empty, and starts the next.
+// flush returns the encoded current packet, or nil if it is empty, and starts the next one.
 func (p *packer) flush() (data []byte) {
 	if len(p.packet.Groups) > 0 {
 		var err error
@@ -72,15 +72,15 @@
 	return g.Observer == other.Observer && g.ObserverZone == other.ObserverZone && g.Incarnation == other.Incarnation
 }
 
-// headerSize returns how many bytes a group takes without its entries, at most.
+// headerSize returns an upper bound on the encoded size of a group without its entries, in bytes.
 func (g *group[E]) headerSize() int {
 	data, _ := encMode.Marshal(g)
-	return len(data) + 2 // the head of a longer array
+	return len(data) + 2 // an array of more than 23 entries has a longer CBOR header
 }
 
-// Encode packs entries into packets of at most maxBytes and MaxPacketBytes each. It leaves out entries that expire within
-// a millisecond, invalid ones, and one that fits no packet, which requires names over the default limit or maxBytes under
-// MinPacketBytes.
+// Encode packs entries into packets of at most maxBytes and MaxPacketBytes each. It omits entries that expire
+// within a millisecond, invalid entries, and entries that do not fit into any packet, which requires names
+// over the default limit or maxBytes below MinPacketBytes.
 func Encode(now int64, entries []Entry, maxBytes int) [][]byte {
 	p := newPacker(maxBytes)
 	var packets [][]byte
@@ -99,7 +99,8 @@
 	return packets
 }
 
-// Pack returns the first packet that Encode would return, nil for none, and the indices of the entries in it.
+// Pack returns the first packet that Encode would return, or nil if there is none, and the indices of the
+// entries in it.
 func Pack(now int64, entries []Entry, maxBytes int) (data []byte, packed []int) {
 	p := newPacker(maxBytes)
 	for i := range entries {
@@ -110,7 +111,7 @@
 		case packSkipped:
 			continue
 		}
-		if len(packed) > 0 { // else it fits no packet
+		if len(packed) > 0 { // otherwise the entry does not fit into any packet and is skipped
 			break
 		}
 	}
--- a/internal/cluster/state/entry.go
+++ b/internal/cluster/state/entry.go
@@ -6,47 +6,48 @@
 	"unicode/utf8"
 )
 
-// Ranges of numbers that entries carry.
+// Limits of the numbers in entries.
 const (
 	maxAgeMs      = 1 << 43
-	maxStamp      = 1 << 53 // of an incarnation, a start in milliseconds, a sequence number and a Lamport version
-	maxBodyNumber = 1 << 40 // of Calls and Value; a power of two, which rounding does not exceed
+	maxStamp      = 1 << 53 // incarnations, start times (ms), sequence numbers, Lamport versions
+	maxBodyNumber = 1 << 40 // Calls and Value; a power of two, so that rounding does not exceed it
 )
 
-// Body is the content of an entry. Numbers are rounded to 11 bits, which is three bytes on the wire and keeps noise in
-// the last digits from being published as a change.
+// Body is the content of an entry. Its floating-point numbers are rounded to 11 significant bits, which takes
+// three bytes on the wire and keeps noise in the last digits from being published as a change.
 type Body struct {
-	Fault       uint8   // number on the wire (package adapter); unknown ones are relayed
-	SubjectZone string  // the second zone of a kind that has one; else empty
-	Calls       float64 // calls that the observation rests on, 0 to 2^40
-	BadFraction float64 // of these calls, 0 to 1
+	Fault       uint8   // number on the wire, see package adapter; unknown numbers are relayed
+	SubjectZone string  // the second zone, for kinds that have one; otherwise empty
+	Calls       float64 // number of calls that the observation is based on, 0 to 2^40
+	BadFraction float64 // fraction of these calls that were bad, 0 to 1
 	Value       float64 // by kind: latency in microseconds, or a flap penalty; 0 to 2^40
 }
 
-// Observation is what this proxy observes now.
+// Observation is what this proxy currently observes about one server or zone.
 type Observation struct {
 	Kind           Kind
-	Subject        string // a server's or a zone's name
-	SubjectStartMs int64  // start of the subject's process; 0 if it has none
+	Subject        string // name of the server or zone
+	SubjectStartMs int64  // start of the subject's process, Unix milliseconds; 0 if it has none
 	Body           Body
 }
 
-// Entry is an observation as one observer published it.
+// Entry is an observation as published by one observer, or an operator's override (kind Override).
 type Entry struct {
 	Kind           Kind
-	Withdrawn      bool // a tombstone of the key's previous entry until that would have expired; of an Override: resumed
+	Withdrawn      bool // a tombstone until the key's previous entry would expire; for an Override: resumed
 	Subject        string
 	SubjectStartMs int64
-	Observer       string // of an Override: the last actor
+	Observer       string // proxy that published it; for an Override: the proxy that set it
 	ObserverZone   string
-	Incarnation    int64  // start of the observer's process in Unix milliseconds, or later; of an Override: 0
-	Seq            uint64 // sequence number in the incarnation; of an Override: the Lamport version
-	ObservedAt     int64  // when it last held, microseconds on the local clock
+	Incarnation    int64  // start of the observer's process, Unix milliseconds, or later; for an Override: 0
+	Seq            uint64 // sequence number within the incarnation; for an Override: the Lamport version
+	ObservedAt     int64  // when the observation last held, microseconds on the local clock
 	TTL            int64  // microseconds; 0 for a suspension, which does not expire
 	Body           Body
 }
 
-// ExpiresAt returns when the entry expires in microseconds on the local clock, math.MaxInt64 for a suspension.
+// ExpiresAt returns when the entry expires, in microseconds on the local clock; math.MaxInt64 for a
+// suspension.
 func (e *Entry) ExpiresAt() int64 {
 	if e.Kind == Override && !e.Withdrawn {
 		return math.MaxInt64
@@ -54,14 +55,15 @@
 	return e.ObservedAt + e.TTL
 }
 
-// ageMs returns the entry's age in milliseconds, rounded up so that a relayed copy never gets younger.
+// ageMs returns the entry's age in milliseconds, rounded up so that a relayed copy never appears younger.
 func ageMs(now int64, e *Entry) int64 {
 	return max(0, (now-e.ObservedAt+millisecond-1)/millisecond)
 }
 
-// compareVersions orders entries of one key: the greater one is kept, and of equal copies the oldest. Only entries of two
-// processes under one name, or forged ones, differ in more than (Incarnation, Seq), or for an Override (Seq, Observer);
-// the rest of the order makes all members keep the same one of these too.
+// compareVersions orders entries of one key. The greater one is kept, and of equal copies the oldest.
+// (Incarnation, Seq), or (Seq, Observer) for an Override, decides between all entries but those of two
+// processes with the same name and forged ones. The remaining comparisons make all members keep the same one
+// of these too.
 func compareVersions(a, b *Entry) int {
 	version := cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Seq, b.Seq),
 		cmp.Compare(a.Observer, b.Observer))
@@ -84,19 +86,19 @@
 		cmp.Compare(a.Body.Value, b.Body.Value))
 }
 
-// sameContent reports whether two entries of one version say the same.
+// sameContent reports whether two entries of the same version have the same content.
 func (e *Entry) sameContent(other *Entry) bool {
 	return e.Withdrawn == other.Withdrawn && e.SubjectStartMs == other.SubjectStartMs && e.TTL == other.TTL &&
 		e.Body == other.Body && e.ObserverZone == other.ObserverZone
 }
 
-// roundNumber keeps 11 significant bits, so that most numbers fit a half-precision float.
+// roundNumber rounds x to 11 significant bits, so that most numbers fit into a half-precision float.
 func roundNumber(x float64) float64 {
 	const droppedBits = 52 - 10
 	return math.Float64frombits((math.Float64bits(x) + 1<<(droppedBits-1)) &^ (1<<droppedBits - 1))
 }
 
-// inRange is false for NaN too.
+// inRange reports whether x is between 0 and maximum. It returns false for NaN.
 func inRange(x, maximum float64) bool { return x >= 0 && x <= maximum }
 
 func (b *Body) valid(maxNameBytes int) bool {
@@ -108,7 +110,7 @@
 	return name != "" && len(name) <= maxBytes && utf8.ValidString(name)
 }
 
-// valid reports whether all fields are in range; an expired entry may be valid.
+// valid reports whether all fields are in range. An expired entry can be valid.
 func (e *Entry) valid(now int64, maxNameBytes int) bool {
 	if !e.Kind.Known() || e.ObservedAt > now || e.ObservedAt < now-maxAgeMs*millisecond {
 		return false
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -15,7 +15,8 @@
 
 var record = flag.Bool("golden.record", false, "write golden files that do not exist yet")
 
-// golden compares data with a golden file. Existing files are never written: later versions must be able to read them.
+// golden compares data with a golden file. Existing files are never written: later versions must be able to
+// read them.
 func golden(t *testing.T, name string, data []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -34,7 +35,8 @@
 	return want
 }
 
-// print writes an entry's values without the names of Go fields, so that renames do not move golden files and hashes.
+// print writes an entry's values without the names of Go fields, so that renames do not move golden files and
+// hashes.
 func printEntries(w io.Writer, label string, entries []Entry) {
 	fmt.Fprintln(w, label, len(entries))
 	for _, e := range entries {
@@ -43,7 +45,8 @@
 	}
 }
 
-// everyKind is one entry of each kind, then withdrawals, an override suspended and resumed, and the edges of the codec.
+// everyKind is one entry of each kind, then withdrawals, an override suspended and resumed, and the edges of
+// the codec.
 func everyKind() []Entry {
 	const started = 1_790_000_000_000
 	var entries []Entry
@@ -64,13 +67,15 @@
 			ObservedAt: testTime - 4*second, TTL: 4500 * millisecond})
 }
 
-// TestPacketsMatchGoldenFile holds the bytes of gossip packets: entries of every kind, in packets of 1,400 bytes.
+// TestPacketsMatchGoldenFile holds the bytes of gossip packets: entries of every kind, in packets of 1,400
+// bytes.
 func TestPacketsMatchGoldenFile(t *testing.T) {
 	data := golden(t, "packets.cbor", bytes.Join(Encode(testTime, everyKind(), 1400), nil))
 	checkDecoded(t, data, "packets.txt")
 }
 
-// TestFullExchangeMatchesGoldenFile holds the bytes of a full exchange of a store with own, peers' and override entries.
+// TestFullExchangeMatchesGoldenFile holds the bytes of a full exchange of a store with own, peers' and
+// override entries.
 func TestFullExchangeMatchesGoldenFile(t *testing.T) {
 	store := New(Identity{Name: "self", Zone: "zone-1", StartedAtMs: 1_790_000_000_123}, Limits{})
 	items := []Observation{{ServerUnhealthy, "s1", 1_790_000_000_000, Body{Fault: 1, Calls: 10, BadFraction: 0.5}},
@@ -170,8 +175,8 @@
 	return fmt.Sprintf("%x", hash.Sum(nil)[:8])
 }
 
-// TestPlayedSequenceMatchesGoldenHash holds all that stores return in a played sequence, and shows that a changed constant
-// is noticed.
+// TestPlayedSequenceMatchesGoldenHash holds all that stores return in a played sequence, and shows that a
+// changed constant is noticed.
 func TestPlayedSequenceMatchesGoldenHash(t *testing.T) {
 	const want = "0003b4fa2114f9a8"
 	if got := playStores(1); got != want {
--- a/internal/cluster/state/kind.go
+++ b/internal/cluster/state/kind.go
@@ -1,26 +1,26 @@
 package state
 
-// Kind is what an entry reports. Zero, and numbers that a newer version defines, are unknown kinds.
+// Kind is the type of an entry. Zero, and numbers that only a newer version defines, are unknown kinds.
 type Kind uint8
 
-// The numbers are part of the wire format: they are never reused.
+// The numbers are part of the wire format and are never reused.
 const (
 	ServerUnhealthy Kind = 1 + iota // the observer's calls to a server fail
-	ServerHealthy                   // its calls to a server succeed that others report as unhealthy
-	ZoneUnhealthy                   // as seen from the observer's zone; the subject is the other zone
+	ServerHealthy                   // calls to a server succeed that others report as unhealthy
+	ZoneUnhealthy                   // the subject is another zone, seen from the observer's zone
 	ZoneHealthy
-	ServerFlap // transitions of a server's health
-	ServerLoad // load and latency of a server
-	Override   // an operator's suspension of a server
+	ServerFlap // changes of a server's health
+	ServerLoad // a server's load and latency
+	Override   // an operator's suspension or resumption of a server
 	kindCount
 )
 
-// kindParams are the gossip parameters of a kind.
+// kindParams holds the gossip parameters of a kind.
 type kindParams struct {
 	name           string
-	ttl            int64 // from ObservedAt to the expiry, at most
-	updateInterval int64 // between two publications of changed numbers, at least
-	maxPerObserver int   // entries
+	ttl            int64 // longest time from ObservedAt to the expiry, microseconds
+	updateInterval int64 // shortest time between publications of changed numbers, microseconds
+	maxPerObserver int   // entries of this kind from one observer
 }
 
 var paramsByKind = [kindCount]kindParams{
@@ -29,7 +29,7 @@
 	ZoneUnhealthy:   {"zone-unhealthy", 3 * second, 300 * millisecond, 32},
 	ZoneHealthy:     {"zone-healthy", 3 * second, second, 32}, // every member publishes it all the time
 	ServerFlap:      {"server-flap", 60 * second, 0, 128},
-	ServerLoad:      {"server-load", 5 * second, 2 * second, 256}, // beyond one weight tuning round of 3 s
+	ServerLoad:      {"server-load", 5 * second, 2 * second, 256}, // beyond a weight tuning round of 3 s
 	Override:        {"override", resumptionTTL, 0, 0},
 }
 
@@ -41,7 +41,7 @@
 // Known reports whether this version defines the kind.
 func (k Kind) Known() bool { return k > 0 && k < kindCount }
 
-// String returns the kind's name in test and lab output.
+// String returns the kind's name, as printed by tests and the fault lab.
 func (k Kind) String() string {
 	if !k.Known() {
 		return "unknown"
@@ -49,8 +49,8 @@
 	return paramsByKind[k].name
 }
 
-// TTL returns the longest TTL of the kind's entries in microseconds, 0 for an unknown kind. For Override it is the TTL
-// of a resumption, as a suspension does not expire.
+// TTL returns the longest TTL of the kind's entries in microseconds, or 0 for an unknown kind. For Override
+// it is the TTL of a resumption, because a suspension does not expire.
 func (k Kind) TTL() int64 {
 	if !k.Known() {
 		return 0
--- a/internal/cluster/state/limits.go
+++ b/internal/cluster/state/limits.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// enforceLimits evicts entries after one was stored, and reports whether that one was kept.
+// enforceLimits evicts entries if storing one exceeded a limit, and reports whether the stored entry was
+// kept.
 func (m *merge) enforceLimits(peer *observer, stored *Entry) (kept bool) {
 	s, kept := m.store, true
 	evict := func(from *observer, kind Kind) {
@@ -40,8 +41,9 @@
 	return kept
 }
 
-// findOrAddObserver returns a peer by name and adds it if need be; nil if there is no room. An observer without entries
-// that was not heard of for the longest time gives way.
+// findOrAddObserver returns the peer of that name, and adds it if it is unknown. At the limit the new peer
+// replaces the observer without entries that was last heard from the longest ago; if there is none, the
+// result is nil.
 func (s *Store) findOrAddObserver(now int64, name string) *observer {
 	find := func() (int, bool) {
 		return slices.BinarySearchFunc(s.peers, name,
@@ -79,8 +81,8 @@
 	s.counts.Expired += uint64(expired)
 }
 
-// sweep removes entries, observers and tombstones of overrides that were retained for long enough. It returns at once
-// while none can be due: it runs several times per publication.
+// sweep removes entries, observers and tombstones of overrides whose retention has ended. It returns at once
+// while nothing can be due, because it runs several times per publication.
 func (s *Store) sweep(now int64) {
 	s.overrides.sweep(now)
 	if now < s.nextSweep {
--- a/internal/cluster/state/merge.go
+++ b/internal/cluster/state/merge.go
@@ -1,6 +1,6 @@
 package state
 
-// mergeResult is what became of an entry that was received.
+// mergeResult is the outcome of merging one received entry.
 type mergeResult int
 
 const (
@@ -32,8 +32,8 @@
 	}
 }
 
-// Merge merges entries of peers and returns those to gossip on: the ones that changed the state, and replies to members
-// whose own state is out of date (mergeSelfNamed, replyToOldIncarnation).
+// Merge merges entries of peers and returns the entries to gossip: those that changed the state, and replies
+// to members whose own state is out of date (mergeSelfNamed, replyToOldIncarnation).
 func (s *Store) Merge(now int64, entries []Entry) []Entry {
 	m := merge{store: s, now: s.advance(now)}
 	for i := range entries {
@@ -47,12 +47,12 @@
 	return m.changed
 }
 
-// merge is one call of Merge.
+// merge holds the state of one call of Merge.
 type merge struct {
 	store       *Store
 	now         int64
 	changed     []Entry   // to gossip
-	currentPeer *observer // of the previous entry: packets group entries by observer
+	currentPeer *observer // observer of the previous entry; packets group entries by observer
 	swept       bool      // all peers were swept to make room
 }
 
@@ -109,7 +109,8 @@
 	return mergeDropped
 }
 
-// mergeExisting merges an entry whose key is held. An older copy of the same version changes the expiry only.
+// mergeExisting merges an entry whose key is stored already. An older copy of the same version changes only
+// the expiry.
 func (m *merge) mergeExisting(peer *observer, held, e *Entry) mergeResult {
 	previousSeq, differs := held.Seq, !e.sameContent(held)
 	wins := compareVersions(e, held) > 0
@@ -127,9 +128,9 @@
 	return mergeDuplicate
 }
 
-// replyToOldIncarnation gossips an entry of an observer's held incarnation, at most once a second. A member that
-// restarted with its clock set back learns from it which incarnation it has to exceed; nothing else would tell it once
-// its previous entries have expired.
+// replyToOldIncarnation gossips an entry of the observer's newest known incarnation, at most once a second. A
+// member that restarted with its clock set back learns from it which incarnation it has to exceed; after its
+// previous entries have expired it could not learn this otherwise.
 func (m *merge) replyToOldIncarnation(peer *observer, e *Entry) {
 	if m.now-peer.lastReply < second {
 		return
@@ -145,15 +146,16 @@
 		ObserverZone: e.ObserverZone, Incarnation: peer.incarnation, Seq: 1, ObservedAt: m.now, TTL: e.Kind.TTL()})
 }
 
-// mergeSelfNamed handles an entry under this proxy's own name. One that it did not publish comes from a previous process or
-// from a namesake: own entries of a higher incarnation replace it at all members.
+// mergeSelfNamed handles an entry under this proxy's own name. One that it did not publish comes from a
+// previous process or from another member with the same name: own entries of a higher incarnation replace it
+// at all members.
 func (m *merge) mergeSelfNamed(e *Entry) mergeResult {
 	s, own := m.store, &m.store.own
 	if e.Incarnation == own.incarnation && e.Seq <= s.lastSeq {
 		return mergeDuplicate
 	}
 	if e.Incarnation >= own.incarnation {
-		// Limited in rate: two namesakes would outbid each other without end.
+		// Rate-limited: two members with the same name would otherwise raise their incarnations without end.
 		if m.now-s.incarnationRaisedAt < second || e.Incarnation >= maxStamp {
 			return mergeSelfConflict
 		}
--- a/internal/cluster/state/observer.go
+++ b/internal/cluster/state/observer.go
@@ -11,12 +11,12 @@
 type observer struct {
 	name, zone  string
 	incarnation int64
-	entries     []*Entry // by kind and subject; retained for the kind's TTL, withdrawn or not
+	entries     []*Entry // sorted by kind and subject; retained for the kind's TTL, withdrawn or not
 	countByKind [kindCount]int
-	seqFloor    [kindCount]uint64 // the highest Seq removed: entries at or below it are not stored
-	nextSweep   int64             // no entry is to be removed earlier
+	seqFloor    [kindCount]uint64 // highest Seq removed per kind: entries at or below it are not stored
+	nextSweep   int64             // no entry becomes removable before this time
 	lastHeard   int64
-	lastReply   int64 // see replyToOldIncarnation
+	lastReply   int64 // when replyToOldIncarnation last replied
 }
 
 // entryKey identifies an entry of one observer.
@@ -42,7 +42,8 @@
 	o.nextSweep = min(o.nextSweep, e.retainedUntil())
 }
 
-// retainedUntil returns when an entry may be removed: all earlier entries of its observer and kind have expired by then.
+// retainedUntil returns when an entry may be removed. All entries of its observer and kind with a lower Seq
+// have expired by then.
 func (e *Entry) retainedUntil() int64 {
 	if e.Kind == Override {
 		return e.ExpiresAt()
@@ -50,13 +51,13 @@
 	return e.ObservedAt + paramsByKind[e.Kind].ttl
 }
 
-// recordRemoval updates counts and the sequence floor for an entry that is removed.
+// recordRemoval updates the counts and the sequence floor for an entry that was removed.
 func (o *observer) recordRemoval(e *Entry) {
 	o.countByKind[e.Kind]--
 	o.seqFloor[e.Kind] = max(o.seqFloor[e.Kind], e.Seq)
 }
 
-// copyInterned copies an entry and shares strings that are stored already, to save memory.
+// copyInterned copies e to an entry and reuses strings that are stored already, to save memory.
 func (o *observer) copyInterned(to, e *Entry) {
 	subject := to.Subject
 	*to = *e
@@ -70,8 +71,8 @@
 	to.ObserverZone = o.zone
 }
 
-// sweep removes entries past their retention, and returns how many were removed and how many of these were not
-// withdrawn. It returns at once while none can be due.
+// sweep removes entries whose retention has ended, and returns how many were removed and how many of these
+// were not withdrawn. It returns at once while nothing can be due.
 func (o *observer) sweep(now int64) (removed, expired int) {
 	if now < o.nextSweep {
 		return 0, 0
@@ -95,8 +96,9 @@
 	return before - len(o.entries), expired
 }
 
-// evict removes and returns the entry that is nearest the end of its retention, among those of a kind (0: any) that
-// match (nil: all); nil if there is none.
+// evict removes and returns the entry nearest the end of its retention, or returns nil if there is none. It
+// considers entries of a kind, or of any kind if kind is 0, for which match returns true, or all if match is
+// nil.
 func (o *observer) evict(kind Kind, match func(*Entry) bool) *Entry {
 	victim := -1
 	for i, e := range o.entries {
--- a/internal/cluster/state/override.go
+++ b/internal/cluster/state/override.go
@@ -5,47 +5,47 @@
 	"slices"
 )
 
-const resumptionTTL = 24 * 3600 * second
+const resumptionTTL = 24 * 3600 * second // microseconds
 
-// OverrideRecord is an operator's override as it is stored over a restart.
+// OverrideRecord is an operator's override as it is stored across restarts.
 type OverrideRecord struct {
 	Subject   string `json:"subject"`
 	Suspended bool   `json:"suspended"`
 	Version   uint64 `json:"version"` // Lamport version
 	Actor     string `json:"actor"`   // the member that set it
-	AgeMs     int64  `json:"age_ms"`  // since it was set; the caller adds the time that the process was down
+	AgeMs     int64  `json:"age_ms"`  // since it was set; the caller adds the downtime of the process
 }
 
-// LimitError reports a suspension that was rejected because all overrides that are stored are suspensions.
+// LimitError reports a suspension that was rejected because the maximum number of servers is suspended.
 type LimitError struct {
 	Subject string
-	Max     int // servers
+	Max     int // suspended servers
 }
 
-// Error implements error.
+// Error returns a message with the server, the limit and the remedy.
 func (e *LimitError) Error() string {
 	return fmt.Sprintf("suspend %q: the limit of %d suspended servers is reached: resume some first", e.Subject, e.Max)
 }
 
-// NameError reports a name that no entry can carry.
+// NameError reports a server name that is empty, too long or not valid UTF-8.
 type NameError struct {
 	Name     string
 	MaxBytes int
 }
 
-// Error implements error.
+// Error returns a message with the start of the name and what a valid name is.
 func (e *NameError) Error() string {
-	return fmt.Sprintf("name %.40q: use 1 to %d bytes of UTF-8", e.Name, e.MaxBytes)
+	return fmt.Sprintf("server name %.40q is invalid: use 1 to %d bytes of UTF-8", e.Name, e.MaxBytes)
 }
 
-// Suspend suspends a server for the whole cluster and returns the entries to gossip, none if it is suspended already. The
-// error is a *NameError or a *LimitError.
+// Suspend suspends a server for the whole cluster and returns the entries to gossip, none if the server is
+// already suspended. The error is a *NameError or a *LimitError.
 func (s *Store) Suspend(now int64, server string) ([]Entry, error) {
 	return s.setOverride(now, server, true)
 }
 
-// Resume ends a suspension and returns the entries to gossip, none if the server is not suspended. The error is a
-// *NameError.
+// Resume ends a suspension and returns the entries to gossip, none if the server is not suspended. The error
+// is a *NameError.
 func (s *Store) Resume(now int64, server string) ([]Entry, error) {
 	return s.setOverride(now, server, false)
 }
@@ -74,7 +74,7 @@
 	return e
 }
 
-// mergeOverride merges a valid override: the register's last writer wins.
+// mergeOverride merges a valid override into its server's register: the last writer wins.
 func (s *Store) mergeOverride(now int64, e *Entry) mergeResult {
 	s.overrideVersion = max(s.overrideVersion, e.Seq)
 	i, known := s.overrides.find(Override, e.Subject)
@@ -102,8 +102,8 @@
 	return mergeSuperseded
 }
 
-// addOverride inserts an override of a server that had none. At the limit the oldest tombstone is evicted; suspensions
-// never are.
+// addOverride inserts an override of a server that had none. At the limit the oldest tombstone is evicted,
+// never a suspension.
 func (s *Store) addOverride(now int64, index int, e *Entry) mergeResult {
 	stored := new(*e)
 	s.overrides.insert(index, stored)
@@ -137,7 +137,7 @@
 	return suspended
 }
 
-// OverrideRecords returns all overrides, tombstones included, by server.
+// OverrideRecords returns all overrides, tombstones included, sorted by server.
 func (s *Store) OverrideRecords(now int64) []OverrideRecord {
 	now = s.advance(now)
 	s.overrides.sweep(now)
@@ -148,7 +148,8 @@
 	return records
 }
 
-// RestoreOverrides merges stored records and returns how many were rejected: invalid, expired or over the limit.
+// RestoreOverrides merges stored records and returns how many were rejected because they are invalid, expired
+// or over the limit.
 func (s *Store) RestoreOverrides(now int64, records []OverrideRecord) (rejected int) {
 	now = s.advance(now)
 	for _, r := range records {
--- a/internal/cluster/state/publish.go
+++ b/internal/cluster/state/publish.go
@@ -6,9 +6,10 @@
 	"strings"
 )
 
-// Publish replaces the set of observations that this proxy advertises and returns the entries to gossip: new and changed
-// ones, those that are due for renewal, and withdrawals of what is no longer in the set. Of two observations of one kind
-// and subject the first counts; beyond a limit the last by kind and subject are omitted.
+// Publish replaces the set of observations that this proxy advertises and returns the entries to gossip: new
+// and changed ones, those that are due for renewal, and withdrawals of those no longer in the set. Of several
+// observations with the same kind and subject the first is used. Beyond a limit, the last ones in the order
+// of kind and subject are omitted.
 func (s *Store) Publish(now int64, observations []Observation) []Entry {
 	now = s.advance(now)
 	s.sweep(now)
@@ -36,7 +37,7 @@
 	return p.changed
 }
 
-// compareHeads orders the first elements of two lists by kind and subject; an empty list comes last.
+// compareHeads compares the first elements of two lists by kind and subject; an empty list comes last.
 func compareHeads(entries []*Entry, observations []Observation) int {
 	switch {
 	case len(entries) == 0:
@@ -47,16 +48,18 @@
 	return compareKey(entries[0], entryKey{observations[0].Kind, observations[0].Subject})
 }
 
-// publication is one call of Publish: it rebuilds the own entries in the order of their keys.
+// publication holds the state of one call of Publish, which rebuilds the own entries in the order of their
+// keys.
 type publication struct {
 	store   *Store
 	now     int64
 	changed []Entry // to gossip
 }
 
+// keep appends an entry to the own entries.
 func (p *publication) keep(e *Entry) { p.store.own.insert(len(p.store.own.entries), e) }
 
-// withdraw replaces an entry that is no longer observed by a tombstone, which is kept until it expires.
+// withdraw replaces an entry that is no longer observed with a tombstone, which is kept until it expires.
 func (p *publication) withdraw(e *Entry) {
 	if e.ExpiresAt() <= p.now {
 		return
@@ -74,7 +77,8 @@
 
 // advertise adds an observation that was not published before.
 func (p *publication) advertise(observation *Observation) {
-	e := &Entry{Kind: observation.Kind, Subject: observation.Subject, SubjectStartMs: observation.SubjectStartMs, Body: observation.Body}
+	e := &Entry{Kind: observation.Kind, Subject: observation.Subject,
+		SubjectStartMs: observation.SubjectStartMs, Body: observation.Body}
 	p.store.stamp(p.now, e)
 	p.changed = append(p.changed, *e)
 	p.store.counts.Advertised++
@@ -99,8 +103,8 @@
 	p.keep(e)
 }
 
-// needsUpdate reports whether an observation is to be published before its renewal is due: at once for a change of
-// fault, zone or subject, after the kind's update interval for changed numbers.
+// needsUpdate reports whether an observation must be published before its renewal is due: at once if its
+// fault, zone or subject's start changed, and after the kind's update interval if only its numbers changed.
 func (e *Entry) needsUpdate(now int64, observation *Observation) bool {
 	if e.Withdrawn || e.ExpiresAt() <= now || e.SubjectStartMs != observation.SubjectStartMs ||
 		e.Body.Fault != observation.Body.Fault || e.Body.SubjectZone != observation.Body.SubjectZone {
@@ -109,7 +113,8 @@
 	return e.Body != observation.Body && now-e.ObservedAt >= paramsByKind[e.Kind].updateInterval
 }
 
-// stamp makes an entry the latest of this proxy.
+// stamp makes an entry the newest one of this proxy: it sets the observer, the version, the time and the full
+// TTL.
 func (s *Store) stamp(now int64, e *Entry) {
 	s.lastSeq++
 	e.Observer, e.ObserverZone = s.identity.Name, s.identity.Zone
@@ -117,14 +122,14 @@
 	e.ObservedAt, e.TTL = now, paramsByKind[e.Kind].ttl
 }
 
-// withdrawalTTL is the TTL of a tombstone: until the withdrawn entry would have expired, in full milliseconds as the wire
-// carries it.
+// withdrawalTTL returns the TTL of a tombstone in microseconds. It ends when the withdrawn entry would have
+// expired, rounded up to full milliseconds, as the wire format carries it.
 func withdrawalTTL(now int64, e *Entry) int64 {
 	return min((e.ExpiresAt()-now+millisecond-1)/millisecond*millisecond, paramsByKind[e.Kind].ttl)
 }
 
-// admit returns the valid observations within the limits, with rounded numbers, by kind and subject. The slice is
-// reused by the next call.
+// admit returns the valid observations within the limits, with rounded numbers, sorted by kind and subject.
+// The next call reuses the slice.
 func (s *Store) admit(observations []Observation) []Observation {
 	order := func(a, b Observation) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), strings.Compare(a.Subject, b.Subject))
@@ -146,7 +151,8 @@
 	n := 0
 	for _, observation := range admitted {
 		duplicate := n > 0 && order(admitted[n-1], observation) == 0
-		if duplicate || countByKind[observation.Kind] == paramsByKind[observation.Kind].maxPerObserver || n == s.limits.EntriesPerObserver {
+		if duplicate || countByKind[observation.Kind] == paramsByKind[observation.Kind].maxPerObserver ||
+			n == s.limits.EntriesPerObserver {
 			continue
 		}
 		countByKind[observation.Kind]++
--- a/internal/cluster/state/scale_test.go
+++ b/internal/cluster/state/scale_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// entriesOfCluster is a cluster as one member sees it: each other member publishes the load of some servers and the
-// health of all zones.
+// entriesOfCluster is a cluster as one member sees it: each other member publishes the load of some servers
+// and the health of all zones.
 func entriesOfCluster(members, summaries, zones int, seq uint64) (all []Entry) {
 	for p := range members {
 		e := Entry{Observer: fmt.Sprintf("proxy-%04d", p), ObserverZone: fmt.Sprint("z", p%zones), Incarnation: 1_790_000_000_000, ObservedAt: second}
@@ -27,8 +27,9 @@
 	return all
 }
 
-// BenchmarkMembers gives the cost of a store by members, load reports that each publishes, and zones: memory per member,
-// the time of a datagram of renewed entries (Decode and Merge), and of one iteration (Publish and PeerEntries).
+// BenchmarkMembers gives the cost of a store by members, load reports that each publishes, and zones: memory
+// per member, the time of a datagram of renewed entries (Decode and Merge), and of one iteration (Publish and
+// PeerEntries).
 func BenchmarkMembers(b *testing.B) {
 	for _, members := range []int{30, 100, 300, 1300} {
 		for _, of := range []struct{ summaries, zones int }{{1, 3}, {1, 9}, {10, 9}} {
@@ -88,8 +89,8 @@
 	}
 }
 
-// An older copy of an entry makes it expire earlier: the sweep has to remove it then, not when the younger copy would
-// have expired.
+// An older copy of an entry makes it expire earlier: the sweep has to remove it then, not when the younger
+// copy would have expired.
 func TestOlderCopyMovesSweepForward(t *testing.T) {
 	store := New(Identity{Name: "self"}, Limits{})
 	e := Entry{Kind: ServerUnhealthy, Subject: "s", Observer: "a", Incarnation: 1, Seq: 1, ObservedAt: 2 * second, TTL: ServerUnhealthy.TTL()}
--- a/internal/cluster/state/store_test.go
+++ b/internal/cluster/state/store_test.go
@@ -12,8 +12,8 @@
 
 const testTime = 100 * second // microseconds; the time of tests that need only one
 
-// entries draws valid entries of few keys, so that they conflict: copies of other ages, other incarnations, withdrawals,
-// overrides, and entries of namesakes with different content under one version.
+// entries draws valid entries of few keys, so that they conflict: copies of other ages, other incarnations,
+// withdrawals, overrides, and entries of namesakes with different content under one version.
 func entries(names int) *rapid.Generator[[]Entry] {
 	name := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("n", rapid.IntRange(1, names).Draw(t, "name")) })
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
@@ -59,7 +59,8 @@
 	})
 }
 
-// Under a flood no limit is exceeded, own entries stay, each entry is counted, and in the end all memory is released.
+// Under a flood no limit is exceeded, own entries stay, each entry is counted, and in the end all memory is
+// released.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lim := Limits{Entries: 12, EntriesPerObserver: 5, Observers: 4, Overrides: 3}
@@ -187,7 +188,8 @@
 	}
 }
 
-// Unchanged observations are renewed at half their TTL, changed numbers after the update interval, other changes at once.
+// Unchanged observations are renewed at half their TTL, changed numbers after the update interval, other
+// changes at once.
 func TestPublishTiming(t *testing.T) {
 	store := New(Identity{Name: "self"}, Limits{})
 	it := Observation{Kind: ServerUnhealthy, Subject: "s", Body: Body{Fault: 1, BadFraction: 0.5}}
@@ -250,8 +252,8 @@
 	}
 }
 
-// A restarted proxy replaces the entries of its previous incarnation and is accepted, also if its clock was set back and
-// all of the previous entries have expired.
+// A restarted proxy replaces the entries of its previous incarnation and is accepted, also if its clock was
+// set back and all of the previous entries have expired.
 func TestRestartReplacesPreviousIncarnation(t *testing.T) {
 	publish := []Observation{{Kind: ServerFlap, Subject: "s"}, {Kind: ServerUnhealthy, Subject: "s"}}
 	for _, start := range []int64{1, 9} {
--- a/internal/cluster/state/wire.go
+++ b/internal/cluster/state/wire.go
@@ -8,25 +8,28 @@
 
 // Sizes of packets in bytes.
 const (
-	MaxPacketBytes   = 64 << 10 // that Decode reads
-	MaxSequenceBytes = 4 << 20  // that DecodeAll reads
-	MinPacketBytes   = 1024     // holds any entry whose names are within the default limit
+	MaxPacketBytes   = 64 << 10 // largest packet that Decode accepts
+	MaxSequenceBytes = 4 << 20  // longest sequence of packets that DecodeAll accepts
+	MinPacketBytes   = 1024     // has room for any entry with names within the default limit
 )
 
 const (
 	wireVersion        = 1
 	maxSequenceEntries = 1 << 15
 	maxArrayElements   = 1 << 13 // a packet's groups, and a group's entries
-	emptyPacketBytes   = 7       // at most
+	emptyPacketBytes   = 7       // upper bound on the encoded size of a packet without groups
 )
 
-// packet is a map with small integer keys, so that later versions may add fields; entries of one observer share a group.
-// Field numbers are never reused. Neither tags nor items of indefinite length are used, now or by later versions.
+// packet is encoded as a CBOR map with small integer keys, so that later versions can add fields. Entries of
+// one observer share a group. Field numbers are never reused. Neither this nor later versions use CBOR tags
+// or items of indefinite length.
 type packet[G any] struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Groups  []G    `cbor:"2,keyasint"`
 }
 
+// group holds entries of one observer and incarnation. E is wireEntry, or cbor.RawMessage for encoded
+// entries.
 type group[E any] struct {
 	Observer     string `cbor:"1,keyasint"`
 	ObserverZone string `cbor:"2,keyasint,omitempty"`
@@ -34,16 +37,16 @@
 	Entries      []E    `cbor:"4,keyasint"`
 }
 
-// wireEntry is an Entry as it is sent.
+// wireEntry is the wire format of an Entry within its group.
 type wireEntry struct {
 	Kind           uint64  `cbor:"1,keyasint"`
 	Seq            uint64  `cbor:"2,keyasint"`
 	Subject        string  `cbor:"3,keyasint"`
 	AgeMs          int64   `cbor:"4,keyasint,omitempty"` // rounded up
-	TTLMs          int64   `cbor:"5,keyasint,omitempty"` // 0 stands for the kind's
+	TTLMs          int64   `cbor:"5,keyasint,omitempty"` // 0 stands for the kind's TTL
 	Withdrawn      bool    `cbor:"6,keyasint,omitempty"`
-	StartOffsetMs  int64   `cbor:"7,keyasint,omitempty"` // the subject's start after the observer's incarnation
-	SubjectStartMs int64   `cbor:"8,keyasint,omitempty"` // in place of the offset where that would be 0
+	StartOffsetMs  int64   `cbor:"7,keyasint,omitempty"` // subject's start minus Incarnation
+	SubjectStartMs int64   `cbor:"8,keyasint,omitempty"` // used instead of the offset if that would be 0
 	Fault          uint8   `cbor:"9,keyasint,omitempty"`
 	SubjectZone    string  `cbor:"10,keyasint,omitempty"`
 	Calls          float64 `cbor:"11,keyasint,omitempty"`
@@ -71,18 +74,20 @@
 	}.DecMode())
 }
 
-// PacketError reports a packet that could not be read at all.
+// PacketError reports a packet that could not be decoded at all.
 type PacketError struct {
 	Size   int // bytes
 	Reason string
 }
 
-// Error implements error.
+// Error returns a message with the packet's size, the reason and the likely remedy.
 func (e *PacketError) Error() string {
-	return fmt.Sprintf("gossip packet of %d bytes dropped: %s: check that all members with this label run this program",
+	return fmt.Sprintf(
+		"gossip packet of %d bytes dropped: %s: check that all members with its label run this program",
 		e.Size, e.Reason)
 }
 
+// fill sets w to the wire format of an entry at the time now.
 func (w *wireEntry) fill(now int64, e *Entry) {
 	*w = wireEntry{
 		Kind: uint64(e.Kind), Seq: e.Seq, Subject: e.Subject, AgeMs: ageMs(now, e), Withdrawn: e.Withdrawn,
@@ -101,12 +106,13 @@
 	}
 }
 
-// expired reports whether a reader would find the entry expired.
+// expired reports whether a receiver would find the entry expired.
 func (w *wireEntry) expired(e *Entry) bool {
 	return (e.Kind != Override || e.Withdrawn) && w.AgeMs*millisecond >= e.TTL
 }
 
-// toEntry converts a received toEntry; ok is false for numbers that would overflow. Merge checks the rest.
+// toEntry converts a received entry. ok is false if a number is so large that calculations could overflow;
+// Merge checks the rest.
 func (w *wireEntry) toEntry(now int64, observer, zone string, incarnation int64) (e Entry, ok bool) {
 	e = Entry{
 		Kind: Kind(w.Kind), Seq: w.Seq, Subject: w.Subject, ObservedAt: now - w.AgeMs*millisecond, Withdrawn: w.Withdrawn,
