--- a/internal/cluster/transport/config.go
+++ b/internal/cluster/transport/config.go
@@ -14,60 +14,64 @@
 
 // Parameters of memberlist.
 const (
-	// 10 datagrams of 1,400 bytes a second to each of 3 members: 42 KB/s at most; with nothing new, renewals alone. Half
-	// the shortest TTL, 1.5 s, is 15 rounds: enough for 300 members at 30 % loss.
+	// 10 datagrams of 1,400 bytes a second to each of 3 members are 42 KB/s at most; without news, only
+	// renewals are sent. Half the shortest TTL, 1.5 s, is 15 gossip rounds: enough for 300 members at 30 %
+	// packet loss.
 	gossipInterval  = 100 * time.Millisecond
 	gossipFanout    = 3
-	gossipToDeadFor = 30 * time.Second // repairs short partitions without seeds
+	gossipToDeadFor = 30 * time.Second // to dead members; heals short partitions without seeds
 
-	// A dead member is detected by its next probe, the indirect probes and the suspicion: 1 to 2 s plus
-	// suspicionMultiplier*probeInterval*max(1, log10(n)), which is 4 s for 9 members, 5.5 s for 30 and 7 s for 300; with
-	// few members to confirm it, up to suspicionMaxMultiplier times the suspicion, 8 to 17 s.
+	// A dead member is detected after its next probe, the indirect probes and the suspicion timeout: 1 to 2 s
+	// plus suspicionMultiplier*probeInterval*max(1, log10(n)), in total 4 s for 9 members, 5.5 s for 30 and
+	// 7 s for 300. If few members confirm it, the suspicion lasts up to suspicionMaxMultiplier times as long,
+	// in total 8 to 17 s.
 	probeInterval          = 500 * time.Millisecond
-	probeTimeout           = 250 * time.Millisecond // leaves room for a starved process
+	probeTimeout           = 250 * time.Millisecond // tolerates a process that is short of CPU time
 	suspicionMultiplier    = 4
 	suspicionMaxMultiplier = 3
-	// A starved member slows its own probes by up to this factor, so that it does not suspect others. The library's
-	// default of 8 would exceed isolationTimeout.
+	// A member that is short of CPU time slows its own probes by up to this factor, so that it does not
+	// suspect others. With memberlist's default of 8 the probe interval would exceed isolationTimeout.
 	maxAwareness = 3
 
-	fullExchangeInterval = 5 * time.Second // memberlist stretches it beyond 32 members
-	streamTimeout        = 2 * time.Second // for each read and write
-	nameReclaimAfter     = 5 * time.Second // a dead member's name may be taken by another address
-	handoffQueueDepth    = 256             // messages that wait within memberlist
+	fullExchangeInterval = 5 * time.Second // memberlist lengthens it for more than 32 members
+	streamTimeout        = 2 * time.Second // of each read and write on a TCP connection
+	nameReclaimAfter     = 5 * time.Second // after this another address may take a dead member's name
+	handoffQueueDepth    = 256             // messages waiting inside memberlist
 	leaveTimeout         = 500 * time.Millisecond
 )
 
 // Config configures a Node.
 type Config struct {
-	Name        string       // of this proxy; unique in the cluster
-	Zone        string       // may be empty
+	Name        string       // name of this proxy, unique in the cluster
+	Zone        string       // zone of this proxy; may be empty
 	Tier        string       // members of other tiers are rejected
-	Bind        string       // IP and port, for UDP and TCP; port 0: any
-	Advertise   string       // IP and port under which others reach it; empty: as bound
-	Label       string       // of the cluster: packets and streams with another one are rejected
-	Seeds       []string     // members' addresses; this one's own may be among them
-	StartedAtMs int64        // of this process, Unix milliseconds
-	StateDir    string       // of files that outlive the process; empty: none are written
+	Bind        string       // IP and port, for UDP and TCP; with port 0 the kernel chooses one
+	Advertise   string       // IP and port under which others reach it; empty: the bound address
+	Label       string       // of the cluster; packets and streams with another label are rejected
+	Seeds       []string     // addresses of members, possibly including this one
+	StartedAtMs int64        // start of this process, Unix milliseconds
+	StateDir    string       // directory of files that outlive the process; empty: none are written
 	Now         func() int64 // microseconds of a monotonic clock, above 0
 	Logger      *slog.Logger
 }
 
-// Check validates the configuration. The error is a *ConfigError for the first key that is invalid.
+// Check validates the configuration. The error is a *ConfigError that names the first invalid key.
 func (cfg *Config) Check() error {
 	_, _, err := cfg.addresses()
 	return err
 }
 
-// addresses validates the configuration and returns its parsed addresses; advertise is invalid where none is set.
+// addresses validates the configuration and returns its parsed addresses. advertise is the zero AddrPort if
+// cfg.Advertise is empty.
 func (cfg *Config) addresses() (bind, advertise netip.AddrPort, err error) {
 	for _, required := range []struct{ key, value string }{{"name", cfg.Name}, {"label", cfg.Label}} {
 		if required.value == "" || len(required.value) > maxNameBytes {
-			return bind, advertise, &ConfigError{required.key, "missing, or over 64 bytes", "set it to 1 to 64 bytes"}
+			return bind, advertise, &ConfigError{required.key, "it is missing or longer than 64 bytes",
+				"set it to 1 to 64 bytes"}
 		}
 	}
 	if len(cfg.Zone) > maxNameBytes || len(cfg.Tier) > maxNameBytes {
-		return bind, advertise, &ConfigError{"zone", "its name is over 64 bytes", "use a shorter zone name"}
+		return bind, advertise, &ConfigError{"zone", "its name is longer than 64 bytes", "use a shorter zone name"}
 	}
 	if bind, err = netip.ParseAddrPort(cfg.Bind); err != nil {
 		return bind, advertise, &ConfigError{"bind", fmt.Sprintf("%q: %v", cfg.Bind, err),
@@ -76,23 +80,24 @@
 	if cfg.Advertise != "" {
 		if advertise, err = parseReachable(cfg.Advertise); err != nil {
 			return bind, advertise, &ConfigError{"advertise",
-				fmt.Sprintf("%q is not an address that others can reach", cfg.Advertise),
+				fmt.Sprintf("%q is not an address that other members can reach", cfg.Advertise),
 				"set it to the IP address and port under which the other members reach this one"}
 		}
 	} else if bind.Addr().IsUnspecified() {
-		return bind, advertise, &ConfigError{"bind", "with an address of all interfaces others do not know where to connect",
+		return bind, advertise, &ConfigError{"bind",
+			"an address of all interfaces does not tell other members where to connect",
 			"set it to one address, or set fleet.advertise too"}
 	}
 	for _, seed := range cfg.Seeds {
 		if _, err := parseReachable(seed); err != nil {
-			return bind, advertise, &ConfigError{"seeds", fmt.Sprintf("%q is not a member's address", seed),
+			return bind, advertise, &ConfigError{"seeds", fmt.Sprintf("%q is not a valid member address", seed),
 				"use IP addresses and ports, like 127.0.0.1:7946"}
 		}
 	}
 	return bind, advertise, nil
 }
 
-// parseReachable parses an address that can be connected to.
+// parseReachable parses an address. It rejects those that nobody can connect to: port 0 and unspecified IPs.
 func parseReachable(address string) (netip.AddrPort, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err == nil && (parsed.Port() == 0 || parsed.Addr().IsUnspecified()) {
@@ -101,10 +106,11 @@
 	return parsed, err
 }
 
+// memberlistConfig returns the configuration of memberlist for this node.
 func (n *Node) memberlistConfig(advertise netip.AddrPort) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Label = n.cfg.Name, n.cfg.Label
-	c.SkipInboundLabelCheck = true // network checks it
+	c.SkipInboundLabelCheck = true // network checks the label
 	c.Transport = n.network
 	c.BindAddr, c.BindPort = n.network.bound.IP.String(), n.network.bound.Port
 	if advertise.IsValid() {
--- a/internal/cluster/transport/datagrams.go
+++ b/internal/cluster/transport/datagrams.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// labelHeaderBytes is what memberlist adds to a full datagram, beside the label itself.
+// labelHeaderBytes is the size of memberlist's label header without the label itself.
 const labelHeaderBytes = 2
 
 // listenUDP opens a UDP socket on the address of a TCP listener.
@@ -28,7 +28,7 @@
 	return udp, nil
 }
 
-// enableTimestamps makes the kernel report when each datagram arrived.
+// enableTimestamps makes the kernel attach its arrival time to each datagram.
 func enableTimestamps(conn *net.UDPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -43,8 +43,8 @@
 	return optionErr
 }
 
-// kernelWait returns how long a datagram waited in the kernel; 0 if the control messages do not say. A wall clock that
-// was set meanwhile costs the datagrams of that moment at most.
+// kernelWait returns how long a datagram waited in the kernel, or 0 if the control messages have no
+// timestamp. If the wall clock is set, only datagrams that wait at that moment can be rejected wrongly.
 func kernelWait(controlMessages []byte) time.Duration {
 	messages, err := syscall.ParseSocketControlMessage(controlMessages)
 	if err != nil {
@@ -60,6 +60,7 @@
 	return 0
 }
 
+// readDatagrams passes datagrams to memberlist until the network shuts down.
 func (t *network) readDatagrams() {
 	buffer := make([]byte, datagramBufferSize)
 	control := make([]byte, 64)
@@ -96,7 +97,7 @@
 	}
 }
 
-// checkDatagram returns a datagram's content without its label, or the reason for which it is rejected.
+// checkDatagram returns a datagram's content without its label, or the reason why it is rejected.
 func (t *network) checkDatagram(datagram, controlMessages []byte) (body []byte, rejected string) {
 	body, label, err := memberlist.RemoveLabelHeaderFromPacket(datagram)
 	switch {
@@ -110,7 +111,7 @@
 	return body, ""
 }
 
-// isOwnAddress reports whether an address is this member's, which a seed may name.
+// isOwnAddress reports whether an address is that of this member, which may be among its seeds.
 func (t *network) isOwnAddress(from netip.AddrPort) bool {
 	return int(from.Port()) == t.bound.Port && t.bound.IP.Equal(from.Addr().Unmap().AsSlice())
 }
--- a/internal/cluster/transport/delegate.go
+++ b/internal/cluster/transport/delegate.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	maxExchangeBytes    = 1 << 20                // of a full exchange, each way
-	stateRequestTimeout = 250 * time.Millisecond // a busy owner: a later exchange makes up for it
+	maxExchangeBytes    = 1 << 20                // size of a full exchange in each direction
+	stateRequestTimeout = 250 * time.Millisecond // if the owner is busy, a later exchange makes up for it
 )
 
-// delegate implements memberlist.Delegate. Memberlist calls it from goroutines that read the network, so its methods
-// never block for long.
+// delegate implements memberlist.Delegate. Memberlist calls it from goroutines that read the network, so its
+// methods never block for long.
 type delegate struct{ node *Node }
 
-// NodeMeta returns this member's metadata.
+// NodeMeta returns this member's encoded metadata.
 func (d delegate) NodeMeta(limit int) []byte {
 	c := &d.node.cfg
 	return memberMeta{Version: metaVersion, Zone: c.Zone, Tier: c.Tier, StartedAtMs: c.StartedAtMs}.encode(limit)
 }
 
-// NotifyMsg receives a gossip packet. Memberlist owns the bytes.
+// NotifyMsg receives a gossip packet. Memberlist may reuse the bytes after the call.
 func (d delegate) NotifyMsg(packet []byte) { d.node.receive(packet, false) }
 
 // GetBroadcasts returns the packet to send with the next datagram.
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// LocalState returns all entries for a full exchange, nil if the owner has no time.
+// LocalState returns all entries for a full exchange, or nil if the owner goroutine is busy for too long.
 func (d delegate) LocalState(bool) []byte {
 	n := d.node
 	timeout := time.NewTimer(stateRequestTimeout)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// encodeExchange concatenates packets, up to maxExchangeBytes.
+// encodeExchange encodes entries as concatenated packets and omits those beyond maxExchangeBytes.
 func encodeExchange(now int64, entries []state.Entry) []byte {
 	packets := state.Encode(now, entries, state.MaxPacketBytes)
 	size := 0
@@ -68,7 +68,8 @@
 // MergeRemoteState receives the entries of a full exchange.
 func (d delegate) MergeRemoteState(packets []byte, _ bool) { d.node.receive(packets, true) }
 
-// receive passes a message and the time of its arrival to the owner goroutine.
+// receive passes a message and the time of its arrival to the owner goroutine. It drops the message if too
+// many wait.
 func (n *Node) receive(payload []byte, fullExchange bool) {
 	now := n.cfg.Now()
 	switch {
@@ -88,8 +89,8 @@
 	}
 }
 
-// receivedLate reports whether this process was stopped until just now: what memberlist still holds from before is older
-// than its ages say.
+// receivedLate reports whether this process was stopped until just now. Messages that memberlist still holds
+// from before then are older than their ages say.
 func (n *Node) receivedLate(now int64) bool {
 	return now < n.staleUntil.Load() || now-n.lastTick.Load() > maxInputDelay.Microseconds()
 }
--- a/internal/cluster/transport/join.go
+++ b/internal/cluster/transport/join.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	firstJoinInterval = 250 * time.Millisecond // while no other member is known; doubled with each attempt
+	firstJoinInterval = 250 * time.Millisecond // while no other member is known; doubled after each attempt
 	maxJoinInterval   = 5 * time.Second
-	rejoinInterval    = 15 * time.Second // while others are known, but not all seeds and lost members
+	rejoinInterval    = 15 * time.Second // while others are known, but a seed or a lost member is not live
 	joinFanout        = 3                // addresses per attempt
-	joinLogInterval   = time.Minute      // between log lines about one lasting failure
+	joinLogInterval   = time.Minute      // shortest time between log lines about a lasting failure
 )
 
-// joinLoop joins this member to its cluster, and repairs partitions: as long as a seed or a lost member is not live, its
-// address is tried now and then.
+// joinLoop joins this member to its cluster and heals partitions: while a seed or a lost member is not live,
+// its address is tried again at intervals.
 func (n *Node) joinLoop(ctx context.Context) {
 	interval := firstJoinInterval
 	var lastLogged time.Time
@@ -27,7 +27,7 @@
 			return
 		case liveMembers > 1:
 			interval, lastLogged = rejoinInterval, time.Time{}
-		case interval == rejoinInterval: // the last of the others has gone
+		case interval == rejoinInterval: // all other members are gone
 			interval = firstJoinInterval
 		default:
 			interval = min(2*interval, maxJoinInterval)
@@ -36,7 +36,7 @@
 			lastLogged = time.Now()
 			n.cfg.Logger.Warn("cluster join failed", "error", &JoinError{attempted, err})
 		}
-		wait := time.NewTimer(interval/2 + rand.N(interval)) // spread: 300 members must not join at once
+		wait := time.NewTimer(interval/2 + rand.N(interval)) // jitter: 300 members must not join at once
 		select {
 		case <-wait.C:
 		case <-n.joinNow:
@@ -47,8 +47,8 @@
 	}
 }
 
-// tryJoin tries up to joinFanout addresses of members that are not known to be live, until one answers. The error is that
-// of the last address.
+// tryJoin tries up to joinFanout addresses of members that are not known to be live, until one answers. If
+// none answers, the error is that of the last address.
 func (n *Node) tryJoin(ctx context.Context) (attempted []string, err error) {
 	missing := n.members.missingAddresses(n.seeds, time.Now())
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
--- a/internal/cluster/transport/log.go
+++ b/internal/cluster/transport/log.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	logBurst    = 20 // lines at once, then one per logInterval
+	logBurst    = 20 // lines that may be written at once; then one per logInterval
 	logInterval = 3 * time.Second
 )
 
@@ -38,14 +38,15 @@
 	return suppressed, true
 }
 
-// logWriter passes memberlist's log lines to a slog.Logger, within a limit: during a partition memberlist writes several
-// lines a second.
+// logWriter passes memberlist's log lines to a slog.Logger. They are rate-limited: during a partition
+// memberlist writes several lines a second.
 type logWriter struct {
 	log *slog.Logger
 	*logLimiter
 }
 
-// Write takes one line from package log.
+// Write logs one line that memberlist wrote with package log. Warnings and errors become level Info, others
+// Debug.
 func (w logWriter) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
 	level := slog.LevelDebug
--- a/internal/cluster/transport/members.go
+++ b/internal/cluster/transport/members.go
@@ -14,9 +14,9 @@
 
 const (
 	metaVersion         = 1
-	maxMembers          = 1024 // live at one time
-	maxNameBytes        = 64   // of a member, its zone and its tier
-	maxLostMembers      = 64   // that died and are tried again
+	maxMembers          = 1024 // other members that are live at the same time
+	maxNameBytes        = 64   // in the name of a member, its zone and its tier
+	maxLostMembers      = 64   // dead members to which this one tries to reconnect
 	lostMemberRetention = 10 * time.Minute
 )
 
@@ -25,18 +25,19 @@
 	Version     int    `cbor:"1,keyasint"`
 	Zone        string `cbor:"2,keyasint"`
 	Tier        string `cbor:"3,keyasint"`
-	StartedAtMs int64  `cbor:"4,keyasint"` // of its process, Unix milliseconds
+	StartedAtMs int64  `cbor:"4,keyasint"` // start of its process, Unix milliseconds
 }
 
+// encode returns the encoded metadata, or nil if it is longer than limit bytes.
 func (m memberMeta) encode(limit int) []byte {
 	data, err := cbor.Marshal(m)
-	if err != nil || len(data) > limit { // cannot happen: names are bounded
+	if err != nil || len(data) > limit { // cannot happen: the names are limited
 		return nil
 	}
 	return data
 }
 
-// decodeMeta reads a member's metadata; ok is false if it is invalid. A newer version may have more fields.
+// decodeMeta decodes a member's metadata. ok is false if it is invalid. Newer versions may have more fields.
 func decodeMeta(data []byte) (m memberMeta, ok bool) {
 	if len(data) > memberlist.MetaMaxSize || cbor.Unmarshal(data, &m) != nil {
 		return memberMeta{}, false
@@ -44,17 +45,18 @@
 	return m, m.Version >= metaVersion && len(m.Zone) <= maxNameBytes && len(m.Tier) <= maxNameBytes
 }
 
-// liveMember is another live proxy.
+// liveMember is a live member other than this one.
 type liveMember struct{ name, zone, address string }
 
-// liveMembers tracks live members. Memberlist calls it with a lock held, so it calls nothing of memberlist.
+// liveMembers tracks the other live members and implements memberlist's delegates for them. Memberlist calls
+// it with a lock held, so it must not call memberlist.
 type liveMembers struct {
 	self     string
 	tier     string
 	rejected *rejections
 	log      *slog.Logger
 	limiter  *logLimiter
-	changed  func()
+	changed  func() // called after each change of the live members
 
 	mu         sync.Mutex
 	alive      map[string]liveMember
@@ -63,6 +65,7 @@
 	departures int64 // left or died
 }
 
+// lostMember is a member that died without leaving.
 type lostMember struct {
 	address string
 	lostAt  time.Time
@@ -73,7 +76,8 @@
 		alive: map[string]liveMember{}, lost: map[string]lostMember{}}
 }
 
-// filterLive returns the entries whose observer is live and in the zone that it announced. It reuses the slice.
+// filterLive returns the entries whose observer is live and announced the zone that the entry names. It
+// reuses the slice.
 func (l *liveMembers) filterLive(entries []state.Entry) []state.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +87,7 @@
 	})
 }
 
-// NotifyAlive implements memberlist.AliveDelegate: an error keeps a node out.
+// NotifyAlive implements memberlist.AliveDelegate. It returns an error to reject a node.
 func (l *liveMembers) NotifyAlive(node *memberlist.Node) error {
 	if node.Name == l.self {
 		return nil
@@ -102,7 +106,7 @@
 	return nil
 }
 
-// NotifyJoin implements memberlist.EventDelegate.
+// NotifyJoin implements memberlist.EventDelegate: a member is live.
 func (l *liveMembers) NotifyJoin(node *memberlist.Node) {
 	meta, ok := decodeMeta(node.Meta)
 	if node.Name == l.self || !ok {
@@ -124,7 +128,8 @@
 	return liveMember{name: node.Name, zone: meta.Zone, address: node.Address()}
 }
 
-// NotifyUpdate implements memberlist.EventDelegate: a member announced other metadata, as after a quick restart.
+// NotifyUpdate implements memberlist.EventDelegate: a member announced new metadata, for example after a
+// quick restart.
 func (l *liveMembers) NotifyUpdate(node *memberlist.Node) {
 	meta, ok := decodeMeta(node.Meta)
 	if node.Name == l.self || !ok {
@@ -136,7 +141,7 @@
 	l.changed()
 }
 
-// NotifyLeave implements memberlist.EventDelegate: a member left, or is dead.
+// NotifyLeave implements memberlist.EventDelegate: a member left or died.
 func (l *liveMembers) NotifyLeave(node *memberlist.Node) {
 	if node.Name == l.self {
 		return
@@ -159,20 +164,22 @@
 	l.changed()
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate: two members have one name.
+// NotifyConflict implements memberlist.ConflictDelegate: two members have the same name.
 func (l *liveMembers) NotifyConflict(existing, other *memberlist.Node) {
 	l.rejected.add(rejectNameConflict)
 	l.logLimited("member name conflict", "member", existing.Name, "address", existing.Address(),
 		"other_address", other.Address())
 }
 
+// logLimited logs an event unless too many were logged recently.
 func (l *liveMembers) logLimited(event string, args ...any) {
 	if suppressed, ok := l.limiter.allow(time.Now()); ok {
 		l.log.Info(event, append(args, "suppressed", suppressed)...)
 	}
 }
 
-// addLost remembers the address of a member that died. At the limit it replaces the one that was lost first.
+// addLost remembers the address of a member that died. At the limit it replaces the member that was lost
+// first.
 func (l *liveMembers) addLost(member liveMember) {
 	if len(l.lost) >= maxLostMembers {
 		oldest := ""
@@ -186,7 +193,8 @@
 	l.lost[member.name] = lostMember{member.address, time.Now()}
 }
 
-// liveCounts returns how many members are live, and how many of them are in a zone, this one included in both.
+// liveCounts returns how many members are live and how many of them are in a zone. Both include this member,
+// whatever the zone.
 func (l *liveMembers) liveCounts(zone string) (live, inZone int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,7 +207,7 @@
 	return 1 + len(l.alive), inZone
 }
 
-// liveCount returns how many members are liveCount, this one included.
+// liveCount returns how many members are live, including this one.
 func (l *liveMembers) liveCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -232,7 +240,7 @@
 	return addresses
 }
 
-// joinsAndDepartures returns how many members joined, and how many left or died, since the start.
+// joinsAndDepartures returns how many members joined and how many left or died since this node was opened.
 func (l *liveMembers) joinsAndDepartures() (joins, departures int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -8,27 +8,27 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// Metrics are a member's figures. Counts are totals since the start.
+// Metrics holds the metrics of a member. Counters are totals since the node was opened.
 type Metrics struct {
 	LiveMembers       int              // this one included
 	LiveMembersInZone int              // of them, in this one's zone
-	Isolated          bool             // no other member is heard
-	Isolations        int64            // times that this was so
+	Isolated          bool             // no other member was heard from for isolationTimeout, or ever
+	Isolations        int64            // how often the member became isolated
 	Entries           int              // live entries of peers
-	OldestEntry       time.Duration    // greatest age of these
+	OldestEntry       time.Duration    // age of the oldest of these
 	SuspendedServers  int              // by an operator's override
-	Queued            int              // entries that wait to be gossiped
-	Sent              int64            // entries gossiped, each transmission
-	BytesIn, BytesOut int64            // membership traffic included
-	Dropped           int64            // messages and entries for which there was no room
-	Joined, Left      int64            // members that joined, and that left or died
-	JoinAttempts      int64            // calls to seeds and lost members
-	JoinFailures      int64            // of them
-	Rejected          map[string]int64 // messages that were not processed, by reason
+	Queued            int              // entries waiting to be gossiped
+	Sent              int64            // transmissions of entries
+	BytesIn, BytesOut int64            // including membership traffic
+	Dropped           int64            // messages and entries dropped from full queues
+	Joined, Left      int64            // members that joined, and members that left or died
+	JoinAttempts      int64            // attempts to contact seeds and lost members
+	JoinFailures      int64            // attempts that failed
+	Rejected          map[string]int64 // what was received and not processed, by reason
 	State             state.Counts
 }
 
-// Reasons for rejecting what was received; they are names of metrics.
+// Reasons for rejecting what was received. They are part of metric names.
 const (
 	rejectLabel         = "label"
 	rejectLength        = "length"
@@ -42,7 +42,7 @@
 	rejectNewerVersion  = "newer"
 )
 
-// rejections counts by reason.
+// rejections counts rejections by reason. The zero value is ready to use.
 type rejections struct {
 	mu     sync.Mutex
 	counts map[string]int64
@@ -57,13 +57,14 @@
 	r.counts[reason]++
 }
 
+// addTo copies the counts into a map.
 func (r *rejections) addTo(counts map[string]int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.Copy(counts, r.counts)
 }
 
-// Metrics returns the present figures; those of the Store are at most snapshotInterval old.
+// Metrics returns the current metrics. Those of the Store are at most snapshotInterval old.
 func (n *Node) Metrics() Metrics {
 	n.mu.Lock()
 	m := n.metrics
@@ -84,7 +85,7 @@
 	return m
 }
 
-// updateMetrics stores the figures that only the owner goroutine knows.
+// updateMetrics stores the metrics that only the owner goroutine knows.
 func (n *Node) updateMetrics(now int64) {
 	owner := &n.owner
 	m := Metrics{Isolated: owner.isolated, Isolations: owner.isolations, State: owner.store.Counts(), Rejected: map[string]int64{
--- a/internal/cluster/transport/network.go
+++ b/internal/cluster/transport/network.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	maxDatagramBytes   = 1400 // as sent: not fragmented on common links
-	datagramBufferSize = 2048 // as read, so that an oversized datagram is detected
-	maxQueuedDatagrams = 256  // that wait for memberlist; 350 KB at most
-	maxInboundStreams  = 8    // connections that other members opened
-	labelTimeout       = time.Second
-	socketErrorPause   = 50 * time.Millisecond // a failing socket must not take a core
-	listenAttempts     = 8                     // a port that the kernel chose for TCP may be taken for UDP
-
-	// Input that waited longer, in the kernel or while this process was stopped, is dropped: its entries are older than their
-	// ages say. The sender's probe has failed by then, and it publishes the entries again.
+	maxDatagramBytes   = 1400                  // of a sent datagram; not fragmented on common links
+	datagramBufferSize = 2048                  // larger, so that oversized datagrams are detected
+	maxQueuedDatagrams = 256                   // datagrams waiting for memberlist, 350 KB at most
+	maxInboundStreams  = 8                     // connections opened by other members
+	labelTimeout       = time.Second           // for a new connection to send its label
+	socketErrorPause   = 50 * time.Millisecond // keeps a failing socket from using a whole CPU core
+	listenAttempts     = 8                     // the port that the kernel chose for TCP may be in use for UDP
+
+	// Input that waited longer, in the kernel or while this process was stopped, is dropped, because its
+	// entries are older than their ages say. By then the sender's probe has failed, and the sender publishes
+	// the entries again.
 	maxInputDelay = 500 * time.Millisecond
 
-	// MaxDescriptors is how many descriptors a node holds at most: two listeners, the connections that others opened and
-	// half as many of its own.
+	// MaxDescriptors is the maximum number of file descriptors of a node: two sockets, the
+	// connections that others opened, and half as many that it opened itself.
 	MaxDescriptors = 2 + maxInboundStreams + maxInboundStreams/2
 )
 
-// network implements memberlist.NodeAwareTransport. Memberlist's own would allocate 64 KiB per datagram, accept any
-// number of connections and count nothing. Labels are checked here, so that messages of other clusters are counted and go
-// no further.
+// network implements memberlist.NodeAwareTransport. Memberlist's own transport would allocate 64 KiB per
+// datagram, accept any number of connections and count nothing. Labels are checked here, so that messages of
+// other clusters are counted and not processed.
 type network struct {
 	label             string
 	bound             *net.TCPAddr
@@ -45,12 +46,12 @@
 	streams           chan net.Conn
 	rejected          *rejections
 	bytesIn, bytesOut atomic.Int64
-	onReceive         func() // something with the cluster's label arrived from another member
+	onReceive         func() // called when another member sent something with the cluster's label
 
 	stop     chan struct{}
 	stopOnce sync.Once
 	tasks    sync.WaitGroup
-	slots    chan struct{} // one for each connection that others opened
+	slots    chan struct{} // holds one element for each connection that others opened
 
 	mu     sync.Mutex
 	open   map[*stream]bool
@@ -59,7 +60,8 @@
 
 var _ memberlist.NodeAwareTransport = (*network)(nil)
 
-// listen opens a TCP and a UDP socket on one port, which the kernel chooses for port 0. The error is an *OpenError.
+// listen opens a TCP and a UDP socket on the same port, which the kernel chooses if it is 0. The error is an
+// *OpenError.
 func listen(address netip.AddrPort, label string, rejected *rejections, onReceive func()) (*network, error) {
 	var lastErr error
 	for range listenAttempts {
@@ -92,7 +94,7 @@
 	return net.JoinHostPort(t.bound.IP.String(), strconv.Itoa(t.bound.Port))
 }
 
-// pause waits after a socket error.
+// pause waits for socketErrorPause after a socket error, or until the network shuts down.
 func (t *network) pause() {
 	select {
 	case <-time.After(socketErrorPause):
@@ -100,7 +102,8 @@
 	}
 }
 
-// FinalAdvertiseAddr implements memberlist.Transport: the address that other members are given.
+// FinalAdvertiseAddr implements memberlist.Transport. It returns the address that is announced to other
+// members.
 func (t *network) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	if ip == "" {
 		return t.bound.IP, t.bound.Port, nil
@@ -115,13 +118,13 @@
 	return address, port, nil
 }
 
-// PacketCh implements memberlist.Transport.
+// PacketCh implements memberlist.Transport. It returns the channel of received datagrams.
 func (t *network) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh implements memberlist.Transport.
+// StreamCh implements memberlist.Transport. It returns the channel of accepted connections.
 func (t *network) StreamCh() <-chan net.Conn { return t.streams }
 
-// WriteTo implements memberlist.Transport.
+// WriteTo implements memberlist.Transport. It sends a datagram.
 func (t *network) WriteTo(b []byte, address string) (time.Time, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -132,12 +135,13 @@
 	return time.Now(), err
 }
 
-// WriteToAddress implements memberlist.NodeAwareTransport.
+// WriteToAddress implements memberlist.NodeAwareTransport. It sends a datagram; the node's name is not used.
 func (t *network) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, address.Addr)
 }
 
-// DialTimeout implements memberlist.Transport. It connects from the bound IP, so that others can tell the member by it.
+// DialTimeout implements memberlist.Transport. It connects from the bound IP, so that others can identify the
+// member by it.
 func (t *network) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -163,7 +167,8 @@
 	return s, nil
 }
 
-// DialAddressTimeout implements memberlist.NodeAwareTransport.
+// DialAddressTimeout implements memberlist.NodeAwareTransport. It is DialTimeout; the node's name is not
+// used.
 func (t *network) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(address.Addr, timeout)
 }
--- a/internal/cluster/transport/node.go
+++ b/internal/cluster/transport/node.go
@@ -1,11 +1,13 @@
-// Package transport makes a proxy a member of its cluster: it runs memberlist, which detects live members and carries
-// gossip, and the one goroutine that owns the proxy's state.Store. Whatever comes from the network is bounded, counted
-// and never fatal. It never decides what is done about observations of other members.
+// Package transport makes a proxy a member of its cluster: it runs memberlist, which detects live members and
+// carries gossip, and the goroutine that owns the proxy's state.Store. Input from the network is limited and
+// counted, and no input stops the process. The package does not decide how to act on the observations of
+// other members.
 //
-// Published entries reach the others by gossip, every 100 ms to three members; a full exchange with one member every 5 s
-// repairs what was lost. Ages grow while entries wait in this process. A datagram that waited for over 500 ms in the
-// kernel, because the process was stopped, is dropped. A full exchange may be in transit for up to streamTimeout, and its
-// entries are taken for younger by at most that.
+// Published entries reach the other members by gossip, every 100 ms to three of them. A full exchange with
+// one member every 5 s repairs losses. The ages of entries grow while they wait in this process. A datagram
+// that waited for more than 500 ms in the kernel, because the process was stopped, is dropped. A full
+// exchange may be in transit for up to streamTimeout, so its entries may appear younger than they are by at
+// most that time.
 package transport
 
 import (
@@ -20,11 +22,11 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// Snapshot is what is known of the cluster at one moment.
+// Snapshot is this member's view of the cluster at one moment.
 type Snapshot struct {
-	LiveMembers       int             // this one included
-	LiveMembersInZone int             // of them, in this one's zone
-	Isolated          bool            // no member was heard for isolationTimeout, or ever
+	LiveMembers       int             // including this one
+	LiveMembersInZone int             // live members in this one's zone, including this one
+	Isolated          bool            // no other member was heard from for isolationTimeout, or ever
 	PeerEntries       []state.Entry   // live entries of live members
 	Overrides         map[string]bool // by server: suspended, or resumed in the last 24 hours; read-only
 }
@@ -42,22 +44,22 @@
 
 	inbound    chan message
 	ownerCalls chan func()   // run by the owner goroutine
-	wake       chan struct{} // the owner has something to do before the next tick
-	joinNow    chan struct{} // seeds are to be tried at once
+	wake       chan struct{} // wakes the owner before its next tick
+	joinNow    chan struct{} // makes joinLoop try the seeds at once
 	snapshots  chan Snapshot
 	done       chan struct{} // closed when the owner has ended
 
 	// Times are on Config.Now's clock.
-	lastHeard      atomic.Int64 // when another member was last heard; 0: never
-	lastTick       atomic.Int64 // of the owner
-	staleUntil     atomic.Int64 // inbound messages up to then waited while the process was stopped
-	inboundDropped atomic.Int64 // messages that the owner had no room for
+	lastHeard      atomic.Int64 // when another member was last heard from; 0: never
+	lastTick       atomic.Int64 // when the owner last ticked
+	staleUntil     atomic.Int64 // messages received before this time waited while the process was stopped
+	inboundDropped atomic.Int64 // messages dropped because the inbound queue was full
 	joinAttempts   atomic.Int64
 	joinFailures   atomic.Int64
 
 	mu             sync.Mutex
 	observations   []state.Observation // as last given to Publish
-	publishPending bool                // observations are to be published or renewed
+	publishPending bool                // the owner must publish or renew the observations
 	metrics        Metrics
 
 	closeOnce sync.Once
@@ -71,8 +73,9 @@
 	payload      []byte
 }
 
-// Open binds the member's address and restores the overrides that the previous process stored. Other members may see
-// this one from then on; its work is done in Run. The error is an *OpenError, a *ConfigError or a *StoreError.
+// Open binds the member's address and restores the overrides that the previous process stored. From then on
+// other members may see this one, but it joins them and merges their entries only in Run. The error is an
+// *OpenError, a *ConfigError or a *StoreError.
 func Open(cfg Config) (*Node, error) {
 	bind, advertise, err := cfg.addresses()
 	if err != nil {
@@ -110,11 +113,12 @@
 // Addr returns the address that the member is bound to.
 func (n *Node) Addr() string { return n.network.address() }
 
-// Snapshots returns a channel with the newest snapshot, for one reader: at most one per snapshotInterval, and at once
-// when an override changes.
+// Snapshots returns a channel with the newest snapshot, for one reader. A snapshot is sent at most once per
+// snapshotInterval, and at once when an override changes.
 func (n *Node) Snapshots() <-chan Snapshot { return n.snapshots }
 
-// Publish replaces the observations that this member advertises. It never blocks; the node owns the slice from then on.
+// Publish replaces the observations that this member advertises. It never blocks. The caller must not use the
+// slice afterwards.
 func (n *Node) Publish(observations []state.Observation) {
 	n.mu.Lock()
 	n.observations, n.publishPending = observations, true
@@ -122,6 +126,7 @@
 	n.wakeOwner()
 }
 
+// wakeOwner wakes the owner goroutine before its next tick. It never blocks.
 func (n *Node) wakeOwner() {
 	select {
 	case n.wake <- struct{}{}:
@@ -129,7 +134,7 @@
 	}
 }
 
-// Run gossips until the context ends, then leaves the cluster.
+// Run takes part in the cluster until the context ends, then leaves it.
 func (n *Node) Run(ctx context.Context) {
 	inner, stop := context.WithCancel(ctx)
 	var tasks sync.WaitGroup
@@ -144,7 +149,7 @@
 	tasks.Wait()
 }
 
-// Close leaves the cluster and releases the address, also of a node that never ran.
+// Close leaves the cluster and releases the address. It may be called without Run and more than once.
 func (n *Node) Close() {
 	n.closeOnce.Do(func() {
 		if err := n.memberlist.Leave(leaveTimeout); err != nil {
--- a/internal/cluster/transport/override.go
+++ b/internal/cluster/transport/override.go
@@ -8,15 +8,15 @@
 	"merlinpick/internal/atomicfile"
 )
 
-// overrideTimeout is how long Suspend and Resume wait for a confirmation.
+// overrideTimeout is how long Suspend and Resume wait for the owner goroutine and the disk.
 const overrideTimeout = 800 * time.Millisecond
 
-// Suspend suspends a server at all members. It returns once the override would outlive this process, where there is a
-// state directory. After a *StoreError, ErrClosed, a *state.NameError or a *state.LimitError nothing has changed; after a
-// *NotConfirmedError the override may still take effect.
+// Suspend suspends a server at all members. If there is a state directory, it returns once the override is on
+// disk. After a *StoreError, ErrClosed, a *state.NameError or a *state.LimitError nothing has changed. After
+// a *NotConfirmedError the override may still take effect.
 func (n *Node) Suspend(server string) error { return n.setOverride(server, true) }
 
-// Resume ends a suspension at all members, with the same errors as Suspend.
+// Resume ends a suspension at all members. Its errors are those of Suspend.
 func (n *Node) Resume(server string) error { return n.setOverride(server, false) }
 
 func (n *Node) setOverride(server string, suspend bool) error {
@@ -40,8 +40,8 @@
 	}
 }
 
-// applyOverride sets an override in the owner goroutine. It is gossiped once it is on disk, and reverted if it cannot be
-// written.
+// applyOverride sets an override in the owner goroutine. The override is gossiped once it is on disk, and
+// reverted if it cannot be written.
 func (n *Node) applyOverride(server string, suspend bool, result chan<- error) {
 	now := n.cfg.Now()
 	apply, revert := n.owner.store.Suspend, n.owner.store.Resume
@@ -57,7 +57,7 @@
 		n.owner.overridesChanged = true
 		if err != nil {
 			n.cfg.Logger.Error("override not stored", "endpoint", server, "error", err)
-			if len(changed) > 0 { // else it was set before
+			if len(changed) > 0 { // otherwise it was already set
 				if reverted, revertErr := revert(n.cfg.Now(), server); revertErr == nil {
 					n.outbound.Add(reverted)
 				}
@@ -79,7 +79,7 @@
 	}
 }
 
-// runInOwner runs a function in the owner goroutine, unless that has ended.
+// runInOwner runs a function in the owner goroutine, unless the goroutine has ended.
 func (n *Node) runInOwner(call func()) {
 	select {
 	case n.ownerCalls <- call:
@@ -87,7 +87,7 @@
 	}
 }
 
-// saveOverrides writes the overrides that other members set.
+// saveOverrides writes the overrides that other members set, at most once per overrideSaveInterval.
 func (n *Node) saveOverrides(now int64) {
 	if n.overrideFile == nil || !n.owner.overridesUnsaved || now < n.owner.nextOverrideSave {
 		return
@@ -109,8 +109,8 @@
 	}
 }
 
-// restoreOverrides merges what the previous process stored. A damaged file is moved aside: full exchanges bring its
-// content back from other members.
+// restoreOverrides merges the overrides that the previous process stored. A damaged file is renamed: full
+// exchanges restore its content from other members.
 func (n *Node) restoreOverrides() error {
 	path := n.overrideFile.path
 	records, err := n.overrideFile.read()
--- a/internal/cluster/transport/overridefile.go
+++ b/internal/cluster/transport/overridefile.go
@@ -13,24 +13,26 @@
 )
 
 const (
-	overrideFileName     = "fleet-hands" // an older name, which other versions read
+	overrideFileName     = "fleet-hands" // named by an older version; other versions read it
 	overrideFileKind     = "fleet-hands"
-	maxOverrideFileBytes = 4 << 20 // the 4,096 records of a Store take a quarter
+	maxOverrideFileBytes = 4 << 20 // the 4,096 records of a Store take a quarter of it
 )
 
-// overrideFileBody is the file's content. SavedAtMs is wall clock time, as no other clock outlives a reboot: setting the
-// clock changes how long a resumption is remembered and nothing else.
+// overrideFileBody is the file's content. SavedAtMs is wall clock time, because no other clock continues
+// across a reboot. Setting the clock changes only how long a resumption is remembered.
 type overrideFileBody struct {
 	SavedAtMs int64                  `json:"at_ms"`
 	Overrides []state.OverrideRecord `json:"hands"`
 }
 
-// overrideFile writes operators' overrides in a goroutine of its own: a disk that hangs must not block the owner.
+// overrideFile writes operators' overrides in a separate goroutine, because a disk that hangs must not block
+// the owner goroutine.
 type overrideFile struct {
 	path   string
 	writes chan overrideWrite
 }
 
+// overrideWrite is a request to write all overrides; done is called with the result.
 type overrideWrite struct {
 	overrides []state.OverrideRecord
 	done      func(error)
@@ -40,6 +42,7 @@
 	return &overrideFile{path: path, writes: make(chan overrideWrite, 8)}
 }
 
+// run executes the writes until the context ends.
 func (f *overrideFile) run(ctx context.Context) {
 	for {
 		select {
@@ -51,7 +54,7 @@
 	}
 }
 
-// enqueue schedules a write without blocking; false if too many wait.
+// enqueue schedules a write without blocking. It returns false if too many writes wait.
 func (f *overrideFile) enqueue(w overrideWrite) bool {
 	select {
 	case f.writes <- w:
@@ -72,7 +75,7 @@
 	return nil
 }
 
-// read returns the stored overrides with the ages that they have now; none if there is no file.
+// read returns the stored overrides with their current ages, or none if there is no file.
 func (f *overrideFile) read() ([]state.OverrideRecord, error) {
 	file, err := os.Open(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/cluster/transport/owner.go
+++ b/internal/cluster/transport/owner.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	snapshotInterval     = 100 * time.Millisecond
-	isolationTimeout     = 2 * time.Second
-	overrideSaveInterval = time.Second // between two writes of overrides that others set, at least
-	maxInbound           = 256         // messages that wait for the owner, of 1.4 KB or, from exchanges, maxExchangeBytes
-	maxMergeBatch        = 64          // messages that are merged before anything else is done
+	snapshotInterval     = 100 * time.Millisecond // also between ticks
+	isolationTimeout     = 2 * time.Second        // without hearing from another member
+	overrideSaveInterval = time.Second            // shortest time between writes of overrides that others set
+	maxInbound           = 256                    // waiting messages, each 1.4 KB, or maxExchangeBytes in exchanges
+	maxMergeBatch        = 64                     // messages merged before the owner does anything else
 )
 
-// ownerState is the state of the owner goroutine, the only one that uses the Store. Times are on Config.Now's clock.
+// ownerState is the state of the owner goroutine, the only goroutine that uses the Store. Times are on
+// Config.Now's clock.
 type ownerState struct {
 	store      *state.Store
 	skipped    state.Skipped
-	unreadable int64 // packets that no entry could be read from
+	unreadable int64 // messages with a packet that could not be decoded
 
-	peerEntries      []state.Entry // of the last snapshot
-	lastSnapshot     int64         // 0: the next one is due now
+	peerEntries      []state.Entry // entries of the last snapshot
+	lastSnapshot     int64         // when it was sent; 0: the next one is due now
 	overrides        map[string]bool
-	overridesChanged bool // they may have changed since the last snapshot
-	overridesUnsaved bool // some of them are not on disk
+	overridesChanged bool // the overrides may have changed since the last snapshot
+	overridesUnsaved bool // some overrides of other members are not on disk
 	nextOverrideSave int64
 
 	isolated        bool
@@ -59,7 +60,7 @@
 	}
 }
 
-// mergeWaiting merges messages that wait, up to maxMergeBatch.
+// mergeWaiting merges waiting messages, up to maxMergeBatch.
 func (n *Node) mergeWaiting() {
 	for range maxMergeBatch {
 		select {
@@ -71,9 +72,11 @@
 	}
 }
 
+// tick does the owner's periodic work.
 func (n *Node) tick(started int64) {
 	now := n.cfg.Now()
-	if now-n.lastTick.Load() > maxInputDelay.Microseconds() { // the process was stopped or starved, see receivedLate
+	// The process was stopped or got no CPU time, see receivedLate.
+	if now-n.lastTick.Load() > maxInputDelay.Microseconds() {
 		n.staleUntil.Store(now + snapshotInterval.Microseconds())
 	}
 	n.lastTick.Store(now)
@@ -85,7 +88,8 @@
 	n.updateMetrics(now)
 }
 
-// updateIsolation determines whether any other member is heard. It logs only where others are expected.
+// updateIsolation determines whether this member is isolated. It logs a change only if other members are
+// expected.
 func (n *Node) updateIsolation(started, now int64) {
 	owner := &n.owner
 	lastHeard := n.lastHeard.Load()
@@ -111,7 +115,7 @@
 	}
 }
 
-// publishOwn publishes this member's observations if they are new or may be due for renewal.
+// publishOwn publishes this member's observations if they changed or may be due for renewal.
 func (n *Node) publishOwn() {
 	n.mu.Lock()
 	observations, pending := n.observations, n.publishPending
@@ -122,7 +126,8 @@
 	}
 }
 
-// merge decodes a message with the ages that its entries had when it was received, and gossips what is new.
+// merge decodes and merges a message, and gossips the entries that changed the Store. The ages of its entries
+// count from the time at which the message was received.
 func (n *Node) merge(m message) {
 	decode := state.Decode
 	if m.fullExchange {
@@ -142,7 +147,8 @@
 	n.outbound.Add(changed)
 }
 
-// publishSnapshot sends a snapshot when one is due or an override changed. It replaces one that was not read.
+// publishSnapshot sends a snapshot if one is due or an override changed. It replaces a snapshot that was not
+// read yet.
 func (n *Node) publishSnapshot() {
 	owner, now := &n.owner, n.cfg.Now()
 	changed := false
--- a/internal/cluster/transport/streams.go
+++ b/internal/cluster/transport/streams.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	maxStreamBytes = 2 << 20 // that one connection may bring
-	streamLifetime = 10 * time.Second
+	maxStreamBytes = 2 << 20          // received on one connection, at most
+	streamLifetime = 10 * time.Second // after which a connection fails
 )
 
+// acceptStreams accepts connections until the network shuts down, up to maxInboundStreams at a time.
 func (t *network) acceptStreams() {
 	for {
 		conn, err := t.tcp.AcceptTCP()
@@ -40,7 +41,8 @@
 	}
 }
 
-// checkStream passes a connection to memberlist once it has shown the cluster's label.
+// checkStream passes a connection to memberlist if its first bytes are the cluster's label and did not wait
+// too long. Otherwise it closes the connection.
 func (t *network) checkStream(conn *net.TCPConn, s *stream) {
 	_ = s.Conn.SetDeadline(time.Now().Add(labelTimeout))
 	labelled, label, err := memberlist.RemoveLabelHeaderFromStream(s)
@@ -52,7 +54,7 @@
 		t.rejected.add(rejectLate)
 	default:
 		_ = s.Conn.SetDeadline(s.deadline)
-		t.onReceive() // a node does not connect to itself
+		t.onReceive() // always another member: a node does not connect to itself
 		select {
 		case t.streams <- labelled:
 			return
@@ -62,7 +64,8 @@
 	s.Close()
 }
 
-// sinceLastReceive returns how long ago the last bytes of a connection arrived in the kernel; 0 if it does not say.
+// sinceLastReceive returns how long ago the last bytes of a connection arrived in the kernel, or 0 if the
+// kernel does not report it.
 func sinceLastReceive(conn *net.TCPConn) time.Duration {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -77,17 +80,18 @@
 	return since
 }
 
-// stream is a connection with a bounded lifetime and size, which is closed with its network.
+// stream is a connection with a limited lifetime and number of received bytes. It is closed with its network.
 type stream struct {
 	net.Conn
 	network   *network
-	bytesLeft int64     // that it may still bring
-	deadline  time.Time // no other deadline exceeds it
+	bytesLeft int64     // bytes that may still be received
+	deadline  time.Time // upper limit of all other deadlines
 	closeOnce sync.Once
 	onClose   func() // may be nil
 }
 
-// track wraps a connection and registers it for Shutdown; nil, with the connection closed, after Shutdown.
+// track wraps a connection and registers it for Shutdown. After Shutdown it closes the connection and returns
+// nil.
 func (t *network) track(conn net.Conn, onClose func()) *stream {
 	s := &stream{Conn: conn, network: t, bytesLeft: maxStreamBytes, deadline: time.Now().Add(streamLifetime),
 		onClose: onClose}
@@ -102,7 +106,7 @@
 	return s
 }
 
-// Read implements net.Conn; it fails after maxStreamBytes.
+// Read implements net.Conn. It fails after maxStreamBytes.
 func (s *stream) Read(p []byte) (int, error) {
 	if s.bytesLeft <= 0 {
 		s.network.rejected.add(rejectLength)
@@ -114,13 +118,14 @@
 	return n, err
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn and counts the sent bytes.
 func (s *stream) Write(p []byte) (int, error) {
 	n, err := s.Conn.Write(p)
 	s.network.bytesOut.Add(int64(n))
 	return n, err
 }
 
+// cap returns a deadline, but no later than the stream's own; a zero deadline means none.
 func (s *stream) cap(deadline time.Time) time.Time {
 	if deadline.IsZero() || deadline.After(s.deadline) {
 		return s.deadline
@@ -128,16 +133,16 @@
 	return deadline
 }
 
-// SetDeadline implements net.Conn.
+// SetDeadline implements net.Conn. The stream's own deadline still applies.
 func (s *stream) SetDeadline(t time.Time) error { return s.Conn.SetDeadline(s.cap(t)) }
 
-// SetReadDeadline implements net.Conn.
+// SetReadDeadline implements net.Conn. The stream's own deadline still applies.
 func (s *stream) SetReadDeadline(t time.Time) error { return s.Conn.SetReadDeadline(s.cap(t)) }
 
-// SetWriteDeadline implements net.Conn.
+// SetWriteDeadline implements net.Conn. The stream's own deadline still applies.
 func (s *stream) SetWriteDeadline(t time.Time) error { return s.Conn.SetWriteDeadline(s.cap(t)) }
 
-// Close implements net.Conn.
+// Close implements net.Conn. It also removes the connection from its network.
 func (s *stream) Close() error {
 	err := s.Conn.Close()
 	s.closeOnce.Do(func() {
