--- a/cmd/merlinpick-cluster-proxy/main.go
+++ b/cmd/merlinpick-cluster-proxy/main.go
@@ -1,5 +1,6 @@
-// Command merlinpick-cluster-proxy is the load balancing proxy of cmd/merlinpick-proxy that can also join a cluster, by
-// the configuration's section "fleet". The libraries for it take 3 MB of memory, also without the section.
+// Command merlinpick-cluster-proxy is the load-balancing proxy of cmd/merlinpick-proxy with support for
+// clusters: it joins one if the configuration has a "fleet" section. The libraries for this take 3 MB of
+// memory, even without the section.
 package main
 
 import (
--- a/internal/cluster/adapter/adapter.go
+++ b/internal/cluster/adapter/adapter.go
@@ -1,6 +1,7 @@
-// Package adapter converts between the reports of package balancer and the observations of package state. It is the one
-// place that knows the numbers of kinds and faults on the wire, and it translates zone numbers of this proxy to zone
-// names, and microseconds to the milliseconds of process starts. It never drops a report for its content.
+// Package adapter converts between the reports of package balancer and the observations of package state.
+// Only this package knows the wire numbers of kinds and faults. It also translates this proxy's zone numbers
+// to zone names, and start times of processes from microseconds to milliseconds. It does not filter reports
+// by their content.
 package adapter
 
 import (
@@ -8,7 +9,7 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// stateKinds maps the balancer's kinds to those on the wire.
+// stateKinds maps the balancer's kinds to wire kinds.
 var stateKinds = [...]state.Kind{
 	balancer.ReportServerUnhealthy: state.ServerUnhealthy,
 	balancer.ReportServerHealthy:   state.ServerHealthy,
@@ -18,6 +19,7 @@
 	balancer.ReportServerLoad:      state.ServerLoad,
 }
 
+// reportKinds is the inverse of stateKinds.
 var reportKinds = func() map[state.Kind]balancer.ReportKind {
 	kinds := make(map[state.Kind]balancer.ReportKind, len(stateKinds))
 	for kind, stateKind := range stateKinds {
@@ -26,7 +28,7 @@
 	return kinds
 }()
 
-// wireFaults are the numbers of faults on the wire. They are never reused.
+// wireFaults maps faults to their wire numbers. The numbers are never reused.
 var wireFaults = [...]uint8{
 	balancer.NoFault:           0,
 	balancer.FaultErrors:       1,
@@ -35,19 +37,20 @@
 	balancer.FaultSaturated:    4,
 }
 
-// StateKind returns the kind on the wire of a report.
+// StateKind returns the wire kind of a report's kind.
 func StateKind(kind balancer.ReportKind) state.Kind { return stateKinds[kind] }
 
-// ReportKind returns the balancer's kind of an entry; ok is false for an override and for kinds of newer versions.
+// ReportKind returns the balancer's kind for a wire kind. ok is false for an override and for kinds of newer
+// versions.
 func ReportKind(kind state.Kind) (reportKind balancer.ReportKind, ok bool) {
 	reportKind, ok = reportKinds[kind]
 	return reportKind, ok
 }
 
-// WireFault returns the number of a fault on the wire.
+// WireFault returns the wire number of a fault.
 func WireFault(fault balancer.Fault) uint8 { return wireFaults[fault] }
 
-// Fault returns the fault of a number on the wire; numbers of newer versions count as FaultErrors.
+// Fault returns the fault for a wire number. Numbers of newer versions are treated as FaultErrors.
 func Fault(number uint8) balancer.Fault {
 	for fault, known := range wireFaults {
 		if known == number {
@@ -64,8 +67,8 @@
 
 const microsecondsPerMillisecond = 1000
 
-// ToObservations converts this proxy's reports. zones maps the names of its zones to their numbers, 0 to len(zones)-1;
-// reports on other zone numbers are left out.
+// ToObservations converts this proxy's reports. zones maps the names of its zones to their numbers, 0 to
+// len(zones)-1. Reports about other zone numbers are omitted.
 func ToObservations(reports []balancer.Report, zones map[string]int) []state.Observation {
 	zoneNames := make([]string, len(zones))
 	for name, number := range zones {
@@ -88,8 +91,9 @@
 	return observations
 }
 
-// ToReports converts the live entries of other members. Entries of unknown kinds are skipped; those about or from a zone
-// that this proxy's endpoint list does not name are skipped and counted in unknownZone. now is in microseconds.
+// ToReports converts the live entries of other members. Entries of unknown kinds are skipped; those about or
+// from a zone that this proxy's endpoint list does not contain are skipped and counted in unknownZone. now is
+// in microseconds.
 func ToReports(now int64, entries []state.Entry, zones map[string]int) (reports []balancer.Report, unknownZone int64) {
 	reports = make([]balancer.Report, 0, len(entries))
 	for i := range entries {
@@ -108,7 +112,8 @@
 	return reports, unknownZone
 }
 
-// ToReport converts an entry, whose kind ReportKind gave; ok is false if zones lacks its subject or its observer's zone.
+// ToReport converts an entry. kind is the entry's kind as returned by ReportKind. ok is false if zones does
+// not contain the observer's zone or, for a report about a zone, the subject.
 func ToReport(kind balancer.ReportKind, e *state.Entry, zones map[string]int) (r balancer.Report, ok bool) {
 	observerZone, ok := zones[e.ObserverZone]
 	r = balancer.Report{Kind: kind, Fault: Fault(e.Body.Fault), Observer: e.Observer, ObserverZone: observerZone,
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -1,6 +1,6 @@
-// Package cluster makes a proxy a member of a cluster of proxies: it reads the configuration's section "fleet" and
-// connects package transport with the proxy's balancer and its operators' overrides. It decides nothing itself. Only
-// programs that can join a cluster import it.
+// Package cluster makes a proxy a member of a cluster of proxies. It reads the "fleet" section of the
+// configuration and connects package transport with the proxy's balancer and with operators' overrides. It
+// makes no decisions itself. Only programs that can join a cluster import it.
 package cluster
 
 import (
@@ -22,16 +22,16 @@
 )
 
 const (
-	maxSnapshotAge  = time.Second            // beyond this the balancer is told that it is isolated
-	bindInterval    = 200 * time.Millisecond // between attempts while another process, mostly a predecessor, has the address
-	bindLogInterval = time.Minute
+	maxSnapshotAge  = time.Second            // with an older one the balancer is told that it is isolated
+	bindInterval    = 200 * time.Millisecond // between attempts while another process has the address
+	bindLogInterval = time.Minute            // shortest time between log lines about failed attempts
 )
 
 // member implements proxy.Cluster.
 type member struct {
 	cfg         transport.Config
-	overrides   *override.Overrides // nil without a state directory
-	node        atomic.Pointer[transport.Node]
+	overrides   *override.Overrides            // nil without a state directory
+	node        atomic.Pointer[transport.Node] // nil until the cluster address is open
 	latest      atomic.Pointer[timedSnapshot]
 	unknownZone atomic.Int64 // entries about or from zones that this proxy does not know
 
@@ -39,13 +39,15 @@
 	remoteOverrides map[string]bool // by server: suspended; as of the last snapshot or a later call of NotifyOverride
 }
 
+// timedSnapshot is a snapshot with the time at which it was received.
 type timedSnapshot struct {
 	transport.Snapshot
 	receivedAt int64 // microseconds
 }
 
-// newMember binds the cluster address. If another process has it, Run tries again: the start of a proxy waits neither for
-// its cluster nor for a predecessor. Other errors are those of transport.Open.
+// newMember binds the cluster address. If another process has it, usually a predecessor of this one, Run
+// tries again: the start of a proxy waits neither for its cluster nor for a predecessor. Other errors are
+// those of transport.Open.
 func newMember(cfg transport.Config, identity proxy.ClusterIdentity) (*member, error) {
 	cfg.Zone, cfg.Tier = identity.Zone, strconv.Itoa(identity.Tier)
 	cfg.StartedAtMs, cfg.StateDir = identity.StartedAtMs, identity.StateDir
@@ -57,6 +59,7 @@
 	return m, nil
 }
 
+// open tries once to open the cluster address.
 func (m *member) open() error {
 	node, err := transport.Open(m.cfg)
 	if err == nil {
@@ -87,7 +90,7 @@
 	}
 }
 
-// bind tries to open the address until it succeeds; false if the context ended before.
+// bind tries to open the address until it succeeds. It returns false if the context ended before.
 func (m *member) bind(ctx context.Context) bool {
 	ticker := time.NewTicker(bindInterval)
 	defer ticker.Stop()
@@ -110,8 +113,8 @@
 	return true
 }
 
-// applyOverrides passes the cluster's overrides to the proxy, and removes the proxy's own suspension of a server that the
-// cluster resumed.
+// applyOverrides passes the cluster's overrides to the proxy. If the cluster resumed a server, it removes the
+// proxy's own suspension of that server.
 func (m *member) applyOverrides(overrides map[string]bool) {
 	if m.overrides == nil {
 		return
@@ -135,7 +138,8 @@
 	}
 }
 
-// NotifyOverride passes an operator's call on to all members. The error is one of transport.Node.Suspend.
+// NotifyOverride passes an operator's suspension or resumption to all members. The error is one of
+// transport.Node.Suspend.
 func (m *member) NotifyOverride(server string, suspended bool) error {
 	node := m.node.Load()
 	if node == nil {
@@ -160,7 +164,7 @@
 	return nil
 }
 
-// Metrics returns the member's figures; until the address is open, only that it is isolated.
+// Metrics returns the member's metrics. Until the address is open, they say only that the member is isolated.
 func (m *member) Metrics() *management.Cluster {
 	node := m.node.Load()
 	if node == nil {
@@ -189,8 +193,8 @@
 	}
 }
 
-// ExchangeReports publishes this proxy's reports and returns those of live members. ok is false until the address is open:
-// the balancer then decides as if there were no cluster. now is in microseconds.
+// ExchangeReports publishes this proxy's reports and returns those of the other live members. Until the
+// address is open, ok is false and the balancer works as if there were no cluster. now is in microseconds.
 func (m *member) ExchangeReports(now int64, reports func(int64) []balancer.Report, zones map[string]int) (
 	peers balancer.PeerReports, ok bool) {
 	node := m.node.Load()
