--- a/internal/tailweights/adjust.go
+++ b/internal/tailweights/adjust.go
@@ -2,55 +2,56 @@
 
 import "math"
 
-// Observation is what was lately seen of one server. All numbers must be above 0.
+// Observation holds recent measurements of one server. All numbers must be above 0.
 type Observation struct {
 	CallsPerSecond float64
-	MeanLatency    float64   // in any unit that is the same for all
-	Weight         float64   // of the two, such as the number of calls that they rest on
-	Curve          *CurveFit // of this server over the rounds; Adjust updates it
+	MeanLatency    float64   // in any unit that is the same for all servers
+	Weight         float64   // of the two measurements, such as the number of calls that they are based on
+	Curve          *CurveFit // learned in previous rounds; Adjust updates it
 }
 
-// CurveLearning is how curves are learned from observations.
+// CurveLearning holds the parameters for learning curves from observations.
 type CurveLearning struct {
-	AssumedUtilization float64 // 0 to 1: part of their capacity that servers use on the whole, until curves are known
-	InformativeSpread  float64 // of the mean load: loads that differ by it say as much of a curve as that assumption
-	Retention          float64 // 0 to 1: what each round leaves of the weight of earlier observations
-	MaxMisfit          float64 // factor: a latency that is further off its curve begins a new one
-	MaxSlopeFactor     float64 // factor of the assumed slope within which a curve's slope is kept
-	MinLoadFraction    float64 // of an equal load, that each server gets at least; of its present load, for the change
+	AssumedUtilization float64 // 0 to 1: fraction of all capacity in use, until the curves are known
+	InformativeSpread  float64 // fraction of the mean load: loads this far apart count like the assumption
+	Retention          float64 // 0 to 1: fraction of the weight of earlier observations kept in each round
+	MaxMisfit          float64 // factor: a latency that is off its curve by more than this starts a new curve
+	MaxSlopeFactor     float64 // factor by which a curve's slope may differ from the assumed slope
+	MinLoadFraction    float64 // least load of a server, as a fraction of the mean and of its current load
 }
 
-// Adjust returns, for each server, the natural logarithm of the ratio of the load at which the tail is least to its
-// load: above 0 it should get more. It updates the servers' curves.
+// Adjust returns, for each server, the natural logarithm of the ratio of its optimal load to its current
+// load. Above 0 it should get more. It updates the servers' curves.
 func (s *Solver) Adjust(learning CurveLearning, observations []Observation) []float64 {
 	concurrency, demand := totals(learning, observations)
 	n := float64(len(observations))
 	servers := make([]Server, len(observations))
-	for i, seen := range observations {
-		base, capacity := seen.updateCurve(learning, concurrency)
+	for i, observation := range observations {
+		base, capacity := observation.updateCurve(learning, concurrency)
 		servers[i] = Server{UnloadedLatency: base, Capacity: capacity, MinLoad: learning.MinLoadFraction * demand / n}
 	}
 	loads, _ := s.Solve(nil, servers, demand)
 	changes := make([]float64, len(loads))
-	for i, seen := range observations {
-		changes[i] = math.Log(max(loads[i]/seen.CallsPerSecond, learning.MinLoadFraction))
+	for i, observation := range observations {
+		changes[i] = math.Log(max(loads[i]/observation.CallsPerSecond, learning.MinLoadFraction))
 	}
 	return changes
 }
 
-// totals returns the sum of the loads, and the number of calls that a server is assumed to work on at once, which is
-// taken to be the same for all.
+// totals returns the sum of the loads as demand, and the number of calls that a server is assumed to process
+// at the same time, which is assumed to be the same for all.
 func totals(learning CurveLearning, observations []Observation) (concurrency, demand float64) {
-	n, use := float64(len(observations)), learning.AssumedUtilization
-	for _, seen := range observations {
-		concurrency += seen.CallsPerSecond * seen.MeanLatency / n * (1 - use) / use
-		demand += seen.CallsPerSecond
+	n, utilization := float64(len(observations)), learning.AssumedUtilization
+	for _, observation := range observations {
+		concurrency += observation.CallsPerSecond * observation.MeanLatency / n *
+			(1 - utilization) / utilization
+		demand += observation.CallsPerSecond
 	}
 	return concurrency, demand
 }
 
-// updateCurve adds an observation to its server's curve and returns the curve. One that is far off it is of another server
-// by the same name, or of one that has changed: the curve begins anew.
+// updateCurve adds an observation to its server's curve and returns the curve. An observation that is far off
+// the curve is from another server with the same name or from one that has changed, so it starts a new curve.
 func (o *Observation) updateCurve(learning CurveLearning, concurrency float64) (base, capacity float64) {
 	estimate := func() (base, capacity float64, ok bool) {
 		return o.Curve.Estimate(concurrency, learning.InformativeSpread, learning.MaxSlopeFactor)
