--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -35,8 +35,8 @@
 	return want
 }
 
-// print writes an entry's values without the names of Go fields, so that renames do not move golden files and
-// hashes.
+// printEntries writes the values of entries without the names of Go fields, so that renaming a field does not
+// change golden files and hashes.
 func printEntries(w io.Writer, label string, entries []Entry) {
 	fmt.Fprintln(w, label, len(entries))
 	for _, e := range entries {
@@ -45,8 +45,8 @@
 	}
 }
 
-// everyKind is one entry of each kind, then withdrawals, an override suspended and resumed, and the edges of
-// the codec.
+// everyKind returns an entry and a withdrawal of each kind, a suspension, a resumption, and entries with
+// extreme values.
 func everyKind() []Entry {
 	const started = 1_790_000_000_000
 	var entries []Entry
@@ -62,26 +62,28 @@
 		Entry{Kind: Override, Subject: "server-1", Observer: "proxy-b", Seq: 7, ObservedAt: testTime - 3600*second},
 		Entry{Kind: Override, Withdrawn: true, Subject: "server-3", Observer: "proxy-b", Seq: 8, ObservedAt: testTime - second, TTL: resumptionTTL},
 		Entry{Kind: ServerUnhealthy, Subject: "same-start", SubjectStartMs: started, Observer: "proxy-c", Incarnation: started, Seq: 1 << 40,
-			ObservedAt: testTime, TTL: ServerUnhealthy.TTL(), Body: Body{Fault: 200, Calls: maxBodyNumber, BadFraction: 1, Value: 0.0625}},
+			ObservedAt: testTime, TTL: ServerUnhealthy.TTL(),
+			Body: Body{Fault: 200, Calls: maxBodyNumber, BadFraction: 1, Value: 0.0625}},
 		Entry{Kind: ServerLoad, Subject: "earlier-start", SubjectStartMs: 1, Observer: "proxy-c", Incarnation: started, Seq: maxStamp,
 			ObservedAt: testTime - 4*second, TTL: 4500 * millisecond})
 }
 
-// TestPacketsMatchGoldenFile holds the bytes of gossip packets: entries of every kind, in packets of 1,400
-// bytes.
+// TestPacketsMatchGoldenFile checks the bytes of gossip packets with entries of every kind, in packets of
+// 1,400 bytes.
 func TestPacketsMatchGoldenFile(t *testing.T) {
 	data := golden(t, "packets.cbor", bytes.Join(Encode(testTime, everyKind(), 1400), nil))
 	checkDecoded(t, data, "packets.txt")
 }
 
-// TestFullExchangeMatchesGoldenFile holds the bytes of a full exchange of a store with own, peers' and
-// override entries.
+// TestFullExchangeMatchesGoldenFile checks the bytes of a full exchange of a store with own entries, entries
+// of peers and overrides.
 func TestFullExchangeMatchesGoldenFile(t *testing.T) {
 	store := New(Identity{Name: "self", Zone: "zone-1", StartedAtMs: 1_790_000_000_123}, Limits{})
-	items := []Observation{{ServerUnhealthy, "s1", 1_790_000_000_000, Body{Fault: 1, Calls: 10, BadFraction: 0.5}},
+	observations := []Observation{{ServerUnhealthy, "s1", 1_790_000_000_000,
+		Body{Fault: 1, Calls: 10, BadFraction: 0.5}},
 		{ZoneUnhealthy, "zone-2", 0, Body{Fault: 2, SubjectZone: "zone-3", Calls: 20, BadFraction: 0.75}}, {ServerLoad, "s2", 7, Body{Calls: 3, Value: 12345}}}
-	store.Publish(testTime-second, items)
-	store.Publish(testTime-second/2, items[1:])
+	store.Publish(testTime-second, observations)
+	store.Publish(testTime-second/2, observations[1:])
 	store.Merge(testTime, everyKind())
 	for i, server := range []string{"s1", "s2", "s3"} {
 		if _, err := store.Suspend(testTime, server); err != nil {
@@ -97,18 +99,20 @@
 	checkDecoded(t, data, "exchange.txt")
 }
 
+// checkDecoded decodes packets and compares the entries with a golden file.
 func checkDecoded(t *testing.T, data []byte, name string) {
 	t.Helper()
 	entries, skipped, err := DecodeAll(testTime, data)
 	if err != nil || skipped != (Skipped{}) {
-		t.Fatalf("%s: %+v, %v", name, skipped, err)
+		t.Fatalf("%s: decoding skipped %+v, error %v", name, skipped, err)
 	}
 	var text bytes.Buffer
 	printEntries(&text, "entries", entries)
 	golden(t, name, text.Bytes())
 }
 
-// playStores plays a sequence with a fixed seed on four stores and gives a hash of all values that came out.
+// playStores runs a random sequence of calls with a fixed seed on four stores and returns a hash of all
+// results. The labels in the hashed text must stay, as the golden hash depends on them.
 func playStores(seed uint64) string {
 	random, hash := rand.New(rand.NewPCG(seed, 1)), sha256.New()
 	start := func(i int, at int64) *Store {
@@ -127,12 +131,14 @@
 		var err error
 		switch random.IntN(12) {
 		case 0, 1, 2, 3:
-			var items []Observation
+			var observations []Observation
 			for range 2 + random.IntN(20) {
-				items = append(items, Observation{Kind(1 + random.IntN(6)), fmt.Sprint("s", random.IntN(9)), int64(random.IntN(3)), Body{
-					Fault: uint8(random.IntN(3)), Calls: float64(random.IntN(50)), BadFraction: random.Float64(), Value: float64(random.IntN(3))}})
+				observations = append(observations, Observation{Kind(1 + random.IntN(6)),
+					fmt.Sprint("s", random.IntN(9)), int64(random.IntN(3)), Body{
+						Fault: uint8(random.IntN(3)), Calls: float64(random.IntN(50)),
+						BadFraction: random.Float64(), Value: float64(random.IntN(3))}})
 			}
-			out = store.Publish(now, items)
+			out = store.Publish(now, observations)
 		case 4, 5, 6:
 			out = store.Entries(now)
 		case 7:
@@ -140,13 +146,13 @@
 		case 8:
 			out, err = store.Resume(now, name)
 		case 9:
-			hands := store.OverrideRecords(now)
-			for _, h := range hands {
-				fmt.Fprintln(hash, "override", h.Subject, h.Suspended, h.Version, h.Actor, h.AgeMs)
+			records := store.OverrideRecords(now)
+			for _, r := range records {
+				fmt.Fprintln(hash, "override", r.Subject, r.Suspended, r.Version, r.Actor, r.AgeMs)
 			}
 			if random.IntN(4) == 0 {
 				stores[i] = start(i, 990+int64(random.IntN(step/50+20)))
-				fmt.Fprintln(hash, "restored", stores[i].RestoreOverrides(now, hands))
+				fmt.Fprintln(hash, "restored", stores[i].RestoreOverrides(now, records))
 			}
 		default:
 			now += random.Int64N(600 * millisecond)
@@ -175,22 +181,24 @@
 	return fmt.Sprintf("%x", hash.Sum(nil)[:8])
 }
 
-// TestPlayedSequenceMatchesGoldenHash holds all that stores return in a played sequence, and shows that a
-// changed constant is noticed.
+// TestPlayedSequenceMatchesGoldenHash checks everything that stores return in a random sequence of calls, and
+// that the hash notices a changed constant.
 func TestPlayedSequenceMatchesGoldenHash(t *testing.T) {
 	const want = "0003b4fa2114f9a8"
 	if got := playStores(1); got != want {
-		t.Errorf("the played sequence gives %s, want %s", got, want)
+		t.Errorf("the hash of the sequence is %s, want %s", got, want)
 	}
 	for kind, change := range map[Kind]func(*kindParams){
-		ServerUnhealthy: func(x *kindParams) { x.updateInterval -= 150 * millisecond }, ZoneHealthy: func(x *kindParams) { x.ttl += 50 * millisecond }, ServerFlap: func(x *kindParams) { x.maxPerObserver = 3 },
+		ServerUnhealthy: func(p *kindParams) { p.updateInterval -= 150 * millisecond },
+		ZoneHealthy:     func(p *kindParams) { p.ttl += 50 * millisecond },
+		ServerFlap:      func(p *kindParams) { p.maxPerObserver = 3 },
 	} {
-		was := paramsByKind[kind]
+		original := paramsByKind[kind]
 		change(&paramsByKind[kind])
 		if playStores(1) == want {
-			t.Errorf("a changed %v is not noticed", kind)
+			t.Errorf("the hash does not change with the parameters of %v", kind)
 		}
-		paramsByKind[kind] = was
+		paramsByKind[kind] = original
 	}
 	if slices.Contains([]string{playStores(2), playStores(3)}, want) {
 		t.Error("another seed gives the same hash")
--- a/internal/cluster/state/scale_test.go
+++ b/internal/cluster/state/scale_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// entriesOfCluster is a cluster as one member sees it: each other member publishes the load of some servers
-// and the health of all zones.
+// entriesOfCluster returns the entries that one member receives from a cluster: each other member publishes
+// the load of some servers (summaries) and the health of all zones. Sequence numbers start at seq.
 func entriesOfCluster(members, summaries, zones int, seq uint64) (all []Entry) {
 	for p := range members {
 		e := Entry{Observer: fmt.Sprintf("proxy-%04d", p), ObserverZone: fmt.Sprint("z", p%zones), Incarnation: 1_790_000_000_000, ObservedAt: second}
@@ -23,21 +23,22 @@
 			all = append(all, e)
 		}
 	}
-	rand.New(rand.NewPCG(1, seq)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] }) // in the mixed order of gossip
+	// gossip has no order
+	rand.New(rand.NewPCG(1, seq)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all
 }
 
-// BenchmarkMembers gives the cost of a store by members, load reports that each publishes, and zones: memory
-// per member, the time of a datagram of renewed entries (Decode and Merge), and of one iteration (Publish and
-// PeerEntries).
+// BenchmarkMembers measures the cost of a store by the number of members, the load reports that each
+// publishes, and the zones: memory per member, the time for a datagram of renewed entries (Decode and Merge),
+// and the time for one round (Publish and PeerEntries).
 func BenchmarkMembers(b *testing.B) {
 	for _, members := range []int{30, 100, 300, 1300} {
-		for _, of := range []struct{ summaries, zones int }{{1, 3}, {1, 9}, {10, 9}} {
-			name := fmt.Sprintf("members=%d/summaries=%d/zones=%d", members, of.summaries, of.zones)
-			limits := Limits{Observers: 4096} // the default has room for 1,024
-			full := func() *Store {
+		for _, size := range []struct{ summaries, zones int }{{1, 3}, {1, 9}, {10, 9}} {
+			name := fmt.Sprintf("members=%d/summaries=%d/zones=%d", members, size.summaries, size.zones)
+			limits := Limits{Observers: 4096} // the default is 1,024
+			fullStore := func() *Store {
 				store := New(Identity{Name: "self", Zone: "z0"}, limits)
-				store.Merge(second, entriesOfCluster(members, of.summaries, of.zones, 1))
+				store.Merge(second, entriesOfCluster(members, size.summaries, size.zones, 1))
 				return store
 			}
 			b.Run("bytes/"+name, func(b *testing.B) {
@@ -46,7 +47,7 @@
 					var before, after runtime.MemStats
 					runtime.GC()
 					runtime.ReadMemStats(&before)
-					store := full()
+					store := fullStore()
 					runtime.GC()
 					runtime.ReadMemStats(&after)
 					heapBytes = float64(after.HeapAlloc) - float64(before.HeapAlloc)
@@ -55,14 +56,15 @@
 				b.ReportMetric(heapBytes/float64(members), "B/member")
 			})
 			b.Run("datagram/"+name, func(b *testing.B) {
-				store := full()
+				store := fullStore()
 				var packets [][]byte
 				seq := uint64(1)
 				for i := 0; b.Loop(); i++ {
 					if i%max(1, len(packets)) == 0 {
 						b.StopTimer()
 						seq += 1000
-						packets = Encode(second, entriesOfCluster(members, of.summaries, of.zones, seq), 1400)
+						packets = Encode(second, entriesOfCluster(members, size.summaries, size.zones, seq),
+							1400)
 						b.StartTimer()
 					}
 					in, _, err := Decode(second, packets[i%len(packets)])
@@ -73,15 +75,16 @@
 				}
 			})
 			b.Run("turn/"+name, func(b *testing.B) {
-				store := full()
-				var items []Observation
-				for z := range of.zones {
-					items = append(items, Observation{Kind: ZoneHealthy, Subject: fmt.Sprint("z", z)})
+				store := fullStore()
+				var observations []Observation
+				for z := range size.zones {
+					observations = append(observations, Observation{Kind: ZoneHealthy,
+						Subject: fmt.Sprint("z", z)})
 				}
 				for b.Loop() {
-					store.Publish(second, items)
+					store.Publish(second, observations)
 					if len(store.PeerEntries(second)) == 0 {
-						b.Fatal("no entries")
+						b.Fatal("PeerEntries returns no entries")
 					}
 				}
 			})
@@ -89,8 +92,8 @@
 	}
 }
 
-// An older copy of an entry makes it expire earlier: the sweep has to remove it then, not when the younger
-// copy would have expired.
+// TestOlderCopyMovesSweepForward checks that an older copy of an entry makes it expire earlier, and that the
+// sweep removes it at that time and not when the younger copy would have expired.
 func TestOlderCopyMovesSweepForward(t *testing.T) {
 	store := New(Identity{Name: "self"}, Limits{})
 	e := Entry{Kind: ServerUnhealthy, Subject: "s", Observer: "a", Incarnation: 1, Seq: 1, ObservedAt: 2 * second, TTL: ServerUnhealthy.TTL()}
@@ -109,7 +112,8 @@
 	}
 }
 
-// Pack returns the first packet of Encode and the indices of the entries in it.
+// TestPackReturnsFirstPacketOfEncode checks that Pack returns the first packet of Encode and the indices of
+// the entries in it.
 func TestPackReturnsFirstPacketOfEncode(t *testing.T) {
 	all := entriesOfCluster(40, 2, 3, 1)
 	all[3].Subject, all[7].TTL = "", 0 // invalid
@@ -118,15 +122,16 @@
 		got, packed := Pack(second, all[from:], 1400)
 		in, _, err := Decode(second, got)
 		if !bytes.Equal(got, want) || err != nil || len(in) != len(packed) {
-			t.Fatalf("from %d: %d bytes with %d entries, want %d bytes: %v", from, len(got), len(packed), len(want), err)
+			t.Fatalf("from entry %d: Pack returns %d bytes, %d entries; Encode returns %d bytes; error %v",
+				from, len(got), len(packed), len(want), err)
 		}
 		for i, at := range packed {
 			if e := all[from+at]; in[i].Observer != e.Observer || in[i].Seq != e.Seq {
-				t.Errorf("from %d: %+v is indicated as %+v", from, in[i], e)
+				t.Errorf("from entry %d: the packet has %+v where the index says %+v", from, in[i], e)
 			}
 		}
 	}
 	if data, packed := Pack(second, nil, 1400); data != nil || packed != nil {
-		t.Error("a packet of nothing")
+		t.Error("Pack returns a packet without entries")
 	}
 }
--- a/internal/cluster/state/wire_test.go
+++ b/internal/cluster/state/wire_test.go
@@ -12,6 +12,8 @@
 	"pgregory.net/rapid"
 )
 
+// TestEncodeDecodeRoundTrip checks that decoding returns the encoded entries with their ages in full
+// milliseconds, and that no packet is longer than requested.
 func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := entries(4).Draw(t, "in")
@@ -23,11 +25,11 @@
 				e.Body.Value = rapid.Float64Range(0, maxBodyNumber).Draw(t, "value")
 			}
 		}
-		most := rapid.IntRange(MinPacketBytes, 4*MinPacketBytes).Draw(t, "most")
-		packets := Encode(testTime, in, most)
+		maxBytes := rapid.IntRange(MinPacketBytes, 4*MinPacketBytes).Draw(t, "maxBytes")
+		packets := Encode(testTime, in, maxBytes)
 		for _, p := range packets {
-			if len(p) > most {
-				t.Fatalf("%d bytes of %d", len(p), most)
+			if len(p) > maxBytes {
+				t.Fatalf("a packet has %d bytes, the limit is %d", len(p), maxBytes)
 			}
 		}
 		got, skipped, err := DecodeAll(testTime, bytes.Join(packets, nil))
@@ -41,14 +43,16 @@
 			want[i].ObservedAt = testTime - ageMs(testTime, &want[i])*millisecond
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("sent\n%v\ngot\n%v", want, got)
+			t.Fatalf("encoded\n%v\ndecoded\n%v", want, got)
 		}
 	})
 }
 
+// cborMap is a CBOR map with integer keys.
 type cborMap map[int]any
 
-// What a newer or a broken program may send, followed by one valid entry.
+// TestDecodeUnknownAndMalformed checks that Decode skips what a newer or a faulty program may send, and
+// decodes the valid entry after it. It also checks that a packet that cannot be decoded gives a PacketError.
 func TestDecodeUnknownAndMalformed(t *testing.T) {
 	good := cborMap{1: ServerUnhealthy, 2: 1, 3: "s"}
 	packet := func(version int, entries ...any) cborMap {
@@ -83,7 +87,7 @@
 		changed := New(Identity{Name: "self"}, Limits{}).Merge(testTime, got)
 		if err != nil || skipped != c.want || len(changed) == 0 || changed[len(changed)-1].Subject != "s" ||
 			changed[len(changed)-1].Incarnation != 5 {
-			t.Errorf("%s: %v, %+v, %v", name, got, skipped, err)
+			t.Errorf("%s: decoded %v, skipped %+v, error %v", name, got, skipped, err)
 		}
 	}
 	data, _ := cbor.Marshal(packet(1))
@@ -96,18 +100,19 @@
 	} {
 		var bad *PacketError
 		if got, _, err := Decode(testTime, data); !errors.As(err, &bad) || bad.Size != len(data) || got != nil {
-			t.Errorf("%s: %v %v", name, got, err)
+			t.Errorf("%s: decoded %v, error %v", name, got, err)
 		}
 	}
 	var bad *PacketError
 	if got, _, err := DecodeAll(testTime, append(slices.Clone(data), 0xff)); len(got) != 1 || !errors.As(err, &bad) {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("an invalid packet after a valid one: decoded %v, error %v", got, err)
 	}
 	if _, _, err := DecodeAll(testTime, make([]byte, MaxSequenceBytes+1)); !errors.As(err, &bad) {
 		t.Error(err)
 	}
 }
 
+// seeds adds valid and unknown packets to the corpus.
 func seeds(f *testing.F) {
 	store := New(Identity{Name: "p", Zone: "z", StartedAtMs: 1e12}, Limits{})
 	store.Publish(testTime, []Observation{{ServerUnhealthy, "s", 2e12, Body{1, "", 10, 0.5, 0}}, {Kind: ZoneUnhealthy, Subject: "z", Body: Body{SubjectZone: "y"}}})
@@ -115,11 +120,13 @@
 	for _, data := range Encode(testTime, store.Entries(testTime), MinPacketBytes) {
 		f.Add(data)
 	}
-	odd, _ := cbor.Marshal(cborMap{1: 2, 2: []any{cborMap{1: "o", 3: 5, 9: 9, 4: []any{cborMap{1: 99}, cborMap{1: 1, 2: 1, 3: "s", 99: 9}, 3}}}})
-	f.Add(odd)
+	unknown, _ := cbor.Marshal(cborMap{1: 2, 2: []any{cborMap{1: "o", 3: 5, 9: 9,
+		4: []any{cborMap{1: 99}, cborMap{1: 1, 2: 1, 3: "s", 99: 9}, 3}}}})
+	f.Add(unknown)
 }
 
-// Any bytes give a bounded number of entries, and valid ones are encoded to the same values.
+// FuzzDecode checks that any bytes give a limited number of entries, and that valid entries keep their values
+// when they are encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	seeds(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -133,22 +140,24 @@
 		}
 		got = slices.DeleteFunc(got, func(e Entry) bool { return !e.valid(testTime, MaxPacketBytes) || e.ExpiresAt() <= testTime })
 		if !slices.Equal(again, got) {
-			t.Fatalf("%v\n%v", got, again)
+			t.Fatalf("decoded\n%v\nencoded and decoded again\n%v", got, again)
 		}
 	})
 }
 
-// Two packets of any bytes leave a store within its limits, and the same in either order.
+// FuzzMerge checks that two packets of any bytes leave a store within its limits, and that their order does
+// not matter.
 func FuzzMerge(f *testing.F) {
 	store := New(Identity{Name: "p", StartedAtMs: 1}, Limits{})
-	items := func(n int) (items []Observation) {
+	observations := func(n int) (observations []Observation) {
 		for i := range n {
-			items = append(items, Observation{Kind: ServerUnhealthy, Subject: fmt.Sprint(i)})
+			observations = append(observations, Observation{Kind: ServerUnhealthy, Subject: fmt.Sprint(i)})
 		}
-		return items
+		return observations
 	}
 	for n := 1; n < 4; n++ {
-		f.Add(Encode(testTime, store.Publish(testTime, items(n)), 1500)[0], Encode(testTime, store.Entries(testTime), 1500)[0])
+		f.Add(Encode(testTime, store.Publish(testTime, observations(n)), 1500)[0],
+			Encode(testTime, store.Entries(testTime), 1500)[0])
 	}
 	f.Fuzz(func(t *testing.T, a, b []byte) {
 		one, two := New(Identity{Name: "self", StartedAtMs: 5}, Limits{}), New(Identity{Name: "self", StartedAtMs: 5}, Limits{})
@@ -163,7 +172,7 @@
 			t.Fatalf("%+v", c)
 		}
 		if x, y := one.PeerEntries(testTime), two.PeerEntries(testTime); c.DroppedAtLimit+c.Evicted+two.Counts().DroppedAtLimit+two.Counts().Evicted == 0 && !slices.Equal(x, y) {
-			t.Fatalf("%v\n%v", x, y)
+			t.Fatalf("the stores differ by the order of packets:\n%v\n%v", x, y)
 		}
 	})
 }
