--- a/cmd/merlinpick-cluster-proxy/cluster_test.go
+++ b/cmd/merlinpick-cluster-proxy/cluster_test.go
@@ -19,7 +19,8 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-// The test binary is also the program, so that it runs as the real one does.
+// TestMain runs the program instead of the tests if the environment asks for it, so that tests can start the
+// test binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("MERLINPICK_TEST_AS_PROGRAM") != "" {
 		main()
@@ -28,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-const testTimeout = 60 * time.Second // only a failing test waits so long
+const testTimeout = 60 * time.Second // only a failing test waits this long
 
 const configText = `{"name":%q,"listen":%q,"mgmt":%q,"discovery":"127.0.0.1:1","seed":"1",` +
 	`"fleet":{"bind":%q,"label":%q,"seeds":[%q]},"limits":{"cores":1.0,"memory_mb":192,"sockets":512},` +
@@ -38,13 +39,13 @@
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":800000,"name":"look","objective_us":400000,` +
 	`"repeat":"idempotent","worth":1}],"siblings":3}}`
 
-// member is one process.
+// member is one process of the program, with its addresses and its directory.
 type member struct {
 	*process.Process
 	name, listen, mgmt, bind, dir string
 }
 
-// free returns an address on which nothing listens, for UDP and TCP.
+// freeAddress returns an address that is free for UDP and TCP.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 20 {
@@ -52,30 +53,31 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close() // only after the others were allocated
+		defer l.Close() // deferred, so that the next attempt gets another port
 		u, err := net.ListenPacket("udp", l.Addr().String())
 		if err == nil {
 			u.Close()
 			return l.Addr().String()
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatal("no port is free for both TCP and UDP")
 	return ""
 }
 
+// newMember returns a member with free addresses and an empty directory. It does not start it.
 func newMember(t *testing.T, name string) *member {
 	return &member{name: name, listen: freeAddress(t), mgmt: freeAddress(t), bind: freeAddress(t), dir: t.TempDir()}
 }
 
-// start starts the process, or starts it again.
-func (m *member) start(t *testing.T, s *process.Starter, label, seed string) {
+// start starts or restarts the process.
+func (m *member) start(t *testing.T, starter *process.Starter, label, seed string) {
 	t.Helper()
 	path := filepath.Join(m.dir, "config.json")
 	if err := os.WriteFile(path, fmt.Appendf(nil, configText, m.name, m.listen, m.mgmt, m.bind, label, seed), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	log := filepath.Join(m.dir, "log")
-	p, err := s.Start(process.Spec{Name: m.name, Command: []string{os.Args[0]}, Dir: m.dir, Log: log,
+	p, err := starter.Start(process.Spec{Name: m.name, Command: []string{os.Args[0]}, Dir: m.dir, Log: log,
 		Env: []string{"MERLINPICK_TEST_AS_PROGRAM=1", "LB_CONFIG=" + path, "TMPDIR=" + m.dir}})
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +91,8 @@
 	})
 }
 
-// metrics returns the management address's figures; none while it does not answer.
+// metrics returns the metrics of the management address, without the prefix "app.". The map is empty while
+// the address does not answer.
 func (m *member) metrics() map[string]int {
 	out := map[string]int{}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -107,30 +110,34 @@
 	return out
 }
 
-func (m *member) until(t *testing.T, what string, holds func(f map[string]int) bool) {
+// until waits until the metrics meet a condition. what describes the condition.
+func (m *member) until(t *testing.T, what string, condition func(f map[string]int) bool) {
 	t.Helper()
 	f := m.metrics()
-	for end := time.Now().Add(testTimeout); !holds(f); f = m.metrics() {
+	for end := time.Now().Add(testTimeout); !condition(f); f = m.metrics() {
 		if time.Now().After(end) {
 			t.Fatalf("%s: timeout waiting for %s: %v", m.name, what, f)
 		}
-		if f["fleet_oldest_ms"] > 5000 { // the longest TTL in this test: load reports
+		if f["fleet_oldest_ms"] > 5000 { // the longest TTL in this test, that of load reports
 			t.Errorf("%s uses entries that are %d ms old", m.name, f["fleet_oldest_ms"])
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
+// metricIs returns the condition that a metric has a value.
 func metricIs(key string, want int) func(map[string]int) bool {
-	return func(f map[string]int) bool { n, told := f[key]; return told && n == want }
+	return func(f map[string]int) bool { n, known := f[key]; return known && n == want }
 }
 
-func (m *member) call(t *testing.T, verb, nodo string) {
+// call suspends or resumes a server at the management address.
+func (m *member) call(t *testing.T, action, nodo string) {
 	t.Helper()
-	m.post(t, "nodos/"+nodo+"/"+verb)
+	m.post(t, "nodos/"+nodo+"/"+action)
 }
 
-// post repeats a call until it is confirmed: a slow disk may delay it.
+// post sends a POST request to the management address. It repeats the request while the member answers 503,
+// because a slow disk may delay the confirmation.
 func (m *member) post(t *testing.T, path string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
@@ -150,7 +157,7 @@
 	}
 }
 
-// ask sends a client's request and ignores the response.
+// request sends a client's request and ignores the response.
 func (m *member) request(id int) {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+m.listen+"/look/k", nil)
 	req.Header = http.Header{"Request-Id": {strconv.Itoa(id)}, "Request-Class": {"look"}, "Request-Timeout-Ms": {"800"}}
@@ -159,71 +166,74 @@
 	}
 }
 
-// Three processes form a cluster, through crashes, stops and replacement of single ones.
+// TestThreeProcessesFormACluster checks that three processes form a cluster and keep overrides while single
+// processes crash, lose their disk, are stopped and continued, and are replaced, and that foreign traffic is
+// rejected.
 func TestThreeProcessesFormACluster(t *testing.T) {
-	s := process.NewStarter()
-	defer s.Close()
+	starter := process.NewStarter()
+	defer starter.Close()
 	a, b, c := newMember(t, "a"), newMember(t, "b"), newMember(t, "c")
 	all := []*member{a, b, c}
-	together := func(what string, holds func(map[string]int) bool) {
+	allUntil := func(what string, condition func(map[string]int) bool) {
 		t.Helper()
-		begun := time.Now()
+		started := time.Now()
 		for _, m := range all {
-			m.until(t, what, holds)
+			m.until(t, what, condition)
 		}
-		t.Logf("%s: %v", what, time.Since(begun).Round(time.Millisecond))
+		t.Logf("%s: %v", what, time.Since(started).Round(time.Millisecond))
 	}
 	for _, m := range all {
-		m.start(t, s, "test", a.bind)
+		m.start(t, starter, "test", a.bind)
 	}
-	together("three members from one seed", metricIs("fleet_living", 3))
-	together("the end of isolation", metricIs("fleet_alone", 0))
+	allUntil("three members from one seed", metricIs("fleet_living", 3))
+	allUntil("the end of isolation", metricIs("fleet_alone", 0))
 
 	a.call(t, "suspend", "n%2F1")
-	together("a suspension at all members", metricIs("ejected", 1))
+	allUntil("a suspension at all members", metricIs("ejected", 1))
 	if err := a.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range all[1:] {
-		m.until(t, "the death of the called member", metricIs("fleet_living", 2))
+		m.until(t, "the crash of the member that was called", metricIs("fleet_living", 2))
 		m.until(t, "its suspension to stay", metricIs("ejected", 1))
 	}
-	a.dir = t.TempDir() // without its disk it receives the override from the others
-	a.start(t, s, "test", b.bind)
-	together("three live members", metricIs("fleet_living", 3))
-	together("the suspension at the restarted member", metricIs("ejected", 1))
+	a.dir = t.TempDir() // without its files it receives the override from the others
+	a.start(t, starter, "test", b.bind)
+	allUntil("three live members", metricIs("fleet_living", 3))
+	allUntil("the suspension at the restarted member", metricIs("ejected", 1))
 	b.call(t, "resume", "n%2F1")
-	together("the resumption at all members", metricIs("ejected", 0))
+	allUntil("the resumption at all members", metricIs("ejected", 0))
 
-	a.call(t, "suspend", "n%2F1") // at two: each stores it, and the resumption applies to both
+	a.call(t, "suspend", "n%2F1") // suspended at two members: each stores it, and one resumption ends both
 	b.call(t, "suspend", "n%2F1")
-	together("the suspension at two members", metricIs("ejected", 1))
+	allUntil("the suspension at two members", metricIs("ejected", 1))
 	c.call(t, "resume", "n%2F1")
-	together("its resumption", metricIs("ejected", 0))
+	allUntil("its resumption", metricIs("ejected", 0))
 	b.until(t, "its own file to be removed", func(map[string]int) bool {
-		kept, err := filepath.Glob(filepath.Join(b.dir, "fernlanding-*", "ban-*"))
-		return err == nil && len(kept) == 0
+		files, err := filepath.Glob(filepath.Join(b.dir, "fernlanding-*", "ban-*"))
+		return err == nil && len(files) == 0
 	})
 
-	stranger := newMember(t, "d")
-	stranger.start(t, s, "other", a.bind)
-	stranger.until(t, "a foreign label to be rejected", func(f map[string]int) bool { return f["fleet_join_failed"] > 0 })
+	foreign := newMember(t, "d")
+	foreign.start(t, starter, "other", a.bind)
+	foreign.until(t, "a foreign label to be rejected",
+		func(f map[string]int) bool { return f["fleet_join_failed"] > 0 })
 	before := a.metrics()["fleet_refused.label"]
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 100 {
-		junk := make([]byte, 1+random.IntN(1000))
-		for i := range junk {
-			junk[i] = byte(random.Uint32())
+		data := make([]byte, 1+random.IntN(1000))
+		for i := range data {
+			data[i] = byte(random.Uint32())
 		}
 		for _, network := range []string{"udp", "tcp"} {
 			if conn, err := net.Dial(network, a.bind); err == nil {
-				_, _ = conn.Write(junk)
+				_, _ = conn.Write(data)
 				conn.Close()
 			}
 		}
 	}
 	a.until(t, "random bytes to be counted", func(f map[string]int) bool { return f["fleet_refused.label"] > before+50 })
-	stranger.until(t, "the foreign member to be alone", metricIs("fleet_living", 1))
+	foreign.until(t, "the foreign member to be alone", metricIs("fleet_living", 1))
 
 	id := 0
 	a.until(t, "reports of c", func(f map[string]int) bool {
@@ -242,23 +252,25 @@
 	if err := c.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	together("the continued member to be back", metricIs("fleet_living", 3))
-	together("the override that was set meanwhile", metricIs("fleet_suspended", 1))
-	c.until(t, "messages from the stop to be rejected", func(f map[string]int) bool { return f["fleet_refused.late"] > 0 })
+	allUntil("the continued member to be back", metricIs("fleet_living", 3))
+	allUntil("the override that was set meanwhile", metricIs("fleet_suspended", 1))
+	c.until(t, "messages from before the stop to be rejected",
+		func(f map[string]int) bool { return f["fleet_refused.late"] > 0 })
 
-	next := *b // a successor, which joins once b has left
-	next.mgmt = freeAddress(t)
-	next.start(t, s, "test", a.bind)
-	next.until(t, "a start without waiting for the address", metricIs("fleet_open", 0))
+	successor := *b // a successor of b with the same address, which joins after b has left
+	successor.mgmt = freeAddress(t)
+	successor.start(t, starter, "test", a.bind)
+	successor.until(t, "the successor to start without waiting for the address", metricIs("fleet_open", 0))
 	if clean, err := b.Terminate(testTimeout); err != nil || !clean {
-		t.Errorf("b: clean %v, %v", clean, err)
+		t.Errorf("stopping b: clean %v, error %v", clean, err)
 	}
-	all[1] = &next
-	together("the successor in place of b", func(f map[string]int) bool { return f["fleet_living"] == 3 && f["fleet_suspended"] == 1 })
+	all[1] = &successor
+	allUntil("the successor in place of b",
+		func(f map[string]int) bool { return f["fleet_living"] == 3 && f["fleet_suspended"] == 1 })
 
 	for _, m := range all {
 		if clean, err := m.Terminate(testTimeout); err != nil || !clean {
-			t.Errorf("%s: clean %v, %v", m.name, clean, err)
+			t.Errorf("stopping %s: clean %v, error %v", m.name, clean, err)
 		}
 	}
 }
--- a/internal/cluster/config_test.go
+++ b/internal/cluster/config_test.go
@@ -16,19 +16,22 @@
 	`"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,"try_limit":3},"membership_mode":"automatic",` +
 	`"profiles":[{"give_up_us":8,"name":"look","objective_us":4,"repeat":"idempotent","worth":1}],"siblings":1},"fleet":%s}`
 
+// TestReadSection checks the values of a section, and that its name overrides that of the proxy.
 func TestReadSection(t *testing.T) {
 	for _, c := range []struct{ more, name, want string }{{"", "n4", "n4"}, {`,"name":"n5"`, "n4", "n5"}} {
-		f, _, err := parseSection([]byte(`{"label":"x","bind":"127.0.0.1:9","seeds":["127.0.0.1:8"]`+c.more+`}`), c.name)
+		cfg, _, err := parseSection(
+			[]byte(`{"label":"x","bind":"127.0.0.1:9","seeds":["127.0.0.1:8"]`+c.more+`}`), c.name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Name != c.want || f.Label != "x" || f.Bind != "127.0.0.1:9" || !slices.Equal(f.Seeds, []string{"127.0.0.1:8"}) {
-			t.Errorf("%+v", f)
+		if cfg.Name != c.want || cfg.Label != "x" || cfg.Bind != "127.0.0.1:9" ||
+			!slices.Equal(cfg.Seeds, []string{"127.0.0.1:8"}) {
+			t.Errorf("the section is parsed as %+v", cfg)
 		}
 	}
 }
 
-// Each feature can be disabled by itself.
+// TestSectionDisablesFeatures checks that flap damping and weight tuning can each be disabled separately.
 func TestSectionDisablesFeatures(t *testing.T) {
 	for section, want := range map[string][2]bool{`{"label":"x"}`: {false, false}, `{"label":"x","damping":false}`: {true, false},
 		`{"label":"x","damping":true,"tuning":false}`: {false, true}} {
@@ -37,12 +40,13 @@
 			t.Fatal(err)
 		}
 		if s := c.Proxy.Site.Balancer; s.DisableFlapDamping != want[0] || s.DisableWeightTuning != want[1] {
-			t.Errorf("%s: undamped %t, untuned %t", section, s.DisableFlapDamping, s.DisableWeightTuning)
+			t.Errorf("%s: flap damping disabled %t, weight tuning disabled %t", section, s.DisableFlapDamping,
+				s.DisableWeightTuning)
 		}
 	}
 }
 
-// load reads a complete configuration with this section.
+// load loads a complete configuration with the given name and "fleet" section. env is the value of LB_NAME.
 func load(t *testing.T, name, section, env string, reader config.ClusterReader) (*config.Config, string, error) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, fmt.Appendf(nil, configText, name, section), 0o600); err != nil {
@@ -52,6 +56,8 @@
 	return c, path, err
 }
 
+// TestSectionErrorsAreConfigErrors checks that each error names the file, the key, the problem and a remedy,
+// and that a name from the configuration or the environment is enough.
 func TestSectionErrorsAreConfigErrors(t *testing.T) {
 	for _, c := range []struct{ name, env, section, key, problem string }{
 		{"n", "", `{"bind":7}`, "fleet.bind", "JSON number"},
@@ -64,28 +70,29 @@
 		{"", "", `{"label":"x"}`, "fleet.name", "missing"},
 	} {
 		_, path, err := load(t, c.name, c.section, c.env, ReadConfig)
-		var fault *config.Error
-		if !errors.As(err, &fault) || fault.File != path || fault.Key != c.key || !strings.Contains(fault.Problem, c.problem) ||
-			fault.Remedy == "" || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v", c.section, err)
+		var configError *config.Error
+		if !errors.As(err, &configError) || configError.File != path || configError.Key != c.key ||
+			!strings.Contains(configError.Problem, c.problem) ||
+			configError.Remedy == "" || strings.Contains(err.Error(), "\n") {
+			t.Errorf("section %s: got error %v", c.section, err)
 		}
 	}
 	for _, c := range []struct{ name, env, section string }{{"n", "", `{"label":"x"}`}, {"", "m", `{"label":"x"}`}} {
 		got, _, err := load(t, c.name, c.section, c.env, ReadConfig)
 		if err != nil || got.Proxy.Cluster == nil || got.Proxy.Cluster.Descriptors == 0 {
-			t.Errorf("%+v: %+v, %v", c, got, err)
+			t.Errorf("%+v: loaded %+v, error %v", c, got, err)
 		}
 	}
 }
 
-// Any section is read, or its error names a remedy.
+// FuzzRead checks that any section is either parsed to a valid configuration or rejected with a remedy.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"label":"x","bind":"127.0.0.1:9","seeds":["127.0.0.1:8"]}`))
 	f.Fuzz(func(t *testing.T, section []byte) {
 		c, _, err := parseSection(section, "n")
-		var fault *config.Error
-		if err == nil && c.Check() != nil || errors.As(err, &fault) && fault.Remedy == "" {
-			t.Errorf("%+v, %v", c, err)
+		var configError *config.Error
+		if err == nil && c.Check() != nil || errors.As(err, &configError) && configError.Remedy == "" {
+			t.Errorf("parsed %+v, error %v", c, err)
 		}
 	})
 }
--- a/internal/cluster/queue/queue_test.go
+++ b/internal/cluster/queue/queue_test.go
@@ -9,9 +9,10 @@
 
 const maxPacketBytes = 1400
 
-// Each entry is sent the given number of times, with its age at that time, and not after its expiry.
+// TestEntriesAreSentTheirNumberOfTimes checks that each entry is sent as often as requested, with its age at
+// that time, and not after its expiry, and that a full queue drops entries.
 func TestEntriesAreSentTheirNumberOfTimes(t *testing.T) {
-	made := func(n int) (out []state.Entry) {
+	newEntries := func(n int) (out []state.Entry) {
 		for i := range n {
 			out = append(out, state.Entry{Kind: state.ServerFlap, Subject: fmt.Sprint("s", i), Observer: "a", Incarnation: 1,
 				Seq: uint64(i + 1), ObservedAt: 1000, TTL: state.ServerFlap.TTL()})
@@ -19,73 +20,76 @@
 		return out
 	}
 	q := New(func() int { return 3 })
-	entries := made(100)
+	entries := newEntries(100)
 	q.Add(entries)
 	q.Add(entries) // replaces the same entries
 	sent := map[string]int{}
 	now := int64(1000)
 	for p := q.NextPacket(now, maxPacketBytes); p != nil; p = q.NextPacket(now, maxPacketBytes) {
 		if now += 5000; len(p) > maxPacketBytes {
-			t.Fatalf("a packet of %d bytes", len(p))
+			t.Fatalf("a packet has %d bytes, over the limit", len(p))
 		}
 		in, _, err := state.Decode(now, p)
 		for _, e := range in {
 			if sent[e.Subject]++; e.ObservedAt > 1000+5000 || err != nil {
-				t.Fatalf("at %d: made at %d: %v", now, e.ObservedAt, err)
+				t.Fatalf("a packet of time %d has an entry observed at %d, want at most 6000; error %v", now,
+					e.ObservedAt, err)
 			}
 		}
 	}
 	if len(sent) != 100 {
-		t.Errorf("%d were sent", len(sent))
+		t.Errorf("%d of 100 entries were sent", len(sent))
 	}
 	for s, n := range sent {
 		if n != 3 {
-			t.Errorf("%s was sent %d times", s, n)
+			t.Errorf("%s was sent %d times, want 3", s, n)
 		}
 	}
 	q.Add(entries)
 	p := q.NextPacket(entries[0].ExpiresAt(), maxPacketBytes)
 	if n, _, _ := q.Counts(); p != nil || n != 0 {
-		t.Errorf("%d expired entries wait, %d bytes were sent", n, len(p))
+		t.Errorf("%d expired entries are waiting, %d bytes were sent", n, len(p))
 	}
-	q.Add(made(MaxEntries + 100))
+	q.Add(newEntries(MaxEntries + 100))
 	if n, _, dropped := q.Counts(); n != MaxEntries || dropped != 100 {
-		t.Errorf("%d wait, %d were dropped", n, dropped)
+		t.Errorf("%d entries wait and %d were dropped after adding 100 too many", n, dropped)
 	}
 }
 
-// Fault reports go before health reports, also where these fill the datagrams; health reports still go in the end.
+// TestUrgentEntriesGoFirst checks that fault reports are sent before health reports, even if these fill the
+// datagrams, and that each datagram still has health reports.
 func TestUrgentEntriesGoFirst(t *testing.T) {
 	q := New(func() int { return 4 })
-	made := func(kind state.Kind, n int) {
+	addEntries := func(kind state.Kind, n int) {
 		for i := range n {
 			q.Add([]state.Entry{{Kind: kind, Subject: fmt.Sprint(kind, i), Observer: "a", Incarnation: 1, Seq: uint64(i + 1),
 				ObservedAt: 1000, TTL: kind.TTL()}})
 		}
 	}
-	made(state.ServerUnhealthy, 3)
-	made(state.ZoneHealthy, 500)
-	bad := 0
+	addEntries(state.ServerUnhealthy, 3)
+	addEntries(state.ZoneHealthy, 500)
+	unhealthy := 0
 	for n := 1; n <= 8; n++ {
 		in, _, _ := state.Decode(1000, q.NextPacket(1000, maxPacketBytes))
-		well := 0
+		healthy := 0
 		for _, e := range in {
 			if e.Kind == state.ZoneHealthy {
-				well++
+				healthy++
 			} else if n == 1 {
-				bad++
+				unhealthy++
 			}
 		}
-		if well == 0 {
+		if healthy == 0 {
 			t.Errorf("no health report in packet %d", n)
 		}
 	}
-	if bad != 3 {
-		t.Errorf("%d of three fault reports went at once", bad)
+	if unhealthy != 3 {
+		t.Errorf("%d of 3 fault reports are in the first packet", unhealthy)
 	}
 }
 
-// A full queue of a large cluster: each packet takes what fits, and as many entries are added.
+// BenchmarkNextPacketOfFullQueue measures NextPacket for the full queue of a large cluster. After each packet
+// about as many entries are added as it holds.
 func BenchmarkNextPacketOfFullQueue(b *testing.B) {
 	q := New(func() int { return TransmitCount(1300) })
 	entries := make([]state.Entry, 1<<16)
--- a/internal/cluster/transport/node_test.go
+++ b/internal/cluster/transport/node_test.go
@@ -19,67 +19,73 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const testTimeout = 30 * time.Second // only a failing test waits so long
+const testTimeout = 30 * time.Second // only a failing test waits this long
 
 var start = time.Now()
 
+// micros returns the microseconds since the start of the test program, above 0.
 func micros() int64 { return time.Since(start).Microseconds() + 1 }
 
-// testNode is a node that runs.
+// testNode is a running node with the last snapshot that it sent.
 type testNode struct {
 	*Node
 	stopAndWait func()
 	snapshot    Snapshot
 }
 
+// testConfig returns the configuration of a node in cluster "test", in a zone of its own.
 func testConfig(name string, seeds ...string) Config {
 	return Config{Name: name, Zone: "z-" + name, Tier: "0", Bind: "127.0.0.1:0", Label: "test", Seeds: seeds,
 		StartedAtMs: time.Now().UnixMilli(), Now: micros, Logger: slog.New(slog.DiscardHandler)}
 }
 
+// startNode opens and runs a node until the end of the test.
 func startNode(t *testing.T, cfg Config) *testNode {
 	t.Helper()
-	l, err := Open(cfg)
+	node, err := Open(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); l.Run(ctx) }()
-	m := &testNode{Node: l, stopAndWait: func() { cancel(); <-ended }}
+	go func() { defer close(ended); node.Run(ctx) }()
+	m := &testNode{Node: node, stopAndWait: func() { cancel(); <-ended }}
 	t.Cleanup(m.stopAndWait)
 	return m
 }
 
-// until waits for a snapshot that meets a condition.
-func (m *testNode) until(t *testing.T, what string, holds func(Snapshot) bool) {
+// until waits for a snapshot that meets a condition. what describes the condition.
+func (m *testNode) until(t *testing.T, what string, condition func(Snapshot) bool) {
 	t.Helper()
-	late := time.After(testTimeout)
-	for !holds(m.snapshot) {
+	timeout := time.After(testTimeout)
+	for !condition(m.snapshot) {
 		select {
 		case m.snapshot = <-m.Snapshots():
-		case <-late:
+		case <-timeout:
 			t.Fatalf("%s: timeout waiting for %s: %+v, %+v", m.cfg.Name, what, m.snapshot, m.Metrics())
 		}
 	}
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds. what describes the condition.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("timeout waiting for ", what)
 		}
 	}
 }
 
+// hasEntry reports whether a snapshot has an entry of an observer about a subject.
 func hasEntry(s Snapshot, observer, subject string) bool {
 	return slices.ContainsFunc(s.PeerEntries, func(e state.Entry) bool { return e.Observer == observer && e.Subject == subject })
 }
 
-// Three nodes join through one seed, which starts last, receive each other's entries, and detect who leaves.
+// TestThreeNodesFormACluster checks that three nodes join through one seed, which starts last, receive each
+// other's entries and overrides, and detect that a node leaves.
 func TestThreeNodesFormACluster(t *testing.T) {
-	probe, err := net.Listen("tcp", "127.0.0.1:0") // reserves an address for the seed
+	probe, err := net.Listen("tcp", "127.0.0.1:0") // finds a free address for the seed
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,9 +93,9 @@
 	probe.Close()
 	all := []*testNode{startNode(t, testConfig("b", seed)), startNode(t, testConfig("c", seed))}
 	all[0].until(t, "isolation", func(s Snapshot) bool { return s.Isolated && all[0].Metrics().Isolations == 1 })
-	first := testConfig("a", seed)
-	first.Bind = seed
-	all = append(all, startNode(t, first))
+	seedConfig := testConfig("a", seed)
+	seedConfig.Bind = seed
+	all = append(all, startNode(t, seedConfig))
 	for _, m := range all {
 		m.Publish([]state.Observation{{Kind: state.ServerUnhealthy, Subject: "s", SubjectStartMs: 1, Body: state.Body{Fault: 1, Calls: 9, BadFraction: 1}}})
 		m.until(t, "three members", func(s Snapshot) bool { return s.LiveMembers == 3 && s.LiveMembersInZone == 1 && !s.Isolated })
@@ -116,14 +122,15 @@
 		m.until(t, "two members", func(s Snapshot) bool { return s.LiveMembers == 2 && !hasEntry(s, "a", "s") })
 	}
 	if err := all[2].Suspend("n/1"); !errors.Is(err, ErrClosed) {
-		t.Errorf("a call after Close: %v", err)
+		t.Errorf("Suspend after Close returns %v, want ErrClosed", err)
 	}
 	if f := all[0].Metrics(); f.Isolated || f.BytesIn == 0 || f.BytesOut == 0 || f.Joined < 2 || f.Left != 1 || f.JoinFailures == 0 {
-		t.Errorf("metrics %+v", f)
+		t.Errorf("unexpected metrics of node b: %+v", f)
 	}
 }
 
-// Traffic of another cluster, another tier, or random bytes is counted and rejected, and the cluster goes on.
+// TestForeignTrafficIsRejected checks that traffic of another cluster or another tier, random bytes and too
+// many connections are rejected and counted, and that the cluster keeps working.
 func TestForeignTrafficIsRejected(t *testing.T) {
 	a := startNode(t, testConfig("a"))
 	b := startNode(t, testConfig("b", a.Addr()))
@@ -135,12 +142,12 @@
 	seed := uint64(1)
 	random := rand.New(rand.NewPCG(seed, seed))
 	for i := range 200 {
-		junk := make([]byte, 1+random.IntN(3000))
-		for j := range junk {
-			junk[j] = byte(random.Uint32())
+		data := make([]byte, 1+random.IntN(3000))
+		for j := range data {
+			data[j] = byte(random.Uint32())
 		}
-		if i%2 == 0 { // behind the right label
-			junk = append([]byte{244, 4, 't', 'e', 's', 't'}, junk...)
+		if i%2 == 0 { // after the right label
+			data = append([]byte{244, 4, 't', 'e', 's', 't'}, data...)
 		}
 		for _, network := range []string{"udp", "tcp"} {
 			if network == "tcp" && i%10 > 1 {
@@ -150,7 +157,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_, _ = conn.Write(junk) // the peer may have closed it
+			_, _ = conn.Write(data) // the node may have closed the connection
 			conn.Close()
 		}
 	}
@@ -169,11 +176,12 @@
 	}
 	b.until(t, "the suspension", func(s Snapshot) bool { return s.Overrides["n"] && s.LiveMembers == 2 })
 	if s := c.Metrics(); s.LiveMembers != 1 || s.SuspendedServers != 0 {
-		t.Errorf("the foreign node has %+v", s)
+		t.Errorf("the node with another label takes part in the cluster: %+v", s)
 	}
 }
 
-// An override outlives its process; one that cannot be stored is rejected and has no effect.
+// TestOverridesSurviveRestart checks that overrides survive a restart, that an override that cannot be stored
+// is rejected and has no effect, and that a damaged file is renamed.
 func TestOverridesSurviveRestart(t *testing.T) {
 	cfg := testConfig("a")
 	cfg.StateDir = t.TempDir()
@@ -188,14 +196,14 @@
 	if err := os.RemoveAll(cfg.StateDir); err != nil {
 		t.Fatal(err)
 	}
-	var keep *StoreError
-	if err := a.Suspend("o"); !errors.As(err, &keep) {
-		t.Errorf("a suspension without a directory: %v", err)
+	var storeError *StoreError
+	if err := a.Suspend("o"); !errors.As(err, &storeError) {
+		t.Errorf("Suspend without a state directory returns %v, want a StoreError", err)
 	}
-	if err := a.Resume("n"); !errors.As(err, &keep) {
-		t.Errorf("a resumption without a directory: %v", err)
+	if err := a.Resume("n"); !errors.As(err, &storeError) {
+		t.Errorf("Resume without a state directory returns %v, want a StoreError", err)
 	}
-	<-a.Snapshots() // may be an old one
+	<-a.Snapshots() // may be from before the calls
 	a.snapshot = <-a.Snapshots()
 	a.until(t, "the previous overrides", func(s Snapshot) bool { return s.Overrides["n"] && !s.Overrides["o"] })
 	a.stopAndWait()
@@ -204,12 +212,14 @@
 	}
 	startNode(t, cfg)
 	if _, err := os.Stat(a.overrideFile.path + ".damaged"); err != nil {
-		t.Errorf("a damaged file: %v", err)
+		t.Errorf("the damaged file is not renamed: %v", err)
 	}
 }
 
+// TestConfigErrorsNameTheKey checks that the error of an invalid configuration names its key, and that an
+// address in use gives an OpenError.
 func TestConfigErrorsNameTheKey(t *testing.T) {
-	for key, spoil := range map[string]func(*Config){
+	for key, corrupt := range map[string]func(*Config){
 		"name":      func(c *Config) { c.Name = "" },
 		"label":     func(c *Config) { c.Label = "" },
 		"bind":      func(c *Config) { c.Bind = "0.0.0.0:1" },
@@ -217,90 +227,94 @@
 		"seeds":     func(c *Config) { c.Seeds = []string{"127.0.0.1:1", "127.0.0.1"} },
 	} {
 		cfg := testConfig("a")
-		spoil(&cfg)
+		corrupt(&cfg)
 		_, err := Open(cfg)
-		var bad *ConfigError
-		if !errors.As(err, &bad) || bad.Key != key {
-			t.Errorf("%s: %v", key, err)
+		var configError *ConfigError
+		if !errors.As(err, &configError) || configError.Key != key {
+			t.Errorf("invalid %s: Open returns %v", key, err)
 		}
 	}
 	a := startNode(t, testConfig("a"))
 	cfg := testConfig("b")
 	cfg.Bind = a.Addr()
-	var open *OpenError
-	if _, err := Open(cfg); !errors.As(err, &open) || open.Addr != a.Addr() {
-		t.Errorf("an address in use: %v", err)
+	var openError *OpenError
+	if _, err := Open(cfg); !errors.As(err, &openError) || openError.Addr != a.Addr() {
+		t.Errorf("Open with an address in use returns %v, want an OpenError", err)
 	}
 }
 
-// Other members can identify a connection by its source address.
+// TestConnectionsComeFromTheBoundAddress checks that connections come from the bound IP address, by which
+// other members can identify the node.
 func TestConnectionsComeFromTheBoundAddress(t *testing.T) {
-	there, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer there.Close()
+	defer listener.Close()
 	cfg := testConfig("a")
 	cfg.Bind = "127.0.0.77:0"
 	a := startNode(t, cfg)
-	conn, err := a.network.DialTimeout(there.Addr().String(), testTimeout)
+	conn, err := a.network.DialTimeout(listener.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	if from := conn.LocalAddr().(*net.TCPAddr).IP.String(); from != "127.0.0.77" {
-		t.Error("from ", from)
+		t.Error("the connection comes from ", from)
 	}
 }
 
-// Only entries of live members are used, and only if they name the zone that the member announced.
+// TestEntriesOfLiveMembersOnly checks that only entries of live members are used, and only if they name the
+// zone that the member announced.
 func TestEntriesOfLiveMembersOnly(t *testing.T) {
 	m := newLiveMembers("self", "0", nil, slog.New(slog.DiscardHandler), func() {})
 	m.alive = map[string]liveMember{"a": {name: "a", zone: "north"}}
 	var got []string
-	for _, e := range m.filterLive([]state.Entry{{Observer: "a", ObserverZone: "north", Subject: "1"}, {Observer: "a", ObserverZone: "south", Subject: "2"},
+	for _, e := range m.filterLive([]state.Entry{{Observer: "a", ObserverZone: "north", Subject: "1"},
+		{Observer: "a", ObserverZone: "south", Subject: "2"},
 		{Observer: "left", ObserverZone: "north", Subject: "3"}}) {
 		got = append(got, e.Subject)
 	}
 	if !slices.Equal(got, []string{"1"}) {
-		t.Errorf("used %v", got)
+		t.Errorf("the entries about subjects %v are used, want only subject 1", got)
 	}
 }
 
-// After the process was stopped, messages that memberlist still held are rejected for a moment; then they are accepted.
+// TestMessagesFromBeforeAStopAreRejected checks that messages are rejected for a short time after the process
+// was stopped, because memberlist may have held them during the stop, and are accepted after that.
 func TestMessagesFromBeforeAStopAreRejected(t *testing.T) {
 	cfg := testConfig("a")
 	var now atomic.Int64
 	now.Store(1)
 	cfg.Now = now.Load
-	l, err := Open(cfg)
+	node, err := Open(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer node.Close()
 	for _, step := range []struct {
-		forth time.Duration
-		look  bool // the owner ticks before the message
-		taken bool
+		advance  time.Duration
+		ticked   bool // the owner ticks before the message
+		accepted bool
 	}{
 		{0, false, true}, {snapshotInterval, true, true}, {maxInputDelay, false, true}, {time.Microsecond, false, false},
 		{time.Minute, true, false}, {snapshotInterval / 2, true, false}, {snapshotInterval / 2, true, true},
 	} {
-		now.Add(step.forth.Microseconds())
-		if step.look {
-			l.tick(1)
+		now.Add(step.advance.Microseconds())
+		if step.ticked {
+			node.tick(1)
 		}
-		before := len(l.inbound)
-		if (delegate{l}).NotifyMsg([]byte{1}); (len(l.inbound) > before) != step.taken {
-			t.Errorf("%+v: taken %v", step, !step.taken)
+		before := len(node.inbound)
+		if (delegate{node}).NotifyMsg([]byte{1}); (len(node.inbound) > before) != step.accepted {
+			t.Errorf("%+v: accepted %v", step, !step.accepted)
 		}
 	}
-	if got := l.Metrics().Rejected[rejectLate]; got != 3 {
-		t.Errorf("%d are counted", got)
+	if got := node.Metrics().Rejected[rejectLate]; got != 3 {
+		t.Errorf("%d late messages are counted, want 3", got)
 	}
 }
 
-// The time that a datagram waited in the kernel is known.
+// TestKernelWait checks that the time that a datagram waited in the kernel is measured.
 func TestKernelWait(t *testing.T) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -319,17 +333,17 @@
 	time.Sleep(20 * time.Millisecond)
 	_, n, _, _, err := c.ReadMsgUDPAddrPort(make([]byte, 8), oob)
 	if d := kernelWait(oob[:n]); err != nil || d < 20*time.Millisecond || d > time.Since(sent) {
-		t.Errorf("waited %v of %v, %v", d, time.Since(sent), err)
+		t.Errorf("the datagram waited %v of %v, want 20 ms or more; error %v", d, time.Since(sent), err)
 	}
 }
 
-// Any metadata is safe to read, and what is read is bounded.
+// FuzzMeta checks that decoding any metadata is safe, and that what is decoded is within the limits.
 func FuzzMeta(f *testing.F) {
 	f.Add(memberMeta{metaVersion, "z", "t", 5}.encode(512))
 	f.Add([]byte{0xa1, 0x01, 0x02})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if m, ok := decodeMeta(b); ok && (m.Version < metaVersion || len(m.Zone) > maxNameBytes || len(m.Tier) > maxNameBytes) {
-			t.Errorf("read %+v", m)
+			t.Errorf("decoded metadata is out of range: %+v", m)
 		}
 	})
 }
