--- a/internal/tailweights/curvefit_test.go
+++ b/internal/tailweights/curvefit_test.go
@@ -5,33 +5,36 @@
 	"testing"
 )
 
+// TestFit checks that a fit finds the curve if loads differ, and otherwise uses the assumed concurrency. The
+// fit is merged from two and decayed, which must not change the result.
 func TestFit(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		loads      []float64
-		base, slot float64 // true ones
-		guess      float64
-		wantBase   float64
-		wantSlots  float64
-		within     float64
+		name              string
+		loads             []float64
+		base, concurrency float64 // true values, in milliseconds and calls
+		assumed           float64 // concurrency, calls
+		wantBase          float64
+		wantConcurrency   float64
+		tolerance         float64 // relative
 	}{
-		{"wide loads: what was seen", []float64{10, 50, 90, 140}, 20, 4, 8, 20, 4, 0.15},
-		{"one load: the guess", []float64{100, 100, 100}, 20, 4, 4, 20, 4, 1e-9},
-		{"one load, a wrong guess", []float64{100, 100, 100}, 20, 4, 8, 26.7, 8, 0.01},
+		{"different loads: the observations", []float64{10, 50, 90, 140}, 20, 4, 8, 20, 4, 0.15},
+		{"equal loads: the assumption", []float64{100, 100, 100}, 20, 4, 4, 20, 4, 1e-9},
+		{"equal loads, a wrong assumption", []float64{100, 100, 100}, 20, 4, 8, 26.7, 8, 0.01},
 	} {
 		var whole, part CurveFit
-		for i, x := range c.loads {
-			g := &whole
+		for i, load := range c.loads {
+			fit := &whole
 			if i%2 == 1 {
-				g = &part
+				fit = &part
 			}
-			g.Add(x, LatencyAt(c.base, c.slot/c.base*1000, x), 100)
+			fit.Add(load, LatencyAt(c.base, c.concurrency/c.base*1000, load), 100)
 		}
 		whole.Merge(part)
-		whole.Decay(0.5) // weights alone say nothing
-		base, cap, ok := whole.Estimate(c.guess*1000, 0.1, 8)
-		if !ok || math.Abs(base/c.wantBase-1) > c.within || math.Abs(base*cap/1000/c.wantSlots-1) > c.within {
-			t.Errorf("%s: base %g, %g slots, %v", c.name, base, base*cap/1000, ok)
+		whole.Decay(0.5) // a common factor of all weights does not matter
+		base, capacity, ok := whole.Estimate(c.assumed*1000, 0.1, 8)
+		if !ok || math.Abs(base/c.wantBase-1) > c.tolerance ||
+			math.Abs(base*capacity/1000/c.wantConcurrency-1) > c.tolerance {
+			t.Errorf("%s: estimated base %g and concurrency %g, ok %v", c.name, base, base*capacity/1000, ok)
 		}
 	}
 }
--- a/internal/tailweights/solver.go
+++ b/internal/tailweights/solver.go
@@ -35,7 +35,7 @@
 	MaxSteps       = maxNewtonSteps + 108
 	maxNewtonSteps = 12
 
-	maxRatio         = 30.0 // limit of latency/mean and weight/mean, and of 1 over each; small costs would be lost
+	maxRatio         = 30.0 // limit of latency/mean, weight/mean and their inverses; small costs would be lost
 	maxCallCost      = 1e3
 	maxCapacityRatio = 1e6 // limit of capacity/demand; with a higher ratio the load would be lost in rounding
 
--- a/internal/tailweights/solver_test.go
+++ b/internal/tailweights/solver_test.go
@@ -9,44 +9,52 @@
 	"pgregory.net/rapid"
 )
 
+// servers draws 1 to 40 servers whose minimum loads are far below their capacities.
 func servers(t *rapid.T) []Server {
 	one := rapid.Custom(func(t *rapid.T) Server {
-		cap := rapid.Float64Range(1, 1e4).Draw(t, "cap")
-		return Server{UnloadedLatency: rapid.Float64Range(10, 250).Draw(t, "base"), Capacity: cap,
-			MinLoad: cap * rapid.Float64Range(0, 0.05).Draw(t, "floor"), Weight: rapid.Float64Range(0.5, 5).Draw(t, "worth"),
-			CallCost: rapid.Float64Range(0, 3).Draw(t, "price")}
+		capacity := rapid.Float64Range(1, 1e4).Draw(t, "capacity")
+		return Server{UnloadedLatency: rapid.Float64Range(10, 250).Draw(t, "base"), Capacity: capacity,
+			MinLoad:  capacity * rapid.Float64Range(0, 0.05).Draw(t, "minLoad"),
+			Weight:   rapid.Float64Range(0.5, 5).Draw(t, "weight"),
+			CallCost: rapid.Float64Range(0, 3).Draw(t, "callCost")}
 	})
 	return rapid.SliceOfN(one, 1, 40).Draw(t, "servers")
 }
 
-func capacity(s []Server) (caps, floors float64) {
+// sums returns the sums of the servers' capacities and minimum loads.
+func sums(s []Server) (capacities, minLoads float64) {
 	for _, x := range s {
-		caps += x.Capacity
-		floors += x.MinLoad
+		capacities += x.Capacity
+		minLoads += x.MinLoad
 	}
-	return caps, floors
+	return capacities, minLoads
 }
 
-// margin is the marginal cost by its definition, not as the search writes it.
-func margin(s Server, base, worth, x float64) float64 {
-	t, up := LatencyAt(s.UnloadedLatency, s.Capacity, x)/base, x/s.Capacity/(1-x/s.Capacity)
-	return s.Weight/worth*math.Pow(t, 4)*(1+4*up) + s.CallCost
+// marginalCost returns the marginal cost of a load x by its definition, without the transformations of the
+// search.
+func marginalCost(s Server, meanLatency, meanWeight, x float64) float64 {
+	t, ratio := LatencyAt(s.UnloadedLatency, s.Capacity, x)/meanLatency, x/s.Capacity/(1-x/s.Capacity)
+	return s.Weight/meanWeight*math.Pow(t, 4)*(1+4*ratio) + s.CallCost
 }
 
+// TestOptimum checks that loads add up to the demand, lie between their limits and are optimal: the marginal
+// cost is the same at all servers that are not at a limit.
 func TestOptimum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := servers(t)
-		caps, floors := capacity(s)
-		demand := floors + (caps*MaxUtilization-floors)*rapid.Float64Range(0.001, 0.999).Draw(t, "use")
+		capacities, minLoads := sums(s)
+		demand := minLoads + (capacities*MaxUtilization-minLoads)*rapid.Float64Range(0.001, 0.999).Draw(t,
+			"utilization")
 		var solver Solver
 		x, ok := solver.Solve(nil, s, demand)
-		base, worth := means(s)
-		sum, low, high := 0.0, 0.0, math.Inf(1) // the one marginal cost lies above all low and below all high
+		meanLatency, meanWeight := means(s)
+		sum, low, high := 0.0, 0.0, math.Inf(1) // the common marginal cost lies between low and high
 		for i, c := range s {
 			sum += x[i]
-			m := margin(c, base, worth, x[i])
+			m := marginalCost(c, meanLatency, meanWeight, x[i])
 			if x[i] < c.MinLoad || x[i] > c.Capacity*MaxUtilization {
-				t.Fatalf("server %d has %g, outside %g and %g", i, x[i], c.MinLoad, c.Capacity*MaxUtilization)
+				t.Fatalf("server %d has load %g, outside %g to %g", i, x[i], c.MinLoad,
+					c.Capacity*MaxUtilization)
 			}
 			if x[i] > c.MinLoad*(1+1e-9) {
 				low = max(low, m)
@@ -56,123 +64,137 @@
 			}
 		}
 		if !ok || math.Abs(sum-demand) > Tolerance*demand {
-			t.Fatalf("%v: the loads add up to %g of %g", ok, sum, demand)
+			t.Fatalf("ok %v: the loads add up to %g, the demand is %g", ok, sum, demand)
 		}
 		if low > high*(1+1e-6) {
-			t.Fatalf("moving load from one at a marginal cost of %g to one at %g is cheaper", low, high)
+			t.Fatalf("the loads are not optimal: one server has a marginal cost of %g, another one %g", low,
+				high)
 		}
 		if solver.Steps >= MaxSteps {
-			t.Fatalf("%d steps", solver.Steps)
+			t.Fatalf("the search took %d steps, the maximum", solver.Steps)
 		}
 	})
 }
 
+// TestMoreCapacityIsNoLessLoad checks that a server whose capacity rises does not get less load.
 func TestMoreCapacityIsNoLessLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := servers(t)
-		caps, floors := capacity(s)
-		demand := floors + (caps*MaxUtilization-floors)*rapid.Float64Range(0.01, 0.95).Draw(t, "use")
-		i := rapid.IntRange(0, len(s)-1).Draw(t, "which")
+		capacities, minLoads := sums(s)
+		demand := minLoads + (capacities*MaxUtilization-minLoads)*rapid.Float64Range(0.01, 0.95).Draw(t,
+			"utilization")
+		i := rapid.IntRange(0, len(s)-1).Draw(t, "server")
 		var solver Solver
 		before, _ := solver.Solve(nil, s, demand)
-		s[i].Capacity *= rapid.Float64Range(1, 3).Draw(t, "more")
+		s[i].Capacity *= rapid.Float64Range(1, 3).Draw(t, "factor")
 		after, _ := solver.Solve(nil, s, demand)
 		if after[i] < before[i]*(1-1e-7) {
-			t.Fatalf("server %d has %g after its capacity rose, %g before", i, after[i], before[i])
+			t.Fatalf("server %d has load %g after its capacity rose, and %g before", i, after[i], before[i])
 		}
 	})
 }
 
+// TestEqualServersGetEqualLoads checks that equal servers get exactly equal loads.
 func TestEqualServersGetEqualLoads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := servers(t)
 		s = append(s, s...)
-		caps, _ := capacity(s)
+		capacities, _ := sums(s)
 		var solver Solver
-		x, _ := solver.Solve(nil, s, caps*rapid.Float64Range(0, 1.5).Draw(t, "use"))
+		x, _ := solver.Solve(nil, s, capacities*rapid.Float64Range(0, 1.5).Draw(t, "utilization"))
 		for i, h := 0, len(s)/2; i < h; i++ {
 			if x[i] != x[i+h] {
-				t.Fatalf("equal servers %d and %d have %v and %v", i, i+h, x[i], x[i+h])
+				t.Fatalf("equal servers %d and %d have loads %v and %v", i, i+h, x[i], x[i+h])
 			}
 		}
 	})
 }
 
-// The best of all ways to share 200 parts over three servers is no better.
+// TestAgainstBruteForce checks that none of the ways to distribute 200 equal parts of the demand over three
+// servers costs less than the solution.
 func TestAgainstBruteForce(t *testing.T) {
-	cost := func(s []Server, base, worth float64, x ...float64) (sum float64) {
+	cost := func(s []Server, meanLatency, meanWeight float64, x ...float64) (sum float64) {
 		for i, c := range s {
-			sum += x[i] * (c.Weight/worth*math.Pow(LatencyAt(c.UnloadedLatency, c.Capacity, x[i])/base, 4) + c.CallCost)
+			sum += x[i] * (c.Weight/meanWeight*math.Pow(LatencyAt(c.UnloadedLatency, c.Capacity,
+				x[i])/meanLatency, 4) + c.CallCost)
 		}
 		return sum
 	}
-	rnd := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
 		var s []Server
 		for range 3 {
-			s = append(s, Server{UnloadedLatency: 10 + 40*rnd.Float64(), Capacity: 50 + 100*rnd.Float64(), Weight: 1 + rnd.Float64(), CallCost: rnd.Float64()})
+			s = append(s, Server{UnloadedLatency: 10 + 40*random.Float64(),
+				Capacity: 50 + 100*random.Float64(), Weight: 1 + random.Float64(),
+				CallCost: random.Float64()})
 		}
-		caps, _ := capacity(s)
-		demand := caps * (0.1 + 0.8*rnd.Float64())
+		capacities, _ := sums(s)
+		demand := capacities * (0.1 + 0.8*random.Float64())
 		var solver Solver
 		x, _ := solver.Solve(nil, s, demand)
-		base, worth := means(s)
+		meanLatency, meanWeight := means(s)
 		best := math.Inf(1)
 		for i := range 201 {
 			for j := range 201 - i {
 				a, b := demand*float64(i)/200, demand*float64(j)/200
-				best = min(best, cost(s, base, worth, a, b, demand-a-b))
+				best = min(best, cost(s, meanLatency, meanWeight, a, b, demand-a-b))
 			}
 		}
-		if got := cost(s, base, worth, x...); got > best*(1+1e-9) {
-			t.Errorf("%+v, demand %g: cost %g, one of %g is found by trying", s, demand, got, best)
+		if got := cost(s, meanLatency, meanWeight, x...); got > best*(1+1e-9) {
+			t.Errorf("%+v, demand %g: the solution costs %g, a distribution found by trying costs %g", s,
+				demand, got, best)
 		}
 	}
 }
 
+// FuzzSolve checks that any numbers give loads within the limits, and that any observations give a valid
+// curve.
 func FuzzSolve(f *testing.F) {
 	nan, inf := math.NaN(), math.Inf(1)
 	f.Add(nan, inf, -1.0, 0.0, nan, 5.0, 1e308)
 	f.Add(1e-308, 1e308, 1e308, 1e308, 0.0, 0.0, 3.0)
 	f.Add(10.0, 100.0, 1.0, 1.0, 0.0, 50.0, 0.0)
-	f.Fuzz(func(t *testing.T, base, cap, floor, worth, price, demand, other float64) {
-		s := []Server{{base, cap, floor, worth, price}, {other, cap, 0, 1, 0}, {base, other, floor, 0, 0}}
+	f.Fuzz(func(t *testing.T, base, capacity, minLoad, weight, callCost, demand, other float64) {
+		s := []Server{{base, capacity, minLoad, weight, callCost}, {other, capacity, 0, 1, 0},
+			{base, other, minLoad, 0, 0}}
 		var solver Solver
 		x, ok := solver.Solve(nil, s, demand)
 		sum := 0.0
 		for i, v := range x {
 			sum += v
 			if !(v >= 0) || math.IsInf(v, 1) || ok && v > positiveOrZero(s[i].Capacity)*MaxUtilization*(1+1e-9) {
-				t.Fatalf("server %d of %+v has %g at a demand of %g", i, s, v, demand)
+				t.Fatalf("server %d of %+v has load %g at a demand of %g", i, s, v, demand)
 			}
 		}
 		if ok && math.Abs(sum-positiveOrZero(demand)) > 1e-6*positiveOrZero(demand) {
-			t.Fatalf("%+v: %g of a demand of %g", s, sum, demand)
+			t.Fatalf("%+v: the loads add up to %g, the demand is %g", s, sum, demand)
 		}
-		var g CurveFit
-		g.Add(base, cap, floor)
-		g.Add(other, worth, 1)
-		if b, c, ok := g.Estimate(price, 0.2, 8); ok && !(b > 0 && c > 0 && !math.IsInf(b+c, 1)) {
-			t.Fatalf("a curve of base %g, capacity %g", b, c)
+		var fit CurveFit
+		fit.Add(base, capacity, minLoad)
+		fit.Add(other, weight, 1)
+		if b, c, ok := fit.Estimate(callCost, 0.2, 8); ok && !(b > 0 && c > 0 && !math.IsInf(b+c, 1)) {
+			t.Fatalf("Estimate returns a curve with base %g and capacity %g", b, c)
 		}
 	})
 }
 
+// BenchmarkSolve measures Solve by the number of servers.
 func BenchmarkSolve(b *testing.B) {
 	for _, n := range []int{20, 200, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			rnd := rand.New(rand.NewPCG(1, 1))
+			random := rand.New(rand.NewPCG(1, 1))
 			var s []Server
 			for range n {
-				s = append(s, Server{UnloadedLatency: 10 + 40*rnd.Float64(), Capacity: 50 + 100*rnd.Float64(), MinLoad: 1, Weight: 1})
+				s = append(s, Server{UnloadedLatency: 10 + 40*random.Float64(),
+					Capacity: 50 + 100*random.Float64(), MinLoad: 1, Weight: 1})
 			}
-			caps, _ := capacity(s)
+			capacities, _ := sums(s)
 			var solver Solver
 			var x []float64
 			steps := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				x, _ = solver.Solve(x[:0], s, 0.7*caps)
+				x, _ = solver.Solve(x[:0], s, 0.7*capacities)
 				steps = solver.Steps
 			}
 			b.ReportMetric(float64(steps), "steps")
