--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -48,7 +48,8 @@
 func disabled(enabled *bool) bool { return enabled != nil && !*enabled }
 
 // parseSection parses the section, and checks the part of a transport.Config that comes from it.
-func parseSection(text json.RawMessage, proxyName string) (cfg *transport.Config, parsed fleetSection, err error) {
+func parseSection(text json.RawMessage, proxyName string) (
+	cfg *transport.Config, parsed fleetSection, err error) {
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return nil, parsed, err
 	}
--- a/internal/cluster/state/decode.go
+++ b/internal/cluster/state/decode.go
@@ -59,6 +59,7 @@
 	skipped Skipped
 }
 
+// checkVersion rejects packets without a version and counts those of newer versions.
 func (d *decoder) checkVersion(version uint64) error {
 	if version == 0 {
 		return &PacketError{d.size, "its version is missing or 0"}
@@ -69,6 +70,7 @@
 	return nil
 }
 
+// add adds a decoded entry, or counts it as skipped.
 func (d *decoder) add(observer, zone string, incarnation int64, w *wireEntry) {
 	if !knownKind(w.Kind) {
 		d.skipped.UnknownKinds++
@@ -104,6 +106,7 @@
 	return d.entries, d.skipped, nil
 }
 
+// decodeLenientEntry decodes one entry of a group, or counts it as skipped.
 func (d *decoder) decodeLenientEntry(raw cbor.RawMessage, g *group[cbor.RawMessage]) {
 	var header struct {
 		Kind uint64 `cbor:"1,keyasint"`
@@ -149,7 +152,8 @@
 			return all, skipped, &PacketError{len(rest), err.Error()}
 		}
 		if len(all) > maxSequenceEntries {
-			return all, skipped, &PacketError{len(rest), fmt.Sprintf("over the limit after %d entries", len(all))}
+			return all, skipped, &PacketError{len(rest),
+				fmt.Sprintf("over the limit after %d entries", len(all))}
 		}
 		entries, packetSkipped, err := Decode(now, raw)
 		if err != nil {
--- a/internal/cluster/state/encode.go
+++ b/internal/cluster/state/encode.go
@@ -31,6 +31,7 @@
 	packFull               // the entry does not fit into the current packet
 )
 
+// add adds an entry to the current packet if it fits.
 func (p *packer) add(now int64, e *Entry) packResult {
 	p.entry.fill(now, e)
 	p.encoded.Reset()
--- a/internal/cluster/state/entry.go
+++ b/internal/cluster/state/entry.go
@@ -8,9 +8,9 @@
 
 // Limits of the numbers in entries.
 const (
-	maxAgeMs      = 1 << 43
-	maxStamp      = 1 << 53 // incarnations, start times (ms), sequence numbers, Lamport versions
-	maxBodyNumber = 1 << 40 // Calls and Value; a power of two, so that rounding does not exceed it
+	maxAgeMs       = 1 << 43
+	maxWireInteger = 1 << 53 // incarnations, start times (ms), sequence numbers, Lamport versions
+	maxBodyNumber  = 1 << 40 // Calls and Value; a power of two, so that rounding does not exceed it
 )
 
 // Body is the content of an entry. Its floating-point numbers are rounded to 11 significant bits, which takes
@@ -119,8 +119,8 @@
 		len(e.ObserverZone) > maxNameBytes || !utf8.ValidString(e.ObserverZone) || !e.Body.valid(maxNameBytes) {
 		return false
 	}
-	if e.SubjectStartMs < 0 || e.SubjectStartMs > maxStamp || e.Incarnation < 0 || e.Incarnation > maxStamp ||
-		e.Seq == 0 || e.Seq > maxStamp {
+	if e.SubjectStartMs < 0 || e.SubjectStartMs > maxWireInteger || e.Incarnation < 0 ||
+		e.Incarnation > maxWireInteger || e.Seq == 0 || e.Seq > maxWireInteger {
 		return false
 	}
 	if e.Kind == Override {
--- a/internal/cluster/state/golden_test.go
+++ b/internal/cluster/state/golden_test.go
@@ -64,7 +64,8 @@
 		Entry{Kind: ServerUnhealthy, Subject: "same-start", SubjectStartMs: started, Observer: "proxy-c", Incarnation: started, Seq: 1 << 40,
 			ObservedAt: testTime, TTL: ServerUnhealthy.TTL(),
 			Body: Body{Fault: 200, Calls: maxBodyNumber, BadFraction: 1, Value: 0.0625}},
-		Entry{Kind: ServerLoad, Subject: "earlier-start", SubjectStartMs: 1, Observer: "proxy-c", Incarnation: started, Seq: maxStamp,
+		Entry{Kind: ServerLoad, Subject: "earlier-start", SubjectStartMs: 1, Observer: "proxy-c",
+			Incarnation: started, Seq: maxWireInteger,
 			ObservedAt: testTime - 4*second, TTL: 4500 * millisecond})
 }
 
--- a/internal/cluster/state/merge.go
+++ b/internal/cluster/state/merge.go
@@ -13,6 +13,7 @@
 	mergeDropped
 )
 
+// add counts the outcome of merging one entry.
 func (c *Counts) add(result mergeResult) {
 	switch result {
 	case mergeAccepted:
@@ -56,6 +57,7 @@
 	swept       bool      // all peers were swept to make room
 }
 
+// mergeEntry merges one received entry.
 func (m *merge) mergeEntry(e *Entry) mergeResult {
 	s := m.store
 	switch {
@@ -156,7 +158,7 @@
 	}
 	if e.Incarnation >= own.incarnation {
 		// Rate-limited: two members with the same name would otherwise raise their incarnations without end.
-		if m.now-s.incarnationRaisedAt < second || e.Incarnation >= maxStamp {
+		if m.now-s.incarnationRaisedAt < second || e.Incarnation >= maxWireInteger {
 			return mergeSelfConflict
 		}
 		m.raiseIncarnation(e.Incarnation + 1)
--- a/internal/cluster/state/override.go
+++ b/internal/cluster/state/override.go
@@ -59,7 +59,7 @@
 		return nil, nil
 	}
 	e := newOverride(server, suspend)
-	e.Observer, e.Seq, e.ObservedAt = s.identity.Name, min(s.overrideVersion+1, maxStamp), now
+	e.Observer, e.Seq, e.ObservedAt = s.identity.Name, min(s.overrideVersion+1, maxWireInteger), now
 	if s.mergeOverride(now, &e) == mergeDropped {
 		return nil, &LimitError{server, s.limits.Overrides}
 	}
--- a/internal/cluster/state/publish.go
+++ b/internal/cluster/state/publish.go
@@ -165,5 +165,5 @@
 
 func (o *Observation) valid(maxNameBytes int) bool {
 	return o.Kind.Known() && o.Kind != Override && validName(o.Subject, maxNameBytes) && o.Body.valid(maxNameBytes) &&
-		o.SubjectStartMs >= 0 && o.SubjectStartMs <= maxStamp
+		o.SubjectStartMs >= 0 && o.SubjectStartMs <= maxWireInteger
 }
--- a/internal/cluster/state/store.go
+++ b/internal/cluster/state/store.go
@@ -120,7 +120,7 @@
 
 // New returns an empty Store.
 func New(identity Identity, limits Limits) *Store {
-	identity.StartedAtMs = min(max(identity.StartedAtMs, 0), maxStamp-1)
+	identity.StartedAtMs = min(max(identity.StartedAtMs, 0), maxWireInteger-1)
 	return &Store{identity: identity, limits: limits.withDefaults(), incarnationRaisedAt: math.MinInt64 / 2,
 		own: observer{name: identity.Name, zone: identity.Zone, incarnation: identity.StartedAtMs}}
 }
--- a/internal/cluster/state/store_test.go
+++ b/internal/cluster/state/store_test.go
@@ -186,7 +186,7 @@
 		"bad fraction over 1": func(e *Entry) { e.Body.BadFraction = 1.1 }, "NaN": func(e *Entry) { e.Body.Calls = math.NaN() },
 		"infinite": func(e *Entry) { e.Body.Value = math.Inf(1) }, "negative": func(e *Entry) { e.Body.Calls = -1 },
 		"seq 0": func(e *Entry) { e.Seq = 0 }, "start": func(e *Entry) { e.SubjectStartMs = -1 },
-		"incarnation": func(e *Entry) { e.Incarnation = maxStamp + 1 },
+		"incarnation": func(e *Entry) { e.Incarnation = maxWireInteger + 1 },
 		"override with TTL": func(e *Entry) {
 			*e = Entry{Kind: Override, Subject: "s", Observer: "o", Seq: 1, ObservedAt: testTime, TTL: 1}
 		},
--- a/internal/cluster/state/wire.go
+++ b/internal/cluster/state/wire.go
@@ -128,7 +128,8 @@
 		e.SubjectStartMs = incarnation + w.StartOffsetMs
 	}
 	ok = w.AgeMs >= 0 && w.AgeMs <= maxAgeMs && w.TTLMs >= 0 && w.TTLMs <= maxAgeMs &&
-		incarnation >= 0 && incarnation <= maxStamp && -maxStamp <= w.StartOffsetMs && w.StartOffsetMs <= maxStamp
+		incarnation >= 0 && incarnation <= maxWireInteger && -maxWireInteger <= w.StartOffsetMs &&
+		w.StartOffsetMs <= maxWireInteger
 	return e, ok
 }
 
--- a/internal/cluster/state/wire_test.go
+++ b/internal/cluster/state/wire_test.go
@@ -21,7 +21,8 @@
 			in[i].Observer += string(bytes.Repeat([]byte("x"), rapid.IntRange(0, 120).Draw(t, "long")))
 			in[i].ObservedAt -= rapid.Int64Range(0, millisecond-1).Draw(t, "within a millisecond")
 			if e := &in[i]; e.Kind != Override {
-				e.SubjectStartMs = rapid.SampledFrom([]int64{0, e.Incarnation, 7, maxStamp}).Draw(t, "start")
+				e.SubjectStartMs = rapid.SampledFrom([]int64{0, e.Incarnation, 7,
+					maxWireInteger}).Draw(t, "start")
 				e.Body.Value = rapid.Float64Range(0, maxBodyNumber).Draw(t, "value")
 			}
 		}
--- a/internal/cluster/transport/config.go
+++ b/internal/cluster/transport/config.go
@@ -71,7 +71,8 @@
 		}
 	}
 	if len(cfg.Zone) > maxNameBytes || len(cfg.Tier) > maxNameBytes {
-		return bind, advertise, &ConfigError{"zone", "its name is longer than 64 bytes", "use a shorter zone name"}
+		return bind, advertise, &ConfigError{"zone", "its name is longer than 64 bytes",
+			"use a shorter zone name"}
 	}
 	if bind, err = netip.ParseAddrPort(cfg.Bind); err != nil {
 		return bind, advertise, &ConfigError{"bind", fmt.Sprintf("%q: %v", cfg.Bind, err),
@@ -90,7 +91,8 @@
 	}
 	for _, seed := range cfg.Seeds {
 		if _, err := parseReachable(seed); err != nil {
-			return bind, advertise, &ConfigError{"seeds", fmt.Sprintf("%q is not a valid member address", seed),
+			return bind, advertise, &ConfigError{"seeds",
+				fmt.Sprintf("%q is not a valid member address", seed),
 				"use IP addresses and ports, like 127.0.0.1:7946"}
 		}
 	}
--- a/internal/cluster/transport/errors.go
+++ b/internal/cluster/transport/errors.go
@@ -31,7 +31,7 @@
 
 // Error returns a message with the addresses, the last cause and the remedy.
 func (e *JoinError) Error() string {
-	return fmt.Sprintf("join cluster: no member answers at %s: %v; joining is retried; if this lasts, check that "+
+	return fmt.Sprintf("join cluster: no member answers at %s: %v; this is retried; if it lasts, check that "+
 		"fleet.seeds are member addresses, fleet.label is the same for all, and UDP and TCP are not blocked",
 		strings.Join(e.Seeds, ", "), e.Err)
 }
@@ -79,7 +79,7 @@
 var (
 	errUnreachable    = errors.New("the port is 0, or the IP address is unspecified")
 	errWritesPending  = errors.New("too many earlier writes are still in progress")
-	errForeignMember  = errors.New("the node is not a member of this tier's cluster, or its metadata is invalid")
+	errForeignMember  = errors.New("the node is not in this tier's cluster, or its metadata is invalid")
 	errTooManyMembers = errors.New("the maximum number of live members is reached")
 	errStreamTooLong  = fmt.Errorf("a member sent more than %d bytes on one connection", maxStreamBytes)
 	errInvalidIP      = errors.New("not an IP address")
--- a/internal/cluster/transport/metrics.go
+++ b/internal/cluster/transport/metrics.go
@@ -88,9 +88,12 @@
 // updateMetrics stores the metrics that only the owner goroutine knows.
 func (n *Node) updateMetrics(now int64) {
 	owner := &n.owner
-	m := Metrics{Isolated: owner.isolated, Isolations: owner.isolations, State: owner.store.Counts(), Rejected: map[string]int64{
-		rejectUnreadable: owner.unreadable, rejectUnknownKind: int64(owner.skipped.UnknownKinds),
-		rejectMalformed: int64(owner.skipped.Malformed), rejectNewerVersion: int64(owner.skipped.NewerVersion)}}
+	m := Metrics{Isolated: owner.isolated, Isolations: owner.isolations, State: owner.store.Counts(),
+		Rejected: map[string]int64{
+			rejectUnreadable:   owner.unreadable,
+			rejectUnknownKind:  int64(owner.skipped.UnknownKinds),
+			rejectMalformed:    int64(owner.skipped.Malformed),
+			rejectNewerVersion: int64(owner.skipped.NewerVersion)}}
 	m.SuspendedServers = m.State.Suspended
 	for i := range owner.peerEntries {
 		if e := &owner.peerEntries[i]; e.ExpiresAt() > now {
--- a/internal/cluster/transport/owner.go
+++ b/internal/cluster/transport/owner.go
@@ -12,8 +12,9 @@
 	snapshotInterval     = 100 * time.Millisecond // also between ticks
 	isolationTimeout     = 2 * time.Second        // without hearing from another member
 	overrideSaveInterval = time.Second            // shortest time between writes of overrides that others set
-	maxInbound           = 256                    // waiting messages, each 1.4 KB, or maxExchangeBytes in exchanges
-	maxMergeBatch        = 64                     // messages merged before the owner does anything else
+	// maxInbound limits the queued messages. Each has 1.4 KB or, in an exchange, up to maxExchangeBytes.
+	maxInbound    = 256
+	maxMergeBatch = 64 // messages merged before the owner does anything else
 )
 
 // ownerState is the state of the owner goroutine, the only goroutine that uses the Store. Times are on
@@ -98,7 +99,8 @@
 	liveMembers, _ := n.members.liveCounts("")
 	othersExpected := len(n.seeds) > 0 || liveMembers > 1 || lastHeard != 0
 	switch {
-	case owner.isolated && !owner.isolationLogged && othersExpected && now-started > isolationTimeout.Microseconds():
+	case owner.isolated && !owner.isolationLogged && othersExpected &&
+		now-started > isolationTimeout.Microseconds():
 		owner.isolationLogged = true
 		owner.isolations++
 		n.cfg.Logger.Warn("cluster isolated", "duration", isolationTimeout, "seeds", n.seeds)
--- a/internal/tailweights/solver.go
+++ b/internal/tailweights/solver.go
@@ -35,7 +35,8 @@
 	MaxSteps       = maxNewtonSteps + 108
 	maxNewtonSteps = 12
 
-	maxRatio         = 30.0 // limit of latency/mean, weight/mean and their inverses; small costs would be lost
+	// maxRatio limits latency/mean, weight/mean and their inverses, because small costs would be lost.
+	maxRatio         = 30.0
 	maxCallCost      = 1e3
 	maxCapacityRatio = 1e6 // limit of capacity/demand; with a higher ratio the load would be lost in rounding
 
