--- a/internal/cluster/transport/owner.go
+++ b/internal/cluster/transport/owner.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	snapshotInterval     = 100 * time.Millisecond
-	isolationTimeout     = 2 * time.Second
-	overrideSaveInterval = time.Second // between two writes of overrides that others set, at least
-	maxInbound           = 256         // messages that wait for the owner, of 1.4 KB or, from exchanges, maxExchangeBytes
-	maxMergeBatch        = 64          // messages that are merged before anything else is done
+	snapshotInterval     = 100 * time.Millisecond // also between ticks
+	isolationTimeout     = 2 * time.Second        // without hearing from another member
+	overrideSaveInterval = time.Second            // shortest time between writes of overrides that others set
+	// maxInbound limits the queued messages. Each has 1.4 KB or, in an exchange, up to maxExchangeBytes.
+	maxInbound    = 256
+	maxMergeBatch = 64 // messages merged before the owner does anything else
 )
 
-// ownerState is the state of the owner goroutine, the only one that uses the Store. Times are on Config.Now's clock.
+// ownerState is the state of the owner goroutine, the only goroutine that uses the Store. Times are on
+// Config.Now's clock.
 type ownerState struct {
 	store      *state.Store
 	skipped    state.Skipped
-	unreadable int64 // packets that no entry could be read from
+	unreadable int64 // messages with a packet that could not be decoded
 
-	peerEntries      []state.Entry // of the last snapshot
-	lastSnapshot     int64         // 0: the next one is due now
+	peerEntries      []state.Entry // entries of the last snapshot
+	lastSnapshot     int64         // when it was sent; 0: the next one is due now
 	overrides        map[string]bool
-	overridesChanged bool // they may have changed since the last snapshot
-	overridesUnsaved bool // some of them are not on disk
+	overridesChanged bool // the overrides may have changed since the last snapshot
+	overridesUnsaved bool // some overrides of other members are not on disk
 	nextOverrideSave int64
 
 	isolated        bool
@@ -36,7 +38,7 @@
 
 // ownerLoop handles messages, calls and ticks until the context ends.
 func (n *Node) ownerLoop(ctx context.Context) {
-	n.own.isolated, n.own.overridesChanged = true, true
+	n.owner.isolated, n.owner.overridesChanged = true, true
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
 	started := n.cfg.Now()
@@ -59,7 +61,7 @@
 	}
 }
 
-// mergeWaiting merges messages that wait, up to maxMergeBatch.
+// mergeWaiting merges waiting messages, up to maxMergeBatch.
 func (n *Node) mergeWaiting() {
 	for range maxMergeBatch {
 		select {
@@ -71,9 +73,11 @@
 	}
 }
 
+// tick does the owner's periodic work.
 func (n *Node) tick(started int64) {
 	now := n.cfg.Now()
-	if now-n.lastTick.Load() > maxInputDelay.Microseconds() { // the process was stopped or starved, see receivedLate
+	// The process was stopped or got no CPU time, see receivedLate.
+	if now-n.lastTick.Load() > maxInputDelay.Microseconds() {
 		n.staleUntil.Store(now + snapshotInterval.Microseconds())
 	}
 	n.lastTick.Store(now)
@@ -85,82 +89,86 @@
 	n.updateMetrics(now)
 }
 
-// updateIsolation determines whether any other member is heard. It logs only where others are expected.
+// updateIsolation determines whether this member is isolated. It logs a change only if other members are
+// expected.
 func (n *Node) updateIsolation(started, now int64) {
-	own := &n.own
+	owner := &n.owner
 	lastHeard := n.lastHeard.Load()
-	wasIsolated := own.isolated
-	own.isolated = lastHeard == 0 || now-lastHeard > isolationTimeout.Microseconds()
-	liveMembers, _ := n.members.count("")
+	wasIsolated := owner.isolated
+	owner.isolated = lastHeard == 0 || now-lastHeard > isolationTimeout.Microseconds()
+	liveMembers, _ := n.members.liveCounts("")
 	othersExpected := len(n.seeds) > 0 || liveMembers > 1 || lastHeard != 0
 	switch {
-	case own.isolated && !own.isolationLogged && othersExpected && now-started > isolationTimeout.Microseconds():
-		own.isolationLogged = true
-		own.isolations++
+	case owner.isolated && !owner.isolationLogged && othersExpected &&
+		now-started > isolationTimeout.Microseconds():
+		owner.isolationLogged = true
+		owner.isolations++
 		n.cfg.Logger.Warn("cluster isolated", "duration", isolationTimeout, "seeds", n.seeds)
 		select {
 		case n.joinNow <- struct{}{}:
 		default:
 		}
-	case !own.isolated && own.isolationLogged:
-		own.isolationLogged = false
+	case !owner.isolated && owner.isolationLogged:
+		owner.isolationLogged = false
 		n.cfg.Logger.Info("cluster isolation ended", "live_members", liveMembers)
 	}
-	if wasIsolated != own.isolated {
-		own.lastSnapshot = 0
+	if wasIsolated != owner.isolated {
+		owner.lastSnapshot = 0
 	}
 }
 
-// publishOwn publishes this member's observations if they are new or may be due for renewal.
+// publishOwn publishes this member's observations if they changed or may be due for renewal.
 func (n *Node) publishOwn() {
 	n.mu.Lock()
 	observations, pending := n.observations, n.publishPending
 	n.publishPending = false
 	n.mu.Unlock()
 	if pending {
-		n.outbound.Add(n.own.store.Publish(n.cfg.Now(), observations))
+		n.outbound.Add(n.owner.store.Publish(n.cfg.Now(), observations))
 	}
 }
 
-// merge decodes a message with the ages that its entries had when it was received, and gossips what is new.
+// merge decodes and merges a message, and gossips the entries that changed the Store. The ages of its entries
+// count from the time at which the message was received.
 func (n *Node) merge(m message) {
 	decode := state.Decode
 	if m.fullExchange {
 		decode = state.DecodeAll
 	}
 	entries, skipped, err := decode(m.receivedAt, m.payload)
-	n.own.skipped.Add(skipped)
+	n.owner.skipped.Add(skipped)
 	if err != nil {
-		n.own.unreadable++
+		n.owner.unreadable++
 	}
-	changed := n.own.store.Merge(n.cfg.Now(), entries)
+	changed := n.owner.store.Merge(n.cfg.Now(), entries)
 	for i := range changed {
 		if changed[i].Kind == state.Override {
-			n.own.overridesChanged, n.own.overridesUnsaved = true, true
+			n.owner.overridesChanged, n.owner.overridesUnsaved = true, true
 		}
 	}
 	n.outbound.Add(changed)
 }
 
-// publishSnapshot sends a snapshot when one is due or an override changed. It replaces one that was not read.
+// publishSnapshot sends a snapshot if one is due or an override changed. It replaces a snapshot that was not
+// read yet.
 func (n *Node) publishSnapshot() {
-	own, now := &n.own, n.cfg.Now()
+	owner, now := &n.owner, n.cfg.Now()
 	changed := false
-	if own.overridesChanged {
+	if owner.overridesChanged {
 		overrides := map[string]bool{}
-		for _, record := range own.store.OverrideRecords(now) {
+		for _, record := range owner.store.OverrideRecords(now) {
 			overrides[record.Subject] = record.Suspended
 		}
-		changed = own.overrides == nil || !maps.Equal(overrides, own.overrides)
-		own.overrides, own.overridesChanged = overrides, false
+		changed = owner.overrides == nil || !maps.Equal(overrides, owner.overrides)
+		owner.overrides, owner.overridesChanged = overrides, false
 	}
-	if !changed && own.lastSnapshot != 0 && now-own.lastSnapshot < snapshotInterval.Microseconds() {
+	if !changed && owner.lastSnapshot != 0 && now-owner.lastSnapshot < snapshotInterval.Microseconds() {
 		return
 	}
-	own.lastSnapshot = now
-	own.peerEntries = n.members.ofLiveMembers(own.store.PeerEntries(now))
-	snapshot := Snapshot{Isolated: own.isolated, PeerEntries: own.peerEntries, Overrides: own.overrides}
-	snapshot.LiveMembers, snapshot.LiveMembersInZone = n.members.count(n.cfg.Zone)
+	owner.lastSnapshot = now
+	owner.peerEntries = n.members.filterLive(owner.store.PeerEntries(now))
+	snapshot := Snapshot{Isolated: owner.isolated, PeerEntries: owner.peerEntries, Overrides: owner.overrides}
+	snapshot.LiveMembers, snapshot.LiveMembersInZone = n.members.liveCounts(n.cfg.Zone)
 	select {
 	case <-n.snapshots:
 	default:
