--- a/internal/cluster/state/override.go
+++ b/internal/cluster/state/override.go
@@ -35,7 +35,7 @@
 
 // Error returns a message with the start of the name and what a valid name is.
 func (e *NameError) Error() string {
-	return fmt.Sprintf("server name %.40q is invalid: use 1 to %d bytes of UTF-8", e.Name, e.MaxBytes)
+	return fmt.Sprintf("name %.40q: use 1 to %d bytes of UTF-8", e.Name, e.MaxBytes)
 }
 
 // Suspend suspends a server for the whole cluster and returns the entries to gossip, none if the server is
--- a/internal/cluster/transport/errors.go
+++ b/internal/cluster/transport/errors.go
@@ -78,7 +78,7 @@
 
 var (
 	errUnreachable    = errors.New("the port is 0, or the IP address is unspecified")
-	errWritesPending  = errors.New("too many earlier writes are still in progress")
+	errWritesPending  = errors.New("earlier writes are still in progress")
 	errForeignMember  = errors.New("the node is not in this tier's cluster, or its metadata is invalid")
 	errTooManyMembers = errors.New("the maximum number of live members is reached")
 	errStreamTooLong  = fmt.Errorf("a member sent more than %d bytes on one connection", maxStreamBytes)
