--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// Balancer decides for one proxy. It owns the open requests and the order of steps; each rule is a type of
-// its own, in a file of its own, and alone writes its state:
+// Balancer makes the decisions of one proxy. It owns the open requests and the order of the steps. Each rule
+// is a type in its own file, and only that type writes the rule's state:
 //
 //	admission     limits of attempts in flight, priority of classes, Retry-After
-//	quotas        requests a second of each tenant
-//	ordering      order of the requests of one key
+//	quotas        request rate of each tenant
+//	ordering      order of the requests with one key
 //	retries       attempts after the first, retry budget, deadlines, timeouts
-//	selection     the draw of a server
-//	slowStart     what warming servers get
+//	selection     weighted random choice of a server
+//	slowStart     weight of servers that are warming up
 //	outliers      health of servers, ejection
-//	damping       servers that flap
+//	damping       damping of servers that flap
 //	locality      evacuation and recovery of zones, weight of remote servers
 //	spillover     weight of other zones by the state of the local one
 //	members       servers of the endpoint list
-//	listing       evidence while the list is stale
-//	subscription  watches of the list
+//	listing       evidence of membership while the endpoint list is stale
+//	subscription  watches of the endpoint list
 //	loads         load of servers over all replicas
-//	tuning        weights for the least tail
-//	reports       what this replica and others report
+//	tuning        weights that keep the latency tail low
+//	reports       reports of this replica and of the others
 //
-// The order in which a request is checked: the limit of the tier, the quota of its tenant, the limit of its
-// class, its deadline, and last whether a server may have it. A request over a limit is rejected at once.
+// A request is checked in this order: the limit of the tier, the quota of its tenant, the limit of its class,
+// its deadline, and last whether there is a server for it. A request over a limit is rejected at once.
 type Balancer struct {
 	*shared
 	requests map[string]*request // by ID, until all attempts have ended
@@ -50,8 +50,8 @@
 	reports      *reportExchange
 }
 
-// New returns a Balancer for the settings; all its random draws come from the seed. The error is a
-// *SettingsError.
+// New returns a Balancer with the given settings; all its random draws come from the seed. An error is always
+// a *SettingsError.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -84,13 +84,13 @@
 	return b, nil
 }
 
-// newClass is the state of a class of which nothing is known.
+// newClass returns the state of a class without any history.
 func (b *Balancer) newClass(rules Class) classState {
 	return classState{admission: b.admission.newClass(rules), latency: newClassLatency(rules)}
 }
 
-// applySettings has the rules take what follows from the settings in force. The feedback rounds of what all
-// classes have in common last as long as those of the slowest class.
+// applySettings derives the configuration of the rules from the current settings. The feedback rounds of
+// rules that all classes share last as long as those of the class with the longest latency objective.
 func (b *Balancer) applySettings() {
 	withDefaultBudget(b.settings)
 	roundDuration := span(0)
@@ -104,7 +104,8 @@
 	b.admission.configure(roundDuration)
 }
 
-// HandleTimer takes a timer that Host.SetTimer asked for. Tokens of what is over by now do nothing.
+// HandleTimer handles the expiry of a timer that was set by Host.SetTimer. A token of something that is over
+// by now has no effect.
 func (b *Balancer) HandleTimer(nowMicros int64, host Host, token string) {
 	now := moment(nowMicros)
 	if token == watchTimer {
@@ -120,8 +121,9 @@
 	}
 }
 
-// HandleRequest takes a request and sends or rejects it at once, unless it has to wait in its key's queue.
-// A request whose ID is open already is ignored; one of an unknown class fails.
+// HandleRequest handles a request from a client. It sends or rejects the request at once, unless the request
+// has to wait in the queue of its key. A request whose ID is already open is ignored; one of an unknown class
+// fails.
 func (b *Balancer) HandleRequest(nowMicros int64, host Host, received Request) {
 	now := moment(nowMicros)
 	if b.requests[received.ID] != nil {
@@ -142,7 +144,7 @@
 	}
 }
 
-// register takes a request into the table of open ones and counts it.
+// register adds a request to the open ones and counts it.
 func (b *Balancer) register(now moment, request *request) {
 	b.requests[request.ID] = request
 	b.arrivals.record(now)
@@ -150,8 +152,8 @@
 	b.quotas.recordRequest(now, request)
 }
 
-// enqueue puts a request into its key's queue, starts it if it is the first one, and rejects it if those
-// before it would take too long.
+// enqueue puts a request into the queue of its key, starts it if it is the first one, and rejects it if the
+// requests before it would take too long.
 func (b *Balancer) enqueue(now moment, host Host, request *request) {
 	b.ordering.join(request)
 	b.startNext(now, host, request.queue)
@@ -166,7 +168,7 @@
 	}
 }
 
-// startNext starts the request of a queue that may run now, and the next one where that is rejected.
+// startNext starts the request of a queue that may run now, or the next one if that is rejected.
 func (b *Balancer) startNext(now moment, host Host, queue *keyQueue) {
 	for request := queue.next(now); request != nil; request = queue.next(now) {
 		b.start(now, host, request)
@@ -174,7 +176,7 @@
 	b.ordering.discardIdle(now, queue)
 }
 
-// start sends a request's first attempt if all rules admit it, and rejects it otherwise.
+// start sends the first attempt of a request if all rules admit the request, and rejects it otherwise.
 func (b *Balancer) start(now moment, host Host, request *request) {
 	admitted := b.admission.admitsTier() && b.quotas.admits(now, request) &&
 		b.admission.admitsClass(request.Class)
@@ -190,7 +192,7 @@
 	}
 }
 
-// send sends an attempt of a request; false if there is no server to send it to.
+// send sends an attempt of a request. It returns false if there is no server to send it to.
 func (b *Balancer) send(now moment, host Host, request *request) bool {
 	server := b.selection.choose(now, request)
 	if server == nil {
@@ -222,14 +224,14 @@
 	return true
 }
 
-// reject ends a request unserved; its client may safely come again.
+// reject ends a request without serving it; its client may safely repeat it.
 func (b *Balancer) reject(now moment, host Host, request *request, reason RejectReason) {
 	host.Reject(request.ID, b.admission.reject(request, reason))
 	b.finish(now, host, request)
 }
 
-// finish marks a request as done and forgets it once all its attempts have ended; only then may the next
-// one of its key start.
+// finish marks a request as done and removes it once all its attempts have ended; only then may the next
+// request with its key start.
 func (b *Balancer) finish(now moment, host Host, request *request) {
 	request.done = true
 	if request.pending > 0 {
@@ -242,8 +244,8 @@
 	}
 }
 
-// HandleResponseStarted handles the start of a streamed response. The rest takes the client's time, so the
-// attempt's latency ends here.
+// HandleResponseStarted handles the start of a streamed response. How long the rest takes depends on the
+// client, so the attempt's latency ends here.
 func (b *Balancer) HandleResponseStarted(nowMicros int64, id string) {
 	now := moment(nowMicros)
 	request := b.requests[id]
@@ -261,9 +263,9 @@
 	}
 }
 
-// HandleBodyReceived handles the end of a request's body: its time begins, and deadline, in µs on the clock
-// of events, is its client's. It returns the timeout of its attempt, in µs; 0 if the request is
-// over.
+// HandleBodyReceived handles the end of a request's body. From now on the request's latency counts, and
+// deadline, in µs on the event clock, is when its client stops waiting. It returns the timeout of the pending
+// attempt, in µs; 0 if the request is over.
 func (b *Balancer) HandleBodyReceived(nowMicros int64, id string, deadline int64) (timeout int64) {
 	now := moment(nowMicros)
 	request := b.requests[id]
@@ -280,7 +282,7 @@
 	return max(int64(b.retries.deadline(request).since(now)), 1)
 }
 
-// HandleClientGone handles a client's departure: nobody waits for the request any more.
+// HandleClientGone handles a client that disconnected: nothing waits for the response any more.
 func (b *Balancer) HandleClientGone(nowMicros int64, host Host, id string) {
 	now := moment(nowMicros)
 	if request := b.requests[id]; request != nil {
@@ -288,7 +290,7 @@
 	}
 }
 
-// HandleOutcome takes the end of an attempt. A request that still needs a response is retried, rejected or
+// HandleOutcome handles the end of an attempt. A request that still needs a response is retried, rejected or
 // failed at once. Outcomes of unknown attempts are ignored.
 func (b *Balancer) HandleOutcome(nowMicros int64, host Host, outcome Outcome) {
 	now := moment(nowMicros)
@@ -301,7 +303,7 @@
 	attempt := request.attempts[outcome.Attempt]
 	attempt.pending = false
 	request.pending--
-	if attempt.responseStarted { // learned from already, unless the response breaks off
+	if attempt.responseStarted { // its latency is recorded already; only a broken response is news
 		if outcome.Status != StatusOK && outcome.Status != StatusCancelled {
 			b.outliers.attribute(attempt.server, request.Class, outcome.Status)
 		}
@@ -318,13 +320,13 @@
 	b.conclude(now, host, request, outcome)
 }
 
-// conclude decides what becomes of a request whose attempt has ended.
+// conclude finishes, retries, rejects or fails a request after one of its attempts has ended.
 func (b *Balancer) conclude(now moment, host Host, request *request, outcome Outcome) {
 	switch {
 	case outcome.RequestDone || request.done:
 		b.finish(now, host, request)
 	case request.pending > 0:
-		return // another attempt decides
+		return // the other attempt's outcome decides
 	case !outcome.NotReplayable && b.retry(now, host, request):
 		return // sent again
 	case b.retries.mayReject(request):
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestNoActionAfterARequestsEnd checks that a request whose client has its response, or has gone, causes no
+// further action when its attempt ends, and is removed.
 func TestNoActionAfterARequestsEnd(t *testing.T) {
 	for _, end := range []func(b *Balancer, h Host){
 		func(b *Balancer, h Host) { b.HandleClientGone(start+1000, h, "r") },
@@ -20,14 +22,16 @@
 		end(b, h)
 		b.HandleOutcome(start+2000, h, Outcome{RequestID: "r", Status: StatusRejected})
 		if len(h.lines) != before {
-			t.Errorf("an ended request brought %q", h.lines[before:])
+			t.Errorf("actions %q after the end of the request, want none", h.lines[before:])
 		}
 		if len(b.requests) != 0 {
-			t.Error("an ended request is kept")
+			t.Error("the Balancer still holds the request after its end")
 		}
 	}
 }
 
+// TestRandomSequencesKeepTheRules runs random event sequences and checks every action with a checker that
+// keeps its own records.
 func TestRandomSequencesKeepTheRules(t *testing.T) {
 	total := map[string]int{}
 	for seed := range uint64(32) {
@@ -46,17 +50,18 @@
 	}
 	for _, what := range []string{"send", "refuse", "fail"} {
 		if total[what] < 1000 {
-			t.Errorf("only %d of action %q: the sequences test too little", total[what], what)
+			t.Errorf("only %d actions of kind %q: the sequences cover too little", total[what], what)
 		}
 	}
 }
 
+// TestSameEventsGiveSameActions checks that a Balancer is deterministic for a given seed.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(4) {
 		one, _ := play(t, seed, 3000, seed%2 == 0)
 		two, _ := play(t, seed, 3000, seed%2 == 0)
 		if !slices.Equal(one, two) {
-			t.Errorf("seed %d: two runs differ", seed)
+			t.Errorf("seed %d: two runs with the same events have different actions", seed)
 		}
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkPick draws among a thousand servers: without peer reports, with them, with the local zone evacuated, and
-// with a third of the servers warming up.
+// BenchmarkPick measures a draw among a thousand servers: without peer reports (off), with them (on), with
+// the local zone evacuated (away), and with a third of the servers warming up (cold).
 func BenchmarkPick(b *testing.B) {
 	for _, zones := range []int{3, 9, 30} {
 		for _, how := range []string{"off", "on", "away", "cold"} {
@@ -43,7 +43,7 @@
 				q := &request{Request: Request{Settings: bal.settings, Class: 2}}
 				for b.Loop() {
 					if bal.selection.choose(moment(start+8*second), q) == nil {
-						b.Fatal("nothing drawn")
+						b.Fatal("no server was drawn")
 					}
 				}
 			})
@@ -51,8 +51,8 @@
 	}
 }
 
-// BenchmarkPickListed draws without peer reports, by the number of listed servers, the zones that these are spread over,
-// and calls a second.
+// BenchmarkPickListed measures a draw without peer reports, by the number of listed servers, the number of
+// their zones and the rate of calls per second.
 func BenchmarkPickListed(b *testing.B) {
 	for _, rate := range []int{66, 660} {
 		for _, zones := range []int{1, 3, 9} {
@@ -66,7 +66,7 @@
 					b.ReportAllocs()
 					for b.Loop() {
 						if bal.selection.choose(moment(start+8*second), q) == nil {
-							b.Fatal("nothing drawn")
+							b.Fatal("no server was drawn")
 						}
 					}
 				})
@@ -75,7 +75,7 @@
 	}
 }
 
-// BenchmarkServersHeld is the heap, in bytes, that each listed server takes, by the number of classes.
+// BenchmarkServersHeld measures the heap, in bytes, that listed servers occupy, by the number of classes.
 func BenchmarkServersHeld(b *testing.B) {
 	for _, classes := range []int{1, 4, 16} {
 		for _, n := range []int{15, 150, 1300, 2600} {
@@ -97,7 +97,7 @@
 	}
 }
 
-// replicaWithList is a replica of an inner tier that has a list and no peer reports.
+// replicaWithList returns a Balancer of an inner tier that has a list of n servers and no peer reports.
 func replicaWithList(b *testing.B, n, zones, classes int) *Balancer {
 	b.Helper()
 	set := testSettings()
--- a/balancer/clock.go
+++ b/balancer/clock.go
@@ -1,11 +1,11 @@
 package balancer
 
-// The units of time inside the decisions. What comes in and goes out through the interface is in plain microseconds.
+// The time types of the decision logic. The public interface uses plain integers in microseconds instead.
 
-// moment is a time on the clock of events, in µs. Its zero value is "never".
+// moment is a point in time on the event clock, in µs. Its zero value means "never".
 type moment int64
 
-// span is a length of time, in µs.
+// span is a duration, in µs.
 type span int64
 
 // Units of spans.
@@ -14,8 +14,8 @@
 	seconds      span = 1_000_000
 )
 
-// add is the moment a span later.
+// add returns the moment that is s later.
 func (m moment) add(s span) moment { return m + moment(s) }
 
-// since is the span from an earlier moment to this one.
+// since returns the time that has passed from an earlier moment to this one.
 func (m moment) since(earlier moment) span { return span(m - earlier) }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,9 +1,9 @@
 package balancer
 
-// What becomes of the ready servers when the endpoint list, suspensions or drained zones change.
+// Changes of the set of ready servers: by the endpoint list, by suspended servers and by drained zones.
 
-// UpdateEndpoints takes an endpoint list or its changes, as kind says, or that a poll or watch has failed.
-// Then entries are ignored.
+// UpdateEndpoints handles an update of the endpoint list; kind says what entries holds. They are ignored for
+// UpdateFailed.
 func (b *Balancer) UpdateEndpoints(nowMicros int64, host Host, kind UpdateKind, entries []Server) {
 	now := moment(nowMicros)
 	if kind == UpdateFailed {
@@ -24,26 +24,26 @@
 	}
 	b.refilter()
 	if b.locality.zones != nil {
-		b.removeUnhealthy(now) // one that has come back may be damped
+		b.removeUnhealthy(now) // a server that is listed again may have to be damped
 	}
 	if b.subscription.succeeded() {
 		host.Watch()
 	}
 }
 
-// SetSuspendedServers has the servers with these IDs and no others suspended, if need be all. One that is
-// resumed starts afresh and gets the next call that it can take.
+// SetSuspendedServers suspends exactly the servers with these IDs, which may be all of them. A server that is
+// resumed starts without history and gets the next call that it may have.
 func (b *Balancer) SetSuspendedServers(ids map[string]bool) {
 	b.members.suspend(ids)
 	b.refilter()
 }
 
-// SetDrainedZones has these zones and no others drained: their servers get nothing, not even trials. One
-// that is restored recovers by steps.
+// SetDrainedZones drains exactly these zones: their servers get no calls, not even trials. A zone that is
+// restored recovers in steps.
 func (b *Balancer) SetDrainedZones(nowMicros int64, host Host, zones map[int]bool) {
 	now := moment(nowMicros)
 	if len(zones) > 0 || len(b.members.drainedZones) > 0 {
-		b.trackZones() // first, so that draining one is a change of its phase
+		b.trackZones() // first, so that draining a zone counts as a change of its phase
 	}
 	before := b.members.drain(zones)
 	b.refilter()
@@ -51,7 +51,7 @@
 	b.refilter()
 }
 
-// refilter collects the ready servers anew, after a change of servers, zones or settings.
+// refilter rebuilds the list of ready servers after a change of servers, zones or settings.
 func (b *Balancer) refilter() {
 	if b.locality.zones == nil {
 		b.members.refilter(nil)
@@ -60,7 +60,7 @@
 	}
 }
 
-// trackZones begins to keep the state of zones, which a replica that hears of no others has no use for.
+// trackZones begins to keep the state of zones. A replica that exchanges no reports does not need it.
 func (b *Balancer) trackZones() {
 	if b.locality.track(b.members.drainedZones) {
 		b.refilter()
@@ -68,7 +68,7 @@
 }
 
 // removeUnhealthy damps the servers that flap and ejects those that are reported as unhealthy, within one
-// budget.
+// shared removal budget.
 func (b *Balancer) removeUnhealthy(now moment) {
 	b.outliers.clearEjections()
 	unhealthy := b.outliers.reportedUnhealthy(now)
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -5,14 +5,17 @@
 	"testing"
 )
 
-// A suspension goes before all preferences, and a server that is resumed gets the next call, warming up and remote as it
-// may be.
+// TestSuspendedServerGetsNothingAndIsProbedWhenResumed checks that a suspended server gets no calls, even if
+// all are suspended, and that a resumed server gets the next call, even if it is warming up or in another
+// zone.
 func TestSuspendedServerGetsNothingAndIsProbedWhenResumed(t *testing.T) {
-	for _, tip := range []float64{0, 3} { // a replica with so much traffic tries it at once, too, where cold servers fall over
+	// With an OverloadMultiple, a replica with this much traffic also sends the trial at once.
+	for _, tip := range []float64{0, 3} {
 		t.Run(fmt.Sprint(tip), func(t *testing.T) { suspendAndResume(t, tip) })
 	}
 }
 
+// suspendAndResume runs the test with one OverloadMultiple.
 func suspendAndResume(t *testing.T, tip float64) {
 	set := testSettings()
 	set.OverloadMultiple, set.OverloadWindow = tip, 2*second
@@ -34,29 +37,30 @@
 	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 	for range 300 {
 		if got := next(); got != "s1" && got != "s2" {
-			t.Fatalf("a call went to %q", got)
+			t.Fatalf("with s0 and s3 suspended a call went to %q", got)
 		}
 	}
 	if listed, avoided := b.ServerCounts(); listed != 4 || avoided != 2 {
-		t.Errorf("%d listed, %d avoided", listed, avoided)
+		t.Errorf("%d servers listed and %d avoided, want 4 and 2", listed, avoided)
 	}
 	b.SetSuspendedServers(map[string]bool{"s0": true, "s1": true, "s2": true, "s3": true})
 	if got := next(); got != "" {
-		t.Errorf("with all banned a call went to %q", got)
+		t.Errorf("with all servers suspended a call went to %q", got)
 	}
 	b.SetSuspendedServers(map[string]bool{"s0": true, "s1": true, "s2": true})
 	if got := next(); got != "s3" {
-		t.Errorf("the one that is back: a call went to %q", got)
+		t.Errorf("after s3 was resumed a call went to %q", got)
 	}
 	b.SetSuspendedServers(map[string]bool{"s0": true})
 	b.SetSuspendedServers(nil)
 	first := map[string]bool{next(): true, next(): true, next(): true}
 	if !first["s0"] || !first["s1"] || !first["s2"] {
-		t.Errorf("the first calls went to %v", first)
+		t.Errorf("the calls after s0, s1 and s2 were resumed went to %v", first)
 	}
 }
 
-// A retry keeps away from a server that was suspended after the first attempt.
+// TestSuspensionHoldsForRetries checks that a retry avoids a server that was suspended after the first
+// attempt.
 func TestSuspensionHoldsForRetries(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 2)
 	sendRequest(b, h, start, "1", 0)
@@ -68,11 +72,13 @@
 	b.HandleOutcome(start+1000, h, Outcome{RequestID: "1", Status: StatusError, Latency: 1000})
 	for _, s := range h.sends {
 		if s.server == other {
-			t.Errorf("sent to the banned %s", other)
+			t.Errorf("a retry was sent to %s, which is suspended", other)
 		}
 	}
 }
 
+// TestDrainingAndRemovedServersGetNothing checks that a server gets no calls from the update on that lists it
+// as draining or removed.
 func TestDrainingAndRemovedServersGetNothing(t *testing.T) {
 	for _, state := range []ServerState{ServerDraining, ServerRemoved} {
 		b, h := newWithServers(t, testSettings(), 4)
@@ -85,15 +91,17 @@
 		}
 		for _, s := range h.sends {
 			if s.server == "s0" || s.server == "s1" {
-				t.Fatalf("state %d: sent to %s", state, s.server)
+				t.Fatalf("state %d: a request was sent to %s, which is draining or removed", state, s.server)
 			}
 		}
 		if len(h.sends) < 100 {
-			t.Fatalf("only %d sends", len(h.sends))
+			t.Fatalf("only %d of 300 requests were sent", len(h.sends))
 		}
 	}
 }
 
+// TestServerMissingFromASnapshotIsRemoved checks that a complete list removes the servers that it does not
+// hold.
 func TestServerMissingFromASnapshotIsRemoved(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 2)
 	b.UpdateEndpoints(start, h, UpdateSnapshot, testServers(1))
@@ -103,7 +111,7 @@
 	}
 	for _, s := range h.sends {
 		if s.server != "s0" {
-			t.Fatalf("sent to %s", s.server)
+			t.Fatalf("a request was sent to %s, which the snapshot does not hold", s.server)
 		}
 	}
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -7,54 +7,56 @@
 	"strings"
 )
 
-// What a Balancer reports to on-call staff.
+// Events that a Balancer logs for the on-call staff.
 
 // Event is a change that on-call staff should see.
 type Event interface {
-	// Message is a short text, the same for all events of a type.
+	// Message returns a short text, the same for all events of a type.
 	Message() string
-	// Attributes are the event's values; zoneName gives the name of a zone's number.
+	// Attributes returns the event's values; zoneName returns the name of the zone with a number.
 	Attributes(zoneName func(zone int) string) []slog.Attr
-	// String is the message with its attributes, for hosts whose log has lines of text alone. Zones are numbers there.
+	// String returns the message with its attributes, for hosts that log plain lines of text. Zones are
+	// written as numbers.
 	fmt.Stringer
 }
 
-// ZonePhaseChanged is a zone's change of phase.
+// ZonePhaseChanged is logged when a zone changes its phase.
 type ZonePhaseChanged struct {
-	ObserverZone int       // the zone whose replicas see it so
+	ObserverZone int       // zone of the replica that logs the event
 	State        ZoneState // after the change
 	Previous     ZonePhase
 }
 
-// TenantsThrottled is logged while traffic within the shares of tenants is rejected, as calls are slow or fail.
+// TenantsThrottled is logged while slow or failing calls cause requests to be rejected that are within the
+// shares of their tenants.
 type TenantsThrottled struct {
 	Tier            int
-	QuotaMultiple   float64 // of its share that each tenant may have admitted, below 1
-	InFlight        int     // attempts
+	QuotaMultiple   float64 // multiple of its share that each tenant may have admitted; below 1
+	InFlight        int     // attempts in flight
 	FailureRate     float64 // running fraction of attempts that fail, 0 to 1
-	SpilloverWeight float64 // of servers in other zones, 0 to 1
+	SpilloverWeight float64 // weight of servers in other zones, 0 to 1
 }
 
-// DampedServersChanged is a change of the set of damped servers.
+// DampedServersChanged is logged when the set of damped servers changes.
 type DampedServersChanged struct {
 	Servers        []string // IDs
-	WeightFraction float64  // of its weight that each of them gets
+	WeightFraction float64  // fraction of its weight that each of them gets, 0 to 1
 }
 
-// DampedServer is a server that flaps and gets a steady, small weight.
+// DampedServer is a server that flaps and therefore gets a small, constant weight.
 type DampedServer struct {
 	Server      string  // ID
-	Penalty     float64 // of its flaps, now
-	DampedSince int64   // µs on the clock of events
+	Penalty     float64 // current penalty for its flaps
+	DampedSince int64   // µs on the event clock
 }
 
-// maxLoggedIDs is the length, in bytes, to which a list of server IDs is cut.
+// maxLoggedIDs is the length, in characters, to which a logged list of server IDs is cut.
 const maxLoggedIDs = 200
 
-// Message implements Event.
+// Message returns the text of the log line.
 func (e ZonePhaseChanged) Message() string { return "zone phase changed" }
 
-// Attributes implements Event.
+// Attributes returns the new and the previous phase of the zone and the observations behind the change.
 func (e ZonePhaseChanged) Attributes(zoneName func(zone int) string) []slog.Attr {
 	state := &e.State
 	return []slog.Attr{slog.String("zone", zoneName(state.Zone)), slog.String("observer_zone", zoneName(e.ObserverZone)),
@@ -65,35 +67,35 @@
 		slog.Int("transitions", state.Transitions)}
 }
 
-// String implements Event.
+// String returns the message with its attributes as key=value.
 func (e ZonePhaseChanged) String() string { return eventText(e) }
 
-// Message implements Event.
+// Message returns the text of the log line.
 func (e TenantsThrottled) Message() string { return "tenants throttled" }
 
-// Attributes implements Event.
+// Attributes returns the fields of the event; it names no zones.
 func (e TenantsThrottled) Attributes(func(zone int) string) []slog.Attr {
 	return []slog.Attr{slog.Int("tier", e.Tier), slog.String("quota_multiple", fmt.Sprintf("%.2f", e.QuotaMultiple)),
 		slog.Int("in_flight", e.InFlight), slog.String("failure_rate", fmt.Sprintf("%.2f", e.FailureRate)),
 		slog.String("spillover_weight", fmt.Sprintf("%.2f", e.SpilloverWeight))}
 }
 
-// String implements Event.
+// String returns the message with its attributes as key=value.
 func (e TenantsThrottled) String() string { return eventText(e) }
 
-// Message implements Event.
+// Message returns the text of the log line.
 func (e DampedServersChanged) Message() string { return "damped servers changed" }
 
-// Attributes implements Event.
+// Attributes returns the number, the weight and the IDs of the damped servers.
 func (e DampedServersChanged) Attributes(func(zone int) string) []slog.Attr {
 	return []slog.Attr{slog.Int("count", len(e.Servers)), slog.String("weight", fmt.Sprintf("%.2f", e.WeightFraction)),
 		slog.String("endpoints", fmt.Sprintf("%.*s", maxLoggedIDs, strings.Join(e.Servers, " ")))}
 }
 
-// String implements Event.
+// String returns the message with its attributes as key=value.
 func (e DampedServersChanged) String() string { return eventText(e) }
 
-// eventText is an event's message and its attributes as key=value.
+// eventText returns an event's message followed by its attributes as key=value.
 func eventText(e Event) string {
 	var b strings.Builder
 	b.WriteString(e.Message())
@@ -107,7 +109,7 @@
 	return b.String()
 }
 
-// String is the phase's name in log lines.
+// String returns the phase's name in log lines.
 func (p ZonePhase) String() string {
 	names := []string{"healthy", "saturated", "evacuating", "evacuated", "recovering", "drained"}
 	if p < 0 || int(p) >= len(names) {
@@ -116,7 +118,7 @@
 	return names[p]
 }
 
-// String is the fault's name in log lines.
+// String returns the fault's name in log lines.
 func (f Fault) String() string {
 	names := []string{"none", "errors", "unresponsive", "slow", "saturated"}
 	if f < 0 || int(f) >= len(names) {
--- a/balancer/events_test.go
+++ b/balancer/events_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// TestEventTexts checks the log lines of all events, which on-call staff and tools read.
 func TestEventTexts(t *testing.T) {
 	for _, c := range []struct {
 		event Event
@@ -24,11 +25,12 @@
 	}
 }
 
+// TestNamesOfUnknownPhasesAndFaults checks that a number without a name is logged as a number.
 func TestNamesOfUnknownPhasesAndFaults(t *testing.T) {
 	if got := ZonePhase(9).String(); got != "phase 9" {
-		t.Errorf("got %q", got)
+		t.Errorf("ZonePhase(9) is %q, want phase 9", got)
 	}
 	if got := Fault(-1).String(); got != "fault -1" {
-		t.Errorf("got %q", got)
+		t.Errorf("Fault(-1) is %q, want fault -1", got)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"merlinpick/balancer"
 )
 
-// printer is a Host that prints what it gets; a proxy would act on it.
+// printer is a Host that prints the actions of a Balancer. A proxy would carry them out.
 type printer struct{}
 
 func (printer) Send(id, server string, _, timeout int64) {
@@ -18,8 +18,8 @@
 func (printer) Watch()                             { fmt.Println("watch") }
 func (printer) Log(event balancer.Event)           { fmt.Println("log:", event) }
 
-// A Balancer gets a list of two servers and a request. The first server rejects it, so it is retried at the other one,
-// which answers.
+// A Balancer gets a list of two servers and a request. The first server rejects the request, so it is retried
+// at the other one, which answers. A second request is rejected at once, since it has too little time left.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Replicas: 1, ZoneCount: 1, MaxAttempts: 3, SlowStartMinCapacity: 0.2, SlowStartDuration: 20_000_000,
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -7,36 +7,37 @@
 	"testing"
 )
 
-// world runs many Balancers, which exchange reports every 100 ms, on one clock.
+// world simulates a fleet: many Balancers on one virtual clock, which exchange reports every 100 ms.
 type world struct {
 	t            testing.TB
 	rnd          *rand.Rand
-	now          int64
+	now          int64 // µs
 	queue        schedule
-	seq          int
+	seq          int // number of functions scheduled so far
 	replicas     []*replica
 	servers      []Server
-	outcome      func(c *replica, s Server) (Status, int64) // how and when an attempt ends
-	delivers     func(from, to *replica) bool               // whether what one reports reaches the other; nil: always
+	outcome      func(c *replica, s Server) (Status, int64) // how an attempt ends, and after how many µs
+	delivers     func(from, to *replica) bool               // whether reports are delivered; nil: always
 	alterReports func(c *replica, reports []Report) []Report
-	exchange     bool // they hear each other
-	reported     map[*replica][]Report
-	received     map[[2]*replica][]Report // what each last heard of each
+	exchange     bool                     // replicas exchange reports
+	reported     map[*replica][]Report    // latest reports of each replica
+	received     map[[2]*replica][]Report // latest reports that the second replica has of the first
 }
 
-// replica is one Balancer and what it did.
+// replica is one Balancer with its Host, which records what the Balancer does.
 type replica struct {
 	world             *world
 	index             int
 	b                 *Balancer
 	name              string
-	isolated          bool // hears nobody
-	attempts          map[string]*int
+	isolated          bool            // gets no reports of others
+	attempts          map[string]*int // by request ID, the number of attempts that were sent
 	sends             []sentAttempt
-	succeeded, failed int
+	succeeded, failed int // requests
 	events            []loggedEvent
 }
 
+// sentAttempt is an attempt that a replica sent.
 type sentAttempt struct {
 	at          int64
 	server      string
@@ -50,11 +51,15 @@
 	event Event
 }
 
+// scheduled is a function that runs at a time in µs; of two at the same time the one with the lower seq runs
+// first.
 type scheduled struct {
 	at  int64
 	seq int
 	do  func()
 }
+
+// schedule is a heap of functions, the next one first.
 type schedule []scheduled
 
 func (e schedule) Len() int { return len(e) }
@@ -65,11 +70,13 @@
 func (e *schedule) Push(x any)   { *e = append(*e, x.(scheduled)) }
 func (e *schedule) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
+// after schedules a function for d µs from now.
 func (w *world) after(d int64, do func()) {
 	w.seq++
 	heap.Push(&w.queue, scheduled{w.now + d, w.seq, do})
 }
 
+// run runs the simulation until so many µs after the start.
 func (w *world) run(until int64) {
 	for len(w.queue) > 0 && w.queue[0].at <= start+until {
 		e := heap.Pop(&w.queue).(scheduled)
@@ -79,6 +86,7 @@
 	w.now = start + until
 }
 
+// Send records an attempt and schedules its outcome.
 func (c *replica) Send(id, server string, _, timeout int64) {
 	w, s := c.world, c.b.members.byID[server].Server
 	q := c.b.requests[id]
@@ -105,8 +113,10 @@
 func (c *replica) Watch()      {}
 func (c *replica) Log(e Event) { c.events = append(c.events, loggedEvent{c.world.now, e}) }
 
-// newWorld sets up zones of so many replicas and servers, each replica with a rate of requests a second; 60 % of these
-// are not idempotent, a quarter are so only in their zone.
+// newWorld returns a simulation with the given number of zones, each with the given numbers of replicas and
+// servers. Each replica gets rate requests per second: 60 % of them are not idempotent, 30 % have an
+// idempotency key that is valid in a zone, and 10 % are idempotent. on says whether the replicas exchange
+// reports.
 func newWorld(t testing.TB, zones, replicas, servers int, rate float64, on bool) *world {
 	w := &world{t: t, rnd: rand.New(rand.NewPCG(5, uint64(zones*1000+replicas*10+servers))), now: start, exchange: on,
 		reported: map[*replica][]Report{}, received: map[[2]*replica][]Report{}}
@@ -135,11 +145,12 @@
 	return w
 }
 
-// answer is StatusOK after 30 to 90 ms.
+// answer is the outcome of a healthy server: StatusOK after 30 to 90 ms.
 func (w *world) answer(*replica, Server) (Status, int64) {
 	return StatusOK, 30_000 + w.rnd.Int64N(60_000)
 }
 
+// sendRequests passes request n to the replica and schedules the next one.
 func (c *replica) sendRequests(rate float64, n int) {
 	id := fmt.Sprint(n)
 	class := []int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[c.world.rnd.IntN(10)]
@@ -148,7 +159,8 @@
 	c.world.after(int64(c.world.rnd.ExpFloat64()*1e6/rate), func() { c.sendRequests(rate, n+1) })
 }
 
-// exchangeReports is what the owner of a replica does every 100 ms: it hands over the others' reports and takes its own.
+// exchangeReports does what the owner of a Balancer does every 100 ms: it collects the Balancer's reports and
+// passes it those of the other replicas.
 func (c *replica) exchangeReports() {
 	w := c.world
 	w.after(second/10, c.exchangeReports)
@@ -179,8 +191,9 @@
 	c.b.HandlePeerReports(w.now, c, p)
 }
 
-// attemptFraction is the fraction of the attempts from some replicas' zone within a span that went to a zone; to -1:
-// across zones.
+// attemptFraction returns the fraction of the attempts, sent by the replicas of zone from between since and
+// until, that went to zone to. from -1 means the replicas of all zones, and to -1 means any zone other than
+// the replica's own.
 func (w *world) attemptFraction(from, to int, since, until int64) float64 {
 	n, of := 0.0, 0.0
 	for _, c := range w.replicas {
@@ -194,6 +207,7 @@
 	return n / max(of, 1)
 }
 
+// failures returns the number of requests that were rejected or failed.
 func (w *world) failures() (n int) {
 	for _, c := range w.replicas {
 		n += c.failed
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -7,10 +7,13 @@
 	"testing"
 )
 
-// goldenActions is the hash of the actions of random sequences. A Balancer without peer reports decides as it did before
-// there were any: whoever changes this says in the commit which decision of one replica changed, and why.
+// goldenActions is the hash of the actions of random sequences without peer reports. It guards the decisions
+// of a single replica, which peer reports must not affect. A commit that changes it has to say which decision
+// changed, and why.
 const goldenActions = "66995dfd5b58266d"
 
+// TestSingleReplicaDecidesAsBefore checks that a Balancer without peer reports takes the same actions as
+// before.
 func TestSingleReplicaDecidesAsBefore(t *testing.T) {
 	sum := sha256.New()
 	for seed := range uint64(8) {
@@ -20,23 +23,26 @@
 		}
 	}
 	if got := fmt.Sprintf("%x", sum.Sum(nil)[:8]); got != goldenActions {
-		t.Errorf("the actions hash to %s, not %s", got, goldenActions)
+		t.Errorf("the hash of the actions is %s, want %s", got, goldenActions)
 	}
 }
 
-// goldenFleet is the same of a fleet that runs through unequal, failing, flapping, saturated and warming servers, a lost
-// zone, a drained one, a handover and other settings: what its replicas send, log and report, to the last digit, by the
-// values of typed events and actions, so that the names of these may change. A change that only moves, renames or
-// shortens code leaves it as it is.
+// goldenFleet is the hash of everything that the replicas of a simulated fleet send, log and report, to the
+// last digit. The fleet goes through unequal, failing, flapping, saturated and warming servers, a zone
+// outage, a drained zone, a handover and changed settings. The hash covers the values of events and actions
+// but not their names, so that renaming or moving code does not change it.
 const goldenFleet = "43d63b61c8c030ef"
 
+// TestFleetDecidesAsBefore checks that the replicas of a fleet that exchange reports take the same actions as
+// before.
 func TestFleetDecidesAsBefore(t *testing.T) {
 	if got := fleetHash(t, func(*Balancer) {}); got != goldenFleet {
-		t.Errorf("the fleet hashes to %s, not %s", got, goldenFleet)
+		t.Errorf("the hash of the fleet's actions and reports is %s, want %s", got, goldenFleet)
 	}
 }
 
-// Each of these changes of one replica's state moves the hash of the fleet.
+// TestFleetHashNoticesChangedDecisions checks that the hash depends on the state of the rules: a change of
+// any of these values in one replica changes it.
 func TestFleetHashNoticesChangedDecisions(t *testing.T) {
 	for name, change := range map[string]func(*Balancer){
 		"weight of other zones": func(b *Balancer) { b.spillover.weight = 0.4 },
@@ -48,21 +54,25 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if got := fleetHash(t, change); got == goldenFleet {
-				t.Error("the hash is as without the change")
+				t.Error("the hash is the same as without the change")
 			}
 		})
 	}
 }
 
-// reportValues, zoneValues and eventValues are fields as plain numbers and texts.
+// reportValues returns the fields of a report as plain numbers and texts, so that names do not go into the
+// hash.
 func reportValues(n Report) []any {
 	return []any{int(n.Kind), int(n.Fault), n.Observer, n.ObserverZone, n.Server, n.StartTime, n.SubjectZone, n.Calls, n.BadFraction, n.Value, n.LastObserved}
 }
 
+// zoneValues returns the fields of a zone's state as plain numbers.
 func zoneValues(s ZoneState) []any {
 	return []any{s.Zone, int(s.Phase), s.WeightFraction, s.Transitions, s.ChangedAt, int(s.Fault), s.Calls, s.BadFraction, s.ReportingReplicas, s.UnhealthyVotes}
 }
 
+// eventValues returns the fields of an event as plain numbers and texts. The texts are part of the hash and
+// must not change.
 func eventValues(e Event) []any {
 	switch e := e.(type) {
 	case ZonePhaseChanged:
@@ -72,10 +82,11 @@
 	case DampedServersChanged:
 		return []any{"damped", e.Servers, e.WeightFraction}
 	}
-	panic(fmt.Sprintf("an event of the unknown type %T", e))
+	panic(fmt.Sprintf("event of unknown type %T: add its values to the hash", e))
 }
 
-// fleetHash is the hash of all that the fleet does; change is made to one of its Balancers after 5 s.
+// fleetHash runs the fleet and returns the hash of all that it does; change is applied to one of its
+// Balancers after 5 s.
 func fleetHash(t *testing.T, change func(*Balancer)) string {
 	t.Helper()
 	sum := sha256.New()
@@ -119,7 +130,7 @@
 		if at == 5*second {
 			change(w.replicas[0].b)
 		}
-		s := &w.servers[4] // its lease ends now and then
+		s := &w.servers[4] // removed for 1 s in every 12 s, as when its lease expires
 		if s.State = ServerReady; at/second%12 == 3 {
 			s.State = ServerRemoved
 		}
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Two processes that are one proxy keep to one retry budget between them, in every window.
+// TestRetryBudgetIsSharedByTwoProcesses checks that two processes that serve as one proxy stay within one
+// retry budget together, in every window, also after the successor has ended.
 func TestRetryBudgetIsSharedByTwoProcesses(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio, s.MaxAttempts = 10*second, 5, 0.1, 3
@@ -37,7 +38,7 @@
 			b = old
 		}
 		if i == 300 {
-			old.HandleOtherProcessExit(now) // the successor has died; the free part is not there at once
+			old.HandleOtherProcessExit(now) // the successor has died; RetryBudgetMin is not available at once
 		}
 		if i >= 300 {
 			b = old
@@ -57,24 +58,26 @@
 			}
 		}
 		if n > allowed+1e-9 {
-			t.Fatalf("%v further attempts within the span that ends at %d, %v allowed", n, end, allowed)
+			t.Fatalf("%v retries within the window that ends at %d, %v allowed", n, end, allowed)
 		}
 	}
 	if len(further) < 10 {
-		t.Errorf("only %d further attempts", len(further))
+		t.Errorf("only %d retries: the test covers too little", len(further))
 	}
 }
 
+// TestWarmingServerGetsHalfFromEachOfTwoProcesses checks that a process gives a warming server half of its
+// weight while another process of the same proxy sends to it, too.
 func TestWarmingServerGetsHalfFromEachOfTwoProcesses(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 1)
 	cold := &server{Server: Server{StartTime: start}}
 	whole := b.slowStart.factor(moment(start+second), cold)
 	b.ImportRetryBudget(RetryBudgetUsage{})
 	if got := b.slowStart.factor(moment(start+second), cold); got != whole/2 {
-		t.Errorf("beside another process %v, alone %v", got, whole)
+		t.Errorf("weight factor %v beside another process, want half of %v", got, whole)
 	}
 	b.HandleOtherProcessExit(start)
 	if got := b.slowStart.factor(moment(start+second), cold); got != whole {
-		t.Errorf("alone again %v, before %v", got, whole)
+		t.Errorf("weight factor %v after the other process has ended, want %v", got, whole)
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// recorder is a Host that records its calls.
+// recorder is a Host that records the actions of a Balancer.
 type recorder struct {
 	lines       []string
 	sends       []sendCall
@@ -13,6 +13,8 @@
 	timers      []string
 	retryAfters []int64
 }
+
+// sendCall is one call of Host.Send.
 type sendCall struct {
 	id, server string
 	timeout    int64
@@ -37,7 +39,7 @@
 func (r *recorder) Log(Event) { r.note("log") }
 func (r *recorder) Watch()    { r.note("watch"); r.watches++ }
 
-// last is the latest action.
+// last returns the latest action, "" if there is none.
 func (r *recorder) last() string {
 	if len(r.lines) == 0 {
 		return ""
@@ -45,14 +47,14 @@
 	return r.lines[len(r.lines)-1]
 }
 
-// µs, as of the interface.
+// Times in µs, as in the public interface.
 const (
 	second = int64(1_000_000)
 	start  = int64(1_000_000_000)
 )
 
-// testSettings has a class of each kind: 0 idempotent, 1 with a key by cell, 2 not idempotent, 3 with a key by all, 4 with
-// a key by zone.
+// testSettings returns settings with one class of each kind: 0 is idempotent, 1 has idempotency keys that are
+// valid in a cell, 2 is not idempotent, and 3 and 4 have keys that are valid at all servers and in a zone.
 func testSettings() Settings {
 	class := Class{LatencyObjective: 500_000, Deadline: 1_500_000, PriorityWeight: 1, LateWeight: 0.3}
 	s := Settings{Replicas: 1, ZoneCount: 2, MaxAttempts: 4, DrainGrace: 500_000,
@@ -67,6 +69,8 @@
 	}
 	return s
 }
+
+// mustNew returns a Balancer with the settings and fails the test if they are invalid.
 func mustNew(t *testing.T, s Settings) *Balancer {
 	t.Helper()
 	b, err := New(s, 7)
@@ -76,7 +80,8 @@
 	return b
 }
 
-// testServers lists n ready servers: cells of two, zones alternating by cell.
+// testServers returns n ready servers s0, s1 and so on, in cells of two servers that alternate between two
+// zones.
 func testServers(n int) []Server {
 	var out []Server
 	for i := range n {
@@ -85,17 +90,19 @@
 	return out
 }
 
-// newWithServers returns a Balancer that has a list of n servers, and its host.
+// newWithServers returns a Balancer that has an endpoint list of n servers, and its host.
 func newWithServers(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
 	b, h := mustNew(t, s), &recorder{}
 	b.UpdateEndpoints(start, h, UpdateSnapshot, testServers(n))
 	return b, h
 }
+
+// sendRequest passes a request with a deadline of one second to a Balancer.
 func sendRequest(b *Balancer, h Host, now int64, id string, class int) {
 	b.HandleRequest(now, h, Request{ID: id, Class: class, Deadline: now + 1_000_000})
 }
 
-// weightOf is a server's weight for a class in a draw.
+// weightOf returns a server's weight for a class in a draw.
 func weightOf(b *Balancer, now int64, server *server, class int) float64 {
 	return b.selection.weight(moment(now), server, class, b.selection.baseWeight(server))
 }
--- a/balancer/listevidence.go
+++ b/balancer/listevidence.go
@@ -2,79 +2,83 @@
 
 import "math"
 
-// List evidence: how far a list that may be out of date is trusted.
+// List evidence: how far an endpoint list that may be out of date is trusted.
 //
 // Input: when the list was last confirmed, and the ends of attempts. Output: a factor of a server's weight
-// while the list is stale, that is, not confirmed for longer than Settings.MembershipEvidenceTTL. Then what
-// shows that a server is still listed is that it goes on executing attempts: one that drains rejects them,
-// one that is gone takes none, and one that went and came back was silent for longer than the TTL. While
-// the list is confirmed none of this counts.
+// while the list is stale, that is, not confirmed for longer than Settings.MembershipEvidenceTTL. While the
+// list is stale, a server counts as still listed if it keeps executing attempts: a draining server rejects
+// them, a removed server does not answer, and one that was removed and listed again was unresponsive for
+// longer than the TTL. While the list is confirmed, this evidence is not used.
 //
-// Where no server is shown to be listed, calls are not rejected: an outage of discovery would end the
-// service. The sooner after the list's evidence a server began to execute attempts, the less likely it went
-// and came back before, so those that began first are preferred. For one more TTL such a beginning shows
-// something, and servers without evidence are tried until there are enough with it.
+// If no server has such evidence, calls are sent nevertheless: otherwise an outage of discovery would become
+// an outage of the service. The sooner after the list expired a server began to execute attempts, the less
+// likely it was removed and listed again before, so the servers that began first are preferred. Such a
+// beginning is evidence for one more TTL, during which servers without evidence are tried until enough
+// servers have some.
 
 const (
-	// Weight left to a server that nothing shows to be listed, beside those that something does: it is drawn
-	// where there is no other, or once each of those holds a dozen attempts.
+	// Weight factor of a server without evidence. Beside servers with evidence it is drawn only once each of
+	// those holds a dozen attempts.
 	unconfirmedWeight = 1e-9
 
-	// Weight left to a server that executes attempts since one TTL after the list's evidence ended; the
-	// sooner it began, the more. One that began later may as well have come back.
+	// Weight factor of a server that began to execute attempts one TTL after the list expired. The sooner it
+	// began, the higher the factor; a server that began later may just as well have been removed and listed
+	// again.
 	recentWeight = 1e-4
 
-	// Factor of a server without full evidence in a zone in which a server did not answer an attempt since
-	// the list was confirmed: a zone that is lost comes back as a whole.
+	// Additional weight factor of a server with recent or no evidence, in a zone where an attempt got no
+	// answer since the list was confirmed: after an outage of a zone all its servers come back together.
 	silentZoneWeight = 1e-4
 
-	// Weight left to a server that took no attempt when it was last sent one, since the list was confirmed.
+	// Weight factor of a server that did not execute its latest attempt since the list was confirmed.
 	contradictedWeight = unconfirmedWeight * unconfirmedWeight
 
-	// Servers with evidence are enough if each gets so many attempts within the TTL: with fewer, chance ends
-	// their evidence. A few are enough at any rate, which is not known of a replica that was idle.
+	// Enough servers have evidence once there is one for every attemptsPerTTL attempts of this replica in a
+	// TTL: with fewer attempts each, their evidence would expire by chance. At least minWithEvidence servers
+	// are needed, since the rate of a replica that was idle is not known.
 	attemptsPerTTL, minWithEvidence = 3.0, 2.0
 )
 
-// listingState is what attempts show of a server's place in the list.
+// listingState is the evidence that a server is still in the endpoint list.
 type listingState struct {
-	confirmedUntil moment // until then it is shown to be listed
-	contradictedAt moment // when an attempt that it didn't take was sent; 0: none
-	recentSince    moment // when the first of a run of executed attempts was sent that shows nothing
-	recentUntil    moment // until then that run goes on
+	confirmedUntil moment // until then executed attempts confirm that it is listed
+	contradictedAt moment // when the attempt was sent that it did not execute; 0: none
+	recentSince    moment // when the first attempt of the current unconfirmed run of executed ones was sent
+	recentUntil    moment // when that run ends unless another attempt is executed
 }
 
-// listEvidence holds when the list was confirmed.
+// listEvidence records when the endpoint list was confirmed.
 type listEvidence struct {
 	*shared
-	confirmedAt   moment // or when a new replica got its first list
-	everConfirmed bool
-	silentZones   map[int]moment // by zone: when the latest attempt was sent that was not answered there
+	confirmedAt   moment         // for a new replica, when it got its first list
+	everConfirmed bool           // false while there is only a cached list
+	silentZones   map[int]moment // by zone, when the latest attempt was sent that got no answer there
 }
 
 func newListEvidence(common *shared) *listEvidence {
 	return &listEvidence{shared: common, silentZones: map[int]moment{}}
 }
 
-// ttl is how long evidence lasts; 0: the list holds without limit.
+// ttl returns how long evidence lasts; 0: the list never becomes stale.
 func (e *listEvidence) ttl() span { return span(e.settings.MembershipEvidenceTTL) }
 
-// confirm records that the list is the newest there is. A cached one is the best that a new replica has.
+// confirm records that the list is up to date. A cached list counts only if it is the first one of a new
+// replica.
 func (e *listEvidence) confirm(now moment, kind UpdateKind) {
 	if kind != UpdateCached || e.confirmedAt == 0 {
 		e.confirmedAt, e.everConfirmed = now, e.everConfirmed || kind != UpdateCached
 	}
 }
 
-// isStale reports whether the list alone shows nothing any more.
+// isStale reports whether the list has not been confirmed for longer than the TTL.
 func (e *listEvidence) isStale(now moment) bool {
 	return e.ttl() > 0 && now.since(e.confirmedAt) > e.ttl()
 }
 
-// seeksEvidence reports whether attempts go to servers without evidence as to others, while the list is
-// stale: too few of them have any for this replica's attempts, and it is early enough to get some. It never
-// is for a replica with a cached list: whatever came about before its start may count as known.
-// rate is in attempts a second.
+// seeksEvidence reports whether, while the list is stale, servers without evidence get attempts with their
+// full weight: too few servers have evidence for the attempts of this replica, and new evidence still counts,
+// as it does for one TTL after the list expired. It returns false for a replica that has only a cached list,
+// since its servers may have changed at any time before its start. rate is in attempts per second.
 func (e *listEvidence) seeksEvidence(now moment, servers []*server, rate float64) bool {
 	if !e.everConfirmed || now >= e.listedUntil().add(e.ttl()) {
 		return false
@@ -91,7 +95,7 @@
 	return true
 }
 
-// factor is the factor of a server's weight while the list is stale, above 0 to 1.
+// factor returns the factor of a server's weight while the list is stale, above 0 and at most 1.
 func (e *listEvidence) factor(now moment, server *server, seeksEvidence bool) float64 {
 	factor := unconfirmedWeight
 	switch e.evidence(now, server) {
@@ -114,7 +118,7 @@
 	return factor
 }
 
-// evidence is what attempts show of a server while the list is stale.
+// evidence returns the kind of evidence that attempts give of a server's membership while the list is stale.
 func (e *listEvidence) evidence(now moment, server *server) ServerEvidence {
 	switch {
 	case now < server.listing.confirmedUntil:
@@ -127,9 +131,10 @@
 	return EvidenceNone
 }
 
-// record takes the end of an attempt. One that was executed, when the server was still shown to be listed,
-// shows it on; after a gap nothing does but the list, and it begins or continues a run of recent ones. One
-// that was not executed ends what was shown, unless it was sent before one that was.
+// record updates a server's evidence with the end of an attempt. An executed attempt that was sent while the
+// list or earlier attempts confirmed the server confirms it for another TTL. One that was sent after a gap
+// only begins or continues a run of recent attempts; then nothing but the list can confirm the server again.
+// An attempt that was not executed ends the evidence, unless one that was sent later was executed.
 func (e *listEvidence) record(server *server, sentAt moment, status Status) {
 	ttl := e.ttl()
 	if ttl == 0 || status == StatusCancelled || status == StatusNotSent {
@@ -152,8 +157,9 @@
 	}
 }
 
-// listedUntil is the time until which the list by itself shows what is listed. A new replica's
-// cached list shows it for its first requests: what executes these was there then.
+// listedUntil returns the time until which the list alone is evidence. The cached list of a new replica is
+// evidence for one TTL from its first request on: a server that executes attempts in that time was present
+// then.
 func (e *listEvidence) listedUntil() moment {
 	if !e.everConfirmed {
 		return max(e.confirmedAt, e.arrivals.firstAt).add(e.ttl())
--- a/balancer/listevidence_test.go
+++ b/balancer/listevidence_test.go
@@ -8,52 +8,55 @@
 	"testing"
 )
 
-// change is what becomes of a server while the list is not confirmed.
+// change is what happens to a server while the list is not confirmed.
 type change int
 
 const (
-	stays   change = iota
-	drains         // it turns calls away
-	dies           // nobody answers there
-	returns        // the same, and it is back after changedFor
+	stays   change = iota // nothing
+	drains                // it rejects calls
+	dies                  // connections to it fail
+	returns               // connections to it fail until it is back after changedFor
 )
 
+// Times on the event clock and durations, in µs.
 const (
-	lastConfirmation = start + 10*second // the list is confirmed every confirmEvery up to here
-	changedAt        = start + 11*second
+	lastConfirmation = start + 10*second // the list is confirmed every confirmEvery until here
+	changedAt        = start + 11*second // the servers change
 	changedFor       = 4 * second
-	simulated        = start + 30*second
+	simulated        = start + 30*second // end of the simulation
 
 	confirmEvery  = 650 * second / 1000
-	notifiedAfter = 6 * second // a change counts from so long after it came about
+	notifiedAfter = 6 * second // time after which discovery would have announced a change
 	socketSlack   = second / 20
 )
 
-// staleListWorld runs one replica before servers of which some change while the list is not confirmed. It records the
-// attempts that were sent to a server too long after it had left.
+// staleListWorld simulates one replica and its servers, some of which change while the list is not confirmed.
+// It records the attempts that were sent to a server too long after its change.
 type staleListWorld struct {
 	balancer *Balancer
 	rnd      *rand.Rand
 	now      int64
 	changes  map[string]change
-	out      []answerDue
+	out      []answerDue // attempts in flight
 	sends    int
-	late     []string
-	refused  int
+	late     []string // sends to a changed server after until
+	refused  int      // rejected requests
 
-	changedAt, until int64 // of all that change; from then on sends to those are late
-	confirmedUntil   int64 // the list is confirmed every confirmEvery up to here
+	changedAt, until int64 // when the servers change, and from when on no send may go to them
+	confirmedUntil   int64 // the list is confirmed every confirmEvery until here
 	firstRequest     int64 // 0: at the start
 	awayFor          int64 // how long a server that returns is gone; 0: changedFor
 }
 
+// answerDue is an attempt in flight and its outcome.
 type answerDue struct {
-	at     int64
+	at     int64 // when the attempt ends
 	id     string
 	status Status
 	sent   int64
 }
 
+// Send schedules the outcome of an attempt and records the attempt if it is late.
 func (f *staleListWorld) Send(id, server string, _, _ int64) {
 	f.sends++
 	due, took := answerDue{id: id, sent: f.now}, 60_000+f.rnd.Int64N(140_000)
@@ -64,7 +67,7 @@
 	case (c == dies || c == returns && since < f.away()) && since >= 0:
 		due.status, took = StatusConnectFailed, 250_000
 	}
-	notified := int64(1 << 60) // of its return
+	notified := int64(1 << 60) // time after the change when its return would have been announced
 	if f.changes[server] == returns {
 		notified = f.away() + notifiedAfter
 	}
@@ -75,6 +78,7 @@
 	f.out = append(f.out, due)
 }
 
+// away returns how long a server that returns is gone.
 func (f *staleListWorld) away() int64 { return cmp.Or(f.awayFor, changedFor) }
 
 func (f *staleListWorld) Reject(string, int64)   { f.refused++ }
@@ -83,7 +87,8 @@
 func (f *staleListWorld) Log(Event)              {}
 func (f *staleListWorld) Watch()                 {}
 
-// play runs the replica at a rate of requests a second, with a list that is confirmed for some time.
+// play runs the replica at a rate of requests per second, with a list that is confirmed until
+// lastConfirmation.
 func (f *staleListWorld) play(rate int64) {
 	f.changedAt, f.confirmedUntil = changedAt, lastConfirmation
 	f.until = changedAt + notifiedAfter + f.balancer.settings.DrainGrace + socketSlack
@@ -91,13 +96,15 @@
 	f.run(rate)
 }
 
-// playCached runs it with the cached list that it starts with alone: all has changed before.
+// playCached runs the replica with only a cached list, which it has from the start; the servers changed
+// before. From learned on no send may go to a changed server.
 func (f *staleListWorld) playCached(rate, learned int64) {
 	f.changedAt, f.confirmedUntil, f.until = start-second, start, start+learned
 	f.balancer.UpdateEndpoints(start, f, UpdateCached, testServers(len(f.changes)))
 	f.run(rate)
 }
 
+// run runs the replica until the end of the simulation.
 func (f *staleListWorld) run(rate int64) {
 	f.now = start
 	attempts, confirm, request := map[string]int{}, start+confirmEvery, max(start, f.firstRequest)
@@ -128,18 +135,20 @@
 	}
 }
 
-// check reports sends that came too late, and rejections.
+// check fails the test if sends were late or many requests were rejected.
 func (f *staleListWorld) check(t *testing.T, seed uint64) {
 	t.Helper()
 	if len(f.late) > 0 {
-		t.Errorf("seed %d: %d of %d sends broke the rule on drains: %v", seed, len(f.late), f.sends, f.late[:min(3, len(f.late))])
+		t.Errorf("seed %d: %d of %d sends went to a server too long after it had changed: %v",
+			seed, len(f.late), f.sends, f.late[:min(3, len(f.late))])
 	}
 	if f.refused > f.sends/20 {
-		t.Errorf("seed %d: %d refused of %d", seed, f.refused, f.sends)
+		t.Errorf("seed %d: %d requests rejected, with %d sends", seed, f.refused, f.sends)
 	}
 }
 
-// newIdleReplica sets up a replica that has its first request some time after its list became stale.
+// newIdleReplica returns a simulation of a replica that gets its first request idle µs after its list became
+// stale.
 func newIdleReplica(t *testing.T, seed uint64, idle int64, changeOf func(i int, server Server) change) *staleListWorld {
 	s := testSettings()
 	s.DrainGrace, s.MembershipEvidenceTTL = second, 2*second
@@ -151,8 +160,9 @@
 	return f
 }
 
-// A stale list has servers that drain, are gone, or went and came back. From 6 s after each change on calls go to servers
-// that kept executing attempts, and not to those.
+// TestStaleListIsCorrectedByAttempts checks a stale list with servers that drain, die, or die and come back.
+// From notifiedAfter and the drain grace after the change on, calls go only to servers that kept executing
+// attempts.
 func TestStaleListIsCorrectedByAttempts(t *testing.T) {
 	for _, rate := range []int64{8, 35} {
 		t.Run(fmt.Sprint(rate, " a second"), func(t *testing.T) {
@@ -170,8 +180,8 @@
 	}
 }
 
-// A replica that starts with an old list, and gets no other, finds out which servers drain or are gone by its first
-// attempts, and then leaves these alone.
+// TestCachedListIsCorrectedByFirstAttempts checks that a replica that starts with an old list, and gets no
+// other, finds the servers that drain or are gone by its first attempts and then avoids them.
 func TestCachedListIsCorrectedByFirstAttempts(t *testing.T) {
 	const learned = 4 * second
 	for seed := range uint64(20) {
@@ -183,13 +193,15 @@
 		}
 		f.playCached(35, learned)
 		if len(f.late) > 0 {
-			t.Errorf("seed %d: %d of %d sends to servers that had turned calls away: %v", seed, len(f.late), f.sends, f.late[:min(3, len(f.late))])
+			t.Errorf("seed %d: %d of %d sends went to servers that had not executed calls: %v",
+				seed, len(f.late), f.sends, f.late[:min(3, len(f.late))])
 		}
 	}
 }
 
-// A replica that had no call while the list proved anything (a quiet one, or one whose servers all went) has no server that
-// is known to be listed. It keeps to those that executed its first attempts, and so not to one that went and came back.
+// TestStaleListWithoutEvidenceIsCorrectedByFirstAttempts checks a replica without calls while the list was
+// valid, for example an idle one, for which no server has evidence of being listed. It keeps to the servers
+// that executed its first attempts, and so avoids one that died and came back.
 func TestStaleListWithoutEvidenceIsCorrectedByFirstAttempts(t *testing.T) {
 	for _, rate := range []int64{3, 8, 35} {
 		t.Run(fmt.Sprint(rate, " a second"), func(t *testing.T) {
@@ -202,8 +214,9 @@
 	}
 }
 
-// The same where a whole zone went and came back soon, so that its servers answer nearly as early as the others: a replica
-// whose calls to the zone failed keeps to the other zone.
+// TestStaleListWithoutEvidenceIsCorrectedByLostZone checks the same after a short outage of a whole zone,
+// whose servers then answer nearly as early as the others: a replica whose calls to the zone failed keeps to
+// the other zone.
 func TestStaleListWithoutEvidenceIsCorrectedByLostZone(t *testing.T) {
 	for seed := range uint64(200) {
 		f := newIdleReplica(t, seed, second*8/10, func(_ int, server Server) change { return []change{stays, returns}[server.Zone] })
@@ -213,7 +226,8 @@
 	}
 }
 
-// A server that is shown to be listed gets the call though it stands behind this replica's subset, whose servers are not.
+// TestStaleListIsSearchedBeyondTheSubset checks that the only server with evidence of being listed gets the
+// call, even if it is not in this replica's subset.
 func TestStaleListIsSearchedBeyondTheSubset(t *testing.T) {
 	s := testSettings()
 	s.MembershipEvidenceTTL = 2 * second
@@ -223,7 +237,7 @@
 	for _, listed := range b.members.ready {
 		listed.listing.confirmedUntil = now + 1
 		if got := b.selection.choose(now, &request{Request: Request{Settings: b.settings}}); got != listed {
-			t.Errorf("chose %s, and only %s is shown to be listed", got.ID, listed.ID)
+			t.Errorf("chose %s, but only %s has evidence of being listed", got.ID, listed.ID)
 		}
 		listed.listing.confirmedUntil = 0
 	}
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -6,37 +6,38 @@
 	"slices"
 )
 
-// Load reports: how much load each server gets, and how slow it is at it, by this replica's calls and by
-// those of all replicas.
+// Load reports: how much load each server gets and how long its calls take, by the calls of this replica and
+// by those of all replicas.
 //
-// Input: the ends of attempts, and the load reports of all replicas. Output: this replica's reports, and
-// for each server the rate, failures and mean latency of all replicas' calls, by which weights are tuned.
+// Input: the ends of attempts, and the load reports of all replicas. Output: this replica's reports, and for
+// each server the rate, failures and mean latency of the calls of all replicas, which weight tuning uses.
 
 const (
-	loadDecay          = 4 * seconds // time constant by which load fades
-	loadReportInterval = 1 * seconds // between this replica's reports
-	loadReportTTL      = 5 * seconds // older reports, and older calls, count for nothing
+	loadDecay          = 4 * seconds // time constant with which calls fade
+	loadReportInterval = 1 * seconds // between two reports of this replica
+	loadReportTTL      = 5 * seconds // older reports, and servers whose latest call is older, are ignored
 
-	maxReplicaCallsRatio = 2.0 // to the median: more calls of one replica count as these
-	maxLatencyDeviation  = 4.0 // factor of the median: other latencies count as this
+	maxReplicaCallsRatio = 2.0 // calls of one replica are capped at this multiple of the median over replicas
+	maxLatencyDeviation  = 4.0 // latencies are kept between the median divided by and times this
 
-	maxReportedCalls = 1e9 // calls of one report; more count as this
+	maxReportedCalls = 1e9 // calls of one report are capped at this
 )
 
-// loadState is what is known of a server's load.
+// loadState holds what is known of a server's load.
 type loadState struct {
 	recent loadStats // this replica's calls
 	fleet  fleetLoad // all replicas' calls
 }
 
-// loadStats sums up this replica's latest calls to a server.
+// loadStats holds decaying sums over this replica's latest calls to a server.
 type loadStats struct {
 	calls, failed   float64
-	weight          float64 // priority weights of the answered calls
-	weightedLatency float64 // their latencies, in µs, times these
-	lastAt          moment  // 0: no call yet
+	weight          float64 // sum of the priority weights of the answered calls
+	weightedLatency float64 // sum of their latencies, in µs, each times its priority weight
+	lastAt          moment  // time of the latest update; 0: no call yet
 }
 
+// fade reduces the sums by the time that has passed since the latest update.
 func (l *loadStats) fade(now moment) {
 	keep := math.Exp(-float64(now.since(l.lastAt)) / float64(loadDecay))
 	l.calls, l.failed = keep*l.calls, keep*l.failed
@@ -44,34 +45,34 @@
 	l.lastAt = now
 }
 
-// fleetLoad is what all replicas report of a server.
+// fleetLoad is the load of a server by the reports of all replicas.
 type fleetLoad struct {
 	callsPerSecond float64
-	calls          float64 // that it rests on
+	calls          float64 // number of calls that the other values are based on
 	failedFraction float64 // 0 to 1
-	meanLatency    float64 // µs, of the answered calls; 0: none
+	meanLatency    float64 // mean latency of the answered calls, in µs; 0: none
 }
 
-// loads holds this replica's reports, and the latency that different classes are compared by.
+// loads holds this replica's load reports, and the latency to which those of all classes are scaled.
 type loads struct {
 	*shared
 	members *membership
 	reports *reportExchange
 
-	latest     []Report // of this replica
-	reportedAt moment   // 0: never
+	latest     []Report // latest reports of this replica
+	reportedAt moment   // when they were made; 0: never
 
-	typicalLatency float64 // µs: mean unloaded latency over the answered calls of all classes
-	successes      float64
+	typicalLatency float64 // mean unloaded latency over the answered calls of all classes, in µs
+	successes      float64 // number of answered calls
 }
 
 func newLoads(common *shared, members *membership, reports *reportExchange) *loads {
 	return &loads{shared: common, members: members, reports: reports}
 }
 
-// record takes the end of an attempt. Latencies are scaled to a call of a typical class: a server would
-// otherwise be fast for the classes that it happened to get. It returns the latency as a multiple of its
-// class's unloaded one; ok is false if the attempt failed.
+// record updates a server's load with the end of an attempt. Latencies are scaled to a typical class;
+// otherwise a server would look fast only because it got calls of a fast class. record returns the latency as
+// a multiple of the unloaded latency of its class; ok is false if the attempt failed.
 func (l *loads) record(now moment, server *server, class int, outcome Outcome) (relative float64, ok bool) {
 	load := &server.load.recent
 	load.fade(now)
@@ -88,8 +89,8 @@
 	return relative, true
 }
 
-// loadReports returns this replica's reports, which stay the same for loadReportInterval: each change is
-// sent to all replicas.
+// loadReports returns this replica's reports. They stay the same for loadReportInterval, since each change
+// has to be sent to all replicas.
 func (l *loads) loadReports(now moment) []Report {
 	if l.settings.DisableWeightTuning || now.since(l.reportedAt) < loadReportInterval && l.reportedAt != 0 {
 		return l.latest
@@ -112,9 +113,9 @@
 	return l.latest
 }
 
-// sumReports sums up the reports of all replicas on each server and returns how many replicas reported; 0 if
-// no report has a latency. What is no number or out of all proportion is bounded, so that no single replica
-// moves the sums much.
+// sumReports sums up the reports of all replicas on each server. It returns how many replicas reported; 0 if
+// no report has a latency. Reports with invalid numbers are ignored and extreme values are capped, so that no
+// single replica moves the sums much.
 func (l *loads) sumReports(now moment) (replicas int) {
 	reports, callsOf := l.usableReports(now)
 	for _, server := range l.members.all {
@@ -139,7 +140,7 @@
 			server.load.fleet.add(report, part, medianLatency)
 		}
 	}
-	live := max(l.reports.peers.LiveReplicas, len(callsOf)) // those that are not heard call, too
+	live := max(l.reports.peers.LiveReplicas, len(callsOf)) // replicas without a report send calls, too
 	unheard := float64(live) / float64(len(callsOf))
 	for _, server := range l.members.all {
 		server.load.fleet.finish(unheard)
@@ -147,7 +148,8 @@
 	return len(callsOf)
 }
 
-// usableReports are the load reports that make sense, and the calls of each replica by them.
+// usableReports returns the valid and recent load reports, and the number of calls that each replica reports
+// in them.
 func (l *loads) usableReports(now moment) (reports []Report, callsOf map[string]float64) {
 	callsOf = map[string]float64{}
 	for report := range l.reports.all {
@@ -161,9 +163,9 @@
 	return reports, callsOf
 }
 
-// add adds a report, of whose calls the given part counts. Until finish the fields hold sums: failedFraction
-// the failed calls, callsPerSecond the answered calls that have a latency, meanLatency their latencies in µs
-// times these calls.
+// add adds a report; part, 0 to 1, is the fraction of its calls that counts. Until finish is called the
+// fields hold sums: failedFraction the failed calls, callsPerSecond the answered calls with a latency, and
+// meanLatency their latencies, in µs, times these calls.
 func (f *fleetLoad) add(report Report, part, medianLatency float64) {
 	calls := part * min(report.Calls, maxReportedCalls)
 	f.calls += calls
@@ -176,14 +178,15 @@
 	}
 }
 
-// finish turns sums into means and a rate; liveToHeard is the ratio of all replicas to those that report.
+// finish turns the sums into means and a rate; liveToHeard is the ratio of live replicas to those that
+// report.
 func (f *fleetLoad) finish(liveToHeard float64) {
 	f.meanLatency /= cmp.Or(f.callsPerSecond, 1)
 	f.failedFraction /= cmp.Or(f.calls, 1)
 	f.callsPerSecond = liveToHeard * f.calls * float64(seconds) / float64(loadDecay)
 }
 
-// upperMedian sorts the values and returns their median, the higher one of two.
+// upperMedian sorts the values and returns their median; of an even number of values, the higher middle one.
 func upperMedian(values []float64) float64 {
 	slices.Sort(values)
 	return values[len(values)/2]
--- a/balancer/loadreports_test.go
+++ b/balancer/loadreports_test.go
@@ -5,12 +5,14 @@
 	"testing"
 )
 
-// loadReport is a replica's report of the load of server s0.
+// loadReport returns a replica's report of the load of server s0; latency is in µs.
 func loadReport(observer string, calls, badFraction, latency float64) Report {
 	return Report{Kind: ReportServerLoad, Observer: observer, Server: "s0", Calls: calls, BadFraction: badFraction,
 		Value: latency, LastObserved: start}
 }
 
+// TestLoadReportsAreSummedOverReplicas checks the load of a server by the reports of several replicas, of
+// which some are missing, invalid, out of proportion, too old or about another process.
 func TestLoadReportsAreSummedOverReplicas(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -45,11 +47,13 @@
 		near := func(x, y float64) bool { return math.Abs(x-y) <= 1e-9*max(1, math.Abs(y)) }
 		if replicas != c.replicas || !near(got.callsPerSecond, c.want.callsPerSecond) || !near(got.calls, c.want.calls) ||
 			!near(got.failedFraction, c.want.failedFraction) || !near(got.meanLatency, c.want.meanLatency) {
-			t.Errorf("%s: %d replicas, %+v, want %+v", c.name, replicas, got, c.want)
+			t.Errorf("%s: the reports of %d replicas sum up to %+v, want %+v", c.name, replicas, got, c.want)
 		}
 	}
 }
 
+// TestLoadIsReportedOnceASecond checks that load reports change at most once in loadReportInterval, and that
+// there are none long after the latest call or without weight tuning.
 func TestLoadIsReportedOnceASecond(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 1)
 	b.Reports(start) // from now on load is recorded
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -2,67 +2,72 @@
 
 import "slices"
 
-// Locality: how each zone, the local one too, is used by the replicas of this zone, and how much weight the
-// servers of other zones have.
+// Locality: how the replicas of this zone use each zone, including their own, and how much weight the servers
+// of other zones have.
 //
-// Input: this replica's calls by zone, and what the replicas of its zone report. All of these go by one
-// sum, so that they act together. Output: a phase and a weight fraction for each zone.
+// Input: this replica's calls by zone, and the reports of the replicas of its zone. All these replicas decide
+// by the sum of the same reports, so that they act together. Output: a phase and a weight fraction for each
+// zone.
 //
 //	healthy <-> saturated       local zone only: other zones get a part of its calls
-//	healthy -> evacuating       most calls fail; the zone gets less until that is sure
-//	evacuating -> evacuated     it gets trials only
-//	evacuated -> recovering     trials are answered: it gets its weight back by steps
-//	recovering -> healthy
+//	healthy -> evacuating       most calls fail; the zone gets less traffic until this is confirmed
+//	evacuating -> evacuated     the zone gets only trial calls
+//	evacuated -> recovering     trials are answered: the zone gets its weight back in steps
+//	recovering -> healthy       after the last step
 //	any -> drained              by an operator
 
 const (
-	// Bad fraction of its calls from which a replica reports a zone as unhealthy and the replicas leave it,
-	// unless more than this fraction of that fails in the other zones, too.
+	// A zone is unhealthy for a replica, and is evacuated, from the first fraction of bad calls on. It is not
+	// evacuated if the bad fraction in the other zones is more than the second constant times its own: then
+	// evacuation would not help.
 	zoneUnhealthyFraction   = 0.6
 	maxRelativeBadElsewhere = 0.5
 
-	minZoneCalls, maxZoneCalls = 0.2, 6.0 // calls: of one replica fewer are no evidence, more count as these
+	// Calls of one replica to a zone: fewer than the minimum are no evidence, and they are capped at the
+	// maximum.
+	minZoneCalls, maxZoneCalls = 0.2, 6.0
 
-	evacuationCalls   = 4.0 // calls of all replicas that it takes to leave a zone
-	reevacuationCalls = 2.0 // and to leave it again while it recovers
+	evacuationCalls   = 4.0 // calls of all replicas that are required to evacuate a zone
+	reevacuationCalls = 2.0 // calls that are required to evacuate a recovering zone again
 
-	evacuationConfirmation = 150 * milliseconds // for which a zone has to be bad, and
-	evacuatingFraction     = 0.3                // of its weight that it gets meanwhile
+	evacuationConfirmation = 150 * milliseconds // how long a zone has to be unhealthy before it is evacuated
+	evacuatingFraction     = 0.3                // fraction of its weight that the zone gets during that time
 
-	saturationSpillover   = 0.35 // spillover from which a replica reports the local zone as saturated
-	saturatedMinSpillover = 0.15 // spillover at least, while most replicas do
-	healthyMaxSpillover   = 0.01 // spillover at most, while all find that the local zone copes
+	saturationSpillover   = 0.35 // spillover above which a replica reports the local zone as saturated
+	saturatedMinSpillover = 0.15 // minimum spillover while most replicas report it as saturated
+	healthyMaxSpillover   = 0.01 // maximum spillover while all replicas find that the local zone has capacity
 
-	peerAgreementDelay = 1 * seconds // for which a zone has to be in a phase before a replica follows others
+	peerAgreementDelay = 1 * seconds // minimum time of a zone in a phase before a replica follows its peers
 
-	recoveryGoodCalls      = 3.0  // answered trials, faded, that it takes to return to a zone
-	recoveryMaxBadFraction = 0.25 // of calls to a zone that is returned to
-	isolatedTrialCalls     = 0.9  // trials, answered or not, that an isolated replica takes for enough
-	isolatedStepFactor     = 4    // how much longer an isolated replica takes for a step of a recovery
+	recoveryGoodCalls      = 3.0  // decaying count of answered trials that starts the recovery of a zone
+	recoveryMaxBadFraction = 0.25 // highest fraction of bad calls with which a recovery starts or goes on
+	isolatedTrialCalls     = 0.9  // trials, answered or not, that are enough for an isolated replica
+	isolatedStepFactor     = 4    // how many times as long a recovery step of an isolated replica lasts
 
-	// How long a zone stays evacuated: at least, doubled for each time that it was left within
-	// evacuationMemory, and at most. Where few trials or none can be made, as of calls that can't be
-	// repeated, it is returned to after maxUntriedEvacuation all the same.
+	// How long a zone stays evacuated: at least minEvacuation, doubled for each earlier evacuation within
+	// evacuationMemory, and at most maxEvacuation. If few trials are possible, for example because the calls
+	// are not idempotent, the recovery starts after maxUntriedEvacuation without them.
 	minEvacuation, maxEvacuation = 3 * seconds, 60 * seconds
 	evacuationMemory             = 120 * seconds
 	maxUntriedEvacuation         = 30 * seconds
 
-	trialsPerSecond = 3.0 // that an evacuated zone gets from all replicas of this zone together
+	trialsPerSecond = 3.0 // trials of an evacuated zone by all replicas of this zone together
 
-	// A step of a recovery lasts so long, and this fraction of Settings.SlowStartDuration, at least.
+	// Minimum duration of a recovery step: the longer of this and this fraction of
+	// Settings.SlowStartDuration.
 	minRecoveryStep, recoveryStepFraction = 1 * seconds, 0.2
 )
 
-// recoveryFractions are the parts of its weight that a recovering zone gets one after the other.
+// recoveryFractions are the weight fractions of a recovering zone, step by step.
 var recoveryFractions = [...]float64{0.05, 0.15, 0.4, 0.7, 1}
 
-// locality holds the zones.
+// locality holds the states of the zones.
 type locality struct {
 	*shared
 	members   *membership
 	spillover *spillover
 	reports   *reportExchange
-	zones     []zone // by number; nil until reports are exchanged or a zone is drained
+	zones     []zone // by zone number; nil until reports are exchanged or a zone is drained
 }
 
 func newLocality(common *shared, members *membership, spillover *spillover,
@@ -70,8 +75,8 @@
 	return &locality{shared: common, members: members, spillover: spillover, reports: reports}
 }
 
-// evaluate moves each zone to the phase where the reports of this zone's replicas put it. It reports whether
-// one was evacuated or is not any more.
+// evaluate moves each zone to the phase that the reports of this zone's replicas require. It reports whether
+// any zone has become evacuated or ceased to be.
 func (l *locality) evaluate(now moment, host Host) (changed bool) {
 	l.sumReports()
 	for i := range l.zones {
@@ -83,6 +88,7 @@
 	return changed
 }
 
+// evaluateZone applies the transitions that are possible from the phase of a zone.
 func (l *locality) evaluateZone(now moment, host Host, zone *zone) {
 	switch zone.Phase {
 	case ZoneHealthy, ZoneSaturated:
@@ -105,8 +111,10 @@
 	}
 }
 
-// evaluateServing leaves a zone that is lost, or that most other replicas have left, unless it answers this
-// one; and it takes the local zone for saturated while most replicas do.
+// evaluateServing handles a healthy or saturated zone. It begins to evacuate a zone that has failed. It
+// follows the other replicas if most of them have reduced the weight of the zone, except that a zone that
+// answers the calls of this zone's replicas is not evacuated for that reason. The local zone is saturated
+// while most replicas report it so.
 func (l *locality) evaluateServing(now moment, host Host, zone *zone) {
 	settled := now.since(moment(zone.ChangedAt)) >= peerAgreementDelay
 	others := l.peerFraction(zone)
@@ -121,8 +129,8 @@
 	}
 }
 
-// evaluateEvacuated returns to a zone whose trials are answered, or where there is no other, or where most
-// other replicas have returned.
+// evaluateEvacuated handles an evacuated zone. Its recovery starts if its trials are answered, if there is no
+// other zone to use, or if most other replicas have started it.
 func (l *locality) evaluateEvacuated(now moment, host Host, zone *zone) {
 	age, sum := now.since(moment(zone.ChangedAt)), &zone.reports
 	tried := sum.calls-sum.bad >= recoveryGoodCalls || age >= maxUntriedEvacuation ||
@@ -136,7 +144,7 @@
 	}
 }
 
-// recoveryStepDuration is how long a step of a recovery lasts at least.
+// recoveryStepDuration returns the minimum duration of a recovery step.
 func (l *locality) recoveryStepDuration() span {
 	duration := max(minRecoveryStep, span(recoveryStepFraction*float64(l.settings.SlowStartDuration)))
 	if l.reports.peers.Isolated {
@@ -145,9 +153,10 @@
 	return duration
 }
 
-// isLost reports whether the replicas of this zone find a zone lost: most of those with evidence, more than a
-// third of all (so many may report what isn't so) and most calls say so, over several servers, and the
-// other zones are clearly better. An isolated replica can't tell a lost zone from a fault of its own link.
+// isLost reports whether the replicas of this zone agree that a zone has failed: most replicas with evidence
+// report it as unhealthy, and more than a third of all replicas do (up to a third may report falsely); most
+// calls to it are bad, on several servers; and the other zones are clearly better. An isolated replica never
+// evacuates a zone, since it can't tell an outage of the zone from a fault of its own network link.
 func (l *locality) isLost(zone *zone) bool {
 	sum, calls, servers := &zone.reports, evacuationCalls, min(2, zone.reports.readyServers)
 	if zone.Phase == ZoneRecovering {
@@ -170,7 +179,8 @@
 	return has
 }
 
-// badElsewhere is the bad fraction of the calls to the other zones that take traffic; 0 if nobody calls them.
+// badElsewhere returns the bad fraction of the calls to the other zones that take traffic; 0 without such
+// calls.
 func (l *locality) badElsewhere(zone *zone) float64 {
 	var sum zoneReportSum
 	for i := range l.zones {
@@ -181,8 +191,9 @@
 	return sum.badFraction()
 }
 
-// peerFraction is the weight fraction that most other replicas of this zone give a zone, where it is known to
-// differ from this one's. Replicas that report none may give it nothing or all.
+// peerFraction returns the weight fraction that most other replicas of this zone give a zone. Replicas that
+// report no fraction may give the zone any weight, so the result differs from this replica's own fraction
+// only as far as the reported fractions require it.
 func (l *locality) peerFraction(zone *zone) float64 {
 	peers := &l.reports.peers
 	if peers.Isolated || peers.LiveReplicasInZone < 3 {
@@ -196,7 +207,7 @@
 	return min(max(zone.WeightFraction, least), most)
 }
 
-// follow puts a zone where most other replicas have it.
+// follow gives a zone the weight fraction that most other replicas give it.
 func (l *locality) follow(now moment, host Host, zone *zone, fraction float64) {
 	if fraction > 0 {
 		step, _ := slices.BinarySearch(recoveryFractions[:], min(fraction, 1))
@@ -206,7 +217,7 @@
 	}
 }
 
-// evacuate leaves a zone: it gets trials only.
+// evacuate ends the use of a zone except for trials.
 func (l *locality) evacuate(now moment, host Host, zone *zone) {
 	if now.since(zone.evacuation.lastAt) > evacuationMemory {
 		zone.evacuation.count = 0
@@ -217,7 +228,8 @@
 	l.setPhase(now, host, zone, ZoneEvacuated, 0)
 }
 
-// enterRecoveryStep takes a zone to a step of its recovery. What was learned of its servers before goes.
+// enterRecoveryStep puts a zone into a step of its recovery. When the recovery starts, what was learned about
+// the zone's servers before is discarded.
 func (l *locality) enterRecoveryStep(now moment, host Host, zone *zone, step int) {
 	if zone.Phase != ZoneRecovering {
 		zone.observed.recent = callStats{}
@@ -235,8 +247,8 @@
 	}
 }
 
-// drain has these zones and no others drained, in place of those before: they get nothing, not even trials.
-// One that is drained no more recovers by steps.
+// drain changes the set of drained zones, from before to drained: these get no calls, not even trials. A zone
+// that is no longer drained recovers in steps.
 func (l *locality) drain(now moment, host Host, before, drained map[int]bool) {
 	for i := range l.zones {
 		if zone := &l.zones[i]; drained[i] && !before[i] {
@@ -247,13 +259,14 @@
 	}
 }
 
-// trialInterval is the time between this replica's trials: its part of those of all replicas.
+// trialInterval returns the mean time between two trials of this replica. The replicas of this zone share
+// trialsPerSecond equally.
 func (l *locality) trialInterval() span {
 	return span(float64(max(l.reports.peers.LiveReplicasInZone, 1)) / trialsPerSecond * float64(seconds))
 }
 
-// trial is a server of an evacuated zone whose next trial is due, nil if there is none or the request
-// couldn't be sent to another zone afterwards.
+// trial returns a server of an evacuated zone whose next trial is due. It returns nil if there is none, or if
+// the request could not be retried in another zone after a failed trial.
 func (l *locality) trial(now moment, request *request) *server {
 	rules := request.classRules()
 	if len(request.attempts) > 0 || rules.Idempotency == NonIdempotent ||
@@ -273,8 +286,8 @@
 	return nil
 }
 
-// remoteWeight is the weight, 0 to 1, of servers in other zones: little while the local zone copes, all
-// where it is left.
+// remoteWeight returns the weight, 0 to 1, of servers in other zones: little while the local zone has
+// capacity, and 1 once it is evacuated or drained.
 func (l *locality) remoteWeight() float64 {
 	local, weight := l.zone(l.settings.Zone), l.spillover.weight
 	if local == nil {
@@ -288,7 +301,8 @@
 	return max(weight, 1-local.WeightFraction)
 }
 
-// localZoneCopes reports whether no replica of this zone, of those with evidence, finds it saturated or bad.
+// localZoneCopes reports whether the local zone is healthy, with enough calls to tell, and neither this
+// replica's own calls nor the reports of the replicas of this zone show it as saturated or unhealthy.
 func (l *locality) localZoneCopes() bool {
 	local := l.zone(l.settings.Zone)
 	return local != nil && local.Phase == ZoneHealthy && l.spillover.weight <= saturationSpillover &&
@@ -297,8 +311,8 @@
 		local.observed.recent.badFraction() <= recoveryMaxBadFraction
 }
 
-// recoveryFactor is the factor of the weights of a zone's servers. An evacuated zone has 1: it comes last
-// anyway.
+// recoveryFactor returns the factor of the weights of a zone's servers. For an evacuated zone it is 1, since
+// its servers are candidates only if there are no others.
 func (l *locality) recoveryFactor(number int) float64 {
 	if zone := l.zone(number); zone != nil && zone.Phase != ZoneEvacuated {
 		return zone.WeightFraction
@@ -306,8 +320,8 @@
 	return 1
 }
 
-// rank is the place of a zone's servers in the order of the ready ones: local servers first, since a small
-// subset of the ring may be mostly remote, and evacuated zones last.
+// rank returns the position of a zone's servers in the order of the ready servers. Local servers come first,
+// since a small subset of the ring may be mostly remote, and servers of evacuated zones come last.
 func (l *locality) rank(number int) int {
 	zone := l.zone(number)
 	evacuated := zone != nil && zone.Phase == ZoneEvacuated
--- a/balancer/locality_random_test.go
+++ b/balancer/locality_random_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is reported, some zone takes traffic, the budget holds, and once all zones are reported as healthy all are
-// returned to. Two replicas that get the same reports decide alike.
+// TestZonesUnderAnyReports checks with random reports that some zone always takes traffic, that the removal
+// budget is kept, that two replicas with the same reports have the same zone states, and that all zones
+// recover once all are reported as healthy or nothing is reported any more.
 func TestZonesUnderAnyReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
@@ -39,13 +40,16 @@
 			}
 		}
 		notice := rapid.Custom(func(t *rapid.T) Report {
-			return Report{Kind: ReportKind(rapid.IntRange(0, 6).Draw(t, "kind")), Fault: Fault(rapid.IntRange(0, 5).Draw(t, "cause")),
-				Observer: fmt.Sprint("p", rapid.IntRange(0, 4).Draw(t, "observer")), ObserverZone: rapid.IntRange(-1, 1).Draw(t, "from"),
-				Server: fmt.Sprint("s", rapid.IntRange(0, 13).Draw(t, "server")), SubjectZone: rapid.IntRange(-1, 4).Draw(t, "of"),
-				Calls: rapid.Float64().Draw(t, "calls"), BadFraction: rapid.SampledFrom([]float64{0, 0.5, 1, math.NaN()}).Draw(t, "bad"),
+			return Report{Kind: ReportKind(rapid.IntRange(0, 6).Draw(t, "kind")),
+				Fault:        Fault(rapid.IntRange(0, 5).Draw(t, "fault")),
+				Observer:     fmt.Sprint("p", rapid.IntRange(0, 4).Draw(t, "observer")),
+				ObserverZone: rapid.IntRange(-1, 1).Draw(t, "observer zone"),
+				Server:       fmt.Sprint("s", rapid.IntRange(0, 13).Draw(t, "server")),
+				SubjectZone:  rapid.IntRange(-1, 4).Draw(t, "subject zone"),
+				Calls:        rapid.Float64().Draw(t, "calls"), BadFraction: rapid.SampledFrom([]float64{0, 0.5, 1, math.NaN()}).Draw(t, "bad"),
 				Value: rapid.SampledFrom([]float64{0, 0.05, 0.4, 1, math.Inf(1)}).Draw(t, "value"), LastObserved: rapid.Int64().Draw(t, "at")}
 		})
-		lost := rapid.Custom(func(t *rapid.T) (out []Report) { // all replicas of this zone say the same
+		lost := rapid.Custom(func(t *rapid.T) (out []Report) { // all replicas of this zone report the same
 			var bad []bool
 			for range set.ZoneCount {
 				bad = append(bad, rapid.Bool().Draw(t, "bad"))
@@ -65,11 +69,12 @@
 			return out
 		})
 		for range rapid.IntRange(1, 15).Draw(t, "rounds") {
-			p := PeerReports{LiveReplicas: near, LiveReplicasInZone: near, Isolated: rapid.IntRange(0, 9).Draw(t, "alone") == 0}
-			if rapid.Bool().Draw(t, "whole") {
-				p.Reports = lost.Draw(t, "lost")
+			p := PeerReports{LiveReplicas: near, LiveReplicasInZone: near,
+				Isolated: rapid.IntRange(0, 9).Draw(t, "isolated") == 0}
+			if rapid.Bool().Draw(t, "whole zones") {
+				p.Reports = lost.Draw(t, "zone reports")
 			} else {
-				p.Reports = rapid.SliceOfN(notice, 0, 30).Draw(t, "notices")
+				p.Reports = rapid.SliceOfN(notice, 0, 30).Draw(t, "reports")
 			}
 			for i, state := range rapid.SliceOfN(rapid.SampledFrom([]ServerState{ServerReady, ServerReady, ServerDraining}), 0, set.ZoneCount).Draw(t, "states") {
 				for j := i; j < len(servers); j += set.ZoneCount {
@@ -86,16 +91,17 @@
 					open += int(indicator(z.acceptsTraffic()))
 				}
 				if open == 0 && len(two[0].members.ready) > 0 {
-					t.Fatalf("no zone is open: %+v", two[0].ZoneStates(now))
+					t.Fatalf("no zone takes traffic: %+v", two[0].ZoneStates(now))
 				}
 				checkBudget(t, two[0])
 				if !reflect.DeepEqual(two[0].ZoneStates(now), two[1].ZoneStates(now)) {
-					t.Fatalf("%+v\n%+v", two[0].ZoneStates(now), two[1].ZoneStates(now))
+					t.Fatalf("two replicas with the same reports have different zone states:\n%+v\n%+v",
+						two[0].ZoneStates(now), two[1].ZoneStates(now))
 				}
 			}
 		}
 		well := PeerReports{LiveReplicas: near, LiveReplicasInZone: near}
-		for i := range near * rapid.IntRange(0, 1).Draw(t, "reported") { // or nobody says anything
+		for i := range near * rapid.IntRange(0, 1).Draw(t, "reported") { // or there are no reports
 			for z := range set.ZoneCount {
 				well.Reports = append(well.Reports, Report{Kind: ReportZoneHealthy, Observer: fmt.Sprint("p", i), SubjectZone: z, Calls: 5, Value: 1, LastObserved: now})
 			}
@@ -105,7 +111,7 @@
 		}
 		for _, z := range two[0].ZoneStates(now) {
 			if z.WeightFraction < 1 {
-				t.Fatalf("not returned to: %+v", z)
+				t.Fatalf("the zone has not recovered: %+v", z)
 			}
 		}
 	})
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// evacuatedZones are the zones that a replica has left.
+// evacuatedZones returns the zones that a replica has evacuated.
 func (c *replica) evacuatedZones() (out []int) {
 	for _, z := range c.b.ZoneStates(c.world.now) {
 		if z.Phase == ZoneEvacuated {
@@ -17,8 +17,9 @@
 	return out
 }
 
-// Faults that look alike in one call are told apart by the zones that see them, by how wide they are and by what is
-// answered meanwhile.
+// TestFaultsAreToldApart checks that the replicas evacuate a zone only if the zone has failed. A fault of one
+// server, of a network link or of all zones looks the same in a single call; it differs in which zones see
+// it, how many servers it affects and which calls are answered meanwhile.
 func TestFaultsAreToldApart(t *testing.T) {
 	type fate = func(w *world, c *replica, s Server) (Status, int64)
 	lost := func(zones ...int) fate {
@@ -33,8 +34,8 @@
 		name   string
 		fate   fate
 		noHome int      // a zone without ready servers, -1: none
-		left   [3][]int // zones that the replicas of each zone have left 4 s later
-		may    []int    // those that any replica may have left, too
+		left   [3][]int // by zone of the replica, the zones that it must have evacuated after 4 s
+		may    []int    // further zones that any replica may have evacuated
 	}{
 		{"a lost zone", lost(0), -1, [3][]int{0: {0}}, []int{0}},
 		{"a lost zone that another used", lost(0), 1, [3][]int{{0}, {0}, nil}, []int{0}},
@@ -103,7 +104,8 @@
 				for z := range 3 {
 					in := slices.Contains(got, z)
 					if !in && slices.Contains(want, z) || in && !slices.Contains(slices.Concat(want, c.may), z) {
-						t.Errorf("%s has left %v, not %v: %+v", p.name, got, want, p.b.ZoneStates(w.now))
+						t.Errorf("%s has evacuated zones %v, want %v: %+v",
+							p.name, got, want, p.b.ZoneStates(w.now))
 					}
 				}
 			}
@@ -112,7 +114,7 @@
 			for _, p := range w.replicas {
 				for _, z := range p.b.ZoneStates(w.now) {
 					if z.Phase > ZoneSaturated {
-						t.Errorf("%s: %+v long after", p.name, z)
+						t.Errorf("%s: a zone has not recovered 46 s after the fault: %+v", p.name, z)
 					}
 				}
 			}
@@ -120,7 +122,7 @@
 	}
 }
 
-// phaseTimes are the times, in µs, at which a replica put a zone in a phase.
+// phaseTimes returns the times, in µs since the start, at which a replica put a zone into a phase.
 func (c *replica) phaseTimes(zone int, standing ZonePhase) (at []int64) {
 	for _, s := range c.events {
 		if e, ok := s.event.(ZonePhaseChanged); ok && e.State.Zone == zone && e.ObserverZone == c.b.settings.Zone && e.State.Phase == standing {
@@ -130,8 +132,10 @@
 	return at
 }
 
-// In fleets of different width the replicas of a lost zone leave it within half a second of each other, in about a second
-// or a third of the time that they take without reports, and have it back within one and a half slow starts.
+// TestReplicasEvacuateAndReturnTogether checks in fleets of different sizes that after an outage of a zone
+// its replicas evacuate it within half a second of each other, and within 1.2 s or a third of the time that
+// they take without reports. After the outage the zone has its traffic back within one and a half slow
+// starts.
 func TestReplicasEvacuateAndReturnTogether(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -140,7 +144,9 @@
 		unheard           float64
 	}{{"sparse", 16, 32, 1.5, 0}, {"small", 2, 3, 26, 0}, {"middle", 6, 12, 15, 0}, {"half unheard", 6, 12, 15, 0.5}} {
 		t.Run(c.name, func(t *testing.T) {
-			var avoided [2]int64 // when 95 % of the attempts of a second but for trials went elsewhere: alone, together
+			// When 95 % of the attempts in a second, except trials, went to other zones: without reports,
+			// with them.
+			var avoided [2]int64
 			some := 0.05 + trialsPerSecond/(c.rate*float64(c.replicas))
 			for on := range 2 {
 				w := newWorld(t, 3, c.replicas, c.servers, c.rate, on == 1)
@@ -165,40 +171,46 @@
 				first, last := int64(math.MaxInt64), int64(0)
 				for _, p := range w.replicas {
 					if away := p.phaseTimes(0, ZoneEvacuated); p.b.settings.Zone == 0 && len(away) != 1 {
-						t.Errorf("%s left zone 0 at %v", p.name, away)
+						t.Errorf("%s evacuated zone 0 at %v us, want one time", p.name, away)
 					} else if p.b.settings.Zone == 0 {
 						first, last = min(first, away[0]), max(last, away[0])
 					}
 				}
 				if last-first > second/2 {
-					t.Errorf("first left at %d, last at %d", first, last)
+					t.Errorf("the first replica evacuated zone 0 at %d us, the last at %d us", first, last)
 				}
 				if part := w.attemptFraction(-1, -1, 5*second, 20*second); part > 0.15 {
-					t.Errorf("%.2f of attempts go across zones while nothing is wrong", part)
+					t.Errorf("%.2f of the attempts go to other zones without any fault", part)
 				}
 				cold := w.replicas[0].b.settings.SlowStartDuration
 				if back := w.attemptFraction(0, 0, 35*second+cold*3/2, 55*second); back < 0.9 {
-					t.Errorf("%.2f are back", back)
+					t.Errorf("%.2f of the attempts go to the recovered zone, want 0.9", back)
 				}
 				if early := w.attemptFraction(0, 0, 25*second, 35*second); early > some {
-					t.Errorf("%.2f of attempts are trials", early)
+					t.Errorf("%.2f of the attempts are trials of the evacuated zone", early)
 				}
 				for _, p := range w.replicas {
 					for _, s := range p.sends {
 						if at := s.at - start; s.zone == 0 && p.b.settings.Zone == 0 && at > 25*second && at < 35*second && s.idempotency != Idempotent {
-							t.Fatalf("%s tried zone 0 at %d with a call that is not safe to repeat", p.name, at)
+							t.Fatalf("%s sent a trial to zone 0 at %d us with a non-idempotent request",
+								p.name, at)
 						}
 					}
 				}
 			}
-			t.Logf("avoided after %.1f s alone, %.1f s together", float64(avoided[0])/1e6, float64(avoided[1])/1e6)
-			if avoided[1] > max(avoided[0]/3, 6*second/5) { // few and busy replicas find out as fast by themselves
-				t.Errorf("avoided after %d alone, %d together", avoided[0], avoided[1])
+			t.Logf("the zone was avoided after %.1f s without reports, %.1f s with them",
+				float64(avoided[0])/1e6, float64(avoided[1])/1e6)
+			// The 1.2 s are for few and busy replicas, which detect the outage as fast without reports.
+			if avoided[1] > max(avoided[0]/3, 6*second/5) {
+				t.Errorf("the zone was avoided after %d us without reports, %d us with them",
+					avoided[0], avoided[1])
 			}
 		})
 	}
 }
 
+// TestFlappingZoneIsReturnedToMoreSlowly checks that a zone that fails again and again is evacuated for
+// longer each time, and that it recovers after the last outage.
 func TestFlappingZoneIsReturnedToMoreSlowly(t *testing.T) {
 	w := newWorld(t, 3, 3, 4, 10, true)
 	w.outcome = func(c *replica, s Server) (Status, int64) {
@@ -211,16 +223,17 @@
 	before := w.replicas[0].b.ZoneStates(w.now)[0].Transitions
 	w.run(240 * second)
 	if n := w.replicas[0].b.ZoneStates(w.now)[0].Transitions - before; n > 2*2 {
-		t.Errorf("%d changes in two minutes", n)
+		t.Errorf("%d changes of phase in two minutes, want at most 4", n)
 	}
 	w.outcome = w.answer
 	w.run(320 * second)
 	if z := w.replicas[0].b.ZoneStates(w.now)[0]; z.WeightFraction < 1 {
-		t.Errorf("not returned to: %+v", z)
+		t.Errorf("the zone has not recovered: %+v", z)
 	}
 }
 
-// An isolated replica keeps nothing of what was reported to it, and returns to a zone at the slowest pace.
+// TestIsolatedReplicaReturnsSlowly checks that a replica that becomes isolated takes longer than the others
+// for the recovery of a zone, and that an isolated replica evacuates none.
 func TestIsolatedReplicaReturnsSlowly(t *testing.T) {
 	w := newWorld(t, 3, 4, 5, 20, true)
 	w.run(10 * second)
@@ -236,11 +249,12 @@
 	w.outcome = w.answer
 	w.run(22 * second)
 	if mine, theirs := c.b.ZoneStates(w.now)[0], w.replicas[3].b.ZoneStates(w.now)[0]; mine.WeightFraction >= theirs.WeightFraction || mine.WeightFraction > 0.2 {
-		t.Errorf("cut off: %+v; the others: %+v", mine, theirs)
+		t.Errorf("the isolated replica gives the zone as much weight as the others: %+v, the others: %+v",
+			mine, theirs)
 	}
 	w.run(80 * second)
 	if mine := c.b.ZoneStates(w.now)[0]; mine.WeightFraction < 1 {
-		t.Errorf("cut off, much later: %+v", mine)
+		t.Errorf("at the isolated replica the zone has not recovered: %+v", mine)
 	}
 	w.outcome = func(p *replica, s Server) (Status, int64) {
 		if s.Zone == 0 {
@@ -250,16 +264,18 @@
 	}
 	w.run(90 * second)
 	if away := c.evacuatedZones(); len(away) > 0 {
-		t.Errorf("cut off, it left %v", away)
+		t.Errorf("the isolated replica has evacuated zones %v", away)
 	}
-	one := newWorld(t, 3, 1, 5, 40, true) // the only one of its zone
+	one := newWorld(t, 3, 1, 5, 40, true) // each replica is the only one of its zone
 	one.replicas[0].isolated, one.outcome = true, w.outcome
 	one.run(10 * second)
 	if away := one.replicas[0].evacuatedZones(); len(away) > 0 {
-		t.Errorf("cut off and the only one of its zone, it left %v", away)
+		t.Errorf("the isolated replica, the only one of its zone, has evacuated zones %v", away)
 	}
 }
 
+// TestDrainedZoneGetsNothing checks that a drained zone gets no calls, not even trials or those of resumed
+// servers, and that a restored zone recovers in steps.
 func TestDrainedZoneGetsNothing(t *testing.T) {
 	w := newWorld(t, 3, 2, 3, 20, true)
 	w.run(5 * second)
@@ -268,15 +284,15 @@
 	}
 	w.run(15 * second)
 	if part := w.attemptFraction(-1, 0, 5*second, 15*second); part > 0 {
-		t.Errorf("%v of attempts went to a zone that is drained", part)
+		t.Errorf("%v of the attempts went to the drained zone", part)
 	}
 	sends := len(w.replicas[0].sends)
 	w.replicas[0].b.SetDrainedZones(w.now, w.replicas[0], map[int]bool{0: true, 1: true, 2: true})
 	w.replicas[0].b.SetSuspendedServers(map[string]bool{"s0": true})
-	w.replicas[0].b.SetSuspendedServers(nil) // back from a ban, it would get the next call
+	w.replicas[0].b.SetSuspendedServers(nil) // a resumed server would get the next call
 	w.run(16 * second)
 	if n := len(w.replicas[0].sends) - sends; n > 0 {
-		t.Errorf("%d attempts with all zones drained", n)
+		t.Errorf("%d attempts were sent with all zones drained", n)
 	}
 	for _, c := range w.replicas {
 		c.b.SetDrainedZones(w.now, c, nil)
@@ -284,23 +300,24 @@
 	}
 	w.run(17 * second)
 	if z := w.replicas[0].b.ZoneStates(w.now)[0]; z.Phase != ZoneRecovering {
-		t.Errorf("restored: %+v", z)
+		t.Errorf("the restored zone is not recovering: %+v", z)
 	}
 	w.run(40 * second)
 	if part := w.attemptFraction(0, 0, 30*second, 40*second); part < 0.9 {
-		t.Errorf("restored, it gets %v of home's attempts", part)
+		t.Errorf("the restored zone gets %v of the attempts of its own replicas, want 0.9", part)
 	}
 }
 
-// What three of four replicas of a zone have to report for another zone to be evacuated.
+// TestEvacuationConditions checks what the replicas of a zone have to report for another zone to be
+// evacuated: each case but the first fails one condition.
 func TestEvacuationConditions(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		say       int     // replicas that call it bad
-		calls     float64 // of each
-		bad       float64
-		servers   int
-		elsewhere float64 // bad part in the other zone
+		say       int     // replicas, of four, that report the zone as unhealthy
+		calls     float64 // calls of each replica to the zone
+		bad       float64 // bad fraction of these calls
+		servers   int     // servers of the zone that are reported as unhealthy
+		elsewhere float64 // bad fraction of the calls to the other zone
 		want      ZonePhase
 	}{
 		{"enough", 3, 5, 0.9, 2, 0.1, ZoneEvacuated},
@@ -329,12 +346,13 @@
 			b.HandlePeerReports(now, h, p)
 		}
 		if got := b.ZoneStates(start + second)[1].Phase; got != c.want {
-			t.Errorf("%s: %v, not %v", c.name, got, c.want)
+			t.Errorf("%s: the phase is %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// The first drain of all is a change of phase like any other: counted and logged.
+// TestFirstDrainIsLogged checks that the first drain of a Balancer, which begins to keep the state of zones,
+// is counted and logged like any other change of phase.
 func TestFirstDrainIsLogged(t *testing.T) {
 	b, err := New(Settings{ZoneCount: 2, Replicas: 1, MaxAttempts: 1, Classes: []Class{{LatencyObjective: second, Deadline: second}}}, 1)
 	if err != nil {
@@ -343,6 +361,6 @@
 	r := &recorder{}
 	b.SetDrainedZones(start, r, map[int]bool{1: true})
 	if z := b.ZoneStates(start)[1]; z.Phase != ZoneDrained || z.Transitions != 1 || len(r.lines) != 1 {
-		t.Errorf("got %+v, said %q", z, r.lines)
+		t.Errorf("zone state %+v and actions %q, want one change to drained and one log event", z, r.lines)
 	}
 }
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -7,11 +7,11 @@
 	"slices"
 )
 
-// Membership: which servers there are, which of them new attempts may go to, and in which order this replica
+// Membership: which servers are listed, which of them may get new attempts, and in which order this replica
 // considers them.
 //
 // Input: the endpoint list, suspended servers and drained zones. Output: the ready servers, this replica's
-// subset first. One that drains, is removed or is suspended is out at once.
+// subset first. A server that drains, is removed or is suspended leaves them at once.
 
 // Ranks of zones in the order of the ready servers, see locality.rank.
 const (
@@ -19,22 +19,22 @@
 	rankRemote = 1
 )
 
-// goldenRatioStep is the part of the ring between the starts of two replicas: steps of it spread any number
-// of starts evenly.
+// goldenRatioStep is the fraction of the ring between the subsets of two consecutive replicas. Steps of the
+// golden ratio spread any number of subsets evenly.
 const goldenRatioStep = 0.618034
 
 // membership holds the listed servers.
 type membership struct {
 	*shared
 	byID  map[string]*server
-	all   []*server // in order of first listing
-	ring  []*server // the same in ring order, kept sorted
-	added []*server // listed for the first time and not on the ring yet
+	all   []*server // in the order in which they were first listed
+	ring  []*server // the same servers in ring order, kept sorted
+	added []*server // listed for the first time and not in ring yet
 
 	suspended    map[string]bool // by operators: server IDs, listed or not
 	drainedZones map[int]bool    // by operators
 
-	ready          []*server // those that new attempts may go to, see order
+	ready          []*server // servers that may get new attempts, see order
 	localCount     int       // ready[:localCount] are local
 	reachableCount int       // ready[reachableCount:] are in evacuated zones
 }
@@ -43,14 +43,15 @@
 	return &membership{shared: common, byID: map[string]*server{}}
 }
 
-// replaceAll begins a complete list: servers that upsert doesn't bring are removed.
+// replaceAll begins a complete list: servers for which no upsert follows are removed.
 func (m *membership) replaceAll() {
 	for _, server := range m.all {
 		server.State = ServerRemoved
 	}
 }
 
-// upsert takes one entry of a list. What was learned of a server goes when its process is another one.
+// upsert adds or updates the server of one entry of a list. What was learned about the server is discarded if
+// the entry is of another process.
 func (m *membership) upsert(entry Server) {
 	server := m.byID[entry.ID]
 	if server == nil {
@@ -72,7 +73,7 @@
 	return server
 }
 
-// suspend has these servers and no others suspended. One that is resumed starts afresh, with a trial call.
+// suspend suspends exactly these servers. A server that is resumed starts without history, with a trial call.
 func (m *membership) suspend(ids map[string]bool) {
 	before := m.suspended
 	m.suspended = ids
@@ -84,13 +85,13 @@
 	}
 }
 
-// drain has these zones and no others drained, and returns those that were before.
+// drain drains exactly these zones and returns those that were drained before.
 func (m *membership) drain(zones map[int]bool) (before map[int]bool) {
 	before, m.drainedZones = m.drainedZones, zones
 	return before
 }
 
-// refilter forgets removed servers and collects the ready ones. rank orders zones, see order; nil while
+// refilter deletes removed servers and collects the ready ones. rank orders zones, see order; it is nil while
 // zones are not tracked.
 func (m *membership) refilter(rank func(zone int) int) {
 	m.all = slices.DeleteFunc(m.all, func(s *server) bool {
@@ -109,8 +110,8 @@
 	m.order(rank)
 }
 
-// updateRing has the ring hold the servers that are listed now. It merges, since sorting some thousand
-// servers at each change would take too long.
+// updateRing removes servers from the ring that are no longer listed, and merges added ones into it. Sorting
+// some thousand servers at each change would take too long.
 func (m *membership) updateRing() {
 	removed := func(s *server) bool { return s.State == ServerRemoved }
 	m.ring = slices.DeleteFunc(m.ring, removed)
@@ -129,8 +130,9 @@
 	m.ring = append(ring, added...)
 }
 
-// order puts the ready servers in the order of this replica's subset: along the ring from a place of its
-// own, so that replicas spread evenly over the servers, and then by the rank of their zones.
+// order sorts the ready servers in the order in which this replica considers them: along the ring from a
+// start that depends on the replica, so that replicas spread evenly over the servers, and then by the rank of
+// their zones.
 func (m *membership) order(rank func(zone int) int) {
 	_, place := math.Modf(float64(m.settings.ReplicaIndex) * goldenRatioStep)
 	first := int(place * float64(len(m.ready)))
@@ -147,16 +149,16 @@
 	}
 }
 
-// local are the ready servers to consider first; all of them while zones are not tracked.
+// local returns the ready servers of the local zone; all ready servers while zones are not tracked.
 func (m *membership) local() []*server { return m.ready[:m.localCount] }
 
-// remote are the ready servers of other zones that are not evacuated.
+// remote returns the ready servers of other zones that are not evacuated.
 func (m *membership) remote() []*server { return m.ready[m.localCount:m.reachableCount] }
 
-// evacuated are the ready servers of evacuated zones.
+// evacuated returns the ready servers of evacuated zones.
 func (m *membership) evacuated() []*server { return m.ready[m.reachableCount:] }
 
-// readyIn are the ready servers of a zone.
+// readyIn returns the ready servers of a zone.
 func (m *membership) readyIn(zone int) (servers []*server) {
 	for _, server := range m.ready {
 		if server.Zone == zone {
@@ -167,7 +169,7 @@
 }
 
 // counts returns how many servers are listed, and how many of them are suspended, damped or unhealthy by this
-// replica's own calls. It is for figures alone.
+// replica's own calls. The counts are for metrics only.
 func (m *membership) counts() (listed, avoided int) {
 	for _, server := range m.all {
 		unhealthy := server.damping.active || server.outlier.overall.score < healthyScore
@@ -178,11 +180,13 @@
 	return len(m.all), avoided
 }
 
-// ringOrder is the order of servers on the ring: the same at every replica, and by nothing that IDs may mean.
+// ringOrder compares two servers by their order on the ring. The order is by a hash of the IDs, so that it is
+// the same at every replica and does not depend on the meaning of IDs.
 func ringOrder(x, y *server) int {
 	return cmp.Or(cmp.Compare(x.hash, y.hash), cmp.Compare(x.ID, y.ID))
 }
 
+// hashID returns the position of a server on the ring.
 func hashID(id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id)) // never fails
--- a/balancer/membership_test.go
+++ b/balancer/membership_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// After any lists and suspensions the ring holds the listed servers in order, and new attempts go to the ready ones of it,
-// from this replica's place on.
+// TestRingHoldsListedServers checks after random lists and suspensions that the ring holds the listed servers
+// in ring order, and that the ready servers are those of the ring, beginning at this replica's start.
 func TestRingHoldsListedServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
-		set.ReplicaIndex = rapid.IntRange(0, 5).Draw(t, "ordinal")
+		set.ReplicaIndex = rapid.IntRange(0, 5).Draw(t, "replica index")
 		b, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -24,7 +24,7 @@
 			for range rapid.IntRange(0, 12).Draw(t, "entries") {
 				ids = append(ids, fmt.Sprint("s", rapid.IntRange(0, 20).Draw(t, "server")))
 			}
-			if rapid.IntRange(0, 4).Draw(t, "ban") == 0 {
+			if rapid.IntRange(0, 4).Draw(t, "suspend") == 0 {
 				out := map[string]bool{}
 				for _, id := range ids {
 					out[id] = true
@@ -39,12 +39,14 @@
 			}
 			sorted := slices.SortedFunc(slices.Values(b.members.all), ringOrder)
 			if !slices.Equal(b.members.ring, sorted) {
-				t.Fatalf("the ring holds %d servers, or in another order than the %d listed", len(b.members.ring), len(b.members.all))
+				t.Fatalf("the ring (%d servers) differs from the listed servers (%d) in ring order",
+					len(b.members.ring), len(b.members.all))
 			}
 			ready := slices.DeleteFunc(sorted, func(s *server) bool { return s.State != ServerReady || b.members.suspended[s.ID] })
 			_, from := math.Modf(float64(set.ReplicaIndex) * goldenRatioStep)
 			if first := int(from * float64(len(ready))); !slices.Equal(b.members.ready, slices.Concat(ready[first:], ready[:first])) {
-				t.Fatalf("%d servers are ready, or in another order than %d", len(b.members.ready), len(ready))
+				t.Fatalf("the ready servers (%d) differ from the ready ones of the ring (%d)",
+					len(b.members.ready), len(ready))
 			}
 		}
 	})
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// functions are those of a Go file: F, or T.F of a method.
+// functions returns the names of the functions of a Go file: F, or T.F for a method.
 func functions(t *testing.T, path string) (names []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -36,8 +36,10 @@
 	return names
 }
 
-// docs/policy.md has a rule for each file under policy, and says of each function of the decisions and of their
-// mathematics that does not stand under policy why it is no decision, or that it is one and left.
+// TestEachFunctionOutsidePolicyHasARow checks docs/policy.md against the code. The page must have at least
+// one rule for each file that deploy/balancer.toml lists under policy. For each function of the two packages
+// that is in another file it must have a row that says why the function is no decision, or that it is one. No
+// function may have two entries, and no entry may name a function that does not exist.
 func TestEachFunctionOutsidePolicyHasARow(t *testing.T) {
 	read := func(path string) string {
 		text, err := os.ReadFile(path)
@@ -48,7 +50,7 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*?)\]`).FindStringSubmatch(read("../deploy/balancer.toml"))
 	if list == nil {
-		t.Fatal("deploy/balancer.toml has no policy")
+		t.Fatal("deploy/balancer.toml has no list policy")
 	}
 	page := read("../docs/policy.md")
 	rows := map[string]int{}  // of functions outside policy, by file and function
@@ -70,20 +72,21 @@
 			for _, f := range functions(t, path) {
 				row := filepath.Base(path) + " " + f
 				if n := rows[row] + rules[row]; n > 1 || n == 0 && !decides || rules[row] > 0 && !decides {
-					t.Errorf("%s: %s has %d rows and %d rules in docs/policy.md", path, f, rows[row], rules[row])
+					t.Errorf("%s: function %s has %d rows and %d rules in docs/policy.md",
+						path, f, rows[row], rules[row])
 				}
 				inFile += rules[row]
 				delete(rows, row)
 				delete(rules, row)
 			}
 			if decides && inFile == 0 {
-				t.Errorf("%s decides and has no rule in docs/policy.md", path)
+				t.Errorf("%s is listed under policy but has no rule in docs/policy.md", path)
 			}
 		}
 	}
 	for _, left := range []map[string]int{rows, rules} {
 		for row := range left {
-			t.Errorf("docs/policy.md has a row for %s, which is not there", row)
+			t.Errorf("docs/policy.md has an entry for %s, which does not exist", row)
 		}
 	}
 }
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// How other settings take the place of those in force. What was learned moves along; nothing is decided here.
+// Replacing the current settings while what was learned is kept. No decisions are made in this file.
 
-// Reconfigure puts other settings in force for the requests that come from now on; open ones keep the settings that
-// they began with. It returns the number that requests are to have for each class of s. A class that is as it was
-// keeps its number and what was learned. One whose rules differ gets another number, since open requests need the
-// old one, but keeps what was learned of servers and latencies. heldNumbers are numbers that requests on their way
-// here may have, beside those in force.
+// Reconfigure replaces the settings for all requests that are received from now on; open requests keep the
+// settings with which they began. It returns, for each class of s, the number that requests must use for it.
+// An unchanged class keeps its number and what was learned. A class with changed rules gets a new number,
+// since open requests still use the old one, but keeps what was learned about servers and latencies.
+// heldNumbers are numbers, beside the current ones, that requests may have which were read but not yet passed
+// to HandleRequest.
 //
-// The error is a *SettingsError: settings that make no sense, or another Tier or WatchEndpoints, which can't change
-// while a Balancer runs. Nothing has changed then.
+// An error is always a *SettingsError: the settings are invalid, or they change Tier or WatchEndpoints, which
+// can't change while a Balancer runs. In that case the settings stay as they were.
 func (b *Balancer) Reconfigure(nowMicros int64, s Settings, heldNumbers map[int]bool) (numbers []int, err error) {
 	now := moment(nowMicros)
 	if err := s.validate(); err != nil {
@@ -38,7 +39,7 @@
 	return numbers, nil
 }
 
-// replaceClasses gives each class of the settings s a number, and has s list the classes by these.
+// replaceClasses gives each class of the settings s a number and reorders s.Classes by these numbers.
 func (b *Balancer) replaceClasses(s *Settings, heldNumbers map[int]bool) (numbers []int) {
 	before, wanted := b.settings.Classes, s.Classes
 	held := map[int]bool{}
@@ -47,7 +48,7 @@
 	for i, class := range before {
 		if !b.classes[i].retired {
 			formers[class.Name], held[i] = i, true
-			b.classes[i].retired = true // unless it is found again
+			b.classes[i].retired = true // unless s lists it, see below
 		}
 	}
 	s.Classes = slices.Clone(before)
@@ -65,8 +66,8 @@
 	return numbers
 }
 
-// addClass gives a class a free number. former is the number of the class of this name, whose rules differ; nil if
-// there is none.
+// addClass gives a class a free number and returns it. former is the number of the class that had the same
+// name and other rules; nil if there is none.
 func (b *Balancer) addClass(s *Settings, rules Class, former *int, held map[int]bool) int {
 	number := b.freeNumber(held)
 	if number == len(s.Classes) {
@@ -86,7 +87,8 @@
 	return number
 }
 
-// freeNumber is a number that no class in force, no open request and none of held has; a new one if there is none.
+// freeNumber returns a class number that is used by no current class and no open request and is not in held.
+// It adds a new one if there is none.
 func (b *Balancer) freeNumber(held map[int]bool) int {
 	open := map[int]bool{}
 	for _, request := range b.requests {
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// namedSettings returns testSettings with a name for each class, by which Reconfigure identifies it.
 func namedSettings() Settings {
 	s := testSettings()
 	for i := range s.Classes {
@@ -14,13 +15,14 @@
 	return s
 }
 
-// New requests are under the new settings, open ones under those that they began with.
+// TestOpenRequestsKeepTheirSettings checks that open requests, and those parsed before the change, keep the
+// settings with which they began, while new requests use the new ones.
 func TestOpenRequestsKeepTheirSettings(t *testing.T) {
 	s := namedSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin = second, 100
 	b, h := newWithServers(t, s, 4)
 	first := b.Settings()
-	sendRequest(b, h, start, "open", 0) // safe, may be tried 4 times
+	sendRequest(b, h, start, "open", 0) // idempotent, at most 4 attempts
 	next := namedSettings()
 	next.RetryBudgetWindow, next.RetryBudgetMin, next.MaxAttempts = second, 100, 1
 	next.Classes = next.Classes[:3]
@@ -30,14 +32,14 @@
 		t.Fatal(err)
 	}
 	if numbers[0] == 0 || numbers[1] != 1 || numbers[2] != 2 {
-		t.Errorf("numbers %v: only the class whose rules differ gets a new one", numbers)
+		t.Errorf("numbers %v: only the class with changed rules may get a new one", numbers)
 	}
-	// One that was read before and comes only now, of a class that is dropped.
+	// This request was parsed before the change; its class is no longer in the settings.
 	b.HandleRequest(start, h, Request{ID: "on its way", Class: 3, Deadline: start + 1_000_000, Settings: first})
 	b.HandleRequest(start, h, Request{ID: "new", Class: numbers[0], Deadline: start + 1_000_000})
 	for _, c := range []struct {
 		id   string
-		more int // attempts after an error
+		more int // retries after errors
 	}{{"open", 3}, {"on its way", 3}, {"new", 0}} {
 		more := 0
 		for n := 0; ; n++ {
@@ -49,15 +51,16 @@
 			more++
 		}
 		if more != c.more {
-			t.Errorf("%s: %d further attempts, want %d", c.id, more, c.more)
+			t.Errorf("request %q: %d retries, want %d", c.id, more, c.more)
 		}
 	}
 	if len(b.requests) != 0 || b.admission.tier.inFlight != 0 {
-		t.Errorf("%d requests, %d calls are left", len(b.requests), b.admission.tier.inFlight)
+		t.Errorf("%d requests and %d attempts in flight are left", len(b.requests), b.admission.tier.inFlight)
 	}
 }
 
-// What was learned of a class moves to its new number, and numbers are used again once nothing needs them.
+// TestClassNumbersAreReusedAndLearnedStateMoves checks that what was learned about a class moves to its new
+// number, and that class numbers are used again once no request uses them.
 func TestClassNumbersAreReusedAndLearnedStateMoves(t *testing.T) {
 	s := namedSettings()
 	b, h := newWithServers(t, s, 4)
@@ -75,23 +78,26 @@
 		}
 		last = numbers[0]
 		if c := b.classes[last]; c.latency.mean != mean || c.latency.successes != seen || c.retired {
-			t.Fatalf("after %d: %+v", i, c)
+			t.Fatalf("after change %d the learned state is lost: %+v", i, c)
 		}
 		sendRequest(b, h, start, fmt.Sprint("x", i), last)
 		b.HandleOutcome(start, h, Outcome{RequestID: fmt.Sprint("x", i), Status: StatusNotSent, RequestDone: true})
 	}
 	if n := len(b.classes); n > len(s.Classes)+3 {
-		t.Errorf("%d numbers for %d classes", n, len(s.Classes))
+		t.Errorf("%d numbers are in use for %d classes", n, len(s.Classes))
 	}
 	for _, srv := range b.members.all {
 		if len(srv.outlier.byClass) != len(b.classes) {
-			t.Errorf("%s has %d of %d classes", srv.ID, len(srv.outlier.byClass), len(b.classes))
+			t.Errorf("server %s has the state of %d classes, want %d",
+				srv.ID, len(srv.outlier.byClass), len(b.classes))
 		}
 	}
 	b.UpdateEndpoints(start, h, UpdateDelta, []Server{{ID: "late", State: ServerReady}})
 	sendRequest(b, h, start, "to the new server", last)
 }
 
+// TestRejectedSettingsChangeNothing checks that invalid settings, and changes that are not possible, are
+// rejected with a SettingsError and leave the settings as they were.
 func TestRejectedSettingsChangeNothing(t *testing.T) {
 	b, _ := newWithServers(t, namedSettings(), 4)
 	was := b.Settings()
@@ -105,12 +111,13 @@
 		spoil(&next)
 		_, err := b.Reconfigure(start, next, nil)
 		if fault := (*SettingsError)(nil); !errors.As(err, &fault) || b.Settings() != was {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, or the settings changed", name, err)
 		}
 	}
 }
 
-// Tenants are recognised by their names, wherever they are in the list.
+// TestTenantsKeepTheirCountsByName checks that Reconfigure identifies tenants by name, not by their position
+// in the list.
 func TestTenantsKeepTheirCountsByName(t *testing.T) {
 	s := namedSettings()
 	s.Tenants = []Tenant{{Name: "a", Share: 0.5, Quota: 10}, {Name: "b", Share: 0.5, Quota: 10}}
@@ -121,12 +128,13 @@
 	if _, err := b.Reconfigure(start, s, nil); err != nil {
 		t.Fatal(err)
 	}
-	b.HandleRequest(start, h, Request{ID: "2", Tenant: 1, Deadline: start + 1_000_000, Settings: first}) // b
-	b.HandleRequest(start, h, Request{ID: "3", Tenant: 0, Deadline: start + 1_000_000, Settings: first}) // a, which is no more
+	// By the first settings tenant 1 is b, and tenant 0 is a, which is no longer configured.
+	b.HandleRequest(start, h, Request{ID: "2", Tenant: 1, Deadline: start + 1_000_000, Settings: first})
+	b.HandleRequest(start, h, Request{ID: "3", Tenant: 0, Deadline: start + 1_000_000, Settings: first})
 	if n := b.quotas.tenants[0].admitted.count(moment(start), span(second)); n != 2 || len(h.sends) != 3 {
-		t.Errorf("%v passed for b, %d sent", n, len(h.sends))
+		t.Errorf("%v requests of tenant b admitted and %d requests sent, want 2 and 3", n, len(h.sends))
 	}
 	if b.quotas.fairRate != 30 {
-		t.Errorf("fair %v", b.quotas.fairRate)
+		t.Errorf("fair rate is %v, want 30", b.quotas.fairRate)
 	}
 }
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// Peer reports: what this replica reports to the others, and what of the others' reports counts.
+// Peer reports: what this replica reports to the others, and which of the others' reports it uses.
 //
-// Input: the state of the rules, and the reports of others. Output: the reports of this replica, none where
-// its own link is more likely at fault than the servers.
+// Input: the state of the rules, and the reports of others. Output: the reports of this replica; none if its
+// own network link is more likely at fault than the servers.
 
 const (
-	// Unhealthy servers, in more than one zone, and their fraction of all that were called, from which on the
-	// fault is in this replica's own link.
+	// This replica's own link is at fault if at least ownLinkMinServers servers, in more than one zone, and
+	// more than ownLinkBadFraction of all servers that it called lately are unhealthy.
 	ownLinkMinServers, ownLinkBadFraction = 3, 0.6
 
-	startTimeTolerance = 1 * seconds // start times of one process by different clocks differ by less
+	startTimeTolerance = 1 * seconds // the start time of one process differs by less than this between clocks
 )
 
-// reportExchange holds what this replica and the others reported last.
+// reportExchange holds the latest reports of this replica and of the others.
 type reportExchange struct {
 	own   []Report
 	peers PeerReports
 }
 
-// receive takes the others' reports in place of the former ones. An isolated replica goes by its own.
+// receive replaces the reports of the others. An isolated replica uses only its own reports.
 func (r *reportExchange) receive(peers PeerReports) {
 	if peers.LiveReplicasInZone = max(peers.LiveReplicasInZone, 1); peers.Isolated {
 		peers.Reports = nil
@@ -30,7 +30,8 @@
 	r.peers = peers
 }
 
-// all yields this replica's own reports and the others', so that replicas that hear each other decide alike.
+// all iterates over this replica's own reports and those of the others. Since every replica includes its own,
+// the replicas that receive each other's reports decide alike.
 func (r *reportExchange) all(yield func(Report) bool) {
 	for _, list := range [][]Report{r.own, r.peers.Reports} {
 		for _, report := range list {
@@ -41,15 +42,16 @@
 	}
 }
 
-// sameProcess reports whether a report is of the process that the list names. Its start is by another's
-// clock.
+// sameProcess reports whether a report is about the process that is listed now. The start time in the report
+// may be by another clock.
 func sameProcess(server *server, report Report) bool {
 	return sameStartTime(moment(server.StartTime), moment(report.StartTime))
 }
 
+// sameStartTime reports whether two start times are equal within startTimeTolerance.
 func sameStartTime(x, y moment) bool { return max(x.since(y), y.since(x)) < startTimeTolerance }
 
-// bounded keeps a number that others report between 0 and most; what is no number is 0.
+// bounded limits a number that another replica reported to the range from 0 to most; NaN becomes 0.
 func bounded(x, most float64) float64 {
 	if !(x >= 0) {
 		return 0
@@ -57,14 +59,16 @@
 	return min(x, most)
 }
 
-// zoneSample counts the servers of a zone, or of all, that this replica called lately.
+// zoneSample counts the servers of one zone, or of all zones, that this replica called within
+// serverReportTTL.
 type zoneSample struct {
 	servers, unhealthy      int
-	recent, recentUnhealthy int // those of them that it called very lately
-	unhealthyZones          int // of the sample of all: zones with an unhealthy server
+	recent, recentUnhealthy int // those of them that it called within locality.sampleTTL
+	unhealthyZones          int // only in the sample of all zones: number of zones with an unhealthy server
 }
 
-// Reports returns what this replica reports to the others now. What is not in it any more is withdrawn.
+// Reports returns the current reports of this replica for the others. A report that is no longer included is
+// withdrawn.
 func (b *Balancer) Reports(nowMicros int64) []Report {
 	now := moment(nowMicros)
 	b.trackZones()
@@ -81,7 +85,7 @@
 }
 
 // serverReports returns the reports on the health of the servers that this replica called lately, and a
-// sample of each zone.
+// sample for each zone.
 func (b *Balancer) serverReports(now moment) (reports []Report, samples map[int]zoneSample) {
 	samples = map[int]zoneSample{}
 	for _, server := range b.members.all {
@@ -106,8 +110,8 @@
 	return reports, samples
 }
 
-// ownLinkFails reports whether what this replica sees is more likely a fault of its own link: most servers
-// over several zones are unhealthy, and no zone answers.
+// ownLinkFails reports whether the failures that this replica sees are more likely caused by its own network
+// link: most servers over several zones are unhealthy, and no zone answers.
 func (b *Balancer) ownLinkFails(now moment, samples map[int]zoneSample) bool {
 	if b.locality.someZoneAnswers(now) {
 		return false
@@ -121,7 +125,7 @@
 		float64(all.unhealthy) > ownLinkBadFraction*float64(all.servers)
 }
 
-// recordSilentAttempts counts attempts that have been in flight for too long as failed before their end.
+// recordSilentAttempts counts attempts that have been in flight for too long as failed, before they end.
 func (b *Balancer) recordSilentAttempts(now moment) {
 	for _, request := range b.requests {
 		for _, attempt := range request.attempts {
@@ -133,7 +137,8 @@
 	}
 }
 
-// HandlePeerReports takes what the other replicas report now; it replaces what they reported before.
+// HandlePeerReports handles the current reports of the other replicas, which replace all that they reported
+// before.
 func (b *Balancer) HandlePeerReports(nowMicros int64, host Host, peers PeerReports) {
 	now := moment(nowMicros)
 	b.trackZones()
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A third of the replicas that report all servers and zones as unhealthy takes out no more than the budget and moves no
-// zone.
+// TestFalseReportsOfAThirdMoveNothing checks that false reports by a third of the replicas, which call all
+// servers and zones unhealthy, remove no more servers than the budget allows and evacuate no zone.
 func TestFalseReportsOfAThirdMoveNothing(t *testing.T) {
 	for _, liars := range []bool{false, true} {
 		w := newWorld(t, 3, 6, 6, 15, true)
@@ -28,25 +28,26 @@
 		for _, c := range w.replicas {
 			checkBudget(t, c.b)
 			if away := c.evacuatedZones(); len(away) > 0 {
-				t.Errorf("%s has left %v", c.name, away)
+				t.Errorf("%s has evacuated zones %v", c.name, away)
 			}
 		}
 		if part := w.attemptFraction(-1, -1, 5*second, 40*second); part > 0.15 {
-			t.Errorf("liars %v: %.2f of attempts across zones", liars, part)
+			t.Errorf("false reports %v: %.2f of the attempts go to other zones", liars, part)
 		}
 		if n := w.failures(); n > 40 {
-			t.Errorf("liars %v: %d requests failed", liars, n)
+			t.Errorf("false reports %v: %d requests failed", liars, n)
 		}
 	}
 }
 
-// A replica whose calls fail over several zones, and are answered by none, reports nothing.
+// TestOwnLinkFailureReportsNothing checks that a replica whose calls fail in several zones, and are answered
+// by none, reports nothing: then its own network link is more likely at fault.
 func TestOwnLinkFailureReportsNothing(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		well []int // zones that answer
-		bad  []int // zones whose servers do not
-		want int   // servers that are called bad
+		bad  []int // zones whose servers do not respond
+		want int   // servers that are reported as unhealthy
 	}{
 		{"all silent over two zones", nil, []int{0, 1}, 0},
 		{"one zone silent", nil, []int{0}, 4},
@@ -69,7 +70,7 @@
 			zones += int(indicator(n.Kind == ReportZoneUnhealthy))
 		}
 		if got != c.want || zones != c.want/4 {
-			t.Errorf("%s: %d servers and %d zones are called bad", c.name, got, zones)
+			t.Errorf("%s: %d servers and %d zones are reported as unhealthy", c.name, got, zones)
 		}
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -4,31 +4,32 @@
 
 // Selection: which server an attempt goes to, by a weighted random draw.
 //
-// Input: the ready servers in the order of this replica's subset, and what the other rules say of each:
-// capacity hint, slow start, health, slowness, zone, tuning, evidence that it is still listed, and the
-// attempts that it holds. Output: a server, or none.
+// Input: the ready servers in the order of this replica's subset, and for each of them its capacity hint,
+// slow start, health, slowness, zone, tuning, evidence that it is still listed, and attempts in flight.
+// Output: a server, or none.
 
 const (
-	inFlightExponent  = 8.0  // of 1 + attempts in flight: how sharply a weight falls with them
-	triedWeightFactor = 1e-6 // for a server that the request has tried: the last resort
+	inFlightExponent  = 8.0  // a weight falls with this power of 1 + attempts in flight
+	triedWeightFactor = 1e-6 // weight factor of a server that the request was sent to before: the last resort
 
-	// Of its trials, those that an unhealthy server gets from calls that can't be repeated.
+	// Factor of an unhealthy server's trials in draws for non-idempotent requests, which can't be retried.
 	nonIdempotentTrialFactor = 0.2
 
-	minSubset         = 4.0 // servers that this replica spreads its calls over
-	subsetPerRootRate = 3.0 // servers for each root of a call a second
+	minSubset         = 4.0 // minimum number of servers over which this replica spreads its calls
+	subsetPerRootRate = 3.0 // servers per square root of this replica's rate, in attempts per second
 )
 
 // candidate is a server in a draw.
 type candidate struct {
 	server     *server
 	weight     float64
-	baseWeight float64 // weight by capacity hint and zone alone
-	health     float64 // score for the request's class, 0 to 1
-	capacity   float64 // slow start: least fraction of its warm capacity
+	baseWeight float64 // weight by capacity hint and zone only
+	health     float64 // health score for the request's class, 0 to 1
+	capacity   float64 // set by slow start: minimum fraction of its warm capacity that the server has, 0 to 1
 }
 
-// selection holds what the size of the subset follows from, and the candidates of the present draw.
+// selection holds the rate of attempts, which determines the size of the subset, and the candidates of the
+// current draw.
 type selection struct {
 	*shared
 	members   *membership
@@ -37,26 +38,26 @@
 	retries   *retryPolicy
 	slowStart *slowStart
 
-	sent       window // attempts
+	sent       window // attempts by time
 	candidates []candidate
 }
 
-// recordSend counts an attempt.
+// recordSend counts an attempt for the rate.
 func (s *selection) recordSend(now moment) { s.sent.add(now) }
 
-// subsetSize is how many warm and healthy servers this replica's calls are spread over. With more, each
-// server would hold a connection of every replica, and each replica would see too few calls of a server to
-// judge it.
+// subsetSize returns the number of warm and healthy servers over which this replica spreads its calls. With
+// more, each server would hold a connection of every replica, and a replica would make too few calls to each
+// server to judge it.
 func (s *selection) subsetSize(now moment) float64 {
 	return max(minSubset, subsetPerRootRate*math.Sqrt(s.rate(now)))
 }
 
-// rate is the attempts a second of this replica.
+// rate returns the rate of this replica in attempts per second.
 func (s *selection) rate(now moment) float64 {
 	return s.sent.count(now, maxWindow) / float64(maxWindow/seconds)
 }
 
-// choose draws the server of a request's next attempt, nil if there is none to send it to.
+// choose draws the server for a request's next attempt; nil if there is no server to send it to.
 func (s *selection) choose(now moment, request *request) *server {
 	s.slowStart.recordDraw(now)
 	if server := s.resumed(now, request); server != nil {
@@ -77,8 +78,8 @@
 	return s.at(point)
 }
 
-// resumed is a server that an operator has resumed and that may get the request, wherever it is: whoever
-// resumed it wants to see it serve.
+// resumed returns a server that an operator has resumed and that may get the request, in any zone: the
+// operator expects to see it serve at once. It returns nil if there is none.
 func (s *selection) resumed(now moment, request *request) *server {
 	for _, server := range s.members.ready {
 		if server.trialPending && s.retries.sendWindow(now, request, server) != neverAgain &&
@@ -95,19 +96,19 @@
 	*selection
 	now     moment
 	request *request
-	stale   bool // the list alone shows nothing
+	stale   bool // the endpoint list is stale
 
-	seeksEvidence bool // see listEvidence
+	seeksEvidence bool // see listEvidence.seeksEvidence
 
-	total   float64 // of the candidates' weights
-	best    float64 // the highest weight of a healthy candidate
-	spread  float64 // servers of a zone that the replica's calls are taken to be spread over
-	warming bool    // a candidate is warming up and has to be limited
+	total   float64 // sum of the candidates' weights
+	best    float64 // highest weight of a healthy candidate
+	spread  float64 // assumed number of servers of each zone over which the replica's calls are spread
+	warming bool    // some candidate is warming up and has to be limited
 }
 
-// gather collects the candidates: the replica's subset of the local zone first, then as many of other zones
-// as the spillover asks for, and evacuated zones only where there is nothing else. Each step goes on until
-// it has enough healthy and warm servers and at least one that the request may go to.
+// gather collects the candidates: the replica's subset of the local zone first, then as many servers of other
+// zones as the spillover requires, and servers of evacuated zones only if there are no others. Each step goes
+// on until it has enough healthy and warm servers and at least one to which the request may go.
 func (d *draw) gather() {
 	d.candidates = d.candidates[:0]
 	d.total, d.best, d.warming = 0, 0, false
@@ -125,7 +126,7 @@
 	d.gatherFrom(d.members.evacuated(), 0)
 }
 
-// gatherFrom adds servers until they add up to enough warm and healthy ones and some candidate has a
+// gatherFrom adds servers as candidates until there are enough warm and healthy ones and some candidate has a
 // weight. It returns how many are missing.
 func (d *draw) gatherFrom(servers []*server, enough float64) (missing float64) {
 	for _, server := range servers {
@@ -137,7 +138,7 @@
 	return enough
 }
 
-// add makes a server a candidate and returns what it counts as towards the subset.
+// add makes a server a candidate. It returns how much the server counts towards the subset size, 0 to 1.
 func (d *draw) add(server *server) (counts float64) {
 	warmth := d.slowStart.factor(d.now, server)
 	c := candidate{server: server, baseWeight: d.baseWeight(server),
@@ -153,7 +154,7 @@
 	if d.stale {
 		factor := d.listing.factor(d.now, server, d.seeksEvidence)
 		if c.weight *= factor; factor <= unconfirmedWeight {
-			counts = 0 // those with evidence may come after it
+			counts = 0 // servers with evidence may follow
 		}
 	}
 	d.total += c.weight
@@ -164,8 +165,8 @@
 	return counts
 }
 
-// limitUnhealthy keeps unhealthy candidates to trials: a part of the best one's weight. One that fails fast
-// holds few attempts and would draw the most otherwise.
+// limitUnhealthy limits unhealthy candidates to trials, that is, to a fraction of the weight of the best
+// candidate. Otherwise a server that fails fast would be drawn most, since it has few attempts in flight.
 func (d *draw) limitUnhealthy() {
 	nonIdempotent := d.request.classRules().Idempotency == NonIdempotent
 	for i := range d.candidates {
@@ -180,7 +181,8 @@
 	}
 }
 
-// at is the candidate at which the sum of weights passes point; nil if none has a weight or point is below 0.
+// at returns the candidate at which the sum of the weights exceeds point; nil if no candidate has a weight or
+// point is negative.
 func (s *selection) at(point float64) (last *server) {
 	for i := range s.candidates {
 		if c := &s.candidates[i]; c.weight > 0 && point >= 0 {
@@ -193,7 +195,7 @@
 	return last
 }
 
-// baseWeight is a server's weight by its capacity hint and zone alone.
+// baseWeight returns a server's weight by its capacity hint and zone only.
 func (s *selection) baseWeight(server *server) float64 {
 	weight := 1.0
 	if s.settings.CapacityHints && server.CapacityHint > 0 {
@@ -205,8 +207,8 @@
 	return weight
 }
 
-// weight is a server's weight for a class: its baseWeight, times factors for its health, slowness, age,
-// tuning and the recovery of its zone, over a power of the attempts that it holds.
+// weight returns a server's weight for a class: baseWeight times factors for its health, slowness, slow
+// start, tuning and the recovery of its zone, divided by a power of its attempts in flight.
 func (s *selection) weight(now moment, server *server, class int, baseWeight float64) float64 {
 	slowness, health := server.latency.slowness, max(minHealthScore, server.healthScore(class))
 	weight := health / (slowness * slowness) * s.slowStart.factor(now, server)
@@ -214,8 +216,8 @@
 	return weight * s.locality.recoveryFactor(server.Zone)
 }
 
-// healthScore is what is left of a server's weight for a class, 0 to 1. One that flaps has a steady one, or a
-// lower one while it refuses connections.
+// healthScore returns the factor, 0 to 1, of a server's weight for a class by its health. The score of a
+// damped server is constant, or lower while it refuses connections.
 func (s *server) healthScore(class int) float64 {
 	score := s.outlier.score(class)
 	if s.damping.active && (!s.outlier.connectionRefused || score > dampedWeight) {
@@ -224,7 +226,8 @@
 	return score
 }
 
-// riskyForNonIdempotent reports whether a call that can't be repeated should rather go elsewhere.
+// riskyForNonIdempotent reports whether non-idempotent requests, which can't be retried, should avoid the
+// server.
 func (s *server) riskyForNonIdempotent() bool {
 	return s.damping.active || s.outlier.overallScore() < healthyScore
 }
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -5,22 +5,26 @@
 	"testing"
 )
 
+// TestNoServerToSendTo checks that requests are rejected without an endpoint list and while all servers
+// drain.
 func TestNoServerToSendTo(t *testing.T) {
 	b, h := mustNew(t, testSettings()), &recorder{}
 	sendRequest(b, h, start, "a", 2)
 	if h.last() != "refuse a" {
-		t.Errorf("with no list: %q", h.last())
+		t.Errorf("without a list the last action is %q", h.last())
 	}
 	list := testServers(1)
 	list[0].State = ServerDraining
 	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 	sendRequest(b, h, start, "b", 0)
 	if h.last() != "refuse b" {
-		t.Errorf("with all draining: %q", h.last())
+		t.Errorf("with all servers draining the last action is %q", h.last())
 	}
 }
 
-// Many replicas that draw from all servers would fill every server's connection table.
+// TestSubsetsAreSmallAndCoverTheFleet checks that each replica uses a small part of the servers, and that
+// together the replicas use all of them. If many replicas drew from all servers, every server would need a
+// connection to each.
 func TestSubsetsAreSmallAndCoverTheFleet(t *testing.T) {
 	const replicas, servers = 60, 90
 	users := map[string]int{}
@@ -38,18 +42,19 @@
 			met[s.server] = true
 		}
 		if len(met) > servers/3 {
-			t.Fatalf("replica %d met %d servers", i, len(met))
+			t.Fatalf("replica %d uses %d servers, more than a third", i, len(met))
 		}
 		for s := range met {
 			users[s]++
 		}
 	}
 	if len(users) != servers {
-		t.Errorf("%d of %d servers are in some subset", len(users), servers)
+		t.Errorf("only %d of %d servers are in some subset", len(users), servers)
 	}
 }
 
-// A replica with a few calls a second has a small subset, so that it learns soon which of its servers are slow.
+// TestReplicaWithFewCallsHasASmallSubset checks that a replica with a few calls per second has a small
+// subset, so that it soon has enough calls to each server to find slow ones.
 func TestReplicaWithFewCallsHasASmallSubset(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 60)
 	met := map[string]int{}
@@ -62,11 +67,12 @@
 		met[s.server]++
 	}
 	if len(met) > 8 || len(met) < 4 {
-		t.Errorf("3 calls a second are spread over %d servers", len(met))
+		t.Errorf("3 calls per second are spread over %d servers, want 4 to 8", len(met))
 	}
 }
 
-// A server that fails fast holds no attempts, which must not make it draw nearly all while the others are busy.
+// TestServerThatFailsFastGetsTrialsOnly checks that a server that fails fast gets only trials. It has no
+// attempts in flight, so that it would otherwise be drawn nearly always while the other servers are busy.
 func TestServerThatFailsFastGetsTrialsOnly(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 4)
 	for range 50 {
@@ -89,7 +95,8 @@
 	}
 }
 
-// A server that doesn't respond gets fewer trials from a class that must not be executed twice: each costs a request.
+// TestUnresponsiveServerIsTriedWithIdempotentCalls checks that an unresponsive server gets fewer trials from
+// a non-idempotent class, since each of these costs a request that can't be retried.
 func TestUnresponsiveServerIsTriedWithIdempotentCalls(t *testing.T) {
 	set := testSettings()
 	b, _ := newWithServers(t, set, 4)
@@ -108,6 +115,7 @@
 		}
 	}
 	if drawn[NonIdempotent] == 0 || drawn[NonIdempotent] > drawn[Idempotent]/2 {
-		t.Errorf("drawn for a trial %v times", drawn)
+		t.Errorf("trials of the unresponsive server by idempotency: %v, want few non-idempotent ones",
+			drawn)
 	}
 }
--- a/balancer/sequences_test.go
+++ b/balancer/sequences_test.go
@@ -8,20 +8,21 @@
 	"testing"
 )
 
-// driver plays legal events against one Balancer.
+// driver passes random valid events to one Balancer.
 type driver struct {
 	t        *testing.T
 	rnd      *rand.Rand
 	checker  *checker
 	balancer *Balancer
 	now      int64
-	next     int
-	open     []string // requests that have an attempt out or are owed an answer
+	next     int      // number of the latest request
+	open     []string // requests that have an attempt in flight or no answer yet
 
-	exchange bool // reports are exchanged
+	exchange bool // the Balancer gets reports of others
 }
 
-// exchangeReports has others report anything, and now and then drains zones.
+// exchangeReports passes random reports of other replicas to the Balancer, and now and then drains or
+// restores zones.
 func (d *driver) exchangeReports() {
 	p := PeerReports{LiveReplicas: 6, LiveReplicasInZone: d.rnd.IntN(5), Isolated: d.rnd.IntN(8) == 0}
 	for range d.rnd.IntN(12) {
@@ -36,6 +37,8 @@
 		d.balancer.SetDrainedZones(d.now, d.checker, d.checker.drained)
 	}
 }
+
+// restart replaces the Balancer with a new one that has a cached list.
 func (d *driver) restart() {
 	b, err := New(d.checker.settings, d.rnd.Uint64())
 	if err != nil {
@@ -46,6 +49,8 @@
 	d.checker.queues, d.checker.cooldowns, d.checker.received, d.checker.retries, d.checker.timers = map[string][]*requestRecord{}, map[string]int64{}, nil, nil, nil
 	d.snapshot(UpdateCached)
 }
+
+// entry returns a random list entry of server i, which is ready, draining or warming up.
 func (d *driver) entry(i int) Server {
 	s := Server{ID: fmt.Sprintf("s%d", i), Zone: i % 2, Cell: i / 4, State: ServerReady, CapacityHint: 1}
 	switch d.rnd.IntN(6) {
@@ -57,8 +62,9 @@
 	return s
 }
 
-const testFleet = 16
+const testFleet = 16 // servers
 
+// snapshot passes a complete list, from which a fifth of the servers is missing, to the Balancer.
 func (d *driver) snapshot(kind UpdateKind) {
 	var list []Server
 	for i := range testFleet {
@@ -69,6 +75,8 @@
 	d.checker.recordList(kind, list)
 	d.balancer.UpdateEndpoints(d.now, d.checker, kind, list)
 }
+
+// delta passes a change of one server to the Balancer.
 func (d *driver) delta() {
 	e := d.entry(d.rnd.IntN(testFleet))
 	if _, known := d.checker.listed[e.ID]; known && d.rnd.IntN(4) == 0 {
@@ -77,6 +85,8 @@
 	d.checker.recordList(UpdateDelta, []Server{e})
 	d.balancer.UpdateEndpoints(d.now, d.checker, UpdateDelta, []Server{e})
 }
+
+// request passes a random request to the Balancer.
 func (d *driver) request() {
 	d.next++
 	r := Request{ID: fmt.Sprintf("r%d", d.next), Class: d.rnd.IntN(len(d.checker.settings.Classes)),
@@ -95,15 +105,17 @@
 	d.mustBeAccountedFor(r.ID)
 }
 
-// mustBeAccountedFor checks that a request is answered, in flight or waiting in its queue with a timer set.
+// mustBeAccountedFor checks that a request is answered, in flight, or waiting in its queue with a timer.
 func (d *driver) mustBeAccountedFor(id string) {
 	k := d.checker.requests[id]
 	waits := len(k.attempts) == 0 && d.checker.settings.Classes[k.request.Class].Ordered && k.request.Key != "" &&
 		slices.ContainsFunc(d.checker.timers, func(t pendingTimer) bool { return t.due <= k.request.Deadline && strings.Contains(t.token, id) })
 	if !k.closed && len(k.pending) == 0 && !waits {
-		d.checker.violation("rule 1: %s is neither answered nor out", id)
+		d.checker.violation("rule 1: request %s is neither answered nor in flight nor waiting", id)
 	}
 }
+
+// outcome ends a random attempt with a random status.
 func (d *driver) outcome() {
 	if len(d.open) == 0 {
 		return
@@ -120,6 +132,8 @@
 	d.end(k, []Status{StatusOK, StatusOK, StatusOK, StatusError, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCancelled, StatusNotSent}[d.rnd.IntN(10)])
 	d.mustBeAccountedFor(id)
 }
+
+// end ends the oldest pending attempt of a request.
 func (d *driver) end(k *requestRecord, status Status) {
 	n := k.pending[0]
 	k.pending = k.pending[1:]
@@ -135,7 +149,7 @@
 	d.balancer.HandleOutcome(d.now, d.checker, Outcome{RequestID: k.request.ID, Attempt: n, Status: status, Latency: d.now - t.sent, RequestDone: k.closed})
 }
 
-// expire fires the timers and timeouts that are due.
+// expire fires the timers that are due and ends the attempts whose timeout has passed.
 func (d *driver) expire() {
 	for i := 0; i < len(d.checker.timers); i++ {
 		if t := d.checker.timers[i]; t.due <= d.now {
@@ -153,7 +167,7 @@
 	}
 }
 
-// nextDue is when the first timeout is due.
+// nextDue returns when the first timer or timeout is due, at most 20 ms from now.
 func (d *driver) nextDue() int64 {
 	due := d.now + 20_000
 	for _, id := range d.open {
@@ -166,6 +180,8 @@
 	}
 	return max(due, d.now)
 }
+
+// step advances the time and passes one random event to the Balancer.
 func (d *driver) step() {
 	d.now = min(d.now+d.rnd.Int64N(20_000), d.nextDue())
 	d.checker.now = d.now
@@ -188,7 +204,7 @@
 		d.balancer.HandleTimer(d.now, d.checker, "watch")
 	case x < 975:
 		d.clientGone()
-	case x < 985: // events that name nothing known
+	case x < 985: // events about unknown requests and timers
 		d.balancer.HandleOutcome(d.now, d.checker, Outcome{RequestID: "nobody", Attempt: 3, Status: StatusError})
 		d.balancer.HandleClientGone(d.now, d.checker, "nobody")
 		d.balancer.HandleTimer(d.now, d.checker, "nothing")
@@ -197,6 +213,8 @@
 		d.restart()
 	}
 }
+
+// clientGone disconnects the client of a random open request.
 func (d *driver) clientGone() {
 	if len(d.open) == 0 {
 		return
@@ -206,7 +224,9 @@
 	d.balancer.HandleClientGone(d.now, d.checker, k.request.ID)
 }
 
-// play runs a whole sequence and returns the Balancer's actions and its violations of the rules.
+// play runs a random sequence of events with settings that depend on the seed. It returns the Balancer's
+// actions and the violations that the checker found. others says whether the Balancer gets reports of other
+// replicas.
 func play(t *testing.T, seed uint64, steps int, others bool) ([]string, []string) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 0.6, Quota: 30}, {Share: 0.4, Quota: 20}}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,101 +5,101 @@
 	"strings"
 )
 
-// Idempotency is whether a request may be executed more than once.
+// Idempotency says whether a request may be executed more than once.
 type Idempotency int
 
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may be executed any number of times
-	IdempotentWithKey                    // has an idempotency key; servers of one DedupScope execute it once
+	IdempotentWithKey                    // has a key; the servers of one DedupScope execute it once
 	NonIdempotent                        // must never be executed twice
 )
 
 // DedupScope is the set of servers that recognise each other's idempotency keys.
 type DedupScope int
 
-// The scopes.
+// The scopes of deduplication.
 const (
 	DedupScopeAll  DedupScope = iota // all servers of the tier
-	DedupScopeZone                   // those of one zone
-	DedupScopeCell                   // those of one cell
+	DedupScopeZone                   // the servers of one zone
+	DedupScopeCell                   // the servers of one cell
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name             string  // by which Reconfigure recognises it; no other meaning
-	LatencyObjective int64   // µs, above 0: an answer within it earns the full priority weight
-	Deadline         int64   // µs, above 0: a client waits this long at most, all attempts included
-	PriorityWeight   float64 // 0 or more: value of one timely answer, against those of other classes
-	LateWeight       float64 // 0 or more: fraction of that which an answer between objective and deadline earns
+	Name             string  // identifies the class in Reconfigure; not used otherwise
+	LatencyObjective int64   // µs, above 0: an answer within it is worth the full PriorityWeight
+	Deadline         int64   // µs, above 0: a client waits at most this long, over all attempts
+	PriorityWeight   float64 // 0 or more: value of a timely answer relative to other classes
+	LateWeight       float64 // 0 or more: fraction of PriorityWeight for an answer after the objective
 	Idempotency      Idempotency
-	DedupScope       DedupScope // of IdempotentWithKey
-	DedupWindow      int64      // µs, of IdempotentWithKey: how long a key is remembered, from the first attempt on
-	Ordered          bool       // requests with one Request.Key run one at a time, as this proxy received them
+	DedupScope       DedupScope // for IdempotentWithKey
+	DedupWindow      int64      // µs, for IdempotentWithKey: how long a key is kept after its first attempt
+	Ordered          bool       // requests with the same Request.Key run one at a time, in order of receipt
 }
 
 // Tenant describes one origin of requests.
 type Tenant struct {
-	Name  string  // by which Reconfigure recognises it; no other meaning
-	Share float64 // 0 or more: its part of the sum of all quotas
-	Quota float64 // 0 or more: requests a second within its share, over all proxies of the tier
+	Name  string  // identifies the tenant in Reconfigure; not used otherwise
+	Share float64 // 0 or more: the tenant's part of the sum of all quotas
+	Quota float64 // 0 or more: requests per second within its share, over all proxies of the tier
 }
 
 // Settings configure a Balancer. They must not be changed after New or Reconfigure has taken them.
 type Settings struct {
-	Tier           int      // that this proxy sends to; 0 is the front
-	Replicas       int      // proxies of this tier, this one included; 1 or more
-	ReplicaIndex   int      // this proxy's number among them, from 0
-	Zone           int      // this proxy's, below ZoneCount
+	Tier           int      // tier to which this proxy sends; 0 is the front tier
+	Replicas       int      // number of proxies of this tier, this one included; 1 or more
+	ReplicaIndex   int      // index of this proxy among them, from 0
+	Zone           int      // zone of this proxy, below ZoneCount
 	ZoneCount      int      // 1 or more
 	Classes        []Class  // at least one
 	Tenants        []Tenant // may be empty
-	WatchEndpoints bool     // the endpoint list comes only after Host.Watch
-	CapacityHints  bool     // Server.CapacityHint compares servers; otherwise it is ignored
+	WatchEndpoints bool     // the endpoint list is sent only after Host.Watch
+	CapacityHints  bool     // Server.CapacityHint is comparable between servers; otherwise it is ignored
 
-	MaxAttempts             int   // of one request, 1 or more
-	OrderingCooldown        int64 // µs for which a key of an Ordered class rests after an attempt that may still run
+	MaxAttempts             int   // attempts of one request, 1 or more
+	OrderingCooldown        int64 // µs that an Ordered key waits after an attempt that may still run
 	RejectedMayHaveExecuted bool  // StatusRejected is no proof that an attempt was not executed
 
-	// In any window, retries number at most RetryBudgetMin plus RetryBudgetRatio times the requests received in it.
-	// A window of 0: no budget is stated, and the Balancer has one of its own.
+	// In any window there are at most RetryBudgetMin retries plus RetryBudgetRatio retries for each request
+	// received in the window. With a window of 0 the Balancer uses its default budget.
 	RetryBudgetWindow int64 // µs
 	RetryBudgetMin    float64
 	RetryBudgetRatio  float64
 
-	MaxRetryAfter int64 // µs: the longest Retry-After that clients follow; 0: they follow none
-	DrainGrace    int64 // µs after which a draining or removed server must get nothing any more
+	MaxRetryAfter int64 // µs: the longest Retry-After that clients honour; 0: they honour none
+	DrainGrace    int64 // µs after which a draining or removed server must not get requests any more
 	PollInterval  int64 // µs, with WatchEndpoints: the longest time without a watch or a poll
 
-	// µs for which a list that was confirmed, or an attempt that a server executed, shows that the server is listed.
-	// When the list was not confirmed for longer, calls go to servers that go on executing attempts. 0: a list holds
-	// without limit.
+	// MembershipEvidenceTTL is how long, in µs, a confirmed list or an executed attempt is evidence that a
+	// server is listed. If the list was not confirmed for longer, calls go to servers that keep executing
+	// attempts. With 0 a list is valid without limit.
 	MembershipEvidenceTTL int64
 
-	SlowStartMinCapacity float64 // 0 to 1: fraction of its warm capacity that a new server has at least
-	SlowStartDuration    int64   // µs after which a server is warm at the latest
+	SlowStartMinCapacity float64 // 0 to 1: capacity of a new server, as a fraction of its warm capacity
+	SlowStartDuration    int64   // µs after its start until a server has its full, warm capacity
 
-	// A warming server that gets more than OverloadMultiple times its present capacity from all replicas together is
-	// overloaded for OverloadWindow, in µs. A multiple of 0: not stated.
+	// A warming server that gets more than OverloadMultiple times its current capacity from all replicas
+	// together is overloaded for OverloadWindow, in µs. A multiple of 0 means that this is not known.
 	OverloadMultiple float64
 	OverloadWindow   int64
 
 	DisableFlapDamping  bool // servers that flap are not damped
-	DisableWeightTuning bool // weights are not tuned for the least tail
+	DisableWeightTuning bool // weights are not tuned to keep the latency tail low
 
-	WeightPerWork bool // Class.PriorityWeight is for each unit of work, not for each request
+	WeightPerWork bool // Class.PriorityWeight is per unit of work, not per request
 }
 
-// SettingsError is a setting that makes no sense, or that can't be put in force while a Balancer runs. It names the
-// field as Settings do; who reads settings from elsewhere names the key there.
+// SettingsError describes a setting that is invalid, or that can't be changed while a Balancer runs. It names
+// the field of Settings; a caller that reads settings in another format has to name the key of that format.
 type SettingsError struct {
-	List    string // Classes or Tenants, of a field of one of these; else empty
-	Index   int    // in List
-	Field   string // empty: the list's entry itself
-	Problem string
+	List    string // Classes or Tenants if the field belongs to an entry of one of these, else empty
+	Index   int    // index of the entry in List
+	Field   string // empty: the entry of List as a whole
+	Problem string // what is wrong with the value
 }
 
-// Error implements error.
+// Error returns the path of the field and the problem.
 func (e *SettingsError) Error() string {
 	key := e.Field
 	if e.List != "" {
@@ -114,7 +114,7 @@
 		bad            bool
 		field, problem string
 	}{
-		{len(s.Classes) == 0, "Classes", "none given"},
+		{len(s.Classes) == 0, "Classes", "empty; at least one class is required"},
 		{s.ZoneCount < 1, "ZoneCount", "fewer than one"},
 		{s.Zone < 0 || s.Zone >= s.ZoneCount, "Zone", "out of range"},
 		{s.Replicas < 1, "Replicas", "fewer than one"},
@@ -129,7 +129,8 @@
 		{s.DrainGrace < 0, "DrainGrace", "negative"},
 		{s.PollInterval < 0 || s.WatchEndpoints && s.PollInterval == 0, "PollInterval", "not positive"},
 		{s.MembershipEvidenceTTL < 0, "MembershipEvidenceTTL", "negative"},
-		{!(s.SlowStartMinCapacity >= 0 && s.SlowStartMinCapacity <= 1), "SlowStartMinCapacity", "not within 0 and 1"},
+		{!(s.SlowStartMinCapacity >= 0 && s.SlowStartMinCapacity <= 1), "SlowStartMinCapacity",
+			"not between 0 and 1"},
 		{s.SlowStartDuration < 0, "SlowStartDuration", "negative"},
 		{!(s.OverloadMultiple >= 0), "OverloadMultiple", "negative"},
 		{s.OverloadWindow < 0 || s.OverloadWindow == 0 && s.OverloadMultiple > 0, "OverloadWindow", "not positive"},
@@ -145,13 +146,14 @@
 	}
 	for i, tenant := range s.Tenants {
 		if !(tenant.Share >= 0) || !(tenant.Quota >= 0) {
-			return &SettingsError{List: "Tenants", Index: i, Problem: "negative Portion or Quota"}
+			return &SettingsError{List: "Tenants", Index: i, Problem: "negative share (portion) or quota"}
 		}
 	}
 	return nil
 }
 
-// problem returns the first field of a class that makes no sense, and why; two empty texts if there is none.
+// problem returns the first invalid field of a class and what is wrong with it; two empty strings if there is
+// none.
 func (c Class) problem() (field, problem string) {
 	switch {
 	case c.LatencyObjective <= 0:
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestInvalidSettings checks that an invalid value of each setting is rejected with an error that names the
+// field.
 func TestInvalidSettings(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"Classes":                     func(s *Settings) { s.Classes = nil },
@@ -31,12 +33,12 @@
 		s := testSettings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil || !slices.Contains([]string{"balancer: Settings." + field}, errorPrefix(err.Error())) {
-			t.Errorf("%s: error %v", field, err)
+			t.Errorf("%s: got error %v, want one that names the field", field, err)
 		}
 	}
 }
 
-// errorPrefix is an error's text up to the colon that follows the field.
+// errorPrefix returns an error's text up to the colon after the field.
 func errorPrefix(s string) string {
 	for i := len("balancer: "); i < len(s); i++ {
 		if s[i] == ':' {
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -1,14 +1,14 @@
 package balancer
 
-// What operators and figures see of a Balancer. Nothing here decides. The methods may be called between any two
-// events.
+// Read access for operators and metrics. No decisions are made in this file. The methods may be called
+// between any two events.
 
-// Settings returns the settings in force, with the classes by the numbers that requests have for them. The caller
-// must not change them.
+// Settings returns the current settings, in which Settings.Classes is indexed by the class numbers of
+// requests. The caller must not change them.
 func (b *Balancer) Settings() *Settings { return b.settings }
 
-// ServerCounts returns how many servers are listed, and how many of these are avoided: they are suspended, damped or,
-// for their failures, get trials only.
+// ServerCounts returns how many servers are listed, and how many of them are avoided because they are
+// suspended, damped, or limited to trials after failures.
 func (b *Balancer) ServerCounts() (listed, avoided int) { return b.members.counts() }
 
 // Rejections returns how many requests were rejected for each reason.
@@ -20,43 +20,45 @@
 	return out
 }
 
-// ZoneStates returns the state of each zone by number; none before reports were exchanged or a zone was drained.
+// ZoneStates returns the state of each zone by zone number; nil before reports are exchanged or a zone is
+// drained.
 func (b *Balancer) ZoneStates(nowMicros int64) []ZoneState { return b.locality.states() }
 
-// EjectedServers returns the IDs of the ready servers that get trials only by the reports of others.
+// EjectedServers returns the IDs of the ready servers that are limited to trials by the reports of other
+// replicas.
 func (b *Balancer) EjectedServers() (ids []string) { return b.outliers.ejected() }
 
-// DampedServers returns the servers that get their steady, small weight now, the longest damped first.
+// DampedServers returns the servers that are damped now, those that have been damped longest first.
 func (b *Balancer) DampedServers(nowMicros int64) []DampedServer {
 	return b.damping.damped(moment(nowMicros))
 }
 
-// ServerEvidence is what shows that a server is still listed.
+// ServerEvidence is the kind of evidence that a server is still listed while the list is stale.
 type ServerEvidence int
 
 // The kinds of evidence, see listEvidence.
 const (
-	EvidenceNone         ServerEvidence = iota // nothing since the list was confirmed
-	EvidenceConfirmed                          // it goes on executing attempts
-	EvidenceContradicted                       // it did not execute the last attempt
-	EvidenceRecent                             // it executes attempts, but may have gone and come back before the first
+	EvidenceNone         ServerEvidence = iota // no evidence since the list was confirmed
+	EvidenceConfirmed                          // the server keeps executing attempts
+	EvidenceContradicted                       // the server did not execute its latest attempt
+	EvidenceRecent                             // executes attempts, but may have been removed before
 )
 
-// String is the evidence's name in logs and metrics.
+// String returns the name of the evidence in logs and metrics.
 func (e ServerEvidence) String() string {
 	return [...]string{EvidenceNone: "none", EvidenceConfirmed: "confirmed", EvidenceContradicted: "contradicted",
 		EvidenceRecent: "recent"}[e]
 }
 
-// ListEvidence is what an attempt to a server goes by while the list is stale.
+// ListEvidence is the evidence on which an attempt to a server is based while the list is stale.
 type ListEvidence struct {
 	ListAge  int64 // µs since the list was confirmed
 	Evidence ServerEvidence
-	Since    int64 // µs since the attempt was sent that shows it (EvidenceRecent: the first); 0: none
+	Since    int64 // µs since the attempt that is the evidence was sent (EvidenceRecent: the first); 0: none
 }
 
-// ListEvidence returns what shows at a moment that a server is listed; false while the list is not stale, which then
-// shows it.
+// ListEvidence returns the evidence that a server is listed. It returns false for an unknown server, and
+// while the list is not stale and therefore is the evidence itself.
 func (b *Balancer) ListEvidence(nowMicros int64, serverID string) (ListEvidence, bool) {
 	now, server := moment(nowMicros), b.members.byID[serverID]
 	if server == nil || !b.listing.isStale(now) {
@@ -74,8 +76,8 @@
 	return report, true
 }
 
-// ConfirmedServers returns how many ready servers have EvidenceConfirmed, and how many attempts the one of them holds that
-// holds the fewest. It looks at all servers.
+// ConfirmedServers returns how many ready servers have EvidenceConfirmed, and the lowest number of attempts
+// in flight among them. It takes time proportional to the number of servers.
 func (b *Balancer) ConfirmedServers(nowMicros int64) (count, leastInFlight int) {
 	for _, server := range b.members.ready {
 		if b.listing.evidence(moment(nowMicros), server) != EvidenceConfirmed {
