--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -109,7 +109,7 @@
 func (b *Balancer) HandleTimer(nowMicros int64, host Host, token string) {
 	now := moment(nowMicros)
 	if token == watchTimer {
-		if b.subscription.reopen() {
+		if b.subscription.requestWatch() {
 			host.Watch()
 		}
 	} else if id, ok := strings.CutPrefix(token, queueTimeoutTimer); ok {
@@ -258,7 +258,7 @@
 			attempt.responseStarted = true
 			b.admission.release(request.Class, attempt)
 			latency := int64(now.since(attempt.sentAt))
-			b.learn(now, request, attempt, Outcome{Status: StatusOK, Latency: latency})
+			b.recordOutcome(now, request, attempt, Outcome{Status: StatusOK, Latency: latency})
 		}
 	}
 }
@@ -312,10 +312,10 @@
 	}
 	attempt.mayHaveExecuted = mayHaveExecuted(outcome.Status, request.Settings)
 	b.admission.release(request.Class, attempt)
-	b.learn(now, request, attempt, outcome)
+	b.recordOutcome(now, request, attempt, outcome)
 	b.logThrottling(now, host)
 	if request.queue != nil && mayStillRun(outcome.Status) {
-		host.SetTimer(request.queue.coolDown(now, request.Settings), cooldownTimer+request.Key)
+		host.SetTimer(request.queue.startCooldown(now, request.Settings), cooldownTimer+request.Key)
 	}
 	b.conclude(now, host, request, outcome)
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -7,7 +7,7 @@
 func (b *Balancer) UpdateEndpoints(nowMicros int64, host Host, kind UpdateKind, entries []Server) {
 	now := moment(nowMicros)
 	if kind == UpdateFailed {
-		if backoff, ok := b.subscription.failed(); ok {
+		if backoff, ok := b.subscription.recordFailure(); ok {
 			host.SetTimer(int64(backoff), watchTimer)
 		}
 		return
@@ -26,7 +26,7 @@
 	if b.locality.zones != nil {
 		b.removeUnhealthy(now) // a server that is listed again may have to be damped
 	}
-	if b.subscription.succeeded() {
+	if b.subscription.recordSuccess() {
 		host.Watch()
 	}
 }
--- a/balancer/handover.go
+++ b/balancer/handover.go
@@ -8,14 +8,14 @@
 func (b *Balancer) ExportRetryBudget(nowMicros int64) RetryBudgetUsage {
 	now := moment(nowMicros)
 	b.slowStart.setOtherProcess(true)
-	return b.retries.export(now)
+	return b.retries.exportUsage(now)
 }
 
 // ImportRetryBudget takes over the usage that a predecessor exported. It must be called before the first
 // request. The predecessor may continue to send for a while.
 func (b *Balancer) ImportRetryBudget(usage RetryBudgetUsage) {
 	b.slowStart.setOtherProcess(true)
-	b.retries.adopt(usage)
+	b.retries.importUsage(usage)
 }
 
 // HandleOtherProcessExit handles the end of the other process. A predecessor that outlives its successor gets
@@ -23,5 +23,5 @@
 func (b *Balancer) HandleOtherProcessExit(nowMicros int64) {
 	now := moment(nowMicros)
 	b.slowStart.setOtherProcess(false)
-	b.retries.reclaim(now)
+	b.retries.reclaimMinimum(now)
 }
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -2,8 +2,8 @@
 
 // What the rules take from the end of an attempt, and from one that has been in flight for too long.
 
-// learn has the rules take what the end of an attempt shows.
-func (b *Balancer) learn(now moment, request *request, attempt *attempt, outcome Outcome) {
+// recordOutcome has the rules take what the end of an attempt shows.
+func (b *Balancer) recordOutcome(now moment, request *request, attempt *attempt, outcome Outcome) {
 	if outcome.Status == StatusCancelled || outcome.Status == StatusNotSent {
 		return
 	}
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -234,7 +234,7 @@
 	if zone.Phase != ZoneRecovering {
 		zone.observed.recent = callStats{}
 		if zone.Zone == l.settings.Zone {
-			l.spillover.forget()
+			l.spillover.reset()
 		}
 		for _, server := range l.members.readyIn(zone.Zone) {
 			server.resetLearned(len(l.classes))
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -71,8 +71,8 @@
 	return max(int64(latest), 0), true
 }
 
-// coolDown holds a queue after an attempt that may still run. It returns for how long, in µs.
-func (q *keyQueue) coolDown(now moment, settings *Settings) (delay int64) {
+// startCooldown holds a queue after an attempt that may still run. It returns for how long, in µs.
+func (q *keyQueue) startCooldown(now moment, settings *Settings) (delay int64) {
 	q.coolUntil = now.add(span(settings.OrderingCooldown))
 	return settings.OrderingCooldown
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -143,8 +143,8 @@
 	reportedSilent bool // it counted as failed before its end
 }
 
-// markSilent records that an attempt has counted as failed before its end.
-func (a *attemptOutlier) markSilent() { a.reportedSilent = true }
+// markUnresponsive records that an attempt has counted as failed before its end.
+func (a *attemptOutlier) markUnresponsive() { a.reportedSilent = true }
 
 // faultOfStatus is how an attempt that ended so counts as evidence on its server.
 var faultOfStatus = [...]Fault{StatusOK: NoFault, StatusError: FaultErrors, StatusRejected: FaultSaturated,
@@ -205,8 +205,8 @@
 	}
 }
 
-// isSilent reports whether an attempt has been in flight for far longer than calls of its class take.
-func (d *outlierDetection) isSilent(now moment, class int, attempt *attempt) bool {
+// isUnresponsive reports whether an attempt has been in flight for far longer than calls of its class take.
+func (d *outlierDetection) isUnresponsive(now moment, class int, attempt *attempt) bool {
 	longest := max(minSilentAfter, span(silentAfterMeans*d.classes[class].latency.mean))
 	return attempt.pending && attempt.admission.counted && !attempt.responseStarted &&
 		!attempt.outlier.reportedSilent && now.since(attempt.sentAt) > longest
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -72,7 +72,7 @@
 func (b *Balancer) Reports(nowMicros int64) []Report {
 	now := moment(nowMicros)
 	b.trackZones()
-	b.recordSilentAttempts(now)
+	b.recordUnresponsiveAttempts(now)
 	reports, samples := b.serverReports(now)
 	reports = append(reports, b.locality.zoneReports(now, samples)...)
 	reports = append(reports, b.damping.flapReports(now)...)
@@ -125,13 +125,13 @@
 		float64(all.unhealthy) > ownLinkBadFraction*float64(all.servers)
 }
 
-// recordSilentAttempts counts attempts that have been in flight for too long as failed, before they end.
-func (b *Balancer) recordSilentAttempts(now moment) {
+// recordUnresponsiveAttempts counts attempts that have been in flight for too long as failed, before they end.
+func (b *Balancer) recordUnresponsiveAttempts(now moment) {
 	for _, request := range b.requests {
 		for _, attempt := range request.attempts {
-			if b.outliers.isSilent(now, request.Class, attempt) {
+			if b.outliers.isUnresponsive(now, request.Class, attempt) {
 				b.recordEvidence(now, attempt, FaultUnresponsive)
-				attempt.outlier.markSilent()
+				attempt.outlier.markUnresponsive()
 			}
 		}
 	}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -85,11 +85,11 @@
 	return max(left, 1)
 }
 
-// neverAgain is the send window of a server that must not get the request.
-const neverAgain = -1
+// sendForbidden is the send window of a server that must not get the request.
+const sendForbidden = -1
 
 // sendWindow is the time within which a request's last byte has to reach the server; 0: no limit.
-// Once an attempt may have been executed, a non-idempotent request may go nowhere (neverAgain), and one
+// Once an attempt may have been executed, a non-idempotent request may go nowhere (sendForbidden), and one
 // with an idempotency key only to servers that share the key's memory, while these remember it.
 func (p *retryPolicy) sendWindow(now moment, request *request, server *server) (left span) {
 	rules := request.classRules()
@@ -100,7 +100,7 @@
 		}
 		if rules.Idempotency == NonIdempotent || now.since(attempt.sentAt) >= window ||
 			!sharesDedup(rules.DedupScope, attempt, server) {
-			return neverAgain
+			return sendForbidden
 		}
 		left = cmp.Or(left, attempt.sentAt.add(window).since(now)) // the first attempt's window ends first
 	}
@@ -168,9 +168,9 @@
 	p.minAvailableFrom = max(p.minAvailableFrom, p.windowClear(now))
 }
 
-// export hands the budget over: what was used of it and its minimum are the successor's. What further
+// exportUsage hands the budget over: what was used of it and its minimum are the successor's. What further
 // requests earn stays here, so that the two together keep to the budget in every window.
-func (p *retryPolicy) export(now moment) RetryBudgetUsage {
+func (p *retryPolicy) exportUsage(now moment) RetryBudgetUsage {
 	p.requests.countSince(now.add(-p.window()))
 	p.retries.countSince(now.add(-p.window()))
 	usage := RetryBudgetUsage{Requests: p.requests, Retries: p.retries}
@@ -178,14 +178,14 @@
 	return usage
 }
 
-// adopt takes what a predecessor has used of the budget.
-func (p *retryPolicy) adopt(usage RetryBudgetUsage) {
+// importUsage takes what a predecessor has used of the budget.
+func (p *retryPolicy) importUsage(usage RetryBudgetUsage) {
 	p.requests, p.retries = usage.Requests, usage.Retries
 }
 
-// reclaim takes the minimum back from a successor that has ended, once no window holds what that may have
+// reclaimMinimum takes the minimum back from a successor that has ended, once no window holds what that may have
 // used.
-func (p *retryPolicy) reclaim(now moment) {
+func (p *retryPolicy) reclaimMinimum(now moment) {
 	if p.minAvailableFrom == math.MaxInt64 {
 		p.minAvailableFrom = p.windowClear(now)
 	}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -82,7 +82,7 @@
 // operator expects to see it serve at once. It returns nil if there is none.
 func (s *selection) resumed(now moment, request *request) *server {
 	for _, server := range s.members.ready {
-		if server.trialPending && s.retries.sendWindow(now, request, server) != neverAgain &&
+		if server.trialPending && s.retries.sendWindow(now, request, server) != sendForbidden &&
 			s.slowStart.admitsTrial(now, server, len(s.members.ready)) {
 			server.trialPending = false
 			return server
@@ -144,7 +144,7 @@
 	c := candidate{server: server, baseWeight: d.baseWeight(server),
 		health: server.healthScore(d.request.Class)}
 	d.warming = d.warming || d.slowStart.limitsDraw(warmth)
-	if d.retries.sendWindow(d.now, d.request, server) != neverAgain {
+	if d.retries.sendWindow(d.now, d.request, server) != sendForbidden {
 		c.weight = d.weight(d.now, server, d.request.Class, c.baseWeight)
 	}
 	if d.request.triedOn(server) {
--- a/balancer/spillover.go
+++ b/balancer/spillover.go
@@ -41,5 +41,5 @@
 	}
 }
 
-// forget drops what was learned of a local zone that has recovered.
-func (s *spillover) forget() { s.weight = min(s.weight, startSpillover) }
+// reset drops what was learned of a local zone that has recovered.
+func (s *spillover) reset() { s.weight = min(s.weight, startSpillover) }
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -24,9 +24,9 @@
 	return &subscription{shared: common, backoff: minWatchBackoff}
 }
 
-// failed takes a failure and returns the backoff, spread evenly over as much again, as many replicas
+// recordFailure takes a failure and returns the backoff, spread evenly over as much again, as many replicas
 // keep the source of the list busy. ok is false if the next watch waits already.
-func (s *subscription) failed() (backoff span, ok bool) {
+func (s *subscription) recordFailure() (backoff span, ok bool) {
 	if ok = s.requested; ok {
 		backoff = s.backoff + s.randomSpan(s.backoff)
 		longest := min(maxWatchBackoff, span(s.settings.PollInterval)/pollIntervalDivisor)
@@ -36,15 +36,15 @@
 	return backoff, ok
 }
 
-// succeeded takes a list, which ends the backoff, and reports whether a watch has to be opened for the next
+// recordSuccess takes a list, which ends the backoff, and reports whether a watch has to be opened for the next
 // ones.
-func (s *subscription) succeeded() (open bool) {
+func (s *subscription) recordSuccess() (open bool) {
 	s.backoff = minWatchBackoff
-	return s.settings.WatchEndpoints && s.reopen()
+	return s.settings.WatchEndpoints && s.requestWatch()
 }
 
-// reopen reports whether a watch has to be opened now: none is open or being opened.
-func (s *subscription) reopen() bool {
+// requestWatch reports whether a watch has to be opened now: none is open or being opened.
+func (s *subscription) requestWatch() bool {
 	if s.requested {
 		return false
 	}
