--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -20,7 +20,7 @@
 //	locality      evacuation and recovery of zones, weight of remote servers
 //	spillover     weight of other zones by the state of the local one
 //	members       servers of the endpoint list
-//	listing       evidence of membership while the endpoint list is stale
+//	listEvidence  evidence of membership while the endpoint list is stale
 //	subscription  watches of the endpoint list
 //	loads         load of servers over all replicas
 //	tuning        weights that keep the latency tail low
@@ -43,9 +43,9 @@
 	locality     *locality
 	spillover    *spillover
 	members      *membership
-	listing      *listEvidence
+	listEvidence *listEvidence
 	subscription *subscription
-	loads        *loads
+	loads        *loadTracker
 	tuning       *weightTuning
 	reports      *reportExchange
 }
@@ -61,7 +61,7 @@
 	b := &Balancer{shared: common, requests: map[string]*request{}}
 	b.reports = &reportExchange{}
 	b.members = newMembership(common)
-	b.listing = newListEvidence(common)
+	b.listEvidence = newListEvidence(common)
 	b.subscription = newSubscription(common)
 	b.ordering = newOrdering()
 	b.admission = newAdmission(common)
@@ -72,10 +72,10 @@
 	b.locality = newLocality(common, b.members, b.spillover, b.reports)
 	b.outliers = newOutlierDetection(common, b.members, b.reports)
 	b.damping = newFlapDamping(common, b.members, b.reports)
-	b.loads = newLoads(common, b.members, b.reports)
+	b.loads = newLoadTracker(common, b.members, b.reports)
 	b.tuning = &weightTuning{shared: common, members: b.members, loads: b.loads, slowStart: b.slowStart,
 		reports: b.reports, locality: b.locality}
-	b.selection = &selection{shared: common, members: b.members, listing: b.listing, locality: b.locality,
+	b.selection = &selection{shared: common, members: b.members, listEvidence: b.listEvidence, locality: b.locality,
 		retries: b.retries, slowStart: b.slowStart}
 	for i, rules := range s.Classes {
 		b.classes[i] = b.newClass(rules)
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -38,7 +38,7 @@
 				}
 				if how == "away" {
 					bal.locality.evacuate(moment(start+8*second), h, &bal.locality.zones[0])
-					bal.refilter()
+					bal.rebuildReady()
 				}
 				q := &request{Request: Request{Settings: bal.settings, Class: 2}}
 				for b.Loop() {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -12,7 +12,7 @@
 		}
 		return
 	}
-	b.listing.confirm(now, kind)
+	b.listEvidence.confirm(now, kind)
 	if kind != UpdateDelta {
 		b.members.replaceAll()
 	}
@@ -22,7 +22,7 @@
 	if b.locality.zones != nil {
 		b.damping.detectDelisted(now)
 	}
-	b.refilter()
+	b.rebuildReady()
 	if b.locality.zones != nil {
 		b.removeUnhealthy(now) // a server that is listed again may have to be damped
 	}
@@ -34,8 +34,8 @@
 // SetSuspendedServers suspends exactly the servers with these IDs, which may be all of them. A server that is
 // resumed starts without history and gets the next call that it may have.
 func (b *Balancer) SetSuspendedServers(ids map[string]bool) {
-	b.members.suspend(ids)
-	b.refilter()
+	b.members.setSuspended(ids)
+	b.rebuildReady()
 }
 
 // SetDrainedZones drains exactly these zones: their servers get no calls, not even trials. A zone that is
@@ -45,25 +45,25 @@
 	if len(zones) > 0 || len(b.members.drainedZones) > 0 {
 		b.trackZones() // first, so that draining a zone counts as a change of its phase
 	}
-	before := b.members.drain(zones)
-	b.refilter()
-	b.locality.drain(now, host, before, zones)
-	b.refilter()
+	before := b.members.setDrained(zones)
+	b.rebuildReady()
+	b.locality.updateDrained(now, host, before, zones)
+	b.rebuildReady()
 }
 
-// refilter rebuilds the list of ready servers after a change of servers, zones or settings.
-func (b *Balancer) refilter() {
+// rebuildReady rebuilds the list of ready servers after a change of servers, zones or settings.
+func (b *Balancer) rebuildReady() {
 	if b.locality.zones == nil {
-		b.members.refilter(nil)
+		b.members.rebuildReady(nil)
 	} else {
-		b.members.refilter(b.locality.rank)
+		b.members.rebuildReady(b.locality.rank)
 	}
 }
 
 // trackZones begins to keep the state of zones. A replica that exchanges no reports does not need it.
 func (b *Balancer) trackZones() {
 	if b.locality.track(b.members.drainedZones) {
-		b.refilter()
+		b.rebuildReady()
 	}
 }
 
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -8,7 +8,7 @@
 		return
 	}
 	server, class, failed := attempt.server, request.Class, outcome.Status != StatusOK
-	b.listing.record(server, attempt.sentAt, outcome.Status)
+	b.listEvidence.record(server, attempt.sentAt, outcome.Status)
 	attributed := b.outliers.attribute(server, class, outcome.Status)
 	server.outlier.recordConnection(outcome.Status)
 	if b.locality.zones != nil {
--- a/balancer/listevidence.go
+++ b/balancer/listevidence.go
@@ -28,7 +28,7 @@
 
 	// Additional weight factor of a server with recent or no evidence, in a zone where an attempt got no
 	// answer since the list was confirmed: after an outage of a zone all its servers come back together.
-	silentZoneWeight = 1e-4
+	unresponsiveZoneWeight = 1e-4
 
 	// Weight factor of a server that did not execute its latest attempt since the list was confirmed.
 	contradictedWeight = unconfirmedWeight * unconfirmedWeight
@@ -39,8 +39,8 @@
 	attemptsPerTTL, minWithEvidence = 3.0, 2.0
 )
 
-// listingState is the evidence that a server is still in the endpoint list.
-type listingState struct {
+// listEvidenceState is the evidence that a server is still in the endpoint list.
+type listEvidenceState struct {
 	confirmedUntil moment // until then executed attempts confirm that it is listed
 	contradictedAt moment // when the attempt was sent that it did not execute; 0: none
 	recentSince    moment // when the first attempt of the current unconfirmed run of executed ones was sent
@@ -50,13 +50,13 @@
 // listEvidence records when the endpoint list was confirmed.
 type listEvidence struct {
 	*shared
-	confirmedAt   moment         // for a new replica, when it got its first list
-	everConfirmed bool           // false while there is only a cached list
-	silentZones   map[int]moment // by zone, when the latest attempt was sent that got no answer there
+	confirmedAt       moment         // for a new replica, when it got its first list
+	everConfirmed     bool           // false while there is only a cached list
+	unresponsiveZones map[int]moment // by zone, when the latest attempt was sent that got no answer there
 }
 
 func newListEvidence(common *shared) *listEvidence {
-	return &listEvidence{shared: common, silentZones: map[int]moment{}}
+	return &listEvidence{shared: common, unresponsiveZones: map[int]moment{}}
 }
 
 // ttl returns how long evidence lasts; 0: the list never becomes stale.
@@ -104,7 +104,7 @@
 	case EvidenceContradicted:
 		return contradictedWeight
 	case EvidenceRecent:
-		if lateness := server.listing.recentSince.since(e.listedUntil()); lateness < e.ttl() {
+		if lateness := server.listEvidence.recentSince.since(e.listedUntil()); lateness < e.ttl() {
 			factor = math.Pow(recentWeight, max(0, float64(lateness)/float64(e.ttl())))
 		}
 	case EvidenceNone:
@@ -112,8 +112,8 @@
 			factor = 1
 		}
 	}
-	if silentAt, ok := e.silentZones[server.Zone]; ok && silentAt >= e.confirmedAt {
-		factor *= silentZoneWeight
+	if silentAt, ok := e.unresponsiveZones[server.Zone]; ok && silentAt >= e.confirmedAt {
+		factor *= unresponsiveZoneWeight
 	}
 	return factor
 }
@@ -121,11 +121,11 @@
 // evidence returns the kind of evidence that attempts give of a server's membership while the list is stale.
 func (e *listEvidence) evidence(now moment, server *server) ServerEvidence {
 	switch {
-	case now < server.listing.confirmedUntil:
+	case now < server.listEvidence.confirmedUntil:
 		return EvidenceConfirmed
-	case server.listing.contradictedAt >= e.confirmedAt:
+	case server.listEvidence.contradictedAt >= e.confirmedAt:
 		return EvidenceContradicted
-	case now < server.listing.recentUntil:
+	case now < server.listEvidence.recentUntil:
 		return EvidenceRecent
 	}
 	return EvidenceNone
@@ -140,7 +140,7 @@
 	if ttl == 0 || status == StatusCancelled || status == StatusNotSent {
 		return
 	}
-	state, executed := &server.listing, status == StatusOK || status == StatusError
+	state, executed := &server.listEvidence, status == StatusOK || status == StatusError
 	switch {
 	case executed && (sentAt <= e.listedUntil() || sentAt < state.confirmedUntil):
 		state.confirmedUntil, state.contradictedAt = max(state.confirmedUntil, sentAt.add(ttl)), 0
@@ -150,10 +150,10 @@
 		}
 		state.recentUntil = max(state.recentUntil, sentAt.add(ttl))
 	case sentAt >= max(state.confirmedUntil, state.recentUntil).add(-ttl):
-		*state = listingState{contradictedAt: sentAt}
+		*state = listEvidenceState{contradictedAt: sentAt}
 	}
 	if !executed && status != StatusRejected {
-		e.silentZones[server.Zone] = max(e.silentZones[server.Zone], sentAt)
+		e.unresponsiveZones[server.Zone] = max(e.unresponsiveZones[server.Zone], sentAt)
 	}
 }
 
--- a/balancer/listevidence_test.go
+++ b/balancer/listevidence_test.go
@@ -235,10 +235,10 @@
 	b.UpdateEndpoints(start, h, UpdateSnapshot, testServers(40))
 	now := moment(start + 10*second)
 	for _, listed := range b.members.ready {
-		listed.listing.confirmedUntil = now + 1
+		listed.listEvidence.confirmedUntil = now + 1
 		if got := b.selection.choose(now, &request{Request: Request{Settings: b.settings}}); got != listed {
 			t.Errorf("chose %s, but only %s has evidence of being listed", got.ID, listed.ID)
 		}
-		listed.listing.confirmedUntil = 0
+		listed.listEvidence.confirmedUntil = 0
 	}
 }
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -37,8 +37,8 @@
 	lastAt          moment  // time of the latest update; 0: no call yet
 }
 
-// fade reduces the sums by the time that has passed since the latest update.
-func (l *loadStats) fade(now moment) {
+// decay reduces the sums by the time that has passed since the latest update.
+func (l *loadStats) decay(now moment) {
 	keep := math.Exp(-float64(now.since(l.lastAt)) / float64(loadDecay))
 	l.calls, l.failed = keep*l.calls, keep*l.failed
 	l.weight, l.weightedLatency = keep*l.weight, keep*l.weightedLatency
@@ -53,8 +53,8 @@
 	meanLatency    float64 // mean latency of the answered calls, in µs; 0: none
 }
 
-// loads holds this replica's load reports, and the latency to which those of all classes are scaled.
-type loads struct {
+// loadTracker holds this replica's load reports, and the latency to which those of all classes are scaled.
+type loadTracker struct {
 	*shared
 	members *membership
 	reports *reportExchange
@@ -66,16 +66,16 @@
 	successes      float64 // number of answered calls
 }
 
-func newLoads(common *shared, members *membership, reports *reportExchange) *loads {
-	return &loads{shared: common, members: members, reports: reports}
+func newLoadTracker(common *shared, members *membership, reports *reportExchange) *loadTracker {
+	return &loadTracker{shared: common, members: members, reports: reports}
 }
 
 // record updates a server's load with the end of an attempt. Latencies are scaled to a typical class;
 // otherwise a server would look fast only because it got calls of a fast class. record returns the latency as
 // a multiple of the unloaded latency of its class; ok is false if the attempt failed.
-func (l *loads) record(now moment, server *server, class int, outcome Outcome) (relative float64, ok bool) {
+func (l *loadTracker) record(now moment, server *server, class int, outcome Outcome) (relative float64, ok bool) {
 	load := &server.load.recent
-	load.fade(now)
+	load.decay(now)
 	if load.calls++; outcome.Status != StatusOK {
 		load.failed++
 		return 0, false
@@ -91,7 +91,7 @@
 
 // loadReports returns this replica's reports. They stay the same for loadReportInterval, since each change
 // has to be sent to all replicas.
-func (l *loads) loadReports(now moment) []Report {
+func (l *loadTracker) loadReports(now moment) []Report {
 	if l.settings.DisableWeightTuning || now.since(l.reportedAt) < loadReportInterval && l.reportedAt != 0 {
 		return l.latest
 	}
@@ -101,7 +101,7 @@
 		if load.lastAt == 0 || now.since(load.lastAt) > loadReportTTL {
 			continue
 		}
-		load.fade(now)
+		load.decay(now)
 		report := Report{Kind: ReportServerLoad, ObserverZone: l.settings.Zone, Server: server.ID,
 			StartTime: server.StartTime, Calls: load.calls, BadFraction: load.failed / load.calls,
 			LastObserved: int64(now)}
@@ -116,7 +116,7 @@
 // sumReports sums up the reports of all replicas on each server. It returns how many replicas reported; 0 if
 // no report has a latency. Reports with invalid numbers are ignored and extreme values are capped, so that no
 // single replica moves the sums much.
-func (l *loads) sumReports(now moment) (replicas int) {
+func (l *loadTracker) sumReports(now moment) (replicas int) {
 	reports, callsOf := l.usableReports(now)
 	for _, server := range l.members.all {
 		server.load.fleet = fleetLoad{}
@@ -150,7 +150,7 @@
 
 // usableReports returns the valid and recent load reports, and the number of calls that each replica reports
 // in them.
-func (l *loads) usableReports(now moment) (reports []Report, callsOf map[string]float64) {
+func (l *loadTracker) usableReports(now moment) (reports []Report, callsOf map[string]float64) {
 	callsOf = map[string]float64{}
 	for report := range l.reports.all {
 		if report.Kind == ReportServerLoad && report.LastObserved <= int64(now) &&
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -94,7 +94,7 @@
 	case ZoneHealthy, ZoneSaturated:
 		l.evaluateServing(now, host, zone)
 	case ZoneEvacuating:
-		if !l.isLost(zone) {
+		if !l.shouldEvacuate(zone) {
 			l.setPhase(now, host, zone, ZoneHealthy, 1)
 		} else if now.since(moment(zone.ChangedAt)) >= evacuationConfirmation {
 			l.evacuate(now, host, zone)
@@ -102,7 +102,7 @@
 	case ZoneEvacuated:
 		l.evaluateEvacuated(now, host, zone)
 	case ZoneRecovering:
-		if l.isLost(zone) {
+		if l.shouldEvacuate(zone) {
 			l.evacuate(now, host, zone)
 		} else if now.since(moment(zone.ChangedAt)) >= l.recoveryStepDuration() &&
 			zone.reports.badFraction() <= recoveryMaxBadFraction {
@@ -120,10 +120,10 @@
 	others := l.peerFraction(zone)
 	answers := zone.reports.calls >= evacuationCalls && zone.reports.badFraction() <= recoveryMaxBadFraction
 	saturated := zone.Zone == l.settings.Zone && 2*zone.reports.saturatedVotes > zone.reports.replicas
-	if l.isLost(zone) {
+	if l.shouldEvacuate(zone) {
 		l.setPhase(now, host, zone, ZoneEvacuating, evacuatingFraction)
 	} else if others < 1 && settled && (others > 0 || !answers) {
-		l.follow(now, host, zone, others)
+		l.followPeers(now, host, zone, others)
 	} else if saturated != (zone.Phase == ZoneSaturated) && settled {
 		l.setPhase(now, host, zone, ZoneSaturated-zone.Phase, 1) // to the other of the two
 	}
@@ -140,7 +140,7 @@
 	if age >= stay && good || !l.hasAlternative(zone) {
 		l.enterRecoveryStep(now, host, zone, 0)
 	} else if others := l.peerFraction(zone); others > 0 && age >= minEvacuation {
-		l.follow(now, host, zone, others)
+		l.followPeers(now, host, zone, others)
 	}
 }
 
@@ -153,11 +153,12 @@
 	return duration
 }
 
-// isLost reports whether the replicas of this zone agree that a zone has failed: most replicas with evidence
-// report it as unhealthy, and more than a third of all replicas do (up to a third may report falsely); most
-// calls to it are bad, on several servers; and the other zones are clearly better. An isolated replica never
-// evacuates a zone, since it can't tell an outage of the zone from a fault of its own network link.
-func (l *locality) isLost(zone *zone) bool {
+// shouldEvacuate reports whether the replicas of this zone agree that a zone has failed: most replicas with
+// evidence report it as unhealthy, and more than a third of all replicas do (up to a third may report
+// falsely); most calls to it are bad, on several servers; and the other zones are clearly better. An isolated
+// replica never evacuates a zone, since it can't tell an outage of the zone from a fault of its own network
+// link.
+func (l *locality) shouldEvacuate(zone *zone) bool {
 	sum, calls, servers := &zone.reports, evacuationCalls, min(2, zone.reports.readyServers)
 	if zone.Phase == ZoneRecovering {
 		calls, servers = reevacuationCalls, 0
@@ -168,7 +169,7 @@
 		3*votes > peers.LiveReplicasInZone
 	return !peers.Isolated && majority && sum.readyServers > 0 && sum.calls >= calls &&
 		sum.badFraction() >= zoneUnhealthyFraction && sum.unhealthyServers >= servers &&
-		l.hasAlternative(zone) && l.badElsewhere(zone) <= maxRelativeBadElsewhere*sum.badFraction()
+		l.hasAlternative(zone) && l.badFractionElsewhere(zone) <= maxRelativeBadElsewhere*sum.badFraction()
 }
 
 // hasAlternative reports whether another zone takes traffic.
@@ -179,9 +180,9 @@
 	return has
 }
 
-// badElsewhere returns the bad fraction of the calls to the other zones that take traffic; 0 without such
-// calls.
-func (l *locality) badElsewhere(zone *zone) float64 {
+// badFractionElsewhere returns the bad fraction of the calls to the other zones that take traffic; 0 without
+// such calls.
+func (l *locality) badFractionElsewhere(zone *zone) float64 {
 	var sum zoneReportSum
 	for i := range l.zones {
 		if other := &l.zones[i]; other != zone && other.acceptsTraffic() {
@@ -207,8 +208,8 @@
 	return min(max(zone.WeightFraction, least), most)
 }
 
-// follow gives a zone the weight fraction that most other replicas give it.
-func (l *locality) follow(now moment, host Host, zone *zone, fraction float64) {
+// followPeers gives a zone the weight fraction that most other replicas give it.
+func (l *locality) followPeers(now moment, host Host, zone *zone, fraction float64) {
 	if fraction > 0 {
 		step, _ := slices.BinarySearch(recoveryFractions[:], min(fraction, 1))
 		l.enterRecoveryStep(now, host, zone, step)
@@ -247,9 +248,9 @@
 	}
 }
 
-// drain changes the set of drained zones, from before to drained: these get no calls, not even trials. A zone
-// that is no longer drained recovers in steps.
-func (l *locality) drain(now moment, host Host, before, drained map[int]bool) {
+// updateDrained changes the set of drained zones, from before to drained: these get no calls, not even
+// trials. A zone that is no longer drained recovers in steps.
+func (l *locality) updateDrained(now moment, host Host, before, drained map[int]bool) {
 	for i := range l.zones {
 		if zone := &l.zones[i]; drained[i] && !before[i] {
 			l.setPhase(now, host, zone, ZoneDrained, 0)
@@ -295,15 +296,15 @@
 	}
 	if local.Phase == ZoneSaturated {
 		weight = max(weight, saturatedMinSpillover)
-	} else if l.localZoneCopes() {
+	} else if l.localZoneHasCapacity() {
 		weight = min(weight, healthyMaxSpillover)
 	}
 	return max(weight, 1-local.WeightFraction)
 }
 
-// localZoneCopes reports whether the local zone is healthy, with enough calls to tell, and neither this
+// localZoneHasCapacity reports whether the local zone is healthy, with enough calls to tell, and neither this
 // replica's own calls nor the reports of the replicas of this zone show it as saturated or unhealthy.
-func (l *locality) localZoneCopes() bool {
+func (l *locality) localZoneHasCapacity() bool {
 	local := l.zone(l.settings.Zone)
 	return local != nil && local.Phase == ZoneHealthy && l.spillover.weight <= saturationSpillover &&
 		local.reports.calls >= evacuationCalls && local.reports.unhealthyVotes == 0 &&
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -73,8 +73,9 @@
 	return server
 }
 
-// suspend suspends exactly these servers. A server that is resumed starts without history, with a trial call.
-func (m *membership) suspend(ids map[string]bool) {
+// setSuspended suspends exactly these servers. A server that is resumed starts without history, with a trial
+// call.
+func (m *membership) setSuspended(ids map[string]bool) {
 	before := m.suspended
 	m.suspended = ids
 	for _, server := range m.all {
@@ -85,15 +86,15 @@
 	}
 }
 
-// drain drains exactly these zones and returns those that were drained before.
-func (m *membership) drain(zones map[int]bool) (before map[int]bool) {
+// setDrained drains exactly these zones and returns those that were drained before.
+func (m *membership) setDrained(zones map[int]bool) (before map[int]bool) {
 	before, m.drainedZones = m.drainedZones, zones
 	return before
 }
 
-// refilter deletes removed servers and collects the ready ones. rank orders zones, see order; it is nil while
-// zones are not tracked.
-func (m *membership) refilter(rank func(zone int) int) {
+// rebuildReady deletes removed servers and collects the ready ones. rank orders zones, see order; it is nil
+// while zones are not tracked.
+func (m *membership) rebuildReady(rank func(zone int) int) {
 	m.all = slices.DeleteFunc(m.all, func(s *server) bool {
 		if s.State == ServerRemoved {
 			delete(m.byID, s.ID)
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -35,7 +35,7 @@
 	if b.settings.RetryBudgetWindow > before.RetryBudgetWindow {
 		b.retries.extendWindow(now)
 	}
-	b.refilter()
+	b.rebuildReady()
 	return numbers, nil
 }
 
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -147,6 +147,6 @@
 	b.damping.logChange(now, host)
 	b.tuning.adjust(now)
 	if b.locality.evaluate(now, host) {
-		b.refilter()
+		b.rebuildReady()
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -16,7 +16,7 @@
 	nonIdempotentTrialFactor = 0.2
 
 	minSubset         = 4.0 // minimum number of servers over which this replica spreads its calls
-	subsetPerRootRate = 3.0 // servers per square root of this replica's rate, in attempts per second
+	subsetPerSqrtRate = 3.0 // servers per square root of this replica's rate, in attempts per second
 )
 
 // candidate is a server in a draw.
@@ -32,11 +32,11 @@
 // current draw.
 type selection struct {
 	*shared
-	members   *membership
-	listing   *listEvidence
-	locality  *locality
-	retries   *retryPolicy
-	slowStart *slowStart
+	members      *membership
+	listEvidence *listEvidence
+	locality     *locality
+	retries      *retryPolicy
+	slowStart    *slowStart
 
 	sent       window // attempts by time
 	candidates []candidate
@@ -49,7 +49,7 @@
 // more, each server would hold a connection of every replica, and a replica would make too few calls to each
 // server to judge it.
 func (s *selection) subsetSize(now moment) float64 {
-	return max(minSubset, subsetPerRootRate*math.Sqrt(s.rate(now)))
+	return max(minSubset, subsetPerSqrtRate*math.Sqrt(s.rate(now)))
 }
 
 // rate returns the rate of this replica in attempts per second.
@@ -60,27 +60,27 @@
 // choose draws the server for a request's next attempt; nil if there is no server to send it to.
 func (s *selection) choose(now moment, request *request) *server {
 	s.slowStart.recordDraw(now)
-	if server := s.resumed(now, request); server != nil {
+	if server := s.resumedServer(now, request); server != nil {
 		return server
 	}
-	stale := s.listing.isStale(now)
+	stale := s.listEvidence.isStale(now)
 	if server := s.locality.trial(now, request); server != nil && !stale {
 		return server
 	}
 	d := draw{selection: s, now: now, request: request, stale: stale}
-	d.seeksEvidence = stale && s.listing.seeksEvidence(now, s.members.ready, s.rate(now))
+	d.seeksEvidence = stale && s.listEvidence.seeksEvidence(now, s.members.ready, s.rate(now))
 	d.gather()
 	d.limitUnhealthy()
 	point := s.random.Float64() * d.total
 	if d.warming {
 		point -= s.slowStart.limitWarming(now, s.candidates, d.total, d.spread)
 	}
-	return s.at(point)
+	return s.candidateAt(point)
 }
 
-// resumed returns a server that an operator has resumed and that may get the request, in any zone: the
+// resumedServer returns a server that an operator has resumed and that may get the request, in any zone: the
 // operator expects to see it serve at once. It returns nil if there is none.
-func (s *selection) resumed(now moment, request *request) *server {
+func (s *selection) resumedServer(now moment, request *request) *server {
 	for _, server := range s.members.ready {
 		if server.trialPending && s.retries.sendWindow(now, request, server) != sendForbidden &&
 			s.slowStart.admitsTrial(now, server, len(s.members.ready)) {
@@ -117,7 +117,7 @@
 	d.spread = min(enough, float64(len(d.members.ready)/d.settings.ZoneCount))
 
 	left := d.gatherFrom(d.members.local(), enough)
-	if d.locality.localZoneCopes() && d.total > 0 {
+	if d.locality.localZoneHasCapacity() && d.total > 0 {
 		left = 1
 	} else {
 		left = max(left, remote)
@@ -152,7 +152,7 @@
 	}
 	counts = c.health * warmth
 	if d.stale {
-		factor := d.listing.factor(d.now, server, d.seeksEvidence)
+		factor := d.listEvidence.factor(d.now, server, d.seeksEvidence)
 		if c.weight *= factor; factor <= unconfirmedWeight {
 			counts = 0 // servers with evidence may follow
 		}
@@ -181,9 +181,9 @@
 	}
 }
 
-// at returns the candidate at which the sum of the weights exceeds point; nil if no candidate has a weight or
-// point is negative.
-func (s *selection) at(point float64) (last *server) {
+// candidateAt returns the candidate at which the sum of the weights exceeds point; nil if no candidate has a
+// weight or point is negative.
+func (s *selection) candidateAt(point float64) (last *server) {
 	for i := range s.candidates {
 		if c := &s.candidates[i]; c.weight > 0 && point >= 0 {
 			last = c.server
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -47,7 +47,7 @@
 	latency      serverLatency
 	outlier      outlierState
 	damping      dampingState
-	listing      listingState
+	listEvidence listEvidenceState
 	load         loadState
 	tuning       tuningState
 }
@@ -58,7 +58,7 @@
 	s.latency = newServerLatency()
 	s.outlier = newOutlierState(classes)
 	s.damping = dampingState{}
-	s.listing = listingState{}
+	s.listEvidence = listEvidenceState{}
 	s.load = loadState{}
 	s.tuning = newTuningState()
 }
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -61,17 +61,17 @@
 // while the list is not stale and therefore is the evidence itself.
 func (b *Balancer) ListEvidence(nowMicros int64, serverID string) (ListEvidence, bool) {
 	now, server := moment(nowMicros), b.members.byID[serverID]
-	if server == nil || !b.listing.isStale(now) {
+	if server == nil || !b.listEvidence.isStale(now) {
 		return ListEvidence{}, false
 	}
-	report := ListEvidence{ListAge: int64(now.since(b.listing.confirmedAt)), Evidence: b.listing.evidence(now, server)}
+	report := ListEvidence{ListAge: int64(now.since(b.listEvidence.confirmedAt)), Evidence: b.listEvidence.evidence(now, server)}
 	switch report.Evidence {
 	case EvidenceConfirmed:
-		report.Since = int64(now.since(server.listing.confirmedUntil.add(-b.listing.ttl())))
+		report.Since = int64(now.since(server.listEvidence.confirmedUntil.add(-b.listEvidence.ttl())))
 	case EvidenceContradicted:
-		report.Since = int64(now.since(server.listing.contradictedAt))
+		report.Since = int64(now.since(server.listEvidence.contradictedAt))
 	case EvidenceRecent:
-		report.Since = int64(now.since(server.listing.recentSince))
+		report.Since = int64(now.since(server.listEvidence.recentSince))
 	}
 	return report, true
 }
@@ -80,7 +80,7 @@
 // in flight among them. It takes time proportional to the number of servers.
 func (b *Balancer) ConfirmedServers(nowMicros int64) (count, leastInFlight int) {
 	for _, server := range b.members.ready {
-		if b.listing.evidence(moment(nowMicros), server) != EvidenceConfirmed {
+		if b.listEvidence.evidence(moment(nowMicros), server) != EvidenceConfirmed {
 			continue
 		}
 		if count++; count == 1 || server.inFlight < leastInFlight {
--- a/balancer/weighttuning.go
+++ b/balancer/weighttuning.go
@@ -48,7 +48,7 @@
 type weightTuning struct {
 	*shared
 	members   *membership
-	loads     *loads
+	loads     *loadTracker
 	slowStart *slowStart
 	reports   *reportExchange
 	locality  *locality
