--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -75,8 +75,8 @@
 	b.loads = newLoadTracker(common, b.members, b.reports)
 	b.tuning = &weightTuning{shared: common, members: b.members, loads: b.loads, slowStart: b.slowStart,
 		reports: b.reports, locality: b.locality}
-	b.selection = &selection{shared: common, members: b.members, listEvidence: b.listEvidence, locality: b.locality,
-		retries: b.retries, slowStart: b.slowStart}
+	b.selection = &selection{shared: common, members: b.members, listEvidence: b.listEvidence,
+		locality: b.locality, retries: b.retries, slowStart: b.slowStart}
 	for i, rules := range s.Classes {
 		b.classes[i] = b.newClass(rules)
 	}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -35,7 +35,7 @@
 func TestRandomSequencesKeepTheRules(t *testing.T) {
 	total := map[string]int{}
 	for seed := range uint64(32) {
-		lines, faults := play(t, seed%24, 6000, seed > 23)
+		lines, faults := runSequence(t, seed%24, 6000, seed > 23)
 		for i, f := range faults {
 			if i < 3 {
 				t.Errorf("seed %d: %s", seed, f)
@@ -58,8 +58,8 @@
 // TestSameEventsGiveSameActions checks that a Balancer is deterministic for a given seed.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	for seed := range uint64(4) {
-		one, _ := play(t, seed, 3000, seed%2 == 0)
-		two, _ := play(t, seed, 3000, seed%2 == 0)
+		one, _ := runSequence(t, seed, 3000, seed%2 == 0)
+		two, _ := runSequence(t, seed, 3000, seed%2 == 0)
 		if !slices.Equal(one, two) {
 			t.Errorf("seed %d: two runs with the same events have different actions", seed)
 		}
--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -148,49 +148,49 @@
 
 // Ten replicas: one of twelve servers of one zone fails every other 5 s, or leaves the list.
 func TestFleetDampsFlappingServer(t *testing.T) {
-	flapping := func(w *world) bool { return (w.now-start)/(5*second)%2 == 1 }
+	flapping := func(w *fleetSimulation) bool { return (w.now-start)/(5*second)%2 == 1 }
 	for _, c := range []struct {
 		name   string
-		fate   func(w *world, s Server) (Status, int64)
+		fate   func(w *fleetSimulation, s Server) (Status, int64)
 		lease  bool
 		on     bool
 		damped bool
 		most   float64 // part of calls to s0 from 30 s on
 	}{
-		{"fails, alone", func(w *world, s Server) (Status, int64) {
+		{"fails, alone", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusError, 5_000
 			}
 			return w.answer(nil, s)
 		}, false, false, false, 0.05},
-		{"fails", func(w *world, s Server) (Status, int64) {
+		{"fails", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusError, 5_000
 			}
 			return w.answer(nil, s)
 		}, false, true, true, 0.02},
-		{"silent", func(w *world, s Server) (Status, int64) {
+		{"silent", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusTimedOut, 1_600_000
 			}
 			return w.answer(nil, s)
 		}, false, true, true, 0.02},
-		{"its lease ends", func(w *world, s Server) (Status, int64) { return w.answer(nil, s) }, true, true, true, 0.02},
-		{"well", func(w *world, s Server) (Status, int64) { return w.answer(nil, s) }, false, true, false, 0.12},
-		{"no room", func(w *world, s Server) (Status, int64) {
+		{"its lease ends", func(w *fleetSimulation, s Server) (Status, int64) { return w.answer(nil, s) }, true, true, true, 0.02},
+		{"well", func(w *fleetSimulation, s Server) (Status, int64) { return w.answer(nil, s) }, false, true, false, 0.12},
+		{"no room", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusRejected, 2_000
 			}
 			return w.answer(nil, s)
 		}, false, true, false, 0.12},
-		{"times with a long tail", func(w *world, s Server) (Status, int64) {
+		{"times with a long tail", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && w.rnd.IntN(4) == 0 {
 				return StatusOK, 450_000
 			}
 			return w.answer(nil, s)
 		}, false, true, false, 0.12},
 	} {
-		w := newWorld(t, 1, 10, 12, 30, c.on)
+		w := newFleetSimulation(t, 1, 10, 12, 30, c.on)
 		w.outcome = func(_ *replica, s Server) (Status, int64) { return c.fate(w, s) }
 		damped, looks := 0, 0
 		for at := second; at <= 60*second; at += second {
@@ -230,7 +230,7 @@
 func TestServerDiesWhileDamped(t *testing.T) {
 	trials, later := map[bool]int{}, map[bool]int{}
 	for _, damped := range []bool{false, true} {
-		w := newWorld(t, 1, 10, 12, 30, true)
+		w := newFleetSimulation(t, 1, 10, 12, 30, true)
 		dead := false
 		w.outcome = func(_ *replica, s Server) (Status, int64) {
 			if s.ID == "s0" && dead {
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-// world simulates a fleet: many Balancers on one virtual clock, which exchange reports every 100 ms.
-type world struct {
+// fleetSimulation simulates a fleet: many Balancers on one virtual clock, which exchange reports every 100
+// ms.
+type fleetSimulation struct {
 	t            testing.TB
 	rnd          *rand.Rand
 	now          int64 // µs
-	queue        schedule
+	queue        eventHeap
 	seq          int // number of functions scheduled so far
 	replicas     []*replica
 	servers      []Server
@@ -26,7 +27,7 @@
 
 // replica is one Balancer with its Host, which records what the Balancer does.
 type replica struct {
-	world             *world
+	simulation        *fleetSimulation
 	index             int
 	b                 *Balancer
 	name              string
@@ -51,35 +52,35 @@
 	event Event
 }
 
-// scheduled is a function that runs at a time in µs; of two at the same time the one with the lower seq runs
-// first.
-type scheduled struct {
+// scheduledFunc is a function that runs at a time in µs; of two at the same time the one with the lower seq
+// runs first.
+type scheduledFunc struct {
 	at  int64
 	seq int
 	do  func()
 }
 
-// schedule is a heap of functions, the next one first.
-type schedule []scheduled
+// eventHeap is a heap of functions, the next one first.
+type eventHeap []scheduledFunc
 
-func (e schedule) Len() int { return len(e) }
-func (e schedule) Less(i, j int) bool {
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e schedule) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *schedule) Push(x any)   { *e = append(*e, x.(scheduled)) }
-func (e *schedule) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventHeap) Push(x any)   { *e = append(*e, x.(scheduledFunc)) }
+func (e *eventHeap) Pop() any     { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
 // after schedules a function for d µs from now.
-func (w *world) after(d int64, do func()) {
+func (w *fleetSimulation) after(d int64, do func()) {
 	w.seq++
-	heap.Push(&w.queue, scheduled{w.now + d, w.seq, do})
+	heap.Push(&w.queue, scheduledFunc{w.now + d, w.seq, do})
 }
 
 // run runs the simulation until so many µs after the start.
-func (w *world) run(until int64) {
+func (w *fleetSimulation) run(until int64) {
 	for len(w.queue) > 0 && w.queue[0].at <= start+until {
-		e := heap.Pop(&w.queue).(scheduled)
+		e := heap.Pop(&w.queue).(scheduledFunc)
 		w.now = e.at
 		e.do()
 	}
@@ -88,7 +89,7 @@
 
 // Send records an attempt and schedules its outcome.
 func (c *replica) Send(id, server string, _, timeout int64) {
-	w, s := c.world, c.b.members.byID[server].Server
+	w, s := c.simulation, c.b.members.byID[server].Server
 	q := c.b.requests[id]
 	k := q.Settings.Classes[q.Class]
 	c.sends = append(c.sends, sentAttempt{w.now, server, s.Zone, k.Idempotency})
@@ -108,17 +109,17 @@
 func (c *replica) Reject(string, int64) { c.failed++ }
 func (c *replica) Fail(string)          { c.failed++ }
 func (c *replica) SetTimer(d int64, token string) {
-	c.world.after(d, func() { c.b.HandleTimer(c.world.now, c, token) })
+	c.simulation.after(d, func() { c.b.HandleTimer(c.simulation.now, c, token) })
 }
 func (c *replica) Watch()      {}
-func (c *replica) Log(e Event) { c.events = append(c.events, loggedEvent{c.world.now, e}) }
-
-// newWorld returns a simulation with the given number of zones, each with the given numbers of replicas and
-// servers. Each replica gets rate requests per second: 60 % of them are not idempotent, 30 % have an
-// idempotency key that is valid in a zone, and 10 % are idempotent. on says whether the replicas exchange
-// reports.
-func newWorld(t testing.TB, zones, replicas, servers int, rate float64, on bool) *world {
-	w := &world{t: t, rnd: rand.New(rand.NewPCG(5, uint64(zones*1000+replicas*10+servers))), now: start, exchange: on,
+func (c *replica) Log(e Event) { c.events = append(c.events, loggedEvent{c.simulation.now, e}) }
+
+// newFleetSimulation returns a simulation with the given number of zones, each with the given numbers of
+// replicas and servers. Each replica gets rate requests per second: 60 % of them are not idempotent, 30 %
+// have an idempotency key that is valid in a zone, and 10 % are idempotent. on says whether the replicas
+// exchange reports.
+func newFleetSimulation(t testing.TB, zones, replicas, servers int, rate float64, on bool) *fleetSimulation {
+	w := &fleetSimulation{t: t, rnd: rand.New(rand.NewPCG(5, uint64(zones*1000+replicas*10+servers))), now: start, exchange: on,
 		reported: map[*replica][]Report{}, received: map[[2]*replica][]Report{}}
 	set := Settings{Replicas: zones * replicas, ZoneCount: zones, MaxAttempts: 3, DrainGrace: second, SlowStartMinCapacity: 0.3,
 		SlowStartDuration: 8 * second, MaxRetryAfter: second, Classes: []Class{
@@ -136,7 +137,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &replica{world: w, index: i, b: b, name: fmt.Sprint("p", i), attempts: map[string]*int{}}
+		c := &replica{simulation: w, index: i, b: b, name: fmt.Sprint("p", i), attempts: map[string]*int{}}
 		w.replicas = append(w.replicas, c)
 		b.UpdateEndpoints(start, c, UpdateSnapshot, w.servers)
 		w.after(w.rnd.Int64N(second/10), c.exchangeReports)
@@ -146,23 +147,23 @@
 }
 
 // answer is the outcome of a healthy server: StatusOK after 30 to 90 ms.
-func (w *world) answer(*replica, Server) (Status, int64) {
+func (w *fleetSimulation) answer(*replica, Server) (Status, int64) {
 	return StatusOK, 30_000 + w.rnd.Int64N(60_000)
 }
 
 // sendRequests passes request n to the replica and schedules the next one.
 func (c *replica) sendRequests(rate float64, n int) {
 	id := fmt.Sprint(n)
-	class := []int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[c.world.rnd.IntN(10)]
+	class := []int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[c.simulation.rnd.IntN(10)]
 	c.attempts[id] = new(int)
-	c.b.HandleRequest(c.world.now, c, Request{ID: id, Class: class, Deadline: c.world.now + c.b.settings.Classes[class].Deadline})
-	c.world.after(int64(c.world.rnd.ExpFloat64()*1e6/rate), func() { c.sendRequests(rate, n+1) })
+	c.b.HandleRequest(c.simulation.now, c, Request{ID: id, Class: class, Deadline: c.simulation.now + c.b.settings.Classes[class].Deadline})
+	c.simulation.after(int64(c.simulation.rnd.ExpFloat64()*1e6/rate), func() { c.sendRequests(rate, n+1) })
 }
 
 // exchangeReports does what the owner of a Balancer does every 100 ms: it collects the Balancer's reports and
 // passes it those of the other replicas.
 func (c *replica) exchangeReports() {
-	w := c.world
+	w := c.simulation
 	w.after(second/10, c.exchangeReports)
 	if !w.exchange {
 		return
@@ -194,7 +195,7 @@
 // attemptFraction returns the fraction of the attempts, sent by the replicas of zone from between since and
 // until, that went to zone to. from -1 means the replicas of all zones, and to -1 means any zone other than
 // the replica's own.
-func (w *world) attemptFraction(from, to int, since, until int64) float64 {
+func (w *fleetSimulation) attemptFraction(from, to int, since, until int64) float64 {
 	n, of := 0.0, 0.0
 	for _, c := range w.replicas {
 		for _, s := range c.sends {
@@ -208,7 +209,7 @@
 }
 
 // failures returns the number of requests that were rejected or failed.
-func (w *world) failures() (n int) {
+func (w *fleetSimulation) failures() (n int) {
 	for _, c := range w.replicas {
 		n += c.failed
 	}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -17,7 +17,7 @@
 func TestSingleReplicaDecidesAsBefore(t *testing.T) {
 	sum := sha256.New()
 	for seed := range uint64(8) {
-		lines, _ := play(t, seed, 4000, false)
+		lines, _ := runSequence(t, seed, 4000, false)
 		for _, l := range lines {
 			fmt.Fprintln(sum, l)
 		}
@@ -90,7 +90,7 @@
 func fleetHash(t *testing.T, change func(*Balancer)) string {
 	t.Helper()
 	sum := sha256.New()
-	w := newWorld(t, 3, 4, 6, 20, true)
+	w := newFleetSimulation(t, 3, 4, 6, 20, true)
 	w.outcome = func(c *replica, s Server) (Status, int64) {
 		at := (w.now - start) / second
 		var i int
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -20,24 +20,24 @@
 	timeout    int64
 }
 
-func (r *recorder) note(format string, a ...any) {
+func (r *recorder) record(format string, a ...any) {
 	r.lines = append(r.lines, fmt.Sprintf(format, a...))
 }
 func (r *recorder) Send(id, server string, _, timeout int64) {
-	r.note("send %s %s %d", id, server, timeout)
+	r.record("send %s %s %d", id, server, timeout)
 	r.sends = append(r.sends, sendCall{id, server, timeout})
 }
 func (r *recorder) Reject(id string, after int64) {
-	r.note("refuse %s", id)
+	r.record("refuse %s", id)
 	r.retryAfters = append(r.retryAfters, after)
 }
-func (r *recorder) Fail(id string) { r.note("fail %s", id) }
+func (r *recorder) Fail(id string) { r.record("fail %s", id) }
 func (r *recorder) SetTimer(delay int64, token string) {
-	r.note("timer %d %s", delay, token)
+	r.record("timer %d %s", delay, token)
 	r.timers = append(r.timers, token)
 }
-func (r *recorder) Log(Event) { r.note("log") }
-func (r *recorder) Watch()    { r.note("watch"); r.watches++ }
+func (r *recorder) Log(Event) { r.record("log") }
+func (r *recorder) Watch()    { r.record("watch"); r.watches++ }
 
 // last returns the latest action, "" if there is none.
 func (r *recorder) last() string {
--- a/balancer/listevidence_test.go
+++ b/balancer/listevidence_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// change is what happens to a server while the list is not confirmed.
-type change int
+// serverChange is what happens to a server while the list is not confirmed.
+type serverChange int
 
 const (
-	stays   change = iota // nothing
-	drains                // it rejects calls
-	dies                  // connections to it fail
-	returns               // connections to it fail until it is back after changedFor
+	stays   serverChange = iota // nothing
+	drains                      // it rejects calls
+	dies                        // connections to it fail
+	returns                     // connections to it fail until it is back after changedFor
 )
 
 // Times on the event clock and durations, in µs.
@@ -30,26 +30,26 @@
 	socketSlack   = second / 20
 )
 
-// staleListWorld simulates one replica and its servers, some of which change while the list is not confirmed.
-// It records the attempts that were sent to a server too long after its change.
-type staleListWorld struct {
-	balancer *Balancer
-	rnd      *rand.Rand
-	now      int64
-	changes  map[string]change
-	out      []answerDue // attempts in flight
-	sends    int
-	late     []string // sends to a changed server after until
-	refused  int      // rejected requests
+// staleListSimulation simulates one replica and its servers, some of which change while the list is not
+// confirmed. It records the attempts that were sent to a server too long after its change.
+type staleListSimulation struct {
+	balancer  *Balancer
+	rnd       *rand.Rand
+	now       int64
+	changes   map[string]serverChange
+	pending   []pendingOutcome // attempts in flight
+	sends     int
+	lateSends []string // sends to a changed server after until
+	rejected  int      // rejected requests
 
 	changedAt, until int64 // when the servers change, and from when on no send may go to them
 	confirmedUntil   int64 // the list is confirmed every confirmEvery until here
 	firstRequest     int64 // 0: at the start
-	awayFor          int64 // how long a server that returns is gone; 0: changedFor
+	outage           int64 // how long a server that returns is gone; 0: changedFor
 }
 
-// answerDue is an attempt in flight and its outcome.
-type answerDue struct {
+// pendingOutcome is an attempt in flight and its outcome.
+type pendingOutcome struct {
 	at     int64 // when the attempt ends
 	id     string
 	status Status
@@ -57,62 +57,62 @@
 }
 
 // Send schedules the outcome of an attempt and records the attempt if it is late.
-func (f *staleListWorld) Send(id, server string, _, _ int64) {
+func (f *staleListSimulation) Send(id, server string, _, _ int64) {
 	f.sends++
-	due, took := answerDue{id: id, sent: f.now}, 60_000+f.rnd.Int64N(140_000)
+	due, took := pendingOutcome{id: id, sent: f.now}, 60_000+f.rnd.Int64N(140_000)
 	since := f.now - f.changedAt
 	switch c := f.changes[server]; {
 	case c == drains && since >= 0:
 		due.status, took = StatusRejected, 2_000
-	case (c == dies || c == returns && since < f.away()) && since >= 0:
+	case (c == dies || c == returns && since < f.outageDuration()) && since >= 0:
 		due.status, took = StatusConnectFailed, 250_000
 	}
 	notified := int64(1 << 60) // time after the change when its return would have been announced
 	if f.changes[server] == returns {
-		notified = f.away() + notifiedAfter
+		notified = f.outageDuration() + notifiedAfter
 	}
 	if f.changes[server] != stays && f.now > f.until && since < notified {
-		f.late = append(f.late, fmt.Sprintf("%s (%d) at %.2f s", server, f.changes[server], float64(f.now-start)/float64(second)))
+		f.lateSends = append(f.lateSends, fmt.Sprintf("%s (%d) at %.2f s", server, f.changes[server], float64(f.now-start)/float64(second)))
 	}
 	due.at = f.now + took
-	f.out = append(f.out, due)
+	f.pending = append(f.pending, due)
 }
 
-// away returns how long a server that returns is gone.
-func (f *staleListWorld) away() int64 { return cmp.Or(f.awayFor, changedFor) }
+// outageDuration returns how long a server that returns is gone.
+func (f *staleListSimulation) outageDuration() int64 { return cmp.Or(f.outage, changedFor) }
 
-func (f *staleListWorld) Reject(string, int64)   { f.refused++ }
-func (f *staleListWorld) Fail(string)            {}
-func (f *staleListWorld) SetTimer(int64, string) {}
-func (f *staleListWorld) Log(Event)              {}
-func (f *staleListWorld) Watch()                 {}
+func (f *staleListSimulation) Reject(string, int64)   { f.rejected++ }
+func (f *staleListSimulation) Fail(string)            {}
+func (f *staleListSimulation) SetTimer(int64, string) {}
+func (f *staleListSimulation) Log(Event)              {}
+func (f *staleListSimulation) Watch()                 {}
 
-// play runs the replica at a rate of requests per second, with a list that is confirmed until
+// runWithConfirmedList runs the replica at a rate of requests per second, with a list that is confirmed until
 // lastConfirmation.
-func (f *staleListWorld) play(rate int64) {
+func (f *staleListSimulation) runWithConfirmedList(rate int64) {
 	f.changedAt, f.confirmedUntil = changedAt, lastConfirmation
 	f.until = changedAt + notifiedAfter + f.balancer.settings.DrainGrace + socketSlack
 	f.balancer.UpdateEndpoints(start, f, UpdateSnapshot, testServers(len(f.changes)))
 	f.run(rate)
 }
 
-// playCached runs the replica with only a cached list, which it has from the start; the servers changed
-// before. From learned on no send may go to a changed server.
-func (f *staleListWorld) playCached(rate, learned int64) {
+// runWithCachedList runs the replica with only a cached list, which it has from the start; the servers
+// changed before. From learned on no send may go to a changed server.
+func (f *staleListSimulation) runWithCachedList(rate, learned int64) {
 	f.changedAt, f.confirmedUntil, f.until = start-second, start, start+learned
 	f.balancer.UpdateEndpoints(start, f, UpdateCached, testServers(len(f.changes)))
 	f.run(rate)
 }
 
 // run runs the replica until the end of the simulation.
-func (f *staleListWorld) run(rate int64) {
+func (f *staleListSimulation) run(rate int64) {
 	f.now = start
 	attempts, confirm, request := map[string]int{}, start+confirmEvery, max(start, f.firstRequest)
 	for n := 0; f.now < simulated; {
-		slices.SortStableFunc(f.out, func(x, y answerDue) int { return cmp.Compare(x.at, y.at) })
+		slices.SortStableFunc(f.pending, func(x, y pendingOutcome) int { return cmp.Compare(x.at, y.at) })
 		next := request
-		if len(f.out) > 0 {
-			next = min(next, f.out[0].at)
+		if len(f.pending) > 0 {
+			next = min(next, f.pending[0].at)
 		}
 		if confirm < f.confirmedUntil {
 			next = min(next, confirm)
@@ -121,9 +121,9 @@
 		case confirm < f.confirmedUntil && next == confirm:
 			f.balancer.UpdateEndpoints(f.now, f, UpdateDelta, nil)
 			confirm += confirmEvery
-		case len(f.out) > 0 && next == f.out[0].at:
-			due := f.out[0]
-			f.out = f.out[1:]
+		case len(f.pending) > 0 && next == f.pending[0].at:
+			due := f.pending[0]
+			f.pending = f.pending[1:]
 			number := attempts[due.id]
 			attempts[due.id]++
 			f.balancer.HandleOutcome(f.now, f, Outcome{RequestID: due.id, Attempt: number, Status: due.status, Latency: f.now - due.sent, RequestDone: due.status == StatusOK})
@@ -136,23 +136,23 @@
 }
 
 // check fails the test if sends were late or many requests were rejected.
-func (f *staleListWorld) check(t *testing.T, seed uint64) {
+func (f *staleListSimulation) check(t *testing.T, seed uint64) {
 	t.Helper()
-	if len(f.late) > 0 {
+	if len(f.lateSends) > 0 {
 		t.Errorf("seed %d: %d of %d sends went to a server too long after it had changed: %v",
-			seed, len(f.late), f.sends, f.late[:min(3, len(f.late))])
+			seed, len(f.lateSends), f.sends, f.lateSends[:min(3, len(f.lateSends))])
 	}
-	if f.refused > f.sends/20 {
-		t.Errorf("seed %d: %d requests rejected, with %d sends", seed, f.refused, f.sends)
+	if f.rejected > f.sends/20 {
+		t.Errorf("seed %d: %d requests rejected, with %d sends", seed, f.rejected, f.sends)
 	}
 }
 
 // newIdleReplica returns a simulation of a replica that gets its first request idle µs after its list became
 // stale.
-func newIdleReplica(t *testing.T, seed uint64, idle int64, changeOf func(i int, server Server) change) *staleListWorld {
+func newIdleReplica(t *testing.T, seed uint64, idle int64, changeOf func(i int, server Server) serverChange) *staleListSimulation {
 	s := testSettings()
 	s.DrainGrace, s.MembershipEvidenceTTL = second, 2*second
-	f := &staleListWorld{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]change{}}
+	f := &staleListSimulation{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]serverChange{}}
 	for i, server := range testServers(24) {
 		f.changes[server.ID] = changeOf(i, server)
 	}
@@ -169,11 +169,11 @@
 			for seed := range uint64(20) {
 				s := testSettings()
 				s.DrainGrace, s.MembershipEvidenceTTL = second, 3*second
-				f := &staleListWorld{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]change{}}
+				f := &staleListSimulation{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]serverChange{}}
 				for i := range 24 {
-					f.changes[fmt.Sprint("s", i)] = []change{stays, drains, stays, dies, stays, returns}[(i+int(seed))%6]
+					f.changes[fmt.Sprint("s", i)] = []serverChange{stays, drains, stays, dies, stays, returns}[(i+int(seed))%6]
 				}
-				f.play(rate)
+				f.runWithConfirmedList(rate)
 				f.check(t, seed)
 			}
 		})
@@ -187,14 +187,14 @@
 	for seed := range uint64(20) {
 		s := testSettings()
 		s.DrainGrace, s.MembershipEvidenceTTL = second, 3*second
-		f := &staleListWorld{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]change{}}
+		f := &staleListSimulation{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]serverChange{}}
 		for i := range 24 {
-			f.changes[fmt.Sprint("s", i)] = []change{stays, drains, stays, stays, dies, stays}[(i+int(seed))%6]
+			f.changes[fmt.Sprint("s", i)] = []serverChange{stays, drains, stays, stays, dies, stays}[(i+int(seed))%6]
 		}
-		f.playCached(35, learned)
-		if len(f.late) > 0 {
+		f.runWithCachedList(35, learned)
+		if len(f.lateSends) > 0 {
 			t.Errorf("seed %d: %d of %d sends went to servers that had not executed calls: %v",
-				seed, len(f.late), f.sends, f.late[:min(3, len(f.late))])
+				seed, len(f.lateSends), f.sends, f.lateSends[:min(3, len(f.lateSends))])
 		}
 	}
 }
@@ -206,8 +206,8 @@
 	for _, rate := range []int64{3, 8, 35} {
 		t.Run(fmt.Sprint(rate, " a second"), func(t *testing.T) {
 			for seed := range uint64(40) {
-				f := newIdleReplica(t, seed, second/2, func(i int, _ Server) change { return []change{stays, returns, stays}[(i+int(seed))%3] })
-				f.play(rate)
+				f := newIdleReplica(t, seed, second/2, func(i int, _ Server) serverChange { return []serverChange{stays, returns, stays}[(i+int(seed))%3] })
+				f.runWithConfirmedList(rate)
 				f.check(t, seed)
 			}
 		})
@@ -219,9 +219,9 @@
 // the other zone.
 func TestStaleListWithoutEvidenceIsCorrectedByLostZone(t *testing.T) {
 	for seed := range uint64(200) {
-		f := newIdleReplica(t, seed, second*8/10, func(_ int, server Server) change { return []change{stays, returns}[server.Zone] })
-		f.awayFor = 2200 * second / 1000
-		f.play(5)
+		f := newIdleReplica(t, seed, second*8/10, func(_ int, server Server) serverChange { return []serverChange{stays, returns}[server.Zone] })
+		f.outage = 2200 * second / 1000
+		f.runWithConfirmedList(5)
 		f.check(t, seed)
 	}
 }
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -73,7 +73,8 @@
 // record updates a server's load with the end of an attempt. Latencies are scaled to a typical class;
 // otherwise a server would look fast only because it got calls of a fast class. record returns the latency as
 // a multiple of the unloaded latency of its class; ok is false if the attempt failed.
-func (l *loadTracker) record(now moment, server *server, class int, outcome Outcome) (relative float64, ok bool) {
+func (l *loadTracker) record(now moment, server *server, class int, outcome Outcome) (relative float64,
+	ok bool) {
 	load := &server.load.recent
 	load.decay(now)
 	if load.calls++; outcome.Status != StatusOK {
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -9,7 +9,7 @@
 
 // evacuatedZones returns the zones that a replica has evacuated.
 func (c *replica) evacuatedZones() (out []int) {
-	for _, z := range c.b.ZoneStates(c.world.now) {
+	for _, z := range c.b.ZoneStates(c.simulation.now) {
 		if z.Phase == ZoneEvacuated {
 			out = append(out, z.Zone)
 		}
@@ -21,9 +21,9 @@
 // server, of a network link or of all zones looks the same in a single call; it differs in which zones see
 // it, how many servers it affects and which calls are answered meanwhile.
 func TestFaultsAreToldApart(t *testing.T) {
-	type fate = func(w *world, c *replica, s Server) (Status, int64)
+	type fate = func(w *fleetSimulation, c *replica, s Server) (Status, int64)
 	lost := func(zones ...int) fate {
-		return func(w *world, c *replica, s Server) (Status, int64) {
+		return func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			if slices.Contains(zones, s.Zone) {
 				return StatusOK, 1e12
 			}
@@ -40,43 +40,43 @@
 		{"a lost zone", lost(0), -1, [3][]int{0: {0}}, []int{0}},
 		{"a lost zone that another used", lost(0), 1, [3][]int{{0}, {0}, nil}, []int{0}},
 		{"two of three lost", lost(0, 1), -1, [3][]int{{0}, {1}, nil}, []int{0, 1}},
-		{"a zone that answers but fails", func(w *world, c *replica, s Server) (Status, int64) {
+		{"a zone that answers but fails", func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			if s.Zone == 0 {
 				return StatusError, 5_000
 			}
 			return w.answer(c, s)
 		}, -1, [3][]int{0: {0}}, []int{0}},
-		{"answers lost between zones", func(w *world, c *replica, s Server) (Status, int64) {
+		{"answers lost between zones", func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			if s.Zone == 0 && c.b.settings.Zone != 0 {
 				return StatusOK, 1e12
 			}
 			return w.answer(c, s)
 		}, 1, [3][]int{1: {0}}, nil},
-		{"one bad server", func(w *world, c *replica, s Server) (Status, int64) {
+		{"one bad server", func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			if s.ID == "s0" {
 				return StatusOK, 1e12
 			}
 			return w.answer(c, s)
 		}, -1, [3][]int{}, nil},
-		{"a replica's own link", func(w *world, c *replica, s Server) (Status, int64) {
+		{"a replica's own link", func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			if c.index < 3 {
 				return StatusOK, 1e12
 			}
 			return w.answer(c, s)
 		}, -1, [3][]int{}, nil},
-		{"slow everywhere", func(w *world, c *replica, s Server) (Status, int64) {
+		{"slow everywhere", func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			_, took := w.answer(c, s)
 			return StatusOK, 20 * took
 		}, -1, [3][]int{}, nil},
 		{"lost everywhere", lost(0, 1, 2), -1, [3][]int{}, nil},
-		{"a slow zone", func(w *world, c *replica, s Server) (Status, int64) {
+		{"a slow zone", func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			st, took := w.answer(c, s)
 			if s.Zone == 0 {
 				took *= 5
 			}
 			return st, took
 		}, -1, [3][]int{}, nil},
-		{"a zone that is full", func(w *world, c *replica, s Server) (Status, int64) {
+		{"a zone that is full", func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			if s.Zone == 0 {
 				return StatusRejected, 1000
 			}
@@ -84,7 +84,7 @@
 		}, -1, [3][]int{}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, 3, 4, 5, 20, true)
+			w := newFleetSimulation(t, 3, 4, 5, 20, true)
 			if c.noHome >= 0 {
 				list := slices.Clone(w.servers)
 				for i := range list {
@@ -149,7 +149,7 @@
 			var avoided [2]int64
 			some := 0.05 + trialsPerSecond/(c.rate*float64(c.replicas))
 			for on := range 2 {
-				w := newWorld(t, 3, c.replicas, c.servers, c.rate, on == 1)
+				w := newFleetSimulation(t, 3, c.replicas, c.servers, c.rate, on == 1)
 				w.delivers = func(*replica, *replica) bool { return w.rnd.Float64() >= c.unheard }
 				w.run(20 * second)
 				w.outcome = func(p *replica, s Server) (Status, int64) {
@@ -212,7 +212,7 @@
 // TestFlappingZoneIsReturnedToMoreSlowly checks that a zone that fails again and again is evacuated for
 // longer each time, and that it recovers after the last outage.
 func TestFlappingZoneIsReturnedToMoreSlowly(t *testing.T) {
-	w := newWorld(t, 3, 3, 4, 10, true)
+	w := newFleetSimulation(t, 3, 3, 4, 10, true)
 	w.outcome = func(c *replica, s Server) (Status, int64) {
 		if s.Zone == 0 && (w.now-start)/(5*second)%2 == 1 {
 			return StatusOK, 1e12
@@ -235,7 +235,7 @@
 // TestIsolatedReplicaReturnsSlowly checks that a replica that becomes isolated takes longer than the others
 // for the recovery of a zone, and that an isolated replica evacuates none.
 func TestIsolatedReplicaReturnsSlowly(t *testing.T) {
-	w := newWorld(t, 3, 4, 5, 20, true)
+	w := newFleetSimulation(t, 3, 4, 5, 20, true)
 	w.run(10 * second)
 	w.outcome = func(p *replica, s Server) (Status, int64) {
 		if s.Zone == 0 {
@@ -266,7 +266,7 @@
 	if away := c.evacuatedZones(); len(away) > 0 {
 		t.Errorf("the isolated replica has evacuated zones %v", away)
 	}
-	one := newWorld(t, 3, 1, 5, 40, true) // each replica is the only one of its zone
+	one := newFleetSimulation(t, 3, 1, 5, 40, true) // each replica is the only one of its zone
 	one.replicas[0].isolated, one.outcome = true, w.outcome
 	one.run(10 * second)
 	if away := one.replicas[0].evacuatedZones(); len(away) > 0 {
@@ -277,7 +277,7 @@
 // TestDrainedZoneGetsNothing checks that a drained zone gets no calls, not even trials or those of resumed
 // servers, and that a restored zone recovers in steps.
 func TestDrainedZoneGetsNothing(t *testing.T) {
-	w := newWorld(t, 3, 2, 3, 20, true)
+	w := newFleetSimulation(t, 3, 2, 3, 20, true)
 	w.run(5 * second)
 	for _, c := range w.replicas {
 		c.b.SetDrainedZones(w.now, c, map[int]bool{0: true})
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -9,7 +9,7 @@
 // servers and zones unhealthy, remove no more servers than the budget allows and evacuate no zone.
 func TestFalseReportsOfAThirdMoveNothing(t *testing.T) {
 	for _, liars := range []bool{false, true} {
-		w := newWorld(t, 3, 6, 6, 15, true)
+		w := newFleetSimulation(t, 3, 6, 6, 15, true)
 		w.alterReports = func(c *replica, reports []Report) []Report {
 			if !liars || c.index%9 > 2 { // two of the six of each zone
 				return reports
--- a/balancer/sequences_test.go
+++ b/balancer/sequences_test.go
@@ -18,7 +18,7 @@
 	next     int      // number of the latest request
 	open     []string // requests that have an attempt in flight or no answer yet
 
-	exchange bool // the Balancer gets reports of others
+	peerReports bool // the Balancer gets reports of others
 }
 
 // exchangeReports passes random reports of other replicas to the Balancer, and now and then drains or
@@ -102,11 +102,11 @@
 	}
 	d.open = append(d.open, r.ID)
 	d.balancer.HandleRequest(d.now, d.checker, r)
-	d.mustBeAccountedFor(r.ID)
+	d.checkAccountedFor(r.ID)
 }
 
-// mustBeAccountedFor checks that a request is answered, in flight, or waiting in its queue with a timer.
-func (d *driver) mustBeAccountedFor(id string) {
+// checkAccountedFor checks that a request is answered, in flight, or waiting in its queue with a timer.
+func (d *driver) checkAccountedFor(id string) {
 	k := d.checker.requests[id]
 	waits := len(k.attempts) == 0 && d.checker.settings.Classes[k.request.Class].Ordered && k.request.Key != "" &&
 		slices.ContainsFunc(d.checker.timers, func(t pendingTimer) bool { return t.due <= k.request.Deadline && strings.Contains(t.token, id) })
@@ -130,7 +130,7 @@
 		return
 	}
 	d.end(k, []Status{StatusOK, StatusOK, StatusOK, StatusError, StatusRejected, StatusTimedOut, StatusConnectFailed, StatusReset, StatusCancelled, StatusNotSent}[d.rnd.IntN(10)])
-	d.mustBeAccountedFor(id)
+	d.checkAccountedFor(id)
 }
 
 // end ends the oldest pending attempt of a request.
@@ -162,7 +162,7 @@
 		k := d.checker.requests[id]
 		for len(k.pending) > 0 && k.attempts[k.pending[0]].sent+k.attempts[k.pending[0]].timeout <= d.now {
 			d.end(k, StatusTimedOut)
-			d.mustBeAccountedFor(id)
+			d.checkAccountedFor(id)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 	d.now = min(d.now+d.rnd.Int64N(20_000), d.nextDue())
 	d.checker.now = d.now
 	d.expire()
-	if d.exchange && d.rnd.IntN(10) == 0 {
+	if d.peerReports && d.rnd.IntN(10) == 0 {
 		d.exchangeReports()
 	}
 	switch x := d.rnd.IntN(1000); {
@@ -224,10 +224,10 @@
 	d.balancer.HandleClientGone(d.now, d.checker, k.request.ID)
 }
 
-// play runs a random sequence of events with settings that depend on the seed. It returns the Balancer's
-// actions and the violations that the checker found. others says whether the Balancer gets reports of other
-// replicas.
-func play(t *testing.T, seed uint64, steps int, others bool) ([]string, []string) {
+// runSequence runs a random sequence of events with settings that depend on the seed. It returns the
+// Balancer's actions and the violations that the checker found. others says whether the Balancer gets reports
+// of other replicas.
+func runSequence(t *testing.T, seed uint64, steps int, peerReports bool) ([]string, []string) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 0.6, Quota: 30}, {Share: 0.4, Quota: 20}}
 	s.Tier = int(seed % 2)
@@ -239,7 +239,7 @@
 	if seed%5 > 1 {
 		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
 	}
-	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), checker: &checker{settings: s, now: start}, now: start, exchange: others}
+	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), checker: &checker{settings: s, now: start}, now: start, peerReports: peerReports}
 	d.restart()
 	for range steps {
 		d.step()
--- a/balancer/weighttuning_test.go
+++ b/balancer/weighttuning_test.go
@@ -16,7 +16,7 @@
 }
 
 // finish is when a call that comes now is done.
-func (q *serverQueue) finish(w *world, now int64) int64 {
+func (q *serverQueue) finish(w *fleetSimulation, now int64) int64 {
 	i := slices.Index(q.slots, slices.Min(q.slots))
 	q.slots[i] = max(q.slots[i], now) + int64(q.mean*(0.3+0.7*w.rnd.ExpFloat64()))
 	if q.shared != nil {
@@ -27,7 +27,7 @@
 
 // tuningRun runs ten replicas and twelve servers of one zone, tuned or not.
 type tuningRun struct {
-	*world
+	*fleetSimulation
 	queues       []*serverQueue
 	extraLatency int64 // every other replica has this much further to go
 	latencies    []int64
@@ -36,7 +36,7 @@
 const tuningEnd, tuningFrom = 80 * second, 40 * second
 
 func newTuning(t *testing.T, on bool, rate float64) *tuningRun {
-	p := &tuningRun{world: newWorld(t, 1, 10, 12, rate, true)}
+	p := &tuningRun{fleetSimulation: newFleetSimulation(t, 1, 10, 12, rate, true)}
 	for range 12 {
 		p.queues = append(p.queues, &serverQueue{slots: make([]int64, 2), mean: 55_000})
 	}
@@ -50,7 +50,7 @@
 		if p.rnd.Float64() < q.fails {
 			return StatusError, 2_000
 		}
-		took := q.finish(p.world, p.now) - p.now + p.extraLatency*int64(c.index%2)
+		took := q.finish(p.fleetSimulation, p.now) - p.now + p.extraLatency*int64(c.index%2)
 		if p.now > start+tuningFrom {
 			p.latencies = append(p.latencies, took)
 		}
