--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -12,7 +12,7 @@
 func (printer) Send(id, server string, _, timeout int64) {
 	fmt.Println("send", id, "to", server, "for", timeout)
 }
-func (printer) Reject(id string, after int64)      { fmt.Println("refuse", id) }
+func (printer) Reject(id string, after int64)      { fmt.Println("reject", id) }
 func (printer) Fail(id string)                     { fmt.Println("fail", id) }
 func (printer) SetTimer(delay int64, token string) { fmt.Println("timer", token) }
 func (printer) Watch()                             { fmt.Println("watch") }
@@ -41,5 +41,5 @@
 	// Output:
 	// send r1 to b for 500000
 	// send r1 to a for 499000
-	// refuse r2
+	// reject r2
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -28,7 +28,7 @@
 	r.sends = append(r.sends, sendCall{id, server, timeout})
 }
 func (r *recorder) Reject(id string, after int64) {
-	r.record("refuse %s", id)
+	r.record("reject %s", id)
 	r.retryAfters = append(r.retryAfters, after)
 }
 func (r *recorder) Fail(id string) { r.record("fail %s", id) }
--- a/balancer/ordering_test.go
+++ b/balancer/ordering_test.go
@@ -42,7 +42,7 @@
 	}
 	take(start+102_000, "d", "k")
 	b.HandleTimer(start+102_000+second-1000, h, "held d")
-	if h.last() != "refuse d" {
+	if h.last() != "reject d" {
 		t.Errorf("a held request's time ends with %q", h.last())
 	}
 	b.HandleOutcome(start+102_000, h, Outcome{RequestID: "c", Status: StatusOK, Latency: 1000, RequestDone: true})
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -15,7 +15,7 @@
 			b.HandleOutcome(now, h, Outcome{RequestID: "r", Attempt: attempt, Status: StatusTimedOut, Latency: h.sends[attempt].timeout})
 			attempt++
 		}
-		if l := h.last(); l != "fail r" && l != "refuse r" {
+		if l := h.last(); l != "fail r" && l != "reject r" {
 			t.Errorf("class %d: no final answer, last action %q", class, l)
 		}
 		if now > start+1_000_000 {
@@ -28,7 +28,7 @@
 		class  int
 		status Status
 		after  int64
-		want   string // of: send anywhere, send to the same cell or zone, fail, refuse
+		want   string // of: send anywhere, send to the same cell or zone, fail, reject
 	}{
 		{0, StatusError, 1000, "send"},
 		{0, StatusReset, 1000, "send"},
@@ -42,7 +42,7 @@
 		{2, StatusTimedOut, 1000, "fail"},
 		{2, StatusReset, 1000, "fail"},
 		{3, StatusError, 1000, "send"},
-		{3, StatusError, 300_000, "refuse"},
+		{3, StatusError, 300_000, "reject"},
 		{4, StatusError, 1000, "zone"},
 		{4, StatusError, 300_000, "fail"},
 	} {
@@ -55,7 +55,7 @@
 		b.HandleOutcome(start+c.after, h, Outcome{RequestID: "r", Status: c.status, Latency: c.after})
 		name := fmt.Sprintf("class %d after status %d at %d", c.class, c.status, c.after)
 		switch c.want {
-		case "fail", "refuse":
+		case "fail", "reject":
 			if h.last() != c.want+" r" {
 				t.Errorf("%s: got %q, want %s", name, h.last(), c.want)
 			}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -10,14 +10,14 @@
 func TestNoServerToSendTo(t *testing.T) {
 	b, h := mustNew(t, testSettings()), &recorder{}
 	sendRequest(b, h, start, "a", 2)
-	if h.last() != "refuse a" {
+	if h.last() != "reject a" {
 		t.Errorf("without a list the last action is %q", h.last())
 	}
 	list := testServers(1)
 	list[0].State = ServerDraining
 	b.UpdateEndpoints(start, h, UpdateSnapshot, list)
 	sendRequest(b, h, start, "b", 0)
-	if h.last() != "refuse b" {
+	if h.last() != "reject b" {
 		t.Errorf("with all servers draining the last action is %q", h.last())
 	}
 }
