--- a/balancer/events.go
+++ b/balancer/events.go
@@ -59,10 +59,13 @@
 // Attributes returns the new and the previous phase of the zone and the observations behind the change.
 func (e ZonePhaseChanged) Attributes(zoneName func(zone int) string) []slog.Attr {
 	state := &e.State
-	return []slog.Attr{slog.String("zone", zoneName(state.Zone)), slog.String("observer_zone", zoneName(e.ObserverZone)),
+	return []slog.Attr{slog.String("zone", zoneName(state.Zone)),
+		slog.String("observer_zone", zoneName(e.ObserverZone)),
 		slog.String("phase", state.Phase.String()), slog.String("previous", e.Previous.String()),
-		slog.String("weight", fmt.Sprintf("%.2f", state.WeightFraction)), slog.String("fault", state.Fault.String()),
-		slog.String("bad", fmt.Sprintf("%.2f", state.BadFraction)), slog.String("calls", fmt.Sprintf("%.0f", state.Calls)),
+		slog.String("weight", fmt.Sprintf("%.2f", state.WeightFraction)),
+		slog.String("fault", state.Fault.String()),
+		slog.String("bad", fmt.Sprintf("%.2f", state.BadFraction)),
+		slog.String("calls", fmt.Sprintf("%.0f", state.Calls)),
 		slog.Int("unhealthy_votes", state.UnhealthyVotes), slog.Int("replicas", state.ReportingReplicas),
 		slog.Int("transitions", state.Transitions)}
 }
@@ -75,7 +78,8 @@
 
 // Attributes returns the fields of the event; it names no zones.
 func (e TenantsThrottled) Attributes(func(zone int) string) []slog.Attr {
-	return []slog.Attr{slog.Int("tier", e.Tier), slog.String("quota_multiple", fmt.Sprintf("%.2f", e.QuotaMultiple)),
+	return []slog.Attr{slog.Int("tier", e.Tier),
+		slog.String("quota_multiple", fmt.Sprintf("%.2f", e.QuotaMultiple)),
 		slog.Int("in_flight", e.InFlight), slog.String("failure_rate", fmt.Sprintf("%.2f", e.FailureRate)),
 		slog.String("spillover_weight", fmt.Sprintf("%.2f", e.SpilloverWeight))}
 }
@@ -88,7 +92,8 @@
 
 // Attributes returns the number, the weight and the IDs of the damped servers.
 func (e DampedServersChanged) Attributes(func(zone int) string) []slog.Attr {
-	return []slog.Attr{slog.Int("count", len(e.Servers)), slog.String("weight", fmt.Sprintf("%.2f", e.WeightFraction)),
+	return []slog.Attr{slog.Int("count", len(e.Servers)),
+		slog.String("weight", fmt.Sprintf("%.2f", e.WeightFraction)),
 		slog.String("endpoints", fmt.Sprintf("%.*s", maxLoggedIDs, strings.Join(e.Servers, " ")))}
 }
 
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -137,14 +137,14 @@
 	medianLatency, maxCalls := upperMedian(latencies), maxReplicaCallsRatio*upperMedian(calls)
 	for _, report := range reports {
 		if server := l.members.byID[report.Server]; server != nil && sameProcess(server, report) {
-			part := min(1, maxCalls/callsOf[report.Observer])
-			server.load.fleet.add(report, part, medianLatency)
+			countedFraction := min(1, maxCalls/callsOf[report.Observer])
+			server.load.fleet.add(report, countedFraction, medianLatency)
 		}
 	}
 	live := max(l.reports.peers.LiveReplicas, len(callsOf)) // replicas without a report send calls, too
-	unheard := float64(live) / float64(len(callsOf))
+	liveToReporting := float64(live) / float64(len(callsOf))
 	for _, server := range l.members.all {
-		server.load.fleet.finish(unheard)
+		server.load.fleet.finish(liveToReporting)
 	}
 	return len(callsOf)
 }
@@ -164,11 +164,11 @@
 	return reports, callsOf
 }
 
-// add adds a report; part, 0 to 1, is the fraction of its calls that counts. Until finish is called the
-// fields hold sums: failedFraction the failed calls, callsPerSecond the answered calls with a latency, and
-// meanLatency their latencies, in µs, times these calls.
-func (f *fleetLoad) add(report Report, part, medianLatency float64) {
-	calls := part * min(report.Calls, maxReportedCalls)
+// add adds a report; countedFraction, 0 to 1, is the fraction of its calls that counts. Until finish is
+// called the fields hold sums: failedFraction the failed calls, callsPerSecond the answered calls with a
+// latency, and meanLatency their latencies, in µs, times these calls.
+func (f *fleetLoad) add(report Report, countedFraction, medianLatency float64) {
+	calls := countedFraction * min(report.Calls, maxReportedCalls)
 	f.calls += calls
 	f.failedFraction += calls * report.BadFraction
 	if report.Value > 0 {
@@ -179,12 +179,12 @@
 	}
 }
 
-// finish turns the sums into means and a rate; liveToHeard is the ratio of live replicas to those that
+// finish turns the sums into means and a rate; liveToReporting is the ratio of live replicas to those that
 // report.
-func (f *fleetLoad) finish(liveToHeard float64) {
+func (f *fleetLoad) finish(liveToReporting float64) {
 	f.meanLatency /= cmp.Or(f.callsPerSecond, 1)
 	f.failedFraction /= cmp.Or(f.calls, 1)
-	f.callsPerSecond = liveToHeard * f.calls * float64(seconds) / float64(loadDecay)
+	f.callsPerSecond = liveToReporting * f.calls * float64(seconds) / float64(loadDecay)
 }
 
 // upperMedian sorts the values and returns their median; of an even number of values, the higher middle one.
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -117,13 +117,13 @@
 // while most replicas report it so.
 func (l *locality) evaluateServing(now moment, host Host, zone *zone) {
 	settled := now.since(moment(zone.ChangedAt)) >= peerAgreementDelay
-	others := l.peerFraction(zone)
-	answers := zone.reports.calls >= evacuationCalls && zone.reports.badFraction() <= recoveryMaxBadFraction
+	peerFraction := l.peerFraction(zone)
+	answered := zone.reports.calls >= evacuationCalls && zone.reports.badFraction() <= recoveryMaxBadFraction
 	saturated := zone.Zone == l.settings.Zone && 2*zone.reports.saturatedVotes > zone.reports.replicas
 	if l.shouldEvacuate(zone) {
 		l.setPhase(now, host, zone, ZoneEvacuating, evacuatingFraction)
-	} else if others < 1 && settled && (others > 0 || !answers) {
-		l.followPeers(now, host, zone, others)
+	} else if peerFraction < 1 && settled && (peerFraction > 0 || !answered) {
+		l.followPeers(now, host, zone, peerFraction)
 	} else if saturated != (zone.Phase == ZoneSaturated) && settled {
 		l.setPhase(now, host, zone, ZoneSaturated-zone.Phase, 1) // to the other of the two
 	}
@@ -133,14 +133,14 @@
 // other zone to use, or if most other replicas have started it.
 func (l *locality) evaluateEvacuated(now moment, host Host, zone *zone) {
 	age, sum := now.since(moment(zone.ChangedAt)), &zone.reports
-	tried := sum.calls-sum.bad >= recoveryGoodCalls || age >= maxUntriedEvacuation ||
+	enoughTrials := sum.calls-sum.bad >= recoveryGoodCalls || age >= maxUntriedEvacuation ||
 		l.reports.peers.Isolated && sum.calls >= isolatedTrialCalls
-	good := sum.badFraction() <= recoveryMaxBadFraction && tried
-	stay := min(maxEvacuation, minEvacuation<<min(zone.evacuation.count-1, 10))
-	if age >= stay && good || !l.hasAlternative(zone) {
+	good := sum.badFraction() <= recoveryMaxBadFraction && enoughTrials
+	minStay := min(maxEvacuation, minEvacuation<<min(zone.evacuation.count-1, 10))
+	if age >= minStay && good || !l.hasAlternative(zone) {
 		l.enterRecoveryStep(now, host, zone, 0)
-	} else if others := l.peerFraction(zone); others > 0 && age >= minEvacuation {
-		l.followPeers(now, host, zone, others)
+	} else if peerFraction := l.peerFraction(zone); peerFraction > 0 && age >= minEvacuation {
+		l.followPeers(now, host, zone, peerFraction)
 	}
 }
 
@@ -203,9 +203,9 @@
 	fractions := zone.reports.peerFractions
 	unknown := max(0, peers.LiveReplicasInZone-1-len(fractions))
 	n := len(fractions) + unknown
-	least := slices.Concat(make([]float64, unknown), fractions)[(n-1)/2]
-	most := slices.Concat(fractions, slices.Repeat([]float64{1}, unknown))[n/2]
-	return min(max(zone.WeightFraction, least), most)
+	lowest := slices.Concat(make([]float64, unknown), fractions)[(n-1)/2]
+	highest := slices.Concat(fractions, slices.Repeat([]float64{1}, unknown))[n/2]
+	return min(max(zone.WeightFraction, lowest), highest)
 }
 
 // followPeers gives a zone the weight fraction that most other replicas give it.
--- a/balancer/membership.go
+++ b/balancer/membership.go
@@ -135,8 +135,8 @@
 // start that depends on the replica, so that replicas spread evenly over the servers, and then by the rank of
 // their zones.
 func (m *membership) order(rank func(zone int) int) {
-	_, place := math.Modf(float64(m.settings.ReplicaIndex) * goldenRatioStep)
-	first := int(place * float64(len(m.ready)))
+	_, position := math.Modf(float64(m.settings.ReplicaIndex) * goldenRatioStep)
+	first := int(position * float64(len(m.ready)))
 	m.ready = slices.Concat(m.ready[first:], m.ready[:first])
 	m.localCount, m.reachableCount = len(m.ready), len(m.ready)
 	if rank == nil {
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -41,19 +41,19 @@
 
 // replaceClasses gives each class of the settings s a number and reorders s.Classes by these numbers.
 func (b *Balancer) replaceClasses(s *Settings, heldNumbers map[int]bool) (numbers []int) {
-	before, wanted := b.settings.Classes, s.Classes
+	before, requested := b.settings.Classes, s.Classes
 	held := map[int]bool{}
 	maps.Copy(held, heldNumbers)
-	formers := map[string]int{} // numbers by name
+	previousNumbers := map[string]int{} // numbers by name
 	for i, class := range before {
 		if !b.classes[i].retired {
-			formers[class.Name], held[i] = i, true
+			previousNumbers[class.Name], held[i] = i, true
 			b.classes[i].retired = true // unless s lists it, see below
 		}
 	}
 	s.Classes = slices.Clone(before)
-	for _, class := range wanted {
-		number, known := formers[class.Name]
+	for _, class := range requested {
+		number, known := previousNumbers[class.Name]
 		switch {
 		case !known:
 			number = b.addClass(s, class, nil, held)
@@ -66,23 +66,23 @@
 	return numbers
 }
 
-// addClass gives a class a free number and returns it. former is the number of the class that had the same
+// addClass gives a class a free number and returns it. previous is the number of the class that had the same
 // name and other rules; nil if there is none.
-func (b *Balancer) addClass(s *Settings, rules Class, former *int, held map[int]bool) int {
+func (b *Balancer) addClass(s *Settings, rules Class, previous *int, held map[int]bool) int {
 	number := b.freeNumber(held)
 	if number == len(s.Classes) {
 		s.Classes = append(s.Classes, rules)
 	}
 	s.Classes[number] = rules
 	state := b.newClass(rules)
-	if former != nil {
-		known := &b.classes[*former]
+	if previous != nil {
+		known := &b.classes[*previous]
 		state.admission.limit.max = known.admission.limit.max
 		state.latency, state.errorRate = known.latency, known.errorRate
 	}
 	b.classes[number] = state
 	for _, server := range b.members.all {
-		server.outlier.resetClass(number, former)
+		server.outlier.resetClass(number, previous)
 	}
 	return number
 }
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -100,10 +100,11 @@
 			reports = append(reports, report)
 		}
 		sample := samples[server.Zone]
-		veryLately := int(indicator(recent.seenWithin(now, b.locality.sampleTTL(server.Zone))))
-		sample.servers, sample.recent = sample.servers+1, sample.recent+veryLately
+		recentlyCalled := int(indicator(recent.seenWithin(now, b.locality.sampleTTL(server.Zone))))
+		sample.servers, sample.recent = sample.servers+1, sample.recent+recentlyCalled
 		if report.Kind == ReportServerUnhealthy {
-			sample.unhealthy, sample.recentUnhealthy = sample.unhealthy+1, sample.recentUnhealthy+veryLately
+			sample.unhealthy, sample.recentUnhealthy =
+				sample.unhealthy+1, sample.recentUnhealthy+recentlyCalled
 		}
 		samples[server.Zone] = sample
 	}
@@ -125,7 +126,8 @@
 		float64(all.unhealthy) > ownLinkBadFraction*float64(all.servers)
 }
 
-// recordUnresponsiveAttempts counts attempts that have been in flight for too long as failed, before they end.
+// recordUnresponsiveAttempts counts attempts that have been in flight for too long as failed, before they
+// end.
 func (b *Balancer) recordUnresponsiveAttempts(now moment) {
 	for _, request := range b.requests {
 		for _, attempt := range request.attempts {
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -116,13 +116,13 @@
 	remote := max(1, enough*d.locality.remoteWeight())
 	d.spread = min(enough, float64(len(d.members.ready)/d.settings.ZoneCount))
 
-	left := d.gatherFrom(d.members.local(), enough)
+	remaining := d.gatherFrom(d.members.local(), enough)
 	if d.locality.localZoneHasCapacity() && d.total > 0 {
-		left = 1
+		remaining = 1
 	} else {
-		left = max(left, remote)
+		remaining = max(remaining, remote)
 	}
-	d.gatherFrom(d.members.remote(), left)
+	d.gatherFrom(d.members.remote(), remaining)
 	d.gatherFrom(d.members.evacuated(), 0)
 }
 
@@ -140,17 +140,17 @@
 
 // add makes a server a candidate. It returns how much the server counts towards the subset size, 0 to 1.
 func (d *draw) add(server *server) (counts float64) {
-	warmth := d.slowStart.factor(d.now, server)
+	slowStartFactor := d.slowStart.factor(d.now, server)
 	c := candidate{server: server, baseWeight: d.baseWeight(server),
 		health: server.healthScore(d.request.Class)}
-	d.warming = d.warming || d.slowStart.limitsDraw(warmth)
+	d.warming = d.warming || d.slowStart.limitsDraw(slowStartFactor)
 	if d.retries.sendWindow(d.now, d.request, server) != sendForbidden {
 		c.weight = d.weight(d.now, server, d.request.Class, c.baseWeight)
 	}
 	if d.request.triedOn(server) {
 		c.weight *= triedWeightFactor
 	}
-	counts = c.health * warmth
+	counts = c.health * slowStartFactor
 	if d.stale {
 		factor := d.listEvidence.factor(d.now, server, d.seeksEvidence)
 		if c.weight *= factor; factor <= unconfirmedWeight {
@@ -171,12 +171,12 @@
 	nonIdempotent := d.request.classRules().Idempotency == NonIdempotent
 	for i := range d.candidates {
 		c := &d.candidates[i]
-		part := c.health
+		fraction := c.health
 		if nonIdempotent && c.server.riskyForNonIdempotent() {
-			part *= nonIdempotentTrialFactor
+			fraction *= nonIdempotentTrialFactor
 		}
-		if over := c.weight - part*d.best; d.best > 0 && part < healthyScore && over > 0 {
-			d.total, c.weight = d.total-over, part*d.best
+		if excess := c.weight - fraction*d.best; d.best > 0 && fraction < healthyScore && excess > 0 {
+			d.total, c.weight = d.total-excess, fraction*d.best
 		}
 	}
 }
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -46,8 +46,8 @@
 
 // String returns the name of the evidence in logs and metrics.
 func (e ServerEvidence) String() string {
-	return [...]string{EvidenceNone: "none", EvidenceConfirmed: "confirmed", EvidenceContradicted: "contradicted",
-		EvidenceRecent: "recent"}[e]
+	return [...]string{EvidenceNone: "none", EvidenceConfirmed: "confirmed",
+		EvidenceContradicted: "contradicted", EvidenceRecent: "recent"}[e]
 }
 
 // ListEvidence is the evidence on which an attempt to a server is based while the list is stale.
@@ -64,7 +64,8 @@
 	if server == nil || !b.listEvidence.isStale(now) {
 		return ListEvidence{}, false
 	}
-	report := ListEvidence{ListAge: int64(now.since(b.listEvidence.confirmedAt)), Evidence: b.listEvidence.evidence(now, server)}
+	report := ListEvidence{ListAge: int64(now.since(b.listEvidence.confirmedAt)),
+		Evidence: b.listEvidence.evidence(now, server)}
 	switch report.Evidence {
 	case EvidenceConfirmed:
 		report.Since = int64(now.since(server.listEvidence.confirmedUntil.add(-b.listEvidence.ttl())))
