--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -10,8 +10,8 @@
 // the local zone evacuated (away), and with a third of the servers warming up (cold).
 func BenchmarkPick(b *testing.B) {
 	for _, zones := range []int{3, 9, 30} {
-		for _, how := range []string{"off", "on", "away", "cold"} {
-			b.Run(fmt.Sprintf("zones=%d/%s", zones, how), func(b *testing.B) {
+		for _, mode := range []string{"off", "on", "away", "cold"} {
+			b.Run(fmt.Sprintf("zones=%d/%s", zones, mode), func(b *testing.B) {
 				set := testSettings()
 				set.ZoneCount, set.OverloadMultiple, set.OverloadWindow = zones, 3, 2*second
 				bal, err := New(set, 1)
@@ -21,7 +21,7 @@
 				var list []Server
 				for i := range 1000 {
 					list = append(list, Server{ID: fmt.Sprint("s", i), Zone: i % zones, State: ServerReady, CapacityHint: 1})
-					if how == "cold" && i%3 == 0 {
+					if mode == "cold" && i%3 == 0 {
 						list[i].StartTime = start
 					}
 				}
@@ -30,13 +30,13 @@
 				for i := range 8 * 100 { // 100 requests a second
 					bal.selection.sent.add(moment(start + int64(i)*second/100))
 				}
-				if how == "on" || how == "away" {
+				if mode == "on" || mode == "away" {
 					bal.trackZones()
 					bal.locality.zones[0].observed.recent = callStats{calls: 6, lastAt: moment(start + 8*second)}
 					bal.Reports(start + 8*second)
 					bal.HandlePeerReports(start+8*second, h, PeerReports{LiveReplicas: 30, LiveReplicasInZone: 10})
 				}
-				if how == "away" {
+				if mode == "away" {
 					bal.locality.evacuate(moment(start+8*second), h, &bal.locality.zones[0])
 					bal.rebuildReady()
 				}
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -158,7 +158,7 @@
 // Reject checks that the client may safely repeat the request.
 func (c *checker) Reject(id string, after int64) {
 	c.lines = append(c.lines, fmt.Sprintf("%d refuse %s", c.now, id))
-	k := c.close(id)
+	k := c.recordAnswer(id)
 	if k == nil {
 		return
 	}
@@ -173,11 +173,11 @@
 // Fail checks that the request has no other answer.
 func (c *checker) Fail(id string) {
 	c.lines = append(c.lines, fmt.Sprintf("%d fail %s", c.now, id))
-	c.close(id)
+	c.recordAnswer(id)
 }
 
-// close records the answer of a request; nil if it is not open.
-func (c *checker) close(id string) *requestRecord {
+// recordAnswer records the answer of a request; nil if it is not open.
+func (c *checker) recordAnswer(id string) *requestRecord {
 	k := c.requests[id]
 	if k == nil || k.closed {
 		c.violation("rule 1: request %s was answered twice", id)
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -10,15 +10,15 @@
 // zone.
 func TestSuspendedServerGetsNothingAndIsProbedWhenResumed(t *testing.T) {
 	// With an OverloadMultiple, a replica with this much traffic also sends the trial at once.
-	for _, tip := range []float64{0, 3} {
-		t.Run(fmt.Sprint(tip), func(t *testing.T) { suspendAndResume(t, tip) })
+	for _, overloadMultiple := range []float64{0, 3} {
+		t.Run(fmt.Sprint(overloadMultiple), func(t *testing.T) { suspendAndResume(t, overloadMultiple) })
 	}
 }
 
 // suspendAndResume runs the test with one OverloadMultiple.
-func suspendAndResume(t *testing.T, tip float64) {
+func suspendAndResume(t *testing.T, overloadMultiple float64) {
 	set := testSettings()
-	set.OverloadMultiple, set.OverloadWindow = tip, 2*second
+	set.OverloadMultiple, set.OverloadWindow = overloadMultiple, 2*second
 	b, h := newWithServers(t, set, 4) // s2 and s3 are in the other zone
 	now, n := start, 0
 	next := func() string {
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -116,10 +116,12 @@
 
 // newFleetSimulation returns a simulation with the given number of zones, each with the given numbers of
 // replicas and servers. Each replica gets rate requests per second: 60 % of them are not idempotent, 30 %
-// have an idempotency key that is valid in a zone, and 10 % are idempotent. on says whether the replicas
-// exchange reports.
-func newFleetSimulation(t testing.TB, zones, replicas, servers int, rate float64, on bool) *fleetSimulation {
-	w := &fleetSimulation{t: t, rnd: rand.New(rand.NewPCG(5, uint64(zones*1000+replicas*10+servers))), now: start, exchange: on,
+// have an idempotency key that is valid in a zone, and 10 % are idempotent. exchange says whether the
+// replicas exchange reports.
+func newFleetSimulation(t testing.TB, zones, replicas, servers int, rate float64,
+	exchange bool) *fleetSimulation {
+	w := &fleetSimulation{t: t, rnd: rand.New(rand.NewPCG(5, uint64(zones*1000+replicas*10+servers))),
+		now: start, exchange: exchange,
 		reported: map[*replica][]Report{}, received: map[[2]*replica][]Report{}}
 	set := Settings{Replicas: zones * replicas, ZoneCount: zones, MaxAttempts: 3, DrainGrace: second, SlowStartMinCapacity: 0.3,
 		SlowStartDuration: 8 * second, MaxRetryAfter: second, Classes: []Class{
@@ -156,7 +158,8 @@
 	id := fmt.Sprint(n)
 	class := []int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[c.simulation.rnd.IntN(10)]
 	c.attempts[id] = new(int)
-	c.b.HandleRequest(c.simulation.now, c, Request{ID: id, Class: class, Deadline: c.simulation.now + c.b.settings.Classes[class].Deadline})
+	c.b.HandleRequest(c.simulation.now, c, Request{ID: id, Class: class,
+		Deadline: c.simulation.now + c.b.settings.Classes[class].Deadline})
 	c.simulation.after(int64(c.simulation.rnd.ExpFloat64()*1e6/rate), func() { c.sendRequests(rate, n+1) })
 }
 
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -11,14 +11,14 @@
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio, s.MaxAttempts = 10*second, 5, 0.1, 3
 	old, h := newWithServers(t, s, 4)
-	var taken, further []int64
-	fail := func(b *Balancer, now int64, id string) {
-		taken = append(taken, now)
+	var requests, retries []int64
+	sendAndReject := func(b *Balancer, now int64, id string) {
+		requests = append(requests, now)
 		sends := len(h.sends)
 		sendRequest(b, h, now, id, 0)
 		for i := 0; len(h.sends) > sends+i; i++ {
 			if i > 0 {
-				further = append(further, now)
+				retries = append(retries, now)
 			}
 			b.HandleOutcome(now, h, Outcome{RequestID: id, Attempt: i, Status: StatusRejected, Latency: 1})
 		}
@@ -26,7 +26,7 @@
 	now := start
 	for i := range 20 {
 		now += second / 10
-		fail(old, now, fmt.Sprint("o", i))
+		sendAndReject(old, now, fmt.Sprint("o", i))
 	}
 	next := mustNew(t, s)
 	next.ImportRetryBudget(old.ExportRetryBudget(now))
@@ -43,16 +43,16 @@
 		if i >= 300 {
 			b = old
 		}
-		fail(b, now, fmt.Sprint(i))
+		sendAndReject(b, now, fmt.Sprint(i))
 	}
-	for _, end := range further {
+	for _, end := range retries {
 		n, allowed := 0.0, s.RetryBudgetMin
-		for _, at := range further {
+		for _, at := range retries {
 			if at <= end && at >= end-s.RetryBudgetWindow {
 				n++
 			}
 		}
-		for _, at := range taken {
+		for _, at := range requests {
 			if at <= end && at > end-s.RetryBudgetWindow {
 				allowed += s.RetryBudgetRatio
 			}
@@ -61,8 +61,8 @@
 			t.Fatalf("%v retries within the window that ends at %d, %v allowed", n, end, allowed)
 		}
 	}
-	if len(further) < 10 {
-		t.Errorf("only %d retries: the test covers too little", len(further))
+	if len(retries) < 10 {
+		t.Errorf("only %d retries: the test covers too little", len(retries))
 	}
 }
 
@@ -71,13 +71,13 @@
 func TestWarmingServerGetsHalfFromEachOfTwoProcesses(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 1)
 	cold := &server{Server: Server{StartTime: start}}
-	whole := b.slowStart.factor(moment(start+second), cold)
+	alone := b.slowStart.factor(moment(start+second), cold)
 	b.ImportRetryBudget(RetryBudgetUsage{})
-	if got := b.slowStart.factor(moment(start+second), cold); got != whole/2 {
-		t.Errorf("weight factor %v beside another process, want half of %v", got, whole)
+	if got := b.slowStart.factor(moment(start+second), cold); got != alone/2 {
+		t.Errorf("weight factor %v beside another process, want half of %v", got, alone)
 	}
 	b.HandleOtherProcessExit(start)
-	if got := b.slowStart.factor(moment(start+second), cold); got != whole {
-		t.Errorf("weight factor %v after the other process has ended, want %v", got, whole)
+	if got := b.slowStart.factor(moment(start+second), cold); got != alone {
+		t.Errorf("weight factor %v after the other process has ended, want %v", got, alone)
 	}
 }
--- a/balancer/listevidence_test.go
+++ b/balancer/listevidence_test.go
@@ -72,7 +72,8 @@
 		notified = f.outageDuration() + notifiedAfter
 	}
 	if f.changes[server] != stays && f.now > f.until && since < notified {
-		f.lateSends = append(f.lateSends, fmt.Sprintf("%s (%d) at %.2f s", server, f.changes[server], float64(f.now-start)/float64(second)))
+		f.lateSends = append(f.lateSends, fmt.Sprintf("%s (%d) at %.2f s", server, f.changes[server],
+			float64(f.now-start)/float64(second)))
 	}
 	due.at = f.now + took
 	f.pending = append(f.pending, due)
@@ -149,10 +150,12 @@
 
 // newIdleReplica returns a simulation of a replica that gets its first request idle µs after its list became
 // stale.
-func newIdleReplica(t *testing.T, seed uint64, idle int64, changeOf func(i int, server Server) serverChange) *staleListSimulation {
+func newIdleReplica(t *testing.T, seed uint64, idle int64,
+	changeOf func(i int, server Server) serverChange) *staleListSimulation {
 	s := testSettings()
 	s.DrainGrace, s.MembershipEvidenceTTL = second, 2*second
-	f := &staleListSimulation{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]serverChange{}}
+	f := &staleListSimulation{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)),
+		changes: map[string]serverChange{}}
 	for i, server := range testServers(24) {
 		f.changes[server.ID] = changeOf(i, server)
 	}
@@ -169,9 +172,11 @@
 			for seed := range uint64(20) {
 				s := testSettings()
 				s.DrainGrace, s.MembershipEvidenceTTL = second, 3*second
-				f := &staleListSimulation{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]serverChange{}}
+				f := &staleListSimulation{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)),
+					changes: map[string]serverChange{}}
 				for i := range 24 {
-					f.changes[fmt.Sprint("s", i)] = []serverChange{stays, drains, stays, dies, stays, returns}[(i+int(seed))%6]
+					f.changes[fmt.Sprint("s", i)] =
+						[]serverChange{stays, drains, stays, dies, stays, returns}[(i+int(seed))%6]
 				}
 				f.runWithConfirmedList(rate)
 				f.check(t, seed)
@@ -187,9 +192,11 @@
 	for seed := range uint64(20) {
 		s := testSettings()
 		s.DrainGrace, s.MembershipEvidenceTTL = second, 3*second
-		f := &staleListSimulation{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)), changes: map[string]serverChange{}}
+		f := &staleListSimulation{balancer: mustNew(t, s), rnd: rand.New(rand.NewPCG(seed, 9)),
+			changes: map[string]serverChange{}}
 		for i := range 24 {
-			f.changes[fmt.Sprint("s", i)] = []serverChange{stays, drains, stays, stays, dies, stays}[(i+int(seed))%6]
+			f.changes[fmt.Sprint("s", i)] =
+				[]serverChange{stays, drains, stays, stays, dies, stays}[(i+int(seed))%6]
 		}
 		f.runWithCachedList(35, learned)
 		if len(f.lateSends) > 0 {
@@ -206,7 +213,9 @@
 	for _, rate := range []int64{3, 8, 35} {
 		t.Run(fmt.Sprint(rate, " a second"), func(t *testing.T) {
 			for seed := range uint64(40) {
-				f := newIdleReplica(t, seed, second/2, func(i int, _ Server) serverChange { return []serverChange{stays, returns, stays}[(i+int(seed))%3] })
+				f := newIdleReplica(t, seed, second/2, func(i int, _ Server) serverChange {
+					return []serverChange{stays, returns, stays}[(i+int(seed))%3]
+				})
 				f.runWithConfirmedList(rate)
 				f.check(t, seed)
 			}
@@ -219,7 +228,9 @@
 // the other zone.
 func TestStaleListWithoutEvidenceIsCorrectedByLostZone(t *testing.T) {
 	for seed := range uint64(200) {
-		f := newIdleReplica(t, seed, second*8/10, func(_ int, server Server) serverChange { return []serverChange{stays, returns}[server.Zone] })
+		f := newIdleReplica(t, seed, second*8/10, func(_ int, server Server) serverChange {
+			return []serverChange{stays, returns}[server.Zone]
+		})
 		f.outage = 2200 * second / 1000
 		f.runWithConfirmedList(5)
 		f.check(t, seed)
--- a/balancer/locality_random_test.go
+++ b/balancer/locality_random_test.go
@@ -21,40 +21,42 @@
 		for i := range rapid.IntRange(1, 12).Draw(t, "servers") {
 			servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: i % set.ZoneCount, State: ServerReady, CapacityHint: 1})
 		}
-		var two [2]*Balancer
+		var balancers [2]*Balancer
 		h := &recorder{}
-		for i := range two {
+		for i := range balancers {
 			b, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			two[i] = b
+			balancers[i] = b
 			b.UpdateEndpoints(start, h, UpdateSnapshot, servers)
 		}
-		now, near := start, rapid.IntRange(1, 5).Draw(t, "near")
-		hear := func(p PeerReports) {
+		now, replicas := start, rapid.IntRange(1, 5).Draw(t, "replicas")
+		exchange := func(p PeerReports) {
 			now += second / 10
-			for _, b := range two {
+			for _, b := range balancers {
 				b.Reports(now)
 				b.HandlePeerReports(now, h, p)
 			}
 		}
-		notice := rapid.Custom(func(t *rapid.T) Report {
+		randomReport := rapid.Custom(func(t *rapid.T) Report {
 			return Report{Kind: ReportKind(rapid.IntRange(0, 6).Draw(t, "kind")),
 				Fault:        Fault(rapid.IntRange(0, 5).Draw(t, "fault")),
 				Observer:     fmt.Sprint("p", rapid.IntRange(0, 4).Draw(t, "observer")),
 				ObserverZone: rapid.IntRange(-1, 1).Draw(t, "observer zone"),
 				Server:       fmt.Sprint("s", rapid.IntRange(0, 13).Draw(t, "server")),
 				SubjectZone:  rapid.IntRange(-1, 4).Draw(t, "subject zone"),
-				Calls:        rapid.Float64().Draw(t, "calls"), BadFraction: rapid.SampledFrom([]float64{0, 0.5, 1, math.NaN()}).Draw(t, "bad"),
-				Value: rapid.SampledFrom([]float64{0, 0.05, 0.4, 1, math.Inf(1)}).Draw(t, "value"), LastObserved: rapid.Int64().Draw(t, "at")}
+				Calls:        rapid.Float64().Draw(t, "calls"),
+				BadFraction:  rapid.SampledFrom([]float64{0, 0.5, 1, math.NaN()}).Draw(t, "bad"),
+				Value:        rapid.SampledFrom([]float64{0, 0.05, 0.4, 1, math.Inf(1)}).Draw(t, "value"), LastObserved: rapid.Int64().Draw(t, "at")}
 		})
-		lost := rapid.Custom(func(t *rapid.T) (out []Report) { // all replicas of this zone report the same
+		// All replicas of this zone report the same of each zone.
+		zoneReports := rapid.Custom(func(t *rapid.T) (out []Report) {
 			var bad []bool
 			for range set.ZoneCount {
 				bad = append(bad, rapid.Bool().Draw(t, "bad"))
 			}
-			for i := range near {
+			for i := range replicas {
 				for z, bad := range bad {
 					out = append(out, Report{Kind: ReportZoneHealthy - ReportKind(indicator(bad)), Observer: fmt.Sprint("p", i), SubjectZone: z, Calls: 5,
 						BadFraction: indicator(bad), Value: 1 - indicator(bad), LastObserved: now})
@@ -69,47 +71,48 @@
 			return out
 		})
 		for range rapid.IntRange(1, 15).Draw(t, "rounds") {
-			p := PeerReports{LiveReplicas: near, LiveReplicasInZone: near,
+			p := PeerReports{LiveReplicas: replicas, LiveReplicasInZone: replicas,
 				Isolated: rapid.IntRange(0, 9).Draw(t, "isolated") == 0}
 			if rapid.Bool().Draw(t, "whole zones") {
-				p.Reports = lost.Draw(t, "zone reports")
+				p.Reports = zoneReports.Draw(t, "zone reports")
 			} else {
-				p.Reports = rapid.SliceOfN(notice, 0, 30).Draw(t, "reports")
+				p.Reports = rapid.SliceOfN(randomReport, 0, 30).Draw(t, "reports")
 			}
 			for i, state := range rapid.SliceOfN(rapid.SampledFrom([]ServerState{ServerReady, ServerReady, ServerDraining}), 0, set.ZoneCount).Draw(t, "states") {
 				for j := i; j < len(servers); j += set.ZoneCount {
 					servers[j].State = state
 				}
 			}
-			for _, b := range two {
+			for _, b := range balancers {
 				b.UpdateEndpoints(now, h, UpdateSnapshot, servers)
 			}
 			for range rapid.IntRange(1, 40).Draw(t, "times") {
-				hear(p)
-				open := 0
-				for _, z := range two[0].locality.zones {
-					open += int(indicator(z.acceptsTraffic()))
+				exchange(p)
+				accepting := 0
+				for _, z := range balancers[0].locality.zones {
+					accepting += int(indicator(z.acceptsTraffic()))
 				}
-				if open == 0 && len(two[0].members.ready) > 0 {
-					t.Fatalf("no zone takes traffic: %+v", two[0].ZoneStates(now))
+				if accepting == 0 && len(balancers[0].members.ready) > 0 {
+					t.Fatalf("no zone takes traffic: %+v", balancers[0].ZoneStates(now))
 				}
-				checkBudget(t, two[0])
-				if !reflect.DeepEqual(two[0].ZoneStates(now), two[1].ZoneStates(now)) {
+				checkBudget(t, balancers[0])
+				if !reflect.DeepEqual(balancers[0].ZoneStates(now), balancers[1].ZoneStates(now)) {
 					t.Fatalf("two replicas with the same reports have different zone states:\n%+v\n%+v",
-						two[0].ZoneStates(now), two[1].ZoneStates(now))
+						balancers[0].ZoneStates(now), balancers[1].ZoneStates(now))
 				}
 			}
 		}
-		well := PeerReports{LiveReplicas: near, LiveReplicasInZone: near}
-		for i := range near * rapid.IntRange(0, 1).Draw(t, "reported") { // or there are no reports
+		healthyReports := PeerReports{LiveReplicas: replicas, LiveReplicasInZone: replicas}
+		for i := range replicas * rapid.IntRange(0, 1).Draw(t, "reported") { // or there are no reports
 			for z := range set.ZoneCount {
-				well.Reports = append(well.Reports, Report{Kind: ReportZoneHealthy, Observer: fmt.Sprint("p", i), SubjectZone: z, Calls: 5, Value: 1, LastObserved: now})
+				healthyReports.Reports = append(healthyReports.Reports, Report{Kind: ReportZoneHealthy,
+					Observer: fmt.Sprint("p", i), SubjectZone: z, Calls: 5, Value: 1, LastObserved: now})
 			}
 		}
 		for range 10 * (int64(maxEvacuation) + 8*set.SlowStartDuration) / second {
-			hear(well)
+			exchange(healthyReports)
 		}
-		for _, z := range two[0].ZoneStates(now) {
+		for _, z := range balancers[0].ZoneStates(now) {
 			if z.WeightFraction < 1 {
 				t.Fatalf("the zone has not recovered: %+v", z)
 			}
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -21,8 +21,8 @@
 // server, of a network link or of all zones looks the same in a single call; it differs in which zones see
 // it, how many servers it affects and which calls are answered meanwhile.
 func TestFaultsAreToldApart(t *testing.T) {
-	type fate = func(w *fleetSimulation, c *replica, s Server) (Status, int64)
-	lost := func(zones ...int) fate {
+	type outcomeFunc = func(w *fleetSimulation, c *replica, s Server) (Status, int64)
+	lost := func(zones ...int) outcomeFunc {
 		return func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			if slices.Contains(zones, s.Zone) {
 				return StatusOK, 1e12
@@ -31,11 +31,11 @@
 		}
 	}
 	for _, c := range []struct {
-		name   string
-		fate   fate
-		noHome int      // a zone without ready servers, -1: none
-		left   [3][]int // by zone of the replica, the zones that it must have evacuated after 4 s
-		may    []int    // further zones that any replica may have evacuated
+		name               string
+		outcome            outcomeFunc
+		zoneWithoutServers int      // a zone without ready servers, -1: none
+		evacuated          [3][]int // by zone of the replica, the zones that it must have evacuated after 4 s
+		mayEvacuate        []int    // further zones that any replica may have evacuated
 	}{
 		{"a lost zone", lost(0), -1, [3][]int{0: {0}}, []int{0}},
 		{"a lost zone that another used", lost(0), 1, [3][]int{{0}, {0}, nil}, []int{0}},
@@ -85,10 +85,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newFleetSimulation(t, 3, 4, 5, 20, true)
-			if c.noHome >= 0 {
+			if c.zoneWithoutServers >= 0 {
 				list := slices.Clone(w.servers)
 				for i := range list {
-					if list[i].Zone == c.noHome {
+					if list[i].Zone == c.zoneWithoutServers {
 						list[i].State = ServerDraining
 					}
 				}
@@ -97,13 +97,14 @@
 				}
 			}
 			w.run(10 * second)
-			w.outcome = func(p *replica, s Server) (Status, int64) { return c.fate(w, p, s) }
+			w.outcome = func(p *replica, s Server) (Status, int64) { return c.outcome(w, p, s) }
 			w.run(14 * second)
 			for _, p := range w.replicas {
-				got, want := p.evacuatedZones(), c.left[p.b.settings.Zone]
+				got, want := p.evacuatedZones(), c.evacuated[p.b.settings.Zone]
 				for z := range 3 {
 					in := slices.Contains(got, z)
-					if !in && slices.Contains(want, z) || in && !slices.Contains(slices.Concat(want, c.may), z) {
+					if !in && slices.Contains(want, z) ||
+						in && !slices.Contains(slices.Concat(want, c.mayEvacuate), z) {
 						t.Errorf("%s has evacuated zones %v, want %v: %+v",
 							p.name, got, want, p.b.ZoneStates(w.now))
 					}
@@ -123,9 +124,10 @@
 }
 
 // phaseTimes returns the times, in µs since the start, at which a replica put a zone into a phase.
-func (c *replica) phaseTimes(zone int, standing ZonePhase) (at []int64) {
+func (c *replica) phaseTimes(zone int, phase ZonePhase) (at []int64) {
 	for _, s := range c.events {
-		if e, ok := s.event.(ZonePhaseChanged); ok && e.State.Zone == zone && e.ObserverZone == c.b.settings.Zone && e.State.Phase == standing {
+		if e, ok := s.event.(ZonePhaseChanged); ok && e.State.Zone == zone &&
+			e.ObserverZone == c.b.settings.Zone && e.State.Phase == phase {
 			at = append(at, s.at-start)
 		}
 	}
@@ -141,16 +143,16 @@
 		name              string
 		replicas, servers int
 		rate              float64
-		unheard           float64
+		lostReports       float64 // fraction of the reports that are not delivered
 	}{{"sparse", 16, 32, 1.5, 0}, {"small", 2, 3, 26, 0}, {"middle", 6, 12, 15, 0}, {"half unheard", 6, 12, 15, 0.5}} {
 		t.Run(c.name, func(t *testing.T) {
 			// When 95 % of the attempts in a second, except trials, went to other zones: without reports,
 			// with them.
 			var avoided [2]int64
-			some := 0.05 + trialsPerSecond/(c.rate*float64(c.replicas))
+			maxTrialFraction := 0.05 + trialsPerSecond/(c.rate*float64(c.replicas))
 			for on := range 2 {
 				w := newFleetSimulation(t, 3, c.replicas, c.servers, c.rate, on == 1)
-				w.delivers = func(*replica, *replica) bool { return w.rnd.Float64() >= c.unheard }
+				w.delivers = func(*replica, *replica) bool { return w.rnd.Float64() >= c.lostReports }
 				w.run(20 * second)
 				w.outcome = func(p *replica, s Server) (Status, int64) {
 					if s.Zone == 0 {
@@ -162,7 +164,7 @@
 				w.outcome = w.answer
 				w.run(35*second + int64(on)*20*second)
 				at := int64(20 * second)
-				for at < 34*second && w.attemptFraction(0, 0, at, at+second) > some {
+				for at < 34*second && w.attemptFraction(0, 0, at, at+second) > maxTrialFraction {
 					at += second / 10
 				}
 				if avoided[on] = at - 20*second; on == 0 {
@@ -170,10 +172,10 @@
 				}
 				first, last := int64(math.MaxInt64), int64(0)
 				for _, p := range w.replicas {
-					if away := p.phaseTimes(0, ZoneEvacuated); p.b.settings.Zone == 0 && len(away) != 1 {
-						t.Errorf("%s evacuated zone 0 at %v us, want one time", p.name, away)
+					if times := p.phaseTimes(0, ZoneEvacuated); p.b.settings.Zone == 0 && len(times) != 1 {
+						t.Errorf("%s evacuated zone 0 at %v us, want one time", p.name, times)
 					} else if p.b.settings.Zone == 0 {
-						first, last = min(first, away[0]), max(last, away[0])
+						first, last = min(first, times[0]), max(last, times[0])
 					}
 				}
 				if last-first > second/2 {
@@ -186,7 +188,7 @@
 				if back := w.attemptFraction(0, 0, 35*second+cold*3/2, 55*second); back < 0.9 {
 					t.Errorf("%.2f of the attempts go to the recovered zone, want 0.9", back)
 				}
-				if early := w.attemptFraction(0, 0, 25*second, 35*second); early > some {
+				if early := w.attemptFraction(0, 0, 25*second, 35*second); early > maxTrialFraction {
 					t.Errorf("%.2f of the attempts are trials of the evacuated zone", early)
 				}
 				for _, p := range w.replicas {
@@ -263,14 +265,14 @@
 		return w.answer(p, s)
 	}
 	w.run(90 * second)
-	if away := c.evacuatedZones(); len(away) > 0 {
-		t.Errorf("the isolated replica has evacuated zones %v", away)
+	if evacuated := c.evacuatedZones(); len(evacuated) > 0 {
+		t.Errorf("the isolated replica has evacuated zones %v", evacuated)
 	}
 	one := newFleetSimulation(t, 3, 1, 5, 40, true) // each replica is the only one of its zone
 	one.replicas[0].isolated, one.outcome = true, w.outcome
 	one.run(10 * second)
-	if away := one.replicas[0].evacuatedZones(); len(away) > 0 {
-		t.Errorf("the isolated replica, the only one of its zone, has evacuated zones %v", away)
+	if evacuated := one.replicas[0].evacuatedZones(); len(evacuated) > 0 {
+		t.Errorf("the isolated replica, the only one of its zone, has evacuated zones %v", evacuated)
 	}
 }
 
@@ -312,13 +314,13 @@
 // evacuated: each case but the first fails one condition.
 func TestEvacuationConditions(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		say       int     // replicas, of four, that report the zone as unhealthy
-		calls     float64 // calls of each replica to the zone
-		bad       float64 // bad fraction of these calls
-		servers   int     // servers of the zone that are reported as unhealthy
-		elsewhere float64 // bad fraction of the calls to the other zone
-		want      ZonePhase
+		name           string
+		unhealthyVotes int     // replicas, of four, that report the zone as unhealthy
+		calls          float64 // calls of each replica to the zone
+		badFraction    float64 // bad fraction of these calls
+		servers        int     // servers of the zone that are reported as unhealthy
+		badElsewhere   float64 // bad fraction of the calls to the other zone
+		want           ZonePhase
 	}{
 		{"enough", 3, 5, 0.9, 2, 0.1, ZoneEvacuated},
 		{"too few replicas", 1, 5, 0.9, 2, 0.1, ZoneHealthy},
@@ -332,11 +334,13 @@
 		for now := start; now < start+second; now += second / 10 {
 			p = PeerReports{LiveReplicas: 8, LiveReplicasInZone: 5}
 			for i := range 4 {
-				n := Report{Kind: ReportZoneUnhealthy, Fault: FaultUnresponsive, Observer: fmt.Sprint("p", i), SubjectZone: 1, Calls: c.calls, BadFraction: c.bad, Value: 1, LastObserved: now}
-				if i >= c.say {
+				n := Report{Kind: ReportZoneUnhealthy, Fault: FaultUnresponsive, Observer: fmt.Sprint("p", i),
+					SubjectZone: 1, Calls: c.calls, BadFraction: c.badFraction, Value: 1, LastObserved: now}
+				if i >= c.unhealthyVotes {
 					n.Kind, n.BadFraction = ReportZoneHealthy, 0
 				}
-				other := Report{Kind: ReportZoneHealthy, Observer: n.Observer, Calls: 5, BadFraction: c.elsewhere, Value: 1, LastObserved: now}
+				other := Report{Kind: ReportZoneHealthy, Observer: n.Observer, Calls: 5,
+					BadFraction: c.badElsewhere, Value: 1, LastObserved: now}
 				p.Reports = append(p.Reports, n, other)
 				for s := range c.servers {
 					p.Reports = append(p.Reports, Report{Kind: ReportServerUnhealthy, Observer: n.Observer, Server: []string{"s2", "s3"}[s], Calls: 5, BadFraction: 1})
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -38,20 +38,20 @@
 	b.HandleRequest(start, h, Request{ID: "on its way", Class: 3, Deadline: start + 1_000_000, Settings: first})
 	b.HandleRequest(start, h, Request{ID: "new", Class: numbers[0], Deadline: start + 1_000_000})
 	for _, c := range []struct {
-		id   string
-		more int // retries after errors
+		id      string
+		retries int // retries after errors
 	}{{"open", 3}, {"on its way", 3}, {"new", 0}} {
-		more := 0
+		retries := 0
 		for n := 0; ; n++ {
 			sends := len(h.sends)
 			b.HandleOutcome(start+1000, h, Outcome{RequestID: c.id, Attempt: n, Status: StatusError, Latency: 1000})
 			if len(h.sends) == sends {
 				break
 			}
-			more++
+			retries++
 		}
-		if more != c.more {
-			t.Errorf("request %q: %d retries, want %d", c.id, more, c.more)
+		if retries != c.retries {
+			t.Errorf("request %q: %d retries, want %d", c.id, retries, c.retries)
 		}
 	}
 	if len(b.requests) != 0 || b.admission.tier.inFlight != 0 {
@@ -101,14 +101,14 @@
 func TestRejectedSettingsChangeNothing(t *testing.T) {
 	b, _ := newWithServers(t, namedSettings(), 4)
 	was := b.Settings()
-	for name, spoil := range map[string]func(*Settings){
+	for name, change := range map[string]func(*Settings){
 		"no attempts":      func(s *Settings) { s.MaxAttempts = 0 },
 		"a deadline of 0":  func(s *Settings) { s.Classes[1].Deadline = 0 },
 		"another tier":     func(s *Settings) { s.Tier = 1 },
 		"no subscriptions": func(s *Settings) { s.WatchEndpoints, s.PollInterval = true, second },
 	} {
 		next := namedSettings()
-		spoil(&next)
+		change(&next)
 		_, err := b.Reconfigure(start, next, nil)
 		if fault := (*SettingsError)(nil); !errors.As(err, &fault) || b.Settings() != was {
 			t.Errorf("%s: got error %v, or the settings changed", name, err)
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -8,10 +8,10 @@
 // TestFalseReportsOfAThirdMoveNothing checks that false reports by a third of the replicas, which call all
 // servers and zones unhealthy, remove no more servers than the budget allows and evacuate no zone.
 func TestFalseReportsOfAThirdMoveNothing(t *testing.T) {
-	for _, liars := range []bool{false, true} {
+	for _, falseReports := range []bool{false, true} {
 		w := newFleetSimulation(t, 3, 6, 6, 15, true)
 		w.alterReports = func(c *replica, reports []Report) []Report {
-			if !liars || c.index%9 > 2 { // two of the six of each zone
+			if !falseReports || c.index%9 > 2 { // two of the six of each zone
 				return reports
 			}
 			reports = nil
@@ -27,15 +27,15 @@
 		w.run(40 * second)
 		for _, c := range w.replicas {
 			checkBudget(t, c.b)
-			if away := c.evacuatedZones(); len(away) > 0 {
-				t.Errorf("%s has evacuated zones %v", c.name, away)
+			if evacuated := c.evacuatedZones(); len(evacuated) > 0 {
+				t.Errorf("%s has evacuated zones %v", c.name, evacuated)
 			}
 		}
 		if part := w.attemptFraction(-1, -1, 5*second, 40*second); part > 0.15 {
-			t.Errorf("false reports %v: %.2f of the attempts go to other zones", liars, part)
+			t.Errorf("false reports %v: %.2f of the attempts go to other zones", falseReports, part)
 		}
 		if n := w.failures(); n > 40 {
-			t.Errorf("false reports %v: %d requests failed", liars, n)
+			t.Errorf("false reports %v: %d requests failed", falseReports, n)
 		}
 	}
 }
@@ -44,10 +44,10 @@
 // by none, reports nothing: then its own network link is more likely at fault.
 func TestOwnLinkFailureReportsNothing(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		well []int // zones that answer
-		bad  []int // zones whose servers do not respond
-		want int   // servers that are reported as unhealthy
+		name         string
+		answering    []int // zones that answer
+		unresponsive []int // zones whose servers do not respond
+		want         int   // servers that are reported as unhealthy
 	}{
 		{"all silent over two zones", nil, []int{0, 1}, 0},
 		{"one zone silent", nil, []int{0}, 4},
@@ -57,9 +57,9 @@
 		b.trackZones()
 		for _, s := range b.members.all {
 			for range 3 {
-				if slices.Contains(c.well, s.Zone) {
+				if slices.Contains(c.answering, s.Zone) {
 					b.recordEvidence(moment(start), &attempt{server: s, zone: s.Zone}, NoFault)
-				} else if slices.Contains(c.bad, s.Zone) {
+				} else if slices.Contains(c.unresponsive, s.Zone) {
 					b.recordEvidence(moment(start), &attempt{server: s, zone: s.Zone}, FaultUnresponsive)
 				}
 			}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -32,19 +32,19 @@
 		s := testSettings()
 		s.Replicas, s.ReplicaIndex = replicas, i
 		b, h := newWithServers(t, s, servers)
-		met := map[string]bool{}
+		used := map[string]bool{}
 		for k := range 400 {
 			now := start + int64(k)*50_000 // 20 a second
 			sendRequest(b, h, now, fmt.Sprint(k), 0)
 			b.HandleOutcome(now, h, Outcome{RequestID: fmt.Sprint(k), Status: StatusOK, Latency: 1000, RequestDone: true})
 		}
 		for _, s := range h.sends {
-			met[s.server] = true
+			used[s.server] = true
 		}
-		if len(met) > servers/3 {
-			t.Fatalf("replica %d uses %d servers, more than a third", i, len(met))
+		if len(used) > servers/3 {
+			t.Fatalf("replica %d uses %d servers, more than a third", i, len(used))
 		}
-		for s := range met {
+		for s := range used {
 			users[s]++
 		}
 	}
@@ -57,17 +57,17 @@
 // subset, so that it soon has enough calls to each server to find slow ones.
 func TestReplicaWithFewCallsHasASmallSubset(t *testing.T) {
 	b, h := newWithServers(t, testSettings(), 60)
-	met := map[string]int{}
+	used := map[string]int{}
 	for k := range 240 {
 		now := start + int64(k)*second/3 // 3 a second
 		sendRequest(b, h, now, fmt.Sprint(k), 0)
 		b.HandleOutcome(now, h, Outcome{RequestID: fmt.Sprint(k), Status: StatusOK, Latency: 300_000, RequestDone: true})
 	}
 	for _, s := range h.sends {
-		met[s.server]++
+		used[s.server]++
 	}
-	if len(met) > 8 || len(met) < 4 {
-		t.Errorf("3 calls per second are spread over %d servers, want 4 to 8", len(met))
+	if len(used) > 8 || len(used) < 4 {
+		t.Errorf("3 calls per second are spread over %d servers, want 4 to 8", len(used))
 	}
 }
 
--- a/balancer/sequences_test.go
+++ b/balancer/sequences_test.go
@@ -225,8 +225,8 @@
 }
 
 // runSequence runs a random sequence of events with settings that depend on the seed. It returns the
-// Balancer's actions and the violations that the checker found. others says whether the Balancer gets reports
-// of other replicas.
+// Balancer's actions and the violations that the checker found. peerReports says whether the Balancer gets
+// reports of other replicas.
 func runSequence(t *testing.T, seed uint64, steps int, peerReports bool) ([]string, []string) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Share: 0.6, Quota: 30}, {Share: 0.4, Quota: 20}}
@@ -239,7 +239,8 @@
 	if seed%5 > 1 {
 		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 5*second, 3, 0.05
 	}
-	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), checker: &checker{settings: s, now: start}, now: start, peerReports: peerReports}
+	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), checker: &checker{settings: s, now: start}, now: start,
+		peerReports: peerReports}
 	d.restart()
 	for range steps {
 		d.step()
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -9,7 +9,7 @@
 // TestInvalidSettings checks that an invalid value of each setting is rejected with an error that names the
 // field.
 func TestInvalidSettings(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"Classes":                     func(s *Settings) { s.Classes = nil },
 		"Zone":                        func(s *Settings) { s.Zone = 2 },
 		"ZoneCount":                   func(s *Settings) { s.ZoneCount = 0 },
@@ -31,7 +31,7 @@
 		"Classes[4].LateWeight":       func(s *Settings) { s.Classes[4].LateWeight = -1 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !slices.Contains([]string{"balancer: Settings." + field}, errorPrefix(err.Error())) {
 			t.Errorf("%s: got error %v, want one that names the field", field, err)
 		}
