--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestNoActionAfterARequestsEnd checks that a request whose client has its response, or has gone, causes no
-// further action when its attempt ends, and is removed.
+// TestNoActionAfterARequestsEnd checks that a request whose client has its response, or has disconnected,
+// causes no further action when its attempt ends, and is removed.
 func TestNoActionAfterARequestsEnd(t *testing.T) {
 	for _, end := range []func(b *Balancer, h Host){
 		func(b *Balancer, h Host) { b.HandleClientGone(start+1000, h, "r") },
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -134,13 +134,13 @@
 		if s.State = ServerReady; at/second%12 == 3 {
 			s.State = ServerRemoved
 		}
-		cold := &w.servers[int(at/second)%len(w.servers)]
+		restarted := &w.servers[int(at/second)%len(w.servers)]
 		if at/second%9 == 0 {
-			cold.StartTime = w.now
+			restarted.StartTime = w.now
 		}
 		for i, c := range w.replicas {
 			c.isolated = i == 1 && at > 20*second && at < 40*second
-			c.b.UpdateEndpoints(w.now, c, UpdateDelta, []Server{*s, *cold})
+			c.b.UpdateEndpoints(w.now, c, UpdateDelta, []Server{*s, *restarted})
 			switch at {
 			case 60 * second:
 				c.b.SetDrainedZones(w.now, c, map[int]bool{0: i%3 > 0})
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -70,14 +70,14 @@
 // weight while another process of the same proxy sends to it, too.
 func TestWarmingServerGetsHalfFromEachOfTwoProcesses(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 1)
-	cold := &server{Server: Server{StartTime: start}}
-	alone := b.slowStart.factor(moment(start+second), cold)
+	warming := &server{Server: Server{StartTime: start}}
+	alone := b.slowStart.factor(moment(start+second), warming)
 	b.ImportRetryBudget(RetryBudgetUsage{})
-	if got := b.slowStart.factor(moment(start+second), cold); got != alone/2 {
+	if got := b.slowStart.factor(moment(start+second), warming); got != alone/2 {
 		t.Errorf("weight factor %v beside another process, want half of %v", got, alone)
 	}
 	b.HandleOtherProcessExit(start)
-	if got := b.slowStart.factor(moment(start+second), cold); got != alone {
+	if got := b.slowStart.factor(moment(start+second), warming); got != alone {
 		t.Errorf("weight factor %v after the other process has ended, want %v", got, alone)
 	}
 }
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -22,7 +22,7 @@
 // it, how many servers it affects and which calls are answered meanwhile.
 func TestFaultsAreToldApart(t *testing.T) {
 	type outcomeFunc = func(w *fleetSimulation, c *replica, s Server) (Status, int64)
-	lost := func(zones ...int) outcomeFunc {
+	outageOf := func(zones ...int) outcomeFunc {
 		return func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			if slices.Contains(zones, s.Zone) {
 				return StatusOK, 1e12
@@ -37,9 +37,9 @@
 		evacuated          [3][]int // by zone of the replica, the zones that it must have evacuated after 4 s
 		mayEvacuate        []int    // further zones that any replica may have evacuated
 	}{
-		{"a lost zone", lost(0), -1, [3][]int{0: {0}}, []int{0}},
-		{"a lost zone that another used", lost(0), 1, [3][]int{{0}, {0}, nil}, []int{0}},
-		{"two of three lost", lost(0, 1), -1, [3][]int{{0}, {1}, nil}, []int{0, 1}},
+		{"a lost zone", outageOf(0), -1, [3][]int{0: {0}}, []int{0}},
+		{"a lost zone that another used", outageOf(0), 1, [3][]int{{0}, {0}, nil}, []int{0}},
+		{"two of three lost", outageOf(0, 1), -1, [3][]int{{0}, {1}, nil}, []int{0, 1}},
 		{"a zone that answers but fails", func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			if s.Zone == 0 {
 				return StatusError, 5_000
@@ -68,7 +68,7 @@
 			_, took := w.answer(c, s)
 			return StatusOK, 20 * took
 		}, -1, [3][]int{}, nil},
-		{"lost everywhere", lost(0, 1, 2), -1, [3][]int{}, nil},
+		{"lost everywhere", outageOf(0, 1, 2), -1, [3][]int{}, nil},
 		{"a slow zone", func(w *fleetSimulation, c *replica, s Server) (Status, int64) {
 			st, took := w.answer(c, s)
 			if s.Zone == 0 {
@@ -184,8 +184,8 @@
 				if part := w.attemptFraction(-1, -1, 5*second, 20*second); part > 0.15 {
 					t.Errorf("%.2f of the attempts go to other zones without any fault", part)
 				}
-				cold := w.replicas[0].b.settings.SlowStartDuration
-				if back := w.attemptFraction(0, 0, 35*second+cold*3/2, 55*second); back < 0.9 {
+				slowStart := w.replicas[0].b.settings.SlowStartDuration
+				if back := w.attemptFraction(0, 0, 35*second+slowStart*3/2, 55*second); back < 0.9 {
 					t.Errorf("%.2f of the attempts go to the recovered zone, want 0.9", back)
 				}
 				if early := w.attemptFraction(0, 0, 25*second, 35*second); early > maxTrialFraction {
