--- a/balancer/flapdamping_test.go
+++ b/balancer/flapdamping_test.go
@@ -174,51 +174,51 @@
 // or leaves the endpoint list for every other 5 s. They do not damp a server that rejects calls or is slow,
 // and without reports they damp none.
 func TestFleetDampsFlappingServer(t *testing.T) {
-	flapping := func(w *world) bool { return (w.now-start)/(5*second)%2 == 1 }
+	flapping := func(w *fleetSimulation) bool { return (w.now-start)/(5*second)%2 == 1 }
 	for _, c := range []struct {
 		name     string
-		outcome  func(w *world, s Server) (Status, int64)
+		outcome  func(w *fleetSimulation, s Server) (Status, int64)
 		delists  bool // s0 leaves the endpoint list and comes back
 		exchange bool // replicas exchange reports
 		damped   bool
 		most     float64 // fraction of the calls that s0 gets from 30 s on
 	}{
-		{"fails, without reports", func(w *world, s Server) (Status, int64) {
+		{"fails, without reports", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusError, 5_000
 			}
 			return w.answer(nil, s)
 		}, false, false, false, 0.05},
-		{"fails", func(w *world, s Server) (Status, int64) {
+		{"fails", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusError, 5_000
 			}
 			return w.answer(nil, s)
 		}, false, true, true, 0.02},
-		{"unresponsive", func(w *world, s Server) (Status, int64) {
+		{"unresponsive", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusTimedOut, 1_600_000
 			}
 			return w.answer(nil, s)
 		}, false, true, true, 0.02},
-		{"leaves the list", func(w *world, s Server) (Status, int64) { return w.answer(nil, s) },
+		{"leaves the list", func(w *fleetSimulation, s Server) (Status, int64) { return w.answer(nil, s) },
 			true, true, true, 0.02},
-		{"healthy", func(w *world, s Server) (Status, int64) { return w.answer(nil, s) },
+		{"healthy", func(w *fleetSimulation, s Server) (Status, int64) { return w.answer(nil, s) },
 			false, true, false, 0.12},
-		{"rejects calls", func(w *world, s Server) (Status, int64) {
+		{"rejects calls", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && flapping(w) {
 				return StatusRejected, 2_000
 			}
 			return w.answer(nil, s)
 		}, false, true, false, 0.12},
-		{"latencies with a long tail", func(w *world, s Server) (Status, int64) {
+		{"latencies with a long tail", func(w *fleetSimulation, s Server) (Status, int64) {
 			if s.ID == "s0" && w.rnd.IntN(4) == 0 {
 				return StatusOK, 450_000
 			}
 			return w.answer(nil, s)
 		}, false, true, false, 0.12},
 	} {
-		w := newWorld(t, 1, 10, 12, 30, c.exchange)
+		w := newFleetSimulation(t, 1, 10, 12, 30, c.exchange)
 		w.outcome = func(_ *replica, s Server) (Status, int64) { return c.outcome(w, s) }
 		damped, samples := 0, 0
 		for at := second; at <= 60*second; at += second {
@@ -261,7 +261,7 @@
 func TestServerDiesWhileDamped(t *testing.T) {
 	calls, laterCalls := map[bool]int{}, map[bool]int{} // to the dead server, by whether it was damped
 	for _, damped := range []bool{false, true} {
-		w := newWorld(t, 1, 10, 12, 30, true)
+		w := newFleetSimulation(t, 1, 10, 12, 30, true)
 		dead := false
 		w.outcome = func(_ *replica, s Server) (Status, int64) {
 			if s.ID == "s0" && dead {
--- a/balancer/handover_test.go
+++ b/balancer/handover_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// Two processes that are one proxy keep to one retry budget between them, in every window.
+// TestRetryBudgetIsSharedByTwoProcesses checks that two processes that serve as one proxy stay within one
+// retry budget together, in every window, also after the successor has ended.
 func TestRetryBudgetIsSharedByTwoProcesses(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio, s.MaxAttempts = 10*second, 5, 0.1, 3
 	old, h := newWithServers(t, s, 4)
-	var taken, further []int64
-	fail := func(b *Balancer, now int64, id string) {
-		taken = append(taken, now)
+	var requests, retries []int64
+	sendAndReject := func(b *Balancer, now int64, id string) {
+		requests = append(requests, now)
 		sends := len(h.sends)
 		sendRequest(b, h, now, id, 0)
 		for i := 0; len(h.sends) > sends+i; i++ {
 			if i > 0 {
-				further = append(further, now)
+				retries = append(retries, now)
 			}
 			b.HandleOutcome(now, h, Outcome{RequestID: id, Attempt: i, Status: StatusRejected, Latency: 1})
 		}
@@ -25,7 +26,7 @@
 	now := start
 	for i := range 20 {
 		now += second / 10
-		fail(old, now, fmt.Sprint("o", i))
+		sendAndReject(old, now, fmt.Sprint("o", i))
 	}
 	next := mustNew(t, s)
 	next.ImportRetryBudget(old.ExportRetryBudget(now))
@@ -37,44 +38,46 @@
 			b = old
 		}
 		if i == 300 {
-			old.HandleOtherProcessExit(now) // the successor has died; the free part is not there at once
+			old.HandleOtherProcessExit(now) // the successor has died; RetryBudgetMin is not available at once
 		}
 		if i >= 300 {
 			b = old
 		}
-		fail(b, now, fmt.Sprint(i))
+		sendAndReject(b, now, fmt.Sprint(i))
 	}
-	for _, end := range further {
+	for _, end := range retries {
 		n, allowed := 0.0, s.RetryBudgetMin
-		for _, at := range further {
+		for _, at := range retries {
 			if at <= end && at >= end-s.RetryBudgetWindow {
 				n++
 			}
 		}
-		for _, at := range taken {
+		for _, at := range requests {
 			if at <= end && at > end-s.RetryBudgetWindow {
 				allowed += s.RetryBudgetRatio
 			}
 		}
 		if n > allowed+1e-9 {
-			t.Fatalf("%v further attempts within the span that ends at %d, %v allowed", n, end, allowed)
+			t.Fatalf("%v retries within the window that ends at %d, %v allowed", n, end, allowed)
 		}
 	}
-	if len(further) < 10 {
-		t.Errorf("only %d further attempts", len(further))
+	if len(retries) < 10 {
+		t.Errorf("only %d retries: the test covers too little", len(retries))
 	}
 }
 
+// TestWarmingServerGetsHalfFromEachOfTwoProcesses checks that a process gives a warming server half of its
+// weight while another process of the same proxy sends to it, too.
 func TestWarmingServerGetsHalfFromEachOfTwoProcesses(t *testing.T) {
 	b, _ := newWithServers(t, testSettings(), 1)
-	cold := &server{Server: Server{StartTime: start}}
-	whole := b.slowStart.factor(moment(start+second), cold)
+	warming := &server{Server: Server{StartTime: start}}
+	alone := b.slowStart.factor(moment(start+second), warming)
 	b.ImportRetryBudget(RetryBudgetUsage{})
-	if got := b.slowStart.factor(moment(start+second), cold); got != whole/2 {
-		t.Errorf("beside another process %v, alone %v", got, whole)
+	if got := b.slowStart.factor(moment(start+second), warming); got != alone/2 {
+		t.Errorf("weight factor %v beside another process, want half of %v", got, alone)
 	}
 	b.HandleOtherProcessExit(start)
-	if got := b.slowStart.factor(moment(start+second), cold); got != whole {
-		t.Errorf("alone again %v, before %v", got, whole)
+	if got := b.slowStart.factor(moment(start+second), warming); got != alone {
+		t.Errorf("weight factor %v after the other process has ended, want %v", got, alone)
 	}
 }
--- a/balancer/learn.go
+++ b/balancer/learn.go
@@ -3,13 +3,13 @@
 // This file passes the outcome of each attempt, and each attempt that has been in flight for too long, to the
 // rules that adapt to them.
 
-// learn records the outcome of an attempt with every rule that adapts to outcomes.
-func (b *Balancer) learn(now moment, request *request, attempt *attempt, outcome Outcome) {
+// recordOutcome records the outcome of an attempt with every rule that adapts to outcomes.
+func (b *Balancer) recordOutcome(now moment, request *request, attempt *attempt, outcome Outcome) {
 	if outcome.Status == StatusCancelled || outcome.Status == StatusNotSent {
 		return
 	}
 	server, class, failed := attempt.server, request.Class, outcome.Status != StatusOK
-	b.listing.record(server, attempt.sentAt, outcome.Status)
+	b.listEvidence.record(server, attempt.sentAt, outcome.Status)
 	attributed := b.outliers.attribute(server, class, outcome.Status)
 	server.outlier.recordConnection(outcome.Status)
 	if b.locality.zones != nil {
--- a/balancer/ordering.go
+++ b/balancer/ordering.go
@@ -74,8 +74,8 @@
 	return max(int64(latest), 0), true
 }
 
-// coolDown blocks a queue after an attempt that may still be running. It returns the duration in µs.
-func (q *keyQueue) coolDown(now moment, settings *Settings) (delay int64) {
+// startCooldown blocks a queue after an attempt that may still be running. It returns the duration in µs.
+func (q *keyQueue) startCooldown(now moment, settings *Settings) (delay int64) {
 	q.cooldownUntil = now.add(span(settings.OrderingCooldown))
 	return settings.OrderingCooldown
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -155,8 +155,8 @@
 	countedUnresponsive bool // counted as failed before its end
 }
 
-// markSilent records that an attempt has been counted as failed before its end.
-func (a *attemptOutlier) markSilent() { a.countedUnresponsive = true }
+// markUnresponsive records that an attempt has been counted as failed before its end.
+func (a *attemptOutlier) markUnresponsive() { a.countedUnresponsive = true }
 
 // faultOfStatus maps the status of an attempt to the fault that it shows at its server.
 var faultOfStatus = [...]Fault{StatusOK: NoFault, StatusError: FaultErrors, StatusRejected: FaultSaturated,
@@ -219,8 +219,9 @@
 	}
 }
 
-// isSilent reports whether an attempt has been in flight for far longer than the calls of its class take.
-func (d *outlierDetection) isSilent(now moment, class int, attempt *attempt) bool {
+// isUnresponsive reports whether an attempt has been in flight for far longer than the calls of its class
+// take.
+func (d *outlierDetection) isUnresponsive(now moment, class int, attempt *attempt) bool {
 	longest := max(minUnresponsiveAfter, span(unresponsiveAfterMeanLatencies*d.classes[class].latency.mean))
 	return attempt.pending && attempt.admission.counted && !attempt.responseStarted &&
 		!attempt.outlier.countedUnresponsive && now.since(attempt.sentAt) > longest
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -93,13 +93,13 @@
 	return max(left, 1)
 }
 
-// neverAgain is the send window of a server that must not get the request.
-const neverAgain = -1
+// sendForbidden is the send window of a server that must not get the request.
+const sendForbidden = -1
 
 // sendWindow returns the time within which the last byte of a request has to be sent to a server; 0 is no
 // limit. Once an attempt may have been executed, a non-idempotent request must not be sent to any server
-// (neverAgain). A request with an idempotency key may then be sent only to servers that share deduplication
-// with the server of that attempt, and only until they forget the key.
+// (sendForbidden). A request with an idempotency key may then be sent only to servers that share
+// deduplication with the server of that attempt, and only until they forget the key.
 func (p *retryPolicy) sendWindow(now moment, request *request, server *server) (left span) {
 	rules := request.classRules()
 	window := span(rules.DedupWindow)
@@ -109,7 +109,7 @@
 		}
 		if rules.Idempotency == NonIdempotent || now.since(attempt.sentAt) >= window ||
 			!sharesDedup(rules.DedupScope, attempt, server) {
-			return neverAgain
+			return sendForbidden
 		}
 		left = cmp.Or(left, attempt.sentAt.add(window).since(now)) // first attempt's window ends first
 	}
@@ -177,9 +177,10 @@
 	p.minAvailableFrom = max(p.minAvailableFrom, p.windowClearsAt(now))
 }
 
-// export hands the budget over to a successor: both its past usage and RetryBudgetMin. What later requests
-// earn stays with this process, so that the two processes together keep to the budget in every window.
-func (p *retryPolicy) export(now moment) RetryBudgetUsage {
+// exportUsage hands the budget over to a successor: both its past usage and RetryBudgetMin. What later
+// requests earn stays with this process, so that the two processes together keep to the budget in every
+// window.
+func (p *retryPolicy) exportUsage(now moment) RetryBudgetUsage {
 	p.requests.countSince(now.add(-p.window()))
 	p.retries.countSince(now.add(-p.window()))
 	usage := RetryBudgetUsage{Requests: p.requests, Retries: p.retries}
@@ -187,14 +188,14 @@
 	return usage
 }
 
-// adopt imports the budget usage of a predecessor.
-func (p *retryPolicy) adopt(usage RetryBudgetUsage) {
+// importUsage imports the budget usage of a predecessor.
+func (p *retryPolicy) importUsage(usage RetryBudgetUsage) {
 	p.requests, p.retries = usage.Requests, usage.Retries
 }
 
-// reclaim makes RetryBudgetMin available again after the successor has ended, once no budget window contains
-// a retry that it may have made.
-func (p *retryPolicy) reclaim(now moment) {
+// reclaimMinimum makes RetryBudgetMin available again after the successor has ended, once no budget window
+// contains a retry that it may have made.
+func (p *retryPolicy) reclaimMinimum(now moment) {
 	if p.minAvailableFrom == math.MaxInt64 {
 		p.minAvailableFrom = p.windowClearsAt(now)
 	}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -17,7 +17,7 @@
 				Latency: h.sends[attempt].timeout})
 			attempt++
 		}
-		if l := h.last(); l != "fail r" && l != "refuse r" {
+		if l := h.last(); l != "fail r" && l != "reject r" {
 			t.Errorf("class %d: the last action is %q, want the request to be failed or rejected", class, l)
 		}
 		if now > start+1_000_000 {
@@ -46,7 +46,7 @@
 		{2, StatusTimedOut, 1000, "fail"},
 		{2, StatusReset, 1000, "fail"},
 		{3, StatusError, 1000, "send"},
-		{3, StatusError, 300_000, "refuse"},
+		{3, StatusError, 300_000, "reject"},
 		{4, StatusError, 1000, "zone"},
 		{4, StatusError, 300_000, "fail"},
 	} {
@@ -59,7 +59,7 @@
 		b.HandleOutcome(start+c.after, h, Outcome{RequestID: "r", Status: c.status, Latency: c.after})
 		name := fmt.Sprintf("class %d after status %d at %d µs", c.class, c.status, c.after)
 		switch c.want {
-		case "fail", "refuse":
+		case "fail", "reject":
 			if h.last() != c.want+" r" {
 				t.Errorf("%s: the last action is %q, want %q", name, h.last(), c.want+" r")
 			}
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,8 +6,10 @@
 	"testing"
 )
 
+// TestInvalidSettings checks that an invalid value of each setting is rejected with an error that names the
+// field.
 func TestInvalidSettings(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"Classes":                     func(s *Settings) { s.Classes = nil },
 		"Zone":                        func(s *Settings) { s.Zone = 2 },
 		"ZoneCount":                   func(s *Settings) { s.ZoneCount = 0 },
@@ -29,14 +31,14 @@
 		"Classes[4].LateWeight":       func(s *Settings) { s.Classes[4].LateWeight = -1 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !slices.Contains([]string{"balancer: Settings." + field}, errorPrefix(err.Error())) {
-			t.Errorf("%s: error %v", field, err)
+			t.Errorf("%s: got error %v, want one that names the field", field, err)
 		}
 	}
 }
 
-// errorPrefix is an error's text up to the colon that follows the field.
+// errorPrefix returns an error's text up to the colon after the field.
 func errorPrefix(s string) string {
 	for i := len("balancer: "); i < len(s); i++ {
 		if s[i] == ':' {
--- a/balancer/spillover.go
+++ b/balancer/spillover.go
@@ -42,5 +42,5 @@
 	}
 }
 
-// forget lowers the weight to the initial one at most, once the local zone has recovered.
-func (s *spillover) forget() { s.weight = min(s.weight, initialSpillover) }
+// reset lowers the weight to the initial one at most, once the local zone has recovered.
+func (s *spillover) reset() { s.weight = min(s.weight, initialSpillover) }
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -28,9 +28,10 @@
 	return &subscription{shared: common, backoff: minWatchBackoff}
 }
 
-// failed records a failure and returns the backoff, to which it adds a random part of up to the same length,
-// since many replicas may load the source of the list at once. ok is false if a backoff is running already.
-func (s *subscription) failed() (backoff span, ok bool) {
+// recordFailure records a failure and returns the backoff, to which it adds a random part of up to the same
+// length, since many replicas may load the source of the list at once. ok is false if a backoff is running
+// already.
+func (s *subscription) recordFailure() (backoff span, ok bool) {
 	if ok = s.requested; ok {
 		backoff = s.backoff + s.randomSpan(s.backoff)
 		longest := min(maxWatchBackoff, span(s.settings.PollInterval)/pollIntervalDivisor)
@@ -40,16 +41,16 @@
 	return backoff, ok
 }
 
-// succeeded records that a list was received, which resets the backoff. It reports whether the caller has to
-// open a watch for the next lists.
-func (s *subscription) succeeded() (open bool) {
+// recordSuccess records that a list was received, which resets the backoff. It reports whether the caller has
+// to open a watch for the next lists.
+func (s *subscription) recordSuccess() (open bool) {
 	s.backoff = minWatchBackoff
-	return s.settings.WatchEndpoints && s.reopen()
+	return s.settings.WatchEndpoints && s.requestWatch()
 }
 
-// reopen marks the watch as requested. It reports whether the caller has to open it, that is, whether no
-// watch was open or being opened before.
-func (s *subscription) reopen() bool {
+// requestWatch marks the watch as requested. It reports whether the caller has to open it, that is, whether
+// no watch was open or being opened before.
+func (s *subscription) requestWatch() bool {
 	if s.requested {
 		return false
 	}
--- a/balancer/weighttuning_test.go
+++ b/balancer/weighttuning_test.go
@@ -17,7 +17,7 @@
 }
 
 // finish returns when a call that arrives now ends.
-func (q *serverQueue) finish(w *world, now int64) int64 {
+func (q *serverQueue) finish(w *fleetSimulation, now int64) int64 {
 	i := slices.Index(q.slots, slices.Min(q.slots))
 	q.slots[i] = max(q.slots[i], now) + int64(q.mean*(0.3+0.7*w.rnd.ExpFloat64()))
 	if q.shared != nil {
@@ -28,7 +28,7 @@
 
 // tuningRun simulates ten replicas and twelve servers of one zone, with or without weight tuning.
 type tuningRun struct {
-	*world
+	*fleetSimulation
 	queues       []*serverQueue // by number of the server
 	extraLatency int64          // µs: added to the calls of every other replica
 	latencies    []int64        // µs: of the calls sent after tuningFrom
@@ -39,7 +39,7 @@
 
 // newTuning returns a run with weight tuning or without; rate is in requests per second of each replica.
 func newTuning(t *testing.T, tuned bool, rate float64) *tuningRun {
-	sim := &tuningRun{world: newWorld(t, 1, 10, 12, rate, true)}
+	sim := &tuningRun{fleetSimulation: newFleetSimulation(t, 1, 10, 12, rate, true)}
 	for range 12 {
 		sim.queues = append(sim.queues, &serverQueue{slots: make([]int64, 2), mean: 55_000})
 	}
@@ -53,7 +53,7 @@
 		if sim.rnd.Float64() < q.failureFraction {
 			return StatusError, 2_000
 		}
-		latency := q.finish(sim.world, sim.now) - sim.now + sim.extraLatency*int64(c.index%2)
+		latency := q.finish(sim.fleetSimulation, sim.now) - sim.now + sim.extraLatency*int64(c.index%2)
 		if sim.now > start+tuningFrom {
 			sim.latencies = append(sim.latencies, latency)
 		}
