--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -13,29 +13,33 @@
 )
 
 const (
-	// MaxDocumentBytes is the size of a document in its canonical form, at most.
+	// MaxDocumentBytes is the maximum size of a document in its canonical form.
 	MaxDocumentBytes = 64 << 10
-	// MaxServiceNameBytes is the length of a service's name, at most.
+	// MaxServiceNameBytes is the maximum length of a service name.
 	MaxServiceNameBytes = 100
 
-	settingsKey = "settings" // the only key of a document
+	settingsKey = "settings" // the only top-level key that a document may have
 )
 
-// perProxyKeys are the settings that only the proxy's own file gives.
+// perProxyKeys are the settings that differ between proxies: only a proxy's own file sets them, never a
+// document.
 var perProxyKeys = []string{"my_zone", "ordinal"}
 
-// CheckService returns an error if a service's name cannot be used: it is part of URLs.
+// CheckService returns an error unless name is a valid service name. The name is part of URLs, so it may hold
+// no spaces, control characters or URL delimiters.
 func CheckService(name string) error {
 	if name == "" || len(name) > MaxServiceNameBytes || strings.ContainsFunc(name, func(r rune) bool {
 		return r <= ' ' || r == 0x7f || r == 0xfffd || strings.ContainsRune("/?#%", r)
 	}) {
-		return fmt.Errorf("service %q: 1 to %d bytes without spaces, slashes, ?, # and %% are needed", name, MaxServiceNameBytes)
+		return fmt.Errorf("invalid service name %q: want 1 to %d bytes without spaces, slashes, ?, # and %%",
+			name, MaxServiceNameBytes)
 	}
 	return nil
 }
 
-// Canonical returns the form of a document in which it is stored, compared and forwarded: without spaces, and as
-// encoding/json would write it again. A text that is no JSON object or too long is an *Error.
+// Canonical returns the canonical form of a document, in which it is stored, compared and forwarded: compact
+// and escaped as encoding/json would encode it. It returns an *Error if the text is not a JSON object or is
+// too long.
 func Canonical(text []byte) (json.RawMessage, error) {
 	var compact, canonical bytes.Buffer
 	if err := json.Compact(&compact, text); err != nil {
@@ -43,15 +47,17 @@
 	}
 	json.HTMLEscape(&canonical, compact.Bytes())
 	if canonical.Len() > MaxDocumentBytes {
-		return nil, &Error{"", fmt.Sprintf("it has %d bytes, and there may be %d", canonical.Len(), MaxDocumentBytes)}
+		return nil, &Error{"", fmt.Sprintf("the document has %d bytes; the limit is %d",
+			canonical.Len(), MaxDocumentBytes)}
 	}
 	if canonical.Len() == 0 || canonical.Bytes()[0] != '{' {
-		return nil, &Error{"", "is no JSON object"}
+		return nil, &Error{"", "the document is not a JSON object"}
 	}
 	return canonical.Bytes(), nil
 }
 
-// CheckDocument returns an *Error if no proxy could use a document, as far as that shows without a proxy's own file.
+// CheckDocument returns an *Error if a document is invalid for every proxy. What depends on a proxy's own
+// file, such as its zone, is checked by MergeDocument.
 func CheckDocument(text []byte) error {
 	settings, err := documentSettings(text)
 	if err != nil {
@@ -63,7 +69,8 @@
 	return nil
 }
 
-// documentSettings returns the settings of a document, which may hold nothing else. Its errors are an *Error.
+// documentSettings returns the settings object of a document. It returns an *Error if the document has
+// another top-level key or a per-proxy setting.
 func documentSettings(text []byte) (json.RawMessage, error) {
 	var sections map[string]json.RawMessage
 	if err := json.Unmarshal(text, &sections); err != nil {
@@ -71,7 +78,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(sections)) {
 		if key != settingsKey {
-			return nil, &Error{key, "cannot be changed under way; a document holds settings alone"}
+			return nil, &Error{key, "cannot be changed under way; a document may hold only settings"}
 		}
 	}
 	settings := sections[settingsKey]
@@ -84,21 +91,22 @@
 	}
 	for _, key := range perProxyKeys {
 		if _, found := keys[key]; found {
-			return nil, &Error{settingsKey + "." + key, "is each proxy's own: its file says it"}
+			return nil, &Error{settingsKey + "." + key, "is set by each proxy's own file, not by a document"}
 		}
 	}
 	return settings, nil
 }
 
-// MergeDocument returns a document's settings with the per-proxy ones of the proxy's file. The proxy's zone is found in
-// the document by its name. Its errors are an *Error.
+// MergeDocument returns a document's settings together with the per-proxy settings of a proxy's file.
+// Documents may list the zones in another order than the file, so the index of the proxy's zone is looked up
+// by the zone's name. Errors are of type *Error.
 func MergeDocument(fileSettings json.RawMessage, text []byte) (json.RawMessage, error) {
 	settings, err := documentSettings(text)
 	if err != nil {
 		return nil, err
 	}
 	var merged, file map[string]json.RawMessage
-	var before, after struct { // the rest is checked by Read
+	var before, after struct { // Read checks the other settings
 		Zones []string `json:"failure_domains"`
 		Zone  int      `json:"my_zone"`
 	}
@@ -115,14 +123,16 @@
 		name := before.Zones[before.Zone]
 		index := slices.Index(after.Zones, name)
 		if index < 0 {
-			return nil, &Error{settingsKey + ".failure_domains", fmt.Sprintf("lacks %q, this proxy's own zone", name)}
+			return nil, &Error{settingsKey + ".failure_domains",
+				fmt.Sprintf("does not list %q, the zone of this proxy", name)}
 		}
 		merged["my_zone"] = fmt.Append(nil, index)
 	}
 	return json.Marshal(merged)
 }
 
-// Read decodes and checks the settings of a proxy on sockets. Its errors are an *Error or those of encoding/json.
+// Read decodes the settings of a proxy that serves real connections and checks all of them. Errors are of
+// type *Error or come from encoding/json.
 func Read(text []byte) (*Site, error) {
 	site, err := Decode(text)
 	if err == nil {
--- a/internal/settings/document_test.go
+++ b/internal/settings/document_test.go
@@ -9,10 +9,11 @@
 	"testing"
 )
 
-// document1 is object1 as a document: without the per-proxy settings.
+// document1 is a valid document: the settings of object1 without the per-proxy ones.
 var document1 = `{"settings":` + strings.Replace(object1, `"my_zone":1,"ordinal":0,`, "", 1) + `}`
 
-// A document's errors are found before it is stored, and name the key.
+// TestDocumentErrorsNameKeys checks that CheckDocument rejects an invalid document, so that the registry
+// never stores it, and that the error names the key of the invalid setting.
 func TestDocumentErrorsNameKeys(t *testing.T) {
 	if err := CheckDocument([]byte(document1)); err != nil {
 		t.Fatal(err)
@@ -36,12 +37,14 @@
 		err := CheckDocument([]byte(strings.Replace(document1, c.old, c.new, 1)))
 		var fault *Error
 		if !errors.As(err, &fault) || fault.Key != c.key || !strings.Contains(fault.Problem, c.problem) {
-			t.Errorf("%.60q for %.60q: got %v", c.new, c.old, err)
+			t.Errorf("%.60q in place of %.60q: got error %v, want key %q and a problem with %q",
+				c.new, c.old, err, c.key, c.problem)
 		}
 	}
 }
 
-// A document replaces the file's settings, except the proxy's zone, found by its name, and its index.
+// TestMergeDocument checks that a document replaces the settings of the file except the replica index and the
+// zone, which is found in the document's zones by its name.
 func TestMergeDocument(t *testing.T) {
 	for _, c := range []struct {
 		old, new string
@@ -72,7 +75,8 @@
 	}
 }
 
-// The canonical form is its own canonical form, also through encoding/json, so that a repeated call has the same bytes.
+// FuzzCanonical checks that the canonical form is stable, also when encoding/json encodes it within another
+// value: the same document must have the same bytes each time it is sent.
 func FuzzCanonical(f *testing.F) {
 	f.Add([]byte(document1))
 	f.Add([]byte("{ \"a\" : \"<&>\u2028\\u0041\xff\" }"))
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -10,18 +10,21 @@
 	"merlinpick/balancer"
 )
 
-// Error is a setting whose value cannot be used. Its texts are in the answers of the registry, so they use the protocol's
-// keys.
+// Error reports an invalid setting. The registry includes its text in responses, so it names settings by the
+// keys of the JSON format and not by Go field names.
 type Error struct {
-	Key     string // as in profiles[0].name; empty: the whole text
-	Problem string
+	Key     string // path of the setting, such as profiles[0].name; empty: the whole text
+	Problem string // what is wrong with the value
 }
 
+// Error returns the key and the problem.
 func (e *Error) Error() string { return e.Key + ": " + e.Problem }
 
+// unknownWord returns an *Error for a value that is not among the names of an enumeration.
 func unknownWord(key, word string) error { return &Error{key, fmt.Sprintf("unknown word %q", word)} }
 
-// balancerError returns an error of the balancer about its settings with the protocol's keys.
+// balancerError converts a *balancer.SettingsError, which names Go fields, to an *Error with the keys of the
+// JSON format. It returns other errors unchanged.
 func balancerError(err error) error {
 	var fault *balancer.SettingsError
 	if !errors.As(err, &fault) {
@@ -35,7 +38,8 @@
 	return &Error{key, fault.Problem}
 }
 
-// ErrorBelow returns an error of encoding/json or of this package as an *Error whose key stands below a section.
+// ErrorBelow converts an error of encoding/json or of this package to an *Error whose key is prefixed by a
+// section.
 func ErrorBelow(section string, err error) *Error {
 	var kind *json.UnmarshalTypeError
 	var rule *Error
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings object that the simulator's first message and a proxy's configuration share, and
-// the documents by which a registry changes it. It maps the protocol's keys to the field's terms (keys.go) and never applies
-// settings itself.
+// Package settings decodes the settings object that the simulator's first message and a proxy's configuration
+// file have in common, and the documents by which the registry replaces it. It maps the keys of the JSON
+// format to Go names (keys.go) and never applies settings itself.
 package settings
 
 import (
@@ -11,20 +11,22 @@
 	"merlinpick/balancer"
 )
 
-// Site is a decoded settings object: the balancer's part, and what a proxy on sockets needs.
+// Site is a decoded settings object. It holds the balancer's settings and those that a proxy needs for its
+// connections.
 type Site struct {
 	Balancer balancer.Settings
-	Classes  []string // names, in the order of Balancer.Classes
-	Tenants  []string // names, in the order of Balancer.Tenants
-	Zones    []string // names
-	Tiers    int      // number of services behind each other, each with proxies of its own; 0: not known
+	Classes  []string // names of the classes, in the order of Balancer.Classes
+	Tenants  []string // names of the tenants, in the order of Balancer.Tenants
+	Zones    []string // names of the zones; Balancer.Zone is an index into them
+	Tiers    int      // number of services that a request passes, each with its own proxies; 0: not known
 
-	DialTimeout time.Duration // after which a connection that is not established has failed
+	DialTimeout time.Duration // how long connecting to a backend may take
 	IdleClose   time.Duration // idle time after which a backend closes a connection
 }
 
-// Decode decodes a settings object and checks what the mapping needs; its errors are an *Error or those of encoding/json.
-// balancer.New checks the balancer's part, CheckSockets that of the sockets.
+// Decode decodes a settings object and checks only what the decoding needs, such as the names of enumeration
+// values. balancer.New validates the balancer's settings, and CheckSockets those for connections. Errors are
+// of type *Error or come from encoding/json.
 func Decode(data []byte) (*Site, error) {
 	var doc document
 	if err := json.Unmarshal(data, &doc); err != nil {
@@ -47,7 +49,8 @@
 
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// CheckSockets returns an *Error if a proxy on sockets lacks a name of a class or tenant, or a timeout of connections.
+// CheckSockets returns an *Error if a setting that only a proxy with real connections needs is missing or
+// invalid: a connection timeout, or the distinct names of classes and tenants.
 func (s *Site) CheckSockets() error {
 	if s.DialTimeout <= 0 {
 		return &Error{"limits.dial_timeout_us", "not positive"}
@@ -61,18 +64,19 @@
 	return checkDistinct("tenants", s.Tenants)
 }
 
+// checkDistinct returns an *Error if a name in the list with this key is empty or repeated.
 func checkDistinct(list string, names []string) error {
 	seen := map[string]bool{}
 	for i, name := range names {
 		if name == "" || seen[name] {
-			return &Error{fmt.Sprintf("%s[%d].name", list, i), "missing or given twice"}
+			return &Error{fmt.Sprintf("%s[%d].name", list, i), "missing or not unique"}
 		}
 		seen[name] = true
 	}
 	return nil
 }
 
-// The protocol's words for the balancer's enumerations.
+// The names of the balancer's enumeration values in the JSON format.
 var (
 	idempotencyByWord = map[string]balancer.Idempotency{
 		"idempotent": balancer.Idempotent, "deduplicated": balancer.IdempotentWithKey, "at_most_once": balancer.NonIdempotent,
@@ -82,7 +86,7 @@
 	}
 )
 
-// balancerSettings returns the balancer's part. Its errors are an *Error.
+// balancerSettings converts the balancer's part of the document. Errors are of type *Error.
 func (d *document) balancerSettings() (balancer.Settings, error) {
 	settings := balancer.Settings{
 		Tier: d.Tier, Replicas: d.Replicas, ReplicaIndex: d.ReplicaIndex,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,6 +8,7 @@
 	"merlinpick/balancer"
 )
 
+// object1 is a valid settings object with a value for most keys, and with an unknown key, which is ignored.
 const object1 = `{"contract":{"ask_every_us":10000000,"cold_us":24000000,"drain_grace_us":500000,"start_capacity":0.13},` +
 	`"failure_domains":["a","b"],"unheard_of":{"x":[1]},"limits":{"dial_timeout_us":200000,"idle_close_us":30000000,` +
 	`"max_retry_after_us":750000,"retry_after":true,"try_limit":5},"membership_mode":"automatic","my_zone":1,"ordinal":0,` +
@@ -15,7 +16,8 @@
 	`"objective_us":500000,"repeat":"deduplicated","worth":1.0}],"siblings":3,"stage":0,` +
 	`"tenants":[{"name":"acme","portion":1,"quota_per_s":4}],"tiers":["t"],"weights":"rough"}`
 
-// Each setting has to reach the balancer.
+// TestSettingsReachBalancer checks that settings of each kind are decoded into the field that the balancer
+// reads.
 func TestSettingsReachBalancer(t *testing.T) {
 	text := strings.Replace(object1, `"contract":{`, `"contract":{"busy_is_no_proof":true,"order_settle_us":7,`+
 		`"ratio_span_us":5000000,"resend_ratio":0.05,"spare_attempts":3,"tip_multiple":2.5,"fall_us":1000000,`, 1)
@@ -37,6 +39,7 @@
 	}
 }
 
+// TestInvalidSettings checks that an invalid setting is rejected with an error that names its key.
 func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"automatic"`, `"now and then"`, "membership_mode"},
@@ -53,7 +56,7 @@
 			err = site.CheckSockets()
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s for %s: got %v", c.new, c.old, err)
+			t.Errorf("%s in place of %s: got error %v, want one with %q", c.new, c.old, err, c.want)
 		}
 	}
 }
