--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -26,6 +26,6 @@
 
 // decodeError returns an *Error about a section, or a key below it that the error names.
 func decodeError(section string, err error) *Error {
-	fault := settings.ErrorBelow(section, err)
+	fault := settings.WithSection(section, err)
 	return &Error{Key: fault.Key, Problem: fault.Problem, Remedy: "correct it; nothing of the file is in force"}
 }
--- a/internal/proxy/list_bench_test.go
+++ b/internal/proxy/list_bench_test.go
@@ -27,7 +27,7 @@
 // listLoop is a loop without connections, as a proxy's in a late tier.
 func listLoop(b testing.TB, zones int) *eventLoop {
 	b.Helper()
-	site := &settings.Site{DialTimeout: time.Second, IdleClose: 5 * time.Second, Classes: []string{"read"},
+	site := &settings.Site{DialTimeout: time.Second, IdleTimeout: 5 * time.Second, Classes: []string{"read"},
 		Balancer: balancer.Settings{Tier: 1, Replicas: 1, ZoneCount: zones, MaxAttempts: 3, DrainGrace: 1_000_000, SlowStartMinCapacity: 0.3,
 			SlowStartDuration: 8_800_000, OverloadMultiple: 3, OverloadWindow: 2_000_000,
 			Classes: []balancer.Class{{Name: "read", LatencyObjective: 400_000, Deadline: 2_000_000, PriorityWeight: 1}}}}
@@ -39,7 +39,7 @@
 		b.Fatal(err)
 	}
 	figs := newMetrics(site.Classes)
-	pool := upstream.NewPool(upstream.Config{DialTimeout: site.DialTimeout, IdleClose: site.IdleClose, MaxOpen: 100})
+	pool := upstream.NewPool(upstream.Config{DialTimeout: site.DialTimeout, IdleClose: site.IdleTimeout, MaxOpen: 100})
 	return newEventLoop(loopConfig{balancer: bal, clock: clock{time.Now()}, pool: pool, zoneNumbers: newZoneNumbers(site.Zones),
 		metrics: figs, logger: slog.New(slog.DiscardHandler)})
 }
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -232,7 +232,7 @@
 	}
 	l.updateZoneNames()
 	f.SetSettings(site, l.balancer.Settings(), classNumbers)
-	l.pool.SetTimeouts(site.DialTimeout, site.IdleClose)
+	l.pool.SetTimeouts(site.DialTimeout, site.IdleTimeout)
 	l.pool.SetDrainGrace(site.Balancer.DrainGrace)
 	return nil
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -102,7 +102,7 @@
 	metrics := newMetrics(cfg.Site.Classes)
 	_, backends, _ := cfg.connLimits(false)
 	recorder := audit.New(cfg.Logger)
-	pool := upstream.NewPool(upstream.Config{DialTimeout: cfg.Site.DialTimeout, IdleClose: cfg.Site.IdleClose, MaxOpen: backends,
+	pool := upstream.NewPool(upstream.Config{DialTimeout: cfg.Site.DialTimeout, IdleClose: cfg.Site.IdleTimeout, MaxOpen: backends,
 		Audit: recorder, Logger: cfg.Logger, OnForwarded: metrics.attemptForwarded})
 	pool.SetDrainGrace(cfg.Site.Balancer.DrainGrace)
 	l := newEventLoop(loopConfig{
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	if _, err = Read(settings); err != nil {
-		return ErrorBelow(settingsKey, err)
+		return WithSection(settingsKey, err)
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 func documentSettings(text []byte) (json.RawMessage, error) {
 	var sections map[string]json.RawMessage
 	if err := json.Unmarshal(text, &sections); err != nil {
-		return nil, ErrorBelow("", err)
+		return nil, WithSection("", err)
 	}
 	for _, key := range slices.Sorted(maps.Keys(sections)) {
 		if key != settingsKey {
@@ -87,7 +87,7 @@
 	}
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(settings, &keys); err != nil {
-		return nil, ErrorBelow(settingsKey, err)
+		return nil, WithSection(settingsKey, err)
 	}
 	for _, key := range perProxyKeys {
 		if _, found := keys[key]; found {
@@ -106,22 +106,22 @@
 		return nil, err
 	}
 	var merged, file map[string]json.RawMessage
-	var before, after struct { // Read checks the other settings
+	var fileZones, documentZones struct { // Read checks the other settings
 		Zones []string `json:"failure_domains"`
 		Zone  int      `json:"my_zone"`
 	}
 	if err := errors.Join(json.Unmarshal(settings, &merged), json.Unmarshal(fileSettings, &file),
-		json.Unmarshal(fileSettings, &before), json.Unmarshal(settings, &after)); err != nil {
-		return nil, ErrorBelow(settingsKey, err)
+		json.Unmarshal(fileSettings, &fileZones), json.Unmarshal(settings, &documentZones)); err != nil {
+		return nil, WithSection(settingsKey, err)
 	}
 	for _, key := range perProxyKeys {
 		if value, found := file[key]; found {
 			merged[key] = value
 		}
 	}
-	if _, found := file["my_zone"]; found && before.Zone >= 0 && before.Zone < len(before.Zones) {
-		name := before.Zones[before.Zone]
-		index := slices.Index(after.Zones, name)
+	if _, found := file["my_zone"]; found && fileZones.Zone >= 0 && fileZones.Zone < len(fileZones.Zones) {
+		name := fileZones.Zones[fileZones.Zone]
+		index := slices.Index(documentZones.Zones, name)
 		if index < 0 {
 			return nil, &Error{settingsKey + ".failure_domains",
 				fmt.Sprintf("does not list %q, the zone of this proxy", name)}
--- a/internal/settings/document_test.go
+++ b/internal/settings/document_test.go
@@ -9,19 +9,19 @@
 	"testing"
 )
 
-// document1 is a valid document: the settings of object1 without the per-proxy ones.
-var document1 = `{"settings":` + strings.Replace(object1, `"my_zone":1,"ordinal":0,`, "", 1) + `}`
+// documentJSON is a valid document: the settings of settingsJSON without the per-proxy ones.
+var documentJSON = `{"settings":` + strings.Replace(settingsJSON, `"my_zone":1,"ordinal":0,`, "", 1) + `}`
 
 // TestDocumentErrorsNameKeys checks that CheckDocument rejects an invalid document, so that the registry
 // never stores it, and that the error names the key of the invalid setting.
 func TestDocumentErrorsNameKeys(t *testing.T) {
-	if err := CheckDocument([]byte(document1)); err != nil {
+	if err := CheckDocument([]byte(documentJSON)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, key, problem string }{
-		{document1, ``, "", "unexpected end"},
-		{document1, `[]`, "", "JSON array"},
-		{document1, `{}`, "settings", "missing"},
+		{documentJSON, ``, "", "unexpected end"},
+		{documentJSON, `[]`, "", "JSON array"},
+		{documentJSON, `{}`, "settings", "missing"},
 		{`{"settings"`, `{"listen":"127.0.0.1:1","settings"`, "listen", "under way"},
 		{`"siblings":3`, `"siblings":3,"my_zone":0`, "settings.my_zone", "own"},
 		{`"siblings":3`, `"siblings":3,"ordinal":0`, "settings.ordinal", "own"},
@@ -34,9 +34,10 @@
 		{`"deduplicated"`, `"often"`, "settings.profiles[0].repeat", "often"},
 		{`"portion":1`, `"portion":-1`, "settings.Tenants[0]", "negative"},
 	} {
-		err := CheckDocument([]byte(strings.Replace(document1, c.old, c.new, 1)))
-		var fault *Error
-		if !errors.As(err, &fault) || fault.Key != c.key || !strings.Contains(fault.Problem, c.problem) {
+		err := CheckDocument([]byte(strings.Replace(documentJSON, c.old, c.new, 1)))
+		var settingErr *Error
+		if !errors.As(err, &settingErr) || settingErr.Key != c.key ||
+			!strings.Contains(settingErr.Problem, c.problem) {
 			t.Errorf("%.60q in place of %.60q: got error %v, want key %q and a problem with %q",
 				c.new, c.old, err, c.key, c.problem)
 		}
@@ -57,10 +58,11 @@
 		{`["a","b"]`, `["a"]`, 0, "settings.failure_domains"},
 		{`"try_limit":5`, `"try_limit":7`, 1, ""},
 	} {
-		text, err := MergeDocument([]byte(strings.Replace(object1, `"ordinal":0`, `"ordinal":2`, 1)), []byte(strings.Replace(document1, c.old, c.new, 1)))
-		var fault *Error
+		text, err := MergeDocument([]byte(strings.Replace(settingsJSON, `"ordinal":0`, `"ordinal":2`, 1)),
+			[]byte(strings.Replace(documentJSON, c.old, c.new, 1)))
+		var settingErr *Error
 		if c.key != "" {
-			if !errors.As(err, &fault) || fault.Key != c.key {
+			if !errors.As(err, &settingErr) || settingErr.Key != c.key {
 				t.Errorf("%q: got %v", c.new, err)
 			}
 			continue
@@ -78,7 +80,7 @@
 // FuzzCanonical checks that the canonical form is stable, also when encoding/json encodes it within another
 // value: the same document must have the same bytes each time it is sent.
 func FuzzCanonical(f *testing.F) {
-	f.Add([]byte(document1))
+	f.Add([]byte(documentJSON))
 	f.Add([]byte("{ \"a\" : \"<&>\u2028\\u0041\xff\" }"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := Canonical(text)
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -20,35 +20,35 @@
 // Error returns the key and the problem.
 func (e *Error) Error() string { return e.Key + ": " + e.Problem }
 
-// unknownWord returns an *Error for a value that is not among the names of an enumeration.
-func unknownWord(key, word string) error { return &Error{key, fmt.Sprintf("unknown word %q", word)} }
+// unknownValue returns an *Error for a value that is not among the names of an enumeration.
+func unknownValue(key, value string) error { return &Error{key, fmt.Sprintf("unknown word %q", value)} }
 
 // balancerError converts a *balancer.SettingsError, which names Go fields, to an *Error with the keys of the
 // JSON format. It returns other errors unchanged.
 func balancerError(err error) error {
-	var fault *balancer.SettingsError
-	if !errors.As(err, &fault) {
+	var settingsErr *balancer.SettingsError
+	if !errors.As(err, &settingsErr) {
 		return err
 	}
-	key := cmp.Or(settingsKeys[fault.Field], fault.Field)
-	if fault.List != "" {
-		list := cmp.Or(settingsKeys[fault.List], fault.List)
-		key = strings.TrimSuffix(fmt.Sprintf("%s[%d].%s", list, fault.Index, key), ".")
+	key := cmp.Or(settingsKeys[settingsErr.Field], settingsErr.Field)
+	if settingsErr.List != "" {
+		list := cmp.Or(settingsKeys[settingsErr.List], settingsErr.List)
+		key = strings.TrimSuffix(fmt.Sprintf("%s[%d].%s", list, settingsErr.Index, key), ".")
 	}
-	return &Error{key, fault.Problem}
+	return &Error{key, settingsErr.Problem}
 }
 
-// ErrorBelow converts an error of encoding/json or of this package to an *Error whose key is prefixed by a
+// WithSection converts an error of encoding/json or of this package to an *Error whose key is prefixed by a
 // section.
-func ErrorBelow(section string, err error) *Error {
-	var kind *json.UnmarshalTypeError
-	var rule *Error
-	under := func(key string) string { return strings.Trim(section+"."+key, ".") }
+func WithSection(section string, err error) *Error {
+	var typeErr *json.UnmarshalTypeError
+	var settingErr *Error
+	fullKey := func(key string) string { return strings.Trim(section+"."+key, ".") }
 	switch {
-	case errors.As(err, &kind):
-		return &Error{under(kind.Field), "is a JSON " + kind.Value + ", not " + kind.Type.String()}
-	case errors.As(err, &rule):
-		return &Error{under(rule.Key), rule.Problem}
+	case errors.As(err, &typeErr):
+		return &Error{fullKey(typeErr.Field), "is a JSON " + typeErr.Value + ", not " + typeErr.Type.String()}
+	case errors.As(err, &settingErr):
+		return &Error{fullKey(settingErr.Key), settingErr.Problem}
 	}
 	return &Error{section, err.Error()}
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -119,12 +119,12 @@
 }()
 
 // collectKeys adds the keys of a struct type's fields to keys, each preceded by prefix.
-func collectKeys(object reflect.Type, prefix string, keys map[string]string) {
-	for field := range object.Fields() {
+func collectKeys(structType reflect.Type, prefix string, keys map[string]string) {
+	for field := range structType.Fields() {
 		key := prefix + field.Tag.Get("json")
 		name := field.Name
-		if other, ok := field.Tag.Lookup("field"); ok {
-			name = other
+		if balancerName, ok := field.Tag.Lookup("field"); ok {
+			name = balancerName
 		}
 		if name != "-" {
 			keys[name] = key
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 	Tiers    int      // number of services that a request passes, each with its own proxies; 0: not known
 
 	DialTimeout time.Duration // how long connecting to a backend may take
-	IdleClose   time.Duration // idle time after which a backend closes a connection
+	IdleTimeout time.Duration // idle time after which a backend closes a connection
 }
 
 // Decode decodes a settings object and checks only what the decoding needs, such as the names of enumeration
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	site := &Site{Zones: doc.Zones, Tiers: len(doc.TierNames),
-		DialTimeout: microseconds(doc.Limits.DialTimeout), IdleClose: microseconds(doc.Limits.IdleTimeout)}
+		DialTimeout: microseconds(doc.Limits.DialTimeout), IdleTimeout: microseconds(doc.Limits.IdleTimeout)}
 	var err error
 	if site.Balancer, err = doc.balancerSettings(); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	if s.DialTimeout <= 0 {
 		return &Error{"limits.dial_timeout_us", "not positive"}
 	}
-	if s.IdleClose <= 0 {
+	if s.IdleTimeout <= 0 {
 		return &Error{"limits.idle_close_us", "not positive"}
 	}
 	if err := checkDistinct("profiles", s.Classes); err != nil {
@@ -78,10 +78,10 @@
 
 // The names of the balancer's enumeration values in the JSON format.
 var (
-	idempotencyByWord = map[string]balancer.Idempotency{
+	idempotencyByName = map[string]balancer.Idempotency{
 		"idempotent": balancer.Idempotent, "deduplicated": balancer.IdempotentWithKey, "at_most_once": balancer.NonIdempotent,
 	}
-	dedupScopeByWord = map[string]balancer.DedupScope{
+	dedupScopeByName = map[string]balancer.DedupScope{
 		"": balancer.DedupScopeAll, "all": balancer.DedupScopeAll, "zone": balancer.DedupScopeZone, "cell": balancer.DedupScopeCell,
 	}
 )
@@ -102,19 +102,19 @@
 		OverloadMultiple: d.Contract.OverloadMultiple, OverloadWindow: d.Contract.OverloadWindow,
 	}
 	if d.Membership != "automatic" && d.Membership != "subscribe" {
-		return settings, unknownWord("membership_mode", d.Membership)
+		return settings, unknownValue("membership_mode", d.Membership)
 	}
 	if d.Limits.RetryAfter {
 		settings.MaxRetryAfter = d.Limits.MaxRetryAfter
 	}
 	for i, class := range d.Classes {
-		idempotency, ok := idempotencyByWord[class.Idempotency]
+		idempotency, ok := idempotencyByName[class.Idempotency]
 		if !ok {
-			return settings, unknownWord(fmt.Sprintf("profiles[%d].repeat", i), class.Idempotency)
+			return settings, unknownValue(fmt.Sprintf("profiles[%d].repeat", i), class.Idempotency)
 		}
-		scope, ok := dedupScopeByWord[class.DedupScope]
+		scope, ok := dedupScopeByName[class.DedupScope]
 		if !ok {
-			return settings, unknownWord(fmt.Sprintf("profiles[%d].dedup_scope", i), class.DedupScope)
+			return settings, unknownValue(fmt.Sprintf("profiles[%d].dedup_scope", i), class.DedupScope)
 		}
 		settings.Classes = append(settings.Classes, balancer.Class{
 			Name: class.Name, LatencyObjective: class.LatencyObjective, Deadline: class.Deadline,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,8 +8,9 @@
 	"merlinpick/balancer"
 )
 
-// object1 is a valid settings object with a value for most keys, and with an unknown key, which is ignored.
-const object1 = `{"contract":{"ask_every_us":10000000,"cold_us":24000000,"drain_grace_us":500000,"start_capacity":0.13},` +
+// settingsJSON is a valid settings object with a value for most keys, and with an unknown key, which is ignored.
+const settingsJSON = `{"contract":{"ask_every_us":10000000,"cold_us":24000000,"drain_grace_us":500000,` +
+	`"start_capacity":0.13},` +
 	`"failure_domains":["a","b"],"unheard_of":{"x":[1]},"limits":{"dial_timeout_us":200000,"idle_close_us":30000000,` +
 	`"max_retry_after_us":750000,"retry_after":true,"try_limit":5},"membership_mode":"automatic","my_zone":1,"ordinal":0,` +
 	`"profiles":[{"dedup_scope":"cell","dedup_window_us":2000000,"give_up_us":1200000,"late_share":0.0,"name":"put",` +
@@ -19,7 +20,7 @@
 // TestSettingsReachBalancer checks that settings of each kind are decoded into the field that the balancer
 // reads.
 func TestSettingsReachBalancer(t *testing.T) {
-	text := strings.Replace(object1, `"contract":{`, `"contract":{"busy_is_no_proof":true,"order_settle_us":7,`+
+	text := strings.Replace(settingsJSON, `"contract":{`, `"contract":{"busy_is_no_proof":true,"order_settle_us":7,`+
 		`"ratio_span_us":5000000,"resend_ratio":0.05,"spare_attempts":3,"tip_multiple":2.5,"fall_us":1000000,`, 1)
 	text = strings.Replace(text, `"dedup_scope":"cell"`, `"by_arrival":true,"dedup_scope":"cell"`, 1)
 	site, err := Decode([]byte(text))
@@ -51,7 +52,7 @@
 		{`"idle_close_us":30000000,`, ``, "limits.idle_close_us"},
 		{`{"contract"`, `{{"contract"`, "invalid character"},
 	} {
-		site, err := Decode([]byte(strings.Replace(object1, c.old, c.new, 1)))
+		site, err := Decode([]byte(strings.Replace(settingsJSON, c.old, c.new, 1)))
 		if err == nil {
 			err = site.CheckSockets()
 		}
