--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads the proxy's configuration: a JSON file, and environment variables. Each fault is an
-// *Error. Keys that it does not know are ignored. It never changes the file, and applies nothing.
+// Package config reads and validates the proxy's configuration from a JSON file and environment variables.
+// Each problem is reported as an *Error. Unknown keys are ignored. It neither changes the file nor applies
+// the configuration.
 package config
 
 import (
@@ -12,37 +13,40 @@
 	"merlinpick/internal/settings"
 )
 
-// Config is a valid configuration.
+// Config is a valid configuration of a proxy process.
 type Config struct {
-	Proxy             proxy.Config // without Logger, BodyMemory and OnMemoryShare
-	ManagementAddress string       // HOST:PORT; empty: none
+	Proxy             proxy.Config // Logger, BodyMemory and OnMemoryShare are not set
+	ManagementAddress string       // HOST:PORT of the management API; empty: none
 	Cores             float64      // CPU limit in cores; 0: not given
 	MemoryMB          float64      // memory limit in MB; 0: not given
-	Service           string       // whose configuration the proxy follows at the registry; empty: none
-	ProxyName         string       // under which it reports there
+	Service           string       // service whose configuration the proxy follows; empty: none
+	ProxyName         string       // name under which the proxy reports to the registry
 
-	text    []byte // of the whole file
-	cluster ClusterReader
+	text    []byte        // JSON text of this configuration
+	cluster ClusterReader // decodes the section fleet, also on a reload; may be nil
 }
 
-// ClusterReader decodes the section fleet; name is the proxy's where the section gives none. Its errors are an *Error, or
-// those of encoding/json.
+// ClusterReader decodes the section fleet, which configures the cluster. name is the proxy's name, which is
+// used if the section gives none. Errors are of type *Error or come from encoding/json.
 type ClusterReader func(section json.RawMessage, name string) (*proxy.ClusterPlan, error)
 
-// Load reads the file that the variable LB_CONFIG names. LB_LISTEN, LB_DISCOVERY and LB_MGMT are used where the file has
-// no value; LB_NAME takes precedence over the file's name. Without a cluster reader a section fleet is a fault. Its errors are an *Error.
+// Load reads the file that the environment variable LB_CONFIG names. LB_LISTEN, LB_DISCOVERY and LB_MGMT are
+// used where the file has no value; LB_NAME takes precedence over the name in the file. If cluster is nil, a
+// section fleet is an error. Errors are of type *Error.
 func Load(env func(string) string, cluster ClusterReader) (*Config, error) {
 	path := env("LB_CONFIG")
 	if path == "" {
-		return nil, &Error{Key: "LB_CONFIG", Problem: "is not set", Remedy: "have it name the configuration file"}
+		return nil, &Error{Key: "LB_CONFIG", Problem: "is not set",
+			Remedy: "set it to the path of the configuration file"}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		var pathErr *fs.PathError
-		if errors.As(err, &pathErr) { // its text would name the file again
+		if errors.As(err, &pathErr) { // the text of the whole error would repeat the path
 			err = pathErr.Err
 		}
-		return nil, &Error{File: path, Problem: err.Error(), Remedy: "have LB_CONFIG name a file that can be read"}
+		return nil, &Error{File: path, Problem: err.Error(),
+			Remedy: "set LB_CONFIG to the path of a readable file"}
 	}
 	c, err := parse(text, env, cluster)
 	var fault *Error
@@ -52,8 +56,8 @@
 	return c, err
 }
 
-// Reload is Load for a configuration that replaces a previous one. A key that only the previous one has is a fault too,
-// since a truncated file may still be valid.
+// Reload is like Load for a configuration that replaces a previous one. A key that the previous configuration
+// has and the new one lacks is an error as well, since a truncated file may still be valid JSON.
 func Reload(env func(string) string, previous *Config) (*Config, error) {
 	c, err := Load(env, previous.cluster)
 	if err != nil {
@@ -66,12 +70,12 @@
 	return c, nil
 }
 
-// MissingKey returns an *Error about the first key that a previous configuration has and this one lacks; nil if there is
-// none.
+// MissingKey returns an *Error about the first key that a previous configuration has and this one lacks, or
+// nil if there is none.
 func (c *Config) MissingKey(previous *Config) *Error { return missingKey(previous.text, c.text) }
 
-// WithDocument returns this configuration with the settings of a document of its service; without a document, this one. Its
-// errors are an *Error.
+// WithDocument returns this configuration with its settings replaced by those of a document of its service. A
+// nil document returns the configuration unchanged. Errors are of type *Error.
 func (c *Config) WithDocument(document []byte, env func(string) string) (*Config, error) {
 	if document == nil {
 		return c, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,13 +8,15 @@
 	"testing"
 )
 
+// good is a valid configuration with an unknown key, which is ignored.
 const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":4,"snapshot":true,"endpoints":[]},` +
 	`"later":1,"settings":{"contract":{},"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,` +
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,` +
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-// from returns an environment with a configuration of this text.
+// from writes text to a configuration file. It returns an environment in which LB_CONFIG names the file and
+// the other variables have the values in more.
 func from(t *testing.T, text string, more map[string]string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -29,6 +31,7 @@
 	}
 }
 
+// TestLoad checks from where each value of the configuration is taken: the file or an environment variable.
 func TestLoad(t *testing.T) {
 	env := map[string]string{"LB_LISTEN": "127.0.0.1:9", "LB_DISCOVERY": "127.0.0.1:6", "LB_MGMT": "127.0.0.1:8"}
 	for _, c := range []struct {
@@ -52,6 +55,8 @@
 	}
 }
 
+// TestErrorsNameFileKeyProblemAndRemedy checks that the error about an invalid configuration names the file,
+// the key, the problem and a remedy in one line.
 func TestErrorsNameFileKeyProblemAndRemedy(t *testing.T) {
 	for _, c := range []struct{ old, new, key, problem string }{
 		{good, ``, "", "unexpected end"},
@@ -78,18 +83,20 @@
 		var fault *Error
 		if !errors.As(err, &fault) || fault.File != env("LB_CONFIG") || fault.Key != c.key ||
 			!strings.Contains(fault.Problem, c.problem) || fault.Remedy == "" || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q: got %v", c.new, c.old, err)
+			t.Errorf("%q in place of %q: got error %v, want key %q and a problem with %q",
+				c.new, c.old, err, c.key, c.problem)
 		}
 	}
 	for _, path := range []string{"", filepath.Join(t.TempDir(), "none")} {
 		var fault *Error
 		if _, err := Load(func(string) string { return path }, nil); !errors.As(err, &fault) || fault.File != path || fault.Remedy == "" {
-			t.Errorf("from %q: got %v", path, err)
+			t.Errorf("with LB_CONFIG=%q: got error %v", path, err)
 		}
 	}
 }
 
-// A file without a key of the previous one may have been truncated; values may change, and the endpoint list may go.
+// TestReloadRejectsMissingKeys checks that a reload rejects a file that lacks a key of the previous one,
+// since it may be truncated. Values may change, and the initial endpoint list may be absent.
 func TestReloadRejectsMissingKeys(t *testing.T) {
 	former, err := Load(from(t, good, nil), nil)
 	if err != nil {
@@ -105,12 +112,12 @@
 		next, err := Reload(from(t, strings.Replace(good, c.old, c.new, 1), nil), former)
 		var fault *Error
 		if c.key == "" && (err != nil || next == nil) || c.key != "" && (!errors.As(err, &fault) || fault.Key != c.key || fault.File == "") {
-			t.Errorf("%q for %q: got %v", c.new, c.old, err)
+			t.Errorf("%q in place of %q: got error %v, want key %q", c.new, c.old, err, c.key)
 		}
 	}
 }
 
-// Whatever a file contains, it is decoded or its fault is an *Error with a remedy.
+// FuzzParse checks that any text is either decoded or rejected with an *Error that has a remedy.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
 	f.Add([]byte(`{"listen":"a:1","discovery":"a:2","seed":"1","settings":null,"fleet":null}`))
@@ -119,9 +126,9 @@
 		var fault *Error
 		switch {
 		case err == nil && (c == nil || c.Proxy.Cluster != nil):
-			t.Errorf("read as %+v", c)
+			t.Errorf("decoded as %+v without an error, want no cluster", c)
 		case err != nil && (!errors.As(err, &fault) || c != nil || fault.Problem == "" || fault.Remedy == ""):
-			t.Errorf("got %+v, %v", c, err)
+			t.Errorf("got %+v and error %v, want an *Error with a problem and a remedy", c, err)
 		}
 	})
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,14 +6,15 @@
 	"merlinpick/internal/settings"
 )
 
-// Error is a fault of the configuration.
+// Error reports a problem with the configuration and how to correct it.
 type Error struct {
-	File    string // empty: there is none
-	Key     string // as in settings.profiles[0].name, or an environment variable; empty: the whole file
-	Problem string
-	Remedy  string
+	File    string // path of the configuration file; empty: the error is not about a file
+	Key     string // path such as settings.profiles[0].name, or a variable's name; empty: the whole file
+	Problem string // what is wrong
+	Remedy  string // what the operator can do about it
 }
 
+// Error returns the file, the key and the problem, as far as they are known, and the remedy.
 func (e *Error) Error() string {
 	var parts []string
 	for _, part := range []string{e.File, e.Key, e.Problem} {
@@ -24,8 +25,10 @@
 	return strings.Join(parts, ": ") + "; " + e.Remedy
 }
 
-// decodeError returns an *Error about a section, or a key below it that the error names.
+// decodeError converts an error of decoding a section to an *Error. Its key is the one that the error names,
+// or the section.
 func decodeError(section string, err error) *Error {
 	fault := settings.WithSection(section, err)
-	return &Error{Key: fault.Key, Problem: fault.Problem, Remedy: "correct it; nothing of the file is in force"}
+	return &Error{Key: fault.Key, Problem: fault.Problem,
+		Remedy: "correct it; nothing from the file was applied"}
 }
--- a/internal/config/missingkey.go
+++ b/internal/config/missingkey.go
@@ -9,9 +9,10 @@
 	"strings"
 )
 
-// missingKey returns an *Error about the first key that a previous configuration has and the next one lacks, as a
-// truncated file may show; nil if there is none. Entries of a list are compared by the keys that all of them have. The
-// endpoint list is not compared: its contents come from discovery.
+// missingKey returns an *Error about the first key that a previous configuration has and the next one lacks,
+// which may be the sign of a truncated file, or nil if there is none. An entry of a list must have the keys
+// that all previous entries have in common. The initial endpoint list is not compared, since discovery
+// replaces it.
 func missingKey(previous, next []byte) *Error {
 	var previousKeys, nextKeys map[string]any
 	if err := errors.Join(json.Unmarshal(previous, &previousKeys), json.Unmarshal(next, &nextKeys)); err != nil {
@@ -21,13 +22,13 @@
 	return missingBelow("", previousKeys, nextKeys)
 }
 
-// missingBelow is missingKey for the value of a key.
+// missingBelow returns an *Error about the first key below key that previous has and next lacks, or nil.
 func missingBelow(key string, previous, next any) *Error {
 	switch previous := previous.(type) {
 	case map[string]any:
 		next, ok := next.(map[string]any)
 		if !ok {
-			return missingKeyError(key, "no object")
+			return missingKeyError(key, "is not an object")
 		}
 		for _, name := range slices.Sorted(maps.Keys(previous)) {
 			value, ok := next[name]
@@ -41,7 +42,7 @@
 	case []any:
 		next, ok := next.([]any)
 		if !ok {
-			return missingKeyError(key, "no list")
+			return missingKeyError(key, "is not a list")
 		}
 		common := commonKeys(previous)
 		if len(common) == 0 {
@@ -56,12 +57,14 @@
 	return nil
 }
 
+// missingKeyError returns the *Error for a key that a reload would remove.
 func missingKeyError(key, problem string) *Error {
 	return &Error{Key: strings.TrimPrefix(key, "."), Problem: problem,
-		Remedy: "give it as the file in force does; to do without it, restart"}
+		Remedy: "set it as in the active configuration; removing a key needs a restart"}
 }
 
-// commonKeys returns the keys that all entries of a list have, without their values.
+// commonKeys returns the keys that all entries of a list have, with nil values. It returns nil if an entry is
+// not an object.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for _, entry := range list {
