--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -49,9 +49,9 @@
 			Remedy: "set LB_CONFIG to the path of a readable file"}
 	}
 	c, err := parse(text, env, cluster)
-	var fault *Error
-	if errors.As(err, &fault) {
-		fault.File = path
+	var configErr *Error
+	if errors.As(err, &configErr) {
+		configErr.File = path
 	}
 	return c, err
 }
@@ -63,9 +63,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if fault := c.MissingKey(previous); fault != nil {
-		fault.File = env("LB_CONFIG")
-		return nil, fault
+	if missing := c.MissingKey(previous); missing != nil {
+		missing.File = env("LB_CONFIG")
+		return nil, missing
 	}
 	return c, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// good is a valid configuration with an unknown key, which is ignored.
-const good = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
+// validConfig is a valid configuration with an unknown key, which is ignored.
+const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":4,"snapshot":true,"endpoints":[]},` +
 	`"later":1,"settings":{"contract":{},"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,` +
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,` +
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-// from writes text to a configuration file. It returns an environment in which LB_CONFIG names the file and
-// the other variables have the values in more.
-func from(t *testing.T, text string, more map[string]string) func(string) string {
+// environment writes text to a configuration file. It returns an environment in which LB_CONFIG names the file and
+// the other variables have the values in variables.
+func environment(t *testing.T, text string, variables map[string]string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -27,7 +27,7 @@
 		if name == "LB_CONFIG" {
 			return path
 		}
-		return more[name]
+		return variables[name]
 	}
 }
 
@@ -44,7 +44,7 @@
 		{`"listen":"127.0.0.1:0","discovery":"127.0.0.1:1",`, "", env, "127.0.0.1:9", "127.0.0.1:6", "127.0.0.1:8"},
 		{"{", `{"mgmt":"127.0.0.1:7",`, env, "127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:7"},
 	} {
-		got, err := Load(from(t, strings.Replace(good, c.old, c.new, 1), c.env), nil)
+		got, err := Load(environment(t, strings.Replace(validConfig, c.old, c.new, 1), c.env), nil)
 		if err != nil {
 			t.Fatalf("%+v: %v", c, err)
 		}
@@ -59,7 +59,7 @@
 // the key, the problem and a remedy in one line.
 func TestErrorsNameFileKeyProblemAndRemedy(t *testing.T) {
 	for _, c := range []struct{ old, new, key, problem string }{
-		{good, ``, "", "unexpected end"},
+		{validConfig, ``, "", "unexpected end"},
 		{`"listen":"127.0.0.1:0",`, ``, "listen", "missing"},
 		{`"discovery":"127.0.0.1:1",`, ``, "discovery", "missing"},
 		{`"seed"`, `"discovery_members":["127.0.0.1:1","here"],"seed"`, "discovery_members[1]", "missing port"},
@@ -78,18 +78,20 @@
 		{`"automatic"`, `"never"`, "settings.membership_mode", `"never"`},
 		{`"later"`, `"fleet":{"label":"x"},"later"`, "fleet", "built without"},
 	} {
-		env := from(t, strings.Replace(good, c.old, c.new, 1), nil)
+		env := environment(t, strings.Replace(validConfig, c.old, c.new, 1), nil)
 		_, err := Load(env, nil)
-		var fault *Error
-		if !errors.As(err, &fault) || fault.File != env("LB_CONFIG") || fault.Key != c.key ||
-			!strings.Contains(fault.Problem, c.problem) || fault.Remedy == "" || strings.Contains(err.Error(), "\n") {
+		var configErr *Error
+		if !errors.As(err, &configErr) || configErr.File != env("LB_CONFIG") || configErr.Key != c.key ||
+			!strings.Contains(configErr.Problem, c.problem) || configErr.Remedy == "" ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q in place of %q: got error %v, want key %q and a problem with %q",
 				c.new, c.old, err, c.key, c.problem)
 		}
 	}
 	for _, path := range []string{"", filepath.Join(t.TempDir(), "none")} {
-		var fault *Error
-		if _, err := Load(func(string) string { return path }, nil); !errors.As(err, &fault) || fault.File != path || fault.Remedy == "" {
+		var configErr *Error
+		if _, err := Load(func(string) string { return path }, nil); !errors.As(err, &configErr) ||
+			configErr.File != path || configErr.Remedy == "" {
 			t.Errorf("with LB_CONFIG=%q: got error %v", path, err)
 		}
 	}
@@ -98,7 +100,7 @@
 // TestReloadRejectsMissingKeys checks that a reload rejects a file that lacks a key of the previous one,
 // since it may be truncated. Values may change, and the initial endpoint list may be absent.
 func TestReloadRejectsMissingKeys(t *testing.T) {
-	former, err := Load(from(t, good, nil), nil)
+	previous, err := Load(environment(t, validConfig, nil), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,9 +111,10 @@
 		{`"known":{"index":4,"snapshot":true,"endpoints":[]},`, ``, ""},
 		{`"try_limit":3`, `"try_limit":4`, ""},
 	} {
-		next, err := Reload(from(t, strings.Replace(good, c.old, c.new, 1), nil), former)
-		var fault *Error
-		if c.key == "" && (err != nil || next == nil) || c.key != "" && (!errors.As(err, &fault) || fault.Key != c.key || fault.File == "") {
+		next, err := Reload(environment(t, strings.Replace(validConfig, c.old, c.new, 1), nil), previous)
+		var configErr *Error
+		if c.key == "" && (err != nil || next == nil) || c.key != "" &&
+			(!errors.As(err, &configErr) || configErr.Key != c.key || configErr.File == "") {
 			t.Errorf("%q in place of %q: got error %v, want key %q", c.new, c.old, err, c.key)
 		}
 	}
@@ -119,15 +122,16 @@
 
 // FuzzParse checks that any text is either decoded or rejected with an *Error that has a remedy.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfig))
 	f.Add([]byte(`{"listen":"a:1","discovery":"a:2","seed":"1","settings":null,"fleet":null}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := parse(text, func(string) string { return "" }, nil)
-		var fault *Error
+		var configErr *Error
 		switch {
 		case err == nil && (c == nil || c.Proxy.Cluster != nil):
 			t.Errorf("decoded as %+v without an error, want no cluster", c)
-		case err != nil && (!errors.As(err, &fault) || c != nil || fault.Problem == "" || fault.Remedy == ""):
+		case err != nil && (!errors.As(err, &configErr) || c != nil || configErr.Problem == "" ||
+			configErr.Remedy == ""):
 			t.Errorf("got %+v and error %v, want an *Error with a problem and a remedy", c, err)
 		}
 	})
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -28,7 +28,7 @@
 // decodeError converts an error of decoding a section to an *Error. Its key is the one that the error names,
 // or the section.
 func decodeError(section string, err error) *Error {
-	fault := settings.WithSection(section, err)
-	return &Error{Key: fault.Key, Problem: fault.Problem,
+	settingErr := settings.WithSection(section, err)
+	return &Error{Key: settingErr.Key, Problem: settingErr.Problem,
 		Remedy: "correct it; nothing from the file was applied"}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -60,8 +60,8 @@
 	Cluster json.RawMessage `json:"fleet"`
 }
 
-// isGiven reports whether a section is present and not null.
-func isGiven(section json.RawMessage) bool { return len(section) > 0 && string(section) != "null" }
+// isPresent reports whether a section is present and not null.
+func isPresent(section json.RawMessage) bool { return len(section) > 0 && string(section) != "null" }
 
 // parse decodes and checks the text of a configuration. Errors are of type *Error with an empty File.
 func parse(text []byte, env func(string) string, cluster ClusterReader) (*Config, error) {
@@ -97,12 +97,12 @@
 	if p.Site, err = decodeSettings(f.Settings); err != nil {
 		return nil, err
 	}
-	if isGiven(f.InitialList) {
+	if isPresent(f.InitialList) {
 		if p.InitialList, err = discovery.Parse(f.InitialList); err != nil {
 			return nil, decodeError("known", err)
 		}
 	}
-	if isGiven(f.Cluster) {
+	if isPresent(f.Cluster) {
 		if p.Cluster, err = c.clusterPlan(f.Cluster); err != nil {
 			return nil, err
 		}
@@ -168,7 +168,7 @@
 		return &Error{Key: "name",
 			Problem: fmt.Sprintf("has %d bytes; with config_service the limit is %d",
 				len(f.ProxyName), maxNameBytes),
-			Remedy:  "set it or LB_NAME to a shorter name"}
+			Remedy: "set it or LB_NAME to a shorter name"}
 	}
 	return nil
 }
@@ -189,7 +189,7 @@
 
 // decodeSettings decodes the section settings. Errors are of type *Error.
 func decodeSettings(section json.RawMessage) (*settings.Site, error) {
-	if !isGiven(section) {
+	if !isPresent(section) {
 		return nil, &Error{Key: "settings", Problem: "is missing", Remedy: "add the settings of the tier"}
 	}
 	site, err := settings.Read(section)
@@ -206,8 +206,8 @@
 			Remedy: "run bin/merlinpick-cluster-proxy, or remove the section"}
 	}
 	plan, err := c.cluster(section, c.ProxyName)
-	var fault *Error
-	if err != nil && !errors.As(err, &fault) {
+	var configErr *Error
+	if err != nil && !errors.As(err, &configErr) {
 		err = decodeError("fleet", err)
 	}
 	return plan, err
--- a/internal/config/missingkey.go
+++ b/internal/config/missingkey.go
@@ -19,11 +19,11 @@
 		return decodeError("", err)
 	}
 	delete(previousKeys, "known")
-	return missingBelow("", previousKeys, nextKeys)
+	return findMissingKey("", previousKeys, nextKeys)
 }
 
-// missingBelow returns an *Error about the first key below key that previous has and next lacks, or nil.
-func missingBelow(key string, previous, next any) *Error {
+// findMissingKey returns an *Error about the first key below key that previous has and next lacks, or nil.
+func findMissingKey(key string, previous, next any) *Error {
 	switch previous := previous.(type) {
 	case map[string]any:
 		next, ok := next.(map[string]any)
@@ -35,7 +35,7 @@
 			if !ok {
 				return missingKeyError(key+"."+name, "is missing")
 			}
-			if err := missingBelow(key+"."+name, previous[name], value); err != nil {
+			if err := findMissingKey(key+"."+name, previous[name], value); err != nil {
 				return err
 			}
 		}
@@ -49,7 +49,7 @@
 			return nil
 		}
 		for i, entry := range next {
-			if err := missingBelow(fmt.Sprintf("%s[%d]", key, i), common, entry); err != nil {
+			if err := findMissingKey(fmt.Sprintf("%s[%d]", key, i), common, entry); err != nil {
 				return err
 			}
 		}
