--- a/internal/management/golden_test.go
+++ b/internal/management/golden_test.go
@@ -12,7 +12,8 @@
 
 var record = flag.Bool("golden.record", false, "write golden files that do not exist yet")
 
-// TestEndpointTextsMatchGoldenFiles holds the whole text of the metrics and of the zones, by which callers read them.
+// TestEndpointTextsMatchGoldenFiles checks the whole text of the metrics and of the zones, since operators'
+// tools parse it.
 func TestEndpointTextsMatchGoldenFiles(t *testing.T) {
 	p := &fakeProxy{metrics: Metrics{
 		Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}}, InFlight: 7, Forwarded: 8, ListedServers: 9, EjectedServers: 10,
--- a/internal/management/handlers.go
+++ b/internal/management/handlers.go
@@ -12,6 +12,7 @@
 
 const textPlain = "text/plain; charset=utf-8"
 
+// handleReady answers whether the proxy is ready, with 200 or 503.
 func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if reason := s.proxy.NotReadyReason(); reason != "" {
 		http.Error(w, "not ready: "+reason, http.StatusServiceUnavailable)
@@ -20,11 +21,13 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
+// handleMetrics writes the proxy's metrics.
 func (s *Server) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", textPlain)
 	_, _ = w.Write(s.proxy.Metrics().encode())
 }
 
+// handleZones writes one line for each zone.
 func (s *Server) handleZones(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", textPlain)
 	for _, zone := range s.proxy.Zones() {
@@ -33,7 +36,7 @@
 	}
 }
 
-// serverCall handles a call on one server.
+// serverCall returns the handler of an operator call that acts on one server. call is its name in the log.
 func (s *Server) serverCall(call string, do func(server string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		server := r.PathValue("id")
@@ -47,7 +50,7 @@
 	}
 }
 
-// zoneCall handles a call on one zone.
+// zoneCall returns the handler of an operator call that acts on one zone. call is its name in the log.
 func (s *Server) zoneCall(call string, do func(zone string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		zone := r.PathValue("name")
@@ -67,7 +70,8 @@
 	}
 }
 
-// respond logs and answers a call that took effect, or failed and may be repeated.
+// respond logs and answers an operator call: with 200 if it took effect, or with 503 if it failed and may be
+// retried. subject is what the call acts on.
 func (s *Server) respond(w http.ResponseWriter, err error, call, subject slog.Attr) {
 	if err != nil {
 		s.log.Error("operator call failed", call, subject, "error", err)
--- a/internal/management/metrics.go
+++ b/internal/management/metrics.go
@@ -8,77 +8,77 @@
 	"time"
 )
 
-// RequestCounts counts the requests of a class by how they ended.
+// RequestCounts counts the finished requests of a class by result.
 type RequestCounts struct {
 	Succeeded int64
-	Rejected  int64 // by the proxy
+	Rejected  int64 // rejected by the proxy itself
 	Failed    int64
 }
 
-// Metrics are the proxy's figures. Counts are totals since the start. The names that callers read stand in the encode
-// methods only.
+// Metrics are the proxy's metrics. Counts are totals since the process started. The names under which they
+// are exported are only in the encode methods.
 type Metrics struct {
 	Classes         map[string]RequestCounts
-	InFlight        int64         // requests
-	Forwarded       int64         // attempts whose request was sent in full
-	ListedServers   int           // in the endpoint list
-	EjectedServers  int           // listed ones that get no requests, or trials only
-	ReloadsApplied  int64         // configurations, at SIGHUP
-	ReloadsRejected int64         // the same
-	Rollout         *Rollout      // nil unless the proxy follows its service's configuration
+	InFlight        int64         // requests in flight
+	Forwarded       int64         // attempts whose request was sent completely
+	ListedServers   int           // servers in the endpoint list
+	EjectedServers  int           // listed servers that get no requests, or only trial requests
+	ReloadsApplied  int64         // configuration reloads on SIGHUP that were applied
+	ReloadsRejected int64         // configuration reloads on SIGHUP that were rejected
+	Rollout         *Rollout      // nil unless the proxy follows a service's configuration at the registry
 	EndpointList    *EndpointList // may be nil
 	Cluster         *Cluster      // nil unless the proxy is a member of a cluster
 	Zones           []Zone        // empty unless the proxy is a member of a cluster or a zone is drained
 
-	RuleViolations map[string]int64 // by rule, as the proxy found them in its own behaviour
+	RuleViolations map[string]int64 // violations of its own rules that the proxy detected, by rule
 	Events         map[string]int64 // closed connections, rejections and ended attempts, by reason
 }
 
-// EndpointList describes how current the proxy's endpoint list is.
+// EndpointList describes how up to date the proxy's endpoint list is.
 type EndpointList struct {
-	Age      time.Duration    // since discovery last confirmed it; negative: never
-	Stale    bool             // there may be changes that the proxy has not received
-	Failures int64            // calls that failed
-	Calls    map[string]int64 // by result
+	Age      time.Duration    // time since discovery last confirmed the list; negative: never
+	Stale    bool             // the list may have changed without the proxy having received the change
+	Failures int64            // failed calls to discovery
+	Calls    map[string]int64 // calls to discovery, by result
 
 	Registry *RegistryClient // nil unless the list comes from the registry
 }
 
-// RegistryClient describes the proxy's relation to the registry.
+// RegistryClient describes the proxy's connection to the registry.
 type RegistryClient struct {
-	Failovers         int64 // from one registry member to another
-	RetainedEndpoints int64 // which a new epoch of the list lacks, kept for a while
+	Failovers         int64 // changes from one registry member to another
+	RetainedEndpoints int64 // endpoints that a new epoch of the list lacks and that are kept for a while
 }
 
 // Rollout describes the configuration that the proxy received for its service.
 type Rollout struct {
-	Version         int64         // in force; 0: the configuration file's
-	RejectedVersion int64         // a newer one that could not be applied; 0: none
-	Age             time.Duration // since a registry member last answered; negative: never
-	Applied         int64         // documents
-	Failures        int64         // calls that failed
+	Version         int64         // active version; 0: the settings of the configuration file are active
+	RejectedVersion int64         // newer version that could not be applied; 0: none
+	Age             time.Duration // time since a registry member last answered; negative: never
+	Applied         int64         // documents applied
+	Failures        int64         // failed calls to the registry
 }
 
 // Cluster describes the proxy's membership in its cluster.
 type Cluster struct {
-	Open              bool          // its address is bound
-	LiveMembers       int           // this one included
-	LiveMembersInZone int           // of them, in this one's zone
-	Isolated          bool          // no other member is heard: the proxy decides alone
-	Isolations        int64         // times that this was so
-	Entries           int           // live entries of other members
-	OldestEntry       time.Duration // greatest age of these
-	SuspendedServers  int           // and drained zones, by operators' overrides, at all members
-	BytesIn, BytesOut int64
-	Sent              int64            // entries gossiped, each transmission
-	Dropped           int64            // messages and entries for which there was no room
+	Open              bool             // the cluster address is bound
+	LiveMembers       int              // live members, including this one
+	LiveMembersInZone int              // those of them in this member's zone
+	Isolated          bool             // no other member responds; only the proxy's own data counts
+	Isolations        int64            // times that the proxy became isolated
+	Entries           int              // live entries of other members
+	OldestEntry       time.Duration    // age of the oldest of these entries
+	SuspendedServers  int              // suspended servers and drained zones, by the overrides of all members
+	BytesIn, BytesOut int64            // gossip traffic
+	Sent              int64            // entries gossiped; each transmission counts
+	Dropped           int64            // messages and entries that were dropped because a queue was full
 	Joined, Left      int64            // members that joined, and that left or died
-	JoinAttempts      int64            // calls to seeds and lost members
-	JoinFailures      int64            // of them
-	Rejected          map[string]int64 // messages, by reason
+	JoinAttempts      int64            // join attempts, to seeds and to lost members
+	JoinFailures      int64            // join attempts that failed
+	Rejected          map[string]int64 // rejected messages, by reason
 }
 
-// encode writes one figure per line, in a stable order.
+// encode returns the text of the metrics: one metric per line, as name=value, in a stable order.
 func (m Metrics) encode() []byte {
 	var b bytes.Buffer
 	for _, class := range slices.Sorted(maps.Keys(m.Classes)) {
@@ -100,13 +100,14 @@
 	return b.Bytes()
 }
 
+// encodeCounts writes one line for each count, sorted by name.
 func encodeCounts(b *bytes.Buffer, prefix string, counts map[string]int64) {
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(b, "%s%s=%d\n", prefix, name, counts[name])
 	}
 }
 
-// ageMs returns an age in milliseconds, -1 for a negative one.
+// ageMs returns an age in milliseconds, or -1 if it is negative, which means that there is none.
 func ageMs(age time.Duration) int64 {
 	if age < 0 {
 		return -1
@@ -114,6 +115,7 @@
 	return age.Milliseconds()
 }
 
+// boolFigure returns the value of a boolean metric.
 func boolFigure(b bool) int {
 	if b {
 		return 1
@@ -121,6 +123,7 @@
 	return 0
 }
 
+// encode writes the metrics of the endpoint list; nil writes none.
 func (l *EndpointList) encode(b *bytes.Buffer) {
 	if l == nil {
 		return
@@ -133,6 +136,7 @@
 	}
 }
 
+// encode writes the metrics of the rollout; nil writes none.
 func (r *Rollout) encode(b *bytes.Buffer) {
 	if r == nil {
 		return
@@ -141,6 +145,7 @@
 		"app.config_failures=%d\n", r.Version, r.RejectedVersion, ageMs(r.Age), r.Applied, r.Failures)
 }
 
+// encode writes the metrics of the cluster; nil writes none.
 func (c *Cluster) encode(b *bytes.Buffer) {
 	if c == nil {
 		return
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -1,6 +1,6 @@
-// Package management serves the proxy's management address: calls of on-call staff and of monitoring. It has its own
-// listener and connections and answers from memory, so that no call waits for traffic or for another caller. It never
-// decides anything: calls that change something are the proxy's.
+// Package management serves the proxy's management API for operators and monitoring. It has its own listener
+// and connections and answers from memory, so that no call waits for proxied traffic or for another caller.
+// It makes no decisions of its own: calls that change something are passed to the proxy.
 package management
 
 import (
@@ -19,28 +19,33 @@
 	"merlinpick/internal/listener"
 )
 
-// MaxConns is how many callers are served at once; it bounds the descriptors that are reserved for them.
+// MaxConns is the maximum number of open connections to the management address. As many file descriptors are
+// reserved.
 const MaxConns = 16
 
 const (
-	callTimeout    = 2 * time.Second // to receive a complete call
-	writeTimeout   = 2 * time.Second // to send its response, in addition
+	callTimeout    = 2 * time.Second // for receiving a complete call
+	writeTimeout   = 2 * time.Second // for sending its response, in addition to callTimeout
 	maxHeaderBytes = 4 << 10
-	maxBodyBytes   = 4 << 10 // no call needs a body; it is read so that a call is known to be complete
+	maxBodyBytes   = 4 << 10 // no call needs a body, but it is read to make sure that the call is complete
 )
 
-// Proxy is what the calls act on. Its methods are called from many goroutines and return soon.
+// Proxy is the proxy that the calls act on. Its methods must be safe for concurrent use and return quickly.
 type Proxy interface {
-	// NotReadyReason returns what the proxy lacks to serve requests now; empty: it is ready.
+	// NotReadyReason returns why the proxy cannot serve requests now. It is empty if the proxy is ready.
 	NotReadyReason() string
+
+	// Metrics returns the current metrics.
 	Metrics() Metrics
 
-	// SuspendServer and ResumeServer return once the proxy acts on the override and it outlives the process. An
-	// *override.UnknownServerError is final; after other errors the call may be repeated.
+	// SuspendServer and ResumeServer set and remove an override that keeps requests away from a server. They
+	// return once the override is in effect and stored, so that it survives a restart. An
+	// *override.UnknownServerError is permanent; after other errors the caller may retry.
 	SuspendServer(server string) error
 	ResumeServer(server string) error
 
-	// DrainZone and RestoreZone do the same for a zone. An *override.UnknownZoneError or *override.LastZoneError is final.
+	// DrainZone and RestoreZone do the same for a zone. An *override.UnknownZoneError and an
+	// *override.LastZoneError are permanent.
 	DrainZone(zone string) error
 	RestoreZone(zone string) error
 
@@ -48,7 +53,7 @@
 	Zones() []Zone
 }
 
-// Server answers calls on the management address.
+// Server serves the management API.
 type Server struct {
 	proxy    Proxy
 	log      *slog.Logger
@@ -56,12 +61,13 @@
 	http     *http.Server
 
 	mu      sync.Mutex
-	callers []caller // the oldest first
+	callers []caller // open connections, the oldest first
 }
 
+// caller is an open connection to the management address.
 type caller struct {
 	net.Conn
-	complete bool // its call was received
+	complete bool // a complete call was received
 }
 
 // ListenError reports that the management address could not be opened.
@@ -70,7 +76,7 @@
 	Err     error
 }
 
-// Error implements error.
+// Error returns the address, the cause and what the operator can do.
 func (e *ListenError) Error() string {
 	return fmt.Sprintf("open management address %s: %v; set mgmt (LB_MGMT) to an address of this machine on which no other "+
 		"process listens", e.Address, e.Err)
@@ -79,8 +85,8 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Listen opens the address; Serve answers there. log gets failed accepts and the calls that change something. The error
-// is a *ListenError.
+// Listen opens the management address; call Serve to answer calls there. Failed accepts and calls that change
+// something are logged to log. The error is of type *ListenError.
 func Listen(address string, proxy Proxy, log *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -89,6 +95,7 @@
 	return newServer(l, proxy, log), nil
 }
 
+// newServer returns a server of the management API on a listener.
 func newServer(l net.Listener, proxy Proxy, log *slog.Logger) *Server {
 	s := &Server{proxy: proxy, log: log, listener: listener.Retry(l, log)}
 	mux := http.NewServeMux()
@@ -114,7 +121,7 @@
 	return s
 }
 
-// Addr returns the address that callers connect to.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Serve answers calls until Close, and then returns nil.
@@ -128,8 +135,8 @@
 // Close closes the listener and all callers' connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// limitCallers implements http.Server's ConnState. A new caller beyond MaxConns replaces the one that was connected for
-// the longest time without sending a complete call.
+// limitCallers is the http.Server's ConnState hook. If a connection beyond MaxConns is opened, it closes the
+// oldest one that has not sent a complete call, or the oldest of all if each has.
 func (s *Server) limitCallers(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,10 +153,11 @@
 	}
 }
 
-// connKey is the context key of a call's connection.
+// connKey is the context key under which a call's context holds its connection.
 type connKey struct{}
 
-// awaitComplete passes a call on once all of it was received: part of a call must have no effect.
+// awaitComplete returns a handler that calls next only once a call was received completely: a partial call
+// must have no effect.
 func (s *Server) awaitComplete(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes+1))
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -14,8 +14,9 @@
 	"merlinpick/internal/override"
 )
 
-const testTimeout = 20 * time.Second // only a failing test waits so long
+const testTimeout = 20 * time.Second // reached only by a failing test
 
+// fakeProxy answers with fixed values and records the last operator call that it accepted.
 type fakeProxy struct {
 	notReadyReason string
 	metrics        Metrics
@@ -32,6 +33,7 @@
 func (p *fakeProxy) RestoreZone(zone string) error { return p.do("restore", zone) }
 func (p *fakeProxy) Zones() []Zone                 { return p.metrics.Zones }
 
+// do records a call. The names of some servers and zones make it fail instead.
 func (p *fakeProxy) do(verb, nodo string) error {
 	switch nodo {
 	case "nowhere":
@@ -47,6 +49,7 @@
 	return nil
 }
 
+// start serves the management API of p on a loopback address until the test ends.
 func start(t *testing.T, p Proxy) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", p, slog.New(slog.DiscardHandler))
@@ -64,6 +67,7 @@
 	return s
 }
 
+// dial opens a connection to the server, which is closed when the test ends.
 func dial(t *testing.T, s *Server) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr())
@@ -75,7 +79,8 @@
 	return c
 }
 
-// call makes one call and returns the response's status and body.
+// call sends one call, given as the text of its HTTP request, and returns the status and the body of the
+// response. It checks that the server then closes the connection.
 func call(t *testing.T, s *Server, text string) (int, string) {
 	t.Helper()
 	c := dial(t, s)
@@ -91,47 +96,53 @@
 		t.Fatal(err)
 	}
 	if !resp.Close {
-		t.Errorf("%q: the connection stays open", text)
+		t.Errorf("%q: the response does not close the connection", text)
 	}
 	return resp.StatusCode, string(body)
 }
 
+// request returns the text of an HTTP request without a body, with further header lines.
 func request(line, more string) string { return line + " HTTP/1.1\r\nHost: proxy\r\n" + more + "\r\n" }
 
+// TestReadyAndMetrics checks the responses of the readiness and metrics endpoints.
 func TestReadyAndMetrics(t *testing.T) {
 	p := &fakeProxy{metrics: Metrics{Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}},
 		InFlight: 7, Forwarded: 8, ListedServers: 9, EjectedServers: 10, ReloadsApplied: 11, ReloadsRejected: 12}}
 	s := start(t, p)
 	if status, _ := call(t, s, request("GET /v1/readyz", "")); status != 200 {
-		t.Errorf("ready: %d", status)
+		t.Errorf("GET /v1/readyz of a ready proxy: status %d, want 200", status)
 	}
 	p.notReadyReason = "no list"
 	if status, text := call(t, s, request("GET /v1/readyz", "")); status != 503 || text != "not ready: no list\n" {
-		t.Errorf("not ready: %d %q", status, text)
+		t.Errorf("GET /v1/readyz of a proxy that is not ready: status %d, body %q", status, text)
 	}
 	want := "app.succeeded.buy=4\napp.declined.buy=5\napp.aborted.buy=6\n" +
 		"app.succeeded.look=1\napp.declined.look=2\napp.aborted.look=3\n" +
 		"app.outstanding=7\napp.forwards=8\napp.discovered=9\napp.ejected=10\n" +
 		"app.sighup_applied=11\napp.sighup_rejected=12\n"
 	if status, text := call(t, s, request("GET /v1/metrics", "")); status != 200 || text != want {
-		t.Errorf("metrics: %d\n%s", status, text)
+		t.Errorf("GET /v1/metrics: status %d\ngot\n%s\nwant\n%s", status, text, want)
 	}
 }
 
+// TestClusterFiguresOnlyInACluster checks that the cluster metrics are exported only by a proxy that has
+// them.
 func TestClusterFiguresOnlyInACluster(t *testing.T) {
 	if text := string((&Metrics{}).encode()); strings.Contains(text, "fleet") {
-		t.Errorf("on its own: %s", text)
+		t.Errorf("a proxy without a cluster exports cluster metrics:\n%s", text)
 	}
 	text := string((&Metrics{Cluster: &Cluster{Open: true, LiveMembers: 3, LiveMembersInZone: 2, Isolated: true, OldestEntry: 1500 * time.Millisecond,
 		Rejected: map[string]int64{"late": 5, "label": 4}}}).encode())
 	for _, want := range []string{"app.fleet_open=1\n", "app.fleet_living=3\n", "app.fleet_near=2\n", "app.fleet_alone=1\n",
 		"app.fleet_oldest_ms=1500\n", "app.fleet_refused.label=4\napp.fleet_refused.late=5\n"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is missing in\n%s", want, text)
+			t.Errorf("%q is missing in the metrics:\n%s", want, text)
 		}
 	}
 }
 
+// TestUnknownCallsAreRejected checks that unknown paths and methods and malformed or too large calls get an
+// error status.
 func TestUnknownCallsAreRejected(t *testing.T) {
 	s := start(t, &fakeProxy{})
 	for _, text := range []string{
@@ -141,12 +152,13 @@
 		request("GET /v1/readyz", "Long: "+strings.Repeat("x", 20000)+"\r\n"),
 	} {
 		if status, _ := call(t, s, text); status < 400 || status > 599 {
-			t.Errorf("%.60q: %d", text, status)
+			t.Errorf("%.60q: status %d, want 400 to 599", text, status)
 		}
 	}
 }
 
-// Any number of callers that hold a connection without a complete call block no others, and are closed.
+// TestIncompleteCallsDoNotBlockOthers checks that connections without a complete call, however many, block no
+// other caller and are closed in the end.
 func TestIncompleteCallsDoNotBlockOthers(t *testing.T) {
 	s := start(t, &fakeProxy{})
 	var held []net.Conn
@@ -160,18 +172,19 @@
 		held = append(held, c)
 		if i%8 == 0 {
 			if status, _ := call(t, s, request("GET /v1/readyz", "")); status != 200 {
-				t.Fatalf("beside %d held connections: %d", i, status)
+				t.Fatalf("with %d incomplete calls open: status %d, want 200", i, status)
 			}
 		}
 	}
 	for i, c := range held {
 		if _, err := io.ReadAll(c); err != nil && strings.Contains(err.Error(), "timeout") {
-			t.Fatalf("connection %d is still open", i)
+			t.Fatalf("connection %d with an incomplete call is still open", i)
 		}
 	}
 }
 
-// A call that announces a body must have no effect before all of it was received.
+// TestPartialCallHasNoEffect checks that a call that announces a body has no effect before the whole body was
+// received.
 func TestPartialCallHasNoEffect(t *testing.T) {
 	s := start(t, &fakeProxy{})
 	c := dial(t, s)
@@ -180,10 +193,11 @@
 	}
 	text, _ := io.ReadAll(c)
 	if strings.Contains(string(text), "200 OK") {
-		t.Errorf("a partial call got %q", text)
+		t.Errorf("a partial call got the response %q", text)
 	}
 }
 
+// TestServerCalls checks the operator calls that suspend and resume a server.
 func TestServerCalls(t *testing.T) {
 	p := &fakeProxy{}
 	s := start(t, p)
@@ -201,11 +215,12 @@
 		{post("/v1/nodos//suspend"), 404, ""},
 		{post("/v1/nodos/s-1/stop"), 404, ""},
 		{request("GET /v1/nodos/s-1/suspend", ""), 405, ""},
-		{request("POST /v1/nodos/s-1/suspend", ""), 200, "suspend s-1"}, // complete without a body too
+		// A call without Content-Length is complete as well.
+		{request("POST /v1/nodos/s-1/suspend", ""), 200, "suspend s-1"},
 	} {
 		p.lastCall = ""
 		if status, _ := call(t, s, c.text); status != c.status || p.lastCall != c.did {
-			t.Errorf("%q: %d, did %q", c.text, status, p.lastCall)
+			t.Errorf("%q: status %d, call %q; want %d, %q", c.text, status, p.lastCall, c.status, c.did)
 		}
 	}
 }
