--- a/internal/management/golden_test.go
+++ b/internal/management/golden_test.go
@@ -29,7 +29,7 @@
 			time.Duration(phase) * time.Second, "reason = \"" + string(rune('0'+phase)) + "\""})
 	}
 	for name, path := range map[string]string{"metrics.txt": "/v1/metrics", "zones.txt": "/v1/zones"} {
-		status, text := call(t, start(t, p), request("GET "+path, ""))
+		status, text := call(t, startServer(t, p), request("GET "+path, ""))
 		file := filepath.Join("testdata", name)
 		if _, err := os.Stat(file); os.IsNotExist(err) && *record {
 			if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
--- a/internal/management/handlers.go
+++ b/internal/management/handlers.go
@@ -37,10 +37,10 @@
 }
 
 // serverCall returns the handler of an operator call that acts on one server. call is its name in the log.
-func (s *Server) serverCall(call string, do func(server string) error) http.HandlerFunc {
+func (s *Server) serverCall(call string, action func(server string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		server := r.PathValue("id")
-		err := do(server)
+		err := action(server)
 		var unknown *override.UnknownServerError
 		if errors.As(err, &unknown) {
 			http.Error(w, err.Error(), http.StatusNotFound)
@@ -51,10 +51,10 @@
 }
 
 // zoneCall returns the handler of an operator call that acts on one zone. call is its name in the log.
-func (s *Server) zoneCall(call string, do func(zone string) error) http.HandlerFunc {
+func (s *Server) zoneCall(call string, action func(zone string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		zone := r.PathValue("name")
-		err := do(zone)
+		err := action(zone)
 		var unknown *override.UnknownZoneError
 		var last *override.LastZoneError
 		switch {
--- a/internal/management/metrics.go
+++ b/internal/management/metrics.go
@@ -115,8 +115,8 @@
 	return age.Milliseconds()
 }
 
-// boolFigure returns the value of a boolean metric.
-func boolFigure(b bool) int {
+// boolMetric returns the value of a boolean metric.
+func boolMetric(b bool) int {
 	if b {
 		return 1
 	}
@@ -128,8 +128,8 @@
 	if l == nil {
 		return
 	}
-	fmt.Fprintf(b, "app.list_age_ms=%d\napp.list_stale=%d\napp.list_failures=%d\n", ageMs(l.Age), boolFigure(l.Stale),
-		l.Failures)
+	fmt.Fprintf(b, "app.list_age_ms=%d\napp.list_stale=%d\napp.list_failures=%d\n",
+		ageMs(l.Age), boolMetric(l.Stale), l.Failures)
 	encodeCounts(b, "app.list_calls.", l.Calls)
 	if r := l.Registry; r != nil {
 		fmt.Fprintf(b, "app.list_moves=%d\napp.list_kept=%d\n", r.Failovers, r.RetainedEndpoints)
@@ -152,7 +152,7 @@
 	}
 	fmt.Fprintf(b, "app.fleet_open=%d\napp.fleet_living=%d\napp.fleet_near=%d\napp.fleet_alone=%d\n"+
 		"app.fleet_times_alone=%d\napp.fleet_entries=%d\napp.fleet_oldest_ms=%d\napp.fleet_suspended=%d\n",
-		boolFigure(c.Open), c.LiveMembers, c.LiveMembersInZone, boolFigure(c.Isolated),
+		boolMetric(c.Open), c.LiveMembers, c.LiveMembersInZone, boolMetric(c.Isolated),
 		c.Isolations, c.Entries, c.OldestEntry.Milliseconds(), c.SuspendedServers)
 	fmt.Fprintf(b, "app.fleet_in_bytes=%d\napp.fleet_out_bytes=%d\napp.fleet_sent=%d\napp.fleet_dropped=%d\n"+
 		"app.fleet_joined=%d\napp.fleet_gone=%d\napp.fleet_join_tried=%d\napp.fleet_join_failed=%d\n",
--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -26,31 +26,31 @@
 func (p *fakeProxy) NotReadyReason() string { return p.notReadyReason }
 func (p *fakeProxy) Metrics() Metrics       { return p.metrics }
 
-func (p *fakeProxy) SuspendServer(nodo string) error { return p.do("suspend", nodo) }
-func (p *fakeProxy) ResumeServer(nodo string) error  { return p.do("resume", nodo) }
+func (p *fakeProxy) SuspendServer(server string) error { return p.recordCall("suspend", server) }
+func (p *fakeProxy) ResumeServer(server string) error  { return p.recordCall("resume", server) }
 
-func (p *fakeProxy) DrainZone(zone string) error   { return p.do("drain", zone) }
-func (p *fakeProxy) RestoreZone(zone string) error { return p.do("restore", zone) }
+func (p *fakeProxy) DrainZone(zone string) error   { return p.recordCall("drain", zone) }
+func (p *fakeProxy) RestoreZone(zone string) error { return p.recordCall("restore", zone) }
 func (p *fakeProxy) Zones() []Zone                 { return p.metrics.Zones }
 
-// do records a call. The names of some servers and zones make it fail instead.
-func (p *fakeProxy) do(verb, nodo string) error {
-	switch nodo {
+// recordCall records a call. The names of some servers and zones make it fail instead.
+func (p *fakeProxy) recordCall(action, target string) error {
+	switch target {
 	case "nowhere":
-		return &override.UnknownZoneError{Zone: nodo}
+		return &override.UnknownZoneError{Zone: target}
 	case "last":
-		return &override.LastZoneError{Zone: nodo, Drained: []string{"other"}}
+		return &override.LastZoneError{Zone: target, Drained: []string{"other"}}
 	case "stranger":
-		return &override.UnknownServerError{Server: nodo}
+		return &override.UnknownServerError{Server: target}
 	case "stuck":
 		return errors.New("no room")
 	}
-	p.lastCall = verb + " " + nodo
+	p.lastCall = action + " " + target
 	return nil
 }
 
-// start serves the management API of p on a loopback address until the test ends.
-func start(t *testing.T, p Proxy) *Server {
+// startServer serves the management API of p on a loopback address until the test ends.
+func startServer(t *testing.T, p Proxy) *Server {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", p, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -102,13 +102,15 @@
 }
 
 // request returns the text of an HTTP request without a body, with further header lines.
-func request(line, more string) string { return line + " HTTP/1.1\r\nHost: proxy\r\n" + more + "\r\n" }
+func request(line, headers string) string {
+	return line + " HTTP/1.1\r\nHost: proxy\r\n" + headers + "\r\n"
+}
 
 // TestReadyAndMetrics checks the responses of the readiness and metrics endpoints.
 func TestReadyAndMetrics(t *testing.T) {
 	p := &fakeProxy{metrics: Metrics{Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}},
 		InFlight: 7, Forwarded: 8, ListedServers: 9, EjectedServers: 10, ReloadsApplied: 11, ReloadsRejected: 12}}
-	s := start(t, p)
+	s := startServer(t, p)
 	if status, _ := call(t, s, request("GET /v1/readyz", "")); status != 200 {
 		t.Errorf("GET /v1/readyz of a ready proxy: status %d, want 200", status)
 	}
@@ -144,7 +146,7 @@
 // TestUnknownCallsAreRejected checks that unknown paths and methods and malformed or too large calls get an
 // error status.
 func TestUnknownCallsAreRejected(t *testing.T) {
-	s := start(t, &fakeProxy{})
+	s := startServer(t, &fakeProxy{})
 	for _, text := range []string{
 		request("GET /", ""), request("GET /v1/ready", ""), request("POST /v1/readyz", "Content-Length: 0\r\n"),
 		request("GET /v1//readyz", ""), request("GET /v1/readyz/", ""), "nonsense\r\n\r\n",
@@ -160,8 +162,8 @@
 // TestIncompleteCallsDoNotBlockOthers checks that connections without a complete call, however many, block no
 // other caller and are closed in the end.
 func TestIncompleteCallsDoNotBlockOthers(t *testing.T) {
-	s := start(t, &fakeProxy{})
-	var held []net.Conn
+	s := startServer(t, &fakeProxy{})
+	var conns []net.Conn
 	for i := range 3 * MaxConns {
 		c := dial(t, s)
 		if i%2 == 0 {
@@ -169,14 +171,14 @@
 				t.Fatal(err)
 			}
 		}
-		held = append(held, c)
+		conns = append(conns, c)
 		if i%8 == 0 {
 			if status, _ := call(t, s, request("GET /v1/readyz", "")); status != 200 {
 				t.Fatalf("with %d incomplete calls open: status %d, want 200", i, status)
 			}
 		}
 	}
-	for i, c := range held {
+	for i, c := range conns {
 		if _, err := io.ReadAll(c); err != nil && strings.Contains(err.Error(), "timeout") {
 			t.Fatalf("connection %d with an incomplete call is still open", i)
 		}
@@ -186,7 +188,7 @@
 // TestPartialCallHasNoEffect checks that a call that announces a body has no effect before the whole body was
 // received.
 func TestPartialCallHasNoEffect(t *testing.T) {
-	s := start(t, &fakeProxy{})
+	s := startServer(t, &fakeProxy{})
 	c := dial(t, s)
 	if _, err := io.WriteString(c, request("GET /v1/readyz", "Content-Length: 3\r\n")+"x"); err != nil {
 		t.Fatal(err)
@@ -200,12 +202,12 @@
 // TestServerCalls checks the operator calls that suspend and resume a server.
 func TestServerCalls(t *testing.T) {
 	p := &fakeProxy{}
-	s := start(t, p)
+	s := startServer(t, p)
 	post := func(path string) string { return request("POST "+path, "Content-Length: 0\r\n") }
 	for _, c := range []struct {
-		text   string
-		status int
-		did    string
+		text     string
+		status   int
+		wantCall string
 	}{
 		{post("/v1/nodos/s-1/suspend"), 200, "suspend s-1"},
 		{post("/v1/nodos/s-1/resume"), 200, "resume s-1"},
@@ -219,8 +221,8 @@
 		{request("POST /v1/nodos/s-1/suspend", ""), 200, "suspend s-1"},
 	} {
 		p.lastCall = ""
-		if status, _ := call(t, s, c.text); status != c.status || p.lastCall != c.did {
-			t.Errorf("%q: status %d, call %q; want %d, %q", c.text, status, p.lastCall, c.status, c.did)
+		if status, _ := call(t, s, c.text); status != c.status || p.lastCall != c.wantCall {
+			t.Errorf("%q: status %d, call %q; want %d, %q", c.text, status, p.lastCall, c.status, c.wantCall)
 		}
 	}
 }
--- a/internal/management/zones_test.go
+++ b/internal/management/zones_test.go
@@ -11,10 +11,10 @@
 // TestZoneCalls checks the operator calls that drain and restore a zone.
 func TestZoneCalls(t *testing.T) {
 	p := &fakeProxy{}
-	s := start(t, p)
+	s := startServer(t, p)
 	for _, c := range []struct {
-		line, did, says string
-		status          int
+		line, wantCall, wantBody string
+		status                   int
 	}{
 		{"POST /v1/zones/a/drain", "drain a", "ok", 200},
 		{"POST /v1/zones/a/restore", "restore a", "ok", 200},
@@ -27,9 +27,10 @@
 		{"GET /v1/zones/a/drain", "", "", 405},
 	} {
 		p.lastCall = ""
-		if status, text := call(t, s, request(c.line, "")); status != c.status || p.lastCall != c.did || !strings.Contains(text, c.says) {
+		if status, text := call(t, s, request(c.line, "")); status != c.status ||
+			p.lastCall != c.wantCall || !strings.Contains(text, c.wantBody) {
 			t.Errorf("%s: status %d, body %q, call %q; want %d, a body with %q, %q",
-				c.line, status, text, p.lastCall, c.status, c.says, c.did)
+				c.line, status, text, p.lastCall, c.status, c.wantBody, c.wantCall)
 		}
 	}
 }
@@ -38,7 +39,7 @@
 // report has.
 func TestZonesText(t *testing.T) {
 	p := &fakeProxy{}
-	s := start(t, p)
+	s := startServer(t, p)
 	_, before := call(t, s, request("GET /v1/metrics", ""))
 	if strings.Contains(before, "zone") {
 		t.Errorf("a proxy without zones to report exports zone metrics:\n%s", before)
