--- a/internal/management/server_test.go
+++ b/internal/management/server_test.go
@@ -33,7 +33,7 @@
 func (p *fakeProxy) RestoreZone(zone string) error { return p.recordCall("restore", zone) }
 func (p *fakeProxy) Zones() []Zone                 { return p.metrics.Zones }
 
-// recordCall records a call. The names of some servers and zones make it fail instead.
+// recordCall records a call. It fails for some names of servers and zones instead.
 func (p *fakeProxy) recordCall(action, target string) error {
 	switch target {
 	case "nowhere":
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,6 @@
-// Package program runs the proxy as a process: configuration, signals, management address and exit. The commands differ
-// only in whether they can join a cluster. It never decides anything about requests.
+// Package program runs the proxy as a process: it handles the configuration, signals, the management address
+// and the exit. The proxy commands share it and differ only in whether they can join a cluster. It makes no
+// decisions about requests.
 package program
 
 import (
@@ -20,17 +21,17 @@
 	"merlinpick/internal/rollout"
 )
 
-// Shares of limits.memory_mb (1 MB = 1<<20 bytes), and a floor. A limit under 20 MB is less than the runtime and the program
-// need.
+// Fractions of the memory limit, limits.memory_mb, and the minimum of the heap. A limit below 20 MB is less
+// than the runtime and the program need.
 const (
 	heapFraction   = 0.6      // soft limit of the heap (debug.SetMemoryLimit)
-	minHeapBytes   = 12 << 20 // below this the runtime would do little but collect
-	bodiesFraction = 0.125    // each for request bodies, request heads and backend responses: 0.375 in all
+	minHeapBytes   = 12 << 20 // with less, the runtime would spend most of its time on garbage collection
+	bodiesFraction = 0.125    // each for request bodies, request heads and backend responses: 0.375 in total
 	bytesPerMB     = 1 << 20
 )
 
-// Main is the main function of a command. clusterReader reads the configuration's section "fleet"; nil in a program that
-// cannot join a cluster. It exits with status 1 after an error.
+// Main is the main function of a proxy command. clusterReader decodes the configuration's section "fleet"; it
+// is nil in a program that cannot join a cluster. Main exits with status 1 after an error.
 func Main(clusterReader config.ClusterReader) {
 	if err := run(clusterReader); err != nil {
 		fmt.Fprintf(os.Stderr, "merlinpick-proxy: %v\n", err)
@@ -38,12 +39,14 @@
 	}
 }
 
+// run runs the proxy from the start until SIGTERM or an interrupt, and the drain after that.
 func run(clusterReader config.ClusterReader) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel(os.Getenv("LB_LOG_LEVEL"))}))
-	// SIGHUP is taken from the first moment and never given back: unhandled it would end the process.
+	// SIGHUP is handled from the start to the exit: its default action would terminate the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	// SIGTERM is taken from here on too, so that there is one way to end; a second one changes nothing.
+	// SIGTERM is handled from the start as well, so that the process always ends the same way. A second one
+	// has no effect.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	file, err := config.Load(os.Getenv, clusterReader)
@@ -58,7 +61,7 @@
 	if file.Service != "" {
 		reload.rollout, reload.active, reload.document = startRollout(ctx, file, os.Getenv, deliveries, log)
 	}
-	active := reload.active // the reloader's from here on
+	active := reload.active // only the reloader's goroutine may read the field once it runs
 	p, err := proxy.New(processConfig(active, log))
 	if err != nil {
 		return err
@@ -74,14 +77,15 @@
 	return serve(ctx, p, reload.rollout, active.ManagementAddress, log)
 }
 
-// logLevel parses a level's name; any other text is INFO. DEBUG logs each step of each request.
+// logLevel parses the name of a log level. Any other text means INFO. At DEBUG each step of each request is
+// logged.
 func logLevel(name string) slog.Level {
 	var level slog.Level
 	_ = level.UnmarshalText([]byte(name))
 	return level
 }
 
-// processConfig applies the limits of cores and memory to this process, and returns the proxy's configuration.
+// processConfig applies the CPU and memory limits to this process and returns the configuration of the proxy.
 func processConfig(active *config.Config, log *slog.Logger) proxy.Config {
 	cfg := active.Proxy
 	cfg.Logger = log
@@ -98,7 +102,7 @@
 	return cfg
 }
 
-// serve runs the proxy, and its management address if it has one, until the proxy has drained.
+// serve runs the proxy, and the management API if an address is given, until the proxy has drained.
 func serve(ctx context.Context, p *proxy.Proxy, follower *rollout.Client, managementAddress string, log *slog.Logger) error {
 	if managementAddress == "" {
 		return p.Run(ctx)
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -14,13 +14,15 @@
 	"merlinpick/internal/proxy"
 )
 
+// validConfig is a configuration file with an unknown key, which is ignored.
 const validConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":4,"snapshot":true,"endpoints":[]},` +
 	`"later":1,"settings":{"contract":{},"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,` +
 	`"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,` +
 	`"repeat":"idempotent","worth":1}],"siblings":1}}`
 
-// SIGHUP applies a complete configuration or nothing of it; each attempt is counted.
+// TestSIGHUPReloadsConfiguration checks that SIGHUP applies the configuration file completely or not at all,
+// and that each reload is counted.
 func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string { return map[string]string{"LB_CONFIG": path}[name] }
@@ -66,16 +68,16 @@
 		}
 		hup <- syscall.SIGHUP
 		if got := <-p.reloaded; got != (c.classes > 0) {
-			t.Errorf("%s: applied %v", c.name, got)
+			t.Errorf("%s: applied is %v, want %v", c.name, got, c.classes > 0)
 		}
 		select {
 		case cfg := <-p.loaded:
 			if len(cfg.Site.Classes) != c.classes {
-				t.Errorf("%s: classes %v", c.name, cfg.Site.Classes)
+				t.Errorf("%s: got the classes %v, want %d of them", c.name, cfg.Site.Classes, c.classes)
 			}
 		default:
 			if c.classes > 0 {
-				t.Errorf("%s: nothing was applied", c.name)
+				t.Errorf("%s: no configuration was applied", c.name)
 			}
 		}
 	}
@@ -83,7 +85,7 @@
 	<-ended
 }
 
-// fakeProxy records what a reload does.
+// fakeProxy passes each applied configuration to loaded, and the result of each reload to reloaded.
 type fakeProxy struct {
 	loaded   chan proxy.Config
 	reloaded chan bool
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -11,32 +11,33 @@
 	"merlinpick/internal/rollout"
 )
 
-// reloadTarget is the proxy as the reloader uses it.
+// reloadTarget is the part of the proxy that the reloader uses.
 type reloadTarget interface {
 	Reload(cfg proxy.Config) error
 	RecordReload(applied bool)
 }
 
-// reloader owns the active configuration: the file's, with the settings of the service's document merged over it if the
-// proxy follows one. A new file (SIGHUP) or document is read completely, must lack no key that is in force, and is then
-// applied by the proxy; after any error nothing has changed. Only run's goroutine uses it once that has started.
+// reloader owns the active configuration: the configuration file with, if the proxy follows a service at the
+// registry, the settings of the service's document merged over it. A new file (on SIGHUP) or document is read
+// completely, must have every key of the active configuration, and is then applied by the proxy. After an
+// error nothing has changed. Once run has started, only its goroutine may use the reloader.
 type reloader struct {
 	proxy    reloadTarget
-	file     *config.Config  // as last applied
-	active   *config.Config  // the file with the document merged over it
-	document []byte          // nil: none is in force
-	rollout  *rollout.Client // nil: no document is followed
+	file     *config.Config  // the configuration file, as last applied
+	active   *config.Config  // file with document merged over it
+	document []byte          // active document; nil: none
+	rollout  *rollout.Client // nil: the proxy follows no service's document
 	env      func(string) string
 	log      *slog.Logger
 }
 
-// delivery is a document that was received, and the channel for its result.
+// delivery is a received document, and the channel on which the result of applying it is sent.
 type delivery struct {
 	document []byte
 	result   chan<- error
 }
 
-// run applies files and documents until the context ends.
+// run applies the file after each SIGHUP and each delivered document, until the context ends.
 func (r *reloader) run(ctx context.Context, hangups <-chan os.Signal, deliveries <-chan delivery) {
 	for {
 		select {
@@ -50,7 +51,7 @@
 	}
 }
 
-// reloadFile reads the configuration file again.
+// reloadFile reads the configuration file again, and applies it with the active document merged over it.
 func (r *reloader) reloadFile() {
 	previousMembers := r.file.Proxy.Discovery.Members
 	file, err := config.Reload(r.env, r.file)
@@ -65,14 +66,15 @@
 	r.log.Info("settings and discovery reloaded", "discovery", file.Proxy.Discovery, "classes", r.active.Proxy.Site.Classes,
 		"with_document", r.document != nil)
 	if r.rollout != nil {
-		r.rollout.RetryRejected() // the document may fit the new file
+		r.rollout.RetryRejected() // a rejected document may be valid with the new file
 		if members := file.Proxy.Discovery.Members; !slices.Equal(members, previousMembers) {
 			r.rollout.SetMembers(members)
 		}
 	}
 }
 
-// apply puts a file with a document in force, or changes nothing.
+// apply makes a file, with a document merged over it, the active configuration. After an error nothing has
+// changed.
 func (r *reloader) apply(file *config.Config, document []byte) error {
 	next, err := file.WithDocument(document, r.env)
 	if err != nil {
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -16,20 +16,23 @@
 	"merlinpick/internal/proxy"
 )
 
-// followed returns validConfig with a service's document to follow and a zone.
+// configWithService returns validConfig with a zone and a service whose document the proxy follows. dir is
+// the cache directory.
 func configWithService(dir string) string {
 	return strings.NewReplacer(`"seed"`, fmt.Sprintf(`"config_service":"tarifas","discovery_members":["127.0.0.1:1"],"discovery_state":%q,"seed"`, dir),
 		`"failure_domains":["a"]`, `"failure_domains":["a","b"],"my_zone":1`).Replace(validConfig)
 }
 
-// document is one above followed, of some attempts.
+// testDocument returns a document for configWithService with a number of attempts. It lists the zones in
+// another order.
 func testDocument(attempts int) string {
 	rules := strings.TrimSuffix(validConfig[strings.Index(validConfig, `"settings"`):], "}")
 	return "{" + strings.NewReplacer(`"try_limit":3`, fmt.Sprint(`"try_limit":`, attempts), `"failure_domains":["a"]`,
 		`"failure_domains":["b","a"]`).Replace(rules) + "}"
 }
 
-// Documents are applied like a reload: completely or not at all, merged over the file that is in force.
+// TestDocumentsAreMergedOverTheFile checks that a document is applied completely or not at all, merged over
+// the file that was applied last.
 func TestDocumentsAreMergedOverTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string { return map[string]string{"LB_CONFIG": path}[name] }
@@ -57,10 +60,10 @@
 	}()
 	a := documentApplier{ctx, told}
 	for i, c := range []struct {
-		document string // received; empty: the file is reloaded
-		file     string
-		attempts int    // in force then; 0: rejected
-		key      string // of the error
+		document string // received document; empty: the file is reloaded
+		file     string // text of the reloaded file
+		attempts int    // attempt limit that is active afterwards; 0: the document or file is rejected
+		key      string // key that the error names
 	}{
 		{document: testDocument(5), attempts: 5},
 		{document: testDocument(0), key: "settings.limits.try_limit"},
@@ -84,36 +87,37 @@
 			taken = err == nil
 		}
 		if taken != (c.attempts > 0) {
-			t.Errorf("%d: applied %v, %v", i, taken, err)
+			t.Errorf("step %d: applied is %v, want %v; error %v", i, taken, c.attempts > 0, err)
 		}
 		var fault *config.Error
 		if c.file == "" && !taken && (!errors.As(err, &fault) || fault.Key != c.key || !strings.HasPrefix(err.Error(), c.key)) {
-			t.Errorf("%d: got %v", i, err)
+			t.Errorf("step %d: got error %v, want one about key %q", i, err, c.key)
 		}
 		select {
 		case cfg := <-p.loaded:
 			l := cfg.Site.Balancer
 			if l.MaxAttempts != c.attempts || cfg.Site.Zones[l.Zone] != "b" {
-				t.Errorf("%d: %d attempts in zone %s", i, l.MaxAttempts, cfg.Site.Zones[l.Zone])
+				t.Errorf("step %d: got %d attempts in zone %s, want %d in zone b",
+					i, l.MaxAttempts, cfg.Site.Zones[l.Zone], c.attempts)
 			}
 		default:
 			if c.attempts > 0 {
-				t.Errorf("%d: nothing was applied", i)
+				t.Errorf("step %d: no configuration was applied", i)
 			}
 		}
 	}
 	stop()
 	<-ended
 	if err := a.Apply(99, []byte(testDocument(5))); !errors.Is(err, errStopping) {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("apply after the reloader has ended: got error %v, want %v", err, errStopping)
 	}
 }
 
-// A start applies the cached document before any request to the registry; a damaged one, or one that does not fit, is not
-// used.
+// TestStartAppliesCachedDocument checks that a start applies the cached document without a request to the
+// registry, unless it is damaged, of another service, or not valid with the file.
 func TestStartAppliesCachedDocument(t *testing.T) {
 	for name, c := range map[string]struct {
-		kept     string // empty: no file
+		kept     string // cached text; empty: no file
 		attempts int
 		version  int64
 		refused  int64
@@ -149,7 +153,8 @@
 		f := follow.Metrics()
 		if got := inForce.Proxy.Site.Balancer.MaxAttempts; got != c.attempts || f.Version != c.version || f.RejectedVersion != c.refused ||
 			(doc != nil) != (c.version != 0) {
-			t.Errorf("%s: %d attempts, %+v", name, got, f)
+			t.Errorf("%s: got %d attempts and %+v, want %d, version %d and rejected version %d", name, got, f,
+				c.attempts, c.version, c.refused)
 		}
 	}
 }
--- a/internal/program/rollout.go
+++ b/internal/program/rollout.go
@@ -11,7 +11,7 @@
 	"merlinpick/internal/rollout"
 )
 
-// documentApplier implements rollout.Applier by the reloader's goroutine.
+// documentApplier implements rollout.Applier. It passes documents to the reloader's goroutine.
 type documentApplier struct {
 	ctx        context.Context
 	deliveries chan<- delivery
@@ -19,7 +19,8 @@
 
 var errStopping = errors.New("document not applied: the proxy is stopping")
 
-// Apply implements rollout.Applier. The error is errStopping after the end of the context.
+// Apply delivers a document to the reloader and returns the result. It returns errStopping if the context
+// ends first.
 func (a documentApplier) Apply(_ int64, document []byte) error {
 	result := make(chan error, 1)
 	select {
@@ -35,9 +36,10 @@
 	}
 }
 
-// startRollout creates the client that follows the service's document. It returns the configuration to start with: the
-// file, with the document that the previous process cached merged over it. A cached document that is damaged or does not
-// fit the file is logged and not used.
+// startRollout creates the client that follows the service's document at the registry. It also returns the
+// configuration to start with, which is the file with the document that a previous process cached merged over
+// it, and that document. A cached document that is damaged, or not valid with the file, is logged and not
+// used.
 func startRollout(ctx context.Context, file *config.Config, env func(string) string, deliveries chan<- delivery,
 	log *slog.Logger) (client *rollout.Client, active *config.Config, document []byte) {
 	cacheDir := file.Proxy.ListCacheDir
@@ -70,13 +72,13 @@
 	return client, active, cached.Document
 }
 
-// managedProxy is the proxy as its management address shows it.
+// managedProxy is the proxy with the metrics of the rollout added, as the management API exports it.
 type managedProxy struct {
 	*proxy.Proxy
-	rollout *rollout.Client // nil: no document is followed
+	rollout *rollout.Client // nil: the proxy follows no service's document
 }
 
-// Metrics implements management.Proxy.
+// Metrics returns the metrics of the proxy and of the rollout.
 func (p managedProxy) Metrics() management.Metrics {
 	metrics := p.Proxy.Metrics()
 	if p.rollout != nil {
--- a/internal/program/signal_test.go
+++ b/internal/program/signal_test.go
@@ -15,21 +15,24 @@
 	"time"
 )
 
+// runAsProgram is the environment variable that makes the test binary run as the proxy.
 const runAsProgram = "MERLINPICK_TEST_AS_PROGRAM"
 
+// TestMain runs the tests, or the proxy in a process that startProcess started.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsProgram) != "" {
 		if err := run(nil); err != nil {
 			os.Exit(1)
 		}
-		_ = syscall.Kill(os.Getpid(), syscall.SIGHUP) // after run and before the exit
+		_ = syscall.Kill(os.Getpid(), syscall.SIGHUP) // between the end of run and the exit
 		time.Sleep(50 * time.Millisecond)
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// startProcess starts the program with short deadlines; up is closed once it has its endpoint list, which is empty.
+// startProcess starts the proxy as a process with short deadlines. up is closed once it has received its
+// endpoint list, which is empty. log is what it writes to stderr.
 func startProcess(t *testing.T) (cmd *exec.Cmd, up chan struct{}, log *bytes.Buffer) {
 	t.Helper()
 	up, over := make(chan struct{}), make(chan struct{})
@@ -63,15 +66,16 @@
 	return cmd, up, log
 }
 
-// Signals during the drain, up to the exit, neither end the process early nor make it exit by a signal.
+// TestSignalsDuringDrain checks that signals during the drain and up to the exit neither end the process
+// early nor terminate it by their default action.
 func TestSignalsDuringDrain(t *testing.T) {
 	for name, sig := range map[string]syscall.Signal{"SIGTERM": syscall.SIGTERM, "SIGHUP": syscall.SIGHUP} {
 		t.Run(name, func(t *testing.T) {
 			cmd, up, log := startProcess(t)
 			select {
-			case <-up: // it has its endpoint list
+			case <-up:
 			case <-time.After(20 * time.Second):
-				t.Fatalf("not up: %s", log)
+				t.Fatalf("the proxy has not received its endpoint list; its log:\n%s", log)
 			}
 			start := time.Now()
 			_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -82,10 +86,10 @@
 				select {
 				case err := <-ended:
 					if err != nil && !(sig == syscall.SIGTERM && strings.Contains(err.Error(), "terminated")) {
-						t.Errorf("ended by %v", err)
+						t.Errorf("the process ended with %v", err)
 					}
 					if took := time.Since(start); took < 400*time.Millisecond || !strings.Contains(log.String(), "drained") {
-						t.Errorf("ended after %v without a drain:\n%s", took, log)
+						t.Errorf("ended after %v without a complete drain; the log:\n%s", took, log)
 					}
 					return
 				case <-time.After(5 * time.Millisecond):
@@ -96,7 +100,7 @@
 	}
 }
 
-// SIGTERM at any time during the start ends the process soon.
+// TestSIGTERMDuringStart checks that SIGTERM ends the process at any time during its start.
 func TestSIGTERMDuringStart(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
 		cmd, _, log := startProcess(t)
@@ -107,10 +111,10 @@
 		select {
 		case err := <-ended:
 			if err != nil && !strings.Contains(err.Error(), "terminated") {
-				t.Errorf("after %v: %v\n%s", after, err, log)
+				t.Errorf("SIGTERM after %v: the process ended with %v; its log:\n%s", after, err, log)
 			}
 		case <-time.After(20 * time.Second):
-			t.Errorf("after %v: still running\n%s", after, log)
+			t.Errorf("SIGTERM after %v: the process is still running; its log:\n%s", after, log)
 		}
 	}
 }
