--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -69,9 +69,9 @@
 	reload.proxy = p
 	go reload.run(ctx, hangups, deliveries)
 	if reload.rollout != nil {
-		var following sync.WaitGroup
-		following.Go(func() { reload.rollout.Run(ctx) })
-		defer following.Wait()
+		var rolloutDone sync.WaitGroup
+		rolloutDone.Go(func() { reload.rollout.Run(ctx) })
+		defer rolloutDone.Wait()
 		defer cancel()
 	}
 	return serve(ctx, p, reload.rollout, active.ManagementAddress, log)
@@ -103,22 +103,23 @@
 }
 
 // serve runs the proxy, and the management API if an address is given, until the proxy has drained.
-func serve(ctx context.Context, p *proxy.Proxy, follower *rollout.Client, managementAddress string, log *slog.Logger) error {
+func serve(ctx context.Context, p *proxy.Proxy, rolloutClient *rollout.Client, managementAddress string,
+	log *slog.Logger) error {
 	if managementAddress == "" {
 		return p.Run(ctx)
 	}
-	server, err := management.Listen(managementAddress, managedProxy{p, follower}, log)
+	server, err := management.Listen(managementAddress, managedProxy{p, rolloutClient}, log)
 	if err != nil {
 		return err
 	}
-	var serving sync.WaitGroup
-	serving.Go(func() {
+	var serverDone sync.WaitGroup
+	serverDone.Go(func() {
 		if err := server.Serve(); err != nil {
 			log.Error("management address failed", "error", err)
 		}
 	})
 	err = p.Run(ctx)
 	server.Close()
-	serving.Wait()
+	serverDone.Wait()
 	return err
 }
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -26,24 +26,24 @@
 func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string { return map[string]string{"LB_CONFIG": path}[name] }
-	hup := make(chan os.Signal)
+	hangups := make(chan os.Signal)
 	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	inForce, err := config.Load(env, nil)
+	file, err := config.Load(env, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := fakeProxy{loaded: make(chan proxy.Config, 1), reloaded: make(chan bool, 1)}
+	p := fakeProxy{applied: make(chan proxy.Config, 1), reloaded: make(chan bool, 1)}
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		r := &reloader{proxy: p, file: inForce, active: inForce, env: env, log: slog.New(slog.DiscardHandler)}
-		r.run(ctx, hup, nil)
+		defer close(done)
+		r := &reloader{proxy: p, file: file, active: file, env: env, log: slog.New(slog.DiscardHandler)}
+		r.run(ctx, hangups, nil)
 	}()
-	more := strings.Replace(validConfig, `"profiles":[`, `"profiles":[{"give_up_us":8,"name":"buy","objective_us":4,`+
-		`"repeat":"at_most_once","worth":1},`, 1)
+	twoClasses := strings.Replace(validConfig, `"profiles":[`,
+		`"profiles":[{"give_up_us":8,"name":"buy","objective_us":4,`+`"repeat":"at_most_once","worth":1},`, 1)
 	for _, c := range []struct {
 		name, text string
 		classes    int // 0: rejected
@@ -52,26 +52,28 @@
 		{"truncated", validConfig[:len(validConfig)/2], 0},
 		{"not JSON", "{", 0},
 		{"the same", validConfig, 1},
-		{"one more class", more, 2},
-		{"a deadline of 0", strings.Replace(more, `"give_up_us":8`, `"give_up_us":0`, 1), 0},
-		{"a negative deadline", strings.Replace(more, `"give_up_us":8`, `"give_up_us":-5`, 1), 0},
-		{"no attempts", strings.Replace(more, `"try_limit":3`, `"try_limit":0`, 1), 0},
-		{"short of limits", strings.Replace(more, `"limits":{"cores":1.0,"memory_mb":192,"sockets":512},`, ``, 1), 0},
-		{"short of worth", strings.Replace(more, `,"worth":1`, ``, 1), 0},
-		{"short of a class's name", strings.Replace(more, `"name":"buy",`, ``, 1), 0},
-		{"short of the list", strings.Replace(more, `"known":{"index":4,"snapshot":true,"endpoints":[]},`, ``, 1), 2},
+		{"one more class", twoClasses, 2},
+		{"a deadline of 0", strings.Replace(twoClasses, `"give_up_us":8`, `"give_up_us":0`, 1), 0},
+		{"a negative deadline", strings.Replace(twoClasses, `"give_up_us":8`, `"give_up_us":-5`, 1), 0},
+		{"no attempts", strings.Replace(twoClasses, `"try_limit":3`, `"try_limit":0`, 1), 0},
+		{"without limits",
+			strings.Replace(twoClasses, `"limits":{"cores":1.0,"memory_mb":192,"sockets":512},`, ``, 1), 0},
+		{"without worth", strings.Replace(twoClasses, `,"worth":1`, ``, 1), 0},
+		{"without the name of a class", strings.Replace(twoClasses, `"name":"buy",`, ``, 1), 0},
+		{"without an endpoint list",
+			strings.Replace(twoClasses, `"known":{"index":4,"snapshot":true,"endpoints":[]},`, ``, 1), 2},
 		{"no classes", strings.Replace(validConfig, `"profiles":[{`, `"profiles":[],"former":[{`, 1), 0},
 		{"discovery elsewhere", strings.Replace(validConfig, "127.0.0.1:1", "127.0.0.1:2", 1), 1},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		hup <- syscall.SIGHUP
+		hangups <- syscall.SIGHUP
 		if got := <-p.reloaded; got != (c.classes > 0) {
 			t.Errorf("%s: applied is %v, want %v", c.name, got, c.classes > 0)
 		}
 		select {
-		case cfg := <-p.loaded:
+		case cfg := <-p.applied:
 			if len(cfg.Site.Classes) != c.classes {
 				t.Errorf("%s: got the classes %v, want %d of them", c.name, cfg.Site.Classes, c.classes)
 			}
@@ -82,21 +84,21 @@
 		}
 	}
 	stop()
-	<-ended
+	<-done
 }
 
 // fakeProxy passes each applied configuration to loaded, and the result of each reload to reloaded.
 type fakeProxy struct {
-	loaded   chan proxy.Config
+	applied  chan proxy.Config
 	reloaded chan bool
 }
 
 func (p fakeProxy) Reload(cfg proxy.Config) error {
 	_, err := balancer.New(cfg.Site.Balancer, 1) // validates the settings as the balancer does
 	if err == nil {
-		p.loaded <- cfg
+		p.applied <- cfg
 	}
 	return err
 }
 
-func (p fakeProxy) RecordReload(taken bool) { p.reloaded <- taken }
+func (p fakeProxy) RecordReload(applied bool) { p.reloaded <- applied }
--- a/internal/program/reload_test.go
+++ b/internal/program/reload_test.go
@@ -26,9 +26,9 @@
 // testDocument returns a document for configWithService with a number of attempts. It lists the zones in
 // another order.
 func testDocument(attempts int) string {
-	rules := strings.TrimSuffix(validConfig[strings.Index(validConfig, `"settings"`):], "}")
+	settings := strings.TrimSuffix(validConfig[strings.Index(validConfig, `"settings"`):], "}")
 	return "{" + strings.NewReplacer(`"try_limit":3`, fmt.Sprint(`"try_limit":`, attempts), `"failure_domains":["a"]`,
-		`"failure_domains":["b","a"]`).Replace(rules) + "}"
+		`"failure_domains":["b","a"]`).Replace(settings) + "}"
 }
 
 // TestDocumentsAreMergedOverTheFile checks that a document is applied completely or not at all, merged over
@@ -49,16 +49,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := fakeProxy{loaded: make(chan proxy.Config, 1), reloaded: make(chan bool, 1)}
-	hup, told := make(chan os.Signal), make(chan delivery)
+	p := fakeProxy{applied: make(chan proxy.Config, 1), reloaded: make(chan bool, 1)}
+	hangups, deliveries := make(chan os.Signal), make(chan delivery)
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		r := &reloader{proxy: p, file: file, active: file, env: env, log: slog.New(slog.DiscardHandler)}
-		r.run(ctx, hup, told)
+		r.run(ctx, hangups, deliveries)
 	}()
-	a := documentApplier{ctx, told}
+	applier := documentApplier{ctx, deliveries}
 	for i, c := range []struct {
 		document string // received document; empty: the file is reloaded
 		file     string // text of the reloaded file
@@ -77,28 +77,30 @@
 		{document: testDocument(7), attempts: 7},
 	} {
 		var err error
-		taken := false
+		applied := false
 		if c.file != "" {
 			write(c.file)
-			hup <- syscall.SIGHUP
-			taken = <-p.reloaded
+			hangups <- syscall.SIGHUP
+			applied = <-p.reloaded
 		} else {
-			err = a.Apply(int64(i), []byte(c.document))
-			taken = err == nil
+			err = applier.Apply(int64(i), []byte(c.document))
+			applied = err == nil
 		}
-		if taken != (c.attempts > 0) {
-			t.Errorf("step %d: applied is %v, want %v; error %v", i, taken, c.attempts > 0, err)
+		if applied != (c.attempts > 0) {
+			t.Errorf("step %d: applied is %v, want %v; error %v", i, applied, c.attempts > 0, err)
 		}
-		var fault *config.Error
-		if c.file == "" && !taken && (!errors.As(err, &fault) || fault.Key != c.key || !strings.HasPrefix(err.Error(), c.key)) {
+		var configErr *config.Error
+		if c.file == "" && !applied &&
+			(!errors.As(err, &configErr) || configErr.Key != c.key ||
+				!strings.HasPrefix(err.Error(), c.key)) {
 			t.Errorf("step %d: got error %v, want one about key %q", i, err, c.key)
 		}
 		select {
-		case cfg := <-p.loaded:
-			l := cfg.Site.Balancer
-			if l.MaxAttempts != c.attempts || cfg.Site.Zones[l.Zone] != "b" {
+		case cfg := <-p.applied:
+			settings := cfg.Site.Balancer
+			if settings.MaxAttempts != c.attempts || cfg.Site.Zones[settings.Zone] != "b" {
 				t.Errorf("step %d: got %d attempts in zone %s, want %d in zone b",
-					i, l.MaxAttempts, cfg.Site.Zones[l.Zone], c.attempts)
+					i, settings.MaxAttempts, cfg.Site.Zones[settings.Zone], c.attempts)
 			}
 		default:
 			if c.attempts > 0 {
@@ -107,8 +109,8 @@
 		}
 	}
 	stop()
-	<-ended
-	if err := a.Apply(99, []byte(testDocument(5))); !errors.Is(err, errStopping) {
+	<-done
+	if err := applier.Apply(99, []byte(testDocument(5))); !errors.Is(err, errStopping) {
 		t.Errorf("apply after the reloader has ended: got error %v, want %v", err, errStopping)
 	}
 }
@@ -117,23 +119,26 @@
 // registry, unless it is damaged, of another service, or not valid with the file.
 func TestStartAppliesCachedDocument(t *testing.T) {
 	for name, c := range map[string]struct {
-		kept     string // cached text; empty: no file
-		attempts int
-		version  int64
-		refused  int64
+		cached          string // cached text; empty: no file
+		attempts        int
+		version         int64
+		rejectedVersion int64
 	}{
-		"none":            {"", 3, 0, 0},
-		"kept":            {`{"service":"tarifas","line":"l","version":7,"document":` + testDocument(5) + `}`, 5, 7, 0},
+		"none": {"", 3, 0, 0},
+		"cached": {`{"service":"tarifas","line":"l","version":7,"document":` + testDocument(5) + `}`,
+			5, 7, 0},
 		"another service": {`{"service":"other","line":"l","version":7,"document":` + testDocument(5) + `}`, 3, 0, 0},
-		"faulty":          {`{"service":"tarifas","line":"l","version":7,"document":` + testDocument(-1) + `}`, 3, 0, 7},
-		"short of a key": {`{"service":"tarifas","line":"l","version":7,"document":` + strings.Replace(testDocument(5), `,"worth":1`, ``, 1) + `}`,
+		"invalid": {`{"service":"tarifas","line":"l","version":7,"document":` + testDocument(-1) + `}`,
+			3, 0, 7},
+		"without a key": {`{"service":"tarifas","line":"l","version":7,"document":` +
+			strings.Replace(testDocument(5), `,"worth":1`, ``, 1) + `}`,
 			3, 0, 7},
 		"damaged": {"x", 3, 0, 0},
 	} {
 		dir := t.TempDir()
-		if c.kept != "" {
-			text := atomicfile.Seal("proxy-config", []byte(c.kept))
-			if c.kept == "x" {
+		if c.cached != "" {
+			text := atomicfile.Seal("proxy-config", []byte(c.cached))
+			if c.cached == "x" {
 				text = text[:len(text)-1]
 			}
 			if err := os.WriteFile(filepath.Join(dir, "config"), text, 0o600); err != nil {
@@ -149,12 +154,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		follow, inForce, doc := startRollout(t.Context(), file, env, nil, slog.New(slog.DiscardHandler))
-		f := follow.Metrics()
-		if got := inForce.Proxy.Site.Balancer.MaxAttempts; got != c.attempts || f.Version != c.version || f.RejectedVersion != c.refused ||
-			(doc != nil) != (c.version != 0) {
-			t.Errorf("%s: got %d attempts and %+v, want %d, version %d and rejected version %d", name, got, f,
-				c.attempts, c.version, c.refused)
+		client, active, document := startRollout(t.Context(), file, env, nil, slog.New(slog.DiscardHandler))
+		metrics := client.Metrics()
+		if got := active.Proxy.Site.Balancer.MaxAttempts; got != c.attempts || metrics.Version != c.version ||
+			metrics.RejectedVersion != c.rejectedVersion || (document != nil) != (c.version != 0) {
+			t.Errorf("%s: got %d attempts and %+v, want %d, version %d and rejected version %d",
+				name, got, metrics, c.attempts, c.version, c.rejectedVersion)
 		}
 	}
 }
--- a/internal/program/signal_test.go
+++ b/internal/program/signal_test.go
@@ -35,20 +35,20 @@
 // endpoint list, which is empty. log is what it writes to stderr.
 func startProcess(t *testing.T) (cmd *exec.Cmd, up chan struct{}, log *bytes.Buffer) {
 	t.Helper()
-	up, over := make(chan struct{}), make(chan struct{})
+	up, testDone := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.RawQuery, "from=5") {
 			once.Do(func() { close(up) })
 			select {
-			case <-over:
+			case <-testDone:
 			case <-r.Context().Done():
 			}
 			return
 		}
 		_, _ = io.WriteString(w, `{"index":5,"snapshot":true,"endpoints":[]}`)
 	}))
-	t.Cleanup(func() { close(over); discovery.Close() })
+	t.Cleanup(func() { close(testDone); discovery.Close() })
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := strings.NewReplacer("127.0.0.1:1", strings.TrimPrefix(discovery.URL, "http://"),
 		`"give_up_us":8`, `"give_up_us":80000`, `"objective_us":4`, `"objective_us":40000`).Replace(validConfig)
