--- a/.ci/knownfailures/knownfailures_test.go
+++ b/.ci/knownfailures/knownfailures_test.go
@@ -8,6 +8,8 @@
 	"testing"
 )
 
+// The tests of the modules that TestVerdicts runs. Each text is a file or a part of one, named after its
+// tests.
 const (
 	okTest   = "package a\nimport \"testing\"\nfunc TestOK(t *testing.T) { t.Run(\"case\", func(*testing.T) {}) }\n"
 	badTest  = "func TestBad(t *testing.T) { t.Error(\"it is wrong\") }\n"
@@ -21,7 +23,8 @@
 	otherBad = "package b\nimport \"testing\"\nfunc TestBad(t *testing.T) { t.Fail() }\n"
 )
 
-// TestVerdicts runs the command on small modules.
+// TestVerdicts runs the command on small modules with a list of known failures and checks the output and the
+// result.
 func TestVerdicts(t *testing.T) {
 	with := func(imports string, more ...string) string {
 		return strings.Replace(okTest, "\"testing\"", "(\"testing\"; "+imports+")", 1) + strings.Join(more, "")
@@ -32,60 +35,90 @@
 		name, known string
 		files       map[string]string
 		race        bool
-		want        string // of the output: these lines in this order, the last one at its end
+		want        string // parts of output lines, in this order; the last is in the last line
 	}{
 		{"nothing is listed", "", one(okTest + skipTest), false, "ok  \tm/a\n1 passed, 0 failed, 1 skipped"},
 		{"a listed failure", "TestBad | go test ./a -seed 3 | one, of two | issue 7\n", one(bad), false,
-			"known red: TestBad: go test ./a -seed 3: one, of two (issue 7)\nlisted: 1 failed as always; of those that fail at times 0 failed, 0 passed\n1 passed, 0 failed, 0 skipped"},
-		{"an unlisted failure", "", one(bad), false, "it is wrong\nFAIL\tm/a\nred: m/a: TestBad failed\n1 passed, 1 failed, 0 skipped"},
+			"known failure: TestBad: go test ./a -seed 3: one, of two (issue 7)\n" +
+				"known failures: 1 failed as expected; intermittent ones: 0 failed, 0 passed\n" +
+				"1 passed, 0 failed, 0 skipped"},
+		{"an unlisted failure", "", one(bad), false,
+			"it is wrong\nFAIL\tm/a\nfailure: m/a: TestBad failed\n1 passed, 1 failed, 0 skipped"},
 		{"an unlisted failure beside a listed one", "TestPanic | go test ./a | x y | issue 7", one(bad + panics), false,
-			"it is wrong\nknown red: TestPanic\nred: m/a: TestBad failed\n1 passed, 1 failed, 0 skipped"},
+			"it is wrong\nknown failure: TestPanic\nfailure: m/a: TestBad failed\n" +
+				"1 passed, 1 failed, 0 skipped"},
 		{"a listed test that passes", "TestOK | go test ./a | x y | issue 7", one(okTest + skipTest), false,
-			"red: KNOWN-RED.txt: TestOK passes\n0 passed, 1 failed, 1 skipped"},
+			"failure: KNOWN-RED.txt: TestOK passes\n0 passed, 1 failed, 1 skipped"},
 		{"a listed test that is skipped", "TestSkip | go test ./a | x y | issue 7", one(okTest + skipTest), false,
-			"red: KNOWN-RED.txt: TestSkip did not run\n1 passed, 1 failed, 0 skipped"},
+			"failure: KNOWN-RED.txt: TestSkip did not run\n1 passed, 1 failed, 0 skipped"},
 		{"a listed test that does not exist", "TestNone | go test ./a | x y | issue 7", one(okTest), false,
-			"red: KNOWN-RED.txt:1: no package has a test TestNone\n0 passed, 1 failed, 0 skipped"},
+			"failure: KNOWN-RED.txt:1: no package has a test named TestNone\n0 passed, 1 failed, 0 skipped"},
 		{"a listed case that does not exist", "TestOK/none | go test ./a | x y | issue 7", one(okTest), false,
-			"red: KNOWN-RED.txt: TestOK/none did not run\n1 passed, 1 failed, 0 skipped"},
+			"failure: KNOWN-RED.txt: TestOK/none did not run\n1 passed, 1 failed, 0 skipped"},
 		{"four lines", "a.TestBad | c | x y | issue 7\nTestDeep/bad | c | x y | issue 7\nTestPanic | c | x y | issue 7\nb.TestBad | c | x y | issue 8\n",
 			map[string]string{"a/a_test.go": okTest + badTest + deepTest + panics, "b/b_test.go": otherBad}, false,
-			"known red: a.TestBad\nknown red: TestDeep/bad\nknown red: TestPanic\nknown red: b.TestBad\nlisted: 4 failed as always\n2 passed, 0 failed, 0 skipped"},
+			"known failure: a.TestBad\nknown failure: TestDeep/bad\nknown failure: TestPanic\n" +
+				"known failure: b.TestBad\nknown failures: 4 failed as expected\n" +
+				"2 passed, 0 failed, 0 skipped"},
 		{"one that fails at times and fails", "TestBad | c | x y | issue 7 | at times\n", one(bad), false,
-			"known red at times, failed: TestBad: c: x y (issue 7)\nlisted: 0 failed as always; of those that fail at times 1 failed, 0 passed\n1 passed, 0 failed, 0 skipped"},
+			"known intermittent failure, failed: TestBad: c: x y (issue 7)\n" +
+				"known failures: 0 failed as expected; intermittent ones: 1 failed, 0 passed\n" +
+				"1 passed, 0 failed, 0 skipped"},
 		{"one that fails at times and passes", "TestOK | c | x y | issue 7 | at times\n", one(okTest + skipTest), false,
-			"known red at times, passed: TestOK: c: x y (issue 7)\nlisted: 0 failed as always; of those that fail at times 0 failed, 1 passed\n0 passed, 0 failed, 1 skipped"},
+			"known intermittent failure, passed: TestOK: c: x y (issue 7)\n" +
+				"known failures: 0 failed as expected; intermittent ones: 0 failed, 1 passed\n" +
+				"0 passed, 0 failed, 1 skipped"},
 		{"one that fails at times and is skipped", "TestSkip | c | x y | issue 7 | at times\n", one(okTest + skipTest), false,
-			"red: KNOWN-RED.txt: TestSkip did not run\n1 passed, 1 failed, 0 skipped"},
+			"failure: KNOWN-RED.txt: TestSkip did not run\n1 passed, 1 failed, 0 skipped"},
 		{"an unlisted failure beside one at times", "TestOK | c | x y | issue 7 | at times\n", one(bad), false,
-			"red: m/a: TestBad failed\n0 passed, 1 failed, 0 skipped"},
+			"failure: m/a: TestBad failed\n0 passed, 1 failed, 0 skipped"},
 		{"a case beside one at times", "TestDeep/bad | c | x y | issue 7 | at times", one(okTest + twice), false,
-			"red: m/a: TestDeep failed\n1 passed, 1 failed, 0 skipped"},
+			"failure: m/a: TestDeep failed\n1 passed, 1 failed, 0 skipped"},
 		{"an exit after one at times", "TestOK | c | x y | issue 7 | at times\n", one(with("\"os\"", skipTest, leaks)), false,
-			"red: m/a failed outside its tests\nred: KNOWN-RED.txt: TestOK passed, and its package failed\n0 passed, 2 failed, 1 skipped"},
-		{"another mark", "TestOK | c | x y | issue 7 | sometimes", one(okTest), false, "red: KNOWN-RED.txt:1: \"TestOK | c | x y | issue 7 | sometimes\" is not\n0 passed"},
-		{"the former form", "TestBad, x y, issue 7", one(bad), false, "red: KNOWN-RED.txt:1: \"TestBad, x y, issue 7\" is not\n0 passed"},
-		{"a line twice", "TestBad | go test ./a | x y | issue 7\na.TestBad | go test ./a | x y | issue 7\n", one(bad), false, "red: KNOWN-RED.txt:2: a.TestBad is listed twice\n0 passed"},
-		{"no issue", "TestBad | c | x y\n", one(bad), false, "red: KNOWN-RED.txt:1: \"TestBad | c | x y\" is not\n0 passed, 1 failed, 0 skipped"},
-		{"no command or nothing seen", "TestBad | c | issue 7\n", one(bad), false, "red: KNOWN-RED.txt:1: \"TestBad | c | issue 7\" is not\n0 passed, 1 failed, 0 skipped"},
-		{"an empty line", "TestBad | go test ./a | x y | issue 7\n\nTestSkip | go test ./a | x y | issue 7", one(bad + skipTest), false, "red: KNOWN-RED.txt:2: \"\" is not\n0 passed"},
-		{"a pattern", "Test.* | go test ./a | x y | issue 7", one(bad), false, "red: KNOWN-RED.txt:1: Test.* is no name\n0 passed"},
-		{"one name in two packages", "TestBad | go test ./a | x y | issue 7", both, false, "red: KNOWN-RED.txt:1: TestBad is in several packages\n0 passed"},
-		{"the same test of another package", "a.TestBad | go test ./a | x y | issue 7", both, false, "FAIL\tm/b\nred: m/b: TestBad failed\n1 passed, 1 failed, 0 skipped"},
+			"failure: m/a failed outside its tests\n" +
+				"failure: KNOWN-RED.txt: TestOK passed, but its package failed\n" +
+				"0 passed, 2 failed, 1 skipped"},
+		{"another mark", "TestOK | c | x y | issue 7 | sometimes", one(okTest), false,
+			"failure: KNOWN-RED.txt:1: \"TestOK | c | x y | issue 7 | sometimes\" is not of the form\n" +
+				"0 passed"},
+		{"the former form", "TestBad, x y, issue 7", one(bad), false,
+			"failure: KNOWN-RED.txt:1: \"TestBad, x y, issue 7\" is not of the form\n0 passed"},
+		{"a line twice", "TestBad | go test ./a | x y | issue 7\na.TestBad | go test ./a | x y | issue 7\n",
+			one(bad), false,
+			"failure: KNOWN-RED.txt:2: a.TestBad is listed twice\n0 passed"},
+		{"no issue", "TestBad | c | x y\n", one(bad), false,
+			"failure: KNOWN-RED.txt:1: \"TestBad | c | x y\" is not of the form\n" +
+				"0 passed, 1 failed, 0 skipped"},
+		{"no command or nothing seen", "TestBad | c | issue 7\n", one(bad), false,
+			"failure: KNOWN-RED.txt:1: \"TestBad | c | issue 7\" is not of the form\n" +
+				"0 passed, 1 failed, 0 skipped"},
+		{"an empty line", "TestBad | go test ./a | x y | issue 7\n\nTestSkip | go test ./a | x y | issue 7",
+			one(bad + skipTest), false,
+			"failure: KNOWN-RED.txt:2: \"\" is not of the form\n0 passed"},
+		{"a pattern", "Test.* | go test ./a | x y | issue 7", one(bad), false,
+			"failure: KNOWN-RED.txt:1: Test.* is not a test name\n0 passed"},
+		{"one name in two packages", "TestBad | go test ./a | x y | issue 7", both, false,
+			"failure: KNOWN-RED.txt:1: TestBad is in several packages\n0 passed"},
+		{"the same test of another package", "a.TestBad | go test ./a | x y | issue 7", both, false,
+			"FAIL\tm/b\nfailure: m/b: TestBad failed\n1 passed, 1 failed, 0 skipped"},
 		{"another case of a listed one's test", "TestDeep/bad | go test ./a | x y | issue 7", one(okTest + twice), false,
-			"red: m/a: TestDeep failed\n1 passed, 1 failed, 0 skipped"},
+			"failure: m/a: TestDeep failed\n1 passed, 1 failed, 0 skipped"},
 		{"a build that fails", "TestBad | go test ./a | x y | issue 7", map[string]string{"a/a_test.go": bad, "b/b.go": "package b\nvar x int = y\n", "b/b_test.go": otherBad[:27]}, false,
-			"undefined: y\nred: m/b failed outside its tests\n1 passed, 1 failed, 0 skipped"},
-		{"vet", "", one(with("\"fmt\"", "func TestVet(*testing.T) { fmt.Printf(\"%d\", \"x\") }\n")), false, "red: m/a failed outside its tests\n0 passed, 1 failed, 0 skipped"},
-		{"a panic", "TestBad | go test ./a | x y | issue 7", one(bad + panics), false, "panic: boom\nred: m/a: TestPanic failed\n1 passed, 1 failed, 0 skipped"},
+			"undefined: y\nfailure: m/b failed outside its tests\n1 passed, 1 failed, 0 skipped"},
+		{"vet", "", one(with("\"fmt\"", "func TestVet(*testing.T) { fmt.Printf(\"%d\", \"x\") }\n")), false,
+			"failure: m/a failed outside its tests\n0 passed, 1 failed, 0 skipped"},
+		{"a panic", "TestBad | go test ./a | x y | issue 7", one(bad + panics), false,
+			"panic: boom\nfailure: m/a: TestPanic failed\n1 passed, 1 failed, 0 skipped"},
 		{"an exit in a test", "TestBad | go test ./a | x y | issue 7", one(with("\"os\"", badTest, exits)), false,
-			"=== RUN   TestExit\nred: m/a failed outside its tests\n1 passed, 1 failed, 0 skipped"},
-		{"a listed exit", "TestExit | go test ./a | x y | issue 7", one(with("\"os\"", exits)), false, "known red: TestExit\n1 passed, 0 failed, 0 skipped"},
+			"=== RUN   TestExit\nfailure: m/a failed outside its tests\n1 passed, 1 failed, 0 skipped"},
+		{"a listed exit", "TestExit | go test ./a | x y | issue 7", one(with("\"os\"", exits)), false,
+			"known failure: TestExit\n1 passed, 0 failed, 0 skipped"},
 		{"an exit after the tests", "TestBad | go test ./a | x y | issue 7", one(with("\"os\"", badTest, leaks)), false,
-			"red: m/a failed outside its tests\n1 passed, 1 failed, 0 skipped"},
+			"failure: m/a failed outside its tests\n1 passed, 1 failed, 0 skipped"},
 		{"a race outside the tests", "TestBad | go test ./a | x y | issue 7", one(with("\"time\"", badTest, races)), true,
-			"DATA RACE\nred: m/a failed outside its tests\n1 passed, 1 failed, 0 skipped"},
-		{"no test", "", map[string]string{"a/a.go": "package a\n"}, false, "red: no test ran\n0 passed, 1 failed, 0 skipped"},
+			"DATA RACE\nfailure: m/a failed outside its tests\n1 passed, 1 failed, 0 skipped"},
+		{"no test", "", map[string]string{"a/a.go": "package a\n"}, false,
+			"failure: no test ran\n0 passed, 1 failed, 0 skipped"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -106,26 +139,26 @@
 			r := runner{dir: dir, race: c.race, out: &out, errs: &out}
 			failures := r.run("KNOWN-RED.txt", []string{"./..."})
 			if wantSuccess := strings.Contains(c.want, " 0 failed"); wantSuccess != (failures == 0) {
-				t.Errorf("%d failures, success %v wanted", failures, wantSuccess)
+				t.Errorf("got %d failures, want success: %v", failures, wantSuccess)
 			}
 			rest := out.String()
 			for want := range strings.Lines(c.want) {
 				var ok bool
 				if _, rest, ok = strings.Cut(rest, strings.TrimSuffix(want, "\n")); !ok {
-					t.Fatalf("no %q, in its place, in:\n%s", want, out.String())
+					t.Fatalf("%q is missing or out of order in the output:\n%s", want, out.String())
 				}
 			}
 			if _, rest, _ = strings.Cut(rest, "\n"); rest != "" {
-				t.Errorf("%q after the closing line", rest)
+				t.Errorf("the output goes on after the expected last line: %q", rest)
 			}
 		})
 	}
 }
 
-// TestMissingList: a list that does not exist is empty.
+// TestMissingList checks that a list that does not exist is empty.
 func TestMissingList(t *testing.T) {
 	known, err := load(filepath.Join(t.TempDir(), "none"), nil)
 	if known != nil || err != nil {
-		t.Error(known, err)
+		t.Errorf("got %v and error %v, want an empty list", known, err)
 	}
 }
--- a/.ci/knownfailures/main.go
+++ b/.ci/knownfailures/main.go
@@ -1,18 +1,22 @@
-// Command knownfailures runs the project's tests and gives the verdict, except for the tests that KNOWN-RED.txt lists.
+// Command knownfailures runs the project's tests and reports the result. Tests that KNOWN-RED.txt lists are
+// expected to fail.
 //
-// KNOWN-RED.txt at the root names the tests that fail for a filed fault, one line each:
+// KNOWN-RED.txt in the root directory lists the tests that fail because of a known defect with an issue, one
+// line each:
 //
 //	TestName | command and seed | what was seen | issue 20
 //	TestOther | command and seed | what was seen | issue 21 | at times
 //
-// A test may be a subtest (TestName/case). If several packages have it, it needs its package's directory
-// (internal/proxy.TestName). A file that is missing or empty lists none. All other tests run without the listed ones, and go
-// test has to exit with 0. Each listed test then runs alone, so that it cannot hide another failure: it has to fail, else its
-// line is out of date, which is a failure too. One that is marked as failing only at times may pass or fail, but has to run.
+// A test may be a subtest (TestName/case). If several packages have a test of that name, the line starts with
+// the package's directory (internal/proxy.TestName). A file that is missing or empty lists no tests. All
+// other tests run without the listed ones, and go test has to exit with 0. Each listed test then runs alone,
+// so that it cannot hide another failure. It has to fail; if it passes, its line is out of date, which counts
+// as a failure too. A test that is marked as failing only at times may pass or fail, but has to run.
 //
-// The last line of output is the number of tests that passed, failed and were skipped, without the listed ones; the line
-// before it is the number of these by their verdict, if there are any. A package that fails outside its tests (build,
-// panic, data race, exit) and an invalid line of the list count as failed. The exit status is 0, or 1 if anything failed.
+// The last line of output gives the number of tests that passed, failed and were skipped, without the listed
+// ones. The line before it gives the number of listed tests by result, if there are any. A package that fails
+// outside its tests (build, panic, data race, exit) and an invalid line of the list count as failed. The exit
+// status is 0, or 1 if anything failed.
 package main
 
 import (
@@ -29,7 +33,7 @@
 )
 
 func main() {
-	race := flag.Bool("race", false, "as go test's")
+	race := flag.Bool("race", false, "run the tests with the race detector")
 	flag.Parse()
 	r := runner{dir: ".", race: *race, out: os.Stdout, errs: os.Stderr}
 	if r.run("KNOWN-RED.txt", flag.Args()) > 0 {
@@ -37,15 +41,16 @@
 	}
 }
 
-// runner runs the tests of the module in a directory.
+// runner runs the tests of a module and tallies the results of the tests that are not listed.
 type runner struct {
-	dir       string
-	race      bool
-	out, errs io.Writer
+	dir       string    // root directory of the module
+	race      bool      // whether to use the race detector
+	out, errs io.Writer // stdout and stderr
 	tally
 }
 
-// run runs the tests of the packages that match the patterns and returns the number of failures.
+// run runs the tests of the packages that match the patterns, with list as the file of known failures. It
+// returns the number of failures.
 func (r *runner) run(list string, patterns []string) int {
 	packages, err := r.findPackages(patterns)
 	var known []knownFailure
@@ -77,69 +82,70 @@
 		r.fail("no test ran")
 	}
 	if len(known) > 0 {
-		fmt.Fprintf(r.out, "listed: %d failed as always; of those that fail at times %d failed, %d passed\n", counts.failed,
-			counts.intermittentFailed, counts.intermittentPassed)
+		fmt.Fprintf(r.out, "known failures: %d failed as expected; intermittent ones: %d failed, %d passed\n",
+			counts.failed, counts.intermittentFailed, counts.intermittentPassed)
 	}
 	return r.printVerdict()
 }
 
-// knownCounts are the listed tests by verdict.
+// knownCounts counts the listed tests by verdict.
 type knownCounts struct{ failed, intermittentFailed, intermittentPassed int }
 
 // printVerdict prints the failures and the counts, and returns the number of failures.
 func (r *runner) printVerdict() int {
 	for _, failure := range r.failures {
-		fmt.Fprintln(r.out, "red: "+failure)
+		fmt.Fprintln(r.out, "failure: "+failure)
 	}
 	fmt.Fprintf(r.out, "%d passed, %d failed, %d skipped\n", r.passed, r.failed, r.skipped)
 	return r.failed
 }
 
-// runStrict runs tests of which none may fail: go test's exit status counts beside its events.
+// runStrict runs tests that all have to pass. A failed exit status of go test counts as a failure even if its
+// events report none.
 func (r *runner) runStrict(args ...string) {
 	failed := r.failed
 	if err := r.goTest(&r.tally, r.out, args...); err != nil && r.failed == failed {
-		r.fail(fmt.Sprintf("go test: %v, with no failed test or package named", err))
+		r.fail(fmt.Sprintf("go test failed without reporting a failed test or package: %v", err))
 	}
 }
 
-// checkKnownFailure runs one listed test alone, prints its verdict and counts it. It returns why its line is invalid; empty
-// if it is not.
+// checkKnownFailure runs one listed test alone, prints its verdict and counts it. If the test does not fail
+// as its line says, it returns the problem instead.
 func (r *runner) checkKnownFailure(k knownFailure, counts *knownCounts) (problem string) {
 	verdict := r.runAlone(k)
-	label := "known red"
+	label := "known failure"
 	switch {
 	case verdict == didNotRun:
-		return "did not run: there is no such test, or it was skipped"
+		return "did not run: it does not exist or was skipped"
 	case verdict == packageFailed && k.intermittent:
-		return "passed, and its package failed outside its tests"
+		return "passed, but its package failed outside its tests"
 	case !k.intermittent && verdict != failed:
-		return "passes: take its line out"
+		return "passes: remove its line"
 	case !k.intermittent:
 		counts.failed++
 	case verdict == passed:
-		label = "known red at times, passed"
+		label = "known intermittent failure, passed"
 		counts.intermittentPassed++
 	default:
-		label = "known red at times, failed"
+		label = "known intermittent failure, failed"
 		counts.intermittentFailed++
 	}
 	fmt.Fprintf(r.out, "%s: %s: %s: %s (%s)\n", label, k.name, k.command, k.seen, k.issue)
 	return ""
 }
 
-// verdict is how a test ended.
+// verdict is the result of a listed test.
 type verdict int
 
-// The verdicts.
+// The verdicts of a listed test.
 const (
-	didNotRun verdict = iota // it does not exist, or was skipped
-	passed
-	failed        // or its process exited in it
-	packageFailed // it passed, and its package failed outside its tests
+	didNotRun     verdict = iota // the test does not exist or was skipped
+	passed                       // the test and its package passed
+	failed                       // the test failed, or its process exited during the test
+	packageFailed                // the test passed, but its package failed outside its tests
 )
 
-// runAlone runs one listed test and no other.
+// runAlone runs one listed test and no other, and returns its verdict.
 func (r *runner) runAlone(k knownFailure) verdict {
 	t := tally{lastActions: map[string]string{}}
 	err := r.goTest(&t, io.Discard, "-run="+testPattern([]knownFailure{k}), k.packagePath)
@@ -154,7 +160,8 @@
 	return didNotRun
 }
 
-// goTest runs go test without its cache, tallies its events and returns an error if it failed.
+// goTest runs go test without cached results and adds its events to t. It writes the output to out, and
+// returns an error if go test failed.
 func (r *runner) goTest(t *tally, out io.Writer, args ...string) error {
 	if r.race {
 		args = append([]string{"-race"}, args...)
@@ -171,21 +178,24 @@
 	return errors.Join(readErr, cmd.Wait())
 }
 
+// command returns a go command that runs in the module's root directory.
 func (r *runner) command(args ...string) *exec.Cmd {
 	cmd := exec.Command("go", args...)
 	cmd.Dir, cmd.Stderr = r.dir, r.errs
 	return cmd
 }
 
-// testPackage is a package with the names of the tests that its files declare, sorted.
+// testPackage is a package and the tests that its files declare.
 type testPackage struct {
-	path, dir string // dir is relative to the module
-	tests     []string
+	path, dir string   // import path, and directory relative to the module's root
+	tests     []string // names of the tests, sorted
 }
 
+// testDeclaration matches the first line of a test function.
 var testDeclaration = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Example)\w*)\(`)
 
-// findPackages returns the packages that match the patterns. Directories that begin with a dot match only by name.
+// findPackages returns the packages that match the patterns of go list. A directory whose name begins with a
+// dot matches only if a pattern names it.
 func (r *runner) findPackages(patterns []string) ([]testPackage, error) {
 	const format = `{{.ImportPath}}{{"\t"}}{{.Module.Path}}{{range .TestGoFiles}}{{"\t"}}{{$.Dir}}/{{.}}{{end}}` +
 		`{{range .XTestGoFiles}}{{"\t"}}{{$.Dir}}/{{.}}{{end}}`
--- a/.ci/knownfailures/stream.go
+++ b/.ci/knownfailures/stream.go
@@ -9,31 +9,33 @@
 	"strings"
 )
 
-// event is a line of go test -json; see go doc test2json.
+// event is a line of the output of go test -json; go doc test2json describes the fields.
 type event struct {
 	Action, Package, Test, Output, ImportPath string
 }
 
-// tally counts tests by result; a subtest counts with its test.
+// tally counts tests by result. Subtests are not counted on their own.
 type tally struct {
 	passed, failed, skipped int
-	failures                []string
-	lastActions             map[string]string // of each test and subtest; nil: not recorded
+	failures                []string          // descriptions of the failures
+	lastActions             map[string]string // last action of each test and subtest; nil: not recorded
 }
 
+// fail counts a failure.
 func (t *tally) fail(failure string) {
 	t.failed++
 	t.failures = append(t.failures, failure)
 }
 
-// testKey is a test of a package; an empty test is the package itself.
+// testKey identifies a test of a package. If test is empty, it identifies the package itself.
 type testKey struct{ packagePath, test string }
 
-// read reads the events of a run to their end. It writes go test's usual output: one line for each package, and the output
-// of each test that failed or did not end.
+// read reads the events of a run of go test up to the end and counts the results. It writes the same output
+// as go test without -json: one line for each package, and the output of each test that failed or did not
+// finish.
 func (t *tally) read(events io.Reader, out io.Writer) error {
-	outputs := map[testKey]*strings.Builder{} // until the test has passed
-	failures := map[string]int{}              // by package
+	outputs := map[testKey]*strings.Builder{} // buffered until the test has finished
+	failures := map[string]int{}              // failed tests by package
 	lines := bufio.NewReader(events)
 	for {
 		line, err := lines.ReadBytes('\n')
@@ -46,7 +48,7 @@
 		var e event
 		if err := json.Unmarshal(line, &e); err != nil {
 			_, _ = out.Write(line)
-			t.fail(fmt.Sprintf("go test wrote what is no event: %v", err))
+			t.fail(fmt.Sprintf("go test wrote a line that is not an event: %v", err))
 			continue
 		}
 		test, _, isSubtest := strings.Cut(e.Test, "/")
@@ -62,7 +64,7 @@
 			fmt.Fprint(out, lastLine(outputs[key].String()))
 		case e.Test == "" && e.Action == "fail":
 			for other, text := range outputs {
-				if other.packagePath == e.Package && other.test != "" { // it started and did not end
+				if other.packagePath == e.Package && other.test != "" { // the test started and did not finish
 					fmt.Fprint(out, text)
 				}
 			}
@@ -80,7 +82,7 @@
 	}
 }
 
-// record counts an event of a test and reports whether it is the end of a test that is no subtest.
+// record counts an event of a test. It reports whether the event is the end of a test that is not a subtest.
 func (t *tally) record(e event, isSubtest bool) bool {
 	ended := e.Action == "pass" || e.Action == "fail" || e.Action == "skip"
 	if t.lastActions != nil && (ended || e.Action == "run") {
@@ -100,7 +102,7 @@
 	return true
 }
 
-// lastLine returns the last line of a package's output, which has its result.
+// lastLine returns the last line of a package's output, which gives its result.
 func lastLine(text string) string {
 	text = strings.TrimSuffix(text, "\n")
 	return text[strings.LastIndexByte(text, '\n')+1:] + "\n"
