--- a/.ci/knownfailures/known.go
+++ b/.ci/knownfailures/known.go
@@ -71,8 +71,9 @@
 func parseLine(line string, packages []testPackage) (failure knownFailure, problem string) {
 	fields := linePattern.FindStringSubmatch(line)
 	if fields == nil {
-		return failure, fmt.Sprintf(`%q is not of the form `+
-			`"TestName | command and seed | what was seen | issue N", optionally followed by " | %s"`, line, intermittentMark)
+		return failure, fmt.Sprintf(
+			`%q is not of the form "TestName | command and seed | what was seen | issue N[ | %s]"`,
+			line, intermittentMark)
 	}
 	failure = knownFailure{name: fields[1], command: fields[2], seen: fields[3], issue: fields[4], intermittent: fields[5] != ""}
 	name := namePattern.FindStringSubmatch(failure.name)
@@ -89,8 +90,9 @@
 		failure.packagePath = paths[0]
 		return failure, ""
 	}
-	return failure, fmt.Sprintf("%s is in several packages; "+
-		"put the directory of one and a dot before the name: %s", failure.name, strings.Join(paths, ", "))
+	return failure, fmt.Sprintf(
+		"%s is in several packages; put the directory of one and a dot before the name: %s",
+		failure.name, strings.Join(paths, ", "))
 }
 
 // sameTest reports whether two lines list the same test.
@@ -109,8 +111,8 @@
 	return paths
 }
 
-// ofPackage returns the known failures in the package with an import path.
-func ofPackage(known []knownFailure, path string) (failures []knownFailure) {
+// failuresInPackage returns the known failures in the package with an import path.
+func failuresInPackage(known []knownFailure, path string) (failures []knownFailure) {
 	for _, k := range known {
 		if k.packagePath == path {
 			failures = append(failures, k)
--- a/.ci/knownfailures/knownfailures_test.go
+++ b/.ci/knownfailures/knownfailures_test.go
@@ -11,111 +11,136 @@
 // The tests of the modules that TestVerdicts runs. Each text is a file or a part of one, named after its
 // tests.
 const (
-	okTest   = "package a\nimport \"testing\"\nfunc TestOK(t *testing.T) { t.Run(\"case\", func(*testing.T) {}) }\n"
+	okTest = "package a\nimport \"testing\"\n" +
+		"func TestOK(t *testing.T) { t.Run(\"case\", func(*testing.T) {}) }\n"
 	badTest  = "func TestBad(t *testing.T) { t.Error(\"it is wrong\") }\n"
 	skipTest = "func TestSkip(t *testing.T) { t.Skip() }\n"
-	deepTest = "func TestDeep(t *testing.T) { t.Run(\"good\", func(*testing.T) {}); t.Run(\"bad\", func(t *testing.T) { t.Fail() }) }\n"
-	twice    = "func TestDeep(t *testing.T) { t.Run(\"bad\", func(t *testing.T) { t.Fail() }); t.Run(\"badder\", func(t *testing.T) { t.Fail() }) }\n"
-	panics   = "func TestPanic(*testing.T) { panic(\"boom\") }\n"
-	exits    = "func TestExit(*testing.T) { os.Exit(1) }\n"
-	leaks    = "func TestMain(m *testing.M) { m.Run(); os.Exit(3) }\n"
-	races    = "var v int\nfunc TestMain(m *testing.M) { go func() { v++ }(); m.Run(); v++; time.Sleep(time.Second / 10) }\n"
-	otherBad = "package b\nimport \"testing\"\nfunc TestBad(t *testing.T) { t.Fail() }\n"
+	deepTest = "func TestDeep(t *testing.T) { t.Run(\"good\", func(*testing.T) {}); " +
+		"t.Run(\"bad\", func(t *testing.T) { t.Fail() }) }\n"
+	deepTestTwoFailures = "func TestDeep(t *testing.T) { t.Run(\"bad\", func(t *testing.T) { t.Fail() }); " +
+		"t.Run(\"badder\", func(t *testing.T) { t.Fail() }) }\n"
+	panicTest  = "func TestPanic(*testing.T) { panic(\"boom\") }\n"
+	exitTest   = "func TestExit(*testing.T) { os.Exit(1) }\n"
+	exitInMain = "func TestMain(m *testing.M) { m.Run(); os.Exit(3) }\n"
+	raceInMain = "var v int\nfunc TestMain(m *testing.M) { go func() { v++ }(); m.Run(); " +
+		"v++; time.Sleep(time.Second / 10) }\n"
+	otherPackageBadTest = "package b\nimport \"testing\"\nfunc TestBad(t *testing.T) { t.Fail() }\n"
 )
 
 // TestVerdicts runs the command on small modules with a list of known failures and checks the output and the
 // result.
 func TestVerdicts(t *testing.T) {
-	with := func(imports string, more ...string) string {
+	withImports := func(imports string, more ...string) string {
 		return strings.Replace(okTest, "\"testing\"", "(\"testing\"; "+imports+")", 1) + strings.Join(more, "")
 	}
-	bad, both := okTest+badTest, map[string]string{"a/a_test.go": okTest + badTest, "b/b_test.go": otherBad}
-	one := func(text string) map[string]string { return map[string]string{"a/a_test.go": text} }
+	bad, twoPackages := okTest+badTest,
+		map[string]string{"a/a_test.go": okTest + badTest, "b/b_test.go": otherPackageBadTest}
+	oneFile := func(text string) map[string]string { return map[string]string{"a/a_test.go": text} }
 	for _, c := range []struct {
 		name, known string
 		files       map[string]string
 		race        bool
 		want        string // parts of output lines, in this order; the last is in the last line
 	}{
-		{"nothing is listed", "", one(okTest + skipTest), false, "ok  \tm/a\n1 passed, 0 failed, 1 skipped"},
-		{"a listed failure", "TestBad | go test ./a -seed 3 | one, of two | issue 7\n", one(bad), false,
+		{"nothing is listed", "",
+			oneFile(okTest + skipTest), false, "ok  \tm/a\n1 passed, 0 failed, 1 skipped"},
+		{"a listed failure", "TestBad | go test ./a -seed 3 | one, of two | issue 7\n", oneFile(bad), false,
 			"known failure: TestBad: go test ./a -seed 3: one, of two (issue 7)\n" +
 				"known failures: 1 failed as expected; intermittent ones: 0 failed, 0 passed\n" +
 				"1 passed, 0 failed, 0 skipped"},
-		{"an unlisted failure", "", one(bad), false,
+		{"an unlisted failure", "", oneFile(bad), false,
 			"it is wrong\nFAIL\tm/a\nfailure: m/a: TestBad failed\n1 passed, 1 failed, 0 skipped"},
-		{"an unlisted failure beside a listed one", "TestPanic | go test ./a | x y | issue 7", one(bad + panics), false,
+		{"an unlisted failure beside a listed one", "TestPanic | go test ./a | x y | issue 7",
+			oneFile(bad + panicTest), false,
 			"it is wrong\nknown failure: TestPanic\nfailure: m/a: TestBad failed\n" +
 				"1 passed, 1 failed, 0 skipped"},
-		{"a listed test that passes", "TestOK | go test ./a | x y | issue 7", one(okTest + skipTest), false,
+		{"a listed test that passes", "TestOK | go test ./a | x y | issue 7",
+			oneFile(okTest + skipTest), false,
 			"failure: KNOWN-RED.txt: TestOK passes\n0 passed, 1 failed, 1 skipped"},
-		{"a listed test that is skipped", "TestSkip | go test ./a | x y | issue 7", one(okTest + skipTest), false,
+		{"a listed test that is skipped", "TestSkip | go test ./a | x y | issue 7",
+			oneFile(okTest + skipTest), false,
 			"failure: KNOWN-RED.txt: TestSkip did not run\n1 passed, 1 failed, 0 skipped"},
-		{"a listed test that does not exist", "TestNone | go test ./a | x y | issue 7", one(okTest), false,
+		{"a listed test that does not exist", "TestNone | go test ./a | x y | issue 7",
+			oneFile(okTest), false,
 			"failure: KNOWN-RED.txt:1: no package has a test named TestNone\n0 passed, 1 failed, 0 skipped"},
-		{"a listed case that does not exist", "TestOK/none | go test ./a | x y | issue 7", one(okTest), false,
+		{"a listed case that does not exist", "TestOK/none | go test ./a | x y | issue 7",
+			oneFile(okTest), false,
 			"failure: KNOWN-RED.txt: TestOK/none did not run\n1 passed, 1 failed, 0 skipped"},
 		{"four lines", "a.TestBad | c | x y | issue 7\nTestDeep/bad | c | x y | issue 7\nTestPanic | c | x y | issue 7\nb.TestBad | c | x y | issue 8\n",
-			map[string]string{"a/a_test.go": okTest + badTest + deepTest + panics, "b/b_test.go": otherBad}, false,
+			map[string]string{"a/a_test.go": okTest + badTest + deepTest + panicTest,
+				"b/b_test.go": otherPackageBadTest}, false,
 			"known failure: a.TestBad\nknown failure: TestDeep/bad\nknown failure: TestPanic\n" +
 				"known failure: b.TestBad\nknown failures: 4 failed as expected\n" +
 				"2 passed, 0 failed, 0 skipped"},
-		{"one that fails at times and fails", "TestBad | c | x y | issue 7 | at times\n", one(bad), false,
+		{"one that fails at times and fails", "TestBad | c | x y | issue 7 | at times\n", oneFile(bad), false,
 			"known intermittent failure, failed: TestBad: c: x y (issue 7)\n" +
 				"known failures: 0 failed as expected; intermittent ones: 1 failed, 0 passed\n" +
 				"1 passed, 0 failed, 0 skipped"},
-		{"one that fails at times and passes", "TestOK | c | x y | issue 7 | at times\n", one(okTest + skipTest), false,
+		{"one that fails at times and passes", "TestOK | c | x y | issue 7 | at times\n",
+			oneFile(okTest + skipTest), false,
 			"known intermittent failure, passed: TestOK: c: x y (issue 7)\n" +
 				"known failures: 0 failed as expected; intermittent ones: 0 failed, 1 passed\n" +
 				"0 passed, 0 failed, 1 skipped"},
-		{"one that fails at times and is skipped", "TestSkip | c | x y | issue 7 | at times\n", one(okTest + skipTest), false,
+		{"one that fails at times and is skipped", "TestSkip | c | x y | issue 7 | at times\n",
+			oneFile(okTest + skipTest), false,
 			"failure: KNOWN-RED.txt: TestSkip did not run\n1 passed, 1 failed, 0 skipped"},
-		{"an unlisted failure beside one at times", "TestOK | c | x y | issue 7 | at times\n", one(bad), false,
+		{"an unlisted failure beside one at times", "TestOK | c | x y | issue 7 | at times\n",
+			oneFile(bad), false,
 			"failure: m/a: TestBad failed\n0 passed, 1 failed, 0 skipped"},
-		{"a case beside one at times", "TestDeep/bad | c | x y | issue 7 | at times", one(okTest + twice), false,
+		{"a case beside one at times", "TestDeep/bad | c | x y | issue 7 | at times",
+			oneFile(okTest + deepTestTwoFailures), false,
 			"failure: m/a: TestDeep failed\n1 passed, 1 failed, 0 skipped"},
-		{"an exit after one at times", "TestOK | c | x y | issue 7 | at times\n", one(with("\"os\"", skipTest, leaks)), false,
+		{"an exit after one at times", "TestOK | c | x y | issue 7 | at times\n",
+			oneFile(withImports("\"os\"", skipTest, exitInMain)), false,
 			"failure: m/a failed outside its tests\n" +
 				"failure: KNOWN-RED.txt: TestOK passed, but its package failed\n" +
 				"0 passed, 2 failed, 1 skipped"},
-		{"another mark", "TestOK | c | x y | issue 7 | sometimes", one(okTest), false,
+		{"another mark", "TestOK | c | x y | issue 7 | sometimes", oneFile(okTest), false,
 			"failure: KNOWN-RED.txt:1: \"TestOK | c | x y | issue 7 | sometimes\" is not of the form\n" +
 				"0 passed"},
-		{"the former form", "TestBad, x y, issue 7", one(bad), false,
+		{"the former form", "TestBad, x y, issue 7", oneFile(bad), false,
 			"failure: KNOWN-RED.txt:1: \"TestBad, x y, issue 7\" is not of the form\n0 passed"},
 		{"a line twice", "TestBad | go test ./a | x y | issue 7\na.TestBad | go test ./a | x y | issue 7\n",
-			one(bad), false,
+			oneFile(bad), false,
 			"failure: KNOWN-RED.txt:2: a.TestBad is listed twice\n0 passed"},
-		{"no issue", "TestBad | c | x y\n", one(bad), false,
+		{"no issue", "TestBad | c | x y\n", oneFile(bad), false,
 			"failure: KNOWN-RED.txt:1: \"TestBad | c | x y\" is not of the form\n" +
 				"0 passed, 1 failed, 0 skipped"},
-		{"no command or nothing seen", "TestBad | c | issue 7\n", one(bad), false,
+		{"no command or nothing seen", "TestBad | c | issue 7\n", oneFile(bad), false,
 			"failure: KNOWN-RED.txt:1: \"TestBad | c | issue 7\" is not of the form\n" +
 				"0 passed, 1 failed, 0 skipped"},
 		{"an empty line", "TestBad | go test ./a | x y | issue 7\n\nTestSkip | go test ./a | x y | issue 7",
-			one(bad + skipTest), false,
+			oneFile(bad + skipTest), false,
 			"failure: KNOWN-RED.txt:2: \"\" is not of the form\n0 passed"},
-		{"a pattern", "Test.* | go test ./a | x y | issue 7", one(bad), false,
+		{"a pattern", "Test.* | go test ./a | x y | issue 7", oneFile(bad), false,
 			"failure: KNOWN-RED.txt:1: Test.* is not a test name\n0 passed"},
-		{"one name in two packages", "TestBad | go test ./a | x y | issue 7", both, false,
+		{"one name in two packages", "TestBad | go test ./a | x y | issue 7", twoPackages, false,
 			"failure: KNOWN-RED.txt:1: TestBad is in several packages\n0 passed"},
-		{"the same test of another package", "a.TestBad | go test ./a | x y | issue 7", both, false,
+		{"the same test of another package", "a.TestBad | go test ./a | x y | issue 7", twoPackages, false,
 			"FAIL\tm/b\nfailure: m/b: TestBad failed\n1 passed, 1 failed, 0 skipped"},
-		{"another case of a listed one's test", "TestDeep/bad | go test ./a | x y | issue 7", one(okTest + twice), false,
+		{"another case of a listed one's test", "TestDeep/bad | go test ./a | x y | issue 7",
+			oneFile(okTest + deepTestTwoFailures), false,
 			"failure: m/a: TestDeep failed\n1 passed, 1 failed, 0 skipped"},
-		{"a build that fails", "TestBad | go test ./a | x y | issue 7", map[string]string{"a/a_test.go": bad, "b/b.go": "package b\nvar x int = y\n", "b/b_test.go": otherBad[:27]}, false,
+		{"a build that fails", "TestBad | go test ./a | x y | issue 7",
+			map[string]string{"a/a_test.go": bad,
+				"b/b.go": "package b\nvar x int = y\n", "b/b_test.go": otherPackageBadTest[:27]}, false,
 			"undefined: y\nfailure: m/b failed outside its tests\n1 passed, 1 failed, 0 skipped"},
-		{"vet", "", one(with("\"fmt\"", "func TestVet(*testing.T) { fmt.Printf(\"%d\", \"x\") }\n")), false,
+		{"vet", "",
+			oneFile(withImports("\"fmt\"", "func TestVet(*testing.T) { fmt.Printf(\"%d\", \"x\") }\n")), false,
 			"failure: m/a failed outside its tests\n0 passed, 1 failed, 0 skipped"},
-		{"a panic", "TestBad | go test ./a | x y | issue 7", one(bad + panics), false,
+		{"a panic", "TestBad | go test ./a | x y | issue 7", oneFile(bad + panicTest), false,
 			"panic: boom\nfailure: m/a: TestPanic failed\n1 passed, 1 failed, 0 skipped"},
-		{"an exit in a test", "TestBad | go test ./a | x y | issue 7", one(with("\"os\"", badTest, exits)), false,
+		{"an exit in a test", "TestBad | go test ./a | x y | issue 7",
+			oneFile(withImports("\"os\"", badTest, exitTest)), false,
 			"=== RUN   TestExit\nfailure: m/a failed outside its tests\n1 passed, 1 failed, 0 skipped"},
-		{"a listed exit", "TestExit | go test ./a | x y | issue 7", one(with("\"os\"", exits)), false,
+		{"a listed exit", "TestExit | go test ./a | x y | issue 7",
+			oneFile(withImports("\"os\"", exitTest)), false,
 			"known failure: TestExit\n1 passed, 0 failed, 0 skipped"},
-		{"an exit after the tests", "TestBad | go test ./a | x y | issue 7", one(with("\"os\"", badTest, leaks)), false,
+		{"an exit after the tests", "TestBad | go test ./a | x y | issue 7",
+			oneFile(withImports("\"os\"", badTest, exitInMain)), false,
 			"failure: m/a failed outside its tests\n1 passed, 1 failed, 0 skipped"},
-		{"a race outside the tests", "TestBad | go test ./a | x y | issue 7", one(with("\"time\"", badTest, races)), true,
+		{"a race outside the tests", "TestBad | go test ./a | x y | issue 7",
+			oneFile(withImports("\"time\"", badTest, raceInMain)), true,
 			"DATA RACE\nfailure: m/a failed outside its tests\n1 passed, 1 failed, 0 skipped"},
 		{"no test", "", map[string]string{"a/a.go": "package a\n"}, false,
 			"failure: no test ran\n0 passed, 1 failed, 0 skipped"},
--- a/.ci/knownfailures/main.go
+++ b/.ci/knownfailures/main.go
@@ -61,16 +61,16 @@
 		r.fail(fmt.Sprintf("%v; no test was run", err))
 		return r.printVerdict()
 	}
-	var withoutKnown []string
+	var packagesWithoutKnown []string
 	for _, p := range packages {
-		if failures := ofPackage(known, p.path); failures != nil {
+		if failures := failuresInPackage(known, p.path); failures != nil {
 			r.runStrict("-skip="+testPattern(failures), p.path)
 		} else {
-			withoutKnown = append(withoutKnown, p.path)
+			packagesWithoutKnown = append(packagesWithoutKnown, p.path)
 		}
 	}
-	if len(withoutKnown) > 0 {
-		r.runStrict(withoutKnown...)
+	if len(packagesWithoutKnown) > 0 {
+		r.runStrict(packagesWithoutKnown...)
 	}
 	var counts knownCounts
 	for _, k := range known {
--- a/.ci/knownfailures/stream.go
+++ b/.ci/knownfailures/stream.go
@@ -35,7 +35,7 @@
 // finish.
 func (t *tally) read(events io.Reader, out io.Writer) error {
 	outputs := map[testKey]*strings.Builder{} // buffered until the test has finished
-	failures := map[string]int{}              // failed tests by package
+	failedTests := map[string]int{}           // failed tests by package
 	lines := bufio.NewReader(events)
 	for {
 		line, err := lines.ReadBytes('\n')
@@ -69,12 +69,12 @@
 				}
 			}
 			fmt.Fprint(out, outputs[key])
-			if failures[e.Package] == 0 {
+			if failedTests[e.Package] == 0 {
 				t.fail(e.Package + " failed outside its tests")
 			}
 		case e.Test != "" && t.record(e, isSubtest):
 			if e.Action == "fail" {
-				failures[e.Package]++
+				failedTests[e.Package]++
 				fmt.Fprint(out, outputs[key])
 			}
 			delete(outputs, key)
