--- a/.ci/cost/main.go
+++ b/.ci/cost/main.go
@@ -1,9 +1,12 @@
-// Command cost compares what two builds of the proxy cost at their start: the time until /_health answers 200 and the peak
-// of resident memory (VmHWM). It starts both alternately with the smallest configuration. The exit status is 1 if the new
-// build's median of either is above the old build's maximum and a margin, 2 if it could not measure. The resident part of an
-// executable depends on the file too: a newly linked one shows 0.7 to 0.9 MB more than its copy, or than an older one of the
-// same code, so link both anew or give copies of both. On a busy machine the old build's spread grows and the result means
-// less: it is for changes that add a library to the proxy, and not part of CI.
+// Command cost compares the startup cost of two builds of the proxy: the time until /_health responds with
+// 200, and the peak of resident memory (VmHWM). It starts the two builds alternately with a minimal
+// configuration. The exit status is 1 if either median of the new build exceeds the maximum of the old build
+// by more than a margin, and 2 if a measurement failed.
+//
+// Resident memory also depends on the executable file: a newly linked one shows 0.7 to 0.9 MB more than its
+// copy, or than an older one of the same code. Link both builds anew, or pass copies of both. On a busy
+// machine the spread of the old build grows, which makes the comparison less sensitive. The command is meant
+// for changes that add a library to the proxy, and is not part of CI.
 package main
 
 import (
@@ -26,21 +29,21 @@
 
 const (
 	startTimeout = 30 * time.Second
-	pollInterval = 100 * time.Microsecond // of the health endpoint: the resolution of the start time
+	pollInterval = 100 * time.Microsecond // between requests to /_health; the resolution of the startup time
 )
 
-// measurements are those of the starts of one build.
+// measurements are the results of all measured starts of one build.
 type measurements struct {
-	startMs  []float64
-	memoryMB []float64 // in 2^20 bytes
+	startMs  []float64 // startup times in ms
+	memoryMB []float64 // peaks of resident memory, in units of 2^20 bytes
 }
 
 func main() {
-	old := flag.String("old", "", "the build to compare with")
-	next := flag.String("new", "", "the build in question")
-	starts := flag.Int("n", 12, "starts of each")
+	old := flag.String("old", "", "path of the old build, to compare with")
+	next := flag.String("new", "", "path of the new build")
+	starts := flag.Int("n", 12, "number of measured starts of each build")
 	margin := flag.Float64("margin", 0.1, "fraction of the old maximum by which the new median may exceed it")
-	stay := flag.Duration("stay", 300*time.Millisecond, "how long a proxy lives once it is healthy")
+	stay := flag.Duration("stay", 300*time.Millisecond, "how long each proxy runs after it became healthy")
 	flag.Parse()
 	if *old == "" || *next == "" || *starts < 1 || *starts > 1000 {
 		flag.Usage()
@@ -58,7 +61,8 @@
 	}
 }
 
-// measure starts both builds the given number of times. Each is first in every other round.
+// measure starts both builds the given number of times, and once before that without measuring. The two take
+// turns in being started first.
 func measure(old, next string, starts int, stay time.Duration) (oldRuns, newRuns measurements, err error) {
 	dir, err := os.MkdirTemp("", "cost")
 	if err != nil {
@@ -75,7 +79,7 @@
 			if err != nil {
 				return oldRuns, newRuns, fmt.Errorf("%s, start %d: %w", build.path, i, err)
 			}
-			if i > 0 { // the first start reads the file from disk
+			if i > 0 { // not the first start, which reads the executable from disk
 				build.runs.startMs = append(build.runs.startMs, startMs)
 				build.runs.memoryMB = append(build.runs.memoryMB, memoryMB)
 			}
@@ -85,7 +89,8 @@
 	return oldRuns, newRuns, nil
 }
 
-// measureStart starts one proxy and kills it once it is measured.
+// measureStart starts one proxy, measures it and kills it. dir is the directory for its configuration and
+// temporary files.
 func measureStart(path, dir string, stay time.Duration) (startMs, memoryMB float64, err error) {
 	listen, err := minimalconfig.FreeAddress()
 	if err != nil {
@@ -109,22 +114,23 @@
 	_ = cmd.Process.Kill()
 	<-exited
 	if err != nil {
-		err = fmt.Errorf("%w; its output:\n%s", err, output.Bytes())
+		err = fmt.Errorf("%w; output of the proxy:\n%s", err, output.Bytes())
 	}
 	return startMs, memoryMB, err
 }
 
-// follow waits until a proxy has been healthy for stay and returns its measurements.
+// follow waits until a proxy has been healthy for the duration stay, and returns its startup time and peak
+// memory.
 func follow(pid int, startedAt time.Time, listen string, exited chan error, stay time.Duration) (startMs, memoryMB float64, err error) {
 	for minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
 		select {
 		case err := <-exited:
 			exited <- err
-			return 0, 0, fmt.Errorf("it exited early: %w", err)
+			return 0, 0, fmt.Errorf("the proxy exited early: %w", err)
 		case <-time.After(pollInterval):
 		}
 		if time.Since(startedAt) > startTimeout {
-			return 0, 0, fmt.Errorf("not healthy after %v", startTimeout)
+			return 0, 0, fmt.Errorf("the proxy was not healthy after %v", startTimeout)
 		}
 	}
 	startMs = float64(time.Since(startedAt).Microseconds()) / 1000
@@ -133,7 +139,7 @@
 	return startMs, memoryMB, err
 }
 
-// peakMemory returns the peak of resident memory in MB.
+// peakMemory returns the peak of a process's resident memory in units of 2^20 bytes.
 func peakMemory(pid int) (float64, error) {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -146,10 +152,11 @@
 			return n / 1024, err
 		}
 	}
-	return 0, errors.New("no VmHWM in its status: has it exited?")
+	return 0, errors.New("no VmHWM in the process status; the proxy may have exited")
 }
 
-// compare prints the measurements of both builds and reports whether the new median is within the bound.
+// compare prints the measurements of both builds and reports whether the new median is at most the old
+// maximum plus the margin.
 func compare(name string, old, next []float64, margin float64) bool {
 	slices.Sort(old)
 	slices.Sort(next)
--- a/.ci/start/main.go
+++ b/.ci/start/main.go
@@ -1,6 +1,7 @@
-// Command start checks the program that the variable CI_RUN starts: the proxy starts with an initial endpoint list and no
-// discovery, is healthy, is one process, reloads on SIGHUP and exits with 0 on SIGTERM; with a management address also that
-// an operator override takes effect and outlasts an upgrade.
+// Command start checks the lifecycle of the proxy that the shell command in the environment variable CI_RUN
+// starts. The proxy has to start with an initial endpoint list and without discovery, become healthy, be a
+// single process, survive SIGHUP and exit with status 0 on SIGTERM. With a management address, an operator's
+// override has to take effect and to remain in effect after an upgrade.
 package main
 
 import (
@@ -19,16 +20,17 @@
 	"merlinpick/.ci/minimalconfig"
 )
 
-const processTimeout = 30 * time.Second // for a start or an exit
+const processTimeout = 30 * time.Second // maximum time for a start or an exit
 
 func main() {
 	if err := run(); err != nil {
 		fmt.Fprintf(os.Stderr, "start: %v\n", err)
 		os.Exit(1)
 	}
-	fmt.Println("the proxy starts, is healthy, survives SIGHUP, keeps an override over an upgrade and exits on SIGTERM")
+	fmt.Println("the proxy starts, is healthy, survives SIGHUP, keeps overrides on upgrade, exits on SIGTERM")
 }
 
+// run checks the proxy without and with a management address.
 func run() error {
 	dir, err := os.MkdirTemp("", "start")
 	if err != nil {
@@ -48,13 +50,14 @@
 	return nil
 }
 
-// proxy is a running process.
+// proxy is a running proxy process.
 type proxy struct {
 	cmd    *exec.Cmd
-	exited chan error
+	exited chan error // receives the result of the process when it exits
 }
 
-// start starts a proxy and waits until its health URL, without scheme, answers 200.
+// start writes a configuration to path, starts a proxy with it and waits until the URL health, which has no
+// scheme, responds with 200. dir is the directory for temporary files.
 func start(dir, path, listen, management, health string) (*proxy, error) {
 	if err := os.WriteFile(path, minimalconfig.Config(listen, management), 0o600); err != nil {
 		return nil, err
@@ -70,20 +73,21 @@
 	for deadline := time.Now().Add(processTimeout); minimalconfig.Status("GET", health) != http.StatusOK; time.Sleep(20 * time.Millisecond) {
 		select {
 		case err := <-p.exited:
-			return nil, fmt.Errorf("it exited early: %w", err)
+			return nil, fmt.Errorf("the proxy exited early: %w", err)
 		default:
 		}
 		if time.Now().After(deadline) {
 			p.kill()
-			return nil, fmt.Errorf("%s: not healthy after %v", health, processTimeout)
+			return nil, fmt.Errorf("the proxy was not healthy at %s after %v", health, processTimeout)
 		}
 	}
 	return p, nil
 }
 
+// kill ends the process at once.
 func (p *proxy) kill() { _ = p.cmd.Process.Kill() }
 
-// stop sends SIGTERM and waits for the exit, which has to be with status 0.
+// stop sends SIGTERM and waits for the exit. It returns an error unless the exit status is 0.
 func (p *proxy) stop() error {
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -92,11 +96,12 @@
 	case err := <-p.exited:
 		return err
 	case <-time.After(processTimeout):
-		return fmt.Errorf("still running %v after SIGTERM", processTimeout)
+		return fmt.Errorf("the proxy is still running %v after SIGTERM", processTimeout)
 	}
 }
 
-// checkLifecycle checks start, SIGHUP, with a management address an override and an upgrade too, and the exit.
+// checkLifecycle checks the start, SIGHUP and the exit of a proxy and, if it has a management address, an
+// override and an upgrade.
 func checkLifecycle(dir, management string) error {
 	listen, err := minimalconfig.FreeAddress()
 	if err != nil {
@@ -111,12 +116,12 @@
 	if err := checkProcess(p.cmd.Process.Pid); err != nil {
 		return err
 	}
-	// SIGHUP reloads the configuration; unhandled it would end the process.
+	// SIGHUP reloads the configuration. A process that does not handle it would be terminated.
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
 	if minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
-		return errors.New("not healthy after SIGHUP")
+		return errors.New("the proxy is not healthy after SIGHUP")
 	}
 	if management == "" {
 		return p.stop()
@@ -127,17 +132,18 @@
 	return checkUpgrade(p, dir, path, listen)
 }
 
-// checkSuspend suspends a server that is in the list, and one that is not.
+// checkSuspend checks that a server in the endpoint list can be suspended, and that an unknown one cannot.
 func checkSuspend(management string) error {
 	for call, want := range map[string]int{"/v1/nodos/a/suspend": 200, "/v1/nodos/b/suspend": 404} {
 		if got := minimalconfig.Status("POST", management+call); got != want {
-			return fmt.Errorf("%s: got %d, want %d", call, got, want)
+			return fmt.Errorf("POST %s: got status %d, want %d", call, got, want)
 		}
 	}
 	return nil
 }
 
-// checkUpgrade replaces a running proxy by a second process.
+// checkUpgrade replaces a running proxy by a second process, which has to take over the listener and the
+// override.
 func checkUpgrade(p *proxy, dir, path, listen string) error {
 	second, err := minimalconfig.FreeAddress()
 	if err != nil {
@@ -145,23 +151,23 @@
 	}
 	next, err := start(dir, path, listen, second, second+"/v1/readyz")
 	if err != nil {
-		return fmt.Errorf("successor: %w", err)
+		return fmt.Errorf("start of the new process: %w", err)
 	}
 	defer next.kill()
 	if err := p.stop(); err != nil {
-		return fmt.Errorf("predecessor: %w", err)
+		return fmt.Errorf("exit of the old process: %w", err)
 	}
 	if text := body(second + "/v1/metrics"); !strings.Contains(text, "\napp.ejected=1\n") {
-		return fmt.Errorf("the override did not outlast the upgrade:\n%s", text)
+		return fmt.Errorf("the override is not in effect after the upgrade; the metrics:\n%s", text)
 	}
 	if minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
-		return errors.New("not healthy after the upgrade")
+		return errors.New("the proxy is not healthy after the upgrade")
 	}
 	return next.stop()
 }
 
-// checkProcess checks what the platform requires: the shell was replaced by the proxy, which has started no other process
-// and is linked dynamically against the C library.
+// checkProcess checks the platform's requirements: the proxy has replaced the shell, has started no other
+// process and is linked dynamically against the C library.
 func checkProcess(pid int) error {
 	proc := fmt.Sprintf("/proc/%d", pid)
 	exe, err := os.Readlink(proc + "/exe")
@@ -173,7 +179,7 @@
 		return err
 	}
 	if exe == shell {
-		return errors.New("run leaves a shell behind: it has to exec the proxy")
+		return errors.New("the command in CI_RUN leaves a shell running; it has to exec the proxy")
 	}
 	tasks, err := filepath.Glob(proc + "/task/*/children")
 	if err != nil {
@@ -188,7 +194,7 @@
 			return err
 		}
 		if len(children) > 0 {
-			return fmt.Errorf("run starts further processes: %s", children)
+			return fmt.Errorf("the proxy started other processes: %s", children)
 		}
 	}
 	maps, err := os.ReadFile(proc + "/maps")
@@ -201,7 +207,8 @@
 	return nil
 }
 
-// body returns the body of a response, or the error instead.
+// body returns the body of the response to a GET request to a URL without scheme. If there is an error, it
+// returns the text of the error instead.
 func body(url string) string {
 	response, err := http.Get("http://" + url)
 	if err != nil {
--- a/experiments/experiments.go
+++ b/experiments/experiments.go
@@ -1,9 +1,10 @@
-// Package experiments holds the experiments that come with the lab, so that the built program has them at hand.
+// Package experiments embeds the definitions of the lab's experiments, so that the built program contains
+// them.
 package experiments
 
 import "embed"
 
-// Files are the experiments, by file name.
+// Files holds the experiment definitions: one TOML file for each experiment.
 //
 //go:embed *.toml
 var Files embed.FS
