--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,4 +1,4 @@
-// Package docs has the tests that hold pages to the code.
+// Package docs holds tests that check the pages of the documentation against the code.
 package docs
 
 import (
@@ -13,16 +13,17 @@
 	"testing"
 )
 
-const module = "merlinpick/"
+const module = "merlinpick/" // prefix of the import paths of this module
 
-// layer is a row of the page's table of imports.
+// layer is a row of the table of imports in ARCHITECTURE.md.
 type layer struct {
 	name      string
-	packages  []string // in order: each may import those before it
-	mayImport []string // names of other layers
+	packages  []string // packages in order; each may import those before it
+	mayImport []string // names of the other layers whose packages may be imported
 }
 
-// position finds a package in the row; a pattern that ends with /... holds all below it, in no order.
+// position finds the entry of a package in the layer. An entry that ends with /... matches all packages below
+// that directory; these may import each other in any order, and ordered is false.
 func (l layer) position(pkg string) (index int, ordered, found bool) {
 	for i, p := range l.packages {
 		if tree, isTree := strings.CutSuffix(p, "/..."); isTree && strings.HasPrefix(pkg, tree+"/") {
@@ -35,7 +36,7 @@
 	return 0, false, false
 }
 
-// readLayers reads the table of ARCHITECTURE.md.
+// readLayers reads the table of imports in ARCHITECTURE.md.
 func readLayers(t *testing.T) (layers []layer) {
 	t.Helper()
 	text, err := os.ReadFile("ARCHITECTURE.md")
@@ -44,7 +45,7 @@
 	}
 	_, table, found := strings.Cut(string(text), "| row | packages, in order | may import |\n| --- | --- | --- |\n")
 	if !found {
-		t.Fatal("ARCHITECTURE.md has no table of imports")
+		t.Fatal("ARCHITECTURE.md has no table of imports with the expected header")
 	}
 	quoted := regexp.MustCompile("`([^`]+)`")
 	for line := range strings.Lines(table) {
@@ -66,7 +67,8 @@
 	return layers
 }
 
-// projectImports are the packages of this module that each of its packages imports, tests apart.
+// projectImports returns, for each package of this module, the packages of this module that it imports.
+// Imports by tests are left out.
 func projectImports(t *testing.T) map[string][]string {
 	t.Helper()
 	imports := map[string][]string{}
@@ -105,7 +107,8 @@
 	return imports
 }
 
-// TestImportsFollowThePage holds the imports between packages to the table of ARCHITECTURE.md.
+// TestImportsFollowThePage checks that packages import only what the table in ARCHITECTURE.md allows, and
+// that each package of the module is in the table and the reverse.
 func TestImportsFollowThePage(t *testing.T) {
 	layers := readLayers(t)
 	find := func(pkg string) int {
@@ -115,29 +118,31 @@
 	for pkg, imported := range imports {
 		from := find(pkg)
 		if from < 0 {
-			t.Errorf("%s stands in no row of the table", pkg)
+			t.Errorf("package %s is in no row of the table in ARCHITECTURE.md", pkg)
 			continue
 		}
 		for _, other := range imported {
 			to := find(other)
 			switch {
 			case to < 0:
-				t.Errorf("%s imports %s, which stands in no row", pkg, other)
+				t.Errorf("%s imports %s, which is in no row of the table in ARCHITECTURE.md", pkg, other)
 			case from == to:
 				here, ordered, _ := layers[from].position(pkg)
 				there, _, _ := layers[from].position(other)
 				if there > here || ordered && there == here {
-					t.Errorf("%s imports %s, which stands after it in row %s", pkg, other, layers[from].name)
+					t.Errorf("%s imports %s, which is not before it in row %s of the table", pkg, other,
+						layers[from].name)
 				}
 			case !slices.Contains(layers[from].mayImport, layers[to].name):
-				t.Errorf("%s (row %s) imports %s (row %s), which the page does not allow", pkg, layers[from].name, other, layers[to].name)
+				t.Errorf("%s (row %s) imports %s (row %s), which ARCHITECTURE.md does not allow",
+					pkg, layers[from].name, other, layers[to].name)
 			}
 		}
 	}
 	for _, l := range layers {
 		for _, p := range l.packages {
 			if _, isTree := strings.CutSuffix(p, "/..."); !isTree && imports[p] == nil {
-				t.Errorf("row %s names %s, which is not there", l.name, p)
+				t.Errorf("row %s of the table in ARCHITECTURE.md lists %s, which does not exist", l.name, p)
 			}
 		}
 	}
--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -12,12 +12,13 @@
 	"testing"
 )
 
-// logMethods are the methods of slog.Logger, by the position of the message among their arguments.
+// logMethods maps the methods of slog.Logger that log a line to the index of the message among their
+// arguments.
 var logMethods = map[string]int{"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "DebugContext": 1, "InfoContext": 1,
 	"WarnContext": 1, "ErrorContext": 1, "Log": 2, "LogAttrs": 2}
 
-// logMessages are the messages of log lines in a file that are literals there: arguments of a logger's methods, and what
-// methods named Message return.
+// logMessages returns the log messages that a file contains as string literals: the arguments of a logger's
+// methods, and the results of methods named Message.
 func logMessages(file *ast.File) (messages []string) {
 	add := func(e ast.Expr) {
 		if text, ok := e.(*ast.BasicLit); ok && text.Kind == token.STRING {
@@ -52,7 +53,7 @@
 	return messages
 }
 
-// isLogger tells whether an expression's last name is that of a logger.
+// isLogger reports whether the last identifier of an expression is the name of a logger.
 func isLogger(e ast.Expr) bool {
 	switch e := e.(type) {
 	case *ast.Ident:
@@ -63,8 +64,8 @@
 	return false
 }
 
-// TestEachLogLineHasARow holds the log lines of the programs in service to oncall.md: each has a row with its meaning and
-// first action, and each row has its line.
+// TestEachLogLineHasARow checks that each log message of the programs that run in production has a row in
+// oncall.md, with its meaning and the first action, and that each row belongs to a message.
 func TestEachLogLineHasARow(t *testing.T) {
 	page, err := os.ReadFile("oncall.md")
 	if err != nil {
@@ -72,14 +73,15 @@
 	}
 	_, tables, found := strings.Cut(string(page), "## Log lines\n")
 	if !found {
-		t.Fatal("oncall.md has no section of log lines")
+		t.Fatal("oncall.md has no section with the title Log lines")
 	}
-	rows := map[string]bool{} // by message; true once the line was found
+	rows := map[string]bool{} // by log message; true once the message was found in the code
 	for _, m := range regexp.MustCompile("(?m)^\\| `([^`]+)` \\| [^|]+ \\| [^|]* \\| [^|]+ \\| [^|]+ \\|$").FindAllStringSubmatch(tables, -1) {
 		rows[m[1]] = false
 	}
 	lines := 0
-	literals := map[string]bool{} // all texts of the programs: some messages reach the logger through a variable
+	// All string literals of the programs, since some messages reach the logger through a variable.
+	literals := map[string]bool{}
 	for _, dir := range []string{"../balancer", "../internal", "../cmd"} {
 		err := filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
 			if err != nil {
@@ -106,7 +108,7 @@
 			for _, message := range logMessages(file) {
 				lines++
 				if _, ok := rows[message]; !ok {
-					t.Errorf("%s: log line %q has no row", path, message)
+					t.Errorf("%s: log message %q has no row in oncall.md", path, message)
 				}
 				rows[message] = true
 			}
@@ -118,10 +120,10 @@
 	}
 	for message, seen := range rows {
 		if !seen && !literals[message] {
-			t.Errorf("oncall.md has a row for %q, which no program logs", message)
+			t.Errorf("oncall.md has a row for the log message %q, which no program logs", message)
 		}
 	}
 	if lines < 50 {
-		t.Errorf("only %d log lines were found", lines)
+		t.Errorf("found only %d log messages in the code, want at least 50", lines)
 	}
 }
