--- a/.ci/cost/main.go
+++ b/.ci/cost/main.go
@@ -39,17 +39,17 @@
 }
 
 func main() {
-	old := flag.String("old", "", "path of the old build, to compare with")
-	next := flag.String("new", "", "path of the new build")
+	oldPath := flag.String("old", "", "path of the old build, to compare with")
+	newPath := flag.String("new", "", "path of the new build")
 	starts := flag.Int("n", 12, "number of measured starts of each build")
 	margin := flag.Float64("margin", 0.1, "fraction of the old maximum by which the new median may exceed it")
-	stay := flag.Duration("stay", 300*time.Millisecond, "how long each proxy runs after it became healthy")
+	runFor := flag.Duration("stay", 300*time.Millisecond, "how long each proxy runs after it became healthy")
 	flag.Parse()
-	if *old == "" || *next == "" || *starts < 1 || *starts > 1000 {
+	if *oldPath == "" || *newPath == "" || *starts < 1 || *starts > 1000 {
 		flag.Usage()
 		os.Exit(2)
 	}
-	oldRuns, newRuns, err := measure(*old, *next, *starts, *stay)
+	oldRuns, newRuns, err := measure(*oldPath, *newPath, *starts, *runFor)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "cost: %v\n", err)
 		os.Exit(2)
@@ -63,7 +63,7 @@
 
 // measure starts both builds the given number of times, and once before that without measuring. The two take
 // turns in being started first.
-func measure(old, next string, starts int, stay time.Duration) (oldRuns, newRuns measurements, err error) {
+func measure(oldPath, newPath string, starts int, runFor time.Duration) (oldRuns, newRuns measurements, err error) {
 	dir, err := os.MkdirTemp("", "cost")
 	if err != nil {
 		return oldRuns, newRuns, err
@@ -72,10 +72,10 @@
 	builds := []struct {
 		path string
 		runs *measurements
-	}{{old, &oldRuns}, {next, &newRuns}}
+	}{{oldPath, &oldRuns}, {newPath, &newRuns}}
 	for i := range starts + 1 {
 		for _, build := range builds {
-			startMs, memoryMB, err := measureStart(build.path, dir, stay)
+			startMs, memoryMB, err := measureStart(build.path, dir, runFor)
 			if err != nil {
 				return oldRuns, newRuns, fmt.Errorf("%s, start %d: %w", build.path, i, err)
 			}
@@ -91,7 +91,7 @@
 
 // measureStart starts one proxy, measures it and kills it. dir is the directory for its configuration and
 // temporary files.
-func measureStart(path, dir string, stay time.Duration) (startMs, memoryMB float64, err error) {
+func measureStart(path, dir string, runFor time.Duration) (startMs, memoryMB float64, err error) {
 	listen, err := minimalconfig.FreeAddress()
 	if err != nil {
 		return 0, 0, err
@@ -110,7 +110,7 @@
 	}
 	exited := make(chan error, 1)
 	go func() { exited <- cmd.Wait() }()
-	startMs, memoryMB, err = follow(cmd.Process.Pid, startedAt, listen, exited, stay)
+	startMs, memoryMB, err = measureProcess(cmd.Process.Pid, startedAt, listen, exited, runFor)
 	_ = cmd.Process.Kill()
 	<-exited
 	if err != nil {
@@ -119,9 +119,10 @@
 	return startMs, memoryMB, err
 }
 
-// follow waits until a proxy has been healthy for the duration stay, and returns its startup time and peak
-// memory.
-func follow(pid int, startedAt time.Time, listen string, exited chan error, stay time.Duration) (startMs, memoryMB float64, err error) {
+// measureProcess waits until a proxy has been healthy for the duration runFor, and returns its startup time
+// and peak memory.
+func measureProcess(pid int, startedAt time.Time, listen string, exited chan error, runFor time.Duration) (
+	startMs, memoryMB float64, err error) {
 	for minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
 		select {
 		case err := <-exited:
@@ -134,7 +135,7 @@
 		}
 	}
 	startMs = float64(time.Since(startedAt).Microseconds()) / 1000
-	time.Sleep(stay)
+	time.Sleep(runFor)
 	memoryMB, err = peakMemory(pid)
 	return startMs, memoryMB, err
 }
@@ -157,21 +158,22 @@
 
 // compare prints the measurements of both builds and reports whether the new median is at most the old
 // maximum plus the margin.
-func compare(name string, old, next []float64, margin float64) bool {
-	slices.Sort(old)
-	slices.Sort(next)
-	bound := old[len(old)-1] * (1 + margin)
-	isWithin := median(next) <= bound
+func compare(name string, oldValues, newValues []float64, margin float64) bool {
+	slices.Sort(oldValues)
+	slices.Sort(newValues)
+	bound := oldValues[len(oldValues)-1] * (1 + margin)
+	isWithin := median(newValues) <= bound
 	result := "within"
 	if !isWithin {
 		result = "over"
 	}
-	fmt.Printf("%-11s old %s   new %s   the new median is %s the bound of %.2f\n", name, spread(old), spread(next), result, bound)
+	fmt.Printf("%-11s old %s   new %s   the new median is %s the bound of %.2f\n",
+		name, formatSpread(oldValues), formatSpread(newValues), result, bound)
 	return isWithin
 }
 
-// spread formats the median and the range of sorted values.
-func spread(sorted []float64) string {
+// formatSpread formats the median and the range of sorted values.
+func formatSpread(sorted []float64) string {
 	return fmt.Sprintf("%.2f (%.2f to %.2f)", median(sorted), sorted[0], sorted[len(sorted)-1])
 }
 
--- a/.ci/start/main.go
+++ b/.ci/start/main.go
@@ -144,26 +144,26 @@
 
 // checkUpgrade replaces a running proxy by a second process, which has to take over the listener and the
 // override.
-func checkUpgrade(p *proxy, dir, path, listen string) error {
-	second, err := minimalconfig.FreeAddress()
+func checkUpgrade(oldProxy *proxy, dir, path, listen string) error {
+	newManagement, err := minimalconfig.FreeAddress()
 	if err != nil {
 		return err
 	}
-	next, err := start(dir, path, listen, second, second+"/v1/readyz")
+	newProxy, err := start(dir, path, listen, newManagement, newManagement+"/v1/readyz")
 	if err != nil {
 		return fmt.Errorf("start of the new process: %w", err)
 	}
-	defer next.kill()
-	if err := p.stop(); err != nil {
+	defer newProxy.kill()
+	if err := oldProxy.stop(); err != nil {
 		return fmt.Errorf("exit of the old process: %w", err)
 	}
-	if text := body(second + "/v1/metrics"); !strings.Contains(text, "\napp.ejected=1\n") {
+	if text := getBody(newManagement + "/v1/metrics"); !strings.Contains(text, "\napp.ejected=1\n") {
 		return fmt.Errorf("the override is not in effect after the upgrade; the metrics:\n%s", text)
 	}
 	if minimalconfig.Status("GET", listen+"/_health") != http.StatusOK {
 		return errors.New("the proxy is not healthy after the upgrade")
 	}
-	return next.stop()
+	return newProxy.stop()
 }
 
 // checkProcess checks the platform's requirements: the proxy has replaced the shell, has started no other
@@ -207,9 +207,9 @@
 	return nil
 }
 
-// body returns the body of the response to a GET request to a URL without scheme. If there is an error, it
+// getBody returns the body of the response to a GET request to a URL without scheme. If there is an error, it
 // returns the text of the error instead.
-func body(url string) string {
+func getBody(url string) string {
 	response, err := http.Get("http://" + url)
 	if err != nil {
 		return err.Error()
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -67,9 +67,9 @@
 	return layers
 }
 
-// projectImports returns, for each package of this module, the packages of this module that it imports.
+// moduleImports returns, for each package of this module, the packages of this module that it imports.
 // Imports by tests are left out.
-func projectImports(t *testing.T) map[string][]string {
+func moduleImports(t *testing.T) map[string][]string {
 	t.Helper()
 	imports := map[string][]string{}
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
@@ -95,7 +95,7 @@
 			imports[pkg] = []string{}
 		}
 		for _, spec := range file.Imports {
-			if imported, ours := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module); ours {
+			if imported, isProject := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module); isProject {
 				imports[pkg] = append(imports[pkg], imported)
 			}
 		}
@@ -114,7 +114,7 @@
 	find := func(pkg string) int {
 		return slices.IndexFunc(layers, func(l layer) bool { _, _, found := l.position(pkg); return found })
 	}
-	imports := projectImports(t)
+	imports := moduleImports(t)
 	for pkg, imported := range imports {
 		from := find(pkg)
 		if from < 0 {
--- a/docs/loglines_test.go
+++ b/docs/loglines_test.go
@@ -34,9 +34,9 @@
 			if !ok {
 				break
 			}
-			at, ok := logMethods[method.Sel.Name]
-			if ok && isLogger(method.X) && len(n.Args) > at {
-				add(n.Args[at])
+			messageIndex, ok := logMethods[method.Sel.Name]
+			if ok && isLogger(method.X) && len(n.Args) > messageIndex {
+				add(n.Args[messageIndex])
 			}
 		case *ast.FuncDecl:
 			if n.Recv != nil && n.Name.Name == "Message" && n.Body != nil {
@@ -118,8 +118,8 @@
 			t.Fatal(err)
 		}
 	}
-	for message, seen := range rows {
-		if !seen && !literals[message] {
+	for message, isLogged := range rows {
+		if !isLogged && !literals[message] {
 			t.Errorf("oncall.md has a row for the log message %q, which no program logs", message)
 		}
 	}
