--- a/.ci/cost/main.go
+++ b/.ci/cost/main.go
@@ -63,7 +63,8 @@
 
 // measure starts both builds the given number of times, and once before that without measuring. The two take
 // turns in being started first.
-func measure(oldPath, newPath string, starts int, runFor time.Duration) (oldRuns, newRuns measurements, err error) {
+func measure(oldPath, newPath string, starts int, runFor time.Duration) (
+	oldRuns, newRuns measurements, err error) {
 	dir, err := os.MkdirTemp("", "cost")
 	if err != nil {
 		return oldRuns, newRuns, err
--- a/.ci/minimalconfig/minimalconfig.go
+++ b/.ci/minimalconfig/minimalconfig.go
@@ -8,8 +8,8 @@
 	"net/http"
 )
 
-// configFormat is the format of the configuration; its arguments are the listen and management addresses.
-const configFormat = `{"name":"n0","listen":%q,"mgmt":%q,"discovery":"127.0.0.1:1","seed":"1","limits":{"cores":1,` +
+// text is the format of the configuration file. Its arguments are the listen and management addresses.
+const text = `{"name":"n0","listen":%q,"mgmt":%q,"discovery":"127.0.0.1:1","seed":"1","limits":{"cores":1,` +
 	`"memory_mb":192,"sockets":256},"known":{"index":1,"snapshot":true,"endpoints":[{"name":"a","address":` +
 	`"127.0.0.1:1","zone":"a","status":"SERVING","since_ms":0}]},"settings":{"contract":{},"failure_domains":["a"],` +
 	`"limits":{"dial_timeout_us":100000,"idle_close_us":1000000,"try_limit":2},"membership_mode":"automatic",` +
@@ -18,7 +18,9 @@
 
 // Config returns a configuration with an initial endpoint list and an unreachable discovery service. If
 // management is empty, the proxy has no management address.
-func Config(listen, management string) []byte { return fmt.Appendf(nil, configFormat, listen, management) }
+func Config(listen, management string) []byte {
+	return fmt.Appendf(nil, text, listen, management)
+}
 
 // FreeAddress returns a loopback address with a port that is currently unused.
 func FreeAddress() (string, error) {
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -95,7 +95,7 @@
 			imports[pkg] = []string{}
 		}
 		for _, spec := range file.Imports {
-			if imported, isProject := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module); isProject {
+			if imported, ok := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module); ok {
 				imports[pkg] = append(imports[pkg], imported)
 			}
 		}
