--- a/.ci/minimalconfig/minimalconfig.go
+++ b/.ci/minimalconfig/minimalconfig.go
@@ -18,9 +18,7 @@
 
 // Config returns a configuration with an initial endpoint list and an unreachable discovery service. If
 // management is empty, the proxy has no management address.
-func Config(listen, management string) []byte {
-	return fmt.Appendf(nil, text, listen, management)
-}
+func Config(listen, management string) []byte { return fmt.Appendf(nil, text, listen, management) }
 
 // FreeAddress returns a loopback address with a port that is currently unused.
 func FreeAddress() (string, error) {
