--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -190,7 +190,8 @@
 // decodeSettings decodes the section settings. Errors are of type *Error.
 func decodeSettings(section json.RawMessage) (*settings.Site, error) {
 	if !isPresent(section) {
-		return nil, &Error{Key: "settings", Problem: "is missing", Remedy: "add the settings of the tier"}
+		return nil, &Error{Key: "settings", Problem: "is missing",
+			Remedy: "add the settings of the tier"}
 	}
 	site, err := settings.Read(section)
 	if err != nil {
