--- a/internal/management/golden_test.go
+++ b/internal/management/golden_test.go
@@ -12,7 +12,8 @@
 
 var record = flag.Bool("golden.record", false, "write golden files that do not exist yet")
 
-// TestEndpointTextsMatchGoldenFiles holds the whole text of the metrics and of the zones, by which callers read them.
+// TestEndpointTextsMatchGoldenFiles checks the whole text of the metrics and of the zones, since operators'
+// tools parse it.
 func TestEndpointTextsMatchGoldenFiles(t *testing.T) {
 	p := &fakeProxy{metrics: Metrics{
 		Classes: map[string]RequestCounts{"look": {1, 2, 3}, "buy": {4, 5, 6}}, InFlight: 7, Forwarded: 8, ListedServers: 9, EjectedServers: 10,
@@ -28,7 +29,7 @@
 			time.Duration(phase) * time.Second, "reason = \"" + string(rune('0'+phase)) + "\""})
 	}
 	for name, path := range map[string]string{"metrics.txt": "/v1/metrics", "zones.txt": "/v1/zones"} {
-		status, text := call(t, start(t, p), request("GET "+path, ""))
+		status, text := call(t, startServer(t, p), request("GET "+path, ""))
 		file := filepath.Join("testdata", name)
 		if _, err := os.Stat(file); os.IsNotExist(err) && *record {
 			if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
--- a/internal/settings/document_test.go
+++ b/internal/settings/document_test.go
@@ -9,18 +9,19 @@
 	"testing"
 )
 
-// document1 is object1 as a document: without the per-proxy settings.
-var document1 = `{"settings":` + strings.Replace(object1, `"my_zone":1,"ordinal":0,`, "", 1) + `}`
+// documentJSON is a valid document: the settings of settingsJSON without the per-proxy ones.
+var documentJSON = `{"settings":` + strings.Replace(settingsJSON, `"my_zone":1,"ordinal":0,`, "", 1) + `}`
 
-// A document's errors are found before it is stored, and name the key.
+// TestDocumentErrorsNameKeys checks that CheckDocument rejects an invalid document, so that the registry
+// never stores it, and that the error names the key of the invalid setting.
 func TestDocumentErrorsNameKeys(t *testing.T) {
-	if err := CheckDocument([]byte(document1)); err != nil {
+	if err := CheckDocument([]byte(documentJSON)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, key, problem string }{
-		{document1, ``, "", "unexpected end"},
-		{document1, `[]`, "", "JSON array"},
-		{document1, `{}`, "settings", "missing"},
+		{documentJSON, ``, "", "unexpected end"},
+		{documentJSON, `[]`, "", "JSON array"},
+		{documentJSON, `{}`, "settings", "missing"},
 		{`{"settings"`, `{"listen":"127.0.0.1:1","settings"`, "listen", "under way"},
 		{`"siblings":3`, `"siblings":3,"my_zone":0`, "settings.my_zone", "own"},
 		{`"siblings":3`, `"siblings":3,"ordinal":0`, "settings.ordinal", "own"},
@@ -33,15 +34,18 @@
 		{`"deduplicated"`, `"often"`, "settings.profiles[0].repeat", "often"},
 		{`"portion":1`, `"portion":-1`, "settings.Tenants[0]", "negative"},
 	} {
-		err := CheckDocument([]byte(strings.Replace(document1, c.old, c.new, 1)))
-		var fault *Error
-		if !errors.As(err, &fault) || fault.Key != c.key || !strings.Contains(fault.Problem, c.problem) {
-			t.Errorf("%.60q for %.60q: got %v", c.new, c.old, err)
+		err := CheckDocument([]byte(strings.Replace(documentJSON, c.old, c.new, 1)))
+		var settingErr *Error
+		if !errors.As(err, &settingErr) || settingErr.Key != c.key ||
+			!strings.Contains(settingErr.Problem, c.problem) {
+			t.Errorf("%.60q in place of %.60q: got error %v, want key %q and a problem with %q",
+				c.new, c.old, err, c.key, c.problem)
 		}
 	}
 }
 
-// A document replaces the file's settings, except the proxy's zone, found by its name, and its index.
+// TestMergeDocument checks that a document replaces the settings of the file except the replica index and the
+// zone, which is found in the document's zones by its name.
 func TestMergeDocument(t *testing.T) {
 	for _, c := range []struct {
 		old, new string
@@ -54,10 +58,11 @@
 		{`["a","b"]`, `["a"]`, 0, "settings.failure_domains"},
 		{`"try_limit":5`, `"try_limit":7`, 1, ""},
 	} {
-		text, err := MergeDocument([]byte(strings.Replace(object1, `"ordinal":0`, `"ordinal":2`, 1)), []byte(strings.Replace(document1, c.old, c.new, 1)))
-		var fault *Error
+		text, err := MergeDocument([]byte(strings.Replace(settingsJSON, `"ordinal":0`, `"ordinal":2`, 1)),
+			[]byte(strings.Replace(documentJSON, c.old, c.new, 1)))
+		var settingErr *Error
 		if c.key != "" {
-			if !errors.As(err, &fault) || fault.Key != c.key {
+			if !errors.As(err, &settingErr) || settingErr.Key != c.key {
 				t.Errorf("%q: got %v", c.new, err)
 			}
 			continue
@@ -72,9 +77,10 @@
 	}
 }
 
-// The canonical form is its own canonical form, also through encoding/json, so that a repeated call has the same bytes.
+// FuzzCanonical checks that the canonical form is stable, also when encoding/json encodes it within another
+// value: the same document must have the same bytes each time it is sent.
 func FuzzCanonical(f *testing.F) {
-	f.Add([]byte(document1))
+	f.Add([]byte(documentJSON))
 	f.Add([]byte("{ \"a\" : \"<&>\u2028\\u0041\xff\" }"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := Canonical(text)
