--- a/internal/registry/raftnode/bootstrap.go
+++ b/internal/registry/raftnode/bootstrap.go
@@ -11,15 +11,15 @@
 
 const (
 	snapshotThreshold = 2048 // log entries since the last snapshot
-	trailingLogs      = 2048 // log entries kept behind a snapshot, for followers that lag
+	trailingLogs      = 2048 // log entries kept before a snapshot, for followers that lag behind
 	snapshotInterval  = 30 * time.Second
-	bootstrapEntries  = 1 // log entries of a new cluster, its configuration alone
+	bootstrapEntries  = 1 // log entries of a new cluster: only its raft configuration
 
 	peerPollInterval = 200 * time.Millisecond
-	waitLogInterval  = 5 * time.Second
+	waitLogInterval  = 5 * time.Second // between log lines while waiting for peers
 )
 
-// abstainKey is the key of the stable store that is 1 while the node abstains from elections.
+// abstainKey is the key in the stable store whose value is 1 while the node abstains from elections.
 var abstainKey = []byte("Abstains")
 
 func raftConfig(cfg Config) *raft.Config {
@@ -33,8 +33,8 @@
 	return rc
 }
 
-// startRaft starts the consensus on the node's store. Empty means that the store holds nothing yet: then the node either
-// bootstraps a new cluster with all its peers or abstains.
+// startRaft starts raft on the node's store. If empty is true, the store holds nothing yet, and the node
+// either bootstraps a new cluster together with all its peers or abstains from elections.
 func (n *Node) startRaft(ctx context.Context, snapshots raft.SnapshotStore, empty bool) error {
 	rc := raftConfig(n.cfg)
 	abstain, err := n.openTransport(ctx, empty)
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// initialConfiguration lists all members. Their raft addresses are their names, which peerAddresses resolves.
+// initialConfiguration returns the raft configuration with all members. Their raft addresses are their names,
+// which peerAddresses resolves.
 func (n *Node) initialConfiguration() raft.Configuration {
 	if len(n.cfg.Peers) == 0 {
 		self := raft.Server{ID: raft.ServerID(n.cfg.Name), Address: raft.ServerAddress(n.cfg.Name)}
@@ -65,7 +66,8 @@
 	return raft.Configuration{Servers: servers}
 }
 
-// openTransport opens the connection to the peers and reports whether this node has to abstain from elections.
+// openTransport opens the raft transport to the peers and reports whether this node has to abstain from
+// elections.
 func (n *Node) openTransport(ctx context.Context, empty bool) (abstain bool, err error) {
 	if len(n.cfg.Peers) == 0 {
 		_, n.transport = raft.NewInmemTransport(raft.ServerAddress(n.cfg.Name))
@@ -85,12 +87,14 @@
 	return abstain, nil
 }
 
-// decideAbstention reports whether this node has to abstain from elections. With an empty directory it waits until all
-// peers have answered or one holds data, as one that has not answered may hold it, and then stores that it abstains.
+// decideAbstention reports whether this node has to abstain from elections. A node with an empty directory
+// waits until a peer answers that it holds data or all peers have answered that they hold none; a peer that
+// has not answered may hold data. If a peer holds data, the node stores that it abstains.
 func (n *Node) decideAbstention(ctx context.Context, empty bool) (bool, error) {
 	if !empty {
 		value, err := n.store.Get(abstainKey)
-		return err == nil && len(value) == 1 && value[0] == 1, nil // an error is that it was never set: store.Open has verified all records
+		// An error means that the key was never set, since store.Open has verified all records.
+		return err == nil && len(value) == 1 && value[0] == 1, nil
 	}
 	emptyPeers := map[string]bool{}
 	lastLogged := time.Now()
@@ -118,7 +122,8 @@
 	}
 }
 
-// pollPeers records in empty which peers answer that they hold nothing, and returns the first that holds something.
+// pollPeers asks each peer for its status, records in empty which ones hold no data, and returns the name of
+// the first peer that holds data; it is empty if none does.
 func (n *Node) pollPeers(ctx context.Context, empty map[string]bool) (withData string) {
 	for _, p := range n.Peers() {
 		status, err := n.peers.status(ctx, p)
--- a/internal/registry/raftnode/configs.go
+++ b/internal/registry/raftnode/configs.go
@@ -11,21 +11,23 @@
 	"merlinpick/internal/registry/state"
 )
 
-// Mixed builds. A build without configurations skips the command that writes one and would diverge from the others. So
-// the leader asks all members before each write. A member that does not answer is let pass if there is a configuration
-// already, since all members supported them when the first was written; the first needs an answer from all. A member that
-// is later downgraded to such a build is found at the next write, and refuses the snapshots of the others.
+// Mixed builds. A build without configurations skips the command that writes one, and its state would diverge
+// from the others'. So the leader asks all members before each write whether their build supports
+// configurations. The first write needs an answer from every member. Later writes go on without the members
+// that do not answer, since all members supported configurations when the first one was written. A member
+// that is downgraded to such a build afterwards is detected at the next write, and rejects the snapshots of
+// the others.
 
-// capabilityTimeout bounds how long a write waits for a member that does not answer.
+// capabilityTimeout is the longest time that a write waits for a member that does not answer.
 const capabilityTimeout = 500 * time.Millisecond
 
-// IncompatibleMemberError is a member that keeps the cluster from writing configurations.
+// IncompatibleMemberError reports a member that prevents the cluster from writing configurations.
 type IncompatibleMemberError struct {
 	Member string
-	Cause  error // why it did not answer; nil: its build has no configurations
+	Cause  error // why the member did not answer; nil: its build does not support configurations
 }
 
-// Error names the member and the remedy.
+// Error returns the member, the cause and what the operator has to do.
 func (e *IncompatibleMemberError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("member %s has not told whether its build knows configurations, and the first one needs all: start it, "+
@@ -34,13 +36,15 @@
 	return fmt.Sprintf("member %s runs a build without configurations: replace it, and put it again", e.Member)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause, which may be nil.
 func (e *IncompatibleMemberError) Unwrap() error { return e.Cause }
 
-// errInvalidJSON is a document that the caller has not brought into canonical form (settings.Canonical).
-var errInvalidJSON = errors.New("the document is no JSON")
+// errInvalidJSON reports a document that is not JSON. Callers have to pass documents in canonical form
+// (settings.Canonical).
+var errInvalidJSON = errors.New("the document is not valid JSON")
 
-// SupportsConfigs returns an *IncompatibleMemberError unless the peer answers that its build has configurations.
+// SupportsConfigs returns an *IncompatibleMemberError unless the peer answers that its build supports
+// configurations.
 func (n *Node) SupportsConfigs(ctx context.Context, p Peer) error {
 	if p.Name == n.cfg.Name {
 		return nil
@@ -56,14 +60,15 @@
 	return nil
 }
 
+// checkAllSupportConfigs returns an *IncompatibleMemberError if a member prevents a write of a configuration.
 func (n *Node) checkAllSupportConfigs(ctx context.Context) error {
 	haveConfigs := len(n.configSnapshot().Configs) > 0
 	errs := make([]error, len(n.cfg.Peers))
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for i, p := range n.cfg.Peers {
-		asking.Go(func() { errs[i] = n.SupportsConfigs(ctx, p) })
+		requests.Go(func() { errs[i] = n.SupportsConfigs(ctx, p) })
 	}
-	asking.Wait()
+	requests.Wait()
 	for _, err := range errs {
 		var incompatible *IncompatibleMemberError
 		if errors.As(err, &incompatible) && (incompatible.Cause == nil || !haveConfigs) {
@@ -73,8 +78,8 @@
 	return nil
 }
 
-// Configure writes a service's document if the service's newest version equals expected; otherwise the result is
-// state.ResultConflict. The errors are those of Propose, and *IncompatibleMemberError.
+// Configure writes a service's document if the service's newest version equals expected; otherwise the result
+// code is state.ResultConflict. It fails with the errors of Propose and with *IncompatibleMemberError.
 func (n *Node) Configure(ctx context.Context, service string, expected int64, document json.RawMessage) (state.Result, error) {
 	if !json.Valid(document) {
 		return state.Result{}, errInvalidJSON
@@ -90,7 +95,7 @@
 	return n.Propose(state.Command{Kind: state.CommandConfigure, Service: service, After: expected, Document: document})
 }
 
-// Configuration returns a service's configuration as this node has it, and the epoch of its version.
+// Configuration returns this node's copy of a service's configuration, and the epoch of its version.
 func (n *Node) Configuration(service string) (epoch string, c state.Configuration, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -98,7 +103,7 @@
 	return n.state.Epoch(), c, ok
 }
 
-// configSnapshot is the configurations and the list's version alone.
+// configSnapshot returns a snapshot that holds only the list's version and the configurations.
 func (n *Node) configSnapshot() state.Snapshot {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/registry/raftnode/freshness.go
+++ b/internal/registry/raftnode/freshness.go
@@ -9,25 +9,26 @@
 	"merlinpick/internal/registry/state"
 )
 
-// ReadIndex is the leader's state at a moment at which a quorum confirmed its leadership. A member that has applied it has
-// all that was acknowledged before that moment.
+// ReadIndex identifies the leader's state when a quorum confirmed its leadership. A member that has applied
+// everything up to it has all that was acknowledged before it was requested.
 type ReadIndex struct {
 	Epoch   string `json:"line"`
 	Version int64  `json:"index"`
 	Commit  uint64 `json:"commit"` // raft's commit index
 
-	// Configs is the leader's State.ConfigRevision: a new configuration makes no version of the list. It is 0 from a
-	// leader whose build has no configurations.
+	// Configs is the leader's State.ConfigRevision: a new configuration creates no version of the list. It is
+	// 0 from a leader whose build does not support configurations.
 	Configs uint64 `json:"configs"`
 }
 
-// coveredBy reports whether a state holds all that the index covers.
+// coveredBy reports whether a state has applied everything up to the index.
 func (r ReadIndex) coveredBy(s *state.State) bool {
 	return s.Epoch() == r.Epoch && s.Version() >= r.Version && s.ConfigRevision() >= r.Configs
 }
 
-// ReadIndex returns the leader's state after confirming its leadership with a quorum. All that was acknowledged before the
-// call is in it, since a command is acknowledged after the leader has applied it. It fails with ErrNotLeader.
+// ReadIndex returns the read index after a quorum has confirmed this node's leadership. It covers all that
+// was acknowledged before the call, since a command is acknowledged after the leader has applied it. It fails
+// with ErrNotLeader.
 func (n *Node) ReadIndex() (ReadIndex, error) {
 	if !n.isLeader() {
 		return ReadIndex{}, ErrNotLeader
@@ -42,7 +43,8 @@
 	return index, nil
 }
 
-// Age is the time since the list was last known to be up to date; the longest duration if it never was.
+// Age returns the time since the list was last known to be up to date, or the longest duration if it never
+// was.
 func (n *Node) Age() time.Duration {
 	if at := n.confirmedAt.Load(); at != nil {
 		return time.Since(*at)
@@ -50,19 +52,20 @@
 	return math.MaxInt64
 }
 
-// Serving reports whether the list may be served: it has an epoch and is at most Config.MaxListAge old.
+// Serving reports whether this node may serve the list: it has an epoch and its age is at most
+// Config.MaxListAge.
 func (n *Node) Serving() bool {
 	epoch, _ := n.Version()
 	return epoch != "" && n.Age() <= n.cfg.MaxListAge
 }
 
-// WaitLinearizable waits until the list was confirmed up to date at a moment after the call began. It fails with ErrStale
-// after Config.MaxListAge.
+// WaitLinearizable waits for a confirmation, begun after this call, that the list is up to date. It fails
+// with ErrStale after Config.MaxListAge or when the node is closed, and with ctx's error.
 func (n *Node) WaitLinearizable(ctx context.Context) error {
 	begun := time.Now()
 	select {
 	case n.confirmNow <- struct{}{}:
-	default: // a confirmation is asked for already
+	default: // a confirmation is already requested
 	}
 	timeout := time.NewTimer(n.cfg.MaxListAge)
 	defer timeout.Stop()
@@ -85,7 +88,7 @@
 	}
 }
 
-// runFreshness confirms the list every FreshnessInterval, and on demand, until Close.
+// runFreshness confirms that the list is up to date every FreshnessInterval, and on demand, until Close.
 func (n *Node) runFreshness() {
 	interval := time.NewTicker(FreshnessInterval)
 	defer interval.Stop()
@@ -97,9 +100,10 @@
 			if serving {
 				n.logger.Info("serving the list")
 			} else {
-				n.logger.Error("registry lost quorum: list not served", "age", n.Age(), "limit", n.cfg.MaxListAge, "error", err)
+				n.logger.Error("registry lost quorum: list not served", "age", n.Age(),
+					"limit", n.cfg.MaxListAge, "error", err)
 			}
-			n.watches.NotifyChange() // watches answer 503 or go on
+			n.watches.NotifyChange() // watches check again whether this node serves
 		}
 		select {
 		case <-interval.C:
@@ -110,8 +114,8 @@
 	}
 }
 
-// confirm waits until this node has applied the leader's read index, and records that the list was up to date at a moment
-// before the index was asked for.
+// confirm waits until this node has applied the leader's read index, and records that the list was up to date
+// at the given time, which is before the index was requested.
 func (n *Node) confirm(at time.Time) error {
 	ctx, cancel := context.WithTimeout(n.lifetime, n.cfg.MaxListAge)
 	defer cancel()
@@ -157,7 +161,8 @@
 	}
 }
 
-// resumeVoting ends the abstention of a node that has applied all that the leader had committed.
+// resumeVoting ends this node's abstention from elections once it has applied all that the leader had
+// committed.
 func (n *Node) resumeVoting(index ReadIndex) error {
 	if n.voting == nil || !n.voting.abstains.Load() || n.raft.AppliedIndex() < index.Commit {
 		return nil
--- a/internal/registry/raftnode/fsm.go
+++ b/internal/registry/raftnode/fsm.go
@@ -10,7 +10,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// fsm is the node as raft's state machine.
+// fsm implements raft.FSM on a node's replicated state.
 type fsm Node
 
 // Apply implements raft.FSM. It returns a state.Result, or an error for a command that cannot be decoded.
@@ -19,7 +19,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	defer f.notifyStateChanged()
-	if err != nil { // its checksum is right, so another build wrote it; all members of this build skip it alike
+	if err != nil { // the checksum was right, so another build wrote it; all members of this build skip it
 		f.logger.Error("unreadable command skipped", "index", entry.Index, "error", err)
 		return err
 	}
@@ -33,6 +33,7 @@
 	return result
 }
 
+// updateLeases starts or removes the leases of the endpoints that an applied command registered or removed.
 func (f *fsm) updateLeases(c state.Command) {
 	switch c.Kind {
 	case state.CommandRegister:
@@ -77,6 +78,7 @@
 	return nil
 }
 
+// fsmSnapshot implements raft.FSMSnapshot.
 type fsmSnapshot state.Snapshot
 
 // Persist implements raft.FSMSnapshot.
@@ -88,5 +90,5 @@
 	return sink.Close()
 }
 
-// Release implements raft.FSMSnapshot.
+// Release implements raft.FSMSnapshot. There is nothing to release.
 func (fsmSnapshot) Release() {}
--- a/internal/registry/raftnode/leadership.go
+++ b/internal/registry/raftnode/leadership.go
@@ -12,7 +12,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// runLeadership follows whether this node leads, and sweeps the leases while it does, until Close.
+// runLeadership tracks whether this node leads, and sweeps the leases while it does, until Close.
 func (n *Node) runLeadership() {
 	sweeps := time.NewTicker(leaseSweepInterval)
 	defer sweeps.Stop()
@@ -28,7 +28,7 @@
 			switch {
 			case n.isLeader():
 				n.sweepLeases()
-			case n.raft.State() == raft.Leader: // its first commands were not committed in time: again
+			case n.raft.State() == raft.Leader: // startLeading failed before: retry
 				n.startLeading()
 			}
 		case <-n.lifetime.Done():
@@ -47,8 +47,8 @@
 	n.leaderReady = false
 }
 
-// startLeading applies all that was committed before this node's term, begins the first epoch of a new service, and
-// restarts every lease.
+// startLeading waits until this node has applied all that was committed before its term, begins the first
+// epoch of a new cluster, and restarts every lease.
 func (n *Node) startLeading() {
 	if err := n.raft.Barrier(barrierTimeout).Error(); err != nil {
 		n.logger.Warn("leadership not usable yet: barrier failed", "error", err)
@@ -71,12 +71,12 @@
 
 func newEpoch() string {
 	name := make([]byte, 8)
-	_, _ = rand.Read(name) // it never fails
+	_, _ = rand.Read(name) // crypto/rand never returns an error
 	return hex.EncodeToString(name)
 }
 
-// sweepLeases expires leases that are over. A leader that cannot confirm its leadership expires none, and restarts them
-// all: it may be the one that renewals do not reach.
+// sweepLeases removes endpoints whose leases have expired. A leader that cannot confirm its leadership
+// removes none and restarts all leases: it may be cut off from the renewals itself.
 func (n *Node) sweepLeases() {
 	stale := n.Age() > n.cfg.MaxListAge
 	n.mu.Lock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// expire has the cluster remove endpoints whose leases are over. Where that fails, their leases start again.
+// expire commits the removal of endpoints whose leases have expired. If that fails, it restarts their leases.
 func (n *Node) expire(now time.Time, expired []state.InstanceRef) {
 	_, err := n.apply(state.Command{Kind: state.CommandExpire, Refs: expired})
 	if err == nil {
--- a/internal/registry/raftnode/logging.go
+++ b/internal/registry/raftnode/logging.go
@@ -9,17 +9,17 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// newLogger sends raft's log lines to the program's log.
+// newLogger returns a logger for raft that writes to the program's log.
 func newLogger(logger *slog.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Info, JSONFormat: true, DisableTime: true,
 		Output: (*logWriter)(logger)})
 }
 
-// logWriter turns raft's JSON lines into records of a slog.Logger, one level lower: what raft does by itself is rarely of
-// use to on-call staff.
+// logWriter turns raft's JSON lines into records of a slog.Logger, one level lower: raft's internal events
+// are rarely of use to on-call staff.
 type logWriter slog.Logger
 
-// Write implements io.Writer. Each call has one line.
+// Write implements io.Writer. It expects one line per call.
 func (w *logWriter) Write(text []byte) (int, error) {
 	var line map[string]any
 	logger := (*slog.Logger)(w)
--- a/internal/registry/raftnode/node.go
+++ b/internal/registry/raftnode/node.go
@@ -1,23 +1,25 @@
-// Package raftnode runs one member of the registry: the replicated state machine, the leases while this member leads, and
-// the proof that its copy of the list is up to date. Consensus is hashicorp/raft. The package serves no requests of clients
-// (package api does) and decides nothing about a list's content (package state does).
+// Package raftnode runs one member of the registry: the replicated state machine, the leases while this
+// member leads, and the confirmation that its copy of the list is up to date. Consensus is hashicorp/raft.
+// Package api serves the clients' requests; package state decides the effect of a command on the list.
 //
-// List age. The age of a member's list counts from the latest moment of its own clock at which the list was known to be
-// current: the member asked the leader for its read index, the leader confirmed its leadership with a quorum, and this
-// member has applied everything up to that index. Each member does this every FreshnessInterval. A member whose list is
-// older than Config.MaxListAge serves no reads; the API answers 503. That one rule covers members that are partitioned,
-// suspended or catching up, and compares no clocks of different machines. A linearizable read waits for a confirmation
-// that began after the read did.
+// List age. The age of a member's list is the time, by the member's own clock, since the list was last known
+// to be up to date: the member asked the leader for its read index, the leader confirmed its leadership with
+// a quorum, and the member applied everything up to that index. Each member does this every
+// FreshnessInterval. A member whose list is older than Config.MaxListAge serves no reads; the API answers
+// 503. This one rule covers members that are partitioned, suspended or catching up, and never compares clocks
+// of different machines. A linearizable read waits for a confirmation that began after the read did.
 //
-// Leadership. A leader renews and expires leases only after a barrier has shown it everything committed before its term,
-// and while its own list is up to date: before that, it cannot tell an unknown endpoint from one that it has not applied.
+// Leadership. A leader renews and expires leases only after a barrier, when it has applied everything
+// committed before its term, and while its own list is up to date: before that, it cannot tell an unknown
+// endpoint from one whose registration it has not applied.
 //
-// Bootstrap. A member with an empty directory may have voted and acknowledged entries before it lost its disk. It starts
-// a new service only if it reaches all other members and all are empty too. Otherwise it abstains from elections, across
-// restarts, until it has applied all that the leader has committed.
+// Bootstrap. A member with an empty directory may have voted and acknowledged entries before it lost its
+// disk. It starts a new cluster only if it reaches all other members and all are empty too. Otherwise it
+// abstains from elections, across restarts, until it has applied all that the leader has committed.
 //
-// raft's LastContact does not bound the age of the list, since a member that is catching up hears from the leader all the
-// time. Renewals are not in the log: a new leader restarts every lease in any case.
+// Raft's LastContact does not bound the age of the list, since a member that is catching up has constant
+// contact with the leader. Renewals are not written to the log, since a new leader restarts every lease
+// anyway.
 package raftnode
 
 import (
@@ -39,32 +41,32 @@
 )
 
 const (
-	// FreshnessInterval is the time between two confirmations that the list is up to date.
+	// FreshnessInterval is the time between two attempts to confirm that the list is up to date.
 	FreshnessInterval = 250 * time.Millisecond
 
 	leaseSweepInterval = 100 * time.Millisecond
 
-	applyTimeout    = 2 * time.Second // for a command to be committed and applied
+	applyTimeout    = 2 * time.Second // until a command is committed and applied
 	barrierTimeout  = 10 * applyTimeout
 	restoreTimeout  = 10 * applyTimeout
 	shutdownTimeout = 3 * time.Second
 )
 
-// Peer is a member of the cluster and its addresses, HOST:PORT.
+// Peer names a member of the cluster and its addresses, HOST:PORT.
 type Peer struct {
 	Name string
-	Raft string // for raft's traffic
-	API  string // for the HTTP API
+	Raft string // address for raft's traffic
+	API  string // address of the HTTP API
 }
 
-// Config configures a node.
+// Config holds the settings of a node.
 type Config struct {
 	Name            string
 	Dir             string
 	Listen          string        // address for raft's traffic; empty: the node's own address in Peers
-	Peers           []Peer        // all members with this one; empty: a cluster of one
-	ElectionTimeout time.Duration // without a heartbeat from the leader
-	MaxListAge      time.Duration // an older list is not served
+	Peers           []Peer        // all members including this one; empty: a cluster of one
+	ElectionTimeout time.Duration // without a heartbeat from the leader, a member starts an election after it
+	MaxListAge      time.Duration // the node does not serve a list that is older
 	Lease           lease.Config
 	Logger          *slog.Logger
 }
@@ -77,10 +79,12 @@
 	ErrUncertain = errors.New("not confirmed in time; it may have happened: repeat it")
 )
 
-// errShutdownTimeout is harmless: the log recovers as after a kill.
-var errShutdownTimeout = errors.New("raft did not shut down in time; the next start recovers its directory as after a kill")
+// errShutdownTimeout reports that raft was still running when Close returned. It is harmless: the next start
+// recovers the log as after a kill.
+var errShutdownTimeout = errors.New(
+	"raft did not shut down in time; the next start recovers its directory as after a kill")
 
-// unreadableCommandError is a committed command that this build cannot decode.
+// unreadableCommandError reports a committed command that this build cannot decode.
 type unreadableCommandError struct{ response any }
 
 func (e *unreadableCommandError) Error() string {
@@ -98,14 +102,14 @@
 	peers     *peerClient
 	watches   *watch.Hub
 
-	lifetime   context.Context // until Close
+	lifetime   context.Context // ends with Close
 	stop       context.CancelFunc
 	background sync.WaitGroup
 
-	configWrites sync.RWMutex // read-locked by writes of configurations, locked by a restore
+	configWrites sync.RWMutex // read-locked by writes of configurations, write-locked by a restore
 
 	confirmedAt atomic.Pointer[time.Time] // latest moment at which the list was known to be up to date
-	confirmNow  chan struct{}             // asks for a confirmation before the next interval
+	confirmNow  chan struct{}             // requests a confirmation before the next interval
 	confirmedMu sync.Mutex
 	confirmed   chan struct{} // closed at the next confirmation
 
@@ -115,11 +119,11 @@
 	leases        *lease.Table
 	leaderReady   bool // this node leads and has applied all that was committed before its term
 	lastSweep     lease.Sweep
-	expiredLeases int64 // since this node leads
+	expiredLeases int64 // number of leases that expired since this node leads
 }
 
-// Open opens the node's directory and joins the cluster. A node whose directory is empty waits for all its peers until ctx
-// ends; meanwhile the caller has to answer their requests with WaitingStatus.
+// Open opens the node's directory and joins the cluster. A node whose directory is empty waits for all its
+// peers until ctx ends; meanwhile the caller has to answer the peers' status requests with WaitingStatus.
 func Open(ctx context.Context, cfg Config) (*Node, error) {
 	snapshots, newest, err := openSnapshots(cfg.Dir, newLogger(cfg.Logger))
 	if err != nil {
@@ -144,7 +148,7 @@
 	return n, nil
 }
 
-// Close leaves the cluster. A leader transfers its leadership first.
+// Close stops the node. A leader transfers its leadership first. The node remains a member of the cluster.
 func (n *Node) Close() error {
 	if n.raft.State() == raft.Leader && len(n.cfg.Peers) > 1 {
 		if err := n.raft.LeadershipTransfer().Error(); err != nil {
@@ -166,8 +170,8 @@
 	}
 }
 
-// Propose has the cluster commit a command and returns its result. It fails with ErrNotLeader on other members. After
-// ErrUncertain the command may still take effect.
+// Propose commits a command and returns its result. It fails with ErrNotLeader on members that do not lead.
+// After ErrUncertain the command may still take effect.
 func (n *Node) Propose(c state.Command) (state.Result, error) {
 	if !n.isLeader() {
 		return state.Result{}, ErrNotLeader
@@ -204,9 +208,9 @@
 	return n.leaderReady
 }
 
-// Renew extends an endpoint's lease. It returns the endpoint's record, the newest version, and a result code of package
-// state. It fails with ErrNotLeader, or with ErrStale on a leader that cannot confirm its leadership: the next leader would
-// not know of the renewal.
+// Renew renews an endpoint's lease. It returns the endpoint's record, the newest version of the list, and a
+// result code of package state. It fails with ErrNotLeader, or with ErrStale on a leader that cannot confirm
+// its leadership: the next leader would not know of the renewal.
 func (n *Node) Renew(ref state.InstanceRef) (record state.Record, version int64, code state.ResultCode, err error) {
 	if n.Age() > n.cfg.MaxListAge {
 		return record, 0, "", ErrStale
--- a/internal/registry/raftnode/peers.go
+++ b/internal/registry/raftnode/peers.go
@@ -22,26 +22,26 @@
 		IdleConnTimeout: time.Minute, DisableCompression: true}}}
 }
 
-// PeerStatusError is a peer's answer other than 200.
+// PeerStatusError reports a peer's response with an HTTP status other than 200.
 type PeerStatusError struct {
 	Member string
 	Status string // such as "503 Service Unavailable"
 }
 
-// Error names the member and its answer.
+// Error returns the member and its HTTP status.
 func (e *PeerStatusError) Error() string {
 	return fmt.Sprintf("call member %s: %s", e.Member, e.Status)
 }
 
-// WrongPeerError is a peer that answers under another name.
+// WrongPeerError reports a peer that answers under another name than the configuration has for its address.
 type WrongPeerError struct{ Member, Answered string }
 
-// Error names both members and the remedy.
+// Error returns both names and the likely cause.
 func (e *WrongPeerError) Error() string {
 	return fmt.Sprintf("%s answers as %q: the addresses of the configuration are mixed up", e.Member, e.Answered)
 }
 
-// get decodes a peer's JSON answer of at most maxBytes.
+// get calls a peer's HTTP API and decodes its JSON response of at most maxBytes into out.
 func (c *peerClient) get(ctx context.Context, peer Peer, path string, maxBytes int64, out any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer.API+path, nil)
 	if err != nil {
@@ -78,7 +78,8 @@
 	return status, err
 }
 
-// CallPeer decodes another member's JSON answer to a GET of its HTTP API, of at most maxBytes.
+// CallPeer sends a GET to another member's HTTP API and decodes the JSON response of at most maxBytes into
+// out.
 func (n *Node) CallPeer(ctx context.Context, peer Peer, path string, maxBytes int64, out any) error {
 	return n.peers.get(ctx, peer, path, maxBytes, out)
 }
--- a/internal/registry/raftnode/reads.go
+++ b/internal/registry/raftnode/reads.go
@@ -8,7 +8,8 @@
 	"merlinpick/internal/registry/watch"
 )
 
-// Watches wakes those who wait for changes of the list, of configurations, or of whether this node serves.
+// Watches returns the hub that wakes the watches when the list or a configuration changes, or when this node
+// starts or stops serving.
 func (n *Node) Watches() *watch.Hub { return n.watches }
 
 // Version implements watch.Source.
@@ -18,7 +19,7 @@
 	return n.state.Epoch(), n.state.Version()
 }
 
-// Snapshot implements watch.Source.
+// Snapshot implements watch.Source: it returns the whole list.
 func (n *Node) Snapshot() (epoch string, version int64, endpoints []state.Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -38,15 +39,15 @@
 	return n.state.Epoch(), n.state.Version(), changes, retained
 }
 
-// StateSnapshot copies the replicated state.
+// StateSnapshot returns a copy of the replicated state.
 func (n *Node) StateSnapshot() state.Snapshot {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state.Snapshot()
 }
 
-// EndpointStatus is an endpoint's record. Only the leader knows LeaseLeftMs, the time left of its lease in ms; it is
-// negative if the lease is over and its zone is held.
+// EndpointStatus is an endpoint's record and the remaining time of its lease in ms. Only the leader knows
+// LeaseLeftMs; it is negative if the lease has expired and its zone is held.
 type EndpointStatus struct {
 	state.Record
 	LeaseLeftMs *int64 `json:"lease_left_ms,omitempty"`
@@ -69,8 +70,8 @@
 	return out
 }
 
-// Leader returns the current leader as far as this node knows it, and false if it knows none. The addresses are empty
-// for a leader that is not in this node's configuration.
+// Leader returns the leader that this node knows of, and false if it knows none. The addresses are empty for
+// a leader that is not in this node's configuration.
 func (n *Node) Leader() (Peer, bool) {
 	_, id := n.raft.LeaderWithID()
 	if id == "" {
@@ -95,7 +96,7 @@
 	return out
 }
 
-// Status is a node's state for operators and for its peers.
+// Status describes a node to operators and to its peers.
 type Status struct {
 	Name            string `json:"name"`
 	Role            string `json:"role"` // of raft: follower, candidate, leader; or joining
@@ -108,19 +109,19 @@
 	Serving         bool   `json:"serving"`
 	Abstains        bool   `json:"abstains"`   // lost its directory and is catching up: takes no part in elections
 	Empty           bool   `json:"empty"`      // has nothing in its log yet
-	SupportsConfigs bool   `json:"configs"`    // false in an answer of a build without configurations
-	HeldLeases      int    `json:"overdue"`    // expired and held back, on the leader
+	SupportsConfigs bool   `json:"configs"`    // false in a response of a build without configurations
+	HeldLeases      int    `json:"overdue"`    // expired, but their endpoints are kept; on the leader
 	HeldZones       int    `json:"held_zones"` // on the leader
 	ExpiredLeases   int64  `json:"expired"`    // since this node leads
 	Configurations  int    `json:"configurations"`
 }
 
-// WaitingStatus is the status of a node that has not opened yet.
+// WaitingStatus returns the status of a node whose Open has not returned yet.
 func WaitingStatus(name string) Status {
 	return Status{Name: name, Role: "joining", AgeMs: -1, Empty: true, SupportsConfigs: true}
 }
 
-// Status returns the node's state.
+// Status returns the node's current status.
 func (n *Node) Status() Status {
 	s := Status{Name: n.cfg.Name, SupportsConfigs: true, Role: strings.ToLower(n.raft.State().String()),
 		Term: n.raft.CurrentTerm(), AgeMs: -1, Empty: n.raft.LastIndex() <= bootstrapEntries,
--- a/internal/registry/raftnode/restore.go
+++ b/internal/registry/raftnode/restore.go
@@ -11,12 +11,13 @@
 )
 
 // Restore replaces the state of all members by a snapshot, as a new epoch whose versions are above all earlier ones.
-// Configurations that the snapshot lacks are kept. The errors are those of Propose, and *IncompatibleMemberError.
+// Configurations that the snapshot lacks are kept. It fails with the errors of Propose and with
+// *IncompatibleMemberError.
 func (n *Node) Restore(snapshot state.Snapshot) (epoch string, version int64, err error) {
 	if !n.isLeader() {
 		return "", 0, ErrNotLeader
 	}
-	n.configWrites.Lock() // all acknowledged writes are among the configurations that are kept
+	n.configWrites.Lock() // the configurations that are kept have to include all acknowledged writes
 	defer n.configWrites.Unlock()
 	current := n.configSnapshot()
 	first := state.FirstVersion(time.Now(), max(snapshot.NewestVersion(), current.NewestVersion()))
--- a/internal/registry/raftnode/snapshots.go
+++ b/internal/registry/raftnode/snapshots.go
@@ -18,8 +18,9 @@
 
 const retainedSnapshots = 2
 
-// openSnapshots opens raft's snapshots and verifies each: raft itself would skip a damaged one and start from an older
-// one, with a gap before the log. Newest is the log index of the newest snapshot, 0 for none.
+// openSnapshots opens raft's snapshot store and verifies each snapshot: raft itself would skip a damaged one
+// and start from an older one, with a gap between it and the log. Newest is the log index of the newest
+// snapshot, 0 if there is none.
 func openSnapshots(dir string, logger hclog.Logger) (snapshots *raft.FileSnapshotStore, newest uint64, err error) {
 	if snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, logger); err != nil {
 		return nil, 0, fmt.Errorf("open the snapshots of %s: %w", dir, err)
@@ -29,7 +30,7 @@
 		return nil, 0, fmt.Errorf("open the snapshots of %s: %w", dir, err)
 	}
 	for _, entry := range entries {
-		if !entry.IsDir() || strings.HasSuffix(entry.Name(), ".tmp") { // unfinished when the process ended
+		if !entry.IsDir() || strings.HasSuffix(entry.Name(), ".tmp") { // incomplete when the process ended
 			continue
 		}
 		index, err := verifySnapshot(snapshots, entry.Name())
@@ -52,7 +53,8 @@
 	return meta.Index, err
 }
 
-// Check verifies all that a member's directory holds without changing it. Empty means that it holds nothing.
+// Check verifies a member's directory, snapshots and log, without changing it. It reports empty if the
+// directory holds no data.
 func Check(dir, member string, logger *slog.Logger) (empty bool, err error) {
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 		return true, nil
--- a/internal/registry/raftnode/transport.go
+++ b/internal/registry/raftnode/transport.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	maxPooledConnections = 3 // to each peer
+	maxPooledConnections = 3 // idle connections to each peer
 	ioTimeout            = 5 * time.Second
 )
 
-// errAbstaining answers a candidate while this node abstains from elections.
+// errAbstaining is the response to a candidate while this node abstains from elections.
 var errAbstaining = errors.New("this member has lost its directory and does not vote yet")
 
-// votingTransport is a raft transport that rejects requests of elections while the node abstains from them.
+// votingTransport is a raft transport that rejects election requests while the node abstains from elections.
 type votingTransport struct {
 	*raft.NetworkTransport
 	abstains atomic.Bool
@@ -47,6 +47,7 @@
 	return err
 }
 
+// filter passes incoming requests on to Consumer, except for election requests while the node abstains.
 func (v *votingTransport) filter() {
 	for {
 		select {
@@ -74,15 +75,16 @@
 	return false
 }
 
-// UnknownMemberError is a member of the cluster that this node's configuration lacks.
+// UnknownMemberError reports a member of the cluster that is missing from this node's configuration.
 type UnknownMemberError struct{ Member string }
 
-// Error names the member and the remedy.
+// Error returns the member and what the operator has to do.
 func (e *UnknownMemberError) Error() string {
 	return fmt.Sprintf("member %q is not in this member's configuration: add it there", e.Member)
 }
 
-// peerAddresses resolves members by name through the node's own configuration, so that members may move.
+// peerAddresses resolves members by name with this node's configuration, so that a member's address may
+// change.
 type peerAddresses []Peer
 
 // ServerAddr implements raft.ServerAddressProvider.
@@ -103,6 +105,7 @@
 	return net.DialTimeout("tcp", string(address), timeout)
 }
 
+// listen opens the address for raft's traffic: cfg.Listen, or else the node's own raft address in cfg.Peers.
 func listen(cfg Config) (streamLayer, error) {
 	address := cfg.Listen
 	for _, p := range cfg.Peers {
--- a/internal/registry/state/configs.go
+++ b/internal/registry/state/configs.go
@@ -12,23 +12,23 @@
 	"merlinpick/internal/settings"
 )
 
-// Each service has one configuration: its newest document, and the previous one to go back to.
+// Each service has one configuration: its newest document, and the previous one for a rollback.
 //
-// A configuration's versions are consecutive. The first is above the list's version at that moment, and so above every
-// version of earlier epochs; a restore moves all of them above too (Snapshot.Rebase). So the higher of two versions of one
-// service is the newer one, across epochs as well.
+// A configuration's versions are consecutive. The first is above the list's version at that moment, and so
+// above every version of earlier epochs; a restore moves all versions above those of earlier epochs too
+// (Snapshot.Rebase). So the higher of two versions of one service is the newer one, across epochs as well.
 //
-// A write names the newest version that its writer has seen. A repeated write is recognised by its document and that
-// version, and changes nothing.
+// A write names the newest version that its writer has seen. A repeated write is recognised by its document
+// and that version, and changes nothing.
 //
-// Only a document's form is checked here: members of two builds may judge its content differently and must not diverge. The
-// content is checked before the write becomes a command, and by each proxy.
+// Only a document's form is checked here: members of two builds may validate its content differently and must
+// not diverge. The content is validated before the write becomes a command, and by each proxy.
 
 const (
-	// MaxServices bounds the configurations.
+	// MaxServices is the maximum number of configurations.
 	MaxServices = 1000
-	// MaxDocumentBytes bounds all documents together, previous ones included. With a full list, a snapshot stays well
-	// under MaxSnapshotBytes.
+	// MaxDocumentBytes bounds the total size of all documents, previous ones included. With a full list, a
+	// snapshot stays well under MaxSnapshotBytes.
 	MaxDocumentBytes = 8 << 20
 )
 
@@ -36,7 +36,7 @@
 type Configuration struct {
 	Service  string            `json:"service"`
 	Version  int64             `json:"version"`
-	After    int64             `json:"after"` // the version that the writer had seen; 0: the first; -1: restored
+	After    int64             `json:"after"` // version that the writer had seen; 0: none; -1: restored
 	Document json.RawMessage   `json:"document"`
 	Previous *PreviousDocument `json:"former,omitempty"`
 }
@@ -47,7 +47,7 @@
 	Document json.RawMessage `json:"document"`
 }
 
-// size is the number of bytes that count against MaxDocumentBytes.
+// size returns the number of bytes that count towards MaxDocumentBytes.
 func (c *Configuration) size() int {
 	n := len(c.Document)
 	if c.Previous != nil {
@@ -56,7 +56,7 @@
 	return n
 }
 
-// errNotCanonical is a document that settings.Canonical would change.
+// errNotCanonical reports a document that differs from its canonical form (settings.Canonical).
 var errNotCanonical = errors.New("it is not in canonical form")
 
 func checkDocument(text json.RawMessage) error {
@@ -97,8 +97,9 @@
 // ConfigurationsLen returns the number of configurations.
 func (s *State) ConfigurationsLen() int { return len(s.configs) }
 
-// ConfigRevision is the sum of all configurations' versions. Within an epoch it grows with each write, so that equal sums
-// mean equal configurations. MaxServices versions below 2^53 fit.
+// ConfigRevision returns the sum of all configurations' versions. Within an epoch it grows with each write,
+// so that equal sums mean equal configurations. The sum of MaxServices versions below 2^53 fits into a
+// uint64.
 func (s *State) ConfigRevision() (revision uint64) {
 	for _, c := range s.configs {
 		revision += uint64(c.Version)
@@ -113,7 +114,7 @@
 	return out
 }
 
-// configure writes a configuration. Result.Version is the service's newest version, whatever the code.
+// configure applies CommandConfigure. Result.Version is the service's newest version, whatever the code.
 func (s *State) configure(c Command) Result {
 	current, exists := s.configs[c.Service]
 	if exists && c.After == current.After && bytes.Equal(c.Document, current.Document) {
--- a/internal/registry/state/record.go
+++ b/internal/registry/state/record.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// The values of Endpoint.Status, as the published protocol has them.
+// The values of Endpoint.Status in the published protocol.
 const (
 	StatusServing  = "SERVING"
 	StatusDraining = "DRAINING"
-	StatusDeleted  = "DELETED" // only in changes
+	StatusDeleted  = "DELETED" // removed from the list; only in changes, never in the whole list
 )
 
 const (
-	// MinLease and MaxLease bound the lease that an endpoint may ask for.
+	// MinLease and MaxLease bound the lease duration that a registration may ask for.
 	MinLease = time.Second
 	MaxLease = 10 * time.Minute
 
@@ -24,7 +24,7 @@
 	maxWeight     = 1e6
 )
 
-// Endpoint is a server in the published form of the list.
+// Endpoint is a server as the published list shows it.
 type Endpoint struct {
 	Name        string  `json:"name"`
 	Address     string  `json:"address"` // HOST:PORT
@@ -33,30 +33,30 @@
 	Cell        int     `json:"group"`
 	Status      string  `json:"status"`
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"since_ms"` // last start, Unix time in ms; 0: long ago
+	StartedAtMs int64   `json:"since_ms"` // last start of the server, Unix time in ms; 0: long ago
 }
 
-// Record is an endpoint with what the registry stores beside it.
+// Record is an endpoint with the fields that the registry stores but does not publish.
 type Record struct {
 	Endpoint
-	Instance string `json:"instance"` // one process of the server; a restarted one has another
+	Instance string `json:"instance"` // identifies one process of the server; a restart gets another one
 	LeaseMs  int64  `json:"lease_ms"`
 }
 
-// InstanceRef names one process of a server.
+// InstanceRef identifies one process of a server.
 type InstanceRef struct {
 	Name     string `json:"name"`
 	Instance string `json:"instance"`
 }
 
-// FieldError is a field of a record that the registry does not accept.
+// FieldError reports a field of a record that the registry does not accept.
 type FieldError struct {
 	Field string // JSON key
-	Value string // as given, quoted if it is text; empty where the error is about its length or absence
+	Value string // as given, quoted if it is text; empty if the error is about its length or absence
 	Need  string // what is accepted
 }
 
-// Error names the field, its value and what is accepted.
+// Error returns the field, its value and what is accepted.
 func (e *FieldError) Error() string {
 	if e.Value == "" {
 		return e.Field + ": " + e.Need
@@ -64,7 +64,7 @@
 	return e.Field + " " + e.Value + ": " + e.Need
 }
 
-// Check returns a *FieldError for the first field that is not acceptable in a registration.
+// Check returns a *FieldError for the first field that a registration may not have, and nil if there is none.
 func (r *Record) Check() error {
 	if r.Name == "" || len(r.Name) > maxNameBytes || strings.ContainsAny(r.Name, "/ ?#%\r\n\t") {
 		return &FieldError{"name", fmt.Sprintf("%q", r.Name),
--- a/internal/registry/state/snapshot.go
+++ b/internal/registry/state/snapshot.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Snapshot is all replicated state.
+// Snapshot is a copy of the whole replicated state.
 type Snapshot struct {
 	Epoch          string        `json:"line"`
 	Version        int64         `json:"index"`
@@ -15,21 +15,22 @@
 	Configs []Configuration `json:"configurations,omitempty"`
 }
 
-// ContentError is a part of a snapshot, or of a configuration, that cannot be: it contradicts itself or exceeds a limit.
+// ContentError reports an invalid part of a snapshot or configuration: it contradicts itself or exceeds a
+// limit.
 type ContentError struct {
-	Part    string // such as a JSON key, or a service
+	Part    string // the JSON key or the service at fault
 	Problem string
 }
 
-// Error names the part and the problem.
+// Error returns the part and the problem.
 func (e *ContentError) Error() string { return e.Part + ": " + e.Problem }
 
-// Snapshot copies the state.
+// Snapshot returns a copy of the state.
 func (s *State) Snapshot() Snapshot {
 	return Snapshot{s.epoch, s.version, s.Records(), slices.Clone(s.endedInstances), s.Configurations()}
 }
 
-// Check returns an error that names the first part of the snapshot that cannot be.
+// Check returns an error that names the first invalid part of the snapshot.
 func (s *Snapshot) Check() error {
 	if s.Version < 0 || s.Version >= maxVersion || (s.Epoch == "") != (s.Version == 0) {
 		return &ContentError{"index", fmt.Sprintf("version %d of epoch %q cannot be", s.Version, s.Epoch)}
@@ -55,7 +56,7 @@
 	return s.checkConfigs()
 }
 
-// Load replaces the state by a snapshot. After an error the state is as before.
+// Load replaces the state by a snapshot. If it fails, the state is unchanged.
 func (s *State) Load(snapshot Snapshot) error {
 	if err := snapshot.Check(); err != nil {
 		return err
@@ -85,8 +86,9 @@
 	return version
 }
 
-// Rebase returns the snapshot as the beginning of an epoch: its configurations get the epoch's first version. Those of
-// current that the snapshot lacks are kept, since nothing removes a configuration.
+// Rebase returns the snapshot as the start of a new epoch: the list and all configurations get the epoch's
+// first version. Configurations of current that the snapshot lacks are added, since nothing removes a
+// configuration.
 func (s Snapshot) Rebase(epoch string, firstVersion int64, current []Configuration) Snapshot {
 	s.Epoch, s.Version = epoch, firstVersion
 	s.Configs = slices.Clone(s.Configs)
--- a/internal/registry/state/snapshotfile.go
+++ b/internal/registry/state/snapshotfile.go
@@ -9,23 +9,23 @@
 	"merlinpick/internal/atomicfile"
 )
 
-// A snapshot is written with a checksum (package atomicfile), in the same form in raft's snapshots, in the files of
-// `snapshot save` and on the network. ReadSnapshot alone reads it.
+// A snapshot is encoded with a checksum (package atomicfile). Raft's snapshots, the files of `snapshot save`
+// and the HTTP API use the same encoding, and ReadSnapshot is its only reader.
 //
-// Without configurations it is byte for byte that of builds before them. With configurations it is of another kind, so
-// that such a build refuses it instead of losing them.
+// A snapshot without configurations is byte for byte what builds without configurations write. One with
+// configurations is of another kind, so that such a build rejects it instead of losing them.
 const (
 	snapshotKind            = "roster-snapshot"
 	snapshotKindWithConfigs = "roster-snapshot-configs"
 )
 
-// MaxSnapshotBytes bounds what is read of a snapshot.
+// MaxSnapshotBytes is the maximum size of a snapshot that is read.
 const MaxSnapshotBytes = 24 << 20
 
-// ErrDamaged is a snapshot that is not what was written.
+// ErrDamaged reports a snapshot that does not match its checksum or has invalid content.
 var ErrDamaged = atomicfile.ErrDamaged
 
-// Write writes the snapshot.
+// Write writes the encoded snapshot and its checksum.
 func (s Snapshot) Write(w io.Writer) error {
 	body, err := json.Marshal(s)
 	if err == nil {
@@ -44,7 +44,8 @@
 	return snapshotKind
 }
 
-// ReadSnapshot reads and checks a snapshot. The error wraps ErrDamaged for one that is not what was written.
+// ReadSnapshot reads and checks a snapshot. The error wraps ErrDamaged if the checksum or the content is
+// wrong.
 func ReadSnapshot(r io.Reader) (s Snapshot, err error) {
 	kind, in := snapshotKind, bufio.NewReader(r)
 	if head, _ := in.Peek(len(snapshotKindWithConfigs)); string(head) == snapshotKindWithConfigs {
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -1,15 +1,18 @@
-// Package state is the registry's replicated state: the endpoint list with its versions, the configurations of services,
-// and the effect of each command. It is deterministic and has no clock, network or files. Raft applies the same commands in
-// the same order on every member. Lease expiry arrives as a command too; package lease decides it, on the leader alone.
+// Package state holds the registry's replicated state: the endpoint list with its versions, the
+// configurations of services, and the effect of each command. It is deterministic and uses no clock, network
+// or files. Raft applies the same commands in the same order on every member. Lease expiry arrives as a
+// command too; package lease decides it, on the leader only.
 //
-// Versions. Each command that changes the list makes the next version. Versions never decrease within an epoch. An epoch is
-// the lifetime of one set of data: it begins when a service starts empty or from a restored snapshot, has a random name,
-// and its first version is above every version of the epoch before (see FirstVersion). So versions grow across restores;
-// the epoch's name tells clients that endpoints may be missing without having been removed.
+// Versions. Each command that changes the list creates the next version. Versions never decrease within an
+// epoch. An epoch is the lifetime of one data set: it begins when a cluster starts empty or from a restored
+// snapshot, has a random name, and its first version is above every version of the previous epoch (see
+// FirstVersion). So versions grow across restores; the epoch's name tells clients that endpoints may be
+// missing without having been removed.
 //
-// Retries. A client repeats a command when no answer came. Register, drain and deregister name the wanted state of one
-// (name, instance), so a repeated command changes nothing and makes no version. A late registration of an instance that was
-// deregistered since is recognised by the instance; the last MaxEndedInstances of them are kept.
+// Retries. A client repeats a command if it got no answer. Register, drain and deregister name the desired
+// state of one (name, instance) pair, so a repeated command changes nothing and creates no version. A late
+// registration of an instance that was deregistered in the meantime is recognised by the instance; the last
+// MaxEndedInstances deregistered instances are kept for that.
 package state
 
 import (
@@ -20,48 +23,52 @@
 )
 
 const (
-	// MaxEndpoints bounds the list: a proxy reads at most 4 MiB of an answer, at about 300 bytes per endpoint.
+	// MaxEndpoints is the maximum length of the list: a proxy reads at most 4 MiB of a response, and an
+	// endpoint takes about 300 bytes.
 	MaxEndpoints = 13_000
-	// MaxEndedInstances bounds the deregistered instances that are kept.
+	// MaxEndedInstances is the maximum number of deregistered instances that are kept.
 	MaxEndedInstances = 4096
-	// MaxRetainedChanges is how many versions are kept for watches. A client that is further behind gets the whole list.
+	// MaxRetainedChanges is the number of versions that are kept for watches. A client that is further behind
+	// gets the whole list.
 	MaxRetainedChanges = 4096
 
-	versionsPerSecondShift = 21 // an epoch makes fewer than 2^21 versions per second on average
+	versionsPerSecondShift = 21 // an epoch creates fewer than 2^21 versions per second on average
 	maxVersion             = 1 << 53
 )
 
-// Change is one version: the endpoints that it changed, StatusDeleted ones included.
+// Change is one version of the list with the endpoints that changed in it. Removed endpoints have
+// StatusDeleted.
 type Change struct {
 	Version   int64
 	Endpoints []Endpoint
 }
 
-// State is the replicated state. It is not safe for concurrent use.
+// State holds the replicated state. It is not safe for concurrent use.
 type State struct {
 	epoch          string
 	version        int64
 	records        map[string]Record // by name
-	endedInstances []InstanceRef     // the oldest first
+	endedInstances []InstanceRef     // deregistered ones, the oldest first
 	isEnded        map[InstanceRef]bool
-	changes        []Change // the newest ones; not replicated: a member that loaded a snapshot has none
+	changes        []Change // the newest versions; not replicated: empty after a snapshot was loaded
 
 	configs       map[string]Configuration // by service
-	documentBytes int                      // of all configurations
+	documentBytes int                      // total size of all configurations' documents
 }
 
-// New returns the state before its first epoch.
+// New returns an empty state, before its first epoch.
 func New() *State {
 	return &State{records: map[string]Record{}, isEnded: map[InstanceRef]bool{}, configs: map[string]Configuration{}}
 }
 
-// FirstVersion returns the first version of an epoch that begins at a time, above an earlier version. The time alone keeps
-// epochs apart where the earlier version is lost; the earlier version does where the clock is wrong.
+// FirstVersion returns the first version of an epoch that begins at the given time. It is above the earlier
+// version. The time keeps epochs apart if the earlier version is lost; the earlier version does if the clock
+// is wrong.
 func FirstVersion(at time.Time, earlier int64) int64 {
 	return max(at.Unix()<<versionsPerSecondShift, (earlier>>versionsPerSecondShift+1)<<versionsPerSecondShift)
 }
 
-// Epoch returns the name of the epoch; empty before the first.
+// Epoch returns the name of the current epoch; it is empty before the first one.
 func (s *State) Epoch() string { return s.epoch }
 
 // Version returns the newest version of the list.
@@ -86,7 +93,8 @@
 // IsEnded reports whether an instance was deregistered.
 func (s *State) IsEnded(ref InstanceRef) bool { return s.isEnded[ref] }
 
-// Changes returns the versions after from; false if some of them are no longer retained, or from is not reached yet.
+// Changes returns the versions after from. It returns false if some of them are no longer retained or the
+// list has not reached from yet.
 func (s *State) Changes(from int64) ([]Change, bool) {
 	if from > s.version {
 		return nil, false
@@ -102,7 +110,7 @@
 	return slices.Clone(s.changes[first:]), true
 }
 
-// Apply carries a command out.
+// Apply applies a command to the state.
 func (s *State) Apply(c Command) Result {
 	if c.Kind == CommandConfigure {
 		return s.configure(c)
@@ -161,7 +169,7 @@
 	}
 	s.records[r.Name] = r
 	if listed && current.Endpoint == r.Endpoint {
-		return ResultDone, nil // only the lease is another: clients see no change
+		return ResultDone, nil // only unpublished fields such as the lease changed
 	}
 	return ResultDone, []Endpoint{r.Endpoint}
 }
@@ -185,7 +193,7 @@
 		return ResultDone, &current.Endpoint
 	}
 	delete(s.records, ref.Name)
-	if kind == CommandDeregister { // an instance whose lease expired may return: contact was lost, not the server
+	if kind == CommandDeregister { // an expired instance may return: only contact to it was lost
 		s.rememberEnded(ref)
 	}
 	current.Status = StatusDeleted
