--- a/internal/registry/api/configs.go
+++ b/internal/registry/api/configs.go
@@ -12,40 +12,45 @@
 	"merlinpick/internal/settings"
 )
 
-// Configurations of services. docs/rollout.md has the guarantees.
+// Calls for the configurations of services. docs/rollout.md states the guarantees.
 //
-//	GET /config/SERVICE                        the newest; former=1: the previous one; consistent=1: a linearizable read
-//	GET /config/SERVICE?from=V&hold_ms=M       a watch, as of the list; line=L is the epoch of V. With name=PROXY and
-//	                                           in_force=V the proxy reports what it has applied, with refused=V and why=KEY
-//	                                           what it has rejected
-//	PUT /config/SERVICE?from=V                 write the body after version V; 409 names the newest version if it is another
-//	GET /config/SERVICE/status                 which proxies have applied which version; all=1: also those up to date
-//	GET /v1/inforce/SERVICE                    the reports that this member alone has
+//	GET /config/SERVICE                     the newest document; former=1: the previous one;
+//	                                        consistent=1: a linearizable read
+//	GET /config/SERVICE?from=V&hold_ms=M    a watch, like that of the list; line=L is the epoch of V. With
+//	                                        name=PROXY and in_force=V the proxy reports what it has applied,
+//	                                        with refused=V and why=KEY what it has rejected
+//	PUT /config/SERVICE?from=V              write the body as the version after V; 409 returns the newest
+//	                                        version if it is not V
+//	GET /config/SERVICE/status              which proxies have applied which version; all=1: also those that
+//	                                        are up to date
+//	GET /v1/inforce/SERVICE                 the proxies' reports to this member alone
 
-// Codes of rejected writes beside those of package state.
+// Codes of rejected writes, in addition to those of package state.
 const (
-	codeOldBuild        state.ResultCode = "old_build" // a member's build has no configurations
+	codeOldBuild        state.ResultCode = "old_build" // a member's build does not support configurations
 	codeInvalidDocument state.ResultCode = "faulty"
 )
 
-// ServiceConfig is the answer to a GET of a configuration. A watch that ends without a newer version has no document.
+// ServiceConfig is the response to a GET of a configuration, and to a write, which gets no document. A watch
+// that ends without a newer version has no document either.
 type ServiceConfig struct {
 	Service  string          `json:"service"`
 	Epoch    string          `json:"line"`
-	Version  int64           `json:"version"` // 0: there is none
+	Version  int64           `json:"version"` // 0: the service has no configuration
 	Previous int64           `json:"former,omitempty"`
 	Document json.RawMessage `json:"document,omitempty"`
 }
 
-// ConfigErrorBody is the answer to a rejected write.
+// ConfigErrorBody is the body of the response to a rejected write.
 type ConfigErrorBody struct {
 	ErrorBody
-	Key     string `json:"key,omitempty"` // of the document
-	Remedy  string `json:"remedy,omitempty"`
-	Version int64  `json:"version"` // the newest; 0: not known
+	Key     string `json:"key,omitempty"`    // the document's key at fault
+	Remedy  string `json:"remedy,omitempty"` // what the writer has to do
+	Version int64  `json:"version"`          // newest version of the configuration; 0: not known
 }
 
-// readService reads the service of a call; false: it has answered 400.
+// readService returns the service that a call's path names. If the name is invalid, it responds with 400 and
+// returns false.
 func readService(w http.ResponseWriter, r *http.Request) (string, bool) {
 	name := r.PathValue("service")
 	if err := settings.CheckService(name); err != nil {
@@ -63,7 +68,7 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// config answers with a configuration, or as a watch of it.
+// config handles GET /config/SERVICE: it responds with a configuration or serves a watch of it.
 func (s *Server) config(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 	service, ok := readService(w, r)
 	if !ok {
@@ -89,7 +94,8 @@
 	}
 }
 
-// watchConfig records the proxy's report and answers as Server.awaitEvent ends.
+// watchConfig records the proxy's report, waits as Server.awaitEvent does and responds with the
+// configuration.
 func (s *Server) watchConfig(w http.ResponseWriter, r *http.Request, node *raftnode.Node, service string) {
 	report, ok := readReport(w, r)
 	if !ok {
@@ -118,7 +124,8 @@
 	}
 }
 
-// putConfig writes a configuration after the version that the writer has seen.
+// putConfig handles PUT /config/SERVICE: it writes a configuration as the version after the one that the
+// writer has seen.
 func (s *Server) putConfig(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 	service, ok := readService(w, r)
 	if !ok {
@@ -132,7 +139,7 @@
 	if !ok {
 		return
 	}
-	body, ok := readBody(w, r, 2*settings.MaxDocumentBytes) // with spaces, which canonical form drops
+	body, ok := readBody(w, r, 2*settings.MaxDocumentBytes) // with spaces, which the canonical form drops
 	if !ok {
 		return
 	}
@@ -155,7 +162,8 @@
 	}
 }
 
-// readDocument returns a document in canonical form; false: it has answered 400 with the key at fault.
+// readDocument returns the document of a body in canonical form. If the document is invalid, it responds with
+// 400 and the key at fault and returns false.
 func readDocument(w http.ResponseWriter, body []byte) (json.RawMessage, bool) {
 	document, err := settings.Canonical(body)
 	if err == nil {
@@ -173,7 +181,7 @@
 	return nil, false
 }
 
-// writeConfigRejected answers a write that changed nothing, by its result code.
+// writeConfigRejected responds to a write that changed nothing, according to its result code.
 func writeConfigRejected(w http.ResponseWriter, service string, after int64, result state.Result) {
 	status, body := http.StatusConflict, ConfigErrorBody{ErrorBody: ErrorBody{Code: result.Code}, Version: result.Version}
 	switch result.Code {
@@ -190,8 +198,8 @@
 	writeJSON(w, status, body)
 }
 
-// rejectOldLeader answers a write that would be forwarded to a leader whose build has no configurations; that leader would
-// answer as if there were no such call.
+// rejectOldLeader reports whether it has rejected a write because the leader's build does not support
+// configurations. Such a leader would respond to the forwarded write with 404 or 405.
 func (s *Server) rejectOldLeader(w http.ResponseWriter, r *http.Request, node *raftnode.Node) bool {
 	leader, ok := node.Leader()
 	if !ok || leader.Name == s.cfg.Name || r.Header.Get(forwardedHeader) != "" {
@@ -206,6 +214,7 @@
 	return true
 }
 
+// rejectOldBuild responds with 503 because a member's build does not support configurations.
 func (s *Server) rejectOldBuild(w http.ResponseWriter, err error) {
 	s.rejected.Add(1)
 	w.Header().Set("Retry-After", "5")
--- a/internal/registry/api/configstatus.go
+++ b/internal/registry/api/configstatus.go
@@ -11,42 +11,43 @@
 )
 
 const (
-	reportsTimeout  = time.Second // for the other members' reports
-	maxReportsBytes = 8 << 20     // of one member's answer
+	reportsTimeout  = time.Second // until the other members have sent their reports
+	maxReportsBytes = 8 << 20     // size of one member's response
 
-	// reportSilence is the age of a report from which on the proxy's state is unknown: proxies report with every watch,
-	// at least every rollout.LongPollTimeout.
+	// reportSilence is the age of a report at which the proxy's state becomes unknown: proxies report with
+	// every watch, at least every rollout.LongPollTimeout.
 	reportSilence = 15 * time.Second
 )
 
 // The states of a proxy in a ConfigStatus.
 const (
 	StateApplied  = "in_force" // has applied the newest version
-	StateBehind   = "behind"   // has another version, or only its own file's
-	StateRejected = "refused"  // rejected the newest version; RejectReason has the key
-	StateUnknown  = "unknown"  // no report for 15 s
+	StateBehind   = "behind"   // has applied another version, or only its own file
+	StateRejected = "refused"  // has rejected the newest version; RejectReason names the key
+	StateUnknown  = "unknown"  // has not reported for 15 s
 )
 
-// ProxyStatus is one proxy in a ConfigStatus.
+// ProxyStatus is the state and the last report of one proxy in a ConfigStatus.
 type ProxyStatus struct {
 	State string `json:"state"`
 	rollout.ProxyReport
 }
 
-// ConfigStatus is which proxies have applied a configuration, by their reports to all members.
+// ConfigStatus tells which proxies have applied a configuration, according to their reports to all members.
 type ConfigStatus struct {
 	Service string         `json:"service"`
 	Epoch   string         `json:"line"`
 	Version int64          `json:"version"`
-	Partial bool           `json:"partial"` // members did not answer: proxies that report to them may be missing or outdated
-	Silent  []string       `json:"silent"`  // those members
-	Counts  map[string]int `json:"counts"`  // proxies by state
-	Lowest  int64          `json:"lowest"`  // applied version, among proxies whose state is known
-	Highest int64          `json:"highest"`
-	Proxies []ProxyStatus  `json:"proxies"` // those that have not applied the newest version, or all; by name
+	Partial bool           `json:"partial"` // members did not answer: reports may be missing or old
+	Silent  []string       `json:"silent"`  // names of the members that did not answer
+	Counts  map[string]int `json:"counts"`  // number of proxies by state
+	Lowest  int64          `json:"lowest"`  // lowest applied version among proxies whose state is known
+	Highest int64          `json:"highest"` // highest such version
+	Proxies []ProxyStatus  `json:"proxies"` // all, or those without the newest version; ordered by name
 }
 
-// readReport reads a proxy's report from a watch's query; an empty name is none. False: it has answered 400.
+// readReport reads a proxy's report from a watch's query; an empty name means that the watch has none. If the
+// query is invalid, it responds with 400 and returns false.
 func readReport(w http.ResponseWriter, r *http.Request) (report rollout.ProxyReport, ok bool) {
 	query := r.URL.Query()
 	if report.Name = query.Get("name"); report.Name == "" {
@@ -67,13 +68,15 @@
 	return report, true
 }
 
-// localReports answers with the reports that this member has.
+// localReports handles GET /v1/inforce/SERVICE: it responds with the reports that proxies sent to this
+// member.
 func (s *Server) localReports(w http.ResponseWriter, r *http.Request, _ *raftnode.Node) {
 	if service, ok := readService(w, r); ok {
 		writeJSON(w, http.StatusOK, s.reports.Reports(service, time.Now()))
 	}
 }
 
+// configStatus handles GET /config/SERVICE/status.
 func (s *Server) configStatus(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 	service, ok := readService(w, r)
 	if !ok {
@@ -84,13 +87,13 @@
 		return
 	}
 	reports, silent := s.collectReports(r.Context(), node, service)
-	epoch, c, _ := node.Configuration(service) // after the reports, so that none is of a newer version
+	epoch, c, _ := node.Configuration(service) // after the reports, so that none of them has a newer version
 	status := ConfigStatus{Service: service, Epoch: epoch, Version: c.Version, Partial: len(silent) > 0, Silent: silent}
 	status.fill(rollout.MergeReports(reports...), r.URL.Query().Get("all") == "1")
 	writeJSON(w, http.StatusOK, status)
 }
 
-// collectReports returns every member's reports, and the names of the members that did not answer.
+// collectReports returns all members' reports, and the names of the members that did not answer.
 func (s *Server) collectReports(ctx context.Context, node *raftnode.Node,
 	service string) (reports [][]rollout.ProxyReport, silent []string) {
 	ctx, cancel := context.WithTimeout(ctx, reportsTimeout)
@@ -99,11 +102,13 @@
 	reports, silent = make([][]rollout.ProxyReport, len(peers)+1), []string{}
 	reports[len(peers)] = s.reports.Reports(service, time.Now())
 	errs := make([]error, len(peers))
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for i, p := range peers {
-		asking.Go(func() { errs[i] = node.CallPeer(ctx, p, "/v1/inforce/"+service, maxReportsBytes, &reports[i]) })
+		requests.Go(func() {
+			errs[i] = node.CallPeer(ctx, p, "/v1/inforce/"+service, maxReportsBytes, &reports[i])
+		})
 	}
-	asking.Wait()
+	requests.Wait()
 	for i, err := range errs {
 		if err != nil {
 			reports[i] = nil
@@ -113,7 +118,8 @@
 	return reports, silent
 }
 
-// fill counts the proxies by state and lists them: all, or those that have not applied the newest version.
+// fill counts the proxies by state and lists all of them, or only those that have not applied the newest
+// version.
 func (c *ConfigStatus) fill(reports []rollout.ProxyReport, all bool) {
 	c.Counts, c.Proxies = map[string]int{StateApplied: 0, StateBehind: 0, StateRejected: 0, StateUnknown: 0}, []ProxyStatus{}
 	first := true
--- a/internal/registry/api/endpoints.go
+++ b/internal/registry/api/endpoints.go
@@ -8,14 +8,14 @@
 	"merlinpick/internal/registry/state"
 )
 
-// Accepted is the answer to a registration, renewal, drain or deregistration.
+// Accepted is the response to a registration, renewal, drain or deregistration that took effect.
 type Accepted struct {
-	Version int64  `json:"index"` // the version in which it is visible
+	Version int64  `json:"index"` // list version in which the effect is visible
 	Status  string `json:"status"`
 	LeaseMs int64  `json:"lease_ms,omitempty"`
 }
 
-// list answers with the whole list, or as a watch of it.
+// list handles GET /catalog/members: it responds with the whole list or serves a watch of it.
 func (s *Server) list(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 	if r.URL.Query().Has("from") {
 		s.watchList(w, r, node)
@@ -27,8 +27,8 @@
 	s.writeList(w, node)
 }
 
-// awaitReadable waits, for a call with consistent=1, until the node may answer a linearizable read. If the node may not answer
-// by what it has, it rejects the call and returns false.
+// awaitReadable waits, for a call with consistent=1, until the node may serve a linearizable read. If the
+// node may not serve its copy of the state, it rejects the call and returns false.
 func (s *Server) awaitReadable(w http.ResponseWriter, r *http.Request, node *raftnode.Node) bool {
 	if r.URL.Query().Get("consistent") == "1" {
 		if err := node.WaitLinearizable(r.Context()); err != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// writeRejected answers a command that changed nothing, by its result code.
+// writeRejected responds to a command that changed nothing, according to its result code.
 func writeRejected(w http.ResponseWriter, code state.ResultCode, name string) {
 	status, text := http.StatusConflict, ""
 	switch code {
@@ -81,7 +81,8 @@
 	writeJSON(w, status, ErrorBody{Error: name + " " + text, Code: code})
 }
 
-// readRecord reads a registration; false: it has answered 400.
+// readRecord reads a registration from a call's body. If it is invalid, it responds with 400 and returns
+// false.
 func readRecord(w http.ResponseWriter, r *http.Request) (record state.Record, body []byte, ok bool) {
 	record = state.Record{Endpoint: state.Endpoint{Weight: 1, Status: state.StatusServing}}
 	if body, ok = readJSON(w, r, &record); !ok {
@@ -134,7 +135,8 @@
 	}
 }
 
-// drainOrDeregister proposes a command of that kind for the instance that the call names.
+// drainOrDeregister returns a handler that proposes a command of the given kind for the instance that the
+// call names.
 func (s *Server) drainOrDeregister(kind state.CommandKind) nodeHandler {
 	return func(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 		ref, body, ok := readInstanceRef(w, r)
@@ -155,7 +157,7 @@
 	}
 }
 
-// endpoints answers with all records and what is left of their leases, from the leader.
+// endpoints responds with all records and, from the leader, the remaining time of their leases.
 func (s *Server) endpoints(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 	if s.forwardToLeader(w, r, node, nil) {
 		return
--- a/internal/registry/api/forward.go
+++ b/internal/registry/api/forward.go
@@ -13,7 +13,7 @@
 
 const (
 	forwardTimeout  = 4 * time.Second
-	forwardedHeader = "Roster-Passed" // of a forwarded call, which is not forwarded again
+	forwardedHeader = "Roster-Passed" // marks a forwarded call, which is not forwarded again
 )
 
 func newForwardClient() *http.Client {
@@ -21,8 +21,8 @@
 		IdleConnTimeout: idleTimeout, DisableCompression: true}}
 }
 
-// forwardToLeader forwards a call if another member leads; true: the call is answered. False does not mean that this member
-// leads: the node finds out when it proposes.
+// forwardToLeader forwards a call if another member leads, and reports whether it has responded to the call.
+// False does not mean that this member leads: the node finds that out when it proposes a command.
 func (s *Server) forwardToLeader(w http.ResponseWriter, r *http.Request, node *raftnode.Node, body []byte) bool {
 	leader, ok := node.Leader()
 	if ok && leader.Name == s.cfg.Name {
--- a/internal/registry/api/request.go
+++ b/internal/registry/api/request.go
@@ -13,11 +13,11 @@
 
 const (
 	maxBodyBytes = 64 << 10
-	bodyTimeout  = 10 * time.Second
+	bodyTimeout  = 10 * time.Second // for the client to send a body
 )
 
-// readBody reads a call's body within bodyTimeout; false: it has answered 400. The deadline is removed again: one for the
-// whole call would end watches too.
+// readBody reads a call's body of at most maxBytes within bodyTimeout. If that fails, it responds with 400
+// and returns false. It clears the deadline afterwards: a deadline for the whole call would end watches too.
 func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, bool) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
@@ -30,7 +30,8 @@
 	return body, true
 }
 
-// readJSON reads a call's body as one JSON value without unknown keys; false: it has answered 400.
+// readJSON decodes a call's body, one JSON value without unknown keys. If that fails, it responds with 400
+// and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) ([]byte, bool) {
 	body, ok := readBody(w, r, maxBodyBytes)
 	if !ok {
@@ -49,8 +50,9 @@
 	return body, true
 }
 
-// queryNumber reads a number of 0 or more from the query, 0 if the key is not there; false: it has answered 400. What
-// begins the error text, as in "a version is".
+// queryNumber reads a number of 0 or more from the query; it is 0 if the key is missing. If the number is
+// invalid, it responds with 400 and returns false. What is the beginning of the error text, such as "a
+// version is".
 func queryNumber(w http.ResponseWriter, r *http.Request, key, what string) (n int64, ok bool) {
 	text := r.URL.Query().Get(key)
 	if text == "" && !r.URL.Query().Has(key) {
@@ -64,7 +66,8 @@
 	return n, true
 }
 
-// readInstanceRef reads which process of a server a call is about, and the body; false: it has answered 400.
+// readInstanceRef reads the name and instance that a call is about, and its body. If the instance is missing,
+// it responds with 400 and returns false.
 func readInstanceRef(w http.ResponseWriter, r *http.Request) (ref state.InstanceRef, body []byte, ok bool) {
 	ref.Name = r.PathValue("name")
 	if r.Method == http.MethodDelete {
--- a/internal/registry/api/respond.go
+++ b/internal/registry/api/respond.go
@@ -10,15 +10,16 @@
 	"merlinpick/internal/registry/state"
 )
 
-const writeTimeout = 5 * time.Second // for the client to read an answer
+const writeTimeout = 5 * time.Second // for the client to read a response
 
-// ErrorBody is the body of an answer other than 200.
+// ErrorBody is the body of a response with a status other than 200.
 type ErrorBody struct {
 	Error string           `json:"error"`
-	Code  state.ResultCode `json:"end,omitempty"` // of a command
+	Code  state.ResultCode `json:"end,omitempty"` // result of the command, if one was proposed
 }
 
-// ReadError reads the body of an answer other than 200. One that is not the registry's says what its status says.
+// ReadError decodes the body of a response with a status other than 200. If the body is not the registry's,
+// the error is the HTTP status.
 func ReadError(resp *http.Response, body []byte) (e ErrorBody) {
 	if json.Unmarshal(body, &e) != nil || e.Error == "" {
 		e.Error = resp.Status
@@ -29,12 +30,12 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	text, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // structs of strings and numbers
+		panic(err) // cannot happen: all responses are structs of strings and numbers
 	}
 	writeBody(w, status, append(text, '\n'))
 }
 
-// writeBody writes an encoded answer. A client that does not read it is given up after writeTimeout.
+// writeBody writes an encoded response. It gives up after writeTimeout if the client does not read it.
 func writeBody(w http.ResponseWriter, status int, body []byte) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	header := w.Header()
@@ -48,7 +49,7 @@
 	writeJSON(w, status, ErrorBody{Error: fmt.Sprintf(format, args...)})
 }
 
-// rejectRetryable answers 503: the call may be repeated.
+// rejectRetryable responds with 503 and Retry-After: the client may repeat the call.
 func (s *Server) rejectRetryable(w http.ResponseWriter, err error) {
 	s.rejected.Add(1)
 	w.Header().Set("Retry-After", "1")
--- a/internal/registry/api/server.go
+++ b/internal/registry/api/server.go
@@ -1,9 +1,9 @@
-// Package api is the registry's HTTP API: the published protocol for proxies, registration for servers, and the calls of
-// members and operators. It holds no replicated state: package raftnode does.
+// Package api serves the registry's HTTP API: the published protocol for proxies, registration for servers,
+// and the calls of members and operators. It holds no replicated state: package raftnode does.
 //
 //	GET    /catalog/members                    the whole list; with consistent=1 a linearizable read
-//	GET    /catalog/members?from=N&hold_ms=M   a watch: answered when there is a version after N, or after M ms; line=L is
-//	                                           the epoch of N
+//	GET    /catalog/members?from=N&hold_ms=M   a watch: answered when there is a version after N, or after
+//	                                           M ms; line=L is the epoch of N
 //	PUT    /catalog/members/NAME               register, or renew with another lease; may be repeated
 //	POST   /catalog/members/NAME/renew         {"instance": ...}
 //	POST   /catalog/members/NAME/drain         {"instance": ...}
@@ -16,16 +16,19 @@
 //	GET    /v1/nodos                           endpoints and their leases
 //	GET    /v1/snapshot                        the replicated state
 //	POST   /v1/restore                         replaces it
-//	GET    /v1/inforce/SERVICE                 what proxies reported at this member
+//	GET    /v1/inforce/SERVICE                 the proxies' reports to this member alone
 //
-// Names on the wire are older than the code's: /catalog/members and "nodos" are endpoints, "line" is the epoch, "index" the
-// version of the list, "former" the previous version, "refused" a rejected one, "overdue" held leases.
+// Names on the wire are older than those in the code: /catalog/members and "nodos" are endpoints, "line" is
+// the epoch, "index" the version of the list, "former" the previous version, "in_force" the applied version,
+// "refused" a rejected one, "end" a result code, "overdue" the held leases.
 //
-// Answers carry the epoch as "line". A whole list of the same epoch is never older than what any member has answered in
-// that epoch before. One of another epoch starts over: endpoints that it lacks were not removed by anybody.
+// Responses carry the epoch as "line". A watch never returns a list of the client's epoch that is older than
+// the client's version, whichever member answers. A read without consistent=1 may be as old as
+// raftnode.Config.MaxListAge. A list of another epoch replaces the client's list: an endpoint that it lacks
+// was not necessarily removed.
 //
-// Any member takes any call. What only the leader can do is forwarded to it, once. 503 means that the call may be repeated,
-// here or at another member, after Retry-After.
+// Any member accepts any call. A call that needs the leader is forwarded to it, once. 503 means that the call
+// may be repeated, at this or another member, after Retry-After.
 package api
 
 import (
@@ -46,19 +49,19 @@
 )
 
 const (
-	headerTimeout  = 5 * time.Second
-	idleTimeout    = 2 * time.Minute
+	headerTimeout  = 5 * time.Second // for the client to send a request's header
+	idleTimeout    = 2 * time.Minute // of a keep-alive connection
 	maxHeaderBytes = 8 << 10
 )
 
-// errWaitingForPeers answers calls of a member that has not opened yet.
+// errWaitingForPeers is the response to calls of a member whose node is not open yet.
 var errWaitingForPeers = errors.New("this member waits for the others")
 
-// Config configures a server.
+// Config holds the settings of a server.
 type Config struct {
 	Listen     string // HOST:PORT
-	Name       string // of the member
-	MaxWatches int    // in flight at once; further ones are answered 503
+	Name       string // name of the member
+	MaxWatches int    // maximum number of watches in flight; further ones get 503
 	Logger     *slog.Logger
 }
 
@@ -69,28 +72,29 @@
 	listener      net.Listener
 	forwardClient *http.Client
 	node          atomic.Pointer[raftnode.Node]
-	reports       rollout.Table // of the proxies that watch configurations here
-	stopping      chan struct{} // closed when watches have to end
+	reports       rollout.Table // reports of the proxies that watch configurations at this member
+	stopping      chan struct{} // closed when the server shuts down, to end watches
 	stopOnce      sync.Once
 
-	// Counts, for Metrics.
+	// Counters for Metrics.
 	watching, calls, rejected, snapshots, changes, forwarded, reportsDropped atomic.Int64
 }
 
-// Metrics are counts since the start, apart from Watches and ProxyReports, which are current.
+// Metrics holds counts since the start of the process. Watches and ProxyReports are current values.
 type Metrics struct {
-	Watches   int64 // in flight
+	Watches   int64 // watches in flight
 	Calls     int64
-	Rejected  int64 // answered 503
-	Snapshots int64 // answered with the whole list
-	Changes   int64 // answered with changes, perhaps none
-	Forwarded int64 // to the leader
+	Rejected  int64 // calls answered with 503
+	Snapshots int64 // calls answered with the whole list
+	Changes   int64 // calls answered with changes, perhaps none
+	Forwarded int64 // calls forwarded to the leader
 
 	ProxyReports        int64 // proxies whose report is kept
-	ProxyReportsDropped int64 // reports dropped for lack of room
+	ProxyReportsDropped int64 // reports dropped because the table was full
 }
 
-// Listen opens the address. Serve answers there: until SetNode with 503, apart from GET /v1/member.
+// Listen opens the address for Serve. Until SetNode, the server answers all calls with 503, apart from
+// GET /v1/member.
 func Listen(cfg Config) (*Server, error) {
 	l, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -106,10 +110,10 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// SetNode has the server answer for a node.
+// SetNode sets the node that the server serves.
 func (s *Server) SetNode(node *raftnode.Node) { s.node.Store(node) }
 
-// Serve answers until Shutdown.
+// Serve serves the API until Shutdown.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -117,7 +121,8 @@
 	return nil
 }
 
-// Shutdown answers all watches with 503 and closes idle connections. After the timeout it closes the others too.
+// Shutdown answers all watches with 503, closes idle connections and waits for the calls in flight. After the
+// timeout it closes all connections.
 func (s *Server) Shutdown(timeout time.Duration) {
 	s.stopOnce.Do(func() { close(s.stopping) })
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -134,10 +139,10 @@
 		ProxyReportsDropped: s.reportsDropped.Load()}
 }
 
-// nodeHandler answers a call on an open node.
+// nodeHandler handles a call with an open node.
 type nodeHandler func(http.ResponseWriter, *http.Request, *raftnode.Node)
 
-// counted counts a call, and answers 503 until the node is open.
+// counted returns a handler that counts calls and answers with 503 until the node is open.
 func (s *Server) counted(handle nodeHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.calls.Add(1)
@@ -173,7 +178,8 @@
 	return mux
 }
 
-// memberStatus answers before the node is open too, and is not counted: members poll it.
+// memberStatus handles GET /v1/member, also before the node is open. It is not counted, since members poll
+// it.
 func (s *Server) memberStatus(w http.ResponseWriter, _ *http.Request) {
 	if node := s.node.Load(); node != nil {
 		writeJSON(w, http.StatusOK, node.Status())
--- a/internal/registry/api/snapshot.go
+++ b/internal/registry/api/snapshot.go
@@ -9,7 +9,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// snapshot answers with the replicated state, read linearizably.
+// snapshot handles GET /v1/snapshot: it responds with the replicated state, read linearizably.
 func (s *Server) snapshot(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 	if err := node.WaitLinearizable(r.Context()); err != nil {
 		s.rejectRetryable(w, err)
@@ -23,13 +23,14 @@
 	writeBody(w, http.StatusOK, text.Bytes())
 }
 
-// Restored is the answer to a restore.
+// Restored is the response to a restore.
 type Restored struct {
 	Epoch     string `json:"line"`
 	Version   int64  `json:"index"`
 	Endpoints int    `json:"nodos"`
 }
 
+// restore handles POST /v1/restore: it replaces the replicated state by the snapshot in the body.
 func (s *Server) restore(w http.ResponseWriter, r *http.Request, node *raftnode.Node) {
 	body, ok := readBody(w, r, state.MaxSnapshotBytes)
 	if !ok {
--- a/internal/registry/api/watch.go
+++ b/internal/registry/api/watch.go
@@ -11,27 +11,28 @@
 
 const maxLongPoll = 60 * time.Second
 
-// Errors of watches, answered 503.
+// Errors of watches, which get 503.
 var (
 	errStopping          = errors.New("this member ends")
 	errVersionNotReached = errors.New("this member has not come up to that version yet")
 )
 
-// tooManyWatchesError is a watch over Config.MaxWatches.
+// tooManyWatchesError reports a watch that exceeds Config.MaxWatches.
 type tooManyWatchesError struct{ inFlight int64 }
 
 func (e *tooManyWatchesError) Error() string {
 	return fmt.Sprintf("%d watches are held, as many as there may be", e.inFlight)
 }
 
-// watchRequest is what a watch waits for.
+// watchRequest holds the parameters of a watch.
 type watchRequest struct {
-	from  int64  // the version that the client has
-	epoch string // of from; empty: the client does not know
-	until time.Time
+	from  int64     // the version that the client has
+	epoch string    // epoch of from; empty: the client does not know it
+	until time.Time // when the watch ends without a newer version
 }
 
-// startWatch reads a watch's query and counts it until release; false: it has answered.
+// startWatch reads a watch's query and counts the watch as in flight until release is called. If the watch is
+// rejected, it has sent the response and returns false.
 func (s *Server) startWatch(w http.ResponseWriter, r *http.Request) (request watchRequest, release func(), ok bool) {
 	if request.from, ok = queryNumber(w, r, "from", "a version is"); !ok {
 		return request, nil, false
@@ -50,20 +51,21 @@
 	return request, func() { s.watching.Add(-1) }, true
 }
 
-// watchEvent is how a watch ends.
+// watchEvent is the reason why a watch ends.
 type watchEvent int
 
 const (
-	watchAnswered  watchEvent = iota // answered with 503, or the client is gone
+	watchAnswered  watchEvent = iota // the response 503 was sent, or the client is gone
 	watchReset                       // the client's version is of another epoch or was lost: it starts over
 	watchNewer                       // there is a newer version
-	watchUnchanged                   // the time is over
+	watchUnchanged                   // the watch has timed out without a newer version
 )
 
-// awaitEvent waits until a watch ends. Current returns what is watched, as this member has it now.
+// awaitEvent waits until a watch ends. Current returns this member's epoch and version of what is watched.
 //
-// A version that this member has not reached is that of a member ahead of it, or one of a lost epoch. The client's epoch
-// tells which. A client that names none waits until this member's list was up to date after the call began.
+// If this member has not reached the client's version, either the client got it from a member that is ahead,
+// or it is of a lost epoch. The client's epoch tells which. If the client names no epoch, awaitEvent waits
+// until this member's list was confirmed up to date after the call began.
 func (s *Server) awaitEvent(w http.ResponseWriter, r *http.Request, node *raftnode.Node, request watchRequest,
 	current func() (epoch string, version int64)) watchEvent {
 	timer := time.NewTimer(time.Until(request.until))
