--- a/internal/registry/lease/lease.go
+++ b/internal/registry/lease/lease.go
@@ -1,16 +1,20 @@
-// Package lease decides when an endpoint that no longer renews is gone. It runs on the leader alone and is given the time.
-// It changes no list: what it decides becomes a command of package state, so that a deposed leader decides nothing.
+// Package lease decides when an endpoint that no longer renews its lease is removed. It runs on the leader
+// only, and the caller passes in the time. It does not change the list: its decisions become commands of
+// package state, so that those of a deposed leader have no effect.
 //
-// Times are monotonic and never compared between members: a new leader restarts every lease when its leadership begins.
-// Time in which this process did not run (suspended, starved) does not count, since renewals could not reach it.
+// Times are monotonic and never compared between members: a new leader restarts every lease when its
+// leadership begins. Time in which this process did not run (suspended, starved) does not count, since
+// renewals could not reach it.
 //
-// Loss of contact is not loss of servers. A few expiries are servers that died; many of one zone together are a network or
-// this service. Where more than Config.HoldThreshold of a zone's leases expire within the zone's longest lease, the zone is
-// held: its endpoints stay in the list and are released one at a time, the longest silent first, at Config.ReleaseRate. So
-// a zone that is gone for good is gone after 1/ReleaseRate lease durations, whatever its size. A renewal takes its endpoint
-// out of that order. The hold ends when no lease of the zone is over.
+// Loss of contact is not loss of servers. A few expired leases mean that servers died; many of one zone at
+// the same time mean a fault of the network or of the registry. If more than Config.HoldThreshold of a zone's
+// leases expire within the zone's longest lease duration, the zone is held: its endpoints stay in the list
+// and are removed one at a time, the one whose lease expired first going first, at Config.ReleaseRate. So a
+// zone that is lost for good is removed after 1/ReleaseRate lease durations, whatever its size. A renewal
+// takes its endpoint out of that order. The hold ends when no lease of the zone is expired.
 //
-// A hold covers a zone, not the list: the other zones' size would hide the loss of a zone's servers.
+// A hold covers one zone, not the whole list: among the leases of all zones, those of a lost zone could stay
+// below the threshold.
 package lease
 
 import (
@@ -21,18 +25,23 @@
 	"merlinpick/internal/registry/state"
 )
 
-// Config configures a table.
+// Config holds the settings of a table.
 type Config struct {
-	HoldThreshold float64       // fraction of a zone's leases that may expire at once within a lease duration; one always may
-	ReleaseRate   float64       // fraction of a held zone that is released in one lease duration
-	MaxSweepGap   time.Duration // a longer time between two sweeps does not count
+	// HoldThreshold is the fraction of a zone's leases that may expire within a lease duration without a
+	// hold. One lease always may.
+	HoldThreshold float64
+	// ReleaseRate is the fraction of a held zone's leases that are released in one lease duration.
+	ReleaseRate float64
+	// MaxSweepGap is the longest time between two sweeps that counts towards leases.
+	MaxSweepGap time.Duration
 }
 
-// DefaultConfig returns the documented values.
+// DefaultConfig returns the documented default values.
 func DefaultConfig() Config {
 	return Config{HoldThreshold: 0.25, ReleaseRate: 0.1, MaxSweepGap: time.Second}
 }
 
+// entry is the lease of one endpoint.
 type entry struct {
 	ref       state.InstanceRef
 	zone      string
@@ -40,12 +49,12 @@
 	expiresAt time.Time
 }
 
-// zone is the state of a zone with expiries in its last lease duration.
+// zone is the state of a zone that is held or in which leases expired within its longest lease duration.
 type zone struct {
 	recentExpiries []time.Time // within the zone's longest lease duration
 	held           bool
-	sizeAtHold     int       // leases when the hold began
-	nextRelease    time.Time // while held
+	sizeAtHold     int       // number of leases when the hold began
+	nextRelease    time.Time // when a held zone's next endpoint is removed
 }
 
 // Table holds the leases. It is not safe for concurrent use.
@@ -61,7 +70,7 @@
 	return &Table{cfg: cfg, leases: map[string]*entry{}, zones: map[string]*zone{}}
 }
 
-// Reset replaces all leases by those of the records, each with its full duration from now on.
+// Reset replaces all leases by those of the records. Each lasts its full duration from now on.
 func (t *Table) Reset(now time.Time, records []state.Record) {
 	clear(t.leases)
 	clear(t.zones)
@@ -77,7 +86,7 @@
 	t.leases[r.Name] = &entry{state.InstanceRef{Name: r.Name, Instance: r.Instance}, r.Zone, duration, now.Add(duration)}
 }
 
-// Renew restarts a lease; false if the instance has none.
+// Renew restarts a lease, and returns false if the instance has none.
 func (t *Table) Renew(now time.Time, ref state.InstanceRef) bool {
 	lease := t.leases[ref.Name]
 	if lease == nil || lease.ref != ref {
@@ -90,7 +99,8 @@
 // Remove drops the lease of an endpoint that is no longer in the list.
 func (t *Table) Remove(name string) { delete(t.leases, name) }
 
-// Remaining returns the time left of a lease; negative if it is over and its endpoint is held.
+// Remaining returns the remaining time of an endpoint's lease, and false if the endpoint has none. The time
+// is negative if the lease has expired and its zone is held.
 func (t *Table) Remaining(now time.Time, name string) (time.Duration, bool) {
 	lease := t.leases[name]
 	if lease == nil {
@@ -99,18 +109,18 @@
 	return lease.expiresAt.Sub(now), true
 }
 
-// Sweep is the result of a sweep over all leases.
+// Sweep is the result of checking all leases once.
 type Sweep struct {
-	Expired      []state.InstanceRef // to be removed from the list now
-	HoldsStarted []string            // zones, ordered
-	HoldsEnded   []string            // zones, ordered
-	HeldLeases   int                 // over, and their endpoints kept in the list
+	Expired      []state.InstanceRef // the caller has to remove them from the list
+	HoldsStarted []string            // names of zones, ordered
+	HoldsEnded   []string            // names of zones, ordered
+	HeldLeases   int                 // expired leases whose endpoints stay in the list
 	HeldZones    int
-	Paused       time.Duration // time since the last sweep that did not count; 0 if it did
+	Paused       time.Duration // time since the previous sweep if it did not count; otherwise 0
 }
 
-// Sweep returns which endpoints have to be removed, and forgets their leases. The caller restarts the lease of one that
-// could not be removed with Put.
+// Sweep returns which endpoints have to be removed, and drops their leases. If an endpoint could not be
+// removed, the caller restarts its lease with Put.
 func (t *Table) Sweep(now time.Time) (out Sweep) {
 	if gap := now.Sub(t.lastSweep); !t.lastSweep.IsZero() && gap > t.cfg.MaxSweepGap {
 		out.Paused = gap
@@ -119,7 +129,7 @@
 	t.lastSweep = now
 	tallies := t.tallyZones(now)
 	for name, z := range t.zones {
-		if tallies[name] == nil { // its last lease is gone
+		if tallies[name] == nil { // the zone has no lease left
 			if z.held {
 				out.HoldsEnded = append(out.HoldsEnded, name)
 			}
@@ -139,7 +149,7 @@
 	return out
 }
 
-// postpone moves all times by a gap in which the process did not run.
+// postpone moves all times forward by a gap in which the process did not run.
 func (t *Table) postpone(gap time.Duration) {
 	for _, lease := range t.leases {
 		lease.expiresAt = lease.expiresAt.Add(gap)
@@ -152,13 +162,14 @@
 	}
 }
 
-// zoneTally is a zone's leases at one moment.
+// zoneTally counts a zone's leases at the time of a sweep.
 type zoneTally struct {
 	over         []*entry
 	size         int
 	longestLease time.Duration
 }
 
+// tallyZones returns the tally of each zone that has leases, by name.
 func (t *Table) tallyZones(now time.Time) map[string]*zoneTally {
 	tallies := map[string]*zoneTally{}
 	for _, lease := range t.leases {
@@ -176,7 +187,8 @@
 	return tallies
 }
 
-// sweepZone expires the leases of a zone that are over, or holds the zone and releases its next endpoint.
+// sweepZone adds a zone's expired leases to the result, or holds the zone and releases its next endpoint when
+// due.
 func (t *Table) sweepZone(out *Sweep, now time.Time, name string, tally *zoneTally) {
 	z := t.zones[name]
 	z.recentExpiries = slices.DeleteFunc(z.recentExpiries, func(at time.Time) bool { return now.Sub(at) >= tally.longestLease })
@@ -197,7 +209,7 @@
 	}
 }
 
-// holdZone begins or continues a hold, and releases the longest silent endpoint when it is due.
+// holdZone begins or continues a hold, and releases the endpoint whose lease expired first when it is due.
 func (t *Table) holdZone(out *Sweep, now time.Time, name string, tally *zoneTally) {
 	z := t.zones[name]
 	begins := !z.held
@@ -220,11 +232,12 @@
 	}
 }
 
-// maxExpiriesAtOnce is how many of a zone's leases may expire within a lease duration without a hold.
+// maxExpiriesAtOnce returns how many of a zone's leases may expire within a lease duration without a hold.
 func (t *Table) maxExpiriesAtOnce(size int) int {
 	return max(1, int(t.cfg.HoldThreshold*float64(size)))
 }
 
+// expire adds leases to the result's Expired and drops them from the table.
 func (t *Table) expire(out *Sweep, z *zone, now time.Time, over []*entry) {
 	for _, lease := range over {
 		delete(t.leases, lease.ref.Name)
--- a/internal/registry/store/log.go
+++ b/internal/registry/store/log.go
@@ -10,7 +10,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// logRecord is a log entry as the file has it.
+// logRecord is the encoding of a log entry in the file.
 type logRecord struct {
 	Term         uint64       `json:"t"`
 	Type         raft.LogType `json:"y"`
@@ -19,6 +19,7 @@
 	AppendedAtNs int64        `json:"a,omitempty"` // Unix time in ns; 0: not known
 }
 
+// indexKey returns the key of a log entry, or the value of a number in the stable store.
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
 // FirstIndex implements raft.LogStore.
@@ -27,6 +28,7 @@
 // LastIndex implements raft.LogStore.
 func (s *Store) LastIndex() (uint64, error) { return s.boundaryIndex((*bolt.Cursor).Last) }
 
+// boundaryIndex returns the index of the entry to which boundary moves a cursor, 0 if the log is empty.
 func (s *Store) boundaryIndex(boundary func(*bolt.Cursor) (key, value []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		if key, _ := boundary(tx.Bucket(logBucket).Cursor()); key != nil {
--- a/internal/registry/store/stable.go
+++ b/internal/registry/store/stable.go
@@ -12,17 +12,18 @@
 
 const diskFullRetryInterval = 200 * time.Millisecond
 
-// errNotFound has the text by which raft knows a key that was never set.
+// errNotFound reports a key that was never set. Raft recognises it by this text.
 var errNotFound = errors.New("not found")
 
-// Set implements raft.StableStore. On a full disk it retries until the write succeeds: raft panics if it cannot store its
-// term or vote, which would end all members if their disks are full at an election. Meanwhile the member votes for nobody.
+// Set implements raft.StableStore. On a full disk it retries until the write succeeds: raft panics if it
+// cannot store its term or vote, which would end all members if their disks are full at an election.
+// Meanwhile the member grants no vote.
 func (s *Store) Set(key, value []byte) error {
 	for logged := false; ; {
 		err := s.db.Update(func(tx *bolt.Tx) error { return tx.Bucket(stableBucket).Put(key, seal(key, value)) })
 		if !isDiskFull(err) {
 			if logged {
-				s.logger.Info("disk full no longer: wait ended", "file", s.path, "error", err)
+				s.logger.Info("disk no longer full: stopped waiting", "file", s.path, "error", err)
 			}
 			return err
 		}
--- a/internal/registry/store/store.go
+++ b/internal/registry/store/store.go
@@ -1,14 +1,17 @@
-// Package store is a member's disk: raft's log and stable store in one bbolt file, with a checksum on each record that is
-// verified at every read. It never repairs: a directory that does not hold what was confirmed is refused.
+// Package store keeps a member's data on disk: raft's log and stable store in one bbolt file, with a checksum
+// on each record that is verified at every read. It never repairs a file: it rejects a directory that lacks
+// confirmed data.
 //
-// Power loss. bbolt writes new pages, syncs, then writes one of two meta pages and syncs, so that a write that was not
-// confirmed leaves the older meta page in force. A meta page with a wrong checksum beside a right one is such a write: it
-// is ignored, logged, and overwritten by the next write. Anything else is damage to confirmed data: a member that went on
-// with less than it has promised could undo what the service has acknowledged. Open then fails with ErrDamaged, names the
-// file and the remedy, and writes nothing.
+// Power loss. bbolt writes new pages, syncs, then writes one of two meta pages and syncs, so that after an
+// unconfirmed write the older meta page is still valid. A meta page with a wrong checksum beside a valid one
+// is such a write: it is ignored, logged, and overwritten by the next write. Anything else is damage to
+// confirmed data: a member that went on without entries or votes that it has confirmed could undo what the
+// registry has acknowledged. Open then fails with ErrDamaged, names the file and what to do, and writes
+// nothing.
 //
-// An identity file says whose the directory is. It is written after the log exists and before anything is promised, so
-// that a missing or empty log beside an identity is damage, not a new member.
+// An identity file names the member to which the directory belongs. It is written after the log exists and
+// before the member confirms anything, so that a missing or empty log beside an identity is damage, not a new
+// member.
 //
 // raft-wal verifies records only when it recovers a segment's tail; raft-boltdb has no checksums.
 package store
@@ -32,22 +35,24 @@
 const (
 	logFile      = "log.db"
 	identityFile = "identity.json"
-	lockTimeout  = 2 * time.Second
+	lockTimeout  = 2 * time.Second // to wait for another process to release the file
 )
 
 var (
 	logBucket    = []byte("log")
-	stableBucket = []byte("words") // an older name, on disk
+	stableBucket = []byte("words") // name in the file format, older than the variable's
 	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Errors of a directory that cannot be used. They are wrapped with the file and the remedy.
+// Errors of a directory that cannot be used. They are wrapped with the file and with what the operator has to
+// do.
 var (
-	ErrDamaged     = atomicfile.ErrDamaged // it does not hold what was written to it
+	ErrDamaged     = atomicfile.ErrDamaged // the directory does not hold what was written to it
 	ErrWrongMember = errors.New("another member's directory")
 	ErrInUse       = errors.New("in use by another process")
 )
 
+// recoveryHint ends the messages of errors that wrap ErrDamaged.
 const recoveryHint = "; nothing was changed. If the other members serve, move the directory away and start this member " +
 	"empty: they send it the list. If none does, start all empty and restore a snapshot"
 
@@ -59,19 +64,19 @@
 	return fmt.Errorf("%s: %w; give this member a directory of its own", path, ErrInUse)
 }
 
-// Store implements raft.LogStore and raft.StableStore.
+// Store implements raft.LogStore and raft.StableStore in a bbolt file.
 type Store struct {
 	db     *bolt.DB
 	path   string
 	logger *slog.Logger
 }
 
-// Open opens a member's directory, or makes it. SnapshotIndex is the log index of raft's newest snapshot, from which on the
-// log must have no gap; 0 for none. Empty means that the directory held nothing. The error wraps ErrDamaged,
-// ErrWrongMember or ErrInUse where it is one of them.
+// Open verifies and opens a member's directory, and creates it if it is missing. SnapshotIndex is the log
+// index of raft's newest snapshot, 0 if there is none; the log may have no gap after it. Open reports empty
+// if the directory held no data. The error wraps ErrDamaged, ErrWrongMember or ErrInUse if it is one of them.
 func Open(dir, member string, snapshotIndex uint64, logger *slog.Logger) (s *Store, empty bool, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, false, fmt.Errorf("make the member's directory: %w", err)
+		return nil, false, fmt.Errorf("create the member's directory: %w", err)
 	}
 	identified, empty, err := verifyDir(dir, member, snapshotIndex, logger)
 	if err != nil {
@@ -106,7 +111,8 @@
 	})
 }
 
-// Check verifies a member's directory without changing it. Empty means that it holds nothing yet.
+// Check verifies a member's directory as Open does, without changing it. It reports empty if the directory
+// holds no data yet.
 func Check(dir, member string, snapshotIndex uint64, logger *slog.Logger) (empty bool, err error) {
 	_, empty, err = verifyDir(dir, member, snapshotIndex, logger)
 	return empty, err
@@ -118,7 +124,8 @@
 // checksumBytes is the length of the CRC-32C before each record.
 const checksumBytes = 4
 
-// seal puts a record's checksum before it. The checksum covers the key, so that a record under another key is damage.
+// seal returns the value with its checksum before it. The checksum covers the key too, so that a record under
+// another key is detected as damage.
 func seal(key, value []byte) []byte {
 	out := make([]byte, checksumBytes, checksumBytes+len(value))
 	binary.BigEndian.PutUint32(out, checksum(key, value))
@@ -129,7 +136,7 @@
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
 
-// unseal verifies a record's checksum and returns the record.
+// unseal verifies the checksum of a sealed record and returns the value.
 func unseal(key, sealed []byte) ([]byte, error) {
 	if len(sealed) < checksumBytes || binary.BigEndian.Uint32(sealed) != checksum(key, sealed[checksumBytes:]) {
 		return nil, fmt.Errorf("record %x: %w: its checksum is wrong", key, ErrDamaged)
--- a/internal/registry/store/verify.go
+++ b/internal/registry/store/verify.go
@@ -16,8 +16,8 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// verifyDir checks a member's directory without changing it. Identified means that it has the member's identity, empty
-// that nothing is in its log or stable store.
+// verifyDir checks a member's directory without changing it. It reports identified if the directory has the
+// member's identity file, and empty if its log and stable store hold no record.
 func verifyDir(dir, member string, snapshotIndex uint64, logger *slog.Logger) (identified, empty bool, err error) {
 	if identified, err = readIdentity(dir, member); err != nil {
 		return false, false, err
@@ -27,18 +27,18 @@
 		return false, false, err
 	}
 	if !identified && !empty {
-		return false, false, damagedError(path, "the log holds something, and %s is missing", identityFile)
+		return false, false, damagedError(path, "the log holds records, but %s is missing", identityFile)
 	}
 	return identified, empty, nil
 }
 
-// verifyLog checks a log file without changing it: that it is as long as its newest meta page says, that its pages can be
-// read, and that each record is what was written.
+// verifyLog checks a log file without changing it: that it is as long as its newest meta page says, that its
+// pages can be read, and that each record has the right checksum.
 func verifyLog(path string, identified bool, snapshotIndex uint64, logger *slog.Logger) (empty bool, err error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) || err == nil && info.Size() == 0 {
 		if identified {
-			return false, damagedError(path, "the log is missing or empty, and the directory has been a member's")
+			return false, damagedError(path, "the log is missing or empty, but the directory has an identity")
 		}
 		return true, nil
 	}
@@ -46,17 +46,18 @@
 		return false, fmt.Errorf("verify the log: %w", err)
 	}
 	if err := verifyMetaPages(path, info.Size(), logger); err != nil {
-		if !identified { // a first start that ended before anything was promised
-			return false, fmt.Errorf("%s: a first start was cut off: %w; remove the file", path, err)
+		if !identified { // the member's first start ended before it confirmed anything
+			return false, fmt.Errorf("%s: the member's first start was interrupted: %w; remove the file",
+				path, err)
 		}
 		return false, damagedError(path, "%w", err)
 	}
 	return verifyPages(path, identified, snapshotIndex)
 }
 
-// verifyPages reads every record of the file.
+// verifyPages verifies every record of the file, and reports empty if there is none.
 func verifyPages(path string, identified bool, snapshotIndex uint64) (empty bool, err error) {
-	// Pages have no checksums: a damaged one may point outside the mapping.
+	// bbolt's pages have no checksums: a damaged page may point outside the mapped file, which faults.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -106,7 +107,8 @@
 	})
 }
 
-// verifyIndexes checks that the log has no gap after the snapshot. Before it there may be one, which a restore leaves.
+// verifyIndexes checks that the log has no gap after the snapshot. Before the snapshot there may be a gap,
+// which a restore leaves.
 func verifyIndexes(log *bolt.Bucket, snapshotIndex uint64) error {
 	last := snapshotIndex
 	return log.ForEach(func(key, _ []byte) error {
@@ -128,17 +130,19 @@
 
 type gapError struct{ after, next uint64 }
 
-func (e *gapError) Error() string { return fmt.Sprintf("entry %d follows %d", e.next, e.after) }
+func (e *gapError) Error() string {
+	return fmt.Sprintf("log entry %d follows entry %d", e.next, e.after)
+}
 
 type truncatedError struct{ size, want int64 }
 
 func (e *truncatedError) Error() string {
-	return fmt.Sprintf("%d bytes of %d are there", e.size, e.want)
+	return fmt.Sprintf("the file has %d bytes and has to have %d", e.size, e.want)
 }
 
-var errNoMetaPage = errors.New("neither of its two meta pages is valid")
+var errNoMetaPage = errors.New("neither of the file's two meta pages is valid")
 
-// bbolt's file format 2.
+// Constants of bbolt's file format, version 2. Sizes are in bytes.
 const (
 	metaMagic   = 0xED0CDAED
 	metaVersion = 2
@@ -150,9 +154,10 @@
 	maxPageBytes         = 1 << 16
 )
 
+// metaPage holds the page size, the number of pages and the transaction of a bbolt meta page.
 type metaPage struct{ pageBytes, pages, transaction uint64 }
 
-// readMetaPage reads the meta page at an offset; false if its checksum is wrong.
+// readMetaPage reads the meta page at an offset in bytes. It returns false if the page is invalid.
 func readMetaPage(file io.ReaderAt, offset int64) (page metaPage, ok bool) {
 	text := make([]byte, pageHeaderBytes+metaBytes)
 	if _, err := io.ReadFull(io.NewSectionReader(file, offset, int64(len(text))), text); err != nil {
--- a/internal/registry/watch/hub.go
+++ b/internal/registry/watch/hub.go
@@ -1,11 +1,12 @@
-// Package watch wakes and answers the clients that watch the endpoint list. It decides nothing about the list: it reads it
-// from a Source.
+// Package watch wakes the watches of the endpoint list and encodes the responses to them. It reads the list
+// from a Source and does not change it.
 //
-// An answer is encoded once, however many clients wait for it: all clients at one version share its bytes. All are woken by
-// one closed channel and each is written to on its own connection, so that a slow client delays nobody.
+// A response is encoded once, however many clients wait for it: all clients at one version share its bytes.
+// One closed channel wakes all clients, and each gets its response on its own connection, so that a slow
+// client delays no other.
 //
-// A change wakes the clients at once if the last wake-up was at least CoalesceInterval ago, and otherwise together with all
-// changes until then.
+// A change wakes the clients at once if the last wake-up was at least CoalesceInterval ago. Otherwise the
+// wake-up waits until then and covers all changes up to that time.
 package watch
 
 import (
@@ -18,20 +19,24 @@
 	"merlinpick/internal/registry/state"
 )
 
-// CoalesceInterval is the shortest time between two wake-ups, and the longest delay of a change.
+// CoalesceInterval is the shortest time between two wake-ups, and so the longest time that a change is
+// delayed.
 const CoalesceInterval = 50 * time.Millisecond
 
-const maxCachedResponses = 64 // encoded changes, each from another version
+const maxCachedResponses = 64 // encoded changes, each since another version
 
-// Source is the list. Each call reads one version.
+// Source provides the list. Each call returns the data of a single version.
 type Source interface {
+	// Version returns the list's epoch and newest version.
 	Version() (epoch string, version int64)
+	// Snapshot returns the whole list.
 	Snapshot() (epoch string, version int64, endpoints []state.Endpoint)
-	// Changes returns the versions after from; false: some are no longer retained, or from is not reached yet.
+	// Changes returns the versions after from. It returns false if some are no longer retained or the list
+	// has not reached from yet.
 	Changes(from int64) (epoch string, version int64, changes []state.Change, retained bool)
 }
 
-// Hub wakes clients and encodes their answers. It is safe for concurrent use.
+// Hub wakes clients and encodes the responses to them. It is safe for concurrent use.
 type Hub struct {
 	source  Source
 	pending chan struct{}
@@ -40,17 +45,17 @@
 	changed      chan struct{} // closed at the next wake-up
 	epoch        string        // of the cached responses
 	version      int64
-	snapshot     []byte
-	changesSince map[int64][]byte // by the version that the client has
-	encoded      int64
+	snapshot     []byte           // cached response with the whole list; nil: none
+	changesSince map[int64][]byte // cached responses by the version that the client has
+	encoded      int64            // number of responses encoded
 }
 
-// New returns a hub. Its Run wakes clients.
+// New returns a hub for the list of a source. Clients are woken while Run runs.
 func New(source Source) *Hub {
 	return &Hub{source: source, pending: make(chan struct{}, 1), changed: make(chan struct{}), changesSince: map[int64][]byte{}}
 }
 
-// NotifyChange has Run wake the clients. It does not block.
+// NotifyChange makes Run wake the clients. It does not block.
 func (h *Hub) NotifyChange() {
 	select {
 	case h.pending <- struct{}{}:
@@ -90,14 +95,14 @@
 	return h.changed
 }
 
-// Encoded returns how many answers were encoded.
+// Encoded returns how many responses were encoded.
 func (h *Hub) Encoded() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.encoded
 }
 
-// Snapshot returns the encoded Response with the whole list.
+// Snapshot returns the encoded Response that holds the whole list.
 func (h *Hub) Snapshot() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -111,8 +116,8 @@
 	return h.snapshot
 }
 
-// ChangesSince returns the encoded Response with what changed after a version, or with the whole list if those changes are
-// no longer retained.
+// ChangesSince returns the encoded Response that holds the changes after a version, or the whole list if
+// those changes are no longer retained.
 func (h *Hub) ChangesSince(from int64) []byte {
 	if body, retained := h.encodedChanges(from); retained {
 		return body
@@ -140,7 +145,7 @@
 	return body, true
 }
 
-// dropOutdated drops cached responses of another version.
+// dropOutdated drops the cached responses if they are of another epoch or version.
 func (h *Hub) dropOutdated(epoch string, version int64) {
 	if epoch != h.epoch || version != h.version {
 		h.epoch, h.version, h.snapshot = epoch, version, nil
@@ -148,7 +153,8 @@
 	}
 }
 
-// MergeChanges returns the last state of each endpoint that changed, in the order of these last changes.
+// MergeChanges returns the last state of each endpoint that changed, in the order of each endpoint's last
+// change.
 func MergeChanges(changes []state.Change) []state.Endpoint {
 	last := map[string]int{} // position of an endpoint's last change, by name
 	position := 0
@@ -171,15 +177,15 @@
 	return merged
 }
 
-// Response is an answer in the published form, with the epoch beside it.
+// Response is the published form of the list or of its changes, with the epoch added.
 type Response struct {
 	Version   int64            `json:"index"`
-	Snapshot  bool             `json:"snapshot"` // Endpoints are the whole list
+	Snapshot  bool             `json:"snapshot"` // whether Endpoints is the whole list or only the changes
 	Epoch     string           `json:"line"`
 	Endpoints []state.Endpoint `json:"endpoints"`
 }
 
-// Encode returns the answer's JSON.
+// Encode returns the response's JSON.
 func (r Response) Encode() []byte {
 	if r.Endpoints == nil {
 		r.Endpoints = []state.Endpoint{}
@@ -188,7 +194,7 @@
 	encoder := json.NewEncoder(&text)
 	encoder.SetEscapeHTML(false)
 	if err := encoder.Encode(r); err != nil {
-		panic(err) // strings and checked numbers
+		panic(err) // cannot happen: all fields are strings and finite numbers
 	}
 	return text.Bytes()
 }
