--- a/internal/registry/config/config.go
+++ b/internal/registry/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the configuration of a member of the registry, a TOML file. It maps the file's keys to the terms of the
-// code, and applies a file in full or not at all.
+// Package config reads the configuration of a registry member, a TOML file, and checks it. It maps the file's
+// keys, some of which are older than the terms in the code, to the fields of File.
 package config
 
 import (
@@ -17,51 +17,51 @@
 	"merlinpick/internal/registry/raftnode"
 )
 
-// File is a configuration as it is written. Durations are in ms.
+// File holds the keys of a configuration file. Durations are in ms.
 type File struct {
-	Name              string   `toml:"name"`
-	Dir               string   `toml:"dir"`         // of the log and snapshots
+	Name              string   `toml:"name"`        // name of this member
+	Dir               string   `toml:"dir"`         // directory of the raft log and snapshots
 	Listen            string   `toml:"listen"`      // address of the API
-	MetricsAddress    string   `toml:"figures"`     // of metrics and readiness; empty: none
+	MetricsAddress    string   `toml:"figures"`     // address of metrics and readiness; empty: none
 	RaftListen        string   `toml:"raft_listen"` // for raft's traffic; empty: the member's own Raft address
-	ElectionTimeoutMs int      `toml:"election_ms"` // without a heartbeat from the leader
-	MaxListAgeMs      int      `toml:"stale_ms"`    // an older list is not served
-	MaxWatches        int      `toml:"watchers"`    // in flight at once
+	ElectionTimeoutMs int      `toml:"election_ms"` // an election starts after this time without a heartbeat
+	MaxListAgeMs      int      `toml:"stale_ms"`    // the member does not serve a list that is older
+	MaxWatches        int      `toml:"watchers"`    // maximum number of watches in flight
 	Lease             Lease    `toml:"lease"`
-	Members           []Member `toml:"member"` // all, with this one; none: a cluster of one
+	Members           []Member `toml:"member"` // all members including this one; empty: a cluster of one
 }
 
-// Lease configures the lease table; lease.Config has the meaning.
+// Lease holds the settings of the lease table; lease.Config describes them.
 type Lease struct {
 	HoldThreshold float64 `toml:"part"`
 	ReleaseRate   float64 `toml:"pace"`
 }
 
-// Member is a member of the cluster and its addresses, HOST:PORT.
+// Member names a member of the cluster and its addresses, HOST:PORT.
 type Member struct {
 	Name string `toml:"name"`
-	Raft string `toml:"raft"`
-	List string `toml:"list"` // of the API
+	Raft string `toml:"raft"` // address for raft's traffic
+	List string `toml:"list"` // address of the API
 }
 
-// Error is a fault of a file.
+// Error reports an invalid key or value of a file.
 type Error struct {
 	File    string
 	Key     string
-	Problem string // with what is needed
+	Problem string // what is wrong, and what is accepted
 }
 
-// Error names file, key and problem.
+// Error returns the file, the key and the problem.
 func (e *Error) Error() string { return e.File + ": " + e.Key + ": " + e.Problem }
 
-// SyntaxError is a file that is no TOML.
+// SyntaxError reports a file that is not valid TOML.
 type SyntaxError struct {
 	File    string
 	Line    int // from 1
 	Problem string
 }
 
-// Error names file, line and problem.
+// Error returns the file, the line and the problem.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem) }
 
 // Default returns the configuration of a cluster of one on the loopback address.
@@ -71,8 +71,8 @@
 		ElectionTimeoutMs: 500, MaxListAgeMs: 2000, MaxWatches: 6000, Lease: Lease{l.HoldThreshold, l.ReleaseRate}}
 }
 
-// Read reads a file; an empty path is Default. A relative Dir is taken from the file's directory. The error is a
-// *SyntaxError or joins one *Error for each fault.
+// Read reads and checks a file; it returns Default for an empty path. A relative Dir is relative to the
+// file's directory. An invalid file yields a *SyntaxError or a join of one *Error for each fault.
 func Read(path string) (File, error) {
 	f := Default()
 	if path == "" {
@@ -89,7 +89,8 @@
 	return f, err
 }
 
-// Parse reads a file's text; name is the file's name in errors, which are those of Read.
+// Parse checks and returns the configuration in text. Name is the file's name in errors, which are those of
+// Read.
 func Parse(name, text string) (File, error) {
 	f := Default()
 	meta, err := toml.Decode(text, &f)
@@ -102,7 +103,7 @@
 	}
 	check := checker{file: name}
 	for _, key := range meta.Undecoded() {
-		check.report(key.String(), "unknown key; docs/discovery.md has them all")
+		check.report(key.String(), "unknown key; docs/discovery.md lists all keys")
 	}
 	check.addresses(&f)
 	check.limits(&f)
@@ -136,7 +137,7 @@
 		c.report("name", "is missing")
 	}
 	if f.Dir == "" {
-		c.report("dir", "is missing: the folder of what outlives the process")
+		c.report("dir", "is missing: the directory for the raft log and snapshots is needed")
 	}
 	c.address("listen", f.Listen)
 	if f.MetricsAddress != "" {
@@ -153,29 +154,30 @@
 	}
 	minAge := time.Duration(f.ElectionTimeoutMs)*time.Millisecond + raftnode.FreshnessInterval
 	if f.MaxListAgeMs < int(minAge.Milliseconds()) {
-		c.report("stale_ms", "%d: at least election_ms and %v, %d, or each election has the list go silent", f.MaxListAgeMs,
+		c.report("stale_ms", "%d: at least election_ms plus %v is needed, which is %d; "+
+			"with less, the list is not served during an election", f.MaxListAgeMs,
 			raftnode.FreshnessInterval, minAge.Milliseconds())
 	}
 	if f.MaxWatches < 1 || f.MaxWatches > maxWatches {
 		c.report("watchers", "from 1 to %d, not %d", maxWatches, f.MaxWatches)
 	}
 	if !(f.Lease.HoldThreshold >= 0 && f.Lease.HoldThreshold <= 1) {
-		c.report("lease.part", "is a part, from 0 to 1, not %v", f.Lease.HoldThreshold)
+		c.report("lease.part", "is a fraction from 0 to 1, not %v", f.Lease.HoldThreshold)
 	}
 	if !(f.Lease.ReleaseRate > 0 && f.Lease.ReleaseRate <= 1) {
-		c.report("lease.pace", "is a part, over 0 and at most 1, not %v", f.Lease.ReleaseRate)
+		c.report("lease.pace", "is a fraction above 0 and at most 1, not %v", f.Lease.ReleaseRate)
 	}
 }
 
 func (c *checker) members(f *File) {
 	if n := len(f.Members); n > 0 && n%2 == 0 {
-		c.report("member", "there are %d: an odd number outlives as many losses with one member less", n)
+		c.report("member", "there are %d: use an odd number; one member less tolerates as many failures", n)
 	}
 	listed, names := false, map[string]bool{}
 	for i, m := range f.Members {
 		key := fmt.Sprintf("member[%d]", i+1)
 		if m.Name == "" || names[m.Name] {
-			c.report(key+".name", "%q is empty or given twice", m.Name)
+			c.report(key+".name", "%q is empty or occurs twice", m.Name)
 		}
 		names[m.Name] = true
 		c.address(key+".raft", m.Raft)
@@ -183,11 +185,11 @@
 		listed = listed || m.Name == f.Name
 	}
 	if len(f.Members) > 0 && !listed {
-		c.report("name", "%q is none of the members", f.Name)
+		c.report("name", "%q is not among the members", f.Name)
 	}
 }
 
-// Node returns the configuration of the raft node, without its logger.
+// Node returns the configuration of the raft node. The caller has to set its logger.
 func (f File) Node() raftnode.Config {
 	c := raftnode.Config{Name: f.Name, Dir: f.Dir, Listen: f.RaftListen,
 		ElectionTimeout: time.Duration(f.ElectionTimeoutMs) * time.Millisecond,
