--- a/internal/registry/metrics/metrics.go
+++ b/internal/registry/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves a member's metrics, for Prometheus, and its readiness. It maps the published metric names to the
-// terms of the code, and changes nothing.
+// Package metrics serves a member's metrics, for Prometheus, and its liveness and readiness. It maps the
+// published metric names, some of which are older than the terms in the code, to the member's values.
 package metrics
 
 import (
@@ -23,7 +23,7 @@
 
 const headerTimeout = 5 * time.Second
 
-// Server answers GET /metrics, /livez (the process runs) and /readyz (the member serves the list).
+// Server serves GET /metrics, /livez (the process runs) and /readyz (the member serves the list).
 type Server struct {
 	listener net.Listener
 	http     *http.Server
@@ -31,11 +31,11 @@
 	api      *api.Server
 }
 
-// Listen opens the address, HOST:PORT. Serve answers there: until SetNode as a member that is not ready.
+// Listen opens the address, HOST:PORT, for Serve. Until SetNode, the member is reported as not ready.
 func Listen(address string, apiServer *api.Server, logger *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("listen for figures: %w", err)
+		return nil, fmt.Errorf("listen for metrics: %w", err)
 	}
 	s := &Server{listener: listener.Retry(l, logger), api: apiServer}
 	registry := prometheus.NewRegistry()
@@ -59,10 +59,10 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// SetNode has the server show a node.
+// SetNode sets the node whose metrics and readiness the server reports.
 func (s *Server) SetNode(node *raftnode.Node) { s.node.Store(node) }
 
-// Serve answers until Close.
+// Serve serves requests until Close.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// Close waits for the calls in flight and closes the address.
+// Close stops listening and waits for the requests in flight.
 func (s *Server) Close() { _ = s.http.Shutdown(context.Background()) }
 
-// desc describes a metric by its published name and help text, which are part of the endpoint and stay.
+// desc returns a metric's description. Names and help texts are published and keep their older terms.
 func desc(name, help string) *prometheus.Desc {
 	return prometheus.NewDesc("roster_"+name, help, nil, nil)
 }
--- a/internal/registry/registrar/registrar.go
+++ b/internal/registry/registrar/registrar.go
@@ -1,5 +1,6 @@
-// Package registrar is the registry's client for servers: it registers one, renews its lease, drains and deregisters it. It
-// moves on to the next member when one does not answer. It does not watch the list: package discovery does.
+// Package registrar is the registry's client for servers: it registers a server, renews its lease, drains and
+// deregisters it. It moves on to the next member if one does not answer. It does not watch the list: package
+// discovery does.
 package registrar
 
 import (
@@ -24,17 +25,17 @@
 	initialBackoff   = 50 * time.Millisecond
 	maxBackoff       = 400 * time.Millisecond
 	maxResponseBytes = 64 << 10
-	renewalsPerLease = 3 // so that two may fail
+	renewalsPerLease = 3 // so that two renewals may fail
 )
 
 // Client calls the registry. It is safe for concurrent use.
 type Client struct {
 	addresses []string
 	http      *http.Client
-	current   atomic.Uint32 // index of the member that answered last
+	current   atomic.Uint32 // index of the member that the next call goes to
 }
 
-// New returns a client of the members at these addresses, HOST:PORT. It begins with a random one.
+// New returns a client of the members at these addresses, HOST:PORT. It calls a random one first.
 func New(addresses []string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute, DisableCompression: true}
 	c := &Client{addresses: addresses, http: &http.Client{Timeout: callTimeout, Transport: transport}}
@@ -45,28 +46,28 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// RejectedError is the registry's answer that a call is not possible. Repeating the call does not help.
+// RejectedError reports that the registry has rejected a call. Repeating the call does not help.
 type RejectedError struct {
-	Status int // of HTTP
+	Status int // HTTP status code
 	api.ErrorBody
 }
 
-// Error says why.
+// Error returns the registry's reason and the HTTP status code.
 func (e *RejectedError) Error() string {
 	return fmt.Sprintf("registry: %s (%d)", e.ErrorBody.Error, e.Status)
 }
 
-// UnavailableError is an answer of a member that the call may be repeated.
+// UnavailableError reports that a member could not serve a call. The call may be repeated.
 type UnavailableError struct {
 	Address string
 	api.ErrorBody
 }
 
-// Error names the member's address and its reason.
+// Error returns the member's address and its reason.
 func (e *UnavailableError) Error() string { return e.Address + ": " + e.ErrorBody.Error }
 
-// Call calls one member, and moves on to the next for later calls if it does not answer. After an error other than
-// *RejectedError the call may have taken effect.
+// Call calls one member and decodes its JSON response into out. If the member does not serve the call, later
+// calls go to the next member. After an error other than *RejectedError the call may have taken effect.
 func (c *Client) Call(ctx context.Context, method, path string, body, out any) error {
 	current := c.current.Load()
 	request, err := newRequest(ctx, method, "http://"+c.addresses[int(current)%len(c.addresses)]+path, body)
@@ -111,7 +112,8 @@
 	return &RejectedError{response.StatusCode, reason}
 }
 
-// CallUntilDecided repeats a call, with a growing random backoff, until it succeeds, fails with *RejectedError, or ctx ends.
+// CallUntilDecided repeats a call with exponential backoff and jitter until it succeeds, fails with
+// *RejectedError, or ctx ends.
 func (c *Client) CallUntilDecided(ctx context.Context, method, path string, body, out any) error {
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		err := c.Call(ctx, method, path, body, out)
@@ -151,7 +153,8 @@
 	return out, err
 }
 
-// Drain has a server get no new requests. It repeats the call as CallUntilDecided does.
+// Drain marks a server as draining, so that it gets no new requests. It repeats the call as CallUntilDecided
+// does.
 func (c *Client) Drain(ctx context.Context, ref state.InstanceRef) (out api.Accepted, err error) {
 	err = c.CallUntilDecided(ctx, http.MethodPost, endpointPath(ref.Name, "drain"), instanceBody{ref.Instance}, &out)
 	return out, err
@@ -164,9 +167,9 @@
 	return out, err
 }
 
-// KeepRegistered registers a server and renews its lease until ctx ends; it does not deregister it. It registers the server
-// again if the registry no longer knows it, calls registered after each registration unless that is nil, and returns the
-// *RejectedError if the registry rejects the server.
+// KeepRegistered registers a server and renews its lease until ctx ends; it does not deregister it. If the
+// registry no longer knows the server, it registers it again. It calls registered, unless that is nil, after
+// each registration. If the registry rejects the server, it returns the *RejectedError.
 func (c *Client) KeepRegistered(ctx context.Context, r state.Record, registered func(api.Accepted)) error {
 	lease := time.Duration(r.LeaseMs) * time.Millisecond
 	for {
@@ -183,7 +186,8 @@
 	}
 }
 
-// renewUntilUnknown renews a lease, with up to an eighth of jitter, until the registry does not know the server.
+// renewUntilUnknown renews a lease at intervals with a jitter of up to an eighth. It returns nil when the
+// registry no longer knows the server, and an error when the registry rejects it or ctx ends.
 func (c *Client) renewUntilUnknown(ctx context.Context, ref state.InstanceRef, lease time.Duration) error {
 	wait := lease / renewalsPerLease
 	for backoff := initialBackoff; ; {
--- a/internal/registry/rollout/reports.go
+++ b/internal/registry/rollout/reports.go
@@ -1,6 +1,6 @@
-// Package rollout keeps what one member has heard of the configurations that proxies have applied. Each proxy reports it
-// with every watch. Reports are not replicated: a proxy that moves to another member reports there, and what it reported
-// here expires.
+// Package rollout keeps the reports that one member has received about the configurations that proxies have
+// applied. Each proxy sends its report with every watch. Reports are not replicated: a proxy that moves to
+// another member reports there, and its report at this member expires.
 package rollout
 
 import (
@@ -12,26 +12,28 @@
 )
 
 const (
-	// MaxReports bounds the reports of all services together; each takes about 500 bytes.
+	// MaxReports is the maximum number of reports of all services together; a report takes about 500 bytes.
 	MaxReports = 10_000
-	// MaxNameBytes and MaxReasonBytes bound the texts of a report.
+	// MaxNameBytes and MaxReasonBytes bound the length of a report's texts.
 	MaxNameBytes   = 100
 	MaxReasonBytes = 200
-	// ReportTTL is how long a report is kept that is not renewed.
+	// ReportTTL is the time for which a report is kept if the proxy sends no newer one.
 	ReportTTL = 10 * time.Minute
 
 	sweepInterval = time.Minute
 )
 
-// ProxyReport is what a proxy reports of a service's configuration.
+// ProxyReport is a proxy's report on a service's configuration.
 type ProxyReport struct {
-	Name            string `json:"name"`              // of the proxy
-	AppliedVersion  int64  `json:"in_force"`          // 0: only its own file's settings
+	Name            string `json:"name"`              // name of the proxy
+	AppliedVersion  int64  `json:"in_force"`          // 0: only the settings of its own file
 	RejectedVersion int64  `json:"refused,omitempty"` // newer than AppliedVersion; 0: none
-	RejectReason    string `json:"why,omitempty"`     // key and problem
-	AgeMs           int64  `json:"age_ms"`            // since the report, in ms
+	RejectReason    string `json:"why,omitempty"`     // the key at fault and the problem
+	AgeMs           int64  `json:"age_ms"`            // time since the report in ms
 }
 
+// timedReport is a report with the time of its arrival.
+
 type timedReport struct {
 	ProxyReport
 	receivedAt time.Time
@@ -45,7 +47,7 @@
 	lastSweep time.Time
 }
 
-// Record keeps a report in place of the proxy's last one; false: there is no room.
+// Record stores a report in place of the proxy's previous one. It returns false if the table is full.
 func (t *Table) Record(service string, report ProxyReport, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +74,7 @@
 	return true
 }
 
-// sweep drops reports that are older than ReportTTL.
+// sweep drops the reports that have reached ReportTTL.
 func (t *Table) sweep(now time.Time) {
 	t.lastSweep = now
 	for service, reports := range t.reports {
@@ -95,7 +97,7 @@
 	return t.count
 }
 
-// Reports returns the reports of a service, ordered by proxy.
+// Reports returns the reports on a service's configuration, ordered by the proxies' names.
 func (t *Table) Reports(service string, now time.Time) []ProxyReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,10 +111,11 @@
 	return out
 }
 
-// MergeReports returns the newest report of each proxy among those of several members, ordered by proxy.
-func MergeReports(ofMembers ...[]ProxyReport) []ProxyReport {
+// MergeReports returns the newest report of each proxy among those of several members, ordered by the
+// proxies' names.
+func MergeReports(memberReports ...[]ProxyReport) []ProxyReport {
 	newest := map[string]ProxyReport{}
-	for _, reports := range ofMembers {
+	for _, reports := range memberReports {
 		for _, report := range reports {
 			if other, ok := newest[report.Name]; !ok || report.AgeMs < other.AgeMs {
 				newest[report.Name] = report
