--- a/cmd/merlinpick-registry/client.go
+++ b/cmd/merlinpick-registry/client.go
@@ -18,7 +18,8 @@
 
 var client = &http.Client{}
 
-// get calls one member. An answer other than 200 is an error that wraps errRejected.
+// get sends a GET to one member and returns the response's body. A status other than 200 is an error that
+// wraps errRejected.
 func get(ctx context.Context, timeout time.Duration, url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -29,6 +30,7 @@
 	return do(request)
 }
 
+// do sends a request and returns the response's body, as get does.
 func do(request *http.Request) ([]byte, error) {
 	response, err := client.Do(request)
 	if err != nil {
@@ -45,7 +47,8 @@
 	return text, nil
 }
 
-// getFromAny calls the members one after another until one answers with 200.
+// getFromAny calls the members one after another until one responds with 200, and returns its response's
+// body.
 func (m memberAddresses) getFromAny(ctx context.Context, path string) ([]byte, error) {
 	var errs []error
 	for _, address := range m.addresses() {
@@ -58,6 +61,7 @@
 	return nil, errors.Join(errs...)
 }
 
+// endpoints returns all endpoints with the remaining time of their leases.
 func (m memberAddresses) endpoints(ctx context.Context) (all []raftnode.EndpointStatus, err error) {
 	text, err := m.getFromAny(ctx, "/v1/nodos")
 	if err == nil {
--- a/cmd/merlinpick-registry/endpoints.go
+++ b/cmd/merlinpick-registry/endpoints.go
@@ -25,7 +25,7 @@
 
 type listEndpoints struct {
 	memberAddresses
-	JSON bool `help:"One JSON object a line."`
+	JSON bool `help:"Print one JSON object per line."`
 }
 
 // Run prints the endpoints.
@@ -62,8 +62,8 @@
 	Type     string        `default:"nodo"`
 	Cell     int           `name:"group" default:"0"`
 	Weight   float64       `default:"1"`
-	Instance string        `help:"An id of this start of its process. Default: a random one."`
-	Since    int64         `name:"since-ms" help:"Unix time of its start, in ms. Default: now."`
+	Instance string        `help:"ID of the process; each start needs a new one. Default: random."`
+	Since    int64         `name:"since-ms" help:"Unix time of the process's start, in ms. Default: now."`
 	Lease    time.Duration `default:"10s"`
 	Keep     bool          `help:"Renew the lease, and deregister when the command ends."`
 }
@@ -73,7 +73,8 @@
 	record := c.record()
 	client := registrar.New(c.addresses())
 	printAccepted := func(accepted api.Accepted) {
-		fmt.Printf("%s is in the list from version %d on, instance %s, for %v\n", c.Name, accepted.Version, record.Instance, c.Lease)
+		fmt.Printf("%s is in the list from version %d on, instance %s, lease %v\n", c.Name, accepted.Version,
+			record.Instance, c.Lease)
 	}
 	if !c.Keep {
 		once, cancel := context.WithTimeout(ctx, callTimeout)
@@ -93,13 +94,13 @@
 	return err
 }
 
-// record is the endpoint with the defaults of its instance and start.
+// record returns the endpoint to register. Instance and Since get their defaults.
 func (c *registerEndpoint) record() state.Record {
 	record := state.Record{Endpoint: state.Endpoint{Name: c.Name, Address: c.Address, Zone: c.Zone, Type: c.Type, Cell: c.Cell,
 		Status: state.StatusServing, Weight: c.Weight, StartedAtMs: c.Since}, Instance: c.Instance, LeaseMs: c.Lease.Milliseconds()}
 	if record.Instance == "" {
 		random := make([]byte, 8)
-		_, _ = rand.Read(random) // it never fails
+		_, _ = rand.Read(random) // crypto/rand never returns an error
 		record.Instance = hex.EncodeToString(random)
 	}
 	if record.StartedAtMs == 0 {
@@ -108,13 +109,14 @@
 	return record
 }
 
-// endpointInstance is the endpoint that a command is about.
+// endpointInstance holds the arguments that identify the endpoint that a command is about.
 type endpointInstance struct {
 	memberAddresses
 	Name     string `arg:""`
-	Instance string `help:"Default: the one in the list."`
+	Instance string `help:"ID of the endpoint's process. Default: the one in the list."`
 }
 
+// ref returns the endpoint's name and instance. If no instance is given, it reads it from the list.
 func (c *endpointInstance) ref(ctx context.Context) (state.InstanceRef, error) {
 	ref := state.InstanceRef{Name: c.Name, Instance: c.Instance}
 	if ref.Instance != "" {
@@ -133,7 +135,7 @@
 	return ref, fmt.Errorf("%w: %s is not in the list", errRejected, c.Name)
 }
 
-// call makes one call about the endpoint and prints its new status.
+// call calls the registry about the endpoint and prints the endpoint's new status.
 func (c *endpointInstance) call(ctx context.Context,
 	call func(*registrar.Client, context.Context, state.InstanceRef) (api.Accepted, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/cmd/merlinpick-registry/main.go
+++ b/cmd/merlinpick-registry/main.go
@@ -1,8 +1,9 @@
-// Command merlinpick-registry runs a member of the registry, the service that keeps the list of endpoints and the services'
-// configurations, and makes the calls of operators. docs/discovery.md says how to run it.
+// Command merlinpick-registry runs a member of the registry, the service that keeps the list of endpoints and
+// the services' configurations, and calls a running registry for operators. docs/discovery.md describes how
+// to run it.
 //
-// Exit status: 0, done; 1, the registry rejected the call, or what was checked is at fault; 2, bad usage or configuration,
-// or a member that could not start or serve.
+// Exit status: 0, success; 1, the registry rejected the call, or a check failed; 2, wrong usage or
+// configuration, or a member that could not start or serve.
 package main
 
 import (
@@ -20,6 +21,7 @@
 	"merlinpick/internal/registry/registrar"
 )
 
+// Exit statuses.
 const (
 	exitDone = iota
 	exitRejected
@@ -27,18 +29,18 @@
 )
 
 type arguments struct {
-	LogFormat string `enum:"text,json" default:"text" help:"Form of the log on standard error: text or json."`
+	LogFormat string `enum:"text,json" default:"text" help:"Log format on standard error: text or json."`
 	Verbose   bool   `short:"v" help:"Log raft's own events too."`
 
 	Serve     serveCommand     `cmd:"" help:"Run a member; without a configuration, a cluster of one on 127.0.0.1:8500."`
-	Members   membersCommand   `cmd:"" help:"Print each member's status; exit 1 if one does not serve the list."`
+	Members   membersCommand   `cmd:"" help:"Print each member's status; exit 1 if one does not serve."`
 	Endpoints endpointCommands `cmd:"" name:"nodos" help:"List the endpoints, or register, drain and deregister one."`
 	Watch     watchCommand     `cmd:"" help:"Print the list, and its changes as they come."`
-	Check     checkCommand     `cmd:"" help:"Name every fault of a configuration, and verify all that its directory holds."`
+	Check     checkCommand     `cmd:"" help:"Report all configuration errors, and verify the directory."`
 	Snapshot  snapshotCommands `cmd:"" help:"Save the list and configurations to a file, inspect one, or restore one."`
 }
 
-// memberAddresses are the members' API addresses, for commands that call them.
+// memberAddresses is the flag with the members' API addresses, for commands that call members.
 type memberAddresses struct {
 	At string `default:"127.0.0.1:8500" env:"ROSTER_AT" help:"The members' API addresses, separated by commas."`
 }
@@ -70,9 +72,10 @@
 	return exitUnable
 }
 
-// errRejected marks an error that is the answer to the command: exit status 1.
-var errRejected = errors.New("no")
+// errRejected marks a rejected call or a failed check, which exits with status 1.
+var errRejected = errors.New("failed")
 
+// newLogger returns the logger that the arguments ask for, on standard error.
 func newLogger(a arguments) *slog.Logger {
 	options := &slog.HandlerOptions{Level: slog.LevelInfo}
 	if a.Verbose {
--- a/cmd/merlinpick-registry/members.go
+++ b/cmd/merlinpick-registry/members.go
@@ -13,10 +13,10 @@
 
 type membersCommand struct {
 	memberAddresses
-	JSON bool `help:"One JSON object a line."`
+	JSON bool `help:"Print one JSON object per line."`
 }
 
-// Run prints each member's status. It fails with errRejected if one does not serve the list.
+// Run prints each member's status. It fails with errRejected if a member does not serve the list.
 func (c *membersCommand) Run(ctx context.Context) error {
 	notServing := 0
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
--- a/cmd/merlinpick-registry/serve.go
+++ b/cmd/merlinpick-registry/serve.go
@@ -14,10 +14,10 @@
 	"merlinpick/internal/registry/raftnode"
 )
 
-const shutdownTimeout = 2 * time.Second // for watches to be answered
+const shutdownTimeout = 2 * time.Second // for the API's calls in flight, such as watches, to be answered
 
 type serveCommand struct {
-	Config string `type:"path" help:"TOML; docs/discovery.md has the keys."`
+	Config string `type:"path" help:"TOML file; docs/discovery.md lists the keys."`
 }
 
 // Run runs a member until SIGTERM or SIGINT.
@@ -73,10 +73,10 @@
 }
 
 type checkCommand struct {
-	Config string `type:"path" help:"TOML; docs/discovery.md has the keys."`
+	Config string `type:"path" help:"TOML file; docs/discovery.md lists the keys."`
 }
 
-// Run checks a configuration and the directory that it names.
+// Run checks a configuration and the member's directory that it names.
 func (c *checkCommand) Run(logger *slog.Logger) error {
 	file, err := config.Read(c.Config)
 	if err != nil {
@@ -86,11 +86,11 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errRejected, err)
 	}
-	content := "whole"
+	content := "intact"
 	if empty {
 		content = "empty"
 	}
-	fmt.Printf("%s: member %s of %d, list on %s; %s is %s\n", c.Config, file.Name, max(1, len(file.Members)), file.Listen, file.Dir,
-		content)
+	fmt.Printf("%s: member %s of %d, API on %s; directory %s is %s\n", c.Config, file.Name,
+		max(1, len(file.Members)), file.Listen, file.Dir, content)
 	return nil
 }
--- a/cmd/merlinpick-registry/snapshot.go
+++ b/cmd/merlinpick-registry/snapshot.go
@@ -16,8 +16,8 @@
 
 type snapshotCommands struct {
 	Save    saveSnapshot    `cmd:"" help:"Save the list and configurations to a file."`
-	Inspect inspectSnapshot `cmd:"" help:"Check a file and print what it holds."`
-	Restore restoreSnapshot `cmd:"" help:"Replace the list by a file, as a new epoch."`
+	Inspect inspectSnapshot `cmd:"" help:"Check a snapshot file and print a summary of its content."`
+	Restore restoreSnapshot `cmd:"" help:"Replace the list by that in a snapshot file, as a new epoch."`
 }
 
 type saveSnapshot struct {
@@ -25,7 +25,7 @@
 	File string `arg:"" type:"path"`
 }
 
-// Run saves the registry's state. The file is replaced only by a snapshot that was checked.
+// Run saves the registry's state to a file. It checks the snapshot before it replaces the file.
 func (c *saveSnapshot) Run(ctx context.Context) error {
 	text, err := c.getFromAny(ctx, "/v1/snapshot")
 	if err != nil {
@@ -38,10 +38,12 @@
 	if err := atomicfile.WriteFile(c.File, text); err != nil {
 		return fmt.Errorf("save %s: %w", c.File, err)
 	}
-	fmt.Printf("%s: version %d of line %s, %d nodos\n", c.File, snapshot.Version, snapshot.Epoch, len(snapshot.Records))
+	fmt.Printf("%s: version %d of epoch %s, %d nodos\n", c.File, snapshot.Version, snapshot.Epoch,
+		len(snapshot.Records))
 	return nil
 }
 
+// readSnapshot reads and checks a snapshot file. It returns the file's bytes too.
 func readSnapshot(path string) ([]byte, state.Snapshot, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -56,10 +58,10 @@
 
 type inspectSnapshot struct {
 	File      string `arg:"" type:"path"`
-	Endpoints bool   `name:"nodos" help:"Print the endpoints too, one JSON object a line."`
+	Endpoints bool   `name:"nodos" help:"Print the endpoints too, one JSON object per line."`
 }
 
-// Run checks a file and prints what it holds.
+// Run checks a snapshot file and prints a summary of its content.
 func (c *inspectSnapshot) Run() error {
 	_, snapshot, err := readSnapshot(c.File)
 	if err != nil {
@@ -69,8 +71,8 @@
 	for _, r := range snapshot.Records {
 		zones[r.Zone]++
 	}
-	fmt.Printf("%s: whole; version %d of line %s, %d nodos, by zone %v, %d ended instances\n", c.File, snapshot.Version,
-		snapshot.Epoch, len(snapshot.Records), zones, len(snapshot.EndedInstances))
+	fmt.Printf("%s: intact; version %d of epoch %s, %d nodos, by zone %v, %d deregistered instances\n",
+		c.File, snapshot.Version, snapshot.Epoch, len(snapshot.Records), zones, len(snapshot.EndedInstances))
 	if c.Endpoints {
 		for _, r := range snapshot.Records {
 			line, _ := json.Marshal(r)
@@ -83,10 +85,11 @@
 type restoreSnapshot struct {
 	memberAddresses
 	File string `arg:"" type:"path"`
-	Yes  bool   `help:"Needed if the list has endpoints: they are replaced."`
+	Yes  bool   `help:"Confirm that the endpoints in the list are replaced; needed unless the list is empty."`
 }
 
-// Run replaces the registry's state by a file's, at the first member that takes it.
+// Run replaces the registry's state by that of a file. It calls the members one after another until one
+// accepts it.
 func (c *restoreSnapshot) Run(ctx context.Context) error {
 	text, snapshot, err := readSnapshot(c.File)
 	if err != nil {
@@ -97,7 +100,8 @@
 		return err
 	}
 	if len(current) > 0 && !c.Yes {
-		return fmt.Errorf("%w: the list has %d nodos, the file %d: --yes replaces them", errRejected, len(current), len(snapshot.Records))
+		return fmt.Errorf("%w: the list has %d nodos, and the file has %d; use --yes to replace the list",
+			errRejected, len(current), len(snapshot.Records))
 	}
 	var errs []error
 	for _, address := range c.addresses() {
@@ -114,8 +118,8 @@
 		if err := json.Unmarshal(answer, &restored); err != nil {
 			return err
 		}
-		fmt.Printf("restored: %d nodos, version %d of the new line %s; each nodo's lease runs afresh\n", restored.Endpoints,
-			restored.Version, restored.Epoch)
+		fmt.Printf("restored: %d nodos, version %d of the new epoch %s; each nodo's lease was restarted\n",
+			restored.Endpoints, restored.Version, restored.Epoch)
 		return nil
 	}
 	return errors.Join(errs...)
--- a/cmd/merlinpick-registry/watch.go
+++ b/cmd/merlinpick-registry/watch.go
@@ -12,15 +12,15 @@
 
 const (
 	longPollTimeout = 20 * time.Second
-	retryDelay      = time.Second // before the next member is called
+	retryDelay      = time.Second // before calling the next member
 )
 
 type watchCommand struct {
 	memberAddresses
-	Count int `help:"End after so many answers; 0: never." default:"0"`
+	Count int `help:"Exit after this number of printed lines; 0: never." default:"0"`
 }
 
-// Run prints the list and then its changes, one object a line.
+// Run prints the list and then its changes, one JSON object per line.
 func (c *watchCommand) Run(ctx context.Context) error {
 	addresses, member, query, printed := c.addresses(), 0, "", 0
 	for ctx.Err() == nil && (c.Count == 0 || printed < c.Count) {
