--- a/internal/registry/config/config.go
+++ b/internal/registry/config/config.go
@@ -154,9 +154,8 @@
 	}
 	minAge := time.Duration(f.ElectionTimeoutMs)*time.Millisecond + raftnode.FreshnessInterval
 	if f.MaxListAgeMs < int(minAge.Milliseconds()) {
-		c.report("stale_ms", "%d: at least election_ms plus %v is needed, which is %d; "+
-			"with less, the list is not served during an election", f.MaxListAgeMs,
-			raftnode.FreshnessInterval, minAge.Milliseconds())
+		c.report("stale_ms", "%d: at least election_ms plus %v, %d, or each election stops serving the list",
+			f.MaxListAgeMs, raftnode.FreshnessInterval, minAge.Milliseconds())
 	}
 	if f.MaxWatches < 1 || f.MaxWatches > maxWatches {
 		c.report("watchers", "from 1 to %d, not %d", maxWatches, f.MaxWatches)
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -32,8 +32,8 @@
 	// gets the whole list.
 	MaxRetainedChanges = 4096
 
-	versionsPerSecondShift = 21 // an epoch creates fewer than 2^21 versions per second on average
-	maxVersion             = 1 << 53
+	versionsPerSecondShift = 21      // an epoch creates fewer than 2^21 versions per second on average
+	maxVersion             = 1 << 53 // JSON readers that use float64 represent integers up to it exactly
 )
 
 // Change is one version of the list with the endpoints that changed in it. Removed endpoints have
--- a/internal/registry/store/identity.go
+++ b/internal/registry/store/identity.go
@@ -46,8 +46,8 @@
 		return false, fmt.Errorf("%s: %w%s", path, ErrDamaged, recoveryHint)
 	}
 	if id.Member != member {
-		return false, fmt.Errorf("%s: %w: it belongs to %q, and this member is %q; "+
-			"correct name or dir in the configuration", path, ErrWrongMember, id.Member, member)
+		return false, fmt.Errorf("%s: %w: it belongs to %q, and this member is %q; correct name or dir",
+			path, ErrWrongMember, id.Member, member)
 	}
 	return true, nil
 }
--- a/internal/registry/store/verify.go
+++ b/internal/registry/store/verify.go
@@ -130,9 +130,7 @@
 
 type gapError struct{ after, next uint64 }
 
-func (e *gapError) Error() string {
-	return fmt.Sprintf("log entry %d follows entry %d", e.next, e.after)
-}
+func (e *gapError) Error() string { return fmt.Sprintf("log entry %d follows %d", e.next, e.after) }
 
 type truncatedError struct{ size, want int64 }
 
