--- a/internal/registry/api/configs_test.go
+++ b/internal/registry/api/configs_test.go
@@ -166,7 +166,8 @@
 			t.Fatalf("%s: %d %s", w, status, text)
 		}
 	}
-	s.reports.Record("a", rollout.ProxyReport{Name: "p5", AppliedVersion: second}, time.Now().Add(-reportSilence))
+	s.reports.Record("a", rollout.ProxyReport{Name: "p5", AppliedVersion: second},
+		time.Now().Add(-staleReportAge))
 	ask := func(query string) (st ConfigStatus) {
 		t.Helper()
 		status, _, text := call(t, s, "GET", "/config/a/status"+query, "")
--- a/internal/registry/api/configstatus.go
+++ b/internal/registry/api/configstatus.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	reportsTimeout  = time.Second // until the other members have sent their reports
-	maxReportsBytes = 8 << 20     // size of one member's response
+	reportsTimeout = time.Second // until the other members have sent their reports
+	maxReplyBytes  = 8 << 20     // size of one member's response
 
-	// reportSilence is the age of a report at which the proxy's state becomes unknown: proxies report with
+	// staleReportAge is the age of a report at which the proxy's state becomes unknown: proxies report with
 	// every watch, at least every rollout.LongPollTimeout.
-	reportSilence = 15 * time.Second
+	staleReportAge = 15 * time.Second
 )
 
 // The states of a proxy in a ConfigStatus.
@@ -102,13 +102,11 @@
 	reports, silent = make([][]rollout.ProxyReport, len(peers)+1), []string{}
 	reports[len(peers)] = s.reports.Reports(service, time.Now())
 	errs := make([]error, len(peers))
-	var requests sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, p := range peers {
-		requests.Go(func() {
-			errs[i] = node.CallPeer(ctx, p, "/v1/inforce/"+service, maxReportsBytes, &reports[i])
-		})
+		wg.Go(func() { errs[i] = node.CallPeer(ctx, p, "/v1/inforce/"+service, maxReplyBytes, &reports[i]) })
 	}
-	requests.Wait()
+	wg.Wait()
 	for i, err := range errs {
 		if err != nil {
 			reports[i] = nil
@@ -140,7 +138,7 @@
 
 func (c *ConfigStatus) stateOf(report rollout.ProxyReport) string {
 	switch {
-	case report.AgeMs >= reportSilence.Milliseconds():
+	case report.AgeMs >= staleReportAge.Milliseconds():
 		return StateUnknown
 	case report.AppliedVersion == c.Version:
 		return StateApplied
--- a/internal/registry/api/server.go
+++ b/internal/registry/api/server.go
@@ -77,7 +77,7 @@
 	stopOnce      sync.Once
 
 	// Counters for Metrics.
-	watching, calls, rejected, snapshots, changes, forwarded, reportsDropped atomic.Int64
+	watchesInFlight, calls, rejected, snapshots, changes, forwarded, reportsDropped atomic.Int64
 }
 
 // Metrics holds counts since the start of the process. Watches and ProxyReports are current values.
@@ -134,16 +134,16 @@
 
 // Metrics returns the current counts.
 func (s *Server) Metrics() Metrics {
-	return Metrics{Watches: s.watching.Load(), Calls: s.calls.Load(), Rejected: s.rejected.Load(), Snapshots: s.snapshots.Load(),
-		Changes: s.changes.Load(), Forwarded: s.forwarded.Load(), ProxyReports: int64(s.reports.Len()),
-		ProxyReportsDropped: s.reportsDropped.Load()}
+	return Metrics{Watches: s.watchesInFlight.Load(), Calls: s.calls.Load(), Rejected: s.rejected.Load(),
+		Snapshots: s.snapshots.Load(), Changes: s.changes.Load(), Forwarded: s.forwarded.Load(),
+		ProxyReports: int64(s.reports.Len()), ProxyReportsDropped: s.reportsDropped.Load()}
 }
 
 // nodeHandler handles a call with an open node.
 type nodeHandler func(http.ResponseWriter, *http.Request, *raftnode.Node)
 
-// counted returns a handler that counts calls and answers with 503 until the node is open.
-func (s *Server) counted(handle nodeHandler) http.HandlerFunc {
+// withNode returns a handler that counts calls and answers with 503 until the node is open.
+func (s *Server) withNode(handle nodeHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.calls.Add(1)
 		node := s.node.Load()
@@ -172,7 +172,7 @@
 		"GET /v1/snapshot":                   s.snapshot,
 		"POST /v1/restore":                   s.restore,
 	} {
-		mux.HandleFunc(pattern, s.counted(handle))
+		mux.HandleFunc(pattern, s.withNode(handle))
 	}
 	mux.HandleFunc("GET /v1/member", s.memberStatus)
 	return mux
--- a/internal/registry/api/watch.go
+++ b/internal/registry/api/watch.go
@@ -41,14 +41,14 @@
 	if !ok {
 		return request, nil, false
 	}
-	if n := s.watching.Add(1); n > int64(s.cfg.MaxWatches) {
-		s.watching.Add(-1)
+	if n := s.watchesInFlight.Add(1); n > int64(s.cfg.MaxWatches) {
+		s.watchesInFlight.Add(-1)
 		s.rejectRetryable(w, &tooManyWatchesError{n - 1})
 		return request, nil, false
 	}
 	request.epoch = r.URL.Query().Get("line")
 	request.until = time.Now().Add(time.Duration(min(holdMs, maxLongPoll.Milliseconds())) * time.Millisecond)
-	return request, func() { s.watching.Add(-1) }, true
+	return request, func() { s.watchesInFlight.Add(-1) }, true
 }
 
 // watchEvent is the reason why a watch ends.
--- a/internal/registry/lease/lease.go
+++ b/internal/registry/lease/lease.go
@@ -137,7 +137,7 @@
 		}
 	}
 	for name, tally := range tallies {
-		if len(tally.over) > 0 && t.zones[name] == nil {
+		if len(tally.expired) > 0 && t.zones[name] == nil {
 			t.zones[name] = &zone{}
 		}
 		if t.zones[name] != nil {
@@ -164,7 +164,7 @@
 
 // zoneTally counts a zone's leases at the time of a sweep.
 type zoneTally struct {
-	over         []*entry
+	expired      []*entry
 	size         int
 	longestLease time.Duration
 }
@@ -181,7 +181,7 @@
 		tally.size++
 		tally.longestLease = max(tally.longestLease, lease.duration)
 		if !now.Before(lease.expiresAt) {
-			tally.over = append(tally.over, lease)
+			tally.expired = append(tally.expired, lease)
 		}
 	}
 	return tallies
@@ -194,7 +194,7 @@
 	z.recentExpiries = slices.DeleteFunc(z.recentExpiries, func(at time.Time) bool { return now.Sub(at) >= tally.longestLease })
 	recent := len(z.recentExpiries)
 	switch {
-	case len(tally.over) == 0:
+	case len(tally.expired) == 0:
 		if z.held {
 			out.HoldsEnded = append(out.HoldsEnded, name)
 		}
@@ -202,8 +202,8 @@
 		if recent == 0 {
 			delete(t.zones, name)
 		}
-	case !z.held && recent+len(tally.over) <= t.maxExpiriesAtOnce(tally.size+recent):
-		t.expire(out, z, now, tally.over)
+	case !z.held && recent+len(tally.expired) <= t.maxExpiriesAtOnce(tally.size+recent):
+		t.expire(out, z, now, tally.expired)
 	default:
 		t.holdZone(out, now, name, tally)
 	}
@@ -222,13 +222,13 @@
 		z.nextRelease = now.Add(releaseInterval)
 	}
 	out.HeldZones++
-	out.HeldLeases += len(tally.over)
+	out.HeldLeases += len(tally.expired)
 	if !now.Before(z.nextRelease) {
 		z.nextRelease = now.Add(releaseInterval)
-		slices.SortFunc(tally.over, func(a, b *entry) int {
+		slices.SortFunc(tally.expired, func(a, b *entry) int {
 			return cmp.Or(a.expiresAt.Compare(b.expiresAt), cmp.Compare(a.ref.Name, b.ref.Name))
 		})
-		t.expire(out, z, now, tally.over[:1])
+		t.expire(out, z, now, tally.expired[:1])
 	}
 }
 
@@ -238,8 +238,8 @@
 }
 
 // expire adds leases to the result's Expired and drops them from the table.
-func (t *Table) expire(out *Sweep, z *zone, now time.Time, over []*entry) {
-	for _, lease := range over {
+func (t *Table) expire(out *Sweep, z *zone, now time.Time, expired []*entry) {
+	for _, lease := range expired {
 		delete(t.leases, lease.ref.Name)
 		out.Expired = append(out.Expired, lease.ref)
 		z.recentExpiries = append(z.recentExpiries, now)
--- a/internal/registry/metrics/metrics.go
+++ b/internal/registry/metrics/metrics.go
@@ -126,15 +126,15 @@
 func collectStatus(to chan<- prometheus.Metric, status raftnode.Status) {
 	gauge(to, listVersion, float64(status.Version))
 	gauge(to, endpoints, float64(status.Endpoints))
-	gauge(to, isLeader, oneIf(status.Role == "leader"))
-	gauge(to, serving, oneIf(status.Serving))
+	gauge(to, isLeader, boolToFloat(status.Role == "leader"))
+	gauge(to, serving, boolToFloat(status.Serving))
 	if status.AgeMs < 0 {
 		gauge(to, listAge, -1)
 	} else {
 		gauge(to, listAge, float64(status.AgeMs)/1000)
 	}
 	gauge(to, term, float64(status.Term))
-	gauge(to, abstains, oneIf(status.Abstains))
+	gauge(to, abstains, boolToFloat(status.Abstains))
 	gauge(to, heldLeases, float64(status.HeldLeases))
 	gauge(to, heldZones, float64(status.HeldZones))
 	count(to, expiredLeases, status.ExpiredLeases)
@@ -149,7 +149,7 @@
 	to <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, float64(value))
 }
 
-func oneIf(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/registry/raftnode/configs.go
+++ b/internal/registry/raftnode/configs.go
@@ -64,11 +64,11 @@
 func (n *Node) checkAllSupportConfigs(ctx context.Context) error {
 	haveConfigs := len(n.configSnapshot().Configs) > 0
 	errs := make([]error, len(n.cfg.Peers))
-	var requests sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, p := range n.cfg.Peers {
-		requests.Go(func() { errs[i] = n.SupportsConfigs(ctx, p) })
+		wg.Go(func() { errs[i] = n.SupportsConfigs(ctx, p) })
 	}
-	requests.Wait()
+	wg.Wait()
 	for _, err := range errs {
 		var incompatible *IncompatibleMemberError
 		if errors.As(err, &incompatible) && (incompatible.Cause == nil || !haveConfigs) {
--- a/internal/registry/raftnode/freshness.go
+++ b/internal/registry/raftnode/freshness.go
@@ -62,7 +62,7 @@
 // WaitLinearizable waits for a confirmation, begun after this call, that the list is up to date. It fails
 // with ErrStale after Config.MaxListAge or when the node is closed, and with ctx's error.
 func (n *Node) WaitLinearizable(ctx context.Context) error {
-	begun := time.Now()
+	start := time.Now()
 	select {
 	case n.confirmNow <- struct{}{}:
 	default: // a confirmation is already requested
@@ -73,7 +73,7 @@
 		n.confirmedMu.Lock()
 		next := n.confirmed
 		n.confirmedMu.Unlock()
-		if at := n.confirmedAt.Load(); at != nil && at.After(begun) {
+		if at := n.confirmedAt.Load(); at != nil && at.After(start) {
 			return nil
 		}
 		select {
