--- a/cmd/merlinpick-registry/bench_test.go
+++ b/cmd/merlinpick-registry/bench_test.go
@@ -24,7 +24,7 @@
 
 // BenchmarkLeaderDeath measures the time from a leader's death to the next acknowledged write.
 func BenchmarkLeaderDeath(b *testing.B) {
-	s := startService(b, 3)
+	s := startCluster(b, 3)
 	c := registrar.New(s.addresses)
 	defer c.Close()
 	var took []float64
@@ -52,7 +52,7 @@
 
 // BenchmarkStart measures the time from a member's start until it serves 10,000 endpoints from disk.
 func BenchmarkStart(b *testing.B) {
-	s := startService(b, 1)
+	s := startCluster(b, 1)
 	i := state.Snapshot{Epoch: "l", Version: 1}
 	for n := range 10_000 {
 		r := record(fmt.Sprintf("s-%08x", n), 1)
@@ -88,7 +88,7 @@
 
 // BenchmarkCalls measures the calls per second of one member, by 32 clients: whole lists of 100 endpoints, and renewals.
 func BenchmarkCalls(b *testing.B) {
-	s := startService(b, 1)
+	s := startCluster(b, 1)
 	c := registrar.New(s.addresses)
 	defer c.Close()
 	for i := range 100 {
@@ -141,7 +141,7 @@
 // BenchmarkWatcherMemory measures the resident memory of a member for each watch in flight.
 func BenchmarkWatcherMemory(b *testing.B) {
 	const watchers = 5000
-	s := startService(b, 1)
+	s := startCluster(b, 1)
 	_, index, _, err := s.list(b.Context(), 0)
 	if err != nil {
 		b.Fatal(err)
@@ -174,7 +174,7 @@
 // leader, which a third of them watch, is killed in the middle; and the most calls that a member gets in a second.
 func BenchmarkJoin(b *testing.B) {
 	const clients, nodos, replaced, lasts = 300, 100, 60, 7 * time.Second
-	s := startService(b, 3)
+	s := startCluster(b, 3)
 	c := registrar.New(s.addresses)
 	defer c.Close()
 	ctx, stop := context.WithCancel(b.Context())
@@ -187,9 +187,9 @@
 		}
 	}
 	var mu sync.Mutex
-	confirmed, heard := map[string]time.Time{}, make([]map[string]time.Time, clients)
+	acknowledgedAt, receivedAt := map[string]time.Time{}, make([]map[string]time.Time, clients)
 	for i := range clients {
-		heard[i] = map[string]time.Time{}
+		receivedAt[i] = map[string]time.Time{}
 		d := discovery.New(discovery.Config{Source: discovery.Source{Members: s.addresses}, Seed: uint64(i + 1), Logger: slog.New(slog.DiscardHandler)})
 		all.Go(func() { d.Run(ctx) })
 		all.Go(func() {
@@ -198,8 +198,8 @@
 				case n := <-d.Updates():
 					mu.Lock()
 					for _, e := range n.List.Endpoints {
-						if key := fmt.Sprint(e.Name, e.Status); heard[i][key].IsZero() {
-							heard[i][key] = time.Now()
+						if key := fmt.Sprint(e.Name, e.Status); receivedAt[i][key].IsZero() {
+							receivedAt[i][key] = time.Now()
 						}
 					}
 					mu.Unlock()
@@ -210,13 +210,13 @@
 		})
 	}
 	time.Sleep(2 * time.Second)
-	note := func(name, status string, err error) {
+	recordWrite := func(name, status string, err error) {
 		if err != nil {
 			b.Error(err)
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		confirmed[name+status] = time.Now()
+		acknowledgedAt[name+status] = time.Now()
 	}
 	for b.Loop() {
 		l := s.leader()
@@ -230,9 +230,9 @@
 			}
 			old, next := fmt.Sprint("n", i), fmt.Sprint("n", i, "-r")
 			_, err := c.Register(ctx, record(next, 2))
-			note(next, state.StatusServing, err)
+			recordWrite(next, state.StatusServing, err)
 			_, err = c.Deregister(ctx, state.InstanceRef{Name: old, Instance: "i1"})
-			note(old, state.StatusDeleted, err)
+			recordWrite(old, state.StatusDeleted, err)
 		}
 		time.Sleep(8 * time.Second)
 	}
@@ -240,9 +240,9 @@
 	missed := 0
 	mu.Lock()
 	defer mu.Unlock()
-	for key, at := range confirmed {
-		for i := range heard {
-			t, ok := heard[i][key]
+	for key, at := range acknowledgedAt {
+		for i := range receivedAt {
+			t, ok := receivedAt[i][key]
 			if !ok && strings.HasSuffix(key, state.StatusServing) {
 				missed++ // a removed one may be missing from a whole list instead
 			}
--- a/cmd/merlinpick-registry/cluster_test.go
+++ b/cmd/merlinpick-registry/cluster_test.go
@@ -24,9 +24,9 @@
 	"merlinpick/internal/registry/state"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-var program, proxyProgram string
+var registryProgram, proxyProgram string
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
@@ -36,9 +36,9 @@
 		panic(err)
 	}
 	defer os.RemoveAll(dir)
-	program = filepath.Join(dir, "roster")
+	registryProgram = filepath.Join(dir, "roster")
 	proxyProgram = filepath.Join(dir, "merlinpick-proxy")
-	for path, of := range map[string]string{program: ".", proxyProgram: "../merlinpick-proxy"} {
+	for path, of := range map[string]string{registryProgram: ".", proxyProgram: "../merlinpick-proxy"} {
 		if out, err := exec.Command("go", "build", "-o", path, of).CombinedOutput(); err != nil {
 			panic(string(out))
 		}
@@ -55,8 +55,8 @@
 	processes []*process.Process
 }
 
-// startService starts a cluster and waits until it serves. View may change the addresses in a member's configuration.
-func startService(t testing.TB, members int, view ...func(i int, f *config.File)) *cluster {
+// startCluster starts a cluster and waits until it serves. View may change the addresses in a member's configuration.
+func startCluster(t testing.TB, members int, configure ...func(i int, f *config.File)) *cluster {
 	t.Helper()
 	s := &cluster{t: t, starter: process.NewStarter(), dir: t.TempDir(), processes: make([]*process.Process, members)}
 	t.Cleanup(func() {
@@ -90,7 +90,7 @@
 				f.Members = append(f.Members, config.Member{Name: fmt.Sprintf("r%d", j+1), Raft: at(j, 8600), List: s.addresses[j]})
 			}
 		}
-		for _, change := range view {
+		for _, change := range configure {
 			change(i, &f)
 		}
 		var text strings.Builder
@@ -127,8 +127,9 @@
 
 func (s *cluster) start(i int) {
 	s.t.Helper()
-	p, err := s.starter.Start(process.Spec{Name: fmt.Sprintf("r%d", i+1), Command: []string{program, "serve", "--config", s.path(i, ".toml")},
-		Env: os.Environ(), Log: s.path(i, ".log")})
+	p, err := s.starter.Start(process.Spec{Name: fmt.Sprintf("r%d", i+1),
+		Command: []string{registryProgram, "serve", "--config", s.path(i, ".toml")},
+		Env:     os.Environ(), Log: s.path(i, ".log")})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -166,11 +167,11 @@
 	return -1
 }
 
-func waitFor(t testing.TB, what string, is func() bool) {
+func waitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited %v for %s", patience, what)
+			t.Fatalf("waited %v for %s", waitTimeout, what)
 		}
 	}
 }
--- a/cmd/merlinpick-registry/commands_test.go
+++ b/cmd/merlinpick-registry/commands_test.go
@@ -15,11 +15,11 @@
 // A cluster of one keeps its list across a kill; a snapshot is saved and restored as a new epoch above the old; damaged
 // files are rejected by name.
 func TestSingleMemberCommands(t *testing.T) {
-	s := startService(t, 1)
+	s := startCluster(t, 1)
 	at := "--at=" + s.addresses[0]
 	call := func(want int, args ...string) string {
 		t.Helper()
-		out, err := exec.Command(program, args...).CombinedOutput()
+		out, err := exec.Command(registryProgram, args...).CombinedOutput()
 		got := 0
 		var exit *exec.ExitError
 		if errors.As(err, &exit) {
@@ -38,9 +38,10 @@
 		t.Errorf("readyz: %s, %v", text, err)
 	}
 	text, err := get(t.Context(), time.Second, "http://"+host+":9500/metrics")
-	for _, figure := range []string{"roster_serving 1\n", "roster_leads 1\n", "roster_nodos 1\n", "roster_leases_overdue 0\n"} {
-		if err != nil || !strings.Contains(string(text), figure) {
-			t.Errorf("figures lack %q: %v", figure, err)
+	for _, metric := range []string{"roster_serving 1\n", "roster_leads 1\n", "roster_nodos 1\n",
+		"roster_leases_overdue 0\n"} {
+		if err != nil || !strings.Contains(string(text), metric) {
+			t.Errorf("figures lack %q: %v", metric, err)
 		}
 	}
 	epoch, before, _, err := s.list(t.Context(), 0)
@@ -79,7 +80,7 @@
 	call(1, "snapshot", "inspect", file)
 	call(1, "snapshot", "restore", at, "--yes", file)
 	// SIGTERM is a graceful shutdown, and the directory is complete.
-	if clean, err := s.processes[0].Terminate(patience); !clean || err != nil {
+	if clean, err := s.processes[0].Terminate(waitTimeout); !clean || err != nil {
 		t.Errorf("clean %v, %v", clean, err)
 	}
 	call(0, "check", "--config", s.path(0, ".toml"))
--- a/cmd/merlinpick-registry/configcalls_test.go
+++ b/cmd/merlinpick-registry/configcalls_test.go
@@ -45,7 +45,7 @@
 // is rejected.
 func (s *cluster) putConfig(t *testing.T, after int64, body string) (version int64, confirmed time.Time) {
 	t.Helper()
-	for end, i := time.Now().Add(patience), max(0, s.leader()); time.Now().Before(end); i++ {
+	for end, i := time.Now().Add(waitTimeout), max(0, s.leader()); time.Now().Before(end); i++ {
 		status, version, text, err := s.putConfigAt(i%len(s.addresses), after, body)
 		switch {
 		case err == nil && status == 200:
--- a/cmd/merlinpick-registry/kill_test.go
+++ b/cmd/merlinpick-registry/kill_test.go
@@ -107,7 +107,7 @@
 // call makes one call, which the client repeats until it is decided: one in flight at a kill may have taken effect or not.
 func (l *workload) call(ctx context.Context, writer int, kind linear.Operation, rec state.Record, call func(context.Context) error) bool {
 	end := l.history.Begin(kind, rec.Name, rec.Instance, writer+1)
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), patience)
+	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), waitTimeout)
 	defer cancel()
 	if err := call(bounded); err != nil {
 		l.t.Errorf("%s %s: %v", kind, rec.Name, err)
@@ -180,7 +180,7 @@
 // linearizable reads and writes is linearizable.
 func TestKillsLoseNoAcknowledgedWrite(t *testing.T) {
 	kills := killCount(t)
-	s := startService(t, 3)
+	s := startCluster(t, 3)
 	_, firstVersion, _, err := s.list(t.Context(), 0)
 	if err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 	for member := range s.addresses {
 		load.check(member, firstVersion)
 	}
-	verdict := load.history.Check(patience)
+	verdict := load.history.Check(waitTimeout)
 	if len(verdict.Violations) > 0 || len(verdict.Undecided) > 0 {
 		t.Errorf("no order explains %v; not decided: %v", verdict.Violations, verdict.Undecided)
 	}
--- a/cmd/merlinpick-registry/oldbuild_test.go
+++ b/cmd/merlinpick-registry/oldbuild_test.go
@@ -27,28 +27,28 @@
 	var isOld atomic.Bool
 	isOld.Store(true)
 	var mu sync.Mutex
-	fronts := map[string]string{}
+	fakeOldAPIs := map[string]string{}
 	// The others reach the last member's API through a proxy that answers as an older build would.
-	s := startService(t, 3, func(i int, f *config.File) {
+	s := startCluster(t, 3, func(i int, f *config.File) {
 		if i == old {
 			return
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		m := &f.Members[old]
-		if real := m.List; fronts[real] == "" {
+		if real := m.List; fakeOldAPIs[real] == "" {
 			to := &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(&url.URL{Scheme: "http", Host: real}) }}
 			to.ModifyResponse = func(r *http.Response) error {
 				if r.Request.URL.Path != "/v1/member" || !isOld.Load() {
 					return nil
 				}
 				text, err := io.ReadAll(r.Body)
-				var word map[string]any
-				if err = errors.Join(err, json.Unmarshal(text, &word)); err != nil {
+				var status map[string]any
+				if err = errors.Join(err, json.Unmarshal(text, &status)); err != nil {
 					return err
 				}
-				delete(word, "configs")
-				text, err = json.Marshal(word)
+				delete(status, "configs")
+				text, err = json.Marshal(status)
 				r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(text)), int64(len(text))
 				r.Header.Del("Content-Length")
 				return err
@@ -58,9 +58,9 @@
 			}
 			front := httptest.NewServer(to)
 			t.Cleanup(front.Close)
-			fronts[real] = strings.TrimPrefix(front.URL, "http://")
+			fakeOldAPIs[real] = strings.TrimPrefix(front.URL, "http://")
 		}
-		m.List = fronts[m.List]
+		m.List = fakeOldAPIs[m.List]
 	})
 	l := s.awaitLeader(t)
 	for l == old { // a leader does not ask itself: have another member lead
@@ -74,7 +74,7 @@
 		l = s.awaitLeader(t)
 	}
 	var end struct{ Error, End string }
-	refused := func(what string) {
+	checkRejected := func(what string) {
 		t.Helper()
 		for i := range s.addresses {
 			status, _, text, err := s.putConfigAt(i, 0, document("x"))
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	refused("member r3 runs a build without configurations")
+	checkRejected("member r3 runs a build without configurations")
 	isOld.Store(false)
 	if err := s.processes[old].Kill(); err != nil { // it does not answer
 		t.Fatal(err)
@@ -122,8 +122,8 @@
 	if old == "" {
 		t.Skip("ROSTER_OLD names no program")
 	}
-	s := startService(t, 3)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	s := startCluster(t, 3)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	for i := range s.processes { // downgrade all, one after another
 		replaceBuild(t, s, i, old)
@@ -139,7 +139,7 @@
 				t.Errorf("%d new: r%d: %d %s, %v", n, i+1, status, text, err)
 			}
 		}
-		replaceBuild(t, s, n, program)
+		replaceBuild(t, s, n, registryProgram)
 	}
 	version, _ := s.putConfig(t, 0, document("x"))
 	if _, _, values, err := s.list(ctx, 1); err != nil || values["n1"] == "" {
@@ -154,15 +154,15 @@
 }
 
 // replaceBuild kills a member and starts another build in its place.
-func replaceBuild(t *testing.T, s *cluster, i int, with string) {
+func replaceBuild(t *testing.T, s *cluster, i int, build string) {
 	t.Helper()
 	if err := s.processes[i].Kill(); err != nil {
 		t.Fatal(err)
 	}
 	<-s.processes[i].Ended()
-	was := program
-	program = with
+	was := registryProgram
+	registryProgram = build
 	s.start(i)
-	program = was
+	registryProgram = was
 	s.awaitServing()
 }
--- a/cmd/merlinpick-registry/partition_test.go
+++ b/cmd/merlinpick-registry/partition_test.go
@@ -19,38 +19,38 @@
 	connections map[net.Conn]bool
 }
 
-func (g *breakableLink) track(c net.Conn) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.broken {
+func (b *breakableLink) track(c net.Conn) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.broken {
 		c.Close()
 		return false
 	}
-	g.connections[c] = true
+	b.connections[c] = true
 	return true
 }
 
-func (g *breakableLink) setBroken(shut bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.broken = shut
-	if shut {
-		for c := range g.connections {
+func (b *breakableLink) setBroken(broken bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.broken = broken
+	if broken {
+		for c := range b.connections {
 			c.Close()
 		}
-		clear(g.connections)
+		clear(b.connections)
 	}
 }
 
 // relayTo returns an address that is relayed to another through the link.
-func (g *breakableLink) relayTo(t *testing.T, addr string) string {
+func (b *breakableLink) relayTo(t *testing.T, addr string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var all sync.WaitGroup
-	t.Cleanup(func() { l.Close(); g.setBroken(true); all.Wait() })
+	t.Cleanup(func() { l.Close(); b.setBroken(true); all.Wait() })
 	all.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -58,12 +58,12 @@
 				return
 			}
 			all.Go(func() {
-				if !g.track(c) {
+				if !b.track(c) {
 					return
 				}
 				defer c.Close()
 				out, err := net.DialTimeout("tcp", addr, time.Second)
-				if err != nil || !g.track(out) {
+				if err != nil || !b.track(out) {
 					return
 				}
 				defer out.Close()
@@ -80,12 +80,14 @@
 
 // A partitioned member accepts no write, and its watches move on in time. Once it is back it has what was written meanwhile.
 func TestPartitionedMemberRejectsConfigWrites(t *testing.T) {
-	gates := []*breakableLink{{connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}}}
+	links := []*breakableLink{{connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}},
+		{connections: map[net.Conn]bool{}}}
 	// Each member reaches each other one through the links of both.
-	s := startService(t, 3, func(i int, f *config.File) {
+	s := startCluster(t, 3, func(i int, f *config.File) {
 		for j := range f.Members {
 			if m := &f.Members[j]; i != j {
-				m.Raft, m.List = gates[i].relayTo(t, gates[j].relayTo(t, m.Raft)), gates[i].relayTo(t, gates[j].relayTo(t, m.List))
+				m.Raft, m.List = links[i].relayTo(t, links[j].relayTo(t, m.Raft)),
+					links[i].relayTo(t, links[j].relayTo(t, m.List))
 			} else {
 				f.RaftListen = m.Raft
 			}
@@ -96,9 +98,9 @@
 		f.start()
 	}
 	version, at := s.putConfig(t, 0, document("before"))
-	awaitApplied(t, all, version, "before", at, patience)
+	awaitApplied(t, all, version, "before", at, waitTimeout)
 	l := s.awaitLeader(t)
-	gates[l].setBroken(true)
+	links[l].setBroken(true)
 	// Clients still reach it, and it leads until its leadership is checked.
 	status, _, text, err := s.putConfigAt(l, version, document("lost"))
 	if err != nil || status != 503 {
@@ -114,7 +116,7 @@
 	if text, err := get(t.Context(), time.Second, "http://"+s.addresses[l]+"/config/tarifas"); err == nil || !errors.Is(err, errRejected) {
 		t.Errorf("the partitioned member answers %s, %v", text, err)
 	}
-	gates[l].setBroken(false)
+	links[l].setBroken(false)
 	s.awaitServing()
 	if c := s.config(t, l); c.Version != confirmed || !bytes.Contains(c.Document, []byte("after")) {
 		t.Errorf("back, it has version %d, and %d was confirmed: %s", c.Version, confirmed, c.Document)
--- a/cmd/merlinpick-registry/proxies_test.go
+++ b/cmd/merlinpick-registry/proxies_test.go
@@ -16,7 +16,7 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-const proxyText = `{"name":%q,"listen":%q,"mgmt":%q,"discovery_members":[%s],"discovery_state":%q,"config_service":"tarifas","seed":"%d",` +
+const proxyConfigFormat = `{"name":%q,"listen":%q,"mgmt":%q,"discovery_members":[%s],"discovery_state":%q,"config_service":"tarifas","seed":"%d",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":1,"snapshot":true,"endpoints":[]},%s}`
 
 // settingsMember is the part of a proxy's file that a document has too; its class tells documents apart.
@@ -64,7 +64,8 @@
 func (f *proxyProcess) start() {
 	f.t.Helper()
 	path := filepath.Join(f.dir, "config.json")
-	if err := os.WriteFile(path, fmt.Appendf(nil, proxyText, f.name, "127.0.0.1:0", f.management, f.members, filepath.Join(f.dir, "state"),
+	if err := os.WriteFile(path, fmt.Appendf(nil, proxyConfigFormat, f.name, "127.0.0.1:0", f.management,
+		f.members, filepath.Join(f.dir, "state"),
 		f.seed, settingsMember("file")), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
@@ -96,9 +97,9 @@
 
 // hasApplied reports whether the proxy has applied a version, with its class.
 func (f *proxyProcess) hasApplied(version int64, class string) bool {
-	figs := f.metrics()
-	_, named := figs["succeeded."+class]
-	return figs["config_version"] == version && named
+	metrics := f.metrics()
+	_, named := metrics["succeeded."+class]
+	return metrics["config_version"] == version && named
 }
 
 // awaitApplied waits until all proxies have applied a version, and returns how long after begun the last one had.
@@ -107,7 +108,7 @@
 	last := time.Duration(0)
 	for _, f := range all {
 		for !f.hasApplied(version, class) {
-			if time.Since(begun) > patience {
+			if time.Since(begun) > waitTimeout {
 				t.Fatalf("%s: version %d is not in force: %v", f.name, version, f.metrics())
 			}
 			time.Sleep(5 * time.Millisecond)
--- a/cmd/merlinpick-registry/recovery_test.go
+++ b/cmd/merlinpick-registry/recovery_test.go
@@ -12,26 +12,26 @@
 
 // With full disks nothing is acknowledged or lost, the list is still served, and writes go on when there is room.
 func TestFullDisksConfirmNothingAndRecover(t *testing.T) {
-	s := startService(t, 3)
+	s := startCluster(t, 3)
 	c := registrar.New(s.addresses)
 	defer c.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	if _, err := c.Register(ctx, record("before", 1)); err != nil {
 		t.Fatal(err)
 	}
-	full := func(full bool) {
+	setDisksFull := func(full bool) {
 		for _, p := range s.processes {
 			if err := p.SetDiskFull(full); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	full(true)
+	setDisksFull(true)
 	short, stop := context.WithTimeout(ctx, 3*time.Second)
 	defer stop()
-	var no *registrar.RejectedError
-	if _, err := c.Register(short, record("during", 2)); err == nil || errors.As(err, &no) {
+	var rejected *registrar.RejectedError
+	if _, err := c.Register(short, record("during", 2)); err == nil || errors.As(err, &rejected) {
 		t.Errorf("registered on full disks: %v", err)
 	}
 	for i, p := range s.processes {
@@ -41,7 +41,7 @@
 		default:
 		}
 	}
-	full(false)
+	setDisksFull(false)
 	if _, err := c.Register(ctx, record("after", 3)); err != nil {
 		t.Fatal(err)
 	}
@@ -53,10 +53,10 @@
 
 // A member that has lost its directory does not vote for one that lacks what it had acknowledged.
 func TestWipedMemberAbstainsUntilCaughtUp(t *testing.T) {
-	s := startService(t, 3)
+	s := startCluster(t, 3)
 	c := registrar.New(s.addresses)
 	defer c.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	// The third is down while the other two acknowledge a registration.
 	if err := s.processes[2].Kill(); err != nil {
--- a/cmd/merlinpick-registry/rollout_bench_test.go
+++ b/cmd/merlinpick-registry/rollout_bench_test.go
@@ -35,14 +35,14 @@
 // BenchmarkRollout measures the time from an acknowledged write until clients of five members have applied it: the median,
 // the 99th percentile, and the last.
 func BenchmarkRollout(b *testing.B) {
-	s := startService(b, 5)
+	s := startCluster(b, 5)
 	for _, n := range []int{30, 100, 300, 1300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			ctx, stop := context.WithCancel(b.Context())
 			var clients sync.WaitGroup
 			defer clients.Wait()
 			defer stop()
-			all := make([]*appliedLog, n)
+			logs := make([]*appliedLog, n)
 			service := fmt.Sprint("of", n, "-", b.N)
 			put := func(after int64, class string) (int64, time.Time) {
 				for {
@@ -56,15 +56,15 @@
 				}
 			}
 			version, _ := put(0, "first")
-			for i := range all {
-				all[i] = &appliedLog{}
+			for i := range logs {
+				logs[i] = &appliedLog{}
 				c := rollout.New(rollout.Config{Service: service, ProxyName: fmt.Sprint("p", i), Members: s.addresses, Seed: uint64(i),
-					Logger: slog.New(slog.DiscardHandler)}, all[i])
+					Logger: slog.New(slog.DiscardHandler)}, logs[i])
 				clients.Go(func() { c.Run(ctx) })
 			}
 			await := func(times int) (at []time.Time) {
-				for _, a := range all {
-					for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+				for _, a := range logs {
+					for end := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 						got, when := a.last()
 						if got == times {
 							at = append(at, when)
--- a/cmd/merlinpick-registry/rollout_test.go
+++ b/cmd/merlinpick-registry/rollout_test.go
@@ -29,14 +29,14 @@
 // Whatever fails meanwhile, all proxies apply a change in time, once, and apply no invalid one. The cases share the
 // cluster and run in this order.
 func TestConfigChangeIsAppliedDespiteFailures(t *testing.T) {
-	s := startService(t, 3)
+	s := startCluster(t, 3)
 	r := &rolloutRun{cluster: s, proxies: newProxies(t, s, 6)}
 	for _, proxy := range r.proxies {
 		proxy.start()
 	}
 	var at time.Time
 	r.version, at = s.putConfig(t, 0, document("first"))
-	awaitApplied(t, r.proxies, r.version, "first", at, patience) // the proxies are starting
+	awaitApplied(t, r.proxies, r.version, "first", at, waitTimeout) // the proxies are starting
 	for _, c := range []struct {
 		name string
 		run  func(*testing.T)
--- a/cmd/merlinpick-registry/slope_callers_test.go
+++ b/cmd/merlinpick-registry/slope_callers_test.go
@@ -20,12 +20,12 @@
 func BenchmarkSlopeFollowing(b *testing.B) {
 	rates := []float64{0, 60, 600, 3120, 6240} // a minute; the last two are the greatest release, and that of twice the nodos
 	const took = 15 * time.Second
-	runs := make([][]float64, repeats)
+	runs := make([][]float64, runCount)
 	for b.Loop() {
 		for r := range runs {
-			s := startService(b, 1)
-			fill(b, s, 0, planned)
-			addr, count := relay(b, s.addresses[0])
+			s := startCluster(b, 1)
+			registerEndpoints(b, s, 0, plannedEndpoints)
+			addr, count := countingRelay(b, s.addresses[0])
 			ctx, end := context.WithCancel(b.Context())
 			var all sync.WaitGroup
 			d := discovery.New(discovery.Config{Source: discovery.Source{Members: []string{addr}}, Seed: uint64(r), Logger: slog.New(slog.DiscardHandler)})
@@ -39,17 +39,17 @@
 					}
 				}
 			})
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			c := registrar.New(s.addresses)
 			var since atomic.Int64
 			since.Store(1_790_000_000_000)
 			for _, rate := range rates {
-				paced, stop := context.WithCancel(ctx)
-				busy := pace(paced, rate/60, 4, func(_, i int) {
-					n := listed(i % planned)
+				rateCtx, stop := context.WithCancel(ctx)
+				callers := callAtRate(rateCtx, rate/60, 4, func(_, i int) {
+					n := realisticRecord(i % plannedEndpoints)
 					n.StartedAtMs = since.Add(1)
 					n.Instance = fmt.Sprint("i", n.StartedAtMs)
-					if _, err := c.Register(paced, n); err != nil && paced.Err() == nil {
+					if _, err := c.Register(rateCtx, n); err != nil && rateCtx.Err() == nil {
 						b.Error(err)
 					}
 				})
@@ -57,15 +57,16 @@
 				time.Sleep(took)
 				runs[r] = append(runs[r], float64(count.Load()-from)/took.Seconds())
 				stop()
-				busy.Wait()
+				callers.Wait()
 			}
 			c.Close()
 			end()
 			all.Wait()
 		}
 	}
-	slope(b, rates, runs, capacity.Slope{Name: "list.proxy.bytes", Role: "proxy following lists", Metric: "control bytes in and out",
-		Unit: "B/s", Dimension: "changes a minute", Note: "one proxy's client with 1,300 nodos listed; changes within 50 ms are told together; HTTP heads and bodies, without what TCP and IP add"})
+	recordSlope(b, rates, runs, capacity.Slope{Name: "list.proxy.bytes", Role: "proxy following lists",
+		Metric: "control bytes in and out",
+		Unit:   "B/s", Dimension: "changes a minute", Note: "one proxy's client with 1,300 nodos listed; changes within 50 ms are told together; HTTP heads and bodies, without what TCP and IP add"})
 }
 
 // BenchmarkSlopeKeeping measures a server's control bytes, in and out, by renewals: leases of 4, 2 and 1 s.
@@ -73,20 +74,20 @@
 	leases := []float64{4, 2, 1}
 	const took = 24 * time.Second
 	var sizes []float64
-	runs := make([][]float64, repeats)
+	runs := make([][]float64, runCount)
 	for b.Loop() {
-		s := startService(b, 1)
+		s := startCluster(b, 1)
 		ctx, end := context.WithCancel(b.Context())
 		var all sync.WaitGroup
-		counts := make([][]*atomic.Int64, repeats)
+		counts := make([][]*atomic.Int64, runCount)
 		for r := range runs {
 			for i, lease := range leases {
-				addr, count := relay(b, s.addresses[0])
+				addr, count := countingRelay(b, s.addresses[0])
 				counts[r] = append(counts[r], count)
 				all.Go(func() {
 					c := registrar.New([]string{addr})
 					defer c.Close()
-					n := listed(r*len(leases) + i)
+					n := realisticRecord(r*len(leases) + i)
 					n.LeaseMs = int64(lease * 1000)
 					if err := c.KeepRegistered(ctx, n, nil); err != nil && ctx.Err() == nil {
 						b.Error(err)
@@ -94,7 +95,7 @@
 				})
 			}
 		}
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		before := map[*atomic.Int64]int64{}
 		for _, of := range counts {
 			for _, c := range of {
@@ -113,45 +114,47 @@
 	for _, lease := range leases {
 		sizes = append(sizes, 3/lease)
 	}
-	slope(b, sizes, runs, capacity.Slope{Name: "lease.nodo.bytes", Role: "nodo keeping its lease", Metric: "control bytes in and out",
-		Unit: "B/s", Dimension: "renewals a second of a nodo", Note: "leases of 4, 2 and 1 s; HTTP heads and bodies, without what TCP and IP add"})
+	recordSlope(b, sizes, runs, capacity.Slope{Name: "lease.nodo.bytes", Role: "nodo keeping its lease",
+		Metric: "control bytes in and out",
+		Unit:   "B/s", Dimension: "renewals a second of a nodo", Note: "leases of 4, 2 and 1 s; HTTP heads and bodies, without what TCP and IP add"})
 }
 
 // BenchmarkSlopeRenewing measures a server's processor time by renewals, alone in this process.
 func BenchmarkSlopeRenewing(b *testing.B) {
 	rates := []float64{1, 3, 10}
-	const settle, spell = 500 * time.Millisecond, 4 * time.Second
-	own := func() float64 {
+	const settleTime, measureTime = 500 * time.Millisecond, 4 * time.Second
+	ownCPUSeconds := func() float64 {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 			b.Fatal(err)
 		}
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
 	}
-	runs := make([][]float64, repeats)
+	runs := make([][]float64, runCount)
 	for b.Loop() {
-		s := startService(b, 1)
-		fill(b, s, 0, 1)
+		s := startCluster(b, 1)
+		registerEndpoints(b, s, 0, 1)
 		c := registrar.New(s.addresses)
-		n := listed(0)
+		n := realisticRecord(0)
 		for r := range runs {
 			for _, rate := range rates {
 				ctx, stop := context.WithCancel(b.Context())
-				all := pace(ctx, rate, 1, func(int, int) {
+				all := callAtRate(ctx, rate, 1, func(int, int) {
 					if _, err := c.Renew(ctx, state.InstanceRef{Name: n.Name, Instance: n.Instance}); err != nil && ctx.Err() == nil {
 						b.Error(err)
 					}
 				})
-				time.Sleep(settle)
-				begun, from := time.Now(), own()
-				time.Sleep(spell)
-				runs[r] = append(runs[r], 100*(own()-from)/time.Since(begun).Seconds())
+				time.Sleep(settleTime)
+				begun, from := time.Now(), ownCPUSeconds()
+				time.Sleep(measureTime)
+				runs[r] = append(runs[r], 100*(ownCPUSeconds()-from)/time.Since(begun).Seconds())
 				stop()
 				all.Wait()
 			}
 		}
 		c.Close()
 	}
-	slope(b, rates, runs, capacity.Slope{Name: "lease.nodo.cpu", Role: "nodo keeping its lease", Metric: "cpu of renewals",
-		Unit: "% of a core", Dimension: "renewals a second of a nodo", Note: "with all that a Go process does besides"})
+	recordSlope(b, rates, runs, capacity.Slope{Name: "lease.nodo.cpu", Role: "nodo keeping its lease",
+		Metric: "cpu of renewals",
+		Unit:   "% of a core", Dimension: "renewals a second of a nodo", Note: "with all that a Go process does besides"})
 }
--- a/cmd/merlinpick-registry/slope_test.go
+++ b/cmd/merlinpick-registry/slope_test.go
@@ -32,15 +32,15 @@
 )
 
 const (
-	repeats = 3
-	settle  = 2 * time.Second // after a change of what is measured
-	spell   = 5 * time.Second // of one measurement
-	members = 5
-	planned = 1300 // nodos and proxies, where something else grows
+	runCount         = 3
+	settleTime       = 2 * time.Second // after a change of what is measured
+	measureTime      = 5 * time.Second // of one measurement
+	memberCount      = 5
+	plannedEndpoints = 1300 // nodos and proxies, where something else grows
 )
 
-// slope fits a line through measurements and records it as a figure of the capacity page.
-func slope(b *testing.B, sizes []float64, runs [][]float64, s capacity.Slope) {
+// recordSlope fits a line through measurements and records it as a figure of the capacity page.
+func recordSlope(b *testing.B, sizes []float64, runs [][]float64, s capacity.Slope) {
 	b.Helper()
 	if b.Failed() {
 		return // a void run is no figure
@@ -66,8 +66,8 @@
 	return (user + system) / 100 // clock ticks; Linux has 100 per second
 }
 
-// resident returns a process's resident memory, in MB.
-func resident(b *testing.B, pid int) float64 {
+// residentMB returns a process's residentMB memory, in MB.
+func residentMB(b *testing.B, pid int) float64 {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "statm"))
 	if err != nil {
 		b.Fatal(err)
@@ -76,8 +76,8 @@
 	return pages * float64(os.Getpagesize()) / 1e6
 }
 
-// fill registers endpoints n0 to n(count-1), many at a time.
-func fill(b *testing.B, s *cluster, from, count int) {
+// registerEndpoints registers endpoints n0 to n(count-1), many at a time.
+func registerEndpoints(b *testing.B, s *cluster, from, count int) {
 	c := registrar.New(s.addresses)
 	defer c.Close()
 	var next atomic.Int64
@@ -86,7 +86,7 @@
 	for range 32 {
 		all.Go(func() {
 			for i := next.Add(1); i < int64(count); i = next.Add(1) {
-				if _, err := c.Register(b.Context(), listed(int(i))); err != nil {
+				if _, err := c.Register(b.Context(), realisticRecord(int(i))); err != nil {
 					b.Error(err)
 					return
 				}
@@ -96,16 +96,16 @@
 	all.Wait()
 }
 
-// listed returns an endpoint with names as long as real ones.
-func listed(i int) state.Record {
+// realisticRecord returns an endpoint with names as long as real ones.
+func realisticRecord(i int) state.Record {
 	r := record(fmt.Sprintf("s-%08x", i), 1_790_000_000_000)
 	r.Address, r.Zone, r.Type = fmt.Sprintf("10.%d.%d.18:8443", i/250, i%250), fmt.Sprintf("zone-%d", i%9), "m2"
 	r.LeaseMs = state.MaxLease.Milliseconds()
 	return r
 }
 
-// pace calls do at a rate, spread over callers, until ctx ends.
-func pace(ctx context.Context, rate float64, callers int, do func(caller, i int)) *sync.WaitGroup {
+// callAtRate calls do at a rate, spread over callers, until ctx ends.
+func callAtRate(ctx context.Context, rate float64, callers int, do func(caller, i int)) *sync.WaitGroup {
 	var all sync.WaitGroup
 	if rate == 0 {
 		return &all
@@ -126,16 +126,17 @@
 	return &all
 }
 
-// load measures the leader's and a follower's processor time, as a fraction of a core, at each rate.
-func load(b *testing.B, s *cluster, rates []float64, at func(ctx context.Context, rate float64) *sync.WaitGroup) (leader, follower []float64) {
+// measureLoad measures the leader's and a follower's processor time, as a fraction of a core, at each rate.
+func measureLoad(b *testing.B, s *cluster, rates []float64,
+	at func(ctx context.Context, rate float64) *sync.WaitGroup) (leader, follower []float64) {
 	for _, rate := range rates {
 		ctx, stop := context.WithCancel(b.Context())
 		all := at(ctx, rate)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		l := s.leader()
-		f := (l + 1) % members
+		f := (l + 1) % memberCount
 		begun, lead, follow := time.Now(), cpuSeconds(b, s.processes[l].PID()), cpuSeconds(b, s.processes[f].PID())
-		time.Sleep(spell)
+		time.Sleep(measureTime)
 		took := time.Since(begun).Seconds()
 		leader = append(leader, 100*(cpuSeconds(b, s.processes[l].PID())-lead)/took)
 		follower = append(follower, 100*(cpuSeconds(b, s.processes[f].PID())-follow)/took)
@@ -153,16 +154,16 @@
 	rates := []float64{100, 400, 1300}
 	var leader, follower [][]float64
 	for b.Loop() {
-		s := startService(b, members)
-		fill(b, s, 0, planned)
+		s := startCluster(b, memberCount)
+		registerEndpoints(b, s, 0, plannedEndpoints)
 		var clients []*registrar.Client
 		for i := range 50 {
-			clients = append(clients, registrar.New(s.addresses[i%members:i%members+1]))
+			clients = append(clients, registrar.New(s.addresses[i%memberCount:i%memberCount+1]))
 		}
-		for range repeats {
-			l, f := load(b, s, rates, func(ctx context.Context, rate float64) *sync.WaitGroup {
-				return pace(ctx, rate, len(clients), func(c, i int) {
-					n := listed(i % planned)
+		for range runCount {
+			l, f := measureLoad(b, s, rates, func(ctx context.Context, rate float64) *sync.WaitGroup {
+				return callAtRate(ctx, rate, len(clients), func(c, i int) {
+					n := realisticRecord(i % plannedEndpoints)
 					if _, err := clients[c].Renew(ctx, state.InstanceRef{Name: n.Name, Instance: n.Instance}); err != nil && ctx.Err() == nil {
 						b.Error(err)
 					}
@@ -176,13 +177,13 @@
 	}
 	is := capacity.Slope{Unit: "% of a core", Dimension: "renewals a second", Note: "five members, 1,300 nodos, renewals at each member alike"}
 	is.Name, is.Role, is.Metric = "lease.leader.cpu", "list member as leader", "cpu of renewals"
-	slope(b, rates, leader, is)
+	recordSlope(b, rates, leader, is)
 	is.Name, is.Role = "lease.follower.cpu", "list member as follower"
-	slope(b, rates, follower, is)
+	recordSlope(b, rates, follower, is)
 }
 
-// watcher watches the list as a proxy does, without pauses.
-func watcher(ctx context.Context, addr string, from int64, line string) error {
+// watchList watches the list as a proxy does, without pauses.
+func watchList(ctx context.Context, addr string, from int64, line string) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -213,17 +214,18 @@
 	rates := []float64{30, 120, 300} // a minute; more than that wants a machine without other work
 	var leader, follower [][]float64
 	for b.Loop() {
-		s := startService(b, members)
-		fill(b, s, 0, planned)
+		s := startCluster(b, memberCount)
+		registerEndpoints(b, s, 0, plannedEndpoints)
 		line, index, _, err := s.list(b.Context(), 0)
 		if err != nil {
 			b.Fatal(err)
 		}
-		watching, end := context.WithCancel(b.Context())
+		watchCtx, end := context.WithCancel(b.Context())
 		var all sync.WaitGroup
-		for i := range planned {
+		for i := range plannedEndpoints {
 			all.Go(func() {
-				if err := watcher(watching, s.addresses[i%members], index, line); err != nil && watching.Err() == nil {
+				if err := watchList(watchCtx, s.addresses[i%memberCount], index, line); err != nil &&
+					watchCtx.Err() == nil {
 					b.Error(err)
 				}
 			})
@@ -231,17 +233,17 @@
 		c := registrar.New(s.addresses)
 		var since, made atomic.Int64
 		since.Store(1_790_000_000_000)
-		for range repeats {
-			l, f := load(b, s, rates, func(ctx context.Context, rate float64) *sync.WaitGroup {
+		for range runCount {
+			l, f := measureLoad(b, s, rates, func(ctx context.Context, rate float64) *sync.WaitGroup {
 				made.Store(0)
-				sure := settle + spell - 200*time.Millisecond
+				sure := settleTime + measureTime - 200*time.Millisecond
 				time.AfterFunc(sure, func() {
 					if want := rate / 60 * sure.Seconds(); float64(made.Load()) < 0.9*want {
 						b.Errorf("%d changes where %v were to be made: the run is void", made.Load(), want)
 					}
 				})
-				return pace(ctx, rate/60, 16, func(_, i int) {
-					n := listed(i % planned)
+				return callAtRate(ctx, rate/60, 16, func(_, i int) {
+					n := realisticRecord(i % plannedEndpoints)
 					n.StartedAtMs = since.Add(1)
 					n.Instance = fmt.Sprint("i", n.StartedAtMs)
 					if _, err := c.Register(ctx, n); err == nil {
@@ -259,19 +261,19 @@
 	}
 	is := capacity.Slope{Unit: "% of a core", Dimension: "changes a minute", Note: "five members, 1,300 nodos, 1,300 watches; changes within 50 ms are told together"}
 	is.Name, is.Role, is.Metric = "list.leader.cpu", "list member as leader", "cpu of changes and watches"
-	slope(b, rates, leader, is)
+	recordSlope(b, rates, leader, is)
 	is.Name, is.Role = "list.follower.cpu", "list member as follower"
-	slope(b, rates, follower, is)
+	recordSlope(b, rates, follower, is)
 }
 
 // BenchmarkSlopeWatches measures a member's memory by watches in flight, with 1,300 endpoints.
 func BenchmarkSlopeWatches(b *testing.B) {
 	sizes := []float64{260, 867, 2600}
-	runs := make([][]float64, repeats)
+	runs := make([][]float64, runCount)
 	for b.Loop() {
 		for r := range runs {
-			s := startService(b, 1)
-			fill(b, s, 0, planned)
+			s := startCluster(b, 1)
+			registerEndpoints(b, s, 0, plannedEndpoints)
 			line, index, _, err := s.list(b.Context(), 0)
 			if err != nil {
 				b.Fatal(err)
@@ -281,29 +283,30 @@
 			held := 0
 			for _, n := range sizes {
 				for ; held < int(n); held++ {
-					all.Go(func() { _ = watcher(ctx, s.addresses[0], index, line) })
+					all.Go(func() { _ = watchList(ctx, s.addresses[0], index, line) })
 				}
-				time.Sleep(settle)
-				runs[r] = append(runs[r], resident(b, s.processes[0].PID()))
+				time.Sleep(settleTime)
+				runs[r] = append(runs[r], residentMB(b, s.processes[0].PID()))
 			}
 			end()
 			all.Wait()
 		}
 	}
-	slope(b, sizes, runs, capacity.Slope{Name: "list.member.memory_watches", Role: "list member as follower", Metric: "memory with 1,300 nodos",
+	recordSlope(b, sizes, runs, capacity.Slope{Name: "list.member.memory_watches",
+		Role: "list member as follower", Metric: "memory with 1,300 nodos",
 		Unit: "MB", Dimension: "watches", Note: "one member on its own"})
 }
 
 // BenchmarkSlopeNodos measures a member's memory and the length of a whole list by endpoints.
 func BenchmarkSlopeNodos(b *testing.B) {
 	sizes := []float64{150, 1300, 2600, 5200}
-	runs, bodies := make([][]float64, repeats), make([][]float64, repeats)
+	runs, bodies := make([][]float64, runCount), make([][]float64, runCount)
 	for b.Loop() {
 		for r := range runs {
-			s := startService(b, 1)
+			s := startCluster(b, 1)
 			has := 0
 			for _, n := range sizes {
-				fill(b, s, has, int(n))
+				registerEndpoints(b, s, has, int(n))
 				has = int(n)
 				resp, err := http.Get("http://" + s.addresses[0] + "/catalog/members")
 				if err != nil {
@@ -314,19 +317,22 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				time.Sleep(settle)
-				runs[r], bodies[r] = append(runs[r], resident(b, s.processes[0].PID())), append(bodies[r], float64(len(text)))
+				time.Sleep(settleTime)
+				runs[r], bodies[r] = append(runs[r], residentMB(b, s.processes[0].PID())),
+					append(bodies[r], float64(len(text)))
 			}
 		}
 	}
-	slope(b, sizes, runs, capacity.Slope{Name: "list.member.memory_nodos", Role: "list member as leader", Metric: "memory without watches",
+	recordSlope(b, sizes, runs, capacity.Slope{Name: "list.member.memory_nodos",
+		Role: "list member as leader", Metric: "memory without watches",
 		Unit: "MB", Dimension: "nodos", Note: "one member on its own, which leads"})
-	slope(b, sizes, bodies, capacity.Slope{Name: "list.proxy.whole_list", Role: "proxy following lists", Metric: "a whole list's length",
-		Unit: "bytes", Dimension: "listed nodos", Note: "the body alone"})
+	recordSlope(b, sizes, bodies, capacity.Slope{Name: "list.proxy.whole_list", Role: "proxy following lists",
+		Metric: "a whole list's length",
+		Unit:   "bytes", Dimension: "listed nodos", Note: "the body alone"})
 }
 
-// relay relays connections to a member and counts their bytes, both ways.
-func relay(b *testing.B, to string) (addr string, count *atomic.Int64) {
+// countingRelay relays connections to a member and counts their bytes, both ways.
+func countingRelay(b *testing.B, to string) (addr string, count *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/cmd/merlinpick-registry/watch_test.go
+++ b/cmd/merlinpick-registry/watch_test.go
@@ -9,7 +9,7 @@
 
 // A member that loses its quorum answers the watches in flight, and new ones, with 503.
 func TestWatchEndsWhenQuorumIsLost(t *testing.T) {
-	s := startService(t, 3)
+	s := startCluster(t, 3)
 	l := s.leader()
 	for ; l < 0; l = s.leader() {
 		time.Sleep(20 * time.Millisecond)
@@ -50,7 +50,7 @@
 		if e.status != http.StatusServiceUnavailable || e.after == "" {
 			t.Errorf("%+v", e)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Error("a watch stays in flight at a member that has lost the leader")
 	}
 	if status, _, _ := watch(); status != http.StatusServiceUnavailable {
--- a/internal/registry/api/api_test.go
+++ b/internal/registry/api/api_test.go
@@ -75,8 +75,8 @@
 	_, before := node.Version()
 	for _, c := range []struct {
 		method, path, body string
-		want               int
-		says               string
+		wantStatus         int
+		wantText           string
 	}{
 		{"PUT", "/catalog/members/n", "", 400, "body"},
 		{"PUT", "/catalog/members/n", `{"adress":"x"}`, 400, "adress"},
@@ -96,8 +96,10 @@
 		{"POST", "/v1/restore", "roster-snapshot 1 2 00000000\n{}", 400, "damaged"},
 		{"POST", "/v1/restore", "", 400, "damaged"},
 	} {
-		if status, _, text := call(t, s, c.method, c.path, c.body); status != c.want || !strings.Contains(text, c.says) {
-			t.Errorf("%s %s %.80s: %d %s, wanted %d and %q", c.method, c.path, c.body, status, text, c.want, c.says)
+		if status, _, text := call(t, s, c.method, c.path, c.body); status != c.wantStatus ||
+			!strings.Contains(text, c.wantText) {
+			t.Errorf("%s %s %.80s: %d %s, wanted %d and %q", c.method, c.path, c.body, status, text,
+				c.wantStatus, c.wantText)
 		}
 	}
 	if _, after := node.Version(); after != before {
@@ -112,9 +114,9 @@
 	register(t, node, "a", 1)
 	version := register(t, node, "b", 1)
 	for _, c := range []struct {
-		query        string
-		whole        bool
-		nodos, taken int
+		query             string
+		snapshot          bool
+		endpoints, status int
 	}{
 		{"", true, 2, 200},
 		{"?consistent=1", true, 2, 200},
@@ -132,7 +134,7 @@
 			Snapshot  *bool
 			Endpoints []state.Endpoint
 		}
-		if status != c.taken {
+		if status != c.status {
 			t.Errorf("%s: %d %s", c.query, status, text)
 			continue
 		}
@@ -142,15 +144,16 @@
 			}
 			continue
 		}
-		if err := json.Unmarshal([]byte(text), &l); err != nil || l.Index == nil || *l.Index != version || *l.Snapshot != c.whole ||
-			len(l.Endpoints) != c.nodos {
+		if err := json.Unmarshal([]byte(text), &l); err != nil || l.Index == nil || *l.Index != version ||
+			*l.Snapshot != c.snapshot ||
+			len(l.Endpoints) != c.endpoints {
 			t.Errorf("%s: %s (%v)", c.query, text, err)
 		}
 	}
 	// A third watch is rejected at once; a change answers the two in flight.
-	held := []*rawClient{dial(t, s.Addr()), dial(t, s.Addr())}
-	for _, c := range held {
-		c.ask(version)
+	watches := []*rawClient{dial(t, s.Addr()), dial(t, s.Addr())}
+	for _, c := range watches {
+		c.sendWatch(version)
 	}
 	for s.Metrics().Watches < 2 {
 		time.Sleep(time.Millisecond)
@@ -159,8 +162,8 @@
 		t.Errorf("a third watch: %d, Retry-After %q", status, after)
 	}
 	register(t, node, "c", 1)
-	for _, c := range held {
-		if err := c.take(); err != nil {
+	for _, c := range watches {
+		if err := c.readResponse(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -180,14 +183,14 @@
 	for range 3 {
 		slow := dial(t, s.Addr())
 		for range 10 {
-			slow.ask(0)
+			slow.sendWatch(0)
 		}
 	}
 	_, version := node.Version()
-	quick := dial(t, s.Addr())
-	quick.ask(version)
+	fast := dial(t, s.Addr())
+	fast.sendWatch(version)
 	register(t, node, "n", 1)
-	if err := quick.take(); err != nil {
+	if err := fast.readResponse(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/registry/api/bench_test.go
+++ b/internal/registry/api/bench_test.go
@@ -49,8 +49,8 @@
 				return
 			}
 		}
-		epoch, version, changes, kept := node.Changes(from)
-		if kept {
+		epoch, version, changes, retained := node.Changes(from)
+		if retained {
 			writeBody(w, http.StatusOK, watch.Response{Version: version, Epoch: epoch, Endpoints: watch.MergeChanges(changes)}.Encode())
 			return
 		}
@@ -78,12 +78,12 @@
 	return &rawClient{c, bufio.NewReaderSize(c, 1<<10)}
 }
 
-func (c *rawClient) ask(from int64) {
+func (c *rawClient) sendWatch(from int64) {
 	fmt.Fprintf(c, "GET /catalog/members?from=%d&hold_ms=60000 HTTP/1.1\r\nHost: x\r\n\r\n", from)
 }
 
-// take reads an answer by its Content-Length.
-func (c *rawClient) take() error {
+// readResponse reads an answer by its Content-Length.
+func (c *rawClient) readResponse() error {
 	length := 0
 	for {
 		line, err := c.r.ReadString('\n')
@@ -119,7 +119,7 @@
 				var took []time.Duration
 				for i := 0; b.Loop(); i++ {
 					for _, c := range all {
-						c.ask(from)
+						c.sendWatch(from)
 					}
 					time.Sleep(300 * time.Millisecond) // until all watches are in flight
 					var mu sync.Mutex
@@ -128,7 +128,7 @@
 					start := make(chan struct{})
 					for _, c := range all {
 						done.Go(func() {
-							err := c.take()
+							err := c.readResponse()
 							at := time.Now()
 							<-start
 							mu.Lock()
@@ -145,7 +145,7 @@
 					done.Wait()
 					from = next
 				}
-				report(b, took)
+				reportLatencies(b, took)
 			})
 		}
 	}
@@ -180,8 +180,8 @@
 					begun := time.Now()
 					for _, c := range all {
 						done.Go(func() {
-							c.ask(0)
-							err := c.take()
+							c.sendWatch(0)
+							err := c.readResponse()
 							mu.Lock()
 							defer mu.Unlock()
 							if err != nil {
@@ -192,13 +192,13 @@
 					}
 					done.Wait()
 				}
-				report(b, took)
+				reportLatencies(b, took)
 			})
 		}
 	}
 }
 
-func report(b *testing.B, took []time.Duration) {
+func reportLatencies(b *testing.B, took []time.Duration) {
 	slices.Sort(took)
 	at := func(q float64) float64 { return took[int(q*float64(len(took)-1))].Seconds() * 1000 }
 	b.ReportMetric(at(0.5), "p50-ms")
--- a/internal/registry/api/configs_test.go
+++ b/internal/registry/api/configs_test.go
@@ -38,9 +38,9 @@
 	at := fmt.Sprint("/config/tarifas?from=", first)
 	long := strings.Replace(document(1), `"siblings"`, `"x":"`+strings.Repeat("x", settings.MaxDocumentBytes)+`","siblings"`, 1)
 	for _, c := range []struct {
-		path, body string
-		want       int
-		key, says  string
+		path, body    string
+		want          int
+		key, wantText string
 	}{
 		{"/config/tarifas", document(1), 400, "", "from"},
 		{"/config/tarifas?from=-1", document(1), 400, "", "from"},
@@ -60,12 +60,15 @@
 		{"/config/tarifas?from=0", " " + document(1), 200, "", ""}, // and with spaces
 	} {
 		status, _, text := call(t, s, "PUT", c.path, c.body)
-		var fault ConfigErrorBody
-		if err := json.Unmarshal([]byte(text), &fault); status != c.want || err != nil || fault.Key != c.key || !strings.Contains(fault.ErrorBody.Error, c.says) {
-			t.Errorf("%s %.60s: %d %.200s, wanted %d, %q and %q", c.path, c.body, status, text, c.want, c.key, c.says)
+		var rejection ConfigErrorBody
+		if err := json.Unmarshal([]byte(text), &rejection); status != c.want || err != nil ||
+			rejection.Key != c.key || !strings.Contains(rejection.ErrorBody.Error, c.wantText) {
+			t.Errorf("%s %.60s: %d %.200s, wanted %d, %q and %q", c.path, c.body, status, text, c.want, c.key,
+				c.wantText)
 		}
-		if status == 409 && fault.Version != first || status == 400 && c.key != "" && fault.Remedy == "" {
-			t.Errorf("%s: %+v", c.path, fault)
+		if status == 409 && rejection.Version != first || status == 400 && c.key != "" &&
+			rejection.Remedy == "" {
+			t.Errorf("%s: %+v", c.path, rejection)
 		}
 	}
 	if _, c, _ := node.Configuration("tarifas"); c.Version != first || string(c.Document) != document(1) {
@@ -99,8 +102,8 @@
 	for _, c := range []struct {
 		service, query string
 		version        int64
-		whole          bool
-		taken          int
+		hasDocument    bool
+		status         int
 	}{
 		{"a", "from=0", first, true, 200},
 		{"a", "from=0&hold_ms=60000&line=" + epoch, first, true, 200},
@@ -116,22 +119,23 @@
 	} {
 		status, after, text := call(t, s, "GET", "/config/"+url.PathEscape(c.service)+"?"+c.query, "")
 		var got ServiceConfig
-		if err := json.Unmarshal([]byte(text), &got); status != c.taken || err != nil || got.Version != c.version ||
-			(got.Document != nil) != c.whole || (status == 503) != (after != "") {
+		if err := json.Unmarshal([]byte(text), &got); status != c.status || err != nil ||
+			got.Version != c.version ||
+			(got.Document != nil) != c.hasDocument || (status == 503) != (after != "") {
 			t.Errorf("%s?%s: %d %s (%v)", c.service, c.query, status, text, err)
 		}
 	}
 	// A write answers the watches in flight; a change of the list or of another service does not; one watch too many is
 	// rejected.
-	type end struct {
+	type response struct {
 		status int
 		text   string
 	}
-	ended := make(chan end, 2)
+	ended := make(chan response, 2)
 	for range 2 {
 		go func() {
 			status, _, text := call(t, s, "GET", fmt.Sprint("/config/a?hold_ms=60000&from=", first, "&line=", epoch), "")
-			ended <- end{status, text}
+			ended <- response{status, text}
 		}()
 	}
 	for s.Metrics().Watches < 2 {
--- a/internal/registry/config/config_test.go
+++ b/internal/registry/config/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const three = `name = "r1"
+const threeMembers = `name = "r1"
 [[member]]
 name = "r1"
 raft = "127.0.0.1:1"
@@ -27,15 +27,15 @@
 		text string
 		want []string
 	}{
-		"whole": {three, nil},
+		"whole": {threeMembers, nil},
 		"empty": {"", nil},
 		"unknown": {"nmae = 1\nlease.prat = 2\n",
 			[]string{"f: nmae: unknown key", "f: lease.prat: unknown key"}},
 		"no TOML": {"name = \n", []string{"f:1:"}},
-		"not a member": {strings.Replace(three, `name = "r1"`, `name = "r9"`, 1),
+		"not a member": {strings.Replace(threeMembers, `name = "r1"`, `name = "r9"`, 1),
 			[]string{`f: name: "r9" is not among the members`}},
-		"twice": {strings.Replace(three, `"r3"`, `"r2"`, 1), []string{"f: member[3].name"}},
-		"even": {three + "[[member]]\nname = \"r4\"\nraft = \"127.0.0.1:7\"\nlist = \"127.0.0.1:8\"\n",
+		"twice": {strings.Replace(threeMembers, `"r3"`, `"r2"`, 1), []string{"f: member[3].name"}},
+		"even": {threeMembers + "[[member]]\nname = \"r4\"\nraft = \"127.0.0.1:7\"\nlist = \"127.0.0.1:8\"\n",
 			[]string{"f: member: there are 4"}},
 		"out of range": {"election_ms = 50\nstale_ms = 100\nwatchers = 0\nlisten = \"x\"\n[lease]\npart = 2.0\npace = 0.0\n",
 			[]string{"f: election_ms: at least 100", "f: stale_ms: 100: at least", "f: watchers:", "f: listen:", "f: lease.part:", "f: lease.pace:"}},
--- a/internal/registry/lease/lease_test.go
+++ b/internal/registry/lease/lease_test.go
@@ -26,10 +26,11 @@
 		expired    map[string]int
 		held       map[string]bool
 	}
-	// play renews the leases that renews selects every second, and sweeps every 100 ms.
-	play := func(t *Table, from time.Time, lasts time.Duration, renews func(name string, at time.Duration) bool) result {
+	// simulate renews the leases that renews selects every second, and sweeps every 100 ms.
+	simulate := func(t *Table, from time.Time, duration time.Duration,
+		renews func(name string, at time.Duration) bool) result {
 		r := result{map[string]time.Duration{}, map[string]int{}, map[string]bool{}}
-		for at := time.Duration(0); at <= lasts; at += 100 * time.Millisecond {
+		for at := time.Duration(0); at <= duration; at += 100 * time.Millisecond {
 			if at%second == 0 {
 				for name, l := range t.leases {
 					if renews(name, at) {
@@ -53,7 +54,7 @@
 	t.Run("a silent endpoint expires with its lease", func(t *testing.T) {
 		table := New(DefaultConfig())
 		putLeases(table, begin, "a", 10)
-		r := play(table, begin, 30*second, func(n string, _ time.Duration) bool { return n != "a3" })
+		r := simulate(table, begin, 30*second, func(n string, _ time.Duration) bool { return n != "a3" })
 		if r.expired["a"] != 1 || r.lastExpiry["a"] != 10*second || len(r.held) != 0 {
 			t.Errorf("%+v", r)
 		}
@@ -61,7 +62,8 @@
 	t.Run("a quarter of a zone may expire together", func(t *testing.T) {
 		table := New(DefaultConfig())
 		putLeases(table, begin, "a", 20)
-		r := play(table, begin, 30*second, func(n string, _ time.Duration) bool { return len(n) > 2 || n > "a4" }) // a0 to a4
+		r := simulate(table, begin, 30*second,
+			func(n string, _ time.Duration) bool { return len(n) > 2 || n > "a4" }) // a0 to a4
 		if r.expired["a"] != 5 || r.lastExpiry["a"] != 10*second || len(r.held) != 0 {
 			t.Errorf("%+v", r)
 		}
@@ -69,7 +71,8 @@
 	t.Run("a silent zone is held and released slowly, others are not", func(t *testing.T) {
 		table := New(DefaultConfig())
 		putLeases(table, begin, "ab", 20)
-		r := play(table, begin, 40*second, func(n string, _ time.Duration) bool { return n[0] == 'b' && n != "b1" })
+		r := simulate(table, begin, 40*second,
+			func(n string, _ time.Duration) bool { return n[0] == 'b' && n != "b1" })
 		if !r.held["a"] || r.held["b"] || r.expired["b"] != 1 {
 			t.Errorf("%+v", r)
 		}
@@ -81,7 +84,7 @@
 		for lasts, gone := range map[time.Duration]int{40 * second: 0, 50 * second: 1, 109 * second: 2, 111 * second: 3} {
 			table := New(DefaultConfig())
 			putLeases(table, begin, "a", 3)
-			if r := play(table, begin, lasts, never); r.expired["a"] != gone || !r.held["a"] {
+			if r := simulate(table, begin, lasts, never); r.expired["a"] != gone || !r.held["a"] {
 				t.Errorf("after %v: %+v, wanted %d gone", lasts, r, gone)
 			}
 		}
@@ -89,7 +92,8 @@
 	t.Run("renewals end the hold", func(t *testing.T) {
 		table := New(DefaultConfig())
 		putLeases(table, begin, "a", 20)
-		r := play(table, begin, 60*second, func(_ string, at time.Duration) bool { return at > 13*second })
+		r := simulate(table, begin, 60*second,
+			func(_ string, at time.Duration) bool { return at > 13*second })
 		if !r.held["a"] || r.expired["a"] > 1 || len(table.leases) != 20-r.expired["a"] || len(table.zones) != 0 {
 			t.Errorf("%+v, %d zones kept", r, len(table.zones))
 		}
@@ -97,15 +101,15 @@
 	t.Run("a zone that stays silent is removed in full", func(t *testing.T) {
 		table := New(DefaultConfig())
 		putLeases(table, begin, "a", 20)
-		if r := play(table, begin, 400*second, never); r.expired["a"] != 20 || len(table.zones) != 0 {
+		if r := simulate(table, begin, 400*second, never); r.expired["a"] != 20 || len(table.zones) != 0 {
 			t.Errorf("%+v, %d zones kept", r, len(table.zones))
 		}
 	})
 	t.Run("time in which the process was suspended does not count", func(t *testing.T) {
 		table := New(DefaultConfig())
 		putLeases(table, begin, "a", 20)
-		play(table, begin, 5*second, never)
-		r := play(table, begin.Add(35*second), 4*second, never)
+		simulate(table, begin, 5*second, never)
+		r := simulate(table, begin.Add(35*second), 4*second, never)
 		if len(r.expired) != 0 {
 			t.Errorf("%+v expired 9 s into their leases", r)
 		}
@@ -118,7 +122,7 @@
 			records = append(records, state.Record{Endpoint: state.Endpoint{Name: l.ref.Name, Zone: l.zone}, Instance: "1", LeaseMs: 10_000})
 		}
 		table.Reset(begin.Add(time.Hour), records)
-		if r := play(table, begin.Add(time.Hour), 9*second, never); len(r.expired) != 0 {
+		if r := simulate(table, begin.Add(time.Hour), 9*second, never); len(r.expired) != 0 {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/internal/registry/state/configs_test.go
+++ b/internal/registry/state/configs_test.go
@@ -13,7 +13,7 @@
 	"merlinpick/internal/atomicfile"
 )
 
-func put(service string, after int64, document string) Command {
+func configureCommand(service string, after int64, document string) Command {
 	return Command{Kind: CommandConfigure, Service: service, After: after, Document: json.RawMessage(document)}
 }
 
@@ -27,28 +27,37 @@
 func TestConfigure(t *testing.T) {
 	type step struct {
 		c       Command
-		end     ResultCode
-		index   int64
+		code    ResultCode
+		version int64
 		changes bool
 	}
-	first, second := step{put("a", 0, `{"n":1}`), ResultDone, 101, true}, step{put("a", 101, `{"n":2}`), ResultDone, 102, true}
+	first, second := step{configureCommand("a", 0, `{"n":1}`), ResultDone, 101, true},
+		step{configureCommand("a", 101, `{"n":2}`), ResultDone, 102, true}
 	for name, steps := range map[string][]step{
-		"one after another":                {first, second},
-		"repeated at once":                 {first, {first.c, ResultDone, 101, false}},
-		"repeated after another":           {first, second, {second.c, ResultDone, 102, false}, {first.c, ResultConflict, 102, false}},
-		"two at once":                      {first, second, {put("a", 101, `{"n":3}`), ResultConflict, 102, false}},
-		"the same document as a new write": {first, {put("a", 101, `{"n":1}`), ResultDone, 102, true}},
-		"after what is not there":          {{put("a", 101, `{}`), ResultConflict, 0, false}},
-		"after none where there is one":    {first, {put("a", 0, `{}`), ResultConflict, 101, false}},
-		"another service":                  {first, {put("b", 0, `{}`), ResultDone, 101, true}},
-		"an invalid name":                  {{put("a b", 0, `{}`), ResultIgnored, 0, false}, {put("", 0, `{}`), ResultIgnored, 0, false}},
-		"not canonical":                    {{put("a", 0, `{ }`), ResultIgnored, 0, false}, {put("a", 0, `[]`), ResultIgnored, 0, false}, {put("a", 0, ``), ResultIgnored, 0, false}},
-		"too long":                         {{put("a", 0, `{"a":"`+strings.Repeat("a", 64<<10)+`"}`), ResultIgnored, 0, false}},
+		"one after another":      {first, second},
+		"repeated at once":       {first, {first.c, ResultDone, 101, false}},
+		"repeated after another": {first, second, {second.c, ResultDone, 102, false}, {first.c, ResultConflict, 102, false}},
+		"two at once": {first, second,
+			{configureCommand("a", 101, `{"n":3}`), ResultConflict, 102, false}},
+		"the same document as a new write": {first,
+			{configureCommand("a", 101, `{"n":1}`), ResultDone, 102, true}},
+		"after what is not there": {{configureCommand("a", 101, `{}`), ResultConflict, 0, false}},
+		"after none where there is one": {first,
+			{configureCommand("a", 0, `{}`), ResultConflict, 101, false}},
+		"another service": {first, {configureCommand("b", 0, `{}`), ResultDone, 101, true}},
+		"an invalid name": {{configureCommand("a b", 0, `{}`), ResultIgnored, 0, false},
+			{configureCommand("", 0, `{}`), ResultIgnored, 0, false}},
+		"not canonical": {{configureCommand("a", 0, `{ }`), ResultIgnored, 0, false},
+			{configureCommand("a", 0, `[]`), ResultIgnored, 0, false},
+			{configureCommand("a", 0, ``), ResultIgnored, 0, false}},
+		"too long": {{configureCommand("a", 0,
+			`{"a":"`+strings.Repeat("a", 64<<10)+`"}`), ResultIgnored, 0, false}},
 	} {
 		s := newBegunState()
 		for i, step := range steps {
 			got := s.Apply(step.c)
-			if got.Code != step.end || got.Version != step.index || got.Changed != step.changes || s.Version() != 100 {
+			if got.Code != step.code || got.Version != step.version || got.Changed != step.changes ||
+				s.Version() != 100 {
 				t.Errorf("%s, step %d: got %+v, the list at %d", name, i+1, got, s.Version())
 			}
 		}
@@ -60,7 +69,7 @@
 		c.Previous.Version != 101 {
 		t.Errorf("got %+v", c)
 	}
-	if r := New().Apply(put("a", 0, `{}`)); r.Code != ResultIgnored {
+	if r := New().Apply(configureCommand("a", 0, `{}`)); r.Code != ResultIgnored {
 		t.Errorf("before the first epoch: %+v", r)
 	}
 }
@@ -69,18 +78,18 @@
 func TestConfigurationLimits(t *testing.T) {
 	s := newBegunState()
 	for i := range MaxServices {
-		if r := s.Apply(put(fmt.Sprint("s", i), 0, `{}`)); r.Code != ResultDone {
+		if r := s.Apply(configureCommand(fmt.Sprint("s", i), 0, `{}`)); r.Code != ResultDone {
 			t.Fatalf("%d: %+v", i, r)
 		}
 	}
-	if r := s.Apply(put("more", 0, `{}`)); r.Code != ResultNoRoom {
+	if r := s.Apply(configureCommand("more", 0, `{}`)); r.Code != ResultNoRoom {
 		t.Errorf("one service more: %+v", r)
 	}
 	s = newBegunState()
 	large := `{"a":"` + strings.Repeat("a", 60<<10) + `"}`
 	n, versions := 0, map[string]int64{}
 	replace := func(name, text string) ResultCode {
-		r := s.Apply(put(name, versions[name], text))
+		r := s.Apply(configureCommand(name, versions[name], text))
 		versions[name] = r.Version
 		return r.Code
 	}
@@ -106,14 +115,15 @@
 	if end := replace("s0", large); end != ResultDone {
 		t.Errorf("after room was made: %s", end)
 	}
-	i := s.Snapshot()
-	if err := i.Check(); err != nil {
+	snapshot := s.Snapshot()
+	if err := snapshot.Check(); err != nil {
 		t.Error(err)
 	}
 	for _, name := range []string{"x", "y", "z"} {
-		i.Configs = append(i.Configs, Configuration{Service: name, Version: 5, Document: json.RawMessage(large)})
+		snapshot.Configs = append(snapshot.Configs,
+			Configuration{Service: name, Version: 5, Document: json.RawMessage(large)})
 	}
-	if err := i.Check(); err == nil {
+	if err := snapshot.Check(); err == nil {
 		t.Error("a snapshot over the limit passes")
 	}
 }
@@ -130,32 +140,36 @@
 		}
 		return text.Bytes()
 	}
-	const before = "roster-snapshot 1 191 18658e20\n" + `{"line":"l","index":101,"nodos":[{"name":"n","address":"127.0.0.1:1","zone":"a",` +
+	const wantPlain = "roster-snapshot 1 191 18658e20\n" +
+		`{"line":"l","index":101,"nodos":[{"name":"n","address":"127.0.0.1:1","zone":"a",` +
 		`"type":"","group":0,"status":"SERVING","weight":1,"since_ms":10,"instance":"i1","lease_ms":5000}],"ended":null}`
-	if got := string(written()); got != before {
+	if got := string(written()); got != wantPlain {
 		t.Errorf("without configurations: %s", got)
 	}
-	s.Apply(put("a", 0, `{"n":1}`))
-	s.Apply(put("a", 102, `{"n":2,"s":"\u003c"}`))
-	whole := written()
-	if _, err := atomicfile.Unseal("roster-snapshot", bytes.NewReader(whole), MaxSnapshotBytes); !errors.Is(err, atomicfile.ErrDamaged) {
+	s.Apply(configureCommand("a", 0, `{"n":1}`))
+	s.Apply(configureCommand("a", 102, `{"n":2,"s":"\u003c"}`))
+	encoded := written()
+	if _, err := atomicfile.Unseal("roster-snapshot", bytes.NewReader(encoded),
+		MaxSnapshotBytes); !errors.Is(err, atomicfile.ErrDamaged) {
 		t.Errorf("a build before them reads it: %v", err)
 	}
-	i, err := ReadSnapshot(bytes.NewReader(whole))
+	decoded, err := ReadSnapshot(bytes.NewReader(encoded))
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := New()
-	if err := again.Load(i); err != nil || !bytes.Equal(whole, func() []byte { s = again; return written() }()) {
+	if err := again.Load(decoded); err != nil ||
+		!bytes.Equal(encoded, func() []byte { s = again; return written() }()) {
 		t.Errorf("it is another once read: %v", err)
 	}
-	if r := again.Apply(put("a", 102, `{"n":2,"s":"\u003c"}`)); r.Code != ResultDone || r.Changed {
+	if r := again.Apply(configureCommand("a", 102, `{"n":2,"s":"\u003c"}`)); r.Code != ResultDone ||
+		r.Changed {
 		t.Errorf("a repeated put after a restart: %+v", r)
 	}
-	for at := range whole {
-		spoilt := bytes.Clone(whole)
-		spoilt[at] ^= 0x20
-		for what, b := range map[string][]byte{"cut": whole[:at], "spoilt": spoilt} {
+	for at := range encoded {
+		corrupted := bytes.Clone(encoded)
+		corrupted[at] ^= 0x20
+		for what, b := range map[string][]byte{"cut": encoded[:at], "spoilt": corrupted} {
 			if _, err := ReadSnapshot(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
 				t.Fatalf("%s at byte %d: %v", what, at, err)
 			}
@@ -172,14 +186,14 @@
 // A restored snapshot's configurations are above all earlier versions, and those that it lacks are kept.
 func TestRebase(t *testing.T) {
 	s := newBegunState()
-	s.Apply(put("a", 0, `{"n":1}`))
+	s.Apply(configureCommand("a", 0, `{"n":1}`))
 	saved := s.Snapshot()
-	s.Apply(put("a", 101, `{"n":2}`))
-	s.Apply(put("b", 0, `{"n":3}`))
+	s.Apply(configureCommand("a", 101, `{"n":2}`))
+	s.Apply(configureCommand("b", 0, `{"n":3}`))
 	now := s.Snapshot()
-	lifted := saved.Rebase("m", now.NewestVersion()+50, now.Configs)
+	rebased := saved.Rebase("m", now.NewestVersion()+50, now.Configs)
 	again := New()
-	if err := again.Load(lifted); err != nil {
+	if err := again.Load(rebased); err != nil {
 		t.Fatal(err)
 	}
 	a, _ := again.Configuration("a")
@@ -187,10 +201,10 @@
 	if string(a.Document) != `{"n":1}` || string(b.Document) != `{"n":3}` || a.Version <= now.NewestVersion() || b.Version <= now.NewestVersion() {
 		t.Errorf("a %+v, b %+v", a, b)
 	}
-	if r := again.Apply(put("a", 101, `{"n":2}`)); r.Code != ResultConflict {
+	if r := again.Apply(configureCommand("a", 101, `{"n":2}`)); r.Code != ResultConflict {
 		t.Errorf("a repeated write of the epoch before: %+v", r)
 	}
-	if r := again.Apply(put("a", 0, `{"n":1}`)); r.Code != ResultConflict {
+	if r := again.Apply(configureCommand("a", 0, `{"n":1}`)); r.Code != ResultConflict {
 		t.Errorf("another, of what was restored: %+v", r)
 	}
 	if saved.Configs[0].Version != 101 {
@@ -226,7 +240,7 @@
 				}
 				after := rapid.SampledFrom(seen).Draw(t, "after")
 				text := fmt.Sprintf(`{"n":%d}`, rapid.IntRange(1, 3).Draw(t, "document"))
-				r := s.Apply(put(name, after, text))
+				r := s.Apply(configureCommand(name, after, text))
 				last, before := version{}, version{}
 				if n := len(all); n > 0 {
 					last = all[n-1]
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -17,7 +17,7 @@
 // wire. A change that only moves or renames code leaves it as it is.
 const goldenState = "ec863e87c09f2ee7"
 
-const playedCommands = 48_000 // beyond MaxRetainedChanges and MaxEndedInstances
+const commandCount = 48_000 // beyond MaxRetainedChanges and MaxEndedInstances
 
 // randomCommand is a command of any kind, over few names and services so that most of them meet an existing one.
 func randomCommand(r *rand.Rand, at int, s *State) Command {
@@ -25,8 +25,8 @@
 	instance := func() string { return fmt.Sprintf("i%d", max(0, at/100-r.IntN(3))) }
 	ref := func() InstanceRef {
 		n := name()
-		if was, ok := s.Get(n); ok && r.IntN(10) > 0 {
-			return InstanceRef{n, was.Instance}
+		if current, ok := s.Get(n); ok && r.IntN(10) > 0 {
+			return InstanceRef{n, current.Instance}
 		}
 		return InstanceRef{n, instance()}
 	}
@@ -46,12 +46,12 @@
 		return Command{Kind: CommandExpire, Refs: []InstanceRef{ref(), ref(), ref()}[r.IntN(3):]}
 	case k < 97:
 		service := fmt.Sprintf("s%d", r.IntN(5))
-		was, _ := s.Configuration(service)
+		current, _ := s.Configuration(service)
 		text := fmt.Sprintf(`{"limits":{"calls":%d}}`, r.IntN(50))
 		if r.IntN(20) == 0 {
 			text = `{ "not": "canonical" }`
 		}
-		return put(service, was.Version-int64(r.IntN(3)/2), text)
+		return configureCommand(service, current.Version-int64(r.IntN(3)/2), text)
 	case k < 98:
 		return Command{Kind: CommandBegin, Epoch: fmt.Sprintf("l%d", at), FirstVersion: int64(at)}
 	case k < 99:
@@ -62,18 +62,19 @@
 
 func hashState(t *testing.T, to hash.Hash, s *State) {
 	t.Helper()
-	image, err := json.Marshal(s.Snapshot())
+	snapshot, err := json.Marshal(s.Snapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(to, "state %s %d %d %d %d %s\n", s.Epoch(), s.Version(), s.Len(), s.ConfigurationsLen(), s.ConfigRevision(), image)
+	fmt.Fprintf(to, "state %s %d %d %d %d %s\n", s.Epoch(), s.Version(), s.Len(), s.ConfigurationsLen(),
+		s.ConfigRevision(), snapshot)
 	for back := int64(3800); back < 5400; back += 25 {
-		_, kept := s.Changes(s.Version() - back)
-		fmt.Fprint(to, kept)
+		_, retained := s.Changes(s.Version() - back)
+		fmt.Fprint(to, retained)
 	}
 	for _, from := range []int64{s.Version() + 1, s.Version(), s.Version() - 10, s.Version() - 4000, s.Version() - 6000} {
-		changes, kept := s.Changes(from)
-		fmt.Fprintln(to, "changes", from, kept)
+		changes, retained := s.Changes(from)
+		fmt.Fprintln(to, "changes", from, retained)
 		for _, c := range changes {
 			entries, err := json.Marshal(c.Endpoints)
 			if err != nil {
@@ -90,7 +91,7 @@
 	sum := sha256.New()
 	r := rand.New(rand.NewPCG(37, 1))
 	s := New()
-	for at := range playedCommands {
+	for at := range commandCount {
 		c := randomCommand(r, at, s)
 		if at == 20 {
 			c = Command{Kind: CommandBegin, Epoch: "l", FirstVersion: 100}
@@ -106,7 +107,7 @@
 		if at%1000 == 999 {
 			hashState(t, sum, s)
 		}
-		if at == playedCommands/2 { // as on a member that loads a snapshot
+		if at == commandCount/2 { // as on a member that loads a snapshot
 			var text bytes.Buffer
 			if err := s.Snapshot().Write(&text); err != nil {
 				t.Fatal(err)
@@ -155,7 +156,7 @@
 	}
 }
 
-func goldenImages() map[string]Snapshot {
+func goldenSnapshots() map[string]Snapshot {
 	plain := Snapshot{Epoch: "5f0e", Version: 1 << 40, EndedInstances: []InstanceRef{{"gone", "i0"}}}
 	for _, name := range []string{"n1", "n2"} {
 		r := *record(name, "i1", 1_700_000_000_000)
@@ -163,19 +164,20 @@
 		plain.Records = append(plain.Records, r)
 	}
 	plain.Records[1].Status = StatusDraining
-	with := plain
-	with.Configs = []Configuration{
+	withConfigs := plain
+	withConfigs.Configs = []Configuration{
 		{Service: "shop", Version: 7, After: -1, Document: json.RawMessage(`{"a":1}`)},
 		{Service: "site", Version: 9, After: 8, Document: json.RawMessage(`{"a":2}`),
 			Previous: &PreviousDocument{Version: 8, Document: json.RawMessage(`{"a":1}`)}},
 	}
-	return map[string]Snapshot{"snapshot.golden": plain, "snapshot-configs.golden": with, "snapshot-empty.golden": {}}
+	return map[string]Snapshot{"snapshot.golden": plain, "snapshot-configs.golden": withConfigs,
+		"snapshot-empty.golden": {}}
 }
 
 func TestSnapshotFilesMatchGolden(t *testing.T) {
-	for name, image := range goldenImages() {
+	for name, snapshot := range goldenSnapshots() {
 		var text bytes.Buffer
-		if err := image.Write(&text); err != nil {
+		if err := snapshot.Write(&text); err != nil {
 			t.Fatal(err)
 		}
 		golden(t, name, text.Bytes())
@@ -189,7 +191,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		got, _ := json.Marshal(read)
-		want, _ := json.Marshal(image)
+		want, _ := json.Marshal(snapshot)
 		if !bytes.Equal(got, want) {
 			t.Errorf("%s: read as %s, not %s", name, got, want)
 		}
@@ -206,7 +208,7 @@
 		{Kind: CommandDrain, Refs: refs("n1", "i1")},
 		{Kind: CommandDeregister, Refs: refs("n1", "i1")},
 		{Kind: CommandExpire, Refs: []InstanceRef{{"n1", "i1"}, {"n2", "i2"}}},
-		put("shop", 7, `{"a":1}`),
+		configureCommand("shop", 7, `{"a":1}`),
 	} {
 		fmt.Fprintf(&text, "%s\n", c.Encode())
 		again, err := Decode(c.Encode())
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -21,11 +21,11 @@
 	moved := *record("n", "i1", 10)
 	moved.Address = "127.0.0.1:2"
 	drain := Command{Kind: CommandDrain, Refs: refs("n", "i1")}
-	gone := Command{Kind: CommandDeregister, Refs: refs("n", "i1")}
-	over := Command{Kind: CommandExpire, Refs: refs("n", "i1")}
+	deregister := Command{Kind: CommandDeregister, Refs: refs("n", "i1")}
+	expire := Command{Kind: CommandExpire, Refs: refs("n", "i1")}
 	type step struct {
 		c       Command
-		end     ResultCode
+		code    ResultCode
 		changes bool
 		status  string // of n afterwards; empty: not in the list
 	}
@@ -34,13 +34,17 @@
 		"register again, moved":         {{register, ResultDone, true, StatusServing}, {Command{Kind: CommandRegister, Record: &moved}, ResultDone, true, StatusServing}},
 		"drain twice":                   {{register, ResultDone, true, StatusServing}, {drain, ResultDone, true, StatusDraining}, {drain, ResultDone, false, StatusDraining}},
 		"register again while draining": {{register, ResultDone, true, StatusServing}, {drain, ResultDone, true, StatusDraining}, {register, ResultDone, false, StatusDraining}},
-		"deregister twice":              {{register, ResultDone, true, StatusServing}, {gone, ResultDone, true, ""}, {gone, ResultDone, false, ""}},
-		"a late registration":           {{register, ResultDone, true, StatusServing}, {gone, ResultDone, true, ""}, {register, ResultEnded, false, ""}},
-		"after its lease it may return": {{register, ResultDone, true, StatusServing}, {over, ResultDone, true, ""}, {register, ResultDone, true, StatusServing}},
-		"another start takes the name":  {{register, ResultDone, true, StatusServing}, {later, ResultDone, true, StatusServing}, {register, ResultReplaced, false, StatusServing}},
+		"deregister twice": {{register, ResultDone, true, StatusServing},
+			{deregister, ResultDone, true, ""}, {deregister, ResultDone, false, ""}},
+		"a late registration": {{register, ResultDone, true, StatusServing},
+			{deregister, ResultDone, true, ""}, {register, ResultEnded, false, ""}},
+		"after its lease it may return": {{register, ResultDone, true, StatusServing},
+			{expire, ResultDone, true, ""}, {register, ResultDone, true, StatusServing}},
+		"another start takes the name": {{register, ResultDone, true, StatusServing}, {later, ResultDone, true, StatusServing}, {register, ResultReplaced, false, StatusServing}},
 		"a late drain of the one before": {{register, ResultDone, true, StatusServing}, {later, ResultDone, true, StatusServing}, {drain, ResultReplaced, false, StatusServing},
-			{over, ResultReplaced, false, StatusServing}},
-		"what is not there": {{drain, ResultUnknown, false, ""}, {gone, ResultUnknown, false, ""}, {over, ResultUnknown, false, ""}},
+			{expire, ResultReplaced, false, StatusServing}},
+		"what is not there": {{drain, ResultUnknown, false, ""}, {deregister, ResultUnknown, false, ""},
+			{expire, ResultUnknown, false, ""}},
 		"a kind of another version": {{register, ResultDone, true, StatusServing}, {Command{Kind: "colour", Refs: refs("n", "i1")}, ResultIgnored, false,
 			StatusServing}},
 		"an invalid record": {{Command{Kind: CommandRegister, Record: record("", "i", 0)}, ResultIgnored, false, ""},
@@ -52,7 +56,8 @@
 			before := s.Version()
 			r := s.Apply(step.c)
 			got, _ := s.Get("n")
-			if r.Code != step.end || r.Changed != step.changes || got.Status != step.status || (r.Version != before) != step.changes {
+			if r.Code != step.code || r.Changed != step.changes || got.Status != step.status ||
+				(r.Version != before) != step.changes {
 				t.Errorf("%s, step %d: got %+v, status %q after version %d", name, i+1, r, got.Status, before)
 			}
 		}
@@ -85,19 +90,21 @@
 	if err := s.Snapshot().Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	whole := text.Bytes()
-	i, err := ReadSnapshot(bytes.NewReader(whole))
+	encoded := text.Bytes()
+	decoded, err := ReadSnapshot(bytes.NewReader(encoded))
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := New()
-	if err := again.Load(i); err != nil || again.Version() != s.Version() || again.Len() != 1 || !again.IsEnded(InstanceRef{"m", "i2"}) {
+	if err := again.Load(decoded); err != nil || again.Version() != s.Version() || again.Len() != 1 ||
+		!again.IsEnded(InstanceRef{"m", "i2"}) {
 		t.Errorf("got %+v, %v", again, err)
 	}
-	for at := range whole {
-		spoilt := bytes.Clone(whole)
-		spoilt[at] ^= 0x20
-		for what, b := range map[string][]byte{"cut": whole[:at], "spoilt": spoilt, "grown": append(bytes.Clone(whole[:at+1]), whole[at:]...)} {
+	for at := range encoded {
+		corrupted := bytes.Clone(encoded)
+		corrupted[at] ^= 0x20
+		for what, b := range map[string][]byte{"cut": encoded[:at], "spoilt": corrupted,
+			"grown": append(bytes.Clone(encoded[:at+1]), encoded[at:]...)} {
 			if _, err := ReadSnapshot(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
 				t.Fatalf("%s at byte %d: %v", what, at, err)
 			}
--- a/internal/registry/store/golden_test.go
+++ b/internal/registry/store/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// goldenRecord is log entry i of the directory in testdata.
-func goldenRecord(i uint64) raft.Log {
+// goldenEntry is log entry i of the directory in testdata.
+func goldenEntry(i uint64) raft.Log {
 	l := raft.Log{Index: i, Term: 1 + i/5, Type: raft.LogCommand, Data: fmt.Appendf(nil, "command %d", i)}
 	switch i {
 	case 1:
@@ -27,7 +27,7 @@
 	return l
 }
 
-const goldenRecords = 12
+const goldenEntryCount = 12
 
 // A directory that an earlier version wrote is read in full, and its identity is still written alike.
 func TestDirectoryOfEarlierVersionIsRead(t *testing.T) {
@@ -45,7 +45,7 @@
 	if got := encodeIdentity("r1"); !bytes.Equal(got, want) {
 		t.Errorf("identity is %q, not %q", got, want)
 	}
-	s, fresh, err := Open(dir, "r1", 0, quiet)
+	s, fresh, err := Open(dir, "r1", 0, discardLogger)
 	if err != nil || fresh {
 		t.Fatal(fresh, err)
 	}
@@ -60,15 +60,15 @@
 	}
 	first, err1 := s.FirstIndex()
 	last, err2 := s.LastIndex()
-	if first != 1 || last != goldenRecords || err1 != nil || err2 != nil {
+	if first != 1 || last != goldenEntryCount || err1 != nil || err2 != nil {
 		t.Errorf("entries %d to %d: %v, %v", first, last, err1, err2)
 	}
-	for i := range uint64(goldenRecords) {
+	for i := range uint64(goldenEntryCount) {
 		var got raft.Log
 		if err := s.GetLog(i+1, &got); err != nil {
 			t.Fatal(err)
 		}
-		want := goldenRecord(i + 1)
+		want := goldenEntry(i + 1)
 		if got.Index != want.Index || got.Term != want.Term || got.Type != want.Type || !bytes.Equal(got.Data, want.Data) ||
 			!bytes.Equal(got.Extensions, want.Extensions) || !got.AppendedAt.Equal(want.AppendedAt) {
 			t.Errorf("entry %d is %+v, not %+v", i+1, got, want)
--- a/internal/registry/store/store_test.go
+++ b/internal/registry/store/store_test.go
@@ -13,22 +13,22 @@
 	"github.com/hashicorp/raft"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
-const entries = 60
+const entryCount = 60
 
-// writtenDir makes a directory with a term and some log entries.
-func writtenDir(t *testing.T) (dir string) {
+// createFilledDir makes a directory with a term and some log entries.
+func createFilledDir(t *testing.T) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
-	s, fresh, err := Open(dir, "r1", 0, quiet)
+	s, fresh, err := Open(dir, "r1", 0, discardLogger)
 	if err != nil || !fresh {
 		t.Fatal(fresh, err)
 	}
 	if err := s.SetUint64([]byte("CurrentTerm"), 7); err != nil {
 		t.Fatal(err)
 	}
-	for i := range uint64(entries) {
+	for i := range uint64(entryCount) {
 		if err := s.StoreLog(&raft.Log{Index: i + 1, Term: 7, Type: raft.LogCommand, Data: fmt.Appendf(nil, "entry %d %0200d", i+1, i)}); err != nil {
 			t.Fatal(err)
 		}
@@ -44,7 +44,7 @@
 	if term, err := s.GetUint64([]byte("CurrentTerm")); err != nil || term != 7 {
 		return fmt.Errorf("term %d, %v", term, err)
 	}
-	for i := range uint64(entries) {
+	for i := range uint64(entryCount) {
 		var l raft.Log
 		if err := s.GetLog(i+1, &l); err != nil {
 			return err
@@ -57,7 +57,8 @@
 }
 
 // openDamaged damages a copy of a directory and opens it: the store has to be complete, or be rejected and left as it is.
-func openDamaged(t *testing.T, dir, what string, spoil func(path string, text []byte) []byte) (refused bool) {
+func openDamaged(t *testing.T, dir, what string,
+	damage func(path string, text []byte) []byte) (rejected bool) {
 	t.Helper()
 	copied := t.TempDir()
 	if err := os.CopyFS(copied, os.DirFS(dir)); err != nil {
@@ -68,11 +69,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text = spoil(path, text)
+	text = damage(path, text)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, _, err := Open(copied, "r1", 0, quiet)
+	s, _, err := Open(copied, "r1", 0, discardLogger)
 	if err == nil {
 		defer s.Close()
 		if err := checkComplete(s); err != nil {
@@ -91,22 +92,22 @@
 
 // A log that was truncated, or has a wrong bit in a record, is rejected and left as it is.
 func TestDamagedLogIsRejected(t *testing.T) {
-	dir := writtenDir(t)
+	dir := createFilledDir(t)
 	info, err := os.Stat(filepath.Join(dir, logFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	size := int(info.Size())
 	r := rand.New(rand.NewPCG(1, 2))
-	refused := 0
+	rejected := 0
 	for range 60 {
 		at := r.IntN(size)
 		if openDamaged(t, dir, fmt.Sprintf("cut at %d of %d", at, size), func(_ string, b []byte) []byte { return b[:at] }) {
-			refused++
+			rejected++
 		}
 	}
-	if refused < 40 {
-		t.Errorf("%d of 60 cuts were noticed", refused)
+	if rejected < 40 {
+		t.Errorf("%d of 60 cuts were noticed", rejected)
 	}
 	for range 60 {
 		openDamaged(t, dir, "a bit", func(_ string, b []byte) []byte {
@@ -122,7 +123,7 @@
 }
 
 func TestOpen(t *testing.T) {
-	dir := writtenDir(t)
+	dir := createFilledDir(t)
 	for name, c := range map[string]struct {
 		prepare func(dir string) error
 		member  string
@@ -135,7 +136,7 @@
 		"the log is empty":           {func(d string) error { return os.Truncate(filepath.Join(d, logFile), 0) }, "r1", 0, ErrDamaged},
 		"nobody's":                   {func(d string) error { return os.Remove(filepath.Join(d, identityFile)) }, "r1", 0, ErrDamaged},
 		"the name is cut off":        {func(d string) error { return os.Truncate(filepath.Join(d, identityFile), 9) }, "r1", 0, ErrDamaged},
-		"a snapshot reaches into it": {nil, "r1", entries - 3, nil},
+		"a snapshot reaches into it": {nil, "r1", entryCount - 3, nil},
 		"a gap before it":            {func(d string) error { return deleteEntries(d, 1, 5) }, "r1", 0, ErrDamaged},
 		"a gap that a snapshot has":  {func(d string) error { return deleteEntries(d, 1, 5) }, "r1", 9, nil},
 		"a gap in it":                {func(d string) error { return deleteEntries(d, 20, 21) }, "r1", 9, ErrDamaged},
@@ -149,7 +150,7 @@
 				t.Fatal(err)
 			}
 		}
-		s, fresh, err := Open(copied, c.member, c.after, quiet)
+		s, fresh, err := Open(copied, c.member, c.after, discardLogger)
 		if !errors.Is(err, c.want) || fresh {
 			t.Errorf("%s: fresh %v, %v", name, fresh, err)
 		}
@@ -161,7 +162,7 @@
 
 // deleteEntries deletes log entries, which raft does not do in this order.
 func deleteEntries(dir string, first, last uint64) error {
-	s, _, err := Open(dir, "r1", 0, quiet)
+	s, _, err := Open(dir, "r1", 0, discardLogger)
 	if err != nil {
 		return err
 	}
@@ -170,8 +171,8 @@
 
 // The log behaves as raft expects.
 func TestLogStore(t *testing.T) {
-	dir := writtenDir(t)
-	s, _, err := Open(dir, "r1", 0, quiet)
+	dir := createFilledDir(t)
+	s, _, err := Open(dir, "r1", 0, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,13 +183,14 @@
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
 	var l raft.Log
-	if first != 11 || last != entries || !errors.Is(s.GetLog(10, &l), raft.ErrLogNotFound) {
+	if first != 11 || last != entryCount || !errors.Is(s.GetLog(10, &l), raft.ErrLogNotFound) {
 		t.Errorf("from %d to %d", first, last)
 	}
 	if _, err := s.GetUint64([]byte("no such")); err == nil || err.Error() != "not found" {
 		t.Errorf("a key that was never set: %v", err)
 	}
-	if _, _, err := Open(dir, "r1", 0, quiet); !errors.Is(err, ErrInUse) || errors.Is(err, ErrDamaged) {
+	if _, _, err := Open(dir, "r1", 0, discardLogger); !errors.Is(err, ErrInUse) ||
+		errors.Is(err, ErrDamaged) {
 		t.Errorf("opened twice: %v", err)
 	}
 }
--- a/internal/registry/watch/hub_test.go
+++ b/internal/registry/watch/hub_test.go
@@ -37,7 +37,7 @@
 	endpoints map[string]state.Endpoint
 }
 
-func (f *follower) take(t *rapid.T, body []byte) {
+func (f *follower) apply(t *rapid.T, body []byte) {
 	var a struct {
 		Index     int64
 		Line      string
@@ -79,7 +79,7 @@
 		model := map[string]state.Endpoint{}
 		instances := map[string]string{}
 		var saved []state.Snapshot
-		lines, starts := 0, int64(0)
+		epochs, starts := 0, int64(0)
 		followers := []*follower{{endpoints: map[string]state.Endpoint{}}, {endpoints: map[string]state.Endpoint{}}, {endpoints: map[string]state.Endpoint{}}}
 		names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		ref := func(t *rapid.T) []state.InstanceRef {
@@ -123,8 +123,9 @@
 					t.Skip()
 				}
 				i := rapid.SampledFrom(saved).Draw(t, "image")
-				lines++
-				i.Epoch, i.Version = fmt.Sprint("line", lines), state.FirstVersion(time.Unix(1000, 0), src.State.Version())
+				epochs++
+				i.Epoch, i.Version = fmt.Sprint("line", epochs),
+					state.FirstVersion(time.Unix(1000, 0), src.State.Version())
 				if err := src.Load(i); err != nil {
 					t.Fatal(err)
 				}
@@ -136,9 +137,9 @@
 			"follow": func(t *rapid.T) {
 				f := rapid.SampledFrom(followers).Draw(t, "follower")
 				if f.epoch == "" || f.epoch != src.Epoch() { // as the API decides it
-					f.take(t, hub.Snapshot())
+					f.apply(t, hub.Snapshot())
 				} else {
-					f.take(t, hub.ChangesSince(f.version))
+					f.apply(t, hub.ChangesSince(f.version))
 				}
 				if !maps.Equal(f.endpoints, model) {
 					t.Fatalf("told %v, and it is %v", f.endpoints, model)
