--- a/internal/registry/config/config.go
+++ b/internal/registry/config/config.go
@@ -23,7 +23,7 @@
 	Dir               string   `toml:"dir"`         // directory of the raft log and snapshots
 	Listen            string   `toml:"listen"`      // address of the API
 	MetricsAddress    string   `toml:"figures"`     // address of metrics and readiness; empty: none
-	RaftListen        string   `toml:"raft_listen"` // for raft's traffic; empty: the member's own Raft address
+	RaftListen        string   `toml:"raft_listen"` // for raft's traffic; empty: this member's Raft address
 	ElectionTimeoutMs int      `toml:"election_ms"` // an election starts after this time without a heartbeat
 	MaxListAgeMs      int      `toml:"stale_ms"`    // the member does not serve a list that is older
 	MaxWatches        int      `toml:"watchers"`    // maximum number of watches in flight
--- a/internal/registry/raftnode/node.go
+++ b/internal/registry/raftnode/node.go
@@ -71,7 +71,8 @@
 	Logger          *slog.Logger
 }
 
-// Errors of calls that may be retried, here or on another member. After ErrUncertain the command may still take effect.
+// Errors of calls that may be retried, here or on another member. After ErrUncertain the command may still
+// take effect.
 var (
 	ErrNotLeader = errors.New("this member does not lead")
 	ErrNoLeader  = errors.New("no leader is known")
--- a/internal/registry/raftnode/reads.go
+++ b/internal/registry/raftnode/reads.go
@@ -107,7 +107,7 @@
 	Endpoints       int    `json:"nodos"`
 	AgeMs           int64  `json:"age_ms"` // age of the list in ms; -1: never confirmed up to date
 	Serving         bool   `json:"serving"`
-	Abstains        bool   `json:"abstains"`   // lost its directory and is catching up: takes no part in elections
+	Abstains        bool   `json:"abstains"`   // lost its directory, is catching up, does not vote yet
 	Empty           bool   `json:"empty"`      // has nothing in its log yet
 	SupportsConfigs bool   `json:"configs"`    // false in a response of a build without configurations
 	HeldLeases      int    `json:"overdue"`    // expired, but their endpoints are kept; on the leader
--- a/internal/registry/raftnode/restore.go
+++ b/internal/registry/raftnode/restore.go
@@ -10,8 +10,8 @@
 	"merlinpick/internal/registry/state"
 )
 
-// Restore replaces the state of all members by a snapshot, as a new epoch whose versions are above all earlier ones.
-// Configurations that the snapshot lacks are kept. It fails with the errors of Propose and with
+// Restore replaces the state of all members by a snapshot, as a new epoch whose versions are above all
+// earlier ones. Configurations that the snapshot lacks are kept. It fails with the errors of Propose and with
 // *IncompatibleMemberError.
 func (n *Node) Restore(snapshot state.Snapshot) (epoch string, version int64, err error) {
 	if !n.isLeader() {
