--- a/cmd/merlinpick-registry/bench_test.go
+++ b/cmd/merlinpick-registry/bench_test.go
@@ -86,7 +86,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkCalls measures the calls per second of one member, by 32 clients: whole lists of 100 endpoints, and renewals.
+// BenchmarkCalls measures the calls per second of one member, by 32 clients: whole lists of 100 endpoints,
+// and renewals.
 func BenchmarkCalls(b *testing.B) {
 	s := startCluster(b, 1)
 	c := registrar.New(s.addresses)
@@ -170,8 +171,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkJoin measures how late 300 clients get changes while six in ten of 100 endpoints are replaced within 7 s and the
-// leader, which a third of them watch, is killed in the middle; and the most calls that a member gets in a second.
+// BenchmarkJoin measures how late 300 clients get changes while 60 of 100 endpoints are replaced within 7 s
+// and the leader, which a third of the clients watch, is killed in the middle.
 func BenchmarkJoin(b *testing.B) {
 	const clients, nodos, replaced, lasts = 300, 100, 60, 7 * time.Second
 	s := startCluster(b, 3)
@@ -244,7 +245,7 @@
 		for i := range receivedAt {
 			t, ok := receivedAt[i][key]
 			if !ok && strings.HasSuffix(key, state.StatusServing) {
-				missed++ // a removed one may be missing from a whole list instead
+				missed++ // removals are not counted: a whole list may just lack the endpoint
 			}
 			if ok {
 				late = append(late, max(0, t.Sub(at).Seconds()*1000))
--- a/cmd/merlinpick-registry/cluster_test.go
+++ b/cmd/merlinpick-registry/cluster_test.go
@@ -55,7 +55,8 @@
 	processes []*process.Process
 }
 
-// startCluster starts a cluster and waits until it serves. View may change the addresses in a member's configuration.
+// startCluster starts a cluster and waits until it serves. Each configure function may change the
+// configuration of member i, such as the addresses of its peers.
 func startCluster(t testing.TB, members int, configure ...func(i int, f *config.File)) *cluster {
 	t.Helper()
 	s := &cluster{t: t, starter: process.NewStarter(), dir: t.TempDir(), processes: make([]*process.Process, members)}
@@ -106,7 +107,7 @@
 	return s
 }
 
-// freeHost returns a loopback address at which nothing listens, so that tests run beside each other.
+// freeHost returns a loopback address on which nothing listens, so that tests can run at the same time.
 func freeHost(t testing.TB) string {
 	t.Helper()
 	for range 100 {
@@ -157,7 +158,7 @@
 	})
 }
 
-// leader returns the index of the leader; -1 for none.
+// leader returns the index of the serving leader, or -1 if there is none.
 func (s *cluster) leader() int {
 	for i := range s.addresses {
 		if st, err := s.status(i); err == nil && st.Role == "leader" && st.Serving {
@@ -181,7 +182,8 @@
 		Instance: fmt.Sprint("i", since), LeaseMs: state.MaxLease.Milliseconds()}
 }
 
-// list reads the list from one member, linearizably. Values are by endpoint, as package linear has them.
+// list reads the list from one member, linearizably. Values holds each endpoint's value as defined by package
+// linear.
 func (s *cluster) list(ctx context.Context, i int) (epoch string, version int64, values map[string]string, err error) {
 	text, err := get(ctx, 3*time.Second, "http://"+s.addresses[i]+"/catalog/members?consistent=1")
 	if err != nil {
--- a/cmd/merlinpick-registry/commands_test.go
+++ b/cmd/merlinpick-registry/commands_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// A cluster of one keeps its list across a kill; a snapshot is saved and restored as a new epoch above the old; damaged
-// files are rejected by name.
+// The commands work on a cluster of one: it keeps its list across a kill, a snapshot is saved and restored as
+// a new epoch with higher versions, and a damaged snapshot or log is rejected with the file's name.
 func TestSingleMemberCommands(t *testing.T) {
 	s := startCluster(t, 1)
 	at := "--at=" + s.addresses[0]
@@ -41,7 +41,7 @@
 	for _, metric := range []string{"roster_serving 1\n", "roster_leads 1\n", "roster_nodos 1\n",
 		"roster_leases_overdue 0\n"} {
 		if err != nil || !strings.Contains(string(text), metric) {
-			t.Errorf("figures lack %q: %v", metric, err)
+			t.Errorf("metrics lack %q: %v", metric, err)
 		}
 	}
 	epoch, before, _, err := s.list(t.Context(), 0)
@@ -81,7 +81,7 @@
 	call(1, "snapshot", "restore", at, "--yes", file)
 	// SIGTERM is a graceful shutdown, and the directory is complete.
 	if clean, err := s.processes[0].Terminate(waitTimeout); !clean || err != nil {
-		t.Errorf("clean %v, %v", clean, err)
+		t.Errorf("SIGTERM: clean shutdown is %v, %v", clean, err)
 	}
 	call(0, "check", "--config", s.path(0, ".toml"))
 	if err := os.Truncate(filepath.Join(s.path(0, ""), "log.db"), 9000); err != nil {
--- a/cmd/merlinpick-registry/configcalls_test.go
+++ b/cmd/merlinpick-registry/configcalls_test.go
@@ -14,7 +14,7 @@
 	"merlinpick/internal/registry/api"
 )
 
-// putConfigAt writes a document at one member.
+// putConfigAt writes a document of the service tarifas at one member.
 func (s *cluster) putConfigAt(i int, after int64, body string) (status int, version int64, text string, err error) {
 	return s.putServiceConfigAt("tarifas", i, after, body)
 }
@@ -41,8 +41,8 @@
 	return resp.StatusCode, c.Version, string(raw), nil
 }
 
-// putConfig repeats a write, at one member after another from the leader on, until it is accepted. It fails the test if it
-// is rejected.
+// putConfig repeats a write, at one member after another beginning with the leader, until it is accepted. It
+// fails the test if the write is rejected.
 func (s *cluster) putConfig(t *testing.T, after int64, body string) (version int64, confirmed time.Time) {
 	t.Helper()
 	for end, i := time.Now().Add(waitTimeout), max(0, s.leader()); time.Now().Before(end); i++ {
@@ -51,11 +51,11 @@
 		case err == nil && status == 200:
 			return version, time.Now()
 		case err == nil && status != 503:
-			t.Fatalf("after %d: %d %s", after, status, text)
+			t.Fatalf("a write after version %d: status %d, %s", after, status, text)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("after %d: nobody takes it", after)
+	t.Fatalf("no member accepts a write after version %d", after)
 	return 0, time.Time{}
 }
 
@@ -83,7 +83,7 @@
 	return c
 }
 
-// watchesAt returns the watches in flight at a member.
+// watchesAt returns the number of watches in flight at a member.
 func (s *cluster) watchesAt(t *testing.T, i int) (n int) {
 	t.Helper()
 	host, _, _ := net.SplitHostPort(s.addresses[i])
--- a/cmd/merlinpick-registry/kill_test.go
+++ b/cmd/merlinpick-registry/kill_test.go
@@ -16,7 +16,8 @@
 	"merlinpick/internal/registry/state"
 )
 
-// killAtRandom kills or suspends a random member, the leader, or all, until so many members were killed.
+// killAtRandom kills or suspends a random member, the leader, or all, until the given number of members was
+// killed.
 func (s *cluster) killAtRandom(r *rand.Rand, kills int) {
 	for killed := 0; killed < kills; {
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
@@ -62,14 +63,15 @@
 
 func endpointName(writer, n int) string { return fmt.Sprintf("w%d-%d", writer, n) }
 
-// workload writes endpoints and reads the list while members are killed, and records the history of all calls.
+// workload writes endpoints and reads the list while members are killed, and records the history of all
+// calls.
 type workload struct {
 	t       *testing.T
 	cluster *cluster
 	history *linear.History
 
 	mu           sync.Mutex
-	acknowledged map[string]string // last value by endpoint, as package linear has it
+	acknowledged map[string]string // last value by endpoint, as defined by package linear
 	changes      int64
 }
 
@@ -104,7 +106,8 @@
 	}
 }
 
-// call makes one call, which the client repeats until it is decided: one in flight at a kill may have taken effect or not.
+// call makes one call and records it. The client repeats the call until the outcome is known: a call in
+// flight at a kill may or may not have taken effect.
 func (l *workload) call(ctx context.Context, writer int, kind linear.Operation, rec state.Record, call func(context.Context) error) bool {
 	end := l.history.Begin(kind, rec.Name, rec.Instance, writer+1)
 	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), waitTimeout)
@@ -145,7 +148,8 @@
 	}
 }
 
-// check compares a member's list with what was acknowledged, above the version at the beginning.
+// check compares a member's list with the acknowledged values, and the number of its versions since
+// firstVersion with the number of changes.
 func (l *workload) check(member int, firstVersion int64) {
 	l.t.Helper()
 	_, version, values, err := l.cluster.list(l.t.Context(), member)
@@ -162,7 +166,7 @@
 	}
 }
 
-// killCount is ROSTER_KILLS, or what CI has time for.
+// killCount returns the environment's ROSTER_KILLS, or a number that CI has time for.
 func killCount(t *testing.T) int {
 	t.Helper()
 	text := os.Getenv("ROSTER_KILLS")
@@ -176,8 +180,8 @@
 	return kills
 }
 
-// Across kills and suspensions, no acknowledged registration is lost, none takes effect twice, and the history of
-// linearizable reads and writes is linearizable.
+// Across kills and suspensions, no acknowledged registration is lost, none takes effect twice, and the
+// history of linearizable reads and writes is linearizable.
 func TestKillsLoseNoAcknowledgedWrite(t *testing.T) {
 	kills := killCount(t)
 	s := startCluster(t, 3)
@@ -204,7 +208,8 @@
 	}
 	verdict := load.history.Check(waitTimeout)
 	if len(verdict.Violations) > 0 || len(verdict.Undecided) > 0 {
-		t.Errorf("no order explains %v; not decided: %v", verdict.Violations, verdict.Undecided)
+		t.Errorf("the history is not linearizable: violations %v; undecided: %v", verdict.Violations,
+			verdict.Undecided)
 	}
 	t.Logf("%d kills, %d changes, %d calls in the history", kills, load.changes, verdict.Calls)
 }
--- a/cmd/merlinpick-registry/oldbuild_test.go
+++ b/cmd/merlinpick-registry/oldbuild_test.go
@@ -20,15 +20,15 @@
 	"merlinpick/internal/registry/config"
 )
 
-// While a member does not answer that it supports configurations, as builds before them do not, no member accepts a write.
-// The first write needs all members' answers; later ones do not wait for a member that is down.
+// While a member runs a build that does not support configurations, no member accepts a write of one. The
+// first write needs an answer from all members; later ones go on without a member that is down.
 func TestOldBuildBlocksConfigWrites(t *testing.T) {
 	const old = 2
 	var isOld atomic.Bool
 	isOld.Store(true)
 	var mu sync.Mutex
 	fakeOldAPIs := map[string]string{}
-	// The others reach the last member's API through a proxy that answers as an older build would.
+	// The other members reach the last member's API through a proxy that answers as an older build would.
 	s := startCluster(t, 3, func(i int, f *config.File) {
 		if i == old {
 			return
@@ -63,7 +63,7 @@
 		m.List = fakeOldAPIs[m.List]
 	})
 	l := s.awaitLeader(t)
-	for l == old { // a leader does not ask itself: have another member lead
+	for l == old { // a leader does not check its own build: make another member lead
 		if err := s.processes[old].Kill(); err != nil {
 			t.Fatal(err)
 		}
@@ -93,7 +93,7 @@
 	waitFor(t, "a leader", func() bool { l = s.leader(); return l >= 0 })
 	status, _, text, err := s.putConfigAt(l, 0, document("x"))
 	if err != nil || status != 503 || !strings.Contains(text, "r3 has not told") {
-		t.Errorf("a first one without r3: %d %s, %v", status, text, err)
+		t.Errorf("the first write while r3 is down: %d %s, %v", status, text, err)
 	}
 	s.start(old)
 	s.awaitServing()
@@ -116,7 +116,8 @@
 	}
 }
 
-// A real build without configurations, which ROSTER_OLD names, blocks writes of them and is not harmed by them.
+// A real build without configurations, whose program ROSTER_OLD names, blocks writes of configurations, and
+// the list survives the upgrade and the downgrade.
 func TestRealOldBuildBlocksConfigWrites(t *testing.T) {
 	old := os.Getenv("ROSTER_OLD")
 	if old == "" {
@@ -143,13 +144,13 @@
 	}
 	version, _ := s.putConfig(t, 0, document("x"))
 	if _, _, values, err := s.list(ctx, 1); err != nil || values["n1"] == "" {
-		t.Errorf("the list is lost: %v, %v", values, err)
+		t.Errorf("endpoint n1 was lost in the upgrade: %v, %v", values, err)
 	}
 	replaceBuild(t, s, 0, old) // downgrade
-	waitFor(t, "another to lead", func() bool { return s.leader() > 0 })
+	waitFor(t, "another member to lead", func() bool { return s.leader() > 0 })
 	status, _, text, err := s.putConfigAt(1, version, document("y"))
 	if err != nil || status != 503 || !strings.Contains(text, "r1 runs a build without configurations") {
-		t.Errorf("after r1 was set back: %d %s, %v", status, text, err)
+		t.Errorf("after r1 was downgraded: %d %s, %v", status, text, err)
 	}
 }
 
--- a/cmd/merlinpick-registry/partition_test.go
+++ b/cmd/merlinpick-registry/partition_test.go
@@ -12,7 +12,8 @@
 	"merlinpick/internal/registry/config"
 )
 
-// breakableLink relays connections between a member and the others. While it is broken, it has none.
+// breakableLink relays connections between a member and the others. While it is broken, it closes all
+// connections.
 type breakableLink struct {
 	mu          sync.Mutex
 	broken      bool
@@ -42,7 +43,7 @@
 	}
 }
 
-// relayTo returns an address that is relayed to another through the link.
+// relayTo returns an address whose connections the link relays to addr.
 func (b *breakableLink) relayTo(t *testing.T, addr string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,7 +79,8 @@
 	return l.Addr().String()
 }
 
-// A partitioned member accepts no write, and its watches move on in time. Once it is back it has what was written meanwhile.
+// A partitioned member accepts no write, and its proxies move to other members in time to apply a change
+// within the documented bound. After the partition it has what was written meanwhile.
 func TestPartitionedMemberRejectsConfigWrites(t *testing.T) {
 	links := []*breakableLink{{connections: map[net.Conn]bool{}}, {connections: map[net.Conn]bool{}},
 		{connections: map[net.Conn]bool{}}}
@@ -104,21 +106,22 @@
 	// Clients still reach it, and it leads until its leadership is checked.
 	status, _, text, err := s.putConfigAt(l, version, document("lost"))
 	if err != nil || status != 503 {
-		t.Errorf("cut off: %d %s, %v", status, text, err)
+		t.Errorf("a write at the partitioned leader: %d %s, %v", status, text, err)
 	}
 	var confirmed int64
-	waitFor(t, "the others to take one", func() bool {
+	waitFor(t, "the other members to accept a write", func() bool {
 		status, v, _, err := s.putConfigAt((l+1)%3, version, document("after"))
 		confirmed, at = v, time.Now()
 		return err == nil && status == 200
 	})
-	t.Logf("in force at all after %v", awaitApplied(t, all, confirmed, "after", at, appliedWithin))
+	t.Logf("applied by all proxies after %v", awaitApplied(t, all, confirmed, "after", at, appliedWithin))
 	if text, err := get(t.Context(), time.Second, "http://"+s.addresses[l]+"/config/tarifas"); err == nil || !errors.Is(err, errRejected) {
 		t.Errorf("the partitioned member answers %s, %v", text, err)
 	}
 	links[l].setBroken(false)
 	s.awaitServing()
 	if c := s.config(t, l); c.Version != confirmed || !bytes.Contains(c.Document, []byte("after")) {
-		t.Errorf("back, it has version %d, and %d was confirmed: %s", c.Version, confirmed, c.Document)
+		t.Errorf("after the partition the member has version %d instead of %d: %s", c.Version, confirmed,
+			c.Document)
 	}
 }
--- a/cmd/merlinpick-registry/proxies_test.go
+++ b/cmd/merlinpick-registry/proxies_test.go
@@ -16,10 +16,12 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-const proxyConfigFormat = `{"name":%q,"listen":%q,"mgmt":%q,"discovery_members":[%s],"discovery_state":%q,"config_service":"tarifas","seed":"%d",` +
+const proxyConfigFormat = `{"name":%q,"listen":%q,"mgmt":%q,"discovery_members":[%s],"discovery_state":%q,` +
+	`"config_service":"tarifas","seed":"%d",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":1,"snapshot":true,"endpoints":[]},%s}`
 
-// settingsMember is the part of a proxy's file that a document has too; its class tells documents apart.
+// settingsMember returns the JSON member "settings", which a proxy's file and a document share. The name of
+// the class distinguishes documents.
 func settingsMember(class string) string {
 	return fmt.Sprintf(`"settings":{"contract":{},"failure_domains":["a","b"],"limits":{"dial_timeout_us":100000,`+
 		`"idle_close_us":1000000,"try_limit":3},"membership_mode":"automatic","profiles":[{"give_up_us":800000,"name":%q,`+
@@ -28,7 +30,7 @@
 
 func document(class string) string { return "{" + settingsMember(class) + "}" }
 
-// proxyProcess is a proxy as a process.
+// proxyProcess is a proxy that runs as a process of its own.
 type proxyProcess struct {
 	*process.Process
 	t                *testing.T
@@ -77,7 +79,7 @@
 	f.Process = p
 }
 
-// metrics are those of the management address; empty while it does not answer.
+// metrics returns the metrics of the proxy's management address; they are empty while it does not answer.
 func (f *proxyProcess) metrics() map[string]int64 {
 	out := map[string]int64{}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -95,28 +97,29 @@
 	return out
 }
 
-// hasApplied reports whether the proxy has applied a version, with its class.
+// hasApplied reports whether the proxy has applied a version of the configuration and knows its class.
 func (f *proxyProcess) hasApplied(version int64, class string) bool {
 	metrics := f.metrics()
 	_, named := metrics["succeeded."+class]
 	return metrics["config_version"] == version && named
 }
 
-// awaitApplied waits until all proxies have applied a version, and returns how long after begun the last one had.
+// awaitApplied waits until all proxies have applied a version, and returns how long after begun the last one
+// had.
 func awaitApplied(t *testing.T, all []*proxyProcess, version int64, class string, begun time.Time, within time.Duration) time.Duration {
 	t.Helper()
 	last := time.Duration(0)
 	for _, f := range all {
 		for !f.hasApplied(version, class) {
 			if time.Since(begun) > waitTimeout {
-				t.Fatalf("%s: version %d is not in force: %v", f.name, version, f.metrics())
+				t.Fatalf("%s has not applied version %d: %v", f.name, version, f.metrics())
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 		last = max(last, time.Since(begun))
 	}
 	if last > within {
-		t.Errorf("version %d is in force after %v, and not within %v", version, last, within)
+		t.Errorf("version %d was applied by all proxies after %v, want at most %v", version, last, within)
 	}
 	return last
 }
--- a/cmd/merlinpick-registry/recovery_test.go
+++ b/cmd/merlinpick-registry/recovery_test.go
@@ -10,7 +10,8 @@
 	"merlinpick/internal/registry/registrar"
 )
 
-// With full disks nothing is acknowledged or lost, the list is still served, and writes go on when there is room.
+// While all disks are full, no write is acknowledged, none is lost, and no member ends. When there is room,
+// writes are accepted again.
 func TestFullDisksConfirmNothingAndRecover(t *testing.T) {
 	s := startCluster(t, 3)
 	c := registrar.New(s.addresses)
@@ -51,7 +52,8 @@
 	}
 }
 
-// A member that has lost its directory does not vote for one that lacks what it had acknowledged.
+// A member that has lost its directory does not vote, so that no member becomes leader without an entry that
+// the lost directory had acknowledged.
 func TestWipedMemberAbstainsUntilCaughtUp(t *testing.T) {
 	s := startCluster(t, 3)
 	c := registrar.New(s.addresses)
@@ -81,7 +83,7 @@
 	})
 	for range 150 { // several elections
 		if l := s.leader(); l >= 0 {
-			t.Fatalf("r%d leads by the vote of one that has lost its directory", l+1)
+			t.Fatalf("r%d was elected with the vote of a member that has lost its directory", l+1)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/cmd/merlinpick-registry/rollout_bench_test.go
+++ b/cmd/merlinpick-registry/rollout_bench_test.go
@@ -12,7 +12,7 @@
 	"merlinpick/internal/rollout"
 )
 
-// appliedLog records when documents were applied.
+// appliedLog counts the applied documents and records when the last one was applied.
 type appliedLog struct {
 	mu sync.Mutex
 	at time.Time
@@ -32,8 +32,8 @@
 	return n.n, n.at
 }
 
-// BenchmarkRollout measures the time from an acknowledged write until clients of five members have applied it: the median,
-// the 99th percentile, and the last.
+// BenchmarkRollout measures the time from an acknowledged write until clients of five members have applied
+// it: the median, the 99th percentile, and the last.
 func BenchmarkRollout(b *testing.B) {
 	s := startCluster(b, 5)
 	for _, n := range []int{30, 100, 300, 1300} {
--- a/cmd/merlinpick-registry/rollout_test.go
+++ b/cmd/merlinpick-registry/rollout_test.go
@@ -15,10 +15,11 @@
 	"merlinpick/internal/rollout"
 )
 
-// appliedWithin is the documented bound.
+// appliedWithin is the documented time in which all proxies apply a change.
 const appliedWithin = 9 * time.Second
 
-// rolloutRun is a cluster with proxies that follow its configurations, and the newest version that was written.
+// rolloutRun is a cluster with proxies that follow its configurations, and the newest version that was
+// written.
 type rolloutRun struct {
 	cluster *cluster
 	proxies []*proxyProcess
@@ -26,8 +27,8 @@
 	changes int // class of the last change
 }
 
-// Whatever fails meanwhile, all proxies apply a change in time, once, and apply no invalid one. The cases share the
-// cluster and run in this order.
+// Whatever fails at the same time, all proxies apply a change in time and once, and none applies an invalid
+// one. The cases share the cluster and run in this order.
 func TestConfigChangeIsAppliedDespiteFailures(t *testing.T) {
 	s := startCluster(t, 3)
 	r := &rolloutRun{cluster: s, proxies: newProxies(t, s, 6)}
@@ -58,8 +59,8 @@
 	}
 }
 
-// change writes the next document with fail running beside it, and waits until all proxies have applied it. Restore undoes
-// the failure afterwards. Both may be nil.
+// change writes the next document while fail runs, and waits until all proxies have applied it. Restore
+// undoes the failure afterwards. Both functions may be nil.
 func (r *rolloutRun) change(t *testing.T, fail, restore func()) {
 	t.Helper()
 	r.changes++
--- a/cmd/merlinpick-registry/slope_callers_test.go
+++ b/cmd/merlinpick-registry/slope_callers_test.go
@@ -16,9 +16,12 @@
 	"merlinpick/internal/registry/state"
 )
 
-// BenchmarkSlopeFollowing measures a proxy client's control bytes, in and out, by changes of the list.
+// BenchmarkSlopeFollowing measures the bytes that a proxy's client sends and receives, by changes of the
+// list.
 func BenchmarkSlopeFollowing(b *testing.B) {
-	rates := []float64{0, 60, 600, 3120, 6240} // a minute; the last two are the greatest release, and that of twice the nodos
+	// Changes per minute. The last two are the largest release of servers, and that with twice as many
+	// servers.
+	rates := []float64{0, 60, 600, 3120, 6240}
 	const took = 15 * time.Second
 	runs := make([][]float64, runCount)
 	for b.Loop() {
@@ -65,11 +68,13 @@
 		}
 	}
 	recordSlope(b, rates, runs, capacity.Slope{Name: "list.proxy.bytes", Role: "proxy following lists",
-		Metric: "control bytes in and out",
-		Unit:   "B/s", Dimension: "changes a minute", Note: "one proxy's client with 1,300 nodos listed; changes within 50 ms are told together; HTTP heads and bodies, without what TCP and IP add"})
+		Metric: "control bytes in and out", Unit: "B/s", Dimension: "changes a minute",
+		Note: "one proxy's client with 1,300 nodos listed; changes within 50 ms are told together; " +
+			"HTTP heads and bodies, without what TCP and IP add"})
 }
 
-// BenchmarkSlopeKeeping measures a server's control bytes, in and out, by renewals: leases of 4, 2 and 1 s.
+// BenchmarkSlopeKeeping measures the bytes that a server sends and receives to keep its lease, by renewals
+// per second, with leases of 4, 2 and 1 s.
 func BenchmarkSlopeKeeping(b *testing.B) {
 	leases := []float64{4, 2, 1}
 	const took = 24 * time.Second
@@ -115,11 +120,11 @@
 		sizes = append(sizes, 3/lease)
 	}
 	recordSlope(b, sizes, runs, capacity.Slope{Name: "lease.nodo.bytes", Role: "nodo keeping its lease",
-		Metric: "control bytes in and out",
-		Unit:   "B/s", Dimension: "renewals a second of a nodo", Note: "leases of 4, 2 and 1 s; HTTP heads and bodies, without what TCP and IP add"})
+		Metric: "control bytes in and out", Unit: "B/s", Dimension: "renewals a second of a nodo",
+		Note: "leases of 4, 2 and 1 s; HTTP heads and bodies, without what TCP and IP add"})
 }
 
-// BenchmarkSlopeRenewing measures a server's processor time by renewals, alone in this process.
+// BenchmarkSlopeRenewing measures the processor time of this process, as a server's, by renewals per second.
 func BenchmarkSlopeRenewing(b *testing.B) {
 	rates := []float64{1, 3, 10}
 	const settleTime, measureTime = 500 * time.Millisecond, 4 * time.Second
@@ -155,6 +160,6 @@
 		c.Close()
 	}
 	recordSlope(b, rates, runs, capacity.Slope{Name: "lease.nodo.cpu", Role: "nodo keeping its lease",
-		Metric: "cpu of renewals",
-		Unit:   "% of a core", Dimension: "renewals a second of a nodo", Note: "with all that a Go process does besides"})
+		Metric: "cpu of renewals", Unit: "% of a core", Dimension: "renewals a second of a nodo",
+		Note: "with all that a Go process does besides"})
 }
--- a/cmd/merlinpick-registry/slope_test.go
+++ b/cmd/merlinpick-registry/slope_test.go
@@ -25,10 +25,10 @@
 )
 
 var (
-	slopesTo     = flag.String("slopes.to", "", "append the slopes measured to this file")
-	slopesCommit = flag.String("slopes.commit", "0000000", "commit of the program measured")
-	slopesOn     = flag.String("slopes.machine", "", "machine measured on")
-	slopesNote   = flag.String("slopes.note", "", "what else is to be known of the run")
+	slopesTo     = flag.String("slopes.to", "", "append the measured slopes to this file")
+	slopesCommit = flag.String("slopes.commit", "0000000", "commit of the measured program")
+	slopesOn     = flag.String("slopes.machine", "", "machine of the measurement")
+	slopesNote   = flag.String("slopes.note", "", "further remarks on the run")
 )
 
 const (
@@ -39,11 +39,11 @@
 	plannedEndpoints = 1300 // nodos and proxies, where something else grows
 )
 
-// recordSlope fits a line through measurements and records it as a figure of the capacity page.
+// recordSlope fits a line through the measurements and appends it to the file of -slopes.to.
 func recordSlope(b *testing.B, sizes []float64, runs [][]float64, s capacity.Slope) {
 	b.Helper()
 	if b.Failed() {
-		return // a void run is no figure
+		return // an invalid run is not recorded
 	}
 	s.Commit, s.Machine = *slopesCommit, *slopesOn
 	s.Command = "go test -run xxx -bench " + strings.ReplaceAll(b.Name(), "Benchmark", "") + "$ -benchtime 1x ./cmd/merlinpick-registry"
@@ -76,7 +76,7 @@
 	return pages * float64(os.Getpagesize()) / 1e6
 }
 
-// registerEndpoints registers endpoints n0 to n(count-1), many at a time.
+// registerEndpoints registers the endpoints with the numbers from to count-1, 32 at a time.
 func registerEndpoints(b *testing.B, s *cluster, from, count int) {
 	c := registrar.New(s.addresses)
 	defer c.Close()
@@ -96,7 +96,7 @@
 	all.Wait()
 }
 
-// realisticRecord returns an endpoint with names as long as real ones.
+// realisticRecord returns endpoint number i, with names as long as real ones.
 func realisticRecord(i int) state.Record {
 	r := record(fmt.Sprintf("s-%08x", i), 1_790_000_000_000)
 	r.Address, r.Zone, r.Type = fmt.Sprintf("10.%d.%d.18:8443", i/250, i%250), fmt.Sprintf("zone-%d", i%9), "m2"
@@ -104,7 +104,8 @@
 	return r
 }
 
-// callAtRate calls do at a rate, spread over callers, until ctx ends.
+// callAtRate calls do rate times per second, spread over the callers, until ctx ends. The caller waits for
+// the calls with the returned group.
 func callAtRate(ctx context.Context, rate float64, callers int, do func(caller, i int)) *sync.WaitGroup {
 	var all sync.WaitGroup
 	if rate == 0 {
@@ -141,7 +142,7 @@
 		leader = append(leader, 100*(cpuSeconds(b, s.processes[l].PID())-lead)/took)
 		follower = append(follower, 100*(cpuSeconds(b, s.processes[f].PID())-follow)/took)
 		if s.leader() != l {
-			b.Fatal("another leader: the run is void")
+			b.Fatal("the leader changed during the measurement: the run is invalid")
 		}
 		stop()
 		all.Wait()
@@ -149,7 +150,8 @@
 	return leader, follower
 }
 
-// BenchmarkSlopeRenewals measures the cost of renewals: five members, 1,300 endpoints, spread evenly over the members.
+// BenchmarkSlopeRenewals measures the cost of renewals: five members, 1,300 endpoints, spread evenly over the
+// members.
 func BenchmarkSlopeRenewals(b *testing.B) {
 	rates := []float64{100, 400, 1300}
 	var leader, follower [][]float64
@@ -182,7 +184,7 @@
 	recordSlope(b, rates, follower, is)
 }
 
-// watchList watches the list as a proxy does, without pauses.
+// watchList watches the list as a proxy does, without pauses between watches, until ctx ends.
 func watchList(ctx context.Context, addr string, from int64, line string) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -209,9 +211,10 @@
 	}
 }
 
-// BenchmarkSlopeChanges measures the cost of changes: five members, 1,300 endpoints, 1,300 watches, 260 at each member.
+// BenchmarkSlopeChanges measures the cost of changes: five members, 1,300 endpoints, 1,300 watches, 260 at
+// each member.
 func BenchmarkSlopeChanges(b *testing.B) {
-	rates := []float64{30, 120, 300} // a minute; more than that wants a machine without other work
+	rates := []float64{30, 120, 300} // changes per minute; higher rates need a machine without other load
 	var leader, follower [][]float64
 	for b.Loop() {
 		s := startCluster(b, memberCount)
@@ -239,7 +242,7 @@
 				sure := settleTime + measureTime - 200*time.Millisecond
 				time.AfterFunc(sure, func() {
 					if want := rate / 60 * sure.Seconds(); float64(made.Load()) < 0.9*want {
-						b.Errorf("%d changes where %v were to be made: the run is void", made.Load(), want)
+						b.Errorf("%d changes were made instead of %v: the run is invalid", made.Load(), want)
 					}
 				})
 				return callAtRate(ctx, rate/60, 16, func(_, i int) {
@@ -327,8 +330,7 @@
 		Role: "list member as leader", Metric: "memory without watches",
 		Unit: "MB", Dimension: "nodos", Note: "one member on its own, which leads"})
 	recordSlope(b, sizes, bodies, capacity.Slope{Name: "list.proxy.whole_list", Role: "proxy following lists",
-		Metric: "a whole list's length",
-		Unit:   "bytes", Dimension: "listed nodos", Note: "the body alone"})
+		Metric: "a whole list's length", Unit: "bytes", Dimension: "listed nodos", Note: "the body alone"})
 }
 
 // countingRelay relays connections to a member and counts their bytes, both ways.
--- a/internal/registry/api/api_test.go
+++ b/internal/registry/api/api_test.go
@@ -48,7 +48,7 @@
 	return node, s
 }
 
-// call makes a call and returns the answer's status, Retry-After and body.
+// call makes a call and returns the response's status, Retry-After header and body.
 func call(t testing.TB, s *Server, method, path, body string) (status int, after, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.Addr()+path, strings.NewReader(body))
@@ -69,7 +69,7 @@
 
 const body = `{"address":"127.0.0.1:1","zone":"a","instance":"i","lease_ms":60000}`
 
-// An invalid call is answered with what is wrong, and changes nothing.
+// The response to an invalid call names what is wrong, and the call changes nothing.
 func TestInvalidCalls(t *testing.T) {
 	node, s := openServer(t, 10)
 	_, before := node.Version()
@@ -103,11 +103,12 @@
 		}
 	}
 	if _, after := node.Version(); after != before {
-		t.Errorf("version %d became %d", before, after)
+		t.Errorf("invalid calls changed version %d to %d", before, after)
 	}
 }
 
-// By its version and epoch a client gets changes, the whole list, or waits, in the published form.
+// Depending on its version and epoch, a client gets the changes or the whole list in the published form, or
+// waits.
 func TestListWatch(t *testing.T) {
 	node, s := openServer(t, 2)
 	epoch, base := node.Version()
@@ -169,7 +170,7 @@
 	}
 }
 
-// A client that does not read its answers delays no other.
+// A client that does not read its responses delays no other client.
 func TestSlowClientDelaysNobody(t *testing.T) {
 	node, s := openServer(t, 10)
 	snapshot := node.StateSnapshot()
@@ -195,7 +196,7 @@
 	}
 }
 
-// After any registration, the state passes its check.
+// FuzzRegister checks that the state is valid after any registration.
 func FuzzRegister(f *testing.F) {
 	node, s := openServer(f, 10)
 	f.Add([]byte(body))
@@ -208,7 +209,7 @@
 		}
 		snapshot := node.StateSnapshot()
 		if err := snapshot.Check(); err != nil {
-			t.Errorf("%q left %v", data, err)
+			t.Errorf("registration %q led to an invalid state: %v", data, err)
 		}
 	})
 }
--- a/internal/registry/api/bench_test.go
+++ b/internal/registry/api/bench_test.go
@@ -29,7 +29,8 @@
 	return r.Version
 }
 
-// startUnshared serves watches without shared answers: each client's is encoded for it.
+// startUnshared serves watches without shared responses, for comparison: each response is encoded for its
+// client alone.
 func startUnshared(b *testing.B, node *raftnode.Node) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +63,7 @@
 	return l.Addr().String()
 }
 
-// rawClient is a connection that spends little on its calls, so that the server is what is measured.
+// rawClient is a client that uses little processor time per call, so that a benchmark measures the server.
 type rawClient struct {
 	net.Conn
 	r *bufio.Reader
@@ -82,7 +83,7 @@
 	fmt.Fprintf(c, "GET /catalog/members?from=%d&hold_ms=60000 HTTP/1.1\r\nHost: x\r\n\r\n", from)
 }
 
-// readResponse reads an answer by its Content-Length.
+// readResponse reads a response and discards its body.
 func (c *rawClient) readResponse() error {
 	length := 0
 	for {
@@ -101,7 +102,7 @@
 	return err
 }
 
-// BenchmarkFanout measures the time from a committed change until each watch is answered.
+// BenchmarkFanout measures the time from a committed change until each watch has its response.
 func BenchmarkFanout(b *testing.B) {
 	for _, n := range []int{300, 1000, 5000} {
 		for _, form := range []string{"shared", "naive"} {
@@ -151,7 +152,8 @@
 	}
 }
 
-// BenchmarkWhole measures the time until all clients that call at once have a list of 1,000 endpoints, as after a restore.
+// BenchmarkWhole measures the time until all clients that call at once have a list of 1,000 endpoints, as
+// after a restore.
 func BenchmarkWhole(b *testing.B) {
 	for _, n := range []int{300, 1000} {
 		for _, form := range []string{"shared", "naive"} {
--- a/internal/registry/api/configs_test.go
+++ b/internal/registry/api/configs_test.go
@@ -13,14 +13,14 @@
 	"merlinpick/internal/settings"
 )
 
-// document is a valid document, distinguished by n.
+// document returns a valid document, distinguished by n.
 func document(n int) string {
 	return fmt.Sprintf(`{"settings":{"contract":{},"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,`+
 		`"try_limit":%d},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,`+
 		`"repeat":"idempotent","worth":1}],"siblings":1}}`, n)
 }
 
-// putDocument writes one and returns its version.
+// putDocument writes document(n) as the version after the given one, and returns its version.
 func putDocument(t testing.TB, s *Server, service string, after int64, n int) int64 {
 	t.Helper()
 	status, _, text := call(t, s, "PUT", fmt.Sprintf("/config/%s?from=%d", service, after), document(n))
@@ -31,7 +31,8 @@
 	return c.Version
 }
 
-// An invalid write is answered with key and remedy, and changes nothing; a repeated one takes effect once.
+// The response to an invalid write names the key at fault and the remedy, and the write changes nothing. A
+// repeated write takes effect once.
 func TestPutConfig(t *testing.T) {
 	node, s := openServer(t, 10)
 	first := putDocument(t, s, "tarifas", 0, 1)
@@ -94,7 +95,8 @@
 	}
 }
 
-// By its version and epoch a watch gets the document, waits, or is answered that there is no newer version.
+// Depending on its version and epoch, a watch gets the document, waits, or learns that there is no newer
+// version.
 func TestConfigWatch(t *testing.T) {
 	node, s := openServer(t, 2)
 	epoch, _ := node.Version()
@@ -125,8 +127,8 @@
 			t.Errorf("%s?%s: %d %s (%v)", c.service, c.query, status, text, err)
 		}
 	}
-	// A write answers the watches in flight; a change of the list or of another service does not; one watch too many is
-	// rejected.
+	// A write answers the watches in flight; a change of the list or of another service does not; one watch
+	// too many is rejected.
 	type response struct {
 		status int
 		text   string
@@ -154,7 +156,7 @@
 	}
 }
 
-// A proxy's state follows from its own report and the report's age.
+// A proxy's state in ConfigStatus depends on its own last report and the report's age.
 func TestConfigStatus(t *testing.T) {
 	_, s := openServer(t, 10)
 	first := putDocument(t, s, "a", 0, 1)
@@ -195,6 +197,6 @@
 		t.Errorf("all: %+v", all)
 	}
 	if s.Metrics().ProxyReports != 5 {
-		t.Errorf("%d words", s.Metrics().ProxyReports)
+		t.Errorf("%d reports are kept, want 5", s.Metrics().ProxyReports)
 	}
 }
--- a/internal/registry/api/golden_test.go
+++ b/internal/registry/api/golden_test.go
@@ -9,7 +9,7 @@
 	"merlinpick/internal/registry/rollout"
 )
 
-// The answers are byte for byte what earlier versions sent.
+// The JSON responses are byte for byte those of earlier versions.
 func TestAnswersMatchGolden(t *testing.T) {
 	report := rollout.ProxyReport{Name: "p1", AppliedVersion: 3, RejectedVersion: 4,
 		RejectReason: "limits: no", AgeMs: 5}
--- a/internal/registry/config/config_test.go
+++ b/internal/registry/config/config_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Faults can be told apart by their types.
+// Errors in keys and syntax errors have their own types.
 func TestParseErrorsAreTyped(t *testing.T) {
 	var fault *Error
 	if _, err := Parse("f", "nmae = 1\n"); !errors.As(err, &fault) || fault.File != "f" || fault.Key != "nmae" {
--- a/internal/registry/lease/lease_test.go
+++ b/internal/registry/lease/lease_test.go
@@ -10,7 +10,7 @@
 
 const second = time.Second
 
-// putLeases starts n leases of 10 s in each of some zones.
+// putLeases starts n leases of 10 s in each zone; zones has one letter per zone.
 func putLeases(t *Table, now time.Time, zones string, n int) {
 	for _, z := range zones {
 		for i := range n {
@@ -111,7 +111,7 @@
 		simulate(table, begin, 5*second, never)
 		r := simulate(table, begin.Add(35*second), 4*second, never)
 		if len(r.expired) != 0 {
-			t.Errorf("%+v expired 9 s into their leases", r)
+			t.Errorf("%+v: leases expired after 9 s of running time", r)
 		}
 	})
 	t.Run("a new leader restarts all leases", func(t *testing.T) {
@@ -130,7 +130,7 @@
 		table := New(DefaultConfig())
 		putLeases(table, begin, "a", 1)
 		if table.Renew(begin, state.InstanceRef{Name: "a0", Instance: "2"}) || table.Renew(begin, state.InstanceRef{Name: "a1", Instance: "1"}) {
-			t.Error("renewed")
+			t.Error("another instance or an unknown endpoint renewed a lease")
 		}
 	})
 }
--- a/internal/registry/raftnode/freshness_test.go
+++ b/internal/registry/raftnode/freshness_test.go
@@ -7,7 +7,8 @@
 	"merlinpick/internal/registry/state"
 )
 
-// A member that lacks a write of a configuration is not up to date: such a write makes no version of the list.
+// A member that lacks a write of a configuration is not up to date, although such a write creates no version
+// of the list.
 func TestReadIndexCoversConfigurations(t *testing.T) {
 	stateAfter := func(services ...string) *state.State {
 		s := state.New()
--- a/internal/registry/raftnode/golden_test.go
+++ b/internal/registry/raftnode/golden_test.go
@@ -9,7 +9,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// The answers about a member are byte for byte those of earlier versions.
+// The JSON responses about a member are byte for byte those of earlier versions.
 func TestMemberAnswersMatchGolden(t *testing.T) {
 	left := int64(1234)
 	record := state.Record{Instance: "i1", LeaseMs: 5000, Endpoint: state.Endpoint{Name: "n1", Address: "10.0.0.1:80", Zone: "a",
--- a/internal/registry/raftnode/peers_test.go
+++ b/internal/registry/raftnode/peers_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Errors of peers name the member and can be told apart.
+// Errors of calls to peers name the member and have distinct types.
 func TestPeerErrors(t *testing.T) {
 	status, body := http.StatusOK, `{"name":"r2","configs":true}`
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -30,12 +30,12 @@
 	var wrongPeer *WrongPeerError
 	body = `{"name":"r3","configs":true}`
 	if err := node.SupportsConfigs(t.Context(), peer); !errors.As(err, &wrongPeer) || *wrongPeer != (WrongPeerError{"r2", "r3"}) {
-		t.Errorf("another member's answer: %v", err)
+		t.Errorf("a response under another name: %v", err)
 	}
 	var peerStatus *PeerStatusError
 	status = http.StatusServiceUnavailable
 	if err := node.SupportsConfigs(t.Context(), peer); !errors.As(err, &peerStatus) || *peerStatus != (PeerStatusError{"r2", "503 Service Unavailable"}) {
-		t.Errorf("an answer of 503: %v", err)
+		t.Errorf("a response with status 503: %v", err)
 	}
 	var unknown *UnknownMemberError
 	if _, err := (peerAddresses{peer}).ServerAddr("r9"); !errors.As(err, &unknown) || unknown.Member != "r9" {
--- a/internal/registry/registrar/registrar_test.go
+++ b/internal/registry/registrar/registrar_test.go
@@ -14,7 +14,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// startMember serves the API of a member by a handler, and returns its address.
+// startMember serves a member's API with a handler, and returns its address.
 func startMember(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(handle)
@@ -62,7 +62,7 @@
 	}
 }
 
-// A call goes on to the next member after one that does not take it, and is not repeated after it was rejected.
+// A call moves on to the next member if one cannot serve it, and is not repeated after it was rejected.
 func TestCallUntilDecided(t *testing.T) {
 	var calls atomic.Int32
 	down := startMember(t, answer(http.StatusServiceUnavailable, `{"error":"this member does not lead"}`))
@@ -76,14 +76,14 @@
 		t.Errorf("got %+v, %v", accepted, err)
 	}
 	if calls.Load() != 1 {
-		t.Errorf("%d calls of the member that takes it", calls.Load())
+		t.Errorf("%d calls to the available member, want 1", calls.Load())
 	}
 
 	calls.Store(0)
 	misconfigured := New([]string{"no address", up})
 	defer misconfigured.Close()
 	if _, err := misconfigured.Register(t.Context(), record); err != nil || calls.Load() != 1 {
-		t.Errorf("beside an address that cannot be called: %v after %d calls", err, calls.Load())
+		t.Errorf("with an invalid address for another member: %v after %d calls", err, calls.Load())
 	}
 
 	calls.Store(0)
@@ -100,7 +100,7 @@
 	defer cancel()
 	var unavailable *UnavailableError
 	if _, err := New([]string{down}).Register(ctx, record); !errors.Is(err, context.DeadlineExceeded) || !errors.As(err, &unavailable) {
-		t.Errorf("got %v, which lacks the last cause or the deadline", err)
+		t.Errorf("got %v, want an error that wraps the deadline and the last *UnavailableError", err)
 	}
 }
 
--- a/internal/registry/rollout/reports_test.go
+++ b/internal/registry/rollout/reports_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Reports expire; a full table takes reports of known proxies, and drops expired ones to make room.
+// Reports expire. A full table accepts reports of known proxies, and drops expired reports to make room.
 func TestReportLimits(t *testing.T) {
 	var table Table
 	at := time.Now()
 	for i := range MaxReports {
 		if !table.Record("a", ProxyReport{Name: fmt.Sprint("p", i)}, at.Add(time.Duration(i%2)*time.Second)) {
-			t.Fatalf("%d were too many", i)
+			t.Fatalf("a table with %d reports rejected another one", i)
 		}
 	}
 	if table.Record("b", ProxyReport{Name: "more"}, at.Add(time.Second)) {
-		t.Error("one more found room")
+		t.Error("a full table accepted a report of another proxy")
 	}
 	if !table.Record("a", ProxyReport{Name: "p1", AppliedVersion: 7}, at.Add(2*time.Second)) {
-		t.Error("a report of a known proxy found no room")
+		t.Error("a full table rejected a report of a known proxy")
 	}
 	if !table.Record("b", ProxyReport{Name: "more"}, at.Add(ReportTTL)) || table.Len() != MaxReports/2+1 {
-		t.Errorf("expired reports take up room: %d", table.Len())
+		t.Errorf("expired reports were not dropped: %d are kept", table.Len())
 	}
 	late := at.Add(ReportTTL + time.Second)
 	if got := table.Reports("a", late); !reflect.DeepEqual(got, []ProxyReport{{Name: "p1", AppliedVersion: 7, AgeMs: (ReportTTL - time.Second).Milliseconds()}}) {
@@ -34,7 +34,8 @@
 	}
 }
 
-// Of several members' reports the newest counts, not the highest version: a proxy may have restarted.
+// Of a proxy's reports to several members the newest counts, not the one with the highest version: a
+// restarted proxy may have applied a lower one.
 func TestNewestReportCounts(t *testing.T) {
 	got := MergeReports([]ProxyReport{{Name: "a", AppliedVersion: 9, AgeMs: 40}, {Name: "b", AppliedVersion: 1, AgeMs: 5}},
 		[]ProxyReport{{Name: "a", AppliedVersion: 3, AgeMs: 10, RejectedVersion: 4, RejectReason: "x"}}, nil, []ProxyReport{{Name: "a", AppliedVersion: 5, AgeMs: 30}})
--- a/internal/registry/state/configs_test.go
+++ b/internal/registry/state/configs_test.go
@@ -23,7 +23,8 @@
 	return s
 }
 
-// A write takes effect after the version that its writer has seen, once, and the previous document is kept.
+// A write takes effect once, and only if its writer has seen the newest version. The previous document is
+// kept.
 func TestConfigure(t *testing.T) {
 	type step struct {
 		c       Command
@@ -34,15 +35,16 @@
 	first, second := step{configureCommand("a", 0, `{"n":1}`), ResultDone, 101, true},
 		step{configureCommand("a", 101, `{"n":2}`), ResultDone, 102, true}
 	for name, steps := range map[string][]step{
-		"one after another":      {first, second},
-		"repeated at once":       {first, {first.c, ResultDone, 101, false}},
-		"repeated after another": {first, second, {second.c, ResultDone, 102, false}, {first.c, ResultConflict, 102, false}},
-		"two at once": {first, second,
+		"one after another": {first, second},
+		"repeated at once":  {first, {first.c, ResultDone, 101, false}},
+		"repeated after another": {first, second, {second.c, ResultDone, 102, false},
+			{first.c, ResultConflict, 102, false}},
+		"concurrent write": {first, second,
 			{configureCommand("a", 101, `{"n":3}`), ResultConflict, 102, false}},
 		"the same document as a new write": {first,
 			{configureCommand("a", 101, `{"n":1}`), ResultDone, 102, true}},
-		"after what is not there": {{configureCommand("a", 101, `{}`), ResultConflict, 0, false}},
-		"after none where there is one": {first,
+		"after a version that does not exist": {{configureCommand("a", 101, `{}`), ResultConflict, 0, false}},
+		"as the first write of an existing configuration": {first,
 			{configureCommand("a", 0, `{}`), ResultConflict, 101, false}},
 		"another service": {first, {configureCommand("b", 0, `{}`), ResultDone, 101, true}},
 		"an invalid name": {{configureCommand("a b", 0, `{}`), ResultIgnored, 0, false},
@@ -58,7 +60,7 @@
 			got := s.Apply(step.c)
 			if got.Code != step.code || got.Version != step.version || got.Changed != step.changes ||
 				s.Version() != 100 {
-				t.Errorf("%s, step %d: got %+v, the list at %d", name, i+1, got, s.Version())
+				t.Errorf("%s, step %d: got %+v and list version %d", name, i+1, got, s.Version())
 			}
 		}
 	}
@@ -74,7 +76,8 @@
 	}
 }
 
-// What does not fit is rejected and changes nothing; a full state still takes shorter documents.
+// A write over MaxServices or MaxDocumentBytes is rejected and changes nothing; a full state still accepts
+// shorter documents.
 func TestConfigurationLimits(t *testing.T) {
 	s := newBegunState()
 	for i := range MaxServices {
@@ -83,7 +86,7 @@
 		}
 	}
 	if r := s.Apply(configureCommand("more", 0, `{}`)); r.Code != ResultNoRoom {
-		t.Errorf("one service more: %+v", r)
+		t.Errorf("one service over the limit: %+v", r)
 	}
 	s = newBegunState()
 	large := `{"a":"` + strings.Repeat("a", 60<<10) + `"}`
@@ -99,17 +102,17 @@
 		n++
 	}
 	if end := replace("twice", large); end != ResultDone {
-		t.Errorf("in the place of as much: %s", end)
+		t.Errorf("a document in place of one of the same size: %s", end)
 	}
-	if held := (n + 2) * len(large); held > MaxDocumentBytes || held < MaxDocumentBytes-len(large) {
-		t.Errorf("%d bytes are held", held)
+	if total := (n + 2) * len(large); total > MaxDocumentBytes || total < MaxDocumentBytes-len(large) {
+		t.Errorf("%d bytes of documents are kept, want almost MaxDocumentBytes", total)
 	}
 	if end := replace("s0", large); end != ResultNoRoom {
-		t.Errorf("a document more: %s", end)
+		t.Errorf("a document over the limit: %s", end)
 	}
 	for range 2 { // the second drops the previous document
 		if end := replace("twice", `{}`); end != ResultDone {
-			t.Fatalf("less: %s", end)
+			t.Fatalf("a shorter document: %s", end)
 		}
 	}
 	if end := replace("s0", large); end != ResultDone {
@@ -124,12 +127,12 @@
 			Configuration{Service: name, Version: 5, Document: json.RawMessage(large)})
 	}
 	if err := snapshot.Check(); err == nil {
-		t.Error("a snapshot over the limit passes")
+		t.Error("a snapshot over the limits passes the check")
 	}
 }
 
-// Without configurations a snapshot is byte for byte that of builds before them; with some it is of a kind that they
-// reject, and any damage is noticed as well.
+// A snapshot without configurations is byte for byte what builds without configurations write. One with
+// configurations is of a kind that such builds reject, and any damage to it is detected.
 func TestSnapshotsWithConfigurations(t *testing.T) {
 	s := newBegunState()
 	s.Apply(Command{Kind: CommandRegister, Record: record("n", "i1", 10)})
@@ -151,7 +154,7 @@
 	encoded := written()
 	if _, err := atomicfile.Unseal("roster-snapshot", bytes.NewReader(encoded),
 		MaxSnapshotBytes); !errors.Is(err, atomicfile.ErrDamaged) {
-		t.Errorf("a build before them reads it: %v", err)
+		t.Errorf("a build without configurations would read it: %v", err)
 	}
 	decoded, err := ReadSnapshot(bytes.NewReader(encoded))
 	if err != nil {
@@ -160,30 +163,31 @@
 	again := New()
 	if err := again.Load(decoded); err != nil ||
 		!bytes.Equal(encoded, func() []byte { s = again; return written() }()) {
-		t.Errorf("it is another once read: %v", err)
+		t.Errorf("the snapshot differs after it was written and read: %v", err)
 	}
 	if r := again.Apply(configureCommand("a", 102, `{"n":2,"s":"\u003c"}`)); r.Code != ResultDone ||
 		r.Changed {
-		t.Errorf("a repeated put after a restart: %+v", r)
+		t.Errorf("a repeated write after a restart: %+v", r)
 	}
 	for at := range encoded {
 		corrupted := bytes.Clone(encoded)
 		corrupted[at] ^= 0x20
-		for what, b := range map[string][]byte{"cut": encoded[:at], "spoilt": corrupted} {
+		for what, b := range map[string][]byte{"cut": encoded[:at], "corrupted": corrupted} {
 			if _, err := ReadSnapshot(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
 				t.Fatalf("%s at byte %d: %v", what, at, err)
 			}
 		}
 	}
-	// The kind has to match the content.
+	// A snapshot's kind has to match its content.
 	bare := Snapshot{Epoch: "l", Version: 1}
 	body, _ := json.Marshal(bare)
 	if _, err := ReadSnapshot(bytes.NewReader(atomicfile.Seal("roster-snapshot-configs", body))); !errors.Is(err, ErrDamaged) {
-		t.Errorf("none in a snapshot of some: %v", err)
+		t.Errorf("a snapshot of the kind with configurations that has none: %v", err)
 	}
 }
 
-// A restored snapshot's configurations are above all earlier versions, and those that it lacks are kept.
+// The versions of a restored snapshot's configurations are above all earlier ones, and configurations that
+// the snapshot lacks are kept.
 func TestRebase(t *testing.T) {
 	s := newBegunState()
 	s.Apply(configureCommand("a", 0, `{"n":1}`))
@@ -202,17 +206,18 @@
 		t.Errorf("a %+v, b %+v", a, b)
 	}
 	if r := again.Apply(configureCommand("a", 101, `{"n":2}`)); r.Code != ResultConflict {
-		t.Errorf("a repeated write of the epoch before: %+v", r)
+		t.Errorf("a repeated write of the previous epoch: %+v", r)
 	}
 	if r := again.Apply(configureCommand("a", 0, `{"n":1}`)); r.Code != ResultConflict {
-		t.Errorf("another, of what was restored: %+v", r)
+		t.Errorf("a repeated write of the restored document: %+v", r)
 	}
 	if saved.Configs[0].Version != 101 {
-		t.Error("the snapshot that was rebased has changed")
+		t.Error("Rebase changed the snapshot that it was called on")
 	}
 }
 
-// After any commands and snapshots, the state is that of a map in which a write after the newest version wins.
+// After any sequence of commands and snapshots, the configurations equal those of a model, a map in which
+// only a write after the newest version takes effect.
 func TestConfigurationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type version struct {
@@ -251,22 +256,22 @@
 				switch {
 				case len(all) > 0 && after == before.n && text == last.text:
 					if r.Code != ResultDone || r.Changed || r.Version != last.n {
-						t.Fatalf("repeated: %+v", r)
+						t.Fatalf("a repeated write: %+v", r)
 					}
 				case after == last.n:
 					if r.Code != ResultDone || !r.Changed || r.Version <= last.n {
-						t.Fatalf("taken: %+v", r)
+						t.Fatalf("a write after the newest version: %+v", r)
 					}
 					model[name] = append(all, version{r.Version, text})
 				case r.Code != ResultConflict || r.Changed || r.Version != last.n:
-					t.Fatalf("turned down: %+v", r)
+					t.Fatalf("a write after an older version: %+v", r)
 				}
 			}
 			for name, all := range model {
 				c, ok := s.Configuration(name)
 				last := all[len(all)-1]
 				if !ok || c.Version != last.n || string(c.Document) != last.text || (c.Previous != nil) != (len(all) > 1) {
-					t.Fatalf("%s is %+v, and has to be %+v", name, c, last)
+					t.Fatalf("configuration of %s is %+v, want %+v", name, c, last)
 				}
 			}
 		}
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -13,13 +13,14 @@
 	"time"
 )
 
-// goldenState is the hash of the results, versions, changes and snapshots of the played log, over values as they are on the
-// wire. A change that only moves or renames code leaves it as it is.
+// goldenState is the hash of the results, versions, changes and snapshots of a replayed log, over their
+// encodings on the wire. A change that only moves or renames code does not change it.
 const goldenState = "ec863e87c09f2ee7"
 
 const commandCount = 48_000 // beyond MaxRetainedChanges and MaxEndedInstances
 
-// randomCommand is a command of any kind, over few names and services so that most of them meet an existing one.
+// randomCommand returns a command of any kind. It uses few names and services, so that most commands concern
+// an existing one.
 func randomCommand(r *rand.Rand, at int, s *State) Command {
 	name := func() string { return fmt.Sprintf("n%d", r.IntN(40)) }
 	instance := func() string { return fmt.Sprintf("i%d", max(0, at/100-r.IntN(3))) }
@@ -60,6 +61,7 @@
 	return Command{Kind: CommandRegister}
 }
 
+// hashState adds the state and its retained changes to a hash.
 func hashState(t *testing.T, to hash.Hash, s *State) {
 	t.Helper()
 	snapshot, err := json.Marshal(s.Snapshot())
@@ -85,7 +87,8 @@
 	}
 }
 
-// stateHash plays the log with each command encoded and decoded, as on a member. Change may alter commands.
+// stateHash applies a log of random commands, each encoded and decoded as on a member, and returns the hash
+// of all results. Change may modify the commands.
 func stateHash(t *testing.T, change func(at int, c *Command)) string {
 	t.Helper()
 	sum := sha256.New()
@@ -128,7 +131,7 @@
 
 func TestPlayedLogStateMatchesGolden(t *testing.T) {
 	if got := stateHash(t, func(int, *Command) {}); got != goldenState {
-		t.Errorf("the state hashes to %s, not %s", got, goldenState)
+		t.Errorf("the replayed log has the hash %s, want %s", got, goldenState)
 	}
 }
 
@@ -139,11 +142,11 @@
 		}
 	})
 	if got == goldenState {
-		t.Error("the hash is as without the change")
+		t.Error("the hash did not change with a command")
 	}
 }
 
-// golden compares bytes with those that an earlier version wrote to testdata.
+// golden compares bytes with those of a file in testdata that an earlier version wrote.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -213,7 +216,7 @@
 		fmt.Fprintf(&text, "%s\n", c.Encode())
 		again, err := Decode(c.Encode())
 		if err != nil || !bytes.Equal(again.Encode(), c.Encode()) {
-			t.Errorf("%s is read as %s: %v", c.Encode(), again.Encode(), err)
+			t.Errorf("%s was decoded as %s: %v", c.Encode(), again.Encode(), err)
 		}
 	}
 	golden(t, "commands.golden", text.Bytes())
--- a/internal/registry/state/record_test.go
+++ b/internal/registry/state/record_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A record that is not acceptable is rejected with the JSON key of the field.
+// The error for an invalid record names the JSON key of the field at fault.
 func TestRecordErrorsNameTheField(t *testing.T) {
 	for field, change := range map[string]func(*Record){
 		"name":               func(r *Record) { r.Name = "a b" },
@@ -31,7 +31,7 @@
 	}
 }
 
-// A snapshot that cannot be is rejected with the part at fault.
+// The error for an invalid snapshot names the part at fault.
 func TestSnapshotErrorsNameThePart(t *testing.T) {
 	r := *record("n", "i", 1)
 	for part, snapshot := range map[string]Snapshot{
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -14,7 +14,7 @@
 
 func refs(name, instance string) []InstanceRef { return []InstanceRef{{name, instance}} }
 
-// A repeated command takes effect once, and a late one does not undo what came after it.
+// A repeated command takes effect once, and a delayed command does not undo what came after it.
 func TestRepeatedAndLateCommands(t *testing.T) {
 	register := Command{Kind: CommandRegister, Record: record("n", "i1", 10)}
 	later := Command{Kind: CommandRegister, Record: record("n", "i2", 20)}
@@ -40,10 +40,12 @@
 			{deregister, ResultDone, true, ""}, {register, ResultEnded, false, ""}},
 		"after its lease it may return": {{register, ResultDone, true, StatusServing},
 			{expire, ResultDone, true, ""}, {register, ResultDone, true, StatusServing}},
-		"another start takes the name": {{register, ResultDone, true, StatusServing}, {later, ResultDone, true, StatusServing}, {register, ResultReplaced, false, StatusServing}},
+		"another start takes the name": {{register, ResultDone, true, StatusServing},
+			{later, ResultDone, true, StatusServing}, {register, ResultReplaced, false, StatusServing}},
 		"a late drain of the one before": {{register, ResultDone, true, StatusServing}, {later, ResultDone, true, StatusServing}, {drain, ResultReplaced, false, StatusServing},
 			{expire, ResultReplaced, false, StatusServing}},
-		"what is not there": {{drain, ResultUnknown, false, ""}, {deregister, ResultUnknown, false, ""},
+		"an endpoint that is not in the list": {{drain, ResultUnknown, false, ""},
+			{deregister, ResultUnknown, false, ""},
 			{expire, ResultUnknown, false, ""}},
 		"a kind of another version": {{register, ResultDone, true, StatusServing}, {Command{Kind: "colour", Refs: refs("n", "i1")}, ResultIgnored, false,
 			StatusServing}},
@@ -58,28 +60,30 @@
 			got, _ := s.Get("n")
 			if r.Code != step.code || r.Changed != step.changes || got.Status != step.status ||
 				(r.Version != before) != step.changes {
-				t.Errorf("%s, step %d: got %+v, status %q after version %d", name, i+1, r, got.Status, before)
+				t.Errorf("%s, step %d: got %+v and status %q after version %d", name, i+1, r, got.Status,
+					before)
 			}
 		}
 	}
 }
 
-// An epoch's first version is above all earlier ones: by the clock if that is right, by the known version if not.
+// An epoch's first version is above all earlier ones: due to the clock if that is right, and due to the
+// earlier version if the clock was set back.
 func TestFirstVersionGrowsAcrossEpochs(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	first := FirstVersion(now, 0)
 	if next := FirstVersion(now.Add(time.Second), 0); next < first+1<<versionsPerSecondShift {
-		t.Errorf("%d follows %d", next, first)
+		t.Errorf("first version %d follows %d of the previous epoch", next, first)
 	}
 	if next := FirstVersion(now.Add(-time.Hour), first+5); next <= first+5 {
-		t.Errorf("with the clock set back %d follows %d", next, first+5)
+		t.Errorf("with the clock set back, first version %d follows %d", next, first+5)
 	}
 	if first >= maxVersion {
-		t.Errorf("%d is not exact in all readers of JSON", first)
+		t.Errorf("version %d is not below 2^53, so float64 readers of JSON may round it", first)
 	}
 }
 
-// Any changed, lost or added byte of a snapshot is noticed.
+// Any changed, missing or added byte of a snapshot is detected.
 func TestDamagedSnapshotIsRejected(t *testing.T) {
 	s := New()
 	s.Apply(Command{Kind: CommandBegin, Epoch: "l", FirstVersion: 100})
@@ -103,7 +107,7 @@
 	for at := range encoded {
 		corrupted := bytes.Clone(encoded)
 		corrupted[at] ^= 0x20
-		for what, b := range map[string][]byte{"cut": encoded[:at], "spoilt": corrupted,
+		for what, b := range map[string][]byte{"cut": encoded[:at], "corrupted": corrupted,
 			"grown": append(bytes.Clone(encoded[:at+1]), encoded[at:]...)} {
 			if _, err := ReadSnapshot(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
 				t.Fatalf("%s at byte %d: %v", what, at, err)
@@ -128,7 +132,7 @@
 			return
 		}
 		if err := New().Load(i); err != nil {
-			t.Fatalf("read, and not to be loaded: %v", err)
+			t.Fatalf("a snapshot that ReadSnapshot accepts cannot be loaded: %v", err)
 		}
 	})
 }
@@ -146,7 +150,7 @@
 		s.Apply(c)
 		i := s.Snapshot()
 		if err := i.Check(); err != nil {
-			t.Fatalf("%s left an invalid state: %v", data, err)
+			t.Fatalf("command %s led to an invalid state: %v", data, err)
 		}
 	})
 }
--- a/internal/registry/store/golden_test.go
+++ b/internal/registry/store/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// goldenEntry is log entry i of the directory in testdata.
+// goldenEntry returns log entry i of the directory in testdata.
 func goldenEntry(i uint64) raft.Log {
 	l := raft.Log{Index: i, Term: 1 + i/5, Type: raft.LogCommand, Data: fmt.Appendf(nil, "command %d", i)}
 	switch i {
@@ -29,7 +29,8 @@
 
 const goldenEntryCount = 12
 
-// A directory that an earlier version wrote is read in full, and its identity is still written alike.
+// A directory that an earlier version wrote is read completely, and the identity file has the same encoding
+// as then.
 func TestDirectoryOfEarlierVersionIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/member")); err != nil {
@@ -76,7 +77,7 @@
 	}
 }
 
-// A record in the file is byte for byte that of earlier versions.
+// The encoding of a record in the file is byte for byte that of earlier versions.
 func TestSealedRecordMatchesGolden(t *testing.T) {
 	const want = `398da6ff{"t":1}`
 	sealed := seal(indexKey(1), []byte(`{"t":1}`))
--- a/internal/registry/store/store_test.go
+++ b/internal/registry/store/store_test.go
@@ -17,7 +17,7 @@
 
 const entryCount = 60
 
-// createFilledDir makes a directory with a term and some log entries.
+// createFilledDir creates a member's directory with a term and log entries.
 func createFilledDir(t *testing.T) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -39,7 +39,7 @@
 	return dir
 }
 
-// checkComplete returns an error if a store lacks something of writtenDir.
+// checkComplete returns an error if a store lacks data that createFilledDir has written.
 func checkComplete(s *Store) error {
 	if term, err := s.GetUint64([]byte("CurrentTerm")); err != nil || term != 7 {
 		return fmt.Errorf("term %d, %v", term, err)
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// openDamaged damages a copy of a directory and opens it: the store has to be complete, or be rejected and left as it is.
+// openDamaged damages a copy of a directory's log and opens it. The store has to be complete, or has to be
+// rejected with an unchanged file. It reports whether the store was rejected.
 func openDamaged(t *testing.T, dir, what string,
 	damage func(path string, text []byte) []byte) (rejected bool) {
 	t.Helper()
@@ -77,7 +78,7 @@
 	if err == nil {
 		defer s.Close()
 		if err := checkComplete(s); err != nil {
-			t.Errorf("%s: taken, and %v", what, err)
+			t.Errorf("%s: opened without an error, but %v", what, err)
 		}
 		return false
 	}
@@ -90,7 +91,7 @@
 	return true
 }
 
-// A log that was truncated, or has a wrong bit in a record, is rejected and left as it is.
+// A log that was truncated, or has a wrong bit in a record, is rejected and not changed.
 func TestDamagedLogIsRejected(t *testing.T) {
 	dir := createFilledDir(t)
 	info, err := os.Stat(filepath.Join(dir, logFile))
@@ -107,7 +108,7 @@
 		}
 	}
 	if rejected < 40 {
-		t.Errorf("%d of 60 cuts were noticed", rejected)
+		t.Errorf("%d of 60 truncated logs were rejected, want at least 40", rejected)
 	}
 	for range 60 {
 		openDamaged(t, dir, "a bit", func(_ string, b []byte) []byte {
@@ -118,7 +119,7 @@
 	if !openDamaged(t, dir, "an entry", func(_ string, b []byte) []byte {
 		return bytes.ReplaceAll(b, []byte(`"t":7`), []byte(`"t":8`))
 	}) {
-		t.Error("a wrong entry passed")
+		t.Error("a log with a changed entry was accepted")
 	}
 }
 
@@ -130,12 +131,16 @@
 		after   uint64 // the snapshot's index
 		want    error
 	}{
-		"as it was":                  {nil, "r1", 0, nil},
-		"another's":                  {nil, "r2", 0, ErrWrongMember},
-		"the log is missing":         {func(d string) error { return os.Remove(filepath.Join(d, logFile)) }, "r1", 0, ErrDamaged},
-		"the log is empty":           {func(d string) error { return os.Truncate(filepath.Join(d, logFile), 0) }, "r1", 0, ErrDamaged},
-		"nobody's":                   {func(d string) error { return os.Remove(filepath.Join(d, identityFile)) }, "r1", 0, ErrDamaged},
-		"the name is cut off":        {func(d string) error { return os.Truncate(filepath.Join(d, identityFile), 9) }, "r1", 0, ErrDamaged},
+		"intact":           {nil, "r1", 0, nil},
+		"another member's": {nil, "r2", 0, ErrWrongMember},
+		"the log is missing": {func(d string) error { return os.Remove(filepath.Join(d, logFile)) },
+			"r1", 0, ErrDamaged},
+		"the log is empty": {func(d string) error { return os.Truncate(filepath.Join(d, logFile), 0) },
+			"r1", 0, ErrDamaged},
+		"no identity file": {func(d string) error { return os.Remove(filepath.Join(d, identityFile)) },
+			"r1", 0, ErrDamaged},
+		"damaged identity": {func(d string) error { return os.Truncate(filepath.Join(d, identityFile), 9) },
+			"r1", 0, ErrDamaged},
 		"a snapshot reaches into it": {nil, "r1", entryCount - 3, nil},
 		"a gap before it":            {func(d string) error { return deleteEntries(d, 1, 5) }, "r1", 0, ErrDamaged},
 		"a gap that a snapshot has":  {func(d string) error { return deleteEntries(d, 1, 5) }, "r1", 9, nil},
@@ -169,7 +174,7 @@
 	return errors.Join(s.DeleteRange(first, last), s.Close())
 }
 
-// The log behaves as raft expects.
+// The log's indexes and errors are those that raft expects.
 func TestLogStore(t *testing.T) {
 	dir := createFilledDir(t)
 	s, _, err := Open(dir, "r1", 0, discardLogger)
@@ -184,7 +189,7 @@
 	last, _ := s.LastIndex()
 	var l raft.Log
 	if first != 11 || last != entryCount || !errors.Is(s.GetLog(10, &l), raft.ErrLogNotFound) {
-		t.Errorf("from %d to %d", first, last)
+		t.Errorf("after DeleteRange(1, 10) the log has entries %d to %d, or entry 10", first, last)
 	}
 	if _, err := s.GetUint64([]byte("no such")); err == nil || err.Error() != "not found" {
 		t.Errorf("a key that was never set: %v", err)
--- a/internal/registry/watch/golden_test.go
+++ b/internal/registry/watch/golden_test.go
@@ -8,7 +8,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// The published list and changes are byte for byte what earlier versions sent.
+// The published list and changes are byte for byte those of earlier versions.
 func TestPublishedFormMatchesGolden(t *testing.T) {
 	src := &source{state.New()}
 	hub := New(src)
--- a/internal/registry/watch/hub_test.go
+++ b/internal/registry/watch/hub_test.go
@@ -12,7 +12,7 @@
 	"merlinpick/internal/registry/state"
 )
 
-// source is a state without a raft node.
+// source implements Source on a state without a raft node.
 type source struct{ *state.State }
 
 func (s *source) Version() (string, int64) { return s.Epoch(), s.State.Version() }
@@ -30,7 +30,7 @@
 	return s.Epoch(), s.State.Version(), c, ok
 }
 
-// follower is a client that knows only what it was answered.
+// follower is a client that knows only what the responses contain.
 type follower struct {
 	epoch     string
 	version   int64
@@ -69,8 +69,9 @@
 	f.epoch, f.version = a.Line, a.Index
 }
 
-// Whatever happens to the list, a client that follows the protocol has what a plain map has, and its versions grow: across
-// repeated commands, restores into another epoch, and members that retain no changes since they loaded a snapshot.
+// A client that follows the protocol has the same list as a model, a plain map, and its versions never
+// decrease: across repeated commands, restores as another epoch, and members that retain no changes after
+// they loaded a snapshot.
 func TestFollowersMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		src := &source{state.New()}
@@ -95,7 +96,7 @@
 				c := state.Command{Kind: state.CommandRegister, Record: &r}
 				src.Apply(c)
 				if rapid.Bool().Draw(t, "again") && src.Apply(c).Changed {
-					t.Fatal("a repeat made a version")
+					t.Fatal("a repeated registration created a version")
 				}
 				model[n], instances[n] = r.Endpoint, r.Instance
 			},
@@ -122,7 +123,7 @@
 				if len(saved) == 0 {
 					t.Skip()
 				}
-				i := rapid.SampledFrom(saved).Draw(t, "image")
+				i := rapid.SampledFrom(saved).Draw(t, "snapshot")
 				epochs++
 				i.Epoch, i.Version = fmt.Sprint("line", epochs),
 					state.FirstVersion(time.Unix(1000, 0), src.State.Version())
@@ -142,7 +143,7 @@
 					f.apply(t, hub.ChangesSince(f.version))
 				}
 				if !maps.Equal(f.endpoints, model) {
-					t.Fatalf("told %v, and it is %v", f.endpoints, model)
+					t.Fatalf("the client has %v, want %v", f.endpoints, model)
 				}
 			},
 			"": func(t *rapid.T) {
@@ -155,7 +156,7 @@
 	})
 }
 
-// All clients at one version share one encoded answer.
+// All clients at one version share one encoded response.
 func TestOneEncodingPerVersion(t *testing.T) {
 	src := &source{state.New()}
 	src.Apply(state.Command{Kind: state.CommandBegin, Epoch: "l", FirstVersion: 100})
@@ -165,7 +166,7 @@
 	first := hub.ChangesSince(100)
 	for range 1000 {
 		if b := hub.ChangesSince(100); &b[0] != &first[0] {
-			t.Fatal("another answer to the same question")
+			t.Fatal("ChangesSince encoded the response for the same version again")
 		}
 	}
 	if n := hub.Encoded(); n != 1 {
