--- a/internal/registry/store/golden_test.go
+++ b/internal/registry/store/golden_test.go
@@ -46,9 +46,9 @@
 	if got := encodeIdentity("r1"); !bytes.Equal(got, want) {
 		t.Errorf("identity is %q, not %q", got, want)
 	}
-	s, fresh, err := Open(dir, "r1", 0, discardLogger)
-	if err != nil || fresh {
-		t.Fatal(fresh, err)
+	s, empty, err := Open(dir, "r1", 0, discardLogger)
+	if err != nil || empty {
+		t.Fatal(empty, err)
 	}
 	t.Cleanup(func() { s.Close() })
 	if term, err := s.GetUint64([]byte("CurrentTerm")); err != nil || term != 7 {
--- a/internal/registry/store/store_test.go
+++ b/internal/registry/store/store_test.go
@@ -21,9 +21,9 @@
 func createFilledDir(t *testing.T) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
-	s, fresh, err := Open(dir, "r1", 0, discardLogger)
-	if err != nil || !fresh {
-		t.Fatal(fresh, err)
+	s, empty, err := Open(dir, "r1", 0, discardLogger)
+	if err != nil || !empty {
+		t.Fatal(empty, err)
 	}
 	if err := s.SetUint64([]byte("CurrentTerm"), 7); err != nil {
 		t.Fatal(err)
@@ -155,9 +155,9 @@
 				t.Fatal(err)
 			}
 		}
-		s, fresh, err := Open(copied, c.member, c.after, discardLogger)
-		if !errors.Is(err, c.want) || fresh {
-			t.Errorf("%s: fresh %v, %v", name, fresh, err)
+		s, empty, err := Open(copied, c.member, c.after, discardLogger)
+		if !errors.Is(err, c.want) || empty {
+			t.Errorf("%s: empty is %v, %v", name, empty, err)
 		}
 		if err == nil {
 			s.Close()
