--- a/cmd/merlinpick-registry/proxies_test.go
+++ b/cmd/merlinpick-registry/proxies_test.go
@@ -16,8 +16,7 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-const proxyConfigFormat = `{"name":%q,"listen":%q,"mgmt":%q,"discovery_members":[%s],"discovery_state":%q,` +
-	`"config_service":"tarifas","seed":"%d",` +
+const proxyConfigFormat = `{"name":%q,"listen":%q,"mgmt":%q,"discovery_members":[%s],"discovery_state":%q,"config_service":"tarifas","seed":"%d",` +
 	`"limits":{"cores":1.0,"memory_mb":192,"sockets":512},"known":{"index":1,"snapshot":true,"endpoints":[]},%s}`
 
 // settingsMember returns the JSON member "settings", which a proxy's file and a document share. The name of
