--- a/cmd/merlinpick-registry/cluster_test.go
+++ b/cmd/merlinpick-registry/cluster_test.go
@@ -24,9 +24,9 @@
 	"merlinpick/internal/registry/state"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-var program, proxyProgram string
+var registryProgram, proxyProgram string
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
@@ -36,9 +36,9 @@
 		panic(err)
 	}
 	defer os.RemoveAll(dir)
-	program = filepath.Join(dir, "roster")
+	registryProgram = filepath.Join(dir, "roster")
 	proxyProgram = filepath.Join(dir, "merlinpick-proxy")
-	for path, of := range map[string]string{program: ".", proxyProgram: "../merlinpick-proxy"} {
+	for path, of := range map[string]string{registryProgram: ".", proxyProgram: "../merlinpick-proxy"} {
 		if out, err := exec.Command("go", "build", "-o", path, of).CombinedOutput(); err != nil {
 			panic(string(out))
 		}
@@ -55,8 +55,9 @@
 	processes []*process.Process
 }
 
-// startService starts a cluster and waits until it serves. View may change the addresses in a member's configuration.
-func startService(t testing.TB, members int, view ...func(i int, f *config.File)) *cluster {
+// startCluster starts a cluster and waits until it serves. Each configure function may change the
+// configuration of member i, such as the addresses of its peers.
+func startCluster(t testing.TB, members int, configure ...func(i int, f *config.File)) *cluster {
 	t.Helper()
 	s := &cluster{t: t, starter: process.NewStarter(), dir: t.TempDir(), processes: make([]*process.Process, members)}
 	t.Cleanup(func() {
@@ -90,7 +91,7 @@
 				f.Members = append(f.Members, config.Member{Name: fmt.Sprintf("r%d", j+1), Raft: at(j, 8600), List: s.addresses[j]})
 			}
 		}
-		for _, change := range view {
+		for _, change := range configure {
 			change(i, &f)
 		}
 		var text strings.Builder
@@ -106,7 +107,7 @@
 	return s
 }
 
-// freeHost returns a loopback address at which nothing listens, so that tests run beside each other.
+// freeHost returns a loopback address on which nothing listens, so that tests can run at the same time.
 func freeHost(t testing.TB) string {
 	t.Helper()
 	for range 100 {
@@ -127,8 +128,9 @@
 
 func (s *cluster) start(i int) {
 	s.t.Helper()
-	p, err := s.starter.Start(process.Spec{Name: fmt.Sprintf("r%d", i+1), Command: []string{program, "serve", "--config", s.path(i, ".toml")},
-		Env: os.Environ(), Log: s.path(i, ".log")})
+	p, err := s.starter.Start(process.Spec{Name: fmt.Sprintf("r%d", i+1),
+		Command: []string{registryProgram, "serve", "--config", s.path(i, ".toml")},
+		Env:     os.Environ(), Log: s.path(i, ".log")})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -156,7 +158,7 @@
 	})
 }
 
-// leader returns the index of the leader; -1 for none.
+// leader returns the index of the serving leader, or -1 if there is none.
 func (s *cluster) leader() int {
 	for i := range s.addresses {
 		if st, err := s.status(i); err == nil && st.Role == "leader" && st.Serving {
@@ -166,11 +168,11 @@
 	return -1
 }
 
-func waitFor(t testing.TB, what string, is func() bool) {
+func waitFor(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited %v for %s", patience, what)
+			t.Fatalf("waited %v for %s", waitTimeout, what)
 		}
 	}
 }
@@ -180,7 +182,8 @@
 		Instance: fmt.Sprint("i", since), LeaseMs: state.MaxLease.Milliseconds()}
 }
 
-// list reads the list from one member, linearizably. Values are by endpoint, as package linear has them.
+// list reads the list from one member, linearizably. Values holds each endpoint's value as defined by package
+// linear.
 func (s *cluster) list(ctx context.Context, i int) (epoch string, version int64, values map[string]string, err error) {
 	text, err := get(ctx, 3*time.Second, "http://"+s.addresses[i]+"/catalog/members?consistent=1")
 	if err != nil {
--- a/internal/registry/api/api_test.go
+++ b/internal/registry/api/api_test.go
@@ -48,7 +48,7 @@
 	return node, s
 }
 
-// call makes a call and returns the answer's status, Retry-After and body.
+// call makes a call and returns the response's status, Retry-After header and body.
 func call(t testing.TB, s *Server, method, path, body string) (status int, after, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.Addr()+path, strings.NewReader(body))
@@ -69,14 +69,14 @@
 
 const body = `{"address":"127.0.0.1:1","zone":"a","instance":"i","lease_ms":60000}`
 
-// An invalid call is answered with what is wrong, and changes nothing.
+// The response to an invalid call names what is wrong, and the call changes nothing.
 func TestInvalidCalls(t *testing.T) {
 	node, s := openServer(t, 10)
 	_, before := node.Version()
 	for _, c := range []struct {
 		method, path, body string
-		want               int
-		says               string
+		wantStatus         int
+		wantText           string
 	}{
 		{"PUT", "/catalog/members/n", "", 400, "body"},
 		{"PUT", "/catalog/members/n", `{"adress":"x"}`, 400, "adress"},
@@ -96,25 +96,28 @@
 		{"POST", "/v1/restore", "roster-snapshot 1 2 00000000\n{}", 400, "damaged"},
 		{"POST", "/v1/restore", "", 400, "damaged"},
 	} {
-		if status, _, text := call(t, s, c.method, c.path, c.body); status != c.want || !strings.Contains(text, c.says) {
-			t.Errorf("%s %s %.80s: %d %s, wanted %d and %q", c.method, c.path, c.body, status, text, c.want, c.says)
+		if status, _, text := call(t, s, c.method, c.path, c.body); status != c.wantStatus ||
+			!strings.Contains(text, c.wantText) {
+			t.Errorf("%s %s %.80s: %d %s, wanted %d and %q", c.method, c.path, c.body, status, text,
+				c.wantStatus, c.wantText)
 		}
 	}
 	if _, after := node.Version(); after != before {
-		t.Errorf("version %d became %d", before, after)
+		t.Errorf("invalid calls changed version %d to %d", before, after)
 	}
 }
 
-// By its version and epoch a client gets changes, the whole list, or waits, in the published form.
+// Depending on its version and epoch, a client gets the changes or the whole list in the published form, or
+// waits.
 func TestListWatch(t *testing.T) {
 	node, s := openServer(t, 2)
 	epoch, base := node.Version()
 	register(t, node, "a", 1)
 	version := register(t, node, "b", 1)
 	for _, c := range []struct {
-		query        string
-		whole        bool
-		nodos, taken int
+		query             string
+		snapshot          bool
+		endpoints, status int
 	}{
 		{"", true, 2, 200},
 		{"?consistent=1", true, 2, 200},
@@ -132,7 +135,7 @@
 			Snapshot  *bool
 			Endpoints []state.Endpoint
 		}
-		if status != c.taken {
+		if status != c.status {
 			t.Errorf("%s: %d %s", c.query, status, text)
 			continue
 		}
@@ -142,15 +145,16 @@
 			}
 			continue
 		}
-		if err := json.Unmarshal([]byte(text), &l); err != nil || l.Index == nil || *l.Index != version || *l.Snapshot != c.whole ||
-			len(l.Endpoints) != c.nodos {
+		if err := json.Unmarshal([]byte(text), &l); err != nil || l.Index == nil || *l.Index != version ||
+			*l.Snapshot != c.snapshot ||
+			len(l.Endpoints) != c.endpoints {
 			t.Errorf("%s: %s (%v)", c.query, text, err)
 		}
 	}
 	// A third watch is rejected at once; a change answers the two in flight.
-	held := []*rawClient{dial(t, s.Addr()), dial(t, s.Addr())}
-	for _, c := range held {
-		c.ask(version)
+	watches := []*rawClient{dial(t, s.Addr()), dial(t, s.Addr())}
+	for _, c := range watches {
+		c.sendWatch(version)
 	}
 	for s.Metrics().Watches < 2 {
 		time.Sleep(time.Millisecond)
@@ -159,14 +163,14 @@
 		t.Errorf("a third watch: %d, Retry-After %q", status, after)
 	}
 	register(t, node, "c", 1)
-	for _, c := range held {
-		if err := c.take(); err != nil {
+	for _, c := range watches {
+		if err := c.readResponse(); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// A client that does not read its answers delays no other.
+// A client that does not read its responses delays no other client.
 func TestSlowClientDelaysNobody(t *testing.T) {
 	node, s := openServer(t, 10)
 	snapshot := node.StateSnapshot()
@@ -180,19 +184,19 @@
 	for range 3 {
 		slow := dial(t, s.Addr())
 		for range 10 {
-			slow.ask(0)
+			slow.sendWatch(0)
 		}
 	}
 	_, version := node.Version()
-	quick := dial(t, s.Addr())
-	quick.ask(version)
+	fast := dial(t, s.Addr())
+	fast.sendWatch(version)
 	register(t, node, "n", 1)
-	if err := quick.take(); err != nil {
+	if err := fast.readResponse(); err != nil {
 		t.Error(err)
 	}
 }
 
-// After any registration, the state passes its check.
+// FuzzRegister checks that the state is valid after any registration.
 func FuzzRegister(f *testing.F) {
 	node, s := openServer(f, 10)
 	f.Add([]byte(body))
@@ -205,7 +209,7 @@
 		}
 		snapshot := node.StateSnapshot()
 		if err := snapshot.Check(); err != nil {
-			t.Errorf("%q left %v", data, err)
+			t.Errorf("registration %q led to an invalid state: %v", data, err)
 		}
 	})
 }
--- a/internal/registry/api/bench_test.go
+++ b/internal/registry/api/bench_test.go
@@ -29,7 +29,8 @@
 	return r.Version
 }
 
-// startUnshared serves watches without shared answers: each client's is encoded for it.
+// startUnshared serves watches without shared responses, for comparison: each response is encoded for its
+// client alone.
 func startUnshared(b *testing.B, node *raftnode.Node) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,8 +50,8 @@
 				return
 			}
 		}
-		epoch, version, changes, kept := node.Changes(from)
-		if kept {
+		epoch, version, changes, retained := node.Changes(from)
+		if retained {
 			writeBody(w, http.StatusOK, watch.Response{Version: version, Epoch: epoch, Endpoints: watch.MergeChanges(changes)}.Encode())
 			return
 		}
@@ -62,7 +63,7 @@
 	return l.Addr().String()
 }
 
-// rawClient is a connection that spends little on its calls, so that the server is what is measured.
+// rawClient is a client that uses little processor time per call, so that a benchmark measures the server.
 type rawClient struct {
 	net.Conn
 	r *bufio.Reader
@@ -78,12 +79,12 @@
 	return &rawClient{c, bufio.NewReaderSize(c, 1<<10)}
 }
 
-func (c *rawClient) ask(from int64) {
+func (c *rawClient) sendWatch(from int64) {
 	fmt.Fprintf(c, "GET /catalog/members?from=%d&hold_ms=60000 HTTP/1.1\r\nHost: x\r\n\r\n", from)
 }
 
-// take reads an answer by its Content-Length.
-func (c *rawClient) take() error {
+// readResponse reads a response and discards its body.
+func (c *rawClient) readResponse() error {
 	length := 0
 	for {
 		line, err := c.r.ReadString('\n')
@@ -101,7 +102,7 @@
 	return err
 }
 
-// BenchmarkFanout measures the time from a committed change until each watch is answered.
+// BenchmarkFanout measures the time from a committed change until each watch has its response.
 func BenchmarkFanout(b *testing.B) {
 	for _, n := range []int{300, 1000, 5000} {
 		for _, form := range []string{"shared", "naive"} {
@@ -119,7 +120,7 @@
 				var took []time.Duration
 				for i := 0; b.Loop(); i++ {
 					for _, c := range all {
-						c.ask(from)
+						c.sendWatch(from)
 					}
 					time.Sleep(300 * time.Millisecond) // until all watches are in flight
 					var mu sync.Mutex
@@ -128,7 +129,7 @@
 					start := make(chan struct{})
 					for _, c := range all {
 						done.Go(func() {
-							err := c.take()
+							err := c.readResponse()
 							at := time.Now()
 							<-start
 							mu.Lock()
@@ -145,13 +146,14 @@
 					done.Wait()
 					from = next
 				}
-				report(b, took)
+				reportLatencies(b, took)
 			})
 		}
 	}
 }
 
-// BenchmarkWhole measures the time until all clients that call at once have a list of 1,000 endpoints, as after a restore.
+// BenchmarkWhole measures the time until all clients that call at once have a list of 1,000 endpoints, as
+// after a restore.
 func BenchmarkWhole(b *testing.B) {
 	for _, n := range []int{300, 1000} {
 		for _, form := range []string{"shared", "naive"} {
@@ -180,8 +182,8 @@
 					begun := time.Now()
 					for _, c := range all {
 						done.Go(func() {
-							c.ask(0)
-							err := c.take()
+							c.sendWatch(0)
+							err := c.readResponse()
 							mu.Lock()
 							defer mu.Unlock()
 							if err != nil {
@@ -192,13 +194,13 @@
 					}
 					done.Wait()
 				}
-				report(b, took)
+				reportLatencies(b, took)
 			})
 		}
 	}
 }
 
-func report(b *testing.B, took []time.Duration) {
+func reportLatencies(b *testing.B, took []time.Duration) {
 	slices.Sort(took)
 	at := func(q float64) float64 { return took[int(q*float64(len(took)-1))].Seconds() * 1000 }
 	b.ReportMetric(at(0.5), "p50-ms")
--- a/internal/registry/api/configs_test.go
+++ b/internal/registry/api/configs_test.go
@@ -13,14 +13,14 @@
 	"merlinpick/internal/settings"
 )
 
-// document is a valid document, distinguished by n.
+// document returns a valid document, distinguished by n.
 func document(n int) string {
 	return fmt.Sprintf(`{"settings":{"contract":{},"failure_domains":["a"],"limits":{"dial_timeout_us":1,"idle_close_us":1,`+
 		`"try_limit":%d},"membership_mode":"automatic","profiles":[{"give_up_us":8,"name":"look","objective_us":4,`+
 		`"repeat":"idempotent","worth":1}],"siblings":1}}`, n)
 }
 
-// putDocument writes one and returns its version.
+// putDocument writes document(n) as the version after the given one, and returns its version.
 func putDocument(t testing.TB, s *Server, service string, after int64, n int) int64 {
 	t.Helper()
 	status, _, text := call(t, s, "PUT", fmt.Sprintf("/config/%s?from=%d", service, after), document(n))
@@ -31,16 +31,17 @@
 	return c.Version
 }
 
-// An invalid write is answered with key and remedy, and changes nothing; a repeated one takes effect once.
+// The response to an invalid write names the key at fault and the remedy, and the write changes nothing. A
+// repeated write takes effect once.
 func TestPutConfig(t *testing.T) {
 	node, s := openServer(t, 10)
 	first := putDocument(t, s, "tarifas", 0, 1)
 	at := fmt.Sprint("/config/tarifas?from=", first)
 	long := strings.Replace(document(1), `"siblings"`, `"x":"`+strings.Repeat("x", settings.MaxDocumentBytes)+`","siblings"`, 1)
 	for _, c := range []struct {
-		path, body string
-		want       int
-		key, says  string
+		path, body    string
+		want          int
+		key, wantText string
 	}{
 		{"/config/tarifas", document(1), 400, "", "from"},
 		{"/config/tarifas?from=-1", document(1), 400, "", "from"},
@@ -60,12 +61,15 @@
 		{"/config/tarifas?from=0", " " + document(1), 200, "", ""}, // and with spaces
 	} {
 		status, _, text := call(t, s, "PUT", c.path, c.body)
-		var fault ConfigErrorBody
-		if err := json.Unmarshal([]byte(text), &fault); status != c.want || err != nil || fault.Key != c.key || !strings.Contains(fault.ErrorBody.Error, c.says) {
-			t.Errorf("%s %.60s: %d %.200s, wanted %d, %q and %q", c.path, c.body, status, text, c.want, c.key, c.says)
+		var rejection ConfigErrorBody
+		if err := json.Unmarshal([]byte(text), &rejection); status != c.want || err != nil ||
+			rejection.Key != c.key || !strings.Contains(rejection.ErrorBody.Error, c.wantText) {
+			t.Errorf("%s %.60s: %d %.200s, wanted %d, %q and %q", c.path, c.body, status, text, c.want, c.key,
+				c.wantText)
 		}
-		if status == 409 && fault.Version != first || status == 400 && c.key != "" && fault.Remedy == "" {
-			t.Errorf("%s: %+v", c.path, fault)
+		if status == 409 && rejection.Version != first || status == 400 && c.key != "" &&
+			rejection.Remedy == "" {
+			t.Errorf("%s: %+v", c.path, rejection)
 		}
 	}
 	if _, c, _ := node.Configuration("tarifas"); c.Version != first || string(c.Document) != document(1) {
@@ -91,7 +95,8 @@
 	}
 }
 
-// By its version and epoch a watch gets the document, waits, or is answered that there is no newer version.
+// Depending on its version and epoch, a watch gets the document, waits, or learns that there is no newer
+// version.
 func TestConfigWatch(t *testing.T) {
 	node, s := openServer(t, 2)
 	epoch, _ := node.Version()
@@ -99,8 +104,8 @@
 	for _, c := range []struct {
 		service, query string
 		version        int64
-		whole          bool
-		taken          int
+		hasDocument    bool
+		status         int
 	}{
 		{"a", "from=0", first, true, 200},
 		{"a", "from=0&hold_ms=60000&line=" + epoch, first, true, 200},
@@ -116,22 +121,23 @@
 	} {
 		status, after, text := call(t, s, "GET", "/config/"+url.PathEscape(c.service)+"?"+c.query, "")
 		var got ServiceConfig
-		if err := json.Unmarshal([]byte(text), &got); status != c.taken || err != nil || got.Version != c.version ||
-			(got.Document != nil) != c.whole || (status == 503) != (after != "") {
+		if err := json.Unmarshal([]byte(text), &got); status != c.status || err != nil ||
+			got.Version != c.version ||
+			(got.Document != nil) != c.hasDocument || (status == 503) != (after != "") {
 			t.Errorf("%s?%s: %d %s (%v)", c.service, c.query, status, text, err)
 		}
 	}
-	// A write answers the watches in flight; a change of the list or of another service does not; one watch too many is
-	// rejected.
-	type end struct {
+	// A write answers the watches in flight; a change of the list or of another service does not; one watch
+	// too many is rejected.
+	type response struct {
 		status int
 		text   string
 	}
-	ended := make(chan end, 2)
+	ended := make(chan response, 2)
 	for range 2 {
 		go func() {
 			status, _, text := call(t, s, "GET", fmt.Sprint("/config/a?hold_ms=60000&from=", first, "&line=", epoch), "")
-			ended <- end{status, text}
+			ended <- response{status, text}
 		}()
 	}
 	for s.Metrics().Watches < 2 {
@@ -150,7 +156,7 @@
 	}
 }
 
-// A proxy's state follows from its own report and the report's age.
+// A proxy's state in ConfigStatus depends on its own last report and the report's age.
 func TestConfigStatus(t *testing.T) {
 	_, s := openServer(t, 10)
 	first := putDocument(t, s, "a", 0, 1)
@@ -166,7 +172,8 @@
 			t.Fatalf("%s: %d %s", w, status, text)
 		}
 	}
-	s.reports.Record("a", rollout.ProxyReport{Name: "p5", AppliedVersion: second}, time.Now().Add(-reportSilence))
+	s.reports.Record("a", rollout.ProxyReport{Name: "p5", AppliedVersion: second},
+		time.Now().Add(-staleReportAge))
 	ask := func(query string) (st ConfigStatus) {
 		t.Helper()
 		status, _, text := call(t, s, "GET", "/config/a/status"+query, "")
@@ -190,6 +197,6 @@
 		t.Errorf("all: %+v", all)
 	}
 	if s.Metrics().ProxyReports != 5 {
-		t.Errorf("%d words", s.Metrics().ProxyReports)
+		t.Errorf("%d reports are kept, want 5", s.Metrics().ProxyReports)
 	}
 }
--- a/internal/registry/state/configs_test.go
+++ b/internal/registry/state/configs_test.go
@@ -13,7 +13,7 @@
 	"merlinpick/internal/atomicfile"
 )
 
-func put(service string, after int64, document string) Command {
+func configureCommand(service string, after int64, document string) Command {
 	return Command{Kind: CommandConfigure, Service: service, After: after, Document: json.RawMessage(document)}
 }
 
@@ -23,33 +23,44 @@
 	return s
 }
 
-// A write takes effect after the version that its writer has seen, once, and the previous document is kept.
+// A write takes effect once, and only if its writer has seen the newest version. The previous document is
+// kept.
 func TestConfigure(t *testing.T) {
 	type step struct {
 		c       Command
-		end     ResultCode
-		index   int64
+		code    ResultCode
+		version int64
 		changes bool
 	}
-	first, second := step{put("a", 0, `{"n":1}`), ResultDone, 101, true}, step{put("a", 101, `{"n":2}`), ResultDone, 102, true}
+	first, second := step{configureCommand("a", 0, `{"n":1}`), ResultDone, 101, true},
+		step{configureCommand("a", 101, `{"n":2}`), ResultDone, 102, true}
 	for name, steps := range map[string][]step{
-		"one after another":                {first, second},
-		"repeated at once":                 {first, {first.c, ResultDone, 101, false}},
-		"repeated after another":           {first, second, {second.c, ResultDone, 102, false}, {first.c, ResultConflict, 102, false}},
-		"two at once":                      {first, second, {put("a", 101, `{"n":3}`), ResultConflict, 102, false}},
-		"the same document as a new write": {first, {put("a", 101, `{"n":1}`), ResultDone, 102, true}},
-		"after what is not there":          {{put("a", 101, `{}`), ResultConflict, 0, false}},
-		"after none where there is one":    {first, {put("a", 0, `{}`), ResultConflict, 101, false}},
-		"another service":                  {first, {put("b", 0, `{}`), ResultDone, 101, true}},
-		"an invalid name":                  {{put("a b", 0, `{}`), ResultIgnored, 0, false}, {put("", 0, `{}`), ResultIgnored, 0, false}},
-		"not canonical":                    {{put("a", 0, `{ }`), ResultIgnored, 0, false}, {put("a", 0, `[]`), ResultIgnored, 0, false}, {put("a", 0, ``), ResultIgnored, 0, false}},
-		"too long":                         {{put("a", 0, `{"a":"`+strings.Repeat("a", 64<<10)+`"}`), ResultIgnored, 0, false}},
+		"one after another": {first, second},
+		"repeated at once":  {first, {first.c, ResultDone, 101, false}},
+		"repeated after another": {first, second, {second.c, ResultDone, 102, false},
+			{first.c, ResultConflict, 102, false}},
+		"concurrent write": {first, second,
+			{configureCommand("a", 101, `{"n":3}`), ResultConflict, 102, false}},
+		"the same document as a new write": {first,
+			{configureCommand("a", 101, `{"n":1}`), ResultDone, 102, true}},
+		"after a version that does not exist": {{configureCommand("a", 101, `{}`), ResultConflict, 0, false}},
+		"as the first write of an existing configuration": {first,
+			{configureCommand("a", 0, `{}`), ResultConflict, 101, false}},
+		"another service": {first, {configureCommand("b", 0, `{}`), ResultDone, 101, true}},
+		"an invalid name": {{configureCommand("a b", 0, `{}`), ResultIgnored, 0, false},
+			{configureCommand("", 0, `{}`), ResultIgnored, 0, false}},
+		"not canonical": {{configureCommand("a", 0, `{ }`), ResultIgnored, 0, false},
+			{configureCommand("a", 0, `[]`), ResultIgnored, 0, false},
+			{configureCommand("a", 0, ``), ResultIgnored, 0, false}},
+		"too long": {{configureCommand("a", 0,
+			`{"a":"`+strings.Repeat("a", 64<<10)+`"}`), ResultIgnored, 0, false}},
 	} {
 		s := newBegunState()
 		for i, step := range steps {
 			got := s.Apply(step.c)
-			if got.Code != step.end || got.Version != step.index || got.Changed != step.changes || s.Version() != 100 {
-				t.Errorf("%s, step %d: got %+v, the list at %d", name, i+1, got, s.Version())
+			if got.Code != step.code || got.Version != step.version || got.Changed != step.changes ||
+				s.Version() != 100 {
+				t.Errorf("%s, step %d: got %+v and list version %d", name, i+1, got, s.Version())
 			}
 		}
 	}
@@ -60,27 +71,28 @@
 		c.Previous.Version != 101 {
 		t.Errorf("got %+v", c)
 	}
-	if r := New().Apply(put("a", 0, `{}`)); r.Code != ResultIgnored {
+	if r := New().Apply(configureCommand("a", 0, `{}`)); r.Code != ResultIgnored {
 		t.Errorf("before the first epoch: %+v", r)
 	}
 }
 
-// What does not fit is rejected and changes nothing; a full state still takes shorter documents.
+// A write over MaxServices or MaxDocumentBytes is rejected and changes nothing; a full state still accepts
+// shorter documents.
 func TestConfigurationLimits(t *testing.T) {
 	s := newBegunState()
 	for i := range MaxServices {
-		if r := s.Apply(put(fmt.Sprint("s", i), 0, `{}`)); r.Code != ResultDone {
+		if r := s.Apply(configureCommand(fmt.Sprint("s", i), 0, `{}`)); r.Code != ResultDone {
 			t.Fatalf("%d: %+v", i, r)
 		}
 	}
-	if r := s.Apply(put("more", 0, `{}`)); r.Code != ResultNoRoom {
-		t.Errorf("one service more: %+v", r)
+	if r := s.Apply(configureCommand("more", 0, `{}`)); r.Code != ResultNoRoom {
+		t.Errorf("one service over the limit: %+v", r)
 	}
 	s = newBegunState()
 	large := `{"a":"` + strings.Repeat("a", 60<<10) + `"}`
 	n, versions := 0, map[string]int64{}
 	replace := func(name, text string) ResultCode {
-		r := s.Apply(put(name, versions[name], text))
+		r := s.Apply(configureCommand(name, versions[name], text))
 		versions[name] = r.Version
 		return r.Code
 	}
@@ -90,36 +102,37 @@
 		n++
 	}
 	if end := replace("twice", large); end != ResultDone {
-		t.Errorf("in the place of as much: %s", end)
+		t.Errorf("a document in place of one of the same size: %s", end)
 	}
-	if held := (n + 2) * len(large); held > MaxDocumentBytes || held < MaxDocumentBytes-len(large) {
-		t.Errorf("%d bytes are held", held)
+	if total := (n + 2) * len(large); total > MaxDocumentBytes || total < MaxDocumentBytes-len(large) {
+		t.Errorf("%d bytes of documents are kept, want almost MaxDocumentBytes", total)
 	}
 	if end := replace("s0", large); end != ResultNoRoom {
-		t.Errorf("a document more: %s", end)
+		t.Errorf("a document over the limit: %s", end)
 	}
 	for range 2 { // the second drops the previous document
 		if end := replace("twice", `{}`); end != ResultDone {
-			t.Fatalf("less: %s", end)
+			t.Fatalf("a shorter document: %s", end)
 		}
 	}
 	if end := replace("s0", large); end != ResultDone {
 		t.Errorf("after room was made: %s", end)
 	}
-	i := s.Snapshot()
-	if err := i.Check(); err != nil {
+	snapshot := s.Snapshot()
+	if err := snapshot.Check(); err != nil {
 		t.Error(err)
 	}
 	for _, name := range []string{"x", "y", "z"} {
-		i.Configs = append(i.Configs, Configuration{Service: name, Version: 5, Document: json.RawMessage(large)})
+		snapshot.Configs = append(snapshot.Configs,
+			Configuration{Service: name, Version: 5, Document: json.RawMessage(large)})
 	}
-	if err := i.Check(); err == nil {
-		t.Error("a snapshot over the limit passes")
+	if err := snapshot.Check(); err == nil {
+		t.Error("a snapshot over the limits passes the check")
 	}
 }
 
-// Without configurations a snapshot is byte for byte that of builds before them; with some it is of a kind that they
-// reject, and any damage is noticed as well.
+// A snapshot without configurations is byte for byte what builds without configurations write. One with
+// configurations is of a kind that such builds reject, and any damage to it is detected.
 func TestSnapshotsWithConfigurations(t *testing.T) {
 	s := newBegunState()
 	s.Apply(Command{Kind: CommandRegister, Record: record("n", "i1", 10)})
@@ -130,56 +143,61 @@
 		}
 		return text.Bytes()
 	}
-	const before = "roster-snapshot 1 191 18658e20\n" + `{"line":"l","index":101,"nodos":[{"name":"n","address":"127.0.0.1:1","zone":"a",` +
+	const wantPlain = "roster-snapshot 1 191 18658e20\n" +
+		`{"line":"l","index":101,"nodos":[{"name":"n","address":"127.0.0.1:1","zone":"a",` +
 		`"type":"","group":0,"status":"SERVING","weight":1,"since_ms":10,"instance":"i1","lease_ms":5000}],"ended":null}`
-	if got := string(written()); got != before {
+	if got := string(written()); got != wantPlain {
 		t.Errorf("without configurations: %s", got)
 	}
-	s.Apply(put("a", 0, `{"n":1}`))
-	s.Apply(put("a", 102, `{"n":2,"s":"\u003c"}`))
-	whole := written()
-	if _, err := atomicfile.Decode("roster-snapshot", bytes.NewReader(whole), MaxSnapshotBytes); !errors.Is(err, atomicfile.ErrDamaged) {
-		t.Errorf("a build before them reads it: %v", err)
+	s.Apply(configureCommand("a", 0, `{"n":1}`))
+	s.Apply(configureCommand("a", 102, `{"n":2,"s":"\u003c"}`))
+	encoded := written()
+	if _, err := atomicfile.Decode("roster-snapshot", bytes.NewReader(encoded),
+		MaxSnapshotBytes); !errors.Is(err, atomicfile.ErrDamaged) {
+		t.Errorf("a build without configurations would read it: %v", err)
 	}
-	i, err := ReadSnapshot(bytes.NewReader(whole))
+	decoded, err := ReadSnapshot(bytes.NewReader(encoded))
 	if err != nil {
 		t.Fatal(err)
 	}
 	again := New()
-	if err := again.Load(i); err != nil || !bytes.Equal(whole, func() []byte { s = again; return written() }()) {
-		t.Errorf("it is another once read: %v", err)
+	if err := again.Load(decoded); err != nil ||
+		!bytes.Equal(encoded, func() []byte { s = again; return written() }()) {
+		t.Errorf("the snapshot differs after it was written and read: %v", err)
 	}
-	if r := again.Apply(put("a", 102, `{"n":2,"s":"\u003c"}`)); r.Code != ResultDone || r.Changed {
-		t.Errorf("a repeated put after a restart: %+v", r)
+	if r := again.Apply(configureCommand("a", 102, `{"n":2,"s":"\u003c"}`)); r.Code != ResultDone ||
+		r.Changed {
+		t.Errorf("a repeated write after a restart: %+v", r)
 	}
-	for at := range whole {
-		spoilt := bytes.Clone(whole)
-		spoilt[at] ^= 0x20
-		for what, b := range map[string][]byte{"cut": whole[:at], "spoilt": spoilt} {
+	for at := range encoded {
+		corrupted := bytes.Clone(encoded)
+		corrupted[at] ^= 0x20
+		for what, b := range map[string][]byte{"cut": encoded[:at], "corrupted": corrupted} {
 			if _, err := ReadSnapshot(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
 				t.Fatalf("%s at byte %d: %v", what, at, err)
 			}
 		}
 	}
-	// The kind has to match the content.
+	// A snapshot's kind has to match its content.
 	bare := Snapshot{Epoch: "l", Version: 1}
 	body, _ := json.Marshal(bare)
 	if _, err := ReadSnapshot(bytes.NewReader(atomicfile.Encode("roster-snapshot-configs", body))); !errors.Is(err, ErrDamaged) {
-		t.Errorf("none in a snapshot of some: %v", err)
+		t.Errorf("a snapshot of the kind with configurations that has none: %v", err)
 	}
 }
 
-// A restored snapshot's configurations are above all earlier versions, and those that it lacks are kept.
+// The versions of a restored snapshot's configurations are above all earlier ones, and configurations that
+// the snapshot lacks are kept.
 func TestRebase(t *testing.T) {
 	s := newBegunState()
-	s.Apply(put("a", 0, `{"n":1}`))
+	s.Apply(configureCommand("a", 0, `{"n":1}`))
 	saved := s.Snapshot()
-	s.Apply(put("a", 101, `{"n":2}`))
-	s.Apply(put("b", 0, `{"n":3}`))
+	s.Apply(configureCommand("a", 101, `{"n":2}`))
+	s.Apply(configureCommand("b", 0, `{"n":3}`))
 	now := s.Snapshot()
-	lifted := saved.Rebase("m", now.NewestVersion()+50, now.Configs)
+	rebased := saved.Rebase("m", now.NewestVersion()+50, now.Configs)
 	again := New()
-	if err := again.Load(lifted); err != nil {
+	if err := again.Load(rebased); err != nil {
 		t.Fatal(err)
 	}
 	a, _ := again.Configuration("a")
@@ -187,18 +205,19 @@
 	if string(a.Document) != `{"n":1}` || string(b.Document) != `{"n":3}` || a.Version <= now.NewestVersion() || b.Version <= now.NewestVersion() {
 		t.Errorf("a %+v, b %+v", a, b)
 	}
-	if r := again.Apply(put("a", 101, `{"n":2}`)); r.Code != ResultConflict {
-		t.Errorf("a repeated write of the epoch before: %+v", r)
+	if r := again.Apply(configureCommand("a", 101, `{"n":2}`)); r.Code != ResultConflict {
+		t.Errorf("a repeated write of the previous epoch: %+v", r)
 	}
-	if r := again.Apply(put("a", 0, `{"n":1}`)); r.Code != ResultConflict {
-		t.Errorf("another, of what was restored: %+v", r)
+	if r := again.Apply(configureCommand("a", 0, `{"n":1}`)); r.Code != ResultConflict {
+		t.Errorf("a repeated write of the restored document: %+v", r)
 	}
 	if saved.Configs[0].Version != 101 {
-		t.Error("the snapshot that was rebased has changed")
+		t.Error("Rebase changed the snapshot that it was called on")
 	}
 }
 
-// After any commands and snapshots, the state is that of a map in which a write after the newest version wins.
+// After any sequence of commands and snapshots, the configurations equal those of a model, a map in which
+// only a write after the newest version takes effect.
 func TestConfigurationsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type version struct {
@@ -226,7 +245,7 @@
 				}
 				after := rapid.SampledFrom(seen).Draw(t, "after")
 				text := fmt.Sprintf(`{"n":%d}`, rapid.IntRange(1, 3).Draw(t, "document"))
-				r := s.Apply(put(name, after, text))
+				r := s.Apply(configureCommand(name, after, text))
 				last, before := version{}, version{}
 				if n := len(all); n > 0 {
 					last = all[n-1]
@@ -237,22 +256,22 @@
 				switch {
 				case len(all) > 0 && after == before.n && text == last.text:
 					if r.Code != ResultDone || r.Changed || r.Version != last.n {
-						t.Fatalf("repeated: %+v", r)
+						t.Fatalf("a repeated write: %+v", r)
 					}
 				case after == last.n:
 					if r.Code != ResultDone || !r.Changed || r.Version <= last.n {
-						t.Fatalf("taken: %+v", r)
+						t.Fatalf("a write after the newest version: %+v", r)
 					}
 					model[name] = append(all, version{r.Version, text})
 				case r.Code != ResultConflict || r.Changed || r.Version != last.n:
-					t.Fatalf("turned down: %+v", r)
+					t.Fatalf("a write after an older version: %+v", r)
 				}
 			}
 			for name, all := range model {
 				c, ok := s.Configuration(name)
 				last := all[len(all)-1]
 				if !ok || c.Version != last.n || string(c.Document) != last.text || (c.Previous != nil) != (len(all) > 1) {
-					t.Fatalf("%s is %+v, and has to be %+v", name, c, last)
+					t.Fatalf("configuration of %s is %+v, want %+v", name, c, last)
 				}
 			}
 		}
--- a/internal/registry/store/golden_test.go
+++ b/internal/registry/store/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// goldenRecord is log entry i of the directory in testdata.
-func goldenRecord(i uint64) raft.Log {
+// goldenEntry returns log entry i of the directory in testdata.
+func goldenEntry(i uint64) raft.Log {
 	l := raft.Log{Index: i, Term: 1 + i/5, Type: raft.LogCommand, Data: fmt.Appendf(nil, "command %d", i)}
 	switch i {
 	case 1:
@@ -27,9 +27,10 @@
 	return l
 }
 
-const goldenRecords = 12
+const goldenEntryCount = 12
 
-// A directory that an earlier version wrote is read in full, and its identity is still written alike.
+// A directory that an earlier version wrote is read completely, and the identity file has the same encoding
+// as then.
 func TestDirectoryOfEarlierVersionIsRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/member")); err != nil {
@@ -45,9 +46,9 @@
 	if got := encodeIdentity("r1"); !bytes.Equal(got, want) {
 		t.Errorf("identity is %q, not %q", got, want)
 	}
-	s, fresh, err := Open(dir, "r1", 0, quiet)
-	if err != nil || fresh {
-		t.Fatal(fresh, err)
+	s, empty, err := Open(dir, "r1", 0, discardLogger)
+	if err != nil || empty {
+		t.Fatal(empty, err)
 	}
 	t.Cleanup(func() { s.Close() })
 	if term, err := s.GetUint64([]byte("CurrentTerm")); err != nil || term != 7 {
@@ -60,15 +61,15 @@
 	}
 	first, err1 := s.FirstIndex()
 	last, err2 := s.LastIndex()
-	if first != 1 || last != goldenRecords || err1 != nil || err2 != nil {
+	if first != 1 || last != goldenEntryCount || err1 != nil || err2 != nil {
 		t.Errorf("entries %d to %d: %v, %v", first, last, err1, err2)
 	}
-	for i := range uint64(goldenRecords) {
+	for i := range uint64(goldenEntryCount) {
 		var got raft.Log
 		if err := s.GetLog(i+1, &got); err != nil {
 			t.Fatal(err)
 		}
-		want := goldenRecord(i + 1)
+		want := goldenEntry(i + 1)
 		if got.Index != want.Index || got.Term != want.Term || got.Type != want.Type || !bytes.Equal(got.Data, want.Data) ||
 			!bytes.Equal(got.Extensions, want.Extensions) || !got.AppendedAt.Equal(want.AppendedAt) {
 			t.Errorf("entry %d is %+v, not %+v", i+1, got, want)
@@ -76,7 +77,7 @@
 	}
 }
 
-// A record in the file is byte for byte that of earlier versions.
+// The encoding of a record in the file is byte for byte that of earlier versions.
 func TestSealedRecordMatchesGolden(t *testing.T) {
 	const want = `398da6ff{"t":1}`
 	sealed := seal(indexKey(1), []byte(`{"t":1}`))
