--- a/internal/faultlab/run/byzantine.go
+++ b/internal/faultlab/run/byzantine.go
@@ -11,9 +11,10 @@
 	"merlinpick/internal/faultlab/plan"
 )
 
-const firstByzantine = 400 // ordinal, above those of proxies
+const firstByzantine = 400 // ordinal of the first byzantine member, above those of proxies
 
-// runByzantineMembers has byzantine members join the gossip for the duration of a fault, one in each zone in turn.
+// runByzantineMembers runs byzantine members of the cluster for the duration of a fault, distributed over the
+// zones in turn. They report the fault's targets, and all zones but their own, as unhealthy.
 func (t *timeline) runByzantineMembers(ctx context.Context, planned plan.PlannedFault) error {
 	if !t.experiment.Cluster.Enabled {
 		return nil
@@ -31,12 +32,13 @@
 	var errs []error
 	for i := range planned.Fault.ByzantineMembers {
 		zone := zones[i%len(zones)]
-		l, err := t.joinByzantine(experiment.Node{Name: fmt.Sprintf("%s-liar%d.%d", zone, planned.Number, i+1), Zone: zone}, victims)
+		member, err := t.joinByzantine(experiment.Node{
+			Name: fmt.Sprintf("%s-liar%d.%d", zone, planned.Number, i+1), Zone: zone}, victims)
 		if err != nil {
 			errs = append(errs, err)
 			break
 		}
-		defer l.Leave()
+		defer member.Leave()
 	}
 	if len(errs) == 0 {
 		t.holdFault(ctx, planned, planned.At)
@@ -44,20 +46,21 @@
 	return errors.Join(errs...)
 }
 
-// joinByzantine has one byzantine member join, behind a relay of its own.
+// joinByzantine starts a byzantine member with a relay of its own.
 func (t *timeline) joinByzantine(node experiment.Node, victims func() []byzantine.Target) (*byzantine.Member, error) {
 	t.mu.Lock()
 	n := firstByzantine + t.byzantineMembers
 	t.byzantineMembers++
 	t.mu.Unlock()
-	r, err := t.addRelay(node, n)
+	relay, err := t.addRelay(node, n)
 	if err != nil {
 		return nil, err
 	}
 	bind := t.block.gossip(n, 0)
-	if err := r.SetTarget(bind); err != nil {
+	if err := relay.SetTarget(bind); err != nil {
 		return nil, err
 	}
-	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage), Bind: bind, Advertise: r.Address(),
-		Label: t.experiment.Cluster.Label, Seeds: t.gossipSeeds(node), Logger: t.log}, victims, t.experiment.ZoneNames())
+	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage),
+		Bind: bind, Advertise: relay.Address(), Label: t.experiment.Cluster.Label,
+		Seeds: t.gossipSeeds(node), Logger: t.log}, victims, t.experiment.ZoneNames())
 }
--- a/internal/faultlab/run/capacity.go
+++ b/internal/faultlab/run/capacity.go
@@ -10,39 +10,41 @@
 	"merlinpick/internal/faultlab/experiment"
 )
 
-// Upper bounds of what an experiment needs.
+// Upper bounds of the resources that an experiment needs.
 const (
 	maxProcesses          = 300
 	maxMemory             = 12 << 30 // bytes
 	labBytes              = 300 << 20
-	proxyBytes            = 30 << 20 // of a real proxy
-	memberBytes           = 400 << 20
-	hollowProcessBytes    = 40 << 20 // of an empty hollow process
+	proxyBytes            = 30 << 20  // of a real proxy
+	memberBytes           = 400 << 20 // of a member of the list service
+	hollowProcessBytes    = 40 << 20  // of an empty hollow process
 	hollowProxyBytes      = 500 << 10
 	hollowBytesPerServer  = 900       // in a hollow proxy, for each listed server
 	labBytesPerConnection = 100 << 10 // for each forwarded connection
-	labBytesPerListing    = 450       // for each listed server and proxy that gets the complete list
+	labBytesPerListing    = 450       // for each pair of a listed server and a hollow proxy
 	hollowServerBytes     = 150 << 10
-	memberBytesPerClient  = 60 << 10 // in a member, for each client
-	clusterMemberBytes    = 600 << 10
-	clusterBytesPerMember = 1500 // in a cluster member, for each other
-	relayBytesPerMember   = 500  // in its relay, for each member
-	relayBytes            = 200 << 10
-	clusterMilliCores     = 20 // CPU of a cluster member, from 10 members on
-	filesPerConnection    = 2  // descriptors of the lab for each forwarded connection
-	minFiles              = 2000
+	memberBytesPerClient  = 60 << 10  // in a member, for each client
+	clusterMemberBytes    = 600 << 10 // gossip of a hollow proxy
+	clusterBytesPerMember = 1500      // in a cluster member, for each other member
+	relayBytesPerMember   = 500       // in a cluster member's relay, for each member
+	relayBytes            = 200 << 10 // of a cluster member's relay
+	clusterMilliCores     = 20        // CPU of a cluster member, in clusters of 10 members and more
+	filesPerConnection    = 2         // descriptors of the lab for each forwarded connection
+	minFiles              = 2000      // descriptors of the lab without hollow processes
 )
 
-// A NeedError is an experiment that needs more than this machine has. Nothing was started.
+// NeedError is the error of an experiment that needs more of a resource than this machine has. Nothing was
+// started.
 type NeedError struct {
-	What      string
+	What      string // resource and unit
 	Need, Has int64
 	Remedy    string
 }
 
-// Error says what is needed, what there is, and the remedy.
+// Error returns the needed and the available amount, and the remedy.
 func (e *NeedError) Error() string {
-	return fmt.Sprintf("this experiment needs %d %s, and there are %d: %s", e.Need, e.What, e.Has, e.Remedy)
+	return fmt.Sprintf("the experiment needs %d %s but only %d are available: %s",
+		e.Need, e.What, e.Has, e.Remedy)
 }
 
 // machine holds the available resources.
@@ -52,6 +54,7 @@
 	cores  int64
 }
 
+// thisMachine returns the resources of the machine that the lab runs on; a resource that cannot be read is 0.
 func thisMachine() (m machine) {
 	m.cores = int64(Cores())
 	text, err := os.ReadFile("/proc/meminfo")
@@ -71,8 +74,8 @@
 	return m
 }
 
-// checkCapacity returns a *NeedError if a machine is too small for an experiment with hollow processes. Others are bounded by the
-// limits of the experiment file.
+// checkCapacity returns a *NeedError if a machine is too small for an experiment with hollow processes.
+// Others are bounded by the limits of the experiment file.
 func checkCapacity(exp *experiment.Experiment, m machine) error {
 	hollow := exp.Hollow
 	if !hollow.Enabled() {
@@ -90,28 +93,31 @@
 	}
 	memory := labBytes + (labBytesPerConnection+labBytesPerListing*listed)*int64(hollow.Proxies) + labBytesPerConnection*int64(hollow.Servers) + real*proxyBytes + members*(memberBytes+memberBytesPerClient*int64(hollow.Proxies+hollow.Servers)/max(1, members)) +
 		int64(hollow.Processes+hollow.ServerProcesses())*hollowProcessBytes + int64(hollow.Proxies)*each + int64(hollow.Servers)*hollowServerBytes
-	following := int64(0) // each has one more connection
+	configFollowers := int64(0) // hollow proxies that follow a configuration, each with one more connection
 	if hollow.ConfigServiceCount > 0 {
-		following = int64(hollow.Proxies)
-		memory += following * (labBytesPerConnection + memberBytesPerClient)
+		configFollowers = int64(hollow.Proxies)
+		memory += configFollowers * (labBytesPerConnection + memberBytesPerClient)
 	}
-	files := minFiles + filesPerConnection*(int64(hollow.Proxies+hollow.Servers)+following)
+	files := minFiles + filesPerConnection*(int64(hollow.Proxies+hollow.Servers)+configFollowers)
 	cores := int64(0)
 	if exp.Cluster.Enabled {
 		cores = (clusterMilliCores*(int64(hollow.Proxies)+real) + 999) / 1000
 	}
-	const less = "give fewer hollow.proxies and hollow.nodos, or a larger machine"
+	const remedy = "configure fewer hollow.proxies and hollow.nodos, or use a larger machine"
 	switch {
 	case processes > maxProcesses:
-		return &NeedError{"processes", processes, maxProcesses, "give fewer proxies or hollow.processes"}
+		return &NeedError{"processes", processes, maxProcesses, "configure fewer proxies or hollow.processes"}
 	case memory > maxMemory:
-		return &NeedError{"MB of memory", memory >> 20, maxMemory >> 20, "the lab's bound is half of its machine; give fewer hollow.proxies"}
+		return &NeedError{"MB of memory", memory >> 20, maxMemory >> 20,
+			"the lab may use half of its machine's memory; configure fewer hollow.proxies"}
 	case memory > m.memory:
-		return &NeedError{"MB of memory", memory >> 20, m.memory >> 20, less}
+		return &NeedError{"MB of memory", memory >> 20, m.memory >> 20, remedy}
 	case cores > m.cores:
-		return &NeedError{"cores at the least, for the gossip alone", cores, m.cores, "give fewer hollow.proxies, or a larger machine"}
+		return &NeedError{"cores for gossip alone", cores, m.cores,
+			"configure fewer hollow.proxies, or use a larger machine"}
 	case files > m.files:
-		return &NeedError{"descriptors in one process", files, m.files, "raise the limit (ulimit -n), or " + less}
+		return &NeedError{"file descriptors in one process", files, m.files,
+			"raise the limit (ulimit -n), or " + remedy}
 	}
 	return nil
 }
--- a/internal/faultlab/run/capacity_test.go
+++ b/internal/faultlab/run/capacity_test.go
@@ -9,8 +9,8 @@
 	"merlinpick/internal/faultlab/experiment"
 )
 
-// A size that a machine can't bear is refused with the need and what there is; the sizes that come with the lab are borne by
-// a machine of 24 GB.
+// A size that a machine can't bear is refused with the need and what there is; the sizes that come with the
+// lab are borne by a machine of 24 GB.
 func TestCheckCapacity(t *testing.T) {
 	open := func(name string) *experiment.Experiment {
 		text, err := experiments.Files.ReadFile(name + ".toml")
--- a/internal/faultlab/run/config.go
+++ b/internal/faultlab/run/config.go
@@ -10,9 +10,10 @@
 
 const stage = 0 // index of the lab's only tier
 
+// micros converts milliseconds to microseconds.
 func micros(ms float64) int64 { return int64(ms * 1000) }
 
-// settings is the settings object of a proxy, with the platform's keys.
+// settings returns the settings object of a proxy, with the platform's keys.
 func settings(exp *experiment.Experiment, ordinal, zone int) map[string]any {
 	var profiles []any
 	for _, k := range exp.Classes {
@@ -41,30 +42,30 @@
 	return s
 }
 
-// overlay sets an experiment's own keys over the lab's, object by object.
-func overlay(over map[string]any, own map[string]any) {
-	for key, v := range own {
-		mine, isObject := v.(map[string]any)
-		theirs, both := over[key].(map[string]any)
+// overlay sets the keys of an experiment's overrides in a configuration, and merges objects that both have.
+func overlay(config map[string]any, overrides map[string]any) {
+	for key, v := range overrides {
+		object, isObject := v.(map[string]any)
+		merged, both := config[key].(map[string]any)
 		if isObject && both {
-			theirs = maps.Clone(theirs)
-			overlay(theirs, mine)
-			over[key] = theirs
+			merged = maps.Clone(merged)
+			overlay(merged, object)
+			config[key] = merged
 			continue
 		}
-		over[key] = v
+		config[key] = v
 	}
 }
 
-// startConfig is the part of a configuration that differs at each start.
+// startConfig is the part of a proxy's configuration that differs at each start.
 type startConfig struct {
 	seed    uint64
-	members []string        // of the list service; nil with the catalog
-	known   json.RawMessage // list; nil: none
-	cluster map[string]any  // nil: no cluster
+	members []string        // addresses of the list service's members; nil with the catalog
+	known   json.RawMessage // list at the start; nil if there is none
+	cluster map[string]any  // nil without a cluster
 }
 
-// proxyConfig is the text of a proxy's configuration file.
+// proxyConfig returns the text of a proxy's configuration file.
 func proxyConfig(exp *experiment.Experiment, proxy *proxyUnderTest, start startConfig) ([]byte, error) {
 	config := map[string]any{"name": proxy.node.Name, "listen": proxy.listenAddress, "mgmt": proxy.managementAddress,
 		"discovery": proxy.listAddress, "seed": fmt.Sprintf("%016x", start.seed), "settings": settings(exp, proxy.ordinal, proxy.zone),
--- a/internal/faultlab/run/faults_configs.go
+++ b/internal/faultlab/run/faults_configs.go
@@ -17,26 +17,28 @@
 )
 
 const (
-	configWriteTimeout     = 3 * time.Second // for one answer
+	configWriteTimeout     = 3 * time.Second // for the response to one request
 	configRetryPause       = 100 * time.Millisecond
 	maxConfigWriteDuration = 20 * time.Second // for all attempts of one write
 )
 
-// configWrites records the configurations that were written.
+// configWrites records the configurations that the lab wrote.
 type configWrites struct {
 	mu        sync.Mutex
 	services  map[string]*configuredService
 	writes    []result.ConfigWrite
-	documents int64 // number so far: each document is different
+	documents int64 // number of documents so far, which makes each document different
 }
 
-// configuredService is a service whose configuration the lab writes, one write at a time, each based on the version before.
+// configuredService is a service whose configuration the lab writes, one write at a time, each based on the
+// previous version.
 type configuredService struct {
 	mu      sync.Mutex
 	version int64
 }
 
-func (c *configWrites) service(service string) (own *configuredService, n int64) {
+// service returns the state of a service, and the number of its next document.
+func (c *configWrites) service(service string) (state *configuredService, n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.services == nil {
@@ -61,7 +63,8 @@
 	return slices.Clone(c.writes)
 }
 
-// configDocument is the hollow proxies' settings with an objective of its own; a faulty one has an invalid repeat class.
+// configDocument returns the hollow proxies' settings with objectives that are unique to document n. A faulty
+// document has an invalid `repeat`.
 func (bed *testbed) configDocument(n int64, faulty bool) ([]byte, error) {
 	text, err := bed.hollowSettings()
 	if err != nil {
@@ -83,41 +86,46 @@
 	return json.Marshal(map[string]any{"settings": s})
 }
 
-// writeConfigs writes configurations to the list service, each at its time.
+// writeConfigs writes configurations to the list service, each at its planned time.
 func (t *timeline) writeConfigs(ctx context.Context, planned plan.PlannedFault) error {
 	return t.eachTarget(ctx, planned, func(target plan.Target) error {
-		own, n := t.configs.service(target.Name)
+		configured, n := t.configs.service(target.Name)
 		text, err := t.configDocument(n, planned.Fault.InvalidConfig)
 		if err != nil {
 			return err
 		}
-		own.mu.Lock()
-		defer own.mu.Unlock()
-		put := result.ConfigWrite{Service: target.Name, Faulty: planned.Fault.InvalidConfig, RequestedAt: time.Now().UnixNano()}
-		t.writeConfig(ctx, &put, own, text, int(n))
-		if ctx.Err() == nil || put.Status != 0 {
-			t.configs.record(put)
+		configured.mu.Lock()
+		defer configured.mu.Unlock()
+		write := result.ConfigWrite{Service: target.Name, Faulty: planned.Fault.InvalidConfig,
+			RequestedAt: time.Now().UnixNano()}
+		t.writeConfig(ctx, &write, configured, text, int(n))
+		if ctx.Err() == nil || write.Status != 0 {
+			t.configs.record(write)
 		}
 		return nil
 	})
 }
 
-// writeConfig writes a configuration to the members in turn until there is a final answer.
-func (t *timeline) writeConfig(ctx context.Context, put *result.ConfigWrite, own *configuredService, text []byte, first int) {
+// writeConfig sends a configuration to the members in turn, starting with member first, until one gives a
+// final response.
+func (t *timeline) writeConfig(ctx context.Context, write *result.ConfigWrite, configured *configuredService,
+	text []byte, first int) {
 	members := len(t.service.Members(nil))
 	ctx, cancel := context.WithTimeout(ctx, maxConfigWriteDuration)
 	defer cancel()
 	for attempt := first; ctx.Err() == nil; attempt++ {
-		status, version, err := t.sendConfig(ctx, t.block.member(attempt%members, listPort), put.Service, own.version, text)
+		status, version, err := t.sendConfig(ctx, t.block.member(attempt%members, listPort), write.Service,
+			configured.version, text)
 		if err == nil {
-			put.Status, put.ConfirmedAt = status, time.Now().UnixNano()
+			write.Status, write.ConfirmedAt = status, time.Now().UnixNano()
 			switch status {
 			case http.StatusOK:
-				own.version, put.Version = version, version
+				configured.version, write.Version = version, version
 				return
 			case http.StatusServiceUnavailable:
 			default:
-				t.log.Info("configuration rejected", "service", put.Service, "status", status, "faulty", put.Faulty)
+				t.log.Info("configuration rejected by the list service", "service", write.Service,
+					"status", status, "faulty", write.Faulty)
 				return
 			}
 		}
@@ -125,7 +133,10 @@
 	}
 }
 
-func (t *timeline) sendConfig(ctx context.Context, member, service string, after int64, text []byte) (status int, version int64, err error) {
+// sendConfig sends a configuration that follows version after to a member, and returns the response's status
+// and version.
+func (t *timeline) sendConfig(ctx context.Context, member, service string, after int64, text []byte) (
+	status int, version int64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, configWriteTimeout)
 	defer cancel()
 	url := fmt.Sprintf("http://%s/config/%s?from=%d", member, service, after)
--- a/internal/faultlab/run/faults_links.go
+++ b/internal/faultlab/run/faults_links.go
@@ -24,24 +24,27 @@
 	link.Effect
 }
 
-// applyEffects applies effects to links for a fault's duration. A proxy that clients or the list cannot reach is excused.
-func (t *timeline) applyEffects(ctx context.Context, planned plan.PlannedFault, reaches ...linkEffect) error {
+// applyEffects applies effects to links for a fault's duration. Meanwhile the referee excuses the proxies
+// whose links to clients or to the list are affected.
+func (t *timeline) applyEffects(ctx context.Context, planned plan.PlannedFault, effects ...linkEffect) error {
 	begun := time.Now()
 	var excused []func(time.Time)
 	var ends []func() error
 	var errs []error
-	for _, r := range reaches {
+	for _, effect := range effects {
 		for _, proxy := range t.proxyOrder {
-			if r.match(link.Ends{Kind: "list", From: proxy.node.Name, FromZone: proxy.node.Zone, ToZone: t.experiment.List.Zone}) {
+			if effect.match(link.Ends{Kind: "list", From: proxy.node.Name, FromZone: proxy.node.Zone,
+				ToZone: t.experiment.List.Zone}) {
 				excused = append(excused, t.ref.BeginListOutage(proxy.node.Name, begun))
 			}
 			for _, z := range t.experiment.ZoneNames() {
-				if r.match(link.Ends{Kind: "client", FromZone: z, To: proxy.node.Name, ToZone: proxy.node.Zone}) {
+				if effect.match(link.Ends{Kind: "client", FromZone: z, To: proxy.node.Name,
+					ToZone: proxy.node.Zone}) {
 					excused = append(excused, t.ref.BeginExcusedSpan(proxy.node.Name, begun))
 				}
 			}
 		}
-		end, err := t.net.Apply(r.match, r.Effect)
+		end, err := t.net.Apply(effect.match, effect.Effect)
 		ends, errs = append(ends, end), append(errs, err)
 	}
 	if errors.Join(errs...) == nil {
@@ -56,9 +59,10 @@
 	return errors.Join(errs...)
 }
 
-// matchesFault matches the links that a fault of links affects, but for gossip.
+// matchesFault returns a function that matches the links that a link fault affects, except gossip and the
+// links between members.
 func matchesFault(fault experiment.Fault, shared bool) func(link.Ends) bool {
-	one := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
+	picks := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 	return func(ends link.Ends) bool {
 		if fault.Link != "" && ends.Kind != fault.Link || fault.FromZone != "" && ends.FromZone != fault.FromZone ||
 			fault.ToZone != "" && ends.ToZone != fault.ToZone {
@@ -69,45 +73,47 @@
 		}
 		switch ends.Kind {
 		case "client":
-			return len(fault.Servers) == 0 && one(fault.Proxies, ends.To)
+			return len(fault.Servers) == 0 && picks(fault.Proxies, ends.To)
 		case "member", "gossip":
-			return false // handled by cutMembers and gossipEffects
+			return false // see cutMembers and gossipEffects
 		case "lease":
 			return len(fault.Servers) == 0 && len(fault.Proxies) == 0
 		case "nodo":
-			return one(fault.Servers, ends.To) && (shared && len(fault.Proxies) == 0 || one(fault.Proxies, ends.From))
+			return picks(fault.Servers, ends.To) &&
+				(shared && len(fault.Proxies) == 0 || picks(fault.Proxies, ends.From))
 		}
-		return len(fault.Servers) == 0 && one(fault.Proxies, ends.From)
+		return len(fault.Servers) == 0 && picks(fault.Proxies, ends.From)
 	}
 }
 
-// cutEffect is a cut in a direction, as seen by the dialling side.
+// cutEffect returns the effect of a cut in a direction, as seen by the dialing side.
 func cutEffect(direction string) link.Effect {
 	switch direction {
-	case "out": // connections do not come up either
+	case "out": // connections are not established either
 		return link.Effect{CutOut: true, NoConnect: true}
-	case "back": // connections come up; responses are lost
+	case "back": // connections are established, but responses are lost
 		return link.Effect{CutBack: true}
 	}
 	return link.Silent
 }
 
+// injectLinkFault injects a fault into all links that it selects.
 func (t *timeline) injectLinkFault(ctx context.Context, planned plan.PlannedFault) error {
 	fault := planned.Fault
 	match := matchesFault(fault, t.experiment.SharedLinks())
-	over := func(e link.Effect) error {
+	apply := func(e link.Effect) error {
 		return t.applyEffects(ctx, planned, append(gossipEffects(fault, e), linkEffect{match, e})...)
 	}
 	switch fault.Kind {
 	case "cut":
-		return over(cutEffect(fault.Direction))
+		return apply(cutEffect(fault.Direction))
 	case "delay":
-		return over(link.Effect{Delay: experiment.Millis(fault.DelayMs)})
+		return apply(link.Effect{Delay: experiment.Millis(fault.DelayMs)})
 	case "loss":
 		if err := t.loseHollowGossip(ctx, planned); err != nil {
 			return err
 		}
-		return over(link.Effect{Loss: fault.Fraction})
+		return apply(link.Effect{Loss: fault.Fraction})
 	case "reset":
 		if planned.Duration <= 0 {
 			for _, proxy := range t.proxyOrder {
@@ -116,24 +122,25 @@
 			}
 		}
 		t.net.Reset(match)
-		for _, r := range gossipEffects(fault, link.Effect{}) {
-			t.net.Reset(r.match)
+		for _, effect := range gossipEffects(fault, link.Effect{}) {
+			t.net.Reset(effect.match)
 		}
 		if planned.Duration <= 0 {
 			return nil
 		}
-		return over(link.Effect{ResetNew: true})
+		return apply(link.Effect{ResetNew: true})
 	}
 	return unknownFault(planned, "links")
 }
 
-// loseZone takes down a zone's machines, and brings them back with slow start.
+// loseZone takes down all servers and proxies of a zone, and starts them again, servers with slow start,
+// after the fault's duration.
 func (t *timeline) loseZone(ctx context.Context, planned plan.PlannedFault) error {
 	zone := planned.Fault.Zone
-	into := func(ends link.Ends) bool {
+	links := func(ends link.Ends) bool {
 		return (ends.Kind == "nodo" || ends.Kind == "gossip") && ends.ToZone == zone
 	}
-	silent, err := t.net.Apply(into, link.Silent)
+	endSilence, err := t.net.Apply(links, link.Silent)
 	if err != nil {
 		return err
 	}
@@ -149,13 +156,13 @@
 		t.vanish(server)
 	}
 	back := planned.Duration > 0 && t.waitUntil(ctx, planned.At+planned.Duration)
-	t.net.Reset(into)
+	t.net.Reset(links)
 	if back {
 		for _, server := range servers {
 			errs = append(errs, t.bringUp(server))
 		}
 	}
-	errs = append(errs, silent())
+	errs = append(errs, endSilence())
 	if back {
 		t.startAll(ctx, proxies, false)
 	}
--- a/internal/faultlab/run/faults_lists.go
+++ b/internal/faultlab/run/faults_lists.go
@@ -13,24 +13,26 @@
 
 // injectRegistryFault injects a fault into members of the list service.
 func (t *timeline) injectRegistryFault(ctx context.Context, planned plan.PlannedFault) error {
-	ms := t.service.Members(planned.Fault.Members)
-	t.log.Info("faulty members", "fault", planned.Number, "members", service.Names(ms))
+	members := t.service.Members(planned.Fault.Members)
+	t.log.Info("fault injected into members of the list service", "fault", planned.Number,
+		"members", service.Names(members))
 	back := func() bool { return planned.Duration > 0 && t.waitUntil(ctx, planned.At+planned.Duration) }
 	switch planned.Fault.Kind {
 	case "member_kill":
-		return t.service.Kill(ms, back)
+		return t.service.Kill(members, back)
 	case "member_stop":
-		return t.service.Stop(ms, func() { t.holdFault(ctx, planned, planned.At) })
+		return t.service.Stop(members, func() { t.holdFault(ctx, planned, planned.At) })
 	case "member_damage":
-		return t.service.Damage(ms, back)
+		return t.service.Damage(members, back)
 	case "member_cut":
-		return t.cutMembers(ctx, planned, service.Names(ms))
+		return t.cutMembers(ctx, planned, service.Names(members))
 	}
 	return unknownFault(planned, "members")
 }
 
-// cutMembers cuts members off from the others: both ways, only what they send (out), or only what they receive (back). Either side
-// dials, so that a direction is the request's on some links and the response's on others.
+// cutMembers cuts members off from the others: in both directions, only what they send (out), or only what
+// they receive (back). Both sides dial, so what a member sends is in requests on some links and in responses
+// on others.
 func (t *timeline) cutMembers(ctx context.Context, planned plan.PlannedFault, names []string) error {
 	other := map[string]string{"out": "back", "back": "out"}
 	var ends []func() error
@@ -52,7 +54,8 @@
 	return errors.Join(ends[0](), ends[1]())
 }
 
-// injectListFault injects a fault into the catalog, or cuts all links to the list.
+// injectListFault injects a fault into the catalog. While the catalog is down, all links to it refuse
+// connections.
 func (t *timeline) injectListFault(ctx context.Context, planned plan.PlannedFault) error {
 	links := func(ends link.Ends) bool { return ends.Kind == "list" }
 	down := func() error {
@@ -60,15 +63,15 @@
 		if err != nil {
 			return err
 		}
-		up := t.catalog.TakeDown()
-		back := t.ref.BeginListOutage("", time.Now())
+		restart := t.catalog.TakeDown()
+		endOutage := t.ref.BeginListOutage("", time.Now())
 		t.net.Reset(links)
 		if planned.Fault.Kind == "list_power_loss" {
-			t.log.Info("list power lost", "versions_lost", t.catalog.PowerLoss())
+			t.log.Info("catalog lost power", "versions_lost", t.catalog.PowerLoss())
 		}
 		t.holdFault(ctx, planned, planned.At)
-		up()
-		defer func() { back(time.Now()) }()
+		restart()
+		defer func() { endOutage(time.Now()) }()
 		return end()
 	}
 	during := func(end func()) error {
--- a/internal/faultlab/run/faults_proxies.go
+++ b/internal/faultlab/run/faults_proxies.go
@@ -11,7 +11,7 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-// injectProxyFault injects a fault into proxies, each at its time.
+// injectProxyFault injects a fault into proxies, each at its planned time.
 func (t *timeline) injectProxyFault(ctx context.Context, planned plan.PlannedFault) error {
 	if planned.Fault.Kind == "kill" {
 		return t.killWave(ctx, planned)
@@ -21,7 +21,9 @@
 	})
 }
 
-func (t *timeline) injectIntoProxy(ctx context.Context, planned plan.PlannedFault, target plan.Target, proxy *proxyUnderTest) error {
+// injectIntoProxy injects a fault other than a kill into one proxy.
+func (t *timeline) injectIntoProxy(ctx context.Context, planned plan.PlannedFault, target plan.Target,
+	proxy *proxyUnderTest) error {
 	fault := planned.Fault
 	switch fault.Kind {
 	case "restart":
@@ -53,7 +55,7 @@
 	return unknownFault(planned, "proxies")
 }
 
-// holdCounted adds a fault to a proxy's number of active ones for the fault's duration.
+// holdCounted increments a proxy's number of active faults of a kind for the fault's duration.
 func (t *timeline) holdCounted(ctx context.Context, planned plan.PlannedFault, target plan.Target, proxy *proxyUnderTest,
 	count func(proxy *proxyUnderTest, n int) error) error {
 	if err := count(proxy, 1); err != nil {
@@ -63,7 +65,7 @@
 	return count(proxy, -1)
 }
 
-// addStop changes the number of faults that stop a proxy; with the last its processes continue.
+// addStop adds n to the number of faults that stop a proxy. When the last one ends, its processes continue.
 func (bed *testbed) addStop(proxy *proxyUnderTest, n int) error {
 	return proxy.countFault(&proxy.stopFaults, n, func(p *process.Process, first bool) error {
 		if first {
@@ -73,12 +75,13 @@
 	})
 }
 
-// addDiskFull changes the number of faults that fill a proxy's disk.
+// addDiskFull adds n to the number of faults that fill a proxy's disk.
 func (bed *testbed) addDiskFull(proxy *proxyUnderTest, n int) error {
 	return proxy.countFault(&proxy.diskFullFaults, n, func(p *process.Process, first bool) error { return p.SetDiskFull(first) })
 }
 
-// countFault adds n to a number of active faults, and calls apply for each process when the first starts or the last ends.
+// countFault adds n to a number of active faults. When the first one starts or the last one ends, it calls
+// apply for each process.
 func (proxy *proxyUnderTest) countFault(count *int, n int, apply func(p *process.Process, first bool) error) error {
 	proxy.processesMu.Lock()
 	defer proxy.processesMu.Unlock()
@@ -96,7 +99,8 @@
 	return errors.Join(errs...)
 }
 
-// killWave kills the targets of each time at once, and starts them again after the fault's duration.
+// killWave kills the targets with the same planned time together, and starts them again after the fault's
+// duration.
 func (t *timeline) killWave(ctx context.Context, planned plan.PlannedFault) error {
 	waves := map[time.Duration][]*proxyUnderTest{}
 	for _, target := range planned.Targets {
--- a/internal/faultlab/run/faults_reload.go
+++ b/internal/faultlab/run/faults_reload.go
@@ -17,15 +17,15 @@
 const (
 	maxPause         = 150 * time.Millisecond // of a proxy
 	pauseGap         = 100 * time.Millisecond // between two pauses
-	misbehavingPause = 40 * time.Millisecond  // between two misbehaving clients of a proxy, on average
-	reloadGap        = 150 * time.Millisecond
+	misbehavingPause = 40 * time.Millisecond  // mean time between two misbehaving clients of a proxy
+	reloadGap        = 150 * time.Millisecond // for the proxy to read a file; mean time until the next reload
 	// The platform sends no SIGHUP in a program's first second.
 	firstReloadDelay     = time.Second
-	brokenConfigFraction = 0.4 // of the configurations before a SIGHUP
+	brokenConfigFraction = 0.4 // fraction of the configuration files that are truncated before a SIGHUP
 )
 
-// reload replaces a proxy's configuration and sends SIGHUP, several times in a row: with the same content, or with a truncated
-// file, after which the former configuration stays in force.
+// reload replaces a proxy's configuration file and sends SIGHUP, several times in a row: either with the same
+// content, or with a truncated file, after which the proxy must keep its configuration.
 func (t *timeline) reload(ctx context.Context, proxy *proxyUnderTest, times int, r *rand.Rand) error {
 	for range max(1, times) {
 		proxy.mu.Lock()
@@ -38,6 +38,7 @@
 	return nil
 }
 
+// reloadOnce makes one reload, and restores the valid file.
 func (t *timeline) reloadOnce(proxy *proxyUnderTest, r *rand.Rand) error {
 	if proxy.process == nil || ended(proxy.process) || time.Since(proxy.startedAt) < firstReloadDelay {
 		return nil
@@ -60,12 +61,13 @@
 	if err := proxy.process.Signal(syscall.SIGHUP); err != nil && !ended(proxy.process) {
 		return err
 	}
-	time.Sleep(reloadGap)                  // the proxy has read it by then, or reads the restored one
+	time.Sleep(reloadGap)                  // the proxy has read the file by then, or reads the restored one
 	return os.WriteFile(path, text, 0o644) // a restart needs a valid file
 }
 
 // pauseRepeatedly stops a proxy for short random times.
-func (t *timeline) pauseRepeatedly(ctx context.Context, planned plan.PlannedFault, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
+func (t *timeline) pauseRepeatedly(ctx context.Context, planned plan.PlannedFault, proxy *proxyUnderTest,
+	at time.Duration, r *rand.Rand) error {
 	end := t.start.Add(at + planned.Duration)
 	for time.Now().Before(end) {
 		if err := t.addStop(proxy, 1); err != nil {
@@ -79,9 +81,10 @@
 	return nil
 }
 
-// runMisbehavingClients runs misbehaving clients against a proxy. One that gets neither an error nor a close in time is a violation,
-// unless the lab kept the proxy from answering.
-func (t *timeline) runMisbehavingClients(ctx context.Context, planned plan.PlannedFault, proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
+// runMisbehavingClients runs misbehaving clients against a proxy. It is a violation if one of them gets
+// neither an error response nor a closed connection in time, unless the lab kept the proxy from responding.
+func (t *timeline) runMisbehavingClients(ctx context.Context, planned plan.PlannedFault,
+	proxy *proxyUnderTest, at time.Duration, r *rand.Rand) error {
 	class := ""
 	for _, k := range t.experiment.Classes {
 		if k.RetryClass == "at_most_once" {
@@ -91,10 +94,10 @@
 	running, stop := context.WithDeadline(ctx, t.start.Add(at+planned.Duration))
 	defer stop()
 	for sleep.For(running, time.Duration(r.Int64N(int64(2*misbehavingPause)))) {
-		v := misbehavingclient.Draw(r, class)
+		client := misbehavingclient.Draw(r, class)
 		t.running.Go(func() {
 			begun := time.Now()
-			err := v.Run(ctx, proxy.listenAddress)
+			err := client.Run(ctx, proxy.listenAddress)
 			if errors.Is(err, misbehavingclient.ErrUnanswered) {
 				t.ref.RecordMisbehavingClient(proxy.node.Name, begun, time.Now(), err.Error())
 			}
--- a/internal/faultlab/run/faults_series.go
+++ b/internal/faultlab/run/faults_series.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	signalSeriesSpan = 1500 * time.Millisecond // other signals follow a planned restart's SIGTERM within this
+	signalSeriesSpan = 1500 * time.Millisecond // further signals follow a restart's SIGTERM within this time
 	floodDialTimeout = time.Second
 	floodConnectGap  = 2 * time.Millisecond // between two connections of a flood
 )
 
-// signalAt is a signal that follows a planned restart's SIGTERM.
+// signalAt is a signal that follows a planned restart's SIGTERM after a delay.
 type signalAt struct {
 	after  time.Duration
 	signal syscall.Signal
 }
 
-// drawSignals draws n signals: SIGTERM again, or SIGHUP, which reloads the configuration in force.
+// drawSignals draws n signals: SIGTERM again, or SIGHUP, which reloads the unchanged configuration.
 func drawSignals(n int, r *rand.Rand) []signalAt {
 	var series []signalAt
 	for range n {
@@ -52,27 +52,29 @@
 	}
 }
 
-// floodConnections opens connections to a proxy and sends nothing on them, for the fault's duration. Connections that the proxy
-// closes are not reopened. The proxy may close new connections of others unread meanwhile.
-func (t *timeline) floodConnections(ctx context.Context, planned plan.PlannedFault, proxy *proxyUnderTest, at time.Duration) error {
-	crowded := t.ref.BeginConnectionFlood(proxy.node.Name, time.Now())
-	defer func() { crowded(time.Now()) }()
-	holding, stop := context.WithDeadline(ctx, t.start.Add(at+planned.Duration))
+// floodConnections opens connections to a proxy and sends nothing on them for the fault's duration. It does
+// not reopen connections that the proxy closes. Meanwhile the proxy may close new connections of other
+// clients without reading them.
+func (t *timeline) floodConnections(ctx context.Context, planned plan.PlannedFault, proxy *proxyUnderTest,
+	at time.Duration) error {
+	endFlood := t.ref.BeginConnectionFlood(proxy.node.Name, time.Now())
+	defer func() { endFlood(time.Now()) }()
+	flood, stop := context.WithDeadline(ctx, t.start.Add(at+planned.Duration))
 	defer stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	for i := 0; i < planned.Fault.IdleClients && sleep.For(holding, floodConnectGap); i++ {
-		c, err := (&net.Dialer{Timeout: floodDialTimeout}).DialContext(holding, "tcp", proxy.listenAddress)
+	for i := 0; i < planned.Fault.IdleClients && sleep.For(flood, floodConnectGap); i++ {
+		c, err := (&net.Dialer{Timeout: floodDialTimeout}).DialContext(flood, "tcp", proxy.listenAddress)
 		if err != nil {
-			continue // the proxy is down, or at its limit
+			continue // the proxy is down, or at its connection limit
 		}
 		all.Go(func() {
-			unhook := context.AfterFunc(holding, func() { c.Close() })
-			defer unhook()
+			cancelClose := context.AfterFunc(flood, func() { c.Close() })
+			defer cancelClose()
 			_, _ = io.Copy(io.Discard, c)
 			c.Close()
 		})
 	}
-	<-holding.Done()
+	<-flood.Done()
 	return nil
 }
--- a/internal/faultlab/run/faults_servers.go
+++ b/internal/faultlab/run/faults_servers.go
@@ -14,15 +14,16 @@
 // injectServerFault injects a fault into one server.
 func (t *timeline) injectServerFault(ctx context.Context, planned plan.PlannedFault, target plan.Target) error {
 	server, fault := t.server(target.Name), planned.Fault
-	hamper := func(h stubserver.Fault) error {
-		end := server.ApplyFault(h)
+	apply := func(behavior stubserver.Fault) error {
+		end := server.ApplyFault(behavior)
 		t.holdFault(ctx, planned, target.At)
 		end()
 		return nil
 	}
 	switch fault.Kind {
 	case "nodo_kill":
-		if err := t.takeDown(server); err != nil || planned.Duration <= 0 || !t.waitUntil(ctx, target.At+planned.Duration) {
+		if err := t.takeDown(server); err != nil || planned.Duration <= 0 ||
+			!t.waitUntil(ctx, target.At+planned.Duration) {
 			return err
 		}
 		return t.bringUp(server)
@@ -35,37 +36,39 @@
 		t.net.Reset(serverLinksTo(target.Name))
 		return end()
 	case "nodo_hang":
-		return hamper(stubserver.Fault{Hangs: true})
+		return apply(stubserver.Fault{Hangs: true})
 	case "nodo_slow":
-		return hamper(stubserver.Fault{Slowdown: fault.Factor})
+		return apply(stubserver.Fault{Slowdown: fault.Factor})
 	case "nodo_errors":
-		return hamper(stubserver.Fault{ErrorFraction: fault.Fraction})
+		return apply(stubserver.Fault{ErrorFraction: fault.Fraction})
 	case "nodo_garble":
-		return hamper(stubserver.Fault{GarbleFraction: fault.Fraction})
+		return apply(stubserver.Fault{GarbleFraction: fault.Fraction})
 	case "nodo_drain", "nodo_replace":
 		return t.drain(ctx, planned, target, server)
 	}
 	return unknownFault(planned, "nodos")
 }
 
-// drain drains and ends a server, and brings it back with slow start; for nodo_replace another one takes its place at once.
+// drain drains and stops a server, and starts it again with slow start after the fault's duration. For
+// nodo_replace a new server takes its place at once instead.
 func (t *timeline) drain(ctx context.Context, planned plan.PlannedFault, target plan.Target, server *server) error {
 	if planned.Fault.Kind == "nodo_replace" {
-		next := server.node
-		next.Name += "-r"
+		newNode := server.node
+		newNode.Name += "-r"
 		t.mu.Lock()
 		n := len(t.servers)
 		t.mu.Unlock()
-		fresh, err := t.addServer(next, n, time.Now(), true)
+		replacement, err := t.addServer(newNode, n, time.Now(), true)
 		if err != nil {
 			return err
 		}
-		t.setStatus(fresh, catalog.Serving)
+		t.setStatus(replacement, catalog.Serving)
 	}
 	server.Drain(true)
 	t.setStatus(server, catalog.Draining)
 	sleep.For(ctx, drainDuration)
-	if err := t.takeDown(server); err != nil || planned.Fault.Kind == "nodo_replace" || planned.Duration <= 0 || !t.waitUntil(ctx, target.At+planned.Duration) {
+	if err := t.takeDown(server); err != nil || planned.Fault.Kind == "nodo_replace" ||
+		planned.Duration <= 0 || !t.waitUntil(ctx, target.At+planned.Duration) {
 		return err
 	}
 	return t.bringUp(server)
--- a/internal/faultlab/run/gossip.go
+++ b/internal/faultlab/run/gossip.go
@@ -12,10 +12,10 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// errGossipDropped is gossip that the lab's relays dropped for a full queue.
-var errGossipDropped = errors.New("gossip dropped")
+// errGossipDropped is returned if the lab's relays dropped datagrams because a queue was full.
+var errGossipDropped = errors.New("the lab dropped gossip datagrams")
 
-// buildGossip puts a relay before each proxy, at the address that it advertises.
+// buildGossip adds a relay for each proxy, at the gossip address that the proxy advertises.
 func (bed *testbed) buildGossip() (err error) {
 	if !bed.experiment.Cluster.Enabled {
 		return nil
@@ -28,7 +28,8 @@
 	return nil
 }
 
-// addRelay puts a relay before a member of the gossip, and registers the member's own address with all relays.
+// addRelay adds a relay for a member of the cluster, and registers the address that the member sends from
+// with all relays.
 func (bed *testbed) addRelay(to experiment.Node, ordinal int) (*link.Relay, error) {
 	own := netip.MustParseAddrPort(bed.block.gossip(ordinal, 0)).Addr()
 	bed.mu.Lock()
@@ -43,8 +44,8 @@
 	})
 }
 
-// gossipReport is the traffic that the proxies' relays forwarded; an error if a relay's queue overflowed, since the lab then
-// caused losses itself.
+// gossipReport returns the traffic that the proxies' relays forwarded. It returns an error if a relay's queue
+// overflowed, since the lab then caused losses itself.
 func (bed *testbed) gossipReport() (*result.Gossip, error) {
 	if !bed.experiment.Cluster.Enabled {
 		return nil, nil
@@ -56,13 +57,14 @@
 		out.Packets, out.Bytes, dropped = out.Packets+p.Forwarded, out.Bytes+p.Bytes, dropped+p.Overflowed
 	}
 	if dropped > 0 {
-		return &out, fmt.Errorf("%w: %d in the lab, use a less busy machine", errGossipDropped, dropped)
+		return &out, fmt.Errorf("%w: %d in the relays of real proxies, use a less busy machine",
+			errGossipDropped, dropped)
 	}
 	return &out, nil
 }
 
-// gossipConfig is the cluster section of a process's configuration; nil without a cluster. From now on the proxy's relay leads to
-// that process, even while a predecessor is still ending.
+// gossipConfig returns the cluster section of the configuration of a proxy's next process, nil without a
+// cluster. It also points the proxy's relay at that process, even if a predecessor is still running.
 func (bed *testbed) gossipConfig(proxy *proxyUnderTest) (map[string]any, error) {
 	if proxy.relay == nil {
 		return nil, nil
@@ -71,31 +73,34 @@
 	if err := proxy.relay.SetTarget(bind); err != nil {
 		return nil, err
 	}
-	return map[string]any{"bind": bind, "advertise": proxy.relay.Address(), "label": bed.experiment.Cluster.Label, "seeds": bed.gossipSeeds(proxy.node)}, nil
+	return map[string]any{"bind": bind, "advertise": proxy.relay.Address(),
+		"label": bed.experiment.Cluster.Label, "seeds": bed.gossipSeeds(proxy.node)}, nil
 }
 
-// gossipSeeds are the proxies that a member joins at: the first of each zone, then the second, and so on.
+// gossipSeeds returns the gossip addresses of the proxies that a member joins through: those of the first
+// proxy of each zone, then of the second ones, and so on.
 func (bed *testbed) gossipSeeds(member experiment.Node) []string {
 	order := slices.Clone(bed.proxyOrder)
-	nth := map[string]int{}
-	in := map[*proxyUnderTest]int{}
-	for _, o := range order {
-		in[o] = nth[o.node.Zone]
-		nth[o.node.Zone]++
+	zoneSizes := map[string]int{}
+	indexInZone := map[*proxyUnderTest]int{}
+	for _, proxy := range order {
+		indexInZone[proxy] = zoneSizes[proxy.node.Zone]
+		zoneSizes[proxy.node.Zone]++
 	}
-	slices.SortStableFunc(order, func(a, b *proxyUnderTest) int { return in[a] - in[b] })
+	slices.SortStableFunc(order, func(a, b *proxyUnderTest) int { return indexInZone[a] - indexInZone[b] })
 	var out []string
-	for _, o := range order {
-		if o.node.Name != member.Name && len(out) < bed.experiment.Cluster.Seeds {
-			out = append(out, o.relay.Address())
+	for _, proxy := range order {
+		if proxy.node.Name != member.Name && len(out) < bed.experiment.Cluster.Seeds {
+			out = append(out, proxy.relay.Address())
 		}
 	}
 	return out
 }
 
-// matchesGossip matches the gossip that a fault of links affects, from the side that it names (out) and to it (back). Either side
-// dials, so that data of one direction is sent on some links and answered on others. The side is that of from_zone, zone or
-// proxies, the other one to_zone or all the rest; with no side named both are all.
+// matchesGossip returns functions that match the gossip links that a link fault affects: out those that the
+// selected side dials, and back those that it is dialed on. Both sides dial, so the data of one direction is
+// in requests on some links and in responses on others. The selected side is given by from_zone, zone or
+// proxies, the other one by to_zone, or is all the rest. If nothing is selected, both sides are all members.
 func matchesGossip(fault experiment.Fault) (out, back func(link.Ends) bool) {
 	if fault.Link != "" && fault.Link != "gossip" || len(fault.Servers) > 0 {
 		none := func(link.Ends) bool { return false }
@@ -121,7 +126,7 @@
 	return out, back
 }
 
-// gossipEffects are the effects of a fault of links on gossip.
+// gossipEffects returns the effects of a link fault on gossip.
 func gossipEffects(fault experiment.Fault, e link.Effect) []linkEffect {
 	out, back := matchesGossip(fault)
 	if fault.Kind == "cut" {
--- a/internal/faultlab/run/gossip_test.go
+++ b/internal/faultlab/run/gossip_test.go
@@ -7,8 +7,8 @@
 	"merlinpick/internal/faultlab/link"
 )
 
-// What a fault takes from what one proxy sends to another: its datagrams, and its half of connections that either of
-// them dials.
+// What a fault takes from what one proxy sends to another: its datagrams, and its half of connections that
+// either of them dials.
 func TestMatchesGossip(t *testing.T) {
 	ends := func(from, to string) link.Ends {
 		return link.Ends{Kind: "gossip", From: from + "-p1", FromZone: from, To: to + "-p1", ToZone: to}
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -40,7 +40,8 @@
 	process *process.Process
 }
 
-// buildHollow creates the links of hollow processes, one for each zone and member of the list service, and their configurations.
+// buildHollow creates the links of hollow processes, one for each zone and member of the list service, and
+// their configurations.
 func (bed *testbed) buildHollow() error {
 	hollowExp := bed.experiment.Hollow
 	if !hollowExp.Enabled() {
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// buildHollowLinks creates the links to the list service, and returns their addresses by zone: for lists and for leases.
+// buildHollowLinks creates the links to the list service, and returns their addresses by zone: for lists and
+// for leases.
 func (bed *testbed) buildHollowLinks() (lists, leases map[string][]string, err error) {
 	lists, leases = map[string][]string{}, map[string][]string{}
 	for i, zone := range bed.experiment.ZoneNames() {
@@ -188,7 +190,8 @@
 	return errors.Join(errs...)
 }
 
-// startHollow starts all hollow processes, servers first, and waits until each is synced. A process that crashes later calls fail.
+// startHollow starts all hollow processes, servers first, and waits until each is synced. A process that
+// crashes later calls fail.
 func (bed *testbed) startHollow(ctx context.Context, fail context.CancelCauseFunc) error {
 	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(bed.experiment.Lab.ReadyWait))
 	defer cancel()
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -21,8 +21,9 @@
 
 const meterInterval = 500 * time.Millisecond
 
-// meter measures the usage of the control plane: bytes at the links, CPU and memory at the kernel, and the members' metrics. It
-// samples all the time, since a member's counters end with its process and the leader changes.
+// meter measures the usage of the control plane: bytes at the links, CPU and memory at the kernel, and the
+// members' metrics. It samples all the time, since a member's counters end with its process and the leader
+// changes.
 type meter struct {
 	*testbed
 	members []*service.Member
@@ -56,8 +57,8 @@
 	}
 }
 
-// traffic is the traffic of the links so far, by role and by member, as seen from them: Sent is what they sent, of members what
-// they received.
+// traffic is the traffic of the links so far, by role and by member, as seen from them: Sent is what they
+// sent, of members what they received.
 func (m *meter) traffic() (roles, members map[string]link.Traffic) {
 	roles, members = map[string]link.Traffic{}, map[string]link.Traffic{}
 	add := func(to map[string]link.Traffic, key string, t link.Traffic) { to[key] = to[key].Add(t) }
@@ -131,7 +132,8 @@
 	}
 }
 
-// addMember adds a member's usage between two samples to its role, leader or follower, and to that of all members (five).
+// addMember adds a member's usage between two samples to its role, leader or follower, and to that of all
+// members (five).
 func (m *meter) addMember(last, current memberSample, elapsed time.Duration) {
 	if last.PID != current.PID { // another process: its counters began at zero
 		last.CPU, last.Rejected = 0, 0
@@ -242,7 +244,8 @@
 	return out, nil
 }
 
-// startMeter measures the phases; the returned function waits for the last one. Without hollow processes there are none.
+// startMeter measures the phases; the returned function waits for the last one. Without hollow processes
+// there are none.
 func (bed *testbed) startMeter(ctx context.Context, start time.Time) (phases func() []result.PhaseSamples) {
 	if len(bed.hollow) == 0 {
 		return func() []result.PhaseSamples { return nil }
@@ -278,7 +281,8 @@
 	return out
 }
 
-// readClusterMetrics reads a real proxy's cluster metrics at its management address; nil if it does not answer.
+// readClusterMetrics reads a real proxy's cluster metrics at its management address; nil if it does not
+// answer.
 func readClusterMetrics(ctx context.Context, mgmt string) *hollow.ClusterMetrics {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -1,9 +1,10 @@
-// Package run plays an experiment: it builds the testbed, starts the proxies as real processes, sends the load, injects the faults
-// and hands the referee's record to package result. It never computes a metric or checks a rule itself.
+// Package run plays an experiment: it builds the testbed, starts the proxies as real processes, sends the
+// load, injects the faults and hands the referee's record to package result. It never computes a metric or
+// checks a rule itself.
 //
-// It imports load, stubserver, catalog, link, process and referee; none of them imports run, and among each other they use only
-// link and referee. Each piece of state has one owner: load the arrivals, the timeline the faults, the catalog its list, a link's
-// connection its two directions, the starter all processes.
+// It imports load, stubserver, catalog, link, process and referee; none of them imports run, and among each
+// other they use only link and referee. Each piece of state has one owner: load the arrivals, the timeline
+// the faults, the catalog its list, a link's connection its two directions, the starter all processes.
 package run
 
 import (
@@ -35,7 +36,8 @@
 	RegistryCommand []string // of a member of the list service; required if the experiment has any
 	OutputDir       string   // directory of the processes' logs
 	Logger          *slog.Logger
-	// Progress is called every second with the time since the load started, its duration, and the arrivals; may be nil.
+	// Progress is called every second with the time since the load started, its duration, and the arrivals;
+	// may be nil.
 	Progress func(at, of time.Duration, p Progress)
 }
 
@@ -52,11 +54,12 @@
 	workDirPrefix      = "fleetlab-"
 )
 
-// ErrEnvironment is a run that failed for the machine's sake: too small, no free addresses, or a process that did not start.
+// ErrEnvironment is a run that failed for the machine's sake: too small, no free addresses, or a process that
+// did not start.
 var ErrEnvironment = errors.New("environment")
 
-// Play plays an experiment once. When the context ends it stops, and the play is partial. Errors of the machine wrap
-// ErrEnvironment; a hollow process that crashed is a *hollow.FailedError.
+// Play plays an experiment once. When the context ends it stops, and the play is partial. Errors of the
+// machine wrap ErrEnvironment; a hollow process that crashed is a *hollow.FailedError.
 func Play(ctx context.Context, exp *experiment.Experiment, seed uint64, options Options) (result.Play, error) {
 	if err := checkCapacity(exp, thisMachine()); err != nil {
 		return result.Play{}, fmt.Errorf("%w: %w", ErrEnvironment, err)
@@ -103,8 +106,8 @@
 	return out, nil
 }
 
-// prepare claims addresses and directories and builds the testbed. The returned function, which is never nil, releases all of it
-// and ends all processes.
+// prepare claims addresses and directories and builds the testbed. The returned function, which is never nil,
+// releases all of it and ends all processes.
 func (bed *testbed) prepare() (release func(), err error) {
 	var releases []func()
 	release = func() {
@@ -133,7 +136,8 @@
 	return release, nil
 }
 
-// serve runs the list, the front and the watch of dials until the context ends; the returned function waits for their ends.
+// serve runs the list, the front and the watch of dials until the context ends; the returned function waits
+// for their ends.
 func (bed *testbed) serve(ctx context.Context) (wait func()) {
 	var running sync.WaitGroup
 	running.Go(func() { bed.runList(ctx) })
@@ -142,8 +146,8 @@
 	return running.Wait
 }
 
-// observe plays the load and the faults, and returns what was observed. The meter and the check for stalls end with the load; they
-// run until then even if ctx, which ends load and faults early, ends before.
+// observe plays the load and the faults, and returns what was observed. The meter and the check for stalls
+// end with the load; they run until then even if ctx, which ends load and faults early, ends before.
 func (bed *testbed) observe(ctx, inner context.Context, options Options) result.Input {
 	stall := make(chan time.Duration, 1)
 	metering, stop := context.WithCancel(inner)
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -52,7 +52,8 @@
 	return slices.Clone(proxy.allProcesses)
 }
 
-// start starts a process of a proxy, with a list in its configuration; with keep, in the directory of its predecessor.
+// start starts a process of a proxy, with a list in its configuration; with keep, in the directory of its
+// predecessor.
 func (bed *testbed) start(proxy *proxyUnderTest, keep bool) error {
 	if err := proxy.prepareDirs(keep); err != nil {
 		return err
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// writeConfigFile writes the configuration file of the proxy's next process, and returns its path and the list in it. Each process has a
-// file of its own, since it may read it after the next one started.
+// writeConfigFile writes the configuration file of the proxy's next process, and returns its path and the
+// list in it. Each process has a file of its own, since it may read it after the next one started.
 func (bed *testbed) writeConfigFile(proxy *proxyUnderTest) (path string, known []referee.Entry, err error) {
 	fraction := 1.0
 	if bed.experiment.Proxy.KnownFraction != nil {
@@ -203,7 +204,8 @@
 	return bed.start(proxy, keep)
 }
 
-// upgrade replaces the process as the on-call page says: start a successor, wait until it is ready, end the predecessor.
+// upgrade replaces the process as the on-call page says: start a successor, wait until it is ready, end the
+// predecessor.
 func (bed *testbed) upgrade(ctx context.Context, proxy *proxyUnderTest) error {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -250,7 +252,8 @@
 	return err
 }
 
-// startAgain starts a killed proxy again, unless another fault keeps it down. It stays excused until it is ready.
+// startAgain starts a killed proxy again, unless another fault keeps it down. It stays excused until it is
+// ready.
 func (bed *testbed) startAgain(ctx context.Context, proxy *proxyUnderTest, keep bool) error {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
--- a/internal/faultlab/run/registry.go
+++ b/internal/faultlab/run/registry.go
@@ -115,7 +115,8 @@
 	return &result.List{CheckedCalls: r.History.Calls, NotificationDelays: r.Delays, MissingServers: r.MissingServers, RefusedStarts: r.RefusedStarts}, err
 }
 
-// listMembers are the addresses at which a proxy reaches the members of the list service; nil with the catalog.
+// listMembers are the addresses at which a proxy reaches the members of the list service; nil with the
+// catalog.
 func (bed *testbed) listMembers(proxy *proxyUnderTest) []string {
 	if bed.service == nil {
 		return nil
--- a/internal/faultlab/run/run_test.go
+++ b/internal/faultlab/run/run_test.go
@@ -15,7 +15,8 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// One zone, a server that drains and one that returns cold: what a plain proxy serves without breaking a rule.
+// One zone, a server that drains and one that returns cold: what a plain proxy serves without breaking a
+// rule.
 const judged = `
 seconds = 5
 warmup = 0
@@ -162,10 +163,11 @@
 membership = "automatic"
 `
 
-// BenchmarkCalibration holds the whole lab, from the planned arrival to the figure in the result, to arithmetic: arrivals
-// by chance at a server of two slots with a fixed time of service, three quarters busy, through a proxy that adds next to
-// nothing, against the times that the queue's recursion gives for these very arrivals. It reports measured percentiles
-// over computed ones: within 0.95 and 1.05 the lab is calibrated.
+// BenchmarkCalibration holds the whole lab, from the planned arrival to the figure in the result, to
+// arithmetic: arrivals by chance at a server of two slots with a fixed time of service, three quarters busy,
+// through a proxy that adds next to nothing, against the times that the queue's recursion gives for these
+// very arrivals. It reports measured percentiles over computed ones: within 0.95 and 1.05 the lab is
+// calibrated.
 func BenchmarkCalibration(b *testing.B) {
 	exp, err := experiment.Parse("queued", queued, nil)
 	if err != nil {
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -64,7 +64,8 @@
 // zoneCells is the number of cells in a zone.
 const zoneCells = 4
 
-// cellOf is the cell of a server, by the index of its zone and its own number. Cells are numbered within a tier.
+// cellOf is the cell of a server, by the index of its zone and its own number. Cells are numbered within a
+// tier.
 func cellOf(zone, number int) int { return zone*zoneCells + number%zoneCells }
 
 // addServer creates a server with a link from each link group, and starts it, with slow start if cold.
@@ -164,7 +165,8 @@
 	bed.setStatus(server, catalog.Deleted)
 }
 
-// bringUp ends one of the faults that keep a server down; with the last its process starts again, with slow start.
+// bringUp ends one of the faults that keep a server down; with the last its process starts again, with slow
+// start.
 func (bed *testbed) bringUp(server *server) error {
 	server.mu.Lock()
 	server.downFaults--
--- a/internal/faultlab/run/standin_test.go
+++ b/internal/faultlab/run/standin_test.go
@@ -18,7 +18,8 @@
 	"merlinpick/internal/faultlab/wire"
 )
 
-// The test binary is its own stand-in proxy: `standin FAULT` is a plain proxy that keeps all rules, or all but one.
+// The test binary is its own stand-in proxy: `standin FAULT` is a plain proxy that keeps all rules, or all
+// but one.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "standin" {
 		if err := (&standin{wrong: os.Args[2]}).run(); err != nil {
--- a/internal/faultlab/run/testbed.go
+++ b/internal/faultlab/run/testbed.go
@@ -36,7 +36,8 @@
 	maxServerName      = 64
 )
 
-// testbed is everything that a play runs: it owns the processes, servers, list and links, and injects the faults.
+// testbed is everything that a play runs: it owns the processes, servers, list and links, and injects the
+// faults.
 type testbed struct {
 	experiment      *experiment.Experiment
 	plan            *plan.Plan
--- a/internal/faultlab/run/timeline.go
+++ b/internal/faultlab/run/timeline.go
@@ -22,7 +22,8 @@
 	running sync.WaitGroup
 }
 
-// run returns the injected faults when all have ended; when the context ends, active faults end at once.
+// run injects all faults and returns them, with their actual times, when all have ended. When the context
+// ends, active faults end at once.
 func (t *timeline) run(ctx context.Context) []result.Event {
 	events := make([]result.Event, len(t.plan.Faults))
 	for i, planned := range t.plan.Faults {
@@ -31,7 +32,8 @@
 			if !t.waitUntil(ctx, planned.At) {
 				return
 			}
-			t.log.Info("fault started", "fault", planned.Number, "kind", planned.Fault.Kind, "targets", targetNames(planned))
+			t.log.Info("fault started", "fault", planned.Number, "kind", planned.Fault.Kind,
+				"targets", targetNames(planned))
 			events[i].Start, events[i].Target = time.Since(t.start).Seconds(), targetNames(planned)
 			t.recordError(t.inject(ctx, planned))
 			events[i].End = time.Since(t.start).Seconds()
@@ -42,13 +44,17 @@
 	return slices.DeleteFunc(events, func(e result.Event) bool { return e.End < 0 })
 }
 
-// errUnknownFault is a kind of fault that the checks of experiments accept and the timeline does not know.
+// errUnknownFault is returned for a kind of fault that the checks of experiments accept but the timeline does
+// not implement.
 var errUnknownFault = errors.New("unknown kind of fault")
 
 func unknownFault(planned plan.PlannedFault, group string) error {
-	return fmt.Errorf("%w: fault %d of %s: %q, see the kinds in docs/lab.md", errUnknownFault, planned.Number, group, planned.Fault.Kind)
+	return fmt.Errorf("%w: fault %d of %s: %q is not one of the kinds in docs/lab.md", errUnknownFault,
+		planned.Number, group, planned.Fault.Kind)
 }
 
+// targetNames returns the names of a fault's targets: of proxies, servers or a zone, or only their number
+// where there are many.
 func targetNames(planned plan.PlannedFault) (names []string) {
 	if experiment.Kinds[planned.Fault.Kind].Hollow {
 		return []string{fmt.Sprintf("%d hollow nodos", len(planned.Targets))}
@@ -65,12 +71,13 @@
 	return names
 }
 
-// waitUntil waits until a time since the load started; false if the context ended before.
+// waitUntil waits until a time since the load started. It returns false if the context ended before.
 func (t *timeline) waitUntil(ctx context.Context, at time.Duration) bool {
 	return sleep.For(ctx, time.Until(t.start.Add(at)))
 }
 
-// holdFault waits for a fault's duration, or until the end of the load if it has none.
+// holdFault waits until the end of a fault that began at a time since the load started; if the fault has no
+// duration, until the end of the load.
 func (t *timeline) holdFault(ctx context.Context, planned plan.PlannedFault, begun time.Duration) {
 	if planned.Duration <= 0 {
 		t.waitUntil(ctx, experiment.Seconds(t.experiment.Seconds))
@@ -79,7 +86,7 @@
 	t.waitUntil(ctx, begun+planned.Duration)
 }
 
-// inject injects one fault from its start to its end.
+// inject injects one fault, and returns when it has ended.
 func (t *timeline) inject(ctx context.Context, planned plan.PlannedFault) error {
 	kind := experiment.Kinds[planned.Fault.Kind]
 	switch {
@@ -105,7 +112,8 @@
 	return t.injectListFault(ctx, planned)
 }
 
-// eachTarget injects a fault into each target at the target's time; targets do not wait for each other.
+// eachTarget injects a fault into each target at the target's planned time. Targets do not wait for each
+// other.
 func (t *timeline) eachTarget(ctx context.Context, planned plan.PlannedFault, inject func(plan.Target) error) error {
 	errs := make([]error, len(planned.Targets))
 	var all sync.WaitGroup
--- a/internal/faultlab/run/unansweredsends.go
+++ b/internal/faultlab/run/unansweredsends.go
@@ -17,19 +17,21 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// dialPollInterval is the interval of reading the kernel's pending connections: a shorter dial may be missed, and a dial is recorded
-// up to this late.
+// dialPollInterval is the interval at which the kernel's pending connections are read. A dial that is shorter
+// may be missed, and a dial is recorded up to this late.
 const dialPollInterval = 25 * time.Millisecond
 
-// recordUnansweredSend records what a proxy sent to a server over a link that dropped it.
+// recordUnansweredSend records that a proxy sent data to a server, or dialed it, over a link that dropped the
+// data.
 func (bed *testbed) recordUnansweredSend(ends link.Ends, at time.Time, dial bool) {
 	if ends.Kind == "nodo" {
-		bed.ref.RecordUnansweredSend(referee.UnansweredSend{SentAt: at, Proxy: ends.From, FromZone: ends.FromZone, Server: ends.To, Zone: ends.ToZone, Dial: dial})
+		bed.ref.RecordUnansweredSend(referee.UnansweredSend{SentAt: at, Proxy: ends.From,
+			FromZone: ends.FromZone, Server: ends.To, Zone: ends.ToZone, Dial: dial})
 	}
 }
 
-// watchDials records the dials over links on which connections do not come up. The lab's listener does not see them: they show only
-// in the kernel's table of connections, which is read while there is such a link.
+// watchDials records the dials over links that establish no connections. The lab's listeners do not see these
+// dials; only the kernel's table of connections shows them. The table is read while there is such a link.
 func (bed *testbed) watchDials(ctx context.Context) {
 	seen := map[dial]bool{}
 	for sleep.For(ctx, dialPollInterval) {
@@ -42,27 +44,27 @@
 			bed.recordError(err)
 			return
 		}
-		at, now := time.Now(), map[dial]bool{}
+		at, pending := time.Now(), map[dial]bool{}
 		for _, d := range pendingDials(text) {
 			ends, ok := blocked[d.to.String()]
 			if !ok {
 				continue
 			}
-			now[d] = true
+			pending[d] = true
 			if !seen[d] {
 				bed.recordUnansweredSend(ends, at, true)
 			}
 		}
-		seen = now
+		seen = pending
 	}
 }
 
 // dial is a connection that is not established yet.
 type dial struct{ from, to netip.AddrPort }
 
-const synSent = "02"
+const synSent = "02" // state of a connection in the kernel's table
 
-// pendingDials parses the kernel's table of connections (proc_net_tcp(5)).
+// pendingDials returns the connections of the kernel's table (proc_net_tcp(5)) that are not established yet.
 func pendingDials(table []byte) (out []dial) {
 	for lines := bufio.NewScanner(bytes.NewReader(table)); lines.Scan(); {
 		words := strings.Fields(lines.Text())
@@ -78,7 +80,8 @@
 	return out
 }
 
-// hexAddr parses an address of the table: the IP in the machine's byte order and the port, both in hexadecimal.
+// hexAddr parses an address of the table: the IP in the machine's byte order and the port, both in
+// hexadecimal.
 func hexAddr(text string) (netip.AddrPort, bool) {
 	ip, port, _ := strings.Cut(text, ":")
 	raw, err := hex.DecodeString(ip)
--- a/internal/faultlab/run/unansweredsends_test.go
+++ b/internal/faultlab/run/unansweredsends_test.go
@@ -10,8 +10,8 @@
 	"merlinpick/internal/faultlab/link"
 )
 
-// A dial over a link on which none comes up stands in the kernel's table under the address that the link is known by,
-// and nothing else of the link's does.
+// A dial over a link on which none comes up stands in the kernel's table under the address that the link is
+// known by, and nothing else of the link's does.
 func TestPendingDials(t *testing.T) {
 	n := link.New(1)
 	defer n.Close()
