--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -24,24 +24,24 @@
 )
 
 const (
-	hollowLinkName     = "hollow" // the dialling side of links that hollow processes share
+	hollowLinkName     = "hollow" // dialing side of the links that hollow processes share
 	hollowCallTimeout  = 20 * time.Second
 	hollowPollInterval = 200 * time.Millisecond
-	seedsPerRegion     = 3 // gossip seeds of a hollow proxy in each region
+	seedsPerRegion     = 3 // gossip seeds of a hollow proxy among the hollow proxies, and among the real ones
 )
 
-// errHollowCall is a command that a hollow process answered with an error.
-var errHollowCall = errors.New("hollow process refused a command")
+// errHollowCall is returned if a hollow process answers a command with an error status.
+var errHollowCall = errors.New("command of a hollow process failed")
 
 // hollowProcess is a process of hollow proxies or servers.
 type hollowProcess struct {
 	config  hollow.Config
-	path    string
+	path    string // of its configuration file
 	process *process.Process
 }
 
-// buildHollow creates the links of hollow processes, one for each zone and member of the list service, and
-// their configurations.
+// buildHollow creates the configurations of the hollow processes, and their links, one for each zone and
+// member of the list service.
 func (bed *testbed) buildHollow() error {
 	hollowExp := bed.experiment.Hollow
 	if !hollowExp.Enabled() {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// buildHollowLinks creates the links to the list service, and returns their addresses by zone: for lists and
-// for leases.
+// buildHollowLinks creates the links to the members of the list service, and returns their addresses by zone:
+// those for lists and those for leases.
 func (bed *testbed) buildHollowLinks() (lists, leases map[string][]string, err error) {
 	lists, leases = map[string][]string{}, map[string][]string{}
 	for i, zone := range bed.experiment.ZoneNames() {
@@ -77,7 +77,8 @@
 			own := bed.block.member(n, listPort)
 			listen := func(kind, address string) error {
 				ends := link.Ends{Kind: kind, From: hollowLinkName, FromZone: zone, To: member.Name, ToZone: member.Zone}
-				_, err := bed.net.Listen(ends, address, bed.delay(zone, member.Zone), func(c *link.Conn) { _ = link.Forward(c, own, nil) })
+				_, err := bed.net.Listen(ends, address, bed.delay(zone, member.Zone),
+					func(c *link.Conn) { _ = link.Forward(c, own, nil) })
 				return err
 			}
 			list, lease := bed.block.hollowList(i, n), bed.block.hollowLease(i, n)
@@ -90,7 +91,7 @@
 	return lists, leases, nil
 }
 
-// addHollow adds n hollow processes without proxies or servers.
+// addHollow adds n hollow processes that have no proxies or servers yet.
 func (bed *testbed) addHollow(kind string, n int, settings json.RawMessage) (added []*hollowProcess) {
 	hollowExp := bed.experiment.Hollow
 	for i := range n {
@@ -135,7 +136,7 @@
 	}
 }
 
-// hollowSettings are the settings of hollow proxies: a real proxy's, with the hollow zones.
+// hollowSettings returns the settings of hollow proxies: those of a real proxy, with the hollow zones.
 func (bed *testbed) hollowSettings() (json.RawMessage, error) {
 	s := settings(bed.experiment, 0, 0)
 	s["failure_domains"] = bed.experiment.HollowZones()
@@ -144,15 +145,16 @@
 	return json.Marshal(s)
 }
 
-// hollowSeeds are the members that hollow proxy i joins at: the first hollow and the first real ones.
+// hollowSeeds returns the gossip addresses of the members that hollow proxy i joins through: the first hollow
+// proxies and the first real ones.
 func (bed *testbed) hollowSeeds(i int) (out []string) {
-	at := bed.block.hollowGossip
+	address := bed.block.hollowGossip
 	if bed.experiment.Hollow.Relays {
-		at = bed.block.hollowRelay
+		address = bed.block.hollowRelay
 	}
 	for n := range min(seedsPerRegion, bed.experiment.Hollow.Proxies) {
 		if n != i {
-			out = append(out, at(n))
+			out = append(out, address(n))
 		}
 	}
 	for n := range min(seedsPerRegion, len(bed.proxyOrder)) {
@@ -161,7 +163,7 @@
 	return out
 }
 
-// hollowRelays is the configuration of the relays before hollow members.
+// hollowRelays returns the configuration of the relays of hollow members.
 func (bed *testbed) hollowRelays() *hollow.Relays {
 	out := &hollow.Relays{Members: map[string]hollow.RelayMember{}, RegionDelayUs: micros(bed.experiment.Network.LocalMs),
 		CrossRegionDelayUs: micros(bed.experiment.Network.CrossMs)}
@@ -171,44 +173,45 @@
 	return out
 }
 
-// loseHollowGossip has the hollow members' relays drop datagrams for the duration of a loss.
+// loseHollowGossip makes the hollow members' relays drop datagrams for the duration of a loss fault.
 func (t *timeline) loseHollowGossip(ctx context.Context, planned plan.PlannedFault) error {
 	if planned.Fault.Kind != "loss" || !t.experiment.Hollow.Relays {
 		return nil
 	}
-	length := planned.Duration
-	if length <= 0 {
-		length = experiment.Seconds(t.experiment.Seconds) - planned.At
+	duration := planned.Duration
+	if duration <= 0 {
+		duration = experiment.Seconds(t.experiment.Seconds) - planned.At
 	}
 	var errs []error
 	for _, p := range t.hollow {
 		if len(p.config.Proxies) > 0 {
-			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Command{Action: "lose", Fraction: planned.Fault.Fraction, DurationMs: length.Milliseconds()})
+			_, err := p.call(ctx, http.MethodPost, "/do", hollow.Command{Action: "lose",
+				Fraction: planned.Fault.Fraction, DurationMs: duration.Milliseconds()})
 			errs = append(errs, err)
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// startHollow starts all hollow processes, servers first, and waits until each is synced. A process that
-// crashes later calls fail.
+// startHollow starts all hollow processes, those with servers first, and waits until each is ready. If a
+// process crashes later, fail is called with the reason.
 func (bed *testbed) startHollow(ctx context.Context, fail context.CancelCauseFunc) error {
-	patience, cancel := context.WithTimeout(ctx, experiment.Seconds(bed.experiment.Lab.ReadyWait))
+	readyCtx, cancel := context.WithTimeout(ctx, experiment.Seconds(bed.experiment.Lab.ReadyWait))
 	defer cancel()
-	for _, nodos := range []bool{true, false} {
-		var some []*hollowProcess
+	for _, withServers := range []bool{true, false} {
+		var started []*hollowProcess
 		for _, p := range bed.hollow {
-			if len(p.config.Servers) > 0 != nodos {
+			if len(p.config.Servers) > 0 != withServers {
 				continue
 			}
 			if err := bed.startProcess(p, fail); err != nil {
 				return fmt.Errorf("%w: %w", ErrEnvironment, err)
 			}
-			some = append(some, p)
+			started = append(started, p)
 		}
-		for _, p := range some {
+		for _, p := range started {
 			missing := "no answer yet"
-			for missing != "" && sleep.For(patience, hollowPollInterval) {
+			for missing != "" && sleep.For(readyCtx, hollowPollInterval) {
 				if text, err := p.call(ctx, http.MethodGet, "/ready", nil); err == nil {
 					missing = string(text)
 				}
@@ -217,7 +220,8 @@
 				return context.Cause(ctx)
 			}
 			if missing != "" {
-				return fmt.Errorf("%w: %w", ErrEnvironment, &hollow.FailedError{Process: p.config.Name, Name: missing,
+				return fmt.Errorf("%w: %w", ErrEnvironment, &hollow.FailedError{
+					Process: p.config.Name, Name: missing,
 					Reason: fmt.Sprintf("not ready after %v s (lab.ready_wait)", bed.experiment.Lab.ReadyWait)})
 			}
 		}
@@ -225,6 +229,7 @@
 	return nil
 }
 
+// startProcess writes a hollow process's configuration file and starts the process.
 func (bed *testbed) startProcess(p *hollowProcess, fail context.CancelCauseFunc) error {
 	text, err := json.Marshal(p.config)
 	if err == nil {
@@ -246,7 +251,7 @@
 	return nil
 }
 
-// call sends a command to the process's control address.
+// call sends a request to the process's control address and returns the body of the response.
 func (p *hollowProcess) call(ctx context.Context, method, path string, body any) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, hollowCallTimeout)
 	defer cancel()
@@ -270,6 +275,7 @@
 	return text, err
 }
 
+// metrics reads the process's metrics; without steps, versions and changes are left out.
 func (p *hollowProcess) metrics(ctx context.Context, steps bool) (out hollow.Metrics, err error) {
 	path := "/figures"
 	if !steps {
@@ -282,23 +288,25 @@
 	return out, err
 }
 
-// injectHollowFault sends a fault to the processes of its hollow servers, each target with its own delay.
+// injectHollowFault sends a fault to the processes of the targeted hollow servers, each target with its own
+// delay.
 func (t *timeline) injectHollowFault(ctx context.Context, planned plan.PlannedFault) error {
 	action, _ := strings.CutPrefix(planned.Fault.Kind, "hollow_")
-	orders := map[*hollowProcess]*hollow.Command{}
+	commands := map[*hollowProcess]*hollow.Command{}
 	last := time.Duration(0)
 	for _, target := range planned.Targets {
 		p := t.hollowProcessOf[target.Name]
-		o := orders[p]
-		if o == nil {
-			o = &hollow.Command{Action: action, DurationMs: planned.Duration.Milliseconds()}
-			orders[p] = o
+		command := commands[p]
+		if command == nil {
+			command = &hollow.Command{Action: action, DurationMs: planned.Duration.Milliseconds()}
+			commands[p] = command
 		}
-		o.Targets = append(o.Targets, hollow.CommandTarget{Name: target.Name, DelayMs: (target.At - planned.At).Milliseconds()})
+		command.Targets = append(command.Targets, hollow.CommandTarget{Name: target.Name,
+			DelayMs: (target.At - planned.At).Milliseconds()})
 		last = max(last, target.At)
 	}
-	for p, o := range orders {
-		if _, err := p.call(ctx, http.MethodPost, "/do", o); err != nil && ctx.Err() == nil {
+	for p, command := range commands {
+		if _, err := p.call(ctx, http.MethodPost, "/do", command); err != nil && ctx.Err() == nil {
 			return err
 		}
 	}
--- a/internal/faultlab/run/meter.go
+++ b/internal/faultlab/run/meter.go
@@ -21,25 +21,27 @@
 
 const meterInterval = 500 * time.Millisecond
 
-// meter measures the usage of the control plane: bytes at the links, CPU and memory at the kernel, and the
-// members' metrics. It samples all the time, since a member's counters end with its process and the leader
-// changes.
+// meter measures the usage of the control plane: it takes bytes from the links, CPU and memory from the
+// kernel, and the rest from the members' metrics. It samples all the time, since a member's counters end with
+// its process and the leader changes.
 type meter struct {
 	*testbed
 	members []*service.Member
 
-	sampleMu sync.Mutex // one at a time
+	sampleMu sync.Mutex // held while a sample is taken
 
 	mu          sync.Mutex
 	total       result.Sample
 	lastSamples map[string]memberSample // by member
 }
 
+// memberSample is the usage of a member so far.
 type memberSample struct {
 	service.MemberUsage
-	traffic link.Traffic // Sent: received by the member, Answered: sent by it
+	traffic link.Traffic // FromDialer: received by the member; ToDialer: sent by it
 }
 
+// newMeter returns a meter that has taken its first sample.
 func (bed *testbed) newMeter() *meter {
 	m := &meter{testbed: bed, lastSamples: map[string]memberSample{}}
 	if bed.service != nil {
@@ -50,15 +52,15 @@
 	return m
 }
 
-// run samples until the context ends.
+// run takes samples until the context ends.
 func (m *meter) run(ctx context.Context) {
 	for sleep.For(ctx, meterInterval) {
 		m.sample()
 	}
 }
 
-// traffic is the traffic of the links so far, by role and by member, as seen from them: Sent is what they
-// sent, of members what they received.
+// traffic returns the traffic of the links so far, by role and by member. FromDialer is what they received
+// and ToDialer what they sent.
 func (m *meter) traffic() (roles, members map[string]link.Traffic) {
 	roles, members = map[string]link.Traffic{}, map[string]link.Traffic{}
 	add := func(to map[string]link.Traffic, key string, t link.Traffic) { to[key] = to[key].Add(t) }
@@ -88,14 +90,14 @@
 	return roles, members
 }
 
-// sample adds the usage since the last sample to the total.
+// sample takes a sample, and adds the usage since the previous one to the total.
 func (m *meter) sample() {
 	m.sampleMu.Lock()
 	defer m.sampleMu.Unlock()
-	standing := make([]service.MemberUsage, len(m.members))
+	usages := make([]service.MemberUsage, len(m.members))
 	var all sync.WaitGroup
 	for i, member := range m.members {
-		all.Go(func() { standing[i] = m.service.MemberUsage(member) })
+		all.Go(func() { usages[i] = m.service.MemberUsage(member) })
 	}
 	all.Wait()
 	roles, members := m.traffic()
@@ -106,7 +108,7 @@
 	m.total.TakenAt = now
 	watches := 0.0
 	for i, member := range m.members {
-		current := memberSample{standing[i], members[member.Name]}
+		current := memberSample{usages[i], members[member.Name]}
 		last := m.lastSamples[member.Name]
 		m.lastSamples[member.Name] = current
 		watches += current.Watches
@@ -115,9 +117,9 @@
 		}
 	}
 	if !first {
-		five := m.total.Roles["five"]
-		five.InstanceTime += elapsed
-		m.total.Roles["five"] = five
+		allMembers := m.total.Roles["five"]
+		allMembers.InstanceTime += elapsed
+		m.total.Roles["five"] = allMembers
 	}
 	m.total.Watches = max(m.total.Watches, watches)
 	instances := map[string]int{"proxy": m.experiment.Hollow.Proxies, "real": len(m.proxyOrder), "nodo": m.experiment.Hollow.Servers,
@@ -132,10 +134,10 @@
 	}
 }
 
-// addMember adds a member's usage between two samples to its role, leader or follower, and to that of all
-// members (five).
+// addMember adds a member's usage between two samples to that of its role, leader or follower, and to that of
+// all members (role "five").
 func (m *meter) addMember(last, current memberSample, elapsed time.Duration) {
-	if last.PID != current.PID { // another process: its counters began at zero
+	if last.PID != current.PID { // the counters of the new process began at zero
 		last.CPU, last.Rejected = 0, 0
 	}
 	role := "follower"
@@ -153,40 +155,41 @@
 	}
 }
 
-// read returns the usage so far. Memory is the current one, of members the maximum so far, as are watches.
+// read returns the usage so far. Memory is the current value, except that of members, which is the maximum so
+// far, as is the number of watches.
 func (m *meter) read(ctx context.Context) result.Sample {
 	m.sample()
-	var fleet []hollow.ProxyMetrics
+	var hollowProxies []hollow.ProxyMetrics
 	var real []*hollow.ClusterMetrics
 	if m.experiment.Cluster.Enabled {
 		for _, proxy := range m.proxyOrder {
 			real = append(real, readClusterMetrics(ctx, proxy.managementAddress))
 		}
 		for _, p := range m.hollow {
-			f, err := p.metrics(ctx, false)
+			processMetrics, err := p.metrics(ctx, false)
 			if err != nil {
 				if ctx.Err() == nil {
 					m.recordError(err)
 				}
 				continue
 			}
-			fleet = append(fleet, f.Proxies...)
+			hollowProxies = append(hollowProxies, processMetrics.Proxies...)
 		}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := m.total.Clone()
-	use := func(role string, cpu time.Duration, memory int64) {
-		s := out.Roles[role]
-		s.CPU, s.Memory = s.CPU+cpu, s.Memory+memory
-		out.Roles[role] = s
+	addUsage := func(role string, cpu time.Duration, memory int64) {
+		usage := out.Roles[role]
+		usage.CPU, usage.Memory = usage.CPU+cpu, usage.Memory+memory
+		out.Roles[role] = usage
 	}
 	for _, p := range m.hollow {
 		role := "proxy"
 		if len(p.config.Servers) > 0 {
 			role = "nodo"
 		}
-		use(role, p.process.Usage().CPU, process.ResidentMemory(p.process.PID()))
+		addUsage(role, p.process.Usage().CPU, process.ResidentMemory(p.process.PID()))
 	}
 	for _, proxy := range m.proxyOrder {
 		for _, proc := range proxy.processes() {
@@ -194,17 +197,17 @@
 			if !ended(proc) {
 				memory = process.ResidentMemory(proc.PID())
 			}
-			use("real", proc.Usage().CPU, memory)
+			addUsage("real", proc.Usage().CPU, memory)
 		}
 	}
 	out.RealGossip = real
-	for i := range fleet {
-		out.Gossip = append(out.Gossip, fleet[i].Cluster)
+	for i := range hollowProxies {
+		out.Gossip = append(out.Gossip, hollowProxies[i].Cluster)
 	}
 	return out
 }
 
-// phases reads at each phase's start and end.
+// phases returns the samples at the start and the end of each phase.
 func (m *meter) phases(ctx context.Context, start time.Time) []result.PhaseSamples {
 	out := make([]result.PhaseSamples, len(m.experiment.Phases))
 	var all sync.WaitGroup
@@ -214,11 +217,11 @@
 				if !sleep.For(ctx, time.Until(start.Add(experiment.Seconds(at)))) {
 					return
 				}
-				r := m.read(ctx)
+				sample := m.read(ctx)
 				if j == 0 {
-					out[i].Before = &r
+					out[i].Before = &sample
 				} else {
-					out[i].After = &r
+					out[i].After = &sample
 				}
 			}
 		})
@@ -227,25 +230,27 @@
 	return out
 }
 
-// hollowReport collects the metrics of the hollow processes at the end.
+// hollowReport reads the metrics of all hollow processes. It returns an error if a relay dropped datagrams,
+// since the lab then caused losses itself.
 func (bed *testbed) hollowReport() (out []hollow.Metrics, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), hollowCallTimeout)
 	defer cancel()
 	for _, p := range bed.hollow {
-		x, err := p.metrics(ctx, true)
+		processMetrics, err := p.metrics(ctx, true)
 		if err != nil {
 			return out, err
 		}
-		if x.RelayDrops > 0 {
-			return out, fmt.Errorf("%w: %d in %s, use a less busy machine", errGossipDropped, x.RelayDrops, p.config.Name)
+		if processMetrics.RelayDrops > 0 {
+			return out, fmt.Errorf("%w: %d in the relays of %s, use a less busy machine", errGossipDropped,
+				processMetrics.RelayDrops, p.config.Name)
 		}
-		out = append(out, x)
+		out = append(out, processMetrics)
 	}
 	return out, nil
 }
 
-// startMeter measures the phases; the returned function waits for the last one. Without hollow processes
-// there are none.
+// startMeter starts to measure the phases. The returned function waits for the end of the last phase and
+// returns the samples, or none without hollow processes.
 func (bed *testbed) startMeter(ctx context.Context, start time.Time) (phases func() []result.PhaseSamples) {
 	if len(bed.hollow) == 0 {
 		return func() []result.PhaseSamples { return nil }
@@ -261,7 +266,7 @@
 	return func() []result.PhaseSamples { return <-read }
 }
 
-// controlReport holds the observations of the control plane; nil without hollow processes.
+// controlReport returns the observations of the control plane, nil without hollow processes.
 func (bed *testbed) controlReport(phases []result.PhaseSamples) *result.Control {
 	if len(bed.hollow) == 0 {
 		return nil
@@ -271,18 +276,19 @@
 	if out.Hollow, err = bed.hollowReport(); err != nil {
 		bed.recordError(err)
 	}
-	for _, steps := range bed.service.ReceivedVersions() {
+	for _, versions := range bed.service.ReceivedVersions() {
 		var received []result.ReceivedVersion
-		for _, s := range steps {
-			received = append(received, result.ReceivedVersion{Version: s.Version, ReceivedAt: s.ReceivedAt.UnixNano()})
+		for _, version := range versions {
+			received = append(received,
+				result.ReceivedVersion{Version: version.Version, ReceivedAt: version.ReceivedAt.UnixNano()})
 		}
 		out.RealProxyVersions = append(out.RealProxyVersions, received)
 	}
 	return out
 }
 
-// readClusterMetrics reads a real proxy's cluster metrics at its management address; nil if it does not
-// answer.
+// readClusterMetrics reads a real proxy's cluster metrics at its management address. It returns nil if the
+// proxy does not answer.
 func readClusterMetrics(ctx context.Context, mgmt string) *hollow.ClusterMetrics {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -295,13 +301,14 @@
 		return nil
 	}
 	defer resp.Body.Close()
-	f := map[string]float64{}
+	values := map[string]float64{}
 	for lines := bufio.NewScanner(resp.Body); lines.Scan(); {
 		name, value, _ := strings.Cut(lines.Text(), "=")
 		if v, err := strconv.ParseFloat(value, 64); err == nil {
-			f[strings.TrimPrefix(name, "app.fleet_")] = v
+			values[strings.TrimPrefix(name, "app.fleet_")] = v
 		}
 	}
-	return &hollow.ClusterMetrics{LiveMembers: int(f["living"]), Entries: int(f["entries"]), OldestEntryMs: f["oldest_ms"], Sent: int64(f["sent"]),
-		BytesIn: int64(f["in_bytes"]), BytesOut: int64(f["out_bytes"]), Dropped: int64(f["dropped"])}
+	return &hollow.ClusterMetrics{LiveMembers: int(values["living"]), Entries: int(values["entries"]),
+		OldestEntryMs: values["oldest_ms"], Sent: int64(values["sent"]), BytesIn: int64(values["in_bytes"]),
+		BytesOut: int64(values["out_bytes"]), Dropped: int64(values["dropped"])}
 }
--- a/internal/faultlab/run/play.go
+++ b/internal/faultlab/run/play.go
@@ -2,9 +2,10 @@
 // load, injects the faults and hands the referee's record to package result. It never computes a metric or
 // checks a rule itself.
 //
-// It imports load, stubserver, catalog, link, process and referee; none of them imports run, and among each
-// other they use only link and referee. Each piece of state has one owner: load the arrivals, the timeline
-// the faults, the catalog its list, a link's connection its two directions, the starter all processes.
+// It imports load, stubserver, catalog, link, process and referee. None of these imports run, and among each
+// other they import only link and referee. Each piece of state has one owner: load owns the arrivals, the
+// timeline the faults, the catalog its list, a link's connection its two directions, and the starter all
+// processes.
 package run
 
 import (
@@ -29,15 +30,15 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// Options are the settings of a run beside its experiment.
+// Options are the settings of a play that are not part of its experiment.
 type Options struct {
 	ProxyCommand    []string // of a proxy
 	HollowCommand   []string // of a hollow process, without its file; required if the experiment has any
 	RegistryCommand []string // of a member of the list service; required if the experiment has any
-	OutputDir       string   // directory of the processes' logs
+	OutputDir       string   // the processes' logs go to its subdirectory logs
 	Logger          *slog.Logger
-	// Progress is called every second with the time since the load started, its duration, and the arrivals;
-	// may be nil.
+	// Progress is called every second with the time since the load started, the load's duration, and the
+	// progress so far. It may be nil.
 	Progress func(at, of time.Duration, p Progress)
 }
 
@@ -54,12 +55,12 @@
 	workDirPrefix      = "fleetlab-"
 )
 
-// ErrEnvironment is a run that failed for the machine's sake: too small, no free addresses, or a process that
-// did not start.
-var ErrEnvironment = errors.New("environment")
+// ErrEnvironment is wrapped by the errors of a play that this machine could not run: the machine is too
+// small, has no free addresses, or a process did not start.
+var ErrEnvironment = errors.New("cannot run the experiment on this machine")
 
 // Play plays an experiment once. When the context ends it stops, and the play is partial. Errors of the
-// machine wrap ErrEnvironment; a hollow process that crashed is a *hollow.FailedError.
+// machine wrap ErrEnvironment. If a hollow process crashed, the error is a *hollow.FailedError.
 func Play(ctx context.Context, exp *experiment.Experiment, seed uint64, options Options) (result.Play, error) {
 	if err := checkCapacity(exp, thisMachine()); err != nil {
 		return result.Play{}, fmt.Errorf("%w: %w", ErrEnvironment, err)
@@ -77,12 +78,12 @@
 	if err != nil {
 		return out, err
 	}
-	inner, stop := context.WithCancel(context.Background())
+	background, stop := context.WithCancel(context.Background())
 	defer stop()
 	if err := bed.startService(ctx); err != nil {
 		return out, err
 	}
-	stopped := bed.serve(inner)
+	waitStopped := bed.serve(background)
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
 	if err := bed.startHollow(ctx, fail); err != nil {
@@ -91,7 +92,7 @@
 	if err := bed.startProxies(ctx); err != nil {
 		return out, err
 	}
-	input := bed.observe(ctx, inner, options)
+	input := bed.observe(ctx, background, options)
 	var failed *hollow.FailedError
 	if errors.As(context.Cause(ctx), &failed) {
 		return out, failed
@@ -102,12 +103,12 @@
 	out.LabMB = float64(process.PeakMemory(os.Getpid())) / (1 << 20)
 	out.Void = voidReason(exp, out.Lateness, input.Control.LongestStall(), bed.labError())
 	stop()
-	stopped()
+	waitStopped()
 	return out, nil
 }
 
 // prepare claims addresses and directories and builds the testbed. The returned function, which is never nil,
-// releases all of it and ends all processes.
+// ends all processes and releases the addresses and directories.
 func (bed *testbed) prepare() (release func(), err error) {
 	var releases []func()
 	release = func() {
@@ -123,7 +124,7 @@
 	}
 	releases = append(releases, bed.block.release)
 	removeLeftovers()
-	// A short path: a Unix socket's path in it must fit into 108 bytes.
+	// The path is short since that of a Unix socket in it must fit into 108 bytes.
 	if bed.workDir, err = os.MkdirTemp("", fmt.Sprintf("%s%d-", workDirPrefix, os.Getpid())); err != nil {
 		return release, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
@@ -136,8 +137,8 @@
 	return release, nil
 }
 
-// serve runs the list, the front and the watch of dials until the context ends; the returned function waits
-// for their ends.
+// serve runs the list, the front and the watch for unanswered dials until the context ends. The returned
+// function waits until all have returned.
 func (bed *testbed) serve(ctx context.Context) (wait func()) {
 	var running sync.WaitGroup
 	running.Go(func() { bed.runList(ctx) })
@@ -146,22 +147,22 @@
 	return running.Wait
 }
 
-// observe plays the load and the faults, and returns what was observed. The meter and the check for stalls
-// end with the load; they run until then even if ctx, which ends load and faults early, ends before.
-func (bed *testbed) observe(ctx, inner context.Context, options Options) result.Input {
+// observe plays the load and the faults, and returns what was observed. The end of ctx ends load and faults
+// early. The meter and the check for stalls run until the load has ended, even if ctx ends before.
+func (bed *testbed) observe(ctx, background context.Context, options Options) result.Input {
 	stall := make(chan time.Duration, 1)
-	metering, stop := context.WithCancel(inner)
+	meterCtx, stop := context.WithCancel(background)
 	defer stop()
-	go func() { stall <- watchStalls(metering) }()
+	go func() { stall <- watchStalls(meterCtx) }()
 	start := time.Now()
 	if options.Progress != nil {
-		go bed.reportProgress(metering, start, options.Progress)
+		go bed.reportProgress(meterCtx, start, options.Progress)
 	}
-	phases := bed.startMeter(metering, start)
+	phases := bed.startMeter(meterCtx, start)
 	events := bed.playLoad(ctx, start)
 	stop()
-	input := result.Input{Experiment: bed.experiment, Plan: bed.plan, Start: start, Record: bed.ref.Close(), Events: events,
-		Lateness: bed.client.Lateness(), Stall: <-stall}
+	input := result.Input{Experiment: bed.experiment, Plan: bed.plan, Start: start, Record: bed.ref.Close(),
+		Events: events, Lateness: bed.client.Lateness(), Stall: <-stall}
 	input.Control = bed.controlReport(phases())
 	var err error
 	input.List, err = bed.listReport(&input.Record)
@@ -171,7 +172,7 @@
 	return input
 }
 
-// proxyUsage is the peak memory of any proxy process, in bytes, and the CPU time of all.
+// proxyUsage returns the highest peak memory of a proxy process, in bytes, and the CPU time of all of them.
 func (bed *testbed) proxyUsage() (memory int64, cpu time.Duration) {
 	for _, proxy := range bed.proxyOrder {
 		for _, proc := range proxy.processes() {
@@ -193,22 +194,25 @@
 	}
 }
 
-// voidReason is why a play does not count: the lab was late, paused or failed; empty if it counts.
+// voidReason returns why a play does not count: the lab was late, stalled or failed. It is empty if the play
+// counts.
 func voidReason(exp *experiment.Experiment, late result.Lateness, hollowStall float64, failed error) string {
 	switch {
 	case failed != nil:
 		return fmt.Sprintf("the lab failed: %v", failed)
 	case late.P99 > exp.Lab.LateMs:
-		return fmt.Sprintf("the lab was late: 99 %% of arrivals within %.1f ms, wanted %.1f", late.P99, exp.Lab.LateMs)
+		return fmt.Sprintf("the lab was late: 99 %% of arrivals within %.1f ms, wanted at most %.1f",
+			late.P99, exp.Lab.LateMs)
 	case hollowStall > exp.Lab.StallMs:
-		return fmt.Sprintf("a hollow process stood still for %.0f ms, wanted at most %.0f", hollowStall, exp.Lab.StallMs)
+		return fmt.Sprintf("a hollow process stalled for %.0f ms, wanted at most %.0f", hollowStall,
+			exp.Lab.StallMs)
 	case late.Stall > exp.Lab.StallMs:
-		return fmt.Sprintf("the lab stood still for %.0f ms, wanted at most %.0f", late.Stall, exp.Lab.StallMs)
+		return fmt.Sprintf("the lab stalled for %.0f ms, wanted at most %.0f", late.Stall, exp.Lab.StallMs)
 	}
 	return ""
 }
 
-// startProxies starts all proxies with random gaps and waits until the front finds each healthy.
+// startProxies starts all proxies with random gaps, and waits until the front has admitted each as healthy.
 func (bed *testbed) startProxies(ctx context.Context) error {
 	r := bed.plan.Source("starts")
 	for _, proxy := range bed.proxyOrder {
@@ -227,15 +231,16 @@
 	for len(bed.front.NotAdmitted()) > 0 {
 		for _, proxy := range bed.proxyOrder {
 			if ended(proxy.process) {
-				return fmt.Errorf("%w: proxy %s ended before it served: %v; its log is %s", ErrEnvironment, proxy.node.Name,
-					proxy.process.Err(), filepath.Join(bed.logDir, proxy.node.Name+".log"))
+				return fmt.Errorf("%w: proxy %s exited before it was healthy: %v; its log is %s",
+					ErrEnvironment, proxy.node.Name, proxy.process.Err(),
+					filepath.Join(bed.logDir, proxy.node.Name+".log"))
 			}
 		}
 		select {
 		case <-time.After(readyPollInterval):
 		case <-timeout.C:
-			return fmt.Errorf("%w: not healthy after %v s (lab.ready_wait): %s", ErrEnvironment, bed.experiment.Lab.ReadyWait,
-				strings.Join(bed.front.NotAdmitted(), ", "))
+			return fmt.Errorf("%w: proxies not healthy after %v s (lab.ready_wait): %s", ErrEnvironment,
+				bed.experiment.Lab.ReadyWait, strings.Join(bed.front.NotAdmitted(), ", "))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -243,7 +248,7 @@
 	return nil
 }
 
-// playLoad runs the load and the faults to their ends.
+// playLoad runs the load and the faults until both have ended, and returns the injected faults.
 func (bed *testbed) playLoad(ctx context.Context, start time.Time) []result.Event {
 	faults, stop := context.WithCancel(ctx)
 	defer stop()
@@ -254,30 +259,33 @@
 	return <-events
 }
 
-// watchStalls returns the longest delay of a wake-up.
-func watchStalls(ctx context.Context) (most time.Duration) {
+// watchStalls returns, when the context ends, the longest delay of a timer, which shows how long the lab
+// stalled.
+func watchStalls(ctx context.Context) (longest time.Duration) {
 	for {
-		at := time.Now()
+		begin := time.Now()
 		if !sleep.For(ctx, stallCheckInterval) {
-			return most
+			return longest
 		}
-		most = max(most, time.Since(at)-stallCheckInterval)
+		longest = max(longest, time.Since(begin)-stallCheckInterval)
 	}
 }
 
-func (bed *testbed) reportProgress(ctx context.Context, start time.Time, tell func(at, of time.Duration, p Progress)) {
-	of := experiment.Seconds(bed.experiment.Seconds)
+// reportProgress calls report at each progress interval until the context ends.
+func (bed *testbed) reportProgress(ctx context.Context, start time.Time,
+	report func(at, duration time.Duration, progress Progress)) {
+	duration := experiment.Seconds(bed.experiment.Seconds)
 	for sleep.For(ctx, progressInterval) {
-		late := bed.client.Lateness()
-		p := Progress{Arrived: len(late)}
-		if len(late) > 0 {
-			p.Lateness = late[len(late)-1]
+		lateness := bed.client.Lateness()
+		progress := Progress{Arrived: len(lateness)}
+		if len(lateness) > 0 {
+			progress.Lateness = lateness[len(lateness)-1]
 		}
-		tell(min(time.Since(start), of), of, p)
+		report(min(time.Since(start), duration), duration, progress)
 	}
 }
 
-// MachineLoad is the machine's load average over 1, 5 and 15 minutes.
+// MachineLoad returns the machine's load average over 1, 5 and 15 minutes, or zeros if it cannot be read.
 func MachineLoad() (load [3]float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -287,5 +295,5 @@
 	return load
 }
 
-// Cores is the number of cores that the lab and the proxies share.
+// Cores returns the number of cores that the lab and the proxies share.
 func Cores() int { return runtime.NumCPU() }
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -35,15 +35,15 @@
 	process           *process.Process
 	managementAddress string
 	startedAt         time.Time         // of the latest process
-	configFile        string            // path
+	configFile        string            // path of the latest process's configuration
 	starts            int               // number of processes so far
-	excusedSpans      []func(time.Time) // ended when it serves again
+	excusedSpans      []func(time.Time) // called when the proxy serves again; each ends an excused span
 	downFaults        int               // number of active faults that keep it down
 
 	processesMu    sync.Mutex // guards what follows
 	allProcesses   []*process.Process
-	stopFaults     int // number of active faults, as are the next
-	diskFullFaults int
+	stopFaults     int // number of active faults that stop it
+	diskFullFaults int // number of active faults that fill its disk
 }
 
 func (proxy *proxyUnderTest) processes() []*process.Process {
@@ -52,8 +52,8 @@
 	return slices.Clone(proxy.allProcesses)
 }
 
-// start starts a process of a proxy, with a list in its configuration; with keep, in the directory of its
-// predecessor.
+// start starts a process of a proxy, with a list in its configuration. With keep, the process finds the files
+// of its predecessor in its directory.
 func (bed *testbed) start(proxy *proxyUnderTest, keep bool) error {
 	if err := proxy.prepareDirs(keep); err != nil {
 		return err
@@ -88,7 +88,7 @@
 
 func (proxy *proxyUnderTest) tmpDir() string { return filepath.Join(proxy.dir, "tmp") }
 
-// prepareDirs creates the proxy's directories; without keep, their former contents are removed.
+// prepareDirs creates the proxy's directories. Without keep, it first removes their former contents.
 func (proxy *proxyUnderTest) prepareDirs(keep bool) error {
 	if !keep {
 		if err := os.RemoveAll(proxy.dir); err != nil {
@@ -102,7 +102,8 @@
 }
 
 // writeConfigFile writes the configuration file of the proxy's next process, and returns its path and the
-// list in it. Each process has a file of its own, since it may read it after the next one started.
+// list in it. Each process has a file of its own, since a process may read its file after the next one has
+// started.
 func (bed *testbed) writeConfigFile(proxy *proxyUnderTest) (path string, known []referee.Entry, err error) {
 	fraction := 1.0
 	if bed.experiment.Proxy.KnownFraction != nil {
@@ -142,7 +143,8 @@
 	}
 }
 
-// watchForCrash counts a process that ends without a signal.
+// watchForCrash waits for the end of a process, and counts it as a crash if the lab did not end it by
+// SIGTERM or SIGKILL.
 func (bed *testbed) watchForCrash(p *process.Process) {
 	<-p.Ended()
 	if p.Crashed() {
@@ -151,35 +153,38 @@
 	}
 }
 
-// kill kills proxies at one moment, and excuses each until it serves again.
+// kill kills proxies at the same time. The referee excuses each until it serves again.
 func (bed *testbed) kill(proxies []*proxyUnderTest) error {
 	proxies = slices.Clone(proxies)
-	slices.SortFunc(proxies, func(a, b *proxyUnderTest) int { return cmp.Compare(a.ordinal, b.ordinal) }) // one order of locking
-	var ps []*process.Process
+	// All callers lock in this order.
+	slices.SortFunc(proxies, func(a, b *proxyUnderTest) int { return cmp.Compare(a.ordinal, b.ordinal) })
+	var running []*process.Process
 	for _, proxy := range proxies {
 		proxy.mu.Lock()
 		defer proxy.mu.Unlock()
-		ps = append(ps, proxy.processes()...)
+		running = append(running, proxy.processes()...)
 	}
 	at := time.Now()
 	for _, proxy := range proxies {
 		proxy.excusedSpans = append(proxy.excusedSpans, bed.ref.BeginExcusedSpan(proxy.node.Name, at))
 		proxy.downFaults++
 	}
-	return process.KillAll(slices.DeleteFunc(ps, ended))
+	return process.KillAll(slices.DeleteFunc(running, ended))
 }
 
-// killDelay is the time from SIGTERM to SIGKILL in a planned restart.
+// killDelay returns the time from SIGTERM to SIGKILL in a planned restart.
 func (bed *testbed) killDelay() time.Duration {
-	most := time.Duration(0)
+	longest := time.Duration(0)
 	for _, k := range bed.experiment.Classes {
-		most = max(most, experiment.Millis(k.DeadlineMs))
+		longest = max(longest, experiment.Millis(k.DeadlineMs))
 	}
-	return min(most, minKillDelay) + killSlack
+	return min(longest, maxKillDelay) + killSlack
 }
 
-// restart is a planned restart, with a span without a process.
-func (bed *testbed) restart(ctx context.Context, proxy *proxyUnderTest, signals []signalAt, downtime time.Duration, keep bool) error {
+// restart makes a planned restart: SIGTERM, the given signals, SIGKILL after the kill delay, and a new
+// process after the downtime.
+func (bed *testbed) restart(ctx context.Context, proxy *proxyUnderTest, signals []signalAt,
+	downtime time.Duration, keep bool) error {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	if proxy.process == nil || ended(proxy.process) {
@@ -195,7 +200,8 @@
 		return err
 	}
 	if !clean {
-		bed.log.Warn("proxy killed after SIGTERM timeout", "proxy", proxy.node.Name, "error", old.Err())
+		bed.log.Warn("proxy did not exit after SIGTERM and was killed", "proxy", proxy.node.Name,
+			"error", old.Err())
 	}
 	defer bed.front.Unblock(proxy.node.Name)
 	if !sleep.For(ctx, downtime) {
@@ -204,8 +210,8 @@
 	return bed.start(proxy, keep)
 }
 
-// upgrade replaces the process as the on-call page says: start a successor, wait until it is ready, end the
-// predecessor.
+// upgrade replaces the process as the on-call page describes: it starts a successor, waits until that is
+// ready, and ends the predecessor.
 func (bed *testbed) upgrade(ctx context.Context, proxy *proxyUnderTest) error {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -217,13 +223,14 @@
 		return err
 	}
 	if !bed.awaitReady(ctx, proxy, successorTimeout) {
-		bed.log.Error("successor not ready", "proxy", proxy.node.Name)
+		bed.log.Error("successor of a proxy did not become ready", "proxy", proxy.node.Name)
 		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 	_, err := old.Terminate(bed.killDelay())
 	return err
 }
 
+// awaitReady reports whether the proxy's latest process becomes ready within the timeout.
 func (bed *testbed) awaitReady(ctx context.Context, proxy *proxyUnderTest, timeout time.Duration) bool {
 	client := http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(timeout); time.Now().Before(end) && sleep.For(ctx, readyzPollInterval); {
@@ -239,7 +246,7 @@
 	return false
 }
 
-// powerLoss kills a proxy and loses recent writes to its files.
+// powerLoss kills a proxy and discards part of the recent writes to its files.
 func (bed *testbed) powerLoss(proxy *proxyUnderTest) error {
 	if err := bed.kill([]*proxyUnderTest{proxy}); err != nil {
 		return err
@@ -247,13 +254,13 @@
 	bed.mu.Lock()
 	r := rand.New(rand.NewPCG(bed.plan.Seed, bed.rng.Uint64()))
 	bed.mu.Unlock()
-	torn, err := faultdisk.Tear(filepath.Join(proxy.dir, "tmp"), time.Now().Add(-powerLossWindow), r)
-	bed.log.Info("proxy power lost", "proxy", proxy.node.Name, "files", len(torn))
+	tornFiles, err := faultdisk.Tear(filepath.Join(proxy.dir, "tmp"), time.Now().Add(-powerLossWindow), r)
+	bed.log.Info("proxy lost power", "proxy", proxy.node.Name, "files", len(tornFiles))
 	return err
 }
 
-// startAgain starts a killed proxy again, unless another fault keeps it down. It stays excused until it is
-// ready.
+// startAgain starts a killed proxy again, unless another fault keeps it down. The proxy stays excused until
+// it is ready.
 func (bed *testbed) startAgain(ctx context.Context, proxy *proxyUnderTest, keep bool) error {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
@@ -264,7 +271,8 @@
 		return err
 	}
 	if !bed.awaitReady(ctx, proxy, readmitTimeout) && ctx.Err() == nil {
-		bed.log.Error("restarted proxy not ready", "proxy", proxy.node.Name, "duration", readmitTimeout)
+		bed.log.Error("restarted proxy did not become ready", "proxy", proxy.node.Name,
+			"duration", readmitTimeout)
 		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 	for _, end := range proxy.excusedSpans {
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -15,7 +15,7 @@
 	"merlinpick/internal/faultlab/stubserver"
 )
 
-// server is a stub server with its entry in the list.
+// server is a stub server with its entry in the list, over all its processes.
 type server struct {
 	*stubserver.Server
 	mu         sync.Mutex
@@ -26,17 +26,18 @@
 	endRefusal func() error // ends the refusal of connections while only its process is down
 }
 
-// address is the address at which a proxy reaches a server.
+// address returns the address at which a proxy reaches a server.
 func (bed *testbed) address(proxy, name string) string {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	return bed.addresses[bed.linkGroup(bed.proxies[proxy].node)+"/"+name]
 }
 
-// Job returns the work of a request. With OverloadFailed it makes the testbed a stubserver.Lab.
+// Job returns the work of a request; false if its ID is unknown. It and OverloadFailed implement
+// stubserver.Lab.
 func (bed *testbed) Job(id string) (stubserver.Job, bool) { return bed.client.Job(id) }
 
-// OverloadFailed takes down a server that failed under overload, for the rest of the play.
+// OverloadFailed takes down, for the rest of the play, a server that failed under overload.
 func (bed *testbed) OverloadFailed(name string) {
 	bed.log.Warn("server failed under overload", "endpoint", name)
 	bed.recordError(bed.takeDown(bed.server(name)))
@@ -48,7 +49,7 @@
 	return bed.servers[name]
 }
 
-// serversInZone are the servers of a zone, by name.
+// serversInZone returns the servers of a zone, sorted by name.
 func (bed *testbed) serversInZone(zone string) (out []*server) {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
@@ -64,14 +65,16 @@
 // zoneCells is the number of cells in a zone.
 const zoneCells = 4
 
-// cellOf is the cell of a server, by the index of its zone and its own number. Cells are numbered within a
-// tier.
+// cellOf returns the cell of a server, from the index of its zone and its own number. Cells are numbered
+// within a tier.
 func cellOf(zone, number int) int { return zone*zoneCells + number%zoneCells }
 
-// addServer creates a server with a link from each link group, and starts it, with slow start if cold.
+// addServer creates a server with a link from each link group, and starts it at a time, with slow start if
+// cold.
 func (bed *testbed) addServer(n experiment.Node, cell int, at time.Time, cold bool) (*server, error) {
 	if len(n.Name) > maxServerName {
-		return nil, fmt.Errorf("%w: name of nodo %s, give fewer replacements", errTooLarge, n.Name)
+		return nil, fmt.Errorf("%w: the name of nodo %s is too long, configure fewer replacements",
+			errTooLarge, n.Name)
 	}
 	c, number := bed.experiment.Servers, cell
 	cell = cellOf(slices.Index(bed.experiment.ZoneNames(), n.Zone), number)
@@ -111,7 +114,8 @@
 	return server, nil
 }
 
-// startServer starts a server's process; a zero time is long ago.
+// startServer starts a server's process, with slow start from the given time if cold. A zero time stands for
+// a start long ago.
 func (bed *testbed) startServer(server *server, at time.Time, cold bool) {
 	server.Start(at, cold)
 	since := int64(0)
@@ -122,7 +126,8 @@
 	server.entry = catalog.Entry{Name: server.node.Name, Zone: server.node.Zone, Type: cmp.Or(server.node.Group.Kind, "lab"), Group: server.cell,
 		Status: catalog.Serving, Since: since}
 	server.mu.Unlock()
-	bed.ref.RecordServerState(server.node.Name, referee.ServerState{Zone: server.node.Zone, Cell: server.cell, Serving: true, Since: since}, at)
+	bed.ref.RecordServerState(server.node.Name,
+		referee.ServerState{Zone: server.node.Zone, Cell: server.cell, Serving: true, Since: since}, at)
 }
 
 // setStatus records a server's status and announces it to the list.
@@ -136,12 +141,13 @@
 	bed.announce(entry)
 }
 
-// serverLinksTo matches the links from proxies to a server.
+// serverLinksTo returns a function that matches the links from proxies to a server.
 func serverLinksTo(name string) func(link.Ends) bool {
 	return func(ends link.Ends) bool { return ends.Kind == "nodo" && ends.To == name }
 }
 
-// takeDown ends a server's process: connections are reset, new ones refused, and the list is notified.
+// takeDown ends a server's process: its connections are reset, new ones are refused, and the list is
+// notified.
 func (bed *testbed) takeDown(server *server) error {
 	server.mu.Lock()
 	server.downFaults++
@@ -156,7 +162,7 @@
 	return err
 }
 
-// vanish ends a server's machine, whose links are silent already.
+// vanish ends a server with its machine. The caller has silenced its links, so nothing is reset or refused.
 func (bed *testbed) vanish(server *server) {
 	server.mu.Lock()
 	server.downFaults++
@@ -165,8 +171,8 @@
 	bed.setStatus(server, catalog.Deleted)
 }
 
-// bringUp ends one of the faults that keep a server down; with the last its process starts again, with slow
-// start.
+// bringUp ends one of the faults that keep a server down. With the last one, the server's process starts
+// again, with slow start.
 func (bed *testbed) bringUp(server *server) error {
 	server.mu.Lock()
 	server.downFaults--
--- a/internal/faultlab/run/testbed.go
+++ b/internal/faultlab/run/testbed.go
@@ -23,21 +23,20 @@
 )
 
 const (
-	termNoticeDelay    = 300 * time.Millisecond // new connections keep coming after SIGTERM
-	minKillDelay       = 3 * time.Second        // SIGKILL follows SIGTERM by the longest deadline, at least this
-	killSlack          = 700 * time.Millisecond
-	successorTimeout   = 6 * time.Second // for a successor to be ready
-	drainDuration      = 2 * time.Second // from draining until the server ends
-	powerLossWindow    = 5 * time.Second // a power loss may lose what was written so long before it
+	termNoticeDelay    = 300 * time.Millisecond // new connections still arrive so long after SIGTERM
+	maxKillDelay       = 3 * time.Second        // from SIGTERM to SIGKILL; less if all deadlines are shorter
+	killSlack          = 700 * time.Millisecond // added to that time
+	successorTimeout   = 6 * time.Second        // for a successor to be ready
+	drainDuration      = 2 * time.Second        // from the start of draining until the server ends
+	powerLossWindow    = 5 * time.Second        // a power loss may discard writes that are at most so old
 	readyzPollInterval = 50 * time.Millisecond
 	readmitTimeout     = 20 * time.Second // for a restarted proxy to be ready
-	callTimeout        = time.Second
-	zoneGroupPrefix    = "zone " // names a group of proxies that share their links
-	maxServerName      = 64
+	callTimeout        = time.Second      // of requests to a proxy's management address
+	zoneGroupPrefix    = "zone "          // prefix of the names of link groups of a zone's proxies
+	maxServerName      = 64               // bytes
 )
 
-// testbed is everything that a play runs: it owns the processes, servers, list and links, and injects the
-// faults.
+// testbed owns everything that a play runs: processes, servers, list and links.
 type testbed struct {
 	experiment      *experiment.Experiment
 	plan            *plan.Plan
@@ -47,7 +46,7 @@
 	block           *addressBlock
 	net             *link.Net
 	ref             *referee.Referee
-	catalog         *catalog.Catalog // stands in for the list service; nil with a service
+	catalog         *catalog.Catalog // replaces the list service; nil with the service
 	service         *service.Service // nil with the catalog
 	front           *load.Front
 	client          *load.Client
@@ -65,7 +64,7 @@
 
 	mu               sync.Mutex
 	servers          map[string]*server
-	addresses        map[string]string              // of each link group and server
+	addresses        map[string]string              // of servers, by link group and name of the server
 	gossipMembers    map[netip.Addr]experiment.Node // by their own addresses
 	serverLinks      int
 	byzantineMembers int
@@ -73,7 +72,7 @@
 	labErrors        []error
 }
 
-// linkGroup names the proxies that share their links to servers.
+// linkGroup returns the name of the group of proxies that share their links to servers with a proxy.
 func (bed *testbed) linkGroup(node experiment.Node) string {
 	if bed.experiment.SharedLinks() {
 		return zoneGroupPrefix + node.Zone
@@ -81,6 +80,7 @@
 	return node.Name
 }
 
+// delay returns the one-way delay between two zones; an empty zone is in every zone.
 func (bed *testbed) delay(from, to string) time.Duration {
 	if from == to || from == "" || to == "" {
 		return experiment.Millis(bed.experiment.Network.LocalMs)
@@ -88,7 +88,7 @@
 	return experiment.Millis(bed.experiment.Network.CrossMs)
 }
 
-// build creates everything but the processes.
+// build creates everything except the processes.
 func (bed *testbed) build() error {
 	bed.net = link.New(bed.plan.Seed)
 	bed.ref = referee.New(refereeConfig(bed.experiment))
@@ -118,7 +118,7 @@
 	return bed.buildHollow()
 }
 
-// addProxies adds the proxies, without processes, and the front before them.
+// addProxies adds the proxies, without processes, and the front that distributes connections over them.
 func (bed *testbed) addProxies() {
 	zones := bed.experiment.ZoneNames()
 	var targets []load.Target
@@ -135,12 +135,15 @@
 		Random: bed.plan.Source("front")})
 }
 
-// buildCatalog creates the catalog, which stands in for the list service, with a link from each proxy.
+// buildCatalog creates the catalog, which replaces the list service, with a link from each proxy.
 func (bed *testbed) buildCatalog(entries []catalog.Entry) error {
 	l := bed.experiment.List
-	bed.catalog = catalog.New(catalog.Config{NotificationDelay: experiment.Millis(l.NotificationDelayMs), CallWork: experiment.Millis(l.CallMs),
-		EntryWork: time.Duration(l.EntryUs * float64(time.Microsecond)), QueueTimeout: experiment.Millis(l.QueueTimeoutMs),
-		SyncInterval: experiment.Millis(l.SyncIntervalMs), RetainedChanges: l.RetainedChanges, MaxWaitingCalls: l.MaxWaitingCalls, Seed: bed.plan.Seed, Address: bed.address,
+	bed.catalog = catalog.New(catalog.Config{NotificationDelay: experiment.Millis(l.NotificationDelayMs),
+		CallWork:     experiment.Millis(l.CallMs),
+		EntryWork:    time.Duration(l.EntryUs * float64(time.Microsecond)),
+		QueueTimeout: experiment.Millis(l.QueueTimeoutMs), SyncInterval: experiment.Millis(l.SyncIntervalMs),
+		RetainedChanges: l.RetainedChanges, MaxWaitingCalls: l.MaxWaitingCalls, Seed: bed.plan.Seed,
+		Address: bed.address,
 	}, bed.ref, entries)
 	for _, proxy := range bed.proxyOrder {
 		ends := link.Ends{Kind: "list", From: proxy.node.Name, FromZone: proxy.node.Zone, ToZone: l.Zone}
@@ -153,19 +156,22 @@
 	return nil
 }
 
+// refereeConfig returns the configuration of an experiment's referee.
 func refereeConfig(exp *experiment.Experiment) referee.Config {
-	t := referee.Config{MaxAttempts: exp.Proxy.MaxAttempts, HedgingAllowed: exp.Proxy.Hedging,
-		DrainGrace: experiment.Millis(exp.Proxy.DrainGraceMs), DeadlineSlack: experiment.Millis(exp.Proxy.DeadlineSlackMs)}
+	config := referee.Config{MaxAttempts: exp.Proxy.MaxAttempts, HedgingAllowed: exp.Proxy.Hedging,
+		DrainGrace:    experiment.Millis(exp.Proxy.DrainGraceMs),
+		DeadlineSlack: experiment.Millis(exp.Proxy.DeadlineSlackMs)}
 	if exp.Proxy.Membership == "subscribe" {
-		t.PollInterval = experiment.Millis(exp.Proxy.PollIntervalMs)
+		config.PollInterval = experiment.Millis(exp.Proxy.PollIntervalMs)
 	}
-	repeats := map[string]referee.RetryClass{"idempotent": referee.Idempotent, "deduplicated": referee.IdempotencyKey,
-		"at_most_once": referee.NonIdempotent}
+	retryClasses := map[string]referee.RetryClass{"idempotent": referee.Idempotent,
+		"deduplicated": referee.IdempotencyKey, "at_most_once": referee.NonIdempotent}
 	for _, k := range exp.Classes {
-		t.Classes = append(t.Classes, referee.Class{Name: k.Name, RetryClass: repeats[k.RetryClass], KeyScope: k.KeyScope,
+		config.Classes = append(config.Classes, referee.Class{Name: k.Name,
+			RetryClass: retryClasses[k.RetryClass], KeyScope: k.KeyScope,
 			KeyWindow: experiment.Millis(k.KeyWindowMs)})
 	}
-	return t
+	return config
 }
 
 // recordError records a failure of the lab itself, which makes the run void.
@@ -173,12 +179,13 @@
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
 	}
-	bed.log.Error("lab failed", "error", err)
+	bed.log.Error("the lab failed, so the run is void", "error", err)
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
 	bed.labErrors = append(bed.labErrors, err)
 }
 
+// labError returns the recorded failures of the lab, joined.
 func (bed *testbed) labError() error {
 	bed.mu.Lock()
 	defer bed.mu.Unlock()
