--- a/internal/faultlab/run/addresses.go
+++ b/internal/faultlab/run/addresses.go
@@ -17,23 +17,23 @@
 
 // Ports, the range of blocks, and the third octets of the addresses in a block.
 const (
-	claimPort     = 7400
-	listPort      = 8500
-	proxyPort     = 8443
-	mgmtPort      = 9400 // of a proxy's first process; each further process has the next port
-	relayPort     = 7901
-	gossipPort    = 10400 // of a proxy's first process; each further process has the next port
-	firstBlock    = 16
-	lastBlock     = 250
-	perOctet      = 250
-	proxyOctet    = 1
-	gossipOctet   = 3
-	listOctet     = 5
-	registryOctet = 8
-	serverOctet   = 10
-	hollowOctet   = 230 // first octet of the gossip addresses of hollow proxies
-	controlOctet  = 229
-	lastOctet     = 228 // last octet of the servers' addresses
+	claimPort         = 7400
+	listPort          = 8500
+	proxyPort         = 8443
+	mgmtPort          = 9400 // of a proxy's first process; each further process has the next port
+	relayPort         = 7901
+	gossipPort        = 10400 // of a proxy's first process; each further process has the next port
+	firstBlock        = 16
+	lastBlock         = 250
+	addressesPerOctet = 250
+	proxyOctet        = 1
+	gossipOctet       = 3
+	listOctet         = 5
+	registryOctet     = 8
+	serverOctet       = 10
+	hollowOctet       = 230 // first octet of the gossip addresses of hollow proxies
+	controlOctet      = 229
+	lastOctet         = 228 // last octet of the servers' addresses
 )
 
 // errTooLarge is returned for an experiment with more servers or links than the lab has names or addresses
@@ -60,7 +60,7 @@
 func (b *addressBlock) release() { b.claim.Close() }
 
 func (b *addressBlock) addr(octet, n, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", b.octet, octet+n/perOctet, 1+n%perOctet, port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", b.octet, octet+n/addressesPerOctet, 1+n%addressesPerOctet, port)
 }
 
 func (b *addressBlock) proxy(n int) string         { return b.addr(proxyOctet, n, proxyPort) }
@@ -78,9 +78,9 @@
 // Addresses of the list service: one for each member, and one for the link to each member from each other
 // member, each zone and each proxy.
 const (
-	firstMemberLink = 10 // after the members' own addresses
-	firstZoneLink   = 60
-	maxPerKind      = 8 // addresses for the links of one member or zone: at least one for each member
+	firstMemberLink   = 10 // after the members' own addresses
+	firstZoneLink     = 60
+	linkAddressStride = 8 // addresses for the links of one member or zone: at least one for each member
 )
 
 // member returns the address of a member of the list service itself.
@@ -88,12 +88,12 @@
 
 // memberLink returns the address of the link from one member to another.
 func (b *addressBlock) memberLink(from, to, port int) string {
-	return b.addr(registryOctet, firstMemberLink+from*maxPerKind+to, port)
+	return b.addr(registryOctet, firstMemberLink+from*linkAddressStride+to, port)
 }
 
 // zoneMember returns the address at which the servers of a zone reach a member.
 func (b *addressBlock) zoneMember(zone, to, port int) string {
-	return b.addr(registryOctet, firstZoneLink+zone*maxPerKind+to, port)
+	return b.addr(registryOctet, firstZoneLink+zone*linkAddressStride+to, port)
 }
 
 // listMember returns the address at which a proxy reaches a member.
@@ -107,22 +107,22 @@
 
 // hollowList returns the address at which the hollow proxies of a zone read lists from a member.
 func (b *addressBlock) hollowList(zone, to int) string {
-	return b.addr(registryOctet, firstZoneLink+zone*maxPerKind+to, listPort+1)
+	return b.addr(registryOctet, firstZoneLink+zone*linkAddressStride+to, listPort+1)
 }
 
 // hollowLease returns the address at which the hollow servers of a zone renew their leases at a member.
 func (b *addressBlock) hollowLease(zone, to int) string {
-	return b.addr(registryOctet, firstZoneLink+zone*maxPerKind+to, listPort+2)
+	return b.addr(registryOctet, firstZoneLink+zone*linkAddressStride+to, listPort+2)
 }
 
 func (b *addressBlock) hollowControl(n int) string { return b.addr(controlOctet, n, mgmtPort) }
 func (b *addressBlock) hollowGossip(n int) string  { return b.addr(hollowOctet, n, gossipPort) }
 func (b *addressBlock) hollowRelay(n int) string   { return b.addr(hollowOctet, n, relayPort) }
-func (b *addressBlock) hollowServer() string       { return b.addr(controlOctet, perOctet-1, 9) }
+func (b *addressBlock) hollowServer() string       { return b.addr(controlOctet, addressesPerOctet-1, 9) }
 
 // server returns the address of the link with number n from proxies to servers.
 func (b *addressBlock) server(n int) (string, error) {
-	if serverOctet+n/perOctet > lastOctet {
+	if serverOctet+n/addressesPerOctet > lastOctet {
 		return "", fmt.Errorf("%w: more than %d links from proxies to nodos, configure fewer of either",
 			errTooLarge, n)
 	}
--- a/internal/faultlab/run/byzantine.go
+++ b/internal/faultlab/run/byzantine.go
@@ -11,7 +11,7 @@
 	"merlinpick/internal/faultlab/plan"
 )
 
-const firstByzantine = 400 // ordinal of the first byzantine member, above those of proxies
+const firstByzantineOrdinal = 400 // ordinal of the first byzantine member, above those of proxies
 
 // runByzantineMembers runs byzantine members of the cluster for the duration of a fault, distributed over the
 // zones in turn. They report the fault's targets, and all zones but their own, as unhealthy.
@@ -41,7 +41,7 @@
 		defer member.Leave()
 	}
 	if len(errs) == 0 {
-		t.holdFault(ctx, planned, planned.At)
+		t.waitForFaultEnd(ctx, planned, planned.At)
 	}
 	return errors.Join(errs...)
 }
@@ -49,7 +49,7 @@
 // joinByzantine starts a byzantine member with a relay of its own.
 func (t *timeline) joinByzantine(node experiment.Node, victims func() []byzantine.Target) (*byzantine.Member, error) {
 	t.mu.Lock()
-	n := firstByzantine + t.byzantineMembers
+	n := firstByzantineOrdinal + t.byzantineMembers
 	t.byzantineMembers++
 	t.mu.Unlock()
 	relay, err := t.addRelay(node, n)
@@ -60,7 +60,7 @@
 	if err := relay.SetTarget(bind); err != nil {
 		return nil, err
 	}
-	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(stage),
+	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(tierIndex),
 		Bind: bind, Advertise: relay.Address(), Label: t.experiment.Cluster.Label,
 		Seeds: t.gossipSeeds(node), Logger: t.log}, victims, t.experiment.ZoneNames())
 }
--- a/internal/faultlab/run/capacity.go
+++ b/internal/faultlab/run/capacity.go
@@ -33,18 +33,18 @@
 	minFiles              = 2000      // descriptors of the lab without hollow processes
 )
 
-// NeedError is the error of an experiment that needs more of a resource than this machine has. Nothing was
-// started.
-type NeedError struct {
-	What      string // resource and unit
-	Need, Has int64
-	Remedy    string
+// CapacityError is returned for an experiment that needs more of a resource than this machine has. Nothing
+// was started.
+type CapacityError struct {
+	Resource          string // resource and unit
+	Needed, Available int64
+	Remedy            string
 }
 
 // Error returns the needed and the available amount, and the remedy.
-func (e *NeedError) Error() string {
+func (e *CapacityError) Error() string {
 	return fmt.Sprintf("the experiment needs %d %s but only %d are available: %s",
-		e.Need, e.What, e.Has, e.Remedy)
+		e.Needed, e.Resource, e.Available, e.Remedy)
 }
 
 // machine holds the available resources.
@@ -74,7 +74,7 @@
 	return m
 }
 
-// checkCapacity returns a *NeedError if a machine is too small for an experiment with hollow processes.
+// checkCapacity returns a *CapacityError if a machine is too small for an experiment with hollow processes.
 // Others are bounded by the limits of the experiment file.
 func checkCapacity(exp *experiment.Experiment, m machine) error {
 	hollow := exp.Hollow
@@ -106,17 +106,18 @@
 	const remedy = "configure fewer hollow.proxies and hollow.nodos, or use a larger machine"
 	switch {
 	case processes > maxProcesses:
-		return &NeedError{"processes", processes, maxProcesses, "configure fewer proxies or hollow.processes"}
+		return &CapacityError{"processes", processes, maxProcesses,
+			"configure fewer proxies or hollow.processes"}
 	case memory > maxMemory:
-		return &NeedError{"MB of memory", memory >> 20, maxMemory >> 20,
+		return &CapacityError{"MB of memory", memory >> 20, maxMemory >> 20,
 			"the lab may use half of its machine's memory; configure fewer hollow.proxies"}
 	case memory > m.memory:
-		return &NeedError{"MB of memory", memory >> 20, m.memory >> 20, remedy}
+		return &CapacityError{"MB of memory", memory >> 20, m.memory >> 20, remedy}
 	case cores > m.cores:
-		return &NeedError{"cores for gossip alone", cores, m.cores,
+		return &CapacityError{"cores for gossip alone", cores, m.cores,
 			"configure fewer hollow.proxies, or use a larger machine"}
 	case files > m.files:
-		return &NeedError{"file descriptors in one process", files, m.files,
+		return &CapacityError{"file descriptors in one process", files, m.files,
 			"raise the limit (ulimit -n), or " + remedy}
 	}
 	return nil
--- a/internal/faultlab/run/capacity_test.go
+++ b/internal/faultlab/run/capacity_test.go
@@ -9,10 +9,11 @@
 	"merlinpick/internal/faultlab/experiment"
 )
 
-// A size that a machine can't bear is refused with the need and what there is; the sizes that come with the
-// lab are borne by a machine of 24 GB.
+// An experiment that needs more of a resource than the machine has is rejected, with the needed and the
+// available amount. A machine with 24 GB has enough for the built-in sizes, except for the gossip of 1300
+// proxies.
 func TestCheckCapacity(t *testing.T) {
-	open := func(name string) *experiment.Experiment {
+	read := func(name string) *experiment.Experiment {
 		text, err := experiments.Files.ReadFile(name + ".toml")
 		if err != nil {
 			t.Fatal(err)
@@ -25,11 +26,11 @@
 	}
 	large := machine{memory: 20 << 30, files: 20000, cores: 8}
 	for _, test := range []struct {
-		name string
-		of   string
-		m    machine
-		but  func(*experiment.Experiment)
-		what string
+		name         string
+		file         string
+		m            machine
+		change       func(*experiment.Experiment)
+		wantResource string // part of the resource's name; empty if there is enough
 	}{
 		{"30", "scale-30", large, nil, ""},
 		{"1300", "scale-1300", large, nil, ""},
@@ -41,17 +42,19 @@
 		{"over half", "scale-1300", large, func(exp *experiment.Experiment) { exp.Hollow.Proxies, exp.Hollow.Servers = 5000, 5000 }, "MB of memory"},
 		{"many processes", "scale-30", large, func(exp *experiment.Experiment) { exp.Zones[0].Proxies = 290 }, "processes"},
 	} {
-		exp := open(test.of)
-		if test.but != nil {
-			test.but(exp)
+		exp := read(test.file)
+		if test.change != nil {
+			test.change(exp)
 		}
 		err := checkCapacity(exp, test.m)
-		var need *NeedError
+		var missing *CapacityError
 		switch {
-		case test.what == "" && err != nil:
+		case test.wantResource == "" && err != nil:
 			t.Errorf("%s: %v", test.name, err)
-		case test.what != "" && (!errors.As(err, &need) || !strings.Contains(need.What, test.what) || need.Need <= need.Has || need.Remedy == ""):
-			t.Errorf("%s: %v, want a need of %s", test.name, err, test.what)
+		case test.wantResource != "" && (!errors.As(err, &missing) ||
+			!strings.Contains(missing.Resource, test.wantResource) ||
+			missing.Needed <= missing.Available || missing.Remedy == ""):
+			t.Errorf("%s: got error %v, want one for too few %s", test.name, err, test.wantResource)
 		}
 	}
 }
--- a/internal/faultlab/run/cells_test.go
+++ b/internal/faultlab/run/cells_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A cell's number is one zone's: proxies tell cells apart by it alone.
+// A cell number belongs to one zone only, since proxies identify a cell by its number alone.
 func TestCellBelongsToOneZone(t *testing.T) {
 	zoneOf := map[int]int{}
 	for zone := range 9 {
@@ -15,6 +15,6 @@
 		}
 	}
 	if len(zoneOf) != 9*zoneCells {
-		t.Errorf("%d cells", len(zoneOf))
+		t.Errorf("got %d cells, want zoneCells in each of 9 zones", len(zoneOf))
 	}
 }
--- a/internal/faultlab/run/config.go
+++ b/internal/faultlab/run/config.go
@@ -8,7 +8,7 @@
 	"merlinpick/internal/faultlab/experiment"
 )
 
-const stage = 0 // index of the lab's only tier
+const tierIndex = 0 // index of the lab's only tier
 
 // micros converts milliseconds to microseconds.
 func micros(ms float64) int64 { return int64(ms * 1000) }
@@ -36,7 +36,7 @@
 			"retry_after": x.MaxRetryAfterMs > 0, "second_copies": x.Hedging, "try_limit": x.MaxAttempts,
 			"streams_per_conn": 1, "peers": false, "probes": false},
 		"ordinal": ordinal, "siblings": len(exp.ProxyNodes()), "profiles": profiles, "tenants": []any{},
-		"tiers": []string{"lab"}, "stage": stage, "weights": "off",
+		"tiers": []string{"lab"}, "stage": tierIndex, "weights": "off",
 	}
 	overlay(s, x.Settings)
 	return s
--- a/internal/faultlab/run/faults_links.go
+++ b/internal/faultlab/run/faults_links.go
@@ -11,8 +11,8 @@
 	"merlinpick/internal/faultlab/plan"
 )
 
-// zoneBorder matches the links that cross the border of a zone.
-func zoneBorder(zone string) func(link.Ends) bool {
+// crossesZoneBorder matches the links that cross the border of a zone.
+func crossesZoneBorder(zone string) func(link.Ends) bool {
 	return func(ends link.Ends) bool {
 		return ends.FromZone != ends.ToZone && ends.FromZone != "" && ends.ToZone != "" && (ends.FromZone == zone || ends.ToZone == zone)
 	}
@@ -48,7 +48,7 @@
 		ends, errs = append(ends, end), append(errs, err)
 	}
 	if errors.Join(errs...) == nil {
-		t.holdFault(ctx, planned, planned.At)
+		t.waitForFaultEnd(ctx, planned, planned.At)
 	}
 	for _, end := range ends {
 		errs = append(errs, end())
@@ -110,7 +110,7 @@
 	case "delay":
 		return apply(link.Effect{Delay: experiment.Millis(fault.DelayMs)})
 	case "loss":
-		if err := t.loseHollowGossip(ctx, planned); err != nil {
+		if err := t.dropHollowGossip(ctx, planned); err != nil {
 			return err
 		}
 		return apply(link.Effect{Loss: fault.Fraction})
@@ -133,9 +133,9 @@
 	return unknownFault(planned, "links")
 }
 
-// loseZone takes down all servers and proxies of a zone, and starts them again, servers with slow start,
+// takeDownZone takes down all servers and proxies of a zone, and starts them again, servers with slow start,
 // after the fault's duration.
-func (t *timeline) loseZone(ctx context.Context, planned plan.PlannedFault) error {
+func (t *timeline) takeDownZone(ctx context.Context, planned plan.PlannedFault) error {
 	zone := planned.Fault.Zone
 	links := func(ends link.Ends) bool {
 		return (ends.Kind == "nodo" || ends.Kind == "gossip") && ends.ToZone == zone
@@ -153,7 +153,7 @@
 	errs := []error{t.kill(proxies)}
 	servers := t.serversInZone(zone)
 	for _, server := range servers {
-		t.vanish(server)
+		t.takeDownSilently(server)
 	}
 	back := planned.Duration > 0 && t.waitUntil(ctx, planned.At+planned.Duration)
 	t.net.Reset(links)
--- a/internal/faultlab/run/faults_lists.go
+++ b/internal/faultlab/run/faults_lists.go
@@ -21,7 +21,7 @@
 	case "member_kill":
 		return t.service.Kill(members, back)
 	case "member_stop":
-		return t.service.Stop(members, func() { t.holdFault(ctx, planned, planned.At) })
+		return t.service.Stop(members, func() { t.waitForFaultEnd(ctx, planned, planned.At) })
 	case "member_damage":
 		return t.service.Damage(members, back)
 	case "member_cut":
@@ -50,7 +50,7 @@
 		}
 		ends = append(ends, end)
 	}
-	t.holdFault(ctx, planned, planned.At)
+	t.waitForFaultEnd(ctx, planned, planned.At)
 	return errors.Join(ends[0](), ends[1]())
 }
 
@@ -69,13 +69,13 @@
 		if planned.Fault.Kind == "list_power_loss" {
 			t.log.Info("catalog lost power", "versions_lost", t.catalog.PowerLoss())
 		}
-		t.holdFault(ctx, planned, planned.At)
+		t.waitForFaultEnd(ctx, planned, planned.At)
 		restart()
 		defer func() { endOutage(time.Now()) }()
 		return end()
 	}
 	during := func(end func()) error {
-		t.holdFault(ctx, planned, planned.At)
+		t.waitForFaultEnd(ctx, planned, planned.At)
 		end()
 		return nil
 	}
--- a/internal/faultlab/run/faults_proxies.go
+++ b/internal/faultlab/run/faults_proxies.go
@@ -40,7 +40,7 @@
 		excuseEnds := t.ref.BeginExcusedSpan(target.Name, time.Now())
 		outageEnds := t.ref.BeginListOutage(target.Name, time.Now())
 		defer func() { excuseEnds(time.Now()); outageEnds(time.Now()) }()
-		return t.holdCounted(ctx, planned, target, proxy, t.addStop)
+		return t.runCountedFault(ctx, planned, target, proxy, t.addStopFaults)
 	case "reload":
 		return t.reload(ctx, proxy, fault.Versions, t.plan.Source("reload "+target.Name))
 	case "hold_up":
@@ -50,23 +50,24 @@
 	case "rude":
 		return t.runMisbehavingClients(ctx, planned, proxy, target.At, t.plan.Source("rude "+target.Name))
 	case "disk_full":
-		return t.holdCounted(ctx, planned, target, proxy, t.addDiskFull)
+		return t.runCountedFault(ctx, planned, target, proxy, t.addDiskFullFaults)
 	}
 	return unknownFault(planned, "proxies")
 }
 
-// holdCounted increments a proxy's number of active faults of a kind for the fault's duration.
-func (t *timeline) holdCounted(ctx context.Context, planned plan.PlannedFault, target plan.Target, proxy *proxyUnderTest,
-	count func(proxy *proxyUnderTest, n int) error) error {
+// runCountedFault increments a proxy's number of active faults of a kind for the fault's duration.
+func (t *timeline) runCountedFault(ctx context.Context, planned plan.PlannedFault, target plan.Target,
+	proxy *proxyUnderTest, count func(proxy *proxyUnderTest, n int) error) error {
 	if err := count(proxy, 1); err != nil {
 		return err
 	}
-	t.holdFault(ctx, planned, target.At)
+	t.waitForFaultEnd(ctx, planned, target.At)
 	return count(proxy, -1)
 }
 
-// addStop adds n to the number of faults that stop a proxy. When the last one ends, its processes continue.
-func (bed *testbed) addStop(proxy *proxyUnderTest, n int) error {
+// addStopFaults adds n to the number of faults that stop a proxy. When the last one ends, its processes
+// continue.
+func (bed *testbed) addStopFaults(proxy *proxyUnderTest, n int) error {
 	return proxy.countFault(&proxy.stopFaults, n, func(p *process.Process, first bool) error {
 		if first {
 			return p.Signal(syscall.SIGSTOP)
@@ -75,8 +76,8 @@
 	})
 }
 
-// addDiskFull adds n to the number of faults that fill a proxy's disk.
-func (bed *testbed) addDiskFull(proxy *proxyUnderTest, n int) error {
+// addDiskFullFaults adds n to the number of faults that fill a proxy's disk.
+func (bed *testbed) addDiskFullFaults(proxy *proxyUnderTest, n int) error {
 	return proxy.countFault(&proxy.diskFullFaults, n, func(p *process.Process, first bool) error { return p.SetDiskFull(first) })
 }
 
--- a/internal/faultlab/run/faults_reload.go
+++ b/internal/faultlab/run/faults_reload.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	maxPause         = 150 * time.Millisecond // of a proxy
-	pauseGap         = 100 * time.Millisecond // between two pauses
-	misbehavingPause = 40 * time.Millisecond  // mean time between two misbehaving clients of a proxy
-	reloadGap        = 150 * time.Millisecond // for the proxy to read a file; mean time until the next reload
+	maxPause             = 150 * time.Millisecond // of a proxy
+	pauseGap             = 100 * time.Millisecond // between two pauses
+	misbehavingClientGap = 40 * time.Millisecond  // mean time between two misbehaving clients of a proxy
+	reloadGap            = 150 * time.Millisecond // for the proxy to read a file; mean time between reloads
 	// The platform sends no SIGHUP in a program's first second.
 	firstReloadDelay     = time.Second
 	brokenConfigFraction = 0.4 // fraction of the configuration files that are truncated before a SIGHUP
@@ -70,11 +70,12 @@
 	at time.Duration, r *rand.Rand) error {
 	end := t.start.Add(at + planned.Duration)
 	for time.Now().Before(end) {
-		if err := t.addStop(proxy, 1); err != nil {
+		if err := t.addStopFaults(proxy, 1); err != nil {
 			return err
 		}
 		sleep.For(ctx, time.Duration(r.Int64N(int64(maxPause))))
-		if err := t.addStop(proxy, -1); err != nil || !sleep.For(ctx, time.Duration(r.Int64N(int64(2*pauseGap)))) {
+		if err := t.addStopFaults(proxy, -1); err != nil ||
+			!sleep.For(ctx, time.Duration(r.Int64N(int64(2*pauseGap)))) {
 			return err
 		}
 	}
@@ -93,7 +94,7 @@
 	}
 	running, stop := context.WithDeadline(ctx, t.start.Add(at+planned.Duration))
 	defer stop()
-	for sleep.For(running, time.Duration(r.Int64N(int64(2*misbehavingPause)))) {
+	for sleep.For(running, time.Duration(r.Int64N(int64(2*misbehavingClientGap)))) {
 		client := misbehavingclient.Draw(r, class)
 		t.running.Go(func() {
 			begun := time.Now()
--- a/internal/faultlab/run/faults_series.go
+++ b/internal/faultlab/run/faults_series.go
@@ -20,17 +20,17 @@
 	floodConnectGap  = 2 * time.Millisecond // between two connections of a flood
 )
 
-// signalAt is a signal that follows a planned restart's SIGTERM after a delay.
-type signalAt struct {
+// delayedSignal is a signal that follows a planned restart's SIGTERM after a delay.
+type delayedSignal struct {
 	after  time.Duration
 	signal syscall.Signal
 }
 
 // drawSignals draws n signals: SIGTERM again, or SIGHUP, which reloads the unchanged configuration.
-func drawSignals(n int, r *rand.Rand) []signalAt {
-	var series []signalAt
+func drawSignals(n int, r *rand.Rand) []delayedSignal {
+	var series []delayedSignal
 	for range n {
-		next := signalAt{time.Duration(r.Int64N(int64(signalSeriesSpan))), syscall.SIGHUP}
+		next := delayedSignal{time.Duration(r.Int64N(int64(signalSeriesSpan))), syscall.SIGHUP}
 		if r.IntN(2) == 0 {
 			next.signal = syscall.SIGTERM
 		}
@@ -40,7 +40,7 @@
 }
 
 // sendSignals sends signals to a process while it runs.
-func sendSignals(p *process.Process, series []signalAt) {
+func sendSignals(p *process.Process, series []delayedSignal) {
 	for _, next := range series {
 		go func() {
 			select {
--- a/internal/faultlab/run/faults_servers.go
+++ b/internal/faultlab/run/faults_servers.go
@@ -16,7 +16,7 @@
 	server, fault := t.server(target.Name), planned.Fault
 	apply := func(behavior stubserver.Fault) error {
 		end := server.ApplyFault(behavior)
-		t.holdFault(ctx, planned, target.At)
+		t.waitForFaultEnd(ctx, planned, target.At)
 		end()
 		return nil
 	}
@@ -28,12 +28,12 @@
 		}
 		return t.bringUp(server)
 	case "nodo_silent":
-		end, err := t.net.Apply(serverLinksTo(target.Name), link.Silent)
+		end, err := t.net.Apply(linksToServer(target.Name), link.Silent)
 		if err != nil {
 			return err
 		}
-		t.holdFault(ctx, planned, target.At)
-		t.net.Reset(serverLinksTo(target.Name))
+		t.waitForFaultEnd(ctx, planned, target.At)
+		t.net.Reset(linksToServer(target.Name))
 		return end()
 	case "nodo_hang":
 		return apply(stubserver.Fault{Hangs: true})
--- a/internal/faultlab/run/gossip_test.go
+++ b/internal/faultlab/run/gossip_test.go
@@ -7,30 +7,30 @@
 	"merlinpick/internal/faultlab/link"
 )
 
-// What a fault takes from what one proxy sends to another: its datagrams, and its half of connections that
-// either of them dials.
+// A link fault affects the gossip that one proxy sends to another: its datagrams, and its direction of the
+// connections that either of the two dials.
 func TestMatchesGossip(t *testing.T) {
 	ends := func(from, to string) link.Ends {
 		return link.Ends{Kind: "gossip", From: from + "-p1", FromZone: from, To: to + "-p1", ToZone: to}
 	}
-	sum := func(fault experiment.Fault, ends link.Ends) (sum link.Effect) {
-		all := []linkEffect{{zoneBorder(fault.Zone), link.Silent}}
+	total := func(fault experiment.Fault, ends link.Ends) (total link.Effect) {
+		all := []linkEffect{{crossesZoneBorder(fault.Zone), link.Silent}}
 		if fault.Kind != "zone_cut" {
 			all = gossipEffects(fault, link.Effect{Loss: fault.Fraction})
 		}
-		for _, r := range all {
-			if r.match(ends) {
-				sum.CutOut, sum.CutBack = sum.CutOut || r.CutOut, sum.CutBack || r.CutBack
-				sum.Loss += r.Loss
+		for _, effect := range all {
+			if effect.match(ends) {
+				total.CutOut, total.CutBack = total.CutOut || effect.CutOut, total.CutBack || effect.CutBack
+				total.Loss += effect.Loss
 			}
 		}
-		return sum
+		return total
 	}
 	for _, test := range []struct {
 		name     string
 		fault    experiment.Fault
 		from, to string
-		sent     bool // reaches it, on connections that from dials and on those that to does
+		arrives  bool // what from sends, on connections that from dials and on those that to dials
 		loss     float64
 	}{
 		{"another kind of link", experiment.Fault{Kind: "cut", Link: "nodo"}, "a", "b", true, 0},
@@ -49,10 +49,11 @@
 		{"a zone cut off", experiment.Fault{Kind: "zone_cut", Zone: "a"}, "b", "a", false, 0},
 		{"another zone cut off", experiment.Fault{Kind: "zone_cut", Zone: "a"}, "b", "c", true, 0},
 	} {
-		dials, dialled := sum(test.fault, ends(test.from, test.to)), sum(test.fault, ends(test.to, test.from))
-		if dials.CutOut == test.sent || dialled.CutBack == test.sent || dials.Loss != test.loss {
-			t.Errorf("%s: %+v where it dials, %+v where it is dialled; want sent %v, loss %v", test.name, dials, dialled,
-				test.sent, test.loss)
+		dialing, dialed := total(test.fault, ends(test.from, test.to)),
+			total(test.fault, ends(test.to, test.from))
+		if dialing.CutOut == test.arrives || dialed.CutBack == test.arrives || dialing.Loss != test.loss {
+			t.Errorf("%s: got %+v where the sender dials, %+v where it is dialed; want arrival %v, loss %v",
+				test.name, dialing, dialed, test.arrives, test.loss)
 		}
 	}
 }
--- a/internal/faultlab/run/hollow.go
+++ b/internal/faultlab/run/hollow.go
@@ -27,7 +27,7 @@
 	hollowLinkName     = "hollow" // dialing side of the links that hollow processes share
 	hollowCallTimeout  = 20 * time.Second
 	hollowPollInterval = 200 * time.Millisecond
-	seedsPerRegion     = 3 // gossip seeds of a hollow proxy among the hollow proxies, and among the real ones
+	seedsPerKind       = 3 // gossip seeds of a hollow proxy among the hollow proxies, and among the real ones
 )
 
 // errHollowCall is returned if a hollow process answers a command with an error status.
@@ -152,12 +152,12 @@
 	if bed.experiment.Hollow.Relays {
 		address = bed.block.hollowRelay
 	}
-	for n := range min(seedsPerRegion, bed.experiment.Hollow.Proxies) {
+	for n := range min(seedsPerKind, bed.experiment.Hollow.Proxies) {
 		if n != i {
 			out = append(out, address(n))
 		}
 	}
-	for n := range min(seedsPerRegion, len(bed.proxyOrder)) {
+	for n := range min(seedsPerKind, len(bed.proxyOrder)) {
 		out = append(out, bed.proxyOrder[n].relay.Address())
 	}
 	return out
@@ -173,8 +173,8 @@
 	return out
 }
 
-// loseHollowGossip makes the hollow members' relays drop datagrams for the duration of a loss fault.
-func (t *timeline) loseHollowGossip(ctx context.Context, planned plan.PlannedFault) error {
+// dropHollowGossip makes the hollow members' relays drop datagrams for the duration of a loss fault.
+func (t *timeline) dropHollowGossip(ctx context.Context, planned plan.PlannedFault) error {
 	if planned.Fault.Kind != "loss" || !t.experiment.Hollow.Relays {
 		return nil
 	}
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -183,7 +183,7 @@
 
 // restart makes a planned restart: SIGTERM, the given signals, SIGKILL after the kill delay, and a new
 // process after the downtime.
-func (bed *testbed) restart(ctx context.Context, proxy *proxyUnderTest, signals []signalAt,
+func (bed *testbed) restart(ctx context.Context, proxy *proxyUnderTest, signals []delayedSignal,
 	downtime time.Duration, keep bool) error {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
--- a/internal/faultlab/run/run_test.go
+++ b/internal/faultlab/run/run_test.go
@@ -15,9 +15,9 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// One zone, a server that drains and one that returns cold: what a plain proxy serves without breaking a
-// rule.
-const judged = `
+// refereeExperiment is an experiment with one zone, a server that drains and one that returns with slow
+// start. A simple proxy can serve it without breaking a rule.
+const refereeExperiment = `
 seconds = 5
 warmup = 0
 [lab]
@@ -65,13 +65,14 @@
 for = 0.5
 `
 
-// Each rule is broken by a proxy that keeps all others, and the right one breaks none.
+// The referee detects each rule that a proxy breaks while it keeps all others, and no violation by a correct
+// proxy.
 func TestRefereeDetects(t *testing.T) {
-	exp, err := experiment.Parse("judged", judged, nil)
+	exp, err := experiment.Parse("referee", refereeExperiment, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, test := range []struct{ wrong, rule string }{
+	for _, test := range []struct{ misbehavior, rule string }{
 		{"nothing", ""},
 		{"lost", "lost"},
 		{"closes", "lost"},
@@ -83,10 +84,11 @@
 		{"mixed", "forged"},
 		{"twice", "twice"},
 	} {
-		t.Run(test.wrong, func(t *testing.T) {
+		t.Run(test.misbehavior, func(t *testing.T) {
 			t.Parallel()
-			p, err := Play(context.Background(), exp, 1, Options{ProxyCommand: []string{os.Args[0], "standin", test.wrong},
-				OutputDir: t.TempDir(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
+			p, err := Play(context.Background(), exp, 1, Options{
+				ProxyCommand: []string{os.Args[0], "fake-proxy", test.misbehavior},
+				OutputDir:    t.TempDir(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -97,20 +99,22 @@
 			for rule := range p.ViolationCounts {
 				broken = append(broken, rule)
 			}
-			if test.wrong == "mixed" { // what it answers is no server's either
+			if test.misbehavior == "mixed" { // the response is not one of a server either
 				broken = slices.DeleteFunc(broken, func(rule string) bool { return rule == "garbled" })
 			}
 			if want := test.rule; want == "" && len(broken) > 0 || want != "" && !slices.Equal(broken, []string{want}) {
-				t.Errorf("broken: %v, want [%s]; of %v requests: %+v", broken, want, p.Metrics["requests"], p.Violations)
+				t.Errorf("broken rules: got %v, want [%s]; in %v requests: %+v", broken, want,
+					p.Metrics["requests"], p.Violations)
 			}
 			if p.Metrics["served"] < 0.5 {
-				t.Errorf("%v served: the proxy was not put to the test", p.Metrics["served"])
+				t.Errorf("the proxy served a fraction of %v of the requests, too little for a test",
+					p.Metrics["served"])
 			}
 		})
 	}
 }
 
-// A run in which the lab ran late, or failed itself, is void.
+// A run is void if the lab was late, stalled or failed.
 func TestVoidReason(t *testing.T) {
 	exp := &experiment.Experiment{Lab: experiment.Lab{LateMs: 20, StallMs: 400}}
 	for _, test := range []struct {
@@ -121,17 +125,18 @@
 	}{
 		{result.Lateness{P50: 1, P99: 19, Max: 300, Stall: 300}, 399, nil, ""},
 		{result.Lateness{P50: 1, P99: 21, Max: 30, Stall: 30}, 0, nil, "was late"},
-		{result.Lateness{P50: 1, P99: 2, Max: 3, Stall: 401}, 0, nil, "stood still"},
-		{result.Lateness{P50: 1, P99: 2, Max: 3, Stall: 3}, 401, nil, "a hollow process stood still"},
+		{result.Lateness{P50: 1, P99: 2, Max: 3, Stall: 401}, 0, nil, "the lab stalled"},
+		{result.Lateness{P50: 1, P99: 2, Max: 3, Stall: 3}, 401, nil, "a hollow process stalled"},
 		{result.Lateness{}, 0, io.ErrClosedPipe, "failed: io"},
 	} {
-		if got := voidReason(exp, test.late, test.hollow, test.failed); (got == "") != (test.void == "") || !strings.Contains(got, test.void) {
-			t.Errorf("%+v, %v: %q, want %q", test.late, test.failed, got, test.void)
+		if got := voidReason(exp, test.late, test.hollow, test.failed); (got == "") != (test.void == "") ||
+			!strings.Contains(got, test.void) {
+			t.Errorf("%+v, %v: got %q, want %q", test.late, test.failed, got, test.void)
 		}
 	}
 }
 
-const queued = `
+const queueExperiment = `
 seconds = 30
 warmup = 0
 [network]
@@ -163,25 +168,28 @@
 membership = "automatic"
 `
 
-// BenchmarkCalibration holds the whole lab, from the planned arrival to the figure in the result, to
-// arithmetic: arrivals by chance at a server of two slots with a fixed time of service, three quarters busy,
-// through a proxy that adds next to nothing, against the times that the queue's recursion gives for these
-// very arrivals. It reports measured percentiles over computed ones: within 0.95 and 1.05 the lab is
-// calibrated.
+// BenchmarkCalibration compares the latencies that the complete lab measures, from the planned arrival to the
+// metric in the result, with computed ones. The load is Poisson arrivals at a server with two slots and a
+// fixed service time, which is busy for three quarters of the time, through a proxy that adds almost no
+// latency. The computed latencies are those that the queue's recursion gives for the same arrivals. The
+// benchmark reports the ratios of measured to computed percentiles: the lab is calibrated if they are between
+// 0.95 and 1.05.
 func BenchmarkCalibration(b *testing.B) {
-	exp, err := experiment.Parse("queued", queued, nil)
+	exp, err := experiment.Parse("queue", queueExperiment, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for i := range b.N {
-		p, err := Play(context.Background(), exp, uint64(i+1), Options{ProxyCommand: []string{os.Args[0], "standin", "nothing"},
-			OutputDir: b.TempDir(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		p, err := Play(context.Background(), exp, uint64(i+1), Options{
+			ProxyCommand: []string{os.Args[0], "fake-proxy", "nothing"},
+			OutputDir:    b.TempDir(), Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err != nil {
 			b.Fatal(err)
 		}
 		work, free := 40*time.Millisecond, make([]time.Duration, 2)
 		var want []time.Duration
-		for _, a := range plan.Draw(exp, uint64(i+1)).Arrivals { // first come, first served, at the slot that is free first
+		// The slot that is free first serves the requests in the order of their arrival.
+		for _, a := range plan.Draw(exp, uint64(i+1)).Arrivals {
 			slices.Sort(free)
 			free[0] = max(free[0], a.At) + work
 			want = append(want, free[0]-a.At)
--- a/internal/faultlab/run/servers.go
+++ b/internal/faultlab/run/servers.go
@@ -141,8 +141,8 @@
 	bed.announce(entry)
 }
 
-// serverLinksTo returns a function that matches the links from proxies to a server.
-func serverLinksTo(name string) func(link.Ends) bool {
+// linksToServer returns a function that matches the links from proxies to a server.
+func linksToServer(name string) func(link.Ends) bool {
 	return func(ends link.Ends) bool { return ends.Kind == "nodo" && ends.To == name }
 }
 
@@ -153,17 +153,18 @@
 	server.downFaults++
 	var err error
 	if server.endRefusal == nil {
-		server.endRefusal, err = bed.net.Apply(serverLinksTo(server.node.Name), link.Effect{Refuse: true})
+		server.endRefusal, err = bed.net.Apply(linksToServer(server.node.Name), link.Effect{Refuse: true})
 	}
 	server.mu.Unlock()
 	server.Stop()
-	bed.net.Reset(serverLinksTo(server.node.Name))
+	bed.net.Reset(linksToServer(server.node.Name))
 	bed.setStatus(server, catalog.Deleted)
 	return err
 }
 
-// vanish ends a server with its machine. The caller has silenced its links, so nothing is reset or refused.
-func (bed *testbed) vanish(server *server) {
+// takeDownSilently ends a server with its machine. The caller has silenced its links, so nothing is reset or
+// refused.
+func (bed *testbed) takeDownSilently(server *server) {
 	server.mu.Lock()
 	server.downFaults++
 	server.mu.Unlock()
--- a/internal/faultlab/run/standin_test.go
+++ b/internal/faultlab/run/standin_test.go
@@ -18,11 +18,11 @@
 	"merlinpick/internal/faultlab/wire"
 )
 
-// The test binary is its own stand-in proxy: `standin FAULT` is a plain proxy that keeps all rules, or all
-// but one.
+// TestMain runs the tests or, with the arguments `fake-proxy MISBEHAVIOR`, a simple proxy that breaks one
+// rule and keeps all others, or keeps all rules.
 func TestMain(m *testing.M) {
-	if len(os.Args) == 3 && os.Args[1] == "standin" {
-		if err := (&standin{wrong: os.Args[2]}).run(); err != nil {
+	if len(os.Args) == 3 && os.Args[1] == "fake-proxy" {
+		if err := (&fakeProxy{misbehavior: os.Args[2]}).run(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -31,13 +31,14 @@
 	os.Exit(m.Run())
 }
 
-type standin struct {
-	wrong  string
-	list   string
-	client http.Client
-	mu     sync.Mutex
-	nodos  map[string]entry
-	spoilt int
+// fakeProxy is a simple proxy that can misbehave in one way.
+type fakeProxy struct {
+	misbehavior string // the way in which it misbehaves, or "nothing"
+	list        string // address
+	client      http.Client
+	mu          sync.Mutex
+	servers     map[string]entry
+	responses   int // number so far; every tenth one is spoiled if it is a success
 }
 
 type entry struct {
@@ -51,7 +52,7 @@
 	Endpoints []entry
 }
 
-func (s *standin) run() error {
+func (s *fakeProxy) run() error {
 	text, err := os.ReadFile(os.Getenv("LB_CONFIG"))
 	if err != nil {
 		return err
@@ -65,7 +66,7 @@
 	}
 	s.list = config.Discovery
 	s.client = http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: time.Second}}
-	s.take(config.Known)
+	s.applyAnswer(config.Known)
 	go s.watch()
 	go func() {
 		_ = http.ListenAndServe(config.Mgmt, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -77,22 +78,24 @@
 	return http.Serve(l, s)
 }
 
-func (s *standin) take(a catalogAnswer) {
+// applyAnswer updates the servers with an answer of the catalog.
+func (s *fakeProxy) applyAnswer(a catalogAnswer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := map[string]entry{}
 	if !a.Snapshot {
-		for name, e := range s.nodos {
+		for name, e := range s.servers {
 			next[name] = e
 		}
 	}
 	for _, e := range a.Endpoints {
 		next[e.Name] = e
 	}
-	s.nodos = next
+	s.servers = next
 }
 
-func (s *standin) watch() {
+// watch follows the changes of the list.
+func (s *fakeProxy) watch() {
 	for from := int64(-1); ; {
 		url := "http://" + s.list + "/catalog/members"
 		if from >= 0 {
@@ -108,22 +111,22 @@
 		resp.Body.Close()
 		if err == nil && resp.StatusCode == http.StatusOK {
 			from = a.Index
-			s.take(a)
+			s.applyAnswer(a)
 		}
 	}
 }
 
-// pick draws a server that serves; cold ones get a quarter of a warm one's part.
-func (s *standin) pick() (entry, bool) {
+// pick draws a server that is serving. One in slow start is drawn a quarter as often as another.
+func (s *fakeProxy) pick() (entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []entry
-	for _, e := range s.nodos {
+	for _, e := range s.servers {
 		switch {
-		case e.Status == "DRAINING" && s.wrong == "drain":
+		case e.Status == "DRAINING" && s.misbehavior == "drain":
 			all = append(all, e, e, e, e)
 		case e.Status != "SERVING":
-		case e.Since > 0 && s.wrong == "tip":
+		case e.Since > 0 && s.misbehavior == "tip":
 			return e, true
 		case e.Since > 0:
 			all = append(all, e)
@@ -137,7 +140,7 @@
 	return all[rand.IntN(len(all))], true
 }
 
-func (s *standin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/_health" {
 		return
 	}
@@ -146,15 +149,17 @@
 		return
 	}
 	ms, _ := strconv.Atoi(r.Header.Get(wire.RequestTimeout))
-	inTime, cancel := context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond) // a late answer is a lost request
+	// A response after the deadline counts as a lost request.
+	deadlineCtx, cancel := context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 	defer cancel()
-	ask := func(id string) (int, http.Header, []byte) {
+	forward := func(id string) (int, http.Header, []byte) {
 		e, ok := s.pick()
 		if !ok {
 			return 503, nil, nil
 		}
-		req, _ := http.NewRequestWithContext(inTime, r.Method, "http://"+e.Address+r.URL.RequestURI(), bytes.NewReader(body))
-		req.GetBody = nil // the library must not send anything again by itself
+		req, _ := http.NewRequestWithContext(deadlineCtx, r.Method, "http://"+e.Address+r.URL.RequestURI(),
+			bytes.NewReader(body))
+		req.GetBody = nil // keeps the HTTP client from sending a request again
 		req.Header = r.Header.Clone()
 		req.Header.Set(wire.RequestID, id)
 		resp, err := s.client.Do(req)
@@ -162,37 +167,37 @@
 			return 502, nil, nil
 		}
 		defer resp.Body.Close()
-		made, err := io.ReadAll(resp.Body)
+		responseBody, err := io.ReadAll(resp.Body)
 		if err != nil {
 			return 502, nil, nil
 		}
-		return resp.StatusCode, resp.Header, made
+		return resp.StatusCode, resp.Header, responseBody
 	}
 	id := r.Header.Get(wire.RequestID)
-	status, head, made := ask(id)
-	if status == 503 && head.Get(wire.NotStarted) == "" {
+	status, header, responseBody := forward(id)
+	if status == 503 && header.Get(wire.NotStarted) == "" {
 		status = 502
 	}
 	s.mu.Lock()
-	s.spoilt++
-	now := s.spoilt%10 == 0 && status == 200
+	s.responses++
+	misbehaves := s.responses%10 == 0 && status == 200
 	s.mu.Unlock()
-	if now {
-		switch s.wrong {
+	if misbehaves {
+		switch s.misbehavior {
 		case "lost":
 			<-r.Context().Done()
 			return
 		case "closes":
 			panic(http.ErrAbortHandler)
 		case "resends":
-			status, _, made = ask(id)
+			status, _, responseBody = forward(id)
 		case "refuses":
-			status, made = 503, nil
+			status, responseBody = 503, nil
 		case "garbled":
-			made = append(made[:len(made)-1], '!')
+			responseBody = append(responseBody[:len(responseBody)-1], '!')
 		case "mixed":
-			ask(id[:15] + "x")
-			made = []byte("an answer to another request")
+			forward(id[:15] + "x")
+			responseBody = []byte("an answer to another request")
 		case "twice":
 			c, rw, err := w.(http.Hijacker).Hijack()
 			if err != nil {
@@ -200,7 +205,8 @@
 			}
 			defer c.Close()
 			for range 2 {
-				fmt.Fprintf(rw, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(made), made)
+				fmt.Fprintf(rw, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(responseBody),
+					responseBody)
 			}
 			_ = rw.Flush()
 			time.Sleep(300 * time.Millisecond)
@@ -211,5 +217,5 @@
 		status = 502
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(made)
+	_, _ = w.Write(responseBody)
 }
--- a/internal/faultlab/run/timeline.go
+++ b/internal/faultlab/run/timeline.go
@@ -76,9 +76,9 @@
 	return sleep.For(ctx, time.Until(t.start.Add(at)))
 }
 
-// holdFault waits until the end of a fault that began at a time since the load started; if the fault has no
-// duration, until the end of the load.
-func (t *timeline) holdFault(ctx context.Context, planned plan.PlannedFault, begun time.Duration) {
+// waitForFaultEnd waits until the end of a fault that began at a time since the load started; if the fault
+// has no duration, until the end of the load.
+func (t *timeline) waitForFaultEnd(ctx context.Context, planned plan.PlannedFault, begun time.Duration) {
 	if planned.Duration <= 0 {
 		t.waitUntil(ctx, experiment.Seconds(t.experiment.Seconds))
 		return
@@ -105,9 +105,9 @@
 	case kind.Members:
 		return t.injectRegistryFault(ctx, planned)
 	case planned.Fault.Kind == "zone_loss":
-		return t.loseZone(ctx, planned)
+		return t.takeDownZone(ctx, planned)
 	case planned.Fault.Kind == "zone_cut":
-		return t.applyEffects(ctx, planned, linkEffect{zoneBorder(planned.Fault.Zone), link.Silent})
+		return t.applyEffects(ctx, planned, linkEffect{crossesZoneBorder(planned.Fault.Zone), link.Silent})
 	}
 	return t.injectListFault(ctx, planned)
 }
