--- a/internal/faultlab/experiment/check.go
+++ b/internal/faultlab/experiment/check.go
@@ -8,25 +8,25 @@
 
 func (c *checker) positive(key string, v float64) {
 	if !(v > 0) {
-		c.report(key, "has to be over 0, not %v", v)
+		c.report(key, "must be greater than 0, not %v", v)
 	}
 }
 
 func (c *checker) notNegative(key string, v float64) {
 	if !(v >= 0) {
-		c.report(key, "has to be 0 or more, not %v", v)
+		c.report(key, "must be 0 or more, not %v", v)
 	}
 }
 
 func (c *checker) fraction(key string, v float64) {
 	if !(v >= 0 && v <= 1) {
-		c.report(key, "is a part, from 0 to 1, not %v", v)
+		c.report(key, "must be a fraction from 0 to 1, not %v", v)
 	}
 }
 
 func (c *checker) oneOf(key, v string, of ...string) {
 	if !slices.Contains(of, v) {
-		c.report(key, "%q is none of %s", v, strings.Join(of, ", "))
+		c.report(key, "%q is not one of %s", v, strings.Join(of, ", "))
 	}
 }
 
@@ -40,18 +40,19 @@
 	maxByzantineMembers = 90 // of one fault
 )
 
+// check checks the values of all keys.
 func (c *checker) check() {
 	exp := c.experiment
 	c.positive("seconds", exp.Seconds)
 	if exp.Seconds > maxSeconds {
-		c.report("seconds", "at most %d", maxSeconds)
+		c.report("seconds", "must be at most %d", maxSeconds)
 	}
 	c.notNegative("warmup", exp.Warmup)
 	if exp.Warmup >= exp.Seconds {
-		c.report("warmup", "leaves nothing of %v seconds", exp.Seconds)
+		c.report("warmup", "must be less than the %v seconds of the run", exp.Seconds)
 	}
 	if exp.Repeat < 1 {
-		c.report("repeat", "has to be 1 or more, not %d", exp.Repeat)
+		c.report("repeat", "must be 1 or more, not %d", exp.Repeat)
 	}
 	c.positive("lab.late_ms", exp.Lab.LateMs)
 	c.positive("lab.stall_ms", exp.Lab.StallMs)
@@ -75,7 +76,7 @@
 	c.checkServers()
 	c.checkHollow()
 	if c.positive("fleet.seeds", float64(exp.Cluster.Seeds)); exp.Cluster.Label == "" {
-		c.report("fleet.label", "is empty: any fleet would be taken for this one")
+		c.report("fleet.label", "must not be empty, since it keeps fleets apart")
 	}
 	for i, fault := range exp.Faults {
 		c.checkFault(fmt.Sprintf("fault[%d]", i+1), fault)
@@ -87,23 +88,23 @@
 
 func (c *checker) checkCluster() {
 	if len(c.experiment.Zones) == 0 {
-		c.report("zone", "there is none: a fleet has one zone at least")
+		c.report("zone", "there must be at least one zone")
 	}
 	seen := map[string]bool{}
 	traffic := 0.0
 	for i, z := range c.experiment.Zones {
 		key := fmt.Sprintf("zone[%d]", i+1)
 		if z.Name == "" || strings.ContainsAny(z.Name, " /,") {
-			c.report(key+".name", "%q: a name without spaces, slashes and commas is needed", z.Name)
+			c.report(key+".name", "%q must be a non-empty name without spaces, slashes and commas", z.Name)
 		}
 		if seen[z.Name] {
-			c.report(key+".name", "%q stands twice", z.Name)
+			c.report(key+".name", "%q is the name of two zones", z.Name)
 		}
 		seen[z.Name] = true
 		c.notNegative(key+".traffic", z.Traffic)
 		traffic += z.Traffic
 		if z.Proxies < 0 {
-			c.report(key+".proxies", "has to be 0 or more")
+			c.report(key+".proxies", "must be 0 or more")
 		}
 		for j, g := range z.Servers {
 			at := fmt.Sprintf("%s.nodos[%d]", key, j+1)
@@ -114,34 +115,36 @@
 		}
 	}
 	if len(c.experiment.Zones) > 0 && traffic == 0 {
-		c.report("zone", "no zone has traffic over 0")
+		c.report("zone", "at least one zone must have traffic greater than 0")
 	}
 	if n := len(c.experiment.ProxyNodes()); n < 1 || n > maxProxies {
-		c.report("zone", "%d proxies; from 1 to %d can be run", n, maxProxies)
+		c.report("zone", "there are %d proxies in all, but there must be from 1 to %d", n, maxProxies)
 	}
 	if n := len(c.experiment.ServerNodes()); n < 1 || n > maxServers {
-		c.report("zone", "%d nodos; from 1 to %d can be run", n, maxServers)
+		c.report("zone", "there are %d nodos in all, but there must be from 1 to %d", n, maxServers)
 	}
 	if c.experiment.List.Zone != "" && !seen[c.experiment.List.Zone] {
-		c.report("list.zone", "no zone %q", c.experiment.List.Zone)
+		c.report("list.zone", "there is no zone %q", c.experiment.List.Zone)
 	}
 }
 
+// ascending checks a list of n numbers that must be two, from and to.
 func (c *checker) ascending(key string, n int, from, to float64) {
 	if n != 2 || from < 0 || to < from {
-		c.report(key, "two figures are needed, from and to, the first not over the second")
+		c.report(key, "must be two numbers from 0, in ascending order")
 	}
 }
 
 func (c *checker) checkClasses() {
 	if len(c.experiment.Classes) == 0 {
-		c.report("class", "there is none")
+		c.report("class", "there must be at least one class")
 	}
 	seen := map[string]bool{}
 	for i, k := range c.experiment.Classes {
 		key := fmt.Sprintf("class[%d]", i+1)
 		if k.Name == "" || seen[k.Name] || strings.ContainsAny(k.Name, " /?") {
-			c.report(key+".name", "%q is empty, given twice, or no path", k.Name)
+			c.report(key+".name",
+				"%q must be a non-empty, unique name without spaces, slashes and question marks", k.Name)
 		}
 		seen[k.Name] = true
 		c.positive(key+".share", k.Share)
@@ -170,26 +173,30 @@
 
 func (c *checker) checkLoad() {
 	if len(c.experiment.Load.Rate) == 0 {
-		c.report("load.rate", "is missing: [[0, 50]] is 50 requests a second throughout")
+		c.report("load.rate", "is missing; [[0, 50]] is a constant 50 requests a second")
 	}
 	last := -1.0
 	for i, p := range c.experiment.Load.Rate {
 		if len(p) != 2 || p[0] < 0 || p[0] <= last || p[1] < 0 || p[1] > maxRate {
-			c.report("load.rate", "point %d: [second, requests a second] is needed, seconds rising, at most %d a second",
+			c.report("load.rate",
+				"point %d must be [second, requests a second], with rising seconds and at most %d a second",
 				i+1, maxRate)
 			continue
 		}
 		last = p[0]
 	}
 	if n := c.experiment.Load.requests(c.experiment.Seconds); n > maxRequests {
-		c.report("load.rate", "%.0f requests in all; at most %d, since the referee keeps each (2 kB)", n, maxRequests)
+		c.report("load.rate",
+			"%.0f requests in all are too many: at most %d, since the referee keeps 2 kB of each",
+			n, maxRequests)
 	}
-	t := c.experiment.Clients.AttemptFraction
-	if len(t) != 2 || t[0] <= 0 || t[1] < t[0] || t[1] > 1 {
-		c.report("clients.try_part", "from and to are needed, over 0 and at most 1")
+	attemptFraction := c.experiment.Clients.AttemptFraction
+	if len(attemptFraction) != 2 || attemptFraction[0] <= 0 || attemptFraction[1] < attemptFraction[0] ||
+		attemptFraction[1] > 1 {
+		c.report("clients.try_part", "must be two fractions in ascending order, greater than 0 and at most 1")
 	}
 	if c.experiment.Clients.Retries < 0 {
-		c.report("clients.retries", "has to be 0 or more")
+		c.report("clients.retries", "must be 0 or more")
 	}
 	c.fraction("clients.leave_part", c.experiment.Clients.CancelFraction)
 	c.notNegative("clients.wait_ms", c.experiment.Clients.WaitMs)
@@ -197,25 +204,28 @@
 }
 
 func (c *checker) checkServers() {
-	n := c.experiment.Servers
-	if !(n.StartCapacity > 0 && n.StartCapacity <= 1) {
-		c.report("nodos.start_capacity", "is a part, over 0 and at most 1, not %v", n.StartCapacity)
-	}
-	c.notNegative("nodos.cold_ms", n.SlowStartMs)
-	c.positive("nodos.tip_multiple", n.OverloadMultiple)
-	c.positive("nodos.fall_ms", n.OverloadFailureMs)
-	c.positive("nodos.max_conns", float64(n.MaxConnections))
-	c.notNegative("nodos.connect_ms", n.ConnectMs)
-	c.notNegative("nodos.connect_work", n.ConnectWork)
-	l := c.experiment.List
-	for key, v := range map[string]float64{"lag_ms": l.NotificationDelayMs, "call_ms": l.CallMs, "line_us": l.EntryUs} {
+	servers := c.experiment.Servers
+	if !(servers.StartCapacity > 0 && servers.StartCapacity <= 1) {
+		c.report("nodos.start_capacity", "must be a fraction greater than 0 and at most 1, not %v",
+			servers.StartCapacity)
+	}
+	c.notNegative("nodos.cold_ms", servers.SlowStartMs)
+	c.positive("nodos.tip_multiple", servers.OverloadMultiple)
+	c.positive("nodos.fall_ms", servers.OverloadFailureMs)
+	c.positive("nodos.max_conns", float64(servers.MaxConnections))
+	c.notNegative("nodos.connect_ms", servers.ConnectMs)
+	c.notNegative("nodos.connect_work", servers.ConnectWork)
+	list := c.experiment.List
+	for key, v := range map[string]float64{"lag_ms": list.NotificationDelayMs, "call_ms": list.CallMs,
+		"line_us": list.EntryUs} {
 		c.notNegative("list."+key, v)
 	}
-	if l.Members < 0 || l.Members > maxMembers || l.Members > 0 && l.Members%2 == 0 {
-		c.report("list.members", "1, 3 or 5, or 0 for the stand-in, not %d", l.Members)
+	if list.Members < 0 || list.Members > maxMembers || list.Members > 0 && list.Members%2 == 0 {
+		c.report("list.members", "must be 1, 3 or 5, or 0 for the lab's catalog, not %d", list.Members)
 	}
-	for key, v := range map[string]float64{"lease_ms": l.LeaseMs, "election_ms": l.ElectionMs, "stale_ms": l.MaxListAgeMs, "wait_ms": l.QueueTimeoutMs, "sync_ms": l.SyncIntervalMs, "retain": float64(l.RetainedChanges),
-		"most": float64(l.MaxWaitingCalls)} {
+	for key, v := range map[string]float64{"lease_ms": list.LeaseMs, "election_ms": list.ElectionMs,
+		"stale_ms": list.MaxListAgeMs, "wait_ms": list.QueueTimeoutMs, "sync_ms": list.SyncIntervalMs,
+		"retain": float64(list.RetainedChanges), "most": float64(list.MaxWaitingCalls)} {
 		c.positive("list."+key, v)
 	}
 }
--- a/internal/faultlab/experiment/check_fault.go
+++ b/internal/faultlab/experiment/check_fault.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
+// checkFault checks a fault, which is at a key of the file.
 func (c *checker) checkFault(key string, fault Fault) {
 	kind, ok := Kinds[fault.Kind]
 	if !ok {
-		c.report(key+".kind", "%q is none of %s", fault.Kind, strings.Join(KindNames(), ", "))
+		c.report(key+".kind", "%q is not one of %s", fault.Kind, strings.Join(KindNames(), ", "))
 		return
 	}
 	if fault.At < 0 || fault.At >= c.experiment.Seconds {
-		c.report(key+".at", "%v lies outside the %v seconds of the run", fault.At, c.experiment.Seconds)
+		c.report(key+".at", "%v is outside the run of %v seconds", fault.At, c.experiment.Seconds)
 	}
 	c.notNegative(key+".for", fault.Duration)
 	c.notNegative(key+".spread", fault.Spread)
@@ -24,7 +25,7 @@
 		c.positive(key+"."+need, needs[need])
 	}
 	if fault.ByzantineMembers > maxByzantineMembers {
-		c.report(key+".liars", "at most %d", maxByzantineMembers)
+		c.report(key+".liars", "must be at most %d", maxByzantineMembers)
 	}
 	if slices.Contains(kind.Needs, "part") {
 		c.fraction(key+".part", fault.Fraction)
@@ -37,30 +38,34 @@
 	c.checkLinks(key, fault, kind)
 }
 
+// checkZones checks the keys that name zones.
 func (c *checker) checkZones(key string, fault Fault, kind Kind) {
 	zones := c.experiment.ZoneNames()
 	for name, zone := range map[string]string{"zone": fault.Zone, "from_zone": fault.FromZone, "to_zone": fault.ToZone} {
 		if zone != "" && !slices.Contains(zones, zone) && !(kind.Hollow && name == "zone") {
-			c.report(key+"."+name, "no zone %q; there are %s", zone, strings.Join(zones, ", "))
+			c.report(key+"."+name, "there is no zone %q; the zones are %s", zone, strings.Join(zones, ", "))
 		}
 	}
 	if kind.Zone && fault.Zone == "" {
-		c.report(key+".zone", "%s needs the zone's name", fault.Kind)
+		c.report(key+".zone", "%s needs the name of a zone", fault.Kind)
 	}
 }
 
 // checkLinks checks the keys that select links.
 func (c *checker) checkLinks(key string, fault Fault, kind Kind) {
 	if !kind.Links {
-		if fault.Link != "" || fault.Direction != "" && fault.Kind != "member_cut" || fault.FromZone != "" || fault.ToZone != "" {
-			c.report(key, "link, direction, from_zone and to_zone are for faults of links; %s is none", fault.Kind)
+		if fault.Link != "" || fault.Direction != "" && fault.Kind != "member_cut" || fault.FromZone != "" ||
+			fault.ToZone != "" {
+			c.report(key,
+				"link, direction, from_zone and to_zone are only for faults of links, and %s is not one",
+				fault.Kind)
 		}
 		return
 	}
 	if fault.Link != "" {
 		c.oneOf(key+".link", fault.Link, "client", "nodo", "list", "lease", "gossip")
 		if fault.Link == "gossip" && len(fault.Servers) > 0 {
-			c.report(key+".nodos", "gossip runs between proxies")
+			c.report(key+".nodos", "must be empty for gossip, which is between proxies")
 		}
 	}
 	if fault.Direction != "" {
@@ -68,32 +73,36 @@
 	}
 	selectsProxies := len(fault.Proxies) > 0 || fault.Share > 0
 	if c.experiment.SharedLinks() && (fault.Link == "" || fault.Link == "nodo") && selectsProxies {
-		c.report(key+".proxies", "over %d pairs of proxy and nodo links are told apart by zone only: use from_zone",
+		c.report(key+".proxies",
+			"with more than %d pairs of proxies and nodos, links are selected by zone only: use from_zone",
 			MaxPairLinks)
 	}
 }
 
+// checkNames checks a list of names of targets, which are allowed for some kinds of faults only.
 func (c *checker) checkNames(key string, names []string, of []Node, allowed bool, kind string) {
 	if len(names) > 0 && !allowed {
-		c.report(key, "%s is not aimed at any", kind)
+		c.report(key, "must be empty, since %s has no such targets", kind)
 		return
 	}
 	for _, n := range names {
 		if !slices.ContainsFunc(of, func(x Node) bool { return x.Name == n }) {
-			c.report(key, "no %q; names are ZONE-p1 for proxies and ZONE-s1 for nodos", n)
+			c.report(key, "there is no %q; names are like ZONE-p1 for proxies and ZONE-s1 for nodos", n)
 		}
 	}
 }
 
+// checkMembers checks whether the kind of fault fits the kind of list, and the names of members.
 func (c *checker) checkMembers(key string, fault Fault, kind Kind) {
 	switch {
 	case kind.Members && c.experiment.List.Members == 0:
-		c.report(key+".kind", "%s is for a list service with members: list.members", fault.Kind)
+		c.report(key+".kind", "%s needs a list service with members: set list.members", fault.Kind)
 	case !kind.Members && strings.HasPrefix(fault.Kind, "list_") && c.experiment.List.Members > 0:
-		c.report(key+".kind", "%s is for the stand-in: the list service has member_kill, member_stop, member_cut, member_damage",
+		c.report(key+".kind",
+			"%s is only for the lab's catalog; members have member_kill, _stop, _cut and _damage",
 			fault.Kind)
 	case !kind.Members && len(fault.Members) > 0:
-		c.report(key+".members", "%s is not aimed at any", fault.Kind)
+		c.report(key+".members", "must be empty, since %s has no such targets", fault.Kind)
 	}
 	names := []string{"leader", "follower"}
 	for i := range c.experiment.List.Members {
@@ -107,24 +116,26 @@
 	}
 }
 
+// checkExpect checks an expectation, which is at a key of the file.
 func (c *checker) checkExpect(key string, expect Expect) {
 	known := IsKnownMetric(expect.Metric, c.experiment)
 	if !known {
 		c.report(key+".figure", "%q is unknown; docs/lab.md lists the figures", expect.Metric)
 	}
 	if expect.Min == nil && expect.Max == nil {
-		c.report(key, "neither min nor max: it cannot fail")
+		c.report(key, "has neither min nor max, so it cannot fail")
 	}
 	if expect.Min != nil && expect.Max != nil && *expect.Min > *expect.Max {
-		c.report(key+".min", "%v is over max %v", *expect.Min, *expect.Max)
+		c.report(key+".min", "%v is greater than max %v", *expect.Min, *expect.Max)
 	}
 	if expect.From != 0 || expect.To != 0 {
 		from, to := expect.Span(c.experiment)
 		if from < 0 || to <= from || to > c.experiment.Seconds {
-			c.report(key+".from", "%v to %v is no span of the run's %v seconds", from, to, c.experiment.Seconds)
+			c.report(key+".from", "%v to %v is not a span within the run of %v seconds", from, to,
+				c.experiment.Seconds)
 		}
 		if known && !IsSpanMetric(expect.Metric) {
-			c.report(key+".from", "%s is a figure of the whole run", expect.Metric)
+			c.report(key+".from", "%s is a figure of the whole run, which can have no span", expect.Metric)
 		}
 	}
 }
--- a/internal/faultlab/experiment/experiment.go
+++ b/internal/faultlab/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment is the file format of the fault lab: the cluster, its load, the faults and what is expected of the metrics. Times
-// in files are seconds (plain numbers) or milliseconds (keys ending in _ms). It reads and checks files and never runs anything.
+// Package experiment defines the file format of the fault lab's experiments: the cluster, its load, the
+// faults and the expected metrics. Times in files are in seconds, or in milliseconds for keys that end in
+// _ms. The package reads and checks files and never runs anything.
 //
 // Read reports all problems of a file at once, each with its line and key.
 package experiment
@@ -10,12 +11,12 @@
 	"time"
 )
 
-// Experiment is the content of a file.
+// Experiment is the content of an experiment file.
 type Experiment struct {
 	Base    string  `toml:"base"` // path of a file whose keys are the defaults of this one
 	Title   string  `toml:"title"`
 	Seconds float64 `toml:"seconds"` // duration of the load
-	Warmup  float64 `toml:"warmup"`  // seconds at the start, left out of the metrics
+	Warmup  float64 `toml:"warmup"`  // seconds at the start that are left out of the metrics
 	Seed    uint64  `toml:"seed"`
 	Repeat  int     `toml:"repeat"` // number of plays, each with the next seed
 
@@ -38,8 +39,8 @@
 // Lab holds the limits of the lab itself.
 type Lab struct {
 	LateMs    float64 `toml:"late_ms"`    // a higher 99th percentile of the arrivals' lateness voids the run
-	StallMs   float64 `toml:"stall_ms"`   // a longer pause of the lab voids the run
-	StartGap  float64 `toml:"start_gap"`  // maximum seconds between the starts of two proxies, drawn at random
+	StallMs   float64 `toml:"stall_ms"`   // a longer stall of the lab voids the run
+	StartGap  float64 `toml:"start_gap"`  // maximum seconds between two starts of proxies; drawn at random
 	ReadyWait float64 `toml:"ready_wait"` // timeout in seconds for all proxies to be healthy before the load
 	Rules     string  `toml:"rules"`      // "enforce" or "report": whether a violation fails the run
 }
@@ -58,13 +59,13 @@
 	Servers []ServerGroup `toml:"nodos"`
 }
 
-// ServerGroup is a number of equal servers.
+// ServerGroup is a number of equal servers of a zone.
 type ServerGroup struct {
 	Count int     `toml:"count"`
 	Kind  string  `toml:"kind"`
 	Speed float64 `toml:"speed"` // of a slot; 1 is nominal
-	Slots int     `toml:"slots"`
-	Queue int     `toml:"queue"`
+	Slots int     `toml:"slots"` // requests that a server works on at the same time
+	Queue int     `toml:"queue"` // requests that wait for a slot
 }
 
 // Servers holds the settings of all servers.
@@ -97,10 +98,11 @@
 // Load is the rate of arrivals over time.
 type Load struct {
 	Rate         [][]float64 `toml:"rate"` // [second, arrivals a second]; linear between
-	EvenlySpaced bool        `toml:"even"` // equal distances in place of a Poisson process
+	EvenlySpaced bool        `toml:"even"` // evenly spaced arrivals instead of a Poisson process
 }
 
-// RateAt is the number of arrivals a second at a second: linear between the points, constant outside them.
+// RateAt returns the rate, in arrivals a second, s seconds after the start of the load: linear between the
+// points and constant outside them.
 func (l Load) RateAt(s float64) float64 {
 	last := 0.0
 	for i, p := range l.Rate {
@@ -119,7 +121,7 @@
 	return last
 }
 
-// requests is the expected number of arrivals, to about one percent.
+// requests returns the expected number of arrivals, to about one percent.
 func (l Load) requests(seconds float64) (n float64) {
 	const steps = 1000
 	for i := range steps {
@@ -132,9 +134,9 @@
 type Clients struct {
 	Retries            int       `toml:"retries"`
 	WaitMs             float64   `toml:"wait_ms"`
-	AttemptFraction    []float64 `toml:"try_part"` // deadline of an attempt, as a fraction of the class's: from, to
+	AttemptFraction    []float64 `toml:"try_part"` // of the class's deadline, for an attempt: from, to
 	MarkRetry          bool      `toml:"mark_retry"`
-	CancelFraction     float64   `toml:"leave_part"`  // of the attempts that clients cancel before the response
+	CancelFraction     float64   `toml:"leave_part"`  // fraction of the attempts that clients cancel early
 	FailureDetectionMs float64   `toml:"notice_ms"`   // until the front detects a dead proxy
 	OtherZones         bool      `toml:"other_zones"` // the front uses other zones when its own has no proxy
 }
@@ -161,67 +163,70 @@
 // List holds the settings of the list service or of the catalog that stands in for it.
 type List struct {
 	NotificationDelayMs float64 `toml:"lag_ms"`  // from a change until it is announced
-	CallMs              float64 `toml:"call_ms"` // of work for a call; calls are handled one after another
-	EntryUs             float64 `toml:"line_us"` // of work for an entry of an answer
+	CallMs              float64 `toml:"call_ms"` // work for a call; calls are handled one after another
+	EntryUs             float64 `toml:"line_us"` // work for an entry of an answer
 	QueueTimeoutMs      float64 `toml:"wait_ms"` // a call that is queued for longer gets 503
-	SyncIntervalMs      float64 `toml:"sync_ms"` // between two syncs of its file
-	RetainedChanges     int     `toml:"retain"`  // changes retained for watches; older ones get the complete list
-	MaxWaitingCalls     int     `toml:"most"`    // queued calls; more get 503 at once
+	SyncIntervalMs      float64 `toml:"sync_ms"` // between two syncs of the catalog's file
+	RetainedChanges     int     `toml:"retain"`  // for watches; older ones get the complete list
+	MaxWaitingCalls     int     `toml:"most"`    // maximum number of queued calls; more get 503 at once
 	Zone                string  `toml:"zone"`    // zone of the list; empty: in each zone
 
 	// With members, real processes of the list service are used, and none of the settings above.
-	Members      int     `toml:"members"`     // 0: the catalog
+	Members      int     `toml:"members"`     // number of members; 0: the catalog
 	LeaseMs      float64 `toml:"lease_ms"`    // of a server
 	ElectionMs   float64 `toml:"election_ms"` // of the members
 	MaxListAgeMs float64 `toml:"stale_ms"`    // maximum age of a list that is served
 }
 
-// Cluster says whether the proxies form a cluster, with gossip.
+// Cluster holds the settings of the cluster that the proxies form by gossip.
 type Cluster struct {
 	Enabled bool   `toml:"on"`
 	Label   string `toml:"label"`
 	Seeds   int    `toml:"seeds"` // gossip seeds of each proxy, spread over the zones
 }
 
-// Fault is a fault to inject. Its JSON keys are part of the digest of a plan.
+// Fault is a fault to inject. Its JSON encoding is part of the digest of a plan.
 type Fault struct {
 	At       float64 `toml:"at"`
-	Duration float64 `toml:"for" json:"For"` // seconds; 0: to the end, or none where the kind has no duration
+	Duration float64 `toml:"for" json:"For"` // seconds; 0: to the end, or none for kinds without duration
 	Kind     string  `toml:"kind"`
 
 	Zone    string   `toml:"zone"`
-	Proxies []string `toml:"proxies"` // names; if none, drawn among those of the zone, or of all
+	Proxies []string `toml:"proxies"` // names; if empty, drawn from those of the zone, or from all
 	Servers []string `toml:"nodos"`
-	Members []string `toml:"members"` // of the list service: r1, r2..., leader, follower; none: all
-	Share   float64  `toml:"share"`
-	Spread  float64  `toml:"spread"` // seconds over which the targets are spread
-
-	Link             string  `toml:"link"`      // client, server, list, lease (from servers to the list service) or gossip; empty: all
-	Direction        string  `toml:"direction"` // both, out (requests are lost) or back (responses are)
-	FromZone         string  `toml:"from_zone"`
-	ToZone           string  `toml:"to_zone"`
-	DelayMs          float64 `toml:"ms" json:"Ms"`
-	Fraction         float64 `toml:"part" json:"Part"`
-	Factor           float64 `toml:"factor"`
-	Versions         int     `toml:"versions"`
-	Service          int     `toml:"service"` // for hollow servers and configurations: number of the service, from 1; 0: all
-	Count            int     `toml:"count"`   // maximum number of hollow servers; number of configuration writes
-	ByzantineMembers int     `toml:"liars" json:"Liars"`
-	IdleClients      int     `toml:"clients" json:"Clients"` // at each proxy
-	InvalidConfig    bool    `toml:"faulty" json:"Faulty"`   // a document that must be rejected
-	KeepDirectory    bool    `toml:"keep" json:"Keep"`       // a restarted proxy keeps its directory
+	Members []string `toml:"members"` // of the list service: r1, r2..., leader, follower; empty: all
+	Share   float64  `toml:"share"`   // fraction of the possible targets that is drawn; 0: all
+	Spread  float64  `toml:"spread"`  // seconds over which the targets are spread
+
+	// Link is client, nodo, list, lease (from servers to the list service) or gossip; empty: all.
+	Link      string  `toml:"link"`
+	Direction string  `toml:"direction"` // both, out (requests are lost) or back (responses are lost)
+	FromZone  string  `toml:"from_zone"`
+	ToZone    string  `toml:"to_zone"`
+	DelayMs   float64 `toml:"ms" json:"Ms"`
+	Fraction  float64 `toml:"part" json:"Part"`
+	Factor    float64 `toml:"factor"`
+	Versions  int     `toml:"versions"`
+	// Service is the number, from 1, of the service of hollow servers or configurations; 0: all.
+	Service          int  `toml:"service"`
+	Count            int  `toml:"count"` // maximum number of hollow servers; number of configuration writes
+	ByzantineMembers int  `toml:"liars" json:"Liars"`
+	IdleClients      int  `toml:"clients" json:"Clients"` // at each proxy
+	InvalidConfig    bool `toml:"faulty" json:"Faulty"`   // writes a document that must be rejected
+	KeepDirectory    bool `toml:"keep" json:"Keep"`       // a restarted proxy keeps its directory
 }
 
-// Expect is a bound on a metric.
+// Expect holds the bounds of a metric.
 type Expect struct {
 	Metric string   `toml:"figure"`
 	Min    *float64 `toml:"min"`
 	Max    *float64 `toml:"max"`
-	From   float64  `toml:"from"` // seconds of the arrivals; only for span metrics
+	From   float64  `toml:"from"` // span of the arrivals that count, in seconds; only for span metrics
 	To     float64  `toml:"to"`
 }
 
-// Span is the span of arrivals, in seconds, of an expectation; a To of 0 is the end.
+// Span returns the span of arrivals that count for an expectation, in seconds. A To of 0 is the end of the
+// run.
 func (expect Expect) Span(exp *Experiment) (from, to float64) {
 	from, to = expect.From, expect.To
 	if from == 0 && to == 0 {
@@ -239,14 +244,14 @@
 // Millis converts a file's milliseconds to a duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Node is a proxy or server.
+// Node is a proxy or a server of the cluster.
 type Node struct {
 	Name  string
 	Zone  string
 	Group ServerGroup // of a server
 }
 
-// ProxyNodes are the proxies, named by zone and a number from 1.
+// ProxyNodes returns the proxies, named by zone and a number from 1.
 func (e *Experiment) ProxyNodes() []Node {
 	var out []Node
 	for _, z := range e.Zones {
@@ -257,7 +262,7 @@
 	return out
 }
 
-// ServerNodes are the servers, named by zone and a number from 1 over all groups.
+// ServerNodes returns the servers, named by zone and a number from 1 that counts over all groups of the zone.
 func (e *Experiment) ServerNodes() []Node {
 	var out []Node
 	for _, z := range e.Zones {
@@ -272,7 +277,7 @@
 	return out
 }
 
-// ZoneNames are the zones in order.
+// ZoneNames returns the names of the zones in the order of the file.
 func (e *Experiment) ZoneNames() []string {
 	var out []string
 	for _, z := range e.Zones {
@@ -281,8 +286,9 @@
 	return out
 }
 
-// MaxPairLinks is the maximum number of links from proxies to servers with an address each, since descriptors are limited. With more,
-// the proxies of a zone share their links, which can then be selected by zone only.
+// MaxPairLinks is the maximum number of pairs of a proxy and a server for which each pair has a link of its
+// own, since file descriptors are limited. With more pairs, the proxies of a zone share their links, which
+// can then be selected by zone only.
 const MaxPairLinks = 6000
 
 // SharedLinks reports whether the proxies of a zone share their links to servers.
@@ -290,66 +296,91 @@
 	return len(e.ProxyNodes())*len(e.ServerNodes()) > MaxPairLinks
 }
 
-// Kinds are the kinds of faults by name.
+// Kinds holds the kinds of faults by name.
 var Kinds = map[string]Kind{
-	"kill":       {Proxies: true, Text: "SIGKILL; started again after `for`, from nothing unless keep"},
-	"stop":       {Proxies: true, HasDuration: true, Text: "SIGSTOP, and SIGCONT after `for`"},
-	"restart":    {Proxies: true, Text: "planned: SIGTERM, `versions` more signals, SIGKILL after the longest deadline, start again `for` later"},
-	"upgrade":    {Proxies: true, Text: "a successor beside it, SIGTERM to the old one, by the on-call page"},
-	"power_loss": {Proxies: true, Text: "SIGKILL, and what its files got last is lost in part; directory kept"},
-	"reload":     {Proxies: true, Text: "SIGHUP, `versions` times in a row, with the configuration in force or a broken one"},
-	"hold_up":    {Proxies: true, HasDuration: true, Text: "SIGSTOP for up to 0.15 s, again and again"},
-	"crowd":      {Proxies: true, HasDuration: true, Needs: []string{"clients"}, Text: "`clients` connect to each and send nothing"},
-	"rude":       {Proxies: true, HasDuration: true, Text: "clients come that send no proper request"},
-	"disk_full":  {Proxies: true, HasDuration: true, Text: "every write of a byte to a file fails"},
-
-	"nodo_kill":    {Servers: true, Text: "the process dies; back cold after `for`"},
-	"nodo_silent":  {Servers: true, HasDuration: true, Text: "the machine vanishes: a black hole; connections reset at the end"},
-	"nodo_hang":    {Servers: true, HasDuration: true, Text: "connects and takes requests, never answers"},
-	"nodo_slow":    {Servers: true, HasDuration: true, Needs: []string{"factor"}, Text: "takes `factor` times as long"},
-	"nodo_errors":  {Servers: true, HasDuration: true, Needs: []string{"part"}, Text: "answers 500 to `part` of its requests"},
-	"nodo_garble":  {Servers: true, HasDuration: true, Needs: []string{"part"}, Text: "spoils `part` of its answers"},
-	"nodo_drain":   {Servers: true, Text: "drains, and is gone from the list 2 s later; back cold after `for`"},
-	"nodo_replace": {Servers: true, Text: "drains and goes while a cold one under a new name takes its place"},
-
-	"zone_loss": {Zone: true, HasDuration: true, Text: "its nodos vanish and its proxies are killed; all back cold"},
-	"zone_cut":  {Zone: true, HasDuration: true, Text: "all links between it and other zones are silent"},
-
-	"cut":   {Links: true, HasDuration: true, Text: "links fall silent, in `direction`; open connections stay open"},
-	"delay": {Links: true, HasDuration: true, Needs: []string{"ms"}, Text: "`ms` more each way"},
-	"loss":  {Links: true, HasDuration: true, Needs: []string{"part"}, Text: "`part` of the writes come a retransmission later; of datagrams, never"},
-	"reset": {Links: true, Text: "open connections are reset; while it lasts new ones too, at their first byte"},
-
-	"hollow_replace": {Hollow: true, Text: "hollow nodos drain, go 2 s later, and are back at once as another process"},
-	"hollow_die":     {Hollow: true, Text: "hollow nodos die without a word; back after `for`"},
-
-	"config_put": {Configs: true, Text: "`count` configurations are put over `spread`, at services in turn; `faulty`: such as no proxy could use"},
-
-	"gossip_lie": {Servers: true, HasDuration: true, Needs: []string{"liars"}, Text: "so many more members join the fleet and say that the nodos and all other zones fail"},
-
-	"member_kill":   {Members: true, Text: "members of the list service die in one instant; back after `for` with their directories"},
-	"member_stop":   {Members: true, HasDuration: true, Text: "SIGSTOP, and SIGCONT after `for`"},
-	"member_cut":    {Members: true, HasDuration: true, Text: "links between them and the other members fall silent, in `direction`"},
-	"member_damage": {Members: true, Text: "they die, a file of each is cut off at a random byte; one that refuses it starts empty"},
-
-	"list_down":       {HasDuration: true, Text: "the list service refuses connections"},
-	"list_slow":       {HasDuration: true, Needs: []string{"factor"}, Text: "calls take `factor` times as long"},
-	"list_stale":      {HasDuration: true, Text: "it tells nothing that happened since"},
-	"list_disk_full":  {HasDuration: true, Text: "it can keep no change, and tells none that it cannot keep"},
-	"list_rollback":   {Needs: []string{"versions"}, Text: "its versions go back by `versions`, contents too"},
-	"list_power_loss": {Text: "it dies, loses what was not synced, and is back after `for`"},
+	"kill": {Proxies: true,
+		Text: "SIGKILL; started again after `for`, with empty directories unless `keep` is set"},
+	"stop": {Proxies: true, HasDuration: true, Text: "SIGSTOP, and SIGCONT after `for`"},
+	"restart": {Proxies: true,
+		Text: "planned: SIGTERM, `versions` signals, SIGKILL after the longest deadline, start after `for`"},
+	"upgrade": {Proxies: true,
+		Text: "a successor is started, then the old process gets SIGTERM, as the on-call page describes"},
+	"power_loss": {Proxies: true,
+		Text: "SIGKILL, and part of the latest writes to its files is lost; its directory is kept"},
+	"reload": {Proxies: true,
+		Text: "SIGHUP, `versions` times in a row, with the configuration in force or a broken one"},
+	"hold_up": {Proxies: true, HasDuration: true, Text: "SIGSTOP for up to 0.15 s, repeatedly"},
+	"crowd": {Proxies: true, HasDuration: true, Needs: []string{"clients"},
+		Text: "`clients` clients connect to each and send nothing"},
+	"rude":      {Proxies: true, HasDuration: true, Text: "clients connect that send no valid request"},
+	"disk_full": {Proxies: true, HasDuration: true, Text: "every write of at least a byte to a file fails"},
+
+	"nodo_kill": {Servers: true, Text: "the process ends; started again after `for`, with slow start"},
+	"nodo_silent": {Servers: true, HasDuration: true,
+		Text: "the machine disappears: its links drop all data; connections are reset at the end"},
+	"nodo_hang": {Servers: true, HasDuration: true,
+		Text: "accepts connections and requests, and never responds"},
+	"nodo_slow": {Servers: true, HasDuration: true, Needs: []string{"factor"},
+		Text: "takes `factor` times as long"},
+	"nodo_errors": {Servers: true, HasDuration: true, Needs: []string{"part"},
+		Text: "responds with 500 to a fraction `part` of its requests"},
+	"nodo_garble": {Servers: true, HasDuration: true, Needs: []string{"part"},
+		Text: "corrupts a fraction `part` of its responses"},
+	"nodo_drain": {Servers: true,
+		Text: "drains, and leaves the list 2 s later; started again after `for`, with slow start"},
+	"nodo_replace": {Servers: true,
+		Text: "drains and ends, while one with slow start and a new name takes its place"},
+
+	"zone_loss": {Zone: true, HasDuration: true,
+		Text: "its nodos disappear and its proxies are killed; all start again without their state"},
+	"zone_cut": {Zone: true, HasDuration: true, Text: "all links between it and other zones drop all data"},
+
+	"cut": {Links: true, HasDuration: true,
+		Text: "links drop all data, in `direction`; open connections stay open"},
+	"delay": {Links: true, HasDuration: true, Needs: []string{"ms"}, Text: "`ms` more delay each way"},
+	"loss": {Links: true, HasDuration: true, Needs: []string{"part"},
+		Text: "a fraction `part` of the writes is late by a retransmission; of datagrams it is lost"},
+	"reset": {Links: true,
+		Text: "open connections are reset; during `for`, new ones too, at their first byte"},
+
+	"hollow_replace": {Hollow: true,
+		Text: "hollow nodos drain, end 2 s later, and are back at once as another process"},
+	"hollow_die": {Hollow: true, Text: "hollow nodos end without notice; back after `for`"},
+
+	"config_put": {Configs: true,
+		Text: "`count` configurations are written over `spread`, for services in turn; invalid if `faulty`"},
+
+	"gossip_lie": {Servers: true, HasDuration: true, Needs: []string{"liars"},
+		Text: "`liars` more members join the fleet and report the nodos and all other zones as failing"},
+
+	"member_kill": {Members: true,
+		Text: "members of the list service are killed at once; back after `for` with their directories"},
+	"member_stop": {Members: true, HasDuration: true, Text: "SIGSTOP, and SIGCONT after `for`"},
+	"member_cut": {Members: true, HasDuration: true,
+		Text: "links between them and the other members drop all data, in `direction`"},
+	"member_damage": {Members: true,
+		Text: "killed, a file of each truncated at a random byte; one that rejects the file starts empty"},
+
+	"list_down":  {HasDuration: true, Text: "the list service refuses connections"},
+	"list_slow":  {HasDuration: true, Needs: []string{"factor"}, Text: "calls take `factor` times as long"},
+	"list_stale": {HasDuration: true, Text: "it announces no change that happens meanwhile"},
+	"list_disk_full": {HasDuration: true,
+		Text: "it can store no change, and announces none that it cannot store"},
+	"list_rollback": {Needs: []string{"versions"},
+		Text: "its version goes back by `versions`, with its content"},
+	"list_power_loss": {Text: "it goes down, loses changes that were not synced, and is back after `for`"},
 }
 
 // Kind describes a kind of fault.
 type Kind struct {
-	Proxies, Servers, Zone, Links, Members, Hollow bool // its targets
-	Configs                                        bool // it writes configurations
-	HasDuration                                    bool // it lasts for the key `for`
-	Needs                                          []string
-	Text                                           string // for docs and help
+	Proxies, Servers, Zone, Links, Members, Hollow bool     // the kinds of its targets
+	Configs                                        bool     // it writes configurations
+	HasDuration                                    bool     // it lasts for the key `for`
+	Needs                                          []string // keys that must be greater than 0
+	Text                                           string   // description of its effect
 }
 
-// KindNames are the names of the kinds in order.
+// KindNames returns the names of the kinds in alphabetical order.
 func KindNames() []string {
 	var out []string
 	for k := range Kinds {
--- a/internal/faultlab/experiment/fault_test.go
+++ b/internal/faultlab/experiment/fault_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The digest of a plan is made of faults in JSON: renamed fields keep their keys, so that digests in old results still compare.
+// The digest of a plan is computed from its faults in JSON. A renamed field of Fault must keep its JSON key,
+// since otherwise digests could not be compared with those in old results.
 func TestFaultKeepsItsKeysInDigests(t *testing.T) {
 	text, err := json.Marshal(Fault{})
 	if err != nil {
--- a/internal/faultlab/experiment/read.go
+++ b/internal/faultlab/experiment/read.go
@@ -10,15 +10,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Problem is an error in a file, with its place.
+// Problem is an error in an experiment file, with its place.
 type Problem struct {
 	File string
-	Line int // 0: the complete file
+	Line int // from 1; 0 if the problem has no line
 	Key  string
 	Text string
 }
 
-// Error is file, line, key and text.
+// Error returns file, line, key and text.
 func (p Problem) Error() string {
 	at := p.File
 	if p.Line > 0 {
@@ -30,7 +30,7 @@
 	return at + ": " + p.Text
 }
 
-// Read reads a file. The error joins all its Problems.
+// Read reads and checks an experiment file. The error joins all its Problems.
 func Read(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,27 +41,29 @@
 	})
 }
 
-// maxBases limits a chain of bases, which may be a cycle.
+// maxBases is the maximum length of a chain of base files, which could otherwise be a cycle.
 const maxBases = 4
 
-var errTooManyBases = fmt.Errorf("more than %d bases in a chain, remove one", maxBases)
+// errTooManyBases is returned for a chain of base files that is too long.
+var errTooManyBases = fmt.Errorf("more than %d base files in a chain, remove one", maxBases)
 
-// Parse parses a file's text. Name is the file's in errors; open reads a base, by its path relative to this file.
+// Parse parses and checks the text of an experiment file. Errors have the file's name; open reads a base
+// file, by its path relative to this file.
 func Parse(name, text string, open func(base string) ([]byte, error)) (*Experiment, error) {
 	return parse(name, text, open, maxBases)
 }
 
 func parse(name, text string, open func(base string) ([]byte, error), bases int) (*Experiment, error) {
 	exp := defaults()
-	var first struct {
+	var top struct {
 		Base string `toml:"base"`
 	}
-	if _, err := toml.Decode(text, &first); err != nil {
+	if _, err := toml.Decode(text, &top); err != nil {
 		return nil, parseProblem(name, err)
 	}
 	c := &checker{file: name, experiment: exp, lines: keyLines(text)}
-	if first.Base != "" {
-		under, err := open(first.Base)
+	if top.Base != "" {
+		baseText, err := open(top.Base)
 		if bases == 0 {
 			err = errTooManyBases
 		}
@@ -69,9 +71,9 @@
 			c.report("base", "%v", err)
 			return nil, errors.Join(c.problems...)
 		}
-		from := func(base string) ([]byte, error) { return open(filepath.Join(filepath.Dir(first.Base), base)) }
-		if exp, err = parse(first.Base, string(under), from, bases-1); err != nil {
-			c.report("base", "it has faults itself")
+		read := func(base string) ([]byte, error) { return open(filepath.Join(filepath.Dir(top.Base), base)) }
+		if exp, err = parse(top.Base, string(baseText), read, bases-1); err != nil {
+			c.report("base", "the base file has errors")
 			return nil, errors.Join(append(c.problems, err)...)
 		}
 		c.experiment = exp
@@ -90,16 +92,21 @@
 	return exp, errors.Join(c.problems...)
 }
 
-// clearLists empties the lists that a file defines, so that they replace its base's instead of being merged.
+// clearLists clears the lists that a file defines, so that they replace those of its base instead of being
+// merged with them.
 func (e *Experiment) clearLists(text string) error {
 	var keys map[string]any
 	if _, err := toml.Decode(text, &keys); err != nil {
 		return err
 	}
-	for key, empty := range map[string]func(){"zone": func() { e.Zones = nil }, "class": func() { e.Classes = nil },
-		"fault": func() { e.Faults = nil }, "phase": func() { e.Phases = nil }, "expect": func() { e.Expect = nil }} {
+	for key, clearList := range map[string]func(){
+		"zone":   func() { e.Zones = nil },
+		"class":  func() { e.Classes = nil },
+		"fault":  func() { e.Faults = nil },
+		"phase":  func() { e.Phases = nil },
+		"expect": func() { e.Expect = nil }} {
 		if _, given := keys[key]; given {
-			empty()
+			clearList()
 		}
 	}
 	if load, ok := keys["load"].(map[string]any); ok && load["rate"] != nil {
@@ -108,21 +115,23 @@
 	return nil
 }
 
+// parseProblem returns an error of the TOML parser as a Problem.
 func parseProblem(name string, err error) error {
-	var parse toml.ParseError
-	if errors.As(err, &parse) {
-		return Problem{name, parse.Position.Line, parse.LastKey, parse.Message}
+	var parseErr toml.ParseError
+	if errors.As(err, &parseErr) {
+		return Problem{name, parseErr.Position.Line, parseErr.LastKey, parseErr.Message}
 	}
 	return Problem{File: name, Text: err.Error()}
 }
 
-// defaults are the default values, from the platform's pages where these state one.
+// defaults returns the default values, which are those of the platform's documentation where it states one.
 func defaults() *Experiment {
 	return &Experiment{
 		Seconds: 30, Warmup: 3, Seed: 1, Repeat: 1,
 		Lab:     Lab{LateMs: 20, StallMs: 400, StartGap: 0.05, ReadyWait: 30, Rules: "enforce"},
 		Network: Network{LocalMs: 0.5, CrossMs: 15},
-		Clients: Clients{Retries: 3, AttemptFraction: []float64{0.4, 0.55}, FailureDetectionMs: 2000, MarkRetry: true},
+		Clients: Clients{Retries: 3, AttemptFraction: []float64{0.4, 0.55}, FailureDetectionMs: 2000,
+			MarkRetry: true},
 		Proxy: Proxy{Cores: 1, MemoryMB: 64, Sockets: 512, MaxAttempts: 3, Hedging: true, DialTimeoutMs: 250,
 			IdleTimeoutMs: 5000, DrainGraceMs: 1000, PollIntervalMs: 10000, DeadlineSlackMs: 20, MaxRetryAfterMs: 2000,
 			Membership: "subscribe"},
@@ -135,10 +144,10 @@
 	}
 }
 
-// keyLines maps each key of a file to its line, with indexes from 1: `fault[2].at`. It knows headers and plain keys only; a problem at
-// another key has no line.
+// keyLines returns the line of each key of a file. Indexes of lists count from 1, as in `fault[2].at`. Only
+// table headers and plain keys are recognized; a problem at another key has the line of its table, or none.
 func keyLines(text string) map[string]int {
-	at, table, counts := map[string]int{}, "", map[string]int{}
+	lines, table, counts := map[string]int{}, "", map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		switch {
@@ -154,11 +163,11 @@
 				counts[name]++
 				table = fmt.Sprintf("%s[%d]", name, counts[name])
 			}
-			at[table] = i + 1
+			lines[table] = i + 1
 		case strings.HasPrefix(line, "["):
 			name, _, _ := strings.Cut(line[1:], "]")
 			table = strings.TrimSpace(name)
-			at[table] = i + 1
+			lines[table] = i + 1
 		default:
 			key, _, ok := strings.Cut(line, "=")
 			if !ok || strings.HasPrefix(line, "#") {
@@ -168,12 +177,12 @@
 			if table != "" {
 				key = table + "." + key
 			}
-			if at[key] == 0 {
-				at[key] = i + 1
+			if lines[key] == 0 {
+				lines[key] = i + 1
 			}
 		}
 	}
-	return at
+	return lines
 }
 
 // checker collects the problems of a file.
@@ -187,14 +196,16 @@
 // report adds a problem at a key.
 func (c *checker) report(key, format string, args ...any) {
 	line := c.lines[key]
-	for at := key; line == 0 && at != ""; line = c.lines[at] { // else the line of the table that contains it
+	// A key without a line has that of the table that contains it.
+	for at := key; line == 0 && at != ""; line = c.lines[at] {
 		i := strings.LastIndexByte(at, '.')
 		at = at[:max(i, 0)]
 	}
 	c.problems = append(c.problems, Problem{c.file, line, key, fmt.Sprintf(format, args...)})
 }
 
-// undecoded finds the entry of a list that contains an unknown key: the library names the list only.
+// undecoded returns an unknown key with the index of the list entry that contains it, since the TOML library
+// names only the list.
 func (c *checker) undecoded(key toml.Key) string {
 	plain := key.String()
 	for at := range c.lines {
@@ -205,6 +216,7 @@
 	return plain
 }
 
+// stripIndexes removes the indexes of lists from a key.
 func stripIndexes(key string) string {
 	var b strings.Builder
 	inside := false
