--- a/internal/faultlab/experiment/check.go
+++ b/internal/faultlab/experiment/check.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-func (c *checker) positive(key string, v float64) {
+func (c *checker) checkPositive(key string, v float64) {
 	if !(v > 0) {
 		c.report(key, "must be greater than 0, not %v", v)
 	}
 }
 
-func (c *checker) notNegative(key string, v float64) {
+func (c *checker) checkNotNegative(key string, v float64) {
 	if !(v >= 0) {
 		c.report(key, "must be 0 or more, not %v", v)
 	}
 }
 
-func (c *checker) fraction(key string, v float64) {
+func (c *checker) checkFraction(key string, v float64) {
 	if !(v >= 0 && v <= 1) {
 		c.report(key, "must be a fraction from 0 to 1, not %v", v)
 	}
 }
 
-func (c *checker) oneOf(key, v string, of ...string) {
+func (c *checker) checkOneOf(key, v string, of ...string) {
 	if !slices.Contains(of, v) {
 		c.report(key, "%q is not one of %s", v, strings.Join(of, ", "))
 	}
@@ -43,39 +43,39 @@
 // check checks the values of all keys.
 func (c *checker) check() {
 	exp := c.experiment
-	c.positive("seconds", exp.Seconds)
+	c.checkPositive("seconds", exp.Seconds)
 	if exp.Seconds > maxSeconds {
 		c.report("seconds", "must be at most %d", maxSeconds)
 	}
-	c.notNegative("warmup", exp.Warmup)
+	c.checkNotNegative("warmup", exp.Warmup)
 	if exp.Warmup >= exp.Seconds {
 		c.report("warmup", "must be less than the %v seconds of the run", exp.Seconds)
 	}
 	if exp.Repeat < 1 {
 		c.report("repeat", "must be 1 or more, not %d", exp.Repeat)
 	}
-	c.positive("lab.late_ms", exp.Lab.LateMs)
-	c.positive("lab.stall_ms", exp.Lab.StallMs)
-	c.positive("lab.ready_wait", exp.Lab.ReadyWait)
-	c.notNegative("lab.start_gap", exp.Lab.StartGap)
-	c.oneOf("lab.rules", exp.Lab.Rules, "enforce", "report")
-	c.notNegative("network.local_ms", exp.Network.LocalMs)
-	c.notNegative("network.cross_ms", exp.Network.CrossMs)
+	c.checkPositive("lab.late_ms", exp.Lab.LateMs)
+	c.checkPositive("lab.stall_ms", exp.Lab.StallMs)
+	c.checkPositive("lab.ready_wait", exp.Lab.ReadyWait)
+	c.checkNotNegative("lab.start_gap", exp.Lab.StartGap)
+	c.checkOneOf("lab.rules", exp.Lab.Rules, "enforce", "report")
+	c.checkNotNegative("network.local_ms", exp.Network.LocalMs)
+	c.checkNotNegative("network.cross_ms", exp.Network.CrossMs)
 	c.checkCluster()
 	c.checkClasses()
 	c.checkLoad()
 	p := exp.Proxy
 	for key, v := range map[string]float64{"cores": p.Cores, "memory_mb": float64(p.MemoryMB), "try_limit": float64(p.MaxAttempts),
 		"sockets": float64(p.Sockets), "dial_ms": p.DialTimeoutMs, "idle_ms": p.IdleTimeoutMs, "drain_grace_ms": p.DrainGraceMs} {
-		c.positive("proxy."+key, v)
+		c.checkPositive("proxy."+key, v)
 	}
-	c.oneOf("proxy.membership", p.Membership, "automatic", "subscribe")
+	c.checkOneOf("proxy.membership", p.Membership, "automatic", "subscribe")
 	if p.KnownFraction != nil {
-		c.fraction("proxy.known", *p.KnownFraction)
+		c.checkFraction("proxy.known", *p.KnownFraction)
 	}
 	c.checkServers()
 	c.checkHollow()
-	if c.positive("fleet.seeds", float64(exp.Cluster.Seeds)); exp.Cluster.Label == "" {
+	if c.checkPositive("fleet.seeds", float64(exp.Cluster.Seeds)); exp.Cluster.Label == "" {
 		c.report("fleet.label", "must not be empty, since it keeps fleets apart")
 	}
 	for i, fault := range exp.Faults {
@@ -101,7 +101,7 @@
 			c.report(key+".name", "%q is the name of two zones", z.Name)
 		}
 		seen[z.Name] = true
-		c.notNegative(key+".traffic", z.Traffic)
+		c.checkNotNegative(key+".traffic", z.Traffic)
 		traffic += z.Traffic
 		if z.Proxies < 0 {
 			c.report(key+".proxies", "must be 0 or more")
@@ -109,9 +109,9 @@
 		for j, g := range z.Servers {
 			at := fmt.Sprintf("%s.nodos[%d]", key, j+1)
 			for name, v := range map[string]float64{"count": float64(g.Count), "speed": g.Speed, "slots": float64(g.Slots)} {
-				c.positive(at+"."+name, v)
+				c.checkPositive(at+"."+name, v)
 			}
-			c.notNegative(at+".queue", float64(g.Queue))
+			c.checkNotNegative(at+".queue", float64(g.Queue))
 		}
 	}
 	if len(c.experiment.Zones) > 0 && traffic == 0 {
@@ -128,8 +128,8 @@
 	}
 }
 
-// ascending checks a list of n numbers that must be two, from and to.
-func (c *checker) ascending(key string, n int, from, to float64) {
+// checkAscending checks a list of n numbers that must be two, from and to.
+func (c *checker) checkAscending(key string, n int, from, to float64) {
 	if n != 2 || from < 0 || to < from {
 		c.report(key, "must be two numbers from 0, in ascending order")
 	}
@@ -147,26 +147,26 @@
 				"%q must be a non-empty, unique name without spaces, slashes and question marks", k.Name)
 		}
 		seen[k.Name] = true
-		c.positive(key+".share", k.Share)
+		c.checkPositive(key+".share", k.Share)
 		if len(k.WorkMs) == 2 {
-			c.ascending(key+".work_ms", 2, k.WorkMs[0], k.WorkMs[1])
+			c.checkAscending(key+".work_ms", 2, k.WorkMs[0], k.WorkMs[1])
 		} else {
-			c.ascending(key+".work_ms", len(k.WorkMs), 0, 0)
+			c.checkAscending(key+".work_ms", len(k.WorkMs), 0, 0)
 		}
 		for name, sizes := range map[string][]int{"answer_bytes": k.ResponseBytes, "body_bytes": k.RequestBytes} {
 			if len(sizes) == 2 {
-				c.ascending(key+"."+name, 2, float64(sizes[0]), float64(sizes[1]))
+				c.checkAscending(key+"."+name, 2, float64(sizes[0]), float64(sizes[1]))
 			} else if len(sizes) > 0 {
-				c.ascending(key+"."+name, len(sizes), 0, 0)
+				c.checkAscending(key+"."+name, len(sizes), 0, 0)
 			}
 		}
-		c.positive(key+".aim_ms", k.ObjectiveMs)
-		c.positive(key+".give_up_ms", k.DeadlineMs)
-		c.notNegative(key+".worth", k.Weight)
-		c.oneOf(key+".repeat", k.RetryClass, "idempotent", "deduplicated", "at_most_once")
+		c.checkPositive(key+".aim_ms", k.ObjectiveMs)
+		c.checkPositive(key+".give_up_ms", k.DeadlineMs)
+		c.checkNotNegative(key+".worth", k.Weight)
+		c.checkOneOf(key+".repeat", k.RetryClass, "idempotent", "deduplicated", "at_most_once")
 		if k.RetryClass == "deduplicated" {
-			c.oneOf(key+".scope", k.KeyScope, "all", "zone", "cell")
-			c.positive(key+".window_ms", k.KeyWindowMs)
+			c.checkOneOf(key+".scope", k.KeyScope, "all", "zone", "cell")
+			c.checkPositive(key+".window_ms", k.KeyWindowMs)
 		}
 	}
 }
@@ -198,9 +198,9 @@
 	if c.experiment.Clients.Retries < 0 {
 		c.report("clients.retries", "must be 0 or more")
 	}
-	c.fraction("clients.leave_part", c.experiment.Clients.CancelFraction)
-	c.notNegative("clients.wait_ms", c.experiment.Clients.WaitMs)
-	c.notNegative("clients.notice_ms", c.experiment.Clients.FailureDetectionMs)
+	c.checkFraction("clients.leave_part", c.experiment.Clients.CancelFraction)
+	c.checkNotNegative("clients.wait_ms", c.experiment.Clients.WaitMs)
+	c.checkNotNegative("clients.notice_ms", c.experiment.Clients.FailureDetectionMs)
 }
 
 func (c *checker) checkServers() {
@@ -209,16 +209,16 @@
 		c.report("nodos.start_capacity", "must be a fraction greater than 0 and at most 1, not %v",
 			servers.StartCapacity)
 	}
-	c.notNegative("nodos.cold_ms", servers.SlowStartMs)
-	c.positive("nodos.tip_multiple", servers.OverloadMultiple)
-	c.positive("nodos.fall_ms", servers.OverloadFailureMs)
-	c.positive("nodos.max_conns", float64(servers.MaxConnections))
-	c.notNegative("nodos.connect_ms", servers.ConnectMs)
-	c.notNegative("nodos.connect_work", servers.ConnectWork)
+	c.checkNotNegative("nodos.cold_ms", servers.SlowStartMs)
+	c.checkPositive("nodos.tip_multiple", servers.OverloadMultiple)
+	c.checkPositive("nodos.fall_ms", servers.OverloadFailureMs)
+	c.checkPositive("nodos.max_conns", float64(servers.MaxConnections))
+	c.checkNotNegative("nodos.connect_ms", servers.ConnectMs)
+	c.checkNotNegative("nodos.connect_work", servers.ConnectWork)
 	list := c.experiment.List
 	for key, v := range map[string]float64{"lag_ms": list.NotificationDelayMs, "call_ms": list.CallMs,
 		"line_us": list.EntryUs} {
-		c.notNegative("list."+key, v)
+		c.checkNotNegative("list."+key, v)
 	}
 	if list.Members < 0 || list.Members > maxMembers || list.Members > 0 && list.Members%2 == 0 {
 		c.report("list.members", "must be 1, 3 or 5, or 0 for the lab's catalog, not %d", list.Members)
@@ -226,6 +226,6 @@
 	for key, v := range map[string]float64{"lease_ms": list.LeaseMs, "election_ms": list.ElectionMs,
 		"stale_ms": list.MaxListAgeMs, "wait_ms": list.QueueTimeoutMs, "sync_ms": list.SyncIntervalMs,
 		"retain": float64(list.RetainedChanges), "most": float64(list.MaxWaitingCalls)} {
-		c.positive("list."+key, v)
+		c.checkPositive("list."+key, v)
 	}
 }
--- a/internal/faultlab/experiment/check_fault.go
+++ b/internal/faultlab/experiment/check_fault.go
@@ -8,27 +8,27 @@
 
 // checkFault checks a fault, which is at a key of the file.
 func (c *checker) checkFault(key string, fault Fault) {
-	kind, ok := Kinds[fault.Kind]
+	kind, ok := FaultKinds[fault.Kind]
 	if !ok {
-		c.report(key+".kind", "%q is not one of %s", fault.Kind, strings.Join(KindNames(), ", "))
+		c.report(key+".kind", "%q is not one of %s", fault.Kind, strings.Join(FaultKindNames(), ", "))
 		return
 	}
 	if fault.At < 0 || fault.At >= c.experiment.Seconds {
 		c.report(key+".at", "%v is outside the run of %v seconds", fault.At, c.experiment.Seconds)
 	}
-	c.notNegative(key+".for", fault.Duration)
-	c.notNegative(key+".spread", fault.Spread)
-	c.fraction(key+".share", fault.Share)
+	c.checkNotNegative(key+".for", fault.Duration)
+	c.checkNotNegative(key+".spread", fault.Spread)
+	c.checkFraction(key+".share", fault.Share)
 	needs := map[string]float64{"factor": fault.Factor, "part": fault.Fraction, "ms": fault.DelayMs, "versions": float64(fault.Versions),
 		"liars": float64(fault.ByzantineMembers), "clients": float64(fault.IdleClients)}
-	for _, need := range kind.Needs {
-		c.positive(key+"."+need, needs[need])
+	for _, need := range kind.RequiredKeys {
+		c.checkPositive(key+"."+need, needs[need])
 	}
 	if fault.ByzantineMembers > maxByzantineMembers {
 		c.report(key+".liars", "must be at most %d", maxByzantineMembers)
 	}
-	if slices.Contains(kind.Needs, "part") {
-		c.fraction(key+".part", fault.Fraction)
+	if slices.Contains(kind.RequiredKeys, "part") {
+		c.checkFraction(key+".part", fault.Fraction)
 	}
 	c.checkZones(key, fault, kind)
 	c.checkNames(key+".proxies", fault.Proxies, c.experiment.ProxyNodes(), kind.Proxies || kind.Links, fault.Kind)
@@ -39,7 +39,7 @@
 }
 
 // checkZones checks the keys that name zones.
-func (c *checker) checkZones(key string, fault Fault, kind Kind) {
+func (c *checker) checkZones(key string, fault Fault, kind FaultKind) {
 	zones := c.experiment.ZoneNames()
 	for name, zone := range map[string]string{"zone": fault.Zone, "from_zone": fault.FromZone, "to_zone": fault.ToZone} {
 		if zone != "" && !slices.Contains(zones, zone) && !(kind.Hollow && name == "zone") {
@@ -52,7 +52,7 @@
 }
 
 // checkLinks checks the keys that select links.
-func (c *checker) checkLinks(key string, fault Fault, kind Kind) {
+func (c *checker) checkLinks(key string, fault Fault, kind FaultKind) {
 	if !kind.Links {
 		if fault.Link != "" || fault.Direction != "" && fault.Kind != "member_cut" || fault.FromZone != "" ||
 			fault.ToZone != "" {
@@ -63,13 +63,13 @@
 		return
 	}
 	if fault.Link != "" {
-		c.oneOf(key+".link", fault.Link, "client", "nodo", "list", "lease", "gossip")
+		c.checkOneOf(key+".link", fault.Link, "client", "nodo", "list", "lease", "gossip")
 		if fault.Link == "gossip" && len(fault.Servers) > 0 {
 			c.report(key+".nodos", "must be empty for gossip, which is between proxies")
 		}
 	}
 	if fault.Direction != "" {
-		c.oneOf(key+".direction", fault.Direction, "both", "out", "back")
+		c.checkOneOf(key+".direction", fault.Direction, "both", "out", "back")
 	}
 	selectsProxies := len(fault.Proxies) > 0 || fault.Share > 0
 	if c.experiment.SharedLinks() && (fault.Link == "" || fault.Link == "nodo") && selectsProxies {
@@ -93,7 +93,7 @@
 }
 
 // checkMembers checks whether the kind of fault fits the kind of list, and the names of members.
-func (c *checker) checkMembers(key string, fault Fault, kind Kind) {
+func (c *checker) checkMembers(key string, fault Fault, kind FaultKind) {
 	switch {
 	case kind.Members && c.experiment.List.Members == 0:
 		c.report(key+".kind", "%s needs a list service with members: set list.members", fault.Kind)
@@ -109,10 +109,10 @@
 		names = append(names, fmt.Sprintf("r%d", i+1))
 	}
 	for _, m := range fault.Members {
-		c.oneOf(key+".members", m, names...)
+		c.checkOneOf(key+".members", m, names...)
 	}
 	if fault.Kind == "member_cut" && fault.Direction != "" {
-		c.oneOf(key+".direction", fault.Direction, "both", "out", "back")
+		c.checkOneOf(key+".direction", fault.Direction, "both", "out", "back")
 	}
 }
 
--- a/internal/faultlab/experiment/experiment.go
+++ b/internal/faultlab/experiment/experiment.go
@@ -296,94 +296,96 @@
 	return len(e.ProxyNodes())*len(e.ServerNodes()) > MaxPairLinks
 }
 
-// Kinds holds the kinds of faults by name.
-var Kinds = map[string]Kind{
+// FaultKinds holds the kinds of faults by name.
+var FaultKinds = map[string]FaultKind{
 	"kill": {Proxies: true,
-		Text: "SIGKILL; started again after `for`, with empty directories unless `keep` is set"},
-	"stop": {Proxies: true, HasDuration: true, Text: "SIGSTOP, and SIGCONT after `for`"},
+		Effect: "SIGKILL; started again after `for`, with empty directories unless `keep` is set"},
+	"stop": {Proxies: true, HasDuration: true, Effect: "SIGSTOP, and SIGCONT after `for`"},
 	"restart": {Proxies: true,
-		Text: "planned: SIGTERM, `versions` signals, SIGKILL after the longest deadline, start after `for`"},
+		Effect: "planned: SIGTERM, `versions` signals, SIGKILL at the longest deadline, start after `for`"},
 	"upgrade": {Proxies: true,
-		Text: "a successor is started, then the old process gets SIGTERM, as the on-call page describes"},
+		Effect: "a successor is started, then the old process gets SIGTERM, as the on-call page describes"},
 	"power_loss": {Proxies: true,
-		Text: "SIGKILL, and part of the latest writes to its files is lost; its directory is kept"},
+		Effect: "SIGKILL, and part of the latest writes to its files is lost; its directory is kept"},
 	"reload": {Proxies: true,
-		Text: "SIGHUP, `versions` times in a row, with the configuration in force or a broken one"},
-	"hold_up": {Proxies: true, HasDuration: true, Text: "SIGSTOP for up to 0.15 s, repeatedly"},
-	"crowd": {Proxies: true, HasDuration: true, Needs: []string{"clients"},
-		Text: "`clients` clients connect to each and send nothing"},
-	"rude":      {Proxies: true, HasDuration: true, Text: "clients connect that send no valid request"},
-	"disk_full": {Proxies: true, HasDuration: true, Text: "every write of at least a byte to a file fails"},
-
-	"nodo_kill": {Servers: true, Text: "the process ends; started again after `for`, with slow start"},
+		Effect: "SIGHUP, `versions` times in a row, with the configuration in force or a broken one"},
+	"hold_up": {Proxies: true, HasDuration: true, Effect: "SIGSTOP for up to 0.15 s, repeatedly"},
+	"crowd": {Proxies: true, HasDuration: true, RequiredKeys: []string{"clients"},
+		Effect: "`clients` clients connect to each and send nothing"},
+	"rude":      {Proxies: true, HasDuration: true, Effect: "clients connect that send no valid request"},
+	"disk_full": {Proxies: true, HasDuration: true, Effect: "every write of at least a byte to a file fails"},
+
+	"nodo_kill": {Servers: true, Effect: "the process ends; started again after `for`, with slow start"},
 	"nodo_silent": {Servers: true, HasDuration: true,
-		Text: "the machine disappears: its links drop all data; connections are reset at the end"},
+		Effect: "the machine disappears: its links drop all data; connections are reset at the end"},
 	"nodo_hang": {Servers: true, HasDuration: true,
-		Text: "accepts connections and requests, and never responds"},
-	"nodo_slow": {Servers: true, HasDuration: true, Needs: []string{"factor"},
-		Text: "takes `factor` times as long"},
-	"nodo_errors": {Servers: true, HasDuration: true, Needs: []string{"part"},
-		Text: "responds with 500 to a fraction `part` of its requests"},
-	"nodo_garble": {Servers: true, HasDuration: true, Needs: []string{"part"},
-		Text: "corrupts a fraction `part` of its responses"},
+		Effect: "accepts connections and requests, and never responds"},
+	"nodo_slow": {Servers: true, HasDuration: true, RequiredKeys: []string{"factor"},
+		Effect: "takes `factor` times as long"},
+	"nodo_errors": {Servers: true, HasDuration: true, RequiredKeys: []string{"part"},
+		Effect: "responds with 500 to a fraction `part` of its requests"},
+	"nodo_garble": {Servers: true, HasDuration: true, RequiredKeys: []string{"part"},
+		Effect: "corrupts a fraction `part` of its responses"},
 	"nodo_drain": {Servers: true,
-		Text: "drains, and leaves the list 2 s later; started again after `for`, with slow start"},
+		Effect: "drains, and leaves the list 2 s later; started again after `for`, with slow start"},
 	"nodo_replace": {Servers: true,
-		Text: "drains and ends, while one with slow start and a new name takes its place"},
+		Effect: "drains and ends, while one with slow start and a new name takes its place"},
 
 	"zone_loss": {Zone: true, HasDuration: true,
-		Text: "its nodos disappear and its proxies are killed; all start again without their state"},
-	"zone_cut": {Zone: true, HasDuration: true, Text: "all links between it and other zones drop all data"},
+		Effect: "its nodos disappear and its proxies are killed; all start again without their state"},
+	"zone_cut": {Zone: true, HasDuration: true, Effect: "all links between it and other zones drop all data"},
 
 	"cut": {Links: true, HasDuration: true,
-		Text: "links drop all data, in `direction`; open connections stay open"},
-	"delay": {Links: true, HasDuration: true, Needs: []string{"ms"}, Text: "`ms` more delay each way"},
-	"loss": {Links: true, HasDuration: true, Needs: []string{"part"},
-		Text: "a fraction `part` of the writes is late by a retransmission; of datagrams it is lost"},
+		Effect: "links drop all data, in `direction`; open connections stay open"},
+	"delay": {Links: true, HasDuration: true, RequiredKeys: []string{"ms"},
+		Effect: "`ms` more delay each way"},
+	"loss": {Links: true, HasDuration: true, RequiredKeys: []string{"part"},
+		Effect: "a fraction `part` of the writes is late by a retransmission; of datagrams it is lost"},
 	"reset": {Links: true,
-		Text: "open connections are reset; during `for`, new ones too, at their first byte"},
+		Effect: "open connections are reset; during `for`, new ones too, at their first byte"},
 
 	"hollow_replace": {Hollow: true,
-		Text: "hollow nodos drain, end 2 s later, and are back at once as another process"},
-	"hollow_die": {Hollow: true, Text: "hollow nodos end without notice; back after `for`"},
+		Effect: "hollow nodos drain, end 2 s later, and are back at once as another process"},
+	"hollow_die": {Hollow: true, Effect: "hollow nodos end without notice; back after `for`"},
 
 	"config_put": {Configs: true,
-		Text: "`count` configurations are written over `spread`, for services in turn; invalid if `faulty`"},
+		Effect: "`count` configurations are written over `spread` to services in turn; invalid if `faulty`"},
 
-	"gossip_lie": {Servers: true, HasDuration: true, Needs: []string{"liars"},
-		Text: "`liars` more members join the fleet and report the nodos and all other zones as failing"},
+	"gossip_lie": {Servers: true, HasDuration: true, RequiredKeys: []string{"liars"},
+		Effect: "`liars` more members join the fleet and report the nodos and all other zones as failing"},
 
 	"member_kill": {Members: true,
-		Text: "members of the list service are killed at once; back after `for` with their directories"},
-	"member_stop": {Members: true, HasDuration: true, Text: "SIGSTOP, and SIGCONT after `for`"},
+		Effect: "members of the list service are killed at once; back after `for` with their directories"},
+	"member_stop": {Members: true, HasDuration: true, Effect: "SIGSTOP, and SIGCONT after `for`"},
 	"member_cut": {Members: true, HasDuration: true,
-		Text: "links between them and the other members drop all data, in `direction`"},
+		Effect: "links between them and the other members drop all data, in `direction`"},
 	"member_damage": {Members: true,
-		Text: "killed, a file of each truncated at a random byte; one that rejects the file starts empty"},
+		Effect: "killed, a file of each truncated at a random byte; one that rejects the file starts empty"},
 
-	"list_down":  {HasDuration: true, Text: "the list service refuses connections"},
-	"list_slow":  {HasDuration: true, Needs: []string{"factor"}, Text: "calls take `factor` times as long"},
-	"list_stale": {HasDuration: true, Text: "it announces no change that happens meanwhile"},
+	"list_down": {HasDuration: true, Effect: "the list service refuses connections"},
+	"list_slow": {HasDuration: true, RequiredKeys: []string{"factor"},
+		Effect: "calls take `factor` times as long"},
+	"list_stale": {HasDuration: true, Effect: "it announces no change that happens meanwhile"},
 	"list_disk_full": {HasDuration: true,
-		Text: "it can store no change, and announces none that it cannot store"},
-	"list_rollback": {Needs: []string{"versions"},
-		Text: "its version goes back by `versions`, with its content"},
-	"list_power_loss": {Text: "it goes down, loses changes that were not synced, and is back after `for`"},
+		Effect: "it can store no change, and announces none that it cannot store"},
+	"list_rollback": {RequiredKeys: []string{"versions"},
+		Effect: "its version goes back by `versions`, with its content"},
+	"list_power_loss": {Effect: "it goes down, loses changes that were not synced, and is back after `for`"},
 }
 
-// Kind describes a kind of fault.
-type Kind struct {
+// FaultKind describes a kind of fault.
+type FaultKind struct {
 	Proxies, Servers, Zone, Links, Members, Hollow bool     // the kinds of its targets
 	Configs                                        bool     // it writes configurations
 	HasDuration                                    bool     // it lasts for the key `for`
-	Needs                                          []string // keys that must be greater than 0
-	Text                                           string   // description of its effect
+	RequiredKeys                                   []string // keys that must be greater than 0
+	Effect                                         string   // in a few words
 }
 
-// KindNames returns the names of the kinds in alphabetical order.
-func KindNames() []string {
+// FaultKindNames returns the names of the kinds in alphabetical order.
+func FaultKindNames() []string {
 	var out []string
-	for k := range Kinds {
+	for k := range FaultKinds {
 		out = append(out, k)
 	}
 	slices.Sort(out)
--- a/internal/faultlab/experiment/hollow.go
+++ b/internal/faultlab/experiment/hollow.go
@@ -121,8 +121,8 @@
 		if hollow.Relays && !exp.Cluster.Enabled {
 			c.report("hollow.relays", "relays are between members of the fleet: set fleet.on")
 		}
-		c.notNegative("hollow.calls", hollow.CallRate)
-		c.fraction("hollow.bad", hollow.FailedFraction)
+		c.checkNotNegative("hollow.calls", hollow.CallRate)
+		c.checkFraction("hollow.bad", hollow.FailedFraction)
 	}
 	seen := map[string]bool{}
 	for i, p := range exp.Phases {
@@ -142,7 +142,7 @@
 }
 
 // checkHollowFault checks the keys of faults of hollow servers and of configurations.
-func (c *checker) checkHollowFault(key string, fault Fault, kind Kind) {
+func (c *checker) checkHollowFault(key string, fault Fault, kind FaultKind) {
 	if kind.Configs {
 		c.checkConfigWrite(key, fault)
 		return
@@ -196,16 +196,18 @@
 var (
 	controlRoles   = []string{"proxy", "real", "nodo", "leader", "follower", "five", "regions"}
 	controlMetrics = []string{"in_b_s", "out_b_s", "calls_s", "cpu_pct", "memory_mb"}
-	controlPhase   = []string{"known_p50_ms", "known_p99_ms", "known_last_ms", "real_known_p50_ms", "real_known_p99_ms",
-		"real_known_last_ms", "confirmed_p50_ms", "confirmed_p99_ms", "confirmed_last_ms", "changes", "unknown", "turned",
-		"watches_most", "deaths", "buried_p50_ms", "buried_p99_ms", "buried_last_ms", "unburied",
-		"config_changes", "config_refused", "config_failed", "config_in_force_p50_ms", "config_in_force_p99_ms", "config_in_force_last_ms",
+	phaseMetrics   = []string{"known_p50_ms", "known_p99_ms", "known_last_ms", "real_known_p50_ms",
+		"real_known_p99_ms", "real_known_last_ms", "confirmed_p50_ms", "confirmed_p99_ms",
+		"confirmed_last_ms", "changes", "unknown", "turned", "watches_most", "deaths", "buried_p50_ms",
+		"buried_p99_ms", "buried_last_ms", "unburied", "config_changes", "config_refused", "config_failed",
+		"config_in_force_p50_ms", "config_in_force_p99_ms", "config_in_force_last_ms",
 		"config_confirmed_p50_ms", "config_confirmed_p99_ms", "config_confirmed_last_ms", "config_never"}
-	controlGossip = []string{"gossip_in_b_s", "gossip_out_b_s", "gossip_sent_s", "gossip_waiting", "gossip_entries",
-		"gossip_oldest_ms", "gossip_dropped", "living_least", "gossip_age_p50_ms", "gossip_age_p99_ms", "gossip_age_last_ms"}
-	controlFactors = []string{"calls", "in", "out", "cpu", "memory", "known", "gossip_in", "gossip_out", "gossip_sent",
-		"gossip_oldest"}
-	controlWhole = []string{"hollow_stall_ms", "list_failures", "list_moves", "list_age_last_ms"}
+	gossipMetrics = []string{"gossip_in_b_s", "gossip_out_b_s", "gossip_sent_s", "gossip_waiting",
+		"gossip_entries", "gossip_oldest_ms", "gossip_dropped", "living_least", "gossip_age_p50_ms",
+		"gossip_age_p99_ms", "gossip_age_last_ms"}
+	factorMetrics = []string{"calls", "in", "out", "cpu", "memory", "known", "gossip_in", "gossip_out",
+		"gossip_sent", "gossip_oldest"}
+	wholeRunControlMetrics = []string{"hollow_stall_ms", "list_failures", "list_moves", "list_age_last_ms"}
 )
 
 // isControlMetric reports whether the control plane has a metric of a name: PHASE.ROLE.METRIC,
@@ -213,7 +215,7 @@
 func isControlMetric(name string, exp *Experiment) bool {
 	phase, rest, ok := strings.Cut(name, ".")
 	if !ok {
-		return slices.Contains(controlWhole, name)
+		return slices.Contains(wholeRunControlMetrics, name)
 	}
 	if !slices.ContainsFunc(exp.Phases, func(p Phase) bool { return p.Name == phase }) {
 		return false
@@ -221,9 +223,10 @@
 	role, metric, dotted := strings.Cut(rest, ".")
 	switch {
 	case !dotted:
-		return slices.Contains(controlPhase, rest) || slices.Contains(controlGossip, strings.TrimPrefix(rest, "real_"))
+		return slices.Contains(phaseMetrics, rest) ||
+			slices.Contains(gossipMetrics, strings.TrimPrefix(rest, "real_"))
 	case role == "factor":
-		return slices.Contains(controlFactors, metric)
+		return slices.Contains(factorMetrics, metric)
 	}
 	return slices.Contains(controlRoles, role) && slices.Contains(controlMetrics, metric)
 }
--- a/internal/faultlab/experiment/read.go
+++ b/internal/faultlab/experiment/read.go
@@ -86,7 +86,7 @@
 		return nil, parseProblem(name, err)
 	}
 	for _, key := range meta.Undecoded() {
-		c.report(c.undecoded(key), "unknown key; the format is in docs/lab.md")
+		c.report(c.locateUndecoded(key), "unknown key; the format is in docs/lab.md")
 	}
 	c.check()
 	return exp, errors.Join(c.problems...)
@@ -204,9 +204,9 @@
 	c.problems = append(c.problems, Problem{c.file, line, key, fmt.Sprintf(format, args...)})
 }
 
-// undecoded returns an unknown key with the index of the list entry that contains it, since the TOML library
-// names only the list.
-func (c *checker) undecoded(key toml.Key) string {
+// locateUndecoded returns an unknown key with the index of the list entry that contains it, since the TOML
+// library names only the list.
+func (c *checker) locateUndecoded(key toml.Key) string {
 	plain := key.String()
 	for at := range c.lines {
 		if stripped := stripIndexes(at); stripped == plain {
--- a/internal/faultlab/plan/plan.go
+++ b/internal/faultlab/plan/plan.go
@@ -158,7 +158,7 @@
 // targets' times are spread evenly over the fault's spread; without one they are equal.
 func drawFault(exp *experiment.Experiment, fault experiment.Fault, n int, random *rand.Rand) PlannedFault {
 	planned := PlannedFault{Number: n, Fault: fault, At: experiment.Seconds(fault.At), Duration: experiment.Seconds(fault.Duration)}
-	kind := experiment.Kinds[fault.Kind]
+	kind := experiment.FaultKinds[fault.Kind]
 	var all []experiment.Node
 	given := fault.Proxies
 	switch {
--- a/internal/faultlab/result/calls.go
+++ b/internal/faultlab/result/calls.go
@@ -52,7 +52,7 @@
 // affectedBy selects the calls that a fault affects; false if calls could not avoid it.
 func affectedBy(s plan.PlannedFault) (affectedCalls, bool) {
 	f := s.Fault
-	kind := experiment.Kinds[f.Kind]
+	kind := experiment.FaultKinds[f.Kind]
 	one := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 	switch {
 	case f.Kind == "zone_loss":
--- a/internal/faultlab/run/timeline.go
+++ b/internal/faultlab/run/timeline.go
@@ -56,10 +56,10 @@
 // targetNames returns the names of a fault's targets: of proxies, servers or a zone, or only their number
 // where there are many.
 func targetNames(planned plan.PlannedFault) (names []string) {
-	if experiment.Kinds[planned.Fault.Kind].Hollow {
+	if experiment.FaultKinds[planned.Fault.Kind].Hollow {
 		return []string{fmt.Sprintf("%d hollow nodos", len(planned.Targets))}
 	}
-	if experiment.Kinds[planned.Fault.Kind].Configs {
+	if experiment.FaultKinds[planned.Fault.Kind].Configs {
 		return []string{fmt.Sprintf("%d configurations", len(planned.Targets))}
 	}
 	for _, target := range planned.Targets {
@@ -88,7 +88,7 @@
 
 // inject injects one fault, and returns when it has ended.
 func (t *timeline) inject(ctx context.Context, planned plan.PlannedFault) error {
-	kind := experiment.Kinds[planned.Fault.Kind]
+	kind := experiment.FaultKinds[planned.Fault.Kind]
 	switch {
 	case kind.Proxies:
 		return t.injectProxyFault(ctx, planned)
