--- a/internal/faultlab/plan/digest_test.go
+++ b/internal/faultlab/plan/digest_test.go
@@ -5,9 +5,11 @@
 	"testing"
 )
 
-// A digest is made of the plan in JSON: renamed fields keep their keys, so that digests in old results still compare.
+// The digest is computed from the plan in JSON. A renamed field must keep its JSON key, since otherwise
+// digests could not be compared with those in old results.
 func TestPlanKeepsItsKeysInDigests(t *testing.T) {
-	text, err := json.Marshal(Plan{Seed: 1, Arrivals: []Arrival{{Number: 2}}, Faults: []PlannedFault{{Number: 3, Targets: []Target{{Name: "a"}}}}})
+	text, err := json.Marshal(Plan{Seed: 1, Arrivals: []Arrival{{Number: 2}},
+		Faults: []PlannedFault{{Number: 3, Targets: []Target{{Name: "a"}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultlab/plan/plan.go
+++ b/internal/faultlab/plan/plan.go
@@ -1,8 +1,8 @@
-// Package plan draws everything random of a run from an experiment and a seed: arrivals with their classes, zones, work and sizes, and
-// the targets and times of faults. It never depends on time or machine: the same file and seed give the same plan, byte for byte, and
-// the same Digest.
+// Package plan draws everything random of a run from an experiment and a seed: arrivals with their classes,
+// zones, work and sizes, and the targets and times of faults. A plan does not depend on the time or the
+// machine: the same file and seed give the same plan, byte for byte, and the same Digest.
 //
-// Each concern has a random source of its own, so that one more fault does not change the arrivals.
+// Each part of a plan has a random source of its own, so that one more fault does not change the arrivals.
 package plan
 
 import (
@@ -18,50 +18,51 @@
 	"merlinpick/internal/faultlab/experiment"
 )
 
-// Arrival is a client's request, with the properties that all its attempts share. Its JSON keys are part of Digest, as are those of the
-// other types.
+// Arrival is a client's request, with the properties that all its attempts share. Digest covers its JSON
+// encoding, as that of the other types of this package.
 type Arrival struct {
 	Number         int           `json:"N"`
 	At             time.Duration // since the load started
 	Class          int
 	Zone           int
-	Work           time.Duration // on a slot of speed 1
+	Work           time.Duration // time that the request takes on a slot of speed 1
 	AttemptTimeout time.Duration `json:"Try"`    // deadline of each attempt
 	ResponseBytes  int           `json:"Answer"` // bytes
 	RequestBytes   int           `json:"Body"`
-	Key            string        // idempotency key, of a deduplicated class
+	Key            string        // idempotency key; empty unless the class is deduplicated
 }
 
-// ID is the unique id of an attempt, from 0: 16 hex digits.
+// ID returns the unique ID, 16 hexadecimal digits, of an attempt, with a number from 0, of an arrival.
 func (p *Plan) ID(a *Arrival, attempt int) string {
 	random := newSource(p.Seed, "id", uint64(a.Number)<<8|uint64(attempt))
 	return fmt.Sprintf("%016x", random.Uint64())
 }
 
-// Target is a target of a fault, and when the fault reaches it.
+// Target is a target of a fault, and the time at which the fault starts there.
 type Target struct {
-	At   time.Duration
-	Name string `json:"Target"`
+	At   time.Duration // since the load started
+	Name string        `json:"Target"`
 }
 
-// PlannedFault is a fault with its targets.
+// PlannedFault is a fault with its drawn targets.
 type PlannedFault struct {
 	Number   int `json:"N"` // from 1, as in the file
 	Fault    experiment.Fault
-	At       time.Duration
+	At       time.Duration // since the load started
 	Duration time.Duration `json:"For"`
-	Targets  []Target      `json:"Turns"` // of faults with individual targets
+	Targets  []Target      `json:"Turns"` // empty for kinds without individual targets
 }
 
-// Plan is the result of all draws.
+// Plan holds everything random of a run.
 type Plan struct {
 	Seed     uint64
 	Arrivals []Arrival
 	Faults   []PlannedFault `json:"Strikes"`
 }
 
-func newSource(seed uint64, concern string, n uint64) *rand.Rand {
-	sum := sha256.Sum256(fmt.Appendf(nil, "%s/%d", concern, n))
+// newSource returns a random source that depends on the seed, a name and a number.
+func newSource(seed uint64, name string, n uint64) *rand.Rand {
+	sum := sha256.Sum256(fmt.Appendf(nil, "%s/%d", name, n))
 	var salt uint64
 	for _, b := range sum[:8] {
 		salt = salt<<8 | uint64(b)
@@ -69,10 +70,10 @@
 	return rand.New(rand.NewPCG(seed, salt))
 }
 
-// Source is the random source of a concern of the run, the same for the same seed.
-func (p *Plan) Source(concern string) *rand.Rand { return newSource(p.Seed, concern, 0) }
+// Source returns the random source for a part of the run, which is the same for the same seed and name.
+func (p *Plan) Source(name string) *rand.Rand { return newSource(p.Seed, name, 0) }
 
-// Draw draws a plan.
+// Draw draws the plan of an experiment for a seed.
 func Draw(exp *experiment.Experiment, seed uint64) *Plan {
 	p := &Plan{Seed: seed}
 	p.drawArrivals(exp)
@@ -82,7 +83,8 @@
 	return p
 }
 
-// drawArrivals draws a Poisson process, by thinning one at the maximum rate, or places arrivals at equal steps of the rate's integral.
+// drawArrivals draws the arrivals as a Poisson process, by thinning one at the maximum rate, or places them
+// at equal steps of the rate's integral if they are evenly spaced.
 func (p *Plan) drawArrivals(exp *experiment.Experiment) {
 	times, random := newSource(p.Seed, "arrivals", 0), newSource(p.Seed, "requests", 0)
 	maxRate := 0.0
@@ -120,7 +122,8 @@
 	arrival.Zone = drawWeighted(random, len(exp.Zones), func(i int) float64 { return exp.Zones[i].Traffic })
 	class := exp.Classes[arrival.Class]
 	arrival.Work = experiment.Millis(uniform(random, class.WorkMs[0], class.WorkMs[1]))
-	arrival.AttemptTimeout = experiment.Millis(class.DeadlineMs * uniform(random, exp.Clients.AttemptFraction[0], exp.Clients.AttemptFraction[1]))
+	arrival.AttemptTimeout = experiment.Millis(class.DeadlineMs *
+		uniform(random, exp.Clients.AttemptFraction[0], exp.Clients.AttemptFraction[1]))
 	arrival.ResponseBytes = drawSize(random, class.ResponseBytes, 200)
 	if class.RetryClass != "idempotent" {
 		arrival.RequestBytes = drawSize(random, class.RequestBytes, 100)
@@ -131,33 +134,38 @@
 	return arrival
 }
 
+// uniform draws a number from a uniform distribution.
 func uniform(random *rand.Rand, from, to float64) float64 { return from + (to-from)*random.Float64() }
 
-func drawSize(random *rand.Rand, span []int, otherwise int) int {
+// drawSize draws a size from a span, or returns the default size without one.
+func drawSize(random *rand.Rand, span []int, defaultSize int) int {
 	if len(span) != 2 {
-		return otherwise
+		return defaultSize
 	}
 	return span[0] + random.IntN(span[1]-span[0]+1)
 }
 
+// drawWeighted draws an index below n with a probability in proportion to its weight.
 func drawWeighted(random *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
 		sum += weight(i)
 	}
-	x := random.Float64() * sum
+	rest := random.Float64() * sum
 	for i := range n {
-		if x -= weight(i); x < 0 {
+		if rest -= weight(i); rest < 0 {
 			return i
 		}
 	}
 	return n - 1
 }
 
-// drawFault draws a fault's targets. Given names are used in their order; else a share of those in the zone, or of all, is drawn. The
-// targets' times are spread evenly over the fault's spread; without one they are equal.
+// drawFault draws a fault's targets. Names that the fault gives are used in their order. Otherwise the
+// fault's share of the possible targets in the zone, or in all zones, is drawn. The targets' times are spread
+// evenly over the fault's spread; without a spread they are equal.
 func drawFault(exp *experiment.Experiment, fault experiment.Fault, n int, random *rand.Rand) PlannedFault {
-	planned := PlannedFault{Number: n, Fault: fault, At: experiment.Seconds(fault.At), Duration: experiment.Seconds(fault.Duration)}
+	planned := PlannedFault{Number: n, Fault: fault, At: experiment.Seconds(fault.At),
+		Duration: experiment.Seconds(fault.Duration)}
 	kind := experiment.FaultKinds[fault.Kind]
 	var all []experiment.Node
 	given := fault.Proxies
@@ -198,7 +206,8 @@
 	return planned
 }
 
-// configServices are the services of a fault's configuration writes: the fault's service, or all in turn.
+// configServices returns the services of a fault's configuration writes: always the fault's service, or all
+// services in turn.
 func configServices(exp *experiment.Experiment, fault experiment.Fault) (out []string) {
 	for i := range fault.Count {
 		service := fault.Service
@@ -210,7 +219,8 @@
 	return out
 }
 
-// hollowServers are the possible targets of a fault: the hollow servers, of the fault's service if it has one.
+// hollowServers returns the possible targets of a fault: the hollow servers, only those of the fault's
+// service if it has one.
 func hollowServers(exp *experiment.Experiment, fault experiment.Fault) (out []experiment.Node) {
 	for i, n := range exp.HollowServers() {
 		if fault.Service == 0 || exp.Hollow.BelongsToService(i, fault.Service) {
@@ -220,7 +230,7 @@
 	return out
 }
 
-// Digest is a digest of the complete plan, in hexadecimal.
+// Digest returns a digest of the complete plan, in hexadecimal.
 func (p *Plan) Digest() (string, error) {
 	text, err := json.Marshal(p)
 	if err != nil {
--- a/internal/faultlab/plan/plan_test.go
+++ b/internal/faultlab/plan/plan_test.go
@@ -9,12 +9,14 @@
 	"merlinpick/internal/faultlab/experiment"
 )
 
+// drawExperiment draws a random experiment.
 func drawExperiment(t *rapid.T) *experiment.Experiment {
 	exp := &experiment.Experiment{Seconds: rapid.Float64Range(1, 20).Draw(t, "seconds"),
 		Clients: experiment.Clients{AttemptFraction: []float64{0.4, 0.6}}}
 	for i := range rapid.IntRange(1, 3).Draw(t, "zones") {
-		exp.Zones = append(exp.Zones, experiment.Zone{Name: string(rune('a' + i)), Proxies: rapid.IntRange(1, 12).Draw(t, "proxies"),
-			Traffic: 1, Servers: []experiment.ServerGroup{{Count: rapid.IntRange(1, 9).Draw(t, "nodos")}}})
+		exp.Zones = append(exp.Zones, experiment.Zone{Name: string(rune('a' + i)),
+			Proxies: rapid.IntRange(1, 12).Draw(t, "proxies"), Traffic: 1,
+			Servers: []experiment.ServerGroup{{Count: rapid.IntRange(1, 9).Draw(t, "nodos")}}})
 	}
 	for _, repeat := range []string{"idempotent", "deduplicated", "at_most_once"} {
 		exp.Classes = append(exp.Classes, experiment.Class{Name: repeat, Share: 1, RetryClass: repeat, DeadlineMs: 100,
@@ -27,22 +29,23 @@
 	return exp
 }
 
-// The same file and seed give the same plan; another seed gives another; one more fault leaves the rest as it was.
+// The same experiment and seed give the same plan, and another seed gives another plan. One more fault does
+// not change the rest of the plan.
 func TestSameSeedDrawsSamePlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		exp, seed := drawExperiment(t), rapid.Uint64().Draw(t, "seed")
-		sum := func(exp *experiment.Experiment, seed uint64) string {
+		digest := func(exp *experiment.Experiment, seed uint64) string {
 			text, err := Draw(exp, seed).Digest()
 			if err != nil {
 				t.Fatal(err)
 			}
 			return text
 		}
-		if a, b := sum(exp, seed), sum(exp, seed); a != b {
-			t.Fatalf("plans %s and %s", a, b)
+		if a, b := digest(exp, seed), digest(exp, seed); a != b {
+			t.Fatalf("the same seed gives plans with the digests %s and %s", a, b)
 		}
 		p := Draw(exp, seed)
-		if len(p.Arrivals) > 5 && sum(exp, seed) == sum(exp, seed+1) {
+		if len(p.Arrivals) > 5 && digest(exp, seed) == digest(exp, seed+1) {
 			t.Fatal("another seed gives the same plan")
 		}
 		more := *exp
@@ -51,16 +54,18 @@
 		if !slices.Equal(p.Arrivals, q.Arrivals) || !slices.EqualFunc(p.Faults, q.Faults[:len(p.Faults)], func(a, b PlannedFault) bool {
 			return slices.Equal(a.Targets, b.Targets)
 		}) {
-			t.Fatal("a further fault changes what was drawn before it")
+			t.Fatal("one more fault changes the arrivals or the targets of other faults")
 		}
 		for i, arrival := range p.Arrivals {
 			if i > 0 && arrival.At < p.Arrivals[i-1].At || arrival.At >= experiment.Seconds(exp.Seconds) {
-				t.Fatalf("arrival %d at %v", i, arrival.At)
+				t.Fatalf("arrival %d at %v is before the previous one or after the end of the run", i,
+					arrival.At)
 			}
 		}
 	})
 }
 
+// A fault has as many different targets as its zone, share or names give, and none in other zones.
 func TestTargets(t *testing.T) {
 	exp := &experiment.Experiment{Seconds: 10, Zones: []experiment.Zone{{Name: "a", Proxies: 10}, {Name: "b", Proxies: 10}}}
 	for _, test := range []struct {
@@ -74,21 +79,22 @@
 		{experiment.Fault{Kind: "kill", Proxies: []string{"b-p2", "a-p1"}}, 2},
 	} {
 		exp.Faults = []experiment.Fault{test.fault}
-		turns := Draw(exp, 1).Faults[0].Targets
+		targets := Draw(exp, 1).Faults[0].Targets
 		seen := map[string]bool{}
-		for _, turn := range turns {
-			seen[turn.Name] = true
-			if z := test.fault.Zone; z != "" && turn.Name[:1] != z {
-				t.Errorf("%+v meets %s", test.fault, turn.Name)
+		for _, target := range targets {
+			seen[target.Name] = true
+			if z := test.fault.Zone; z != "" && target.Name[:1] != z {
+				t.Errorf("%+v: got target %s in another zone", test.fault, target.Name)
 			}
 		}
-		if len(seen) != test.want || len(turns) != test.want {
-			t.Errorf("%+v: %v, want %d targets", test.fault, turns, test.want)
+		if len(seen) != test.want || len(targets) != test.want {
+			t.Errorf("%+v: got targets %v, want %d different ones", test.fault, targets, test.want)
 		}
 	}
 }
 
-// Faults of hollow servers take all of a service, a share of all, or the first so many of a zone.
+// The targets of a fault of hollow servers are all servers of a service, a share of all, or the given number
+// from a zone.
 func TestHollowTargets(t *testing.T) {
 	exp := &experiment.Experiment{Seconds: 10, Zones: []experiment.Zone{{Name: "n"}, {Name: "s"}}}
 	exp.Hollow = experiment.Hollow{Servers: 24, ZonesPerRegion: 3, Services: 8}
@@ -109,11 +115,11 @@
 		test.fault.Kind = "hollow_replace"
 		planned := drawFault(exp, test.fault, 1, newSource(1, "fault", 0))
 		if len(planned.Targets) != test.want {
-			t.Errorf("%+v: %d turns, want %d", test.fault, len(planned.Targets), test.want)
+			t.Errorf("%+v: got %d targets, want %d", test.fault, len(planned.Targets), test.want)
 		}
-		for _, turn := range planned.Targets {
-			if z := zone[turn.Name]; z == "" || test.fault.Zone != "" && z != test.fault.Zone {
-				t.Errorf("%+v: meets %q of zone %q", test.fault, turn.Name, z)
+		for _, target := range planned.Targets {
+			if z := zone[target.Name]; z == "" || test.fault.Zone != "" && z != test.fault.Zone {
+				t.Errorf("%+v: got target %q in zone %q", test.fault, target.Name, z)
 			}
 		}
 	}
