--- a/internal/faultlab/soak/failures.go
+++ b/internal/faultlab/soak/failures.go
@@ -12,19 +12,19 @@
 
 const maxLogLine = 1 << 20 // bytes
 
-// failurePatterns are texts of a proxy's log that show a fault of the program.
+// failurePatterns are texts that show a failure of the program if they are in a proxy's log.
 var failurePatterns = []string{`msg="rule broken"`, "panic:", "fatal error:", "WARNING: DATA RACE", "panic serving"}
 
-// Failures returns the broken rules and crashes of a play and the lines of the proxies' logs below dir that show a fault; empty
-// if there are none.
+// Failures returns the failures of a play: the broken rules, the crashes, and the lines of the proxies' logs
+// below dir that show a failure.
 func Failures(p result.Play, dir string) (found []string, err error) {
 	for rule, count := range p.ViolationCounts {
 		if count > 0 {
-			found = append(found, fmt.Sprintf("%s broken %d times", rule, count))
+			found = append(found, fmt.Sprintf("rule %s broken %d times", rule, count))
 		}
 	}
 	for _, v := range p.Violations {
-		found = append(found, fmt.Sprintf("%s at %s by %s (nodo %s, try %s): %s", v.Rule,
+		found = append(found, fmt.Sprintf("rule %s broken at %s by %s (nodo %s, attempt %s): %s", v.Rule,
 			v.At.Format("15:04:05.000"), v.Proxy, v.Server, v.Attempt, v.Text))
 	}
 	if count := p.Metrics["crashed"]; count > 0 {
@@ -44,7 +44,7 @@
 	return found, nil
 }
 
-// scanLog returns the lines of a log that match a failure pattern, with the file's name.
+// scanLog returns the lines of a log that contain a failure pattern, with the file's name.
 func scanLog(path string) (found []string, err error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/faultlab/soak/soak.go
+++ b/internal/faultlab/soak/soak.go
@@ -1,5 +1,6 @@
-// Package soak generates experiments from a seed, of several zones and of faults that overlap, and finds the failures of a run:
-// broken rules, crashes, and signs of either in the proxies' logs. It ignores a run's metrics, and runs nothing itself.
+// Package soak generates experiments with several zones and overlapping faults from a seed, and finds the
+// failures of a run: broken rules, crashes, and signs of either in the proxies' logs. It ignores all other
+// metrics of a run, and runs nothing itself.
 package soak
 
 import (
@@ -14,37 +15,38 @@
 const (
 	loadSeconds     = 18.0
 	earliestFault   = 3.0  // seconds
-	latestFault     = 13.0 // seconds; a later fault has no time to take effect
-	overlaps        = 3    // moments at which faults overlap
-	overlapWindow   = 0.8  // seconds between the starts of faults that overlap
-	maxLeavePart    = 0.3  // of the attempts' clients that leave before the response, in half of the seeds
+	latestFault     = 13.0 // seconds; a later fault would have no time to take effect
+	overlaps        = 3    // number of moments at which faults overlap
+	overlapWindow   = 0.8  // maximum seconds between the starts of overlapping faults
+	maxLeavePart    = 0.3  // maximum fraction of the attempts that clients cancel, in half of the seeds
 	minProxies      = 3    // of a zone
 	maxProxies      = 5    // of a zone
 	largeOneIn      = 4    // one seed in so many has larger zones
-	minProxiesLarge = 8
-	maxProxiesLarge = 13
+	minProxiesLarge = 8    // of a larger zone
+	maxProxiesLarge = 13   // of a larger zone
 )
 
 // faultKind is a kind of fault and how its keys are drawn.
 type faultKind struct {
 	kind     string
-	drawKeys func(random *rand.Rand) string
-	duration [2]float64 // seconds, minimum and maximum
+	drawKeys func(random *rand.Rand) string // returns lines of the experiment file
+	duration [2]float64                     // seconds, minimum and maximum
 }
 
-// drawShare draws the share of the targets that a fault hits.
+// drawShare returns a function that draws the share of the possible targets that a fault affects.
 func drawShare(low, high float64) func(*rand.Rand) string {
 	return func(random *rand.Rand) string { return fmt.Sprintf("share = %.2f\n", low+(high-low)*random.Float64()) }
 }
 
-// drawKey draws a key before others.
+// drawKey returns a function that draws a number for a key, and then other keys.
 func drawKey(key string, low, high float64, others func(*rand.Rand) string) func(*rand.Rand) string {
 	return func(random *rand.Rand) string {
 		return fmt.Sprintf("%s = %.2f\n", key, low+(high-low)*random.Float64()) + others(random)
 	}
 }
 
-// drawVersions draws the number of further signals that a process gets while it ends, or none.
+// drawVersions returns a function that draws the number of further signals, if any, that a process gets while
+// it ends, and then other keys.
 func drawVersions(others func(*rand.Rand) string) func(*rand.Rand) string {
 	return func(random *rand.Rand) string {
 		signals := ""
@@ -55,12 +57,14 @@
 	}
 }
 
-// fixedKeys draws nothing.
+// fixedKeys returns a function that returns always the same keys.
 func fixedKeys(text string) func(*rand.Rand) string { return func(*rand.Rand) string { return text } }
 
-// oncePerRun are the kinds that a run has once: two of them could hit the same process, which is no fault of the program.
+// oncePerRun holds the kinds of faults that a run has at most once. Two of the same kind could affect the
+// same process, and a failure would then not be one of the program.
 var oncePerRun = map[string]bool{"kill": true, "restart": true, "upgrade": true, "power_loss": true}
 
+// faultKinds are the kinds of faults that are drawn.
 var faultKinds = []faultKind{
 	{"kill", drawShare(0.1, 0.4), [2]float64{0.5, 2}},
 	{"restart", drawVersions(drawKey("spread", 0, 2, drawShare(0.2, 0.7))), [2]float64{0.2, 1.5}},
@@ -91,7 +95,7 @@
 	{"list_slow", drawKey("factor", 5, 60, fixedKeys("")), [2]float64{1, 4}},
 }
 
-// Text returns the experiment file of a seed: always the same for the same seed.
+// Text returns the text of a seed's experiment file, which is always the same for the same seed.
 func Text(seed uint64) string {
 	random := rand.New(rand.NewPCG(seed, 41))
 	var out strings.Builder
@@ -108,7 +112,7 @@
 	return out.String()
 }
 
-// drawZones draws the sizes of the zones and their traffic.
+// drawZones draws the numbers of proxies and servers of the zones, and their traffic.
 func drawZones(random *rand.Rand) string {
 	low, high := minProxies, maxProxies
 	if random.IntN(largeOneIn) == 0 {
@@ -145,24 +149,25 @@
 	return out.String()
 }
 
-// drawClasses draws deadlines, deduplication windows and sizes for half of the seeds, with bodies and responses that exceed the
-// proxy's buffers.
+// drawClasses draws deadlines, deduplication windows and sizes for half of the seeds. Request bodies and
+// responses can exceed the proxy's buffers.
 func drawClasses(random *rand.Rand) string {
 	if random.IntN(2) == 0 {
 		return ""
 	}
 	body, response := 600<<random.IntN(10), 2000<<random.IntN(8)
 	scope := []string{"all", "zone", "cell"}[random.IntN(3)]
-	giveUp := 500 + random.IntN(1500)
+	deadline := 500 + random.IntN(1500)
 	return fmt.Sprintf("\n[[class]]\nname = \"alta-tarifa\"\nshare = 0.4\nwork_ms = [20, 60]\naim_ms = %[1]d\ngive_up_ms = %[1]d\n"+
 		"worth = 10\nrepeat = \"at_most_once\"\nbody_bytes = [100, %[2]d]\nanswer_bytes = [200, %[3]d]\n"+
 		"\n[[class]]\nname = \"lectura\"\nshare = 0.4\nwork_ms = [20, 60]\naim_ms = %[1]d\ngive_up_ms = %[1]d\nworth = 3\n"+
 		"repeat = \"deduplicated\"\nscope = %[4]q\nwindow_ms = %[5]d\nbody_bytes = [100, %[2]d]\n"+
 		"\n[[class]]\nname = \"consulta\"\nshare = 0.2\nwork_ms = [5, 30]\naim_ms = %[1]d\ngive_up_ms = %[1]d\nworth = 1\n"+
-		"repeat = \"idempotent\"\nanswer_bytes = [500, %[3]d]\n", giveUp, body, response, scope, 300+random.IntN(3000))
+		"repeat = \"idempotent\"\nanswer_bytes = [500, %[3]d]\n", deadline, body, response, scope,
+		300+random.IntN(3000))
 }
 
-// Draw returns the experiment of a seed and its file's text.
+// Draw returns the experiment of a seed and the text of its file.
 func Draw(seed uint64) (*experiment.Experiment, string, error) {
 	text := Text(seed)
 	parsed, err := experiment.Parse(fmt.Sprintf("soak-%d.toml", seed), text, experiments.Files.ReadFile)
--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -11,7 +11,8 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// Each seed gives a valid experiment, the same each time, with faults that overlap.
+// Each seed gives a valid experiment with overlapping faults, which is the same each time, and each kind of
+// fault is drawn for some seed.
 func TestSeedsDrawValidExperiments(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(300) {
@@ -23,7 +24,7 @@
 			t.Fatalf("seed %d draws another experiment the second time", seed)
 		}
 		if n := len(e.ProxyNodes()); n < 9 || n > 40 {
-			t.Errorf("seed %d: %d proxies", seed, n)
+			t.Errorf("seed %d: got %d proxies, want 9 to 40", seed, n)
 		}
 		if !haveOverlap(e) {
 			t.Errorf("seed %d: no two faults overlap:\n%s", seed, text)
@@ -39,6 +40,8 @@
 	}
 }
 
+// haveOverlap reports whether two faults of an experiment overlap or start within the overlap window of each
+// other.
 func haveOverlap(e *experiment.Experiment) bool {
 	for i, f := range e.Faults {
 		for _, g := range e.Faults[i+1:] {
@@ -50,18 +53,20 @@
 	return false
 }
 
-// Violations found by the referee or by a proxy, crashes, panics and races are found.
+// Failures reports violations that the referee or a proxy detected, crashes, panics and data races, and
+// nothing else.
 func TestFailures(t *testing.T) {
-	quiet := `time=x level=INFO msg=draining open=2` + "\n" + `time=x level=WARN msg="broken response" server=a` + "\n"
-	for _, c := range []struct {
+	harmless := `time=x level=INFO msg=draining open=2` + "\n" + `time=x level=WARN msg="broken response" server=a` + "\n"
+	for _, test := range []struct {
 		name  string
 		play  result.Play
 		lines string
 		want  []string
 	}{
 		{"nothing", result.Play{ViolationCounts: map[string]int{"lost": 0}}, "", nil},
-		{"a rule", result.Play{ViolationCounts: map[string]int{"lost": 2}, Violations: []referee.Violation{{Rule: "lost", Proxy: "a-p1", Text: "nothing came"}}}, "",
-			[]string{"lost broken 2 times", "nothing came"}},
+		{"a rule", result.Play{ViolationCounts: map[string]int{"lost": 2},
+			Violations: []referee.Violation{{Rule: "lost", Proxy: "a-p1", Text: "nothing came"}}}, "",
+			[]string{"rule lost broken 2 times", "nothing came"}},
 		{"a crash", result.Play{Metrics: map[string]float64{"crashed": 1}}, "", []string{"1 proxies crashed"}},
 		{"a rule that the proxy saw", result.Play{}, `level=ERROR msg="rule broken" rule=second_copy request=7` + "\n", []string{"rule=second_copy request=7"}},
 		{"a panic", result.Play{}, "panic: runtime error: index out of range\n", []string{"index out of range"}},
@@ -72,20 +77,21 @@
 		if err := os.Mkdir(filepath.Join(dir, "logs"), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(dir, "logs", "a-p1.log"), []byte(quiet+c.lines), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, "logs", "a-p1.log"), []byte(harmless+test.lines),
+			0o644); err != nil {
 			t.Fatal(err)
 		}
-		found, err := Failures(c.play, dir)
+		found, err := Failures(test.play, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		all := strings.Join(found, "\n")
-		if (len(found) > 0) != (len(c.want) > 0) {
-			t.Errorf("%s: found %q", c.name, found)
+		if (len(found) > 0) != (len(test.want) > 0) {
+			t.Errorf("%s: unexpected failures %q", test.name, found)
 		}
-		for _, want := range c.want {
+		for _, want := range test.want {
 			if !strings.Contains(all, want) {
-				t.Errorf("%s: found %q, want %q", c.name, found, want)
+				t.Errorf("%s: found %q, want %q", test.name, found, want)
 			}
 		}
 	}
