--- a/internal/faultlab/report/charts.go
+++ b/internal/faultlab/report/charts.go
@@ -20,19 +20,20 @@
 const (
 	pictureWidth   = 26 * vg.Centimeter
 	pictureHeight  = 9 * vg.Centimeter
-	legendHeadroom = 1.3 // of the highest rate
+	legendHeadroom = 1.3 // height of the rate chart as a multiple of the highest rate
 )
 
 var (
-	green = color.RGBA{R: 40, G: 140, B: 70, A: 255}
-	amber = color.RGBA{R: 230, G: 150, B: 20, A: 255}
-	red   = color.RGBA{R: 200, G: 40, B: 40, A: 255}
-	blue  = color.RGBA{R: 40, G: 90, B: 180, A: 255}
-	shade = color.RGBA{R: 120, G: 120, B: 160, A: 40}
-	hues  = []color.RGBA{blue, green, amber, red, {R: 130, G: 60, B: 160, A: 255}}
+	green       = color.RGBA{R: 40, G: 140, B: 70, A: 255}
+	amber       = color.RGBA{R: 230, G: 150, B: 20, A: 255}
+	red         = color.RGBA{R: 200, G: 40, B: 40, A: 255}
+	blue        = color.RGBA{R: 40, G: 90, B: 180, A: 255}
+	faultShade  = color.RGBA{R: 120, G: 120, B: 160, A: 40}
+	classColors = []color.RGBA{blue, green, amber, red, {R: 130, G: 60, B: 160, A: 255}}
 )
 
-// rateChart shows arrived, served, rejected and failed requests a second, with the faults as shaded spans.
+// rateChart draws the rates of arrived, served, rejected and failed requests, with the faults as shaded
+// spans.
 func rateChart(p result.Play) (template.HTML, error) {
 	chart := plot.New()
 	chart.Title.Text = "requests a second, by arrival"
@@ -48,29 +49,30 @@
 		highest = max(highest, float64(w.Arrived)/width)
 	}
 	chart.Y.Max = highest * legendHeadroom
-	for _, ev := range p.Events {
-		if err := addFault(chart, ev, width/4, highest); err != nil {
+	for _, event := range p.Events {
+		if err := addFault(chart, event, width/4, highest); err != nil {
 			return "", err
 		}
 	}
-	for _, l := range rateLines {
-		if err := addRate(chart, l, p.Windows, width); err != nil {
+	for _, line := range rateLines {
+		if err := addRate(chart, line, p.Windows, width); err != nil {
 			return "", err
 		}
 	}
 	return svg(chart)
 }
 
-// addFault shades the span of a fault, at least minWidth seconds of it, and labels it.
-func addFault(chart *plot.Plot, ev result.Event, minWidth, height float64) error {
-	end := max(ev.End, ev.Start+minWidth)
-	span, err := plotter.NewPolygon(plotter.XYs{{X: ev.Start, Y: 0}, {X: end, Y: 0}, {X: end, Y: height}, {X: ev.Start, Y: height}})
+// addFault shades the span of a fault, with a width of at least minWidth seconds, and labels it.
+func addFault(chart *plot.Plot, event result.Event, minWidth, height float64) error {
+	end := max(event.End, event.Start+minWidth)
+	span, err := plotter.NewPolygon(plotter.XYs{{X: event.Start, Y: 0}, {X: end, Y: 0}, {X: end, Y: height},
+		{X: event.Start, Y: height}})
 	if err != nil {
 		return err
 	}
-	span.Color, span.LineStyle.Width = shade, 0
-	label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: ev.Start, Y: height}},
-		Labels: []string{fmt.Sprintf("%d %s", ev.Number, ev.Kind)}})
+	span.Color, span.LineStyle.Width = faultShade, 0
+	label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: event.Start, Y: height}},
+		Labels: []string{fmt.Sprintf("%d %s", event.Number, event.Kind)}})
 	if err != nil {
 		return err
 	}
@@ -80,9 +82,9 @@
 
 // rateLine is one line of the rate chart.
 type rateLine struct {
-	name  string
-	hue   color.RGBA
-	count func(result.Window) int
+	name      string
+	lineColor color.RGBA
+	count     func(result.Window) int
 }
 
 var rateLines = []rateLine{
@@ -92,7 +94,7 @@
 	{"failed", red, func(w result.Window) int { return w.Failed }},
 }
 
-// addRate adds the line of the rates of windows of some seconds each.
+// addRate adds a line to the rate chart. Each window is width seconds long.
 func addRate(chart *plot.Plot, l rateLine, windows []result.Window, width float64) error {
 	if len(windows) == 0 {
 		return nil
@@ -105,16 +107,16 @@
 	if err != nil {
 		return err
 	}
-	line.Color, line.Width = l.hue, vg.Points(1.3)
+	line.Color, line.Width = l.lineColor, vg.Points(1.3)
 	chart.Add(line)
 	chart.Legend.Add(l.name, line)
 	return nil
 }
 
-// latencyChart shows each class's latency at rising percentiles.
+// latencyChart draws each class's latency at rising percentiles.
 func latencyChart(p result.Play) (template.HTML, error) {
 	chart := plot.New()
-	chart.Title.Text = "latency of what was served, from the planned arrival"
+	chart.Title.Text = "latency of served requests, from the planned arrival"
 	chart.X.Label.Text, chart.Y.Label.Text = "percentile", "ms"
 	chart.Y.Min = 0
 	chart.Legend.Top, chart.Legend.Left = true, true
@@ -137,8 +139,8 @@
 		if err != nil {
 			return "", err
 		}
-		hue := hues[i%len(hues)]
-		line.Color, points.Color = hue, hue
+		lineColor := classColors[i%len(classColors)]
+		line.Color, points.Color = lineColor, lineColor
 		points.Shape = draw.CircleGlyph{}
 		chart.Add(line, points)
 		chart.Legend.Add(name, line)
@@ -146,7 +148,7 @@
 	return svg(chart)
 }
 
-// svg draws a chart as an element of a page.
+// svg draws a chart as an SVG element of a page.
 func svg(chart *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(pictureWidth, pictureHeight)
 	chart.Draw(draw.New(canvas))
@@ -154,7 +156,7 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	// The prologue before the element is for a file of its own.
+	// The prologue before the element is for an SVG file only.
 	text := out.String()
 	if i := strings.Index(text, "<svg"); i >= 0 {
 		text = text[i:]
--- a/internal/faultlab/report/html_test.go
+++ b/internal/faultlab/report/html_test.go
@@ -32,7 +32,7 @@
 	for _, want := range []string{"a title", "in_time", "play 1: bad", "3: kill", "z-p1", "0.875", "not within", "VOID: late", "pay",
 		"42", "lost", "z-p2", "z-s3", "00ff", "nothing came", "served"} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 }
--- a/internal/faultlab/report/page.go
+++ b/internal/faultlab/report/page.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	slowestShown = 5 // faults
+	slowestShown = 5 // number of faults with the longest recovery that the page shows
 	clockFormat  = "15:04:05.000"
 )
 
-// page is the data of the template, which uses these types only: a field of a result that is renamed fails to compile here
-// rather than when a page is written. Times without a format are in seconds from the start of the load.
+// page holds the data of the page's template, which uses only the types of this file. A renamed field of a
+// result is thus a compile error here and not an error when a page is written. Times that are numbers are in
+// seconds since the start of the load, unless noted.
 type page struct {
 	Title, File, Version string
 	StartedAt            string // UTC
 	Verdict              string
 	Cores                int
-	LoadBefore           float64 // load average of a minute
-	LoadAfter            float64
+	LoadBefore           float64 // the machine's load average over one minute, before the run
+	LoadAfter            float64 // and after it
 	Expectations         []expectation
 	SlowestFaults        []faultRow
 	Plays                []play
@@ -31,15 +32,17 @@
 	Metrics              []metricRow
 }
 
+// expectation is the verdict on an expectation.
 type expectation struct {
 	Metric   string
 	Min, Max string // bounds; empty if there is none
 	Median   string
-	Span     string // of the arrivals that count; empty: all
+	Span     string // of the arrivals that count; empty for all
 	Held     bool
 	Text     string
 }
 
+// faultRow is an injected fault with the service's recovery from it.
 type faultRow struct {
 	Play          int // from 1
 	Number        int
@@ -47,10 +50,11 @@
 	Targets       string
 	Start, End    float64
 	WeightBefore  float64
-	Recovery      float64
+	Recovery      float64 // seconds
 	StillDegraded bool
 }
 
+// play holds the results of one play.
 type play struct {
 	Number                                int // from 1
 	Seed                                  uint64
@@ -66,22 +70,27 @@
 	Violations                            []violation
 }
 
+// zoneRow holds the numbers of attempts from one zone to each zone.
 type zoneRow struct {
 	From string
 	To   []int // in the order of Zones
 }
 
+// violation is a detected violation of a rule.
 type violation struct {
 	Rule, RuleText, At, Proxy, Server, Attempt, Text string
 }
 
+// metricRow is a metric over all plays.
 type metricRow struct {
 	Name, Median, Spread string
 }
 
+// newPage returns the page of a result.
 func newPage(r *result.Result) (*page, error) {
-	p := &page{Title: r.Title, File: r.File, Version: r.Version, StartedAt: r.StartedAt.Format("2006-01-02 15:04:05"),
-		Verdict: verdict(r), Cores: r.Machine.Cores, LoadBefore: r.Machine.LoadBefore[0], LoadAfter: r.Machine.LoadAfter[0],
+	p := &page{Title: r.Title, File: r.File, Version: r.Version,
+		StartedAt: r.StartedAt.Format("2006-01-02 15:04:05"), Verdict: verdict(r), Cores: r.Machine.Cores,
+		LoadBefore: r.Machine.LoadBefore[0], LoadAfter: r.Machine.LoadAfter[0],
 		SlowestFaults: slowestFaults(r)}
 	for _, e := range r.Expected {
 		p.Expectations = append(p.Expectations, newExpectation(e))
@@ -93,8 +102,8 @@
 		values := r.Metrics[name]
 		p.Metrics = append(p.Metrics, metricRow{name, formatNumber(values.Median), formatSpread(values)})
 	}
-	for i, one := range r.Plays {
-		shown, err := newPlay(i+1, one)
+	for i, playResult := range r.Plays {
+		shown, err := newPlay(i+1, playResult)
 		if err != nil {
 			return nil, err
 		}
@@ -118,8 +127,9 @@
 }
 
 func newPlay(number int, p result.Play) (play, error) {
-	out := play{Number: number, Seed: p.Seed, Void: p.Void, Partial: p.Partial, LatenessP50: p.Lateness.P50, LatenessP99: p.Lateness.P99,
-		LatenessMax: p.Lateness.Max, LongestStall: p.Lateness.Stall, LabMemory: p.LabMB, Latency: p.Latency, Zones: p.Zones}
+	out := play{Number: number, Seed: p.Seed, Void: p.Void, Partial: p.Partial, LatenessP50: p.Lateness.P50,
+		LatenessP99: p.Lateness.P99, LatenessMax: p.Lateness.Max, LongestStall: p.Lateness.Stall,
+		LabMemory: p.LabMB, Latency: p.Latency, Zones: p.Zones}
 	for _, draw := range []func(result.Play) (template.HTML, error){rateChart, latencyChart} {
 		picture, err := draw(p)
 		if err != nil {
@@ -141,19 +151,22 @@
 func slowestFaults(r *result.Result) []faultRow {
 	var out []faultRow
 	for i, p := range r.Plays {
-		for _, ev := range p.Events {
-			out = append(out, faultRow{Play: i + 1, Number: ev.Number, Kind: ev.Kind, Targets: strings.Join(ev.Target, " "), Start: ev.Start,
-				End: ev.End, WeightBefore: ev.WeightBefore, Recovery: ev.Recovery, StillDegraded: ev.StillDegraded})
+		for _, event := range p.Events {
+			out = append(out, faultRow{Play: i + 1, Number: event.Number, Kind: event.Kind,
+				Targets: strings.Join(event.Target, " "), Start: event.Start, End: event.End,
+				WeightBefore: event.WeightBefore, Recovery: event.Recovery,
+				StillDegraded: event.StillDegraded})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b faultRow) int { return cmp.Compare(b.Recovery, a.Recovery) })
 	return out[:min(slowestShown, len(out))]
 }
 
+// verdict returns the verdict on a run, or why there is none.
 func verdict(r *result.Result) string {
 	switch {
 	case r.Partial != "":
-		return "PARTIAL: " + r.Partial + ". Nothing is judged."
+		return "PARTIAL: " + r.Partial + ". There is no verdict."
 	case r.VoidReason() != "":
 		return "VOID: " + r.VoidReason()
 	case !r.Held:
--- a/internal/faultlab/report/report_test.go
+++ b/internal/faultlab/report/report_test.go
@@ -11,15 +11,15 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// sampleResult has every part that a report shows.
+// sampleResult returns a result that has every part that a report shows.
 func sampleResult() *result.Result {
-	max := 3.0
+	bound := 3.0
 	at := time.Date(2026, 1, 2, 3, 4, 5, 678e6, time.UTC)
 	return &result.Result{
 		Title: "sample", File: "sample.toml", Version: "v1", StartedAt: at,
 		Metrics: map[string]result.Range{"goodput": {Median: 0.5, Min: 0.25, Max: 1}, "control.calm.proxy.in_b_s": {Median: 1234}},
-		Expected: []result.Verdict{{Metric: "broken.lost", Max: &max, Start: 1, End: 2, Text: "in play 1"},
-			{Metric: "goodput", Max: &max, Held: true}},
+		Expected: []result.Verdict{{Metric: "broken.lost", Max: &bound, Start: 1, End: 2, Text: "in play 1"},
+			{Metric: "goodput", Max: &bound, Held: true}},
 		Plays: []result.Play{{
 			Seed: 7, Plan: "abc", Lateness: result.Lateness{P50: 0.1, P99: 0.2, Max: 3, Stall: 4}, LabMB: 50,
 			Violations: []referee.Violation{{Rule: "lost", At: at, Proxy: "proxy-1", Server: "server-2", Attempt: "attempt-3", Text: "no answer"}},
@@ -33,7 +33,7 @@
 	}
 }
 
-// The page shows every part of a result, violations and faults included.
+// The page shows every part of a result, with numbers and times formatted.
 func TestHTMLFormatsEachPart(t *testing.T) {
 	dir := t.TempDir()
 	if err := HTML(dir, sampleResult()); err != nil {
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	for _, want := range []string{
-		"<h1>sample</h1>", "<b>NOT HELD</b>", "begun 2026-01-02 03:04:05 UTC, program v1",
+		"<h1>sample</h1>", "<b>NOT HELD</b>", "started 2026-01-02 03:04:05 UTC, program v1",
 		`<td>broken.lost</td>`, `<td class="n">&le; 3</td>`, "<td>1 to 2 s</td><td>in play 1</td>",
 		`<td>2: cut</td><td></td><td>3.0, 4.0</td>` + "\n" + `<td class="n">0.800</td><td class="n">not within 2.5</td>`,
 		`<td>1: kill</td><td>proxy-1</td><td>1.0, 2.0</td>` + "\n" + `<td class="n">0.900</td><td class="n">1.5</td>`,
@@ -54,7 +54,7 @@
 		`<tr><td>goodput</td><td class="n">0.5</td><td class="n">0.25..1</td></tr>`, "<svg",
 	} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 		"1 of 2 expectations held",
 	} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the table lacks %q:\n%s", want, out.String())
+			t.Errorf("the table does not contain %q:\n%s", want, out.String())
 		}
 	}
 }
--- a/internal/faultlab/report/text.go
+++ b/internal/faultlab/report/text.go
@@ -1,5 +1,5 @@
-// Package report renders the results of fault-lab runs for people: an HTML page, a text table and a comparison of two runs. It
-// reads result.Result only, and never evaluates a run.
+// Package report renders the results of fault-lab runs for people: an HTML page, a text table and a
+// comparison of two runs. It only reads result.Result, and never evaluates a run.
 package report
 
 import (
@@ -14,7 +14,7 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-const violationsShown = 10
+const violationsShown = 10 // of a play
 
 // Text prints a run's metrics, faults, violations and verdicts.
 func Text(w io.Writer, r *result.Result) error {
@@ -41,24 +41,26 @@
 	return t.Flush()
 }
 
+// writeFaults prints the faults of a play and the recovery from each.
 func writeFaults(w io.Writer, play int, p result.Play) {
-	for _, ev := range p.Events {
-		recovery := fmt.Sprintf("back to 95 %% after %.1f s", ev.Recovery)
+	for _, event := range p.Events {
+		recovery := fmt.Sprintf("back to 95 %% after %.1f s", event.Recovery)
 		switch {
-		case ev.StillDegraded:
-			recovery = fmt.Sprintf("not back %.1f s later", ev.Recovery)
-		case ev.Recovery == 0:
-			recovery = "service stayed over 95 %"
+		case event.StillDegraded:
+			recovery = fmt.Sprintf("not back %.1f s later", event.Recovery)
+		case event.Recovery == 0:
+			recovery = "service stayed above 95 %"
 		}
-		fmt.Fprintf(w, "play %d, fault %d: %s %s from %.1f to %.1f s: %s\n", play, ev.Number, ev.Kind,
-			strings.Join(ev.Target, " "), ev.Start, ev.End, recovery)
+		fmt.Fprintf(w, "play %d, fault %d: %s %s from %.1f to %.1f s: %s\n", play, event.Number, event.Kind,
+			strings.Join(event.Target, " "), event.Start, event.End, recovery)
 	}
 }
 
+// writeViolations prints the first violations of a play.
 func writeViolations(w io.Writer, play int, p result.Play) {
 	for i, v := range p.Violations {
 		if i == violationsShown {
-			fmt.Fprintf(w, "play %d: further breaches in result.json\n", play)
+			fmt.Fprintf(w, "play %d: further violations are in result.json\n", play)
 			return
 		}
 		fmt.Fprintf(w, "play %d: BROKEN %s: %s (proxy %s, nodo %s, request %s): %s\n", play, v.Rule,
@@ -66,7 +68,7 @@
 	}
 }
 
-// writeExpectations prints the expectations that did not hold, and how many did.
+// writeExpectations prints the expectations that did not hold, and the number of those that did.
 func writeExpectations(w io.Writer, r *result.Result) {
 	held := 0
 	for _, v := range r.Expected {
@@ -82,7 +84,7 @@
 	fmt.Fprintf(w, "%d of %d expectations held\n", held, len(r.Expected))
 }
 
-// formatInvalid says why a play does not count; empty if it does.
+// formatInvalid returns why a play does not count. It is empty if the play counts.
 func formatInvalid(p result.Play) string {
 	switch {
 	case p.Void != "":
@@ -93,7 +95,8 @@
 	return ""
 }
 
-// formatNumber returns four significant digits, or all digits of an integer.
+// formatNumber formats a number with four significant digits, or with all digits if it is an integer below a
+// billion.
 func formatNumber(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e9 {
 		return fmt.Sprintf("%.0f", v)
@@ -101,14 +104,14 @@
 	return fmt.Sprintf("%.4g", v)
 }
 
-// Compare prints the metrics of two runs with their differences. A difference is within the spread if the ranges of the two
-// runs' plays overlap; runs of a single play have no spread.
+// Compare prints the metrics of two runs with their differences. A difference is within the spread if the
+// ranges of the two runs' plays overlap. Runs of a single play have no spread.
 func Compare(w io.Writer, a, b *result.Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "A: %s, %d plays, version %s\nB: %s, %d plays, version %s\n", a.Title, len(a.Plays), a.Version, b.Title,
 		len(b.Plays), b.Version)
 	if a.Title != b.Title {
-		fmt.Fprintln(t, "the experiments differ: compare with care")
+		fmt.Fprintln(t, "the runs are of different experiments: compare their figures with care")
 	}
 	for name, r := range map[string]*result.Result{"A": a, "B": b} {
 		if why := r.VoidReason(); why != "" {
@@ -122,11 +125,13 @@
 		x, inA := a.Metrics[name]
 		y, inB := b.Metrics[name]
 		if !inA || !inB {
-			fmt.Fprintf(t, "%s\t%s\t\t%s\t\t\tin one only\n", name, formatMedian(x, inA), formatMedian(y, inB))
+			fmt.Fprintf(t, "%s\t%s\t\t%s\t\t\tin one run only\n", name, formatMedian(x, inA),
+				formatMedian(y, inB))
 			continue
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%+.4g\t%s\n", name, formatNumber(x.Median), formatSpread(x), formatNumber(y.Median), formatSpread(y),
-			y.Median-x.Median, compareSpreads(x, y, len(a.Plays), len(b.Plays)))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%+.4g\t%s\n", name, formatNumber(x.Median), formatSpread(x),
+			formatNumber(y.Median), formatSpread(y), y.Median-x.Median,
+			compareSpreads(x, y, len(a.Plays), len(b.Plays)))
 	}
 	return t.Flush()
 }
@@ -139,15 +144,16 @@
 	return formatNumber(r.Median)
 }
 
+// formatSpread returns the minimum and the maximum of a range.
 func formatSpread(r result.Range) string { return formatNumber(r.Min) + ".." + formatNumber(r.Max) }
 
-// compareSpreads classifies the difference of two ranges over some plays each.
+// compareSpreads returns how two ranges differ, each of which is over a number of plays.
 func compareSpreads(x, y result.Range, playsA, playsB int) string {
 	switch {
 	case x == y:
 		return "same"
 	case playsA < 2 && playsB < 2:
-		return "single plays: no spread known"
+		return "single plays, so the spread is unknown"
 	case x.Min <= y.Max && y.Min <= x.Max:
 		return "within the spread"
 	}
--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -56,7 +56,8 @@
 // Failures reports violations that the referee or a proxy detected, crashes, panics and data races, and
 // nothing else.
 func TestFailures(t *testing.T) {
-	harmless := `time=x level=INFO msg=draining open=2` + "\n" + `time=x level=WARN msg="broken response" server=a` + "\n"
+	harmless := `time=x level=INFO msg=draining open=2` + "\n" +
+		`time=x level=WARN msg="broken response" server=a` + "\n"
 	for _, test := range []struct {
 		name  string
 		play  result.Play
