--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -1,8 +1,10 @@
-// Package load runs the clients, which arrive by the plan and make their attempts, and the front that distributes their connections
-// over the proxies. It records what happens with the referee and never judges.
+// Package load runs the clients, which arrive as planned and make attempts, and the front, a load balancer
+// that distributes their connections over the proxies. It records all events with the referee and never
+// checks a rule itself.
 //
-// The loop is open: an arrival waits for no earlier one, and its latency counts from the planned time. The lateness of each arrival is
-// recorded, so that a run with a late lab can be recognized.
+// The load is an open loop: an arrival does not wait for earlier ones, and its latency counts from the
+// planned time. The lateness of each arrival is recorded, so that a run in which the lab was late can be
+// recognized.
 package load
 
 import (
@@ -29,29 +31,30 @@
 )
 
 const (
-	lateResponseWindow = 600 * time.Millisecond // after an attempt's deadline, in which a response is late and not lost
-	// Half of the cancellations come before most responses.
+	// A response within this time after an attempt's deadline counts as late and not as lost.
+	lateResponseWindow = 600 * time.Millisecond
+	// With this maximum, half of the cancellations come before most responses.
 	maxCancelDelay   = 300 * time.Millisecond
-	minAttemptTime   = 20 * time.Millisecond // a retry with less time is not made
+	minAttemptTime   = 20 * time.Millisecond // there is no retry with less time before the deadline
 	maxResponseBytes = 64 << 20
 )
 
-// Client plays the arrivals of a plan.
+// Client makes the requests of all clients of a plan.
 type Client struct {
 	experiment *experiment.Experiment
 	plan       *plan.Plan
 	front      *Front
 	referee    *referee.Referee
-	pools      map[string]*pool
+	pools      map[string]*pool // by the clients' zone
 
 	mu       sync.Mutex
-	jobs     map[string]stubserver.Job // by the id of an attempt in flight
+	jobs     map[string]stubserver.Job // by the ID of the attempt; of attempts in flight
 	rng      *rand.Rand
 	lateness []time.Duration // of each arrival
 	running  sync.WaitGroup
 }
 
-// New returns the clients of a run.
+// New returns a Client for the arrivals of a plan.
 func New(exp *experiment.Experiment, p *plan.Plan, f *Front, ref *referee.Referee) *Client {
 	c := &Client{experiment: exp, plan: p, front: f, referee: ref, pools: map[string]*pool{}, jobs: map[string]stubserver.Job{},
 		rng: p.Source("clients")}
@@ -61,7 +64,7 @@
 	return c
 }
 
-// Job is the work of a request, for servers; false if its id is unknown.
+// Job returns the work of a request, for servers. It returns false if the request's ID is unknown.
 func (c *Client) Job(id string) (stubserver.Job, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,25 +72,27 @@
 	return j, ok
 }
 
+// intn returns a random number from 0 to n-1. It is safe for concurrent use.
 func (c *Client) intn(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(n)
 }
 
-// drawCancel draws whether the client of an attempt cancels it.
+// drawCancel draws whether a client cancels an attempt.
 func (c *Client) drawCancel() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.experiment.Clients.CancelFraction > 0 && c.rng.Float64() < c.experiment.Clients.CancelFraction
 }
 
-// Run makes all arrivals, with planned times from start, and returns when every attempt has ended, or soon after the context has.
+// Run runs all arrivals, whose planned times count from start. It returns when every attempt has ended, or
+// soon after the context has ended.
 func (c *Client) Run(ctx context.Context, start time.Time) {
-	swept, stop := context.WithCancel(context.Background())
+	sweepCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
-		for sleep.For(swept, sweepInterval) {
+		for sleep.For(sweepCtx, sweepInterval) {
 			for _, p := range c.pools {
 				p.sweep(c.referee)
 			}
@@ -102,7 +107,7 @@
 		c.mu.Lock()
 		c.lateness = append(c.lateness, late)
 		c.mu.Unlock()
-		c.running.Go(func() { c.serveArrival(ctx, arrival, start.Add(arrival.At)) })
+		c.running.Go(func() { c.runClient(ctx, arrival, start.Add(arrival.At)) })
 	}
 	c.running.Wait()
 	for _, p := range c.pools {
@@ -110,55 +115,56 @@
 	}
 }
 
-// Lateness is the delay of each arrival so far.
+// Lateness returns the delay of each arrival so far.
 func (c *Client) Lateness() []time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]time.Duration(nil), c.lateness...)
 }
 
-// attemptResult is what a client knows of an attempt at its end, with the server's Retry-After.
+// attemptResult is the outcome of an attempt as the client sees it, with the Retry-After of the response.
 type attemptResult struct {
 	outcome    referee.Outcome
 	retryAfter time.Duration
 }
 
-// attemptRequest is an attempt with the bytes of its request and the work that it is for servers.
+// attemptRequest is an attempt with the bytes of its request and the work that it causes at a server.
 type attemptRequest struct {
 	attempt *referee.ClientAttempt
 	bytes   []byte
 	job     stubserver.Job
 }
 
-// serveArrival is one client, from its first attempt to its last.
-func (c *Client) serveArrival(ctx context.Context, arrival *plan.Arrival, planned time.Time) {
+// runClient runs one client, from its first attempt to its last.
+func (c *Client) runClient(ctx context.Context, arrival *plan.Arrival, planned time.Time) {
 	class := c.experiment.Classes[arrival.Class]
 	deadline := planned.Add(experiment.Millis(class.DeadlineMs))
-	firstExecution := time.Time{} // earliest end of an attempt that may have executed
+	firstExecution := time.Time{} // earliest end of an attempt that may have been executed
 	for number := 0; number <= c.experiment.Clients.Retries; number++ {
 		left := time.Until(deadline)
 		if left < minAttemptTime && number > 0 {
 			return
 		}
-		attempted := c.attempt(ctx, arrival, number, min(arrival.AttemptTimeout, left))
-		if attempted.outcome == referee.Served || ctx.Err() != nil {
+		result := c.attempt(ctx, arrival, number, min(arrival.AttemptTimeout, left))
+		if result.outcome == referee.Served || ctx.Err() != nil {
 			return
 		}
-		notExecuted := attempted.outcome == referee.Rejected || attempted.outcome == referee.Unreached
+		notExecuted := result.outcome == referee.Rejected || result.outcome == referee.Unreached
 		if firstExecution.IsZero() && !notExecuted {
 			firstExecution = time.Now()
 		}
 		if !mayRetry(class, firstExecution, notExecuted) {
 			return
 		}
-		if !sleep.For(ctx, max(attempted.retryAfter, experiment.Millis(c.experiment.Clients.WaitMs))) {
+		if !sleep.For(ctx, max(result.retryAfter, experiment.Millis(c.experiment.Clients.WaitMs))) {
 			return
 		}
 	}
 }
 
-// mayRetry reports whether the class allows a retry after attempts of which the first may have executed at a time (zero: none), and the
-// last was not executed or may have been.
+// mayRetry reports whether the class allows a retry. firstExecution is the end of the first attempt that may
+// have been executed, or zero if there is none; notExecuted reports whether the last attempt certainly was
+// not executed.
 func mayRetry(class experiment.Class, firstExecution time.Time, notExecuted bool) bool {
 	switch {
 	case class.RetryClass == "idempotent":
@@ -170,7 +176,8 @@
 	return notExecuted && firstExecution.IsZero()
 }
 
-// attempt makes one attempt. It returns at the attempt's deadline at the latest; late responses are read in the background.
+// attempt makes one attempt. It returns no later than the attempt's deadline; late responses are read in the
+// background.
 func (c *Client) attempt(ctx context.Context, arrival *plan.Arrival, number int, timeout time.Duration) attemptResult {
 	request := c.newRequest(arrival, number, timeout)
 	ended := make(chan attemptResult, 1)
@@ -183,19 +190,19 @@
 	deadline := time.NewTimer(time.Until(request.attempt.Deadline))
 	defer deadline.Stop()
 	select {
-	case attempted := <-ended:
-		return attempted
+	case result := <-ended:
+		return result
 	case <-deadline.C:
 		return attemptResult{outcome: referee.Unanswered}
 	}
 }
 
-// newRequest is the request of an attempt that starts now.
+// newRequest returns the request of an attempt that starts now.
 func (c *Client) newRequest(arrival *plan.Arrival, number int, timeout time.Duration) *attemptRequest {
 	class, now := c.experiment.Classes[arrival.Class], time.Now()
-	attempt := &referee.ClientAttempt{ID: c.plan.ID(arrival, number), Arrival: arrival.Number, Number: number, Class: arrival.Class,
-		Zone: c.experiment.Zones[arrival.Zone].Name, StartedAt: now, Deadline: now.Add(timeout), Path: "/" + class.Name,
-		Method: http.MethodPost, Key: arrival.Key}
+	attempt := &referee.ClientAttempt{ID: c.plan.ID(arrival, number), Arrival: arrival.Number, Number: number,
+		Class: arrival.Class, Zone: c.experiment.Zones[arrival.Zone].Name, StartedAt: now,
+		Deadline: now.Add(timeout), Path: "/" + class.Name, Method: http.MethodPost, Key: arrival.Key}
 	var body []byte
 	if class.RetryClass == "idempotent" {
 		attempt.Method = http.MethodGet
@@ -203,23 +210,24 @@
 		body = wire.MakeBody(attempt.ID, "client", arrival.RequestBytes)
 	}
 	attempt.RequestDigest = wire.Digest(body)
-	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: backend.local\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n", attempt.Method, attempt.Path,
-		wire.RequestID, attempt.ID, wire.RequestClass, class.Name, wire.RequestTimeout, timeout.Milliseconds())
+	header := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: backend.local\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n",
+		attempt.Method, attempt.Path, wire.RequestID, attempt.ID, wire.RequestClass, class.Name, wire.RequestTimeout,
+		timeout.Milliseconds())
 	if attempt.Key != "" {
-		head += wire.IdempotencyKey + ": " + attempt.Key + "\r\n"
+		header += wire.IdempotencyKey + ": " + attempt.Key + "\r\n"
 	}
 	if number > 0 && c.experiment.Clients.MarkRetry {
-		head += wire.ClientRetry + ": 1\r\n"
+		header += wire.ClientRetry + ": 1\r\n"
 	}
 	if attempt.Method == http.MethodPost {
-		head += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n"
+		header += "Content-Length: " + strconv.Itoa(len(body)) + "\r\n"
 	}
-	return &attemptRequest{attempt: attempt, bytes: append([]byte(head+"\r\n"), body...),
+	return &attemptRequest{attempt: attempt, bytes: append([]byte(header+"\r\n"), body...),
 		job: stubserver.Job{Work: arrival.Work, ResponseBytes: arrival.ResponseBytes}}
 }
 
-// exchange sends a request and reads the response. If an idle connection closed before the proxy could read the request, it is sent
-// again on a new one.
+// exchange sends a request and reads the response. If a reused connection was closed before the proxy could
+// read the request, the request is sent again on a new connection.
 func (c *Client) exchange(ctx context.Context, request *attemptRequest) attemptResult {
 	attempt := request.attempt
 	conn := c.pools[attempt.Zone].take(c.intn, c.referee)
@@ -233,18 +241,19 @@
 				return attemptResult{outcome: referee.Unreached}
 			}
 		}
-		attempted, resend := c.sendOn(ctx, conn, request, fresh)
+		result, resend := c.sendOn(ctx, conn, request, fresh)
 		if !resend {
-			return attempted
+			return result
 		}
 		c.referee.UpdateTally(func(tally *referee.Tally) { tally.Resent++ })
 		conn, fresh = nil, true
 	}
 }
 
-// errNoProxy is a zone without an admitted proxy.
-var errNoProxy = errors.New("no proxy is admitted")
+// errNoProxy is returned if the front has no admitted proxy for a zone.
+var errNoProxy = errors.New("the front has no admitted proxy for the zone")
 
+// dial opens a connection for an attempt, to a proxy that the front chooses.
 func (c *Client) dial(ctx context.Context, attempt *referee.ClientAttempt) (*clientConn, error) {
 	proxy, ok := c.front.choose(attempt.Zone)
 	if !ok {
@@ -259,10 +268,10 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), proxy: proxy}, nil
 }
 
-// sendOn sends a request on a connection and reads the response; resend if the connection closed before the proxy could read the
-// request, and it was not fresh.
-func (c *Client) sendOn(ctx context.Context, conn *clientConn, request *attemptRequest, fresh bool) (attempted attemptResult,
-	resend bool) {
+// sendOn sends a request on a connection and reads the response. It returns resend if the connection was a
+// reused one, not a fresh one, and was closed before the proxy could read the request.
+func (c *Client) sendOn(ctx context.Context, conn *clientConn, request *attemptRequest, fresh bool) (
+	result attemptResult, resend bool) {
 	attempt, job := request.attempt, request.job
 	job.Proxy = conn.proxy.Name
 	c.mu.Lock()
@@ -298,7 +307,8 @@
 			return attemptResult{outcome: referee.Unanswered}, false
 		}
 		written := writtenAt.Load()
-		unread := written == nil || conn.PeerClosedBeforeWrite() || conn.LastReadAt().Before(*written) || link.IsReset(err)
+		unread := written == nil || conn.PeerClosedBeforeWrite() || conn.LastReadAt().Before(*written) ||
+			link.IsReset(err)
 		if !fresh && unread && ctx.Err() == nil && now.Before(attempt.Deadline) {
 			c.referee.RecordWritten(attempt, time.Time{})
 			return attemptResult{}, true
@@ -309,8 +319,9 @@
 	return c.finish(conn, attempt), false
 }
 
-// finish reads the response, of which the first byte has arrived, records it, and keeps the connection if it can be reused.
-func (c *Client) finish(conn *clientConn, attempt *referee.ClientAttempt) (attempted attemptResult) {
+// finish reads and records the response, whose first byte has arrived, and keeps the connection if it can be
+// reused.
+func (c *Client) finish(conn *clientConn, attempt *referee.ClientAttempt) (result attemptResult) {
 	response, digest, err := readResponse(conn.reader)
 	now := time.Now()
 	if err != nil {
@@ -322,9 +333,10 @@
 		c.referee.RecordConnectionClosed(attempt, now, true, false)
 		return attemptResult{outcome: referee.Failed}
 	}
-	attempted.outcome = c.referee.RecordResponse(attempt, now, response.StatusCode, digest)
+	result.outcome = c.referee.RecordResponse(attempt, now, response.StatusCode, digest)
 	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
-		attempted.retryAfter = min(time.Duration(seconds*float64(time.Second)), experiment.Millis(c.experiment.Proxy.MaxRetryAfterMs))
+		result.retryAfter = min(time.Duration(seconds*float64(time.Second)),
+			experiment.Millis(c.experiment.Proxy.MaxRetryAfterMs))
 	}
 	conn.lastAttempt = attempt
 	switch {
@@ -336,10 +348,10 @@
 	case !conn.isUnusable(c.referee):
 		c.pools[attempt.Zone].put(conn)
 	}
-	return attempted
+	return result
 }
 
-// readResponse reads a complete final response and returns the digest of its body.
+// readResponse reads a complete final response, and returns it with the digest of its body.
 func readResponse(r *bufio.Reader) (*http.Response, uint64, error) {
 	for {
 		resp, err := http.ReadResponse(r, nil)
--- a/internal/faultlab/load/front.go
+++ b/internal/faultlab/load/front.go
@@ -16,7 +16,7 @@
 const (
 	healthCheckInterval = 200 * time.Millisecond
 	healthCheckTimeout  = time.Second
-	sweepInterval       = 250 * time.Millisecond
+	sweepInterval       = 250 * time.Millisecond // between two checks of idle client connections
 )
 
 // Target is a proxy behind the front.
@@ -26,20 +26,20 @@
 	Address string
 }
 
-// frontProxy is a proxy's state at the front.
+// frontProxy is the state of a proxy at the front.
 type frontProxy struct {
 	Target
-	admitted    bool      // gets new connections
-	blocked     bool      // by Block
-	lastHealthy time.Time // last successful health check
-	dialers     map[string]*link.Dialer
+	admitted    bool                    // gets new connections
+	blocked     bool                    // between Block and Unblock
+	lastHealthy time.Time               // time of the last successful health check
+	dialers     map[string]*link.Dialer // by the clients' zone
 }
 
-// Front distributes the clients' connections over the proxies of their zone. It admits a proxy after a successful health check, and
-// detects a dead one with a delay.
+// Front is the load balancer before the proxies: it distributes the clients' connections over the proxies of
+// their zone. It admits a proxy after a successful health check, and detects a dead one with a delay.
 type Front struct {
 	failureDetection time.Duration
-	otherZones       bool // used where a zone has no admitted proxy
+	otherZones       bool // are used for a zone without admitted proxies
 
 	mu      sync.Mutex
 	proxies map[string]*frontProxy
@@ -47,18 +47,18 @@
 	rng     *rand.Rand
 }
 
-// FrontConfig describes a front.
+// FrontConfig configures a Front.
 type FrontConfig struct {
 	Targets          []Target
 	Net              *link.Net
-	Delay            func(from, to string) time.Duration // one way, between zones
+	Delay            func(from, to string) time.Duration // one-way delay between zones
 	FailureDetection time.Duration                       // until a dead proxy is no longer admitted
-	OtherZones       bool                                // used where a zone has no admitted proxy
-	Zones            []string                            // of clients
+	OtherZones       bool                                // are used for a zone without admitted proxies
+	Zones            []string                            // of the clients
 	Random           *rand.Rand
 }
 
-// NewFront returns a front of proxies that are not admitted yet.
+// NewFront returns a front. No proxy is admitted until Run has checked its health.
 func NewFront(config FrontConfig) *Front {
 	f := &Front{failureDetection: config.FailureDetection, otherZones: config.OtherZones, proxies: map[string]*frontProxy{},
 		rng: config.Random}
@@ -82,7 +82,7 @@
 	defer checks.Wait()
 	for i, proxy := range f.order {
 		checks.Go(func() {
-			// The first checks are spread over an interval.
+			// The checks of the proxies are spread over an interval.
 			first := time.Duration(i) * healthCheckInterval / time.Duration(len(f.order))
 			for next := first; sleep.For(ctx, next); next = healthCheckInterval {
 				f.recordHealth(proxy, healthy(ctx, proxy))
@@ -91,6 +91,7 @@
 	}
 }
 
+// healthy makes a health check of a proxy.
 func healthy(ctx context.Context, proxy *frontProxy) bool {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
@@ -111,6 +112,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
+// recordHealth admits a healthy proxy, and removes one that has been unhealthy for the failure detection
+// delay.
 func (f *Front) recordHealth(proxy *frontProxy, isHealthy bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +127,7 @@
 	}
 }
 
-// NotAdmitted are the names of the proxies that are not admitted.
+// NotAdmitted returns the names of the proxies that are not admitted.
 func (f *Front) NotAdmitted() (names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,44 +139,45 @@
 	return names
 }
 
-// Block takes a proxy out, as an operator does before a planned restart.
+// Block stops new connections to a proxy, as an operator does before a planned restart.
 func (f *Front) Block(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.proxies[name].blocked, f.proxies[name].admitted = true, false
 }
 
-// Unblock lets a blocked proxy be admitted again once it is healthy.
+// Unblock lets a blocked proxy be admitted again when it is healthy.
 func (f *Front) Unblock(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.proxies[name].blocked = false
 }
 
-// choose draws a proxy for a new connection of a zone's client; false if none is admitted.
+// choose draws a proxy for a new connection of a client in a zone. It returns false if no proxy is admitted
+// for that zone.
 func (f *Front) choose(zone string) (*frontProxy, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var near, far []*frontProxy
+	var candidates, others []*frontProxy
 	for _, proxy := range f.order {
 		switch {
 		case !proxy.admitted:
 		case proxy.Zone == zone:
-			near = append(near, proxy)
+			candidates = append(candidates, proxy)
 		case f.otherZones:
-			far = append(far, proxy)
+			others = append(others, proxy)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	if len(candidates) == 0 {
+		candidates = others
 	}
-	if len(near) == 0 {
+	if len(candidates) == 0 {
 		return nil, false
 	}
-	return near[f.rng.IntN(len(near))], true
+	return candidates[f.rng.IntN(len(candidates))], true
 }
 
-// clientConn is a client's connection.
+// clientConn is a client's connection to a proxy.
 type clientConn struct {
 	*link.Conn
 	reader      *bufio.Reader
@@ -181,13 +185,13 @@
 	lastAttempt *referee.ClientAttempt
 }
 
-// pool holds the idle connections of a zone's clients.
+// pool holds the idle connections of the clients in a zone.
 type pool struct {
 	mu   sync.Mutex
 	idle []*clientConn
 }
 
-// take removes a random idle connection that is usable; nil if there is none.
+// take removes and returns a random usable idle connection, or returns nil if there is none.
 func (p *pool) take(rng func(int) int, ref *referee.Referee) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -203,15 +207,16 @@
 	return nil
 }
 
-// isUnusable reports whether an idle connection has closed or received bytes, which are a second response; it closes such a one.
-func (k *clientConn) isUnusable(ref *referee.Referee) bool {
-	if k.reader.Buffered() > 0 || k.HasUnreadBytes() {
-		ref.RecordExtraBytes(k.lastAttempt, time.Now())
-		k.Close()
+// isUnusable reports whether an idle connection was closed by the proxy or has received bytes, which count as
+// a second response. It closes an unusable connection.
+func (conn *clientConn) isUnusable(ref *referee.Referee) bool {
+	if conn.reader.Buffered() > 0 || conn.HasUnreadBytes() {
+		ref.RecordExtraBytes(conn.lastAttempt, time.Now())
+		conn.Close()
 		return true
 	}
-	if k.PeerClosed() {
-		k.Close()
+	if conn.PeerClosed() {
+		conn.Close()
 		return true
 	}
 	return false
@@ -223,16 +228,16 @@
 	p.idle = append(p.idle, conn)
 }
 
-// sweep removes the unusable idle connections.
+// sweep closes and removes the unusable idle connections.
 func (p *pool) sweep(ref *referee.Referee) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	live := p.idle[:0]
+	usable := p.idle[:0]
 	for _, conn := range p.idle {
 		if !conn.isUnusable(ref) {
-			live = append(live, conn)
+			usable = append(usable, conn)
 		}
 	}
-	clear(p.idle[len(live):])
-	p.idle = live
+	clear(p.idle[len(usable):])
+	p.idle = usable
 }
