--- a/cmd/merlinpick-faultlab/main.go
+++ b/cmd/merlinpick-faultlab/main.go
@@ -1,8 +1,9 @@
-// Command merlinpick-faultlab plays experiments: it runs clusters of real proxies under faults, and checks the results against what the
-// experiment expects. docs/lab.md says how to rehearse a failure with it.
+// Command merlinpick-faultlab plays experiments: it runs clusters of real proxies under faults, and checks
+// the results against the expectations of the experiment. docs/lab.md describes how to reproduce a failure
+// with it.
 //
-// Exit status: 0, every expectation held; 1, one did not; 2, bad usage, an invalid file, or a run that this machine could not make
-// or that was void.
+// The exit status is 0 if every expectation held, 1 if one did not, and 2 for wrong usage, an invalid file,
+// or a run that was void or that this machine could not make.
 package main
 
 import (
@@ -26,61 +27,70 @@
 	"merlinpick/internal/faultlab/result"
 )
 
+// Exit statuses.
 const (
-	exitHeld = iota
-	exitFailed
-	exitUnable
+	exitHeld   = iota // every expectation held, or nothing was checked
+	exitFailed        // an expectation did not hold, or a soak found a failure
+	exitUnable        // there is no verdict
 )
 
+// arguments is the command line.
 type arguments struct {
-	LogFormat string `enum:"text,json" default:"text" help:"Form of the log on standard error: text or json."`
-	Verbose   bool   `short:"v" help:"Log each fault and restart, not only what is wrong."`
+	LogFormat string `enum:"text,json" default:"text" help:"Log format on standard error: text or json."`
+	Verbose   bool   `short:"v" help:"Log every fault and restart, not only problems."`
 
-	Run     runCommand     `cmd:"" help:"Play an experiment; exit 0 if every expectation held, 1 if not, 2 if it could not be judged."`
-	Soak    soakCommand    `cmd:"" help:"Play experiments drawn from seeds, with troubles that overlap; exit 1 if a rule was broken or a proxy crashed."`
-	Check   checkCommand   `cmd:"" help:"Name every fault of an experiment's file, with its place."`
+	Run     runCommand     `cmd:"" help:"Play an experiment; exit 0 if every expectation held, 1 if not, 2 without a verdict."`
+	Soak    soakCommand    `cmd:"" help:"Play experiments drawn from seeds, with overlapping faults; exit 1 after a broken rule or a crash."`
+	Check   checkCommand   `cmd:"" help:"Report every error in an experiment file, with its line and key."`
 	Report  reportCommand  `cmd:"" help:"Write report.html of a run again, and print its figures."`
 	Compare compareCommand `cmd:"" help:"Print the figures of two runs side by side."`
 	List    listCommand    `cmd:"" help:"List the experiments that come with the program."`
-	Hollow  hollowCommand  `cmd:"" hidden:"" help:"A process of hollow proxies or nodos, which run starts."`
+	Hollow  hollowCommand  `cmd:"" hidden:"" help:"Run a process of hollow proxies or nodos; the run command starts these processes."`
 }
 
+// checkCommand is the command that checks an experiment file.
 type checkCommand struct {
 	File string `arg:""`
 }
 
+// reportCommand is the command that shows the result of a run.
 type reportCommand struct {
 	Dir string `arg:"" type:"existingdir"`
 }
 
+// compareCommand is the command that compares the results of two runs.
 type compareCommand struct {
 	A string `arg:"" type:"existingdir"`
 	B string `arg:"" type:"existingdir"`
 }
 
+// listCommand is the command that lists the built-in experiments.
 type listCommand struct{}
 
+// hollowCommand is the hidden command that runs a process of hollow proxies or servers.
 type hollowCommand struct {
-	Config string `arg:"" help:"The process's file."`
+	Config string `arg:"" help:"Configuration file of the process."`
 }
 
-// Run runs the process until the context ends.
+// Run runs a process of hollow proxies or servers until the context ends.
 func (c *hollowCommand) Run(ctx context.Context, log *slog.Logger) error {
 	return hollow.Main(ctx, c.Config, log)
 }
 
-// exitStatus is an exit status without a message.
+// exitStatus is an error that ends the program with an exit status and without a message.
 type exitStatus int
 
-// Error names the status.
+// Error returns a text with the exit status.
 func (s exitStatus) Error() string { return fmt.Sprintf("exit status %d", int(s)) }
 
 func main() { os.Exit(runProgram(os.Args[1:])) }
 
+// runProgram runs the program with the given arguments and returns its exit status.
 func runProgram(args []string) int {
 	var a arguments
 	parser := kong.Must(&a, kong.Name("merlinpick-faultlab"), kong.Description(
-		"Plays fleets of real proxies through failures, and judges what came of it."), kong.UsageOnError())
+		"Runs fleets of real proxies under faults, and checks the results against expectations."),
+		kong.UsageOnError())
 	cmd, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "merlinpick-faultlab: %v\n", err)
@@ -90,17 +100,18 @@
 	defer stop()
 	cmd.BindTo(ctx, (*context.Context)(nil))
 	err = cmd.Run(newLog(a))
-	var s exitStatus
+	var status exitStatus
 	switch {
 	case err == nil:
 		return exitHeld
-	case errors.As(err, &s):
-		return int(s)
+	case errors.As(err, &status):
+		return int(status)
 	}
 	fmt.Fprintf(os.Stderr, "merlinpick-faultlab: %v\n", err)
 	return exitUnable
 }
 
+// newLog returns the logger that the arguments select.
 func newLog(a arguments) *slog.Logger {
 	level := slog.LevelWarn
 	if a.Verbose {
@@ -113,20 +124,22 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, o))
 }
 
-// openExperiment reads an experiment, from a file or, by its name, one that is built in; file is its path or name.
+// openExperiment reads an experiment from a file or, if there is no such file, the built-in experiment of
+// that name. It also returns the path or name of the file that it read.
 func openExperiment(name string) (*experiment.Experiment, string, error) {
 	exp, err := experiment.Read(name)
 	if errors.Is(err, fs.ErrNotExist) {
-		own := strings.TrimSuffix(filepath.Base(name), ".toml") + ".toml"
-		if text, missing := experiments.Files.ReadFile(own); missing == nil && filepath.Base(name) == name {
-			exp, err = experiment.Parse(own, string(text), experiments.Files.ReadFile)
-			return exp, own, err
+		builtIn := strings.TrimSuffix(filepath.Base(name), ".toml") + ".toml"
+		if text, readErr := experiments.Files.ReadFile(builtIn); readErr == nil &&
+			filepath.Base(name) == name {
+			exp, err = experiment.Parse(builtIn, string(text), experiments.Files.ReadFile)
+			return exp, builtIn, err
 		}
 	}
 	return exp, name, err
 }
 
-// Run prints all problems of the file, or its size.
+// Run prints the size of the experiment, or returns all problems of the file.
 func (c *checkCommand) Run() error {
 	exp, _, err := openExperiment(c.File)
 	if err != nil {
@@ -137,7 +150,7 @@
 	return nil
 }
 
-// Run prints names and titles of the built-in experiments.
+// Run prints the names and titles of the built-in experiments.
 func (c *listCommand) Run() error {
 	files, err := experiments.Files.ReadDir(".")
 	if err != nil {
@@ -157,7 +170,7 @@
 	return nil
 }
 
-// Run prints the run's report and writes its page again.
+// Run prints the run's metrics and writes its HTML page again.
 func (c *reportCommand) Run() error {
 	r, err := result.Read(c.Dir)
 	if err != nil {
@@ -169,7 +182,7 @@
 	return report.HTML(c.Dir, r)
 }
 
-// Run prints the metrics of both runs.
+// Run prints the metrics of both runs with their differences.
 func (c *compareCommand) Run() error {
 	a, err := result.Read(c.A)
 	if err != nil {
--- a/cmd/merlinpick-faultlab/main_test.go
+++ b/cmd/merlinpick-faultlab/main_test.go
@@ -16,22 +16,23 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// The test binary is also the program.
+// TestMain runs the tests or, with the first argument as-faultlab, the program with the other arguments.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 1 && os.Args[1] == "as-fleetlab" {
+	if len(os.Args) > 1 && os.Args[1] == "as-faultlab" {
 		os.Exit(runProgram(os.Args[2:]))
 	}
 	os.Exit(m.Run())
 }
 
-// faultlab is a command of the program that is not started.
+// faultlab returns a command of the program, which is not started yet, and its output.
 func faultlab(args ...string) (cmd *exec.Cmd, out *bytes.Buffer) {
-	cmd = exec.Command(os.Args[0], append([]string{"as-fleetlab"}, args...)...)
+	cmd = exec.Command(os.Args[0], append([]string{"as-faultlab"}, args...)...)
 	out = &bytes.Buffer{}
 	cmd.Stdout, cmd.Stderr = out, out
 	return cmd, out
 }
 
+// exitCode returns the exit status of a command that has ended with err.
 func exitCode(t *testing.T, cmd *exec.Cmd, err error) int {
 	t.Helper()
 	if cmd.ProcessState == nil {
@@ -40,7 +41,7 @@
 	return cmd.ProcessState.ExitCode()
 }
 
-// buildProgram builds a program under test into a directory.
+// buildProgram builds a program under test into a directory and returns its path.
 func buildProgram(t *testing.T, dir, name string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
@@ -50,14 +51,14 @@
 	return path
 }
 
-// Small runs of the current programs keep the rules and write their files.
+// Small runs of the current programs keep all rules, write their files and return the right exit status.
 func TestSmallRuns(t *testing.T) {
 	bin := t.TempDir()
 	program, roster := buildProgram(t, bin, "merlinpick-proxy"), buildProgram(t, bin, "merlinpick-registry")
 	buildProgram(t, bin, "merlinpick-cluster-proxy")
 	lab := filepath.Join(bin, "merlinpick-faultlab")
 	if text, err := os.ReadFile(os.Args[0]); err != nil || os.WriteFile(lab, text, 0o700) != nil {
-		t.Fatal("no copy of this program: ", err)
+		t.Fatal("failed to copy this program: ", err)
 	}
 	t.Run("side by side", func(t *testing.T) {
 		t.Run("a hollow proxy fails", func(t *testing.T) {
@@ -79,10 +80,10 @@
 				t.Parallel()
 				dir := t.TempDir()
 				cmd, out := faultlab("run", "testdata/"+name+".toml", "--proxy", program, "--roster", roster, "--out", dir,
-					"--tries", "3", "--hollow", os.Args[0]+" as-fleetlab hollow")
+					"--tries", "3", "--hollow", os.Args[0]+" as-faultlab hollow")
 				err := cmd.Run()
 				if code := exitCode(t, cmd, err); code == exitUnable && strings.Contains(out.String(), "\nvoid: ") {
-					t.Skip("the machine was too busy to judge, four times:\n", out)
+					t.Skip("the machine was too busy for a verdict, four times:\n", out)
 				} else if code != exitHeld {
 					t.Fatalf("exit %d\n%s", code, out)
 				}
@@ -96,11 +97,12 @@
 					t.Fatal(err)
 				}
 				if r.Metrics["requests"].Min < 100 || len(r.Expected) < 8 {
-					t.Errorf("%v requests, %d expectations: too little was judged", r.Metrics["requests"], len(r.Expected))
+					t.Errorf("got %v requests and %d expectations, want more", r.Metrics["requests"],
+						len(r.Expected))
 				}
 				cmd, out = faultlab("compare", dir, dir)
 				if err := cmd.Run(); err != nil || !strings.Contains(out.String(), "same") {
-					t.Errorf("compare with itself: %v\n%s", err, out)
+					t.Errorf("a comparison of a run with itself does not report the same: %v\n%s", err, out)
 				}
 			})
 		}
@@ -113,7 +115,7 @@
 			if code := exitCode(t, cmd, err); code != exitFailed && !strings.Contains(out.String(), "\nvoid: ") {
 				t.Errorf("exit %d, want %d\n%s", code, exitFailed, out)
 			} else if code == exitFailed && !strings.Contains(out.String(), "wanted at most 0.1") {
-				t.Errorf("what was not held is not named:\n%s", out)
+				t.Errorf("the output does not name the expectation that did not hold:\n%s", out)
 			}
 		})
 		t.Run("both", func(t *testing.T) {
@@ -121,7 +123,7 @@
 			dir := t.TempDir()
 			cmd, out := faultlab("run", writeFile(t, "title = \"t\"\nseconds = 2\nwarmup = 0\n[lab]\nlate_ms = 900\nstall_ms = 3000\n"+smallCluster),
 				"--both", "--repeat", "2", "--out", dir)
-			cmd.Path = lab // which looks for the proxies beside itself
+			cmd.Path = lab // looks for the proxies in its own directory
 			if err := cmd.Run(); err != nil && !strings.Contains(out.String(), "\nvoid: ") {
 				t.Fatalf("%v\n%s", err, out)
 			}
@@ -138,10 +140,11 @@
 				}
 			}
 			if !slices.Equal(slices.Compact(seeds[0]), slices.Compact(seeds[1])) || len(seeds[0]) < 2 || !strings.Contains(out.String(), "A: the fleet off; B: on\n") {
-				t.Errorf("seeds %v off and %v on\n%s", seeds[0], seeds[1], out)
+				t.Errorf("got seeds %v with the fleet off and %v with it on, want the same\n%s", seeds[0],
+					seeds[1], out)
 			}
 			if versions[0] == versions[1] {
-				t.Error("off and on were played by one program")
+				t.Error("the same program played both the fleet off and on")
 			}
 		})
 		t.Run("interrupted", func(t *testing.T) {
@@ -169,6 +172,7 @@
 	})
 }
 
+// smallCluster is the part of an experiment file with a cluster of one proxy and two servers, and its load.
 const smallCluster = `[[zone]]
 name = "z"
 proxies = 1
@@ -190,6 +194,7 @@
 rate = [[0, 30]]
 `
 
+// writeFile writes an experiment file and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "x.toml")
@@ -199,12 +204,13 @@
 	return path
 }
 
+// Each command returns the right exit status and says what is wrong, and all built-in experiments are valid.
 func TestCalls(t *testing.T) {
 	bad := writeFile(t, "title = \"t\"\nseconds = -1\n[[fault]]\nkind = \"x\"\n"+smallCluster)
 	for _, test := range []struct {
-		args []string
-		code int
-		says []string
+		args       []string
+		code       int
+		wantOutput []string // parts of the output
 	}{
 		{[]string{"check", bad}, exitUnable, []string{":2: seconds: must be greater than 0", ":4: fault[1].kind: \"x\" is not one of"}},
 		{[]string{"run", bad}, exitUnable, []string{":2: seconds"}},
@@ -220,9 +226,9 @@
 		if code := exitCode(t, cmd, err); code != test.code {
 			t.Errorf("%v: exit %d, want %d\n%s", test.args, code, test.code, out)
 		}
-		for _, want := range test.says {
+		for _, want := range test.wantOutput {
 			if !strings.Contains(out.String(), want) {
-				t.Errorf("%v: does not say %q:\n%s", test.args, want, out)
+				t.Errorf("%v: the output does not contain %q:\n%s", test.args, want, out)
 			}
 		}
 	}
--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -19,19 +19,21 @@
 	"merlinpick/internal/faultlab/run"
 )
 
+// runCommand is the command that plays an experiment.
 type runCommand struct {
-	File   string  `arg:"" help:"The experiment's file, or the name of one that comes with the program."`
+	File   string  `arg:"" help:"Experiment file, or the name of an experiment that comes with the program."`
 	Out    string  `help:"Directory for result.json, report.html and logs. Default: found/NAME-TIME." type:"path"`
-	Seed   *uint64 `help:"In place of the file's."`
-	Repeat int     `help:"Plays, in place of the file's."`
+	Seed   *uint64 `help:"Seed of the first play, in place of the file's."`
+	Repeat int     `help:"Number of plays, in place of the file's."`
 	Proxy  string  `help:"Program to run as the proxy, with arguments. Default: beside this one, merlinpick-proxy, or merlinpick-cluster-proxy with the fleet on." default:""`
 	Roster string  `help:"Program to run as a member of the list service." default:""`
-	Hollow string  `help:"Program to run as a process of hollow proxies or nodos, which gets its file." hidden:"" default:""`
-	Tries  int     `help:"How often a void play is played again." default:"1"`
+	Hollow string  `help:"Program to run as a process of hollow proxies or nodos, given its configuration file." hidden:"" default:""`
+	Tries  int     `help:"How often a void play is repeated." default:"1"`
 	Both   bool    `help:"Play each seed with the fleet off and on, in turn, into OUT/off and OUT/on, and print the figures side by side. The exit status is that of on."`
 }
 
-// programCommand is the command of a program: as given by a flag, or the program beside this one.
+// programCommand returns the command of a program: the one given by a flag, or the program of a name in the
+// directory of this one.
 func programCommand(given, flag, name string) ([]string, error) {
 	if words := strings.Fields(given); len(words) > 0 {
 		return words, nil
@@ -42,20 +44,21 @@
 	}
 	path := filepath.Join(filepath.Dir(self), name)
 	if _, err := os.Stat(path); err != nil {
-		return nil, fmt.Errorf("no %s to run: %w; build it beside this program, or name one with %s", name, err, flag)
+		return nil, fmt.Errorf("program %s not found: %w; build it beside this program, or give one with %s",
+			name, err, flag)
 	}
 	return []string{path}, nil
 }
 
-// variant is one of the settings in which a run plays its seeds.
+// variant is a variant of the experiment in which a run plays each seed, with its result.
 type variant struct {
-	dir        string
+	dir        string // output directory
 	experiment *experiment.Experiment
 	command    []string // of a proxy
 	*result.Result
 }
 
-// variants are a run's: the experiment as it is, or with the cluster off and on.
+// variants returns the variants of a run: the experiment as it is, or with the cluster off and on.
 func (c *runCommand) variants(exp *experiment.Experiment) ([]variant, error) {
 	out := []variant{{experiment: exp}}
 	if c.Both {
@@ -76,7 +79,8 @@
 	return out, nil
 }
 
-// Run plays the seeds, writes the results and prints them.
+// Run plays the seeds, writes the results and prints them. The error is the exit status if an expectation did
+// not hold or there is no verdict.
 func (c *runCommand) Run(ctx context.Context, log *slog.Logger) error {
 	exp, file, err := openExperiment(c.File)
 	if err != nil {
@@ -98,8 +102,9 @@
 	for i := range variants {
 		v := &variants[i]
 		v.dir = filepath.Join(c.Out, v.dir)
-		v.Result = &result.Result{Title: exp.Title, File: file, Version: programDigest(v.command[0]), StartedAt: started.UTC(),
-			Machine: result.Machine{Cores: run.Cores(), LoadBefore: run.MachineLoad()}}
+		v.Result = &result.Result{Title: exp.Title, File: file, Version: programDigest(v.command[0]),
+			StartedAt: started.UTC(),
+			Machine:   result.Machine{Cores: run.Cores(), LoadBefore: run.MachineLoad()}}
 	}
 	if err := c.playSeeds(ctx, exp, variants, options); err != nil {
 		return err
@@ -107,7 +112,7 @@
 	return c.conclude(variants)
 }
 
-// options are the run's options, with the commands that the experiment needs.
+// options returns the run's options, with the commands that the experiment needs.
 func (c *runCommand) options(exp *experiment.Experiment, log *slog.Logger) (run.Options, error) {
 	options := run.Options{Logger: log}
 	if exp.List.Members > 0 {
@@ -128,7 +133,8 @@
 	return options, nil
 }
 
-// playSeeds plays each seed in all variants, which alternate so that drift of the machine affects them alike.
+// playSeeds plays each seed in all variants. The order of the variants alternates, so that a drift of the
+// machine's speed affects all alike.
 func (c *runCommand) playSeeds(ctx context.Context, exp *experiment.Experiment, variants []variant, options run.Options) error {
 	seed, repeat := exp.Seed, exp.Repeat
 	if c.Seed != nil {
@@ -153,7 +159,8 @@
 	return nil
 }
 
-// conclude writes and prints the results of the variants; the error is the exit status of the last one.
+// conclude writes and prints the results of the variants. The error is the exit status of the last variant,
+// or of the first one if that has no verdict.
 func (c *runCommand) conclude(variants []variant) error {
 	for _, v := range variants {
 		v.Machine.LoadAfter = run.MachineLoad()
@@ -175,7 +182,8 @@
 	return verdictError(variants[len(variants)-1].Result)
 }
 
-// claimOutputDir creates and locks the directory of a run, named by experiment and time if none was given. The caller unlocks it.
+// claimOutputDir creates and locks the output directory of a run. If none was given, its name has the
+// experiment and the time. The caller unlocks it.
 func claimOutputDir(out *string, name string, at time.Time) error {
 	if *out == "" {
 		*out = filepath.Join("found", name+"-"+at.Format("20060102T150405"))
@@ -186,11 +194,11 @@
 	return process.Lock(*out)
 }
 
-// verdictError prints why a run cannot be judged, and returns its exit status; nil if every expectation held.
+// verdictError prints why a run has no verdict, and returns its exit status; nil if every expectation held.
 func verdictError(r *result.Result) error {
 	switch {
 	case r.Partial != "":
-		fmt.Printf("partial: %s; nothing is judged\n", r.Partial)
+		fmt.Printf("partial: %s; there is no verdict\n", r.Partial)
 		return exitStatus(exitUnable)
 	case r.VoidReason() != "":
 		fmt.Printf("void: %s\n", r.VoidReason())
@@ -201,33 +209,34 @@
 	return nil
 }
 
-// play plays one seed, and again while it is void, up to Tries times.
-func (c *runCommand) play(ctx context.Context, s variant, seed uint64, options run.Options) error {
-	what := fmt.Sprintf("seed %d", seed)
+// play plays one seed in a variant. It repeats a void play up to Tries times.
+func (c *runCommand) play(ctx context.Context, v variant, seed uint64, options run.Options) error {
+	label := fmt.Sprintf("seed %d", seed)
 	if c.Both {
-		what += ", fleet " + filepath.Base(s.dir)
+		label += ", fleet " + filepath.Base(v.dir)
 	}
 	for attempt := 0; ; attempt++ {
-		fmt.Fprintf(os.Stderr, "%s: starting %d proxies\n", what, len(s.experiment.ProxyNodes()))
-		options.OutputDir, options.ProxyCommand, options.Progress = s.dir, s.command, func(at, of time.Duration, p run.Progress) {
-			fmt.Fprintf(os.Stderr, "%s: %4.0f of %.0f s, %d arrivals, the newest %v late\n", what, at.Seconds(),
-				of.Seconds(), p.Arrived, p.Lateness.Round(10*time.Microsecond))
+		fmt.Fprintf(os.Stderr, "%s: starting %d proxies\n", label, len(v.experiment.ProxyNodes()))
+		options.OutputDir, options.ProxyCommand, options.Progress = v.dir, v.command, func(at, of time.Duration,
+			p run.Progress) {
+			fmt.Fprintf(os.Stderr, "%s: %4.0f of %.0f s, %d arrivals, the latest one %v late\n", label,
+				at.Seconds(), of.Seconds(), p.Arrived, p.Lateness.Round(10*time.Microsecond))
 		}
-		p, err := run.Play(ctx, s.experiment, seed, options)
+		p, err := run.Play(ctx, v.experiment, seed, options)
 		if err != nil && ctx.Err() == nil {
 			return err
 		}
 		if p.Metrics != nil {
-			s.Plays = append(s.Plays, p)
+			v.Plays = append(v.Plays, p)
 		}
 		if p.Void == "" || attempt >= c.Tries || ctx.Err() != nil {
 			return nil
 		}
-		fmt.Fprintf(os.Stderr, "%s: void: %s; played again\n", what, p.Void)
+		fmt.Fprintf(os.Stderr, "%s: void: %s; the play is repeated\n", label, p.Void)
 	}
 }
 
-// programDigest identifies a build of the program under test: a digest of its file.
+// programDigest returns a digest of a program's file, which identifies the build under test.
 func programDigest(command string) string {
 	text, err := os.ReadFile(command)
 	if err != nil {
--- a/cmd/merlinpick-faultlab/soak.go
+++ b/cmd/merlinpick-faultlab/soak.go
@@ -14,17 +14,18 @@
 	"merlinpick/internal/faultlab/soak"
 )
 
-const maxShown = 12 // failures of a seed
+const maxShown = 12 // maximum number of failures that are printed for a seed
 
+// soakCommand is the command that plays experiments drawn from seeds.
 type soakCommand struct {
-	From  uint64 `help:"The first seed." default:"1"`
-	Seeds int    `help:"How many, one after another." default:"10"`
-	Out   string `help:"Directory for the experiments and logs of seeds at which something was found. Default: found/soak-TIME." type:"path"`
+	From  uint64 `help:"First seed." default:"1"`
+	Seeds int    `help:"Number of seeds, which are played one after another." default:"10"`
+	Out   string `help:"Directory for the experiments and logs of seeds with failures. Default: found/soak-TIME." type:"path"`
 	Proxy string `help:"Program to run as the proxy, with arguments. Default: beside this one, merlinpick-proxy." default:""`
 	Keep  bool   `help:"Keep the logs of the other seeds too."`
 }
 
-// Run plays the seeds. The exit status is 1 if a rule was violated or a proxy crashed with any of them.
+// Run plays the seeds. The error is exit status 1 if a rule was broken or a proxy crashed with any of them.
 func (c *soakCommand) Run(ctx context.Context, log *slog.Logger) error {
 	command, err := programCommand(c.Proxy, "--proxy", "merlinpick-proxy")
 	if err != nil {
@@ -34,7 +35,7 @@
 		return err
 	}
 	defer process.Unlock(c.Out)
-	bad, void := 0, 0
+	failed, void := 0, 0
 	for i := range c.Seeds {
 		if ctx.Err() != nil {
 			fmt.Printf("interrupted after %d of %d seeds\n", i, c.Seeds)
@@ -45,20 +46,22 @@
 		case err != nil:
 			return err
 		case len(found) > 0:
-			bad++
+			failed++
 		case voidReason != "":
 			void++
 		}
 	}
-	fmt.Printf("%d seeds with a fault, %d void, of %d from %d on\n", bad, void, c.Seeds, c.From)
-	if bad > 0 {
+	fmt.Printf("%d seeds with failures, %d void, of %d seeds from %d on\n", failed, void, c.Seeds, c.From)
+	if failed > 0 {
 		return exitStatus(exitFailed)
 	}
 	return nil
 }
 
-// playSeed plays one seed. The play may be void, but the failures found in it are reported all the same.
-func (c *soakCommand) playSeed(ctx context.Context, seed uint64, command []string, log *slog.Logger) (found []string, void string, err error) {
+// playSeed plays one seed, and returns the failures that were found and, if the play is void, the reason.
+// Failures of a void play are reported too.
+func (c *soakCommand) playSeed(ctx context.Context, seed uint64, command []string, log *slog.Logger) (
+	found []string, void string, err error) {
 	exp, text, err := soak.Draw(seed)
 	if err != nil {
 		return nil, "", err
@@ -81,8 +84,8 @@
 	for _, f := range exp.Faults {
 		kinds = append(kinds, f.Kind)
 	}
-	fmt.Printf("seed %d: %d proxies, %s: worth in time %.3f, %d found%s\n", seed, len(exp.ProxyNodes()), strings.Join(kinds, " "),
-		p.Metrics["worth_in_time"], len(found), voidNote(p.Void))
+	fmt.Printf("seed %d: %d proxies, %s: worth in time %.3f, %d failures%s\n", seed, len(exp.ProxyNodes()),
+		strings.Join(kinds, " "), p.Metrics["worth_in_time"], len(found), voidNote(p.Void))
 	for i, f := range found {
 		if i == maxShown {
 			fmt.Printf("  and %d more\n", len(found)-i)
@@ -96,7 +99,7 @@
 	return found, p.Void, err
 }
 
-// voidNote is the remark on a void play; empty if it is not.
+// voidNote returns the note that a play is void for a reason. It is empty without a reason.
 func voidNote(reason string) string {
 	if reason == "" {
 		return ""
