--- a/cmd/merlinpick-faultlab/main.go
+++ b/cmd/merlinpick-faultlab/main.go
@@ -29,7 +29,7 @@
 
 // Exit statuses.
 const (
-	exitHeld   = iota // every expectation held, or nothing was checked
+	exitHeld   = iota // success; of a run, every expectation held
 	exitFailed        // an expectation did not hold, or a soak found a failure
 	exitUnable        // there is no verdict
 )
--- a/cmd/merlinpick-faultlab/main_test.go
+++ b/cmd/merlinpick-faultlab/main_test.go
@@ -212,7 +212,8 @@
 		code       int
 		wantOutput []string // parts of the output
 	}{
-		{[]string{"check", bad}, exitUnable, []string{":2: seconds: must be greater than 0", ":4: fault[1].kind: \"x\" is not one of"}},
+		{[]string{"check", bad}, exitUnable,
+			[]string{":2: seconds: must be greater than 0", ":4: fault[1].kind: \"x\" is not one of"}},
 		{[]string{"run", bad}, exitUnable, []string{":2: seconds"}},
 		{[]string{"run", "none.toml"}, exitUnable, []string{"no such file"}},
 		{[]string{"run", writeFile(t, smallCluster), "--proxy", "/none", "--out", t.TempDir()}, exitUnable, []string{"/none"}},
--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -217,8 +217,8 @@
 	}
 	for attempt := 0; ; attempt++ {
 		fmt.Fprintf(os.Stderr, "%s: starting %d proxies\n", label, len(v.experiment.ProxyNodes()))
-		options.OutputDir, options.ProxyCommand, options.Progress = v.dir, v.command, func(at, of time.Duration,
-			p run.Progress) {
+		options.OutputDir, options.ProxyCommand, options.Progress = v.dir, v.command, func(
+			at, of time.Duration, p run.Progress) {
 			fmt.Fprintf(os.Stderr, "%s: %4.0f of %.0f s, %d arrivals, the latest one %v late\n", label,
 				at.Seconds(), of.Seconds(), p.Arrived, p.Lateness.Round(10*time.Microsecond))
 		}
--- a/internal/faultlab/experiment/experiment.go
+++ b/internal/faultlab/experiment/experiment.go
@@ -160,7 +160,7 @@
 	KnownFraction   *float64       `toml:"known"`    // fraction of the servers in a starting proxy's list; default all
 }
 
-// List holds the settings of the list service or of the catalog that stands in for it.
+// List holds the settings of the list service or of the catalog that replaces it.
 type List struct {
 	NotificationDelayMs float64 `toml:"lag_ms"`  // from a change until it is announced
 	CallMs              float64 `toml:"call_ms"` // work for a call; calls are handled one after another
--- a/internal/faultlab/load/clients.go
+++ b/internal/faultlab/load/clients.go
@@ -211,8 +211,8 @@
 	}
 	attempt.RequestDigest = wire.Digest(body)
 	header := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: backend.local\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\n",
-		attempt.Method, attempt.Path, wire.RequestID, attempt.ID, wire.RequestClass, class.Name, wire.RequestTimeout,
-		timeout.Milliseconds())
+		attempt.Method, attempt.Path, wire.RequestID, attempt.ID, wire.RequestClass, class.Name,
+		wire.RequestTimeout, timeout.Milliseconds())
 	if attempt.Key != "" {
 		header += wire.IdempotencyKey + ": " + attempt.Key + "\r\n"
 	}
--- a/internal/faultlab/load/front.go
+++ b/internal/faultlab/load/front.go
@@ -39,7 +39,7 @@
 // their zone. It admits a proxy after a successful health check, and detects a dead one with a delay.
 type Front struct {
 	failureDetection time.Duration
-	otherZones       bool // are used for a zone without admitted proxies
+	otherZones       bool // serve a zone that has no admitted proxy
 
 	mu      sync.Mutex
 	proxies map[string]*frontProxy
@@ -53,7 +53,7 @@
 	Net              *link.Net
 	Delay            func(from, to string) time.Duration // one-way delay between zones
 	FailureDetection time.Duration                       // until a dead proxy is no longer admitted
-	OtherZones       bool                                // are used for a zone without admitted proxies
+	OtherZones       bool                                // serve a zone that has no admitted proxy
 	Zones            []string                            // of the clients
 	Random           *rand.Rand
 }
--- a/internal/faultlab/run/byzantine.go
+++ b/internal/faultlab/run/byzantine.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	zones := t.experiment.ZoneNames()
-	victims := func() (out []byzantine.Target) {
+	reportedServers := func() (out []byzantine.Target) {
 		for _, target := range planned.Targets {
 			server := t.server(target.Name)
 			server.mu.Lock()
@@ -33,7 +33,7 @@
 	for i := range planned.Fault.ByzantineMembers {
 		zone := zones[i%len(zones)]
 		member, err := t.joinByzantine(experiment.Node{
-			Name: fmt.Sprintf("%s-liar%d.%d", zone, planned.Number, i+1), Zone: zone}, victims)
+			Name: fmt.Sprintf("%s-liar%d.%d", zone, planned.Number, i+1), Zone: zone}, reportedServers)
 		if err != nil {
 			errs = append(errs, err)
 			break
@@ -47,7 +47,8 @@
 }
 
 // joinByzantine starts a byzantine member with a relay of its own.
-func (t *timeline) joinByzantine(node experiment.Node, victims func() []byzantine.Target) (*byzantine.Member, error) {
+func (t *timeline) joinByzantine(node experiment.Node, reportedServers func() []byzantine.Target) (
+	*byzantine.Member, error) {
 	t.mu.Lock()
 	n := firstByzantineOrdinal + t.byzantineMembers
 	t.byzantineMembers++
@@ -62,5 +63,5 @@
 	}
 	return byzantine.Join(byzantine.Config{Name: node.Name, Zone: node.Zone, Tier: strconv.Itoa(tierIndex),
 		Bind: bind, Advertise: relay.Address(), Label: t.experiment.Cluster.Label,
-		Seeds: t.gossipSeeds(node), Logger: t.log}, victims, t.experiment.ZoneNames())
+		Seeds: t.gossipSeeds(node), Logger: t.log}, reportedServers, t.experiment.ZoneNames())
 }
--- a/internal/faultlab/run/faults_links.go
+++ b/internal/faultlab/run/faults_links.go
@@ -11,7 +11,7 @@
 	"merlinpick/internal/faultlab/plan"
 )
 
-// crossesZoneBorder matches the links that cross the border of a zone.
+// crossesZoneBorder returns a function that matches the links that cross the border of a zone.
 func crossesZoneBorder(zone string) func(link.Ends) bool {
 	return func(ends link.Ends) bool {
 		return ends.FromZone != ends.ToZone && ends.FromZone != "" && ends.ToZone != "" && (ends.FromZone == zone || ends.ToZone == zone)
--- a/internal/faultlab/run/run_test.go
+++ b/internal/faultlab/run/run_test.go
@@ -93,7 +93,7 @@
 				t.Fatal(err)
 			}
 			if p.Void != "" {
-				t.Skip("the machine was too busy to judge: ", p.Void)
+				t.Skip("the machine was too busy for a verdict: ", p.Void)
 			}
 			var broken []string
 			for rule := range p.ViolationCounts {
