--- a/cmd/merlinpick-faultlab/run.go
+++ b/cmd/merlinpick-faultlab/run.go
@@ -109,7 +109,7 @@
 	if err := c.playSeeds(ctx, exp, variants, options); err != nil {
 		return err
 	}
-	return c.conclude(variants)
+	return c.reportResults(variants)
 }
 
 // options returns the run's options, with the commands that the experiment needs.
@@ -159,9 +159,9 @@
 	return nil
 }
 
-// conclude writes and prints the results of the variants. The error is the exit status of the last variant,
-// or of the first one if that has no verdict.
-func (c *runCommand) conclude(variants []variant) error {
+// reportResults writes and prints the results of the variants. The error is the exit status of the last
+// variant, or of the first one if that has no verdict.
+func (c *runCommand) reportResults(variants []variant) error {
 	for _, v := range variants {
 		v.Machine.LoadAfter = run.MachineLoad()
 		v.Conclude(v.experiment)
--- a/internal/faultlab/report/charts.go
+++ b/internal/faultlab/report/charts.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	pictureWidth   = 26 * vg.Centimeter
-	pictureHeight  = 9 * vg.Centimeter
+	chartWidth     = 26 * vg.Centimeter
+	chartHeight    = 9 * vg.Centimeter
 	legendHeadroom = 1.3 // height of the rate chart as a multiple of the highest rate
 )
 
@@ -150,7 +150,7 @@
 
 // svg draws a chart as an SVG element of a page.
 func svg(chart *plot.Plot) (template.HTML, error) {
-	canvas := vgsvg.New(pictureWidth, pictureHeight)
+	canvas := vgsvg.New(chartWidth, chartHeight)
 	chart.Draw(draw.New(canvas))
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
--- a/internal/faultlab/run/proxies.go
+++ b/internal/faultlab/run/proxies.go
@@ -270,9 +270,9 @@
 	if err := bed.start(proxy, keep); err != nil {
 		return err
 	}
-	if !bed.awaitReady(ctx, proxy, readmitTimeout) && ctx.Err() == nil {
+	if !bed.awaitReady(ctx, proxy, restartTimeout) && ctx.Err() == nil {
 		bed.log.Error("restarted proxy did not become ready", "proxy", proxy.node.Name,
-			"duration", readmitTimeout)
+			"duration", restartTimeout)
 		bed.ref.UpdateTally(func(t *referee.Tally) { t.Crashed++ })
 	}
 	for _, end := range proxy.excusedSpans {
--- a/internal/faultlab/run/testbed.go
+++ b/internal/faultlab/run/testbed.go
@@ -30,7 +30,7 @@
 	drainDuration      = 2 * time.Second        // from the start of draining until the server ends
 	powerLossWindow    = 5 * time.Second        // a power loss may discard writes that are at most so old
 	readyzPollInterval = 50 * time.Millisecond
-	readmitTimeout     = 20 * time.Second // for a restarted proxy to be ready
+	restartTimeout     = 20 * time.Second // for a restarted proxy to be ready
 	callTimeout        = time.Second      // of requests to a proxy's management address
 	zoneGroupPrefix    = "zone "          // prefix of the names of link groups of a zone's proxies
 	maxServerName      = 64               // bytes
--- a/internal/faultlab/run/unansweredsends.go
+++ b/internal/faultlab/run/unansweredsends.go
@@ -71,8 +71,8 @@
 		if len(words) < 4 || words[3] != synSent {
 			continue
 		}
-		from, ok := hexAddr(words[1])
-		to, ok2 := hexAddr(words[2])
+		from, ok := parseHexAddr(words[1])
+		to, ok2 := parseHexAddr(words[2])
 		if ok && ok2 {
 			out = append(out, dial{from, to})
 		}
@@ -80,9 +80,9 @@
 	return out
 }
 
-// hexAddr parses an address of the table: the IP in the machine's byte order and the port, both in
+// parseHexAddr parses an address of the table: the IP in the machine's byte order and the port, both in
 // hexadecimal.
-func hexAddr(text string) (netip.AddrPort, bool) {
+func parseHexAddr(text string) (netip.AddrPort, bool) {
 	ip, port, _ := strings.Cut(text, ":")
 	raw, err := hex.DecodeString(ip)
 	n, err2 := strconv.ParseUint(port, 16, 16)
--- a/internal/faultlab/soak/soak.go
+++ b/internal/faultlab/soak/soak.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	loadSeconds     = 18.0
-	earliestFault   = 3.0  // seconds
-	latestFault     = 13.0 // seconds; a later fault would have no time to take effect
-	overlaps        = 3    // number of moments at which faults overlap
-	overlapWindow   = 0.8  // maximum seconds between the starts of overlapping faults
-	maxLeavePart    = 0.3  // maximum fraction of the attempts that clients cancel, in half of the seeds
-	minProxies      = 3    // of a zone
-	maxProxies      = 5    // of a zone
-	largeOneIn      = 4    // one seed in so many has larger zones
-	minProxiesLarge = 8    // of a larger zone
-	maxProxiesLarge = 13   // of a larger zone
+	loadSeconds       = 18.0
+	earliestFault     = 3.0  // seconds
+	latestFault       = 13.0 // seconds; a later fault would have no time to take effect
+	overlapMoments    = 3    // number of moments at which faults overlap
+	overlapWindow     = 0.8  // maximum seconds between the starts of overlapping faults
+	maxCancelFraction = 0.3  // maximum fraction of the attempts that clients cancel, in half of the seeds
+	minProxies        = 3    // of a zone
+	maxProxies        = 5    // of a zone
+	largeZonesOneIn   = 4    // one seed in so many has larger zones
+	minProxiesLarge   = 8    // of a larger zone
+	maxProxiesLarge   = 13   // of a larger zone
 )
 
-// faultKind is a kind of fault and how its keys are drawn.
-type faultKind struct {
+// faultGenerator draws faults of a kind.
+type faultGenerator struct {
 	kind     string
 	drawKeys func(random *rand.Rand) string // returns lines of the experiment file
 	duration [2]float64                     // seconds, minimum and maximum
@@ -64,8 +64,8 @@
 // same process, and a failure would then not be one of the program.
 var oncePerRun = map[string]bool{"kill": true, "restart": true, "upgrade": true, "power_loss": true}
 
-// faultKinds are the kinds of faults that are drawn.
-var faultKinds = []faultKind{
+// faultGenerators are the generators that are drawn from. A kind can have several, with different keys.
+var faultGenerators = []faultGenerator{
 	{"kill", drawShare(0.1, 0.4), [2]float64{0.5, 2}},
 	{"restart", drawVersions(drawKey("spread", 0, 2, drawShare(0.2, 0.7))), [2]float64{0.2, 1.5}},
 	{"upgrade", drawKey("spread", 0, 2, drawShare(0.2, 0.7)), [2]float64{0, 0}},
@@ -104,7 +104,7 @@
 	fmt.Fprintf(&out, "\n[load]\nrate = [[0, 20], [2, %d]]\n", 60+random.IntN(60))
 	fmt.Fprintf(&out, "\n[lab]\nlate_ms = 200\nstall_ms = 1500\n")
 	fmt.Fprintf(&out, "\n[clients]\nother_zones = %v\nleave_part = %.2f\n", random.IntN(2) == 0,
-		maxLeavePart*random.Float64()*float64(random.IntN(2)))
+		maxCancelFraction*random.Float64()*float64(random.IntN(2)))
 	fmt.Fprintf(&out, "\n[proxy]\nmembership = %q\n", []string{"automatic", "subscribe"}[random.IntN(2)])
 	out.WriteString(zones)
 	out.WriteString(drawClasses(random))
@@ -115,7 +115,7 @@
 // drawZones draws the numbers of proxies and servers of the zones, and their traffic.
 func drawZones(random *rand.Rand) string {
 	low, high := minProxies, maxProxies
-	if random.IntN(largeOneIn) == 0 {
+	if random.IntN(largeZonesOneIn) == 0 {
 		low, high = minProxiesLarge, maxProxiesLarge
 	}
 	var out strings.Builder
@@ -131,10 +131,10 @@
 func drawFaults(random *rand.Rand) string {
 	var out strings.Builder
 	used := map[string]bool{}
-	for i := range overlaps {
-		moment := earliestFault + (latestFault-earliestFault)*(float64(i)+random.Float64())/overlaps
+	for i := range overlapMoments {
+		moment := earliestFault + (latestFault-earliestFault)*(float64(i)+random.Float64())/overlapMoments
 		for range 2 + random.IntN(2) {
-			fault := faultKinds[random.IntN(len(faultKinds))]
+			fault := faultGenerators[random.IntN(len(faultGenerators))]
 			if used[fault.kind] && oncePerRun[fault.kind] {
 				continue
 			}
--- a/internal/faultlab/soak/soak_test.go
+++ b/internal/faultlab/soak/soak_test.go
@@ -33,7 +33,7 @@
 			seen[f.Kind] = true
 		}
 	}
-	for _, fault := range faultKinds {
+	for _, fault := range faultGenerators {
 		if !seen[fault.kind] {
 			t.Errorf("no seed draws %s", fault.kind)
 		}
