--- a/internal/faultlab/referee/attempts.go
+++ b/internal/faultlab/referee/attempts.go
@@ -13,15 +13,15 @@
 	RequestDigest           uint64 // of the body
 }
 
-// BeginAttempt records and checks an attempt that reached a server completely. It returns nil if no client sent that id: the
-// server answers 400.
+// BeginAttempt records and checks an attempt that reached a server completely. It returns nil if no client
+// sent a request with its id; the server then answers 400.
 func (r *Referee) BeginAttempt(arrival Arrival) *Attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clientAttempt := r.clientAttempts[arrival.ID]
 	if clientAttempt == nil {
 		r.violate(Violation{Rule: "forged", At: arrival.LastByteAt, Server: arrival.Server, Attempt: arrival.ID,
-			Text: "no client sent this id"})
+			Text: "no client sent a request with this id"})
 		return nil
 	}
 	attempt := &Attempt{clientAttempt: clientAttempt, Server: arrival.Server, FirstByteAt: arrival.FirstByteAt,
@@ -31,14 +31,15 @@
 	}
 	if !arrival.matches(clientAttempt) {
 		r.violateAttempt("garbled", attempt, arrival.LastByteAt,
-			fmt.Sprintf("the request reached the nodo as %s %s", arrival.Method, arrival.Path))
+			fmt.Sprintf("the nodo received %s %s, which is not the request that the client sent",
+				arrival.Method, arrival.Path))
 	}
 	r.checkRepeat(clientAttempt, attempt)
 	r.checkDrain(clientAttempt, attempt)
 	late := arrival.FirstByteAt.Sub(clientAttempt.CanceledAt)
 	if !clientAttempt.CanceledAt.IsZero() && late > cancelGrace+socketSlack {
 		r.violateAttempt("gone", attempt, arrival.FirstByteAt,
-			fmt.Sprintf("sent %v after its client had left", late.Round(time.Millisecond)))
+			fmt.Sprintf("sent %v after the client closed its connection", late.Round(time.Millisecond)))
 	}
 	clientAttempt.attempts = append(clientAttempt.attempts, attempt)
 	r.attempts = append(r.attempts, attempt)
@@ -56,19 +57,20 @@
 		Attempt: attempt.clientAttempt.ID, Text: text})
 }
 
-// checkRepeat checks an attempt against the limit of attempts, the hedging setting and the class's RetryClass.
+// checkRepeat checks an attempt against MaxAttempts, HedgingAllowed and the class's RetryClass.
 func (r *Referee) checkRepeat(clientAttempt *ClientAttempt, next *Attempt) {
 	class := r.config.Classes[clientAttempt.Class]
 	violate := func(format string, args ...any) {
 		r.violateAttempt("repeat", next, next.LastByteAt, class.Name+": "+fmt.Sprintf(format, args...))
 	}
 	if len(clientAttempt.attempts) >= r.config.MaxAttempts {
-		violate("attempt %d, of at most %d", len(clientAttempt.attempts)+1, r.config.MaxAttempts)
+		violate("attempt %d exceeds the limit of %d", len(clientAttempt.attempts)+1, r.config.MaxAttempts)
 		return
 	}
 	for _, attempt := range clientAttempt.attempts {
 		if !attempt.ended && !r.config.HedgingAllowed {
-			violate("a second copy while the one at %s is out", attempt.Server)
+			violate("a hedged attempt, which is not allowed, while the one at %s is in flight",
+				attempt.Server)
 			return
 		}
 		if class.RetryClass == Idempotent || !attempt.mayHaveExecuted() {
@@ -77,13 +79,16 @@
 		elapsed := next.FirstByteAt.Sub(attempt.FirstByteAt)
 		switch {
 		case class.RetryClass == NonIdempotent:
-			violate("sent again though the attempt at %s may have run", attempt.Server)
+			violate("sent again though the attempt at %s may have been executed", attempt.Server)
 		case class.KeyScope == "zone" && attempt.Zone != next.Zone:
-			violate("sent again to zone %s though the attempt in zone %s may have run", next.Zone, attempt.Zone)
+			violate("sent again to zone %s though the attempt in zone %s may have been executed", next.Zone,
+				attempt.Zone)
 		case class.KeyScope == "cell" && (attempt.Zone != next.Zone || attempt.Cell != next.Cell):
-			violate("sent again to another cell though the attempt at %s may have run", attempt.Server)
+			violate("sent again to another cell though the attempt at %s may have been executed",
+				attempt.Server)
 		case elapsed > class.KeyWindow+socketSlack:
-			violate("sent again %v after an attempt that may have run", elapsed.Round(time.Millisecond))
+			violate("sent again %v after an attempt that may have been executed",
+				elapsed.Round(time.Millisecond))
 		default:
 			continue
 		}
@@ -91,7 +96,7 @@
 	}
 }
 
-// checkDrain checks that a server which leaves the list gets no attempts after the drain grace.
+// checkDrain checks that a server gets no attempts once it has been off the list for longer than DrainGrace.
 func (r *Referee) checkDrain(clientAttempt *ClientAttempt, attempt *Attempt) {
 	proxy, server := r.proxy(clientAttempt.Proxy), r.servers[attempt.Server]
 	sentAt := attempt.FirstByteAt
@@ -100,15 +105,17 @@
 	}
 	now, ok := proxy.notified[attempt.Server]
 	if !ok {
-		violate("sent to a nodo that no list has named")
+		violate("sent to a nodo that was in no list that the proxy received")
 		return
 	}
 	if late := sentAt.Sub(now.receivedAt); !now.serving && late > r.config.DrainGrace+socketSlack {
-		violate("sent %v after it was told", late.Round(time.Millisecond))
+		violate("sent %v after the proxy was notified that the nodo no longer serves",
+			late.Round(time.Millisecond))
 		return
 	}
 	if listing, late, ok := r.overdueChange(clientAttempt.Proxy, server, now.announcedAt, sentAt); ok && !listing.serving {
-		violate("sent %v after it counted as told, which it never was", late.Round(time.Millisecond))
+		violate("sent %v after the proxy had to know that the nodo no longer serves; it was not notified",
+			late.Round(time.Millisecond))
 		return
 	}
 	// A proxy that does not poll counts as notified of the list as it was that long ago.
@@ -121,7 +128,7 @@
 	}
 	sincePoll, sinceChange := sentAt.Sub(proxy.lastPollAt), sentAt.Sub(server.changedAt)
 	if sincePoll > unpolled+socketSlack && sinceChange > unpolled+r.config.DrainGrace+socketSlack {
-		violate("the list was not asked for %v", sincePoll.Round(time.Millisecond))
+		violate("the proxy did not poll the list for %v", sincePoll.Round(time.Millisecond))
 	}
 }
 
--- a/internal/faultlab/referee/clientattempt.go
+++ b/internal/faultlab/referee/clientattempt.go
@@ -14,12 +14,12 @@
 	Unanswered         // no response before the deadline
 )
 
-// String is the outcome's name in results.
+// String returns the outcome's name in results.
 func (o Outcome) String() string {
 	return [...]string{"pending", "served", "refused", "failed", "unreached", "unanswered"}[o]
 }
 
-// ClientAttempt is one attempt of a client to get an arrival served.
+// ClientAttempt is one request that a client sends for an arrival. A retry by the client is another one.
 type ClientAttempt struct {
 	ID            string
 	Arrival       int // index in the plan
@@ -71,10 +71,11 @@
 	stateCanceled
 )
 
-// mayHaveExecuted tells whether the proxy cannot know that the attempt never ran.
+// mayHaveExecuted reports whether the proxy cannot rule out that the attempt was executed: only a rejection
+// that the server wrote to it does.
 func (a *Attempt) mayHaveExecuted() bool { return a.state != stateRejected || !a.outcomeWritten }
 
-// ClientAttempt is the client's attempt that this one was forwarded for.
+// ClientAttempt returns the client's attempt that the proxy forwarded as this one.
 func (a *Attempt) ClientAttempt() *ClientAttempt { return a.clientAttempt }
 
 // Served reports whether the server answered 200.
--- a/internal/faultlab/referee/excuse.go
+++ b/internal/faultlab/referee/excuse.go
@@ -23,8 +23,8 @@
 	return false
 }
 
-// BeginExcusedSpan starts a span in which the lab keeps a proxy from serving: killed, stopped, or its clients' links cut.
-// The returned function ends the span.
+// BeginExcusedSpan starts a span in which the lab keeps a proxy from serving: the proxy is killed or stopped,
+// or the links from its clients are cut. The returned function ends the span.
 func (r *Referee) BeginExcusedSpan(proxy string, at time.Time) (end func(time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// BeginConnectionFlood starts a span in which idle clients fill a proxy, which may then close new connections unread. The
-// returned function ends the span.
+// BeginConnectionFlood starts a span in which idle clients use up a proxy's connections, so that it may close
+// new ones unread. The returned function ends the span.
 func (r *Referee) BeginConnectionFlood(proxy string, at time.Time) (end func(time.Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +53,7 @@
 	}
 }
 
-// isFlooded reports whether idle clients filled the proxy at some time of the attempt.
+// isFlooded reports whether idle clients used up the proxy's connections at some time during the attempt.
 func (r *Referee) isFlooded(clientAttempt *ClientAttempt) bool {
 	return slices.ContainsFunc(r.proxy(clientAttempt.Proxy).floods, func(s span) bool {
 		return s.start.Before(clientAttempt.EndedAt) && s.end.After(clientAttempt.StartedAt)
--- a/internal/faultlab/referee/referee.go
+++ b/internal/faultlab/referee/referee.go
@@ -1,9 +1,10 @@
-// Package referee records every request and attempt of a run and checks the rules of service against that record. It never
-// uses what proxies report: its facts come from the lab's clients, servers and endpoint list, and from the faults that the
-// lab injected.
+// Package referee records every request and attempt of a run and checks the rules of service against that
+// record. It never uses what proxies report: its facts come from the lab's clients, servers and endpoint
+// list, and from the faults that the lab injected.
 //
-// Where the platform's pages are ambiguous, the proxy gets the benefit of the doubt: an update counts from the moment that
-// its last byte was written to the proxy's socket, and what a fault of the lab prevented is excused.
+// Where the platform's documentation is ambiguous, the proxy gets the benefit of the doubt: an update counts
+// from the moment that its last byte was written to the proxy's socket, and what a fault of the lab prevented
+// is excused.
 package referee
 
 import (
@@ -21,12 +22,12 @@
 	NonIdempotent                    // retried or rejected only if no attempt may have executed
 )
 
-// Class is what the rules need of a class of requests.
+// Class holds what the rules need to know about a class of requests.
 type Class struct {
 	Name       string
 	RetryClass RetryClass
-	KeyScope   string // where keys are deduplicated: all, zone or cell
-	KeyWindow  time.Duration
+	KeyScope   string        // where keys are deduplicated: all, zone or cell
+	KeyWindow  time.Duration // how long keys are deduplicated
 }
 
 // Config holds the parameters of the rules.
@@ -35,7 +36,7 @@
 	MaxAttempts    int
 	HedgingAllowed bool
 	DrainGrace     time.Duration
-	PollInterval   time.Duration
+	PollInterval   time.Duration // in which each proxy has to poll the list; 0: not checked
 	DeadlineSlack  time.Duration // allowed beyond a deadline
 }
 
@@ -43,7 +44,7 @@
 	notificationDeadline     = 6 * time.Second        // from a change in a reachable list until proxies count as notified
 	socketSlack              = 50 * time.Millisecond  // added to each time limit that is observed on sockets
 	maxLateness              = 500 * time.Millisecond // a response later than this counts as lost
-	floodRecovery            = 500 * time.Millisecond // until the idle clients are gone
+	floodRecovery            = 500 * time.Millisecond // after a flood, until its idle clients are gone
 	requestsPerExcusedClose  = 200                    // one request in so many may be closed unread
 	failedPollFactor         = 4                      // the poll interval may be so much longer after a failed poll
 	cancelGrace              = 100 * time.Millisecond // attempts may still begin for so long after a client cancelled
@@ -62,7 +63,7 @@
 	Text    string    `json:"text"`
 }
 
-// notification is what a proxy was last notified of a server.
+// notification is what a proxy was last told about a server.
 type notification struct {
 	serving     bool
 	since       int64 // ms
@@ -70,7 +71,7 @@
 	announcedAt time.Time // by the list; zero: not known
 }
 
-// proxy is what the referee knows of a proxy.
+// proxy is what the referee knows about a proxy.
 type proxy struct {
 	notified       map[string]notification
 	lastPollAt     time.Time // end of its last poll
@@ -84,7 +85,7 @@
 
 type span struct{ start, end time.Time }
 
-// serverState is what the referee knows of a server.
+// serverState is what the referee knows about a server.
 type serverState struct {
 	zone      string
 	cell      int
@@ -137,9 +138,9 @@
 }
 
 // New returns the referee of a run.
-func New(t Config) *Referee {
-	return &Referee{config: t, clientAttempts: map[string]*ClientAttempt{}, proxies: map[string]*proxy{}, servers: map[string]*serverState{},
-		violationCounts: map[string]int{}}
+func New(config Config) *Referee {
+	return &Referee{config: config, clientAttempts: map[string]*ClientAttempt{}, proxies: map[string]*proxy{},
+		servers: map[string]*serverState{}, violationCounts: map[string]int{}}
 }
 
 // UpdateTally calls update with the tally, under the referee's lock.
@@ -195,7 +196,8 @@
 	late := at.Sub(clientAttempt.Deadline)
 	switch {
 	case late > maxLateness:
-		r.recordLost(clientAttempt, at, fmt.Sprintf("answered %v after its time", late.Round(time.Millisecond)))
+		r.recordLost(clientAttempt, at,
+			fmt.Sprintf("answered %v after its deadline", late.Round(time.Millisecond)))
 	case late > r.config.DeadlineSlack+socketSlack:
 		r.tally.LateResponses++
 	}
@@ -209,7 +211,8 @@
 			return
 		}
 	}
-	r.violate(Violation{Rule: "garbled", At: at, Proxy: clientAttempt.Proxy, Attempt: clientAttempt.ID, Text: "the body is what no nodo made for it"})
+	r.violate(Violation{Rule: "garbled", At: at, Proxy: clientAttempt.Proxy, Attempt: clientAttempt.ID,
+		Text: "no nodo sent this body for the request"})
 }
 
 // checkRejected checks that a rejection, which invites a retry, leaves no attempt that may have executed.
@@ -221,15 +224,16 @@
 	for _, attempt := range clientAttempt.attempts {
 		if attempt.mayHaveExecuted() {
 			r.violate(Violation{Rule: "repeat", At: at, Proxy: clientAttempt.Proxy, Server: attempt.Server, Attempt: clientAttempt.ID,
-				Text: class.Name + " refused though an attempt may have run"})
+				Text: class.Name + " rejected though an attempt may have been executed"})
 			return
 		}
 	}
 }
 
-// RecordConnectionClosed records that a connection closed without a complete response, inAnswer if part of one came. The
-// first request on a connection that is closed unread counts as rejected, not as lost.
-func (r *Referee) RecordConnectionClosed(clientAttempt *ClientAttempt, at time.Time, inAnswer, firstOn bool) {
+// RecordConnectionClosed records that a connection closed without a complete response. inResponse says that
+// part of the response arrived, first that the attempt was the first one on the connection: if that is
+// closed without any response, the attempt counts as rejected, not as lost.
+func (r *Referee) RecordConnectionClosed(clientAttempt *ClientAttempt, at time.Time, inResponse, first bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if clientAttempt.Outcome != Pending {
@@ -239,10 +243,10 @@
 	switch {
 	case clientAttempt.WrittenAt.IsZero():
 		clientAttempt.Outcome = Unreached
-	case inAnswer:
+	case inResponse:
 		clientAttempt.Outcome = Failed
 	default:
-		clientAttempt.Outcome, clientAttempt.closedUnanswered, clientAttempt.rejected = Failed, true, firstOn
+		clientAttempt.Outcome, clientAttempt.closedUnanswered, clientAttempt.rejected = Failed, true, first
 	}
 }
 
@@ -280,7 +284,8 @@
 func (r *Referee) RecordExtraBytes(clientAttempt *ClientAttempt, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.violate(Violation{Rule: "twice", At: at, Proxy: clientAttempt.Proxy, Attempt: clientAttempt.ID, Text: "bytes came behind its answer"})
+	r.violate(Violation{Rule: "twice", At: at, Proxy: clientAttempt.Proxy, Attempt: clientAttempt.ID,
+		Text: "unexpected bytes followed the response"})
 }
 
 func (r *Referee) recordLost(clientAttempt *ClientAttempt, at time.Time, text string) {
@@ -314,20 +319,21 @@
 				rejected = append(rejected, clientAttempt)
 			}
 		case clientAttempt.closedUnanswered:
-			r.recordLost(clientAttempt, clientAttempt.EndedAt, "its connection was closed without an answer")
+			r.recordLost(clientAttempt, clientAttempt.EndedAt, "the connection was closed without a response")
 		case clientAttempt.Outcome == Unanswered:
-			r.recordLost(clientAttempt, clientAttempt.EndedAt, "nothing came in its time")
+			r.recordLost(clientAttempt, clientAttempt.EndedAt, "no response before the deadline")
 		}
 	}
 	r.tally.Rejected = len(rejected)
 	for i, clientAttempt := range rejected {
 		if i >= (written+requestsPerExcusedClose-1)/requestsPerExcusedClose {
-			r.recordLost(clientAttempt, clientAttempt.EndedAt, "its new connection was closed unheard, as was one in 200 before")
+			r.recordLost(clientAttempt, clientAttempt.EndedAt,
+				"the new connection was closed unread, which is allowed for only one request in 200")
 		}
 	}
 }
 
-// Record is everything that was recorded in a run.
+// Record holds everything that was recorded in a run.
 type Record struct {
 	ClientAttempts  []*ClientAttempt
 	Attempts        []*Attempt
@@ -349,7 +355,8 @@
 // Misbehaving is the rule that a client which sends an invalid request gets an error or a closed connection.
 const Misbehaving = "rude"
 
-// RecordMisbehavingClient records a misbehaving client that got neither in time.
+// RecordMisbehavingClient records a misbehaving client that got neither an error nor a closed connection in
+// time.
 func (r *Referee) RecordMisbehavingClient(proxy string, from, to time.Time, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faultlab/referee/referee_test.go
+++ b/internal/faultlab/referee/referee_test.go
@@ -12,12 +12,12 @@
 func at(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 
 // newScenario returns a referee with a client attempt of a class, and servers a1 and a2 in zone a, b1 in zone b.
-func newScenario(class Class, terms Config) (*Referee, *ClientAttempt) {
-	terms.Classes = []Class{class}
-	if terms.MaxAttempts == 0 {
-		terms.MaxAttempts = 3
+func newScenario(class Class, config Config) (*Referee, *ClientAttempt) {
+	config.Classes = []Class{class}
+	if config.MaxAttempts == 0 {
+		config.MaxAttempts = 3
 	}
-	r := New(terms)
+	r := New(config)
 	var known []Entry
 	for name, zone := range map[string]string{"a1": "a", "a2": "a", "b1": "b"} {
 		r.RecordServerState(name, ServerState{Zone: zone, Serving: true}, began)
@@ -34,6 +34,7 @@
 	return r.BeginAttempt(Arrival{Server: serverName, ID: "1", FirstByteAt: at(ms), LastByteAt: at(ms + 1)})
 }
 
+// TestRules runs one scenario a row and checks which rules it violates.
 func TestRules(t *testing.T) {
 	keyed := func(scope string) Class {
 		return Class{Name: "k", RetryClass: IdempotencyKey, KeyScope: scope, KeyWindow: 300 * time.Millisecond}
@@ -41,41 +42,55 @@
 	nonIdempotent, idempotent := Class{Name: "u", RetryClass: NonIdempotent}, Class{Name: "s"}
 	rejected := func(r *Referee, attempt *Attempt) { r.RecordRejected(attempt); r.RecordOutcomeWritten(attempt) }
 	err := func(r *Referee, attempt *Attempt) { r.RecordError(attempt, 0); r.RecordOutcomeWritten(attempt) }
-	copies := Config{HedgingAllowed: true}
+	hedging := Config{HedgingAllowed: true}
 	for _, test := range []struct {
-		name  string
-		class Class
-		terms Config
-		play  func(r *Referee, clientAttempt *ClientAttempt)
-		want  []string
+		name   string
+		class  Class
+		config Config
+		run    func(r *Referee, clientAttempt *ClientAttempt)
+		want   []string
 	}{
 		{"non-idempotent retried after a rejection", nonIdempotent, Config{}, func(r *Referee, _ *ClientAttempt) { rejected(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, nil},
-		{"non-idempotent retried after an unwritten rejection", nonIdempotent, copies,
+		{"non-idempotent retried after an unwritten rejection", nonIdempotent, hedging,
 			func(r *Referee, _ *ClientAttempt) { r.RecordRejected(begin(r, "a1", 5)); begin(r, "a2", 9) }, []string{"repeat"}},
 		{"non-idempotent retried after an error", nonIdempotent, Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, []string{"repeat"}},
 		{"non-idempotent rejected after an error", nonIdempotent, Config{},
-			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 503, 0) }, []string{"repeat"}},
-		{"non-idempotent rejected unsent", nonIdempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(20), 503, 0) }, nil},
+			func(r *Referee, c *ClientAttempt) {
+				err(r, begin(r, "a1", 5))
+				r.RecordResponse(c, at(20), 503, 0)
+			}, []string{"repeat"}},
+		{"non-idempotent rejected unsent", nonIdempotent, Config{},
+			func(r *Referee, c *ClientAttempt) { r.RecordResponse(c, at(20), 503, 0) }, nil},
 		{"non-idempotent failed after an error", nonIdempotent, Config{},
-			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 502, 0) }, nil},
+			func(r *Referee, c *ClientAttempt) {
+				err(r, begin(r, "a1", 5))
+				r.RecordResponse(c, at(20), 502, 0)
+			}, nil},
 		{"idempotent retried and rejected", idempotent, Config{},
-			func(r *Referee, y *ClientAttempt) {
+			func(r *Referee, c *ClientAttempt) {
 				err(r, begin(r, "a1", 5))
 				err(r, begin(r, "b1", 9))
-				r.RecordResponse(y, at(20), 503, 0)
+				r.RecordResponse(c, at(20), 503, 0)
 			}, nil},
 		{"over the limit of attempts", idempotent, Config{MaxAttempts: 1},
 			func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, []string{"repeat"}},
 		{"hedged without hedging", idempotent, Config{}, func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, []string{"repeat"}},
-		{"hedged", idempotent, copies, func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, nil},
+		{"hedged", idempotent, hedging,
+			func(r *Referee, _ *ClientAttempt) { begin(r, "a1", 5); begin(r, "b1", 9) }, nil},
 		{"keyed within its zone", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "a2", 9) }, nil},
 		{"keyed to another zone", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, []string{"repeat"}},
 		{"keyed to another zone after a rejection", keyed("zone"), Config{}, func(r *Referee, _ *ClientAttempt) { rejected(r, begin(r, "a1", 5)); begin(r, "b1", 9) }, nil},
 		{"keyed after its window", keyed("all"), Config{}, func(r *Referee, _ *ClientAttempt) { err(r, begin(r, "a1", 5)); begin(r, "b1", 400) }, []string{"repeat"}},
 		{"keyed in all zones rejected", keyed("all"), Config{},
-			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 503, 0) }, nil},
+			func(r *Referee, c *ClientAttempt) {
+				err(r, begin(r, "a1", 5))
+				r.RecordResponse(c, at(20), 503, 0)
+			}, nil},
 		{"keyed in a zone rejected", keyed("zone"), Config{},
-			func(r *Referee, y *ClientAttempt) { err(r, begin(r, "a1", 5)); r.RecordResponse(y, at(20), 503, 0) }, []string{"repeat"}},
+			func(r *Referee, c *ClientAttempt) {
+				err(r, begin(r, "a1", 5))
+				r.RecordResponse(c, at(20), 503, 0)
+			}, []string{"repeat"}},
 		{"within the grace of a drain", idempotent, Config{DrainGrace: time.Second},
 			func(r *Referee, _ *ClientAttempt) {
 				r.RecordUpdate("p", ListUpdate{Entries: []Entry{{"a1", false, 0}}}, at(0))
@@ -145,31 +160,38 @@
 				r.RecordProxyStart("p", []Entry{{"a1", true, 0}}, at(5000))
 				begin(r, "a1", 7100)
 			}, []string{"drain"}},
-		{"answered late", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(1400), 502, 0) }, nil},
-		{"answered too late", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordResponse(y, at(1600), 502, 0) }, []string{"lost"}},
-		{"never answered", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordTimeout(y, at(1600)) }, []string{"lost"}},
+		{"answered late", idempotent, Config{},
+			func(r *Referee, c *ClientAttempt) { r.RecordResponse(c, at(1400), 502, 0) }, nil},
+		{"answered too late", idempotent, Config{},
+			func(r *Referee, c *ClientAttempt) { r.RecordResponse(c, at(1600), 502, 0) }, []string{"lost"}},
+		{"never answered", idempotent, Config{},
+			func(r *Referee, c *ClientAttempt) { r.RecordTimeout(c, at(1600)) }, []string{"lost"}},
 		{"never answered while killed", idempotent, Config{},
-			func(r *Referee, y *ClientAttempt) {
+			func(r *Referee, c *ClientAttempt) {
 				r.BeginExcusedSpan("p", at(500))(at(600))
-				r.RecordTimeout(y, at(1600))
+				r.RecordTimeout(c, at(1600))
 			}, nil},
 		{"never answered though killed before", idempotent, Config{},
-			func(r *Referee, y *ClientAttempt) {
+			func(r *Referee, c *ClientAttempt) {
 				r.BeginExcusedSpan("p", at(-500))(at(-100))
-				r.RecordTimeout(y, at(1600))
+				r.RecordTimeout(c, at(1600))
 			}, []string{"lost"}},
-		{"closed without an answer", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), false, false) }, []string{"lost"}},
-		{"the one in 200 whose new connection is closed", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), false, true) }, nil},
-		{"closed within its response", idempotent, Config{}, func(r *Referee, y *ClientAttempt) { r.RecordConnectionClosed(y, at(50), true, false) }, nil},
+		{"closed without an answer", idempotent, Config{},
+			func(r *Referee, c *ClientAttempt) { r.RecordConnectionClosed(c, at(50), false, false) },
+			[]string{"lost"}},
+		{"the one in 200 whose new connection is closed", idempotent, Config{},
+			func(r *Referee, c *ClientAttempt) { r.RecordConnectionClosed(c, at(50), false, true) }, nil},
+		{"closed within its response", idempotent, Config{},
+			func(r *Referee, c *ClientAttempt) { r.RecordConnectionClosed(c, at(50), true, false) }, nil},
 		{"served a body that no server sent", idempotent, Config{},
-			func(r *Referee, y *ClientAttempt) {
+			func(r *Referee, c *ClientAttempt) {
 				r.RecordServed(begin(r, "a1", 5), 7, 0)
-				r.RecordResponse(y, at(50), 200, 8)
+				r.RecordResponse(c, at(50), 200, 8)
 			}, []string{"garbled"}},
 		{"served a server's body", idempotent, Config{},
-			func(r *Referee, y *ClientAttempt) {
+			func(r *Referee, c *ClientAttempt) {
 				r.RecordServed(begin(r, "a1", 5), 7, 0)
-				r.RecordResponse(y, at(50), 200, 7)
+				r.RecordResponse(c, at(50), 200, 7)
 			}, nil},
 		{"overloaded by notified proxies", idempotent, Config{},
 			func(r *Referee, _ *ClientAttempt) {
@@ -182,10 +204,10 @@
 			}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r, clientAttempt := newScenario(test.class, test.terms)
-			test.play(r, clientAttempt)
+			r, clientAttempt := newScenario(test.class, test.config)
+			test.run(r, clientAttempt)
 			if got := slices.Sorted(maps.Keys(r.Close().ViolationCounts)); !slices.Equal(got, test.want) {
-				t.Errorf("broken: %v, want %v", got, test.want)
+				t.Errorf("violated rules %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -203,17 +225,18 @@
 		r.RecordSend(clientAttempt, "p")
 		r.RecordWritten(clientAttempt, began)
 		if !r.RecordClientCancel(clientAttempt, began) || r.RecordClientCancel(clientAttempt, began.Add(1)) {
-			t.Error("a client cancels only once")
+			t.Error("a client must be able to cancel exactly once")
 		}
 		at := began.Add(c.after)
 		r.BeginAttempt(Arrival{Server: "s", ID: "1", Method: "GET", Path: "/", FirstByteAt: at, LastByteAt: at})
 		if got := r.Close().ViolationCounts; got["gone"] != c.want || got["lost"] != 0 {
-			t.Errorf("%v after: broken %v", c.after, got)
+			t.Errorf("attempt %v after the cancel: violations %v", c.after, got)
 		}
 	}
 }
 
-// A successor may send to a server of its own list that its predecessor was notified as removed, or never notified of.
+// A successor may send to a server of its own list, even if its predecessor was told that the server was
+// removed or never heard of it. A proxy without such a list may not.
 func TestSuccessorUsesItsOwnList(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		r, began := New(Config{Classes: []Class{{}}, MaxAttempts: 3}), time.Unix(1000, 0)
@@ -227,7 +250,7 @@
 			r.BeginAttempt(Arrival{Server: serverName, ID: serverName, Method: "GET", Path: "/", FirstByteAt: at, LastByteAt: at})
 		}
 		if got := r.Close().ViolationCounts["drain"]; (got == 2) == known || known && got != 0 {
-			t.Errorf("a successor that knows %v: drain broken %d times", known, got)
+			t.Errorf("successor with its own list %v: drain violated %d times", known, got)
 		}
 	}
 }
--- a/internal/faultlab/referee/servers.go
+++ b/internal/faultlab/referee/servers.go
@@ -30,7 +30,7 @@
 	server.listings = append(server.listings, listing{serving, since, at})
 }
 
-// server is a server's state, created if it is not known yet.
+// server returns a server's state, and creates it if the server is not known yet.
 func (r *Referee) server(name string) *serverState {
 	server := r.servers[name]
 	if server == nil {
@@ -40,7 +40,8 @@
 	return server
 }
 
-// RecordListLost records that the list lost its entries: proxies count as notified of them only when they are.
+// RecordListLost records that the list lost its entries: a proxy no longer counts as notified of an earlier
+// entry unless it received that entry.
 func (r *Referee) RecordListLost() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,8 +63,8 @@
 	}
 }
 
-// notificationDue is when a proxy counts as notified of a change that the list announced at a moment, whether it was or not:
-// once the list has been reachable for notificationDeadline.
+// notificationDue returns when a proxy counts as notified of a change that the list announced at the given
+// time, whether it was or not: once the list has been reachable for notificationDeadline.
 func (r *Referee) notificationDue(proxy string, announced time.Time) time.Time {
 	due := announced.Add(notificationDeadline)
 	for moved := true; moved; {
@@ -78,8 +79,8 @@
 	return due
 }
 
-// overdueChange is the newest change of a server that a proxy had to act on before a moment, and by how much it is late;
-// false if there is none, or the proxy knows a newer one.
+// overdueChange returns the newest change of a server that a proxy had to act on before sentAt, and by how
+// much the proxy is late; ok is false if there is none, or if the proxy knows a newer one.
 func (r *Referee) overdueChange(proxy string, server *serverState, knownAt, sentAt time.Time) (newest listing,
 	late time.Duration, ok bool) {
 	if server == nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// announcedAt is when the list last announced an entry; zero if it never did.
+// announcedAt returns when the list last announced an entry; zero if it never did.
 func (r *Referee) announcedAt(entry Entry) (at time.Time) {
 	if server := r.servers[entry.Server]; server != nil {
 		for _, listing := range server.listings {
@@ -126,7 +127,8 @@
 	return at
 }
 
-// RecordInheritedList records the list that a successor starts with: it counts as notified of what its predecessor was not.
+// RecordInheritedList records the list that a successor starts with: the proxy now counts as notified of each
+// entry that its predecessor was not notified of.
 func (r *Referee) RecordInheritedList(name string, known []Entry, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,7 +140,7 @@
 	}
 }
 
-// StartCount is how often a proxy has started without a predecessor.
+// StartCount returns how often a proxy has started without a predecessor.
 func (r *Referee) StartCount(name string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,11 +159,11 @@
 type ListUpdate struct {
 	Entries  []Entry
 	Snapshot bool  // complete: servers that are missing are gone
-	Order    int64 // of composition, from 1; 0: not known
+	Order    int64 // in which the list composed its answers, from 1; 0: not known
 }
 
-// RecordUpdate records that an answer of the list was written to a proxy's socket. An answer older than one that the proxy
-// already has is ignored: the proxy has given that poll up.
+// RecordUpdate records that an answer of the list was written to a proxy's socket. An answer older than one
+// that the proxy already has is ignored: the proxy has abandoned that poll.
 func (r *Referee) RecordUpdate(name string, update ListUpdate, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,7 +210,7 @@
 	r.connectTimes = append(r.connectTimes, at)
 }
 
-// UnansweredSend is what a proxy sent towards a server over a link that dropped it.
+// UnansweredSend is a send of a proxy towards a server over a link that dropped it.
 type UnansweredSend struct {
 	SentAt   time.Time
 	Proxy    string // empty where proxies share their links
@@ -227,7 +229,8 @@
 	}
 }
 
-// RecordOverload records that a server in slow start failed, with the work that each proxy sent to it in the window.
+// RecordOverload records that a server in slow start failed under overload, with the work that each proxy
+// sent to it in the window that overload is measured over.
 func (r *Referee) RecordOverload(name string, since int64, work map[string]time.Duration, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,7 +248,7 @@
 	}
 	if all > 0 && float64(informed) >= overloadInformedFraction*float64(all) {
 		r.violate(Violation{Rule: "tip", At: at, Proxy: worst, Server: name, Text: fmt.Sprintf(
-			"fell over under %v of work in the window, %.0f %% of it from %d proxies that knew of its start",
+			"overloaded by %v of work in the window, %.0f %% of it from informed proxies, of %d in all",
 			all.Round(time.Millisecond), 100*float64(informed)/float64(all), len(work))})
 	}
 }
