--- a/internal/faultlab/result/metrics.go
+++ b/internal/faultlab/result/metrics.go
@@ -92,7 +92,7 @@
 	metrics["proxy_memory_mb"], metrics["proxy_cpu_s"] = float64(input.Memory)/(1<<20), input.CPU.Seconds()
 	p.Lateness = lateness(input.Lateness, input.Stall)
 	for _, expect := range exp.Expect {
-		p.Spans = append(p.Spans, p.expectedMetric(exp, requests, metrics, expect))
+		p.ExpectedValues = append(p.ExpectedValues, p.expectedMetric(exp, requests, metrics, expect))
 	}
 	maps.DeleteFunc(metrics, func(_ string, value float64) bool { return math.IsNaN(value) }) // JSON has no NaN
 	p.Metrics = metrics
--- a/internal/faultlab/result/result.go
+++ b/internal/faultlab/result/result.go
@@ -56,7 +56,7 @@
 	Latency         map[string][]float64 `json:"latency_ms"` // at Percentiles, by class
 	Attempts        map[string][]int     `json:"attempts"`   // by the proxy's zone, then by the index in Zones of the server's
 	Zones           []string             `json:"zones"`
-	Spans           []float64            `json:"spans"` // value of each expectation's metric
+	ExpectedValues           []float64            `json:"spans"` // value of each expectation's metric
 }
 
 // Percentiles are those of Play.Latency.
@@ -166,7 +166,7 @@
 		}
 	}
 	for i, x := range exp.Expect {
-		check(x, func(p Play) float64 { return p.Spans[i] })
+		check(x, func(p Play) float64 { return p.ExpectedValues[i] })
 	}
 }
 
