--- a/internal/faultlab/result/avoidance.go
+++ b/internal/faultlab/result/avoidance.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	departureWindow = 0.25 // seconds
+	departureWindow = 0.25 // seconds over which calls are judged to be trials
 	departureCalls  = 40   // or as long as so many calls take
-	trialFraction   = 0.05 // at most this fraction of calls to a fault's target are trials
-	avoidanceWindow = 1.0
-	stayedBeforeEnd = 1.0 // seconds; a proxy that leaves later has stayed
-	stayedMinimum   = 2.0 // seconds that a fault lasts for proxies to count as stayed
-	returnWindow    = 2.0
-	returnStep      = 0.25
-	minReturnCalls  = 20 // in a returnWindow
+	trialFraction   = 0.05 // calls to a fault's target are trials up to this fraction of all calls
+	avoidanceWindow = 1.0  // seconds
+	stayedBeforeEnd = 1.0  // seconds; a proxy that leaves later has stayed
+	stayedMinimum   = 2.0  // seconds that a fault has to last for proxies to count as stayed
+	returnWindow    = 2.0  // seconds over which the share of calls is compared
+	returnStep      = 0.25 // seconds between two such comparisons
+	minReturnCalls  = 20   // in a returnWindow
 )
 
 // addAvoidance adds, for each fault that calls could avoid, how soon they did and how soon they returned after it.
@@ -38,12 +38,12 @@
 			metrics[name] = v
 		}
 		add := func(a, b float64) float64 { return a + b }
-		l := findDepartures(during, affected, event)
-		set("left_first_s", l.first, math.Max)
-		set("left_last_s", l.last, math.Max)
-		set("left_spread_ms", l.spread*1000, math.Max)
-		set("stayed", float64(l.stayed), add)
-		set("avoid_s", l.avoided, math.Max)
+		departed := findDepartures(during, affected, event)
+		set("left_first_s", departed.first, math.Max)
+		set("left_last_s", departed.last, math.Max)
+		set("left_spread_ms", departed.spread*1000, math.Max)
+		set("stayed", float64(departed.stayed), add)
+		set("avoid_s", departed.avoided, math.Max)
 		wasted := 0
 		for _, c := range during {
 			if affected.affects(c) && !c.served {
@@ -55,72 +55,73 @@
 		set("room_worth", input.headroomUse(requests, event), math.Min)
 	}
 	dials := 0
-	for _, k := range input.Record.UnansweredSends {
-		if k.Dial {
+	for _, send := range input.Record.UnansweredSends {
+		if send.Dial {
 			dials++
 		}
 	}
 	metrics["dials_lost"] = float64(dials)
 }
 
-// departures is when proxies stopped calling a fault's target, in seconds from the fault's start.
+// departures holds when proxies stopped calling a fault's target, in seconds from the fault's start.
 type departures struct {
-	first, last float64 // of a proxy
-	spread      float64 // from the first to the last of a zone, the largest
+	first, last float64 // departure of a proxy
+	spread      float64 // from the first to the last departure in a zone, the largest of all zones
 	avoided     float64 // until at most trialFraction of all calls went there
-	stayed      int     // proxies that had not stopped at its end
+	stayed      int     // proxies that had not stopped at the fault's end
 }
 
-// findDepartures finds when each proxy stopped: at its last call there that is no trial. Proxies with only trials are left out,
-// and so are proxies that share their links and cannot be distinguished.
+// findDepartures finds when each proxy stopped calling the target: at its last affected call that is not a
+// trial. Proxies with only trials are left out, and so are proxies that share their links and cannot be
+// distinguished.
 func findDepartures(during []call, affected affectedCalls, event Event) departures {
-	l := departures{first: math.NaN(), last: math.NaN(), spread: math.NaN()}
-	by, zones := map[string][]call{}, map[string]string{}
-	callers := map[string]bool{} // zones that ever call there
+	found := departures{first: math.NaN(), last: math.NaN(), spread: math.NaN()}
+	callsByProxy, zoneOfProxy := map[string][]call{}, map[string]string{}
+	callingZones := map[string]bool{} // zones with an affected call
 	for _, c := range during {
 		if affected.affects(c) {
-			callers[c.fromZone] = true
+			callingZones[c.fromZone] = true
 		}
 	}
 	var all []call
 	for _, c := range during {
-		if !callers[c.fromZone] {
+		if !callingZones[c.fromZone] {
 			continue
 		}
 		all = append(all, c)
 		if c.proxy != "" {
-			by[c.proxy] = append(by[c.proxy], c)
-			zones[c.proxy] = c.fromZone
+			callsByProxy[c.proxy] = append(callsByProxy[c.proxy], c)
+			zoneOfProxy[c.proxy] = c.fromZone
 		}
 	}
-	l.avoided = countCalls(all, affected).avoidedAt(event.Start, event.End) - event.Start
+	found.avoided = countCalls(all, affected).avoidedAt(event.Start, event.End) - event.Start
 	firsts, lasts := map[string]float64{}, map[string]float64{}
-	for proxy, own := range by {
+	for proxy, own := range callsByProxy {
 		at := countCalls(own, affected).lastCall() - event.Start
 		if math.IsNaN(at) {
 			continue
 		}
 		if event.End-event.Start >= stayedMinimum && at > event.End-event.Start-stayedBeforeEnd {
-			l.stayed++
+			found.stayed++
 		}
-		zone := zones[proxy]
+		zone := zoneOfProxy[proxy]
 		if was, had := firsts[zone]; !had || at < was {
 			firsts[zone] = at
 		}
 		lasts[zone] = math.Max(lasts[zone], at)
 	}
 	for zone, first := range firsts {
-		if math.IsNaN(l.first) || first < l.first {
-			l.first = first
+		if math.IsNaN(found.first) || first < found.first {
+			found.first = first
 		}
-		if math.IsNaN(l.last) || lasts[zone] > l.last {
-			l.last = lasts[zone]
+		if math.IsNaN(found.last) || lasts[zone] > found.last {
+			found.last = lasts[zone]
 		}
-		if math.IsNaN(l.spread) || lasts[zone]-first > l.spread {
-			l.spread = lasts[zone] - first
+		if math.IsNaN(found.spread) || lasts[zone]-first > found.spread {
+			found.spread = lasts[zone] - first
 		}
 	}
-	return l
+	return found
 }
 
 // callTally holds the times of calls and running counts of the affected ones.
@@ -141,8 +142,9 @@
 	return t
 }
 
-// trials reports whether at most trialFraction of the calls from the i-th on are affected, over so many seconds after a moment or
-// so many calls, whichever is longer. Near the end earlier calls make up the number.
+// trials reports whether at most trialFraction of the calls from the i-th on are affected, over the given
+// number of seconds from a time on or the given number of calls, whichever is longer. If too few calls are
+// left, earlier ones are included.
 func (t callTally) trials(i int, from, seconds float64, calls int) bool {
 	j, _ := slices.BinarySearch(t.times, from+seconds)
 	j = min(max(j, i+calls), len(t.times))
@@ -150,8 +152,8 @@
 	return float64(t.affected[j]-t.affected[i]) <= trialFraction*float64(j-i)
 }
 
-// lastCall is the time of the last affected call that is no trial, NaN if there is none. A proxy's last regular calls, up to
-// trialFraction of a window, count as trials.
+// lastCall returns the time of the last affected call that is not a trial, NaN if there is none. A proxy's
+// last regular calls, up to trialFraction of a window, count as trials.
 func (t callTally) lastCall() float64 {
 	for i := len(t.times) - 1; i >= 0; i-- {
 		if t.affected[i+1] > t.affected[i] && !t.trials(i, t.times[i], departureWindow, departureCalls) {
@@ -161,8 +163,9 @@
 	return math.NaN()
 }
 
-// avoidedAt is the first time after which at most trialFraction of the calls are affected, over departureWindow and
-// avoidanceWindow; a fault's end if there is none.
+// avoidedAt returns the first time after which at most trialFraction of the calls are affected, over
+// departureWindow and over avoidanceWindow; the fault's end if there is none. The fault lasts from from to
+// to.
 func (t callTally) avoidedAt(from, to float64) float64 {
 	settled := func(i int, at float64) bool {
 		return t.trials(i, at, departureWindow, departureCalls) && t.trials(i, at, avoidanceWindow, departureCalls)
@@ -178,8 +181,10 @@
 	return to
 }
 
-// returnDelay is the time from a fault's end until its target has, over returnWindow, recoveredFraction of its share of the calls
-// in the baselineSeconds before the fault; at most until the next fault or the end of the load.
+// returnDelay returns the seconds from a fault's end until its target has, over returnWindow,
+// recoveredFraction of the share of calls that it had in the baselineSeconds before the fault. It returns at
+// most the time until the next fault or the end of the load, and NaN if the target had no calls before or
+// that time is under returnWindow.
 func returnDelay(input Input, calls []call, affected affectedCalls, event Event) float64 {
 	share := func(from, to float64) (float64, int) {
 		n, there := 0, 0
--- a/internal/faultlab/result/avoidance_test.go
+++ b/internal/faultlab/result/avoidance_test.go
@@ -11,8 +11,8 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// caller is a proxy that makes rate calls a second, every second one to zone z, until a second of a fault that lasts from 10
-// to 20, and from then on one in trialIn.
+// caller is a proxy that makes rate calls a second during a fault from second 10 to 20. Every other call goes
+// to zone z until so many seconds of the fault have passed, from then on one in trialIn.
 type caller struct {
 	name    string
 	rate    float64
@@ -20,6 +20,7 @@
 	trialIn int
 }
 
+// callsDuring returns the calls of several callers in the order of their times.
 func callsDuring(callers ...caller) (out []call) {
 	for i := range 100_000 {
 		at := float64(i) / 10_000
@@ -38,7 +39,8 @@
 	return out
 }
 
-// The last regular calls count as trials, so that the times wanted lie somewhat before `until`.
+// TestFindDepartures checks when proxies count as having stopped. The last regular calls count as trials, so
+// that the wanted times are a little before `until`.
 func TestFindDepartures(t *testing.T) {
 	nan := math.NaN()
 	for _, test := range []struct {
@@ -56,7 +58,7 @@
 		{"never there but for a trial", []caller{{"a1", 100, -1, 500}}, departures{nan, nan, nan, 0, 0}},
 	} {
 		got := findDepartures(callsDuring(test.callers...), affectedCalls{affects: func(c call) bool { return c.toZone == "z" }}, Event{Start: 10, End: 20})
-		if test.name == "so many trials are" { // of all calls they are 5 %
+		if test.name == "so many trials are" { // the trials are 5 % of all calls
 			got.avoided = 0
 		}
 		text := func(l departures) string {
@@ -68,7 +70,8 @@
 	}
 }
 
-// The lost zone's share of the calls is a half before a fault from 10 to 12 and rises linearly over 4 s after it.
+// A target counts as returned once it has its earlier share of the calls. The lost zone's share is a half
+// before a fault from second 10 to 12, and rises to that linearly over the 4 s after it.
 func TestReturnDelay(t *testing.T) {
 	var calls []call
 	credit := 0.0
@@ -90,18 +93,20 @@
 	input := Input{Experiment: &experiment.Experiment{Seconds: 30, Warmup: 2}}
 	affected := affectedCalls{targets: func(c call) bool { return c.toZone == "z" }}
 	event := Event{Number: 1, Start: 10, End: 12}
-	// The window of 2 s has 95 % of its half once it begins 3.4 s after the end, the last 0.6 s of the rise making up for it.
+	// The window of 2 s has 95 % of that half if it begins 3.4 s after the end, with the last 0.6 s of the
+	// rise in it.
 	if got := returnDelay(input, calls, affected, event); got < 5 || got > 5.5 {
-		t.Errorf("back after %v s, want 5 to 5.5", got)
+		t.Errorf("returned after %v s, want 5 to 5.5", got)
 	}
 	input.Events = []Event{event, {Number: 2, Start: 15, End: 16}}
 	if got := returnDelay(input, calls, affected, event); got != 3 {
-		t.Errorf("not back until the next fault: %v s, want the 3 s until that", got)
+		t.Errorf("not returned before the next fault: %v s, want the 3 s until that fault", got)
 	}
 }
 
-// Two servers do a second of work a second each. One is gone for the 10 s after second 10, so that the remaining capacity serves
-// two thirds of 1.5 s of work a second; the requests with most weight per work go first.
+// The use of the headroom compares the answered weight with what the remaining capacity allows. Two servers
+// do a second of work a second each. One is gone for the 10 s after second 10, so that the remaining capacity
+// serves two thirds of the 1.5 s of work a second; the requests with the most weight per work go first.
 func TestHeadroomUse(t *testing.T) {
 	group := experiment.ServerGroup{Count: 2, Speed: 1, Slots: 1}
 	exp := &experiment.Experiment{Seconds: 30, Zones: []experiment.Zone{{Name: "a", Proxies: 1, Servers: []experiment.ServerGroup{group}}},
@@ -110,16 +115,16 @@
 		return plan.PlannedFault{Number: 1, Fault: experiment.Fault{Kind: "nodo_kill"}, At: from, Duration: lasts, Targets: []plan.Target{{At: from, Name: "a-s1"}}}
 	}
 	var requests []clientRequest
-	for i := range 300 { // each tenth of a second one of 100 ms of each class, and every other one of no class twice
+	for i := range 300 { // every 0.1 s a request of class 0 with 50 ms of work and one of class 1 with 100 ms
 		at := time.Duration(i) * 100 * time.Millisecond
 		requests = append(requests, clientRequest{Arrival: &plan.Arrival{At: at, Class: 0, Work: 50 * time.Millisecond}, outcome: referee.Served, inTime: true},
 			clientRequest{Arrival: &plan.Arrival{At: at, Class: 1, Work: 100 * time.Millisecond}, outcome: referee.Rejected})
 	}
 	for _, test := range []struct {
-		name   string
-		strike plan.PlannedFault
-		unseen bool // the rejected requests reached no proxy
-		want   float64
+		name      string
+		fault     plan.PlannedFault
+		unreached bool // the rejected requests reached no proxy
+		want      float64
 	}{
 		{"half of the capacity", kill(10*time.Second, 10*time.Second), false, 1000 / (1000 + 50.0)},
 		{"back in slow start in mid-span", kill(10*time.Second, 4*time.Second), false, 1000 / (1000 + 100.0)},
@@ -127,22 +132,25 @@
 	} {
 		for i := range requests {
 			if requests[i].Class == 1 {
-				requests[i].outcome = map[bool]referee.Outcome{false: referee.Rejected, true: referee.Unreached}[test.unseen]
+				requests[i].outcome = map[bool]referee.Outcome{
+					false: referee.Rejected, true: referee.Unreached}[test.unreached]
 			}
 		}
-		input := Input{Experiment: exp, Plan: &plan.Plan{Faults: []plan.PlannedFault{test.strike}}}
+		input := Input{Experiment: exp, Plan: &plan.Plan{Faults: []plan.PlannedFault{test.fault}}}
 		if got := input.headroomUse(requests, Event{Number: 1, Start: 10, End: 20}); math.Abs(got-test.want) > 1e-3 {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
 	input := Input{Experiment: exp, Plan: &plan.Plan{Faults: []plan.PlannedFault{kill(10*time.Second, 4*time.Second)}}}
-	// 10 s of the one, 6 s of the other less the 0.25 that it lacks on average over its 4 s of slow start.
+	// One server works for 10 s, the other for 6 s, of which it lacks a quarter on average over 4 s of slow
+	// start.
 	if got := input.availableWork(10, 20, func(string) bool { return true }); math.Abs(got-15) > 0.01 {
-		t.Errorf("available work of %v s, want 15", got)
+		t.Errorf("available work %v s, want 15 s", got)
 	}
 }
 
-// Bytes that a cut delayed count once, as the attempt that arrived; those that never arrived count as a wasted call.
+// Bytes that a cut link delayed count once, as the attempt that arrived; those that never arrived count as a
+// wasted call.
 func TestDelayedBytesCountOnce(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(experiment.Seconds(s)) }
@@ -159,12 +167,12 @@
 	metrics := map[string]float64{}
 	(&Play{}).addAvoidance(input, nil, metrics)
 	if metrics["wasted.1"] != 2 || metrics["dials_lost"] != 1 || metrics["left_last_s.1"] != 2 {
-		t.Errorf("got %v, want 2 wasted of which 1 a dial, the last after 2 s", metrics)
+		t.Errorf("got %v, want 2 wasted calls, of which 1 is a dial, and the last one after 2 s", metrics)
 	}
 	for name := range metrics {
 		exp.Faults = []experiment.Fault{{}}
 		if !experiment.IsKnownMetric(name, exp) {
-			t.Errorf("%s cannot be expected of a run", name)
+			t.Errorf("metric %s is unknown to experiments", name)
 		}
 	}
 }
--- a/internal/faultlab/result/calls.go
+++ b/internal/faultlab/result/calls.go
@@ -11,7 +11,7 @@
 
 // affectedCalls selects the calls that a fault affects: those that proxies should avoid while it lasts.
 type affectedCalls struct {
-	affects func(call) bool // sent by proxies that are not lost themselves
+	affects func(call) bool // to the fault's target, by proxies that are not lost themselves
 	targets func(call) bool // all calls to the fault's target, also from a zone that is lost with it
 }
 
@@ -19,11 +19,12 @@
 type call struct {
 	time             float64 // seconds since the load started
 	proxy, server    string
-	fromZone, toZone string // zones
-	served, arrived  bool
+	fromZone, toZone string
+	served, arrived  bool // arrived: at the server
 }
 
-// calls are all calls in order. Bytes that a cut delayed and that reached the server after it count once.
+// calls returns all calls in the order of their times. A send that a cut link delayed and that reached the
+// server later counts once, as the attempt that arrived.
 func (input *Input) calls() []call {
 	zoneOf := map[string]string{}
 	for _, n := range input.Experiment.ProxyNodes() {
@@ -35,14 +36,16 @@
 	}
 	arrived := map[key]bool{}
 	var out []call
-	for _, a := range input.Record.Attempts {
-		arrived[key{a.Server, a.FirstByteAt}] = true
-		t := a.ClientAttempt()
-		out = append(out, call{a.FirstByteAt.Sub(input.Start).Seconds(), t.Proxy, a.Server, zoneOf[t.Proxy], a.Zone, a.Served(), true})
+	for _, attempt := range input.Record.Attempts {
+		arrived[key{attempt.Server, attempt.FirstByteAt}] = true
+		clientAttempt := attempt.ClientAttempt()
+		out = append(out, call{attempt.FirstByteAt.Sub(input.Start).Seconds(), clientAttempt.Proxy,
+			attempt.Server, zoneOf[clientAttempt.Proxy], attempt.Zone, attempt.Served(), true})
 	}
-	for _, k := range input.Record.UnansweredSends {
-		if !arrived[key{k.Server, k.SentAt}] {
-			out = append(out, call{k.SentAt.Sub(input.Start).Seconds(), k.Proxy, k.Server, k.FromZone, k.Zone, false, false})
+	for _, send := range input.Record.UnansweredSends {
+		if !arrived[key{send.Server, send.SentAt}] {
+			out = append(out, call{send.SentAt.Sub(input.Start).Seconds(), send.Proxy, send.Server,
+				send.FromZone, send.Zone, false, false})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b call) int { return cmp.Compare(a.time, b.time) })
@@ -50,10 +53,10 @@
 }
 
 // affectedBy selects the calls that a fault affects; false if calls could not avoid it.
-func affectedBy(s plan.PlannedFault) (affectedCalls, bool) {
-	f := s.Fault
+func affectedBy(planned plan.PlannedFault) (affectedCalls, bool) {
+	f := planned.Fault
 	kind := experiment.Kinds[f.Kind]
-	one := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
+	matches := func(names []string, n string) bool { return len(names) == 0 || slices.Contains(names, n) }
 	switch {
 	case f.Kind == "zone_loss":
 		return affectedCalls{func(c call) bool { return c.toZone == f.Zone && c.fromZone != f.Zone },
@@ -64,25 +67,29 @@
 	case f.Kind == "nodo_drain" || f.Kind == "nodo_replace" || f.Kind == "gossip_lie": // announced by the list, or harmless to calls
 		return affectedCalls{}, false
 	case kind.Servers:
-		struck := map[string]bool{}
-		for _, turn := range s.Targets {
-			struck[turn.Name] = true
+		targets := map[string]bool{}
+		for _, target := range planned.Targets {
+			targets[target.Name] = true
 		}
-		affects := func(c call) bool { return struck[c.server] }
+		affects := func(c call) bool { return targets[c.server] }
 		return affectedCalls{affects, affects}, true
 	case kind.Links && (f.Link == "" || f.Link == "nodo") && (f.ToZone != "" || f.Zone != "" || len(f.Servers) > 0):
 		affects := func(c call) bool {
 			return (f.FromZone == "" || c.fromZone == f.FromZone) && (f.ToZone == "" || c.toZone == f.ToZone) &&
-				(f.Zone == "" || c.fromZone == f.Zone || c.toZone == f.Zone) && one(f.Proxies, c.proxy) && one(f.Servers, c.server)
+				(f.Zone == "" || c.fromZone == f.Zone || c.toZone == f.Zone) && matches(f.Proxies, c.proxy) &&
+				matches(f.Servers, c.server)
 		}
 		return affectedCalls{affects, affects}, true
 	}
 	return affectedCalls{}, false
 }
 
-// callsBetween are the calls in a span of seconds.
-func callsBetween(cs []call, from, to float64) []call {
-	i, _ := slices.BinarySearchFunc(cs, from, func(c call, at float64) int { return cmp.Compare(c.time, at) })
-	j, _ := slices.BinarySearchFunc(cs, to, func(c call, at float64) int { return cmp.Compare(c.time, at) })
-	return cs[i:max(i, j)]
+// callsBetween returns the calls of a sorted list that were made in [from, to), in seconds since the load
+// started.
+func callsBetween(calls []call, from, to float64) []call {
+	i, _ := slices.BinarySearchFunc(calls, from,
+		func(c call, at float64) int { return cmp.Compare(c.time, at) })
+	j, _ := slices.BinarySearchFunc(calls, to,
+		func(c call, at float64) int { return cmp.Compare(c.time, at) })
+	return calls[i:max(i, j)]
 }
--- a/internal/faultlab/result/configs.go
+++ b/internal/faultlab/result/configs.go
@@ -8,34 +8,37 @@
 	"merlinpick/internal/faultlab/hollow"
 )
 
-// ConfigWrite is a configuration that was written to the list service.
+// ConfigWrite is a write of a configuration to the list service.
 type ConfigWrite struct {
 	Service     string
-	Faulty      bool
+	Faulty      bool  // the configuration is invalid on purpose and must be refused
 	Status      int   // of the last answer; 0: none
 	Version     int64 // if it was accepted
 	RequestedAt int64 // when it was first sent, in ns of the machine's clock
 	ConfirmedAt int64 // when it was last answered
 }
 
-// inForceDeadline is the operators' limit for a change to be in force everywhere.
+// inForceDeadline is the operators' limit for the time from a change's confirmation until it is in force
+// everywhere.
 const inForceDeadline = 9 * time.Second
 
-// configMetrics adds the metrics of the configurations that were written in a phase.
+// configMetrics adds the metrics of the configurations that were written in a phase, which lasts from from to
+// to, in ns of the machine's clock.
 func (c *Control) configMetrics(phase string, from, to int64, add func(string, float64)) {
-	follow := map[string][][]ReceivedVersion{}
+	versionsByService := map[string][][]ReceivedVersion{}
 	for _, x := range c.Hollow {
 		for _, p := range x.Proxies {
 			if p.Config != nil {
-				follow[p.Config.Service] = append(follow[p.Config.Service], p.Config.Versions)
+				versionsByService[p.Config.Service] = append(versionsByService[p.Config.Service],
+					p.Config.Versions)
 			}
 		}
 	}
-	if len(follow) == 0 {
+	if len(versionsByService) == 0 {
 		return
 	}
 	var changes, refused, failed, never int
-	var late, sure []float64
+	var delays, confirmations []float64
 	for _, x := range c.ConfigWrites {
 		switch {
 		case x.RequestedAt < from || x.RequestedAt >= to:
@@ -45,18 +48,19 @@
 			failed++
 		default:
 			changes++
-			one := []hollow.Change{{Version: x.Version, RequestedAt: x.RequestedAt, ConfirmedAt: x.ConfirmedAt}}
-			late = append(late, notificationDelays(one, follow[x.Service])...)
-			sure = append(sure, float64(x.ConfirmedAt-x.RequestedAt)/1e6)
-			never += countMissing(one, follow[x.Service], to-inForceDeadline.Nanoseconds()+1)
+			change := []hollow.Change{{Version: x.Version, RequestedAt: x.RequestedAt,
+				ConfirmedAt: x.ConfirmedAt}}
+			delays = append(delays, notificationDelays(change, versionsByService[x.Service])...)
+			confirmations = append(confirmations, float64(x.ConfirmedAt-x.RequestedAt)/1e6)
+			never += countMissing(change, versionsByService[x.Service], to-inForceDeadline.Nanoseconds()+1)
 		}
 	}
-	slices.Sort(late)
-	slices.Sort(sure)
+	slices.Sort(delays)
+	slices.Sort(confirmations)
 	add(phase+".config_changes", float64(changes))
 	add(phase+".config_refused", float64(refused))
 	add(phase+".config_failed", float64(failed))
 	add(phase+".config_never", float64(never))
-	addQuantiles(phase+".config_in_force", late, add)
-	addQuantiles(phase+".config_confirmed", sure, add)
+	addQuantiles(phase+".config_in_force", delays, add)
+	addQuantiles(phase+".config_confirmed", confirmations, add)
 }
--- a/internal/faultlab/result/configs_test.go
+++ b/internal/faultlab/result/configs_test.go
@@ -8,24 +8,26 @@
 	"merlinpick/internal/faultlab/hollow"
 )
 
-// A configuration change counts for the proxies that follow its service, from its confirmation; one that had 9 s and did not
-// arrive counts as never; an invalid one counts as refused only if it is answered 400.
+// A configuration change counts for the proxies that follow its service, from its confirmation on. One that
+// did not arrive within 9 s counts as never, and an invalid one counts as refused only if it is answered 400.
 func TestConfigMetrics(t *testing.T) {
 	const ms, s = int64(1e6), int64(1e9)
 	follows := func(service string, steps ...ReceivedVersion) hollow.ProxyMetrics {
 		return hollow.ProxyMetrics{Config: &hollow.ConfigMetrics{Service: service, Versions: steps}}
 	}
 	at := time.Unix(100, 0)
-	zero := at.UnixNano()
+	start := at.UnixNano()
 	proxies := []hollow.ProxyMetrics{
-		follows("s1", ReceivedVersion{Version: 3, ReceivedAt: zero + 2*s + 40*ms}, ReceivedVersion{Version: 5, ReceivedAt: zero + 4*s}),
-		follows("s1", ReceivedVersion{Version: 3, ReceivedAt: zero + 2*s + 90*ms}),
+		follows("s1", ReceivedVersion{Version: 3, ReceivedAt: start + 2*s + 40*ms},
+			ReceivedVersion{Version: 5, ReceivedAt: start + 4*s}),
+		follows("s1", ReceivedVersion{Version: 3, ReceivedAt: start + 2*s + 90*ms}),
 		follows("s2"),
 		{},
 	}
 	exp := &experiment.Experiment{Seconds: 30, Phases: []experiment.Phase{{Name: "a", From: 1, To: 14}, {Name: "b", From: 14, To: 20}}}
-	accepted := func(service string, version, sure int64) ConfigWrite {
-		return ConfigWrite{Service: service, Status: 200, Version: version, RequestedAt: zero + sure - 10*ms, ConfirmedAt: zero + sure}
+	accepted := func(service string, version, confirmed int64) ConfigWrite {
+		return ConfigWrite{Service: service, Status: 200, Version: version,
+			RequestedAt: start + confirmed - 10*ms, ConfirmedAt: start + confirmed}
 	}
 	for _, test := range []struct {
 		name  string
@@ -38,11 +40,18 @@
 		{"9 s before the end", []ConfigWrite{accepted("s2", 4, 5*s)}, map[string]float64{"changes": 1, "never": 1}},
 		{"too young", []ConfigWrite{accepted("s2", 4, 5*s+ms)}, map[string]float64{"changes": 1, "never": 0}},
 		{"another phase's", []ConfigWrite{accepted("s2", 4, 15*s)}, map[string]float64{"changes": 0, "never": 0}},
-		{"refused", []ConfigWrite{{Service: "s1", Faulty: true, Status: 400, RequestedAt: zero + 2*s}}, map[string]float64{"changes": 0, "refused": 1, "failed": 0}},
-		{"faulty and accepted", []ConfigWrite{{Service: "s1", Faulty: true, Status: 200, RequestedAt: zero + 2*s}}, map[string]float64{"refused": 0, "failed": 1}},
-		{"faulty and not refused as such", []ConfigWrite{{Service: "s1", Faulty: true, Status: 409, RequestedAt: zero + 2*s}}, map[string]float64{"refused": 0, "failed": 1}},
-		{"sound and refused", []ConfigWrite{{Service: "s1", Status: 400, RequestedAt: zero + 2*s}}, map[string]float64{"changes": 0, "refused": 0, "failed": 1}},
-		{"no answer", []ConfigWrite{{Service: "s1", RequestedAt: zero + 2*s}}, map[string]float64{"changes": 0, "failed": 1}},
+		{"refused", []ConfigWrite{{Service: "s1", Faulty: true, Status: 400, RequestedAt: start + 2*s}},
+			map[string]float64{"changes": 0, "refused": 1, "failed": 0}},
+		{"faulty and accepted",
+			[]ConfigWrite{{Service: "s1", Faulty: true, Status: 200, RequestedAt: start + 2*s}},
+			map[string]float64{"refused": 0, "failed": 1}},
+		{"faulty and not refused as such",
+			[]ConfigWrite{{Service: "s1", Faulty: true, Status: 409, RequestedAt: start + 2*s}},
+			map[string]float64{"refused": 0, "failed": 1}},
+		{"sound and refused", []ConfigWrite{{Service: "s1", Status: 400, RequestedAt: start + 2*s}},
+			map[string]float64{"changes": 0, "refused": 0, "failed": 1}},
+		{"no answer", []ConfigWrite{{Service: "s1", RequestedAt: start + 2*s}},
+			map[string]float64{"changes": 0, "failed": 1}},
 	} {
 		metrics := (&Control{Hollow: []hollow.Metrics{{Proxies: proxies}}, ConfigWrites: test.puts}).Metrics(exp, at)
 		for name, want := range test.wants {
@@ -51,12 +60,12 @@
 				t.Errorf("%s: %s is %v (present: %v), want %v", test.name, name, got, ok, want)
 			}
 			if !experiment.IsKnownMetric(name, exp) {
-				t.Errorf("%s cannot be asked for", name)
+				t.Errorf("metric %s is unknown to experiments", name)
 			}
 		}
 		for name := range metrics {
 			if !experiment.IsKnownMetric(name, exp) {
-				t.Errorf("%s is reported and cannot be asked for", name)
+				t.Errorf("reported metric %s is unknown to experiments", name)
 			}
 		}
 	}
--- a/internal/faultlab/result/control.go
+++ b/internal/faultlab/result/control.go
@@ -20,23 +20,23 @@
 	Memory            int64         // bytes, summed; of members the maximum
 }
 
-// Plus adds two usages, with the larger memory.
+// Plus returns the sum of two usages, but with the larger memory of the two.
 func (u Usage) Plus(other Usage) Usage {
 	return Usage{BytesIn: u.BytesIn + other.BytesIn, BytesOut: u.BytesOut + other.BytesOut, Calls: u.Calls + other.Calls,
 		CPU: u.CPU + other.CPU, InstanceTime: u.InstanceTime + other.InstanceTime, Memory: max(u.Memory, other.Memory)}
 }
 
-// Sample is the usage of the control plane until a moment.
+// Sample holds the usage of the control plane up to a time.
 type Sample struct {
 	TakenAt    time.Time
 	Roles      map[string]Usage
-	Rejected   float64                  // calls that members answered with 503
-	Watches    float64                  // in flight at all members, maximum
+	Rejected   float64                  // calls that registry members answered with 503
+	Watches    float64                  // in flight at all registry members, maximum
 	Gossip     []*hollow.ClusterMetrics // of each hollow proxy; empty without a cluster
 	RealGossip []*hollow.ClusterMetrics // of each real proxy
 }
 
-// Clone is a deep copy but for the gossip metrics.
+// Clone returns a copy that shares only the gossip metrics.
 func (r Sample) Clone() Sample {
 	r.Roles = maps.Clone(r.Roles)
 	return r
@@ -56,7 +56,9 @@
 	ConfigWrites      []ConfigWrite
 }
 
-const confirmedBeforeEnd = 5 * time.Second // a change confirmed so long before the end must have reached all
+// confirmedBeforeEnd is the time that proxies have to receive a change: one that is confirmed earlier before
+// the end of the load has to reach all of them.
+const confirmedBeforeEnd = 5 * time.Second
 
 // listHistory is what the hollow processes observed of the list.
 type listHistory struct {
@@ -86,7 +88,7 @@
 	return history
 }
 
-// Metrics are the metrics of the control plane, phase by phase, of a load that began at start.
+// Metrics returns the metrics of the control plane, phase by phase, of a load that began at start.
 func (c *Control) Metrics(exp *experiment.Experiment, start time.Time) map[string]float64 {
 	metrics := map[string]float64{}
 	add := func(name string, v float64) {
@@ -101,7 +103,7 @@
 			addUsage(exp, phase.Name, c.Phases[i], add)
 		}
 		from, to := start.Add(experiment.Seconds(phase.From)).UnixNano(), start.Add(experiment.Seconds(phase.To)).UnixNano()
-		c.addChanges(phase.Name, history, span{from, to, end}, add)
+		c.addChanges(phase.Name, history, phaseSpan{from, to, end}, add)
 		history.addDeaths(phase.Name, from, to, add)
 		c.configMetrics(phase.Name, from, to, add)
 		addCalibration(phase.Name, metrics, add)
@@ -109,11 +111,11 @@
 	return metrics
 }
 
-// span is a phase, and the end of the load, in ns of the machine's clock.
-type span struct{ from, to, loadEnd int64 }
+// phaseSpan is the span of a phase, and the end of the load, in ns of the machine's clock.
+type phaseSpan struct{ from, to, loadEnd int64 }
 
-// addChanges adds how soon the list's changes of a phase were confirmed and known.
-func (c *Control) addChanges(phase string, history listHistory, in span, add func(string, float64)) {
+// addChanges adds how soon the list's changes of a phase were confirmed and received by the proxies.
+func (c *Control) addChanges(phase string, history listHistory, in phaseSpan, add func(string, float64)) {
 	changes := slices.DeleteFunc(slices.Clone(history.changes), func(change hollow.Change) bool {
 		return change.RequestedAt < in.from || change.RequestedAt >= in.to
 	})
@@ -132,13 +134,13 @@
 // addDeaths adds how soon the servers that died in a phase were removed from the proxies' lists.
 func (h listHistory) addDeaths(phase string, from, to int64, add func(string, float64)) {
 	deaths := slices.DeleteFunc(slices.Clone(h.deaths), func(death hollow.Death) bool { return death.At < from || death.At >= to })
-	late, never := removalDelays(deaths, h.removed)
+	delays, never := removalDelays(deaths, h.removed)
 	add(phase+".deaths", float64(len(deaths)))
-	addQuantiles(phase+".buried", late, add)
+	addQuantiles(phase+".buried", delays, add)
 	add(phase+".unburied", float64(never))
 }
 
-// addCalibration adds the ratio of a real proxy's metrics to a hollow one's, where both exist.
+// addCalibration adds the ratios of a real proxy's metrics to those of a hollow proxy, where both exist.
 func addCalibration(phase string, metrics map[string]float64, add func(string, float64)) {
 	at := "control." + phase + "."
 	for factor, pair := range map[string][2]string{"calls": {"real.calls_s", "proxy.calls_s"}, "in": {"real.in_b_s", "proxy.in_b_s"},
@@ -153,11 +155,11 @@
 }
 
 // addUsage adds the metrics between a phase's two samples.
-func addUsage(exp *experiment.Experiment, phase string, r PhaseSamples, add func(string, float64)) {
-	seconds := r.After.TakenAt.Sub(r.Before.TakenAt).Seconds()
+func addUsage(exp *experiment.Experiment, phase string, samples PhaseSamples, add func(string, float64)) {
+	seconds := samples.After.TakenAt.Sub(samples.Before.TakenAt).Seconds()
 	instances := map[string]int{"proxy": exp.Hollow.Proxies, "real": len(exp.ProxyNodes()), "nodo": exp.Hollow.Servers}
-	for role, after := range r.After.Roles {
-		before := r.Before.Roles[role]
+	for role, after := range samples.After.Roles {
+		before := samples.Before.Roles[role]
 		each := (after.InstanceTime - before.InstanceTime).Seconds()
 		if each <= 0 {
 			continue
@@ -173,13 +175,13 @@
 		n := float64(max(1, instances[role]))
 		add(name+"memory_mb", float64(after.Memory)/n/(1<<20))
 	}
-	add(phase+".turned", r.After.Rejected-r.Before.Rejected)
-	add(phase+".watches_most", r.After.Watches)
-	if len(r.Before.Gossip) == len(r.After.Gossip) {
-		addGossip(phase+".", r.Before.Gossip, r.After.Gossip, seconds, add)
+	add(phase+".turned", samples.After.Rejected-samples.Before.Rejected)
+	add(phase+".watches_most", samples.After.Watches)
+	if len(samples.Before.Gossip) == len(samples.After.Gossip) {
+		addGossip(phase+".", samples.Before.Gossip, samples.After.Gossip, seconds, add)
 	}
-	if len(r.Before.RealGossip) == len(r.After.RealGossip) {
-		addGossip(phase+".real_", r.Before.RealGossip, r.After.RealGossip, seconds, add)
+	if len(samples.Before.RealGossip) == len(samples.After.RealGossip) {
+		addGossip(phase+".real_", samples.Before.RealGossip, samples.After.RealGossip, seconds, add)
 	}
 }
 
@@ -215,13 +217,14 @@
 	addQuantiles(name+"gossip_age", ages, add)
 }
 
-// notificationDelays are the times from each change's confirmation until each proxy received it, in ms, sorted; 0 if it was
-// received before.
-func notificationDelays(changes []hollow.Change, tracks [][]ReceivedVersion) (out []float64) {
-	for _, t := range tracks {
-		for _, c := range changes {
-			if i := sort.Search(len(t), func(i int) bool { return t[i].Version >= c.Version }); i < len(t) {
-				out = append(out, max(0, float64(t[i].ReceivedAt-c.ConfirmedAt)/1e6))
+// notificationDelays returns the times from each change's confirmation until each proxy received it, in ms,
+// sorted; 0 if the proxy received it before.
+func notificationDelays(changes []hollow.Change, received [][]ReceivedVersion) (out []float64) {
+	for _, versions := range received {
+		for _, change := range changes {
+			if i := sort.Search(len(versions),
+				func(i int) bool { return versions[i].Version >= change.Version }); i < len(versions) {
+				out = append(out, max(0, float64(versions[i].ReceivedAt-change.ConfirmedAt)/1e6))
 			}
 		}
 	}
@@ -229,16 +232,19 @@
 	return out
 }
 
-// countUnknown counts the pairs of proxies and changes that never met, of changes confirmed early enough before the end.
-func countUnknown(changes []hollow.Change, tracks [][]ReceivedVersion, end int64) (n int) {
-	return countMissing(changes, tracks, end-confirmedBeforeEnd.Nanoseconds())
+// countUnknown counts the pairs of a proxy and a change that the proxy never received, of the changes
+// confirmed at least confirmedBeforeEnd before the end.
+func countUnknown(changes []hollow.Change, received [][]ReceivedVersion, end int64) (n int) {
+	return countMissing(changes, received, end-confirmedBeforeEnd.Nanoseconds())
 }
 
-// countMissing counts the pairs of proxies and changes that never met, of changes confirmed before a moment.
-func countMissing(changes []hollow.Change, tracks [][]ReceivedVersion, before int64) (n int) {
-	for _, t := range tracks {
-		for _, c := range changes {
-			if c.ConfirmedAt < before && (len(t) == 0 || t[len(t)-1].Version < c.Version) {
+// countMissing counts the pairs of a proxy and a change that the proxy never received, of the changes
+// confirmed before the given time.
+func countMissing(changes []hollow.Change, received [][]ReceivedVersion, before int64) (n int) {
+	for _, versions := range received {
+		for _, change := range changes {
+			if change.ConfirmedAt < before && (len(versions) == 0 ||
+				versions[len(versions)-1].Version < change.Version) {
 				n++
 			}
 		}
@@ -246,21 +252,23 @@
 	return n
 }
 
-// removalDelays are the times from each server's death until each proxy's list had removed it, in ms, sorted; never counts those
-// that did not: the server was back before its lease expired, or its zone is held.
-func removalDelays(deaths []hollow.Death, lost [][]hollow.Death) (late []float64, never int) {
-	for _, of := range lost {
-		for _, d := range deaths {
-			i := slices.IndexFunc(of, func(x hollow.Death) bool { return x.Name == d.Name && x.At >= d.At })
+// removalDelays returns the times from each server's death until each proxy's list had removed it, in ms,
+// sorted; never counts the lists that did not: the server was back before its lease expired, or its zone is
+// held.
+func removalDelays(deaths []hollow.Death, removed [][]hollow.Death) (delays []float64, never int) {
+	for _, removals := range removed {
+		for _, death := range deaths {
+			i := slices.IndexFunc(removals,
+				func(r hollow.Death) bool { return r.Name == death.Name && r.At >= death.At })
 			if i < 0 {
 				never++
 				continue
 			}
-			late = append(late, float64(of[i].At-d.At)/1e6)
+			delays = append(delays, float64(removals[i].At-death.At)/1e6)
 		}
 	}
-	slices.Sort(late)
-	return late, never
+	slices.Sort(delays)
+	return delays, never
 }
 
 // addQuantiles adds the median, the 99th percentile and the maximum of sorted values.
@@ -274,13 +282,13 @@
 	add(name+"_last_ms", sorted[len(sorted)-1])
 }
 
-// LongestStall is the longest pause of a hollow process, in ms.
-func (c *Control) LongestStall() (most float64) {
+// LongestStall returns the longest pause of a hollow process, in ms.
+func (c *Control) LongestStall() (longest float64) {
 	if c == nil {
 		return 0
 	}
-	for _, x := range c.Hollow {
-		most = max(most, x.StallMs)
+	for _, process := range c.Hollow {
+		longest = max(longest, process.StallMs)
 	}
-	return most
+	return longest
 }
--- a/internal/faultlab/result/input.go
+++ b/internal/faultlab/result/input.go
@@ -15,12 +15,12 @@
 	Start      time.Time // of the load
 	Record     referee.Record
 	Events     []Event
-	Lateness   []time.Duration
-	Stall      time.Duration
-	Memory     int64         // bytes, maximum of the proxies' peaks
-	CPU        time.Duration // of all proxies
-	List       *List         // nil without a list service with members
-	Gossip     *Gossip       // nil without a cluster
+	Lateness   []time.Duration // how late the lab sent its arrivals
+	Stall      time.Duration   // longest pause of the lab
+	Memory     int64           // bytes, maximum of the proxies' peaks
+	CPU        time.Duration   // of all proxies
+	List       *List           // nil without a list service with members
+	Gossip     *Gossip         // nil without a cluster
 
 	Control *Control // nil without hollow proxies
 }
@@ -33,10 +33,10 @@
 
 // List holds the observations of a list service.
 type List struct {
-	CheckedCalls       int             // of the checked history
+	CheckedCalls       int             // in the history whose linearizability was checked
 	NotificationDelays []time.Duration // from a change's confirmation until a proxy was notified, sorted
 	MissingServers     int             // live servers missing in the list, maximum
-	RefusedStarts      int             // of members, for a damaged directory
+	RefusedStarts      int             // starts that members refused because their directory was damaged
 }
 
 // clientRequest is an arrival with the result of all its attempts.
@@ -48,31 +48,31 @@
 	inTime   bool
 }
 
-// clientRequests groups the attempts by arrival; arrivals that were not sent are left out.
+// clientRequests groups the clients' attempts by arrival; arrivals that were not sent are left out.
 func (input *Input) clientRequests() []clientRequest {
 	byArrival := make([][]*referee.ClientAttempt, len(input.Plan.Arrivals))
-	for _, t := range input.Record.ClientAttempts {
-		byArrival[t.Arrival] = append(byArrival[t.Arrival], t)
+	for _, attempt := range input.Record.ClientAttempts {
+		byArrival[attempt.Arrival] = append(byArrival[attempt.Arrival], attempt)
 	}
 	var out []clientRequest
 	for i := range input.Plan.Arrivals {
-		a := &input.Plan.Arrivals[i]
-		request := clientRequest{Arrival: a, attempts: byArrival[i]}
+		arrival := &input.Plan.Arrivals[i]
+		request := clientRequest{Arrival: arrival, attempts: byArrival[i]}
 		if len(request.attempts) == 0 {
 			continue
 		}
-		planned := input.Start.Add(a.At)
-		objective := experiment.Millis(input.Experiment.Classes[a.Class].ObjectiveMs)
+		planned := input.Start.Add(arrival.At)
+		objective := experiment.Millis(input.Experiment.Classes[arrival.Class].ObjectiveMs)
 		request.outcome = referee.Unreached
-		for _, t := range request.attempts {
+		for _, attempt := range request.attempts {
 			switch {
-			case t.Outcome == referee.Served:
-				if took := t.EndedAt.Sub(planned); request.outcome != referee.Served || took < request.latency {
+			case attempt.Outcome == referee.Served:
+				if took := attempt.EndedAt.Sub(planned); request.outcome != referee.Served || took < request.latency {
 					request.outcome, request.latency = referee.Served, took
 				}
 			case request.outcome == referee.Served:
-			case t.Outcome == referee.Rejected, t.Outcome == referee.Unreached:
-				request.outcome = t.Outcome
+			case attempt.Outcome == referee.Rejected, attempt.Outcome == referee.Unreached:
+				request.outcome = attempt.Outcome
 			default:
 				request.outcome = referee.Failed
 			}
--- a/internal/faultlab/result/metrics.go
+++ b/internal/faultlab/result/metrics.go
@@ -17,7 +17,7 @@
 const (
 	windowWidth       = 500 * time.Millisecond
 	recoveryWindows   = 4             // windows over which service counts as recovered
-	baselineSeconds   = 5.0           // before a fault, the level to recover to
+	baselineSeconds   = 5.0           // before a fault; the level to recover to is measured over them
 	recoveredFraction = 0.95          // of the level before the fault
 	maxLatency        = 3_600_000_000 // µs
 	latencyDigits     = 3             // significant digits
@@ -51,8 +51,8 @@
 	return true
 }
 
-// spanMetric is the fraction of the selected requests that count for a span metric, weighted for worth_in_time; NaN if nothing
-// arrived.
+// spanMetric returns the fraction of the selected requests that count for a span metric, weighted for
+// worth_in_time; NaN if no request is selected.
 func spanMetric(exp *experiment.Experiment, requests []clientRequest, metric string, selected selection) float64 {
 	all, counted := 0.0, 0.0
 	for _, request := range requests {
@@ -146,12 +146,14 @@
 	metrics["gossip_kb_s"] = float64(g.Bytes) / 1000 / proxySeconds
 }
 
-func (p *Play) expectedMetric(exp *experiment.Experiment, requests []clientRequest, metrics map[string]float64, x experiment.Expect) float64 {
-	v, ok := metrics[x.Metric]
-	if experiment.IsSpanMetric(x.Metric) {
-		base, name, _ := strings.Cut(x.Metric, ".")
+// expectedMetric returns the value that an expectation is checked against.
+func (p *Play) expectedMetric(exp *experiment.Experiment, requests []clientRequest,
+	metrics map[string]float64, expect experiment.Expect) float64 {
+	v, ok := metrics[expect.Metric]
+	if experiment.IsSpanMetric(expect.Metric) {
+		base, name, _ := strings.Cut(expect.Metric, ".")
 		class := slices.IndexFunc(exp.Classes, func(k experiment.Class) bool { return k.Name == name })
-		from, to := x.Span(exp)
+		from, to := expect.Span(exp)
 		v, ok = spanMetric(exp, requests, base, selection{class, from, to}), true
 	}
 	if !ok || math.IsNaN(v) {
@@ -160,6 +162,7 @@
 	return v
 }
 
+// ratio returns a / b, or NaN if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return math.NaN()
@@ -167,7 +170,7 @@
 	return a / b
 }
 
-// addTraffic counts requests, client attempts and attempts, by zones.
+// addTraffic adds the counts of requests, client attempts and attempts, and the attempts by zone.
 func (p *Play) addTraffic(input Input, requests []clientRequest, metrics map[string]float64) {
 	zoneOf := map[string]string{}
 	for _, n := range input.Experiment.ProxyNodes() {
@@ -234,6 +237,7 @@
 	}
 }
 
+// addWindows splits the load into windows of windowWidth and counts their requests and connections.
 func (p *Play) addWindows(input Input, requests []clientRequest) {
 	n := int(math.Ceil(input.Experiment.Seconds / windowWidth.Seconds()))
 	p.Windows = make([]Window, n)
@@ -264,7 +268,8 @@
 	}
 }
 
-// weightInTime is the fraction of the weight answered in time in the windows [from, to).
+// weightInTime returns the fraction of the weight answered in time in the windows [from, to); NaN if they
+// have none.
 func (p *Play) weightInTime(from, to int) float64 {
 	weight, inTime := 0.0, 0.0
 	to = min(to, len(p.Windows))
@@ -274,8 +279,8 @@
 	return ratio(inTime, weight)
 }
 
-// addRecovery adds, for each fault, the time until every span of recoveryWindows up to the next fault is at recoveredFraction of
-// the level before.
+// addRecovery adds, for each fault, the time until every span of recoveryWindows up to the next fault reaches
+// recoveredFraction of the level before the fault.
 func (p *Play) addRecovery(input Input, metrics map[string]float64) {
 	p.Events = input.Events
 	width := windowWidth.Seconds()
@@ -308,6 +313,7 @@
 	}
 }
 
+// quantile returns the quantile q of durations in ms, or NaN if there are none.
 func quantile(values []time.Duration, q float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
@@ -317,6 +323,7 @@
 	return float64(values[min(int(q*float64(len(values))), len(values)-1)]) / float64(time.Millisecond)
 }
 
+// lateness summarizes how late the lab sent its arrivals, and its longest stall.
 func lateness(late []time.Duration, stall time.Duration) Lateness {
 	if len(late) == 0 {
 		return Lateness{Stall: float64(stall) / float64(time.Millisecond)}
--- a/internal/faultlab/result/result.go
+++ b/internal/faultlab/result/result.go
@@ -1,5 +1,5 @@
-// Package result computes the metrics of a run, compares them with what the experiment expects, and defines result.json, the
-// only input of reports and comparisons. It never runs anything.
+// Package result computes the metrics of a run, compares them with what the experiment expects, and defines
+// result.json, the only input of reports and comparisons. It never runs anything.
 package result
 
 import (
@@ -16,10 +16,10 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// FileName is the file of a run's directory that holds its Result.
+// FileName is the name of the file in a run's directory that holds its Result.
 const FileName = "result.json"
 
-// Result is a run: one or more plays of an experiment.
+// Result is the result of a run, which is one or more plays of an experiment.
 type Result struct {
 	Title     string           `json:"title"`
 	File      string           `json:"file"`
@@ -30,10 +30,10 @@
 	Plays     []Play           `json:"plays"`
 	Metrics   map[string]Range `json:"figures"`
 	Expected  []Verdict        `json:"expected"`
-	Held      bool             `json:"held"` // every expectation, in every play; meaningless for a void run
+	Held      bool             `json:"held"` // each expectation in each play; meaningless if void
 }
 
-// Machine is the machine of a run.
+// Machine describes the machine of a run.
 type Machine struct {
 	Cores      int        `json:"cores"`
 	LoadBefore [3]float64 `json:"load_before"` // averages of 1, 5 and 15 minutes
@@ -43,8 +43,8 @@
 // Play is one execution of the experiment with one seed.
 type Play struct {
 	Seed            uint64               `json:"seed"`
-	Plan            string               `json:"plan"` // digest
-	Void            string               `json:"void,omitempty"`
+	Plan            string               `json:"plan"`           // digest
+	Void            string               `json:"void,omitempty"` // why it does not count; empty: it does
 	Partial         bool                 `json:"partial,omitempty"`
 	Lateness        Lateness             `json:"late"`
 	LabMB           float64              `json:"lab_mb"` // peak resident memory of the lab itself
@@ -56,10 +56,10 @@
 	Latency         map[string][]float64 `json:"latency_ms"` // at Percentiles, by class
 	Attempts        map[string][]int     `json:"attempts"`   // by the proxy's zone, then by the index in Zones of the server's
 	Zones           []string             `json:"zones"`
-	ExpectedValues           []float64            `json:"spans"` // value of each expectation's metric
+	ExpectedValues  []float64            `json:"spans"` // by expectation
 }
 
-// Percentiles are those of Play.Latency.
+// Percentiles are the percentiles that Play.Latency holds.
 var Percentiles = []float64{50, 75, 90, 95, 99, 99.9, 100}
 
 // Lateness is how late the lab sent its arrivals, in ms.
@@ -145,13 +145,13 @@
 	for name, values := range byName {
 		r.Metrics[name] = rangeOf(values)
 	}
-	check := func(expect experiment.Expect, of func(Play) float64) {
+	check := func(expect experiment.Expect, valueIn func(Play) float64) {
 		verdict := Verdict{Metric: expect.Metric, Min: expect.Min, Max: expect.Max, Start: expect.From, End: expect.To, Held: true}
 		var values []float64
 		for i, p := range valid {
-			f := of(p)
-			values = append(values, f)
-			if ok, text := expect.Check(f); !ok {
+			value := valueIn(p)
+			values = append(values, value)
+			if ok, text := expect.Check(value); !ok {
 				verdict.Held, r.Held = false, false
 				verdict.Text += fmt.Sprintf("play %d: %s\n", i+1, text)
 			}
@@ -161,25 +161,26 @@
 	}
 	if exp.Lab.Rules == "enforce" {
 		zero := 0.0
-		for _, rule := range append(prefixed(experiment.Rules), "crashed") {
+		for _, rule := range append(violationMetrics(experiment.Rules), "crashed") {
 			check(experiment.Expect{Metric: rule, Max: &zero}, func(p Play) float64 { return p.Metrics[rule] })
 		}
 	}
-	for i, x := range exp.Expect {
-		check(x, func(p Play) float64 { return p.ExpectedValues[i] })
+	for i, expect := range exp.Expect {
+		check(expect, func(p Play) float64 { return p.ExpectedValues[i] })
 	}
 }
 
-func prefixed(rules []string) (out []string) {
+// violationMetrics returns the names of the metrics that count the violations of rules.
+func violationMetrics(rules []string) (out []string) {
 	for _, rule := range rules {
 		out = append(out, "broken."+rule)
 	}
 	return out
 }
 
-// VoidReason is why no play counts; empty if one does.
+// VoidReason returns why no play counts; empty if one does.
 func (r *Result) VoidReason() string {
-	reason := "no play was made"
+	reason := "no play was run"
 	for _, p := range r.Plays {
 		if p.Void == "" {
 			return ""
@@ -189,7 +190,7 @@
 	return reason
 }
 
-// MetricNames are the names of the metrics in order, violations last.
+// MetricNames returns the names of the metrics in alphabetical order, violations last.
 func (r *Result) MetricNames() []string {
 	var names []string
 	for name := range r.Metrics {
--- a/internal/faultlab/result/result_test.go
+++ b/internal/faultlab/result/result_test.go
@@ -10,7 +10,8 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// playWithLateAnswers is a play of ten requests a second for 20 s, whose answers are late between two seconds.
+// playWithLateAnswers returns a play of ten requests a second for 20 s. The answers to requests of the
+// seconds [from, to) are late.
 func playWithLateAnswers(t *testing.T, from, to float64, exp *experiment.Experiment, events ...Event) Play {
 	t.Helper()
 	start := time.Unix(1000, 0)
@@ -34,6 +35,7 @@
 	return p
 }
 
+// Recovery lasts from a fault until service is back at its level before the fault, or until the next fault.
 func TestRecovery(t *testing.T) {
 	fault := func(n int, from float64) Event { return Event{Number: n, Start: from, End: from + 1} }
 	for _, test := range []struct {
@@ -41,7 +43,7 @@
 		from, to float64 // of the late answers
 		events   []Event
 		want     []float64
-		below    bool // the last of them
+		degraded bool // service is still degraded after the last fault
 	}{
 		{"never below", 20, 20, []Event{fault(1, 8)}, []float64{0}, false},
 		{"in the warmup", 8, 11, []Event{fault(1, 0)}, []float64{11}, false},
@@ -55,26 +57,27 @@
 				t.Errorf("%s: fault %d: %v s, want %v", test.name, i+1, got, want)
 			}
 		}
-		if last := p.Events[len(p.Events)-1]; last.StillDegraded != test.below {
-			t.Errorf("%s: below %v", test.name, last.StillDegraded)
+		if last := p.Events[len(p.Events)-1]; last.StillDegraded != test.degraded {
+			t.Errorf("%s: still degraded %v", test.name, last.StillDegraded)
 		}
 	}
 }
 
 // A failed expectation is reported with metric and bound; a void play does not count; several plays have a range.
 func TestConclude(t *testing.T) {
-	least := func(v float64) *float64 { return &v }
+	pointer := func(v float64) *float64 { return &v }
 	exp := &experiment.Experiment{Expect: []experiment.Expect{
-		{Metric: "in_time", Min: least(0.7), From: 0.1, To: 20}, {Metric: "in_time", Min: least(0.9), From: 10, To: 15},
-		{Metric: "p99_ms", Max: least(151)}, {Metric: "broken.lost", Max: least(0)}}}
+		{Metric: "in_time", Min: pointer(0.7), From: 0.1, To: 20},
+		{Metric: "in_time", Min: pointer(0.9), From: 10, To: 15},
+		{Metric: "p99_ms", Max: pointer(151)}, {Metric: "broken.lost", Max: pointer(0)}}}
 	bad, good := playWithLateAnswers(t, 10, 15, exp), playWithLateAnswers(t, 20, 20, exp)
 	void := playWithLateAnswers(t, 0, 20, exp)
 	void.Void = "late"
 	r := Result{Plays: []Play{bad, good, good, void}}
 	r.Conclude(exp)
-	held := []bool{true, false, true, true}
+	wantHeld := []bool{true, false, true, true}
 	for i, v := range r.Expected {
-		if v.Held != held[i] {
+		if v.Held != wantHeld[i] {
 			t.Errorf("%s: held %v (%s)", v.Metric, v.Held, v.Text)
 		}
 	}
@@ -88,11 +91,11 @@
 	if err := r.Write(dir); err != nil {
 		t.Fatal(err)
 	}
-	again, err := Read(dir)
+	reread, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(again.Plays) != 4 || again.Metrics["p50_ms"] != r.Metrics["p50_ms"] {
+	if len(reread.Plays) != 4 || reread.Metrics["p50_ms"] != r.Metrics["p50_ms"] {
 		t.Error("the result differs after writing and reading")
 	}
 }
