--- a/internal/faultlab/capacity/assess.go
+++ b/internal/faultlab/capacity/assess.go
@@ -18,7 +18,7 @@
 	Budget          Budget
 	HasBudget       bool
 	BudgetRatio     float64 // of the likely value to the budget
-	CrossesAt       float64 // the part of the target size at which the budget is exceeded; NaN if unknown, infinite if never
+	CrossesAt       float64 // fraction of the target size over budget; NaN: unknown, infinite: none
 	CrossesAtHigh   float64 // CrossesAt under the high assumptions
 	Verdicts        [3]string
 	DoubledVerdicts [3]string
@@ -63,7 +63,8 @@
 	Reason      string
 }
 
-// AssessDuties assesses all duties, in the order of the roles. Slopes of a duty that duties.toml lacks get one of their own.
+// AssessDuties assesses all duties, in the order of the roles. A duty that only slopes name, not duties.toml,
+// is added.
 func (m *Model) AssessDuties() []*DutyAssessment {
 	type dutyID struct{ key, role string }
 	var out []*DutyAssessment
@@ -91,8 +92,8 @@
 	return out
 }
 
-// assess sets the verdict and its reason: the worst verdict of the metrics, which required classes without a metric make
-// Unproven.
+// assess sets the verdict, which is the worst one of the metrics, and its reason. A required class without a
+// metric that has a budget makes the duty Unproven if it is not over budget anyway.
 func (a *DutyAssessment) assess() {
 	if a.AbsentReason != "" {
 		a.Verdict, a.Reason = Absent, a.AbsentReason
@@ -132,7 +133,7 @@
 	Budget     Budget
 	Unmeasured []string // names of slopes without an estimate at the target size
 	Verdict    string
-	CrossesAt  float64 // the part of the target size at which the sum exceeds the budget; infinite if never
+	CrossesAt  float64 // fraction of the target size at which the sum exceeds the budget; infinite if never
 }
 
 // AssessSums assesses all sums.
@@ -182,8 +183,8 @@
 	return a
 }
 
-// crossingScale returns the smallest scale, from a thousandth to a thousand times the target size, at which a sum exceeds a
-// limit; infinity if there is none. A sum of NaN exceeds nothing.
+// crossingScale returns the smallest scale, from a thousandth to a thousand times the target size, at which a
+// sum exceeds a limit; infinity if there is none. A sum of NaN exceeds nothing.
 func crossingScale(sum func(scale float64) float64, limit float64) float64 {
 	const steps, largest = 4000, 1000.
 	for i := range steps + 1 {
@@ -202,11 +203,11 @@
 	Role      string
 	Reason    string
 	Fallback  string
-	CrossesAt float64 // the part of the target size; 0 for what is absent without a fallback, infinite with one
+	CrossesAt float64 // fraction of the target size; of an absent duty 0, or infinite if it has a fallback
 }
 
-// Gaps returns all gaps, the most urgent first: what is absent without a fallback, then what exceeds its budget by the size at
-// which it does, then what is absent and has a fallback.
+// Gaps returns all gaps, the most urgent first: absent duties without a fallback, then what exceeds its
+// budget, by the size from which it does, then absent duties with a fallback.
 func (m *Model) Gaps() []Gap {
 	var out []Gap
 	for _, a := range m.AssessDuties() {
@@ -225,7 +226,7 @@
 	return out
 }
 
-// gap returns the duty as a gap, and false if it is none.
+// gap returns the duty as a gap, and false if it is not one.
 func (a *DutyAssessment) gap() (Gap, bool) {
 	out := Gap{Title: a.Description, Role: a.Role, Fallback: a.Fallback}
 	if a.Verdict == Absent {
@@ -245,8 +246,8 @@
 	return out, true
 }
 
-// decidingProjection returns the metric that ranks an over-budget duty: the one of DecidingSlope, else the first to exceed its
-// budget; nil if none does.
+// decidingProjection returns the metric that ranks an over-budget duty: the one of DecidingSlope if that is
+// over budget, else the one that exceeds its budget at the smallest size; nil if none does.
 func (a *DutyAssessment) decidingProjection() *Projection {
 	var deciding *Projection
 	for _, p := range a.Projections {
--- a/internal/faultlab/capacity/assess_test.go
+++ b/internal/faultlab/capacity/assess_test.go
@@ -24,51 +24,61 @@
 	return s
 }
 
+// Gaps are ordered by urgency, and each duty and sum gets the verdict that its metrics prove.
 func TestGaps(t *testing.T) {
-	following, member := Roles[1], Roles[2]
+	follower, member := Roles[1], Roles[2]
 	model := modelWith(t, []Duty{
-		{Key: "lists", Role: following, Description: "waits", AbsentReason: "none", RequestedBy: "services", Fallback: "one list"},
-		{Key: "list", Role: following, Description: "later", RequiredClasses: []string{classBytes}},
+		{Key: "lists", Role: follower, Description: "waits", AbsentReason: "none", RequestedBy: "services",
+			Fallback: "one list"},
+		{Key: "list", Role: follower, Description: "later", RequiredClasses: []string{classBytes}},
 		{Key: "fleet", Role: member, Description: "early", RequiredClasses: []string{classBytes}},
 		{Key: "fine", Role: member, Description: "fine", RequiredClasses: []string{classBytes}},
 		{Key: "half", Role: member, Description: "half", RequiredClasses: []string{classBytes, classCPU}},
-		{Key: "config", Role: following, Description: "asked for", AbsentReason: "none", RequestedBy: "changes_per_day"},
-	}, []Sum{{Title: "all", Role: following, Class: classBytes, SlopeNames: []string{"list.proxy.bytes", "fleet.proxy.bytes"}},
-		{Title: "lacking", Role: following, Class: classBytes, SlopeNames: []string{"fine.proxy.bytes", "none.proxy.bytes"}}},
-		slopeOverBudgetAt("list.proxy.bytes", following, 700), slopeOverBudgetAt("fleet.proxy.bytes", member, 30), slopeOverBudgetAt("fine.proxy.bytes", member, 3000),
+		{Key: "config", Role: follower, Description: "asked for", AbsentReason: "none",
+			RequestedBy: "changes_per_day"},
+	}, []Sum{{Title: "all", Role: follower, Class: classBytes,
+		SlopeNames: []string{"list.proxy.bytes", "fleet.proxy.bytes"}},
+		{Title: "lacking", Role: follower, Class: classBytes,
+			SlopeNames: []string{"fine.proxy.bytes", "none.proxy.bytes"}}},
+		slopeOverBudgetAt("list.proxy.bytes", follower, 700),
+		slopeOverBudgetAt("fleet.proxy.bytes", member, 30),
+		slopeOverBudgetAt("fine.proxy.bytes", member, 3000),
 		slopeOverBudgetAt("half.proxy.bytes", member, 3000), slopeOverBudgetAt("new.proxy.bytes", member, 3000))
 	var got []string
-	for _, m := range model.Gaps() {
-		got = append(got, m.Verdict+" "+m.Title+" "+model.formatSize(m.CrossesAt))
+	for _, gap := range model.Gaps() {
+		got = append(got, gap.Verdict+" "+gap.Title+" "+model.formatSize(gap.CrossesAt))
 	}
 	if want := "absent asked for any size; over all, bytes in all 28.8 nodos; over early 30 nodos; over later 700 nodos; absent waits none"; strings.Join(got, "; ") != want {
-		t.Errorf("%s\nnot %s", strings.Join(got, "; "), want)
+		t.Errorf("got  %s\nwant %s", strings.Join(got, "; "), want)
 	}
 	got = nil
-	for _, s := range model.AssessDuties() {
-		got = append(got, s.Duty.Description+": "+s.Verdict+" "+s.Reason)
+	for _, assessment := range model.AssessDuties() {
+		got = append(got, assessment.Duty.Description+": "+assessment.Verdict+" "+assessment.Reason)
 	}
 	want := "waits: absent none; later: over f; asked for: absent none; early: over f; fine: carried ; half: unproven cpu not measured; " +
 		"new (not in duties.toml): carried "
 	if strings.Join(got, "; ") != want {
-		t.Errorf("%s\nnot %s", strings.Join(got, "; "), want)
+		t.Errorf("got  %s\nwant %s", strings.Join(got, "; "), want)
 	}
-	for i, word := range []string{OverBudget, Unproven} {
-		if total := model.AssessSums()[i]; total.Verdict != word {
-			t.Errorf("%s: %s", total.Title, total.Verdict)
+	for i, verdict := range []string{OverBudget, Unproven} {
+		if sum := model.AssessSums()[i]; sum.Verdict != verdict {
+			t.Errorf("%s: %s", sum.Title, sum.Verdict)
 		}
 	}
 }
 
-// A nonlinear slope is not extrapolated: not in the page's cells, in a sum or for where it exceeds a budget.
+// A nonlinear slope is not extrapolated: neither in the page's cells, nor in a sum, nor to find the size at
+// which it exceeds a budget.
 func TestNonlinearIsNotExtrapolated(t *testing.T) {
-	following := Roles[1]
+	follower := Roles[1]
 	noisy := slopeOf([2]float64{15, 34}, [2]float64{150, 3}, [2]float64{1300, 1})
 	noisy.Name, noisy.Dimension, noisy.File = "list.proxy.noisy", "proxies", "slopes/a.toml"
 	short := slopeOf([2]float64{15, 1}, [2]float64{150, 9}, [2]float64{600, 2})
 	short.Name, short.Dimension, short.File = "list.proxy.short", "proxies", "slopes/a.toml"
-	model := modelWith(t, []Duty{{Key: "list", Role: following, Description: "d", RequiredClasses: []string{classBytes}}},
-		[]Sum{{Title: "all", Role: following, Class: classBytes, SlopeNames: []string{noisy.Name, short.Name}}}, noisy, short)
+	model := modelWith(t, []Duty{{Key: "list", Role: follower, Description: "d",
+		RequiredClasses: []string{classBytes}}},
+		[]Sum{{Title: "all", Role: follower, Class: classBytes,
+			SlopeNames: []string{noisy.Name, short.Name}}}, noisy, short)
 	projection := model.Project(noisy)
 	if got := []any{projection.Value.Likely, projection.Basis[1], projection.Verdicts[1], projection.DoubledBasis[1], model.formatSize(projection.CrossesAt)}; !slices.Equal(got, []any{1., Measured, OverBudget, Nonlinear, "15 nodos"}) {
 		t.Error(got)
@@ -76,48 +86,53 @@
 	if projection := model.Project(short); projection.Basis[1] != Nonlinear || projection.Verdicts[1] != Unproven || model.formatSize(projection.CrossesAt) != "not known" {
 		t.Errorf("%+v", projection)
 	}
-	total := model.AssessSums()[0]
-	if total.Verdict != Unproven || !slices.Equal(total.Unmeasured, []string{short.Name}) {
-		t.Errorf("%+v", total)
+	sum := model.AssessSums()[0]
+	if sum.Verdict != Unproven || !slices.Equal(sum.Unmeasured, []string{short.Name}) {
+		t.Errorf("%+v", sum)
 	}
-	for _, l := range strings.Split(strings.TrimSpace(model.projectionTable(model.AssessDuties())), "\n")[2:] {
-		if !strings.Contains(l, "| - | not straight |") || strings.Contains(l, "-0") || strings.Contains(l, "NaN") {
-			t.Error(l)
+	for _, line := range strings.Split(strings.TrimSpace(model.projectionTable(model.AssessDuties())),
+		"\n")[2:] {
+		if !strings.Contains(line, "| - | not straight |") || strings.Contains(line, "-0") ||
+			strings.Contains(line, "NaN") {
+			t.Error(line)
 		}
 	}
-	// If they were linear, they would be extrapolated.
+	// Declared linear, the same slopes are extrapolated.
 	noisy.Linear, short.Linear = true, true
 	if projection := model.Project(short); projection.Basis[1] != Extrapolated || projection.Verdicts[1] != WithinBudget && projection.Verdicts[1] != OverBudget {
 		t.Errorf("%+v", projection)
 	}
 }
 
-// The duty selects which of several over-budget metrics ranks it.
+// A duty's DecidingSlope selects which of several over-budget metrics ranks it.
 func TestDecidingSlope(t *testing.T) {
 	duties := []Duty{{Key: "list", Role: Roles[1], Description: "d", RequiredClasses: []string{classBytes}}}
 	model := modelWith(t, duties, nil, slopeOverBudgetAt("list.proxy.first", Roles[1], 30), slopeOverBudgetAt("list.proxy.second", Roles[1], 700))
-	if m := model.Gaps(); len(m) != 1 || model.formatSize(m[0].CrossesAt) != "30 nodos" {
-		t.Errorf("%+v", m)
+	if gaps := model.Gaps(); len(gaps) != 1 || model.formatSize(gaps[0].CrossesAt) != "30 nodos" {
+		t.Errorf("%+v", gaps)
 	}
 	// A metric within its budget does not hide another.
 	model.Slopes = append(model.Slopes, slopeOverBudgetAt("list.proxy.fine", Roles[1], 3000))
 	duties[0].DecidingSlope = "list.proxy.fine"
-	if m := model.Gaps(); len(m) != 1 || model.formatSize(m[0].CrossesAt) != "30 nodos" {
-		t.Errorf("%+v", m)
+	if gaps := model.Gaps(); len(gaps) != 1 || model.formatSize(gaps[0].CrossesAt) != "30 nodos" {
+		t.Errorf("%+v", gaps)
 	}
 	duties[0].DecidingSlope = "list.proxy.second"
-	if m := model.Gaps(); len(m) != 1 || model.formatSize(m[0].CrossesAt) != "700 nodos" {
-		t.Errorf("%+v", m)
+	if gaps := model.Gaps(); len(gaps) != 1 || model.formatSize(gaps[0].CrossesAt) != "700 nodos" {
+		t.Errorf("%+v", gaps)
 	}
 }
 
 // Entries of another machine or commit than the newest of their file are marked.
 func TestOlderEntriesAreMarked(t *testing.T) {
-	old, far, now := slopeOverBudgetAt("a.b.old", Roles[1], 30), slopeOverBudgetAt("a.b.far", Roles[1], 30), slopeOverBudgetAt("a.b.now", Roles[1], 30)
-	old.Commit, far.Machine = "1234567", "another"
-	for i, l := range strings.Split(strings.TrimSpace(modelWith(t, nil, nil, old, far, now).slopeTable()), "\n")[2:] {
-		if strings.Contains(l, "at another commit") != (i == 0) || strings.Contains(l, "on another machine") != (i == 1) {
-			t.Error(l)
+	otherCommit, otherMachine, newest := slopeOverBudgetAt("a.b.old", Roles[1], 30),
+		slopeOverBudgetAt("a.b.far", Roles[1], 30), slopeOverBudgetAt("a.b.now", Roles[1], 30)
+	otherCommit.Commit, otherMachine.Machine = "1234567", "another"
+	for i, line := range strings.Split(strings.TrimSpace(
+		modelWith(t, nil, nil, otherCommit, otherMachine, newest).slopeTable()), "\n")[2:] {
+		if strings.Contains(line, "at another commit") != (i == 0) ||
+			strings.Contains(line, "on another machine") != (i == 1) {
+			t.Error(line)
 		}
 	}
 }
--- a/internal/faultlab/capacity/capacity_test.go
+++ b/internal/faultlab/capacity/capacity_test.go
@@ -19,7 +19,7 @@
 	"merlinpick/internal/settings"
 )
 
-var update = flag.Bool("update", false, "write the tables of docs/CAPACITY.md anew")
+var update = flag.Bool("update", false, "rewrite the tables of docs/CAPACITY.md")
 
 const (
 	capacityDir = "../../../docs/capacity"
@@ -88,11 +88,13 @@
 		return
 	}
 	if at := pageDifference(t, os.DirFS(capacityDir), string(text)); at != "" {
-		t.Errorf("docs/CAPACITY.md differs from docs/capacity at %s\n(go test ./internal/faultlab/capacity -update writes its tables anew)", at)
+		t.Errorf("docs/CAPACITY.md differs from docs/capacity at %s\n"+
+			"(go test ./internal/faultlab/capacity -update rewrites its tables)", at)
 	}
 }
 
-// The page names the first gap of its list as the first one now, and a duty that is implemented by now as the first one then.
+// The page names the first gap of its list as the first one now, and as the first one of an earlier commit a
+// duty that is implemented by now.
 func TestPageNamesFirstGap(t *testing.T) {
 	model, err := Read(os.DirFS(capacityDir))
 	if err != nil {
@@ -107,61 +109,62 @@
 		_, rest, ok := strings.Cut(string(text), line)
 		what, _, ok2 := strings.Cut(rest, "**")
 		if !ok || !ok2 || strings.Contains(rest, line) {
-			t.Errorf("the page has no one line %q", line)
+			t.Errorf("the page must have exactly one line that begins %q", line)
 		}
 		return what
 	}
 	want := "nothing"
-	missing := model.Gaps()
-	if len(missing) > 0 {
-		want = missing[0].Title
+	gaps := model.Gaps()
+	if len(gaps) > 0 {
+		want = gaps[0].Title
 	}
-	if is := statedIn(now); is != want {
-		t.Errorf("the list is %+v, and the page has %q as missing first now", missing, is)
+	if stated := statedIn(now); stated != want {
+		t.Errorf("the gaps are %+v, but the page names %q as the first one now", gaps, stated)
 	}
-	is := statedIn(then)
-	if !slices.ContainsFunc(model.Duties, func(d Duty) bool { return d.Description == is && d.AbsentReason == "" }) {
-		t.Errorf("%q, which the page says was missing first and was built, is no duty that something carries", is)
+	stated := statedIn(then)
+	if !slices.ContainsFunc(model.Duties,
+		func(d Duty) bool { return d.Description == stated && d.AbsentReason == "" }) {
+		t.Errorf("the page has %q as a former first gap, but no implemented duty has that name", stated)
 	}
 }
 
-// A change of a single number, slope or cell is detected.
+// A change of a single number, slope or cell makes the page differ from the model, or is rejected.
 func TestSingleChangeIsDetected(t *testing.T) {
 	text, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if at := pageDifference(t, capacityFiles(t), string(text)); at != "" {
-		t.Fatal("the page differs before anything is changed: ", at)
+		t.Fatal("the page differs from the model before any change: ", at)
 	}
 	// change replaces the first occurrence of a text in a file.
-	change := func(t *testing.T, files fstest.MapFS, name, was, is string) {
+	change := func(t *testing.T, files fstest.MapFS, name, old, new string) {
 		t.Helper()
 		f := files[name]
-		if !strings.Contains(string(f.Data), was) {
-			t.Fatalf("%s has no %q", name, was)
+		if !strings.Contains(string(f.Data), old) {
+			t.Fatalf("%s does not contain %q", name, old)
 		}
-		f.Data = []byte(strings.Replace(string(f.Data), was, is, 1))
+		f.Data = []byte(strings.Replace(string(f.Data), old, new, 1))
 	}
 	t.Run("a number of the target size", func(t *testing.T) {
 		files := capacityFiles(t)
 		change(t, files, "numbers.toml", "nodos = 1300 ", "nodos = 1301 ")
 		if pageDifference(t, files, string(text)) == "" {
-			t.Error("not found")
+			t.Error("the change was not detected")
 		}
 	})
 	t.Run("an assumption", func(t *testing.T) {
 		files := capacityFiles(t)
 		change(t, files, "numbers.toml", "high = 30\nwhy = \"nodos choose", "high = 31\nwhy = \"nodos choose")
 		if pageDifference(t, files, string(text)) == "" {
-			t.Error("not found")
+			t.Error("the change was not detected")
 		}
 	})
 	t.Run("a budget", func(t *testing.T) {
 		files := capacityFiles(t)
 		change(t, files, "numbers.toml", "value = 19.0", "value = 19.5")
 		if pageDifference(t, files, string(text)) == "" {
-			t.Error("not found")
+			t.Error("the change was not detected")
 		}
 	})
 	names, err := slopeFiles(capacityFiles(t))
@@ -191,7 +194,8 @@
 					alone = *s
 					alone.Gradient = s.Gradient + part*roundingTolerance*top/s.Points[len(s.Points)-1][0]
 					if alone.Check() == nil {
-						t.Errorf("%s: a slope that misses its points by %v times the tolerance is accepted", s.Name, part)
+						t.Errorf("%s: a slope that is off its points by %v times the tolerance is accepted",
+							s.Name, part)
 					}
 				}
 				var runs [3][]float64
@@ -216,7 +220,7 @@
 				}
 				files[name].Data = []byte(out.String())
 				if pageDifference(t, files, string(text)) == "" {
-					t.Errorf("%s: not found", s.Name)
+					t.Errorf("%s: the change of the slope was not detected", s.Name)
 				}
 			}
 		})
@@ -247,17 +251,18 @@
 			lines[i] = string(changed)
 			damaged := strings.Join(lines, "\n")
 			if filled, err := FillTables(damaged, tables); err != nil || FirstDifference(damaged, filled) == "" {
-				t.Errorf("line %d: not found: %s", i+1, changed)
+				t.Errorf("line %d: the change was not detected: %s", i+1, changed)
 			}
 			lines[i] = l
 		}
 		if cells < 40 {
-			t.Errorf("only %d lines of tables have a figure", cells)
+			t.Errorf("only %d table lines have a number, want at least 40", cells)
 		}
 	})
 }
 
-// programConstants are equal to the program's. Unexported constants are compared in its source.
+// programConstants equal the program's constants. Unexported ones are compared with the program's source
+// text.
 func TestProgramConstants(t *testing.T) {
 	c := config.Default()
 	for key, is := range map[string]float64{"hold_s": discovery.LongPollTimeout.Seconds(), "spread_s": discovery.FailoverJitter.Seconds(),
@@ -278,13 +283,13 @@
 		}
 		for _, l := range lines {
 			if !strings.Contains(strings.Join(strings.Fields(string(text)), " "), l) {
-				t.Errorf("%s has no %q any more", file, l)
+				t.Errorf("%s no longer contains %q", file, l)
 			}
 		}
 	}
 }
 
-// A page that lacks a table, has one twice or a marker without its pair is rejected.
+// A page that lacks a table, marks one twice or has a marker without its counterpart is rejected.
 func TestFillTables(t *testing.T) {
 	tables := map[string]string{"a": "| 1 |\n"}
 	whole := tableStart + "a" + markerEnd + "\n| 0 |\n" + tableEnd + "\nrest\n"
--- a/internal/faultlab/capacity/expand.go
+++ b/internal/faultlab/capacity/expand.go
@@ -8,8 +8,8 @@
 	"text/template"
 )
 
-// programConstants are the program's constants that texts of duties.toml use. They are copies, because tests of the packages
-// that define them import this one; TestProgramConstants compares the two.
+// programConstants are the program's constants that texts of duties.toml use. They are copies, because tests
+// of the packages that define them import this one; TestProgramConstants compares the two.
 var programConstants = map[string]float64{
 	"hold_s":         4,     // long poll of a watch: internal/discovery
 	"spread_s":       0.6,   // jitter before the next member is polled: internal/discovery
@@ -18,9 +18,9 @@
 	"poll_s":         0.25,  // between two freshness checks: internal/registry/raftnode
 	"tick_s":         0.1,   // between two sweeps of the leases: internal/registry/raftnode
 	"stale_s":        2,     // age of a stale list: internal/registry/config
-	"lease_part":     0.25,  // internal/registry/lease
-	"lease_pace":     0.1,   // internal/registry/lease
-	"changes_kept":   4096,  // internal/registry/state
+	"lease_part":     0.25,  // HoldThreshold: internal/registry/lease
+	"lease_pace":     0.1,   // ReleaseRate: internal/registry/lease
+	"changes_kept":   4096,  // retained changes: internal/registry/state
 	"document_most":  65536, // bytes: internal/settings
 	"retry_least_ms": 25,    // half of the shortest backoff: internal/registry/registrar
 	"retry_most_ms":  600,   // 1.5 times the longest backoff: internal/registry/registrar
@@ -39,7 +39,7 @@
 	return out.String(), nil
 }
 
-// templateFuncs are the functions of the texts.
+// templateFuncs returns the functions that the texts may call.
 func (m *Model) templateFuncs() template.FuncMap {
 	return template.FuncMap{
 		"num":    formatNumber,
@@ -55,7 +55,8 @@
 	}
 }
 
-// templateValues are the variables of the texts: the target size, the assumptions, the dimensions and the program's constants.
+// templateValues returns the variables of the texts: the target size, the assumptions, the dimensions and the
+// program's constants.
 func (m *Model) templateValues() map[string]float64 {
 	values := map[string]float64{}
 	addRange := func(key string, r Range) {
@@ -109,6 +110,7 @@
 	return value, nil
 }
 
+// formatMeasurement returns a recorded measurement with its unit.
 func (m *Model) formatMeasurement(name string) string {
 	for _, measurement := range m.Measurements {
 		if measurement.Name == name {
--- a/internal/faultlab/capacity/fill.go
+++ b/internal/faultlab/capacity/fill.go
@@ -12,12 +12,12 @@
 	tableEnd   = "<!-- end of computed -->"
 )
 
-// FillTables replaces the text between the page's markers with the tables. Each table must be marked once and nothing else may
-// be; a PageError says where that is not so.
+// FillTables replaces the text between the page's markers with the tables. It returns a PageError unless the
+// page marks each table exactly once and no others.
 func FillTables(page string, tables map[string]string) (string, error) {
 	var out strings.Builder
 	seen := map[string]bool{}
-	open := "" // the table whose end is awaited
+	open := "" // the table whose end marker is next; empty: none
 	for i, line := range strings.SplitAfter(page, "\n") {
 		text := strings.TrimSpace(line)
 		name, isStart := strings.CutPrefix(text, tableStart)
@@ -62,7 +62,7 @@
 	}
 	for i := range max(len(pageLines), len(filledLines)) {
 		if has, want := lineAt(pageLines, i), lineAt(filledLines, i); has != want {
-			return fmt.Sprintf("line %d:\n  the page has   %s\n  calculated is  %s", i+1, has, want)
+			return fmt.Sprintf("line %d:\n  on the page:  %s\n  calculated:   %s", i+1, has, want)
 		}
 	}
 	return ""
--- a/internal/faultlab/capacity/fit.go
+++ b/internal/faultlab/capacity/fit.go
@@ -7,16 +7,20 @@
 )
 
 const (
-	// MinCoverage is the part of a size that the measured range must reach for a verdict from an extrapolation.
+	// MinCoverage is the fraction of a size that the largest measured size must reach for a verdict from an
+	// extrapolation.
 	MinCoverage = 1. / 3
-	// LinearityTolerance is the largest distance of a linear slope's medians from its line, as a part of the line's value there.
+	// LinearityTolerance is the largest distance of a linear slope's medians from its line, as a fraction of
+	// the line's value there.
 	LinearityTolerance = 0.15
-	// roundingTolerance is the largest distance of a recorded line from the fitted one, as a part of the largest median: what
-	// rounding the line's two numbers to four digits does. It is independent of the gradient, which is near 0 for flat metrics.
+	// roundingTolerance is the largest distance of a recorded line from the fitted one, as a fraction of the
+	// largest median: what rounding the line's two numbers to four digits causes. It does not depend on the
+	// gradient, which is near 0 for flat metrics.
 	roundingTolerance = 0.001
 )
 
-// Fit sets Points and the line from measured values: runs[i] is one repeat, with a value for each size. Sizes must rise.
+// Fit sets Points and the line from measured values: runs[i] is one repeat, with a value for each size. The
+// sizes must be in ascending order.
 func (s *Slope) Fit(sizes []float64, runs [][]float64) {
 	s.Points, s.GradientRange = nil, nil
 	for i, size := range sizes {
@@ -47,7 +51,7 @@
 	s.GradientRange = []float64{min(s.Gradient, roundToScaleOf(lowest, scale)), max(s.Gradient, roundToScaleOf(highest, scale))}
 }
 
-// checkFit recalculates the line from the medians and compares.
+// checkFit fits a line to the medians again and returns a SlopeError if the recorded line differs from it.
 func (s *Slope) checkFit() error {
 	xs, ys, _, _ := columns(s.Points)
 	intercept, gradient := leastSquares(xs, ys)
@@ -57,13 +61,15 @@
 	}
 	for _, x := range []float64{xs[0], xs[len(xs)-1]} {
 		if distance := math.Abs(intercept + gradient*x - s.Intercept - s.Gradient*x); distance > roundingTolerance*largest {
-			return slopeError("base and per", "the least-squares line over the medians is %.6g + %.6g x, and %.6g + %.6g x is stated: %.3g apart at %g",
+			return slopeError("base and per",
+				"the fitted line is %.6g + %.6g x, but the file states %.6g + %.6g x: %.3g apart at %g",
 				intercept, gradient, s.Intercept, s.Gradient, distance, x)
 		}
 	}
 	if linear := isLinear(xs, ys, intercept, gradient); linear != s.Linear {
 		not := choose(linear, "", "not ")
-		return slopeError("straight", "%v is stated; its worst point lies %swithin %g of the line", s.Linear, not, LinearityTolerance)
+		return slopeError("straight", "the file states %v, but the worst point is %swithin %g of the line",
+			s.Linear, not, LinearityTolerance)
 	}
 	return s.checkGradientRange(gradient, largest)
 }
@@ -72,18 +78,20 @@
 // absolute median.
 func (s *Slope) checkGradientRange(gradient, largest float64) error {
 	if len(s.GradientRange) != 2 || !(s.GradientRange[0] <= s.GradientRange[1]) {
-		return slopeError("spread", "the least and the most slope over the repeats are required")
+		return slopeError("spread", "the lowest and the highest gradient of the repeats are required")
 	}
 	xs, _, least, most := columns(s.Points)
 	lowest, highest := gradientBounds(xs, least, most)
 	farthest := xs[len(xs)-1] - xs[0]
 	slack := roundingTolerance * slices.Max(append(most, largest)) / farthest
 	if s.GradientRange[0] < lowest-slack || s.GradientRange[1] > highest+slack {
-		return slopeError("spread", "%v is stated, and the points allow %.6g to %.6g", s.GradientRange, lowest, highest)
+		return slopeError("spread", "the file states %v, but the points allow only %.6g to %.6g",
+			s.GradientRange, lowest, highest)
 	}
 	slack = roundingTolerance * largest / farthest
 	if gradient < s.GradientRange[0]-slack || gradient > s.GradientRange[1]+slack {
-		return slopeError("spread", "the slope over the medians, %.6g, is not within %v", gradient, s.GradientRange)
+		return slopeError("spread", "the gradient of the line through the medians, %.6g, is not within %v",
+			gradient, s.GradientRange)
 	}
 	return nil
 }
@@ -111,7 +119,7 @@
 	return weight, mean
 }
 
-// leastSquares fits a line.
+// leastSquares returns the least-squares line through points.
 func leastSquares(xs, ys []float64) (intercept, gradient float64) {
 	weight, mean := weights(xs)
 	for i, y := range ys {
@@ -153,6 +161,7 @@
 	return math.Round(v*scale) / scale
 }
 
+// choose returns a if first is set, else b.
 func choose[T any](first bool, a, b T) T {
 	if first {
 		return a
--- a/internal/faultlab/capacity/format.go
+++ b/internal/faultlab/capacity/format.go
@@ -18,13 +18,13 @@
 	classCount    = "count"
 )
 
-// unit is a unit that slopes may use.
+// unit describes a unit that slopes may use.
 type unit struct {
 	class  string
 	factor float64 // to the class's display unit
 }
 
-// displayUnits are the units that budgets and the page give each class in.
+// displayUnits are the units of each class in budgets and on the page.
 var displayUnits = map[string]string{classBytes: "KB/s", classCPU: "% of a core", classMemory: "MB", classTime: "ms",
 	classMessages: "1/s", classSize: "KB", classCount: ""}
 
--- a/internal/faultlab/capacity/inputs.go
+++ b/internal/faultlab/capacity/inputs.go
@@ -32,7 +32,7 @@
 	ServersPerZone float64 `toml:"zone"` // lost with one zone
 }
 
-// Assumption is a range for a number that the target size does not fix.
+// Assumption is a range for a number that the target size does not determine.
 type Assumption struct {
 	Key    string  `toml:"key"`
 	Unit   string  `toml:"unit"`
@@ -52,7 +52,7 @@
 	Metrics []string `toml:"figures"` // substrings of the metrics it is for, in lower case; empty: all of the class
 }
 
-// Inputs are the target size with its assumptions and budgets.
+// Inputs holds the target size with its assumptions and budgets.
 type Inputs struct {
 	Target      TargetSize   `toml:"letter"`
 	Assumptions []Assumption `toml:"assumption"`
@@ -116,7 +116,7 @@
 	}
 	for key := range seen {
 		if !slices.Contains(assumptionKeys, key) {
-			invalid.add("assumption", "%q is used nowhere; known are %v", key, assumptionKeys)
+			invalid.add("assumption", "%q is not used by any calculation; known are %v", key, assumptionKeys)
 		}
 	}
 }
@@ -125,13 +125,14 @@
 	for i, b := range n.Budgets {
 		key := fmt.Sprintf("budget[%d]", i+1)
 		if !slices.Contains(Roles, b.Role) {
-			invalid.add(key+".role", "%q is none of %q", b.Role, Roles)
+			invalid.add(key+".role", "%q is not one of %q", b.Role, Roles)
 		}
 		if u, ok := units[b.Unit]; !ok || u.class != b.Class || displayUnits[b.Class] != b.Unit {
-			invalid.add(key+".unit", "%q: a budget of class %q is given in %q", b.Unit, b.Class, displayUnits[b.Class])
+			invalid.add(key+".unit", "%q: a budget of class %q must be in %q", b.Unit, b.Class,
+				displayUnits[b.Class])
 		}
 		if !(b.Value > 0) || b.Source == "" {
-			invalid.add(key, "a value over 0 and from, letter or ours and why, are required")
+			invalid.add(key, "a value over 0 is required, and from: \"letter\", or \"ours\" with the reason")
 		}
 	}
 }
--- a/internal/faultlab/capacity/inputs_test.go
+++ b/internal/faultlab/capacity/inputs_test.go
@@ -23,7 +23,7 @@
 note = ""
 `
 
-// Every invalid entry is rejected with its file, its name and the reason.
+// Every invalid slope is rejected with its file, the field and the reason.
 func TestInvalidSlopesAreRejected(t *testing.T) {
 	read := func(text string) error {
 		_, err := ReadSlopes(fstest.MapFS{"slopes/a.toml": &fstest.MapFile{Data: []byte(text)}})
@@ -32,10 +32,10 @@
 	if err := read(validSlope); err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]struct{ was, is, says string }{
+	for name, c := range map[string]struct{ old, new, want string }{
 		"unknown key":             {`note = ""`, `remark = ""`, "slope.remark: no such key"},
 		"no command":              {`command = "bin/merlinpick-faultlab run scale-30"`, ``, "command is missing"},
-		"empty command":           {`"bin/merlinpick-faultlab run scale-30"`, `" "`, "command: a word"},
+		"empty command":           {`"bin/merlinpick-faultlab run scale-30"`, `" "`, "command: a text"},
 		"no commit":               {`commit = "abcdef1"`, ``, "commit is missing"},
 		"no commit's name":        {`"abcdef1"`, `"newest"`, "commit: "},
 		"no machine":              {`machine = "8 cores, 24 GB"`, ``, "machine is missing"},
@@ -58,56 +58,62 @@
 		"a spread without slope":  {`spread = [1.9, 2.1]`, `spread = [2.07, 2.1]`, "spread: "},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(validSlope, c.was, c.is, 1)
+			text := strings.Replace(validSlope, c.old, c.new, 1)
 			if text == validSlope {
-				t.Fatal("nothing was changed")
+				t.Fatal("the text to replace was not found")
 			}
 			err := read(text)
-			if err == nil || !strings.Contains(err.Error(), "slopes/a.toml") || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%v, which does not say %q", err, c.says)
+			if err == nil || !strings.Contains(err.Error(), "slopes/a.toml") ||
+				!strings.Contains(err.Error(), c.want) {
+				t.Errorf("error %v, want one with %q", err, c.want)
 			}
 		})
 	}
-	if err := read(validSlope + "\n" + validSlope); err == nil || !strings.Contains(err.Error(), "stands in") {
-		t.Errorf("a name twice: %v", err)
+	if err := read(validSlope + "\n" + validSlope); err == nil ||
+		!strings.Contains(err.Error(), "is also used in") {
+		t.Errorf("a name that is recorded twice: %v", err)
 	}
-	bent := strings.Replace(strings.Replace(validSlope, "610.0, 595.0, 625.0", "1010.0, 1000.0, 1020.0", 1), "10.0\nper = 2.0\nspread = [1.9, 2.1]",
+	nonlinear := strings.Replace(
+		strings.Replace(validSlope, "610.0, 595.0, 625.0", "1010.0, 1000.0, 1020.0",
+			1), "10.0\nper = 2.0\nspread = [1.9, 2.1]",
 		"-256.67\nper = 4.0\nspread = [3.925, 4.075]", 1)
-	if err := read(bent); err == nil || !strings.Contains(err.Error(), "not within") {
-		t.Errorf("a bent one that is called straight: %v", err)
+	if err := read(nonlinear); err == nil || !strings.Contains(err.Error(), "not within") {
+		t.Errorf("a nonlinear slope that is declared straight: %v", err)
 	}
-	if err := read(strings.Replace(bent, "straight = true", "straight = false", 1)); err != nil {
-		t.Errorf("a bent one: %v", err)
+	if err := read(strings.Replace(nonlinear, "straight = true", "straight = false", 1)); err != nil {
+		t.Errorf("a nonlinear slope that is declared so: %v", err)
 	}
 }
 
-// Invalid numbers and duties are rejected with their key.
+// Invalid entries of numbers.toml and duties.toml are rejected with their file and key.
 func TestInvalidInputsAreRejected(t *testing.T) {
-	for name, c := range map[string]struct{ file, was, is, says string }{
-		"unknown key":            {"numbers.toml", "rack = 16", "racks = 16", "letter.racks: no such key"},
-		"a number left out":      {"numbers.toml", "machines = 5 ", "#", "letter.machines: "},
-		"a number of 0":          {"numbers.toml", "zones = 9", "zones = 0", "letter.zones: "},
-		"an unknown assumption":  {"numbers.toml", `key = "lease_s"`, `key = "leases"`, `"leases" is used nowhere`},
+	for name, c := range map[string]struct{ file, old, new, want string }{
+		"unknown key":       {"numbers.toml", "rack = 16", "racks = 16", "letter.racks: no such key"},
+		"a number left out": {"numbers.toml", "machines = 5 ", "#", "letter.machines: "},
+		"a number of 0":     {"numbers.toml", "zones = 9", "zones = 0", "letter.zones: "},
+		"an unknown assumption": {"numbers.toml", `key = "lease_s"`, `key = "leases"`,
+			`"leases" is not used by any calculation`},
 		"an assumption left out": {"numbers.toml", `key = "lease_s"`, `key = "leases"`, `"lease_s" is missing`},
 		"likely under low":       {"numbers.toml", "likely = 6\n", "likely = 0\n", "low <= likely"},
 		"a budget's unit":        {"numbers.toml", `unit = "KB/s"`, `unit = "MB/s"`, "budget[1].unit"},
 		"a budget's role":        {"numbers.toml", `role = "proxy following lists"`, `role = "proxies"`, "budget[1].role"},
-		"a duty's role":          {"duties.toml", `role = "`, `role = "a `, "role: none of"},
-		"a duty's class":         {"duties.toml", `needs = ["`, `needs = ["a `, "is no class"},
+		"a duty's role":          {"duties.toml", `role = "`, `role = "a `, "role: not one of"},
+		"a duty's class":         {"duties.toml", `needs = ["`, `needs = ["a `, "is not a class"},
 		"an unknown slope":       {"duties.toml", "decides = \"path.proxy.", "decides = \"path.proxies.", "decides: no slope"},
 		"another duty's slope":   {"duties.toml", "decides = \"path.proxy.added_p99.66.calm", "decides = \"list.proxy.bytes", "decides: no slope"},
 		"an unknown key":         {"duties.toml", "mechanism = ", "mechanisms = ", "no such key"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			files := capacityFiles(t)
-			text := strings.Replace(string(files[c.file].Data), c.was, c.is, 1)
+			text := strings.Replace(string(files[c.file].Data), c.old, c.new, 1)
 			if text == string(files[c.file].Data) {
-				t.Fatal("nothing was changed")
+				t.Fatal("the text to replace was not found")
 			}
 			files[c.file].Data = []byte(text)
 			_, err := Read(files)
-			if err == nil || !strings.Contains(err.Error(), c.file) || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%v, which does not say %q", err, c.says)
+			if err == nil || !strings.Contains(err.Error(), c.file) ||
+				!strings.Contains(err.Error(), c.want) {
+				t.Errorf("error %v, want one with %q", err, c.want)
 			}
 		})
 	}
--- a/internal/faultlab/capacity/model.go
+++ b/internal/faultlab/capacity/model.go
@@ -11,8 +11,8 @@
 // dutiesName is the file of duties, sums, failures and measurements.
 const dutiesName = "duties.toml"
 
-// Duty is one thing that a role does, and what implements it. State, TypicalRate, PeakRate and Fallback are templates for
-// Model.expand.
+// Duty is one task of a role, and what implements it. State, TypicalRate, PeakRate and Fallback are templates
+// for Model.expand.
 type Duty struct {
 	Key             string   `toml:"key"`       // the first part of its slopes' names
 	Role            string   `toml:"role"`      // one of Roles
@@ -25,7 +25,7 @@
 	DecidingSlope   string   `toml:"decides"`   // the slope that ranks it among the gaps; empty: the first to exceed its budget
 	AbsentReason    string   `toml:"absent"`    // why no code implements it; empty: some does
 	RequestedBy     string   `toml:"asks"`      // the number of the target size that requires an absent one
-	Fallback        string   `toml:"instead"`   // what replaces an absent one, or why it can wait
+	Fallback        string   `toml:"instead"`   // what replaces an absent one meanwhile, or why it can wait
 }
 
 // Sum adds estimates of one class up and compares them with a role's budget.
@@ -45,7 +45,7 @@
 	TestResult  string `toml:"played"` // the result of a run and its size
 }
 
-// Measurement is a single value of a run that is no part of a slope.
+// Measurement is a single measured value that does not belong to a slope.
 type Measurement struct {
 	Name    string  `toml:"name"`
 	Unit    string  `toml:"unit"`
@@ -95,7 +95,7 @@
 	for i, duty := range d.Duties {
 		key := fmt.Sprintf("duty[%d] %q of %q", i+1, duty.Key, duty.Role)
 		if !slices.Contains(Roles, duty.Role) {
-			invalid.add(key, "role: none of %q", Roles)
+			invalid.add(key, "role: not one of %q", Roles)
 		}
 		if duty.Key == "" || strings.Contains(duty.Key, ".") || seen[duty.Key+duty.Role] {
 			invalid.add(key, "key: the first part of slopes' names is required, only once for each role")
@@ -112,7 +112,7 @@
 		}
 		for _, class := range duty.RequiredClasses {
 			if _, ok := displayUnits[class]; !ok {
-				invalid.add(key, "needs: %q is no class", class)
+				invalid.add(key, "needs: %q is not a class", class)
 			}
 		}
 	}
--- a/internal/faultlab/capacity/slope.go
+++ b/internal/faultlab/capacity/slope.go
@@ -10,11 +10,11 @@
 	"strings"
 )
 
-// minSizes is the number of sizes that a slope has to be measured at.
+// minSizes is the minimum number of sizes that a slope has to be measured at.
 const minSizes = 3
 
-// Slope is how one metric grows with a dimension: measured points and the least-squares line over their medians. Intercept,
-// Gradient and Points are in Unit.
+// Slope describes how one metric grows with a dimension: measured points and the least-squares line through
+// their medians. Intercept, Gradient and Points are in Unit.
 type Slope struct {
 	Name          string       `toml:"name"` // duty.role.metric
 	Role          string       `toml:"role"`
@@ -54,7 +54,8 @@
 	return all, errors.Join(found...)
 }
 
-// readSlopeFile reads one file and adds its slopes to fileOf, which finds names that are recorded twice.
+// readSlopeFile reads one file and adds its slopes to fileOf, by which it detects names that are recorded
+// twice.
 func readSlopeFile(files fs.FS, name string, fileOf map[string]string) ([]*Slope, error) {
 	var keys struct {
 		Slopes []map[string]any `toml:"slope"`
@@ -78,7 +79,7 @@
 			}
 		}
 		if other, ok := fileOf[s.Name]; ok {
-			invalid.add(key, "the name stands in %s too; a name is recorded once", other)
+			invalid.add(key, "the name is also used in %s; each name may be recorded only once", other)
 		}
 		fileOf[s.Name] = name
 		if err := s.Check(); err != nil {
@@ -107,15 +108,15 @@
 		return err
 	}
 	if len(s.Points) < minSizes {
-		return slopeError("points", "%d; a slope is measured at %d sizes or more", len(s.Points), minSizes)
+		return slopeError("points", "%d; a slope needs at least %d measured sizes", len(s.Points), minSizes)
 	}
 	for i, p := range s.Points {
 		field := fmt.Sprintf("points[%d]", i+1)
 		if i > 0 && p[0] <= s.Points[i-1][0] {
-			return slopeError(field, "the sizes have to rise")
+			return slopeError(field, "the sizes must be in ascending order")
 		}
 		if !(p[2] <= p[1] && p[1] <= p[3]) {
-			return slopeError(field, "size, median, least, most are required with least <= median <= most")
+			return slopeError(field, "size, median, min and max are required, with min <= median <= max")
 		}
 	}
 	return s.checkFit()
@@ -126,17 +127,17 @@
 		return slopeError("name", "%q: duty.role.figure is required", s.Name)
 	}
 	if !slices.Contains(Roles, s.Role) {
-		return slopeError("role", "%q is none of %q", s.Role, Roles)
+		return slopeError("role", "%q is not one of %q", s.Role, Roles)
 	}
 	if _, ok := units[s.Unit]; !ok {
 		return slopeError("unit", "%q is not known; add it to internal/faultlab/capacity/format.go", s.Unit)
 	}
 	if _, ok := dimensions[s.Dimension]; !ok {
-		return slopeError("of", "%q is none of %q", s.Dimension, dimensionNames())
+		return slopeError("of", "%q is not one of %q", s.Dimension, dimensionNames())
 	}
 	for key, text := range map[string]string{"figure": s.Metric, "commit": s.Commit, "machine": s.Machine, "command": s.Command} {
 		if strings.TrimSpace(text) == "" || strings.ContainsAny(text, "|\n") && key != "command" {
-			return slopeError(key, "a word without | is required")
+			return slopeError(key, "a text without | or line breaks is required")
 		}
 	}
 	if !isCommit(s.Commit) {
--- a/internal/faultlab/capacity/tables.go
+++ b/internal/faultlab/capacity/tables.go
@@ -67,7 +67,7 @@
 	return t.text.String()
 }
 
-// expandAll expands texts of duties.toml. The error joins those of all texts.
+// expandAll expands texts of duties.toml. The error joins the errors of all texts.
 func (m *Model) expandAll(texts ...string) (expanded []string, err error) {
 	var errs []error
 	for _, text := range texts {
@@ -112,7 +112,8 @@
 	return text
 }
 
-// formatCrossing returns the size at which a projection exceeds its budget, and that under the high assumptions if it differs.
+// formatCrossing returns the size at which a projection exceeds its budget, and that under the high
+// assumptions if it differs.
 func (m *Model) formatCrossing(p *Projection) string {
 	likely, high := m.formatSize(p.CrossesAt), m.formatSize(p.CrossesAtHigh)
 	if high != likely {
@@ -142,15 +143,15 @@
 	return out
 }
 
-// formatSize returns a part of the target size as a number of servers.
-func (m *Model) formatSize(part float64) string {
-	servers := part * m.Target.Servers
+// formatSize returns a fraction of the target size as a number of servers.
+func (m *Model) formatSize(fraction float64) string {
+	servers := fraction * m.Target.Servers
 	switch {
-	case math.IsNaN(part):
+	case math.IsNaN(fraction):
 		return "not known"
-	case math.IsInf(part, 1):
+	case math.IsInf(fraction, 1):
 		return "none"
-	case part == 0:
+	case fraction == 0:
 		return "any size"
 	case servers < 1:
 		return "under 1 nodo"
@@ -201,8 +202,8 @@
 	return t.text.String(), errors.Join(errs...)
 }
 
-// slopeTable has the recorded slopes. The last entry of a file is the newest: entries that were recorded at another commit or
-// on another machine are marked.
+// slopeTable returns the table of the recorded slopes. The last entry of a file is the newest: entries that
+// were recorded at another commit or on another machine are marked.
 func (m *Model) slopeTable() string {
 	newest := map[string]*Slope{}
 	for _, s := range m.Slopes {
--- a/internal/faultlab/capacity/verdict.go
+++ b/internal/faultlab/capacity/verdict.go
@@ -18,11 +18,12 @@
 	Unproven     = "unproven"
 )
 
-// sameSize is the largest difference of two sizes that count as one, as a part of the size asked for.
+// sameSize is the largest difference of two sizes that count as equal, as a fraction of the requested size.
 const sameSize = 0.02
 
-// At estimates the metric at a size: the value and its worst case over the repeats, in the class's display unit, and the basis.
-// Outside of the measured range there is no estimate, and both are NaN, if the slope is not linear or its line is negative there.
+// At estimates the metric at a size: the value and its worst case over the repeats, in the class's display
+// unit, and the basis. Outside of the measured range there is no estimate, and both are NaN, if the slope is
+// not linear or its line is negative there.
 func (s *Slope) At(size float64) (value, worst float64, basis string) {
 	factor := units[s.Unit].factor
 	xs, ys, _, most := columns(s.Points)
@@ -53,7 +54,8 @@
 	return value * factor, worst * factor, basis
 }
 
-// belowRange extrapolates in the slope's unit along the two smallest sizes: the least-squares line can be far off there.
+// belowRange extrapolates, in the slope's unit, along the two smallest sizes, because the least-squares line
+// can be far off there.
 func (s *Slope) belowRange(size float64) (value, worst float64, basis string) {
 	if !s.Linear {
 		return math.NaN(), math.NaN(), Nonlinear
@@ -64,8 +66,8 @@
 	return value, max(value, worst), Extrapolated
 }
 
-// aboveRange extrapolates in the slope's unit along the least-squares line, and for the worst case with the lowest and the
-// highest gradient of the repeats.
+// aboveRange extrapolates, in the slope's unit, along the least-squares line, and for the worst case with the
+// lowest and the highest gradient of the repeats.
 func (s *Slope) aboveRange(size float64) (value, worst float64, basis string) {
 	value = s.Intercept + s.Gradient*size
 	if !s.Linear || value < 0 {
@@ -78,14 +80,15 @@
 	return value, worst, Extrapolated
 }
 
-// CrossingSize returns the smallest size at which the metric exceeds a limit in the class's display unit, and infinity if it
-// never does. A slope that is not linear is not extrapolated: below the measured range the smallest measured size stands for
-// the crossing, above it the result is NaN.
+// CrossingSize returns the smallest size at which the metric exceeds a limit in the class's display unit, and
+// infinity if it never does. A slope that is not linear is not extrapolated: if the metric already exceeds
+// the limit at the smallest measured size, that size is returned, and if it does not at any measured size,
+// NaN.
 func (s *Slope) CrossingSize(limit float64) float64 {
 	limit /= units[s.Unit].factor
 	xs, ys, _, _ := columns(s.Points)
 	if ys[0] > limit {
-		gradient := (ys[1] - ys[0]) / (xs[1] - xs[0]) // as belowRange has it
+		gradient := (ys[1] - ys[0]) / (xs[1] - xs[0]) // as in belowRange
 		switch {
 		case !s.Linear:
 			return xs[0]
@@ -108,7 +111,8 @@
 	return max(xs[len(xs)-1], (limit-s.Intercept)/s.Gradient)
 }
 
-// Verdict compares the metric at a size with a limit in the class's display unit. The package comment has the rules.
+// Verdict compares the metric at a size with a limit in the class's display unit, by the rules of the package
+// comment.
 func (s *Slope) Verdict(size, limit float64) string {
 	value, worst, basis := s.At(size)
 	inRange := basis == Measured || basis == Interpolated
@@ -136,8 +140,8 @@
 	return Unproven
 }
 
-// verdictFarBelow is the verdict for sizes far below the measured range, where a metric that grows is known only not to exceed
-// its value at the smallest measured size.
+// verdictFarBelow returns the verdict for sizes far below the measured range, where it is only known that a
+// metric which grows does not exceed its value at the smallest measured size.
 func (s *Slope) verdictFarBelow(limit float64) string {
 	if _, worst, _ := s.At(s.Points[0][0]); worst <= limit && s.Gradient >= 0 {
 		return WithinBudget
--- a/internal/faultlab/result/input.go
+++ b/internal/faultlab/result/input.go
@@ -67,7 +67,8 @@
 		for _, attempt := range request.attempts {
 			switch {
 			case attempt.Outcome == referee.Served:
-				if took := attempt.EndedAt.Sub(planned); request.outcome != referee.Served || took < request.latency {
+				if took := attempt.EndedAt.Sub(planned); request.outcome != referee.Served ||
+					took < request.latency {
 					request.outcome, request.latency = referee.Served, took
 				}
 			case request.outcome == referee.Served:
