--- a/internal/faultlab/model/check.go
+++ b/internal/faultlab/model/check.go
@@ -42,17 +42,17 @@
 type seededFault int
 
 const (
-	seedNone          seededFault = iota
-	seedOverfull                  // servers accept one more than their queue holds
-	seedTwoAnswers                // a rejection is answered twice
-	seedResend                    // an attempt that may have executed is reported as not executed
-	seedStartHidden               // the list does not say that a server has just started
-	seedAfterExpiry               // entries are used after their expiry
-	seedPreviousStart             // a report on a server's previous start is passed on as for the present one
-	seedDeaf                      // one proxy ignores all entries
-	seedNoBudget                  // ejections are compared with a tenth of the budget
-	seedAllEvacuated              // all zones are reported as evacuated
-	seedStalled                   // a paused proxy accepts old gossip as if it had just arrived
+	seedNone            seededFault = iota
+	seedQueueOverLimit              // servers accept one more than their queue holds
+	seedTwoAnswers                  // a rejection is answered twice
+	seedExecutionHidden             // an attempt that may have executed is reported as not executed
+	seedStartHidden                 // the list does not say that a server has just started
+	seedUsesExpired                 // entries are used after their expiry
+	seedPreviousStart               // a report on a server's previous start is passed on as for the present one
+	seedIgnoresEntries              // one proxy ignores all entries
+	seedSmallBudget                 // ejections are compared with a tenth of the budget
+	seedAllEvacuated                // all zones are reported as evacuated
+	seedAcceptsStale                // a paused proxy accepts old gossip as if it had just arrived
 )
 
 // checker checks the rules, with state that it shares with nothing that it checks.
--- a/internal/faultlab/model/check_cluster.go
+++ b/internal/faultlab/model/check_cluster.go
@@ -166,7 +166,7 @@
 	}
 	for i, n := range out {
 		maximum := max(minEjectable, int(maxEjectedFraction*float64(ready[i])))
-		if sim.cfg.seeded == seedNoBudget {
+		if sim.cfg.seeded == seedSmallBudget {
 			maximum /= 10
 		}
 		if n > maximum {
--- a/internal/faultlab/model/client.go
+++ b/internal/faultlab/model/client.go
@@ -10,9 +10,9 @@
 	"strconv"
 )
 
-// frontDetection is how long the clients' front end takes to detect a proxy that ended or was paused. It then leads its
+// frontEndDetection is how long the clients' front end takes to detect a proxy that ended or was paused. It then leads its
 // clients to another one, of the same zone if there is one.
-const frontDetection = 2 * sec
+const frontEndDetection = 2 * sec
 
 // clients send requests in an open loop: arrivals do not depend on the cluster's behaviour.
 type clients struct {
@@ -23,7 +23,7 @@
 }
 
 func (c *clients) begin(sim *simulation) {
-	c.random = source(sim.cfg.Seed, chanceClients)
+	c.random = source(sim.cfg.Seed, streamClients)
 	sum := 0.0
 	for range sim.proxies {
 		sum += math.Exp(sim.cfg.Skew * c.random.NormFloat64())
@@ -56,10 +56,10 @@
 	k := &sim.cfg.Classes[class]
 	req := &request{id: strconv.Itoa(c.arrivals), class: class, arrivedAt: sim.now, deadline: sim.now + k.Deadline,
 		work: k.WorkMin + int64(part*float64(k.WorkMax-k.WorkMin))}
-	sim.result.take(sim.now, k.PriorityWeight)
-	p := c.front(sim, sim.proxies[at])
+	sim.result.countArrival(sim.now, k.PriorityWeight)
+	p := c.proxyFor(sim, sim.proxies[at])
 	if p == nil || !p.up {
-		sim.result.count(sim, req, endUnreached)
+		sim.result.countEnd(sim, req, endUnreached)
 		return
 	}
 	incarnation := p.incarnation
@@ -69,29 +69,29 @@
 			p.handle(req)
 		}
 	})
-	sim.after(k.Deadline+clientTimeoutSlack, evGiveUp, p.id, func() {
+	sim.after(k.Deadline+clientTimeoutSlack, evClientTimeout, p.id, func() {
 		if req.closed {
 			return
 		}
 		if p.stopped { // the proxy cannot notice
 			req.closed = true
-			sim.result.count(sim, req, endUnanswered)
+			sim.result.countEnd(sim, req, endUnanswered)
 			return
 		}
 		p.deliver(incarnation, func() { p.cancel(req) })
 	})
 }
 
-// front returns the proxy that serves a client of p; nil for none.
-func (c *clients) front(sim *simulation, p *proxy) *proxy {
-	if p.isUpForFront() {
+// proxyFor returns the proxy that serves a client of p; nil for none.
+func (c *clients) proxyFor(sim *simulation, p *proxy) *proxy {
+	if p.seemsUp() {
 		return p
 	}
 	for _, near := range []bool{true, false} {
 		for i := 1; i < len(sim.proxies); i++ {
 			// The start differs by request, so that clients spread over the others.
 			peer := sim.proxies[(p.id+1+(c.arrivals+i)%(len(sim.proxies)-1))%len(sim.proxies)]
-			if (peer.zone == p.zone) == near && peer.isUpForFront() && peer.up {
+			if (peer.zone == p.zone) == near && peer.seemsUp() && peer.up {
 				return peer
 			}
 		}
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// isUpForFront reports whether the front end considers a proxy up.
-func (p *proxy) isUpForFront() bool { return p.up && !p.stopped || p.sim.now-p.downAt < frontDetection }
+// seemsUp reports whether the front end considers a proxy up.
+func (p *proxy) seemsUp() bool { return p.up && !p.stopped || p.sim.now-p.downAt < frontEndDetection }
 
 func sortedRequests(m map[string]*request) []*request {
 	return slices.SortedFunc(maps.Values(m), func(a, b *request) int {
--- a/internal/faultlab/model/cluster.go
+++ b/internal/faultlab/model/cluster.go
@@ -14,7 +14,7 @@
 	outbound           transmitQueue
 	lastHeard          int64 // any other member
 	lastProbe          int64
-	deafUntil          int64  // on its own clock: until then it drops gossip
+	dropUntil          int64  // on its own clock: until then it drops gossip
 	lastTick           int64  // on its own clock
 	falseZones         []int  // zones that it falsely reports as unhealthy
 	agesCountedAt      int64  // the second of the run in which ages were last recorded
@@ -24,10 +24,10 @@
 }
 
 // Entries that wait in a socket are older than their ages say. A proxy whose loop was paused for longer than maxLoopGap
-// therefore drops gossip until deafAfterGap later, when all that waited has been read.
+// therefore drops gossip until dropAfterGap later, when all that waited has been read.
 const (
 	maxLoopGap   = sec
-	deafAfterGap = 300 * ms
+	dropAfterGap = 300 * ms
 )
 
 // joinCluster starts a proxy's membership with an empty store.
@@ -55,7 +55,7 @@
 // receive merges a packet and queues what is new.
 func (p *proxy) receive(packet gossipPacket) {
 	now := p.clock()
-	if (now-p.cluster.lastTick > maxLoopGap || now < p.cluster.deafUntil) && p.sim.cfg.seeded != seedStalled {
+	if (now-p.cluster.lastTick > maxLoopGap || now < p.cluster.dropUntil) && p.sim.cfg.seeded != seedAcceptsStale {
 		p.sim.result.DroppedAfterPause++
 		return
 	}
@@ -70,7 +70,7 @@
 func (p *proxy) exchangeReports() {
 	member, sim, now := p.cluster, p.sim, p.clock()
 	if now-member.lastTick > maxLoopGap {
-		member.deafUntil = now + deafAfterGap
+		member.dropUntil = now + dropAfterGap
 	}
 	member.lastTick = now
 	observations := adapter.ToObservations(p.balancer.Reports(now), sim.zoneNumbers)
@@ -90,13 +90,13 @@
 	entries := p.cluster.store.PeerEntries(now)
 	h := balancer.PeerReports{Isolated: sim.now-p.cluster.lastHeard >= isolationTimeout,
 		Reports: make([]balancer.Report, 0, len(entries))}
-	h.LiveReplicas, h.LiveReplicasInZone = sim.gossip.count(sim, p)
-	if p.id == 0 && sim.cfg.seeded == seedDeaf {
+	h.LiveReplicas, h.LiveReplicasInZone = sim.gossip.countLive(sim, p)
+	if p.id == 0 && sim.cfg.seeded == seedIgnoresEntries {
 		return h
 	}
 	p.cluster.reportedUnhealthy = make([]bool, len(sim.servers))
 	for i := range entries {
-		if sim.cfg.seeded == seedAfterExpiry {
+		if sim.cfg.seeded == seedUsesExpired {
 			entries[i].ObservedAt -= entries[i].TTL
 		}
 		sim.check.checkEntryUse(p, now, &entries[i])
--- a/internal/faultlab/model/fault.go
+++ b/internal/faultlab/model/fault.go
@@ -78,7 +78,7 @@
 	case ZoneLost:
 		for _, target := range w.servers {
 			if target.zone == f.Zone {
-				target.darkness++
+				target.zoneLosses++
 				target.stop()
 			}
 		}
@@ -117,7 +117,7 @@
 	case ZoneLost:
 		for _, target := range w.servers {
 			if target.zone == f.Zone {
-				target.darkness--
+				target.zoneLosses--
 				target.start()
 			}
 		}
@@ -192,7 +192,7 @@
 
 // Schedule draws one to four faults of any kind, which may overlap, from the configuration's seed. All end before the run.
 func Schedule(c *Config) []Fault {
-	r := source(c.Seed, chanceFaults)
+	r := source(c.Seed, streamFaults)
 	var out []Fault
 	for range 1 + r.IntN(4) {
 		f := Fault{Kind: FaultKind(r.IntN(int(faultKindCount))), Zone: r.IntN(c.Zones), To: r.IntN(c.Zones+1) - 1}
--- a/internal/faultlab/model/gossip.go
+++ b/internal/faultlab/model/gossip.go
@@ -33,19 +33,19 @@
 }
 
 func (g *gossipNetwork) begin(sim *simulation) {
-	g.random = source(sim.cfg.Seed, chanceGossip)
+	g.random = source(sim.cfg.Seed, streamGossip)
 	g.transmitCount = transmitMultiplier * int(math.Ceil(math.Log10(float64(sim.cfg.Proxies+1))))
-	g.reachable = sim.network.reach()
+	g.reachable = sim.network.reachableZones()
 	g.publications.begin()
 }
 
 // updateReachable makes the proxies detect, after a delay, which zones reach each other.
 func (g *gossipNetwork) updateReachable(sim *simulation) {
-	sim.after(deathDetection, evGossip, 0, func() { g.reachable = sim.network.reach() })
+	sim.after(deathDetection, evGossip, 0, func() { g.reachable = sim.network.reachableZones() })
 }
 
-// reach returns which zones reach each other now, both ways, also by way of others.
-func (n *network) reach() []bool {
+// reachableZones returns which zones reachableZones each other now, both ways, also by way of others.
+func (n *network) reachableZones() []bool {
 	z := n.zones
 	r := make([]bool, z*z)
 	for i := range r {
@@ -83,8 +83,8 @@
 	g.membershipChangedAt, g.liveByZone = sim.now, nil
 }
 
-// count returns how many proxies one considers live, itself included, and how many of them in its zone.
-func (g *gossipNetwork) count(sim *simulation, p *proxy) (live, liveInZone int) {
+// countLive returns how many proxies one considers live, itself included, and how many of them in its zone.
+func (g *gossipNetwork) countLive(sim *simulation, p *proxy) (live, liveInZone int) {
 	zones := sim.cfg.Zones
 	if g.liveByZone == nil && sim.now-g.membershipChangedAt >= deathDetection {
 		g.liveByZone = make([]int, zones)
--- a/internal/faultlab/model/gossip_run.go
+++ b/internal/faultlab/model/gossip_run.go
@@ -97,8 +97,8 @@
 	return fullExchangeInterval * int64(math.Ceil(math.Log2(float64(n))-math.Log2(exchangeScaleMembers))+1)
 }
 
-// PlayGossip runs a configuration to its end.
-func PlayGossip(config GossipConfig) *GossipResult {
+// RunGossip runs a configuration to its end.
+func RunGossip(config GossipConfig) *GossipResult {
 	run := &gossipRun{config: config, exchangeInterval: exchangeInterval(config.Size)}
 	r := &run.result
 	for _, d := range []*durations{&r.HealthAges, &r.LoadAges, &r.EntriesHeld, &r.MembersKnown} {
@@ -106,7 +106,7 @@
 	}
 	for i := range config.Size {
 		m := &member{run: run, id: i, zone: i * config.Zones / config.Size,
-			random: source(config.Seed, chanceProxies+uint64(i))}
+			random: source(config.Seed, streamProxies+uint64(i))}
 		identity := state.Identity{Name: memberName(i), Zone: zoneName(m.zone), StartedAtMs: epoch / ms}
 		m.store = state.New(identity, state.Limits{})
 		m.queue = queue.New(func() int { return queue.TransmitCount(config.Size) })
--- a/internal/faultlab/model/gossip_run_test.go
+++ b/internal/faultlab/model/gossip_run_test.go
@@ -16,11 +16,11 @@
 )
 
 var (
-	memberSizes = flag.String("model.members", "", "print the gossip of clusters of these sizes, as 10,30,100")
-	memberLoss  = flag.String("model.loss", "0,0.1,0.3", "with these parts of the datagrams lost")
-	memberSpan  = flag.Int("model.span", 60, "seconds of each run")
-	memberSeed  = flag.Uint64("model.seed", 1, "of each run")
-	memberTells = flag.String("model.tells", "all,1,0", "load reports of each member: of all servers that it calls, or a number")
+	memberSizes   = flag.String("model.members", "", "print the gossip of clusters of these sizes, as 10,30,100")
+	memberLoss    = flag.String("model.loss", "0,0.1,0.3", "with these parts of the datagrams lost")
+	memberSpan    = flag.Int("model.span", 60, "seconds of each run")
+	memberSeed    = flag.Uint64("model.seed", 1, "of each run")
+	memberReports = flag.String("model.tells", "all,1,0", "load reports of each member: of all servers that it calls, or a number")
 )
 
 // serversCalled returns how many servers of its own zone (a third of twice as many as members) a member calls within the
@@ -49,7 +49,7 @@
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(8 << 30))
 	defer debug.SetGCPercent(debug.SetGCPercent(200))
 	for _, size := range parts(t, *memberSizes) {
-		for _, tells := range strings.Split(*memberTells, ",") {
+		for _, tells := range strings.Split(*memberReports, ",") {
 			for _, loss := range parts(t, *memberLoss) {
 				n := int(size)
 				c := GossipConfig{Seed: *memberSeed, Duration: int64(*memberSpan) * sec, Size: n, Zones: 3, Loss: loss, LoadReports: serversCalled(n)}
@@ -57,7 +57,7 @@
 					c.LoadReports = int(parts(t, tells)[0])
 				}
 				begun := time.Now()
-				r := PlayGossip(c)
+				r := RunGossip(c)
 				fmt.Fprintln(os.Stdout, c.line(r), fmt.Sprintf("| %.0f s", time.Since(begun).Seconds()))
 			}
 		}
@@ -92,7 +92,7 @@
 	line := func(seed uint64, cores int) string {
 		c := GossipConfig{Seed: seed, Duration: 8 * sec, Size: 20, Zones: 3, Loss: 0.3, LoadReports: 5}
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-		return c.line(PlayGossip(c))
+		return c.line(RunGossip(c))
 	}
 	one := line(1, 1)
 	for _, cores := range []int{2, 8} {
--- a/internal/faultlab/model/proxy.go
+++ b/internal/faultlab/model/proxy.go
@@ -89,7 +89,7 @@
 	if p.up {
 		return nil
 	}
-	seed := source(p.sim.cfg.Seed, chanceProxies+uint64(p.id)<<32+uint64(p.incarnation)<<8)
+	seed := source(p.sim.cfg.Seed, streamProxies+uint64(p.id)<<32+uint64(p.incarnation)<<8)
 	b, err := balancer.New(p.sim.cfg.settings(p.id, p.zone), seed.Uint64())
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 		}
 		if !req.closed {
 			req.closed = true
-			p.sim.result.count(p.sim, req, endBroken)
+			p.sim.result.countEnd(p.sim, req, endProxyKilled)
 		}
 	}
 	p.requests = nil
@@ -225,12 +225,12 @@
 		zone: target.zone, sentAt: sim.now, mayHaveExecuted: true}
 	sim.check.checkSend(p, req, a)
 	req.attempts = append(req.attempts, a)
-	sim.result.sent(sim, a)
+	sim.result.countSend(sim, a)
 	if timeout == 0 {
 		timeout = int64(float64(req.deadline-sim.now) * p.clockRate)
 	}
 	p.after(p.realDuration(timeout), evTimeout, a.incarnation, func() { p.outcome(a, balancer.StatusTimedOut) })
-	if target.darkness > 0 || !sim.network.passesRequests(p.zone, target.zone) {
+	if target.zoneLosses > 0 || !sim.network.passesRequests(p.zone, target.zone) {
 		p.after(p.realDuration(sim.cfg.DialTimeout), evOutcome, a.incarnation, func() { p.outcome(a, balancer.StatusConnectFailed) })
 		return
 	}
@@ -248,7 +248,7 @@
 	}
 	a.ended = true
 	a.mayHaveExecuted = s != balancer.StatusRejected && s != balancer.StatusConnectFailed
-	if p.sim.cfg.seeded == seedResend && s == balancer.StatusReset {
+	if p.sim.cfg.seeded == seedExecutionHidden && s == balancer.StatusReset {
 		s = balancer.StatusConnectFailed
 	}
 	p.sim.cancelAttempt(a)
@@ -278,7 +278,7 @@
 		return
 	}
 	req.closed = true
-	p.sim.result.count(p.sim, req, e)
+	p.sim.result.countEnd(p.sim, req, e)
 	if p.sim.cfg.seeded == seedTwoAnswers && e == endRejected {
 		p.sim.check.checkAnswer(p, req)
 	}
@@ -294,7 +294,7 @@
 }
 
 // Reject implements balancer.Host.
-func (p *proxy) Reject(id string, after int64) { p.answer(id, evRefuse, endRejected) }
+func (p *proxy) Reject(id string, after int64) { p.answer(id, evReject, endRejected) }
 
 // Fail implements balancer.Host.
 func (p *proxy) Fail(id string) { p.answer(id, evFail, endFailed) }
@@ -335,7 +335,7 @@
 	}
 	p.sim.check.checkUnanswered(p, req)
 	req.closed = true
-	p.sim.result.count(p.sim, req, endUnanswered)
+	p.sim.result.countEnd(p.sim, req, endUnanswered)
 	p.balancer.HandleClientGone(p.clock(), p, req.id)
 	for _, a := range req.attempts {
 		if !a.ended {
--- a/internal/faultlab/model/publications.go
+++ b/internal/faultlab/model/publications.go
@@ -25,7 +25,7 @@
 	for i := range entries {
 		e := &entries[i]
 		l.publishedAt[publicationKey{e.Observer, e.Incarnation, e.Seq}] = sim.now - (p.clock() - e.ObservedAt)
-		sim.record(evNews, p.id, int64(e.Seq))
+		sim.record(evEntry, p.id, int64(e.Seq))
 	}
 	if sim.now-l.lastSweep > publicationRetention {
 		l.lastSweep = sim.now
@@ -48,7 +48,7 @@
 				p.sim.result.HealthPropagation.add(p.sim.now - at)
 			}
 		}
-		p.sim.record(evNews, p.id, int64(e.Seq))
+		p.sim.record(evEntry, p.id, int64(e.Seq))
 	}
 }
 
--- a/internal/faultlab/model/result.go
+++ b/internal/faultlab/model/result.go
@@ -10,8 +10,8 @@
 	endRejected
 	endFailed
 	endUnanswered
-	endBroken    // its proxy was killed
-	endUnreached // no proxy was up
+	endProxyKilled // its proxy was killed
+	endUnreached   // no proxy was up
 	endCount
 )
 
@@ -84,7 +84,7 @@
 
 func (r *Result) at(t int64) *binCounts { return &r.bins[min(int(t/binWidth), len(r.bins)-1)] }
 
-func (r *Result) sent(sim *simulation, a *attempt) {
+func (r *Result) countSend(sim *simulation, a *attempt) {
 	r.Sends++
 	if a.proxy.zone != a.zone {
 		r.CrossZone++
@@ -95,8 +95,8 @@
 	b.sendsByZones[a.proxy.zone*sim.cfg.Zones+a.zone]++
 }
 
-// count counts the end of a request. Its weight counts at the time of its arrival.
-func (r *Result) count(sim *simulation, req *request, e requestEnd) {
+// countEnd counts the end of a request. Its weight counts at the time of its arrival.
+func (r *Result) countEnd(sim *simulation, req *request, e requestEnd) {
 	k := &sim.cfg.Classes[req.class]
 	r.Ends[e]++
 	if e == endServed && sim.now-req.arrivedAt <= k.LatencyObjective {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (r *Result) take(at int64, worth float64) {
+func (r *Result) countArrival(at int64, worth float64) {
 	r.Requests++
 	r.OfferedWeight += worth
 	r.at(at).offeredWeight += worth
--- a/internal/faultlab/model/seeded_test.go
+++ b/internal/faultlab/model/seeded_test.go
@@ -20,23 +20,23 @@
 		load   float64 // of the capacity
 		faults []Fault
 	}{
-		{"a queue holds one more", seedOverfull, ruleServerCapacity, 3, nil},
+		{"a queue holds one more", seedQueueOverLimit, ruleServerCapacity, 3, nil},
 		{"a rejection is answered twice", seedTwoAnswers, ruleRequest, 2, nil},
-		{"a reset counts as not executed", seedResend, ruleRequest, 0.7,
+		{"a reset counts as not executed", seedExecutionHidden, ruleRequest, 0.7,
 			[]Fault{{Kind: ServerKilled, At: 5 * sec, Duration: sec, Targets: all(18, 3)}}},
 		{"a start is hidden from the list", seedStartHidden, ruleSlowStart, 0.8,
 			[]Fault{{Kind: ServerKilled, At: 2 * sec, Duration: 4 * sec, Targets: all(18, 9)}}},
-		{"expired entries are used", seedAfterExpiry, ruleExpiry, 0.6,
+		{"expired entries are used", seedUsesExpired, ruleExpiry, 0.6,
 			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 5 * sec, Targets: []int{3}, Value: 1}}},
-		{"gossip from before a pause counts as new", seedStalled, ruleExpiry, 0.6, []Fault{
+		{"gossip from before a pause counts as new", seedAcceptsStale, ruleExpiry, 0.6, []Fault{
 			{Kind: ServerErrors, At: 4 * sec, Duration: 10 * sec, Targets: []int{3, 4}, Value: 1},
 			{Kind: ProxyPaused, At: 5 * sec, Duration: 12 * sec, Targets: []int{1, 5}}}},
 		{"a report on a previous start counts for the present one", seedPreviousStart, ruleExpiry, 0.6, []Fault{
 			{Kind: ServerErrors, At: 4 * sec, Duration: 4 * sec, Targets: []int{3}, Value: 1},
 			{Kind: ServerKilled, At: 7 * sec, Duration: 200 * ms, Targets: []int{3}}}},
-		{"a proxy ignores all entries", seedDeaf, ruleAgreement, 0.6,
+		{"a proxy ignores all entries", seedIgnoresEntries, ruleAgreement, 0.6,
 			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 12 * sec, Targets: []int{0, 1, 2, 3, 4, 5}, Value: 1}}},
-		{"the budget is a tenth", seedNoBudget, ruleEjectionBudget, 0.6,
+		{"the budget is a tenth", seedSmallBudget, ruleEjectionBudget, 0.6,
 			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 8 * sec, Targets: []int{3, 9, 15}, Value: 1}}},
 		{"all zones are evacuated", seedAllEvacuated, ruleSomeZone, 0.6, nil},
 	} {
--- a/internal/faultlab/model/server.go
+++ b/internal/faultlab/model/server.go
@@ -18,7 +18,7 @@
 	zone       int
 	random     *rand.Rand
 	up         bool
-	darkness   int   // lost zones that it is in: it does not even reject connections
+	zoneLosses int   // lost zones that it is in: it does not even reject connections
 	generation int   // counts starts and stops: work of an earlier one is lost
 	startedAt  int64 // the last start
 	slowStart  bool
@@ -63,7 +63,7 @@
 
 // start starts the process, warming up, and announces it.
 func (s *server) start() {
-	if s.up || s.darkness > 0 {
+	if s.up || s.zoneLosses > 0 {
 		return
 	}
 	s.up, s.slowStart, s.startedAt, s.arrivals = true, true, s.sim.now, nil
@@ -87,7 +87,7 @@
 
 func (s *server) reset(a *attempt) {
 	a.place = placeNone
-	if s.darkness == 0 {
+	if s.zoneLosses == 0 {
 		s.respond(a, balancer.StatusReset)
 	}
 }
@@ -132,7 +132,7 @@
 func (s *server) accept(a *attempt) {
 	s.sim.touchedServer = s
 	switch {
-	case s.darkness > 0: // no answer at all
+	case s.zoneLosses > 0: // no answer at all
 	case !s.up:
 		s.respond(a, balancer.StatusConnectFailed)
 	case s.isUnresponsive():
@@ -154,7 +154,7 @@
 }
 
 func (s *server) queueLimit() int {
-	if s.sim.cfg.seeded == seedOverfull {
+	if s.sim.cfg.seeded == seedQueueOverLimit {
 		return s.sim.cfg.Queue + 1
 	}
 	return s.sim.cfg.Queue
--- a/internal/faultlab/model/simulation.go
+++ b/internal/faultlab/model/simulation.go
@@ -12,7 +12,7 @@
 
 const (
 	evArrival eventKind = iota
-	evGiveUp
+	evClientTimeout
 	evAttempt // arrives at its server
 	evWork    // of a server is done
 	evOutcome // arrives at its proxy
@@ -24,9 +24,9 @@
 	evPacket
 	evFault
 	evSend // from here on: actions of proxies
-	evRefuse
+	evReject
 	evFail
-	evNews
+	evEntry
 )
 
 // event is something that happens at a time. Events of one time run in the order in which they were planned.
@@ -42,10 +42,10 @@
 	return e.time < o.time || e.time == o.time && e.number < o.number
 }
 
-// agenda is a binary heap of events. container/heap would allocate for each one.
-type agenda []event
+// eventQueue is a binary heap of events. container/heap would allocate for each one.
+type eventQueue []event
 
-func (a *agenda) push(e event) {
+func (a *eventQueue) push(e event) {
 	h := append(*a, e)
 	i := len(h) - 1
 	for i > 0 {
@@ -59,7 +59,7 @@
 	*a = h
 }
 
-func (a *agenda) pop() event {
+func (a *eventQueue) pop() event {
 	h := *a
 	first, last := h[0], len(h)-1
 	h[0] = h[last]
@@ -86,7 +86,7 @@
 type simulation struct {
 	cfg             *Config
 	now             int64
-	agenda          agenda
+	events          eventQueue
 	scheduledEvents uint64
 	log             hash.Hash64
 	logLine         [25]byte
@@ -107,19 +107,19 @@
 func source(seed, concern uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, concern)) }
 
 const (
-	chanceClients = iota + 1
-	chanceLinks
-	chanceNodos
-	chanceClocks
-	chanceGossip
-	chanceFaults
-	chanceProxies // and one for each start of each proxy
+	streamClients = iota + 1
+	streamLinks
+	streamServers
+	streamClocks
+	streamGossip
+	streamFaults
+	streamProxies // and one for each start of each proxy
 )
 
 // after plans an event after a delay in microseconds.
 func (w *simulation) after(delay int64, k eventKind, who int, run func()) {
 	w.scheduledEvents++
-	w.agenda.push(event{w.now + max(delay, 0), w.scheduledEvents, k, int32(who), run})
+	w.events.push(event{w.now + max(delay, 0), w.scheduledEvents, k, int32(who), run})
 }
 
 // record adds an event to the run's hash.
@@ -140,11 +140,11 @@
 	sim := &simulation{cfg: &c, log: fnv.New64a(), zoneNumbers: zoneNumbers(c.Zones)}
 	sim.network = newNetwork(&c)
 	sim.result.begin(&c)
-	chance := source(c.Seed, chanceNodos)
+	chance := source(c.Seed, streamServers)
 	for i := range c.Servers {
 		sim.servers = append(sim.servers, newServer(sim, i, chance))
 	}
-	clocks := source(c.Seed, chanceClocks)
+	clocks := source(c.Seed, streamClocks)
 	for i := range c.Proxies {
 		sim.proxies = append(sim.proxies, newProxy(sim, i, clocks))
 	}
@@ -159,8 +159,8 @@
 	for i := range c.Faults {
 		sim.schedule(&c.Faults[i])
 	}
-	for len(sim.agenda) > 0 && sim.agenda[0].time <= c.Duration {
-		e := sim.agenda.pop()
+	for len(sim.events) > 0 && sim.events[0].time <= c.Duration {
+		e := sim.events.pop()
 		sim.now = e.time
 		sim.record(e.kind, int(e.subject), 0)
 		e.run()
--- a/internal/faultlab/ramp/proxy.go
+++ b/internal/faultlab/ramp/proxy.go
@@ -88,8 +88,8 @@
 		Request: balancer.Request{ID: fmt.Sprint(sim.requestCount), Class: class, Tenant: -1}}
 	req.Deadline = sim.now + sim.classes()[class].Deadline
 	p.requests[req.ID] = req
-	if sim.now >= 1000*sec+sceneStart {
-		sim.sinceScene.requests++
+	if sim.now >= 1000*sec+scenarioStart {
+		sim.sinceScenario.requests++
 	}
 	p.balancer.HandleRequest(sim.now, p, req.Request)
 }
@@ -114,8 +114,8 @@
 // Reject implements balancer.Host.
 func (p *proxy) Reject(id string, after int64) {
 	req := p.requests[id]
-	if req.attempts == 0 && p.sim.now >= 1000*sec+sceneStart {
-		p.sim.sinceScene.rejectedUnsent++
+	if req.attempts == 0 && p.sim.now >= 1000*sec+scenarioStart {
+		p.sim.sinceScenario.rejectedUnsent++
 	}
 	p.finishUnserved(req, true)
 }
@@ -166,8 +166,8 @@
 		closed := a.request.done || status == balancer.StatusOK
 		if status == balancer.StatusOK && !a.request.done {
 			a.request.done = true
-			if p.sim.now >= 1000*sec+sceneStart {
-				p.sim.sinceScene.served++
+			if p.sim.now >= 1000*sec+scenarioStart {
+				p.sim.sinceScenario.served++
 			}
 		}
 		p.balancer.HandleOutcome(p.sim.now, p, balancer.Outcome{RequestID: a.request.ID, Attempt: a.number, Status: status,
--- a/internal/faultlab/ramp/ramp.go
+++ b/internal/faultlab/ramp/ramp.go
@@ -17,7 +17,7 @@
 	ms  = int64(1000)
 	sec = 1000 * ms
 
-	sceneStart = 4 * sec // when the scene's event starts; the replicas have warmed up by then
+	scenarioStart = 4 * sec // when the scenario's event starts; the replicas have warmed up by then
 )
 
 // Config determines a run.
@@ -36,19 +36,19 @@
 
 	MaxListDelay int64 // until a process receives a change, drawn for each
 	Cluster      bool  // processes exchange reports
-	Scene        Scene
+	Scenario     Scenario
 }
 
 // DrawConfig returns a run of a size with settings drawn from the seed, in and beyond the range that the settings allow.
-func DrawConfig(seed uint64, proxies int, scene Scene, peers bool) Config {
+func DrawConfig(seed uint64, proxies int, scenario Scenario, peers bool) Config {
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	between := func(a, b float64) float64 { return a + (b-a)*rnd.Float64() }
-	c := Config{Seed: seed, Proxies: proxies, Servers: 12, Zones: 3, Scene: scene, Cluster: peers,
+	c := Config{Seed: seed, Proxies: proxies, Servers: 12, Zones: 3, Scenario: scenario, Cluster: peers,
 		Rate: between(3, 20), Utilization: between(0.4, 0.75), SlowStartMinCapacity: between(0.15, 0.5),
 		SlowStartDuration: int64(between(4, 12) * 1e6),
 		OverloadMultiple:  between(2, 3), OverloadWindow: int64(between(1, 2) * 1e6),
 		MaxListDelay: int64(between(0.2, 2.4) * 1e6)}
-	if scene == "overload" {
+	if scenario == "overload" {
 		c.Utilization *= 2
 	}
 	if proxies >= 100 {
@@ -63,7 +63,7 @@
 	Excess         float64 // calls of that window above the bound; negative if no window exceeded it
 	WindowBudget   float64 // N: the budget of that window in calls
 	WarmingShare   float64 // calls of warming servers, relative to a warm one's and their capacity fraction
-	Served         float64 // fraction of the requests from the scene's start on
+	Served         float64 // fraction of the requests from the scenario's start on
 	RejectedUnsent float64 // the same, of those rejected without an attempt
 }
 
@@ -90,17 +90,17 @@
 
 type simulation struct {
 	Config
-	now, seq     int64
-	random       *rand.Rand
-	events       events
-	proxies      []*proxy
-	servers      []*server
-	serverByID   map[string]*server
-	meanWork     float64 // of a call, microseconds of a slot of speed 1
-	rateFactor   float64 // of arrivals
-	requestCount int
-	result       Result
-	sinceScene   struct{ requests, served, rejectedUnsent float64 } // counts since the scene's start
+	now, seq      int64
+	random        *rand.Rand
+	events        events
+	proxies       []*proxy
+	servers       []*server
+	serverByID    map[string]*server
+	meanWork      float64 // of a call, microseconds of a slot of speed 1
+	rateFactor    float64 // of arrivals
+	requestCount  int
+	result        Result
+	sinceScenario struct{ requests, served, rejectedUnsent float64 } // counts since the scenario's start
 }
 
 func (sim *simulation) after(d int64, run func()) {
@@ -108,11 +108,11 @@
 	heap.Push(&sim.events, event{sim.now + max(d, 0), sim.seq, run})
 }
 
-// Run runs one scene.
+// Run runs one scenario.
 func Run(c Config) Result {
 	sim := &simulation{Config: c, random: rand.New(rand.NewPCG(c.Seed, 1)), now: 1000 * sec,
 		rateFactor: 1, serverByID: map[string]*server{}}
-	begin, span := sim.now, sceneStart+5*sec+c.SlowStartDuration+c.OverloadWindow
+	begin, span := sim.now, scenarioStart+5*sec+c.SlowStartDuration+c.OverloadWindow
 	sim.result.WorstWindow, sim.result.Excess = 0, math.Inf(-1)
 	// All slots together are busy for the fraction Utilization with Rate x Proxies calls a second.
 	sim.meanWork = slots * float64(c.Servers) * c.Utilization / (c.Rate * float64(c.Proxies)) * 1e6
@@ -133,14 +133,14 @@
 	if c.Cluster {
 		sim.after(sec/2, sim.exchangeReports)
 	}
-	sim.after(sceneStart, func() { sim.startScene() })
+	sim.after(scenarioStart, func() { sim.startScenario() })
 	for len(sim.events) > 0 && sim.events[0].time < begin+span {
 		e := heap.Pop(&sim.events).(event)
 		sim.now = e.time
 		e.run()
 	}
-	sim.result.Served = sim.sinceScene.served / max(sim.sinceScene.requests, 1)
-	sim.result.RejectedUnsent = sim.sinceScene.rejectedUnsent / max(sim.sinceScene.requests, 1)
+	sim.result.Served = sim.sinceScenario.served / max(sim.sinceScenario.requests, 1)
+	sim.result.RejectedUnsent = sim.sinceScenario.rejectedUnsent / max(sim.sinceScenario.requests, 1)
 	sim.result.WarmingShare = sim.warmingShare(begin)
 	return sim.result
 }
@@ -156,7 +156,7 @@
 				(sim.SlowStartMinCapacity + (1-sim.SlowStartMinCapacity)*part/2)
 		} else if s.up {
 			warm += s.calls
-			warmTime += float64(sim.now - begin - sceneStart)
+			warmTime += float64(sim.now - begin - scenarioStart)
 		}
 	}
 	if warm == 0 || warmingCapacity == 0 {
--- a/internal/faultlab/ramp/ramp_test.go
+++ b/internal/faultlab/ramp/ramp_test.go
@@ -13,7 +13,7 @@
 )
 
 var (
-	seeds = flag.Int("ramp.seeds", 13, "fleets to play; each seed draws its settings and plays one scene at one size")
+	seeds = flag.Int("ramp.seeds", 13, "fleets to play; each seed draws its settings and plays one scenario at one size")
 	table = flag.Bool("ramp.table", false, "print the distribution of the worst window")
 )
 
@@ -32,19 +32,19 @@
 // sizes are combined with all scenes: each pair is played once in 52 seeds.
 var sizes = []clusterSize{{20, false}, {300, false}, {30, false}, {30, true}}
 
-// alwaysPlayed are seeds that exceeded the bound when slow start limited weights only.
-var alwaysPlayed = []int{122, 142, 186, 434, 442, 546, 780}
+// alwaysRun are seeds that exceeded the bound when slow start limited weights only.
+var alwaysRun = []int{122, 142, 186, 434, 442, 546, 780}
 
 // fleet returns the configuration of a seed, from 1 on.
 func configOfSeed(seed int) Config {
-	i, n := seed-1, len(Scenes)
+	i, n := seed-1, len(Scenarios)
 	z := sizes[(i%n+i/n)%len(sizes)]
-	return DrawConfig(uint64(seed), z.proxies, Scenes[i%n], z.cluster)
+	return DrawConfig(uint64(seed), z.proxies, Scenarios[i%n], z.cluster)
 }
 
 // All processes together send a warming server no more than its budget, plus random variation, in each window.
 func TestSlowStartHoldsForAllReplicas(t *testing.T) {
-	play := slices.Clone(alwaysPlayed)
+	play := slices.Clone(alwaysRun)
 	for i := range *seeds {
 		if !slices.Contains(play, i+1) {
 			play = append(play, i+1)
@@ -63,9 +63,9 @@
 	for i, r := range results {
 		c := configOfSeed(play[i])
 		if r.Excess > 0 {
-			t.Errorf("seed %d, %s, %d processes: %.1f calls over the bound of a window with a budget of %.1f", c.Seed, c.Scene, c.Proxies, r.Excess, r.WindowBudget)
+			t.Errorf("seed %d, %s, %d processes: %.1f calls over the bound of a window with a budget of %.1f", c.Seed, c.Scenario, c.Proxies, r.Excess, r.WindowBudget)
 		}
-		for _, k := range []string{"all", fmt.Sprintf("%d processes, fleet %v", c.Proxies, c.Cluster), string(c.Scene)} {
+		for _, k := range []string{"all", fmt.Sprintf("%d processes, fleet %v", c.Proxies, c.Cluster), string(c.Scenario)} {
 			if !slices.Contains(order, k) {
 				order = append(order, k)
 			}
@@ -78,7 +78,7 @@
 }
 
 // print writes a row for each group of runs: how many exceeded the bound, the fullest window relative to it, calls of
-// warming servers relative to warm ones, and the end of requests from the scene's start on.
+// warming servers relative to warm ones, and the end of requests from the scenario's start on.
 func print(order []string, rows map[string][]Result) {
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer out.Flush()
--- a/internal/faultlab/ramp/scene.go
+++ b/internal/faultlab/ramp/scene.go
@@ -2,16 +2,16 @@
 
 import "merlinpick/balancer"
 
-// Scene is what happens in a run.
-type Scene string
+// Scenario is what happens in a run.
+type Scenario string
 
-// Scenes are all scenes, in the order of the tables.
-var Scenes = []Scene{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow", "fail", "home",
+// Scenarios are all scenes, in the order of the tables.
+var Scenarios = []Scenario{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow", "fail", "home",
 	"surge", "overload"}
 
-// startScene starts the scene's event.
-func (sim *simulation) startScene() {
-	switch sim.Scene {
+// startScenario starts the scenario's event.
+func (sim *simulation) startScenario() {
+	switch sim.Scenario {
 	case "calm": // one server restarts
 		sim.restart(0)
 	case "replaced": // half drain and as many new ones start, in two steps
@@ -81,8 +81,8 @@
 func (sim *simulation) impairServers() {
 	impaired := sim.randomServers(0.75)
 	for _, s := range impaired[1:] {
-		s.unresponsive, s.failing = sim.Scene == "hang", sim.Scene == "fail"
-		if sim.Scene == "slow" {
+		s.unresponsive, s.failing = sim.Scenario == "hang", sim.Scenario == "fail"
+		if sim.Scenario == "slow" {
 			s.slowdown = 5
 		}
 	}
