--- a/internal/faultlab/model/check_cluster.go
+++ b/internal/faultlab/model/check_cluster.go
@@ -5,18 +5,18 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// Invariants of shared state. They are checked each time that a proxy passes entries to its balancer.
+// This file checks the invariants of shared state, each time that a proxy passes entries to its balancer.
 
 const (
-	maxHops            = 6            // of an entry to the last proxy
-	maxHopDelay        = 2 * delayFar // without a fault that delays packets
-	maxDisagreement    = 5 * sec      // of proxies that hear each other; one that evacuates alone does so for 3 s
-	calmDuration       = 6 * sec      // proxies hear each other once they ran with sound gossip for this long
-	maxCalmLoss        = 0.35         // gossip with more loss is not sound
-	maxCalmDelay       = 300 * ms     // nor is gossip with more delay
-	maxEjectedFraction = 1.0 / 3.0    // of a tier's or a zone's servers, by reports of others, at one proxy
-	minEjectable       = 1            // server, of two or more
-	maxProxiesInFull   = 50           // beyond this number of proxies, that many are checked in turn
+	maxHops            = 6            // of an entry on its way to the last proxy
+	maxHopDelay        = 2 * delayFar // of a packet, without a fault that delays it
+	maxDisagreement    = 5 * sec      // of proxies that hear each other; one may evacuate alone for 3 s
+	calmDuration       = 6 * sec      // of undisturbed gossip until proxies count as hearing each other
+	maxCalmLoss        = 0.35         // gossip with more loss counts as disturbed
+	maxCalmDelay       = 300 * ms     // gossip with more delay counts as disturbed
+	maxEjectedFraction = 1.0 / 3.0    // of a tier's or a zone's servers, by peers' reports, at one proxy
+	minEjectable       = 1            // servers that may be ejected whatever the fraction
+	maxProxiesInFull   = 50           // with more proxies, so many are checked in each loop interval
 )
 
 // zoneAgreement tracks whether the proxies of one zone agree on evacuating another.
@@ -27,8 +27,8 @@
 
 // clusterCheck is the checker's state for the cluster.
 type clusterCheck struct {
-	maxGossipDelay int64           // by the faults of this run
-	lastDisturbed  []int64         // by zone: when gossip between its proxies was last not sound
+	maxGossipDelay int64           // that the faults of this run add, in microseconds
+	lastDisturbed  []int64         // by zone: when gossip between its proxies was last disturbed
 	agreements     []zoneAgreement // by observing and observed zone
 }
 
@@ -48,8 +48,8 @@
 // checkEntryUse checks an entry that is passed to a balancer: its expiry on the proxy's clock, and its true age.
 func (c *checker) checkEntryUse(p *proxy, now int64, e *state.Entry) {
 	if now >= e.ExpiresAt() {
-		c.violated(ruleExpiry, "%s uses the entry of %s on %s %d us after its expiry", p.name, e.Observer, e.Subject,
-			now-e.ExpiresAt())
+		c.violated(ruleExpiry, "%s uses an entry of %s about %s %d us after its expiry", p.name, e.Observer,
+			e.Subject, now-e.ExpiresAt())
 	}
 	sim := c.sim
 	if e.Kind == state.ServerUnhealthy {
@@ -72,8 +72,8 @@
 	over := age - e.TTL
 	sim.result.MaxOverrun = max(sim.result.MaxOverrun, over)
 	if over > maxHops*(maxHopDelay+c.cluster.maxGossipDelay)+int64(2*sim.cfg.MaxClockDrift*float64(e.TTL))+maxLoopGap {
-		c.violated(ruleExpiry, "%s uses the entry of %s on %s of %.2f s ago, with a TTL of %.2f s", p.name, e.Observer,
-			e.Subject, float64(age)/float64(sec), float64(e.TTL)/float64(sec))
+		c.violated(ruleExpiry, "%s uses an entry of %s about %s that is %.2f s old, with a TTL of %.2f s",
+			p.name, e.Observer, e.Subject, float64(age)/float64(sec), float64(e.TTL)/float64(sec))
 	}
 }
 
@@ -128,21 +128,23 @@
 		case agreement.differsSince < 0:
 			agreement.differsSince, agreement.firstDiffered = sim.now, sim.now
 		case sim.now-agreement.differsSince > maxDisagreement:
-			c.violated(ruleAgreement, "proxies of %s differ on %s for %.2f s", zoneName(zone), zoneName(z),
+			c.violated(ruleAgreement, "proxies of %s disagree on the evacuation of %s for %.2f s",
+				zoneName(zone), zoneName(z),
 				float64(sim.now-agreement.differsSince)/float64(sec))
 			agreement.differsSince = sim.now
 		}
 	}
 }
 
-// isInSync reports whether a proxy has run long enough to hold what the others of its zone do, and is not byzantine.
+// isInSync reports whether a proxy has run long enough to hold the same entries as the others of its zone,
+// and is not byzantine.
 func (p *proxy) isInSync() bool {
 	now := p.sim.now
 	return p.cluster != nil && p.up && !p.stopped && len(p.cluster.falseZones) == 0 &&
 		(p.startedAt == 0 || now-p.startedAt > calmDuration) && (p.resumedAt == 0 || now-p.resumedAt > calmDuration)
 }
 
-// checkEjections checks how much of the tier, and of each zone, is ejected by reports of others.
+// checkEjections checks how much of the tier, and of each zone, is ejected by peers' reports.
 func (c *checker) checkEjections(p *proxy) {
 	ejected := p.balancer.EjectedServers()
 	if len(ejected) == 0 {
@@ -159,7 +161,7 @@
 	for _, id := range ejected {
 		target := sim.serverByName(id)
 		if !p.cluster.reportedUnhealthy[target.id] {
-			c.violated(ruleExpiry, "%s ejects %s, which nobody reported since its start", p.name, id)
+			c.violated(ruleExpiry, "%s ejects %s, which no peer reported since its start", p.name, id)
 		}
 		out[target.zone]++
 		out[sim.cfg.Zones]++
@@ -170,8 +172,8 @@
 			maximum /= 10
 		}
 		if n > maximum {
-			c.violated(ruleEjectionBudget, "%s ejects %d of %d servers by reports, in zone %d of %d", p.name, n, ready[i], i,
-				sim.cfg.Zones)
+			c.violated(ruleEjectionBudget, "%s ejects %d of %d servers by peers' reports, in zone %d of %d",
+				p.name, n, ready[i], i, sim.cfg.Zones)
 		}
 	}
 }
--- a/internal/faultlab/model/client.go
+++ b/internal/faultlab/model/client.go
@@ -10,15 +10,15 @@
 	"strconv"
 )
 
-// frontEndDetection is how long the clients' front end takes to detect a proxy that ended or was paused. It then leads its
-// clients to another one, of the same zone if there is one.
+// frontEndDetection is how long the clients' front end takes to detect that a proxy ended or was paused. It
+// then routes the proxy's clients to another one, of the same zone if there is one.
 const frontEndDetection = 2 * sec
 
 // clients send requests in an open loop: arrivals do not depend on the cluster's behaviour.
 type clients struct {
 	random      *rand.Rand
-	proxyShares []float64 // cumulative
-	classShares []float64 // cumulative
+	proxyShares []float64 // of the requests, cumulative
+	classShares []float64 // of the requests, cumulative
 	arrivals    int
 }
 
@@ -37,6 +37,7 @@
 	c.next(sim)
 }
 
+// next schedules the next arrival.
 func (c *clients) next(sim *simulation) {
 	sim.after(int64(c.random.ExpFloat64()/sim.cfg.Rate*float64(sec)), evArrival, c.arrivals, func() {
 		c.arrive(sim)
@@ -49,7 +50,8 @@
 	return min(sort.SearchFloat64s(sums, r.Float64()*sums[len(sums)-1]), len(sums)-1)
 }
 
-// arrive draws a request completely before it looks at any proxy, so that arrivals are the same whatever happens.
+// arrive draws a request completely before it uses the state of any proxy, so that the arrivals do not depend
+// on it.
 func (c *clients) arrive(sim *simulation) {
 	c.arrivals++
 	at, class, part := draw(c.random, c.proxyShares), draw(c.random, c.classShares), c.random.Float64()
@@ -73,7 +75,7 @@
 		if req.closed {
 			return
 		}
-		if p.stopped { // the proxy cannot notice
+		if p.stopped { // the proxy cannot act on it
 			req.closed = true
 			sim.result.countEnd(sim, req, endUnanswered)
 			return
@@ -82,7 +84,7 @@
 	})
 }
 
-// proxyFor returns the proxy that serves a client of p; nil for none.
+// proxyFor returns the proxy to which the front end routes a client of p; nil if there is none.
 func (c *clients) proxyFor(sim *simulation, p *proxy) *proxy {
 	if p.seemsUp() {
 		return p
--- a/internal/faultlab/model/cluster.go
+++ b/internal/faultlab/model/cluster.go
@@ -8,23 +8,24 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// clusterMember is a proxy's cluster state. Times of the proxy's loop are on its own clock, others on the virtual clock.
+// clusterMember is a proxy's cluster state. Times are in microseconds of the virtual clock, unless stated
+// otherwise.
 type clusterMember struct {
 	store              *state.Store
 	outbound           transmitQueue
-	lastHeard          int64 // any other member
+	lastHeard          int64 // from any other member
 	lastProbe          int64
-	dropUntil          int64  // on its own clock: until then it drops gossip
-	lastTick           int64  // on its own clock
+	dropUntil          int64  // on the proxy's clock: it drops gossip until then
+	lastTick           int64  // on the proxy's clock
 	falseZones         []int  // zones that it falsely reports as unhealthy
 	agesCountedAt      int64  // the second of the run in which ages were last recorded
-	reportedUnhealthy  []bool // by server: others report it, and mean its present start
-	evacuatedZones     uint64 // bit set, as of the last iteration
+	reportedUnhealthy  []bool // by server: peers report it, and mean its current start
+	evacuatedZones     uint64 // as a bit set, at the last iteration of the loop
 	agreementCheckedAt int64
 }
 
-// Entries that wait in a socket are older than their ages say. A proxy whose loop was paused for longer than maxLoopGap
-// therefore drops gossip until dropAfterGap later, when all that waited has been read.
+// Entries that wait in a socket are older than their ages say. A proxy whose loop was paused for longer than
+// maxLoopGap therefore drops gossip for dropAfterGap, until everything that waited has been read.
 const (
 	maxLoopGap   = sec
 	dropAfterGap = 300 * ms
@@ -46,16 +47,17 @@
 	incarnation := p.incarnation
 	p.after(sim.gossip.random.Int64N(gossipInterval), evGossip, incarnation, func() { p.gossip(incarnation) })
 	first := sim.gossip.random.Int64N(fullExchangeInterval)
-	if sim.now > 0 { // one that joins a running cluster makes a full exchange at once
+	if sim.now > 0 { // a proxy that joins a running cluster makes a full exchange at once
 		first = 0
 	}
 	p.after(first, evGossip, incarnation, func() { p.fullExchange(incarnation) })
 }
 
-// receive merges a packet and queues what is new.
+// receive merges a packet and queues the entries that changed the store.
 func (p *proxy) receive(packet gossipPacket) {
 	now := p.clock()
-	if (now-p.cluster.lastTick > maxLoopGap || now < p.cluster.dropUntil) && p.sim.cfg.seeded != seedAcceptsStale {
+	if (now-p.cluster.lastTick > maxLoopGap || now < p.cluster.dropUntil) &&
+		p.sim.cfg.seeded != seedAcceptsStale {
 		p.sim.result.DroppedAfterPause++
 		return
 	}
@@ -66,7 +68,8 @@
 	p.cluster.outbound.add(changed)
 }
 
-// exchangeReports is the part of the loop's iteration that publishes reports and passes those of others on.
+// exchangeReports is the part of a loop iteration that publishes the proxy's reports and passes those of its
+// peers to the balancer.
 func (p *proxy) exchangeReports() {
 	member, sim, now := p.cluster, p.sim, p.clock()
 	if now-member.lastTick > maxLoopGap {
@@ -84,15 +87,15 @@
 	sim.check.checkDecisions(p, now)
 }
 
-// peerReports returns the store's entries in the balancer's terms.
+// peerReports converts the peers' entries in the store to the balancer's reports.
 func (p *proxy) peerReports(now int64) balancer.PeerReports {
 	sim := p.sim
 	entries := p.cluster.store.PeerEntries(now)
-	h := balancer.PeerReports{Isolated: sim.now-p.cluster.lastHeard >= isolationTimeout,
+	reports := balancer.PeerReports{Isolated: sim.now-p.cluster.lastHeard >= isolationTimeout,
 		Reports: make([]balancer.Report, 0, len(entries))}
-	h.LiveReplicas, h.LiveReplicasInZone = sim.gossip.countLive(sim, p)
+	reports.LiveReplicas, reports.LiveReplicasInZone = sim.gossip.countLive(sim, p)
 	if p.id == 0 && sim.cfg.seeded == seedIgnoresEntries {
-		return h
+		return reports
 	}
 	p.cluster.reportedUnhealthy = make([]bool, len(sim.servers))
 	for i := range entries {
@@ -100,11 +103,11 @@
 			entries[i].ObservedAt -= entries[i].TTL
 		}
 		sim.check.checkEntryUse(p, now, &entries[i])
-		if r, ok := p.report(&entries[i]); ok {
-			h.Reports = append(h.Reports, r)
+		if report, ok := p.report(&entries[i]); ok {
+			reports.Reports = append(reports.Reports, report)
 		}
 	}
-	return h
+	return reports
 }
 
 // indicator returns 1 for true and 0 for false.
@@ -126,7 +129,7 @@
 	return numbers
 }
 
-// report converts an entry to the balancer's terms; false if it is about or from a zone that does not exist.
+// report converts an entry to the balancer's report; false if its kind or a zone that it names is unknown.
 func (p *proxy) report(e *state.Entry) (balancer.Report, bool) {
 	kind, known := adapter.ReportKind(e.Kind)
 	if !known {
@@ -156,8 +159,8 @@
 	}
 }
 
-// falseReports returns a byzantine proxy's observations. True ones of the same
-// subject precede them, and Publish takes the first.
+// falseReports returns a byzantine proxy's observations. They follow the true ones, and Publish takes the
+// first one of each subject.
 func (p *proxy) falseReports() (out []state.Observation) {
 	for _, z := range p.cluster.falseZones {
 		body := state.Body{Fault: adapter.WireFault(balancer.FaultUnresponsive), Calls: 1000, BadFraction: 1}
@@ -172,7 +175,7 @@
 	return out
 }
 
-// extraLoadReports returns load reports that change all the time, for runs that look at propagation only.
+// extraLoadReports returns load reports that change all the time, for runs that only measure propagation.
 func (p *proxy) extraLoadReports() (out []state.Observation) {
 	for i := range min(p.sim.cfg.ExtraLoadReports, len(p.sim.servers)) {
 		target := p.sim.servers[(p.id+i)%len(p.sim.servers)]
--- a/internal/faultlab/model/config.go
+++ b/internal/faultlab/model/config.go
@@ -1,11 +1,12 @@
-// Package model simulates a cluster in one process on one virtual clock: many balancer.Balancers, the servers that they
-// send to, clients, the endpoint list, and the gossip between proxies. It uses no sockets, no goroutines and no real clock,
-// and draws all randomness from one seed, so equal configurations give the same run, event for event (Result.Hash).
+// Package model simulates a cluster in one process on one virtual clock: many balancer.Balancers, the servers
+// that they send to, clients, the endpoint list, and the gossip between proxies. It uses no sockets, no
+// goroutines and no real clock, and draws all randomness from one seed, so equal configurations give the same
+// run, event for event (Result.Hash).
 //
-// The fault lab (cmd/merlinpick-faultlab) runs few real processes in real time; the model runs hundreds of proxies through
-// thousands of schedules of faults, and checks invariants after each event (check.go). It leaves out connections and
-// handshakes, bodies, bytes on the wire, and the machine's load. Times are int64 microseconds of the virtual clock, which
-// starts at 0.
+// The fault lab (cmd/merlinpick-faultlab) runs a few real processes in real time; the model runs hundreds of
+// proxies through thousands of schedules of faults, and checks invariants after each event (check.go). It
+// leaves out connections and handshakes, bodies, bytes on the wire, and the machine's load. Times are int64
+// microseconds of the virtual clock, which starts at 0.
 package model
 
 import (
@@ -19,7 +20,7 @@
 	sec = 1000 * ms
 )
 
-// Class is a class of requests as clients send it.
+// Class is a class of requests that clients send.
 type Class struct {
 	balancer.Class
 	Share   float64 // of all requests, relative to the other classes
@@ -27,7 +28,7 @@
 	WorkMax int64
 }
 
-// Config determines a run. Durations are microseconds.
+// Config determines a run. Durations are in microseconds.
 type Config struct {
 	Seed     uint64
 	Duration int64
@@ -57,13 +58,13 @@
 
 	Cluster          bool    // proxies gossip
 	Encoded          bool    // gossip passes state.Encode and state.Decode
-	Loss             float64 // fraction of gossip packets
-	ExtraLoadReports int     // that each proxy publishes in addition, to look at propagation
+	Loss             float64 // fraction of gossip packets that are lost
+	ExtraLoadReports int     // that each proxy publishes in addition, to measure propagation
 
 	Faults []Fault
 
-	log    func(at int64, proxy, line string) // gets the balancers' events; may be nil
-	seeded seededFault                        // which the checks must detect; tests only
+	log    func(at int64, proxy, line string) // receives the balancers' events; may be nil
+	seeded seededFault                        // that the checks must detect; for tests only
 }
 
 // Default returns a cluster of moderate size at less than two thirds of its capacity, with the classes of the lab's
@@ -97,17 +98,17 @@
 }
 
 func (c *Config) validate() error {
-	for _, x := range []struct {
-		bad   bool
-		field string
+	for _, check := range []struct {
+		invalid bool
+		field   string
 	}{
-		{c.Duration <= 0, "Span"}, {c.Zones < 1, "Zones"}, {c.Regions < 1 || c.Regions > 2, "Regions"},
-		{c.Proxies < c.Zones, "Proxies"}, {c.Servers < c.Zones, "Nodos"}, {c.Rate <= 0, "Rate"},
+		{c.Duration <= 0, "Duration"}, {c.Zones < 1, "Zones"}, {c.Regions < 1 || c.Regions > 2, "Regions"},
+		{c.Proxies < c.Zones, "Proxies"}, {c.Servers < c.Zones, "Servers"}, {c.Rate <= 0, "Rate"},
 		{len(c.Classes) == 0, "Classes"}, {c.Slots < 1, "Slots"}, {c.Speed <= 0, "Speed"},
-		{c.MaxClockDrift < 0 || c.MaxClockDrift > 0.1, "ClockDrift"}, {c.Loss < 0 || c.Loss > 1, "Loss"},
+		{c.MaxClockDrift < 0 || c.MaxClockDrift > 0.1, "MaxClockDrift"}, {c.Loss < 0 || c.Loss > 1, "Loss"},
 	} {
-		if x.bad {
-			return &ConfigError{Field: x.field}
+		if check.invalid {
+			return &ConfigError{Field: check.field}
 		}
 	}
 	for i := range c.Faults {
@@ -121,16 +122,17 @@
 // ConfigError reports an invalid field of a Config.
 type ConfigError struct{ Field string }
 
-// Error implements error.
+// Error returns a text that names the field.
 func (e *ConfigError) Error() string { return "model: Config." + e.Field + ": out of range" }
 
 // settings returns a proxy's settings.
 func (c *Config) settings(ordinal, zone int) balancer.Settings {
-	s := balancer.Settings{Replicas: c.Proxies, ReplicaIndex: ordinal, Zone: zone, ZoneCount: c.Zones, MaxAttempts: 3,
-		DrainGrace: 500 * ms, SlowStartMinCapacity: c.SlowStartMinCapacity, SlowStartDuration: c.SlowStartDuration,
+	settings := balancer.Settings{Replicas: c.Proxies, ReplicaIndex: ordinal, Zone: zone, ZoneCount: c.Zones,
+		MaxAttempts: 3, DrainGrace: 500 * ms,
+		SlowStartMinCapacity: c.SlowStartMinCapacity, SlowStartDuration: c.SlowStartDuration,
 		OverloadMultiple: c.OverloadMultiple, OverloadWindow: c.OverloadWindow}
-	for _, k := range c.Classes {
-		s.Classes = append(s.Classes, k.Class)
+	for _, class := range c.Classes {
+		settings.Classes = append(settings.Classes, class.Class)
 	}
-	return s
+	return settings
 }
--- a/internal/faultlab/model/fault.go
+++ b/internal/faultlab/model/fault.go
@@ -10,12 +10,12 @@
 type FaultKind int
 
 const (
-	ZoneLost           FaultKind = iota // servers and proxies of Zone do not answer; they return warming up
+	ZoneLost           FaultKind = iota // servers and proxies of Zone do not answer; restarted at the end
 	CutResponses                        // responses and gossip from Zone to To are lost
 	CutBoth                             // no connection, response or gossip between Zone and To
 	ProxyKilled                         // Targets; started again at the end
 	ProxyPaused                         // Targets; resumed at the end
-	ServerKilled                        // Targets; started at the end, warming up
+	ServerKilled                        // Targets; started again at the end, in slow start
 	ServerErrors                        // Targets: fraction Value of their responses are errors
 	ServerSlow                          // Targets: work takes Value times as long
 	ServerUnresponsive                  // Targets accept requests and do not respond
@@ -37,7 +37,7 @@
 		"gossip partition", "byzantine proxies"}[k]
 }
 
-// Fault is a fault from At for Duration. To < 0 stands for all zones but Zone.
+// Fault is a fault from At for Duration, in microseconds. To < 0 stands for all zones but Zone.
 type Fault struct {
 	Kind         FaultKind
 	At, Duration int64
@@ -67,130 +67,131 @@
 	return f.Kind == ProxyKilled || f.Kind == ProxyPaused || f.Kind == ByzantineProxies
 }
 
-// schedule plans a fault's start and end.
-func (w *simulation) schedule(f *Fault) {
-	w.after(f.At, evFault, int(f.Kind), func() { w.startFault(f) })
-	w.after(f.At+f.Duration, evFault, int(f.Kind), func() { w.endFault(f) })
+// schedule schedules a fault's start and end.
+func (sim *simulation) schedule(f *Fault) {
+	sim.after(f.At, evFault, int(f.Kind), func() { sim.startFault(f) })
+	sim.after(f.At+f.Duration, evFault, int(f.Kind), func() { sim.endFault(f) })
 }
 
-func (w *simulation) startFault(f *Fault) {
+func (sim *simulation) startFault(f *Fault) {
 	switch f.Kind {
 	case ZoneLost:
-		for _, target := range w.servers {
+		for _, target := range sim.servers {
 			if target.zone == f.Zone {
 				target.zoneLosses++
 				target.stop()
 			}
 		}
-		for _, p := range w.proxies {
+		for _, p := range sim.proxies {
 			if p.zone == f.Zone {
 				p.kill()
 			}
 		}
 	case CutResponses, CutBoth, GossipPartition:
-		w.changeLinks(f, 1)
+		sim.changeLinks(f, 1)
 	case ServerFlaps:
-		w.flap(f, true)
+		sim.flap(f, true)
 	case GossipLoss:
-		w.network.gossipLoss += f.Value
+		sim.network.gossipLoss += f.Value
 	case GossipDelay:
-		w.network.gossipDelay += int64(f.Value * float64(sec))
+		sim.network.gossipDelay += int64(f.Value * float64(sec))
 	}
 	for _, i := range f.Targets {
 		switch f.Kind {
 		case ProxyKilled:
-			w.proxies[i].kill()
+			sim.proxies[i].kill()
 		case ProxyPaused:
-			w.proxies[i].pause()
+			sim.proxies[i].pause()
 		case ServerKilled:
-			w.servers[i].stop()
+			sim.servers[i].stop()
 		case ServerErrors, ServerSlow, ServerUnresponsive:
-			w.servers[i].faults = append(w.servers[i].faults, f)
+			sim.servers[i].faults = append(sim.servers[i].faults, f)
 		case ByzantineProxies:
-			w.proxies[i].setFalseReports(f.Zone, 1)
+			sim.proxies[i].setFalseReports(f.Zone, 1)
 		}
 	}
 }
 
-func (w *simulation) endFault(f *Fault) {
+func (sim *simulation) endFault(f *Fault) {
 	switch f.Kind {
 	case ZoneLost:
-		for _, target := range w.servers {
+		for _, target := range sim.servers {
 			if target.zone == f.Zone {
 				target.zoneLosses--
 				target.start()
 			}
 		}
-		for _, p := range w.proxies {
+		for _, p := range sim.proxies {
 			if p.zone == f.Zone {
-				w.restart(p)
+				sim.restart(p)
 			}
 		}
 	case CutResponses, CutBoth, GossipPartition:
-		w.changeLinks(f, -1)
+		sim.changeLinks(f, -1)
 	case GossipLoss:
-		w.network.gossipLoss -= f.Value
+		sim.network.gossipLoss -= f.Value
 	case GossipDelay:
-		w.network.gossipDelay -= int64(f.Value * float64(sec))
+		sim.network.gossipDelay -= int64(f.Value * float64(sec))
 	}
 	for _, i := range f.Targets {
 		switch f.Kind {
 		case ProxyKilled:
-			w.restart(w.proxies[i])
+			sim.restart(sim.proxies[i])
 		case ProxyPaused:
-			w.proxies[i].resume()
+			sim.proxies[i].resume()
 		case ServerKilled:
-			w.servers[i].start()
+			sim.servers[i].start()
 		case ServerErrors, ServerSlow, ServerUnresponsive:
-			target := w.servers[i]
+			target := sim.servers[i]
 			target.faults = slices.DeleteFunc(target.faults, func(h *Fault) bool { return h == f })
 		case ByzantineProxies:
-			w.proxies[i].setFalseReports(f.Zone, -1)
+			sim.proxies[i].setFalseReports(f.Zone, -1)
 		}
 	}
 }
 
-func (w *simulation) restart(p *proxy) {
+func (sim *simulation) restart(p *proxy) {
 	if err := p.start(); err != nil {
-		panic(err) // cannot happen: the same settings were valid at its first start
+		panic(err) // impossible: the same settings were valid at its first start
 	}
 }
 
-// changeLinks adds (by 1) or removes (by -1) a cut of links.
-func (w *simulation) changeLinks(f *Fault, by int) {
-	for a := range w.cfg.Zones {
-		for b := range w.cfg.Zones {
+// changeLinks adds a cut of links (by = 1) or removes it (by = -1).
+func (sim *simulation) changeLinks(f *Fault, by int) {
+	for a := range sim.cfg.Zones {
+		for b := range sim.cfg.Zones {
 			out := f.Zone < 0 || a == f.Zone && (f.To < 0 && a != b || b == f.To)
 			back := f.Kind == CutBoth && (b == f.Zone && (f.To < 0 && a != b || a == f.To))
 			if !out && !back {
 				continue
 			}
-			w.network.cutGossip[a*w.cfg.Zones+b] += by
+			sim.network.cutGossip[a*sim.cfg.Zones+b] += by
 			if f.Kind != GossipPartition {
-				w.network.cutResponses[a*w.cfg.Zones+b] += by
+				sim.network.cutResponses[a*sim.cfg.Zones+b] += by
 			}
 			if f.Kind == CutBoth {
-				w.network.cutRequests[a*w.cfg.Zones+b] += by
+				sim.network.cutRequests[a*sim.cfg.Zones+b] += by
 			}
 		}
 	}
-	w.gossip.updateReachable(w)
+	sim.gossip.updateReachable(sim)
 }
 
-// flap makes servers fail and recover in turn.
-func (w *simulation) flap(f *Fault, bad bool) {
-	if w.now >= f.At+f.Duration {
+// flap makes a fault's servers fail and recover in turn.
+func (sim *simulation) flap(f *Fault, bad bool) {
+	if sim.now >= f.At+f.Duration {
 		return
 	}
-	left := f.At + f.Duration - w.now
+	left := f.At + f.Duration - sim.now
 	if bad {
-		w.schedule(&Fault{Kind: ServerErrors, At: 0, Duration: min(f.Period, left), Targets: f.Targets,
+		sim.schedule(&Fault{Kind: ServerErrors, At: 0, Duration: min(f.Period, left), Targets: f.Targets,
 			Value: max(f.Value, 0.9)})
 	}
-	w.after(f.Period, evFault, int(f.Kind), func() { w.flap(f, !bad) })
+	sim.after(f.Period, evFault, int(f.Kind), func() { sim.flap(f, !bad) })
 }
 
-// Schedule draws one to four faults of any kind, which may overlap, from the configuration's seed. All end before the run.
+// Schedule draws one to four faults of any kind, which may overlap, from the configuration's seed. All of
+// them end before the run does.
 func Schedule(c *Config) []Fault {
 	r := source(c.Seed, streamFaults)
 	var out []Fault
@@ -228,22 +229,22 @@
 	return out
 }
 
-// byzantineTargets returns a third of each zone's proxies, rounded down: more could be a majority of those that observe a
-// server.
-func byzantineTargets(c *Config) (who []int) {
-	in := map[int]int{}
+// byzantineTargets returns a third of each zone's proxies, rounded down: more of them could be a majority of
+// those that observe a server.
+func byzantineTargets(c *Config) (targets []int) {
+	proxiesInZone := map[int]int{}
 	for i := range c.Proxies {
 		zone := i * c.Zones / c.Proxies
-		if in[zone]++; in[zone] <= (c.Proxies/c.Zones)/3 {
-			who = append(who, i)
+		if proxiesInZone[zone]++; proxiesInZone[zone] <= (c.Proxies/c.Zones)/3 {
+			targets = append(targets, i)
 		}
 	}
-	return who
+	return targets
 }
 
 // randomTargets draws at least one and up to a fraction of n indices.
-func randomTargets(r *rand.Rand, n int, most float64) []int {
-	who := r.Perm(n)[:1+r.IntN(max(1, int(most*float64(n))))]
-	slices.Sort(who)
-	return who
+func randomTargets(r *rand.Rand, n int, maxFraction float64) []int {
+	targets := r.Perm(n)[:1+r.IntN(max(1, int(maxFraction*float64(n))))]
+	slices.Sort(targets)
+	return targets
 }
--- a/internal/faultlab/model/gossip.go
+++ b/internal/faultlab/model/gossip.go
@@ -8,28 +8,29 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// Gossip follows memberlist: each proxy sends each entry a number of times to random others, and makes a full exchange with
-// one other now and then. Membership is not gossiped here but known after a delay, as by SWIM.
+// Gossip works as in memberlist: each proxy sends each entry a number of times to random peers, and regularly
+// makes a full exchange with one peer. Membership is not gossiped here: proxies know of changes after a
+// delay, as with SWIM.
 const (
 	gossipInterval       = 100 * ms
 	gossipFanout         = 3 // proxies per round
 	transmitMultiplier   = 4 // times the decimal logarithm of the number of proxies, rounded up
 	fullExchangeInterval = 5 * sec
 	maxPacketBytes       = 1400
-	maxPacketEntries     = 36      // where packets are not encoded
-	deathDetection       = 4 * sec // until a proxy that ended, or cannot be reached, counts as dead
-	joinDetection        = 500 * ms
-	isolationTimeout     = 3 * sec // since any other proxy was heard
+	maxPacketEntries     = 36       // if packets are not encoded
+	deathDetection       = 4 * sec  // until a proxy that ended or cannot be reached counts as dead
+	joinDetection        = 500 * ms // until a proxy that started counts as live
+	isolationTimeout     = 3 * sec  // without a packet from any other proxy
 )
 
-// gossipNetwork is what the gossip of all proxies shares.
+// gossipNetwork is the state that the gossip of all proxies shares.
 type gossipNetwork struct {
 	random              *rand.Rand
-	reachable           []bool // by from and to: zones that reach each other, also by way of others, as SWIM has detected
+	reachable           []bool // by from and to: zones that reach each other, as the proxies know it
 	transmitCount       int    // of each entry
 	publications        publicationLog
 	membershipChangedAt int64 // when a proxy last started, ended, was paused or resumed
-	liveByZone          []int // running proxies by zone, once nothing has changed for deathDetection; else nil
+	liveByZone          []int // running proxies by zone if nothing has changed for deathDetection; else nil
 }
 
 func (g *gossipNetwork) begin(sim *simulation) {
@@ -39,12 +40,12 @@
 	g.publications.begin()
 }
 
-// updateReachable makes the proxies detect, after a delay, which zones reach each other.
+// updateReachable lets the proxies detect, after a delay, which zones reach each other.
 func (g *gossipNetwork) updateReachable(sim *simulation) {
 	sim.after(deathDetection, evGossip, 0, func() { g.reachable = sim.network.reachableZones() })
 }
 
-// reachableZones returns which zones reachableZones each other now, both ways, also by way of others.
+// reachableZones returns which zones reach each other now, in both directions, also through others.
 func (n *network) reachableZones() []bool {
 	z := n.zones
 	r := make([]bool, z*z)
@@ -83,7 +84,8 @@
 	g.membershipChangedAt, g.liveByZone = sim.now, nil
 }
 
-// countLive returns how many proxies one considers live, itself included, and how many of them in its zone.
+// countLive returns how many proxies one considers live, itself included, and how many of these are in its
+// zone.
 func (g *gossipNetwork) countLive(sim *simulation, p *proxy) (live, liveInZone int) {
 	zones := sim.cfg.Zones
 	if g.liveByZone == nil && sim.now-g.membershipChangedAt >= deathDetection {
@@ -92,7 +94,7 @@
 			g.liveByZone[peer.zone] += int(indicator(peer.up && !peer.stopped))
 		}
 	}
-	if g.liveByZone == nil { // detection delays matter
+	if g.liveByZone == nil { // something changed recently: the detection delays matter
 		for _, peer := range sim.proxies {
 			if peer == p || g.isLive(sim, p, peer) {
 				live++
@@ -114,7 +116,7 @@
 	return live, liveInZone
 }
 
-// entryKey identifies entries that replace each other.
+// entryKey identifies entries of which a later one replaces an earlier one.
 type entryKey struct {
 	kind     state.Kind
 	subject  string
@@ -128,10 +130,11 @@
 	stale         bool // replaced by a later one
 }
 
-// transmitQueue holds entries by the number of their transmissions: the least sent go first, of these the latest.
+// transmitQueue holds entries by the number of their transmissions: the entries with the fewest go first, and
+// of these the latest.
 type transmitQueue struct {
 	byTransmissions [][]*queuedEntry
-	stale           []int // how many are, in each of these
+	stale           []int // number of stale entries in each of these
 	latest          map[entryKey]*queuedEntry
 }
 
@@ -151,8 +154,8 @@
 	}
 }
 
-// markStale leaves an entry in its slice, so that this is not searched, but compacts a slice of which most are stale: in a
-// large cluster the start of a slice is never reached.
+// markStale leaves an entry in its slice, so that the slice need not be searched, but compacts a slice if
+// most of it is stale: in a large cluster take never reaches the start of a slice.
 func (q *transmitQueue) markStale(queued *queuedEntry) {
 	queued.stale = true
 	i := queued.transmissions
@@ -191,13 +194,14 @@
 	return out
 }
 
-// gossipPacket holds entries with their ages, or the same encoded.
+// gossipPacket holds entries with their ages, or encoded entries.
 type gossipPacket struct {
 	entries []state.Entry
 	ages    []int64
 	encoded [][]byte
 }
 
+// pack makes a packet of entries. maximum is the size in bytes of each encoded part.
 func (p *proxy) pack(entries []state.Entry, maximum int) gossipPacket {
 	now := p.clock()
 	if p.sim.cfg.Encoded {
@@ -210,18 +214,18 @@
 	return packet
 }
 
-// unpack returns a packet's entries with times on the reader's clock.
+// unpack returns a packet's entries with times on the receiver's clock.
 func (p *proxy) unpack(packet gossipPacket) []state.Entry {
 	now := p.clock()
 	var out []state.Entry
 	for _, b := range packet.encoded {
 		entries, _, err := state.Decode(now, b)
 		if err != nil {
-			p.sim.check.violated(ruleExpiry, "a proxy cannot decode another's packet: %v", err)
+			p.sim.check.violated(ruleExpiry, "a proxy cannot decode a peer's packet: %v", err)
 		}
 		out = append(out, entries...)
 	}
-	for i := range packet.entries { // no other reader has the packet
+	for i := range packet.entries { // the packet has only one receiver
 		packet.entries[i].ObservedAt = now - packet.ages[i]
 	}
 	if out == nil {
@@ -246,7 +250,7 @@
 	p.after(p.realDuration(gossipInterval), evGossip, incarnation, func() { p.gossip(incarnation) })
 }
 
-// fullExchange exchanges all entries with one other proxy, over a connection.
+// fullExchange exchanges all entries with a random peer, over a connection.
 func (p *proxy) fullExchange(incarnation int) {
 	sim := p.sim
 	peer := p.randomPeer()
@@ -265,7 +269,7 @@
 	p.after(p.realDuration(fullExchangeInterval), evGossip, incarnation, func() { p.fullExchange(incarnation) })
 }
 
-// randomPeer draws a proxy that this one considers live; nil if a few draws find none.
+// randomPeer draws a proxy that this one considers live; nil if 20 draws find none.
 func (p *proxy) randomPeer() *proxy {
 	for range 20 {
 		peer := p.sim.proxies[p.sim.gossip.random.IntN(len(p.sim.proxies))]
@@ -276,7 +280,8 @@
 	return nil
 }
 
-// sendPacket sends a packet, which may be lost. It waits in the socket of a paused proxy, up to a limit.
+// sendPacket sends a packet, which may be lost. Packets wait in the socket of a paused proxy, up to
+// maxInboxGossip.
 func (p *proxy) sendPacket(peer *proxy, packet gossipPacket) {
 	sim := p.sim
 	sim.result.Packets++
--- a/internal/faultlab/model/gossip_run.go
+++ b/internal/faultlab/model/gossip_run.go
@@ -14,37 +14,37 @@
 	"merlinpick/internal/cluster/state"
 )
 
-// GossipConfig configures a run of a cluster's gossip alone, for sizes at which a run with balancers takes too long. It uses
-// the program's store, queue and packets, with drawn observations. Members run in parallel in steps of the virtual clock,
-// and packets arrive in a later step, so equal configurations give equal results. All members are live, all clocks exact,
-// and memberlist's own packets are not counted.
+// GossipConfig configures a run of a cluster's gossip alone, for sizes at which a run with balancers takes
+// too long. It uses the program's store, queue and packets, with random observations. Members run in parallel
+// in steps of the virtual clock, and packets arrive in a later step, so equal configurations give equal
+// results. All members are live, all clocks are exact, and memberlist's own packets are not counted.
 type GossipConfig struct {
 	Seed        uint64
-	Duration    int64
-	Size        int
+	Duration    int64 // microseconds
+	Size        int   // members
 	Zones       int
-	LoadReports int     // servers of which each member publishes the load, which changes all the time
-	Loss        float64 // fraction of the datagrams
+	LoadReports int     // servers whose load, which changes all the time, each member publishes
+	Loss        float64 // fraction of the datagrams that are lost
 }
 
-// GossipResult is the result of a run. Bytes are those of all members and the entire run.
+// GossipResult is the result of a run, with the bytes of all members over the entire run.
 type GossipResult struct {
 	Datagrams, Bytes     int64
 	ExchangeBytes        int64
 	HealthAges, LoadAges durations                 // true ages of peers' entries, once a second
-	Entries, EntryBytes  [state.Override + 1]int64 // by kind, in the datagrams that were sampled
+	Entries, EntryBytes  [state.Override + 1]int64 // by kind, in the sampled datagrams
 	EntriesHeld          durations                 // counts of peers' entries that a member holds
 	MembersKnown         durations                 // counts of members of which it holds any entry
-	DroppedAtLimit       uint64                    // entries, by stores
-	Dropped              int64                     // entries, by queues
+	DroppedAtLimit       uint64                    // entries that stores dropped at their limits
+	Dropped              int64                     // entries that queues dropped
 	lock                 sync.Mutex
 }
 
 const (
 	stepInterval         = 5 * ms
-	exchangeScaleMembers = 32 // beyond it memberlist stretches the interval
-	sizeSampleInterval   = 64 // datagrams per one that is sampled
-	ageSampleMembers     = 200
+	exchangeScaleMembers = 32  // with more members memberlist lengthens the interval
+	sizeSampleInterval   = 64  // one in so many datagrams is sampled
+	ageSampleMembers     = 200 // about so many members record ages each second
 	changeInterval       = sec // of a member's load reports, as in the balancer
 	maxExchangeBytes     = 1 << 20
 )
@@ -76,7 +76,7 @@
 type message struct {
 	at         int64
 	from, to   int
-	wantsReply bool // this side's entries are wanted
+	wantsReply bool // the receiver has to send its entries too
 	data       [][]byte
 }
 
@@ -84,7 +84,7 @@
 	config           GossipConfig
 	now              int64
 	members          []*member
-	failingServer    int // from a fifth of the run to three fifths
+	failingServer    int // it fails from a fifth of the run to three fifths
 	result           GossipResult
 	exchangeInterval int64 // between a member's full exchanges
 }
@@ -97,7 +97,7 @@
 	return fullExchangeInterval * int64(math.Ceil(math.Log2(float64(n))-math.Log2(exchangeScaleMembers))+1)
 }
 
-// RunGossip runs a configuration to its end.
+// RunGossip simulates a configuration to its end.
 func RunGossip(config GossipConfig) *GossipResult {
 	run := &gossipRun{config: config, exchangeInterval: exchangeInterval(config.Size)}
 	r := &run.result
@@ -115,7 +115,7 @@
 		m.nextChange = m.random.Int64N(changeInterval)
 		run.members = append(run.members, m)
 	}
-	for looked := int64(0); run.now < config.Duration; run.now += stepInterval {
+	for lastSample := int64(0); run.now < config.Duration; run.now += stepInterval {
 		run.inParallel(func(m *member) { m.step() })
 		for _, m := range run.members {
 			for _, message := range m.out {
@@ -123,9 +123,9 @@
 			}
 			m.out = m.out[:0]
 		}
-		if run.now/sec != looked {
-			looked = run.now / sec
-			run.inParallel(func(m *member) { m.sampleAges(looked) })
+		if run.now/sec != lastSample {
+			lastSample = run.now / sec
+			run.inParallel(func(m *member) { m.sampleAges(lastSample) })
 		}
 	}
 	for _, m := range run.members {
@@ -207,14 +207,15 @@
 		for _, data := range received.data {
 			entries, _, err := state.Decode(epoch+now, data)
 			if err != nil {
-				panic(err) // a member's own packet
+				panic(err) // impossible: a member encoded it
 			}
 			m.queue.Add(m.store.Merge(epoch+now, entries))
 		}
 	}
 }
 
-// observe returns the observations: all zones are healthy, the load of some servers, and one server that fails.
+// observe returns the member's observations: all zones are healthy, some servers have a load, and one server
+// fails.
 func (m *member) observe(now int64) []state.Observation {
 	c := &m.run.config
 	if now < m.nextChange {
@@ -241,11 +242,11 @@
 }
 
 func (m *member) randomPeer() int {
-	o := m.random.IntN(m.run.config.Size - 1)
-	if o >= m.id {
-		o++
+	peer := m.random.IntN(m.run.config.Size - 1)
+	if peer >= m.id {
+		peer++
 	}
-	return o
+	return peer
 }
 
 // sendDatagram sends one datagram to a random member.
@@ -269,19 +270,21 @@
 	}
 }
 
-// exchange sends all entries over a connection.
-func (m *member) exchange(now int64, to int, answer bool) {
+// exchange sends all entries to a member over a connection, up to maxExchangeBytes.
+func (m *member) exchange(now int64, to int, wantsReply bool) {
 	data, size := state.Encode(epoch+now, m.store.Entries(epoch+now), state.MaxPacketBytes), 0
-	for i, p := range data {
-		if size += len(p); size > maxExchangeBytes {
+	for i, packet := range data {
+		if size += len(packet); size > maxExchangeBytes {
 			data = data[:i]
 			break
 		}
-		m.exchangeBytes += int64(len(p))
+		m.exchangeBytes += int64(len(packet))
 	}
-	m.out = append(m.out, message{at: now + 2*m.delay(to), from: m.id, to: to, wantsReply: answer, data: data})
+	m.out = append(m.out, message{at: now + 2*m.delay(to), from: m.id, to: to, wantsReply: wantsReply,
+		data: data})
 }
 
+// delay returns the one-way delay to a member, with jitter.
 func (m *member) delay(to int) int64 {
 	d, z := int64(delayZone), m.run.members[to].zone
 	half := m.run.config.Zones / 2
@@ -301,17 +304,17 @@
 		return
 	}
 	entries := m.store.PeerEntries(epoch + m.run.now)
-	observers, last := 0, ""
+	observers, lastObserver := 0, ""
 	result := &m.run.result
 	result.lock.Lock()
 	defer result.lock.Unlock()
 	for i := range entries {
 		e := &entries[i]
-		if e.Observer != last {
-			observers, last = observers+1, e.Observer
+		if e.Observer != lastObserver {
+			observers, lastObserver = observers+1, e.Observer
 		}
-		of, _ := strconv.Atoi(e.Observer[len("proxy-"):])
-		age := m.run.now - m.run.members[of].publishedAt[e.Seq-1]
+		observer, _ := strconv.Atoi(e.Observer[len("proxy-"):])
+		age := m.run.now - m.run.members[observer].publishedAt[e.Seq-1]
 		if e.Kind == state.ServerLoad {
 			result.LoadAges.add(age)
 		} else {
--- a/internal/faultlab/model/gossip_run_test.go
+++ b/internal/faultlab/model/gossip_run_test.go
@@ -16,21 +16,25 @@
 )
 
 var (
-	memberSizes   = flag.String("model.members", "", "print the gossip of clusters of these sizes, as 10,30,100")
-	memberLoss    = flag.String("model.loss", "0,0.1,0.3", "with these parts of the datagrams lost")
-	memberSpan    = flag.Int("model.span", 60, "seconds of each run")
-	memberSeed    = flag.Uint64("model.seed", 1, "of each run")
-	memberReports = flag.String("model.tells", "all,1,0", "load reports of each member: of all servers that it calls, or a number")
+	memberSizes = flag.String("model.members", "",
+		"print the gossip of clusters of these sizes, such as 10,30,100")
+	memberLoss    = flag.String("model.loss", "0,0.1,0.3", "fractions of the datagrams that are lost")
+	memberSpan    = flag.Int("model.span", 60, "duration of each run in seconds")
+	memberSeed    = flag.Uint64("model.seed", 1, "seed of each run")
+	memberReports = flag.String("model.tells", "all,1,0",
+		"load reports of each member: all, for each server that it calls, or a number")
 )
 
-// serversCalled returns how many servers of its own zone (a third of twice as many as members) a member calls within the
-// TTL of a load report, 5 s, at 20 calls a second, as in a run with balancers, which prefer the home zone.
+// serversCalled returns how many servers of its own zone a member calls within the TTL of a load report, 5 s,
+// at 20 calls a second, as in a run with balancers, which prefer their own zone. There are twice as many
+// servers as members, and a third of them are in each zone.
 func serversCalled(members int) int {
-	nodos := 2 * float64(members) / 3
-	return int(math.Round(nodos * (1 - math.Exp(-100/nodos))))
+	servers := 2 * float64(members) / 3
+	return int(math.Round(servers * (1 - math.Exp(-100/servers))))
 }
 
-func parts(t *testing.T, list string) (out []float64) {
+// parseFloats parses a list of numbers that are separated by commas.
+func parseFloats(t *testing.T, list string) (out []float64) {
 	for _, s := range strings.Split(list, ",") {
 		x, err := strconv.ParseFloat(s, 64)
 		if err != nil {
@@ -48,24 +52,25 @@
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(8 << 30))
 	defer debug.SetGCPercent(debug.SetGCPercent(200))
-	for _, size := range parts(t, *memberSizes) {
-		for _, tells := range strings.Split(*memberReports, ",") {
-			for _, loss := range parts(t, *memberLoss) {
+	for _, size := range parseFloats(t, *memberSizes) {
+		for _, reports := range strings.Split(*memberReports, ",") {
+			for _, loss := range parseFloats(t, *memberLoss) {
 				n := int(size)
 				c := GossipConfig{Seed: *memberSeed, Duration: int64(*memberSpan) * sec, Size: n, Zones: 3, Loss: loss, LoadReports: serversCalled(n)}
-				if tells != "all" {
-					c.LoadReports = int(parts(t, tells)[0])
+				if reports != "all" {
+					c.LoadReports = int(parseFloats(t, reports)[0])
 				}
-				begun := time.Now()
+				start := time.Now()
 				r := RunGossip(c)
-				fmt.Fprintln(os.Stdout, c.line(r), fmt.Sprintf("| %.0f s", time.Since(begun).Seconds()))
+				fmt.Fprintln(os.Stdout, c.line(r), fmt.Sprintf("| %.0f s", time.Since(start).Seconds()))
 			}
 		}
 	}
 }
 
+// line returns the result of a run as a row of the table.
 func (c *GossipConfig) line(r *GossipResult) string {
-	of := func(a durations) string {
+	quantiles := func(a durations) string {
 		if a.N() == 0 {
 			return "-"
 		}
@@ -83,11 +88,12 @@
 		}
 	}
 	return fmt.Sprintf("%d members, %d load reports, %.0f %% lost | health reports %s | load reports %s | %.1f KB/s datagrams, %.1f exchanges | "+
-		"knows %d entries of %d members | over %d, dropped %d | %s", c.Size, c.LoadReports, 100*c.Loss, of(r.HealthAges), of(r.LoadAges),
+		"knows %d entries of %d members | dropped at limits %d, by queues %d | %s", c.Size, c.LoadReports,
+		100*c.Loss, quantiles(r.HealthAges), quantiles(r.LoadAges),
 		each(r.Bytes), each(r.ExchangeBytes), r.EntriesHeld.At(0.5), r.MembersKnown.At(0.5), r.DroppedAtLimit, r.Dropped, strings.Join(kinds, ", "))
 }
 
-// The same members give the same, however many cores play them, and another seed another.
+// Equal configurations give equal results on any number of cores, and another seed gives another result.
 func TestMembersRepeat(t *testing.T) {
 	line := func(seed uint64, cores int) string {
 		c := GossipConfig{Seed: seed, Duration: 8 * sec, Size: 20, Zones: 3, Loss: 0.3, LoadReports: 5}
@@ -97,18 +103,19 @@
 	one := line(1, 1)
 	for _, cores := range []int{2, 8} {
 		if got := line(1, cores); got != one {
-			t.Errorf("on %d cores\n%s\nand on one\n%s", cores, got, one)
+			t.Errorf("on %d cores\n%s\nbut on one\n%s", cores, got, one)
 		}
 	}
 	if line(2, 2) == one {
-		t.Error("two seeds give one run")
+		t.Error("two seeds give the same result")
 	}
 }
 
+// The interval between full exchanges grows with the number of members as in memberlist.
 func TestExchangesAreRarerInLargeFleets(t *testing.T) {
-	for n, each := range map[int]int64{2: 5, 32: 5, 33: 10, 64: 10, 100: 15, 300: 25, 1300: 35} {
-		if got := exchangeInterval(n) / sec; got != each {
-			t.Errorf("%d members: %d s, want %d", n, got, each)
+	for n, interval := range map[int]int64{2: 5, 32: 5, 33: 10, 64: 10, 100: 15, 300: 25, 1300: 35} {
+		if got := exchangeInterval(n) / sec; got != interval {
+			t.Errorf("%d members: exchange every %d s, want %d s", n, got, interval)
 		}
 	}
 }
--- a/internal/faultlab/model/model_test.go
+++ b/internal/faultlab/model/model_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-var schedules = flag.Int("model.schedules", 24, "schedules of faults to play")
+var schedules = flag.Int("model.schedules", 24, "number of random schedules of faults to simulate")
 
-// scheduled returns a small cluster with the schedule of faults of a seed.
+// scheduled returns a small cluster with the schedule of faults that is drawn from a seed.
 func scheduled(seed uint64) Config {
 	c := Default()
 	c.Seed = seed
@@ -20,7 +20,8 @@
 	return c
 }
 
-// TestSchedules plays each schedule as a test of its own: -run Schedules/17 plays one again.
+// TestSchedules checks that no schedule of faults violates a rule. Each seed is a subtest: -run Schedules/17
+// repeats one.
 func TestSchedules(t *testing.T) {
 	for seed := range uint64(*schedules) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -31,14 +32,14 @@
 				t.Error(v)
 			}
 			if t.Failed() {
-				t.Logf("%d broken in all; faults: %v", r.ViolationCount, c.Faults)
+				t.Logf("%d violations in all; faults: %v", r.ViolationCount, c.Faults)
 			}
 		})
 	}
 }
 
 func TestMain(m *testing.M) {
-	debug.SetGCPercent(800) // runs are short and make much garbage
+	debug.SetGCPercent(800) // runs are short and produce much garbage
 	debug.SetMemoryLimit(1 << 30)
 	os.Exit(m.Run())
 }
@@ -52,6 +53,7 @@
 	return r
 }
 
+// A seed determines a run completely, and another seed gives another run.
 func TestSameSeedSameRun(t *testing.T) {
 	for seed := range uint64(4) {
 		one, two := mustRun(t, scheduled(seed)), mustRun(t, scheduled(seed))
@@ -59,7 +61,7 @@
 			t.Errorf("seed %d: two runs differ", seed)
 		}
 		if other := mustRun(t, scheduled(seed+100)); other.Hash == one.Hash {
-			t.Errorf("seeds %d and %d give one run", seed, seed+100)
+			t.Errorf("seeds %d and %d give the same run", seed, seed+100)
 		}
 	}
 }
--- a/internal/faultlab/model/network.go
+++ b/internal/faultlab/model/network.go
@@ -2,12 +2,13 @@
 
 import "math/rand/v2"
 
-// One-way delays in microseconds, without jitter. delayFar is that of sites some hundred kilometres apart.
+// One-way delays in microseconds, without jitter. delayFar is the delay between sites some hundred kilometres
+// apart.
 const (
-	delayZone   = 200 // within a zone
-	delayRegion = 1 * ms
-	delayFar    = 12 * ms
-	jitter      = 1.0 // fraction of the delay, at most
+	delayZone   = 200     // within a zone
+	delayRegion = 1 * ms  // between zones of a region
+	delayFar    = 12 * ms // between regions
+	jitter      = 1.0     // fraction of the delay, at most
 )
 
 // network determines whether, and with what delay, messages pass between zones.
@@ -15,15 +16,16 @@
 	zones        int
 	regions      int
 	random       *rand.Rand
-	cutRequests  []int // present cuts by from and to, of connections and requests
-	cutResponses []int // the same, of responses
-	cutGossip    []int // the same, of gossip
+	cutRequests  []int // active cuts of connections and requests, by from and to
+	cutResponses []int // the same for responses
+	cutGossip    []int // the same for gossip
 	gossipLoss   float64
 	gossipDelay  int64 // additional delay of gossip packets, at most
 }
 
 func newNetwork(c *Config) network {
-	return network{zones: c.Zones, regions: c.Regions, random: source(c.Seed, streamLinks), gossipLoss: c.Loss,
+	return network{zones: c.Zones, regions: c.Regions, random: source(c.Seed, streamLinks),
+		gossipLoss:   c.Loss,
 		cutRequests:  make([]int, c.Zones*c.Zones),
 		cutResponses: make([]int, c.Zones*c.Zones), cutGossip: make([]int, c.Zones*c.Zones)}
 }
--- a/internal/faultlab/model/proxy.go
+++ b/internal/faultlab/model/proxy.go
@@ -15,14 +15,14 @@
 	maxInboxGossip = 128      // gossip packets in a paused proxy's socket; more are dropped
 )
 
-// proxy is one process of the program: a balancer, its host, and a clock.
+// proxy simulates one process of the program: a balancer, its host, and a clock.
 type proxy struct {
 	sim         *simulation
 	id          int
 	name        string
 	zone        int
 	clockOffset int64   // of its clock, at the start of the run
-	clockRate   float64 // of its clock, 1 for an exact one
+	clockRate   float64 // of its clock; 1 is exact
 	up          bool
 	stopped     bool // paused, until it is resumed
 	startedAt   int64
@@ -31,8 +31,8 @@
 	incarnation int
 	balancer    *balancer.Balancer
 	requests    map[string]*request
-	listed      []balancer.Server // by server
-	inbox       []func()          // what arrived while it was paused
+	listed      []balancer.Server // as the proxy knows them, by server
+	inbox       []func()          // handlers of what arrived while it was paused
 	inboxGossip int               // gossip packets in the inbox
 	cluster     *clusterMember    // nil without a cluster
 }
@@ -41,15 +41,15 @@
 type request struct {
 	id        string
 	class     int
-	work      int64
+	work      int64 // microseconds on a slot of speed 1
 	arrivedAt int64
 	deadline  int64
-	closed    bool
+	closed    bool // answered, or the client is gone
 	attempts  []*attempt
-	excused   bool // its proxy was paused or ended meanwhile
+	excused   bool // it may stay unanswered, since its proxy was paused meanwhile
 }
 
-// attemptPlace is where an attempt is at its server.
+// attemptPlace says where an attempt is at its server.
 type attemptPlace uint8
 
 const (
@@ -58,7 +58,7 @@
 	placeInSlot
 )
 
-// attempt is one send of a request.
+// attempt is one attempt of a request at a server.
 type attempt struct {
 	request         *request
 	number          int
@@ -78,7 +78,7 @@
 		clockRate:   1 + (2*clocks.Float64()-1)*sim.cfg.MaxClockDrift}
 }
 
-// clock returns Unix time by the proxy's clock.
+// clock returns the Unix time by the proxy's clock, in microseconds.
 func (p *proxy) clock() int64 { return epoch + p.clockOffset + int64(float64(p.sim.now)*p.clockRate) }
 
 // realDuration converts a duration by the proxy's clock to virtual time.
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// kill kills the process: its clients' and servers' connections end.
+// kill ends the process: the connections to its clients and servers break.
 func (p *proxy) kill() {
 	if !p.up {
 		return
@@ -135,7 +135,7 @@
 	p.requests = nil
 }
 
-// pause stops the process like SIGSTOP, until resume.
+// pause stops the process like SIGSTOP, until resume is called.
 func (p *proxy) pause() {
 	if p.up && !p.stopped {
 		p.stopped, p.downAt = true, p.sim.now
@@ -146,7 +146,8 @@
 	}
 }
 
-// resume continues the process: it handles all that arrived meanwhile, in order, with its clock advanced.
+// resume continues the process: it handles everything that arrived meanwhile, in order, with its clock
+// advanced.
 func (p *proxy) resume() {
 	if !p.up || !p.stopped {
 		return
@@ -161,7 +162,7 @@
 	p.inboxGossip = 0
 }
 
-// deliver runs something in the process now, or once it is resumed; not in a later incarnation.
+// deliver calls run in the process now, or once it is resumed, but not in a later incarnation.
 func (p *proxy) deliver(incarnation int, run func()) {
 	switch {
 	case !p.up || p.incarnation != incarnation:
@@ -172,7 +173,7 @@
 	}
 }
 
-// after plans something in the process, unless another incarnation runs then.
+// after schedules run in the process, unless another incarnation runs by then.
 func (p *proxy) after(delay int64, kind eventKind, incarnation int, run func()) {
 	p.sim.after(delay, kind, p.id, func() { p.deliver(incarnation, run) })
 }
@@ -186,20 +187,20 @@
 }
 
 // announce delivers a change of the endpoint list to every proxy.
-func (w *simulation) announce(target *server, state balancer.ServerState, delay int64) {
-	e, starts := target.entry(state), target.generation
-	for _, p := range w.proxies {
-		w.after(delay+w.network.delay(0, p.zone), evList, p.id, func() {
+func (sim *simulation) announce(target *server, state balancer.ServerState, delay int64) {
+	e, generation := target.entry(state), target.generation
+	for _, p := range sim.proxies {
+		sim.after(delay+sim.network.delay(0, p.zone), evList, p.id, func() {
 			p.deliver(p.incarnation, func() {
-				if target.generation != starts { // superseded
+				if target.generation != generation { // superseded
 					return
 				}
 				p.listed[target.id] = e
-				said := e
-				if w.cfg.seeded == seedStartHidden {
-					said.StartTime = 0
+				announced := e
+				if sim.cfg.seeded == seedStartHidden {
+					announced.StartTime = 0
 				}
-				p.balancer.UpdateEndpoints(p.clock(), p, balancer.UpdateDelta, []balancer.Server{said})
+				p.balancer.UpdateEndpoints(p.clock(), p, balancer.UpdateDelta, []balancer.Server{announced})
 			})
 		})
 	}
@@ -216,7 +217,7 @@
 func (p *proxy) Send(id, server string, _, timeout int64) {
 	sim, req := p.sim, p.requests[id]
 	if req == nil {
-		sim.check.violated(ruleRequest, "%s sent %s, which it does not have", p.name, id)
+		sim.check.violated(ruleRequest, "%s sent request %s, which it does not have", p.name, id)
 		return
 	}
 	target := sim.serverByName(server)
@@ -235,7 +236,7 @@
 		return
 	}
 	sim.after(sim.network.delay(p.zone, target.zone), evAttempt, target.id, func() {
-		if !a.ended { // else it was cancelled on the way
+		if !a.ended { // else it was cancelled before it arrived
 			target.accept(a)
 		}
 	})
@@ -264,14 +265,15 @@
 }
 
 // cancelAttempt ends an attempt and removes it from its server's queue.
-func (w *simulation) cancelAttempt(a *attempt) {
+func (sim *simulation) cancelAttempt(a *attempt) {
 	a.ended = true
 	if a.place == placeQueued {
-		w.after(w.network.delay(a.proxy.zone, a.server.zone), evAttempt, a.server.id, func() { a.server.dropQueued(a) })
+		sim.after(sim.network.delay(a.proxy.zone, a.server.zone), evAttempt, a.server.id,
+			func() { a.server.dropQueued(a) })
 	}
 }
 
-// closeRequest ends a request towards its client.
+// closeRequest ends a request for its client.
 func (p *proxy) closeRequest(req *request, e requestEnd) {
 	p.sim.check.checkAnswer(p, req)
 	if req.closed {
@@ -303,7 +305,7 @@
 	p.sim.record(k, p.id, 0)
 	req := p.requests[id]
 	if req == nil {
-		p.sim.check.violated(ruleRequest, "%s answers %s, which it does not have", p.name, id)
+		p.sim.check.violated(ruleRequest, "%s answers request %s, which it does not have", p.name, id)
 		return
 	}
 	p.closeRequest(req, e)
@@ -328,7 +330,7 @@
 	}
 }
 
-// cancel ends a request whose client's deadline has passed.
+// cancel ends a request whose client has given up.
 func (p *proxy) cancel(req *request) {
 	if req.closed {
 		return
--- a/internal/faultlab/model/publications.go
+++ b/internal/faultlab/model/publications.go
@@ -2,7 +2,8 @@
 
 import "merlinpick/internal/cluster/state"
 
-// publicationLog records when each entry was published in virtual time. Ages in stores are checked against it.
+// publicationLog records when each entry was published, in virtual time. The ages of entries are checked
+// against it.
 type publicationLog struct {
 	publishedAt map[publicationKey]int64
 	lastSweep   int64
@@ -15,7 +16,7 @@
 	seq         uint64
 }
 
-const publicationRetention = 150 * sec // twice the longest TTL, and a pause
+const publicationRetention = 150 * sec // twice the longest TTL, plus a pause
 
 func (l *publicationLog) begin() { l.publishedAt = map[publicationKey]int64{} }
 
@@ -29,9 +30,9 @@
 	}
 	if sim.now-l.lastSweep > publicationRetention {
 		l.lastSweep = sim.now
-		for m, at := range l.publishedAt {
+		for key, at := range l.publishedAt {
 			if sim.now-at > publicationRetention {
-				delete(l.publishedAt, m)
+				delete(l.publishedAt, key)
 			}
 		}
 	}
--- a/internal/faultlab/model/result.go
+++ b/internal/faultlab/model/result.go
@@ -2,7 +2,7 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// requestEnd is how a request ended for its client.
+// requestEnd says how a request ended for its client.
 type requestEnd int
 
 const (
@@ -20,10 +20,10 @@
 
 // Result is the result of a run.
 type Result struct {
-	Hash           uint64 // of all events and actions in order: equal for equal runs
+	Hash           uint64 // of all events and actions in order; equal for equal runs
 	Events         int
 	Violations     []Violation // the first ones of each rule
-	ViolationCount int         // of all
+	ViolationCount int         // all of them
 
 	Requests      int
 	Ends          [endCount]int
@@ -36,13 +36,13 @@
 	Packets           int       // gossip packets
 	Bytes             int       // of gossip, where it is encoded
 	DroppedAfterPause int       // gossip packets, by proxies that had been paused
-	HealthAges        durations // of health reports that proxies hold of others, once a second
+	HealthAges        durations // true ages of the health reports of peers that proxies hold, once a second
 	HealthPropagation durations // of health reports, from their publication to a proxy
-	LoadAges          durations // the same of load reports
+	LoadAges          durations // the same for load reports
 	LoadPropagation   durations
-	EvacuationSpread  durations // from the first to the last proxy of a zone to evacuate another, while they hear each other
-	Disagreements     durations // of proxies of a zone that hear each other, on evacuating another
-	MaxOverrun        int64     // the longest use of an entry beyond its TTL, by its true age
+	EvacuationSpread  durations // of a zone's proxies, from the first to the last that evacuates a zone
+	Disagreements     durations // of a zone's proxies that hear each other, on the evacuation of a zone
+	MaxOverrun        int64     // the longest time beyond its TTL that an entry was used, by its true age
 
 	bins []binCounts
 }
@@ -54,7 +54,7 @@
 
 func (a *durations) add(d int64) { _ = a.h.RecordValue(min(max(d, 1), maxDuration)) }
 
-// At returns the quantile of a fraction, in microseconds.
+// At returns the quantile for a fraction from 0 to 1, in microseconds.
 func (a *durations) At(part float64) int64 { return a.h.ValueAtQuantile(100 * part) }
 
 // N returns the number of recorded durations.
@@ -84,6 +84,7 @@
 
 func (r *Result) at(t int64) *binCounts { return &r.bins[min(int(t/binWidth), len(r.bins)-1)] }
 
+// countSend counts an attempt.
 func (r *Result) countSend(sim *simulation, a *attempt) {
 	r.Sends++
 	if a.proxy.zone != a.zone {
@@ -105,32 +106,34 @@
 	}
 }
 
-func (r *Result) countArrival(at int64, worth float64) {
+// countArrival counts a request at the time of its arrival.
+func (r *Result) countArrival(at int64, weight float64) {
 	r.Requests++
-	r.OfferedWeight += worth
-	r.at(at).offeredWeight += worth
+	r.OfferedWeight += weight
+	r.at(at).offeredWeight += weight
 }
 
 func (r *Result) end(sim *simulation) { r.Hash = sim.log.Sum64() }
 
-// InTime returns the fraction of the offered weight that was served in time, of requests that arrived in [from, to).
+// InTime returns the fraction of the offered weight that was served in time, for requests that arrived in
+// [from, to).
 func (r *Result) InTime(from, to int64) float64 {
-	offered, worth := 0.0, 0.0
+	offered, served := 0.0, 0.0
 	for i := max(from/binWidth, 0); i < min(to/binWidth, int64(len(r.bins))); i++ {
 		offered += r.bins[i].offeredWeight
-		worth += r.bins[i].servedWeight
+		served += r.bins[i].servedWeight
 	}
 	if offered == 0 {
 		return 0
 	}
-	return worth / offered
+	return served / offered
 }
 
-// Target is what a fault affects: attempts to a server, or to a zone from other zones or from its own proxies.
+// Target describes the attempts that a fault affects: those to a server, or those to a zone.
 type Target struct {
-	Server     int // or -1
+	Server     int // -1: all servers of Zone
 	Zone       int
-	OwnProxies bool
+	OwnProxies bool // attempts of the zone's own proxies, else those from other zones
 }
 
 // sends counts the attempts in [from, to) to a target, and all attempts of the proxies that may send to it.
@@ -151,8 +154,9 @@
 	return there, all
 }
 
-// Avoided returns how long after a fault's start the target gets at most avoidedFraction of its previous share of attempts
-// for a second, or the fault's duration if that never happens; wasted counts the attempts to it until the fault's end.
+// Avoided returns how long after a fault's start the target begins to get at most avoidedFraction of its
+// previous share of attempts for a second, or the fault's duration if that does not happen. wasted is the
+// number of attempts to the target until the fault's end.
 func (r *Result) Avoided(at, end int64, t Target) (after int64, wasted int) {
 	wasted, _ = r.sends(at, end, t)
 	before, all := r.sends(at-5*sec, at, t)
@@ -168,7 +172,7 @@
 
 const avoidedFraction = 0.2
 
-// isqrt returns the root of a square.
+// isqrt returns the square root of a square number.
 func isqrt(n int) (r int) {
 	for r*r < n {
 		r++
--- a/internal/faultlab/model/seeded_test.go
+++ b/internal/faultlab/model/seeded_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// Each check detects a fault that is injected for it, and reports no violation of its rule without.
+// Each check detects the fault that is injected for it, and without the fault it reports no violation of its
+// rule.
 func TestChecksCatchSeededFaults(t *testing.T) {
-	all := func(n, step int) (who []int) {
+	every := func(n, step int) (targets []int) {
 		for i := 0; i < n; i += step {
-			who = append(who, i)
+			targets = append(targets, i)
 		}
-		return who
+		return targets
 	}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name   string
 		seeded seededFault
 		rule   Rule
@@ -23,9 +24,9 @@
 		{"a queue holds one more", seedQueueOverLimit, ruleServerCapacity, 3, nil},
 		{"a rejection is answered twice", seedTwoAnswers, ruleRequest, 2, nil},
 		{"a reset counts as not executed", seedExecutionHidden, ruleRequest, 0.7,
-			[]Fault{{Kind: ServerKilled, At: 5 * sec, Duration: sec, Targets: all(18, 3)}}},
+			[]Fault{{Kind: ServerKilled, At: 5 * sec, Duration: sec, Targets: every(18, 3)}}},
 		{"a start is hidden from the list", seedStartHidden, ruleSlowStart, 0.8,
-			[]Fault{{Kind: ServerKilled, At: 2 * sec, Duration: 4 * sec, Targets: all(18, 9)}}},
+			[]Fault{{Kind: ServerKilled, At: 2 * sec, Duration: 4 * sec, Targets: every(18, 9)}}},
 		{"expired entries are used", seedUsesExpired, ruleExpiry, 0.6,
 			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 5 * sec, Targets: []int{3}, Value: 1}}},
 		{"gossip from before a pause counts as new", seedAcceptsStale, ruleExpiry, 0.6, []Fault{
@@ -40,23 +41,24 @@
 			[]Fault{{Kind: ServerErrors, At: 5 * sec, Duration: 8 * sec, Targets: []int{3, 9, 15}, Value: 1}}},
 		{"all zones are evacuated", seedAllEvacuated, ruleSomeZone, 0.6, nil},
 	} {
-		t.Run(k.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			c := Default()
-			if k.rule == ruleSlowStart { // for other servers the calls in flight limit the load already
+			if test.rule == ruleSlowStart { // with other settings the calls in flight already limit the load
 				c.Proxies, c.SlowStartMinCapacity, c.OverloadMultiple, c.Duration = 40, 0.05, 1, 11*sec
 			}
-			c.Rate, c.Faults = k.load*c.Capacity(), k.faults
-			caught := func(s seededFault) bool {
+			c.Rate, c.Faults = test.load*c.Capacity(), test.faults
+			isDetected := func(s seededFault) bool {
 				c.seeded = s
 				r := mustRun(t, c)
-				return slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Rule == k.rule })
+				return slices.ContainsFunc(r.Violations,
+					func(v Violation) bool { return v.Rule == test.rule })
 			}
-			if caught(seedNone) {
-				t.Error("found without the fault")
+			if isDetected(seedNone) {
+				t.Error("violation reported without the injected fault")
 			}
-			if !caught(k.seeded) {
-				t.Error("not found")
+			if !isDetected(test.seeded) {
+				t.Error("injected fault not detected")
 			}
 		})
 	}
--- a/internal/faultlab/model/server.go
+++ b/internal/faultlab/model/server.go
@@ -9,8 +9,8 @@
 	"merlinpick/balancer"
 )
 
-// server is a server with slots, a queue, a slow start, and a load at which it fails while it warms up. Its rules are those
-// of internal/faultlab/stubserver, without connections.
+// server simulates a server with slots, a queue and slow start, which fails under overload while it warms up.
+// Its rules are those of internal/faultlab/stubserver, without connections.
 type server struct {
 	sim        *simulation
 	id         int
@@ -18,9 +18,9 @@
 	zone       int
 	random     *rand.Rand
 	up         bool
-	zoneLosses int   // lost zones that it is in: it does not even reject connections
-	generation int   // counts starts and stops: work of an earlier one is lost
-	startedAt  int64 // the last start
+	zoneLosses int   // active zone losses: while there is one, it does not even refuse connections
+	generation int   // counts starts and stops; work of an earlier generation is lost
+	startedAt  int64 // of its last start
 	slowStart  bool
 	inFlight   int
 	queue      []*attempt
@@ -32,7 +32,7 @@
 type arrival struct {
 	at       int64
 	work     int64
-	informed bool // the proxy knew of the start
+	informed bool // the proxy that sent it knew of the start
 }
 
 func newServer(sim *simulation, id int, chance *rand.Rand) *server {
@@ -41,15 +41,16 @@
 }
 
 // serverByName returns the server of a name that a balancer was given.
-func (w *simulation) serverByName(name string) *server {
+func (sim *simulation) serverByName(name string) *server {
 	i, err := strconv.Atoi(name[1:])
-	if err != nil || i >= len(w.servers) {
+	if err != nil || i >= len(sim.servers) {
 		panic("model: no server is named " + name)
 	}
-	return w.servers[i]
+	return sim.servers[i]
 }
 
-// listedStart returns the start as in the endpoint list: Unix time in microseconds, in full milliseconds; 0 for long ago.
+// listedStart returns the start time in the endpoint list: Unix time in microseconds, rounded down to
+// milliseconds; 0 for a server that has run for long.
 func (s *server) listedStart() int64 {
 	if !s.slowStart {
 		return 0
@@ -61,7 +62,7 @@
 	return balancer.Server{ID: s.name, Zone: s.zone, Cell: s.id, CapacityHint: 1, State: state, StartTime: s.listedStart()}
 }
 
-// start starts the process, warming up, and announces it.
+// start starts the process in slow start, and announces it.
 func (s *server) start() {
 	if s.up || s.zoneLosses > 0 {
 		return
@@ -71,7 +72,7 @@
 	s.sim.announce(s, balancer.ServerReady, s.sim.cfg.ListAddDelay)
 }
 
-// stop ends the process: its callers' connections are reset, unless its zone is lost.
+// stop ends the process: its connections are reset, unless its zone is lost.
 func (s *server) stop() {
 	if !s.up {
 		return
@@ -94,32 +95,32 @@
 
 // slowdown returns the factor by which work takes longer.
 func (s *server) slowdown() float64 {
-	x := 1.0
+	factor := 1.0
 	for _, f := range s.faults {
 		if f.Kind == ServerSlow {
-			x *= f.Value
+			factor *= f.Value
 		}
 	}
-	return x
+	return factor
 }
 
 // errorRate returns the fraction of responses that are errors.
 func (s *server) errorRate() float64 {
-	x := 0.0
+	rate := 0.0
 	for _, f := range s.faults {
 		if f.Kind == ServerErrors {
-			x = 1 - (1-x)*(1-f.Value)
+			rate = 1 - (1-rate)*(1-f.Value)
 		}
 	}
-	return x
+	return rate
 }
 
-// isUnresponsive reports whether it does not respond to requests.
+// isUnresponsive reports whether the server does not respond to requests.
 func (s *server) isUnresponsive() bool {
 	return slices.ContainsFunc(s.faults, func(f *Fault) bool { return f.Kind == ServerUnresponsive })
 }
 
-// capacityFraction returns the present fraction of its capacity.
+// capacityFraction returns the fraction of its capacity that the server has at a time.
 func (s *server) capacityFraction(at int64) float64 {
 	c := s.sim.cfg
 	if !s.slowStart || at-s.startedAt >= c.SlowStartDuration {
@@ -128,11 +129,11 @@
 	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(max(at-s.startedAt, 0))/float64(c.SlowStartDuration)
 }
 
-// accept handles an attempt that arrives.
+// accept puts an arriving attempt into a slot or the queue, or rejects it.
 func (s *server) accept(a *attempt) {
 	s.sim.touchedServer = s
 	switch {
-	case s.zoneLosses > 0: // no answer at all
+	case s.zoneLosses > 0: // no response at all
 	case !s.up:
 		s.respond(a, balancer.StatusConnectFailed)
 	case s.isUnresponsive():
@@ -160,8 +161,9 @@
 	return s.sim.cfg.Queue
 }
 
-// isOverloaded records work that arrives at a warming server, and reports whether the last window had more than the server
-// can take and one request. The capacity in the middle of the window is used for all of it.
+// isOverloaded records work that arrives at a warming server, and reports whether the work of the last window
+// exceeds what the server can take by more than this request. The capacity in the middle of the window counts
+// for all of it.
 func (s *server) isOverloaded(a *attempt) bool {
 	c, now := s.sim.cfg, s.sim.now
 	if !s.slowStart || now-s.startedAt > c.SlowStartDuration+c.OverloadWindow {
@@ -186,7 +188,7 @@
 	if float64(sum) <= capacity+float64(a.request.work) {
 		return false
 	}
-	if s.slowdown() == 1 { // else no proxy could know of the slowdown yet
+	if s.slowdown() == 1 { // else proxies could not know of the slowdown
 		s.sim.check.checkOverload(s, float64(informed)/float64(sum))
 	}
 	return true
@@ -196,12 +198,12 @@
 func (s *server) process(a *attempt) {
 	a.place = placeInSlot
 	took := float64(a.request.work) * s.slowdown() / (s.sim.cfg.Speed * s.capacityFraction(s.sim.now))
-	incarnation := s.generation
-	s.sim.after(int64(took), evWork, s.id, func() { s.done(a, incarnation) })
+	generation := s.generation
+	s.sim.after(int64(took), evWork, s.id, func() { s.done(a, generation) })
 }
 
-func (s *server) done(a *attempt, incarnation int) {
-	if s.generation != incarnation {
+func (s *server) done(a *attempt, generation int) {
+	if s.generation != generation {
 		s.reset(a)
 		return
 	}
@@ -222,7 +224,7 @@
 	}
 }
 
-// dropQueued removes a cancelled attempt from the queue; work in a slot goes on.
+// dropQueued removes a cancelled attempt from the queue; work in a slot continues.
 func (s *server) dropQueued(a *attempt) {
 	if a.place == placeQueued {
 		a.place = placeNone
@@ -230,7 +232,7 @@
 	}
 }
 
-// respond sends a status to the proxy, if the network passes it.
+// respond sends a status to the proxy, unless the network drops it.
 func (s *server) respond(a *attempt, status balancer.Status) {
 	if s.sim.network.passesResponses(s.zone, a.proxy.zone) {
 		a.proxy.after(s.sim.network.delay(s.zone, a.proxy.zone), evOutcome, a.incarnation, func() { a.proxy.outcome(a, status) })
--- a/internal/faultlab/model/simulation.go
+++ b/internal/faultlab/model/simulation.go
@@ -26,15 +26,15 @@
 	evSend // from here on: actions of proxies
 	evReject
 	evFail
-	evEntry
+	evEntry // of shared state, published or received
 )
 
-// event is something that happens at a time. Events of one time run in the order in which they were planned.
+// event is a call at a time. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	time    int64
 	number  uint64
 	kind    eventKind
-	subject int32
+	subject int32 // number of the proxy, server, arrival or kind of fault
 	run     func()
 }
 
@@ -42,7 +42,7 @@
 	return e.time < o.time || e.time == o.time && e.number < o.number
 }
 
-// eventQueue is a binary heap of events. container/heap would allocate for each one.
+// eventQueue is a binary heap of events. container/heap would allocate memory for each event.
 type eventQueue []event
 
 func (a *eventQueue) push(e event) {
@@ -98,14 +98,16 @@
 	gossip        gossipNetwork
 	check         checker
 	result        Result
-	touchedServer *server // by this event
+	touchedServer *server // the server that the current event changed; nil: none
 
 	zoneNumbers map[string]int // by name
 }
 
-// source returns a random source for one concern, so that another fault does not change the arrivals.
-func source(seed, concern uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, concern)) }
+// source returns one of the random streams of a seed. Each concern has its own stream, so that, for example,
+// other faults do not change the arrivals.
+func source(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
+// The random streams of a run.
 const (
 	streamClients = iota + 1
 	streamLinks
@@ -113,26 +115,26 @@
 	streamClocks
 	streamGossip
 	streamFaults
-	streamProxies // and one for each start of each proxy
+	streamProxies // the first of those of the proxies: one for each start of each
 )
 
-// after plans an event after a delay in microseconds.
-func (w *simulation) after(delay int64, k eventKind, who int, run func()) {
-	w.scheduledEvents++
-	w.events.push(event{w.now + max(delay, 0), w.scheduledEvents, k, int32(who), run})
+// after schedules an event after a delay in microseconds.
+func (sim *simulation) after(delay int64, kind eventKind, subject int, run func()) {
+	sim.scheduledEvents++
+	sim.events.push(event{sim.now + max(delay, 0), sim.scheduledEvents, kind, int32(subject), run})
 }
 
 // record adds an event to the run's hash.
-func (w *simulation) record(k eventKind, who int, what int64) {
-	w.logLine[0] = byte(k)
-	binary.LittleEndian.PutUint64(w.logLine[1:], uint64(w.now))
-	binary.LittleEndian.PutUint64(w.logLine[9:], uint64(who))
-	binary.LittleEndian.PutUint64(w.logLine[17:], uint64(what))
-	w.log.Write(w.logLine[:]) // a hash never fails
+func (sim *simulation) record(kind eventKind, subject int, value int64) {
+	sim.logLine[0] = byte(kind)
+	binary.LittleEndian.PutUint64(sim.logLine[1:], uint64(sim.now))
+	binary.LittleEndian.PutUint64(sim.logLine[9:], uint64(subject))
+	binary.LittleEndian.PutUint64(sim.logLine[17:], uint64(value))
+	sim.log.Write(sim.logLine[:]) // a hash never fails
 }
 
-// Run runs a configuration to its end. Violations are in the result and do not end the run. The error is a *ConfigError or
-// one of balancer.New.
+// Run simulates a configuration to its end. Violations are in the result and do not end the run. The error is
+// a *ConfigError or an error of balancer.New.
 func Run(c Config) (*Result, error) {
 	if err := c.validate(); err != nil {
 		return nil, err
--- a/internal/faultlab/ramp/ramp_test.go
+++ b/internal/faultlab/ramp/ramp_test.go
@@ -13,7 +13,8 @@
 )
 
 var (
-	seeds = flag.Int("ramp.seeds", 13, "fleets to play; each seed draws its settings and plays one scenario at one size")
+	seeds = flag.Int("ramp.seeds", 13,
+		"fleets to play; each seed draws its settings and plays one scenario at one size")
 	table = flag.Bool("ramp.table", false, "print the distribution of the worst window")
 )
 
@@ -63,9 +64,11 @@
 	for i, r := range results {
 		c := configOfSeed(play[i])
 		if r.Excess > 0 {
-			t.Errorf("seed %d, %s, %d processes: %.1f calls over the bound of a window with a budget of %.1f", c.Seed, c.Scenario, c.Proxies, r.Excess, r.WindowBudget)
+			t.Errorf("seed %d, %s, %d processes: %.1f calls over the bound of a window with a budget of %.1f",
+				c.Seed, c.Scenario, c.Proxies, r.Excess, r.WindowBudget)
 		}
-		for _, k := range []string{"all", fmt.Sprintf("%d processes, fleet %v", c.Proxies, c.Cluster), string(c.Scenario)} {
+		for _, k := range []string{"all", fmt.Sprintf("%d processes, fleet %v", c.Proxies, c.Cluster),
+			string(c.Scenario)} {
 			if !slices.Contains(order, k) {
 				order = append(order, k)
 			}
--- a/internal/faultlab/ramp/scene.go
+++ b/internal/faultlab/ramp/scene.go
@@ -6,7 +6,8 @@
 type Scenario string
 
 // Scenarios are all scenes, in the order of the tables.
-var Scenarios = []Scenario{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow", "fail", "home",
+var Scenarios = []Scenario{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow",
+	"fail", "home",
 	"surge", "overload"}
 
 // startScenario starts the scenario's event.
