--- a/internal/faultlab/chain/chain.go
+++ b/internal/faultlab/chain/chain.go
@@ -1,10 +1,11 @@
-// Package chain simulates a chain of tiers in virtual time: a real balancer before each tier, with simulated servers and callers.
-// It counts how many attempts the last tier gets for each call that arrives, and compares them with the retry budgets. It opens
-// no connections and reads no clock.
+// Package chain simulates a chain of tiers in virtual time: a real balancer before each tier, with simulated
+// servers and callers. It counts how many attempts the last tier gets for each call that arrives, and
+// compares them with the retry budgets. It opens no connections and reads no clock.
 //
-// As in the protocol, every server of a tier but the last owns a proxy of the next tier and is its only caller. A server answers
-// a request by its own work and one call through that proxy, with the remaining deadline, and fails if that call fails. Calls
-// arrive at front proxies before the first tier. All randomness comes from the seed; only work and network take time.
+// As in the protocol, every server of a tier but the last owns a proxy of the next tier and is its only
+// caller. To answer a request, a server does its own work and makes one call through that proxy, with the
+// remaining deadline; it fails if that call fails. Calls arrive at front proxies before the first tier. All
+// randomness comes from the seed; only work and the network take time.
 package chain
 
 import (
@@ -15,7 +16,7 @@
 	"merlinpick/balancer"
 )
 
-// All times are in microseconds, as the balancer's.
+// All times are in microseconds, as in the balancer.
 const (
 	milli  = int64(1000)
 	second = 1000 * milli
@@ -25,11 +26,11 @@
 
 // Fault is a fault of the last tier; the zero value is none.
 type Fault struct {
-	Slow   float64 // factor of the work's duration; 0 is 1
-	Errors float64 // part of the calls that fail after their work
+	Slow   float64 // factor by which work takes longer; 0 means 1
+	Errors float64 // fraction of the calls that fail after their work
 	Hang   bool    // calls are accepted and never answered
-	Share  float64 // part of the servers with the fault; 0 is all
-	Start  int64   // when it starts
+	Share  float64 // fraction of the servers with the fault; 0 means all
+	Start  int64   // virtual time at which the fault starts
 }
 
 // Config describes a chain and its load.
@@ -37,15 +38,15 @@
 	Tiers              int
 	Width              int     // servers of each tier, and front proxies
 	Rate               float64 // calls a second at each front proxy
-	Seconds            int64   // of arrivals
+	Seconds            int64   // for which calls arrive
 	Slots              int     // of a server; its queue holds queuedPerSlot times as many calls
-	MeanWork           int64   // at each tier
-	CallerTimeout      int64   // of a caller of the first tier
-	IgnoreCancellation bool    // servers continue calls whose caller has left
+	MeanWork           int64   // of a call at each tier
+	CallerTimeout      int64   // of the callers of the first tier
+	IgnoreCancellation bool    // servers continue the work on cancelled calls
 	Seed               uint64
 	Fault              Fault
 
-	// Settings are those of all proxies, but for their tier and replica.
+	// Settings are the settings of all proxies, apart from their tier and replica.
 	Settings balancer.Settings
 }
 
@@ -55,8 +56,8 @@
 	ArrivedDuringFault                int       // calls since the fault's start
 	LastTierAttempts                  int       // at the last tier since the fault's start
 	Attempts                          []int     // at each tier
-	RejectedBefore                    []int     // calls rejected before each tier
-	AttemptBounds                     []float64 // the most attempts at each tier that the retry budgets allow
+	RejectedBefore                    []int     // calls that the proxies before each tier rejected
+	AttemptBounds                     []float64 // attempts at each tier that the retry budgets allow
 	BudgetViolations                  []string  // proxies that exceeded their retry budget
 }
 
@@ -69,7 +70,7 @@
 type simulation struct {
 	config    Config
 	now       int64
-	scheduled int64 // events so far
+	scheduled int64 // number of events so far
 	events    events
 	random    *rand.Rand
 	fronts    []*proxy
@@ -78,94 +79,97 @@
 	result    Result
 }
 
-// after schedules an event.
-func (w *simulation) after(delay int64, run func()) {
-	w.scheduled++
-	heap.Push(&w.events, event{w.now + max(delay, 0), w.scheduled, run})
+// after schedules an event after a delay in microseconds.
+func (sim *simulation) after(delay int64, run func()) {
+	sim.scheduled++
+	heap.Push(&sim.events, event{sim.now + max(delay, 0), sim.scheduled, run})
 }
 
-// Run simulates a chain until no event is left. The error is that of invalid settings.
+// Run simulates a chain until no event is left. It returns an error if the settings are invalid.
 func Run(config Config) (*Result, error) {
-	w := &simulation{config: config, now: second, random: rand.New(rand.NewPCG(config.Seed, 5))}
-	w.result = Result{Attempts: make([]int, config.Tiers), RejectedBefore: make([]int, config.Tiers)}
-	if err := w.build(); err != nil {
+	sim := &simulation{config: config, now: second, random: rand.New(rand.NewPCG(config.Seed, 5))}
+	sim.result = Result{Attempts: make([]int, config.Tiers), RejectedBefore: make([]int, config.Tiers)}
+	if err := sim.build(); err != nil {
 		return nil, err
 	}
-	for _, front := range w.fronts {
-		w.scheduleArrival(front, config.Seconds*second)
+	for _, front := range sim.fronts {
+		sim.scheduleArrival(front, config.Seconds*second)
 	}
-	for len(w.events) > 0 {
-		next := heap.Pop(&w.events).(event)
-		w.now = next.time
+	for len(sim.events) > 0 {
+		next := heap.Pop(&sim.events).(event)
+		sim.now = next.time
 		next.run()
 	}
-	w.checkBudgets()
-	return &w.result, nil
+	sim.checkBudgets()
+	return &sim.result, nil
 }
 
 // build creates the servers and their proxies from the last tier on, then the front proxies.
-func (w *simulation) build() error {
-	w.tiers = make([][]*server, w.config.Tiers)
-	for tier := w.config.Tiers - 1; tier >= 0; tier-- {
-		for i := range w.config.Width {
-			s := &server{sim: w, tier: tier, number: i}
-			if tier < w.config.Tiers-1 {
+func (sim *simulation) build() error {
+	sim.tiers = make([][]*server, sim.config.Tiers)
+	for tier := sim.config.Tiers - 1; tier >= 0; tier-- {
+		for i := range sim.config.Width {
+			s := &server{sim: sim, tier: tier, number: i}
+			if tier < sim.config.Tiers-1 {
 				var err error
-				if s.downstream, err = w.newProxy(tier+1, i); err != nil {
+				if s.downstream, err = sim.newProxy(tier+1, i); err != nil {
 					return err
 				}
 			}
-			w.tiers[tier] = append(w.tiers[tier], s)
+			sim.tiers[tier] = append(sim.tiers[tier], s)
 		}
 	}
-	for i := range w.config.Width {
-		front, err := w.newProxy(0, i)
+	for i := range sim.config.Width {
+		front, err := sim.newProxy(0, i)
 		if err != nil {
 			return err
 		}
-		w.fronts = append(w.fronts, front)
+		sim.fronts = append(sim.fronts, front)
 	}
 	return nil
 }
 
 // scheduleArrival schedules the next call at a front proxy, as a Poisson process that stops at end.
-func (w *simulation) scheduleArrival(front *proxy, end int64) {
-	w.after(int64(w.random.ExpFloat64()/w.config.Rate*float64(second)), func() {
-		if w.now > end {
+func (sim *simulation) scheduleArrival(front *proxy, end int64) {
+	sim.after(int64(sim.random.ExpFloat64()/sim.config.Rate*float64(second)), func() {
+		if sim.now > end {
 			return
 		}
-		w.result.Arrived++
-		if w.now >= w.config.Fault.Start {
-			w.result.ArrivedDuringFault++
+		sim.result.Arrived++
+		if sim.now >= sim.config.Fault.Start {
+			sim.result.ArrivedDuringFault++
 		}
-		front.handle(w.config.CallerTimeout, func(result callResult) {
+		front.handle(sim.config.CallerTimeout, func(result callResult) {
 			switch result {
 			case succeeded:
-				w.result.Served++
+				sim.result.Served++
 			case rejected:
-				w.result.Rejected++
+				sim.result.Rejected++
 			default:
-				w.result.Failed++
+				sim.result.Failed++
 			}
 		})
-		w.scheduleArrival(front, end)
+		sim.scheduleArrival(front, end)
 	})
 }
 
-// checkBudgets calculates the most attempts that the retry budgets allow at each tier: in each window a proxy retries at most
-// RetryBudgetMin and RetryBudgetRatio of the calls that it handled, and a tier handles what the one before it sends.
-func (w *simulation) checkBudgets() {
-	settings := w.config.Settings
-	windows := float64((w.now-second)/settings.RetryBudgetWindow + 1)
-	bound := float64(w.result.Arrived)
-	for range w.config.Tiers {
-		bound = (1+settings.RetryBudgetRatio)*bound + float64(w.config.Width)*settings.RetryBudgetMin*windows
-		w.result.AttemptBounds = append(w.result.AttemptBounds, bound)
+// checkBudgets calculates the maximum number of attempts that the retry budgets allow at each tier, and
+// compares each proxy with its budget: in each window a proxy makes at most RetryBudgetMin retries and
+// RetryBudgetRatio retries for each call that it handled, and a tier handles the attempts of the one before
+// it.
+func (sim *simulation) checkBudgets() {
+	settings := sim.config.Settings
+	windows := float64((sim.now-second)/settings.RetryBudgetWindow + 1)
+	bound := float64(sim.result.Arrived)
+	for range sim.config.Tiers {
+		bound = (1+settings.RetryBudgetRatio)*bound +
+			float64(sim.config.Width)*settings.RetryBudgetMin*windows
+		sim.result.AttemptBounds = append(sim.result.AttemptBounds, bound)
 	}
-	for _, p := range w.proxies {
+	for _, p := range sim.proxies {
 		allowed := settings.RetryBudgetMin*windows + settings.RetryBudgetRatio*float64(p.handled)
 		if float64(p.retries) > allowed {
-			w.result.BudgetViolations = append(w.result.BudgetViolations,
+			sim.result.BudgetViolations = append(sim.result.BudgetViolations,
 				fmt.Sprintf("proxy %d before tier %d: %d retries for %d calls in %.0f windows, %.1f allowed",
 					p.number, p.tier, p.retries, p.handled, windows, allowed))
 		}
--- a/internal/faultlab/chain/chain_test.go
+++ b/internal/faultlab/chain/chain_test.go
@@ -18,6 +18,7 @@
 			Classes: []balancer.Class{{Name: "read", LatencyObjective: 400 * milli, Deadline: 2 * second, PriorityWeight: 1}}}}
 }
 
+// faults are the faults of the last tier that the tests inject.
 var faults = []struct {
 	name               string
 	fault              Fault
@@ -33,7 +34,8 @@
 	{name: "a third of calls fail", fault: Fault{Errors: 0.33}},
 }
 
-// With any fault of the last of 12 tiers, it gets no more attempts than the retry budgets of the proxies before it allow.
+// Whatever fault the last of 12 tiers has, each tier gets no more attempts than the retry budgets of the
+// proxies before it allow.
 func TestRetryBudgetBoundsChain(t *testing.T) {
 	for _, test := range faults {
 		t.Run(test.name, func(t *testing.T) {
@@ -53,17 +55,19 @@
 			}
 			for tier, most := range result.AttemptBounds {
 				if float64(result.Attempts[tier]) > most {
-					t.Errorf("tier %d got %d attempts, of %.0f that the retry budgets allow", tier+1, result.Attempts[tier], most)
+					t.Errorf("tier %d got %d attempts, but the retry budgets allow %.0f", tier+1,
+						result.Attempts[tier], most)
 				}
 			}
 			if test.name == "nothing" && (result.Served < result.Arrived*99/100 || result.Amplification() > 1.01) {
-				t.Errorf("without a fault: %s", formatResult(result))
+				t.Errorf("without a fault, want 99 %% served and 1.01 attempts for each call at most: %s",
+					formatResult(result))
 			}
 		})
 	}
 }
 
-// Without a retry budget the same chain exceeds the bound, so that the bound is an effect of the budget.
+// Without a retry budget the same chain exceeds the bound, which shows that the budget causes the bound.
 func TestChainWithoutRetryBudgetExceedsBound(t *testing.T) {
 	config := testConfig(20, 12, 3)
 	config.Fault = Fault{Errors: 1, Start: 3 * second}
@@ -79,15 +83,20 @@
 	}
 	t.Logf("without: %s; with: %s", formatResult(unlimited), formatResult(limited))
 	if last := len(limited.AttemptBounds) - 1; float64(unlimited.Attempts[last]) <= limited.AttemptBounds[last] {
-		t.Errorf("%d attempts without a retry budget, within the bound of %.0f with one", unlimited.Attempts[last], limited.AttemptBounds[last])
+		t.Errorf("%d attempts without a retry budget, want more than the bound of %.0f with one",
+			unlimited.Attempts[last], limited.AttemptBounds[last])
 	}
 }
 
+// formatResult returns a result in one line.
 func formatResult(result *Result) string {
-	each := func(tier int) float64 { return float64(result.Attempts[tier-1]) / float64(result.Arrived) }
-	return fmt.Sprintf("came %d served %d refused %d failed %d; attempts for each call: tier 1 %.2f, 4 %.2f, 8 %.2f, 12 %.2f "+
-		"(since it began %.2f), at most %.2f; refused before tiers %v", result.Arrived, result.Served, result.Rejected, result.Failed, each(1), each(4),
-		each(8), each(12), result.Amplification(), result.AttemptBounds[len(result.AttemptBounds)-1]/float64(result.Arrived), result.RejectedBefore)
+	perCall := func(tier int) float64 { return float64(result.Attempts[tier-1]) / float64(result.Arrived) }
+	return fmt.Sprintf("arrived %d served %d rejected %d failed %d; "+
+		"attempts for each call: tier 1 %.2f, 4 %.2f, 8 %.2f, 12 %.2f (since the fault began %.2f), "+
+		"at most %.2f; rejected before tiers %v",
+		result.Arrived, result.Served, result.Rejected, result.Failed, perCall(1), perCall(4),
+		perCall(8), perCall(12), result.Amplification(),
+		result.AttemptBounds[len(result.AttemptBounds)-1]/float64(result.Arrived), result.RejectedBefore)
 }
 
 // TestTable prints the attempts at each tier for each call that arrived.
--- a/internal/faultlab/chain/events.go
+++ b/internal/faultlab/chain/events.go
@@ -1,19 +1,19 @@
 package chain
 
-// event is something that happens at a time. Events at the same time happen in the order of their scheduling.
+// event is a call at a time. Events at the same time run in the order in which they were scheduled.
 type event struct {
 	time     int64
 	sequence int64
 	run      func()
 }
 
-// events is a heap, for container/heap.
+// events is a heap of events, for container/heap.
 type events []event
 
 // Len implements heap.Interface.
 func (e events) Len() int { return len(e) }
 
-// Less orders by time, then by scheduling.
+// Less orders events by time, then by the order in which they were scheduled.
 func (e events) Less(i, j int) bool {
 	return e[i].time < e[j].time || e[i].time == e[j].time && e[i].sequence < e[j].sequence
 }
--- a/internal/faultlab/chain/proxy.go
+++ b/internal/faultlab/chain/proxy.go
@@ -7,7 +7,7 @@
 	"merlinpick/balancer"
 )
 
-// callResult is how a call ended for its caller.
+// callResult says how a call ended for its caller.
 type callResult int
 
 const (
@@ -25,7 +25,7 @@
 	calls   map[string]*call // in progress, by id
 	lastID  int
 	handled int // calls
-	retries int // attempts but the first of each call
+	retries int // attempts, without the first one of each call
 }
 
 // call is a request in progress.
@@ -37,7 +37,7 @@
 	attempts []*attempt
 }
 
-// attempt is an attempt of a call at a server.
+// attempt is one attempt of a call at a server.
 type attempt struct {
 	proxy    *proxy
 	call     *call
@@ -47,21 +47,21 @@
 	job      *job // at the server, once it has arrived there
 }
 
-// newProxy adds a proxy whose endpoint list has all servers of the tier.
-func (w *simulation) newProxy(tier, number int) (*proxy, error) {
-	settings := w.config.Settings
-	settings.Tier, settings.Replicas, settings.ReplicaIndex = tier, w.config.Width, number
-	policy, err := balancer.New(settings, w.config.Seed<<16+uint64(tier<<8+number))
+// newProxy adds a proxy whose endpoint list contains all servers of the tier.
+func (sim *simulation) newProxy(tier, number int) (*proxy, error) {
+	settings := sim.config.Settings
+	settings.Tier, settings.Replicas, settings.ReplicaIndex = tier, sim.config.Width, number
+	policy, err := balancer.New(settings, sim.config.Seed<<16+uint64(tier<<8+number))
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{sim: w, tier: tier, number: number, policy: policy, calls: map[string]*call{}}
+	p := &proxy{sim: sim, tier: tier, number: number, policy: policy, calls: map[string]*call{}}
 	var servers []balancer.Server
-	for i := range w.config.Width {
+	for i := range sim.config.Width {
 		servers = append(servers, balancer.Server{ID: fmt.Sprint(i), State: balancer.ServerReady, CapacityHint: 1})
 	}
-	policy.UpdateEndpoints(w.now, p, balancer.UpdateSnapshot, servers)
-	w.proxies = append(w.proxies, p)
+	policy.UpdateEndpoints(sim.now, p, balancer.UpdateSnapshot, servers)
+	sim.proxies = append(sim.proxies, p)
 	return p, nil
 }
 
@@ -76,7 +76,7 @@
 	return func() { p.cancel(c) }
 }
 
-// cancel ends a call whose caller has left or timed out.
+// cancel ends a call that its caller cancelled or that timed out.
 func (p *proxy) cancel(c *call) {
 	if c.finished {
 		return
@@ -114,8 +114,8 @@
 	if err != nil {
 		panic("chain: server not listed: " + server)
 	}
-	to := p.sim.tiers[p.tier][number]
-	p.sim.after(networkDelay, func() { to.receive(a, deadline) })
+	target := p.sim.tiers[p.tier][number]
+	p.sim.after(networkDelay, func() { target.receive(a, deadline) })
 	if deadline < c.deadline {
 		p.sim.after(deadline-p.sim.now, func() { p.finishAttempt(a, balancer.StatusTimedOut) })
 	}
--- a/internal/faultlab/chain/server.go
+++ b/internal/faultlab/chain/server.go
@@ -2,7 +2,7 @@
 
 import "merlinpick/balancer"
 
-// server works on calls in its slots. A call that waits for the next tier holds no slot.
+// server works on calls in its slots. A call that waits for the next tier does not hold a slot.
 type server struct {
 	sim        *simulation
 	tier       int
@@ -16,9 +16,9 @@
 type job struct {
 	server     *server
 	attempt    *attempt
-	deadline   int64  // of its proxy
+	deadline   int64  // of the attempt at its proxy
 	cancelled  bool   // by its caller
-	cancelCall func() // cancels the call of the next tier; nil before it
+	cancelCall func() // cancels the call to the next tier; nil before that call
 }
 
 // queuedPerSlot is the length of a server's queue for each of its slots.
--- a/internal/faultlab/path/loadgen.go
+++ b/internal/faultlab/path/loadgen.go
@@ -17,10 +17,10 @@
 	dialTimeout = time.Second
 )
 
-// LoadGenerator calls two addresses in turn, open loop: no call waits for another.
+// LoadGenerator calls a proxy and a server directly, in turn and in an open loop: no call waits for another.
 type LoadGenerator struct {
-	Proxy  string
-	Direct string
+	Proxy  string  // address of the proxy
+	Direct string  // address of the server that is called directly
 	Rate   float64 // calls a second through the proxy; as many go directly
 	Seed   uint64
 
@@ -34,7 +34,7 @@
 	reader *bufio.Reader
 }
 
-// Run makes calls for a time and returns once all of them have ended.
+// Run makes calls for the given time and returns once all of them have ended.
 func (g *LoadGenerator) Run(ctx context.Context, duration time.Duration) *Metrics {
 	m := newMetrics()
 	var mu sync.Mutex // guards m
@@ -64,15 +64,16 @@
 	}
 }
 
-// callResult is the end of one call.
+// callResult is the result of one call.
 type callResult struct {
 	direct   bool
-	issued   time.Time // when its connection was ready
-	duration time.Duration
+	issued   time.Time     // when its connection was ready
+	duration time.Duration // from the first byte written to the complete response
 	status   int
 	err      error
 }
 
+// call makes one call, directly or through the proxy.
 func (g *LoadGenerator) call(direct bool) callResult {
 	address := g.Proxy
 	if direct {
@@ -98,7 +99,7 @@
 	return &clientConn{conn, bufio.NewReader(conn)}, nil
 }
 
-// idleConnection takes the connection that was used last, or returns nil.
+// idleConnection takes the idle connection that was used last, or returns nil.
 func (g *LoadGenerator) idleConnection(address string) *clientConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -111,7 +112,7 @@
 	return conn
 }
 
-// exchange sends a request and reads its response. The connection becomes idle or is closed.
+// exchange sends a request and reads its response. Afterwards the connection is idle or closed.
 func (g *LoadGenerator) exchange(conn *clientConn) (status int, duration time.Duration, err error) {
 	g.mu.Lock()
 	g.lastID++
@@ -140,7 +141,7 @@
 	return status, duration, nil
 }
 
-// readResponse reads a complete response. closing reports that the connection ends with it.
+// readResponse reads a complete response. closing reports that the connection cannot be used again.
 func (c *clientConn) readResponse() (status int, closing bool, err error) {
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
--- a/internal/faultlab/path/path_test.go
+++ b/internal/faultlab/path/path_test.go
@@ -15,17 +15,19 @@
 	runFull       = flag.Bool("path.full", false, "measure a real proxy; see docs/lab.md")
 	proxyProgram  = flag.String("path.proxy", "../../../bin/merlinpick-proxy", "the proxy to measure")
 	callRate      = flag.Float64("path.rate", 66, "calls a second through the proxy; as many go directly")
-	listedServers = flag.Int("path.nodos", 1300, "listed nodos, in 9 zones")
-	phaseDuration = flag.Duration("path.long", 10*time.Second, "of each phase")
-	repeats       = flag.Int("path.repeat", 3, "proxies, one after another")
-	firstSeed     = flag.Uint64("path.seed", 1, "of the first proxy and its calls; the next ones count up")
-	onlyPhase     = flag.String("path.phase", "", "run this phase only; empty: all")
-	proxyCores    = flag.Int("path.cores", DeploymentLimits.Cores, "in the proxy's configuration")
+	listedServers = flag.Int("path.nodos", 1300, "number of listed nodos, in 9 zones")
+	phaseDuration = flag.Duration("path.long", 10*time.Second, "duration of each phase")
+	repeats       = flag.Int("path.repeat", 3, "number of proxies to measure, one after another")
+	firstSeed     = flag.Uint64("path.seed", 1,
+		"seed of the first proxy and its calls; each further one adds 1")
+	onlyPhase  = flag.String("path.phase", "", "run this phase only; empty: all")
+	proxyCores = flag.Int("path.cores", DeploymentLimits.Cores, "cores in the proxy's configuration")
 )
 
 const zones = 9
 
-// delayingProxy is a stub proxy that forwards requests to a server after a delay.
+// delayingProxy starts a stub proxy that forwards requests to a server after a delay, and returns its
+// address.
 func delayingProxy(t *testing.T, to string, delay time.Duration) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +67,7 @@
 	return l.Addr().String()
 }
 
-// The measurement finds 2 ms that a proxy adds, and does not find them where there are none.
+// The measurement finds the 2 ms that a stub proxy adds, and finds no such delay in one that adds none.
 func TestMeasuresAddedDelay(t *testing.T) {
 	servers, err := StartServers(18, zones)
 	if err != nil {
@@ -87,12 +89,13 @@
 			t.Errorf("delay %v, bound 1.9 ms at p50: %v", delay, err)
 		}
 	}
-	if more := added[2*time.Millisecond] - added[0]; more < 1.8 {
-		t.Errorf("2 ms more show as %.3f ms", more)
+	if difference := added[2*time.Millisecond] - added[0]; difference < 1.8 {
+		t.Errorf("a delay of 2 ms is measured as %.3f ms, want at least 1.8 ms", difference)
 	}
 }
 
-// The registry serves the complete list, no changes, a zone that was lost, and the complete list again.
+// The registry serves the complete list, no changes, a lost zone, the complete list again, and a changed
+// entry.
 func TestRegistry(t *testing.T) {
 	servers, err := StartServers(18, zones)
 	if err != nil {
@@ -126,6 +129,7 @@
 	}
 }
 
+// countOccurrences returns how often a text contains a part.
 func countOccurrences(text, part string) (n int) {
 	for i := range text {
 		if len(text)-i >= len(part) && text[i:i+len(part)] == part {
@@ -135,7 +139,7 @@
 	return n
 }
 
-// TestAdded measures and prints what a real proxy adds. It asserts nothing about the result.
+// TestAdded measures and prints the latency that a real proxy adds. It does not check the result.
 func TestAdded(t *testing.T) {
 	if !*runFull {
 		t.Skip("-path.full")
@@ -153,7 +157,7 @@
 			t.Fatal(err)
 		}
 		generator := &LoadGenerator{Proxy: testbed.Proxy.Addr, Direct: testbed.Servers.All[1].Addr, Rate: *callRate, Seed: *firstSeed + uint64(run)}
-		generator.Run(t.Context(), 3*time.Second) // until connections are open and weights are stable
+		generator.Run(t.Context(), 3*time.Second) // warm-up: connections open and weights become stable
 		for _, phase := range phases {
 			before, err := testbed.Proxy.CPU()
 			if err != nil {
@@ -192,8 +196,8 @@
 	return [3]float64{values[len(values)/2], values[0], values[len(values)-1]}
 }
 
-// TestFollowing measures and prints what a proxy without calls costs: memory, and processor time without changes, with a
-// change a second and with a complete list a second.
+// TestFollowing measures and prints the cost of a proxy without calls: memory, and processor time without
+// changes, with a change a second and with a complete list a second.
 func TestFollowing(t *testing.T) {
 	if !*runFull {
 		t.Skip("-path.full")
@@ -204,11 +208,12 @@
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
-		resident, own, err := testbed.Proxy.Memory()
+		resident, anonymous, err := testbed.Proxy.Memory()
 		if err != nil {
 			t.Fatal(err)
 		}
-		line := fmt.Sprintf("nodos %d run %d: resident %d kB, of it anonymous %d kB", *listedServers, run+1, resident>>10, own>>10)
+		line := fmt.Sprintf("nodos %d run %d: resident %d kB, of it anonymous %d kB", *listedServers, run+1,
+			resident>>10, anonymous>>10)
 		for _, change := range []struct {
 			name string
 			do   func(i int)
@@ -217,8 +222,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			begun, sent, calls := time.Now(), testbed.Registry.bytesSent.Load(), testbed.Registry.calls.Load()
-			for i := 0; time.Since(begun) < *phaseDuration; i++ {
+			start, sent, calls := time.Now(), testbed.Registry.bytesSent.Load(), testbed.Registry.calls.Load()
+			for i := 0; time.Since(start) < *phaseDuration; i++ {
 				change.do(i)
 				time.Sleep(time.Second)
 			}
@@ -226,16 +231,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			took := time.Since(begun)
+			elapsed := time.Since(start)
 			line += fmt.Sprintf("; %s: %.4f %% of a core, %.1f calls/s, %.0f B/s of lists", change.name,
-				100*float64(after-before)/float64(took), float64(testbed.Registry.calls.Load()-calls)/took.Seconds(),
-				float64(testbed.Registry.bytesSent.Load()-sent)/took.Seconds())
+				100*float64(after-before)/float64(elapsed),
+				float64(testbed.Registry.calls.Load()-calls)/elapsed.Seconds(),
+				float64(testbed.Registry.bytesSent.Load()-sent)/elapsed.Seconds())
 		}
-		resident, own, err = testbed.Proxy.Memory()
+		resident, anonymous, err = testbed.Proxy.Memory()
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Printf("%s; at the end resident %d kB, anonymous %d kB\n", line, resident>>10, own>>10)
+		fmt.Printf("%s; at the end resident %d kB, anonymous %d kB\n", line, resident>>10, anonymous>>10)
 		testbed.Close()
 	}
 }
--- a/internal/faultlab/path/proxy.go
+++ b/internal/faultlab/path/proxy.go
@@ -18,13 +18,13 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-// readyTimeout is how long a proxy may take to become healthy.
+// readyTimeout is the longest time that a proxy may take to become ready.
 const readyTimeout = 10 * time.Second
 
 var (
-	// ErrExited reports a proxy that ended before it was ready; its log says why.
+	// ErrExited reports a proxy that exited before it was ready; its log says why.
 	ErrExited = errors.New("exited before it was ready; see the log in its directory")
-	// ErrNotReady reports a proxy that did not become healthy in time.
+	// ErrNotReady reports a proxy that was not ready within readyTimeout.
 	ErrNotReady = errors.New("not ready; see the log in its directory")
 )
 
@@ -38,11 +38,11 @@
 // DeploymentLimits are the limits of a proxy that shares its machine with a server.
 var DeploymentLimits = Limits{Cores: 1, MemoryMB: 64, Sockets: 512}
 
-// ProxyOptions describe a proxy to start.
+// ProxyOptions describes a proxy to start.
 type ProxyOptions struct {
-	Program string // its path
-	Dir     string // gets the configuration and the log
-	Zones   int    // of the servers
+	Program string // path of the program
+	Dir     string // directory for the configuration and the log
+	Zones   int    // number of zones of the servers
 	Limits  Limits
 	Seed    uint64
 }
@@ -56,7 +56,7 @@
 
 func microseconds(d time.Duration) int64 { return d.Microseconds() }
 
-// settings are the service settings: the proxy is in the home zone, with one idempotent class.
+// settings returns the service settings: the proxy is in the home zone, and there is one idempotent class.
 func settings(zones int) map[string]any {
 	var names []string
 	for zone := range zones {
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("proxy: %w", err)
 	}
 	if _, err := os.Stat(program); err != nil {
-		return nil, fmt.Errorf("proxy: %w; build it as README.md says", err)
+		return nil, fmt.Errorf("proxy: %w; build it as described in README.md", err)
 	}
 	addr, err := freeAddress()
 	if err != nil {
@@ -123,7 +123,7 @@
 	return l.Addr().String(), nil
 }
 
-// waitReady waits until the proxy reports that it is healthy.
+// waitReady waits until the proxy reports that it is ready.
 func (p *Proxy) waitReady() error {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		select {
@@ -142,9 +142,10 @@
 	return fmt.Errorf("proxy at %s: %w within %v", p.Addr, ErrNotReady, readyTimeout)
 }
 
-// CPU returns the processor time that the process has used, in nanoseconds where /proc has hundredths of a second.
+// CPU returns the processor time that the process has used, to the nanosecond; /proc has only hundredths of a
+// second.
 func (p *Proxy) CPU() (time.Duration, error) {
-	clock := int32(^p.process.PID()<<3 | 2) // CPUCLOCK_SCHED of the whole process, as clock_getcpuclockid(3) has it
+	clock := int32(^p.process.PID()<<3 | 2) // CPUCLOCK_SCHED of the process, see clock_getcpuclockid(3)
 	var used unix.Timespec
 	if err := unix.ClockGettime(clock, &used); err != nil {
 		return 0, fmt.Errorf("processor time of the proxy: %w", err)
@@ -152,7 +153,7 @@
 	return time.Duration(used.Nano()), nil
 }
 
-// Memory returns the process's current resident memory and the anonymous part of it, in bytes.
+// Memory returns the process's resident memory and the anonymous part of it, in bytes.
 func (p *Proxy) Memory() (resident, anonymous int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.process.PID()))
 	if err != nil {
--- a/internal/faultlab/path/registry.go
+++ b/internal/faultlab/path/registry.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// entry is an endpoint as the registry's protocol has it.
+// entry is an endpoint in the registry's protocol.
 type entry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -23,7 +23,7 @@
 	SinceMs int64   `json:"since_ms"`
 }
 
-// Registry is a stub registry: it serves complete lists, and watches that wait for the next version.
+// Registry is a stub registry: it serves complete lists, and long polls that wait for the next version.
 type Registry struct {
 	Addr string
 
@@ -32,14 +32,14 @@
 	calls     atomic.Int64
 
 	mu       sync.Mutex
-	index    int64 // the version
+	index    int64 // the current version
 	snapshot int64 // a watch from below this version gets the complete list
 	entries  []entry
 	changes  []change
 	updated  chan struct{} // closed when the next version is published
 }
 
-// change is an entry as of a version.
+// change is an entry that changed in a version.
 type change struct {
 	index int64
 	entry entry
@@ -47,7 +47,7 @@
 
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
 
-// StartRegistry serves a list of servers on a port of 127.0.0.1.
+// StartRegistry starts a registry with all servers on a port of 127.0.0.1.
 func StartRegistry(servers *Servers) (*Registry, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,7 +69,7 @@
 // PublishSnapshot publishes a version without changes that every watch gets as the complete list.
 func (l *Registry) PublishSnapshot() { l.publish(func() { l.snapshot = l.index }) }
 
-// SetZoneListed publishes a version in which the servers of a zone are serving or deleted.
+// SetZoneListed publishes a version in which the servers of a zone are listed as serving or as deleted.
 func (l *Registry) SetZoneListed(zone int, listed bool) {
 	l.publish(func() {
 		for i := range l.entries {
@@ -83,7 +83,7 @@
 	})
 }
 
-// TouchEntry publishes a version in which one server has another start time. i counts modulo the servers.
+// TouchEntry publishes a version in which server i, modulo the number of servers, has another start time.
 func (l *Registry) TouchEntry(i int) {
 	l.publish(func() {
 		e := &l.entries[i%len(l.entries)]
@@ -92,7 +92,7 @@
 	})
 }
 
-// publish makes a new version, which change may edit, and wakes the watches.
+// publish makes a new version, whose changes change makes, and wakes the watches.
 func (l *Registry) publish(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +102,8 @@
 	l.updated = make(chan struct{})
 }
 
-// ServeHTTP answers a watch from a version, which waits for the next one for hold_ms if it is the current one.
+// ServeHTTP answers a watch from a version. If that is the current one, it waits up to hold_ms for the next
+// one.
 func (l *Registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.calls.Add(1)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -129,7 +130,7 @@
 	_, _ = w.Write(body)
 }
 
-// changesSince returns the response for a watcher of a version: the changes since, or the complete list.
+// changesSince returns the response to a watch from a version: the changes since then, or the complete list.
 func (l *Registry) changesSince(from int64) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,7 +151,7 @@
 	}
 	text, err := json.Marshal(out)
 	if err != nil {
-		panic(err) // impossible: strings and numbers only
+		panic(err) // impossible: the response has only strings and numbers
 	}
 	return text
 }
--- a/internal/faultlab/path/servers.go
+++ b/internal/faultlab/path/servers.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// response is what every stub server answers at once, so that only the path is measured.
+// response is the answer of every stub server. Servers answer at once, so that only the path is measured.
 const response = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
 // Server is a stub server with a listener of its own on 127.0.0.1.
@@ -22,7 +22,7 @@
 	conns    map[net.Conn]bool
 }
 
-// Servers are the stub servers, spread evenly over zones.
+// Servers holds the stub servers, spread evenly over zones.
 type Servers struct {
 	All     []*Server
 	Zones   int
@@ -43,7 +43,7 @@
 	return s, nil
 }
 
-// listen starts a server at its address, whose port is 0 at first.
+// listen starts a server at its address. The port is 0 for the first start, which picks a free one.
 func (s *Servers) listen(server *Server) error {
 	listener, err := net.Listen("tcp", server.Addr)
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// skipHead reads up to and with the empty line.
+// skipHead reads a message's head up to and including the empty line.
 func skipHead(r *bufio.Reader) error {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -102,7 +102,7 @@
 	}
 }
 
-// stop ends a server as the death of its process does: connections are reset, new ones refused.
+// stop has the effect of the end of a server's process: connections are reset, and new ones refused.
 func (s *Server) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/faultlab/path/testbed.go
+++ b/internal/faultlab/path/testbed.go
@@ -1,9 +1,10 @@
-// Package path measures what a proxy adds to a call, compared with direct calls over loopback in the same run, and what
-// following the endpoint list costs a proxy without calls: by the number of listed servers, in calm, while complete lists arrive
-// and while a zone is lost.
+// Package path measures the latency that a proxy adds to a call, compared with direct calls over loopback in
+// the same run, and the cost of following the endpoint list for a proxy without calls: for a number of listed
+// servers, without events, while complete lists arrive, and while a zone is lost.
 //
-// The proxy is a real process. The load generator, the stub servers and the stub registry share the measuring process; servers
-// answer at once, each on a listener of its own. The package sets no budgets but LatencyObjective, and records nothing.
+// The proxy is a real process. The load generator, the stub servers and the stub registry share the measuring
+// process; each server has its own listener and answers at once. The package sets no budgets except
+// LatencyObjective, and records nothing.
 package path
 
 import (
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// LatencyObjective is the most that a proxy should add at p99, in ms.
+// LatencyObjective is the maximum latency that a proxy should add at p99, in ms.
 const LatencyObjective = 0.5
 
 // Testbed is a proxy with its stub servers and its stub registry.
@@ -50,10 +51,10 @@
 	t.Servers.Close()
 }
 
-// Phase is what happens while calls are made.
+// Phase names what happens while calls are made.
 type Phase string
 
-// The phases, by the names that the tests' flag takes.
+// The phases, with the names that the tests' flag -path.phase takes.
 const (
 	Calm     Phase = "calm"
 	Snapshot Phase = "whole lists" // a complete list every snapshotInterval
@@ -62,11 +63,11 @@
 
 const (
 	snapshotInterval = 250 * time.Millisecond
-	removalDelay     = time.Second
-	homeZone         = 0 // the proxy's
+	removalDelay     = time.Second // from the loss of a zone until the list removes it
+	homeZone         = 0           // the proxy's zone
 )
 
-// RunPhase makes calls for a time while a phase takes place, and ends the phase.
+// RunPhase makes calls for the given time during a phase, and then ends the phase.
 func (t *Testbed) RunPhase(ctx context.Context, g *LoadGenerator, phase Phase, duration time.Duration) (*Metrics, error) {
 	ctx, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
@@ -86,6 +87,7 @@
 	return m, <-ended
 }
 
+// publishSnapshots publishes a complete list every snapshotInterval until ctx ends.
 func (t *Testbed) publishSnapshots(ctx context.Context) {
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
@@ -99,7 +101,7 @@
 	}
 }
 
-// loseZone stops the servers of the proxy's zone after a time, and restarts them when ctx ends.
+// loseZone stops the servers of the proxy's zone after the given time, and restarts them when ctx ends.
 func (t *Testbed) loseZone(ctx context.Context, after time.Duration) error {
 	if sleep(ctx, after) {
 		t.Servers.StopZone(homeZone)
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// sleep waits, and reports false if ctx ended first.
+// sleep waits for the duration, or returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -125,20 +127,22 @@
 	}
 }
 
-// ObjectiveError reports a proxy that adds more than an objective.
+// ObjectiveError reports a proxy that adds more latency than the objective.
 type ObjectiveError struct {
 	Phase            Phase
 	Added, Objective float64 // ms
 	Quantile         float64 // 0 to 100
 }
 
-// Error names the phase, both values and where known causes are recorded.
+// Error names the phase, both values and the file that lists known causes.
 func (e *ObjectiveError) Error() string {
-	return fmt.Sprintf("%s: the proxy adds %.3f ms at p%g, over %.3f ms; see docs/capacity/slopes/path.toml for causes that are known",
+	return fmt.Sprintf(
+		"%s: the proxy adds %.3f ms at p%g, objective %.3f ms; known causes: docs/capacity/slopes/path.toml",
 		e.Phase, e.Added, e.Quantile, e.Objective)
 }
 
-// CheckAdded returns an ObjectiveError if the proxy adds more than an objective, in ms, at a quantile.
+// CheckAdded returns an ObjectiveError if the proxy adds more latency than an objective, in ms, at a
+// quantile.
 func (m *Metrics) CheckAdded(phase Phase, quantile, objective float64) error {
 	if added := m.Added(quantile); added > objective {
 		return &ObjectiveError{phase, added, objective, quantile}
--- a/internal/faultlab/ramp/proxy.go
+++ b/internal/faultlab/ramp/proxy.go
@@ -6,7 +6,7 @@
 	"merlinpick/balancer"
 )
 
-// proxy is one process: a balancer, its endpoint list, and its clients.
+// proxy is one process: a balancer, its endpoint list, and its clients. Its rate is in requests a second.
 type proxy struct {
 	sim          *simulation
 	id           int
@@ -36,12 +36,13 @@
 }
 
 func (sim *simulation) classes() []balancer.Class {
-	aim := max(500*ms, int64(12*sim.meanWork))
+	objective := max(500*ms, int64(12*sim.meanWork))
 	return []balancer.Class{
-		{Name: "once", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
-		{Name: "keyed", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 3,
+		{Name: "once", LatencyObjective: objective, Deadline: 3 * objective, PriorityWeight: 10,
+			Idempotency: balancer.NonIdempotent},
+		{Name: "keyed", LatencyObjective: objective, Deadline: 3 * objective, PriorityWeight: 3,
 			LateWeight: 0.3, Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupScopeZone, DedupWindow: 5 * sec},
-		{Name: "safe", LatencyObjective: aim, Deadline: 3 * aim, PriorityWeight: 1,
+		{Name: "safe", LatencyObjective: objective, Deadline: 3 * objective, PriorityWeight: 1,
 			LateWeight: 0.3, Idempotency: balancer.Idempotent},
 	}
 }
@@ -65,7 +66,7 @@
 	b.UpdateEndpoints(sim.now, p, balancer.UpdateSnapshot, list)
 }
 
-// sendUpdate delivers an endpoint to the process after a delay, unless it restarts before.
+// sendUpdate delivers an endpoint to the process after a delay, unless the process restarts before.
 func (p *proxy) sendUpdate(e balancer.Server, after int64) {
 	incarnation := p.incarnation
 	p.sim.after(after, func() {
@@ -76,15 +77,17 @@
 	})
 }
 
+// nextArrival handles a new request and schedules the next one.
 func (p *proxy) nextArrival() {
 	p.sim.after(int64(p.sim.random.ExpFloat64()*1e6/(p.rate*p.sim.rateFactor)), p.nextArrival)
 	p.request(p.sim.random.IntN(3), 0)
 }
 
-func (p *proxy) request(class, tries int) {
+// request makes a request that clients have already attempted the given number of times.
+func (p *proxy) request(class, clientAttempts int) {
 	sim := p.sim
 	sim.requestCount++
-	req := &request{clientAttempts: tries,
+	req := &request{clientAttempts: clientAttempts,
 		Request: balancer.Request{ID: fmt.Sprint(sim.requestCount), Class: class, Tenant: -1}}
 	req.Deadline = sim.now + sim.classes()[class].Deadline
 	p.requests[req.ID] = req
@@ -100,11 +103,11 @@
 	a := &attempt{proxy: p, request: req, number: req.attempts, incarnation: p.incarnation,
 		sentAt: p.sim.now, work: 0.4 + 1.2*p.sim.random.Float64()}
 	req.attempts++
-	s, way := p.sim.serverByID[server], ms
+	s, delay := p.sim.serverByID[server], ms
 	if s.zone != p.zone {
-		way = 10 * ms
+		delay = 10 * ms
 	}
-	p.sim.after(way, func() { s.accept(a) })
+	p.sim.after(delay, func() { s.accept(a) })
 	if timeout == 0 {
 		timeout = req.Deadline - p.sim.now
 	}
@@ -123,13 +126,13 @@
 // Fail implements balancer.Host.
 func (p *proxy) Fail(id string) { p.finishUnserved(p.requests[id], p.requests[id].Class == 2) }
 
-// finishUnserved ends a request; half of the clients repeat it, twice at most.
-func (p *proxy) finishUnserved(req *request, again bool) {
+// finishUnserved ends a request. If it is retryable, half of the clients repeat it, at most twice.
+func (p *proxy) finishUnserved(req *request, retryable bool) {
 	if req.done {
 		return
 	}
 	req.done = true
-	if again && req.clientAttempts < 2 && p.sim.random.Float64() < 0.5 {
+	if retryable && req.clientAttempts < 2 && p.sim.random.Float64() < 0.5 {
 		incarnation := p.incarnation
 		p.sim.after(75*ms+p.sim.random.Int64N(525*ms), func() {
 			if p.incarnation == incarnation {
@@ -155,10 +158,10 @@
 // Log implements balancer.Host.
 func (p *proxy) Log(balancer.Event) {}
 
-// finish reports an attempt's outcome to its process after a network delay.
-func (a *attempt) finish(status balancer.Status, way int64) {
+// finish reports an attempt's outcome to its process after the given network delay.
+func (a *attempt) finish(status balancer.Status, delay int64) {
 	p := a.proxy
-	p.sim.after(way, func() {
+	p.sim.after(delay, func() {
 		if a.ended || a.incarnation != p.incarnation {
 			return
 		}
--- a/internal/faultlab/ramp/ramp.go
+++ b/internal/faultlab/ramp/ramp.go
@@ -1,7 +1,8 @@
-// Package ramp checks what warming servers get from all replicas together: many balancer.Balancers that share nothing send
-// to servers in slow start, on one virtual clock, and each window of each server is compared with its budget. All
-// randomness comes from one seed. It is lighter than internal/faultlab/model, so that it plays 300 processes a thousand
-// times, and leaves out connections, bodies and the proxies' own time. Times are int64 microseconds.
+// Package ramp checks the load that warming servers get from all replicas together: many balancer.Balancers
+// that share nothing send to servers in slow start, on one virtual clock, and each window of each server is
+// compared with its budget. All randomness comes from one seed. It is lighter than internal/faultlab/model,
+// so that it can simulate 300 processes a thousand times, and leaves out connections, bodies and the proxies'
+// own time. Times are int64 microseconds.
 package ramp
 
 import (
@@ -34,16 +35,17 @@
 	OverloadMultiple     float64
 	OverloadWindow       int64
 
-	MaxListDelay int64 // until a process receives a change, drawn for each
+	MaxListDelay int64 // until a process receives a change of the list; drawn for each
 	Cluster      bool  // processes exchange reports
 	Scenario     Scenario
 }
 
-// DrawConfig returns a run of a size with settings drawn from the seed, in and beyond the range that the settings allow.
-func DrawConfig(seed uint64, proxies int, scenario Scenario, peers bool) Config {
+// DrawConfig returns a run of the given size with settings that are drawn from the seed, in and beyond the
+// range that the settings allow.
+func DrawConfig(seed uint64, proxies int, scenario Scenario, cluster bool) Config {
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	between := func(a, b float64) float64 { return a + (b-a)*rnd.Float64() }
-	c := Config{Seed: seed, Proxies: proxies, Servers: 12, Zones: 3, Scenario: scenario, Cluster: peers,
+	c := Config{Seed: seed, Proxies: proxies, Servers: 12, Zones: 3, Scenario: scenario, Cluster: cluster,
 		Rate: between(3, 20), Utilization: between(0.4, 0.75), SlowStartMinCapacity: between(0.15, 0.5),
 		SlowStartDuration: int64(between(4, 12) * 1e6),
 		OverloadMultiple:  between(2, 3), OverloadWindow: int64(between(1, 2) * 1e6),
@@ -59,12 +61,12 @@
 
 // Result is the result of a run.
 type Result struct {
-	WorstWindow    float64 // fullest window, over two thirds of it by informed processes: calls / (N + 2 root N + 2)
-	Excess         float64 // calls of that window above the bound; negative if no window exceeded it
+	WorstWindow    float64 // calls / bound of the fullest window with two thirds of informed work
+	Excess         float64 // calls of that window above the bound, N + 2 sqrt(N) + 2
 	WindowBudget   float64 // N: the budget of that window in calls
-	WarmingShare   float64 // calls of warming servers, relative to a warm one's and their capacity fraction
-	Served         float64 // fraction of the requests from the scenario's start on
-	RejectedUnsent float64 // the same, of those rejected without an attempt
+	WarmingShare   float64 // calls of warming servers, relative to warm ones and their capacity fraction
+	Served         float64 // fraction of the requests since the scenario's start that were served
+	RejectedUnsent float64 // fraction of these that were rejected without an attempt
 }
 
 type event struct {
@@ -96,16 +98,17 @@
 	proxies       []*proxy
 	servers       []*server
 	serverByID    map[string]*server
-	meanWork      float64 // of a call, microseconds of a slot of speed 1
-	rateFactor    float64 // of arrivals
+	meanWork      float64 // of a call, in microseconds on a slot of speed 1
+	rateFactor    float64 // by which the rate of arrivals is multiplied
 	requestCount  int
 	result        Result
 	sinceScenario struct{ requests, served, rejectedUnsent float64 } // counts since the scenario's start
 }
 
-func (sim *simulation) after(d int64, run func()) {
+// after schedules an event after a delay in microseconds.
+func (sim *simulation) after(delay int64, run func()) {
 	sim.seq++
-	heap.Push(&sim.events, event{sim.now + max(d, 0), sim.seq, run})
+	heap.Push(&sim.events, event{sim.now + max(delay, 0), sim.seq, run})
 }
 
 // Run runs one scenario.
@@ -119,13 +122,13 @@
 	for i := range c.Servers {
 		sim.addServer(i%c.Zones, 0)
 	}
-	parts, sum := make([]float64, c.Proxies), 0.0
-	for i := range parts { // some have several times the mean rate
-		parts[i] = math.Exp(0.8 * sim.random.NormFloat64())
-		sum += parts[i]
+	shares, sum := make([]float64, c.Proxies), 0.0
+	for i := range shares { // some processes have several times the mean rate
+		shares[i] = math.Exp(0.8 * sim.random.NormFloat64())
+		sum += shares[i]
 	}
-	for i := range parts {
-		p := &proxy{sim: sim, id: i, zone: i % c.Zones, rate: c.Rate * float64(c.Proxies) * parts[i] / sum}
+	for i := range shares {
+		p := &proxy{sim: sim, id: i, zone: i % c.Zones, rate: c.Rate * float64(c.Proxies) * shares[i] / sum}
 		sim.proxies = append(sim.proxies, p)
 		p.start()
 		sim.after(int64(sim.random.ExpFloat64()*1e6/p.rate), p.nextArrival)
@@ -151,9 +154,10 @@
 	for _, s := range sim.servers {
 		if s.startTime > 0 {
 			warming += s.calls
-			part := float64(min(sim.now-s.startTime, sim.SlowStartDuration)) / float64(sim.SlowStartDuration)
-			warmingCapacity += float64(sim.SlowStartDuration) * part *
-				(sim.SlowStartMinCapacity + (1-sim.SlowStartMinCapacity)*part/2)
+			fraction := float64(min(sim.now-s.startTime, sim.SlowStartDuration)) /
+				float64(sim.SlowStartDuration)
+			warmingCapacity += float64(sim.SlowStartDuration) * fraction *
+				(sim.SlowStartMinCapacity + (1-sim.SlowStartMinCapacity)*fraction/2)
 		} else if s.up {
 			warm += s.calls
 			warmTime += float64(sim.now - begin - scenarioStart)
@@ -165,24 +169,25 @@
 	return warming / warmingCapacity / (warm / warmTime)
 }
 
+// exchangeReports passes the reports of each process to all others, twice a second.
 func (sim *simulation) exchangeReports() {
 	var all []balancer.Report
 	for _, p := range sim.proxies {
-		for _, n := range p.balancer.Reports(sim.now) {
-			n.Observer = fmt.Sprint(p.id)
-			all = append(all, n)
+		for _, report := range p.balancer.Reports(sim.now) {
+			report.Observer = fmt.Sprint(p.id)
+			all = append(all, report)
 		}
 	}
 	for _, p := range sim.proxies {
-		of := make([]balancer.Report, 0, len(all))
-		me := fmt.Sprint(p.id)
-		for _, n := range all {
-			if n.Observer != me {
-				of = append(of, n)
+		peerReports := make([]balancer.Report, 0, len(all))
+		self := fmt.Sprint(p.id)
+		for _, report := range all {
+			if report.Observer != self {
+				peerReports = append(peerReports, report)
 			}
 		}
 		p.balancer.HandlePeerReports(sim.now, p, balancer.PeerReports{LiveReplicas: sim.Proxies,
-			LiveReplicasInZone: sim.Proxies / sim.Zones, Reports: of})
+			LiveReplicasInZone: sim.Proxies / sim.Zones, Reports: peerReports})
 	}
 	sim.after(sec/2, sim.exchangeReports)
 }
--- a/internal/faultlab/ramp/scene.go
+++ b/internal/faultlab/ramp/scene.go
@@ -2,10 +2,10 @@
 
 import "merlinpick/balancer"
 
-// Scenario is what happens in a run.
+// Scenario names what happens in a run.
 type Scenario string
 
-// Scenarios are all scenes, in the order of the tables.
+// Scenarios are all scenarios, in the order of the tables.
 var Scenarios = []Scenario{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow",
 	"fail", "home",
 	"surge", "overload"}
@@ -27,7 +27,7 @@
 		for _, s := range sim.servers {
 			s.restart()
 		}
-	case "ban": // one is suspended at all processes, restarted and resumed
+	case "ban": // one is suspended at all processes, and restarted before they resume it
 		sim.suspendServer(sim.randomServers(0)[0])
 	case "restart": // a third restarts, and seven in ten processes restart meanwhile
 		sim.restart(0.34)
@@ -61,6 +61,7 @@
 	}
 }
 
+// replaceHalf drains half of the servers and adds as many, in two steps.
 func (sim *simulation) replaceHalf() {
 	for i, s := range sim.randomServers(0.5) {
 		sim.after(int64(i%2)*sec, func() {
@@ -71,6 +72,7 @@
 	}
 }
 
+// restartProxies restarts about a fraction of the processes within 2 s.
 func (sim *simulation) restartProxies(fraction float64) {
 	for _, p := range sim.proxies {
 		if sim.random.Float64() < fraction {
@@ -79,6 +81,7 @@
 	}
 }
 
+// impairServers impairs three in four servers, of which it restarts one.
 func (sim *simulation) impairServers() {
 	impaired := sim.randomServers(0.75)
 	for _, s := range impaired[1:] {
@@ -90,6 +93,7 @@
 	impaired[0].restart()
 }
 
+// drainZoneButOne drains all servers of a zone but one, and restarts that one.
 func (sim *simulation) drainZoneButOne() {
 	for _, s := range sim.servers {
 		if s.zone == 0 && s != sim.servers[0] {
--- a/internal/faultlab/ramp/server.go
+++ b/internal/faultlab/ramp/server.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	slots    = 4.0
-	maxQueue = 40
+	slots    = 4.0 // of a server
+	maxQueue = 40  // calls
 )
 
 // serverSpeeds are the speeds of three kinds of servers; their mean is 1.
 var serverSpeeds = []float64{1.45, 0.95, 0.6}
 
-// server has slots that work at its capacity fraction, and a queue. It does not fail under overload, so that a run checks
-// every window.
+// server has slots, which work at its capacity fraction, and a queue. It does not fail under overload, so
+// that a run checks every window.
 type server struct {
 	sim          *simulation
 	id           string
 	zone         int
 	startTime    int64
 	state        balancer.ServerState
-	up           bool    // else connections are refused
-	unresponsive bool    // accepts and never responds
-	failing      bool    // responds with errors at once
+	up           bool    // if false, connections are refused
+	unresponsive bool    // requests are accepted and never answered
+	failing      bool    // requests are answered with an error at once
 	unreachable  bool    // connections time out
 	speed        float64 // of its kind; not in the list
 	slowdown     float64
@@ -33,19 +33,19 @@
 	queue        []*attempt
 	generation   int
 	arrivals     []arrival
-	calls        float64
+	calls        float64 // while it warms up; of a warm server since the scenario's start
 }
 
 type arrival struct {
 	at       int64
 	work     float64 // in calls of mean work
-	informed bool
+	informed bool    // the process that sent it knew of the server's start
 }
 
-// addServer adds a server; startTime is 0 for long ago.
-func (sim *simulation) addServer(zone int, launched int64) *server {
+// addServer adds a server; startTime is 0 for one that has run for long.
+func (sim *simulation) addServer(zone int, startTime int64) *server {
 	s := &server{sim: sim, id: fmt.Sprint("s", len(sim.servers)), zone: zone,
-		startTime: launched, state: balancer.ServerReady,
+		startTime: startTime, state: balancer.ServerReady,
 		up: true, slowdown: 1, speed: serverSpeeds[len(sim.servers)/sim.Zones%len(serverSpeeds)]}
 	sim.servers, sim.serverByID[s.id] = append(sim.servers, s), s
 	return s
@@ -55,7 +55,7 @@
 	return balancer.Server{ID: s.id, Zone: s.zone, Cell: s.zone, State: s.state, CapacityHint: 1, StartTime: s.startTime}
 }
 
-// announce sends the present endpoint to all processes, each with its own delay.
+// announce sends the current endpoint to all processes, to each with its own delay.
 func (s *server) announce() {
 	e := s.endpoint()
 	for _, p := range s.sim.proxies {
@@ -81,7 +81,7 @@
 	s.announce()
 }
 
-// capacityFraction returns the capacity as a fraction of a warm server's, by the settings.
+// capacityFraction returns the capacity as a fraction of that of a warm server, by the settings.
 func (s *server) capacityFraction(at int64) float64 {
 	if s.startTime == 0 || at-s.startTime >= s.sim.SlowStartDuration {
 		return 1
@@ -90,6 +90,7 @@
 	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*age/float64(c.SlowStartDuration)
 }
 
+// accept starts, queues or rejects an attempt that arrives, and checks the window that ends with it.
 func (s *server) accept(a *attempt) {
 	s.checkWindow(a)
 	switch {
@@ -111,9 +112,9 @@
 
 func (s *server) process(a *attempt) {
 	s.inFlight++
-	incarnation := s.generation
+	generation := s.generation
 	s.sim.after(int64(a.work*s.sim.meanWork*s.slowdown/s.speed/s.capacityFraction(s.sim.now)), func() {
-		if s.generation != incarnation {
+		if s.generation != generation {
 			a.finish(balancer.StatusReset, 0)
 			return
 		}
