--- a/internal/faultlab/capacity/fit.go
+++ b/internal/faultlab/capacity/fit.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// MinCoverage is the fraction of a size that the largest measured size must reach for a verdict from an
-	// extrapolation.
+	// MinCoverage limits verdicts from an extrapolation: the largest measured size must be at least this
+	// fraction of the size, or the size at least this fraction of the smallest measured size.
 	MinCoverage = 1. / 3
 	// LinearityTolerance is the largest distance of a linear slope's medians from its line, as a fraction of
 	// the line's value there.
--- a/internal/faultlab/model/fault.go
+++ b/internal/faultlab/model/fault.go
@@ -10,7 +10,7 @@
 type FaultKind int
 
 const (
-	ZoneLost           FaultKind = iota // servers and proxies of Zone do not answer; restarted at the end
+	ZoneLost           FaultKind = iota // servers and proxies of Zone are down; servers return in slow start
 	CutResponses                        // responses and gossip from Zone to To are lost
 	CutBoth                             // no connection, response or gossip between Zone and To
 	ProxyKilled                         // Targets; started again at the end
--- a/internal/faultlab/path/metrics.go
+++ b/internal/faultlab/path/metrics.go
@@ -55,5 +55,5 @@
 	return fmt.Sprintf("added p50 %.3f p90 %.3f p99 %.3f ms; proxied p50/p99/max %s of %d, direct %s of %d, issued late %s; "+
 		"failed %d (rejected %d), direct %d", m.Added(50), m.Added(90), m.Added(99), summary(m.Proxied),
 		m.Proxied.TotalCount(), summary(m.Direct), m.Direct.TotalCount(), summary(m.IssueDelay), m.Failed,
-			m.Rejected, m.DirectFailed)
+		m.Rejected, m.DirectFailed)
 }
--- a/internal/faultlab/path/proxy.go
+++ b/internal/faultlab/path/proxy.go
@@ -142,8 +142,8 @@
 	return fmt.Errorf("proxy at %s: %w within %v", p.Addr, ErrNotReady, readyTimeout)
 }
 
-// CPU returns the processor time that the process has used, to the nanosecond; /proc has only hundredths of a
-// second.
+// CPU returns the processor time that the process has used, in nanoseconds. /proc would give it only in
+// hundredths of a second.
 func (p *Proxy) CPU() (time.Duration, error) {
 	clock := int32(^p.process.PID()<<3 | 2) // CPUCLOCK_SCHED of the process, see clock_getcpuclockid(3)
 	var used unix.Timespec
--- a/internal/faultlab/ramp/scene.go
+++ b/internal/faultlab/ramp/scene.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// restartProxies restarts about a fraction of the processes within 2 s.
+// restartProxies restarts each process with the given probability, within 2 s.
 func (sim *simulation) restartProxies(fraction float64) {
 	for _, p := range sim.proxies {
 		if sim.random.Float64() < fraction {
@@ -81,7 +81,7 @@
 	}
 }
 
-// impairServers impairs three in four servers, of which it restarts one.
+// impairServers draws three in four servers, restarts one of them, and impairs the others.
 func (sim *simulation) impairServers() {
 	impaired := sim.randomServers(0.75)
 	for _, s := range impaired[1:] {
--- a/internal/faultlab/referee/attempts.go
+++ b/internal/faultlab/referee/attempts.go
@@ -96,7 +96,9 @@
 	}
 }
 
-// checkDrain checks that a server gets no attempts once it has been off the list for longer than DrainGrace.
+// checkDrain checks that the server is in the proxy's list, or has left it for no longer than DrainGrace, and
+// that the proxy polls the list. A change of the list counts as known once the proxy is notified or
+// should be.
 func (r *Referee) checkDrain(clientAttempt *ClientAttempt, attempt *Attempt) {
 	proxy, server := r.proxy(clientAttempt.Proxy), r.servers[attempt.Server]
 	sentAt := attempt.FirstByteAt
--- a/internal/faultlab/referee/referee.go
+++ b/internal/faultlab/referee/referee.go
@@ -47,7 +47,7 @@
 	floodRecovery            = 500 * time.Millisecond // after a flood, until its idle clients are gone
 	requestsPerExcusedClose  = 200                    // one request in so many may be closed unread
 	failedPollFactor         = 4                      // the poll interval may be so much longer after a failed poll
-	cancelGrace              = 100 * time.Millisecond // attempts may still begin for so long after a client cancelled
+	cancelGrace              = 100 * time.Millisecond // from a client's cancel, in which attempts may begin
 	overloadInformedFraction = 2.0 / 3                // of the work, sent by proxies that knew of the start
 	maxUnansweredSends       = 1_000_000              // about 100 MB
 	violationsKept           = 20                     // for each rule, with their texts
@@ -130,7 +130,7 @@
 type Tally struct {
 	ListCalls     int `json:"list_calls"`   // by the proxies
 	WatchBreaks   int `json:"watch_breaks"` // watches that could not continue from the last version
-	Resent        int `json:"resent"`       // requests sent again as their connection was closed unread
+	Resent        int `json:"resent"`       // requests sent again since their connection was closed unread
 	Overloads     int `json:"tipped"`       // servers that failed under overload
 	Crashed       int `json:"crashed"`      // proxies that exited without a signal
 	LateResponses int `json:"late"`         // up to maxLateness after the deadline
--- a/internal/faultlab/result/avoidance.go
+++ b/internal/faultlab/result/avoidance.go
@@ -8,7 +8,7 @@
 
 const (
 	departureWindow = 0.25 // seconds over which calls are judged to be trials
-	departureCalls  = 40   // or as long as so many calls take
+	departureCalls  = 40   // or the time that this number of calls takes, if that is longer
 	trialFraction   = 0.05 // calls to a fault's target are trials up to this fraction of all calls
 	avoidanceWindow = 1.0  // seconds
 	stayedBeforeEnd = 1.0  // seconds; a proxy that leaves later has stayed
