--- a/internal/faultlab/model/check_cluster.go
+++ b/internal/faultlab/model/check_cluster.go
@@ -32,15 +32,15 @@
 	agreements     []zoneAgreement // by observing and observed zone
 }
 
-func (f *clusterCheck) begin(sim *simulation) {
-	f.lastDisturbed = make([]int64, sim.cfg.Zones)
-	f.agreements = make([]zoneAgreement, sim.cfg.Zones*sim.cfg.Zones)
-	for i := range f.agreements {
-		f.agreements[i] = zoneAgreement{-1, -1}
+func (c *clusterCheck) begin(sim *simulation) {
+	c.lastDisturbed = make([]int64, sim.cfg.Zones)
+	c.agreements = make([]zoneAgreement, sim.cfg.Zones*sim.cfg.Zones)
+	for i := range c.agreements {
+		c.agreements[i] = zoneAgreement{-1, -1}
 	}
 	for i := range sim.cfg.Faults {
-		if x := &sim.cfg.Faults[i]; x.Kind == GossipDelay {
-			f.maxGossipDelay += int64(x.Value * float64(sec))
+		if fault := &sim.cfg.Faults[i]; fault.Kind == GossipDelay {
+			c.maxGossipDelay += int64(fault.Value * float64(sec))
 		}
 	}
 }
--- a/internal/faultlab/model/client.go
+++ b/internal/faultlab/model/client.go
@@ -30,8 +30,8 @@
 		c.proxyShares = append(c.proxyShares, sum)
 	}
 	sum = 0
-	for _, k := range sim.cfg.Classes {
-		sum += k.Share
+	for _, class := range sim.cfg.Classes {
+		sum += class.Share
 		c.classShares = append(c.classShares, sum)
 	}
 	c.next(sim)
--- a/internal/faultlab/model/config.go
+++ b/internal/faultlab/model/config.go
@@ -90,9 +90,9 @@
 // Capacity returns the capacity of warm servers in requests a second.
 func (c *Config) Capacity() float64 {
 	work, share := 0.0, 0.0
-	for _, k := range c.Classes {
-		work += k.Share * float64(k.WorkMin+k.WorkMax) / 2
-		share += k.Share
+	for _, class := range c.Classes {
+		work += class.Share * float64(class.WorkMin+class.WorkMax) / 2
+		share += class.Share
 	}
 	return float64(c.Servers*c.Slots) * c.Speed * float64(sec) / (work / share)
 }
--- a/internal/faultlab/model/proxy.go
+++ b/internal/faultlab/model/proxy.go
@@ -243,20 +243,21 @@
 }
 
 // outcome reports the end of an attempt to the balancer.
-func (p *proxy) outcome(a *attempt, s balancer.Status) {
+func (p *proxy) outcome(a *attempt, status balancer.Status) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	a.mayHaveExecuted = s != balancer.StatusRejected && s != balancer.StatusConnectFailed
-	if p.sim.cfg.seeded == seedExecutionHidden && s == balancer.StatusReset {
-		s = balancer.StatusConnectFailed
+	a.mayHaveExecuted = status != balancer.StatusRejected && status != balancer.StatusConnectFailed
+	if p.sim.cfg.seeded == seedExecutionHidden && status == balancer.StatusReset {
+		status = balancer.StatusConnectFailed
 	}
 	p.sim.cancelAttempt(a)
-	if s == balancer.StatusOK && !a.request.closed {
+	if status == balancer.StatusOK && !a.request.closed {
 		p.closeRequest(a.request, endServed)
 	}
-	p.balancer.HandleOutcome(p.clock(), p, balancer.Outcome{RequestID: a.request.id, Attempt: a.number, Status: s,
+	p.balancer.HandleOutcome(p.clock(), p,
+		balancer.Outcome{RequestID: a.request.id, Attempt: a.number, Status: status,
 		RequestDone: a.request.closed,
 		Latency:     int64(float64(p.sim.now-a.sentAt) * p.clockRate)})
 	if a.request.closed {
@@ -274,14 +275,14 @@
 }
 
 // closeRequest ends a request for its client.
-func (p *proxy) closeRequest(req *request, e requestEnd) {
+func (p *proxy) closeRequest(req *request, end requestEnd) {
 	p.sim.check.checkAnswer(p, req)
 	if req.closed {
 		return
 	}
 	req.closed = true
-	p.sim.result.countEnd(p.sim, req, e)
-	if p.sim.cfg.seeded == seedTwoAnswers && e == endRejected {
+	p.sim.result.countEnd(p.sim, req, end)
+	if p.sim.cfg.seeded == seedTwoAnswers && end == endRejected {
 		p.sim.check.checkAnswer(p, req)
 	}
 }
@@ -301,14 +302,14 @@
 // Fail implements balancer.Host.
 func (p *proxy) Fail(id string) { p.answer(id, evFail, endFailed) }
 
-func (p *proxy) answer(id string, k eventKind, e requestEnd) {
-	p.sim.record(k, p.id, 0)
+func (p *proxy) answer(id string, kind eventKind, end requestEnd) {
+	p.sim.record(kind, p.id, 0)
 	req := p.requests[id]
 	if req == nil {
 		p.sim.check.violated(ruleRequest, "%s answers request %s, which it does not have", p.name, id)
 		return
 	}
-	p.closeRequest(req, e)
+	p.closeRequest(req, end)
 	p.removeIfDone(req)
 }
 
--- a/internal/faultlab/model/result.go
+++ b/internal/faultlab/model/result.go
@@ -52,13 +52,13 @@
 
 func newDurations() durations { return durations{hdrhistogram.New(1, maxDuration, 2)} }
 
-func (a *durations) add(d int64) { _ = a.h.RecordValue(min(max(d, 1), maxDuration)) }
+func (d *durations) add(value int64) { _ = d.h.RecordValue(min(max(value, 1), maxDuration)) }
 
 // At returns the quantile for a fraction from 0 to 1, in microseconds.
-func (a *durations) At(part float64) int64 { return a.h.ValueAtQuantile(100 * part) }
+func (d *durations) At(fraction float64) int64 { return d.h.ValueAtQuantile(100 * fraction) }
 
 // N returns the number of recorded durations.
-func (a *durations) N() int64 { return a.h.TotalCount() }
+func (d *durations) N() int64 { return d.h.TotalCount() }
 
 const maxDuration = 1000 * sec
 
@@ -90,19 +90,19 @@
 	if a.proxy.zone != a.zone {
 		r.CrossZone++
 	}
-	b := r.at(sim.now)
-	b.sends++
-	b.sendsByServer[a.server.id]++
-	b.sendsByZones[a.proxy.zone*sim.cfg.Zones+a.zone]++
+	bin := r.at(sim.now)
+	bin.sends++
+	bin.sendsByServer[a.server.id]++
+	bin.sendsByZones[a.proxy.zone*sim.cfg.Zones+a.zone]++
 }
 
 // countEnd counts the end of a request. Its weight counts at the time of its arrival.
-func (r *Result) countEnd(sim *simulation, req *request, e requestEnd) {
-	k := &sim.cfg.Classes[req.class]
-	r.Ends[e]++
-	if e == endServed && sim.now-req.arrivedAt <= k.LatencyObjective {
-		r.ServedWeight += k.PriorityWeight
-		r.at(req.arrivedAt).servedWeight += k.PriorityWeight
+func (r *Result) countEnd(sim *simulation, req *request, end requestEnd) {
+	class := &sim.cfg.Classes[req.class]
+	r.Ends[end]++
+	if end == endServed && sim.now-req.arrivedAt <= class.LatencyObjective {
+		r.ServedWeight += class.PriorityWeight
+		r.at(req.arrivedAt).servedWeight += class.PriorityWeight
 	}
 }
 
--- a/internal/faultlab/path/registry.go
+++ b/internal/faultlab/path/registry.go
@@ -53,68 +53,69 @@
 	if err != nil {
 		return nil, fmt.Errorf("start the registry: %w", err)
 	}
-	l := &Registry{Addr: listener.Addr().String(), index: 1, updated: make(chan struct{})}
+	reg := &Registry{Addr: listener.Addr().String(), index: 1, updated: make(chan struct{})}
 	for _, s := range servers.All {
-		l.entries = append(l.entries, entry{Name: s.Name, Address: s.Addr, Zone: zoneName(s.Zone), Type: "m2", Group: s.Zone,
+		reg.entries = append(reg.entries,
+			entry{Name: s.Name, Address: s.Addr, Zone: zoneName(s.Zone), Type: "m2", Group: s.Zone,
 			Status: "SERVING", Weight: 1})
 	}
-	l.http = &http.Server{Handler: l}
-	go func() { _ = l.http.Serve(listener) }() // ends with Close
-	return l, nil
+	reg.http = &http.Server{Handler: reg}
+	go func() { _ = reg.http.Serve(listener) }() // ends with Close
+	return reg, nil
 }
 
 // Close stops the registry and its watches.
-func (l *Registry) Close() { l.http.Close() }
+func (reg *Registry) Close() { reg.http.Close() }
 
 // PublishSnapshot publishes a version without changes that every watch gets as the complete list.
-func (l *Registry) PublishSnapshot() { l.publish(func() { l.snapshot = l.index }) }
+func (reg *Registry) PublishSnapshot() { reg.publish(func() { reg.snapshot = reg.index }) }
 
 // SetZoneListed publishes a version in which the servers of a zone are listed as serving or as deleted.
-func (l *Registry) SetZoneListed(zone int, listed bool) {
-	l.publish(func() {
-		for i := range l.entries {
-			if e := &l.entries[i]; e.Zone == zoneName(zone) {
+func (reg *Registry) SetZoneListed(zone int, listed bool) {
+	reg.publish(func() {
+		for i := range reg.entries {
+			if e := &reg.entries[i]; e.Zone == zoneName(zone) {
 				if e.Status = "DELETED"; listed {
 					e.Status, e.SinceMs = "SERVING", time.Now().UnixMilli()
 				}
-				l.changes = append(l.changes, change{l.index, *e})
+				reg.changes = append(reg.changes, change{reg.index, *e})
 			}
 		}
 	})
 }
 
 // TouchEntry publishes a version in which server i, modulo the number of servers, has another start time.
-func (l *Registry) TouchEntry(i int) {
-	l.publish(func() {
-		e := &l.entries[i%len(l.entries)]
+func (reg *Registry) TouchEntry(i int) {
+	reg.publish(func() {
+		e := &reg.entries[i%len(reg.entries)]
 		e.SinceMs++
-		l.changes = append(l.changes, change{l.index, *e})
+		reg.changes = append(reg.changes, change{reg.index, *e})
 	})
 }
 
 // publish makes a new version, whose changes change makes, and wakes the watches.
-func (l *Registry) publish(change func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.index++
+func (reg *Registry) publish(change func()) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	reg.index++
 	change()
-	close(l.updated)
-	l.updated = make(chan struct{})
+	close(reg.updated)
+	reg.updated = make(chan struct{})
 }
 
 // ServeHTTP answers a watch from a version. If that is the current one, it waits up to hold_ms for the next
 // one.
-func (l *Registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l.calls.Add(1)
+func (reg *Registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	reg.calls.Add(1)
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		from = -1
 	}
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	l.mu.Lock()
-	next := l.updated
-	isCurrent := from == l.index
-	l.mu.Unlock()
+	reg.mu.Lock()
+	next := reg.updated
+	isCurrent := from == reg.index
+	reg.mu.Unlock()
 	if isCurrent {
 		timer := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		defer timer.Stop()
@@ -125,26 +126,26 @@
 			return
 		}
 	}
-	body := l.changesSince(from)
-	l.bytesSent.Add(int64(len(body)))
+	body := reg.changesSince(from)
+	reg.bytesSent.Add(int64(len(body)))
 	_, _ = w.Write(body)
 }
 
 // changesSince returns the response to a watch from a version: the changes since then, or the complete list.
-func (l *Registry) changesSince(from int64) []byte {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (reg *Registry) changesSince(from int64) []byte {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	out := struct {
 		Index     int64   `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
 		Endpoints []entry `json:"endpoints"`
-	}{l.index, from < l.snapshot || from < 0, []entry{}}
-	for _, e := range l.entries {
+	}{reg.index, from < reg.snapshot || from < 0, []entry{}}
+	for _, e := range reg.entries {
 		if out.Snapshot && e.Status != "DELETED" {
 			out.Endpoints = append(out.Endpoints, e)
 		}
 	}
-	for _, c := range l.changes {
+	for _, c := range reg.changes {
 		if !out.Snapshot && c.index > from {
 			out.Endpoints = append(out.Endpoints, c.entry)
 		}
--- a/internal/faultlab/result/configs.go
+++ b/internal/faultlab/result/configs.go
@@ -26,8 +26,8 @@
 // to, in ns of the machine's clock.
 func (c *Control) configMetrics(phase string, from, to int64, add func(string, float64)) {
 	versionsByService := map[string][][]ReceivedVersion{}
-	for _, x := range c.Hollow {
-		for _, p := range x.Proxies {
+	for _, process := range c.Hollow {
+		for _, p := range process.Proxies {
 			if p.Config != nil {
 				versionsByService[p.Config.Service] = append(versionsByService[p.Config.Service],
 					p.Config.Versions)
@@ -39,20 +39,21 @@
 	}
 	var changes, refused, failed, never int
 	var delays, confirmations []float64
-	for _, x := range c.ConfigWrites {
+	for _, write := range c.ConfigWrites {
 		switch {
-		case x.RequestedAt < from || x.RequestedAt >= to:
-		case x.Faulty && x.Status == http.StatusBadRequest:
+		case write.RequestedAt < from || write.RequestedAt >= to:
+		case write.Faulty && write.Status == http.StatusBadRequest:
 			refused++
-		case x.Faulty || x.Status != http.StatusOK:
+		case write.Faulty || write.Status != http.StatusOK:
 			failed++
 		default:
 			changes++
-			change := []hollow.Change{{Version: x.Version, RequestedAt: x.RequestedAt,
-				ConfirmedAt: x.ConfirmedAt}}
-			delays = append(delays, notificationDelays(change, versionsByService[x.Service])...)
-			confirmations = append(confirmations, float64(x.ConfirmedAt-x.RequestedAt)/1e6)
-			never += countMissing(change, versionsByService[x.Service], to-inForceDeadline.Nanoseconds()+1)
+			change := []hollow.Change{{Version: write.Version, RequestedAt: write.RequestedAt,
+				ConfirmedAt: write.ConfirmedAt}}
+			delays = append(delays, notificationDelays(change, versionsByService[write.Service])...)
+			confirmations = append(confirmations, float64(write.ConfirmedAt-write.RequestedAt)/1e6)
+			never += countMissing(change, versionsByService[write.Service],
+				to-inForceDeadline.Nanoseconds()+1)
 		}
 	}
 	slices.Sort(delays)
