--- a/internal/faultlab/model/network.go
+++ b/internal/faultlab/model/network.go
@@ -25,8 +25,7 @@
 
 func newNetwork(c *Config) network {
 	return network{zones: c.Zones, regions: c.Regions, random: source(c.Seed, streamLinks),
-		gossipLoss:   c.Loss,
-		cutRequests:  make([]int, c.Zones*c.Zones),
+		gossipLoss: c.Loss, cutRequests: make([]int, c.Zones*c.Zones),
 		cutResponses: make([]int, c.Zones*c.Zones), cutGossip: make([]int, c.Zones*c.Zones)}
 }
 
--- a/internal/faultlab/model/proxy.go
+++ b/internal/faultlab/model/proxy.go
@@ -258,8 +258,8 @@
 	}
 	p.balancer.HandleOutcome(p.clock(), p,
 		balancer.Outcome{RequestID: a.request.id, Attempt: a.number, Status: status,
-		RequestDone: a.request.closed,
-		Latency:     int64(float64(p.sim.now-a.sentAt) * p.clockRate)})
+			RequestDone: a.request.closed,
+			Latency:     int64(float64(p.sim.now-a.sentAt) * p.clockRate)})
 	if a.request.closed {
 		p.removeIfDone(a.request)
 	}
--- a/internal/faultlab/path/registry.go
+++ b/internal/faultlab/path/registry.go
@@ -57,7 +57,7 @@
 	for _, s := range servers.All {
 		reg.entries = append(reg.entries,
 			entry{Name: s.Name, Address: s.Addr, Zone: zoneName(s.Zone), Type: "m2", Group: s.Zone,
-			Status: "SERVING", Weight: 1})
+				Status: "SERVING", Weight: 1})
 	}
 	reg.http = &http.Server{Handler: reg}
 	go func() { _ = reg.http.Serve(listener) }() // ends with Close
--- a/internal/faultlab/ramp/scene.go
+++ b/internal/faultlab/ramp/scene.go
@@ -7,8 +7,7 @@
 
 // Scenarios are all scenarios, in the order of the tables.
 var Scenarios = []Scenario{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow",
-	"fail", "home",
-	"surge", "overload"}
+	"fail", "home", "surge", "overload"}
 
 // startScenario starts the scenario's event.
 func (sim *simulation) startScenario() {
--- a/internal/faultlab/ramp/server.go
+++ b/internal/faultlab/ramp/server.go
@@ -133,8 +133,8 @@
 func (s *server) checkWindow(a *attempt) {
 	sim := s.sim
 	age := sim.now - s.startTime
-	if s.startTime == 0 && sim.now-1000*sec >= scenarioStart || s.startTime > 0 &&
-		age < sim.SlowStartDuration {
+	if s.startTime == 0 && sim.now-1000*sec >= scenarioStart ||
+		s.startTime > 0 && age < sim.SlowStartDuration {
 		s.calls++
 	}
 	if !s.up || s.unreachable || s.startTime == 0 || age >= sim.SlowStartDuration {
--- a/internal/faultlab/result/control.go
+++ b/internal/faultlab/result/control.go
@@ -243,8 +243,8 @@
 func countMissing(changes []hollow.Change, received [][]ReceivedVersion, before int64) (n int) {
 	for _, versions := range received {
 		for _, change := range changes {
-			if change.ConfirmedAt < before && (len(versions) == 0 ||
-				versions[len(versions)-1].Version < change.Version) {
+			if change.ConfirmedAt < before &&
+				(len(versions) == 0 || versions[len(versions)-1].Version < change.Version) {
 				n++
 			}
 		}
