--- a/internal/faultlab/ramp/scene.go
+++ b/internal/faultlab/ramp/scene.go
@@ -2,16 +2,16 @@
 
 import "merlinpick/balancer"
 
-// Scene is what happens in a run.
-type Scene string
+// Scenario names what happens in a run.
+type Scenario string
 
-// Scenes are all scenes, in the order of the tables.
-var Scenes = []Scene{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow", "fail", "home",
-	"surge", "overload"}
+// Scenarios are all scenarios, in the order of the tables.
+var Scenarios = []Scenario{"calm", "replaced", "zone", "few", "none", "ban", "restart", "hang", "slow",
+	"fail", "home", "surge", "overload"}
 
-// startScene starts the scene's event.
-func (sim *simulation) startScene() {
-	switch sim.Scene {
+// startScenario starts the scenario's event.
+func (sim *simulation) startScenario() {
+	switch sim.Scenario {
 	case "calm": // one server restarts
 		sim.restart(0)
 	case "replaced": // half drain and as many new ones start, in two steps
@@ -26,7 +26,7 @@
 		for _, s := range sim.servers {
 			s.restart()
 		}
-	case "ban": // one is suspended at all processes, restarted and resumed
+	case "ban": // one is suspended at all processes, and restarted before they resume it
 		sim.suspendServer(sim.randomServers(0)[0])
 	case "restart": // a third restarts, and seven in ten processes restart meanwhile
 		sim.restart(0.34)
@@ -60,6 +60,7 @@
 	}
 }
 
+// replaceHalf drains half of the servers and adds as many, in two steps.
 func (sim *simulation) replaceHalf() {
 	for i, s := range sim.randomServers(0.5) {
 		sim.after(int64(i%2)*sec, func() {
@@ -70,6 +71,7 @@
 	}
 }
 
+// restartProxies restarts each process with the given probability, within 2 s.
 func (sim *simulation) restartProxies(fraction float64) {
 	for _, p := range sim.proxies {
 		if sim.random.Float64() < fraction {
@@ -78,17 +80,19 @@
 	}
 }
 
+// impairServers draws three in four servers, restarts one of them, and impairs the others.
 func (sim *simulation) impairServers() {
 	impaired := sim.randomServers(0.75)
 	for _, s := range impaired[1:] {
-		s.unresponsive, s.failing = sim.Scene == "hang", sim.Scene == "fail"
-		if sim.Scene == "slow" {
+		s.unresponsive, s.failing = sim.Scenario == "hang", sim.Scenario == "fail"
+		if sim.Scenario == "slow" {
 			s.slowdown = 5
 		}
 	}
 	impaired[0].restart()
 }
 
+// drainZoneButOne drains all servers of a zone but one, and restarts that one.
 func (sim *simulation) drainZoneButOne() {
 	for _, s := range sim.servers {
 		if s.zone == 0 && s != sim.servers[0] {
