--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -63,7 +63,8 @@
 // microseconds converts a span from the balancer, which counts in microseconds, to a duration.
 func microseconds(span int64) time.Duration { return time.Duration(span) * time.Microsecond }
 
-// auditAttemptEnd records how an attempt ended. The rules do not know of an attempt that was never started.
+// auditAttemptEnd records how an attempt ended. An attempt that was never started is counted and traced, but
+// not checked against the rules.
 func (l *eventLoop) auditAttemptEnd(a *attempt, status balancer.Status) {
 	l.audit.Count(audit.AttemptEnded(statusNames[status]))
 	l.audit.Trace(a.request.ID, "ended", "attempt", a.number, "status", statusNames[status])
--- a/internal/proxy/clientconn/conn.go
+++ b/internal/proxy/clientconn/conn.go
@@ -380,8 +380,8 @@
 	c.buffered, c.passable, c.eofAfterPass = []byte(MalformedHead), int64(len(MalformedHead)), true
 }
 
-// hasBareLF reports whether a line ends without a CR. The byte before the first is unknown: that may be an
-// LF.
+// hasBareLF reports whether an LF in b does not follow a CR. An LF as the first byte does not count, since
+// the byte before it is unknown.
 func hasBareLF(b []byte) bool {
 	for i := 1; i < len(b); i++ {
 		if b[i] == '\n' && b[i-1] != '\r' {
--- a/internal/proxy/clientconn/linger.go
+++ b/internal/proxy/clientconn/linger.go
@@ -14,8 +14,8 @@
 // How a client connection is closed: closing a socket with unread bytes resets the connection, and drops what
 // the client has not received yet, such as the last response. So the sending side is shut down first. What
 // still arrives is read and discarded, never passed on, until the client has closed its side too or
-// LingerTimeout is over; then the descriptor is closed. A request that the client sends while the shutdown is
-// on its way gets no response: the client sends it again.
+// LingerTimeout is over; then the descriptor is closed. A request that the client sends before it has
+// received the shutdown gets no response: the client sends it again.
 
 const maxLingerBytes = 1 << 20 // bytes discarded, at most, of a peer that keeps sending
 
@@ -94,8 +94,8 @@
 	return true
 }
 
-// writeRejectionLocked writes RejectionText with one write that does not block. If there is no room for so
-// few bytes, the client is not reading anyway.
+// writeRejectionLocked writes RejectionText with one write that does not block. If the socket's send buffer
+// has no room for these few bytes, the client is not reading anyway.
 func (c *Conn) writeRejectionLocked() {
 	if c.rawConn != nil {
 		_ = c.rawConn.Write(func(fd uintptr) bool {
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// clock is the balancer's time source. It counts microseconds from the Unix time at which the process
-// started, following the monotonic clock. It can be compared with the Unix times in the endpoint list, and
-// wall clock steps do not affect it.
+// clock is the balancer's time source, in microseconds. It starts at the Unix time at which the process
+// started and then follows the monotonic clock. It can be compared with the Unix times in the endpoint list,
+// and steps of the wall clock do not affect it.
 type clock struct{ start time.Time }
 
 func (c clock) now() int64           { return c.at(time.Now()) }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -35,7 +35,7 @@
 type Config struct {
 	Listen         string // address for clients
 	Discovery      discovery.Source
-	Seed           uint64
+	Seed           uint64          // of the random choices of the balancer and the discovery client
 	MaxDescriptors int             // files that the process may hold open
 	InitialList    *discovery.List // endpoint list from the configuration; may be nil
 	// ListCacheDir is the directory that caches the latest list, if Discovery has members; empty: none.
--- a/internal/proxy/downstream/drain.go
+++ b/internal/proxy/downstream/drain.go
@@ -9,21 +9,25 @@
 // The times of a drain. The platform sends SIGKILL min(longest deadline, MaxDrainDeadline) + 700 ms after
 // SIGTERM.
 const (
-	MaxDrainDeadline     = 3 * time.Second        // caps the longest deadline that a drain waits for
-	drainMargin          = 500 * time.Millisecond // from that deadline to the cutoff, when all requests end
-	responseFlushMargin  = 150 * time.Millisecond // after the cutoff, to write responses and have them read
-	cutoffMargin         = 100 * time.Millisecond // before the cutoff, when incomplete requests are rejected
-	minDrainAcceptPeriod = 550 * time.Millisecond // least for new connections, and until a silent one closes
+	MaxDrainDeadline    = 3 * time.Second        // caps the longest deadline that a drain waits for
+	drainMargin         = 500 * time.Millisecond // from that deadline to the cutoff, when all requests end
+	responseFlushMargin = 150 * time.Millisecond // after the cutoff, to write responses and have them read
+	cutoffMargin        = 100 * time.Millisecond // before the cutoff, when incomplete requests are rejected
+	// minDrainAcceptPeriod is the least time for which new connections are accepted, and for which a new one
+	// may send nothing before it is closed.
+	minDrainAcceptPeriod = 550 * time.Millisecond
 	drainPollInterval    = 20 * time.Millisecond
 
-	handoverIdleTimeout     = 100 * time.Millisecond // idle time of connections, once a successor serves
+	// handoverIdleTimeout is how long connections may be idle before they close, once a successor serves.
+	handoverIdleTimeout     = 100 * time.Millisecond
 	handoverKeepAlivePeriod = 500 * time.Millisecond // from SIGTERM; then idle connections close at once
 	maxDrainStream          = time.Minute            // from SIGTERM, for streamed responses to end
 )
 
 // DrainTimes returns for how long after SIGTERM clients are still served as before, and by when after SIGTERM
-// all requests must have ended. The last requests still have as long as the longest latency objective. With a
-// longest deadline under 150 ms acceptFor is endWithin - cutoffMargin, which is below minDrainAcceptPeriod.
+// all requests must have ended. Requests that arrive last still have as long as the longest latency
+// objective. With a longest deadline under 150 ms, acceptFor is endWithin - cutoffMargin, which is below
+// minDrainAcceptPeriod.
 func DrainTimes(classes []balancer.Class) (acceptFor, endWithin time.Duration) {
 	deadline, objective := int64(0), int64(0)
 	for _, c := range classes {
--- a/internal/proxy/downstream/parserequest.go
+++ b/internal/proxy/downstream/parserequest.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	// responseMargin is how long before the client gives up a response is due, so that a busy core does not
-	// make it late. A request with a short timeout loses at most a responseMarginDivisor-th of it.
+	// responseMargin is how much earlier a response is due than the client gives up, so that a busy core does
+	// not make it late. For a request with a short timeout, the margin is at most the timeout divided by
+	// responseMarginDivisor.
 	responseMargin        = 30 * time.Millisecond
 	responseMarginDivisor = 8
 
--- a/internal/proxy/downstream/server.go
+++ b/internal/proxy/downstream/server.go
@@ -218,9 +218,9 @@
 }
 
 // awaitAuditedResponse returns a request's response. If the connection is closed before the response is
-// there, the audit records a broken rule, unless the client has gone. Later closes are not recorded: net/http
-// makes them when a write fails since the client has gone, or the client can tell that its response is
-// incomplete.
+// there, the audit records a broken rule, unless the client has gone. A later close breaks no rule: either
+// net/http closes the connection after a write that failed because the client has gone, or the client can
+// tell that its response is incomplete.
 func (srv *Server) awaitAuditedResponse(req *Request) Response {
 	c, ok := req.clientConn.(*clientconn.Conn)
 	if !ok {
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -19,7 +19,7 @@
 
 	// Clients get more than half of the remaining descriptors, since some of their connections are idle or
 	// have sent only part of a request. With a limit of 192 descriptors or more, this leaves a third of all
-	// for backends: as many connections as requests may be in flight.
+	// for connections to backends. Their limit is also the limit of requests in flight.
 	clientConnFraction = 0.55
 	minConns           = 8 // least number of connections for clients, and for backends
 )
--- a/internal/proxy/liststatus.go
+++ b/internal/proxy/liststatus.go
@@ -11,10 +11,10 @@
 // listStatus tracks the age of the endpoint list that requests are routed by. The loop owns it; isStale may
 // be called from any goroutine.
 //
-// The list is synced by each answer from discovery, with or without changes. It is stale once there may be
-// changes that discovery counts as notified but this process has not received: maxAge after the last sync,
-// and, in a process that has only the list from its configuration, from the start, since the age of that list
-// is unknown.
+// The list is synced by each answer from discovery, with or without changes. It becomes stale maxAge after
+// the last sync: from then on there may be changes that discovery counts as notified, but that this process
+// has not received. In a process that has only the list from its configuration, the list is stale from the
+// start, since its age is unknown.
 type listStatus struct {
 	logger     *slog.Logger
 	maxAge     time.Duration // 0: the list is never stale
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -99,8 +99,8 @@
 	m.counts.Forwarded++
 }
 
-// setServers sets how many servers are listed, and how many of these are ejected: they get no requests or
-// only trials.
+// setServers sets how many servers are listed, and how many of these are ejected: they get no requests, or
+// only trial requests.
 func (m *metrics) setServers(listed, ejected int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -3,7 +3,8 @@
 // when to give up a request.
 //
 // Goroutines and what each owns:
-//   - the event loop (eventLoop.run): the balancer, the table of requests, the endpoint list, the operators' overrides.
+//   - the event loop (eventLoop.run): the balancer, the table of requests, the endpoint list, the operators'
+//     overrides.
 //   - one per client connection (net/http): its clientconn.Conn, and the request that it reads and responds
 //     to (downstream).
 //   - one per attempt (upstream.Attempt.Run): its connection to a backend, until it posts the result to the
@@ -37,7 +38,8 @@
 	"merlinpick/internal/proxy/upstream"
 )
 
-// Proxy is one process of a proxy, with its listener open.
+// Proxy is one process of a proxy, with its listener open. During a handover two processes of the same proxy
+// run.
 type Proxy struct {
 	config     Config
 	loop       *eventLoop
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -26,8 +26,8 @@
 }
 
 // maxListAge returns how long after its last sync a list becomes stale; 0 means never. A list from the
-// registry never does, since there is no limit on its age. A local agent that receives pushed lists passes
-// each one on within the deadline, unless it cannot be reached.
+// registry never does, since there is no limit on its age. A local agent, which lists are pushed to, passes
+// each on within discovery.AgentNotifyDeadline unless it cannot be reached.
 func (cfg Config) maxListAge() time.Duration {
 	switch {
 	case len(cfg.Discovery.Members) > 0:
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -34,7 +34,7 @@
 type attempt struct {
 	request     *request
 	number      int
-	decidedAt   int64 // on the loop's clock
+	decidedAt   int64 // on the loop's clock, in microseconds
 	awaitsBody  bool  // the body was still being received when the balancer decided
 	started     bool
 	outbound    *upstream.Attempt // nil unless started
@@ -103,8 +103,8 @@
 	heap.Push(&l.timers, timer{dueAt: r.Deadline + expiryGrace.Microseconds(), request: r})
 }
 
-// handleBodyEndSeen records when the last byte of a body arrived that is still being forwarded. The client's
-// timeout starts then, however long the backend takes to read the rest.
+// handleBodyEndSeen records when the last byte of a body arrived, while the body is still being forwarded.
+// The client's timeout starts then, however long the backend takes to read the rest.
 func (l *eventLoop) handleBodyEndSeen(r *request, arrived time.Time) {
 	if r.ended || !r.BodyPending {
 		return
@@ -151,7 +151,7 @@
 func (l *eventLoop) removeIfDone(r *request) {
 	if r.ended && r.currentAttempt == nil {
 		delete(l.requests, r.ID)
-		r.Outbound.Body, r.Outbound.Header = nil, nil // a timer may keep the rest for seconds
+		r.Outbound.Body, r.Outbound.Header = nil, nil // its timer may keep the request for seconds
 	}
 }
 
--- a/internal/proxy/upstream/attempt.go
+++ b/internal/proxy/upstream/attempt.go
@@ -112,8 +112,8 @@
 	return a, true
 }
 
-// assign sets an attempt's backend, as it is listed now. It returns false if it is not listed or accepts no
-// new requests.
+// assign sets an attempt's backend, as it is listed now. It returns false if the backend is not listed or
+// accepts no new requests.
 func (p *Pool) assign(a *Attempt, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -22,8 +22,8 @@
 	errTooManyInformational = errors.New("upstream: more than 5 informational (1xx) responses")
 )
 
-// conn is a connection to a backend. It carries one request at a time, and belongs to that request's attempt or, while
-// idle, to the pool.
+// conn is a connection to a backend. It carries one request at a time, and belongs to that request's attempt
+// or, while idle, to the pool.
 type conn struct {
 	net.Conn
 	backend    *backend
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -33,8 +33,8 @@
 	OnForwarded func()       // called when an attempt's request was written completely; may be nil
 }
 
-// Pool holds the connections to all listed backends. It may be used from any goroutine; a connection that is not idle
-// belongs to the attempt that uses it.
+// Pool holds the connections to all listed backends. It may be used from any goroutine; a connection that is
+// not idle belongs to the attempt that uses it.
 //
 // It replaces http.Transport, which automatically resends a GET or a request with an idempotency key when a
 // reused connection turns out to be closed: an attempt that the balancer would not know of.
--- a/internal/proxy/upstream/readahead.go
+++ b/internal/proxy/upstream/readahead.go
@@ -22,7 +22,8 @@
 	sourceErr   error     // error that ended the source; io.EOF at its regular end
 	closed      bool      // the reader has stopped reading
 
-	// These are closed when a byte, or capacity, has arrived; both at the source's end.
+	// firstByte is closed when the first byte has arrived, and filled when the buffer has reached capacity.
+	// Both are closed at the source's end.
 	firstByte, filled         chan struct{}
 	firstByteOnce, filledOnce sync.Once
 }
@@ -80,9 +81,9 @@
 	return n, nil
 }
 
-// isStalled reports whether the source, after at most maxReceived bytes, all of which the reader has taken,
-// has returned nothing for ResponseBufferWait. While no read of the source is pending, the response is
-// waiting for the client, not for the backend, and may be a large one.
+// isStalled reports whether a read of the source has been pending for ResponseBufferWait, after the source
+// has returned at most maxReceived bytes and the reader has taken all of them. While no read of the source is
+// pending, the response is waiting for the client, not for the backend, and may be a large one.
 func (r *readAhead) isStalled(maxReceived int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/upstream/receive.go
+++ b/internal/proxy/upstream/receive.go
@@ -123,10 +123,11 @@
 	return Result{Status: status}, n <= MaxBufferedResponse && resp.reusable(), nil
 }
 
-// streamResponse passes the response to the client's side, and waits until that has read it. The time limit
-// of a response of up to MaxBufferedResponse is the client's deadline plus MaxStreamOverrun minus
-// ResponseBufferWait: then it is aborted if its length is known. Without a known length it is aborted after
-// the limit once it has stalled for ResponseBufferWait. Longer responses are limited only by StallTimeout.
+// streamResponse passes the response to the client's side, and waits until the client's side has read it. The
+// time limit of a response of up to MaxBufferedResponse is the client's deadline plus MaxStreamOverrun minus
+// ResponseBufferWait. With a known length, the response is aborted at this limit; without one, it is aborted
+// after the limit as soon as it has stalled for ResponseBufferWait. Longer responses are limited only by
+// StallTimeout.
 func (a *Attempt) streamResponse(resp incomingResponse, source io.Reader) (Result, bool, error) {
 	length := resp.ContentLength
 	s := &Stream{ContentLength: length, ContentType: resp.contentType(), source: source, done: make(chan error, 1), cancelAttempt: a.cancel}
--- a/internal/proxy/upstream/reuse.go
+++ b/internal/proxy/upstream/reuse.go
@@ -55,8 +55,9 @@
 
 // awaitReusable is called if no idle connection has passed its reuse delay. It takes the one whose delay ends
 // first and waits for that: a new connection would take longer and cost the backend work. It returns nil if
-// none is idle, if the backend's generation has changed, or if the connection has something to read, and
-// closes it then. If ctx ends first, it returns the connection, which the caller must put back.
+// none is idle, if the backend's generation has changed, or if the connection has something to read by then;
+// in that case it closes the connection. If ctx ends first, it returns the connection, which the caller must
+// put back.
 func (p *Pool) awaitReusable(ctx context.Context, b *backend, generation int) *conn {
 	p.mu.Lock()
 	if b.generation != generation || len(b.idleConns) == 0 {
--- a/internal/proxy/zonemetrics.go
+++ b/internal/proxy/zonemetrics.go
@@ -25,7 +25,7 @@
 type zoneMetric struct {
 	management.Zone
 	changedAt time.Time
-	changed   bool // the phase has changed since the start; otherwise changedAt is not set
+	changed   bool // the phase has changed since the start; otherwise changedAt is not valid
 }
 
 // publishZones samples the zones for the management API.
