--- a/internal/proxy/audit/audit.go
+++ b/internal/proxy/audit/audit.go
@@ -138,8 +138,8 @@
 // Callers returns the call stack above the function that calls Callers, innermost first, as text.
 func Callers() string {
 	const skip, maxFrames = 3, 8
-	var counters [maxFrames]uintptr
-	frames := runtime.CallersFrames(counters[:runtime.Callers(skip, counters[:])])
+	var programCounters [maxFrames]uintptr
+	frames := runtime.CallersFrames(programCounters[:runtime.Callers(skip, programCounters[:])])
 	var names []string
 	for more := true; more; {
 		var f runtime.Frame
