--- a/internal/proxy/clientconn/conn_test.go
+++ b/internal/proxy/clientconn/conn_test.go
@@ -19,7 +19,8 @@
 
 func (c readConn) Read(p []byte) (int, error) { return c.r.Read(p) }
 
-// Checks that requests with unambiguous framing pass unchanged, however their bytes arrive.
+// TestPlainRequestsPassUnchanged checks that requests with unambiguous framing pass unchanged, however their
+// bytes arrive.
 func TestPlainRequestsPassUnchanged(t *testing.T) {
 	text := getRequest + "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 7\r\n\r\na\nb\r\n\r\n" +
 		"POST /b HTTP/1.1\r\nHost: h\r\ncontent-length:0\r\n\r\n" +
--- a/internal/proxy/downstream/closing_test.go
+++ b/internal/proxy/downstream/closing_test.go
@@ -154,8 +154,8 @@
 	return n
 }
 
-// Guards against the close of a connection whose next request has just been read but not recorded yet, so
-// that there is nothing left to read.
+// TestConnectionReadingRequestIsNotClosed guards against the close of a connection whose next request has
+// just been read but not recorded yet, so that there is nothing left to read.
 func TestConnectionReadingRequestIsNotClosed(t *testing.T) {
 	for name, end := range map[string]func(*Server){
 		"drain": func(srv *Server) { srv.closeIdle(0, 0, false) },
@@ -189,8 +189,8 @@
 	}
 }
 
-// Guards against a request that arrives between the check of an idle connection and its close, and is then
-// read after the close and forwarded, or whose connection is reset.
+// TestRequestCrossingCloseIsNeverServed guards against a request that arrives between the check of an idle
+// connection and its close, and is then read after the close and forwarded, or whose connection is reset.
 func TestRequestCrossingCloseIsNeverServed(t *testing.T) {
 	srv, h, requests := startHooked(t, 4, "ok")
 	c := keepAliveClient(t, srv)
@@ -218,8 +218,8 @@
 	}
 }
 
-// Guards against a close with unread bytes, which resets the connection and loses the rest of the previous
-// response.
+// TestResponseSurvivesPipelinedBytes guards against a close with unread bytes, which resets the connection
+// and loses the rest of the previous response.
 func TestResponseSurvivesPipelinedBytes(t *testing.T) {
 	large := strings.Repeat("x", 400<<10)
 	srv, _, _ := startHooked(t, 4, large)
@@ -245,7 +245,8 @@
 	}
 }
 
-// Checks that lingering connections, whose clients do not close them, keep no slot that another client needs.
+// TestLingeringConnectionsGiveWay checks that lingering connections, whose clients do not close them, keep no
+// slot that another client needs.
 func TestLingeringConnectionsGiveWay(t *testing.T) {
 	srv, h, _ := startHooked(t, 2, "ok")
 	for range 8 {
@@ -262,8 +263,8 @@
 	}
 }
 
-// Guards against a close without a response, at the cutoff of a drain, of a connection with an incomplete
-// head: the last bytes of the head may be on their way.
+// TestPartialRequestIsRejectedAtCutoff guards against a close without a response, at the cutoff of a drain,
+// of a connection with an incomplete head: the last bytes of the head may be on their way.
 func TestPartialRequestIsRejectedAtCutoff(t *testing.T) {
 	for _, open := range []func(*testing.T, *Server) *proxytest.Client{connect, keepAliveClient} {
 		srv, _, requests := startHooked(t, 4, "ok")
@@ -295,8 +296,8 @@
 	}
 }
 
-// Guards against an incomplete head on a kept-alive connection that has the two minutes of an idle connection
-// to complete.
+// TestPartialHeadOnKeepAliveIsClosedInTime guards against an incomplete head on a kept-alive connection that
+// has the two minutes of an idle connection to complete.
 func TestPartialHeadOnKeepAliveIsClosedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
--- a/internal/proxy/downstream/drain_test.go
+++ b/internal/proxy/downstream/drain_test.go
@@ -29,8 +29,8 @@
 	return ended
 }
 
-// Guards against a drain that closes the listener while connections wait in the kernel for a slot, which
-// resets them.
+// TestQueuedConnectionsAreAcceptedBeforeListenerCloses guards against a drain that closes the listener while
+// connections wait in the kernel for a slot, which resets them.
 func TestQueuedConnectionsAreAcceptedBeforeListenerCloses(t *testing.T) {
 	srv, h, requests := startHooked(t, 2, "ok")
 	release := holdResponses(h)
@@ -53,8 +53,8 @@
 	proxytest.Receive(t, "end of the drain", ended)
 }
 
-// Guards against a drain that closes the connections 20 ms after the cutoff, before the responses to the
-// requests that the cutoff ended are written.
+// TestResponsesAtCutoffAreWritten guards against a drain that closes the connections 20 ms after the cutoff,
+// before the responses to the requests that the cutoff ended are written.
 func TestResponsesAtCutoffAreWritten(t *testing.T) {
 	srv, h, requests := startHooked(t, 2, "ok")
 	release := holdResponses(h)
@@ -74,8 +74,8 @@
 	proxytest.Receive(t, "end of the drain", ended)
 }
 
-// Checks that a request that is never answered, on a connection that the client does not close, does not
-// extend a drain.
+// TestDrainEndsInTime checks that a request that is never answered, on a connection that the client does not
+// close, does not extend a drain.
 func TestDrainEndsInTime(t *testing.T) {
 	srv, h, requests := startHooked(t, 4, "ok")
 	release := holdResponses(h)
@@ -90,9 +90,9 @@
 	}
 }
 
-// Checks for any settings that new connections are accepted for 400 ms after SIGTERM, that the drain ends
-// before SIGKILL, which follows the longest deadline (3 s at most) by 700 ms, and that between the listener's
-// close and the cutoff there is time for the last requests.
+// TestDrainTimesOfAnySettings checks for any settings that new connections are accepted for 400 ms after
+// SIGTERM, that the drain ends before SIGKILL, which follows the longest deadline (3 s at most) by 700 ms,
+// and that between the listener's close and the cutoff there is time for the last requests.
 func TestDrainTimesOfAnySettings(t *testing.T) {
 	for _, deadline := range []time.Duration{time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 		250 * time.Millisecond, time.Second, 2999 * time.Millisecond, 3 * time.Second, 8 * time.Second, time.Minute} {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Guards against a listener that closes at once on SIGTERM: before the next proxy has started, clients with a
-// kept-alive connection would have no proxy to connect to.
+// TestClientsAreServedWhileDraining guards against a listener that closes at once on SIGTERM: before the next
+// proxy has started, clients with a kept-alive connection would have no proxy to connect to.
 func TestClientsAreServedWhileDraining(t *testing.T) {
 	for _, c := range []struct{ deadline, objective, acceptFor, endWithin time.Duration }{
 		{5 * time.Second, 2 * time.Second, 1500 * time.Millisecond, 3500 * time.Millisecond},
--- a/internal/proxy/downstream/evict_test.go
+++ b/internal/proxy/downstream/evict_test.go
@@ -8,8 +8,9 @@
 	"merlinpick/internal/proxy/socket"
 )
 
-// Guards against the eviction of a new connection whose request waits in the kernel's receive buffer, not
-// read yet because the connection's goroutine has not run: it seems to have sent nothing.
+// TestNewConnectionWithUnreadRequestIsNotEvicted guards against the eviction of a new connection whose
+// request waits in the kernel's receive buffer, not read yet because the connection's goroutine has not run:
+// it seems to have sent nothing.
 func TestNewConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	srv, h, _ := startHooked(t, 4, "ok")
 	gate := make(chan struct{})
--- a/internal/proxy/downstream/golden_test.go
+++ b/internal/proxy/downstream/golden_test.go
@@ -15,8 +15,8 @@
 	"merlinpick/internal/settings"
 )
 
-// Checks that the proxy's own responses stay the same, byte for byte, as in the last part of a file that an
-// earlier version wrote.
+// TestOwnResponsesAreGolden checks that the proxy's own responses stay the same, byte for byte, as in the
+// last part of a file that an earlier version wrote.
 func TestOwnResponsesAreGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "testdata", "answers.txt"))
 	if err != nil {
--- a/internal/proxy/downstream/listener_test.go
+++ b/internal/proxy/downstream/listener_test.go
@@ -15,7 +15,8 @@
 	syscall.EHOSTDOWN, syscall.ENONET, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP,
 	syscall.ETIMEDOUT, syscall.ECONNABORTED, syscall.EINTR}
 
-// Checks that a temporary error of accept neither ends the server nor delays the next client.
+// TestFailedAcceptEndsNothing checks that a temporary error of accept neither ends the server nor delays the
+// next client.
 func TestFailedAcceptEndsNothing(t *testing.T) {
 	for _, failure := range temporaryAcceptErrors {
 		t.Run(failure.Error(), func(t *testing.T) {
--- a/internal/proxy/downstream/parserequest_test.go
+++ b/internal/proxy/downstream/parserequest_test.go
@@ -8,8 +8,8 @@
 	"merlinpick/balancer"
 )
 
-// Checks that Request-Timeout-Ms is applied as stated, up to the class's deadline, which applies if there is
-// no header.
+// TestClientTimeoutIsTakenAsStated checks that Request-Timeout-Ms is applied as stated, up to the class's
+// deadline, which applies if there is no header.
 func TestClientTimeoutIsTakenAsStated(t *testing.T) {
 	class := balancer.Class{Deadline: 8_000_000}
 	const whole, margin = 8 * time.Second, responseMargin
--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -126,8 +126,9 @@
 	return string(data), time.Since(start)
 }
 
-// Guards against clients that send nothing, or only part of a request, and keep their connection's slot until
-// no other client can connect. They once kept it for 10 s in the head, and for ever in a body.
+// TestStalledClientIsClosedInTime guards against clients that send nothing, or only part of a request, and
+// keep their connection's slot until no other client can connect. They once kept it for 10 s in the head, and
+// for ever in a body.
 func TestStalledClientIsClosedInTime(t *testing.T) {
 	const post = "POST /post/k HTTP/1.1\r\nHost: h\r\nRequest-Id: 3\r\nRequest-Class: post\r\n"
 	for name, c := range map[string]struct {
@@ -162,8 +163,8 @@
 	}
 }
 
-// Checks that a client that sends a byte now and then does not extend its time: the whole request has one
-// deadline.
+// TestDrippingClientIsClosedInTime checks that a client that sends a byte now and then does not extend its
+// time: the whole request has one deadline.
 func TestDrippingClientIsClosedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -184,7 +185,8 @@
 	})
 }
 
-// Checks that the timeout for receiving a request does not limit the time for its response.
+// TestSlowResponseOutlastsReadTimeout checks that the timeout for receiving a request does not limit the time
+// for its response.
 func TestSlowResponseOutlastsReadTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
@@ -223,8 +225,8 @@
 	})
 }
 
-// Checks that clients that stall in every slot, in the head or in the body, are evicted for a new client
-// before their timeout.
+// TestStalledConnectionsAreEvicted checks that clients that stall in every slot, in the head or in the body,
+// are evicted for a new client before their timeout.
 func TestStalledConnectionsAreEvicted(t *testing.T) {
 	for name, text := range map[string]string{
 		"in the head": "",
@@ -258,8 +260,9 @@
 	}
 }
 
-// Checks that a client that is slow but keeps sending is not evicted when connection slots are short, on a
-// new or a kept-alive connection, nor closed by a drain that begins meanwhile.
+// TestSlowClientSurvivesConnectionShortage checks that a client that is slow but keeps sending is not evicted
+// when connection slots are short, on a new or a kept-alive connection, nor closed by a drain that begins
+// meanwhile.
 func TestSlowClientSurvivesConnectionShortage(t *testing.T) {
 	for _, keepAlive := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -312,7 +315,8 @@
 	}
 }
 
-// Guards against health checkers that fill every slot with the connections that they keep open.
+// TestHealthCheckClosesItsConnection guards against health checkers that fill every slot with the connections
+// that they keep open.
 func TestHealthCheckClosesItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPiped(t, 8)
--- a/internal/proxy/downstream/upload_test.go
+++ b/internal/proxy/downstream/upload_test.go
@@ -29,8 +29,8 @@
 	return n, nil
 }
 
-// Checks that a client may be as slow as 64 kB a second, after a head that took 2 s, and that one that stalls
-// or sends only a few bytes now and then times out.
+// TestMinimumUploadRate checks that a client may be as slow as 64 kB a second, after a head that took 2 s,
+// and that one that stalls or sends only a few bytes now and then times out.
 func TestMinimumUploadRate(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -70,8 +70,8 @@
 	}
 }
 
-// Checks that bodies are buffered only while the memory budget allows it, except for the guaranteed part of
-// each.
+// TestBufferedBodiesAreBounded checks that bodies are buffered only while the memory budget allows it, except
+// for the guaranteed part of each.
 func TestBufferedBodiesAreBounded(t *testing.T) {
 	budget := clientconn.NewMemoryBudget(3 * guaranteedBodyBuffer)
 	var uploads []*upload
