--- a/internal/proxy/bodyend_test.go
+++ b/internal/proxy/bodyend_test.go
@@ -102,7 +102,7 @@
 	cl.Send(t, proxytest.PostRequest("1", fmt.Sprintf("Request-Timeout-Ms: %d\r\nContent-Length: %d", wait.Milliseconds(), size)))
 	cl.Send(t, string(bytes.Repeat([]byte("x"), size)))
 	if resp, _ := cl.ReadResponse(t); resp.StatusCode != http.StatusOK {
-		t.Fatalf("got %s", resp.Status)
+		t.Fatalf("upload: got %s, want 200", resp.Status)
 	}
 	const slack = 150
 	var ms int64
--- a/internal/proxy/downstream/closing_test.go
+++ b/internal/proxy/downstream/closing_test.go
@@ -255,10 +255,10 @@
 		start := time.Now()
 		c.ReadResponse(t)
 		if took := time.Since(start); took > clientconn.LingerTimeout/2 {
-			t.Errorf("a client waited %v for a slot", took)
+			t.Errorf("a client waited %v for a slot, want at most half of LingerTimeout", took)
 		}
 		if open := h.open.Load(); open > 2 {
-			t.Errorf("%d descriptors are open with 2 slots", open)
+			t.Errorf("%d descriptors are open with 2 slots, want at most 2", open)
 		}
 	}
 }
--- a/internal/proxy/downstream/drain_test.go
+++ b/internal/proxy/downstream/drain_test.go
@@ -86,7 +86,7 @@
 	start := time.Now()
 	proxytest.Receive(t, "end of the drain", startDrain(t, srv, 2*cutoffMargin))
 	if took := time.Since(start); took > 2*cutoffMargin+responseFlushMargin+proxytest.Timeout/10 {
-		t.Errorf("the drain took %v", took)
+		t.Errorf("the drain took %v, want it to end soon after the cutoff", took)
 	}
 }
 
--- a/internal/proxy/downstream/server_test.go
+++ b/internal/proxy/downstream/server_test.go
@@ -152,7 +152,8 @@
 				go func() { _, _ = io.WriteString(peer, c.text) }()
 				text, after := readToEnd(peer)
 				if !strings.HasPrefix(text, c.want) || text != "" && c.want == "" || after > 3*time.Second {
-					t.Errorf("wrong response %q, or closed too late, after %v", text, after)
+					t.Errorf("got response %q, closed after %v; want the expected response within 3 s",
+						text, after)
 				}
 				synctest.Wait()
 				if n := p.OpenConns(); n != 0 {
@@ -248,7 +249,8 @@
 				c := p.connect()
 				defer c.Close()
 				if took := time.Since(start); took > minBodyStall+2*clientconn.MakeRoomInterval {
-					t.Errorf("the new client waited %v for a slot", took)
+					t.Errorf("the new client waited %v for a slot, want at most minBodyStall and two polls",
+						took)
 				}
 				go func() { _, _ = io.WriteString(c, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n") }()
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/proxy/downstream/upload_test.go
+++ b/internal/proxy/downstream/upload_test.go
@@ -63,7 +63,7 @@
 					t.Errorf("the body was read with complete %v, error %v", complete, err)
 				}
 				if took := time.Since(start); took > c.maxDuration {
-					t.Errorf("reading the body took too long: %v", took)
+					t.Errorf("reading the body took %v, want no more than the case allows", took)
 				}
 			})
 		})
--- a/internal/proxy/errorresponse_test.go
+++ b/internal/proxy/errorresponse_test.go
@@ -29,7 +29,7 @@
 	cl := connect(t, p)
 	cl.Send(t, proxytest.LookRequest("1", 4000))
 	if resp, body := cl.ReadResponse(t); resp.StatusCode != 200 || body != "ok" {
-		t.Errorf("got %s %q", resp.Status, body)
+		t.Errorf("got %s %q, want 200 \"ok\"", resp.Status, body)
 	}
 }
 
--- a/internal/proxy/upload_test.go
+++ b/internal/proxy/upload_test.go
@@ -41,7 +41,7 @@
 			if strings.Contains(c.framing, "Expect") {
 				resp, err := http.ReadResponse(cl.Reader, nil)
 				if err != nil || resp.StatusCode != http.StatusContinue {
-					t.Fatalf("got %v, %v", resp, err)
+					t.Fatalf("before the body: got response %v, error %v; want a 100 Continue", resp, err)
 				}
 			}
 			send := func(part []byte) {
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -55,7 +55,7 @@
 	p := poolWith(4, b.Addr)
 	p.SetReuseDelay(0)
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK {
-		t.Fatalf("got %v", res.Status)
+		t.Fatalf("first request: got %v, want success", res.Status)
 	}
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusReset {
 		t.Errorf("got %v, want %v", res.Status, balancer.StatusReset)
@@ -99,7 +99,7 @@
 	quick, slow := proxytest.StartBackend(t, proxytest.RespondWith(proxytest.OKResponse, true)), proxytest.StartBackend(t, proxytest.NeverRespond(t))
 	p := poolWith(1, quick.Addr, slow.Addr)
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK {
-		t.Fatalf("got %v", res.Status)
+		t.Fatalf("first request: got %v, want success", res.Status)
 	}
 	held := newAttempt(p, "b", proxytest.Timeout)
 	results := make(chan Result, 1)
@@ -139,7 +139,7 @@
 	})
 	p := poolWith(10, b.Addr)
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusOK {
-		t.Fatalf("got %v", res.Status)
+		t.Fatalf("first request: got %v, want success", res.Status)
 	}
 	p.byName["a"].idleConns[0].idleSince = time.Now().Add(-time.Second)
 	if res := newAttempt(p, "a", proxytest.Timeout).Run(); res.Status != balancer.StatusReset {
