--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -16,8 +16,8 @@
 	slownessGain    = 0.1 // weight of one answer in the slowness of a server
 	maxLatencyRatio = 5.0 // of a latency to the mean: slower answers count as this
 
-	slowFraction          = 0.6 // of the latency objective: slower calls are slow, well before they are late
-	saturatedLatencyRatio = 1.6 // of a latency to the unloaded mean: slower calls are slow, too
+	slowFraction          = 0.6 // of the latency objective: a longer call is slow, well before it is late
+	saturatedLatencyRatio = 1.6 // of a latency to the unloaded mean: a call above it is slow, too
 )
 
 // classLatency holds the latencies of a class.
@@ -58,8 +58,8 @@
 }
 
 // slowThreshold returns the latency, in µs, above which a call counts as slow. It is well below the
-// objective and, while the tier is not overloaded, not far above the unloaded mean, since servers with long
-// queues stay slow for a long time.
+// objective and, at the front tier while it is not overloaded, not far above the unloaded mean, since servers
+// with long queues stay slow for a long time.
 func slowThreshold(settings *Settings, class int, latency classLatency, quotaMultiple float64) float64 {
 	threshold := slowFraction * float64(settings.Classes[class].LatencyObjective)
 	if settings.Tier > 0 || quotaMultiple <= overloadedQuotaThreshold {
--- a/balancer/listevidence.go
+++ b/balancer/listevidence.go
@@ -18,7 +18,7 @@
 
 const (
 	// Weight factor of a server without evidence. Beside servers with evidence it is drawn only once each of
-	// those holds a dozen attempts.
+	// those has a dozen attempts in flight.
 	unconfirmedWeight = 1e-9
 
 	// Weight factor of a server that began to execute attempts one TTL after the list expired. The sooner it
@@ -47,10 +47,10 @@
 	recentUntil    moment // when that run ends unless another attempt is executed
 }
 
-// listEvidence records when the endpoint list was confirmed.
+// listEvidence holds when the endpoint list was confirmed, and when attempts to each zone got no answer.
 type listEvidence struct {
 	*shared
-	confirmedAt       moment         // for a new replica, when it got its first list
+	confirmedAt       moment         // when the list was last confirmed or, at a new replica, first received
 	everConfirmed     bool           // false while there is only a cached list
 	unresponsiveZones map[int]moment // by zone, when the latest attempt was sent that got no answer there
 }
--- a/internal/tailweights/solver.go
+++ b/internal/tailweights/solver.go
@@ -19,7 +19,7 @@
 	UnloadedLatency float64 // mean latency without load, in any unit that is the same for all servers
 	Capacity        float64 // calls per second at which the latency grows without bound; 0: it gets no calls
 	MinLoad         float64 // least calls per second that it gets
-	Weight          float64 // weight of its calls in the cost; 0 or less: 1
+	Weight          float64 // weight of its calls in the cost; 0 or less: the mean of the others
 	CallCost        float64 // added per call; a call to an unloaded server of mean UnloadedLatency costs 1
 }
 
@@ -35,7 +35,8 @@
 	MaxSteps       = maxNewtonSteps + 108
 	maxNewtonSteps = 12
 
-	// maxRatio limits latency/mean, weight/mean and their inverses, because small costs would be lost.
+	// maxRatio limits latency/mean, weight/mean and their inverses, because small costs would be lost in
+	// rounding.
 	maxRatio         = 30.0
 	maxCallCost      = 1e3
 	maxCapacityRatio = 1e6 // limit of capacity/demand; with a higher ratio the load would be lost in rounding
