--- a/balancer/api.go
+++ b/balancer/api.go
@@ -47,7 +47,7 @@
 
 // The kinds of update.
 const (
-	UpdateDelta    UpdateKind = iota // the entries that changed; none: the list is confirmed as unchanged
+	UpdateDelta    UpdateKind = iota // only the entries that changed; no entries: the list is unchanged
 	UpdateSnapshot                   // the complete list
 	UpdateCached                     // the complete list as last known, possibly out of date
 	UpdateFailed                     // a poll or the watch failed; the previous list stays in use
@@ -56,8 +56,8 @@
 // Request is a request that a client has sent to this proxy.
 type Request struct {
 	ID       string // unique among the open requests
-	Class    int    // number of its class in Settings
-	Tenant   int    // index of Settings.Tenants; out of range: no tenant
+	Class    int    // class number: index in Settings.Classes
+	Tenant   int    // index in Settings.Tenants; out of range: no tenant
 	Key      string // with Class.Ordered: requests with the same key run in order; empty: not ordered
 	Deadline int64  // when the client stops waiting, in µs on the event clock
 
@@ -77,9 +77,9 @@
 // The kinds of report. Replicas exchange these numbers, so they must not change.
 const (
 	ReportServerUnhealthy ReportKind = iota // the observer's calls to a server fail, see Fault
-	ReportServerHealthy                     // they are answered, while others report the server as unhealthy
+	ReportServerHealthy                     // its calls are answered; others report the server as unhealthy
 	ReportZoneUnhealthy                     // most of the observer's latest calls to SubjectZone fail
-	ReportZoneHealthy                       // most are answered, or there are none; FaultSlow: saturated
+	ReportZoneHealthy                       // most are answered, or there are none; with FaultSlow: saturated
 	ReportServerFlap                        // the observer saw a server fail or recover
 	ReportServerLoad                        // load and latency of a server
 )
@@ -142,7 +142,7 @@
 	ZoneEvacuating           // most calls fail; the zone gets less traffic until this is confirmed
 	ZoneEvacuated            // gets only trial calls
 	ZoneRecovering           // gets its weight back in steps
-	ZoneDrained              // by an operator: gets no calls
+	ZoneDrained              // drained by an operator: gets no calls
 )
 
 // ZoneState is how a zone is used, and why.
@@ -153,7 +153,7 @@
 	Transitions       int     // number of changes of Phase
 	ChangedAt         int64   // when Phase or WeightFraction last changed, in µs
 	Fault             Fault   // of the zone's bad calls at ChangedAt
-	Calls             float64 // by all replicas of this proxy's zone, as of the latest reports
+	Calls             float64 // to the zone by all replicas of this proxy's zone, by their latest reports
 	BadFraction       float64 // fraction of Calls that were bad, 0 to 1
 	ReportingReplicas int     // replicas of this proxy's zone with enough calls to count
 	UnhealthyVotes    int     // how many of ReportingReplicas report the zone as unhealthy
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -104,8 +104,8 @@
 	b.admission.configure(roundDuration)
 }
 
-// HandleTimer handles the expiry of a timer that was set by Host.SetTimer. A token of something that is over
-// by now has no effect.
+// HandleTimer handles the expiry of a timer that was set by Host.SetTimer. It ignores the token if the watch
+// is open already, the queued request has started or ended, or the queue no longer exists.
 func (b *Balancer) HandleTimer(nowMicros int64, host Host, token string) {
 	now := moment(nowMicros)
 	if token == watchTimer {
@@ -263,9 +263,9 @@
 	}
 }
 
-// HandleBodyReceived handles the end of a request's body. From now on the request's latency counts, and
+// HandleBodyReceived handles the end of a request's body. The request's latency is measured from now on, and
 // deadline, in µs on the event clock, is when its client stops waiting. It returns the timeout of the
-// pending attempt, in µs; 0 if the request is over.
+// pending attempt, in µs; 0 if the request has ended.
 func (b *Balancer) HandleBodyReceived(nowMicros int64, id string, deadline int64) (timeout int64) {
 	now := moment(nowMicros)
 	request := b.requests[id]
@@ -303,7 +303,7 @@
 	attempt := request.attempts[outcome.Attempt]
 	attempt.pending = false
 	request.pending--
-	if attempt.responseStarted { // its latency is recorded already; only a broken response is news
+	if attempt.responseStarted { // its latency is recorded already; a failure may have followed
 		if outcome.Status != StatusOK && outcome.Status != StatusCancelled {
 			b.outliers.attribute(attempt.server, request.Class, outcome.Status)
 		}
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -32,7 +32,7 @@
 }
 
 // SetSuspendedServers suspends exactly the servers with these IDs, which may be all of them. A server that is
-// resumed starts without history and gets the next call that it may have.
+// resumed starts without history and gets the next call that may be sent to it.
 func (b *Balancer) SetSuspendedServers(ids map[string]bool) {
 	b.members.setSuspended(ids)
 	b.rebuildReady()
--- a/balancer/feedback.go
+++ b/balancer/feedback.go
@@ -11,7 +11,7 @@
 	feedbackRoundCalls      = 12 // finished calls that complete a round
 	feedbackRoundObjectives = 2  // latency objectives after which a round with fewer calls may end
 
-	// cutPerBadFraction, times its fraction of bad calls, is what a bad round cuts by.
+	// cutPerBadFraction: a bad round cuts by the fraction of its calls that were bad, times this.
 	cutPerBadFraction = 0.6
 
 	// maxSlowFraction is the fraction of slow calls above which a round is bad for quotas, preemption and the
--- a/balancer/flapdamping.go
+++ b/balancer/flapdamping.go
@@ -12,14 +12,14 @@
 // back, get a small fixed weight until they are stable. Each removal and return would move load, cost
 // handshakes and cause the next change elsewhere, which does more harm than the server itself.
 //
-// Input: flaps, as this replica observes them and other replicas report them. Output: which ready servers are
-// damped.
+// Input: flaps, that is, changes of a server from healthy to down or back, as this replica observes them and
+// other replicas report them. Output: which ready servers are damped.
 
 const (
 	penaltyHalfLife = 20 * seconds // time in which a penalty halves; each flap adds 1 to it
 	maxPenalty      = 5.0          // bounds damping to 2.4 half-lives after the last flap
 
-	dampingThreshold = 2.2          // damping begins above it: at the third flap, 10 s apart or less
+	dampingThreshold = 2.2          // damping begins above it: at the third flap if 10 s apart or less
 	reuseThreshold   = 1.0          // damping ends below it
 	maxDamping       = 60 * seconds // longest damping; the next flap may start it again
 	dampedWeight     = 0.1          // health score of a damped server
@@ -201,8 +201,8 @@
 	}
 }
 
-// detectDelisted treats a server that left the endpoint list as down, so that a process that comes back to
-// the list flaps.
+// detectDelisted treats a server that left the endpoint list as down, so that leaving the list and coming
+// back count as flaps.
 func (d *flapDamping) detectDelisted(now moment) {
 	for _, server := range d.members.all {
 		gone, flap := server.State == ServerRemoved, d.observed[server.ID]
--- a/balancer/loadreports.go
+++ b/balancer/loadreports.go
@@ -18,7 +18,7 @@
 	loadReportTTL      = 5 * seconds // older reports, and servers whose latest call is older, are ignored
 
 	maxReplicaCallsRatio = 2.0 // calls of one replica are capped at this multiple of the median over replicas
-	maxLatencyDeviation  = 4.0 // latencies are kept between the median divided by and times this
+	maxLatencyDeviation  = 4.0 // factor: latencies further than this from the median are clamped
 
 	maxReportedCalls = 1e9 // calls of one report are capped at this
 )
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -17,9 +17,9 @@
 //	any -> drained              by an operator
 
 const (
-	// A zone is unhealthy for a replica, and is evacuated, from the first fraction of bad calls on. It is not
-	// evacuated if the bad fraction in the other zones is more than the second constant times its own: then
-	// evacuation would not help.
+	// A zone is unhealthy for a replica, and may be evacuated, if its fraction of bad calls is at least
+	// zoneUnhealthyFraction. It is not evacuated if the bad fraction in the other zones is more than
+	// maxRelativeBadElsewhere times its own: then evacuation would not help.
 	zoneUnhealthyFraction   = 0.6
 	maxRelativeBadElsewhere = 0.5
 
@@ -33,6 +33,7 @@
 	evacuationConfirmation = 150 * milliseconds // how long a zone has to be unhealthy before it is evacuated
 	evacuatingFraction     = 0.3                // fraction of its weight that the zone gets during that time
 
+	// Weights of servers in other zones, 0 to 1.
 	saturationSpillover   = 0.35 // spillover above which a replica reports the local zone as saturated
 	saturatedMinSpillover = 0.15 // minimum spillover while most replicas report it as saturated
 	healthyMaxSpillover   = 0.01 // maximum spillover while all replicas find that the local zone has capacity
@@ -125,7 +126,7 @@
 	} else if peerFraction < 1 && settled && (peerFraction > 0 || !answered) {
 		l.followPeers(now, host, zone, peerFraction)
 	} else if saturated != (zone.Phase == ZoneSaturated) && settled {
-		l.setPhase(now, host, zone, ZoneSaturated-zone.Phase, 1) // to the other of the two
+		l.setPhase(now, host, zone, ZoneSaturated-zone.Phase, 1) // from healthy to saturated or back
 	}
 }
 
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -79,7 +79,7 @@
 type serverReportSum struct {
 	unhealthy, healthy int     // replicas that report the server as unhealthy, as healthy
 	unhealthyByPeers   int     // other replicas among those counted in unhealthy
-	badCalls           float64 // total in the reports of it as unhealthy
+	badCalls           float64 // total in the reports of the server as unhealthy
 	lastUnhealthyAt    moment  // when a replica last observed it as unhealthy
 }
 
@@ -89,7 +89,7 @@
 	byClass           []health // by class number
 	recent            callStats
 	lastSuccessAt     moment          // when this replica last got an answer; 0: never
-	peerFactor        float64         // 0 to 1: factor of the weight that the reports of other replicas leave
+	peerFactor        float64         // 0 to 1: weight factor that follows from other replicas' reports
 	reports           serverReportSum // as of the latest sumReports
 	connectionRefused bool            // since the last success
 }
@@ -177,7 +177,7 @@
 }
 
 // attribute records the outcome of an attempt in the health of its server and reports whether a failure is
-// attributed to the server. A failure that the other servers show alike comes from a tier behind them and is
+// attributed to the server. A failure that is as common at other servers comes from a tier behind them and is
 // attributed to none. A refused connection is always attributed to the server, since a zone that is lost
 // refuses connections at all its servers. An error or a rejection affects the health for the class only, so
 // that a server that fails one class keeps the others. A missing response affects the health for all classes.
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -94,8 +94,8 @@
 	q.feedback.maxBadFraction, q.feedback.maxDuration = maxSlowFraction, roundDuration
 }
 
-// replaceTenants replaces the tenants of the settings before by those of the settings in force. A tenant of
-// the same name keeps its counts.
+// replaceTenants replaces the tenants of the previous settings, before, by those of the settings in force. A
+// tenant that both contain, by name, keeps its counts.
 func (q *quotas) replaceTenants(before *Settings) {
 	tenants := make([]tenantQuota, len(q.settings.Tenants))
 	for i, tenant := range q.settings.Tenants {
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -11,8 +11,8 @@
 // settings with which they began. It returns, for each class of s, the number that requests must use for it.
 // An unchanged class keeps its number and what was learned. A class with changed rules gets a new number,
 // since open requests still use the old one, but keeps what was learned about servers and latencies.
-// heldNumbers are numbers, beside the current ones, that requests may have which were read but not yet passed
-// to HandleRequest.
+// heldNumbers are class numbers, beside the current ones, that must not be given to another class yet:
+// requests that were read but not yet passed to HandleRequest may use them.
 //
 // An error is always a *SettingsError: the settings are invalid, or they change Tier or WatchEndpoints, which
 // can't change while a Balancer runs. In that case the settings stay as they were.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -156,8 +156,8 @@
 // recordRetry counts a retry towards the retry budget.
 func (p *retryPolicy) recordRetry(now moment) { p.retries.add(now, p.window()) }
 
-// budgetAllows reports whether the budget allows one more retry. The window ends now. At its far edge a retry
-// still counts, a request does not.
+// budgetAllows reports whether the budget allows one more retry. The window ends now. At the moment when it
+// begins, a retry still counts but a request does not.
 func (p *retryPolicy) budgetAllows(now moment) bool {
 	from, least := now.add(-p.window()), p.settings.RetryBudgetMin
 	if now < p.minAvailableFrom {
@@ -177,8 +177,8 @@
 	p.minAvailableFrom = max(p.minAvailableFrom, p.windowClearsAt(now))
 }
 
-// exportUsage hands the budget over to a successor: both its past usage and RetryBudgetMin. What later
-// requests earn stays with this process, so that the two processes together keep to the budget in every
+// exportUsage hands the budget over to a successor: both its past usage and RetryBudgetMin. Retries that
+// later requests earn stay with this process, so that the two processes together keep to the budget in every
 // window.
 func (p *retryPolicy) exportUsage(now moment) RetryBudgetUsage {
 	p.requests.countSince(now.add(-p.window()))
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// draw is one draw in progress.
+// draw is the state of one weighted random draw of a server for a request.
 type draw struct {
 	*selection
 	now     moment
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -23,8 +23,8 @@
 	// limited.
 	warmupMargin = 0.6
 
-	// overloadMargin is the fraction of the load that would overload a warming server which all replicas
-	// together may send to it.
+	// overloadMargin: all replicas together may send a warming server at most this fraction of the load that
+	// would overload it.
 	overloadMargin = 0.65
 
 	// arrivalDecay is the time constant of a replica's usual rate of requests.
--- a/balancer/status.go
+++ b/balancer/status.go
@@ -50,7 +50,7 @@
 		EvidenceContradicted: "contradicted", EvidenceRecent: "recent"}[e]
 }
 
-// ListEvidence is the evidence on which an attempt to a server is based while the list is stale.
+// ListEvidence is the evidence that a server is still listed, on which attempts rely while the list is stale.
 type ListEvidence struct {
 	ListAge  int64 // µs since the list was confirmed
 	Evidence ServerEvidence
--- a/balancer/weighttuning.go
+++ b/balancer/weighttuning.go
@@ -15,7 +15,7 @@
 
 const (
 	// tuningInterval is the minimum duration of a round. A random part of up to half of it is added, so that
-	// replicas do not step together.
+	// replicas do not change their weights at the same time.
 	tuningInterval = 3 * seconds
 
 	minTunedCalls = 8.0 // recent calls of all replicas that a server needs to be tuned
@@ -73,7 +73,7 @@
 	step         float64              // largest change of a logarithm in the next round
 	tail         tailweights.TailNorm // this round's latencies, as multiples of their class's unloaded ones
 	tailCalls    float64              // number of latencies in tail
-	previousTail float64              // tail of the previous round; 0: none
+	previousTail float64              // tail.Root() of the previous round; 0: none
 	solver       tailweights.Solver
 }
 
--- a/internal/tailweights/adjust.go
+++ b/internal/tailweights/adjust.go
@@ -6,14 +6,14 @@
 type Observation struct {
 	CallsPerSecond float64
 	MeanLatency    float64   // in any unit that is the same for all servers
-	Weight         float64   // of the two measurements, such as the number of calls that they are based on
+	Weight         float64   // such as the number of calls that the two measurements are based on
 	Curve          *CurveFit // learned in previous rounds; Adjust updates it
 }
 
 // CurveLearning holds the parameters for learning curves from observations.
 type CurveLearning struct {
 	AssumedUtilization float64 // 0 to 1: fraction of all capacity in use, until the curves are known
-	InformativeSpread  float64 // fraction of the mean load: loads this far apart count like the assumption
+	InformativeSpread  float64 // fraction of mean load: loads this far apart weigh like AssumedUtilization
 	Retention          float64 // 0 to 1: fraction of the weight of earlier observations kept in each round
 	MaxMisfit          float64 // factor: a latency that is off its curve by more than this starts a new curve
 	MaxSlopeFactor     float64 // factor by which a curve's slope may differ from the assumed slope
