--- a/internal/cluster/state/encode.go
+++ b/internal/cluster/state/encode.go
@@ -23,6 +23,7 @@
 		packet: packet[group[cbor.RawMessage]]{Version: wireVersion}}
 }
 
+// packResult is the outcome of adding an entry to a packet.
 type packResult int
 
 const (
--- a/internal/discovery/metrics.go
+++ b/internal/discovery/metrics.go
@@ -38,6 +38,7 @@
 	callConnectionFailed callResult = "broke"   // refused, reset or cut off
 )
 
+// resultOf returns how a call ended that returned err. ctx is the context of the call.
 func resultOf(ctx context.Context, err error) callResult {
 	var malformed *malformedListError
 	switch {
--- a/internal/registry/api/request.go
+++ b/internal/registry/api/request.go
@@ -51,8 +51,8 @@
 }
 
 // queryNumber reads a number of 0 or more from the query; it is 0 if the key is missing. If the number is
-// invalid, it responds with 400 and returns false. What is the beginning of the error text, such as "a
-// version is".
+// invalid, it responds with 400 and returns false. The argument what is a noun and its verb for the error
+// text, such as "a version is".
 func queryNumber(w http.ResponseWriter, r *http.Request, key, what string) (n int64, ok bool) {
 	text := r.URL.Query().Get(key)
 	if text == "" && !r.URL.Query().Has(key) {
--- a/internal/registry/api/watch.go
+++ b/internal/registry/api/watch.go
@@ -61,7 +61,8 @@
 	watchUnchanged                   // the watch has timed out without a newer version
 )
 
-// awaitEvent waits until a watch ends. Current returns this member's epoch and version of what is watched.
+// awaitEvent waits until a watch ends. The function current returns this member's epoch and version of what is
+// watched.
 //
 // If this member has not reached the client's version, either the client got it from a member that is ahead,
 // or it is of a lost epoch. The client's epoch tells which. If the client names no epoch, awaitEvent waits
--- a/internal/registry/lease/lease.go
+++ b/internal/registry/lease/lease.go
@@ -28,7 +28,7 @@
 // Config holds the settings of a table.
 type Config struct {
 	// HoldThreshold is the fraction of a zone's leases that may expire within a lease duration without a
-	// hold. One lease always may.
+	// hold. A single lease may always expire without a hold.
 	HoldThreshold float64
 	// ReleaseRate is the fraction of a held zone's leases that are released in one lease duration.
 	ReleaseRate float64
--- a/internal/registry/raftnode/snapshots.go
+++ b/internal/registry/raftnode/snapshots.go
@@ -19,8 +19,8 @@
 const retainedSnapshots = 2
 
 // openSnapshots opens raft's snapshot store and verifies each snapshot: raft itself would skip a damaged one
-// and start from an older one, with a gap between it and the log. Newest is the log index of the newest
-// snapshot, 0 if there is none.
+// and start from an older one, with a gap between it and the log. The result newest is the log index of the
+// newest snapshot, 0 if there is none.
 func openSnapshots(dir string, logger hclog.Logger) (snapshots *raft.FileSnapshotStore, newest uint64, err error) {
 	if snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, logger); err != nil {
 		return nil, 0, fmt.Errorf("open the snapshots of %s: %w", dir, err)
@@ -43,6 +43,7 @@
 	return snapshots, newest, nil
 }
 
+// verifySnapshot reads a whole snapshot, which checks its checksum and content, and returns its log index.
 func verifySnapshot(snapshots *raft.FileSnapshotStore, id string) (index uint64, err error) {
 	meta, r, err := snapshots.Open(id)
 	if err != nil {
--- a/internal/registry/registrar/registrar.go
+++ b/internal/registry/registrar/registrar.go
@@ -137,6 +137,7 @@
 	return path
 }
 
+// instanceBody is the body of a renewal or drain call.
 type instanceBody struct {
 	Instance string `json:"instance"`
 }
@@ -168,8 +169,8 @@
 }
 
 // KeepRegistered registers a server and renews its lease until ctx ends; it does not deregister it. If the
-// registry no longer knows the server, it registers it again. It calls registered, unless that is nil, after
-// each registration. If the registry rejects the server, it returns the *RejectedError.
+// registry no longer knows the server, it registers it again. After each registration it calls the function
+// registered, unless that is nil. If the registry rejects the server, it returns the *RejectedError.
 func (c *Client) KeepRegistered(ctx context.Context, r state.Record, registered func(api.Accepted)) error {
 	lease := time.Duration(r.LeaseMs) * time.Millisecond
 	for {
--- a/internal/registry/rollout/reports.go
+++ b/internal/registry/rollout/reports.go
@@ -33,7 +33,6 @@
 }
 
 // timedReport is a report with the time of its arrival.
-
 type timedReport struct {
 	ProxyReport
 	receivedAt time.Time
--- a/internal/registry/state/golden_test.go
+++ b/internal/registry/state/golden_test.go
@@ -88,7 +88,7 @@
 }
 
 // stateHash applies a log of random commands, each encoded and decoded as on a member, and returns the hash
-// of all results. Change may modify the commands.
+// of all results. The function change may modify the commands.
 func stateHash(t *testing.T, change func(at int, c *Command)) string {
 	t.Helper()
 	sum := sha256.New()
--- a/internal/registry/store/store.go
+++ b/internal/registry/store/store.go
@@ -71,9 +71,10 @@
 	logger *slog.Logger
 }
 
-// Open verifies and opens a member's directory, and creates it if it is missing. SnapshotIndex is the log
-// index of raft's newest snapshot, 0 if there is none; the log may have no gap after it. Open reports empty
-// if the directory held no data. The error wraps ErrDamaged, ErrWrongMember or ErrInUse if it is one of them.
+// Open verifies and opens a member's directory, and creates it if it is missing. The argument snapshotIndex is
+// the log index of raft's newest snapshot, 0 if there is none; the log may have no gap after it. Open reports
+// empty if the directory held no data. The error wraps ErrDamaged, ErrWrongMember or ErrInUse if it is one of
+// them.
 func Open(dir, member string, snapshotIndex uint64, logger *slog.Logger) (s *Store, empty bool, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, false, fmt.Errorf("create the member's directory: %w", err)
--- a/internal/registry/store/verify.go
+++ b/internal/registry/store/verify.go
@@ -124,14 +124,18 @@
 	})
 }
 
+// missingBucketError reports that the log file of an identified directory lacks one of its bbolt buckets.
 type missingBucketError struct{ bucket string }
 
 func (e *missingBucketError) Error() string { return "bucket " + e.bucket + " is missing" }
 
+// gapError reports that entries are missing in the log or between the snapshot and the log. after is the index
+// of the entry or snapshot before the gap, next that of the first entry after it.
 type gapError struct{ after, next uint64 }
 
 func (e *gapError) Error() string { return fmt.Sprintf("log entry %d follows %d", e.next, e.after) }
 
+// truncatedError reports a log file that is shorter than its newest meta page says. Sizes are in bytes.
 type truncatedError struct{ size, want int64 }
 
 func (e *truncatedError) Error() string {
