--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -163,7 +163,7 @@
 		n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes+1))
 		switch {
 		case err != nil:
-			http.Error(w, "the call broke off", http.StatusBadRequest)
+			http.Error(w, "the call is incomplete", http.StatusBadRequest)
 			return
 		case n > maxBodyBytes:
 			http.Error(w, "the call is too large", http.StatusRequestEntityTooLarge)
--- a/internal/registry/api/configs.go
+++ b/internal/registry/api/configs.go
@@ -190,7 +190,8 @@
 		body.Remedy = "look at it, and put yours after that one"
 	case state.ResultNoRoom:
 		status = http.StatusInsufficientStorage
-		body.Error = fmt.Sprintf("%d services with %d bytes of documents may be held", state.MaxServices, state.MaxDocumentBytes)
+		body.Error = fmt.Sprintf("at most %d services with %d bytes of documents can be stored",
+			state.MaxServices, state.MaxDocumentBytes)
 		body.Remedy = "put shorter documents"
 	default:
 		body.Error = "the leader's program did not take it"
--- a/internal/registry/api/server.go
+++ b/internal/registry/api/server.go
@@ -55,7 +55,7 @@
 )
 
 // errWaitingForPeers is the response to calls of a member whose node is not open yet.
-var errWaitingForPeers = errors.New("this member waits for the others")
+var errWaitingForPeers = errors.New("this member is waiting for the other members")
 
 // Config holds the settings of a server.
 type Config struct {
--- a/internal/registry/api/watch.go
+++ b/internal/registry/api/watch.go
@@ -13,15 +13,15 @@
 
 // Errors of watches, which get 503.
 var (
-	errStopping          = errors.New("this member ends")
-	errVersionNotReached = errors.New("this member has not come up to that version yet")
+	errStopping          = errors.New("this member is shutting down")
+	errVersionNotReached = errors.New("this member has not reached the requested version yet")
 )
 
 // tooManyWatchesError reports a watch that exceeds Config.MaxWatches.
 type tooManyWatchesError struct{ inFlight int64 }
 
 func (e *tooManyWatchesError) Error() string {
-	return fmt.Sprintf("%d watches are held, as many as there may be", e.inFlight)
+	return fmt.Sprintf("%d watches are in flight, which is the maximum", e.inFlight)
 }
 
 // watchRequest holds the parameters of a watch.
--- a/internal/registry/metrics/metrics.go
+++ b/internal/registry/metrics/metrics.go
@@ -53,7 +53,8 @@
 		fmt.Fprintln(w, "yes")
 		return
 	}
-	http.Error(w, "the list is not served: this member has no leader, or waits for the others", http.StatusServiceUnavailable)
+	http.Error(w, "the list is not served: this member has no leader, or is waiting for the other members",
+		http.StatusServiceUnavailable)
 }
 
 // Addr returns the address that the server listens on.
--- a/internal/registry/raftnode/node.go
+++ b/internal/registry/raftnode/node.go
@@ -77,7 +77,7 @@
 	ErrNotLeader = errors.New("this member does not lead")
 	ErrNoLeader  = errors.New("no leader is known")
 	ErrStale     = errors.New("this member has lost the leader: its list may be old")
-	ErrUncertain = errors.New("not confirmed in time; it may have happened: repeat it")
+	ErrUncertain = errors.New("not confirmed in time; the call may still take effect: repeat it")
 )
 
 // errShutdownTimeout reports that raft was still running when Close returned. It is harmless: the next start
@@ -89,7 +89,7 @@
 type unreadableCommandError struct{ response any }
 
 func (e *unreadableCommandError) Error() string {
-	return fmt.Sprintf("a command of the log cannot be read: %v", e.response)
+	return fmt.Sprintf("a command of the raft log cannot be decoded: %v", e.response)
 }
 
 // Node is one member of the cluster. Its methods may be called concurrently.
--- a/internal/registry/raftnode/restore.go
+++ b/internal/registry/raftnode/restore.go
@@ -28,7 +28,7 @@
 		}
 	}
 	if err := snapshot.Check(); err != nil {
-		return "", 0, fmt.Errorf("with the configurations that it lacks: %w", err)
+		return "", 0, fmt.Errorf("snapshot with the current configurations added: %w", err)
 	}
 	var text bytes.Buffer
 	if err := snapshot.Write(&text); err != nil {
--- a/internal/registry/state/configs.go
+++ b/internal/registry/state/configs.go
@@ -72,14 +72,16 @@
 		return err
 	}
 	if c.Version <= 0 || c.Version >= maxVersion || c.After < -1 || c.After >= c.Version {
-		return &ContentError{c.Service, fmt.Sprintf("version %d after %d cannot be", c.Version, c.After)}
+		return &ContentError{c.Service, fmt.Sprintf("version %d, written after version %d, is invalid",
+			c.Version, c.After)}
 	}
 	if err := checkDocument(c.Document); err != nil {
 		return fmt.Errorf("%s: the document: %w", c.Service, err)
 	}
 	if previous := c.Previous; previous != nil {
 		if previous.Version <= 0 || previous.Version >= c.Version {
-			return &ContentError{c.Service, fmt.Sprintf("version %d before %d cannot be", previous.Version, c.Version)}
+			return &ContentError{c.Service, fmt.Sprintf("previous version %d is invalid before version %d",
+				previous.Version, c.Version)}
 		}
 		if err := checkDocument(previous.Document); err != nil {
 			return fmt.Errorf("%s: the former document: %w", c.Service, err)
@@ -146,7 +148,7 @@
 	for i, c := range s.Configs {
 		part := fmt.Sprintf("configurations[%d]", i)
 		if services[c.Service] {
-			return &ContentError{part, fmt.Sprintf("%q has another one", c.Service)}
+			return &ContentError{part, fmt.Sprintf("service %q has more than one configuration", c.Service)}
 		}
 		services[c.Service] = true
 		if err := c.check(); err != nil {
--- a/internal/registry/state/snapshot.go
+++ b/internal/registry/state/snapshot.go
@@ -33,7 +33,7 @@
 // Check returns an error that names the first invalid part of the snapshot.
 func (s *Snapshot) Check() error {
 	if s.Version < 0 || s.Version >= maxVersion || (s.Epoch == "") != (s.Version == 0) {
-		return &ContentError{"index", fmt.Sprintf("version %d of epoch %q cannot be", s.Version, s.Epoch)}
+		return &ContentError{"index", fmt.Sprintf("version %d of epoch %q is invalid", s.Version, s.Epoch)}
 	}
 	if len(s.Records) > MaxEndpoints || len(s.EndedInstances) > MaxEndedInstances {
 		return &ContentError{"nodos and ended", fmt.Sprintf("%d endpoints and %d ended instances; at most %d and %d are kept",
--- a/internal/registry/state/snapshotfile.go
+++ b/internal/registry/state/snapshotfile.go
@@ -53,16 +53,17 @@
 	}
 	body, err := atomicfile.Decode(kind, in, MaxSnapshotBytes)
 	if err != nil {
-		return s, fmt.Errorf("a snapshot: %w", err)
+		return s, fmt.Errorf("read a snapshot: %w", err)
 	}
 	if err := json.Unmarshal(body, &s); err != nil {
-		return s, fmt.Errorf("a snapshot: %w: %w", ErrDamaged, err)
+		return s, fmt.Errorf("read a snapshot: %w: %w", ErrDamaged, err)
 	}
 	if s.kind() != kind {
-		return s, fmt.Errorf("a snapshot: %w: a %s with %d configurations", ErrDamaged, kind, len(s.Configs))
+		return s, fmt.Errorf("read a snapshot: %w: its kind is %s, but it has %d configurations", ErrDamaged,
+			kind, len(s.Configs))
 	}
 	if err := s.Check(); err != nil {
-		return s, fmt.Errorf("a snapshot: %w: %w", ErrDamaged, err)
+		return s, fmt.Errorf("read a snapshot: %w: %w", ErrDamaged, err)
 	}
 	return s, nil
 }
