--- a/internal/registry/store/verify.go
+++ b/internal/registry/store/verify.go
@@ -133,9 +133,7 @@
 // of the entry or snapshot before the gap, next that of the first entry after it.
 type gapError struct{ after, next uint64 }
 
-func (e *gapError) Error() string {
-	return fmt.Sprintf("log entry %d follows index %d: the entries between them are missing", e.next, e.after)
-}
+func (e *gapError) Error() string { return fmt.Sprintf("log entry %d follows %d", e.next, e.after) }
 
 // truncatedError reports a log file that is shorter than its newest meta page says. Sizes are in bytes.
 type truncatedError struct{ size, want int64 }
