--- a/internal/cluster/state/store_test.go
+++ b/internal/cluster/state/store_test.go
@@ -232,7 +232,7 @@
 		}
 	}
 	if c := store.Counts(); c.Advertised != 5 || c.Renewed != 1 || c.Withdrawn != 2 || c.Omitted != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("unexpected counts of publications: %+v", c)
 	}
 }
 
@@ -245,7 +245,7 @@
 		store.Resume(int64(i), server)
 	}
 	if c := store.Counts(); c.Resumed != 2 || c.Evicted != 1 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("unexpected counts of tombstones and evictions: %+v", c)
 	}
 	if entries, err := store.Resume(3, "never"); entries != nil || err != nil {
 		t.Fatal(entries, err)
@@ -255,7 +255,7 @@
 	before := store.OverrideRecords(5)
 	var full *LimitError
 	if _, err := store.Suspend(5, "f"); !errors.As(err, &full) || full.Subject != "f" || !slices.Equal(store.OverrideRecords(5), before) {
-		t.Fatalf("%v %v", err, store.OverrideRecords(5))
+		t.Fatalf("Suspend at the limit: error %v, records %v", err, store.OverrideRecords(5))
 	}
 	var name *NameError
 	if _, err := store.Suspend(5, ""); !errors.As(err, &name) {
--- a/internal/cluster/state/wire_test.go
+++ b/internal/cluster/state/wire_test.go
@@ -170,7 +170,7 @@
 		two.Merge(testTime, first)
 		c := one.Counts()
 		if c.Entries > 20_000 || c.Own > 512 || c.Observers > 1024 || c.Suspended+c.Resumed > 4096 {
-			t.Fatalf("%+v", c)
+			t.Fatalf("a limit is exceeded: %+v", c)
 		}
 		if x, y := one.PeerEntries(testTime), two.PeerEntries(testTime); c.DroppedAtLimit+c.Evicted+two.Counts().DroppedAtLimit+two.Counts().Evicted == 0 && !slices.Equal(x, y) {
 			t.Fatalf("the stores differ by the order of packets:\n%v\n%v", x, y)
--- a/internal/registry/api/configs_test.go
+++ b/internal/registry/api/configs_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	if _, c, _ := node.Configuration("tarifas"); c.Version != first || string(c.Document) != document(1) {
-		t.Errorf("got %+v", c)
+		t.Errorf("after invalid and repeated writes the configuration is %+v, want the first one", c)
 	}
 	second := putDocument(t, s, "tarifas", first, 2)
 	for path, want := range map[string]ServiceConfig{
@@ -151,7 +151,7 @@
 	putDocument(t, s, "a", first, 2)
 	for range 2 {
 		if e := <-ended; e.status != 200 || !strings.Contains(e.text, `"try_limit":2`) {
-			t.Errorf("%+v", e)
+			t.Errorf("a watch ended with %+v, want status 200 and the second document", e)
 		}
 	}
 }
--- a/internal/registry/config/config_test.go
+++ b/internal/registry/config/config_test.go
@@ -59,10 +59,10 @@
 func TestParseErrorsAreTyped(t *testing.T) {
 	var fault *Error
 	if _, err := Parse("f", "nmae = 1\n"); !errors.As(err, &fault) || fault.File != "f" || fault.Key != "nmae" {
-		t.Errorf("got %+v", fault)
+		t.Errorf("unknown key: got %+v, want an *Error with file f and key nmae", fault)
 	}
 	var syntax *SyntaxError
 	if _, err := Parse("f", "name = \"r1\"\n= 1\n"); !errors.As(err, &syntax) || syntax.File != "f" || syntax.Line != 2 {
-		t.Errorf("got %+v", syntax)
+		t.Errorf("invalid TOML: got %+v, want a *SyntaxError with file f and line 2", syntax)
 	}
 }
--- a/internal/registry/lease/lease_test.go
+++ b/internal/registry/lease/lease_test.go
@@ -56,7 +56,7 @@
 		putLeases(table, begin, "a", 10)
 		r := simulate(table, begin, 30*second, func(n string, _ time.Duration) bool { return n != "a3" })
 		if r.expired["a"] != 1 || r.lastExpiry["a"] != 10*second || len(r.held) != 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("want one endpoint expired after 10 s and no hold, got %+v", r)
 		}
 	})
 	t.Run("a quarter of a zone may expire together", func(t *testing.T) {
@@ -65,7 +65,7 @@
 		r := simulate(table, begin, 30*second,
 			func(n string, _ time.Duration) bool { return len(n) > 2 || n > "a4" }) // a0 to a4
 		if r.expired["a"] != 5 || r.lastExpiry["a"] != 10*second || len(r.held) != 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("want 5 endpoints expired after 10 s and no hold, got %+v", r)
 		}
 	})
 	t.Run("a silent zone is held and released slowly, others are not", func(t *testing.T) {
@@ -74,7 +74,7 @@
 		r := simulate(table, begin, 40*second,
 			func(n string, _ time.Duration) bool { return n[0] == 'b' && n != "b1" })
 		if !r.held["a"] || r.held["b"] || r.expired["b"] != 1 {
-			t.Errorf("%+v", r)
+			t.Errorf("want only zone a held and one endpoint of zone b expired, got %+v", r)
 		}
 		if r.expired["a"] < 4 || r.expired["a"] > 7 { // 2 of 20 in 10 s, from 10 s on
 			t.Errorf("%d of 20 expired in 30 s", r.expired["a"])
@@ -95,14 +95,14 @@
 		r := simulate(table, begin, 60*second,
 			func(_ string, at time.Duration) bool { return at > 13*second })
 		if !r.held["a"] || r.expired["a"] > 1 || len(table.leases) != 20-r.expired["a"] || len(table.zones) != 0 {
-			t.Errorf("%+v, %d zones kept", r, len(table.zones))
+			t.Errorf("want a hold that the renewals ended, got %+v, %d zones kept", r, len(table.zones))
 		}
 	})
 	t.Run("a zone that stays silent is removed in full", func(t *testing.T) {
 		table := New(DefaultConfig())
 		putLeases(table, begin, "a", 20)
 		if r := simulate(table, begin, 400*second, never); r.expired["a"] != 20 || len(table.zones) != 0 {
-			t.Errorf("%+v, %d zones kept", r, len(table.zones))
+			t.Errorf("want all 20 endpoints expired, got %+v, %d zones kept", r, len(table.zones))
 		}
 	})
 	t.Run("time in which the process was suspended does not count", func(t *testing.T) {
@@ -123,7 +123,7 @@
 		}
 		table.Reset(begin.Add(time.Hour), records)
 		if r := simulate(table, begin.Add(time.Hour), 9*second, never); len(r.expired) != 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("want no lease expired within 9 s of the reset, got %+v", r)
 		}
 	})
 	t.Run("another instance cannot renew", func(t *testing.T) {
--- a/internal/registry/registrar/registrar_test.go
+++ b/internal/registry/registrar/registrar_test.go
@@ -52,11 +52,11 @@
 			var unavailable *UnavailableError
 			switch isRejected := errors.As(err, &rejected); {
 			case isRejected != c.rejected:
-				t.Errorf("got %v", err)
+				t.Errorf("unexpected kind of error: %v", err)
 			case isRejected && (rejected.Code != c.code || rejected.Status != c.status):
-				t.Errorf("got %+v", rejected)
+				t.Errorf("rejection has another status or code than the response: %+v", rejected)
 			case !isRejected && (!errors.As(err, &unavailable) || unavailable.Address != address):
-				t.Errorf("got %v", err)
+				t.Errorf("want an *UnavailableError with the member's address, got %v", err)
 			}
 		})
 	}
--- a/internal/registry/rollout/reports_test.go
+++ b/internal/registry/rollout/reports_test.go
@@ -41,6 +41,6 @@
 		[]ProxyReport{{Name: "a", AppliedVersion: 3, AgeMs: 10, RejectedVersion: 4, RejectReason: "x"}}, nil, []ProxyReport{{Name: "a", AppliedVersion: 5, AgeMs: 30}})
 	want := []ProxyReport{{Name: "a", AppliedVersion: 3, AgeMs: 10, RejectedVersion: 4, RejectReason: "x"}, {Name: "b", AppliedVersion: 1, AgeMs: 5}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v", got)
+		t.Errorf("merged reports are %+v, not the newest of each proxy", got)
 	}
 }
--- a/internal/registry/state/configs_test.go
+++ b/internal/registry/state/configs_test.go
@@ -69,7 +69,7 @@
 	s.Apply(second.c)
 	if c, ok := s.Configuration("a"); !ok || string(c.Document) != `{"n":2}` || c.Previous == nil || string(c.Previous.Document) != `{"n":1}` ||
 		c.Previous.Version != 101 {
-		t.Errorf("got %+v", c)
+		t.Errorf("after two writes the configuration is %+v, want both documents", c)
 	}
 	if r := New().Apply(configureCommand("a", 0, `{}`)); r.Code != ResultIgnored {
 		t.Errorf("before the first epoch: %+v", r)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -145,13 +145,13 @@
 			t.Errorf("applied %s after %d attempts, reported %v", now, applier.attempts, reported)
 		}
 		if f := c.Metrics(); f.Version != 10 || f.RejectedVersion != 11 || f.Applied != 1 || f.Age > LongPollTimeout {
-			t.Errorf("%+v", f)
+			t.Errorf("after a rejected document: metrics %+v", f)
 		}
 		applier.reject("")
 		c.RetryRejected() // the proxy's own file has changed
 		sleep(LongPollTimeout)
 		if f := c.Metrics(); f.Version != 11 || f.RejectedVersion != 0 {
-			t.Errorf("%+v", f)
+			t.Errorf("after the document was accepted on a retry: metrics %+v", f)
 		}
 		applier.reject(`12`)
 		registry.publish(12)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,10 +30,10 @@
 	s := site.Balancer
 	if !s.RejectedMayHaveExecuted || s.OrderingCooldown != 7 || s.RetryBudgetWindow != 5_000_000 || s.RetryBudgetRatio != 0.05 ||
 		s.RetryBudgetMin != 3 || s.OverloadMultiple != 2.5 || s.OverloadWindow != 1_000_000 || !s.Classes[0].Ordered || s.Classes[0].DedupScope != balancer.DedupScopeCell {
-		t.Errorf("got %+v", s)
+		t.Errorf("unexpected balancer settings: %+v", s)
 	}
 	if site.Classes[0] != "put" || site.Tenants[0] != "acme" || site.DialTimeout != 200*time.Millisecond {
-		t.Errorf("got %+v", site)
+		t.Errorf("unexpected names or dial timeout: %+v", site)
 	}
 	if err := site.CheckSockets(); err != nil {
 		t.Error(err)
