--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -111,8 +111,8 @@
 	return h.inFlight == 0 && (h.lastHasLongTimeout || !errors.Is(reply.err, context.DeadlineExceeded))
 }
 
-// timing returns the timeout of the call being started, two delays, and the delay until the next call is made
-// beside it.
+// timing returns the delay after which the next call is made beside the one being started, and the timeout of
+// that one: two delays, or 2*hedgeDelayMax for a local agent.
 func (h *hedge) timing() (delay, timeout time.Duration) {
 	c, first := h.client, h.inFlight == 0
 	switch {
--- a/internal/discovery/platform.go
+++ b/internal/discovery/platform.go
@@ -43,7 +43,7 @@
 }
 
 func (e *watchTimeoutError) Error() string {
-	return fmt.Sprintf("watch with a hold of %v timed out and is repeated: %v", e.hold, e.err)
+	return fmt.Sprintf("watch with a hold of %v timed out; the changes are requested again: %v", e.hold, e.err)
 }
 func (e *watchTimeoutError) Unwrap() error { return e.err }
 
@@ -84,7 +84,7 @@
 func (c *Client) followPlatform(ctx context.Context) {
 	state := &c.platform
 	failures := 0      // consecutive
-	malformed := false // the last answer was malformed, to a call for changes
+	malformed := false // the last call requested changes and got a malformed answer
 	for ctx.Err() == nil {
 		full := state.needsFullList(malformed, time.Now())
 		list, err := c.callPlatform(ctx, full)
