--- a/internal/registry/api/endpoints.go
+++ b/internal/registry/api/endpoints.go
@@ -74,9 +74,9 @@
 	case state.ResultReplaced:
 		text = "belongs to another instance, started later"
 	case state.ResultFull:
-		status, text = http.StatusInsufficientStorage, fmt.Sprintf("has no room: the list has %d nodos", state.MaxEndpoints)
+		status, text = http.StatusInsufficientStorage, fmt.Sprintf("was not registered: the list is full, with %d nodos", state.MaxEndpoints)
 	default:
-		text = "was not taken: the leader's program does not know that command"
+		text = "was not changed: the leader's build does not support this command"
 	}
 	writeJSON(w, status, ErrorBody{Error: name + " " + text, Code: code})
 }
