--- a/internal/registry/api/endpoints.go
+++ b/internal/registry/api/endpoints.go
@@ -74,7 +74,8 @@
 	case state.ResultReplaced:
 		text = "belongs to another instance, started later"
 	case state.ResultFull:
-		status, text = http.StatusInsufficientStorage, fmt.Sprintf("was not registered: the list is full, with %d nodos", state.MaxEndpoints)
+		status, text = http.StatusInsufficientStorage,
+			fmt.Sprintf("was not registered: the list is full, with %d nodos", state.MaxEndpoints)
 	default:
 		text = "was not changed: the leader's build does not support this command"
 	}
