--- a/internal/registry/api/endpoints.go
+++ b/internal/registry/api/endpoints.go
@@ -74,7 +74,8 @@
 	case state.ResultReplaced:
 		text = "belongs to another instance, started later"
 	case state.ResultFull:
-		status, text = http.StatusInsufficientStorage, fmt.Sprintf("has no room: the list has %d nodos", state.MaxEndpoints)
+		status, text = http.StatusInsufficientStorage,
+			fmt.Sprintf("has no room: the list has %d nodos", state.MaxEndpoints)
 	default:
 		text = "was not taken: the leader's program does not know that command"
 	}
--- a/internal/registry/raftnode/node.go
+++ b/internal/registry/raftnode/node.go
@@ -89,7 +89,7 @@
 type unreadableCommandError struct{ response any }
 
 func (e *unreadableCommandError) Error() string {
-	return fmt.Sprintf("a command of the log cannot be read: %v", e.response)
+	return fmt.Sprintf("a command of the raft log cannot be decoded: %v", e.response)
 }
 
 // Node is one member of the cluster. Its methods may be called concurrently.
