--- a/internal/faultlab/byzantine/byzantine.go
+++ b/internal/faultlab/byzantine/byzantine.go
@@ -1,6 +1,6 @@
-// Package byzantine is a cluster member that publishes false reports: that healthy servers and zones are unhealthy. It
-// joins by the program's own transport, so its messages are well formed and only their content is wrong. It never runs in
-// service.
+// Package byzantine implements a cluster member that publishes false reports: that healthy servers and zones
+// are unhealthy. It uses the product's own transport, so that its messages are well formed and only their
+// content is wrong. It is used in the lab only.
 package byzantine
 
 import (
@@ -17,8 +17,8 @@
 )
 
 const (
-	publishInterval = 500 * time.Millisecond // well under the shortest TTL of the reports
-	claimedCalls    = 1000                   // evidence of each report
+	publishInterval = 500 * time.Millisecond // well below the shortest TTL of a report
+	claimedCalls    = 1000                   // number of calls on which each report claims to be based
 )
 
 // Config configures a Member.
@@ -33,7 +33,7 @@
 // Target is a server that is reported as unhealthy.
 type Target struct {
 	Name        string
-	StartedAtMs int64 // as in the endpoint list, else the report does not count for that server
+	StartedAtMs int64 // must be that of the endpoint list, or else members ignore the report
 }
 
 // Member is a member that publishes false reports.
@@ -43,8 +43,8 @@
 	done sync.WaitGroup
 }
 
-// Join joins a cluster and reports, until Leave, that all targets and all zones but its own fail. The error wraps one of
-// transport.Open.
+// Join joins a cluster and reports, until Leave, that all targets and all zones except its own are unhealthy.
+// The error wraps that of transport.Open.
 func Join(cfg Config, targets func() []Target, zones []string) (*Member, error) {
 	started := time.Now()
 	node, err := transport.Open(transport.Config{
@@ -73,13 +73,14 @@
 	return m, nil
 }
 
-// Leave leaves the cluster. What was published expires by its TTL.
+// Leave leaves the cluster. Reports that were published expire by their TTL.
 func (m *Member) Leave() {
 	m.stop()
 	m.done.Wait()
 }
 
-// FalseReports returns the reports of a byzantine member in a zone, with the most evidence that a report can have.
+// FalseReports returns the reports of a byzantine member in a zone: that all targets and all other zones
+// fail. Each carries the strongest evidence that a report can have: claimedCalls calls, all of them failed.
 func FalseReports(zone string, targets []Target, zones []string) []state.Observation {
 	body := state.Body{Fault: adapter.WireFault(balancer.FaultErrors), Calls: claimedCalls, BadFraction: 1}
 	var reports []state.Observation
--- a/internal/faultlab/catalog/answer.go
+++ b/internal/faultlab/catalog/answer.go
@@ -9,14 +9,15 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// wireEntry is an entry of an answer, with the proxy's own address of the server.
+// wireEntry is an entry of an answer, with the address at which the calling proxy reaches the server.
 type wireEntry struct {
 	Entry
 	Address string  `json:"address"`
 	Weight  float64 `json:"weight"`
 }
 
-// advance commits the due changes and answers the calls that are due; it returns the time until it must be called again.
+// advance commits the changes that are due and answers the calls that are due. It returns the time until it
+// must be called again.
 func (c *Catalog) advance(now time.Time) time.Duration {
 	if now.Sub(c.syncedAt) >= c.config.SyncInterval {
 		c.file.Sync()
@@ -52,8 +53,9 @@
 	return max(next, minStepInterval)
 }
 
-// serveQueue answers the calls that are due and returns the time until the next one is. A watch that continues is not queued. A call
-// that waited too long fails then and still keeps its place, as on the platform.
+// serveQueue answers the queued calls that are due and returns the time until the next one is due. A watch
+// that continues is answered at once. A call that waits longer than QueueTimeout fails at that time but still
+// keeps its place in the queue and costs service time, as on the platform.
 func (c *Catalog) serveQueue(now time.Time) time.Duration {
 	next := c.config.SyncInterval
 	line := c.queue
@@ -81,12 +83,12 @@
 	return next
 }
 
-// workOf is the time that an answer with a number of entries takes.
+// workOf returns the service time of an answer with a number of entries.
 func (c *Catalog) workOf(lines int) time.Duration {
 	return time.Duration(c.slowdown * float64(c.config.CallWork+time.Duration(lines)*c.config.EntryWork))
 }
 
-// answer answers a call, or adds it to the watches, and returns the time that this takes.
+// answer answers a call, or adds it to the watches if there is no news for it. It returns the service time.
 func (c *Catalog) answer(call *pollCall, now time.Time) time.Duration {
 	var lines []wireEntry
 	call.snapshot = call.from < 0 || call.from > c.version || c.version > call.from && (len(c.changes) == 0 || c.changes[0].Version > call.from+1)
@@ -94,7 +96,7 @@
 		lines, call.entries = c.snapshot(call.proxy, c.entries)
 	} else {
 		if call.from == c.version && now.Before(call.holdUntil) {
-			call.continues = true // not queued again
+			call.continues = true // a watch that was served once does not wait in the queue again
 			c.watches = append(c.watches, call)
 			return c.workOf(0)
 		}
@@ -114,16 +116,17 @@
 	return c.workOf(len(lines))
 }
 
-// onWire is an entry as a proxy gets it.
+// onWire converts an entry for an answer to a proxy.
 func (c *Catalog) onWire(proxy string, entry Entry) wireEntry {
 	return wireEntry{entry, c.config.Address(proxy, entry.Name), 1}
 }
 
+// refereeEntry converts an entry for the referee.
 func refereeEntry(entry Entry) referee.Entry {
 	return referee.Entry{Server: entry.Name, Serving: entry.Status == Serving, Since: entry.Since}
 }
 
-// snapshot is a list as a proxy gets it, by name, and as the referee records it.
+// snapshot converts a list for an answer to a proxy, sorted by name, and for the referee, in the same order.
 func (c *Catalog) snapshot(proxy string, entries map[string]Entry) ([]wireEntry, []referee.Entry) {
 	var lines []wireEntry
 	var known []referee.Entry
@@ -137,6 +140,7 @@
 	return lines, known
 }
 
+// encode returns the JSON text of an answer.
 func encode(version int64, snapshot bool, lines []wireEntry) []byte {
 	if lines == nil {
 		lines = []wireEntry{}
@@ -152,7 +156,7 @@
 	return text
 }
 
-// failCalls ends all calls without an answer.
+// failCalls fails all queued calls and all watches.
 func (c *Catalog) failCalls() {
 	for _, call := range append(c.queue, c.watches...) {
 		call.fail()
--- a/internal/faultlab/catalog/catalog.go
+++ b/internal/faultlab/catalog/catalog.go
@@ -1,7 +1,8 @@
-// Package catalog stands in for the list service: it speaks the platform's discovery protocol, with delays, a queue of calls and a file
-// that a power loss can tear. It never checks what proxies do with the list.
+// Package catalog is a stub of the registry. It speaks the platform's discovery protocol and has delays, a
+// queue of calls, and a file that a power loss can damage. It never checks what proxies do with the list.
 //
-// One goroutine, Run, owns the list and answers all calls one after another; connections pass their calls to it.
+// The goroutine of Run owns the list and answers all calls one after another; connections pass their calls to
+// it.
 package catalog
 
 import (
@@ -15,7 +16,7 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// Entry is a server in the list, without its address, which is different for each proxy.
+// Entry is a server in the list. It has no address, since each proxy reaches the server at a different one.
 type Entry struct {
 	Name   string `json:"name"`
 	Zone   string `json:"zone"`
@@ -32,63 +33,64 @@
 	Deleted  = "DELETED"
 )
 
-// Config describes a catalog.
+// Config configures a Catalog.
 type Config struct {
 	NotificationDelay time.Duration // from a change until it is announced
-	CallWork          time.Duration // time for a call
-	EntryWork         time.Duration // and for an entry of an answer
-	QueueTimeout      time.Duration // of a call
-	SyncInterval      time.Duration // of the file
-	RetainedChanges   int           // for watches
-	MaxWaitingCalls   int           // calls in the queue and watches
+	CallWork          time.Duration // service time of a call
+	EntryWork         time.Duration // additional service time for each entry of an answer
+	QueueTimeout      time.Duration // longest time that a call waits in the queue
+	SyncInterval      time.Duration // between syncs of the file
+	RetainedChanges   int           // number of changes from which a watch can continue
+	MaxWaitingCalls   int           // limit of the calls in the queue and the watches together
 	Seed              uint64
-	// Address is the address at which a proxy reaches a server.
+	// Address returns the address at which a proxy reaches a server.
 	Address func(proxy, nodo string) string
 }
 
 const (
-	maxHoldTime     = 60 * time.Second
+	maxHoldTime     = 60 * time.Second // of a watch
 	minStepInterval = 100 * time.Microsecond
 
-	reregisterDelay = 3 * time.Second        // of servers whose entries were lost
-	continueWindow  = 200 * time.Millisecond // a watch that comes later after the last answer is a new one
+	reregisterDelay = 3 * time.Second        // until a server whose entry was lost registers again
+	continueWindow  = 200 * time.Millisecond // a watch that arrives later after the last answer counts as new
 )
 
-// Catalog is a running catalog.
+// Catalog is a stub registry.
 type Catalog struct {
 	config  Config
 	referee *referee.Referee
 	actions chan func()
 	done    chan struct{}
 
-	// The following is used by Run only.
+	// The fields up to mu are used by the goroutine of Run only.
 	file           *faultdisk.File
 	version        int64
-	answeredCalls  int64 // calls
+	answeredCalls  int64
 	entries        map[string]Entry
 	changes        []versionRecord // the last RetainedChanges versions, in order
 	pending        []pendingChange // changes not announced yet
-	watches        []*pollCall     // answered at the next change or the end of their hold
+	watches        []*pollCall     // answered at the next change or the end of their hold time
 	queue          []*pollCall     // calls not answered yet
-	busyUntil      time.Time
-	slowdown       float64
-	downFaults     int // number of active faults, as are the next
-	staleFaults    int
-	diskFullFaults int
+	busyUntil      time.Time       // end of the service time of the last answered call
+	slowdown       float64         // factor of the service times
+	downFaults     int             // number of active faults of TakeDown
+	staleFaults    int             // number of active faults of Freeze
+	diskFullFaults int             // number of active faults of FillDisk
 	syncedAt       time.Time
-	lastAnswers    map[string]time.Time // by proxy
+	lastAnswers    map[string]time.Time // time of the last answer, by proxy
 	rng            *rand.Rand
 
 	mu               sync.Mutex
-	notifiedVersions map[string]int64 // last version of each proxy
+	notifiedVersions map[string]int64 // last version that each proxy was notified of
 }
 
+// pendingChange is a change and the time at which it is announced.
 type pendingChange struct {
 	dueAt time.Time
 	entry Entry
 }
 
-// New returns a catalog with these entries as synced versions.
+// New returns a catalog whose list holds the entries. Their versions are already synced to the file.
 func New(cfg Config, ref *referee.Referee, entries []Entry) *Catalog {
 	c := &Catalog{config: cfg, referee: ref, actions: make(chan func()), done: make(chan struct{}), file: &faultdisk.File{},
 		entries: map[string]Entry{}, slowdown: 1, lastAnswers: map[string]time.Time{}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), notifiedVersions: map[string]int64{}}
@@ -117,7 +119,7 @@
 	}
 }
 
-// run has the catalog's goroutine call f, and waits for it.
+// run calls f in the catalog's goroutine and waits for its end. It does nothing after the end of Run.
 func (c *Catalog) run(f func()) {
 	called := make(chan struct{})
 	select {
@@ -127,20 +129,21 @@
 	}
 }
 
-// Change adds an entry to the list, announced after NotificationDelay.
+// Change changes the list by an entry, which is announced after NotificationDelay.
 func (c *Catalog) Change(entry Entry) {
 	c.run(func() {
 		c.pending = append(c.pending, pendingChange{time.Now().Add(c.config.NotificationDelay), entry})
 	})
 }
 
-// TakeDown fails all calls until end is called. Several such faults are combined, as are those below.
+// TakeDown fails all calls until end is called. Several such faults can be active at a time, as with the
+// faults below.
 func (c *Catalog) TakeDown() (end func()) {
 	c.run(func() { c.downFaults++; c.failCalls() })
 	return func() { c.run(func() { c.downFaults-- }) }
 }
 
-// SlowDown multiplies the time of calls until end is called.
+// SlowDown multiplies the service time of calls until end is called.
 func (c *Catalog) SlowDown(factor float64) (end func()) {
 	c.run(func() { c.slowdown *= factor })
 	return func() { c.run(func() { c.slowdown /= factor }) }
@@ -152,13 +155,15 @@
 	return func() { c.run(func() { c.staleFaults-- }) }
 }
 
-// Rollback removes the last versions, as after a restore from a backup: all calls fail, and servers whose entries were lost register
-// again after reregisterDelay, under versions that were used before.
+// Rollback removes the given number of last versions, as a restore from a backup does. All waiting calls
+// fail, and servers whose entries were lost register again after reregisterDelay, under version numbers that
+// were used before.
 func (c *Catalog) Rollback(versions int) {
 	c.run(func() { c.rollBack(c.readRecords(c.file.Bytes()), c.version-int64(versions)) })
 }
 
-// PowerLoss loses what was not synced to the file and returns the number of lost versions. It is used while the catalog is down.
+// PowerLoss loses data that was not synced to the file, and returns the number of lost versions. It is used
+// while the catalog is down.
 func (c *Catalog) PowerLoss() (lost int64) {
 	c.run(func() {
 		before := c.version
@@ -169,20 +174,21 @@
 	return lost
 }
 
-// FillDisk makes writes to the file fail until end is called: a change that cannot be stored is not announced.
+// FillDisk makes writes to the file fail until end is called. A change that cannot be stored is not
+// announced.
 func (c *Catalog) FillDisk() (end func()) {
 	c.run(func() { c.diskFullFaults++; c.file.SetFull(true) })
 	return func() { c.run(func() { c.diskFullFaults--; c.file.SetFull(c.diskFullFaults > 0) }) }
 }
 
-// recordVersion records the version that a proxy was notified of.
+// recordVersion records the last version that a proxy was notified of.
 func (c *Catalog) recordVersion(proxy string, index int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notifiedVersions[proxy] = index
 }
 
-// lastVersion is the last version that a proxy was notified of; false if there is none.
+// lastVersion returns the last version that a proxy was notified of; false if there is none.
 func (c *Catalog) lastVersion(proxy string) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,8 +196,9 @@
 	return index, ok
 }
 
-// Snapshot is the list for a proxy's configuration, as text and for the referee: as its former process last received it, as on the
-// platform, or the current one. Each entry is kept with a probability of fraction.
+// Snapshot returns the list for a proxy's configuration, as JSON and as the referee records it. As on the
+// platform it is the list that the proxy's former process received last, or else the current one. Each entry
+// is kept with a probability of fraction.
 func (c *Catalog) Snapshot(proxy string, fraction float64, random *rand.Rand) (list json.RawMessage, known []referee.Entry) {
 	c.run(func() {
 		entries, version := c.entries, c.version
@@ -206,7 +213,7 @@
 				known = append(known, all[i])
 			}
 		}
-		if len(kept) < total { // not a version of the list: a watch must not continue from it
+		if len(kept) < total { // an incomplete list is not a version: a watch must not continue from it
 			version = -1
 		}
 		list = encode(version, true, kept)
--- a/internal/faultlab/catalog/record.go
+++ b/internal/faultlab/catalog/record.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// versionRecord is one version of the list, as in the file.
+// versionRecord is one version of the list: the entry that it changed. The file holds one for each version.
 type versionRecord struct {
 	Version int64 `json:"index"`
 	Entry   Entry `json:"entry"`
 }
 
-// rollBack restarts the list from records up to a version. Later changes are announced again after reregisterDelay.
+// rollBack restores the list from the records up to a version. Changes of later versions are announced again
+// after reregisterDelay.
 func (c *Catalog) rollBack(records []versionRecord, upTo int64) {
 	former := c.changes
 	c.restore(records, upTo)
@@ -28,12 +29,12 @@
 	}
 }
 
-// commit makes an entry the next version; false if it could not be stored.
+// commit stores an entry as the next version and applies it; false if it could not be stored.
 func (c *Catalog) commit(entry Entry) bool {
 	next := versionRecord{c.version + 1, entry}
 	text, err := json.Marshal(next)
 	if err != nil {
-		panic(err) // cannot fail: strings and numbers
+		panic(err) // cannot happen: the record holds only strings and numbers
 	}
 	if c.file.Append(fmt.Appendf(nil, "%08x %s\n", crc32.ChecksumIEEE(text), text)) != nil {
 		return false
@@ -42,6 +43,7 @@
 	return true
 }
 
+// apply changes the list by a record, and retains the record for watches.
 func (c *Catalog) apply(record versionRecord) {
 	c.version = record.Version
 	record.applyTo(c.entries)
@@ -52,6 +54,7 @@
 	}
 }
 
+// applyTo changes entries by the record.
 func (r versionRecord) applyTo(entries map[string]Entry) {
 	if r.Entry.Status == Deleted {
 		delete(entries, r.Entry.Name)
@@ -60,7 +63,7 @@
 	entries[r.Entry.Name] = r.Entry
 }
 
-// entriesAt is the list at a version.
+// entriesAt returns the list at a version, from the file.
 func (c *Catalog) entriesAt(version int64) map[string]Entry {
 	entries := map[string]Entry{}
 	for _, record := range c.readRecords(c.file.Bytes()) {
@@ -90,7 +93,7 @@
 	return out
 }
 
-// restore sets the list to records up to a version.
+// restore rebuilds the list from the records up to a version, and truncates the file after that version.
 func (c *Catalog) restore(records []versionRecord, upTo int64) {
 	c.version, c.entries, c.changes = 0, map[string]Entry{}, nil
 	c.referee.RecordListLost()
--- a/internal/faultlab/catalog/serve.go
+++ b/internal/faultlab/catalog/serve.go
@@ -12,23 +12,23 @@
 	"merlinpick/internal/faultlab/wire"
 )
 
-// pollCall is a poll of a proxy.
+// pollCall is a call of a proxy for the list or its changes.
 type pollCall struct {
 	proxy     string
-	from      int64 // version; -1: the complete list
-	holdUntil time.Time
-	queuedAt  time.Time // when it was queued
-	reply     chan []byte
-	entries   []referee.Entry
-	snapshot  bool
-	version   int64 // of the answer
-	order     int64 // of the answer, among all
+	from      int64     // version that the proxy has; -1: it asks for the complete list
+	holdUntil time.Time // end of the hold time of a watch
+	queuedAt  time.Time
+	reply     chan []byte     // receives the answer; closed without one if the call fails
+	entries   []referee.Entry // of the answer
+	snapshot  bool            // whether the answer is the complete list
+	version   int64           // of the answer
+	order     int64           // sequence number of the answer
 
-	continues bool // a watch that continues from the last answer is not queued
-	failed    bool // it has failed
+	continues bool // a watch that continues from the last answer does not wait in the queue
+	failed    bool
 }
 
-// fail ends a call without an answer; further calls do nothing.
+// fail ends a call without an answer; later calls of fail do nothing.
 func (p *pollCall) fail() {
 	if !p.failed {
 		p.failed = true
@@ -59,8 +59,8 @@
 	}
 }
 
-// recordAnswer records an answer that is written to a process of a proxy; poll is nil if the call failed. An answer that a cut delayed
-// until after the process was killed does not notify the next one.
+// recordAnswer records an answer that is written to a process of a proxy; call is nil if the call failed. An
+// answer that a cut delayed until after the process was killed does not notify the proxy's next process.
 func (c *Catalog) recordAnswer(proxy string, process int, call *pollCall, at time.Time) {
 	switch {
 	case c.referee.StartCount(proxy) != process:
@@ -72,7 +72,7 @@
 	}
 }
 
-// handle answers one request; the call is nil if it failed.
+// handle returns the answer to one request; poll is nil if the call failed.
 func (c *Catalog) handle(proxy string, request *http.Request, conn *link.Conn) (status int, body []byte, poll *pollCall) {
 	if request.Method != http.MethodGet || request.URL.Path != "/catalog/members" {
 		return http.StatusNotFound, nil, nil
@@ -97,7 +97,7 @@
 			return http.StatusServiceUnavailable, nil, nil
 		}
 		return http.StatusOK, body, poll
-	case <-gone: // the proxy closed the connection
+	case <-gone: // the proxy has closed the connection
 		c.run(func() {
 			c.queue = slices.DeleteFunc(c.queue, func(other *pollCall) bool { return other == poll })
 			c.watches = slices.DeleteFunc(c.watches, func(other *pollCall) bool { return other == poll })
@@ -108,7 +108,7 @@
 	}
 }
 
-// parsePoll is a request's call; false if its parameters are invalid.
+// parsePoll returns the call that a request makes; false if its parameters are invalid.
 func parsePoll(proxy string, request *http.Request) (poll *pollCall, ok bool) {
 	now := time.Now()
 	poll = &pollCall{proxy: proxy, from: -1, queuedAt: now, reply: make(chan []byte, 1)}
@@ -125,7 +125,7 @@
 	return poll, true
 }
 
-// enqueue queues a call; false if the catalog is down or its queue full.
+// enqueue queues a call; false if the catalog is down or has too many waiting calls.
 func (c *Catalog) enqueue(poll *pollCall) (queued bool) {
 	c.run(func() {
 		if c.downFaults > 0 || len(c.queue)+len(c.watches) >= c.config.MaxWaitingCalls {
--- a/internal/faultlab/faultdisk/faultdisk.go
+++ b/internal/faultlab/faultdisk/faultdisk.go
@@ -1,8 +1,8 @@
-// Package faultdisk injects power losses and full disks into files: into in-memory files of stub servers, and into the files
-// of a real process after it was killed. It decides nothing about when a fault happens.
+// Package faultdisk injects power losses and full disks into files: into in-memory files of stubs, and into
+// the files of a real process after it was killed. It does not decide when a fault happens.
 //
-// Only data that a sync has confirmed is durable. Of later writes any 512-byte block may be on the disk or not, in any order:
-// a lost block reads as zeros, or is the end of the file.
+// Only data that a sync has confirmed is durable. Of data written later, any 512-byte block may have reached
+// the disk or not, in any order: a lost block reads as zeros, or the file ends before it.
 package faultdisk
 
 import (
@@ -17,21 +17,21 @@
 	"time"
 )
 
-// BlockSize is what a disk writes atomically, in bytes.
+// BlockSize is the size of a block that a disk writes atomically, in bytes.
 const BlockSize = 512
 
-// ErrFull reports a write to a full disk; it wraps ENOSPC.
+// ErrFull is returned by a write to a full disk; it wraps ENOSPC.
 var ErrFull = fmt.Errorf("write: %w", syscall.ENOSPC)
 
 // File is a file in memory. Its methods are safe for concurrent use.
 type File struct {
 	mu     sync.Mutex
 	data   []byte
-	synced int // bytes
+	synced int // number of durable bytes
 	full   bool
 }
 
-// Append writes at the end, or returns ErrFull and writes nothing.
+// Append writes b at the end of the file, or returns ErrFull and writes nothing.
 func (f *File) Append(b []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,14 +42,14 @@
 	return nil
 }
 
-// Sync makes all data durable.
+// Sync makes all data of the file durable.
 func (f *File) Sync() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.synced = len(f.data)
 }
 
-// SetFull makes writes fail, or succeed again.
+// SetFull makes writes fail with ErrFull, or succeed again.
 func (f *File) SetFull(full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,14 +63,15 @@
 	return append([]byte(nil), f.data...)
 }
 
-// Truncate cuts the file to n bytes, as its reader does with a torn tail. n must not exceed the length.
+// Truncate cuts the file to n bytes, as a reader does that finds an incomplete tail. n must not exceed the
+// length.
 func (f *File) Truncate(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.data, f.synced = f.data[:n], min(f.synced, n)
 }
 
-// PowerLoss loses a part of the data that is not durable, chosen by random.
+// PowerLoss loses a random part of the data that is not durable. What remains is durable.
 func (f *File) PowerLoss(random *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +79,8 @@
 	f.synced = len(f.data)
 }
 
-// tear keeps the first synced bytes of data, and a random part of the blocks behind them.
+// tear returns the first synced bytes of data and a random part of the blocks after them: it cuts the data at
+// a random position and zeroes each block before it with a probability of 1/4.
 func tear(data []byte, synced int, random *rand.Rand) []byte {
 	end := synced + random.IntN(len(data)-synced+1)
 	out := append([]byte(nil), data[:end]...)
@@ -92,9 +94,9 @@
 	return out
 }
 
-// Tear applies a power loss to the files below a directory that have changed since a time, and returns their paths. What the
-// process synced is not known outside of it, so that more may be lost than on a disk. Empty files are kept or removed at
-// random; sockets are removed.
+// Tear applies a power loss to the files below a directory that have changed since a time, and returns their
+// paths. Which data the process has synced is unknown here, so that more may be lost than on a real disk.
+// Empty files are kept or removed at random; sockets are removed.
 func Tear(dir string, since time.Time, random *rand.Rand) ([]string, error) {
 	var changed []string
 	err := filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
@@ -118,11 +120,12 @@
 		return tearFile(path, info, random)
 	})
 	if err != nil {
-		return changed, fmt.Errorf("power loss: %w", err)
+		return changed, fmt.Errorf("simulate a power loss: %w", err)
 	}
 	return changed, nil
 }
 
+// tearFile applies a power loss to a file of which no data is known to be durable.
 func tearFile(path string, info fs.FileInfo, random *rand.Rand) error {
 	if info.Size() == 0 {
 		if random.IntN(2) == 0 {
--- a/internal/faultlab/hollow/cluster.go
+++ b/internal/faultlab/hollow/cluster.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	exchangeInterval = 100 * time.Millisecond // as in a real proxy
-	maxSnapshotAge   = time.Second            // as in package cluster
+	exchangeInterval = 100 * time.Millisecond // same as in a real proxy
+	maxSnapshotAge   = time.Second            // same as in package cluster
 	tier             = "0"
 )
 
-// timedSnapshot is a snapshot and the time of its arrival in microseconds.
+// timedSnapshot is a cluster snapshot and the Unix time of its arrival in microseconds.
 type timedSnapshot struct {
 	transport.Snapshot
 	receivedAt int64
 }
 
-// clusterMember is a proxy's membership, as in package cluster.
+// clusterMember is a hollow proxy's membership of the cluster. It mirrors package cluster.
 type clusterMember struct {
 	node      *transport.Node
-	snapshots chan timedSnapshot // the newest one
-	latest    timedSnapshot      // used by the proxy's loop only
+	snapshots chan timedSnapshot // holds at most the newest snapshot
+	latest    timedSnapshot      // used by the proxy's event loop only
 
 	mu   sync.Mutex
-	ages []float64
+	ages []float64 // of the live peer entries, in milliseconds
 }
 
+// joinCluster opens the transport of a proxy and returns its membership, which starts with run.
 func joinCluster(f *Cluster, p Proxy, log *slog.Logger) (*clusterMember, error) {
 	node, err := transport.Open(transport.Config{Name: p.Name, Zone: p.Zone, Tier: tier, Bind: p.Bind,
 		Advertise: p.Advertise, Label: f.Label, Seeds: p.Seeds,
@@ -43,6 +44,7 @@
 	return &clusterMember{node: node, snapshots: make(chan timedSnapshot, 1)}, nil
 }
 
+// run gossips until the context ends and replaces the snapshot in the channel by each newer one.
 func (m *clusterMember) run(ctx context.Context) {
 	ended := make(chan struct{})
 	go func() {
@@ -63,7 +65,7 @@
 	}
 }
 
-// exchangeReports publishes the balancer's reports and passes it those of other members.
+// exchangeReports publishes the balancer's reports and passes the other members' reports to the balancer.
 func (m *clusterMember) exchangeReports(d *decider) {
 	at := nowMicros()
 	m.node.Publish(adapter.ToObservations(d.balancer.Reports(at), d.zones))
@@ -85,6 +87,7 @@
 	d.balancer.HandlePeerReports(at, d, peers)
 }
 
+// metrics returns the current metrics of the membership.
 func (m *clusterMember) metrics() *ClusterMetrics {
 	m.mu.Lock()
 	ages := m.ages
--- a/internal/faultlab/hollow/decide.go
+++ b/internal/faultlab/hollow/decide.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	maxQueuedEvents = 64 // that wait for a proxy's loop
+	maxQueuedEvents = 64 // capacity of a proxy's event queue
 	minCallInterval = time.Millisecond
-	minLatency      = 20 * time.Millisecond
-	maxLatency      = 80 * time.Millisecond
+	minLatency      = 20 * time.Millisecond // of a simulated attempt
+	maxLatency      = 80 * time.Millisecond // of a simulated attempt
 )
 
-// decider drives a balancer with drawn calls: no request is sent, but the balancer decides on each call and gets a drawn
-// outcome. It is the balancer's host. Only the proxy's loop uses it, apart from the counts.
+// decider is the host of a balancer and drives it with simulated calls: no request is sent, but the balancer
+// decides on each call and receives a random outcome. Apart from the counters, only the proxy's event loop
+// uses it.
 type decider struct {
 	balancer       *balancer.Balancer
 	zones          map[string]int
-	classes        []int // the balancer's numbers of the present classes
-	callRate       float64
-	failedFraction float64
+	classes        []int   // indexes of the current request classes in the balancer
+	callRate       float64 // calls per second
+	failedFraction float64 // of the attempts
 	events         chan func()
-	ctx            context.Context // of the present event
+	ctx            context.Context // of the latest call
 	random         *rand.Rand
-	calls          int64
-	attempts       map[string]int
-	openClasses    map[string]int // class by open call
+	calls          int64          // also the source of call ids
+	attempts       map[string]int // attempts sent so far, by id of the open call
+	openClasses    map[string]int // request class, by id of the open call
 
-	taken, sent, rejected, failed atomic.Int64
+	taken, sent, rejected, failed atomic.Int64 // see CallMetrics
 }
 
+// newDecider creates the balancer of a proxy. Zones are numbered in the order of the settings.
 func newDecider(c *Config, p Proxy, site *settings.Site) (*decider, error) {
 	d := &decider{zones: map[string]int{}, openClasses: map[string]int{},
 		callRate: c.CallRate, failedFraction: c.FailedFraction,
@@ -54,8 +56,10 @@
 	return d, err
 }
 
+// nowMicros returns the current Unix time in microseconds.
 func nowMicros() int64 { return time.Now().UnixMicro() }
 
+// zoneNumber returns the balancer's number of a zone, and assigns the next number to an unknown zone.
 func (d *decider) zoneNumber(zone string) int {
 	n, ok := d.zones[zone]
 	if !ok {
@@ -65,7 +69,7 @@
 	return n
 }
 
-// updateEndpoints passes a list to the balancer, as a real proxy does.
+// updateEndpoints passes an update of the endpoint list to the balancer, as a real proxy does.
 func (d *decider) updateEndpoints(l *discovery.List) {
 	kind := balancer.UpdateDelta
 	if l.Snapshot {
@@ -89,7 +93,8 @@
 	d.balancer.UpdateEndpoints(nowMicros(), d, kind, out)
 }
 
-// nextCall draws the time until the next call; an hour if there are none.
+// nextCall returns a random time until the next call, exponentially distributed; an hour if no calls are
+// made.
 func (d *decider) nextCall(r *rand.Rand) time.Duration {
 	if d.callRate <= 0 || len(d.classes) == 0 {
 		return time.Hour
@@ -97,7 +102,7 @@
 	return max(minCallInterval, time.Duration(r.ExpFloat64()/d.callRate*float64(time.Second)))
 }
 
-// call passes one call to the balancer.
+// call passes one simulated call of a random class, with a deadline of one second, to the balancer.
 func (d *decider) call(ctx context.Context, r *rand.Rand) {
 	d.ctx, d.random = ctx, r
 	d.calls++
@@ -109,7 +114,7 @@
 		Deadline: nowMicros() + time.Second.Microseconds()})
 }
 
-// after runs something in the proxy's loop after a delay, unless the proxy has ended.
+// after runs do in the proxy's event loop after a delay, unless the proxy has ended.
 func (d *decider) after(delay time.Duration, do func()) {
 	ctx := d.ctx
 	time.AfterFunc(delay, func() {
@@ -120,7 +125,7 @@
 	})
 }
 
-// Send implements balancer.Host: an attempt ends with a drawn status after a drawn time.
+// Send implements balancer.Host: the attempt ends with a random status after a random latency.
 func (d *decider) Send(id, _ string, _, timeout int64) {
 	n := d.attempts[id]
 	d.attempts[id] = n + 1
@@ -140,12 +145,13 @@
 	})
 }
 
+// finish forgets a call that has ended.
 func (d *decider) finish(id string) {
 	delete(d.attempts, id)
 	delete(d.openClasses, id)
 }
 
-// reconfigure applies other settings, as a real proxy does; zone and replica index stay.
+// reconfigure applies new settings, as a real proxy does. The zone and the replica index stay the same.
 func (d *decider) reconfigure(site *settings.Site, p Proxy) error {
 	s := site.Balancer
 	for _, z := range site.Zones {
@@ -163,29 +169,30 @@
 	return err
 }
 
-// Reject implements balancer.Host.
+// Reject implements balancer.Host and counts a rejected call.
 func (d *decider) Reject(id string, _ int64) {
 	d.rejected.Add(1)
 	d.finish(id)
 }
 
-// Fail implements balancer.Host.
+// Fail implements balancer.Host and counts a failed call.
 func (d *decider) Fail(id string) {
 	d.failed.Add(1)
 	d.finish(id)
 }
 
-// SetTimer implements balancer.Host.
+// SetTimer implements balancer.Host; delay is in microseconds.
 func (d *decider) SetTimer(delay int64, token string) {
 	d.after(time.Duration(delay)*time.Microsecond, func() { d.balancer.HandleTimer(nowMicros(), d, token) })
 }
 
-// Watch implements balancer.Host; the list is watched in any case.
+// Watch implements balancer.Host. It does nothing, since a hollow proxy watches the list from its start.
 func (d *decider) Watch() {}
 
-// Log implements balancer.Host; events of drawn calls are dropped.
+// Log implements balancer.Host. The events of simulated calls are not logged.
 func (d *decider) Log(balancer.Event) {}
 
+// metrics returns the counters of calls since the start.
 func (d *decider) metrics() CallMetrics {
 	return CallMetrics{d.taken.Load(), d.sent.Load(), d.rejected.Load(), d.failed.Load()}
 }
--- a/internal/faultlab/hollow/process.go
+++ b/internal/faultlab/hollow/process.go
@@ -23,33 +23,33 @@
 const (
 	stallCheckInterval = 10 * time.Millisecond
 	headerTimeout      = 5 * time.Second
-	// Proxies and servers start one after the other, to spread the load on the registry.
+	// Proxies and servers start one after another, to spread the load on the registry.
 	proxyStartInterval  = 15 * time.Millisecond
 	serverStartInterval = 5 * time.Millisecond
 )
 
-// Command makes servers of a process do something.
+// Command applies an action to servers of a process, or to the gossip of its proxies.
 type Command struct {
 	Action     string          `json:"act"` // replace, die, lose
 	Targets    []CommandTarget `json:"turns"`
-	DurationMs int64           `json:"for_ms"` // die: until the restart, 0 for never; lose: of the loss
-	Fraction   float64         `json:"part"`   // lose: of gossip datagrams
+	DurationMs int64           `json:"for_ms"` // die: until the restart, 0 for none; lose: until the end
+	Fraction   float64         `json:"part"`   // lose: fraction of the gossip datagrams that are lost
 }
 
-// CommandTarget is a server and the delay of the command for it.
+// CommandTarget is a server and the delay before the command is applied to it.
 type CommandTarget struct {
 	Name    string `json:"name"`
 	DelayMs int64  `json:"in_ms"`
 }
 
-// Process holds the proxies and servers of one process.
+// Process runs the hollow proxies and servers of one operating-system process.
 type Process struct {
 	cfg          Config
 	log          *slog.Logger
 	seeded       seededFault
 	proxies      []*proxy
-	network      *link.Net // of relays
-	memberRelays []*link.Relay
+	network      *link.Net     // of the relays; nil without relays
+	memberRelays []*link.Relay // one in front of each proxy
 	servers      map[string]*server
 	commands     sync.WaitGroup
 	stop         context.CancelCauseFunc
@@ -58,13 +58,14 @@
 	mu      sync.Mutex
 	changes []Change
 	deaths  []Death
-	stall   time.Duration
+	stall   time.Duration // longest delay of a wake-up
 }
 
-// New creates the proxies and servers of a process without starting them. The error is a *FailedError if one of them
-// failed.
+// New creates the proxies and servers of a process without starting them. The error is a *FailedError if one
+// of them failed.
 func New(c Config, log *slog.Logger) (*Process, error) { return newSeeded(c, log, noFault) }
 
+// newSeeded is New with a seeded fault in each proxy.
 func newSeeded(c Config, log *slog.Logger, fault seededFault) (*Process, error) {
 	p := &Process{cfg: c, log: log, seeded: fault, servers: map[string]*server{}}
 	p.ctx, p.stop = context.WithCancelCause(context.Background())
@@ -84,18 +85,19 @@
 	return p, nil
 }
 
+// recordChange records a confirmed change of a server.
 func (p *Process) recordChange(c Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.changes = append(p.changes, c)
 }
 
-// fail ends the process because of a proxy or server.
+// fail ends the process because a proxy or server, given by name, has failed.
 func (p *Process) fail(name string, err error) {
 	p.stop(&FailedError{p.cfg.Name, name, err.Error()})
 }
 
-// Run runs all proxies and servers until the context ends, or one fails with a *FailedError.
+// Run runs all proxies and servers until the context ends or one of them fails, which returns a *FailedError.
 func (p *Process) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() { p.stop(nil) })()
 	var all sync.WaitGroup
@@ -129,12 +131,12 @@
 	return nil
 }
 
-// panicError is a recovered panic.
+// panicError holds the value of a recovered panic.
 type panicError struct{ value any }
 
 func (e *panicError) Error() string { return fmt.Sprintf("panic: %v", e.value) }
 
-// recoverPanic makes a panic of a proxy's code that proxy's failure.
+// recoverPanic runs do and reports a panic in it as a failure of the named proxy.
 func (p *Process) recoverPanic(name string, do func()) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -145,7 +147,8 @@
 	do()
 }
 
-// measureStalls records the longest delay of a wake-up.
+// measureStalls sleeps repeatedly and records the longest delay of a wake-up, which shows that the process
+// was not scheduled.
 func (p *Process) measureStalls() {
 	for {
 		at := time.Now()
@@ -161,8 +164,8 @@
 
 // Actions of a Command.
 const (
-	actionReplace = "replace" // drain, deregister and start another generation
-	actionDie     = "die"     // end without deregistering
+	actionReplace = "replace" // drain, deregister and start a new instance
+	actionDie     = "die"     // stop without deregistering
 	actionLose    = "lose"    // lose gossip datagrams
 )
 
@@ -172,7 +175,7 @@
 	Problem string
 }
 
-// Error implements error.
+// Error names the process and the problem of the command.
 func (e *CommandError) Error() string {
 	return fmt.Sprintf("hollow process %s: command rejected: %s", e.Process, e.Problem)
 }
@@ -209,7 +212,8 @@
 	return nil
 }
 
-// kill ends a server without deregistering and starts it again after a downtime; never for 0.
+// kill stops a server without deregistering and starts it again after a downtime. With a downtime of 0 it
+// stays stopped.
 func (p *Process) kill(s *server, downtime time.Duration) {
 	p.mu.Lock()
 	p.deaths = append(p.deaths, Death{s.Name, unixNano()})
@@ -220,7 +224,7 @@
 	}
 }
 
-// lose drops a fraction of the datagrams to the process's members for a duration.
+// lose drops a fraction of the gossip datagrams to the process's proxies for a duration.
 func (p *Process) lose(fraction float64, duration time.Duration) error {
 	end, err := p.loseDatagrams(fraction)
 	p.commands.Go(func() {
@@ -232,7 +236,8 @@
 	return err
 }
 
-// ResetMetrics starts a new period of the metrics.
+// ResetMetrics starts a new measurement period: counters restart, and recorded changes and deaths are
+// dropped.
 func (p *Process) ResetMetrics() {
 	p.mu.Lock()
 	p.changes, p.deaths, p.stall = nil, nil, 0
@@ -245,7 +250,7 @@
 	}
 }
 
-// notReadyReason returns what is missing before a run can start; empty: nothing.
+// notReadyReason returns why the process is not ready for a run; empty if it is ready.
 func (p *Process) notReadyReason() string {
 	for _, h := range p.proxies {
 		if m := h.notReadyReason(); m != "" {
@@ -256,13 +261,13 @@
 		select {
 		case <-n.registered:
 		default:
-			return n.Name + " is not in the list"
+			return n.Name + " is not registered yet"
 		}
 	}
 	return ""
 }
 
-// Metrics returns the present metrics; versions and changes only with steps.
+// Metrics returns the current metrics. Versions, changes and deaths are included only with steps.
 func (p *Process) Metrics(steps bool) Metrics {
 	f := Metrics{NotReadyReason: p.notReadyReason(), RSS: process.ResidentMemory(os.Getpid()), CPU: cpu()}
 	f.Ready, f.RelayDrops = f.NotReadyReason == "", p.droppedByRelays()
@@ -283,7 +288,7 @@
 	return f
 }
 
-// Serve answers at the control address until the process ends: GET /ready, GET /figures, POST /begin, POST /do.
+// Serve serves the control API until the process ends: GET /ready, GET /figures, POST /begin and POST /do.
 func (p *Process) Serve() error {
 	l, err := net.Listen("tcp", p.cfg.ControlAddress)
 	if err != nil {
@@ -313,7 +318,8 @@
 	return nil
 }
 
-// Main runs a process by its file until the context ends.
+// Main runs the process that a configuration file describes until the context ends. It writes a *FailedError
+// to the failure file.
 func Main(ctx context.Context, path string, log *slog.Logger) error {
 	c, err := ReadConfig(path)
 	if err != nil {
@@ -339,6 +345,7 @@
 	return err
 }
 
+// cpu returns the CPU time of this process in nanoseconds; 0 if it is unknown.
 func cpu() int64 {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/internal/faultlab/hollow/proxy.go
+++ b/internal/faultlab/hollow/proxy.go
@@ -12,7 +12,8 @@
 	"merlinpick/internal/settings"
 )
 
-// proxy is a hollow proxy: followers of the list, the cluster and the configuration, and one loop that owns the balancer.
+// proxy is a hollow proxy: it follows the endpoint list, the cluster and the configuration, and one event
+// loop owns its balancer.
 type proxy struct {
 	Proxy
 	cfg          *Config
@@ -23,27 +24,28 @@
 	rollout      *rolloutFollower // nil without a service
 }
 
-// seededFault is a fault of a hollow proxy that the calibration must detect; tests only.
+// seededFault is a deliberate fault of a hollow proxy that the calibration must detect. Only tests set one.
 type seededFault uint8
 
 const (
 	noFault     seededFault = iota
-	skipsWatch              // it gets the list once and does not watch it
-	skipsGossip             // it does not gossip
-	skipsApply              // it receives configurations and applies none
+	skipsWatch              // the proxy fetches the list once and does not watch it
+	skipsGossip             // the proxy does not gossip
+	skipsApply              // the proxy receives configurations but applies none
 )
 
-// endpointListFollower follows a proxy's endpoint list.
+// endpointListFollower records the updates of a proxy's endpoint list.
 type endpointListFollower struct {
 	client *discovery.Client
 
 	mu       sync.Mutex
 	versions []VersionTime
 	servers  map[string]string // status by name
-	removed  []Death
-	baseline discovery.Metrics // at ResetMetrics
+	removed  []Death           // servers removed without draining
+	baseline discovery.Metrics // metrics at the last ResetMetrics
 }
 
+// newProxy creates a hollow proxy without starting it, except that its cluster transport is already open.
 func newProxy(c *Config, p Proxy, log *slog.Logger, fault seededFault) (*proxy, error) {
 	site, err := settings.Decode(c.Settings)
 	if err != nil {
@@ -112,7 +114,7 @@
 	}
 }
 
-// record records a version that arrived.
+// record records an update of the list, with the servers that it removes without draining.
 func (f *endpointListFollower) record(l *discovery.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,13 +142,14 @@
 	}
 }
 
+// recordRemoved records the removal of a server unless it was draining.
 func (f *endpointListFollower) recordRemoved(name, status string) {
 	if status == discovery.StatusServing {
 		f.removed = append(f.removed, Death{name, unixNano()})
 	}
 }
 
-// resetMetrics starts a new period of the metrics; the last version is kept.
+// resetMetrics starts a new measurement period; the last version is kept.
 func (f *endpointListFollower) resetMetrics() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,12 +159,13 @@
 	}
 }
 
+// metrics returns the current metrics; versions and removed servers only with steps.
 func (f *endpointListFollower) metrics(steps bool) ListMetrics {
 	x := f.client.Metrics()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := ListMetrics{Servers: len(f.servers), Failovers: x.Failovers - f.baseline.Failovers, Failures: x.Failures - f.baseline.Failures,
-		AgeMs: -1}
+	out := ListMetrics{Servers: len(f.servers), Failovers: x.Failovers - f.baseline.Failovers,
+		Failures: x.Failures - f.baseline.Failures, AgeMs: -1}
 	if steps {
 		out.Versions, out.Removed = append(out.Versions, f.versions...), append(out.Removed, f.removed...)
 	}
@@ -171,17 +175,18 @@
 	return out
 }
 
-// notReadyReason returns what the proxy lacks before a run can start; empty: nothing.
+// notReadyReason returns why the proxy is not ready for a run; empty if it is ready.
 func (p *proxy) notReadyReason() string {
 	if p.endpointList.client.Metrics().Age < 0 {
-		return p.Name + " has no list"
+		return p.Name + " has received no endpoint list"
 	}
 	if p.cluster != nil && p.cluster.node.Metrics().LiveMembers < 2 && len(p.Seeds) > 0 {
-		return p.Name + " has found no other member"
+		return p.Name + " has found no other cluster member"
 	}
 	return ""
 }
 
+// metrics returns the current metrics; versions and removed servers only with steps.
 func (p *proxy) metrics(steps bool) ProxyMetrics {
 	out := ProxyMetrics{Name: p.Name, List: p.endpointList.metrics(steps), Calls: p.decider.metrics()}
 	if p.cluster != nil {
--- a/internal/faultlab/hollow/relay.go
+++ b/internal/faultlab/hollow/relay.go
@@ -7,15 +7,15 @@
 	"merlinpick/internal/faultlab/link"
 )
 
-// Relays configures one relay in front of each member, for loss and delay between members. Their cost is part of the
-// process's CPU time.
+// Relays configures one relay in front of each cluster member, which adds loss and delay between members. The
+// relays' cost is part of the process's CPU time.
 type Relays struct {
 	Members            map[string]RelayMember `json:"speakers"` // all members of the cluster, by source IP
 	RegionDelayUs      int64                  `json:"local_us"` // one way, within a region
-	CrossRegionDelayUs int64                  `json:"cross_us"`
+	CrossRegionDelayUs int64                  `json:"cross_us"` // one way, between regions
 }
 
-// RelayMember is a member as relays know it.
+// RelayMember is a cluster member as the relays identify it.
 type RelayMember struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// loseDatagrams drops a fraction of the datagrams to the process's members until end is called.
+// loseDatagrams drops a fraction of the gossip datagrams to the process's proxies until end is called.
 func (p *Process) loseDatagrams(part float64) (end func() error, err error) {
 	if p.network == nil {
 		return func() error { return nil }, nil
@@ -70,7 +70,8 @@
 	return p.network.Apply(func(e link.Ends) bool { return e.Kind == "gossip" }, link.Effect{Loss: part})
 }
 
-// droppedByRelays counts datagrams that relays dropped for lack of room: losses of the lab itself.
+// droppedByRelays returns how many datagrams relays dropped because their queue was full. These losses are
+// caused by the lab itself and not by a fault.
 func (p *Process) droppedByRelays() (n int) {
 	for _, r := range p.memberRelays {
 		n += r.Counters().Overflowed
--- a/internal/faultlab/hollow/rollout.go
+++ b/internal/faultlab/hollow/rollout.go
@@ -8,16 +8,17 @@
 	"merlinpick/internal/settings"
 )
 
-// rolloutFollower follows a proxy's configuration with the program's client, and applies documents to the balancer.
+// rolloutFollower follows a proxy's configuration with the product's rollout client, and applies each
+// document to the balancer.
 type rolloutFollower struct {
 	proxy          *proxy
 	client         *rollout.Client
 	ctx            context.Context // of run
-	appliesNothing bool            // a seeded fault
+	appliesNothing bool            // set by the seeded fault skipsApply
 
 	mu               sync.Mutex
 	versions         []VersionTime
-	baselineFailures int64 // at ResetMetrics
+	baselineFailures int64 // failures at the last ResetMetrics
 }
 
 func newRolloutFollower(p *proxy) *rolloutFollower {
@@ -32,7 +33,8 @@
 	r.client.Run(ctx)
 }
 
-// Apply implements rollout.Applier.
+// Apply implements rollout.Applier: it reconfigures the balancer in the proxy's event loop and records the
+// version.
 func (r *rolloutFollower) Apply(version int64, document []byte) error {
 	if r.appliesNothing {
 		return nil
@@ -41,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	site, err := settings.Decode(rules) // without the socket settings, which hollow proxies lack
+	site, err := settings.Decode(rules) // socket settings are ignored: hollow proxies have no sockets
 	if err != nil {
 		return err
 	}
@@ -64,7 +66,7 @@
 	return err
 }
 
-// resetMetrics starts a new period of the metrics; the last version is kept.
+// resetMetrics starts a new measurement period; the last version is kept.
 func (r *rolloutFollower) resetMetrics() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,6 +76,7 @@
 	}
 }
 
+// metrics returns the current metrics; versions only with steps.
 func (r *rolloutFollower) metrics(steps bool) *ConfigMetrics {
 	x := r.client.Metrics()
 	r.mu.Lock()
--- a/internal/faultlab/hollow/server.go
+++ b/internal/faultlab/hollow/server.go
@@ -13,12 +13,13 @@
 	"merlinpick/internal/registry/state"
 )
 
-const drainTime = 2 * time.Second // from draining to the end
+const drainTime = 2 * time.Second // from the start of draining until the server deregisters
 
-// server is a hollow server over all its generations, one at a time.
+// server is a hollow server. It runs one instance at a time; each start creates a new instance, and
+// generation counts them.
 type server struct {
 	Server
-	lease  int64
+	lease  int64 // milliseconds
 	client *registrar.Client
 	record func(Change)
 	fail   func(name string, err error)
@@ -28,10 +29,10 @@
 	mu             sync.Mutex // held by one command at a time
 	registration   state.Record
 	generation     int
-	stopRenewals   context.CancelFunc // nil: it is dead
+	stopRenewals   context.CancelFunc // nil: no instance is running
 	tasks          sync.WaitGroup
 	registeredOnce sync.Once
-	registered     chan struct{} // closed once it was listed
+	registered     chan struct{} // closed after the first registration
 }
 
 func newServer(c *Config, n Server, note func(Change), fail func(string, error)) *server {
@@ -39,7 +40,7 @@
 		fail: fail, registered: make(chan struct{})}
 }
 
-// start starts a generation, which registers and renews until it dies.
+// start starts an instance, which registers and renews its lease until it stops. It does nothing if one runs.
 func (n *server) start(ctx context.Context) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,7 +65,7 @@
 	rec, begun := n.registration, asked.UnixNano()
 	n.tasks.Go(func() {
 		err := n.client.KeepRegistered(here, rec, func(t api.Accepted) {
-			if begun != 0 { // later ones are repeated by the registry or the network
+			if begun != 0 { // not a change: a later registration repeats the same instance after a lost lease
 				n.record(Change{t.Version, begun, unixNano()})
 			}
 			begun = 0
@@ -76,7 +77,7 @@
 	})
 }
 
-// die ends the generation without deregistering.
+// die stops the current instance without deregistering it.
 func (n *server) die() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// replace drains and deregisters the present generation and starts another.
+// replace drains and deregisters the current instance and starts another.
 func (n *server) replace(ctx context.Context) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// callUntilAnswered makes a call until it is answered. That the registry no longer knows the generation is an answer too: its
-// lease has expired.
+// callUntilAnswered makes a call that the registrar repeats until it is answered, and records the change. A
+// rejection because the registry no longer knows the instance is no error: the lease has expired.
 func (n *server) callUntilAnswered(ctx context.Context, ref state.InstanceRef,
 	call func(context.Context, state.InstanceRef) (api.Accepted, error)) error {
 	asked := unixNano()
@@ -132,6 +133,7 @@
 	return nil
 }
 
+// close stops the current instance and waits for its end.
 func (n *server) close() {
 	n.die()
 	n.tasks.Wait()
--- a/internal/faultlab/linear/linear.go
+++ b/internal/faultlab/linear/linear.go
@@ -1,6 +1,7 @@
-// Package linear records the history of calls to a registry and checks that it is linearizable: that there is an order of all
-// calls, each at a moment between its start and its end, in which a sequential list gives the same answers. porcupine searches
-// for it, for each server alone, which is equivalent. The package never calls the registry itself.
+// Package linear records the history of calls to a registry and checks that it is linearizable: that all
+// calls can be ordered, each at a moment between its start and its end, so that a sequential list gives the
+// same answers. Package porcupine searches for such an order, separately for each server, which is
+// equivalent. The package never calls the registry itself.
 package linear
 
 import (
@@ -15,27 +16,27 @@
 // Operation is the kind of a call.
 type Operation string
 
-// The operations.
+// Operations of a history.
 const (
 	Register Operation = "register"
 	Drain    Operation = "drain"
-	Remove   Operation = "gone" // deregistered, or its lease may have ended
-	Read     Operation = "read" // a linearizable one
+	Remove   Operation = "gone" // the server deregisters, or its lease may expire
+	Read     Operation = "read" // a linearizable read
 )
 
 // Absent is the value of a server that is not listed.
 const Absent = ""
 
-// Value returns the value of a listed server.
+// Value returns the value of a listed server, by its status and instance.
 func Value(status, instance string) string { return status + " " + instance }
 
-// input is what a call asks for.
+// input is the input of a call.
 type input struct {
 	kind           Operation
 	name, instance string
 }
 
-// History is the calls so far. Its methods are safe for concurrent use.
+// History holds the calls so far. Its methods are safe for concurrent use.
 type History struct {
 	mu         sync.Mutex
 	start      time.Time
@@ -45,8 +46,9 @@
 // New returns an empty history that starts now.
 func New() *History { return &History{start: time.Now()} }
 
-// Begin records the start of a write. The function that it returns records the end: acknowledged if the service confirmed the
-// write, rejected if it refused it, which removes the call. Any other write may take effect at any later moment, or never.
+// Begin records the start of a write. The returned function records its end: acknowledged if the registry
+// confirmed the write, rejected if the registry refused it, which removes the call from the history. Any
+// other write may take effect at any later time, or never.
 func (h *History) Begin(kind Operation, name, instance string, client int) (end func(acknowledged, rejected bool)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,8 +67,8 @@
 	}
 }
 
-// RecordRead records a read of the complete list that began at a time and has just ended, with the value of each server,
-// Absent included.
+// RecordRead records a read of the complete list that began at a time and has just ended. values holds the
+// value of each server; it is Absent for servers that were not listed.
 func (h *History) RecordRead(client int, begun time.Time, values map[string]string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -77,7 +79,8 @@
 	}
 }
 
-// applyOperation is the sequential specification: whether an output is right in a state, and the next state.
+// applyOperation is the sequential specification of a server's entry: it returns whether an output is correct
+// in a state, and the next state.
 func applyOperation(state, in, out any) (bool, any) {
 	now, call := state.(string), in.(input)
 	switch call.kind {
@@ -100,6 +103,8 @@
 	return out.(string) == now, now
 }
 
+// model is the specification for porcupine: the state is the value of one server, and the history is
+// partitioned by server.
 var model = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byName := map[string][]porcupine.Operation{}
@@ -122,14 +127,14 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// CheckResult is the result of a check.
+// CheckResult is the result of a linearizability check.
 type CheckResult struct {
-	Calls      int
-	Violations []string // servers whose calls are not linearizable
-	Undecided  []string // servers whose search timed out
+	Calls      int      // checked calls
+	Violations []string // names of the servers whose calls are not linearizable
+	Undecided  []string // names of the servers whose check timed out
 }
 
-// Check checks the calls of all servers, for at most the timeout each.
+// Check checks the calls of all servers, with the timeout for each server.
 func (h *History) Check(timeout time.Duration) CheckResult {
 	h.mu.Lock()
 	all := slices.DeleteFunc(slices.Clone(h.operations), func(o porcupine.Operation) bool { return o.Input == nil })
--- a/internal/faultlab/link/conn.go
+++ b/internal/faultlab/link/conn.go
@@ -10,46 +10,49 @@
 	"time"
 )
 
-// Conn is a connection over a link, used by the lab's end of it.
+// Conn is the lab's side of a connection over a link.
 type Conn struct {
 	raw      *net.TCPConn
 	link     *Link
-	incoming queue // from the program
-	outgoing queue // to the program
+	incoming queue // bytes from the program under test
+	outgoing queue // bytes to the program under test
 	closed   chan struct{}
 	once     sync.Once
 
-	received, sent *direction // counters of the link
+	received, sent *direction // traffic counters of the link
 
-	reportedCut *effectState // the cut that was last reported; used by receiveLoop only
+	reportedCut *effectState // last reported cut; used by receiveLoop only
 
 	mu              sync.Mutex
 	deadline        time.Time
-	deadlineChanged chan struct{} // holds one after SetReadDeadline
-	readAt          time.Time
+	deadlineChanged chan struct{} // holds one value after SetReadDeadline
+	readAt          time.Time     // see LastReadAt
 
 	closedBeforeWrite atomic.Bool // see PeerClosedBeforeWrite
 }
 
-// chunk is bytes with the time when they are due, or the end of a stream.
+// chunk holds bytes and the time at which they pass the link, or the end of a stream.
 type chunk struct {
 	data        []byte
 	due         time.Time
 	readAt      time.Time       // when it was read from the socket
-	end         error           // incoming: the read error; outgoing: io.EOF to close
+	end         error           // incoming: the read error; outgoing: io.EOF to close the connection
 	beforeWrite func(time.Time) // called before the write to the socket
-	afterWrite  func(time.Time) // called after it
+	afterWrite  func(time.Time) // called after the write to the socket
 }
 
+// queue holds the chunks of one direction of a connection until they are due.
 type queue struct {
 	mu      sync.Mutex
 	chunks  []chunk
 	bytes   int
-	lastDue time.Time     // due time of the newest chunk; order is kept
-	changed chan struct{} // holds one after a chunk was queued
-	isCut   func(*effectState) bool
+	lastDue time.Time               // due time of the newest chunk; later chunks are not due earlier
+	changed chan struct{}           // holds one value after a chunk was queued
+	isCut   func(*effectState) bool // whether an effect cuts this direction
 }
 
+// newConn adds a connection to a link and starts its goroutines; dialled tells whether this process dialled
+// it.
 func (l *Link) newConn(raw *net.TCPConn, dialled bool) *Conn {
 	conn := &Conn{raw: raw, link: l, closed: make(chan struct{}), deadlineChanged: make(chan struct{}, 1)}
 	out, back := func(s *effectState) bool { return s.CutOut }, func(s *effectState) bool { return s.CutBack }
@@ -70,6 +73,7 @@
 	return conn
 }
 
+// enqueue adds a chunk to a queue, due after the delays of the link and its effects.
 func (c *Conn) enqueue(q *queue, chunk chunk) {
 	effect := c.link.effect.Load()
 	due := time.Now().Add(c.link.delay + effect.Delay + c.link.retransmitDelay(effect.Loss))
@@ -84,6 +88,7 @@
 	q.notify()
 }
 
+// notify wakes the goroutine that waits for chunks.
 func (q *queue) notify() {
 	select {
 	case q.changed <- struct{}{}:
@@ -91,7 +96,7 @@
 	}
 }
 
-// receiveLoop moves bytes from the socket to the queue.
+// receiveLoop moves bytes from the socket to the incoming queue.
 func (c *Conn) receiveLoop() {
 	for {
 		buf := make([]byte, 4<<10)
@@ -116,13 +121,14 @@
 	}
 }
 
+// isFull reports whether the queue holds more than maxQueueBytes.
 func (q *queue) isFull() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.bytes > maxQueueBytes
 }
 
-// sendLoop moves chunks from the queue to the socket when they are due.
+// sendLoop moves chunks from the outgoing queue to the socket when they are due.
 func (c *Conn) sendLoop() {
 	for {
 		outgoing, err := c.next(&c.outgoing, false)
@@ -153,7 +159,8 @@
 	}
 }
 
-// next waits until the first chunk of a queue is due and the link not cut, and takes it. A read ends at the deadline too.
+// next waits until the first chunk of a queue is due and the link is not cut, and takes the chunk. With
+// reading set it also ends at the read deadline, with os.ErrDeadlineExceeded.
 func (c *Conn) next(q *queue, reading bool) (chunk, error) {
 	for {
 		effect := c.link.effect.Load()
@@ -183,7 +190,8 @@
 	}
 }
 
-// dequeue takes the first chunk if it is due and the link not cut; else wait is the time until it is due, or negative.
+// dequeue takes the first chunk if it is due and the link is not cut. Otherwise wait is the time until it is
+// due, or negative if there is no chunk or the link is cut.
 func (q *queue) dequeue(effect *effectState) (first chunk, wait time.Duration, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -199,7 +207,8 @@
 	return first, 0, true
 }
 
-// untilDeadline is the shorter of a wait, if not negative, and the time to the read deadline; false if that has passed.
+// untilDeadline returns the shorter of wait and the time until the read deadline; a negative wait has no
+// limit. It returns false if the deadline has passed.
 func (c *Conn) untilDeadline(wait time.Duration) (time.Duration, bool) {
 	c.mu.Lock()
 	deadline := c.deadline
@@ -225,7 +234,7 @@
 	}
 	if received.end != nil {
 		c.incoming.mu.Lock()
-		c.incoming.chunks = append(c.incoming.chunks, received) // later reads see the end again
+		c.incoming.chunks = append(c.incoming.chunks, received) // later reads return the same error
 		c.incoming.mu.Unlock()
 		c.mu.Lock()
 		c.readAt = received.readAt
@@ -246,15 +255,16 @@
 	return n, nil
 }
 
-// LastReadAt is when the bytes of the last Read came from the socket, before the link's delay.
+// LastReadAt returns when the bytes of the last Read were read from the socket, before the link's delay.
 func (c *Conn) LastReadAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.readAt
 }
 
-// PeerClosedBeforeWrite reports whether the peer had ended its sending when the bytes of the last WriteThen went to the
-// socket: it cannot have answered them. The system knows that before LastReadAt does on a busy machine.
+// PeerClosedBeforeWrite reports whether the peer had closed its sending side before the bytes of the last
+// WriteThen were written to the socket, so that it cannot have answered them. It asks the kernel, since on a
+// busy machine the end may be read from the socket much later than it arrived.
 func (c *Conn) PeerClosedBeforeWrite() bool { return c.closedBeforeWrite.Load() }
 
 // PeerClosed reports whether the peer's close or reset has passed the link.
@@ -269,8 +279,8 @@
 	return chunk.end != nil && time.Until(chunk.due) <= 0
 }
 
-// AwaitPeerClose waits until the peer's close or reset has passed the link or the connection is closed (true), or until bytes have
-// passed or stop is closed (false).
+// AwaitPeerClose waits until the peer's close or reset has passed the link or the connection is closed, and
+// then returns true. It returns false once unread bytes have passed the link or stop is closed.
 func (c *Conn) AwaitPeerClose(stop <-chan struct{}) bool {
 	for {
 		effect := c.link.effect.Load()
@@ -308,11 +318,13 @@
 	return c.write(chunk{data: b, afterWrite: done})
 }
 
-// WriteAfter sends b over the link and calls before ahead of the write to the socket, so that it happens before the peer can act.
+// WriteAfter sends b over the link and calls before immediately before the write to the socket, and thus
+// before the peer can react to b.
 func (c *Conn) WriteAfter(b []byte, before func(time.Time)) error {
 	return c.write(chunk{data: b, beforeWrite: before})
 }
 
+// write queues a copy of a chunk, and waits while the outgoing queue is full.
 func (c *Conn) write(chunk chunk) error {
 	for c.outgoing.isFull() {
 		select {
@@ -331,7 +343,7 @@
 	return nil
 }
 
-// SetReadDeadline sets the deadline of Read; zero: none.
+// SetReadDeadline sets the deadline of Read; the zero time means none.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.deadline = t
@@ -343,7 +355,8 @@
 	return nil
 }
 
-// Close closes the connection after all writes have passed the link; over a cut link, when the cut ends.
+// Close closes the connection after all earlier writes have passed the link. Over a cut link that is after
+// the end of the cut.
 func (c *Conn) Close() error {
 	c.enqueue(&c.outgoing, chunk{end: io.EOF})
 	return nil
@@ -355,6 +368,7 @@
 	c.close()
 }
 
+// close closes the socket and removes the connection from its link.
 func (c *Conn) close() {
 	c.once.Do(func() {
 		close(c.closed)
@@ -365,12 +379,13 @@
 	})
 }
 
-// IsReset reports whether an error of Read is a reset by the peer.
+// IsReset reports whether an error of Read is neither the end of the stream nor a passed deadline, and thus
+// counts as a reset by the peer.
 func IsReset(err error) bool {
 	return err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// HasUnreadBytes reports whether bytes have passed the link and were not read.
+// HasUnreadBytes reports whether bytes have passed the link that were not read yet.
 func (c *Conn) HasUnreadBytes() bool {
 	c.incoming.mu.Lock()
 	defer c.incoming.mu.Unlock()
--- a/internal/faultlab/link/link.go
+++ b/internal/faultlab/link/link.go
@@ -1,10 +1,11 @@
-// Package link is the network of the lab: every connection between clients, proxies, servers and the list runs over a Link, where it
-// can be delayed, cut in one direction or both, reset, or kept from coming up. It never interprets the bytes.
+// Package link simulates the network of the lab. Every connection between clients, proxies, servers and the
+// registry runs over a Link, which can delay it, cut it in one or both directions, reset it, or prevent it
+// from being established. The package never interprets the bytes.
 //
-// It needs no privileges. A link that a program dials is a listener of its own on a loopback address, so that a connect can fail as
-// in the field: refused (the listener is closed) or unanswered (its queue is full and the kernel drops SYNs). Bytes pass through
-// queues in this process, where each chunk waits until it is due and the cut has ended: as with TCP, a cut delays bytes and loses
-// none.
+// It needs no privileges. A link that a program dials has a listener of its own on a loopback address, so
+// that a connect can fail as in a real network: it is refused (the listener is closed) or unanswered (the
+// accept queue is full and the kernel drops SYNs). Bytes pass through queues in this process, where each
+// chunk waits until it is due and the cut has ended. As with TCP, a cut delays bytes and loses none.
 package link
 
 import (
@@ -22,36 +23,40 @@
 	"merlinpick/internal/faultlab/sleep"
 )
 
-// Ends identifies the two sides of a link. From is the dialling side.
+// Ends identifies the two ends of a link. From is the dialling side.
 type Ends struct {
 	Kind     string // client, nodo (a server), list, lease, member or gossip
-	From     string // a proxy's name, or empty for a zone's clients, or for all proxies of the zone
+	From     string // name of the dialling process; empty for all clients, servers or proxies of the zone
 	FromZone string
 	To       string
 	ToZone   string
 }
 
-// Effect is what is wrong with a link. Several effects on a link are combined, and each ends independently.
+// Effect is a fault of a link. Several effects on a link are combined, and each ends independently.
 type Effect struct {
-	CutOut    bool          // bytes of the dialling side are held
-	CutBack   bool          // bytes to the dialling side are held
-	NoConnect bool          // new connections do not come up
-	Refuse    bool          // new connections are refused; NoConnect is stronger
+	CutOut    bool          // bytes from the dialling side are held back
+	CutBack   bool          // bytes to the dialling side are held back
+	NoConnect bool          // connects are not answered
+	Refuse    bool          // connects are refused; NoConnect takes precedence
 	ResetNew  bool          // new connections are reset at their first byte
-	Delay     time.Duration // added each way
-	Loss      float64       // fraction of the chunks that are delayed by a retransmission, repeatedly
+	Delay     time.Duration // added in each direction
+	Loss      float64       // probability that a transmission of a chunk is lost and must be repeated
 }
 
-// Silent is a black hole: nothing passes and no connection comes up or is refused.
+// Silent makes a link a black hole: no bytes pass, and connects are neither answered nor refused.
 var Silent = Effect{CutOut: true, CutBack: true, NoConnect: true}
 
 const (
-	minRetransmitDelay = 200 * time.Millisecond // TCP's minimum on Linux
-	maxRetransmits     = 6                      // each takes twice the one before
+	minRetransmitDelay = 200 * time.Millisecond // minimum retransmission timeout of TCP on Linux
+	maxRetransmits     = 6                      // each delay is twice the one before
 	maxQueueBytes      = 1 << 20                // in one direction of a connection
-	acceptRetryPause   = 5 * time.Millisecond   // when descriptors run out; shows as lateness of the run
+
+	// acceptRetryPause follows a failed accept, as when file descriptors run out. Such pauses show as
+	// lateness of the run.
+	acceptRetryPause = 5 * time.Millisecond
 )
 
+// plus returns the combination of two effects.
 func (e Effect) plus(other Effect) Effect {
 	e.CutOut, e.CutBack = e.CutOut || other.CutOut, e.CutBack || other.CutBack
 	e.NoConnect, e.Refuse, e.ResetNew = e.NoConnect || other.NoConnect, e.Refuse || other.Refuse, e.ResetNew || other.ResetNew
@@ -66,7 +71,7 @@
 	changed chan struct{}
 }
 
-// Link is a link between two sides.
+// Link is a simulated network link between two processes or groups of processes.
 type Link struct {
 	ends   Ends
 	delay  time.Duration // one way, without effects
@@ -77,7 +82,7 @@
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
-	port  *listener // nil if this process dials
+	port  *listener // nil if this process dials or a Relay accepts the connections
 	rng   *rand.Rand
 }
 
@@ -91,6 +96,7 @@
 	seed    uint64
 }
 
+// appliedEffect is an active effect and the links that it applies to.
 type appliedEffect struct {
 	match func(Ends) bool
 	Effect
@@ -99,7 +105,8 @@
 // New returns a network without links.
 func New(seed uint64) *Net { return &Net{effects: map[*appliedEffect]struct{}{}, seed: seed} }
 
-// addLink creates a link with the active effects; p is its listener, or nil. Changes of effects wait meanwhile.
+// addLink creates a link under the active effects; p is its listener, or nil. It holds the network's lock, so
+// that no effect begins or ends meanwhile.
 func (n *Net) addLink(ends Ends, delay time.Duration, p *listener) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,7 +122,7 @@
 	return l, p.setMode(effect.Effect)
 }
 
-// effectOn is the combined effect on a link.
+// effectOn returns the combination of all active effects on a link.
 func (n *Net) effectOn(ends Ends) Effect {
 	var sum Effect
 	for a := range n.effects {
@@ -126,7 +133,7 @@
 	return sum
 }
 
-// Listen creates a link that programs dial at addr. Each connection is passed to accept in a goroutine of its own.
+// Listen creates a link that programs dial at addr. Each connection is passed to accept in its own goroutine.
 func (n *Net) Listen(ends Ends, addr string, delay time.Duration, accept func(*Conn)) (*Link, error) {
 	return n.addLink(ends, delay, &listener{addr: addr, accept: accept})
 }
@@ -134,16 +141,16 @@
 // Dialer is a link on which this process dials a program.
 type Dialer struct{ link *Link }
 
-// Dialer creates a link on which this process dials.
+// Dialer creates a link on which this process dials programs.
 func (n *Net) Dialer(ends Ends, delay time.Duration) *Dialer {
 	l, _ := n.addLink(ends, delay, nil)
 	return &Dialer{l}
 }
 
-// ErrRefused is a connection refused by an effect of the link.
+// ErrRefused is returned when an effect of the link refuses a connection.
 var ErrRefused = errors.New("connection refused")
 
-// Dial connects to addr over the link. The error is ErrRefused, the context's, or the connect's.
+// Dial connects to addr over the link. The error is ErrRefused, the context's error, or that of the connect.
 func (d *Dialer) Dial(ctx context.Context, addr string) (*Conn, error) {
 	for {
 		effect := d.link.effect.Load()
@@ -171,7 +178,7 @@
 	return d.link.newConn(raw.(*net.TCPConn), true), nil
 }
 
-// Apply applies an effect to all links that match, including later ones, until end is called.
+// Apply applies an effect to all links that match, including links created later, until end is called.
 func (n *Net) Apply(match func(Ends) bool, e Effect) (end func() error, err error) {
 	a := &appliedEffect{match, e}
 	n.mu.Lock()
@@ -186,6 +193,7 @@
 	}, err
 }
 
+// refresh recomputes the effects of all links that match.
 func (n *Net) refresh(match func(Ends) bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -198,7 +206,7 @@
 	return errors.Join(errs...)
 }
 
-// setEffect replaces the combined effect and wakes all waiters.
+// setEffect replaces the combined effect and wakes all goroutines that wait for a change.
 func (l *Link) setEffect(e Effect) error {
 	former := l.effect.Load()
 	if former.Effect == e {
@@ -253,14 +261,14 @@
 	}
 }
 
-// openConns are the open connections.
+// openConns returns the open connections.
 func (l *Link) openConns() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Collect(maps.Keys(l.conns))
 }
 
-// retransmitDelay draws the delay of a chunk by retransmissions.
+// retransmitDelay returns a random delay of a chunk by retransmissions, for a probability of loss.
 func (l *Link) retransmitDelay(loss float64) time.Duration {
 	if loss <= 0 {
 		return 0
@@ -278,8 +286,8 @@
 	return total
 }
 
-// listener is a link's listener, in one of three modes: open, closed (connects are refused), or full (connects are unanswered: the
-// kernel drops SYNs, since one connection fills the queue).
+// listener is a link's listener. It has three modes: open, closed (connects are refused), and full (connects
+// are not answered, since one connection fills the accept queue and the kernel drops SYNs).
 type listener struct {
 	addr   string
 	link   *Link
@@ -287,18 +295,20 @@
 
 	mu       sync.Mutex
 	mode     int
-	listener net.Listener
-	filler   net.Conn
+	listener net.Listener // nil while the mode is modeClosed
+	filler   net.Conn     // connection that fills the accept queue in modeFull
 	closed   bool
 }
 
+// Modes of a listener.
 const (
-	modeNone = iota
+	modeNone = iota // not set yet
 	modeOpen
 	modeClosed
 	modeFull
 )
 
+// setMode opens, closes or fills the listener as an effect requires.
 func (p *listener) setMode(e Effect) error {
 	form := modeOpen
 	switch {
@@ -319,7 +329,7 @@
 	}
 	l, err := net.Listen("tcp", p.addr)
 	if err != nil {
-		return fmt.Errorf("link to %s: %w", p.link.ends.To, err)
+		return fmt.Errorf("link to %s: listen: %w", p.link.ends.To, err)
 	}
 	p.listener = l
 	if form == modeFull {
@@ -329,22 +339,23 @@
 	return nil
 }
 
-// fillLocked limits the listener's queue to one connection, and fills it.
+// fillLocked limits the listener's accept queue to one connection and fills it.
 func (p *listener) fillLocked() error {
 	rc, err := p.listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return err
 	}
 	if err := setBacklog(rc, 0); err != nil {
-		return fmt.Errorf("link to %s: %w", p.link.ends.To, err)
+		return fmt.Errorf("link to %s: limit the accept queue: %w", p.link.ends.To, err)
 	}
 	p.filler, err = net.DialTimeout("tcp", p.addr, time.Second)
 	if err != nil {
-		return fmt.Errorf("link to %s: %w", p.link.ends.To, err)
+		return fmt.Errorf("link to %s: fill the accept queue: %w", p.link.ends.To, err)
 	}
 	return nil
 }
 
+// endLocked closes the listener and the connection that fills its queue.
 func (p *listener) endLocked() {
 	if p.filler != nil {
 		p.filler.Close()
@@ -356,6 +367,7 @@
 	}
 }
 
+// close closes the listener for good.
 func (p *listener) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -363,6 +375,7 @@
 	p.endLocked()
 }
 
+// serve accepts connections until l is closed.
 func (p *listener) serve(l net.Listener) {
 	for {
 		raw, err := l.Accept()
--- a/internal/faultlab/link/peerclosed.go
+++ b/internal/faultlab/link/peerclosed.go
@@ -6,10 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// tcpCloseWait is the state of a socket whose peer has ended its sending, see tcp_states.h of Linux.
+// tcpCloseWait is TCP_CLOSE_WAIT of Linux's tcp_states.h: the peer has closed its sending side.
 const tcpCloseWait = 8
 
-// hasPeerClosed reports whether the end of the peer's sending has come to a socket, read or not.
+// hasPeerClosed reports whether the kernel has received the peer's FIN on a socket, whether or not the end
+// was read.
 func hasPeerClosed(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/faultlab/link/relay.go
+++ b/internal/faultlab/link/relay.go
@@ -12,11 +12,13 @@
 	"time"
 )
 
-// Relay forwards UDP and TCP on one port from many senders to one program, where senders cannot have a link's address each: gossip
-// members know each other by one address. It identifies a sender by its source address, and has a link for each sender.
+// Relay forwards UDP and TCP from many senders to one program on a single port. It serves gossip members,
+// which know each other by one address each, so that a link cannot have an address for each sender. The relay
+// identifies a sender by its source address and has a link for each sender.
 //
-// Of a link's effects, CutOut and Loss drop a datagram and Delay delays it. All effects apply to connections, but a connection comes up
-// even under NoConnect, and is silent then: its sender is known only once it is up.
+// Of a link's effects, CutOut and Loss drop a datagram and Delay delays it. All effects apply to connections,
+// but NoConnect does not prevent a connection: the sender is known only after the connection is established,
+// which then passes no bytes.
 type Relay struct {
 	net     *Net
 	sender  Sender
@@ -34,20 +36,21 @@
 	closed   chan struct{}
 }
 
-// Sender returns the ends of the link from a source address and its one-way delay; false if the address is unknown.
+// Sender returns the ends and the one-way delay of the link from a source address; false if the address is
+// unknown.
 type Sender func(netip.Addr) (Ends, time.Duration, bool)
 
-// RelayCounters counts datagrams, and the forwarded bytes of datagrams and connections in both directions.
+// RelayCounters counts the datagrams of a relay by their outcome, and the forwarded bytes.
 type RelayCounters struct {
 	Forwarded, Cut, Lost int
-	Overflowed           int // dropped for a full queue
-	UnknownSender        int
-	Bytes                int64
+	Overflowed           int   // dropped because the queue was full
+	UnknownSender        int   // dropped because the source address is unknown
+	Bytes                int64 // of datagrams, and of connections in both directions
 }
 
 const (
-	maxPackets        = 4096 // queued in a relay
-	maxPacketBytes    = 4 << 20
+	maxPackets        = 4096    // queued in a relay
+	maxPacketBytes    = 4 << 20 // queued in a relay
 	maxDatagram       = 64 << 10
 	socketBufferBytes = 1 << 20
 	relayDialTimeout  = time.Second
@@ -56,13 +59,13 @@
 // packet is a queued datagram.
 type packet struct {
 	due   time.Time
-	order int // order of packets with the same due time
+	order int // ascending; orders packets with the same due time
 	data  []byte
 }
 
+// packetHeap implements heap.Interface, ordered by due time and then by order.
 type packetHeap []packet
 
-// Len, Less, Swap, Push and Pop implement heap.Interface, by due time and order.
 func (p packetHeap) Len() int { return len(p) }
 func (p packetHeap) Less(i, j int) bool {
 	if p[i].due.Equal(p[j].due) {
@@ -79,7 +82,8 @@
 	return last
 }
 
-// Relay opens a relay at addr, an IP and a port. Datagrams and connections are dropped until SetTarget.
+// Relay opens a relay at addr, an IP and a port. Datagrams and connections are dropped until SetTarget is
+// called.
 func (n *Net) Relay(addr string, from Sender) (*Relay, error) {
 	at, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -103,10 +107,10 @@
 	return r, nil
 }
 
-// Address is the relay's own address.
+// Address returns the address that the relay listens on.
 func (r *Relay) Address() string { return r.udp.LocalAddr().String() }
 
-// SetTarget sets the program's address.
+// SetTarget sets the address of the program that the relay forwards to.
 func (r *Relay) SetTarget(addr string) error {
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -116,13 +120,14 @@
 	return nil
 }
 
-// Counters are the counters so far; connections are added when they end.
+// Counters returns the counters so far. The bytes of a connection are added when it ends.
 func (r *Relay) Counters() RelayCounters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counters
 }
 
+// close closes the relay's sockets and waits for its goroutines. Open connections stay.
 func (r *Relay) close() {
 	close(r.closed)
 	r.udp.Close()
@@ -130,7 +135,7 @@
 	r.running.Wait()
 }
 
-// link is the link of a sender; nil if it is unknown.
+// link returns the link of a sender and creates it if needed; nil if the sender is unknown.
 func (r *Relay) link(ip netip.Addr) *Link {
 	r.mu.Lock()
 	l, known := r.links[ip]
@@ -145,14 +150,14 @@
 	l, _ = r.net.addLink(ends, delay, nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if other, known := r.links[ip]; known { // created concurrently by receive or accept
+	if other, known := r.links[ip]; known { // created meanwhile by receive or accept
 		return other
 	}
 	r.links[ip] = l
 	return l
 }
 
-// receive queues datagrams until they are due.
+// receive reads datagrams and queues them.
 func (r *Relay) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -161,12 +166,13 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an ICMP error of an earlier datagram
+			continue // an ICMP error that an earlier datagram caused
 		}
 		r.enqueue(from.Addr().Unmap(), buf[:n])
 	}
 }
 
+// enqueue queues a datagram, or drops it, and counts which it was.
 func (r *Relay) enqueue(from netip.Addr, data []byte) {
 	l := r.link(from)
 	var now Effect
@@ -197,14 +203,14 @@
 	}
 }
 
-// random draws a number in [0, 1).
+// random returns a random number in [0, 1).
 func (l *Link) random() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.Float64()
 }
 
-// send forwards datagrams when they are due. Errors are ignored, as datagrams may be lost.
+// send forwards queued datagrams when they are due. Errors are ignored, since a network may lose datagrams.
 func (r *Relay) send() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -235,7 +241,7 @@
 	}
 }
 
-// accept accepts connections, each over its sender's link.
+// accept accepts connections and forwards each over its sender's link.
 func (r *Relay) accept() {
 	for {
 		raw, err := r.tcp.Accept()
@@ -261,7 +267,8 @@
 	}
 }
 
-// forward waits for the first bytes before it connects to the program, so that a cut link opens no connection there.
+// forward waits for the first bytes of a connection before it connects to the program, so that the program
+// sees no connection over a cut link.
 func (r *Relay) forward(conn *Conn) {
 	first := make([]byte, 4<<10)
 	n, err := conn.Read(first)
@@ -276,8 +283,8 @@
 	r.counters.Bytes += passed
 }
 
-// Forward forwards a connection to a program's address, both ways; first is sent to the program before all else. It returns the number
-// of bytes of both directions.
+// Forward forwards a connection to a program's address in both directions until both have ended; first is
+// sent to the program before any other bytes. It returns the number of bytes forwarded in both directions.
 func Forward(conn *Conn, to string, first []byte) (forwarded int64) {
 	up, err := net.DialTimeout("tcp", to, relayDialTimeout)
 	if err != nil {
--- a/internal/faultlab/link/watch.go
+++ b/internal/faultlab/link/watch.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// WatchCuts has onCut called when a program sends bytes into a cut link that it dialled: for the first bytes of each connection since
-// the cut began, with the time of their arrival. It applies to links created afterwards.
+// WatchCuts registers onCut, which is called when a program sends bytes over a cut link that it dialled: once
+// for each connection and cut, with the time when the first bytes arrived. It applies to links created
+// afterwards.
 func (n *Net) WatchCuts(onCut func(Ends, time.Time)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onCut = onCut
 }
 
-// reportCut reports bytes that came into a cut to the watch.
+// reportCut reports bytes that arrived at a time to the callback of WatchCuts if the link is cut.
 func (c *Conn) reportCut(at time.Time) {
 	effect := c.link.effect.Load()
 	if c.link.onCut == nil || c.link.port == nil || !effect.CutOut || c.reportedCut == effect {
@@ -20,7 +21,7 @@
 	c.link.onCut(c.link.ends, at)
 }
 
-// Blocked are the links on which connections do not come up now, by dialled address.
+// Blocked returns the links on which connects are currently not answered, by dialled address.
 func (n *Net) Blocked() map[string]Ends {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/faultlab/process/process.go
+++ b/internal/faultlab/process/process.go
@@ -1,8 +1,8 @@
-// Package process starts, signals and measures the programs under test as real processes of the same user; it needs no further
-// rights. It knows nothing of what the programs do.
+// Package process starts, signals and measures the programs under test as real processes of the same user. It
+// needs no special privileges, and does not depend on what the programs do.
 //
-// A process never outlives the lab, even if the lab is killed: the kernel kills it when the thread that started it ends, so
-// that a single thread, the Starter's, starts all of them.
+// A process never outlives the lab, even if the lab is killed: the kernel kills it when the thread that
+// started it ends. Therefore a single thread, that of the Starter, starts all processes.
 package process
 
 import (
@@ -26,7 +26,7 @@
 	done   chan struct{}
 }
 
-// NewStarter starts the thread. Close ends it.
+// NewStarter returns a Starter and starts its thread, which Close ends.
 func NewStarter() *Starter {
 	s := &Starter{starts: make(chan func()), done: make(chan struct{})}
 	go func() {
@@ -39,7 +39,7 @@
 	return s
 }
 
-// Close ends the thread, and with it every process that still runs.
+// Close ends the thread and thereby kills every process that still runs.
 func (s *Starter) Close() {
 	close(s.starts)
 	<-s.done
@@ -51,7 +51,7 @@
 	Command []string
 	Dir     string   // working directory
 	Env     []string // the complete environment
-	Log     string   // file that its standard error is appended to
+	Log     string   // path of the file to which its standard error is appended
 }
 
 // Process is a started process. Its methods are safe for concurrent use.
@@ -62,26 +62,26 @@
 
 	mu           sync.Mutex
 	err          error
-	endRequested bool // by Signal
+	endRequested bool // whether Signal has sent SIGTERM or SIGKILL
 	usage        Usage
 }
 
-// Usage is the resources that a process has used.
+// Usage holds the resources that a process has used.
 type Usage struct {
 	CPU        time.Duration
-	PeakMemory int64 // bytes, resident
+	PeakMemory int64 // peak resident memory in bytes
 }
 
 // Start starts a process and returns once it runs.
 func (s *Starter) Start(spec Spec) (*Process, error) {
 	out, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("log of %s: %w", spec.Name, err)
+		return nil, fmt.Errorf("open the log of %s: %w", spec.Name, err)
 	}
 	cmd := exec.Command(spec.Command[0], spec.Command[1:]...)
 	cmd.Dir, cmd.Env = spec.Dir, spec.Env
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	// Through a pipe, so that SetDiskFull does not stop the log.
+	// The log is written by the lab through a pipe, so that SetDiskFull does not affect it.
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
 		out.Close()
@@ -102,11 +102,12 @@
 		_, _ = io.Copy(out, pipe)
 	}()
 	go func() {
-		<-copied // Wait closes the pipe
+		<-copied // Wait closes the pipe, so the log must be complete before
 		err := cmd.Wait()
 		p.mu.Lock()
 		p.err = err
-		// The peak memory is sampled before the end: the kernel's figure includes the lab's memory between fork and exec.
+		// The peak memory comes from samples before the end: the kernel's value at the end includes the lab's
+		// memory between fork and exec.
 		p.usage.CPU = cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		p.mu.Unlock()
 		close(p.ended)
@@ -114,20 +115,20 @@
 	return p, nil
 }
 
-// PID returns the process's id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
 // Ended returns a channel that is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Err returns how the process ended: nil for status 0, and while it runs.
+// Err returns how the process ended: nil for exit status 0, and nil while it runs.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Crashed reports whether the process has ended without SIGTERM or SIGKILL from Signal.
+// Crashed reports whether the process has ended although Signal sent neither SIGTERM nor SIGKILL.
 func (p *Process) Crashed() bool {
 	select {
 	case <-p.ended:
@@ -139,7 +140,7 @@
 	}
 }
 
-// Usage returns the resources used so far. The memory of a process that has ended is as of the last sample.
+// Usage returns the resources used so far. The memory of a process that has ended is that of the last sample.
 func (p *Process) Usage() Usage {
 	p.sampleUsage()
 	p.mu.Lock()
@@ -192,7 +193,8 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// Signal sends a signal. After SIGTERM or SIGKILL the end of the process is no crash. A process that has ended is no error.
+// Signal sends a signal. After SIGTERM or SIGKILL the end of the process does not count as a crash. It is not
+// an error if the process has ended already.
 func (p *Process) Signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	ends := sig == syscall.SIGTERM || sig == syscall.SIGKILL
@@ -208,7 +210,7 @@
 	return err
 }
 
-// Kill sends SIGKILL and waits for the end.
+// Kill sends SIGKILL and waits for the process to end.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return fmt.Errorf("kill %s: %w", p.Name, err)
@@ -229,7 +231,8 @@
 	return errors.Join(errs...)
 }
 
-// Terminate sends SIGTERM, and SIGKILL after a timeout. clean reports whether the process exited by itself with status 0.
+// Terminate sends SIGTERM, and SIGKILL after a timeout. clean reports whether the process exited with status
+// 0 before the timeout.
 func (p *Process) Terminate(timeout time.Duration) (clean bool, err error) {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return false, fmt.Errorf("terminate %s: %w", p.Name, err)
@@ -244,24 +247,25 @@
 	}
 }
 
-// SetDiskFull makes every write of the process to a file fail, or succeed again, by the limit on the size of files: the error
-// is EFBIG instead of ENOSPC, and empty files can still be created and renamed, as mostly on a full disk. It is the soft limit,
-// which a user may raise again.
+// SetDiskFull makes every write of the process to a file fail, or succeed again, by setting its limit on the
+// size of files. The error is EFBIG instead of ENOSPC, and empty files can still be created and renamed, as
+// is usually possible on a full disk. It sets the soft limit only, which an unprivileged user may raise
+// again.
 func (p *Process) SetDiskFull(full bool) error {
 	var limit syscall.Rlimit
 	if err := prlimit(p.PID(), nil, &limit); err != nil {
-		return fmt.Errorf("limit the files of %s: %w", p.Name, err)
+		return fmt.Errorf("read the file size limit of %s: %w", p.Name, err)
 	}
 	if limit.Cur = limit.Max; full {
 		limit.Cur = 0
 	}
 	if err := prlimit(p.PID(), &limit, nil); err != nil {
-		return fmt.Errorf("limit the files of %s: %w", p.Name, err)
+		return fmt.Errorf("set the file size limit of %s: %w", p.Name, err)
 	}
 	return nil
 }
 
-// prlimit sets or gets the limit on the size of a process's files.
+// prlimit sets or gets the limit on the size of a process's files; set or get may be nil.
 func prlimit(pid int, set, get *syscall.Rlimit) error {
 	const fileSize = syscall.RLIMIT_FSIZE
 	_, _, errno := syscall.RawSyscall6(syscall.SYS_PRLIMIT64, uintptr(pid), fileSize, uintptr(unsafe.Pointer(set)),
@@ -272,5 +276,5 @@
 	return nil
 }
 
-// clockTick is the unit of processor times in /proc (USER_HZ).
+// clockTick is the unit of CPU times in /proc (1/USER_HZ).
 const clockTick = time.Second / 100
--- a/internal/faultlab/service/faults.go
+++ b/internal/faultlab/service/faults.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Members are the members that a fault names: "leader" is the current leader, "follower" one that is not; no name is all.
+// Members returns the members that a fault names. "leader" is the current leader, "follower" is one member
+// that does not lead; without names it returns all members.
 func (s *Service) Members(names []string) (out []*Member) {
 	for _, member := range s.members {
 		if len(names) == 0 || slices.Contains(names, member.Name) {
@@ -27,7 +28,8 @@
 	return out
 }
 
-// Kill kills members at once, and when back returns true starts each again, unless another fault keeps it down.
+// Kill kills members at the same time and calls back. If back returns true, it starts each member again,
+// unless another fault keeps it down.
 func (s *Service) Kill(members []*Member, back func() bool) error {
 	for _, member := range members {
 		member.mu.Lock()
@@ -55,6 +57,7 @@
 	return nil
 }
 
+// startAgain ends one fault that keeps a member down, and starts the member if that was the last.
 func (s *Service) startAgain(member *Member) error {
 	member.mu.Lock()
 	defer member.mu.Unlock()
@@ -64,7 +67,7 @@
 	return s.start(member)
 }
 
-// Stop stops the members' processes until hold returns.
+// Stop suspends the members' processes with SIGSTOP until hold returns.
 func (s *Service) Stop(members []*Member, hold func()) error {
 	for _, member := range members {
 		member.mu.Lock()
@@ -91,8 +94,9 @@
 	return nil
 }
 
-// Damage kills members, truncates one file of each directory at a random byte, and when back returns true starts them again. One
-// that refuses its directory is started with an empty one, as its error message says.
+// Damage kills members, truncates one file of each member's directory at a random byte and calls back. If
+// back returns true, it starts the members again. A member that refuses its damaged directory is then started
+// with an empty one, which is the remedy that its error message names.
 func (s *Service) Damage(members []*Member, back func() bool) error {
 	return s.Kill(members, func() bool {
 		for _, member := range members {
@@ -109,7 +113,8 @@
 	})
 }
 
-// truncateFile truncates a random file of a member's directory at a random byte.
+// truncateFile truncates a random file of a member's directory at a random byte, and returns its path and new
+// size in bytes.
 func (s *Service) truncateFile(member *Member) (path string, size int64, err error) {
 	var files []string
 	err = filepath.WalkDir(member.dir, func(path string, d os.DirEntry, err error) error {
@@ -133,7 +138,8 @@
 	return path, size, os.Truncate(path, size)
 }
 
-// replaceDamaged waits whether a member refuses its damaged directory, and starts it with an empty one then.
+// replaceDamaged waits up to refusalTimeout for a member to refuse its damaged directory. If it does, the
+// directory is moved aside and the member is started with an empty one.
 func (s *Service) replaceDamaged(member *Member) {
 	for end := time.Now().Add(refusalTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		member.mu.Lock()
@@ -148,17 +154,17 @@
 		s.rejected++
 		s.mu.Unlock()
 		if err := os.Rename(member.dir, fmt.Sprintf("%s.damaged-%d", member.dir, time.Now().UnixNano())); err != nil {
-			s.log.Error("damaged directory not moved", "member", member.Name, "error", err)
+			s.log.Error("damaged directory of member could not be moved", "member", member.Name, "error", err)
 			return
 		}
 		if err := s.start(member); err != nil {
-			s.log.Error("member not restarted", "member", member.Name, "error", err)
+			s.log.Error("member could not be restarted", "member", member.Name, "error", err)
 		}
 		return
 	}
 }
 
-// Names are the names of members.
+// Names returns the names of members.
 func Names(members []*Member) (names []string) {
 	for _, member := range members {
 		names = append(names, member.Name)
--- a/internal/faultlab/service/registrations.go
+++ b/internal/faultlab/service/registrations.go
@@ -16,15 +16,15 @@
 
 const (
 	readInterval       = 150 * time.Millisecond
-	hollowReadInterval = time.Second // with hollow servers, whose lists are long
+	hollowReadInterval = time.Second // used with hollow servers, which make the list long
 	readTimeout        = 3 * time.Second
-	renewalsPerLease   = 3 // a lease is renewed so many times in its duration
+	renewalsPerLease   = 3 // renewals within the duration of a lease
 	renewRetryPause    = 100 * time.Millisecond
-	readerNumber       = 0 // of the reader in the history; servers have numbers from 1
+	readerNumber       = 0 // client number of the reader in the history; servers have numbers from 1
 )
 
-// registrations holds the servers' registrations: one goroutine for each process of a server, which registers it, renews its lease
-// and announces once that it drains or ends.
+// registrations runs the servers' registrations. Each process of a server has a goroutine that registers it,
+// renews its lease, and announces once that it drains or ends.
 type registrations struct {
 	service *Service
 	ctx     context.Context
@@ -32,42 +32,44 @@
 	running sync.WaitGroup
 
 	mu         sync.Mutex
-	live       map[string]*serverProcess
-	names      map[string]bool // of all servers so far, for the reader
-	lastNumber int
-	missing    int // live servers missing in a read, maximum
+	live       map[string]*serverProcess // running processes, by server name
+	names      map[string]bool           // names of all servers so far, for the reader
+	lastNumber int                       // last client number that was assigned
+	missing    int                       // most listed servers that were missing in one read
 }
 
 // serverProcess is one process of a server.
 type serverProcess struct {
 	ref      state.InstanceRef
 	record   state.Record
-	number   int
-	statuses chan string // to announce: draining, deleted
-	listed   bool        // registered, and no status announced since
+	number   int         // client number in the history
+	statuses chan string // statuses to announce: draining, deleted
+	listed   bool        // the server is registered and has announced no other status since
 	stop     context.CancelFunc
 }
 
+// newServers returns registrations without servers.
 func newServers(s *Service) *registrations {
 	n := &registrations{service: s, live: map[string]*serverProcess{}, names: map[string]bool{}, lastNumber: readerNumber}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	return n
 }
 
+// close stops all registrations without deregistering and waits for their end.
 func (r *registrations) close() {
 	r.stop()
 	r.running.Wait()
 }
 
-// Server is a server for registration.
+// Server describes a server to register.
 type Server struct {
 	Name, Zone, Type string
 	Group            int
-	Since            int64
+	Since            int64 // start time of its process in Unix milliseconds
 }
 
-// StartServer starts a process of a server, which registers and renews its lease until StopServer. The returned function waits until
-// it is registered.
+// StartServer starts a process of a server, which registers and renews its lease until StopServer. The
+// returned function waits until the server is registered.
 func (s *Service) StartServer(server Server) (registered func(ctx context.Context) error) {
 	registrations := s.servers
 	registrations.mu.Lock()
@@ -75,7 +77,7 @@
 	registrations.lastNumber++
 	number := registrations.lastNumber
 	ctx, stop := context.WithCancel(registrations.ctx)
-	// Each proxy gets an address of its own (setAddresses); this one is never called.
+	// setAddresses replaces this address by a different one for each proxy; nothing connects to it.
 	endpoint := state.Endpoint{Name: server.Name, Address: "nodo.invalid:1", Zone: server.Zone, Type: server.Type, Cell: server.Group,
 		Status: state.StatusServing, Weight: 1, StartedAtMs: server.Since}
 	record := state.Record{Endpoint: endpoint, Instance: fmt.Sprint(server.Since, "-", number), LeaseMs: s.config.Lease.Milliseconds()}
@@ -94,12 +96,13 @@
 	}
 }
 
-// DrainServer announces that a server drains.
+// DrainServer has a server announce that it drains.
 func (s *Service) DrainServer(name string) { s.sendStatus(name, state.StatusDraining) }
 
-// StopServer ends a server's process: a draining one deregisters, another lets its lease expire.
+// StopServer ends a server's process. A draining server deregisters; any other lets its lease expire.
 func (s *Service) StopServer(name string) { s.sendStatus(name, state.StatusDeleted) }
 
+// sendStatus passes a status to the goroutine of a server's current process, if there is one.
 func (s *Service) sendStatus(name, status string) {
 	n := s.servers
 	n.mu.Lock()
@@ -113,7 +116,7 @@
 	}
 }
 
-// listedServers are the servers that must be in the list.
+// listedServers returns the servers that must be in the list now, by name.
 func (r *registrations) listedServers() map[string]*serverProcess {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +129,8 @@
 	return out
 }
 
-// recordMissing records how many servers were missing in a read that were listed before and after it.
+// recordMissing updates the maximum number of servers that were missing in a read although they were listed
+// before and after it.
 func (r *registrations) recordMissing(before map[string]*serverProcess, values map[string]string) {
 	after, missing := r.listedServers(), 0
 	for name, server := range before {
@@ -139,7 +143,7 @@
 	r.missing = max(r.missing, missing)
 }
 
-// runServer runs one process of a server: registration, renewals, and the announcements of its end.
+// runServer runs one process of a server: its registration, its renewals and the announcements of its end.
 func (s *Service) runServer(ctx context.Context, server *serverProcess, registered func()) {
 	defer server.stop()
 	client := s.registrars[server.record.Zone]
@@ -151,7 +155,8 @@
 	s.servers.mu.Unlock()
 	registered()
 	draining := false
-	// The lease may expire at any time after the last renewal that is known to have succeeded.
+	// The lease may expire at any time after the start of the last renewal that is known to have succeeded,
+	// so the history holds a pending removal that begins there.
 	endExpiry := s.history.Begin(linear.Remove, server.ref.Name, server.historyValue(), server.number)
 	for pause := s.config.Lease / renewalsPerLease; ; {
 		select {
@@ -170,14 +175,15 @@
 		var rejected *registrar.RejectedError
 		switch {
 		case err == nil:
-			endExpiry(false, true) // it did not expire
+			endExpiry(false, true) // the lease did not expire: remove the pending removal
 			endExpiry, pause = endNextExpiry, s.config.Lease/renewalsPerLease
 			continue
 		case errors.As(err, &rejected) && rejected.Code == state.ResultUnknown:
 			if draining || !s.register(ctx, client, server) {
 				return
 			}
-			endExpiry, pause = endNextExpiry, s.config.Lease/renewalsPerLease // the expiry before stays in the history
+			// The lease did expire: its removal stays in the history.
+			endExpiry, pause = endNextExpiry, s.config.Lease/renewalsPerLease
 			continue
 		case errors.As(err, &rejected):
 			s.log.Error("registration rejected", "endpoint", server.ref.Name, "error", err)
@@ -188,8 +194,8 @@
 	}
 }
 
-// announce announces a status; it returns whether the process continues, which it does while draining. A process that ends without
-// having drained announces nothing.
+// announce announces a status to the registry and reports whether the process continues, which it does only
+// while draining. A process that ends without having drained announces nothing.
 func (s *Service) announce(ctx context.Context, client *registrar.Client, server *serverProcess, status string, draining bool) bool {
 	switch {
 	case status == state.StatusDraining:
@@ -207,9 +213,11 @@
 	return false
 }
 
-// historyValue names the process in the history: the published list has its start, not its instance.
+// historyValue identifies the process in the history by its start time, since the published list contains the
+// start time but not the instance.
 func (p *serverProcess) historyValue() string { return fmt.Sprint(p.record.StartedAtMs) }
 
+// register registers a server process and reports whether the registry accepted it.
 func (s *Service) register(ctx context.Context, client *registrar.Client, server *serverProcess) bool {
 	return s.write(ctx, linear.Register, server, state.StatusServing, func(ctx context.Context) error {
 		_, err := client.Register(ctx, server.record)
@@ -217,7 +225,8 @@
 	})
 }
 
-// write makes a call that is repeated until it is answered, and records it in the history, with the status that it announces.
+// write makes a call that the registrar repeats until it is answered, and records it in the history. status
+// is the status that the call announces. It reports whether the call succeeded.
 func (s *Service) write(ctx context.Context, kind linear.Operation, server *serverProcess, status string,
 	call func(context.Context) error) bool {
 	end := s.history.Begin(kind, server.ref.Name, server.historyValue(), server.number)
@@ -230,7 +239,8 @@
 	return err == nil
 }
 
-// readLists reads the current list from the members in turn until the context ends.
+// readLists reads the current list from the members in turn until the context ends, and adds each read to the
+// history.
 func (s *Service) readLists(ctx context.Context) {
 	every := readInterval
 	if s.config.IsHollow != nil {
@@ -238,7 +248,7 @@
 	}
 	for n := 0; sleep.For(ctx, every); n++ {
 		member := s.members[n%len(s.members)]
-		// Names that are not in the list count too, if they existed before the call.
+		// Servers that existed before the call and are not in the list are recorded as absent.
 		s.servers.mu.Lock()
 		values := map[string]string{}
 		for name := range s.servers.names {
@@ -252,7 +262,7 @@
 			continue
 		}
 		for _, endpoint := range list.Endpoints {
-			if !s.isHollow(endpoint.Name) { // not in the history
+			if !s.isHollow(endpoint.Name) { // hollow servers' registrations are not in the history
 				values[endpoint.Name] = linear.Value(endpoint.Status, fmt.Sprint(endpoint.StartedAtMs))
 			}
 		}
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -22,15 +22,16 @@
 
 const (
 	dialTimeout  = time.Second
-	maxListBytes = 8 << 20
+	maxListBytes = 8 << 20 // of an answer of a member
 )
 
-// forwardBytes forwards a link's connections to a member's own address.
+// forwardBytes returns a handler that forwards a link's connections unread to a member's own address.
 func (s *Service) forwardBytes(to string) func(*link.Conn) {
 	return func(c *link.Conn) { _ = link.Forward(c, to, nil) }
 }
 
-// relayPolls forwards a proxy's polls to a member, with the servers' addresses replaced, and records what the proxy receives.
+// relayPolls returns a handler that forwards a proxy's polls to a member, replaces the servers' addresses in
+// the answers, and records what the proxy receives.
 func (s *Service) relayPolls(proxy, to string) func(*link.Conn) {
 	return func(c *link.Conn) {
 		defer c.Close()
@@ -69,7 +70,8 @@
 	}
 }
 
-// forward calls a member, until the proxy closes its connection; status 0 is a failed call.
+// forward calls a member and gives up when the proxy closes its connection. Status 0 means that the call
+// failed; list is nil unless the answer is a list.
 func (s *Service) forward(client *http.Client, c *link.Conn, url string) (status int, body []byte, list *watch.Response) {
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := make(chan struct{})
@@ -104,6 +106,7 @@
 	return resp.StatusCode, body, list
 }
 
+// refereeEntries converts the entries of a list for the referee.
 func refereeEntries(list *watch.Response) (out []referee.Entry) {
 	for _, e := range list.Endpoints {
 		out = append(out, referee.Entry{Server: e.Name, Serving: e.Status == state.StatusServing, Since: e.StartedAtMs})
@@ -111,12 +114,13 @@
 	return out
 }
 
-// setAddresses replaces the addresses of a list's servers by those at which a proxy reaches them.
+// setAddresses replaces the servers' addresses in a list by those at which a proxy reaches them. Hollow
+// servers are marked as draining instead, since nothing listens at their address.
 func (s *Service) setAddresses(proxy string, list *watch.Response) {
 	for i, e := range list.Endpoints {
 		if s.isHollow(e.Name) {
 			if e.Status == state.StatusServing {
-				list.Endpoints[i].Status = state.StatusDraining // no server is there
+				list.Endpoints[i].Status = state.StatusDraining
 			}
 			continue
 		}
@@ -124,12 +128,13 @@
 	}
 }
 
+// isHollow reports whether a server, by name, is hollow.
 func (s *Service) isHollow(nodo string) bool {
 	return s.config.IsHollow != nil && s.config.IsHollow(nodo)
 }
 
-// Snapshot is the list for a proxy's configuration, of the entries that keep selects, as text and for the referee. Both are nil if no
-// member answers.
+// Snapshot returns the list for a proxy's configuration, as JSON and as the referee records it. The JSON
+// contains the entries for which keep returns true. Both results are nil if no member answers.
 func (s *Service) Snapshot(proxy string, keep func() bool) (text json.RawMessage, known []referee.Entry) {
 	for _, member := range s.members {
 		var list watch.Response
@@ -143,7 +148,7 @@
 	return nil, nil
 }
 
-// notificationDelays records when changes were confirmed and when each proxy received them.
+// notificationDelays records when changes were confirmed by the registry and when each proxy received them.
 type notificationDelays struct {
 	mu            sync.Mutex
 	confirmed     map[string]time.Time            // by key of the change
@@ -152,28 +157,31 @@
 	versions      map[string][]ReceivedVersion    // received by each proxy
 }
 
-// ReceivedVersion is a version of the list and when a proxy received it.
+// ReceivedVersion is a version of the list and the time at which a proxy received it.
 type ReceivedVersion struct {
 	Version    int64
 	ReceivedAt time.Time
 }
 
-// ReceivedVersions are the versions that each proxy received, in order.
+// ReceivedVersions returns the versions that each proxy received, in order, by proxy name.
 func (s *Service) ReceivedVersions() map[string][]ReceivedVersion {
 	s.delays.mu.Lock()
 	defer s.delays.mu.Unlock()
 	return maps.Clone(s.delays.versions)
 }
 
+// newDelays returns an empty record of delays.
 func newDelays() *notificationDelays {
 	return &notificationDelays{confirmed: map[string]time.Time{}, received: map[string]map[string]time.Time{},
 		firstReceived: map[string]time.Time{}, versions: map[string][]ReceivedVersion{}}
 }
 
+// changeKey identifies a change by the server, its new status and the start time of its process.
 func changeKey(name, status string, since int64) string {
 	return fmt.Sprint(name, " ", status, " ", since)
 }
 
+// recordConfirmed records the first confirmation of a change.
 func (d *notificationDelays) recordConfirmed(name, status string, since int64, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -182,6 +190,7 @@
 	}
 }
 
+// recordReceived records the version and the changes that a proxy received. Hollow servers are left out.
 func (d *notificationDelays) recordReceived(proxy string, list *watch.Response, at time.Time, hollow func(string) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -203,8 +212,9 @@
 	}
 }
 
-// sorted are the delays of all changes, for the proxies that had received updates when they were confirmed. A change that was
-// overtaken by another may never be received.
+// sorted returns the sorted delays from each change's confirmation to its receipt by each proxy that had
+// received an update before the confirmation. A proxy may never receive a change that a later change of the
+// same server overtook.
 func (d *notificationDelays) sorted() (out []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/faultlab/service/report.go
+++ b/internal/faultlab/service/report.go
@@ -8,16 +8,16 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-// Report holds the observations of the service in a play.
+// Report holds the observations of the registry in one run.
 type Report struct {
 	History        linear.CheckResult
-	Delays         []time.Duration // from a change's confirmation until a proxy received it, for each proxy that did; sorted
-	MissingServers int             // live servers missing in a read, maximum
-	RefusedStarts  int             // of members, for a damaged directory
+	Delays         []time.Duration // from each change's confirmation to its receipt by each proxy; sorted
+	MissingServers int             // most listed servers that were missing in one read
+	RefusedStarts  int             // starts that members refused because of a damaged directory
 	CrashedMembers []string        // members that had crashed at the end
 }
 
-// End kills all members and reports on the play.
+// End kills all members and returns the report of the run.
 func (s *Service) End() (Report, error) {
 	var r Report
 	var procs []*process.Process
@@ -46,17 +46,18 @@
 	return r, err
 }
 
-// Violation says which rule of the list service was broken; empty if none was.
+// Violation describes which rules of the registry were broken; empty if none was.
 func (r Report) Violation() string {
 	var out []string
 	if len(r.History.Violations) > 0 {
-		out = append(out, "no order of the calls explains what was read of "+strings.Join(r.History.Violations, ", "))
+		out = append(out, "the registry's history is not linearizable for "+
+			strings.Join(r.History.Violations, ", "))
 	}
 	if len(r.History.Undecided) > 0 {
-		out = append(out, "the search for an order took too long for "+strings.Join(r.History.Undecided, ", "))
+		out = append(out, "the linearizability check timed out for "+strings.Join(r.History.Undecided, ", "))
 	}
 	if len(r.CrashedMembers) > 0 {
-		out = append(out, "members ended by themselves: "+strings.Join(r.CrashedMembers, ", "))
+		out = append(out, "registry members crashed: "+strings.Join(r.CrashedMembers, ", "))
 	}
 	return strings.Join(out, "; ")
 }
--- a/internal/faultlab/service/service.go
+++ b/internal/faultlab/service/service.go
@@ -1,12 +1,15 @@
-// Package service runs the list service under test: its members as real processes, the servers' registrations, and the links of
-// members with each other, with servers and with proxies, all over package link, so that each can be cut alone. It injects the
-// faults of members, and never judges: the referee and package linear do.
+// Package service runs the registry under test: its members as real processes, the servers' registrations,
+// and the connections of members with each other, with servers and with proxies. All connections run over
+// package link, so that each can be cut alone. The package injects the faults of members but checks no rules:
+// the referee and package linear do.
 //
-// Each pair of members, zone and proxy has a link's address of its own. Traffic between members and from servers is forwarded
-// unread. In the answers to a proxy the servers' addresses are replaced by that proxy's own, as the published protocol allows, and
-// the referee records each update.
+// A link with an address of its own leads to each member from every other member, from every zone's servers
+// and from every proxy. Traffic between members and from servers is forwarded unread. In the answers to a
+// proxy the servers' addresses are replaced by those at which this proxy reaches them, as the published
+// protocol allows, and the referee records each update.
 //
-// A reader reads the current list all the time. Its reads and the registrations form a history that is checked at the end.
+// A reader reads the current list throughout the run. Its reads and the registrations form a history that is
+// checked for linearizability at the end.
 package service
 
 import (
@@ -40,26 +43,26 @@
 	callTimeout       = time.Second
 	readyTimeout      = 20 * time.Second
 	readyPollInterval = 50 * time.Millisecond
-	refusalTimeout    = 3 * time.Second // for a started member to refuse its directory
-	checkTimeout      = 20 * time.Second
+	refusalTimeout    = 3 * time.Second  // for a started member to refuse its directory
+	checkTimeout      = 20 * time.Second // of the linearizability check, for each server
 )
 
 var (
-	errNotReady  = errors.New("the list service did not serve")
-	errBadStatus = errors.New("member answered with an error")
+	errNotReady  = errors.New("not all registry members were ready")
+	errBadStatus = errors.New("registry member answered with an error")
 )
 
-// Proxy is a client of the list.
+// Proxy is a proxy that follows the list.
 type Proxy struct{ Name, Zone string }
 
-// Config describes a service.
+// Config configures a Service.
 type Config struct {
-	Members    int
-	Zones      []string // of the members in turn
+	Members    int      // number of members
+	Zones      []string // zones, assigned to the members in turn
 	Proxies    []Proxy
-	Command    []string // of a member
+	Command    []string // command that starts a member
 	Lease      time.Duration
-	Election   time.Duration
+	Election   time.Duration // election timeout
 	MaxListAge time.Duration
 	Dir        string // parent of the members' directories
 	LogDir     string
@@ -69,19 +72,20 @@
 	Referee       *referee.Referee
 	Starter       *process.Starter
 	Log           *slog.Logger
-	Delay         func(from, to string) time.Duration
-	ServerAddress func(proxy, nodo string) string     // at which a proxy reaches a server
-	ProxyAddress  func(proxy, member int) string      // at which it reaches a member
-	MemberAddress func(member, port int) string       // a member's own
-	PeerAddress   func(from, to, port int) string     // at which a member reaches another
-	ZoneAddress   func(zone, member, port int) string // at which a zone's servers reach a member
+	Delay         func(from, to string) time.Duration // one-way delay between zones
+	ServerAddress func(proxy, nodo string) string     // address at which a proxy reaches a server
+	ProxyAddress  func(proxy, member int) string      // address at which a proxy reaches a member
+	MemberAddress func(member, port int) string       // address that a member listens on
+	PeerAddress   func(from, to, port int) string     // address at which a member reaches another
+	ZoneAddress   func(zone, member, port int) string // address at which a zone's servers reach a member
 
-	// IsHollow reports whether a server, by name, takes no requests; nil: there are none. Proxies see such servers as draining. If set,
-	// members export metrics, and the list is read each hollowReadInterval.
+	// IsHollow reports whether a server, by name, takes no requests; nil if there are no such servers.
+	// Proxies see them as draining. If it is set, members export metrics, and the list is read every
+	// hollowReadInterval.
 	IsHollow func(nodo string) bool
 }
 
-// Ports of a member's address.
+// Ports that a member listens on.
 const (
 	listPort = 8500
 	raftPort = 8600
@@ -89,7 +93,7 @@
 	metricsPort = 9500
 )
 
-// Member is a member of the service, over all its processes.
+// Member is a member of the registry. It runs one process at a time.
 type Member struct {
 	Name, Zone      string
 	index           int
@@ -98,26 +102,26 @@
 	mu         sync.Mutex
 	process    *process.Process
 	downFaults int // number of active faults that keep it down
-	stopFaults int
+	stopFaults int // number of active faults that keep its process suspended
 }
 
-// Service is a running list service.
+// Service is a running registry.
 type Service struct {
 	config     Config
 	log        *slog.Logger
 	members    []*Member
 	http       *http.Client
 	history    *linear.History
-	registrars map[string]*registrar.Client // by zone of the servers
+	registrars map[string]*registrar.Client // by the zone of the servers that use them
 	servers    *registrations
 	delays     *notificationDelays
 
 	mu       sync.Mutex
-	rejected int // starts refused for a damaged directory
+	rejected int // starts that members refused because of a damaged directory
 	rng      *rand.Rand
 }
 
-// New creates the members' configurations and all links, but no processes.
+// New writes the members' configuration files and creates all links. It starts no processes.
 func New(cfg Config) (*Service, error) {
 	s := &Service{config: cfg, log: cfg.Log, http: &http.Client{}, history: linear.New(),
 		registrars: map[string]*registrar.Client{}, rng: rand.New(rand.NewPCG(cfg.Seed, 31)), delays: newDelays()}
@@ -189,6 +193,7 @@
 	return nil
 }
 
+// listen creates a link that listens at addr.
 func (s *Service) listen(ends link.Ends, addr string, accept func(*link.Conn)) error {
 	_, err := s.config.Net.Listen(ends, addr, s.config.Delay(ends.FromZone, ends.ToZone), accept)
 	return err
@@ -222,7 +227,7 @@
 	return toml.NewEncoder(out).Encode(f)
 }
 
-// Start starts all members, and waits until all serve.
+// Start starts all members and waits until all are serving. The error wraps errNotReady after readyTimeout.
 func (s *Service) Start(ctx context.Context) error {
 	for _, member := range s.members {
 		member.mu.Lock()
@@ -243,16 +248,17 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w within %v: see its logs %s", errNotReady, readyTimeout, filepath.Join(s.config.LogDir, "r*.log"))
+	return fmt.Errorf("%w within %v: see their logs %s", errNotReady, readyTimeout,
+		filepath.Join(s.config.LogDir, "r*.log"))
 }
 
-// Run reads lists until the context ends, and then ends the servers' registrations.
+// Run reads the list until the context ends, and then stops the servers' registrations.
 func (s *Service) Run(ctx context.Context) {
 	s.readLists(ctx)
 	s.servers.close()
 }
 
-// MemberAddresses are the addresses at which a proxy reaches the members.
+// MemberAddresses returns the addresses at which a proxy, by index, reaches the members.
 func (s *Service) MemberAddresses(proxy int) (addrs []string) {
 	for _, member := range s.members {
 		addrs = append(addrs, s.config.ProxyAddress(proxy, member.index))
@@ -260,6 +266,7 @@
 	return addrs
 }
 
+// start starts a member's process. The member's lock must be held.
 func (s *Service) start(member *Member) error {
 	p, err := s.config.Starter.Start(process.Spec{Name: member.Name, Command: append(slices.Clone(s.config.Command), "serve", "--config", member.configFile),
 		Env: os.Environ(), Log: filepath.Join(s.config.LogDir, member.Name+".log")})
@@ -270,12 +277,13 @@
 	return nil
 }
 
+// status reads a member's status.
 func (s *Service) status(member *Member) (st raftnode.Status, err error) {
 	err = s.get(member, "/v1/member", callTimeout, &st)
 	return st, err
 }
 
-// get calls a member at its own address and decodes its JSON answer.
+// get calls a member at the address that it listens on and decodes its JSON answer into out.
 func (s *Service) get(member *Member, path string, timeout time.Duration, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/faultlab/service/usage.go
+++ b/internal/faultlab/service/usage.go
@@ -11,19 +11,19 @@
 	"merlinpick/internal/faultlab/process"
 )
 
-// MemberUsage is the state and usage of a member, by its own metrics and the kernel's.
+// MemberUsage is the state and resource usage of a member, from its own metrics and from the kernel.
 type MemberUsage struct {
-	PID           int // of the current process
-	CPU           time.Duration
-	Memory        int64 // resident, bytes
-	Reachable     bool  // it answered; else the next fields are zero
+	PID           int           // of the current process
+	CPU           time.Duration // CPU time of the current process
+	Memory        int64         // resident memory in bytes
+	Reachable     bool          // whether the member answered; the fields below are zero if not
 	IsLeader      bool
-	Watches       float64 // in flight
-	Rejected      float64 // calls answered with 503 by this process
-	OverdueLeases float64 // leases expired and not ended yet
+	Watches       float64 // watches in flight
+	Rejected      float64 // calls that the current process answered with 503
+	OverdueLeases float64 // leases that have expired and are not ended yet
 }
 
-// MemberUsage reads a member's metrics.
+// MemberUsage returns a member's current usage. Fields that cannot be read are zero.
 func (s *Service) MemberUsage(member *Member) (out MemberUsage) {
 	member.mu.Lock()
 	proc := member.process
--- a/internal/faultlab/sleep/sleep.go
+++ b/internal/faultlab/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep has a sleep that ends early with its context.
+// Package sleep provides a sleep that ends early with its context.
 package sleep
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a time, which may be over already. False: the context has ended first.
+// For sleeps for d, which may be zero or negative. It returns false if the context ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/faultlab/stubserver/serve.go
+++ b/internal/faultlab/stubserver/serve.go
@@ -13,7 +13,7 @@
 	"merlinpick/internal/faultlab/wire"
 )
 
-// readTimeout is for a complete request.
+// readTimeout limits the time in which a request must be complete.
 const readTimeout = 30 * time.Second
 
 // exchange is one request on a connection and its attempt.
@@ -24,8 +24,8 @@
 	id          string
 	work        Job
 	firstOnConn bool
-	overLimit   bool // the server has too many connections
-	incarnation int  // of the server, when the connection was opened
+	overLimit   bool // whether the server had too many connections when this one was opened
+	incarnation int  // of the server when the connection was opened
 }
 
 // Serve serves one connection until it ends.
@@ -61,7 +61,7 @@
 	}
 }
 
-// handle answers one request; false ends the connection.
+// handle answers one request; it returns false if the connection must be closed.
 func (s *Server) handle(x *exchange, body []byte, firstByteAt time.Time) bool {
 	x.id = x.request.Header.Get(wire.RequestID)
 	var known bool
@@ -88,7 +88,7 @@
 		s.referee.RecordRejected(x.attempt)
 		return s.respond(x, http.StatusServiceUnavailable, nil, true) && !x.overLimit
 	}
-	if job == nil { // ended meanwhile, or hanging
+	if job == nil { // the server has stopped meanwhile, or hangs
 		x.conn.AwaitPeerClose(nil)
 		s.referee.RecordCanceled(x.attempt, 0)
 		return false
@@ -96,13 +96,15 @@
 	return s.execute(x, job)
 }
 
+// startedAtMs returns the time of the last start in Unix milliseconds.
 func (s *Server) startedAtMs() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startedAt.UnixMilli()
 }
 
-// requestDeadline is when the client gives up, by the request's timeout, which may be over at its arrival; zero: not known.
+// requestDeadline returns when the client gives up according to the request's timeout header, which may be in
+// the past; zero if it is unknown.
 func requestDeadline(request *http.Request) time.Time {
 	ms, err := strconv.ParseFloat(request.Header.Get(wire.RequestTimeout), 64)
 	if err != nil {
@@ -111,7 +113,8 @@
 	return time.Now().Add(time.Duration(ms * float64(time.Millisecond)))
 }
 
-// execute waits for a job's slot and for its work, and answers. A request whose client closes the connection is dropped.
+// execute waits for a job's slot, waits while the job runs, and answers the request. A request whose client
+// closes the connection is dropped. It returns false if the connection must be closed.
 func (s *Server) execute(x *exchange, job *queuedJob) bool {
 	canceled, stopWatch := watchCancel(x.conn)
 	defer stopWatch()
@@ -150,8 +153,8 @@
 	return s.finish(x, job, canceled)
 }
 
-// watchCancel closes canceled when the peer closes the connection. The returned function ends the watch, so that the next request can
-// be read; it may be called more than once.
+// watchCancel watches a connection and closes canceled when the peer closes it. stop ends the watch, so that
+// the next request can be read; it may be called more than once.
 func watchCancel(conn *link.Conn) (canceled <-chan struct{}, stop func()) {
 	stopping, closed, ended := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
@@ -166,7 +169,7 @@
 	})
 }
 
-// leaveQueue removes a canceled job from the queue, or releases its slot if it started meanwhile.
+// leaveQueue removes a canceled job from the queue, or releases its slot if the job has started meanwhile.
 func (s *Server) leaveQueue(x *exchange, job *queuedJob) {
 	s.locked(func() { job.canceled = true; s.removeCanceled() })
 	select {
@@ -178,7 +181,8 @@
 	}
 }
 
-// finish answers a request whose work is done, subject to the server's faults, unless it is canceled.
+// finish answers a request whose work is done, subject to the server's faults, unless the request is
+// canceled. It returns false if the connection must be closed.
 func (s *Server) finish(x *exchange, job *queuedJob, canceled <-chan struct{}) bool {
 	s.mu.Lock()
 	alive := s.incarnation == x.incarnation && s.up && !s.fault.Hangs
@@ -208,7 +212,7 @@
 	return s.respond(x, http.StatusOK, body, false)
 }
 
-// respond sends a response; false if the connection is closed.
+// respond sends a response; it returns false if the connection is closed.
 func (s *Server) respond(x *exchange, status int, body []byte, notStarted bool) bool {
 	head := "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\nContent-Length: " +
 		strconv.Itoa(len(body)) + "\r\n"
--- a/internal/faultlab/stubserver/slots.go
+++ b/internal/faultlab/stubserver/slots.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// workArrival is work that a proxy sent.
+// workArrival is work that a proxy sent and the time of its arrival.
 type workArrival struct {
 	at    time.Time
 	work  time.Duration
@@ -15,15 +15,16 @@
 type queuedJob struct {
 	work      time.Duration
 	arrivedAt time.Time
-	start     chan bool // true: started; false: the server has ended
+	start     chan bool // receives true when the job starts, or false if the server stops
 	startedAt time.Time
-	duration  time.Duration // that its slot is held
-	canceled  bool          // by the client
-	deadline  time.Time     // of the client; zero: not known
+	duration  time.Duration // for which the job occupies its slot
+	canceled  bool          // whether the client has closed the connection
+	deadline  time.Time     // of the client; zero if unknown
 }
 
-// admit gives a request a slot or a place in the queue, or rejects it. A server in slow start may fail under overload: then overload is
-// the work that each proxy sent. All results are zero if the server hangs or has ended.
+// admit gives a request a slot or a place in the queue, or rejects it. A server in slow start may fail under
+// overload: then overload holds the work that each proxy sent. All results are zero if the server hangs or
+// has stopped.
 func (s *Server) admit(x *exchange, work time.Duration, deadline time.Time) (job *queuedJob, rejected bool,
 	overload map[string]time.Duration) {
 	s.mu.Lock()
@@ -48,8 +49,9 @@
 	return job, false, nil
 }
 
-// overloadBy adds work to that of a server in slow start, and returns the work of the last window by proxy if it is an overload: more
-// than OverloadMultiple times what the server could have done in it, and one request. Else it returns nil.
+// overloadBy records work that arrives during slow start. It returns the work of the last OverloadWindow by
+// proxy if that is an overload: more than OverloadMultiple times the work that the server can do in the
+// window, plus the work of this request. Otherwise it returns nil.
 func (s *Server) overloadBy(now time.Time, work time.Duration, proxy string) map[string]time.Duration {
 	if !s.slowStart || now.Sub(s.startedAt) > s.spec.SlowStart+s.spec.OverloadWindow {
 		s.recentWork = nil
@@ -67,7 +69,7 @@
 	for _, a := range s.recentWork {
 		total += a.work
 	}
-	// The capacity in the middle of the window stands for all of it.
+	// The capacity rises linearly, so that its value in the middle of the window is the average.
 	fraction := s.capacityFraction(from.Add(now.Sub(from) / 2))
 	budget := s.spec.OverloadMultiple * fraction * s.spec.Speed / s.fault.Slowdown * float64(s.spec.Slots) * float64(s.spec.OverloadWindow)
 	if float64(total) <= budget+float64(work) {
@@ -80,15 +82,16 @@
 	return by
 }
 
-// startJob starts a job that has a slot.
+// startJob starts a job that has a slot, at a time. The lock must be held.
 func (s *Server) startJob(job *queuedJob, now time.Time) {
 	job.startedAt = now
 	job.duration = time.Duration(float64(job.work) * s.fault.Slowdown / (s.spec.Speed * s.capacityFraction(now)))
 	job.start <- true
 }
 
-// releaseSlot gives a slot that is free since a moment to the next job in the queue that is not canceled. The job starts at that moment,
-// or when it arrived, rather than now, so that the delays of timers do not add up in a queue.
+// releaseSlot gives a slot that became free at a time to the next job in the queue that is not canceled. The
+// job starts at that time, or at its arrival if that is later, rather than now, so that the delays of timers
+// do not add up in a queue.
 func (s *Server) releaseSlot(incarnation int, free time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +113,7 @@
 	s.busy--
 }
 
-// removeCanceled removes canceled jobs from the queue.
+// removeCanceled removes canceled jobs from the queue. The lock must be held.
 func (s *Server) removeCanceled() {
 	kept := s.queue[:0]
 	for _, job := range s.queue {
--- a/internal/faultlab/stubserver/stubserver.go
+++ b/internal/faultlab/stubserver/stubserver.go
@@ -1,7 +1,8 @@
-// Package stubserver is a stub of a backend server: it has slots, a queue, a limit of connections, slow start and an overload
-// threshold, and speaks the platform's protocol. It knows nothing of proxies and never judges: the referee does.
+// Package stubserver is a stub of a backend server. It speaks the platform's protocol and has slots, a queue,
+// a connection limit, slow start, and an overload threshold. It does not know how proxies work and checks no
+// rules: the referee does.
 //
-// Work is simulated by waiting: w ms of work hold a slot for w / speed ms of real time.
+// Work is simulated by waiting: w ms of work occupy a slot for w / speed ms of real time.
 package stubserver
 
 import (
@@ -17,37 +18,39 @@
 	Name  string
 	Zone  string
 	Cell  int
-	Speed float64 // of a slot
-	Slots int
-	Queue int
-
-	MaxConnections   int
-	ConnectDelay     time.Duration // of a new connection's first request
-	ConnectWork      time.Duration // added to a new connection's first request
-	IdleTimeout      time.Duration
-	StartCapacity    float64
-	SlowStart        time.Duration
-	OverloadMultiple float64
-	OverloadWindow   time.Duration
-	CancelsWork      bool
+	Speed float64 // work done per unit of time in a slot
+	Slots int     // requests executed at a time
+	Queue int     // requests that may wait for a slot
+
+	MaxConnections   int           // requests on further connections are rejected
+	ConnectDelay     time.Duration // delay of a new connection's first request
+	ConnectWork      time.Duration // work added to a new connection's first request
+	IdleTimeout      time.Duration // after which an idle connection is closed
+	StartCapacity    float64       // fraction of the full capacity at the beginning of slow start
+	SlowStart        time.Duration // time from the start until full capacity
+	OverloadMultiple float64       // see overloadBy
+	OverloadWindow   time.Duration // see overloadBy
+	CancelsWork      bool          // whether work stops when its client closes the connection
 	Seed             uint64
 }
 
-// Job is a request's work, response size and proxy, by the lab's plan.
+// Job is a request's work, response size and proxy according to the lab's plan.
 type Job struct {
 	Work          time.Duration
-	ResponseBytes int // bytes
+	ResponseBytes int
 	Proxy         string
 }
 
-// Lab is what a server needs of the rest of the lab.
+// Lab is the interface to the lab that a server needs.
 type Lab interface {
+	// Job returns the job of a request id; false if the id is unknown.
 	Job(id string) (Job, bool)
-	// OverloadFailed reports that a server failed under overload; it must be stopped.
+	// OverloadFailed reports that a server failed under overload. The lab must stop the server.
 	OverloadFailed(name string)
 }
 
-// Server is a stub server. Its connections come from links; the lab starts and stops it and applies faults.
+// Server is a stub server. It gets its connections from links. The lab starts and stops it and applies
+// faults.
 type Server struct {
 	spec    Spec
 	lab     Lab
@@ -56,15 +59,15 @@
 	mu          sync.Mutex
 	up          bool
 	startedAt   time.Time // time of the last start
-	slowStart   bool      // the last start was with slow start
-	incarnation int       // increases at each start and end
+	slowStart   bool      // whether the last start was with slow start
+	incarnation int       // increases at each start and stop
 	draining    bool
 	faults      map[*Fault]struct{}
-	fault       Fault // all of them combined
-	conns       int
-	busy        int
+	fault       Fault // combination of faults
+	conns       int   // open connections
+	busy        int   // occupied slots
 	queue       []*queuedJob
-	recentWork  []workArrival // within the last OverloadWindow, during slow start
+	recentWork  []workArrival // work of the last OverloadWindow, recorded during slow start only
 	rng         *rand.Rand
 }
 
@@ -73,7 +76,7 @@
 	return &Server{spec: spec, lab: world, referee: ref, fault: Fault{Slowdown: 1}, faults: map[*Fault]struct{}{}, rng: rand.New(rand.NewPCG(spec.Seed, 7))}
 }
 
-// Start starts the server, with slow start or at full capacity.
+// Start starts the server at a time, with slow start or at full capacity.
 func (s *Server) Start(at time.Time, slowStart bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +85,7 @@
 	s.busy, s.queue, s.recentWork = 0, nil, nil
 }
 
-// Stop ends the server with its queue and its work. The lab resets the connections.
+// Stop stops the server and drops its queue and its work. The lab resets the connections.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,15 +97,15 @@
 	s.busy, s.queue = 0, nil
 }
 
-// Drain has the server reject new requests and finish those in flight.
+// Drain switches draining on or off. A draining server rejects new requests and finishes those in flight.
 func (s *Server) Drain(on bool) { s.locked(func() { s.draining = on }) }
 
-// Fault is what is wrong with a running server.
+// Fault is a fault of a running server.
 type Fault struct {
-	Slowdown       float64 // factor of the duration of work; 0 is 1
-	ErrorFraction  float64 // fraction of the requests that get 500
+	Slowdown       float64 // factor of the duration of work; 0 means 1
+	ErrorFraction  float64 // fraction of the requests that are answered with 500
 	GarbleFraction float64 // fraction of the responses that violate the protocol
-	Hangs          bool    // requests are accepted and never answered
+	Hangs          bool    // requests are accepted but never answered
 }
 
 // ApplyFault applies a fault until end is called. Several faults are combined, and each ends independently.
@@ -112,6 +115,7 @@
 	return func() { s.locked(func() { delete(s.faults, p); s.combineFaults() }) }
 }
 
+// combineFaults sets fault to the combination of all active faults. The lock must be held.
 func (s *Server) combineFaults() {
 	s.fault = Fault{Slowdown: 1}
 	for h := range s.faults {
@@ -124,14 +128,14 @@
 	}
 }
 
-// locked calls change with the server's lock.
+// locked calls change while it holds the server's lock.
 func (s *Server) locked(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// capacityFraction is the current fraction of the full capacity: it rises linearly during slow start.
+// capacityFraction returns the fraction of the full capacity at a time. It rises linearly during slow start.
 func (s *Server) capacityFraction(now time.Time) float64 {
 	if !s.slowStart || s.spec.SlowStart <= 0 {
 		return 1
--- a/internal/faultlab/wire/wire.go
+++ b/internal/faultlab/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the parts of the platform's protocol that the lab's clients and servers share: header names, and bodies
-// that identify their sender. It sends and reads nothing.
+// Package wire holds the parts of the platform's protocol that the lab's clients and servers share: header
+// names, and bodies that identify their sender. It does no I/O.
 package wire
 
 import (
@@ -9,7 +9,7 @@
 	"net/http"
 )
 
-// Headers of the protocol.
+// Names of the protocol's headers.
 const (
 	RequestID      = "Request-Id"
 	RequestClass   = "Request-Class"
@@ -19,15 +19,15 @@
 	NotStarted     = "Not-Started"
 )
 
-// Digest returns a hash that tells bodies apart.
+// Digest returns a hash by which bodies are compared.
 func Digest(b []byte) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write(b)
 	return hash.Sum64()
 }
 
-// MakeBody returns the body that a sender gives for a request: at least size bytes, the same each time and different for
-// each sender.
+// MakeBody returns the body that a sender sends for a request id. It has at least size bytes, and is the same
+// each time but different for each sender.
 func MakeBody(id, sender string, size int) []byte {
 	out := []byte(id + " " + sender + "\n")
 	random := rand.New(rand.NewPCG(Digest([]byte(id)), Digest([]byte(sender))))
@@ -37,7 +37,7 @@
 	return out
 }
 
-// JSONResponse returns a complete HTTP response, head and body.
+// JSONResponse returns a complete HTTP response with a JSON body.
 func JSONResponse(status int, body []byte) []byte {
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status,
 		http.StatusText(status), len(body), body)
