--- a/internal/faultlab/byzantine/byzantine_test.go
+++ b/internal/faultlab/byzantine/byzantine_test.go
@@ -43,14 +43,14 @@
 	ended := make(chan struct{})
 	go func() { honest.Run(ctx); close(ended) }()
 	defer func() { stop(); <-ended }()
-	l, err := Join(Config{Name: "liar", Zone: "b", Bind: "127.0.0.1:0", Label: "t", Seeds: []string{honest.Addr()}, Logger: log},
+	member, err := Join(Config{Name: "liar", Zone: "b", Bind: "127.0.0.1:0", Label: "t", Seeds: []string{honest.Addr()}, Logger: log},
 		func() []Target { return []Target{{"a-s1", 7}, {"b-s1", 0}} }, []string{"a", "b", "c"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []state.Observation{{Kind: state.ServerUnhealthy, Subject: "a-s1", SubjectStartMs: 7}, {Kind: state.ServerUnhealthy, Subject: "b-s1"},
 		{Kind: state.ZoneUnhealthy, Subject: "a"}, {Kind: state.ZoneUnhealthy, Subject: "c"}}
-	await := func(want []state.Observation) {
+	waitForReports := func(want []state.Observation) {
 		t.Helper()
 		var got []state.Observation
 		for late := time.After(30 * time.Second); ; {
@@ -73,7 +73,7 @@
 		}
 	}
 	slices.SortFunc(want, func(a, b state.Observation) int { return slices.Compare([]byte(a.Subject), []byte(b.Subject)) })
-	await(want)
-	l.Leave()
-	await(nil)
+	waitForReports(want)
+	member.Leave()
+	waitForReports(nil)
 }
--- a/internal/faultlab/catalog/answer.go
+++ b/internal/faultlab/catalog/answer.go
@@ -58,9 +58,9 @@
 // keeps its place in the queue and costs service time, as on the platform.
 func (c *Catalog) serveQueue(now time.Time) time.Duration {
 	next := c.config.SyncInterval
-	line := c.queue
+	calls := c.queue
 	c.queue = nil
-	for _, call := range line {
+	for _, call := range calls {
 		waited := now.Sub(call.queuedAt)
 		switch {
 		case call.continues:
@@ -75,7 +75,7 @@
 			c.queue = append(c.queue, call)
 		case call.failed || waited > c.config.QueueTimeout:
 			call.fail()
-			c.busyUntil = now.Add(c.workOf(0))
+			c.busyUntil = now.Add(c.serviceTime(0))
 		default:
 			c.busyUntil = now.Add(c.answer(call, now))
 		}
@@ -83,41 +83,41 @@
 	return next
 }
 
-// workOf returns the service time of an answer with a number of entries.
-func (c *Catalog) workOf(lines int) time.Duration {
-	return time.Duration(c.slowdown * float64(c.config.CallWork+time.Duration(lines)*c.config.EntryWork))
+// serviceTime returns the service time of an answer with a number of entries.
+func (c *Catalog) serviceTime(entries int) time.Duration {
+	return time.Duration(c.slowdown * float64(c.config.CallWork+time.Duration(entries)*c.config.EntryWork))
 }
 
 // answer answers a call, or adds it to the watches if there is no news for it. It returns the service time.
 func (c *Catalog) answer(call *pollCall, now time.Time) time.Duration {
-	var lines []wireEntry
+	var wireEntries []wireEntry
 	call.snapshot = call.from < 0 || call.from > c.version || c.version > call.from && (len(c.changes) == 0 || c.changes[0].Version > call.from+1)
 	if call.snapshot {
-		lines, call.entries = c.snapshot(call.proxy, c.entries)
+		wireEntries, call.entries = c.snapshot(call.proxy, c.entries)
 	} else {
 		if call.from == c.version && now.Before(call.holdUntil) {
 			call.continues = true // a watch that was served once does not wait in the queue again
 			c.watches = append(c.watches, call)
-			return c.workOf(0)
+			return c.serviceTime(0)
 		}
 		seen := map[string]bool{}
 		for _, record := range slices.Backward(c.changes) {
 			if record.Version > call.from && !seen[record.Entry.Name] {
 				seen[record.Entry.Name] = true
-				lines = append(lines, c.onWire(call.proxy, record.Entry))
+				wireEntries = append(wireEntries, c.toWireEntry(call.proxy, record.Entry))
 				call.entries = append(call.entries, refereeEntry(record.Entry))
 			}
 		}
 	}
 	c.answeredCalls++
 	call.order, call.version = c.answeredCalls, c.version
-	call.reply <- encode(c.version, call.snapshot, lines)
+	call.reply <- encode(c.version, call.snapshot, wireEntries)
 	c.lastAnswers[call.proxy] = now
-	return c.workOf(len(lines))
+	return c.serviceTime(len(wireEntries))
 }
 
-// onWire converts an entry for an answer to a proxy.
-func (c *Catalog) onWire(proxy string, entry Entry) wireEntry {
+// toWireEntry converts an entry for an answer to a proxy.
+func (c *Catalog) toWireEntry(proxy string, entry Entry) wireEntry {
 	return wireEntry{entry, c.config.Address(proxy, entry.Name), 1}
 }
 
@@ -128,28 +128,28 @@
 
 // snapshot converts a list for an answer to a proxy, sorted by name, and for the referee, in the same order.
 func (c *Catalog) snapshot(proxy string, entries map[string]Entry) ([]wireEntry, []referee.Entry) {
-	var lines []wireEntry
+	var wireEntries []wireEntry
 	var known []referee.Entry
 	for _, entry := range entries {
-		lines = append(lines, c.onWire(proxy, entry))
+		wireEntries = append(wireEntries, c.toWireEntry(proxy, entry))
 	}
-	slices.SortFunc(lines, func(a, b wireEntry) int { return strings.Compare(a.Name, b.Name) })
-	for _, l := range lines {
+	slices.SortFunc(wireEntries, func(a, b wireEntry) int { return strings.Compare(a.Name, b.Name) })
+	for _, l := range wireEntries {
 		known = append(known, refereeEntry(l.Entry))
 	}
-	return lines, known
+	return wireEntries, known
 }
 
 // encode returns the JSON text of an answer.
-func encode(version int64, snapshot bool, lines []wireEntry) []byte {
-	if lines == nil {
-		lines = []wireEntry{}
+func encode(version int64, snapshot bool, entries []wireEntry) []byte {
+	if entries == nil {
+		entries = []wireEntry{}
 	}
 	text, err := json.Marshal(struct {
 		Index     int64       `json:"index"`
 		Snapshot  bool        `json:"snapshot"`
 		Endpoints []wireEntry `json:"endpoints"`
-	}{version, snapshot, lines})
+	}{version, snapshot, entries})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/faultlab/catalog/catalog.go
+++ b/internal/faultlab/catalog/catalog.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// run calls f in the catalog's goroutine and waits for its end. It does nothing after the end of Run.
-func (c *Catalog) run(f func()) {
+// runInLoop calls f in the catalog's goroutine and waits for its end. It does nothing after the end of Run.
+func (c *Catalog) runInLoop(f func()) {
 	called := make(chan struct{})
 	select {
 	case c.actions <- func() { f(); close(called) }:
@@ -131,7 +131,7 @@
 
 // Change changes the list by an entry, which is announced after NotificationDelay.
 func (c *Catalog) Change(entry Entry) {
-	c.run(func() {
+	c.runInLoop(func() {
 		c.pending = append(c.pending, pendingChange{time.Now().Add(c.config.NotificationDelay), entry})
 	})
 }
@@ -139,36 +139,36 @@
 // TakeDown fails all calls until end is called. Several such faults can be active at a time, as with the
 // faults below.
 func (c *Catalog) TakeDown() (end func()) {
-	c.run(func() { c.downFaults++; c.failCalls() })
-	return func() { c.run(func() { c.downFaults-- }) }
+	c.runInLoop(func() { c.downFaults++; c.failCalls() })
+	return func() { c.runInLoop(func() { c.downFaults-- }) }
 }
 
 // SlowDown multiplies the service time of calls until end is called.
 func (c *Catalog) SlowDown(factor float64) (end func()) {
-	c.run(func() { c.slowdown *= factor })
-	return func() { c.run(func() { c.slowdown /= factor }) }
+	c.runInLoop(func() { c.slowdown *= factor })
+	return func() { c.runInLoop(func() { c.slowdown /= factor }) }
 }
 
 // Freeze announces no change until end is called.
 func (c *Catalog) Freeze() (end func()) {
-	c.run(func() { c.staleFaults++ })
-	return func() { c.run(func() { c.staleFaults-- }) }
+	c.runInLoop(func() { c.staleFaults++ })
+	return func() { c.runInLoop(func() { c.staleFaults-- }) }
 }
 
 // Rollback removes the given number of last versions, as a restore from a backup does. All waiting calls
 // fail, and servers whose entries were lost register again after reregisterDelay, under version numbers that
 // were used before.
 func (c *Catalog) Rollback(versions int) {
-	c.run(func() { c.rollBack(c.readRecords(c.file.Bytes()), c.version-int64(versions)) })
+	c.runInLoop(func() { c.rollBackTo(c.readRecords(c.file.Bytes()), c.version-int64(versions)) })
 }
 
 // PowerLoss loses data that was not synced to the file, and returns the number of lost versions. It is used
 // while the catalog is down.
 func (c *Catalog) PowerLoss() (lost int64) {
-	c.run(func() {
+	c.runInLoop(func() {
 		before := c.version
 		c.file.PowerLoss(c.rng)
-		c.rollBack(c.readRecords(c.file.Bytes()), before)
+		c.rollBackTo(c.readRecords(c.file.Bytes()), before)
 		lost = before - c.version
 	})
 	return lost
@@ -177,40 +177,40 @@
 // FillDisk makes writes to the file fail until end is called. A change that cannot be stored is not
 // announced.
 func (c *Catalog) FillDisk() (end func()) {
-	c.run(func() { c.diskFullFaults++; c.file.SetFull(true) })
-	return func() { c.run(func() { c.diskFullFaults--; c.file.SetFull(c.diskFullFaults > 0) }) }
+	c.runInLoop(func() { c.diskFullFaults++; c.file.SetFull(true) })
+	return func() { c.runInLoop(func() { c.diskFullFaults--; c.file.SetFull(c.diskFullFaults > 0) }) }
 }
 
 // recordVersion records the last version that a proxy was notified of.
-func (c *Catalog) recordVersion(proxy string, index int64) {
+func (c *Catalog) recordVersion(proxy string, version int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.notifiedVersions[proxy] = index
+	c.notifiedVersions[proxy] = version
 }
 
 // lastVersion returns the last version that a proxy was notified of; false if there is none.
 func (c *Catalog) lastVersion(proxy string) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	index, ok := c.notifiedVersions[proxy]
-	return index, ok
+	version, ok := c.notifiedVersions[proxy]
+	return version, ok
 }
 
 // Snapshot returns the list for a proxy's configuration, as JSON and as the referee records it. As on the
 // platform it is the list that the proxy's former process received last, or else the current one. Each entry
 // is kept with a probability of fraction.
 func (c *Catalog) Snapshot(proxy string, fraction float64, random *rand.Rand) (list json.RawMessage, known []referee.Entry) {
-	c.run(func() {
+	c.runInLoop(func() {
 		entries, version := c.entries, c.version
-		if held, ok := c.lastVersion(proxy); ok && held < c.version {
-			entries, version = c.entriesAt(held), held
+		if notified, ok := c.lastVersion(proxy); ok && notified < c.version {
+			entries, version = c.entriesAt(notified), notified
 		}
-		lines, all := c.snapshot(proxy, entries)
-		total, kept := len(lines), lines[:0]
-		for i, l := range lines {
+		wireEntries, allKnown := c.snapshot(proxy, entries)
+		total, kept := len(wireEntries), wireEntries[:0]
+		for i, l := range wireEntries {
 			if random.Float64() < fraction {
 				kept = append(kept, l)
-				known = append(known, all[i])
+				known = append(known, allKnown[i])
 			}
 		}
 		if len(kept) < total { // an incomplete list is not a version: a watch must not continue from it
--- a/internal/faultlab/catalog/catalog_test.go
+++ b/internal/faultlab/catalog/catalog_test.go
@@ -68,21 +68,21 @@
 		after     time.Duration // that the answer comes, at most
 		notBefore time.Duration
 		whole     bool
-		lines     int
+		entries   int
 		failed    bool
 	}{
-		{name: "whole list", from: -1, after: 2 * time.Millisecond, whole: true, lines: 3},
+		{name: "whole list", from: -1, after: 2 * time.Millisecond, whole: true, entries: 3},
 		{name: "a change, after its lag", from: 3, do: func(c *Catalog) { c.Change(Entry{Name: "s0", Status: Deleted}) },
-			notBefore: time.Second, after: 1100 * time.Millisecond, lines: 1},
+			notBefore: time.Second, after: 1100 * time.Millisecond, entries: 1},
 		{name: "nothing new", from: 3, notBefore: 5 * time.Second, after: 5100 * time.Millisecond},
 		{name: "older than what is kept", from: 0, do: func(c *Catalog) {
 			for range 6 {
 				c.Change(Entry{Name: "s0", Status: Draining})
 			}
 			time.Sleep(2 * time.Second)
-		}, after: time.Second, whole: true, lines: 3},
+		}, after: time.Second, whole: true, entries: 3},
 		{name: "newer than the service, which was rolled back", from: 3, do: func(c *Catalog) { c.Rollback(1) },
-			after: time.Second, whole: true, lines: 2},
+			after: time.Second, whole: true, entries: 2},
 		{name: "down", from: 3, do: func(c *Catalog) { c.TakeDown() }, after: time.Second, failed: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 				call := &pollCall{proxy: "p", from: test.from, queuedAt: time.Now(), holdUntil: time.Now().Add(5 * time.Second),
 					reply: make(chan []byte, 1)}
 				began := time.Now()
-				c.run(func() {
+				c.runInLoop(func() {
 					if c.downFaults > 0 {
 						close(call.reply)
 						return
@@ -120,8 +120,8 @@
 				if err := json.Unmarshal(text, &a); err != nil {
 					t.Fatal(err)
 				}
-				if a.Snapshot != test.whole || len(a.Endpoints) != test.lines {
-					t.Errorf("whole %v with %d lines, want %v with %d", a.Snapshot, len(a.Endpoints), test.whole, test.lines)
+				if a.Snapshot != test.whole || len(a.Endpoints) != test.entries {
+					t.Errorf("whole %v with %d lines, want %v with %d", a.Snapshot, len(a.Endpoints), test.whole, test.entries)
 				}
 			})
 		})
@@ -155,18 +155,18 @@
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
 		c.referee.RecordProxyStart("p", []referee.Entry{{Server: "s0", Serving: true}}, began)
 		process, held := c.referee.StartCount("p"), c.version
-		ask := func(status string, since int64) *pollCall {
+		answerChange := func(status string, since int64) *pollCall {
 			c.commit(Entry{Name: "s0", Status: status, Since: since})
 			call := &pollCall{proxy: "p", from: held, reply: make(chan []byte, 1)}
 			c.answer(call, began)
 			return call
 		}
-		drains, back := ask(Draining, 0), ask(Serving, 7)
-		told := []*pollCall{drains, back}
+		drains, back := answerChange(Draining, 0), answerChange(Serving, 7)
+		answered := []*pollCall{drains, back}
 		if overtaken {
-			told = []*pollCall{back, drains}
+			answered = []*pollCall{back, drains}
 		}
-		for i, call := range told {
+		for i, call := range answered {
 			c.recordAnswer("p", process, call, began.Add(time.Duration(i+1)*time.Second))
 		}
 		try := &referee.ClientAttempt{ID: "1", Method: "GET", Path: "/", Deadline: began.Add(time.Hour)}
@@ -189,9 +189,9 @@
 		ends := map[string]time.Duration{}
 		var mu sync.Mutex
 		var all sync.WaitGroup
-		ask := func(name string, call *pollCall) {
+		enqueue := func(name string, call *pollCall) {
 			call.proxy, call.queuedAt, call.reply = name, time.Now(), make(chan []byte, 1)
-			c.run(func() { c.queue = append(c.queue, call) })
+			c.runInLoop(func() { c.queue = append(c.queue, call) })
 			all.Go(func() {
 				_, ok := <-call.reply
 				mu.Lock()
@@ -200,11 +200,11 @@
 			})
 		}
 		for _, name := range []string{"a", "b", "c", "d"} {
-			ask(name, &pollCall{from: -1})
+			enqueue(name, &pollCall{from: -1})
 		}
-		ask("goes on", &pollCall{from: 0, continues: true})
+		enqueue("goes on", &pollCall{from: 0, continues: true})
 		time.Sleep(150 * time.Millisecond)
-		ask("e", &pollCall{from: -1})
+		enqueue("e", &pollCall{from: -1})
 		all.Wait()
 		stop()
 		<-c.done
--- a/internal/faultlab/catalog/record.go
+++ b/internal/faultlab/catalog/record.go
@@ -15,9 +15,9 @@
 	Entry   Entry `json:"entry"`
 }
 
-// rollBack restores the list from the records up to a version. Changes of later versions are announced again
-// after reregisterDelay.
-func (c *Catalog) rollBack(records []versionRecord, upTo int64) {
+// rollBackTo restores the list from the records up to a version. Changes of later versions are announced
+// again after reregisterDelay.
+func (c *Catalog) rollBackTo(records []versionRecord, upTo int64) {
 	former := c.changes
 	c.restore(records, upTo)
 	c.failCalls()
--- a/internal/faultlab/catalog/serve.go
+++ b/internal/faultlab/catalog/serve.go
@@ -98,7 +98,7 @@
 		}
 		return http.StatusOK, body, poll
 	case <-gone: // the proxy has closed the connection
-		c.run(func() {
+		c.runInLoop(func() {
 			c.queue = slices.DeleteFunc(c.queue, func(other *pollCall) bool { return other == poll })
 			c.watches = slices.DeleteFunc(c.watches, func(other *pollCall) bool { return other == poll })
 		})
@@ -127,7 +127,7 @@
 
 // enqueue queues a call; false if the catalog is down or has too many waiting calls.
 func (c *Catalog) enqueue(poll *pollCall) (queued bool) {
-	c.run(func() {
+	c.runInLoop(func() {
 		if c.downFaults > 0 || len(c.queue)+len(c.watches) >= c.config.MaxWaitingCalls {
 			return
 		}
--- a/internal/faultlab/hollow/calibrate_test.go
+++ b/internal/faultlab/hollow/calibrate_test.go
@@ -13,7 +13,7 @@
 )
 
 // free is ports that nobody has, on all loopback addresses as far as is known.
-func free(t *testing.T) (ports [2]int) {
+func freePorts(t *testing.T) (ports [2]int) {
 	t.Helper()
 	for i := range ports {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 }
 
 // reading returns what a process's proxies have passed so far, and the metrics of its cluster members.
-func reading(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Usage, fleet []*hollow.ClusterMetrics) {
+func readUsage(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Usage, fleet []*hollow.ClusterMetrics) {
 	links.EachTraffic(func(e link.Ends, t link.Traffic) {
 		if e.From == from {
 			s.BytesIn, s.BytesOut, s.Calls = t.ToDialer, t.FromDialer, t.Chunks
@@ -59,14 +59,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			fault := hollow.Sound
+			fault := hollow.NoFault
 			switch test.name {
 			case "watch":
 				fault = hollow.SkipsWatch
 			case "fleet":
-				fault = hollow.SkipsFleet
+				fault = hollow.SkipsGossip
 			}
-			own, _, _ := hollow.TestService(t)
+			own, _, _ := hollow.StartRegistry(t)
 			links := link.New(1)
 			t.Cleanup(links.Close)
 			process := func(name, label string, port int) hollow.Config {
@@ -83,19 +83,19 @@
 				}
 				return c
 			}
-			base := free(t)
-			real := hollow.StartSeeded(t, process("real", "a", base[0]), hollow.Sound)
-			judged := hollow.StartSeeded(t, process("hollow", "b", base[1]), fault)
-			hollow.Eventually(t, "both", func() bool { return real.Waits()+judged.Waits() == "" })
+			base := freePorts(t)
+			real := hollow.StartSeeded(t, process("real", "a", base[0]), hollow.NoFault)
+			checked := hollow.StartSeeded(t, process("hollow", "b", base[1]), fault)
+			hollow.Eventually(t, "both", func() bool { return real.NotReadyReason()+checked.NotReadyReason() == "" })
 			read := func() *result.Sample {
 				r := &result.Sample{TakenAt: time.Now(), Roles: map[string]result.Usage{}}
-				r.Roles["real"], r.RealGossip = reading(links, real, "real", proxies)
-				r.Roles["proxy"], r.Gossip = reading(links, judged, "hollow", proxies)
+				r.Roles["real"], r.RealGossip = readUsage(links, real, "real", proxies)
+				r.Roles["proxy"], r.Gossip = readUsage(links, checked, "hollow", proxies)
 				return r
 			}
 			c := &result.Control{Phases: []result.PhaseSamples{{Before: read()}}}
-			nodo := hollow.StartSeeded(t, hollow.TestConfig(own, 0, nodos), hollow.Sound)
-			hollow.Eventually(t, "the nodos", func() bool { return nodo.Waits() == "" })
+			nodo := hollow.StartSeeded(t, hollow.TestConfig(own, 0, nodos), hollow.NoFault)
+			hollow.Eventually(t, "the nodos", func() bool { return nodo.NotReadyReason() == "" })
 			// By then the members have exchanged entries.
 			hollow.Eventually(t, "gossip", func() bool {
 				for i, x := range real.Metrics(false).Proxies {
--- a/internal/faultlab/hollow/cluster.go
+++ b/internal/faultlab/hollow/cluster.go
@@ -29,14 +29,14 @@
 	snapshots chan timedSnapshot // holds at most the newest snapshot
 	latest    timedSnapshot      // used by the proxy's event loop only
 
-	mu   sync.Mutex
-	ages []float64 // of the live peer entries, in milliseconds
+	mu          sync.Mutex
+	entryAgesMs []float64 // of the live peer entries, in milliseconds
 }
 
 // joinCluster opens the transport of a proxy and returns its membership, which starts with run.
-func joinCluster(f *Cluster, p Proxy, log *slog.Logger) (*clusterMember, error) {
+func joinCluster(cfg *Cluster, p Proxy, log *slog.Logger) (*clusterMember, error) {
 	node, err := transport.Open(transport.Config{Name: p.Name, Zone: p.Zone, Tier: tier, Bind: p.Bind,
-		Advertise: p.Advertise, Label: f.Label, Seeds: p.Seeds,
+		Advertise: p.Advertise, Label: cfg.Label, Seeds: p.Seeds,
 		StartedAtMs: time.Now().UnixMilli(), Now: nowMicros, Logger: log})
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 }
 
 // exchangeReports publishes the balancer's reports and passes the other members' reports to the balancer.
-func (m *clusterMember) exchangeReports(d *decider) {
+func (m *clusterMember) exchangeReports(d *callSimulator) {
 	at := nowMicros()
 	m.node.Publish(adapter.ToObservations(d.balancer.Reports(at), d.zones))
 	peers := balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true}
@@ -81,7 +81,7 @@
 			}
 		}
 		m.mu.Lock()
-		m.ages = ages
+		m.entryAgesMs = ages
 		m.mu.Unlock()
 	}
 	d.balancer.HandlePeerReports(at, d, peers)
@@ -90,7 +90,7 @@
 // metrics returns the current metrics of the membership.
 func (m *clusterMember) metrics() *ClusterMetrics {
 	m.mu.Lock()
-	ages := m.ages
+	ages := m.entryAgesMs
 	m.mu.Unlock()
 	return newClusterMetrics(m.node.Metrics(), ages)
 }
--- a/internal/faultlab/hollow/decide.go
+++ b/internal/faultlab/hollow/decide.go
@@ -19,10 +19,10 @@
 	maxLatency      = 80 * time.Millisecond // of a simulated attempt
 )
 
-// decider is the host of a balancer and drives it with simulated calls: no request is sent, but the balancer
-// decides on each call and receives a random outcome. Apart from the counters, only the proxy's event loop
-// uses it.
-type decider struct {
+// callSimulator is the host of a balancer and drives it with simulated calls: no request is sent, but the
+// balancer decides on each call and receives a random outcome. Apart from the counters, only the proxy's
+// event loop uses it.
+type callSimulator struct {
 	balancer       *balancer.Balancer
 	zones          map[string]int
 	classes        []int   // indexes of the current request classes in the balancer
@@ -38,9 +38,9 @@
 	taken, sent, rejected, failed atomic.Int64 // see CallMetrics
 }
 
-// newDecider creates the balancer of a proxy. Zones are numbered in the order of the settings.
-func newDecider(c *Config, p Proxy, site *settings.Site) (*decider, error) {
-	d := &decider{zones: map[string]int{}, openClasses: map[string]int{},
+// newCallSimulator creates the balancer of a proxy. Zones are numbered in the order of the settings.
+func newCallSimulator(c *Config, p Proxy, site *settings.Site) (*callSimulator, error) {
+	d := &callSimulator{zones: map[string]int{}, openClasses: map[string]int{},
 		callRate: c.CallRate, failedFraction: c.FailedFraction,
 		events: make(chan func(), maxQueuedEvents), attempts: map[string]int{}, ctx: context.Background()}
 	for i, z := range site.Zones {
@@ -60,7 +60,7 @@
 func nowMicros() int64 { return time.Now().UnixMicro() }
 
 // zoneNumber returns the balancer's number of a zone, and assigns the next number to an unknown zone.
-func (d *decider) zoneNumber(zone string) int {
+func (d *callSimulator) zoneNumber(zone string) int {
 	n, ok := d.zones[zone]
 	if !ok {
 		n = len(d.zones)
@@ -70,12 +70,12 @@
 }
 
 // updateEndpoints passes an update of the endpoint list to the balancer, as a real proxy does.
-func (d *decider) updateEndpoints(l *discovery.List) {
+func (d *callSimulator) updateEndpoints(l *discovery.List) {
 	kind := balancer.UpdateDelta
 	if l.Snapshot {
 		kind = balancer.UpdateSnapshot
 	}
-	out := make([]balancer.Server, 0, len(l.Endpoints))
+	servers := make([]balancer.Server, 0, len(l.Endpoints))
 	for _, e := range l.Endpoints {
 		s := balancer.Server{ID: e.Name, Zone: d.zoneNumber(e.Zone), Cell: e.Cell, CapacityHint: 1,
 			StartTime: e.StartedAtMs * 1000}
@@ -88,14 +88,14 @@
 		if e.Weight != nil {
 			s.CapacityHint = *e.Weight
 		}
-		out = append(out, s)
+		servers = append(servers, s)
 	}
-	d.balancer.UpdateEndpoints(nowMicros(), d, kind, out)
+	d.balancer.UpdateEndpoints(nowMicros(), d, kind, servers)
 }
 
 // nextCall returns a random time until the next call, exponentially distributed; an hour if no calls are
 // made.
-func (d *decider) nextCall(r *rand.Rand) time.Duration {
+func (d *callSimulator) nextCall(r *rand.Rand) time.Duration {
 	if d.callRate <= 0 || len(d.classes) == 0 {
 		return time.Hour
 	}
@@ -103,7 +103,7 @@
 }
 
 // call passes one simulated call of a random class, with a deadline of one second, to the balancer.
-func (d *decider) call(ctx context.Context, r *rand.Rand) {
+func (d *callSimulator) call(ctx context.Context, r *rand.Rand) {
 	d.ctx, d.random = ctx, r
 	d.calls++
 	id := strconv.FormatInt(d.calls, 16)
@@ -115,7 +115,7 @@
 }
 
 // after runs do in the proxy's event loop after a delay, unless the proxy has ended.
-func (d *decider) after(delay time.Duration, do func()) {
+func (d *callSimulator) after(delay time.Duration, do func()) {
 	ctx := d.ctx
 	time.AfterFunc(delay, func() {
 		select {
@@ -126,7 +126,7 @@
 }
 
 // Send implements balancer.Host: the attempt ends with a random status after a random latency.
-func (d *decider) Send(id, _ string, _, timeout int64) {
+func (d *callSimulator) Send(id, _ string, _, timeout int64) {
 	n := d.attempts[id]
 	d.attempts[id] = n + 1
 	d.sent.Add(1)
@@ -140,59 +140,59 @@
 		d.balancer.HandleOutcome(nowMicros(), d, balancer.Outcome{RequestID: id, Attempt: n, Status: status,
 			RequestDone: closed, Latency: took.Microseconds()})
 		if closed {
-			d.finish(id)
+			d.forgetCall(id)
 		}
 	})
 }
 
-// finish forgets a call that has ended.
-func (d *decider) finish(id string) {
+// forgetCall forgets a call that has ended.
+func (d *callSimulator) forgetCall(id string) {
 	delete(d.attempts, id)
 	delete(d.openClasses, id)
 }
 
 // reconfigure applies new settings, as a real proxy does. The zone and the replica index stay the same.
-func (d *decider) reconfigure(site *settings.Site, p Proxy) error {
+func (d *callSimulator) reconfigure(site *settings.Site, p Proxy) error {
 	s := site.Balancer
 	for _, z := range site.Zones {
 		d.zoneNumber(z)
 	}
 	s.ReplicaIndex, s.Zone, s.ZoneCount = p.ReplicaIndex, d.zoneNumber(p.Zone), len(d.zones)
-	held := map[int]bool{}
+	usedClasses := map[int]bool{}
 	for _, class := range d.openClasses {
-		held[class] = true
+		usedClasses[class] = true
 	}
-	numbers, err := d.balancer.Reconfigure(nowMicros(), s, held)
+	classes, err := d.balancer.Reconfigure(nowMicros(), s, usedClasses)
 	if err == nil {
-		d.classes = numbers
+		d.classes = classes
 	}
 	return err
 }
 
 // Reject implements balancer.Host and counts a rejected call.
-func (d *decider) Reject(id string, _ int64) {
+func (d *callSimulator) Reject(id string, _ int64) {
 	d.rejected.Add(1)
-	d.finish(id)
+	d.forgetCall(id)
 }
 
 // Fail implements balancer.Host and counts a failed call.
-func (d *decider) Fail(id string) {
+func (d *callSimulator) Fail(id string) {
 	d.failed.Add(1)
-	d.finish(id)
+	d.forgetCall(id)
 }
 
 // SetTimer implements balancer.Host; delay is in microseconds.
-func (d *decider) SetTimer(delay int64, token string) {
+func (d *callSimulator) SetTimer(delay int64, token string) {
 	d.after(time.Duration(delay)*time.Microsecond, func() { d.balancer.HandleTimer(nowMicros(), d, token) })
 }
 
 // Watch implements balancer.Host. It does nothing, since a hollow proxy watches the list from its start.
-func (d *decider) Watch() {}
+func (d *callSimulator) Watch() {}
 
 // Log implements balancer.Host. The events of simulated calls are not logged.
-func (d *decider) Log(balancer.Event) {}
+func (d *callSimulator) Log(balancer.Event) {}
 
 // metrics returns the counters of calls since the start.
-func (d *decider) metrics() CallMetrics {
+func (d *callSimulator) metrics() CallMetrics {
 	return CallMetrics{d.taken.Load(), d.sent.Load(), d.rejected.Load(), d.failed.Load()}
 }
--- a/internal/faultlab/hollow/export_test.go
+++ b/internal/faultlab/hollow/export_test.go
@@ -4,12 +4,12 @@
 
 // For the calibration's test, which judges a process with a seeded fault from outside.
 var (
-	Sound, SkipsWatch, SkipsFleet, SkipsApply = noFault, skipsWatch, skipsGossip, skipsApply
+	NoFault, SkipsWatch, SkipsGossip, SkipsApply = noFault, skipsWatch, skipsGossip, skipsApply
 
-	TestService  = service
-	TestConfig   = config
-	TestSettings = testSettings
-	Eventually   = waitFor
+	StartRegistry = startRegistry
+	TestConfig    = config
+	TestSettings  = testSettings
+	Eventually    = waitFor
 )
 
 // StartSeeded runs a process with a fault until the test ends.
@@ -19,4 +19,4 @@
 }
 
 // Waits returns what a process still lacks.
-func (p *Process) Waits() string { return p.notReadyReason() }
+func (p *Process) NotReadyReason() string { return p.notReadyReason() }
--- a/internal/faultlab/hollow/hollow_test.go
+++ b/internal/faultlab/hollow/hollow_test.go
@@ -16,19 +16,19 @@
 	"merlinpick/internal/registry/raftnode"
 )
 
-const patience = 30 * time.Second // for what takes a second or two
+const waitTimeout = 30 * time.Second // for what takes a second or two
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
 // service is an only member of the list service, in this process.
-func service(t *testing.T) (addr string, m *raftnode.Node, a *api.Server) {
+func startRegistry(t *testing.T) (addr string, m *raftnode.Node, a *api.Server) {
 	t.Helper()
-	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", MaxWatches: 100, Logger: quiet})
+	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", MaxWatches: 100, Logger: discardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m, err = raftnode.Open(t.Context(), raftnode.Config{Name: "r1", Dir: t.TempDir(), ElectionTimeout: 100 * time.Millisecond,
-		MaxListAge: time.Minute, Lease: lease.DefaultConfig(), Logger: quiet})
+		MaxListAge: time.Minute, Lease: lease.DefaultConfig(), Logger: discardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("waited in vain for ", what)
 		}
@@ -73,21 +73,21 @@
 // start runs a process until the test ends.
 func start(t *testing.T, c Config, fault seededFault) (p *Process, ended <-chan error) {
 	t.Helper()
-	p, err := newSeeded(c, quiet, fault)
+	p, err := newSeeded(c, discardLogger, fault)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	over := make(chan struct{})
-	go func() { defer close(over); done <- p.Run(ctx) }()
-	t.Cleanup(func() { stop(); <-over })
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); done <- p.Run(ctx) }()
+	t.Cleanup(func() { stop(); <-stopped })
 	return p, done
 }
 
 // Changes of servers reach all proxies, with versions by which their latency is known.
 func TestProxiesReceiveChanges(t *testing.T) {
-	list, m, _ := service(t)
+	list, m, _ := startRegistry(t)
 	p, _ := start(t, config(list, 3, 4), noFault)
 	waitFor(t, "all", func() bool { return p.notReadyReason() == "" })
 	p.ResetMetrics()
@@ -136,7 +136,7 @@
 
 // A proxy that cannot go on ends its process, and is named with the cause: where it is made, where it runs, and on disk.
 func TestFailureNamesProxy(t *testing.T) {
-	list, _, _ := service(t)
+	list, _, _ := startRegistry(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 	c.Cluster = &Cluster{Label: "test"}
 	c.Proxies[0].Bind, c.Proxies[1].Bind = "127.0.0.1:0", taken.Addr().String()
 	var failed *FailedError
-	if _, err := New(c, quiet); !errors.As(err, &failed) || failed.Name != "hp1" || !strings.Contains(failed.Reason, "in use") {
+	if _, err := New(c, discardLogger); !errors.As(err, &failed) || failed.Name != "hp1" || !strings.Contains(failed.Reason, "in use") {
 		t.Fatalf("%v; want hp1's, and that its address is in use", err)
 	}
 	if err := failed.write(c.FailureFile); err != nil {
@@ -170,41 +170,41 @@
 
 // Relays pass gossip, and drop a fraction for the duration of the command.
 func TestRelaysLoseDatagrams(t *testing.T) {
-	list, _, _ := service(t)
+	list, _, _ := startRegistry(t)
 	c := config(list, 2, 2)
 	c.Cluster = &Cluster{Label: "test"}
 	c.Relays = &Relays{Members: map[string]RelayMember{}, RegionDelayUs: 100, CrossRegionDelayUs: 200}
 	for i := range c.Proxies {
 		ip := fmt.Sprintf("127.0.1.%d", i+1)
 		c.Relays.Members[ip] = RelayMember{c.Proxies[i].Name, "a"}
-		c.Proxies[i].Bind, c.Proxies[i].Advertise = free(t, ip), free(t, ip)
+		c.Proxies[i].Bind, c.Proxies[i].Advertise = freeAddress(t, ip), freeAddress(t, ip)
 		c.Proxies[i].Seeds = []string{c.Proxies[0].Advertise}
 	}
 	p, _ := start(t, c, noFault)
 	waitFor(t, "both", func() bool { return p.notReadyReason() == "" })
-	passed := func() (on, lost int) {
+	countDatagrams := func() (on, lost int) {
 		for _, r := range p.memberRelays {
 			x := r.Counters()
 			on, lost = on+x.Forwarded, lost+x.Lost
 		}
 		return on, lost
 	}
-	waitFor(t, "gossip", func() bool { on, _ := passed(); return on > 5 })
-	if _, lost := passed(); lost != 0 {
+	waitFor(t, "gossip", func() bool { on, _ := countDatagrams(); return on > 5 })
+	if _, lost := countDatagrams(); lost != 0 {
 		t.Fatalf("%d lost before anything is", lost)
 	}
 	if err := p.Execute(Command{Action: "lose", Fraction: 1, DurationMs: 1500}); err != nil {
 		t.Fatal(err)
 	}
-	before, _ := passed()
-	waitFor(t, "losses", func() bool { _, lost := passed(); return lost > 3 })
-	if on, lost := passed(); on > before+2 { // what came in the instant of the order
+	before, _ := countDatagrams()
+	waitFor(t, "losses", func() bool { _, lost := countDatagrams(); return lost > 3 })
+	if on, lost := countDatagrams(); on > before+2 { // what came in the instant of the order
 		t.Errorf("%d passed while all is lost, %d lost", on-before, lost)
 	}
-	waitFor(t, "the end", func() bool { on, _ := passed(); return on > before+10 })
+	waitFor(t, "the end", func() bool { on, _ := countDatagrams(); return on > before+10 })
 }
 
-func free(t *testing.T, ip string) string {
+func freeAddress(t *testing.T, ip string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -216,7 +216,7 @@
 
 // Orders that make no sense change nothing.
 func TestInvalidOrders(t *testing.T) {
-	p, err := New(config("127.0.0.1:1", 0, 1), quiet)
+	p, err := New(config("127.0.0.1:1", 0, 1), discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faultlab/hollow/process.go
+++ b/internal/faultlab/hollow/process.go
@@ -100,23 +100,23 @@
 // Run runs all proxies and servers until the context ends or one of them fails, which returns a *FailedError.
 func (p *Process) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() { p.stop(nil) })()
-	var all sync.WaitGroup
+	var tasks sync.WaitGroup
 	for i, h := range p.proxies {
-		all.Go(func() {
+		tasks.Go(func() {
 			sleep.For(p.ctx, time.Duration(i)*proxyStartInterval)
 			p.recoverPanic(h.Name, func() { h.run(p.ctx, p.seeded) })
 		})
 	}
-	all.Go(func() {
+	tasks.Go(func() {
 		for _, n := range p.servers {
 			if sleep.For(p.ctx, serverStartInterval) {
 				n.start(p.ctx)
 			}
 		}
 	})
-	all.Go(p.measureStalls)
+	tasks.Go(p.measureStalls)
 	<-p.ctx.Done()
-	all.Wait()
+	tasks.Wait()
 	p.commands.Wait()
 	if p.network != nil {
 		p.network.Close()
--- a/internal/faultlab/hollow/proxy.go
+++ b/internal/faultlab/hollow/proxy.go
@@ -20,7 +20,7 @@
 	log          *slog.Logger
 	endpointList *endpointListFollower
 	cluster      *clusterMember // nil without a cluster
-	decider      *decider
+	simulator    *callSimulator
 	rollout      *rolloutFollower // nil without a service
 }
 
@@ -54,7 +54,7 @@
 	h := &proxy{Proxy: p, cfg: c, log: log.With("proxy", p.Name)}
 	h.endpointList = &endpointListFollower{servers: map[string]string{}, client: discovery.New(discovery.Config{
 		Source: discovery.Source{Members: p.RegistryMembers}, Seed: p.Seed, Logger: h.log})}
-	if h.decider, err = newDecider(c, p, site); err != nil {
+	if h.simulator, err = newCallSimulator(c, p, site); err != nil {
 		return nil, err
 	}
 	if c.Cluster != nil && fault != skipsGossip {
@@ -71,42 +71,42 @@
 
 // run runs the proxy until the context ends.
 func (p *proxy) run(ctx context.Context, fault seededFault) {
-	var parts sync.WaitGroup
-	defer parts.Wait()
-	following, leave := context.WithCancel(ctx)
-	defer leave()
-	parts.Go(func() { p.endpointList.client.Run(following) })
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	followCtx, stopFollowing := context.WithCancel(ctx)
+	defer stopFollowing()
+	tasks.Go(func() { p.endpointList.client.Run(followCtx) })
 	if p.rollout != nil {
-		parts.Go(func() { p.rollout.run(ctx) })
+		tasks.Go(func() { p.rollout.run(ctx) })
 	}
 	var peers <-chan timedSnapshot
-	var meet <-chan time.Time
+	var exchangeTicks <-chan time.Time
 	if p.cluster != nil {
-		parts.Go(func() { p.cluster.run(ctx) })
+		tasks.Go(func() { p.cluster.run(ctx) })
 		peers = p.cluster.snapshots
 		tick := time.NewTicker(exchangeInterval)
 		defer tick.Stop()
-		meet = tick.C
+		exchangeTicks = tick.C
 	}
 	r := rand.New(rand.NewPCG(p.Seed, 7))
-	calls := time.NewTimer(p.decider.nextCall(r))
+	calls := time.NewTimer(p.simulator.nextCall(r))
 	defer calls.Stop()
 	for {
 		select {
 		case n := <-p.endpointList.client.Updates():
 			p.endpointList.record(n.List)
-			p.decider.updateEndpoints(n.List)
+			p.simulator.updateEndpoints(n.List)
 			if fault == skipsWatch {
-				leave()
+				stopFollowing()
 			}
 		case w := <-peers:
 			p.cluster.latest = w
-		case <-meet:
-			p.cluster.exchangeReports(p.decider)
+		case <-exchangeTicks:
+			p.cluster.exchangeReports(p.simulator)
 		case <-calls.C:
-			p.decider.call(ctx, r)
-			calls.Reset(p.decider.nextCall(r))
-		case do := <-p.decider.events:
+			p.simulator.call(ctx, r)
+			calls.Reset(p.simulator.nextCall(r))
+		case do := <-p.simulator.events:
 			do()
 		case <-ctx.Done():
 			return
@@ -188,7 +188,7 @@
 
 // metrics returns the current metrics; versions and removed servers only with steps.
 func (p *proxy) metrics(steps bool) ProxyMetrics {
-	out := ProxyMetrics{Name: p.Name, List: p.endpointList.metrics(steps), Calls: p.decider.metrics()}
+	out := ProxyMetrics{Name: p.Name, List: p.endpointList.metrics(steps), Calls: p.simulator.metrics()}
 	if p.cluster != nil {
 		out.Cluster = p.cluster.metrics()
 	}
--- a/internal/faultlab/hollow/relay.go
+++ b/internal/faultlab/hollow/relay.go
@@ -28,22 +28,22 @@
 		return nil
 	}
 	p.network = link.New(uint64(len(p.cfg.Name)))
-	speakers := map[netip.Addr]RelayMember{}
+	members := map[netip.Addr]RelayMember{}
 	for ip, s := range c.Members {
 		addr, err := netip.ParseAddr(ip)
 		if err != nil {
 			return err
 		}
-		speakers[addr] = s
+		members[addr] = s
 	}
 	for _, x := range p.cfg.Proxies {
 		own, err := netip.ParseAddrPort(x.Bind)
 		if err != nil {
 			return err
 		}
-		to := speakers[own.Addr()]
+		to := members[own.Addr()]
 		r, err := p.network.Relay(x.Advertise, func(ip netip.Addr) (link.Ends, time.Duration, bool) {
-			from, ok := speakers[ip]
+			from, ok := members[ip]
 			delay := c.CrossRegionDelayUs
 			if from.Region == to.Region {
 				delay = c.RegionDelayUs
@@ -63,11 +63,11 @@
 }
 
 // loseDatagrams drops a fraction of the gossip datagrams to the process's proxies until end is called.
-func (p *Process) loseDatagrams(part float64) (end func() error, err error) {
+func (p *Process) loseDatagrams(fraction float64) (end func() error, err error) {
 	if p.network == nil {
 		return func() error { return nil }, nil
 	}
-	return p.network.Apply(func(e link.Ends) bool { return e.Kind == "gossip" }, link.Effect{Loss: part})
+	return p.network.Apply(func(e link.Ends) bool { return e.Kind == "gossip" }, link.Effect{Loss: fraction})
 }
 
 // droppedByRelays returns how many datagrams relays dropped because their queue was full. These losses are
--- a/internal/faultlab/hollow/rollout.go
+++ b/internal/faultlab/hollow/rollout.go
@@ -49,7 +49,7 @@
 	}
 	done := make(chan error, 1)
 	select {
-	case r.proxy.decider.events <- func() { done <- r.proxy.decider.reconfigure(site, r.proxy.Proxy) }:
+	case r.proxy.simulator.events <- func() { done <- r.proxy.simulator.reconfigure(site, r.proxy.Proxy) }:
 	case <-r.ctx.Done():
 		return r.ctx.Err()
 	}
--- a/internal/faultlab/hollow/rollout_test.go
+++ b/internal/faultlab/hollow/rollout_test.go
@@ -13,7 +13,7 @@
 // A change of configuration is in force at all hollow proxies that follow it, under its version, while calls go on; one that
 // does not fit is refused at each, and what was in force stays.
 func TestConfigurationsAreApplied(t *testing.T) {
-	list, _, _ := service(t)
+	list, _, _ := startRegistry(t)
 	c := config(list, 3, 2)
 	for i := range c.Proxies {
 		c.Proxies[i].Service = "s"
@@ -41,7 +41,7 @@
 		}
 		return out.Version
 	}
-	holds := func(what string, is func(*ConfigMetrics) bool) {
+	waitForAll := func(what string, is func(*ConfigMetrics) bool) {
 		t.Helper()
 		waitFor(t, what, func() bool {
 			for _, x := range p.Metrics(true).Proxies {
@@ -52,18 +52,20 @@
 			return true
 		})
 	}
-	last := func(f *ConfigMetrics) int64 {
+	lastVersion := func(f *ConfigMetrics) int64 {
 		if len(f.Versions) == 0 {
 			return 0
 		}
 		return f.Versions[len(f.Versions)-1].Version
 	}
 	first := put(0, "d", "a-a")
-	holds("the first", func(f *ConfigMetrics) bool { return last(f) == first })
+	waitForAll("the first", func(f *ConfigMetrics) bool { return lastVersion(f) == first })
 	second := put(first, "e", "b-b") // their zone is not in it
-	holds("a refusal", func(f *ConfigMetrics) bool { return f.RejectedVersion == second && last(f) == first })
+	waitForAll("a refusal", func(f *ConfigMetrics) bool { return f.RejectedVersion == second && lastVersion(f) == first })
 	third := put(second, "f", "a-a")
-	holds("the third", func(f *ConfigMetrics) bool { return f.RejectedVersion == 0 && last(f) == third && len(f.Versions) == 2 })
+	waitForAll("the third", func(f *ConfigMetrics) bool {
+		return f.RejectedVersion == 0 && lastVersion(f) == third && len(f.Versions) == 2
+	})
 	before := p.Metrics(false).Proxies[0].Calls.Sent
 	waitFor(t, "calls to go on", func() bool { return p.Metrics(false).Proxies[0].Calls.Sent > before })
 	if p.ResetMetrics(); len(p.Metrics(true).Proxies[0].Config.Versions) != 1 {
--- a/internal/faultlab/hollow/server.go
+++ b/internal/faultlab/hollow/server.go
@@ -19,10 +19,10 @@
 // generation counts them.
 type server struct {
 	Server
-	lease  int64 // milliseconds
-	client *registrar.Client
-	record func(Change)
-	fail   func(name string, err error)
+	leaseMs int64 // milliseconds
+	client  *registrar.Client
+	record  func(Change)
+	fail    func(name string, err error)
 
 	alive atomic.Bool
 
@@ -35,8 +35,8 @@
 	registered     chan struct{} // closed after the first registration
 }
 
-func newServer(c *Config, n Server, note func(Change), fail func(string, error)) *server {
-	return &server{Server: n, lease: c.LeaseMs, client: registrar.New(n.RegistryMembers), record: note,
+func newServer(c *Config, n Server, record func(Change), fail func(string, error)) *server {
+	return &server{Server: n, leaseMs: c.LeaseMs, client: registrar.New(n.RegistryMembers), record: record,
 		fail: fail, registered: make(chan struct{})}
 }
 
@@ -51,27 +51,28 @@
 
 func (n *server) startLocked(ctx context.Context) {
 	n.generation++
-	asked := time.Now()
+	requestedAt := time.Now()
 	since := int64(0)
 	if n.generation > 1 {
-		since = asked.UnixMilli()
+		since = requestedAt.UnixMilli()
 	}
-	n.registration = state.Record{Endpoint: state.Endpoint{Name: n.Name, Address: n.Address, Zone: n.Zone, Type: "hollow",
-		Status: state.StatusServing,
-		Weight: 1, StartedAtMs: since}, Instance: fmt.Sprint(asked.UnixNano(), "-", n.generation), LeaseMs: n.lease}
-	here, die := context.WithCancel(ctx)
-	n.stopRenewals = die
+	n.registration = state.Record{Endpoint: state.Endpoint{Name: n.Name, Address: n.Address, Zone: n.Zone,
+		Type: "hollow", Status: state.StatusServing, Weight: 1, StartedAtMs: since},
+		Instance: fmt.Sprint(requestedAt.UnixNano(), "-", n.generation), LeaseMs: n.leaseMs}
+	instanceCtx, cancel := context.WithCancel(ctx)
+	n.stopRenewals = cancel
 	n.alive.Store(true)
-	rec, begun := n.registration, asked.UnixNano()
+	rec, registerStart := n.registration, requestedAt.UnixNano()
 	n.tasks.Go(func() {
-		err := n.client.KeepRegistered(here, rec, func(t api.Accepted) {
-			if begun != 0 { // not a change: a later registration repeats the same instance after a lost lease
-				n.record(Change{t.Version, begun, unixNano()})
+		err := n.client.KeepRegistered(instanceCtx, rec, func(t api.Accepted) {
+			// Later registrations are not changes: they repeat the same instance after a lost lease.
+			if registerStart != 0 {
+				n.record(Change{t.Version, registerStart, unixNano()})
 			}
-			begun = 0
+			registerStart = 0
 			n.registeredOnce.Do(func() { close(n.registered) })
 		})
-		if here.Err() == nil {
+		if instanceCtx.Err() == nil {
 			n.fail(n.Name, err)
 		}
 	})
@@ -81,10 +82,10 @@
 func (n *server) die() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.endLocked()
+	n.stopLocked()
 }
 
-func (n *server) endLocked() {
+func (n *server) stopLocked() {
 	if n.stopRenewals != nil {
 		n.stopRenewals()
 		n.stopRenewals = nil
@@ -108,7 +109,7 @@
 	case <-ctx.Done():
 		return nil
 	}
-	n.endLocked()
+	n.stopLocked()
 	if err := n.callUntilAnswered(ctx, ref, n.client.Deregister); err != nil {
 		return err
 	}
@@ -120,13 +121,14 @@
 // rejection because the registry no longer knows the instance is no error: the lease has expired.
 func (n *server) callUntilAnswered(ctx context.Context, ref state.InstanceRef,
 	call func(context.Context, state.InstanceRef) (api.Accepted, error)) error {
-	asked := unixNano()
+	requestedAt := unixNano()
 	t, err := call(ctx, ref)
-	var no *registrar.RejectedError
+	var rejected *registrar.RejectedError
 	switch {
 	case err == nil:
-		n.record(Change{t.Version, asked, unixNano()})
-	case errors.As(err, &no) && (no.Code == state.ResultUnknown || no.Code == state.ResultEnded), ctx.Err() != nil:
+		n.record(Change{t.Version, requestedAt, unixNano()})
+	case errors.As(err, &rejected) &&
+		(rejected.Code == state.ResultUnknown || rejected.Code == state.ResultEnded), ctx.Err() != nil:
 	default:
 		return err
 	}
--- a/internal/faultlab/link/link.go
+++ b/internal/faultlab/link/link.go
@@ -56,8 +56,8 @@
 	acceptRetryPause = 5 * time.Millisecond
 )
 
-// plus returns the combination of two effects.
-func (e Effect) plus(other Effect) Effect {
+// combine returns the combination of two effects.
+func (e Effect) combine(other Effect) Effect {
 	e.CutOut, e.CutBack = e.CutOut || other.CutOut, e.CutBack || other.CutBack
 	e.NoConnect, e.Refuse, e.ResetNew = e.NoConnect || other.NoConnect, e.Refuse || other.Refuse, e.ResetNew || other.ResetNew
 	e.Delay += other.Delay
@@ -80,10 +80,10 @@
 
 	traffic linkTraffic
 
-	mu    sync.Mutex
-	conns map[*Conn]struct{}
-	port  *listener // nil if this process dials or a Relay accepts the connections
-	rng   *rand.Rand
+	mu       sync.Mutex
+	conns    map[*Conn]struct{}
+	listener *listener // nil if this process dials or a Relay accepts the connections
+	rng      *rand.Rand
 }
 
 // Net holds all links of a run.
@@ -110,9 +110,9 @@
 func (n *Net) addLink(ends Ends, delay time.Duration, p *listener) (*Link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := &Link{ends: ends, delay: delay, onCut: n.onCut, conns: map[*Conn]struct{}{}, port: p,
+	l := &Link{ends: ends, delay: delay, onCut: n.onCut, conns: map[*Conn]struct{}{}, listener: p,
 		rng: rand.New(rand.NewPCG(n.seed, uint64(len(n.links))))}
-	effect := &effectState{n.effectOn(ends), make(chan struct{})}
+	effect := &effectState{n.combinedEffect(ends), make(chan struct{})}
 	l.effect.Store(effect)
 	n.links = append(n.links, l)
 	if p == nil {
@@ -122,12 +122,12 @@
 	return l, p.setMode(effect.Effect)
 }
 
-// effectOn returns the combination of all active effects on a link.
-func (n *Net) effectOn(ends Ends) Effect {
+// combinedEffect returns the combination of all active effects on a link.
+func (n *Net) combinedEffect(ends Ends) Effect {
 	var sum Effect
 	for a := range n.effects {
 		if a.match(ends) {
-			sum = sum.plus(a.Effect)
+			sum = sum.combine(a.Effect)
 		}
 	}
 	return sum
@@ -184,23 +184,23 @@
 	n.mu.Lock()
 	n.effects[a] = struct{}{}
 	n.mu.Unlock()
-	err = n.refresh(match)
+	err = n.refreshEffects(match)
 	return func() error {
 		n.mu.Lock()
 		delete(n.effects, a)
 		n.mu.Unlock()
-		return n.refresh(match)
+		return n.refreshEffects(match)
 	}, err
 }
 
-// refresh recomputes the effects of all links that match.
-func (n *Net) refresh(match func(Ends) bool) error {
+// refreshEffects recomputes the effects of all links that match.
+func (n *Net) refreshEffects(match func(Ends) bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var errs []error
 	for _, l := range n.links {
 		if match(l.ends) {
-			errs = append(errs, l.setEffect(n.effectOn(l.ends)))
+			errs = append(errs, l.setEffect(n.combinedEffect(l.ends)))
 		}
 	}
 	return errors.Join(errs...)
@@ -214,10 +214,10 @@
 	}
 	l.effect.Store(&effectState{e, make(chan struct{})})
 	close(former.changed)
-	if l.port == nil {
+	if l.listener == nil {
 		return nil
 	}
-	return l.port.setMode(e)
+	return l.listener.setMode(e)
 }
 
 // Reset resets all open connections of the links that match, and returns their number.
@@ -252,8 +252,8 @@
 	n.links = nil
 	n.mu.Unlock()
 	for _, l := range links {
-		if l.port != nil {
-			l.port.close()
+		if l.listener != nil {
+			l.listener.close()
 		}
 		for _, conn := range l.openConns() {
 			conn.Reset()
@@ -275,13 +275,13 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	total, later := time.Duration(0), minRetransmitDelay
+	total, next := time.Duration(0), minRetransmitDelay
 	for range maxRetransmits {
 		if l.rng.Float64() >= loss {
 			break
 		}
-		total += later
-		later *= 2
+		total += next
+		next *= 2
 	}
 	return total
 }
@@ -310,21 +310,21 @@
 
 // setMode opens, closes or fills the listener as an effect requires.
 func (p *listener) setMode(e Effect) error {
-	form := modeOpen
+	mode := modeOpen
 	switch {
 	case e.NoConnect:
-		form = modeFull
+		mode = modeFull
 	case e.Refuse:
-		form = modeClosed
+		mode = modeClosed
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if form == p.mode || p.closed {
+	if mode == p.mode || p.closed {
 		return nil
 	}
 	p.endLocked()
-	p.mode = form
-	if form == modeClosed {
+	p.mode = mode
+	if mode == modeClosed {
 		return nil
 	}
 	l, err := net.Listen("tcp", p.addr)
@@ -332,7 +332,7 @@
 		return fmt.Errorf("link to %s: listen: %w", p.link.ends.To, err)
 	}
 	p.listener = l
-	if form == modeFull {
+	if mode == modeFull {
 		return p.fillLocked()
 	}
 	go p.serve(l)
--- a/internal/faultlab/link/link_test.go
+++ b/internal/faultlab/link/link_test.go
@@ -18,14 +18,14 @@
 // A cut holds for good in these tests, and what is seen within short is what passes; what must not pass is given less,
 // which can only miss a fault on a busy machine, never find one that is not there.
 const (
-	long  = 10 * time.Second
-	short = 150 * time.Millisecond
+	passTimeout    = 10 * time.Second
+	blockedTimeout = 150 * time.Millisecond
 )
 
-func everything(Ends) bool { return true }
+func allLinks(Ends) bool { return true }
 
 // newEcho is a link to a server that sends lines back, its address, and the lines that it has heard.
-func newEcho(t *testing.T) (*Net, string, <-chan string) {
+func newEchoServer(t *testing.T) (*Net, string, <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	n, heard := New(1), make(chan string, 100)
+	n, received := New(1), make(chan string, 100)
 	if _, err := n.Listen(Ends{Kind: "nodo", To: "s"}, addr, 0, func(conn *Conn) {
 		defer conn.Close()
 		for r := bufio.NewReader(conn); ; {
@@ -41,28 +41,28 @@
 			if err != nil {
 				return
 			}
-			heard <- line
+			received <- line
 			_, _ = conn.Write([]byte(line))
 		}
 	}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { n.Close(); goleak.VerifyNone(t) })
-	return n, addr, heard
+	return n, addr, received
 }
 
-func dial(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, short) }
+func dial(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, blockedTimeout) }
 
 // says sends a line and tells whether it comes back within the time.
-func says(c net.Conn, text string, within time.Duration) error {
+func sendLine(c net.Conn, text string, within time.Duration) error {
 	_ = c.SetDeadline(time.Now().Add(within))
 	if _, err := fmt.Fprintln(c, text); err != nil {
 		return err
 	}
-	return hears(c, text, within)
+	return expectLine(c, text, within)
 }
 
-func hears(c net.Conn, text string, within time.Duration) error {
+func expectLine(c net.Conn, text string, within time.Duration) error {
 	_ = c.SetDeadline(time.Now().Add(within))
 	buf := make([]byte, len(text)+1)
 	if _, err := io.ReadFull(c, buf); err != nil {
@@ -89,25 +89,25 @@
 		{"refused", Effect{Refuse: true}, true, true, syscall.ECONNREFUSED},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			n, addr, heard := newEcho(t)
+			n, addr, received := newEchoServer(t)
 			c, err := dial(addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			if err := says(c, "before", long); err != nil {
+			if err := sendLine(c, "before", passTimeout); err != nil {
 				t.Fatal(err)
 			}
-			<-heard
-			end, err := n.Apply(everything, test.effect)
+			<-received
+			end, err := n.Apply(allLinks, test.effect)
 			if err != nil {
 				t.Fatal(err)
 			}
-			wait := short
+			wait := blockedTimeout
 			if test.passes {
-				wait = long
+				wait = passTimeout
 			}
-			err = says(c, "during", wait)
+			err = sendLine(c, "during", wait)
 			if passed := err == nil; passed != test.passes {
 				t.Errorf("during: passed %v (%v)", passed, err)
 			}
@@ -116,14 +116,14 @@
 			}
 			if test.arrives {
 				select {
-				case got := <-heard:
+				case got := <-received:
 					if got != "during\n" {
 						t.Errorf("the server heard %q", got)
 					}
-				case <-time.After(long):
+				case <-time.After(passTimeout):
 					t.Error("what was said did not arrive")
 				}
-			} else if len(heard) > 0 {
+			} else if len(received) > 0 {
 				t.Error("the server heard what was cut off")
 			}
 			other, err := dial(addr)
@@ -137,16 +137,16 @@
 				t.Fatal(err)
 			}
 			if !test.passes { // what was held comes late, and is not lost
-				if err := hears(c, "during", long); err != nil {
+				if err := expectLine(c, "during", passTimeout); err != nil {
 					t.Errorf("after the end: %v", err)
 				}
 			}
-			again, err := net.DialTimeout("tcp", addr, long)
+			again, err := net.DialTimeout("tcp", addr, passTimeout)
 			if err != nil {
 				t.Fatalf("connect after the end: %v", err)
 			}
 			defer again.Close()
-			if err := says(again, "after", long); err != nil {
+			if err := sendLine(again, "after", passTimeout); err != nil {
 				t.Errorf("after the end, anew: %v", err)
 			}
 		})
@@ -155,8 +155,8 @@
 
 // A fault that ends while another holds takes only its own away.
 func TestEffectsOverlap(t *testing.T) {
-	n, addr, _ := newEcho(t)
-	first, err := n.Apply(everything, Effect{Refuse: true})
+	n, addr, _ := newEchoServer(t)
+	first, err := n.Apply(allLinks, Effect{Refuse: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,18 +173,18 @@
 	if err := second(); err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.DialTimeout("tcp", addr, long)
+	c, err := net.DialTimeout("tcp", addr, passTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := says(c, "free", long); err != nil {
+	if err := sendLine(c, "free", passTimeout); err != nil {
 		t.Error(err)
 	}
-	if n.Reset(everything) != 1 {
+	if n.Reset(allLinks) != 1 {
 		t.Error("there was one connection to reset")
 	}
-	_ = c.SetDeadline(time.Now().Add(long))
+	_ = c.SetDeadline(time.Now().Add(passTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("after a reset: %v", err)
 	}
@@ -193,7 +193,7 @@
 // A link that is made while faults begin and end is what they leave it.
 func TestNewLinkHasActiveEffects(t *testing.T) {
 	const host = "127.0.0.6" // where nobody else's connections take a port while it is closed
-	n, _, _ := newEcho(t)
+	n, _, _ := newEchoServer(t)
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -228,7 +228,7 @@
 	close(stop)
 	<-stopped
 	for _, a := range addrs {
-		c, err := net.DialTimeout("tcp", a, long)
+		c, err := net.DialTimeout("tcp", a, passTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -238,16 +238,16 @@
 
 // The word of a close does not cross a cut; it comes when that ends.
 func TestCloseOverCut(t *testing.T) {
-	n, addr, _ := newEcho(t)
+	n, addr, _ := newEchoServer(t)
 	c, err := dial(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := says(c, "open", long); err != nil {
+	if err := sendLine(c, "open", passTimeout); err != nil {
 		t.Fatal(err)
 	}
-	end, err := n.Apply(everything, Silent)
+	end, err := n.Apply(allLinks, Silent)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,14 +257,14 @@
 		inner.Close()
 	}
 	l.mu.Unlock()
-	_ = c.SetDeadline(time.Now().Add(short))
+	_ = c.SetDeadline(time.Now().Add(blockedTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("over the cut: %v", err)
 	}
 	if err := end(); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(long))
+	_ = c.SetDeadline(time.Now().Add(passTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("after it: %v", err)
 	}
--- a/internal/faultlab/link/relay.go
+++ b/internal/faultlab/link/relay.go
@@ -286,24 +286,24 @@
 // Forward forwards a connection to a program's address in both directions until both have ended; first is
 // sent to the program before any other bytes. It returns the number of bytes forwarded in both directions.
 func Forward(conn *Conn, to string, first []byte) (forwarded int64) {
-	up, err := net.DialTimeout("tcp", to, relayDialTimeout)
+	upstream, err := net.DialTimeout("tcp", to, relayDialTimeout)
 	if err != nil {
 		conn.Reset()
 		return 0
 	}
-	var both sync.WaitGroup
-	var there, back int64
-	both.Go(func() {
-		if n, err := up.Write(first); err == nil {
-			there, _ = io.Copy(up, conn)
-			there += int64(n)
+	var copies sync.WaitGroup
+	var sent, received int64
+	copies.Go(func() {
+		if n, err := upstream.Write(first); err == nil {
+			sent, _ = io.Copy(upstream, conn)
+			sent += int64(n)
 		}
-		up.Close()
+		upstream.Close()
 	})
-	both.Go(func() {
-		back, _ = io.Copy(conn, up)
+	copies.Go(func() {
+		received, _ = io.Copy(conn, upstream)
 		conn.Close()
 	})
-	both.Wait()
-	return there + back
+	copies.Wait()
+	return sent + received
 }
--- a/internal/faultlab/link/relay_test.go
+++ b/internal/faultlab/link/relay_test.go
@@ -12,16 +12,16 @@
 )
 
 // program takes datagrams and echoes lines on one port, and counts its connections.
-type program struct {
-	addr  string
-	heard chan string
-	conns atomic.Int32
+type echoProgram struct {
+	addr     string
+	received chan string
+	conns    atomic.Int32
 }
 
-func newProgram(t *testing.T) *program {
+func newEchoProgram(t *testing.T) *echoProgram {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	p := &program{heard: make(chan string, 100)}
+	p := &echoProgram{received: make(chan string, 100)}
 	for {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -40,7 +40,7 @@
 				if err != nil {
 					return
 				}
-				p.heard <- string(buf[:n])
+				p.received <- string(buf[:n])
 			}
 		}()
 		go func() {
@@ -68,7 +68,7 @@
 }
 
 // newRelay is a relay before a program that knows 127.0.0.2 and .3 as a and b.
-func newRelay(t *testing.T, p *program) (*Net, *Relay) {
+func newRelay(t *testing.T, p *echoProgram) (*Net, *Relay) {
 	t.Helper()
 	n := New(1)
 	t.Cleanup(n.Close)
@@ -92,7 +92,7 @@
 
 func fromA(e Ends) bool { return e.From == "a" }
 
-func datagram(t *testing.T, from, to, text string) {
+func sendDatagram(t *testing.T, from, to, text string) {
 	t.Helper()
 	c, err := net.DialUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(from+":0")),
 		net.UDPAddrFromAddrPort(netip.MustParseAddrPort(to)))
@@ -120,24 +120,24 @@
 		{"late", Effect{Delay: 2 * time.Second}, "ba", RelayCounters{Forwarded: 2, UnknownSender: 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			p := newProgram(t)
+			p := newEchoProgram(t)
 			n, r := newRelay(t, p)
 			if _, err := n.Apply(fromA, test.effect); err != nil {
 				t.Fatal(err)
 			}
 			for _, from := range []struct{ ip, text string }{{"127.0.0.4", "x"}, {"127.0.0.2", "a"}, {"127.0.0.3", "b"}} {
-				datagram(t, from.ip, r.Address(), from.text)
+				sendDatagram(t, from.ip, r.Address(), from.text)
 			}
 			got := ""
 			for range test.want {
 				select {
-				case text := <-p.heard:
+				case text := <-p.received:
 					got += text
-				case <-time.After(long):
+				case <-time.After(passTimeout):
 				}
 			}
-			if got != test.want || len(p.heard) > 0 {
-				t.Errorf("the program heard %q and %d more, want %q", got, len(p.heard), test.want)
+			if got != test.want || len(p.received) > 0 {
+				t.Errorf("the program heard %q and %d more, want %q", got, len(p.received), test.want)
 			}
 			test.passed.Bytes = int64(test.passed.Forwarded) // of one byte each
 			if passed := r.Counters(); passed != test.passed {
@@ -150,14 +150,14 @@
 // Over a cut link a connection comes up and is silent, the program hears nothing of it, and another sender's passes;
 // what was held comes when the cut ends.
 func TestRelayConnections(t *testing.T) {
-	p := newProgram(t)
+	p := newEchoProgram(t)
 	n, r := newRelay(t, p)
 	end, err := n.Apply(fromA, Silent)
 	if err != nil {
 		t.Fatal(err)
 	}
 	from := func(ip string) net.Conn {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}, Timeout: long}
+		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}, Timeout: passTimeout}
 		c, err := d.Dial("tcp", r.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -167,10 +167,10 @@
 	a, b := from("127.0.0.2"), from("127.0.0.3")
 	defer a.Close()
 	defer b.Close()
-	if err := says(a, "held", short); err == nil {
+	if err := sendLine(a, "held", blockedTimeout); err == nil {
 		t.Error("it passed over a cut link")
 	}
-	if err := says(b, "passes", long); err != nil {
+	if err := sendLine(b, "passes", passTimeout); err != nil {
 		t.Error(err)
 	}
 	if got := p.conns.Load(); got != 1 {
@@ -179,7 +179,7 @@
 	if err := end(); err != nil {
 		t.Fatal(err)
 	}
-	if err := hears(a, "held", long); err != nil {
+	if err := expectLine(a, "held", passTimeout); err != nil {
 		t.Errorf("after the end: %v", err)
 	}
 	if n.Reset(fromA) != 1 {
--- a/internal/faultlab/link/traffic.go
+++ b/internal/faultlab/link/traffic.go
@@ -36,12 +36,13 @@
 }
 
 // EachTraffic calls show with the ends and the traffic so far of each link.
-func (n *Net) EachTraffic(show func(Ends, Traffic)) {
+func (n *Net) EachTraffic(visit func(Ends, Traffic)) {
 	n.mu.Lock()
 	links := n.links
 	n.mu.Unlock()
 	for _, l := range links {
 		t := &l.traffic
-		show(l.ends, Traffic{t.fromDialer.bytes.Load(), t.toDialer.bytes.Load(), t.fromDialer.chunks.Load(), t.conns.Load()})
+		visit(l.ends, Traffic{t.fromDialer.bytes.Load(), t.toDialer.bytes.Load(), t.fromDialer.chunks.Load(),
+			t.conns.Load()})
 	}
 }
--- a/internal/faultlab/link/traffic_test.go
+++ b/internal/faultlab/link/traffic_test.go
@@ -11,7 +11,7 @@
 func TestTraffic(t *testing.T) {
 	n := New(1)
 	defer n.Close()
-	addr := free(t)
+	addr := freeAddress(t)
 	if _, err := n.Listen(Ends{Kind: "list", From: "p"}, addr, time.Millisecond, func(conn *Conn) {
 		b := make([]byte, 16)
 		k, _ := conn.Read(b)
@@ -53,7 +53,7 @@
 	}
 }
 
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/faultlab/link/watch.go
+++ b/internal/faultlab/link/watch.go
@@ -14,7 +14,7 @@
 // reportCut reports bytes that arrived at a time to the callback of WatchCuts if the link is cut.
 func (c *Conn) reportCut(at time.Time) {
 	effect := c.link.effect.Load()
-	if c.link.onCut == nil || c.link.port == nil || !effect.CutOut || c.reportedCut == effect {
+	if c.link.onCut == nil || c.link.listener == nil || !effect.CutOut || c.reportedCut == effect {
 		return
 	}
 	c.reportedCut = effect
@@ -27,8 +27,8 @@
 	defer n.mu.Unlock()
 	out := map[string]Ends{}
 	for _, l := range n.links {
-		if l.port != nil && l.effect.Load().NoConnect {
-			out[l.port.addr] = l.ends
+		if l.listener != nil && l.effect.Load().NoConnect {
+			out[l.listener.addr] = l.ends
 		}
 	}
 	return out
--- a/internal/faultlab/misbehavingclient/misbehavingclient.go
+++ b/internal/faultlab/misbehavingclient/misbehavingclient.go
@@ -41,12 +41,12 @@
 // Draw returns a random misbehavior; class is the name of a class of requests with a body.
 func Draw(r *rand.Rand, class string) Misbehavior {
 	head := fmt.Sprintf(request, class, r.Uint64())
-	trickle := strings.Split(head, "")
+	headBytes := strings.Split(head, "")
 	kinds := []Misbehavior{
 		{Name: "sends nothing"},
 		{Name: "incomplete head", chunks: []string{head[:r.IntN(len(head)-1)+1]}},
 		{Name: "incomplete head, then a reset", chunks: []string{head[:r.IntN(len(head)-1)+1]}, resets: true},
-		{Name: "head sent byte by byte", chunks: trickle[:min(len(trickle), 60)],
+		{Name: "head sent byte by byte", chunks: headBytes[:min(len(headBytes), 60)],
 			pause: 50 * time.Millisecond},
 		{Name: "incomplete body",
 			chunks: []string{head + "Content-Length: 1000\r\n\r\n", strings.Repeat("x", 500)}},
--- a/internal/faultlab/process/process_test.go
+++ b/internal/faultlab/process/process_test.go
@@ -38,12 +38,12 @@
 	os.Exit(m.Run())
 }
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 // waitUntil waits for a condition and fails the test with its name if it does not come.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no sign within the timeout of ", what)
 		}
--- a/internal/faultlab/run/faults_lists.go
+++ b/internal/faultlab/run/faults_lists.go
@@ -14,17 +14,17 @@
 // injectRegistryFault injects a fault into members of the list service.
 func (t *timeline) injectRegistryFault(ctx context.Context, planned plan.PlannedFault) error {
 	ms := t.service.Members(planned.Fault.Members)
-	t.log.Info("faulty members", "fault", planned.Number, "members", service.Names(ms))
+	t.log.Info("faulty members", "fault", planned.Number, "members", service.MemberNames(ms))
 	back := func() bool { return planned.Duration > 0 && t.waitUntil(ctx, planned.At+planned.Duration) }
 	switch planned.Fault.Kind {
 	case "member_kill":
 		return t.service.Kill(ms, back)
 	case "member_stop":
-		return t.service.Stop(ms, func() { t.holdFault(ctx, planned, planned.At) })
+		return t.service.Suspend(ms, func() { t.holdFault(ctx, planned, planned.At) })
 	case "member_damage":
 		return t.service.Damage(ms, back)
 	case "member_cut":
-		return t.cutMembers(ctx, planned, service.Names(ms))
+		return t.cutMembers(ctx, planned, service.MemberNames(ms))
 	}
 	return unknownFault(planned, "members")
 }
--- a/internal/faultlab/run/registry.go
+++ b/internal/faultlab/run/registry.go
@@ -66,7 +66,7 @@
 }
 
 func registeredServer(entry catalog.Entry) service.Server {
-	return service.Server{Name: entry.Name, Zone: entry.Zone, Type: entry.Type, Group: entry.Group, Since: entry.Since}
+	return service.Server{Name: entry.Name, Zone: entry.Zone, Type: entry.Type, Group: entry.Group, StartedAtMs: entry.Since}
 }
 
 // announce announces a server's state to the list. A server that dies announces nothing: its lease expires.
--- a/internal/faultlab/service/faults.go
+++ b/internal/faultlab/service/faults.go
@@ -28,9 +28,9 @@
 	return out
 }
 
-// Kill kills members at the same time and calls back. If back returns true, it starts each member again,
-// unless another fault keeps it down.
-func (s *Service) Kill(members []*Member, back func() bool) error {
+// Kill kills members at the same time and calls shouldRestart. If that returns true, it starts each member
+// again, unless another fault keeps it down.
+func (s *Service) Kill(members []*Member, shouldRestart func() bool) error {
 	for _, member := range members {
 		member.mu.Lock()
 		member.downFaults++
@@ -46,19 +46,19 @@
 		member.mu.Unlock()
 		<-proc.Ended()
 	}
-	if !back() {
+	if !shouldRestart() {
 		return nil
 	}
 	for _, member := range members {
-		if err := s.startAgain(member); err != nil {
+		if err := s.restart(member); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startAgain ends one fault that keeps a member down, and starts the member if that was the last.
-func (s *Service) startAgain(member *Member) error {
+// restart ends one fault that keeps a member down, and starts the member if that was the last.
+func (s *Service) restart(member *Member) error {
 	member.mu.Lock()
 	defer member.mu.Unlock()
 	if member.downFaults--; member.downFaults > 0 {
@@ -67,23 +67,23 @@
 	return s.start(member)
 }
 
-// Stop suspends the members' processes with SIGSTOP until hold returns.
-func (s *Service) Stop(members []*Member, hold func()) error {
+// Suspend suspends the members' processes with SIGSTOP until wait returns.
+func (s *Service) Suspend(members []*Member, wait func()) error {
 	for _, member := range members {
 		member.mu.Lock()
-		member.stopFaults++
+		member.suspendFaults++
 		err := member.process.Signal(syscall.SIGSTOP)
 		member.mu.Unlock()
 		if err != nil {
 			return err
 		}
 	}
-	hold()
+	wait()
 	for _, member := range members {
 		member.mu.Lock()
-		member.stopFaults--
+		member.suspendFaults--
 		var err error
-		if member.stopFaults == 0 {
+		if member.suspendFaults == 0 {
 			err = member.process.Signal(syscall.SIGCONT)
 		}
 		member.mu.Unlock()
@@ -94,16 +94,16 @@
 	return nil
 }
 
-// Damage kills members, truncates one file of each member's directory at a random byte and calls back. If
-// back returns true, it starts the members again. A member that refuses its damaged directory is then started
-// with an empty one, which is the remedy that its error message names.
-func (s *Service) Damage(members []*Member, back func() bool) error {
+// Damage kills members, truncates one file of each member's directory at a random byte and calls
+// shouldRestart. If that returns true, it starts the members again. A member that refuses its damaged
+// directory is then started with an empty one, which is the remedy that its error message names.
+func (s *Service) Damage(members []*Member, shouldRestart func() bool) error {
 	return s.Kill(members, func() bool {
 		for _, member := range members {
 			path, size, err := s.truncateFile(member)
 			s.log.Info("file truncated", "file", path, "bytes", size, "error", err)
 		}
-		if !back() {
+		if !shouldRestart() {
 			return false
 		}
 		for _, member := range members {
@@ -151,7 +151,7 @@
 		member.mu.Lock()
 		defer member.mu.Unlock()
 		s.mu.Lock()
-		s.rejected++
+		s.refusedStarts++
 		s.mu.Unlock()
 		if err := os.Rename(member.dir, fmt.Sprintf("%s.damaged-%d", member.dir, time.Now().UnixNano())); err != nil {
 			s.log.Error("damaged directory of member could not be moved", "member", member.Name, "error", err)
@@ -164,8 +164,8 @@
 	}
 }
 
-// Names returns the names of members.
-func Names(members []*Member) (names []string) {
+// MemberNames returns the names of members.
+func MemberNames(members []*Member) (names []string) {
 	for _, member := range members {
 		names = append(names, member.Name)
 	}
--- a/internal/faultlab/service/registrations.go
+++ b/internal/faultlab/service/registrations.go
@@ -20,7 +20,7 @@
 	readTimeout        = 3 * time.Second
 	renewalsPerLease   = 3 // renewals within the duration of a lease
 	renewRetryPause    = 100 * time.Millisecond
-	readerNumber       = 0 // client number of the reader in the history; servers have numbers from 1
+	readerClientID     = 0 // client number of the reader in the history; servers have numbers from 1
 )
 
 // registrations runs the servers' registrations. Each process of a server has a goroutine that registers it,
@@ -31,26 +31,27 @@
 	stop    context.CancelFunc
 	running sync.WaitGroup
 
-	mu         sync.Mutex
-	live       map[string]*serverProcess // running processes, by server name
-	names      map[string]bool           // names of all servers so far, for the reader
-	lastNumber int                       // last client number that was assigned
-	missing    int                       // most listed servers that were missing in one read
+	mu           sync.Mutex
+	live         map[string]*serverProcess // running processes, by server name
+	names        map[string]bool           // names of all servers so far, for the reader
+	lastClientID int                       // last client number that was assigned
+	missing      int                       // most listed servers that were missing in one read
 }
 
 // serverProcess is one process of a server.
 type serverProcess struct {
 	ref      state.InstanceRef
 	record   state.Record
-	number   int         // client number in the history
+	clientID int         // client number in the history
 	statuses chan string // statuses to announce: draining, deleted
 	listed   bool        // the server is registered and has announced no other status since
 	stop     context.CancelFunc
 }
 
-// newServers returns registrations without servers.
-func newServers(s *Service) *registrations {
-	n := &registrations{service: s, live: map[string]*serverProcess{}, names: map[string]bool{}, lastNumber: readerNumber}
+// newRegistrations returns registrations without servers.
+func newRegistrations(s *Service) *registrations {
+	n := &registrations{service: s, live: map[string]*serverProcess{}, names: map[string]bool{},
+		lastClientID: readerClientID}
 	n.ctx, n.stop = context.WithCancel(context.Background())
 	return n
 }
@@ -65,24 +66,25 @@
 type Server struct {
 	Name, Zone, Type string
 	Group            int
-	Since            int64 // start time of its process in Unix milliseconds
+	StartedAtMs      int64 // start time of its process in Unix milliseconds
 }
 
 // StartServer starts a process of a server, which registers and renews its lease until StopServer. The
 // returned function waits until the server is registered.
 func (s *Service) StartServer(server Server) (registered func(ctx context.Context) error) {
-	registrations := s.servers
+	registrations := s.registrations
 	registrations.mu.Lock()
 	defer registrations.mu.Unlock()
-	registrations.lastNumber++
-	number := registrations.lastNumber
+	registrations.lastClientID++
+	number := registrations.lastClientID
 	ctx, stop := context.WithCancel(registrations.ctx)
 	// setAddresses replaces this address by a different one for each proxy; nothing connects to it.
 	endpoint := state.Endpoint{Name: server.Name, Address: "nodo.invalid:1", Zone: server.Zone, Type: server.Type, Cell: server.Group,
-		Status: state.StatusServing, Weight: 1, StartedAtMs: server.Since}
-	record := state.Record{Endpoint: endpoint, Instance: fmt.Sprint(server.Since, "-", number), LeaseMs: s.config.Lease.Milliseconds()}
-	process := &serverProcess{ref: state.InstanceRef{Name: server.Name, Instance: record.Instance}, record: record, number: number,
-		statuses: make(chan string, 2), stop: stop}
+		Status: state.StatusServing, Weight: 1, StartedAtMs: server.StartedAtMs}
+	record := state.Record{Endpoint: endpoint, Instance: fmt.Sprint(server.StartedAtMs, "-", number),
+		LeaseMs: s.config.Lease.Milliseconds()}
+	process := &serverProcess{ref: state.InstanceRef{Name: server.Name, Instance: record.Instance},
+		record: record, clientID: number, statuses: make(chan string, 2), stop: stop}
 	registrations.live[server.Name], registrations.names[server.Name] = process, true
 	first := make(chan struct{})
 	registrations.running.Go(func() { s.runServer(ctx, process, sync.OnceFunc(func() { close(first) })) })
@@ -104,12 +106,12 @@
 
 // sendStatus passes a status to the goroutine of a server's current process, if there is one.
 func (s *Service) sendStatus(name, status string) {
-	n := s.servers
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if server := n.live[name]; server != nil {
+	r := s.registrations
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if server := r.live[name]; server != nil {
 		if status == state.StatusDeleted {
-			delete(n.live, name)
+			delete(r.live, name)
 		}
 		server.listed = false
 		server.statuses <- status
@@ -150,14 +152,14 @@
 	if !s.register(ctx, client, server) {
 		return
 	}
-	s.servers.mu.Lock()
+	s.registrations.mu.Lock()
 	server.listed = len(server.statuses) == 0
-	s.servers.mu.Unlock()
+	s.registrations.mu.Unlock()
 	registered()
 	draining := false
 	// The lease may expire at any time after the start of the last renewal that is known to have succeeded,
 	// so the history holds a pending removal that begins there.
-	endExpiry := s.history.Begin(linear.Remove, server.ref.Name, server.historyValue(), server.number)
+	endExpiry := s.history.Begin(linear.Remove, server.ref.Name, server.historyValue(), server.clientID)
 	for pause := s.config.Lease / renewalsPerLease; ; {
 		select {
 		case status := <-server.statuses:
@@ -170,7 +172,8 @@
 		case <-ctx.Done():
 			return
 		}
-		endNextExpiry := s.history.Begin(linear.Remove, server.ref.Name, server.historyValue(), server.number)
+		endNextExpiry := s.history.Begin(linear.Remove, server.ref.Name, server.historyValue(),
+			server.clientID)
 		_, err := client.Renew(ctx, server.ref)
 		var rejected *registrar.RejectedError
 		switch {
@@ -229,7 +232,7 @@
 // is the status that the call announces. It reports whether the call succeeded.
 func (s *Service) write(ctx context.Context, kind linear.Operation, server *serverProcess, status string,
 	call func(context.Context) error) bool {
-	end := s.history.Begin(kind, server.ref.Name, server.historyValue(), server.number)
+	end := s.history.Begin(kind, server.ref.Name, server.historyValue(), server.clientID)
 	err := call(ctx)
 	var rejected *registrar.RejectedError
 	end(err == nil, errors.As(err, &rejected))
@@ -249,13 +252,13 @@
 	for n := 0; sleep.For(ctx, every); n++ {
 		member := s.members[n%len(s.members)]
 		// Servers that existed before the call and are not in the list are recorded as absent.
-		s.servers.mu.Lock()
+		s.registrations.mu.Lock()
 		values := map[string]string{}
-		for name := range s.servers.names {
+		for name := range s.registrations.names {
 			values[name] = linear.Absent
 		}
-		s.servers.mu.Unlock()
-		listed := s.servers.listedServers()
+		s.registrations.mu.Unlock()
+		listed := s.registrations.listedServers()
 		start := time.Now()
 		var list watch.Response
 		if s.get(member, "/catalog/members?consistent=1", readTimeout, &list) != nil {
@@ -266,7 +269,7 @@
 				values[endpoint.Name] = linear.Value(endpoint.Status, fmt.Sprint(endpoint.StartedAtMs))
 			}
 		}
-		s.servers.recordMissing(listed, values)
-		s.history.RecordRead(readerNumber, start, values)
+		s.registrations.recordMissing(listed, values)
+		s.history.RecordRead(readerClientID, start, values)
 	}
 }
--- a/internal/faultlab/service/relay.go
+++ b/internal/faultlab/service/relay.go
@@ -54,7 +54,7 @@
 				s.setAddresses(proxy, list)
 				body = list.Encode()
 			}
-			note := func(at time.Time) {
+			recordDelivery := func(at time.Time) {
 				if list == nil {
 					s.config.Referee.RecordPollFailed(proxy, at)
 					return
@@ -62,7 +62,7 @@
 				s.config.Referee.RecordUpdate(proxy, referee.ListUpdate{Entries: refereeEntries(list), Snapshot: list.Snapshot}, at)
 				s.delays.recordReceived(proxy, list, at, s.isHollow)
 			}
-			if err := c.WriteAfter(wire.JSONResponse(status, body), note); err != nil {
+			if err := c.WriteAfter(wire.JSONResponse(status, body), recordDelivery); err != nil {
 				s.config.Referee.RecordPollFailed(proxy, time.Now())
 				return
 			}
@@ -134,14 +134,14 @@
 }
 
 // Snapshot returns the list for a proxy's configuration, as JSON and as the referee records it. The JSON
-// contains the entries for which keep returns true. Both results are nil if no member answers.
-func (s *Service) Snapshot(proxy string, keep func() bool) (text json.RawMessage, known []referee.Entry) {
+// contains the entries for which include returns true. Both results are nil if no member answers.
+func (s *Service) Snapshot(proxy string, include func() bool) (text json.RawMessage, known []referee.Entry) {
 	for _, member := range s.members {
 		var list watch.Response
 		if s.get(member, "/catalog/members", callTimeout, &list) != nil {
 			continue
 		}
-		list.Endpoints = slices.DeleteFunc(list.Endpoints, func(state.Endpoint) bool { return !keep() })
+		list.Endpoints = slices.DeleteFunc(list.Endpoints, func(state.Endpoint) bool { return !include() })
 		s.setAddresses(proxy, &list)
 		return list.Encode(), refereeEntries(&list)
 	}
@@ -170,8 +170,8 @@
 	return maps.Clone(s.delays.versions)
 }
 
-// newDelays returns an empty record of delays.
-func newDelays() *notificationDelays {
+// newNotificationDelays returns an empty record of delays.
+func newNotificationDelays() *notificationDelays {
 	return &notificationDelays{confirmed: map[string]time.Time{}, received: map[string]map[string]time.Time{},
 		firstReceived: map[string]time.Time{}, versions: map[string][]ReceivedVersion{}}
 }
@@ -212,10 +212,10 @@
 	}
 }
 
-// sorted returns the sorted delays from each change's confirmation to its receipt by each proxy that had
-// received an update before the confirmation. A proxy may never receive a change that a later change of the
-// same server overtook.
-func (d *notificationDelays) sorted() (out []time.Duration) {
+// sortedDelays returns in ascending order the delays from each change's confirmation to its receipt by each
+// proxy that had received an update before the confirmation. A proxy may never receive a change that a later
+// change of the same server overtook.
+func (d *notificationDelays) sortedDelays() (out []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for proxy, received := range d.received {
--- a/internal/faultlab/service/report.go
+++ b/internal/faultlab/service/report.go
@@ -36,13 +36,13 @@
 		c.Close()
 	}
 	s.mu.Lock()
-	r.RefusedStarts = s.rejected
+	r.RefusedStarts = s.refusedStarts
 	s.mu.Unlock()
 	r.History = s.history.Check(checkTimeout)
-	r.Delays = s.delays.sorted()
-	s.servers.mu.Lock()
-	r.MissingServers = s.servers.missing
-	s.servers.mu.Unlock()
+	r.Delays = s.delays.sortedDelays()
+	s.registrations.mu.Lock()
+	r.MissingServers = s.registrations.missing
+	s.registrations.mu.Unlock()
 	return r, err
 }
 
--- a/internal/faultlab/service/service.go
+++ b/internal/faultlab/service/service.go
@@ -99,33 +99,34 @@
 	index           int
 	dir, configFile string
 
-	mu         sync.Mutex
-	process    *process.Process
-	downFaults int // number of active faults that keep it down
-	stopFaults int // number of active faults that keep its process suspended
+	mu            sync.Mutex
+	process       *process.Process
+	downFaults    int // number of active faults that keep it down
+	suspendFaults int // number of active faults that keep its process suspended
 }
 
 // Service is a running registry.
 type Service struct {
-	config     Config
-	log        *slog.Logger
-	members    []*Member
-	http       *http.Client
-	history    *linear.History
-	registrars map[string]*registrar.Client // by the zone of the servers that use them
-	servers    *registrations
-	delays     *notificationDelays
+	config        Config
+	log           *slog.Logger
+	members       []*Member
+	http          *http.Client
+	history       *linear.History
+	registrars    map[string]*registrar.Client // by the zone of the servers that use them
+	registrations *registrations
+	delays        *notificationDelays
 
-	mu       sync.Mutex
-	rejected int // starts that members refused because of a damaged directory
-	rng      *rand.Rand
+	mu            sync.Mutex
+	refusedStarts int // starts that members refused because of a damaged directory
+	rng           *rand.Rand
 }
 
 // New writes the members' configuration files and creates all links. It starts no processes.
 func New(cfg Config) (*Service, error) {
 	s := &Service{config: cfg, log: cfg.Log, http: &http.Client{}, history: linear.New(),
-		registrars: map[string]*registrar.Client{}, rng: rand.New(rand.NewPCG(cfg.Seed, 31)), delays: newDelays()}
-	s.servers = newServers(s)
+		registrars: map[string]*registrar.Client{}, rng: rand.New(rand.NewPCG(cfg.Seed, 31)),
+		delays: newNotificationDelays()}
+	s.registrations = newRegistrations(s)
 	for i := range cfg.Members {
 		member := &Member{Name: fmt.Sprintf("r%d", i+1), Zone: cfg.Zones[i%len(cfg.Zones)], index: i,
 			dir: filepath.Join(cfg.Dir, fmt.Sprintf("r%d", i+1))}
@@ -255,7 +256,7 @@
 // Run reads the list until the context ends, and then stops the servers' registrations.
 func (s *Service) Run(ctx context.Context) {
 	s.readLists(ctx)
-	s.servers.close()
+	s.registrations.close()
 }
 
 // MemberAddresses returns the addresses at which a proxy, by index, reaches the members.
--- a/internal/faultlab/stubserver/serve.go
+++ b/internal/faultlab/stubserver/serve.go
@@ -22,7 +22,7 @@
 	request     *http.Request
 	attempt     *referee.Attempt
 	id          string
-	work        Job
+	job         Job
 	firstOnConn bool
 	overLimit   bool // whether the server had too many connections when this one was opened
 	incarnation int  // of the server when the connection was opened
@@ -65,7 +65,7 @@
 func (s *Server) handle(x *exchange, body []byte, firstByteAt time.Time) bool {
 	x.id = x.request.Header.Get(wire.RequestID)
 	var known bool
-	x.work, known = s.lab.Job(x.id)
+	x.job, known = s.lab.Job(x.id)
 	x.attempt = s.referee.BeginAttempt(referee.Arrival{Server: s.spec.Name, ID: x.id, FirstByteAt: firstByteAt, LastByteAt: time.Now(),
 		Method: x.request.Method, Path: x.request.URL.RequestURI(), Key: x.request.Header.Get(wire.IdempotencyKey),
 		RequestDigest: wire.Digest(body)})
@@ -73,7 +73,7 @@
 		x.attempt = nil
 		return s.respond(x, http.StatusBadRequest, nil, false)
 	}
-	work := x.work.Work
+	work := x.job.Work
 	if x.firstOnConn {
 		time.Sleep(s.spec.ConnectDelay)
 		work += s.spec.ConnectWork
@@ -203,7 +203,7 @@
 		s.referee.RecordError(x.attempt, job.duration)
 		return s.respond(x, http.StatusInternalServerError, nil, false)
 	}
-	body := wire.MakeBody(x.id, s.spec.Name, x.work.ResponseBytes)
+	body := wire.MakeBody(x.id, s.spec.Name, x.job.ResponseBytes)
 	s.referee.RecordServed(x.attempt, wire.Digest(body), job.duration)
 	if garbles {
 		s.garble(x, body)
--- a/internal/faultlab/stubserver/slots.go
+++ b/internal/faultlab/stubserver/slots.go
@@ -33,7 +33,7 @@
 		return nil, false, nil
 	}
 	now := time.Now()
-	if overload = s.overloadBy(now, work, x.work.Proxy); overload != nil {
+	if overload = s.detectOverload(now, work, x.job.Proxy); overload != nil {
 		return nil, false, overload
 	}
 	if s.draining || x.overLimit || s.busy >= s.spec.Slots && len(s.queue) >= s.spec.Queue {
@@ -49,10 +49,10 @@
 	return job, false, nil
 }
 
-// overloadBy records work that arrives during slow start. It returns the work of the last OverloadWindow by
-// proxy if that is an overload: more than OverloadMultiple times the work that the server can do in the
+// detectOverload records work that arrives during slow start. It returns the work of the last OverloadWindow
+// by proxy if that is an overload: more than OverloadMultiple times the work that the server can do in the
 // window, plus the work of this request. Otherwise it returns nil.
-func (s *Server) overloadBy(now time.Time, work time.Duration, proxy string) map[string]time.Duration {
+func (s *Server) detectOverload(now time.Time, work time.Duration, proxy string) map[string]time.Duration {
 	if !s.slowStart || now.Sub(s.startedAt) > s.spec.SlowStart+s.spec.OverloadWindow {
 		s.recentWork = nil
 		return nil
--- a/internal/faultlab/stubserver/stubserver.go
+++ b/internal/faultlab/stubserver/stubserver.go
@@ -28,8 +28,8 @@
 	IdleTimeout      time.Duration // after which an idle connection is closed
 	StartCapacity    float64       // fraction of the full capacity at the beginning of slow start
 	SlowStart        time.Duration // time from the start until full capacity
-	OverloadMultiple float64       // see overloadBy
-	OverloadWindow   time.Duration // see overloadBy
+	OverloadMultiple float64       // see detectOverload
+	OverloadWindow   time.Duration // see detectOverload
 	CancelsWork      bool          // whether work stops when its client closes the connection
 	Seed             uint64
 }
@@ -72,8 +72,9 @@
 }
 
 // New returns a server that is not started.
-func New(spec Spec, world Lab, ref *referee.Referee) *Server {
-	return &Server{spec: spec, lab: world, referee: ref, fault: Fault{Slowdown: 1}, faults: map[*Fault]struct{}{}, rng: rand.New(rand.NewPCG(spec.Seed, 7))}
+func New(spec Spec, lab Lab, ref *referee.Referee) *Server {
+	return &Server{spec: spec, lab: lab, referee: ref, fault: Fault{Slowdown: 1},
+		faults: map[*Fault]struct{}{}, rng: rand.New(rand.NewPCG(spec.Seed, 7))}
 }
 
 // Start starts the server at a time, with slow start or at full capacity.
@@ -109,8 +110,8 @@
 }
 
 // ApplyFault applies a fault until end is called. Several faults are combined, and each ends independently.
-func (s *Server) ApplyFault(h Fault) (end func()) {
-	p := &h
+func (s *Server) ApplyFault(fault Fault) (end func()) {
+	p := &fault
 	s.locked(func() { s.faults[p] = struct{}{}; s.combineFaults() })
 	return func() { s.locked(func() { delete(s.faults, p); s.combineFaults() }) }
 }
@@ -118,13 +119,13 @@
 // combineFaults sets fault to the combination of all active faults. The lock must be held.
 func (s *Server) combineFaults() {
 	s.fault = Fault{Slowdown: 1}
-	for h := range s.faults {
-		if h.Slowdown > 0 {
-			s.fault.Slowdown *= h.Slowdown
+	for fault := range s.faults {
+		if fault.Slowdown > 0 {
+			s.fault.Slowdown *= fault.Slowdown
 		}
-		s.fault.ErrorFraction = 1 - (1-s.fault.ErrorFraction)*(1-h.ErrorFraction)
-		s.fault.GarbleFraction = 1 - (1-s.fault.GarbleFraction)*(1-h.GarbleFraction)
-		s.fault.Hangs = s.fault.Hangs || h.Hangs
+		s.fault.ErrorFraction = 1 - (1-s.fault.ErrorFraction)*(1-fault.ErrorFraction)
+		s.fault.GarbleFraction = 1 - (1-s.fault.GarbleFraction)*(1-fault.GarbleFraction)
+		s.fault.Hangs = s.fault.Hangs || fault.Hangs
 	}
 }
 
--- a/internal/faultlab/stubserver/stubserver_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -16,16 +16,18 @@
 )
 
 // world gives every request the same work.
-type world struct {
-	work time.Duration
-	fell chan string
+type fixedWorkLab struct {
+	work       time.Duration
+	overloaded chan string
 }
 
-func (w world) Job(string) (Job, bool)     { return Job{Work: w.work, ResponseBytes: 10, Proxy: "p"}, true }
-func (w world) OverloadFailed(name string) { w.fell <- name }
+func (w fixedWorkLab) Job(string) (Job, bool) {
+	return Job{Work: w.work, ResponseBytes: 10, Proxy: "p"}, true
+}
+func (w fixedWorkLab) OverloadFailed(name string) { w.overloaded <- name }
 
 // newServer returns a server behind a link, with its address and referee.
-func newServer(t testing.TB, spec Spec, work time.Duration) (*Server, world, *referee.Referee, string) {
+func newServer(t testing.TB, spec Spec, work time.Duration) (*Server, fixedWorkLab, *referee.Referee, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,7 +36,7 @@
 	addr := l.Addr().String()
 	l.Close()
 	ref := referee.New(referee.Config{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 9, HedgingAllowed: true})
-	w := world{work, make(chan string, 1)}
+	w := fixedWorkLab{work, make(chan string, 1)}
 	spec.Name, spec.IdleTimeout = "s", time.Minute
 	if spec.MaxConnections == 0 {
 		spec.MaxConnections = 1000
@@ -49,7 +51,7 @@
 }
 
 // ask makes one request on a connection of its own and returns the status; 0: none.
-func ask(ref *referee.Referee, addr, id string, timeout time.Duration) (status int, notStarted bool) {
+func sendRequest(ref *referee.Referee, addr, id string, timeout time.Duration) (status int, notStarted bool) {
 	ref.RecordSend(&referee.ClientAttempt{ID: id, Method: "GET", Path: "/c", RequestDigest: wire.Digest(nil)}, "p")
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -103,12 +105,12 @@
 				test.before(server)
 			}
 			for i := range test.hold {
-				go ask(ref, addr, fmt.Sprint("held", i), 10*time.Second)
+				go sendRequest(ref, addr, fmt.Sprint("held", i), 10*time.Second)
 			}
 			for in := 0; in < test.hold; time.Sleep(time.Millisecond) {
 				server.locked(func() { in = server.busy + len(server.queue) })
 			}
-			if status, notStarted := ask(ref, addr, "x", test.timeout); status != test.status || notStarted != test.notStarted {
+			if status, notStarted := sendRequest(ref, addr, "x", test.timeout); status != test.status || notStarted != test.notStarted {
 				t.Errorf("got %d, Not-Started %v; want %d, %v", status, notStarted, test.status, test.notStarted)
 			}
 		})
@@ -139,8 +141,8 @@
 	server.Start(time.Time{}, false)
 	holding := func() (in int) { server.locked(func() { in = server.busy + len(server.queue) }); return in }
 	var long sync.WaitGroup
-	long.Go(func() { ask(ref, addr, "long", 3*time.Second) })
-	until := func(what string, holds func() bool) {
+	long.Go(func() { sendRequest(ref, addr, "long", 3*time.Second) })
+	waitUntil := func(what string, holds func() bool) {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
@@ -148,11 +150,11 @@
 			}
 		}
 	}
-	until("the slot to be taken", func() bool { return holding() == 1 })
+	waitUntil("the slot to be taken", func() bool { return holding() == 1 })
 	left := make(chan bool)
 	go func() { long.Wait(); close(left) }()
-	ask(ref, addr, "queued", 50*time.Millisecond)
-	until("the queue to be empty, while the slot is taken", func() bool {
+	sendRequest(ref, addr, "queued", 50*time.Millisecond)
+	waitUntil("the queue to be empty, while the slot is taken", func() bool {
 		select {
 		case <-left:
 			t.Fatal("the place in the queue was not given back before the slot was")
@@ -161,18 +163,18 @@
 		return holding() <= 1
 	})
 	long.Wait()
-	until("the slot to be free", func() bool { return holding() == 0 })
+	waitUntil("the slot to be free", func() bool { return holding() == 0 })
 	for i := range 3 {
 		var both sync.WaitGroup
 		for j := range 2 {
 			both.Go(func() {
-				if status, _ := ask(ref, addr, fmt.Sprint(i, j), 100*time.Millisecond); status == 503 {
+				if status, _ := sendRequest(ref, addr, fmt.Sprint(i, j), 100*time.Millisecond); status == 503 {
 					t.Errorf("round %d: rejected, though both places should be free", i)
 				}
 			})
 		}
 		both.Wait()
-		until("both places to be free", func() bool { return holding() == 0 })
+		waitUntil("both places to be free", func() bool { return holding() == 0 })
 	}
 }
 
@@ -180,11 +182,11 @@
 func TestOverloadBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
-		name string
-		cold bool
-		age  time.Duration // at the last arrival
-		work time.Duration // in all, in 20 pieces over a second
-		fell bool
+		name       string
+		cold       bool
+		age        time.Duration // at the last arrival
+		work       time.Duration // in all, in 20 pieces over a second
+		overloaded bool
 	}{
 		// 3 times (0.5 of capacity at the window's middle, 1 slot of speed 1) for 2 s: some 3.3 s of work at first.
 		{"within", true, time.Second, 3 * time.Second, false},
@@ -194,13 +196,13 @@
 	} {
 		server := New(Spec{Slots: 1, Speed: 1, StartCapacity: 0.5, SlowStart: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}, nil, nil)
 		server.Start(now, test.cold)
-		fell := false
+		overloaded := false
 		for i := range 20 {
 			at := now.Add(test.age - time.Second + time.Duration(i)*50*time.Millisecond)
-			fell = server.overloadBy(at, test.work/20, "p") != nil || fell
+			overloaded = server.detectOverload(at, test.work/20, "p") != nil || overloaded
 		}
-		if fell != test.fell {
-			t.Errorf("%s: fell %v", test.name, fell)
+		if overloaded != test.overloaded {
+			t.Errorf("%s: fell %v", test.name, overloaded)
 		}
 	}
 }
