--- a/internal/faultlab/byzantine/byzantine_test.go
+++ b/internal/faultlab/byzantine/byzantine_test.go
@@ -14,8 +14,8 @@
 	"merlinpick/internal/cluster/transport"
 )
 
-// checkNoGoroutinesLeft checks that no goroutine outlives the test. A probe of memberlist ends a probe interval after its member, which is
-// longer than goleak waits.
+// checkNoGoroutinesLeft checks that no goroutine outlives the test. It repeats the check, since a probe of
+// memberlist ends up to a probe interval after its member, which is longer than goleak waits.
 func checkNoGoroutinesLeft(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; {
@@ -30,7 +30,8 @@
 	}
 }
 
-// An honest member receives each false report, until the byzantine member has left and its reports have expired.
+// TestHonestMemberReceivesFalseReports checks that an honest member receives each false report, and none any
+// more after the byzantine member has left and its reports have expired.
 func TestHonestMemberReceivesFalseReports(t *testing.T) {
 	defer checkNoGoroutinesLeft(t)
 	log, begun := slog.New(slog.NewTextHandler(io.Discard, nil)), time.Now()
@@ -43,7 +44,8 @@
 	ended := make(chan struct{})
 	go func() { honest.Run(ctx); close(ended) }()
 	defer func() { stop(); <-ended }()
-	member, err := Join(Config{Name: "liar", Zone: "b", Bind: "127.0.0.1:0", Label: "t", Seeds: []string{honest.Addr()}, Logger: log},
+	member, err := Join(Config{Name: "liar", Zone: "b", Bind: "127.0.0.1:0", Label: "t",
+		Seeds: []string{honest.Addr()}, Logger: log},
 		func() []Target { return []Target{{"a-s1", 7}, {"b-s1", 0}} }, []string{"a", "b", "c"})
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +62,7 @@
 				for _, e := range s.PeerEntries {
 					got = append(got, state.Observation{Kind: e.Kind, Subject: e.Subject, SubjectStartMs: e.SubjectStartMs})
 					if e.Body.Fault != 1 || e.Body.BadFraction != 1 || e.Observer != "liar" || e.ObserverZone != "b" {
-						t.Fatalf("received %+v", e)
+						t.Fatalf("received %+v, want a byzantine report that all calls failed", e)
 					}
 				}
 				slices.SortFunc(got, func(a, b state.Observation) int { return slices.Compare([]byte(a.Subject), []byte(b.Subject)) })
@@ -68,7 +70,7 @@
 					return
 				}
 			case <-late:
-				t.Fatalf("received %+v, want %+v", got, want)
+				t.Fatalf("the last received reports are %+v, want %+v", got, want)
 			}
 		}
 	}
--- a/internal/faultlab/catalog/catalog_test.go
+++ b/internal/faultlab/catalog/catalog_test.go
@@ -15,6 +15,7 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
+// newCatalog returns a catalog with n serving servers s0, s1, ...
 func newCatalog(n int, seed uint64) *Catalog {
 	var entries []Entry
 	for i := range n {
@@ -24,7 +25,8 @@
 		RetainedChanges: 4, MaxWaitingCalls: 3, Seed: seed, Address: func(_, nodo string) string { return nodo + ":1" }}, referee.New(referee.Config{Classes: []referee.Class{{}}, MaxAttempts: 3}), entries)
 }
 
-// After a power loss the list is that of some version not older than the last sync: complete records, in order.
+// TestPowerLossKeepsSyncedVersions checks that after a power loss the list is that of a version at or after
+// the last sync, and that versions written afterwards can be read.
 func TestPowerLossKeepsSyncedVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCatalog(2, rapid.Uint64().Draw(t, "seed"))
@@ -43,18 +45,20 @@
 		c.file.PowerLoss(c.rng)
 		c.restore(c.readRecords(c.file.Bytes()), before)
 		if c.version < synced || c.version > before {
-			t.Fatalf("version %d after the loss; %d was synced, %d written", c.version, synced, before)
+			t.Fatalf("version %d after the power loss; %d was synced, %d written", c.version, synced, before)
 		}
 		if got := fmt.Sprint(c.entries); got != states[c.version] {
-			t.Fatalf("at version %d: %s, was %s", c.version, got, states[c.version])
+			t.Fatalf("after the power loss the list of version %d is %s, want %s", c.version, got,
+				states[c.version])
 		}
 		c.commit(Entry{Name: "s9", Status: Serving})
 		if again := c.readRecords(c.file.Bytes()); len(again) == 0 || again[len(again)-1].Version != c.version {
-			t.Fatal("what is written after a loss cannot be read")
+			t.Fatal("the version written after the power loss cannot be read")
 		}
 	})
 }
 
+// TestWatches checks when a call is answered, with which entries, and whether with the complete list.
 func TestWatches(t *testing.T) {
 	type answer struct {
 		Index     int64
@@ -65,8 +69,8 @@
 		name      string
 		from      int64
 		do        func(*Catalog)
-		after     time.Duration // that the answer comes, at most
-		notBefore time.Duration
+		after     time.Duration // latest time of the answer
+		notBefore time.Duration // earliest time of the answer
 		whole     bool
 		entries   int
 		failed    bool
@@ -108,10 +112,11 @@
 				stop()
 				<-c.done
 				if ok == test.failed {
-					t.Fatalf("answered: %v, want failed: %v", ok, test.failed)
+					t.Fatalf("the call was answered: %v, want it failed: %v", ok, test.failed)
 				}
 				if took < test.notBefore || took > test.after {
-					t.Errorf("answered after %v, want %v to %v", took, test.notBefore, test.after)
+					t.Errorf("the call was answered after %v, want %v to %v",
+						took, test.notBefore, test.after)
 				}
 				if test.failed {
 					return
@@ -121,15 +126,17 @@
 					t.Fatal(err)
 				}
 				if a.Snapshot != test.whole || len(a.Endpoints) != test.entries {
-					t.Errorf("whole %v with %d lines, want %v with %d", a.Snapshot, len(a.Endpoints), test.whole, test.entries)
+					t.Errorf("complete list: %v with %d entries, want %v with %d",
+						a.Snapshot, len(a.Endpoints), test.whole, test.entries)
 				}
 			})
 		})
 	}
 }
 
-// An answer that a cut delayed until its process was killed does not notify the next process, whose later sends break no rule. An
-// answer to that process does.
+// TestAnswerToDeadProcessDoesNotNotifyItsSuccessor checks that an answer that a cut delayed until its process
+// was killed does not count as a notification of the next process, so that later requests of that process to
+// a drained server break no rule. An answer to a process that is alive does count.
 func TestAnswerToDeadProcessDoesNotNotifyItsSuccessor(t *testing.T) {
 	for _, dead := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
@@ -144,12 +151,13 @@
 		c.referee.RecordSend(try, "p")
 		c.referee.BeginAttempt(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", FirstByteAt: began.Add(time.Minute), LastByteAt: began.Add(time.Minute)})
 		if broken := c.referee.Close().ViolationCounts["drain"]; (broken > 0) == dead {
-			t.Errorf("a dead process %v: drain broken %d times", dead, broken)
+			t.Errorf("answer to a dead process: %v; the drain rule was broken %d times", dead, broken)
 		}
 	}
 }
 
-// An answer that passes a slow link after a newer one does not notify its proxy, which has given that call up.
+// TestOvertakenAnswerIsIgnored checks that an answer that passes a slow link after a newer answer does not
+// count as a notification of its proxy, which has given up that call.
 func TestOvertakenAnswerIsIgnored(t *testing.T) {
 	for _, overtaken := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
@@ -173,12 +181,13 @@
 		c.referee.RecordSend(try, "p")
 		c.referee.BeginAttempt(referee.Arrival{Server: "s0", ID: "1", Method: "GET", Path: "/", FirstByteAt: began.Add(time.Minute), LastByteAt: began.Add(time.Minute)})
 		if broken := c.referee.Close().ViolationCounts["drain"]; broken != 0 {
-			t.Errorf("overtaken %v: drain broken %d times", overtaken, broken)
+			t.Errorf("answer overtaken: %v; the drain rule was broken %d times, want 0", overtaken, broken)
 		}
 	}
 }
 
-// A call that waited too long fails and still keeps its place in the queue; a watch that continues is not queued.
+// TestTimedOutCallKeepsItsPlaceInTheQueue checks that a call that waits too long fails but keeps its place in
+// the queue, and that a watch that continues does not wait in the queue.
 func TestTimedOutCallKeepsItsPlaceInTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -211,17 +220,18 @@
 		want := map[string]time.Duration{"a true": 0, "b true": 60 * time.Millisecond, "c false": 100 * time.Millisecond,
 			"d false": 100 * time.Millisecond, "goes on true": 0, "e true": 240 * time.Millisecond}
 		if len(ends) != len(want) {
-			t.Errorf("ended: %v", ends)
+			t.Errorf("the calls and their results are %v, want other ones", ends)
 		}
 		for name, at := range want {
 			if d := ends[name] - at; d < 0 || d > 5*time.Millisecond {
-				t.Errorf("%s after %v, want %v", name, ends[name], at)
+				t.Errorf("call and result %s after %v, want %v", name, ends[name], at)
 			}
 		}
 	})
 }
 
-// A proxy's next process starts from the list that its former one last received.
+// TestNewProcessStartsFromLastNotifiedList checks that a proxy's next process starts from the list that its
+// former process received last, and a new proxy from the current list.
 func TestNewProcessStartsFromLastNotifiedList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -240,7 +250,7 @@
 				t.Fatal(err)
 			}
 			if got := list.Endpoints[0].Status; got != want || told[0].Serving != (want == Serving) || (list.Index == 3) != (proxy == "new") {
-				t.Errorf("%s begins at version %d with s0 %s, want %s", proxy, list.Index, got, want)
+				t.Errorf("proxy %s starts at version %d with s0 %s, want %s", proxy, list.Index, got, want)
 			}
 		}
 		stop()
--- a/internal/faultlab/hollow/calibrate_test.go
+++ b/internal/faultlab/hollow/calibrate_test.go
@@ -12,7 +12,8 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// free is ports that nobody has, on all loopback addresses as far as is known.
+// freePorts returns two ports that are free on 127.0.0.1. They are assumed to be free on other loopback
+// addresses.
 func freePorts(t *testing.T) (ports [2]int) {
 	t.Helper()
 	for i := range ports {
@@ -26,8 +27,9 @@
 	return ports
 }
 
-// reading returns what a process's proxies have passed so far, and the metrics of its cluster members.
-func readUsage(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Usage, fleet []*hollow.ClusterMetrics) {
+// readUsage returns the traffic of a process's proxies so far, and the metrics of its cluster members.
+func readUsage(links *link.Net, p *hollow.Process, from string, proxies int) (s result.Usage,
+	fleet []*hollow.ClusterMetrics) {
 	links.EachTraffic(func(e link.Ends, t link.Traffic) {
 		if e.From == from {
 			s.BytesIn, s.BytesOut, s.Calls = t.ToDialer, t.FromDialer, t.Chunks
@@ -42,7 +44,8 @@
 	return s, fleet
 }
 
-// The calibration holds proxies that do all to others that do all, and fails those that skip the watch or the gossip.
+// TestCalibrationDetectsSkippedWork checks that the calibration accepts hollow proxies that do the same work
+// as the proxies that they are compared with, and rejects proxies that skip the watch or the gossip.
 func TestCalibrationDetectsSkippedWork(t *testing.T) {
 	const proxies, nodos = 3, 12
 	within := func(factor string) experiment.Expect {
@@ -51,7 +54,7 @@
 	}
 	for _, test := range []struct {
 		name string
-		held map[string]bool // without a list there is nothing to gossip: not checked
+		held map[string]bool // whether each factor is in range; without a watch there is no gossip to check
 	}{
 		{"sound", map[string]bool{"calls": true, "in": true, "gossip_in": true}},
 		{"watch", map[string]bool{"calls": false, "in": false}},
@@ -86,7 +89,9 @@
 			base := freePorts(t)
 			real := hollow.StartSeeded(t, process("real", "a", base[0]), hollow.NoFault)
 			checked := hollow.StartSeeded(t, process("hollow", "b", base[1]), fault)
-			hollow.Eventually(t, "both", func() bool { return real.NotReadyReason()+checked.NotReadyReason() == "" })
+			hollow.Eventually(t, "both processes to be ready", func() bool {
+				return real.NotReadyReason()+checked.NotReadyReason() == ""
+			})
 			read := func() *result.Sample {
 				r := &result.Sample{TakenAt: time.Now(), Roles: map[string]result.Usage{}}
 				r.Roles["real"], r.RealGossip = readUsage(links, real, "real", proxies)
@@ -95,9 +100,10 @@
 			}
 			c := &result.Control{Phases: []result.PhaseSamples{{Before: read()}}}
 			nodo := hollow.StartSeeded(t, hollow.TestConfig(own, 0, nodos), hollow.NoFault)
-			hollow.Eventually(t, "the nodos", func() bool { return nodo.NotReadyReason() == "" })
-			// By then the members have exchanged entries.
-			hollow.Eventually(t, "gossip", func() bool {
+			hollow.Eventually(t, "the servers to be registered",
+				func() bool { return nodo.NotReadyReason() == "" })
+			// After 10000 bytes each, the members have exchanged entries.
+			hollow.Eventually(t, "10000 bytes of gossip at each member", func() bool {
 				for i, x := range real.Metrics(false).Proxies {
 					if x.Cluster.BytesIn-c.Phases[0].Before.RealGossip[i].BytesIn < 10000 {
 						return false
@@ -117,10 +123,11 @@
 				x := within(factor)
 				v, ok := f[x.Metric]
 				if !ok {
-					v = -1 // as a play has what did not come about
+					v = -1 // as in a run, for a metric without a value
 				}
 				if held, text := x.Check(v); held != want {
-					t.Errorf("%s: held %v, want %v: %v %s", factor, held, want, v, text)
+					t.Errorf("factor %s is in range: %v, want %v; value %v, check: %s",
+						factor, held, want, v, text)
 				}
 			}
 		})
--- a/internal/faultlab/hollow/configs_test.go
+++ b/internal/faultlab/hollow/configs_test.go
@@ -13,7 +13,8 @@
 	"merlinpick/internal/faultlab/result"
 )
 
-// The figures of configurations hold hollow proxies that have them in force, and fail those that hear of them alone.
+// TestUnappliedConfigurationsAreDetected checks that the metrics of configurations tell hollow proxies that
+// apply a configuration from those that only receive it.
 func TestUnappliedConfigurationsAreDetected(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -33,7 +34,7 @@
 				c.Proxies[i].Service = "s1"
 			}
 			p := hollow.StartSeeded(t, c, fault)
-			hollow.Eventually(t, "all", func() bool { return p.NotReadyReason() == "" })
+			hollow.Eventually(t, "all proxies to be ready", func() bool { return p.NotReadyReason() == "" })
 			p.ResetMetrics()
 			start := time.Now()
 			settings := strings.NewReplacer(`"my_zone":0,"ordinal":0,`, "", `"try_limit":3`, `"try_limit":3,"dial_timeout_us":1,"idle_close_us":1`).
@@ -49,11 +50,13 @@
 			}
 			defer resp.Body.Close()
 			var answer struct{ Version int64 }
-			if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil || resp.StatusCode != http.StatusOK {
+			if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil ||
+				resp.StatusCode != http.StatusOK {
 				t.Fatal(resp.Status, err)
 			}
-			write.Status, write.Version, write.ConfirmedAt = resp.StatusCode, answer.Version, time.Now().UnixNano()
-			hollow.Eventually(t, "the configuration", func() bool {
+			write.Status, write.Version, write.ConfirmedAt =
+				resp.StatusCode, answer.Version, time.Now().UnixNano()
+			hollow.Eventually(t, "all proxies to receive the configuration", func() bool {
 				for _, x := range p.Metrics(true).Proxies {
 					if x.Config.Version != answer.Version {
 						return false
@@ -62,10 +65,12 @@
 				return true
 			})
 			e := &experiment.Experiment{Seconds: 30, Phases: []experiment.Phase{{Name: "all", From: 0, To: 20}}}
-			control := &result.Control{Hollow: []hollow.Metrics{p.Metrics(true)}, ConfigWrites: []result.ConfigWrite{write}}
+			control := &result.Control{Hollow: []hollow.Metrics{p.Metrics(true)},
+				ConfigWrites: []result.ConfigWrite{write}}
 			f := control.Metrics(e, start)
 			_, late := f["control.all.config_in_force_last_ms"]
-			if f["control.all.config_changes"] != 1 || f["control.all.config_never"] != test.never || late != test.inForce {
+			if f["control.all.config_changes"] != 1 || f["control.all.config_never"] != test.never ||
+				late != test.inForce {
 				t.Errorf("%v changes, %v never in force, some in force %v; want 1, %v, %v", f["control.all.config_changes"],
 					f["control.all.config_never"], late, test.never, test.inForce)
 			}
--- a/internal/faultlab/hollow/export_test.go
+++ b/internal/faultlab/hollow/export_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// For the calibration's test, which judges a process with a seeded fault from outside.
+// Names of this package that its external tests use: they check processes with a seeded fault from outside.
 var (
 	NoFault, SkipsWatch, SkipsGossip, SkipsApply = noFault, skipsWatch, skipsGossip, skipsApply
 
@@ -12,11 +12,11 @@
 	Eventually    = waitFor
 )
 
-// StartSeeded runs a process with a fault until the test ends.
+// StartSeeded starts a process with a seeded fault, which runs until the test ends.
 func StartSeeded(t *testing.T, c Config, fault seededFault) *Process {
 	p, _ := start(t, c, fault)
 	return p
 }
 
-// Waits returns what a process still lacks.
+// NotReadyReason returns why a process is not ready; empty if it is ready.
 func (p *Process) NotReadyReason() string { return p.notReadyReason() }
--- a/internal/faultlab/hollow/hollow_test.go
+++ b/internal/faultlab/hollow/hollow_test.go
@@ -16,14 +16,15 @@
 	"merlinpick/internal/registry/raftnode"
 )
 
-const waitTimeout = 30 * time.Second // for what takes a second or two
+const waitTimeout = 30 * time.Second // for conditions that usually take a second or two
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// service is an only member of the list service, in this process.
+// startRegistry starts a registry with a single member in this process, which runs until the test ends.
 func startRegistry(t *testing.T) (addr string, m *raftnode.Node, a *api.Server) {
 	t.Helper()
-	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", MaxWatches: 100, Logger: discardLogger})
+	a, err := api.Listen(api.Config{Listen: "127.0.0.1:0", Name: "r1", MaxWatches: 100,
+		Logger: discardLogger})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,20 +46,22 @@
 	return a.Addr(), m, a
 }
 
+// waitFor waits until a condition holds, and fails the test after waitTimeout; what names the condition.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain for ", what)
+			t.Fatal("timed out waiting for ", what)
 		}
 	}
 }
 
+// testSettings are the settings of hollow proxies in tests.
 const testSettings = `{"contract":{"start_capacity":0.3,"cold_us":1000000},"failure_domains":["a-a"],"my_zone":0,"ordinal":0,"siblings":3,
 "profiles":[{"name":"c","objective_us":500000,"give_up_us":1000000,"worth":1,"repeat":"idempotent"}],"tiers":["lab"],
 "limits":{"try_limit":3},"membership_mode":"automatic","counted_by":"request","weights":"off"}`
 
-// config returns a process of some proxies and servers.
+// config returns the configuration of a process with a number of proxies and servers.
 func config(list string, proxies, servers int) Config {
 	c := Config{Name: "h", Settings: []byte(testSettings), CallRate: 50, FailedFraction: 0.1, LeaseMs: 1000}
 	for i := range proxies {
@@ -70,7 +73,7 @@
 	return c
 }
 
-// start runs a process until the test ends.
+// start starts a process with a fault, which runs until the test ends. ended receives the result of Run.
 func start(t *testing.T, c Config, fault seededFault) (p *Process, ended <-chan error) {
 	t.Helper()
 	p, err := newSeeded(c, discardLogger, fault)
@@ -85,11 +88,12 @@
 	return p, done
 }
 
-// Changes of servers reach all proxies, with versions by which their latency is known.
+// TestProxiesReceiveChanges checks that all proxies receive the changes of servers, and that versions and
+// times are recorded from which the latency of a change is computed.
 func TestProxiesReceiveChanges(t *testing.T) {
 	list, m, _ := startRegistry(t)
 	p, _ := start(t, config(list, 3, 4), noFault)
-	waitFor(t, "all", func() bool { return p.notReadyReason() == "" })
+	waitFor(t, "all proxies and servers to be ready", func() bool { return p.notReadyReason() == "" })
 	p.ResetMetrics()
 	if err := p.Execute(Command{Action: "replace", Targets: []CommandTarget{{Name: "hs0"}, {Name: "hs1", DelayMs: 100}}}); err != nil {
 		t.Fatal(err)
@@ -97,11 +101,12 @@
 	if err := p.Execute(Command{Action: "die", DurationMs: 2500, Targets: []CommandTarget{{Name: "hs2"}}}); err != nil {
 		t.Fatal(err)
 	}
-	// Two drain, go and are back; one dies, its lease ends, and it is back.
-	waitFor(t, "the changes", func() bool { return len(p.Metrics(true).Servers.Changes) >= 7 })
+	// Two servers drain, deregister and register again: 6 changes. One dies and registers again: 1 change.
+	waitFor(t, "7 confirmed changes of servers",
+		func() bool { return len(p.Metrics(true).Servers.Changes) >= 7 })
 	_, index := m.Version()
 	var f Metrics
-	waitFor(t, "all to know", func() bool {
+	waitFor(t, "all proxies to receive the last version", func() bool {
 		f = p.Metrics(true)
 		for _, x := range f.Proxies {
 			if n := len(x.List.Versions); n == 0 || x.List.Versions[n-1].Version < index {
@@ -115,26 +120,28 @@
 	}
 	for _, c := range f.Servers.Changes {
 		if c.Version <= 0 || c.ConfirmedAt < c.RequestedAt {
-			t.Errorf("%+v: no version, or sure before it was asked", c)
+			t.Errorf("change %+v has no version, or was confirmed before it was requested", c)
 		}
 	}
 	for _, x := range f.Proxies {
 		if x.List.Servers != 4 {
-			t.Errorf("%s knows %d servers, want 4", x.Name, x.List.Servers)
+			t.Errorf("proxy %s has %d servers in its list, want 4", x.Name, x.List.Servers)
 		}
 		if len(x.List.Removed) != 1 || x.List.Removed[0].Name != "hs2" || x.List.Removed[0].At < f.Servers.Deaths[0].At {
-			t.Errorf("%s lost %v without draining, want hs2 after %v", x.Name, x.List.Removed, f.Servers.Deaths)
+			t.Errorf("proxy %s recorded %v as removed without draining, want hs2 after its death in %v",
+				x.Name, x.List.Removed, f.Servers.Deaths)
 		}
 		if x.Calls.Taken == 0 || x.Calls.Sent < x.Calls.Taken/2 {
-			t.Errorf("%s: %+v: the module had nothing to decide", x.Name, x.Calls)
+			t.Errorf("proxy %s: the balancer got too few calls or sent too few of them: %+v", x.Name, x.Calls)
 		}
 	}
 	if light := p.Metrics(false); len(light.Servers.Changes) > 0 || len(light.Proxies[0].List.Versions) > 0 {
-		t.Error("figures without steps have some")
+		t.Error("metrics without steps contain changes or versions")
 	}
 }
 
-// A proxy that cannot go on ends its process, and is named with the cause: where it is made, where it runs, and on disk.
+// TestFailureNamesProxy checks that the failure of a proxy ends its process and that the error names the
+// proxy and the reason, whether the proxy fails when it is created or while it runs, and in the failure file.
 func TestFailureNamesProxy(t *testing.T) {
 	list, _, _ := startRegistry(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
@@ -147,28 +154,30 @@
 	c.Cluster = &Cluster{Label: "test"}
 	c.Proxies[0].Bind, c.Proxies[1].Bind = "127.0.0.1:0", taken.Addr().String()
 	var failed *FailedError
-	if _, err := New(c, discardLogger); !errors.As(err, &failed) || failed.Name != "hp1" || !strings.Contains(failed.Reason, "in use") {
-		t.Fatalf("%v; want hp1's, and that its address is in use", err)
+	if _, err := New(c, discardLogger); !errors.As(err, &failed) || failed.Name != "hp1" ||
+		!strings.Contains(failed.Reason, "in use") {
+		t.Fatalf("New failed with %v, want the failure of hp1 because its address is in use", err)
 	}
 	if err := failed.write(c.FailureFile); err != nil {
 		t.Fatal(err)
 	}
 	var read *FailedError
 	if err := ReadFailure("h", c.FailureFile); !errors.As(err, &read) || *read != *failed {
-		t.Errorf("left as %v, wanted %v", err, failed)
+		t.Errorf("the failure file holds %v, want %v", err, failed)
 	}
 	if err := ReadFailure("h", c.FailureFile+"-none"); !errors.As(err, &read) || read.Name != "process h" {
-		t.Errorf("%v; want the process's own failure", err)
+		t.Errorf("without a failure file: %v, want a failure of process h", err)
 	}
 
 	p, ended := start(t, config(list, 1, 0), noFault)
 	go p.recoverPanic("hp0", func() { panic("so it is") })
 	if err := <-ended; !errors.As(err, &failed) || failed.Name != "hp0" || !strings.Contains(failed.Reason, "so it is") {
-		t.Errorf("%v; want hp0's, with its panic", err)
+		t.Errorf("the process ended with %v, want the failure of hp0 with its panic", err)
 	}
 }
 
-// Relays pass gossip, and drop a fraction for the duration of the command.
+// TestRelaysLoseDatagrams checks that relays forward gossip, and drop a fraction of it for the duration of a
+// lose command.
 func TestRelaysLoseDatagrams(t *testing.T) {
 	list, _, _ := startRegistry(t)
 	c := config(list, 2, 2)
@@ -181,7 +190,7 @@
 		c.Proxies[i].Seeds = []string{c.Proxies[0].Advertise}
 	}
 	p, _ := start(t, c, noFault)
-	waitFor(t, "both", func() bool { return p.notReadyReason() == "" })
+	waitFor(t, "both proxies to be ready", func() bool { return p.notReadyReason() == "" })
 	countDatagrams := func() (on, lost int) {
 		for _, r := range p.memberRelays {
 			x := r.Counters()
@@ -189,21 +198,23 @@
 		}
 		return on, lost
 	}
-	waitFor(t, "gossip", func() bool { on, _ := countDatagrams(); return on > 5 })
+	waitFor(t, "more than 5 forwarded datagrams", func() bool { on, _ := countDatagrams(); return on > 5 })
 	if _, lost := countDatagrams(); lost != 0 {
-		t.Fatalf("%d lost before anything is", lost)
+		t.Fatalf("%d datagrams lost before the command, want none", lost)
 	}
 	if err := p.Execute(Command{Action: "lose", Fraction: 1, DurationMs: 1500}); err != nil {
 		t.Fatal(err)
 	}
 	before, _ := countDatagrams()
-	waitFor(t, "losses", func() bool { _, lost := countDatagrams(); return lost > 3 })
-	if on, lost := countDatagrams(); on > before+2 { // what came in the instant of the order
-		t.Errorf("%d passed while all is lost, %d lost", on-before, lost)
+	waitFor(t, "more than 3 lost datagrams", func() bool { _, lost := countDatagrams(); return lost > 3 })
+	if on, lost := countDatagrams(); on > before+2 { // up to 2 may pass as the command begins
+		t.Errorf("%d datagrams forwarded while all are to be lost, and %d lost", on-before, lost)
 	}
-	waitFor(t, "the end", func() bool { on, _ := countDatagrams(); return on > before+10 })
+	waitFor(t, "more than 10 forwarded datagrams after the command",
+		func() bool { on, _ := countDatagrams(); return on > before+10 })
 }
 
+// freeAddress returns an address with a free port on an IP.
 func freeAddress(t *testing.T, ip string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", ip+":0")
@@ -214,7 +225,7 @@
 	return l.Addr().String()
 }
 
-// Orders that make no sense change nothing.
+// TestInvalidOrders checks that a command with an unknown server or action is rejected.
 func TestInvalidOrders(t *testing.T) {
 	p, err := New(config("127.0.0.1:1", 0, 1), discardLogger)
 	if err != nil {
@@ -222,7 +233,7 @@
 	}
 	for _, o := range []Command{{Action: "replace", Targets: []CommandTarget{{Name: "none"}}}, {Action: "sing", Targets: []CommandTarget{{Name: "hs0"}}}} {
 		if err := p.Execute(o); err == nil {
-			t.Errorf("%+v was taken", o)
+			t.Errorf("the invalid command %+v was accepted", o)
 		}
 	}
 }
--- a/internal/faultlab/hollow/rollout_test.go
+++ b/internal/faultlab/hollow/rollout_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// A change of configuration is in force at all hollow proxies that follow it, under its version, while calls go on; one that
-// does not fit is refused at each, and what was in force stays.
+// TestConfigurationsAreApplied checks that all hollow proxies that follow a configuration apply a change of
+// it under its version while calls continue, and that each of them rejects an invalid change and keeps the
+// one in force.
 func TestConfigurationsAreApplied(t *testing.T) {
 	list, _, _ := startRegistry(t)
 	c := config(list, 3, 2)
@@ -19,7 +20,7 @@
 		c.Proxies[i].Service = "s"
 	}
 	p, _ := start(t, c, noFault)
-	waitFor(t, "all", func() bool { return p.notReadyReason() == "" })
+	waitFor(t, "all proxies to be ready", func() bool { return p.notReadyReason() == "" })
 	p.ResetMetrics()
 	put := func(after int64, class string, zone string) int64 {
 		t.Helper()
@@ -37,7 +38,7 @@
 		text, err := io.ReadAll(resp.Body)
 		var out struct{ Version int64 }
 		if err := errors.Join(err, json.Unmarshal(text, &out)); err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("%s %s (%v)", resp.Status, text, err)
+			t.Fatalf("PUT /config/s was answered with %s %s (%v)", resp.Status, text, err)
 		}
 		return out.Version
 	}
@@ -59,16 +60,19 @@
 		return f.Versions[len(f.Versions)-1].Version
 	}
 	first := put(0, "d", "a-a")
-	waitForAll("the first", func(f *ConfigMetrics) bool { return lastVersion(f) == first })
-	second := put(first, "e", "b-b") // their zone is not in it
-	waitForAll("a refusal", func(f *ConfigMetrics) bool { return f.RejectedVersion == second && lastVersion(f) == first })
+	waitForAll("all proxies to apply the first configuration",
+		func(f *ConfigMetrics) bool { return lastVersion(f) == first })
+	second := put(first, "e", "b-b") // invalid: it lacks the proxies' zone
+	waitForAll("all proxies to reject the second configuration", func(f *ConfigMetrics) bool {
+		return f.RejectedVersion == second && lastVersion(f) == first
+	})
 	third := put(second, "f", "a-a")
-	waitForAll("the third", func(f *ConfigMetrics) bool {
+	waitForAll("all proxies to apply the third configuration", func(f *ConfigMetrics) bool {
 		return f.RejectedVersion == 0 && lastVersion(f) == third && len(f.Versions) == 2
 	})
 	before := p.Metrics(false).Proxies[0].Calls.Sent
-	waitFor(t, "calls to go on", func() bool { return p.Metrics(false).Proxies[0].Calls.Sent > before })
+	waitFor(t, "further calls", func() bool { return p.Metrics(false).Proxies[0].Calls.Sent > before })
 	if p.ResetMetrics(); len(p.Metrics(true).Proxies[0].Config.Versions) != 1 {
-		t.Error("steps from before the figures began")
+		t.Error("after ResetMetrics the metrics still hold other versions than the last one")
 	}
 }
--- a/internal/faultlab/link/link_test.go
+++ b/internal/faultlab/link/link_test.go
@@ -15,16 +15,19 @@
 	"go.uber.org/goleak"
 )
 
-// A cut holds for good in these tests, and what is seen within short is what passes; what must not pass is given less,
-// which can only miss a fault on a busy machine, never find one that is not there.
+// Timeouts of the tests. Bytes that must pass get passTimeout. Bytes that must not pass are awaited for
+// blockedTimeout only, since a cut in these tests lasts until the test ends it: on a busy machine that can
+// miss a fault but never report one that does not exist.
 const (
 	passTimeout    = 10 * time.Second
 	blockedTimeout = 150 * time.Millisecond
 )
 
+// allLinks matches every link.
 func allLinks(Ends) bool { return true }
 
-// newEcho is a link to a server that sends lines back, its address, and the lines that it has heard.
+// newEchoServer returns a network with a link to a server that echoes lines, the server's address, and a
+// channel with the lines that the server has received.
 func newEchoServer(t *testing.T) (*Net, string, <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,9 +54,10 @@
 	return n, addr, received
 }
 
+// dial connects to an address within blockedTimeout.
 func dial(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, blockedTimeout) }
 
-// says sends a line and tells whether it comes back within the time.
+// sendLine sends a line and returns an error unless it is echoed within the time.
 func sendLine(c net.Conn, text string, within time.Duration) error {
 	_ = c.SetDeadline(time.Now().Add(within))
 	if _, err := fmt.Fprintln(c, text); err != nil {
@@ -62,6 +66,7 @@
 	return expectLine(c, text, within)
 }
 
+// expectLine reads a line and returns an error unless it is text and arrives within the time.
 func expectLine(c net.Conn, text string, within time.Duration) error {
 	_ = c.SetDeadline(time.Now().Add(within))
 	buf := make([]byte, len(text)+1)
@@ -69,18 +74,20 @@
 		return err
 	}
 	if string(buf) != text+"\n" {
-		return fmt.Errorf("heard %q", buf)
+		return fmt.Errorf("received another line than expected: %q", buf)
 	}
 	return nil
 }
 
+// TestEffects checks what each effect does to an open connection and to new ones, and that everything passes
+// again after its end.
 func TestEffects(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		effect   Effect
-		arrives  bool  // what is said on a connection that was open before
-		passes   bool  // and comes back
-		connects error // of a new one; nil: it comes up
+		arrives  bool  // whether a line on a connection that was open before reaches the server
+		passes   bool  // whether its echo comes back
+		connects error // error of a new connect; nil if it succeeds
 	}{
 		{"nothing", Effect{}, true, true, nil},
 		{"silent", Silent, false, false, os.ErrDeadlineExceeded},
@@ -109,26 +116,26 @@
 			}
 			err = sendLine(c, "during", wait)
 			if passed := err == nil; passed != test.passes {
-				t.Errorf("during: passed %v (%v)", passed, err)
+				t.Errorf("during the effect a line was echoed: %v (%v)", passed, err)
 			}
 			if !test.passes && !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("during: %v, want silence: the connection stays open", err)
+				t.Errorf("during the effect: %v, want a timeout on a connection that stays open", err)
 			}
 			if test.arrives {
 				select {
 				case got := <-received:
 					if got != "during\n" {
-						t.Errorf("the server heard %q", got)
+						t.Errorf("the server received %q, want the line sent during the effect", got)
 					}
 				case <-time.After(passTimeout):
-					t.Error("what was said did not arrive")
+					t.Error("the line sent during the effect did not reach the server")
 				}
 			} else if len(received) > 0 {
-				t.Error("the server heard what was cut off")
+				t.Error("the server received a line over a cut link")
 			}
 			other, err := dial(addr)
 			if !errors.Is(err, test.connects) && !(test.connects == os.ErrDeadlineExceeded && errors.Is(err, context.DeadlineExceeded)) {
-				t.Errorf("connect: %v, want %v", err, test.connects)
+				t.Errorf("connect during the effect: %v, want %v", err, test.connects)
 			}
 			if other != nil {
 				other.Close()
@@ -136,24 +143,25 @@
 			if err := end(); err != nil {
 				t.Fatal(err)
 			}
-			if !test.passes { // what was held comes late, and is not lost
+			if !test.passes { // a cut delays the line but does not lose it
 				if err := expectLine(c, "during", passTimeout); err != nil {
-					t.Errorf("after the end: %v", err)
+					t.Errorf("the line held by the effect did not come after its end: %v", err)
 				}
 			}
 			again, err := net.DialTimeout("tcp", addr, passTimeout)
 			if err != nil {
-				t.Fatalf("connect after the end: %v", err)
+				t.Fatalf("connect after the end of the effect: %v", err)
 			}
 			defer again.Close()
 			if err := sendLine(again, "after", passTimeout); err != nil {
-				t.Errorf("after the end, anew: %v", err)
+				t.Errorf("new connection after the end of the effect: %v", err)
 			}
 		})
 	}
 }
 
-// A fault that ends while another holds takes only its own away.
+// TestEffectsOverlap checks that the end of an effect leaves another active effect in place, and that Reset
+// resets open connections.
 func TestEffectsOverlap(t *testing.T) {
 	n, addr, _ := newEchoServer(t)
 	first, err := n.Apply(allLinks, Effect{Refuse: true})
@@ -168,7 +176,7 @@
 		t.Fatal(err)
 	}
 	if _, err := dial(addr); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("while the second holds: %v", err)
+		t.Errorf("connect while the second effect is active: %v, want it refused", err)
 	}
 	if err := second(); err != nil {
 		t.Fatal(err)
@@ -182,17 +190,19 @@
 		t.Error(err)
 	}
 	if n.Reset(allLinks) != 1 {
-		t.Error("there was one connection to reset")
+		t.Error("Reset did not report one reset connection")
 	}
 	_ = c.SetDeadline(time.Now().Add(passTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("after a reset: %v", err)
+		t.Errorf("read after Reset: %v, want a connection reset", err)
 	}
 }
 
-// A link that is made while faults begin and end is what they leave it.
+// TestNewLinkHasActiveEffects checks that links created while effects begin and end have no effect left after
+// all effects have ended.
 func TestNewLinkHasActiveEffects(t *testing.T) {
-	const host = "127.0.0.6" // where nobody else's connections take a port while it is closed
+	// On this address no other connection takes a link's port while the link has it closed.
+	const host = "127.0.0.6"
 	n, _, _ := newEchoServer(t)
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -236,7 +246,7 @@
 	}
 }
 
-// The word of a close does not cross a cut; it comes when that ends.
+// TestCloseOverCut checks that a close does not pass a cut link before the cut ends.
 func TestCloseOverCut(t *testing.T) {
 	n, addr, _ := newEchoServer(t)
 	c, err := dial(addr)
@@ -259,18 +269,19 @@
 	l.mu.Unlock()
 	_ = c.SetDeadline(time.Now().Add(blockedTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("over the cut: %v", err)
+		t.Errorf("read during the cut: %v, want a timeout", err)
 	}
 	if err := end(); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.SetDeadline(time.Now().Add(passTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("after it: %v", err)
+		t.Errorf("read after the cut: %v, want the end of the stream", err)
 	}
 }
 
-// What was written after the peer had ended its sending is known as such, whenever that end is read.
+// TestPeerClosedBeforeWrite checks that a write after the peer has closed its sending side is reported as
+// such, whether or not the end was read before.
 func TestPeerClosedBeforeWrite(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -298,7 +309,7 @@
 		}
 		<-written
 		if got := conn.PeerClosedBeforeWrite(); got != closed {
-			t.Errorf("got %v, want %v", got, closed)
+			t.Errorf("PeerClosedBeforeWrite returned %v, want %v", got, closed)
 		}
 	}
 }
--- a/internal/faultlab/link/relay_test.go
+++ b/internal/faultlab/link/relay_test.go
@@ -11,13 +11,14 @@
 	"go.uber.org/goleak"
 )
 
-// program takes datagrams and echoes lines on one port, and counts its connections.
+// echoProgram receives datagrams and echoes lines of connections on one port, and counts its connections.
 type echoProgram struct {
 	addr     string
 	received chan string
 	conns    atomic.Int32
 }
 
+// newEchoProgram starts a program that runs until the test ends.
 func newEchoProgram(t *testing.T) *echoProgram {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
@@ -28,7 +29,7 @@
 			t.Fatal(err)
 		}
 		u, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(l.Addr().String())))
-		if err != nil { // the port is another's in UDP
+		if err != nil { // the port is taken in UDP
 			l.Close()
 			continue
 		}
@@ -67,7 +68,7 @@
 	}
 }
 
-// newRelay is a relay before a program that knows 127.0.0.2 and .3 as a and b.
+// newRelay returns a relay in front of a program. It knows the senders 127.0.0.2 and 127.0.0.3 as a and b.
 func newRelay(t *testing.T, p *echoProgram) (*Net, *Relay) {
 	t.Helper()
 	n := New(1)
@@ -78,7 +79,7 @@
 			name := names[ip.String()]
 			return Ends{Kind: "gossip", From: name, To: "p"}, 0, name != ""
 		})
-		if err != nil { // the port is another's in TCP
+		if err != nil { // the port is taken in TCP
 			continue
 		}
 		if err := r.SetTarget(p.addr); err != nil {
@@ -90,8 +91,10 @@
 	return nil, nil
 }
 
+// fromA matches the links from sender a.
 func fromA(e Ends) bool { return e.From == "a" }
 
+// sendDatagram sends a datagram from an IP to an address.
 func sendDatagram(t *testing.T, from, to, text string) {
 	t.Helper()
 	c, err := net.DialUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(from+":0")),
@@ -105,7 +108,8 @@
 	}
 }
 
-// What a link does to datagrams, seen by the order in which they come: b's is sent after a's.
+// TestRelayDatagrams checks what a link's effects do to datagrams: an effect is applied to sender a, and b
+// sends its datagram after a.
 func TestRelayDatagrams(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -137,18 +141,20 @@
 				}
 			}
 			if got != test.want || len(p.received) > 0 {
-				t.Errorf("the program heard %q and %d more, want %q", got, len(p.received), test.want)
+				t.Errorf("the program received %q and %d more datagrams, want %q",
+					got, len(p.received), test.want)
 			}
-			test.passed.Bytes = int64(test.passed.Forwarded) // of one byte each
+			test.passed.Bytes = int64(test.passed.Forwarded) // each datagram has one byte
 			if passed := r.Counters(); passed != test.passed {
-				t.Errorf("counted %+v, want %+v", passed, test.passed)
+				t.Errorf("the relay counted %+v, want %+v", passed, test.passed)
 			}
 		})
 	}
 }
 
-// Over a cut link a connection comes up and is silent, the program hears nothing of it, and another sender's passes;
-// what was held comes when the cut ends.
+// TestRelayConnections checks that over a cut link a connection is established but passes no bytes and opens
+// no connection at the program, that another sender's connection works, and that held bytes pass after the
+// cut.
 func TestRelayConnections(t *testing.T) {
 	p := newEchoProgram(t)
 	n, r := newRelay(t, p)
@@ -168,21 +174,21 @@
 	defer a.Close()
 	defer b.Close()
 	if err := sendLine(a, "held", blockedTimeout); err == nil {
-		t.Error("it passed over a cut link")
+		t.Error("a line of sender a was echoed over a cut link")
 	}
 	if err := sendLine(b, "passes", passTimeout); err != nil {
 		t.Error(err)
 	}
 	if got := p.conns.Load(); got != 1 {
-		t.Errorf("%d connections at the program, want b's alone", got)
+		t.Errorf("the program has %d connections, want only that of sender b", got)
 	}
 	if err := end(); err != nil {
 		t.Fatal(err)
 	}
 	if err := expectLine(a, "held", passTimeout); err != nil {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("the held line did not come after the end of the cut: %v", err)
 	}
 	if n.Reset(fromA) != 1 {
-		t.Error("there was one connection of a's to reset")
+		t.Error("Reset did not report one reset connection of sender a")
 	}
 }
--- a/internal/faultlab/link/traffic_test.go
+++ b/internal/faultlab/link/traffic_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// What passes is counted by who sent it, on a link that is dialled and on one that dials.
+// TestTraffic checks that bytes are counted by direction, on a link that a program dials and on one that the
+// lab dials.
 func TestTraffic(t *testing.T) {
 	n := New(1)
 	defer n.Close()
@@ -43,16 +44,20 @@
 	}
 	got := map[string]Traffic{}
 	n.EachTraffic(func(e Ends, t Traffic) { got[e.Kind] = got[e.Kind].Add(t) })
-	for kind, want := range map[string]Traffic{"list": {FromDialer: 7, ToDialer: 23, Chunks: 2, Connections: 2}, "client": {FromDialer: 2, ToDialer: 10, Chunks: 1, Connections: 1}} {
+	for kind, want := range map[string]Traffic{
+		"list":   {FromDialer: 7, ToDialer: 23, Chunks: 2, Connections: 2},
+		"client": {FromDialer: 2, ToDialer: 10, Chunks: 1, Connections: 1},
+	} {
 		if got[kind] != want {
-			t.Errorf("%s: %+v, want %+v", kind, got[kind], want)
+			t.Errorf("links of kind %s have traffic %+v, want %+v", kind, got[kind], want)
 		}
 	}
 	if z := got["list"].Sub(got["list"]); z != (Traffic{}) {
-		t.Errorf("nothing since: %+v", z)
+		t.Errorf("the difference of equal amounts of traffic is %+v, want none", z)
 	}
 }
 
+// freeAddress returns a loopback address with a free port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/faultlab/misbehavingclient/misbehavingclient_test.go
+++ b/internal/faultlab/misbehavingclient/misbehavingclient_test.go
@@ -9,7 +9,9 @@
 	"time"
 )
 
-// A server that leaves a misbehaving client unanswered or serves it is reported; one that rejects it or closes is not.
+// TestRunReportsTheAnswer checks that Run reports a proxy that leaves a misbehaving client unanswered or
+// serves it, and not one that rejects the request or closes the connection. It also checks that all
+// misbehaviors are drawn.
 func TestRunReportsTheAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -35,12 +37,13 @@
 					c.does(conn)
 				}
 			}()
-			err = Misbehavior{Name: "half a head", chunks: []string{"GET / HT"}}.Run(t.Context(), l.Addr().String())
+			err = Misbehavior{Name: "incomplete head", chunks: []string{"GET / HT"}}.
+				Run(t.Context(), l.Addr().String())
 			if (err != nil) != c.bad {
-				t.Errorf("got %v", err)
+				t.Errorf("Run returned the wrong result: %v", err)
 			}
 			if c.name == "keeps it" && !errors.Is(err, ErrUnanswered) {
-				t.Errorf("got %v, want %v", err, ErrUnanswered)
+				t.Errorf("Run returned %v, want %v", err, ErrUnanswered)
 			}
 		})
 	}
@@ -50,6 +53,6 @@
 		seen[Draw(r, "alta").Name] = true
 	}
 	if len(seen) < 14 {
-		t.Errorf("only %d ways are drawn", len(seen))
+		t.Errorf("%d different misbehaviors drawn, want at least 14", len(seen))
 	}
 }
--- a/internal/faultlab/process/process_test.go
+++ b/internal/faultlab/process/process_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The test binary is also the program under test: "append" appends lines to a file and prints the result of each write, "lab"
-// starts a process of its own and waits.
+// TestMain lets the test binary serve as the programs under test: "append" appends lines to a file and prints
+// the result of each write, "wait" sleeps, and "lab" starts a "wait" process, prints its id and waits.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "append" {
 		for i := 0; ; i++ {
@@ -45,11 +45,12 @@
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no sign within the timeout of ", what)
+			t.Fatal("timed out waiting for ", what)
 		}
 	}
 }
 
+// size returns the size of a file in bytes; -1 if it is unknown.
 func size(path string) int64 {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -58,6 +59,8 @@
 	return info.Size()
 }
 
+// start starts this test binary as the program verb on a file, and returns the process and the path of its
+// log.
 func start(t *testing.T, s *Starter, verb, file string) (*Process, string) {
 	t.Helper()
 	log := file + "." + verb + ".log"
@@ -68,68 +71,72 @@
 	return p, log
 }
 
+// TestDiskFullStopAndKill checks that a process meets write errors while its disk is full, writes nothing
+// while it is suspended, reports its usage, and is not taken for crashed when the lab kills it.
 func TestDiskFullStopAndKill(t *testing.T) {
 	s := NewStarter()
 	defer s.Close()
 	file := filepath.Join(t.TempDir(), "f")
 	p, log := start(t, s, "append", file)
-	waitUntil(t, "a first line", func() bool { return size(file) > 0 })
+	waitUntil(t, "the first line in the file", func() bool { return size(file) > 0 })
 
 	if err := p.SetDiskFull(true); err != nil {
 		t.Fatal(err)
 	}
 	logged := func() string { text, _ := os.ReadFile(log); return string(text) }
-	waitUntil(t, "a write that fails, in the log", func() bool { return strings.Contains(logged(), "file too large") })
+	waitUntil(t, "a failed write in the log",
+		func() bool { return strings.Contains(logged(), "file too large") })
 	full := size(file)
 	if err := p.SetDiskFull(false); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "room again", func() bool { return size(file) > full })
+	waitUntil(t, "writes to succeed again", func() bool { return size(file) > full })
 
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "a stop", func() bool {
+	waitUntil(t, "the process to be suspended", func() bool {
 		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 		return strings.Contains(string(stat), ") T ")
 	})
 	stopped := size(file)
 	time.Sleep(20 * time.Millisecond)
 	if size(file) != stopped {
-		t.Error("it writes while it is stopped")
+		t.Error("the process wrote to the file while it was suspended")
 	}
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "it to go on", func() bool { return size(file) > stopped })
+	waitUntil(t, "writes after SIGCONT", func() bool { return size(file) > stopped })
 
 	if u := p.Usage(); u.PeakMemory < 1<<20 {
-		t.Errorf("it uses %+v", u)
+		t.Errorf("the process used %+v, want at least 1 MiB of memory", u)
 	}
 	if err := p.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	if p.Crashed() {
-		t.Error("killed by the lab is no crash")
+		t.Error("a process that the lab killed counts as crashed")
 	}
 }
 
-// A process that ends by itself has crashed. Processes end with the lab, even if the lab is killed.
+// TestCrashesAndLifetime checks that a process that the lab did not end counts as crashed, and that processes
+// end with the lab even if the lab is killed.
 func TestCrashesAndLifetime(t *testing.T) {
 	s := NewStarter()
 	defer s.Close()
 	file := filepath.Join(t.TempDir(), "f")
 	crash, _ := start(t, s, "append", file)
-	if err := syscall.Kill(crash.PID(), syscall.SIGKILL); err != nil { // by another than the lab
+	if err := syscall.Kill(crash.PID(), syscall.SIGKILL); err != nil { // not by the lab
 		t.Fatal(err)
 	}
 	<-crash.Ended()
 	if !crash.Crashed() {
-		t.Error("an end without a request is a crash")
+		t.Error("a process that the lab did not end does not count as crashed")
 	}
 	lab, log := start(t, s, "lab", file)
 	inner := 0
-	waitUntil(t, "a process of the lab's", func() bool {
+	waitUntil(t, "the process that the lab starts", func() bool {
 		text, _ := os.ReadFile(log)
 		_, err := fmt.Sscan(string(text), &inner)
 		return err == nil
@@ -143,7 +150,8 @@
 	})
 }
 
-// A directory has one run at a time; the mark of a killed run is replaced.
+// TestLock checks that a directory locked by a running process cannot be locked, and that the lock of an
+// ended process and an invalid lock file are replaced.
 func TestLock(t *testing.T) {
 	dir := t.TempDir()
 	for _, test := range []struct {
@@ -158,7 +166,7 @@
 			}
 		}
 		if err := Lock(dir); (err == nil) != test.free {
-			t.Errorf("a directory marked %q: %v", test.mark, err)
+			t.Errorf("Lock with the lock file %q: %v", test.mark, err)
 		}
 		Unlock(dir)
 	}
--- a/internal/faultlab/stubserver/stubserver_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -15,7 +15,7 @@
 	"merlinpick/internal/faultlab/wire"
 )
 
-// world gives every request the same work.
+// fixedWorkLab is a Lab that gives every request the same work.
 type fixedWorkLab struct {
 	work       time.Duration
 	overloaded chan string
@@ -26,8 +26,9 @@
 }
 func (w fixedWorkLab) OverloadFailed(name string) { w.overloaded <- name }
 
-// newServer returns a server behind a link, with its address and referee.
-func newServer(t testing.TB, spec Spec, work time.Duration) (*Server, fixedWorkLab, *referee.Referee, string) {
+// newServer returns a server behind a link, with its lab, referee and address.
+func newServer(t testing.TB, spec Spec, work time.Duration) (*Server, fixedWorkLab, *referee.Referee,
+	string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +51,8 @@
 	return server, w, ref, addr
 }
 
-// ask makes one request on a connection of its own and returns the status; 0: none.
+// sendRequest sends a request on a new connection and returns the status of the response; 0 if there was
+// none.
 func sendRequest(ref *referee.Referee, addr, id string, timeout time.Duration) (status int, notStarted bool) {
 	ref.RecordSend(&referee.ClientAttempt{ID: id, Method: "GET", Path: "/c", RequestDigest: wire.Digest(nil)}, "p")
 	c, err := net.Dial("tcp", addr)
@@ -68,7 +70,8 @@
 	return resp.StatusCode, resp.Header.Get(wire.NotStarted) == "1"
 }
 
-// A server's response depends on its state. Work takes forever where only its start matters.
+// TestResponses checks that a server's response depends on its state and faults. Work takes forever where
+// only its start matters.
 func TestResponses(t *testing.T) {
 	const forever = time.Hour
 	one := Spec{Slots: 1, Speed: 1, Queue: 1}
@@ -77,7 +80,7 @@
 		spec       Spec
 		work       time.Duration
 		before     func(server *Server)
-		hold       int // requests in flight already
+		hold       int // requests that are in flight before
 		timeout    time.Duration
 		status     int
 		notStarted bool
@@ -110,14 +113,17 @@
 			for in := 0; in < test.hold; time.Sleep(time.Millisecond) {
 				server.locked(func() { in = server.busy + len(server.queue) })
 			}
-			if status, notStarted := sendRequest(ref, addr, "x", test.timeout); status != test.status || notStarted != test.notStarted {
-				t.Errorf("got %d, Not-Started %v; want %d, %v", status, notStarted, test.status, test.notStarted)
+			if status, notStarted := sendRequest(ref, addr, "x", test.timeout); status != test.status ||
+				notStarted != test.notStarted {
+				t.Errorf("got status %d, Not-Started %v; want %d, %v", status, notStarted, test.status,
+					test.notStarted)
 			}
 		})
 	}
 }
 
-// A request that states that no time is left is over at its arrival: it is answered and not executed.
+// TestRequestWithoutTimeLeftIsNotExecuted checks that a request whose timeout is 0 on arrival is answered
+// with 504 and Not-Started.
 func TestRequestWithoutTimeLeftIsNotExecuted(t *testing.T) {
 	server, _, ref, addr := newServer(t, Spec{Slots: 1, Speed: 1, Queue: 1}, time.Hour)
 	server.Start(time.Time{}, false)
@@ -131,11 +137,12 @@
 	fmt.Fprintf(c, "GET /c HTTP/1.1\r\nHost: x\r\n%s: x\r\n%s: 0\r\n\r\n", wire.RequestID, wire.RequestTimeout)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusGatewayTimeout || resp.Header.Get(wire.NotStarted) != "1" {
-		t.Errorf("got %v, %v", resp, err)
+		t.Errorf("got response %v and error %v, want status 504 with Not-Started", resp, err)
 	}
 }
 
-// A canceled request frees its place in the queue, and its slot if work can be canceled.
+// TestCanceledRequestsFreeTheirPlaces checks that a canceled request frees its place in the queue, and its
+// slot if the server cancels work.
 func TestCanceledRequestsFreeTheirPlaces(t *testing.T) {
 	server, _, ref, addr := newServer(t, Spec{Slots: 1, Speed: 1, Queue: 1, CancelsWork: true}, time.Hour)
 	server.Start(time.Time{}, false)
@@ -146,7 +153,7 @@
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("waited in vain for ", what)
+				t.Fatal("timed out waiting for ", what)
 			}
 		}
 	}
@@ -169,7 +176,7 @@
 		for j := range 2 {
 			both.Go(func() {
 				if status, _ := sendRequest(ref, addr, fmt.Sprint(i, j), 100*time.Millisecond); status == 503 {
-					t.Errorf("round %d: rejected, though both places should be free", i)
+					t.Errorf("round %d: the request was rejected, though both places should be free", i)
 				}
 			})
 		}
@@ -178,17 +185,19 @@
 	}
 }
 
-// In slow start a server fails over its budget and not below; at full capacity it never fails.
+// TestOverloadBudget checks that a server in slow start fails if the work exceeds its budget and not below
+// it, and that a server at full capacity never fails.
 func TestOverloadBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name       string
 		cold       bool
 		age        time.Duration // at the last arrival
-		work       time.Duration // in all, in 20 pieces over a second
+		work       time.Duration // total, in 20 equal requests over a second
 		overloaded bool
 	}{
-		// 3 times (0.5 of capacity at the window's middle, 1 slot of speed 1) for 2 s: some 3.3 s of work at first.
+		// 3 times (0.5 of capacity at the window's middle, 1 slot of speed 1) for 2 s: some 3.3 s of work at
+		// first.
 		{"within", true, time.Second, 3 * time.Second, false},
 		{"over", true, time.Second, 5 * time.Second, true},
 		{"over, but warmer", true, 8 * time.Second, 5 * time.Second, false},
@@ -202,7 +211,7 @@
 			overloaded = server.detectOverload(at, test.work/20, "p") != nil || overloaded
 		}
 		if overloaded != test.overloaded {
-			t.Errorf("%s: fell %v", test.name, overloaded)
+			t.Errorf("%s: the server failed under overload: %v, want the opposite", test.name, overloaded)
 		}
 	}
 }
