--- a/internal/faultlab/catalog/catalog_test.go
+++ b/internal/faultlab/catalog/catalog_test.go
@@ -162,10 +162,10 @@
 	for _, overtaken := range []bool{true, false} {
 		c, began := newCatalog(1, 1), time.Unix(1000, 0)
 		c.referee.RecordProxyStart("p", []referee.Entry{{Server: "s0", Serving: true}}, began)
-		process, held := c.referee.StartCount("p"), c.version
+		process, fromVersion := c.referee.StartCount("p"), c.version
 		answerChange := func(status string, since int64) *pollCall {
 			c.commit(Entry{Name: "s0", Status: status, Since: since})
-			call := &pollCall{proxy: "p", from: held, reply: make(chan []byte, 1)}
+			call := &pollCall{proxy: "p", from: fromVersion, reply: make(chan []byte, 1)}
 			c.answer(call, began)
 			return call
 		}
@@ -241,7 +241,7 @@
 		c.Change(Entry{Name: "s0", Status: Draining})
 		time.Sleep(2 * time.Second)
 		for proxy, want := range map[string]string{"p": Serving, "new": Draining} {
-			text, told := c.Snapshot(proxy, 1, rand.New(rand.NewPCG(1, 1)))
+			text, known := c.Snapshot(proxy, 1, rand.New(rand.NewPCG(1, 1)))
 			var list struct {
 				Index     int64
 				Endpoints []wireEntry
@@ -249,7 +249,8 @@
 			if err := json.Unmarshal(text, &list); err != nil {
 				t.Fatal(err)
 			}
-			if got := list.Endpoints[0].Status; got != want || told[0].Serving != (want == Serving) || (list.Index == 3) != (proxy == "new") {
+			if got := list.Endpoints[0].Status; got != want ||
+				known[0].Serving != (want == Serving) || (list.Index == 3) != (proxy == "new") {
 				t.Errorf("proxy %s starts at version %d with s0 %s, want %s", proxy, list.Index, got, want)
 			}
 		}
--- a/internal/faultlab/hollow/hollow_test.go
+++ b/internal/faultlab/hollow/hollow_test.go
@@ -191,12 +191,12 @@
 	}
 	p, _ := start(t, c, noFault)
 	waitFor(t, "both proxies to be ready", func() bool { return p.notReadyReason() == "" })
-	countDatagrams := func() (on, lost int) {
+	countDatagrams := func() (forwarded, lost int) {
 		for _, r := range p.memberRelays {
 			x := r.Counters()
-			on, lost = on+x.Forwarded, lost+x.Lost
+			forwarded, lost = forwarded+x.Forwarded, lost+x.Lost
 		}
-		return on, lost
+		return forwarded, lost
 	}
 	waitFor(t, "more than 5 forwarded datagrams", func() bool { on, _ := countDatagrams(); return on > 5 })
 	if _, lost := countDatagrams(); lost != 0 {
--- a/internal/faultlab/hollow/process.go
+++ b/internal/faultlab/hollow/process.go
@@ -301,10 +301,10 @@
 	})
 	mux.HandleFunc("POST /begin", func(http.ResponseWriter, *http.Request) { p.ResetMetrics() })
 	mux.HandleFunc("POST /do", func(w http.ResponseWriter, r *http.Request) {
-		var o Command
-		err := json.NewDecoder(r.Body).Decode(&o)
+		var command Command
+		err := json.NewDecoder(r.Body).Decode(&command)
 		if err == nil {
-			err = p.Execute(o)
+			err = p.Execute(command)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/faultlab/hollow/relay.go
+++ b/internal/faultlab/hollow/relay.go
@@ -37,11 +37,11 @@
 		members[addr] = s
 	}
 	for _, x := range p.cfg.Proxies {
-		own, err := netip.ParseAddrPort(x.Bind)
+		bindAddr, err := netip.ParseAddrPort(x.Bind)
 		if err != nil {
 			return err
 		}
-		to := members[own.Addr()]
+		to := members[bindAddr.Addr()]
 		r, err := p.network.Relay(x.Advertise, func(ip netip.Addr) (link.Ends, time.Duration, bool) {
 			from, ok := members[ip]
 			delay := c.CrossRegionDelayUs
--- a/internal/faultlab/hollow/server.go
+++ b/internal/faultlab/hollow/server.go
@@ -19,7 +19,7 @@
 // generation counts them.
 type server struct {
 	Server
-	leaseMs int64 // milliseconds
+	leaseMs int64
 	client  *registrar.Client
 	record  func(Change)
 	fail    func(name string, err error)
--- a/internal/faultlab/linear/linear.go
+++ b/internal/faultlab/linear/linear.go
@@ -82,25 +82,25 @@
 // applyOperation is the sequential specification of a server's entry: it returns whether an output is correct
 // in a state, and the next state.
 func applyOperation(state, in, out any) (bool, any) {
-	now, call := state.(string), in.(input)
+	current, call := state.(string), in.(input)
 	switch call.kind {
 	case Register:
-		if now == Value("DRAINING", call.instance) {
-			return true, now
+		if current == Value("DRAINING", call.instance) {
+			return true, current
 		}
 		return true, Value("SERVING", call.instance)
 	case Drain:
-		if now == Value("SERVING", call.instance) {
+		if current == Value("SERVING", call.instance) {
 			return true, Value("DRAINING", call.instance)
 		}
-		return true, now
+		return true, current
 	case Remove:
-		if now == Value("SERVING", call.instance) || now == Value("DRAINING", call.instance) {
+		if current == Value("SERVING", call.instance) || current == Value("DRAINING", call.instance) {
 			return true, Absent
 		}
-		return true, now
+		return true, current
 	}
-	return out.(string) == now, now
+	return out.(string) == current, current
 }
 
 // model is the specification for porcupine: the state is the value of one server, and the history is
--- a/internal/faultlab/link/relay_test.go
+++ b/internal/faultlab/link/relay_test.go
@@ -112,10 +112,10 @@
 // sends its datagram after a.
 func TestRelayDatagrams(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		effect Effect
-		want   string
-		passed RelayCounters
+		name     string
+		effect   Effect
+		want     string
+		counters RelayCounters
 	}{
 		{"nothing", Effect{}, "ab", RelayCounters{Forwarded: 2, UnknownSender: 1}},
 		{"what it sends is cut", Effect{CutOut: true}, "b", RelayCounters{Forwarded: 1, Cut: 1, UnknownSender: 1}},
@@ -144,9 +144,9 @@
 				t.Errorf("the program received %q and %d more datagrams, want %q",
 					got, len(p.received), test.want)
 			}
-			test.passed.Bytes = int64(test.passed.Forwarded) // each datagram has one byte
-			if passed := r.Counters(); passed != test.passed {
-				t.Errorf("the relay counted %+v, want %+v", passed, test.passed)
+			test.counters.Bytes = int64(test.counters.Forwarded) // each datagram has one byte
+			if passed := r.Counters(); passed != test.counters {
+				t.Errorf("the relay counted %+v, want %+v", passed, test.counters)
 			}
 		})
 	}
--- a/internal/faultlab/service/faults.go
+++ b/internal/faultlab/service/faults.go
@@ -143,9 +143,9 @@
 func (s *Service) replaceDamaged(member *Member) {
 	for end := time.Now().Add(refusalTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		member.mu.Lock()
-		proc, dead := member.process, member.downFaults
+		proc, downFaults := member.process, member.downFaults
 		member.mu.Unlock()
-		if dead > 0 || !proc.Crashed() {
+		if downFaults > 0 || !proc.Crashed() {
 			continue
 		}
 		member.mu.Lock()
--- a/internal/faultlab/service/registrations.go
+++ b/internal/faultlab/service/registrations.go
@@ -76,15 +76,15 @@
 	registrations.mu.Lock()
 	defer registrations.mu.Unlock()
 	registrations.lastClientID++
-	number := registrations.lastClientID
+	clientID := registrations.lastClientID
 	ctx, stop := context.WithCancel(registrations.ctx)
 	// setAddresses replaces this address by a different one for each proxy; nothing connects to it.
 	endpoint := state.Endpoint{Name: server.Name, Address: "nodo.invalid:1", Zone: server.Zone, Type: server.Type, Cell: server.Group,
 		Status: state.StatusServing, Weight: 1, StartedAtMs: server.StartedAtMs}
-	record := state.Record{Endpoint: endpoint, Instance: fmt.Sprint(server.StartedAtMs, "-", number),
+	record := state.Record{Endpoint: endpoint, Instance: fmt.Sprint(server.StartedAtMs, "-", clientID),
 		LeaseMs: s.config.Lease.Milliseconds()}
 	process := &serverProcess{ref: state.InstanceRef{Name: server.Name, Instance: record.Instance},
-		record: record, clientID: number, statuses: make(chan string, 2), stop: stop}
+		record: record, clientID: clientID, statuses: make(chan string, 2), stop: stop}
 	registrations.live[server.Name], registrations.names[server.Name] = process, true
 	first := make(chan struct{})
 	registrations.running.Go(func() { s.runServer(ctx, process, sync.OnceFunc(func() { close(first) })) })
