--- a/internal/faultlab/hollow/rollout.go
+++ b/internal/faultlab/hollow/rollout.go
@@ -21,6 +21,7 @@
 	baselineFailures int64 // failures at the last ResetMetrics
 }
 
+// newRolloutFollower returns a follower of the configuration of a proxy's service.
 func newRolloutFollower(p *proxy) *rolloutFollower {
 	r := &rolloutFollower{proxy: p}
 	r.client = rollout.New(rollout.Config{Service: p.Service, ProxyName: p.Name, Members: p.RegistryMembers,
@@ -28,6 +29,7 @@
 	return r
 }
 
+// run follows the configuration until the context ends.
 func (r *rolloutFollower) run(ctx context.Context) {
 	r.ctx = ctx
 	r.client.Run(ctx)
--- a/internal/faultlab/hollow/server.go
+++ b/internal/faultlab/hollow/server.go
@@ -35,6 +35,8 @@
 	registered     chan struct{} // closed after the first registration
 }
 
+// newServer returns a hollow server that is not started. It passes its confirmed changes to record and a
+// failure to fail.
 func newServer(c *Config, n Server, record func(Change), fail func(string, error)) *server {
 	return &server{Server: n, leaseMs: c.LeaseMs, client: registrar.New(n.RegistryMembers), record: record,
 		fail: fail, registered: make(chan struct{})}
@@ -49,6 +51,7 @@
 	}
 }
 
+// startLocked starts an instance, with a new instance id and, except for the first, a new start time.
 func (n *server) startLocked(ctx context.Context) {
 	n.generation++
 	requestedAt := time.Now()
@@ -85,6 +88,7 @@
 	n.stopLocked()
 }
 
+// stopLocked stops the renewals of the current instance, if there is one.
 func (n *server) stopLocked() {
 	if n.stopRenewals != nil {
 		n.stopRenewals()
