--- a/internal/faultlab/hollow/metrics.go
+++ b/internal/faultlab/hollow/metrics.go
@@ -25,13 +25,14 @@
 	At   int64  `json:"at"` // Unix nanoseconds
 }
 
-// Metrics holds the metrics of a process. Counters start at ResetMetrics.
+// Metrics holds the metrics of a process. Values are since the start of the process unless their comment
+// names ResetMetrics.
 type Metrics struct {
 	Ready          bool           `json:"ready"` // whether all proxies and servers are ready
 	NotReadyReason string         `json:"missing,omitempty"`
 	Proxies        []ProxyMetrics `json:"proxies,omitempty"`
 	Servers        ServerMetrics  `json:"nodos"`
-	StallMs        float64        `json:"stall_ms"` // longest delay of a wake-up of the process
+	StallMs        float64        `json:"stall_ms"` // longest delay of a wake-up since ResetMetrics
 	RelayDrops     int            `json:"over"`     // datagrams that relays dropped: their queue was full
 	RSS            int64          `json:"rss"`      // resident memory in bytes
 	CPU            int64          `json:"cpu"`      // CPU time in nanoseconds since the start
@@ -53,7 +54,7 @@
 	Versions        []VersionTime `json:"steps"`    // applied since ResetMetrics, and the last one before
 	Version         int64         `json:"version"`  // version in force; 0: that of the configuration file
 	RejectedVersion int64         `json:"refused"`  // version that could not be applied; 0: none
-	Failures        int64         `json:"failures"` // failed polls since ResetMetrics
+	Failures        int64         `json:"failures"` // failed calls since ResetMetrics
 	AgeMs           float64       `json:"age_ms"`   // since a registry member last answered; -1: never
 }
 
@@ -63,7 +64,7 @@
 	Removed   []Death       `json:"lost,omitempty"` // servers removed without draining since ResetMetrics
 	Servers   int           `json:"servers"`
 	Failovers int64         `json:"moves"`    // to another registry member, since ResetMetrics
-	Failures  int64         `json:"failures"` // failed polls since ResetMetrics
+	Failures  int64         `json:"failures"` // failed calls since ResetMetrics
 	AgeMs     float64       `json:"age_ms"`   // since a registry member last answered; -1: never
 }
 
--- a/internal/faultlab/hollow/process.go
+++ b/internal/faultlab/hollow/process.go
@@ -236,8 +236,8 @@
 	return err
 }
 
-// ResetMetrics starts a new measurement period: counters restart, and recorded changes and deaths are
-// dropped.
+// ResetMetrics starts a new measurement period: the counters of failures and failovers and the longest stall
+// restart, and recorded changes, deaths and versions are dropped, except for each proxy's last version.
 func (p *Process) ResetMetrics() {
 	p.mu.Lock()
 	p.changes, p.deaths, p.stall = nil, nil, 0
