--- a/internal/faultlab/catalog/answer.go
+++ b/internal/faultlab/catalog/answer.go
@@ -9,14 +9,15 @@
 	"merlinpick/internal/faultlab/referee"
 )
 
-// wireEntry is an entry of an answer, with the proxy's own address of the server.
+// wireEntry is an entry of an answer, with the address at which the calling proxy reaches the server.
 type wireEntry struct {
 	Entry
 	Address string  `json:"address"`
 	Weight  float64 `json:"weight"`
 }
 
-// advance commits the due changes and answers the calls that are due; it returns the time until it must be called again.
+// advance commits the changes that are due and answers the calls that are due. It returns the time until it
+// must be called again.
 func (c *Catalog) advance(now time.Time) time.Duration {
 	if now.Sub(c.syncedAt) >= c.config.SyncInterval {
 		c.file.Sync()
@@ -52,13 +53,14 @@
 	return max(next, minStepInterval)
 }
 
-// serveQueue answers the calls that are due and returns the time until the next one is. A watch that continues is not queued. A call
-// that waited too long fails then and still keeps its place, as on the platform.
+// serveQueue answers the queued calls that are due and returns the time until the next one is due. A watch
+// that continues is answered at once. A call that waits longer than QueueTimeout fails at that time but still
+// keeps its place in the queue and costs service time, as on the platform.
 func (c *Catalog) serveQueue(now time.Time) time.Duration {
 	next := c.config.SyncInterval
-	line := c.queue
+	calls := c.queue
 	c.queue = nil
-	for _, call := range line {
+	for _, call := range calls {
 		waited := now.Sub(call.queuedAt)
 		switch {
 		case call.continues:
@@ -73,7 +75,7 @@
 			c.queue = append(c.queue, call)
 		case call.failed || waited > c.config.QueueTimeout:
 			call.fail()
-			c.busyUntil = now.Add(c.workOf(0))
+			c.busyUntil = now.Add(c.serviceTime(0))
 		default:
 			c.busyUntil = now.Add(c.answer(call, now))
 		}
@@ -81,78 +83,80 @@
 	return next
 }
 
-// workOf is the time that an answer with a number of entries takes.
-func (c *Catalog) workOf(lines int) time.Duration {
-	return time.Duration(c.slowdown * float64(c.config.CallWork+time.Duration(lines)*c.config.EntryWork))
+// serviceTime returns the service time of an answer with a number of entries.
+func (c *Catalog) serviceTime(entries int) time.Duration {
+	return time.Duration(c.slowdown * float64(c.config.CallWork+time.Duration(entries)*c.config.EntryWork))
 }
 
-// answer answers a call, or adds it to the watches, and returns the time that this takes.
+// answer answers a call, or adds it to the watches if there is no news for it. It returns the service time.
 func (c *Catalog) answer(call *pollCall, now time.Time) time.Duration {
-	var lines []wireEntry
+	var wireEntries []wireEntry
 	call.snapshot = call.from < 0 || call.from > c.version || c.version > call.from && (len(c.changes) == 0 || c.changes[0].Version > call.from+1)
 	if call.snapshot {
-		lines, call.entries = c.snapshot(call.proxy, c.entries)
+		wireEntries, call.entries = c.snapshot(call.proxy, c.entries)
 	} else {
 		if call.from == c.version && now.Before(call.holdUntil) {
-			call.continues = true // not queued again
+			call.continues = true // a watch that was served once does not wait in the queue again
 			c.watches = append(c.watches, call)
-			return c.workOf(0)
+			return c.serviceTime(0)
 		}
 		seen := map[string]bool{}
 		for _, record := range slices.Backward(c.changes) {
 			if record.Version > call.from && !seen[record.Entry.Name] {
 				seen[record.Entry.Name] = true
-				lines = append(lines, c.onWire(call.proxy, record.Entry))
+				wireEntries = append(wireEntries, c.toWireEntry(call.proxy, record.Entry))
 				call.entries = append(call.entries, refereeEntry(record.Entry))
 			}
 		}
 	}
 	c.answeredCalls++
 	call.order, call.version = c.answeredCalls, c.version
-	call.reply <- encode(c.version, call.snapshot, lines)
+	call.reply <- encode(c.version, call.snapshot, wireEntries)
 	c.lastAnswers[call.proxy] = now
-	return c.workOf(len(lines))
+	return c.serviceTime(len(wireEntries))
 }
 
-// onWire is an entry as a proxy gets it.
-func (c *Catalog) onWire(proxy string, entry Entry) wireEntry {
+// toWireEntry converts an entry for an answer to a proxy.
+func (c *Catalog) toWireEntry(proxy string, entry Entry) wireEntry {
 	return wireEntry{entry, c.config.Address(proxy, entry.Name), 1}
 }
 
+// refereeEntry converts an entry for the referee.
 func refereeEntry(entry Entry) referee.Entry {
 	return referee.Entry{Server: entry.Name, Serving: entry.Status == Serving, Since: entry.Since}
 }
 
-// snapshot is a list as a proxy gets it, by name, and as the referee records it.
+// snapshot converts a list for an answer to a proxy, sorted by name, and for the referee, in the same order.
 func (c *Catalog) snapshot(proxy string, entries map[string]Entry) ([]wireEntry, []referee.Entry) {
-	var lines []wireEntry
+	var wireEntries []wireEntry
 	var known []referee.Entry
 	for _, entry := range entries {
-		lines = append(lines, c.onWire(proxy, entry))
+		wireEntries = append(wireEntries, c.toWireEntry(proxy, entry))
 	}
-	slices.SortFunc(lines, func(a, b wireEntry) int { return strings.Compare(a.Name, b.Name) })
-	for _, l := range lines {
+	slices.SortFunc(wireEntries, func(a, b wireEntry) int { return strings.Compare(a.Name, b.Name) })
+	for _, l := range wireEntries {
 		known = append(known, refereeEntry(l.Entry))
 	}
-	return lines, known
+	return wireEntries, known
 }
 
-func encode(version int64, snapshot bool, lines []wireEntry) []byte {
-	if lines == nil {
-		lines = []wireEntry{}
+// encode returns the JSON text of an answer.
+func encode(version int64, snapshot bool, entries []wireEntry) []byte {
+	if entries == nil {
+		entries = []wireEntry{}
 	}
 	text, err := json.Marshal(struct {
 		Index     int64       `json:"index"`
 		Snapshot  bool        `json:"snapshot"`
 		Endpoints []wireEntry `json:"endpoints"`
-	}{version, snapshot, lines})
+	}{version, snapshot, entries})
 	if err != nil {
 		panic(err)
 	}
 	return text
 }
 
-// failCalls ends all calls without an answer.
+// failCalls fails all queued calls and all watches.
 func (c *Catalog) failCalls() {
 	for _, call := range append(c.queue, c.watches...) {
 		call.fail()
--- a/internal/faultlab/hollow/cluster.go
+++ b/internal/faultlab/hollow/cluster.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	exchangeInterval = 100 * time.Millisecond // as in a real proxy
-	maxSnapshotAge   = time.Second            // as in package cluster
+	exchangeInterval = 100 * time.Millisecond // same as in a real proxy
+	maxSnapshotAge   = time.Second            // same as in package cluster
 	tier             = "0"
 )
 
-// timedSnapshot is a snapshot and the time of its arrival in microseconds.
+// timedSnapshot is a cluster snapshot and the Unix time of its arrival in microseconds.
 type timedSnapshot struct {
 	transport.Snapshot
 	receivedAt int64
 }
 
-// clusterMember is a proxy's membership, as in package cluster.
+// clusterMember is a hollow proxy's membership of the cluster. It mirrors package cluster.
 type clusterMember struct {
 	node      *transport.Node
-	snapshots chan timedSnapshot // the newest one
-	latest    timedSnapshot      // used by the proxy's loop only
+	snapshots chan timedSnapshot // holds at most the newest snapshot
+	latest    timedSnapshot      // used by the proxy's event loop only
 
-	mu   sync.Mutex
-	ages []float64
+	mu          sync.Mutex
+	entryAgesMs []float64 // of the live peer entries, in milliseconds
 }
 
-func joinCluster(f *Cluster, p Proxy, log *slog.Logger) (*clusterMember, error) {
+// joinCluster opens the transport of a proxy and returns its membership, which starts with run.
+func joinCluster(cfg *Cluster, p Proxy, log *slog.Logger) (*clusterMember, error) {
 	node, err := transport.Open(transport.Config{Name: p.Name, Zone: p.Zone, Tier: tier, Bind: p.Bind,
-		Advertise: p.Advertise, Label: f.Label, Seeds: p.Seeds,
+		Advertise: p.Advertise, Label: cfg.Label, Seeds: p.Seeds,
 		StartedAtMs: time.Now().UnixMilli(), Now: nowMicros, Logger: log})
 	if err != nil {
 		return nil, err
@@ -43,6 +44,7 @@
 	return &clusterMember{node: node, snapshots: make(chan timedSnapshot, 1)}, nil
 }
 
+// run gossips until the context ends and replaces the snapshot in the channel by each newer one.
 func (m *clusterMember) run(ctx context.Context) {
 	ended := make(chan struct{})
 	go func() {
@@ -63,8 +65,8 @@
 	}
 }
 
-// exchangeReports publishes the balancer's reports and passes it those of other members.
-func (m *clusterMember) exchangeReports(d *decider) {
+// exchangeReports publishes the balancer's reports and passes the other members' reports to the balancer.
+func (m *clusterMember) exchangeReports(d *callSimulator) {
 	at := nowMicros()
 	m.node.Publish(adapter.ToObservations(d.balancer.Reports(at), d.zones))
 	peers := balancer.PeerReports{LiveReplicas: 1, LiveReplicasInZone: 1, Isolated: true}
@@ -79,15 +81,16 @@
 			}
 		}
 		m.mu.Lock()
-		m.ages = ages
+		m.entryAgesMs = ages
 		m.mu.Unlock()
 	}
 	d.balancer.HandlePeerReports(at, d, peers)
 }
 
+// metrics returns the current metrics of the membership.
 func (m *clusterMember) metrics() *ClusterMetrics {
 	m.mu.Lock()
-	ages := m.ages
+	ages := m.entryAgesMs
 	m.mu.Unlock()
 	return newClusterMetrics(m.node.Metrics(), ages)
 }
--- a/internal/faultlab/hollow/decide.go
+++ b/internal/faultlab/hollow/decide.go
@@ -13,32 +13,34 @@
 )
 
 const (
-	maxQueuedEvents = 64 // that wait for a proxy's loop
+	maxQueuedEvents = 64 // capacity of a proxy's event queue
 	minCallInterval = time.Millisecond
-	minLatency      = 20 * time.Millisecond
-	maxLatency      = 80 * time.Millisecond
+	minLatency      = 20 * time.Millisecond // of a simulated attempt
+	maxLatency      = 80 * time.Millisecond // of a simulated attempt
 )
 
-// decider drives a balancer with drawn calls: no request is sent, but the balancer decides on each call and gets a drawn
-// outcome. It is the balancer's host. Only the proxy's loop uses it, apart from the counts.
-type decider struct {
+// callSimulator is the host of a balancer and drives it with simulated calls: no request is sent, but the
+// balancer decides on each call and receives a random outcome. Apart from the counters, only the proxy's
+// event loop uses it.
+type callSimulator struct {
 	balancer       *balancer.Balancer
 	zones          map[string]int
-	classes        []int // the balancer's numbers of the present classes
-	callRate       float64
-	failedFraction float64
+	classes        []int   // indexes of the current request classes in the balancer
+	callRate       float64 // calls per second
+	failedFraction float64 // of the attempts
 	events         chan func()
-	ctx            context.Context // of the present event
+	ctx            context.Context // of the latest call
 	random         *rand.Rand
-	calls          int64
-	attempts       map[string]int
-	openClasses    map[string]int // class by open call
+	calls          int64          // also the source of call ids
+	attempts       map[string]int // attempts sent so far, by id of the open call
+	openClasses    map[string]int // request class, by id of the open call
 
-	taken, sent, rejected, failed atomic.Int64
+	taken, sent, rejected, failed atomic.Int64 // see CallMetrics
 }
 
-func newDecider(c *Config, p Proxy, site *settings.Site) (*decider, error) {
-	d := &decider{zones: map[string]int{}, openClasses: map[string]int{},
+// newCallSimulator creates the balancer of a proxy. Zones are numbered in the order of the settings.
+func newCallSimulator(c *Config, p Proxy, site *settings.Site) (*callSimulator, error) {
+	d := &callSimulator{zones: map[string]int{}, openClasses: map[string]int{},
 		callRate: c.CallRate, failedFraction: c.FailedFraction,
 		events: make(chan func(), maxQueuedEvents), attempts: map[string]int{}, ctx: context.Background()}
 	for i, z := range site.Zones {
@@ -54,9 +56,11 @@
 	return d, err
 }
 
+// nowMicros returns the current Unix time in microseconds.
 func nowMicros() int64 { return time.Now().UnixMicro() }
 
-func (d *decider) zoneNumber(zone string) int {
+// zoneNumber returns the balancer's number of a zone, and assigns the next number to an unknown zone.
+func (d *callSimulator) zoneNumber(zone string) int {
 	n, ok := d.zones[zone]
 	if !ok {
 		n = len(d.zones)
@@ -65,13 +69,13 @@
 	return n
 }
 
-// updateEndpoints passes a list to the balancer, as a real proxy does.
-func (d *decider) updateEndpoints(l *discovery.List) {
+// updateEndpoints passes an update of the endpoint list to the balancer, as a real proxy does.
+func (d *callSimulator) updateEndpoints(l *discovery.List) {
 	kind := balancer.UpdateDelta
 	if l.Snapshot {
 		kind = balancer.UpdateSnapshot
 	}
-	out := make([]balancer.Server, 0, len(l.Endpoints))
+	servers := make([]balancer.Server, 0, len(l.Endpoints))
 	for _, e := range l.Endpoints {
 		s := balancer.Server{ID: e.Name, Zone: d.zoneNumber(e.Zone), Cell: e.Cell, CapacityHint: 1,
 			StartTime: e.StartedAtMs * 1000}
@@ -84,21 +88,22 @@
 		if e.Weight != nil {
 			s.CapacityHint = *e.Weight
 		}
-		out = append(out, s)
+		servers = append(servers, s)
 	}
-	d.balancer.UpdateEndpoints(nowMicros(), d, kind, out)
+	d.balancer.UpdateEndpoints(nowMicros(), d, kind, servers)
 }
 
-// nextCall draws the time until the next call; an hour if there are none.
-func (d *decider) nextCall(r *rand.Rand) time.Duration {
+// nextCall returns a random time until the next call, exponentially distributed; an hour if no calls are
+// made.
+func (d *callSimulator) nextCall(r *rand.Rand) time.Duration {
 	if d.callRate <= 0 || len(d.classes) == 0 {
 		return time.Hour
 	}
 	return max(minCallInterval, time.Duration(r.ExpFloat64()/d.callRate*float64(time.Second)))
 }
 
-// call passes one call to the balancer.
-func (d *decider) call(ctx context.Context, r *rand.Rand) {
+// call passes one simulated call of a random class, with a deadline of one second, to the balancer.
+func (d *callSimulator) call(ctx context.Context, r *rand.Rand) {
 	d.ctx, d.random = ctx, r
 	d.calls++
 	id := strconv.FormatInt(d.calls, 16)
@@ -109,8 +114,8 @@
 		Deadline: nowMicros() + time.Second.Microseconds()})
 }
 
-// after runs something in the proxy's loop after a delay, unless the proxy has ended.
-func (d *decider) after(delay time.Duration, do func()) {
+// after runs do in the proxy's event loop after a delay, unless the proxy has ended.
+func (d *callSimulator) after(delay time.Duration, do func()) {
 	ctx := d.ctx
 	time.AfterFunc(delay, func() {
 		select {
@@ -120,8 +125,8 @@
 	})
 }
 
-// Send implements balancer.Host: an attempt ends with a drawn status after a drawn time.
-func (d *decider) Send(id, _ string, _, timeout int64) {
+// Send implements balancer.Host: the attempt ends with a random status after a random latency.
+func (d *callSimulator) Send(id, _ string, _, timeout int64) {
 	n := d.attempts[id]
 	d.attempts[id] = n + 1
 	d.sent.Add(1)
@@ -135,57 +140,59 @@
 		d.balancer.HandleOutcome(nowMicros(), d, balancer.Outcome{RequestID: id, Attempt: n, Status: status,
 			RequestDone: closed, Latency: took.Microseconds()})
 		if closed {
-			d.finish(id)
+			d.forgetCall(id)
 		}
 	})
 }
 
-func (d *decider) finish(id string) {
+// forgetCall forgets a call that has ended.
+func (d *callSimulator) forgetCall(id string) {
 	delete(d.attempts, id)
 	delete(d.openClasses, id)
 }
 
-// reconfigure applies other settings, as a real proxy does; zone and replica index stay.
-func (d *decider) reconfigure(site *settings.Site, p Proxy) error {
+// reconfigure applies new settings, as a real proxy does. The zone and the replica index stay the same.
+func (d *callSimulator) reconfigure(site *settings.Site, p Proxy) error {
 	s := site.Balancer
 	for _, z := range site.Zones {
 		d.zoneNumber(z)
 	}
 	s.ReplicaIndex, s.Zone, s.ZoneCount = p.ReplicaIndex, d.zoneNumber(p.Zone), len(d.zones)
-	held := map[int]bool{}
+	usedClasses := map[int]bool{}
 	for _, class := range d.openClasses {
-		held[class] = true
+		usedClasses[class] = true
 	}
-	numbers, err := d.balancer.Reconfigure(nowMicros(), s, held)
+	classes, err := d.balancer.Reconfigure(nowMicros(), s, usedClasses)
 	if err == nil {
-		d.classes = numbers
+		d.classes = classes
 	}
 	return err
 }
 
-// Reject implements balancer.Host.
-func (d *decider) Reject(id string, _ int64) {
+// Reject implements balancer.Host and counts a rejected call.
+func (d *callSimulator) Reject(id string, _ int64) {
 	d.rejected.Add(1)
-	d.finish(id)
+	d.forgetCall(id)
 }
 
-// Fail implements balancer.Host.
-func (d *decider) Fail(id string) {
+// Fail implements balancer.Host and counts a failed call.
+func (d *callSimulator) Fail(id string) {
 	d.failed.Add(1)
-	d.finish(id)
+	d.forgetCall(id)
 }
 
-// SetTimer implements balancer.Host.
-func (d *decider) SetTimer(delay int64, token string) {
+// SetTimer implements balancer.Host; delay is in microseconds.
+func (d *callSimulator) SetTimer(delay int64, token string) {
 	d.after(time.Duration(delay)*time.Microsecond, func() { d.balancer.HandleTimer(nowMicros(), d, token) })
 }
 
-// Watch implements balancer.Host; the list is watched in any case.
-func (d *decider) Watch() {}
+// Watch implements balancer.Host. It does nothing, since a hollow proxy watches the list from its start.
+func (d *callSimulator) Watch() {}
 
-// Log implements balancer.Host; events of drawn calls are dropped.
-func (d *decider) Log(balancer.Event) {}
+// Log implements balancer.Host. The events of simulated calls are not logged.
+func (d *callSimulator) Log(balancer.Event) {}
 
-func (d *decider) metrics() CallMetrics {
+// metrics returns the counters of calls since the start.
+func (d *callSimulator) metrics() CallMetrics {
 	return CallMetrics{d.taken.Load(), d.sent.Load(), d.rejected.Load(), d.failed.Load()}
 }
--- a/internal/faultlab/hollow/export_test.go
+++ b/internal/faultlab/hollow/export_test.go
@@ -2,21 +2,21 @@
 
 import "testing"
 
-// For the calibration's test, which judges a process with a seeded fault from outside.
+// Names of this package that its external tests use: they check processes with a seeded fault from outside.
 var (
-	Sound, SkipsWatch, SkipsFleet, SkipsApply = noFault, skipsWatch, skipsGossip, skipsApply
+	NoFault, SkipsWatch, SkipsGossip, SkipsApply = noFault, skipsWatch, skipsGossip, skipsApply
 
-	TestService  = service
-	TestConfig   = config
-	TestSettings = testSettings
-	Eventually   = waitFor
+	StartRegistry = startRegistry
+	TestConfig    = config
+	TestSettings  = testSettings
+	Eventually    = waitFor
 )
 
-// StartSeeded runs a process with a fault until the test ends.
+// StartSeeded starts a process with a seeded fault, which runs until the test ends.
 func StartSeeded(t *testing.T, c Config, fault seededFault) *Process {
 	p, _ := start(t, c, fault)
 	return p
 }
 
-// Waits returns what a process still lacks.
-func (p *Process) Waits() string { return p.notReadyReason() }
+// NotReadyReason returns why a process is not ready; empty if it is ready.
+func (p *Process) NotReadyReason() string { return p.notReadyReason() }
--- a/internal/faultlab/hollow/proxy.go
+++ b/internal/faultlab/hollow/proxy.go
@@ -12,38 +12,40 @@
 	"merlinpick/internal/settings"
 )
 
-// proxy is a hollow proxy: followers of the list, the cluster and the configuration, and one loop that owns the balancer.
+// proxy is a hollow proxy: it follows the endpoint list, the cluster and the configuration, and one event
+// loop owns its balancer.
 type proxy struct {
 	Proxy
 	cfg          *Config
 	log          *slog.Logger
 	endpointList *endpointListFollower
 	cluster      *clusterMember // nil without a cluster
-	decider      *decider
+	simulator    *callSimulator
 	rollout      *rolloutFollower // nil without a service
 }
 
-// seededFault is a fault of a hollow proxy that the calibration must detect; tests only.
+// seededFault is a deliberate fault of a hollow proxy that the calibration must detect. Only tests set one.
 type seededFault uint8
 
 const (
 	noFault     seededFault = iota
-	skipsWatch              // it gets the list once and does not watch it
-	skipsGossip             // it does not gossip
-	skipsApply              // it receives configurations and applies none
+	skipsWatch              // the proxy fetches the list once and does not watch it
+	skipsGossip             // the proxy does not gossip
+	skipsApply              // the proxy receives configurations but applies none
 )
 
-// endpointListFollower follows a proxy's endpoint list.
+// endpointListFollower records the updates of a proxy's endpoint list.
 type endpointListFollower struct {
 	client *discovery.Client
 
 	mu       sync.Mutex
 	versions []VersionTime
 	servers  map[string]string // status by name
-	removed  []Death
-	baseline discovery.Metrics // at ResetMetrics
+	removed  []Death           // servers removed without draining
+	baseline discovery.Metrics // metrics at the last ResetMetrics
 }
 
+// newProxy creates a hollow proxy without starting it, except that its cluster transport is already open.
 func newProxy(c *Config, p Proxy, log *slog.Logger, fault seededFault) (*proxy, error) {
 	site, err := settings.Decode(c.Settings)
 	if err != nil {
@@ -52,7 +54,7 @@
 	h := &proxy{Proxy: p, cfg: c, log: log.With("proxy", p.Name)}
 	h.endpointList = &endpointListFollower{servers: map[string]string{}, client: discovery.New(discovery.Config{
 		Source: discovery.Source{Members: p.RegistryMembers}, Seed: p.Seed, Logger: h.log})}
-	if h.decider, err = newDecider(c, p, site); err != nil {
+	if h.simulator, err = newCallSimulator(c, p, site); err != nil {
 		return nil, err
 	}
 	if c.Cluster != nil && fault != skipsGossip {
@@ -69,42 +71,42 @@
 
 // run runs the proxy until the context ends.
 func (p *proxy) run(ctx context.Context, fault seededFault) {
-	var parts sync.WaitGroup
-	defer parts.Wait()
-	following, leave := context.WithCancel(ctx)
-	defer leave()
-	parts.Go(func() { p.endpointList.client.Run(following) })
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
+	followCtx, stopFollowing := context.WithCancel(ctx)
+	defer stopFollowing()
+	tasks.Go(func() { p.endpointList.client.Run(followCtx) })
 	if p.rollout != nil {
-		parts.Go(func() { p.rollout.run(ctx) })
+		tasks.Go(func() { p.rollout.run(ctx) })
 	}
 	var peers <-chan timedSnapshot
-	var meet <-chan time.Time
+	var exchangeTicks <-chan time.Time
 	if p.cluster != nil {
-		parts.Go(func() { p.cluster.run(ctx) })
+		tasks.Go(func() { p.cluster.run(ctx) })
 		peers = p.cluster.snapshots
 		tick := time.NewTicker(exchangeInterval)
 		defer tick.Stop()
-		meet = tick.C
+		exchangeTicks = tick.C
 	}
 	r := rand.New(rand.NewPCG(p.Seed, 7))
-	calls := time.NewTimer(p.decider.nextCall(r))
+	calls := time.NewTimer(p.simulator.nextCall(r))
 	defer calls.Stop()
 	for {
 		select {
 		case n := <-p.endpointList.client.Updates():
 			p.endpointList.record(n.List)
-			p.decider.updateEndpoints(n.List)
+			p.simulator.updateEndpoints(n.List)
 			if fault == skipsWatch {
-				leave()
+				stopFollowing()
 			}
 		case w := <-peers:
 			p.cluster.latest = w
-		case <-meet:
-			p.cluster.exchangeReports(p.decider)
+		case <-exchangeTicks:
+			p.cluster.exchangeReports(p.simulator)
 		case <-calls.C:
-			p.decider.call(ctx, r)
-			calls.Reset(p.decider.nextCall(r))
-		case do := <-p.decider.events:
+			p.simulator.call(ctx, r)
+			calls.Reset(p.simulator.nextCall(r))
+		case do := <-p.simulator.events:
 			do()
 		case <-ctx.Done():
 			return
@@ -112,7 +114,7 @@
 	}
 }
 
-// record records a version that arrived.
+// record records an update of the list, with the servers that it removes without draining.
 func (f *endpointListFollower) record(l *discovery.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,13 +142,14 @@
 	}
 }
 
+// recordRemoved records the removal of a server unless it was draining.
 func (f *endpointListFollower) recordRemoved(name, status string) {
 	if status == discovery.StatusServing {
 		f.removed = append(f.removed, Death{name, unixNano()})
 	}
 }
 
-// resetMetrics starts a new period of the metrics; the last version is kept.
+// resetMetrics starts a new measurement period; the last version is kept.
 func (f *endpointListFollower) resetMetrics() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,12 +159,13 @@
 	}
 }
 
+// metrics returns the current metrics; versions and removed servers only with steps.
 func (f *endpointListFollower) metrics(steps bool) ListMetrics {
 	x := f.client.Metrics()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := ListMetrics{Servers: len(f.servers), Failovers: x.Failovers - f.baseline.Failovers, Failures: x.Failures - f.baseline.Failures,
-		AgeMs: -1}
+	out := ListMetrics{Servers: len(f.servers), Failovers: x.Failovers - f.baseline.Failovers,
+		Failures: x.Failures - f.baseline.Failures, AgeMs: -1}
 	if steps {
 		out.Versions, out.Removed = append(out.Versions, f.versions...), append(out.Removed, f.removed...)
 	}
@@ -171,19 +175,20 @@
 	return out
 }
 
-// notReadyReason returns what the proxy lacks before a run can start; empty: nothing.
+// notReadyReason returns why the proxy is not ready for a run; empty if it is ready.
 func (p *proxy) notReadyReason() string {
 	if p.endpointList.client.Metrics().Age < 0 {
-		return p.Name + " has no list"
+		return p.Name + " has received no endpoint list"
 	}
 	if p.cluster != nil && p.cluster.node.Metrics().LiveMembers < 2 && len(p.Seeds) > 0 {
-		return p.Name + " has found no other member"
+		return p.Name + " has found no other cluster member"
 	}
 	return ""
 }
 
+// metrics returns the current metrics; versions and removed servers only with steps.
 func (p *proxy) metrics(steps bool) ProxyMetrics {
-	out := ProxyMetrics{Name: p.Name, List: p.endpointList.metrics(steps), Calls: p.decider.metrics()}
+	out := ProxyMetrics{Name: p.Name, List: p.endpointList.metrics(steps), Calls: p.simulator.metrics()}
 	if p.cluster != nil {
 		out.Cluster = p.cluster.metrics()
 	}
--- a/internal/faultlab/hollow/relay.go
+++ b/internal/faultlab/hollow/relay.go
@@ -7,15 +7,15 @@
 	"merlinpick/internal/faultlab/link"
 )
 
-// Relays configures one relay in front of each member, for loss and delay between members. Their cost is part of the
-// process's CPU time.
+// Relays configures one relay in front of each cluster member, which adds loss and delay between members. The
+// relays' cost is part of the process's CPU time.
 type Relays struct {
 	Members            map[string]RelayMember `json:"speakers"` // all members of the cluster, by source IP
 	RegionDelayUs      int64                  `json:"local_us"` // one way, within a region
-	CrossRegionDelayUs int64                  `json:"cross_us"`
+	CrossRegionDelayUs int64                  `json:"cross_us"` // one way, between regions
 }
 
-// RelayMember is a member as relays know it.
+// RelayMember is a cluster member as the relays identify it.
 type RelayMember struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
@@ -28,22 +28,22 @@
 		return nil
 	}
 	p.network = link.New(uint64(len(p.cfg.Name)))
-	speakers := map[netip.Addr]RelayMember{}
+	members := map[netip.Addr]RelayMember{}
 	for ip, s := range c.Members {
 		addr, err := netip.ParseAddr(ip)
 		if err != nil {
 			return err
 		}
-		speakers[addr] = s
+		members[addr] = s
 	}
 	for _, x := range p.cfg.Proxies {
-		own, err := netip.ParseAddrPort(x.Bind)
+		bindAddr, err := netip.ParseAddrPort(x.Bind)
 		if err != nil {
 			return err
 		}
-		to := speakers[own.Addr()]
+		to := members[bindAddr.Addr()]
 		r, err := p.network.Relay(x.Advertise, func(ip netip.Addr) (link.Ends, time.Duration, bool) {
-			from, ok := speakers[ip]
+			from, ok := members[ip]
 			delay := c.CrossRegionDelayUs
 			if from.Region == to.Region {
 				delay = c.RegionDelayUs
@@ -62,15 +62,16 @@
 	return nil
 }
 
-// loseDatagrams drops a fraction of the datagrams to the process's members until end is called.
-func (p *Process) loseDatagrams(part float64) (end func() error, err error) {
+// loseDatagrams drops a fraction of the gossip datagrams to the process's proxies until end is called.
+func (p *Process) loseDatagrams(fraction float64) (end func() error, err error) {
 	if p.network == nil {
 		return func() error { return nil }, nil
 	}
-	return p.network.Apply(func(e link.Ends) bool { return e.Kind == "gossip" }, link.Effect{Loss: part})
+	return p.network.Apply(func(e link.Ends) bool { return e.Kind == "gossip" }, link.Effect{Loss: fraction})
 }
 
-// droppedByRelays counts datagrams that relays dropped for lack of room: losses of the lab itself.
+// droppedByRelays returns how many datagrams relays dropped because their queue was full. These losses are
+// caused by the lab itself and not by a fault.
 func (p *Process) droppedByRelays() (n int) {
 	for _, r := range p.memberRelays {
 		n += r.Counters().Overflowed
--- a/internal/faultlab/hollow/rollout_test.go
+++ b/internal/faultlab/hollow/rollout_test.go
@@ -10,16 +10,17 @@
 	"testing"
 )
 
-// A change of configuration is in force at all hollow proxies that follow it, under its version, while calls go on; one that
-// does not fit is refused at each, and what was in force stays.
+// TestConfigurationsAreApplied checks that all hollow proxies that follow a configuration apply a change of
+// it under its version while calls continue, and that each of them rejects an invalid change and keeps the
+// one in force.
 func TestConfigurationsAreApplied(t *testing.T) {
-	list, _, _ := service(t)
+	list, _, _ := startRegistry(t)
 	c := config(list, 3, 2)
 	for i := range c.Proxies {
 		c.Proxies[i].Service = "s"
 	}
 	p, _ := start(t, c, noFault)
-	waitFor(t, "all", func() bool { return p.notReadyReason() == "" })
+	waitFor(t, "all proxies to be ready", func() bool { return p.notReadyReason() == "" })
 	p.ResetMetrics()
 	put := func(after int64, class string, zone string) int64 {
 		t.Helper()
@@ -37,11 +38,11 @@
 		text, err := io.ReadAll(resp.Body)
 		var out struct{ Version int64 }
 		if err := errors.Join(err, json.Unmarshal(text, &out)); err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("%s %s (%v)", resp.Status, text, err)
+			t.Fatalf("PUT /config/s was answered with %s %s (%v)", resp.Status, text, err)
 		}
 		return out.Version
 	}
-	holds := func(what string, is func(*ConfigMetrics) bool) {
+	waitForAll := func(what string, is func(*ConfigMetrics) bool) {
 		t.Helper()
 		waitFor(t, what, func() bool {
 			for _, x := range p.Metrics(true).Proxies {
@@ -52,21 +53,26 @@
 			return true
 		})
 	}
-	last := func(f *ConfigMetrics) int64 {
+	lastVersion := func(f *ConfigMetrics) int64 {
 		if len(f.Versions) == 0 {
 			return 0
 		}
 		return f.Versions[len(f.Versions)-1].Version
 	}
 	first := put(0, "d", "a-a")
-	holds("the first", func(f *ConfigMetrics) bool { return last(f) == first })
-	second := put(first, "e", "b-b") // their zone is not in it
-	holds("a refusal", func(f *ConfigMetrics) bool { return f.RejectedVersion == second && last(f) == first })
+	waitForAll("all proxies to apply the first configuration",
+		func(f *ConfigMetrics) bool { return lastVersion(f) == first })
+	second := put(first, "e", "b-b") // invalid: it lacks the proxies' zone
+	waitForAll("all proxies to reject the second configuration", func(f *ConfigMetrics) bool {
+		return f.RejectedVersion == second && lastVersion(f) == first
+	})
 	third := put(second, "f", "a-a")
-	holds("the third", func(f *ConfigMetrics) bool { return f.RejectedVersion == 0 && last(f) == third && len(f.Versions) == 2 })
+	waitForAll("all proxies to apply the third configuration", func(f *ConfigMetrics) bool {
+		return f.RejectedVersion == 0 && lastVersion(f) == third && len(f.Versions) == 2
+	})
 	before := p.Metrics(false).Proxies[0].Calls.Sent
-	waitFor(t, "calls to go on", func() bool { return p.Metrics(false).Proxies[0].Calls.Sent > before })
+	waitFor(t, "further calls", func() bool { return p.Metrics(false).Proxies[0].Calls.Sent > before })
 	if p.ResetMetrics(); len(p.Metrics(true).Proxies[0].Config.Versions) != 1 {
-		t.Error("steps from before the figures began")
+		t.Error("after ResetMetrics the metrics still hold other versions than the last one")
 	}
 }
--- a/internal/faultlab/link/relay_test.go
+++ b/internal/faultlab/link/relay_test.go
@@ -11,24 +11,25 @@
 	"go.uber.org/goleak"
 )
 
-// program takes datagrams and echoes lines on one port, and counts its connections.
-type program struct {
-	addr  string
-	heard chan string
-	conns atomic.Int32
+// echoProgram receives datagrams and echoes lines of connections on one port, and counts its connections.
+type echoProgram struct {
+	addr     string
+	received chan string
+	conns    atomic.Int32
 }
 
-func newProgram(t *testing.T) *program {
+// newEchoProgram starts a program that runs until the test ends.
+func newEchoProgram(t *testing.T) *echoProgram {
 	t.Helper()
 	t.Cleanup(func() { goleak.VerifyNone(t) })
-	p := &program{heard: make(chan string, 100)}
+	p := &echoProgram{received: make(chan string, 100)}
 	for {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		u, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(l.Addr().String())))
-		if err != nil { // the port is another's in UDP
+		if err != nil { // the port is taken in UDP
 			l.Close()
 			continue
 		}
@@ -40,7 +41,7 @@
 				if err != nil {
 					return
 				}
-				p.heard <- string(buf[:n])
+				p.received <- string(buf[:n])
 			}
 		}()
 		go func() {
@@ -67,8 +68,8 @@
 	}
 }
 
-// newRelay is a relay before a program that knows 127.0.0.2 and .3 as a and b.
-func newRelay(t *testing.T, p *program) (*Net, *Relay) {
+// newRelay returns a relay in front of a program. It knows the senders 127.0.0.2 and 127.0.0.3 as a and b.
+func newRelay(t *testing.T, p *echoProgram) (*Net, *Relay) {
 	t.Helper()
 	n := New(1)
 	t.Cleanup(n.Close)
@@ -78,7 +79,7 @@
 			name := names[ip.String()]
 			return Ends{Kind: "gossip", From: name, To: "p"}, 0, name != ""
 		})
-		if err != nil { // the port is another's in TCP
+		if err != nil { // the port is taken in TCP
 			continue
 		}
 		if err := r.SetTarget(p.addr); err != nil {
@@ -90,9 +91,11 @@
 	return nil, nil
 }
 
+// fromA matches the links from sender a.
 func fromA(e Ends) bool { return e.From == "a" }
 
-func datagram(t *testing.T, from, to, text string) {
+// sendDatagram sends a datagram from an IP to an address.
+func sendDatagram(t *testing.T, from, to, text string) {
 	t.Helper()
 	c, err := net.DialUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(from+":0")),
 		net.UDPAddrFromAddrPort(netip.MustParseAddrPort(to)))
@@ -105,13 +108,14 @@
 	}
 }
 
-// What a link does to datagrams, seen by the order in which they come: b's is sent after a's.
+// TestRelayDatagrams checks what a link's effects do to datagrams: an effect is applied to sender a, and b
+// sends its datagram after a.
 func TestRelayDatagrams(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		effect Effect
-		want   string
-		passed RelayCounters
+		name     string
+		effect   Effect
+		want     string
+		counters RelayCounters
 	}{
 		{"nothing", Effect{}, "ab", RelayCounters{Forwarded: 2, UnknownSender: 1}},
 		{"what it sends is cut", Effect{CutOut: true}, "b", RelayCounters{Forwarded: 1, Cut: 1, UnknownSender: 1}},
@@ -120,44 +124,46 @@
 		{"late", Effect{Delay: 2 * time.Second}, "ba", RelayCounters{Forwarded: 2, UnknownSender: 1}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			p := newProgram(t)
+			p := newEchoProgram(t)
 			n, r := newRelay(t, p)
 			if _, err := n.Apply(fromA, test.effect); err != nil {
 				t.Fatal(err)
 			}
 			for _, from := range []struct{ ip, text string }{{"127.0.0.4", "x"}, {"127.0.0.2", "a"}, {"127.0.0.3", "b"}} {
-				datagram(t, from.ip, r.Address(), from.text)
+				sendDatagram(t, from.ip, r.Address(), from.text)
 			}
 			got := ""
 			for range test.want {
 				select {
-				case text := <-p.heard:
+				case text := <-p.received:
 					got += text
-				case <-time.After(long):
+				case <-time.After(passTimeout):
 				}
 			}
-			if got != test.want || len(p.heard) > 0 {
-				t.Errorf("the program heard %q and %d more, want %q", got, len(p.heard), test.want)
+			if got != test.want || len(p.received) > 0 {
+				t.Errorf("the program received %q and %d more datagrams, want %q",
+					got, len(p.received), test.want)
 			}
-			test.passed.Bytes = int64(test.passed.Forwarded) // of one byte each
-			if passed := r.Counters(); passed != test.passed {
-				t.Errorf("counted %+v, want %+v", passed, test.passed)
+			test.counters.Bytes = int64(test.counters.Forwarded) // each datagram has one byte
+			if passed := r.Counters(); passed != test.counters {
+				t.Errorf("the relay counted %+v, want %+v", passed, test.counters)
 			}
 		})
 	}
 }
 
-// Over a cut link a connection comes up and is silent, the program hears nothing of it, and another sender's passes;
-// what was held comes when the cut ends.
+// TestRelayConnections checks that over a cut link a connection is established but passes no bytes and opens
+// no connection at the program, that another sender's connection works, and that held bytes pass after the
+// cut.
 func TestRelayConnections(t *testing.T) {
-	p := newProgram(t)
+	p := newEchoProgram(t)
 	n, r := newRelay(t, p)
 	end, err := n.Apply(fromA, Silent)
 	if err != nil {
 		t.Fatal(err)
 	}
 	from := func(ip string) net.Conn {
-		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}, Timeout: long}
+		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}, Timeout: passTimeout}
 		c, err := d.Dial("tcp", r.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -167,22 +173,22 @@
 	a, b := from("127.0.0.2"), from("127.0.0.3")
 	defer a.Close()
 	defer b.Close()
-	if err := says(a, "held", short); err == nil {
-		t.Error("it passed over a cut link")
+	if err := sendLine(a, "held", blockedTimeout); err == nil {
+		t.Error("a line of sender a was echoed over a cut link")
 	}
-	if err := says(b, "passes", long); err != nil {
+	if err := sendLine(b, "passes", passTimeout); err != nil {
 		t.Error(err)
 	}
 	if got := p.conns.Load(); got != 1 {
-		t.Errorf("%d connections at the program, want b's alone", got)
+		t.Errorf("the program has %d connections, want only that of sender b", got)
 	}
 	if err := end(); err != nil {
 		t.Fatal(err)
 	}
-	if err := hears(a, "held", long); err != nil {
-		t.Errorf("after the end: %v", err)
+	if err := expectLine(a, "held", passTimeout); err != nil {
+		t.Errorf("the held line did not come after the end of the cut: %v", err)
 	}
 	if n.Reset(fromA) != 1 {
-		t.Error("there was one connection of a's to reset")
+		t.Error("Reset did not report one reset connection of sender a")
 	}
 }
--- a/internal/faultlab/run/faults_lists.go
+++ b/internal/faultlab/run/faults_lists.go
@@ -15,17 +15,17 @@
 func (t *timeline) injectRegistryFault(ctx context.Context, planned plan.PlannedFault) error {
 	members := t.service.Members(planned.Fault.Members)
 	t.log.Info("fault injected into members of the list service", "fault", planned.Number,
-		"members", service.Names(members))
+		"members", service.MemberNames(members))
 	back := func() bool { return planned.Duration > 0 && t.waitUntil(ctx, planned.At+planned.Duration) }
 	switch planned.Fault.Kind {
 	case "member_kill":
 		return t.service.Kill(members, back)
 	case "member_stop":
-		return t.service.Stop(members, func() { t.waitForFaultEnd(ctx, planned, planned.At) })
+		return t.service.Suspend(members, func() { t.waitForFaultEnd(ctx, planned, planned.At) })
 	case "member_damage":
 		return t.service.Damage(members, back)
 	case "member_cut":
-		return t.cutMembers(ctx, planned, service.Names(members))
+		return t.cutMembers(ctx, planned, service.MemberNames(members))
 	}
 	return unknownFault(planned, "members")
 }
--- a/internal/faultlab/run/registry.go
+++ b/internal/faultlab/run/registry.go
@@ -69,7 +69,7 @@
 
 // registeredServer returns a server as the list service registers it.
 func registeredServer(entry catalog.Entry) service.Server {
-	return service.Server{Name: entry.Name, Zone: entry.Zone, Type: entry.Type, Group: entry.Group, Since: entry.Since}
+	return service.Server{Name: entry.Name, Zone: entry.Zone, Type: entry.Type, Group: entry.Group, StartedAtMs: entry.Since}
 }
 
 // announce announces a server's state to the list. At the list service, a server that dies announces nothing:
--- a/internal/faultlab/service/faults.go
+++ b/internal/faultlab/service/faults.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Members are the members that a fault names: "leader" is the current leader, "follower" one that is not; no name is all.
+// Members returns the members that a fault names. "leader" is the current leader, "follower" is one member
+// that does not lead; without names it returns all members.
 func (s *Service) Members(names []string) (out []*Member) {
 	for _, member := range s.members {
 		if len(names) == 0 || slices.Contains(names, member.Name) {
@@ -27,8 +28,9 @@
 	return out
 }
 
-// Kill kills members at once, and when back returns true starts each again, unless another fault keeps it down.
-func (s *Service) Kill(members []*Member, back func() bool) error {
+// Kill kills members at the same time and calls shouldRestart. If that returns true, it starts each member
+// again, unless another fault keeps it down.
+func (s *Service) Kill(members []*Member, shouldRestart func() bool) error {
 	for _, member := range members {
 		member.mu.Lock()
 		member.downFaults++
@@ -44,18 +46,19 @@
 		member.mu.Unlock()
 		<-proc.Ended()
 	}
-	if !back() {
+	if !shouldRestart() {
 		return nil
 	}
 	for _, member := range members {
-		if err := s.startAgain(member); err != nil {
+		if err := s.restart(member); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Service) startAgain(member *Member) error {
+// restart ends one fault that keeps a member down, and starts the member if that was the last.
+func (s *Service) restart(member *Member) error {
 	member.mu.Lock()
 	defer member.mu.Unlock()
 	if member.downFaults--; member.downFaults > 0 {
@@ -64,23 +67,23 @@
 	return s.start(member)
 }
 
-// Stop stops the members' processes until hold returns.
-func (s *Service) Stop(members []*Member, hold func()) error {
+// Suspend suspends the members' processes with SIGSTOP until wait returns.
+func (s *Service) Suspend(members []*Member, wait func()) error {
 	for _, member := range members {
 		member.mu.Lock()
-		member.stopFaults++
+		member.suspendFaults++
 		err := member.process.Signal(syscall.SIGSTOP)
 		member.mu.Unlock()
 		if err != nil {
 			return err
 		}
 	}
-	hold()
+	wait()
 	for _, member := range members {
 		member.mu.Lock()
-		member.stopFaults--
+		member.suspendFaults--
 		var err error
-		if member.stopFaults == 0 {
+		if member.suspendFaults == 0 {
 			err = member.process.Signal(syscall.SIGCONT)
 		}
 		member.mu.Unlock()
@@ -91,15 +94,16 @@
 	return nil
 }
 
-// Damage kills members, truncates one file of each directory at a random byte, and when back returns true starts them again. One
-// that refuses its directory is started with an empty one, as its error message says.
-func (s *Service) Damage(members []*Member, back func() bool) error {
+// Damage kills members, truncates one file of each member's directory at a random byte and calls
+// shouldRestart. If that returns true, it starts the members again. A member that refuses its damaged
+// directory is then started with an empty one, which is the remedy that its error message names.
+func (s *Service) Damage(members []*Member, shouldRestart func() bool) error {
 	return s.Kill(members, func() bool {
 		for _, member := range members {
 			path, size, err := s.truncateFile(member)
 			s.log.Info("file truncated", "file", path, "bytes", size, "error", err)
 		}
-		if !back() {
+		if !shouldRestart() {
 			return false
 		}
 		for _, member := range members {
@@ -109,7 +113,8 @@
 	})
 }
 
-// truncateFile truncates a random file of a member's directory at a random byte.
+// truncateFile truncates a random file of a member's directory at a random byte, and returns its path and new
+// size in bytes.
 func (s *Service) truncateFile(member *Member) (path string, size int64, err error) {
 	var files []string
 	err = filepath.WalkDir(member.dir, func(path string, d os.DirEntry, err error) error {
@@ -133,33 +138,34 @@
 	return path, size, os.Truncate(path, size)
 }
 
-// replaceDamaged waits whether a member refuses its damaged directory, and starts it with an empty one then.
+// replaceDamaged waits up to refusalTimeout for a member to refuse its damaged directory. If it does, the
+// directory is moved aside and the member is started with an empty one.
 func (s *Service) replaceDamaged(member *Member) {
 	for end := time.Now().Add(refusalTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		member.mu.Lock()
-		proc, dead := member.process, member.downFaults
+		proc, downFaults := member.process, member.downFaults
 		member.mu.Unlock()
-		if dead > 0 || !proc.Crashed() {
+		if downFaults > 0 || !proc.Crashed() {
 			continue
 		}
 		member.mu.Lock()
 		defer member.mu.Unlock()
 		s.mu.Lock()
-		s.rejected++
+		s.refusedStarts++
 		s.mu.Unlock()
 		if err := os.Rename(member.dir, fmt.Sprintf("%s.damaged-%d", member.dir, time.Now().UnixNano())); err != nil {
-			s.log.Error("damaged directory not moved", "member", member.Name, "error", err)
+			s.log.Error("damaged directory of member could not be moved", "member", member.Name, "error", err)
 			return
 		}
 		if err := s.start(member); err != nil {
-			s.log.Error("member not restarted", "member", member.Name, "error", err)
+			s.log.Error("member could not be restarted", "member", member.Name, "error", err)
 		}
 		return
 	}
 }
 
-// Names are the names of members.
-func Names(members []*Member) (names []string) {
+// MemberNames returns the names of members.
+func MemberNames(members []*Member) (names []string) {
 	for _, member := range members {
 		names = append(names, member.Name)
 	}
--- a/internal/faultlab/stubserver/stubserver_test.go
+++ b/internal/faultlab/stubserver/stubserver_test.go
@@ -15,17 +15,20 @@
 	"merlinpick/internal/faultlab/wire"
 )
 
-// world gives every request the same work.
-type world struct {
-	work time.Duration
-	fell chan string
+// fixedWorkLab is a Lab that gives every request the same work.
+type fixedWorkLab struct {
+	work       time.Duration
+	overloaded chan string
 }
 
-func (w world) Job(string) (Job, bool)     { return Job{Work: w.work, ResponseBytes: 10, Proxy: "p"}, true }
-func (w world) OverloadFailed(name string) { w.fell <- name }
+func (w fixedWorkLab) Job(string) (Job, bool) {
+	return Job{Work: w.work, ResponseBytes: 10, Proxy: "p"}, true
+}
+func (w fixedWorkLab) OverloadFailed(name string) { w.overloaded <- name }
 
-// newServer returns a server behind a link, with its address and referee.
-func newServer(t testing.TB, spec Spec, work time.Duration) (*Server, world, *referee.Referee, string) {
+// newServer returns a server behind a link, with its lab, referee and address.
+func newServer(t testing.TB, spec Spec, work time.Duration) (*Server, fixedWorkLab, *referee.Referee,
+	string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,7 +37,7 @@
 	addr := l.Addr().String()
 	l.Close()
 	ref := referee.New(referee.Config{Classes: []referee.Class{{Name: "c"}}, MaxAttempts: 9, HedgingAllowed: true})
-	w := world{work, make(chan string, 1)}
+	w := fixedWorkLab{work, make(chan string, 1)}
 	spec.Name, spec.IdleTimeout = "s", time.Minute
 	if spec.MaxConnections == 0 {
 		spec.MaxConnections = 1000
@@ -48,8 +51,9 @@
 	return server, w, ref, addr
 }
 
-// ask makes one request on a connection of its own and returns the status; 0: none.
-func ask(ref *referee.Referee, addr, id string, timeout time.Duration) (status int, notStarted bool) {
+// sendRequest sends a request on a new connection and returns the status of the response; 0 if there was
+// none.
+func sendRequest(ref *referee.Referee, addr, id string, timeout time.Duration) (status int, notStarted bool) {
 	ref.RecordSend(&referee.ClientAttempt{ID: id, Method: "GET", Path: "/c", RequestDigest: wire.Digest(nil)}, "p")
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -66,7 +70,8 @@
 	return resp.StatusCode, resp.Header.Get(wire.NotStarted) == "1"
 }
 
-// A server's response depends on its state. Work takes forever where only its start matters.
+// TestResponses checks that a server's response depends on its state and faults. Work takes forever where
+// only its start matters.
 func TestResponses(t *testing.T) {
 	const forever = time.Hour
 	one := Spec{Slots: 1, Speed: 1, Queue: 1}
@@ -75,7 +80,7 @@
 		spec       Spec
 		work       time.Duration
 		before     func(server *Server)
-		hold       int // requests in flight already
+		hold       int // requests that are in flight before
 		timeout    time.Duration
 		status     int
 		notStarted bool
@@ -103,19 +108,22 @@
 				test.before(server)
 			}
 			for i := range test.hold {
-				go ask(ref, addr, fmt.Sprint("held", i), 10*time.Second)
+				go sendRequest(ref, addr, fmt.Sprint("held", i), 10*time.Second)
 			}
 			for in := 0; in < test.hold; time.Sleep(time.Millisecond) {
 				server.locked(func() { in = server.busy + len(server.queue) })
 			}
-			if status, notStarted := ask(ref, addr, "x", test.timeout); status != test.status || notStarted != test.notStarted {
-				t.Errorf("got %d, Not-Started %v; want %d, %v", status, notStarted, test.status, test.notStarted)
+			if status, notStarted := sendRequest(ref, addr, "x", test.timeout); status != test.status ||
+				notStarted != test.notStarted {
+				t.Errorf("got status %d, Not-Started %v; want %d, %v", status, notStarted, test.status,
+					test.notStarted)
 			}
 		})
 	}
 }
 
-// A request that states that no time is left is over at its arrival: it is answered and not executed.
+// TestRequestWithoutTimeLeftIsNotExecuted checks that a request whose timeout is 0 on arrival is answered
+// with 504 and Not-Started.
 func TestRequestWithoutTimeLeftIsNotExecuted(t *testing.T) {
 	server, _, ref, addr := newServer(t, Spec{Slots: 1, Speed: 1, Queue: 1}, time.Hour)
 	server.Start(time.Time{}, false)
@@ -129,30 +137,31 @@
 	fmt.Fprintf(c, "GET /c HTTP/1.1\r\nHost: x\r\n%s: x\r\n%s: 0\r\n\r\n", wire.RequestID, wire.RequestTimeout)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusGatewayTimeout || resp.Header.Get(wire.NotStarted) != "1" {
-		t.Errorf("got %v, %v", resp, err)
+		t.Errorf("got response %v and error %v, want status 504 with Not-Started", resp, err)
 	}
 }
 
-// A canceled request frees its place in the queue, and its slot if work can be canceled.
+// TestCanceledRequestsFreeTheirPlaces checks that a canceled request frees its place in the queue, and its
+// slot if the server cancels work.
 func TestCanceledRequestsFreeTheirPlaces(t *testing.T) {
 	server, _, ref, addr := newServer(t, Spec{Slots: 1, Speed: 1, Queue: 1, CancelsWork: true}, time.Hour)
 	server.Start(time.Time{}, false)
 	holding := func() (in int) { server.locked(func() { in = server.busy + len(server.queue) }); return in }
 	var long sync.WaitGroup
-	long.Go(func() { ask(ref, addr, "long", 3*time.Second) })
-	until := func(what string, holds func() bool) {
+	long.Go(func() { sendRequest(ref, addr, "long", 3*time.Second) })
+	waitUntil := func(what string, holds func() bool) {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("waited in vain for ", what)
+				t.Fatal("timed out waiting for ", what)
 			}
 		}
 	}
-	until("the slot to be taken", func() bool { return holding() == 1 })
+	waitUntil("the slot to be taken", func() bool { return holding() == 1 })
 	left := make(chan bool)
 	go func() { long.Wait(); close(left) }()
-	ask(ref, addr, "queued", 50*time.Millisecond)
-	until("the queue to be empty, while the slot is taken", func() bool {
+	sendRequest(ref, addr, "queued", 50*time.Millisecond)
+	waitUntil("the queue to be empty, while the slot is taken", func() bool {
 		select {
 		case <-left:
 			t.Fatal("the place in the queue was not given back before the slot was")
@@ -161,32 +170,34 @@
 		return holding() <= 1
 	})
 	long.Wait()
-	until("the slot to be free", func() bool { return holding() == 0 })
+	waitUntil("the slot to be free", func() bool { return holding() == 0 })
 	for i := range 3 {
 		var both sync.WaitGroup
 		for j := range 2 {
 			both.Go(func() {
-				if status, _ := ask(ref, addr, fmt.Sprint(i, j), 100*time.Millisecond); status == 503 {
-					t.Errorf("round %d: rejected, though both places should be free", i)
+				if status, _ := sendRequest(ref, addr, fmt.Sprint(i, j), 100*time.Millisecond); status == 503 {
+					t.Errorf("round %d: the request was rejected, though both places should be free", i)
 				}
 			})
 		}
 		both.Wait()
-		until("both places to be free", func() bool { return holding() == 0 })
+		waitUntil("both places to be free", func() bool { return holding() == 0 })
 	}
 }
 
-// In slow start a server fails over its budget and not below; at full capacity it never fails.
+// TestOverloadBudget checks that a server in slow start fails if the work exceeds its budget and not below
+// it, and that a server at full capacity never fails.
 func TestOverloadBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
-		name string
-		cold bool
-		age  time.Duration // at the last arrival
-		work time.Duration // in all, in 20 pieces over a second
-		fell bool
+		name       string
+		cold       bool
+		age        time.Duration // at the last arrival
+		work       time.Duration // total, in 20 equal requests over a second
+		overloaded bool
 	}{
-		// 3 times (0.5 of capacity at the window's middle, 1 slot of speed 1) for 2 s: some 3.3 s of work at first.
+		// 3 times (0.5 of capacity at the window's middle, 1 slot of speed 1) for 2 s: some 3.3 s of work at
+		// first.
 		{"within", true, time.Second, 3 * time.Second, false},
 		{"over", true, time.Second, 5 * time.Second, true},
 		{"over, but warmer", true, 8 * time.Second, 5 * time.Second, false},
@@ -194,13 +205,13 @@
 	} {
 		server := New(Spec{Slots: 1, Speed: 1, StartCapacity: 0.5, SlowStart: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}, nil, nil)
 		server.Start(now, test.cold)
-		fell := false
+		overloaded := false
 		for i := range 20 {
 			at := now.Add(test.age - time.Second + time.Duration(i)*50*time.Millisecond)
-			fell = server.overloadBy(at, test.work/20, "p") != nil || fell
+			overloaded = server.detectOverload(at, test.work/20, "p") != nil || overloaded
 		}
-		if fell != test.fell {
-			t.Errorf("%s: fell %v", test.name, fell)
+		if overloaded != test.overloaded {
+			t.Errorf("%s: the server failed under overload: %v, want the opposite", test.name, overloaded)
 		}
 	}
 }
